--- a/internal/house/again_test.go
+++ b/internal/house/again_test.go
@@ -111,19 +111,19 @@
 	change := func(body string) int {
 		return behind(func(h *House, then func(int, []byte)) { h.Change(script.Replace, []byte(body), then) })
 	}
-	rollout := func(rev uint64, mark string) int {
+	orderRollout := func(rev uint64, mark string) int {
 		return behind(func(h *House, then func(int, []byte)) { h.Rollout(entry(rev, mark), false, then) })
 	}
 	must.Eq(t, 200, change(bill(7, 0)))
 	must.Eq(t, 200, change(bill(8, 7)))
 	must.Eq(t, 412, change(bill(9, 7)))
 	must.Eq(t, 400, change(bill(8, 8))) // wrong whatever is current
-	must.Eq(t, 200, rollout(0, "first"))
-	must.Eq(t, 200, rollout(0, "first"))
-	must.Eq(t, 412, rollout(0, "second"))
+	must.Eq(t, 200, orderRollout(0, "first"))
+	must.Eq(t, 200, orderRollout(0, "first"))
+	must.Eq(t, 412, orderRollout(0, "second"))
 	rev := d.rollout(0).Rev
 	d.settles(0, 200, "POST", "/api/Rollout.PullBack/s", fmt.Sprintf(`{"number":1,"rev":%d,"mark":"back"}`, rev))
-	must.Eq(t, 200, rollout(d.rollout(0).Rev, "third"))
+	must.Eq(t, 200, orderRollout(d.rollout(0).Rev, "third"))
 	d.settles(0, 200, "POST", replacePath, `{"generation":9,"parent_version":8}`) // what the order names is there no more
-	must.Eq(t, 200, rollout(0, "first"))
+	must.Eq(t, 200, orderRollout(0, "first"))
 }
--- a/internal/rig/rollout.go
+++ b/internal/rig/rollout.go
@@ -126,7 +126,7 @@
 )
 
 // rollout is one under way, beside its house.
-type rollout struct {
+type rolloutRun struct {
 	*house
 	s     *RolloutSchedule
 	res   *RolloutResult
@@ -141,7 +141,7 @@
 
 // PlayRollout plays a schedule on real doors.
 func PlayRollout(ctx context.Context, s *RolloutSchedule, o HouseOptions) (*RolloutResult, error) {
-	r := &rollout{s: s, res: &RolloutResult{Play: s.Play.Name, Arm: s.Arm, Advance: s.Advance, Rate: o.Rate},
+	r := &rolloutRun{s: s, res: &RolloutResult{Play: s.Play.Name, Arm: s.Arm, Advance: s.Advance, Rate: o.Rate},
 		trial: extras.Trial{Service: s.Play.Leading, New: newVersion, Pulled: map[string]time.Duration{}},
 		seen:  make(chan struct{})}
 	if s.Arm != Good {
@@ -157,7 +157,7 @@
 }
 
 // act starts the roll-out, lets the new version fail, and waits until all doors have pulled back.
-func (r *rollout) act(ctx context.Context) (bad []history.Broken) {
+func (r *rolloutRun) act(ctx context.Context) (bad []history.Broken) {
 	broken := func(format string, args ...any) []history.Broken {
 		return append(bad, history.Broken{Rule: "ROLLOUT", T: history.Now(), What: fmt.Sprintf(format, args...)})
 	}
@@ -243,7 +243,7 @@
 }
 
 // steps brings the roll-out to a step: by the operator's word where the order wants that.
-func (r *rollout) steps(ctx context.Context, to int) bool {
+func (r *rolloutRun) steps(ctx context.Context, to int) bool {
 	late := time.Now().Add(time.Duration(to)*r.s.Dwell + orderMost)
 	since, at := time.Now(), 0
 	for ctx.Err() == nil && time.Now().Before(late) {
@@ -264,7 +264,7 @@
 }
 
 // watch looks again and again at whether a door has pulled back, and one time in four at how all stands.
-func (r *rollout) watch(ctx context.Context, d *extras.Door) {
+func (r *rolloutRun) watch(ctx context.Context, d *extras.Door) {
 	for i := 0; ctx.Err() == nil; i++ {
 		if i%4 == 0 {
 			if v, ok := r.t.Rollout(ctx, d, r.s.Play.Leading); ok {
@@ -289,22 +289,22 @@
 	}
 }
 
-func (r *rollout) pulledBack() bool { return r.doorsPulled() > 0 }
+func (r *rolloutRun) pulledBack() bool { return r.doorsPulled() > 0 }
 
-func (r *rollout) doorsPulled() int {
+func (r *rolloutRun) doorsPulled() int {
 	r.look.Lock()
 	defer r.look.Unlock()
 	return len(r.trial.Pulled)
 }
 
-func (r *rollout) newest() extras.RolloutView {
+func (r *rolloutRun) newest() extras.RolloutView {
 	r.look.Lock()
 	defer r.look.Unlock()
 	return r.last
 }
 
 // call gives an order; empty if it is done, else why not.
-func (r *rollout) call(ctx context.Context, verb understudy.Verb, step int) (why string) {
+func (r *rolloutRun) call(ctx context.Context, verb understudy.Verb, step int) (why string) {
 	now := r.newest()
 	status, text, clear := r.t.Operator.Rollout(ctx, verb, r.s.order(), now, step)
 	if clear && status == 200 {
@@ -314,7 +314,7 @@
 }
 
 // judge holds the roll-out against its own rules and measures it.
-func (r *rollout) judge(h []history.Event, slack time.Duration) (bad []history.Broken) {
+func (r *rolloutRun) judge(h []history.Event, slack time.Duration) (bad []history.Broken) {
 	r.trial.Lines, r.trial.Slack = r.t.Lines(), slack
 	books, open := extras.Books(h)
 	reads, carried := extras.Whole(h, &r.trial)
--- a/internal/script/script_test.go
+++ b/internal/script/script_test.go
@@ -31,16 +31,16 @@
 		Entry(Replace, bill(3, 0)), SeatEntry(again), Entry('z', []byte("of a newer program")), nil, Entry(Seat, []byte("no seat")),
 		Entry(Amend, []byte(`{"generation":5,"parent_version":3,"upserts":{"services":[{"name":"t"}]}}`)),
 		Entry(Replace, []byte("{")), SeatEntry(seat("c")), Entry(Replace, bill(9, 5)),
-		rollout(understudy.Entry{Verb: understudy.Start, Mark: "m", Order: order}),
-		rollout(understudy.Entry{Verb: understudy.Start, Mark: "m", Order: order}),
-		rollout(understudy.Entry{Verb: understudy.Advance, Number: 1, Step: 2, Fence: 5}), Entry(Rollout, []byte("{")),
-		rollout(understudy.Entry{Verb: understudy.PullBack, Number: 1, Step: 1, Fence: 5, Why: "bad"})}
+		rolloutEntry(understudy.Entry{Verb: understudy.Start, Mark: "m", Order: order}),
+		rolloutEntry(understudy.Entry{Verb: understudy.Start, Mark: "m", Order: order}),
+		rolloutEntry(understudy.Entry{Verb: understudy.Advance, Number: 1, Step: 2, Fence: 5}), Entry(Rollout, []byte("{")),
+		rolloutEntry(understudy.Entry{Verb: understudy.PullBack, Number: 1, Step: 1, Fence: 5, Why: "bad"})}
 }
 
 var order = &understudy.Rollout{Service: "s", Old: "v1", New: "v2", Steps: []understudy.Step{{Share: 100,
 	MinTime: understudy.Span(time.Second)}}}
 
-func rollout(e understudy.Entry) []byte {
+func rolloutEntry(e understudy.Entry) []byte {
 	e.Service, e.Room = "s", understudy.Room{Old: 9, New: 9, Busy: 5}
 	return Entry(Rollout, e.Word())
 }
@@ -105,7 +105,7 @@
 	must.NoError(t, err)
 	must.Eq(t, whole.Bills.Snapshot(), s.Bills.Snapshot())
 	must.False(t, s.Rollouts.Running())
-	v, _ := s.Apply(rollout(understudy.Entry{Verb: understudy.Start, Order: order}))
+	v, _ := s.Apply(rolloutEntry(understudy.Entry{Verb: understudy.Start, Order: order}))
 	must.Eq(t, playbill.Taken, v)
 	for _, bad := range [][]byte{nil, []byte("x"), snaps[3][:len(snaps[3])/2]} {
 		_, err := Restore(bad)
