--- a/cmd/playhouse/caller.go
+++ b/cmd/gateway/caller.go
@@ -12,7 +12,7 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
 )
 
 const (
@@ -174,7 +174,7 @@
 
 // reason reads what a refusal says, or what some other program may have said.
 func reason(body []byte) (place, detail string) {
-	var r stagedoor.Refusal
+	var r controlapi.Refusal
 	if json.Unmarshal(body, &r) == nil && r.Error != "" {
 		return r.Place, r.Detail
 	}
--- a/cmd/playhouse/check.go
+++ b/cmd/gateway/check.go
@@ -7,8 +7,8 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/callsheet"
-	"clovergap/internal/playbill"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/settings"
 )
 
 type checkCmd struct {
@@ -27,7 +27,7 @@
 		return wrongly("name a file with --settings or --config")
 	}
 	if c.Settings != "" {
-		s, err := callsheet.Load(c.Settings)
+		s, err := settings.Load(c.Settings)
 		if err != nil {
 			return err
 		}
@@ -38,11 +38,11 @@
 		if err != nil {
 			return err
 		}
-		b, err := playbill.ReadBill(text)
+		b, err := routing.ReadBill(text)
 		if err != nil {
 			return errors.Wrap(err, c.Config)
 		}
-		t := playbill.NewTable(b)
+		t := routing.NewTable(b)
 		fmt.Fprintf(out, "%s: fine, version %d, %d routes, %d tenants\n", c.Config, t.Version(), len(t.Routes()),
 			len(t.Tenants()))
 	}
--- a/cmd/playhouse/main.go
+++ b/cmd/gateway/main.go
@@ -14,9 +14,9 @@
 	"github.com/alexflint/go-arg"
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/callsheet"
 	"clovergap/internal/check"
-	"clovergap/internal/house"
+	"clovergap/internal/gateway/node"
+	"clovergap/internal/gateway/settings"
 	"clovergap/internal/points"
 )
 
@@ -138,9 +138,9 @@
 
 func (c *doorCmd) run(io.Writer) error {
 	if c.Settings == "" {
-		return wrongly("no settings file: %s is not set", callsheet.Env)
+		return wrongly("no settings file: %s is not set", settings.Env)
 	}
-	sheet, err := callsheet.Load(c.Settings)
+	sheet, err := settings.Load(c.Settings)
 	if err != nil {
 		return err
 	}
@@ -152,7 +152,7 @@
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	signal.Ignore(syscall.SIGPIPE)
-	h, err := house.New(sheet)
+	h, err := node.New(sheet)
 	if err != nil {
 		return err
 	}
--- a/cmd/playhouse/playhouse_test.go
+++ b/cmd/gateway/playhouse_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
 )
 
 const config = `{"generation":7, "parent_version":5,"odd":1.0,"services":[{"name":"s"}],
@@ -200,13 +200,13 @@
 
 func TestStatusTables(t *testing.T) {
 	seat := 1
-	with := stagedoor.HouseStatus{Door: "b", Core: &stagedoor.HouseCore{Role: "leading", View: 3, Leader: "b:1",
-		Members: []stagedoor.HouseMember{{Id: "01", Address: "b:1", Live: true}}, First: 5, Last: 9}}
+	with := controlapi.HouseStatus{Door: "b", Core: &controlapi.HouseCore{Role: "leading", View: 3, Leader: "b:1",
+		Members: []controlapi.HouseMember{{Id: "01", Address: "b:1", Live: true}}, First: 5, Last: 9}}
 	_, bt := door(t, "200 "+marshal(t, with))
-	without := stagedoor.HouseStatus{Door: "a", Zone: "z", Unready: []string{"no seat"},
-		Doors: []stagedoor.HouseDoor{{Name: "a", Address: "a:1", Live: true},
+	without := controlapi.HouseStatus{Door: "a", Zone: "z", Unready: []string{"no seat"},
+		Doors: []controlapi.HouseDoor{{Name: "a", Address: "a:1", Live: true},
 			{Name: "b\x1b[2J", Address: "b:1", Control: bt, Seat: &seat, Disk: true}},
-		Backends: []stagedoor.HouseBackend{{Id: "i-1", Target: "s"}, {Id: "i-2", Target: "t"}}}
+		Backends: []controlapi.HouseBackend{{Id: "i-1", Target: "s"}, {Id: "i-2", Target: "t"}}}
 	_, at := door(t, "200 "+marshal(t, without))
 
 	_, out, _ := play("status", "--control", at)
--- a/cmd/playhouse/rollout.go
+++ b/cmd/gateway/rollout.go
@@ -13,7 +13,7 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
 )
 
 type rolloutCmd struct {
@@ -65,7 +65,7 @@
 }
 
 // now is the newest roll-out of a service, nil if there was none.
-func (c *caller) now(service string) (*stagedoor.RolloutRun, error) {
+func (c *caller) now(service string) (*controlapi.RolloutRun, error) {
 	all, _, err := c.rollouts()
 	if err != nil {
 		return nil, err
@@ -78,8 +78,8 @@
 	return nil, nil
 }
 
-func (c *caller) rollouts() (*stagedoor.RolloutStatus, []byte, error) {
-	return readAs[stagedoor.RolloutStatus](c.call("/api/Rollout.Status", nil))
+func (c *caller) rollouts() (*controlapi.RolloutStatus, []byte, error) {
+	return readAs[controlapi.RolloutStatus](c.call("/api/Rollout.Status", nil))
 }
 
 // order sends one and tells how the roll-out stands then.
@@ -89,7 +89,7 @@
 		return err
 	}
 	a, err := s.call(path, text)
-	r, raw, err := readAs[stagedoor.RolloutAnswer](a, err)
+	r, raw, err := readAs[controlapi.RolloutAnswer](a, err)
 	if err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	var o stagedoor.RolloutOrder
+	var o controlapi.RolloutOrder
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&o); err != nil {
@@ -178,7 +178,7 @@
 	if err := c.check(); err != nil {
 		return err
 	}
-	w := stagedoor.RolloutWord{Mark: c.Mark, By: c.By, Why: c.Why, Step: step}
+	w := controlapi.RolloutWord{Mark: c.Mark, By: c.By, Why: c.Why, Step: step}
 	if c.Number == nil || c.Rev == nil || step < 0 {
 		r, err := c.now(c.Service)
 		switch {
@@ -254,8 +254,8 @@
 }
 
 // failedOf sums both kinds.
-func failedOf(s *stagedoor.RolloutSide) string {
-	bad := func(t *stagedoor.RolloutTally) int { return t.Failed + t.None + t.Wrong }
+func failedOf(s *controlapi.RolloutSide) string {
+	bad := func(t *controlapi.RolloutTally) int { return t.Failed + t.None + t.Wrong }
 	return fmt.Sprintf("%d of %d", bad(&s.Reads)+bad(&s.Writes), s.Reads.Ends+s.Writes.Ends)
 }
 
@@ -265,7 +265,7 @@
 }
 
 func (c *rolloutHistoryCmd) run(out io.Writer) error {
-	past, raw, err := readAs[stagedoor.RolloutHistory](c.call("/api/Rollout.History/"+url.PathEscape(c.Service), nil))
+	past, raw, err := readAs[controlapi.RolloutHistory](c.call("/api/Rollout.History/"+url.PathEscape(c.Service), nil))
 	if err != nil {
 		return err
 	}
--- a/cmd/playhouse/views.go
+++ b/cmd/gateway/views.go
@@ -15,8 +15,8 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/playbill"
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/routing"
 )
 
 // keyShown is how much of a tenant's key is printed.
@@ -79,7 +79,7 @@
 }
 
 // status asks how things stand; raw is the answer as it came.
-func (c *caller) status() (s *stagedoor.HouseStatus, raw []byte, err error) {
+func (c *caller) status() (s *controlapi.HouseStatus, raw []byte, err error) {
 	doors, err := c.doors()
 	if err != nil {
 		return nil, nil, err
@@ -87,8 +87,8 @@
 	return c.statusOf(doors, c.Tries)
 }
 
-func (c *caller) statusOf(doors []string, tries int) (*stagedoor.HouseStatus, []byte, error) {
-	return readAs[stagedoor.HouseStatus](c.ask(doors, tries, "/api/House.Status", nil))
+func (c *caller) statusOf(doors []string, tries int) (*controlapi.HouseStatus, []byte, error) {
+	return readAs[controlapi.HouseStatus](c.ask(doors, tries, "/api/House.Status", nil))
 }
 
 // readAs reads an answer; raw is it as it came.
@@ -104,7 +104,7 @@
 }
 
 // bill reads the newest configuration; raw is the answer as it came.
-func (c *caller) bill() (b *playbill.Bill, raw []byte, err error) {
+func (c *caller) bill() (b *routing.Bill, raw []byte, err error) {
 	a, err := c.call("/api/Config.Read", nil)
 	if err != nil {
 		return nil, nil, err
@@ -112,7 +112,7 @@
 	if len(bytes.TrimSpace(a.body)) == 0 {
 		return nil, nil, errors.New("no configuration is in force yet")
 	}
-	b = new(playbill.Bill)
+	b = new(routing.Bill)
 	if err := json.Unmarshal(a.body, b); err != nil {
 		return nil, nil, a.astray(err)
 	}
@@ -134,7 +134,7 @@
 	if c.JSON {
 		return print(out, raw)
 	}
-	t := playbill.NewTable(b)
+	t := routing.NewTable(b)
 	l := t.Limits()
 	w := newTable(out, "VERSION", "PARENT", "HOSTS", "ROUTES", "SERVICES", "TENANTS", "HEAD", "BODY", "HEAD IN",
 		"IDLE")
@@ -160,10 +160,10 @@
 	}
 	w := newTable(out, "NAME", "HOST", "PREFIX", "VARIANT", "TARGETS", "DEADLINE", "AIM", "TRIES", "PRIORITY",
 		"PUBLIC")
-	for _, r := range playbill.NewTable(b).Routes() {
-		variant := playbill.Pure
+	for _, r := range routing.NewTable(b).Routes() {
+		variant := routing.Pure
 		if r.Effectful {
-			variant = playbill.Effectful
+			variant = routing.Effectful
 		}
 		var to []string
 		for _, t := range r.Targets {
@@ -216,7 +216,7 @@
 	}
 	if c.JSON {
 		if b.Tenants == nil {
-			b.Tenants = []playbill.BillTenant{}
+			b.Tenants = []routing.BillTenant{}
 		}
 		return json.NewEncoder(out).Encode(b.Tenants)
 	}
@@ -286,9 +286,9 @@
 }
 
 // askAll asks doors for their own word, each once; nil where none came.
-func (c *caller) askAll(doors []stagedoor.HouseDoor) []*stagedoor.HouseStatus {
+func (c *caller) askAll(doors []controlapi.HouseDoor) []*controlapi.HouseStatus {
 	const atOnce = 16
-	words, turn := make([]*stagedoor.HouseStatus, len(doors)), make(chan struct{}, atOnce)
+	words, turn := make([]*controlapi.HouseStatus, len(doors)), make(chan struct{}, atOnce)
 	var all sync.WaitGroup
 	for i, d := range doors {
 		if d.Control == "" {
@@ -319,7 +319,7 @@
 	if err != nil {
 		return err
 	}
-	some := []stagedoor.HouseBackend{}
+	some := []controlapi.HouseBackend{}
 	for _, b := range s.Backends {
 		if c.Service == "" || b.Target == c.Service {
 			some = append(some, b)
@@ -348,7 +348,7 @@
 		return err
 	}
 	for i := 0; s.Core == nil; i++ { // a door without a disk knows those with one
-		var with []stagedoor.HouseDoor
+		var with []controlapi.HouseDoor
 		for _, d := range s.Doors {
 			if d.Disk && d.Control != "" {
 				with = append(with, d)
--- a/internal/capacity/added.go
+++ b/internal/capacity/added.go
@@ -14,12 +14,12 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/callsheet"
 	"clovergap/internal/extras"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/settings"
 	"clovergap/internal/history"
-	"clovergap/internal/playbill"
 	"clovergap/internal/rehearsal"
-	"clovergap/internal/stagedoor"
 )
 
 // Added measures what a door adds to a request: real doors as processes, requests at one of them and at a backend itself, in turn,
@@ -81,7 +81,7 @@
 	}
 	hollow := &hollow{client: x.client}
 	for _, d := range x.t.Doors {
-		hollow.sheets = append(hollow.sheets, &callsheet.Sheet{Bind: callsheet.Bind{Control: d.Control}})
+		hollow.sheets = append(hollow.sheets, &settings.Sheet{Bind: settings.Bind{Control: d.Control}})
 	}
 	if _, err = hollow.order(ctx, extras.ReplacePath, rehearsal.FirstText(o.Wide), 1); err != nil {
 		return nil, errors.Wrap(err, "the first configuration")
@@ -137,7 +137,7 @@
 	})}
 	go s.Serve(ln)
 	x.backends, x.at = append(x.backends, s), append(x.at, ln.Addr().String())
-	beat := stagedoor.Beat{Address: ln.Addr().String(), Capacity: 16, Generation: "v1", Phase: stagedoor.Ready, ColdLeft: "0ms", Target: service,
+	beat := controlapi.Beat{Address: ln.Addr().String(), Capacity: 16, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service,
 		Zone: "zone-0"}
 	wg.Go(func() {
 		for to := x.t.Doors[0].Control; ctx.Err() == nil; {
@@ -214,9 +214,9 @@
 		case <-time.After(x.Change):
 		}
 		deadline, aim := "1500ms", "400ms"
-		body, _ := json.Marshal(playbill.Amendment{Generation: version + 1, ParentVersion: version, Upserts: &playbill.Upserts{
-			Vhosts: []playbill.BillHost{{Hostname: "guests.example", PathList: []playbill.BillRoute{{Name: "g-0", PathPrefix: "/g0/",
-				Variant: playbill.Pure, Deadline: &deadline, TargetLatency: &aim, MaxTries: 2, Target: extras.Services[int(version)%2].Name}}}}}})
+		body, _ := json.Marshal(routing.Amendment{Generation: version + 1, ParentVersion: version, Upserts: &routing.Upserts{
+			Vhosts: []routing.BillHost{{Hostname: "guests.example", PathList: []routing.BillRoute{{Name: "g-0", PathPrefix: "/g0/",
+				Variant: routing.Pure, Deadline: &deadline, TargetLatency: &aim, MaxTries: 2, Target: extras.Services[int(version)%2].Name}}}}}})
 		if v, err := h.order(ctx, extras.AmendPath, body, version+1); err == nil {
 			version = v
 			r.Changes++
--- a/internal/capacity/hollow.go
+++ b/internal/capacity/hollow.go
@@ -21,12 +21,12 @@
 	"github.com/go-faster/errors"
 	"golang.org/x/sys/unix"
 
-	"clovergap/internal/callsheet"
 	"clovergap/internal/extras"
-	"clovergap/internal/house"
-	"clovergap/internal/playbill"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/node"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/settings"
 	"clovergap/internal/rehearsal"
-	"clovergap/internal/stagedoor"
 )
 
 // Hollow is a house of real doors in this process: sockets, disks and clocks are real, and no client asks anything.
@@ -74,8 +74,8 @@
 // hollow is one under way.
 type hollow struct {
 	Hollow
-	doors  []*house.House
-	sheets []*callsheet.Sheet
+	doors  []*node.House
+	sheets []*settings.Sheet
 	client *http.Client
 	bytes  atomic.Int64 // of beats and orders, both ways
 	dir    string
@@ -109,7 +109,7 @@
 	for i := range o.Wide.Backends {
 		wg.Go(func() { x.beats(beats, i) })
 	}
-	if !x.until(ctx, 2*time.Minute, func(h *house.House) bool { return h.Serves() }) {
+	if !x.until(ctx, 2*time.Minute, func(h *node.House) bool { return h.Serves() }) {
 		return nil, errors.New("not all doors are ready in two minutes")
 	}
 	s := &Seen{Hollow: o, ReadyS: time.Since(began).Seconds()}
@@ -129,11 +129,11 @@
 	var seeds []string
 	for i := range x.Doors {
 		ip := fmt.Sprintf("127.%d.%d.%d", 2+(pid>>4+i/200)&127, 10+pid&127, 11+i%200)
-		s := &callsheet.Sheet{NodeName: fmt.Sprint("door-", i), IP: ip, Zone: fmt.Sprint("zone-", i%x.Zones), InnerPorts: [2]int{17560, 17575},
-			Bind:      callsheet.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"},
+		s := &settings.Sheet{NodeName: fmt.Sprint("door-", i), IP: ip, Zone: fmt.Sprint("zone-", i%x.Zones), InnerPorts: [2]int{17560, 17575},
+			Bind:      settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"},
 			FirstBoot: true, CountsAsLoss: i < x.Members, BeatInterval: x.Beat,
-			Tolerates: callsheet.Tolerates{Machines: (x.Members - 1) / 2}, Bounds: extras.Bounds(),
-			Limits: callsheet.Limits{MaxFDs: descriptorsMost}} // the poller goes by their numbers, which all doors share
+			Tolerates: settings.Tolerates{Machines: (x.Members - 1) / 2}, Bounds: extras.Bounds(),
+			Limits: settings.Limits{MaxFDs: descriptorsMost}} // the poller goes by their numbers, which all doors share
 		if i < x.Members {
 			s.DataDir = filepath.Join(x.dir, s.NodeName)
 			if err := os.Mkdir(s.DataDir, 0o755); err != nil {
@@ -147,7 +147,7 @@
 	}
 	for _, s := range x.sheets {
 		s.SeedAddrs = seeds
-		h, err := house.New(s)
+		h, err := node.New(s)
 		if err != nil {
 			return err
 		}
@@ -160,7 +160,7 @@
 }
 
 // until waits for something of every door.
-func (x *hollow) until(ctx context.Context, most time.Duration, is func(*house.House) bool) bool {
+func (x *hollow) until(ctx context.Context, most time.Duration, is func(*node.House) bool) bool {
 	left := slices.Clone(x.doors)
 	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		if left = slices.DeleteFunc(left, is); len(left) == 0 {
@@ -208,8 +208,8 @@
 func (x *hollow) beats(ctx context.Context, i int) {
 	services := 2 + x.Wide.Services
 	service := rehearsal.ServiceName(i % services)
-	to, beat := x.sheets[i%len(x.sheets)].Bind.Control, stagedoor.Beat{Address: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1),
-		Capacity: 4, Generation: "v1", Phase: stagedoor.Ready, ColdLeft: "0ms", Target: service, Zone: fmt.Sprint("zone-", i/services%x.Zones)}
+	to, beat := x.sheets[i%len(x.sheets)].Bind.Control, controlapi.Beat{Address: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1),
+		Capacity: 4, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service, Zone: fmt.Sprint("zone-", i/services%x.Zones)}
 	select {
 	case <-ctx.Done():
 		return
@@ -221,7 +221,7 @@
 		beat.CallSeq++
 		body, _ := json.Marshal(beat)
 		status, text, err := x.post(ctx, to, fmt.Sprintf("/api/Backends.Heartbeat/i-%s-%d", service, i), body)
-		var a stagedoor.BeatAnswer
+		var a controlapi.BeatAnswer
 		switch {
 		case err != nil || status/100 != 2:
 			to = x.sheets[(i+int(beat.CallSeq))%len(x.sheets)].Bind.Control
@@ -242,9 +242,9 @@
 	for i := range x.Changes {
 		next := version + 1
 		deadline, aim := "1500ms", "400ms"
-		a := playbill.Amendment{Generation: next, ParentVersion: version, Upserts: &playbill.Upserts{Vhosts: []playbill.BillHost{{
-			Hostname: "guests.example", PathList: []playbill.BillRoute{{Name: fmt.Sprint("g-", i), PathPrefix: fmt.Sprintf("/g%d/", i),
-				Variant: playbill.Pure, Deadline: &deadline, TargetLatency: &aim, MaxTries: 2, Target: rehearsal.ServiceName(0)}}}}}}
+		a := routing.Amendment{Generation: next, ParentVersion: version, Upserts: &routing.Upserts{Vhosts: []routing.BillHost{{
+			Hostname: "guests.example", PathList: []routing.BillRoute{{Name: fmt.Sprint("g-", i), PathPrefix: fmt.Sprintf("/g%d/", i),
+				Variant: routing.Pure, Deadline: &deadline, TargetLatency: &aim, MaxTries: 2, Target: rehearsal.ServiceName(0)}}}}}}
 		body, err := json.Marshal(a)
 		if err != nil {
 			return err
@@ -257,7 +257,7 @@
 		acks = append(acks, ms(acked.Sub(began)))
 		left := slices.Clone(x.doors)
 		for len(left) > 0 && time.Since(acked) < 12*time.Second {
-			left = slices.DeleteFunc(left, func(h *house.House) bool {
+			left = slices.DeleteFunc(left, func(h *node.House) bool {
 				if h.InForce() < next {
 					return false
 				}
--- a/internal/capacity/state.go
+++ b/internal/capacity/state.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/callboard"
-	"clovergap/internal/company"
-	"clovergap/internal/playbill"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/rehearsal"
-	"clovergap/internal/script"
 )
 
 // held is what a part keeps in use.
@@ -44,16 +44,16 @@
 	register := func(wide rehearsal.Wide) func() any {
 		body := text(wide)
 		return func() any {
-			s := script.New()
-			if v, err := s.Apply(script.Entry(script.Replace, body)); v != playbill.Taken {
+			s := statemachine.New()
+			if v, err := s.Apply(statemachine.Entry(statemachine.Replace, body)); v != routing.Taken {
 				panic(fmt.Sprint(v, err))
 			}
 			return s
 		}
 	}
 	table := func(wide rehearsal.Wide) func() any {
-		s := register(wide)().(*script.Script)
-		return func() any { return playbill.NewTable(s.Bills.Bill()) }
+		s := register(wide)().(*statemachine.Script)
+		return func() any { return routing.NewTable(s.Bills.Bill()) }
 	}
 	return []part{
 		{"configuration as kept", "tenant", []int{100, 1000, 10000, 31000}, func(n int) func() any { return register(rehearsal.Wide{Tenants: n}) }},
@@ -72,12 +72,12 @@
 		}},
 		{"board", "backend", []int{100, 1000, 5800}, func(n int) func() any {
 			return func() any {
-				b := callboard.New(0, callboard.Terms{BeatInterval: 1500 * time.Millisecond, Enough: 3, Life: 1}, 0)
-				b.Doors([]callboard.Door{{Seat: 0, Control: "10.0.0.1:7102", Zone: "zone-0", Live: true, Firm: true}})
+				b := registry.New(0, registry.Terms{BeatInterval: 1500 * time.Millisecond, Enough: 3, Life: 1}, 0)
+				b.Doors([]registry.Door{{Seat: 0, Control: "10.0.0.1:7102", Zone: "zone-0", Live: true, Firm: true}})
 				for i := range n {
-					b.Beat(callboard.Word{ID: fmt.Sprintf("i-service-%d", i), Service: fmt.Sprintf("service-%03d", i%270),
+					b.Beat(registry.Word{ID: fmt.Sprintf("i-service-%d", i), Service: fmt.Sprintf("service-%03d", i%270),
 						Addr: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1), Zone: "zone-0", Generation: "v1", Capacity: 4,
-						Phase: callboard.Ready, Seq: 1})
+						Phase: registry.Ready, Seq: 1})
 					for _, ok := b.Next(); ok; _, ok = b.Next() {
 					}
 				}
@@ -87,14 +87,14 @@
 		{"company", "door", []int{48, 200, 500}, func(n int) func() any {
 			return func() any {
 				at := func(i int) string { return fmt.Sprintf("10.0.%d.%d:7110", i/200, i%200+1) }
-				c := company.New(company.Door{Name: "door-0", Addr: at(0), Zone: "zone-0", Disk: 1}, company.Terms{Tolerates: 2}, 0)
-				var order []company.Seated
+				c := membership.New(membership.Door{Name: "door-0", Addr: at(0), Zone: "zone-0", Disk: 1}, membership.Terms{Tolerates: 2}, 0)
+				var order []membership.Seated
 				for i := range n {
-					order = append(order, company.Seated{Name: fmt.Sprintf("door-%d", i), Addr: at(i), Control: at(i), Zone: "zone-0"})
+					order = append(order, membership.Seated{Name: fmt.Sprintf("door-%d", i), Addr: at(i), Control: at(i), Zone: "zone-0"})
 				}
 				c.Seats(order)
 				for i := 1; i < n; i++ {
-					c.Hello(at(i), company.Hello{Door: company.Door{Name: fmt.Sprintf("door-%d", i), Addr: at(i), Control: at(i), Zone: "zone-0",
+					c.Hello(at(i), membership.Hello{Door: membership.Door{Name: fmt.Sprintf("door-%d", i), Addr: at(i), Control: at(i), Zone: "zone-0",
 						Life: uint64(i)}})
 				}
 				for _, ok := c.Next(); ok; _, ok = c.Next() {
@@ -125,9 +125,9 @@
 	}
 	wide := rehearsal.Wide{Services: Target.Services, Routes: Target.Routes, Tenants: Target.Tenants}
 	body := rehearsal.FirstText(wide)
-	s := script.New()
+	s := statemachine.New()
 	began := time.Now()
-	if v, err := s.Apply(script.Entry(script.Replace, body)); v != playbill.Taken {
+	if v, err := s.Apply(statemachine.Entry(statemachine.Replace, body)); v != routing.Taken {
 		return fmt.Errorf("the target's configuration is not taken: %v %w", v, err)
 	}
 	applied := time.Since(began)
@@ -135,7 +135,7 @@
 	snap := s.Snapshot()
 	snapped := time.Since(began)
 	began = time.Now()
-	if _, err := script.Restore(snap); err != nil {
+	if _, err := statemachine.Restore(snap); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "\nthe target's configuration: %d bytes as sent, taken in %d ms; a snapshot of %d bytes is made in %d ms, read in %d ms\n", len(body),
--- a/internal/dispatch/orders_test.go
+++ b/internal/dispatch/orders_test.go
@@ -16,9 +16,9 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
-	"clovergap/internal/boxoffice"
 	"clovergap/internal/counters"
 	"clovergap/internal/gate"
+	"clovergap/internal/gateway/admission"
 	"clovergap/internal/http1"
 	"clovergap/internal/link"
 	"clovergap/internal/slots"
@@ -188,8 +188,8 @@
 		a: &asker{told: map[slots.Ref][]string{}, gone: map[slots.Ref]bool{}, body: make([]byte, body)}}
 	quota := control.NewQuota(1, 0, 1, time.Hour, control.QuotaTerms{Gap: 200 * time.Millisecond, ViewLife: time.Second,
 		MailPerS: 100})
-	o := boxoffice.New(1, boxoffice.Terms{RetryRatio: 1, RetryWindow: 10 * time.Second, RetryExtra: 64, Doors: 1}, quota, time.Hour)
-	o.SetCall(1, boxoffice.Call{Effectful: true, Aim: time.Minute, MaxTries: tries, Targets: []boxoffice.Target{{Service: 1, Weight: 1}}})
+	o := admission.New(1, admission.Terms{RetryRatio: 1, RetryWindow: 10 * time.Second, RetryExtra: 64, Doors: 1}, quota, time.Hour)
+	o.SetCall(1, admission.Call{Effectful: true, Aim: time.Minute, MaxTries: tries, Targets: []admission.Target{{Service: 1, Weight: 1}}})
 	s.g = gate.New(o, s.hands, 100, &counters.Set{}, zap.NewNop())
 	s.g.Watched(s.w)
 	s.e.Turn(func() {
--- a/internal/extras/backend.go
+++ b/internal/extras/backend.go
@@ -17,8 +17,8 @@
 
 	"github.com/go-faster/errors"
 
+	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/history"
-	"clovergap/internal/stagedoor"
 	"clovergap/internal/standin"
 )
 
@@ -178,11 +178,11 @@
 	first := l.target
 	l.mu.Unlock()
 	try := func(to string) bool {
-		phase := stagedoor.Ready
+		phase := controlapi.Ready
 		if l.phase.Load() {
-			phase = stagedoor.Draining
+			phase = controlapi.Draining
 		}
-		body, _ := json.Marshal(stagedoor.Beat{Address: l.Addr, CallSeq: l.seq.Add(1), Capacity: l.t.play().slots,
+		body, _ := json.Marshal(controlapi.Beat{Address: l.Addr, CallSeq: l.seq.Add(1), Capacity: l.t.play().slots,
 			Generation: l.Version, Phase: phase,
 			ColdLeft: fmt.Sprintf("%dms", max(0,
 				l.cold-time.Since(l.from)).Milliseconds()), Target: l.Service, Zone: l.Zone})
@@ -190,13 +190,13 @@
 		if err != nil || status/100 != 2 || len(text) > ackMost {
 			return false
 		}
-		var a stagedoor.BeatAnswer
+		var a controlapi.BeatAnswer
 		if json.Unmarshal(text, &a) == nil && a.BeatTarget != "" {
 			l.mu.Lock()
 			l.target = a.BeatTarget
 			l.mu.Unlock()
 		}
-		if phase == stagedoor.Draining || what == "Leave" {
+		if phase == controlapi.Draining || what == "Leave" {
 			l.t.Terms.History.Add(history.Event{Who: to, Kind: history.Told, At: l.ID, What: "Terminating"})
 		}
 		return true
--- a/internal/extras/clients.go
+++ b/internal/extras/clients.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
+	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
-	"clovergap/internal/playbill"
 	"clovergap/internal/standin"
 )
 
@@ -142,13 +142,13 @@
 }
 
 // Known are the routes that come and go, as clients know them.
-type Known struct{ guests, gone []playbill.BillRoute }
+type Known struct{ guests, gone []routing.BillRoute }
 
 // Learn takes a configuration.
-func (k *Known) Learn(b *playbill.Bill) {
+func (k *Known) Learn(b *routing.Bill) {
 	now := Guests(b)
 	for _, g := range k.guests {
-		if !slices.ContainsFunc(now, func(x playbill.BillRoute) bool { return x.Name == g.Name }) {
+		if !slices.ContainsFunc(now, func(x routing.BillRoute) bool { return x.Name == g.Name }) {
 			k.gone = append(k.gone, g)
 			k.gone = k.gone[max(0, len(k.gone)-goneMost):]
 		}
@@ -157,7 +157,7 @@
 }
 
 // Learn tells the clients of routes that come and go.
-func (c *Clients) Learn(b *playbill.Bill) {
+func (c *Clients) Learn(b *routing.Bill) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.known.Learn(b)
--- a/internal/extras/core.go
+++ b/internal/extras/core.go
@@ -6,13 +6,13 @@
 	"net/http"
 	"time"
 
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
 )
 
 // Status is what a door says of itself; nil if it says nothing in time.
-func (t *Troupe) Status(ctx context.Context, d *Door, most time.Duration) *stagedoor.HouseStatus {
+func (t *Troupe) Status(ctx context.Context, d *Door, most time.Duration) *controlapi.HouseStatus {
 	status, text, err := t.call(ctx, "GET", d.Control, "/api/House.Status", nil, most)
-	s := new(stagedoor.HouseStatus)
+	s := new(controlapi.HouseStatus)
 	if err != nil || status != http.StatusOK || json.Unmarshal(text, s) != nil {
 		return nil
 	}
--- a/internal/extras/operator.go
+++ b/internal/extras/operator.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
+	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
-	"clovergap/internal/playbill"
 )
 
 // Service is one of those that are played.
@@ -42,11 +42,11 @@
 )
 
 // First is the configuration that the house begins with.
-func First() *playbill.Bill {
+func First() *routing.Bill {
 	span := func(s string) *string { return &s }
-	route := func(name, prefix string, v playbill.BillRouteVariant, deadline, aim string, public bool,
-		to ...playbill.BillTarget) playbill.BillRoute {
-		r := playbill.BillRoute{Name: name, PathPrefix: prefix, Variant: v, Deadline: span(deadline),
+	route := func(name, prefix string, v routing.BillRouteVariant, deadline, aim string, public bool,
+		to ...routing.BillTarget) routing.BillRoute {
+		r := routing.BillRoute{Name: name, PathPrefix: prefix, Variant: v, Deadline: span(deadline),
 			TargetLatency: span(aim), MaxTries: 2, Public: public}
 		if len(to) == 1 {
 			r.Target = to[0].Target
@@ -55,39 +55,39 @@
 		}
 		return r
 	}
-	one := func(s string) playbill.BillTarget { return playbill.BillTarget{Target: s, Weight: 1} }
-	b := &playbill.Bill{Generation: 1, Limits: limits(),
-		Tenants: []playbill.BillTenant{{Name: "patrons", ApiKeys: []string{"patronskey1", "patronskey2"},
+	one := func(s string) routing.BillTarget { return routing.BillTarget{Target: s, Weight: 1} }
+	b := &routing.Bill{Generation: 1, Limits: limits(),
+		Tenants: []routing.BillTenant{{Name: "patrons", ApiKeys: []string{"patronskey1", "patronskey2"},
 			Priority: 1},
 			{Name: "clubs", ApiKeys: []string{"clubskey1"}, Priority: 1, RatePerS: 20, Burst: 20},
 			{Name: "touts", ApiKeys: []string{"toutskey1"}, Priority: 2, RatePerS: 6, Burst: 6}},
-		Vhosts: []playbill.BillHost{
-			{Hostname: hostProgramme, PathList: []playbill.BillRoute{
-				route("r-browse", "/browse/", playbill.Pure, "1500ms", "400ms", false, one("programme")),
-				route("r-lobby", "/lobby/", playbill.Pure, "1500ms", "400ms", true,
-					playbill.BillTarget{Target: "programme", Weight: 80},
-					playbill.BillTarget{Target: "tickets", Weight: 20})}},
-			{Hostname: hostTickets, PathList: []playbill.BillRoute{
-				route("r-book", "/book/", playbill.Effectful, "2000ms", "500ms", false, one("tickets"))}}}}
+		Vhosts: []routing.BillHost{
+			{Hostname: hostProgramme, PathList: []routing.BillRoute{
+				route("r-browse", "/browse/", routing.Pure, "1500ms", "400ms", false, one("programme")),
+				route("r-lobby", "/lobby/", routing.Pure, "1500ms", "400ms", true,
+					routing.BillTarget{Target: "programme", Weight: 80},
+					routing.BillTarget{Target: "tickets", Weight: 20})}},
+			{Hostname: hostTickets, PathList: []routing.BillRoute{
+				route("r-book", "/book/", routing.Effectful, "2000ms", "500ms", false, one("tickets"))}}}}
 	b.Services = listed(Services)
 	return b
 }
 
-func limits() *playbill.BillLimits {
+func limits() *routing.BillLimits {
 	header, idle := "3000ms", "15000ms"
-	return &playbill.BillLimits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderTimeout: &header, IdleTimeout: &idle}
+	return &routing.BillLimits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderTimeout: &header, IdleTimeout: &idle}
 }
 
-func listed(all []Service) (out []playbill.BillService) {
+func listed(all []Service) (out []routing.BillService) {
 	for _, s := range all {
-		out = append(out, playbill.BillService{Name: s.Name, HealthPath: "/health", MaxConns: 130, Protocol: "h1"})
+		out = append(out, routing.BillService{Name: s.Name, HealthPath: "/health", MaxConns: 130, Protocol: "h1"})
 	}
 	return out
 }
 
 // Version is one configuration as the operator sent it, and what results from it.
 type Version struct {
-	Bill         *playbill.Bill
+	Bill         *routing.Bill
 	Parent       uint64
 	Sent, Acked  time.Duration // by the history's clock; nought: not yet
 	Lost         bool          // refused
@@ -200,13 +200,13 @@
 }
 
 // Read asks for the newest configuration; nil if none came in time.
-func (o *Operator) Read(ctx context.Context) *playbill.Bill {
+func (o *Operator) Read(ctx context.Context) *routing.Bill {
 	began := history.Now()
 	status, text, clear := o.ask(ctx, "GET", "/api/Config.Read", nil)
 	if !clear || status != http.StatusOK {
 		return nil
 	}
-	b := new(playbill.Bill)
+	b := new(routing.Bill)
 	if json.Unmarshal(text, b) != nil {
 		return nil
 	}
@@ -215,7 +215,7 @@
 }
 
 // current gives the version that the next change builds on: after an unclear answer it is read first.
-func (o *Operator) current(ctx context.Context) (uint64, *playbill.Bill) {
+func (o *Operator) current(ctx context.Context) (uint64, *routing.Bill) {
 	o.mu.Lock()
 	unsure := o.unsure
 	o.mu.Unlock()
@@ -304,7 +304,7 @@
 
 // Draft draws what an operator does next on top of a configuration: a guest's route is added, moved or removed by name, the
 // whole is replaced, two changes race, or something invalid is sent.
-func Draft(draw func(n int) int, number func() uint64, parent uint64, bill *playbill.Bill) []Change {
+func Draft(draw func(n int) int, number func() uint64, parent uint64, bill *routing.Bill) []Change {
 	d := draft{draw, number, parent, bill}
 	switch x := draw(10); {
 	case x < 6:
@@ -331,34 +331,34 @@
 	draw   func(n int) int
 	number func() uint64
 	parent uint64
-	bill   *playbill.Bill
+	bill   *routing.Bill
 }
 
 // next is the whole configuration under a new number.
-func (d *draft) next() *playbill.Bill {
+func (d *draft) next() *routing.Bill {
 	n := clone(d.bill)
 	n.Generation, n.ParentVersion = d.number(), d.parent
 	return n
 }
 
-func (d *draft) guestRoute(n uint64) playbill.BillRoute {
+func (d *draft) guestRoute(n uint64) routing.BillRoute {
 	deadline, aim := "1500ms", "400ms"
-	return playbill.BillRoute{Name: fmt.Sprintf("g-%d", n), PathPrefix: fmt.Sprintf("/g%d/", n),
-		Variant: playbill.Pure, Deadline: &deadline,
+	return routing.BillRoute{Name: fmt.Sprintf("g-%d", n), PathPrefix: fmt.Sprintf("/g%d/", n),
+		Variant: routing.Pure, Deadline: &deadline,
 		TargetLatency: &aim, MaxTries: 2, Target: d.bill.Services[d.draw(len(d.bill.Services))].Name}
 }
 
 // amend changes named items.
 func (d *draft) amend() Change {
 	n := d.next()
-	a := playbill.Amendment{Generation: n.Generation, ParentVersion: d.parent}
+	a := routing.Amendment{Generation: n.Generation, ParentVersion: d.parent}
 	guests := Guests(d.bill)
 	if x := d.draw(3); x == 0 && len(guests) > 2 {
 		gone := guests[d.draw(len(guests))].Name
-		a.Removals = &playbill.Removals{Routes: []string{gone}}
+		a.Removals = &routing.Removals{Routes: []string{gone}}
 		for i := range n.Vhosts {
 			n.Vhosts[i].PathList = slices.DeleteFunc(n.Vhosts[i].PathList,
-				func(r playbill.BillRoute) bool { return r.Name == gone })
+				func(r routing.BillRoute) bool { return r.Name == gone })
 		}
 	} else {
 		r := d.guestRoute(n.Generation)
@@ -366,15 +366,15 @@
 			old := guests[d.draw(len(guests))]
 			r.Name, r.PathPrefix = old.Name, old.PathPrefix
 		}
-		a.Upserts = &playbill.Upserts{Vhosts: []playbill.BillHost{{Hostname: hostGuests,
-			PathList: []playbill.BillRoute{r}}}}
+		a.Upserts = &routing.Upserts{Vhosts: []routing.BillHost{{Hostname: hostGuests,
+			PathList: []routing.BillRoute{r}}}}
 		guest(n, r)
 	}
 	return Change{AmendPath, a, Version{Bill: n, Parent: d.parent}}
 }
 
 // Guests are the routes that come and go.
-func Guests(b *playbill.Bill) []playbill.BillRoute {
+func Guests(b *routing.Bill) []routing.BillRoute {
 	for _, h := range b.Vhosts {
 		if h.Hostname == hostGuests {
 			return h.PathList
@@ -384,7 +384,7 @@
 }
 
 // guest adds a route to the guests' host, or replaces it by name.
-func guest(b *playbill.Bill, r playbill.BillRoute) {
+func guest(b *routing.Bill, r routing.BillRoute) {
 	for i := range b.Vhosts {
 		if h := &b.Vhosts[i]; h.Hostname == hostGuests {
 			for k := range h.PathList {
@@ -397,36 +397,36 @@
 			return
 		}
 	}
-	b.Vhosts = append(b.Vhosts, playbill.BillHost{Hostname: hostGuests, PathList: []playbill.BillRoute{r}})
+	b.Vhosts = append(b.Vhosts, routing.BillHost{Hostname: hostGuests, PathList: []routing.BillRoute{r}})
 }
 
-func clone(b *playbill.Bill) *playbill.Bill {
+func clone(b *routing.Bill) *routing.Bill {
 	text, _ := json.Marshal(b)
-	out := new(playbill.Bill)
+	out := new(routing.Bill)
 	json.Unmarshal(text, out)
 	return out
 }
 
 // Same tells whether two configurations say the same, whatever the order of hosts and routes.
-func Same(a, b *playbill.Bill) bool { return plain(a) == plain(b) }
+func Same(a, b *routing.Bill) bool { return plain(a) == plain(b) }
 
-func plain(b *playbill.Bill) string {
+func plain(b *routing.Bill) string {
 	c := clone(b)
 	c.ParentVersion = 0
-	c.Vhosts = slices.DeleteFunc(c.Vhosts, func(h playbill.BillHost) bool { return len(h.PathList) == 0 })
-	slices.SortFunc(c.Vhosts, func(x, y playbill.BillHost) int {
+	c.Vhosts = slices.DeleteFunc(c.Vhosts, func(h routing.BillHost) bool { return len(h.PathList) == 0 })
+	slices.SortFunc(c.Vhosts, func(x, y routing.BillHost) int {
 		return strings.Compare(x.Hostname,
 			y.Hostname)
 	})
 	for _, h := range c.Vhosts {
-		slices.SortFunc(h.PathList, func(x, y playbill.BillRoute) int { return strings.Compare(x.Name, y.Name) })
+		slices.SortFunc(h.PathList, func(x, y routing.BillRoute) int { return strings.Compare(x.Name, y.Name) })
 	}
 	text, _ := json.Marshal(c)
 	return string(text)
 }
 
 // Known is the newest configuration that the operator knows to be in force; nil if none is.
-func (o *Operator) Known() (uint64, *playbill.Bill) {
+func (o *Operator) Known() (uint64, *routing.Bill) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if v := o.versions[o.known]; v != nil {
--- a/internal/extras/orders.go
+++ b/internal/extras/orders.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"clovergap/internal/understudy"
+	"clovergap/internal/gateway/rollout"
 )
 
 // RolloutView is a service's newest roll-out.
@@ -59,7 +59,7 @@
 		return "", false
 	}
 	last := all.Rollouts[len(all.Rollouts)-1]
-	if last.Phase != string(understudy.Pulled) || len(last.Lines) == 0 {
+	if last.Phase != string(rollout.Pulled) || len(last.Lines) == 0 {
 		return "", false
 	}
 	line := last.Lines[len(last.Lines)-1]
@@ -67,22 +67,22 @@
 }
 
 // Rollout gives an operator's order on top of a roll-out as it was seen, again and again until the answer is clear.
-func (o *Operator) Rollout(ctx context.Context, verb understudy.Verb, r understudy.Rollout, seen RolloutView,
+func (o *Operator) Rollout(ctx context.Context, verb rollout.Verb, r rollout.Rollout, seen RolloutView,
 	step int) (status int, text []byte, clear bool) {
 	body := map[string]any{}
-	if verb == understudy.Start {
+	if verb == rollout.Start {
 		b, _ := json.Marshal(r)
 		json.Unmarshal(b, &body)
 		body["busy"] = o.t.play().busy
 	}
 	body["mark"], body["by"], body["rev"] = fmt.Sprintf("%s-%d", verb, o.number()), "operator", seen.Rev
-	name := map[understudy.Verb]string{understudy.Start: "Start", understudy.Advance: "Step", understudy.Hold: "Hold",
-		understudy.PullBack: "PullBack", understudy.Finish: "Finish"}[verb]
-	if verb != understudy.Start {
+	name := map[rollout.Verb]string{rollout.Start: "Start", rollout.Advance: "Step", rollout.Hold: "Hold",
+		rollout.PullBack: "PullBack", rollout.Finish: "Finish"}[verb]
+	if verb != rollout.Start {
 		name += "/" + r.Service
 		body["number"] = seen.Number
 	}
-	if verb == understudy.Advance {
+	if verb == rollout.Advance {
 		body["step"] = step
 	}
 	b, _ := json.Marshal(body)
--- a/internal/extras/play.go
+++ b/internal/extras/play.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
-	"clovergap/internal/playbill"
 	"clovergap/internal/standin"
 )
 
@@ -23,7 +23,7 @@
 	slots    int // of a backend
 	busy     int // requests of the leading service at a time, as its operator knows it
 	services []Service
-	first    func() *playbill.Bill
+	first    func() *routing.Bill
 }
 
 // Kind is one kind of requests, by a route of its own.
@@ -88,10 +88,10 @@
 		}
 	}
 	p.services = list
-	p.first = func() *playbill.Bill {
-		b := &playbill.Bill{Generation: 1, Limits: limits(), Services: listed(list)}
+	p.first = func() *routing.Bill {
+		b := &routing.Bill{Generation: 1, Limits: limits(), Services: listed(list)}
 		for i := range tenantsEach {
-			t := playbill.BillTenant{Name: tenant(i), Priority: 1}
+			t := routing.BillTenant{Name: tenant(i), Priority: 1}
 			for k := range keysEach {
 				t.ApiKeys = append(t.ApiKeys, key(i, k))
 			}
@@ -99,15 +99,15 @@
 		}
 		for _, k := range p.Kinds {
 			deadline, aim := span(k.Deadline), span(k.Aim)
-			r := playbill.BillRoute{Name: k.Name, PathPrefix: "/" + k.Name + "/", Variant: playbill.Pure, Deadline: &deadline,
+			r := routing.BillRoute{Name: k.Name, PathPrefix: "/" + k.Name + "/", Variant: routing.Pure, Deadline: &deadline,
 				TargetLatency: &aim, MaxTries: 2, Target: k.Service}
 			if k.Effectful {
-				r.Variant = playbill.Effectful
+				r.Variant = routing.Effectful
 			}
 			if n := len(b.Vhosts); n > 0 && b.Vhosts[n-1].Hostname == host(k) {
 				b.Vhosts[n-1].PathList = append(b.Vhosts[n-1].PathList, r)
 			} else {
-				b.Vhosts = append(b.Vhosts, playbill.BillHost{Hostname: host(k), PathList: []playbill.BillRoute{r}})
+				b.Vhosts = append(b.Vhosts, routing.BillHost{Hostname: host(k), PathList: []routing.BillRoute{r}})
 			}
 		}
 		return b
--- a/internal/extras/rollouts_test.go
+++ b/internal/extras/rollouts_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/shoenig/test/must"
 
+	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
-	"clovergap/internal/playbill"
 )
 
 // told is a try of the trial's service at door d0: asked, begun at some backends one after another, over, answered.
@@ -165,7 +165,7 @@
 		p := make()
 		must.Eq(t, name, p.Name)
 		text, _ := json.Marshal(p.first())
-		_, err := playbill.ReadBill(text)
+		_, err := routing.ReadBill(text)
 		must.NoError(t, err)
 		tr := &Troupe{Terms: Terms{Play: p, Seed: 3, Zones: []string{"stalls"}}}
 		c := NewClients(tr)
--- a/internal/extras/rules.go
+++ b/internal/extras/rules.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
+	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
-	"clovergap/internal/playbill"
 )
 
 // Run leaves out the arrivals at backends that turned the request away after all, from their queue: it has
@@ -173,7 +173,7 @@
 
 // Kept: what was acknowledged is in the configuration read back at the end, at a time, or older than it; and what is
 // read is what was sent.
-func Kept(final *playbill.Bill, sent map[uint64]Version, at time.Duration) (bad []history.Broken) {
+func Kept(final *routing.Bill, sent map[uint64]Version, at time.Duration) (bad []history.Broken) {
 	say := func(format string, args ...any) {
 		bad = append(bad, history.Broken{Rule: "CONFIG", T: at, What: fmt.Sprintf(format, args...)})
 	}
@@ -627,7 +627,7 @@
 }
 
 // targets are the services that a configuration names for a request.
-func targets(b *playbill.Bill, route history.Event) (all []string) {
+func targets(b *routing.Bill, route history.Event) (all []string) {
 	longest := -1
 	for _, h := range b.Vhosts {
 		if h.Hostname != route.Key {
--- a/internal/extras/rules_test.go
+++ b/internal/extras/rules_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/shoenig/test/must"
 
+	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
-	"clovergap/internal/playbill"
 	"clovergap/internal/standin"
 )
 
@@ -134,11 +134,11 @@
 }
 
 func TestKeptFindsWhatIsLost(t *testing.T) {
-	bill := func(n uint64) *playbill.Bill { b := First(); b.Generation = n; return b }
+	bill := func(n uint64) *routing.Bill { b := First(); b.Generation = n; return b }
 	other := bill(4)
 	other.Tenants = nil
 	for name, c := range map[string]struct {
-		final *playbill.Bill
+		final *routing.Bill
 		sent  map[uint64]Version
 		bad   int
 	}{
--- a/internal/extras/troupe.go
+++ b/internal/extras/troupe.go
@@ -20,7 +20,7 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/callsheet"
+	"clovergap/internal/gateway/settings"
 	"clovergap/internal/history"
 	"clovergap/internal/standin"
 )
@@ -42,7 +42,7 @@
 }
 
 // Bounds are what the doors are told; those of the rules that the rig checks are taken from here.
-func Bounds() callsheet.Bounds { return callsheet.Usual() }
+func Bounds() settings.Bounds { return settings.Usual() }
 
 // ports of all doors are alike.
 type ports struct{ front, ready, control, inner int }
@@ -216,7 +216,7 @@
 		}
 	}
 	cmd := exec.Command(d.t.Terms.Program, "door")
-	cmd.Env = append(os.Environ(), "GOTRACEBACK=single", callsheet.Env+"="+file)
+	cmd.Env = append(os.Environ(), "GOTRACEBACK=single", settings.Env+"="+file)
 	return cmd, nil
 }
 
--- a/internal/boxoffice/boxoffice.go
+++ b/internal/gateway/admission/boxoffice.go
@@ -1,8 +1,8 @@
-// Package boxoffice decides for one door of the system: which requests pass, to which service and backend,
+// Package admission decides for one door of the system: which requests pass, to which service and backend,
 // whether they may go to a second one, and when they are given up. It is called as control.Door is: inputs
 // only update what is known, Next gives decisions one by one. It knows calls by number; what they are comes
 // with SetCall.
-package boxoffice
+package admission
 
 import (
 	"math/rand"
@@ -10,9 +10,9 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/casting"
 	"clovergap/internal/check"
 	"clovergap/internal/due"
+	"clovergap/internal/gateway/balancer"
 )
 
 const ms = time.Millisecond
@@ -122,7 +122,7 @@
 // house is one service.
 type house struct {
 	id     control.ServiceID
-	cast   *casting.Cast
+	cast   *balancer.Cast
 	budget *budget
 	line   []*txn // waiting for a backend, by priority, then arrival
 	look   bool   // something changed for the line
@@ -281,7 +281,7 @@
 	if how == control.CalledOff && o.now >= t.deadline {
 		said = control.TimedOut // called off for that
 	}
-	t.house.cast.Ended(o.now, at, casting.End{Ending: said, Kind: t.Product, Took: took, Aim: t.call.Aim,
+	t.house.cast.Ended(o.now, at, balancer.End{Ending: said, Kind: t.Product, Took: took, Aim: t.call.Aim,
 		Own: t.sent < o.stallTo})
 	t.house.look = true
 	t.house.use.sum += took
@@ -570,7 +570,7 @@
 				continue
 			}
 			id, a := h.cast.Pick(o.now, t.want())
-			if a == casting.Enough || a == casting.None && len(t.tried) == 0 {
+			if a == balancer.Enough || a == balancer.None && len(t.tried) == 0 {
 				// Nor is there anything for those behind, unless this one is choosier.
 				if !t.call.Effectful && len(t.tried) == 0 {
 					break
@@ -578,7 +578,7 @@
 				stuck, effectful = stuck+1, effectful || t.call.Effectful && len(t.tried) == 0
 				continue
 			}
-			if a == casting.None {
+			if a == balancer.None {
 				h.line = slices.Delete(h.line, i, i+1)
 				t.waits = false
 				o.end(t, LackBackend, o.advice(h))
@@ -594,8 +594,8 @@
 	return false
 }
 
-func (t *txn) want() casting.Want {
-	return casting.Want{Kind: t.Product, Effectful: t.call.Effectful, Tried: t.tried}
+func (t *txn) want() balancer.Want {
+	return balancer.Want{Kind: t.Product, Effectful: t.call.Effectful, Tried: t.tried}
 }
 
 // submit is the one gate that every send passes; every rule is asked again here.
--- a/internal/boxoffice/ends.go
+++ b/internal/gateway/admission/ends.go
@@ -1,4 +1,4 @@
-package boxoffice
+package admission
 
 import "clovergap/control"
 
--- a/internal/boxoffice/house.go
+++ b/internal/gateway/admission/house.go
@@ -1,4 +1,4 @@
-package boxoffice
+package admission
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/casting"
+	"clovergap/internal/gateway/balancer"
 )
 
 // Services, advice and periodic work.
@@ -17,7 +17,7 @@
 		return int(h.id) - int(id)
 	})
 	if !ok {
-		h := &house{id: id, cast: casting.New(o.rng, o.terms.Zone, o.terms.Doors)}
+		h := &house{id: id, cast: balancer.New(o.rng, o.terms.Zone, o.terms.Doors)}
 		h.cast.SetPlace(o.place, o.places)
 		h.budget = &budget{window: o.terms.RetryWindow, at: o.now,
 			nr: int64(o.now / (o.terms.RetryWindow / parts))}
--- a/internal/boxoffice/sides.go
+++ b/internal/gateway/admission/sides.go
@@ -1,11 +1,11 @@
-package boxoffice
+package admission
 
 import (
 	"slices"
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/understudy"
+	"clovergap/internal/gateway/rollout"
 )
 
 // Two versions of a service are two houses, each with its own line, room and usual times, and one budget of further
@@ -29,8 +29,8 @@
 
 // Began is where a request begins.
 type Began struct {
-	Number understudy.Number
-	Side   understudy.Side
+	Number rollout.Number
+	Side   rollout.Side
 	Counts bool // it is one that the versions are compared by
 	Tenant uint32
 }
@@ -85,21 +85,21 @@
 			to = u
 		}
 	case t.nr > 0:
-		if none && understudy.May(t.began.Side, understudy.New) {
+		if none && rollout.May(t.began.Side, rollout.New) {
 			to = u
 		}
 	case !t.sided:
 		t.began = o.sides.Begin(t.ID, t.Product, m.id)
-		if t.began.Side == understudy.New && u.cast.Ready() > 0 {
+		if t.began.Side == rollout.New && u.cast.Ready() > 0 {
 			to = u
-		} else if t.began.Side == understudy.New { // all of the new version are gone: that is no verdict
+		} else if t.began.Side == rollout.New { // all of the new version are gone: that is no verdict
 			t.began = Began{}
 		}
 	case t.house == u:
 		to = u
 	}
 	t.sided = true
-	if to == m && t.nr == 0 && t.began.Side == understudy.New {
+	if to == m && t.nr == 0 && t.began.Side == rollout.New {
 		t.began = Began{}
 	}
 	o.move(t, to)
@@ -130,7 +130,7 @@
 // mayGo tells whether a txn may be sent to the version that its house is: asked again with each send.
 func (t *txn) mayGo() bool {
 	m := t.house.main
-	return m == nil || m.open == Spare || m.open == Shared && understudy.May(t.began.Side, understudy.New)
+	return m == nil || m.open == Spare || m.open == Shared && rollout.May(t.began.Side, rollout.New)
 }
 
 // compare tells of the end of a first submission. What ended by this door's own doing says nothing; one that was
--- a/internal/boxoffice/sides_test.go
+++ b/internal/gateway/admission/sides_test.go
@@ -1,4 +1,4 @@
-package boxoffice
+package admission
 
 import (
 	"math/rand"
@@ -8,14 +8,14 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/control"
-	"clovergap/internal/understudy"
+	"clovergap/internal/gateway/rollout"
 )
 
 // odd sends requests with odd numbers to the new version.
 type odd struct{ told []Compared }
 
 func (s *odd) Begin(id control.TxnID, _ control.ProductID, service control.ServiceID) Began {
-	return Began{Number: 7, Side: understudy.Side(id % 2), Counts: true, Tenant: uint32(service)}
+	return Began{Number: 7, Side: rollout.Side(id % 2), Counts: true, Tenant: uint32(service)}
 }
 func (s *odd) Ended(e Compared) { s.told = append(s.told, e) }
 
@@ -57,9 +57,9 @@
 	must.False(t, d.isNew("again, from old"))
 	d.ends(control.Settled, true)
 	must.SliceLen(t, 2, s.told)
-	must.Eq(t, Compared{Began: Began{7, understudy.New, true, 1}, Service: 1, Kind: 1, At: s.told[0].At, Ending: control.Errored,
+	must.Eq(t, Compared{Began: Began{7, rollout.New, true, 1}, Service: 1, Kind: 1, At: s.told[0].At, Ending: control.Errored,
 		Took: 50 * ms}, s.told[0])
-	must.Eq(t, understudy.Old, s.told[1].Side)
+	must.Eq(t, rollout.Old, s.told[1].Side)
 
 	d.list(control.Gone, 1, 3)
 	d.take(3)
--- a/internal/casting/casting.go
+++ b/internal/gateway/balancer/casting.go
@@ -1,7 +1,7 @@
-// Package casting chooses among the backends of one service. No backend reports its load and no door tells
+// Package balancer chooses among the backends of one service. No backend reports its load and no door tells
 // another what it has out: all that is known comes from this door's own traffic. What is asked of no backend
 // can't be wrong: there are no probes.
-package casting
+package balancer
 
 import (
 	"math"
--- a/internal/casting/casting_test.go
+++ b/internal/gateway/balancer/casting_test.go
@@ -1,4 +1,4 @@
-package casting
+package balancer
 
 import (
 	"math/rand"
--- a/internal/stagedoor/rollouts.go
+++ b/internal/gateway/controlapi/rollouts.go
@@ -1,4 +1,4 @@
-package stagedoor
+package controlapi
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 
 	"clovergap/internal/answer"
 	"clovergap/internal/counters"
+	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/intake"
-	"clovergap/internal/understudy"
 )
 
 // Rollouts is the part of a House that the calls on roll-outs need.
 type Rollouts interface {
 	// Rollout brings an order, or a word on one that runs, to whoever leads: 200 with a RolloutAnswer, else as Change.
 	// A dry run tells what it would be.
-	Rollout(e *understudy.Entry, dry bool, then func(status int, body []byte))
+	Rollout(e *rollout.Entry, dry bool, then func(status int, body []byte))
 	// Rollouts gives a RolloutStatus.
 	Rollouts(then func(status int, body []byte))
 	RolloutHistory(service string) RolloutHistory
@@ -28,8 +28,8 @@
 const pathRollout = "/api/Rollout."
 
 // rolloutVerbs are the calls that change something.
-var rolloutVerbs = map[string]understudy.Verb{"Start": understudy.Start, "Step": understudy.Advance, "Hold": understudy.Hold,
-	"PullBack": understudy.PullBack, "Finish": understudy.Finish}
+var rolloutVerbs = map[string]rollout.Verb{"Start": rollout.Start, "Step": rollout.Advance, "Hold": rollout.Hold,
+	"PullBack": rollout.PullBack, "Finish": rollout.Finish}
 
 // rollout takes a call on roll-outs.
 func (f *Form) rollout(c *intake.Client, method, call string, body []byte) {
@@ -68,7 +68,7 @@
 
 // readRollout reads an operator's word. A field that is not known is refused: an order that means something else than it
 // says must not run.
-func readRollout(verb understudy.Verb, service string, body []byte) (e *understudy.Entry, dry bool, err error) {
+func readRollout(verb rollout.Verb, service string, body []byte) (e *rollout.Entry, dry bool, err error) {
 	strict := func(into any) error {
 		d := json.NewDecoder(bytes.NewReader(body))
 		d.DisallowUnknownFields()
@@ -77,25 +77,25 @@
 		}
 		return nil
 	}
-	if verb != understudy.Start {
+	if verb != rollout.Start {
 		var w RolloutWord
 		if err := strict(&w); err != nil {
 			return nil, false, err
 		}
-		return &understudy.Entry{Verb: verb, Service: service, Mark: w.Mark, By: w.By, Why: w.Why, Rev: w.Rev,
-			Number: understudy.Number(w.Number), Step: w.Step}, false, nil
+		return &rollout.Entry{Verb: verb, Service: service, Mark: w.Mark, By: w.By, Why: w.Why, Rev: w.Rev,
+			Number: rollout.Number(w.Number), Step: w.Step}, false, nil
 	}
 	var o RolloutOrder
 	if err := strict(&o); err != nil {
 		return nil, false, err
 	}
-	order := new(understudy.Rollout)
+	order := new(rollout.Rollout)
 	if err := json.Unmarshal(body, order); err != nil {
 		return nil, false, errors.Wrap(err, "body")
 	}
 	if err := order.Check(); err != nil {
 		return nil, false, err
 	}
-	return &understudy.Entry{Verb: verb, Service: o.Service, Mark: o.Mark, By: o.By, Why: o.Why, Rev: o.Rev, Order: order,
-		Room: understudy.Room{New: max(o.NewRoom, 0), Busy: max(o.Busy, 0)}}, o.DryRun, nil
+	return &rollout.Entry{Verb: verb, Service: o.Service, Mark: o.Mark, By: o.By, Why: o.Why, Rev: o.Rev, Order: order,
+		Room: rollout.Room{New: max(o.NewRoom, 0), Busy: max(o.Busy, 0)}}, o.DryRun, nil
 }
--- a/internal/stagedoor/stagedoor.go
+++ b/internal/gateway/controlapi/stagedoor.go
@@ -1,4 +1,4 @@
-package stagedoor
+package controlapi
 
 import (
 	"bytes"
@@ -10,11 +10,11 @@
 	"github.com/go-playground/validator/v10"
 
 	"clovergap/internal/answer"
-	"clovergap/internal/callboard"
 	"clovergap/internal/counters"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/intake"
-	"clovergap/internal/playbill"
-	"clovergap/internal/script"
 	"clovergap/internal/slots"
 )
 
@@ -23,10 +23,10 @@
 	Ready() bool
 	// Change brings a change to whoever leads: 200 taken, 400 invalid, 412 another version is current, 413 too large, 503 not
 	// now, Unclear.
-	Change(kind script.Kind, body []byte, then func(status int, body []byte))
+	Change(kind statemachine.Kind, body []byte, then func(status int, body []byte))
 	// Newest reads the newest configuration: 200 with it, 503 if it can't be told for sure now.
 	Newest(then func(status int, body []byte))
-	Beat(w callboard.Word, then func(ok bool, target string))
+	Beat(w registry.Word, then func(ok bool, target string))
 	Leave(id string, then func(ok bool, target string))
 	Status() HouseStatus
 	Rollouts
@@ -107,9 +107,9 @@
 		t := f.hold(c)
 		f.house.Leave(gone, func(ok bool, target string) { f.acknowledge(t, ok, target) })
 	default:
-		kind := script.Replace
+		kind := statemachine.Replace
 		if path == pathAmend {
-			kind = script.Amend
+			kind = statemachine.Amend
 		}
 		body := bytes.Clone(r.Body(b))
 		t := f.hold(c)
@@ -176,29 +176,29 @@
 	f.house.Beat(w, func(ok bool, target string) { f.acknowledge(t, ok, target) })
 }
 
-func readBeat(id string, body []byte) (callboard.Word, error) {
+func readBeat(id string, body []byte) (registry.Word, error) {
 	var b Beat
 	if id == "" || len(id) > longestID {
-		return callboard.Word{}, errors.New("no id in the path")
+		return registry.Word{}, errors.New("no id in the path")
 	}
 	if err := json.Unmarshal(body, &b); err != nil {
-		return callboard.Word{}, errors.Wrap(err, "beat")
+		return registry.Word{}, errors.Wrap(err, "beat")
 	}
 	if err := valid.Struct(b); err != nil {
-		return callboard.Word{}, errors.Wrap(err, "beat")
+		return registry.Word{}, errors.Wrap(err, "beat")
 	}
 	cold := time.Duration(0)
 	if b.ColdLeft != "" {
 		var err error
-		if cold, err = playbill.ParseSpan(b.ColdLeft); err != nil {
-			return callboard.Word{}, errors.Wrap(err, "cold_left")
+		if cold, err = routing.ParseSpan(b.ColdLeft); err != nil {
+			return registry.Word{}, errors.Wrap(err, "cold_left")
 		}
 	}
-	phase := callboard.Ready
+	phase := registry.Ready
 	if b.Phase == Draining {
-		phase = callboard.Draining
+		phase = registry.Draining
 	}
-	return callboard.Word{ID: id, Service: b.Target, Addr: b.Address, Zone: b.Zone, Generation: b.Generation,
+	return registry.Word{ID: id, Service: b.Target, Addr: b.Address, Zone: b.Zone, Generation: b.Generation,
 		Capacity: b.Capacity, Phase: phase, ColdLeft: cold, Seq: b.CallSeq}, nil
 }
 
--- a/internal/stagedoor/stagedoor_test.go
+++ b/internal/gateway/controlapi/stagedoor_test.go
@@ -1,4 +1,4 @@
-package stagedoor
+package controlapi
 
 import (
 	"bufio"
@@ -13,12 +13,12 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/callboard"
 	"clovergap/internal/counters"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/rollout"
+	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/intake"
 	"clovergap/internal/link"
-	"clovergap/internal/script"
-	"clovergap/internal/understudy"
 )
 
 // patience bounds every wait of these tests; none of them depends on how long anything takes within it.
@@ -50,7 +50,7 @@
 func (h *house) Status() HouseStatus {
 	return HouseStatus{Door: "d", Generation: 7, Doors: []HouseDoor{}}
 }
-func (h *house) Change(k script.Kind, body []byte, then func(int, []byte)) {
+func (h *house) Change(k statemachine.Kind, body []byte, then func(int, []byte)) {
 	status, text := h.status, []byte(h.body)
 	h.do(fmt.Sprintf("change %c %s", k, body), func() { then(status, text) })
 }
@@ -58,14 +58,14 @@
 	status, text := h.status, []byte(h.body)
 	h.do("newest", func() { then(status, text) })
 }
-func (h *house) Beat(w callboard.Word, then func(bool, string)) {
+func (h *house) Beat(w registry.Word, then func(bool, string)) {
 	h.do(fmt.Sprint("beat ", w), func() { then(h.ok, h.target) })
 }
 func (h *house) Leave(id string, then func(bool, string)) {
 	h.do("leave "+id, func() { then(h.ok, h.target) })
 }
 
-func (h *house) Rollout(e *understudy.Entry, dry bool, then func(int, []byte)) {
+func (h *house) Rollout(e *rollout.Entry, dry bool, then func(int, []byte)) {
 	status, text := h.status, []byte(h.body)
 	what := fmt.Sprintf("%s %q %d %d %d %s %s %s %v", e.Verb, e.Service, e.Rev, e.Number, e.Step, e.Mark, e.By, e.Why, dry)
 	if e.Order != nil {
@@ -142,9 +142,9 @@
 	const few = `{"detail":"too few doors have heard it","error":"unavailable"}`
 	const replace, amend, read = "POST /api/Config.Replace", "POST /api/Config.Amend", "GET /api/Config.Read"
 	const beats, leave = "POST /api/Backends.Heartbeat/i-1", "POST /api/Backends.Leave/i-1"
-	heard := "beat " + fmt.Sprint(callboard.Word{ID: "i-1", Service: "s", Addr: "10.0.0.9:80", Zone: "z", Generation: "v1",
-		Capacity: 3, Phase: callboard.Draining, ColdLeft: 1500 * time.Millisecond, Seq: 4})
-	least := "beat " + fmt.Sprint(callboard.Word{ID: "i-1", Service: "s", Addr: "a:1"})
+	heard := "beat " + fmt.Sprint(registry.Word{ID: "i-1", Service: "s", Addr: "10.0.0.9:80", Zone: "z", Generation: "v1",
+		Capacity: 3, Phase: registry.Draining, ColdLeft: 1500 * time.Millisecond, Seq: 4})
+	least := "beat " + fmt.Sprint(registry.Word{ID: "i-1", Service: "s", Addr: "a:1"})
 	status, _ := json.Marshal((&house{}).Status())
 	for _, x := range []struct {
 		call, body string
--- a/internal/foyer/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -1,4 +1,4 @@
-package foyer
+package ingress
 
 import (
 	"time"
--- a/internal/foyer/foyer.go
+++ b/internal/gateway/ingress/foyer.go
@@ -1,6 +1,6 @@
-// Package foyer is what the gateway's clients and backends say, each in HTTP/1.1: requests in, told apart
+// Package ingress is what the gateway's clients and backends say, each in HTTP/1.1: requests in, told apart
 // by host, path and key, answers out, and in between what a backend is handed and what its answer means.
-package foyer
+package ingress
 
 import (
 	"bytes"
--- a/internal/props/props.go
+++ b/internal/gateway/logentry/props.go
@@ -1,6 +1,6 @@
-// Package props is what the parts that decide have in common: orders that are checked by their tags, words for the
+// Package logentry is what the parts that decide have in common: orders that are checked by their tags, words for the
 // ordered log, bounded lists.
-package props
+package logentry
 
 import (
 	"bytes"
--- a/internal/props/window.go
+++ b/internal/gateway/logentry/window.go
@@ -1,4 +1,4 @@
-package props
+package logentry
 
 import (
 	"crypto/sha256"
--- a/internal/promptbook/promptbook.go
+++ b/internal/gateway/logstore/promptbook.go
@@ -1,4 +1,4 @@
-// Package promptbook keeps on disk what the prompter must not forget, in one bbolt file.
+// Package logstore keeps on disk what the prompter must not forget, in one bbolt file.
 //
 // The file never shrinks. Each write goes to free pages first, so it holds at most about three times the
 // largest snapshot plus the log that was ever held at once, rounded up to steps of 64 KiB: a state of 100
@@ -6,7 +6,7 @@
 //
 // bbolt writes to the file and reads it through a mapping. Where the two do not agree, Apply says so: it
 // reads back the head of what it wrote. A lock held by another process is waited for a second.
-package promptbook
+package logstore
 
 import (
 	"bytes"
@@ -23,7 +23,7 @@
 	berrors "go.etcd.io/bbolt/errors"
 	"golang.org/x/sys/unix"
 
-	"clovergap/internal/prompter"
+	"clovergap/internal/gateway/replication"
 )
 
 // Name is the file's, in the folder that Open is given.
@@ -42,23 +42,23 @@
 
 // head is all but the snapshot and the entries.
 type head struct {
-	Me, For                   prompter.MemberID
+	Me, For                   replication.MemberID
 	House, Promise, Delivered uint64
 }
 
 // Book is an open file, for one goroutine at a time.
 type Book struct {
 	path string
-	me   prompter.MemberID
+	me   replication.MemberID
 	db   *bbolt.DB
 }
 
 // Open opens the file in a folder and reads all of it; where there is none it makes one, with a new
 // member's id, synced with its name. An error names the file. If what it holds can't be read, the error is
 // an Unreadable: the disk is to be taken for lost then, see Wipe.
-func Open(dir string) (*Book, prompter.Kept, error) {
+func Open(dir string) (*Book, replication.Kept, error) {
 	b := &Book{path: filepath.Join(dir, Name)}
-	var k prompter.Kept
+	var k replication.Kept
 	switch info, err := os.Stat(b.path); {
 	case errors.Is(err, os.ErrNotExist):
 	case err != nil:
@@ -88,12 +88,12 @@
 			return nil, k, named(b.path, err)
 		}
 		if err != nil {
-			return nil, prompter.Kept{}, &Unreadable{b.path, err}
+			return nil, replication.Kept{}, &Unreadable{b.path, err}
 		}
 	}
 	if err := guard(func() error { return b.open(dir, &k) }); err != nil {
 		b.Close()
-		return nil, prompter.Kept{}, named(b.path, err)
+		return nil, replication.Kept{}, named(b.path, err)
 	}
 	b.me = k.Me
 	return b, k, nil
@@ -130,7 +130,7 @@
 }
 
 // open opens the file to be written, and founds it if nothing was read.
-func (b *Book) open(dir string, k *prompter.Kept) (err error) {
+func (b *Book) open(dir string, k *replication.Kept) (err error) {
 	b.db, err = bbolt.Open(b.path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true,
 		FreelistType: bbolt.FreelistMapType, InitialMmapSize: 1 << 20, NoStatistics: true})
 	if err != nil {
@@ -146,7 +146,7 @@
 			return err
 		}
 		// 40 bits are enough, and it travels with each message.
-		k.Me = prompter.MemberID(binary.BigEndian.Uint64(random[:]) >> 24)
+		k.Me = replication.MemberID(binary.BigEndian.Uint64(random[:]) >> 24)
 	}
 	if err := b.db.Update(func(tx *bbolt.Tx) error {
 		if _, err := tx.CreateBucket(logBucket); err != nil {
@@ -165,7 +165,7 @@
 
 // read reads all there is. A file with no bucket at all is as a new one: the process ended before its first
 // write.
-func read(db *bbolt.DB) (k prompter.Kept, err error) {
+func read(db *bbolt.DB) (k replication.Kept, err error) {
 	return k, db.View(func(tx *bbolt.Tx) error {
 		book, log := tx.Bucket(bookBucket), tx.Bucket(logBucket)
 		if book == nil && log == nil {
@@ -178,14 +178,14 @@
 		if err := get(book.Get(headKey), &h); err != nil {
 			return errors.Wrap(err, "head")
 		}
-		k = prompter.Kept{Me: h.Me, House: h.House, Promise: h.Promise, For: h.For, Delivered: h.Delivered}
+		k = replication.Kept{Me: h.Me, House: h.House, Promise: h.Promise, For: h.For, Delivered: h.Delivered}
 		if v := book.Get(snapKey); v != nil {
 			if err := get(v, &k.Snap); err != nil {
 				return errors.Wrap(err, "snapshot")
 			}
 		}
 		if err := log.ForEach(func(key, v []byte) error {
-			var e prompter.Entry
+			var e replication.Entry
 			if err := get(v, &e); err != nil {
 				return errors.Wrapf(err, "entry %x", key)
 			}
@@ -200,7 +200,7 @@
 
 // Apply puts writes on disk, in one step: after it they are synced, or, with an error, none is there and it
 // may be tried again.
-func (b *Book) Apply(writes []prompter.Write) error {
+func (b *Book) Apply(writes []replication.Write) error {
 	if len(writes) == 0 {
 		return nil
 	}
@@ -229,7 +229,7 @@
 	return named(b.path, err)
 }
 
-func apply(book, log *bbolt.Bucket, w prompter.Write) error {
+func apply(book, log *bbolt.Bucket, w replication.Write) error {
 	var gone [][]byte
 	if w.Snap != nil {
 		if err := put(book, snapKey, w.Snap); err != nil {
--- a/internal/promptbook/promptbook_test.go
+++ b/internal/gateway/logstore/promptbook_test.go
@@ -1,4 +1,4 @@
-package promptbook
+package logstore
 
 import (
 	"bytes"
@@ -9,11 +9,11 @@
 	"github.com/go-faster/errors"
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/prompter"
+	"clovergap/internal/gateway/replication"
 )
 
-func entry(index, view uint64, data string) prompter.Entry {
-	return prompter.Entry{Index: index, View: view, Data: []byte(data)}
+func entry(index, view uint64, data string) replication.Entry {
+	return replication.Entry{Index: index, View: view, Data: []byte(data)}
 }
 
 // The file does what Kept.Apply does, also after it was closed.
@@ -22,25 +22,25 @@
 	b, want, err := Open(dir)
 	must.NoError(t, err)
 	must.NotEq(t, 0, want.Me)
-	members := []prompter.Member{{ID: want.Me, Addr: "10.0.0.1:1"}, {ID: 7, Addr: "10.0.0.2:1"}}
-	for _, batch := range [][]prompter.Write{
-		{{House: 5, Promise: 1, Delivered: 1, Snap: &prompter.Snapshot{Index: 1, View: 1, Members: members}, From: 2}},
+	members := []replication.Member{{ID: want.Me, Addr: "10.0.0.1:1"}, {ID: 7, Addr: "10.0.0.2:1"}}
+	for _, batch := range [][]replication.Write{
+		{{House: 5, Promise: 1, Delivered: 1, Snap: &replication.Snapshot{Index: 1, View: 1, Members: members}, From: 2}},
 		{{House: 5, Promise: 2, For: 7, Delivered: 1, From: 2,
-			Entries: []prompter.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}},
+			Entries: []replication.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}},
 			{House: 5, Promise: 3, For: 7, Delivered: 2}},
 		{{House: 5, Promise: 3, For: 7, Delivered: 3, From: 4, // trimmed
-			Entries: []prompter.Entry{entry(4, 3, "d"), entry(5, 3, "e")}}},
+			Entries: []replication.Entry{entry(4, 3, "d"), entry(5, 3, "e")}}},
 		{{House: 5, Promise: 3, For: 7, Delivered: 4,
-			Snap: &prompter.Snapshot{Index: 4, View: 3, Members: members, State: []byte("abd")}}},
+			Snap: &replication.Snapshot{Index: 4, View: 3, Members: members, State: []byte("abd")}}},
 		{{House: 5, Promise: 9, For: 8, Delivered: 30, From: 31, // another's snapshot
-			Snap: &prompter.Snapshot{Index: 30, View: 8, Members: members, State: []byte("z")}}},
+			Snap: &replication.Snapshot{Index: 30, View: 8, Members: members, State: []byte("z")}}},
 	} {
 		must.NoError(t, b.Apply(batch))
 		for _, w := range batch {
 			want.Apply(w)
 		}
 		must.NoError(t, b.Close())
-		var got prompter.Kept
+		var got replication.Kept
 		b, got, err = Open(dir)
 		must.NoError(t, err)
 		if len(want.Entries) == 0 {
@@ -55,17 +55,17 @@
 	dir := t.TempDir()
 	b, _, err := Open(dir)
 	must.NoError(t, err)
-	list, index := []prompter.Member{{ID: 1}}, uint64(1)
+	list, index := []replication.Member{{ID: 1}}, uint64(1)
 	for range 30 {
-		must.NoError(t, b.Apply([]prompter.Write{{House: 5, Promise: 1, Delivered: index,
-			Snap: &prompter.Snapshot{Index: index, View: 1, Members: list, State: make([]byte, 100_000)}}}))
+		must.NoError(t, b.Apply([]replication.Write{{House: 5, Promise: 1, Delivered: index,
+			Snap: &replication.Snapshot{Index: index, View: 1, Members: list, State: make([]byte, 100_000)}}}))
 		for range 20 {
-			w := prompter.Write{House: 5, Promise: 1, Delivered: index, From: index + 1}
+			w := replication.Write{House: 5, Promise: 1, Delivered: index, From: index + 1}
 			for range 5 {
 				index++
 				w.Entries = append(w.Entries, entry(index, 1, string(make([]byte, 1000))))
 			}
-			must.NoError(t, b.Apply([]prompter.Write{w}))
+			must.NoError(t, b.Apply([]replication.Write{w}))
 		}
 	}
 	must.NoError(t, b.Close())
@@ -81,9 +81,9 @@
 	path := filepath.Join(dir, Name)
 	b, old, err := Open(dir)
 	must.NoError(t, err)
-	must.NoError(t, b.Apply([]prompter.Write{{House: 5, Promise: 1, Delivered: 1, From: 2,
-		Entries: []prompter.Entry{entry(2, 1, "a")},
-		Snap:    &prompter.Snapshot{Index: 1, View: 1, Members: []prompter.Member{{ID: 1}}, State: make([]byte, 9000)}}}))
+	must.NoError(t, b.Apply([]replication.Write{{House: 5, Promise: 1, Delivered: 1, From: 2,
+		Entries: []replication.Entry{entry(2, 1, "a")},
+		Snap:    &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: 1}}, State: make([]byte, 9000)}}}))
 	must.NoError(t, b.Close())
 	whole, err := os.ReadFile(path)
 	must.NoError(t, err)
@@ -136,17 +136,17 @@
 	for _, together := range []bool{true, false} {
 		b, k, err := Open(t.TempDir())
 		must.NoError(t, err)
-		snap := prompter.Snapshot{Index: 1, View: 1, Members: []prompter.Member{{ID: k.Me, Addr: "a"}}}
-		first := prompter.Write{Nr: 1, House: 1, Promise: 1, Delivered: 1, Snap: &snap, From: 2}
+		snap := replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.Me, Addr: "a"}}}
+		first := replication.Write{Nr: 1, House: 1, Promise: 1, Delivered: 1, Snap: &snap, From: 2}
 		for i := uint64(2); i <= 400; i++ {
 			first.Entries = append(first.Entries, entry(i, 1, "some data of a change"))
 		}
-		must.NoError(t, b.Apply([]prompter.Write{first}))
+		must.NoError(t, b.Apply([]replication.Write{first}))
 		snap.Index = 400
-		later := []prompter.Write{{Nr: 2, House: 1, Promise: 1, Delivered: 400, Snap: &snap, From: 401,
-			Entries: []prompter.Entry{entry(401, 1, "more")}}}
+		later := []replication.Write{{Nr: 2, House: 1, Promise: 1, Delivered: 400, Snap: &snap, From: 401,
+			Entries: []replication.Entry{entry(401, 1, "more")}}}
 		if !together {
-			later = []prompter.Write{{Nr: 2, House: 1, Promise: 1, Delivered: 400, Snap: &snap},
+			later = []replication.Write{{Nr: 2, House: 1, Promise: 1, Delivered: 400, Snap: &snap},
 				{Nr: 3, House: 1, Promise: 1, Delivered: 400, From: 401, Entries: later[0].Entries}}
 		}
 		must.NoError(t, b.Apply(later))
--- a/internal/promptbook/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -1,4 +1,4 @@
-package promptbook
+package logstore
 
 import (
 	"math/rand/v2"
@@ -9,7 +9,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/prompter"
+	"clovergap/internal/gateway/replication"
 )
 
 // fill replaces a state of about so many bytes so often, as the log has it: an entry is written, and once entries have so many bytes
@@ -19,19 +19,19 @@
 	b, k, err := Open(dir)
 	must.NoError(t, err)
 	rng := rand.New(rand.NewPCG(1, 2))
-	me := []prompter.Member{{ID: k.Me, Addr: "a"}}
-	must.NoError(t, b.Apply([]prompter.Write{{House: 1, Promise: 1, Delivered: 1, From: 2,
-		Snap: &prompter.Snapshot{Index: 1, View: 1, Members: me}}}))
+	me := []replication.Member{{ID: k.Me, Addr: "a"}}
+	must.NoError(t, b.Apply([]replication.Write{{House: 1, Promise: 1, Delivered: 1, From: 2,
+		Snap: &replication.Snapshot{Index: 1, View: 1, Members: me}}}))
 	held := 0
 	for i := range times {
 		index := uint64(i + 2)
 		data := make([]byte, state-state/10+rng.IntN(state/5))
-		must.NoError(t, b.Apply([]prompter.Write{{House: 1, Promise: 1, Delivered: index, From: index,
-			Entries: []prompter.Entry{{Index: index, View: 1, Data: data}}}}))
+		must.NoError(t, b.Apply([]replication.Write{{House: 1, Promise: 1, Delivered: index, From: index,
+			Entries: []replication.Entry{{Index: index, View: 1, Data: data}}}}))
 		if held += len(data); held >= compact {
 			held = 0
-			must.NoError(t, b.Apply([]prompter.Write{{House: 1, Promise: 1, Delivered: index,
-				Snap: &prompter.Snapshot{Index: index, View: 1, Members: me, State: data}}}))
+			must.NoError(t, b.Apply([]replication.Write{{House: 1, Promise: 1, Delivered: index,
+				Snap: &replication.Snapshot{Index: index, View: 1, Members: me, State: data}}}))
 		}
 	}
 	must.NoError(t, b.Close())
--- a/internal/company/company.go
+++ b/internal/gateway/membership/company.go
@@ -1,7 +1,7 @@
-// Package company knows the doors of a house: who there is, who is heard, which seats they have, and, at the first
+// Package membership knows the doors of a house: who there is, who is heard, which seats they have, and, at the first
 // start of all, which doors found the core. It is free of I/O: inputs only update what is known, the host pulls
 // actions with Next.
-package company
+package membership
 
 import (
 	"slices"
--- a/internal/company/nearer_test.go
+++ b/internal/gateway/membership/nearer_test.go
@@ -1,4 +1,4 @@
-package company
+package membership
 
 import (
 	"fmt"
--- a/internal/house/again_test.go
+++ b/internal/gateway/node/again_test.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/script"
-	"clovergap/internal/stagedoor"
-	"clovergap/internal/understudy"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/rollout"
+	"clovergap/internal/gateway/statemachine"
 )
 
 const replacePath = "/api/Config.Replace"
@@ -41,7 +41,7 @@
 	for i := range 4 {
 		d.start(i)
 	}
-	d.all("the newest version", func(s stagedoor.HouseStatus) bool { return s.Generation == 301 })
+	d.all("the newest version", func(s controlapi.HouseStatus) bool { return s.Generation == 301 })
 	again()
 }
 
@@ -49,7 +49,7 @@
 func TestEightAtOnce(t *testing.T) {
 	d := open(t, 8)
 	d.settles(0, 200, "POST", replacePath, bill(1, 0))
-	d.all("the first version", func(s stagedoor.HouseStatus) bool { return s.Generation == 1 })
+	d.all("the first version", func(s controlapi.HouseStatus) bool { return s.Generation == 1 })
 	at := func(body func(i int) string) (taken, lost int) {
 		var all sync.WaitGroup
 		var answers [8]int
@@ -85,21 +85,21 @@
 func TestDoorBehind(t *testing.T) {
 	var fails atomic.Bool
 	d := open(t, 4)
-	d.all("four seats", func(s stagedoor.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
+	d.all("four seats", func(s controlapi.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
 	d.settles(0, 200, "POST", replacePath, bill(7, 0))
 	d.backend("v1-0", "v1", &fails)
 	d.backend("v2-0", "v2", &fails)
-	d.all("the backends", func(s stagedoor.HouseStatus) bool { return len(s.Backends) == 2 && s.Generation == 7 })
-	entry := func(rev uint64, mark string) *understudy.Entry {
-		return &understudy.Entry{Verb: understudy.Start, Service: "s", Mark: mark, Rev: rev, Room: understudy.Room{Busy: 9}, Order: &understudy.Rollout{
-			Service: "s", Old: "v1", New: "v2", Steps: []understudy.Step{{Share: 100, MinTime: understudy.Span(time.Second)}}}}
+	d.all("the backends", func(s controlapi.HouseStatus) bool { return len(s.Backends) == 2 && s.Generation == 7 })
+	entry := func(rev uint64, mark string) *rollout.Entry {
+		return &rollout.Entry{Verb: rollout.Start, Service: "s", Mark: mark, Rev: rev, Room: rollout.Room{Busy: 9}, Order: &rollout.Rollout{
+			Service: "s", Old: "v1", New: "v2", Steps: []rollout.Step{{Share: 100, MinTime: rollout.Span(time.Second)}}}}
 	}
 	behind := func(do func(h *House, then func(int, []byte))) (status int) {
 		d.until("a clear answer", func() bool {
 			answer := make(chan int, 1)
 			d.turn(3, func(h *House) {
 				newest, board := h.script, h.board
-				h.script, h.board = script.New(), nil
+				h.script, h.board = statemachine.New(), nil
 				do(h, func(status int, _ []byte) { answer <- status })
 				h.script, h.board = newest, board
 			})
@@ -109,7 +109,7 @@
 		return status
 	}
 	change := func(body string) int {
-		return behind(func(h *House, then func(int, []byte)) { h.Change(script.Replace, []byte(body), then) })
+		return behind(func(h *House, then func(int, []byte)) { h.Change(statemachine.Replace, []byte(body), then) })
 	}
 	orderRollout := func(rev uint64, mark string) int {
 		return behind(func(h *House, then func(int, []byte)) { h.Rollout(entry(rev, mark), false, then) })
--- a/internal/house/authority.go
+++ b/internal/gateway/node/authority.go
@@ -1,9 +1,9 @@
-package house
+package node
 
 import (
 	"time"
 
-	"clovergap/internal/callsheet"
+	"clovergap/internal/gateway/settings"
 )
 
 // Authority: what a door may do without word of a majority. A door's word of the core (contact) is an age: all that was acknowledged
@@ -52,17 +52,17 @@
 	follower   age
 	configured bool
 }{
-	beReady:   {inContact, callsheet.Bounds.Stale, callsheet.Bounds.Stale, true},
-	deny:      {inContact, callsheet.Bounds.Sure, callsheet.Bounds.Sure, true},
-	takeCalls: {inContact | starting, callsheet.Bounds.Parted, callsheet.Bounds.Stale, false},
-	feedFresh: {inContact, callsheet.Bounds.Parted, callsheet.Bounds.Parted, false},
-	ackBeats:  {inContact | starting, callsheet.Bounds.Parted, callsheet.Bounds.Stale, false},
-	ackEnds:   {inContact, callsheet.Bounds.Parted, callsheet.Bounds.Parted, false},
-	askSeat:   {inContact, callsheet.Bounds.Stale, callsheet.Bounds.Stale, false},
+	beReady:   {inContact, settings.Bounds.Stale, settings.Bounds.Stale, true},
+	deny:      {inContact, settings.Bounds.Sure, settings.Bounds.Sure, true},
+	takeCalls: {inContact | starting, settings.Bounds.Parted, settings.Bounds.Stale, false},
+	feedFresh: {inContact, settings.Bounds.Parted, settings.Bounds.Parted, false},
+	ackBeats:  {inContact | starting, settings.Bounds.Parted, settings.Bounds.Stale, false},
+	ackEnds:   {inContact, settings.Bounds.Parted, settings.Bounds.Parted, false},
+	askSeat:   {inContact, settings.Bounds.Stale, settings.Bounds.Stale, false},
 }
 
 // age is a bound on that of a door's word, from the settings.
-type age func(callsheet.Bounds) time.Duration
+type age func(settings.Bounds) time.Duration
 
 // may tells whether this door has a right now.
 func (h *House) may(r right) bool {
--- a/internal/house/base.go
+++ b/internal/gateway/node/base.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"math/rand/v2"
@@ -10,17 +10,17 @@
 	"clovergap/control"
 	"clovergap/internal/counters"
 	"clovergap/internal/dispatch"
-	"clovergap/internal/foyer"
 	"clovergap/internal/gate"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/ingress"
+	"clovergap/internal/gateway/logstore"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/transport"
 	"clovergap/internal/intake"
 	"clovergap/internal/link"
 	"clovergap/internal/peers"
-	"clovergap/internal/playbill"
-	"clovergap/internal/promptbook"
-	"clovergap/internal/prompter"
 	"clovergap/internal/slots"
-	"clovergap/internal/stagedoor"
-	"clovergap/internal/wings"
 )
 
 // Base is what a door stands on. New gives it sockets, a clock and a disk; a rehearsal gives it simulated ones. No part of a
@@ -31,9 +31,9 @@
 	Draws() (seed int64, life uint64)
 	Counters() *counters.Set
 	// Links to other doors tell the host what comes, each in a turn.
-	Links(host wings.Host[Frame]) (Links, error)
+	Links(host transport.Host[Frame]) (Links, error)
 	// Disk is called for a door with one, and gives what it holds.
-	Disk() (Disk, prompter.Kept, error)
+	Disk() (Disk, replication.Kept, error)
 	// Path is the way of requests and of mail, once the gate is there.
 	Path(h *House, g *gate.Gate) (Path, error)
 }
@@ -56,7 +56,7 @@
 // Disk keeps what the core must not forget. Writes go on apart from the turns, one at a time; done is called in a turn, once
 // all of them are synced. A note that can't be kept is let go.
 type Disk interface {
-	Write(writes []prompter.Write, note []byte, done func())
+	Write(writes []replication.Write, note []byte, done func())
 	Noted() []byte
 }
 
@@ -97,7 +97,7 @@
 	seed     int64
 	life     uint64
 	fds      int
-	wings    *wings.Wings[Frame]
+	wings    *transport.Wings[Frame]
 	disk     *disk
 	peers    *peers.Peers
 	dispatch *dispatch.Dispatch
@@ -116,21 +116,21 @@
 func (s *sockets) Draws() (int64, uint64)  { return s.seed, s.life }
 func (s *sockets) Counters() *counters.Set { return s.Engine.Count }
 
-func (s *sockets) Links(host wings.Host[Frame]) (_ Links, err error) {
-	s.wings, err = wings.New[Frame](s.h.inner, s.life, host, s.Turn)
+func (s *sockets) Links(host transport.Host[Frame]) (_ Links, err error) {
+	s.wings, err = transport.New[Frame](s.h.inner, s.life, host, s.Turn)
 	return s.wings, err
 }
 
 // Disk reads the disk. One that can't be read counts as lost: it is emptied, and let in anew by the others.
-func (s *sockets) Disk() (Disk, prompter.Kept, error) {
+func (s *sockets) Disk() (Disk, replication.Kept, error) {
 	dir := s.h.sheet.DataDir
-	book, kept, err := promptbook.Open(dir)
-	if torn := (*promptbook.Unreadable)(nil); errors.As(err, &torn) {
+	book, kept, err := logstore.Open(dir)
+	if torn := (*logstore.Unreadable)(nil); errors.As(err, &torn) {
 		s.h.warn(corePart, "disk can't be read, begins empty: %v", err)
-		if err := promptbook.Wipe(dir); err != nil {
+		if err := logstore.Wipe(dir); err != nil {
 			return nil, kept, err
 		}
-		book, kept, err = promptbook.Open(dir)
+		book, kept, err = logstore.Open(dir)
 	}
 	if err != nil {
 		return nil, kept, err
@@ -143,18 +143,18 @@
 // disk is a real one, with a goroutine of its own: a slow disk must hold up nothing else.
 type disk struct {
 	h      *House
-	book   *promptbook.Book
+	book   *logstore.Book
 	writes chan batch
 }
 
 // batch is what goes to the disk at once.
 type batch struct {
-	writes []prompter.Write
+	writes []replication.Write
 	note   []byte
 	done   func()
 }
 
-func (d *disk) Write(writes []prompter.Write, note []byte, done func()) {
+func (d *disk) Write(writes []replication.Write, note []byte, done func()) {
 	d.writes <- batch{writes, note, done}
 }
 func (d *disk) Noted() []byte { return d.book.Noted() }
@@ -179,15 +179,15 @@
 }
 
 func (s *sockets) Path(h *House, g *gate.Gate) (p Path, err error) {
-	s.dispatch = dispatch.New(s.Engine, &usher{g, h}, foyer.Terms(h, dialLimit), func() bool { return s.front.Evict() })
-	bounds := foyer.Bounds(foyer.Limits{Head: playbill.DefaultMostHeader, Body: playbill.DefaultMostBody,
-		HeadIn: playbill.DefaultHeaderTimeout, Idle: playbill.DefaultIdleTimeout})
+	s.dispatch = dispatch.New(s.Engine, &usher{g, h}, ingress.Terms(h, dialLimit), func() bool { return s.front.Evict() })
+	bounds := ingress.Bounds(ingress.Limits{Head: routing.DefaultMostHeader, Body: routing.DefaultMostBody,
+		HeadIn: routing.DefaultHeaderTimeout, Idle: routing.DefaultIdleTimeout})
 	s.front = intake.New(s.Engine, max(1, (s.fds-200)/clientShare), bounds, func() bool { return s.dispatch.Evict(nil) })
-	form := foyer.New(s.front, s.Engine, g, h)
+	form := ingress.New(s.front, s.Engine, g, h)
 	s.callers = intake.New(s.Engine, callersMost, intake.Bounds{Body: controlBound}, func() bool { return s.front.Evict() })
-	s.callers.Serves(stagedoor.New(s.callers, h))
+	s.callers.Serves(controlapi.New(s.callers, h))
 	s.askers = intake.New(s.Engine, 64, intake.Bounds{}, func() bool { return s.front.Evict() })
-	s.askers.Serves(stagedoor.New(s.askers, h))
+	s.askers.Serves(controlapi.New(s.askers, h))
 	mail := h.mailAt(h.inner)
 	if s.peers, err = peers.New(s.Engine, mail.String(), []netip.AddrPort{mail}, 0, h.Mailed); err != nil {
 		return p, err
@@ -213,7 +213,7 @@
 // entrance is where clients come in, all of the door's listening with it.
 type entrance struct {
 	*intake.Intake
-	form *foyer.Foyer
+	form *ingress.Foyer
 	e    *link.Engine
 }
 
--- a/internal/house/calls.go
+++ b/internal/gateway/node/calls.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"slices"
@@ -6,11 +6,11 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/company"
-	"clovergap/internal/playbill"
-	"clovergap/internal/prompter"
-	"clovergap/internal/script"
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/statemachine"
 )
 
 const (
@@ -30,7 +30,7 @@
 
 // call is one that waits for whoever leads.
 type call struct {
-	kind  script.Kind
+	kind  statemachine.Kind
 	body  []byte
 	hops  int
 	until time.Duration
@@ -43,7 +43,7 @@
 
 // ask brings a control call to whoever leads and tells how it ended: within callFor in any case, so that the caller
 // is not held for what another door may know.
-func (h *House) ask(kind script.Kind, body []byte, hops int, then func(status int, body []byte)) {
+func (h *House) ask(kind statemachine.Kind, body []byte, hops int, then func(status int, body []byte)) {
 	if len(h.calls) >= callsMost {
 		then(503, []byte("too many calls wait"))
 		return
@@ -120,7 +120,7 @@
 func (h *House) turnAway(nr uint32) {
 	text := noMajority
 	if c := h.calls[nr]; c.doubt || c.sent != "" { // who has it may take it yet
-		text = prompter.Unknown.String()
+		text = replication.Unknown.String()
 	}
 	h.end(nr, 503, []byte(text))
 }
@@ -185,7 +185,7 @@
 		h.e.At(c.next, (*callAlarm)(h), nr)
 		return
 	}
-	c.sent, c.doubt = "", c.doubt || status == stagedoor.Unclear
+	c.sent, c.doubt = "", c.doubt || status == controlapi.Unclear
 	h.end(nr, status, body)
 }
 
@@ -195,7 +195,7 @@
 	delete(h.calls, nr)
 	if reads := c.kind == Read || c.kind == ReadRollouts; status/100 == 5 {
 		if status = 503; !reads && (c.doubt || c.sent != "") {
-			status = stagedoor.Unclear
+			status = controlapi.Unclear
 		}
 	}
 	c.then(status, body)
@@ -225,13 +225,13 @@
 
 // wantSeat asks for a seat while this door has none.
 func (h *House) wantSeat() {
-	if h.seat() != company.NoSeat || h.e.Now()-h.seatAsked < time.Second || !h.may(askSeat) {
+	if h.seat() != membership.NoSeat || h.e.Now()-h.seatAsked < time.Second || !h.may(askSeat) {
 		return
 	}
 	h.seatAsked = h.e.Now()
-	entry := script.SeatEntry(company.Seated{Name: h.sheet.NodeName, Addr: h.inner, Control: h.sheet.Bind.Control,
+	entry := statemachine.SeatEntry(membership.Seated{Name: h.sheet.NodeName, Addr: h.inner, Control: h.sheet.Bind.Control,
 		Zone: h.sheet.Zone})
-	h.ask(script.Seat, entry[1:], 0, func(status int, body []byte) {
+	h.ask(statemachine.Seat, entry[1:], 0, func(status int, body []byte) {
 		if status != 200 {
 			h.say(doorPart, "no seat yet: %s", body)
 		}
@@ -244,18 +244,18 @@
 // tooLarge tells whether a configuration that would be taken grows beyond what the disk is for. Whoever leads decides it, before
 // anything is proposed: what is in the log is applied everywhere, whatever a door's disk. An amendment counts in full, whatever it
 // takes away.
-func (h *House) tooLarge(k script.Kind, body []byte) error {
+func (h *House) tooLarge(k statemachine.Kind, body []byte) error {
 	size, most := len(body), controlBound
 	if d := h.sheet.Limits.DiskMB; d > 0 {
 		most = min(most, d<<20/diskCopies)
 	}
-	if k == script.Amend {
+	if k == statemachine.Amend {
 		size += len(h.script.Bills.Body())
 	}
-	if k != script.Replace && k != script.Amend || size <= most {
+	if k != statemachine.Replace && k != statemachine.Amend || size <= most {
 		return nil
 	}
-	if v, _ := h.script.Decide(k, body); v != playbill.Taken {
+	if v, _ := h.script.Decide(k, body); v != routing.Taken {
 		return nil // its answer is another
 	}
 	return errors.Errorf("configuration of %d bytes, at most %d fit", size, most)
--- a/internal/house/calls_test.go
+++ b/internal/gateway/node/calls_test.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"testing"
--- a/internal/house/catchup_test.go
+++ b/internal/gateway/node/catchup_test.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/promptbook"
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/logstore"
 )
 
 // largeBill is a configuration of about so many bytes: its tenants make it up.
@@ -38,7 +38,7 @@
 	const replace = "/api/Config.Replace"
 	size, times := sizeOf("HOUSE_BYTES", 200<<10), sizeOf("HOUSE_CHANGES", 8)
 	d := open(t, 4)
-	d.all("four seats", func(s stagedoor.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
+	d.all("four seats", func(s controlapi.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
 	d.settles(0, 200, "POST", replace, largeBill(1, 0, size))
 	away := 0
 	for i := range 3 {
@@ -54,7 +54,7 @@
 		d.settles(left, 200, "POST", replace, largeBill(n+2, n+1, size))
 	}
 	took := time.Since(began)
-	level := func(s stagedoor.HouseStatus) bool { return s.Generation == uint64(times+1) }
+	level := func(s controlapi.HouseStatus) bool { return s.Generation == uint64(times+1) }
 	for _, i := range []int{away, 3} {
 		began = time.Now()
 		d.start(i)
@@ -63,7 +63,7 @@
 	}
 	d.all("the newest", level)
 	for i := range 3 {
-		info, err := os.Stat(filepath.Join(d.sheets[i].DataDir, promptbook.Name))
+		info, err := os.Stat(filepath.Join(d.sheets[i].DataDir, logstore.Name))
 		must.NoError(t, err)
 		t.Logf("door %d: %d KB on disk", i, info.Size()>>10)
 		must.LessEq(t, int64(diskCopies*size+1<<20), info.Size())
--- a/internal/house/core.go
+++ b/internal/gateway/node/core.go
@@ -1,17 +1,17 @@
-package house
+package node
 
 import (
 	"bytes"
 	"encoding/gob"
 	"time"
 
-	"clovergap/internal/callboard"
 	"clovergap/internal/check"
-	"clovergap/internal/company"
-	"clovergap/internal/playbill"
-	"clovergap/internal/prompter"
-	"clovergap/internal/script"
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/statemachine"
 )
 
 const (
@@ -24,12 +24,12 @@
 // core is this door's part in the ordered log: none without a disk.
 type core struct {
 	h        *House
-	me       prompter.Member
-	p        *prompter.Prompter
+	me       replication.Member
+	p        *replication.Prompter
 	disk     Disk
-	queue    []prompter.Write // not yet given to the disk
-	note     []byte           // the board, to be kept beside the log; nil: nothing to keep
-	noted    time.Duration    // when it last was
+	queue    []replication.Write // not yet given to the disk
+	note     []byte              // the board, to be kept beside the log; nil: nothing to keep
+	noted    time.Duration       // when it last was
 	writing  bool
 	waits    map[uint64]waiting // by token
 	token    uint64
@@ -41,7 +41,7 @@
 
 // waiting is a call that the log settles.
 type waiting struct {
-	kind  script.Kind
+	kind  statemachine.Kind
 	entry []byte // nil of a read
 	then  func(status int, body []byte)
 }
@@ -50,7 +50,7 @@
 type verdict struct {
 	index   uint64
 	entry   []byte
-	verdict playbill.Verdict
+	verdict routing.Verdict
 	err     error
 }
 
@@ -63,8 +63,8 @@
 	if err != nil {
 		return err
 	}
-	c := &core{h: h, me: prompter.Member{ID: kept.Me, Addr: h.inner}, disk: disk, waits: map[uint64]waiting{}}
-	c.p = prompter.New(c.me, kept, prompter.DefaultTerms(), h.seed, h.e.Now())
+	c := &core{h: h, me: replication.Member{ID: kept.Me, Addr: h.inner}, disk: disk, waits: map[uint64]waiting{}}
+	c.p = replication.New(c.me, kept, replication.DefaultTerms(), h.seed, h.e.Now())
 	h.core = c
 	return nil
 }
@@ -93,23 +93,23 @@
 			break
 		}
 		switch a := a.(type) {
-		case prompter.Send:
+		case replication.Send:
 			if addr := c.addr(a.To); addr != "" {
 				c.h.wings.Send(addr, &Frame{Core: &Line{c.me.ID, a.Message}})
 			}
-		case prompter.Write:
+		case replication.Write:
 			if n := len(c.queue); n > 0 { // a disk that hangs must not have the queue grow
 				c.queue[n-1] = c.queue[n-1].Then(a)
 			} else {
 				c.queue = append(c.queue, a)
 			}
-		case prompter.Restore:
+		case replication.Restore:
 			c.restore(a.Index, a.State)
-		case prompter.Commit:
+		case replication.Commit:
 			c.commit(a.Entry)
-		case prompter.Outcome:
+		case replication.Outcome:
 			c.settle(a)
-		case prompter.Wake:
+		case replication.Wake:
 			c.wake++
 			c.h.e.At(a.At, (*coreAlarm)(c), c.wake)
 		}
@@ -126,7 +126,7 @@
 	if !c.writing && (len(c.queue) > 0 || c.note != nil) {
 		c.write()
 	}
-	c.h.company.Settle(company.Disk(c.me.ID), c.p.House())
+	c.h.company.Settle(membership.Disk(c.me.ID), c.p.House())
 }
 
 // keepBoard has the board kept beside the log, where it changed, now and then.
@@ -143,7 +143,7 @@
 
 // remember gives the board what was kept of it.
 func (c *core) remember() {
-	var words []callboard.Word
+	var words []registry.Word
 	if noted := c.disk.Noted(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&words) == nil {
 		c.h.board.Now(c.h.e.Now())
 		c.h.board.Remember(words)
@@ -152,12 +152,12 @@
 }
 
 // addr of a member: where its door says that it is, since a view may name an older place.
-func (c *core) addr(m prompter.Member) string {
-	if d, ok := c.h.company.Door(m.Addr); ok && prompter.MemberID(d.Disk) == m.ID {
+func (c *core) addr(m replication.Member) string {
+	if d, ok := c.h.company.Door(m.Addr); ok && replication.MemberID(d.Disk) == m.ID {
 		return m.Addr
 	}
 	for _, d := range c.h.company.Disks() {
-		if prompter.MemberID(d.Disk) == m.ID {
+		if replication.MemberID(d.Disk) == m.ID {
 			return d.Addr
 		}
 	}
@@ -165,10 +165,10 @@
 }
 
 func (c *core) restore(index uint64, state []byte) {
-	s := script.New()
+	s := statemachine.New()
 	if len(state) > 0 {
 		var err error
-		if s, err = script.Restore(state); err != nil {
+		if s, err = statemachine.Restore(state); err != nil {
 			c.h.warn(corePart, "state of %d can't be read: %v", index, err)
 			return
 		}
@@ -176,9 +176,9 @@
 	c.h.begin(index, s)
 }
 
-func (c *core) commit(e prompter.Entry) {
+func (c *core) commit(e replication.Entry) {
 	var data []byte
-	if e.Kind == prompter.Change {
+	if e.Kind == replication.Change {
 		data = e.Data
 	}
 	v, err := c.h.apply(e.Index, data)
@@ -195,16 +195,16 @@
 		return
 	}
 	c.lookedAt = now
-	var reach []prompter.Reach
+	var reach []replication.Reach
 	for _, d := range c.h.company.Disks() {
-		reach = append(reach, prompter.Reach{Member: prompter.Member{ID: prompter.MemberID(d.Disk), Addr: d.Addr}, Leaving: d.Leaving})
+		reach = append(reach, replication.Reach{Member: replication.Member{ID: replication.MemberID(d.Disk), Addr: d.Addr}, Leaving: d.Leaving})
 	}
 	c.p.Tend(reach, c.h.sheet.Tolerates.Machines)
 	c.layAside()
 }
 
 // propose puts a change into the log, or reads; then is told how it ended.
-func (c *core) propose(kind script.Kind, body []byte, then func(status int, body []byte)) {
+func (c *core) propose(kind statemachine.Kind, body []byte, then func(status int, body []byte)) {
 	c.token++
 	c.p.Now(c.h.e.Now())
 	if kind == Read || kind == ReadRollouts {
@@ -212,20 +212,20 @@
 		c.p.Read(c.token)
 		return
 	}
-	entry := script.Entry(kind, body)
+	entry := statemachine.Entry(kind, body)
 	c.waits[c.token] = waiting{kind, entry, then}
 	c.p.Propose(c.token, entry)
 }
 
 // settle answers a call whose place in the log is known.
-func (c *core) settle(o prompter.Outcome) {
+func (c *core) settle(o replication.Outcome) {
 	w, ok := c.waits[o.Token]
 	delete(c.waits, o.Token)
 	switch {
 	case !ok:
-	case o.Verdict == prompter.Unknown:
-		w.then(stagedoor.Unclear, []byte(o.Verdict.String()))
-	case o.Verdict != prompter.Done:
+	case o.Verdict == replication.Unknown:
+		w.then(controlapi.Unclear, []byte(o.Verdict.String()))
+	case o.Verdict != replication.Done:
 		w.then(503, []byte(o.Verdict.String()))
 	case w.kind == Read:
 		w.then(200, c.h.script.Bills.Body())
@@ -235,25 +235,25 @@
 		v := c.last
 		if v.index != o.Index || !bytes.Equal(v.entry, w.entry) {
 			check.That(false, "a proposal ends by its own entry")
-			v = verdict{verdict: playbill.Unclear}
+			v = verdict{verdict: routing.Unclear}
 		}
 		w.then(answerOf(v.verdict, v.err))
 	}
 }
 
 // answerOf is the table from verdicts on changes to answers.
-func answerOf(v playbill.Verdict, err error) (int, []byte) {
+func answerOf(v routing.Verdict, err error) (int, []byte) {
 	text := ""
 	if err != nil {
 		text = err.Error()
 	}
 	switch v {
-	case playbill.Taken, playbill.Already:
+	case routing.Taken, routing.Already:
 		return 200, nil
-	case playbill.Conflict:
+	case routing.Conflict:
 		return 412, []byte(text)
-	case playbill.Unclear:
-		return stagedoor.Unclear, []byte(text)
+	case routing.Unclear:
+		return controlapi.Unclear, []byte(text)
 	}
 	return 400, []byte(text)
 }
--- a/internal/house/cut_test.go
+++ b/internal/gateway/node/cut_test.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/callsheet"
-	"clovergap/internal/foyer"
-	"clovergap/internal/prompter"
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/ingress"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/settings"
 )
 
 // cut is a door's links to the others with what it says to some lost, as long as it is set: it is read and set in turns.
@@ -50,7 +50,7 @@
 }
 
 func (d *doors) disk(addr string) bool {
-	return slices.ContainsFunc(d.sheets[:3], func(s *callsheet.Sheet) bool { return s.IP+":17560" == addr })
+	return slices.ContainsFunc(d.sheets[:3], func(s *settings.Sheet) bool { return s.IP+":17560" == addr })
 }
 
 // broken is what a door that is cut off does and must not.
@@ -82,7 +82,7 @@
 		if at > b.Stale() {
 			bad(h.Ready(), "is ready")
 			_, no := h.Admit([]byte("nowhere"), []byte("/"), nil)
-			bad(no == foyer.NoRoute, "denies for sure")
+			bad(no == ingress.NoRoute, "denies for sure")
 		}
 	})
 	return all
@@ -93,10 +93,10 @@
 // majority, and comes back. Without its defences it is found out.
 func TestCutOffDoor(t *testing.T) {
 	d := open(t, 4)
-	d.all("four seats", func(s stagedoor.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
+	d.all("four seats", func(s controlapi.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
 	d.settles(0, 200, "POST", "/api/Config.Replace", bill(10, 0))
 	d.settles(3, 200, "POST", "/api/Backends.Heartbeat/i-1", beat("ready", 1))
-	d.all("to be ready", func(s stagedoor.HouseStatus) bool { return s.Ready })
+	d.all("to be ready", func(s controlapi.HouseStatus) bool { return s.Ready })
 	last := 10
 	for _, x := range []struct {
 		leads bool
@@ -141,7 +141,7 @@
 			d.comesBack(at)
 		}
 		d.parts(at, "")
-		d.all("to go by the newest and be in contact", func(s stagedoor.HouseStatus) bool {
+		d.all("to go by the newest and be in contact", func(s controlapi.HouseStatus) bool {
 			return s.Generation == uint64(last) && s.StaleMs != nil && *s.StaleMs < d.sheets[0].Bounds.Parted().Milliseconds()
 		})
 	}
@@ -182,11 +182,11 @@
 // none of an older view is taken after a newer one's, none that is of more than it has, none that another life asked for.
 func TestWordsInAllOrders(t *testing.T) {
 	const now = 100 * time.Second
-	own, other := prompter.NewClock(7), prompter.NewClock(8)
+	own, other := replication.NewClock(7), replication.NewClock(8)
 	type told struct {
 		asked, age  time.Duration
 		view, index uint64
-		by          prompter.Clock
+		by          replication.Clock
 	}
 	all := []told{{now - 3*time.Second, time.Second, 5, 9, own}, {now - 2*time.Second, 500 * time.Millisecond, 6, 9, own},
 		{now - time.Second, 100 * time.Millisecond, 5, 9, own}, {now - time.Second, 0, 7, 10, own}, {now - time.Second, 0, 6, 9, other}}
--- a/internal/house/doors.go
+++ b/internal/gateway/node/doors.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"maps"
@@ -8,9 +8,9 @@
 	"strconv"
 
 	"clovergap/control"
-	"clovergap/internal/callboard"
-	"clovergap/internal/company"
-	"clovergap/internal/prompter"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/replication"
 )
 
 // Came, Heard, Up and Down are the links': each in a turn.
@@ -51,9 +51,9 @@
 		h.core.p.Now(h.e.Now())
 		h.core.p.Heard(f.Core.From, f.Core.Message)
 	case f.Board != nil && h.board != nil:
-		if s := h.company.Seat(from); s != company.NoSeat {
+		if s := h.company.Seat(from); s != membership.NoSeat {
 			h.board.Now(h.e.Now())
-			h.board.Heard(callboard.Seat(s), *f.Board)
+			h.board.Heard(registry.Seat(s), *f.Board)
 		}
 	case f.Follow != nil:
 		h.followed(from, f.Follow)
@@ -82,9 +82,9 @@
 
 // greet tells a door of the backends.
 func (h *House) greet(addr string) {
-	if s := h.company.Seat(addr); s != company.NoSeat && h.board != nil {
+	if s := h.company.Seat(addr); s != membership.NoSeat && h.board != nil {
 		h.board.Now(h.e.Now())
-		h.board.Greet(callboard.Seat(s))
+		h.board.Greet(registry.Seat(s))
 	}
 }
 
@@ -108,13 +108,13 @@
 }
 
 // remind hands the founding to a founder that missed it: who began it may have died before the word reached the others.
-func (h *House) remind(addr string, d company.Door) {
+func (h *House) remind(addr string, d membership.Door) {
 	if h.core == nil || d.Founded || d.Disk == 0 {
 		return
 	}
 	founders := h.core.p.Founders()
 	for _, m := range founders {
-		if m.ID == prompter.MemberID(d.Disk) && h.company.Spreads(h.core.p.House(), addr) {
+		if m.ID == replication.MemberID(d.Disk) && h.company.Spreads(h.core.p.House(), addr) {
 			h.wings.Send(addr, &Frame{Found: founders})
 		}
 	}
@@ -126,7 +126,7 @@
 	founders := c.p.Founders()
 	for _, m := range founders {
 		if d, ok := c.h.company.Door(m.Addr); m.ID != c.me.ID && (!ok || !c.h.company.Live(m.Addr) || d.Disk == 0 || d.Founded ||
-			prompter.MemberID(d.Disk) == m.ID || c.addr(prompter.Member{ID: m.ID}) != "") {
+			replication.MemberID(d.Disk) == m.ID || c.addr(replication.Member{ID: m.ID}) != "") {
 			return
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // found begins the core, if this door's disk is empty.
-func (h *House) found(members []prompter.Member) {
+func (h *House) found(members []replication.Member) {
 	if h.core == nil {
 		return
 	}
@@ -160,46 +160,46 @@
 			return
 		}
 		switch a.Verb {
-		case company.Want:
+		case membership.Want:
 			h.wings.Want(a.Addr)
-		case company.Leave:
+		case membership.Leave:
 			h.wings.Leave(a.Addr)
-		case company.Greet:
+		case membership.Greet:
 			hello := h.company.Say(a.Addr)
 			h.wings.Send(a.Addr, &Frame{Hello: &hello})
-		case company.Found:
+		case membership.Found:
 			members := membersOf(a.Founders)
 			if a.Addr == h.inner {
 				h.found(members)
 			} else {
 				h.wings.Send(a.Addr, &Frame{Found: members})
 			}
-		case company.Changed:
+		case membership.Changed:
 			h.doorsChanged()
 		}
 	}
 }
 
-func membersOf(founders []company.Founder) (members []prompter.Member) {
+func membersOf(founders []membership.Founder) (members []replication.Member) {
 	for _, f := range founders {
-		members = append(members, prompter.Member{ID: prompter.MemberID(f.Disk), Addr: f.Addr})
+		members = append(members, replication.Member{ID: replication.MemberID(f.Disk), Addr: f.Addr})
 	}
 	return members
 }
 
 // seat is this door's, or NoSeat.
-func (h *House) seat() company.Seat { return h.company.Seat(h.inner) }
+func (h *House) seat() membership.Seat { return h.company.Seat(h.inner) }
 
 // doorsChanged tells the parts that go by doors which there are, and which live.
 func (h *House) doorsChanged() {
 	h.tendFeed()
 	me := h.seat()
-	if me == company.NoSeat {
+	if me == membership.NoSeat {
 		return
 	}
 	order := h.company.Order()
 	if h.board == nil {
-		h.board = callboard.New(callboard.Seat(me), callboard.Terms{BeatInterval: h.sheet.BeatInterval,
+		h.board = registry.New(registry.Seat(me), registry.Terms{BeatInterval: h.sheet.BeatInterval,
 			Enough: h.sheet.Tolerates.Machines + 1, Life: uint32(h.life)}, h.e.Now())
 		h.say(doorPart, "has seat %d of %d", me, len(order))
 		if h.core != nil {
@@ -216,7 +216,7 @@
 		h.quota.Grow(control.GatewayID(me), len(order))
 		h.office.SetDoors(len(order))
 	}
-	doors := make([]callboard.Door, 0, len(order))
+	doors := make([]registry.Door, 0, len(order))
 	reach, place, places, live := 0, 0, 0, make([]bool, len(order))
 	for i, s := range order {
 		if s.Zone == h.sheet.Zone {
@@ -229,7 +229,7 @@
 			reach++
 		}
 		d, _ := h.company.Door(s.Addr)
-		doors = append(doors, callboard.Door{Seat: callboard.Seat(i), Control: s.Control, Zone: s.Zone,
+		doors = append(doors, registry.Door{Seat: registry.Seat(i), Control: s.Control, Zone: s.Zone,
 			Live: live[i], Firm: d.Disk != 0, Hears: h.hears(s.Addr)})
 	}
 	if h.core != nil && reach != h.reach {
@@ -308,20 +308,20 @@
 			return
 		}
 		switch a := a.(type) {
-		case callboard.Send:
-			if s, ok := h.company.At(company.Seat(a.To)); ok {
+		case registry.Send:
+			if s, ok := h.company.At(membership.Seat(a.To)); ok {
 				m := a.Message
 				h.wings.Send(s.Addr, &Frame{Board: &m})
 			}
-		case callboard.Changed:
+		case registry.Changed:
 			h.boardNews = true
 			h.listed(a)
-		case callboard.Acknowledge:
+		case registry.Acknowledge:
 			if then, ok := h.beats[a.Ticket]; ok {
 				delete(h.beats, a.Ticket)
 				then.answer(a.OK && h.may(then.right), a.Target)
 			}
-		case callboard.Wake:
+		case registry.Wake:
 			h.boardWake++
 			h.e.At(a.At, (*boardAlarm)(h), h.boardWake)
 		}
--- a/internal/house/export_test.go
+++ b/internal/gateway/node/export_test.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 // Plant lets the doors that are made from now on go without a defence.
 func Plant(f fault) { planted = f }
--- a/internal/house/feed.go
+++ b/internal/gateway/node/feed.go
@@ -1,14 +1,14 @@
-package house
+package node
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"clovergap/internal/callboard"
-	"clovergap/internal/company"
-	"clovergap/internal/playbill"
-	"clovergap/internal/script"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/statemachine"
 )
 
 const (
@@ -24,7 +24,7 @@
 )
 
 // begin starts from a state.
-func (h *House) begin(index uint64, s *script.Script) {
+func (h *House) begin(index uint64, s *statemachine.Script) {
 	if index < h.applied {
 		return // never back within a life
 	}
@@ -38,11 +38,11 @@
 }
 
 // apply takes the next entry of the order. Empty data is the core's own.
-func (h *House) apply(index uint64, data []byte) (v playbill.Verdict, err error) {
+func (h *House) apply(index uint64, data []byte) (v routing.Verdict, err error) {
 	h.applied = index
 	if len(data) > 0 {
 		before, seats := h.script.Bills.Version(), len(h.script.Seats())
-		if v, err = h.script.Apply(data); err != nil && v != playbill.Conflict {
+		if v, err = h.script.Apply(data); err != nil && v != routing.Conflict {
 			h.say(corePart, "entry %d changes nothing: %v", index, err)
 		}
 		if h.script.Bills.Version() != before {
@@ -53,7 +53,7 @@
 		h.foldRollouts()
 	}
 	if h.core != nil {
-		if h.feedLate = len(data) > 0 && script.Kind(data[0]) == script.Seat; !h.feedLate {
+		if h.feedLate = len(data) > 0 && statemachine.Kind(data[0]) == statemachine.Seat; !h.feedLate {
 			h.feedAll()
 		}
 	}
@@ -124,9 +124,9 @@
 
 // boardHears tells the board whether a door gets its news from this one.
 func (h *House) boardHears(addr string) {
-	if s := h.company.Seat(addr); s != company.NoSeat && h.board != nil {
+	if s := h.company.Seat(addr); s != membership.NoSeat && h.board != nil {
 		h.board.Now(h.e.Now())
-		h.board.Hears(callboard.Seat(s), h.hears(addr))
+		h.board.Hears(registry.Seat(s), h.hears(addr))
 	}
 }
 
@@ -156,7 +156,7 @@
 		}()
 	}
 	if f.State != nil && f.After > h.applied {
-		s, err := script.Restore(f.State)
+		s, err := statemachine.Restore(f.State)
 		if err != nil {
 			h.warn(feedPart, "state of %d can't be read: %v", f.After, err)
 			return
@@ -225,7 +225,7 @@
 			h.askWait = min(2*max(h.askWait, followAgain), followMost)
 		}
 	}
-	var best company.Door
+	var best membership.Door
 	least := time.Duration(1<<63 - 1)
 	disks := h.company.Disks()
 	// Who lives is told by the door that is followed: without one nobody seems to, and one that is cut off tells that all others
@@ -252,7 +252,7 @@
 		switch {
 		case stale < least, stale == least && d.Addr == h.feeder:
 			best, least = d, stale
-		case stale == least && best.Addr != h.feeder && company.Nearer(h.inner, d.Addr, best.Addr):
+		case stale == least && best.Addr != h.feeder && membership.Nearer(h.inner, d.Addr, best.Addr):
 			best = d // not all the first by address
 		}
 	}
--- a/internal/house/follower.go
+++ b/internal/gateway/node/follower.go
@@ -1,25 +1,25 @@
-package house
+package node
 
 import (
 	"bytes"
 	"encoding/gob"
 
-	"clovergap/internal/prompter"
-	"clovergap/internal/script"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/statemachine"
 )
 
 // follower is a door that this one feeds.
 type follower struct {
-	upto   uint64            // it was sent all up to here
-	chunks bool              // its program takes chunks
-	had    *prompter.Chunk   // what it has of a blob, whoever sent that
-	out    prompter.Outgoing // what it is being sent: kept until it has it
-	log    bool              // out is entries, else a state
-	until  uint64            // who has applied this has all of out
+	upto   uint64               // it was sent all up to here
+	chunks bool                 // its program takes chunks
+	had    *replication.Chunk   // what it has of a blob, whoever sent that
+	out    replication.Outgoing // what it is being sent: kept until it has it
+	log    bool                 // out is entries, else a state
+	until  uint64               // who has applied this has all of out
 }
 
 // feedTerms bound what is in flight to a follower, as to a member.
-var feedTerms = prompter.DefaultTerms()
+var feedTerms = replication.DefaultTerms()
 
 // logMost is how many bytes of entries go in one blob.
 const logMost = 256 << 10
@@ -37,7 +37,7 @@
 			}
 			state := b.Bytes()
 			if len(state) == 0 {
-				state = script.New().Snapshot()
+				state = statemachine.New().Snapshot()
 			}
 			f.upto = b.Index()
 			if f.chunks && len(state) > feedTerms.Window {
@@ -59,7 +59,7 @@
 		if f.chunks && size > feedTerms.Window {
 			var b bytes.Buffer
 			gob.NewEncoder(&b).Encode(data) // of bytes: it can't fail
-			f.send(prompter.NewBlob(after, f.upto, b.Bytes()), f.upto, true)
+			f.send(replication.NewBlob(after, f.upto, b.Bytes()), f.upto, true)
 		} else {
 			h.wings.Send(addr, &Frame{Feed: h.fresh(addr, &Feed{After: after, Entries: data})})
 		}
@@ -74,15 +74,15 @@
 }
 
 // send begins with a blob, from where the follower has it.
-func (f *follower) send(b *prompter.Blob, until uint64, log bool) {
-	f.out, f.until, f.log = prompter.Outgoing{Blob: b}, until, log
+func (f *follower) send(b *replication.Blob, until uint64, log bool) {
+	f.out, f.until, f.log = replication.Outgoing{Blob: b}, until, log
 	if f.had != nil && f.had.Offset > 0 {
 		f.out.Ack(f.had, 0)
 	}
 }
 
 // statesOut are the states that others are being sent.
-func (h *House) statesOut(but *follower) (all []*prompter.Blob) {
+func (h *House) statesOut(but *follower) (all []*replication.Blob) {
 	for _, addr := range h.following() {
 		if f := h.followers[addr]; f != but && f.out.Blob != nil && !f.log {
 			all = append(all, f.out.Blob)
@@ -92,8 +92,8 @@
 }
 
 // dataOf is what an entry has for those who follow: nothing, if it is the core's own.
-func dataOf(e prompter.Entry) []byte {
-	if e.Kind == prompter.Change {
+func dataOf(e replication.Entry) []byte {
+	if e.Kind == replication.Change {
 		return e.Data
 	}
 	return nil
@@ -106,7 +106,7 @@
 	case f.out.Blob == nil:
 		f.upto = w.After
 	case w.After >= f.until:
-		f.out, f.upto = prompter.Outgoing{}, w.After
+		f.out, f.upto = replication.Outgoing{}, w.After
 	default:
 		f.out.Ack(w.Had, h.e.Now())
 	}
--- a/internal/house/frame.go
+++ b/internal/gateway/node/frame.go
@@ -1,22 +1,22 @@
-package house
+package node
 
 import (
 	"time"
 
-	"clovergap/internal/callboard"
-	"clovergap/internal/company"
-	"clovergap/internal/prompter"
-	"clovergap/internal/script"
-	"clovergap/internal/understudy"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/rollout"
+	"clovergap/internal/gateway/statemachine"
 )
 
 // Frame is what doors say to each other on their links: one of its fields is set. Fields that are nil cost nothing.
 type Frame struct {
-	Hello  *company.Hello
+	Hello  *membership.Hello
 	Ping   *Ping
-	Found  []prompter.Member // who begins the core
+	Found  []replication.Member // who begins the core
 	Core   *Line
-	Board  *callboard.Message
+	Board  *registry.Message
 	Follow *Follow
 	Feed   *Feed
 	Call   *Call
@@ -59,16 +59,16 @@
 // RolloutWord is one of its fields: a report on its way to whoever leads, with the seat of the door that it is of, or the word
 // that evidence is gathered afresh, on its way to all doors.
 type RolloutWord struct {
-	Seat   company.Seat
+	Seat   membership.Seat
 	Hops   int
-	Report *understudy.Report
-	Lap    *understudy.Lap
+	Report *rollout.Report
+	Lap    *rollout.Lap
 }
 
 // Line is a message between members of the core.
 type Line struct {
-	From    prompter.MemberID
-	Message prompter.Message
+	From    replication.MemberID
+	Message replication.Message
 }
 
 // Follow asks a door with a disk for the entries after an index, and for those to come, and for its board.
@@ -78,8 +78,8 @@
 	Ends  bool // and it does no longer
 	Clock uint32
 
-	Had    *prompter.Chunk // what it has of what was not whole yet
-	Chunks bool            // its program takes chunks
+	Had    *replication.Chunk // what it has of what was not whole yet
+	Chunks bool               // its program takes chunks
 }
 
 // Feed carries entries in order. With State, they begin after Index, which that state holds all of.
@@ -92,7 +92,7 @@
 	Echo    uint32
 	Index   uint64 // that the word is of: the sender may be about to send more
 
-	Chunk *prompter.Chunk // a part of State, or with Log of Entries by gob, which are too large for one frame
+	Chunk *replication.Chunk // a part of State, or with Log of Entries by gob, which are too large for one frame
 	Log   bool
 }
 
@@ -100,15 +100,15 @@
 type Call struct {
 	Asker uint64 // the life of the door that passes it on: Nr begins anew in each
 	Nr    uint32
-	Kind  script.Kind // or Read
+	Kind  statemachine.Kind // or Read
 	Body  []byte
 	Hops  int
 }
 
 // Read asks for the newest configuration, ReadRollouts for the roll-outs.
 const (
-	Read         script.Kind = 'g'
-	ReadRollouts script.Kind = 'h'
+	Read         statemachine.Kind = 'g'
+	ReadRollouts statemachine.Kind = 'h'
 )
 
 // Reply ends the call of that Asker and Nr. Status is as for the caller: 200, 400, 412, 413 or 503.
--- a/internal/house/house.go
+++ b/internal/gateway/node/house.go
@@ -1,7 +1,7 @@
-// Package house is one door of the gateway: its parts put together. All that happens takes its turn under one lock;
+// Package node is one door of the gateway: its parts put together. All that happens takes its turn under one lock;
 // at the end of a turn the parts are pulled for what they decided. What the parts decide is theirs: this package only
 // carries between them, the sockets and the disk.
-package house
+package node
 
 import (
 	"hash/fnv"
@@ -13,16 +13,16 @@
 	"github.com/phuslu/log"
 
 	"clovergap/control"
-	"clovergap/internal/boxoffice"
-	"clovergap/internal/callboard"
-	"clovergap/internal/callsheet"
-	"clovergap/internal/company"
 	"clovergap/internal/counters"
 	"clovergap/internal/gate"
+	"clovergap/internal/gateway/admission"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/settings"
+	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/link"
-	"clovergap/internal/playbill"
-	"clovergap/internal/prompter"
-	"clovergap/internal/script"
 )
 
 // Shares and bounds of a door.
@@ -45,7 +45,7 @@
 
 // House is one door.
 type House struct {
-	sheet *callsheet.Sheet
+	sheet *settings.Sheet
 	log   *log.Logger
 	seed  int64
 	life  uint64
@@ -56,27 +56,27 @@
 	count   *counters.Set
 	wings   Links
 	peers   Mail
-	company *company.Company
+	company *membership.Company
 	core    *core // nil without a disk
-	script  *script.Script
+	script  *statemachine.Script
 	applied uint64
 
 	feedLate bool // followers have yet to be told what was applied last: seats
 	seatsNew bool // and the company the order of seats
 
-	board     *callboard.Board // nil until there is a seat
+	board     *registry.Board // nil until there is a seat
 	boardWake uint32
 	boardNews bool // since it was last kept on disk
-	beats     map[callboard.Ticket]heard
+	beats     map[registry.Ticket]heard
 
 	quota    *control.Quota
-	office   *boxoffice.Office
+	office   *admission.Office
 	gate     *gate.Gate
 	rollouts rollouts
 	dispatch Ways
 	front    Front
 
-	table   *playbill.Table
+	table   *routing.Table
 	stock   stock
 	words   map[string]word // by address
 	feeder  string
@@ -86,13 +86,13 @@
 	askWait time.Duration
 	tickAt  time.Duration
 	stoodTo time.Duration // when this door last stood still until
-	clock   prompter.Clock
+	clock   replication.Clock
 	known   known // without a disk: its word of the core
 	echoes  map[string]echo
 	beganAt time.Duration
 
 	followers map[string]*follower
-	feedIn    prompter.Incoming // from the door that is followed
+	feedIn    replication.Incoming // from the door that is followed
 	calls     map[uint32]*call
 	callNr    uint32
 	fault     fault // tests put one in
@@ -107,7 +107,7 @@
 }
 
 // New puts a door together; Start begins it.
-func New(sheet *callsheet.Sheet) (*House, error) {
+func New(sheet *settings.Sheet) (*House, error) {
 	fds := sheet.Limits.MaxFDs
 	if fds <= 0 {
 		fds = 1024
@@ -121,7 +121,7 @@
 }
 
 // Over puts a door together over what it is given to stand on; Begin begins it.
-func Over(sheet *callsheet.Sheet, b Base, log *log.Logger) (*House, error) {
+func Over(sheet *settings.Sheet, b Base, log *log.Logger) (*House, error) {
 	return build(&House{sheet: sheet, log: log}, b)
 }
 
@@ -129,9 +129,9 @@
 	h.seed, h.life = b.Draws()
 	h.inner = net.JoinHostPort(h.sheet.IP, strconv.Itoa(h.sheet.InnerPorts[0]))
 	h.e, h.count = b, b.Counters()
-	h.script, h.table, h.words, h.followers = script.New(), playbill.NewTable(nil), map[string]word{}, map[string]*follower{}
+	h.script, h.table, h.words, h.followers = statemachine.New(), routing.NewTable(nil), map[string]word{}, map[string]*follower{}
 	h.echoes = map[string]echo{}
-	h.calls, h.beats, h.stock = map[uint32]*call{}, map[callboard.Ticket]heard{}, newStock()
+	h.calls, h.beats, h.stock = map[uint32]*call{}, map[registry.Ticket]heard{}, newStock()
 	h.fault = planted
 	if h.own != nil {
 		h.own.h = h
@@ -157,14 +157,14 @@
 	if err != nil {
 		return errors.Wrap(err, "core")
 	}
-	me := company.Door{Name: h.sheet.NodeName, Addr: h.inner, Control: h.sheet.Bind.Control, Zone: h.sheet.Zone,
+	me := membership.Door{Name: h.sheet.NodeName, Addr: h.inner, Control: h.sheet.Bind.Control, Zone: h.sheet.Zone,
 		First: h.sheet.FirstBoot, Life: h.life}
 	if h.core != nil {
-		me.Disk, me.Founded, me.House = company.Disk(h.core.me.ID), h.core.p.Founded(), h.core.p.House()
+		me.Disk, me.Founded, me.House = membership.Disk(h.core.me.ID), h.core.p.Founded(), h.core.p.House()
 	}
-	h.company = company.New(me, company.Terms{Seeds: h.innersOf(h.sheet.SeedAddrs), Tolerates: h.sheet.Tolerates.Machines,
-		House: func(f []company.Founder) uint64 { return prompter.HouseOf(membersOf(f)) }}, h.e.Now())
-	h.known.at, h.beganAt, h.clock = -never, h.e.Now(), prompter.NewClock(h.life)
+	h.company = membership.New(me, membership.Terms{Seeds: h.innersOf(h.sheet.SeedAddrs), Tolerates: h.sheet.Tolerates.Machines,
+		House: func(f []membership.Founder) uint64 { return replication.HouseOf(membersOf(f)) }}, h.e.Now())
+	h.known.at, h.beganAt, h.clock = -never, h.e.Now(), replication.NewClock(h.life)
 	return nil
 }
 
@@ -174,7 +174,7 @@
 		ViewLife: time.Second, MailPerS: 400, MostUnits: 1, Parts: true, Start: allNewShare, Fence: newOwner,
 		Window: h.sheet.Bounds.QuotaWindow, Excess: h.sheet.Bounds.QuotaExcess, Margin: float64(h.sheet.Bounds.QuotaMargin)})
 	h.openRollouts()
-	h.office = boxoffice.New(h.seed, boxoffice.Terms{Zone: h.stock.zone(h.sheet.Zone),
+	h.office = admission.New(h.seed, admission.Terms{Zone: h.stock.zone(h.sheet.Zone),
 		RetryRatio: h.sheet.Bounds.RetryRatio, RetryWindow: h.sheet.Bounds.RetryWindow,
 		RetryExtra: h.sheet.Bounds.RetryExtra, Doors: 1}, h.quota, h.e.Now())
 	h.office.SetSides((*sides)(h))
--- a/internal/house/house_test.go
+++ b/internal/gateway/node/house_test.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"bytes"
@@ -15,9 +15,9 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/goleak"
 
-	"clovergap/internal/callsheet"
-	"clovergap/internal/promptbook"
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/logstore"
+	"clovergap/internal/gateway/settings"
 )
 
 // patience bounds every wait of these tests; none of them depends on how long anything takes within it.
@@ -28,7 +28,7 @@
 	t      *testing.T
 	http   *http.Client
 	live   map[int]*House
-	sheets []*callsheet.Sheet
+	sheets []*settings.Sheet
 }
 
 // open starts so many doors, the first three with a disk.
@@ -47,9 +47,9 @@
 	var seeds []string
 	for i := range n {
 		ip := fmt.Sprintf("127.%d.%d.%d", 2+os.Getpid()>>8&127, os.Getpid()&255, 11+i)
-		s := &callsheet.Sheet{NodeName: fmt.Sprint("door-", i), IP: ip, Zone: "z", InnerPorts: [2]int{17560, 17575},
-			Bind: callsheet.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"}, FirstBoot: true,
-			BeatInterval: time.Hour, Tolerates: callsheet.Tolerates{Machines: 1}, Bounds: callsheet.Usual()}
+		s := &settings.Sheet{NodeName: fmt.Sprint("door-", i), IP: ip, Zone: "z", InnerPorts: [2]int{17560, 17575},
+			Bind: settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"}, FirstBoot: true,
+			BeatInterval: time.Hour, Tolerates: settings.Tolerates{Machines: 1}, Bounds: settings.Usual()}
 		if i < 3 {
 			s.DataDir = t.TempDir()
 			seeds = append(seeds, s.Bind.Control)
@@ -149,16 +149,16 @@
 	return text
 }
 
-func (d *doors) status(i int) (s stagedoor.HouseStatus) {
+func (d *doors) status(i int) (s controlapi.HouseStatus) {
 	_, text := d.call(i, "GET", "/api/House.Status", "")
 	if json.Unmarshal([]byte(text), &s); s.Core == nil {
-		s.Core = &stagedoor.HouseCore{}
+		s.Core = &controlapi.HouseCore{}
 	}
 	return s
 }
 
 // all waits until every door that lives says so of itself.
-func (d *doors) all(what string, is func(s stagedoor.HouseStatus) bool) {
+func (d *doors) all(what string, is func(s controlapi.HouseStatus) bool) {
 	d.t.Helper()
 	for i := range d.live {
 		d.until(fmt.Sprint(what, " at ", i), func() bool { return is(d.status(i)) })
@@ -180,7 +180,7 @@
 func TestHouse(t *testing.T) {
 	const replace, read = "/api/Config.Replace", "/api/Config.Read"
 	d := open(t, 4)
-	d.all("four seats", func(s stagedoor.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
+	d.all("four seats", func(s controlapi.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
 	seats := map[int]bool{}
 	for i := range 4 {
 		s := d.status(i)
@@ -192,7 +192,7 @@
 	for i, last := range []int{0, 7, 9, 20} { // through each door; the last has no disk
 		next := []int{7, 9, 20, 21}[i]
 		d.settles(i, 200, "POST", replace, bill(next, last))
-		in := func(s stagedoor.HouseStatus) bool { return s.Generation == uint64(next) }
+		in := func(s controlapi.HouseStatus) bool { return s.Generation == uint64(next) }
 		d.all("the new configuration", in)
 		for j := range 4 {
 			d.settles(j, 200, "POST", replace, bill(next, last)) // the same again
@@ -205,10 +205,10 @@
 	}
 
 	d.settles(3, 200, "POST", "/api/Backends.Heartbeat/i-1", beat("ready", 1))
-	phase := func(want string) func(s stagedoor.HouseStatus) bool {
-		return func(s stagedoor.HouseStatus) bool { return len(s.Backends) == 1 && s.Backends[0].Phase == want }
+	phase := func(want string) func(s controlapi.HouseStatus) bool {
+		return func(s controlapi.HouseStatus) bool { return len(s.Backends) == 1 && s.Backends[0].Phase == want }
 	}
-	d.all("a backend, and to be ready", func(s stagedoor.HouseStatus) bool { return phase("ready")(s) && s.Ready })
+	d.all("a backend, and to be ready", func(s controlapi.HouseStatus) bool { return phase("ready")(s) && s.Ready })
 	d.settles(3, 200, "POST", "/api/Backends.Heartbeat/i-1", beat("draining", 2))
 	know := 0
 	for i := range 4 {
@@ -233,7 +233,7 @@
 	must.Eq(t, was.Seat, d.status(0).Seat)
 	must.Eq(t, was.Core.Me, d.status(0).Core.Me)
 	must.EqJSON(t, bill(30, 21), d.settles(0, 200, "GET", read, ""))
-	must.NoError(t, os.Remove(filepath.Join(d.sheets[1].DataDir, promptbook.Name))) // this one has lost its disk
+	must.NoError(t, os.Remove(filepath.Join(d.sheets[1].DataDir, logstore.Name))) // this one has lost its disk
 	d.start(1)
 	for i := range 3 {
 		d.until("to be let in, as all know", func() bool {
--- a/internal/house/leave.go
+++ b/internal/gateway/node/leave.go
@@ -1,11 +1,11 @@
-package house
+package node
 
 import (
 	"runtime"
 	"time"
 
-	"clovergap/internal/callsheet"
 	"clovergap/internal/check"
+	"clovergap/internal/gateway/settings"
 )
 
 // Life of a door that is told to end: it says that it is not ready, and goes on taking clients until the platform has
@@ -73,7 +73,7 @@
 
 // Reload reads the settings again. A file that can't be read or is wrong changes nothing; what can't move waits for a restart.
 func (h *House) Reload(path string) {
-	s, err := callsheet.Load(path)
+	s, err := settings.Load(path)
 	h.e.Turn(func() {
 		if err != nil {
 			h.warn(doorPart, "settings not taken, the old ones stand: %v", err)
--- a/internal/house/members_test.go
+++ b/internal/gateway/node/members_test.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/callsheet"
-	"clovergap/internal/promptbook"
-	"clovergap/internal/prompter"
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/logstore"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/settings"
 )
 
 // catchUp is well over the 4 s after which a new machine, and the one that it takes the place of, must not count as lost any more on the
@@ -23,7 +23,7 @@
 	s := *d.sheets[0]
 	ip := fmt.Sprint(s.IP[:len(s.IP)-2], 11+i)
 	s.NodeName, s.IP, s.FirstBoot, s.DataDir = fmt.Sprint("door-", i), ip, false, d.t.TempDir()
-	s.Bind = callsheet.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"}
+	s.Bind = settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"}
 	d.sheets = append(d.sheets, &s)
 	d.start(i)
 	return i
@@ -74,7 +74,9 @@
 // three founds three doors with disks, all of them members, and a configuration.
 func three(t *testing.T) *doors {
 	d := open(t, 3)
-	d.all("three members", func(s stagedoor.HouseStatus) bool { return s.Seat != nil && len(s.Core.Members) == 3 && s.Core.Settled })
+	d.all("three members", func(s controlapi.HouseStatus) bool {
+		return s.Seat != nil && len(s.Core.Members) == 3 && s.Core.Settled
+	})
 	d.settles(0, 200, "POST", "/api/Config.Replace", bill(1, 0))
 	return d
 }
@@ -105,15 +107,15 @@
 }
 
 // lonely puts the word of a founding on a door's disk that was for doors which never had it.
-func (d *doors) lonely(i int, others ...prompter.Member) {
+func (d *doors) lonely(i int, others ...replication.Member) {
 	d.t.Helper()
-	book, kept, err := promptbook.Open(d.sheets[i].DataDir)
+	book, kept, err := logstore.Open(d.sheets[i].DataDir)
 	must.NoError(d.t, err)
-	p := prompter.New(prompter.Member{ID: kept.Me, Addr: d.inner(i)}, kept, prompter.DefaultTerms(), 1, 0)
-	must.NoError(d.t, p.Found(append(others, prompter.Member{ID: kept.Me, Addr: d.inner(i)})))
+	p := replication.New(replication.Member{ID: kept.Me, Addr: d.inner(i)}, kept, replication.DefaultTerms(), 1, 0)
+	must.NoError(d.t, p.Found(append(others, replication.Member{ID: kept.Me, Addr: d.inner(i)})))
 	for a, ok := p.Next(); ok; a, ok = p.Next() {
-		if w, is := a.(prompter.Write); is {
-			must.NoError(d.t, book.Apply([]prompter.Write{w}))
+		if w, is := a.(replication.Write); is {
+			must.NoError(d.t, book.Apply([]replication.Write{w}))
 			p.Synced(w.Nr)
 		}
 	}
@@ -123,7 +125,7 @@
 // meets waits until all doors that live have the same three members.
 func (d *doors) meets() {
 	d.t.Helper()
-	d.all("three members", func(s stagedoor.HouseStatus) bool {
+	d.all("three members", func(s controlapi.HouseStatus) bool {
 		return s.Seat != nil && s.Core.Settled && len(s.Core.Members) == 3 && s.Core.Leader != ""
 	})
 }
@@ -159,17 +161,17 @@
 		d.until("two begin", func() bool { return d.status(i).Core.Settled && len(d.status(i).Core.Members) == 2 })
 	}
 	d.settles(1, 200, "POST", "/api/Config.Replace", bill(1, 0))
-	d.lonely(0, prompter.Member{ID: 5, Addr: d.inner(1)}, prompter.Member{ID: 6, Addr: d.inner(2)})
+	d.lonely(0, replication.Member{ID: 5, Addr: d.inner(1)}, replication.Member{ID: 6, Addr: d.inner(2)})
 	d.sheets[0].FirstBoot = false
 	d.start(0)
 	d.meets()
-	d.all("the configuration", func(s stagedoor.HouseStatus) bool { return s.Generation == 1 })
+	d.all("the configuration", func(s controlapi.HouseStatus) bool { return s.Generation == 1 })
 }
 
 // The same where the others have lost their disks before they had the word: nobody began anything, since one that they met held a state.
 func TestLoneFoundingWhoseOthersAreEmpty(t *testing.T) {
 	d := prepare(t, 3)
-	d.lonely(0, prompter.Member{ID: 5, Addr: d.inner(1)}, prompter.Member{ID: 6, Addr: d.inner(2)})
+	d.lonely(0, replication.Member{ID: 5, Addr: d.inner(1)}, replication.Member{ID: 6, Addr: d.inner(2)})
 	for i := range 3 {
 		d.sheets[i].FirstBoot = false
 		d.start(i)
--- a/internal/house/orders.go
+++ b/internal/gateway/node/orders.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"cmp"
@@ -8,21 +8,21 @@
 	"time"
 
 	"clovergap/internal/check"
-	"clovergap/internal/playbill"
-	"clovergap/internal/script"
-	"clovergap/internal/stagedoor"
-	"clovergap/internal/understudy"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/rollout"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/statemachine"
 )
 
 // Rollout brings an operator's order to whoever leads, as a change of the configuration goes. What is wrong in itself, or
 // is known here to have been taken, needs no leader; a dry run goes by what is known here alone.
-func (h *House) Rollout(e *understudy.Entry, dry bool, then func(status int, body []byte)) {
+func (h *House) Rollout(e *rollout.Entry, dry bool, then func(status int, body []byte)) {
 	if e.At = time.Now().UnixMilli(); e.Mark == "" { // the same call may go out twice from here
 		e.Mark = fmt.Sprintf("%016x", rand.Uint64())
 	}
-	if e.Verb == understudy.Start {
+	if e.Verb == rollout.Start {
 		if err := h.knows(e.Order); err != nil && dry {
-			then(answerOf(playbill.Invalid, err))
+			then(answerOf(routing.Invalid, err))
 			return
 		}
 		told := e.Room
@@ -31,23 +31,23 @@
 	}
 	body := e.Word()
 	if dry {
-		if v, err := h.script.Decide(script.Rollout, body); v != playbill.Taken {
+		if v, err := h.script.Decide(statemachine.Rollout, body); v != routing.Taken {
 			then(answerOf(v, err))
 			return
 		}
 		then(200, text(h.wouldBe(e)))
 		return
 	}
-	if v, err, final := h.script.Final(script.Rollout, body); final {
+	if v, err, final := h.script.Final(statemachine.Rollout, body); final {
 		status, answer := answerOf(v, err)
-		then(status, h.worded(script.Rollout, body, status, answer))
+		then(status, h.worded(statemachine.Rollout, body, status, answer))
 		return
 	}
-	h.ask(script.Rollout, body, 0, then)
+	h.ask(statemachine.Rollout, body, 0, then)
 }
 
 // knows tells what an order names that this door does not know. Zones are those of doors.
-func (h *House) knows(o *understudy.Rollout) error {
+func (h *House) knows(o *rollout.Rollout) error {
 	service := func(n string) bool { _, ok := h.table.Service(n); return ok }
 	route := func(n string) bool {
 		for _, r := range h.table.Routes() {
@@ -77,7 +77,7 @@
 }
 
 // wouldBe counts the known keys that each step of an order would have on the new version.
-func (h *House) wouldBe(e *understudy.Entry) stagedoor.RolloutAnswer {
+func (h *House) wouldBe(e *rollout.Entry) controlapi.RolloutAnswer {
 	var users [][]byte
 	if bill := h.script.Bills.Bill(); bill != nil {
 		for _, t := range bill.Tenants {
@@ -87,9 +87,9 @@
 		}
 	}
 	n := h.script.Rollouts.Last + 1
-	return stagedoor.RolloutAnswer{Service: e.Service, Number: uint64(n), Phase: "dry", Rev: e.Rev, Steps: len(e.Order.Steps),
+	return controlapi.RolloutAnswer{Service: e.Service, Number: uint64(n), Phase: "dry", Rev: e.Rev, Steps: len(e.Order.Steps),
 		Users: ptr(len(users)), Moved: e.Order.Shared(n, users),
-		Room: &stagedoor.RolloutRoom{Old: e.Room.Old, New: e.Room.New, Busy: e.Room.Busy}}
+		Room: &controlapi.RolloutRoom{Old: e.Room.Old, New: e.Room.New, Busy: e.Room.Busy}}
 }
 
 // text words an answer.
@@ -100,11 +100,11 @@
 }
 
 // worded gives the answer to a call that was taken, where it has one.
-func (h *House) worded(k script.Kind, body []byte, status int, answer []byte) []byte {
-	if k != script.Rollout || status != 200 {
+func (h *House) worded(k statemachine.Kind, body []byte, status int, answer []byte) []byte {
+	if k != statemachine.Rollout || status != 200 {
 		return answer
 	}
-	e, err := understudy.ReadEntry(body)
+	e, err := rollout.ReadEntry(body)
 	if err != nil {
 		return answer
 	}
@@ -112,9 +112,9 @@
 	if r == nil {
 		return answer
 	}
-	return text(stagedoor.RolloutAnswer{Service: e.Service, Number: uint64(r.Number), Rev: r.Rev, Phase: string(r.Phase),
+	return text(controlapi.RolloutAnswer{Service: e.Service, Number: uint64(r.Number), Rev: r.Rev, Phase: string(r.Phase),
 		Step: r.Step, Steps: len(r.Order.Steps), Share: r.Share(),
-		Room: &stagedoor.RolloutRoom{Old: r.Room.Old, New: r.Room.New, Busy: r.Room.Busy}})
+		Room: &controlapi.RolloutRoom{Old: r.Room.Old, New: r.Room.New, Busy: r.Room.Busy}})
 }
 
 // Rollouts asks whoever leads, who has the counts; where nobody can be asked, it is this door's own knowledge.
@@ -130,15 +130,15 @@
 // rolloutText is how roll-outs stand, as this door knows it.
 func (h *House) rolloutText() []byte {
 	x, s := &h.rollouts, h.script.Rollouts
-	all := stagedoor.RolloutStatus{Door: h.sheet.NodeName, Rev: s.Rev, Leads: x.duty != nil || h.leading(),
-		Rollouts: []stagedoor.RolloutRun{}}
+	all := controlapi.RolloutStatus{Door: h.sheet.NodeName, Rev: s.Rev, Leads: x.duty != nil || h.leading(),
+		Rollouts: []controlapi.RolloutRun{}}
 	for i := range s.Runs() {
 		r := &s.Runs()[i]
-		run := stagedoor.RolloutRun{Service: r.Order.Service, Number: uint64(r.Number), Rev: r.Rev, Phase: string(r.Phase),
+		run := controlapi.RolloutRun{Service: r.Order.Service, Number: uint64(r.Number), Rev: r.Rev, Phase: string(r.Phase),
 			Step: r.Step, Steps: len(r.Order.Steps), Share: r.Share(), Old: r.Order.Old, New: r.Order.New, Held: r.Held,
 			Here: x.door.Share(r.Order.Service)}
-		if x.duty != nil && r.Phase == understudy.Running {
-			var c understudy.Counts
+		if x.duty != nil && r.Phase == rollout.Running {
+			var c rollout.Counts
 			c, run.Doubt = x.duty.Counts(r.Order.Service)
 			run.Counts = ptr(countsOf(&c))
 		}
@@ -148,15 +148,15 @@
 }
 
 // RolloutHistory is what became of a service's roll-outs, as this door knows it.
-func (h *House) RolloutHistory(service string) stagedoor.RolloutHistory {
-	all := stagedoor.RolloutHistory{Service: service, Rollouts: []stagedoor.RolloutPast{}}
-	add := func(r *understudy.Run) {
+func (h *House) RolloutHistory(service string) controlapi.RolloutHistory {
+	all := controlapi.RolloutHistory{Service: service, Rollouts: []controlapi.RolloutPast{}}
+	add := func(r *rollout.Run) {
 		if r == nil || r.Order.Service != service {
 			return
 		}
-		past := stagedoor.RolloutPast{Number: uint64(r.Number), Old: r.Order.Old, New: r.Order.New, Phase: string(r.Phase)}
+		past := controlapi.RolloutPast{Number: uint64(r.Number), Old: r.Order.Old, New: r.Order.New, Phase: string(r.Phase)}
 		for _, p := range r.History {
-			past.Lines = append(past.Lines, stagedoor.RolloutLine{Verb: string(p.Verb), Step: p.Step, Share: p.Share, By: p.By,
+			past.Lines = append(past.Lines, controlapi.RolloutLine{Verb: string(p.Verb), Step: p.Step, Share: p.Share, By: p.By,
 				At: p.At, Why: p.Why, Counts: countsOf(&p.Counts)})
 		}
 		all.Rollouts = append(all.Rollouts, past)
@@ -168,15 +168,15 @@
 	return all
 }
 
-func countsOf(c *understudy.Counts) stagedoor.RolloutCounts {
-	side := func(s understudy.Side) stagedoor.RolloutSide {
-		return stagedoor.RolloutSide{Reads: tallyOf(&c[s][understudy.Read]), Writes: tallyOf(&c[s][understudy.Write])}
+func countsOf(c *rollout.Counts) controlapi.RolloutCounts {
+	side := func(s rollout.Side) controlapi.RolloutSide {
+		return controlapi.RolloutSide{Reads: tallyOf(&c[s][rollout.Read]), Writes: tallyOf(&c[s][rollout.Write])}
 	}
-	return stagedoor.RolloutCounts{Old: side(understudy.Old), New: side(understudy.New)}
+	return controlapi.RolloutCounts{Old: side(rollout.Old), New: side(rollout.New)}
 }
 
-func tallyOf(t *understudy.Tally) stagedoor.RolloutTally {
-	return stagedoor.RolloutTally{Ends: int(t.Ends), Failed: int(t.By[understudy.Failed]), None: int(t.By[understudy.NoAnswer]),
-		Wrong: int(t.By[understudy.Wrong]), Full: int(t.By[understudy.Full]), HalfMs: t.Quantile(0.5).Milliseconds(),
+func tallyOf(t *rollout.Tally) controlapi.RolloutTally {
+	return controlapi.RolloutTally{Ends: int(t.Ends), Failed: int(t.By[rollout.Failed]), None: int(t.By[rollout.NoAnswer]),
+		Wrong: int(t.By[rollout.Wrong]), Full: int(t.By[rollout.Full]), HalfMs: t.Quantile(0.5).Milliseconds(),
 		TenthMs: t.Quantile(0.9).Milliseconds()}
 }
--- a/internal/house/parted_test.go
+++ b/internal/gateway/node/parted_test.go
@@ -1,4 +1,4 @@
-package house_test
+package node_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/house"
+	"clovergap/internal/gateway/node"
 	"clovergap/internal/rehearsal"
 	"clovergap/internal/spec"
 )
@@ -21,12 +21,12 @@
 			{Kind: "door-stall", At: span(3), For: span(3), Share: 0.3, Pick: seed*8 + 3},
 			{Kind: "door-stall", At: span(12), For: span(2), Share: 0.3, Pick: seed*8 + 5}}})
 	}
-	defer house.Plant(house.Sound)
+	defer node.Plant(node.Sound)
 	for seed := range uint64(2) {
 		must.SliceEmpty(t, play(seed+1).Broken)
 	}
-	for name, f := range house.Faults {
-		house.Plant(f)
+	for name, f := range node.Faults {
+		node.Plant(f)
 		found, began := "", time.Now()
 		for seed := uint64(1); seed <= 8 && found == ""; seed++ {
 			if r := play(seed); len(r.Broken) > 0 {
--- a/internal/house/patience_test.go
+++ b/internal/gateway/node/patience_test.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/callsheet"
-	"clovergap/internal/company"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/settings"
 )
 
 // While nobody leads, the word of each door with a disk is old, and a little older at one than at the other. A follower changed over to
@@ -77,11 +77,11 @@
 
 // followerOf is a door without a disk that follows one of these.
 func followerOf(t *testing.T, disks ...string) *House {
-	h := &House{sheet: &callsheet.Sheet{NodeName: "door"}, log: newLog("door"), e: &still{now: time.Minute}, wings: lost{}, words: map[string]word{},
+	h := &House{sheet: &settings.Sheet{NodeName: "door"}, log: newLog("door"), e: &still{now: time.Minute}, wings: lost{}, words: map[string]word{},
 		followers: map[string]*follower{}}
-	h.company = company.New(company.Door{Name: "door", Addr: "10.0.0.9:7110"}, company.Terms{}, h.e.Now())
+	h.company = membership.New(membership.Door{Name: "door", Addr: "10.0.0.9:7110"}, membership.Terms{}, h.e.Now())
 	for i, a := range disks {
-		h.company.Hello(a, company.Hello{Door: company.Door{Name: a, Addr: a, Disk: company.Disk(i + 1), Life: 1, Founded: true}})
+		h.company.Hello(a, membership.Hello{Door: membership.Door{Name: a, Addr: a, Disk: membership.Disk(i + 1), Life: 1, Founded: true}})
 		h.company.Up(a)
 	}
 	h.tendFeed()
--- a/internal/house/replies_test.go
+++ b/internal/gateway/node/replies_test.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/company"
-	"clovergap/internal/prompter"
-	"clovergap/internal/script"
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/statemachine"
 )
 
 // turn is something done, or looked at, in a door's turn.
@@ -58,7 +58,7 @@
 	d.settles(3, 200, "POST", "/api/Config.Replace", bill(7, 0))
 	leader, is, answer, nr := 0, false, make(chan int, 1), uint32(0)
 	seated := func(h *House) bool {
-		return h.seat() != company.NoSeat && h.feeder == d.live[leader].inner && h.fedAt >= h.askedAt
+		return h.seat() != membership.NoSeat && h.feeder == d.live[leader].inner && h.fedAt >= h.askedAt
 	}
 	d.until("to follow the leader", func() bool {
 		leader = d.leader()
@@ -78,7 +78,7 @@
 	}
 	goOn := d.still((leader+1)%3, (leader+2)%3) // nothing is acknowledged now
 	d.turn(3, func(h *House) {
-		h.ask(script.Replace, []byte(bill(8, 7)), 0, func(int, []byte) {})
+		h.ask(statemachine.Replace, []byte(bill(8, 7)), 0, func(int, []byte) {})
 		nr = h.callNr
 	})
 	d.until("the call at the leader", func() bool {
@@ -93,12 +93,12 @@
 	})
 	d.turn(3, func(h *House) {
 		h.callNr = nr - 1
-		h.ask(script.Replace, []byte(bill(9, 8)), hopsMost, func(status int, _ []byte) { answer <- status }) // goes nowhere
+		h.ask(statemachine.Replace, []byte(bill(9, 8)), hopsMost, func(status int, _ []byte) { answer <- status }) // goes nowhere
 	})
 	goOn()
 	must.Eq(t, 503, <-answer)
 	if leads() {
-		d.all("the former life's change", func(s stagedoor.HouseStatus) bool { return s.Generation == 8 })
+		d.all("the former life's change", func(s controlapi.HouseStatus) bool { return s.Generation == 8 })
 	}
 }
 
@@ -138,7 +138,7 @@
 				from string
 				Reply
 			}{{"x:1", Reply{h.life, a, 200, []byte("a")}}, {"x:1", Reply{h.life, a, 200, []byte("a")}},
-				{"y:1", Reply{h.life, b, 412, []byte("b")}}, {"x:1", Reply{h.life, b, 503, []byte(prompter.Unknown.String())}},
+				{"y:1", Reply{h.life, b, 412, []byte("b")}}, {"x:1", Reply{h.life, b, 503, []byte(replication.Unknown.String())}},
 				{"x:1", Reply{h.life + 1, b, 200, nil}}, {"z:1", Reply{h.life, b, 200, nil}}, {"y:1", Reply{h.life, b + 1, 200, nil}}}
 			for _, i := range order {
 				h.Heard(all[i].from, &Frame{Reply: &all[i].Reply})
--- a/internal/house/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"cmp"
@@ -10,15 +10,15 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/boxoffice"
-	"clovergap/internal/callboard"
-	"clovergap/internal/company"
 	"clovergap/internal/gate"
-	"clovergap/internal/playbill"
-	"clovergap/internal/script"
+	"clovergap/internal/gateway/admission"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/rollout"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/slots"
-	"clovergap/internal/stagedoor"
-	"clovergap/internal/understudy"
 )
 
 // Roll-outs: the understudy decides, this file carries for it. A version that is not the main one is a service of its own to the
@@ -38,8 +38,8 @@
 
 // rollouts is what a door goes by.
 type rollouts struct {
-	door     *understudy.Door
-	duty     *understudy.Duty // nil: another door has it
+	door     *rollout.Door
+	duty     *rollout.Duty // nil: another door has it
 	fence    uint64
 	lookedAt time.Duration     // at the backends, for the duty
 	rev      uint64            // of the state, as last folded
@@ -47,22 +47,22 @@
 	cues     map[string]cue
 	touched  bool // in this life the roll-outs were known here as whoever leads knows them
 	askedAt  time.Duration
-	waiting  []understudy.Report // the newest of each service, to go out
-	left     float64             // bytes that may
+	waiting  []rollout.Report // the newest of each service, to go out
+	left     float64          // bytes that may
 	leftAt   time.Duration
 	answer   int // status of the answer whose end is being told; 0: there is none
 }
 
 // cue is what the office last was told of a service.
 type cue struct {
-	number understudy.Number
-	phase  understudy.Phase
-	open   boxoffice.Open
+	number rollout.Number
+	phase  rollout.Phase
+	open   admission.Open
 	sure   bool // finished, and the door knows that there is no later one
 }
 
 func (h *House) openRollouts() {
-	h.rollouts = rollouts{door: understudy.NewDoor(h.sheet.Zone, h.life, h.e.Now()), revs: map[string]uint64{},
+	h.rollouts = rollouts{door: rollout.NewDoor(h.sheet.Zone, h.life, h.e.Now()), revs: map[string]uint64{},
 		cues: map[string]cue{}, askedAt: -time.Second}
 }
 
@@ -106,9 +106,9 @@
 
 // poolOf is where a backend is listed: until a roll-out is finished the main version is all but the new one, from
 // then on all but the old one.
-func (h *House) poolOf(w callboard.Word) control.ServiceID {
+func (h *House) poolOf(w registry.Word) control.ServiceID {
 	if r := h.script.Rollouts.Run(w.Service); r != nil {
-		if pool := h.rollouts.door.Pool(w.Service, w.Generation); (pool == understudy.New) != (r.Phase == understudy.Finished) {
+		if pool := h.rollouts.door.Pool(w.Service, w.Generation); (pool == rollout.New) != (r.Phase == rollout.Finished) {
 			return h.stock.service(underOf(w.Service))
 		}
 	}
@@ -121,13 +121,13 @@
 	for i := range h.script.Rollouts.Runs() {
 		r := &h.script.Rollouts.Runs()[i]
 		name := r.Order.Service
-		ended := r.Phase == understudy.Finished
-		now := cue{r.Number, r.Phase, boxoffice.Shared, ended && x.door.Touched()}
+		ended := r.Phase == rollout.Finished
+		now := cue{r.Number, r.Phase, admission.Shared, ended && x.door.Touched()}
 		switch {
 		case ended:
-			now.open = boxoffice.Spare
+			now.open = admission.Spare
 		case x.door.Barred(name):
-			now.open = boxoffice.Shut
+			now.open = admission.Shut
 		}
 		was, had := x.cues[name]
 		if was == now {
@@ -135,8 +135,8 @@
 		}
 		x.cues[name] = now
 		main, under := h.stock.service(name), h.stock.service(underOf(name))
-		if !had || was.number != now.number || was.sure != now.sure || (was.phase == understudy.Finished) != ended {
-			h.office.Understudy(main, under, boxoffice.Shut)
+		if !had || was.number != now.number || was.sure != now.sure || (was.phase == rollout.Finished) != ended {
+			h.office.Understudy(main, under, admission.Shut)
 			h.listAnew(name, main)
 		}
 		h.office.Understudy(main, under, now.open)
@@ -149,11 +149,11 @@
 		return
 	}
 	h.board.Now(h.e.Now())
-	words := slices.DeleteFunc(h.board.All(), func(w callboard.Word) bool { return w.Service != service })
+	words := slices.DeleteFunc(h.board.All(), func(w registry.Word) bool { return w.Service != service })
 	for _, first := range []bool{true, false} {
 		for _, w := range words {
 			if (h.poolOf(w) == main) == first {
-				c := callboard.Changed{Word: w}
+				c := registry.Changed{Word: w}
 				if w.ColdLeft > 0 {
 					c.ColdUntil = h.e.Now() + w.ColdLeft
 				}
@@ -169,15 +169,15 @@
 type sides House
 
 // Begin tells where a request begins, by its user.
-func (s *sides) Begin(id control.TxnID, kind control.ProductID, service control.ServiceID) boxoffice.Began {
+func (s *sides) Begin(id control.TxnID, kind control.ProductID, service control.ServiceID) admission.Began {
 	h := (*House)(s)
 	name := h.stock.titles[service]
 	user, tenant := h.front.User(h.gate.Asker(slots.Ref(id)), slots.Ref(id))
-	in := understudy.Scope{Tenant: tenant, Zone: h.sheet.Zone}
+	in := rollout.Scope{Tenant: tenant, Zone: h.sheet.Zone}
 	if r := h.stock.routes[kind]; r != nil {
 		in.Route = r.Name
 	}
-	b := boxoffice.Began{Number: h.rollouts.door.Number(name)}
+	b := admission.Began{Number: h.rollouts.door.Number(name)}
 	b.Side, b.Counts = h.rollouts.door.Side(name, user, in)
 	if b.Counts {
 		f := fnv.New32a()
@@ -188,31 +188,31 @@
 }
 
 // Ended passes on how a request that counts has ended.
-func (s *sides) Ended(e boxoffice.Compared) {
+func (s *sides) Ended(e admission.Compared) {
 	x := &(*House)(s).rollouts
-	end := understudy.End{Side: e.Side, Call: uint32(e.Kind), Tenant: e.Tenant, Backend: uint64(e.At),
+	end := rollout.End{Side: e.Side, Call: uint32(e.Kind), Tenant: e.Tenant, Backend: uint64(e.At),
 		Cause: causeOf(e.Ending, x.answer), Took: e.Took, Cold: e.Cold}
 	if e.Effectful {
-		end.Kind = understudy.Write
+		end.Kind = rollout.Write
 	}
 	x.door.Ended(s.stock.titles[e.Service], e.Number, end)
 }
 
 // causeOf is the table from endings, and the status of the answer where there was one, to causes.
-func causeOf(e control.Ending, status int) understudy.Cause {
+func causeOf(e control.Ending, status int) rollout.Cause {
 	switch {
 	case e == control.Settled:
-		return understudy.Fine
+		return rollout.Fine
 	case e == control.Full:
-		return understudy.Full
+		return rollout.Full
 	case e != control.Errored:
-		return understudy.NoAnswer
+		return rollout.NoAnswer
 	case status >= 500:
-		return understudy.Failed
+		return rollout.Failed
 	case status >= 400: // the service's own word
-		return understudy.Fine
+		return rollout.Fine
 	}
-	return understudy.Wrong
+	return rollout.Wrong
 }
 
 // usher notes the status of an answer on its way to the gate, for the time of the call.
@@ -247,9 +247,9 @@
 	x.door.Now(now)
 	for a, ok := x.door.Next(); ok; a, ok = x.door.Next() {
 		switch a := a.(type) {
-		case understudy.Tell:
+		case rollout.Tell:
 			h.report(a.Report)
-		case understudy.Lowered:
+		case rollout.Lowered:
 			h.warn(rolloutPart, "%s %d: this door pulls back for itself: %s", a.Service, a.Number, a.Why)
 		}
 	}
@@ -260,14 +260,14 @@
 
 // caughtUp: what whoever leads knew when it was asked; this door's own may be of before its last life.
 func (h *House) caughtUp(status int, body []byte) {
-	var there stagedoor.RolloutStatus
+	var there controlapi.RolloutStatus
 	if status == 200 && json.Unmarshal(body, &there) == nil && h.script.Rollouts.Rev >= there.Rev {
 		h.rollouts.touched = true
 	}
 }
 
 // report lays one out to be sent in place of the one before it.
-func (h *House) report(r understudy.Report) {
+func (h *House) report(r rollout.Report) {
 	x := &h.rollouts
 	if x.duty != nil {
 		h.dutyHeard(&RolloutWord{Seat: h.seat(), Report: &r})
@@ -326,11 +326,11 @@
 }
 
 func (h *House) dutyHeard(w *RolloutWord) {
-	if w.Seat == company.NoSeat {
+	if w.Seat == membership.NoSeat {
 		return
 	}
 	h.rollouts.duty.Now(h.e.Now())
-	if err := h.rollouts.duty.Heard(understudy.DoorID(w.Seat), *w.Report); err != nil {
+	if err := h.rollouts.duty.Heard(rollout.DoorID(w.Seat), *w.Report); err != nil {
 		h.say(rolloutPart, "door %d: %v", w.Seat, err)
 	}
 }
@@ -343,7 +343,7 @@
 		return
 	}
 	if _, view, _ := h.core.p.Leader(); x.duty == nil || x.fence != view {
-		x.duty, x.fence = understudy.NewDuty(view, now), view
+		x.duty, x.fence = rollout.NewDuty(view, now), view
 		x.duty.Fold(h.script.Rollouts)
 		x.lookedAt = now - lookBackends
 	}
@@ -355,15 +355,15 @@
 	x.duty.Now(now)
 	for a, ok := x.duty.Next(); ok; a, ok = x.duty.Next() {
 		switch a := a.(type) {
-		case understudy.Propose:
+		case rollout.Propose:
 			e := a.Entry
 			e.At = time.Now().UnixMilli()
-			h.core.propose(script.Rollout, e.Word(), func(status int, body []byte) {
+			h.core.propose(statemachine.Rollout, e.Word(), func(status int, body []byte) {
 				if status != 200 {
 					h.say(rolloutPart, "%s %d: %s not taken: %s", e.Service, e.Number, e.Verb, body)
 				}
 			})
-		case understudy.Laps:
+		case rollout.Laps:
 			l := a.Lap
 			x.door.Lap(l)
 			f := &Frame{Rollout: &RolloutWord{Lap: &l}}
@@ -381,7 +381,7 @@
 func (h *House) tellBackends() {
 	for i := range h.script.Rollouts.Runs() {
 		r := &h.script.Rollouts.Runs()[i]
-		if r.Phase != understudy.Running {
+		if r.Phase != rollout.Running {
 			continue
 		}
 		old := -1
@@ -395,13 +395,13 @@
 
 // roomOf is how many requests the ready backends of each version take at a time, and how many there are at the busiest, as
 // far as this door's own tell.
-func (h *House) roomOf(o *understudy.Rollout) (m understudy.Room) {
+func (h *House) roomOf(o *rollout.Rollout) (m rollout.Room) {
 	if h.board == nil {
 		return m
 	}
 	for _, w := range h.board.All() {
 		switch {
-		case w.Service != o.Service || w.Phase != callboard.Ready:
+		case w.Service != o.Service || w.Phase != registry.Ready:
 		case w.Generation == o.New:
 			m.New += max(w.Capacity, 1)
 		default:
@@ -414,11 +414,11 @@
 
 // counted is an operator's entry as whoever leads puts it into the log: with what the duty has counted until now. An order that
 // would be taken, but names what is not in the configuration, is refused here, since another door may not know the newest.
-func (h *House) counted(k script.Kind, body []byte) ([]byte, error) {
-	if k != script.Rollout {
+func (h *House) counted(k statemachine.Kind, body []byte) ([]byte, error) {
+	if k != statemachine.Rollout {
 		return body, nil
 	}
-	e, err := understudy.ReadEntry(body)
+	e, err := rollout.ReadEntry(body)
 	if err != nil {
 		return nil, err
 	}
@@ -426,7 +426,7 @@
 		here := h.roomOf(e.Order)
 		e.Room.Old, e.Room.New = max(e.Room.Old, here.Old), max(e.Room.New, here.New)
 	}
-	if v, _ := h.script.Rollouts.Decide(e); v == playbill.Taken && e.Order != nil {
+	if v, _ := h.script.Rollouts.Decide(e); v == routing.Taken && e.Order != nil {
 		if err := h.knows(e.Order); err != nil {
 			return nil, err
 		}
--- a/internal/house/rollout_test.go
+++ b/internal/gateway/node/rollout_test.go
@@ -1,4 +1,4 @@
-package house
+package node
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/control"
-	"clovergap/internal/stagedoor"
-	"clovergap/internal/understudy"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/rollout"
 )
 
 // backend answers for a version, and beats once: the interval is long.
@@ -53,8 +53,8 @@
 	return a.Header.Get("X-Version")
 }
 
-func (d *doors) rollout(i int) (r stagedoor.RolloutRun) {
-	var s stagedoor.RolloutStatus
+func (d *doors) rollout(i int) (r controlapi.RolloutRun) {
+	var s controlapi.RolloutStatus
 	_, text := d.call(i, "GET", "/api/Rollout.Status", "")
 	if json.Unmarshal([]byte(text), &s); len(s.Rollouts) > 0 {
 		r = s.Rollouts[0]
@@ -85,7 +85,7 @@
 "rev":%d,"mark":%q,"by":"ana","busy":100%s}`
 	var good, bad atomic.Bool
 	d := open(t, 4)
-	d.all("four seats", func(s stagedoor.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
+	d.all("four seats", func(s controlapi.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
 	users, keys := [][]byte{}, []string{}
 	for i := range 40 {
 		keys = append(keys, fmt.Sprint("key-", i))
@@ -101,18 +101,18 @@
 	must.StrContains(t, d.settles(0, 400, "POST", start, fmt.Sprintf(order, 0, "m", "")), "room") // there are no backends
 	for i, v := range []string{"v1", "v1", "v2", "v2"} {
 		if i == 2 { // the new version may be there later
-			d.all("the old version", func(s stagedoor.HouseStatus) bool { return len(s.Backends) == 2 && s.Ready })
+			d.all("the old version", func(s controlapi.HouseStatus) bool { return len(s.Backends) == 2 && s.Ready })
 			must.StrContains(t, d.settles(1, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true`)), "new: v2 has room for none")
 			d.settles(1, 200, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true,"new_room":200`))
 		}
 		d.backend(fmt.Sprint(v, "-", i), v, map[string]*atomic.Bool{"v1": &good, "v2": &bad}[v])
 	}
-	d.all("the backends, and to be ready", func(s stagedoor.HouseStatus) bool { return len(s.Backends) == 4 && s.Ready })
+	d.all("the backends, and to be ready", func(s controlapi.HouseStatus) bool { return len(s.Backends) == 4 && s.Ready })
 
-	var dry stagedoor.RolloutAnswer
+	var dry controlapi.RolloutAnswer
 	must.NoError(t, json.Unmarshal([]byte(d.settles(3, 200, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true`))), &dry))
-	must.Eq(t, (&understudy.Rollout{Service: "s", Steps: []understudy.Step{{Share: 5000}, {Share: 9000}}}).Shared(1, users), dry.Moved)
-	must.Eq(t, stagedoor.RolloutRoom{Old: 200, New: 200, Busy: 100}, *dry.Room)
+	must.Eq(t, (&rollout.Rollout{Service: "s", Steps: []rollout.Step{{Share: 5000}, {Share: 9000}}}).Shared(1, users), dry.Moved)
+	must.Eq(t, controlapi.RolloutRoom{Old: 200, New: 200, Busy: 100}, *dry.Room)
 	must.Eq(t, "", d.rollout(3).Phase) // nothing was changed
 	must.StrContains(t, d.settles(3, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"shares":1`)), "shares")
 	must.StrContains(t, d.settles(3, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"limits":{"routes":["x"]}`)), "limits.routes[0]")
@@ -158,11 +158,11 @@
 			n++
 			d.asks(n%4, "POST", keys[n%len(keys)], "")
 		}
-		return d.rollout(3).Phase == string(understudy.Pulled)
+		return d.rollout(3).Phase == string(rollout.Pulled)
 	})
 	d.shares(0)
 	must.MapEmpty(t, sides())
-	var past stagedoor.RolloutHistory
+	var past controlapi.RolloutHistory
 	must.NoError(t, json.Unmarshal([]byte(d.settles(3, 200, "GET", "/api/Rollout.History/s", "")), &past))
 	lines := past.Rollouts[0].Lines
 	must.Len(t, 3, lines)
@@ -186,12 +186,12 @@
 	now := d.rollout(0)
 	d.settles(1, 200, "POST", "/api/Rollout.Step/s", fmt.Sprintf(`{"number":2,"rev":%d,"step":2,"mark":"s"}`, now.Rev))
 	d.settles(1, 200, "POST", "/api/Rollout.Finish/s", fmt.Sprintf(`{"number":2,"rev":%d,"mark":"f"}`, d.rollout(0).Rev))
-	d.shares(understudy.Whole)
+	d.shares(rollout.Whole)
 	must.MapLen(t, len(keys), sides())
 	back := strings.NewReplacer(`"v1"`, `"v2"`, `"v2"`, `"v1"`).Replace(order) // the way back is one the other way round
 	d.settles(1, 200, "POST", start, fmt.Sprintf(back, d.rollout(0).Rev, "back", ""))
 	d.shares(5000)
-	third := (&understudy.Rollout{Service: "s", Steps: []understudy.Step{{Share: 5000}}}).Shared(3, users)[0]
+	third := (&rollout.Rollout{Service: "s", Steps: []rollout.Step{{Share: 5000}}}).Shared(3, users)[0]
 	must.MapLen(t, len(keys)-third, sides())
 
 	d.kill(0) // without a majority each door goes by itself: its share stays, and falls where the version fails
@@ -214,10 +214,10 @@
 		return a == 0 && b == 0
 	})
 	good.Store(false)
-	must.Eq(t, string(understudy.Running), d.rollout(3).Phase) // as far as anybody knows
+	must.Eq(t, string(rollout.Running), d.rollout(3).Phase) // as far as anybody knows
 	d.start(0)
 	d.start(1)
-	d.until("the fleet's word", func() bool { return d.rollout(0).Phase == string(understudy.Pulled) })
+	d.until("the fleet's word", func() bool { return d.rollout(0).Phase == string(rollout.Pulled) })
 	d.settles(1, 200, "POST", start, fmt.Sprintf(back, d.rollout(0).Rev, "back again", ""))
 	d.shares(5000)
 
@@ -229,7 +229,7 @@
 	}
 	d.kill(lead) // the duty goes to another
 	d.settles(3, 200, "POST", "/api/Config.Replace", config(2, 1, "t"))
-	d.until("the end of it", func() bool { return d.rollout(3).Phase == string(understudy.Pulled) })
+	d.until("the end of it", func() bool { return d.rollout(3).Phase == string(rollout.Pulled) })
 	must.StrContains(t, d.settles(3, 200, "GET", "/api/Rollout.History/s", ""), "not in the configuration")
 }
 
@@ -238,11 +238,11 @@
 	for _, x := range []struct {
 		how    control.Ending
 		status int
-		want   understudy.Cause
-	}{{control.Settled, 404, understudy.Fine}, {control.Settled, 0, understudy.Fine}, {control.Errored, 500, understudy.Failed},
-		{control.Errored, 200, understudy.Wrong}, {control.Errored, 429, understudy.Fine}, {control.Full, 503, understudy.Full},
-		{control.TimedOut, 0, understudy.NoAnswer}, {control.Broken, 0, understudy.NoAnswer},
-		{control.Unreachable, 0, understudy.NoAnswer}} {
+		want   rollout.Cause
+	}{{control.Settled, 404, rollout.Fine}, {control.Settled, 0, rollout.Fine}, {control.Errored, 500, rollout.Failed},
+		{control.Errored, 200, rollout.Wrong}, {control.Errored, 429, rollout.Fine}, {control.Full, 503, rollout.Full},
+		{control.TimedOut, 0, rollout.NoAnswer}, {control.Broken, 0, rollout.NoAnswer},
+		{control.Unreachable, 0, rollout.NoAnswer}} {
 		must.Eq(t, x.want, causeOf(x.how, x.status), must.Sprint(x))
 	}
 }
--- a/internal/house/stage.go
+++ b/internal/gateway/node/stage.go
@@ -1,16 +1,16 @@
-package house
+package node
 
 import (
 	"fmt"
 	"strconv"
 	"time"
 
-	"clovergap/internal/callboard"
-	"clovergap/internal/company"
-	"clovergap/internal/playbill"
-	"clovergap/internal/prompter"
-	"clovergap/internal/script"
-	"clovergap/internal/stagedoor"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/statemachine"
 )
 
 // Ready: clients may come, as far as this door knows.
@@ -47,8 +47,8 @@
 
 // Change brings a change to whoever leads, unless what is known here settles it for every later state: that it was taken, or that
 // it is wrong in itself. A door that is behind refuses nothing by its own state.
-func (h *House) Change(kind script.Kind, body []byte, then func(status int, body []byte)) {
-	if v, err, final := h.script.Final(kind, body); final && (v != playbill.Invalid || h.may(deny)) {
+func (h *House) Change(kind statemachine.Kind, body []byte, then func(status int, body []byte)) {
+	if v, err, final := h.script.Final(kind, body); final && (v != routing.Invalid || h.may(deny)) {
 		then(answerOf(v, err))
 		return
 	}
@@ -66,20 +66,20 @@
 
 // Beat takes what a backend says of itself; before this door has a seat another one may take it. Without word of a majority it is
 // noted here, and left for another door to acknowledge, which can tell the others.
-func (h *House) Beat(w callboard.Word, then func(ok bool, target string)) {
+func (h *House) Beat(w registry.Word, then func(ok bool, target string)) {
 	r := ackBeats
-	if w.Phase == callboard.Draining {
+	if w.Phase == registry.Draining {
 		r = ackEnds
 	}
-	h.hear(r, then, func() callboard.Ticket { return h.board.Beat(w) })
+	h.hear(r, then, func() registry.Ticket { return h.board.Beat(w) })
 }
 
 // Leave takes a backend's last word.
 func (h *House) Leave(id string, then func(ok bool, target string)) {
-	h.hear(ackEnds, then, func() callboard.Ticket { return h.board.Leave(id, 0) })
+	h.hear(ackEnds, then, func() registry.Ticket { return h.board.Leave(id, 0) })
 }
 
-func (h *House) hear(r right, then func(ok bool, target string), note func() callboard.Ticket) {
+func (h *House) hear(r right, then func(ok bool, target string), note func() registry.Ticket) {
 	if h.board == nil {
 		then(false, "")
 		return
@@ -94,13 +94,13 @@
 }
 
 // Status is for operators: what this door knows now, asking no other.
-func (h *House) Status() stagedoor.HouseStatus {
+func (h *House) Status() controlapi.HouseStatus {
 	why := h.unready()
-	s := stagedoor.HouseStatus{Door: h.sheet.NodeName, Address: h.inner, Zone: h.sheet.Zone, Ready: len(why) == 0,
+	s := controlapi.HouseStatus{Door: h.sheet.NodeName, Address: h.inner, Zone: h.sheet.Zone, Ready: len(why) == 0,
 		Unready: why, Generation: h.table.Version(), Applied: h.applied, Feeder: h.feeder, Held: h.gate.Held(),
 		Clients: h.front.Clients(), Counters: h.count.Text(), Doors: h.doorList(),
-		Backends: []stagedoor.HouseBackend{}}
-	if me := h.seat(); me != company.NoSeat {
+		Backends: []controlapi.HouseBackend{}}
+	if me := h.seat(); me != membership.NoSeat {
 		s.Seat = ptr(int(me))
 	}
 	if stale := h.stale(); stale < neverHeard {
@@ -111,7 +111,7 @@
 	}
 	if h.board != nil {
 		b := h.board.Status()
-		s.Board = &stagedoor.HouseBoard{Ready: b.Ready, Draining: b.Draining, Gone: b.Gone, Kept: b.Kept,
+		s.Board = &controlapi.HouseBoard{Ready: b.Ready, Draining: b.Draining, Gone: b.Gone, Kept: b.Kept,
 			Unwatched: b.Unwatched, Waiting: b.Waiting, Unconfirmed: b.Unconfirmed, Refused: b.Refused}
 		for _, w := range h.board.All() {
 			s.Backends = append(s.Backends, backendStatus(w))
@@ -129,20 +129,20 @@
 func ptr[T any](v T) *T { return &v }
 
 // doorList is all doors known here: those with a seat in the order of seats, then the others.
-func (h *House) doorList() []stagedoor.HouseDoor {
-	var all []stagedoor.HouseDoor
+func (h *House) doorList() []controlapi.HouseDoor {
+	var all []controlapi.HouseDoor
 	seen := map[string]bool{}
-	add := func(addr string, from company.Seated) {
+	add := func(addr string, from membership.Seated) {
 		if seen[addr] {
 			return
 		}
 		seen[addr] = true
-		d := stagedoor.HouseDoor{Name: from.Name, Address: addr, Control: from.Control, Zone: from.Zone,
+		d := controlapi.HouseDoor{Name: from.Name, Address: addr, Control: from.Control, Zone: from.Zone,
 			Live: h.company.Live(addr)}
 		if now, ok := h.company.Door(addr); ok { // what it says itself is newer than its entry
 			d.Name, d.Control, d.Zone, d.Disk = now.Name, now.Control, now.Zone, now.Disk != 0
 		}
-		if seat := h.company.Seat(addr); seat != company.NoSeat {
+		if seat := h.company.Seat(addr); seat != membership.NoSeat {
 			d.Seat = ptr(int(seat))
 		}
 		all = append(all, d)
@@ -150,35 +150,35 @@
 	for _, s := range h.company.Order() {
 		add(s.Addr, s)
 	}
-	add(h.inner, company.Seated{})
+	add(h.inner, membership.Seated{})
 	for _, a := range h.company.Addrs() {
-		add(a, company.Seated{})
+		add(a, membership.Seated{})
 	}
 	return all
 }
 
 // coreStatus is this door's part in the core.
-func (h *House) coreStatus() *stagedoor.HouseCore {
+func (h *House) coreStatus() *controlapi.HouseCore {
 	c := h.core.p.Status()
-	s := &stagedoor.HouseCore{Me: diskName(c.Me.ID), Role: c.Role, View: c.View, Leader: c.Leader.Addr,
+	s := &controlapi.HouseCore{Me: diskName(c.Me.ID), Role: c.Role, View: c.View, Leader: c.Leader.Addr,
 		Settled: c.Settled, First: c.First, Last: c.Last, Synced: c.Synced, Behind: c.Behind, Waiting: c.Waiting,
-		Members: []stagedoor.HouseMember{}}
+		Members: []controlapi.HouseMember{}}
 	if c.Learner != 0 {
 		s.Learner = diskName(c.Learner)
 	}
 	for _, m := range c.Members {
 		d, ok := h.company.Door(m.Addr)
-		live := ok && h.company.Live(m.Addr) && prompter.MemberID(d.Disk) == m.ID
-		s.Members = append(s.Members, stagedoor.HouseMember{Id: diskName(m.ID), Address: m.Addr, Live: live})
+		live := ok && h.company.Live(m.Addr) && replication.MemberID(d.Disk) == m.ID
+		s.Members = append(s.Members, controlapi.HouseMember{Id: diskName(m.ID), Address: m.Addr, Live: live})
 	}
 	return s
 }
 
 // diskName words a member's id: it has 40 bits.
-func diskName(id prompter.MemberID) string { return fmt.Sprintf("%010x", uint64(id)) }
+func diskName(id replication.MemberID) string { return fmt.Sprintf("%010x", uint64(id)) }
 
-func backendStatus(w callboard.Word) stagedoor.HouseBackend {
-	b := stagedoor.HouseBackend{Id: w.ID, Target: w.Service, Address: w.Addr, Zone: w.Zone, Generation: w.Generation,
+func backendStatus(w registry.Word) controlapi.HouseBackend {
+	b := controlapi.HouseBackend{Id: w.ID, Target: w.Service, Address: w.Addr, Zone: w.Zone, Generation: w.Generation,
 		Capacity: w.Capacity, Phase: w.Phase.String(), Keeper: int(w.Keeper), Fence: w.Fence, CallSeq: w.Seq}
 	if w.ColdLeft > 0 {
 		b.ColdLeft = strconv.FormatInt(w.ColdLeft.Milliseconds(), 10) + "ms"
--- a/internal/house/stock.go
+++ b/internal/gateway/node/stock.go
@@ -1,19 +1,19 @@
-package house
+package node
 
 import (
 	"hash/fnv"
 
 	"clovergap/control"
-	"clovergap/internal/boxoffice"
-	"clovergap/internal/callboard"
-	"clovergap/internal/foyer"
-	"clovergap/internal/playbill"
+	"clovergap/internal/gateway/admission"
+	"clovergap/internal/gateway/ingress"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/routing"
 )
 
 // stock numbers what the parts know by number: names are the edge's.
 type stock struct {
-	calls    map[playbill.RouteKey]control.ProductID
-	routes   map[control.ProductID]*playbill.Route
+	calls    map[routing.RouteKey]control.ProductID
+	routes   map[control.ProductID]*routing.Route
 	services map[string]control.ServiceID
 	zones    map[string]control.HallID
 	names    map[control.BackendID]string
@@ -25,7 +25,7 @@
 const leastConns = 4
 
 func newStock() stock {
-	return stock{calls: map[playbill.RouteKey]control.ProductID{}, routes: map[control.ProductID]*playbill.Route{},
+	return stock{calls: map[routing.RouteKey]control.ProductID{}, routes: map[control.ProductID]*routing.Route{},
 		services: map[string]control.ServiceID{}, zones: map[string]control.HallID{}, names: map[control.BackendID]string{}}
 }
 
@@ -58,17 +58,17 @@
 		return
 	}
 	old := h.table
-	h.table = playbill.NewTable(bill)
-	kept := map[playbill.RouteKey]control.ProductID{}
+	h.table = routing.NewTable(bill)
+	kept := map[routing.RouteKey]control.ProductID{}
 	for _, r := range h.table.Routes() {
 		id, ok := h.stock.calls[r.Key]
 		if !ok {
 			h.stock.last++
 			id = h.stock.last
-			c := boxoffice.Call{Effectful: r.Effectful, Aim: r.Target, Deadline: r.Deadline, MaxTries: r.MaxTries,
+			c := admission.Call{Effectful: r.Effectful, Aim: r.Target, Deadline: r.Deadline, MaxTries: r.MaxTries,
 				Priority: r.Priority}
 			for _, t := range r.Targets {
-				c.Targets = append(c.Targets, boxoffice.Target{Service: h.stock.service(t.Service), Weight: t.Weight})
+				c.Targets = append(c.Targets, admission.Target{Service: h.stock.service(t.Service), Weight: t.Weight})
 			}
 			h.office.SetCall(id, c)
 		}
@@ -92,35 +92,35 @@
 		}
 	}
 	l := h.table.Limits()
-	h.front.Bound(foyer.Bounds(foyer.Limits{Head: l.MostHeader, Body: l.MostBody, HeadIn: l.HeaderTimeout, Idle: l.IdleTimeout}))
+	h.front.Bound(ingress.Bounds(ingress.Limits{Head: l.MostHeader, Body: l.MostBody, HeadIn: l.HeaderTimeout, Idle: l.IdleTimeout}))
 }
 
 // Admit tells what a request is: its route, its tenant, or why it may not go on.
-func (h *House) Admit(host, path, key []byte) (a foyer.Admission, no foyer.Refusal) {
+func (h *House) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
 	sure := h.may(deny)
 	r, ok := h.table.Route(host, path)
 	if !ok {
 		if !sure {
-			return a, foyer.UnknownYet
+			return a, ingress.UnknownYet
 		}
-		return a, foyer.NoRoute
+		return a, ingress.NoRoute
 	}
-	a = foyer.Admission{Product: h.stock.calls[r.Key], Deadline: r.Deadline, Once: r.Effectful}
+	a = ingress.Admission{Product: h.stock.calls[r.Key], Deadline: r.Deadline, Once: r.Effectful}
 	if r.Public || !h.table.HasTenants() {
-		return a, foyer.None
+		return a, ingress.None
 	}
 	t, ok := h.table.Tenant(key)
 	if !ok {
 		if !sure {
-			return a, foyer.UnknownYet
+			return a, ingress.UnknownYet
 		}
-		return a, foyer.NoKey
+		return a, ingress.NoKey
 	}
 	a.Tenant, a.Rank = t.Name, t.Priority
 	if a.Metered = t.Rate > 0; a.Metered {
 		a.Customer = customerOf(t.Name)
 	}
-	return a, foyer.None
+	return a, ingress.None
 }
 
 // BackendName is a backend's id in its own words.
@@ -134,13 +134,13 @@
 }
 
 // listed takes news of a backend to those who go by it.
-func (h *House) listed(c callboard.Changed) {
+func (h *House) listed(c registry.Changed) {
 	id := backendOf(c.Word.ID)
 	state := control.Ready
 	switch c.Word.Phase {
-	case callboard.Draining:
+	case registry.Draining:
 		state = control.Draining
-	case callboard.Gone:
+	case registry.Gone:
 		state = control.Gone
 	}
 	h.stock.names[id] = c.Word.ID
--- a/internal/critics/critics.go
+++ b/internal/gateway/outlier/critics.go
@@ -1,8 +1,8 @@
-// Package critics judges backends by what their services need, once for all doors. A door tells it how each submission
+// Package outlier judges backends by what their services need, once for all doors. A door tells it how each submission
 // ended; what may convict goes to the door with the duty; verdicts are entries of the core's ordered log, and bind at
 // the same place of it at every door. It does no I/O: inputs only update what is known, the host pulls with Next. See
 // docs/critics.md.
-package critics
+package outlier
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/company"
+	"clovergap/internal/gateway/membership"
 )
 
 // LifeID names one life of a backend: each start has another, whatever the address.
@@ -335,4 +335,4 @@
 }
 
 // Seat of a door; the same in every life of it.
-type Seat = company.Seat
+type Seat = membership.Seat
--- a/internal/critics/door.go
+++ b/internal/gateway/outlier/door.go
@@ -1,4 +1,4 @@
-package critics
+package outlier
 
 import (
 	"maps"
--- a/internal/critics/duty.go
+++ b/internal/gateway/outlier/duty.go
@@ -1,4 +1,4 @@
-package critics
+package outlier
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"clovergap/internal/company"
-	"clovergap/internal/playbill"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/routing"
 )
 
 const (
@@ -194,7 +194,7 @@
 	if l.Phase != Ready || c != nil && c.Step == Out {
 		return
 	}
-	rev, back, mute := d.state.rev(k), c != nil && c.Step != Free, company.NoSeat
+	rev, back, mute := d.state.rev(k), c != nil && c.Step != Free, membership.NoSeat
 	if back {
 		mute = c.Alone // whoever alone had it out has no say on its way back
 	}
@@ -417,7 +417,7 @@
 // propose puts an entry forward if the state would take it now, and again where it does not come back.
 func (d *Duty) propose(e Entry, said *time.Duration) bool {
 	e.By, e.Fence = "duty", d.fence
-	if v, _ := d.state.Decide(&e); v != playbill.Taken {
+	if v, _ := d.state.Decide(&e); v != routing.Taken {
 		return false
 	}
 	if d.now-*said >= askAgain {
--- a/internal/critics/orders_test.go
+++ b/internal/gateway/outlier/orders_test.go
@@ -1,4 +1,4 @@
-package critics
+package outlier
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/control"
-	"clovergap/internal/company"
-	"clovergap/internal/playbill"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/routing"
 )
 
 // orders calls f with every order of n things.
@@ -63,7 +63,7 @@
 		phase, cleared, gone := Ready, false, false
 		var log []Entry
 		var snaps [][]byte
-		take := func(e Entry) playbill.Verdict {
+		take := func(e Entry) routing.Verdict {
 			was := s.Case(k)
 			had := was != nil
 			var before Case
@@ -71,8 +71,8 @@
 				before = *was
 			}
 			v, err := s.Apply(&e)
-			must.Eq(t, v == playbill.Taken, err == nil)
-			if v != playbill.Taken {
+			must.Eq(t, v == routing.Taken, err == nil)
+			if v != routing.Taken {
 				return v
 			}
 			if log = append(log, e); plays%10 == 9 {
@@ -111,7 +111,7 @@
 				duty.Heard(0, said(2, 0, "i-1"))
 			case 2: // a verdict of the first view's that was long on its way
 				v := take(Entry{Verb: Convict, Key: k, Service: "libro", Witnesses: []Seat{0, 1}, Backs: 3, Fence: 1})
-				must.False(t, s.Fence > 1 && v == playbill.Taken)
+				must.False(t, s.Fence > 1 && v == routing.Taken)
 			case 3: // another has the duty; doors tell it all again
 				fence++
 				duty = NewDuty(fence, now)
@@ -398,13 +398,13 @@
 		spoil(&x)
 		s := NewState()
 		v, err := s.Apply(&Entry{Verb: Set, Settings: &x})
-		must.Eq(t, playbill.Invalid, v)
+		must.Eq(t, routing.Invalid, v)
 		must.StrHasPrefix(t, want+":", err.Error())
 	}
 	s := NewState()
 	must.False(t, s.On())
 	x := &Settings{On: true, Routes: []Route{{"r-a", "off"}, {"r-b", "patient"}}}
-	for i, want := range []playbill.Verdict{playbill.Taken, playbill.Already, playbill.Conflict} { // again, and by another
+	for i, want := range []routing.Verdict{routing.Taken, routing.Already, routing.Conflict} { // again, and by another
 		e := &Entry{Verb: Set, Settings: x, Mark: []string{"ana-1", "ana-1", "ben-1"}[i]}
 		read, err := ReadEntry(e.Word())
 		must.NoError(t, err)
@@ -421,7 +421,7 @@
 func TestStateIsBounded(t *testing.T) {
 	t.Parallel()
 	s := on()
-	convict := func(i int, who ...Seat) (playbill.Verdict, error) {
+	convict := func(i int, who ...Seat) (routing.Verdict, error) {
 		k := Key{LifeID(fmt.Sprintf("i-%04d", i)), Strict}
 		return s.Apply(&Entry{Verb: Convict, Key: k, Service: fmt.Sprint("s-", i%9), Witnesses: who, Suffice: 1, Backs: 16, Fence: 1,
 			Rev: s.rev(k), Why: strings.Repeat("x", textMost)})
@@ -442,7 +442,7 @@
 	must.Error(t, err)
 	_, err = convict(18, 5, 6, 7)
 	must.NoError(t, err)
-	must.Eq(t, company.NoSeat, s.Case(Key{"i-0018", Strict}).Alone)
+	must.Eq(t, membership.NoSeat, s.Case(Key{"i-0018", Strict}).Alone)
 	for i := range casesMost + 10 {
 		convict(i+100, 1, 2)
 	}
--- a/internal/critics/sim_test.go
+++ b/internal/gateway/outlier/sim_test.go
@@ -1,4 +1,4 @@
-package critics
+package outlier
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/control"
-	"clovergap/internal/playbill"
+	"clovergap/internal/gateway/routing"
 )
 
 const (
@@ -198,7 +198,7 @@
 // append puts an entry into the log, if the state takes it; each door has it a little later, in order.
 func (w *world) append(e Entry) {
 	was := w.state.Case(e.Key)
-	if v, _ := w.state.Apply(&e); v != playbill.Taken {
+	if v, _ := w.state.Apply(&e); v != routing.Taken {
 		return
 	}
 	w.log, w.logAt = append(w.log, e), append(w.logAt, w.now)
--- a/internal/critics/state.go
+++ b/internal/gateway/outlier/state.go
@@ -1,4 +1,4 @@
-package critics
+package outlier
 
 import (
 	"math"
@@ -7,9 +7,9 @@
 	"github.com/go-faster/errors"
 
 	"clovergap/internal/check"
-	"clovergap/internal/company"
-	"clovergap/internal/playbill"
-	"clovergap/internal/props"
+	"clovergap/internal/gateway/logentry"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/routing"
 )
 
 // Verb is what an entry does.
@@ -172,26 +172,26 @@
 }
 
 // Word encodes an entry for the log.
-func (e *Entry) Word() []byte { return props.Pack(e) }
+func (e *Entry) Word() []byte { return logentry.Pack(e) }
 
 // ReadEntry decodes one.
 func ReadEntry(b []byte) (*Entry, error) {
 	e := new(Entry)
-	return e, props.Unpack(b, e, "entry of critics")
+	return e, logentry.Unpack(b, e, "entry of critics")
 }
 
-func conflict(f string, a ...any) (playbill.Verdict, error) {
-	return playbill.Conflict, errors.Errorf(f, a...)
+func conflict(f string, a ...any) (routing.Verdict, error) {
+	return routing.Conflict, errors.Errorf(f, a...)
 }
 
 // Decide tells what would become of an entry now, and changes nothing.
-func (s *State) Decide(e *Entry) (playbill.Verdict, error) {
+func (s *State) Decide(e *Entry) (routing.Verdict, error) {
 	if e.Mark != "" && slices.Contains(s.Marks, e.Mark) {
-		return playbill.Already, nil
+		return routing.Already, nil
 	}
 	for _, t := range []string{e.Mark, e.By, e.Why, e.Service, string(e.Key.ID)} {
 		if len(t) > textMost {
-			return playbill.Invalid, errors.Errorf("a text is longer than %d bytes", textMost)
+			return routing.Invalid, errors.Errorf("a text is longer than %d bytes", textMost)
 		}
 	}
 	c := s.Case(e.Key)
@@ -202,46 +202,46 @@
 	byDuty := e.Verb != Set && e.Verb != Clear
 	switch {
 	case byDuty != (e.Fence > 0):
-		return playbill.Invalid, errors.Errorf("fence: %d is not that of who may %s", e.Fence, e.Verb)
+		return routing.Invalid, errors.Errorf("fence: %d is not that of who may %s", e.Fence, e.Verb)
 	case byDuty && e.Fence < s.Fence:
 		return conflict("fence: is %d, but %d was seen", e.Fence, s.Fence)
 	case e.Verb == Forget:
 		if len(e.Gone) == 0 || len(e.Gone) > casesMost {
-			return playbill.Invalid, errors.New("gone: names no life, or too many")
+			return routing.Invalid, errors.New("gone: names no life, or too many")
 		}
-		return playbill.Taken, nil
+		return routing.Taken, nil
 	case e.Rev != rev:
 		return conflict("rev: is %d, but %d is current", e.Rev, rev)
 	case e.Verb == Set:
 		if e.Settings == nil {
-			return playbill.Invalid, errors.New("settings: missing")
+			return routing.Invalid, errors.New("settings: missing")
 		}
 		x := *e.Settings
 		if err := x.Check(); err != nil {
-			return playbill.Invalid, err
+			return routing.Invalid, err
 		}
-		return playbill.Taken, nil
+		return routing.Taken, nil
 	case e.Verb == Convict:
 		return s.convict(e, c)
 	case c == nil:
 		return conflict("key: %s was never convicted as %s", e.Key.ID, e.Key.Manner)
 	case e.Verb == Clear:
-		return playbill.Taken, nil
+		return routing.Taken, nil
 	case e.Verb == Parole && c.Step != Free && c.Step.next(c.Manner) != Free,
 		e.Verb == Acquit && c.Step != Free && c.Step.next(c.Manner) == Free:
-		return playbill.Taken, nil
+		return routing.Taken, nil
 	case e.Verb == Parole || e.Verb == Acquit:
 		return conflict("verb: no %s from %s", e.Verb, c.Step)
 	}
-	return playbill.Invalid, errors.Errorf("verb: no %q", e.Verb)
+	return routing.Invalid, errors.Errorf("verb: no %q", e.Verb)
 }
 
-func (s *State) convict(e *Entry, c *Case) (playbill.Verdict, error) {
+func (s *State) convict(e *Entry, c *Case) (routing.Verdict, error) {
 	switch {
 	case e.Key.ID == "" || e.Key.Manner >= manners || e.Service == "" || e.Backs < 1:
-		return playbill.Invalid, errors.New("key: names no backend of a service")
+		return routing.Invalid, errors.New("key: names no backend of a service")
 	case len(e.Witnesses) == 0 || len(e.Witnesses) > witnesses:
-		return playbill.Invalid, errors.New("witnesses: none, or too many")
+		return routing.Invalid, errors.New("witnesses: none, or too many")
 	case !s.On():
 		return conflict("settings: nothing is judged")
 	case c != nil && c.Step == Out:
@@ -252,7 +252,7 @@
 	if _, ok := s.rests(e); !ok {
 		return conflict("witnesses: not two that are trusted, and no one may have more out alone")
 	}
-	return playbill.Taken, nil
+	return routing.Taken, nil
 }
 
 // rests tells on whose word alone a verdict is, or that it is on several: a refuted witness weighs half of one each time.
@@ -263,7 +263,7 @@
 		weight += math.Pow(0.5, float64(s.refuted(w)))
 	}
 	if weight >= 2 {
-		return company.NoSeat, true
+		return membership.NoSeat, true
 	}
 	for _, w := range e.Witnesses[:min(max(e.Suffice, 0), len(e.Witnesses))] {
 		ofService, ofAll := 0, 0
@@ -279,7 +279,7 @@
 			return w, true
 		}
 	}
-	return company.NoSeat, false
+	return membership.NoSeat, false
 }
 
 func (s *State) refuted(w Seat) int {
@@ -295,7 +295,7 @@
 func (s *State) refute(w Seat) {
 	n := s.refuted(w) + 1
 	s.kept.Trust = slices.DeleteFunc(s.kept.Trust, func(t Trust) bool { return t.Seat == w })
-	s.kept.Trust = props.Keep(append(s.kept.Trust, Trust{w, n, s.Rev}), trustMost)
+	s.kept.Trust = logentry.Keep(append(s.kept.Trust, Trust{w, n, s.Rev}), trustMost)
 }
 
 // oldestFree is the case to drop where there is no room; -1: none.
@@ -310,14 +310,14 @@
 }
 
 // Apply carries an entry out, as Decide tells it.
-func (s *State) Apply(e *Entry) (playbill.Verdict, error) {
-	if v, err := s.Decide(e); v != playbill.Taken {
+func (s *State) Apply(e *Entry) (routing.Verdict, error) {
+	if v, err := s.Decide(e); v != routing.Taken {
 		return v, err
 	}
 	s.Rev++
 	s.Fence = max(s.Fence, e.Fence)
 	if e.Mark != "" {
-		s.Marks = props.Keep(append(s.Marks, e.Mark), marksMost)
+		s.Marks = logentry.Keep(append(s.Marks, e.Mark), marksMost)
 	}
 	step := Free
 	switch e.Verb {
@@ -332,20 +332,20 @@
 		step = Out
 	default:
 		c := s.Case(e.Key)
-		if e.Verb == Acquit && c.Alone != company.NoSeat {
+		if e.Verb == Acquit && c.Alone != membership.NoSeat {
 			s.refute(c.Alone)
 		}
 		if e.Verb == Parole {
 			step = c.Step.next(c.Manner)
 		} else {
-			c.Alone = company.NoSeat
+			c.Alone = membership.NoSeat
 		}
 		if c.Step, c.Rev = step, s.Rev; e.Verb == Clear {
 			c.Falls = 0
 		}
 	}
-	s.kept.Past = props.Keep(append(s.kept.Past, Past{e.Verb, e.Key, step, e.By, e.At, e.Why, e.Witnesses}), pastMost)
-	return playbill.Taken, nil
+	s.kept.Past = logentry.Keep(append(s.kept.Past, Past{e.Verb, e.Key, step, e.By, e.At, e.Why, e.Witnesses}), pastMost)
+	return routing.Taken, nil
 }
 
 func (s *State) fall(e *Entry) {
@@ -365,7 +365,7 @@
 }
 
 // Snapshot is the whole state as bytes.
-func (s *State) Snapshot() []byte { return props.Pack(s.kept) }
+func (s *State) Snapshot() []byte { return logentry.Pack(s.kept) }
 
 // Restore reads one; nothing at all is the state before the first entry.
 func Restore(b []byte) (*State, error) {
@@ -374,5 +374,5 @@
 		return s, nil
 	}
 	s.kept = kept{}
-	return s, props.Unpack(b, &s.kept, "snapshot of critics")
+	return s, logentry.Unpack(b, &s.kept, "snapshot of critics")
 }
--- a/internal/callboard/board.go
+++ b/internal/gateway/registry/board.go
@@ -1,4 +1,4 @@
-// Package callboard keeps the list of backends as one door knows it.
+// Package registry keeps the list of backends as one door knows it.
 //
 // Each backend has one keeper among the live doors with a disk, named by its id. Beats are steered there; the keeper
 // watches for silence and tells the other doors with a disk what changed, and each of these tells the doors that follow
@@ -6,7 +6,7 @@
 // grow with their number. What doors know of a backend joins in any order to the same result: see join. The board does no I/O: inputs update what is
 // known, the host then pulls with Next until nothing is left. All times are the host's steady clock since
 // its start.
-package callboard
+package registry
 
 import (
 	"slices"
--- a/internal/callboard/keep.go
+++ b/internal/gateway/registry/keep.go
@@ -1,4 +1,4 @@
-package callboard
+package registry
 
 import (
 	"hash/fnv"
--- a/internal/prompter/chunk_test.go
+++ b/internal/gateway/replication/chunk_test.go
@@ -1,4 +1,4 @@
-package prompter
+package replication
 
 import (
 	"strings"
--- a/internal/prompter/prompter.go
+++ b/internal/gateway/replication/prompter.go
@@ -1,4 +1,4 @@
-// Package prompter is a replicated log: it keeps one order of changes among the doors with a disk. It is a core without
+// Package replication is a replicated log: it keeps one order of changes among the doors with a disk. It is a core without
 // I/O: inputs are messages, times, proposals and finished writes; outputs are messages, writes, and committed entries in the
 // order that holds.
 //
@@ -15,7 +15,7 @@
 //
 // Names of fields that are sent or kept on disk by gob (Message, Entry, Snapshot) stay as they are: doors of two versions
 // talk while a new one is rolled out.
-package prompter
+package replication
 
 import (
 	"cmp"
--- a/internal/understudy/duty.go
+++ b/internal/gateway/rollout/duty.go
@@ -1,4 +1,4 @@
-package understudy
+package rollout
 
 import (
 	"fmt"
--- a/internal/understudy/order.go
+++ b/internal/gateway/rollout/order.go
@@ -1,8 +1,8 @@
-// Package understudy shifts a share of a service's users onto a new version of it, and pulls them back when that
+// Package rollout shifts a share of a service's users onto a new version of it, and pulls them back when that
 // version fails. A door asks it for the side of each request and tells it how each ended; the door with the duty
 // sums what all doors found and judges; orders and verdicts are entries of the core's ordered log. It does no
 // I/O: inputs only update what is known, the host pulls with Next. See docs/understudy.md.
-package understudy
+package rollout
 
 import (
 	"encoding/binary"
@@ -12,7 +12,7 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/props"
+	"clovergap/internal/gateway/logentry"
 )
 
 // Whole is all users: shares are in 1/10000.
@@ -22,7 +22,7 @@
 type Number uint64
 
 // Span is a time that JSON writes with its unit.
-type Span = props.Span
+type Span = logentry.Span
 
 // Rollout is an order: which version takes over from which, and how.
 type Rollout struct {
@@ -85,7 +85,7 @@
 	if r.Advance == "" {
 		r.Advance = "word"
 	}
-	if err := props.Check(r); err != nil {
+	if err := logentry.Check(r); err != nil {
 		return err
 	}
 	for i := 1; i < len(r.Steps); i++ {
--- a/internal/understudy/state.go
+++ b/internal/gateway/rollout/state.go
@@ -1,4 +1,4 @@
-package understudy
+package rollout
 
 import (
 	"slices"
@@ -7,8 +7,8 @@
 	"github.com/go-faster/errors"
 
 	"clovergap/internal/check"
-	"clovergap/internal/playbill"
-	"clovergap/internal/props"
+	"clovergap/internal/gateway/logentry"
+	"clovergap/internal/gateway/routing"
 )
 
 // Verb is what an entry does.
@@ -96,7 +96,7 @@
 // State is folded from the ordered log: all doors come to the same.
 type State struct {
 	kept
-	done *props.Window // marks, by the Rev that they made
+	done *logentry.Window // marks, by the Rev that they made
 }
 
 type kept struct {
@@ -113,7 +113,7 @@
 const marksMost = 256
 
 // NewState is that before the first entry.
-func NewState() *State { return &State{done: props.NewWindow(props.WindowBytes)} }
+func NewState() *State { return &State{done: logentry.NewWindow(logentry.WindowBytes)} }
 
 // Runs are the newest roll-outs of all services; not to be changed.
 func (s *State) Runs() []Run { return s.kept.Runs }
@@ -139,12 +139,12 @@
 }
 
 // Word encodes an entry for the log.
-func (e *Entry) Word() []byte { return props.Pack(e) }
+func (e *Entry) Word() []byte { return logentry.Pack(e) }
 
 // ReadEntry decodes one.
 func ReadEntry(b []byte) (*Entry, error) {
 	e := new(Entry)
-	return e, props.Unpack(b, e, "entry of a roll-out")
+	return e, logentry.Unpack(b, e, "entry of a roll-out")
 }
 
 // Inspect tells what is wrong with an entry by itself, whatever the state.
@@ -167,10 +167,10 @@
 
 // Decide tells what would become of an entry now, and changes nothing. A call that lost its race may be one that won it, so
 // long ago that its mark is forgotten.
-func (s *State) Decide(e *Entry) (playbill.Verdict, error) {
+func (s *State) Decide(e *Entry) (routing.Verdict, error) {
 	v, err := s.weigh(e)
-	if v == playbill.Conflict && s.forgot(e) {
-		return playbill.Unclear, errors.Wrap(err, "not known any more what was taken")
+	if v == routing.Conflict && s.forgot(e) {
+		return routing.Unclear, errors.Wrap(err, "not known any more what was taken")
 	}
 	return v, err
 }
@@ -190,21 +190,21 @@
 // Known tells whether the call of a mark was taken.
 func (s *State) Known(mark string) bool { return mark != "" && s.done.Has(markOf(mark)) }
 
-func markOf(mark string) props.Digest { return props.DigestOf([]byte(mark)) }
+func markOf(mark string) logentry.Digest { return logentry.DigestOf([]byte(mark)) }
 
-func (s *State) weigh(e *Entry) (playbill.Verdict, error) {
+func (s *State) weigh(e *Entry) (routing.Verdict, error) {
 	if s.Known(e.Mark) {
-		return playbill.Already, nil
+		return routing.Already, nil
 	}
 	if err := e.Inspect(); err != nil {
-		return playbill.Invalid, err
+		return routing.Invalid, err
 	}
 	r := s.Run(e.Service)
 	if e.Verb == Start {
 		return s.start(e, r)
 	}
-	conflict := func(f string, a ...any) (playbill.Verdict, error) {
-		return playbill.Conflict, errors.Errorf(f, a...)
+	conflict := func(f string, a ...any) (routing.Verdict, error) {
+		return routing.Conflict, errors.Errorf(f, a...)
 	}
 	switch {
 	case r == nil:
@@ -231,10 +231,10 @@
 			return conflict("step: %d of %d is current, only an operator finishes the last", r.Step, len(r.Order.Steps))
 		}
 	}
-	return playbill.Taken, nil
+	return routing.Taken, nil
 }
 
-func (s *State) start(e *Entry, r *Run) (playbill.Verdict, error) {
+func (s *State) start(e *Entry, r *Run) (routing.Verdict, error) {
 	o := *e.Order
 	o.Check() // fills in what is left out
 	rev := uint64(0)
@@ -242,23 +242,23 @@
 		rev = r.Rev
 	}
 	if e.Rev != rev {
-		return playbill.Conflict, errors.Errorf("rev: is %d, but %d is current", e.Rev, rev)
+		return routing.Conflict, errors.Errorf("rev: is %d, but %d is current", e.Rev, rev)
 	}
 	if r != nil && r.Phase == Running {
-		return playbill.Conflict, errors.Errorf("service: roll-out %d of %q runs", r.Number, e.Service)
+		return routing.Conflict, errors.Errorf("service: roll-out %d of %q runs", r.Number, e.Service)
 	}
 	if r == nil && len(s.kept.Runs) >= runsMost {
-		return playbill.Invalid, errors.Errorf("service: %d have roll-outs, no more are kept", runsMost)
+		return routing.Invalid, errors.Errorf("service: %d have roll-outs, no more are kept", runsMost)
 	}
 	if err := o.Fits(e.Room); err != nil {
-		return playbill.Invalid, err
+		return routing.Invalid, err
 	}
-	return playbill.Taken, nil
+	return routing.Taken, nil
 }
 
 // Apply carries an entry out, as Decide tells it.
-func (s *State) Apply(e *Entry) (playbill.Verdict, error) {
-	if v, err := s.Decide(e); v != playbill.Taken {
+func (s *State) Apply(e *Entry) (routing.Verdict, error) {
+	if v, err := s.Decide(e); v != routing.Taken {
 		return v, err
 	}
 	s.Rev++
@@ -273,7 +273,7 @@
 		must := r.Order.Check()
 		check.That(must == nil, "an order that was taken is sound")
 		if had {
-			s.kept.Ended = props.Keep(append(s.kept.Ended, s.kept.Runs[i]), endedMost)
+			s.kept.Ended = logentry.Keep(append(s.kept.Ended, s.kept.Runs[i]), endedMost)
 			s.kept.Runs[i] = r
 		} else {
 			s.kept.Runs = slices.Insert(s.kept.Runs, i, r)
@@ -297,14 +297,14 @@
 	}
 	r.History = append(r.History, Past{Verb: e.Verb, Step: ended, Share: r.Share(), By: e.By, At: e.At, Why: e.Why,
 		Counts: e.Counts})
-	return playbill.Taken, nil
+	return routing.Taken, nil
 }
 
 // Snapshot is the whole state as bytes.
 func (s *State) Snapshot() []byte {
 	k := s.kept
 	k.Window = s.done.Bytes()
-	return props.Pack(k)
+	return logentry.Pack(k)
 }
 
 // Restore reads one; nothing at all is the state before the first entry.
@@ -313,7 +313,7 @@
 	if len(b) == 0 {
 		return s, nil
 	}
-	if err := props.Unpack(b, &s.kept, "snapshot of roll-outs"); err != nil {
+	if err := logentry.Unpack(b, &s.kept, "snapshot of roll-outs"); err != nil {
 		return s, err
 	}
 	marks, window := s.Marks, s.Window
@@ -329,6 +329,6 @@
 		return s, nil
 	}
 	var err error
-	s.done, err = props.ReadWindow(window, props.WindowBytes)
+	s.done, err = logentry.ReadWindow(window, logentry.WindowBytes)
 	return s, err
 }
--- a/internal/understudy/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -1,4 +1,4 @@
-package understudy
+package rollout
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/playbill"
-	"clovergap/internal/props"
+	"clovergap/internal/gateway/logentry"
+	"clovergap/internal/gateway/routing"
 )
 
 func order(shares ...int) *Rollout {
@@ -78,7 +78,7 @@
 			e.Room.New = 1000
 		}
 		v, err := s.Apply(e)
-		must.Eq(t, playbill.Taken, v, must.Sprint(err))
+		must.Eq(t, routing.Taken, v, must.Sprint(err))
 		for _, d := range []*Door{a, b} {
 			d.Fold(s)
 			d.Touch(true)
@@ -131,8 +131,8 @@
 				before = *was
 			}
 			v, err := s.Apply(e)
-			must.Eq(t, v == playbill.Taken || v == playbill.Already, err == nil)
-			if v != playbill.Taken {
+			must.Eq(t, v == routing.Taken || v == routing.Already, err == nil)
+			if v != routing.Taken {
 				continue
 			}
 			marks[e.Mark]++
@@ -149,7 +149,7 @@
 		for mark, n := range marks {
 			if mark != "" && n > 0 { // the same again
 				v, err := s.Apply(&Entry{Verb: PullBack, Service: "libro", Mark: mark})
-				must.True(t, v == playbill.Already && err == nil)
+				must.True(t, v == routing.Already && err == nil)
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 			rev = r.Rev
 		}
 		v, err := s.Apply(startEntry(order(100), rev, fmt.Sprint(i)))
-		must.Eq(t, playbill.Taken, v, must.Sprint(err))
+		must.Eq(t, routing.Taken, v, must.Sprint(err))
 		r := s.Run("libro")
 		for range 60 {
 			e := &Entry{Verb: Hold, Service: "libro", Number: r.Number, Step: 1, Fence: 1, Why: strings.Repeat("x", 200)}
@@ -271,25 +271,25 @@
 				k.Marks = append(k.Marks, hold(i).Mark)
 			}
 			var err error
-			s, err = Restore(props.Pack(k))
+			s, err = Restore(logentry.Pack(k))
 			must.NoError(t, err)
 		} else {
-			s.done, _ = props.ReadWindow(s.done.Bytes(), 18*marksMost)
+			s.done, _ = logentry.ReadWindow(s.done.Bytes(), 18*marksMost)
 		}
 		for range 2 {
 			for i := 300 - 200; i < 300; i++ {
 				v, _ := s.Decide(hold(i))
-				must.Eq(t, playbill.Already, v)
+				must.Eq(t, routing.Already, v)
 			}
 			v, err := s.Decide(startEntry(order(100), 0, "first"))
-			must.Eq(t, playbill.Unclear, v)
+			must.Eq(t, routing.Unclear, v)
 			must.Error(t, err)
 			v, _ = s.Decide(startEntry(order(100), s.Run("libro").Rev, "second")) // its rev stands: it never was
-			must.Eq(t, playbill.Conflict, v)
+			must.Eq(t, routing.Conflict, v)
 			other := order(100)
 			other.Service = "other"
 			v, _ = s.Decide(startEntry(other, 0, "third"))
-			must.Eq(t, playbill.Taken, v)
+			must.Eq(t, routing.Taken, v)
 			s, err = Restore(s.Snapshot())
 			must.NoError(t, err)
 		}
--- a/internal/playbill/model_test.go
+++ b/internal/gateway/routing/model_test.go
@@ -1,4 +1,4 @@
-package playbill
+package routing
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/props"
+	"clovergap/internal/gateway/logentry"
 )
 
 // orders of operators: two under one number, a change on top of it, a whole configuration on top of that, and one that is wrong in
@@ -53,7 +53,7 @@
 	if r := m.cached[key]; r != nil {
 		return r
 	}
-	r := &Register{taken: props.NewWindow(modelWindow * 17), defect: m.defect}
+	r := &Register{taken: logentry.NewWindow(modelWindow * 17), defect: m.defect}
 	for i, o := range log {
 		r.Apply(modelOrders[o].kind, []byte(modelOrders[o].body))
 		if int8(i)+1 == from {
