--- a/internal/playbill/register.go
+++ b/internal/gateway/routing/register.go
@@ -1,4 +1,4 @@
-package playbill
+package routing
 
 import (
 	"crypto/sha256"
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 
 	"clovergap/internal/check"
-	"clovergap/internal/props"
+	"clovergap/internal/gateway/logentry"
 )
 
 // Kind tells the two calls that change the configuration.
@@ -36,7 +36,7 @@
 	return [...]string{"taken", "already", "conflict", "invalid", "unclear"}[v]
 }
 
-func digestOf(k Kind, body []byte) props.Digest { return props.DigestOf([]byte{byte(k)}, body) }
+func digestOf(k Kind, body []byte) logentry.Digest { return logentry.DigestOf([]byte{byte(k)}, body) }
 
 // Register is the configuration in force, folded from the ordered log of calls: members that apply the same
 // calls in the same order come to the same. It is not safe for use by several at once.
@@ -44,10 +44,10 @@
 	version uint64
 	body    []byte
 	bill    *Bill
-	taken   *props.Window // by version
+	taken   *logentry.Window // by version
 
 	// The last call judged since the register changed: a door decides a call and then applies it.
-	judged  props.Digest
+	judged  logentry.Digest
 	outcome *outcome
 
 	defect defect
@@ -72,7 +72,7 @@
 }
 
 // NewRegister returns a register in which no configuration is in force.
-func NewRegister() *Register { return &Register{taken: props.NewWindow(props.WindowBytes)} }
+func NewRegister() *Register { return &Register{taken: logentry.NewWindow(logentry.WindowBytes)} }
 
 // Decide tells what would become of a call now, and changes nothing. The error is nil where it would be
 // taken or was before, else a *Fault.
@@ -102,7 +102,7 @@
 	return Taken, nil
 }
 
-func (r *Register) judge(d props.Digest, k Kind, body []byte) *outcome {
+func (r *Register) judge(d logentry.Digest, k Kind, body []byte) *outcome {
 	if r.outcome == nil || r.judged != d {
 		o := r.weigh(d, k, body)
 		r.judged, r.outcome = d, &o
@@ -110,7 +110,7 @@
 	return r.outcome
 }
 
-func (r *Register) weigh(d props.Digest, k Kind, body []byte) outcome {
+func (r *Register) weigh(d logentry.Digest, k Kind, body []byte) outcome {
 	// The digest covers the generation that the body names.
 	if r.taken.Has(d) {
 		return outcome{verdict: Already, final: true}
@@ -205,28 +205,28 @@
 	if r.defect == notKept {
 		s.Window = nil
 	}
-	return props.Pack(s)
+	return logentry.Pack(s)
 }
 
 // Restore makes the register of a snapshot. What was taken once is not judged again: a later program may
 // refuse more, but must not lose what is in force.
-func Restore(b []byte) (*Register, error) { return restore(b, props.WindowBytes) }
+func Restore(b []byte) (*Register, error) { return restore(b, logentry.WindowBytes) }
 
 func restore(b []byte, window int) (*Register, error) {
 	var s snapshot
-	if err := props.Unpack(b, &s, "read snapshot of the configuration"); err != nil {
+	if err := logentry.Unpack(b, &s, "read snapshot of the configuration"); err != nil {
 		return nil, err
 	}
-	r := &Register{taken: props.NewWindow(window)}
+	r := &Register{taken: logentry.NewWindow(window)}
 	if len(s.Taken) == takenMost {
 		r.taken.Forgets(s.Taken[0].Version - 1)
 	}
 	for _, t := range s.Taken {
-		r.taken.Add(t.Version, props.Digest(t.Digest[:len(props.Digest{})]))
+		r.taken.Add(t.Version, logentry.Digest(t.Digest[:len(logentry.Digest{})]))
 	}
 	if s.Window != nil {
 		var err error
-		if r.taken, err = props.ReadWindow(s.Window, window); err != nil {
+		if r.taken, err = logentry.ReadWindow(s.Window, window); err != nil {
 			return nil, errors.Wrap(err, "read snapshot of the configuration")
 		}
 	}
--- a/internal/playbill/scan.go
+++ b/internal/gateway/routing/scan.go
@@ -1,4 +1,4 @@
-package playbill
+package routing
 
 import (
 	"bytes"
--- a/internal/callsheet/callsheet.go
+++ b/internal/gateway/settings/callsheet.go
@@ -1,5 +1,5 @@
-// Package callsheet reads and checks the settings file of a process.
-package callsheet
+// Package settings reads and checks the settings file of a process.
+package settings
 
 import (
 	"os"
--- a/internal/callsheet/callsheet_test.go
+++ b/internal/gateway/settings/callsheet_test.go
@@ -1,4 +1,4 @@
-package callsheet
+package settings
 
 import (
 	"strings"
--- a/internal/script/script.go
+++ b/internal/gateway/statemachine/script.go
@@ -1,6 +1,6 @@
-// Package script is the state that the core's ordered log tells: the configuration in force, what was taken, who has which
+// Package statemachine is the state that the core's ordered log tells: the configuration in force, what was taken, who has which
 // seat, and which roll-outs there are. Every door folds it from the same entries, so that all come to the same. It is free of I/O.
-package script
+package statemachine
 
 import (
 	"bytes"
@@ -8,9 +8,9 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/company"
-	"clovergap/internal/playbill"
-	"clovergap/internal/understudy"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/rollout"
+	"clovergap/internal/gateway/routing"
 )
 
 // Kind is what an entry changes; its first byte in the log.
@@ -28,83 +28,83 @@
 
 // Script is the state.
 type Script struct {
-	Bills    *playbill.Register
-	Rollouts *understudy.State
-	seats    []company.Seated
+	Bills    *routing.Register
+	Rollouts *rollout.State
+	seats    []membership.Seated
 }
 
 // New is the state before the first entry.
-func New() *Script { return &Script{Bills: playbill.NewRegister(), Rollouts: understudy.NewState()} }
+func New() *Script { return &Script{Bills: routing.NewRegister(), Rollouts: rollout.NewState()} }
 
 // Entry words a change for the log.
 func Entry(k Kind, body []byte) []byte { return append([]byte{byte(k)}, body...) }
 
 // SeatEntry words a door's wish for a seat.
-func SeatEntry(d company.Seated) []byte {
+func SeatEntry(d membership.Seated) []byte {
 	var b bytes.Buffer
 	gob.NewEncoder(&b).Encode(d) // of texts alone: it can't fail
 	return Entry(Seat, b.Bytes())
 }
 
 // Seats is the order of seats.
-func (s *Script) Seats() []company.Seated { return s.seats }
+func (s *Script) Seats() []membership.Seated { return s.seats }
 
-func billKind(k Kind) (playbill.Kind, bool) {
+func billKind(k Kind) (routing.Kind, bool) {
 	switch k {
 	case Replace:
-		return playbill.Replace, true
+		return routing.Replace, true
 	case Amend:
-		return playbill.Amend, true
+		return routing.Amend, true
 	}
 	return 0, false
 }
 
 // Decide tells what would become of a change now.
-func (s *Script) Decide(k Kind, body []byte) (playbill.Verdict, error) {
+func (s *Script) Decide(k Kind, body []byte) (routing.Verdict, error) {
 	if k == Rollout {
 		return s.rollout(body, s.Rollouts.Decide)
 	}
 	kind, ok := billKind(k)
 	if !ok {
-		return playbill.Taken, nil
+		return routing.Taken, nil
 	}
 	return s.Bills.Decide(kind, body)
 }
 
 // Final is as Decide, and tells besides whether the verdict is the same in every later state: what a door that is behind may
 // answer by.
-func (s *Script) Final(k Kind, body []byte) (v playbill.Verdict, err error, final bool) {
+func (s *Script) Final(k Kind, body []byte) (v routing.Verdict, err error, final bool) {
 	if kind, ok := billKind(k); ok {
 		return s.Bills.Final(kind, body)
 	}
 	if k != Rollout {
-		return playbill.Taken, nil, false
+		return routing.Taken, nil, false
 	}
-	v, err = s.rollout(body, func(e *understudy.Entry) (playbill.Verdict, error) {
+	v, err = s.rollout(body, func(e *rollout.Entry) (routing.Verdict, error) {
 		if s.Rollouts.Known(e.Mark) {
-			return playbill.Already, nil
+			return routing.Already, nil
 		}
 		if err := e.Inspect(); err != nil {
-			return playbill.Invalid, err
+			return routing.Invalid, err
 		}
-		return playbill.Taken, nil
+		return routing.Taken, nil
 	})
-	return v, err, v != playbill.Taken
+	return v, err, v != routing.Taken
 }
 
 // rollout reads an entry on roll-outs and hands it on.
-func (s *Script) rollout(body []byte, to func(*understudy.Entry) (playbill.Verdict, error)) (playbill.Verdict, error) {
-	e, err := understudy.ReadEntry(body)
+func (s *Script) rollout(body []byte, to func(*rollout.Entry) (routing.Verdict, error)) (routing.Verdict, error) {
+	e, err := rollout.ReadEntry(body)
 	if err != nil {
-		return playbill.Invalid, err
+		return routing.Invalid, err
 	}
 	return to(e)
 }
 
 // Apply takes an entry. What it can't read changes nothing: an entry of a newer program must not stop an older one.
-func (s *Script) Apply(entry []byte) (playbill.Verdict, error) {
+func (s *Script) Apply(entry []byte) (routing.Verdict, error) {
 	if len(entry) == 0 {
-		return playbill.Invalid, errors.New("empty entry")
+		return routing.Invalid, errors.New("empty entry")
 	}
 	k, body := Kind(entry[0]), entry[1:]
 	if kind, ok := billKind(k); ok {
@@ -114,28 +114,28 @@
 		return s.rollout(body, s.Rollouts.Apply)
 	}
 	if k != Seat {
-		return playbill.Invalid, errors.Errorf("entry of unknown kind %q", k)
+		return routing.Invalid, errors.Errorf("entry of unknown kind %q", k)
 	}
-	var d company.Seated
+	var d membership.Seated
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&d); err != nil {
-		return playbill.Invalid, errors.Wrap(err, "seat")
+		return routing.Invalid, errors.Wrap(err, "seat")
 	}
 	for i, o := range s.seats {
 		if o.Addr == d.Addr {
 			s.seats[i] = d
-			return playbill.Already, nil
+			return routing.Already, nil
 		}
 	}
 	if len(s.seats) >= seatsMost {
-		return playbill.Invalid, errors.New("no seat is left")
+		return routing.Invalid, errors.New("no seat is left")
 	}
 	s.seats = append(s.seats, d)
-	return playbill.Taken, nil
+	return routing.Taken, nil
 }
 
 type kept struct {
 	Bills    []byte
-	Seats    []company.Seated
+	Seats    []membership.Seated
 	Rollouts []byte // not in snapshots of older programs
 }
 
@@ -152,11 +152,11 @@
 	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(&k); err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
-	bills, err := playbill.Restore(k.Bills)
+	bills, err := routing.Restore(k.Bills)
 	if err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
-	rollouts, err := understudy.Restore(k.Rollouts)
+	rollouts, err := rollout.Restore(k.Rollouts)
 	if err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
--- a/internal/script/script_test.go
+++ b/internal/gateway/statemachine/script_test.go
@@ -1,4 +1,4 @@
-package script
+package statemachine
 
 import (
 	"bytes"
@@ -9,9 +9,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/company"
-	"clovergap/internal/playbill"
-	"clovergap/internal/understudy"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/rollout"
+	"clovergap/internal/gateway/routing"
 )
 
 func bill(generation, parent int) []byte {
@@ -19,8 +19,8 @@
 "path_list":[{"name":"r","path_prefix":"/","variant":"pure","target":"s"}]}]}`, generation, parent)
 }
 
-func seat(name string) company.Seated {
-	return company.Seated{Name: name, Addr: name + ":1", Control: name + ":2", Zone: "z"}
+func seat(name string) membership.Seated {
+	return membership.Seated{Name: name, Addr: name + ":1", Control: name + ":2", Zone: "z"}
 }
 
 // log is a short life of a core, with all that an entry may be.
@@ -31,25 +31,25 @@
 		Entry(Replace, bill(3, 0)), SeatEntry(again), Entry('z', []byte("of a newer program")), nil, Entry(Seat, []byte("no seat")),
 		Entry(Amend, []byte(`{"generation":5,"parent_version":3,"upserts":{"services":[{"name":"t"}]}}`)),
 		Entry(Replace, []byte("{")), SeatEntry(seat("c")), Entry(Replace, bill(9, 5)),
-		rolloutEntry(understudy.Entry{Verb: understudy.Start, Mark: "m", Order: order}),
-		rolloutEntry(understudy.Entry{Verb: understudy.Start, Mark: "m", Order: order}),
-		rolloutEntry(understudy.Entry{Verb: understudy.Advance, Number: 1, Step: 2, Fence: 5}), Entry(Rollout, []byte("{")),
-		rolloutEntry(understudy.Entry{Verb: understudy.PullBack, Number: 1, Step: 1, Fence: 5, Why: "bad"})}
+		rolloutEntry(rollout.Entry{Verb: rollout.Start, Mark: "m", Order: order}),
+		rolloutEntry(rollout.Entry{Verb: rollout.Start, Mark: "m", Order: order}),
+		rolloutEntry(rollout.Entry{Verb: rollout.Advance, Number: 1, Step: 2, Fence: 5}), Entry(Rollout, []byte("{")),
+		rolloutEntry(rollout.Entry{Verb: rollout.PullBack, Number: 1, Step: 1, Fence: 5, Why: "bad"})}
 }
 
-var order = &understudy.Rollout{Service: "s", Old: "v1", New: "v2", Steps: []understudy.Step{{Share: 100,
-	MinTime: understudy.Span(time.Second)}}}
+var order = &rollout.Rollout{Service: "s", Old: "v1", New: "v2", Steps: []rollout.Step{{Share: 100,
+	MinTime: rollout.Span(time.Second)}}}
 
-func rolloutEntry(e understudy.Entry) []byte {
-	e.Service, e.Room = "s", understudy.Room{Old: 9, New: 9, Busy: 5}
+func rolloutEntry(e rollout.Entry) []byte {
+	e.Service, e.Room = "s", rollout.Room{Old: 9, New: 9, Busy: 5}
 	return Entry(Rollout, e.Word())
 }
 
 // Every entry has its verdict; seats are given in order, and a door that asks again keeps its own under its new name.
 func TestEntries(t *testing.T) {
 	s := New()
-	taken, already, conflict, invalid := playbill.Taken, playbill.Already, playbill.Conflict, playbill.Invalid
-	for i, want := range []playbill.Verdict{taken, taken, taken, conflict, already, already, invalid, invalid, invalid,
+	taken, already, conflict, invalid := routing.Taken, routing.Already, routing.Conflict, routing.Invalid
+	for i, want := range []routing.Verdict{taken, taken, taken, conflict, already, already, invalid, invalid, invalid,
 		taken, invalid, taken, taken, taken, already, conflict, invalid, taken} {
 		e, before := log()[i], s.Snapshot()
 		if len(e) > 0 && e[0] != byte(Seat) && e[0] != 'z' { // told before as it comes
@@ -65,10 +65,10 @@
 	}
 	b := seat("b")
 	b.Name = "b2"
-	must.Eq(t, []company.Seated{b, seat("a"), seat("c")}, s.Seats())
+	must.Eq(t, []membership.Seated{b, seat("a"), seat("c")}, s.Seats())
 	must.Eq(t, 9, s.Bills.Version())
 	must.Eq(t, bill(9, 5), s.Bills.Body()) // a roll-out changes nothing of it
-	must.Eq(t, understudy.Pulled, s.Rollouts.Run("s").Phase)
+	must.Eq(t, rollout.Pulled, s.Rollouts.Run("s").Phase)
 	for i := range seatsMost { // they are bounded
 		s.Apply(SeatEntry(seat(fmt.Sprint(i))))
 	}
@@ -94,19 +94,19 @@
 		must.Eq(t, whole.Snapshot(), s.Snapshot(), must.Sprint(i))
 		must.Eq(t, whole.Seats(), s.Seats())
 		v, _ := s.Decide(Replace, bill(3, 0)) // what was taken is known by its bytes
-		must.Eq(t, playbill.Already, v)
+		must.Eq(t, routing.Already, v)
 	}
 	var older bytes.Buffer // the snapshot of a program that knew no roll-outs
 	must.NoError(t, gob.NewEncoder(&older).Encode(struct {
 		Bills []byte
-		Seats []company.Seated
+		Seats []membership.Seated
 	}{whole.Bills.Snapshot(), whole.Seats()}))
 	s, err := Restore(older.Bytes())
 	must.NoError(t, err)
 	must.Eq(t, whole.Bills.Snapshot(), s.Bills.Snapshot())
 	must.False(t, s.Rollouts.Running())
-	v, _ := s.Apply(rolloutEntry(understudy.Entry{Verb: understudy.Start, Order: order}))
-	must.Eq(t, playbill.Taken, v)
+	v, _ := s.Apply(rolloutEntry(rollout.Entry{Verb: rollout.Start, Order: order}))
+	must.Eq(t, routing.Taken, v)
 	for _, bad := range [][]byte{nil, []byte("x"), snaps[3][:len(snaps[3])/2]} {
 		_, err := Restore(bad)
 		must.Error(t, err)
--- a/internal/wings/cut_test.go
+++ b/internal/gateway/transport/cut_test.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package wings
+package transport
 
 import (
 	"io"
--- a/internal/wings/wings.go
+++ b/internal/gateway/transport/wings.go
@@ -1,7 +1,7 @@
-// Package wings carries frames between the doors of a house: gob streams over TCP that stay open, so that types travel
+// Package transport carries frames between the doors of a house: gob streams over TCP that stay open, so that types travel
 // once. What is sent is lost when a link ends; whoever sends over it repeats what must arrive. Each door dials the
 // doors that it wants to tell something and only writes there; what others say comes on links that they dialed.
-package wings
+package transport
 
 import (
 	"bufio"
--- a/internal/wings/wings_test.go
+++ b/internal/gateway/transport/wings_test.go
@@ -1,4 +1,4 @@
-package wings
+package transport
 
 import (
 	"bytes"
--- a/internal/rehearsal/catchup_test.go
+++ b/internal/rehearsal/catchup_test.go
@@ -11,13 +11,13 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/internal/extras"
-	"clovergap/internal/playbill"
+	"clovergap/internal/gateway/routing"
 )
 
 // changer sends whoever leads one change after another, each made from the generation before.
 type changer struct {
 	w    *world
-	bill *playbill.Bill
+	bill *routing.Bill
 	gen  uint64
 	sent time.Duration
 }
@@ -62,8 +62,8 @@
 		c.w.operator.call(m, extras.ReplacePath, text, func(int, []byte) {})
 		return true
 	}
-	a := playbill.Amendment{Generation: c.gen, ParentVersion: parent, Upserts: &playbill.Upserts{
-		Tenants: []playbill.BillTenant{tenant(int(c.gen) % 50)}}}
+	a := routing.Amendment{Generation: c.gen, ParentVersion: parent, Upserts: &routing.Upserts{
+		Tenants: []routing.BillTenant{tenant(int(c.gen) % 50)}}}
 	text, err := json.Marshal(&a)
 	if err != nil {
 		panic(err)
@@ -72,8 +72,8 @@
 	return true
 }
 
-func tenant(i int) playbill.BillTenant {
-	return playbill.BillTenant{Name: fmt.Sprintf("t%06d", i), ApiKeys: []string{fmt.Sprintf("key-of-the-tenant-%06d", i)},
+func tenant(i int) routing.BillTenant {
+	return routing.BillTenant{Name: fmt.Sprintf("t%06d", i), ApiKeys: []string{fmt.Sprintf("key-of-the-tenant-%06d", i)},
 		Priority: 1, RatePerS: 5, Burst: 5}
 }
 
--- a/internal/rehearsal/clients.go
+++ b/internal/rehearsal/clients.go
@@ -8,8 +8,8 @@
 
 	"clovergap/control"
 	"clovergap/internal/extras"
-	"clovergap/internal/foyer"
 	"clovergap/internal/gate"
+	"clovergap/internal/gateway/ingress"
 	"clovergap/internal/history"
 	"clovergap/internal/slots"
 )
@@ -46,7 +46,7 @@
 	want   extras.Want
 	m      *machine
 	p      *process // that has it
-	adm    foyer.Admission
+	adm    ingress.Admission
 	tenant string // as the door tells backends
 	ref    slots.Ref
 	expiry time.Duration // on the door's clock
@@ -221,7 +221,7 @@
 	}
 }
 
-// ---- The front of a door: what internal/foyer does, without bytes.
+// ---- The front of a door: what internal/gateway/ingress does, without bytes.
 
 const soon = 300 * time.Millisecond
 
@@ -237,13 +237,13 @@
 	}
 	a, why := p.h.Admit([]byte(t.want.Host), []byte(t.want.Path), key)
 	switch why {
-	case foyer.NoRoute:
+	case ingress.NoRoute:
 		x.answered(t, 404, 0)
 		return
-	case foyer.NoKey:
+	case ingress.NoKey:
 		x.answered(t, 401, 0)
 		return
-	case foyer.UnknownYet:
+	case ingress.UnknownYet:
 		x.answered(t, 503, soon)
 		return
 	}
--- a/internal/rehearsal/day.go
+++ b/internal/rehearsal/day.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"clovergap/internal/extras"
+	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
-	"clovergap/internal/playbill"
 )
 
 // Result is what came of a day.
@@ -116,11 +116,11 @@
 	}
 	w.operator.goes, w.clients.open = false, false
 	w.until(w.now+extras.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
-	var final *playbill.Bill
+	var final *routing.Bill
 	for range 2 {
 		if final == nil {
 			read := false
-			w.operator.read(func(b *playbill.Bill) { final, read = b, true })
+			w.operator.read(func(b *routing.Bill) { final, read = b, true })
 			w.until(w.now+extras.ClearMost+time.Second, func() bool { return read })
 		}
 	}
--- a/internal/rehearsal/hard.go
+++ b/internal/rehearsal/hard.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"clovergap/internal/extras"
+	"clovergap/internal/gateway/node"
 	"clovergap/internal/history"
-	"clovergap/internal/house"
 	"clovergap/internal/spec"
 )
 
@@ -148,7 +148,7 @@
 }
 
 // copied lets a passed-on call or its reply come once more, seconds late, to whatever process stands at the address by then.
-func (w *world) copied(p *process, to *machine, f *house.Frame) {
+func (w *world) copied(p *process, to *machine, f *node.Frame) {
 	if f.Call == nil && f.Reply == nil || w.net.Float64() < 0.5 {
 		return
 	}
@@ -161,7 +161,7 @@
 		if to.p == nil || w.parts(from, to) {
 			return
 		}
-		q, f := to.p, new(house.Frame)
+		q, f := to.p, new(node.Frame)
 		if err := gob.NewDecoder(&b).Decode(f); err != nil {
 			panic(err)
 		}
--- a/internal/rehearsal/machine.go
+++ b/internal/rehearsal/machine.go
@@ -5,16 +5,16 @@
 	"net/netip"
 	"time"
 
-	"clovergap/internal/callsheet"
 	"clovergap/internal/counters"
 	"clovergap/internal/extras"
 	"clovergap/internal/gate"
+	"clovergap/internal/gateway/node"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/settings"
+	"clovergap/internal/gateway/transport"
 	"clovergap/internal/history"
-	"clovergap/internal/house"
 	"clovergap/internal/intake"
 	"clovergap/internal/link"
-	"clovergap/internal/prompter"
-	"clovergap/internal/wings"
 )
 
 // machine is one door's: it goes on while processes come and go.
@@ -23,7 +23,7 @@
 	nr              int
 	name, ip, zone  string
 	inner, control  string
-	sheet           *callsheet.Sheet
+	sheet           *settings.Sheet
 	disk            *platter // nil: none
 	life            int
 	p               *process // nil: none runs
@@ -47,7 +47,7 @@
 	born    time.Duration
 	seed    int64
 	id      uint64
-	h       *house.House
+	h       *node.House
 	g       *gate.Gate
 	count   *counters.Set
 	settled func()
@@ -80,7 +80,7 @@
 	if m.sheet.FirstBoot = m.life == 1; w.replaced > 0 {
 		m.sheet.SeedAddrs = w.seeds()
 	}
-	h, err := house.Over(m.sheet, p, w.logger(m.name))
+	h, err := node.Over(m.sheet, p, w.logger(m.name))
 	if err != nil {
 		panic(err)
 	}
@@ -253,18 +253,18 @@
 
 func (p *process) Counters() *counters.Set { return p.count }
 
-func (p *process) Links(wings.Host[house.Frame]) (house.Links, error) { return p, nil }
+func (p *process) Links(transport.Host[node.Frame]) (node.Links, error) { return p, nil }
 
-func (p *process) Disk() (house.Disk, prompter.Kept, error) {
+func (p *process) Disk() (node.Disk, replication.Kept, error) {
 	return &drive{p, p.m.disk}, p.m.disk.read(), nil
 }
 
-func (p *process) Path(h *house.House, g *gate.Gate) (house.Path, error) {
+func (p *process) Path(h *node.House, g *gate.Gate) (node.Path, error) {
 	p.h, p.g = h, g
 	p.ways = newWays(p)
 	p.hall = &hall{p: p, tries: map[uint32]*try{}}
 	p.mail = mail{p: p, seats: map[*machine]int{}}
-	return house.Path{Ways: p.ways, Mail: &p.mail, Front: p.hall}, nil
+	return node.Path{Ways: p.ways, Mail: &p.mail, Front: p.hall}, nil
 }
 
 // mail are a door's datagrams.
@@ -303,7 +303,7 @@
 type platter struct {
 	w       *world
 	rng     *rand.Rand
-	kept    prompter.Kept
+	kept    replication.Kept
 	noted   []byte
 	writing *write
 	slow    float64 // times as slow as it is
@@ -314,7 +314,7 @@
 
 type write struct {
 	p      *process
-	writes []prompter.Write
+	writes []replication.Write
 	note   []byte
 	done   func()
 }
@@ -322,18 +322,18 @@
 func newPlatter(w *world) *platter { return &platter{w: w, rng: w.disks, slow: 1} }
 
 // wipe takes all that is on it.
-func (d *platter) wipe() { d.kept, d.noted, d.writing = prompter.Kept{}, nil, nil }
+func (d *platter) wipe() { d.kept, d.noted, d.writing = replication.Kept{}, nil, nil }
 
 // read gives what it holds, with an id for an empty one.
-func (d *platter) read() prompter.Kept {
+func (d *platter) read() replication.Kept {
 	for d.kept.Me == 0 {
-		d.kept.Me = prompter.MemberID(d.rng.Uint64() >> 24)
+		d.kept.Me = replication.MemberID(d.rng.Uint64() >> 24)
 	}
 	if err := d.kept.Check(); err != nil {
 		panic("a disk does not hold together: " + err.Error())
 	}
 	k := d.kept
-	k.Entries = append([]prompter.Entry(nil), k.Entries...)
+	k.Entries = append([]replication.Entry(nil), k.Entries...)
 	return k
 }
 
@@ -362,7 +362,7 @@
 
 func (v *drive) Noted() []byte { return v.d.noted }
 
-func (v *drive) Write(writes []prompter.Write, note []byte, done func()) {
+func (v *drive) Write(writes []replication.Write, note []byte, done func()) {
 	x := &write{v.p, writes, note, done}
 	v.d.writing = x
 	v.d.w.happens(writes_(writes))
@@ -370,7 +370,7 @@
 }
 
 // writes_ is a moment only where something of the log is written.
-func writes_(all []prompter.Write) moment {
+func writes_(all []replication.Write) moment {
 	for _, a := range all {
 		if len(a.Entries) > 0 {
 			return writes
--- a/internal/rehearsal/meter.go
+++ b/internal/rehearsal/meter.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 
 	"clovergap/internal/extras"
-	"clovergap/internal/playbill"
+	"clovergap/internal/gateway/routing"
 )
 
 // Wide is how much a house carries beside the small house's own services, routes and tenants.
@@ -35,14 +35,14 @@
 func AccountKey(i int) string { return fmt.Sprintf("account-key-%06d", i) }
 
 // first is the configuration that the house begins with.
-func (x Wide) first() *playbill.Bill {
+func (x Wide) first() *routing.Bill {
 	b := extras.First()
 	for i := range x.Services {
 		s := b.Services[0]
 		s.Name = x.service(i)
 		b.Services = append(b.Services, s)
 	}
-	wide := playbill.BillHost{Hostname: "wide.example"}
+	wide := routing.BillHost{Hostname: "wide.example"}
 	for i := range x.Routes {
 		r := b.Vhosts[0].PathList[0]
 		r.Name, r.PathPrefix = fmt.Sprintf("route-%04d", i), fmt.Sprintf("/route-%04d/", i)
@@ -53,7 +53,7 @@
 		b.Vhosts = append(b.Vhosts, wide)
 	}
 	for i := range x.Tenants {
-		b.Tenants = append(b.Tenants, playbill.BillTenant{Name: fmt.Sprintf("account-%06d", i), ApiKeys: []string{AccountKey(i)},
+		b.Tenants = append(b.Tenants, routing.BillTenant{Name: fmt.Sprintf("account-%06d", i), ApiKeys: []string{AccountKey(i)},
 			Priority: 1, RatePerS: accountRate, Burst: accountBurst})
 	}
 	return b
--- a/internal/rehearsal/net.go
+++ b/internal/rehearsal/net.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/house"
-	"clovergap/internal/prompter"
+	"clovergap/internal/gateway/node"
+	"clovergap/internal/gateway/replication"
 )
 
-// As internal/wings and its kernel have it.
+// As internal/gateway/transport and its kernel have it.
 const (
 	dialLimit  = 600 * time.Millisecond
 	unheardFor = 2 * time.Second // bytes that nobody acknowledges end a link
@@ -139,12 +139,12 @@
 	}
 }
 
-func (p *process) Send(to string, f *house.Frame) bool {
+func (p *process) Send(to string, f *node.Frame) bool {
 	v := p.links[to]
 	if v == nil {
 		return false
 	}
-	if f.Core != nil && f.Core.Message.Kind == prompter.PreVote {
+	if f.Core != nil && f.Core.Message.Kind == replication.PreVote {
 		p.w.happens(asks)
 	}
 	if f.Call != nil {
@@ -220,7 +220,7 @@
 }
 
 // send writes a frame: gob as on a real link, whose types travel once.
-func (c *conn) send(f *house.Frame) {
+func (c *conn) send(f *node.Frame) {
 	p := c.v.p
 	c.out.Reset()
 	if err := c.enc.Encode(f); err != nil {
@@ -256,7 +256,7 @@
 			return
 		}
 		peer.turn(func() {
-			f := new(house.Frame)
+			f := new(node.Frame)
 			c.in.Write(b)
 			if err := c.dec.Decode(f); err != nil {
 				panic(err)
--- a/internal/rehearsal/operator.go
+++ b/internal/rehearsal/operator.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"clovergap/internal/extras"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/history"
-	"clovergap/internal/playbill"
-	"clovergap/internal/script"
 )
 
 // operator changes the configuration, sends the same bytes again until the answer is clear, and reads.
@@ -54,9 +54,9 @@
 			answered := func(status int, text []byte) { w.after(way, func() { end(status, text) }) }
 			switch path {
 			case extras.ReplacePath:
-				p.h.Change(script.Replace, body, answered)
+				p.h.Change(statemachine.Replace, body, answered)
 			case extras.AmendPath:
-				p.h.Change(script.Amend, body, answered)
+				p.h.Change(statemachine.Amend, body, answered)
 			default:
 				p.h.Newest(answered)
 			}
@@ -151,8 +151,8 @@
 }
 
 // readBack notes what was read; nil: nothing was.
-func (o *operator) readBack(began time.Duration, status int, text []byte) *playbill.Bill {
-	b := new(playbill.Bill)
+func (o *operator) readBack(began time.Duration, status int, text []byte) *routing.Bill {
+	b := new(routing.Bill)
 	if status != 200 || json.Unmarshal(text, b) != nil {
 		return nil
 	}
@@ -183,7 +183,7 @@
 // step makes one change, or two that race.
 func (o *operator) step(then func()) {
 	if o.unsure {
-		o.read(func(b *playbill.Bill) {
+		o.read(func(b *routing.Bill) {
 			if b == nil {
 				then()
 				return
@@ -215,7 +215,7 @@
 }
 
 // read asks for the newest configuration; nil if none came in time.
-func (o *operator) read(then func(*playbill.Bill)) {
+func (o *operator) read(then func(*routing.Bill)) {
 	began := o.w.now
 	o.ask("", nil, func(status int, text []byte, clear bool) {
 		then(o.readBack(began, status, text))
--- a/internal/rehearsal/parted.go
+++ b/internal/rehearsal/parted.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"clovergap/internal/extras"
-	"clovergap/internal/foyer"
+	"clovergap/internal/gateway/ingress"
+	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/history"
-	"clovergap/internal/script"
 	"clovergap/internal/spec"
 )
 
@@ -110,7 +110,7 @@
 	}
 	unclear := func(status int) bool { return status/100 == 5 }
 	p.turn(func() {
-		p.h.Change(script.Replace, ghost(), answered("an order", unclear))
+		p.h.Change(statemachine.Replace, ghost(), answered("an order", unclear))
 		p.h.Newest(answered("a read", unclear))
 		p.h.Leave(fmt.Sprint("ghost-", began), func(ok bool, _ string) {
 			if ok && w.now < ends && m.p == p {
@@ -120,7 +120,7 @@
 		if since > b.Stale() && p.h.Ready() {
 			bad("says that it is ready")
 		}
-		if _, no := p.h.Admit([]byte("nowhere.example"), []byte("/"), nil); since > b.Sure() && no == foyer.NoRoute {
+		if _, no := p.h.Admit([]byte("nowhere.example"), []byte("/"), nil); since > b.Sure() && no == ingress.NoRoute {
 			bad("denies for sure")
 		}
 	})
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/callboard"
 	"clovergap/internal/extras"
+	"clovergap/internal/gateway/registry"
 	"clovergap/internal/history"
 )
 
@@ -158,11 +158,11 @@
 	}
 	w.after(extras.BeatsMost, func() { end(false, "") })
 	b.seq++
-	phase := callboard.Ready
+	phase := registry.Ready
 	if b.draining {
-		phase = callboard.Draining
+		phase = registry.Draining
 	}
-	word := callboard.Word{ID: b.id, Service: b.service, Addr: b.addr, Zone: b.zone, Generation: "v1", Capacity: extras.SlotsEach,
+	word := registry.Word{ID: b.id, Service: b.service, Addr: b.addr, Zone: b.zone, Generation: "v1", Capacity: extras.SlotsEach,
 		Phase: phase, ColdLeft: max(0, b.cold-(w.now-b.from)), Seq: b.seq}
 	if w.apart(m, b.zone) || m.dark {
 		return
@@ -176,7 +176,7 @@
 		p.turn(func() {
 			w.doing = "beats"
 			answered := func(ok bool, target string) {
-				if ok && phase == callboard.Draining && !leaves {
+				if ok && phase == registry.Draining && !leaves {
 					w.teller = m
 					w.happens(drained)
 				}
--- a/internal/rehearsal/ways.go
+++ b/internal/rehearsal/ways.go
@@ -8,7 +8,7 @@
 	"clovergap/internal/slots"
 )
 
-// dialMost is how long a door waits for a connection to a backend, as internal/house has it.
+// dialMost is how long a door waits for a connection to a backend, as internal/gateway/node has it.
 const dialMost = 700 * time.Millisecond
 
 // ways are a door's ways to backends, as internal/dispatch and the foyer's dialect carry submissions: over connections that
--- a/internal/rehearsal/world.go
+++ b/internal/rehearsal/world.go
@@ -1,4 +1,4 @@
-// Package rehearsal plays the gateway in simulated time: every door is the whole of internal/house, the very code that runs on
+// Package rehearsal plays the gateway in simulated time: every door is the whole of internal/gateway/node, the very code that runs on
 // machines, over simulated clocks, links, datagrams, disks and ways to backends. Backends, clients and an operator are as the
 // protocol has them. One queue of due times and a few sources of chance, all from one seed, decide what happens: the same
 // day gives the same history to the byte. No goroutine, no wall clock and no order of a map has a say.
@@ -17,9 +17,9 @@
 
 	"github.com/phuslu/log"
 
-	"clovergap/internal/callsheet"
 	"clovergap/internal/due"
 	"clovergap/internal/extras"
+	"clovergap/internal/gateway/settings"
 	"clovergap/internal/history"
 	"clovergap/internal/spec"
 )
@@ -182,10 +182,10 @@
 		}
 	}
 	for _, m := range w.machines {
-		m.sheet = &callsheet.Sheet{NodeName: m.name, Role: "door", Serves: []string{"edge", "control"}, IP: m.ip, Zone: m.zone,
+		m.sheet = &settings.Sheet{NodeName: m.name, Role: "door", Serves: []string{"edge", "control"}, IP: m.ip, Zone: m.zone,
 			InnerPorts: [2]int{innerPort, innerPort + 15}, SeedAddrs: seeds, FirstBoot: true, CountsAsLoss: m.disk != nil,
-			Bind:         callsheet.Bind{Front: "front", Readiness: "ready", Control: m.control},
-			BeatInterval: d.Beat, Tolerates: callsheet.Tolerates{Machines: d.Tolerates()}, Bounds: extras.Bounds()}
+			Bind:         settings.Bind{Front: "front", Readiness: "ready", Control: m.control},
+			BeatInterval: d.Beat, Tolerates: settings.Tolerates{Machines: d.Tolerates()}, Bounds: extras.Bounds()}
 		if m.disk != nil {
 			m.sheet.DataDir = "disk"
 		}
--- a/internal/rig/rollout.go
+++ b/internal/rig/rollout.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"clovergap/internal/extras"
+	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/history"
 	"clovergap/internal/spec"
-	"clovergap/internal/understudy"
 )
 
 // Arm is what a roll-out's run is compared by.
@@ -85,13 +85,13 @@
 }
 
 // order is the roll-out that is started.
-func (s *RolloutSchedule) order() understudy.Rollout {
-	r := understudy.Rollout{Service: s.Play.Leading, Old: extras.FirstVersion, New: newVersion, Advance: s.Advance}
+func (s *RolloutSchedule) order() rollout.Rollout {
+	r := rollout.Rollout{Service: s.Play.Leading, Old: extras.FirstVersion, New: newVersion, Advance: s.Advance}
 	for _, share := range s.Steps {
-		r.Steps = append(r.Steps, understudy.Step{Share: share, MinTime: understudy.Span(s.Dwell), Requests: 10})
+		r.Steps = append(r.Steps, rollout.Step{Share: share, MinTime: rollout.Span(s.Dwell), Requests: 10})
 	}
 	if s.Arm == Unjudged { // backends that are full count, of which there are none, and ten times as slow
-		r.Failing = understudy.Failing{Causes: []string{"full"}, Extra: 5000, Quantile: 9900, Slower: 1000}
+		r.Failing = rollout.Failing{Causes: []string{"full"}, Extra: 5000, Quantile: 9900, Slower: 1000}
 	}
 	return r
 }
@@ -170,11 +170,11 @@
 	}
 	sleep(ctx, 3*time.Second) // all doors have heard of them
 	r.from = history.Now()
-	why := r.call(ctx, understudy.Start, 0)
+	why := r.call(ctx, rollout.Start, 0)
 	for until := time.Now().Add(orderMost); why != "" && strings.Contains(why, "room") && time.Now().Before(until); {
 		sleep(ctx, time.Second) // a machine that is held up has late beats: an operator would ask again
 		r.from = history.Now()
-		why = r.call(ctx, understudy.Start, 0)
+		why = r.call(ctx, rollout.Start, 0)
 	}
 	if why != "" {
 		return broken("not started: %s", why)
@@ -234,7 +234,7 @@
 			sleep(ctx, lookEvery)
 		}
 		sleep(ctx, afterwards)
-		if why := r.call(ctx, understudy.Advance, len(r.s.Steps)); why == "" {
+		if why := r.call(ctx, rollout.Advance, len(r.s.Steps)); why == "" {
 			bad = broken("went on to step %d after the pull-back", len(r.s.Steps))
 		}
 	}
@@ -251,12 +251,12 @@
 		if now.Step != at {
 			since, at = time.Now(), now.Step
 		}
-		if now.Step >= to || now.Phase != "" && now.Phase != string(understudy.Running) {
+		if now.Step >= to || now.Phase != "" && now.Phase != string(rollout.Running) {
 			return now.Step >= to
 		}
 		// An operator looks before the next word. Where nothing counts there is nothing to be seen.
 		if r.s.Advance == "word" && time.Since(since) > r.s.Dwell && now.Doubt < 1 {
-			r.call(ctx, understudy.Advance, now.Step+1) // refused if the newest is not known here: again then
+			r.call(ctx, rollout.Advance, now.Step+1) // refused if the newest is not known here: again then
 		}
 		sleep(ctx, lookEvery)
 	}
@@ -304,7 +304,7 @@
 }
 
 // call gives an order; empty if it is done, else why not.
-func (r *rolloutRun) call(ctx context.Context, verb understudy.Verb, step int) (why string) {
+func (r *rolloutRun) call(ctx context.Context, verb rollout.Verb, step int) (why string) {
 	now := r.newest()
 	status, text, clear := r.t.Operator.Rollout(ctx, verb, r.s.order(), now, step)
 	if clear && status == 200 {
--- a/internal/stagedoor/doc.go
+++ /dev/null
@@ -1,4 +0,0 @@
-// Package stagedoor takes the control calls of backends, operators and the platform.
-package stagedoor
-
-//go:generate go run github.com/oapi-codegen/oapi-codegen/v2/cmd/oapi-codegen@v2.8.2 -config ../../api/stagedoor.yaml ../../api/control.yaml
