--- a/cmd/clovergap/main.go
+++ b/cmd/clovergap/main.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
-	"clovergap/internal/check"
 	"clovergap/internal/config"
 	"clovergap/internal/operator"
+	"clovergap/internal/proxy/invariant"
 )
 
 // version is set by the build where it knows better.
@@ -103,7 +103,7 @@
 
 func tellVersion() {
 	build := "release"
-	if check.Debug {
+	if invariant.Debug {
 		build = "debug"
 	}
 	goes := ""
--- a/cmd/clovergap/past.go
+++ b/cmd/clovergap/past.go
@@ -7,10 +7,10 @@
 
 	"clovergap/control"
 	"clovergap/internal/discovery"
-	"clovergap/internal/gate"
 	"clovergap/internal/history"
 	"clovergap/internal/operator"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
 )
 
 // past writes this front door's history, where the operator file names a file for it. A nil one writes nothing.
--- a/cmd/clovergap/serve.go
+++ b/cmd/clovergap/serve.go
@@ -17,21 +17,21 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
-	"clovergap/internal/check"
 	"clovergap/internal/config"
-	"clovergap/internal/counters"
 	"clovergap/internal/discovery"
-	"clovergap/internal/dispatch"
-	"clovergap/internal/gate"
 	"clovergap/internal/history"
-	"clovergap/internal/http1"
-	"clovergap/internal/intake"
 	"clovergap/internal/leasing"
-	"clovergap/internal/link"
 	"clovergap/internal/logs"
 	"clovergap/internal/operator"
-	"clovergap/internal/peers"
 	"clovergap/internal/points"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/downstream"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/proxy/peers"
+	"clovergap/internal/proxy/upstream"
 )
 
 // Life of a front door that is told to end: clients still come for a while, then connections close between
@@ -46,10 +46,10 @@
 
 // front is one front door with its stages.
 type front struct {
-	e        *link.Engine
+	e        *eventloop.Engine
 	gate     *gate.Gate
-	intake   *intake.Intake
-	dispatch *dispatch.Dispatch
+	intake   *downstream.Intake
+	dispatch *upstream.Dispatch
 	peers    *peers.Peers
 	watch    *discovery.Watch // of the list that counts
 	next     *discovery.Watch // at the address that a new configuration names, until it answers
@@ -61,8 +61,8 @@
 
 // clock gives the gate the engine's time; the module's next due time is an entry among all others.
 type clock struct {
-	*link.Engine
-	due link.Alarm
+	*eventloop.Engine
+	due eventloop.Alarm
 }
 
 func (c *clock) Wake(at time.Duration, nr uint32) { c.At(at, c.due, nr) }
@@ -135,7 +135,7 @@
 
 // build puts the stages together and starts them.
 func build(c *config.Config, log *zap.Logger, past *past, o operator.Leases) (*front, error) {
-	f := &front{conf: c, log: log, past: past, e: link.New(c.Listen, c.Sockets, http1.MostRaw, c.MemoryMB<<20/ringShare)}
+	f := &front{conf: c, log: log, past: past, e: eventloop.New(c.Listen, c.Sockets, http1.MostRaw, c.MemoryMB<<20/ringShare)}
 	door, err := control.New(c.Seed, c.Settings, f.e.Now())
 	if err != nil {
 		return nil, err
@@ -148,10 +148,10 @@
 	f.gate = gate.New(door, k, min(c.MostHeld, c.Sockets), f.e.Count, log)
 	k.due = f.gate
 	clients := max(1, f.e.Room()/clientShare)
-	f.dispatch = dispatch.New(f.e, f.gate, dispatch.Terms{Dialect: dispatch.NewReports(c.Fields), Idle: c.ConnIdle,
+	f.dispatch = upstream.New(f.e, f.gate, upstream.Terms{Dialect: upstream.NewReports(c.Fields), Idle: c.ConnIdle,
 		Dial: c.DialLimit}, func() bool { return f.intake.Evict() })
-	f.intake = intake.New(f.e, clients, intake.Bounds{}, func() bool { return f.dispatch.Evict(nil) })
-	intake.NewTxns(f.intake, f.gate, c)
+	f.intake = downstream.New(f.e, clients, downstream.Bounds{}, func() bool { return f.dispatch.Evict(nil) })
+	downstream.NewTxns(f.intake, f.gate, c)
 	var tell gate.Teller = quiet{}
 	if len(c.Peers) > 0 {
 		if f.peers, err = peers.New(f.e, c.PeerListen, c.Peers, c.Me, f.heard); err != nil {
@@ -200,7 +200,7 @@
 		f.watch.Start()
 	})
 	past.add(history.Event{Kind: history.Up})
-	log.Info("serves", zap.String("listen", c.Listen), zap.Bool("debug", check.Debug))
+	log.Info("serves", zap.String("listen", c.Listen), zap.Bool("debug", invariant.Debug))
 	return f, nil
 }
 
@@ -315,7 +315,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	f.e.Turn(func() {
-		f.log.Info(title, zap.Uint64("allocations", m.Mallocs), zap.String("counters", f.e.Count.Text()), zap.Uint64("must holds broken", check.Broken()),
+		f.log.Info(title, zap.Uint64("allocations", m.Mallocs), zap.String("counters", f.e.Count.Text()), zap.Uint64("must holds broken", invariant.Broken()),
 			zap.Int("txns held", f.gate.Held()), zap.Int("clients", f.intake.Clients()),
 			zap.Int("connections", f.e.Open()), zap.Int("backends", f.dispatch.Backends()))
 	})
--- a/cmd/clovergap/serve_test.go
+++ b/cmd/clovergap/serve_test.go
@@ -18,8 +18,8 @@
 	"go.uber.org/zap"
 
 	"clovergap/internal/config"
-	"clovergap/internal/counters"
 	"clovergap/internal/operator"
+	"clovergap/internal/proxy/counters"
 	"clovergap/internal/standin"
 )
 
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -14,10 +14,10 @@
 	"github.com/alexflint/go-arg"
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/check"
 	"clovergap/internal/gateway/node"
 	"clovergap/internal/gateway/settings"
 	"clovergap/internal/points"
+	"clovergap/internal/proxy/invariant"
 )
 
 // version is set by the build where it knows better.
@@ -54,7 +54,7 @@
 
 func built() string {
 	build := "release"
-	if check.Debug {
+	if invariant.Debug {
 		build = "debug"
 	}
 	return "playhouse " + version + " " + build
--- a/cmd/lab/rehearse.go
+++ b/cmd/lab/rehearse.go
@@ -14,9 +14,9 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"clovergap/internal/check"
 	"clovergap/internal/history"
 	"clovergap/internal/lab"
+	"clovergap/internal/proxy/invariant"
 	"clovergap/internal/rehearsal"
 	"clovergap/internal/rig"
 	"clovergap/internal/spec"
@@ -137,7 +137,7 @@
 		"all served again %.1f s after the faults at the latest\n", float64(k.counts.Asked)/n,
 		100*float64(k.counts.Served)/float64(max(1, k.counts.Asked)), 100*float64(k.counts.InTime)/float64(max(1, k.counts.Asked)),
 		float64(k.counts.Refused)/n, float64(k.counts.Voided)/n, float64(k.counts.Failed)/n, float64(k.taken)/n, k.slowest.Seconds())
-	if n := check.Broken(); n > 0 {
+	if n := invariant.Broken(); n > 0 {
 		fmt.Printf("%d must holds did not hold\n", n)
 	}
 	if k.broken > 0 {
--- a/control/books.go
+++ b/control/books.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 // The quota's types and bookkeeping. What is decided is in quota.go, the form of the messages in peer.go.
@@ -176,8 +176,8 @@
 // NewQuota starts the part of gateway me of so many. The seed makes its epoch: no two lives should have the
 // same. Limits are told by SetLimit; each customer's owner is hashed over all gateways.
 func NewQuota(seed int64, me GatewayID, gateways int, now time.Duration, t QuotaTerms) *Quota {
-	check.That(me >= 0 && int(me) < gateways, "a gateway is one of those there are")
-	check.That(t.Gap > 0 && t.ViewLife > 0 && t.MailPerS > 0, "terms of a quota are set")
+	invariant.That(me >= 0 && int(me) < gateways, "a gateway is one of those there are")
+	invariant.That(t.Gap > 0 && t.ViewLife > 0 && t.MailPerS > 0, "terms of a quota are set")
 	q := newQuota(rand.New(rand.NewSource(seed)).Uint32()|1, me, gateways, now, t)
 	q.tells, q.tick = true, now
 	return q
@@ -205,7 +205,7 @@
 // 1<<34. A lower burst cuts the level, a higher one fills at the rate. With a rate of nought or below it is
 // not metered.
 func (q *Quota) SetLimit(c CustomerID, rate, burst float64) {
-	check.That(q.ofPlan == nil && c <= 1<<34, "a limit is of a customer that messages can name")
+	invariant.That(q.ofPlan == nil && c <= 1<<34, "a limit is of a customer that messages can name")
 	a := q.accounts[c]
 	if rate <= 0 {
 		if a != nil {
@@ -273,7 +273,7 @@
 // not learn of the new one, because it is cut off, goes on beside it; so gateways should be added when all
 // are in touch.
 func (q *Quota) Grow(me GatewayID, gateways int) {
-	check.That(gateways >= q.gateways && int(me) < gateways, "gateways get more")
+	invariant.That(gateways >= q.gateways && int(me) < gateways, "gateways get more")
 	was := q.me
 	if me == was && gateways == q.gateways {
 		return
--- a/control/types.go
+++ b/control/types.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"clovergap/internal/due"
+	"clovergap/internal/proxy/timerqueue"
 )
 
 // Each kind of id is a type of its own.
@@ -287,7 +287,7 @@
 	coldFrom, fallTimes float64
 
 	txns       map[TxnID]*txn
-	due        due.Queue[TxnID]
+	due        timerqueue.Queue[TxnID]
 	todo       []*txn
 	line       []*txn // waiting for units, a view, a slot or a backend
 	recheck    bool
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -6,9 +6,9 @@
 
 	"go.uber.org/zap"
 
-	"clovergap/internal/counters"
-	"clovergap/internal/http1"
-	"clovergap/internal/link"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/http1"
 )
 
 // overdue is the share of a watch's wait that is added until its silence counts as a lost watch, and all that a call
@@ -24,13 +24,13 @@
 
 // Watch asks discovery without end: for the whole list first, then for what has changed since.
 type Watch struct {
-	e      *link.Engine
+	e      *eventloop.Engine
 	addr   string
 	wait   time.Duration // for something new
 	halls  []string
 	listed func(List)
 	log    *zap.Logger
-	l      *link.Link
+	l      *eventloop.Link
 	r      http1.Reader
 	rev    uint64
 	known  bool   // a list has come since the start
@@ -39,7 +39,7 @@
 }
 
 // NewWatch makes one; listed is told of each answer.
-func NewWatch(e *link.Engine, addr string, wait time.Duration, halls []string, listed func(List),
+func NewWatch(e *eventloop.Engine, addr string, wait time.Duration, halls []string, listed func(List),
 	log *zap.Logger) *Watch {
 	return &Watch{e: e, addr: addr, wait: wait, halls: halls, listed: listed, log: log, r: http1.Responses()}
 }
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/slots"
 )
 
 // customer is one account with its set of front doors.
--- a/internal/emulator/counted.go
+++ b/internal/emulator/counted.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/gate"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
 	"clovergap/internal/tally"
 )
 
--- a/internal/emulator/door.go
+++ b/internal/emulator/door.go
@@ -7,9 +7,9 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
-	"clovergap/internal/counters"
-	"clovergap/internal/gate"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
 )
 
 // decider is what decides at a front door: the gate with the module behind it, or a mark to compare with.
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 
 	"clovergap/control"
-	"clovergap/internal/gate"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
 	"clovergap/internal/spec"
 )
 
--- a/internal/emulator/policies.go
+++ b/internal/emulator/policies.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/gate"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
 )
 
 // Two marks stand beside the module. The seeing one knows every bucket, every backend's load and every fault at
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -6,7 +6,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"clovergap/internal/counters"
+	"clovergap/internal/proxy/counters"
 	"clovergap/internal/spec"
 )
 
--- a/internal/gateway/admission/boxoffice.go
+++ b/internal/gateway/admission/boxoffice.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/check"
-	"clovergap/internal/due"
 	"clovergap/internal/gateway/balancer"
+	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/proxy/timerqueue"
 )
 
 const ms = time.Millisecond
@@ -158,7 +158,7 @@
 	places   int
 	byID     map[control.BackendID]*house
 	txns     map[control.TxnID]*txn
-	due      due.Queue[look]
+	due      timerqueue.Queue[look]
 	todo     []*txn
 	asking   []*txn // waiting for units
 	askAgain bool
@@ -604,7 +604,7 @@
 	o.turn(h)
 	may := !t.ended && !t.out && !(t.ran && t.call.Effectful) && t.tries < t.call.MaxTries &&
 		!slices.Contains(t.tried, to) && t.mayGo()
-	check.That(may, "what is sent may be sent")
+	invariant.That(may, "what is sent may be sent")
 	if !may || !o.fits(t) {
 		o.end(t, LackTime, o.advice(h))
 		return
--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/control"
-	"clovergap/internal/due"
+	"clovergap/internal/proxy/timerqueue"
 )
 
 // job is a request at a backend; or, in the queue of the fair, any event.
@@ -38,7 +38,7 @@
 	rng                                                           *rand.Rand
 	offices                                                       []*Office
 	servers                                                       []*server
-	events                                                        due.Queue[job]
+	events                                                        timerqueue.Queue[job]
 	call                                                          Call
 	mean                                                          time.Duration
 	rate                                                          []float64 // a second, by office
--- a/internal/gateway/balancer/casting.go
+++ b/internal/gateway/balancer/casting.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 const ms = time.Millisecond
@@ -447,7 +447,7 @@
 // Sent: a request went to a backend.
 func (c *Cast) Sent(now time.Duration, id control.BackendID, w Want) {
 	b := c.all[id]
-	check.That(b != nil && b.State == control.Ready, "only a ready backend gets a request")
+	invariant.That(b != nil && b.State == control.Ready, "only a ready backend gets a request")
 	if b == nil {
 		return
 	}
@@ -482,7 +482,7 @@
 // Ended takes the one end of a request that was sent.
 func (c *Cast) Ended(now time.Duration, id control.BackendID, e End) {
 	b := c.all[id]
-	check.That(b != nil && b.out > 0, "what ends at a backend was sent there")
+	invariant.That(b != nil && b.out > 0, "what ends at a backend was sent there")
 	if b == nil || b.out == 0 {
 		return
 	}
--- a/internal/gateway/controlapi/rollouts.go
+++ b/internal/gateway/controlapi/rollouts.go
@@ -8,10 +8,10 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/answer"
-	"clovergap/internal/counters"
 	"clovergap/internal/gateway/rollout"
-	"clovergap/internal/intake"
+	"clovergap/internal/proxy/answer"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/downstream"
 )
 
 // Rollouts is the part of a House that the calls on roll-outs need.
@@ -32,7 +32,7 @@
 	"PullBack": rollout.PullBack, "Finish": rollout.Finish}
 
 // rollout takes a call on roll-outs.
-func (f *Form) rollout(c *intake.Client, method, call string, body []byte) {
+func (f *Form) rollout(c *downstream.Client, method, call string, body []byte) {
 	name, text, _ := strings.Cut(call, "/")
 	verb, changes := rolloutVerbs[name]
 	service, err := url.PathUnescape(text)
--- a/internal/gateway/controlapi/stagedoor.go
+++ b/internal/gateway/controlapi/stagedoor.go
@@ -9,13 +9,13 @@
 	"github.com/go-faster/errors"
 	"github.com/go-playground/validator/v10"
 
-	"clovergap/internal/answer"
-	"clovergap/internal/counters"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
-	"clovergap/internal/intake"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/answer"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/downstream"
+	"clovergap/internal/proxy/slots"
 )
 
 // House is what stands behind the calls. Every then is called once, in a turn, sooner or later.
@@ -56,18 +56,18 @@
 
 // Form answers the calls of backends and operators, and the platform's question whether this door is ready.
 type Form struct {
-	in    *intake.Intake
+	in    *downstream.Intake
 	house House
 }
 
 // New makes one; in is the connections that it answers on.
-func New(in *intake.Intake, h House) *Form { return &Form{in, h} }
+func New(in *downstream.Intake, h House) *Form { return &Form{in, h} }
 
 // Left is never told: calls go on when their caller has left.
 func (f *Form) Left(slots.Ref) {}
 
 // Take takes a whole call.
-func (f *Form) Take(c *intake.Client) {
+func (f *Form) Take(c *downstream.Client) {
 	r, b := c.Request()
 	path, _, _ := strings.Cut(string(r.Target(b)), "?")
 	method := string(r.Method(b))
@@ -117,13 +117,13 @@
 	}
 }
 
-func (f *Form) hold(c *intake.Client) intake.Ticket {
+func (f *Form) hold(c *downstream.Client) downstream.Ticket {
 	t := c.Ticket()
 	c.Hold(0, "")
 	return t
 }
 
-func (f *Form) ready(c *intake.Client) {
+func (f *Form) ready(c *downstream.Client) {
 	status := 503
 	if f.house.Ready() {
 		status = 200
@@ -132,7 +132,7 @@
 }
 
 // end answers a call that was held. What is no configuration is worded as a refusal.
-func (f *Form) end(t intake.Ticket, status int, body []byte) {
+func (f *Form) end(t downstream.Ticket, status int, body []byte) {
 	if status != 200 {
 		body, _ = json.Marshal(Refusal{Error: kindOf(status), Detail: string(body)})
 	}
@@ -166,7 +166,7 @@
 }
 
 // beat takes what a backend says of itself.
-func (f *Form) beat(c *intake.Client, id string, body []byte) {
+func (f *Form) beat(c *downstream.Client, id string, body []byte) {
 	w, err := readBeat(id, body)
 	if err != nil {
 		c.Reject(400, counters.BadRequest, err.Error())
@@ -203,7 +203,7 @@
 }
 
 // acknowledge answers a backend's call.
-func (f *Form) acknowledge(t intake.Ticket, ok bool, target string) {
+func (f *Form) acknowledge(t downstream.Ticket, ok bool, target string) {
 	if !ok {
 		f.end(t, 503, []byte("too few doors have heard it"))
 		return
--- a/internal/gateway/controlapi/stagedoor_test.go
+++ b/internal/gateway/controlapi/stagedoor_test.go
@@ -13,12 +13,12 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/counters"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/statemachine"
-	"clovergap/internal/intake"
-	"clovergap/internal/link"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/downstream"
+	"clovergap/internal/proxy/eventloop"
 )
 
 // patience bounds every wait of these tests; none of them depends on how long anything takes within it.
@@ -84,13 +84,13 @@
 // stage is the form on sockets, before a house.
 type stage struct {
 	t *testing.T
-	e *link.Engine
+	e *eventloop.Engine
 	h *house
 }
 
 func open(t *testing.T) *stage {
-	st := &stage{t, link.New("", 1024, 256<<10, 16<<20), &house{}}
-	in := intake.New(st.e, 100, intake.Bounds{Body: 64 << 10}, func() bool { return false })
+	st := &stage{t, eventloop.New("", 1024, 256<<10, 16<<20), &house{}}
+	in := downstream.New(st.e, 100, downstream.Bounds{Body: 64 << 10}, func() bool { return false })
 	in.Serves(New(in, st.h))
 	must.NoError(t, st.e.Listen("127.0.0.1:0", in.Accept))
 	must.NoError(t, st.e.Start())
--- a/internal/gateway/ingress/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/dispatch"
-	"clovergap/internal/http1"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/upstream"
 )
 
 // idleShare and idleLess are what of a backend's word on idle connections is used: what is written to one
@@ -25,15 +25,15 @@
 func (*Dialect) Wary() bool { return true }
 
 // Read tells what an answer means. Only X-Not-Run and 421 prove that the request never ran.
-func (d *Dialect) Read(x dispatch.Carried, r *http1.Reader, b []byte) dispatch.Verdict {
+func (d *Dialect) Read(x upstream.Carried, r *http1.Reader, b []byte) upstream.Verdict {
 	id, many := r.Get(b, "x-attempt-id")
 	if len(id) == 0 || many {
-		return dispatch.Verdict{Ending: control.Broken} // no backend's answer
+		return upstream.Verdict{Ending: control.Broken} // no backend's answer
 	}
 	if string(id) != x.ID {
-		return dispatch.Verdict{Other: true}
+		return upstream.Verdict{Other: true}
 	}
-	v := dispatch.Verdict{Ending: control.Errored}
+	v := upstream.Verdict{Ending: control.Errored}
 	notRun, _ := r.Get(b, "x-not-run")
 	switch s := r.Status(); {
 	case s == 421:
--- a/internal/gateway/ingress/flow.go
+++ b/internal/gateway/ingress/flow.go
@@ -1,9 +1,9 @@
 package ingress
 
 import (
-	"clovergap/internal/gate"
-	"clovergap/internal/intake"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/downstream"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
 )
 
 // Bodies beyond Buffer pass through as they come: a part at a time, and no more than the other side takes.
@@ -16,7 +16,7 @@
 const mark = "00000000\r\n"
 
 // More: more of a request's body has come, or its client is ready for more of the answer.
-func (f *Foyer) More(c *intake.Client) {
+func (f *Foyer) More(c *downstream.Client) {
 	if txn := c.Txn(); txn != 0 {
 		f.gate.More(txn)
 	}
--- a/internal/gateway/ingress/flow_test.go
+++ b/internal/gateway/ingress/flow_test.go
@@ -16,7 +16,7 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/control"
-	"clovergap/internal/counters"
+	"clovergap/internal/proxy/counters"
 )
 
 // long is a body that no door holds, different at each place.
--- a/internal/gateway/ingress/foyer.go
+++ b/internal/gateway/ingress/foyer.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/answer"
-	"clovergap/internal/counters"
-	"clovergap/internal/dispatch"
-	"clovergap/internal/gate"
-	"clovergap/internal/http1"
-	"clovergap/internal/intake"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/answer"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/downstream"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/slots"
+	"clovergap/internal/proxy/upstream"
 )
 
 // Admission is what the configuration says of a request.
@@ -57,7 +57,7 @@
 
 // Foyer is the form of the gateway's requests, and the gate's front for them.
 type Foyer struct {
-	in    *intake.Intake
+	in    *downstream.Intake
 	clock Clock
 	gate  Gate
 	house Lookups
@@ -77,11 +77,11 @@
 
 // Gate takes requests, and hears of clients that leave and of what has come or gone of a long body.
 type Gate interface {
-	intake.Gate
+	downstream.Gate
 	More(txn slots.Ref)
 }
 
-func visitOf(c *intake.Client) *visit {
+func visitOf(c *downstream.Client) *visit {
 	if c == nil {
 		return nil
 	}
@@ -109,13 +109,13 @@
 )
 
 // Terms gives what submissions go by.
-func Terms(house Lookups, dial time.Duration) dispatch.Terms {
-	return dispatch.Terms{Dialect: NewDialect(house), Idle: idleUsual, Dial: dial, Head: answerHead, Body: answerBody,
+func Terms(house Lookups, dial time.Duration) upstream.Terms {
+	return upstream.Terms{Dialect: NewDialect(house), Idle: idleUsual, Dial: dial, Head: answerHead, Body: answerBody,
 		Buffer: Buffer}
 }
 
 // New makes the form for an intake.
-func New(in *intake.Intake, clock Clock, g Gate, house Lookups) *Foyer {
+func New(in *downstream.Intake, clock Clock, g Gate, house Lookups) *Foyer {
 	f := &Foyer{in: in, clock: clock, gate: g, house: house}
 	in.Serves(f)
 	return f
@@ -129,13 +129,13 @@
 }
 
 // Bounds gives an intake's bounds that follow from such limits.
-func Bounds(l Limits) intake.Bounds {
-	return intake.Bounds{Head: l.Head, Body: l.Body, Buffer: Buffer, HeadIn: l.HeadIn, WholeIn: wholeTimes * l.HeadIn,
+func Bounds(l Limits) downstream.Bounds {
+	return downstream.Bounds{Head: l.Head, Body: l.Body, Buffer: Buffer, HeadIn: l.HeadIn, WholeIn: wholeTimes * l.HeadIn,
 		ReadIn: readIn, Idle: l.Idle}
 }
 
 // Take admits a request, or refuses it right here.
-func (f *Foyer) Take(c *intake.Client) {
+func (f *Foyer) Take(c *downstream.Client) {
 	r, b := c.Request()
 	// Bytes behind a message that no message begins with show that its length was wrong.
 	if rest := c.Rest(); len(rest) > 0 && !http1.MayStart(rest) {
@@ -254,7 +254,7 @@
 }
 
 // refuse answers without a body what goes no further.
-func (f *Foyer) refuse(c *intake.Client, id []byte, status int, why counters.ID, after time.Duration) {
+func (f *Foyer) refuse(c *downstream.Client, id []byte, status int, why counters.ID, after time.Duration) {
 	f.in.Count(why)
 	c.Answer(func(b []byte, last bool) []byte { return answer.Refuse(b, status, "X-Attempt-Id", id, after, last) })
 }
--- a/internal/gateway/ingress/foyer_test.go
+++ b/internal/gateway/ingress/foyer_test.go
@@ -13,12 +13,12 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
-	"clovergap/internal/counters"
-	"clovergap/internal/dispatch"
-	"clovergap/internal/gate"
-	"clovergap/internal/intake"
-	"clovergap/internal/link"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/downstream"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
+	"clovergap/internal/proxy/upstream"
 	"clovergap/internal/standin"
 )
 
@@ -70,8 +70,8 @@
 }
 
 type clock struct {
-	*link.Engine
-	due link.Alarm
+	*eventloop.Engine
+	due eventloop.Alarm
 }
 
 func (c *clock) Wake(at time.Duration, nr uint32) { c.At(at, c.due, nr) }
@@ -102,9 +102,9 @@
 // stage is a door's data path between a client and a backend that answers as told.
 type stage struct {
 	t     *testing.T
-	e     *link.Engine
-	in    *intake.Intake
-	d     *dispatch.Dispatch
+	e     *eventloop.Engine
+	in    *downstream.Intake
+	d     *upstream.Dispatch
 	g     *gate.Gate
 	usher *usher
 	house *house
@@ -112,13 +112,13 @@
 }
 
 func open(t *testing.T) *stage {
-	st := &stage{t: t, e: link.New("", 1024, 512<<10, 64<<20), house: &house{},
+	st := &stage{t: t, e: eventloop.New("", 1024, 512<<10, 64<<20), house: &house{},
 		usher: &usher{expiry: map[control.TxnID]time.Duration{}}}
 	k := &clock{Engine: st.e}
 	st.g = gate.New(st.usher, k, 1000, st.e.Count, zap.NewNop())
 	k.due = st.g
-	st.d = dispatch.New(st.e, st.g, Terms(st.house, time.Second), func() bool { return false })
-	st.in = intake.New(st.e, 500, Bounds(Limits{16 << 10, 4 << 20, 5 * time.Second, 15 * time.Second}),
+	st.d = upstream.New(st.e, st.g, Terms(st.house, time.Second), func() bool { return false })
+	st.in = downstream.New(st.e, 500, Bounds(Limits{16 << 10, 4 << 20, 5 * time.Second, 15 * time.Second}),
 		func() bool { return false })
 	f := New(st.in, st.e, st.g, st.house)
 	must.True(t, f != nil)
@@ -350,11 +350,11 @@
 
 // A form that answers later finds the one that asked, and nobody else.
 type later struct {
-	in      *intake.Intake
-	tickets chan intake.Ticket
+	in      *downstream.Intake
+	tickets chan downstream.Ticket
 }
 
-func (f *later) Take(c *intake.Client) {
+func (f *later) Take(c *downstream.Client) {
 	t := c.Ticket()
 	c.Hold(0, "")
 	f.tickets <- t
@@ -362,11 +362,11 @@
 func (f *later) Left(slots.Ref) {}
 
 func TestLateAnswers(t *testing.T) {
-	e := link.New("", 256, 64<<10, 16<<20)
-	in := intake.New(e, 10, intake.Bounds{Body: 4 << 20}, func() bool { return false })
-	f := &later{in, make(chan intake.Ticket, 10)}
+	e := eventloop.New("", 256, 64<<10, 16<<20)
+	in := downstream.New(e, 10, downstream.Bounds{Body: 4 << 20}, func() bool { return false })
+	f := &later{in, make(chan downstream.Ticket, 10)}
 	in.Serves(f)
-	must.NoError(t, e.Listen("127.0.0.1:0", (*link.Link).CloseSoon))
+	must.NoError(t, e.Listen("127.0.0.1:0", (*eventloop.Link).CloseSoon))
 	must.NoError(t, e.Listen("127.0.0.1:0", in.Accept))
 	must.NoError(t, e.Start())
 	defer e.Stop()
@@ -376,7 +376,7 @@
 		c.SetDeadline(time.Now().Add(patience))
 		return &client{t, c, bufio.NewReader(c)}
 	}
-	say := func(k intake.Ticket, status int) (ok bool) {
+	say := func(k downstream.Ticket, status int) (ok bool) {
 		e.Turn(func() {
 			ok = in.Answer(k, func(b []byte, _ bool) []byte {
 				return fmt.Appendf(b, "HTTP/1.1 %d A\r\nContent-Length: 0\r\n\r\n", status)
--- a/internal/gateway/ingress/words.go
+++ b/internal/gateway/ingress/words.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/http1"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/slots"
 )
 
 // hop tells whether a header concerns one connection only, or is written anew here.
--- a/internal/gateway/logentry/props.go
+++ b/internal/gateway/logentry/props.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/errors"
 	"github.com/go-playground/validator/v10"
 
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 // Span is a time that JSON writes as the gateway's other calls do: a number with its unit, ms or s.
@@ -54,7 +54,7 @@
 func Pack(v any) []byte {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(v); err != nil {
-		check.That(false, "it can be written")
+		invariant.That(false, "it can be written")
 	}
 	return b.Bytes()
 }
--- a/internal/gateway/logentry/window.go
+++ b/internal/gateway/logentry/window.go
@@ -6,7 +6,7 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 // Digest stands for a request's bytes. 128 bits: that any two of 2^32 meet by chance takes 2^63 systems.
@@ -62,7 +62,7 @@
 
 // Add notes that a request was carried out; its number is above all before it.
 func (w *Window) Add(nr uint64, d Digest) {
-	check.That(nr > w.newest(), "numbers of what was carried out rise")
+	invariant.That(nr > w.newest(), "numbers of what was carried out rise")
 	w.size += sizeOf(nr - w.newest())
 	w.done, w.known[d] = append(w.done, carried{nr, d}), struct{}{}
 	for w.size > w.most {
@@ -111,6 +111,6 @@
 
 // Forgets says that a number and all below it may have been forgotten, as who took over from a program that did not say.
 func (w *Window) Forgets(nr uint64) {
-	check.That(len(w.done) == 0 && w.horizon == 0, "it is said at the start")
+	invariant.That(len(w.done) == 0 && w.horizon == 0, "it is said at the start")
 	w.horizon = nr
 }
--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -8,19 +8,19 @@
 	"github.com/go-faster/errors"
 
 	"clovergap/control"
-	"clovergap/internal/counters"
-	"clovergap/internal/dispatch"
-	"clovergap/internal/gate"
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/ingress"
 	"clovergap/internal/gateway/logstore"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/transport"
-	"clovergap/internal/intake"
-	"clovergap/internal/link"
-	"clovergap/internal/peers"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/downstream"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/peers"
+	"clovergap/internal/proxy/slots"
+	"clovergap/internal/proxy/upstream"
 )
 
 // Base is what a door stands on. New gives it sockets, a clock and a disk; a rehearsal gives it simulated ones. No part of a
@@ -41,7 +41,7 @@
 // Turns is a door's time. Whatever happens takes its turn; at the end of each the parts are pulled.
 type Turns interface {
 	Now() time.Duration
-	At(at time.Duration, to link.Alarm, ref uint32)
+	At(at time.Duration, to eventloop.Alarm, ref uint32)
 	Turn(func())
 	Settled(func())
 }
@@ -82,7 +82,7 @@
 
 // Front is where clients come in.
 type Front interface {
-	Bound(intake.Bounds)
+	Bound(downstream.Bounds)
 	Clients() int
 	Drain()  // connections close between requests
 	Deafen() // and none is taken
@@ -92,7 +92,7 @@
 
 // sockets are the real base.
 type sockets struct {
-	*link.Engine
+	*eventloop.Engine
 	h        *House
 	seed     int64
 	life     uint64
@@ -100,14 +100,14 @@
 	wings    *transport.Wings[Frame]
 	disk     *disk
 	peers    *peers.Peers
-	dispatch *dispatch.Dispatch
-	front    *intake.Intake
-	callers  *intake.Intake
-	askers   *intake.Intake // the platform, asking whether this door is ready
+	dispatch *upstream.Dispatch
+	front    *downstream.Intake
+	callers  *downstream.Intake
+	askers   *downstream.Intake // the platform, asking whether this door is ready
 }
 
 func newSockets(fds, memory int) *sockets {
-	s := &sockets{Engine: link.New("", fds-200, ringBound, memory<<20/ringShare), fds: fds,
+	s := &sockets{Engine: eventloop.New("", fds-200, ringBound, memory<<20/ringShare), fds: fds,
 		seed: int64(rand.Uint64() >> 1), life: rand.Uint64()}
 	s.Engine.Silence(silence)
 	return s
@@ -179,14 +179,14 @@
 }
 
 func (s *sockets) Path(h *House, g *gate.Gate) (p Path, err error) {
-	s.dispatch = dispatch.New(s.Engine, &usher{g, h}, ingress.Terms(h, dialLimit), func() bool { return s.front.Evict() })
+	s.dispatch = upstream.New(s.Engine, &usher{g, h}, ingress.Terms(h, dialLimit), func() bool { return s.front.Evict() })
 	bounds := ingress.Bounds(ingress.Limits{Head: routing.DefaultMostHeader, Body: routing.DefaultMostBody,
 		HeadIn: routing.DefaultHeaderTimeout, Idle: routing.DefaultIdleTimeout})
-	s.front = intake.New(s.Engine, max(1, (s.fds-200)/clientShare), bounds, func() bool { return s.dispatch.Evict(nil) })
+	s.front = downstream.New(s.Engine, max(1, (s.fds-200)/clientShare), bounds, func() bool { return s.dispatch.Evict(nil) })
 	form := ingress.New(s.front, s.Engine, g, h)
-	s.callers = intake.New(s.Engine, callersMost, intake.Bounds{Body: controlBound}, func() bool { return s.front.Evict() })
+	s.callers = downstream.New(s.Engine, callersMost, downstream.Bounds{Body: controlBound}, func() bool { return s.front.Evict() })
 	s.callers.Serves(controlapi.New(s.callers, h))
-	s.askers = intake.New(s.Engine, 64, intake.Bounds{}, func() bool { return s.front.Evict() })
+	s.askers = downstream.New(s.Engine, 64, downstream.Bounds{}, func() bool { return s.front.Evict() })
 	s.askers.Serves(controlapi.New(s.askers, h))
 	mail := h.mailAt(h.inner)
 	if s.peers, err = peers.New(s.Engine, mail.String(), []netip.AddrPort{mail}, 0, h.Mailed); err != nil {
@@ -199,7 +199,7 @@
 	})
 	for _, l := range []struct {
 		addr string
-		to   func(*link.Link)
+		to   func(*eventloop.Link)
 	}{{h.sheet.Bind.Front, s.front.Accept}, {h.sheet.Bind.Readiness, s.askers.Accept}, {h.sheet.Bind.Control, s.callers.Accept}} {
 		if l.addr != "" {
 			if err := s.Listen(l.addr, l.to); err != nil {
@@ -212,9 +212,9 @@
 
 // entrance is where clients come in, all of the door's listening with it.
 type entrance struct {
-	*intake.Intake
+	*downstream.Intake
 	form *ingress.Foyer
-	e    *link.Engine
+	e    *eventloop.Engine
 }
 
 func (e entrance) User(who, txn slots.Ref) ([]byte, string) { return e.form.User(who, txn) }
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -5,13 +5,13 @@
 	"encoding/gob"
 	"time"
 
-	"clovergap/internal/check"
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
+	"clovergap/internal/proxy/invariant"
 )
 
 const (
@@ -234,7 +234,7 @@
 	default:
 		v := c.last
 		if v.index != o.Index || !bytes.Equal(v.entry, w.entry) {
-			check.That(false, "a proposal ends by its own entry")
+			invariant.That(false, "a proposal ends by its own entry")
 			v = verdict{verdict: routing.Unclear}
 		}
 		w.then(answerOf(v.verdict, v.err))
--- a/internal/gateway/node/house.go
+++ b/internal/gateway/node/house.go
@@ -13,8 +13,6 @@
 	"github.com/phuslu/log"
 
 	"clovergap/control"
-	"clovergap/internal/counters"
-	"clovergap/internal/gate"
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
@@ -22,7 +20,9 @@
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/settings"
 	"clovergap/internal/gateway/statemachine"
-	"clovergap/internal/link"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/gate"
 )
 
 // Shares and bounds of a door.
@@ -193,7 +193,7 @@
 // clock gives the gate the engine's time; the module's next due time is an entry among all others.
 type clock struct {
 	Turns
-	due link.Alarm
+	due eventloop.Alarm
 }
 
 func (c *clock) Wake(at time.Duration, nr uint32) { c.At(at, c.due, nr) }
--- a/internal/gateway/node/leave.go
+++ b/internal/gateway/node/leave.go
@@ -4,8 +4,8 @@
 	"runtime"
 	"time"
 
-	"clovergap/internal/check"
 	"clovergap/internal/gateway/settings"
+	"clovergap/internal/proxy/invariant"
 )
 
 // Life of a door that is told to end: it says that it is not ready, and goes on taking clients until the platform has
@@ -95,6 +95,6 @@
 	runtime.ReadMemStats(&m)
 	h.e.Turn(func() {
 		h.say(doorPart, "counters: %s; heap %d KB of %d, held %d, clients %d, must holds broken %d", h.count.Text(),
-			m.HeapAlloc>>10, m.Sys>>10, h.gate.Held(), h.front.Clients(), check.Broken())
+			m.HeapAlloc>>10, m.Sys>>10, h.gate.Held(), h.front.Clients(), invariant.Broken())
 	})
 }
--- a/internal/gateway/node/orders.go
+++ b/internal/gateway/node/orders.go
@@ -7,11 +7,11 @@
 	"math/rand/v2"
 	"time"
 
-	"clovergap/internal/check"
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
+	"clovergap/internal/proxy/invariant"
 )
 
 // Rollout brings an operator's order to whoever leads, as a change of the configuration goes. What is wrong in itself, or
@@ -95,7 +95,7 @@
 // text words an answer.
 func text(v any) []byte {
 	b, err := json.Marshal(v)
-	check.That(err == nil, "an answer can be worded")
+	invariant.That(err == nil, "an answer can be worded")
 	return b
 }
 
--- a/internal/gateway/node/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/gate"
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/membership"
@@ -18,7 +17,8 @@
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
 )
 
 // Roll-outs: the understudy decides, this file carries for it. A version that is not the main one is a service of its own to the
--- a/internal/gateway/outlier/door.go
+++ b/internal/gateway/outlier/door.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 const (
@@ -552,7 +552,7 @@
 		return a.compare(b.Key)
 	})
 	short := max(0, d.state.Settings().floor(len(h.lives))-(len(h.lives)-len(out)))
-	check.That(short <= len(out), "a floor is not above all")
+	invariant.That(short <= len(out), "a floor is not above all")
 	kept := map[LifeID]bool{}
 	for _, c := range out[:short] {
 		kept[c.ID] = true
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -6,10 +6,10 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/check"
 	"clovergap/internal/gateway/logentry"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/routing"
+	"clovergap/internal/proxy/invariant"
 )
 
 // Verb is what an entry does.
@@ -324,7 +324,7 @@
 	case Set:
 		s.kept.Settings, s.SetRev = *e.Settings, s.Rev
 		err := s.kept.Settings.Check()
-		check.That(err == nil, "settings that were taken are sound")
+		invariant.That(err == nil, "settings that were taken are sound")
 	case Forget:
 		s.kept.Cases = slices.DeleteFunc(s.kept.Cases, func(c Case) bool { return slices.Contains(e.Gone, c.ID) })
 	case Convict:
--- a/internal/gateway/registry/board.go
+++ b/internal/gateway/registry/board.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 // Seat is a door's number, the same at every door and in every life of it.
@@ -219,7 +219,7 @@
 
 // New makes an empty board; beats fill it. Until Doors is told, no end of a backend is acknowledged.
 func New(me Seat, terms Terms, now time.Duration) *Board {
-	check.That(me >= 0, "a board has a seat")
+	invariant.That(me >= 0, "a board has a seat")
 	return &Board{me: me, terms: terms, now: now, calm: now, next: now + tick, woken: never, feeder: None, askAt: never,
 		all: map[string]*entry{}, byAddr: map[string][]*entry{}, peers: map[Seat]*peer{}}
 }
--- a/internal/gateway/replication/lead.go
+++ b/internal/gateway/replication/lead.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 // lead begins the new view.
@@ -231,7 +231,7 @@
 		p.answerReads()
 		return
 	}
-	check.That(m.Index <= p.last(), "nobody has more than the leader")
+	invariant.That(m.Index <= p.last(), "nobody has more than the leader")
 	was := w.match
 	w.match = max(w.match, m.Index)
 	w.next = max(w.next, w.match+1)
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 // fault is a defect that tests put in, to see that the explorer finds it.
@@ -97,7 +97,7 @@
 
 // put puts an entry behind the last.
 func (p *Prompter) appendEntry(e Entry) {
-	check.That(e.Index == p.last()+1, "entries follow one another")
+	invariant.That(e.Index == p.last()+1, "entries follow one another")
 	p.log = append(p.log, e)
 	if e.Kind == ConfigChange {
 		p.configs = append(p.configs, config{e.Index, e.Members})
@@ -106,7 +106,7 @@
 
 // trim takes away all entries from an index on.
 func (p *Prompter) truncate(from uint64) {
-	check.That(from > p.committed, "what was delivered stays")
+	invariant.That(from > p.committed, "what was delivered stays")
 	p.log = slices.Clone(p.log[:from-p.snap.Index-1])
 	for p.configs[len(p.configs)-1].index >= from {
 		p.configs = p.configs[:len(p.configs)-1]
@@ -126,7 +126,7 @@
 // take makes the log that of a newer one, given the entries after an index that both have.
 func (p *Prompter) merge(prev uint64, entries []Entry) {
 	for i, e := range entries {
-		check.That(e.Index == prev+1+uint64(i), "entries follow one another")
+		invariant.That(e.Index == prev+1+uint64(i), "entries follow one another")
 		if e.Index != prev+1+uint64(i) {
 			return
 		}
@@ -169,7 +169,7 @@
 
 // deliver hands over all up to an index.
 func (p *Prompter) commitUpTo(upto uint64) {
-	check.That(upto <= p.last(), "only what is had is delivered")
+	invariant.That(upto <= p.last(), "only what is had is delivered")
 	for p.committed < min(upto, p.last()) {
 		p.committed++
 		e := p.log[p.committed-p.snap.Index-1]
--- a/internal/gateway/replication/prompter.go
+++ b/internal/gateway/replication/prompter.go
@@ -26,7 +26,7 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 // MemberID names a member's disk: drawn at random for each empty disk, never 0. One that was lost never
@@ -391,7 +391,7 @@
 
 // New makes a member from what its disk held. The times are the host's, from any start on.
 func New(me Member, k Kept, terms Terms, seed int64, now time.Duration) *Prompter {
-	check.That(me.ID != 0 && me.ID == k.Me, "a disk keeps its member's id")
+	invariant.That(me.ID != 0 && me.ID == k.Me, "a disk keeps its member's id")
 	p := &Prompter{me: me, terms: terms, now: now, seed: uint64(seed) ^ uint64(me.ID), house: k.House,
 		promise: k.Promise, promisedTo: k.For, snap: k.Snap, nr: 1, heardAt: now - terms.Patience, due: never, seen: k.Promise,
 		tokens: map[uint64]uint64{}, lost: map[MemberID]time.Duration{}, known: known{at: noWord}}
@@ -558,7 +558,7 @@
 
 // Synced tells that the write nr and all before it are on disk.
 func (p *Prompter) Synced(nr uint64) {
-	check.That(nr < p.nr, "what is synced was written")
+	invariant.That(nr < p.nr, "what is synced was written")
 	p.done = max(p.done, nr)
 	for len(p.writes) > 0 && p.writes[0].nr <= nr {
 		p.synced = max(p.synced, p.writes[0].upto)
@@ -577,7 +577,7 @@
 
 // Compact puts the host's state after an index that was committed in the place of the log up to there.
 func (p *Prompter) Compact(index uint64, state []byte) {
-	check.That(index <= p.committed, "only what was delivered goes into a snapshot")
+	invariant.That(index <= p.committed, "only what was delivered goes into a snapshot")
 	if index <= p.snap.Index || index > p.committed {
 		return
 	}
--- a/internal/gateway/replication/view.go
+++ b/internal/gateway/replication/view.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 // Heard takes a message from a member, or from one who may become one.
@@ -92,7 +92,7 @@
 
 // forget makes it as an empty disk: what is written next says what it holds.
 func (p *Prompter) forget() {
-	check.That(len(p.log) == 0 && p.role != leading, "only a founding is laid aside")
+	invariant.That(len(p.log) == 0 && p.role != leading, "only a founding is laid aside")
 	p.house, p.promise, p.promisedTo, p.seen, p.held = 0, 0, 0, 0, false
 	p.snap, p.configs, p.committed = Snapshot{}, []config{{}}, 0
 	p.unsync(0)
@@ -123,7 +123,7 @@
 
 // rise goes on to a newer view, or to another leader than the promised one in the same.
 func (p *Prompter) enterView(view uint64, to MemberID) {
-	check.That(view >= p.promise, "views rise")
+	invariant.That(view >= p.promise, "views rise")
 	if p.role == leading {
 		p.stepDown()
 	}
@@ -268,7 +268,7 @@
 	if m.View > p.promise || p.promisedTo != from && p.fault != takeOld {
 		p.enterView(m.View, from)
 	}
-	check.That(p.role != leading, "a view has one leader")
+	invariant.That(p.role != leading, "a view has one leader")
 	p.role, p.leader, p.heardAt, p.begun, p.failedViews = following, from, p.now, true, 0
 	p.round = max(p.round, m.Round)
 	if p.leaderClock == 0 || int32(m.Clock-p.leaderClock) > 0 {
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -6,9 +6,9 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/check"
 	"clovergap/internal/gateway/logentry"
 	"clovergap/internal/gateway/routing"
+	"clovergap/internal/proxy/invariant"
 )
 
 // Verb is what an entry does.
@@ -271,7 +271,7 @@
 		s.Last++
 		r := Run{Number: s.Last, Order: *e.Order, Room: e.Room, Phase: Running, Step: 1}
 		must := r.Order.Check()
-		check.That(must == nil, "an order that was taken is sound")
+		invariant.That(must == nil, "an order that was taken is sound")
 		if had {
 			s.kept.Ended = logentry.Keep(append(s.kept.Ended, s.kept.Runs[i]), endedMost)
 			s.kept.Runs[i] = r
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -7,8 +7,8 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/check"
 	"clovergap/internal/gateway/logentry"
+	"clovergap/internal/proxy/invariant"
 )
 
 // Kind tells the two calls that change the configuration.
@@ -95,7 +95,7 @@
 	if o.verdict != Taken {
 		return o.verdict, o.err
 	}
-	check.That(o.bill.Generation > r.version, "versions of the configuration go up")
+	invariant.That(o.bill.Generation > r.version, "versions of the configuration go up")
 	r.version, r.body, r.bill = o.bill.Generation, o.body, o.bill
 	r.taken.Add(r.version, d)
 	r.outcome = nil
@@ -165,7 +165,7 @@
 		if err != nil {
 			return outcome{verdict: Invalid, err: fault("", "what results can't be read: %s", err)}
 		}
-		check.That(bill.Generation == generation, "what results has the change's generation")
+		invariant.That(bill.Generation == generation, "what results has the change's generation")
 	}
 	if err := inspect(bill); err != nil {
 		return outcome{verdict: Invalid, err: err, final: k == Replace}
--- a/internal/gateway/routing/table.go
+++ b/internal/gateway/routing/table.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 // What holds where a configuration leaves it out or gives 0. The limits are those of PROTOCOL.md's example.
@@ -171,7 +171,7 @@
 		r.Targets = []Target{{b.Target, 1}}
 	}
 	key, err := json.Marshal(r) // it has no key yet
-	check.That(err == nil, "a route has a key")
+	invariant.That(err == nil, "a route has a key")
 	r.Key = RouteKey(key)
 	return r
 }
--- a/internal/lease/check/fleet.go
+++ b/internal/lease/check/fleet.go
@@ -6,9 +6,9 @@
 	"sort"
 	"time"
 
-	"clovergap/internal/due"
 	"clovergap/internal/lease"
 	"clovergap/internal/links"
+	"clovergap/internal/proxy/timerqueue"
 	"clovergap/internal/spec"
 )
 
@@ -63,7 +63,7 @@
 	b     Big
 	rng   *rand.Rand
 	now   time.Duration
-	q     due.Queue[func()]
+	q     timerqueue.Queue[func()]
 	doors []*door
 	links *links.Set
 	wants map[int][]lease.Task // by front door
--- a/internal/leasing/leasing.go
+++ b/internal/leasing/leasing.go
@@ -11,13 +11,13 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
-	"clovergap/internal/counters"
 	"clovergap/internal/history"
 	"clovergap/internal/lease"
 	"clovergap/internal/ledger"
-	"clovergap/internal/link"
 	"clovergap/internal/operator"
 	"clovergap/internal/points"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/eventloop"
 )
 
 // The tasks.
@@ -31,7 +31,7 @@
 
 // Host is the front door's part in the leases.
 type Host struct {
-	e     *link.Engine
+	e     *eventloop.Engine
 	conf  operator.Leases
 	core  *lease.Core
 	me    lease.Node
@@ -51,7 +51,7 @@
 }
 
 // New makes one. The life is of this process; tell sends a frame.
-func New(e *link.Engine, o operator.Leases, me, members int, life uint32, name, hall string, tell func(control.GatewayID, []byte),
+func New(e *eventloop.Engine, o operator.Leases, me, members int, life uint32, name, hall string, tell func(control.GatewayID, []byte),
 	log *zap.Logger, past func(history.Event)) (*Host, error) {
 	length, longest, margin, retry, _ := o.Spans()
 	c := lease.Config{Me: lease.Node(me), Life: life, Voters: o.Voters, Length: length, Longest: longest, Drift: o.Drift, Margin: margin, Retry: retry,
--- a/internal/leasing/socket.go
+++ b/internal/leasing/socket.go
@@ -12,12 +12,12 @@
 	"syscall"
 	"time"
 
-	"clovergap/internal/link"
+	"clovergap/internal/proxy/eventloop"
 )
 
 // Serve answers clovergap leases and clovergap turn over a Unix socket that only its own user may open. One that a
 // process before left behind is taken away, if nobody answers there.
-func Serve(e *link.Engine, h *Host, path string) (*http.Server, error) {
+func Serve(e *eventloop.Engine, h *Host, path string) (*http.Server, error) {
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		c.Close()
 		return nil, fmt.Errorf("leases.socket: %s: another process answers there", path)
--- a/internal/answer/answer.go
+++ b/internal/proxy/answer/answer.go
@@ -4,7 +4,7 @@
 import (
 	"time"
 
-	"clovergap/internal/http1"
+	"clovergap/internal/proxy/http1"
 )
 
 // Settle passes a backend's body on, unchanged.
--- a/internal/intake/flow.go
+++ b/internal/proxy/downstream/flow.go
@@ -1,8 +1,8 @@
-package intake
+package downstream
 
 import (
-	"clovergap/internal/http1"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/slots"
 )
 
 // begins takes a message in parts that won't be held whole, once its head is there.
--- a/internal/intake/intake.go
+++ b/internal/proxy/downstream/intake.go
@@ -1,15 +1,15 @@
-// Package intake takes callers' connections, reads their messages and writes the answers. What a message
+// Package downstream takes callers' connections, reads their messages and writes the answers. What a message
 // means is its Form's affair: clients' txns, calls of control.
-package intake
+package downstream
 
 import (
 	"time"
 
-	"clovergap/internal/answer"
-	"clovergap/internal/counters"
-	"clovergap/internal/http1"
-	"clovergap/internal/link"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/answer"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/slots"
 )
 
 // Form is what messages mean. All its methods are called in a turn.
@@ -85,7 +85,7 @@
 
 // Intake is one side of a door that is called: its connections.
 type Intake struct {
-	e        *link.Engine
+	e        *eventloop.Engine
 	form     Form
 	streams  Streamer // the form, if it is one
 	clients  *slots.Table[Client]
@@ -99,7 +99,7 @@
 
 // New makes one that holds at most so many clients. makeRoom gives back a descriptor that another stage does
 // not need.
-func New(e *link.Engine, most int, b Bounds, makeRoom func() bool) *Intake {
+func New(e *eventloop.Engine, most int, b Bounds, makeRoom func() bool) *Intake {
 	in := &Intake{e: e, clients: slots.New[Client](most), open: map[string]slots.Ref{}, bounds: b.filled(), most: most,
 		makeRoom: makeRoom}
 	e.At(e.Now()+sweepEvery, in, 0)
@@ -117,7 +117,7 @@
 func (in *Intake) Bound(b Bounds) { in.bounds = b.filled() }
 
 // Accept takes a new connection. When as many as may be are open, one that does nothing goes.
-func (in *Intake) Accept(l *link.Link) {
+func (in *Intake) Accept(l *eventloop.Link) {
 	in.e.Count.Add(counters.ClientsOpened)
 	if in.clients.Held() >= in.most && !in.Evict() || in.e.Room() < 0 && !in.Evict() && !in.makeRoom() {
 		l.CloseSoon()
@@ -182,7 +182,7 @@
 	Note    any // the form's own, for as long as the connection lasts
 	in      *Intake
 	me      slots.Ref
-	l       *link.Link
+	l       *eventloop.Link
 	r       http1.Reader
 	txn     slots.Ref // 0: none is held
 	busy    bool
--- a/internal/intake/intake_test.go
+++ b/internal/proxy/downstream/intake_test.go
@@ -1,4 +1,4 @@
-package intake
+package downstream
 
 import (
 	"bufio"
@@ -9,9 +9,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/answer"
-	"clovergap/internal/link"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/answer"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/slots"
 )
 
 // greeter answers all that comes.
@@ -32,7 +32,7 @@
 	defer func() { unforgiving = false }()
 	for _, fault := range []bool{false, true} {
 		unforgiving = fault
-		e := link.New("127.0.0.1:0", 256, 64<<10, 1<<20)
+		e := eventloop.New("127.0.0.1:0", 256, 64<<10, 1<<20)
 		in := New(e, 10, Bounds{}, func() bool { return false })
 		in.Serves(greeter{})
 		begun := make(chan bool, 1)
--- a/internal/intake/txn.go
+++ b/internal/proxy/downstream/txn.go
@@ -1,4 +1,4 @@
-package intake
+package downstream
 
 import (
 	"bytes"
@@ -6,12 +6,12 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/answer"
 	"clovergap/internal/config"
-	"clovergap/internal/counters"
-	"clovergap/internal/gate"
-	"clovergap/internal/http1"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/answer"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/slots"
 )
 
 // Gate takes txns and hears of clients that leave.
--- a/internal/link/dial.go
+++ b/internal/proxy/eventloop/dial.go
@@ -1,4 +1,4 @@
-package link
+package eventloop
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/lesismal/nbio"
 	"golang.org/x/sys/unix"
 
-	"clovergap/internal/counters"
+	"clovergap/internal/proxy/counters"
 )
 
 // dialer opens connections for the poller. The poller's own asynchronous dial can't be used: it takes the
--- a/internal/link/engine.go
+++ b/internal/proxy/eventloop/engine.go
@@ -1,6 +1,6 @@
-// Package link puts the poller's connections behind rings and gives the front door its one owner at a time:
+// Package eventloop puts the poller's connections behind rings and gives the front door its one owner at a time:
 // whatever happens (bytes, a dial, a due time, a signal) takes its turn under one lock.
-package link
+package eventloop
 
 import (
 	"net"
@@ -11,9 +11,9 @@
 
 	"github.com/lesismal/nbio"
 
-	"clovergap/internal/check"
-	"clovergap/internal/counters"
-	"clovergap/internal/due"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/proxy/timerqueue"
 )
 
 // Alarm is told when a due time of its own has come, if it is still of interest by then.
@@ -34,7 +34,7 @@
 	ears    []*ear // in the order of listening
 	born    time.Time
 	now     time.Duration
-	dues    due.Queue[alarm]
+	dues    timerqueue.Queue[alarm]
 	timer   int           // its descriptor
 	armed   time.Duration // 0: not
 	settled func()        // end of each turn: decisions are pulled
@@ -144,7 +144,7 @@
 func (e *Engine) turn(polled bool, f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	check.That(!e.inTurn, "one owner at a time")
+	invariant.That(!e.inTurn, "one owner at a time")
 	e.inTurn, e.polled = true, polled
 	e.Count.Add(counters.Turns)
 	e.tick()
--- a/internal/link/link.go
+++ b/internal/proxy/eventloop/link.go
@@ -1,4 +1,4 @@
-package link
+package eventloop
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"github.com/lesismal/nbio"
 	"golang.org/x/sys/unix"
 
-	"clovergap/internal/check"
-	"clovergap/internal/ring"
+	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/proxy/ringbuffer"
 )
 
 var noContext = context.Background()
@@ -36,8 +36,8 @@
 	e     *Engine
 	c     *nbio.Conn
 	owner Owner
-	In    ring.Ring
-	out   ring.Ring
+	In    ringbuffer.Ring
+	out   ringbuffer.Ring
 
 	handed  atomic.Int64 // bytes given to the poller
 	written atomic.Int64 // of these, written to the socket
@@ -66,7 +66,7 @@
 )
 
 func (e *Engine) newLink() *Link {
-	return &Link{e: e, In: ring.New(leastRing, e.bound, &e.spare), out: ring.New(leastRing, 2*e.bound, nil)}
+	return &Link{e: e, In: ringbuffer.New(leastRing, e.bound, &e.spare), out: ringbuffer.New(leastRing, 2*e.bound, nil)}
 }
 
 // Bound changes how many bytes wait on it at the most: so many of what comes in, twice as many of what goes
@@ -471,7 +471,7 @@
 func (e *Engine) gone(c *nbio.Conn, _ error) {
 	go e.Turn(func() { // apart: the poller would swallow a panic here
 		e.open--
-		check.That(e.open >= 0, "no more connections close than were opened")
+		invariant.That(e.open >= 0, "no more connections close than were opened")
 		l, _ := c.Session().(*Link)
 		if l == nil {
 			return
--- a/internal/link/numbers.go
+++ b/internal/proxy/eventloop/numbers.go
@@ -1,4 +1,4 @@
-package link
+package eventloop
 
 import (
 	"net"
--- a/internal/link/watch.go
+++ b/internal/proxy/eventloop/watch.go
@@ -1,4 +1,4 @@
-package link
+package eventloop
 
 import (
 	"net"
@@ -8,7 +8,7 @@
 	"github.com/lesismal/nbio"
 	"golang.org/x/sys/unix"
 
-	"clovergap/internal/check"
+	"clovergap/internal/proxy/invariant"
 )
 
 // watched is a descriptor that is no connection, yet hangs on the poller: datagrams and the timer. Waiting for
@@ -65,5 +65,5 @@
 func (e *Engine) setTimer(in time.Duration) {
 	spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(max(in, 1)))}
 	err := unix.TimerfdSettime(e.timer, 0, &spec, nil)
-	check.That(err == nil, "the timer can be set")
+	invariant.That(err == nil, "the timer can be set")
 }
--- a/internal/gate/gate.go
+++ b/internal/proxy/gate/gate.go
@@ -8,11 +8,11 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
-	"clovergap/internal/check"
-	"clovergap/internal/counters"
-	"clovergap/internal/http1"
 	"clovergap/internal/points"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/proxy/slots"
 )
 
 // Module is what decides: inputs only update what it knows, and Next gives what is to be done now, one by
@@ -301,7 +301,7 @@
 // Ended takes the one outcome of a submission.
 func (g *Gate) Ended(ref slots.Ref, nr int, at control.BackendID, o Outcome) {
 	t := g.txns.Get(ref)
-	check.That(t != nil && t.out && t.nr == nr+1, "a submission ends once, while its txn is held")
+	invariant.That(t != nil && t.out && t.nr == nr+1, "a submission ends once, while its txn is held")
 	if t == nil || !t.out || t.nr != nr+1 {
 		return
 	}
@@ -413,7 +413,7 @@
 	switch x.Verb {
 	case control.Submit:
 		t := g.txns.Get(ref)
-		check.That(t != nil && !t.out && !t.answered, "a submission goes out alone, for a txn that waits")
+		invariant.That(t != nil && !t.out && !t.answered, "a submission goes out alone, for a txn that waits")
 		if t == nil || t.out || t.answered {
 			return
 		}
@@ -421,7 +421,7 @@
 		t.nr, t.out, t.flows = t.nr+1, true, t.message(ref).Flows()
 		// Whatever decides: what may run once and may have run passes no fence again.
 		again := t.ran && t.message(ref).Once() && !unguarded
-		check.That(!again, "what may run once is not sent after it may have run")
+		invariant.That(!again, "what may run once is not sent after it may have run")
 		if again {
 			g.Ended(ref, nr, x.Backend, Outcome{Ending: control.NotSent})
 			return
@@ -439,14 +439,14 @@
 		points.At(points.AfterSubmit)
 	case control.Decline, control.Void:
 		t := g.txns.Get(ref)
-		check.That(t != nil && !t.answered, "a txn is answered once")
+		invariant.That(t != nil && !t.answered, "a txn is answered once")
 		if t == nil || t.answered {
 			return
 		}
 		t.answered = true
 		refused := x.Verb == control.Decline
 		if refused && (t.ran || t.out) && t.message(ref).Once() && !unguarded {
-			check.That(false, "what is refused has not run, and nothing of it is out")
+			invariant.That(false, "what is refused has not run, and nothing of it is out")
 			refused = false
 		}
 		switch {
--- a/internal/gate/gate_test.go
+++ b/internal/proxy/gate/gate_test.go
@@ -8,9 +8,9 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
-	"clovergap/internal/check"
-	"clovergap/internal/counters"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/proxy/slots"
 )
 
 // careless is a module that sends whatever ended again, to the same, or refuses it, without a look at how it ended.
@@ -91,7 +91,7 @@
 			unguarded = false
 			w, stopped := play(how, refuse)
 			wrong := ran(how)
-			must.Eq(t, wrong && check.Debug, stopped)
+			must.Eq(t, wrong && invariant.Debug, stopped)
 			if refuse {
 				must.Eq(t, "refused", bare.told) // found with the defence taken out
 				must.Eq(t, wrong, w.told != "refused")
--- a/internal/check/check.go
+++ b/internal/proxy/invariant/check.go
@@ -1,5 +1,5 @@
-// Package check holds what must hold: a debug build stops where it does not, a release build counts it.
-package check
+// Package invariant holds what must hold: a debug build stops where it does not, a release build counts it.
+package invariant
 
 import "sync/atomic"
 
--- a/internal/check/debug.go
+++ b/internal/proxy/invariant/debug.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package check
+package invariant
 
 // Debug tells which build this is.
 const Debug = true
--- a/internal/peers/peers.go
+++ b/internal/proxy/peers/peers.go
@@ -7,10 +7,10 @@
 	"syscall"
 
 	"clovergap/control"
-	"clovergap/internal/counters"
 	"clovergap/internal/lease"
-	"clovergap/internal/link"
 	"clovergap/internal/points"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/eventloop"
 )
 
 // longest datagram that a front door may send.
@@ -18,7 +18,7 @@
 
 // Peers is this front door's socket and where the others are.
 type Peers struct {
-	e      *link.Engine
+	e      *eventloop.Engine
 	fd     int
 	listen netip.AddrPort
 	addrs  []syscall.Sockaddr
@@ -29,7 +29,7 @@
 }
 
 // New makes one for the addresses in the order of the front doors' numbers; heard is told of what comes.
-func New(e *link.Engine, listen string, addrs []netip.AddrPort, me int,
+func New(e *eventloop.Engine, listen string, addrs []netip.AddrPort, me int,
 	heard func(control.GatewayID, []byte)) (*Peers, error) {
 	p := &Peers{e: e, fd: -1, heard: heard}
 	p.Move(addrs, me)
--- a/internal/ring/ring.go
+++ b/internal/proxy/ringbuffer/ring.go
@@ -1,6 +1,6 @@
-// Package ring holds bytes between a socket and a parser or writer: one buffer a direction a connection,
+// Package ringbuffer holds bytes between a socket and a parser or writer: one buffer a direction a connection,
 // small first, doubled as needed up to a bound.
-package ring
+package ringbuffer
 
 // Ring is a queue of bytes. The zero value is empty and holds nothing until its bound is set.
 type Ring struct {
--- a/internal/ring/ring_test.go
+++ b/internal/proxy/ringbuffer/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package ringbuffer
 
 import (
 	"bytes"
--- a/internal/due/due.go
+++ b/internal/proxy/timerqueue/due.go
@@ -1,5 +1,5 @@
-// Package due keeps due times in one order: by time, then by age.
-package due
+// Package timerqueue keeps due times in one order: by time, then by age.
+package timerqueue
 
 import "time"
 
--- a/internal/due/due_test.go
+++ b/internal/proxy/timerqueue/due_test.go
@@ -1,4 +1,4 @@
-package due
+package timerqueue
 
 import (
 	"fmt"
--- a/internal/dispatch/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -1,16 +1,16 @@
-package dispatch
+package upstream
 
 import (
 	"bytes"
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/check"
-	"clovergap/internal/counters"
-	"clovergap/internal/gate"
-	"clovergap/internal/http1"
-	"clovergap/internal/link"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/proxy/slots"
 )
 
 // conn is a connection to a backend; it carries one submission at a time.
@@ -18,7 +18,7 @@
 	d       *Dispatch
 	me      slots.Ref
 	b       *backend
-	l       *link.Link
+	l       *eventloop.Link
 	r       http1.Reader
 	sub     slots.Ref // 0: idle
 	dialing bool
@@ -95,7 +95,7 @@
 // carry writes a submission.
 func (c *conn) carry(ref slots.Ref, s *submission) {
 	c.sub, s.conn = ref, c
-	check.That(s.backend.ready, "nothing is sent to one that drains or is gone")
+	invariant.That(s.backend.ready, "nothing is sent to one that drains or is gone")
 	left := s.until - c.d.e.Now()
 	c.d.scratch = s.message.AppendTo(c.d.scratch[:0], c.b.id, left)
 	if len(c.d.scratch) == 0 || left <= 0 { // its client has gone, or its time, before anything was written
@@ -134,7 +134,7 @@
 
 // drop forgets the connection; its slot may be another's from the next dial on.
 func (c *conn) drop() {
-	check.That(c.d.conns.Get(c.me) == c, "a connection is dropped once")
+	invariant.That(c.d.conns.Get(c.me) == c, "a connection is dropped once")
 	for i, o := range c.b.idle {
 		if o == c {
 			c.b.idle = append(c.b.idle[:i], c.b.idle[i+1:]...)
--- a/internal/dispatch/dialect.go
+++ b/internal/proxy/upstream/dialect.go
@@ -1,4 +1,4 @@
-package dispatch
+package upstream
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/http1"
+	"clovergap/internal/proxy/http1"
 )
 
 // Dialect is what backends mean by their answers.
--- a/internal/dispatch/dispatch.go
+++ b/internal/proxy/upstream/dispatch.go
@@ -1,16 +1,16 @@
-// Package dispatch carries submissions to backends over connections that are kept. It chooses nothing: which
+// Package upstream carries submissions to backends over connections that are kept. It chooses nothing: which
 // backend, how long and whether again is the module's word.
-package dispatch
+package upstream
 
 import (
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/counters"
-	"clovergap/internal/gate"
-	"clovergap/internal/http1"
-	"clovergap/internal/link"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/slots"
 )
 
 // Gate is told how each submission ended.
@@ -65,7 +65,7 @@
 
 // Dispatch carries submissions.
 type Dispatch struct {
-	e        *link.Engine
+	e        *eventloop.Engine
 	gate     Gate
 	backends map[control.BackendID]*backend
 	subs     *slots.Table[submission]
@@ -85,7 +85,7 @@
 const idleShare = 0.8
 
 // New makes one. makeRoom gives back a descriptor that another stage does not need.
-func New(e *link.Engine, g Gate, t Terms, makeRoom func() bool) *Dispatch {
+func New(e *eventloop.Engine, g Gate, t Terms, makeRoom func() bool) *Dispatch {
 	d := &Dispatch{e: e, gate: g, backends: map[control.BackendID]*backend{}, terms: t, wary: t.Dialect.Wary(),
 		subs: slots.New[submission](1 << 16), conns: slots.New[conn](1 << 16), byTxn: map[slots.Ref]slots.Ref{},
 		makeRoom: makeRoom}
--- a/internal/dispatch/fence.go
+++ b/internal/proxy/upstream/fence.go
@@ -1,10 +1,10 @@
-package dispatch
+package upstream
 
 import (
 	"clovergap/control"
-	"clovergap/internal/check"
-	"clovergap/internal/link"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/proxy/slots"
 )
 
 // fence is the one place where a request's bytes go to a socket, and the one that says whether it may have run. What has
@@ -13,7 +13,7 @@
 // whole, its last. So nobody asks while the poller may still write.
 type fence struct {
 	conn  slots.Ref // that it passed on; 0: it has not
-	link  *link.Link
+	link  *eventloop.Link
 	from  int64 // bytes of the connection that were in the socket before
 	given int   // handed over since
 	whole bool  // the last of them was
@@ -27,7 +27,7 @@
 	f := &s.fence
 	first := f.conn == 0 && c.l.Unwritten() == 0
 	may := s.conn == c && (first || f.conn == c.me) && !f.whole
-	check.That(may, "an attempt passes once, on the connection that carries it")
+	invariant.That(may, "an attempt passes once, on the connection that carries it")
 	if !may {
 		return false
 	}
@@ -45,7 +45,7 @@
 	if f.conn == 0 || unfenced.passed {
 		return false
 	}
-	check.That(f.link.IsClosed(), "nobody asks what ran while the poller may write")
+	invariant.That(f.link.IsClosed(), "nobody asks what ran while the poller may write")
 	written := f.link.Written() - f.from
 	return !f.link.IsClosed() || wary && !unfenced.first && written > 0 || f.whole && written >= int64(f.given)
 }
--- a/internal/dispatch/flow.go
+++ b/internal/proxy/upstream/flow.go
@@ -1,9 +1,9 @@
-package dispatch
+package upstream
 
 import (
 	"clovergap/control"
-	"clovergap/internal/gate"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
 )
 
 // flowMost is how much of a body that is passed on as it comes waits for the socket.
--- a/internal/dispatch/orders_test.go
+++ b/internal/proxy/upstream/orders_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package upstream
 
 import (
 	"bytes"
@@ -16,12 +16,12 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
-	"clovergap/internal/counters"
-	"clovergap/internal/gate"
 	"clovergap/internal/gateway/admission"
-	"clovergap/internal/http1"
-	"clovergap/internal/link"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/slots"
 )
 
 // All orders of a few things that may befall a request that runs at most once, on real sockets; judged by what the backends
@@ -163,7 +163,7 @@
 // scene is a door of the parts that requests pass, with two backends.
 type scene struct {
 	t     *testing.T
-	e     *link.Engine
+	e     *eventloop.Engine
 	d     *Dispatch
 	g     *gate.Gate
 	a     *asker
@@ -183,7 +183,7 @@
 	<-s.rung
 }
 
-func newScene(t *testing.T, e *link.Engine, dialect Dialect, body, tries int) *scene { // as many backends as tries
+func newScene(t *testing.T, e *eventloop.Engine, dialect Dialect, body, tries int) *scene { // as many backends as tries
 	s := &scene{t: t, e: e, hands: &hands{now: time.Hour}, w: &watcher{}, rung: make(chan bool, 1),
 		a: &asker{told: map[slots.Ref][]string{}, gone: map[slots.Ref]bool{}, body: make([]byte, body)}}
 	quota := control.NewQuota(1, 0, 1, time.Hour, control.QuotaTerms{Gap: 200 * time.Millisecond, ViewLife: time.Second,
@@ -337,7 +337,7 @@
 			err = fmt.Errorf("%v", r)
 		}
 	}()
-	e := link.New("", 1024, 64<<20, 1<<30)
+	e := eventloop.New("", 1024, 64<<20, 1<<30)
 	if err := e.Start(); err != nil {
 		return err
 	}
@@ -523,7 +523,7 @@
 
 // streams plays all streams of so many pieces, cut in two at some places, until one gives a caller what is not its own.
 func streams(t *testing.T, dialect Dialect, most, step int) (n, answered int, err error) {
-	e := link.New("", 1024, 64<<10, 64<<20)
+	e := eventloop.New("", 1024, 64<<10, 64<<20)
 	must.NoError(t, e.Start())
 	defer e.Stop()
 	s := newScene(t, e, dialect, 0, 1)
@@ -585,7 +585,7 @@
 	defer func() { unfenced.unread = false }()
 	for _, fault := range []bool{false, true} {
 		unfenced.unread = fault
-		e := link.New("", 1024, 64<<10, 1<<30)
+		e := eventloop.New("", 1024, 64<<10, 1<<30)
 		must.NoError(t, e.Start())
 		s := newScene(t, e, echoes{}, 0, 1)
 		txn := s.take()
--- a/internal/rehearsal/clients.go
+++ b/internal/rehearsal/clients.go
@@ -8,10 +8,10 @@
 
 	"clovergap/control"
 	"clovergap/internal/extras"
-	"clovergap/internal/gate"
 	"clovergap/internal/gateway/ingress"
 	"clovergap/internal/history"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
 )
 
 // clients ask, by way of the platform.
--- a/internal/rehearsal/machine.go
+++ b/internal/rehearsal/machine.go
@@ -5,16 +5,16 @@
 	"net/netip"
 	"time"
 
-	"clovergap/internal/counters"
 	"clovergap/internal/extras"
-	"clovergap/internal/gate"
 	"clovergap/internal/gateway/node"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/settings"
 	"clovergap/internal/gateway/transport"
 	"clovergap/internal/history"
-	"clovergap/internal/intake"
-	"clovergap/internal/link"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/downstream"
+	"clovergap/internal/proxy/eventloop"
+	"clovergap/internal/proxy/gate"
 )
 
 // machine is one door's: it goes on while processes come and go.
@@ -233,7 +233,7 @@
 // late is the least time that a timer takes.
 const late = 50 * time.Microsecond
 
-func (p *process) At(at time.Duration, to link.Alarm, ref uint32) {
+func (p *process) At(at time.Duration, to eventloop.Alarm, ref uint32) {
 	p.w.at(max(at-before+p.born, p.w.now+late), func() {
 		if !p.over && (p.m.stands > 0 || to.Live(ref)) {
 			p.turn(func() {
@@ -294,10 +294,10 @@
 	deaf    bool
 }
 
-func (x *hall) Bound(intake.Bounds) {}
-func (x *hall) Clients() int        { return len(x.tries) }
-func (x *hall) Drain()              { x.drained = true }
-func (x *hall) Deafen()             { x.deaf = true }
+func (x *hall) Bound(downstream.Bounds) {}
+func (x *hall) Clients() int            { return len(x.tries) }
+func (x *hall) Drain()                  { x.drained = true }
+func (x *hall) Deafen()                 { x.deaf = true }
 
 // platter is a disk: what is on it outlives processes.
 type platter struct {
--- a/internal/rehearsal/ways.go
+++ b/internal/rehearsal/ways.go
@@ -4,14 +4,14 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/gate"
-	"clovergap/internal/slots"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
 )
 
 // dialMost is how long a door waits for a connection to a backend, as internal/gateway/node has it.
 const dialMost = 700 * time.Millisecond
 
-// ways are a door's ways to backends, as internal/dispatch and the foyer's dialect carry submissions: over connections that
+// ways are a door's ways to backends, as internal/proxy/upstream and the foyer's dialect carry submissions: over connections that
 // are kept, with the backend's id in X-Expect-Backend; what proves that a request never ran, and nothing else, counts as such.
 type ways struct {
 	p    *process
--- a/internal/rehearsal/world.go
+++ b/internal/rehearsal/world.go
@@ -17,10 +17,10 @@
 
 	"github.com/phuslu/log"
 
-	"clovergap/internal/due"
 	"clovergap/internal/extras"
 	"clovergap/internal/gateway/settings"
 	"clovergap/internal/history"
+	"clovergap/internal/proxy/timerqueue"
 	"clovergap/internal/spec"
 )
 
@@ -90,7 +90,7 @@
 type world struct {
 	day      *Day
 	now      time.Duration
-	dues     due.Queue[func()]
+	dues     timerqueue.Queue[func()]
 	events   uint64
 	history  []history.Event
 	machines []*machine
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"clovergap/internal/due"
 	"clovergap/internal/links"
+	"clovergap/internal/proxy/timerqueue"
 )
 
 // Relay carries the datagrams between front doors, and does to them what faults say. Each ordered pair has a socket of
@@ -26,7 +26,7 @@
 	born  time.Time
 	moved int
 	late  time.Duration // the most that a datagram came later than it was to
-	due   due.Queue[links.Copy]
+	due   timerqueue.Queue[links.Copy]
 	more  chan struct{}
 	stop  chan struct{}
 	wg    sync.WaitGroup
