--- a/cmd/clovergap/leases.go
+++ b/cmd/clovergap/leases.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"clovergap/internal/leasing"
-	"clovergap/internal/operator"
+	"clovergap/internal/frontdoor/leasing"
+	"clovergap/internal/frontdoor/operator"
 )
 
 // ask calls the running front door's socket, which the operator file names.
--- a/cmd/clovergap/main.go
+++ b/cmd/clovergap/main.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"clovergap/internal/config"
-	"clovergap/internal/operator"
+	"clovergap/internal/frontdoor/config"
+	"clovergap/internal/frontdoor/operator"
 	"clovergap/internal/proxy/invariant"
 )
 
--- a/cmd/clovergap/past.go
+++ b/cmd/clovergap/past.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/discovery"
+	"clovergap/internal/frontdoor/discovery"
+	"clovergap/internal/frontdoor/operator"
 	"clovergap/internal/history"
-	"clovergap/internal/operator"
 	"clovergap/internal/proxy/gate"
 	"clovergap/internal/proxy/slots"
 )
--- a/cmd/clovergap/serve_test.go
+++ b/cmd/clovergap/serve_test.go
@@ -17,8 +17,8 @@
 
 	"go.uber.org/zap"
 
-	"clovergap/internal/config"
-	"clovergap/internal/operator"
+	"clovergap/internal/frontdoor/config"
+	"clovergap/internal/frontdoor/operator"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/standin"
 )
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -6,12 +6,12 @@
 	"os"
 	"runtime/debug"
 
-	"clovergap/internal/wire"
+	"clovergap/internal/frontdoor/simwire"
 )
 
 func main() {
 	debug.SetGCPercent(400) // many instances in one process, each with little that lives long
-	host := &wire.Host{}
+	host := &simwire.Host{}
 	if err := host.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "drill:", err)
 		os.Exit(1)
--- a/cmd/lab/houselosses.go
+++ b/cmd/lab/houselosses.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"clovergap/internal/lease/check"
+	"clovergap/internal/frontdoor/lease/check"
 	"clovergap/internal/rig"
 )
 
--- a/cmd/lab/leases.go
+++ b/cmd/lab/leases.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"clovergap/internal/lease/check"
+	"clovergap/internal/frontdoor/lease/check"
 )
 
 func leasesCommand() *cobra.Command {
--- a/internal/lease/check/check.go
+++ b/internal/frontdoor/lease/check/check.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"clovergap/internal/lease"
+	"clovergap/internal/frontdoor/lease"
 )
 
 // Model is a small world.
--- a/internal/lease/check/check_test.go
+++ b/internal/frontdoor/lease/check/check_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"clovergap/internal/lease"
+	"clovergap/internal/frontdoor/lease"
 )
 
 func sound(t *testing.T, name string, r Result, err error) {
--- a/internal/lease/check/fleet.go
+++ b/internal/frontdoor/lease/check/fleet.go
@@ -6,7 +6,7 @@
 	"sort"
 	"time"
 
-	"clovergap/internal/lease"
+	"clovergap/internal/frontdoor/lease"
 	"clovergap/internal/links"
 	"clovergap/internal/proxy/timerqueue"
 	"clovergap/internal/spec"
--- a/internal/lease/check/models.go
+++ b/internal/frontdoor/lease/check/models.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"clovergap/internal/lease"
+	"clovergap/internal/frontdoor/lease"
 )
 
 // Models are the worlds that are walked through.
--- a/internal/leasing/leasing.go
+++ b/internal/frontdoor/leasing/leasing.go
@@ -11,10 +11,10 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
+	"clovergap/internal/frontdoor/lease"
+	"clovergap/internal/frontdoor/ledger"
+	"clovergap/internal/frontdoor/operator"
 	"clovergap/internal/history"
-	"clovergap/internal/lease"
-	"clovergap/internal/ledger"
-	"clovergap/internal/operator"
 	"clovergap/internal/points"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/eventloop"
--- a/internal/operator/operator_test.go
+++ b/internal/frontdoor/operator/operator_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept, err := os.ReadFile("../../deploy/operator.toml")
+	kept, err := os.ReadFile("../../../deploy/operator.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/wire.go
+++ b/internal/frontdoor/simwire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the drill's frames and puts the wire's names into our words.
-package wire
+// Package simwire reads and writes the drill's frames and puts the wire's names into our words.
+package simwire
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/config"
+	"clovergap/internal/frontdoor/config"
 )
 
 const longest = 1 << 28 // bytes of a frame; more is a broken stream
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"clovergap/internal/operator"
+	"clovergap/internal/frontdoor/operator"
 )
 
 // FrontDoor names the front door; every line carries it.
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"clovergap/internal/operator"
+	"clovergap/internal/frontdoor/operator"
 )
 
 func TestLinesAsTheFileSays(t *testing.T) {
--- a/internal/proxy/downstream/txn.go
+++ b/internal/proxy/downstream/txn.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/config"
+	"clovergap/internal/frontdoor/config"
 	"clovergap/internal/proxy/answer"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/gate"
--- a/internal/proxy/peers/peers.go
+++ b/internal/proxy/peers/peers.go
@@ -7,7 +7,7 @@
 	"syscall"
 
 	"clovergap/control"
-	"clovergap/internal/lease"
+	"clovergap/internal/frontdoor/lease"
 	"clovergap/internal/points"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/eventloop"
--- a/internal/rig/leases_test.go
+++ b/internal/rig/leases_test.go
@@ -12,8 +12,8 @@
 
 	"go.uber.org/goleak"
 
+	"clovergap/internal/frontdoor/leasing"
 	"clovergap/internal/history"
-	"clovergap/internal/leasing"
 	"clovergap/internal/spec"
 	"clovergap/internal/standin"
 )
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -15,8 +15,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
+	"clovergap/internal/frontdoor/ledger"
 	"clovergap/internal/history"
-	"clovergap/internal/ledger"
 	"clovergap/internal/spec"
 	"clovergap/internal/standin"
 )
