--- a/cmd/clovergap/serve.go
+++ b/cmd/clovergap/serve.go
@@ -17,13 +17,13 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
+	"clovergap/internal/failpoint"
 	"clovergap/internal/frontdoor/config"
 	"clovergap/internal/frontdoor/discovery"
 	"clovergap/internal/frontdoor/leasing"
 	"clovergap/internal/frontdoor/operator"
 	"clovergap/internal/history"
 	"clovergap/internal/logs"
-	"clovergap/internal/points"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
 	"clovergap/internal/proxy/eventloop"
@@ -92,7 +92,7 @@
 		return err
 	}
 	defer past.close()
-	points.Listen(os.Stdin) // in debug builds
+	failpoint.Listen(os.Stdin) // in debug builds
 	f, err := build(c, log, past, o.Leases)
 	if err != nil {
 		return err
@@ -185,7 +185,7 @@
 		}
 	})
 	f.e.Turn(func() { f.listed(known) })
-	points.At(points.BeforeReady)
+	failpoint.At(failpoint.BeforeReady)
 	if err := f.e.Start(); err != nil {
 		return nil, err
 	}
@@ -215,7 +215,7 @@
 // reload reads the configuration again, under load. A file that can't be read or is wrong changes nothing. What can
 // move while txns are held moves, the rest is named and waits for a restart.
 func (f *front) reload(path string) {
-	points.At(points.BeforeReload)
+	failpoint.At(failpoint.BeforeReload)
 	c, err := config.Load(path)
 	if err == nil {
 		_, err = usable(c)
@@ -279,7 +279,7 @@
 
 // listed takes a list to those who go by it.
 func (f *front) listed(l discovery.List) {
-	points.At(points.BeforeList)
+	failpoint.At(failpoint.BeforeList)
 	f.past.listed(l)
 	list := make([]control.Listing, 0, len(l.Entries))
 	listed := map[control.BackendID]bool{}
--- a/cmd/clovergap/serve_test.go
+++ b/cmd/clovergap/serve_test.go
@@ -19,8 +19,8 @@
 
 	"clovergap/internal/frontdoor/config"
 	"clovergap/internal/frontdoor/operator"
+	"clovergap/internal/lab/standin"
 	"clovergap/internal/proxy/counters"
-	"clovergap/internal/standin"
 )
 
 // patience bounds every wait of these tests; none of them depends on how long anything takes within it.
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -14,9 +14,9 @@
 	"github.com/alexflint/go-arg"
 	"github.com/go-faster/errors"
 
+	"clovergap/internal/failpoint"
 	"clovergap/internal/gateway/node"
 	"clovergap/internal/gateway/settings"
-	"clovergap/internal/points"
 	"clovergap/internal/proxy/invariant"
 )
 
@@ -148,7 +148,7 @@
 	if sheet.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(float64(sheet.Limits.MemoryMB<<20) * memoryShare))
 	}
-	points.Listen(os.Stdin) // in debug builds
+	failpoint.Listen(os.Stdin) // in debug builds
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	signal.Ignore(syscall.SIGPIPE)
--- a/cmd/lab/capacity.go
+++ b/cmd/lab/capacity.go
@@ -12,14 +12,14 @@
 
 	"github.com/spf13/cobra"
 
-	"clovergap/internal/capacity"
-	"clovergap/internal/rehearsal"
+	"clovergap/internal/lab/capacity"
+	"clovergap/internal/lab/simulation"
 )
 
 // capacityRun are the flags of measuring how a house grows.
 type capacityRun struct {
 	sizes     []int
-	site      rehearsal.Site
+	site      simulation.Site
 	whole     bool
 	each      float64 // requests a second at each door
 	warm, dur time.Duration
@@ -77,7 +77,7 @@
 	f.DurationVar(&k.warm, "warm", 4*time.Second, "after the start, before the first phase")
 	f.DurationVar(&k.dur, "for", 8*time.Second, "of each phase")
 	f.Uint64Var(&k.seed, "seed", 1, "seed")
-	f.StringSliceVar(&k.phases, "phases", nil, strings.Join(rehearsal.Phases, ", ")+" (none: all)")
+	f.StringSliceVar(&k.phases, "phases", nil, strings.Join(simulation.Phases, ", ")+" (none: all)")
 	f.StringVar(&k.out, "out", "", "add what was measured to this file of JSON lines")
 	f.StringSliceVar(&k.fit, "fit", nil, "read what was measured from these files, and print slopes")
 	f.IntVar(&k.from, "up-to", 0, "with --fit, only of sizes up to this")
@@ -93,7 +93,7 @@
 }
 
 // of is the site of a size.
-func (k *capacityRun) of(doors int) rehearsal.Site {
+func (k *capacityRun) of(doors int) simulation.Site {
 	s, t := k.site, capacity.Target
 	s.Doors, s.Disks = doors, min(s.Disks, doors)
 	s.Zones = min(s.Zones, doors)
@@ -139,7 +139,7 @@
 		s := k.of(n)
 		fmt.Printf("%d doors, %d of the core, %d zones, %d regions; %+v; %.0f requests a second\n", n, s.Disks, s.Zones, s.Regions, s.Wide, s.Rate)
 		capacity.Head(os.Stdout)
-		r := rehearsal.Meter(s, k.seed, k.warm, k.dur, k.phases, func(p rehearsal.Phase) { capacity.TellPhase(os.Stdout, p) },
+		r := simulation.Meter(s, k.seed, k.warm, k.dur, k.phases, func(p simulation.Phase) { capacity.TellPhase(os.Stdout, p) },
 			func() string { return k.enough(ctx) })
 		fmt.Printf("  configuration %d bytes, %.0f KB of heap a door, %d doors known, took %.0f s\n", r.Config, r.Heap/1024, r.Known, r.TookS)
 		if k.out != "" {
@@ -181,14 +181,14 @@
 }
 
 func (k *capacityRun) slopes() error {
-	var all []*rehearsal.Measure
+	var all []*simulation.Measure
 	for _, name := range k.fit {
 		f, err := os.Open(name)
 		if err != nil {
 			return err
 		}
 		for d := json.NewDecoder(f); d.More(); {
-			r := new(rehearsal.Measure)
+			r := new(simulation.Measure)
 			if err := d.Decode(r); err != nil {
 				f.Close()
 				return fmt.Errorf("%s: %w", name, err)
--- a/cmd/lab/chaos.go
+++ b/cmd/lab/chaos.go
@@ -13,11 +13,11 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"clovergap/internal/emulator"
 	"clovergap/internal/history"
-	"clovergap/internal/lab"
-	"clovergap/internal/rig"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/emulator"
+	"clovergap/internal/lab/experiments"
+	"clovergap/internal/lab/faultrig"
+	"clovergap/internal/lab/spec"
 )
 
 // chaos are the flags of playing on real processes.
@@ -99,12 +99,12 @@
 	return c
 }
 
-func (k *chaos) options() rig.Options {
-	return rig.Options{Program: k.named, Rate: k.rate, Cores: 1, MemoryMB: 192, Sockets: 1024, Keep: k.keep, Own: k.own, Operator: k.operator}
+func (k *chaos) options() faultrig.Options {
+	return faultrig.Options{Program: k.named, Rate: k.rate, Cores: 1, MemoryMB: 192, Sockets: 1024, Keep: k.keep, Own: k.own, Operator: k.operator}
 }
 
 // tell prints a run's line and adds it to the file of results.
-func (k *chaos) tell(r *rig.Result) error {
+func (k *chaos) tell(r *faultrig.Result) error {
 	verdict := "kept all rules"
 	if len(r.Broken) > 0 {
 		verdict = fmt.Sprintf("BROKE %d: %s", len(r.Broken), r.Broken[0])
@@ -151,7 +151,7 @@
 		go func() {
 			defer wg.Done()
 			for seed := range seeds {
-				r, err := rig.Play(ctx, s.Drawn(seed, k.most, false), k.options())
+				r, err := faultrig.Play(ctx, s.Drawn(seed, k.most, false), k.options())
 				mu.Lock()
 				switch {
 				case err != nil && ctx.Err() == nil:
@@ -219,7 +219,7 @@
 	fails := failing(ctx, &rule, func(c *spec.Spec) ([]history.Broken, error) {
 		o := k.options()
 		o.Keep = ""
-		r, err := rig.Play(ctx, c, o)
+		r, err := faultrig.Play(ctx, c, o)
 		if err != nil {
 			return nil, err
 		}
@@ -238,12 +238,12 @@
 		return fmt.Errorf("%s did not fail in %d plays", file, times)
 	}
 	fmt.Printf("fails by %q with %d faults\n", rule, len(s.Faults))
-	least, err := rig.Shrink(ctx, s, times, fails, func(left, tried int) { fmt.Printf("  %d faults are enough (%d plays)\n", left, tried) })
+	least, err := faultrig.Shrink(ctx, s, times, fails, func(left, tried int) { fmt.Printf("  %d faults are enough (%d plays)\n", left, tried) })
 	if err != nil {
 		return err
 	}
 	least.Name += "-least"
-	if err := rig.Keep(k.keep, least, &rig.Result{Broken: []history.Broken{{Rule: rule, What: "shrunk from " + filepath.Base(file)}}}); err != nil {
+	if err := faultrig.Keep(k.keep, least, &faultrig.Result{Broken: []history.Broken{{Rule: rule, What: "shrunk from " + filepath.Base(file)}}}); err != nil {
 		return err
 	}
 	for _, f := range least.Faults {
@@ -257,7 +257,7 @@
 func (k *chaos) again(ctx context.Context, s *spec.Spec) error {
 	broken := 0
 	for i := 0; i < k.times; i++ {
-		r, err := rig.Play(ctx, s, k.options())
+		r, err := faultrig.Play(ctx, s, k.options())
 		if err != nil {
 			return err
 		}
@@ -279,7 +279,7 @@
 	began, broken := time.Now(), 0
 	ctx, enough := context.WithCancel(ctx)
 	defer enough()
-	err := lab.Random(ctx, s, n, most, func(done int, c *spec.Spec, r *emulator.Result) error {
+	err := experiments.Random(ctx, s, n, most, func(done int, c *spec.Spec, r *emulator.Result) error {
 		if term.IsTerminal(int(os.Stderr.Fd())) || done%max(n/10, 1) == 0 {
 			fmt.Fprintf(os.Stderr, "\r%d of %d, %d broke rules", done, n, broken)
 		}
@@ -294,7 +294,7 @@
 			bad = append(bad, history.Broken{Rule: b.Rule.String(), T: b.At, Who: fmt.Sprint("front door ", b.Door), Txn: fmt.Sprint(b.Txn), What: b.What})
 		}
 		fmt.Printf("\nseed %d BROKE %d: %s\n", c.Seed, r.RulesBroken, bad[0])
-		return rig.Keep(keep, c, &rig.Result{Broken: bad})
+		return faultrig.Keep(keep, c, &faultrig.Result{Broken: bad})
 	})
 	fmt.Fprintln(os.Stderr)
 	if err != nil && (!firstOnly || broken == 0) {
--- a/cmd/lab/days.go
+++ b/cmd/lab/days.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"clovergap/internal/repertoire"
+	"clovergap/internal/lab/faultdays"
 )
 
 // daysCommand is about days of our own for the operators' bench.
@@ -30,7 +30,7 @@
 			if site == "" || out == "" || count < 1 {
 				return usageError{errors.New("--site and --out are needed, --count must be above nought")}
 			}
-			s, err := repertoire.Load(site)
+			s, err := faultdays.Load(site)
 			if err != nil {
 				return err
 			}
@@ -43,7 +43,7 @@
 				if err != nil {
 					return err
 				}
-				if err := errors.Join(repertoire.Draw(s, seed+n).Write(f), f.Close()); err != nil {
+				if err := errors.Join(faultdays.Draw(s, seed+n).Write(f), f.Close()); err != nil {
 					return err
 				}
 				fmt.Println(file)
--- a/cmd/lab/house.go
+++ b/cmd/lab/house.go
@@ -13,9 +13,9 @@
 
 	"github.com/spf13/cobra"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/history"
-	"clovergap/internal/standin"
+	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/standin"
 )
 
 // playhouse is the gateway's program.
@@ -72,7 +72,7 @@
 
 func houseDemo(ctx context.Context, path, fault string, doors int, rate float64, dur time.Duration) error {
 	log := history.InMemory(1 << 20)
-	t, err := extras.New(extras.Terms{Program: path, Doors: doors, Disks: min(3, doors), Base: "127.0.0.",
+	t, err := gatewaystandin.New(gatewaystandin.Terms{Program: path, Doors: doors, Disks: min(3, doors), Base: "127.0.0.",
 		Zones: zones, Each: 2,
 		Rate: rate, Seed: 1, Beat: time.Second, Lost: min(1, (min(3, doors)-1)/2), History: log})
 	if err != nil {
@@ -90,7 +90,7 @@
 		fmt.Printf("  %s in %s: clients at %s, control at %s, process %d%s\n", d.Name, d.Zone, d.Front, d.Control,
 			d.Pid(), disk)
 	}
-	load := extras.NewClients(t)
+	load := gatewaystandin.NewClients(t)
 	defer load.Close()
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -175,7 +175,7 @@
 }
 
 // houseReasons adds up why doors gave requests up, by their own word.
-func houseReasons(ctx context.Context, t *extras.Troupe) map[string]int {
+func houseReasons(ctx context.Context, t *gatewaystandin.Troupe) map[string]int {
 	ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
 	sum := map[string]int{}
@@ -208,7 +208,7 @@
 }
 
 // houseFault brings what the demo was asked for.
-func houseFault(ctx context.Context, t *extras.Troupe, fault string, load *extras.Clients) {
+func houseFault(ctx context.Context, t *gatewaystandin.Troupe, fault string, load *gatewaystandin.Clients) {
 	d := t.Doors[len(t.Doors)-1]
 	again := func() {
 		if err := d.Again(); err != nil {
@@ -248,7 +248,7 @@
 	}
 }
 
-func houseSummary(t *extras.Troupe, load *extras.Clients, log *history.Log) error {
+func houseSummary(t *gatewaystandin.Troupe, load *gatewaystandin.Clients, log *history.Log) error {
 	all, by, _ := load.Outcomes()
 	fmt.Println("summary (stand-ins on loopback):")
 	names := []string{}
@@ -285,7 +285,7 @@
 			return fmt.Errorf("%s ended by itself: %s", d.Name, words)
 		}
 	}
-	if bad := extras.Twice(log.Events()); len(bad) > 0 || all.Wrong > 0 {
+	if bad := gatewaystandin.Twice(log.Events()); len(bad) > 0 || all.Wrong > 0 {
 		return fmt.Errorf("%d requests got another's answer; ran twice, or ran though refused: %v", all.Wrong, bad)
 	}
 	return nil
--- a/cmd/lab/housechaos.go
+++ b/cmd/lab/housechaos.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 
 	"clovergap/internal/history"
-	"clovergap/internal/rig"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/faultrig"
+	"clovergap/internal/lab/spec"
 )
 
 // houseChaos are the flags of playing schedules on the gateway's doors.
@@ -86,16 +86,16 @@
 
 // sound tells whether the flags can be played.
 func (k *houseChaos) sound() error {
-	if k.seeds < 1 || k.jobs < 1 || k.most < 2 || k.doors < rig.Disks || k.doors > 60 {
-		return usageError{fmt.Errorf("--seeds and --jobs must be 1 at the least, --faults 2, --doors %d to 60", rig.Disks)}
+	if k.seeds < 1 || k.jobs < 1 || k.most < 2 || k.doors < faultrig.Disks || k.doors > 60 {
+		return usageError{fmt.Errorf("--seeds and --jobs must be 1 at the least, --faults 2, --doors %d to 60", faultrig.Disks)}
 	}
 	return nil
 }
 
-func (k *houseChaos) drawn(seed uint64) *rig.HouseSchedule {
-	s := rig.DrawHouse(seed, k.doors, k.most, k.dur)
+func (k *houseChaos) drawn(seed uint64) *faultrig.HouseSchedule {
+	s := faultrig.DrawHouse(seed, k.doors, k.most, k.dur)
 	if k.founding {
-		s = rig.DrawFounding(seed, k.doors, k.most, k.dur)
+		s = faultrig.DrawFounding(seed, k.doors, k.most, k.dur)
 	}
 	if len(k.only) > 0 {
 		var some []spec.Fault
@@ -109,14 +109,14 @@
 	return s
 }
 
-func (k *houseChaos) options() rig.HouseOptions {
-	return rig.HouseOptions{Program: k.named, Rate: k.rate, Keep: k.keep}
+func (k *houseChaos) options() faultrig.HouseOptions {
+	return faultrig.HouseOptions{Program: k.named, Rate: k.rate, Keep: k.keep}
 }
 
 const houseTable = "%5v %5v %7v %6v %6v %5v %7v %6v %5v %7v %8v %16v  %s\n"
 
 // tell prints a run's line and adds it to the file of results.
-func (k *houseChaos) tell(r *rig.HouseResult) error {
+func (k *houseChaos) tell(r *faultrig.HouseResult) error {
 	verdict := "kept all rules: "
 	if len(r.Broken) > 0 {
 		verdict = fmt.Sprintf("BROKE %d (%s): ", len(r.Broken), strings.Join(ruleNames(r), ", "))
@@ -132,7 +132,7 @@
 }
 
 // showBroken prints the first of the rules broken.
-func showBroken(r *rig.HouseResult) {
+func showBroken(r *faultrig.HouseResult) {
 	for i, b := range r.Broken {
 		if i == 4 {
 			fmt.Printf("      and %d more\n", len(r.Broken)-i)
@@ -143,7 +143,7 @@
 }
 
 // ruleNames lists the rules broken, with how often each.
-func ruleNames(r *rig.HouseResult) (all []string) {
+func ruleNames(r *faultrig.HouseResult) (all []string) {
 	n, order := map[string]int{}, []string{}
 	for _, b := range r.Broken {
 		if n[b.Rule]++; n[b.Rule] == 1 {
@@ -160,9 +160,9 @@
 func (k *houseChaos) play(ctx context.Context) error {
 	fmt.Printf(houseTable, "seed", "doors", "asked", "served", "refus", "fail", "no answ", "taken", "uncl",
 		"took", "held up", "recovered", "verdict")
-	return eachSeed(ctx, k, func(seed uint64) (*rig.HouseResult, error) {
-		return rig.PlayHouse(ctx, k.drawn(seed), k.options())
-	}, func(r *rig.HouseResult) (bool, error) { return len(r.Broken) > 0, k.tell(r) })
+	return eachSeed(ctx, k, func(seed uint64) (*faultrig.HouseResult, error) {
+		return faultrig.PlayHouse(ctx, k.drawn(seed), k.options())
+	}, func(r *faultrig.HouseResult) (bool, error) { return len(r.Broken) > 0, k.tell(r) })
 }
 
 // eachSeed plays a schedule a seed, some side by side, and tells each result, which may be of broken rules.
@@ -219,7 +219,7 @@
 	fails := failing(ctx, &rule, func(c *spec.Spec) ([]history.Broken, error) {
 		x, o := *s, k.options()
 		x.Faults, o.Keep = c.Faults, ""
-		r, err := rig.PlayHouse(ctx, &x, o)
+		r, err := faultrig.PlayHouse(ctx, &x, o)
 		if err != nil {
 			return nil, err
 		}
@@ -235,7 +235,7 @@
 		}
 	}
 	fmt.Printf("fails by %q with %d faults\n", rule, len(s.Faults))
-	least, err := rig.Shrink(ctx, whole, 3, fails, func(left,
+	least, err := faultrig.Shrink(ctx, whole, 3, fails, func(left,
 		tried int) {
 		fmt.Printf("  %d faults are enough (%d plays)\n", left, tried)
 	})
--- a/cmd/lab/houselosses.go
+++ b/cmd/lab/houselosses.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 
 	"clovergap/internal/frontdoor/lease/check"
-	"clovergap/internal/rig"
+	"clovergap/internal/lab/faultrig"
 )
 
 func houseLossesCommand() *cobra.Command {
@@ -24,20 +24,20 @@
 			"to doors drawn at random, until it is acknowledged.",
 		Example: "  lab house losses --doors 5 --tries 30\n  lab house losses --cuts   # and the leader cut off, by a debug build",
 		RunE: func(c *cobra.Command, _ []string) error {
-			if tries < 1 || doors < rig.Disks || doors > 60 {
-				return usageError{fmt.Errorf("--tries must be 1 at the least, --doors %d to 60", rig.Disks)}
+			if tries < 1 || doors < faultrig.Disks || doors > 60 {
+				return usageError{fmt.Errorf("--tries must be 1 at the least, --doors %d to 60", faultrig.Disks)}
 			}
-			losses, tags := []rig.Loss{rig.Killed, rig.Frozen, rig.Emptied}, []string(nil)
+			losses, tags := []faultrig.Loss{faultrig.Killed, faultrig.Frozen, faultrig.Emptied}, []string(nil)
 			if cuts {
-				losses, tags = []rig.Loss{rig.CutOff}, []string{"debug"}
+				losses, tags = []faultrig.Loss{faultrig.CutOff}, []string{"debug"}
 			}
 			path, done, err := program(playhouse, named, tags...)
 			if err != nil {
 				return err
 			}
 			defer done()
-			all, err := rig.MeasureLosses(c.Context(), seed, doors, tries, losses, rig.HouseOptions{Program: path, Rate: rate},
-				func(l rig.Loss, try int) { fmt.Printf("  %d of %d: %s\n", try+1, tries, l) })
+			all, err := faultrig.MeasureLosses(c.Context(), seed, doors, tries, losses, faultrig.HouseOptions{Program: path, Rate: rate},
+				func(l faultrig.Loss, try int) { fmt.Printf("  %d of %d: %s\n", try+1, tries, l) })
 			for _, s := range all { // what there is of them
 				fmt.Printf("%s, on %d doors; %d tries set aside, the rig was held up; at most %s in the rest:\n", s.Loss, doors,
 					s.Aside, s.Slow.Round(time.Millisecond))
--- a/cmd/lab/houserollout.go
+++ b/cmd/lab/houserollout.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"clovergap/internal/extras"
-	"clovergap/internal/lab"
-	"clovergap/internal/rig"
+	"clovergap/internal/lab/experiments"
+	"clovergap/internal/lab/faultrig"
+	"clovergap/internal/lab/gatewaystandin"
 )
 
 // houseRollout are the flags of playing roll-outs on the gateway's doors.
@@ -26,7 +26,7 @@
 
 func houseRolloutCommand() *cobra.Command {
 	k := houseRollout{houseChaos: houseChaos{most: 2}}
-	plays := slices.Sorted(maps.Keys(extras.Plays()))
+	plays := slices.Sorted(maps.Keys(gatewaystandin.Plays()))
 	c := &cobra.Command{Use: "rollout PLAY",
 		Short: "Roll-outs of a version that fails partway, on real doors, with kills and stalls at the pull-back",
 		Args:  exactly(1, "one of "+strings.Join(plays, ", ")),
@@ -43,7 +43,7 @@
 			if k.play = args[0]; !slices.Contains(plays, k.play) {
 				return usageError{fmt.Errorf("no such play: %q", k.play)}
 			}
-			if !slices.Contains(rig.Arms, rig.Arm(k.arm)) {
+			if !slices.Contains(faultrig.Arms, faultrig.Arm(k.arm)) {
 				return usageError{fmt.Errorf("no such arm: %q", k.arm)}
 			}
 			if err := k.sound(); err != nil {
@@ -57,7 +57,7 @@
 	c.Flags().StringVar(&k.named, "program", "", "playhouse program (default: beside lab, under bin, or built)")
 	k.flags(c, 160)
 	c.Flags().DurationVar(&k.dur, "for", 12*time.Second, "how long a failing version is waited for at most")
-	c.Flags().StringVar(&k.arm, "arm", string(rig.Judged), "judged; unjudged: it fails and nothing counts; good: it does "+
+	c.Flags().StringVar(&k.arm, "arm", string(faultrig.Judged), "judged; unjudged: it fails and nothing counts; good: it does "+
 		"not fail;\nalone: it fails while most of the core stands still")
 	c.Flags().DurationVar(&k.dwell, "dwell", 0, "how long a step lasts at the least (default: drawn, 1.5 to 2.5 s)")
 	c.Flags().StringVar(&k.page, "page", "", "write a page with the versions' courses here")
@@ -69,14 +69,14 @@
 func (k *houseRollout) run(ctx context.Context) error {
 	fmt.Printf(rolloutTable, "seed", "advance", "share", "verdict", "doors", "last", "met it", "failed", "lost", "reads",
 		"unclear", "recorded", "asked", "flaw, verdict")
-	var all []*rig.RolloutResult
-	failed := eachSeed(ctx, &k.houseChaos, func(seed uint64) (*rig.RolloutResult, error) {
-		s := rig.DrawRollout(k.play, rig.Arm(k.arm), seed, k.doors, k.dur)
+	var all []*faultrig.RolloutResult
+	failed := eachSeed(ctx, &k.houseChaos, func(seed uint64) (*faultrig.RolloutResult, error) {
+		s := faultrig.DrawRollout(k.play, faultrig.Arm(k.arm), seed, k.doors, k.dur)
 		if k.dwell > 0 {
 			s.Last(k.dwell)
 		}
-		return rig.PlayRollout(ctx, s, k.options())
-	}, func(r *rig.RolloutResult) (bool, error) {
+		return faultrig.PlayRollout(ctx, s, k.options())
+	}, func(r *faultrig.RolloutResult) (bool, error) {
 		all = append(all, r)
 		return len(r.Broken) > 0, k.tell(r)
 	})
@@ -87,14 +87,14 @@
 			return err
 		}
 		defer f.Close()
-		if err := lab.Rollouts(f, k.play+", "+k.arm, all); err != nil {
+		if err := experiments.Rollouts(f, k.play+", "+k.arm, all); err != nil {
 			return err
 		}
 	}
 	return failed
 }
 
-func (k *houseRollout) tell(r *rig.RolloutResult) error {
+func (k *houseRollout) tell(r *faultrig.RolloutResult) error {
 	sec := func(d time.Duration) string { return fmt.Sprintf("%.2fs", d.Seconds()) }
 	fmt.Printf(rolloutTable, r.Seed, r.Advance, fmt.Sprintf("%g%%", float64(r.Share)/100), sec(r.Met.Verdict), sec(r.Met.LastDoor),
 		sec(r.Met.Last), r.Met.Requests, r.Met.Failing, r.Met.Clients,
@@ -106,14 +106,14 @@
 }
 
 // heldUp tells of a run whose times are not trusted.
-func alone(r *rig.RolloutResult) string {
+func alone(r *faultrig.RolloutResult) string {
 	if r.Alone == 0 {
 		return ""
 	}
 	return fmt.Sprintf("%d doors by themselves", r.Alone)
 }
 
-func heldUp(r *rig.HouseResult) string {
+func heldUp(r *faultrig.HouseResult) string {
 	if len(r.Doubted) == 0 {
 		return ""
 	}
@@ -121,13 +121,13 @@
 }
 
 // showRollouts sums up: all that were pulled back, and by the share at which the version began to fail.
-func showRollouts(all []*rig.RolloutResult) {
-	by := map[int][]*rig.RolloutResult{}
+func showRollouts(all []*faultrig.RolloutResult) {
+	by := map[int][]*faultrig.RolloutResult{}
 	for _, r := range all {
 		by[r.Share] = append(by[r.Share], r)
 	}
-	show := func(name string, some []*rig.RolloutResult) {
-		s := rig.SumRollouts(some)
+	show := func(name string, some []*faultrig.RolloutResult) {
+		s := faultrig.SumRollouts(some)
 		b, _ := json.Marshal(s)
 		fmt.Printf("%s: %s\n", name, b)
 	}
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -14,9 +14,9 @@
 
 	"github.com/spf13/cobra"
 
-	"clovergap/internal/emulator"
-	"clovergap/internal/lab"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/emulator"
+	"clovergap/internal/lab/experiments"
+	"clovergap/internal/lab/spec"
 )
 
 // usageError is one of how the program was called: it exits with 2, not 1.
@@ -86,7 +86,7 @@
 				return randomRuns(c.Context(), s, random, most, keep, firstOnly)
 			}
 			began := time.Now()
-			r, err := lab.One(s, args[0], marks && s.Policy == "module")
+			r, err := experiments.One(s, args[0], marks && s.Policy == "module")
 			if err != nil {
 				return err
 			}
@@ -97,7 +97,7 @@
 					return err
 				}
 				defer f.Close()
-				if err := lab.Append(f, r); err != nil {
+				if err := experiments.Append(f, r); err != nil {
 					return err
 				}
 			}
@@ -145,7 +145,7 @@
 			"the file holds already is not played again, so an interrupted sweep goes on with the same call.",
 		Example: "  lab sweep lab/load-sweep.toml --out load.jsonl",
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.LoadSweep(args[0])
+			s, err := experiments.LoadSweep(args[0])
 			if err != nil {
 				return err
 			}
@@ -167,7 +167,7 @@
 
 // table writes a result file's table beside it.
 func table(file string) error {
-	all, _, err := lab.Read(file)
+	all, _, err := experiments.Read(file)
 	if err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 		return err
 	}
 	defer f.Close()
-	return lab.Table(f, all)
+	return experiments.Table(f, all)
 }
 
 func compareCommand() *cobra.Command {
@@ -187,15 +187,15 @@
 			"where B is surely worse by more than the margin, or breaks more rules.",
 		Example: "  lab compare before.jsonl after.jsonl --metric place --margin 0.02",
 		RunE: func(_ *cobra.Command, args []string) error {
-			a, _, err := lab.Read(args[0])
+			a, _, err := experiments.Read(args[0])
 			if err != nil {
 				return err
 			}
-			b, _, err := lab.Read(args[1])
+			b, _, err := experiments.Read(args[1])
 			if err != nil {
 				return err
 			}
-			x, err := lab.Compare(a, b, metric)
+			x, err := experiments.Compare(a, b, metric)
 			if err != nil {
 				return err
 			}
@@ -215,7 +215,7 @@
 	c := &cobra.Command{Use: "report RESULTS", Short: "Draw results as one HTML page", Args: exactly(1, "one file of results"),
 		Example: "  lab report load.jsonl --out load.html",
 		RunE: func(_ *cobra.Command, args []string) error {
-			all, cut, err := lab.Read(args[0])
+			all, cut, err := experiments.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -236,7 +236,7 @@
 			if title == "" {
 				title = all[0].Name
 			}
-			return lab.Report(f, title, all)
+			return experiments.Report(f, title, all)
 		}}
 	c.Flags().StringVar(&out, "out", "", "page to write (default: beside the results)")
 	c.Flags().StringVar(&title, "title", "", "of the page")
--- a/cmd/lab/mutants.go
+++ b/cmd/lab/mutants.go
@@ -10,11 +10,11 @@
 
 	"github.com/spf13/cobra"
 
-	"clovergap/internal/emulator"
-	"clovergap/internal/lab"
-	"clovergap/internal/mutants"
-	"clovergap/internal/rig"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/emulator"
+	"clovergap/internal/lab/experiments"
+	"clovergap/internal/lab/faultrig"
+	"clovergap/internal/lab/mutants"
+	"clovergap/internal/lab/spec"
 )
 
 func mutantsCommand() *cobra.Command {
@@ -104,7 +104,7 @@
 					return err
 				}
 				if !strings.HasSuffix(file, ".processes.toml") {
-					r, err := lab.One(s, file, false)
+					r, err := experiments.One(s, file, false)
 					if err != nil {
 						return err
 					}
@@ -122,7 +122,7 @@
 					return err
 				}
 				k.named = path
-				r, err := rig.Play(c.Context(), s, k.options())
+				r, err := faultrig.Play(c.Context(), s, k.options())
 				done()
 				if err != nil {
 					return err
--- a/cmd/lab/real.go
+++ b/cmd/lab/real.go
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"clovergap/internal/spec"
-	"clovergap/internal/standin"
+	"clovergap/internal/lab/spec"
+	"clovergap/internal/lab/standin"
 )
 
 // program finds a program of the module, such as the front door's: as named, beside this one, under bin, or built from the module at hand; with
--- a/cmd/lab/rehearse.go
+++ b/cmd/lab/rehearse.go
@@ -15,16 +15,16 @@
 	"golang.org/x/term"
 
 	"clovergap/internal/history"
-	"clovergap/internal/lab"
+	"clovergap/internal/lab/experiments"
+	"clovergap/internal/lab/faultrig"
+	"clovergap/internal/lab/simulation"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/invariant"
-	"clovergap/internal/rehearsal"
-	"clovergap/internal/rig"
-	"clovergap/internal/spec"
 )
 
 // rehearse are the flags of days of the whole gateway in simulated time.
 type rehearse struct {
-	site         rehearsal.Site
+	site         simulation.Site
 	seeds, most  int
 	first        uint64
 	dur          time.Duration
@@ -38,7 +38,7 @@
 	firstBroken  bool
 	days, broken int
 	simulated    time.Duration
-	counts       rehearsal.Counts
+	counts       simulation.Counts
 	taken        int
 	slowest      time.Duration
 	rules        map[string]int
@@ -100,11 +100,11 @@
 	return c
 }
 
-func (k *rehearse) day(seed uint64) *rehearsal.Day {
+func (k *rehearse) day(seed uint64) *simulation.Day {
 	if k.hard {
-		return rehearsal.DrawHard(k.site, seed, k.most, k.dur)
+		return simulation.DrawHard(k.site, seed, k.most, k.dur)
 	}
-	return rehearsal.Draw(k.site, seed, k.most, k.dur)
+	return simulation.Draw(k.site, seed, k.most, k.dur)
 }
 
 // play plays the days.
@@ -113,9 +113,9 @@
 	defer enough()
 	began := time.Now()
 	k.rules = map[string]int{}
-	err := lab.Seeds(ctx, k.first, k.seeds, k.jobs, func(seed uint64) (*rehearsal.Result, error) {
-		return rehearsal.Play(k.day(seed)), nil
-	}, func(done int, r *rehearsal.Result) error {
+	err := experiments.Seeds(ctx, k.first, k.seeds, k.jobs, func(seed uint64) (*simulation.Result, error) {
+		return simulation.Play(k.day(seed)), nil
+	}, func(done int, r *simulation.Result) error {
 		k.add(r)
 		if term.IsTerminal(int(os.Stderr.Fd())) || done%max(k.seeds/10, 1) == 0 {
 			fmt.Fprintf(os.Stderr, "\r%d of %d days, %d broke rules, %.0f days an hour", done, k.seeds, k.broken,
@@ -156,7 +156,7 @@
 }
 
 // add counts a day, and prints what it broke.
-func (k *rehearse) add(r *rehearsal.Result) {
+func (k *rehearse) add(r *simulation.Result) {
 	k.days++
 	k.simulated += r.Played
 	k.taken += r.Taken
@@ -179,7 +179,7 @@
 }
 
 // tellDay prints a day that broke rules.
-func tellDay(r *rehearsal.Result, most int) {
+func tellDay(r *simulation.Result, most int) {
 	fmt.Printf("\nseed %d BROKE %d: %s\n", r.Day.Seed, len(r.Broken), r.Broken[0])
 	for i, b := range r.Broken[1:] {
 		if i == most {
@@ -204,7 +204,7 @@
 }
 
 // chosen is the day to replay, or what is asked of it.
-func (k *rehearse) chosen() *rehearsal.Day {
+func (k *rehearse) chosen() *simulation.Day {
 	d := k.day(k.replay)
 	if len(k.only) > 0 {
 		var some []spec.Fault
@@ -224,7 +224,7 @@
 	if k.log {
 		d.Log = io.Writer(os.Stderr)
 	}
-	r := rehearsal.Play(d)
+	r := simulation.Play(d)
 	fmt.Printf("seed %d: %.1f s, %d events, digest %s\n", d.Seed, r.Played.Seconds(), r.Events, r.Digest)
 	fmt.Printf("%+v, %d configurations, served again after %v\n", r.Counts, r.Taken, r.Recovered)
 	if len(r.Broken) > 0 {
@@ -240,14 +240,14 @@
 	fails := failing(ctx, &rule, func(c *spec.Spec) ([]history.Broken, error) {
 		x := *d
 		x.Faults = c.Faults
-		return rehearsal.Play(&x).Broken, ctx.Err()
+		return simulation.Play(&x).Broken, ctx.Err()
 	})
 	whole := &spec.Spec{Faults: d.Faults}
 	if bad, err := fails(whole); err != nil || !bad {
 		return errors.Join(err, fmt.Errorf("seed %d breaks nothing", d.Seed))
 	}
 	fmt.Printf("fails by %q with %d faults, closing fault %v\n", rule, len(d.Faults), d.Closing)
-	least, err := rig.Shrink(ctx, whole, 1, fails, func(left, tried int) {
+	least, err := faultrig.Shrink(ctx, whole, 1, fails, func(left, tried int) {
 		fmt.Printf("  %d faults are enough (%d plays)\n", left, tried)
 	})
 	if err != nil {
@@ -264,21 +264,21 @@
 	fmt.Printf("bytes a second that a door sends in calm, beats each %s, configuration changed %v\n", k.site.Usual().Beat, k.changes)
 	head := "%5v %5v %-8s"
 	fmt.Printf(head, "doors", "disks", "door")
-	for _, kind := range rehearsal.Sorts {
+	for _, kind := range simulation.Sorts {
 		fmt.Printf(" %10s", kind)
 	}
 	fmt.Printf(" %10s %10s\n", "all", "the most")
 	for _, n := range k.bytes {
 		s := k.site
 		s.Doors, s.Disks, s.Zones = n, min(k.site.Disks, n), min(max(k.site.Zones, 3), n)
-		r := rehearsal.Play(&rehearsal.Day{Site: s, Seed: k.first, For: k.dur, Calm: true, Changes: k.changes})
+		r := simulation.Play(&simulation.Day{Site: s, Seed: k.first, For: k.dur, Calm: true, Changes: k.changes})
 		if len(r.Broken) > 0 {
 			tellDay(r, 4)
 			return errors.New("a calm day broke rules")
 		}
-		row := func(name string, t rehearsal.Traffic, most string) {
+		row := func(name string, t simulation.Traffic, most string) {
 			fmt.Printf(head, n, s.Disks, name)
-			for _, kind := range rehearsal.Sorts {
+			for _, kind := range simulation.Sorts {
 				fmt.Printf(" %10d", t[kind])
 			}
 			fmt.Printf(" %10d %10s\n", t.Sum(), most)
--- a/internal/points/points.go
+++ b/internal/failpoint/points.go
@@ -1,7 +1,7 @@
-// Package points names places in the code where a debug build can be told, over its own stdin, to stand still or to
+// Package failpoint names places in the code where a debug build can be told, over its own stdin, to stand still or to
 // end, so that a test hits the worst moment on purpose and not by luck; and which other processes it can't reach. A
 // release build has none of it.
-package points
+package failpoint
 
 // Name is a place.
 type Name string
--- a/internal/points/release.go
+++ b/internal/failpoint/release.go
@@ -1,6 +1,6 @@
 //go:build !debug
 
-package points
+package failpoint
 
 import "io"
 
--- a/internal/frontdoor/lease/check/fleet.go
+++ b/internal/frontdoor/lease/check/fleet.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"clovergap/internal/frontdoor/lease"
-	"clovergap/internal/links"
+	"clovergap/internal/lab/netfault"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/timerqueue"
-	"clovergap/internal/spec"
 )
 
 // Big is a fleet of cores in simulated time, under random overlapping faults.
@@ -65,7 +65,7 @@
 	now   time.Duration
 	q     timerqueue.Queue[func()]
 	doors []*door
-	links *links.Set
+	links *netfault.Set
 	wants map[int][]lease.Task // by front door
 	by    map[lease.Task][]int
 	lost  map[lease.Task]time.Duration // since when a task's holder is gone
@@ -83,8 +83,8 @@
 func (b Big) Play(seed uint64) (*Played, error) {
 	w := &big{b: b, rng: rand.New(rand.NewPCG(seed, 0xb16)), wants: map[int][]lease.Task{}, by: map[lease.Task][]int{}, lost: map[lease.Task]time.Duration{},
 		free: map[lease.Task]time.Duration{}, out: &Played{Seed: seed}}
-	w.links = links.New(rand.New(rand.NewPCG(seed, 0x11)))
-	w.links.Bring(links.Effect{Loss: b.Loss, Reorder: 1, Delay: b.Delay})
+	w.links = netfault.New(rand.New(rand.NewPCG(seed, 0x11)))
+	w.links.Bring(netfault.Effect{Loss: b.Loss, Reorder: 1, Delay: b.Delay})
 	for i := 0; i < b.Tasks; i++ {
 		t := lease.Task(fmt.Sprint("task-", i))
 		who := w.rng.Perm(b.Doors)[:b.Wishers]
@@ -207,7 +207,7 @@
 	}
 }
 
-func (w *big) deliver(c links.Copy) {
+func (w *big) deliver(c netfault.Copy) {
 	w.after(c.After, func() {
 		w.turn(c.To, w.doors[c.To].life, func(d *door) { d.core.Heard(lease.Node(c.From), c.Payload) })
 	})
@@ -321,10 +321,10 @@
 			})
 		}
 	case "hall-cut":
-		id := w.links.Bring(links.Effect{Cut: true, On: func(a, b int) bool { return (hall(a) == f.Hall) != (hall(b) == f.Hall) }})
+		id := w.links.Bring(netfault.Effect{Cut: true, On: func(a, b int) bool { return (hall(a) == f.Hall) != (hall(b) == f.Hall) }})
 		w.after(f.For.D(), func() { w.links.End(id) })
 	default:
-		if e, ok := links.Of(f, len(w.doors), hall, rng); ok {
+		if e, ok := netfault.Of(f, len(w.doors), hall, rng); ok {
 			id := w.links.Bring(e)
 			w.after(f.For.D(), func() {
 				for _, c := range w.links.End(id) {
--- a/internal/frontdoor/leasing/leasing.go
+++ b/internal/frontdoor/leasing/leasing.go
@@ -11,11 +11,11 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
+	"clovergap/internal/failpoint"
 	"clovergap/internal/frontdoor/lease"
 	"clovergap/internal/frontdoor/ledger"
 	"clovergap/internal/frontdoor/operator"
 	"clovergap/internal/history"
-	"clovergap/internal/points"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/eventloop"
 )
@@ -195,9 +195,9 @@
 	var err error
 	if good {
 		h.past(history.Event{Kind: history.Began, Key: string(g.Task), N: float64(g.Number)})
-		points.At(points.BeforeAct)
+		failpoint.At(failpoint.BeforeAct)
 		err = ledger.Add(h.conf.RollCall, ledger.Line{Task: string(g.Task), Number: uint64(g.Number), By: h.name, Span: span, What: who})
-		points.At(points.AfterAct)
+		failpoint.At(failpoint.AfterAct)
 		what := "done"
 		if err != nil {
 			what = err.Error()
--- a/internal/gateway/ingress/foyer_test.go
+++ b/internal/gateway/ingress/foyer_test.go
@@ -13,13 +13,13 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
+	"clovergap/internal/lab/standin"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
 	"clovergap/internal/proxy/eventloop"
 	"clovergap/internal/proxy/gate"
 	"clovergap/internal/proxy/slots"
 	"clovergap/internal/proxy/upstream"
-	"clovergap/internal/standin"
 )
 
 // patience bounds every wait of these tests; none of them depends on how long anything takes within it.
--- a/internal/gateway/transport/cut_test.go
+++ b/internal/gateway/transport/cut_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/goleak"
 
-	"clovergap/internal/points"
+	"clovergap/internal/failpoint"
 )
 
 // A way that is cut carries nothing, the other way goes on; what was said into the cut arrives when it heals, and a dial into one
@@ -19,13 +19,13 @@
 	defer goleak.VerifyNone(t)
 	a, b, c := begin(t, addr(5)), begin(t, addr(6)), begin(t, addr(7))
 	in, orders := io.Pipe()
-	points.Listen(in)
+	failpoint.Listen(in)
 	defer orders.Close()
 	all := []*end{a, b, c}
 	order := func(what string, to *end) {
 		host, _, _ := net.SplitHostPort(to.me)
 		io.WriteString(orders, what+" "+host+"\n")
-		for points.Cut(to.me) != (what == "cut") {
+		for failpoint.Cut(to.me) != (what == "cut") {
 		}
 	}
 	a.Want(b.me)
--- a/internal/gateway/transport/wings.go
+++ b/internal/gateway/transport/wings.go
@@ -16,7 +16,7 @@
 	"github.com/go-faster/errors"
 	"golang.org/x/sys/unix"
 
-	"clovergap/internal/points"
+	"clovergap/internal/failpoint"
 )
 
 // Bounds of a link.
@@ -266,7 +266,7 @@
 
 // dial dials; into a cut it hangs, as it would without an answer.
 func dial(ctx context.Context, d *net.Dialer, to string) (net.Conn, error) {
-	if points.Cut(to) && !through(ctx, to, dialLimit) {
+	if failpoint.Cut(to) && !through(ctx, to, dialLimit) {
 		return nil, errors.New("cut off")
 	}
 	return d.DialContext(ctx, "tcp", to)
@@ -275,7 +275,7 @@
 // through waits while a test has this door cut off from another; false if that takes too long. What is sent into a cut goes
 // out when it heals, as TCP's does, and a link over which nothing got through for writeLimit ends.
 func through(ctx context.Context, to string, most time.Duration) bool {
-	for end := time.Now().Add(most); points.Cut(to); time.Sleep(cutLook) {
+	for end := time.Now().Add(most); failpoint.Cut(to); time.Sleep(cutLook) {
 		if ctx.Err() != nil || time.Now().After(end) {
 			return false
 		}
@@ -314,7 +314,7 @@
 	for {
 		select {
 		case f := <-l.queue:
-			if points.Cut(l.to) && !through(ctx, l.to, writeLimit) {
+			if failpoint.Cut(l.to) && !through(ctx, l.to, writeLimit) {
 				return
 			}
 			c.SetWriteDeadline(time.Now().Add(writeLimit))
@@ -324,7 +324,7 @@
 		case <-ended:
 			return
 		case <-ctx.Done():
-			if !points.Cut(l.to) {
+			if !failpoint.Cut(l.to) {
 				out.Flush()
 			}
 			return
--- a/internal/capacity/added.go
+++ b/internal/lab/capacity/added.go
@@ -14,12 +14,12 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/settings"
 	"clovergap/internal/history"
-	"clovergap/internal/rehearsal"
+	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/simulation"
 )
 
 // Added measures what a door adds to a request: real doors as processes, requests at one of them and at a backend itself, in turn,
@@ -27,7 +27,7 @@
 type Added struct {
 	Program  string `json:"-"`
 	Doors    int
-	Wide     rehearsal.Wide
+	Wide     simulation.Wide
 	Rate     float64 // requests a second at the door, and as many at the bare backend
 	Over     time.Duration
 	Change   time.Duration // between changes of the configuration; 0: none
@@ -61,7 +61,7 @@
 
 type added struct {
 	Added
-	t        *extras.Troupe
+	t        *gatewaystandin.Troupe
 	backends []*http.Server
 	at       []string
 	client   *http.Client
@@ -71,7 +71,7 @@
 // Play starts doors and backends, and asks.
 func (o Added) Play(ctx context.Context) (r *Told, err error) {
 	x := &added{Added: o, ctx: ctx, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-	if x.t, err = extras.New(extras.Terms{Program: o.Program, Doors: o.Doors, Disks: min(3, o.Doors), Zones: []string{"zone-0"}, Rate: 1,
+	if x.t, err = gatewaystandin.New(gatewaystandin.Terms{Program: o.Program, Doors: o.Doors, Disks: min(3, o.Doors), Zones: []string{"zone-0"}, Rate: 1,
 		Seed: 1, Beat: time.Second, Lost: (min(3, o.Doors) - 1) / 2, History: history.InMemory(1 << 10)}); err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	for _, d := range x.t.Doors {
 		hollow.sheets = append(hollow.sheets, &settings.Sheet{Bind: settings.Bind{Control: d.Control}})
 	}
-	if _, err = hollow.order(ctx, extras.ReplacePath, rehearsal.FirstText(o.Wide), 1); err != nil {
+	if _, err = hollow.order(ctx, gatewaystandin.ReplacePath, simulation.FirstText(o.Wide), 1); err != nil {
 		return nil, errors.Wrap(err, "the first configuration")
 	}
 	beats, stop := context.WithCancel(ctx)
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	service := extras.Services[0].Name
+	service := gatewaystandin.Services[0].Name
 	id := fmt.Sprintf("i-%s-%d", service, i)
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		nr := r.Header.Get("X-Attempt-Id")
@@ -165,7 +165,7 @@
 	r.Host = "programme.example"
 	r.Header.Set("X-Attempt-Id", id)
 	r.Header.Set("X-Deadline-Ms", "1500")
-	r.Header.Set("Authorization", "Token "+rehearsal.AccountKey(nr%max(x.Wide.Tenants, 1)))
+	r.Header.Set("Authorization", "Token "+simulation.AccountKey(nr%max(x.Wide.Tenants, 1)))
 	a, err := x.client.Do(r)
 	if err != nil {
 		return 0, false
@@ -216,8 +216,8 @@
 		deadline, aim := "1500ms", "400ms"
 		body, _ := json.Marshal(routing.Amendment{Generation: version + 1, ParentVersion: version, Upserts: &routing.Upserts{
 			Vhosts: []routing.BillHost{{Hostname: "guests.example", PathList: []routing.BillRoute{{Name: "g-0", PathPrefix: "/g0/",
-				Variant: routing.Pure, Deadline: &deadline, TargetLatency: &aim, MaxTries: 2, Target: extras.Services[int(version)%2].Name}}}}}})
-		if v, err := h.order(ctx, extras.AmendPath, body, version+1); err == nil {
+				Variant: routing.Pure, Deadline: &deadline, TargetLatency: &aim, MaxTries: 2, Target: gatewaystandin.Services[int(version)%2].Name}}}}}})
+		if v, err := h.order(ctx, gatewaystandin.AmendPath, body, version+1); err == nil {
 			version = v
 			r.Changes++
 		}
--- a/internal/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -13,7 +13,7 @@
 	"slices"
 	"strings"
 
-	"clovergap/internal/rehearsal"
+	"clovergap/internal/lab/simulation"
 )
 
 // Size is what the house is to carry.
@@ -89,7 +89,7 @@
 func (f Fit) At(x float64) float64 { return f.A + f.B*x }
 
 // Append adds what was measured to a file.
-func Append(name string, r *rehearsal.Measure) error {
+func Append(name string, r *simulation.Measure) error {
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return err
@@ -107,7 +107,7 @@
 		"came", "core %", "most %", "links", "other B/s", "busiest", "core %", "links", "n", "ack ms", "median", "99 %", "last", "all s", "out")
 }
 
-func TellPhase(w io.Writer, p rehearsal.Phase) {
+func TellPhase(w io.Writer, p simulation.Phase) {
 	fmt.Fprintf(w, "  %-9s %6.1f %10.0f %10.0f %10.0f %8.2f %8.2f %6.0f | %9.0f %9.0f %8.3f %6.1f | %4d %7.1f %7.1f %7.1f %7.1f %6.2f %4d\n",
 		p.Name, p.Seconds, p.Member.Mean, p.Member.Most, p.Member.Got, 100*p.Member.Core, 100*p.Member.CoreMost, p.Member.LinksMost,
 		p.Other.Mean, p.Other.Most, 100*p.Other.Core, p.Other.Links, p.Events, p.Acks, p.Median, p.Mean99, p.Worst, p.All, p.Unready)
@@ -116,54 +116,54 @@
 // row is one quantity that grows.
 type row struct {
 	phase, what, unit string
-	of                func(p rehearsal.Phase) float64
+	of                func(p simulation.Phase) float64
 }
 
 func rows(phases []string) (all []row) {
-	add := func(phase, what, unit string, of func(p rehearsal.Phase) float64) {
+	add := func(phase, what, unit string, of func(p simulation.Phase) float64) {
 		all = append(all, row{phase, what, unit, of})
 	}
 	for _, ph := range phases {
-		add(ph, "member, sent", "B/s", func(p rehearsal.Phase) float64 { return p.Member.Mean })
-		add(ph, "busiest member, sent", "B/s", func(p rehearsal.Phase) float64 { return p.Member.Most })
-		for _, kind := range rehearsal.Sorts {
-			add(ph, "  "+kind+" of a member", "B/s", func(p rehearsal.Phase) float64 { return p.Member.Kinds[kind] })
+		add(ph, "member, sent", "B/s", func(p simulation.Phase) float64 { return p.Member.Mean })
+		add(ph, "busiest member, sent", "B/s", func(p simulation.Phase) float64 { return p.Member.Most })
+		for _, kind := range simulation.Sorts {
+			add(ph, "  "+kind+" of a member", "B/s", func(p simulation.Phase) float64 { return p.Member.Kinds[kind] })
 		}
-		add(ph, "member, in all", "MB", func(p rehearsal.Phase) float64 { return p.Member.Mean * p.Seconds / 1e6 })
-		add(ph, "busiest member, in all", "MB", func(p rehearsal.Phase) float64 { return p.Member.Most * p.Seconds / 1e6 })
-		add(ph, "member, came", "B/s", func(p rehearsal.Phase) float64 { return p.Member.Got })
-		add(ph, "member, processor", "% core", func(p rehearsal.Phase) float64 { return 100 * p.Member.Core })
-		add(ph, "busiest member, processor", "% core", func(p rehearsal.Phase) float64 { return 100 * p.Member.CoreMost })
-		add(ph, "member, links", "", func(p rehearsal.Phase) float64 { return p.Member.LinksMost })
-		add(ph, "other door, sent", "B/s", func(p rehearsal.Phase) float64 { return p.Other.Mean })
-		add(ph, "other door, busiest", "B/s", func(p rehearsal.Phase) float64 { return p.Other.Most })
-		for _, kind := range rehearsal.Sorts {
-			add(ph, "  "+kind+" of another door", "B/s", func(p rehearsal.Phase) float64 { return p.Other.Kinds[kind] })
+		add(ph, "member, in all", "MB", func(p simulation.Phase) float64 { return p.Member.Mean * p.Seconds / 1e6 })
+		add(ph, "busiest member, in all", "MB", func(p simulation.Phase) float64 { return p.Member.Most * p.Seconds / 1e6 })
+		add(ph, "member, came", "B/s", func(p simulation.Phase) float64 { return p.Member.Got })
+		add(ph, "member, processor", "% core", func(p simulation.Phase) float64 { return 100 * p.Member.Core })
+		add(ph, "busiest member, processor", "% core", func(p simulation.Phase) float64 { return 100 * p.Member.CoreMost })
+		add(ph, "member, links", "", func(p simulation.Phase) float64 { return p.Member.LinksMost })
+		add(ph, "other door, sent", "B/s", func(p simulation.Phase) float64 { return p.Other.Mean })
+		add(ph, "other door, busiest", "B/s", func(p simulation.Phase) float64 { return p.Other.Most })
+		for _, kind := range simulation.Sorts {
+			add(ph, "  "+kind+" of another door", "B/s", func(p simulation.Phase) float64 { return p.Other.Kinds[kind] })
 		}
-		add(ph, "other door, came", "B/s", func(p rehearsal.Phase) float64 { return p.Other.Got })
-		add(ph, "other door, processor", "% core", func(p rehearsal.Phase) float64 { return 100 * p.Other.Core })
-		add(ph, "change to a door, median", "ms", func(p rehearsal.Phase) float64 { return p.Median })
-		add(ph, "change to the last door", "ms", func(p rehearsal.Phase) float64 { return p.Worst })
-		add(ph, "all there again", "s", func(p rehearsal.Phase) float64 { return p.All })
+		add(ph, "other door, came", "B/s", func(p simulation.Phase) float64 { return p.Other.Got })
+		add(ph, "other door, processor", "% core", func(p simulation.Phase) float64 { return 100 * p.Other.Core })
+		add(ph, "change to a door, median", "ms", func(p simulation.Phase) float64 { return p.Median })
+		add(ph, "change to the last door", "ms", func(p simulation.Phase) float64 { return p.Worst })
+		add(ph, "all there again", "s", func(p simulation.Phase) float64 { return p.All })
 	}
 	return all
 }
 
 // axes are what quantities may grow with.
-var axes = map[string]func(m *rehearsal.Measure) float64{
-	"door":    func(m *rehearsal.Measure) float64 { return float64(m.Doors) },
-	"member":  func(m *rehearsal.Measure) float64 { return float64(m.Disks) },
-	"backend": func(m *rehearsal.Measure) float64 { return float64(m.Wide.Backends) },
-	"route":   func(m *rehearsal.Measure) float64 { return float64(m.Wide.Routes) },
-	"tenant":  func(m *rehearsal.Measure) float64 { return float64(m.Wide.Tenants) },
-	"request": func(m *rehearsal.Measure) float64 { return m.Rate / float64(m.Doors) }, // a second, at each door
+var axes = map[string]func(m *simulation.Measure) float64{
+	"door":    func(m *simulation.Measure) float64 { return float64(m.Doors) },
+	"member":  func(m *simulation.Measure) float64 { return float64(m.Disks) },
+	"backend": func(m *simulation.Measure) float64 { return float64(m.Wide.Backends) },
+	"route":   func(m *simulation.Measure) float64 { return float64(m.Wide.Routes) },
+	"tenant":  func(m *simulation.Measure) float64 { return float64(m.Wide.Tenants) },
+	"request": func(m *simulation.Measure) float64 { return m.Rate / float64(m.Doors) }, // a second, at each door
 }
 
 // Axes are their names.
 func Axes() []string { return slices.Sorted(maps.Keys(axes)) }
 
 // TellSlopes prints a line for each quantity: how it grows with one thing, and what it comes to where there is so much of that.
-func TellSlopes(w io.Writer, all []*rehearsal.Measure, by string, at float64) error {
+func TellSlopes(w io.Writer, all []*simulation.Measure, by string, at float64) error {
 	x, ok := axes[by]
 	if !ok {
 		return fmt.Errorf("slopes are by %s", strings.Join(Axes(), ", "))
@@ -171,10 +171,10 @@
 	if len(all) == 0 {
 		return fmt.Errorf("nothing was measured")
 	}
-	slices.SortStableFunc(all, func(a, b *rehearsal.Measure) int { return cmp.Compare(x(a), x(b)) })
+	slices.SortStableFunc(all, func(a, b *simulation.Measure) int { return cmp.Compare(x(a), x(b)) })
 	var phases []string
-	for _, name := range rehearsal.Phases {
-		if slices.ContainsFunc(all, func(m *rehearsal.Measure) bool { _, ok := PhaseOf(m, name); return ok }) {
+	for _, name := range simulation.Phases {
+		if slices.ContainsFunc(all, func(m *simulation.Measure) bool { _, ok := PhaseOf(m, name); return ok }) {
 			phases = append(phases, name)
 		}
 	}
@@ -198,11 +198,11 @@
 }
 
 // PhaseOf finds a phase.
-func PhaseOf(m *rehearsal.Measure, name string) (rehearsal.Phase, bool) {
+func PhaseOf(m *simulation.Measure, name string) (simulation.Phase, bool) {
 	for _, p := range m.Phases {
 		if p.Name == name {
 			return p, true
 		}
 	}
-	return rehearsal.Phase{}, false
+	return simulation.Phase{}, false
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -7,16 +7,16 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/rehearsal"
+	"clovergap/internal/lab/simulation"
 )
 
 // What the page's sums rest on, at sizes that take seconds: a slope that grows, or a square where a line was, fails here.
 func TestSlopes(t *testing.T) {
-	var all []*rehearsal.Measure
+	var all []*simulation.Measure
 	for _, n := range []int{12, 24, 48} {
-		s := rehearsal.Site{Doors: n, Disks: 3, Zones: 3, Rate: float64(n), Beat: 1500 * time.Millisecond,
-			Wide: rehearsal.Wide{Backends: 10 * n, Services: 3, Routes: 8, Tenants: 8}}
-		r := rehearsal.Meter(s, 1, 4*time.Second, 3*time.Second, []string{"calm", "changes", "killed"}, nil, nil)
+		s := simulation.Site{Doors: n, Disks: 3, Zones: 3, Rate: float64(n), Beat: 1500 * time.Millisecond,
+			Wide: simulation.Wide{Backends: 10 * n, Services: 3, Routes: 8, Tenants: 8}}
+		r := simulation.Meter(s, 1, 4*time.Second, 3*time.Second, []string{"calm", "changes", "killed"}, nil, nil)
 		must.Eq(t, "", r.Incomplete)
 		all = append(all, r)
 		followers := float64(n-3) / 3
@@ -31,7 +31,7 @@
 		must.Less(t, 250*followers*float64(10*n), killed.Member.Kinds["board"]*killed.Seconds)
 		must.Less(t, float64((340+16*n)<<10), r.Heap)
 	}
-	slope := func(phase string, of func(p rehearsal.Phase) float64) Fit {
+	slope := func(phase string, of func(p simulation.Phase) float64) Fit {
 		var x, y []float64
 		for _, r := range all {
 			p, ok := PhaseOf(r, phase)
@@ -40,20 +40,20 @@
 		}
 		return Line(x, y)
 	}
-	calm := slope("calm", func(p rehearsal.Phase) float64 { return p.Member.Mean })
+	calm := slope("calm", func(p simulation.Phase) float64 { return p.Member.Mean })
 	must.Between(t, 20, calm.B, 60) // B/s a door more: heartbeats to a third of them
-	must.Less(t, 12, slope("calm", func(p rehearsal.Phase) float64 { return p.Other.Mean }).B)
-	feed := slope("changes", func(p rehearsal.Phase) float64 { return p.Member.Kinds["feed"] })
+	must.Less(t, 12, slope("calm", func(p simulation.Phase) float64 { return p.Other.Mean }).B)
+	feed := slope("changes", func(p simulation.Phase) float64 { return p.Member.Kinds["feed"] })
 	must.Less(t, 260, feed.B)
 	must.Less(t, 1.5, feed.Power)
-	must.Eq(t, 2, slope("calm", func(p rehearsal.Phase) float64 { return p.Member.LinksMost }).B)
-	must.Less(t, 300, slope("changes", func(p rehearsal.Phase) float64 { return p.Worst }).At(48))
+	must.Eq(t, 2, slope("calm", func(p simulation.Phase) float64 { return p.Member.LinksMost }).B)
+	must.Less(t, 300, slope("changes", func(p simulation.Phase) float64 { return p.Worst }).At(48))
 }
 
 // A day that is to end does so in the middle, and says why.
 func TestEnough(t *testing.T) {
 	asked := 0
-	r := rehearsal.Meter(rehearsal.Site{Doors: 12, Disks: 3, Rate: 500, Wide: rehearsal.Wide{Backends: 400}}, 1, time.Minute, time.Minute, nil, nil,
+	r := simulation.Meter(simulation.Site{Doors: 12, Disks: 3, Rate: 500, Wide: simulation.Wide{Backends: 400}}, 1, time.Minute, time.Minute, nil, nil,
 		func() string {
 			if asked++; asked == 2 {
 				return "as told"
--- a/internal/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -21,18 +21,18 @@
 	"github.com/go-faster/errors"
 	"golang.org/x/sys/unix"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/node"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/settings"
-	"clovergap/internal/rehearsal"
+	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/simulation"
 )
 
 // Hollow is a house of real doors in this process: sockets, disks and clocks are real, and no client asks anything.
 type Hollow struct {
 	Doors, Members, Zones int
-	Wide                  rehearsal.Wide
+	Wide                  simulation.Wide
 	Beat                  time.Duration
 	Over                  time.Duration // of each span that is measured
 	Changes               int
@@ -98,7 +98,7 @@
 	if err := x.start(); err != nil {
 		return nil, err
 	}
-	version, err := x.order(ctx, extras.ReplacePath, rehearsal.FirstText(o.Wide), 1)
+	version, err := x.order(ctx, gatewaystandin.ReplacePath, simulation.FirstText(o.Wide), 1)
 	if err != nil {
 		return nil, errors.Wrap(err, "the first configuration")
 	}
@@ -132,7 +132,7 @@
 		s := &settings.Sheet{NodeName: fmt.Sprint("door-", i), IP: ip, Zone: fmt.Sprint("zone-", i%x.Zones), InnerPorts: [2]int{17560, 17575},
 			Bind:      settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"},
 			FirstBoot: true, CountsAsLoss: i < x.Members, BeatInterval: x.Beat,
-			Tolerates: settings.Tolerates{Machines: (x.Members - 1) / 2}, Bounds: extras.Bounds(),
+			Tolerates: settings.Tolerates{Machines: (x.Members - 1) / 2}, Bounds: gatewaystandin.Bounds(),
 			Limits: settings.Limits{MaxFDs: descriptorsMost}} // the poller goes by their numbers, which all doors share
 		if i < x.Members {
 			s.DataDir = filepath.Join(x.dir, s.NodeName)
@@ -207,7 +207,7 @@
 // beats says of one backend that it lives, as long as it does.
 func (x *hollow) beats(ctx context.Context, i int) {
 	services := 2 + x.Wide.Services
-	service := rehearsal.ServiceName(i % services)
+	service := simulation.ServiceName(i % services)
 	to, beat := x.sheets[i%len(x.sheets)].Bind.Control, controlapi.Beat{Address: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1),
 		Capacity: 4, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service, Zone: fmt.Sprint("zone-", i/services%x.Zones)}
 	select {
@@ -244,13 +244,13 @@
 		deadline, aim := "1500ms", "400ms"
 		a := routing.Amendment{Generation: next, ParentVersion: version, Upserts: &routing.Upserts{Vhosts: []routing.BillHost{{
 			Hostname: "guests.example", PathList: []routing.BillRoute{{Name: fmt.Sprint("g-", i), PathPrefix: fmt.Sprintf("/g%d/", i),
-				Variant: routing.Pure, Deadline: &deadline, TargetLatency: &aim, MaxTries: 2, Target: rehearsal.ServiceName(0)}}}}}}
+				Variant: routing.Pure, Deadline: &deadline, TargetLatency: &aim, MaxTries: 2, Target: simulation.ServiceName(0)}}}}}}
 		body, err := json.Marshal(a)
 		if err != nil {
 			return err
 		}
 		began := time.Now()
-		if version, err = x.order(ctx, extras.AmendPath, body, next); err != nil {
+		if version, err = x.order(ctx, gatewaystandin.AmendPath, body, next); err != nil {
 			return errors.Wrap(err, "a change")
 		}
 		acked := time.Now()
--- a/internal/capacity/state.go
+++ b/internal/lab/capacity/state.go
@@ -11,7 +11,7 @@
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
-	"clovergap/internal/rehearsal"
+	"clovergap/internal/lab/simulation"
 )
 
 // held is what a part keeps in use.
@@ -40,8 +40,8 @@
 }
 
 func parts() []part {
-	text := func(wide rehearsal.Wide) []byte { return rehearsal.FirstText(wide) }
-	register := func(wide rehearsal.Wide) func() any {
+	text := func(wide simulation.Wide) []byte { return simulation.FirstText(wide) }
+	register := func(wide simulation.Wide) func() any {
 		body := text(wide)
 		return func() any {
 			s := statemachine.New()
@@ -51,15 +51,15 @@
 			return s
 		}
 	}
-	table := func(wide rehearsal.Wide) func() any {
+	table := func(wide simulation.Wide) func() any {
 		s := register(wide)().(*statemachine.Script)
 		return func() any { return routing.NewTable(s.Bills.Bill()) }
 	}
 	return []part{
-		{"configuration as kept", "tenant", []int{100, 1000, 10000, 31000}, func(n int) func() any { return register(rehearsal.Wide{Tenants: n}) }},
-		{"configuration as kept", "route", []int{100, 400, 1700}, func(n int) func() any { return register(rehearsal.Wide{Routes: n}) }},
-		{"table", "tenant", []int{100, 1000, 10000, 31000}, func(n int) func() any { return table(rehearsal.Wide{Tenants: n}) }},
-		{"table", "route", []int{100, 400, 1700}, func(n int) func() any { return table(rehearsal.Wide{Routes: n}) }},
+		{"configuration as kept", "tenant", []int{100, 1000, 10000, 31000}, func(n int) func() any { return register(simulation.Wide{Tenants: n}) }},
+		{"configuration as kept", "route", []int{100, 400, 1700}, func(n int) func() any { return register(simulation.Wide{Routes: n}) }},
+		{"table", "tenant", []int{100, 1000, 10000, 31000}, func(n int) func() any { return table(simulation.Wide{Tenants: n}) }},
+		{"table", "route", []int{100, 400, 1700}, func(n int) func() any { return table(simulation.Wide{Routes: n}) }},
 		{"quota, limits alone", "tenant", []int{100, 1000, 10000, 31000}, func(n int) func() any {
 			return func() any {
 				q := control.NewQuota(1, 0, 720, 0, control.QuotaTerms{Gap: 50 * time.Millisecond, ViewLife: time.Second, MailPerS: 400,
@@ -123,8 +123,8 @@
 		fmt.Fprintf(w, "| %s | %s | %v | %.0f | %.2g | %.0f %% | %.0f | %.1f |\n", p.name, p.per, p.sizes, f.B, f.Error, 100*f.Residual,
 			f.At(float64(at))/1024, float64(took.Microseconds())/1000)
 	}
-	wide := rehearsal.Wide{Services: Target.Services, Routes: Target.Routes, Tenants: Target.Tenants}
-	body := rehearsal.FirstText(wide)
+	wide := simulation.Wide{Services: Target.Services, Routes: Target.Routes, Tenants: Target.Tenants}
+	body := simulation.FirstText(wide)
 	s := statemachine.New()
 	began := time.Now()
 	if v, err := s.Apply(statemachine.Entry(statemachine.Replace, body)); v != routing.Taken {
--- a/internal/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/spec"
 )
 
 // job is a submission in work at a backend, or waiting there.
--- a/internal/emulator/counted.go
+++ b/internal/lab/emulator/counted.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"clovergap/control"
+	"clovergap/internal/lab/sharedcounter"
 	"clovergap/internal/proxy/gate"
 	"clovergap/internal/proxy/slots"
-	"clovergap/internal/tally"
 )
 
 // counted is a policy to compare with: quotas by one call to the counter for each txn, as many front doors do it, and
@@ -41,10 +41,10 @@
 	}
 	w.after(w.between(w.s.Halls.Cross), func() {
 		total, how := w.counter.Add(w.now, name, amount, life)
-		if how == tally.Mute {
+		if how == sharedcounter.Mute {
 			return
 		}
-		w.after(w.counter.Mode.Late+w.between(w.s.Halls.Cross), func() { end(total, how == tally.Added) })
+		w.after(w.counter.Mode.Late+w.between(w.s.Halls.Cross), func() { end(total, how == sharedcounter.Added) })
 	})
 }
 
--- a/internal/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 
 	"clovergap/control"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/gate"
 	"clovergap/internal/proxy/slots"
-	"clovergap/internal/spec"
 )
 
 // day is a small fleet with the given faults.
@@ -177,7 +177,7 @@
 // The module keeps the five rules whatever faults come, overlapping as they may.
 func TestRulesUnderRandomFaults(t *testing.T) {
 	flag.Set("rapid.checks", "60") // a few seconds; more by hand
-	scopes, err := spec.Load("../../lab/scopes.toml")
+	scopes, err := spec.Load("../../../lab/scopes.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/links"
-	"clovergap/internal/spec"
-	"clovergap/internal/tally"
+	"clovergap/internal/lab/netfault"
+	"clovergap/internal/lab/sharedcounter"
+	"clovergap/internal/lab/spec"
 )
 
 // plan hangs the experiment's faults on the clock.
@@ -114,20 +114,20 @@
 		w.lateBy++
 		w.until(f, func() { w.lateBy-- })
 	case "counter-down":
-		w.troubled(f, func(m *tally.Mode) { m.Down = true })
+		w.troubled(f, func(m *sharedcounter.Mode) { m.Down = true })
 	case "counter-busy":
-		w.troubled(f, func(m *tally.Mode) { m.Busy = 1 - (1-m.Busy)*(1-f.Share) })
+		w.troubled(f, func(m *sharedcounter.Mode) { m.Busy = 1 - (1-m.Busy)*(1-f.Share) })
 	case "counter-spoilt":
-		w.troubled(f, func(m *tally.Mode) { m.Spoilt = 1 - (1-m.Spoilt)*(1-f.Share) })
+		w.troubled(f, func(m *sharedcounter.Mode) { m.Spoilt = 1 - (1-m.Spoilt)*(1-f.Share) })
 	case "counter-mute":
-		w.troubled(f, func(m *tally.Mode) { m.Mute = 1 - (1-m.Mute)*(1-f.Share) })
+		w.troubled(f, func(m *sharedcounter.Mode) { m.Mute = 1 - (1-m.Mute)*(1-f.Share) })
 	case "counter-late":
-		w.troubled(f, func(m *tally.Mode) { m.Late += f.Delay.D() })
+		w.troubled(f, func(m *sharedcounter.Mode) { m.Late += f.Delay.D() })
 	case "counter-reset":
 		w.counter.Replace()
 	default:
 		hall := func(i int) string { return w.s.Halls.Names[w.doors[i].hall] }
-		if e, ok := links.Of(&f, len(w.doors), hall, f.Source(w.net)); ok {
+		if e, ok := netfault.Of(&f, len(w.doors), hall, f.Source(w.net)); ok {
 			id := w.links.Bring(e)
 			w.until(f, func() {
 				for _, c := range w.links.End(id) {
@@ -139,11 +139,11 @@
 }
 
 // troubled has the counter do something wrong while the fault lasts.
-func (w *world) troubled(f spec.Fault, change func(*tally.Mode)) {
+func (w *world) troubled(f spec.Fault, change func(*sharedcounter.Mode)) {
 	i := len(w.countBy)
 	w.countBy = append(w.countBy, change)
 	sum := func() {
-		w.counter.Mode = tally.Mode{}
+		w.counter.Mode = sharedcounter.Mode{}
 		for _, do := range w.countBy {
 			if do != nil {
 				do(&w.counter.Mode)
@@ -155,7 +155,7 @@
 }
 
 // hear delivers a datagram.
-func (w *world) hear(c links.Copy) {
+func (w *world) hear(c netfault.Copy) {
 	w.after(c.After, func() {
 		to := w.doors[c.To]
 		to.turn(func() { to.brain.Heard(control.GatewayID(c.From), c.Payload) })
--- a/internal/emulator/result.go
+++ b/internal/lab/emulator/result.go
@@ -6,8 +6,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/counters"
-	"clovergap/internal/spec"
 )
 
 // verdict is how a request ended at its client.
--- a/internal/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/links"
-	"clovergap/internal/spec"
-	"clovergap/internal/tally"
+	"clovergap/internal/lab/netfault"
+	"clovergap/internal/lab/sharedcounter"
+	"clovergap/internal/lab/spec"
 )
 
 // origin is the clock at the start: nought stands for "long ago" in the module's lists.
@@ -61,14 +61,14 @@
 	judge    *judge
 	res      *recorder
 	make     func(*door) decider
-	cutHall  map[int]int // halls cut off, by how many faults
-	lossBy   []float64   // of datagrams, by faults under way
-	resetBy  []float64   // of submissions
-	lostBy   []float64   // of answers
-	lateBy   int         // faults that hold lists back
-	links    *links.Set  // what faults do to datagrams
-	counter  *tally.Counter
-	countBy  []func(*tally.Mode)
+	cutHall  map[int]int   // halls cut off, by how many faults
+	lossBy   []float64     // of datagrams, by faults under way
+	resetBy  []float64     // of submissions
+	lostBy   []float64     // of answers
+	lateBy   int           // faults that hold lists back
+	links    *netfault.Set // what faults do to datagrams
+	counter  *sharedcounter.Counter
+	countBy  []func(*sharedcounter.Mode)
 	nextUID  int
 }
 
@@ -78,8 +78,8 @@
 func newWorld(s *spec.Spec, m maker) (*world, error) {
 	w := &world{s: s, now: origin, end: origin + s.For.D(), make: m, byID: map[control.BackendID]*backend{},
 		cutHall: map[int]int{}, net: rand.New(rand.NewPCG(s.Seed, 0x6e6574))}
-	w.links = links.New(rand.New(rand.NewPCG(s.Seed, 0x11a7)))
-	w.counter = tally.New(rand.New(rand.NewPCG(s.Seed, 0x7a11)))
+	w.links = netfault.New(rand.New(rand.NewPCG(s.Seed, 0x11a7)))
+	w.counter = sharedcounter.New(rand.New(rand.NewPCG(s.Seed, 0x7a11)))
 	w.judge = newJudge(w)
 	w.res = newRecorder(w)
 	for i := 0; i < s.Backends.Count; i++ {
--- a/internal/lab/compare.go
+++ b/internal/lab/experiments/compare.go
@@ -1,4 +1,4 @@
-package lab
+package experiments
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"clovergap/internal/emulator"
+	"clovergap/internal/lab/emulator"
 )
 
 // metrics that results can be compared by; more is better in each.
--- a/internal/lab/lab.go
+++ b/internal/lab/experiments/lab.go
@@ -1,6 +1,6 @@
-// Package lab runs experiments: one, or a grid of them over many seeds, in parallel; it keeps results as lines of
+// Package experiments runs experiments: one, or a grid of them over many seeds, in parallel; it keeps results as lines of
 // JSON and as a table, compares two sets pair by pair, and draws them.
-package lab
+package experiments
 
 import (
 	"bufio"
@@ -22,8 +22,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"clovergap/internal/emulator"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/emulator"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/tomlfile"
 )
 
--- a/internal/lab/lab_test.go
+++ b/internal/lab/experiments/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiments
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"clovergap/internal/emulator"
+	"clovergap/internal/lab/emulator"
 )
 
 func files(t *testing.T, grid string) (sweep, out string) {
@@ -90,7 +90,7 @@
 
 // The kept grids read well, point by point.
 func TestKeptSweeps(t *testing.T) {
-	kept, _ := filepath.Glob("../../lab/*-sweep.toml")
+	kept, _ := filepath.Glob("../../../lab/*-sweep.toml")
 	if len(kept) < 2 {
 		t.Fatal("no sweeps found")
 	}
--- a/internal/lab/report.go
+++ b/internal/lab/experiments/report.go
@@ -1,4 +1,4 @@
-package lab
+package experiments
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"clovergap/internal/emulator"
+	"clovergap/internal/lab/emulator"
 )
 
 const width, height = 22 * vg.Centimeter, 7 * vg.Centimeter
--- a/internal/lab/rollouts.go
+++ b/internal/lab/experiments/rollouts.go
@@ -1,4 +1,4 @@
-package lab
+package experiments
 
 import (
 	"fmt"
@@ -7,20 +7,20 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"clovergap/internal/rig"
+	"clovergap/internal/lab/faultrig"
 )
 
 // Rollouts writes one page of roll-outs on real doors: both versions' courses and the moment of the pull-back.
-func Rollouts(w io.Writer, title string, all []*rig.RolloutResult) error {
+func Rollouts(w io.Writer, title string, all []*faultrig.RolloutResult) error {
 	type drawn struct {
-		R      *rig.RolloutResult
+		R      *faultrig.RolloutResult
 		Charts []template.HTML
 	}
 	var list []drawn
 	for i, r := range all {
 		d := drawn{R: r}
 		if i < mostDrawn {
-			for _, draw := range []func(*rig.RolloutResult) (template.HTML, error){reached, failing} {
+			for _, draw := range []func(*faultrig.RolloutResult) (template.HTML, error){reached, failing} {
 				x, err := draw(r)
 				if err != nil {
 					return fmt.Errorf("%s, seed %d: %w", r.Play, r.Seed, err)
@@ -30,11 +30,11 @@
 		}
 		list = append(list, d)
 	}
-	return rolloutPage.Execute(w, map[string]any{"Title": title, "All": list, "Sum": rig.SumRollouts(all)})
+	return rolloutPage.Execute(w, map[string]any{"Title": title, "All": list, "Sum": faultrig.SumRollouts(all)})
 }
 
 // marks are upright lines at the moments of a roll-out.
-func marks(r *rig.RolloutResult, top float64) (all []line) {
+func marks(r *faultrig.RolloutResult, top float64) (all []line) {
 	for _, m := range []struct {
 		name string
 		at   float64
@@ -46,7 +46,7 @@
 	return all
 }
 
-func reached(r *rig.RolloutResult) (template.HTML, error) {
+func reached(r *faultrig.RolloutResult) (template.HTML, error) {
 	var old, new plotter.XYs
 	top := 0.0
 	for _, m := range r.Course {
@@ -58,7 +58,7 @@
 		append([]line{{"old", old}, {"new", new}}, marks(r, top)...)...)
 }
 
-func failing(r *rig.RolloutResult) (template.HTML, error) {
+func failing(r *faultrig.RolloutResult) (template.HTML, error) {
 	share := func(bad, n int) float64 { return float64(bad) / float64(max(n, 1)) }
 	var old, new plotter.XYs
 	for _, m := range r.Course {
--- a/internal/repertoire/kinds.go
+++ b/internal/lab/faultdays/kinds.go
@@ -1,4 +1,4 @@
-package repertoire
+package faultdays
 
 import (
 	"math"
--- a/internal/repertoire/repertoire.go
+++ b/internal/lab/faultdays/repertoire.go
@@ -1,8 +1,8 @@
-// Package repertoire generates test days (fuzzing by grammar): it holds a table of the kinds of trouble that the operators' bench
+// Package faultdays generates test days (fuzzing by grammar): it holds a table of the kinds of trouble that the operators' bench
 // knows, with the fields of each, takes from a site file which of them are played there, and draws harsh days of them from a
 // seed: several troubles of control in one day, cuts and freezes of up to 20 s, races of up to 30 pairs, one lost disk after the
 // other, roll-outs and drains meanwhile, and a closing fault of each kind. The same seed and site give the same day.
-package repertoire
+package faultdays
 
 import (
 	"fmt"
--- a/internal/rig/faults.go
+++ b/internal/lab/faultrig/faults.go
@@ -1,4 +1,4 @@
-package rig
+package faultrig
 
 import (
 	"context"
@@ -9,17 +9,17 @@
 	"sync"
 	"time"
 
+	"clovergap/internal/failpoint"
 	"clovergap/internal/history"
-	"clovergap/internal/links"
-	"clovergap/internal/points"
-	"clovergap/internal/spec"
-	"clovergap/internal/standin"
-	"clovergap/internal/tally"
+	"clovergap/internal/lab/netfault"
+	"clovergap/internal/lab/sharedcounter"
+	"clovergap/internal/lab/spec"
+	"clovergap/internal/lab/standin"
 )
 
 // base is what the experiment says of datagrams without any fault.
-func base(s *spec.Spec) links.Effect {
-	return links.Effect{Loss: s.Peers.Loss, Reorder: 1, Delay: s.Peers.Delay[1].D()}
+func base(s *spec.Spec) netfault.Effect {
+	return netfault.Effect{Loss: s.Peers.Loss, Reorder: 1, Delay: s.Peers.Delay[1].D()}
 }
 
 // source is the fault's own one, or the run's.
@@ -118,8 +118,8 @@
 		}
 		return all
 	}
-	peers := func(e links.Effect) { heal = append(heal, fleet.Relay.Bring(e)) }
-	counter := func(change func(*tally.Mode)) { heal = append(heal, fleet.Counter.Bring(change)) }
+	peers := func(e netfault.Effect) { heal = append(heal, fleet.Relay.Bring(e)) }
+	counter := func(change func(*sharedcounter.Mode)) { heal = append(heal, fleet.Counter.Bring(change)) }
 	adds := func(a, b float64) float64 { return 1 - (1-a)*(1-b) }
 	switch f.Kind {
 	case "slow":
@@ -151,7 +151,7 @@
 		}
 	case "hall-cut":
 		mine := r.inHall(f.Hall)
-		peers(links.Effect{Cut: true, On: func(a, b int) bool { return slices.Contains(mine, a) != slices.Contains(mine, b) }})
+		peers(netfault.Effect{Cut: true, On: func(a, b int) bool { return slices.Contains(mine, a) != slices.Contains(mine, b) }})
 		for _, d := range fleet.Doors {
 			for hall, w := range d.Backends {
 				if (hall == f.Hall) != (d.Hall == f.Hall) {
@@ -227,19 +227,19 @@
 	case "stall-at", "exit-at":
 		heal = append(heal, r.orders(f)...)
 	case "counter-down":
-		counter(func(m *tally.Mode) { m.Down = true })
+		counter(func(m *sharedcounter.Mode) { m.Down = true })
 	case "counter-busy":
-		counter(func(m *tally.Mode) { m.Busy = adds(m.Busy, f.Share) })
+		counter(func(m *sharedcounter.Mode) { m.Busy = adds(m.Busy, f.Share) })
 	case "counter-spoilt":
-		counter(func(m *tally.Mode) { m.Spoilt = adds(m.Spoilt, f.Share) })
+		counter(func(m *sharedcounter.Mode) { m.Spoilt = adds(m.Spoilt, f.Share) })
 	case "counter-mute":
-		counter(func(m *tally.Mode) { m.Mute = adds(m.Mute, f.Share) })
+		counter(func(m *sharedcounter.Mode) { m.Mute = adds(m.Mute, f.Share) })
 	case "counter-late":
-		counter(func(m *tally.Mode) { m.Late += f.Delay.D() })
+		counter(func(m *sharedcounter.Mode) { m.Late += f.Delay.D() })
 	case "counter-reset":
 		fleet.Counter.Replace()
 	default:
-		if e, ok := links.Of(f, len(fleet.Doors), func(i int) string { return fleet.Doors[i].Hall }, r.source(f)); ok {
+		if e, ok := netfault.Of(f, len(fleet.Doors), func(i int) string { return fleet.Doors[i].Hall }, r.source(f)); ok {
 			peers(e)
 		} else {
 			r.mu.Lock()
@@ -328,14 +328,14 @@
 			nth = f.Waves
 		}
 		if f.Kind == "exit-at" {
-			d.Order("exit", points.Name(f.Point), nth, 0)
+			d.Order("exit", failpoint.Name(f.Point), nth, 0)
 			heal = append(heal, func() {
 				d.Kill() // if the point was never reached
 				r.again([]int{nr})()
 			})
 			continue
 		}
-		d.Order("stop", points.Name(f.Point), nth, hold)
+		d.Order("stop", failpoint.Name(f.Point), nth, hold)
 	}
 	return heal
 }
--- a/internal/rig/house.go
+++ b/internal/lab/faultrig/house.go
@@ -1,4 +1,4 @@
-package rig
+package faultrig
 
 import (
 	"cmp"
@@ -16,10 +16,10 @@
 	"sync/atomic"
 	"time"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/history"
-	"clovergap/internal/spec"
-	"clovergap/internal/standin"
+	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
+	"clovergap/internal/lab/standin"
 )
 
 // HouseOptions are how the gateway's doors are played.
@@ -52,7 +52,7 @@
 
 // HouseSchedule is random overlapping faults on doors. The first three have a disk.
 type HouseSchedule struct {
-	Play   *extras.Play // nil: the small house
+	Play   *gatewaystandin.Play // nil: the small house
 	Seed   uint64
 	Doors  int
 	For    time.Duration
@@ -158,9 +158,9 @@
 // house is a run under way.
 type house struct {
 	s       *HouseSchedule
-	t       *extras.Troupe
+	t       *gatewaystandin.Troupe
 	log     *history.Log
-	load    *extras.Clients
+	load    *gatewaystandin.Clients
 	name    string // of the play, for what is kept
 	wg      sync.WaitGroup
 	mu      sync.Mutex
@@ -179,7 +179,7 @@
 
 // recoverMost is when all doors must serve again after the last heal: the rules' bound, and a little for the
 // rig.
-var recoverMost = extras.Bounds().Recovery + 2*time.Second
+var recoverMost = gatewaystandin.Bounds().Recovery + 2*time.Second
 
 // PlayHouse plays a schedule on real doors. Whatever happens, no process is left when it returns.
 func PlayHouse(ctx context.Context, s *HouseSchedule, o HouseOptions) (*HouseResult, error) {
@@ -209,7 +209,7 @@
 			go func() {
 				defer h.wg.Done()
 				sleep(ctx, s.Late[i])
-				h.each([]*extras.Door{d}, again)
+				h.each([]*gatewaystandin.Door{d}, again)
 			}()
 		}
 	} else if err := t.Start(); err != nil {
@@ -250,13 +250,13 @@
 	if s.Doors > 6 {
 		each = 2
 	}
-	t, err := extras.New(extras.Terms{Program: o.Program, Doors: s.Doors, Disks: Disks,
+	t, err := gatewaystandin.New(gatewaystandin.Terms{Program: o.Program, Doors: s.Doors, Disks: Disks,
 		Zones: []string{"stalls", "circle", "gallery"},
 		Each:  each, Rate: o.Rate, Seed: s.Seed, Beat: time.Second, Lost: 1, History: log, Play: s.Play})
 	if err != nil {
 		return nil, err
 	}
-	h := &house{s: s, t: t, log: log, load: extras.NewClients(t), acked: make(chan struct{})}
+	h := &house{s: s, t: t, log: log, load: gatewaystandin.NewClients(t), acked: make(chan struct{})}
 	h.load.Rate = func() float64 {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -325,7 +325,7 @@
 			h.says = append(h.says, d.Name+": "+h.t.Tells(d))
 		}
 	}
-	return append(bad, extras.Kept(final, h.t.Operator.Versions(), history.Now())...)
+	return append(bad, gatewaystandin.Kept(final, h.t.Operator.Versions(), history.Now())...)
 }
 
 // faults plays a schedule's.
@@ -397,7 +397,7 @@
 }
 
 // each does something to some doors at once and waits for all.
-func (h *house) each(which []*extras.Door, do func(*extras.Door) error) {
+func (h *house) each(which []*gatewaystandin.Door, do func(*gatewaystandin.Door) error) {
 	var wg sync.WaitGroup
 	for _, d := range which {
 		wg.Add(1)
@@ -415,8 +415,8 @@
 	wg.Wait()
 }
 
-func kill(d *extras.Door) error  { d.Kill(); return nil }
-func again(d *extras.Door) error { return d.Again() }
+func kill(d *gatewaystandin.Door) error  { d.Kill(); return nil }
+func again(d *gatewaystandin.Door) error { return d.Again() }
 
 // play waits for a fault's time, brings it and heals it.
 func (h *house) play(ctx context.Context, f *spec.Fault) {
@@ -425,7 +425,7 @@
 		return
 	}
 	rng := f.Source(nil)
-	some := func(of []*extras.Door) (all []*extras.Door) {
+	some := func(of []*gatewaystandin.Door) (all []*gatewaystandin.Door) {
 		for _, i := range spec.Hits(len(of), f.Share, rng) {
 			all = append(all, of[i])
 		}
@@ -435,7 +435,7 @@
 		h.acknowledged(ctx, 3*time.Second)
 	}
 	if strings.HasPrefix(f.Kind, "lead-") {
-		some = func([]*extras.Door) []*extras.Door { return h.leader(ctx) }
+		some = func([]*gatewaystandin.Door) []*gatewaystandin.Door { return h.leader(ctx) }
 	}
 	h.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: f.Kind})
 	defer func() { h.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: f.Kind}) }()
@@ -451,7 +451,7 @@
 		h.each(which, again)
 	case "disk-wipe", "ack-wipe":
 		which := some(h.t.Cores())
-		h.each(which, func(d *extras.Door) error { return d.Wipe() })
+		h.each(which, func(d *gatewaystandin.Door) error { return d.Wipe() })
 		sleep(ctx, f.For.D())
 		h.each(which, again)
 	case "door-stall", "core-stall", "ack-stall", "lead-stall":
@@ -460,9 +460,9 @@
 			of = h.t.Cores()
 		}
 		which := some(of)
-		h.each(which, func(d *extras.Door) error { d.Hold(true, f.Kind); return nil })
+		h.each(which, func(d *gatewaystandin.Door) error { d.Hold(true, f.Kind); return nil })
 		sleep(ctx, f.For.D())
-		h.each(which, func(d *extras.Door) error { d.Hold(false, f.Kind); return nil })
+		h.each(which, func(d *gatewaystandin.Door) error { d.Hold(false, f.Kind); return nil })
 	case "door-cut", "core-cut", "ack-cut":
 		of := h.t.Doors
 		if f.Kind != "door-cut" {
@@ -484,7 +484,7 @@
 			of = h.t.Cores()
 		}
 		which := some(of)
-		h.each(which, func(d *extras.Door) error { d.Term(extras.Bounds().Grace); return nil })
+		h.each(which, func(d *gatewaystandin.Door) error { d.Term(gatewaystandin.Bounds().Grace); return nil })
 		sleep(ctx, f.For.D())
 		h.each(which, again)
 	case "crash", "drain":
@@ -545,12 +545,12 @@
 }
 
 // leader is the door that leads the core, by the first word of any of the core.
-func (h *house) leader(ctx context.Context) []*extras.Door {
+func (h *house) leader(ctx context.Context) []*gatewaystandin.Door {
 	for _, d := range h.t.Cores() {
 		s := h.t.Status(ctx, d, 300*time.Millisecond)
 		for _, x := range h.t.Cores() {
 			if s != nil && s.Core != nil && strings.HasPrefix(s.Core.Leader, x.Host+":") {
-				return []*extras.Door{x}
+				return []*gatewaystandin.Door{x}
 			}
 		}
 	}
@@ -563,7 +563,7 @@
 	lost := h.t.Cores()[rng.IntN(Disks)]
 	h.acknowledged(ctx, 5*time.Second)
 	h.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: "closing"})
-	h.each(h.t.Doors, func(d *extras.Door) error {
+	h.each(h.t.Doors, func(d *gatewaystandin.Door) error {
 		if h.s.Wipe && d == lost {
 			return d.Wipe()
 		}
@@ -581,7 +581,7 @@
 	defer cancel()
 	var mu sync.Mutex
 	var bad []history.Broken
-	h.each(h.t.Doors, func(d *extras.Door) error {
+	h.each(h.t.Doors, func(d *gatewaystandin.Door) error {
 		for late.Err() == nil {
 			if h.load.Probe(late, d) {
 				return nil
@@ -624,7 +624,7 @@
 	if n := events[max(0, len(events)-1)]; n.Kind == history.Lost {
 		res.Slow = time.Hour // what rests on what was not kept is no finding
 	}
-	bad = append(bad, extras.Judge(events, h.t.Cast(), platform+res.Slow)...)
+	bad = append(bad, gatewaystandin.Judge(events, h.t.Cast(), platform+res.Slow)...)
 	if h.also != nil {
 		bad = append(bad, h.also(events, platform+res.Slow)...)
 	}
@@ -634,9 +634,9 @@
 			spoilt[e.Txn] = true
 		}
 	}
-	for _, b := range history.OneAnswer(extras.Run(events), history.World{Slack: platform + res.Slow}) {
+	for _, b := range history.OneAnswer(gatewaystandin.Run(events), history.World{Slack: platform + res.Slow}) {
 		// What a backend broke off may end so, and what takes longer than its door's grace.
-		if !spoilt[b.Txn] && !extras.OutOfGrace(events, b.Who, b.T) {
+		if !spoilt[b.Txn] && !gatewaystandin.OutOfGrace(events, b.Who, b.T) {
 			bad = append(bad, b)
 		}
 	}
--- a/internal/rig/house_test.go
+++ b/internal/lab/faultrig/house_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultrig
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"go.uber.org/goleak"
 
 	"clovergap/internal/history"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/spec"
 )
 
 // Five doors, three with disks, while cores and doors are killed, stand still, lose a disk, end in order and are cut
--- a/internal/rig/leases_test.go
+++ b/internal/lab/faultrig/leases_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultrig
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 
 	"clovergap/internal/frontdoor/leasing"
 	"clovergap/internal/history"
-	"clovergap/internal/spec"
-	"clovergap/internal/standin"
+	"clovergap/internal/lab/spec"
+	"clovergap/internal/lab/standin"
 )
 
 // Five front doors share a roll call by lease, while the holder stands still between check and write for longer than two
@@ -23,7 +23,7 @@
 // hold it at once, the ledger refuses the stale step, no span is closed twice, and the task goes on.
 func TestLeasesOnProcesses(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	text, err := os.ReadFile("../../lab/leases.operator.toml")
+	text, err := os.ReadFile("../../../lab/leases.operator.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/rig.go
+++ b/internal/lab/faultrig/rig.go
@@ -1,6 +1,6 @@
-// Package rig plays an experiment's faults on real front doors between stand-ins, keeps the history of what all of them
+// Package faultrig plays an experiment's faults on real front doors between stand-ins, keeps the history of what all of them
 // did by one clock, and holds it against the rules.
-package rig
+package faultrig
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 
 	"clovergap/internal/frontdoor/ledger"
 	"clovergap/internal/history"
-	"clovergap/internal/spec"
-	"clovergap/internal/standin"
+	"clovergap/internal/lab/spec"
+	"clovergap/internal/lab/standin"
 )
 
 // Options are how an experiment is played.
--- a/internal/rig/rig_test.go
+++ b/internal/lab/faultrig/rig_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultrig
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 
 	"clovergap/internal/history"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/spec"
 )
 
 var built string // a debug build of the front door: what must hold is asserted in it, and it has the named points
@@ -63,7 +63,7 @@
 // three is a small fleet with products of all effects and scopes.
 func three(t *testing.T, seconds float64, faults ...spec.Fault) *spec.Spec {
 	t.Helper()
-	s, err := spec.Load("../../lab/chaos.toml")
+	s, err := spec.Load("../../../lab/chaos.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/rollout.go
+++ b/internal/lab/faultrig/rollout.go
@@ -1,4 +1,4 @@
-package rig
+package faultrig
 
 import (
 	"cmp"
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/history"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 )
 
 // Arm is what a roll-out's run is compared by.
@@ -42,7 +42,7 @@
 	Steps   []int // shares
 	Dwell   time.Duration
 	Advance string // of understudy.Rollout
-	Flaw    extras.Flaw
+	Flaw    gatewaystandin.Flaw
 	Step    int           // in which it begins to fail, from 1
 	After   time.Duration // and when in it
 	Seen    bool          // the faults begin when the first door is seen to have pulled back; else with the failing
@@ -52,11 +52,11 @@
 func DrawRollout(play string, arm Arm, seed uint64, doors int, dur time.Duration) *RolloutSchedule {
 	rng := rand.New(rand.NewPCG(seed, 0x9011+uint64(len(play)))) // plays differ in their schedules
 	span := func(from, to float64) spec.Span { return spec.Span((from + rng.Float64()*(to-from)) * 1e9) }
-	s := &RolloutSchedule{HouseSchedule: HouseSchedule{Play: extras.Plays()[play](), Seed: seed, Doors: doors, For: dur},
+	s := &RolloutSchedule{HouseSchedule: HouseSchedule{Play: gatewaystandin.Plays()[play](), Seed: seed, Doors: doors, For: dur},
 		Arm: arm, Steps: [][]int{{500, 2000, 5000, 9000}, {1000, 2500, 5000, 7500}, {1000, 3000, 6000, 9000}}[rng.IntN(3)],
 		Dwell: span(1.5, 2.5).D(), Advance: []string{"time", "word"}[rng.IntN(2)], Step: 2 + rng.IntN(3)}
 	s.After = time.Duration(rng.Float64() * float64(s.Dwell))
-	s.Flaw = extras.Flaw{Cause: extras.Causes[rng.IntN(len(extras.Causes))],
+	s.Flaw = gatewaystandin.Flaw{Cause: gatewaystandin.Causes[rng.IntN(len(gatewaystandin.Causes))],
 		Share: []float64{0.2, 0.5, 1}[rng.IntN(3)], Writes: rng.IntN(3) == 0, By: 4}
 	if rng.IntN(6) == 0 {
 		s.Flaw.Tenant = s.Play.Tenant(rng.IntN(4))
@@ -86,7 +86,7 @@
 
 // order is the roll-out that is started.
 func (s *RolloutSchedule) order() rollout.Rollout {
-	r := rollout.Rollout{Service: s.Play.Leading, Old: extras.FirstVersion, New: newVersion, Advance: s.Advance}
+	r := rollout.Rollout{Service: s.Play.Leading, Old: gatewaystandin.FirstVersion, New: newVersion, Advance: s.Advance}
 	for _, share := range s.Steps {
 		r.Steps = append(r.Steps, rollout.Step{Share: share, MinTime: rollout.Span(s.Dwell), Requests: 10})
 	}
@@ -99,23 +99,23 @@
 // RolloutResult is what came of it.
 type RolloutResult struct {
 	HouseResult
-	Play     string          `json:"play"`
-	Arm      Arm             `json:"arm"`
-	Flaw     string          `json:"flaw,omitempty"`
-	Advance  string          `json:"advance"`
-	Share    int             `json:"share"`  // when it began to fail, in 1/10000
-	Rate     float64         `json:"rate"`   // requests a second
-	Pulled   int             `json:"pulled"` // doors that were seen to have pulled back
-	Alone    int             `json:"alone"`  // doors that said that they pulled back for themselves
-	Phase    string          `json:"phase"`  // at the end
-	Why      string          `json:"why,omitempty"`
-	Met      extras.Met      `json:"met"`
-	Reads    extras.Carried  `json:"reads"`
-	Open     extras.Open     `json:"open"` // writes without a clear answer
-	Recorded int             `json:"recorded"`
-	Course   []extras.Moment `json:"course,omitempty"`
-	SpoiltAt float64         `json:"spoilt_at,omitempty"` // seconds from the start of the roll-out
-	PulledAt float64         `json:"pulled_at,omitempty"`
+	Play     string                  `json:"play"`
+	Arm      Arm                     `json:"arm"`
+	Flaw     string                  `json:"flaw,omitempty"`
+	Advance  string                  `json:"advance"`
+	Share    int                     `json:"share"`  // when it began to fail, in 1/10000
+	Rate     float64                 `json:"rate"`   // requests a second
+	Pulled   int                     `json:"pulled"` // doors that were seen to have pulled back
+	Alone    int                     `json:"alone"`  // doors that said that they pulled back for themselves
+	Phase    string                  `json:"phase"`  // at the end
+	Why      string                  `json:"why,omitempty"`
+	Met      gatewaystandin.Met      `json:"met"`
+	Reads    gatewaystandin.Carried  `json:"reads"`
+	Open     gatewaystandin.Open     `json:"open"` // writes without a clear answer
+	Recorded int                     `json:"recorded"`
+	Course   []gatewaystandin.Moment `json:"course,omitempty"`
+	SpoiltAt float64                 `json:"spoilt_at,omitempty"` // seconds from the start of the roll-out
+	PulledAt float64                 `json:"pulled_at,omitempty"`
 }
 
 const (
@@ -130,19 +130,19 @@
 	*house
 	s     *RolloutSchedule
 	res   *RolloutResult
-	trial extras.Trial
+	trial gatewaystandin.Trial
 	from  time.Duration // when it was started
 
 	look sync.Mutex
-	last extras.RolloutView // the newest that any door told
-	why  string             // there was a pull-back
-	seen chan struct{}      // closed when a door has pulled back
+	last gatewaystandin.RolloutView // the newest that any door told
+	why  string                     // there was a pull-back
+	seen chan struct{}              // closed when a door has pulled back
 }
 
 // PlayRollout plays a schedule on real doors.
 func PlayRollout(ctx context.Context, s *RolloutSchedule, o HouseOptions) (*RolloutResult, error) {
 	r := &rolloutRun{s: s, res: &RolloutResult{Play: s.Play.Name, Arm: s.Arm, Advance: s.Advance, Rate: o.Rate},
-		trial: extras.Trial{Service: s.Play.Leading, New: newVersion, Pulled: map[string]time.Duration{}},
+		trial: gatewaystandin.Trial{Service: s.Play.Leading, New: newVersion, Pulled: map[string]time.Duration{}},
 		seen:  make(chan struct{})}
 	if s.Arm != Good {
 		r.res.Flaw = s.Flaw.String()
@@ -264,7 +264,7 @@
 }
 
 // watch looks again and again at whether a door has pulled back, and one time in four at how all stands.
-func (r *rolloutRun) watch(ctx context.Context, d *extras.Door) {
+func (r *rolloutRun) watch(ctx context.Context, d *gatewaystandin.Door) {
 	for i := 0; ctx.Err() == nil; i++ {
 		if i%4 == 0 {
 			if v, ok := r.t.Rollout(ctx, d, r.s.Play.Leading); ok {
@@ -297,7 +297,7 @@
 	return len(r.trial.Pulled)
 }
 
-func (r *rolloutRun) newest() extras.RolloutView {
+func (r *rolloutRun) newest() gatewaystandin.RolloutView {
 	r.look.Lock()
 	defer r.look.Unlock()
 	return r.last
@@ -316,19 +316,19 @@
 // judge holds the roll-out against its own rules and measures it.
 func (r *rolloutRun) judge(h []history.Event, slack time.Duration) (bad []history.Broken) {
 	r.trial.Lines, r.trial.Slack = r.t.Lines(), slack
-	books, open := extras.Books(h)
-	reads, carried := extras.Whole(h, &r.trial)
-	bad = slices.Concat(books, reads, extras.Barred(h, &r.trial))
+	books, open := gatewaystandin.Books(h)
+	reads, carried := gatewaystandin.Whole(h, &r.trial)
+	bad = slices.Concat(books, reads, gatewaystandin.Barred(h, &r.trial))
 	x := r.res
-	x.Open, x.Reads, x.Met, x.Pulled = open, carried, extras.Measure(h, &r.trial), len(r.trial.Pulled)
+	x.Open, x.Reads, x.Met, x.Pulled = open, carried, gatewaystandin.Measure(h, &r.trial), len(r.trial.Pulled)
 	now := r.newest()
 	x.Phase, x.Why = now.Phase, r.why
 	for _, e := range h {
-		if e.Kind == extras.Recorded {
+		if e.Kind == gatewaystandin.Recorded {
 			x.Recorded++
 		}
 	}
-	x.Course = extras.Course(h, &r.trial, r.from, piece)
+	x.Course = gatewaystandin.Course(h, &r.trial, r.from, piece)
 	at := func(t time.Duration) float64 {
 		if t == 0 {
 			return 0
@@ -376,19 +376,19 @@
 
 // RolloutSum sums up roll-outs.
 type RolloutSum struct {
-	Runs     int            `json:"runs"`
-	Broke    int            `json:"broke"`  // runs that broke a rule
-	Pulled   int            `json:"pulled"` // at all doors
-	Verdict  Spread         `json:"verdict"`
-	LastDoor Spread         `json:"last_door"`
-	Last     Spread         `json:"last"`
-	Met      [2]int         `json:"met"`    // median and most of the requests that met it
-	Failed   [2]int         `json:"failed"` // of these
-	Asked    int64          `json:"asked"`
-	Recorded int            `json:"recorded"`
-	Unclear  int            `json:"unclear"`
-	Why      map[string]int `json:"why"`
-	Reads    extras.Carried `json:"reads"`
+	Runs     int                    `json:"runs"`
+	Broke    int                    `json:"broke"`  // runs that broke a rule
+	Pulled   int                    `json:"pulled"` // at all doors
+	Verdict  Spread                 `json:"verdict"`
+	LastDoor Spread                 `json:"last_door"`
+	Last     Spread                 `json:"last"`
+	Met      [2]int                 `json:"met"`    // median and most of the requests that met it
+	Failed   [2]int                 `json:"failed"` // of these
+	Asked    int64                  `json:"asked"`
+	Recorded int                    `json:"recorded"`
+	Unclear  int                    `json:"unclear"`
+	Why      map[string]int         `json:"why"`
+	Reads    gatewaystandin.Carried `json:"reads"`
 }
 
 // SumRollouts takes times and requests from those that were pulled back, or from all where none was.
--- a/internal/rig/rollout_test.go
+++ b/internal/lab/faultrig/rollout_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultrig
 
 import (
 	"testing"
@@ -6,14 +6,14 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/extras"
+	"clovergap/internal/lab/gatewaystandin"
 )
 
 // A schedule comes again from its seed, its arms differ in nothing that is drawn, and its order is sound.
 func TestDrawRollout(t *testing.T) {
 	causes := map[string]int{}
 	for seed := range uint64(200) {
-		for play := range extras.Plays() {
+		for play := range gatewaystandin.Plays() {
 			s := DrawRollout(play, Judged, seed, 5, 12*time.Second)
 			other := DrawRollout(play, Unjudged, seed, 5, 12*time.Second)
 			must.Eq(t, s.Faults, other.Faults)
@@ -27,13 +27,13 @@
 			causes[s.Flaw.Cause]++
 		}
 	}
-	must.MapLen(t, len(extras.Causes), causes)
+	must.MapLen(t, len(gatewaystandin.Causes), causes)
 }
 
 func TestRolloutsAreSummed(t *testing.T) {
 	run := func(pulled int, last time.Duration, met int) *RolloutResult {
-		r := &RolloutResult{Pulled: pulled, Met: extras.Met{Last: last, Requests: met}, Recorded: 10,
-			Open: extras.Open{All: 1, Why: map[string]int{"never sent on": 1}}}
+		r := &RolloutResult{Pulled: pulled, Met: gatewaystandin.Met{Last: last, Requests: met}, Recorded: 10,
+			Open: gatewaystandin.Open{All: 1, Why: map[string]int{"never sent on": 1}}}
 		r.Doors = 5
 		return r
 	}
--- a/internal/rig/shrink.go
+++ b/internal/lab/faultrig/shrink.go
@@ -1,10 +1,10 @@
-package rig
+package faultrig
 
 import (
 	"context"
 	"fmt"
 
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/spec"
 )
 
 // Shrink looks for as few of a schedule's faults as still fail: it leaves out halves, then quarters, down to single
--- a/internal/rig/spans.go
+++ b/internal/lab/faultrig/spans.go
@@ -1,4 +1,4 @@
-package rig
+package faultrig
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/history"
+	"clovergap/internal/lab/gatewaystandin"
 )
 
 // Loss is what is done to the leader, or to all doors.
@@ -108,8 +108,8 @@
 }
 
 // lose takes the leader away and waits for what it measures.
-func (h *house) lose(ctx context.Context, s *Spans, leader *extras.Door, view uint64) (err error) {
-	rest := slices.DeleteFunc(slices.Clone(h.t.Doors), func(d *extras.Door) bool { return d == leader })
+func (h *house) lose(ctx context.Context, s *Spans, leader *gatewaystandin.Door, view uint64) (err error) {
+	rest := slices.DeleteFunc(slices.Clone(h.t.Doors), func(d *gatewaystandin.Door) bool { return d == leader })
 	part := func(off bool) {
 		for _, d := range rest {
 			leader.Part(d, off)
@@ -216,7 +216,7 @@
 }
 
 // well waits until all is well, and tells who leads.
-func (h *house) well(ctx context.Context) (*extras.Door, uint64, error) {
+func (h *house) well(ctx context.Context) (*gatewaystandin.Door, uint64, error) {
 	late, cancel := context.WithTimeout(ctx, recoverMost)
 	defer cancel()
 	for late.Err() == nil {
@@ -236,7 +236,7 @@
 }
 
 // another waits until another of the core leads a newer view.
-func (h *house) another(ctx context.Context, than *extras.Door, view uint64) bool {
+func (h *house) another(ctx context.Context, than *gatewaystandin.Door, view uint64) bool {
 	for ctx.Err() == nil {
 		for _, d := range h.t.Cores() {
 			if d == than {
--- a/internal/extras/backend.go
+++ b/internal/lab/gatewaystandin/backend.go
@@ -1,4 +1,4 @@
-package extras
+package gatewaystandin
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/history"
-	"clovergap/internal/standin"
+	"clovergap/internal/lab/standin"
 )
 
 // Line is a backend of the gateway with its beats, in one life: an extra with a line to say.
--- a/internal/extras/clients.go
+++ b/internal/lab/gatewaystandin/clients.go
@@ -1,4 +1,4 @@
-package extras
+package gatewaystandin
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
-	"clovergap/internal/standin"
+	"clovergap/internal/lab/standin"
 )
 
 // Clients ask doors by host and path with their tenants' keys, and try again as the protocol says.
--- a/internal/extras/operator.go
+++ b/internal/lab/gatewaystandin/operator.go
@@ -1,4 +1,4 @@
-package extras
+package gatewaystandin
 
 import (
 	"context"
--- a/internal/extras/play.go
+++ b/internal/lab/gatewaystandin/play.go
@@ -1,4 +1,4 @@
-package extras
+package gatewaystandin
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
-	"clovergap/internal/standin"
+	"clovergap/internal/lab/standin"
 )
 
 // Play is what a troupe plays: services, the kinds of requests for them, and users who ask.
--- a/internal/extras/rules_test.go
+++ b/internal/lab/gatewaystandin/rules_test.go
@@ -1,4 +1,4 @@
-package extras
+package gatewaystandin
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
-	"clovergap/internal/standin"
+	"clovergap/internal/lab/standin"
 )
 
 const s = time.Second
--- a/internal/extras/troupe.go
+++ b/internal/lab/gatewaystandin/troupe.go
@@ -1,7 +1,7 @@
-// Package extras plays on loopback what the gateway speaks with, by its published protocol: backends that
+// Package gatewaystandin plays on loopback what the gateway speaks with, by its published protocol: backends that
 // beat and leave, an operator, clients with keys. It starts real doors as processes, each on an address of
 // its own.
-package extras
+package gatewaystandin
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 
 	"clovergap/internal/gateway/settings"
 	"clovergap/internal/history"
-	"clovergap/internal/standin"
+	"clovergap/internal/lab/standin"
 )
 
 // Terms are how large a troupe is, and how it is told to behave.
--- a/internal/mutants/mutants_test.go
+++ b/internal/lab/mutants/mutants_test.go
@@ -9,7 +9,7 @@
 
 // The kept table reads well, and each change fits the source as it stands: one that no longer does would find nothing.
 func TestKeptTableFits(t *testing.T) {
-	table, err := Load("../../lab/mutants.toml")
+	table, err := Load("../../../lab/mutants.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 			if strings.HasPrefix(p, "leases ") || strings.HasPrefix(p, "rehearsal ") || strings.HasPrefix(p, "hard ") {
 				continue
 			}
-			if _, err := os.Stat(filepath.Join("../../lab", strings.Fields(p)[1])); err != nil {
+			if _, err := os.Stat(filepath.Join("../../../lab", strings.Fields(p)[1])); err != nil {
 				t.Error(err)
 			}
 		}
--- a/internal/links/links.go
+++ b/internal/lab/netfault/links.go
@@ -1,12 +1,12 @@
-// Package links decides what becomes of a datagram between two front doors while faults are under way: it is free of
+// Package netfault decides what becomes of a datagram between two front doors while faults are under way: it is free of
 // I/O, so that the emulator and the relay before real processes play the same faults.
-package links
+package netfault
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/spec"
 )
 
 // Effect is what a fault does to the datagrams from one front door to another.
--- a/internal/links/links_test.go
+++ b/internal/lab/netfault/links_test.go
@@ -1,4 +1,4 @@
-package links
+package netfault
 
 import (
 	"math/rand/v2"
--- a/internal/tally/tally.go
+++ b/internal/lab/sharedcounter/tally.go
@@ -1,6 +1,6 @@
-// Package tally is the counter that a site may share among its front doors: numbers by name that live for a while. It
+// Package sharedcounter is the counter that a site may share among its front doors: numbers by name that live for a while. It
 // is free of I/O; the emulator and the stand-in on sockets play it, with the same faults.
-package tally
+package sharedcounter
 
 import (
 	"math"
--- a/internal/rehearsal/catchup_test.go
+++ b/internal/lab/simulation/catchup_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/routing"
+	"clovergap/internal/lab/gatewaystandin"
 )
 
 // changer sends whoever leads one change after another, each made from the generation before.
@@ -59,7 +59,7 @@
 		if err != nil {
 			panic(err)
 		}
-		c.w.operator.call(m, extras.ReplacePath, text, func(int, []byte) {})
+		c.w.operator.call(m, gatewaystandin.ReplacePath, text, func(int, []byte) {})
 		return true
 	}
 	a := routing.Amendment{Generation: c.gen, ParentVersion: parent, Upserts: &routing.Upserts{
@@ -68,7 +68,7 @@
 	if err != nil {
 		panic(err)
 	}
-	c.w.operator.call(m, extras.AmendPath, text, func(int, []byte) {})
+	c.w.operator.call(m, gatewaystandin.AmendPath, text, func(int, []byte) {})
 	return true
 }
 
@@ -83,7 +83,7 @@
 	for _, m := range w.machines {
 		m.start()
 	}
-	c := &changer{w: w, bill: extras.First()}
+	c := &changer{w: w, bill: gatewaystandin.First()}
 	for i := range bytes / 110 {
 		c.bill.Tenants = append(c.bill.Tenants, tenant(i))
 	}
--- a/internal/rehearsal/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"encoding/binary"
@@ -7,9 +7,9 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/ingress"
 	"clovergap/internal/history"
+	"clovergap/internal/lab/gatewaystandin"
 	"clovergap/internal/proxy/gate"
 	"clovergap/internal/proxy/slots"
 )
@@ -18,7 +18,7 @@
 type clients struct {
 	w      *world
 	rng    *rand.Rand
-	known  extras.Known
+	known  gatewaystandin.Known
 	missed []int
 	heard  []bool
 	burst  []float64
@@ -43,7 +43,7 @@
 type try struct {
 	nr     uint32
 	id     string
-	want   extras.Want
+	want   gatewaystandin.Want
 	m      *machine
 	p      *process // that has it
 	adm    ingress.Admission
@@ -103,17 +103,17 @@
 }
 
 // send sends one request, with further tries within its time.
-func (c *clients) send(want extras.Want) {
+func (c *clients) send(want gatewaystandin.Want) {
 	w := c.w
 	began, until, tries := w.now, w.now+want.Deadline, 0
 	c.counts.Asked++
 	var again func()
 	again = func() {
 		tries++
-		m := w.machines[extras.Pass(c.rng, want.Zone, len(w.machines), func(i int) string { return w.machines[i].zone }, c.in)]
+		m := w.machines[gatewaystandin.Pass(c.rng, want.Zone, len(w.machines), func(i int) string { return w.machines[i].zone }, c.in)]
 		c.try(m, want, until-w.now, func(status int, after time.Duration) {
 			left := until - w.now
-			if extras.Again(status, want.Effectful) && tries < extras.TriesMost && left > 20*time.Millisecond {
+			if gatewaystandin.Again(status, want.Effectful) && tries < gatewaystandin.TriesMost && left > 20*time.Millisecond {
 				wait := span(c.rng, 20*time.Millisecond, 80*time.Millisecond)
 				if after > 0 {
 					wait = min(after, left/3)
@@ -139,7 +139,7 @@
 }
 
 // try sends one try to a door.
-func (c *clients) try(m *machine, want extras.Want, left time.Duration, ended func(status int, after time.Duration)) {
+func (c *clients) try(m *machine, want gatewaystandin.Want, left time.Duration, ended func(status int, after time.Duration)) {
 	w := c.w
 	c.next++
 	t := &try{nr: c.next, id: fmt.Sprintf("%08x", c.next), want: want, m: m, ended: ended}
@@ -147,7 +147,7 @@
 	if want.Effectful {
 		what = "effectful"
 	}
-	w.note(history.Event{Who: "clients", Kind: extras.Route, Txn: t.id, Key: want.Host, At: want.Path, What: want.Kind})
+	w.note(history.Event{Who: "clients", Kind: gatewaystandin.Route, Txn: t.id, Key: want.Host, At: want.Path, What: want.Kind})
 	w.note(history.Event{Who: "clients", Kind: history.Asked, Txn: t.id, Key: want.Tenant, At: m.name, N: 1, What: what,
 		Due: w.now + left})
 	sent := w.now
@@ -293,7 +293,7 @@
 	switch {
 	case t == nil:
 	case string(o.Body) != t.id:
-		x.p.w.note(history.Event{Who: "clients", Kind: extras.Mixed, Txn: t.id, At: t.m.name, What: string(o.Body)})
+		x.p.w.note(history.Event{Who: "clients", Kind: gatewaystandin.Mixed, Txn: t.id, At: t.m.name, What: string(o.Body)})
 	case o.Ending == control.Settled:
 		x.answered(t, 200, 0)
 	default:
--- a/internal/rehearsal/day.go
+++ b/internal/lab/simulation/day.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
+	"clovergap/internal/lab/gatewaystandin"
 )
 
 // Result is what came of a day.
@@ -42,7 +42,7 @@
 )
 
 // recoverMost is when all doors must serve again after the last heal.
-var recoverMost = extras.Bounds().Recovery + 2*time.Second
+var recoverMost = gatewaystandin.Bounds().Recovery + 2*time.Second
 
 // Play plays a day.
 func Play(d *Day) (r *Result) {
@@ -65,7 +65,7 @@
 	bad := func(rule, who, format string, args ...any) {
 		r.Broken = append(r.Broken, history.Broken{Rule: rule, T: w.now, Who: who, What: fmt.Sprintf(format, args...)})
 	}
-	for _, s := range extras.Services {
+	for _, s := range gatewaystandin.Services {
 		for _, z := range w.zones {
 			for range d.Each {
 				w.stage.add(s.Name, z, 0)
@@ -115,13 +115,13 @@
 		w.recovers(r, "the closing fault")
 	}
 	w.operator.goes, w.clients.open = false, false
-	w.until(w.now+extras.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
+	w.until(w.now+gatewaystandin.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
 	var final *routing.Bill
 	for range 2 {
 		if final == nil {
 			read := false
 			w.operator.read(func(b *routing.Bill) { final, read = b, true })
-			w.until(w.now+extras.ClearMost+time.Second, func() bool { return read })
+			w.until(w.now+gatewaystandin.ClearMost+time.Second, func() bool { return read })
 		}
 	}
 	w.until(w.now+tail, nil)
@@ -135,16 +135,16 @@
 	for _, m := range w.cores() {
 		r.Syncs += m.disk.syncs
 	}
-	r.Broken = append(r.Broken, extras.Kept(final, cast.Versions, w.now)...)
-	r.Broken = append(r.Broken, extras.Judge(w.history, cast, slack)...)
+	r.Broken = append(r.Broken, gatewaystandin.Kept(final, cast.Versions, w.now)...)
+	r.Broken = append(r.Broken, gatewaystandin.Judge(w.history, cast, slack)...)
 	r.Broken = append(r.Broken, w.broken...)
 	slices.SortStableFunc(r.Broken, func(a, b history.Broken) int {
 		return cmp.Or(cmp.Compare(a.T, b.T), strings.Compare(a.Rule, b.Rule), strings.Compare(a.What, b.What))
 	})
 }
 
-func (w *world) cast() *extras.Cast {
-	c := &extras.Cast{Doors: map[string]string{}, Services: w.stage.services, Versions: map[uint64]extras.Version{}}
+func (w *world) cast() *gatewaystandin.Cast {
+	c := &gatewaystandin.Cast{Doors: map[string]string{}, Services: w.stage.services, Versions: map[uint64]gatewaystandin.Version{}}
 	for at, m := range w.byCall { // those that were replaced too
 		c.Doors[at] = m.name
 	}
@@ -181,7 +181,7 @@
 // recovers waits until every door serves every first route.
 func (w *world) recovers(r *Result, what string) bool {
 	began, left := w.now, len(w.machines)
-	wants := extras.Probes()
+	wants := gatewaystandin.Probes()
 	for _, m := range w.machines {
 		served := 0
 		var next func()
--- a/internal/rehearsal/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -1,11 +1,11 @@
-package rehearsal
+package simulation
 
 import (
 	"slices"
 	"strings"
 	"time"
 
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/spec"
 )
 
 // Draw draws a day's faults from its seed, biased to moments that matter: right after an acknowledgement, while a disk writes,
--- a/internal/rehearsal/feed_test.go
+++ b/internal/lab/simulation/feed_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/extras"
+	"clovergap/internal/lab/gatewaystandin"
 )
 
 // A door without a disk follows one that loses its disk and is back soon, while it cannot feed anybody yet. The wish to follow was passed
@@ -23,7 +23,7 @@
 			level := func() bool { // with whatever was acknowledged so long ago
 				for _, m := range w.machines[3:] {
 					for gen, v := range w.operator.versions {
-						if v.Acked > 0 && w.now-v.Acked > extras.Bounds().ApplyWithin && gen > m.p.h.Status().Generation {
+						if v.Acked > 0 && w.now-v.Acked > gatewaystandin.Bounds().ApplyWithin && gen > m.p.h.Status().Generation {
 							return false
 						}
 					}
--- a/internal/rehearsal/hard.go
+++ b/internal/lab/simulation/hard.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"bytes"
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/node"
 	"clovergap/internal/history"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 )
 
 // hardKinds stand beside the others on hard days: a machine with a disk is replaced by a new one, with a new address and an empty
@@ -67,7 +67,7 @@
 	w.every(lookEach, func() bool {
 		lost := 0
 		for _, m := range w.cores() {
-			if m.trouble > 0 || m.p == nil || w.now-m.eased < extras.Bounds().CatchUp || w.now-m.p.born < extras.Bounds().CatchUp {
+			if m.trouble > 0 || m.p == nil || w.now-m.eased < gatewaystandin.Bounds().CatchUp || w.now-m.p.born < gatewaystandin.Bounds().CatchUp {
 				lost++
 			}
 		}
--- a/internal/rehearsal/hard_test.go
+++ b/internal/lab/simulation/hard_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/extras"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 )
 
 // Hard days are days as well: the same seed gives the same bytes.
@@ -36,7 +36,7 @@
 	must.Nil(t, old.p)
 	must.NotEq(t, old.control, n.control)
 	must.False(t, n.sheet.FirstBoot)
-	must.True(t, w.until(w.now+extras.Bounds().CatchUp, func() bool { return n.disk.kept.Delivered > 0 }))
+	must.True(t, w.until(w.now+gatewaystandin.Bounds().CatchUp, func() bool { return n.disk.kept.Delivered > 0 }))
 	for seed := range uint64(4) {
 		d := &Day{Site: Site{Doors: 5, Disks: 3}, Seed: 20 + seed, For: 8 * time.Second, Hard: true, Faults: []spec.Fault{
 			{Kind: "core-replace", At: spec.Span(2 * time.Second), For: spec.Span(time.Second), Share: 0.01, Pick: 3 + seed}}}
@@ -71,11 +71,11 @@
 	opened := false
 	w.operator.open(func() { opened = true })
 	must.True(t, w.until(w.now+openIn, func() bool { return opened }))
-	never := extras.First()
+	never := gatewaystandin.First()
 	never.Generation = 1000
 	text, err := json.Marshal(never)
 	must.NoError(t, err)
-	w.operator.taken = []order{{1000, extras.ReplacePath, text}}
+	w.operator.taken = []order{{1000, gatewaystandin.ReplacePath, text}}
 	must.True(t, w.until(w.now+10*time.Second, func() bool { return len(w.broken) > 0 }))
 	must.Eq(t, "AGAIN", w.broken[0].Rule)
 }
--- a/internal/rehearsal/hot.go
+++ b/internal/lab/simulation/hot.go
@@ -1,10 +1,10 @@
-package rehearsal
+package simulation
 
 import (
 	"time"
 
-	"clovergap/internal/extras"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 )
 
 // drawHot draws a day on which a metered tenant sends many times its usual, and doors are cut off from each other about then:
@@ -47,7 +47,7 @@
 // hot is the tenant of a fault that lets one rush.
 func (w *world) hot(f *spec.Fault) *rush {
 	var all []*rush
-	for _, t := range extras.First().Tenants {
+	for _, t := range gatewaystandin.First().Tenants {
 		if t.RatePerS > 0 {
 			all = append(all, &rush{t.Name, t.ApiKeys[0], 0.5 + 3*f.By})
 		}
@@ -56,7 +56,7 @@
 }
 
 // rushes makes some requests those of a tenant that rushes.
-func (c *clients) rushes(want extras.Want) extras.Want {
+func (c *clients) rushes(want gatewaystandin.Want) gatewaystandin.Want {
 	for _, r := range c.hot {
 		if want.Tenant != "" && c.rng.Float64() < r.by/(1+r.by) {
 			want.Tenant, want.Key = r.tenant, r.key
--- a/internal/rehearsal/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -1,16 +1,16 @@
-package rehearsal
+package simulation
 
 import (
 	"math/rand/v2"
 	"net/netip"
 	"time"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/node"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/settings"
 	"clovergap/internal/gateway/transport"
 	"clovergap/internal/history"
+	"clovergap/internal/lab/gatewaystandin"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
 	"clovergap/internal/proxy/eventloop"
@@ -120,7 +120,7 @@
 		return
 	}
 	w, began := m.w, m.w.now
-	w.note(history.Event{Who: m.name, Kind: extras.Terminates})
+	w.note(history.Event{Who: m.name, Kind: gatewaystandin.Terminates})
 	w.say("%s is told to end", m.name)
 	p.turn(p.h.Leaving)
 	grace := m.sheet.Bounds.Grace
@@ -193,12 +193,12 @@
 		m.heir.harm(on)
 	case on:
 		if m.trouble++; m.trouble == 1 {
-			m.w.note(history.Event{Who: m.name, Kind: extras.Troubled})
+			m.w.note(history.Event{Who: m.name, Kind: gatewaystandin.Troubled})
 		}
 	default:
 		if m.trouble--; m.trouble == 0 {
 			m.eased = m.w.now
-			m.w.note(history.Event{Who: m.name, Kind: extras.Eased})
+			m.w.note(history.Event{Who: m.name, Kind: gatewaystandin.Eased})
 		}
 	}
 }
--- a/internal/rehearsal/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"clovergap/internal/extras"
+	"clovergap/internal/lab/gatewaystandin"
 )
 
 // Bounds of a measured day.
@@ -82,7 +82,7 @@
 func (x *metered) play() string {
 	w, d := x.w, x.w.day
 	all := []string{}
-	for _, s := range extras.Services {
+	for _, s := range gatewaystandin.Services {
 		all = append(all, s.Name)
 	}
 	for i := range d.Wide.Services {
@@ -177,7 +177,7 @@
 			return w.operator.rng.IntN(n)
 		}
 		number := func() uint64 { w.operator.top++; return w.operator.top }
-		c := extras.Draft(draw, number, w.operator.known, v.Bill)[0]
+		c := gatewaystandin.Draft(draw, number, w.operator.known, v.Bill)[0]
 		w.operator.propose(c, func(status int, clear bool) {
 			if done = true; status == 200 {
 				version = c.Bill.Generation
--- a/internal/rehearsal/members_test.go
+++ b/internal/lab/simulation/members_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/extras"
+	"clovergap/internal/lab/gatewaystandin"
 )
 
 // catchUp is how long a new machine, and the one whose place it takes, count as lost on the small sites.
@@ -85,15 +85,15 @@
 	was := taken()
 	next.harm(true)
 	next.kill(true)
-	must.True(t, w.until(w.now+extras.ClearMost, func() bool { return taken() > was }), must.Sprintf("seed %d: nothing is taken", seed))
+	must.True(t, w.until(w.now+gatewaystandin.ClearMost, func() bool { return taken() > was }), must.Sprintf("seed %d: nothing is taken", seed))
 	w.until(w.now+2*time.Second, nil)
 	next.start()
 	w.until(w.now+catchUp, nil)
 	next.harm(false)
 	w.operator.goes, w.clients.open = false, false
-	w.until(w.now+extras.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
+	w.until(w.now+gatewaystandin.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
 	w.over = true
-	for _, b := range extras.Judge(w.history, w.cast(), slack) {
+	for _, b := range gatewaystandin.Judge(w.history, w.cast(), slack) {
 		t.Errorf("seed %d: %s", seed, b)
 	}
 	return took
--- a/internal/rehearsal/meter.go
+++ b/internal/lab/simulation/meter.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/routing"
+	"clovergap/internal/lab/gatewaystandin"
 )
 
 // Wide is how much a house carries beside the small house's own services, routes and tenants.
@@ -25,10 +25,10 @@
 
 // ServiceName is the name of a wide house's service: the small house's come first.
 func ServiceName(i int) string {
-	if i < len(extras.Services) {
-		return extras.Services[i].Name
+	if i < len(gatewaystandin.Services) {
+		return gatewaystandin.Services[i].Name
 	}
-	return Wide{}.service(i - len(extras.Services))
+	return Wide{}.service(i - len(gatewaystandin.Services))
 }
 
 // AccountKey is the key of a wide house's tenant.
@@ -36,7 +36,7 @@
 
 // first is the configuration that the house begins with.
 func (x Wide) first() *routing.Bill {
-	b := extras.First()
+	b := gatewaystandin.First()
 	for i := range x.Services {
 		s := b.Services[0]
 		s.Name = x.service(i)
@@ -60,7 +60,7 @@
 }
 
 // draw draws a request; in a wide house any of its tenants may be the one that asks.
-func (c *clients) draw() extras.Want {
+func (c *clients) draw() gatewaystandin.Want {
 	want := c.known.Draw(c.rng, c.w.zones)
 	if n := c.w.day.Wide.Tenants; n > 0 && want.Key != "" {
 		i := c.rng.IntN(n)
--- a/internal/rehearsal/net.go
+++ b/internal/lab/simulation/net.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"bytes"
--- a/internal/rehearsal/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"encoding/json"
@@ -6,17 +6,17 @@
 	"math/rand/v2"
 	"time"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/history"
+	"clovergap/internal/lab/gatewaystandin"
 )
 
 // operator changes the configuration, sends the same bytes again until the answer is clear, and reads.
 type operator struct {
 	w        *world
 	rng      *rand.Rand
-	versions map[uint64]*extras.Version
+	versions map[uint64]*gatewaystandin.Version
 	known    uint64
 	top      uint64
 	unsure   bool
@@ -26,7 +26,7 @@
 }
 
 func newOperator(w *world) *operator {
-	return &operator{w: w, rng: source(w.day.Seed, 0x09e7), versions: map[uint64]*extras.Version{}}
+	return &operator{w: w, rng: source(w.day.Seed, 0x09e7), versions: map[uint64]*gatewaystandin.Version{}}
 }
 
 // call makes one call at a door, which has a second for it. Status 0: no answer.
@@ -53,9 +53,9 @@
 			w.doing = "operator"
 			answered := func(status int, text []byte) { w.after(way, func() { end(status, text) }) }
 			switch path {
-			case extras.ReplacePath:
+			case gatewaystandin.ReplacePath:
 				p.h.Change(statemachine.Replace, body, answered)
-			case extras.AmendPath:
+			case gatewaystandin.AmendPath:
 				p.h.Change(statemachine.Amend, body, answered)
 			default:
 				p.h.Newest(answered)
@@ -66,7 +66,7 @@
 
 // ask brings a call to one door after another until one gives a clear answer, or for a while.
 func (o *operator) ask(path string, body []byte, then func(status int, text []byte, clear bool)) {
-	w, until, wait := o.w, o.w.now+extras.ClearMost, 30*time.Millisecond
+	w, until, wait := o.w, o.w.now+gatewaystandin.ClearMost, 30*time.Millisecond
 	at := o.rng.IntN(len(w.machines))
 	var next func()
 	next = func() {
@@ -74,7 +74,7 @@
 		at++
 		o.call(m, path, body, func(status int, text []byte) {
 			switch {
-			case extras.Clear(status):
+			case gatewaystandin.Clear(status):
 				then(status, text, true)
 			case w.now >= until:
 				then(0, nil, false)
@@ -88,7 +88,7 @@
 }
 
 // propose sends a change.
-func (o *operator) propose(c extras.Change, then func(status int, clear bool)) {
+func (o *operator) propose(c gatewaystandin.Change, then func(status int, clear bool)) {
 	w, gen := o.w, c.Bill.Generation
 	text, err := json.Marshal(c.Body)
 	if err != nil {
@@ -101,21 +101,21 @@
 	note := func(k history.Kind, what string) {
 		w.note(history.Event{Who: "operator", Kind: k, N: float64(gen), Key: fmt.Sprint(v.Parent), What: what})
 	}
-	note(extras.Proposes, c.Path)
+	note(gatewaystandin.Proposes, c.Path)
 	o.ask(c.Path, text, func(status int, answer []byte, clear bool) {
 		switch {
 		case clear && status == 200:
 			v.Acked = w.now
 			o.known = max(o.known, gen)
 			o.taken = append(o.taken, order{gen, c.Path, text})
-			note(extras.Taken, "")
+			note(gatewaystandin.Taken, "")
 			w.happens(acked)
 		case clear:
 			v.Lost, v.Refusal = true, fmt.Sprint(status, " ", string(answer))
-			note(extras.Refused, v.Refusal)
+			note(gatewaystandin.Refused, v.Refusal)
 		default:
 			o.unsure = true
-			note(extras.Unclear, "")
+			note(gatewaystandin.Unclear, "")
 		}
 		then(status, clear)
 	})
@@ -124,7 +124,7 @@
 // open sends the first configuration until it is taken, then changes it as long as it may.
 func (o *operator) open(then func()) {
 	first := o.w.day.Wide.first()
-	o.propose(extras.Change{Path: extras.ReplacePath, Body: first, Version: extras.Version{Bill: first}}, func(status int, clear bool) {
+	o.propose(gatewaystandin.Change{Path: gatewaystandin.ReplacePath, Body: first, Version: gatewaystandin.Version{Bill: first}}, func(status int, clear bool) {
 		if status != 200 {
 			o.w.after(100*time.Millisecond, func() { o.open(then) })
 			return
@@ -156,11 +156,11 @@
 	if status != 200 || json.Unmarshal(text, b) != nil {
 		return nil
 	}
-	if v := o.versions[b.Generation]; v != nil && !extras.Same(v.Bill, b) {
+	if v := o.versions[b.Generation]; v != nil && !gatewaystandin.Same(v.Bill, b) {
 		o.w.broken = append(o.w.broken, history.Broken{Rule: "CONFIG", T: o.w.now,
 			What: fmt.Sprintf("%d was read back otherwise than it was sent", b.Generation)})
 	}
-	o.w.note(history.Event{Who: "operator", Kind: extras.ReadBack, N: float64(b.Generation), Due: began})
+	o.w.note(history.Event{Who: "operator", Kind: gatewaystandin.ReadBack, N: float64(b.Generation), Due: began})
 	return b
 }
 
@@ -199,7 +199,7 @@
 		return
 	}
 	number := func() uint64 { o.top += 1 + o.rng.Uint64N(3); return o.top }
-	changes := extras.Draft(o.rng.IntN, number, o.known, v.Bill)
+	changes := gatewaystandin.Draft(o.rng.IntN, number, o.known, v.Bill)
 	left := len(changes)
 	for _, c := range changes {
 		o.propose(c, func(int, bool) {
--- a/internal/rehearsal/parted.go
+++ b/internal/lab/simulation/parted.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"encoding/json"
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/ingress"
 	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/history"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 )
 
 // A core door is parted from the other doors with a disk, both ways or one way, for some twenty seconds; all other ways are whole. It
@@ -47,7 +47,7 @@
 		}
 	}
 	w.say("%s is parted from the core, way %s, fed %d", m.name, f.Way, len(fed))
-	note(extras.Parted)
+	note(gatewaystandin.Parted)
 	w.cuts = append(w.cuts, c)
 	began, ends, n := w.now, w.now+f.For.D(), 0
 	w.every(pokeEach, func() bool {
@@ -66,7 +66,7 @@
 	})
 	w.after(f.For.D(), func() {
 		w.cuts = slices.DeleteFunc(w.cuts, func(x *cut) bool { return x == c })
-		note(extras.Joined)
+		note(gatewaystandin.Joined)
 		w.say("fault %s ends", f.Kind)
 		w.faults--
 	})
@@ -74,7 +74,7 @@
 
 // ghost is an order on a version that is long gone: 412 at whoever may tell, and taken by nobody.
 func ghost() []byte {
-	b := extras.First()
+	b := gatewaystandin.First()
 	b.Generation = ghostGen
 	text, err := json.Marshal(b)
 	if err != nil {
@@ -166,9 +166,9 @@
 	next = func() {
 		m := w.machines[n%len(w.machines)]
 		n++
-		w.operator.call(m, extras.ReplacePath, body, func(status int, _ []byte) {
+		w.operator.call(m, gatewaystandin.ReplacePath, body, func(status int, _ []byte) {
 			switch {
-			case extras.Clear(status) || w.now-began > extras.ClearMost:
+			case gatewaystandin.Clear(status) || w.now-began > gatewaystandin.ClearMost:
 				*into = append(*into, w.now-began)
 				w.chases = false
 			default:
--- a/internal/rehearsal/parted_test.go
+++ b/internal/lab/simulation/parted_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/spec"
 )
 
 // A core door is cut off from the others for twenty seconds, the one that leads or another, both ways or one way: it confirms,
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/lab/simulation/rehearsal_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/spec"
 )
 
 // Days of all shapes keep the rules, and the same day gives the same bytes: no map and no clock has a say.
--- a/internal/rehearsal/stage.go
+++ b/internal/lab/simulation/stage.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/history"
+	"clovergap/internal/lab/gatewaystandin"
 )
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
@@ -92,7 +92,7 @@
 	b.dead = true
 	s.live = slices.DeleteFunc(s.live, func(x *backend) bool { return x == b })
 	delete(s.at, b.addr)
-	s.free = append(s.free, vacant{b.addr, w.now + extras.Bounds().AddrReuse})
+	s.free = append(s.free, vacant{b.addr, w.now + gatewaystandin.Bounds().AddrReuse})
 	b.queue = nil
 	for _, m := range w.machines {
 		if p := m.p; p != nil {
@@ -156,13 +156,13 @@
 			then(ok, target)
 		}
 	}
-	w.after(extras.BeatsMost, func() { end(false, "") })
+	w.after(gatewaystandin.BeatsMost, func() { end(false, "") })
 	b.seq++
 	phase := registry.Ready
 	if b.draining {
 		phase = registry.Draining
 	}
-	word := registry.Word{ID: b.id, Service: b.service, Addr: b.addr, Zone: b.zone, Generation: "v1", Capacity: extras.SlotsEach,
+	word := registry.Word{ID: b.id, Service: b.service, Addr: b.addr, Zone: b.zone, Generation: "v1", Capacity: gatewaystandin.SlotsEach,
 		Phase: phase, ColdLeft: max(0, b.cold-(w.now-b.from)), Seq: b.seq}
 	if w.apart(m, b.zone) || m.dark {
 		return
@@ -200,7 +200,7 @@
 	w.say("%s drains", b.id)
 	var ask func()
 	leave := func(acked bool) {
-		w.after(extras.Bounds().Drain+extras.DrainSlack, func() {
+		w.after(gatewaystandin.Bounds().Drain+gatewaystandin.DrainSlack, func() {
 			if acked {
 				b.say(true, func(bool) {})
 				w.after(500*time.Millisecond, b.crash)
@@ -213,7 +213,7 @@
 		b.say(false, func(ok bool) {
 			switch {
 			case b.dead:
-			case ok || w.now-began > extras.GivesUp:
+			case ok || w.now-began > gatewaystandin.GivesUp:
 				leave(ok)
 			default:
 				w.after(200*time.Millisecond, ask)
@@ -237,9 +237,9 @@
 	case s.name != b.id:
 		turned()
 		s.misdirected()
-	case b.running < extras.SlotsEach:
+	case b.running < gatewaystandin.SlotsEach:
 		b.run(s)
-	case len(b.queue) < extras.QueueEach:
+	case len(b.queue) < gatewaystandin.QueueEach:
 		s.queued = true
 		b.queue = append(b.queue, s)
 	default:
@@ -256,7 +256,7 @@
 	w.note(history.Event{Who: b.id, Kind: history.Arrived, Txn: s.try.id, Key: s.try.tenant, At: s.try.want.Path,
 		N: float64(b.w.stage.runs)})
 	work := time.Duration(0)
-	for _, x := range extras.Services {
+	for _, x := range gatewaystandin.Services {
 		if x.Name == b.service {
 			work = x.Work
 		}
@@ -286,7 +286,7 @@
 }
 
 func (b *backend) refill() {
-	for len(b.queue) > 0 && b.running < extras.SlotsEach {
+	for len(b.queue) > 0 && b.running < gatewaystandin.SlotsEach {
 		s := b.queue[0]
 		b.queue = b.queue[1:]
 		if s.queued = false; s.until <= b.w.now { // its time is up: it says that it has not run
--- a/internal/rehearsal/world.go
+++ b/internal/lab/simulation/world.go
@@ -1,8 +1,8 @@
-// Package rehearsal plays the gateway in simulated time: every door is the whole of internal/gateway/node, the very code that runs on
+// Package simulation plays the gateway in simulated time: every door is the whole of internal/gateway/node, the very code that runs on
 // machines, over simulated clocks, links, datagrams, disks and ways to backends. Backends, clients and an operator are as the
 // protocol has them. One queue of due times and a few sources of chance, all from one seed, decide what happens: the same
 // day gives the same history to the byte. No goroutine, no wall clock and no order of a map has a say.
-package rehearsal
+package simulation
 
 import (
 	"bytes"
@@ -17,11 +17,11 @@
 
 	"github.com/phuslu/log"
 
-	"clovergap/internal/extras"
 	"clovergap/internal/gateway/settings"
 	"clovergap/internal/history"
+	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/timerqueue"
-	"clovergap/internal/spec"
 )
 
 // origin is the clock at the start of a day: nought stands for "not yet" in histories.
@@ -185,7 +185,7 @@
 		m.sheet = &settings.Sheet{NodeName: m.name, Role: "door", Serves: []string{"edge", "control"}, IP: m.ip, Zone: m.zone,
 			InnerPorts: [2]int{innerPort, innerPort + 15}, SeedAddrs: seeds, FirstBoot: true, CountsAsLoss: m.disk != nil,
 			Bind:         settings.Bind{Front: "front", Readiness: "ready", Control: m.control},
-			BeatInterval: d.Beat, Tolerates: settings.Tolerates{Machines: d.Tolerates()}, Bounds: extras.Bounds()}
+			BeatInterval: d.Beat, Tolerates: settings.Tolerates{Machines: d.Tolerates()}, Bounds: gatewaystandin.Bounds()}
 		if m.disk != nil {
 			m.sheet.DataDir = "disk"
 		}
--- a/internal/spec/fault.go
+++ b/internal/lab/spec/fault.go
@@ -8,7 +8,7 @@
 	"sort"
 	"strings"
 
-	"clovergap/internal/points"
+	"clovergap/internal/failpoint"
 )
 
 // Fault is something that goes wrong for a while. Faults may overlap.
@@ -100,7 +100,7 @@
 	say(f.Way != "" && f.Way != "in" && f.Way != "out" && f.Way != "both", at+"way", fmt.Sprintf("must be in, out or both, not %q", f.Way))
 	say(needs("link") && f.Link != "discovery" && f.Link != "backends" && f.Link != "counter", at+"link",
 		fmt.Sprintf("must be discovery, backends or counter, not %q", f.Link))
-	say(needs("point") && !points.Known(points.Name(f.Point)), at+"point", fmt.Sprintf("no such point: %q", f.Point))
+	say(needs("point") && !failpoint.Known(failpoint.Name(f.Point)), at+"point", fmt.Sprintf("no such point: %q", f.Point))
 }
 
 // Pairs tells which ordered pairs of front doors a cut parts: hears(i, j) is false where nothing that i says gets to j.
--- a/internal/spec/spec_test.go
+++ b/internal/lab/spec/spec_test.go
@@ -40,7 +40,7 @@
 
 // Every kept experiment reads well.
 func TestKept(t *testing.T) {
-	files, _ := filepath.Glob("../../lab/*.toml")
+	files, _ := filepath.Glob("../../../lab/*.toml")
 	if len(files) < 3 {
 		t.Fatal("no experiments found")
 	}
--- a/internal/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -17,7 +17,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"clovergap/internal/history"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/spec"
 )
 
 // source draws from a seed, for many at a time.
--- a/internal/standin/counter.go
+++ b/internal/lab/standin/counter.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"clovergap/internal/tally"
+	"clovergap/internal/lab/sharedcounter"
 )
 
 // Counter keeps numbers by name, as the platform's does: lines of text, answers in the order of the calls on a connection.
@@ -17,11 +17,11 @@
 	Addr string
 	l    net.Listener
 	mu   sync.Mutex
-	core *tally.Counter
+	core *sharedcounter.Counter
 	conn map[net.Conn]bool
 	now  func() time.Time
 	born time.Time
-	over layers[tally.Mode]
+	over layers[sharedcounter.Mode]
 }
 
 // What the counter holds to.
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Counter{Addr: l.Addr().String(), l: l, core: tally.New(rand.New(rand.NewPCG(seed, 19))), conn: map[net.Conn]bool{},
+	c := &Counter{Addr: l.Addr().String(), l: l, core: sharedcounter.New(rand.New(rand.NewPCG(seed, 19))), conn: map[net.Conn]bool{},
 		now: time.Now, born: time.Now()}
 	go func() {
 		for {
@@ -61,7 +61,7 @@
 }
 
 // Set changes what it does wrong.
-func (c *Counter) Set(m tally.Mode) {
+func (c *Counter) Set(m sharedcounter.Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.core.Mode = m
@@ -73,7 +73,7 @@
 }
 
 // Bring begins a trouble beside those under way, and gives what ends it.
-func (c *Counter) Bring(change func(*tally.Mode)) (end func()) {
+func (c *Counter) Bring(change func(*sharedcounter.Mode)) (end func()) {
 	c.mu.Lock()
 	id := c.over.bring(change)
 	m := c.over.sum()
@@ -98,7 +98,7 @@
 // Close ends it.
 func (c *Counter) Close() {
 	c.l.Close()
-	c.Set(tally.Mode{Down: true})
+	c.Set(sharedcounter.Mode{Down: true})
 }
 
 func (c *Counter) serve(x net.Conn) {
--- a/internal/standin/fleet.go
+++ b/internal/lab/standin/fleet.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"clovergap/internal/history"
-	"clovergap/internal/spec"
+	"clovergap/internal/lab/spec"
 )
 
 // Settings puts an experiment into the platform's words, as a front door's configuration holds them.
--- a/internal/standin/process.go
+++ b/internal/lab/standin/process.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
+	"clovergap/internal/failpoint"
 	"clovergap/internal/history"
-	"clovergap/internal/points"
 )
 
 // Process is a program of the fleet, in one life after another. It must not outlive the one who started it.
@@ -37,7 +37,7 @@
 	ended  error
 	life   int
 	holds  int // reasons to stand still
-	orders map[points.Name]time.Duration
+	orders map[failpoint.Name]time.Duration
 	cut    map[string]int // reasons why nothing said gets to a host; they outlast a life
 	said   []string       // last lines that are no JSON: what a crash says
 	gone   time.Time
@@ -77,7 +77,7 @@
 		return fmt.Errorf("%s: %w", d.Name, err)
 	}
 	d.cmd, d.in, d.exit, d.meant, d.holds, d.gone = cmd, in, make(chan struct{}), false, 0, time.Time{}
-	d.ended, d.orders, d.said = nil, map[points.Name]time.Duration{}, nil
+	d.ended, d.orders, d.said = nil, map[failpoint.Name]time.Duration{}, nil
 	for host := range d.cut {
 		d.say("cut %s\n", host)
 	}
@@ -90,7 +90,7 @@
 	in := bufio.NewScanner(out)
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
-		var l points.Reached
+		var l failpoint.Reached
 		switch {
 		case !d.line(in.Bytes()):
 			d.mu.Lock()
@@ -293,7 +293,7 @@
 
 // Order tells a debug build to stand still for a while, or to end, when it reaches a point for so many-th
 // time.
-func (d *Process) Order(does string, at points.Name, nth int, hold time.Duration) error {
+func (d *Process) Order(does string, at failpoint.Name, nth int, hold time.Duration) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ended != nil || d.in == nil {
@@ -335,7 +335,7 @@
 
 // reached: the process stands still at a point, by its own doing. It goes on after the time that was
 // ordered.
-func (d *Process) reached(cmd *exec.Cmd, at points.Name) {
+func (d *Process) reached(cmd *exec.Cmd, at failpoint.Name) {
 	state := func() byte {
 		b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid))
 		if i := strings.LastIndexByte(string(b), ')'); i > 0 && len(b) > i+2 {
--- a/internal/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"clovergap/internal/links"
+	"clovergap/internal/lab/netfault"
 	"clovergap/internal/proxy/timerqueue"
 )
 
@@ -18,7 +18,7 @@
 // its own, so that a front door sees every peer at one address: the one it sends to, and hears from.
 type Relay struct {
 	mu    sync.Mutex
-	set   *links.Set
+	set   *netfault.Set
 	base  int // the effect that Lossy sets
 	cut   map[[2]int]int
 	socks [][]*net.UDPConn
@@ -26,7 +26,7 @@
 	born  time.Time
 	moved int
 	late  time.Duration // the most that a datagram came later than it was to
-	due   timerqueue.Queue[links.Copy]
+	due   timerqueue.Queue[netfault.Copy]
 	more  chan struct{}
 	stop  chan struct{}
 	wg    sync.WaitGroup
@@ -34,7 +34,7 @@
 
 // NewRelay opens the sockets for front doors that listen at the given addresses.
 func NewRelay(listen []string, seed uint64) (*Relay, error) {
-	r := &Relay{set: links.New(rand.New(rand.NewPCG(seed, 17))), cut: map[[2]int]int{}, born: time.Now(), more: make(chan struct{}, 1),
+	r := &Relay{set: netfault.New(rand.New(rand.NewPCG(seed, 17))), cut: map[[2]int]int{}, born: time.Now(), more: make(chan struct{}, 1),
 		stop: make(chan struct{})}
 	for _, at := range listen {
 		a, err := netip.ParseAddrPort(at)
@@ -100,7 +100,7 @@
 }
 
 // send hangs copies on the clock; the lock is held.
-func (r *Relay) send(now time.Duration, copies []links.Copy) {
+func (r *Relay) send(now time.Duration, copies []netfault.Copy) {
 	for _, c := range copies {
 		r.due.Add(now+c.After, c)
 	}
@@ -141,7 +141,7 @@
 }
 
 // Bring begins an effect and gives what ends it: what was held back comes then.
-func (r *Relay) Bring(e links.Effect) (end func()) {
+func (r *Relay) Bring(e netfault.Effect) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := r.set.Bring(e)
@@ -157,7 +157,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.set.End(r.base)
-	r.base = r.set.Bring(links.Effect{Loss: share, Reorder: 1, Delay: delay})
+	r.base = r.set.Bring(netfault.Effect{Loss: share, Reorder: 1, Delay: delay})
 }
 
 // Cut parts two front doors, or joins them again.
@@ -169,7 +169,7 @@
 		delete(r.cut, [2]int{i, j})
 	}
 	if apart {
-		r.cut[[2]int{i, j}] = r.set.Bring(links.Effect{Cut: true, On: func(a, b int) bool { return a == i && b == j || a == j && b == i }})
+		r.cut[[2]int{i, j}] = r.set.Bring(netfault.Effect{Cut: true, On: func(a, b int) bool { return a == i && b == j || a == j && b == i }})
 	}
 }
 
--- a/internal/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"clovergap/internal/spec"
-	"clovergap/internal/tally"
+	"clovergap/internal/lab/sharedcounter"
+	"clovergap/internal/lab/spec"
 )
 
 // fleet builds the front door and starts two of them before four backends in two halls.
@@ -145,15 +145,15 @@
 	}
 	now = now.Add(time.Second)
 	say("add a 1 1000", "ok 1")
-	c.Set(tally.Mode{Busy: 1})
+	c.Set(sharedcounter.Mode{Busy: 1})
 	say("add a 1 1000", "busy")
-	c.Set(tally.Mode{Spoilt: 1})
+	c.Set(sharedcounter.Mode{Spoilt: 1})
 	say("add a 1 1000", "ok ")
-	c.Set(tally.Mode{})
+	c.Set(sharedcounter.Mode{})
 	say("add a 0 1000", "ok 2")
 	c.Replace()
 	say("add a 1 1000", "ok 1")
-	c.Set(tally.Mode{Down: true})
+	c.Set(sharedcounter.Mode{Down: true})
 	if _, err := in.ReadByte(); err == nil {
 		t.Error("a counter that is down still talks")
 	}
--- a/internal/proxy/gate/gate.go
+++ b/internal/proxy/gate/gate.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
-	"clovergap/internal/points"
+	"clovergap/internal/failpoint"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/http1"
 	"clovergap/internal/proxy/invariant"
@@ -192,7 +192,7 @@
 
 // final tells of a final answer before it leaves.
 func (g *Gate) final(ref slots.Ref, t *txn, how control.Verb) {
-	points.At(points.BeforeAnswer)
+	failpoint.At(failpoint.BeforeAnswer)
 	if g.watch != nil {
 		g.watch.Final(ref, t.message(ref).ID(), how)
 	}
@@ -431,12 +431,12 @@
 		if x.Limit > 0 {
 			limit = min(limit, x.Limit)
 		}
-		points.At(points.BeforeSubmit)
+		failpoint.At(failpoint.BeforeSubmit)
 		if g.watch != nil {
 			g.watch.Sent(ref, t.message(ref).ID(), nr, x.Backend)
 		}
 		g.send.Submit(ref, nr, t.message(ref), x.Backend, limit, x.Whole)
-		points.At(points.AfterSubmit)
+		failpoint.At(failpoint.AfterSubmit)
 	case control.Decline, control.Void:
 		t := g.txns.Get(ref)
 		invariant.That(t != nil && !t.answered, "a txn is answered once")
--- a/internal/proxy/peers/peers.go
+++ b/internal/proxy/peers/peers.go
@@ -7,8 +7,8 @@
 	"syscall"
 
 	"clovergap/control"
+	"clovergap/internal/failpoint"
 	"clovergap/internal/frontdoor/lease"
-	"clovergap/internal/points"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/eventloop"
 )
@@ -104,15 +104,15 @@
 		return
 	}
 	p.e.Count.Add(counters.MailTaken)
-	points.At(points.AfterHear)
+	failpoint.At(failpoint.AfterHear)
 	p.heard(id, payload)
 }
 
 // Tell sends a message; one that can't be sent is lost as any may be.
 func (p *Peers) Tell(peer control.GatewayID, payload []byte) {
-	points.At(points.BeforeTell)
+	failpoint.At(failpoint.BeforeTell)
 	if int(peer) >= len(p.addrs) || len(payload) > longest || p.fd < 0 ||
-		points.On && points.Cut(addrPort(p.addrs[peer]).String()) ||
+		failpoint.On && failpoint.Cut(addrPort(p.addrs[peer]).String()) ||
 		syscall.Sendto(p.fd, payload, syscall.MSG_DONTWAIT, p.addrs[peer]) != nil {
 		p.e.Count.Add(counters.MailUnsent)
 		return
