--- a/cmd/gateway/change.go
+++ b/cmd/gateway/change.go
@@ -31,14 +31,14 @@
 func (c *amendCmd) run(out io.Writer) error { return c.change(out, "/api/Config.Amend") }
 
 func (*applyCmd) examples() string {
-	return `  playhouse apply config.json                   put it in force, on top of the parent_version that it names
-  playhouse apply --parent 7 config.json        the same, on top of version 7
-  playhouse read --json | jq '.parent_version=.generation|.generation+=1' | playhouse apply -`
+	return `  gateway apply config.json                   put it in force, on top of the parent_version that it names
+  gateway apply --parent 7 config.json        the same, on top of version 7
+  gateway read --json | jq '.parent_version=.generation|.generation+=1' | gateway apply -`
 }
 
 func (*amendCmd) examples() string {
-	return `  playhouse amend --parent 7 change.json
-  echo '{"generation":8,"removals":{"routes":["r-old"]}}' | playhouse amend --parent 7 -`
+	return `  gateway amend --parent 7 change.json
+  echo '{"generation":8,"removals":{"routes":["r-old"]}}' | gateway amend --parent 7 -`
 }
 
 // change sends a change until it is settled.
--- a/cmd/gateway/check.go
+++ b/cmd/gateway/check.go
@@ -17,8 +17,8 @@
 }
 
 func (*checkCmd) examples() string {
-	return `  playhouse check --settings settings.yaml
-  playhouse check --config config.json`
+	return `  gateway check --settings settings.yaml
+  gateway check --config config.json`
 }
 
 // run reads the files as a door would, offline.
--- a/cmd/gateway/kinds.go
+++ b/cmd/gateway/kinds.go
@@ -31,7 +31,7 @@
 	unknown:  {"unknown", "It is not there, or the door does not know this call."},
 	busy:     {"busy", "The doors are busy. Try again later."},
 	unclear:  {"unclear", "No door could settle it now."},
-	astray:   {"astray", "No door answers like this: is it the control address of a playhouse?"},
+	astray:   {"astray", "No door answers like this: is it the control address of a gateway?"},
 	silent:   {"silent", "No door answers."},
 }
 
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command playhouse is the gateway: one program for all machines. `playhouse door` runs a door; the other
+// Command gateway is the gateway: one program for all machines. `gateway serve` runs a door; the other
 // commands are for operators.
 package main
 
@@ -24,7 +24,7 @@
 var version = "0.1.0-dev"
 
 type args struct {
-	Door     *doorCmd     `arg:"subcommand:door" help:"run a door with the settings file that CLOVERGAP_BOOT names"`
+	Serve    *serveCmd    `arg:"subcommand:serve" help:"run a node with the settings file that CLOVERGAP_BOOT names"`
 	Check    *checkCmd    `arg:"subcommand:check" help:"tell what is wrong with a settings file or a configuration"`
 	Apply    *applyCmd    `arg:"subcommand:apply" help:"put a whole configuration in force"`
 	Amend    *amendCmd    `arg:"subcommand:amend" help:"change named items of the configuration"`
@@ -40,15 +40,15 @@
 }
 
 func (args) Description() string {
-	return "playhouse is an API gateway: many doors, one configuration.\n" +
+	return "gateway is an API gateway: many doors, one configuration.\n" +
 		"Exit codes: 0 good, 1 failed, 2 called wrongly."
 }
 
-const examples = `  CLOVERGAP_BOOT=/etc/clovergap/settings.yaml playhouse door
+const examples = `  CLOVERGAP_BOOT=/etc/clovergap/settings.yaml gateway serve
   export CLOVERGAP_CONTROL=10.1.0.37:8381,10.2.0.8:8381
-  playhouse status
-  playhouse apply --parent 7 config.json
-  playhouse COMMAND --help`
+  gateway status
+  gateway apply --parent 7 config.json
+  gateway COMMAND --help`
 
 func (args) Version() string { return built() }
 
@@ -57,7 +57,7 @@
 	if invariant.Debug {
 		build = "debug"
 	}
-	return "playhouse " + version + " " + build
+	return "gateway " + version + " " + build
 }
 
 type versionCmd struct{}
@@ -82,9 +82,9 @@
 // run does what the words of a command line ask and gives the exit code.
 func run(words []string, out, complain io.Writer) int {
 	var a args
-	p, err := arg.NewParser(arg.Config{Program: "playhouse"}, &a)
+	p, err := arg.NewParser(arg.Config{Program: "gateway"}, &a)
 	if err != nil {
-		fmt.Fprintln(complain, "playhouse:", err)
+		fmt.Fprintln(complain, "gateway:", err)
 		return calledWrong
 	}
 	switch err := p.Parse(words); {
@@ -109,21 +109,21 @@
 		if err == nil {
 			err = errors.New("no command given")
 		}
-		fmt.Fprintln(complain, "playhouse:", err)
+		fmt.Fprintln(complain, "gateway:", err)
 		return calledWrong
 	}
 	err = p.Subcommand().(command).run(out)
 	if err == nil {
 		return good
 	}
-	fmt.Fprintln(complain, "playhouse:", err)
+	fmt.Fprintln(complain, "gateway:", err)
 	if errors.As(err, &misuse{}) {
 		return calledWrong
 	}
 	return failed
 }
 
-type doorCmd struct {
+type serveCmd struct {
 	Settings string `arg:"--settings,env:CLOVERGAP_BOOT" help:"the settings file of this process, YAML"`
 }
 
@@ -131,12 +131,12 @@
 // the disk's map.
 const memoryShare = 0.6
 
-func (*doorCmd) examples() string {
-	return `  CLOVERGAP_BOOT=/etc/clovergap/settings.yaml playhouse door
-  playhouse door --settings settings.yaml`
+func (*serveCmd) examples() string {
+	return `  CLOVERGAP_BOOT=/etc/clovergap/settings.yaml gateway serve
+  gateway serve --settings settings.yaml`
 }
 
-func (c *doorCmd) run(io.Writer) error {
+func (c *serveCmd) run(io.Writer) error {
 	if c.Settings == "" {
 		return wrongly("no settings file: %s is not set", settings.Env)
 	}
--- a/cmd/gateway/playhouse_test.go
+++ b/cmd/gateway/playhouse_test.go
@@ -169,7 +169,7 @@
 func TestCalledWrongly(t *testing.T) {
 	t.Setenv("CLOVERGAP_CONTROL", "")
 	for _, words := range [][]string{{}, {"dance"}, {"apply"}, {"read"}, {"check"}, {"read", "--control", "nowhere"},
-		{"read", "--control", "127.0.0.1:1", "--tries", "0"}, {"door", "--settings", ""}} {
+		{"read", "--control", "127.0.0.1:1", "--tries", "0"}, {"serve", "--settings", ""}} {
 		code, out, _ := play(words...)
 		must.Eq(t, calledWrong, code, must.Sprint(words))
 		must.Eq(t, "", out)
--- a/cmd/gateway/rollout.go
+++ b/cmd/gateway/rollout.go
@@ -27,12 +27,12 @@
 }
 
 func (*rolloutCmd) examples() string {
-	return `  playhouse rollout start --order order.json --dry-run   the users and the room of each step; changes nothing
-  playhouse rollout start --order order.json
-  playhouse rollout status
-  playhouse rollout step libro
-  playhouse rollout pull-back libro --why "wrong prices"
-  playhouse rollout history libro`
+	return `  gateway rollout start --order order.json --dry-run   the users and the room of each step; changes nothing
+  gateway rollout start --order order.json
+  gateway rollout status
+  gateway rollout step libro
+  gateway rollout pull-back libro --why "wrong prices"
+  gateway rollout history libro`
 }
 
 func (*rolloutCmd) run(io.Writer) error {
@@ -127,10 +127,10 @@
 }
 
 func (*rolloutStartCmd) examples() string {
-	return `  playhouse rollout start --order order.json --dry-run
+	return `  gateway rollout start --order order.json --dry-run
   echo '{"service":"libro","old":"v1","new":"v2","advance":"time","steps":[
     {"share":100,"min_time":"60s","requests":500},{"share":1000,"min_time":"60s"},{"share":5000,"min_time":"300s"}]}' |
-    playhouse rollout start --order - --busy 40      shares are in 1/10000`
+    gateway rollout start --order - --busy 40      shares are in 1/10000`
 }
 
 func (c *rolloutStartCmd) run(out io.Writer) error {
@@ -223,8 +223,8 @@
 type rolloutStatusCmd struct{ caller }
 
 func (*rolloutStatusCmd) examples() string {
-	return `  playhouse rollout status          failed of ended, of this step and all doors, where the door that answers leads
-  playhouse rollout status --json   with the counts by kind and cause`
+	return `  gateway rollout status          failed of ended, of this step and all doors, where the door that answers leads
+  gateway rollout status --json   with the counts by kind and cause`
 }
 
 func (c *rolloutStatusCmd) run(out io.Writer) error {
--- a/cmd/gateway/views.go
+++ b/cmd/gateway/views.go
@@ -122,8 +122,8 @@
 type readCmd struct{ caller }
 
 func (*readCmd) examples() string {
-	return `  playhouse read                     what the newest configuration holds, in numbers
-  playhouse read --json > now.json   all of it, to be changed and applied; it holds the keys`
+	return `  gateway read                     what the newest configuration holds, in numbers
+  gateway read --json > now.json   all of it, to be changed and applied; it holds the keys`
 }
 
 func (c *readCmd) run(out io.Writer) error {
@@ -146,8 +146,8 @@
 type routesCmd struct{ caller }
 
 func (*routesCmd) examples() string {
-	return `  playhouse routes          as doors route by them, with what the configuration leaves out filled in
-  playhouse routes --json   as they were sent`
+	return `  gateway routes          as doors route by them, with what the configuration leaves out filled in
+  gateway routes --json   as they were sent`
 }
 
 func (c *routesCmd) run(out io.Writer) error {
@@ -198,8 +198,8 @@
 }
 
 func (*tenantsCmd) examples() string {
-	return `  playhouse tenants          keys by their first four characters
-  playhouse tenants --keys   whole keys`
+	return `  gateway tenants          keys by their first four characters
+  gateway tenants --keys   whole keys`
 }
 
 func (c *tenantsCmd) run(out io.Writer) error {
@@ -246,8 +246,8 @@
 }
 
 func (*doorsCmd) examples() string {
-	return `  playhouse doors         all doors as the one that answers knows them
-  playhouse doors --ask   each door's configuration, age of its word of the core, whether it wants clients`
+	return `  gateway doors         all doors as the one that answers knows them
+  gateway doors --ask   each door's configuration, age of its word of the core, whether it wants clients`
 }
 
 func (c *doorsCmd) run(out io.Writer) error {
@@ -310,8 +310,8 @@
 }
 
 func (*backendsCmd) examples() string {
-	return `  playhouse backends
-  playhouse backends --service huvo11a`
+	return `  gateway backends
+  gateway backends --service huvo11a`
 }
 
 func (c *backendsCmd) run(out io.Writer) error {
@@ -339,7 +339,7 @@
 type viewsCmd struct{ caller }
 
 func (*viewsCmd) examples() string {
-	return `  playhouse views    the core: its view, leader, members, log; asked of a door with a disk`
+	return `  gateway views    the core: its view, leader, members, log; asked of a door with a disk`
 }
 
 func (c *viewsCmd) run(out io.Writer) error {
@@ -389,8 +389,8 @@
 type statusCmd struct{ caller }
 
 func (*statusCmd) examples() string {
-	return `  playhouse status
-  playhouse status --control 10.1.0.37:8381 --json`
+	return `  gateway status
+  gateway status --control 10.1.0.37:8381 --json`
 }
 
 func (c *statusCmd) run(out io.Writer) error {
--- a/cmd/lab/capacity.go
+++ b/cmd/lab/capacity.go
@@ -42,7 +42,7 @@
 	var k capacityRun
 	c := &cobra.Command{Use: "capacity", Short: "How state, messages and work grow with the house, and what that comes to at the target",
 		Args: exactly(0, "no arguments"),
-		Long: "Plays houses of several sizes in simulated time: the doors are the very code of playhouse, without clients' bytes. Backends,\n" +
+		Long: "Plays houses of several sizes in simulated time: the doors are the very code of gateway, without clients' bytes. Backends,\n" +
 			"services, routes and tenants grow with the doors, or are those of the target. Counted are bytes, frames, links and\n" +
 			"processor time of each door, calm and in trouble, and times to the last door. --fit reads what was measured.",
 		Example: "  lab capacity --sizes 3,12,48,96 --out docs/capacity/doors.jsonl\n" +
@@ -85,7 +85,7 @@
 	f.Float64Var(&k.at, "at", float64(capacity.Target.Doors), "with --fit, what the slopes come to at so much of it")
 	f.IntVar(&k.hollow, "hollow", 0, "start so many real doors in this process, on loopback, and measure them")
 	f.IntVar(&k.changes, "changes", 20, "with --hollow, changes of the configuration")
-	f.StringVar(&k.added, "added", "", "playhouse program: measure what a door adds to a request, --rate of them a second")
+	f.StringVar(&k.added, "added", "", "gateway program: measure what a door adds to a request, --rate of them a second")
 	f.DurationVar(&k.every, "change-every", 0, "with --added, change the configuration so often (0: never)")
 	f.Uint64Var(&k.memory, "memory", 8<<10, "MB that a rehearsed house may take")
 	f.BoolVar(&k.state, "state", false, "measure bytes in memory of each part, alone")
--- a/cmd/lab/house.go
+++ b/cmd/lab/house.go
@@ -18,8 +18,8 @@
 	"clovergap/internal/lab/standin"
 )
 
-// playhouse is the gateway's program.
-const playhouse = "playhouse"
+// gatewayProgram names the gateway's program.
+const gatewayProgram = "gateway"
 
 func houseCommand() *cobra.Command {
 	c := &cobra.Command{Use: "house",
@@ -57,11 +57,11 @@
 			if doors < 1 || doors > 30 {
 				return usageError{fmt.Errorf("--doors must be 1 to 30")}
 			}
-			return showDemo(c, playhouse, named, dur, func(ctx context.Context, path string) error {
+			return showDemo(c, gatewayProgram, named, dur, func(ctx context.Context, path string) error {
 				return houseDemo(ctx, path, fault, doors, rate, dur)
 			})
 		}}
-	c.Flags().StringVar(&named, "program", "", "playhouse program (default: beside lab, under bin, or built)")
+	c.Flags().StringVar(&named, "program", "", "gateway program (default: beside lab, under bin, or built)")
 	c.Flags().StringVar(&fault, "fault", "", "fault to bring after a third of the time: "+strings.Join(known,
 		", "))
 	c.Flags().IntVar(&doors, "doors", 3, "doors, the first three with a disk")
--- a/cmd/lab/housechaos.go
+++ b/cmd/lab/housechaos.go
@@ -52,7 +52,7 @@
 			}
 			return k.built(c.Context(), k.play, "debug")
 		}}
-	c.Flags().StringVar(&k.named, "program", "", "playhouse program of a debug build (default: built)")
+	c.Flags().StringVar(&k.named, "program", "", "gateway program of a debug build (default: built)")
 	k.flags(c, 80)
 	c.Flags().IntVar(&k.most, "faults", 7, "faults of a schedule at most")
 	c.Flags().DurationVar(&k.dur, "for", 20*time.Second, "how long faults are brought")
@@ -75,7 +75,7 @@
 
 // built plays with the program that was named, found or built; with tags it is named or built.
 func (k *houseChaos) built(ctx context.Context, play func(context.Context) error, tags ...string) error {
-	path, done, err := program(playhouse, k.named, tags...)
+	path, done, err := program(gatewayProgram, k.named, tags...)
 	if err != nil {
 		return err
 	}
--- a/cmd/lab/houselosses.go
+++ b/cmd/lab/houselosses.go
@@ -31,7 +31,7 @@
 			if cuts {
 				losses, tags = []faultrig.Loss{faultrig.CutOff}, []string{"debug"}
 			}
-			path, done, err := program(playhouse, named, tags...)
+			path, done, err := program(gatewayProgram, named, tags...)
 			if err != nil {
 				return err
 			}
@@ -49,7 +49,7 @@
 			}
 			return err
 		}}
-	c.Flags().StringVar(&named, "program", "", "playhouse program (default: beside lab, under bin, or built; with --cuts built for debug)")
+	c.Flags().StringVar(&named, "program", "", "gateway program (default: beside lab, under bin, or built; with --cuts built for debug)")
 	c.Flags().StringVar(&out, "out", "", "add each loss's times to this file of JSON lines")
 	c.Flags().IntVar(&doors, "doors", 5, "doors, the first three with a disk")
 	c.Flags().IntVar(&tries, "tries", 30, "how often each loss is brought")
--- a/cmd/lab/houserollout.go
+++ b/cmd/lab/houserollout.go
@@ -54,7 +54,7 @@
 			}
 			return k.built(c.Context(), k.run)
 		}}
-	c.Flags().StringVar(&k.named, "program", "", "playhouse program (default: beside lab, under bin, or built)")
+	c.Flags().StringVar(&k.named, "program", "", "gateway program (default: beside lab, under bin, or built)")
 	k.flags(c, 160)
 	c.Flags().DurationVar(&k.dur, "for", 12*time.Second, "how long a failing version is waited for at most")
 	c.Flags().StringVar(&k.arm, "arm", string(faultrig.Judged), "judged; unjudged: it fails and nothing counts; good: it does "+
--- a/cmd/lab/rehearse.go
+++ b/cmd/lab/rehearse.go
@@ -48,7 +48,7 @@
 	var k rehearse
 	c := &cobra.Command{Use: "rehearse", Short: "Days of the whole gateway in simulated time, with random faults, judged",
 		Args: exactly(0, "no arguments"),
-		Long: "Plays doors, backends, clients and an operator in simulated time; the doors are the very code of playhouse. Each\n" +
+		Long: "Plays doors, backends, clients and an operator in simulated time; the doors are the very code of gateway. Each\n" +
 			"seed draws overlapping faults, biased to moments that matter, and the history is held against the rules. The same\n" +
 			"seed and flags give the same day to the byte. Ends with 1 if a rule was broken.",
 		Example: "  lab rehearse --doors 12 --disks 3 --seeds 1000\n" +
--- a/internal/gateway/node/members_test.go
+++ b/internal/gateway/node/members_test.go
@@ -14,7 +14,7 @@
 )
 
 // catchUp is well over the 4 s after which a new machine, and the one that it takes the place of, must not count as lost any more on the
-// small sites: processors are shared here. The bound itself is held in simulated time, in internal/lab/experiments/simulation.
+// small sites: processors are shared here. The bound itself is held in simulated time, in internal/lab/simulation.
 const catchUp = 12 * time.Second
 
 // add starts one more door with an empty disk of its own, after the first start of all.
--- a/internal/lab/faultrig/house_test.go
+++ b/internal/lab/faultrig/house_test.go
@@ -84,8 +84,8 @@
 
 // build makes a debug build of the gateway's program.
 func build(t *testing.T) string {
-	program := filepath.Join(t.TempDir(), "playhouse")
-	out, err := exec.Command("go", "build", "-tags", "debug", "-o", program, "clovergap/cmd/playhouse").CombinedOutput()
+	program := filepath.Join(t.TempDir(), "gateway")
+	out, err := exec.Command("go", "build", "-tags", "debug", "-o", program, "clovergap/cmd/gateway").CombinedOutput()
 	must.NoError(t, err, must.Sprint(string(out)))
 	return program
 }
--- a/internal/lab/gatewaystandin/troupe.go
+++ b/internal/lab/gatewaystandin/troupe.go
@@ -27,7 +27,7 @@
 
 // Terms are how large a troupe is, and how it is told to behave.
 type Terms struct {
-	Program string // of playhouse
+	Program string // of gateway
 	Doors   int
 	Disks   int    // the first so many doors have one
 	Base    string // first three bytes of the doors' addresses, with a dot; empty: the troupe's own
@@ -215,7 +215,7 @@
 			return nil, err
 		}
 	}
-	cmd := exec.Command(d.t.Terms.Program, "door")
+	cmd := exec.Command(d.t.Terms.Program, "serve")
 	cmd.Env = append(os.Environ(), "GOTRACEBACK=single", settings.Env+"="+file)
 	return cmd, nil
 }
