--- a/internal/lab/mutants/mutants_test.go
+++ b/internal/lab/mutants/mutants_test.go
@@ -18,7 +18,7 @@
 	}
 	for i := range table.Mutant {
 		m := &table.Mutant[i]
-		if err := m.Fits("../.."); err != nil {
+		if err := m.Fits("../../.."); err != nil {
 			t.Error(err)
 		}
 		for _, p := range m.Play {
