--- a/internal/gateway/membership/company_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -13,8 +13,8 @@
 
 const ms = time.Millisecond
 
-// event is one input to a company.
-type event func(*Company)
+// event is one input to a roster.
+type event func(*Roster)
 
 // interleave tries all orders of several sequences, each of which keeps its own.
 func interleave(seqs [][]event, try func([]event)) {
@@ -38,7 +38,7 @@
 	step()
 }
 
-func drain(c *Company) (all []Action) {
+func drain(c *Roster) (all []Action) {
 	for a, ok := c.Next(); ok; a, ok = c.Next() {
 		all = append(all, a)
 	}
@@ -54,27 +54,27 @@
 	return n
 }
 
-// A link comes and goes on its own, and what the other door says comes on another: whatever the order between doors,
-// and between a door's hellos and our link to it, the same doors are live in the end.
+// A link comes and goes on its own, and what the other node says comes on another: whatever the order between nodes,
+// and between a node's hellos and our link to it, the same nodes are live in the end.
 func TestOrdersEndAlike(t *testing.T) {
 	hello := func(a string, disk Disk, life uint64, known ...string) event {
-		return func(c *Company) {
-			c.Hello(a, Hello{Door{Name: a, Addr: "elsewhere", Disk: disk, Life: life}, known, false})
+		return func(c *Roster) {
+			c.Hello(a, Hello{Node{Name: a, Addr: "elsewhere", Disk: disk, Life: life}, known, false})
 		}
 	}
-	up := func(a string) event { return func(c *Company) { c.Up(a) } }
-	down := func(a string) event { return func(c *Company) { c.Down(a) } }
+	up := func(a string) event { return func(c *Roster) { c.Up(a) } }
+	down := func(a string) event { return func(c *Roster) { c.Down(a) } }
 	tries := 0
 	interleave([][]event{{hello("a", 1, 1, "b", "x"), up("a")}, {down("b"), up("b")},
 		{hello("b", 2, 1), hello("b", 3, 2)}, {up("d"), down("d")}, {hello("d", 4, 1)}}, func(order []event) {
-		c := New(Door{Addr: "me", Disk: 9}, Terms{Seeds: []string{"me", "a", "b", "d"}, Tolerates: 1}, 0)
+		c := New(Node{Addr: "me", Disk: 9}, Terms{Seeds: []string{"me", "a", "b", "d"}, Tolerates: 1}, 0)
 		var did []Action
 		for _, e := range order {
 			e(c)
 			did = append(did, drain(c)...)
 		}
 		tries++
-		must.True(t, slices.Equal([]Door{{Addr: "me", Disk: 9}, {Name: "a", Addr: "a", Disk: 1, Life: 1},
+		must.True(t, slices.Equal([]Node{{Addr: "me", Disk: 9}, {Name: "a", Addr: "a", Disk: 1, Life: 1},
 			{Name: "b", Addr: "b", Disk: 3, Life: 2}}, c.Disks())) // those that live
 		must.True(t, slices.Equal([]string{"a", "b", "d", "x"}, c.Addrs()))
 		must.Eq(t, "1 1 1", fmt.Sprint(count(did, Want, "x"), count(did, Greet, "a"), count(did, Greet, "b")))
@@ -82,9 +82,9 @@
 	must.Eq(t, 22680, tries)
 }
 
-// actor is a door in a small world of doors that say hello, found, die and come back.
-type actor struct {
-	*Company
+// simNode is a node in a small world of nodes that say hello, found, die and come back.
+type simNode struct {
+	*Roster
 	dead bool
 	up   map[string]bool
 	took []Founder // what its disk holds: the first word of a founding that it was told
@@ -93,7 +93,7 @@
 type world struct {
 	now    time.Duration
 	terms  Terms
-	actors map[string]*actor
+	actors map[string]*simNode
 	names  []string
 	joins  func(a, b string) bool     // they reach each other now
 	loses  func(from, to string) bool // a Found is lost
@@ -101,14 +101,14 @@
 	by     []string                   // who began, in order
 }
 
-func houseOf(list []Founder) uint64 {
+func clusterIDOf(list []Founder) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, list)
 	return h.Sum64() | 1
 }
 
 func newWorld(seeds string, disks ...string) *world {
-	w := &world{terms: Terms{strings.Split(seeds, ""), 1, houseOf}, actors: map[string]*actor{}, told: map[string]bool{},
+	w := &world{terms: Terms{strings.Split(seeds, ""), 1, clusterIDOf}, actors: map[string]*simNode{}, told: map[string]bool{},
 		joins: func(string, string) bool { return true }, loses: func(string, string) bool { return false }}
 	for i, n := range disks {
 		w.start(n, Disk(i+1), true)
@@ -116,19 +116,19 @@
 	return w
 }
 
-// start begins a life of a door; its disk keeps what it took.
-func (w *world) start(name string, disk Disk, first bool) *actor {
+// start begins a life of a node; its disk keeps what it took.
+func (w *world) start(name string, disk Disk, first bool) *simNode {
 	a := w.actors[name]
 	if a == nil {
-		a = &actor{}
+		a = &simNode{}
 		w.actors[name] = a
 		w.names = append(w.names, name)
 	}
-	me := Door{Name: name, Addr: name, Disk: disk, First: first, Life: uint64(w.now) + 1, Founded: a.took != nil}
+	me := Node{Name: name, Addr: name, Disk: disk, First: first, Life: uint64(w.now) + 1, Founded: a.took != nil}
 	if a.took != nil {
-		me.House = houseOf(a.took)
+		me.House = clusterIDOf(a.took)
 	}
-	a.Company, a.dead, a.up = New(me, w.terms, w.now), false, map[string]bool{}
+	a.Roster, a.dead, a.up = New(me, w.terms, w.now), false, map[string]bool{}
 	return a
 }
 
@@ -163,7 +163,7 @@
 		again = false
 		for _, n := range w.names {
 			a := w.actors[n]
-			for _, do := range drain(a.Company) {
+			for _, do := range drain(a.Roster) {
 				if again = true; do.Verb == Found {
 					w.found(n, do)
 				}
@@ -185,7 +185,7 @@
 	}
 	if me := (Founder{to.Me().Disk, do.Addr}); slices.Contains(do.Founders, me) {
 		to.took = do.Founders
-		to.Settle(me.Disk, houseOf(do.Founders))
+		to.Settle(me.Disk, clusterIDOf(do.Founders))
 	}
 }
 
@@ -216,7 +216,7 @@
 	return n
 }
 
-// Three doors with disks and one without meet: the first seed begins the core, once, with all of them, and says it
+// Three nodes with disks and one without meet: the first seed begins the core, once, with all of them, and says it
 // again where the word was lost.
 func TestFirstSeedFounds(t *testing.T) {
 	w := newWorld("abc", "a", "b", "c")
@@ -303,7 +303,7 @@
 	}
 }
 
-// However three seeds and another door with a disk come to reach each other, whichever words of a founding are lost,
+// However three seeds and another node with a disk come to reach each other, whichever words of a founding are lost,
 // and whether or not the first seed dies on the way: no two systems have a majority; one has once all reach each other,
 // unless the first seed alone wrote its founding down and forgot whom to tell.
 func TestHalvesFoundOneSystem(t *testing.T) {
@@ -337,17 +337,17 @@
 	}
 }
 
-// A door that says nothing is not live, one that is not heard for long is forgotten, and a seed or one with a seat is not.
+// A node that says nothing is not live, one that is not heard for long is forgotten, and a seed or one with a slot is not.
 func TestSilence(t *testing.T) {
-	c := New(Door{Addr: "me", Disk: 9}, Terms{Seeds: []string{"s"}}, 0)
+	c := New(Node{Addr: "me", Disk: 9}, Terms{Seeds: []string{"s"}}, 0)
 	for _, a := range []string{"s", "x", "y"} {
-		c.Hello(a, Hello{Door: Door{Name: a, Life: 1}})
+		c.Hello(a, Hello{Door: Node{Name: a, Life: 1}})
 		c.Up(a)
 	}
-	c.Seats([]Seated{{Addr: "me"}, {Addr: "y"}})
+	c.SetSlots([]SlotHolder{{Addr: "me"}, {Addr: "y"}})
 	must.Eq(t, 1, count(drain(c), Changed, ""))
-	must.Eq(t, Seat(1), c.Seat("y"))
-	must.Eq(t, NoSeat, c.Seat("x"))
+	must.Eq(t, Slot(1), c.Slot("y"))
+	must.Eq(t, NoSlot, c.Slot("x"))
 	for at := time.Duration(0); at < silentFor; at += 100 * ms {
 		c.Now(at)
 		c.Heard("x")
@@ -365,7 +365,7 @@
 	must.False(t, c.Live("y"))
 	c.Heard("y")
 	must.True(t, c.Live("y")) // its link never ended
-	c.Hello("y", Hello{Door: Door{Name: "y", Life: 2}})
+	c.Hello("y", Hello{Door: Node{Name: "y", Life: 2}})
 	must.Eq(t, 1, count(drain(c), Changed, "")) // another life of it, though it stays live
 	pass(silentFor + forgetIn + ms)
 	gone := drain(c)
@@ -374,36 +374,36 @@
 	c.Heard("x")
 	must.Eq(t, 1, count(drain(c), Want, "x"))
 	var many []string
-	for i := range 2 * doorsMost {
+	for i := range 2 * maxNodes {
 		many = append(many, fmt.Sprint("z", i))
 	}
 	c.SetSeeds(many)
-	must.Len(t, doorsMost, c.Addrs())
-	c.Hello("x", Hello{Door: Door{Name: "x", Disk: 5}}) // a full table still takes word of those in it
-	d, _ := c.Door("x")
+	must.Len(t, maxNodes, c.Addrs())
+	c.Hello("x", Hello{Door: Node{Name: "x", Disk: 5}}) // a full table still takes word of those in it
+	d, _ := c.Node("x")
 	must.Eq(t, Disk(5), d.Disk)
 }
 
-// Links must not grow with the square of the doors, and nobody may be left without one: a door without a disk that knows only
-// seeds without a disk is brought to those that have one, leaves the seeds when it has a seat, and goes back to them when
-// all doors with a disk are gone.
-func TestLinksGoByDoorsWithADisk(t *testing.T) {
+// Links must not grow with the square of the nodes, and nobody may be left without one: a node without a disk that knows only
+// seeds without a disk is brought to those that have one, leaves the seeds when it has a slot, and goes back to them when
+// all nodes with a disk are gone.
+func TestLinksGoByNodesWithADisk(t *testing.T) {
 	w := newWorld("dea", "a", "b", "c")
 	for _, n := range []string{"d", "e", "f", "g"} {
 		w.start(n, 0, true)
 	}
 	seats := func() {
-		var order []Seated
+		var order []SlotHolder
 		for _, n := range w.names {
-			order = append(order, Seated{Name: n, Addr: n})
+			order = append(order, SlotHolder{Name: n, Addr: n})
 		}
 		for _, n := range w.names {
-			w.actors[n].Seats(order)
+			w.actors[n].SetSlots(order)
 		}
 	}
 	linked := func(n string) (all string) {
 		for _, a := range w.actors[n].Addrs() {
-			if w.actors[n].doors[a].linked {
+			if w.actors[n].peers[a].linked {
 				all += a
 			}
 		}
@@ -449,13 +449,13 @@
 	must.Eq(t, "abce", linked("d"))
 }
 
-// A door that was frozen for seconds wakes with all that others sent unread: it must not hold them for lost before it has read
-// it. One left the door that it followed so, dropped the news that lay unread, and went by an old configuration for seconds.
+// A node that was frozen for seconds wakes with all that others sent unread: it must not hold them for lost before it has read
+// it. One left the node that it followed so, dropped the news that lay unread, and went by an old configuration for seconds.
 func TestStandstillIsNotSilence(t *testing.T) {
-	c := New(Door{Addr: "me"}, Terms{}, 0)
-	c.Hello("a", Hello{Door: Door{Name: "a", Disk: 1, Life: 1}})
+	c := New(Node{Addr: "me"}, Terms{}, 0)
+	c.Hello("a", Hello{Door: Node{Name: "a", Disk: 1, Life: 1}})
 	c.Up("a")
-	c.Seats([]Seated{{Addr: "me"}, {Addr: "a"}, {Addr: "b"}})
+	c.SetSlots([]SlotHolder{{Addr: "me"}, {Addr: "a"}, {Addr: "b"}})
 	c.Told("a", []byte{7})
 	must.True(t, c.Live("a") && c.Live("b"))
 	c.Now(500 * ms)
@@ -474,12 +474,12 @@
 }
 
 // The first seed is frozen before it begins the core, or was just cut off: it reads first what the others have said, and does not
-// go by doors that it has not heard for a second. It would else begin a system of its own, which the others never join.
+// go by nodes that it has not heard for a second. It would else begin a system of its own, which the others never join.
 func TestWhoWasAwayDoesNotBegin(t *testing.T) {
 	began := func(pause time.Duration, hears bool) bool {
-		c := New(Door{Addr: "a", Disk: 1, First: true}, Terms{Seeds: []string{"a", "b", "c"}, Tolerates: 1, House: houseOf}, 0)
+		c := New(Node{Addr: "a", Disk: 1, First: true}, Terms{Seeds: []string{"a", "b", "c"}, Tolerates: 1, ClusterID: clusterIDOf}, 0)
 		for i, n := range []string{"b", "c"} {
-			c.Hello(n, Hello{Door: Door{Name: n, Disk: Disk(i + 2), First: true, Life: 1}})
+			c.Hello(n, Hello{Door: Node{Name: n, Disk: Disk(i + 2), First: true, Life: 1}})
 			c.Up(n)
 		}
 		drain(c)
@@ -491,7 +491,7 @@
 		for end := c.now + time.Second; c.now < end; did = append(did, drain(c)...) {
 			if c.Now(c.now + 100*ms); hears {
 				c.Heard("b")
-				c.Hello("c", Hello{Door: Door{Name: "c", Disk: 3, First: true, Life: 1, Founded: pause > 0}})
+				c.Hello("c", Hello{Door: Node{Name: "c", Disk: 3, First: true, Life: 1, Founded: pause > 0}})
 			}
 		}
 		return count(did, Found, "a") > 0
@@ -501,7 +501,7 @@
 	must.False(t, began(800*ms, false))       // nobody is heard since 1.2 s
 }
 
-// Two doors with a disk that the second and third seed never met begin the core with the first one, which is cut off from these two as it
+// Two nodes with a disk that the second and third seed never met begin the core with the first one, which is cut off from these two as it
 // tells the word: three of five hold it. The other two seeds, which know of three disks, begin one of their own: two of three. Both systems
 // would take orders. So the word goes to the seeds first, and to the others once more than half of the seeds hold it.
 func TestSeedsHoldTheWordFirst(t *testing.T) {
--- a/internal/gateway/membership/watch.go
+++ b/internal/gateway/membership/watch.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Heartbeats. Each door tells a few watchers that it lives: doors with a disk, the first ones after its place on a ring. These
-// tell each other whom they hear, and all who follow them who lives. So a fleet of n doors sends a few heartbeats a door and not
-// n, and all doors go by the same word. What comes from a door itself, whatever it is, counts as well.
+// Heartbeats. Each node tells a few watchers that it lives: nodes with a disk, the first ones after its place on a ring. These
+// tell each other whom they hear, and all who follow them who lives. So a fleet of n nodes sends a few heartbeats a node and not
+// n, and all nodes go by the same word. What comes from a node itself, whatever it is, counts as well.
 
-// watchersMost is how many watchers a door has: one may be lost and one cut off while the third still hears it.
+// watchersMost is how many watchers a node has: one may be lost and one cut off while the third still hears it.
 const watchersMost = 3
 
-// opinion is what another door with a disk last told.
+// opinion is what another node with a disk last told.
 type opinion struct {
 	hears []byte
 	at    time.Duration
 }
 
-// place is where a door stands on the ring (FNV-1a, its bits spread: addresses differ in their last digits alone).
+// place is where a node stands on the ring (FNV-1a, its bits spread: addresses differ in their last digits alone).
 func place(addr string) uint64 {
 	h := uint64(0xcbf29ce484222325)
 	for i := range len(addr) {
@@ -30,10 +30,10 @@
 	return h ^ h>>29
 }
 
-// Watchers are the doors to tell that this one lives. A door with a disk tells all others that have one; while none is known,
-// or nobody has a seat, all that are known are told.
-func (c *Company) Watchers() (all []string) {
-	for a, d := range c.doors {
+// Watchers are the nodes to tell that this one lives. A node with a disk tells all others that have one; while none is known,
+// or nobody has a slot, all that are known are told.
+func (c *Roster) Watchers() (all []string) {
+	for a, d := range c.peers {
 		if d.met && d.Disk != 0 && (d.live || c.me.Disk != 0) {
 			all = append(all, a)
 		}
@@ -41,7 +41,7 @@
 	slices.Sort(all)
 	if len(all) == 0 || len(c.order) == 0 { // the core is not there yet
 		all = c.Addrs()
-		return slices.DeleteFunc(all, func(a string) bool { return !c.doors[a].linked })
+		return slices.DeleteFunc(all, func(a string) bool { return !c.peers[a].linked })
 	}
 	if c.me.Disk != 0 || len(all) <= watchersMost {
 		return all
@@ -59,15 +59,15 @@
 	return all[:watchersMost]
 }
 
-// Nearer tells which of two doors, a or not, the one at an address turns to where both are as good: each door has an order of its own.
+// Nearer tells which of two nodes, a or not, the one at an address turns to where both are as good: each node has an order of its own.
 func Nearer(from, a, b string) bool {
 	x, y := place(from+" "+a), place(from+" "+b)
 	return x < y || x == y && a < b
 }
 
-func bit(set []byte, s Seat) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
+func bit(set []byte, s Slot) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
 
-func (c *Company) set(in func(addr string) bool) []byte {
+func (c *Roster) set(in func(addr string) bool) []byte {
 	set := make([]byte, (len(c.order)+7)/8)
 	for i, s := range c.order {
 		if in(s.Addr) {
@@ -77,32 +77,32 @@
 	return set
 }
 
-// hears tells whether anything came from a door of late.
-func (c *Company) hears(addr string) bool {
-	d := c.doors[addr]
+// hears tells whether anything came from a node of late.
+func (c *Roster) hears(addr string) bool {
+	d := c.peers[addr]
 	return addr == c.me.Addr || d != nil && d.met && c.now-d.heard < silentFor
 }
 
-// Hears are the seats that this door hears itself, a bit each: what doors with a disk tell each other. It holds no hearsay,
-// else two doors could keep a dead one alive between them.
-func (c *Company) Hears() []byte { return c.set(c.hears) }
+// Hears are the slots that this node hears itself, a bit each: what nodes with a disk tell each other. It holds no hearsay,
+// else two nodes could keep a dead one alive between them.
+func (c *Roster) Hears() []byte { return c.set(c.hears) }
 
-// Lives are the seats of the live doors, a bit each: what doors with a disk tell those who follow them.
-func (c *Company) Lives() []byte {
-	return c.set(func(addr string) bool { return c.hears(addr) || c.told(c.Seat(addr)) })
+// Lives are the slots of the live nodes, a bit each: what nodes with a disk tell those who follow them.
+func (c *Roster) Lives() []byte {
+	return c.set(func(addr string) bool { return c.hears(addr) || c.told(c.Slot(addr)) })
 }
 
-// Told takes the seats that another door hears, or that live where this one has no disk and follows it.
-func (c *Company) Told(from string, seats []byte) {
+// Told takes the slots that another node hears, or that live where this one has no disk and follows it.
+func (c *Roster) Told(from string, seats []byte) {
 	if c.me.Disk == 0 {
-		clear(c.opinions) // one word at a time: that of the door that is followed
+		clear(c.opinions) // one word at a time: that of the node that is followed
 	}
 	c.opinions[from] = opinion{seats, c.now}
 	c.look()
 }
 
-// told tells whether a door that is heard hears a seat.
-func (c *Company) told(s Seat) bool {
+// told tells whether a node that is heard hears a slot.
+func (c *Roster) told(s Slot) bool {
 	for from, o := range c.opinions {
 		if bit(o.hears, s) && c.now-o.at < silentFor && c.hears(from) {
 			return true
--- a/internal/gateway/node/again_test.go
+++ b/internal/gateway/node/again_test.go
@@ -16,7 +16,7 @@
 
 const replacePath = "/api/Config.Replace"
 
-// An order that was taken is confirmed again by every door, after 300 others, and by doors that all have started anew since from a
+// An order that was taken is confirmed again by every node, after 300 others, and by nodes that all have started anew since from a
 // snapshot: its answer may have been lost, and whoever sent it does not know.
 func TestOrderAgainAfterMany(t *testing.T) {
 	d := open(t, 4)
@@ -41,15 +41,15 @@
 	for i := range 4 {
 		d.start(i)
 	}
-	d.all("the newest version", func(s controlapi.HouseStatus) bool { return s.Generation == 301 })
+	d.all("the newest version", func(s controlapi.NodeStatus) bool { return s.Generation == 301 })
 	again()
 }
 
-// Eight orders at once on one version, each through a door of its own: one is taken. The same order through eight: all are told so.
+// Eight orders at once on one version, each through a node of its own: one is taken. The same order through eight: all are told so.
 func TestEightAtOnce(t *testing.T) {
 	d := open(t, 8)
 	d.settles(0, 200, "POST", replacePath, bill(1, 0))
-	d.all("the first version", func(s controlapi.HouseStatus) bool { return s.Generation == 1 })
+	d.all("the first version", func(s controlapi.NodeStatus) bool { return s.Generation == 1 })
 	at := func(body func(i int) string) (taken, lost int) {
 		var all sync.WaitGroup
 		var answers [8]int
@@ -80,28 +80,28 @@
 	}
 }
 
-// A door that is behind, and knows neither what was taken nor of any backend, refuses nothing by that: neither an order that was taken
+// A node that is behind, and knows neither what was taken nor of any backend, refuses nothing by that: neither an order that was taken
 // nor one that is valid on the newest state.
-func TestDoorBehind(t *testing.T) {
+func TestNodeBehind(t *testing.T) {
 	var fails atomic.Bool
 	d := open(t, 4)
-	d.all("four seats", func(s controlapi.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
+	d.all("four seats", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
 	d.settles(0, 200, "POST", replacePath, bill(7, 0))
 	d.backend("v1-0", "v1", &fails)
 	d.backend("v2-0", "v2", &fails)
-	d.all("the backends", func(s controlapi.HouseStatus) bool { return len(s.Backends) == 2 && s.Generation == 7 })
+	d.all("the backends", func(s controlapi.NodeStatus) bool { return len(s.Backends) == 2 && s.Generation == 7 })
 	entry := func(rev uint64, mark string) *rollout.Entry {
 		return &rollout.Entry{Verb: rollout.Start, Service: "s", Mark: mark, Rev: rev, Room: rollout.Room{Busy: 9}, Order: &rollout.Rollout{
 			Service: "s", Old: "v1", New: "v2", Steps: []rollout.Step{{Share: 100, MinTime: rollout.Span(time.Second)}}}}
 	}
-	behind := func(do func(h *House, then func(int, []byte))) (status int) {
+	behind := func(do func(h *Node, then func(int, []byte))) (status int) {
 		d.until("a clear answer", func() bool {
 			answer := make(chan int, 1)
-			d.turn(3, func(h *House) {
-				newest, board := h.script, h.board
-				h.script, h.board = statemachine.New(), nil
+			d.turn(3, func(h *Node) {
+				newest, board := h.machine, h.registry
+				h.machine, h.registry = statemachine.New(), nil
 				do(h, func(status int, _ []byte) { answer <- status })
-				h.script, h.board = newest, board
+				h.machine, h.registry = newest, board
 			})
 			status = <-answer
 			return status < 500
@@ -109,10 +109,10 @@
 		return status
 	}
 	change := func(body string) int {
-		return behind(func(h *House, then func(int, []byte)) { h.Change(statemachine.Replace, []byte(body), then) })
+		return behind(func(h *Node, then func(int, []byte)) { h.Change(statemachine.Replace, []byte(body), then) })
 	}
 	orderRollout := func(rev uint64, mark string) int {
-		return behind(func(h *House, then func(int, []byte)) { h.Rollout(entry(rev, mark), false, then) })
+		return behind(func(h *Node, then func(int, []byte)) { h.Rollout(entry(rev, mark), false, then) })
 	}
 	must.Eq(t, 200, change(bill(7, 0)))
 	must.Eq(t, 200, change(bill(8, 7)))
--- a/internal/gateway/node/authority.go
+++ b/internal/gateway/node/authority.go
@@ -6,15 +6,15 @@
 	"clovergap/internal/gateway/settings"
 )
 
-// Authority: what a door may do without word of a majority. A door's word of the core (contact) is an age: all that was acknowledged
-// so long ago has been applied here. A member has it from the log (prompter/contact.go), a door without a disk from the one that
+// Authority: what a node may do without word of a majority. A node's word of the core (contact) is an age: all that was acknowledged
+// so long ago has been applied here. A member has it from the log (replica/contact.go), a node without a disk from the one that
 // it follows, counted from when it asked and not from when the answer came, so that what stood on a link or came while this
 // process stood still is as old as it is. The age runs by the steady clock alone, and is looked at anew for each
 // decision: after a standstill nothing that was fresh before it still is.
 //
 // Nothing is written, confirmed or read by it: that takes a majority, whatever the age. Here is stated the rest, in one table.
 
-// standing is how a door stands to the core, for a right that ends at some age.
+// standing is how a node stands to the core, for a right that ends at some age.
 type standing uint8
 
 const (
@@ -28,24 +28,24 @@
 	inContact = leads | follows
 )
 
-// right is something that a door does for others.
+// right is something that a node does for others.
 type right uint8
 
 const (
 	beReady   right = iota // clients are wanted here
 	deny                   // 401 and 404, and 400 to a change that is wrong in itself, by its own state
 	takeCalls              // an order or a read is taken or passed on; otherwise it ends at once
-	feedFresh              // its followers need not look for another door
+	feedFresh              // its followers need not look for another node
 	ackBeats               // a beat is acknowledged
 	ackEnds                // a draining or Leave is, once enough others have it
-	askSeat                // it asks for a seat
+	askSlot                // it asks for a slot
 )
 
-// rights is the table: who has a right, within which age at a door with a disk and at one without, whose word is older by up to the time
+// rights is the table: who has a right, within which age at a node with a disk and at one without, whose word is older by up to the time
 // between two pings, and whether it takes a configuration. What is not named here needs no word of a majority: serving
-// by the configuration that is there (2xx), its buckets' share by the doors in reach, 200 to an order that is in its own
+// by the configuration that is there (2xx), its buckets' share by the nodes in reach, 200 to an order that is in its own
 // committed log, feeding what it has to who knows nothing newer. And what needs a majority has it from the log itself,
-// whatever the age: taking, confirming and refusing (412) an order, reading, giving a seat, members.
+// whatever the age: taking, confirming and refusing (412) an order, reading, giving a slot, members.
 var rights = [...]struct {
 	who        standing
 	member     age
@@ -58,19 +58,19 @@
 	feedFresh: {inContact, settings.Bounds.Parted, settings.Bounds.Parted, false},
 	ackBeats:  {inContact | starting, settings.Bounds.Parted, settings.Bounds.Stale, false},
 	ackEnds:   {inContact, settings.Bounds.Parted, settings.Bounds.Parted, false},
-	askSeat:   {inContact, settings.Bounds.Stale, settings.Bounds.Stale, false},
+	askSlot:   {inContact, settings.Bounds.Stale, settings.Bounds.Stale, false},
 }
 
-// age is a bound on that of a door's word, from the settings.
+// age is a bound on that of a node's word, from the settings.
 type age func(settings.Bounds) time.Duration
 
-// may tells whether this door has a right now.
-func (h *House) may(r right) bool {
+// may tells whether this node has a right now.
+func (h *Node) may(r right) bool {
 	return (!rights[r].configured || h.table.Version() > 0) && h.stands(r)
 }
 
 // stands tells whether its word of a majority is enough for a right.
-func (h *House) stands(r right) bool {
+func (h *Node) stands(r right) bool {
 	within := rights[r].member
 	if h.core == nil {
 		within = rights[r].follower
@@ -80,11 +80,11 @@
 		without == readyAlone && (r == beReady || r == deny), without == noAuthority:
 		return true
 	}
-	return rights[r].who&h.standing(within(h.sheet.Bounds)) != 0
+	return rights[r].who&h.standing(within(h.settings.Bounds)) != 0
 }
 
-// standing is this door's, for a right that ends at an age.
-func (h *House) standing(within time.Duration) standing {
+// standing is this node's, for a right that ends at an age.
+func (h *Node) standing(within time.Duration) standing {
 	leading := h.leading() // the clock first
 	age, _, ok := h.contact()
 	switch {
@@ -102,8 +102,8 @@
 	return parted
 }
 
-// leading tells whether this door leads: the clock runs first, since one that stood still does not know that it was missed.
-func (h *House) leading() bool {
+// leading tells whether this node leads: the clock runs first, since one that stood still does not know that it was missed.
+func (h *Node) leading() bool {
 	if h.core == nil {
 		return false
 	}
@@ -111,8 +111,8 @@
 	return h.core.p.Leading()
 }
 
-// contact is how old this door's word of a majority is at the most, and the view that it is of; false: none came in this life.
-func (h *House) contact() (age time.Duration, view uint64, ok bool) {
+// contact is how old this node's word of a majority is at the most, and the view that it is of; false: none came in this life.
+func (h *Node) contact() (age time.Duration, view uint64, ok bool) {
 	if h.core != nil {
 		return h.core.p.Contact(h.e.Now())
 	}
@@ -120,14 +120,14 @@
 }
 
 // stale is that age; never and more if there is none.
-func (h *House) stale() time.Duration {
+func (h *Node) stale() time.Duration {
 	if age, _, ok := h.contact(); ok {
 		return age
 	}
 	return never
 }
 
-// known is a door's word without a disk.
+// known is a node's word without a disk.
 type known struct {
 	at   time.Duration // all that was acknowledged before it has been applied
 	view uint64        // the newest that a feeder's word was of
@@ -135,7 +135,7 @@
 
 // learn takes the feeder's word, once what it had applied is applied here. Word of an older view is not taken after a newer one's, nor
 // what came back from another life. A feeder of the version before gives nothing back: then it is when it came.
-func (h *House) learn(age time.Duration, view uint64, echo uint32, index uint64) {
+func (h *Node) learn(age time.Duration, view uint64, echo uint32, index uint64) {
 	now := h.e.Now()
 	at, ok := h.clock.Back(echo, now)
 	switch {
@@ -151,7 +151,7 @@
 	}
 }
 
-// Defences that tests take out; planted is what new doors go without.
+// Defences that tests take out; planted is what new nodes go without.
 const (
 	noAuthority fault = 100 + iota // all have all rights
 	byReceipt                      // word counts from when it came
--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -23,22 +23,22 @@
 	"clovergap/internal/proxy/upstream"
 )
 
-// Base is what a door stands on. New gives it sockets, a clock and a disk; a rehearsal gives it simulated ones. No part of a
-// door knows the difference.
+// Base is what a node stands on. New gives it sockets, a clock and a disk; a simulation gives it simulated ones. No part of a
+// node knows the difference.
 type Base interface {
 	Turns
 	// Draws are what differs between two lives: the seed of all chance, and the life's name.
 	Draws() (seed int64, life uint64)
 	Counters() *counters.Set
-	// Links to other doors tell the host what comes, each in a turn.
+	// Links to other nodes tell the host what comes, each in a turn.
 	Links(host transport.Host[Frame]) (Links, error)
-	// Disk is called for a door with one, and gives what it holds.
+	// Disk is called for a node with one, and gives what it holds.
 	Disk() (Disk, replication.Kept, error)
-	// Path is the way of requests and of mail, once the gate is there.
-	Path(h *House, g *gate.Gate) (Path, error)
+	// Path is the way of requests and of datagrams, once the gate is there.
+	Path(h *Node, g *gate.Gate) (Path, error)
 }
 
-// Turns is a door's time. Whatever happens takes its turn; at the end of each the parts are pulled.
+// Turns is a node's time. Whatever happens takes its turn; at the end of each the parts are pulled.
 type Turns interface {
 	Now() time.Duration
 	At(at time.Duration, to eventloop.Alarm, ref uint32)
@@ -46,7 +46,7 @@
 	Settled(func())
 }
 
-// Links carry frames to other doors; what is sent may be lost.
+// Links carry frames to other nodes; what is sent may be lost.
 type Links interface {
 	Want(to string)
 	Leave(to string)
@@ -60,11 +60,11 @@
 	Noted() []byte
 }
 
-// Path is what carries requests and mail.
+// Path is what carries requests and datagrams.
 type Path struct {
-	Ways  Ways
-	Mail  Mail
-	Front Front
+	Ways      Ways
+	Datagrams Datagrams
+	Front     Front
 }
 
 // Ways lead to backends.
@@ -74,8 +74,8 @@
 	Most(id control.BackendID, conns int)
 }
 
-// Mail are datagrams between seats.
-type Mail interface {
+// Datagrams are datagrams between slots.
+type Datagrams interface {
 	gate.Teller
 	Move(addrs []netip.AddrPort, me int)
 }
@@ -86,24 +86,24 @@
 	Clients() int
 	Drain()  // connections close between requests
 	Deafen() // and none is taken
-	// User names whoever a request is of, and its tenant: see foyer.Foyer.
+	// User names whoever a request is of, and its tenant: see ingress.Foyer.
 	User(who, txn slots.Ref) (user []byte, tenant string)
 }
 
 // sockets are the real base.
 type sockets struct {
 	*eventloop.Engine
-	h        *House
+	h        *Node
 	seed     int64
 	life     uint64
 	fds      int
-	wings    *transport.Wings[Frame]
+	mesh     *transport.Mesh[Frame]
 	disk     *disk
 	peers    *peers.Peers
 	dispatch *upstream.Dispatch
-	front    *downstream.Intake
-	callers  *downstream.Intake
-	askers   *downstream.Intake // the platform, asking whether this door is ready
+	front    *downstream.Server
+	callers  *downstream.Server
+	askers   *downstream.Server // the platform, asking whether this node is ready
 }
 
 func newSockets(fds, memory int) *sockets {
@@ -117,13 +117,13 @@
 func (s *sockets) Counters() *counters.Set { return s.Engine.Count }
 
 func (s *sockets) Links(host transport.Host[Frame]) (_ Links, err error) {
-	s.wings, err = transport.New[Frame](s.h.inner, s.life, host, s.Turn)
-	return s.wings, err
+	s.mesh, err = transport.New[Frame](s.h.inner, s.life, host, s.Turn)
+	return s.mesh, err
 }
 
 // Disk reads the disk. One that can't be read counts as lost: it is emptied, and let in anew by the others.
 func (s *sockets) Disk() (Disk, replication.Kept, error) {
-	dir := s.h.sheet.DataDir
+	dir := s.h.settings.DataDir
 	book, kept, err := logstore.Open(dir)
 	if torn := (*logstore.Unreadable)(nil); errors.As(err, &torn) {
 		s.h.warn(corePart, "disk can't be read, begins empty: %v", err)
@@ -135,15 +135,15 @@
 	if err != nil {
 		return nil, kept, err
 	}
-	s.disk = &disk{h: s.h, book: book, writes: make(chan batch, 1)}
+	s.disk = &disk{h: s.h, store: book, writes: make(chan batch, 1)}
 	go s.disk.run()
 	return s.disk, kept, nil
 }
 
 // disk is a real one, with a goroutine of its own: a slow disk must hold up nothing else.
 type disk struct {
-	h      *House
-	book   *logstore.Book
+	h      *Node
+	store  *logstore.Store
 	writes chan batch
 }
 
@@ -157,12 +157,12 @@
 func (d *disk) Write(writes []replication.Write, note []byte, done func()) {
 	d.writes <- batch{writes, note, done}
 }
-func (d *disk) Noted() []byte { return d.book.Noted() }
+func (d *disk) Noted() []byte { return d.store.Noted() }
 
 func (d *disk) run() {
 	for b := range d.writes {
 		for wait := 20 * time.Millisecond; ; wait = min(2*wait, time.Second) {
-			err := d.book.Apply(b.writes)
+			err := d.store.Apply(b.writes)
 			if err == nil {
 				break
 			}
@@ -170,7 +170,7 @@
 			time.Sleep(wait)
 		}
 		if b.note != nil {
-			if err := d.book.Note(b.note); err != nil {
+			if err := d.store.Note(b.note); err != nil {
 				d.h.e.Turn(func() { d.h.warn(corePart, "board not kept: %v", err) })
 			}
 		}
@@ -178,7 +178,7 @@
 	}
 }
 
-func (s *sockets) Path(h *House, g *gate.Gate) (p Path, err error) {
+func (s *sockets) Path(h *Node, g *gate.Gate) (p Path, err error) {
 	s.dispatch = upstream.New(s.Engine, &usher{g, h}, ingress.Terms(h, dialLimit), func() bool { return s.front.Evict() })
 	bounds := ingress.Bounds(ingress.Limits{Head: routing.DefaultMostHeader, Body: routing.DefaultMostBody,
 		HeadIn: routing.DefaultHeaderTimeout, Idle: routing.DefaultIdleTimeout})
@@ -188,8 +188,8 @@
 	s.callers.Serves(controlapi.New(s.callers, h))
 	s.askers = downstream.New(s.Engine, 64, downstream.Bounds{}, func() bool { return s.front.Evict() })
 	s.askers.Serves(controlapi.New(s.askers, h))
-	mail := h.mailAt(h.inner)
-	if s.peers, err = peers.New(s.Engine, mail.String(), []netip.AddrPort{mail}, 0, h.Mailed); err != nil {
+	mail := h.datagramAddr(h.inner)
+	if s.peers, err = peers.New(s.Engine, mail.String(), []netip.AddrPort{mail}, 0, h.DatagramCame); err != nil {
 		return p, err
 	}
 	s.Short(func() {
@@ -200,7 +200,7 @@
 	for _, l := range []struct {
 		addr string
 		to   func(*eventloop.Link)
-	}{{h.sheet.Bind.Front, s.front.Accept}, {h.sheet.Bind.Readiness, s.askers.Accept}, {h.sheet.Bind.Control, s.callers.Accept}} {
+	}{{h.settings.Bind.Front, s.front.Accept}, {h.settings.Bind.Readiness, s.askers.Accept}, {h.settings.Bind.Control, s.callers.Accept}} {
 		if l.addr != "" {
 			if err := s.Listen(l.addr, l.to); err != nil {
 				return p, err
@@ -210,13 +210,13 @@
 	return Path{s.dispatch, s.peers, entrance{s.front, form, s.Engine}}, nil
 }
 
-// entrance is where clients come in, all of the door's listening with it.
+// entrance is where clients come in, all of the node's listening with it.
 type entrance struct {
-	*downstream.Intake
-	form *ingress.Foyer
-	e    *eventloop.Engine
+	*downstream.Server
+	handler *ingress.Handler
+	e       *eventloop.Engine
 }
 
-func (e entrance) User(who, txn slots.Ref) ([]byte, string) { return e.form.User(who, txn) }
+func (e entrance) User(who, txn slots.Ref) ([]byte, string) { return e.handler.User(who, txn) }
 
 func (e entrance) Deafen() { e.e.Deafen() }
--- a/internal/gateway/node/calls.go
+++ b/internal/gateway/node/calls.go
@@ -42,8 +42,8 @@
 }
 
 // ask brings a control call to whoever leads and tells how it ended: within callFor in any case, so that the caller
-// is not held for what another door may know.
-func (h *House) ask(kind statemachine.Kind, body []byte, hops int, then func(status int, body []byte)) {
+// is not held for what another node may know.
+func (h *Node) ask(kind statemachine.Kind, body []byte, hops int, then func(status int, body []byte)) {
 	if len(h.calls) >= callsMost {
 		then(503, []byte("too many calls wait"))
 		return
@@ -55,7 +55,7 @@
 }
 
 // pass sends a call on, or settles it here.
-func (h *House) pass(nr uint32) {
+func (h *Node) pass(nr uint32) {
 	c := h.calls[nr]
 	c.doubt = c.doubt || c.sent != ""
 	if !h.may(takeCalls) {
@@ -78,12 +78,12 @@
 	if !slices.Contains(c.asked, to) {
 		c.asked = append(c.asked, to)
 	}
-	h.wings.Send(to, &Frame{Call: &Call{Asker: h.life, Nr: nr, Kind: c.kind, Body: c.body, Hops: c.hops + 1}})
+	h.links.Send(to, &Frame{Call: &Call{Asker: h.life, Nr: nr, Kind: c.kind, Body: c.body, Hops: c.hops + 1}})
 }
 
-// lead puts a call into the log, whose verdict holds. What this door refuses before it refuses by its own state: only once a round
+// lead puts a call into the log, whose verdict holds. What this node refuses before it refuses by its own state: only once a round
 // has told that it leads still, and that this state is as new as anything acknowledged.
-func (h *House) lead(nr uint32, confirmed bool) {
+func (h *Node) lead(nr uint32, confirmed bool) {
 	c := h.calls[nr]
 	if c == nil || c.sent != "here" {
 		return
@@ -116,8 +116,8 @@
 // noMajority tells a caller to go elsewhere: nothing was taken at this try.
 const noMajority = "no majority is in contact here, another door may know more"
 
-// turnAway ends a call here: while this door has no word of a majority, waiting is worth nothing.
-func (h *House) turnAway(nr uint32) {
+// turnAway ends a call here: while this node has no word of a majority, waiting is worth nothing.
+func (h *Node) turnAway(nr uint32) {
 	text := noMajority
 	if c := h.calls[nr]; c.doubt || c.sent != "" { // who has it may take it yet
 		text = replication.Unknown.String()
@@ -125,22 +125,22 @@
 	h.end(nr, 503, []byte(text))
 }
 
-// leads is the door to pass a call on to: the leader where it is known, else the door that this one follows.
-func (h *House) leads() string {
+// leads is the node to pass a call on to: the leader where it is known, else the node that this one follows.
+func (h *Node) leads() string {
 	if h.core != nil {
 		if m, _, ok := h.core.p.Leader(); ok && m.ID != h.core.me.ID {
 			return m.Addr
 		}
 		return ""
 	}
-	if h.company.Live(h.feeder) {
+	if h.roster.Live(h.feeder) {
 		return h.feeder
 	}
 	return ""
 }
 
-// leadsAnew tells whether another leads, as far as is known here, than the door that a call was passed on to.
-func (h *House) leadsAnew(than string) bool {
+// leadsAnew tells whether another leads, as far as is known here, than the node that a call was passed on to.
+func (h *Node) leadsAnew(than string) bool {
 	if h.leading() {
 		return true
 	}
@@ -148,17 +148,17 @@
 	return to != "" && to != than
 }
 
-// called takes a call that another door passed on.
-func (h *House) called(from string, c *Call) {
+// called takes a call that another node passed on.
+func (h *Node) called(from string, c *Call) {
 	h.ask(c.Kind, c.Body, c.Hops, func(status int, body []byte) {
-		h.wings.Send(from, &Frame{Reply: &Reply{c.Asker, c.Nr, status, body}})
+		h.links.Send(from, &Frame{Reply: &Reply{c.Asker, c.Nr, status, body}})
 	})
 }
 
 // answered takes the answer to a call that was passed on. It is known by the life that asked and the number within it, and comes
-// from a door that was asked: one to a former life, or to a call that has ended, does nothing. A door that was asked before
+// from a node that was asked: one to a former life, or to a call that has ended, does nothing. A node that was asked before
 // the one that has the call now may still settle it, but not send it round again.
-func (h *House) answered(from string, r *Reply) {
+func (h *Node) answered(from string, r *Reply) {
 	c := h.calls[r.Nr]
 	switch {
 	case c == nil:
@@ -171,7 +171,7 @@
 }
 
 // replied ends a call. Nobody leading is no end while there is time: who did may just have gone.
-func (h *House) replied(nr uint32, status int, body []byte) {
+func (h *Node) replied(nr uint32, status int, body []byte) {
 	c := h.calls[nr]
 	if c == nil {
 		return
@@ -189,8 +189,8 @@
 	h.end(nr, status, body)
 }
 
-// end ends a call. A change that another door had before may have been taken there, whatever the last one knows of no leader.
-func (h *House) end(nr uint32, status int, body []byte) {
+// end ends a call. A change that another node had before may have been taken there, whatever the last one knows of no leader.
+func (h *Node) end(nr uint32, status int, body []byte) {
 	c := h.calls[nr]
 	delete(h.calls, nr)
 	if reads := c.kind == Read || c.kind == ReadRollouts; status/100 == 5 {
@@ -202,12 +202,12 @@
 }
 
 // callAlarm brings a call's due times.
-type callAlarm House
+type callAlarm Node
 
 func (a *callAlarm) Live(nr uint32) bool { return a.calls[nr] != nil }
 
 func (a *callAlarm) Due(nr uint32) {
-	h, c := (*House)(a), a.calls[nr]
+	h, c := (*Node)(a), a.calls[nr]
 	switch now := h.e.Now(); {
 	case c == nil:
 	case now >= c.until:
@@ -223,39 +223,39 @@
 	}
 }
 
-// wantSeat asks for a seat while this door has none.
-func (h *House) wantSeat() {
-	if h.seat() != membership.NoSeat || h.e.Now()-h.seatAsked < time.Second || !h.may(askSeat) {
+// wantSlot asks for a slot while this node has none.
+func (h *Node) wantSlot() {
+	if h.slot() != membership.NoSlot || h.e.Now()-h.slotAsked < time.Second || !h.may(askSlot) {
 		return
 	}
-	h.seatAsked = h.e.Now()
-	entry := statemachine.SeatEntry(membership.Seated{Name: h.sheet.NodeName, Addr: h.inner, Control: h.sheet.Bind.Control,
-		Zone: h.sheet.Zone})
-	h.ask(statemachine.Seat, entry[1:], 0, func(status int, body []byte) {
+	h.slotAsked = h.e.Now()
+	entry := statemachine.SlotEntry(membership.SlotHolder{Name: h.settings.NodeName, Addr: h.inner, Control: h.settings.Bind.Control,
+		Zone: h.settings.Zone})
+	h.ask(statemachine.AssignSlot, entry[1:], 0, func(status int, body []byte) {
 		if status != 200 {
-			h.say(doorPart, "no seat yet: %s", body)
+			h.say(nodePart, "no seat yet: %s", body)
 		}
 	})
 }
 
-// diskCopies is how many times the largest state the file holds at the most, and a little: see promptbook.
+// diskCopies is how many times the largest state the file holds at the most, and a little: see logstore.
 const diskCopies = 10
 
 // tooLarge tells whether a configuration that would be taken grows beyond what the disk is for. Whoever leads decides it, before
-// anything is proposed: what is in the log is applied everywhere, whatever a door's disk. An amendment counts in full, whatever it
+// anything is proposed: what is in the log is applied everywhere, whatever a node's disk. An amendment counts in full, whatever it
 // takes away.
-func (h *House) tooLarge(k statemachine.Kind, body []byte) error {
+func (h *Node) tooLarge(k statemachine.Kind, body []byte) error {
 	size, most := len(body), controlBound
-	if d := h.sheet.Limits.DiskMB; d > 0 {
+	if d := h.settings.Limits.DiskMB; d > 0 {
 		most = min(most, d<<20/diskCopies)
 	}
 	if k == statemachine.Amend {
-		size += len(h.script.Bills.Body())
+		size += len(h.machine.Configs.Body())
 	}
 	if k != statemachine.Replace && k != statemachine.Amend || size <= most {
 		return nil
 	}
-	if v, _ := h.script.Decide(k, body); v != routing.Taken {
+	if v, _ := h.machine.Decide(k, body); v != routing.Taken {
 		return nil // its answer is another
 	}
 	return errors.Errorf("configuration of %d bytes, at most %d fit", size, most)
--- a/internal/gateway/node/calls_test.go
+++ b/internal/gateway/node/calls_test.go
@@ -10,8 +10,8 @@
 // wait for an answer that never comes.
 func TestCallFollowsTheLead(t *testing.T) {
 	d := prepare(t, 3)
-	for i := range d.sheets { // a door whose word is older than half of this ends calls at once: on a busy machine a view takes long
-		d.sheets[i].Bounds.InTouch = 2 * patience
+	for i := range d.settings { // a node whose word is older than half of this ends calls at once: on a busy machine a view takes long
+		d.settings[i].Bounds.InTouch = 2 * patience
 		d.start(i)
 	}
 	d.settles(0, 200, "POST", "/api/Config.Replace", bill(7, 0))
--- a/internal/gateway/node/stock.go
+++ b/internal/gateway/node/catalog.go
@@ -10,8 +10,8 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// stock numbers what the parts know by number: names are the edge's.
-type stock struct {
+// catalog numbers what the parts know by number: names are the edge's.
+type catalog struct {
 	calls    map[routing.RouteKey]control.ProductID
 	routes   map[control.ProductID]*routing.Route
 	services map[string]control.ServiceID
@@ -21,22 +21,22 @@
 	last     control.ProductID
 }
 
-// leastConns of a backend are this door's in any case, where its bound is split over the doors.
+// leastConns of a backend are this node's in any case, where its bound is split over the nodes.
 const leastConns = 4
 
-func newStock() stock {
-	return stock{calls: map[routing.RouteKey]control.ProductID{}, routes: map[control.ProductID]*routing.Route{},
+func newCatalog() catalog {
+	return catalog{calls: map[routing.RouteKey]control.ProductID{}, routes: map[control.ProductID]*routing.Route{},
 		services: map[string]control.ServiceID{}, zones: map[string]control.HallID{}, names: map[control.BackendID]string{}}
 }
 
-func (s *stock) zone(name string) control.HallID {
+func (s *catalog) zone(name string) control.HallID {
 	if _, ok := s.zones[name]; !ok {
 		s.zones[name] = control.HallID(len(s.zones))
 	}
 	return s.zones[name]
 }
 
-func (s *stock) service(name string) control.ServiceID {
+func (s *catalog) service(name string) control.ServiceID {
 	if _, ok := s.services[name]; !ok {
 		s.services[name] = control.ServiceID(len(s.services))
 		s.titles = append(s.titles, name)
@@ -44,7 +44,7 @@
 	return s.services[name]
 }
 
-// backend names one by its id, alike at every door.
+// backend names one by its id, alike at every node.
 func backendOf(id string) control.BackendID {
 	f := fnv.New64a()
 	f.Write([]byte(id))
@@ -52,8 +52,8 @@
 }
 
 // swap puts a new table in force, whole, in this turn.
-func (h *House) swap() {
-	bill := h.script.Bills.Bill()
+func (h *Node) swap() {
+	bill := h.machine.Configs.Config()
 	if bill == nil {
 		return
 	}
@@ -61,26 +61,26 @@
 	h.table = routing.NewTable(bill)
 	kept := map[routing.RouteKey]control.ProductID{}
 	for _, r := range h.table.Routes() {
-		id, ok := h.stock.calls[r.Key]
+		id, ok := h.catalog.calls[r.Key]
 		if !ok {
-			h.stock.last++
-			id = h.stock.last
+			h.catalog.last++
+			id = h.catalog.last
 			c := admission.Call{Effectful: r.Effectful, Aim: r.Target, Deadline: r.Deadline, MaxTries: r.MaxTries,
 				Priority: r.Priority}
 			for _, t := range r.Targets {
-				c.Targets = append(c.Targets, admission.Target{Service: h.stock.service(t.Service), Weight: t.Weight})
+				c.Targets = append(c.Targets, admission.Target{Service: h.catalog.service(t.Service), Weight: t.Weight})
 			}
-			h.office.SetCall(id, c)
+			h.admission.SetCall(id, c)
 		}
-		kept[r.Key], h.stock.routes[id] = id, r
+		kept[r.Key], h.catalog.routes[id] = id, r
 	}
-	for key, id := range h.stock.calls {
+	for key, id := range h.catalog.calls {
 		if _, ok := kept[key]; !ok {
-			h.office.DropCall(id)
-			delete(h.stock.routes, id)
+			h.admission.DropCall(id)
+			delete(h.catalog.routes, id)
 		}
 	}
-	h.stock.calls = kept
+	h.catalog.calls = kept
 	had := map[string]bool{}
 	for _, t := range h.table.Tenants() {
 		had[t.Name] = true
@@ -96,7 +96,7 @@
 }
 
 // Admit tells what a request is: its route, its tenant, or why it may not go on.
-func (h *House) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
+func (h *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
 	sure := h.may(deny)
 	r, ok := h.table.Route(host, path)
 	if !ok {
@@ -105,7 +105,7 @@
 		}
 		return a, ingress.NoRoute
 	}
-	a = ingress.Admission{Product: h.stock.calls[r.Key], Deadline: r.Deadline, Once: r.Effectful}
+	a = ingress.Admission{Product: h.catalog.calls[r.Key], Deadline: r.Deadline, Once: r.Effectful}
 	if r.Public || !h.table.HasTenants() {
 		return a, ingress.None
 	}
@@ -124,17 +124,17 @@
 }
 
 // BackendName is a backend's id in its own words.
-func (h *House) BackendName(id control.BackendID) string { return h.stock.names[id] }
+func (h *Node) BackendName(id control.BackendID) string { return h.catalog.names[id] }
 
 // Gone: another backend answered at this one's address.
-func (h *House) Gone(id control.BackendID) {
-	if h.board != nil {
-		h.board.Seen421(h.stock.names[id])
+func (h *Node) Gone(id control.BackendID) {
+	if h.registry != nil {
+		h.registry.Seen421(h.catalog.names[id])
 	}
 }
 
 // listed takes news of a backend to those who go by it.
-func (h *House) listed(c registry.Changed) {
+func (h *Node) listed(c registry.Changed) {
 	id := backendOf(c.Word.ID)
 	state := control.Ready
 	switch c.Word.Phase {
@@ -143,14 +143,14 @@
 	case registry.Gone:
 		state = control.Gone
 	}
-	h.stock.names[id] = c.Word.ID
+	h.catalog.names[id] = c.Word.ID
 	h.dispatch.At(id, c.Word.Addr, 0, state == control.Ready)
 	if s, ok := h.table.Service(c.Word.Service); ok && s.MaxConns > 0 {
-		h.dispatch.Most(id, max(leastConns, s.MaxConns/max(h.seats, 1)))
+		h.dispatch.Most(id, max(leastConns, s.MaxConns/max(h.slots, 1)))
 	}
-	h.gate.Listed(false, []control.Listing{{ID: id, Hall: h.stock.zone(c.Word.Zone), State: state,
+	h.gate.Listed(false, []control.Listing{{ID: id, Hall: h.catalog.zone(c.Word.Zone), State: state,
 		Size: float64(max(c.Word.Capacity, 1)), Service: h.poolOf(c.Word), Cold: c.ColdUntil}})
 	if state == control.Gone {
-		delete(h.stock.names, id)
+		delete(h.catalog.names, id)
 	}
 }
--- a/internal/gateway/node/catchup_test.go
+++ b/internal/gateway/node/catchup_test.go
@@ -15,8 +15,8 @@
 	"clovergap/internal/gateway/logstore"
 )
 
-// largeBill is a configuration of about so many bytes: its tenants make it up.
-func largeBill(generation, parent, bytes int) string {
+// largeConfig is a configuration of about so many bytes: its tenants make it up.
+func largeConfig(generation, parent, bytes int) string {
 	b := bill(generation, parent)
 	var t strings.Builder
 	for i := 0; t.Len() < bytes; i++ {
@@ -32,14 +32,14 @@
 	return usual
 }
 
-// A member that is away for many whole configurations is level soon after it is back, also the door without a disk; the file
+// A member that is away for many whole configurations is level soon after it is back, also the node without a disk; the file
 // of none grows with their number; one that is too large for the disk is refused before it is taken, with the bound.
 func TestAwayForManyLargeConfigurations(t *testing.T) {
 	const replace = "/api/Config.Replace"
 	size, times := sizeOf("HOUSE_BYTES", 200<<10), sizeOf("HOUSE_CHANGES", 8)
 	d := open(t, 4)
-	d.all("four seats", func(s controlapi.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
-	d.settles(0, 200, "POST", replace, largeBill(1, 0, size))
+	d.all("four seats", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
+	d.settles(0, 200, "POST", replace, largeConfig(1, 0, size))
 	away := 0
 	for i := range 3 {
 		if d.status(i).Core.Role != "leading" {
@@ -51,10 +51,10 @@
 	left := (away + 1) % 3
 	began := time.Now()
 	for n := range times {
-		d.settles(left, 200, "POST", replace, largeBill(n+2, n+1, size))
+		d.settles(left, 200, "POST", replace, largeConfig(n+2, n+1, size))
 	}
 	took := time.Since(began)
-	level := func(s controlapi.HouseStatus) bool { return s.Generation == uint64(times+1) }
+	level := func(s controlapi.NodeStatus) bool { return s.Generation == uint64(times+1) }
 	for _, i := range []int{away, 3} {
 		began = time.Now()
 		d.start(i)
@@ -63,18 +63,18 @@
 	}
 	d.all("the newest", level)
 	for i := range 3 {
-		info, err := os.Stat(filepath.Join(d.sheets[i].DataDir, logstore.Name))
+		info, err := os.Stat(filepath.Join(d.settings[i].DataDir, logstore.Name))
 		must.NoError(t, err)
 		t.Logf("door %d: %d KB on disk", i, info.Size()>>10)
 		must.LessEq(t, int64(diskCopies*size+1<<20), info.Size())
 	}
 	most := 1 << 20 / diskCopies // a disk of 1 MB
 	for i := range 3 {
-		d.live[i].e.Turn(func() { d.live[i].sheet.Limits.DiskMB = 1 })
+		d.live[i].e.Turn(func() { d.live[i].settings.Limits.DiskMB = 1 })
 	}
-	text := d.settles(left, 413, "POST", replace, largeBill(times+2, times+1, most+most/10))
+	text := d.settles(left, 413, "POST", replace, largeConfig(times+2, times+1, most+most/10))
 	must.StrContains(t, text, `"too_large"`)
 	must.StrContains(t, text, fmt.Sprint("at most ", most, " fit"))
-	d.settles(left, 412, "POST", replace, largeBill(times+2, times, most+most/10)) // not its size is what is wrong
-	d.settles(left, 200, "POST", replace, largeBill(times+2, times+1, most-most/5))
+	d.settles(left, 412, "POST", replace, largeConfig(times+2, times, most+most/10)) // not its size is what is wrong
+	d.settles(left, 200, "POST", replace, largeConfig(times+2, times+1, most-most/5))
 }
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -21,11 +21,11 @@
 	noteEvery   = 500 * time.Millisecond
 )
 
-// core is this door's part in the ordered log: none without a disk.
+// core is this node's part in the ordered log: none without a disk.
 type core struct {
-	h        *House
+	h        *Node
 	me       replication.Member
-	p        *replication.Prompter
+	p        *replication.Replica
 	disk     Disk
 	queue    []replication.Write // not yet given to the disk
 	note     []byte              // the board, to be kept beside the log; nil: nothing to keep
@@ -55,8 +55,8 @@
 }
 
 // openCore begins with what the disk holds.
-func (h *House) openCore(b Base) error {
-	if h.sheet.DataDir == "" {
+func (h *Node) openCore(b Base) error {
+	if h.settings.DataDir == "" {
 		return nil
 	}
 	disk, kept, err := b.Disk()
@@ -95,7 +95,7 @@
 		switch a := a.(type) {
 		case replication.Send:
 			if addr := c.addr(a.To); addr != "" {
-				c.h.wings.Send(addr, &Frame{Core: &Line{c.me.ID, a.Message}})
+				c.h.links.Send(addr, &Frame{Core: &Line{c.me.ID, a.Message}})
 			}
 		case replication.Write:
 			if n := len(c.queue); n > 0 { // a disk that hangs must not have the queue grow
@@ -126,37 +126,37 @@
 	if !c.writing && (len(c.queue) > 0 || c.note != nil) {
 		c.write()
 	}
-	c.h.company.Settle(membership.Disk(c.me.ID), c.p.House())
+	c.h.roster.Settle(membership.Disk(c.me.ID), c.p.ClusterID())
 }
 
-// keepBoard has the board kept beside the log, where it changed, now and then.
-func (c *core) keepBoard() {
+// keepRegistry has the board kept beside the log, where it changed, now and then.
+func (c *core) keepRegistry() {
 	now := c.h.e.Now()
-	if !c.h.boardNews || now-c.noted < noteEvery || c.h.board == nil {
+	if !c.h.registryNews || now-c.noted < noteEvery || c.h.registry == nil {
 		return
 	}
-	c.h.boardNews, c.noted = false, now
+	c.h.registryNews, c.noted = false, now
 	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(c.h.board.All()) // of texts and numbers: it can't fail
+	gob.NewEncoder(&b).Encode(c.h.registry.All()) // of texts and numbers: it can't fail
 	c.note = b.Bytes()
 }
 
 // remember gives the board what was kept of it.
 func (c *core) remember() {
-	var words []registry.Word
+	var words []registry.Record
 	if noted := c.disk.Noted(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&words) == nil {
-		c.h.board.Now(c.h.e.Now())
-		c.h.board.Remember(words)
-		c.h.say(boardPart, "remembers %d backends", len(words))
+		c.h.registry.Now(c.h.e.Now())
+		c.h.registry.Remember(words)
+		c.h.say(registryPart, "remembers %d backends", len(words))
 	}
 }
 
-// addr of a member: where its door says that it is, since a view may name an older place.
+// addr of a member: where its node says that it is, since a view may name an older place.
 func (c *core) addr(m replication.Member) string {
-	if d, ok := c.h.company.Door(m.Addr); ok && replication.MemberID(d.Disk) == m.ID {
+	if d, ok := c.h.roster.Node(m.Addr); ok && replication.MemberID(d.Disk) == m.ID {
 		return m.Addr
 	}
-	for _, d := range c.h.company.Disks() {
+	for _, d := range c.h.roster.Disks() {
 		if replication.MemberID(d.Disk) == m.ID {
 			return d.Addr
 		}
@@ -184,11 +184,11 @@
 	v, err := c.h.apply(e.Index, data)
 	c.last = verdict{e.Index, data, v, err}
 	if e.Index%compactAt == 0 || c.p.Uncompacted(e.Index) >= compactSize {
-		c.p.Compact(e.Index, c.h.script.Snapshot())
+		c.p.Compact(e.Index, c.h.machine.Snapshot())
 	}
 }
 
-// tend tells the log which disks are reached: it lets new ones in, in the place of lost ones (prompter/members.go).
+// tend tells the log which disks are reached: it lets new ones in, in the place of lost ones (replica/members.go).
 func (c *core) tend() {
 	now := c.h.e.Now()
 	if now-c.lookedAt < admitEvery {
@@ -196,10 +196,10 @@
 	}
 	c.lookedAt = now
 	var reach []replication.Reach
-	for _, d := range c.h.company.Disks() {
+	for _, d := range c.h.roster.Disks() {
 		reach = append(reach, replication.Reach{Member: replication.Member{ID: replication.MemberID(d.Disk), Addr: d.Addr}, Leaving: d.Leaving})
 	}
-	c.p.Tend(reach, c.h.sheet.Tolerates.Machines)
+	c.p.Tend(reach, c.h.settings.Tolerates.Machines)
 	c.layAside()
 }
 
@@ -228,7 +228,7 @@
 	case o.Verdict != replication.Done:
 		w.then(503, []byte(o.Verdict.String()))
 	case w.kind == Read:
-		w.then(200, c.h.script.Bills.Body())
+		w.then(200, c.h.machine.Configs.Body())
 	case w.kind == ReadRollouts:
 		w.then(200, c.h.rolloutText())
 	default:
--- a/internal/gateway/node/cut_test.go
+++ b/internal/gateway/node/cut_test.go
@@ -14,7 +14,7 @@
 	"clovergap/internal/gateway/settings"
 )
 
-// cut is a door's links to the others with what it says to some lost, as long as it is set: it is read and set in turns.
+// cut is a node's links to the others with what it says to some lost, as long as it is set: it is read and set in turns.
 type cut struct {
 	Links
 	to func(addr string) bool
@@ -27,14 +27,14 @@
 	return c.Links.Send(to, f)
 }
 
-// parts cuts one door off from the others with a disk: what it says, what they say, or both; an empty way joins them again.
-func (d *doors) parts(i int, way string) {
+// parts cuts one node off from the others with a disk: what it says, what they say, or both; an empty way joins them again.
+func (d *nodes) parts(i int, way string) {
 	for o, h := range d.live {
 		h.e.Turn(func() {
-			c, ok := h.wings.(*cut)
+			c, ok := h.links.(*cut)
 			if !ok {
-				c = &cut{Links: h.wings}
-				h.wings = c
+				c = &cut{Links: h.links}
+				h.links = c
 			}
 			switch {
 			case way == "" || h.core == nil:
@@ -42,20 +42,20 @@
 			case o == i && way != "in":
 				c.to = func(addr string) bool { return d.disk(addr) }
 			case o != i && way != "out":
-				at := d.sheets[i].IP + ":17560"
+				at := d.settings[i].IP + ":17560"
 				c.to = func(addr string) bool { return addr == at }
 			}
 		})
 	}
 }
 
-func (d *doors) disk(addr string) bool {
-	return slices.ContainsFunc(d.sheets[:3], func(s *settings.Sheet) bool { return s.IP+":17560" == addr })
+func (d *nodes) disk(addr string) bool {
+	return slices.ContainsFunc(d.settings[:3], func(s *settings.Settings) bool { return s.IP+":17560" == addr })
 }
 
-// broken is what a door that is cut off does and must not.
-func (d *doors) broken(i, last int) (all []string) {
-	h, b := d.live[i], d.sheets[i].Bounds
+// broken is what a node that is cut off does and must not.
+func (d *nodes) broken(i, last int) (all []string) {
+	h, b := d.live[i], d.settings[i].Bounds
 	bad := func(is bool, what string) {
 		if is {
 			all = append(all, what)
@@ -88,15 +88,15 @@
 	return all
 }
 
-// On four real doors, one with a disk is cut off from the others that have one: who leads, both ways, for twenty seconds; then who
-// leads or another, one way or the other. The others go on, and so does the door that followed it; it does nothing that takes a
+// On four real nodes, one with a disk is cut off from the others that have one: who leads, both ways, for twenty seconds; then who
+// leads or another, one way or the other. The others go on, and so does the node that followed it; it does nothing that takes a
 // majority, and comes back. Without its defences it is found out.
-func TestCutOffDoor(t *testing.T) {
+func TestCutOffNode(t *testing.T) {
 	d := open(t, 4)
-	d.all("four seats", func(s controlapi.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
+	d.all("four seats", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
 	d.settles(0, 200, "POST", "/api/Config.Replace", bill(10, 0))
 	d.settles(3, 200, "POST", "/api/Backends.Heartbeat/i-1", beat("ready", 1))
-	d.all("to be ready", func(s controlapi.HouseStatus) bool { return s.Ready })
+	d.all("to be ready", func(s controlapi.NodeStatus) bool { return s.Ready })
 	last := 10
 	for _, x := range []struct {
 		leads bool
@@ -127,7 +127,7 @@
 		d.until("it is cut off for long", func() bool {
 			broken = append(broken, d.broken(at, last)...)
 			long := false
-			h.e.Turn(func() { long = h.stale() > max(x.until, d.sheets[at].Bounds.Stale()+time.Second/2) })
+			h.e.Turn(func() { long = h.stale() > max(x.until, d.settings[at].Bounds.Stale()+time.Second/2) })
 			return long
 		})
 		slices.Sort(broken)
@@ -141,27 +141,27 @@
 			d.comesBack(at)
 		}
 		d.parts(at, "")
-		d.all("to go by the newest and be in contact", func(s controlapi.HouseStatus) bool {
-			return s.Generation == uint64(last) && s.StaleMs != nil && *s.StaleMs < d.sheets[0].Bounds.Parted().Milliseconds()
+		d.all("to go by the newest and be in contact", func(s controlapi.NodeStatus) bool {
+			return s.Generation == uint64(last) && s.StaleMs != nil && *s.StaleMs < d.settings[0].Bounds.Parted().Milliseconds()
 		})
 	}
 }
 
-// comesBack: a door without a disk that follows a door that is cut off hears from it that all others are gone. It goes to one of
+// comesBack: a node without a disk that follows a node that is cut off hears from it that all others are gone. It goes to one of
 // these all the same, by the links that it has; as long as it went by that word, it stayed for as long as the cut lasted.
-func (d *doors) comesBack(at int) {
+func (d *nodes) comesBack(at int) {
 	cut := d.live[at].inner
 	d.until("all others to count as gone", func() (gone bool) {
-		d.turn(3, func(h *House) {
+		d.turn(3, func(h *Node) {
 			if h.fault = feederTells; h.feeder != cut {
 				h.follow(cut)
 			}
 			h.askedAt = h.e.Now() // it stays meanwhile
-			gone = len(h.company.Disks()) == 1 && h.feeds(cut) > h.sheet.Bounds.Parted()
+			gone = len(h.roster.Disks()) == 1 && h.feeds(cut) > h.settings.Bounds.Parted()
 		})
 		return gone
 	})
-	d.turn(3, func(h *House) {
+	d.turn(3, func(h *Node) {
 		for _, f := range []fault{feederTells, sound} {
 			h.fault, h.askedAt, h.stoodTo = f, 1, 0
 			h.tendFeed()
@@ -178,7 +178,7 @@
 
 func (f fixed) Now() time.Duration { return f.now }
 
-// In all orders of words from feeders: a door's own is never newer than the newest that it was told, counted from when it asked;
+// In all orders of words from feeders: a node's own is never newer than the newest that it was told, counted from when it asked;
 // none of an older view is taken after a newer one's, none that is of more than it has, none that another life asked for.
 func TestWordsInAllOrders(t *testing.T) {
 	const now = 100 * time.Second
@@ -191,8 +191,8 @@
 	all := []told{{now - 3*time.Second, time.Second, 5, 9, own}, {now - 2*time.Second, 500 * time.Millisecond, 6, 9, own},
 		{now - time.Second, 100 * time.Millisecond, 5, 9, own}, {now - time.Second, 0, 7, 10, own}, {now - time.Second, 0, 6, 9, other}}
 	play := func(f fault) (wrong int) {
-		var orders func(left []told, h House)
-		orders = func(left []told, h House) {
+		var orders func(left []told, h Node)
+		orders = func(left []told, h Node) {
 			for i, w := range left {
 				c := h
 				before := c.known
@@ -204,7 +204,7 @@
 				orders(append(slices.Clone(left[:i]), left[i+1:]...), c)
 			}
 		}
-		orders(all, House{e: fixed{now: now}, clock: own, applied: 9, known: known{at: -never}, fault: f})
+		orders(all, Node{e: fixed{now: now}, clock: own, applied: 9, known: known{at: -never}, fault: f})
 		return wrong
 	}
 	must.Eq(t, 0, play(sound))
--- a/internal/gateway/node/export_test.go
+++ b/internal/gateway/node/export_test.go
@@ -1,9 +1,9 @@
 package node
 
-// Plant lets the doors that are made from now on go without a defence.
+// Plant lets the nodes that are made from now on go without a defence.
 func Plant(f fault) { planted = f }
 
-// Faults are the defences that a rehearsed day must miss, by name.
+// Faults are the defences that a simulated day must miss, by name.
 var Faults = map[string]fault{"all have all rights": noAuthority, "word counts from when it came": byReceipt,
 	"an end is acknowledged alone": endsAlone, "ready and sure with old word": readyAlone, "an order waits in vain": waitsAlone}
 
--- a/internal/gateway/node/feed.go
+++ b/internal/gateway/node/feed.go
@@ -13,23 +13,23 @@
 
 const (
 	pingEvery   = 700 * time.Millisecond
-	followAgain = 500 * time.Millisecond // an unanswered wish to follow goes again, to another door if there is one
+	followAgain = 500 * time.Millisecond // an unanswered wish to follow goes again, to another node if there is one
 	followMost  = 2 * time.Second        // twice as late each time: a long answer takes its time on a thin link
 	followLong  = 5 * time.Second        // and as long where the other one says something else: it has much to do, and another has as much
-	wordFor     = 3 * time.Second        // what a door said of its knowledge is forgotten after that
-	standstill  = time.Second            // a longer pause between two ticks is this door's own
+	wordFor     = 3 * time.Second        // what a node said of its knowledge is forgotten after that
+	standstill  = time.Second            // a longer pause between two ticks is this node's own
 	readFor     = 300 * time.Millisecond // after one, what others sent meanwhile is read before one of them is left
 	never       = 24 * time.Hour
-	silent      = 2 * never // the word of a door that did not answer
+	silent      = 2 * never // the word of a node that did not answer
 )
 
 // begin starts from a state.
-func (h *House) begin(index uint64, s *statemachine.Script) {
+func (h *Node) begin(index uint64, s *statemachine.Machine) {
 	if index < h.applied {
 		return // never back within a life
 	}
-	h.applied, h.script = index, s
-	h.company.Seats(s.Seats())
+	h.applied, h.machine = index, s
+	h.roster.SetSlots(s.Slots())
 	h.swap()
 	h.foldRollouts()
 	for _, addr := range h.following() {
@@ -38,31 +38,31 @@
 }
 
 // apply takes the next entry of the order. Empty data is the core's own.
-func (h *House) apply(index uint64, data []byte) (v routing.Verdict, err error) {
+func (h *Node) apply(index uint64, data []byte) (v routing.Verdict, err error) {
 	h.applied = index
 	if len(data) > 0 {
-		before, seats := h.script.Bills.Version(), len(h.script.Seats())
-		if v, err = h.script.Apply(data); err != nil && v != routing.Conflict {
+		before, seats := h.machine.Configs.Version(), len(h.machine.Slots())
+		if v, err = h.machine.Apply(data); err != nil && v != routing.Conflict {
 			h.say(corePart, "entry %d changes nothing: %v", index, err)
 		}
-		if h.script.Bills.Version() != before {
-			h.say(corePart, "configuration %d is in force", h.script.Bills.Version())
+		if h.machine.Configs.Version() != before {
+			h.say(corePart, "configuration %d is in force", h.machine.Configs.Version())
 			h.swap()
 		}
-		h.seatsNew = h.seatsNew || len(h.script.Seats()) != seats
+		h.slotsNew = h.slotsNew || len(h.machine.Slots()) != seats
 		h.foldRollouts()
 	}
 	if h.core != nil {
-		if h.feedLate = len(data) > 0 && statemachine.Kind(data[0]) == statemachine.Seat; !h.feedLate {
+		if h.feedLate = len(data) > 0 && statemachine.Kind(data[0]) == statemachine.AssignSlot; !h.feedLate {
 			h.feedAll()
 		}
 	}
 	return v, err
 }
 
-// feedAll sends all followers what they lack. Seats wait for the next tick: at the first start each door asks for one, and each
+// feedAll sends all followers what they lack. Slots wait for the next tick: at the first start each node asks for one, and each
 // would be told to all by itself.
-func (h *House) feedAll() {
+func (h *Node) feedAll() {
 	h.feedLate = false
 	for _, addr := range h.following() {
 		h.feed(addr)
@@ -70,24 +70,24 @@
 }
 
 // following are those who follow, in order: what is sent must not go by chance.
-func (h *House) following() []string { return slices.Sorted(maps.Keys(h.followers)) }
+func (h *Node) following() []string { return slices.Sorted(maps.Keys(h.followers)) }
 
 // followed takes a wish to follow. It holds until it is taken back or the link ends, however long the other one is silent: one
 // that was frozen does not know that it was missed, and would wait for news that nobody sends it.
-func (h *House) followed(from string, f *Follow) {
+func (h *Node) followed(from string, f *Follow) {
 	if h.core == nil {
 		return
 	}
 	if !h.core.p.Founded() {
-		if !f.Ends { // it asks another at once; without a word it would stay, since this door says other things
-			h.wings.Send(from, &Frame{Feed: &Feed{Stale: never}})
+		if !f.Ends { // it asks another at once; without a word it would stay, since this node says other things
+			h.links.Send(from, &Frame{Feed: &Feed{Stale: never}})
 		}
 		return
 	}
 	if f.Ends {
 		delete(h.followers, from)
 		delete(h.echoes, from)
-		h.boardHears(from)
+		h.registryHears(from)
 		return
 	}
 	had := h.hears(from)
@@ -97,7 +97,7 @@
 	h.followers[from].asks(f, h)
 	h.echoes[from] = echo{f.Clock, h.e.Now()}
 	if !had {
-		h.boardHears(from)
+		h.registryHears(from)
 		h.pingedAt = 0 // it waits for the word of who lives
 	} else if f.Anew {
 		h.greet(from)
@@ -105,7 +105,7 @@
 	if f.After < h.applied {
 		h.feed(from)
 	} else {
-		h.wings.Send(from, &Frame{Feed: h.fresh(from, &Feed{After: h.applied})})
+		h.links.Send(from, &Frame{Feed: h.fresh(from, &Feed{After: h.applied})})
 	}
 }
 
@@ -115,23 +115,23 @@
 	at    time.Duration
 }
 
-// fresh puts this door's word of the core into what a follower is sent.
-func (h *House) fresh(to string, f *Feed) *Feed {
+// fresh puts this node's word of the core into what a follower is sent.
+func (h *Node) fresh(to string, f *Feed) *Feed {
 	_, view, _ := h.contact()
 	f.Stale, f.View, f.Echo, f.Index = h.stale(), view, h.echoes[to].clock, h.core.p.Committed()
 	return f
 }
 
-// boardHears tells the board whether a door gets its news from this one.
-func (h *House) boardHears(addr string) {
-	if s := h.company.Seat(addr); s != membership.NoSeat && h.board != nil {
-		h.board.Now(h.e.Now())
-		h.board.Hears(registry.Seat(s), h.hears(addr))
+// registryHears tells the board whether a node gets its news from this one.
+func (h *Node) registryHears(addr string) {
+	if s := h.roster.Slot(addr); s != membership.NoSlot && h.registry != nil {
+		h.registry.Now(h.e.Now())
+		h.registry.Hears(registry.Slot(s), h.hears(addr))
 	}
 }
 
-// fed takes entries from the door that is followed. What was had before is passed over, a gap is asked for anew.
-func (h *House) fed(from string, f *Feed) {
+// fed takes entries from the node that is followed. What was had before is passed over, a gap is asked for anew.
+func (h *Node) fed(from string, f *Feed) {
 	if h.core != nil || from != h.feeder {
 		return
 	}
@@ -152,7 +152,7 @@
 	}
 	if f.Chunk != nil { // so that what follows comes
 		defer func() {
-			h.wings.Send(from, &Frame{Follow: &Follow{After: h.applied, Clock: h.clock.Tell(h.e.Now()), Chunks: true}})
+			h.links.Send(from, &Frame{Follow: &Follow{After: h.applied, Clock: h.clock.Tell(h.e.Now()), Chunks: true}})
 		}()
 	}
 	if f.State != nil && f.After > h.applied {
@@ -180,38 +180,38 @@
 	h.learn(f.Stale, f.View, f.Echo, f.Index)
 }
 
-// follow asks a door with a disk for the entries from here on.
-func (h *House) follow(addr string) {
+// follow asks a node with a disk for the entries from here on.
+func (h *Node) follow(addr string) {
 	anew := h.feeder != addr
 	if anew {
 		h.say(feedPart, "follows %s after %d", addr, h.applied)
 		if h.feeder != "" {
-			h.wings.Send(h.feeder, &Frame{Follow: &Follow{Ends: true}})
+			h.links.Send(h.feeder, &Frame{Follow: &Follow{Ends: true}})
 		}
 	}
 	h.feeder, h.askedAt = addr, h.e.Now()
-	h.wings.Send(addr, &Frame{Follow: &Follow{After: h.applied, Anew: anew, Clock: h.clock.Tell(h.e.Now()), Had: h.feedIn.Had(),
+	h.links.Send(addr, &Frame{Follow: &Follow{After: h.applied, Anew: anew, Clock: h.clock.Tell(h.e.Now()), Had: h.feedIn.Had(),
 		Chunks: true}})
 }
 
 // tendFeed keeps to a feeder with fresh word of the core: the own zone's before others, since bytes between zones are dear. Only
 // the feeder tells how fresh its word is; one of which nothing is known is tried before one that is known to be stale, and
-// one that did not answer goes to the end. After a standstill of both sides no door with a disk may be heard, and none has a
+// one that did not answer goes to the end. After a standstill of both sides no node with a disk may be heard, and none has a
 // reason to say anything while the links are there: then those are asked that a link leads to. One that knows of no leader
 // yet has what its disk held, which is better than nothing after the loss of all.
-func (h *House) tendFeed() {
+func (h *Node) tendFeed() {
 	if h.core != nil {
 		return
 	}
-	now, feedStale := h.e.Now(), rights[feedFresh].member(h.sheet.Bounds)
+	now, feedStale := h.e.Now(), rights[feedFresh].member(h.settings.Bounds)
 	if h.feeder != "" && now-h.askedAt < max(h.askWait, followAgain) || now-h.stoodTo < readFor && h.stoodTo > 0 {
 		return
 	}
 	answered := h.fedAt >= h.askedAt
-	if !answered && h.saysAt > h.askedAt && now-h.askedAt < followLong && h.company.Live(h.feeder) {
+	if !answered && h.saysAt > h.askedAt && now-h.askedAt < followLong && h.roster.Live(h.feeder) {
 		return
 	}
-	if answered && h.company.Live(h.feeder) && h.feeds(h.feeder) < feedStale {
+	if answered && h.roster.Live(h.feeder) && h.feeds(h.feeder) < feedStale {
 		if w := h.words[h.feeder]; w.index > h.applied && now-max(h.askedAt, h.fedAt) > followAgain {
 			h.follow(h.feeder) // what it sent was lost
 		}
@@ -225,13 +225,13 @@
 			h.askWait = min(2*max(h.askWait, followAgain), followMost)
 		}
 	}
-	var best membership.Door
+	var best membership.Node
 	least := time.Duration(1<<63 - 1)
-	disks := h.company.Disks()
-	// Who lives is told by the door that is followed: without one nobody seems to, and one that is cut off tells that all others
+	disks := h.roster.Disks()
+	// Who lives is told by the node that is followed: without one nobody seems to, and one that is cut off tells that all others
 	// are gone, while they are but a link away.
 	if len(disks) == 0 || h.feeds(h.feeder) >= feedStale && h.fault != feederTells {
-		disks = h.company.Linked()
+		disks = h.roster.Linked()
 	}
 	for _, d := range disks {
 		if !d.Founded || d.Addr == h.inner {
@@ -246,7 +246,7 @@
 				stale = min(stale, feedStale).Truncate(feedStale)
 			}
 		}
-		if d.Zone != h.sheet.Zone {
+		if d.Zone != h.settings.Zone {
 			stale += time.Millisecond
 		}
 		switch {
@@ -261,7 +261,7 @@
 	}
 }
 
-// word is what a door said of its knowledge of the core.
+// word is what a node said of its knowledge of the core.
 type word struct {
 	at    time.Duration
 	stale time.Duration
@@ -269,9 +269,9 @@
 	view  uint64
 }
 
-// feeds is how old a door's word of the core is, as it told, for the choice of a feeder alone: what this door may do goes by its
+// feeds is how old a node's word of the core is, as it told, for the choice of a feeder alone: what this node may do goes by its
 // own (see authority.go). One whose view is older than what is known here has nothing new.
-func (h *House) feeds(addr string) time.Duration {
+func (h *Node) feeds(addr string) time.Duration {
 	w, ok := h.words[addr]
 	if !ok || w.view > 0 && w.view < h.known.view && h.fault != oldViews {
 		return never
--- a/internal/gateway/node/follower.go
+++ b/internal/gateway/node/follower.go
@@ -8,7 +8,7 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// follower is a door that this one feeds.
+// follower is a node that this one feeds.
 type follower struct {
 	upto   uint64               // it was sent all up to here
 	chunks bool                 // its program takes chunks
@@ -26,7 +26,7 @@
 
 // feed sends a follower what it lacks: entries as long as they are at hand, else the core's snapshot, and what follows it. What is
 // more than a window goes in chunks, acknowledged by Follow.
-func (h *House) feed(addr string) {
+func (h *Node) feed(addr string) {
 	f, p := h.followers[addr], h.core.p
 	for f.out.Blob == nil && f.upto < h.applied {
 		entries, ok := p.After(f.upto, h.applied)
@@ -43,7 +43,7 @@
 			if f.chunks && len(state) > feedTerms.Window {
 				f.send(b, b.Index(), false)
 			} else {
-				h.wings.Send(addr, &Frame{Feed: h.fresh(addr, &Feed{After: b.Index(), State: state})})
+				h.links.Send(addr, &Frame{Feed: h.fresh(addr, &Feed{After: b.Index(), State: state})})
 			}
 			continue
 		}
@@ -61,7 +61,7 @@
 			gob.NewEncoder(&b).Encode(data) // of bytes: it can't fail
 			f.send(replication.NewBlob(after, f.upto, b.Bytes()), f.upto, true)
 		} else {
-			h.wings.Send(addr, &Frame{Feed: h.fresh(addr, &Feed{After: after, Entries: data})})
+			h.links.Send(addr, &Frame{Feed: h.fresh(addr, &Feed{After: after, Entries: data})})
 		}
 	}
 	if f.out.Blob == nil {
@@ -69,7 +69,7 @@
 	}
 	now := h.e.Now()
 	for c := f.out.Next(&feedTerms, now); c != nil; c = f.out.Next(&feedTerms, now) {
-		h.wings.Send(addr, &Frame{Feed: h.fresh(addr, &Feed{After: c.Index, Chunk: c, Log: f.log})})
+		h.links.Send(addr, &Frame{Feed: h.fresh(addr, &Feed{After: c.Index, Chunk: c, Log: f.log})})
 	}
 }
 
@@ -82,7 +82,7 @@
 }
 
 // statesOut are the states that others are being sent.
-func (h *House) statesOut(but *follower) (all []*replication.Blob) {
+func (h *Node) statesOut(but *follower) (all []*replication.Blob) {
 	for _, addr := range h.following() {
 		if f := h.followers[addr]; f != but && f.out.Blob != nil && !f.log {
 			all = append(all, f.out.Blob)
@@ -100,7 +100,7 @@
 }
 
 // asks takes where a follower stands.
-func (f *follower) asks(w *Follow, h *House) {
+func (f *follower) asks(w *Follow, h *Node) {
 	f.chunks, f.had = w.Chunks, w.Had
 	switch {
 	case f.out.Blob == nil:
@@ -112,15 +112,15 @@
 	}
 }
 
-// whole takes a chunk of what the door that is followed sends, and tells it what is had. The last one makes of it what one message
+// whole takes a chunk of what the node that is followed sends, and tells it what is had. The last one makes of it what one message
 // would have brought; until then nothing of it is taken.
-func (h *House) whole(from string, f *Feed) bool {
+func (h *Node) whole(from string, f *Feed) bool {
 	if f.Chunk == nil {
 		return true
 	}
 	all, had := h.feedIn.Take(f.Chunk)
 	if all == nil {
-		h.wings.Send(from, &Frame{Follow: &Follow{After: h.applied, Clock: h.clock.Tell(h.e.Now()), Had: had, Chunks: true}})
+		h.links.Send(from, &Frame{Follow: &Follow{After: h.applied, Clock: h.clock.Tell(h.e.Now()), Had: had, Chunks: true}})
 		return false
 	}
 	if !f.Log {
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -10,7 +10,7 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// Frame is what doors say to each other on their links: one of its fields is set. Fields that are nil cost nothing.
+// Frame is what nodes say to each other on their links: one of its fields is set. Fields that are nil cost nothing.
 type Frame struct {
 	Hello  *membership.Hello
 	Ping   *Ping
@@ -50,16 +50,16 @@
 type Ping struct {
 	Stale time.Duration // all acknowledged so long ago has been applied (see authority.go); over an hour: not known
 	Index uint64        // of the last entry that it applied
-	Lives []byte        // seats, a bit each: see company.Told; nil from a door without a disk
-	View  uint64        // that its word is of; 0: a door of the version before
-	Clock uint32        // the sender's, to the door that it follows, which answers at once
+	Lives []byte        // slots, a bit each: see roster.Told; nil from a node without a disk
+	View  uint64        // that its word is of; 0: a node of the version before
+	Clock uint32        // the sender's, to the node that it follows, which answers at once
 	Echo  uint32        // the newest that it heard of the receiver's
 }
 
-// RolloutWord is one of its fields: a report on its way to whoever leads, with the seat of the door that it is of, or the word
-// that evidence is gathered afresh, on its way to all doors.
+// RolloutWord is one of its fields: a report on its way to whoever leads, with the slot of the node that it is of, or the word
+// that evidence is gathered afresh, on its way to all nodes.
 type RolloutWord struct {
-	Seat   membership.Seat
+	Seat   membership.Slot
 	Hops   int
 	Report *rollout.Report
 	Lap    *rollout.Lap
@@ -71,7 +71,7 @@
 	Message replication.Message
 }
 
-// Follow asks a door with a disk for the entries after an index, and for those to come, and for its board.
+// Follow asks a node with a disk for the entries after an index, and for those to come, and for its board.
 type Follow struct {
 	After uint64
 	Anew  bool // the sender did not follow it before
@@ -98,7 +98,7 @@
 
 // Call is a control call that is passed on to whoever leads.
 type Call struct {
-	Asker uint64 // the life of the door that passes it on: Nr begins anew in each
+	Asker uint64 // the life of the node that passes it on: Nr begins anew in each
 	Nr    uint32
 	Kind  statemachine.Kind // or Read
 	Body  []byte
--- a/internal/gateway/node/log.go
+++ b/internal/gateway/node/log.go
@@ -9,15 +9,15 @@
 	"go.uber.org/zap"
 )
 
-// part is a part of the house in the log: a fixed prefix for its short sentences.
+// part is a part of the deployment in the log: a fixed prefix for its short sentences.
 type part string
 
 const (
-	doorPart  part = "door: "
-	corePart  part = "core: "
-	boardPart part = "board: "
-	feedPart  part = "feed: "
-	gatePart  part = "gate: "
+	nodePart     part = "door: "
+	corePart     part = "core: "
+	registryPart part = "board: "
+	feedPart     part = "feed: "
+	gatePart     part = "gate: "
 
 	rolloutPart part = "rollout: "
 )
@@ -29,31 +29,31 @@
 }
 
 // notes are the module's.
-type notes struct{ h *House }
+type notes struct{ h *Node }
 
 // Info takes one.
 func (n notes) Info(text string, _ ...zap.Field) { n.h.say(gatePart, "%s", text) }
 
-func (h *House) say(p part, format string, args ...any) {
+func (h *Node) say(p part, format string, args ...any) {
 	h.log.Info().Msg(string(p) + fmt.Sprintf(format, args...))
 }
 
-func (h *House) warn(p part, format string, args ...any) {
+func (h *Node) warn(p part, format string, args ...any) {
 	h.log.Warn().Msg(string(p) + fmt.Sprintf(format, args...))
 }
 
 // tellState logs what changed of what operators ask first: who is heard, and whether clients are wanted here.
-func (h *House) tellState() {
+func (h *Node) tellState() {
 	h.saidAt = h.e.Now()
 	if h.reach != h.said {
 		h.said = h.reach
-		h.say(doorPart, "hears %d of %d doors", h.reach, h.seats)
+		h.say(nodePart, "hears %d of %d doors", h.reach, h.slots)
 	}
 	if why := strings.Join(h.unready(), ", "); why != h.notReady {
 		if h.notReady = why; why == "" {
-			h.say(doorPart, "is ready")
+			h.say(nodePart, "is ready")
 		} else {
-			h.say(doorPart, "is not ready: %s", why)
+			h.say(nodePart, "is not ready: %s", why)
 		}
 	}
 }
--- a/internal/gateway/node/members_test.go
+++ b/internal/gateway/node/members_test.go
@@ -17,20 +17,20 @@
 // small sites: processors are shared here. The bound itself is held in simulated time, in internal/lab/simulation.
 const catchUp = 12 * time.Second
 
-// add starts one more door with an empty disk of its own, after the first start of all.
-func (d *doors) add() int {
-	i := len(d.sheets)
-	s := *d.sheets[0]
+// add starts one more node with an empty disk of its own, after the first start of all.
+func (d *nodes) add() int {
+	i := len(d.settings)
+	s := *d.settings[0]
 	ip := fmt.Sprint(s.IP[:len(s.IP)-2], 11+i)
 	s.NodeName, s.IP, s.FirstBoot, s.DataDir = fmt.Sprint("door-", i), ip, false, d.t.TempDir()
 	s.Bind = settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"}
-	d.sheets = append(d.sheets, &s)
+	d.settings = append(d.settings, &s)
 	d.start(i)
 	return i
 }
 
-// leads is the door that leads.
-func (d *doors) leads() (who int) {
+// leads is the node that leads.
+func (d *nodes) leads() (who int) {
 	d.t.Helper()
 	d.until("one leads", func() bool {
 		for i := range d.live {
@@ -44,8 +44,8 @@
 	return who
 }
 
-// holds tells whether a door knows of three members, in the end, of which one is in and another out.
-func (d *doors) holds(at, in, out int) bool {
+// holds tells whether a node knows of three members, in the end, of which one is in and another out.
+func (d *nodes) holds(at, in, out int) bool {
 	has := map[string]bool{}
 	s := d.status(at).Core
 	for _, m := range s.Members {
@@ -54,12 +54,12 @@
 	return s.Settled && len(has) == 3 && has[d.inner(in)] && !has[d.inner(out)]
 }
 
-func (d *doors) inner(i int) string {
-	return fmt.Sprint(d.sheets[i].IP, ":", d.sheets[i].InnerPorts[0])
+func (d *nodes) inner(i int) string {
+	return fmt.Sprint(d.settings[i].IP, ":", d.settings[i].InnerPorts[0])
 }
 
 // within tells whether something came to be before the time was over.
-func (d *doors) within(most time.Duration, is func() bool) (took time.Duration, ok bool) {
+func (d *nodes) within(most time.Duration, is func() bool) (took time.Duration, ok bool) {
 	began := time.Now()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
@@ -71,11 +71,11 @@
 	return most, false
 }
 
-// three founds three doors with disks, all of them members, and a configuration.
-func three(t *testing.T) *doors {
+// three founds three nodes with disks, all of them members, and a configuration.
+func three(t *testing.T) *nodes {
 	d := open(t, 3)
-	d.all("three members", func(s controlapi.HouseStatus) bool {
-		return s.Seat != nil && len(s.Core.Members) == 3 && s.Core.Settled
+	d.all("three members", func(s controlapi.NodeStatus) bool {
+		return s.Slot != nil && len(s.Core.Members) == 3 && s.Core.Settled
 	})
 	d.settles(0, 200, "POST", "/api/Config.Replace", bill(1, 0))
 	return d
@@ -106,10 +106,10 @@
 	must.True(t, ok, must.Sprint("no order is taken after one more loss"))
 }
 
-// lonely puts the word of a founding on a door's disk that was for doors which never had it.
-func (d *doors) lonely(i int, others ...replication.Member) {
+// lonely puts the word of a founding on a node's disk that was for nodes which never had it.
+func (d *nodes) lonely(i int, others ...replication.Member) {
 	d.t.Helper()
-	book, kept, err := logstore.Open(d.sheets[i].DataDir)
+	book, kept, err := logstore.Open(d.settings[i].DataDir)
 	must.NoError(d.t, err)
 	p := replication.New(replication.Member{ID: kept.Me, Addr: d.inner(i)}, kept, replication.DefaultTerms(), 1, 0)
 	must.NoError(d.t, p.Found(append(others, replication.Member{ID: kept.Me, Addr: d.inner(i)})))
@@ -122,11 +122,11 @@
 	must.NoError(d.t, book.Close())
 }
 
-// meets waits until all doors that live have the same three members.
-func (d *doors) meets() {
+// meets waits until all nodes that live have the same three members.
+func (d *nodes) meets() {
 	d.t.Helper()
-	d.all("three members", func(s controlapi.HouseStatus) bool {
-		return s.Seat != nil && s.Core.Settled && len(s.Core.Members) == 3 && s.Core.Leader != ""
+	d.all("three members", func(s controlapi.NodeStatus) bool {
+		return s.Slot != nil && s.Core.Settled && len(s.Core.Members) == 3 && s.Core.Leader != ""
 	})
 }
 
@@ -162,10 +162,10 @@
 	}
 	d.settles(1, 200, "POST", "/api/Config.Replace", bill(1, 0))
 	d.lonely(0, replication.Member{ID: 5, Addr: d.inner(1)}, replication.Member{ID: 6, Addr: d.inner(2)})
-	d.sheets[0].FirstBoot = false
+	d.settings[0].FirstBoot = false
 	d.start(0)
 	d.meets()
-	d.all("the configuration", func(s controlapi.HouseStatus) bool { return s.Generation == 1 })
+	d.all("the configuration", func(s controlapi.NodeStatus) bool { return s.Generation == 1 })
 }
 
 // The same where the others have lost their disks before they had the word: nobody began anything, since one that they met held a state.
@@ -173,7 +173,7 @@
 	d := prepare(t, 3)
 	d.lonely(0, replication.Member{ID: 5, Addr: d.inner(1)}, replication.Member{ID: 6, Addr: d.inner(2)})
 	for i := range 3 {
-		d.sheets[i].FirstBoot = false
+		d.settings[i].FirstBoot = false
 		d.start(i)
 	}
 	d.meets()
--- a/internal/gateway/node/house_test.go
+++ b/internal/gateway/node/node_test.go
@@ -23,40 +23,40 @@
 // patience bounds every wait of these tests; none of them depends on how long anything takes within it.
 const patience = 60 * time.Second
 
-// doors are several of a house in this process, each at an address of its own on the loopback.
-type doors struct {
-	t      *testing.T
-	http   *http.Client
-	live   map[int]*House
-	sheets []*settings.Sheet
+// nodes are several of a deployment in this process, each at an address of its own on the loopback.
+type nodes struct {
+	t        *testing.T
+	http     *http.Client
+	live     map[int]*Node
+	settings []*settings.Settings
 }
 
-// open starts so many doors, the first three with a disk.
-func open(t *testing.T, n int) *doors {
+// open starts so many nodes, the first three with a disk.
+func open(t *testing.T, n int) *nodes {
 	d := prepare(t, n)
-	for i := range d.sheets {
+	for i := range d.settings {
 		d.start(i)
 	}
 	return d
 }
 
 // prepare has their settings, and starts none.
-func prepare(t *testing.T, n int) *doors {
-	d := &doors{t: t, live: map[int]*House{}, http: &http.Client{Timeout: patience,
+func prepare(t *testing.T, n int) *nodes {
+	d := &nodes{t: t, live: map[int]*Node{}, http: &http.Client{Timeout: patience,
 		Transport: &http.Transport{DisableKeepAlives: true}}}
 	var seeds []string
 	for i := range n {
 		ip := fmt.Sprintf("127.%d.%d.%d", 2+os.Getpid()>>8&127, os.Getpid()&255, 11+i)
-		s := &settings.Sheet{NodeName: fmt.Sprint("door-", i), IP: ip, Zone: "z", InnerPorts: [2]int{17560, 17575},
+		s := &settings.Settings{NodeName: fmt.Sprint("door-", i), IP: ip, Zone: "z", InnerPorts: [2]int{17560, 17575},
 			Bind: settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"}, FirstBoot: true,
 			BeatInterval: time.Hour, Tolerates: settings.Tolerates{Machines: 1}, Bounds: settings.Usual()}
 		if i < 3 {
 			s.DataDir = t.TempDir()
 			seeds = append(seeds, s.Bind.Control)
 		}
-		d.sheets = append(d.sheets, s)
+		d.settings = append(d.settings, s)
 	}
-	for _, s := range d.sheets {
+	for _, s := range d.settings {
 		s.SeedAddrs = seeds
 	}
 	t.Cleanup(d.end)
@@ -64,23 +64,23 @@
 }
 
 // end kills all.
-func (d *doors) end() {
-	for i := range d.sheets {
+func (d *nodes) end() {
+	for i := range d.settings {
 		d.kill(i)
 	}
 	d.until("all ends", func() bool { return goleak.Find() == nil })
 }
 
-func (d *doors) start(i int) {
+func (d *nodes) start(i int) {
 	d.t.Helper()
-	h, err := New(d.sheets[i])
+	h, err := New(d.settings[i])
 	must.NoError(d.t, err)
 	must.NoError(d.t, h.Start())
 	d.live[i] = h
 }
 
-// kill ends a door as a killed process ends, but for the writes that are under way.
-func (d *doors) kill(i int) {
+// kill ends a node as a killed process ends, but for the writes that are under way.
+func (d *nodes) kill(i int) {
 	h := d.live[i]
 	if h == nil {
 		return
@@ -91,7 +91,7 @@
 		h.core = nil
 		h.e.Settled(func() {})
 	})
-	h.own.wings.Stop()
+	h.own.mesh.Stop()
 	if core != nil {
 		d.until("a write ends", func() bool {
 			writing := false
@@ -99,10 +99,10 @@
 			return !writing
 		})
 		close(h.own.disk.writes)
-		h.own.disk.book.Close()
+		h.own.disk.store.Close()
 	}
 	h.own.Stop()
-	mail := h.mailAt(h.inner)
+	mail := h.datagramAddr(h.inner)
 	for fd := range 1 << 12 { // the poller leaves it open
 		if at, err := syscall.Getsockname(fd); err == nil {
 			if at, ok := at.(*syscall.SockaddrInet4); ok && at.Addr == mail.Addr().As4() && at.Port == int(mail.Port()) {
@@ -110,11 +110,11 @@
 			}
 		}
 	}
-	d.sheets[i].FirstBoot = false
+	d.settings[i].FirstBoot = false
 }
 
 // until waits for what is to come.
-func (d *doors) until(what string, is func() bool) {
+func (d *nodes) until(what string, is func() bool) {
 	d.t.Helper()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
@@ -125,8 +125,8 @@
 	}
 }
 
-func (d *doors) call(i int, method, path, body string) (int, string) {
-	r, err := http.NewRequest(method, "http://"+d.sheets[i].Bind.Control+path, bytes.NewBufferString(body))
+func (d *nodes) call(i int, method, path, body string) (int, string) {
+	r, err := http.NewRequest(method, "http://"+d.settings[i].Bind.Control+path, bytes.NewBufferString(body))
 	must.NoError(d.t, err)
 	a, err := d.http.Do(r)
 	if err != nil {
@@ -138,7 +138,7 @@
 }
 
 // settles calls until the answer is a clear one, as an operator does, which is to have that status.
-func (d *doors) settles(i, want int, method, path, body string) (text string) {
+func (d *nodes) settles(i, want int, method, path, body string) (text string) {
 	d.t.Helper()
 	status := 0
 	d.until("a clear answer to "+path, func() bool {
@@ -149,16 +149,16 @@
 	return text
 }
 
-func (d *doors) status(i int) (s controlapi.HouseStatus) {
+func (d *nodes) status(i int) (s controlapi.NodeStatus) {
 	_, text := d.call(i, "GET", "/api/House.Status", "")
 	if json.Unmarshal([]byte(text), &s); s.Core == nil {
-		s.Core = &controlapi.HouseCore{}
+		s.Core = &controlapi.StatusCore{}
 	}
 	return s
 }
 
-// all waits until every door that lives says so of itself.
-func (d *doors) all(what string, is func(s controlapi.HouseStatus) bool) {
+// all waits until every node that lives says so of itself.
+func (d *nodes) all(what string, is func(s controlapi.NodeStatus) bool) {
 	d.t.Helper()
 	for i := range d.live {
 		d.until(fmt.Sprint(what, " at ", i), func() bool { return is(d.status(i)) })
@@ -175,24 +175,24 @@
 	return fmt.Sprintf(`{"target":"s","address":"127.0.0.1:9","zone":"z","capacity":1,"phase":%q,"call_seq":%d}`, phase, seq)
 }
 
-// A life of four doors, three with a disk: they found, all get a seat, changes are taken through any of them and
+// A life of four nodes, three with a disk: they found, all get a slot, changes are taken through any of them and
 // followed by all; one that is killed comes back with what its disk holds, one that lost its disk is let in again.
-func TestHouse(t *testing.T) {
+func TestNode(t *testing.T) {
 	const replace, read = "/api/Config.Replace", "/api/Config.Read"
 	d := open(t, 4)
-	d.all("four seats", func(s controlapi.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
+	d.all("four seats", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
 	seats := map[int]bool{}
 	for i := range 4 {
 		s := d.status(i)
-		seats[*s.Seat] = *s.Seat < 4 && !s.Ready // no configuration
+		seats[*s.Slot] = *s.Slot < 4 && !s.Ready // no configuration
 		must.Eq(t, i < 3, s.Core.Me != "")
 	}
 	must.Eq(t, map[int]bool{0: true, 1: true, 2: true, 3: true}, seats)
 
-	for i, last := range []int{0, 7, 9, 20} { // through each door; the last has no disk
+	for i, last := range []int{0, 7, 9, 20} { // through each node; the last has no disk
 		next := []int{7, 9, 20, 21}[i]
 		d.settles(i, 200, "POST", replace, bill(next, last))
-		in := func(s controlapi.HouseStatus) bool { return s.Generation == uint64(next) }
+		in := func(s controlapi.NodeStatus) bool { return s.Generation == uint64(next) }
 		d.all("the new configuration", in)
 		for j := range 4 {
 			d.settles(j, 200, "POST", replace, bill(next, last)) // the same again
@@ -205,10 +205,10 @@
 	}
 
 	d.settles(3, 200, "POST", "/api/Backends.Heartbeat/i-1", beat("ready", 1))
-	phase := func(want string) func(s controlapi.HouseStatus) bool {
-		return func(s controlapi.HouseStatus) bool { return len(s.Backends) == 1 && s.Backends[0].Phase == want }
+	phase := func(want string) func(s controlapi.NodeStatus) bool {
+		return func(s controlapi.NodeStatus) bool { return len(s.Backends) == 1 && s.Backends[0].Phase == want }
 	}
-	d.all("a backend, and to be ready", func(s controlapi.HouseStatus) bool { return phase("ready")(s) && s.Ready })
+	d.all("a backend, and to be ready", func(s controlapi.NodeStatus) bool { return phase("ready")(s) && s.Ready })
 	d.settles(3, 200, "POST", "/api/Backends.Heartbeat/i-1", beat("draining", 2))
 	know := 0
 	for i := range 4 {
@@ -222,7 +222,7 @@
 	d.kill(1)
 	d.settles(3, 200, "POST", replace, bill(30, 21))
 	was := d.status(0)
-	d.kill(0) // now there is no majority: nothing is taken, and a door alone acknowledges no end
+	d.kill(0) // now there is no majority: nothing is taken, and a node alone acknowledges no end
 	d.until("no leader", func() bool { r := d.status(2).Core.Role; return r != "" && r != "leading" })
 	status, _ := d.call(3, "POST", replace, bill(31, 30))
 	must.Eq(t, 503, status)
@@ -230,10 +230,10 @@
 	must.Eq(t, 503, status)
 	d.start(0)
 	must.GreaterEq(t, 21, d.status(0).Generation) // from its disk, whoever leads
-	must.Eq(t, was.Seat, d.status(0).Seat)
+	must.Eq(t, was.Slot, d.status(0).Slot)
 	must.Eq(t, was.Core.Me, d.status(0).Core.Me)
 	must.EqJSON(t, bill(30, 21), d.settles(0, 200, "GET", read, ""))
-	must.NoError(t, os.Remove(filepath.Join(d.sheets[1].DataDir, logstore.Name))) // this one has lost its disk
+	must.NoError(t, os.Remove(filepath.Join(d.settings[1].DataDir, logstore.Name))) // this one has lost its disk
 	d.start(1)
 	for i := range 3 {
 		d.until("to be let in, as all know", func() bool {
--- a/internal/gateway/node/orders.go
+++ b/internal/gateway/node/orders.go
@@ -16,7 +16,7 @@
 
 // Rollout brings an operator's order to whoever leads, as a change of the configuration goes. What is wrong in itself, or
 // is known here to have been taken, needs no leader; a dry run goes by what is known here alone.
-func (h *House) Rollout(e *rollout.Entry, dry bool, then func(status int, body []byte)) {
+func (h *Node) Rollout(e *rollout.Entry, dry bool, then func(status int, body []byte)) {
 	if e.At = time.Now().UnixMilli(); e.Mark == "" { // the same call may go out twice from here
 		e.Mark = fmt.Sprintf("%016x", rand.Uint64())
 	}
@@ -31,14 +31,14 @@
 	}
 	body := e.Word()
 	if dry {
-		if v, err := h.script.Decide(statemachine.Rollout, body); v != routing.Taken {
+		if v, err := h.machine.Decide(statemachine.Rollout, body); v != routing.Taken {
 			then(answerOf(v, err))
 			return
 		}
 		then(200, text(h.wouldBe(e)))
 		return
 	}
-	if v, err, final := h.script.Final(statemachine.Rollout, body); final {
+	if v, err, final := h.machine.Final(statemachine.Rollout, body); final {
 		status, answer := answerOf(v, err)
 		then(status, h.worded(statemachine.Rollout, body, status, answer))
 		return
@@ -46,8 +46,8 @@
 	h.ask(statemachine.Rollout, body, 0, then)
 }
 
-// knows tells what an order names that this door does not know. Zones are those of doors.
-func (h *House) knows(o *rollout.Rollout) error {
+// knows tells what an order names that this node does not know. Zones are those of nodes.
+func (h *Node) knows(o *rollout.Rollout) error {
 	service := func(n string) bool { _, ok := h.table.Service(n); return ok }
 	route := func(n string) bool {
 		for _, r := range h.table.Routes() {
@@ -66,27 +66,27 @@
 		return false
 	}
 	zone := func(n string) bool {
-		for _, s := range h.company.Order() {
+		for _, s := range h.roster.Order() {
 			if s.Zone == n {
 				return true
 			}
 		}
-		return n == h.sheet.Zone
+		return n == h.settings.Zone
 	}
 	return o.Known(service, route, tenant, zone)
 }
 
 // wouldBe counts the known keys that each step of an order would have on the new version.
-func (h *House) wouldBe(e *rollout.Entry) controlapi.RolloutAnswer {
+func (h *Node) wouldBe(e *rollout.Entry) controlapi.RolloutAnswer {
 	var users [][]byte
-	if bill := h.script.Bills.Bill(); bill != nil {
+	if bill := h.machine.Configs.Config(); bill != nil {
 		for _, t := range bill.Tenants {
 			for _, key := range t.ApiKeys {
 				users = append(users, []byte(key))
 			}
 		}
 	}
-	n := h.script.Rollouts.Last + 1
+	n := h.machine.Rollouts.Last + 1
 	return controlapi.RolloutAnswer{Service: e.Service, Number: uint64(n), Phase: "dry", Rev: e.Rev, Steps: len(e.Order.Steps),
 		Users: ptr(len(users)), Moved: e.Order.Shared(n, users),
 		Room: &controlapi.RolloutRoom{Old: e.Room.Old, New: e.Room.New, Busy: e.Room.Busy}}
@@ -100,7 +100,7 @@
 }
 
 // worded gives the answer to a call that was taken, where it has one.
-func (h *House) worded(k statemachine.Kind, body []byte, status int, answer []byte) []byte {
+func (h *Node) worded(k statemachine.Kind, body []byte, status int, answer []byte) []byte {
 	if k != statemachine.Rollout || status != 200 {
 		return answer
 	}
@@ -108,7 +108,7 @@
 	if err != nil {
 		return answer
 	}
-	r := h.script.Rollouts.Run(e.Service)
+	r := h.machine.Rollouts.Run(e.Service)
 	if r == nil {
 		return answer
 	}
@@ -117,8 +117,8 @@
 		Room: &controlapi.RolloutRoom{Old: r.Room.Old, New: r.Room.New, Busy: r.Room.Busy}})
 }
 
-// Rollouts asks whoever leads, who has the counts; where nobody can be asked, it is this door's own knowledge.
-func (h *House) Rollouts(then func(status int, body []byte)) {
+// Rollouts asks whoever leads, who has the counts; where nobody can be asked, it is this node's own knowledge.
+func (h *Node) Rollouts(then func(status int, body []byte)) {
 	h.ask(ReadRollouts, nil, 0, func(status int, body []byte) {
 		if status != 200 {
 			status, body = 200, h.rolloutText()
@@ -127,16 +127,16 @@
 	})
 }
 
-// rolloutText is how roll-outs stand, as this door knows it.
-func (h *House) rolloutText() []byte {
-	x, s := &h.rollouts, h.script.Rollouts
-	all := controlapi.RolloutStatus{Door: h.sheet.NodeName, Rev: s.Rev, Leads: x.duty != nil || h.leading(),
+// rolloutText is how roll-outs stand, as this node knows it.
+func (h *Node) rolloutText() []byte {
+	x, s := &h.rollouts, h.machine.Rollouts
+	all := controlapi.RolloutStatus{Node: h.settings.NodeName, Rev: s.Rev, Leads: x.duty != nil || h.leading(),
 		Rollouts: []controlapi.RolloutRun{}}
 	for i := range s.Runs() {
 		r := &s.Runs()[i]
 		run := controlapi.RolloutRun{Service: r.Order.Service, Number: uint64(r.Number), Rev: r.Rev, Phase: string(r.Phase),
 			Step: r.Step, Steps: len(r.Order.Steps), Share: r.Share(), Old: r.Order.Old, New: r.Order.New, Held: r.Held,
-			Here: x.door.Share(r.Order.Service)}
+			Here: x.node.Share(r.Order.Service)}
 		if x.duty != nil && r.Phase == rollout.Running {
 			var c rollout.Counts
 			c, run.Doubt = x.duty.Counts(r.Order.Service)
@@ -147,8 +147,8 @@
 	return text(all)
 }
 
-// RolloutHistory is what became of a service's roll-outs, as this door knows it.
-func (h *House) RolloutHistory(service string) controlapi.RolloutHistory {
+// RolloutHistory is what became of a service's roll-outs, as this node knows it.
+func (h *Node) RolloutHistory(service string) controlapi.RolloutHistory {
 	all := controlapi.RolloutHistory{Service: service, Rollouts: []controlapi.RolloutPast{}}
 	add := func(r *rollout.Run) {
 		if r == nil || r.Order.Service != service {
@@ -161,10 +161,10 @@
 		}
 		all.Rollouts = append(all.Rollouts, past)
 	}
-	for i := range h.script.Rollouts.Ended() {
-		add(&h.script.Rollouts.Ended()[i])
+	for i := range h.machine.Rollouts.Ended() {
+		add(&h.machine.Rollouts.Ended()[i])
 	}
-	add(h.script.Rollouts.Run(service))
+	add(h.machine.Rollouts.Run(service))
 	return all
 }
 
--- a/internal/gateway/node/parted_test.go
+++ b/internal/gateway/node/parted_test.go
@@ -11,12 +11,12 @@
 	"clovergap/internal/lab/spec"
 )
 
-// Each defence of a door without word of a majority is missed by a rehearsed day, in which a core door is cut off for twenty seconds
-// while doors without a disk stand still. See rehearsal.TestPartedForTwentySeconds, where all hold.
-func TestPartedDoorsNeedTheirDefences(t *testing.T) {
+// Each defence of a node without word of a majority is missed by a simulated day, in which a core node is cut off for twenty seconds
+// while nodes without a disk stand still. See simulation.TestPartedForTwentySeconds, where all hold.
+func TestPartitionedNodesNeedTheirDefences(t *testing.T) {
 	play := func(seed uint64) *simulation.Result {
 		span := func(s float64) spec.Span { return spec.Span(s * float64(time.Second)) }
-		return simulation.Play(&simulation.Day{Site: simulation.Site{Doors: 7, Disks: 3}, Seed: seed, For: 24 * time.Second, Faults: []spec.Fault{
+		return simulation.Play(&simulation.Day{Site: simulation.Site{Nodes: 7, Disks: 3}, Seed: seed, For: 24 * time.Second, Faults: []spec.Fault{
 			{Kind: "core-part", At: span(1), For: span(20), Share: 0.1, By: 0, Way: "both", Pick: 7},
 			{Kind: "door-stall", At: span(3), For: span(3), Share: 0.3, Pick: seed*8 + 3},
 			{Kind: "door-stall", At: span(12), For: span(2), Share: 0.3, Pick: seed*8 + 5}}})
--- a/internal/gateway/node/doors.go
+++ b/internal/gateway/node/peers.go
@@ -15,45 +15,45 @@
 
 // Came, Heard, Up and Down are the links': each in a turn.
 
-// Came: the door that this one follows has dialed it anew. It may have given up a link before and with it the wish to follow:
+// Came: the node that this one follows has dialed it anew. It may have given up a link before and with it the wish to follow:
 // without a new one it would say nothing, and for two seconds nothing would tell of that.
-func (h *House) Came(from string) {
+func (h *Node) Came(from string) {
 	if from == h.feeder {
 		h.follow(from)
 	}
 }
 
-func (h *House) Heard(from string, f *Frame) {
-	h.company.Now(h.e.Now())
-	h.company.Heard(from)
+func (h *Node) Heard(from string, f *Frame) {
+	h.roster.Now(h.e.Now())
+	h.roster.Heard(from)
 	if from == h.feeder {
 		h.saysAt = h.e.Now()
 	}
 	switch {
 	case f.Hello != nil:
-		h.company.Hello(from, *f.Hello)
+		h.roster.Hello(from, *f.Hello)
 		h.remind(from, f.Hello.Door)
 	case f.Ping != nil:
 		h.words[from] = word{h.e.Now(), f.Ping.Stale, f.Ping.Index, f.Ping.View}
 		if f.Ping.Lives != nil && (h.core != nil || from == h.feeder) {
-			h.company.Told(from, f.Ping.Lives)
+			h.roster.Told(from, f.Ping.Lives)
 		}
 		if from == h.feeder {
 			h.learn(f.Ping.Stale, f.Ping.View, f.Ping.Echo, f.Ping.Index)
 		}
 		if f.Ping.Clock != 0 && h.hears(from) {
 			h.echoes[from] = echo{f.Ping.Clock, h.e.Now()}
-			h.wings.Send(from, &Frame{Ping: h.pingTo(from)})
+			h.links.Send(from, &Frame{Ping: h.pingTo(from)})
 		}
 	case f.Found != nil:
 		h.found(f.Found)
 	case f.Core != nil && h.core != nil:
 		h.core.p.Now(h.e.Now())
 		h.core.p.Heard(f.Core.From, f.Core.Message)
-	case f.Board != nil && h.board != nil:
-		if s := h.company.Seat(from); s != membership.NoSeat {
-			h.board.Now(h.e.Now())
-			h.board.Heard(registry.Seat(s), *f.Board)
+	case f.Board != nil && h.registry != nil:
+		if s := h.roster.Slot(from); s != membership.NoSlot {
+			h.registry.Now(h.e.Now())
+			h.registry.Heard(registry.Slot(s), *f.Board)
 		}
 	case f.Follow != nil:
 		h.followed(from, f.Follow)
@@ -68,10 +68,10 @@
 	}
 }
 
-func (h *House) Up(to string) {
-	h.company.Now(h.e.Now())
-	h.company.Up(to)
-	if d, ok := h.company.Door(to); ok {
+func (h *Node) Up(to string) {
+	h.roster.Now(h.e.Now())
+	h.roster.Up(to)
+	if d, ok := h.roster.Node(to); ok {
 		h.remind(to, d)
 	}
 	h.greet(to) // it may have started anew
@@ -80,23 +80,23 @@
 	}
 }
 
-// greet tells a door of the backends.
-func (h *House) greet(addr string) {
-	if s := h.company.Seat(addr); s != membership.NoSeat && h.board != nil {
-		h.board.Now(h.e.Now())
-		h.board.Greet(registry.Seat(s))
+// greet tells a node of the backends.
+func (h *Node) greet(addr string) {
+	if s := h.roster.Slot(addr); s != membership.NoSlot && h.registry != nil {
+		h.registry.Now(h.e.Now())
+		h.registry.Greet(registry.Slot(s))
 	}
 }
 
-// hears tells whether a door gets its news from this one.
-func (h *House) hears(addr string) bool {
+// hears tells whether a node gets its news from this one.
+func (h *Node) hears(addr string) bool {
 	_, ok := h.followers[addr]
 	return ok
 }
 
-func (h *House) Down(to string) {
-	h.company.Now(h.e.Now())
-	h.company.Down(to)
+func (h *Node) Down(to string) {
+	h.roster.Now(h.e.Now())
+	h.roster.Down(to)
 	delete(h.followers, to)
 	delete(h.echoes, to)
 	for _, nr := range slices.Sorted(maps.Keys(h.calls)) {
@@ -108,14 +108,14 @@
 }
 
 // remind hands the founding to a founder that missed it: who began it may have died before the word reached the others.
-func (h *House) remind(addr string, d membership.Door) {
+func (h *Node) remind(addr string, d membership.Node) {
 	if h.core == nil || d.Founded || d.Disk == 0 {
 		return
 	}
 	founders := h.core.p.Founders()
 	for _, m := range founders {
-		if m.ID == replication.MemberID(d.Disk) && h.company.Spreads(h.core.p.House(), addr) {
-			h.wings.Send(addr, &Frame{Found: founders})
+		if m.ID == replication.MemberID(d.Disk) && h.roster.Spreads(h.core.p.ClusterID(), addr) {
+			h.links.Send(addr, &Frame{Found: founders})
 		}
 	}
 }
@@ -125,7 +125,7 @@
 func (c *core) layAside() {
 	founders := c.p.Founders()
 	for _, m := range founders {
-		if d, ok := c.h.company.Door(m.Addr); m.ID != c.me.ID && (!ok || !c.h.company.Live(m.Addr) || d.Disk == 0 || d.Founded ||
+		if d, ok := c.h.roster.Node(m.Addr); m.ID != c.me.ID && (!ok || !c.h.roster.Live(m.Addr) || d.Disk == 0 || d.Founded ||
 			replication.MemberID(d.Disk) == m.ID || c.addr(replication.Member{ID: m.ID}) != "") {
 			return
 		}
@@ -135,8 +135,8 @@
 	}
 }
 
-// found begins the core, if this door's disk is empty.
-func (h *House) found(members []replication.Member) {
+// found begins the core, if this node's disk is empty.
+func (h *Node) found(members []replication.Member) {
 	if h.core == nil {
 		return
 	}
@@ -147,35 +147,35 @@
 	h.say(corePart, "founded by %d doors", len(members))
 }
 
-// pullDoors carries out what the company asks for.
-func (h *House) pullDoors() {
-	h.company.Now(h.e.Now())
-	if h.seatsNew { // once for all that came in this turn
-		h.seatsNew = false
-		h.company.Seats(h.script.Seats())
+// pullRoster carries out what the roster asks for.
+func (h *Node) pullRoster() {
+	h.roster.Now(h.e.Now())
+	if h.slotsNew { // once for all that came in this turn
+		h.slotsNew = false
+		h.roster.SetSlots(h.machine.Slots())
 	}
 	for {
-		a, ok := h.company.Next()
+		a, ok := h.roster.Next()
 		if !ok {
 			return
 		}
 		switch a.Verb {
 		case membership.Want:
-			h.wings.Want(a.Addr)
+			h.links.Want(a.Addr)
 		case membership.Leave:
-			h.wings.Leave(a.Addr)
+			h.links.Leave(a.Addr)
 		case membership.Greet:
-			hello := h.company.Say(a.Addr)
-			h.wings.Send(a.Addr, &Frame{Hello: &hello})
+			hello := h.roster.Say(a.Addr)
+			h.links.Send(a.Addr, &Frame{Hello: &hello})
 		case membership.Found:
 			members := membersOf(a.Founders)
 			if a.Addr == h.inner {
 				h.found(members)
 			} else {
-				h.wings.Send(a.Addr, &Frame{Found: members})
+				h.links.Send(a.Addr, &Frame{Found: members})
 			}
 		case membership.Changed:
-			h.doorsChanged()
+			h.nodesChanged()
 		}
 	}
 }
@@ -187,134 +187,134 @@
 	return members
 }
 
-// seat is this door's, or NoSeat.
-func (h *House) seat() membership.Seat { return h.company.Seat(h.inner) }
+// slot is this node's, or NoSeat.
+func (h *Node) slot() membership.Slot { return h.roster.Slot(h.inner) }
 
-// doorsChanged tells the parts that go by doors which there are, and which live.
-func (h *House) doorsChanged() {
+// nodesChanged tells the parts that go by nodes which there are, and which live.
+func (h *Node) nodesChanged() {
 	h.tendFeed()
-	me := h.seat()
-	if me == membership.NoSeat {
+	me := h.slot()
+	if me == membership.NoSlot {
 		return
 	}
-	order := h.company.Order()
-	if h.board == nil {
-		h.board = registry.New(registry.Seat(me), registry.Terms{BeatInterval: h.sheet.BeatInterval,
-			Enough: h.sheet.Tolerates.Machines + 1, Life: uint32(h.life)}, h.e.Now())
-		h.say(doorPart, "has seat %d of %d", me, len(order))
+	order := h.roster.Order()
+	if h.registry == nil {
+		h.registry = registry.New(registry.Slot(me), registry.Terms{BeatInterval: h.settings.BeatInterval,
+			Enough: h.settings.Tolerates.Machines + 1, Life: uint32(h.life)}, h.e.Now())
+		h.say(nodePart, "has seat %d of %d", me, len(order))
 		if h.core != nil {
 			h.core.remember()
 		}
 	}
-	if len(order) != h.seats {
-		h.seats = len(order)
+	if len(order) != h.slots {
+		h.slots = len(order)
 		addrs := make([]netip.AddrPort, len(order))
 		for i, s := range order {
-			addrs[i] = h.mailAt(s.Addr)
+			addrs[i] = h.datagramAddr(s.Addr)
 		}
 		h.peers.Move(addrs, int(me))
 		h.quota.Grow(control.GatewayID(me), len(order))
-		h.office.SetDoors(len(order))
+		h.admission.SetNodes(len(order))
 	}
-	doors := make([]registry.Door, 0, len(order))
+	doors := make([]registry.Node, 0, len(order))
 	reach, place, places, live := 0, 0, 0, make([]bool, len(order))
 	for i, s := range order {
-		if s.Zone == h.sheet.Zone {
+		if s.Zone == h.settings.Zone {
 			if i == int(me) {
 				place = places
 			}
 			places++
 		}
-		if live[i] = h.company.Live(s.Addr); live[i] {
+		if live[i] = h.roster.Live(s.Addr); live[i] {
 			reach++
 		}
-		d, _ := h.company.Door(s.Addr)
-		doors = append(doors, registry.Door{Seat: registry.Seat(i), Control: s.Control, Zone: s.Zone,
+		d, _ := h.roster.Node(s.Addr)
+		doors = append(doors, registry.Node{Seat: registry.Slot(i), Control: s.Control, Zone: s.Zone,
 			Live: live[i], Firm: d.Disk != 0, Hears: h.hears(s.Addr)})
 	}
 	if h.core != nil && reach != h.reach {
-		h.pingedAt = 0 // who follows goes by this door's word of who lives: an owner in its first second by a third of the rate
+		h.pingedAt = 0 // who follows goes by this node's word of who lives: an owner in its first second by a third of the rate
 	}
 	h.reach = reach
 	h.quota.Reach(live)
-	h.office.SetPlace(place, places)
-	h.board.Now(h.e.Now())
-	h.board.Doors(doors)
+	h.admission.SetPlace(place, places)
+	h.registry.Now(h.e.Now())
+	h.registry.SetNodes(doors)
 }
 
-// mailAt is where a door takes datagrams: the port after that of its links.
-func (h *House) mailAt(inner string) netip.AddrPort {
+// datagramAddr is where a node takes datagrams: the port after that of its links.
+func (h *Node) datagramAddr(inner string) netip.AddrPort {
 	host, _, _ := net.SplitHostPort(inner)
 	a, err := netip.ParseAddr(host)
 	if err != nil {
 		return netip.AddrPort{}
 	}
-	return netip.AddrPortFrom(a, uint16(h.sheet.InnerPorts[0]+1))
+	return netip.AddrPortFrom(a, uint16(h.settings.InnerPorts[0]+1))
 }
 
-// innersOf is where the doors at some control addresses take links: the ports of a house are alike.
-func (h *House) innersOf(controls []string) (inners []string) {
+// innersOf is where the nodes at some control addresses take links: the ports of a deployment are alike.
+func (h *Node) innersOf(controls []string) (inners []string) {
 	for _, c := range controls {
 		if host, _, err := net.SplitHostPort(c); err == nil {
-			inners = append(inners, net.JoinHostPort(host, strconv.Itoa(h.sheet.InnerPorts[0])))
+			inners = append(inners, net.JoinHostPort(host, strconv.Itoa(h.settings.InnerPorts[0])))
 		}
 	}
 	return inners
 }
 
-// ping tells the watchers that this door lives, and those who follow it who does. A follower asks, with its clock, and is answered at
+// ping tells the watchers that this node lives, and those who follow it who does. A follower asks, with its clock, and is answered at
 // once; unasked it is told what is new, and at times.
-func (h *House) ping(news bool) {
+func (h *Node) ping(news bool) {
 	told := map[string]bool{}
 	if h.core != nil {
 		for _, addr := range h.following() {
 			told[addr] = true
 			if news || h.e.Now()-h.echoes[addr].at > 3*pingEvery/2 {
-				h.wings.Send(addr, &Frame{Ping: h.pingTo(addr)})
+				h.links.Send(addr, &Frame{Ping: h.pingTo(addr)})
 			}
 		}
 	}
 	_, view, _ := h.contact()
 	p := Ping{Stale: h.stale(), Index: h.applied, View: view}
 	if h.core != nil {
-		p.Lives = h.company.Hears()
+		p.Lives = h.roster.Hears()
 	} else if h.feeder != "" {
 		told[h.feeder] = true
-		h.wings.Send(h.feeder, &Frame{Ping: &Ping{Stale: p.Stale, Index: p.Index, View: p.View, Clock: h.clock.Tell(h.e.Now())}})
+		h.links.Send(h.feeder, &Frame{Ping: &Ping{Stale: p.Stale, Index: p.Index, View: p.View, Clock: h.clock.Tell(h.e.Now())}})
 	}
 	f := &Frame{Ping: &p}
-	for _, addr := range h.company.Watchers() {
+	for _, addr := range h.roster.Watchers() {
 		if !told[addr] {
-			h.wings.Send(addr, f)
+			h.links.Send(addr, f)
 		}
 	}
 }
 
 // pingTo is what a follower is told.
-func (h *House) pingTo(addr string) *Ping {
+func (h *Node) pingTo(addr string) *Ping {
 	_, view, _ := h.contact()
-	return &Ping{Stale: h.stale(), Index: h.applied, Lives: h.company.Lives(), View: view, Echo: h.echoes[addr].clock}
+	return &Ping{Stale: h.stale(), Index: h.applied, Lives: h.roster.Lives(), View: view, Echo: h.echoes[addr].clock}
 }
 
-// pullBoard carries out what the board asks for.
-func (h *House) pullBoard() {
-	if h.board == nil {
+// pullRegistry carries out what the board asks for.
+func (h *Node) pullRegistry() {
+	if h.registry == nil {
 		return
 	}
-	h.board.Now(h.e.Now())
+	h.registry.Now(h.e.Now())
 	for {
-		a, ok := h.board.Next()
+		a, ok := h.registry.Next()
 		if !ok {
 			return
 		}
 		switch a := a.(type) {
 		case registry.Send:
-			if s, ok := h.company.At(membership.Seat(a.To)); ok {
+			if s, ok := h.roster.At(membership.Slot(a.To)); ok {
 				m := a.Message
-				h.wings.Send(s.Addr, &Frame{Board: &m})
+				h.links.Send(s.Addr, &Frame{Board: &m})
 			}
 		case registry.Changed:
-			h.boardNews = true
+			h.registryNews = true
 			h.listed(a)
 		case registry.Acknowledge:
 			if then, ok := h.beats[a.Ticket]; ok {
@@ -322,14 +322,14 @@
 				then.answer(a.OK && h.may(then.right), a.Target)
 			}
 		case registry.Wake:
-			h.boardWake++
-			h.e.At(a.At, (*boardAlarm)(h), h.boardWake)
+			h.registryWake++
+			h.e.At(a.At, (*registryAlarm)(h), h.registryWake)
 		}
 	}
 }
 
-// boardAlarm brings the board's due time; the pull at the end of the turn does the rest.
-type boardAlarm House
+// registryAlarm brings the board's due time; the pull at the end of the turn does the rest.
+type registryAlarm Node
 
-func (a *boardAlarm) Live(nr uint32) bool { return nr == a.boardWake }
-func (a *boardAlarm) Due(uint32)          {}
+func (a *registryAlarm) Live(nr uint32) bool { return nr == a.registryWake }
+func (a *registryAlarm) Due(uint32)          {}
--- a/internal/gateway/node/replies_test.go
+++ b/internal/gateway/node/replies_test.go
@@ -14,16 +14,16 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// turn is something done, or looked at, in a door's turn.
-func (d *doors) turn(i int, do func(h *House)) { d.live[i].e.Turn(func() { do(d.live[i]) }) }
+// turn is something done, or looked at, in a node's turn.
+func (d *nodes) turn(i int, do func(h *Node)) { d.live[i].e.Turn(func() { do(d.live[i]) }) }
 
-// leader is the number of the door that leads.
-func (d *doors) leader() (leader int) {
+// leader is the number of the node that leads.
+func (d *nodes) leader() (leader int) {
 	d.t.Helper()
 	leader = -1
 	d.until("a leader", func() bool {
 		for i := range d.live {
-			d.turn(i, func(h *House) {
+			d.turn(i, func(h *Node) {
 				if h.core != nil && h.core.p.Leading() {
 					leader = i
 				}
@@ -34,8 +34,8 @@
 	return leader
 }
 
-// still holds doors in a turn each until they are told to go on.
-func (d *doors) still(which ...int) (goOn func()) {
+// still holds nodes in a turn each until they are told to go on.
+func (d *nodes) still(which ...int) (goOn func()) {
 	end := make(chan bool)
 	for _, i := range which {
 		standing := make(chan bool)
@@ -51,18 +51,18 @@
 	return goOn
 }
 
-// A door that is killed and back before its call was answered numbers its calls anew: the answer to its former life's call must
-// not end the one of this life that bears the same number, which never left the door.
+// A node that is killed and back before its call was answered numbers its calls anew: the answer to its former life's call must
+// not end the one of this life that bears the same number, which never left the node.
 func TestReplyOfAFormerLife(t *testing.T) {
 	d := open(t, 4)
 	d.settles(3, 200, "POST", "/api/Config.Replace", bill(7, 0))
 	leader, is, answer, nr := 0, false, make(chan int, 1), uint32(0)
-	seated := func(h *House) bool {
-		return h.seat() != membership.NoSeat && h.feeder == d.live[leader].inner && h.fedAt >= h.askedAt
+	seated := func(h *Node) bool {
+		return h.slot() != membership.NoSlot && h.feeder == d.live[leader].inner && h.fedAt >= h.askedAt
 	}
 	d.until("to follow the leader", func() bool {
 		leader = d.leader()
-		d.turn(3, func(h *House) {
+		d.turn(3, func(h *Node) {
 			if h.feeder != d.live[leader].inner {
 				h.follow(d.live[leader].inner)
 			}
@@ -71,34 +71,34 @@
 		return is
 	})
 	before, led := uint32(0), true
-	d.turn(leader, func(h *House) { before = h.callNr })
+	d.turn(leader, func(h *Node) { before = h.callNr })
 	leads := func() bool { // on a machine that is busy it may be lost meanwhile: then this shows nothing
-		d.turn(leader, func(h *House) { led = led && h.core.p.Leading() })
+		d.turn(leader, func(h *Node) { led = led && h.core.p.Leading() })
 		return led
 	}
 	goOn := d.still((leader+1)%3, (leader+2)%3) // nothing is acknowledged now
-	d.turn(3, func(h *House) {
+	d.turn(3, func(h *Node) {
 		h.ask(statemachine.Replace, []byte(bill(8, 7)), 0, func(int, []byte) {})
 		nr = h.callNr
 	})
 	d.until("the call at the leader", func() bool {
-		d.turn(leader, func(h *House) { is = h.callNr > before })
+		d.turn(leader, func(h *Node) { is = h.callNr > before })
 		return is || !leads()
 	})
 	d.kill(3)
 	d.start(3)
 	d.until("the next life to be fed", func() bool {
-		d.turn(3, func(h *House) { is = seated(h) })
+		d.turn(3, func(h *Node) { is = seated(h) })
 		return is || !leads()
 	})
-	d.turn(3, func(h *House) {
+	d.turn(3, func(h *Node) {
 		h.callNr = nr - 1
 		h.ask(statemachine.Replace, []byte(bill(9, 8)), hopsMost, func(status int, _ []byte) { answer <- status }) // goes nowhere
 	})
 	goOn()
 	must.Eq(t, 503, <-answer)
 	if leads() {
-		d.all("the former life's change", func(s controlapi.HouseStatus) bool { return s.Generation == 8 })
+		d.all("the former life's change", func(s controlapi.NodeStatus) bool { return s.Generation == 8 })
 	}
 }
 
@@ -118,7 +118,7 @@
 	step(nil)
 }
 
-// Answers come in all orders, twice, from a former life, from a door that was never asked, and late from one that was asked
+// Answers come in all orders, twice, from a former life, from a node that was never asked, and late from one that was asked
 // before another: each call ends once, with its own answer.
 func TestRepliesInAllOrders(t *testing.T) {
 	d := open(t, 1)
@@ -150,7 +150,7 @@
 		})
 		return n
 	}
-	d.turn(0, func(h *House) {
+	d.turn(0, func(h *Node) {
 		h.beganAt = h.e.Now() // one that has just begun waits for whoever leads, later it would end calls at once
 		must.Eq(t, 0, misled(sound))
 		must.Positive(t, misled(numberAlone))
--- a/internal/gateway/node/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -21,10 +21,10 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// Roll-outs: the understudy decides, this file carries for it. A version that is not the main one is a service of its own to the
+// Roll-outs: the rollout decides, this file carries for it. A version that is not the main one is a service of its own to the
 // office, and which of the two is the main one follows from the phase. While there is no roll-out nothing is asked, timed or sent.
 
-// Bounds of what a door reports, so that the reports of 96 doors are under half of a link of 2 Mbit/s at whoever leads.
+// Bounds of what a node reports, so that the reports of 96 nodes are under half of a link of 2 Mbit/s at whoever leads.
 // What does not go out is stood for by the next one: reports are sums.
 const (
 	reportRate  = 1 << 10 // bytes a second
@@ -36,10 +36,10 @@
 	lookBackends = time.Second // the duty is told of them so often
 )
 
-// rollouts is what a door goes by.
+// rollouts is what a node goes by.
 type rollouts struct {
-	door     *rollout.Door
-	duty     *rollout.Duty // nil: another door has it
+	node     *rollout.Node
+	duty     *rollout.Coordinator // nil: another node has it
 	fence    uint64
 	lookedAt time.Duration     // at the backends, for the duty
 	rev      uint64            // of the state, as last folded
@@ -58,23 +58,23 @@
 	number rollout.Number
 	phase  rollout.Phase
 	open   admission.Open
-	sure   bool // finished, and the door knows that there is no later one
+	sure   bool // finished, and the node knows that there is no later one
 }
 
-func (h *House) openRollouts() {
-	h.rollouts = rollouts{door: rollout.NewDoor(h.sheet.Zone, h.life, h.e.Now()), revs: map[string]uint64{},
+func (h *Node) openRollouts() {
+	h.rollouts = rollouts{node: rollout.NewNode(h.settings.Zone, h.life, h.e.Now()), revs: map[string]uint64{},
 		cues: map[string]cue{}, askedAt: -time.Second}
 }
 
 // foldRollouts takes the state after an entry or a snapshot.
-func (h *House) foldRollouts() {
-	x, s := &h.rollouts, h.script.Rollouts
+func (h *Node) foldRollouts() {
+	x, s := &h.rollouts, h.machine.Rollouts
 	if s.Rev == x.rev {
 		return
 	}
 	x.rev = s.Rev
-	x.door.Now(h.e.Now())
-	x.door.Fold(s)
+	x.node.Now(h.e.Now())
+	x.node.Fold(s)
 	if x.duty != nil {
 		x.duty.Now(h.e.Now())
 		x.duty.Fold(s)
@@ -88,7 +88,7 @@
 				cmp.Or(last.By, "nobody named"), r.Phase, r.Step, len(r.Order.Steps), percent(r.Share()), because(last.Why))
 		}
 	}
-	h.cueSides()
+	h.updateSides()
 }
 
 func because(why string) string {
@@ -106,27 +106,27 @@
 
 // poolOf is where a backend is listed: until a roll-out is finished the main version is all but the new one, from
 // then on all but the old one.
-func (h *House) poolOf(w registry.Word) control.ServiceID {
-	if r := h.script.Rollouts.Run(w.Service); r != nil {
-		if pool := h.rollouts.door.Pool(w.Service, w.Generation); (pool == rollout.New) != (r.Phase == rollout.Finished) {
-			return h.stock.service(underOf(w.Service))
+func (h *Node) poolOf(w registry.Record) control.ServiceID {
+	if r := h.machine.Rollouts.Run(w.Service); r != nil {
+		if pool := h.rollouts.node.Pool(w.Service, w.Generation); (pool == rollout.New) != (r.Phase == rollout.Finished) {
+			return h.catalog.service(underOf(w.Service))
 		}
 	}
-	return h.stock.service(w.Service)
+	return h.catalog.service(w.Service)
 }
 
-// cueSides tells the office who may go where, as far as that has changed.
-func (h *House) cueSides() {
+// updateSides tells the office who may go where, as far as that has changed.
+func (h *Node) updateSides() {
 	x := &h.rollouts
-	for i := range h.script.Rollouts.Runs() {
-		r := &h.script.Rollouts.Runs()[i]
+	for i := range h.machine.Rollouts.Runs() {
+		r := &h.machine.Rollouts.Runs()[i]
 		name := r.Order.Service
 		ended := r.Phase == rollout.Finished
-		now := cue{r.Number, r.Phase, admission.Shared, ended && x.door.Touched()}
+		now := cue{r.Number, r.Phase, admission.Shared, ended && x.node.Touched()}
 		switch {
 		case ended:
 			now.open = admission.Spare
-		case x.door.Barred(name):
+		case x.node.Barred(name):
 			now.open = admission.Shut
 		}
 		was, had := x.cues[name]
@@ -134,22 +134,22 @@
 			continue
 		}
 		x.cues[name] = now
-		main, under := h.stock.service(name), h.stock.service(underOf(name))
+		main, under := h.catalog.service(name), h.catalog.service(underOf(name))
 		if !had || was.number != now.number || was.sure != now.sure || (was.phase == rollout.Finished) != ended {
-			h.office.Understudy(main, under, admission.Shut)
+			h.admission.SetRollout(main, under, admission.Shut)
 			h.listAnew(name, main)
 		}
-		h.office.Understudy(main, under, now.open)
+		h.admission.SetRollout(main, under, now.open)
 	}
 }
 
 // listAnew lists the backends of a service by their versions: those of the main one first, so that it is never without.
-func (h *House) listAnew(service string, main control.ServiceID) {
-	if h.board == nil {
+func (h *Node) listAnew(service string, main control.ServiceID) {
+	if h.registry == nil {
 		return
 	}
-	h.board.Now(h.e.Now())
-	words := slices.DeleteFunc(h.board.All(), func(w registry.Word) bool { return w.Service != service })
+	h.registry.Now(h.e.Now())
+	words := slices.DeleteFunc(h.registry.All(), func(w registry.Record) bool { return w.Service != service })
 	for _, first := range []bool{true, false} {
 		for _, w := range words {
 			if (h.poolOf(w) == main) == first {
@@ -166,19 +166,19 @@
 // ---- The path of a request
 
 // sides answers the office.
-type sides House
+type sides Node
 
 // Begin tells where a request begins, by its user.
 func (s *sides) Begin(id control.TxnID, kind control.ProductID, service control.ServiceID) admission.Began {
-	h := (*House)(s)
-	name := h.stock.titles[service]
+	h := (*Node)(s)
+	name := h.catalog.titles[service]
 	user, tenant := h.front.User(h.gate.Asker(slots.Ref(id)), slots.Ref(id))
-	in := rollout.Scope{Tenant: tenant, Zone: h.sheet.Zone}
-	if r := h.stock.routes[kind]; r != nil {
+	in := rollout.Scope{Tenant: tenant, Zone: h.settings.Zone}
+	if r := h.catalog.routes[kind]; r != nil {
 		in.Route = r.Name
 	}
-	b := admission.Began{Number: h.rollouts.door.Number(name)}
-	b.Side, b.Counts = h.rollouts.door.Side(name, user, in)
+	b := admission.Began{Number: h.rollouts.node.Number(name)}
+	b.Side, b.Counts = h.rollouts.node.Side(name, user, in)
 	if b.Counts {
 		f := fnv.New32a()
 		f.Write([]byte(tenant))
@@ -189,13 +189,13 @@
 
 // Ended passes on how a request that counts has ended.
 func (s *sides) Ended(e admission.Compared) {
-	x := &(*House)(s).rollouts
+	x := &(*Node)(s).rollouts
 	end := rollout.End{Side: e.Side, Call: uint32(e.Kind), Tenant: e.Tenant, Backend: uint64(e.At),
 		Cause: causeOf(e.Ending, x.answer), Took: e.Took, Cold: e.Cold}
 	if e.Effectful {
 		end.Kind = rollout.Write
 	}
-	x.door.Ended(s.stock.titles[e.Service], e.Number, end)
+	x.node.Ended(s.catalog.titles[e.Service], e.Number, end)
 }
 
 // causeOf is the table from endings, and the status of the answer where there was one, to causes.
@@ -218,11 +218,11 @@
 // usher notes the status of an answer on its way to the gate, for the time of the call.
 type usher struct {
 	*gate.Gate
-	h *House
+	h *Node
 }
 
 func (u *usher) Ended(txn slots.Ref, nr int, at control.BackendID, o gate.Outcome) {
-	if x := &u.h.rollouts; x.door.Active() && o.Answer != nil {
+	if x := &u.h.rollouts; x.node.Active() && o.Answer != nil {
 		x.answer = o.Answer.Status()
 	}
 	u.Gate.Ended(txn, nr, at, o)
@@ -232,9 +232,9 @@
 // ---- Reports and the duty
 
 // tendRollouts is the part of the one timer.
-func (h *House) tendRollouts() {
+func (h *Node) tendRollouts() {
 	x := &h.rollouts
-	if !x.door.Active() {
+	if !x.node.Active() {
 		return
 	}
 	now := h.e.Now()
@@ -243,9 +243,9 @@
 		x.askedAt = now
 		h.ask(ReadRollouts, nil, 0, h.caughtUp)
 	}
-	x.door.Touch(fresh && x.touched)
-	x.door.Now(now)
-	for a, ok := x.door.Next(); ok; a, ok = x.door.Next() {
+	x.node.Touch(fresh && x.touched)
+	x.node.Now(now)
+	for a, ok := x.node.Next(); ok; a, ok = x.node.Next() {
 		switch a := a.(type) {
 		case rollout.Tell:
 			h.report(a.Report)
@@ -255,22 +255,22 @@
 	}
 	h.sendReports()
 	h.tendDuty()
-	h.cueSides()
+	h.updateSides()
 }
 
-// caughtUp: what whoever leads knew when it was asked; this door's own may be of before its last life.
-func (h *House) caughtUp(status int, body []byte) {
+// caughtUp: what whoever leads knew when it was asked; this node's own may be of before its last life.
+func (h *Node) caughtUp(status int, body []byte) {
 	var there controlapi.RolloutStatus
-	if status == 200 && json.Unmarshal(body, &there) == nil && h.script.Rollouts.Rev >= there.Rev {
+	if status == 200 && json.Unmarshal(body, &there) == nil && h.machine.Rollouts.Rev >= there.Rev {
 		h.rollouts.touched = true
 	}
 }
 
 // report lays one out to be sent in place of the one before it.
-func (h *House) report(r rollout.Report) {
+func (h *Node) report(r rollout.Report) {
 	x := &h.rollouts
 	if x.duty != nil {
-		h.dutyHeard(&RolloutWord{Seat: h.seat(), Report: &r})
+		h.dutyHeard(&RolloutWord{Seat: h.slot(), Report: &r})
 		return
 	}
 	for i := range x.waiting {
@@ -284,7 +284,7 @@
 	}
 }
 
-func (h *House) sendReports() {
+func (h *Node) sendReports() {
 	x, now := &h.rollouts, h.e.Now()
 	x.left = min(x.left+reportRate*(now-x.leftAt).Seconds(), reportBurst)
 	x.leftAt = now
@@ -293,17 +293,17 @@
 		x.waiting = x.waiting[1:]
 		x.left -= float64(reportOther + len(r.Evidence))
 		if to := h.leads(); to != "" {
-			h.wings.Send(to, &Frame{Rollout: &RolloutWord{Seat: h.seat(), Hops: 1, Report: &r}})
+			h.links.Send(to, &Frame{Rollout: &RolloutWord{Seat: h.slot(), Hops: 1, Report: &r}})
 		}
 	}
 }
 
 // rolloutHeard takes a report, or the word of a lap, or passes it on.
-func (h *House) rolloutHeard(from string, w *RolloutWord) {
+func (h *Node) rolloutHeard(from string, w *RolloutWord) {
 	switch {
 	case w.Lap != nil:
-		h.rollouts.door.Now(h.e.Now())
-		h.rollouts.door.Lap(*w.Lap)
+		h.rollouts.node.Now(h.e.Now())
+		h.rollouts.node.Lap(*w.Lap)
 		if h.core != nil {
 			h.tellFollowers(from, &Frame{Rollout: w})
 		}
@@ -312,44 +312,44 @@
 		h.dutyHeard(w)
 	case w.Hops < hopsMost && h.core != nil:
 		if to := h.leads(); to != "" && to != from {
-			h.wings.Send(to, &Frame{Rollout: &RolloutWord{Seat: w.Seat, Hops: w.Hops + 1, Report: w.Report}})
+			h.links.Send(to, &Frame{Rollout: &RolloutWord{Seat: w.Seat, Hops: w.Hops + 1, Report: w.Report}})
 		}
 	}
 }
 
-func (h *House) tellFollowers(but string, f *Frame) {
+func (h *Node) tellFollowers(but string, f *Frame) {
 	for addr := range h.followers {
 		if addr != but {
-			h.wings.Send(addr, f)
+			h.links.Send(addr, f)
 		}
 	}
 }
 
-func (h *House) dutyHeard(w *RolloutWord) {
-	if w.Seat == membership.NoSeat {
+func (h *Node) dutyHeard(w *RolloutWord) {
+	if w.Seat == membership.NoSlot {
 		return
 	}
 	h.rollouts.duty.Now(h.e.Now())
-	if err := h.rollouts.duty.Heard(rollout.DoorID(w.Seat), *w.Report); err != nil {
+	if err := h.rollouts.duty.Heard(rollout.NodeID(w.Seat), *w.Report); err != nil {
 		h.say(rolloutPart, "door %d: %v", w.Seat, err)
 	}
 }
 
-// tendDuty judges for all while this door leads: the fence is the number of its view.
-func (h *House) tendDuty() {
+// tendDuty judges for all while this node leads: the fence is the number of its view.
+func (h *Node) tendDuty() {
 	x, now := &h.rollouts, h.e.Now()
 	if !h.leading() {
 		x.duty = nil
 		return
 	}
 	if _, view, _ := h.core.p.Leader(); x.duty == nil || x.fence != view {
-		x.duty, x.fence = rollout.NewDuty(view, now), view
-		x.duty.Fold(h.script.Rollouts)
+		x.duty, x.fence = rollout.NewCoordinator(view, now), view
+		x.duty.Fold(h.machine.Rollouts)
 		x.lookedAt = now - lookBackends
 	}
 	if now-x.lookedAt >= lookBackends {
 		x.lookedAt = now
-		x.duty.Doors(h.seats)
+		x.duty.SetNodes(h.slots)
 		h.tellBackends()
 	}
 	x.duty.Now(now)
@@ -365,11 +365,11 @@
 			})
 		case rollout.Laps:
 			l := a.Lap
-			x.door.Lap(l)
+			x.node.Lap(l)
 			f := &Frame{Rollout: &RolloutWord{Lap: &l}}
 			for _, m := range h.core.p.Members() {
 				if addr := h.core.addr(m); addr != "" && addr != h.inner {
-					h.wings.Send(addr, f)
+					h.links.Send(addr, f)
 				}
 			}
 			h.tellFollowers("", f)
@@ -378,9 +378,9 @@
 }
 
 // tellBackends tells the duty whether there is an old version to go back to, and a service at all.
-func (h *House) tellBackends() {
-	for i := range h.script.Rollouts.Runs() {
-		r := &h.script.Rollouts.Runs()[i]
+func (h *Node) tellBackends() {
+	for i := range h.machine.Rollouts.Runs() {
+		r := &h.machine.Rollouts.Runs()[i]
 		if r.Phase != rollout.Running {
 			continue
 		}
@@ -394,12 +394,12 @@
 }
 
 // roomOf is how many requests the ready backends of each version take at a time, and how many there are at the busiest, as
-// far as this door's own tell.
-func (h *House) roomOf(o *rollout.Rollout) (m rollout.Room) {
-	if h.board == nil {
+// far as this node's own tell.
+func (h *Node) roomOf(o *rollout.Rollout) (m rollout.Room) {
+	if h.registry == nil {
 		return m
 	}
-	for _, w := range h.board.All() {
+	for _, w := range h.registry.All() {
 		switch {
 		case w.Service != o.Service || w.Phase != registry.Ready:
 		case w.Generation == o.New:
@@ -408,13 +408,13 @@
 			m.Old += max(w.Capacity, 1)
 		}
 	}
-	m.Busy = int(math.Ceil(h.office.Busy(h.stock.service(o.Service)) * float64(max(h.seats, 1))))
+	m.Busy = int(math.Ceil(h.admission.Busy(h.catalog.service(o.Service)) * float64(max(h.slots, 1))))
 	return m
 }
 
 // counted is an operator's entry as whoever leads puts it into the log: with what the duty has counted until now. An order that
-// would be taken, but names what is not in the configuration, is refused here, since another door may not know the newest.
-func (h *House) counted(k statemachine.Kind, body []byte) ([]byte, error) {
+// would be taken, but names what is not in the configuration, is refused here, since another node may not know the newest.
+func (h *Node) counted(k statemachine.Kind, body []byte) ([]byte, error) {
 	if k != statemachine.Rollout {
 		return body, nil
 	}
@@ -426,7 +426,7 @@
 		here := h.roomOf(e.Order)
 		e.Room.Old, e.Room.New = max(e.Room.Old, here.Old), max(e.Room.New, here.New)
 	}
-	if v, _ := h.script.Rollouts.Decide(e); v == routing.Taken && e.Order != nil {
+	if v, _ := h.machine.Rollouts.Decide(e); v == routing.Taken && e.Order != nil {
 		if err := h.knows(e.Order); err != nil {
 			return nil, err
 		}
--- a/internal/gateway/node/rollout_test.go
+++ b/internal/gateway/node/rollout_test.go
@@ -17,7 +17,7 @@
 )
 
 // backend answers for a version, and beats once: the interval is long.
-func (d *doors) backend(id, version string, fails *atomic.Bool) {
+func (d *nodes) backend(id, version string, fails *atomic.Bool) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
 		w.Header().Set("X-Version", version)
@@ -35,9 +35,9 @@
 
 var attempts atomic.Int64
 
-// asks sends a client's request to a door and gives the version that answered, "" if none did.
-func (d *doors) asks(i int, method, key, mark string) (version string) {
-	r, err := http.NewRequest(method, "http://"+d.sheets[i].Bind.Front+map[string]string{"GET": "/r/", "POST": "/w/"}[method], nil)
+// asks sends a client's request to a node and gives the version that answered, "" if none did.
+func (d *nodes) asks(i int, method, key, mark string) (version string) {
+	r, err := http.NewRequest(method, "http://"+d.settings[i].Bind.Front+map[string]string{"GET": "/r/", "POST": "/w/"}[method], nil)
 	must.NoError(d.t, err)
 	r.Host = "h.example"
 	r.Header.Set("Authorization", "Token "+key)
@@ -53,7 +53,7 @@
 	return a.Header.Get("X-Version")
 }
 
-func (d *doors) rollout(i int) (r controlapi.RolloutRun) {
+func (d *nodes) rollout(i int) (r controlapi.RolloutRun) {
 	var s controlapi.RolloutStatus
 	_, text := d.call(i, "GET", "/api/Rollout.Status", "")
 	if json.Unmarshal([]byte(text), &s); len(s.Rollouts) > 0 {
@@ -62,22 +62,22 @@
 	return r
 }
 
-// here is a door's own share, and whether it has made sure of what it knows in this life.
-func (d *doors) here(i int) (share int, touched bool) {
+// here is a node's own share, and whether it has made sure of what it knows in this life.
+func (d *nodes) here(i int) (share int, touched bool) {
 	h := d.live[i]
-	h.e.Turn(func() { share, touched = h.rollouts.door.Share("s"), h.rollouts.touched })
+	h.e.Turn(func() { share, touched = h.rollouts.node.Share("s"), h.rollouts.touched })
 	return share, touched
 }
 
-func (d *doors) shares(want int) {
+func (d *nodes) shares(want int) {
 	d.t.Helper()
 	for i := range d.live {
 		d.until(fmt.Sprint("share ", want, " at ", i), func() bool { share, _ := d.here(i); return share == want })
 	}
 }
 
-// A roll-out's life: a user's side is the same at every door and by count the one that the dry run told; it stays when the
-// share grows; a failing version is pulled back by the duty and gets nothing any more; a door that starts again sends nobody
+// A roll-out's life: a user's side is the same at every node and by count the one that the dry run told; it stays when the
+// share grows; a failing version is pulled back by the duty and gets nothing any more; a node that starts again sends nobody
 // there before it has asked; a service that the configuration loses is pulled back too.
 func TestRollout(t *testing.T) {
 	const start, word = "/api/Rollout.Start", `{"number":%d,"rev":%d,"step":%d,"mark":"again as the first"}`
@@ -85,7 +85,7 @@
 "rev":%d,"mark":%q,"by":"ana","busy":100%s}`
 	var good, bad atomic.Bool
 	d := open(t, 4)
-	d.all("four seats", func(s controlapi.HouseStatus) bool { return s.Seat != nil && len(s.Doors) == 4 })
+	d.all("four seats", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
 	users, keys := [][]byte{}, []string{}
 	for i := range 40 {
 		keys = append(keys, fmt.Sprint("key-", i))
@@ -101,13 +101,13 @@
 	must.StrContains(t, d.settles(0, 400, "POST", start, fmt.Sprintf(order, 0, "m", "")), "room") // there are no backends
 	for i, v := range []string{"v1", "v1", "v2", "v2"} {
 		if i == 2 { // the new version may be there later
-			d.all("the old version", func(s controlapi.HouseStatus) bool { return len(s.Backends) == 2 && s.Ready })
+			d.all("the old version", func(s controlapi.NodeStatus) bool { return len(s.Backends) == 2 && s.Ready })
 			must.StrContains(t, d.settles(1, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true`)), "new: v2 has room for none")
 			d.settles(1, 200, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true,"new_room":200`))
 		}
 		d.backend(fmt.Sprint(v, "-", i), v, map[string]*atomic.Bool{"v1": &good, "v2": &bad}[v])
 	}
-	d.all("the backends, and to be ready", func(s controlapi.HouseStatus) bool { return len(s.Backends) == 4 && s.Ready })
+	d.all("the backends, and to be ready", func(s controlapi.NodeStatus) bool { return len(s.Backends) == 4 && s.Ready })
 
 	var dry controlapi.RolloutAnswer
 	must.NoError(t, json.Unmarshal([]byte(d.settles(3, 200, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true`))), &dry))
@@ -194,11 +194,11 @@
 	third := (&rollout.Rollout{Service: "s", Steps: []rollout.Step{{Share: 5000}}}).Shared(3, users)[0]
 	must.MapLen(t, len(keys)-third, sides())
 
-	d.kill(0) // without a majority each door goes by itself: its share stays, and falls where the version fails
+	d.kill(0) // without a majority each node goes by itself: its share stays, and falls where the version fails
 	d.kill(1)
 	d.until("no word of the core", func() bool {
 		s := d.status(3)
-		return s.StaleMs != nil && *s.StaleMs > d.sheets[3].Bounds.Sure().Milliseconds()
+		return s.StaleMs != nil && *s.StaleMs > d.settings[3].Bounds.Sure().Milliseconds()
 	})
 	d.shares(5000)
 	// What was taken already is answered all the same: a caller whose first answer came too late must not wait for ever.
--- a/internal/gateway/outlier/duty.go
+++ b/internal/gateway/outlier/duty.go
@@ -13,7 +13,7 @@
 
 const (
 	askAgain   = time.Second            // a question, or an entry that did not come back through the log
-	askFor     = 500 * time.Millisecond // after which half of the doors are enough
+	askFor     = 500 * time.Millisecond // after which half of the nodes are enough
 	freshFor   = 2 * time.Second        // a window that was told longer ago is not the present one
 	lossFor    = 4 * time.Second        // after which nobody can tell any more what else was answered then
 	vouchLeast = 2                      // clean answers that tell a lost one from a late one
@@ -28,10 +28,10 @@
 	readsBack  = 20 // and clean ends, in the steps back
 	writesBack = 40
 	writesLast = 4  // doublings
-	doorsBack  = 4  // from so many doors at the least, where there are
+	nodesBack  = 4  // from so many nodes at the least, where there are
 	worthFail  = 10 // clean ends that one failing costs
 	filesMost  = 4096
-	unknownFor = 60 * time.Second // a life that no callboard knows
+	unknownFor = 60 * time.Second // a life that no registry knows
 )
 
 // failLeast are failing ends that make a verdict by their share; failAsk, of those told, that make a question.
@@ -39,14 +39,14 @@
 
 var failLeast = [manners]uint32{5, 8}
 
-// Duty is the one door's part that judges for all. It may be taken over at any time by another with a higher fence:
+// Coordinator is the one node's part that judges for all. It may be taken over at any time by another with a higher fence:
 // what it needs is told again within two seconds.
-type Duty struct {
+type Coordinator struct {
 	queue
 	now     time.Duration
 	began   time.Duration
 	fence   uint64
-	doors   int
+	nodes   int
 	state   *State
 	lives   map[LifeID]Life
 	files   map[Key]*dossier
@@ -55,13 +55,13 @@
 	askKeys []Key
 }
 
-// dossier is what all doors have of a key.
+// dossier is what all nodes have of a key.
 type dossier struct {
-	by    map[Seat]*told
+	by    map[Slot]*told
 	news  bool
 	asked time.Duration
 	said  time.Duration // last proposal
-	lost  map[Seat]lost // by witnesses
+	lost  map[Slot]lost // by witnesses
 }
 
 // lost is the newest half of a proof of a witness that others bore out.
@@ -86,17 +86,17 @@
 	said  time.Duration
 }
 
-// NewDuty makes one. The fence must be above that of whoever had the duty before.
-func NewDuty(fence uint64, now time.Duration) *Duty {
-	return &Duty{now: now, began: now, fence: fence, doors: 1, state: NewState(), lives: map[LifeID]Life{},
+// NewCoordinator makes one. The fence must be above that of whoever had the duty before.
+func NewCoordinator(fence uint64, now time.Duration) *Coordinator {
+	return &Coordinator{now: now, began: now, fence: fence, nodes: 1, state: NewState(), lives: map[LifeID]Life{},
 		files: map[Key]*dossier{}, ways: map[Key]*way{}, forgot: now}
 }
 
-// Doors says how many live.
-func (d *Duty) Doors(n int) { d.doors = max(n, 1) }
+// SetNodes says how many live.
+func (d *Coordinator) SetNodes(n int) { d.nodes = max(n, 1) }
 
 // Fold takes the state after an entry, or after a snapshot without one; the host changes it in the same turn only.
-func (d *Duty) Fold(s *State, e *Entry) {
+func (d *Coordinator) Fold(s *State, e *Entry) {
 	d.state = s
 	if e != nil && e.Verb != Set && e.Verb != Forget {
 		d.ways[e.Key] = &way{rev: s.rev(e.Key), since: d.now, said: -askAgain}
@@ -110,8 +110,8 @@
 	maps.DeleteFunc(d.ways, func(k Key, _ *way) bool { return s.Case(k) == nil })
 }
 
-// Life takes what the callboard tells of a backend.
-func (d *Duty) Life(l Life) {
+// Life takes what the registry tells of a backend.
+func (d *Coordinator) Life(l Life) {
 	if d.lives[l.ID] = l; l.Phase == Gone {
 		for m := range manners {
 			delete(d.files, Key{l.ID, m})
@@ -123,7 +123,7 @@
 }
 
 // Heard takes a report.
-func (d *Duty) Heard(from Seat, r Report) {
+func (d *Coordinator) Heard(from Slot, r Report) {
 	for _, f := range r.Files {
 		l, ok := d.lives[f.ID]
 		if !ok || l.Phase != Ready || !f.sound() || !d.state.On() {
@@ -134,7 +134,7 @@
 			if len(d.files) >= filesMost {
 				continue
 			}
-			x = &dossier{by: map[Seat]*told{}, lost: map[Seat]lost{}, asked: -askAgain, said: -askAgain}
+			x = &dossier{by: map[Slot]*told{}, lost: map[Slot]lost{}, asked: -askAgain, said: -askAgain}
 			d.files[f.Key] = x
 		}
 		if t := x.by[from]; t != nil && t.life == r.Life && t.seq >= r.Seq {
@@ -145,7 +145,7 @@
 }
 
 // Now sets the clock and judges what is new.
-func (d *Duty) Now(now time.Duration) {
+func (d *Coordinator) Now(now time.Duration) {
 	d.now = max(d.now, now)
 	if !d.state.On() {
 		return
@@ -172,7 +172,7 @@
 }
 
 // lively tells whether anything of a dossier may still count.
-func (d *Duty) lively(x *dossier) bool {
+func (d *Coordinator) lively(x *dossier) bool {
 	for _, t := range x.by {
 		if d.now-t.at <= pieceFor {
 			return true
@@ -188,20 +188,20 @@
 	byShare = "failing"
 )
 
-// judge holds what all doors have of a key against the three rules.
-func (d *Duty) judge(k Key, x *dossier) {
+// judge holds what all nodes have of a key against the three rules.
+func (d *Coordinator) judge(k Key, x *dossier) {
 	l, c := d.lives[k.ID], d.state.Case(k)
 	if l.Phase != Ready || c != nil && c.Step == Out {
 		return
 	}
-	rev, back, mute := d.state.rev(k), c != nil && c.Step != Free, membership.NoSeat
+	rev, back, mute := d.state.rev(k), c != nil && c.Step != Free, membership.NoSlot
 	if back {
 		mute = c.Alone // whoever alone had it out has no say on its way back
 	}
-	var proofs []Seat
+	var proofs []Slot
 	doubt := false
 	var pieces []Piece
-	var all, most Window // most: what one door has that has most failing
+	var all, most Window // most: what one node has that has most failing
 	for _, s := range slices.Sorted(maps.Keys(x.by)) {
 		t := x.by[s]
 		if t.Rev != rev || s == mute {
@@ -222,7 +222,7 @@
 			}
 		}
 	}
-	if d.doors == 1 {
+	if d.nodes == 1 {
 		most = Window{}
 	}
 	halves, sure := d.losses(k, x, rev, mute)
@@ -249,7 +249,7 @@
 	if w := all.minus(most); w.Failing >= failAsk && w.share() >= low[k.Manner] && d.answered(k, x) {
 		if seats, ok := d.fails(k, x, rev, mute, all); ok {
 			suffice = 0
-			if d.doors == 1 {
+			if d.nodes == 1 {
 				suffice = 1
 			}
 			d.convict(k, x, byShare, seats, suffice, pieces, all)
@@ -257,8 +257,8 @@
 	}
 }
 
-// answered asks all doors about a key, and tells whether enough have answered.
-func (d *Duty) answered(k Key, x *dossier) bool {
+// answered asks all nodes about a key, and tells whether enough have answered.
+func (d *Coordinator) answered(k Key, x *dossier) bool {
 	n := 0
 	for _, t := range x.by {
 		if t.at >= x.asked {
@@ -266,7 +266,7 @@
 		}
 	}
 	since := d.now - x.asked
-	if since < askAgain && (4*n >= 3*d.doors || 2*n >= d.doors && since >= askFor) {
+	if since < askAgain && (4*n >= 3*d.nodes || 2*n >= d.nodes && since >= askFor) {
 		return true
 	}
 	x.news = true
@@ -279,7 +279,7 @@
 
 // near tells whether one of the witnesses is in the backend's zone, or nobody there has had an end of it: links from
 // elsewhere may be bad.
-func (d *Duty) near(x *dossier, l Life, rev uint64, seats []Seat) bool {
+func (d *Coordinator) near(x *dossier, l Life, rev uint64, seats []Slot) bool {
 	local := false
 	for s, t := range x.by {
 		if t.zone == l.Zone && slices.Contains(seats, s) {
@@ -291,7 +291,7 @@
 }
 
 // vouched tells a lost answer from a late one: in the second half of its time others came, in a small part of it, and not
-// by one door's word.
+// by one node's word.
 func (x *dossier) vouched(rev uint64, p Piece, at time.Duration, doors int) bool {
 	var all, most Window
 	for _, t := range x.by {
@@ -313,7 +313,7 @@
 }
 
 // losses are the witnesses of halves that others bear out; false where that is still asked.
-func (d *Duty) losses(k Key, x *dossier, rev uint64, mute Seat) (seats []Seat, sure bool) {
+func (d *Coordinator) losses(k Key, x *dossier, rev uint64, mute Slot) (seats []Slot, sure bool) {
 	sure = true
 	for _, s := range slices.Sorted(maps.Keys(x.by)) {
 		t := x.by[s]
@@ -327,7 +327,7 @@
 			}
 			if p.Kind == Lost && !d.answered(k, x) {
 				sure = false
-			} else if p.Kind == Reset || x.vouched(rev, p, at, d.doors) {
+			} else if p.Kind == Reset || x.vouched(rev, p, at, d.nodes) {
 				x.lost[s] = lost{rev, at}
 			}
 		}
@@ -338,10 +338,10 @@
 	return seats, sure
 }
 
-// fails holds the failing share against the rest's, without any one door.
-func (d *Duty) fails(k Key, x *dossier, rev uint64, mute Seat, all Window) (seats []Seat, is bool) {
+// fails holds the failing share against the rest's, without any one node.
+func (d *Coordinator) fails(k Key, x *dossier, rev uint64, mute Slot, all Window) (seats []Slot, is bool) {
 	var rest Window
-	by := map[Seat]Window{} // what each door has of the rest
+	by := map[Slot]Window{} // what each node has of the rest
 	for s, t := range x.by {
 		if d.now-t.at <= freshFor {
 			by[s] = t.Rest
@@ -390,18 +390,18 @@
 				seats = append(seats, s)
 			}
 		}
-		if d.doors > 1 && !sick(w, rest.minus(by[s])) {
+		if d.nodes > 1 && !sick(w, rest.minus(by[s])) {
 			return nil, false
 		}
 	}
-	slices.SortFunc(seats, func(a, b Seat) int {
+	slices.SortFunc(seats, func(a, b Slot) int {
 		return cmp.Or(cmp.Compare(x.by[b].Window.Failing, x.by[a].Window.Failing), cmp.Compare(a, b))
 	})
 	return seats, len(seats) > 0
 }
 
 // convict proposes a verdict; false where the state would not take it.
-func (d *Duty) convict(k Key, x *dossier, rule string, seats []Seat, suffice int, pieces []Piece, all Window) bool {
+func (d *Coordinator) convict(k Key, x *dossier, rule string, seats []Slot, suffice int, pieces []Piece, all Window) bool {
 	l := d.lives[k.ID]
 	backs := 0
 	for _, o := range d.lives {
@@ -415,7 +415,7 @@
 }
 
 // propose puts an entry forward if the state would take it now, and again where it does not come back.
-func (d *Duty) propose(e Entry, said *time.Duration) bool {
+func (d *Coordinator) propose(e Entry, said *time.Duration) bool {
 	e.By, e.Fence = "duty", d.fence
 	if v, _ := d.state.Decide(&e); v != routing.Taken {
 		return false
@@ -440,16 +440,16 @@
 	return readsBack
 }
 
-// back takes a case one step on where what is asked for has come, from several doors: one alone may lie.
-func (d *Duty) back(c *Case) {
+// back takes a case one step on where what is asked for has come, from several nodes: one alone may lie.
+func (d *Coordinator) back(c *Case) {
 	w, l := d.ways[c.Key], d.lives[c.ID]
 	if c.Step == Free || w == nil || l.ID == "" || l.Phase != Ready {
 		return
 	}
 	var sum Sums
-	worst := uint32(0) // what the one door says that says most: one alone may lie
+	worst := uint32(0) // what the one node says that says most: one alone may lie
 	if x := d.files[c.Key]; x != nil {
-		most := c.need()/min(uint32(d.doors), doorsBack) + 1
+		most := c.need()/min(uint32(d.nodes), nodesBack) + 1
 		for _, t := range x.by {
 			if t.Rev == c.Rev {
 				sum.add(Sums{Clean: min(t.Clean, most), Failing: t.Failing, Reads: min(t.Reads, most), Probes: t.Probes})
@@ -457,7 +457,7 @@
 			}
 		}
 	}
-	if d.doors > 1 {
+	if d.nodes > 1 {
 		sum.Failing -= worst
 	}
 	e := Entry{Verb: Parole, Rev: c.Rev, Key: c.Key, Service: c.Service,
@@ -479,8 +479,8 @@
 	}
 }
 
-// forget drops the cases of lives that are gone, or that no callboard has known for long.
-func (d *Duty) forget() {
+// forget drops the cases of lives that are gone, or that no registry has known for long.
+func (d *Coordinator) forget() {
 	if d.now-d.forgot < askAgain {
 		return
 	}
--- a/internal/gateway/outlier/door.go
+++ b/internal/gateway/outlier/node.go
@@ -10,7 +10,7 @@
 
 const (
 	heldBack   = 500 * time.Millisecond // what a link may have done, until it is told
-	holdFor    = 10 * time.Second       // a door's own hold, doubled each time
+	holdFor    = 10 * time.Second       // a node's own hold, doubled each time
 	holdTimes  = 3                      // so often
 	atOnce     = 1
 	tellPace   = 200 * time.Millisecond // of news of a key
@@ -19,7 +19,7 @@
 	tellMost   = 32                     // files of one report
 	probePace  = time.Second
 	emptyEvery = 5 * time.Second
-	trickleAll = 10 // a second, of all doors
+	trickleAll = 10 // a second, of all nodes
 	gapTimes   = 8  // the usual gap between answers of a zone
 	gapLeast   = 300 * time.Millisecond
 	gapMost    = 3 * time.Second
@@ -27,46 +27,46 @@
 	resetsMost = 2 // other backends that reset at once: it was not theirs
 )
 
-// low is the share from which a backend is in doubt, and a door tells of it.
+// low is the share from which a backend is in doubt, and a node tells of it.
 var low = [manners]float64{0.05, 0.3}
 
-// Door is one door's part: a witness, and bound by verdicts.
-type Door struct {
+// Node is one node's part: a witness, and bound by verdicts.
+type Node struct {
 	queue
-	now    time.Duration
-	zone   string
-	life   uint64
-	seq    uint64
-	doors  int
-	cut    bool
-	state  *State
-	lives  map[LifeID]*life
-	houses map[string]*house // by service
-	paths  map[string]*path  // by zone
-	busy   map[Key]*file     // all with anything to look at
-	held   []held            // not told yet
-	resets []reset           // of the last moment
-	dirty  []*house          // whose binds may have changed
+	now      time.Duration
+	zone     string
+	life     uint64
+	seq      uint64
+	nodes    int
+	cut      bool
+	state    *State
+	lives    map[LifeID]*life
+	services map[string]*service // by service
+	paths    map[string]*path    // by zone
+	busy     map[Key]*file       // all with anything to look at
+	held     []held              // not told yet
+	resets   []reset             // of the last moment
+	dirty    []*service          // whose binds may have changed
 }
 
 type life struct {
 	Life
-	house  *house
-	files  [manners]file
-	endAt  time.Duration // last answer that came here
-	probed time.Duration
+	service *service
+	files   [manners]file
+	endAt   time.Duration // last answer that came here
+	probed  time.Duration
 }
 
-type house struct {
+type service struct {
 	name  string
 	lives []*life // ready ones, by id
 	rings [manners]ring
-	doubt time.Duration // until when this door doubts itself
+	doubt time.Duration // until when this node doubts itself
 	dirty bool
 	empty time.Duration // last line on that; 0: somebody is in service
 }
 
-// file is what this door has of a key.
+// file is what this node has of a key.
 type file struct {
 	key    Key
 	at     *life
@@ -77,7 +77,7 @@
 	Sums
 	said  Sums          // as last told
 	waits int           // pieces that are held back
-	until time.Duration // of this door's own hold
+	until time.Duration // of this node's own hold
 	holds int
 	bound Bind
 	own   bool
@@ -128,17 +128,17 @@
 	return p != nil && p.calm <= from && p.last > from && now-p.last <= p.gap() && p.gap() <= max((now-from)/2, gapLeast)
 }
 
-// NewDoor makes one. Life differs between lives of a door.
-func NewDoor(zone string, lifeNr uint64, now time.Duration) *Door {
-	return &Door{now: now, zone: zone, life: lifeNr, doors: 1, cut: true, state: NewState(), lives: map[LifeID]*life{},
-		houses: map[string]*house{}, paths: map[string]*path{}, busy: map[Key]*file{}}
+// NewNode makes one. Life differs between lives of a node.
+func NewNode(zone string, lifeNr uint64, now time.Duration) *Node {
+	return &Node{now: now, zone: zone, life: lifeNr, nodes: 1, cut: true, state: NewState(), lives: map[LifeID]*life{},
+		services: map[string]*service{}, paths: map[string]*path{}, busy: map[Key]*file{}}
 }
 
-// Doors says how many share the backends.
-func (d *Door) Doors(n int) { d.doors = max(n, 1) }
+// SetNodes says how many share the backends.
+func (d *Node) SetNodes(n int) { d.nodes = max(n, 1) }
 
 // Fold takes the state after an entry, or after a snapshot without one; the host changes it in the same turn only.
-func (d *Door) Fold(s *State, e *Entry) {
+func (d *Node) Fold(s *State, e *Entry) {
 	d.state = s
 	if e != nil && e.Verb != Set && e.Verb != Forget {
 		if l := d.lives[e.Key.ID]; l != nil {
@@ -159,16 +159,16 @@
 	d.bind()
 }
 
-func (d *Door) fold(l *life, m Manner) {
+func (d *Node) fold(l *life, m Manner) {
 	f := &l.files[m]
 	if rev := d.state.rev(f.key); rev != f.rev {
 		d.anew(f, rev)
 	}
-	d.stir(l.house)
+	d.stir(l.service)
 }
 
 // stir has a service's binds looked at.
-func (d *Door) stir(h *house) {
+func (d *Node) stir(h *service) {
 	if !h.dirty {
 		h.dirty = true
 		d.dirty = append(d.dirty, h)
@@ -176,13 +176,13 @@
 }
 
 // anew: what was seen under another rev says nothing any more.
-func (d *Door) anew(f *file, rev uint64) {
+func (d *Node) anew(f *file, rev uint64) {
 	*f = file{key: f.key, at: f.at, rev: rev, since: d.now, holds: f.holds, bound: f.bound, own: f.own}
 	d.busy[f.key] = f
 }
 
-// Touch says whether this door hears the core. What it found of links while it did not is dropped at its return.
-func (d *Door) Touch(fresh bool) {
+// Touch says whether this node hears the core. What it found of links while it did not is dropped at its return.
+func (d *Node) Touch(fresh bool) {
 	if fresh && d.cut {
 		d.held = nil
 		for _, f := range d.busy {
@@ -193,19 +193,19 @@
 	d.cut = !fresh
 }
 
-// Life takes what the callboard tells of a backend.
-func (d *Door) Life(x Life) {
+// Life takes what the registry tells of a backend.
+func (d *Node) Life(x Life) {
 	l := d.lives[x.ID]
 	if l == nil {
 		if x.Phase != Ready {
 			return
 		}
-		h := d.houses[x.Service]
+		h := d.services[x.Service]
 		if h == nil {
-			h = &house{name: x.Service}
-			d.houses[x.Service] = h
+			h = &service{name: x.Service}
+			d.services[x.Service] = h
 		}
-		l = &life{house: h, endAt: d.now}
+		l = &life{service: h, endAt: d.now}
 		for m := range l.files {
 			f := &l.files[m]
 			f.key, f.at = Key{x.ID, Manner(m)}, l
@@ -214,7 +214,7 @@
 		d.lives[x.ID] = l
 	}
 	l.Life = x
-	h := l.house
+	h := l.service
 	d.stir(h)
 	at, had := slices.BinarySearchFunc(h.lives, x.ID, func(l *life, id LifeID) int {
 		return Key{ID: l.ID}.compare(Key{ID: id})
@@ -231,14 +231,14 @@
 			delete(d.busy, l.files[m].key)
 		}
 		if len(h.lives) == 0 {
-			delete(d.houses, h.name)
+			delete(d.services, h.name)
 		}
 	}
 	d.bind()
 }
 
 // Manner is how a route's requests judge and are bound.
-func (d *Door) Manner(route string, effectful bool) Manner {
+func (d *Node) Manner(route string, effectful bool) Manner {
 	if !d.state.On() {
 		return Unjudged
 	}
@@ -246,10 +246,10 @@
 }
 
 // Rev is kept with a submission, for its end.
-func (d *Door) Rev(k Key) uint64 { return d.state.rev(k) }
+func (d *Node) Rev(k Key) uint64 { return d.state.rev(k) }
 
 // Ended takes the one end of a submission that was sent at a time under a rev.
-func (d *Door) Ended(k Key, rev uint64, sent time.Duration, seen Seen) {
+func (d *Node) Ended(k Key, rev uint64, sent time.Duration, seen Seen) {
 	l := d.lives[k.ID]
 	kind := seen.Kind()
 	if l == nil || !d.state.On() {
@@ -271,13 +271,13 @@
 }
 
 // Saw takes what is no end of a submission: Stray and Second, by the rev under which the connection's last was sent.
-func (d *Door) Saw(k Key, rev uint64, kind Kind) {
+func (d *Node) Saw(k Key, rev uint64, kind Kind) {
 	if l := d.lives[k.ID]; l != nil && d.state.On() {
 		d.saw(l, k, rev, kind, d.now)
 	}
 }
 
-func (d *Door) saw(l *life, k Key, rev uint64, kind Kind, sent time.Duration) {
+func (d *Node) saw(l *life, k Key, rev uint64, kind Kind, sent time.Duration) {
 	if k.Manner >= manners || kind == None {
 		return
 	}
@@ -290,7 +290,7 @@
 		w := f.ring.at(d.now)
 		w.Clean++
 		w.Took += uint32((d.now - sent).Milliseconds())
-		l.house.rings[k.Manner].at(d.now).Clean++
+		l.service.rings[k.Manner].at(d.now).Clean++
 		f.Clean++
 		if s := &l.files[Strict]; k.Manner == Patient && s.rev > 0 {
 			s.Reads++
@@ -302,7 +302,7 @@
 		}
 		d.held = append(d.held, held{piece{kind, d.now, d.now - sent}, f, rev, sent})
 		d.busy[k] = f
-		d.stir(l.house)
+		d.stir(l.service)
 	default:
 		d.count(f, piece{kind, d.now, 0})
 	}
@@ -310,11 +310,11 @@
 }
 
 // count takes what only the backend can have done, or what was held back long enough.
-func (d *Door) count(f *file, p piece) {
+func (d *Node) count(f *file, p piece) {
 	m := f.key.Manner
 	if weights[p.kind][m] != Half { // those have a rule of their own
 		f.ring.at(d.now).Failing++
-		f.at.house.rings[m].at(d.now).Failing++
+		f.at.service.rings[m].at(d.now).Failing++
 		f.Failing++
 	}
 	d.busy[f.key] = f
@@ -332,7 +332,7 @@
 		f.until = d.now + holdFor<<min(f.holds, holdTimes)
 		f.holds++
 	}
-	d.stir(f.at.house)
+	d.stir(f.at.service)
 }
 
 // tell wants the file told within a time.
@@ -342,9 +342,9 @@
 	}
 }
 
-// mayHold bounds what a door holds off by itself: one that sees more than half fail doubts itself.
-func (d *Door) mayHold(l *life) bool {
-	h, n := l.house, 0
+// mayHold bounds what a node holds off by itself: one that sees more than half fail doubts itself.
+func (d *Node) mayHold(l *life) bool {
+	h, n := l.service, 0
 	for _, o := range h.lives {
 		if f := &o.files[Strict]; o != l && f.holding(d.now) {
 			n++
@@ -360,7 +360,7 @@
 func (f *file) holding(now time.Duration) bool { return f.waits > 0 || f.until > now }
 
 // Probed takes the answer to a probe: which life answered, "" if none did, and whether it is well.
-func (d *Door) Probed(id, by LifeID, well bool) {
+func (d *Node) Probed(id, by LifeID, well bool) {
 	l := d.lives[id]
 	if l == nil || !d.state.On() {
 		return
@@ -381,7 +381,7 @@
 }
 
 // Asked takes the duty's question.
-func (d *Door) Asked(a Ask) {
+func (d *Node) Asked(a Ask) {
 	for _, k := range a.Keys {
 		if l := d.lives[k.ID]; l != nil && k.Manner < manners {
 			l.files[k.Manner].news = atOnce
@@ -392,14 +392,14 @@
 }
 
 // Now sets the clock.
-func (d *Door) Now(now time.Duration) {
+func (d *Node) Now(now time.Duration) {
 	d.now = max(d.now, now)
 	d.settle()
 	keys := slices.SortedFunc(maps.Keys(d.busy), Key.compare)
 	for _, k := range keys {
 		d.look(d.busy[k])
 	}
-	for _, h := range d.houses {
+	for _, h := range d.services {
 		if h.empty > 0 && d.now-h.empty >= emptyEvery {
 			d.stir(h)
 		}
@@ -409,8 +409,8 @@
 	d.report(keys)
 }
 
-// settle tells of what was held back, or drops it as a link's or this door's own.
-func (d *Door) settle() {
+// settle tells of what was held back, or drops it as a link's or this node's own.
+func (d *Node) settle() {
 	due := 0
 	for _, x := range d.held {
 		if d.now-x.at < heldBack {
@@ -422,7 +422,7 @@
 			continue
 		}
 		f.waits = max(f.waits-1, 0)
-		d.stir(f.at.house)
+		d.stir(f.at.service)
 		others := map[LifeID]bool{}
 		for _, r := range d.resets {
 			if x.kind == Reset && r.id != f.key.ID && (r.at-x.at).Abs() <= heldBack {
@@ -439,11 +439,11 @@
 }
 
 // look tends a file that is not at rest.
-func (d *Door) look(f *file) {
+func (d *Node) look(f *file) {
 	f.pieces = slices.DeleteFunc(f.pieces, func(p piece) bool { return d.now-p.at > pieceFor })
 	if f.until > 0 && f.until <= d.now {
 		f.until = 0
-		d.stir(f.at.house)
+		d.stir(f.at.service)
 	}
 	c := d.state.Case(f.key)
 	way := c != nil && c.Step != Free && d.state.On()
@@ -462,20 +462,20 @@
 	}
 }
 
-func (d *Door) probe(l *life) {
+func (d *Node) probe(l *life) {
 	if d.now-l.probed >= probePace {
 		l.probed = d.now
 		d.do(Probe{l.ID})
 	}
 }
 
-// silent has those in service probed that this door keeps and has not heard, where the settings say so.
-func (d *Door) silent() {
+// silent has those in service probed that this node keeps and has not heard, where the settings say so.
+func (d *Node) silent() {
 	after := time.Duration(d.state.Settings().ProbeSilent)
 	if after == 0 || !d.state.On() {
 		return
 	}
-	for _, h := range d.houses {
+	for _, h := range d.services {
 		for _, l := range h.lives {
 			if l.Kept && d.now-max(l.endAt, l.probed) >= after {
 				d.probe(l)
@@ -485,7 +485,7 @@
 }
 
 // report tells what is due.
-func (d *Door) report(keys []Key) {
+func (d *Node) report(keys []Key) {
 	if d.cut || !d.state.On() {
 		return
 	}
@@ -496,7 +496,7 @@
 		if f == nil || f.news == 0 || d.now-f.told < f.news && f.told > 0 {
 			continue
 		}
-		h := f.at.house
+		h := f.at.service
 		x := File{Key: k, Rev: f.rev, Window: f.ring.sum(d.now), Rest: h.rings[k.Manner].sum(d.now),
 			Sums: f.Sums}
 		if k.Manner == Strict && (len(f.pieces) > 0 || f.news == atOnce) {
@@ -518,7 +518,7 @@
 }
 
 // bind tells the host what changed in what backends get.
-func (d *Door) bind() {
+func (d *Node) bind() {
 	for _, h := range d.dirty {
 		h.dirty = false
 		d.bindPatient(h)
@@ -527,7 +527,7 @@
 	d.dirty = d.dirty[:0]
 }
 
-func (d *Door) verdict(k Key) Bind {
+func (d *Node) verdict(k Key) Bind {
 	if c := d.state.Case(k); c != nil && d.state.On() {
 		return c.bind()
 	}
@@ -535,7 +535,7 @@
 }
 
 // bindPatient keeps the least sick in service down to the floor.
-func (d *Door) bindPatient(h *house) {
+func (d *Node) bindPatient(h *service) {
 	var out []*Case
 	for _, l := range h.lives {
 		if k := l.files[Patient].key; d.verdict(k) != Open {
@@ -567,7 +567,7 @@
 }
 
 // bindStrict has no floor: a write is better refused than lost.
-func (d *Door) bindStrict(h *house) {
+func (d *Node) bindStrict(h *service) {
 	some := false
 	for _, l := range h.lives {
 		f := &l.files[Strict]
@@ -588,10 +588,10 @@
 	}
 }
 
-func (d *Door) bound(f *file, b Bind, own bool) {
+func (d *Node) bound(f *file, b Bind, own bool) {
 	if f.bound == b && f.own == own {
 		return
 	}
 	f.bound, f.own = b, own
-	d.do(Bound{f.key, b, time.Duration(d.doors) * time.Second / trickleAll, own})
+	d.do(Bound{f.key, b, time.Duration(d.nodes) * time.Second / trickleAll, own})
 }
--- a/internal/gateway/outlier/orders_test.go
+++ b/internal/gateway/outlier/orders_test.go
@@ -50,7 +50,7 @@
 	return Report{Zone: "a", Life: 1, Seq: seq, Files: []File{f}}
 }
 
-// Two doors' evidence, an old duty's late verdict, a change of view, an operator's word and the backend's end in every
+// Two nodes' evidence, an old duty's late verdict, a change of view, an operator's word and the backend's end in every
 // order: no old verdict after a newer view's, none on what was cleared by what was seen before, none on a life that is
 // gone, nor on the next one at its address; and all that fold the log come to the same, from wherever they start.
 func TestAllOrdersOfAVerdict(t *testing.T) {
@@ -59,7 +59,7 @@
 	plays := 0
 	orders(7, func(order []int) {
 		s, now, fence := on(), time.Duration(0), uint64(1)
-		duty := NewDuty(fence, 0)
+		duty := NewCoordinator(fence, 0)
 		phase, cleared, gone := Ready, false, false
 		var log []Entry
 		var snaps [][]byte
@@ -95,7 +95,7 @@
 				}
 			}
 		}
-		duty.Doors(2)
+		duty.SetNodes(2)
 		for _, id := range []LifeID{"i-1", "i-2", "i-3"} {
 			duty.Life(back(id))
 		}
@@ -110,12 +110,12 @@
 				duty.Heard(0, said(3, 0, "i-1", Second, Second))
 				duty.Heard(0, said(2, 0, "i-1"))
 			case 2: // a verdict of the first view's that was long on its way
-				v := take(Entry{Verb: Convict, Key: k, Service: "libro", Witnesses: []Seat{0, 1}, Backs: 3, Fence: 1})
+				v := take(Entry{Verb: Convict, Key: k, Service: "libro", Witnesses: []Slot{0, 1}, Backs: 3, Fence: 1})
 				must.False(t, s.Fence > 1 && v == routing.Taken)
-			case 3: // another has the duty; doors tell it all again
+			case 3: // another has the duty; nodes tell it all again
 				fence++
-				duty = NewDuty(fence, now)
-				duty.Doors(2)
+				duty = NewCoordinator(fence, now)
+				duty.SetNodes(2)
 				for _, id := range []LifeID{"i-1", "i-2", "i-3"} {
 					if l := back(id); id != "i-1" || phase != Gone {
 						l.Phase = Ready
@@ -175,32 +175,32 @@
 	t.Parallel()
 	for witness, want := range []int{0, 1} {
 		s, k := on(), Key{"i-1", Strict}
-		for _, e := range []Entry{{Verb: Convict, Service: "libro", Witnesses: []Seat{0}, Suffice: 1, Backs: 3}, {Verb: Parole},
+		for _, e := range []Entry{{Verb: Convict, Service: "libro", Witnesses: []Slot{0}, Suffice: 1, Backs: 3}, {Verb: Parole},
 			{Verb: Parole}} {
 			e.Key, e.Rev, e.Fence = k, s.rev(k), 1
 			_, err := s.Apply(&e)
 			must.NoError(t, err)
 		}
-		d := NewDuty(1, 0)
-		d.Doors(3)
+		d := NewCoordinator(1, 0)
+		d.SetNodes(3)
 		d.Life(back("i-1"))
 		d.Fold(s, nil)
-		d.Heard(Seat(witness), said(1, s.rev(k), "i-1", Second))
+		d.Heard(Slot(witness), said(1, s.rev(k), "i-1", Second))
 		d.Now(time.Second)
 		_, ok := d.Next()
 		must.Eq(t, want == 1, ok)
 	}
 }
 
-// What a door sees, hears and is cut from in every order: a lost answer is held back and told only where its zone is
+// What a node sees, hears and is cut from in every order: a lost answer is held back and told only where its zone is
 // heard and the core is in touch; a verdict shuts; a hold ends; what was sent under an older rev, or to a life that is
 // gone, is nobody's evidence.
-func TestAllOrdersAtADoor(t *testing.T) {
+func TestAllOrdersAtANode(t *testing.T) {
 	t.Parallel()
 	k := Key{"i-1", Strict}
 	orders(7, func(order []int) {
 		s := on()
-		d := NewDoor("a", 1, 0)
+		d := NewNode("a", 1, 0)
 		d.Touch(true)
 		for _, id := range []LifeID{"i-1", "i-2", "i-3", "i-4"} {
 			d.Life(back(id))
@@ -248,7 +248,7 @@
 					lostAt = now
 				}
 			case 1:
-				e := Entry{Verb: Convict, Key: k, Service: "libro", Witnesses: []Seat{2, 3}, Backs: 4, Fence: 1, Rev: s.rev(k)}
+				e := Entry{Verb: Convict, Key: k, Service: "libro", Witnesses: []Slot{2, 3}, Backs: 4, Fence: 1, Rev: s.rev(k)}
 				if _, err := s.Apply(&e); err == nil {
 					d.Fold(s, &e)
 				}
@@ -284,20 +284,20 @@
 	})
 }
 
-// Doors of another zone convict nobody by what a link can do, while those near the backend hear it well; a proof needs no
-// such, and shares hold without any one door.
-func TestWhatOneZoneOrOneDoorSaysAlone(t *testing.T) {
+// SetNodes of another zone convict nobody by what a link can do, while those near the backend hear it well; a proof needs no
+// such, and shares hold without any one node.
+func TestWhatOneZoneOrOneNodeSaysAlone(t *testing.T) {
 	t.Parallel()
 	play := func(say func(seq uint64) []Report) (convicts int) {
-		d := NewDuty(1, 0)
-		d.Doors(4)
+		d := NewCoordinator(1, 0)
+		d.SetNodes(4)
 		for _, id := range []LifeID{"i-1", "i-2", "i-3"} {
 			d.Life(back(id))
 		}
 		d.Fold(on(), nil)
 		for seq := uint64(1); seq < 30; seq++ {
 			for i, r := range say(seq) {
-				d.Heard(Seat(i), r)
+				d.Heard(Slot(i), r)
 			}
 			d.Now(time.Duration(seq) * 100 * time.Millisecond)
 			for a, ok := d.Next(); ok; a, ok = d.Next() {
@@ -323,7 +323,7 @@
 	must.Eq(t, 0, play(func(seq uint64) []Report { // nobody else has had an answer in that time
 		return []Report{report(seq, "a", 0, 0, Lost), report(seq, "a", 0, 0, Lost), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 	}))
-	must.Eq(t, 0, play(func(seq uint64) []Report { // one door's failing ends
+	must.Eq(t, 0, play(func(seq uint64) []Report { // one node's failing ends
 		return []Report{report(seq, "a", 20, 40), report(seq, "a", 20, 1), report(seq, "a", 20, 0), report(seq, "a", 20, 0)}
 	}))
 	must.Positive(t, play(func(seq uint64) []Report {
@@ -332,7 +332,7 @@
 	must.Positive(t, play(func(seq uint64) []Report {
 		return []Report{report(seq, "b", 9, 0, Second), report(seq, "a", 9, 0), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 	}))
-	others := func(seq uint64, lates int) []Report { // what came meanwhile, by so many doors' word
+	others := func(seq uint64, lates int) []Report { // what came meanwhile, by so many nodes' word
 		all := []Report{report(seq, "a", 0, 0, Lost), report(seq, "a", 0, 0, Lost), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 		for i := range lates {
 			all[2+i].Files[0].Late = slices.Repeat([]Window{{Clean: 50, Took: 5000}}, lateSlots)
@@ -345,10 +345,10 @@
 	must.Eq(t, 0, play(func(uint64) []Report { return []Report{broken} }))
 }
 
-// One backend that resets is told of and held off; three at once are this door's own trouble.
-func TestResetsAtOnceAreTheDoorsOwn(t *testing.T) {
+// One backend that resets is told of and held off; three at once are this node's own trouble.
+func TestResetsAtOnceAreTheNodesOwn(t *testing.T) {
 	for n, want := range []int{0, 1, 2, 0} {
-		d, told := NewDoor("a", 1, 0), 0
+		d, told := NewNode("a", 1, 0), 0
 		d.Touch(true)
 		for i := range 6 {
 			d.Life(back(LifeID(fmt.Sprint("i-", i))))
@@ -417,11 +417,11 @@
 		[]Manner{u.Manner("r-a", true), u.Manner("r-b", true), u.Manner("r-c", true), u.Manner("r-c", false)})
 }
 
-// The state is bounded, the word of one door is, and so is what it may do once it was refuted.
+// The state is bounded, the word of one node is, and so is what it may do once it was refuted.
 func TestStateIsBounded(t *testing.T) {
 	t.Parallel()
 	s := on()
-	convict := func(i int, who ...Seat) (routing.Verdict, error) {
+	convict := func(i int, who ...Slot) (routing.Verdict, error) {
 		k := Key{LifeID(fmt.Sprintf("i-%04d", i)), Strict}
 		return s.Apply(&Entry{Verb: Convict, Key: k, Service: fmt.Sprint("s-", i%9), Witnesses: who, Suffice: 1, Backs: 16, Fence: 1,
 			Rev: s.rev(k), Why: strings.Repeat("x", textMost)})
@@ -442,7 +442,7 @@
 	must.Error(t, err)
 	_, err = convict(18, 5, 6, 7)
 	must.NoError(t, err)
-	must.Eq(t, membership.NoSeat, s.Case(Key{"i-0018", Strict}).Alone)
+	must.Eq(t, membership.NoSlot, s.Case(Key{"i-0018", Strict}).Alone)
 	for i := range casesMost + 10 {
 		convict(i+100, 1, 2)
 	}
@@ -464,10 +464,10 @@
 }
 
 // All of a strict service out: nothing is open, and the log says so every five seconds; of a patient one the least sick
-// stay, whatever the verdicts. A door that sees all fail doubts itself, and holds off half.
+// stay, whatever the verdicts. A node that sees all fail doubts itself, and holds off half.
 func TestFloors(t *testing.T) {
 	s := on()
-	d := NewDoor("a", 1, 0)
+	d := NewNode("a", 1, 0)
 	d.Touch(true)
 	bind, empty := map[Key]Bind{}, 0
 	play := func(from, to time.Duration) {
@@ -502,10 +502,10 @@
 	}
 	play(0, time.Second)
 	must.Eq(t, 3, shut(Strict))
-	must.True(t, d.houses["libro"].doubt > 0)
+	must.True(t, d.services["libro"].doubt > 0)
 	for i, id := range ids {
 		for m := range manners {
-			e := Entry{Verb: Convict, Key: Key{id, m}, Service: "libro", Witnesses: []Seat{1, 2}, Backs: 6, Fence: 1, Score: 900 - 100*i}
+			e := Entry{Verb: Convict, Key: Key{id, m}, Service: "libro", Witnesses: []Slot{1, 2}, Backs: 6, Fence: 1, Score: 900 - 100*i}
 			_, err := s.Apply(&e)
 			must.NoError(t, err)
 			d.Fold(s, &e)
--- a/internal/gateway/outlier/critics.go
+++ b/internal/gateway/outlier/outlier.go
@@ -1,6 +1,6 @@
-// Package outlier judges backends by what their services need, once for all doors. A door tells it how each submission
-// ended; what may convict goes to the door with the duty; verdicts are entries of the core's ordered log, and bind at
-// the same place of it at every door. It does no I/O: inputs only update what is known, the host pulls with Next. See
+// Package outlier judges backends by what their services need, once for all nodes. A node tells it how each submission
+// ended; what may convict goes to the node with the duty; verdicts are entries of the core's ordered log, and bind at
+// the same place of it at every node. It does no I/O: inputs only update what is known, the host pulls with Next. See
 // docs/critics.md.
 package outlier
 
@@ -48,7 +48,7 @@
 	return 1
 }
 
-// Kind is what a door saw of a backend.
+// Kind is what a node saw of a backend.
 type Kind uint8
 
 // The closed list. Clean is a whole answer of the service's own; None says nothing.
@@ -91,13 +91,13 @@
 	Stranger: {Proof, Proof},
 }
 
-// Seen is what a door knows of the end of a submission.
+// Seen is what a node knows of the end of a submission.
 type Seen struct {
 	How   control.Ending
 	Fresh bool // its connection had answered nothing before
 	Some  bool // some of an answer had come
 	Form  bool // what came was no answer in form, or a 2xx without its seal
-	Own   bool // this door stood still meanwhile
+	Own   bool // this node stood still meanwhile
 }
 
 // Kind tells what it is evidence of. A backend resets fresh connections that are too many for it, and what is late but
@@ -125,7 +125,7 @@
 	return s.Some || s.Form || s.How == control.Settled || s.How == control.Errored || s.How == control.Full
 }
 
-// Phase of a life, as the callboard has it.
+// Phase of a life, as the registry has it.
 type Phase uint8
 
 const (
@@ -134,16 +134,16 @@
 	Gone
 )
 
-// Life is a backend as the callboard tells it.
+// Life is a backend as the registry tells it.
 type Life struct {
 	ID      LifeID
 	Service string
 	Zone    string
 	Phase   Phase
-	Kept    bool // this door is its keeper, and so its prober
+	Kept    bool // this node is its registrar, and so its prober
 }
 
-// Bind is what a door may send to a backend in a manner.
+// Bind is what a node may send to a backend in a manner.
 type Bind uint8
 
 const (
@@ -222,13 +222,13 @@
 	return list
 }
 
-// sound tells that a file is one that a door may have written.
+// sound tells that a file is one that a node may have written.
 func (f *File) sound() bool {
 	return f.Manner < manners && len(f.Late) <= lateSlots && len(f.Pieces) <= piecesMost &&
 		!slices.ContainsFunc(f.Pieces, func(p Piece) bool { return p.Kind >= kinds || p.Age < 0 || p.Wait < 0 })
 }
 
-// File is what one door has of a key: sums and the pieces that still count. The newest stands for all before it, so it
+// File is what one node has of a key: sums and the pieces that still count. The newest stands for all before it, so it
 // does not matter which are lost, doubled or late.
 type File struct {
 	Key
@@ -241,7 +241,7 @@
 	Sums
 }
 
-// Sums are what a door counted since the Rev.
+// Sums are what a node counted since the Rev.
 type Sums struct {
 	Clean, Failing uint32
 	Reads          uint32 // strict: clean reads of the same life
@@ -255,22 +255,22 @@
 	s.Probes += o.Probes
 }
 
-// Report goes to the door with the duty; it may be lost.
+// Report goes to the node with the duty; it may be lost.
 type Report struct {
 	Zone  string
-	Life  uint64 // of the door, by chance
+	Life  uint64 // of the node, by chance
 	Seq   uint64 // rises within the life
 	Doubt bool   // it would hold off more than half of a service: its word alone convicts nobody
 	Files []File
 }
 
-// Ask goes from the duty to all doors: report on these, whatever there is.
+// Ask goes from the duty to all nodes: report on these, whatever there is.
 type Ask struct{ Keys []Key }
 
 // Action is what the host is to do.
 type Action interface{ action() }
 
-// Tell goes to the door with the duty; it may be lost.
+// Tell goes to the node with the duty; it may be lost.
 type Tell struct{ Report Report }
 
 // Bound: from now on a backend gets this. Every is the pace of a trickle.
@@ -278,7 +278,7 @@
 	Key
 	Bind  Bind
 	Every time.Duration
-	Own   bool // by this door's own eyes, not by a verdict
+	Own   bool // by this node's own eyes, not by a verdict
 }
 
 // Probe asks for a backend's health page, to be answered by Probed.
@@ -291,10 +291,10 @@
 	Backs   int
 }
 
-// AskAll goes to all doors, this one too; it may be lost.
+// AskAll goes to all nodes, this one too; it may be lost.
 type AskAll struct{ Ask Ask }
 
-// Propose is an entry for the log, to be put there by this door or not at all.
+// Propose is an entry for the log, to be put there by this node or not at all.
 type Propose struct{ Entry Entry }
 
 func (Tell) action()    {}
@@ -334,5 +334,5 @@
 	return s + fmt.Sprintf("%d of %d failing in 10 s", w.Failing, w.ends())
 }
 
-// Seat of a door; the same in every life of it.
-type Seat = membership.Seat
+// Slot of a node; the same in every life of it.
+type Slot = membership.Slot
