--- a/internal/gateway/statemachine/script_test.go
+++ b/internal/gateway/statemachine/machine_test.go
@@ -14,23 +14,23 @@
 	"clovergap/internal/gateway/routing"
 )
 
-func bill(generation, parent int) []byte {
+func config(generation, parent int) []byte {
 	return fmt.Appendf(nil, `{"generation":%d,"parent_version":%d,"services":[{"name":"s"}],"vhosts":[{"hostname":"h.example",
 "path_list":[{"name":"r","path_prefix":"/","variant":"pure","target":"s"}]}]}`, generation, parent)
 }
 
-func seat(name string) membership.Seated {
-	return membership.Seated{Name: name, Addr: name + ":1", Control: name + ":2", Zone: "z"}
+func slot(name string) membership.SlotHolder {
+	return membership.SlotHolder{Name: name, Addr: name + ":1", Control: name + ":2", Zone: "z"}
 }
 
 // log is a short life of a core, with all that an entry may be.
 func log() [][]byte {
-	again := seat("b")
+	again := slot("b")
 	again.Name = "b2"
-	return [][]byte{SeatEntry(seat("b")), Entry(Replace, bill(3, 0)), SeatEntry(seat("a")), Entry(Replace, bill(4, 0)),
-		Entry(Replace, bill(3, 0)), SeatEntry(again), Entry('z', []byte("of a newer program")), nil, Entry(Seat, []byte("no seat")),
+	return [][]byte{SlotEntry(slot("b")), Entry(Replace, config(3, 0)), SlotEntry(slot("a")), Entry(Replace, config(4, 0)),
+		Entry(Replace, config(3, 0)), SlotEntry(again), Entry('z', []byte("of a newer program")), nil, Entry(AssignSlot, []byte("no seat")),
 		Entry(Amend, []byte(`{"generation":5,"parent_version":3,"upserts":{"services":[{"name":"t"}]}}`)),
-		Entry(Replace, []byte("{")), SeatEntry(seat("c")), Entry(Replace, bill(9, 5)),
+		Entry(Replace, []byte("{")), SlotEntry(slot("c")), Entry(Replace, config(9, 5)),
 		rolloutEntry(rollout.Entry{Verb: rollout.Start, Mark: "m", Order: order}),
 		rolloutEntry(rollout.Entry{Verb: rollout.Start, Mark: "m", Order: order}),
 		rolloutEntry(rollout.Entry{Verb: rollout.Advance, Number: 1, Step: 2, Fence: 5}), Entry(Rollout, []byte("{")),
@@ -45,14 +45,14 @@
 	return Entry(Rollout, e.Word())
 }
 
-// Every entry has its verdict; seats are given in order, and a door that asks again keeps its own under its new name.
+// Every entry has its verdict; slots are given in order, and a node that asks again keeps its own under its new name.
 func TestEntries(t *testing.T) {
 	s := New()
 	taken, already, conflict, invalid := routing.Taken, routing.Already, routing.Conflict, routing.Invalid
 	for i, want := range []routing.Verdict{taken, taken, taken, conflict, already, already, invalid, invalid, invalid,
 		taken, invalid, taken, taken, taken, already, conflict, invalid, taken} {
 		e, before := log()[i], s.Snapshot()
-		if len(e) > 0 && e[0] != byte(Seat) && e[0] != 'z' { // told before as it comes
+		if len(e) > 0 && e[0] != byte(AssignSlot) && e[0] != 'z' { // told before as it comes
 			v, _ := s.Decide(Kind(e[0]), e[1:])
 			must.Eq(t, want, v)
 		}
@@ -63,16 +63,16 @@
 			must.Eq(t, before, s.Snapshot())
 		}
 	}
-	b := seat("b")
+	b := slot("b")
 	b.Name = "b2"
-	must.Eq(t, []membership.Seated{b, seat("a"), seat("c")}, s.Seats())
-	must.Eq(t, 9, s.Bills.Version())
-	must.Eq(t, bill(9, 5), s.Bills.Body()) // a roll-out changes nothing of it
+	must.Eq(t, []membership.SlotHolder{b, slot("a"), slot("c")}, s.Slots())
+	must.Eq(t, 9, s.Configs.Version())
+	must.Eq(t, config(9, 5), s.Configs.Body()) // a roll-out changes nothing of it
 	must.Eq(t, rollout.Pulled, s.Rollouts.Run("s").Phase)
-	for i := range seatsMost { // they are bounded
-		s.Apply(SeatEntry(seat(fmt.Sprint(i))))
+	for i := range maxSlots { // they are bounded
+		s.Apply(SlotEntry(slot(fmt.Sprint(i))))
 	}
-	must.Len(t, seatsMost, s.Seats())
+	must.Len(t, maxSlots, s.Slots())
 }
 
 // Whoever starts from a snapshot after any entry comes to the same as who folded all, whatever becomes of a third.
@@ -92,18 +92,18 @@
 			s.Apply(e)
 		}
 		must.Eq(t, whole.Snapshot(), s.Snapshot(), must.Sprint(i))
-		must.Eq(t, whole.Seats(), s.Seats())
-		v, _ := s.Decide(Replace, bill(3, 0)) // what was taken is known by its bytes
+		must.Eq(t, whole.Slots(), s.Slots())
+		v, _ := s.Decide(Replace, config(3, 0)) // what was taken is known by its bytes
 		must.Eq(t, routing.Already, v)
 	}
 	var older bytes.Buffer // the snapshot of a program that knew no roll-outs
 	must.NoError(t, gob.NewEncoder(&older).Encode(struct {
 		Bills []byte
-		Seats []membership.Seated
-	}{whole.Bills.Snapshot(), whole.Seats()}))
+		Seats []membership.SlotHolder
+	}{whole.Configs.Snapshot(), whole.Slots()}))
 	s, err := Restore(older.Bytes())
 	must.NoError(t, err)
-	must.Eq(t, whole.Bills.Snapshot(), s.Bills.Snapshot())
+	must.Eq(t, whole.Configs.Snapshot(), s.Configs.Snapshot())
 	must.False(t, s.Rollouts.Running())
 	v, _ := s.Apply(rolloutEntry(rollout.Entry{Verb: rollout.Start, Order: order}))
 	must.Eq(t, routing.Taken, v)
--- a/internal/gateway/transport/wings.go
+++ b/internal/gateway/transport/mesh.go
@@ -1,6 +1,6 @@
-// Package transport carries frames between the doors of a house: gob streams over TCP that stay open, so that types travel
-// once. What is sent is lost when a link ends; whoever sends over it repeats what must arrive. Each door dials the
-// doors that it wants to tell something and only writes there; what others say comes on links that they dialed.
+// Package transport carries frames between the nodes of a deployment: gob streams over TCP that stay open, so that types travel
+// once. What is sent is lost when a link ends; whoever sends over it repeats what must arrive. Each node dials the
+// nodes that it wants to tell something and only writes there; what others say comes on links that they dialed.
 package transport
 
 import (
@@ -23,7 +23,7 @@
 const (
 	dialLimit  = 600 * time.Millisecond
 	writeLimit = 2 * time.Second
-	redialIn   = 40 * time.Millisecond // doubled up to redialMost: doors that start together are up soon
+	redialIn   = 40 * time.Millisecond // doubled up to redialMost: nodes that start together are up soon
 	redialMost = 640 * time.Millisecond
 	queueMost  = 4096     // frames that wait for a link
 	frameMost  = 16 << 20 // bytes of one frame
@@ -31,14 +31,14 @@
 
 // Host is told what happens, each in a turn of its own.
 type Host[F any] interface {
-	Came(from string)        // a link of another door is up: what it sent on one before may be lost
+	Came(from string)        // a link of another node is up: what it sent on one before may be lost
 	Heard(from string, f *F) // from: where the sender takes frames itself
 	Up(to string)            // a link that was dialed is up; all before is lost
 	Down(to string)          // it has ended
 }
 
-// Wings are a door's links. Frames are of one type, gob-friendly.
-type Wings[F any] struct {
+// Mesh are a node's links. Frames are of one type, gob-friendly.
+type Mesh[F any] struct {
 	me    string
 	host  Host[F]
 	turn  func(func())
@@ -47,7 +47,7 @@
 	links map[string]*link[F]
 	ins   map[net.Conn]uint64 // by their place among all that were accepted
 	tail  uint64              // the last one's
-	from  map[string]net.Conn // the newest link of each door
+	from  map[string]net.Conn // the newest link of each node
 	lives map[string]uint64   // and its life
 	last  map[string]uint64   // and its place
 	life  uint64
@@ -55,7 +55,7 @@
 	all   sync.WaitGroup
 }
 
-// opening is the first value on a link. Life differs between two starts of a door.
+// opening is the first value on a link. Life differs between two starts of a node.
 type opening struct {
 	From string
 	Life uint64
@@ -69,24 +69,24 @@
 	up    bool
 }
 
-// New listens at an inner address, which is this door's name among the links; life is another one at each start. turn runs
+// New listens at an inner address, which is this node's name among the links; life is another one at each start. turn runs
 // something as the one owner.
-func New[F any](me string, life uint64, host Host[F], turn func(func())) (*Wings[F], error) {
+func New[F any](me string, life uint64, host Host[F], turn func(func())) (*Mesh[F], error) {
 	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", me)
 	if err != nil {
 		return nil, errors.Wrap(err, "wings")
 	}
-	return &Wings[F]{me: me, host: host, turn: turn, ln: ln, links: map[string]*link[F]{}, ins: map[net.Conn]uint64{},
+	return &Mesh[F]{me: me, host: host, turn: turn, ln: ln, links: map[string]*link[F]{}, ins: map[net.Conn]uint64{},
 		from: map[string]net.Conn{}, lives: map[string]uint64{}, last: map[string]uint64{}, life: life}, nil
 }
 
 // Start takes links of others.
-func (w *Wings[F]) Start() { w.all.Go(w.accept) }
+func (w *Mesh[F]) Start() { w.all.Go(w.accept) }
 
 // Addr is where frames come in.
-func (w *Wings[F]) Addr() string { return w.ln.Addr().String() }
+func (w *Mesh[F]) Addr() string { return w.ln.Addr().String() }
 
-func (w *Wings[F]) accept() {
+func (w *Mesh[F]) accept() {
 	for {
 		c, err := w.ln.Accept()
 		if err != nil {
@@ -123,7 +123,7 @@
 	return n, err
 }
 
-func (w *Wings[F]) read(c net.Conn) {
+func (w *Mesh[F]) read(c net.Conn) {
 	var o opening
 	defer func() {
 		c.Close()
@@ -173,9 +173,9 @@
 	}
 }
 
-// kick: a door has dialed us, so that it can be reached. A dial to it that hangs since its machine was dark, or a pause, ends;
+// kick: a node has dialed us, so that it can be reached. A dial to it that hangs since its machine was dark, or a pause, ends;
 // and a connection to an earlier life of it, which may look well for as long as nothing is sent.
-func (w *Wings[F]) kick(from string, life uint64) {
+func (w *Mesh[F]) kick(from string, life uint64) {
 	anew := w.lives[from] != 0 && w.lives[from] != life
 	w.lives[from] = life
 	if l := w.links[from]; l != nil && l.abort != nil && (!l.up || anew) {
@@ -184,14 +184,14 @@
 }
 
 // has says what a link's abort is to end.
-func (w *Wings[F]) has(l *link[F], up bool, abort func()) {
+func (w *Mesh[F]) has(l *link[F], up bool, abort func()) {
 	w.mu.Lock()
 	l.up, l.abort = up, abort
 	w.mu.Unlock()
 }
 
-// Want keeps a link to a door from now on.
-func (w *Wings[F]) Want(to string) {
+// Want keeps a link to a node from now on.
+func (w *Mesh[F]) Want(to string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.links[to] != nil || to == w.me || w.done {
@@ -204,7 +204,7 @@
 }
 
 // Leave keeps it no longer.
-func (w *Wings[F]) Leave(to string) {
+func (w *Mesh[F]) Leave(to string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l := w.links[to]; l != nil {
@@ -213,8 +213,8 @@
 	}
 }
 
-// Send gives a frame to a door's link; it tells whether the frame is on its way. A full queue drops it.
-func (w *Wings[F]) Send(to string, f *F) bool {
+// Send gives a frame to a node's link; it tells whether the frame is on its way. A full queue drops it.
+func (w *Mesh[F]) Send(to string, f *F) bool {
 	w.mu.Lock()
 	l := w.links[to]
 	w.mu.Unlock()
@@ -230,7 +230,7 @@
 }
 
 // write dials, writes, and dials again, until the link is not wanted any more.
-func (w *Wings[F]) write(ctx context.Context, l *link[F]) {
+func (w *Mesh[F]) write(ctx context.Context, l *link[F]) {
 	d := net.Dialer{Timeout: dialLimit, KeepAlive: -1, Control: deadPeers}
 	for wait := redialIn; ctx.Err() == nil; wait = min(2*wait, redialMost) {
 		now, abort := context.WithCancel(ctx)
@@ -272,7 +272,7 @@
 	return d.DialContext(ctx, "tcp", to)
 }
 
-// through waits while a test has this door cut off from another; false if that takes too long. What is sent into a cut goes
+// through waits while a test has this node cut off from another; false if that takes too long. What is sent into a cut goes
 // out when it heals, as TCP's does, and a link over which nothing got through for writeLimit ends.
 func through(ctx context.Context, to string, most time.Duration) bool {
 	for end := time.Now().Add(most); failpoint.Cut(to); time.Sleep(cutLook) {
@@ -283,15 +283,15 @@
 	return true
 }
 
-// newestOf tells whether a door has dialed no other link since this one.
-func (w *Wings[F]) newestOf(from string, c net.Conn) bool {
+// newestOf tells whether a node has dialed no other link since this one.
+func (w *Mesh[F]) newestOf(from string, c net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.from[from] == c
 }
 
 // newest tells whether no other link has been wanted since in the place of this one.
-func (w *Wings[F]) newest(l *link[F]) bool {
+func (w *Mesh[F]) newest(l *link[F]) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.links[l.to]
@@ -299,7 +299,7 @@
 }
 
 // pass writes frames until the link fails. Nothing comes back on it: a read that ends tells of its end at once.
-func (w *Wings[F]) pass(ctx context.Context, l *link[F], c net.Conn) {
+func (w *Mesh[F]) pass(ctx context.Context, l *link[F], c net.Conn) {
 	ended := make(chan struct{})
 	go func() {
 		var b [1]byte
@@ -340,7 +340,7 @@
 }
 
 // Stop ends all links, and returns when nothing more is told. It is not for a turn.
-func (w *Wings[F]) Stop() {
+func (w *Mesh[F]) Stop() {
 	w.mu.Lock()
 	w.done = true
 	w.ln.Close()
--- a/internal/gateway/transport/wings_test.go
+++ b/internal/gateway/transport/mesh_test.go
@@ -22,16 +22,16 @@
 // patience bounds every wait of these tests; none of them depends on how long anything takes within it.
 const patience = 20 * time.Second
 
-// frame has a field that is seldom set, as those of doors have.
+// frame has a field that is seldom set, as those of nodes have.
 type frame struct {
 	Nr   int
 	More *string
 	Fat  []byte
 }
 
-// end is one door: what it was told, in order.
+// end is one node: what it was told, in order.
 type end struct {
-	*Wings[frame]
+	*Mesh[frame]
 	t    *testing.T
 	me   string
 	turn sync.Mutex
@@ -77,7 +77,7 @@
 		f()
 	})
 	must.NoError(t, err)
-	e.Wings = w
+	e.Mesh = w
 	w.Start()
 	return e
 }
@@ -88,7 +88,7 @@
 	}
 }
 
-// Three doors: links come up by themselves, frames arrive in order, by who sent them; one that was ended is dialed
+// Three nodes: links come up by themselves, frames arrive in order, by who sent them; one that was ended is dialed
 // again, and hears nothing of before; nobody is told anything once it has stopped.
 func TestLinks(t *testing.T) {
 	defer goleak.VerifyNone(t)
@@ -221,8 +221,8 @@
 	a.hears("down " + deaf.me)
 }
 
-// A link may look well though its door has started anew: where a machine lost power nothing ends it while nothing is sent.
-// The door's own word that it lives again, by a link with another life, ends it and has it dialed again at once.
+// A link may look well though its node has started anew: where a machine lost power nothing ends it while nothing is sent.
+// The node's own word that it lives again, by a link with another life, ends it and has it dialed again at once.
 func TestAnotherLifeIsDialedAgain(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := begin(t, addr(1)), begin(t, addr(2))
@@ -253,7 +253,7 @@
 	return e.lives[from] == life
 }
 
-// A door that was killed and came back: the link of its former life is read last, as where the reader has no processor. It
+// A node that was killed and came back: the link of its former life is read last, as where the reader has no processor. It
 // neither takes the place of the new one nor is any frame of it taken.
 func TestFormerLifeReadLast(t *testing.T) {
 	defer goleak.VerifyNone(t)
--- a/internal/lab/capacity/added.go
+++ b/internal/lab/capacity/added.go
@@ -22,13 +22,13 @@
 	"clovergap/internal/lab/simulation"
 )
 
-// Added measures what a door adds to a request: real doors as processes, requests at one of them and at a backend itself, in turn,
+// Added measures what a node adds to a request: real nodes as processes, requests at one of them and at a backend itself, in turn,
 // in one run, with the target's configuration.
 type Added struct {
 	Program  string `json:"-"`
-	Doors    int
+	Nodes    int
 	Wide     simulation.Wide
-	Rate     float64 // requests a second at the door, and as many at the bare backend
+	Rate     float64 // requests a second at the node, and as many at the bare backend
 	Over     time.Duration
 	Change   time.Duration // between changes of the configuration; 0: none
 	Backends int
@@ -51,28 +51,28 @@
 	return Waits{len(all), bad, at(0.5), at(0.9), at(0.99), at(1)}
 }
 
-// Told is what came of it. RSS is the door's process's, at its peak and at the end, in bytes.
+// Told is what came of it. RSS is the node's process's, at its peak and at the end, in bytes.
 type Told struct {
 	Added
-	Bare, Door Waits
+	Bare, Node Waits
 	Changes    int
 	Peak, RSS  float64
 }
 
 type added struct {
 	Added
-	t        *gatewaystandin.Troupe
+	t        *gatewaystandin.Deployment
 	backends []*http.Server
 	at       []string
 	client   *http.Client
 	ctx      context.Context
 }
 
-// Play starts doors and backends, and asks.
+// Play starts nodes and backends, and asks.
 func (o Added) Play(ctx context.Context) (r *Told, err error) {
 	x := &added{Added: o, ctx: ctx, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-	if x.t, err = gatewaystandin.New(gatewaystandin.Terms{Program: o.Program, Doors: o.Doors, Disks: min(3, o.Doors), Zones: []string{"zone-0"}, Rate: 1,
-		Seed: 1, Beat: time.Second, Lost: (min(3, o.Doors) - 1) / 2, History: history.InMemory(1 << 10)}); err != nil {
+	if x.t, err = gatewaystandin.New(gatewaystandin.Terms{Program: o.Program, Nodes: o.Nodes, Disks: min(3, o.Nodes), Zones: []string{"zone-0"}, Rate: 1,
+		Seed: 1, Beat: time.Second, Lost: (min(3, o.Nodes) - 1) / 2, History: history.InMemory(1 << 10)}); err != nil {
 		return nil, err
 	}
 	defer x.t.Close()
@@ -80,8 +80,8 @@
 		return nil, err
 	}
 	hollow := &hollow{client: x.client}
-	for _, d := range x.t.Doors {
-		hollow.sheets = append(hollow.sheets, &settings.Sheet{Bind: settings.Bind{Control: d.Control}})
+	for _, d := range x.t.Nodes {
+		hollow.settings = append(hollow.settings, &settings.Settings{Bind: settings.Bind{Control: d.Control}})
 	}
 	if _, err = hollow.order(ctx, gatewaystandin.ReplacePath, simulation.FirstText(o.Wide), 1); err != nil {
 		return nil, errors.Wrap(err, "the first configuration")
@@ -101,7 +101,7 @@
 		}
 	}()
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(100 * time.Millisecond) {
-		if _, ok := x.ask(x.t.Doors[0].Front, 0, time.Now()); ok {
+		if _, ok := x.ask(x.t.Nodes[0].Front, 0, time.Now()); ok {
 			break
 		}
 		if time.Now().After(end) {
@@ -114,7 +114,7 @@
 		wg.Go(func() { x.changes(beats, hollow, r) })
 	}
 	x.load(o.Over, r)
-	pid := x.t.Doors[0].Pid()
+	pid := x.t.Nodes[0].Pid()
 	file := fmt.Sprintf("/proc/%d/status", pid)
 	r.Peak, r.RSS = float64(field(file, "VmHWM:"))*1024, float64(field(file, "VmRSS:"))*1024
 	return r, nil
@@ -140,11 +140,11 @@
 	beat := controlapi.Beat{Address: ln.Addr().String(), Capacity: 16, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service,
 		Zone: "zone-0"}
 	wg.Go(func() {
-		for to := x.t.Doors[0].Control; ctx.Err() == nil; {
+		for to := x.t.Nodes[0].Control; ctx.Err() == nil; {
 			beat.CallSeq++
 			body, _ := json.Marshal(beat)
 			if status, _, err := h.post(ctx, to, "/api/Backends.Heartbeat/"+id, body); err != nil || status/100 != 2 {
-				to = x.t.Doors[int(beat.CallSeq)%len(x.t.Doors)].Control
+				to = x.t.Nodes[int(beat.CallSeq)%len(x.t.Nodes)].Control
 			}
 			select {
 			case <-ctx.Done():
@@ -175,7 +175,7 @@
 	return ms(time.Since(meant)), err == nil && a.StatusCode == 200 && string(body) == "done "+id
 }
 
-// load asks by chance at the rate, the door and the backends in turn, whatever became of what was sent before.
+// load asks by chance at the rate, the node and the backends in turn, whatever became of what was sent before.
 func (x *added) load(over time.Duration, r *Told) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -185,7 +185,7 @@
 	for nr := 0; next.Before(end) && x.ctx.Err() == nil; nr++ {
 		next = next.Add(time.Duration(rand.ExpFloat64() / (2 * x.Rate) * float64(time.Second)))
 		time.Sleep(time.Until(next))
-		meant, which, to := time.Now(), nr%2, x.t.Doors[0].Front
+		meant, which, to := time.Now(), nr%2, x.t.Nodes[0].Front
 		if which == 1 {
 			to = x.at[nr/2%len(x.at)]
 		}
@@ -202,7 +202,7 @@
 		})
 	}
 	wg.Wait()
-	r.Door, r.Bare = waits(all[0], bad[0]), waits(all[1], bad[1])
+	r.Node, r.Bare = waits(all[0], bad[0]), waits(all[1], bad[1])
 }
 
 // changes makes them every so often.
@@ -215,7 +215,7 @@
 		}
 		deadline, aim := "1500ms", "400ms"
 		body, _ := json.Marshal(routing.Amendment{Generation: version + 1, ParentVersion: version, Upserts: &routing.Upserts{
-			Vhosts: []routing.BillHost{{Hostname: "guests.example", PathList: []routing.BillRoute{{Name: "g-0", PathPrefix: "/g0/",
+			Vhosts: []routing.ConfigHost{{Hostname: "guests.example", PathList: []routing.ConfigRoute{{Name: "g-0", PathPrefix: "/g0/",
 				Variant: routing.Pure, Deadline: &deadline, TargetLatency: &aim, MaxTries: 2, Target: gatewaystandin.Services[int(version)%2].Name}}}}}})
 		if v, err := h.order(ctx, gatewaystandin.AmendPath, body, version+1); err == nil {
 			version = v
--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -1,4 +1,4 @@
-// Package capacity works out how a house grows: least squares over what rehearsed houses of several sizes did, with the error of the
+// Package capacity works out how a deployment grows: least squares over what simulated deployments of several sizes did, with the error of the
 // fit, and what that comes to at the target.
 package capacity
 
@@ -16,13 +16,13 @@
 	"clovergap/internal/lab/simulation"
 )
 
-// Size is what the house is to carry.
-type Size struct{ Doors, Backends, Services, Routes, Tenants int }
+// Size is what the deployment is to carry.
+type Size struct{ Nodes, Backends, Services, Routes, Tenants int }
 
 // Target is the size that the pages ask for, in about two years.
-var Target = Size{Doors: 720, Backends: 5800, Services: 270, Routes: 1700, Tenants: 31000}
+var Target = Size{Nodes: 720, Backends: 5800, Services: 270, Routes: 1700, Tenants: 31000}
 
-// What a door may spend on control.
+// What a node may spend on control.
 const (
 	BytesMost  = 12 << 10 // sent, a second
 	CoreMost   = 0.01
@@ -151,12 +151,12 @@
 
 // axes are what quantities may grow with.
 var axes = map[string]func(m *simulation.Measure) float64{
-	"door":    func(m *simulation.Measure) float64 { return float64(m.Doors) },
+	"door":    func(m *simulation.Measure) float64 { return float64(m.Nodes) },
 	"member":  func(m *simulation.Measure) float64 { return float64(m.Disks) },
 	"backend": func(m *simulation.Measure) float64 { return float64(m.Wide.Backends) },
 	"route":   func(m *simulation.Measure) float64 { return float64(m.Wide.Routes) },
 	"tenant":  func(m *simulation.Measure) float64 { return float64(m.Wide.Tenants) },
-	"request": func(m *simulation.Measure) float64 { return m.Rate / float64(m.Doors) }, // a second, at each door
+	"request": func(m *simulation.Measure) float64 { return m.Rate / float64(m.Nodes) }, // a second, at each node
 }
 
 // Axes are their names.
@@ -183,7 +183,7 @@
 	for _, r := range rows(phases) {
 		var xs, y []float64
 		for _, m := range all {
-			if p, ok := PhaseOf(m, r.phase); ok && m.Doors > m.Disks {
+			if p, ok := PhaseOf(m, r.phase); ok && m.Nodes > m.Disks {
 				xs, y = append(xs, x(m)), append(y, r.of(p))
 			}
 		}
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -14,7 +14,7 @@
 func TestSlopes(t *testing.T) {
 	var all []*simulation.Measure
 	for _, n := range []int{12, 24, 48} {
-		s := simulation.Site{Doors: n, Disks: 3, Zones: 3, Rate: float64(n), Beat: 1500 * time.Millisecond,
+		s := simulation.Site{Nodes: n, Disks: 3, Zones: 3, Rate: float64(n), Beat: 1500 * time.Millisecond,
 			Wide: simulation.Wide{Backends: 10 * n, Services: 3, Routes: 8, Tenants: 8}}
 		r := simulation.Meter(s, 1, 4*time.Second, 3*time.Second, []string{"calm", "changes", "killed"}, nil, nil)
 		must.Eq(t, "", r.Incomplete)
@@ -22,7 +22,7 @@
 		followers := float64(n-3) / 3
 		start, ok := PhaseOf(r, "start")
 		must.True(t, ok)
-		must.Less(t, 4*float64(n), start.Member.Frames["feed"]*start.Seconds) // each seat was told to all by itself: with the square
+		must.Less(t, 4*float64(n), start.Member.Frames["feed"]*start.Seconds) // each slot was told to all by itself: with the square
 		killed, ok := PhaseOf(r, "killed")
 		must.True(t, ok)
 		must.GreaterEq(t, 0, killed.All)
@@ -36,12 +36,12 @@
 		for _, r := range all {
 			p, ok := PhaseOf(r, phase)
 			must.True(t, ok)
-			x, y = append(x, float64(r.Doors)), append(y, of(p))
+			x, y = append(x, float64(r.Nodes)), append(y, of(p))
 		}
 		return Line(x, y)
 	}
 	calm := slope("calm", func(p simulation.Phase) float64 { return p.Member.Mean })
-	must.Between(t, 20, calm.B, 60) // B/s a door more: heartbeats to a third of them
+	must.Between(t, 20, calm.B, 60) // B/s a node more: heartbeats to a third of them
 	must.Less(t, 12, slope("calm", func(p simulation.Phase) float64 { return p.Other.Mean }).B)
 	feed := slope("changes", func(p simulation.Phase) float64 { return p.Member.Kinds["feed"] })
 	must.Less(t, 260, feed.B)
@@ -53,7 +53,7 @@
 // A day that is to end does so in the middle, and says why.
 func TestEnough(t *testing.T) {
 	asked := 0
-	r := simulation.Meter(simulation.Site{Doors: 12, Disks: 3, Rate: 500, Wide: simulation.Wide{Backends: 400}}, 1, time.Minute, time.Minute, nil, nil,
+	r := simulation.Meter(simulation.Site{Nodes: 12, Disks: 3, Rate: 500, Wide: simulation.Wide{Backends: 400}}, 1, time.Minute, time.Minute, nil, nil,
 		func() string {
 			if asked++; asked == 2 {
 				return "as told"
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -29,9 +29,9 @@
 	"clovergap/internal/lab/simulation"
 )
 
-// Hollow is a house of real doors in this process: sockets, disks and clocks are real, and no client asks anything.
+// Hollow is a deployment of real nodes in this process: sockets, disks and clocks are real, and no client asks anything.
 type Hollow struct {
-	Doors, Members, Zones int
+	Nodes, Members, Zones int
 	Wide                  simulation.Wide
 	Beat                  time.Duration
 	Over                  time.Duration // of each span that is measured
@@ -46,11 +46,11 @@
 	Hollow
 	ReadyS             float64 // from the first start until all were ready
 	Descriptors        int     // of the process, without the beats'
-	Written            float64 // bytes a second written between doors, all together, without heads of packets and without logs
+	Written            float64 // bytes a second written between nodes, all together, without heads of packets and without logs
 	Core               float64 // of one core, all together, with the backends' beats
-	Heap               float64 // of a door, in the mean
+	Heap               float64 // of a node, in the mean
 	RSS                float64 // of the process
-	Acks, Median, Last float64 // milliseconds: of a change to its acknowledgement; from that to a door, and to the last, the worst
+	Acks, Median, Last float64 // milliseconds: of a change to its acknowledgement; from that to a node, and to the last, the worst
 }
 
 // counted is a connection of the backends' and operators' side.
@@ -74,14 +74,14 @@
 // hollow is one under way.
 type hollow struct {
 	Hollow
-	doors  []*node.House
-	sheets []*settings.Sheet
-	client *http.Client
-	bytes  atomic.Int64 // of beats and orders, both ways
-	dir    string
+	nodes    []*node.Node
+	settings []*settings.Settings
+	client   *http.Client
+	bytes    atomic.Int64 // of beats and orders, both ways
+	dir      string
 }
 
-// Play starts the doors, measures, and leaves them to the end of the process.
+// Play starts the nodes, measures, and leaves them to the end of the process.
 func (o Hollow) Play(ctx context.Context, tell io.Writer) (*Seen, error) {
 	x := &hollow{Hollow: o}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -109,7 +109,7 @@
 	for i := range o.Wide.Backends {
 		wg.Go(func() { x.beats(beats, i) })
 	}
-	if !x.until(ctx, 2*time.Minute, func(h *node.House) bool { return h.Serves() }) {
+	if !x.until(ctx, 2*time.Minute, func(h *node.Node) bool { return h.Serves() }) {
 		return nil, errors.New("not all doors are ready in two minutes")
 	}
 	s := &Seen{Hollow: o, ReadyS: time.Since(began).Seconds()}
@@ -120,20 +120,20 @@
 	secs := time.Since(at).Seconds()
 	s.Written = (float64(written()-before) - float64(x.bytes.Load()-bytes)) / secs
 	s.Core = (processTime() - cpu).Seconds() / secs
-	s.Heap, s.RSS, s.Descriptors = (x.heap()-empty)/float64(o.Doors), resident(), x.descriptors()
+	s.Heap, s.RSS, s.Descriptors = (x.heap()-empty)/float64(o.Nodes), resident(), x.descriptors()
 	return s, x.changes(ctx, s, version)
 }
 
 func (x *hollow) start() error {
 	pid := os.Getpid()
 	var seeds []string
-	for i := range x.Doors {
+	for i := range x.Nodes {
 		ip := fmt.Sprintf("127.%d.%d.%d", 2+(pid>>4+i/200)&127, 10+pid&127, 11+i%200)
-		s := &settings.Sheet{NodeName: fmt.Sprint("door-", i), IP: ip, Zone: fmt.Sprint("zone-", i%x.Zones), InnerPorts: [2]int{17560, 17575},
+		s := &settings.Settings{NodeName: fmt.Sprint("door-", i), IP: ip, Zone: fmt.Sprint("zone-", i%x.Zones), InnerPorts: [2]int{17560, 17575},
 			Bind:      settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"},
 			FirstBoot: true, CountsAsLoss: i < x.Members, BeatInterval: x.Beat,
 			Tolerates: settings.Tolerates{Machines: (x.Members - 1) / 2}, Bounds: gatewaystandin.Bounds(),
-			Limits: settings.Limits{MaxFDs: descriptorsMost}} // the poller goes by their numbers, which all doors share
+			Limits: settings.Limits{MaxFDs: descriptorsMost}} // the poller goes by their numbers, which all nodes share
 		if i < x.Members {
 			s.DataDir = filepath.Join(x.dir, s.NodeName)
 			if err := os.Mkdir(s.DataDir, 0o755); err != nil {
@@ -143,9 +143,9 @@
 				seeds = append(seeds, s.Bind.Control)
 			}
 		}
-		x.sheets = append(x.sheets, s)
+		x.settings = append(x.settings, s)
 	}
-	for _, s := range x.sheets {
+	for _, s := range x.settings {
 		s.SeedAddrs = seeds
 		h, err := node.New(s)
 		if err != nil {
@@ -154,14 +154,14 @@
 		if err := h.Start(); err != nil {
 			return err
 		}
-		x.doors = append(x.doors, h)
+		x.nodes = append(x.nodes, h)
 	}
 	return nil
 }
 
-// until waits for something of every door.
-func (x *hollow) until(ctx context.Context, most time.Duration, is func(*node.House) bool) bool {
-	left := slices.Clone(x.doors)
+// until waits for something of every node.
+func (x *hollow) until(ctx context.Context, most time.Duration, is func(*node.Node) bool) bool {
+	left := slices.Clone(x.nodes)
 	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		if left = slices.DeleteFunc(left, is); len(left) == 0 {
 			return true
@@ -186,11 +186,11 @@
 	return a.StatusCode, text, err
 }
 
-// order sends one until it is taken, to one door after the other.
+// order sends one until it is taken, to one node after the other.
 func (x *hollow) order(ctx context.Context, path string, body []byte, version uint64) (uint64, error) {
 	last := ""
 	for i := range 200 {
-		status, text, err := x.post(ctx, x.sheets[i%len(x.sheets)].Bind.Control, path, body)
+		status, text, err := x.post(ctx, x.settings[i%len(x.settings)].Bind.Control, path, body)
 		if err == nil && status == 200 {
 			return version, nil
 		}
@@ -208,7 +208,7 @@
 func (x *hollow) beats(ctx context.Context, i int) {
 	services := 2 + x.Wide.Services
 	service := simulation.ServiceName(i % services)
-	to, beat := x.sheets[i%len(x.sheets)].Bind.Control, controlapi.Beat{Address: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1),
+	to, beat := x.settings[i%len(x.settings)].Bind.Control, controlapi.Beat{Address: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1),
 		Capacity: 4, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service, Zone: fmt.Sprint("zone-", i/services%x.Zones)}
 	select {
 	case <-ctx.Done():
@@ -224,7 +224,7 @@
 		var a controlapi.BeatAnswer
 		switch {
 		case err != nil || status/100 != 2:
-			to = x.sheets[(i+int(beat.CallSeq))%len(x.sheets)].Bind.Control
+			to = x.settings[(i+int(beat.CallSeq))%len(x.settings)].Bind.Control
 		case json.Unmarshal(text, &a) == nil && a.BeatTarget != "":
 			to = a.BeatTarget
 		}
@@ -236,14 +236,14 @@
 	}
 }
 
-// changes makes some, one after the other, and takes the time from each acknowledgement until the doors have it.
+// changes makes some, one after the other, and takes the time from each acknowledgement until the nodes have it.
 func (x *hollow) changes(ctx context.Context, s *Seen, version uint64) error {
 	var acks, times []float64
 	for i := range x.Changes {
 		next := version + 1
 		deadline, aim := "1500ms", "400ms"
-		a := routing.Amendment{Generation: next, ParentVersion: version, Upserts: &routing.Upserts{Vhosts: []routing.BillHost{{
-			Hostname: "guests.example", PathList: []routing.BillRoute{{Name: fmt.Sprint("g-", i), PathPrefix: fmt.Sprintf("/g%d/", i),
+		a := routing.Amendment{Generation: next, ParentVersion: version, Upserts: &routing.Upserts{Vhosts: []routing.ConfigHost{{
+			Hostname: "guests.example", PathList: []routing.ConfigRoute{{Name: fmt.Sprint("g-", i), PathPrefix: fmt.Sprintf("/g%d/", i),
 				Variant: routing.Pure, Deadline: &deadline, TargetLatency: &aim, MaxTries: 2, Target: simulation.ServiceName(0)}}}}}}
 		body, err := json.Marshal(a)
 		if err != nil {
@@ -255,9 +255,9 @@
 		}
 		acked := time.Now()
 		acks = append(acks, ms(acked.Sub(began)))
-		left := slices.Clone(x.doors)
+		left := slices.Clone(x.nodes)
 		for len(left) > 0 && time.Since(acked) < 12*time.Second {
-			left = slices.DeleteFunc(left, func(h *node.House) bool {
+			left = slices.DeleteFunc(left, func(h *node.Node) bool {
 				if h.InForce() < next {
 					return false
 				}
@@ -289,7 +289,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// descriptors are those that doors hold.
+// descriptors are those that nodes hold.
 func (x *hollow) descriptors() int {
 	x.client.CloseIdleConnections()
 	all, _ := os.ReadDir("/proc/self/fd")
--- a/internal/lab/capacity/state.go
+++ b/internal/lab/capacity/state.go
@@ -32,7 +32,7 @@
 	return bytes, took
 }
 
-// part is a part of a door whose state grows with something.
+// part is a part of a node whose state grows with something.
 type part struct {
 	name, per string
 	sizes     []int
@@ -52,8 +52,8 @@
 		}
 	}
 	table := func(wide simulation.Wide) func() any {
-		s := register(wide)().(*statemachine.Script)
-		return func() any { return routing.NewTable(s.Bills.Bill()) }
+		s := register(wide)().(*statemachine.Machine)
+		return func() any { return routing.NewTable(s.Configs.Config()) }
 	}
 	return []part{
 		{"configuration as kept", "tenant", []int{100, 1000, 10000, 31000}, func(n int) func() any { return register(simulation.Wide{Tenants: n}) }},
@@ -62,7 +62,7 @@
 		{"table", "route", []int{100, 400, 1700}, func(n int) func() any { return table(simulation.Wide{Routes: n}) }},
 		{"quota, limits alone", "tenant", []int{100, 1000, 10000, 31000}, func(n int) func() any {
 			return func() any {
-				q := control.NewQuota(1, 0, 720, 0, control.QuotaTerms{Gap: 50 * time.Millisecond, ViewLife: time.Second, MailPerS: 400,
+				q := control.NewQuota(1, 0, 720, 0, control.QuotaTerms{Gap: 50 * time.Millisecond, ViewLife: time.Second, DatagramsPerSecond: 400,
 					MostUnits: 1, Parts: true, Start: 0.5})
 				for i := range n {
 					q.SetLimit(control.CustomerID(i+1), 50, 50)
@@ -73,9 +73,9 @@
 		{"board", "backend", []int{100, 1000, 5800}, func(n int) func() any {
 			return func() any {
 				b := registry.New(0, registry.Terms{BeatInterval: 1500 * time.Millisecond, Enough: 3, Life: 1}, 0)
-				b.Doors([]registry.Door{{Seat: 0, Control: "10.0.0.1:7102", Zone: "zone-0", Live: true, Firm: true}})
+				b.SetNodes([]registry.Node{{Seat: 0, Control: "10.0.0.1:7102", Zone: "zone-0", Live: true, Firm: true}})
 				for i := range n {
-					b.Beat(registry.Word{ID: fmt.Sprintf("i-service-%d", i), Service: fmt.Sprintf("service-%03d", i%270),
+					b.Beat(registry.Record{ID: fmt.Sprintf("i-service-%d", i), Service: fmt.Sprintf("service-%03d", i%270),
 						Addr: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1), Zone: "zone-0", Generation: "v1", Capacity: 4,
 						Phase: registry.Ready, Seq: 1})
 					for _, ok := b.Next(); ok; _, ok = b.Next() {
@@ -87,14 +87,14 @@
 		{"company", "door", []int{48, 200, 500}, func(n int) func() any {
 			return func() any {
 				at := func(i int) string { return fmt.Sprintf("10.0.%d.%d:7110", i/200, i%200+1) }
-				c := membership.New(membership.Door{Name: "door-0", Addr: at(0), Zone: "zone-0", Disk: 1}, membership.Terms{Tolerates: 2}, 0)
-				var order []membership.Seated
+				c := membership.New(membership.Node{Name: "door-0", Addr: at(0), Zone: "zone-0", Disk: 1}, membership.Terms{Tolerates: 2}, 0)
+				var order []membership.SlotHolder
 				for i := range n {
-					order = append(order, membership.Seated{Name: fmt.Sprintf("door-%d", i), Addr: at(i), Control: at(i), Zone: "zone-0"})
+					order = append(order, membership.SlotHolder{Name: fmt.Sprintf("door-%d", i), Addr: at(i), Control: at(i), Zone: "zone-0"})
 				}
-				c.Seats(order)
+				c.SetSlots(order)
 				for i := 1; i < n; i++ {
-					c.Hello(at(i), membership.Hello{Door: membership.Door{Name: fmt.Sprintf("door-%d", i), Addr: at(i), Control: at(i), Zone: "zone-0",
+					c.Hello(at(i), membership.Hello{Door: membership.Node{Name: fmt.Sprintf("door-%d", i), Addr: at(i), Control: at(i), Zone: "zone-0",
 						Life: uint64(i)}})
 				}
 				for _, ok := c.Next(); ok; _, ok = c.Next() {
@@ -119,7 +119,7 @@
 			x, y = append(x, float64(n)), append(y, b)
 		}
 		f := Line(x, y)
-		at := map[string]int{"tenant": Target.Tenants, "route": Target.Routes, "backend": Target.Backends, "door": Target.Doors}[p.per]
+		at := map[string]int{"tenant": Target.Tenants, "route": Target.Routes, "backend": Target.Backends, "door": Target.Nodes}[p.per]
 		fmt.Fprintf(w, "| %s | %s | %v | %.0f | %.2g | %.0f %% | %.0f | %.1f |\n", p.name, p.per, p.sizes, f.B, f.Error, 100*f.Residual,
 			f.At(float64(at))/1024, float64(took.Microseconds())/1000)
 	}
--- a/internal/lab/emulator/door.go
+++ b/internal/lab/emulator/door.go
@@ -171,7 +171,7 @@
 	w := d.w
 	w.res.messages++
 	w.judge.said(d, payload)
-	if int(peer) < 0 || int(peer) >= len(w.doors) || w.net.Float64() < w.s.Peers.Loss || w.strikes(w.lossBy) {
+	if int(peer) < 0 || int(peer) >= len(w.doors) || w.net.Float64() < w.s.Peers.Loss || w.faultAt(w.lossBy) {
 		return
 	}
 	if w.apart(d.hall, w.doors[peer].hall) {
@@ -288,7 +288,7 @@
 		case !s.to.reachable(s.d): // nothing comes back
 		default:
 			s.to.take(s)
-			if w.strikes(w.resetBy) { // sometime while it runs
+			if w.faultAt(w.resetBy) { // sometime while it runs
 				in := time.Duration(w.net.Float64() * s.try.req.work * float64(time.Second))
 				w.after(way+in, func() { s.finish(control.Broken) })
 			}
@@ -299,7 +299,7 @@
 // reply is the backend's answer on its way back.
 func (s *submission) reply(e control.Ending) {
 	w := s.d.w
-	if !s.to.reachable(s.d) || w.strikes(w.lostBy) {
+	if !s.to.reachable(s.d) || w.faultAt(w.lostBy) {
 		return
 	}
 	load := s.to.held()
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -14,7 +14,7 @@
 func (w *world) plan() {
 	for _, f := range w.s.Faults {
 		f := f
-		w.at(origin+f.At.D(), func() { w.strike(f) })
+		w.at(origin+f.At.D(), func() { w.applyFault(f) })
 	}
 }
 
@@ -43,8 +43,8 @@
 	return 0
 }
 
-// strike begins a fault.
-func (w *world) strike(f spec.Fault) {
+// applyFault begins a fault.
+func (w *world) applyFault(f spec.Fault) {
 	w.res.note("%s begins", f.Kind)
 	w.until(f, func() { w.res.note("%s ends", f.Kind) })
 	switch f.Kind {
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -161,8 +161,8 @@
 // apart tells whether no word gets from one hall to the other now.
 func (w *world) apart(a, b int) bool { return a != b && (w.cutHall[a] > 0 || w.cutHall[b] > 0) }
 
-// strikes draws whether any of some faults under way hits.
-func (w *world) strikes(shares []float64) bool {
+// faultAt draws whether any of some faults under way hits.
+func (w *world) faultAt(shares []float64) bool {
 	for _, s := range shares {
 		if w.net.Float64() < s {
 			return true
--- a/internal/lab/experiments/rollouts_test.go
+++ b/internal/lab/experiments/rollouts_test.go
@@ -18,7 +18,7 @@
 		Met:    gatewaystandin.Met{Last: 2 * time.Second, Requests: 40, Failing: 8},
 		Course: []gatewaystandin.Moment{{At: 0, Old: 50, New: 5}, {At: 0.5, Old: 40, New: 15, NewBad: 3}, {At: 1, Old: 60}}}
 	good := &faultrig.RolloutResult{Play: "sale-day", Arm: faultrig.Good}
-	pulled.Doors, good.Doors = 5, 5
+	pulled.Nodes, good.Nodes = 5, 5
 	var b bytes.Buffer
 	must.NoError(t, Rollouts(&b, "a day", []*faultrig.RolloutResult{pulled, good}))
 	page := b.String()
--- a/internal/lab/faultrig/faults.go
+++ b/internal/lab/faultrig/faults.go
@@ -63,7 +63,7 @@
 	over, cancel := context.WithTimeout(ctx, f.For.D())
 	defer cancel()
 	r.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: f.Kind})
-	heal := r.strike(over, f)
+	heal := r.apply(over, f)
 	<-over.Done()
 	for _, h := range heal {
 		h()
@@ -103,8 +103,8 @@
 	return func() { r.doors(which, func(d *standin.Door) error { return d.Again() }) }
 }
 
-// strike begins a fault and gives what heals it.
-func (r *run) strike(ctx context.Context, f *spec.Fault) (heal []func()) {
+// apply begins a fault and gives what heals it.
+func (r *run) apply(ctx context.Context, f *spec.Fault) (heal []func()) {
 	fleet := r.f
 	back := func(which []*standin.Backend, change func(*standin.Mode)) {
 		for _, b := range which {
--- a/internal/lab/faultrig/house.go
+++ b/internal/lab/faultrig/gateway.go
@@ -22,23 +22,23 @@
 	"clovergap/internal/lab/standin"
 )
 
-// HouseOptions are how the gateway's doors are played.
-type HouseOptions struct {
+// GatewayOptions are how the gateway's nodes are played.
+type GatewayOptions struct {
 	Program string
 	Rate    float64
 	Keep    string // folder for histories and logs of what failed; none if empty
 }
 
-// HouseResult is what came of it.
-type HouseResult struct {
+// GatewayResult is what came of it.
+type GatewayResult struct {
 	Seed      uint64           `json:"seed"`
-	Doors     int              `json:"doors"`
+	Nodes     int              `json:"doors"`
 	Seconds   float64          `json:"seconds"`
 	Faults    []string         `json:"faults"`
 	Broken    []history.Broken `json:"broken,omitempty"`
 	Doubted   []history.Broken `json:"doubted,omitempty"` // what rests on times, in a run that was held up
 	Slow      time.Duration    `json:"slow"`              // the longest that the rig itself was held up
-	Recovered []time.Duration  `json:"recovered"`         // until all doors served: after the heal, the close
+	Recovered []time.Duration  `json:"recovered"`         // until all nodes served: after the heal, the close
 	Asked     int64            `json:"asked"`
 	Settled   int64            `json:"settled"`
 	InTime    int64            `json:"in_time"`
@@ -50,31 +50,31 @@
 	History   []history.Event  `json:"-"`
 }
 
-// HouseSchedule is random overlapping faults on doors. The first three have a disk.
-type HouseSchedule struct {
-	Play   *gatewaystandin.Play // nil: the small house
+// GatewaySchedule is random overlapping faults on nodes. The first three have a disk.
+type GatewaySchedule struct {
+	Play   *gatewaystandin.Play // nil: the small deployment
 	Seed   uint64
-	Doors  int
+	Nodes  int
 	For    time.Duration
 	Early  bool // faults begin before the first configuration
 	Close  bool // a closing fault right after an acknowledgement: all are killed
 	Wipe   bool // and one disk is lost by it
 	Faults []spec.Fault
-	Late   []time.Duration // when each door is started for the first time; none: all at once, and waited for
+	Late   []time.Duration // when each node is started for the first time; none: all at once, and waited for
 }
 
-// Disks of a house.
+// Disks of a deployment.
 const Disks = 3
 
 // wipeCalm is how long the core must have been calm before a closing fault takes a disk: what was lost has
 // caught up.
 const wipeCalm = 9 * time.Second
 
-// DrawHouse draws a schedule from a seed. Only one disk is lost in it, as many as may be lost at once; the
+// DrawGateway draws a schedule from a seed. Only one disk is lost in it, as many as may be lost at once; the
 // closing fault may take another, after the core has been calm.
-func DrawHouse(seed uint64, doors int, most int, dur time.Duration) *HouseSchedule {
+func DrawGateway(seed uint64, doors int, most int, dur time.Duration) *GatewaySchedule {
 	rng := rand.New(rand.NewPCG(seed, 0x805e))
-	s := &HouseSchedule{Seed: seed, Doors: doors, For: dur, Early: rng.IntN(4) == 0}
+	s := &GatewaySchedule{Seed: seed, Nodes: doors, For: dur, Early: rng.IntN(4) == 0}
 	if rng.IntN(3) == 0 {
 		s.Close, s.Wipe = true, rng.IntN(2) == 0
 	}
@@ -129,19 +129,19 @@
 	return s
 }
 
-// cutWays of a cut: one of them in is of a door that hears nobody, out of one that nobody hears.
+// cutWays of a cut: one of them in is of a node that hears nobody, out of one that nobody hears.
 var cutWays = []string{"both", "in", "out"}
 
-// cuts tells whether any fault parts doors, which only debug builds can play.
-func (s *HouseSchedule) cuts() bool {
+// cuts tells whether any fault parts nodes, which only debug builds can play.
+func (s *GatewaySchedule) cuts() bool {
 	return slices.ContainsFunc(s.Faults, func(f spec.Fault) bool { return strings.HasSuffix(f.Kind, "-cut") })
 }
 
-// DrawFounding draws a schedule of the first start of all: doors start up to some seconds apart, and are killed and
+// DrawFounding draws a schedule of the first start of all: nodes start up to some seconds apart, and are killed and
 // stand still while the core is founded. No disk is lost.
-func DrawFounding(seed uint64, doors int, most int, dur time.Duration) *HouseSchedule {
+func DrawFounding(seed uint64, doors int, most int, dur time.Duration) *GatewaySchedule {
 	rng := rand.New(rand.NewPCG(seed, 0xf0d))
-	s := &HouseSchedule{Seed: seed, Doors: doors, For: dur, Early: true}
+	s := &GatewaySchedule{Seed: seed, Nodes: doors, For: dur, Early: true}
 	span := func(from, to float64) spec.Span { return spec.Span((from + rng.Float64()*(to-from)) * 1e9) }
 	apart := []float64{0, 0.3, 2, 6}[rng.IntN(4)]
 	for range doors {
@@ -155,10 +155,10 @@
 	return s
 }
 
-// house is a run under way.
-type house struct {
-	s       *HouseSchedule
-	t       *gatewaystandin.Troupe
+// gatewayRun is a run under way.
+type gatewayRun struct {
+	s       *GatewaySchedule
+	t       *gatewaystandin.Deployment
 	log     *history.Log
 	load    *gatewaystandin.Clients
 	name    string // of the play, for what is kept
@@ -171,22 +171,22 @@
 	turn    sync.Mutex    // held while it does
 	calmed  time.Time
 	settled []time.Duration
-	says    []string                               // what the doors say of themselves, where all is not well at the end
+	says    []string                               // what the nodes say of themselves, where all is not well at the end
 	act     func(context.Context) []history.Broken // what is played while clients ask
 	odd     bool                                   // it is kept though no rule was broken
 	also    func(h []history.Event, slack time.Duration) []history.Broken
 }
 
-// recoverMost is when all doors must serve again after the last heal: the rules' bound, and a little for the
+// recoverMost is when all nodes must serve again after the last heal: the rules' bound, and a little for the
 // rig.
 var recoverMost = gatewaystandin.Bounds().Recovery + 2*time.Second
 
-// PlayHouse plays a schedule on real doors. Whatever happens, no process is left when it returns.
-func PlayHouse(ctx context.Context, s *HouseSchedule, o HouseOptions) (*HouseResult, error) {
-	return playHouse(ctx, s, o, func(h *house) { h.act = h.faults })
+// PlayGateway plays a schedule on real nodes. Whatever happens, no process is left when it returns.
+func PlayGateway(ctx context.Context, s *GatewaySchedule, o GatewayOptions) (*GatewayResult, error) {
+	return playGateway(ctx, s, o, func(h *gatewayRun) { h.act = h.faults })
 }
 
-func playHouse(ctx context.Context, s *HouseSchedule, o HouseOptions, rehearse func(*house)) (*HouseResult, error) {
+func playGateway(ctx context.Context, s *GatewaySchedule, o GatewayOptions, rehearse func(*gatewayRun)) (*GatewayResult, error) {
 	if s.cuts() {
 		about, err := exec.CommandContext(ctx, o.Program, "version").Output()
 		if err != nil || !strings.Contains(string(about), "debug") {
@@ -204,19 +204,19 @@
 	slow := watchSelf(stop)
 	began := time.Now()
 	if len(s.Late) > 0 {
-		for i, d := range t.Doors {
+		for i, d := range t.Nodes {
 			h.wg.Add(1)
 			go func() {
 				defer h.wg.Done()
 				sleep(ctx, s.Late[i])
-				h.each([]*gatewaystandin.Door{d}, again)
+				h.each([]*gatewaystandin.Node{d}, again)
 			}()
 		}
 	} else if err := t.Start(); err != nil {
 		close(stop)
 		return nil, err
 	}
-	res := &HouseResult{Seed: s.Seed, Doors: s.Doors}
+	res := &GatewayResult{Seed: s.Seed, Nodes: s.Nodes}
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		name := f.Kind
@@ -243,20 +243,20 @@
 	return res, nil
 }
 
-// enter lays a house; leave ends all that is of it.
-func enter(s *HouseSchedule, o HouseOptions) (*house, error) {
+// enter lays a deployment; leave ends all that is of it.
+func enter(s *GatewaySchedule, o GatewayOptions) (*gatewayRun, error) {
 	log := history.InMemory(eventsMost)
 	each := 1
-	if s.Doors > 6 {
+	if s.Nodes > 6 {
 		each = 2
 	}
-	t, err := gatewaystandin.New(gatewaystandin.Terms{Program: o.Program, Doors: s.Doors, Disks: Disks,
+	t, err := gatewaystandin.New(gatewaystandin.Terms{Program: o.Program, Nodes: s.Nodes, Disks: Disks,
 		Zones: []string{"stalls", "circle", "gallery"},
 		Each:  each, Rate: o.Rate, Seed: s.Seed, Beat: time.Second, Lost: 1, History: log, Play: s.Play})
 	if err != nil {
 		return nil, err
 	}
-	h := &house{s: s, t: t, log: log, load: gatewaystandin.NewClients(t), acked: make(chan struct{})}
+	h := &gatewayRun{s: s, t: t, log: log, load: gatewaystandin.NewClients(t), acked: make(chan struct{})}
 	h.load.Rate = func() float64 {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -269,13 +269,13 @@
 	return h, nil
 }
 
-func (h *house) leave() {
+func (h *gatewayRun) leave() {
 	h.load.Close()
 	h.t.Close()
 }
 
 // run plays all; what is broken by its end is given.
-func (h *house) run(ctx context.Context) (bad []history.Broken) {
+func (h *gatewayRun) run(ctx context.Context) (bad []history.Broken) {
 	all, cancel := context.WithCancel(ctx)
 	var side sync.WaitGroup
 	defer side.Wait()
@@ -321,7 +321,7 @@
 		return nil
 	}
 	if final == nil || len(bad) > 0 {
-		for _, d := range h.t.Doors {
+		for _, d := range h.t.Nodes {
 			h.says = append(h.says, d.Name+": "+h.t.Tells(d))
 		}
 	}
@@ -329,8 +329,8 @@
 }
 
 // faults plays a schedule's.
-func (h *house) faults(all context.Context) (bad []history.Broken) {
-	h.strike(all)
+func (h *gatewayRun) faults(all context.Context) (bad []history.Broken) {
+	h.apply(all)
 	sleep(all, h.s.For)
 	h.wg.Wait() // every fault has healed
 	h.calmed = time.Now()
@@ -346,8 +346,8 @@
 	return bad
 }
 
-// strike lets all faults begin, each at its time from now.
-func (h *house) strike(ctx context.Context) {
+// apply lets all faults begin, each at its time from now.
+func (h *gatewayRun) apply(ctx context.Context) {
 	for i := range h.s.Faults {
 		h.wg.Add(1)
 		go func() { defer h.wg.Done(); h.play(ctx, &h.s.Faults[i]) }()
@@ -355,7 +355,7 @@
 }
 
 // operate sends the first configuration, then changes it, until all is over.
-func (h *house) operate(ctx context.Context, open chan struct{}) {
+func (h *gatewayRun) operate(ctx context.Context, open chan struct{}) {
 	rng := rand.New(rand.NewPCG(h.s.Seed, 0x09))
 	if !h.t.Operator.Open(ctx) {
 		return
@@ -385,7 +385,7 @@
 }
 
 // acknowledged waits for the next acknowledgement, or for a while.
-func (h *house) acknowledged(ctx context.Context, most time.Duration) {
+func (h *gatewayRun) acknowledged(ctx context.Context, most time.Duration) {
 	h.mu.Lock()
 	ch := h.acked
 	h.mu.Unlock()
@@ -396,8 +396,8 @@
 	}
 }
 
-// each does something to some doors at once and waits for all.
-func (h *house) each(which []*gatewaystandin.Door, do func(*gatewaystandin.Door) error) {
+// each does something to some nodes at once and waits for all.
+func (h *gatewayRun) each(which []*gatewaystandin.Node, do func(*gatewaystandin.Node) error) {
 	var wg sync.WaitGroup
 	for _, d := range which {
 		wg.Add(1)
@@ -415,17 +415,17 @@
 	wg.Wait()
 }
 
-func kill(d *gatewaystandin.Door) error  { d.Kill(); return nil }
-func again(d *gatewaystandin.Door) error { return d.Again() }
+func kill(d *gatewaystandin.Node) error  { d.Kill(); return nil }
+func again(d *gatewaystandin.Node) error { return d.Again() }
 
 // play waits for a fault's time, brings it and heals it.
-func (h *house) play(ctx context.Context, f *spec.Fault) {
+func (h *gatewayRun) play(ctx context.Context, f *spec.Fault) {
 	sleep(ctx, f.At.D())
 	if ctx.Err() != nil {
 		return
 	}
 	rng := f.Source(nil)
-	some := func(of []*gatewaystandin.Door) (all []*gatewaystandin.Door) {
+	some := func(of []*gatewaystandin.Node) (all []*gatewaystandin.Node) {
 		for _, i := range spec.Hits(len(of), f.Share, rng) {
 			all = append(all, of[i])
 		}
@@ -435,13 +435,13 @@
 		h.acknowledged(ctx, 3*time.Second)
 	}
 	if strings.HasPrefix(f.Kind, "lead-") {
-		some = func([]*gatewaystandin.Door) []*gatewaystandin.Door { return h.leader(ctx) }
+		some = func([]*gatewaystandin.Node) []*gatewaystandin.Node { return h.leader(ctx) }
 	}
 	h.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: f.Kind})
 	defer func() { h.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: f.Kind}) }()
 	switch f.Kind {
 	case "door-kill", "herd-kill", "core-kill", "ack-kill", "lead-kill":
-		of := h.t.Doors
+		of := h.t.Nodes
 		if f.Kind == "core-kill" || f.Kind == "ack-kill" {
 			of = h.t.Cores()
 		}
@@ -451,20 +451,20 @@
 		h.each(which, again)
 	case "disk-wipe", "ack-wipe":
 		which := some(h.t.Cores())
-		h.each(which, func(d *gatewaystandin.Door) error { return d.Wipe() })
+		h.each(which, func(d *gatewaystandin.Node) error { return d.Wipe() })
 		sleep(ctx, f.For.D())
 		h.each(which, again)
 	case "door-stall", "core-stall", "ack-stall", "lead-stall":
-		of := h.t.Doors
+		of := h.t.Nodes
 		if f.Kind != "door-stall" {
 			of = h.t.Cores()
 		}
 		which := some(of)
-		h.each(which, func(d *gatewaystandin.Door) error { d.Hold(true, f.Kind); return nil })
+		h.each(which, func(d *gatewaystandin.Node) error { d.Hold(true, f.Kind); return nil })
 		sleep(ctx, f.For.D())
-		h.each(which, func(d *gatewaystandin.Door) error { d.Hold(false, f.Kind); return nil })
+		h.each(which, func(d *gatewaystandin.Node) error { d.Hold(false, f.Kind); return nil })
 	case "door-cut", "core-cut", "ack-cut":
-		of := h.t.Doors
+		of := h.t.Nodes
 		if f.Kind != "door-cut" {
 			of = h.t.Cores()
 		}
@@ -479,12 +479,12 @@
 		}
 		sleep(ctx, f.For.D())
 	case "door-term", "core-term", "lead-term":
-		of := h.t.Doors
+		of := h.t.Nodes
 		if f.Kind == "core-term" {
 			of = h.t.Cores()
 		}
 		which := some(of)
-		h.each(which, func(d *gatewaystandin.Door) error { d.Term(gatewaystandin.Bounds().Grace); return nil })
+		h.each(which, func(d *gatewaystandin.Node) error { d.Term(gatewaystandin.Bounds().Grace); return nil })
 		sleep(ctx, f.For.D())
 		h.each(which, again)
 	case "crash", "drain":
@@ -544,13 +544,13 @@
 	}
 }
 
-// leader is the door that leads the core, by the first word of any of the core.
-func (h *house) leader(ctx context.Context) []*gatewaystandin.Door {
+// leader is the node that leads the core, by the first word of any of the core.
+func (h *gatewayRun) leader(ctx context.Context) []*gatewaystandin.Node {
 	for _, d := range h.t.Cores() {
 		s := h.t.Status(ctx, d, 300*time.Millisecond)
 		for _, x := range h.t.Cores() {
 			if s != nil && s.Core != nil && strings.HasPrefix(s.Core.Leader, x.Host+":") {
-				return []*gatewaystandin.Door{x}
+				return []*gatewaystandin.Node{x}
 			}
 		}
 	}
@@ -558,30 +558,30 @@
 }
 
 // closing kills all right after an acknowledgement; one disk may be lost by it.
-func (h *house) closing(ctx context.Context) {
+func (h *gatewayRun) closing(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(h.s.Seed, 0xc105))
 	lost := h.t.Cores()[rng.IntN(Disks)]
 	h.acknowledged(ctx, 5*time.Second)
 	h.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: "closing"})
-	h.each(h.t.Doors, func(d *gatewaystandin.Door) error {
+	h.each(h.t.Nodes, func(d *gatewaystandin.Node) error {
 		if h.s.Wipe && d == lost {
 			return d.Wipe()
 		}
 		return kill(d)
 	})
 	sleep(ctx, time.Duration(200+rng.IntN(800))*time.Millisecond)
-	h.each(h.t.Doors, again)
+	h.each(h.t.Nodes, again)
 	h.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: "closing"})
 }
 
-// recovers waits until every door serves every first route.
-func (h *house) recovers(ctx context.Context, what string) []history.Broken {
+// recovers waits until every node serves every first route.
+func (h *gatewayRun) recovers(ctx context.Context, what string) []history.Broken {
 	began := time.Now()
 	late, cancel := context.WithTimeout(ctx, recoverMost)
 	defer cancel()
 	var mu sync.Mutex
 	var bad []history.Broken
-	h.each(h.t.Doors, func(d *gatewaystandin.Door) error {
+	h.each(h.t.Nodes, func(d *gatewaystandin.Node) error {
 		for late.Err() == nil {
 			if h.load.Probe(late, d) {
 				return nil
@@ -602,11 +602,11 @@
 }
 
 // judge holds the history against the rules.
-func (h *house) judge(res *HouseResult, bad []history.Broken) {
+func (h *gatewayRun) judge(res *GatewayResult, bad []history.Broken) {
 	o, _, _ := h.load.Outcomes()
 	res.Asked, res.Settled, res.InTime = o.Requests, o.Settled, o.InTime
 	res.Refused, res.Voided, res.Failed = o.Declined, o.Voided, o.Failed
-	for _, d := range h.t.Doors {
+	for _, d := range h.t.Nodes {
 		if words, ended := d.Crash(); ended {
 			bad = append(bad, history.Broken{Rule: "Fault", T: history.Now(), Who: d.Name,
 				What: "ended by itself: " + words})
@@ -624,7 +624,7 @@
 	if n := events[max(0, len(events)-1)]; n.Kind == history.Lost {
 		res.Slow = time.Hour // what rests on what was not kept is no finding
 	}
-	bad = append(bad, gatewaystandin.Judge(events, h.t.Cast(), platform+res.Slow)...)
+	bad = append(bad, gatewaystandin.Judge(events, h.t.Backends(), platform+res.Slow)...)
 	if h.also != nil {
 		bad = append(bad, h.also(events, platform+res.Slow)...)
 	}
@@ -635,7 +635,7 @@
 		}
 	}
 	for _, b := range history.OneAnswer(gatewaystandin.Run(events), history.World{Slack: platform + res.Slow}) {
-		// What a backend broke off may end so, and what takes longer than its door's grace.
+		// What a backend broke off may end so, and what takes longer than its node's grace.
 		if !spoilt[b.Txn] && !gatewaystandin.OutOfGrace(events, b.Who, b.T) {
 			bad = append(bad, b)
 		}
@@ -649,9 +649,9 @@
 	}
 }
 
-// keep writes the history and the doors' logs of a run that failed.
-func (h *house) keep(dir string, res *HouseResult) error {
-	dir = filepath.Join(dir, fmt.Sprintf("%s-%d-%d", cmp.Or(h.name, "house"), res.Doors, res.Seed))
+// keep writes the history and the nodes' logs of a run that failed.
+func (h *gatewayRun) keep(dir string, res *GatewayResult) error {
+	dir = filepath.Join(dir, fmt.Sprintf("%s-%d-%d", cmp.Or(h.name, "house"), res.Nodes, res.Seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -668,7 +668,7 @@
 			return err
 		}
 	}
-	for _, d := range h.t.Doors {
+	for _, d := range h.t.Nodes {
 		in, err := os.Open(d.Log())
 		if err != nil {
 			continue // it wrote nothing
--- a/internal/lab/faultrig/house_test.go
+++ b/internal/lab/faultrig/gateway_test.go
@@ -15,10 +15,10 @@
 	"clovergap/internal/lab/spec"
 )
 
-// Five doors, three with disks, while cores and doors are killed, stand still, lose a disk, end in order and are cut
+// Five nodes, three with disks, while cores and nodes are killed, stand still, lose a disk, end in order and are cut
 // off, and all die right after an acknowledgement: no rule that rests on no time is broken, all serve again, and
 // no process is left.
-func TestFaultsOnAHouse(t *testing.T) {
+func TestFaultsOnAGateway(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
@@ -27,17 +27,17 @@
 	fault := func(kind string, at, for_, share float64) spec.Fault {
 		return spec.Fault{Kind: kind, At: sec(at), For: sec(for_), Share: share, Pick: 7}
 	}
-	s := &HouseSchedule{Seed: 3, Doors: 5, For: 6 * time.Second, Close: true, Faults: []spec.Fault{
+	s := &GatewaySchedule{Seed: 3, Nodes: 5, For: 6 * time.Second, Close: true, Faults: []spec.Fault{
 		fault("ack-wipe", 0.3, 0.3, 0.3), fault("door-stall", 0.5, 1, 0.4), fault("drain", 0.8, 0.2,
 			0.2), fault("core-stall", 1.5, 1.5, 0.3),
 		fault("core-term", 2, 0.3, 0.3), fault("crash", 2.5, 0.3, 0.2), fault("herd-kill", 4, 0.2,
 			1), fault("ack-kill", 5, 0.3, 0.6), fault("ack-cut", 3, 0.8, 0), fault("door-cut", 1, 2, 0.4)}}
 	s.Faults[8].Shape, s.Faults[8].Way, s.Faults[9].Shape = "isolated", "out", "halves"
-	r, err := PlayHouse(context.Background(), s, HouseOptions{Program: program, Rate: 60})
+	r, err := PlayGateway(context.Background(), s, GatewayOptions{Program: program, Rate: 60})
 	must.NoError(t, err)
 	for _, b := range r.Broken {
 		if b.Timed {
-			t.Logf("of times, which this machine may not keep: %s", b) // lab house chaos judges these
+			t.Logf("of times, which this machine may not keep: %s", b) // lab deployment chaos judges these
 		} else {
 			t.Errorf("%s", b)
 		}
@@ -49,14 +49,14 @@
 	must.SliceEmpty(t, children(t), must.Sprint("processes left"))
 }
 
-// What losses cost is measured: another leads and takes changes, and doors that were killed serve again.
+// What losses cost is measured: another leads and takes changes, and nodes that were killed serve again.
 func TestMeasureLosses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	defer goleak.VerifyNone(t)
 	losses := []Loss{Killed, Emptied}
-	all, err := MeasureLosses(context.Background(), 1, Disks, 1, losses, HouseOptions{Program: build(t), Rate: 40}, func(Loss, int) {})
+	all, err := MeasureLosses(context.Background(), 1, Disks, 1, losses, GatewayOptions{Program: build(t), Rate: 40}, func(Loss, int) {})
 	must.NoError(t, err)
 	for _, of := range [][]time.Duration{all[0].Leads, all[0].Taken, all[1].Serve, all[1].All} {
 		must.Len(t, 1, of)
@@ -91,10 +91,10 @@
 }
 
 // A schedule comes again from its seed, and loses as many disks as may be lost.
-func TestDrawHouse(t *testing.T) {
+func TestDrawGateway(t *testing.T) {
 	for seed := range uint64(500) {
-		s := DrawHouse(seed, 5, 7, 20*time.Second)
-		must.Eq(t, s, DrawHouse(seed, 5, 7, 20*time.Second))
+		s := DrawGateway(seed, 5, 7, 20*time.Second)
+		must.Eq(t, s, DrawGateway(seed, 5, 7, 20*time.Second))
 		wipes := 0
 		for _, f := range s.Faults {
 			if f.Kind == "disk-wipe" || f.Kind == "ack-wipe" {
--- a/internal/lab/faultrig/rollout.go
+++ b/internal/lab/faultrig/rollout.go
@@ -34,25 +34,25 @@
 // newVersion is what takes over.
 const newVersion = "v2"
 
-// RolloutSchedule is a roll-out in four steps with a version that fails partway, and faults on doors about the
+// RolloutSchedule is a roll-out in four steps with a version that fails partway, and faults on nodes about the
 // moment of the pull-back.
 type RolloutSchedule struct {
-	HouseSchedule
+	GatewaySchedule
 	Arm     Arm
 	Steps   []int // shares
 	Dwell   time.Duration
-	Advance string // of understudy.Rollout
+	Advance string // of rollout.Rollout
 	Flaw    gatewaystandin.Flaw
 	Step    int           // in which it begins to fail, from 1
 	After   time.Duration // and when in it
-	Seen    bool          // the faults begin when the first door is seen to have pulled back; else with the failing
+	Seen    bool          // the faults begin when the first node is seen to have pulled back; else with the failing
 }
 
 // DrawRollout draws a schedule from a seed.
 func DrawRollout(play string, arm Arm, seed uint64, doors int, dur time.Duration) *RolloutSchedule {
 	rng := rand.New(rand.NewPCG(seed, 0x9011+uint64(len(play)))) // plays differ in their schedules
 	span := func(from, to float64) spec.Span { return spec.Span((from + rng.Float64()*(to-from)) * 1e9) }
-	s := &RolloutSchedule{HouseSchedule: HouseSchedule{Play: gatewaystandin.Plays()[play](), Seed: seed, Doors: doors, For: dur},
+	s := &RolloutSchedule{GatewaySchedule: GatewaySchedule{Play: gatewaystandin.Plays()[play](), Seed: seed, Nodes: doors, For: dur},
 		Arm: arm, Steps: [][]int{{500, 2000, 5000, 9000}, {1000, 2500, 5000, 7500}, {1000, 3000, 6000, 9000}}[rng.IntN(3)],
 		Dwell: span(1.5, 2.5).D(), Advance: []string{"time", "word"}[rng.IntN(2)], Step: 2 + rng.IntN(3)}
 	s.After = time.Duration(rng.Float64() * float64(s.Dwell))
@@ -98,15 +98,15 @@
 
 // RolloutResult is what came of it.
 type RolloutResult struct {
-	HouseResult
+	GatewayResult
 	Play     string                  `json:"play"`
 	Arm      Arm                     `json:"arm"`
 	Flaw     string                  `json:"flaw,omitempty"`
 	Advance  string                  `json:"advance"`
 	Share    int                     `json:"share"`  // when it began to fail, in 1/10000
 	Rate     float64                 `json:"rate"`   // requests a second
-	Pulled   int                     `json:"pulled"` // doors that were seen to have pulled back
-	Alone    int                     `json:"alone"`  // doors that said that they pulled back for themselves
+	Pulled   int                     `json:"pulled"` // nodes that were seen to have pulled back
+	Alone    int                     `json:"alone"`  // nodes that said that they pulled back for themselves
 	Phase    string                  `json:"phase"`  // at the end
 	Why      string                  `json:"why,omitempty"`
 	Met      gatewaystandin.Met      `json:"met"`
@@ -120,43 +120,43 @@
 
 const (
 	lookEvery  = 40 * time.Millisecond
-	afterwards = 2 * time.Second // watched after the last door has pulled back
+	afterwards = 2 * time.Second // watched after the last node has pulled back
 	orderMost  = 20 * time.Second
 	piece      = 500 * time.Millisecond
 )
 
-// rollout is one under way, beside its house.
+// rollout is one under way, beside its deployment.
 type rolloutRun struct {
-	*house
+	*gatewayRun
 	s     *RolloutSchedule
 	res   *RolloutResult
 	trial gatewaystandin.Trial
 	from  time.Duration // when it was started
 
 	look sync.Mutex
-	last gatewaystandin.RolloutView // the newest that any door told
+	last gatewaystandin.RolloutView // the newest that any node told
 	why  string                     // there was a pull-back
-	seen chan struct{}              // closed when a door has pulled back
+	seen chan struct{}              // closed when a node has pulled back
 }
 
-// PlayRollout plays a schedule on real doors.
-func PlayRollout(ctx context.Context, s *RolloutSchedule, o HouseOptions) (*RolloutResult, error) {
+// PlayRollout plays a schedule on real nodes.
+func PlayRollout(ctx context.Context, s *RolloutSchedule, o GatewayOptions) (*RolloutResult, error) {
 	r := &rolloutRun{s: s, res: &RolloutResult{Play: s.Play.Name, Arm: s.Arm, Advance: s.Advance, Rate: o.Rate},
 		trial: gatewaystandin.Trial{Service: s.Play.Leading, New: newVersion, Pulled: map[string]time.Duration{}},
 		seen:  make(chan struct{})}
 	if s.Arm != Good {
 		r.res.Flaw = s.Flaw.String()
 	}
-	res, err := playHouse(ctx, &s.HouseSchedule, o, func(h *house) {
-		r.house, h.act, h.also, h.name = h, r.act, r.judge, s.Play.Name+"-"+string(s.Arm)
+	res, err := playGateway(ctx, &s.GatewaySchedule, o, func(h *gatewayRun) {
+		r.gatewayRun, h.act, h.also, h.name = h, r.act, r.judge, s.Play.Name+"-"+string(s.Arm)
 	})
 	if res != nil {
-		r.res.HouseResult = *res
+		r.res.GatewayResult = *res
 	}
 	return r.res, err
 }
 
-// act starts the roll-out, lets the new version fail, and waits until all doors have pulled back.
+// act starts the roll-out, lets the new version fail, and waits until all nodes have pulled back.
 func (r *rolloutRun) act(ctx context.Context) (bad []history.Broken) {
 	broken := func(format string, args ...any) []history.Broken {
 		return append(bad, history.Broken{Rule: "ROLLOUT", T: history.Now(), What: fmt.Sprintf(format, args...)})
@@ -168,7 +168,7 @@
 			}
 		}
 	}
-	sleep(ctx, 3*time.Second) // all doors have heard of them
+	sleep(ctx, 3*time.Second) // all nodes have heard of them
 	r.from = history.Now()
 	why := r.call(ctx, rollout.Start, 0)
 	for until := time.Now().Add(orderMost); why != "" && strings.Contains(why, "room") && time.Now().Before(until); {
@@ -183,7 +183,7 @@
 	var side sync.WaitGroup
 	defer side.Wait()
 	defer enough()
-	for _, d := range r.t.Doors {
+	for _, d := range r.t.Nodes {
 		side.Add(1)
 		go func() { defer side.Done(); r.watch(watch, d) }()
 	}
@@ -197,7 +197,7 @@
 	}
 	r.res.Share = r.s.Steps[r.s.Step-1]
 	if !r.s.Seen || r.s.Arm == Good || r.s.Arm == Unjudged {
-		r.strike(ctx)
+		r.apply(ctx)
 	}
 	late := time.After(r.s.For)
 	stepped := make(chan bool, 1)
@@ -209,7 +209,7 @@
 	case <-r.seen:
 		stop()
 		if r.s.Seen && r.s.Arm == Judged {
-			r.strike(ctx)
+			r.apply(ctx)
 		}
 	case <-late:
 	case <-ctx.Done():
@@ -218,7 +218,7 @@
 	if !r.pulledBack() && r.s.Arm != Good { // somebody mends it at last
 		r.trial.Mended = history.Now()
 		r.odd = r.s.Arm == Judged
-		for _, d := range r.t.Doors {
+		for _, d := range r.t.Nodes {
 			r.says = append(r.says, d.Name+": "+r.t.TellsRollouts(d))
 		}
 		r.t.Spoil(newVersion, nil)
@@ -230,7 +230,7 @@
 		sleep(ctx, r.s.Dwell)
 	}
 	if r.pulledBack() {
-		for until := time.Now().Add(recoverMost); time.Now().Before(until) && r.doorsPulled() < len(r.t.Doors); {
+		for until := time.Now().Add(recoverMost); time.Now().Before(until) && r.nodesPulled() < len(r.t.Nodes); {
 			sleep(ctx, lookEvery)
 		}
 		sleep(ctx, afterwards)
@@ -263,8 +263,8 @@
 	return false
 }
 
-// watch looks again and again at whether a door has pulled back, and one time in four at how all stands.
-func (r *rolloutRun) watch(ctx context.Context, d *gatewaystandin.Door) {
+// watch looks again and again at whether a node has pulled back, and one time in four at how all stands.
+func (r *rolloutRun) watch(ctx context.Context, d *gatewaystandin.Node) {
 	for i := 0; ctx.Err() == nil; i++ {
 		if i%4 == 0 {
 			if v, ok := r.t.Rollout(ctx, d, r.s.Play.Leading); ok {
@@ -289,9 +289,9 @@
 	}
 }
 
-func (r *rolloutRun) pulledBack() bool { return r.doorsPulled() > 0 }
+func (r *rolloutRun) pulledBack() bool { return r.nodesPulled() > 0 }
 
-func (r *rolloutRun) doorsPulled() int {
+func (r *rolloutRun) nodesPulled() int {
 	r.look.Lock()
 	defer r.look.Unlock()
 	return len(r.trial.Pulled)
@@ -315,8 +315,8 @@
 
 // judge holds the roll-out against its own rules and measures it.
 func (r *rolloutRun) judge(h []history.Event, slack time.Duration) (bad []history.Broken) {
-	r.trial.Lines, r.trial.Slack = r.t.Lines(), slack
-	books, open := gatewaystandin.Books(h)
+	r.trial.Lines, r.trial.Slack = r.t.Outputs(), slack
+	books, open := gatewaystandin.Ledger(h)
 	reads, carried := gatewaystandin.Whole(h, &r.trial)
 	bad = slices.Concat(books, reads, gatewaystandin.Barred(h, &r.trial))
 	x := r.res
@@ -335,7 +335,7 @@
 		}
 		return (t - r.from).Seconds()
 	}
-	for _, d := range r.t.Doors {
+	for _, d := range r.t.Nodes {
 		if text, err := os.ReadFile(d.Log()); err == nil && strings.Contains(string(text), "pulls back for itself") {
 			x.Alone++
 		}
@@ -354,8 +354,8 @@
 		return "not pulled back"
 	case r.Arm == Good:
 		return "WRONGLY pulled back"
-	case r.Pulled < r.Doors:
-		return fmt.Sprintf("pulled back at %d of %d doors", r.Pulled, r.Doors)
+	case r.Pulled < r.Nodes:
+		return fmt.Sprintf("pulled back at %d of %d doors", r.Pulled, r.Nodes)
 	}
 	return "pulled back"
 }
@@ -378,9 +378,9 @@
 type RolloutSum struct {
 	Runs     int                    `json:"runs"`
 	Broke    int                    `json:"broke"`  // runs that broke a rule
-	Pulled   int                    `json:"pulled"` // at all doors
+	Pulled   int                    `json:"pulled"` // at all nodes
 	Verdict  Spread                 `json:"verdict"`
-	LastDoor Spread                 `json:"last_door"`
+	LastNode Spread                 `json:"last_door"`
 	Last     Spread                 `json:"last"`
 	Met      [2]int                 `json:"met"`    // median and most of the requests that met it
 	Failed   [2]int                 `json:"failed"` // of these
@@ -396,17 +396,17 @@
 	s.Why = map[string]int{}
 	var verdict, door, last []time.Duration
 	var met, failed []int
-	none := !slices.ContainsFunc(all, func(r *RolloutResult) bool { return r.Pulled == r.Doors })
+	none := !slices.ContainsFunc(all, func(r *RolloutResult) bool { return r.Pulled == r.Nodes })
 	for _, r := range all {
 		s.Runs++
 		if len(r.Broken) > 0 {
 			s.Broke++
 		}
-		if r.Pulled == r.Doors {
+		if r.Pulled == r.Nodes {
 			s.Pulled++
-			verdict, door, last = append(verdict, r.Met.Verdict), append(door, r.Met.LastDoor), append(last, r.Met.Last)
+			verdict, door, last = append(verdict, r.Met.Verdict), append(door, r.Met.LastNode), append(last, r.Met.Last)
 		}
-		if r.Pulled == r.Doors || none {
+		if r.Pulled == r.Nodes || none {
 			met, failed = append(met, r.Met.Requests), append(failed, r.Met.Failing)
 		}
 		s.Asked, s.Recorded, s.Unclear = s.Asked+r.Asked, s.Recorded+r.Recorded, s.Unclear+r.Open.All
@@ -416,7 +416,7 @@
 		s.Reads.UnderWay, s.Reads.Whole = s.Reads.UnderWay+r.Reads.UnderWay, s.Reads.Whole+r.Reads.Whole
 		s.Reads.Failed, s.Reads.Off = s.Reads.Failed+r.Reads.Failed, s.Reads.Off+r.Reads.Off
 	}
-	s.Verdict, s.LastDoor, s.Last = spreadOf(verdict), spreadOf(door), spreadOf(last)
+	s.Verdict, s.LastNode, s.Last = spreadOf(verdict), spreadOf(door), spreadOf(last)
 	half := func(n []int) (x [2]int) {
 		if slices.Sort(n); len(n) > 0 {
 			x = [2]int{n[len(n)/2], n[len(n)-1]}
--- a/internal/lab/faultrig/rollout_test.go
+++ b/internal/lab/faultrig/rollout_test.go
@@ -34,7 +34,7 @@
 	run := func(pulled int, last time.Duration, met int) *RolloutResult {
 		r := &RolloutResult{Pulled: pulled, Met: gatewaystandin.Met{Last: last, Requests: met}, Recorded: 10,
 			Open: gatewaystandin.Open{All: 1, Why: map[string]int{"never sent on": 1}}}
-		r.Doors = 5
+		r.Nodes = 5
 		return r
 	}
 	s := SumRollouts([]*RolloutResult{run(5, 3*time.Second, 30), run(5, time.Second, 10), run(5, 2*time.Second, 20), run(0, 0, 900)})
--- a/internal/lab/faultrig/spans.go
+++ b/internal/lab/faultrig/spans.go
@@ -42,9 +42,9 @@
 const asideMost = 20
 
 // MeasureLosses brings each loss so many times on a house under load, one after the other, each once all is well again.
-func MeasureLosses(ctx context.Context, seed uint64, doors, tries int, losses []Loss, o HouseOptions,
+func MeasureLosses(ctx context.Context, seed uint64, doors, tries int, losses []Loss, o GatewayOptions,
 	told func(Loss, int)) ([]Spans, error) {
-	h, err := enter(&HouseSchedule{Seed: seed, Doors: doors}, o)
+	h, err := enter(&GatewaySchedule{Seed: seed, Nodes: doors}, o)
 	if err != nil {
 		return nil, err
 	}
@@ -85,7 +85,7 @@
 }
 
 // watched brings one loss and tells how long the rig itself was held up meanwhile.
-func (h *house) watched(ctx context.Context, l Loss, rng *rand.Rand) (*Spans, time.Duration, error) {
+func (h *gatewayRun) watched(ctx context.Context, l Loss, rng *rand.Rand) (*Spans, time.Duration, error) {
 	s, stop := &Spans{Loss: l}, make(chan struct{})
 	slow := watchSelf(stop)
 	leader, view, err := h.well(ctx)
@@ -108,8 +108,8 @@
 }
 
 // lose takes the leader away and waits for what it measures.
-func (h *house) lose(ctx context.Context, s *Spans, leader *gatewaystandin.Door, view uint64) (err error) {
-	rest := slices.DeleteFunc(slices.Clone(h.t.Doors), func(d *gatewaystandin.Door) bool { return d == leader })
+func (h *gatewayRun) lose(ctx context.Context, s *Spans, leader *gatewaystandin.Node, view uint64) (err error) {
+	rest := slices.DeleteFunc(slices.Clone(h.t.Nodes), func(d *gatewaystandin.Node) bool { return d == leader })
 	part := func(off bool) {
 		for _, d := range rest {
 			leader.Part(d, off)
@@ -160,12 +160,12 @@
 }
 
 // empty kills all doors and starts them again.
-func (h *house) empty(ctx context.Context, s *Spans) error {
+func (h *gatewayRun) empty(ctx context.Context, s *Spans) error {
 	began, killed := time.Now(), history.Now()
-	h.each(h.t.Doors, kill)
+	h.each(h.t.Nodes, kill)
 	var side sync.WaitGroup
 	defer side.Wait()
-	side.Go(func() { h.each(h.t.Doors, again) })
+	side.Go(func() { h.each(h.t.Nodes, again) })
 	if bad := h.recovers(ctx, string(s.Loss)); len(bad) > 0 {
 		return fmt.Errorf("%s", bad[0])
 	}
@@ -216,7 +216,7 @@
 }
 
 // well waits until all is well, and tells who leads.
-func (h *house) well(ctx context.Context) (*gatewaystandin.Door, uint64, error) {
+func (h *gatewayRun) well(ctx context.Context) (*gatewaystandin.Node, uint64, error) {
 	late, cancel := context.WithTimeout(ctx, recoverMost)
 	defer cancel()
 	for late.Err() == nil {
@@ -229,14 +229,14 @@
 		return nil, 0, ctx.Err()
 	}
 	text := ""
-	for _, d := range h.t.Doors {
+	for _, d := range h.t.Nodes {
 		text += "\n" + d.Name + ": " + h.t.Tells(d)
 	}
 	return nil, 0, fmt.Errorf("not all is well after %s:%s", recoverMost, text)
 }
 
 // another waits until another of the core leads a newer view.
-func (h *house) another(ctx context.Context, than *gatewaystandin.Door, view uint64) bool {
+func (h *gatewayRun) another(ctx context.Context, than *gatewaystandin.Node, view uint64) bool {
 	for ctx.Err() == nil {
 		for _, d := range h.t.Cores() {
 			if d == than {
--- a/internal/lab/gatewaystandin/backend.go
+++ b/internal/lab/gatewaystandin/backend.go
@@ -27,7 +27,7 @@
 	*standin.Backend
 	Service, Zone string
 	Version       string // generation in its beats
-	t             *Troupe
+	t             *Deployment
 	left          atomic.Bool
 	phase         atomic.Bool // it drains
 	seq           atomic.Uint64
@@ -39,7 +39,7 @@
 }
 
 const (
-	SlotsEach  = 4 // of the small house
+	SlotsEach  = 4 // of the small deployment
 	QueueEach  = 6
 	BeatsMost  = 1 * time.Second // an acknowledgement counts within it
 	ackMost    = 4 << 10
@@ -105,15 +105,15 @@
 }
 
 // Add starts a backend that is slow for a while, and lets it beat.
-func (t *Troupe) Add(service, zone string, cold time.Duration) (*Line, error) {
+func (t *Deployment) Add(service, zone string, cold time.Duration) (*Line, error) {
 	return t.AddVersion(service, zone, FirstVersion, cold)
 }
 
-// FirstVersion is that of the backends that a troupe begins with.
+// FirstVersion is that of the backends that a deployment begins with.
 const FirstVersion = "v1"
 
 // AddVersion is Add with the version that the backend beats with.
-func (t *Troupe) AddVersion(service, zone, version string, cold time.Duration) (*Line, error) {
+func (t *Deployment) AddVersion(service, zone, version string, cold time.Duration) (*Line, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
@@ -136,16 +136,16 @@
 	l.Backend = b
 	ctx, cancel := context.WithCancel(t.ctx)
 	l.cancel = cancel
-	t.lines, t.all = append(t.lines, l), append(t.all, l)
+	t.outputs, t.all = append(t.outputs, l), append(t.all, l)
 	t.wg.Add(1)
 	go func() { defer t.wg.Done(); l.beats(ctx) }()
 	return l, nil
 }
 
-func (t *Troupe) remove(l *Line) {
+func (t *Deployment) remove(l *Line) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lines = slices.DeleteFunc(t.lines, func(x *Line) bool { return x == l })
+	t.outputs = slices.DeleteFunc(t.outputs, func(x *Line) bool { return x == l })
 }
 
 // Crash ends it without a word.
@@ -171,7 +171,7 @@
 	}
 }
 
-// say calls doors in turn, the one it was told first, until one acknowledges; nobody for a whole round is
+// say calls nodes in turn, the one it was told first, until one acknowledges; nobody for a whole round is
 // left for the next time.
 func (l *Line) say(ctx context.Context, what string) bool {
 	l.mu.Lock()
@@ -210,11 +210,11 @@
 		l.mu.Unlock()
 	}
 	from := int(l.seq.Load()) + len(l.ID)
-	for i := range l.t.Doors {
+	for i := range l.t.Nodes {
 		if ctx.Err() != nil {
 			return false
 		}
-		if to := l.t.Doors[(from+i)%len(l.t.Doors)].Control; to != first && try(to) {
+		if to := l.t.Nodes[(from+i)%len(l.t.Nodes)].Control; to != first && try(to) {
 			return true
 		}
 	}
@@ -240,12 +240,12 @@
 }
 
 // post makes one control call and follows 307 twice.
-func (t *Troupe) post(ctx context.Context, to, path string, body []byte, most time.Duration) (status int,
+func (t *Deployment) post(ctx context.Context, to, path string, body []byte, most time.Duration) (status int,
 	text []byte, err error) {
 	return t.call(ctx, "POST", to, path, body, most)
 }
 
-func (t *Troupe) call(ctx context.Context, method, to, path string, body []byte,
+func (t *Deployment) call(ctx context.Context, method, to, path string, body []byte,
 	most time.Duration) (status int, text []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
--- a/internal/lab/gatewaystandin/clients.go
+++ b/internal/lab/gatewaystandin/clients.go
@@ -19,9 +19,9 @@
 	"clovergap/internal/lab/standin"
 )
 
-// Clients ask doors by host and path with their tenants' keys, and try again as the protocol says.
+// Clients ask nodes by host and path with their tenants' keys, and try again as the protocol says.
 type Clients struct {
-	t     *Troupe
+	t     *Deployment
 	Rate  func() float64 // requests a second now
 	http  *http.Client
 	fresh *http.Client // a new connection for each
@@ -33,7 +33,7 @@
 	status map[int]int // by the last try's answer; nought: none
 	kinds  map[string]*standin.Outcome
 	known  Known
-	missed []int // times in a row that a door was not ready
+	missed []int // times in a row that a node was not ready
 	heard  []bool
 }
 
@@ -46,8 +46,8 @@
 // goneMost routes that were taken away are asked on.
 const goneMost = 4
 
-// NewClients makes clients; watch must be called for them to know which doors are ready.
-func NewClients(t *Troupe) *Clients {
+// NewClients makes clients; watch must be called for them to know which nodes are ready.
+func NewClients(t *Deployment) *Clients {
 	dial := (&net.Dialer{Timeout: time.Second}).DialContext
 	rate := t.Terms.Rate
 	return &Clients{t: t, Rate: func() float64 { return rate }, rng: t.source(0xc11e), status: map[int]int{},
@@ -57,13 +57,13 @@
 			DialContext:        dial}},
 		fresh: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 			DialContext: dial}},
-		missed: make([]int, len(t.Doors)), heard: make([]bool, len(t.Doors))}
+		missed: make([]int, len(t.Nodes)), heard: make([]bool, len(t.Nodes))}
 }
 
-// Watch asks every door each second whether it is ready, as the platform does, until the context ends.
+// Watch asks every node each second whether it is ready, as the platform does, until the context ends.
 func (c *Clients) Watch(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i, d := range c.t.Doors {
+	for i, d := range c.t.Nodes {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -81,7 +81,7 @@
 	wg.Wait()
 }
 
-// Ready counts the doors that get new connections.
+// Ready counts the nodes that get new connections.
 func (c *Clients) Ready() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,12 +95,12 @@
 
 func (c *Clients) in(i int) bool { return c.heard[i] && c.missed[i] < 2 }
 
-// door is where the platform passes a new connection of a zone; the lock is held.
-func (c *Clients) door(zone string) *Door {
-	return c.t.Doors[Pass(c.rng, zone, len(c.t.Doors), func(i int) string { return c.t.Doors[i].Zone }, c.in)]
+// node is where the platform passes a new connection of a zone; the lock is held.
+func (c *Clients) node(zone string) *Node {
+	return c.t.Nodes[Pass(c.rng, zone, len(c.t.Nodes), func(i int) string { return c.t.Nodes[i].Zone }, c.in)]
 }
 
-// Pass chooses where the platform passes a new connection of a zone, by which doors are in.
+// Pass chooses where the platform passes a new connection of a zone, by which nodes are in.
 func Pass(rng *rand.Rand, zone string, doors int, zoneOf func(int) string, in func(int) bool) int {
 	var ready, all, any, every []int
 	for i := range doors {
@@ -142,13 +142,13 @@
 }
 
 // Known are the routes that come and go, as clients know them.
-type Known struct{ guests, gone []routing.BillRoute }
+type Known struct{ guests, gone []routing.ConfigRoute }
 
 // Learn takes a configuration.
-func (k *Known) Learn(b *routing.Bill) {
+func (k *Known) Learn(b *routing.Config) {
 	now := Guests(b)
 	for _, g := range k.guests {
-		if !slices.ContainsFunc(now, func(x routing.BillRoute) bool { return x.Name == g.Name }) {
+		if !slices.ContainsFunc(now, func(x routing.ConfigRoute) bool { return x.Name == g.Name }) {
 			k.gone = append(k.gone, g)
 			k.gone = k.gone[max(0, len(k.gone)-goneMost):]
 		}
@@ -157,7 +157,7 @@
 }
 
 // Learn tells the clients of routes that come and go.
-func (c *Clients) Learn(b *routing.Bill) {
+func (c *Clients) Learn(b *routing.Config) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.known.Learn(b)
@@ -172,7 +172,7 @@
 	return c.known.Draw(c.rng, c.t.Terms.Zones)
 }
 
-// Draw draws a request in the small house.
+// Draw draws a request in the small deployment.
 func (k *Known) Draw(rng *rand.Rand, zones []string) Want {
 	w := wantFrom(rng, zones)
 	switch x := rng.IntN(100); {
@@ -210,7 +210,7 @@
 // probeMost is what a probe waits.
 const probeMost = 2 * time.Second
 
-// Probes are a request by each of the small house's first routes.
+// Probes are a request by each of the small deployment's first routes.
 func Probes() []Want {
 	all := []Want{{Kind: "r-lobby", Host: hostProgramme, Path: "/lobby/probe"},
 		{Kind: "r-browse", Host: hostProgramme, Path: "/browse/probe", Tenant: "patrons", Key: "patronskey1"},
@@ -221,14 +221,14 @@
 	return all
 }
 
-// One asks a door by a route, once, without a client's further tries.
-func (c *Clients) One(ctx context.Context, d *Door, w Want) int {
+// One asks a node by a route, once, without a client's further tries.
+func (c *Clients) One(ctx context.Context, d *Node, w Want) int {
 	status, _, _ := c.try(ctx, c.fresh, d, w, w.Deadline)
 	return status
 }
 
-// Probe asks a door by each of the first routes; it tells whether all were served.
-func (c *Clients) Probe(ctx context.Context, d *Door) bool {
+// Probe asks a node by each of the first routes; it tells whether all were served.
+func (c *Clients) Probe(ctx context.Context, d *Node) bool {
 	for _, w := range c.probes() {
 		if c.One(ctx, d, w) != http.StatusOK {
 			return false
@@ -246,7 +246,7 @@
 }
 
 // try sends one try by its own id.
-func (c *Clients) try(ctx context.Context, with *http.Client, d *Door, w Want,
+func (c *Clients) try(ctx context.Context, with *http.Client, d *Node, w Want,
 	left time.Duration) (status int, h http.Header, wrong bool) {
 	ctx, cancel := context.WithTimeout(ctx, left+listens)
 	defer cancel()
@@ -320,7 +320,7 @@
 			break
 		}
 		c.mu.Lock()
-		d, with := c.door(w.Zone), c.http
+		d, with := c.node(w.Zone), c.http
 		if try > 1 || c.rng.IntN(4) == 0 {
 			with = c.fresh
 		}
--- a/internal/lab/gatewaystandin/core.go
+++ b/internal/lab/gatewaystandin/core.go
@@ -9,19 +9,19 @@
 	"clovergap/internal/gateway/controlapi"
 )
 
-// Status is what a door says of itself; nil if it says nothing in time.
-func (t *Troupe) Status(ctx context.Context, d *Door, most time.Duration) *controlapi.HouseStatus {
+// Status is what a node says of itself; nil if it says nothing in time.
+func (t *Deployment) Status(ctx context.Context, d *Node, most time.Duration) *controlapi.NodeStatus {
 	status, text, err := t.call(ctx, "GET", d.Control, "/api/House.Status", nil, most)
-	s := new(controlapi.HouseStatus)
+	s := new(controlapi.NodeStatus)
 	if err != nil || status != http.StatusOK || json.Unmarshal(text, s) != nil {
 		return nil
 	}
 	return s
 }
 
-// Leader is who leads the core and the view, if all of the core say the same, have all, and every door is ready; else nil.
-func (t *Troupe) Leader(ctx context.Context) (leader *Door, view uint64) {
-	for _, d := range t.Doors {
+// Leader is who leads the core and the view, if all of the core say the same, have all, and every node is ready; else nil.
+func (t *Deployment) Leader(ctx context.Context) (leader *Node, view uint64) {
+	for _, d := range t.Nodes {
 		s := t.Status(ctx, d, time.Second)
 		if s == nil || !s.Ready {
 			return nil, 0
--- a/internal/lab/gatewaystandin/cuts.go
+++ b/internal/lab/gatewaystandin/cuts.go
@@ -6,14 +6,14 @@
 	"clovergap/internal/history"
 )
 
-// Kinds of events of cuts: nothing that the door Who says to the door At gets there, until they are joined.
+// Kinds of events of cuts: nothing that the node Who says to the node At gets there, until they are joined.
 const (
 	Parted history.Kind = "parted"
 	Joined history.Kind = "joined"
 )
 
-// Part lets nothing that the door says get to another, or lets it again. The doors must be debug builds.
-func (d *Door) Part(to *Door, off bool) {
+// Part lets nothing that the node says get to another, or lets it again. The nodes must be debug builds.
+func (d *Node) Part(to *Node, off bool) {
 	note := func(k history.Kind) { d.t.Terms.History.Add(history.Event{Who: d.Name, At: to.Name, Kind: k}) }
 	if off {
 		note(Parted)
@@ -24,13 +24,13 @@
 	}
 }
 
-// gap is a time when what one door says did not get to another.
+// gap is a time when what one node says did not get to another.
 type gap struct {
 	who, at  string
 	from, to time.Duration
 }
 
-// gapsOf are all gaps; faults that overlap may part two doors twice.
+// gapsOf are all gaps; faults that overlap may part two nodes twice.
 func gapsOf(h []history.Event) (all []gap) {
 	open := map[[2]string][]time.Duration{}
 	for _, e := range h {
@@ -54,10 +54,10 @@
 	return all
 }
 
-// between tells whether it parts two doors, one way or the other.
+// between tells whether it parts two nodes, one way or the other.
 func (g gap) between(a, b string) bool { return g.who == a && g.at == b || g.who == b && g.at == a }
 
-// joined tells whether two doors had a path both ways: all of the time, or else at least some of it.
+// joined tells whether two nodes had a path both ways: all of the time, or else at least some of it.
 func (c *calm) joined(a, b string, from, to time.Duration, allOfIt bool) bool {
 	for _, g := range c.gaps {
 		if g.between(a, b) && (allOfIt && g.from <= to && g.to >= from || g.from <= from && g.to >= to) {
--- a/internal/lab/gatewaystandin/troupe.go
+++ b/internal/lab/gatewaystandin/deployment.go
@@ -1,5 +1,5 @@
 // Package gatewaystandin plays on loopback what the gateway speaks with, by its published protocol: backends that
-// beat and leave, an operator, clients with keys. It starts real doors as processes, each on an address of
+// beat and leave, an operator, clients with keys. It starts real nodes as processes, each on an address of
 // its own.
 package gatewaystandin
 
@@ -25,12 +25,12 @@
 	"clovergap/internal/lab/standin"
 )
 
-// Terms are how large a troupe is, and how it is told to behave.
+// Terms are how large a deployment is, and how it is told to behave.
 type Terms struct {
 	Program string // of gateway
-	Doors   int
-	Disks   int    // the first so many doors have one
-	Base    string // first three bytes of the doors' addresses, with a dot; empty: the troupe's own
+	Nodes   int
+	Disks   int    // the first so many nodes have one
+	Base    string // first three bytes of the nodes' addresses, with a dot; empty: the deployment's own
 	Zones   []string
 	Each    int // backends of each service in each zone
 	Rate    float64
@@ -38,19 +38,19 @@
 	Beat    time.Duration
 	Lost    int          // disks that may be lost at once
 	History *history.Log // nil: none is kept
-	Play    *Play        // nil: the small house
+	Play    *Play        // nil: the small deployment
 }
 
-// Bounds are what the doors are told; those of the rules that the rig checks are taken from here.
+// Bounds are what the nodes are told; those of the rules that the rig checks are taken from here.
 func Bounds() settings.Bounds { return settings.Usual() }
 
-// ports of all doors are alike.
+// ports of all nodes are alike.
 type ports struct{ front, ready, control, inner int }
 
-// Troupe is doors with all they speak with.
-type Troupe struct {
+// Deployment is nodes with all they speak with.
+type Deployment struct {
 	Terms    Terms
-	Doors    []*Door
+	Nodes    []*Node
 	Operator *Operator
 	dir      string
 	at       ports
@@ -60,30 +60,30 @@
 	stop     context.CancelFunc
 	wg       sync.WaitGroup
 
-	mu     sync.Mutex
-	lines  []*Line // backends that beat
-	all    []*Line // those that are gone too
-	lives  int
-	closed bool
-	flaws  map[string]Flaw // of versions, by generation
+	mu      sync.Mutex
+	outputs []*Line // backends that beat
+	all     []*Line // those that are gone too
+	lives   int
+	closed  bool
+	flaws   map[string]Flaw // of versions, by generation
 }
 
-// Door is one door's process, in one life after another.
-type Door struct {
+// Node is one node's process, in one life after another.
+type Node struct {
 	*standin.Process
 	Nr              int
 	Zone, Host      string
 	Front, Readying string
 	Control         string
 	Disk            string // its folder, empty without a disk
-	t               *Troupe
+	t               *Deployment
 }
 
-var troupes atomic.Uint32
+var deployments atomic.Uint32
 
-// base is a network of this troupe's own on loopback: nobody else's ports are in it.
+// base is a network of this deployment's own on loopback: nobody else's ports are in it.
 func base() string {
-	n := uint32(os.Getpid())*16 + troupes.Add(1)
+	n := uint32(os.Getpid())*16 + deployments.Add(1)
 	return fmt.Sprintf("127.%d.%d.", 1+n>>8%250, n%256)
 }
 
@@ -110,13 +110,13 @@
 	return true
 }
 
-// New lays the doors' settings and starts the backends; Start starts the doors.
-func New(o Terms) (t *Troupe, err error) {
+// New lays the nodes' settings and starts the backends; Start starts the nodes.
+func New(o Terms) (t *Deployment, err error) {
 	dir, err := os.MkdirTemp("", "clovergap-house-")
 	if err != nil {
 		return nil, err
 	}
-	t = &Troupe{Terms: o, dir: dir, control: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4,
+	t = &Deployment{Terms: o, dir: dir, control: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4,
 		IdleConnTimeout: 5 * time.Second,
 		DialContext:     (&net.Dialer{Timeout: time.Second}).DialContext}}}
 	t.ctx, t.stop = context.WithCancel(context.Background())
@@ -129,18 +129,18 @@
 	if t.Terms.Base == "" {
 		t.Terms.Base = base()
 	}
-	if t.at, err = free(t.Terms.Base, o.Doors); err != nil {
+	if t.at, err = free(t.Terms.Base, o.Nodes); err != nil {
 		return t, err
 	}
-	for i := range o.Doors {
+	for i := range o.Nodes {
 		host := fmt.Sprintf("%s%d", t.Terms.Base, i+1)
-		d := &Door{Nr: i, Zone: o.Zones[i%len(o.Zones)], Host: host, t: t,
+		d := &Node{Nr: i, Zone: o.Zones[i%len(o.Zones)], Host: host, t: t,
 			Front: addr(host, t.at.front), Readying: addr(host, t.at.ready), Control: addr(host, t.at.control)}
 		if i < o.Disks {
 			d.Disk = filepath.Join(dir, fmt.Sprintf("disk%d", i))
 		}
 		d.Process = standin.NewProcess(fmt.Sprintf("door-%d", i), o.History, d.prepare, d.line, d.serves)
-		t.Doors = append(t.Doors, d)
+		t.Nodes = append(t.Nodes, d)
 		if len(t.seeds) < 3 {
 			t.seeds = append(t.seeds, d.Control)
 		}
@@ -160,14 +160,14 @@
 
 func addr(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
 
-// Start starts all doors at once and waits until their addresses answer.
-func (t *Troupe) Start() error {
-	errs := make(chan error, len(t.Doors))
-	for _, d := range t.Doors {
+// Start starts all nodes at once and waits until their addresses answer.
+func (t *Deployment) Start() error {
+	errs := make(chan error, len(t.Nodes))
+	for _, d := range t.Nodes {
 		go func() { errs <- d.Again() }()
 	}
 	var bad error
-	for range t.Doors {
+	for range t.Nodes {
 		if err := <-errs; err != nil {
 			bad = err
 		}
@@ -175,8 +175,8 @@
 	return bad
 }
 
-// Settings is the text of the door's settings file.
-func (d *Door) Settings(first bool) string {
+// Settings is the text of the node's settings file.
+func (d *Node) Settings(first bool) string {
 	t, b := d.t, Bounds()
 	var s strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&s, format+"\n", args...) }
@@ -205,7 +205,7 @@
 }
 
 // prepare lays the settings of the next life. Only the first start of all is one on empty disks.
-func (d *Door) prepare(life int) (*exec.Cmd, error) {
+func (d *Node) prepare(life int) (*exec.Cmd, error) {
 	file := filepath.Join(d.t.dir, d.Name+".yaml")
 	if err := os.WriteFile(file, []byte(d.Settings(life == 1)), 0o600); err != nil {
 		return nil, err
@@ -220,14 +220,14 @@
 	return cmd, nil
 }
 
-// serves tells whether the door answers whether it is ready, be it no.
-func (d *Door) serves(ctx context.Context) bool {
+// serves tells whether the node answers whether it is ready, be it no.
+func (d *Node) serves(ctx context.Context) bool {
 	_, ok := d.t.ready(ctx, d)
 	return ok
 }
 
-// ready asks a door whether it is, as the platform does.
-func (t *Troupe) ready(ctx context.Context, d *Door) (yes, answered bool) {
+// ready asks a node whether it is, as the platform does.
+func (t *Deployment) ready(ctx context.Context, d *Node) (yes, answered bool) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+d.Readying+"/api/ready", nil)
@@ -240,8 +240,8 @@
 	return a.StatusCode == http.StatusOK, true
 }
 
-// Wipe kills the door and empties its disk.
-func (d *Door) Wipe() error {
+// Wipe kills the node and empties its disk.
+func (d *Node) Wipe() error {
 	if d.Disk == "" {
 		return errors.New("no disk to wipe")
 	}
@@ -251,25 +251,25 @@
 	})
 }
 
-// Wiped is an event of a door that has lost its disk.
+// Wiped is an event of a node that has lost its disk.
 const Wiped history.Kind = "wiped"
 
-// Terminates is an event of a door that is told to end.
+// Terminates is an event of a node that is told to end.
 const Terminates history.Kind = "term"
 
-// Term tells the door to end, and kills it if it has not within a while.
-func (d *Door) Term(patience time.Duration) {
+// Term tells the node to end, and kills it if it has not within a while.
+func (d *Node) Term(patience time.Duration) {
 	d.t.Terms.History.Add(history.Event{Who: d.Name, Kind: Terminates})
 	d.Process.Term(patience)
 }
 
-// Tells is what a door says of itself.
-func (t *Troupe) Tells(d *Door) string { return t.tells(d, "/api/House.Status") }
+// Tells is what a node says of itself.
+func (t *Deployment) Tells(d *Node) string { return t.tells(d, "/api/House.Status") }
 
-// TellsRollouts is what a door says of roll-outs.
-func (t *Troupe) TellsRollouts(d *Door) string { return t.tells(d, "/api/Rollout.Status") }
+// TellsRollouts is what a node says of roll-outs.
+func (t *Deployment) TellsRollouts(d *Node) string { return t.tells(d, "/api/Rollout.Status") }
 
-func (t *Troupe) tells(d *Door, path string) string {
+func (t *Deployment) tells(d *Node, path string) string {
 	status, text, err := t.call(t.ctx, "GET", d.Control, path, nil, time.Second)
 	if err != nil {
 		return err.Error()
@@ -277,11 +277,11 @@
 	return fmt.Sprint(status, " ", string(text))
 }
 
-// Log is the file of all that the door's lives wrote.
-func (d *Door) Log() string { return filepath.Join(d.t.dir, d.Name+".log") }
+// Log is the file of all that the node's lives wrote.
+func (d *Node) Log() string { return filepath.Join(d.t.dir, d.Name+".log") }
 
 // line keeps the log, and tells its lines from a crash's last words.
-func (d *Door) line(text []byte) bool {
+func (d *Node) line(text []byte) bool {
 	if f, err := os.OpenFile(d.Log(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err == nil {
 		f.Write(append(text[:len(text):len(text)], '\n'))
 		f.Close()
@@ -289,30 +289,30 @@
 	return len(text) > 0 && text[0] == '{'
 }
 
-// Cores are the doors with a disk.
-func (t *Troupe) Cores() []*Door { return t.Doors[:min(t.Terms.Disks, len(t.Doors))] }
+// Cores are the nodes with a disk.
+func (t *Deployment) Cores() []*Node { return t.Nodes[:min(t.Terms.Disks, len(t.Nodes))] }
 
 // Serving lists the backends that beat.
-func (t *Troupe) Serving() []*Line {
+func (t *Deployment) Serving() []*Line {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]*Line(nil), t.lines...)
+	return append([]*Line(nil), t.outputs...)
 }
 
 // All lists all backends that ever were.
-func (t *Troupe) All() []*Line {
+func (t *Deployment) All() []*Line {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]*Line(nil), t.all...)
 }
 
-// Close ends all: the doors by their processes' numbers.
-func (t *Troupe) Close() {
+// Close ends all: the nodes by their processes' numbers.
+func (t *Deployment) Close() {
 	t.mu.Lock()
 	t.closed = true
 	t.mu.Unlock()
 	t.stop()
-	for _, d := range t.Doors {
+	for _, d := range t.Nodes {
 		d.Close()
 	}
 	t.wg.Wait()
@@ -323,5 +323,5 @@
 	os.RemoveAll(t.dir)
 }
 
-// source draws from the troupe's seed, apart for each use.
-func (t *Troupe) source(use uint64) *rand.Rand { return rand.New(rand.NewPCG(t.Terms.Seed, use)) }
+// source draws from the deployment's seed, apart for each use.
+func (t *Deployment) source(use uint64) *rand.Rand { return rand.New(rand.NewPCG(t.Terms.Seed, use)) }
--- a/internal/lab/gatewaystandin/operator.go
+++ b/internal/lab/gatewaystandin/operator.go
@@ -24,7 +24,7 @@
 // Services are those of First.
 var Services = []Service{{"programme", 15 * time.Millisecond}, {"tickets", 25 * time.Millisecond}}
 
-// Hosts of the house.
+// Hosts of the deployment.
 const (
 	hostProgramme = "programme.example"
 	hostTickets   = "tickets.example"
@@ -41,12 +41,12 @@
 	ReadBack history.Kind = "read"    // and what came; Due is when it was asked
 )
 
-// First is the configuration that the house begins with.
-func First() *routing.Bill {
+// First is the configuration that the deployment begins with.
+func First() *routing.Config {
 	span := func(s string) *string { return &s }
-	route := func(name, prefix string, v routing.BillRouteVariant, deadline, aim string, public bool,
-		to ...routing.BillTarget) routing.BillRoute {
-		r := routing.BillRoute{Name: name, PathPrefix: prefix, Variant: v, Deadline: span(deadline),
+	route := func(name, prefix string, v routing.ConfigRouteVariant, deadline, aim string, public bool,
+		to ...routing.ConfigTarget) routing.ConfigRoute {
+		r := routing.ConfigRoute{Name: name, PathPrefix: prefix, Variant: v, Deadline: span(deadline),
 			TargetLatency: span(aim), MaxTries: 2, Public: public}
 		if len(to) == 1 {
 			r.Target = to[0].Target
@@ -55,39 +55,39 @@
 		}
 		return r
 	}
-	one := func(s string) routing.BillTarget { return routing.BillTarget{Target: s, Weight: 1} }
-	b := &routing.Bill{Generation: 1, Limits: limits(),
-		Tenants: []routing.BillTenant{{Name: "patrons", ApiKeys: []string{"patronskey1", "patronskey2"},
+	one := func(s string) routing.ConfigTarget { return routing.ConfigTarget{Target: s, Weight: 1} }
+	b := &routing.Config{Generation: 1, Limits: limits(),
+		Tenants: []routing.ConfigTenant{{Name: "patrons", ApiKeys: []string{"patronskey1", "patronskey2"},
 			Priority: 1},
 			{Name: "clubs", ApiKeys: []string{"clubskey1"}, Priority: 1, RatePerS: 20, Burst: 20},
 			{Name: "touts", ApiKeys: []string{"toutskey1"}, Priority: 2, RatePerS: 6, Burst: 6}},
-		Vhosts: []routing.BillHost{
-			{Hostname: hostProgramme, PathList: []routing.BillRoute{
+		Vhosts: []routing.ConfigHost{
+			{Hostname: hostProgramme, PathList: []routing.ConfigRoute{
 				route("r-browse", "/browse/", routing.Pure, "1500ms", "400ms", false, one("programme")),
 				route("r-lobby", "/lobby/", routing.Pure, "1500ms", "400ms", true,
-					routing.BillTarget{Target: "programme", Weight: 80},
-					routing.BillTarget{Target: "tickets", Weight: 20})}},
-			{Hostname: hostTickets, PathList: []routing.BillRoute{
+					routing.ConfigTarget{Target: "programme", Weight: 80},
+					routing.ConfigTarget{Target: "tickets", Weight: 20})}},
+			{Hostname: hostTickets, PathList: []routing.ConfigRoute{
 				route("r-book", "/book/", routing.Effectful, "2000ms", "500ms", false, one("tickets"))}}}}
 	b.Services = listed(Services)
 	return b
 }
 
-func limits() *routing.BillLimits {
+func limits() *routing.ConfigLimits {
 	header, idle := "3000ms", "15000ms"
-	return &routing.BillLimits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderTimeout: &header, IdleTimeout: &idle}
+	return &routing.ConfigLimits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderTimeout: &header, IdleTimeout: &idle}
 }
 
-func listed(all []Service) (out []routing.BillService) {
+func listed(all []Service) (out []routing.ConfigService) {
 	for _, s := range all {
-		out = append(out, routing.BillService{Name: s.Name, HealthPath: "/health", MaxConns: 130, Protocol: "h1"})
+		out = append(out, routing.ConfigService{Name: s.Name, HealthPath: "/health", MaxConns: 130, Protocol: "h1"})
 	}
 	return out
 }
 
 // Version is one configuration as the operator sent it, and what results from it.
 type Version struct {
-	Bill         *routing.Bill
+	Config       *routing.Config
 	Parent       uint64
 	Sent, Acked  time.Duration // by the history's clock; nought: not yet
 	Lost         bool          // refused
@@ -99,7 +99,7 @@
 type Operator struct {
 	Pause time.Duration // the longest between two calls of one change
 
-	t        *Troupe
+	t        *Deployment
 	mu       sync.Mutex
 	rng      *rand.Rand
 	versions map[uint64]*Version
@@ -109,7 +109,7 @@
 	at       int
 }
 
-func newOperator(t *Troupe) *Operator {
+func newOperator(t *Deployment) *Operator {
 	return &Operator{Pause: 500 * time.Millisecond, t: t, rng: t.source(0x09e7a702), versions: map[uint64]*Version{}, at: 0}
 }
 
@@ -125,18 +125,18 @@
 // ClearMost bounds how long a call is sent again.
 const ClearMost = 12 * time.Second
 
-// ask brings a call to one door after another until one gives a clear answer: a 2xx or a 4xx that says no.
+// ask brings a call to one node after another until one gives a clear answer: a 2xx or a 4xx that says no.
 func (o *Operator) ask(ctx context.Context, method, path string, body []byte) (status int, text []byte,
 	clear bool) {
 	ctx, cancel := context.WithTimeout(ctx, ClearMost)
 	defer cancel()
 	o.mu.Lock()
-	o.at = o.rng.IntN(len(o.t.Doors))
+	o.at = o.rng.IntN(len(o.t.Nodes))
 	at := o.at
 	o.mu.Unlock()
 	strange := 0
 	for wait := 30 * time.Millisecond; ctx.Err() == nil; wait = min(2*wait, o.Pause) {
-		status, text, err := o.t.call(ctx, method, o.t.Doors[at%len(o.t.Doors)].Control, path, body, time.Second)
+		status, text, err := o.t.call(ctx, method, o.t.Nodes[at%len(o.t.Nodes)].Control, path, body, time.Second)
 		at++
 		switch {
 		case err != nil:
@@ -155,7 +155,7 @@
 // propose sends a change of a kind; what results is the operator's own idea of it.
 func (o *Operator) propose(ctx context.Context, path string, body any, v *Version) (status int, clear bool) {
 	text, _ := json.Marshal(body)
-	gen := v.Bill.Generation
+	gen := v.Config.Generation
 	log := o.t.Terms.History
 	o.mu.Lock()
 	v.Sent = history.Now()
@@ -189,8 +189,8 @@
 // Open sends the first configuration, again and again until it is taken.
 func (o *Operator) Open(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		v := &Version{Bill: o.t.play().first()}
-		if status, clear := o.propose(ctx, ReplacePath, v.Bill, v); clear && status == http.StatusOK {
+		v := &Version{Config: o.t.play().first()}
+		if status, clear := o.propose(ctx, ReplacePath, v.Config, v); clear && status == http.StatusOK {
 			return true
 		} else if clear {
 			return false
@@ -200,13 +200,13 @@
 }
 
 // Read asks for the newest configuration; nil if none came in time.
-func (o *Operator) Read(ctx context.Context) *routing.Bill {
+func (o *Operator) Read(ctx context.Context) *routing.Config {
 	began := history.Now()
 	status, text, clear := o.ask(ctx, "GET", "/api/Config.Read", nil)
 	if !clear || status != http.StatusOK {
 		return nil
 	}
-	b := new(routing.Bill)
+	b := new(routing.Config)
 	if json.Unmarshal(text, b) != nil {
 		return nil
 	}
@@ -215,7 +215,7 @@
 }
 
 // current gives the version that the next change builds on: after an unclear answer it is read first.
-func (o *Operator) current(ctx context.Context) (uint64, *routing.Bill) {
+func (o *Operator) current(ctx context.Context) (uint64, *routing.Config) {
 	o.mu.Lock()
 	unsure := o.unsure
 	o.mu.Unlock()
@@ -234,7 +234,7 @@
 	if v == nil {
 		return 0, nil
 	}
-	return o.known, v.Bill
+	return o.known, v.Config
 }
 
 // Versions copies what was sent, by number.
@@ -304,7 +304,7 @@
 
 // Draft draws what an operator does next on top of a configuration: a guest's route is added, moved or removed by name, the
 // whole is replaced, two changes race, or something invalid is sent.
-func Draft(draw func(n int) int, number func() uint64, parent uint64, bill *routing.Bill) []Change {
+func Draft(draw func(n int) int, number func() uint64, parent uint64, bill *routing.Config) []Change {
 	d := draft{draw, number, parent, bill}
 	switch x := draw(10); {
 	case x < 6:
@@ -312,13 +312,13 @@
 	case x < 8:
 		n := d.next()
 		guest(n, d.guestRoute(n.Generation))
-		return []Change{{ReplacePath, n, Version{Bill: n, Parent: parent}}}
+		return []Change{{ReplacePath, n, Version{Config: n, Parent: parent}}}
 	case x < 9:
 		return []Change{d.amend(), d.amend()}
 	}
 	n := d.next()
 	n.Vhosts[0].PathList[0].Target = "nobody"
-	return []Change{{ReplacePath, n, Version{Bill: n, Parent: parent, WellKnownBad: true}}}
+	return []Change{{ReplacePath, n, Version{Config: n, Parent: parent, WellKnownBad: true}}}
 }
 
 const (
@@ -331,34 +331,34 @@
 	draw   func(n int) int
 	number func() uint64
 	parent uint64
-	bill   *routing.Bill
+	config *routing.Config
 }
 
 // next is the whole configuration under a new number.
-func (d *draft) next() *routing.Bill {
-	n := clone(d.bill)
+func (d *draft) next() *routing.Config {
+	n := clone(d.config)
 	n.Generation, n.ParentVersion = d.number(), d.parent
 	return n
 }
 
-func (d *draft) guestRoute(n uint64) routing.BillRoute {
+func (d *draft) guestRoute(n uint64) routing.ConfigRoute {
 	deadline, aim := "1500ms", "400ms"
-	return routing.BillRoute{Name: fmt.Sprintf("g-%d", n), PathPrefix: fmt.Sprintf("/g%d/", n),
+	return routing.ConfigRoute{Name: fmt.Sprintf("g-%d", n), PathPrefix: fmt.Sprintf("/g%d/", n),
 		Variant: routing.Pure, Deadline: &deadline,
-		TargetLatency: &aim, MaxTries: 2, Target: d.bill.Services[d.draw(len(d.bill.Services))].Name}
+		TargetLatency: &aim, MaxTries: 2, Target: d.config.Services[d.draw(len(d.config.Services))].Name}
 }
 
 // amend changes named items.
 func (d *draft) amend() Change {
 	n := d.next()
 	a := routing.Amendment{Generation: n.Generation, ParentVersion: d.parent}
-	guests := Guests(d.bill)
+	guests := Guests(d.config)
 	if x := d.draw(3); x == 0 && len(guests) > 2 {
 		gone := guests[d.draw(len(guests))].Name
 		a.Removals = &routing.Removals{Routes: []string{gone}}
 		for i := range n.Vhosts {
 			n.Vhosts[i].PathList = slices.DeleteFunc(n.Vhosts[i].PathList,
-				func(r routing.BillRoute) bool { return r.Name == gone })
+				func(r routing.ConfigRoute) bool { return r.Name == gone })
 		}
 	} else {
 		r := d.guestRoute(n.Generation)
@@ -366,15 +366,15 @@
 			old := guests[d.draw(len(guests))]
 			r.Name, r.PathPrefix = old.Name, old.PathPrefix
 		}
-		a.Upserts = &routing.Upserts{Vhosts: []routing.BillHost{{Hostname: hostGuests,
-			PathList: []routing.BillRoute{r}}}}
+		a.Upserts = &routing.Upserts{Vhosts: []routing.ConfigHost{{Hostname: hostGuests,
+			PathList: []routing.ConfigRoute{r}}}}
 		guest(n, r)
 	}
-	return Change{AmendPath, a, Version{Bill: n, Parent: d.parent}}
+	return Change{AmendPath, a, Version{Config: n, Parent: d.parent}}
 }
 
 // Guests are the routes that come and go.
-func Guests(b *routing.Bill) []routing.BillRoute {
+func Guests(b *routing.Config) []routing.ConfigRoute {
 	for _, h := range b.Vhosts {
 		if h.Hostname == hostGuests {
 			return h.PathList
@@ -384,7 +384,7 @@
 }
 
 // guest adds a route to the guests' host, or replaces it by name.
-func guest(b *routing.Bill, r routing.BillRoute) {
+func guest(b *routing.Config, r routing.ConfigRoute) {
 	for i := range b.Vhosts {
 		if h := &b.Vhosts[i]; h.Hostname == hostGuests {
 			for k := range h.PathList {
@@ -397,40 +397,40 @@
 			return
 		}
 	}
-	b.Vhosts = append(b.Vhosts, routing.BillHost{Hostname: hostGuests, PathList: []routing.BillRoute{r}})
+	b.Vhosts = append(b.Vhosts, routing.ConfigHost{Hostname: hostGuests, PathList: []routing.ConfigRoute{r}})
 }
 
-func clone(b *routing.Bill) *routing.Bill {
+func clone(b *routing.Config) *routing.Config {
 	text, _ := json.Marshal(b)
-	out := new(routing.Bill)
+	out := new(routing.Config)
 	json.Unmarshal(text, out)
 	return out
 }
 
 // Same tells whether two configurations say the same, whatever the order of hosts and routes.
-func Same(a, b *routing.Bill) bool { return plain(a) == plain(b) }
+func Same(a, b *routing.Config) bool { return plain(a) == plain(b) }
 
-func plain(b *routing.Bill) string {
+func plain(b *routing.Config) string {
 	c := clone(b)
 	c.ParentVersion = 0
-	c.Vhosts = slices.DeleteFunc(c.Vhosts, func(h routing.BillHost) bool { return len(h.PathList) == 0 })
-	slices.SortFunc(c.Vhosts, func(x, y routing.BillHost) int {
+	c.Vhosts = slices.DeleteFunc(c.Vhosts, func(h routing.ConfigHost) bool { return len(h.PathList) == 0 })
+	slices.SortFunc(c.Vhosts, func(x, y routing.ConfigHost) int {
 		return strings.Compare(x.Hostname,
 			y.Hostname)
 	})
 	for _, h := range c.Vhosts {
-		slices.SortFunc(h.PathList, func(x, y routing.BillRoute) int { return strings.Compare(x.Name, y.Name) })
+		slices.SortFunc(h.PathList, func(x, y routing.ConfigRoute) int { return strings.Compare(x.Name, y.Name) })
 	}
 	text, _ := json.Marshal(c)
 	return string(text)
 }
 
 // Known is the newest configuration that the operator knows to be in force; nil if none is.
-func (o *Operator) Known() (uint64, *routing.Bill) {
+func (o *Operator) Known() (uint64, *routing.Config) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if v := o.versions[o.known]; v != nil {
-		return o.known, v.Bill
+		return o.known, v.Config
 	}
 	return 0, nil
 }
--- a/internal/lab/gatewaystandin/orders.go
+++ b/internal/lab/gatewaystandin/orders.go
@@ -25,8 +25,8 @@
 // lookMost bounds one look at a roll-out.
 const lookMost = 300 * time.Millisecond
 
-// Rollout is how a service's newest roll-out stands, asked of a door; whoever leads knows best.
-func (t *Troupe) Rollout(ctx context.Context, d *Door, service string) (v RolloutView, ok bool) {
+// Rollout is how a service's newest roll-out stands, asked of a node; whoever leads knows best.
+func (t *Deployment) Rollout(ctx context.Context, d *Node, service string) (v RolloutView, ok bool) {
 	var all struct {
 		Rollouts []RolloutView `json:"rollouts"`
 	}
@@ -42,8 +42,8 @@
 	return v, false
 }
 
-// PulledBack tells whether a door itself goes by a pull-back of a service's newest roll-out, and why there was one.
-func (t *Troupe) PulledBack(ctx context.Context, d *Door, service string) (why string, yes bool) {
+// PulledBack tells whether a node itself goes by a pull-back of a service's newest roll-out, and why there was one.
+func (t *Deployment) PulledBack(ctx context.Context, d *Node, service string) (why string, yes bool) {
 	var all struct {
 		Rollouts []struct {
 			Phase string `json:"phase"`
--- a/internal/lab/gatewaystandin/play.go
+++ b/internal/lab/gatewaystandin/play.go
@@ -15,7 +15,7 @@
 	"clovergap/internal/lab/standin"
 )
 
-// Play is what a troupe plays: services, the kinds of requests for them, and users who ask.
+// Play is what a deployment plays: services, the kinds of requests for them, and users who ask.
 type Play struct {
 	Name     string
 	Leading  string // the service that a new version takes over
@@ -23,7 +23,7 @@
 	slots    int // of a backend
 	busy     int // requests of the leading service at a time, as its operator knows it
 	services []Service
-	first    func() *routing.Bill
+	first    func() *routing.Config
 }
 
 // Kind is one kind of requests, by a route of its own.
@@ -44,10 +44,10 @@
 	usersEach   = 2 * tenantsEach * keysEach
 )
 
-// house is the small one.
-var house = &Play{Name: "house", slots: SlotsEach, services: Services, first: First}
+// fakeNode is the small one.
+var fakeNode = &Play{Name: "house", slots: SlotsEach, services: Services, first: First}
 
-// SaleDay is an auction house's: bids, hammers that close a lot, views of lots, and long appraisals that are read
+// SaleDay is an auction deployment's: bids, hammers that close a lot, views of lots, and long appraisals that are read
 // while bids go on.
 func SaleDay() *Play {
 	return written(&Play{Name: "sale-day", Leading: "saleroom", slots: 8, busy: 14, Kinds: []Kind{
@@ -88,10 +88,10 @@
 		}
 	}
 	p.services = list
-	p.first = func() *routing.Bill {
-		b := &routing.Bill{Generation: 1, Limits: limits(), Services: listed(list)}
+	p.first = func() *routing.Config {
+		b := &routing.Config{Generation: 1, Limits: limits(), Services: listed(list)}
 		for i := range tenantsEach {
-			t := routing.BillTenant{Name: tenant(i), Priority: 1}
+			t := routing.ConfigTenant{Name: tenant(i), Priority: 1}
 			for k := range keysEach {
 				t.ApiKeys = append(t.ApiKeys, key(i, k))
 			}
@@ -99,7 +99,7 @@
 		}
 		for _, k := range p.Kinds {
 			deadline, aim := span(k.Deadline), span(k.Aim)
-			r := routing.BillRoute{Name: k.Name, PathPrefix: "/" + k.Name + "/", Variant: routing.Pure, Deadline: &deadline,
+			r := routing.ConfigRoute{Name: k.Name, PathPrefix: "/" + k.Name + "/", Variant: routing.Pure, Deadline: &deadline,
 				TargetLatency: &aim, MaxTries: 2, Target: k.Service}
 			if k.Effectful {
 				r.Variant = routing.Effectful
@@ -107,7 +107,7 @@
 			if n := len(b.Vhosts); n > 0 && b.Vhosts[n-1].Hostname == host(k) {
 				b.Vhosts[n-1].PathList = append(b.Vhosts[n-1].PathList, r)
 			} else {
-				b.Vhosts = append(b.Vhosts, routing.BillHost{Hostname: host(k), PathList: []routing.BillRoute{r}})
+				b.Vhosts = append(b.Vhosts, routing.ConfigHost{Hostname: host(k), PathList: []routing.ConfigRoute{r}})
 			}
 		}
 		return b
@@ -124,15 +124,15 @@
 func (p *Play) Tenant(i int) string { return tenant(i % tenantsEach) }
 
 // play is what is played.
-func (t *Troupe) play() *Play {
+func (t *Deployment) play() *Play {
 	if t.Terms.Play != nil {
 		return t.Terms.Play
 	}
-	return house
+	return fakeNode
 }
 
-// kind names what is asked for, for the work it takes: in the small house all of a service is alike.
-func (t *Troupe) kind(service, path string) string {
+// kind names what is asked for, for the work it takes: in the small deployment all of a service is alike.
+func (t *Deployment) kind(service, path string) string {
 	if name, _, ok := strings.Cut(strings.TrimPrefix(path, "/"), "/"); ok && t.play().of(name) != nil {
 		return name
 	}
@@ -149,7 +149,7 @@
 }
 
 // work is how long a request of a kind takes in the middle.
-func (t *Troupe) work(kind string) time.Duration {
+func (t *Deployment) work(kind string) time.Duration {
 	if k := t.play().of(kind); k != nil {
 		return k.Work
 	}
@@ -268,7 +268,7 @@
 }
 
 // Spoil lets all backends of a version have a flaw, those that come later too; nil ends it.
-func (t *Troupe) Spoil(version string, f *Flaw) {
+func (t *Deployment) Spoil(version string, f *Flaw) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if f == nil {
--- a/internal/lab/gatewaystandin/rollouts.go
+++ b/internal/lab/gatewaystandin/rollouts.go
@@ -15,13 +15,13 @@
 	Lines   map[string][2]string     // of each backend: service, version
 	Spoilt  time.Duration            // when the new version began to fail; nought: never
 	Mended  time.Duration            // when it was mended, as nothing had pulled it back; nought: never
-	Verdict time.Duration            // when any door was first seen to have pulled back; nought: none was
-	Pulled  map[string]time.Duration // the same of each door
+	Verdict time.Duration            // when any node was first seen to have pulled back; nought: none was
+	Pulled  map[string]time.Duration // the same of each node
 	Slack   time.Duration            // how slow the machine itself was
 }
 
-// Lines tells service and version of all backends that ever were.
-func (t *Troupe) Lines() map[string][2]string {
+// Outputs tells service and version of all backends that ever were.
+func (t *Deployment) Outputs() map[string][2]string {
 	all := map[string][2]string{}
 	for _, l := range t.All() {
 		all[l.ID] = [2]string{l.Service, l.Version}
@@ -95,7 +95,7 @@
 
 // Books: a write whose client was told that it is done is in the books once; one that was told refused is not; none
 // is twice, by try or by the write that all its tries are for. What had no clear answer is counted.
-func Books(h []history.Event) (bad []history.Broken, u Open) {
+func Ledger(h []history.Event) (bad []history.Broken, u Open) {
 	u.Why = map[string]int{}
 	all, order := attempts(h)
 	o := newOff(h, Terminates)
@@ -150,8 +150,8 @@
 	return bad, u
 }
 
-// Barred: once a door was seen to have pulled back, no request reaches the failing version by it, in a later life
-// neither; nor by any door that started anew after the verdict. A further try goes from the new version to the old,
+// Barred: once a node was seen to have pulled back, no request reaches the failing version by it, in a later life
+// neither; nor by any node that started anew after the verdict. A further try goes from the new version to the old,
 // never the other way.
 func Barred(h []history.Event, t *Trial) (bad []history.Broken) {
 	closed := map[string]time.Duration{}
@@ -194,16 +194,16 @@
 	return bad
 }
 
-// Carried counts reads that were under way on the failing version when the first door had pulled back.
+// Carried counts reads that were under way on the failing version when the first node had pulled back.
 type Carried struct {
 	UnderWay int `json:"under_way"`
 	Whole    int `json:"whole"`
 	Failed   int `json:"failed"` // by the version itself
-	Off      int `json:"off"`    // whose door was killed, was ending or stood still
+	Off      int `json:"off"`    // whose node was killed, was ending or stood still
 }
 
 // Whole: reads under way on the failing version at the pull-back come whole, but for those that the version fails
-// itself and those whose door dies.
+// itself and those whose node dies.
 func Whole(h []history.Event, t *Trial) (bad []history.Broken, r Carried) {
 	if t.Verdict == 0 {
 		return nil, r
@@ -244,14 +244,14 @@
 // Met is how a failing version was met.
 type Met struct {
 	FirstBad time.Duration `json:"first_bad"` // after the version was spoilt
-	Verdict  time.Duration `json:"verdict"`   // from the first failing answer until a door was seen to have pulled back
-	LastDoor time.Duration `json:"last_door"` // and until the last one was
-	Last     time.Duration `json:"last"`      // and until the last request reached the version by any door
+	Verdict  time.Duration `json:"verdict"`   // from the first failing answer until a node was seen to have pulled back
+	LastNode time.Duration `json:"last_door"` // and until the last one was
+	Last     time.Duration `json:"last"`      // and until the last request reached the version by any node
 	Requests int           `json:"requests"`  // that reached the version from the first failing one on
 	Failing  int           `json:"failing"`   // of these
 	Clients  int           `json:"clients"`   // of these, tries that did not end well for their clients
 
-	ByDoor map[string]time.Duration `json:"by_door,omitempty"` // as Last, of each door
+	ByNode map[string]time.Duration `json:"by_door,omitempty"` // as Last, of each node
 }
 
 // Measure tells how long and how often a failing version was met; nothing where none failed.
@@ -269,7 +269,7 @@
 	if t.Verdict > 0 {
 		m.Verdict = t.Verdict - first
 		for _, at := range t.Pulled {
-			m.LastDoor = max(m.LastDoor, at-first)
+			m.LastNode = max(m.LastNode, at-first)
 		}
 	}
 	all, _ := attempts(h)
@@ -278,10 +278,10 @@
 		for _, b := range a.begun {
 			if t.isNew(b.Who) && b.T >= first && (t.Mended == 0 || b.T <= t.Mended) {
 				met, m.Last = true, max(m.Last, b.T-first)
-				if m.ByDoor == nil {
-					m.ByDoor = map[string]time.Duration{}
+				if m.ByNode == nil {
+					m.ByNode = map[string]time.Duration{}
 				}
-				m.ByDoor[a.ask.At] = max(m.ByDoor[a.ask.At], b.T-first)
+				m.ByNode[a.ask.At] = max(m.ByNode[a.ask.At], b.T-first)
 			}
 		}
 		if !met && a.flaw == "" {
--- a/internal/lab/gatewaystandin/rollouts_test.go
+++ b/internal/lab/gatewaystandin/rollouts_test.go
@@ -13,7 +13,7 @@
 	"clovergap/internal/history"
 )
 
-// told is a try of the trial's service at door d0: asked, begun at some backends one after another, over, answered.
+// told is a try of the trial's service at node d0: asked, begun at some backends one after another, over, answered.
 // A write is in the books as often as is said.
 func told(id, what, path string, at, takes time.Duration, code float64, recorded int, begun ...string) []history.Event {
 	h := []history.Event{{T: at, Who: "clients", Kind: Route, Txn: id, Key: "saleroom.example", At: path, What: "bids"},
@@ -49,7 +49,7 @@
 	return rules
 }
 
-func TestBooksFindWhatIsLostDoubledOrDenied(t *testing.T) {
+func TestLedgerFindsWhatIsLostDoubledOrDenied(t *testing.T) {
 	flaw := history.Event{T: 2 * s, Who: "new", Kind: Flawed, Txn: "a", What: "5xx"}
 	turned := history.Event{T: 2 * s, Who: "new", Kind: history.Turned, Txn: "a", N: 1}
 	for name, c := range map[string]struct {
@@ -73,7 +73,7 @@
 			event(s+s/2, "d0", history.Down)), nil, Open{1, 0, map[string]int{"its door ended or stood still": 1}}},
 		"no answer, never begun": {told("a", "effectful", "/bids/1", s, s, 504, 0), nil, Open{1, 0, map[string]int{"never sent on": 1}}},
 	} {
-		bad, open := Books(c.h)
+		bad, open := Ledger(c.h)
 		must.Eq(t, c.rules, rulesOf(bad), must.Sprint(name))
 		must.Eq(t, c.open, open, must.Sprint(name))
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-// A read that takes longer than the grace of a door that ends may be cut; one of a door that ended early may not.
+// A read that takes longer than the grace of a node that ends may be cut; one of a node that ended early may not.
 func TestGraceIsUsedUp(t *testing.T) {
 	ends := func(after time.Duration) []history.Event {
 		return history.Merge(event(10*s, "d0", Terminates), event(10*s+after, "d0", history.Down))
@@ -151,8 +151,8 @@
 		told("first", "effectful", "/bids/1", 10*s, s/10, 500, 1, "new"), flaw(10*s, "first"),
 		told("fine", "pure", "/lots/1", 12*s, s/10, 200, 0, "new"), told("old", "pure", "/lots/2", 13*s, s/10, 200, 0, "old"),
 		told("saved", "pure", "/lots/3", 15*s, s/10, 200, 0, "new", "old"), flaw(15*s, "saved"))
-	must.Eq(t, Met{FirstBad: 2 * s, Verdict: 10 * s, LastDoor: 11 * s, Last: 5 * s, Requests: 3, Failing: 2, Clients: 1,
-		ByDoor: map[string]time.Duration{"d0": 5 * s}},
+	must.Eq(t, Met{FirstBad: 2 * s, Verdict: 10 * s, LastNode: 11 * s, Last: 5 * s, Requests: 3, Failing: 2, Clients: 1,
+		ByNode: map[string]time.Duration{"d0": 5 * s}},
 		Measure(h, onTrial()))
 	must.Eq(t, []Moment{{0, 1, 2, 0, 1}, {5, 1, 1, 0, 1}}, Course(h, onTrial(), 10*s, 5*s))
 	must.Eq(t, Met{}, Measure(h[:2], onTrial()))
@@ -165,9 +165,9 @@
 		p := make()
 		must.Eq(t, name, p.Name)
 		text, _ := json.Marshal(p.first())
-		_, err := routing.ReadBill(text)
+		_, err := routing.ReadConfig(text)
 		must.NoError(t, err)
-		tr := &Troupe{Terms: Terms{Play: p, Seed: 3, Zones: []string{"stalls"}}}
+		tr := &Deployment{Terms: Terms{Play: p, Seed: 3, Zones: []string{"stalls"}}}
 		c := NewClients(tr)
 		n, marks, keys := map[string]int{}, map[int]string{}, map[int]string{}
 		for range 5000 {
@@ -186,7 +186,7 @@
 }
 
 func TestFlawsHitWhatTheySay(t *testing.T) {
-	tr, err := New(Terms{Zones: []string{"stalls"}, Doors: 0, Each: 1, Beat: time.Hour, Play: SaleDay(), History: history.InMemory(1 << 10)})
+	tr, err := New(Terms{Zones: []string{"stalls"}, Nodes: 0, Each: 1, Beat: time.Hour, Play: SaleDay(), History: history.InMemory(1 << 10)})
 	must.NoError(t, err)
 	defer tr.Close()
 	l, err := tr.AddVersion("saleroom", "stalls", "v2", 0)
@@ -227,7 +227,7 @@
 	sent := moved(0)
 	sent[4].Sent, sent[4].Acked = 15*s, 0
 	end := event(30*s, "clients", history.Unheard)
-	house := quiet(sent).Cast()
+	house := quiet(sent).Backends()
 	must.Len(t, 1, acks(house, newCalm(end, house), end))
 	closed := history.Merge(event(16*s, "rig", history.Closes), end)
 	must.SliceEmpty(t, acks(house, newCalm(closed, house), closed))
--- a/internal/lab/gatewaystandin/rules.go
+++ b/internal/lab/gatewaystandin/rules.go
@@ -64,7 +64,7 @@
 }
 
 // Quotas: in no window do a tenant's requests that were sent and that ran in it pass (rate x window + burst)
-// x (1 + excess) + margin, over all doors.
+// x (1 + excess) + margin, over all nodes.
 func Quotas(h []history.Event) (bad []history.Broken) {
 	b := Bounds()
 	sent := map[string]history.Event{}
@@ -110,7 +110,7 @@
 // budgets: in no window does a service receive more arrivals after the first of each request than its share
 // of the requests for it and the extra. What was turned away counts, and the best of three windows of
 // requests does.
-func budgets(h []history.Event, t *Cast) (bad []history.Broken) {
+func budgets(h []history.Event, t *Backends) (bad []history.Broken) {
 	b := Bounds()
 	service, versions := t.Services, t.Versions
 	prefixes := map[string][]string{} // services that any version names, by host and the path's first part
@@ -121,7 +121,7 @@
 		}
 		var all []string
 		for _, v := range versions {
-			all = append(all, targets(v.Bill, e)...)
+			all = append(all, targets(v.Config, e)...)
 		}
 		slices.Sort(all)
 		prefixes[key] = slices.Compact(all)
@@ -173,7 +173,7 @@
 
 // Kept: what was acknowledged is in the configuration read back at the end, at a time, or older than it; and what is
 // read is what was sent.
-func Kept(final *routing.Bill, sent map[uint64]Version, at time.Duration) (bad []history.Broken) {
+func Kept(final *routing.Config, sent map[uint64]Version, at time.Duration) (bad []history.Broken) {
 	say := func(format string, args ...any) {
 		bad = append(bad, history.Broken{Rule: "CONFIG", T: at, What: fmt.Sprintf(format, args...)})
 	}
@@ -208,8 +208,8 @@
 		say("%d was read back and never sent", final.Generation)
 	case v.Lost:
 		say("%d was refused (%s) and is in force", final.Generation, v.Refusal)
-	case !Same(v.Bill, final):
-		say("%d was read back as %s, not as %s", final.Generation, plain(final), plain(v.Bill))
+	case !Same(v.Config, final):
+		say("%d was read back as %s, not as %s", final.Generation, plain(final), plain(v.Config))
 	}
 	return bad
 }
@@ -224,25 +224,25 @@
 	return in
 }
 
-// Trouble on a door's machine or its links, by whoever brings it.
+// Trouble on a node's machine or its links, by whoever brings it.
 const (
 	Troubled history.Kind = "trouble"
 	Eased    history.Kind = "eased"
 )
 
-// Cast is who played a history, as far as the rules ask.
-type Cast struct {
-	Doors    map[string]string // names, by where they take control calls
+// Backends is who played a history, as far as the rules ask.
+type Backends struct {
+	Nodes    map[string]string // names, by where they take control calls
 	Cores    []string          // those with a disk
 	Services map[string]string // of every backend that ever was
 	Versions map[uint64]Version
 }
 
-// Cast names who played.
-func (t *Troupe) Cast() *Cast {
-	c := &Cast{Doors: map[string]string{}, Services: map[string]string{}, Versions: t.Operator.Versions()}
-	for _, d := range t.Doors {
-		c.Doors[d.Control] = d.Name
+// Backends names who played.
+func (t *Deployment) Backends() *Backends {
+	c := &Backends{Nodes: map[string]string{}, Services: map[string]string{}, Versions: t.Operator.Versions()}
+	for _, d := range t.Nodes {
+		c.Nodes[d.Control] = d.Name
 	}
 	for _, d := range t.Cores() {
 		c.Cores = append(c.Cores, d.Name)
@@ -253,9 +253,9 @@
 	return c
 }
 
-// calm tells when doors were in touch, by what the rig did to them.
+// calm tells when nodes were in touch, by what the rig did to them.
 type calm struct {
-	events map[string][]time.Duration // of each door: ends, starts, stops, goes
+	events map[string][]time.Duration // of each node: ends, starts, stops, goes
 	core   []time.Duration
 	off    off
 	gaps   []gap
@@ -264,10 +264,10 @@
 
 const always = time.Duration(1<<63 - 1)
 
-func newCalm(h []history.Event, t *Cast) *calm {
+func newCalm(h []history.Event, t *Backends) *calm {
 	c := &calm{events: map[string][]time.Duration{}, off: newOff(h), gaps: gapsOf(h), cores: t.Cores}
 	doors := map[string]bool{}
-	for _, name := range t.Doors {
+	for _, name := range t.Nodes {
 		doors[name] = true
 	}
 	for _, e := range h {
@@ -289,10 +289,10 @@
 	return c
 }
 
-// off is when doors were down, stood still or were in trouble.
+// off is when nodes were down, stood still or were in trouble.
 type off map[string][][2]time.Duration
 
-// newOff reads it from a history; what else ends a door may be named.
+// newOff reads it from a history; what else ends a node may be named.
 func newOff(h []history.Event, downs ...history.Kind) off {
 	o, open := off{}, map[string]map[history.Kind]time.Duration{}
 	for _, e := range h {
@@ -330,10 +330,10 @@
 	return o
 }
 
-// graceNear is how close to its end a door has used up its grace.
+// graceNear is how close to its end a node has used up its grace.
 const graceNear = 1500 * time.Millisecond
 
-// OutOfGrace tells whether a door that was told to end did so about then, with its grace used up: what takes longer
+// OutOfGrace tells whether a node that was told to end did so about then, with its grace used up: what takes longer
 // than that can't be waited for.
 func OutOfGrace(h []history.Event, door string, at time.Duration) bool {
 	told := always
@@ -352,7 +352,7 @@
 	return false
 }
 
-// meets tells whether a door was off at any moment of a time.
+// meets tells whether a node was off at any moment of a time.
 func (o off) meets(who string, from, to time.Duration) bool {
 	return slices.ContainsFunc(o[who], func(s [2]time.Duration) bool { return s[0] <= to && s[1] >= from })
 }
@@ -369,7 +369,7 @@
 	})
 }
 
-// touch tells whether a door was in touch for a whole time.
+// touch tells whether a node was in touch for a whole time.
 func (c *calm) touch(door string, from, to time.Duration) bool {
 	begin := from - Bounds().InTouch
 	return !between(c.events[door], begin, to) && !c.off.meets(door, begin, to) && c.settled(from, to) &&
@@ -380,7 +380,7 @@
 
 // Judge holds a history against the rules that clients, backends and the operator can see broken. Slack is
 // how slow the machine itself was.
-func Judge(h []history.Event, t *Cast, slack time.Duration) (bad []history.Broken) {
+func Judge(h []history.Event, t *Backends, slack time.Duration) (bad []history.Broken) {
 	c := newCalm(h, t)
 	bad = append(bad, Twice(h)...)
 	bad = append(bad, Quotas(h)...)
@@ -392,16 +392,16 @@
 	return append(bad, routes(h, t, c, slack)...)
 }
 
-// drains: nothing reaches a backend by a door in touch more than the drain after a door in touch
+// drains: nothing reaches a backend by a node in touch more than the drain after a node in touch
 // acknowledged that it leaves.
-func drains(h []history.Event, t *Cast, c *calm, slack time.Duration) (bad []history.Broken) {
+func drains(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Broken) {
 	ask, told := map[string]history.Event{}, map[string]time.Duration{}
 	for _, e := range h {
 		switch e.Kind {
 		case history.Asked:
 			ask[e.Txn] = e
 		case history.Told:
-			if _, ok := told[e.At]; !ok && c.touch(t.Doors[e.Who], e.T, e.T) {
+			if _, ok := told[e.At]; !ok && c.touch(t.Nodes[e.Who], e.T, e.T) {
 				told[e.At] = e.T
 			}
 		case history.Arrived:
@@ -417,7 +417,7 @@
 }
 
 // reads: what is read is not older than what was acknowledged before it was asked.
-func reads(h []history.Event, t *Cast) (bad []history.Broken) {
+func reads(h []history.Event, t *Backends) (bad []history.Broken) {
 	for _, e := range h {
 		if e.Kind != ReadBack {
 			continue
@@ -434,7 +434,7 @@
 }
 
 // acks: a proper order is acknowledged within its time where the core was settled all the while.
-func acks(t *Cast, c *calm, h []history.Event) (bad []history.Broken) {
+func acks(t *Backends, c *calm, h []history.Event) (bad []history.Broken) {
 	last := h[len(h)-1].T
 	if i := slices.IndexFunc(h, func(e history.Event) bool { return e.Kind == history.Closes }); i >= 0 {
 		last = h[i].T // the operator has gone, while long reads may go on
@@ -453,9 +453,9 @@
 	return bad
 }
 
-// routes: what runs was asked so, by a service that some configuration names for it, and doors in touch go
+// routes: what runs was asked so, by a service that some configuration names for it, and nodes in touch go
 // by the configurations that may be in force.
-func routes(h []history.Event, t *Cast, c *calm, slack time.Duration) (bad []history.Broken) {
+func routes(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Broken) {
 	type request struct {
 		route, ask, final history.Event
 		ran               []history.Event
@@ -495,7 +495,7 @@
 		}
 		ever := map[string]bool{} // services that any configuration ever sent names
 		for _, v := range versions {
-			for _, s := range targets(v.Bill, r.route) {
+			for _, s := range targets(v.Config, r.route) {
 				ever[s] = true
 			}
 		}
@@ -531,7 +531,7 @@
 			if v.Sent > end {
 				break
 			}
-			to := targets(v.Bill, r.route)
+			to := targets(v.Config, r.route)
 			for _, s := range to {
 				allowed[s] = true
 			}
@@ -551,7 +551,7 @@
 }
 
 // force are the versions that were in force, in order: the newest that was read or acknowledged, and what it builds on.
-func (t *Cast) force(read uint64) (all []Version) {
+func (t *Backends) force(read uint64) (all []Version) {
 	for n, v := range t.Versions {
 		if v.Acked > 0 { // none may have been read
 			read = max(read, n)
@@ -562,15 +562,15 @@
 			all = append(all, v)
 		}
 	}
-	slices.SortFunc(all, func(a, b Version) int { return int(a.Bill.Generation) - int(b.Bill.Generation) })
+	slices.SortFunc(all, func(a, b Version) int { return int(a.Config.Generation) - int(b.Config.Generation) })
 	return all
 }
 
-// slowedTimes as long may a door that is not in touch take to show what it knows.
+// slowedTimes as long may a node that is not in touch take to show what it knows.
 const slowedTimes = 8
 
-// backwards: within one life a door does not go back behind a version whose effect a backend has seen.
-func backwards(h []history.Event, t *Cast, c *calm, slack time.Duration) (bad []history.Broken) {
+// backwards: within one life a node does not go back behind a version whose effect a backend has seen.
+func backwards(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Broken) {
 	type sight struct {
 		at     time.Duration
 		oldest int // in force, that explains it
@@ -594,7 +594,7 @@
 			a, ok := ask[e.Txn]
 			oldest, newest := -1, -1
 			for i := range force {
-				if slices.Contains(targets(force[i].Bill, route[e.Txn]), t.Services[e.Who]) {
+				if slices.Contains(targets(force[i].Config, route[e.Txn]), t.Services[e.Who]) {
 					if newest = i; oldest < 0 {
 						oldest = i
 					}
@@ -615,8 +615,8 @@
 			}
 			if newest < known {
 				bad = append(bad, history.Broken{Rule: "CONFIG", T: e.T, Who: a.At, Txn: e.Txn, Key: a.Key, Timed: true, What: fmt.Sprintf(
-					"ran at %s, as no version after %d allows, though %d was seen in force", e.Who, force[newest].Bill.Generation,
-					force[known].Bill.Generation)})
+					"ran at %s, as no version after %d allows, though %d was seen in force", e.Who, force[newest].Config.Generation,
+					force[known].Config.Generation)})
 			}
 			if all := seen[a.At]; len(all) == 0 || all[len(all)-1].oldest < oldest {
 				seen[a.At] = append(all, sight{e.T, oldest})
@@ -627,7 +627,7 @@
 }
 
 // targets are the services that a configuration names for a request.
-func targets(b *routing.Bill, route history.Event) (all []string) {
+func targets(b *routing.Config, route history.Event) (all []string) {
 	longest := -1
 	for _, h := range b.Vhosts {
 		if h.Hostname != route.Key {
--- a/internal/lab/gatewaystandin/rules_test.go
+++ b/internal/lab/gatewaystandin/rules_test.go
@@ -13,11 +13,11 @@
 
 const s = time.Second
 
-// quiet is a house that only rules see: three doors with disks, up since long, and an operator's versions.
-func quiet(versions map[uint64]*Version) *Troupe {
-	t := &Troupe{Terms: Terms{Disks: 3}}
+// quiet is a deployment that only rules see: three nodes with disks, up since long, and an operator's versions.
+func quiet(versions map[uint64]*Version) *Deployment {
+	t := &Deployment{Terms: Terms{Disks: 3}}
 	for _, name := range []string{"d0", "d1", "d2"} {
-		t.Doors = append(t.Doors, &Door{Process: standin.NewProcess(name, nil, nil, nil, nil),
+		t.Nodes = append(t.Nodes, &Node{Process: standin.NewProcess(name, nil, nil, nil, nil),
 			Control: name + ":1", t: t})
 	}
 	t.Operator = &Operator{t: t, versions: versions}
@@ -26,7 +26,7 @@
 	return t
 }
 
-// request is a try's events: asked by a door, run at backends, answered; a negative time of a run is a
+// request is a try's events: asked by a node, run at backends, answered; a negative time of a run is a
 // turn-away after it.
 func request(id, what, tenant, host, path string, at time.Duration, ran map[string]time.Duration,
 	answer time.Duration, code float64) []history.Event {
@@ -45,8 +45,8 @@
 	next.Generation = 4
 	next.Vhosts[0].PathList[0].Target = "tickets"
 	next.Vhosts[1].PathList = nil
-	return map[uint64]*Version{1: {Bill: First(), Sent: s, Acked: s},
-		4: {Bill: next, Parent: 1, Sent: acked - s/10, Acked: acked}}
+	return map[uint64]*Version{1: {Config: First(), Sent: s, Acked: s},
+		4: {Config: next, Parent: 1, Sent: acked - s/10, Acked: acked}}
 }
 
 func TestRulesFindWhatIsBroken(t *testing.T) {
@@ -124,7 +124,7 @@
 			[]string{"CONFIG"}},
 	} {
 		var rules []string
-		for _, b := range Judge(history.Merge(c.h, []history.Event{read}), quiet(moved(20*s)).Cast(), 0) {
+		for _, b := range Judge(history.Merge(c.h, []history.Event{read}), quiet(moved(20*s)).Backends(), 0) {
 			if len(rules) == 0 || rules[len(rules)-1] != b.Rule {
 				rules = append(rules, b.Rule)
 			}
@@ -134,26 +134,26 @@
 }
 
 func TestKeptFindsWhatIsLost(t *testing.T) {
-	bill := func(n uint64) *routing.Bill { b := First(); b.Generation = n; return b }
+	bill := func(n uint64) *routing.Config { b := First(); b.Generation = n; return b }
 	other := bill(4)
 	other.Tenants = nil
 	for name, c := range map[string]struct {
-		final *routing.Bill
+		final *routing.Config
 		sent  map[uint64]Version
 		bad   int
 	}{
-		"kept": {bill(4), map[uint64]Version{1: {Bill: bill(1), Acked: s},
-			4: {Bill: bill(4), Parent: 1}}, 0},
-		"lost": {bill(1), map[uint64]Version{1: {Bill: bill(1), Acked: s},
-			4: {Bill: bill(4), Parent: 1, Acked: s}}, 1},
-		"another in its way": {bill(6), map[uint64]Version{1: {Bill: bill(1), Acked: s},
-			4: {Bill: bill(4), Parent: 1, Acked: s}, 6: {Bill: bill(6), Parent: 1}}, 1},
-		"both of a race": {bill(6), map[uint64]Version{1: {Bill: bill(1), Acked: s},
-			4: {Bill: bill(4), Parent: 1, Acked: s}, 6: {Bill: bill(6), Parent: 1, Acked: s}}, 2},
-		"not as sent":   {other, map[uint64]Version{4: {Bill: bill(4), Acked: s}}, 1},
-		"refused":       {bill(4), map[uint64]Version{4: {Bill: bill(4), Lost: true, Refusal: "412"}}, 1},
-		"invalid":       {bill(4), map[uint64]Version{4: {Bill: bill(4), Acked: s, WellKnownBad: true}}, 1},
-		"nothing comes": {nil, map[uint64]Version{4: {Bill: bill(4)}}, 1},
+		"kept": {bill(4), map[uint64]Version{1: {Config: bill(1), Acked: s},
+			4: {Config: bill(4), Parent: 1}}, 0},
+		"lost": {bill(1), map[uint64]Version{1: {Config: bill(1), Acked: s},
+			4: {Config: bill(4), Parent: 1, Acked: s}}, 1},
+		"another in its way": {bill(6), map[uint64]Version{1: {Config: bill(1), Acked: s},
+			4: {Config: bill(4), Parent: 1, Acked: s}, 6: {Config: bill(6), Parent: 1}}, 1},
+		"both of a race": {bill(6), map[uint64]Version{1: {Config: bill(1), Acked: s},
+			4: {Config: bill(4), Parent: 1, Acked: s}, 6: {Config: bill(6), Parent: 1, Acked: s}}, 2},
+		"not as sent":   {other, map[uint64]Version{4: {Config: bill(4), Acked: s}}, 1},
+		"refused":       {bill(4), map[uint64]Version{4: {Config: bill(4), Lost: true, Refusal: "412"}}, 1},
+		"invalid":       {bill(4), map[uint64]Version{4: {Config: bill(4), Acked: s, WellKnownBad: true}}, 1},
+		"nothing comes": {nil, map[uint64]Version{4: {Config: bill(4)}}, 1},
 	} {
 		must.Len(t, c.bad, Kept(c.final, c.sent, s), must.Sprint(name))
 	}
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -47,7 +47,7 @@
 }
 
 // plays are what may find a mutant.
-var plays = []string{"emulator", "processes", "leases", "rehearsal", "hard"}
+var plays = []string{"emulator", "processes", "leases", "simulation", "hard"}
 
 // Load reads a table.
 func Load(file string) (*Table, error) {
@@ -74,7 +74,7 @@
 		}
 		for _, p := range m.Play {
 			if f := strings.Fields(p); len(f) != 2 || !slices.Contains(plays, f[0]) {
-				return nil, wrong(fmt.Sprintf("play: %q is neither \"emulator FILE\", \"processes FILE\", \"leases MODEL\", \"rehearsal DOORSxDISKS\" nor \"hard DOORSxDISKS\"", p))
+				return nil, wrong(fmt.Sprintf("play: %q is neither \"emulator FILE\", \"processes FILE\", \"leases MODEL\", \"simulation NODESxDISKS\" nor \"hard NODESxDISKS\"", p))
 			}
 		}
 		for _, c := range m.Changes() {
@@ -198,7 +198,7 @@
 		if args = append(args, "--first-broken"); kind == "leases" {
 			find, args = brokeLeases, []string{"leases", "--model", file, "--walks", strconv.Itoa(100 * o.Emulated), "--states", "1"}
 		}
-		if kind == "rehearsal" || kind == "hard" {
+		if kind == "simulation" || kind == "hard" {
 			doors, disks, _ := strings.Cut(file, "x")
 			args = []string{"rehearse", "--doors", doors, "--disks", disks, "--seeds", strconv.Itoa(o.Emulated), "--jobs", strconv.Itoa(o.Jobs), "--first-broken",
 				fmt.Sprintf("--hard=%v", kind == "hard")}
--- a/internal/lab/mutants/mutants_test.go
+++ b/internal/lab/mutants/mutants_test.go
@@ -22,7 +22,7 @@
 			t.Error(err)
 		}
 		for _, p := range m.Play {
-			if strings.HasPrefix(p, "leases ") || strings.HasPrefix(p, "rehearsal ") || strings.HasPrefix(p, "hard ") {
+			if strings.HasPrefix(p, "leases ") || strings.HasPrefix(p, "simulation ") || strings.HasPrefix(p, "hard ") {
 				continue
 			}
 			if _, err := os.Stat(filepath.Join("../../../lab", strings.Fields(p)[1])); err != nil {
--- a/internal/lab/simulation/catchup_test.go
+++ b/internal/lab/simulation/catchup_test.go
@@ -16,10 +16,10 @@
 
 // changer sends whoever leads one change after another, each made from the generation before.
 type changer struct {
-	w    *world
-	bill *routing.Bill
-	gen  uint64
-	sent time.Duration
+	w      *world
+	config *routing.Config
+	gen    uint64
+	sent   time.Duration
 }
 
 // leader is the machine that leads; nil if none does.
@@ -53,7 +53,7 @@
 	parent := c.applied(m)
 	c.gen, c.sent = parent+1, c.w.now
 	if whole {
-		b := *c.bill
+		b := *c.config
 		b.Generation, b.ParentVersion = c.gen, parent
 		text, err := json.Marshal(&b)
 		if err != nil {
@@ -63,7 +63,7 @@
 		return true
 	}
 	a := routing.Amendment{Generation: c.gen, ParentVersion: parent, Upserts: &routing.Upserts{
-		Tenants: []routing.BillTenant{tenant(int(c.gen) % 50)}}}
+		Tenants: []routing.ConfigTenant{tenant(int(c.gen) % 50)}}}
 	text, err := json.Marshal(&a)
 	if err != nil {
 		panic(err)
@@ -72,20 +72,20 @@
 	return true
 }
 
-func tenant(i int) routing.BillTenant {
-	return routing.BillTenant{Name: fmt.Sprintf("t%06d", i), ApiKeys: []string{fmt.Sprintf("key-of-the-tenant-%06d", i)},
+func tenant(i int) routing.ConfigTenant {
+	return routing.ConfigTenant{Name: fmt.Sprintf("t%06d", i), ApiKeys: []string{fmt.Sprintf("key-of-the-tenant-%06d", i)},
 		Priority: 1, RatePerS: 5, Burst: 5}
 }
 
 // thin is a site on thin links in which all is calm, with a configuration of about so many bytes.
 func thin(t *testing.T, doors, bytes int, mbps float64) *changer {
-	w := newWorld(&Day{Site: Site{Doors: doors, Disks: 3, Zones: 1, Mbps: mbps}.Usual(), Seed: 1, For: time.Second, Log: logOf()})
+	w := newWorld(&Day{Site: Site{Nodes: doors, Disks: 3, Zones: 1, Mbps: mbps}.Usual(), Seed: 1, For: time.Second, Log: logOf()})
 	for _, m := range w.machines {
 		m.start()
 	}
-	c := &changer{w: w, bill: gatewaystandin.First()}
+	c := &changer{w: w, config: gatewaystandin.First()}
 	for i := range bytes / 110 {
-		c.bill.Tenants = append(c.bill.Tenants, tenant(i))
+		c.config.Tenants = append(c.config.Tenants, tenant(i))
 	}
 	must.True(t, w.until(w.now+20*time.Second, func() bool { return c.leader() != nil }))
 	w.until(w.now+5*time.Second, nil)
@@ -119,7 +119,7 @@
 	return true
 }
 
-// away has a member and a door without a disk miss so many changes. It tells how long each takes to be as new as the leader was when
+// away has a member and a node without a disk miss so many changes. It tells how long each takes to be as new as the leader was when
 // it came back, with small changes going on, and what the others sent for it.
 func (c *changer) away(t *testing.T, times int, whole bool) (member, door time.Duration, bytes int64) {
 	w := c.w
@@ -157,8 +157,8 @@
 	return member, door, bytes
 }
 
-// A member and a door without a disk that come back after many changes are level within a stated time, on links of 2 Mbit/s and with
-// changes going on: four times what their bytes take on the link, for both come from one door, and three seconds. CATCHUP_SIZE and
+// A member and a node without a disk that come back after many changes are level within a stated time, on links of 2 Mbit/s and with
+// changes going on: four times what their bytes take on the link, for both come from one node, and three seconds. CATCHUP_SIZE and
 // CATCHUP_TIMES play it larger.
 func TestAwayOnThinLinks(t *testing.T) {
 	const mbps = 2
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -47,9 +47,9 @@
 	m      *machine
 	p      *process // that has it
 	adm    ingress.Admission
-	tenant string // as the door tells backends
+	tenant string // as the node tells backends
 	ref    slots.Ref
-	expiry time.Duration // on the door's clock
+	expiry time.Duration // on the node's clock
 	over   bool          // at the client
 	ended  func(status int, after time.Duration)
 }
@@ -57,10 +57,10 @@
 func numberOf(b []byte) uint32 { return binary.LittleEndian.Uint32(b) }
 
 func newClients(w *world) *clients {
-	return &clients{w: w, rng: source(w.day.Seed, 0xc11e), missed: make([]int, w.day.Doors), heard: make([]bool, w.day.Doors)}
+	return &clients{w: w, rng: source(w.day.Seed, 0xc11e), missed: make([]int, w.day.Nodes), heard: make([]bool, w.day.Nodes)}
 }
 
-// watch asks every door each second whether it is ready, as the platform does.
+// watch asks every node each second whether it is ready, as the platform does.
 func (c *clients) watch() {
 	for i := range c.w.machines {
 		c.w.after(span(c.rng, 0, time.Second), func() {
@@ -138,7 +138,7 @@
 	again()
 }
 
-// try sends one try to a door.
+// try sends one try to a node.
 func (c *clients) try(m *machine, want gatewaystandin.Want, left time.Duration, ended func(status int, after time.Duration)) {
 	w := c.w
 	c.next++
@@ -152,7 +152,7 @@
 		Due: w.now + left})
 	sent := w.now
 	gives := left
-	if !want.Effectful && m.p != nil && m.stands > 0 { // a door that does not read is left earlier
+	if !want.Effectful && m.p != nil && m.stands > 0 { // a node that does not read is left earlier
 		gives = max(left/3, min(left, time.Second))
 	}
 	w.after(gives, func() { c.unheard(t, true) })
@@ -161,16 +161,16 @@
 			return
 		}
 		p := m.p
-		if p == nil || p.hall.deaf {
+		if p == nil || p.upstreams.deaf {
 			w.after(w.way(m.zone, want.Zone), func() { c.unheard(t, false) })
 			return
 		}
 		came := w.now
 		t.p = p
-		p.hall.tries[t.nr] = t
+		p.upstreams.tries[t.nr] = t
 		p.turn(func() {
 			w.doing = "requests"
-			p.hall.take(t, left-(came-sent), w.now-came)
+			p.upstreams.take(t, left-(came-sent), w.now-came)
 		})
 	})
 }
@@ -185,7 +185,7 @@
 	if p := t.p; p != nil {
 		c.w.after(c.w.way(t.want.Zone, t.m.zone), func() {
 			p.turn(func() {
-				delete(p.hall.tries, t.nr)
+				delete(p.upstreams.tries, t.nr)
 				if t.ref != 0 {
 					p.g.Left(t.ref)
 				}
@@ -196,7 +196,7 @@
 }
 
 // answered: an answer is on its way.
-func (x *hall) answered(t *try, status int, after time.Duration) {
+func (x *upstreams) answered(t *try, status int, after time.Duration) {
 	delete(x.tries, t.nr)
 	w := x.p.w
 	w.after(w.way(t.m.zone, t.want.Zone), func() {
@@ -209,24 +209,24 @@
 	})
 }
 
-// lost: a door's process has ended, and its clients' connections with it.
+// lost: a node's process has ended, and its clients' connections with it.
 func (c *clients) lost(p *process, power bool) {
 	if power {
 		return
 	}
-	for _, nr := range sortedKeys(p.hall.tries) {
-		t := p.hall.tries[nr]
+	for _, nr := range sortedKeys(p.upstreams.tries) {
+		t := p.upstreams.tries[nr]
 		t.p = nil
 		c.w.after(c.w.way(p.m.zone, t.want.Zone), func() { c.unheard(t, false) })
 	}
 }
 
-// ---- The front of a door: what internal/gateway/ingress does, without bytes.
+// ---- The front of a node: what internal/gateway/ingress does, without bytes.
 
 const soon = 300 * time.Millisecond
 
 // take admits a request whose client waits so long, some of which it may have lain unread.
-func (x *hall) take(t *try, wait, unread time.Duration) {
+func (x *upstreams) take(t *try, wait, unread time.Duration) {
 	p := x.p
 	if x.tries[t.nr] != t {
 		return
@@ -265,7 +265,7 @@
 }
 
 // of finds a try that waits.
-func (x *hall) of(who, txn slots.Ref) *try {
+func (x *upstreams) of(who, txn slots.Ref) *try {
 	if t := x.tries[uint32(who)]; t != nil && (t.ref == 0 || t.ref == txn) {
 		return t
 	}
@@ -273,7 +273,7 @@
 }
 
 // AppendTo gives the number of the try: no bytes are needed here.
-func (x *hall) AppendTo(b []byte, who, txn slots.Ref, _ control.BackendID, _ time.Duration) []byte {
+func (x *upstreams) AppendTo(b []byte, who, txn slots.Ref, _ control.BackendID, _ time.Duration) []byte {
 	if x.of(who, txn) == nil {
 		return b
 	}
@@ -281,14 +281,14 @@
 }
 
 // User names whoever a request is of: its key.
-func (x *hall) User(who, txn slots.Ref) ([]byte, string) {
+func (x *upstreams) User(who, txn slots.Ref) ([]byte, string) {
 	if t := x.of(who, txn); t != nil {
 		return []byte(t.want.Key), t.tenant
 	}
 	return nil, ""
 }
 
-func (x *hall) Settle(who, txn slots.Ref, o gate.Outcome) {
+func (x *upstreams) Settle(who, txn slots.Ref, o gate.Outcome) {
 	t := x.of(who, txn)
 	switch {
 	case t == nil:
@@ -301,7 +301,7 @@
 	}
 }
 
-func (x *hall) Decline(who, txn slots.Ref, after time.Duration, why control.Lack) {
+func (x *upstreams) Decline(who, txn slots.Ref, after time.Duration, why control.Lack) {
 	status := 503
 	if why == gate.LackUnits {
 		status = 429
@@ -311,7 +311,7 @@
 	}
 }
 
-func (x *hall) Void(who, txn slots.Ref, why control.Lack) {
+func (x *upstreams) Void(who, txn slots.Ref, why control.Lack) {
 	t := x.of(who, txn)
 	if t == nil {
 		return
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -20,13 +20,13 @@
 	Digest    string // of all that was seen and sent: the same for the same day
 	Counts    Counts
 	Taken     int             // configurations acknowledged
-	Recovered []time.Duration // until all doors served: after the faults, after the closing fault
+	Recovered []time.Duration // until all nodes served: after the faults, after the closing fault
 	Played    time.Duration   // simulated
 	Events    uint64
 	Syncs     int
-	Disks     Traffic // bytes a second that a door with a disk sends, by kind, in the mean
+	Disks     Traffic // bytes a second that a node with a disk sends, by kind, in the mean
 	Others    Traffic // and one without
-	Most      float64 // the most that any door sends
+	Most      float64 // the most that any node sends
 	History   []history.Event
 	Parted    Parted
 }
@@ -41,7 +41,7 @@
 	warm     = 8 * time.Second // of a calm day, before bytes are counted
 )
 
-// recoverMost is when all doors must serve again after the last heal.
+// recoverMost is when all nodes must serve again after the last heal.
 var recoverMost = gatewaystandin.Bounds().Recovery + 2*time.Second
 
 // Play plays a day.
@@ -68,7 +68,7 @@
 	for _, s := range gatewaystandin.Services {
 		for _, z := range w.zones {
 			for range d.Each {
-				w.stage.add(s.Name, z, 0)
+				w.timeline.add(s.Name, z, 0)
 			}
 		}
 	}
@@ -116,17 +116,17 @@
 	}
 	w.operator.goes, w.clients.open = false, false
 	w.until(w.now+gatewaystandin.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
-	var final *routing.Bill
+	var final *routing.Config
 	for range 2 {
 		if final == nil {
 			read := false
-			w.operator.read(func(b *routing.Bill) { final, read = b, true })
+			w.operator.read(func(b *routing.Config) { final, read = b, true })
 			w.until(w.now+gatewaystandin.ClearMost+time.Second, func() bool { return read })
 		}
 	}
 	w.until(w.now+tail, nil)
 	w.over = true
-	cast := w.cast()
+	cast := w.backends()
 	for _, v := range cast.Versions {
 		if v.Acked > 0 {
 			r.Taken++
@@ -143,10 +143,10 @@
 	})
 }
 
-func (w *world) cast() *gatewaystandin.Cast {
-	c := &gatewaystandin.Cast{Doors: map[string]string{}, Services: w.stage.services, Versions: map[uint64]gatewaystandin.Version{}}
+func (w *world) backends() *gatewaystandin.Backends {
+	c := &gatewaystandin.Backends{Nodes: map[string]string{}, Services: w.timeline.services, Versions: map[uint64]gatewaystandin.Version{}}
 	for at, m := range w.byCall { // those that were replaced too
-		c.Doors[at] = m.name
+		c.Nodes[at] = m.name
 	}
 	for _, m := range w.cores() {
 		c.Cores = append(c.Cores, m.name)
@@ -178,7 +178,7 @@
 	w.until(w.now+time.Second, nil)
 }
 
-// recovers waits until every door serves every first route.
+// recovers waits until every node serves every first route.
 func (w *world) recovers(r *Result, what string) bool {
 	began, left := w.now, len(w.machines)
 	wants := gatewaystandin.Probes()
@@ -220,7 +220,7 @@
 	return ok
 }
 
-// count gives what doors sent in a calm time.
+// count gives what nodes sent in a calm time.
 func (w *world) count(r *Result, over time.Duration) {
 	r.Disks, r.Others = Traffic{}, Traffic{}
 	for _, m := range w.machines {
@@ -233,7 +233,7 @@
 		}
 		r.Most = max(r.Most, float64(m.sent.Sum())/over.Seconds())
 	}
-	for t, of := range map[*Traffic]int{&r.Disks: w.day.Disks, &r.Others: w.day.Doors - w.day.Disks} {
+	for t, of := range map[*Traffic]int{&r.Disks: w.day.Disks, &r.Others: w.day.Nodes - w.day.Disks} {
 		for kind := range *t {
 			(*t)[kind] = int64(float64((*t)[kind]) / over.Seconds() / float64(of))
 		}
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -79,23 +79,23 @@
 			m = drained
 		}
 		if m == "" {
-			w.strike(f)
+			w.applyFault(f)
 			return
 		}
-		if m == drained && len(w.stage.live) > 0 { // one drains, so that the moment comes
-			b := w.stage.live[f.Pick%uint64(len(w.stage.live))]
-			w.stage.add(b.service, b.zone, time.Second)
+		if m == drained && len(w.timeline.live) > 0 { // one drains, so that the moment comes
+			b := w.timeline.live[f.Pick%uint64(len(w.timeline.live))]
+			w.timeline.add(b.service, b.zone, time.Second)
 			b.drain()
 		}
-		w.next(m, 3*time.Second, func() { w.strike(f) })
+		w.next(m, 3*time.Second, func() { w.applyFault(f) })
 	})
 }
 
 // cores are the machines with a disk.
 func (w *world) cores() []*machine { return w.machines[:w.day.Disks] }
 
-// strike brings a fault now.
-func (w *world) strike(f *spec.Fault) {
+// applyFault brings a fault now.
+func (w *world) applyFault(f *spec.Fault) {
 	rng := f.Source(w.net)
 	some := func(of []*machine) (all []*machine) {
 		for _, i := range spec.Hits(len(of), f.Share, rng) {
@@ -143,8 +143,8 @@
 	}
 	backs := func(set func(b *backend, on float64)) {
 		var all []*backend
-		for _, i := range spec.Hits(len(w.stage.live), f.Share, rng) {
-			all = append(all, w.stage.live[i])
+		for _, i := range spec.Hits(len(w.timeline.live), f.Share, rng) {
+			all = append(all, w.timeline.live[i])
 		}
 		both := func(on float64) func() {
 			return func() {
@@ -191,7 +191,7 @@
 		for _, m := range hit {
 			m.term()
 		}
-		w.after(w.machines[0].sheet.Bounds.Grace+200*time.Millisecond, func() {
+		w.after(w.machines[0].settings.Bounds.Grace+200*time.Millisecond, func() {
 			lasts(nil, func() {}, each(hit, (*machine).start))
 		})
 	case "cut":
@@ -238,18 +238,18 @@
 	case "full":
 		lasts(hit, each(hit, func(m *machine) { m.disk.full++ }), each(hit, func(m *machine) { m.disk.full-- }))
 	case "crash", "drain":
-		for _, i := range spec.Hits(len(w.stage.live), f.Share, rng) {
-			b := w.stage.live[i]
+		for _, i := range spec.Hits(len(w.timeline.live), f.Share, rng) {
+			b := w.timeline.live[i]
 			if b.draining {
 				continue
 			}
 			if f.Kind == "drain" {
-				w.stage.add(b.service, b.zone, time.Second)
+				w.timeline.add(b.service, b.zone, time.Second)
 				b.drain()
 				continue
 			}
 			w.after(0, b.crash)
-			w.after(f.For.D(), func() { w.stage.add(b.service, b.zone, time.Second) })
+			w.after(f.For.D(), func() { w.timeline.add(b.service, b.zone, time.Second) })
 		}
 		lasts(nil, func() {}, func() {})
 	case "burst":
--- a/internal/lab/simulation/hard.go
+++ b/internal/lab/simulation/hard.go
@@ -17,7 +17,7 @@
 
 // hardKinds stand beside the others on hard days: a machine with a disk is replaced by a new one, with a new address and an empty
 // disk; the core is cut for 20 s; old copies of orders and of their replies come late, to whatever process is there by then; a
-// door is killed while an order that it passed on is under way, and is back before its time is up.
+// node is killed while an order that it passed on is under way, and is back before its time is up.
 var hardKinds = append([]string{"core-replace", "core-replace", "ack-replace", "sync-replace", "long-cut", "long-cut", "copies", "copies",
 	"copies", "call-kill", "call-kill", "call-kill", "call-power", "disk-wipe", "disk-slow"}, kinds...)
 
@@ -93,9 +93,9 @@
 	n := &machine{w: w, nr: m.nr, name: m.name, zone: m.zone, life: m.life, trouble: m.trouble, eased: m.eased, disk: newPlatter(w),
 		ip: fmt.Sprintf("10.%d.%d.%d", m.nr%w.day.Zones, 100+w.replaced/200, w.replaced%200+1)}
 	n.inner, n.control = net.JoinHostPort(n.ip, strconv.Itoa(innerPort)), net.JoinHostPort(n.ip, strconv.Itoa(controlPort))
-	sheet := *m.sheet
+	sheet := *m.settings
 	sheet.NodeName, sheet.IP, sheet.Bind.Control = fmt.Sprintf("%s-%d", m.name, w.replaced), n.ip, n.control
-	n.sheet, m.heir = &sheet, n
+	n.settings, m.heir = &sheet, n
 	w.machines[m.nr] = n
 	w.byInner[n.inner], w.byCall[n.control] = n, n
 	w.say("%s is replaced, at %s", m.name, n.ip)
@@ -111,7 +111,7 @@
 	return all
 }
 
-// restarts kills a door that has passed on a call and starts it again within the call's time, some times, each at the first call
+// restarts kills a node that has passed on a call and starts it again within the call's time, some times, each at the first call
 // of the next life: numbers of calls begin anew in each. Mostly whoever has the call stands still meanwhile, so that its reply
 // is sent to the new life.
 func (w *world) restarts(f *spec.Fault, m *machine, left int) {
@@ -176,7 +176,7 @@
 	body []byte
 }
 
-// again sends a change that was taken once more, however long ago, to any door: it is acknowledged, or left unclear.
+// again sends a change that was taken once more, however long ago, to any node: it is acknowledged, or left unclear.
 func (o *operator) again() {
 	w := o.w
 	w.every(400*time.Millisecond, func() bool {
--- a/internal/lab/simulation/hard_test.go
+++ b/internal/lab/simulation/hard_test.go
@@ -14,7 +14,7 @@
 // Hard days are days as well: the same seed gives the same bytes.
 func TestHardDaysAreDeterministic(t *testing.T) {
 	for seed := range uint64(3) {
-		day := func() string { return Play(DrawHard(Site{Doors: 5, Disks: 3}, seed+1, 5, 6*time.Second)).Digest }
+		day := func() string { return Play(DrawHard(Site{Nodes: 5, Disks: 3}, seed+1, 5, 6*time.Second)).Digest }
 		must.Eq(t, day(), day())
 	}
 }
@@ -22,7 +22,7 @@
 // A machine with a disk is replaced by a new one: another address, an empty disk, the old one gone for good. The core gives it the
 // state, and nothing is owed that isn't given.
 func TestReplacedMachine(t *testing.T) {
-	w := newWorld(&Day{Site: Site{Doors: 5, Disks: 3}.Usual(), Seed: 4, For: time.Second, Hard: true})
+	w := newWorld(&Day{Site: Site{Nodes: 5, Disks: 3}.Usual(), Seed: 4, For: time.Second, Hard: true})
 	for _, m := range w.machines {
 		m.start()
 	}
@@ -35,23 +35,23 @@
 	old.start() // a fault that was under way on it ends: nothing comes of it
 	must.Nil(t, old.p)
 	must.NotEq(t, old.control, n.control)
-	must.False(t, n.sheet.FirstBoot)
+	must.False(t, n.settings.FirstBoot)
 	must.True(t, w.until(w.now+gatewaystandin.Bounds().CatchUp, func() bool { return n.disk.kept.Delivered > 0 }))
 	for seed := range uint64(4) {
-		d := &Day{Site: Site{Doors: 5, Disks: 3}, Seed: 20 + seed, For: 8 * time.Second, Hard: true, Faults: []spec.Fault{
+		d := &Day{Site: Site{Nodes: 5, Disks: 3}, Seed: 20 + seed, For: 8 * time.Second, Hard: true, Faults: []spec.Fault{
 			{Kind: "core-replace", At: spec.Span(2 * time.Second), For: spec.Span(time.Second), Share: 0.01, Pick: 3 + seed}}}
 		must.SliceEmpty(t, Play(d).Broken)
 	}
 }
 
-// A door passes on an order, is killed, and is back before the order's time is up, while whoever has the order stands still; old
+// A node passes on an order, is killed, and is back before the order's time is up, while whoever has the order stands still; old
 // copies of orders and replies come as well. When replies were known by their numbers alone, which begin anew in each life, the
 // reply to the former life's order was taken for one to the new life's: an order that never left was acknowledged, and 19 of
-// 150 such days broke CONFIG, five of these among them; the other nine are of the 12 that do so since doors without a majority
+// 150 such days broke CONFIG, five of these among them; the other nine are of the 12 that do so since nodes without a majority
 // turn calls away at once.
 func TestRestartWithinACall(t *testing.T) {
 	for _, seed := range []uint64{6, 22, 46, 61, 64, 79, 89, 95, 97, 107, 112, 113, 117, 118} {
-		d := &Day{Site: Site{Doors: 5, Disks: 3}, Seed: seed, For: 10 * time.Second, Hard: true, Faults: []spec.Fault{
+		d := &Day{Site: Site{Nodes: 5, Disks: 3}, Seed: seed, For: 10 * time.Second, Hard: true, Faults: []spec.Fault{
 			{Kind: "copies", For: spec.Span(10 * time.Second), Pick: 1},
 			{Kind: "call-kill", At: spec.Span(time.Second), For: spec.Span(time.Duration(seed%7+1) * 50 * time.Millisecond), Pick: 1, By: 0.9},
 			{Kind: "call-kill", At: spec.Span(5 * time.Second), For: spec.Span(time.Duration(seed%5+1) * 30 * time.Millisecond), Pick: 1, By: 0.9},
@@ -64,7 +64,7 @@
 
 // An order that the operator holds for taken, and that is refused when it comes again, is told by name.
 func TestAgainIsJudged(t *testing.T) {
-	w := newWorld(&Day{Site: Site{Doors: 3, Disks: 3}.Usual(), Seed: 1, For: time.Second, Hard: true})
+	w := newWorld(&Day{Site: Site{Nodes: 3, Disks: 3}.Usual(), Seed: 1, For: time.Second, Hard: true})
 	for _, m := range w.machines {
 		m.start()
 	}
@@ -91,7 +91,7 @@
 			{Kind: "sync-replace", At: 10124212455, For: 868994974, Share: 0.01, Pick: 0x4a6a65acf3008e99},
 			{Kind: "ack-replace", At: 6692844360, For: 83639561, Share: 0.01, Pick: 0x6fffcd40aee14871}}},
 	} {
-		d.Site, d.For, d.Hard = Site{Doors: 5, Disks: 3, Rate: 80, Beat: time.Second}, 12*time.Second, true
+		d.Site, d.For, d.Hard = Site{Nodes: 5, Disks: 3, Rate: 80, Beat: time.Second}, 12*time.Second, true
 		for _, b := range Play(d).Broken {
 			t.Errorf("seed %d: %s", d.Seed, b)
 		}
--- a/internal/lab/simulation/hot.go
+++ b/internal/lab/simulation/hot.go
@@ -7,9 +7,9 @@
 	"clovergap/internal/lab/spec"
 )
 
-// drawHot draws a day on which a metered tenant sends many times its usual, and doors are cut off from each other about then:
+// drawHot draws a day on which a metered tenant sends many times its usual, and nodes are cut off from each other about then:
 // any number of them, so that the owner of the tenant's bucket stands on the small side as often as on the large one;
-// again soon after, or one way, or while doors start again.
+// again soon after, or one way, or while nodes start again.
 func drawHot(site Site, seed uint64, most int, dur time.Duration) *Day {
 	rng := source(seed, 0x407)
 	d := &Day{Site: site.Usual(), Seed: seed, For: dur}
@@ -18,7 +18,7 @@
 		d.Faults = append(d.Faults, spec.Fault{Kind: kind, At: max(at, 0), For: dur, Share: share, By: rng.Float64(),
 			Pick: rng.Uint64()>>1 | 1, Way: []string{"both", "both", "both", "in", "out"}[rng.IntN(5)]})
 	}
-	some := func() float64 { return (float64(rng.IntN(d.Doors)) + 0.5) / float64(d.Doors) }
+	some := func() float64 { return (float64(rng.IntN(d.Nodes)) + 0.5) / float64(d.Nodes) }
 	for len(d.Faults) < most {
 		rush := seconds(0, 0.8*dur.Seconds())
 		add("hot", rush, seconds(1, 7), 0)
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -17,13 +17,13 @@
 	"clovergap/internal/proxy/gate"
 )
 
-// machine is one door's: it goes on while processes come and go.
+// machine is one node's: it goes on while processes come and go.
 type machine struct {
 	w               *world
 	nr              int
 	name, ip, zone  string
 	inner, control  string
-	sheet           *settings.Sheet
+	settings        *settings.Settings
 	disk            *platter // nil: none
 	life            int
 	p               *process // nil: none runs
@@ -37,32 +37,32 @@
 	heir            *machine      // what stands in its place
 }
 
-// before is what a door's clock shows at its start, as on real machines.
+// before is what a node's clock shows at its start, as on real machines.
 const before = time.Hour
 
-// process is one life of a door: what its house stands on.
+// process is one life of a node: what its deployment stands on.
 type process struct {
-	m       *machine
-	w       *world
-	born    time.Duration
-	seed    int64
-	id      uint64
-	h       *node.House
-	g       *gate.Gate
-	count   *counters.Set
-	settled func()
-	over    bool
-	died    time.Duration
-	goes    time.Duration // on, after it last stood still
-	backlog []func()
-	inbox   []func()      // turns that wait for its processor, in a metered day
-	busy    time.Duration // until then its processor has no time
-	links   map[string]*wing
-	from    map[string]*conn // the newest link of each door
-	lives   map[string]uint64
-	mail    mail
-	ways    *ways
-	hall    *hall
+	m         *machine
+	w         *world
+	born      time.Duration
+	seed      int64
+	id        uint64
+	h         *node.Node
+	g         *gate.Gate
+	count     *counters.Set
+	settled   func()
+	over      bool
+	died      time.Duration
+	goes      time.Duration // on, after it last stood still
+	backlog   []func()
+	inbox     []func()      // turns that wait for its processor, in a metered day
+	busy      time.Duration // until then its processor has no time
+	links     map[string]*wing
+	from      map[string]*conn // the newest link of each node
+	lives     map[string]uint64
+	datagrams datagrams
+	ways      *ways
+	upstreams *upstreams
 }
 
 // start begins a life.
@@ -77,10 +77,10 @@
 	p := &process{m: m, w: w, born: w.now, seed: int64(r.Uint64() >> 1), id: r.Uint64(), count: &counters.Set{}, settled: func() {},
 		links: map[string]*wing{}, from: map[string]*conn{}, lives: map[string]uint64{}}
 	m.p = p
-	if m.sheet.FirstBoot = m.life == 1; w.replaced > 0 {
-		m.sheet.SeedAddrs = w.seeds()
+	if m.settings.FirstBoot = m.life == 1; w.replaced > 0 {
+		m.settings.SeedAddrs = w.seeds()
 	}
-	h, err := node.Over(m.sheet, p, w.logger(m.name))
+	h, err := node.Over(m.settings, p, w.logger(m.name))
 	if err != nil {
 		panic(err)
 	}
@@ -123,7 +123,7 @@
 	w.note(history.Event{Who: m.name, Kind: gatewaystandin.Terminates})
 	w.say("%s is told to end", m.name)
 	p.turn(p.h.Leaving)
-	grace := m.sheet.Bounds.Grace
+	grace := m.settings.Bounds.Grace
 	done := false
 	w.every(20*time.Millisecond, func() bool {
 		if p.over {
@@ -227,7 +227,7 @@
 	}
 }
 
-// Now and the others are what the house stands on.
+// Now and the others are what the deployment stands on.
 func (p *process) Now() time.Duration { return before + p.w.now - p.born }
 
 // late is the least time that a timer takes.
@@ -259,45 +259,45 @@
 	return &drive{p, p.m.disk}, p.m.disk.read(), nil
 }
 
-func (p *process) Path(h *node.House, g *gate.Gate) (node.Path, error) {
+func (p *process) Path(h *node.Node, g *gate.Gate) (node.Path, error) {
 	p.h, p.g = h, g
 	p.ways = newWays(p)
-	p.hall = &hall{p: p, tries: map[uint32]*try{}}
-	p.mail = mail{p: p, seats: map[*machine]int{}}
-	return node.Path{Ways: p.ways, Mail: &p.mail, Front: p.hall}, nil
+	p.upstreams = &upstreams{p: p, tries: map[uint32]*try{}}
+	p.datagrams = datagrams{p: p, slots: map[*machine]int{}}
+	return node.Path{Ways: p.ways, Datagrams: &p.datagrams, Front: p.upstreams}, nil
 }
 
-// mail are a door's datagrams.
-type mail struct {
+// datagrams are a node's datagrams.
+type datagrams struct {
 	p     *process
 	all   []*machine
-	seats map[*machine]int
+	slots map[*machine]int
 }
 
-func (x *mail) Move(addrs []netip.AddrPort, me int) {
+func (x *datagrams) Move(addrs []netip.AddrPort, me int) {
 	x.all = nil
-	clear(x.seats)
+	clear(x.slots)
 	for i, a := range addrs {
 		m := x.p.w.byInner[netip.AddrPortFrom(a.Addr(), innerPort).String()]
 		x.all = append(x.all, m)
 		if i != me {
-			x.seats[m] = i
+			x.slots[m] = i
 		}
 	}
 }
 
-// hall is the front of a door: connections of clients and what was taken from them.
-type hall struct {
+// upstreams is the front of a node: connections of clients and what was taken from them.
+type upstreams struct {
 	p       *process
 	tries   map[uint32]*try
 	drained bool
 	deaf    bool
 }
 
-func (x *hall) Bound(downstream.Bounds) {}
-func (x *hall) Clients() int            { return len(x.tries) }
-func (x *hall) Drain()                  { x.drained = true }
-func (x *hall) Deafen()                 { x.deaf = true }
+func (x *upstreams) Bound(downstream.Bounds) {}
+func (x *upstreams) Clients() int            { return len(x.tries) }
+func (x *upstreams) Drain()                  { x.drained = true }
+func (x *upstreams) Deafen()                 { x.deaf = true }
 
 // platter is a disk: what is on it outlives processes.
 type platter struct {
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -11,9 +11,9 @@
 
 // Bounds of a measured day.
 const (
-	settleMost  = 30 * time.Second // for a thing that all doors should come to
+	settleMost  = 30 * time.Second // for a thing that all nodes should come to
 	reachedEach = 2 * time.Millisecond
-	reachedMost = 12 * time.Second // to the last door; beyond it a change counts as not arrived
+	reachedMost = 12 * time.Second // to the last node; beyond it a change counts as not arrived
 	changeEach  = 500 * time.Millisecond
 	turnover    = 500 * time.Millisecond // between two restarts, or two replaced backends
 )
@@ -21,7 +21,7 @@
 // Phases of a measured day, in their order.
 var Phases = []string{"start", "calm", "changes", "releases", "restarts", "zone", "region", "killed"}
 
-// Meter plays a day without a judge, and counts what doors do in each of its phases; none named: all.
+// Meter plays a day without a judge, and counts what nodes do in each of its phases; none named: all.
 func Meter(s Site, seed uint64, warm, over time.Duration, only []string, tell func(Phase), enough func() string) (r *Measure) {
 	runtime.LockOSThread() // a turn's processor time is its thread's
 	defer runtime.UnlockOSThread()
@@ -89,7 +89,7 @@
 		all = append(all, d.Wide.service(i))
 	}
 	for i := range max(d.Wide.Backends, len(all)) {
-		w.stage.add(all[i%len(all)], w.zones[i/len(all)%len(w.zones)], 0)
+		w.timeline.add(all[i%len(all)], w.zones[i/len(all)%len(w.zones)], 0)
 	}
 	empty := heap()
 	opened := false
@@ -115,8 +115,8 @@
 	x.r.Config = len(w.newestOf())
 	w.clients.begin()
 	w.until(w.now+x.warm, nil)
-	x.r.Heap = (heap() - empty) / float64(d.Doors)
-	x.r.Known = len(w.machines[0].p.h.Status().Doors)
+	x.r.Heap = (heap() - empty) / float64(d.Nodes)
+	x.r.Known = len(w.machines[0].p.h.Status().Nodes)
 	x.phase("calm", func(*Phase) { w.until(w.now+x.over, nil) })
 	x.phase("changes", func(p *Phase) { x.changes(p, nil) })
 	x.phase("releases", x.releases)
@@ -148,7 +148,7 @@
 	}
 }
 
-// ready tells whether all doors want clients, but those that are away.
+// ready tells whether all nodes want clients, but those that are away.
 func (w *world) ready(away map[*machine]bool) bool {
 	for _, m := range w.machines {
 		if !away[m] && (m.p == nil || !m.p.h.Ready()) {
@@ -158,7 +158,7 @@
 	return true
 }
 
-// changes makes one change after the other, and takes the time until each door has it.
+// changes makes one change after the other, and takes the time until each node has it.
 func (x *metered) changes(p *Phase, away map[*machine]bool) {
 	w := x.w
 	var times, lasts, acks []float64
@@ -177,10 +177,10 @@
 			return w.operator.rng.IntN(n)
 		}
 		number := func() uint64 { w.operator.top++; return w.operator.top }
-		c := gatewaystandin.Draft(draw, number, w.operator.known, v.Bill)[0]
+		c := gatewaystandin.Draft(draw, number, w.operator.known, v.Config)[0]
 		w.operator.propose(c, func(status int, clear bool) {
 			if done = true; status == 200 {
-				version = c.Bill.Generation
+				version = c.Config.Generation
 			}
 		})
 		w.until(w.now+20*time.Second, func() bool { return done })
@@ -226,7 +226,7 @@
 	end := w.now + x.over
 	for w.now < end {
 		var old *backend
-		for _, b := range w.stage.live {
+		for _, b := range w.timeline.live {
 			if !b.draining && !b.dead {
 				old = b
 				break
@@ -235,20 +235,20 @@
 		if old == nil {
 			return
 		}
-		w.stage.add(old.service, old.zone, 0)
+		w.timeline.add(old.service, old.zone, 0)
 		old.drain()
 		p.Events++
 		w.until(w.now+turnover, nil)
 	}
 }
 
-// restarts kills and starts doors without a disk, one after the other.
+// restarts kills and starts nodes without a disk, one after the other.
 func (x *metered) restarts(p *Phase) {
 	w := x.w
 	rng := source(w.day.Seed, 0x2e57)
 	end := w.now + x.over
-	for w.now < end && w.day.Doors > w.day.Disks {
-		m := w.machines[w.day.Disks+rng.IntN(w.day.Doors-w.day.Disks)]
+	for w.now < end && w.day.Nodes > w.day.Disks {
+		m := w.machines[w.day.Disks+rng.IntN(w.day.Nodes-w.day.Disks)]
 		m.kill(false)
 		w.until(w.now+turnover/5, nil)
 		m.start()
@@ -273,7 +273,7 @@
 		}
 	}
 	var dead []*backend
-	for _, b := range slices.Clone(w.stage.live) {
+	for _, b := range slices.Clone(w.timeline.live) {
 		if b.zone == lost {
 			dead = append(dead, b)
 			b.crash()
@@ -286,7 +286,7 @@
 		}
 	}
 	for _, b := range dead {
-		w.stage.add(b.service, b.zone, 0)
+		w.timeline.add(b.service, b.zone, 0)
 	}
 	began := w.now
 	w.until(w.now+time.Second, nil)
--- a/internal/lab/simulation/members_test.go
+++ b/internal/lab/simulation/members_test.go
@@ -12,13 +12,13 @@
 // catchUp is how long a new machine, and the one whose place it takes, count as lost on the small sites.
 const catchUp = 4 * time.Second
 
-// replacementDay plays three doors with disks and three without, with traffic and changes; one with a disk is replaced by a fourth, before it
+// replacementDay plays three nodes with disks and three without, with traffic and changes; one with a disk is replaced by a fourth, before it
 // goes or after, and catch_up later one more is lost, the leader among them. It gives how long the replacement took.
 func replacementDay(t *testing.T, seed uint64, before, told bool) time.Duration {
-	w := newWorld(&Day{Site: Site{Doors: 7, Disks: 4}.Usual(), Seed: seed, For: 30 * time.Second})
+	w := newWorld(&Day{Site: Site{Nodes: 7, Disks: 4}.Usual(), Seed: seed, For: 30 * time.Second})
 	late := w.machines[3]
 	for _, m := range w.machines {
-		m.sheet.Tolerates.Machines = 1
+		m.settings.Tolerates.Machines = 1
 		if m != late {
 			m.start()
 		}
@@ -93,7 +93,7 @@
 	w.operator.goes, w.clients.open = false, false
 	w.until(w.now+gatewaystandin.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
 	w.over = true
-	for _, b := range gatewaystandin.Judge(w.history, w.cast(), slack) {
+	for _, b := range gatewaystandin.Judge(w.history, w.backends(), slack) {
 		t.Errorf("seed %d: %s", seed, b)
 	}
 	return took
--- a/internal/lab/simulation/meter.go
+++ b/internal/lab/simulation/meter.go
@@ -13,17 +13,17 @@
 	"clovergap/internal/lab/gatewaystandin"
 )
 
-// Wide is how much a house carries beside the small house's own services, routes and tenants.
+// Wide is how much a deployment carries beside the small deployment's own services, routes and tenants.
 type Wide struct {
 	Backends, Services, Routes, Tenants int
 }
 
-// Limits of a wide house's tenants.
+// Limits of a wide deployment's tenants.
 const accountRate, accountBurst = 50, 50
 
 func (x Wide) service(i int) string { return fmt.Sprintf("service-%03d", i) }
 
-// ServiceName is the name of a wide house's service: the small house's come first.
+// ServiceName is the name of a wide deployment's service: the small deployment's come first.
 func ServiceName(i int) string {
 	if i < len(gatewaystandin.Services) {
 		return gatewaystandin.Services[i].Name
@@ -31,18 +31,18 @@
 	return Wide{}.service(i - len(gatewaystandin.Services))
 }
 
-// AccountKey is the key of a wide house's tenant.
+// AccountKey is the key of a wide deployment's tenant.
 func AccountKey(i int) string { return fmt.Sprintf("account-key-%06d", i) }
 
-// first is the configuration that the house begins with.
-func (x Wide) first() *routing.Bill {
+// first is the configuration that the deployment begins with.
+func (x Wide) first() *routing.Config {
 	b := gatewaystandin.First()
 	for i := range x.Services {
 		s := b.Services[0]
 		s.Name = x.service(i)
 		b.Services = append(b.Services, s)
 	}
-	wide := routing.BillHost{Hostname: "wide.example"}
+	wide := routing.ConfigHost{Hostname: "wide.example"}
 	for i := range x.Routes {
 		r := b.Vhosts[0].PathList[0]
 		r.Name, r.PathPrefix = fmt.Sprintf("route-%04d", i), fmt.Sprintf("/route-%04d/", i)
@@ -53,13 +53,13 @@
 		b.Vhosts = append(b.Vhosts, wide)
 	}
 	for i := range x.Tenants {
-		b.Tenants = append(b.Tenants, routing.BillTenant{Name: fmt.Sprintf("account-%06d", i), ApiKeys: []string{AccountKey(i)},
+		b.Tenants = append(b.Tenants, routing.ConfigTenant{Name: fmt.Sprintf("account-%06d", i), ApiKeys: []string{AccountKey(i)},
 			Priority: 1, RatePerS: accountRate, Burst: accountBurst})
 	}
 	return b
 }
 
-// draw draws a request; in a wide house any of its tenants may be the one that asks.
+// draw draws a request; in a wide deployment any of its tenants may be the one that asks.
 func (c *clients) draw() gatewaystandin.Want {
 	want := c.known.Draw(c.rng, c.w.zones)
 	if n := c.w.day.Wide.Tenants; n > 0 && want.Key != "" {
@@ -154,9 +154,9 @@
 	return time.Duration(t.Nano())
 }
 
-// Share is what doors of one role did in a span, a second of it. Most is the busiest door's, by bytes sent.
+// Share is what nodes of one role did in a span, a second of it. Most is the busiest node's, by bytes sent.
 type Share struct {
-	Doors              int
+	Nodes              int
 	Mean, Median, Most float64            // bytes sent
 	Got                float64            // bytes that came, in the mean
 	GotMost            float64            // at whoever got the most
@@ -175,13 +175,13 @@
 type Phase struct {
 	Name          string
 	Seconds       float64
-	Member, Other Share   // members of the core, and doors without a disk
+	Member, Other Share   // members of the core, and nodes without a disk
 	Events        int     // changes, restarts: whatever the phase is of
-	All           float64 // seconds until all doors in reach were there again; below nought: not within the time
-	Median, Worst float64 // milliseconds from an acknowledgement to a door, and to the last of all
+	All           float64 // seconds until all nodes in reach were there again; below nought: not within the time
+	Median, Worst float64 // milliseconds from an acknowledgement to a node, and to the last of all
 	Acks, AckMost float64 // milliseconds from a change's sending to its acknowledgement, median and worst
-	Unready       int     // doors in reach that were not ready at its end
-	Mean99        float64 // milliseconds within which 99 in 100 of all doors had a change
+	Unready       int     // nodes in reach that were not ready at its end
+	Mean99        float64 // milliseconds within which 99 in 100 of all nodes had a change
 }
 
 // Measure is what came of a measured day.
@@ -189,8 +189,8 @@
 	Site
 	Seed       uint64
 	Config     int     // bytes of the configuration
-	Heap       float64 // bytes of a door in memory, in the mean, all of its process's parts
-	Known      int     // doors that a member of the core knows, itself too
+	Heap       float64 // bytes of a node in memory, in the mean, all of its process's parts
+	Known      int     // nodes that a member of the core knows, itself too
 	Phases     []Phase
 	TookS      float64
 	Incomplete string // why a day was not played to its end
@@ -233,7 +233,7 @@
 	return n
 }
 
-// shared sums what doors of one role did since a copy was taken.
+// shared sums what nodes of one role did since a copy was taken.
 func (w *world) shared(before []meter, over time.Duration, member bool) (s Share) {
 	s.Kinds, s.MostKinds, s.Frames, s.Spent = map[string]float64{}, map[string]float64{}, map[string]float64{}, map[string]float64{}
 	s.Turns, s.GotKinds = map[string]float64{}, map[string]float64{}
@@ -248,7 +248,7 @@
 		if (m.disk != nil) != member {
 			continue
 		}
-		s.Doors++
+		s.Nodes++
 		sum := float64(m.meter.sent.Bytes.Sum()-before[i].sent.Bytes.Sum()) / secs
 		sums = append(sums, sum)
 		if sum >= s.Most {
@@ -274,10 +274,10 @@
 		s.Links += float64(links[m])
 		s.LinksMost = max(s.LinksMost, float64(links[m]))
 	}
-	if s.Doors == 0 {
+	if s.Nodes == 0 {
 		return s
 	}
-	n := float64(s.Doors)
+	n := float64(s.Nodes)
 	for _, all := range []map[string]float64{s.Kinds, s.Frames, s.Spent, s.Turns, s.GotKinds} {
 		for k := range all {
 			all[k] /= n
@@ -310,7 +310,7 @@
 	return len(all) == 0
 }
 
-// FirstText is the configuration that a wide house begins with, as an operator sends it.
+// FirstText is the configuration that a wide deployment begins with, as an operator sends it.
 func FirstText(x Wide) []byte {
 	text, err := json.Marshal(x.first())
 	if err != nil {
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -13,16 +13,16 @@
 
 // As internal/gateway/transport and its kernel have it.
 const (
-	dialLimit  = 600 * time.Millisecond
-	unheardFor = 2 * time.Second // bytes that nobody acknowledges end a link
-	redialIn   = 40 * time.Millisecond
-	redialMost = 640 * time.Millisecond
-	lookAgain  = 100 * time.Millisecond
-	goesAgain  = 200 * time.Millisecond // a packet that was lost
-	writtenIn  = 200 * time.Microsecond // links are written apart from the turns
-	frameHead  = 66                     // of a packet, beside what it carries
-	mailHead   = 42                     // of a datagram
-	queueMost  = 500 * time.Millisecond // datagrams wait no longer for their turn on a link
+	dialLimit    = 600 * time.Millisecond
+	unheardFor   = 2 * time.Second // bytes that nobody acknowledges end a link
+	redialIn     = 40 * time.Millisecond
+	redialMost   = 640 * time.Millisecond
+	lookAgain    = 100 * time.Millisecond
+	goesAgain    = 200 * time.Millisecond // a packet that was lost
+	writtenIn    = 200 * time.Microsecond // links are written apart from the turns
+	frameHead    = 66                     // of a packet, beside what it carries
+	datagramHead = 42                     // of a datagram
+	queueMost    = 500 * time.Millisecond // datagrams wait no longer for their turn on a link
 )
 
 // Traffic is bytes by what they were for.
@@ -44,7 +44,7 @@
 	group    map[*machine]bool
 	zone     string // backends of it are in the group
 	in, out  bool
-	backends bool // the way between doors and backends is cut too
+	backends bool // the way between nodes and backends is cut too
 	cores    bool // between machines with a disk alone
 }
 
@@ -60,7 +60,7 @@
 	return false
 }
 
-// apart tells whether a door and a backend hear nothing of each other.
+// apart tells whether a node and a backend hear nothing of each other.
 func (w *world) apart(m *machine, zone string) bool {
 	for _, c := range w.cuts {
 		if c.backends && c.group[m] != (c.zone == zone) {
@@ -70,8 +70,8 @@
 	return false
 }
 
-// strikes draws whether a packet is lost.
-func (w *world) strikes() bool {
+// faultAt draws whether a packet is lost.
+func (w *world) faultAt() bool {
 	for _, x := range w.losses {
 		if w.net.Float64() < x {
 			return true
@@ -100,7 +100,7 @@
 	return m.free
 }
 
-// wing is a link that a door wants, conn one connection of it.
+// wing is a link that a node wants, conn one connection of it.
 type wing struct {
 	p    *process
 	to   *machine
@@ -123,7 +123,7 @@
 	gone    bool // what was sent last was lost with its sender
 }
 
-// Want, Leave and Send are the links of a house.
+// Want, Leave and Send are the links of a deployment.
 func (p *process) Want(to string) {
 	if m := p.w.byInner[to]; m != nil && p.links[to] == nil && m != p.m {
 		v := &wing{p: p, to: m, wait: redialIn}
@@ -238,7 +238,7 @@
 		c.stuck = append(c.stuck, b)
 		return
 	}
-	if p.w.strikes() {
+	if p.w.faultAt() {
 		at += goesAgain
 	}
 	c.deliver(at, p.w.now+span(p.w.net, 0, writtenIn), b)
@@ -348,13 +348,13 @@
 }
 
 // Tell sends a datagram.
-func (x *mail) Tell(peer control.GatewayID, payload []byte) {
+func (x *datagrams) Tell(peer control.GatewayID, payload []byte) {
 	p := x.p
 	if int(peer) >= len(x.all) || x.all[peer] == nil {
 		return
 	}
-	m, at := x.all[peer], p.m.leaves("mail", len(payload)+mailHead)
-	if m == p.m || p.w.parts(p.m, m) || p.w.strikes() || at-p.w.now > queueMost {
+	m, at := x.all[peer], p.m.leaves("mail", len(payload)+datagramHead)
+	if m == p.m || p.w.parts(p.m, m) || p.w.faultAt() || at-p.w.now > queueMost {
 		return
 	}
 	b := slices.Clone(payload)
@@ -362,10 +362,10 @@
 		if q := m.p; q != nil {
 			q.turn(func() {
 				if q.w.metered {
-					q.m.meter.came(q.w, "mail", len(b)+mailHead)
+					q.m.meter.came(q.w, "mail", len(b)+datagramHead)
 				}
-				if seat, ok := q.mail.seats[p.m]; ok {
-					q.h.Mailed(control.GatewayID(seat), b)
+				if seat, ok := q.datagrams.slots[p.m]; ok {
+					q.h.DatagramCame(control.GatewayID(seat), b)
 				}
 			})
 		}
--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -29,7 +29,7 @@
 	return &operator{w: w, rng: source(w.day.Seed, 0x09e7), versions: map[uint64]*gatewaystandin.Version{}}
 }
 
-// call makes one call at a door, which has a second for it. Status 0: no answer.
+// call makes one call at a node, which has a second for it. Status 0: no answer.
 func (o *operator) call(m *machine, path string, body []byte, then func(status int, text []byte)) {
 	w, done := o.w, false
 	end := func(status int, text []byte) {
@@ -45,7 +45,7 @@
 	way := span(w.net, 500*time.Microsecond, 2*time.Millisecond)
 	w.after(way, func() {
 		p := m.p
-		if p == nil || p.hall.deaf {
+		if p == nil || p.upstreams.deaf {
 			w.after(way, func() { end(0, nil) })
 			return
 		}
@@ -64,7 +64,7 @@
 	})
 }
 
-// ask brings a call to one door after another until one gives a clear answer, or for a while.
+// ask brings a call to one node after another until one gives a clear answer, or for a while.
 func (o *operator) ask(path string, body []byte, then func(status int, text []byte, clear bool)) {
 	w, until, wait := o.w, o.w.now+gatewaystandin.ClearMost, 30*time.Millisecond
 	at := o.rng.IntN(len(w.machines))
@@ -89,7 +89,7 @@
 
 // propose sends a change.
 func (o *operator) propose(c gatewaystandin.Change, then func(status int, clear bool)) {
-	w, gen := o.w, c.Bill.Generation
+	w, gen := o.w, c.Config.Generation
 	text, err := json.Marshal(c.Body)
 	if err != nil {
 		panic(err)
@@ -124,7 +124,7 @@
 // open sends the first configuration until it is taken, then changes it as long as it may.
 func (o *operator) open(then func()) {
 	first := o.w.day.Wide.first()
-	o.propose(gatewaystandin.Change{Path: gatewaystandin.ReplacePath, Body: first, Version: gatewaystandin.Version{Bill: first}}, func(status int, clear bool) {
+	o.propose(gatewaystandin.Change{Path: gatewaystandin.ReplacePath, Body: first, Version: gatewaystandin.Version{Config: first}}, func(status int, clear bool) {
 		if status != 200 {
 			o.w.after(100*time.Millisecond, func() { o.open(then) })
 			return
@@ -139,7 +139,7 @@
 	})
 }
 
-// audit reads at one door or another, once each time, whatever else is under way.
+// audit reads at one node or another, once each time, whatever else is under way.
 func (o *operator) audit() {
 	w := o.w
 	w.every(300*time.Millisecond, func() bool {
@@ -151,12 +151,12 @@
 }
 
 // readBack notes what was read; nil: nothing was.
-func (o *operator) readBack(began time.Duration, status int, text []byte) *routing.Bill {
-	b := new(routing.Bill)
+func (o *operator) readBack(began time.Duration, status int, text []byte) *routing.Config {
+	b := new(routing.Config)
 	if status != 200 || json.Unmarshal(text, b) != nil {
 		return nil
 	}
-	if v := o.versions[b.Generation]; v != nil && !gatewaystandin.Same(v.Bill, b) {
+	if v := o.versions[b.Generation]; v != nil && !gatewaystandin.Same(v.Config, b) {
 		o.w.broken = append(o.w.broken, history.Broken{Rule: "CONFIG", T: o.w.now,
 			What: fmt.Sprintf("%d was read back otherwise than it was sent", b.Generation)})
 	}
@@ -183,7 +183,7 @@
 // step makes one change, or two that race.
 func (o *operator) step(then func()) {
 	if o.unsure {
-		o.read(func(b *routing.Bill) {
+		o.read(func(b *routing.Config) {
 			if b == nil {
 				then()
 				return
@@ -199,12 +199,12 @@
 		return
 	}
 	number := func() uint64 { o.top += 1 + o.rng.Uint64N(3); return o.top }
-	changes := gatewaystandin.Draft(o.rng.IntN, number, o.known, v.Bill)
+	changes := gatewaystandin.Draft(o.rng.IntN, number, o.known, v.Config)
 	left := len(changes)
 	for _, c := range changes {
 		o.propose(c, func(int, bool) {
 			if v := o.versions[o.known]; v != nil {
-				o.w.clients.known.Learn(v.Bill)
+				o.w.clients.known.Learn(v.Config)
 			}
 			if left--; left == 0 {
 				o.unsure = o.unsure || len(changes) > 1 // who has won is read
@@ -215,7 +215,7 @@
 }
 
 // read asks for the newest configuration; nil if none came in time.
-func (o *operator) read(then func(*routing.Bill)) {
+func (o *operator) read(then func(*routing.Config)) {
 	began := o.w.now
 	o.ask("", nil, func(status int, text []byte, clear bool) {
 		then(o.readBack(began, status, text))
--- a/internal/lab/simulation/parted.go
+++ b/internal/lab/simulation/parted.go
@@ -13,9 +13,9 @@
 	"clovergap/internal/lab/spec"
 )
 
-// A core door is parted from the other doors with a disk, both ways or one way, for some twenty seconds; all other ways are whole. It
+// A core node is parted from the other nodes with a disk, both ways or one way, for some twenty seconds; all other ways are whole. It
 // is poked all the while: orders, reads, a backend's last word, whether it is ready, and what it denies. And an order is sent
-// there, and to those who followed it, as an operator does: to the next door after each answer that is not clear.
+// there, and to those who followed it, as an operator does: to the next node after each answer that is not clear.
 
 const (
 	pokeEach  = 200 * time.Millisecond
@@ -24,7 +24,7 @@
 	ghostGen  = 1 << 40
 )
 
-// Parted is how long orders took until a clear answer, sent first to the door that is cut off, or to one that followed it.
+// Parted is how long orders took until a clear answer, sent first to the node that is cut off, or to one that followed it.
 type Parted struct{ Core, Follower []time.Duration }
 
 // part brings the cut and lets it end.
@@ -83,7 +83,7 @@
 	return text
 }
 
-// poke holds a parted door to what it may do.
+// poke holds a parted node to what it may do.
 func (w *world) poke(m *machine, began, ends time.Duration) {
 	p, at := m.p, w.now
 	since := at - began
@@ -94,7 +94,7 @@
 		w.broken = append(w.broken, history.Broken{Rule: "PARTED", T: w.now, Who: m.name,
 			What: fmt.Sprintf("%.2fs after it was parted it ", since.Seconds()) + fmt.Sprintf(format, args...)})
 	}
-	b := m.sheet.Bounds
+	b := m.settings.Bounds
 	answered := func(what string, may func(int) bool) func(int, []byte) {
 		return func(status int, text []byte) {
 			if w.now >= ends || m.p != p {
@@ -126,7 +126,7 @@
 	})
 }
 
-// watchContact holds all doors to what they say of their word of a majority, now and then and when one goes on after it stood still.
+// watchContact holds all nodes to what they say of their word of a majority, now and then and when one goes on after it stood still.
 func (w *world) watchContact() {
 	w.every(lookEach, func() bool {
 		for _, m := range w.machines {
@@ -136,7 +136,7 @@
 	})
 }
 
-// holdsWord: whatever was acknowledged so long ago as a door says that its word is old is in force there.
+// holdsWord: whatever was acknowledged so long ago as a node says that its word is old is in force there.
 func (m *machine) holdsWord() {
 	w := m.w
 	if !m.runs() {
@@ -154,7 +154,7 @@
 // stood tells whether a process stood still since then, or does.
 func (p *process) stood(since time.Duration) bool { return p.m.stands > 0 || p.goes >= since }
 
-// chase sends an order to a door, and on to the next ones, until the answer is clear: one at a time, since a refusal takes a place in
+// chase sends an order to a node, and on to the next ones, until the answer is clear: one at a time, since a refusal takes a place in
 // the log too.
 func (w *world) chase(first *machine, into *[]time.Duration) {
 	if w.chases {
@@ -180,7 +180,7 @@
 	next()
 }
 
-// leader is the door that leads the newest view, as far as doors know.
+// leader is the node that leads the newest view, as far as nodes know.
 func (w *world) leader() (found *machine) {
 	var view uint64
 	for _, m := range w.cores() {
