--- a/internal/lab/simulation/parted_test.go
+++ b/internal/lab/simulation/parted_test.go
@@ -11,14 +11,14 @@
 	"clovergap/internal/lab/spec"
 )
 
-// A core door is cut off from the others for twenty seconds, the one that leads or another, both ways or one way: it confirms,
+// A core node is cut off from the others for twenty seconds, the one that leads or another, both ways or one way: it confirms,
 // refuses and tells nothing, acknowledges no end, is not ready, and sends callers on at once; all rules hold, and orders find their
-// answer at the next door.
+// answer at the next node.
 func TestPartedForTwentySeconds(t *testing.T) {
 	var all Parted
 	for n, way := range []string{"both", "in", "out"} {
 		for who, by := range map[string]float64{"who leads": 0, "another": 1} {
-			d := &Day{Site: Site{Doors: 7, Disks: 3}, Seed: uint64(100 + n), For: 24 * time.Second, Faults: []spec.Fault{
+			d := &Day{Site: Site{Nodes: 7, Disks: 3}, Seed: uint64(100 + n), For: 24 * time.Second, Faults: []spec.Fault{
 				{Kind: "core-part", At: spec.Span(time.Second), For: spec.Span(20 * time.Second), Share: 0.1, By: by, Way: way, Pick: 7}}}
 			r := Play(d)
 			for _, b := range r.Broken {
--- a/internal/lab/simulation/rehearsal_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -12,8 +12,8 @@
 // Days of all shapes keep the rules, and the same day gives the same bytes: no map and no clock has a say.
 func TestDays(t *testing.T) {
 	served := 0
-	for seed, site := range []Site{{Doors: 5, Disks: 3}, {Doors: 3, Disks: 3}, {Doors: 7, Disks: 5, Mbps: 2}, {Doors: 1, Disks: 1},
-		{Doors: 6, Disks: 3, Turn: 100 * time.Microsecond}, {Doors: 12, Disks: 3}} {
+	for seed, site := range []Site{{Nodes: 5, Disks: 3}, {Nodes: 3, Disks: 3}, {Nodes: 7, Disks: 5, Mbps: 2}, {Nodes: 1, Disks: 1},
+		{Nodes: 6, Disks: 3, Turn: 100 * time.Microsecond}, {Nodes: 12, Disks: 3}} {
 		for n := range 2 {
 			day := func() *Result { return Play(Draw(site, uint64(10*seed+n), 6, 8*time.Second)) }
 			r := day()
@@ -30,18 +30,18 @@
 // Days that broke a rule before what they found was mended, shrunk.
 func TestKept(t *testing.T) {
 	for name, d := range map[string]*Day{
-		// A door without a disk and the one that it followed stood still at once, for longer than silence is borne: neither
+		// A node without a disk and the one that it followed stood still at once, for longer than silence is borne: neither
 		// had any reason to speak to the other again, their links being whole.
-		"two stand still": {Site: Site{Doors: 7, Disks: 3}, Seed: 1504, Faults: []spec.Fault{{Kind: "door-stall",
+		"two stand still": {Site: Site{Nodes: 7, Disks: 3}, Seed: 1504, Faults: []spec.Fault{{Kind: "door-stall",
 			At: 336857009, For: 2243628234, Share: 0.3, Pick: 0x41a2054cc35fe963}}},
 		// The first seed stands still from its first moment on, while the others begin the core: awake, it began one of its own
 		// before it read that.
-		"frozen before it begins": {Site: Site{Doors: 3, Disks: 3, Rate: 72}, Seed: 70010, Early: true, Closing: true, Faults: []spec.Fault{
+		"frozen before it begins": {Site: Site{Nodes: 3, Disks: 3, Rate: 72}, Seed: 70010, Early: true, Closing: true, Faults: []spec.Fault{
 			{Kind: "core-stall", At: 1427792977, For: 5773695458, Share: 0.1, Pick: 0x4952d45b103c5989},
 			{Kind: "sync-power", At: 426962490, For: 3359333924, Share: 0.1, Pick: 0x2b3dc7edc3446fc3}}},
 		// A member that was cut off learns of five changes at once, and sends each on for itself, with its word of a majority for all of
 		// them: a follower whose later ones were late on the link had word that was newer than what it went by.
-		"more to come": {Site: Site{Doors: 7, Disks: 3, Rate: 88, Beat: 3 * time.Second}, Seed: 322, Faults: []spec.Fault{
+		"more to come": {Site: Site{Nodes: 7, Disks: 3, Rate: 88, Beat: 3 * time.Second}, Seed: 322, Faults: []spec.Fault{
 			{Kind: "zone-cut", At: 1713210009, For: 2640580476, Share: 0.1, By: 0.623, Way: "out", Pick: 8222488716068426561},
 			{Kind: "drain-cut", At: 4037354427, For: 519869252, Share: 0.3, By: 0.594, Way: "in", Pick: 3636719602394286987},
 			{Kind: "loss", At: 4463065611, For: 2187177036, Share: 0.3, By: 0.5408288305328643, Way: "in", Pick: 5724724401740988601}}},
@@ -53,44 +53,44 @@
 	}
 }
 
-// What doors say in calm does not grow with their square: a door without a disk stays under its budget whatever their number,
+// What nodes say in calm does not grow with their square: a node without a disk stays under its budget whatever their number,
 // one with a disk grows with it. See docs/rehearsal.md.
-func TestWords(t *testing.T) {
+func TestControlBytes(t *testing.T) {
 	all := map[int]*Result{}
 	for _, n := range []int{12, 24, 48} {
-		r := Play(&Day{Site: Site{Doors: n, Disks: 3, Rate: 200}, Seed: 1, For: 5 * time.Second, Calm: true})
+		r := Play(&Day{Site: Site{Nodes: n, Disks: 3, Rate: 200}, Seed: 1, For: 5 * time.Second, Calm: true})
 		must.SliceEmpty(t, r.Broken)
 		must.Less(t, 2<<10, r.Others.Sum())
-		// Who owns a bucket answers for it, with or without a disk: the seats' chance. So mail counts as the mean of all doors.
+		// Who owns a bucket answers for it, with or without a disk: the slots' chance. So datagrams counts as the mean of all nodes.
 		mail := (3*r.Disks["mail"] + int64(n-3)*r.Others["mail"]) / int64(n)
 		must.Less(t, 2<<10+int64(60*n), r.Disks.Sum()-r.Disks["mail"]+mail)
 		all[n] = r
 	}
 	must.Less(t, all[12].Others.Sum()*5/4, all[48].Others.Sum())
-	// All together: twice the doors, no more than somewhat over twice the bytes.
+	// All together: twice the nodes, no more than somewhat over twice the bytes.
 	total := func(n int) int64 { return 3*all[n].Disks.Sum() + int64(n-3)*all[n].Others.Sum() }
 	must.Less(t, total(24)*5/2, total(48))
 }
 
-// A door that does not come back is told by the rule on recovery, and by no other; the rules on histories are tested in extras.
+// A node that does not come back is told by the rule on recovery, and by no other; the rules on histories are tested in extras.
 func TestRecoverIsJudged(t *testing.T) {
-	d := &Day{Site: Site{Doors: 3, Disks: 3, Rate: 20}, Seed: 1, For: time.Second, Faults: []spec.Fault{{Kind: "door-kill", Share: 0.1,
+	d := &Day{Site: Site{Nodes: 3, Disks: 3, Rate: 20}, Seed: 1, For: time.Second, Faults: []spec.Fault{{Kind: "door-kill", Share: 0.1,
 		For: spec.Span(time.Hour), Pick: 1}}}
 	r := Play(d)
 	must.SliceLen(t, 1, r.Broken)
 	must.Eq(t, "RECOVER", r.Broken[0].Rule)
 }
 
-// A door without a disk goes by the word of the one that it follows of who lives. Started again it had to wait for up to a second
+// A node without a disk goes by the word of the one that it follows of who lives. Started again it had to wait for up to a second
 // for it, and filled the buckets that it owns at a third of their rate so long: it refused what was owed.
 func TestWhoLivesIsToldAtOnce(t *testing.T) {
-	w := newWorld(&Day{Site: Site{Doors: 12, Disks: 3}.Usual(), Seed: 1, For: time.Second})
+	w := newWorld(&Day{Site: Site{Nodes: 12, Disks: 3}.Usual(), Seed: 1, For: time.Second})
 	for _, m := range w.machines {
 		m.start()
 	}
 	w.operator.open(func() {})
 	hears := func(m *machine) (n int) {
-		for _, d := range m.p.h.Status().Doors {
+		for _, d := range m.p.h.Status().Nodes {
 			if d.Live {
 				n++
 			}
--- a/internal/lab/simulation/stage.go
+++ b/internal/lab/simulation/stage.go
@@ -15,8 +15,8 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// stage is all backends.
-type stage struct {
+// timeline is all backends.
+type timeline struct {
 	w        *world
 	at       map[string]*backend // by address
 	live     []*backend
@@ -50,12 +50,12 @@
 	fails             float64
 }
 
-func newStage(w *world) *stage {
-	return &stage{w: w, at: map[string]*backend{}, services: map[string]string{}}
+func newTimeline(w *world) *timeline {
+	return &timeline{w: w, at: map[string]*backend{}, services: map[string]string{}}
 }
 
 // add starts a backend. An address that another had is used first.
-func (s *stage) add(service, zone string, cold time.Duration) *backend {
+func (s *timeline) add(service, zone string, cold time.Duration) *backend {
 	w := s.w
 	s.born++
 	b := &backend{w: w, id: fmt.Sprintf("i-%s-%d", service, s.born), service: service, zone: zone, slot: s.born, from: w.now,
@@ -88,7 +88,7 @@
 	if b.dead {
 		return
 	}
-	w, s := b.w, b.w.stage
+	w, s := b.w, b.w.timeline
 	b.dead = true
 	s.live = slices.DeleteFunc(s.live, func(x *backend) bool { return x == b })
 	delete(s.at, b.addr)
@@ -105,7 +105,7 @@
 	}
 }
 
-// say calls doors, the one it was told first, until one acknowledges; nobody in a round is left for the next time.
+// say calls nodes, the one it was told first, until one acknowledges; nobody in a round is left for the next time.
 func (b *backend) say(leaves bool, then func(acked bool)) {
 	w := b.w
 	var todo []*machine
@@ -147,7 +147,7 @@
 	next()
 }
 
-// call makes one call at a door, which has a second for it.
+// call makes one call at a node, which has a second for it.
 func (b *backend) call(m *machine, leaves bool, then func(ok bool, target string)) {
 	w, done := b.w, false
 	end := func(ok bool, target string) {
@@ -162,14 +162,14 @@
 	if b.draining {
 		phase = registry.Draining
 	}
-	word := registry.Word{ID: b.id, Service: b.service, Addr: b.addr, Zone: b.zone, Generation: "v1", Capacity: gatewaystandin.SlotsEach,
+	word := registry.Record{ID: b.id, Service: b.service, Addr: b.addr, Zone: b.zone, Generation: "v1", Capacity: gatewaystandin.SlotsEach,
 		Phase: phase, ColdLeft: max(0, b.cold-(w.now-b.from)), Seq: b.seq}
 	if w.apart(m, b.zone) || m.dark {
 		return
 	}
 	w.after(w.way(b.zone, m.zone), func() {
 		p := m.p
-		if p == nil || p.hall.deaf {
+		if p == nil || p.upstreams.deaf {
 			w.after(w.way(m.zone, b.zone), func() { end(false, "") })
 			return
 		}
@@ -252,9 +252,9 @@
 func (b *backend) run(s *submission) {
 	w := b.w
 	b.running++
-	b.w.stage.runs++
+	b.w.timeline.runs++
 	w.note(history.Event{Who: b.id, Kind: history.Arrived, Txn: s.try.id, Key: s.try.tenant, At: s.try.want.Path,
-		N: float64(b.w.stage.runs)})
+		N: float64(b.w.timeline.runs)})
 	work := time.Duration(0)
 	for _, x := range gatewaystandin.Services {
 		if x.Name == b.service {
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -8,10 +8,10 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// dialMost is how long a door waits for a connection to a backend, as internal/gateway/node has it.
+// dialMost is how long a node waits for a connection to a backend, as internal/gateway/node has it.
 const dialMost = 700 * time.Millisecond
 
-// ways are a door's ways to backends, as internal/proxy/upstream and the foyer's dialect carry submissions: over connections that
+// ways are a node's ways to backends, as internal/proxy/upstream and the ingress's dialect carry submissions: over connections that
 // are kept, with the backend's id in X-Expect-Backend; what proves that a request never ran, and nothing else, counts as such.
 type ways struct {
 	p    *process
@@ -19,7 +19,7 @@
 	subs map[slots.Ref]*submission
 }
 
-// place is where a door knows a backend to be.
+// place is where a node knows a backend to be.
 type place struct {
 	addr  string
 	ready bool
@@ -92,7 +92,7 @@
 	return all
 }
 
-// lost: the door's process has ended, and its connections with it.
+// lost: the node's process has ended, and its connections with it.
 func (x *ways) lost() {
 	for _, s := range x.sorted() {
 		s.over = true
@@ -110,7 +110,7 @@
 	s := &submission{x: x, ref: ref, nr: nr, to: to, place: b, began: w.now, until: w.now + limit, name: x.p.h.BackendName(to)}
 	x.subs[ref] = s
 	if number := m.AppendTo(nil, to, limit); len(number) > 0 && s.name != "" {
-		s.try = x.p.hall.tries[numberOf(number)]
+		s.try = x.p.upstreams.tries[numberOf(number)]
 	}
 	w.at(s.until, func() {
 		if s.over {
@@ -141,7 +141,7 @@
 func (s *submission) dial() {
 	x, w := s.x, s.x.p.w
 	s.dialing = true
-	l, zone := w.stage.at[s.place.addr], x.p.m.zone
+	l, zone := w.timeline.at[s.place.addr], x.p.m.zone
 	ended := func() {
 		x.p.turn(func() {
 			if !s.over && s.dialing {
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -1,4 +1,4 @@
-// Package simulation plays the gateway in simulated time: every door is the whole of internal/gateway/node, the very code that runs on
+// Package simulation plays the gateway in simulated time: every node is the whole of internal/gateway/node, the very code that runs on
 // machines, over simulated clocks, links, datagrams, disks and ways to backends. Backends, clients and an operator are as the
 // protocol has them. One queue of due times and a few sources of chance, all from one seed, decide what happens: the same
 // day gives the same history to the byte. No goroutine, no wall clock and no order of a map has a say.
@@ -27,7 +27,7 @@
 // origin is the clock at the start of a day: nought stands for "not yet" in histories.
 const origin = 10 * time.Second
 
-// Ports of all doors are alike.
+// Ports of all nodes are alike.
 const (
 	innerPort   = 7110
 	controlPort = 7102
@@ -35,32 +35,32 @@
 
 // Site is the shape of what is played.
 type Site struct {
-	Doors, Disks, Zones int
+	Nodes, Disks, Zones int
 	Each                int     // backends of each service in each zone
 	Rate                float64 // requests a second
 	Beat                time.Duration
 	Mbps                float64       // of each machine's link; 0: not bounded
 	Turn                time.Duration // of processor time that a turn takes; 0: none
 	Hot                 bool          // days of a tenant that rushes, and of cuts about then
-	Share               float64       // of a core that a door has, in metered days: what turns took holds up the next; 0: not bounded
+	Share               float64       // of a core that a node has, in metered days: what turns took holds up the next; 0: not bounded
 	Regions             int           // zones lie in these in turn; 0 or 1: all in one
-	Wide                Wide          // nought: the small house
+	Wide                Wide          // nought: the small deployment
 }
 
 // Usual completes a site.
 func (s Site) Usual() Site {
-	if s.Doors == 0 {
-		s.Doors = 5
+	if s.Nodes == 0 {
+		s.Nodes = 5
 	}
-	s.Disks = min(max(s.Disks, 1), s.Doors)
+	s.Disks = min(max(s.Disks, 1), s.Nodes)
 	if s.Zones == 0 {
-		s.Zones = min(3, s.Doors)
+		s.Zones = min(3, s.Nodes)
 	}
 	if s.Each == 0 {
-		s.Each = 1 + s.Doors/24
+		s.Each = 1 + s.Nodes/24
 	}
 	if s.Rate == 0 {
-		s.Rate = 60 + 4*float64(s.Doors)
+		s.Rate = 60 + 4*float64(s.Nodes)
 	}
 	if s.Beat == 0 {
 		s.Beat = time.Second
@@ -77,7 +77,7 @@
 	Seed    uint64
 	For     time.Duration // how long faults are brought
 	Faults  []spec.Fault
-	Early   bool // faults begin with the first start of all, in which doors start up to some seconds apart
+	Early   bool // faults begin with the first start of all, in which nodes start up to some seconds apart
 	Closing bool // a closing fault right after an acknowledgement: all are killed
 	Wipe    bool // and one disk is lost by it
 	Calm    bool // nothing but its time is played: no recovery is waited for
@@ -102,7 +102,7 @@
 	backs    *rand.Rand
 	cuts     []*cut
 	losses   []float64 // of datagrams, and of frames that go again
-	stage    *stage
+	timeline *timeline
 	clients  *clients
 	operator *operator
 	waits    map[moment][]func()
@@ -112,7 +112,7 @@
 	sum      uint64 // of what travelled
 	counted  time.Duration
 	parted   Parted
-	chases   bool     // an order of a parted door's is under way
+	chases   bool     // an order of a parted node's is under way
 	copies   int      // faults under way that let frames come twice
 	replaced int      // machines
 	passer   *machine // who last passed on a call, and to whom
@@ -168,7 +168,7 @@
 		w.zones = append(w.zones, fmt.Sprintf("zone-%d", i))
 	}
 	var seeds []string
-	for i := range d.Doors {
+	for i := range d.Nodes {
 		m := &machine{w: w, nr: i, name: fmt.Sprintf("door-%d", i), ip: fmt.Sprintf("10.%d.%d.%d", i%d.Zones, i/200, i%200+1),
 			zone: w.zones[i%d.Zones]}
 		m.inner, m.control = net.JoinHostPort(m.ip, strconv.Itoa(innerPort)), net.JoinHostPort(m.ip, strconv.Itoa(controlPort))
@@ -182,15 +182,15 @@
 		}
 	}
 	for _, m := range w.machines {
-		m.sheet = &settings.Sheet{NodeName: m.name, Role: "door", Serves: []string{"edge", "control"}, IP: m.ip, Zone: m.zone,
+		m.settings = &settings.Settings{NodeName: m.name, Role: "door", Serves: []string{"edge", "control"}, IP: m.ip, Zone: m.zone,
 			InnerPorts: [2]int{innerPort, innerPort + 15}, SeedAddrs: seeds, FirstBoot: true, CountsAsLoss: m.disk != nil,
 			Bind:         settings.Bind{Front: "front", Readiness: "ready", Control: m.control},
 			BeatInterval: d.Beat, Tolerates: settings.Tolerates{Machines: d.Tolerates()}, Bounds: gatewaystandin.Bounds()}
 		if m.disk != nil {
-			m.sheet.DataDir = "disk"
+			m.settings.DataDir = "disk"
 		}
 	}
-	w.stage = newStage(w)
+	w.timeline = newTimeline(w)
 	w.clients = newClients(w)
 	w.operator = newOperator(w)
 	return w
@@ -268,7 +268,7 @@
 // region is where a zone lies.
 func (w *world) region(zone string) int { return slices.Index(w.zones, zone) % max(w.day.Regions, 1) }
 
-// digest is of all that was seen and of every byte that travelled between doors.
+// digest is of all that was seen and of every byte that travelled between nodes.
 func (w *world) digest() string {
 	f := fnv.New64a()
 	for _, e := range w.history {
@@ -278,7 +278,7 @@
 	return fmt.Sprintf("%016x", f.Sum64())
 }
 
-// lines are a door's, by the day's clock.
+// lines are a node's, by the day's clock.
 type lines struct {
 	w    *world
 	name string
--- a/internal/proxy/counters/counters.go
+++ b/internal/proxy/counters/counters.go
@@ -61,10 +61,10 @@
 	ListsTaken
 	ListsBad
 	WatchesLost
-	MailSent
-	MailTaken
-	MailBad
-	MailUnsent
+	DatagramsSent
+	DatagramsTaken
+	DatagramsBad
+	DatagramsUnsent
 	AcceptErrors
 	Turns
 	FramesSent // of leases
--- a/internal/proxy/downstream/flow.go
+++ b/internal/proxy/downstream/flow.go
@@ -28,7 +28,7 @@
 	c.l.In.Bound(streamRing)
 	c.l.In.Hold(true)
 	c.flows, c.busy, c.size, c.last = true, true, 0, c.r.Closes || c.in.draining || c.in.crowded()
-	c.in.form.Take(c)
+	c.in.handler.Take(c)
 	return true
 }
 
--- a/internal/proxy/downstream/intake.go
+++ b/internal/proxy/downstream/server.go
@@ -12,8 +12,8 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// Form is what messages mean. All its methods are called in a turn.
-type Form interface {
+// Handler is what messages mean. All its methods are called in a turn.
+type Handler interface {
 	// Take takes a whole message. It is answered by Reject or Answer at once, or held for an answer that comes
 	// later. What c.Request gives is there until the answer.
 	Take(c *Client)
@@ -24,7 +24,7 @@
 // Streamer is a form that takes messages of which only the head and a part of the body are there
 // (Client.Flows), and may answer in parts.
 type Streamer interface {
-	Form
+	Handler
 	// More: more of the body has come, or more of the answer may go.
 	More(c *Client)
 }
@@ -83,10 +83,10 @@
 // streamRing is what waits of a body that is taken in parts, and of an answer that is given so.
 const streamRing = 64 << 10
 
-// Intake is one side of a door that is called: its connections.
-type Intake struct {
+// Server is one side of a door that is called: its connections.
+type Server struct {
 	e        *eventloop.Engine
-	form     Form
+	handler  Handler
 	streams  Streamer // the form, if it is one
 	clients  *slots.Table[Client]
 	open     map[string]slots.Ref // ids that are claimed, and by which client
@@ -99,25 +99,25 @@
 
 // New makes one that holds at most so many clients. makeRoom gives back a descriptor that another stage does
 // not need.
-func New(e *eventloop.Engine, most int, b Bounds, makeRoom func() bool) *Intake {
-	in := &Intake{e: e, clients: slots.New[Client](most), open: map[string]slots.Ref{}, bounds: b.filled(), most: most,
+func New(e *eventloop.Engine, most int, b Bounds, makeRoom func() bool) *Server {
+	in := &Server{e: e, clients: slots.New[Client](most), open: map[string]slots.Ref{}, bounds: b.filled(), most: most,
 		makeRoom: makeRoom}
 	e.At(e.Now()+sweepEvery, in, 0)
 	return in
 }
 
 // Serves says what the messages mean; it comes before the first connection.
-func (in *Intake) Serves(f Form) {
-	in.form = f
+func (in *Server) Serves(f Handler) {
+	in.handler = f
 	in.streams, _ = f.(Streamer)
 }
 
 // Bound changes the bounds, for messages and connections that begin from now on, and waits that are under
 // way.
-func (in *Intake) Bound(b Bounds) { in.bounds = b.filled() }
+func (in *Server) Bound(b Bounds) { in.bounds = b.filled() }
 
 // Accept takes a new connection. When as many as may be are open, one that does nothing goes.
-func (in *Intake) Accept(l *eventloop.Link) {
+func (in *Server) Accept(l *eventloop.Link) {
 	in.e.Count.Add(counters.ClientsOpened)
 	if in.clients.Held() >= in.most && !in.Evict() || in.e.Room() < 0 && !in.Evict() && !in.makeRoom() {
 		l.CloseSoon()
@@ -138,11 +138,11 @@
 
 // crowded: more connections are open than idle ones are worth. Answers then end theirs: clients that ask once and stay
 // would else fill the house, and what the usual ones may hold, until they are let go.
-func (in *Intake) crowded() bool { return 2*in.clients.Held() > in.most }
+func (in *Server) crowded() bool { return 2*in.clients.Held() > in.most }
 
 // Evict closes the connection that is worth least: one that never brought a whole message and had a moment for it,
 // before the one idle longest. One that has a txn, or may have one unread, stays.
-func (in *Intake) Evict() bool {
+func (in *Server) Evict() bool {
 	var least *Client
 	strange := func(c *Client) bool { return c.nr == 0 && in.e.Now()-c.since > moment }
 	in.clients.Each(func(_ slots.Ref, c *Client) {
@@ -165,7 +165,7 @@
 }
 
 // Drain closes connections between txns from now on; what has been taken is answered.
-func (in *Intake) Drain() {
+func (in *Server) Drain() {
 	in.draining = true
 	in.clients.Each(func(_ slots.Ref, c *Client) {
 		if c.idle() && c.l.Clean() {
@@ -175,12 +175,12 @@
 }
 
 // Clients counts connections.
-func (in *Intake) Clients() int { return in.clients.Held() }
+func (in *Server) Clients() int { return in.clients.Held() }
 
 // Client is one connection of a client; it has one message at a time.
 type Client struct {
 	Note    any // the form's own, for as long as the connection lasts
-	in      *Intake
+	in      *Server
 	me      slots.Ref
 	l       *eventloop.Link
 	r       http1.Reader
@@ -219,7 +219,7 @@
 }
 
 // Count counts one, for a form.
-func (in *Intake) Count(id counters.ID) { in.e.Count.Add(id) }
+func (in *Server) Count(id counters.ID) { in.e.Count.Add(id) }
 
 // Claim takes an id for as long as the message is held; it fails if another client has it.
 func (c *Client) Claim(id string) bool {
@@ -264,7 +264,7 @@
 
 // Answer answers a message that was held, as the Client's Answer does. It tells whether its client still
 // waits: nobody else ever gets it.
-func (in *Intake) Answer(t Ticket, write func(b []byte, last bool) []byte) bool {
+func (in *Server) Answer(t Ticket, write func(b []byte, last bool) []byte) bool {
 	c := in.clients.Get(t.who)
 	if c == nil || !c.busy || c.nr != t.nr {
 		in.e.Count.Add(counters.Unheard)
@@ -276,7 +276,7 @@
 }
 
 // Holds finds the client that waits for a txn, nil if it has gone.
-func (in *Intake) Holds(who, txn slots.Ref) *Client {
+func (in *Server) Holds(who, txn slots.Ref) *Client {
 	c := in.waits(who, txn)
 	if c == nil {
 		in.e.Count.Add(counters.Unheard)
@@ -287,7 +287,7 @@
 }
 
 // waits finds it without a word on its answer.
-func (in *Intake) waits(who, txn slots.Ref) *Client {
+func (in *Server) waits(who, txn slots.Ref) *Client {
 	if c := in.clients.Get(who); c != nil && c.txn == txn && txn != 0 {
 		return c
 	}
@@ -295,10 +295,10 @@
 }
 
 // Waits finds the client that waits for a txn, where no answer is due yet.
-func (in *Intake) Waits(who, txn slots.Ref) *Client { return in.waits(who, txn) }
+func (in *Server) Waits(who, txn slots.Ref) *Client { return in.waits(who, txn) }
 
 // ID names a txn by its client's id, while the client waits.
-func (in *Intake) ID(who, txn slots.Ref) string {
+func (in *Server) ID(who, txn slots.Ref) string {
 	if c := in.waits(who, txn); c != nil {
 		return c.id
 	}
@@ -312,11 +312,11 @@
 var unforgiving bool
 
 // Live and Due are the engine's: it is time to look at all clients.
-func (in *Intake) Live(uint32) bool { return true }
+func (in *Server) Live(uint32) bool { return true }
 
 // Due closes connections that have had their time. What this door stood still is not theirs: what came meanwhile lies
 // unread, and is read before anybody is looked at again.
-func (in *Intake) Due(uint32) {
+func (in *Server) Due(uint32) {
 	in.e.At(in.e.Now()+sweepEvery, in, 0)
 	if stood := in.e.Waited(); stood > 0 && !unforgiving {
 		in.clients.Each(func(_ slots.Ref, c *Client) { c.since = min(c.since+stood, in.e.Now()) })
@@ -384,7 +384,7 @@
 	c.txn = 0
 	c.drop()
 	if txn != 0 {
-		c.in.form.Left(txn)
+		c.in.handler.Left(txn)
 	}
 }
 
@@ -431,7 +431,7 @@
 			return
 		}
 		c.busy, c.size, c.last = true, size, c.r.Closes || c.in.draining || c.in.crowded()
-		c.in.form.Take(c)
+		c.in.handler.Take(c)
 	}
 }
 
--- a/internal/proxy/downstream/txn.go
+++ b/internal/proxy/downstream/txn.go
@@ -22,7 +22,7 @@
 
 // Txns is the form of txns that say all about themselves: product, plan, customer and quota.
 type Txns struct {
-	*Intake
+	*Server
 	gate     Gate
 	products map[string]control.ProductID
 	kinds    []config.Product
@@ -32,8 +32,8 @@
 }
 
 // NewTxns makes it for an intake.
-func NewTxns(in *Intake, g Gate, c *config.Config) *Txns {
-	f := &Txns{Intake: in, gate: g, products: map[string]control.ProductID{}, plans: map[string]control.PlanID{},
+func NewTxns(in *Server, g Gate, c *config.Config) *Txns {
+	f := &Txns{Server: in, gate: g, products: map[string]control.ProductID{}, plans: map[string]control.PlanID{},
 		gateways: max(len(c.Peers), 1), units: c.MostUnits}
 	for i, p := range c.Products {
 		f.products[p.Name] = control.ProductID(i)
--- a/internal/proxy/peers/peers.go
+++ b/internal/proxy/peers/peers.go
@@ -96,14 +96,14 @@
 func (p *Peers) take(from netip.AddrPort, payload []byte) {
 	id, ok := p.ids[from]
 	if !ok || len(payload) > longest {
-		p.e.Count.Add(counters.MailBad)
+		p.e.Count.Add(counters.DatagramsBad)
 		return
 	}
 	if p.frames != nil && len(payload) > 0 && payload[0] == lease.Mark {
 		p.frames(id, payload)
 		return
 	}
-	p.e.Count.Add(counters.MailTaken)
+	p.e.Count.Add(counters.DatagramsTaken)
 	failpoint.At(failpoint.AfterHear)
 	p.heard(id, payload)
 }
@@ -114,10 +114,10 @@
 	if int(peer) >= len(p.addrs) || len(payload) > longest || p.fd < 0 ||
 		failpoint.On && failpoint.Cut(addrPort(p.addrs[peer]).String()) ||
 		syscall.Sendto(p.fd, payload, syscall.MSG_DONTWAIT, p.addrs[peer]) != nil {
-		p.e.Count.Add(counters.MailUnsent)
+		p.e.Count.Add(counters.DatagramsUnsent)
 		return
 	}
-	p.e.Count.Add(counters.MailSent)
+	p.e.Count.Add(counters.DatagramsSent)
 }
 
 // Addr is where datagrams come in.
--- a/internal/proxy/upstream/orders_test.go
+++ b/internal/proxy/upstream/orders_test.go
@@ -28,7 +28,7 @@
 // saw. Nothing waits for time: each thing that happened is read before the next does.
 
 // backend takes connections and keeps all that came on each.
-type scenery struct {
+type fixture struct {
 	ln    net.Listener
 	mu    sync.Mutex
 	more  *sync.Cond
@@ -38,10 +38,10 @@
 	ended int
 }
 
-func newScenery(t *testing.T, reads bool) *scenery {
+func newFixture(t *testing.T, reads bool) *fixture {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	b := &scenery{ln: ln, reads: reads}
+	b := &fixture{ln: ln, reads: reads}
 	b.more = sync.NewCond(&b.mu)
 	go func() {
 		for {
@@ -60,7 +60,7 @@
 	return b
 }
 
-func (b *scenery) read(c net.Conn, nr int) {
+func (b *fixture) read(c net.Conn, nr int) {
 	p := make([]byte, 256<<10)
 	for {
 		b.mu.Lock()
@@ -84,7 +84,7 @@
 }
 
 // until waits for something that this backend sees.
-func (b *scenery) until(see func() bool) {
+func (b *fixture) until(see func() bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for !see() {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (b *scenery) readsOn() {
+func (b *fixture) readsOn() {
 	b.mu.Lock()
 	b.reads = true
 	b.more.Broadcast()
@@ -160,8 +160,8 @@
 }
 func (w *watcher) Final(slots.Ref, string, control.Verb) {}
 
-// scene is a door of the parts that requests pass, with two backends.
-type scene struct {
+// scenario is a door of the parts that requests pass, with two backends.
+type scenario struct {
 	t     *testing.T
 	e     *eventloop.Engine
 	d     *Dispatch
@@ -169,26 +169,26 @@
 	a     *asker
 	w     *watcher
 	hands *hands
-	at    [2]*scenery
+	at    [2]*fixture
 	first int // the backend that the request went to first
 	rung  chan bool
 }
 
-func (s *scene) Live(uint32) bool { return true }
-func (s *scene) Due(uint32)       { s.rung <- true }
+func (s *scenario) Live(uint32) bool { return true }
+func (s *scenario) Due(uint32)       { s.rung <- true }
 
 // read waits until the poller has taken all that was there: a due time comes behind it.
-func (s *scene) read() {
+func (s *scenario) read() {
 	s.e.Turn(func() { s.e.At(s.e.Now(), s, 0) })
 	<-s.rung
 }
 
-func newScene(t *testing.T, e *eventloop.Engine, dialect Dialect, body, tries int) *scene { // as many backends as tries
-	s := &scene{t: t, e: e, hands: &hands{now: time.Hour}, w: &watcher{}, rung: make(chan bool, 1),
+func newScenario(t *testing.T, e *eventloop.Engine, dialect Dialect, body, tries int) *scenario { // as many backends as tries
+	s := &scenario{t: t, e: e, hands: &hands{now: time.Hour}, w: &watcher{}, rung: make(chan bool, 1),
 		a: &asker{told: map[slots.Ref][]string{}, gone: map[slots.Ref]bool{}, body: make([]byte, body)}}
 	quota := control.NewQuota(1, 0, 1, time.Hour, control.QuotaTerms{Gap: 200 * time.Millisecond, ViewLife: time.Second,
-		MailPerS: 100})
-	o := admission.New(1, admission.Terms{RetryRatio: 1, RetryWindow: 10 * time.Second, RetryExtra: 64, Doors: 1}, quota, time.Hour)
+		DatagramsPerSecond: 100})
+	o := admission.New(1, admission.Terms{RetryRatio: 1, RetryWindow: 10 * time.Second, RetryExtra: 64, Nodes: 1}, quota, time.Hour)
 	o.SetCall(1, admission.Call{Effectful: true, Aim: time.Minute, MaxTries: tries, Targets: []admission.Target{{Service: 1, Weight: 1}}})
 	s.g = gate.New(o, s.hands, 100, &counters.Set{}, zap.NewNop())
 	s.g.Watched(s.w)
@@ -196,7 +196,7 @@
 		s.d = New(e, s.g, Terms{Dialect: dialect, Idle: time.Hour, Rest: 1, Dial: time.Minute}, func() bool { return false })
 		s.g.Through(s.d, nil)
 		for i := range s.at {
-			if s.at[i] = newScenery(t, body < 1<<20); i >= tries {
+			if s.at[i] = newFixture(t, body < 1<<20); i >= tries {
 				continue
 			}
 			id := control.BackendID(i + 1)
@@ -209,7 +209,7 @@
 	return s
 }
 
-func (s *scene) take() (txn slots.Ref) {
+func (s *scenario) take() (txn slots.Ref) {
 	s.e.Turn(func() {
 		txn, _ = s.g.Take(control.Txn{Product: 1, Units: 1, SetWidth: 1, Expiry: s.hands.now + time.Hour}, s.a, 1)
 		s.g.Pull()
@@ -217,25 +217,25 @@
 	return txn
 }
 
-func (s *scene) ends() (n int) {
+func (s *scenario) ends() (n int) {
 	s.e.Turn(func() { n = len(s.w.ends) })
 	return n
 }
 
-func (s *scene) told(txn slots.Ref) (told []string) {
+func (s *scenario) told(txn slots.Ref) (told []string) {
 	s.e.Turn(func() { told = slices.Clone(s.a.told[txn]) })
 	return told
 }
 
 // newest is the connection that came last.
-func (b *scenery) newest() *net.TCPConn {
+func (b *fixture) newest() *net.TCPConn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.conns[len(b.conns)-1]
 }
 
 // settled tells whether the request has its end and nothing is out.
-func (s *scene) settled() (is bool) {
+func (s *scenario) settled() (is bool) {
 	s.e.Turn(func() { s.g.Pull(); is = s.g.Held() == 0 })
 	return is
 }
@@ -245,7 +245,7 @@
 }
 
 // happen makes one thing happen on the newest connection that carries the request.
-func (s *scene) happen(what byte, txn slots.Ref) {
+func (s *scenario) happen(what byte, txn slots.Ref) {
 	b := s.at[s.first]
 	c, id := b.newest(), s.a.ID(0, txn)
 	switch what {
@@ -283,7 +283,7 @@
 }
 
 // judge compares what was told with what the backends saw, once nothing can come any more.
-func (s *scene) judge(txn slots.Ref, refusedBy int) error {
+func (s *scenario) judge(txn slots.Ref, refusedBy int) error {
 	id := s.a.ID(0, txn)
 	ran := 0
 	for _, b := range s.at {
@@ -341,7 +341,7 @@
 	if err := e.Start(); err != nil {
 		return err
 	}
-	s := newScene(t, e, dialect, body, 2)
+	s := newScenario(t, e, dialect, body, 2)
 	txn := s.take()
 	s.begins()
 	refused := 0
@@ -377,13 +377,13 @@
 }
 
 // out tells whether a submission is.
-func (s *scene) out() (is bool) {
+func (s *scenario) out() (is bool) {
 	s.e.Turn(func() { is = s.d.subs.Held() > 0 })
 	return is
 }
 
 // begins waits until a backend has what it reads of the request, and finds which.
-func (s *scene) begins() {
+func (s *scenario) begins() {
 	for s.first = 0; ; s.first = 1 - s.first {
 		b := s.at[s.first]
 		b.mu.Lock()
@@ -467,7 +467,7 @@
 
 // callers asks twice, on one connection where that may be, lets the backend write before the second ask what stream
 // says, cut in two, and behind it the second's answer. It tells if a caller got what is not its own.
-func (s *scene) callers(stream []int, cut int, same bool) error {
+func (s *scenario) callers(stream []int, cut int, same bool) error {
 	s.e.Turn(func() { s.a.same = same })
 	one := s.take()
 	s.begins()
@@ -526,7 +526,7 @@
 	e := eventloop.New("", 1024, 64<<10, 64<<20)
 	must.NoError(t, e.Start())
 	defer e.Stop()
-	s := newScene(t, e, dialect, 0, 1)
+	s := newScenario(t, e, dialect, 0, 1)
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%v", r)
@@ -587,7 +587,7 @@
 		unfenced.unread = fault
 		e := eventloop.New("", 1024, 64<<10, 1<<30)
 		must.NoError(t, e.Start())
-		s := newScene(t, e, echoes{}, 0, 1)
+		s := newScenario(t, e, echoes{}, 0, 1)
 		txn := s.take()
 		s.begins()
 		s.happen('p', txn)
