--- a/cmd/gateway/caller.go
+++ b/cmd/gateway/caller.go
@@ -26,7 +26,7 @@
 
 // caller holds what all commands share that speak to nodes.
 type caller struct {
-	Control string `arg:"--control,env:CLOVERGAP_CONTROL" placeholder:"ADDR[,ADDR...]" help:"doors, tried in order"`
+	Control string `arg:"--control,env:CLOVERGAP_CONTROL" placeholder:"ADDR[,ADDR...]" help:"nodes, tried in order"`
 	Tries   int    `arg:"--tries" placeholder:"N" default:"10" help:"how often a call goes out at most"`
 	JSON    bool   `arg:"--json" help:"print JSON"`
 
@@ -45,7 +45,7 @@
 		all = append(all, a)
 	}
 	if len(all) == 0 {
-		return nil, wrongly("no door to call: give --control or set CLOVERGAP_CONTROL")
+		return nil, wrongly("no node to call: give --control or set CLOVERGAP_CONTROL")
 	}
 	if c.Tries < 1 {
 		return nil, wrongly("--tries: %d is not at least 1", c.Tries)
@@ -69,27 +69,27 @@
 // call brings a call to the nodes until one settles it. The bytes are the same at each try: a change that was
 // taken at a try without an answer is known again by them. Its error is misuse, or a *failure.
 func (c *caller) call(path string, body []byte) (answer, error) {
-	doors, err := c.nodes()
+	nodes, err := c.nodes()
 	if err != nil {
 		return answer{}, err
 	}
-	return c.ask(doors, c.Tries, path, body)
+	return c.ask(nodes, c.Tries, path, body)
 }
 
-func (c *caller) ask(doors []string, tries int, path string, body []byte) (answer, error) {
+func (c *caller) ask(nodes []string, tries int, path string, body []byte) (answer, error) {
 	sleep := c.sleep
 	if sleep == nil {
 		sleep = time.Sleep
 	}
 	pause, refused, doubt := pauseFirst, 0, false
 	for n := 1; ; n++ {
-		door := doors[(n-1)%len(doors)]
-		a, err := once(door, path, body)
+		node := nodes[(n-1)%len(nodes)]
+		a, err := once(node, path, body)
 		if err == nil && a.status/100 == 2 {
-			a.node, a.tries = door, n
+			a.node, a.tries = node, n
 			return a, nil
 		}
-		last := failure{kind: silent, node: door, tries: n}
+		last := failure{kind: silent, node: node, tries: n}
 		most := 0
 		if err != nil {
 			last.detail = err.Error()
@@ -122,7 +122,7 @@
 }
 
 // once is one try: GET without a body, else POST.
-func once(door, path string, body []byte) (a answer, err error) {
+func once(node, path string, body []byte) (a answer, err error) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
 	patience := silentFor + time.Duration(len(body)>>20)*largeFor
@@ -132,7 +132,7 @@
 	if body != nil {
 		method, send = http.MethodPost, bytes.NewReader(body)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+door+path, send)
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, send)
 	if err != nil {
 		return a, err
 	}
--- a/cmd/gateway/change.go
+++ b/cmd/gateway/change.go
@@ -64,7 +64,7 @@
 	}
 	_ = json.Unmarshal(body, &said) // it was taken: the node could read it
 	if c.JSON {
-		told := map[string]any{"generation": said.Generation, "door": a.node, "tries": a.tries}
+		told := map[string]any{"generation": said.Generation, "node": a.node, "tries": a.tries}
 		return json.NewEncoder(out).Encode(told)
 	}
 	_, err = fmt.Fprintf(out, "version %d is taken (%s, tries %d)\n", said.Generation, a.node, a.tries)
--- a/cmd/gateway/check.go
+++ b/cmd/gateway/check.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%s: fine, door %s in %s\n", c.Settings, s.NodeName, s.Zone)
+		fmt.Fprintf(out, "%s: fine, node %s in %s\n", c.Settings, s.NodeName, s.Zone)
 	}
 	if c.Config != "" {
 		text, err := os.ReadFile(c.Config)
--- a/cmd/gateway/gateway_test.go
+++ b/cmd/gateway/gateway_test.go
@@ -22,21 +22,21 @@
 "tenants":[{"name":"huka","api_keys":["2b9wu3fexd9d","abc"],"rate_per_s":47}],
 "vhosts":[{"hostname":"H.example","path_list":[{"name":"r","path_prefix":"/a/","variant":"pure","target":"s"}]}]}`
 
-// script is a node that answers by a list, the last answer again and again; it keeps what came.
-type script struct {
+// stubNode is a node that answers by a list, the last answer again and again; it keeps what came.
+type stubNode struct {
 	t       *testing.T
 	answers []string // status and body
 	mu      sync.Mutex
 	bodies  []string
 }
 
-func (s *script) came() []string {
+func (s *stubNode) came() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bodies
 }
 
-func (s *script) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *stubNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	must.NoError(s.t, err)
 	s.mu.Lock()
@@ -58,17 +58,17 @@
 	}
 }
 
-func serve(t *testing.T, answers ...string) (*script, string) {
-	s := &script{t: t, answers: answers}
+func serve(t *testing.T, answers ...string) (*stubNode, string) {
+	s := &stubNode{t: t, answers: answers}
 	srv := httptest.NewServer(s)
 	srv.Config.ErrorLog = nil
 	t.Cleanup(srv.Close)
 	return s, strings.TrimPrefix(srv.URL, "http://")
 }
 
-func play(words ...string) (code int, out, complaint string) {
+func invoke(args ...string) (code int, out, complaint string) {
 	var o, e bytes.Buffer
-	code = run(words, &o, &e)
+	code = run(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
@@ -144,11 +144,11 @@
 	file := filepath.Join(t.TempDir(), "c.json")
 	must.NoError(t, os.WriteFile(file, []byte(config), 0o600))
 	s, at := serve(t, "200", "412")
-	code, out, _ := play("apply", "--control", at, "--parent", "6", file)
+	code, out, _ := invoke("apply", "--control", at, "--parent", "6", file)
 	must.Eq(t, good, code)
 	must.StrHasPrefix(t, "version 7 is taken", out)
 	must.Eq(t, strings.Replace(config, `"parent_version":5`, `"parent_version":6`, 1), s.came()[0])
-	code, _, complaint := play("apply", "--control", at, file)
+	code, _, complaint := invoke("apply", "--control", at, file)
 	must.Eq(t, failed, code)
 	must.StrContains(t, complaint, "Another version is current")
 
@@ -168,59 +168,59 @@
 
 func TestCalledWrongly(t *testing.T) {
 	t.Setenv("CLOVERGAP_CONTROL", "")
-	for _, words := range [][]string{{}, {"dance"}, {"apply"}, {"read"}, {"check"}, {"read", "--control", "nowhere"},
+	for _, args := range [][]string{{}, {"dance"}, {"apply"}, {"read"}, {"check"}, {"read", "--control", "nowhere"},
 		{"read", "--control", "127.0.0.1:1", "--tries", "0"}, {"serve", "--settings", ""}} {
-		code, out, _ := play(words...)
-		must.Eq(t, calledWrong, code, must.Sprint(words))
+		code, out, _ := invoke(args...)
+		must.Eq(t, calledWrong, code, must.Sprint(args))
 		must.Eq(t, "", out)
 	}
-	code, out, _ := play("apply", "--help")
+	code, out, _ := invoke("apply", "--help")
 	must.Eq(t, good, code)
 	must.StrContains(t, out, "Examples:")
 }
 
 func TestConfigTables(t *testing.T) {
 	_, at := serve(t, "200 "+config)
-	_, out, _ := play("tenants", "--control", at)
+	_, out, _ := invoke("tenants", "--control", at)
 	must.Eq(t, "NAME  PRIORITY  A SECOND  BURST  KEYS\nhuka  0         47        0      2b9w..., a...\n", out)
-	_, out, _ = play("tenants", "--control", at, "--json")
+	_, out, _ = invoke("tenants", "--control", at, "--json")
 	must.StrNotContains(t, out, "2b9wu3")
-	_, out, _ = play("tenants", "--control", at, "--keys")
+	_, out, _ = invoke("tenants", "--control", at, "--keys")
 	must.StrContains(t, out, "2b9wu3fexd9d, abc")
-	_, out, _ = play("routes", "--control", at)
+	_, out, _ = invoke("routes", "--control", at)
 	must.StrContains(t, out, "r     h.example  /a/     pure     s        30s       30s  2")
-	_, out, _ = play("read", "--control", at, "--json")
+	_, out, _ = invoke("read", "--control", at, "--json")
 	must.Eq(t, config+"\n", out)
 
 	_, none := serve(t, "200")
-	code, _, complaint := play("read", "--control", none)
+	code, _, complaint := invoke("read", "--control", none)
 	must.Eq(t, failed, code)
 	must.StrContains(t, complaint, "no configuration")
 }
 
 func TestStatusTables(t *testing.T) {
-	seat := 1
+	slot := 1
 	with := controlapi.NodeStatus{Node: "b", Core: &controlapi.StatusCore{Role: "leading", View: 3, Leader: "b:1",
 		Members: []controlapi.StatusMember{{Id: "01", Address: "b:1", Live: true}}, First: 5, Last: 9}}
 	_, bt := serve(t, "200 "+marshal(t, with))
-	without := controlapi.NodeStatus{Node: "a", Zone: "z", Unready: []string{"no seat"},
+	without := controlapi.NodeStatus{Node: "a", Zone: "z", Unready: []string{"no slot"},
 		Nodes: []controlapi.StatusNode{{Name: "a", Address: "a:1", Live: true},
-			{Name: "b\x1b[2J", Address: "b:1", Control: bt, Slot: &seat, Disk: true}},
+			{Name: "b\x1b[2J", Address: "b:1", Control: bt, Slot: &slot, Disk: true}},
 		Backends: []controlapi.StatusBackend{{Id: "i-1", Target: "s"}, {Id: "i-2", Target: "t"}}}
 	_, at := serve(t, "200 "+marshal(t, without))
 
-	_, out, _ := play("status", "--control", at)
-	must.StrContains(t, out, "no: no seat")
+	_, out, _ := invoke("status", "--control", at)
+	must.StrContains(t, out, "no: no slot")
 	must.StrContains(t, out, "never")
-	_, out, _ = play("doors", "--control", at)
+	_, out, _ = invoke("nodes", "--control", at)
 	must.StrContains(t, out, "b?[2J")
-	_, out, _ = play("doors", "--control", at, "--ask")
+	_, out, _ = invoke("nodes", "--control", at, "--ask")
 	must.StrContains(t, out, "no answer") // a's control address is not known
 	must.StrContains(t, out, "leading")
-	_, out, _ = play("backends", "--control", at, "--service", "t")
+	_, out, _ = invoke("backends", "--control", at, "--service", "t")
 	must.StrContains(t, out, "i-2")
 	must.StrNotContains(t, out, "i-1")
-	_, out, _ = play("views", "--control", at) // by way of b
+	_, out, _ = invoke("core", "--control", at) // by way of b
 	must.StrContains(t, out, "5 to 9")
 	must.StrContains(t, out, "01")
 }
--- a/cmd/gateway/kinds.go
+++ b/cmd/gateway/kinds.go
@@ -25,14 +25,14 @@
 // kinds words each kind, for people.
 var kinds = [...]struct{ name, sentence string }{
 	taken:    {"taken", "Done."},
-	invalid:  {"invalid", "The door refuses it as invalid; nothing was changed."},
+	invalid:  {"invalid", "The node refuses it as invalid; nothing was changed."},
 	conflict: {"conflict", "Another version is current; nothing was changed. Read it, change that, send again."},
-	tooLarge: {"too_large", "It is larger than a door takes; nothing was changed."},
-	unknown:  {"unknown", "It is not there, or the door does not know this call."},
-	busy:     {"busy", "The doors are busy. Try again later."},
-	unclear:  {"unclear", "No door could settle it now."},
-	astray:   {"astray", "No door answers like this: is it the control address of a gateway?"},
-	silent:   {"silent", "No door answers."},
+	tooLarge: {"too_large", "It is larger than a node takes; nothing was changed."},
+	unknown:  {"unknown", "It is not there, or the node does not know this call."},
+	busy:     {"busy", "The nodes are busy. Try again later."},
+	unclear:  {"unclear", "No node could settle it now."},
+	astray:   {"astray", "No node answers like this: is it the control address of a gateway?"},
+	silent:   {"silent", "No node answers."},
 }
 
 // maybe is added for a change that got no clear answer.
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -31,16 +31,16 @@
 	Read     *readCmd     `arg:"subcommand:read" help:"read the newest configuration"`
 	Routes   *routesCmd   `arg:"subcommand:routes" help:"list its routes"`
 	Tenants  *tenantsCmd  `arg:"subcommand:tenants" help:"list its tenants, keys hidden"`
-	Status   *statusCmd   `arg:"subcommand:status" help:"tell how things stand at a door"`
-	Nodes    *nodesCmd    `arg:"subcommand:doors" help:"list the doors"`
+	Status   *statusCmd   `arg:"subcommand:status" help:"tell how things stand at a node"`
+	Nodes    *nodesCmd    `arg:"subcommand:nodes" help:"list the nodes"`
 	Backends *backendsCmd `arg:"subcommand:backends" help:"list the backends"`
-	Views    *viewsCmd    `arg:"subcommand:views" help:"show the core: members, view, leader, log"`
+	Core     *coreCmd     `arg:"subcommand:core" help:"show the replicated log: members, view, leader, how far it is synced"`
 	Rollout  *rolloutCmd  `arg:"subcommand:rollout" help:"shift a share of users onto a new version of a service"`
 	About    *versionCmd  `arg:"subcommand:version" help:"tell which build this is"`
 }
 
 func (args) Description() string {
-	return "gateway is an API gateway: many doors, one configuration.\n" +
+	return "gateway is an API gateway: many nodes, one configuration.\n" +
 		"Exit codes: 0 good, 1 failed, 2 called wrongly."
 }
 
@@ -79,15 +79,15 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run does what the words of a command line ask and gives the exit code.
-func run(words []string, out, complain io.Writer) int {
+// run does what a command line asks and gives the exit code.
+func run(arguments []string, out, complain io.Writer) int {
 	var a args
 	p, err := arg.NewParser(arg.Config{Program: "gateway"}, &a)
 	if err != nil {
 		fmt.Fprintln(complain, "gateway:", err)
 		return calledWrong
 	}
-	switch err := p.Parse(words); {
+	switch err := p.Parse(arguments); {
 	case errors.Is(err, arg.ErrHelp):
 		p.WriteHelpForSubcommand(out, p.SubcommandNames()...)
 		text := examples
--- a/cmd/gateway/rollout.go
+++ b/cmd/gateway/rollout.go
@@ -19,7 +19,7 @@
 type rolloutCmd struct {
 	Start    *rolloutStartCmd    `arg:"subcommand:start" help:"start to shift users onto a new version, by an order"`
 	Step     *rolloutStepCmd     `arg:"subcommand:step" help:"go on to the next step"`
-	Hold     *rolloutHoldCmd     `arg:"subcommand:hold" help:"keep the present step until the next word"`
+	Hold     *rolloutHoldCmd     `arg:"subcommand:hold" help:"keep the present step until the next command"`
 	PullBack *rolloutPullBackCmd `arg:"subcommand:pull-back" help:"bring all users back to the old version"`
 	Finish   *rolloutFinishCmd   `arg:"subcommand:finish" help:"shift all users onto the new version, after the last step"`
 	Status   *rolloutStatusCmd   `arg:"subcommand:status" help:"tell how roll-outs stand"`
@@ -120,7 +120,7 @@
 
 type rolloutStartCmd struct {
 	Order string `arg:"--order,required" placeholder:"FILE" help:"the order, JSON; - is standard input"`
-	Busy  int    `arg:"--busy" placeholder:"N" help:"requests at a time at the busiest, over all doors"`
+	Busy  int    `arg:"--busy" placeholder:"N" help:"requests at a time at the busiest, over all nodes"`
 	Room  int    `arg:"--new-room" placeholder:"N" help:"requests at a time that the new version will take, where it is not there yet"`
 	Dry   bool   `arg:"--dry-run" help:"change nothing, tell the users and the room of each step"`
 	signed
@@ -166,19 +166,19 @@
 	return c.order(out, "/api/Rollout.Start", o)
 }
 
-// wordArgs are alike for the orders to a roll-out that runs.
-type wordArgs struct {
+// commandArgs are alike for the orders to a roll-out that runs.
+type commandArgs struct {
 	Service string  `arg:"positional,required" help:"the service's name"`
 	Number  *uint64 `arg:"--number" placeholder:"N" help:"this roll-out and no other; left out: the newest"`
 	signed
 }
 
 // send sends an order to the newest roll-out of a service, or to the one that is named.
-func (c *wordArgs) send(out io.Writer, call string, step int) error {
+func (c *commandArgs) send(out io.Writer, call string, step int) error {
 	if err := c.check(); err != nil {
 		return err
 	}
-	w := controlapi.RolloutWord{Mark: c.Mark, By: c.By, Why: c.Why, Step: step}
+	w := controlapi.RolloutCommand{Mark: c.Mark, By: c.By, Why: c.Why, Step: step}
 	if c.Number == nil || c.Rev == nil || step < 0 {
 		r, err := c.now(c.Service)
 		switch {
@@ -202,13 +202,13 @@
 }
 
 type rolloutStepCmd struct {
-	wordArgs
+	commandArgs
 	Step int `arg:"--step" placeholder:"N" help:"the step to go to, from 1; left out: the next"`
 }
 
-type rolloutHoldCmd struct{ wordArgs }
-type rolloutPullBackCmd struct{ wordArgs }
-type rolloutFinishCmd struct{ wordArgs }
+type rolloutHoldCmd struct{ commandArgs }
+type rolloutPullBackCmd struct{ commandArgs }
+type rolloutFinishCmd struct{ commandArgs }
 
 func (c *rolloutStepCmd) run(out io.Writer) error {
 	if c.Step < 0 {
@@ -223,7 +223,7 @@
 type rolloutStatusCmd struct{ caller }
 
 func (*rolloutStatusCmd) examples() string {
-	return `  gateway rollout status          failed of ended, of this step and all doors, where the door that answers leads
+	return `  gateway rollout status          failed of ended, of this step and all nodes, where the node that answers leads
   gateway rollout status --json   with the counts by kind and cause`
 }
 
--- a/cmd/gateway/rollout_test.go
+++ b/cmd/gateway/rollout_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	runs = `{"door":"d","rev":9,"leads":true,"rollouts":[{"service":"libro","number":3,"rev":9,"old":"v1","new":"v2",
+	runs = `{"node":"d","rev":9,"leads":true,"rollouts":[{"service":"libro","number":3,"rev":9,"old":"v1","new":"v2",
 "phase":"running","step":1,"steps":2,"share":150,"here":0,"held":false,"doubt":0.5,"counts":{
 "old":{"reads":{"ends":90,"none":1},"writes":{"ends":9,"failed":1}},"new":{"reads":{"ends":5,"wrong":2},"writes":{"ends":1}}}}]}`
 	after = `{"service":"libro","number":3,"rev":10,"phase":"running","step":2,"steps":2,"share":5000}`
@@ -19,14 +19,14 @@
 	order = `{"service":"libro","old":"v1","new":"v2","steps":[{"share":150,"min_time":"60s"},{"share":5000,"min_time":"60s"}]}`
 )
 
-// What is sent follows from the file, the words and how the roll-out stands; what is wrong goes nowhere.
+// What is sent follows from the file, the arguments and how the roll-out stands; what is wrong goes nowhere.
 func TestRollout(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "o.json")
 	must.NoError(t, os.WriteFile(file, []byte(order), 0o600))
 	bad := filepath.Join(t.TempDir(), "b.json")
 	must.NoError(t, os.WriteFile(bad, []byte(`{"servise":"libro"}`), 0o600))
 	for _, x := range []struct {
-		words   string
+		args    string
 		answers []string
 		code    int
 		sent    string // last
@@ -57,8 +57,8 @@
 	} {
 		s, at := serve(t, x.answers...)
 		t.Setenv("CLOVERGAP_CONTROL", at)
-		code, out, complaint := play(append([]string{"rollout"}, strings.Fields(x.words)...)...)
-		must.Eq(t, x.code, code, must.Sprint(x.words, out, complaint))
+		code, out, complaint := invoke(append([]string{"rollout"}, strings.Fields(x.args)...)...)
+		must.Eq(t, x.code, code, must.Sprint(x.args, out, complaint))
 		must.StrContains(t, out+complaint, x.out)
 		if x.sent != "" {
 			must.EqJSON(t, x.sent, s.came()[len(s.came())-1])
--- a/cmd/gateway/views.go
+++ b/cmd/gateway/state.go
@@ -72,6 +72,14 @@
 	return (time.Duration(*ms) * time.Millisecond).String()
 }
 
+// ago words an age.
+func ago(ms *int64) string {
+	if ms == nil {
+		return stale(ms)
+	}
+	return stale(ms) + " ago"
+}
+
 // print writes JSON as it is, with an end of line.
 func print(out io.Writer, text []byte) error {
 	_, err := out.Write(append(bytes.TrimRight(text, "\n"), '\n'))
@@ -80,15 +88,15 @@
 
 // status asks how things stand; raw is the answer as it came.
 func (c *caller) status() (s *controlapi.NodeStatus, raw []byte, err error) {
-	doors, err := c.nodes()
+	nodes, err := c.nodes()
 	if err != nil {
 		return nil, nil, err
 	}
-	return c.statusOf(doors, c.Tries)
+	return c.statusOf(nodes, c.Tries)
 }
 
-func (c *caller) statusOf(doors []string, tries int) (*controlapi.NodeStatus, []byte, error) {
-	return readAs[controlapi.NodeStatus](c.ask(doors, tries, "/api/House.Status", nil))
+func (c *caller) statusOf(nodes []string, tries int) (*controlapi.NodeStatus, []byte, error) {
+	return readAs[controlapi.NodeStatus](c.ask(nodes, tries, "/api/Node.Status", nil))
 }
 
 // readAs reads an answer; raw is it as it came.
@@ -146,7 +154,7 @@
 type routesCmd struct{ caller }
 
 func (*routesCmd) examples() string {
-	return `  gateway routes          as doors route by them, with what the configuration leaves out filled in
+	return `  gateway routes          as nodes route by them, with what the configuration leaves out filled in
   gateway routes --json   as they were sent`
 }
 
@@ -241,13 +249,13 @@
 }
 
 type nodesCmd struct {
-	Ask bool `arg:"--ask" help:"ask each door for its own word, too"`
+	Ask bool `arg:"--ask" help:"ask each node for its own state, too"`
 	caller
 }
 
 func (*nodesCmd) examples() string {
-	return `  gateway doors         all doors as the one that answers knows them
-  gateway doors --ask   each door's configuration, age of its word of the core, whether it wants clients`
+	return `  gateway nodes         all nodes as the one that answers knows them
+  gateway nodes --ask   each node's configuration, how long ago it heard of the core, whether it wants clients`
 }
 
 func (c *nodesCmd) run(out io.Writer) error {
@@ -257,21 +265,21 @@
 	}
 	if !c.Ask {
 		if c.JSON {
-			return print(out, section(raw, "doors"))
+			return print(out, section(raw, "nodes"))
 		}
-		w := newTable(out, "NAME", "ZONE", "ADDRESS", "CONTROL", "SEAT", "DISK", "LIVE")
+		w := newTable(out, "NAME", "ZONE", "ADDRESS", "CONTROL", "SLOT", "DISK", "LIVE")
 		for _, d := range s.Nodes {
 			w.row(d.Name, d.Zone, d.Address, d.Control, number(d.Slot), yes(d.Disk), yes(d.Live))
 		}
 		return w.Flush()
 	}
-	words := c.askAll(s.Nodes)
+	states := c.askAll(s.Nodes)
 	if c.JSON {
-		return json.NewEncoder(out).Encode(words)
+		return json.NewEncoder(out).Encode(states)
 	}
 	w := newTable(out, "NAME", "ZONE", "VERSION", "APPLIED", "STALE", "READY", "CORE", "HELD", "CLIENTS", "WHY NOT")
 	for i, d := range s.Nodes {
-		if o := words[i]; o == nil {
+		if o := states[i]; o == nil {
 			w.row(d.Name, d.Zone, "", "", "", "", "", "", "", "no answer")
 		} else {
 			role := ""
@@ -285,23 +293,23 @@
 	return w.Flush()
 }
 
-// askAll asks nodes for their own word, each once; nil where none came.
-func (c *caller) askAll(doors []controlapi.StatusNode) []*controlapi.NodeStatus {
+// askAll asks nodes for their own state, each once; nil where none came.
+func (c *caller) askAll(nodes []controlapi.StatusNode) []*controlapi.NodeStatus {
 	const atOnce = 16
-	words, turn := make([]*controlapi.NodeStatus, len(doors)), make(chan struct{}, atOnce)
+	states, turn := make([]*controlapi.NodeStatus, len(nodes)), make(chan struct{}, atOnce)
 	var all sync.WaitGroup
-	for i, d := range doors {
+	for i, d := range nodes {
 		if d.Control == "" {
 			continue
 		}
 		turn <- struct{}{}
 		all.Go(func() {
-			words[i], _, _ = c.statusOf([]string{d.Control}, 1)
+			states[i], _, _ = c.statusOf([]string{d.Control}, 1)
 			<-turn
 		})
 	}
 	all.Wait()
-	return words
+	return states
 }
 
 type backendsCmd struct {
@@ -328,7 +336,7 @@
 	if c.JSON {
 		return json.NewEncoder(out).Encode(some)
 	}
-	w := newTable(out, "ID", "SERVICE", "ADDRESS", "ZONE", "SOFTWARE", "CAPACITY", "PHASE", "COLD", "KEEPER",
+	w := newTable(out, "ID", "SERVICE", "ADDRESS", "ZONE", "SOFTWARE", "CAPACITY", "PHASE", "COLD", "REGISTRAR",
 		"SEQ")
 	for _, b := range some {
 		w.row(b.Id, b.Target, b.Address, b.Zone, b.Generation, b.Capacity, b.Phase, b.ColdLeft, b.Registrar, b.CallSeq)
@@ -336,13 +344,13 @@
 	return w.Flush()
 }
 
-type viewsCmd struct{ caller }
+type coreCmd struct{ caller }
 
-func (*viewsCmd) examples() string {
-	return `  gateway views    the core: its view, leader, members, log; asked of a door with a disk`
+func (*coreCmd) examples() string {
+	return `  gateway core    its view, leader, members, log; asked of a node with a disk`
 }
 
-func (c *viewsCmd) run(out io.Writer) error {
+func (c *coreCmd) run(out io.Writer) error {
 	s, _, err := c.status()
 	if err != nil {
 		return err
@@ -355,7 +363,7 @@
 			}
 		}
 		if i >= len(with) {
-			return errors.New("no door with a disk answers")
+			return errors.New("no node with a disk answers")
 		}
 		if o, _, err := c.statusOf([]string{with[i].Control}, 1); err == nil && o.Core != nil {
 			s = o
@@ -365,7 +373,7 @@
 	if c.JSON {
 		return json.NewEncoder(out).Encode(k)
 	}
-	w := newTable(out, "DOOR", "ROLE", "VIEW", "LEADER", "SETTLED", "LOG", "SYNCED", "BEHIND", "WAITING",
+	w := newTable(out, "NODE", "ROLE", "VIEW", "LEADER", "SETTLED", "LOG", "SYNCED", "BEHIND", "WAITING",
 		"LEARNER")
 	w.row(s.Node, k.Role, k.View, k.Leader, yes(k.Settled), fmt.Sprintf("%d to %d", k.First, k.Last), k.Synced,
 		k.Behind, k.Waiting, k.Learner)
@@ -407,8 +415,8 @@
 			live++
 		}
 	}
-	w := newTable(out, "door", s.Node+" in "+s.Zone)
-	w.row("seat", number(s.Slot))
+	w := newTable(out, "node", s.Node+" in "+s.Zone)
+	w.row("slot", number(s.Slot))
 	if s.Ready {
 		w.row("ready", "yes")
 	} else {
@@ -416,7 +424,7 @@
 	}
 	w.row("configuration", s.Generation)
 	w.row("log applied", s.Applied)
-	w.row("word of the core", stale(s.StaleMs)+" old")
+	w.row("last heard of the core", ago(s.StaleMs))
 	if s.Feeder != "" {
 		w.row("follows", s.Feeder)
 	}
@@ -424,7 +432,7 @@
 		w.row("core", fmt.Sprintf("%s, view %d of %d members, leader %s", k.Role, k.View, len(k.Members),
 			orNone(k.Leader)))
 	}
-	w.row("doors", fmt.Sprintf("%d, %d live", len(s.Nodes), live))
+	w.row("nodes", fmt.Sprintf("%d, %d live", len(s.Nodes), live))
 	if b := s.Registry; b != nil {
 		w.row("backends", fmt.Sprintf("%d ready, %d draining, %d gone, %d kept here, %d unwatched", b.Ready,
 			b.Draining, b.Gone, b.Kept, b.Unwatched))
--- a/cmd/lab/gateway.go
+++ b/cmd/lab/gateway.go
@@ -180,7 +180,7 @@
 	defer cancel()
 	sum := map[string]int{}
 	for _, d := range t.Nodes {
-		r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+d.Control+"/api/House.Status", nil)
+		r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+d.Control+"/api/Node.Status", nil)
 		a, err := http.DefaultClient.Do(r)
 		if err != nil {
 			continue
--- a/internal/gateway/controlapi/handler.go
+++ b/internal/gateway/controlapi/handler.go
@@ -38,7 +38,7 @@
 	pathReplace   = "/api/Config.Replace"
 	pathAmend     = "/api/Config.Amend"
 	pathRead      = "/api/Config.Read"
-	pathStatus    = "/api/House.Status"
+	pathStatus    = "/api/Node.Status"
 	pathHeartbeat = "/api/Backends.Heartbeat/"
 	pathLeave     = "/api/Backends.Leave/"
 )
@@ -177,7 +177,7 @@
 }
 
 func readBeat(id string, body []byte) (registry.Record, error) {
-	var b Beat
+	var b Heartbeat
 	if id == "" || len(id) > longestID {
 		return registry.Record{}, errors.New("no id in the path")
 	}
@@ -205,9 +205,9 @@
 // acknowledge answers a backend's call.
 func (f *Handler) acknowledge(t downstream.Ticket, ok bool, target string) {
 	if !ok {
-		f.end(t, 503, []byte("too few doors have heard it"))
+		f.end(t, 503, []byte("too few nodes have heard it"))
 		return
 	}
-	body, _ := json.Marshal(BeatAnswer{BeatTarget: target})
+	body, _ := json.Marshal(HeartbeatAnswer{BeatTarget: target})
 	f.end(t, 200, body)
 }
--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -139,7 +139,7 @@
 func TestCalls(t *testing.T) {
 	st := open(t)
 	c, r := st.dial()
-	const few = `{"detail":"too few doors have heard it","error":"unavailable"}`
+	const few = `{"detail":"too few nodes have heard it","error":"unavailable"}`
 	const replace, amend, read = "POST /api/Config.Replace", "POST /api/Config.Amend", "GET /api/Config.Read"
 	const beats, leave = "POST /api/Backends.Heartbeat/i-1", "POST /api/Backends.Leave/i-1"
 	heard := "beat " + fmt.Sprint(registry.Record{ID: "i-1", Service: "s", Addr: "10.0.0.9:80", Zone: "z", Generation: "v1",
@@ -166,7 +166,7 @@
 		{beats, beat, fakeNode{}, heard, 503, few},
 		{leave, "", fakeNode{ok: true}, "leave i-1", 200, `{}`},
 		{leave, "{}", fakeNode{}, "leave i-1", 503, few},
-		{"GET /api/House.Status", "", fakeNode{}, "", 200, string(status)},
+		{"GET /api/Node.Status", "", fakeNode{}, "", 200, string(status)},
 		{"POST /api/Rollout.Start", order, fakeNode{status: 200, body: `{"number":1}`},
 			`start "s" 4 0 0 m ana late true s from v1 to v2 in 1 steps`, 200, `{"number":1}`},
 		{"POST /api/Rollout.Step/s", `{"number":3,"rev":4,"step":2,"by":"ana"}`, fakeNode{status: 412, body: "no"},
@@ -214,7 +214,7 @@
 		"GET /api/Rollout.")
 	refused(405, order, "GET /api/Rollout.Start", "POST /api/Rollout.Status", "GET /api/Rollout.PullBack/s")
 	refused(405, "{}", "POST /api/ready", "GET /api/Config.Replace", "PUT /api/Config.Amend", "POST /api/Config.Read",
-		"GET /api/Backends.Leave/i-1", "DELETE /api/House.Status")
+		"GET /api/Backends.Leave/i-1", "DELETE /api/Node.Status")
 	refused(400, beat, "POST /api/Backends.Heartbeat/", "POST /api/Backends.Heartbeat/"+long,
 		"POST /api/Backends.Leave/", "POST /api/Backends.Leave/"+long)
 	for _, x := range [][2]string{{`"s"`, `""`}, {"draining", "gone"}, {"10.0.0.9:80", ""}, {"1.5s", "1.5"}, {":4", ":-4"},
--- a/internal/gateway/controlapi/rollouts.go
+++ b/internal/gateway/controlapi/rollouts.go
@@ -14,9 +14,9 @@
 	"clovergap/internal/proxy/downstream"
 )
 
-// Rollouts is the part of a Deployment that the calls on roll-outs need.
+// Rollouts is the part of a node that the calls on roll-outs need.
 type Rollouts interface {
-	// Rollout brings an order, or a word on one that runs, to whoever leads: 200 with a RolloutAnswer, else as Change.
+	// Rollout brings an order, or a command on a roll-out that runs, to whoever leads: 200 with a RolloutAnswer, else as Change.
 	// A dry run tells what it would be.
 	Rollout(e *rollout.Entry, dry bool, then func(status int, body []byte))
 	// Rollouts gives a RolloutStatus.
@@ -66,7 +66,7 @@
 	}
 }
 
-// readRollout reads an operator's word. A field that is not known is refused: an order that means something else than it
+// readRollout reads an operator's call. A field that is not known is refused: an order that means something else than it
 // says must not run.
 func readRollout(verb rollout.Verb, service string, body []byte) (e *rollout.Entry, dry bool, err error) {
 	strict := func(into any) error {
@@ -78,12 +78,12 @@
 		return nil
 	}
 	if verb != rollout.Start {
-		var w RolloutWord
-		if err := strict(&w); err != nil {
+		var c RolloutCommand
+		if err := strict(&c); err != nil {
 			return nil, false, err
 		}
-		return &rollout.Entry{Verb: verb, Service: service, Mark: w.Mark, By: w.By, Why: w.Why, Rev: w.Rev,
-			Number: rollout.Number(w.Number), Step: w.Step}, false, nil
+		return &rollout.Entry{Verb: verb, Service: service, Mark: c.Mark, By: c.By, Why: c.Why, Rev: c.Rev,
+			Number: rollout.Number(c.Number), Step: c.Step}, false, nil
 	}
 	var o RolloutOrder
 	if err := strict(&o); err != nil {
--- a/internal/gateway/node/node_test.go
+++ b/internal/gateway/node/node_test.go
@@ -150,7 +150,7 @@
 }
 
 func (d *nodes) status(i int) (s controlapi.NodeStatus) {
-	_, text := d.call(i, "GET", "/api/House.Status", "")
+	_, text := d.call(i, "GET", "/api/Node.Status", "")
 	if json.Unmarshal([]byte(text), &s); s.Core == nil {
 		s.Core = &controlapi.StatusCore{}
 	}
--- a/internal/gateway/routing/doc.go
+++ b/internal/gateway/routing/doc.go
@@ -6,4 +6,4 @@
 // configuration is given back as it came.
 package routing
 
-//go:generate go run github.com/oapi-codegen/oapi-codegen/v2/cmd/oapi-codegen@v2.8.2 -config ../../../api/playbill.yaml ../../../api/control.yaml
+//go:generate go run github.com/oapi-codegen/oapi-codegen/v2/cmd/oapi-codegen@v2.8.2 -config ../../../api/routing.yaml ../../../api/control.yaml
--- a/internal/lab/capacity/added.go
+++ b/internal/lab/capacity/added.go
@@ -137,7 +137,7 @@
 	})}
 	go s.Serve(ln)
 	x.backends, x.at = append(x.backends, s), append(x.at, ln.Addr().String())
-	beat := controlapi.Beat{Address: ln.Addr().String(), Capacity: 16, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service,
+	beat := controlapi.Heartbeat{Address: ln.Addr().String(), Capacity: 16, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service,
 		Zone: "zone-0"}
 	wg.Go(func() {
 		for to := x.t.Nodes[0].Control; ctx.Err() == nil; {
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -208,7 +208,7 @@
 func (x *hollow) beats(ctx context.Context, i int) {
 	services := 2 + x.Wide.Services
 	service := simulation.ServiceName(i % services)
-	to, beat := x.settings[i%len(x.settings)].Bind.Control, controlapi.Beat{Address: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1),
+	to, beat := x.settings[i%len(x.settings)].Bind.Control, controlapi.Heartbeat{Address: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1),
 		Capacity: 4, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service, Zone: fmt.Sprint("zone-", i/services%x.Zones)}
 	select {
 	case <-ctx.Done():
@@ -221,7 +221,7 @@
 		beat.CallSeq++
 		body, _ := json.Marshal(beat)
 		status, text, err := x.post(ctx, to, fmt.Sprintf("/api/Backends.Heartbeat/i-%s-%d", service, i), body)
-		var a controlapi.BeatAnswer
+		var a controlapi.HeartbeatAnswer
 		switch {
 		case err != nil || status/100 != 2:
 			to = x.settings[(i+int(beat.CallSeq))%len(x.settings)].Bind.Control
--- a/internal/lab/gatewaystandin/backend.go
+++ b/internal/lab/gatewaystandin/backend.go
@@ -182,7 +182,7 @@
 		if l.phase.Load() {
 			phase = controlapi.Draining
 		}
-		body, _ := json.Marshal(controlapi.Beat{Address: l.Addr, CallSeq: l.seq.Add(1), Capacity: l.t.play().slots,
+		body, _ := json.Marshal(controlapi.Heartbeat{Address: l.Addr, CallSeq: l.seq.Add(1), Capacity: l.t.play().slots,
 			Generation: l.Version, Phase: phase,
 			ColdLeft: fmt.Sprintf("%dms", max(0,
 				l.cold-time.Since(l.from)).Milliseconds()), Target: l.Service, Zone: l.Zone})
@@ -190,7 +190,7 @@
 		if err != nil || status/100 != 2 || len(text) > ackMost {
 			return false
 		}
-		var a controlapi.BeatAnswer
+		var a controlapi.HeartbeatAnswer
 		if json.Unmarshal(text, &a) == nil && a.BeatTarget != "" {
 			l.mu.Lock()
 			l.target = a.BeatTarget
--- a/internal/lab/gatewaystandin/core.go
+++ b/internal/lab/gatewaystandin/core.go
@@ -11,7 +11,7 @@
 
 // Status is what a node says of itself; nil if it says nothing in time.
 func (t *Deployment) Status(ctx context.Context, d *Node, most time.Duration) *controlapi.NodeStatus {
-	status, text, err := t.call(ctx, "GET", d.Control, "/api/House.Status", nil, most)
+	status, text, err := t.call(ctx, "GET", d.Control, "/api/Node.Status", nil, most)
 	s := new(controlapi.NodeStatus)
 	if err != nil || status != http.StatusOK || json.Unmarshal(text, s) != nil {
 		return nil
--- a/internal/lab/gatewaystandin/deployment.go
+++ b/internal/lab/gatewaystandin/deployment.go
@@ -264,7 +264,7 @@
 }
 
 // Tells is what a node says of itself.
-func (t *Deployment) Tells(d *Node) string { return t.tells(d, "/api/House.Status") }
+func (t *Deployment) Tells(d *Node) string { return t.tells(d, "/api/Node.Status") }
 
 // TellsRollouts is what a node says of roll-outs.
 func (t *Deployment) TellsRollouts(d *Node) string { return t.tells(d, "/api/Rollout.Status") }
