--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -171,7 +171,7 @@
 		}
 		if b.note != nil {
 			if err := d.store.Note(b.note); err != nil {
-				d.h.e.Turn(func() { d.h.warn(corePart, "board not kept: %v", err) })
+				d.h.e.Turn(func() { d.h.warn(corePart, "registry not kept: %v", err) })
 			}
 		}
 		d.h.e.Turn(b.done)
--- a/internal/gateway/node/calls.go
+++ b/internal/gateway/node/calls.go
@@ -114,7 +114,7 @@
 }
 
 // noMajority tells a caller to go elsewhere: nothing was taken at this try.
-const noMajority = "no majority is in contact here, another door may know more"
+const noMajority = "no majority is in contact here, another node may know more"
 
 // turnAway ends a call here: while this node has no word of a majority, waiting is worth nothing.
 func (h *Node) turnAway(nr uint32) {
@@ -233,7 +233,7 @@
 		Zone: h.settings.Zone})
 	h.ask(statemachine.AssignSlot, entry[1:], 0, func(status int, body []byte) {
 		if status != 200 {
-			h.say(nodePart, "no seat yet: %s", body)
+			h.say(nodePart, "no slot yet: %s", body)
 		}
 	})
 }
--- a/internal/gateway/node/log.go
+++ b/internal/gateway/node/log.go
@@ -9,35 +9,36 @@
 	"go.uber.org/zap"
 )
 
-// part is a part of the deployment in the log: a fixed prefix for its short sentences.
+// part is a part of a node in the log: a fixed prefix of its messages.
 type part string
 
 const (
-	nodePart     part = "door: "
+	nodePart     part = "node: "
 	corePart     part = "core: "
-	registryPart part = "board: "
+	registryPart part = "registry: "
 	feedPart     part = "feed: "
 	gatePart     part = "gate: "
-
-	rolloutPart part = "rollout: "
+	rolloutPart  part = "rollout: "
 )
 
 // newLog writes to standard error, a line an event.
 func newLog(name string) *log.Logger {
-	return &log.Logger{Level: log.InfoLevel, TimeFormat: "15:04:05.000", Context: log.NewContext(nil).Str("door", name).Value(),
+	return &log.Logger{Level: log.InfoLevel, TimeFormat: "15:04:05.000", Context: log.NewContext(nil).Str("node", name).Value(),
 		Writer: &log.IOWriter{Writer: os.Stderr}}
 }
 
-// notes are the module's.
+// notes take what the control module logs.
 type notes struct{ h *Node }
 
-// Info takes one.
+// Info logs a message of the control module.
 func (n notes) Info(text string, _ ...zap.Field) { n.h.say(gatePart, "%s", text) }
 
+// say logs what happened in a part.
 func (h *Node) say(p part, format string, args ...any) {
 	h.log.Info().Msg(string(p) + fmt.Sprintf(format, args...))
 }
 
+// warn logs what went wrong in a part.
 func (h *Node) warn(p part, format string, args ...any) {
 	h.log.Warn().Msg(string(p) + fmt.Sprintf(format, args...))
 }
@@ -47,7 +48,7 @@
 	h.saidAt = h.e.Now()
 	if h.reach != h.said {
 		h.said = h.reach
-		h.say(nodePart, "hears %d of %d doors", h.reach, h.slots)
+		h.say(nodePart, "hears %d of %d nodes", h.reach, h.slots)
 	}
 	if why := strings.Join(h.unready(), ", "); why != h.notReady {
 		if h.notReady = why; why == "" {
--- a/internal/gateway/node/node_test.go
+++ b/internal/gateway/node/node_test.go
@@ -255,7 +255,7 @@
 		status, text = d.call(1, "POST", "/api/Backends.Leave/i-1", "")
 		return status == 503
 	})
-	must.StrContains(t, text, "too few doors")
+	must.StrContains(t, text, "too few nodes")
 	d.start(2)
 	must.EqJSON(t, bill(40, 30), d.settles(2, 200, "GET", read, ""))
 }
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -131,7 +131,7 @@
 		}
 	}
 	if len(founders) > 1 && c.p.LayAside() {
-		c.h.say(corePart, "the founding of %d doors that this disk holds alone is laid aside", len(founders))
+		c.h.say(corePart, "the founding of %d nodes that this disk holds alone is laid aside", len(founders))
 	}
 }
 
@@ -144,7 +144,7 @@
 		h.say(corePart, "founding passed over: %v", err)
 		return
 	}
-	h.say(corePart, "founded by %d doors", len(members))
+	h.say(corePart, "founded by %d nodes", len(members))
 }
 
 // pullRoster carries out what the roster asks for.
@@ -201,7 +201,7 @@
 	if h.registry == nil {
 		h.registry = registry.New(registry.Slot(me), registry.Terms{BeatInterval: h.settings.BeatInterval,
 			Enough: h.settings.Tolerates.Machines + 1, Life: uint32(h.life)}, h.e.Now())
-		h.say(nodePart, "has seat %d of %d", me, len(order))
+		h.say(nodePart, "has slot %d of %d", me, len(order))
 		if h.core != nil {
 			h.core.remember()
 		}
--- a/internal/gateway/node/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -250,7 +250,7 @@
 		case rollout.Tell:
 			h.report(a.Report)
 		case rollout.Lowered:
-			h.warn(rolloutPart, "%s %d: this door pulls back for itself: %s", a.Service, a.Number, a.Why)
+			h.warn(rolloutPart, "%s %d: this node pulls back for itself: %s", a.Service, a.Number, a.Why)
 		}
 	}
 	h.sendReports()
@@ -331,7 +331,7 @@
 	}
 	h.rollouts.duty.Now(h.e.Now())
 	if err := h.rollouts.duty.Heard(rollout.NodeID(w.Seat), *w.Report); err != nil {
-		h.say(rolloutPart, "door %d: %v", w.Seat, err)
+		h.say(rolloutPart, "node %d: %v", w.Seat, err)
 	}
 }
 
--- a/internal/gateway/node/stage.go
+++ b/internal/gateway/node/stage.go
@@ -25,8 +25,8 @@
 	}
 	say(h.leaving, "it is told to end")
 	say(h.table.Version() == 0, "no configuration")
-	say(!h.stands(beReady), "no fresh word of the core")
-	say(h.registry == nil, "no seat")
+	say(!h.stands(beReady), "not heard of the core of late")
+	say(h.registry == nil, "no slot")
 	say(h.registry != nil && !h.registry.Serves(), "no backend is ready")
 	return why
 }
--- a/internal/gateway/outlier/outlier.go
+++ b/internal/gateway/outlier/outlier.go
@@ -1,7 +1,7 @@
 // Package outlier judges backends by what their services need, once for all nodes. A node tells it how each submission
 // ended; what may convict goes to the node with the duty; verdicts are entries of the core's ordered log, and bind at
 // the same place of it at every node. It does no I/O: inputs only update what is known, the host pulls with Next. See
-// docs/critics.md.
+// docs/outliers.md.
 package outlier
 
 import (
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -217,9 +217,9 @@
 	return Ready
 }
 
-// New makes an empty board; beats fill it. Until Nodes is told, no end of a backend is acknowledged.
+// New makes an empty registry; heartbeats fill it. Until Nodes is told, no end of a backend is acknowledged.
 func New(me Slot, terms Terms, now time.Duration) *Registry {
-	invariant.That(me >= 0, "a board has a seat")
+	invariant.That(me >= 0, "a registry has a slot")
 	return &Registry{me: me, terms: terms, now: now, calm: now, next: now + tick, woken: never, feeder: None, askAt: never,
 		all: map[string]*entry{}, byAddr: map[string][]*entry{}, peers: map[Slot]*peer{}}
 }
--- a/internal/gateway/rollout/order.go
+++ b/internal/gateway/rollout/order.go
@@ -1,7 +1,7 @@
 // Package rollout shifts a share of a service's users onto a new version of it, and pulls them back when that
 // version fails. A node asks it for the side of each request and tells it how each ended; the node with the duty
 // sums what all nodes found and judges; orders and verdicts are entries of the core's ordered log. It does no
-// I/O: inputs only update what is known, the host pulls with Next. See docs/understudy.md.
+// I/O: inputs only update what is known, the host pulls with Next. See docs/rollouts.md.
 package rollout
 
 import (
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -224,7 +224,7 @@
 			return conflict("step: is %d, %d of %d is current", e.Step, r.Step, len(r.Order.Steps))
 		}
 		if e.Fence != 0 && (r.Held || r.Order.Advance != "time") {
-			return conflict("step: it waits for an operator's word")
+			return conflict("step: it waits for an operator's command")
 		}
 	case Finish:
 		if r.Step < len(r.Order.Steps) || e.Fence != 0 {
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -118,7 +118,7 @@
 	}
 	var d membership.SlotHolder
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&d); err != nil {
-		return routing.Invalid, errors.Wrap(err, "seat")
+		return routing.Invalid, errors.Wrap(err, "slot")
 	}
 	for i, o := range s.slots {
 		if o.Addr == d.Addr {
@@ -127,7 +127,7 @@
 		}
 	}
 	if len(s.slots) >= maxSlots {
-		return routing.Invalid, errors.New("no seat is left")
+		return routing.Invalid, errors.New("no slot is left")
 	}
 	s.slots = append(s.slots, d)
 	return routing.Taken, nil
--- a/internal/gateway/transport/mesh.go
+++ b/internal/gateway/transport/mesh.go
@@ -74,7 +74,7 @@
 func New[F any](me string, life uint64, host Host[F], turn func(func())) (*Mesh[F], error) {
 	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", me)
 	if err != nil {
-		return nil, errors.Wrap(err, "wings")
+		return nil, errors.Wrap(err, "transport")
 	}
 	return &Mesh[F]{me: me, host: host, turn: turn, ln: ln, links: map[string]*link[F]{}, ins: map[net.Conn]uint64{},
 		from: map[string]net.Conn{}, lives: map[string]uint64{}, last: map[string]uint64{}, life: life}, nil
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -29,7 +29,7 @@
 		d.Closing, d.Wipe = true, rng.IntN(2) == 0 && d.Tolerates() > 0
 	}
 	seconds := func(from, to float64) spec.Span { return spec.Span((from + rng.Float64()*(to-from)) * 1e9) }
-	wiped := d.Tolerates() == 0 || d.Early // a core founded by too few has none to lose: see docs/rehearsal.md
+	wiped := d.Tolerates() == 0 || d.Early // a core founded by too few has none to lose: see docs/simulation.md
 	for range 1 + rng.IntN(max(1, most)) {
 		f := spec.Fault{Kind: kinds[rng.IntN(len(kinds))], At: spec.Span(rng.Float64() * 0.8 * float64(dur)), Pick: rng.Uint64()>>1 | 1,
 			Share: []float64{0.1, 0.3, 0.3, 0.6, 1}[rng.IntN(5)], For: seconds(0.05, 4), By: rng.Float64(),
--- a/internal/lab/simulation/hard.go
+++ b/internal/lab/simulation/hard.go
@@ -41,7 +41,7 @@
 			Way: []string{"both", "both", "in", "out"}[rng.IntN(4)]}
 		switch _, what, _ := strings.Cut(f.Kind, "-"); {
 		case what == "wipe" || what == "replace":
-			if f.Share = 0.01; d.Tolerates() == 0 || d.Early { // a core founded by too few has none to lose: see docs/rehearsal.md
+			if f.Share = 0.01; d.Tolerates() == 0 || d.Early { // a core founded by too few has none to lose: see docs/simulation.md
 				f.Kind = "core-kill"
 			}
 		case f.Kind == "long-cut":
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -54,7 +54,7 @@
 }
 
 // What nodes say in calm does not grow with their square: a node without a disk stays under its budget whatever their number,
-// one with a disk grows with it. See docs/rehearsal.md.
+// one with a disk grows with it. See docs/simulation.md.
 func TestControlBytes(t *testing.T) {
 	all := map[int]*Result{}
 	for _, n := range []int{12, 24, 48} {
