--- a/control/state.go
+++ b/control/state.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Bookkeeping without decisions: lists and ids held. That of the quota is in books.go.
+// Bookkeeping without decisions: lists and ids held. That of the quota is in quotastate.go and account.go.
 
 // ListChanged takes news of the backends; a whole list replaces the old one.
 func (d *Door) ListChanged(whole bool, list []Listing) {
