--- a/internal/lab/gatewaystandin/backend.go
+++ b/internal/lab/gatewaystandin/backend.go
@@ -96,7 +96,7 @@
 	l.record(t)
 	w.Header().Set("X-Attempt-Id", t.ID)
 	if !t.Bare {
-		w.Header().Set("X-Backend-Seal", l.ID+"."+t.ID)
+		w.Header().Set("X-Backend-Seal", sealOf(l.ID, t.ID))
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	if l.phase.Load() {
@@ -149,7 +149,11 @@
 }
 
 // Crash ends it without a word.
-func (l *Line) Crash() {
+func (l *Line) Crash() { l.end(false) }
+
+// end ends it: in order, after a drain, or not.
+func (l *Line) end(drained bool) {
+	l.t.Terms.History.Add(BackendEnds(l.ID, drained))
 	l.left.Store(true)
 	l.cancel()
 	l.t.remove(l)
@@ -235,7 +239,7 @@
 	if acknowledged {
 		l.say(ctx, "Leave")
 	}
-	l.Crash()
+	l.end(true)
 	return acknowledged
 }
 
--- a/internal/lab/gatewaystandin/clients.go
+++ b/internal/lab/gatewaystandin/clients.go
@@ -290,6 +290,9 @@
 			What: fmt.Sprintf("%.80q of %d bytes, seal %q", body, len(body),
 				h.Get("X-Backend-Seal"))})
 	}
+	if seal := h.Get("X-Backend-Seal"); status/100 != 2 && seal != "" {
+		c.t.Terms.History.Add(history.Event{Who: "clients", Kind: Sealed, Txn: id, At: d.Name, N: float64(status), What: seal})
+	}
 	return status, h, wrong
 }
 
--- /dev/null
+++ b/internal/lab/gatewaystandin/request_rules.go
@@ -0,0 +1,332 @@
+package gatewaystandin
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/history"
+	"clovergap/internal/lab/standin"
+)
+
+// Kinds of events that the rules on single requests ask for, beside the history's own.
+const (
+	Sealed  history.Kind = "sealed" // a client got a failure, N, that bears the seal What
+	Crashed history.Kind = "crash"  // a backend has ended, and what it had under way with it; What is inOrder where it had left before
+	Reloads history.Kind = "reload" // a node is told by SIGHUP that its settings have changed
+	Left    history.Kind = "left"   // a try has no end that anybody saw: its client has given it up
+)
+
+// inOrder is the end of a backend that drained before.
+const inOrder = "in order"
+
+// BackendEnds is the event of a backend's end: in order, after a drain, or not.
+func BackendEnds(id string, drained bool) history.Event {
+	e := history.Event{Who: id, Kind: Crashed}
+	if drained {
+		e.What = inOrder
+	}
+	return e
+}
+
+// Figures of the rules, as the operators' pages have them.
+const (
+	triesBeyondMost  = 3   // requests that may run on more backends than their route's max_tries
+	usedShare        = 0.7 // of its time: beside a configuration a request cut later is not counted
+	cutTimes         = 3.0 // as often as at other times may requests be cut beside a configuration
+	addedLeast       = 20  // requests on routes that were added later, from which they are judged
+	starvedShare     = 0.25
+	kindLeast        = 100 // requests of a kind or tenant, from which it is judged
+	heldMost         = 250 * time.Millisecond
+	afterGrace       = time.Second
+	afterConfigApply = time.Second
+)
+
+// clientTry is one try of a client, with all that is known of it.
+type clientTry struct {
+	route, ask, end history.Event // end is Answered, Unheard or Left; none for what is under way at the end
+	ran             []history.Event
+	spoilt          bool // a backend broke its answer off, or reset the connection
+}
+
+// requestsOf gives the tries that were sent, in order.
+func requestsOf(h []history.Event) (all []*clientTry) {
+	by := map[string]*clientTry{}
+	for _, e := range Run(h) {
+		r := by[e.Txn]
+		switch {
+		case e.Kind == Route:
+			by[e.Txn] = &clientTry{route: e}
+		case r == nil:
+		case e.Kind == history.Asked:
+			r.ask = e
+			all = append(all, r)
+		case e.Kind == history.Answered, e.Kind == history.Unheard, e.Kind == Left:
+			r.end = e
+		case e.Kind == history.Arrived:
+			r.ran = append(r.ran, e)
+		case e.Kind == standin.Spoils:
+			r.spoilt = true
+		}
+	}
+	last := time.Duration(0)
+	for _, e := range h {
+		last = max(last, e.T)
+	}
+	for _, r := range all {
+		if at := r.ask.Due + listens; r.end.Kind == "" && at <= last {
+			r.end = history.Event{T: at, Kind: Left, Txn: r.ask.Txn}
+		}
+	}
+	return all
+}
+
+// judgeRequests holds single requests to the rules that speak of them.
+func judgeRequests(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Broken) {
+	x := &requestJudge{all: requestsOf(h), t: t, calm: c, slack: slack, crashes: map[string][]time.Duration{}}
+	for _, e := range h {
+		switch e.Kind {
+		case ReadBack:
+			x.force = t.force(uint64(e.N))
+		case Crashed:
+			x.crashes[e.Who] = append(x.crashes[e.Who], e.T)
+		}
+	}
+	bad = append(bad, sealedFailures(h)...)
+	bad = append(bad, x.tries()...)
+	bad = append(bad, x.losses(h)...)
+	bad = append(bad, x.addedRoutes()...)
+	bad = append(bad, x.held()...)
+	return append(bad, x.starved()...)
+}
+
+// requestJudge is what these rules go by.
+type requestJudge struct {
+	all     []*clientTry
+	force   []Version // in order; see Backends.force
+	t       *Backends
+	calm    *calm
+	slack   time.Duration
+	crashes map[string][]time.Duration
+}
+
+// sealedFailures: a failure that bears a backend's seal has the status that this backend gave.
+func sealedFailures(h []history.Event) (bad []history.Broken) {
+	type given struct {
+		seal   string
+		status float64
+	}
+	gave := map[given]bool{}
+	for _, e := range h {
+		if e.Kind == standin.Fails {
+			gave[given{sealOf(e.Who, e.Txn), e.N}] = true
+		}
+	}
+	for _, e := range h {
+		if e.Kind == Sealed && !gave[given{e.What, e.N}] {
+			bad = append(bad, history.Broken{Rule: "MIXED", T: e.T, Who: e.At, Txn: e.Txn,
+				What: fmt.Sprintf("%.0f under the seal %q, which that backend did not give", e.N, e.What)})
+		}
+	}
+	return bad
+}
+
+// sealOf is a backend's seal on its answer to a try.
+func sealOf(backend, txn string) string { return backend + "." + txn }
+
+// inForce are the versions that may be in force for a try at any moment until a time: the newest that every node has by
+// when it was asked, and those sent since.
+func (x *requestJudge) inForce(r *clientTry, until time.Duration) []Version {
+	from := 0
+	for i, v := range x.force {
+		if v.Acked > 0 && v.Acked+Bounds().ApplyWithin+x.slack < r.ask.T {
+			from = i
+		}
+	}
+	to := from
+	for to < len(x.force) && x.force[to].Sent <= until {
+		to++
+	}
+	return x.force[min(from, to):to]
+}
+
+// ended is when a try was over, as far as anybody saw.
+func (r *clientTry) ended() time.Duration {
+	end := max(r.end.T, r.ask.T)
+	for _, e := range r.ran {
+		end = max(end, e.T)
+	}
+	return end
+}
+
+// routeOf is the route of a configuration that a request goes by.
+func routeOf(b *routing.Config, route history.Event) (found *routing.ConfigRoute) {
+	for _, h := range b.Vhosts {
+		if h.Hostname != route.Key {
+			continue
+		}
+		for i, r := range h.PathList {
+			if strings.HasPrefix(route.At, r.PathPrefix) && (found == nil || len(r.PathPrefix) > len(found.PathPrefix)) {
+				found = &h.PathList[i]
+			}
+		}
+	}
+	return found
+}
+
+// tries: no more than a few requests run, in one try, on more backends than their route's max_tries.
+func (x *requestJudge) tries() (bad []history.Broken) {
+	for _, r := range x.all {
+		most := 0
+		for _, v := range x.inForce(r, r.ended()) {
+			if route := routeOf(v.Config, r.route); route != nil {
+				most = max(most, route.MaxTries, 1)
+			}
+		}
+		at := map[string]bool{}
+		for _, e := range r.ran {
+			if !between(x.crashes[e.Who], r.ask.T, r.ended()) {
+				at[e.Who] = true
+			}
+		}
+		if most > 0 && len(at) > most {
+			bad = append(bad, history.Broken{Rule: "BUDGET", T: r.ran[len(r.ran)-1].T, Who: r.ask.At, Txn: r.ask.Txn,
+				Key: r.route.What, What: fmt.Sprintf("ran on %d backends, %d are the most in one try", len(at), most)})
+		}
+	}
+	if len(bad) <= triesBeyondMost {
+		return nil
+	}
+	return bad
+}
+
+// timeout is the longest time that a route lets a try be held, by any version that may be in force; nought: there is none.
+func (x *requestJudge) timeout(r *clientTry) (most time.Duration) {
+	for _, v := range x.inForce(r, r.ended()) {
+		route := routeOf(v.Config, r.route)
+		if route == nil || route.Deadline == nil {
+			continue
+		}
+		if d, err := time.ParseDuration(*route.Deadline); err == nil {
+			most = max(most, d)
+		}
+	}
+	return most
+}
+
+// held: a node without trouble does not hold a request a quarter of a second past its route's deadline.
+func (x *requestJudge) held() (bad []history.Broken) {
+	for _, r := range x.all {
+		most := x.timeout(r)
+		if most == 0 || r.end.T <= r.ask.T+most+heldMost+x.slack || !x.undisturbed(r.ask.At, r.ask.T, r.end.T) {
+			continue
+		}
+		bad = append(bad, history.Broken{Rule: "Held", T: r.end.T, Who: r.ask.At, Txn: r.ask.Txn, Key: r.route.What, Timed: true,
+			What: fmt.Sprintf("held for %s, its route's deadline is %s", r.end.T-r.ask.T, most)})
+	}
+	return bad
+}
+
+// undisturbed tells whether a node was in no trouble of its own for a whole time, and a while before.
+func (x *requestJudge) undisturbed(node string, from, to time.Duration) bool {
+	begin := from - Bounds().InTouch
+	return !between(x.calm.events[node], begin, to) && !x.calm.off.meets(node, begin, to)
+}
+
+// addedRoutes: nodes in touch serve requests on routes that were added later not much seldomer than those on the first ones.
+func (x *requestJudge) addedRoutes() (bad []history.Broken) {
+	if len(x.force) == 0 {
+		return nil
+	}
+	first, added := map[string]share{}, map[string]share{}
+	for _, r := range x.all {
+		versions := x.inForce(r, r.ended())
+		if r.end.N == 429 || r.end.Kind == "" || r.end.Kind == Left || len(versions) == 0 || !x.calm.touch(r.ask.At, r.ask.T, r.ended()) ||
+			slices.ContainsFunc(versions, func(v Version) bool { return routeOf(v.Config, r.route) == nil }) {
+			continue
+		}
+		to := added
+		if routeOf(x.force[0].Config, r.route) != nil {
+			to = first
+		}
+		for _, of := range []string{"", r.ask.At} {
+			to[of] = to[of].with(r.end)
+		}
+	}
+	for of, a := range added {
+		if f := first[of]; a.asked >= addedLeast && f.asked > 0 && a.rate() < starvedShare*f.rate() {
+			bad = append(bad, history.Broken{Rule: "CONFIG", T: x.all[len(x.all)-1].ask.T, Who: of, What: fmt.Sprintf(
+				"served %d of %d on routes added later, %d of %d on the first", a.served, a.asked, f.served, f.asked)})
+		}
+	}
+	slices.SortFunc(bad, func(a, b history.Broken) int { return cmp.Compare(a.Who, b.Who) })
+	return bad
+}
+
+// share counts requests and those of them that were served.
+type share struct{ asked, served int }
+
+func (s share) with(end history.Event) share {
+	if s.asked++; end.Kind == history.Answered && int(end.N)/100 == 2 {
+		s.served++
+	}
+	return s
+}
+
+func (s share) rate() float64 { return float64(s.served) / float64(max(s.asked, 1)) }
+
+// starved: no kind of request and no tenant is served much seldomer than all. What lies beyond a tenant's limit is not owed, nor
+// what no configuration in force allows.
+func (x *requestJudge) starved() (bad []history.Broken) {
+	all, by := share{}, map[string]share{}
+	for _, r := range x.all {
+		versions := x.inForce(r, r.ended())
+		if r.end.N == 429 || r.end.Kind == "" || slices.ContainsFunc(versions, func(v Version) bool { return routeOf(v.Config, r.route) == nil }) {
+			continue
+		}
+		all = all.with(r.end)
+		for _, of := range []string{kindOf(r), "tenant " + r.ask.Key} {
+			by[of] = by[of].with(r.end)
+		}
+	}
+	for name, most := range x.limits() {
+		of := "tenant " + name
+		by[of] = share{min(by[of].asked, most), by[of].served}
+	}
+	for of, s := range by {
+		if s.asked >= kindLeast && s.rate() < starvedShare*all.rate() {
+			bad = append(bad, history.Broken{Rule: "Starved", T: x.all[len(x.all)-1].ask.T, Key: of, What: fmt.Sprintf(
+				"served %d of %d that are owed, of all %d of %d", s.served, s.asked, all.served, all.asked)})
+		}
+	}
+	slices.SortFunc(bad, func(a, b history.Broken) int { return cmp.Compare(a.Key, b.Key) })
+	return bad
+}
+
+// kindOf is a request's kind: its route's, or that of all routes that come and go.
+func kindOf(r *clientTry) string {
+	if r.route.Key == hostGuests {
+		return "kind " + hostGuests
+	}
+	return "kind " + r.route.What
+}
+
+// limits are how many requests of each metered tenant are owed over the whole time, at the most.
+func (x *requestJudge) limits() map[string]int {
+	limits := map[string]int{}
+	if len(x.all) == 0 {
+		return limits
+	}
+	seconds := (x.all[len(x.all)-1].ask.T - x.all[0].ask.T).Seconds()
+	for _, v := range x.force {
+		for _, t := range v.Config.Tenants {
+			if t.RatePerS > 0 {
+				limits[t.Name] = max(limits[t.Name], int(t.RatePerS*seconds+t.Burst))
+			}
+		}
+	}
+	return limits
+}
--- /dev/null
+++ b/internal/lab/gatewaystandin/request_rules_test.go
@@ -0,0 +1,154 @@
+package gatewaystandin
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"clovergap/internal/history"
+)
+
+// sent is a try that its client waits two seconds for; status 0: its connection ended without an answer.
+func sent(id, path string, at, took time.Duration, status float64, backends ...string) []history.Event {
+	host := map[string]string{"/browse/1": hostProgramme, "/book/1": hostTickets, "/late/1": hostGuests}[path]
+	h := []history.Event{{T: at, Who: "clients", Kind: Route, Txn: id, Key: host, At: path, What: "r" + path},
+		{T: at, Who: "clients", Kind: history.Asked, Txn: id, At: "d0", N: 1, What: "pure", Due: at + 2*s}}
+	for i, who := range backends {
+		h = append(h, history.Event{T: at + time.Duration(i+1)*10*time.Millisecond, Who: who, Kind: history.Arrived, Txn: id, At: path})
+	}
+	end := history.Event{T: at + took, Who: "clients", Kind: history.Answered, Txn: id, N: status}
+	if status == 0 {
+		end.Kind = history.Unheard
+	}
+	return append(h, end)
+}
+
+// several are tries by turns, a tenth of a second apart.
+func several(n int, from time.Duration, one func(id string, at time.Duration) []history.Event) (h []history.Event) {
+	for i := range n {
+		at := from + time.Duration(i)*s/10
+		h = append(h, one(fmt.Sprint(from, i), at)...)
+	}
+	return h
+}
+
+// later is the first configuration, and one at 20 s that adds a route, and at 60 s one that lowers its max_tries.
+func later() map[uint64]*Version {
+	next := First()
+	next.Generation = 4
+	guest(next, (&draft{draw: func(int) int { return 0 }, config: next}).guestRoute(1))
+	next.Vhosts[len(next.Vhosts)-1].PathList[0].PathPrefix = "/late/"
+	last := clone(next)
+	last.Generation = 7
+	last.Vhosts[len(last.Vhosts)-1].PathList[0].MaxTries = 1
+	return map[uint64]*Version{1: {Config: First(), Sent: s, Acked: s}, 4: {Config: next, Parent: 1, Sent: 20 * s, Acked: 20 * s},
+		7: {Config: last, Parent: 4, Sent: 60 * s, Acked: 60 * s}}
+}
+
+// Each rule that MORE.md brought finds its planted fault, and only that; beside each stands what is no fault.
+func TestRequestRulesFindWhatIsBroken(t *testing.T) {
+	event := func(at time.Duration, who string, kind history.Kind) []history.Event {
+		return []history.Event{{T: at, Who: who, Kind: kind}}
+	}
+	join := func(all ...[]history.Event) (h []history.Event) {
+		for _, x := range all {
+			h = append(h, x...)
+		}
+		return h
+	}
+	browse := func(id string, at time.Duration) []history.Event { return sent(id, "/browse/1", at, s/10, 200, "p") }
+	served := several(30, 30*s, browse)
+	many := several(120, 30*s, browse)
+	late := func(status float64) []history.Event {
+		return several(30, 40*s, func(id string, at time.Duration) []history.Event { return sent(id, "/late/1", at, s/10, status) })
+	}
+	sealed := func(seal string, status float64) []history.Event {
+		return join(sent("a", "/browse/1", 30*s, s/10, status, "p"),
+			[]history.Event{{T: 31 * s, Who: "clients", Kind: Sealed, Txn: "a", At: "d0", N: status, What: seal}})
+	}
+	fails := []history.Event{{T: 30*s + s/20, Who: "p", Kind: "fails", Txn: "a", N: 500}}
+	tries := func(n int, path string, from time.Duration, backends ...string) []history.Event {
+		return several(n, from, func(id string, at time.Duration) []history.Event { return sent(id, path, at, s/10, 200, backends...) })
+	}
+	cut := sent("a", "/browse/1", 30*s, s, 0, "p")
+	cutAt := func(at, took time.Duration) []history.Event { return sent("a", "/browse/1", at, took, 0, "p") }
+	book := several(120, 42*s, func(id string, at time.Duration) []history.Event { return sent(id, "/book/1", at, s/10, 503) })
+	of := func(tenant string, n int) []history.Event {
+		return several(n, 42*s, func(id string, at time.Duration) []history.Event {
+			x := sent(id, "/browse/1", at, s/10, 503)
+			x[1].Key = tenant
+			return x
+		})
+	}
+	for name, c := range map[string]struct {
+		h    []history.Event
+		rule string // the one that is found; none: nothing is
+	}{
+		"a failure as its backend gave it":      {join(sealed(sealOf("p", "a"), 500), fails), ""},
+		"another status under its seal":         {join(sealed(sealOf("p", "a"), 502), fails), "MIXED"},
+		"the seal of a success under a failure": {sealed(sealOf("p", "a"), 504), "MIXED"},
+		"another backend's seal":                {join(sealed(sealOf("p2", "a"), 500), fails), "MIXED"},
+
+		"as many tries as there may be":    {tries(9, "/browse/1", 30*s, "p", "p2"), ""},
+		"one more, three times":            {tries(3, "/browse/1", 30*s, "p", "p2", "p3"), ""},
+		"one more, four times":             {tries(4, "/browse/1", 30*s, "p", "p2", "p3"), "BUDGET"},
+		"one more, where one had crashed":  {join(tries(4, "/browse/1", 30*s, "p", "p2", "p3"), event(30*s, "p", Crashed), event(30*s+s/10, "p2", Crashed), event(30*s+s/5, "p3", Crashed), event(30*s+s*3/10, "p", Crashed)), ""},
+		"the lower bound, while it may be": {tries(9, "/late/1", 60*s, "p", "p2"), ""},
+		"the lower bound":                  {tries(9, "/late/1", 70*s, "p", "p2"), "BUDGET"},
+
+		"cut by an end":                              {join(event(29*s, "d0", Terminates), cut), "LOST"},
+		"cut by another node's end":                  {join(event(29*s, "d1", Terminates), cut), ""},
+		"cut long after an end":                      {join(event(20*s, "d0", Terminates), cut), ""},
+		"cut after its end, in other trouble":        {join(event(29*s, "d0", Terminates), event(28*s, "d1", history.Stopped), cut), ""},
+		"cut after its end, a backend crashed":       {join(event(29*s, "d0", Terminates), event(28*s, "t", Crashed), cut), ""},
+		"cut at once, nothing was passed on":         {join(event(29*s, "d0", Terminates), sent("a", "/browse/1", 30*s, s/10, 0)), ""},
+		"cut later, though nothing was passed on":    {join(event(29*s, "d0", Terminates), sent("a", "/browse/1", 30*s, s/2, 0)), "LOST"},
+		"its backend broke off":                      {join(event(29*s, "d0", Terminates), cut, []history.Event{{T: 30 * s, Who: "p", Kind: "spoil", Txn: "a"}}), ""},
+		"at its route's timeout":                     {join(event(29*s, "d0", Terminates), cutAt(30*s, 1600*time.Millisecond)), ""},
+		"at work in the second half of grace":        {join(event(29*s, "d0", Terminates), cutAt(32*s, s)), ""},
+		"done before the second half, and cut in it": {join(event(29*s, "d0", Terminates), cutAt(31*s+s/2, s), []history.Event{{T: 31*s + 600*time.Millisecond, Who: "p", Kind: history.Over, Txn: "a"}}), "LOST"},
+		"cut by a reload":                            {join(event(29*s, "d0", Reloads), cut), "LOST"},
+		"sent long after a reload":                   {join(event(20*s, "d0", Reloads), cut), ""},
+		"cut in calm":                                {cut, ""},
+		"cut beside a configuration":                 {join(served, cutAt(20*s, s)), "LOST"},
+		"as often at other times":                    {join(several(30, 21*s, browse), cutAt(20*s, s), sent("b", "/browse/1", 30*s, s, 0, "p")), ""},
+		"cut beside one, most of its time used":      {join(served, cutAt(20*s, 1200*time.Millisecond)), ""},
+
+		"routes added later are served":   {join(served, late(200)), ""},
+		"they are refused":                {join(served, late(503)), "CONFIG"},
+		"all are refused":                 {join(several(30, 30*s, func(id string, at time.Duration) []history.Event { return sent(id, "/browse/1", at, s/10, 503) }), late(503)), ""},
+		"too few to tell":                 {join(served, late(503)[:3*19]), ""},
+		"beyond the quota":                {join(served, late(429)), ""},
+		"a node that had just been away":  {join(served, late(503), event(39*s, "d0", history.Stopped), event(45*s, "d0", history.Goes)), ""},
+		"a node that was away for longer": {join(served, late(503), event(10*s, "d0", history.Stopped), event(11*s, "d0", history.Goes)), "CONFIG"},
+
+		"answered at its deadline":        {sent("a", "/browse/1", 30*s, 1700*time.Millisecond, 504), ""},
+		"held past its route's deadline":  {sent("a", "/browse/1", 30*s, 1800*time.Millisecond, 504), "Held"},
+		"held by a node that stood still": {join(sent("a", "/browse/1", 30*s, 1800*time.Millisecond, 504), event(31*s, "d0", history.Stopped), event(31*s+s/2, "d0", history.Goes)), ""},
+		"never answered":                  {join(sent("a", "/browse/1", 30*s, s, 0)[:2], sent("b", "/browse/1", 40*s, s/10, 200)), "Held"},
+
+		"a kind that is refused":        {join(many, book), "Starved"},
+		"a kind that is refused seldom": {join(many, book[:3*90]), ""},
+		"a tenant that is refused":      {join(many, of("patrons", 120)), "Starved"},
+		"a tenant far beyond its limit": {join(many, of("touts", 120)), ""},
+	} {
+		var rules []string
+		h := history.Merge(c.h, []history.Event{{T: 100 * s, Who: "operator", Kind: ReadBack, N: 7, Due: 99 * s}})
+		backends := quiet(later()).Backends()
+		for _, who := range []string{"p", "p2", "p3"} {
+			backends.Services[who] = "programme"
+		}
+		for _, b := range Judge(h, backends, 0) {
+			if len(rules) == 0 || rules[len(rules)-1] != b.Rule {
+				rules = append(rules, b.Rule)
+			}
+		}
+		if c.rule == "" {
+			must.SliceEmpty(t, rules, must.Sprint(name))
+			continue
+		}
+		must.Eq(t, []string{c.rule}, rules, must.Sprint(name))
+	}
+}
--- a/internal/lab/gatewaystandin/rules.go
+++ b/internal/lab/gatewaystandin/rules.go
@@ -389,6 +389,7 @@
 	bad = append(bad, reads(h, t)...)
 	bad = append(bad, acks(t, c, h)...)
 	bad = append(bad, backwards(h, t, c, slack)...)
+	bad = append(bad, judgeRequests(h, t, c, slack)...)
 	return append(bad, routes(h, t, c, slack)...)
 }
 
--- a/internal/lab/gatewaystandin/rules_test.go
+++ b/internal/lab/gatewaystandin/rules_test.go
@@ -55,18 +55,18 @@
 		return request("a", "pure", "patrons", hostProgramme, "/browse/1", at, map[string]time.Duration{who: at},
 			at+s/10, code)
 	}
-	turned := history.Event{T: 22 * s, Who: "t", Kind: history.Turned, Txn: "a", N: 1}
+	turned := history.Event{T: 5*s + s/2, Who: "t", Kind: history.Turned, Txn: "a", N: 1}
 	var many []history.Event
 	for i := range 70 {
 		many = append(many, request(string(rune('A'+i)), "pure", "touts", hostProgramme, "/browse/1",
 			10*s+time.Duration(i)*s/20,
-			map[string]time.Duration{"p": 10*s + time.Duration(i)*s/20}, 14*s, 200)...)
+			map[string]time.Duration{"p": 10*s + time.Duration(i)*s/20}, 10*s+time.Duration(i)*s/20+s, 200)...)
 	}
 	var again []history.Event
 	for i := range 70 {
 		id := string(rune('A' + i))
 		again = append(again, request(id, "pure", "", hostProgramme, "/browse/1", 10*s,
-			map[string]time.Duration{"p": 10 * s}, 14*s, 200)...)
+			map[string]time.Duration{"p": 10 * s}, 11*s+s/2, 200)...)
 		again = append(again, history.Event{T: 11 * s, Who: "p", Kind: history.Turned, Txn: id, N: 2 + float64(i)})
 	}
 	over := append(again[:0:0], again...)
@@ -108,7 +108,7 @@
 		"refused, and it ran": {request("a", "effectful", "", hostTickets, "/book/1", 5*s,
 			map[string]time.Duration{"t": 5 * s}, 6*s, 503), []string{"REFUSED"}},
 		"refused, turned away in queue": {append(request("a", "effectful", "", hostTickets, "/book/1", 5*s,
-			map[string]time.Duration{"t": 5 * s}, 23*s, 503), turned), nil},
+			map[string]time.Duration{"t": 5 * s}, 6*s, 503), turned), nil},
 		"another's tenant": {append(request("a", "pure", "clubs", hostProgramme, "/browse/1", 5*s, nil, 6*s, 200),
 			history.Event{T: 5 * s, Who: "p", Kind: history.Arrived, Txn: "a", Key: "touts", At: "/browse/1",
 				N: 1}), []string{"UNASKED"}},
--- a/internal/lab/simulation/stage.go
+++ b/internal/lab/simulation/stage.go
@@ -84,11 +84,15 @@
 }
 
 // crash ends it without a word.
-func (b *backend) crash() {
+func (b *backend) crash() { b.end(false) }
+
+// end ends it: in order, after a drain, or not.
+func (b *backend) end(inOrder bool) {
 	if b.dead {
 		return
 	}
 	w, s := b.w, b.w.timeline
+	w.note(gatewaystandin.BackendEnds(b.id, inOrder))
 	b.dead = true
 	s.live = slices.DeleteFunc(s.live, func(x *backend) bool { return x == b })
 	delete(s.at, b.addr)
@@ -203,10 +207,10 @@
 		w.after(gatewaystandin.Bounds().Drain+gatewaystandin.DrainSlack, func() {
 			if acked {
 				b.say(true, func(bool) {})
-				w.after(500*time.Millisecond, b.crash)
+				w.after(500*time.Millisecond, func() { b.end(true) })
 				return
 			}
-			b.crash()
+			b.end(true)
 		})
 	}
 	ask = func() {
--- a/internal/lab/standin/backend.go
+++ b/internal/lab/standin/backend.go
@@ -76,6 +76,9 @@
 // Spoils is an event of a backend whose answer breaks off, or is none.
 const Spoils history.Kind = "spoil"
 
+// Fails is an event of a backend that has run a request and answers with a failure; N is its status.
+const Fails history.Kind = "fails"
+
 // Backend is one, with slots and a queue in front of them.
 type Backend struct {
 	ID, Hall string
@@ -313,6 +316,7 @@
 	b.wire.Heads(b, w, task)
 	switch {
 	case b.Chance(m.Fail):
+		b.log.Add(history.Event{Who: b.ID, Kind: Fails, Txn: task.ID, N: http.StatusInternalServerError})
 		w.WriteHeader(http.StatusInternalServerError)
 	case b.Chance(m.Half), b.Chance(m.Stall), b.Chance(m.Spoilt):
 		b.log.Add(history.Event{Who: b.ID, Kind: Spoils, Txn: task.ID})
