--- a/internal/lab/gatewaystandin/request_rules_test.go
+++ b/internal/lab/gatewaystandin/request_rules_test.go
@@ -75,12 +75,17 @@
 	cut := sent("a", "/browse/1", 30*s, s, 0, "p")
 	cutAt := func(at, took time.Duration) []history.Event { return sent("a", "/browse/1", at, took, 0, "p") }
 	book := several(120, 42*s, func(id string, at time.Duration) []history.Event { return sent(id, "/book/1", at, s/10, 503) })
-	of := func(tenant string, n int) []history.Event {
-		return several(n, 42*s, func(id string, at time.Duration) []history.Event {
-			x := sent(id, "/browse/1", at, s/10, 503)
+	of := func(tenant string, n, served int) (h []history.Event) { // fifty a second, the first ones served
+		for i := range n {
+			at, status := 42*s+time.Duration(i)*s/50, 503.0
+			if i < served {
+				status = 200
+			}
+			x := sent(fmt.Sprint(tenant, i), "/browse/1", at, s/10, status)
 			x[1].Key = tenant
-			return x
-		})
+			h = append(h, x...)
+		}
+		return h
 	}
 	for name, c := range map[string]struct {
 		h    []history.Event
@@ -131,8 +136,8 @@
 
 		"a kind that is refused":        {join(many, book), "Starved"},
 		"a kind that is refused seldom": {join(many, book[:3*90]), ""},
-		"a tenant that is refused":      {join(many, of("patrons", 120)), "Starved"},
-		"a tenant far beyond its limit": {join(many, of("touts", 120)), ""},
+		"a tenant that is refused":      {join(many, of("patrons", 300, 20)), "Starved"},
+		"a tenant far beyond its limit": {join(many, of("touts", 300, 20)), ""},
 	} {
 		var rules []string
 		h := history.Merge(c.h, []history.Event{{T: 100 * s, Who: "operator", Kind: ReadBack, N: 7, Due: 99 * s}})
