--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -3,6 +3,8 @@
 import (
 	"bytes"
 	"fmt"
+	"math"
+	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"strings"
@@ -66,12 +68,7 @@
 	twice := func(h []Event) []Broken { return NoEffectTwice(h, world) }
 	drains := func(h []Event) []Broken { return DrainsKept(h, world, time.Second) }
 	bound := func(h []Event) []Broken {
-		return WithinBound("ceilings kept", h, func(key string) func(time.Duration) float64 {
-			if key != "p/1" {
-				return nil
-			}
-			return func(d time.Duration) float64 { return 2 + 10*d.Seconds() }
-		})
+		return WithinBound("ceilings kept", h, func(key string) (Bound, bool) { return Bound{Store: 2, Rate: 10}, key == "p/1" })
 	}
 	cold := func(h []Event) []Broken {
 		return NoColdPushedOver(h, world, Cold{From: 0.5, Times: 2, Cores: 1, By: 10 * time.Second, Window: time.Second})
@@ -238,3 +235,39 @@
 		t.Errorf("%+v", h)
 	}
 }
+
+// The one pass over what was spent finds what a look at every stretch finds: a bound that is passed only inside a long
+// history, or by the smallest amount, would else go unseen.
+func TestWorstStretch(t *testing.T) {
+	rng := rand.New(rand.NewPCG(7, 7))
+	passed := 0
+	for range 400 {
+		most := Bound{Store: 1 + 5*rng.Float64(), Rate: 4 * rng.Float64()}
+		at, spends := time.Duration(rng.Int64N(1e15)), []Event(nil)
+		for range 1 + rng.IntN(40) {
+			at += time.Duration(rng.Int64N(1e9))
+			spends = append(spends, Event{T: at, N: float64(1 + rng.IntN(2))})
+		}
+		over := 0.0
+		for i := range spends {
+			sum := 0.0
+			for _, e := range spends[i:] {
+				sum += e.N
+				over = max(over, sum-most.Most(e.T-spends[i].T))
+			}
+		}
+		got := worstStretch(spends, most)
+		if math.Abs(got.over-over) > 1e-6 {
+			t.Fatalf("over by %g, every stretch says %g: %v", got.over, over, spends)
+		}
+		if over > 0 {
+			passed++
+			if d := spends[got.last].T - spends[got.first].T; math.Abs(got.sum-most.Most(d)-over) > 1e-6 {
+				t.Fatalf("the stretch named, %+v, is not over by %g", got, over)
+			}
+		}
+	}
+	if passed < 50 || passed > 350 {
+		t.Errorf("%d of 400 pass the bound: the draws show too little", passed)
+	}
+}
--- /dev/null
+++ b/internal/history/effects.go
@@ -0,0 +1,219 @@
+// Rules on requests: each gets one final answer, and no effect happens twice.
+
+package history
+
+import (
+	"fmt"
+	"sort"
+	"time"
+)
+
+// unsentMost: beyond one in so many, requests whose connection is closed with nothing sent on for them are lost.
+const unsentMost = 200
+
+// OneAnswer: every request that a running front door has taken gets one final answer, made for it, before its client
+// goes. One that stood still or ended meanwhile is not held to it.
+func OneAnswer(h []Event, w World) (bad []Broken) {
+	const rule = "one final answer"
+	off := spans(h)
+	answers, unheard, sent := map[string][]Event{}, map[string]Event{}, map[string]bool{}
+	var asks []Event
+	var last time.Duration
+	for _, e := range h {
+		last = max(last, e.T)
+		switch e.Kind {
+		case Asked:
+			asks = append(asks, e)
+		case Answered:
+			answers[e.Txn] = append(answers[e.Txn], e)
+		case Unheard:
+			unheard[e.Txn] = e
+		case Arrived, Turned:
+			sent[e.Txn] = true
+		}
+	}
+	var unsent []Event
+	for _, a := range asks {
+		got := answers[a.Txn]
+		if len(got) > 1 {
+			bad = append(bad, Broken{Rule: rule, T: got[1].T, Who: a.At, Txn: a.Txn, What: "a second final answer"})
+		}
+		if len(got) > 0 && got[0].N == 200 && got[0].What != a.Txn {
+			bad = append(bad, Broken{Rule: rule, T: got[0].T, Who: a.At, Txn: a.Txn, What: fmt.Sprintf("settled with the answer of %q", got[0].What)})
+		}
+		if len(got) > 0 {
+			continue
+		}
+		u, ended := unheard[a.Txn]
+		late := a.Due + w.Slack
+		if ended {
+			late = u.T
+		} else if late > last {
+			continue // the history ends before it is due
+		}
+		if within(off[a.At], a.T-w.Slack, late+w.Slack) {
+			continue
+		}
+		switch {
+		case !ended:
+			bad = append(bad, Broken{Rule: rule, T: late, Who: a.At, Txn: a.Txn, What: "no answer before its client went", Timed: true})
+		case sent[a.Txn]:
+			bad = append(bad, Broken{Rule: rule, T: late, Who: a.At, Txn: a.Txn, What: "the connection ended without a whole answer"})
+		default:
+			unsent = append(unsent, a)
+		}
+	}
+	if len(unsent) > 1+len(asks)/unsentMost {
+		for _, a := range unsent {
+			bad = append(bad, Broken{Rule: rule, T: a.T, Who: a.At, Txn: a.Txn, What: "its connection was closed with nothing sent on, as too many were"})
+		}
+	}
+	return bad
+}
+
+// NoEffectTwice: nothing that has an effect runs again where it may have run before, unless its repeats are dropped
+// there; there is one copy at a time; and what may have run is not declined, unless a repeat is harmless.
+func NoEffectTwice(h []Event, w World) (bad []Broken) {
+	for _, c := range copiesOf(h) {
+		c.sort()
+		bad = append(bad, c.repeated(w)...)
+		bad = append(bad, c.declined(w)...)
+	}
+	return bad
+}
+
+const noEffectTwice = "no effect twice"
+
+// copiesOf gathers the submissions of each request that was asked or began, in the history's order.
+func copiesOf(h []Event) (order []*copies) {
+	type submission struct {
+		at     string
+		number float64
+	}
+	ends := map[submission]time.Duration{} // a way that was cut lets it arrive when it is over already
+	for _, e := range h {
+		if e.Kind == Over {
+			ends[submission{e.Who, e.N}] = e.T
+		}
+	}
+	all := map[string]*copies{}
+	for _, e := range h {
+		if e.Txn == "" {
+			continue
+		}
+		c := all[e.Txn]
+		if c == nil && e.Kind != Asked && e.Kind != Arrived {
+			continue
+		}
+		if c == nil {
+			c = &copies{id: e.Txn}
+			all[e.Txn], order = c, append(order, c)
+		}
+		switch e.Kind {
+		case Asked:
+			c.ask = e
+		case Arrived:
+			over, ok := ends[submission{e.Who, e.N}]
+			if !ok {
+				over = forever
+			}
+			c.began, c.over = append(c.began, e), append(c.over, over)
+		case Answered:
+			if c.final == nil {
+				x := e
+				c.final = &x
+			}
+		}
+	}
+	return order
+}
+
+// broken is a breach of the rule by the request, seen at an event.
+func (c *copies) broken(e Event, timed bool, what string, values ...any) Broken {
+	return Broken{Rule: noEffectTwice, T: e.T, Who: c.ask.At, Txn: c.id, Key: c.ask.Key, What: fmt.Sprintf(what, values...), Timed: timed}
+}
+
+// repeated holds each submission against the ones before it and the final answer.
+func (c *copies) repeated(w World) (bad []Broken) {
+	for i, b := range c.began {
+		sent := sentAt(b)
+		if c.final != nil && sent > c.final.T+w.Slack {
+			bad = append(bad, c.broken(b, true, "sent to %s after its final answer", b.Who))
+		}
+		if i == 0 {
+			continue
+		}
+		if broken, is := c.again(b, w); is {
+			bad = append(bad, broken)
+		}
+		for k := range c.began[:i] {
+			if c.over[k] > sent+w.Slack {
+				bad = append(bad, c.broken(b, true, "a second copy at %s while the one at %s is out", b.Who, c.began[k].Who))
+				break
+			}
+		}
+	}
+	return bad
+}
+
+// again tells whether a later submission may run an effect once more.
+func (c *copies) again(b Event, w World) (Broken, bool) {
+	product, first, sent := w.Products[c.ask.What], c.began[0], sentAt(b)
+	before, now := w.Backends[first.Who], w.Backends[b.Who]
+	switch {
+	case product.Effect == "once-only":
+		return c.broken(b, false, "once-only, and begun at %s after it had begun at %s", b.Who, first.Who), true
+	case product.Effect == "referenced" && (product.Scope == "hall" && before.Hall != now.Hall ||
+		product.Scope == "pod" && (before.Hall != now.Hall || before.Pod != now.Pod)):
+		return c.broken(b, false, "begun at %s, outside the %s of %s that drops its repeats", b.Who, product.Scope, first.Who), true
+	case product.Effect == "referenced" && sent > sentAt(first)+product.Window+w.Slack:
+		return c.broken(b, true, "begun again %s after its first time, its repeats are forgotten after %s",
+			(sent - sentAt(first)).Round(time.Millisecond), product.Window), true
+	}
+	return Broken{}, false
+}
+
+// declined tells whether the request was declined, so that its client may repeat it, though it had begun.
+func (c *copies) declined(w World) (bad []Broken) {
+	f := c.final
+	if f == nil || f.N != 429 && f.N != 503 || w.Products[c.ask.What].safe() {
+		return nil
+	}
+	for _, b := range c.began {
+		if sentAt(b) <= f.T {
+			return []Broken{c.broken(*f, false, "declined, so that its client may repeat it, though it had begun at %s", b.Who)}
+		}
+	}
+	return nil
+}
+
+// copies are the submissions of one request that began, and when each was over.
+type copies struct {
+	id    string
+	ask   Event
+	began []Event
+	over  []time.Duration
+	final *Event
+}
+
+// sort puts them in the order in which they were sent: they may arrive in another.
+func (c *copies) sort() {
+	at := make([]int, len(c.began))
+	for i := range at {
+		at[i] = i
+	}
+	sort.SliceStable(at, func(i, j int) bool { return sentAt(c.began[at[i]]) < sentAt(c.began[at[j]]) })
+	began, over := make([]Event, len(at)), make([]time.Duration, len(at))
+	for i, k := range at {
+		began[i], over[i] = c.began[k], c.over[k]
+	}
+	c.began, c.over = began, over
+}
+
+// sentAt is when the front door began to send a submission.
+func sentAt(e Event) time.Duration {
+	if e.Own > 0 {
+		return e.Own
+	}
+	return e.T
+}
--- a/internal/lab/faultrig/rig.go
+++ b/internal/lab/faultrig/rig.go
@@ -270,19 +270,23 @@
 	res.Beyond = beyond(s, h)
 }
 
-// Ceilings gives each customer's bound: its plan's ceiling with the rules' slack, and the platform's of 150 ms.
-func Ceilings(s *spec.Spec) func(key string) func(time.Duration) float64 {
-	by := map[string]func(time.Duration) float64{}
+// ceilingDelay is for how long a plan's rate may be spent beyond its ceiling: the platform's allowance.
+const ceilingDelay = 150 * time.Millisecond
+
+// Ceilings gives each customer's bound: its plan's ceiling with the rules' slack and the platform's.
+func Ceilings(s *spec.Spec) func(key string) (history.Bound, bool) {
+	byPlan := map[string]history.Bound{}
 	for _, p := range s.Plans {
 		if p.Ceiling > 0 {
 			store, rate := p.Ceiling*p.Burst, p.Ceiling*p.Rate
-			slack := max(1, s.Rules.CeilingSlack*store) + rate*0.15
-			by[p.Name] = func(d time.Duration) float64 { return store + slack + rate*d.Seconds() }
+			slack := max(1, s.Rules.CeilingSlack*store) + rate*ceilingDelay.Seconds()
+			byPlan[p.Name] = history.Bound{Store: store + slack, Rate: rate}
 		}
 	}
-	return func(key string) func(time.Duration) float64 {
+	return func(key string) (history.Bound, bool) {
 		plan, _, _ := strings.Cut(key, "/")
-		return by[plan]
+		bound, has := byPlan[plan]
+		return bound, has
 	}
 }
 
