--- a/internal/gateway/replication/chunk.go
+++ b/internal/gateway/replication/chunk.go
@@ -292,6 +292,14 @@
 	return n
 }
 
+// uncommitted is how many bytes of entries are not committed.
+func (p *Replica) uncommitted() (n int) {
+	for i := p.committed - p.snap.Index; i < uint64(len(p.log)); i++ {
+		n += p.log[i].size()
+	}
+	return n
+}
+
 // First is the oldest entry that is at hand.
 func (p *Replica) First() uint64 { return p.snap.Index + 1 - uint64(len(p.trail)) }
 
--- a/internal/gateway/replication/lead.go
+++ b/internal/gateway/replication/lead.go
@@ -10,7 +10,7 @@
 func (p *Replica) becomeLeader() {
 	p.role, p.leader, p.begun, p.failedViews = leading, p.me.ID, true, 0
 	p.peers = map[MemberID]*progress{}
-	p.round, p.reads, p.handingOver, p.learner = 0, nil, 0, 0
+	p.round, p.reads, p.handingOver, p.successor, p.learner = 0, nil, 0, 0, 0
 	p.trackMembers()
 	p.noOp = p.appendNew(Entry{Kind: NoOp})
 	p.beatAt = p.now + p.terms.Beat
@@ -343,7 +343,7 @@
 		return
 	}
 	for _, w := range p.sorted() {
-		if w.match == p.last() && p.fresh(w) && p.member(w.ID) {
+		if w.match == p.last() && p.takesOver(w) {
 			p.sendTo(w.Member, Message{Kind: TakeOver, View: p.promise})
 			return
 		}
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -126,6 +126,7 @@
 	Window   int           // bytes in flight to one member; what is larger goes in chunks. 0: not bounded
 	Chunk    int           // bytes of a chunk
 	Trail    int           // bytes of entries that are kept after they went into a snapshot, at the least
+	Log      LogID         // which of its disk's logs it is
 }
 
 // DefaultTerms are for links of a few ms and from 2 Mbit/s on, and disks of some ms a sync: a window to each of a handful of
@@ -361,6 +362,7 @@
 	beatAt      time.Duration
 	flush       bool
 	handingOver time.Duration // proposals are refused until then: another is to lead
+	successor   MemberID      // this one, if it is heard; 0: any
 
 	out []Action
 }
@@ -439,7 +441,7 @@
 // again does nothing; anything else where something is on disk is refused. All founders must be handed the
 // same list.
 func (p *Replica) Found(members []Member) error {
-	members, house := sortedMembers(members), ClusterIDOf(members)
+	members, house := sortedMembers(members), p.foundingOf(members)
 	mine := false
 	for i, m := range members {
 		if m.ID == 0 || i > 0 && members[i-1].ID == m.ID {
@@ -494,7 +496,7 @@
 		p.outcome(token, 0, v)
 		return
 	}
-	if p.Uncompacted(p.last())-p.Uncompacted(p.committed)+len(data) > p.terms.Held && p.terms.Held > 0 && p.committed < p.last() {
+	if p.terms.Held > 0 && p.committed < p.last() && p.uncommitted()+len(data) > p.terms.Held {
 		p.outcome(token, 0, Busy) // the disks are not for any number of large ones that wait
 		return
 	}
