--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -1,4 +1,5 @@
-// Package logstore keeps on disk what the replica must not forget, in one bbolt file.
+// Package logstore keeps on disk what the replicas of a node must not forget, in one bbolt file: the configuration's log, and
+// those of the coordination groups. Each log has buckets of its own; writes to several go into one transaction.
 //
 // The file never shrinks. Each write goes to free pages first, so it holds at most about three times the
 // largest snapshot plus the log that was ever held at once, rounded up to steps of 64 KiB: a state of 100
@@ -33,11 +34,9 @@
 const growth = 64 << 10
 
 var (
-	headBucket = []byte("book")
-	logBucket  = []byte("log") // entries by their index: 8 bytes, the highest byte first
-	headKey    = []byte("head")
-	snapKey    = []byte("snap")
-	noteKey    = []byte("note")
+	headKey = []byte("head")
+	snapKey = []byte("snap")
+	noteKey = []byte("note")
 )
 
 // head is all but the snapshot and the entries.
@@ -48,16 +47,17 @@
 
 // Store is an open file, for one goroutine at a time.
 type Store struct {
-	path string
-	me   replication.MemberID
-	db   *bbolt.DB
+	path   string
+	me     replication.MemberID
+	db     *bbolt.DB
+	groups map[replication.LogID]replication.Kept // as read
 }
 
 // Open opens the file in a folder and reads all of it; where there is none it makes one, with a new
 // member's id, synced with its name. An error names the file. If what it holds can't be read, the error is
 // an Unreadable: the disk is to be taken for lost then, see Wipe.
 func Open(dir string) (*Store, replication.Kept, error) {
-	b := &Store{path: filepath.Join(dir, Name)}
+	b := &Store{path: filepath.Join(dir, Name), groups: map[replication.LogID]replication.Kept{}}
 	var k replication.Kept
 	switch info, err := os.Stat(b.path); {
 	case errors.Is(err, os.ErrNotExist):
@@ -76,7 +76,7 @@
 			if err != nil {
 				return err
 			}
-			k, err = read(db)
+			k, err = b.read(db)
 			return errors.Join(err, db.Close())
 		})
 		if err != nil && file != nil {
@@ -149,14 +149,11 @@
 		k.Me = replication.MemberID(binary.BigEndian.Uint64(random[:]) >> 24)
 	}
 	if err := b.db.Update(func(tx *bbolt.Tx) error {
-		if _, err := tx.CreateBucket(logBucket); err != nil {
-			return err
-		}
-		book, err := tx.CreateBucket(headBucket)
+		configuration, err := create(tx, replication.ConfigurationLog)
 		if err != nil {
 			return err
 		}
-		return put(book, headKey, head{Me: k.Me})
+		return put(configuration.head, headKey, head{Me: k.Me})
 	}); err != nil {
 		return err
 	}
@@ -165,63 +162,75 @@
 
 // read reads all there is. A file with no bucket at all is as a new one: the process ended before its first
 // write.
-func read(db *bbolt.DB) (k replication.Kept, err error) {
+func (b *Store) read(db *bbolt.DB) (k replication.Kept, err error) {
 	return k, db.View(func(tx *bbolt.Tx) error {
-		book, log := tx.Bucket(headBucket), tx.Bucket(logBucket)
-		if book == nil && log == nil {
+		configuration := bucketsOf(tx, replication.ConfigurationLog)
+		if configuration.none() {
 			return nil
 		}
-		if book == nil || log == nil {
-			return errors.New("a bucket is missing")
-		}
-		var h head
-		if err := get(book.Get(headKey), &h); err != nil {
-			return errors.Wrap(err, "head")
+		if k, err = readLog(configuration, 0); err != nil {
+			return err
 		}
-		k = replication.Kept{Me: h.Me, House: h.House, Promise: h.Promise, For: h.For, Delivered: h.Delivered}
-		if v := book.Get(snapKey); v != nil {
-			if err := get(v, &k.Snap); err != nil {
-				return errors.Wrap(err, "snapshot")
+		for id := range mostLogs {
+			group := bucketsOf(tx, id)
+			if id == replication.ConfigurationLog || group.none() {
+				continue
 			}
-		}
-		if err := log.ForEach(func(key, v []byte) error {
-			var e replication.Entry
-			if err := get(v, &e); err != nil {
-				return errors.Wrapf(err, "entry %x", key)
+			if b.groups[id], err = readLog(group, k.Me); err != nil {
+				return errors.Wrapf(err, "group's log %d", id)
 			}
-			k.Entries = append(k.Entries, e)
-			return nil
-		}); err != nil {
-			return err
 		}
-		return k.Check()
+		return nil
 	})
 }
 
-// Apply puts writes on disk, in one step: after it they are synced, or, with an error, none is there and it
-// may be tried again.
+// Groups are the logs beside the configuration's that the file held when it was opened.
+func (b *Store) Groups() map[replication.LogID]replication.Kept { return b.groups }
+
+// Apply puts writes to the configuration's log on disk: see ApplyAll.
 func (b *Store) Apply(writes []replication.Write) error {
+	all := make([]replication.LogWrite, len(writes))
+	for i, w := range writes {
+		all[i].Write = w
+	}
+	return b.ApplyAll(all)
+}
+
+// ApplyAll puts writes on disk, in one step: after it all are synced, or, with an error, none is there and they
+// may be tried again.
+func (b *Store) ApplyAll(writes []replication.LogWrite) error {
 	if len(writes) == 0 {
 		return nil
 	}
-	last := writes[len(writes)-1]
-	h := head{Me: b.me, For: last.For, House: last.House, Promise: last.Promise, Delivered: last.Delivered}
+	heads := map[replication.LogID]head{}
 	err := guard(func() error {
 		if err := b.db.Update(func(tx *bbolt.Tx) error {
-			book, log := tx.Bucket(headBucket), tx.Bucket(logBucket)
 			for _, w := range writes {
-				if err := apply(book, log, w); err != nil {
+				log, err := create(tx, w.Log)
+				if err != nil {
+					return err
+				}
+				if err := apply(log, w.Write); err != nil {
 					return err
 				}
+				heads[w.Log] = head{Me: b.me, For: w.Write.For, House: w.Write.House, Promise: w.Write.Promise,
+					Delivered: w.Write.Delivered}
 			}
-			return put(book, headKey, h)
+			for id, h := range heads {
+				if err := put(bucketsOf(tx, id).head, headKey, h); err != nil {
+					return err
+				}
+			}
+			return nil
 		}); err != nil {
 			return err
 		}
 		return b.db.View(func(tx *bbolt.Tx) error {
-			var back head
-			if err := get(tx.Bucket(headBucket).Get(headKey), &back); err != nil || back != h {
-				return errors.New("what was written is not what is read")
+			for id, h := range heads {
+				var back head
+				if err := get(bucketsOf(tx, id).head.Get(headKey), &back); err != nil || back != h {
+					return errors.New("what was written is not what is read")
+				}
 			}
 			return nil
 		})
@@ -229,26 +238,16 @@
 	return named(b.path, err)
 }
 
-func apply(book, log *bbolt.Bucket, w replication.Write) error {
-	var gone [][]byte
+func apply(log buckets, w replication.Write) error {
 	if w.Snap != nil {
-		if err := put(book, snapKey, w.Snap); err != nil {
+		if err := put(log.snap, snapKey, w.Snap); err != nil {
 			return err
 		}
 	}
-	if err := log.ForEach(func(key, _ []byte) error {
-		index := binary.BigEndian.Uint64(key)
-		if w.Snap != nil && index <= w.Snap.Index || w.From > 0 && index >= w.From {
-			gone = append(gone, bytes.Clone(key))
-		}
-		return nil
-	}); err != nil {
-		return err
-	}
 	// By their keys, and never by a cursor that goes on: in bbolt 1.5 one that deletes its way through several pages and is
 	// then sent to the end goes round for ever over pages that hold nothing any more.
-	for _, key := range gone {
-		if err := log.Delete(key); err != nil {
+	for _, key := range log.gone(w) {
+		if err := log.entries.Delete(key); err != nil {
 			return err
 		}
 	}
@@ -256,7 +255,7 @@
 		if w.From == 0 {
 			break
 		}
-		if err := put(log, binary.BigEndian.AppendUint64(nil, e.Index), e); err != nil {
+		if err := put(log.entries, indexKey(e.Index), e); err != nil {
 			return err
 		}
 	}
@@ -266,7 +265,7 @@
 // Note keeps something beside the log that is good to have after a start and may be old or lost: the newest alone.
 func (b *Store) Note(what []byte) error {
 	return named(b.path, guard(func() error {
-		return b.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(headBucket).Put(noteKey, what) })
+		return b.db.Update(func(tx *bbolt.Tx) error { return bucketsOf(tx, replication.ConfigurationLog).head.Put(noteKey, what) })
 	}))
 }
 
@@ -274,7 +273,7 @@
 func (b *Store) Noted() (what []byte) {
 	if guard(func() error {
 		return b.db.View(func(tx *bbolt.Tx) error {
-			what = bytes.Clone(tx.Bucket(headBucket).Get(noteKey))
+			what = bytes.Clone(bucketsOf(tx, replication.ConfigurationLog).head.Get(noteKey))
 			return nil
 		})
 	}) != nil {
