--- /dev/null
+++ b/internal/gateway/statemachine/groups.go
@@ -0,0 +1,37 @@
+package statemachine
+
+import (
+	"bytes"
+	"encoding/gob"
+
+	"github.com/go-faster/errors"
+
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/routing"
+)
+
+// GroupsEntry words that the coordination groups begin with these disks, all of them with all.
+func GroupsEntry(founders []membership.Founder) []byte {
+	var b bytes.Buffer
+	gob.NewEncoder(&b).Encode(founders) // of numbers and texts: it can't fail
+	return b.Bytes()
+}
+
+// Founders are the disks that the coordination groups began with; nil: they have not begun.
+func (s *Machine) Founders() []membership.Founder { return s.founders }
+
+// foundGroups takes the first founding, and no other: the groups of two would know nothing of each other.
+func (s *Machine) foundGroups(body []byte) (routing.Verdict, error) {
+	var founders []membership.Founder
+	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&founders); err != nil {
+		return routing.Invalid, errors.Wrap(err, "groups")
+	}
+	if len(founders) == 0 {
+		return routing.Invalid, errors.New("groups without a disk")
+	}
+	if len(s.founders) > 0 {
+		return routing.Already, nil
+	}
+	s.founders = founders
+	return routing.Taken, nil
+}
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -17,10 +17,11 @@
 type Kind byte
 
 const (
-	Replace    Kind = 'r' // the whole configuration
-	Amend      Kind = 'a' // named items of it
-	AssignSlot Kind = 's' // a node asks for a slot
-	Rollout    Kind = 'u' // an rollout.Entry: an order to a roll-out, or a verdict on one
+	Replace     Kind = 'r' // the whole configuration
+	Amend       Kind = 'a' // named items of it
+	AssignSlot  Kind = 's' // a node asks for a slot
+	Rollout     Kind = 'u' // an rollout.Entry: an order to a roll-out, or a verdict on one
+	FoundGroups Kind = 'f' // the coordination groups begin, with the disks that it names
 )
 
 // maxSlots bounds the order of slots.
@@ -31,6 +32,7 @@
 	Configs  *routing.Register
 	Rollouts *rollout.State
 	slots    []membership.SlotHolder
+	founders []membership.Founder // of the coordination groups
 }
 
 // New is the state before the first entry.
@@ -113,6 +115,9 @@
 	if k == Rollout {
 		return s.rollout(body, s.Rollouts.Apply)
 	}
+	if k == FoundGroups {
+		return s.foundGroups(body)
+	}
 	if k != AssignSlot {
 		return routing.Invalid, errors.Errorf("entry of unknown kind %q", k)
 	}
@@ -136,13 +141,14 @@
 type kept struct {
 	Bills    []byte
 	Seats    []membership.SlotHolder
-	Rollouts []byte // not in snapshots of older programs
+	Rollouts []byte               // not in snapshots of older programs
+	Founders []membership.Founder // nor this
 }
 
 // Snapshot is the whole state.
 func (s *Machine) Snapshot() []byte {
 	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(kept{s.Configs.Snapshot(), s.slots, s.Rollouts.Snapshot()}) // of bytes and texts: it can't fail
+	gob.NewEncoder(&b).Encode(kept{s.Configs.Snapshot(), s.slots, s.Rollouts.Snapshot(), s.founders}) // of bytes and texts: it can't fail
 	return b.Bytes()
 }
 
@@ -160,5 +166,5 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
-	return &Machine{bills, rollouts, k.Seats}, nil
+	return &Machine{bills, rollouts, k.Seats, k.Founders}, nil
 }
