--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -56,8 +56,9 @@
 // Disk keeps what the core must not forget. Writes go on apart from the turns, one at a time; done is called in a turn, once
 // all of them are synced. A note that can't be kept is let go.
 type Disk interface {
-	Write(writes []replication.Write, note []byte, done func())
+	Write(writes []replication.LogWrite, note []byte, done func())
 	Noted() []byte
+	Groups() map[replication.LogID]replication.Kept // what it held of the coordination groups
 }
 
 // Path is what carries requests and datagrams.
@@ -149,20 +150,21 @@
 
 // batch is what goes to the disk at once.
 type batch struct {
-	writes []replication.Write
+	writes []replication.LogWrite
 	note   []byte
 	done   func()
 }
 
-func (d *disk) Write(writes []replication.Write, note []byte, done func()) {
+func (d *disk) Write(writes []replication.LogWrite, note []byte, done func()) {
 	d.writes <- batch{writes, note, done}
 }
-func (d *disk) Noted() []byte { return d.store.Noted() }
+func (d *disk) Noted() []byte                                  { return d.store.Noted() }
+func (d *disk) Groups() map[replication.LogID]replication.Kept { return d.store.Groups() }
 
 func (d *disk) run() {
 	for b := range d.writes {
 		for wait := 20 * time.Millisecond; ; wait = min(2*wait, time.Second) {
-			err := d.store.Apply(b.writes)
+			err := d.store.ApplyAll(b.writes)
 			if err == nil {
 				break
 			}
--- a/internal/gateway/node/calls.go
+++ b/internal/gateway/node/calls.go
@@ -89,6 +89,9 @@
 		return
 	}
 	body, err := h.counted(c.kind, c.body)
+	if c.kind == statemachine.FoundGroups {
+		body = h.core.founders()
+	}
 	refusal := 400
 	if err == nil {
 		if err = h.tooLarge(c.kind, body); err != nil {
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -21,21 +21,14 @@
 	noteEvery   = 500 * time.Millisecond
 )
 
-// core is this node's part in the ordered log: none without a disk.
+// core is this node's part in the log that orders configurations: none without a disk.
 type core struct {
-	h        *Node
-	me       replication.Member
-	p        *replication.Replica
-	disk     Disk
-	queue    []replication.Write // not yet given to the disk
-	note     []byte              // the board, to be kept beside the log; nil: nothing to keep
-	noted    time.Duration       // when it last was
-	writing  bool
+	replicaHost
+	noted    time.Duration      // when the board last was, beside the log
 	waits    map[uint64]waiting // by token
 	token    uint64
 	last     verdict // of the last entry applied
 	lookedAt time.Duration
-	wake     uint32
 	view     uint64 // the last one whose leader was known
 }
 
@@ -63,57 +56,29 @@
 	if err != nil {
 		return err
 	}
-	c := &core{h: h, me: replication.Member{ID: kept.Me, Addr: h.inner}, disk: disk, waits: map[uint64]waiting{}}
+	c := &core{waits: map[uint64]waiting{}}
+	c.replicaHost = replicaHost{h: h, me: replication.Member{ID: kept.Me, Addr: h.inner}, owner: c,
+		disk: &diskQueue{node: h, disk: disk, synced: h.synced}}
 	c.p = replication.New(c.me, kept, replication.DefaultTerms(), h.seed, h.e.Now())
 	h.core = c
+	h.groups.open(disk.Groups())
 	return nil
 }
 
-// write gives the disk what is due. Apart from the turns: a slow disk must hold up nothing else.
-func (c *core) write() {
-	writes := c.queue
-	c.writing = true
-	c.disk.Write(writes, c.note, func() {
-		c.writing = false
-		if len(writes) > 0 {
-			c.p.Now(c.h.e.Now())
-			c.p.Synced(writes[len(writes)-1].Nr)
-		}
-	})
-	c.queue, c.note = nil, nil
+// synced tells a replica what is on disk.
+func (h *Node) synced(log replication.LogID, nr uint64) {
+	if log == replication.ConfigurationLog {
+		h.core.now().Synced(nr)
+		return
+	}
+	h.groups.replicas[log-1].now().Synced(nr)
 }
 
 // pull carries out what the log asks for.
 func (c *core) pull() {
-	c.p.Now(c.h.e.Now())
+	c.now()
 	c.tend()
-	for {
-		a, ok := c.p.Next()
-		if !ok {
-			break
-		}
-		switch a := a.(type) {
-		case replication.Send:
-			if addr := c.addr(a.To); addr != "" {
-				c.h.links.Send(addr, &Frame{Core: &Line{c.me.ID, a.Message}})
-			}
-		case replication.Write:
-			if n := len(c.queue); n > 0 { // a disk that hangs must not have the queue grow
-				c.queue[n-1] = c.queue[n-1].Then(a)
-			} else {
-				c.queue = append(c.queue, a)
-			}
-		case replication.Restore:
-			c.restore(a.Index, a.State)
-		case replication.Commit:
-			c.commit(a.Entry)
-		case replication.Outcome:
-			c.settle(a)
-		case replication.Wake:
-			c.wake++
-			c.h.e.At(a.At, (*coreAlarm)(c), c.wake)
-		}
-	}
+	c.drain()
 	if m, view, ok := c.p.Leader(); ok && view != c.view {
 		c.view = view
 		c.h.pingedAt = 0 // who follows waits for the word that somebody leads
@@ -123,12 +88,15 @@
 			c.h.say(corePart, "view %d is led by %s", view, m.Addr)
 		}
 	}
-	if !c.writing && (len(c.queue) > 0 || c.note != nil) {
-		c.write()
-	}
 	c.h.roster.Settle(membership.Disk(c.me.ID), c.p.ClusterID())
 }
 
+func (c *core) send(to replication.Member, m replication.Message) {
+	if addr := c.h.addrOf(to); addr != "" {
+		c.h.links.Send(addr, &Frame{Core: &Line{c.me.ID, m}})
+	}
+}
+
 // keepRegistry has the board kept beside the log, where it changed, now and then.
 func (c *core) keepRegistry() {
 	now := c.h.e.Now()
@@ -138,32 +106,19 @@
 	c.h.registryNews, c.noted = false, now
 	var b bytes.Buffer
 	gob.NewEncoder(&b).Encode(c.h.registry.All()) // of texts and numbers: it can't fail
-	c.note = b.Bytes()
+	c.disk.note = b.Bytes()
 }
 
 // remember gives the board what was kept of it.
 func (c *core) remember() {
 	var words []registry.Record
-	if noted := c.disk.Noted(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&words) == nil {
+	if noted := c.disk.disk.Noted(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&words) == nil {
 		c.h.registry.Now(c.h.e.Now())
 		c.h.registry.Remember(words)
 		c.h.say(registryPart, "remembers %d backends", len(words))
 	}
 }
 
-// addr of a member: where its node says that it is, since a view may name an older place.
-func (c *core) addr(m replication.Member) string {
-	if d, ok := c.h.roster.Node(m.Addr); ok && replication.MemberID(d.Disk) == m.ID {
-		return m.Addr
-	}
-	for _, d := range c.h.roster.Disks() {
-		if replication.MemberID(d.Disk) == m.ID {
-			return d.Addr
-		}
-	}
-	return m.Addr
-}
-
 func (c *core) restore(index uint64, state []byte) {
 	s := statemachine.New()
 	if len(state) > 0 {
@@ -195,14 +150,19 @@
 		return
 	}
 	c.lookedAt = now
-	var reach []replication.Reach
-	for _, d := range c.h.roster.Disks() {
-		reach = append(reach, replication.Reach{Member: replication.Member{ID: replication.MemberID(d.Disk), Addr: d.Addr}, Leaving: d.Leaving})
-	}
+	reach := c.h.disksInReach()
 	c.p.Tend(reach, c.h.settings.Tolerates.Machines)
 	c.layAside()
 }
 
+// disksInReach are the nodes with a disk that this one reaches, itself among them.
+func (h *Node) disksInReach() (reach []replication.Reach) {
+	for _, d := range h.roster.Disks() {
+		reach = append(reach, replication.Reach{Member: replication.Member{ID: replication.MemberID(d.Disk), Addr: d.Addr}, Leaving: d.Leaving})
+	}
+	return reach
+}
+
 // propose puts a change into the log, or reads; then is told how it ended.
 func (c *core) propose(kind statemachine.Kind, body []byte, then func(status int, body []byte)) {
 	c.token++
@@ -257,9 +217,3 @@
 	}
 	return 400, []byte(text)
 }
-
-// coreAlarm brings the log's own due time; the pull at the end of the turn does the rest.
-type coreAlarm core
-
-func (a *coreAlarm) Live(nr uint32) bool { return nr == a.wake }
-func (a *coreAlarm) Due(uint32)          {}
--- a/internal/gateway/node/feed.go
+++ b/internal/gateway/node/feed.go
@@ -32,6 +32,7 @@
 	h.roster.SetSlots(s.Slots())
 	h.swap()
 	h.foldRollouts()
+	h.groups.found(s.Founders())
 	for _, addr := range h.following() {
 		h.feed(addr)
 	}
@@ -49,6 +50,7 @@
 			h.say(corePart, "configuration %d is in force", h.machine.Configs.Version())
 			h.swap()
 		}
+		h.groups.found(h.machine.Founders())
 		h.slotsNew = h.slotsNew || len(h.machine.Slots()) != seats
 		h.foldRollouts()
 	}
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -23,6 +23,7 @@
 	Reply  *Reply
 
 	Rollout *RolloutWord // while one runs
+	Groups  *GroupLines  // once there are coordination groups
 }
 
 // Kind names what a frame carries.
@@ -40,6 +41,8 @@
 		return "feed"
 	case f.Call != nil, f.Reply != nil:
 		return "calls"
+	case f.Groups != nil:
+		return "groups"
 	case f.Rollout != nil:
 		return "roll-outs"
 	}
@@ -54,6 +57,8 @@
 	View  uint64        // that its word is of; 0: a node of the version before
 	Clock uint32        // the sender's, to the node that it follows, which answers at once
 	Echo  uint32        // the newest that it heard of the receiver's
+
+	Leaders []membership.Slot // of the coordination groups, to those who follow; nil: there are none
 }
 
 // RolloutWord is one of its fields: a report on its way to whoever leads, with the slot of the node that it is of, or the word
@@ -71,6 +76,18 @@
 	Message replication.Message
 }
 
+// GroupLines are messages between members of the coordination groups: all that a node has for another one at the end of a turn.
+type GroupLines struct {
+	From  replication.MemberID
+	Lines []GroupLine
+}
+
+// GroupLine is a message of one group.
+type GroupLine struct {
+	Group   uint8
+	Message replication.Message
+}
+
 // Follow asks a node with a disk for the entries after an index, and for those to come, and for its board.
 type Follow struct {
 	After uint64
--- /dev/null
+++ b/internal/gateway/node/groups_test.go
@@ -0,0 +1,180 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"clovergap/internal/gateway/groups"
+)
+
+// listMachine is a state machine that keeps all entries, in their order.
+type listMachine struct{ entries []string }
+
+func (m *listMachine) Apply(_ uint64, entry []byte) []byte {
+	m.entries = append(m.entries, string(entry))
+	return fmt.Append(nil, len(m.entries))
+}
+
+func (m *listMachine) Snapshot() []byte { return []byte(strings.Join(m.entries, "\n")) }
+
+func (m *listMachine) Restore(state []byte) error {
+	m.entries = nil
+	if len(state) > 0 {
+		m.entries = strings.Split(string(state), "\n")
+	}
+	return nil
+}
+
+// lists is an application of such machines at one node.
+type lists struct {
+	machines [groups.Count]*listMachine
+	led      [groups.Count]uint64
+	wrong    string
+}
+
+func (l *lists) StateMachine(id groups.ID) groups.StateMachine {
+	l.machines[id] = &listMachine{}
+	return l.machines[id]
+}
+
+func (l *lists) Gained(id groups.ID, term uint64) {
+	if l.led[id] >= term {
+		l.wrong = fmt.Sprintf("group %d: term %d after %d", id, term, l.led[id])
+	}
+	l.led[id] = term
+}
+
+func (l *lists) Lost(id groups.ID, term uint64) {
+	if l.led[id] != term {
+		l.wrong = fmt.Sprintf("group %d: lost %d, led was %d", id, term, l.led[id])
+	}
+}
+
+// withLists has all nodes of a test run lists.
+func withLists(t *testing.T) {
+	before := newApplication
+	newApplication = func(*Node) groups.Application { return &lists{} }
+	t.Cleanup(func() { newApplication = before })
+}
+
+// leaderOf waits for the node that leads a group.
+func (d *nodes) leaderOf(id groups.ID) (leader int) {
+	d.t.Helper()
+	d.until(fmt.Sprint("group ", id, " is led"), func() bool {
+		for i, h := range d.live {
+			led := false
+			h.e.Turn(func() { _, _, led = h.groups.Leading(id) })
+			if led {
+				leader = i
+				return true
+			}
+		}
+		return false
+	})
+	return leader
+}
+
+// enter puts an entry into a group by whoever leads it, until it is applied; unclear ones are told.
+func (d *nodes) enter(id groups.ID, entry string) (unclear int) {
+	d.t.Helper()
+	for range 100 {
+		outcome := make(chan groups.Outcome, 1)
+		h := d.live[d.leaderOf(id)]
+		h.e.Turn(func() { h.groups.Propose(id, []byte(entry), func(o groups.Outcome, _ []byte) { outcome <- o }) })
+		switch <-outcome {
+		case groups.Applied:
+			return unclear
+		case groups.Unclear:
+			unclear++
+		}
+	}
+	d.t.Fatalf("group %d takes nothing", id)
+	return 0
+}
+
+// entriesAt are a group's at a node.
+func (d *nodes) entriesAt(i int, id groups.ID) (all []string) {
+	h := d.live[i]
+	h.e.Turn(func() { all = append(all, h.groups.app.(*lists).machines[id].entries...) })
+	return all
+}
+
+// Groups are founded where the contracts name coordination, spread over the disks, keep one order at all nodes, go on under another
+// leader when one is killed, and have all that was applied after a start of all.
+func TestGroupsOrderAndOutlastTheirLeaders(t *testing.T) {
+	withLists(t)
+	d := prepare(t, 4)
+	for i := range d.settings {
+		d.settings[i].Contracts = []string{coordinates}
+		d.start(i)
+	}
+	want := map[groups.ID][]string{}
+	add := func(id groups.ID, n int) {
+		for range n {
+			entry := fmt.Sprintf("%d.%d", id, len(want[id]))
+			must.Eq(t, 0, d.enter(id, entry))
+			want[id] = append(want[id], entry)
+		}
+	}
+	for id := range groups.ID(groups.Count) {
+		add(id, 5)
+	}
+	d.until("the leads are spread", func() bool {
+		led := map[int]int{}
+		for id := range groups.ID(groups.Count) {
+			led[d.leaderOf(id)]++
+		}
+		return len(led) == 3 && max(led[0], led[1], led[2]) <= 3
+	})
+	first := d.leaderOf(0)
+	began := time.Now()
+	d.kill(first)
+	add(0, 1)
+	t.Logf("group 0 went on after %v", time.Since(began))
+	for id := range groups.ID(groups.Count) {
+		add(id, 3)
+	}
+	d.start(first)
+	alike := func() bool {
+		for i := range 3 {
+			for id, entries := range want {
+				if strings.Join(d.entriesAt(i, id), " ") != strings.Join(entries, " ") {
+					return false
+				}
+			}
+		}
+		return true
+	}
+	d.until("all have the same", alike)
+	for i := range 4 {
+		d.kill(i)
+	}
+	for i := range 4 {
+		d.start(i)
+	}
+	for id := range groups.ID(groups.Count) {
+		add(id, 1)
+	}
+	d.until("all have the same again", alike)
+	h := d.live[3]
+	d.until("a node without a disk knows who leads", func() bool {
+		known := 0
+		h.e.Turn(func() {
+			for id := range groups.ID(groups.Count) {
+				if _, ok := h.groups.Leader(id); ok && len(h.groups.Guesses(id)) == guessesMost {
+					known++
+				}
+			}
+		})
+		return known == groups.Count
+	})
+	for _, h := range d.live {
+		if l, ok := h.groups.app.(*lists); ok {
+			must.Eq(t, "", l.wrong)
+		}
+	}
+}
--- a/internal/gateway/node/leave.go
+++ b/internal/gateway/node/leave.go
@@ -29,12 +29,13 @@
 	if h.core != nil {
 		h.core.p.Now(h.e.Now())
 		h.core.p.HandOver()
+		h.groups.handOver()
 	}
 }
 
 // Ends goes on with it so long after it began, in a turn, and tells whether all is done.
 func (h *Node) Ends(since time.Duration) bool {
-	kept := h.core == nil || h.core.left()
+	kept := h.core == nil || h.core.left() && h.groups.left()
 	if since < comingFor {
 		return false
 	}
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -58,6 +58,7 @@
 	peers   Datagrams
 	roster  *membership.Roster
 	core    *core // nil without a disk
+	groups  *groupHost
 	machine *statemachine.Machine
 	applied uint64
 
@@ -133,6 +134,7 @@
 	h.echoes = map[string]echo{}
 	h.calls, h.beats, h.catalog = map[uint32]*call{}, map[registry.Ticket]heard{}, newCatalog()
 	h.fault = planted
+	h.groups = &groupHost{h: h}
 	if h.own != nil {
 		h.own.h = h
 	}
@@ -227,6 +229,8 @@
 func (h *Node) pull() {
 	if h.core != nil {
 		h.core.pull()
+		h.groups.pull()
+		h.core.disk.flush()
 	}
 	h.pullRoster()
 	h.pullRegistry()
@@ -257,7 +261,9 @@
 	h.tendFeed()
 	h.wantSlot()
 	h.tendRollouts()
+	h.groups.want()
 	if h.core != nil {
+		h.groups.tend()
 		h.core.keepRegistry()
 	}
 	if now-h.saidAt >= time.Second {
--- a/internal/gateway/node/node_test.go
+++ b/internal/gateway/node/node_test.go
@@ -95,7 +95,7 @@
 	if core != nil {
 		d.until("a write ends", func() bool {
 			writing := false
-			h.e.Turn(func() { writing = core.writing })
+			h.e.Turn(func() { writing = core.disk.writing })
 			return !writing
 		})
 		close(h.own.disk.writes)
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -40,6 +40,7 @@
 		}
 		if from == h.feeder {
 			h.learn(f.Ping.Stale, f.Ping.View, f.Ping.Echo, f.Ping.Index)
+			h.groups.told(f.Ping.Leaders)
 		}
 		if f.Ping.Clock != 0 && h.hears(from) {
 			h.echoes[from] = echo{f.Ping.Clock, h.e.Now()}
@@ -50,6 +51,8 @@
 	case f.Core != nil && h.core != nil:
 		h.core.p.Now(h.e.Now())
 		h.core.p.Heard(f.Core.From, f.Core.Message)
+	case f.Groups != nil && h.core != nil:
+		h.groups.heard(f.Groups)
 	case f.Board != nil && h.registry != nil:
 		if s := h.roster.Slot(from); s != membership.NoSlot {
 			h.registry.Now(h.e.Now())
@@ -97,6 +100,7 @@
 func (h *Node) Down(to string) {
 	h.roster.Now(h.e.Now())
 	h.roster.Down(to)
+	h.groups.down(to)
 	delete(h.followers, to)
 	delete(h.echoes, to)
 	for _, nr := range slices.Sorted(maps.Keys(h.calls)) {
@@ -126,7 +130,7 @@
 	founders := c.p.Founders()
 	for _, m := range founders {
 		if d, ok := c.h.roster.Node(m.Addr); m.ID != c.me.ID && (!ok || !c.h.roster.Live(m.Addr) || d.Disk == 0 || d.Founded ||
-			replication.MemberID(d.Disk) == m.ID || c.addr(replication.Member{ID: m.ID}) != "") {
+			replication.MemberID(d.Disk) == m.ID || c.h.addrOf(replication.Member{ID: m.ID}) != "") {
 			return
 		}
 	}
@@ -293,7 +297,8 @@
 // pingTo is what a follower is told.
 func (h *Node) pingTo(addr string) *Ping {
 	_, view, _ := h.contact()
-	return &Ping{Stale: h.stale(), Index: h.applied, Lives: h.roster.Lives(), View: view, Echo: h.echoes[addr].clock}
+	return &Ping{Stale: h.stale(), Index: h.applied, Lives: h.roster.Lives(), View: view, Echo: h.echoes[addr].clock,
+		Leaders: h.groups.leaders()}
 }
 
 // pullRegistry carries out what the board asks for.
--- a/internal/gateway/node/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -368,7 +368,7 @@
 			x.node.Lap(l)
 			f := &Frame{Rollout: &RolloutWord{Lap: &l}}
 			for _, m := range h.core.p.Members() {
-				if addr := h.core.addr(m); addr != "" && addr != h.inner {
+				if addr := h.addrOf(m); addr != "" && addr != h.inner {
 					h.links.Send(addr, f)
 				}
 			}
--- a/internal/gateway/replication/chunk.go
+++ b/internal/gateway/replication/chunk.go
@@ -282,6 +282,9 @@
 // size is what an entry takes on a link and on disk, about.
 func (e *Entry) size() int { return len(e.Data) + 32 + 32*len(e.Members) }
 
+// Size is what an entry takes on a link and on disk, about.
+func (e *Entry) Size() int { return e.size() }
+
 // Uncompacted is how many bytes of entries after the snapshot there are, up to an index.
 func (p *Replica) Uncompacted(upto uint64) (n int) {
 	for i := range p.log {
--- a/internal/gateway/replication/logs.go
+++ b/internal/gateway/replication/logs.go
@@ -18,6 +18,32 @@
 	Write Write
 }
 
+// Size is about how many bytes it puts on disk.
+func (w *Write) Size() (n int) {
+	if w.Snap != nil {
+		n = len(w.Snap.State)
+	}
+	for i := range w.Entries {
+		n += w.Entries[i].size()
+	}
+	return n
+}
+
+// Size is about how many bytes it takes on a link.
+func (m *Message) Size() int {
+	n := 64
+	for i := range m.Entries {
+		n += m.Entries[i].size()
+	}
+	if m.Snap != nil {
+		n += len(m.Snap.State)
+	}
+	if m.Chunk != nil {
+		n += len(m.Chunk.Data)
+	}
+	return n
+}
+
 // GroupTerms are those of a coordination group: calls wait for a change of leaders, so it is quicker than a configuration's.
 // The machines have 0.4 of a core and disks of up to 5 ms a sync: three heartbeats may be missed.
 func GroupTerms(log LogID) Terms {
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -304,6 +304,7 @@
 	w       *world
 	rng     *rand.Rand
 	kept    replication.Kept
+	groups  map[replication.LogID]replication.Kept // the coordination groups' logs
 	noted   []byte
 	writing *write
 	slow    float64 // times as slow as it is
@@ -314,7 +315,7 @@
 
 type write struct {
 	p      *process
-	writes []replication.Write
+	writes []replication.LogWrite
 	note   []byte
 	done   func()
 }
@@ -322,7 +323,7 @@
 func newPlatter(w *world) *platter { return &platter{w: w, rng: w.disks, slow: 1} }
 
 // wipe takes all that is on it.
-func (d *platter) wipe() { d.kept, d.noted, d.writing = replication.Kept{}, nil, nil }
+func (d *platter) wipe() { d.kept, d.groups, d.noted, d.writing = replication.Kept{}, nil, nil, nil }
 
 // read gives what it holds, with an id for an empty one.
 func (d *platter) read() replication.Kept {
@@ -347,7 +348,17 @@
 
 func (d *platter) apply(x *write) {
 	for _, a := range x.writes {
-		d.kept.Apply(a)
+		if a.Log == replication.ConfigurationLog {
+			d.kept.Apply(a.Write)
+			continue
+		}
+		if d.groups == nil {
+			d.groups = map[replication.LogID]replication.Kept{}
+		}
+		k := d.groups[a.Log]
+		k.Me = d.kept.Me
+		k.Apply(a.Write)
+		d.groups[a.Log] = k
 	}
 	if x.note != nil {
 		d.noted = x.note
@@ -362,7 +373,20 @@
 
 func (v *drive) Noted() []byte { return v.d.noted }
 
-func (v *drive) Write(writes []replication.Write, note []byte, done func()) {
+// Groups are the logs of the coordination groups, as they are read at the start.
+func (v *drive) Groups() map[replication.LogID]replication.Kept {
+	held := map[replication.LogID]replication.Kept{}
+	for log, k := range v.d.groups {
+		if err := k.Check(); err != nil {
+			panic("a group's log does not hold together: " + err.Error())
+		}
+		k.Entries = append([]replication.Entry(nil), k.Entries...)
+		held[log] = k
+	}
+	return held
+}
+
+func (v *drive) Write(writes []replication.LogWrite, note []byte, done func()) {
 	x := &write{v.p, writes, note, done}
 	v.d.writing = x
 	v.d.w.happens(writes_(writes))
@@ -370,9 +394,9 @@
 }
 
 // writes_ is a moment only where something of the log is written.
-func writes_(all []replication.Write) moment {
+func writes_(all []replication.LogWrite) moment {
 	for _, a := range all {
-		if len(a.Entries) > 0 {
+		if a.Log == replication.ConfigurationLog && len(a.Write.Entries) > 0 {
 			return writes
 		}
 	}
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -29,7 +29,7 @@
 type Traffic map[string]int64
 
 // Sorts are what bytes are for, in the order of tables.
-var Sorts = []string{"heartbeats", "board", "core", "feed", "calls", "hellos", "roll-outs", "links", "mail"}
+var Sorts = []string{"heartbeats", "board", "core", "feed", "calls", "hellos", "roll-outs", "groups", "links", "mail"}
 
 // Sum is all of it.
 func (t Traffic) Sum() (n int64) {
