--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -58,7 +58,7 @@
 	}
 	c := &core{waits: map[uint64]waiting{}}
 	c.replicaHost = replicaHost{h: h, me: replication.Member{ID: kept.Me, Addr: h.inner}, owner: c,
-		disk: &diskQueue{node: h, disk: disk, synced: h.synced}}
+		disk: &diskQueue{node: h, disk: disk, synced: c.synced}}
 	c.p = replication.New(c.me, kept, replication.DefaultTerms(), h.seed, h.e.Now())
 	h.core = c
 	h.groups.open(disk.Groups())
@@ -66,12 +66,12 @@
 }
 
 // synced tells a replica what is on disk.
-func (h *Node) synced(log replication.LogID, nr uint64) {
-	if log == replication.ConfigurationLog {
-		h.core.now().Synced(nr)
-		return
+func (c *core) synced(log replication.LogID, nr uint64) {
+	r := &c.replicaHost
+	if log != replication.ConfigurationLog {
+		r = &c.h.groups.replicas[log-1].replicaHost
 	}
-	h.groups.replicas[log-1].now().Synced(nr)
+	r.now().Synced(nr)
 }
 
 // pull carries out what the log asks for.
