--- a/internal/gateway/node/log.go
+++ b/internal/gateway/node/log.go
@@ -19,6 +19,7 @@
 	feedPart     part = "feed: "
 	gatePart     part = "gate: "
 	rolloutPart  part = "rollout: "
+	groupPart    part = "group: "
 )
 
 // newLog writes to standard error, a line an event.
