--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -137,6 +137,9 @@
 }
 
 func (c *serveCmd) run(io.Writer) error {
+	signals := make(chan os.Signal, 16) // from the first: a SIGHUP that nobody takes would end the process
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
+	signal.Ignore(syscall.SIGPIPE)
 	if c.Settings == "" {
 		return wrongly("no settings file: %s is not set", settings.Env)
 	}
@@ -149,9 +152,6 @@
 		debug.SetMemoryLimit(int64(float64(sheet.Limits.MemoryMB<<20) * memoryShare))
 	}
 	failpoint.Listen(os.Stdin) // in debug builds
-	signals := make(chan os.Signal, 16)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
-	signal.Ignore(syscall.SIGPIPE)
 	h, err := node.New(sheet)
 	if err != nil {
 		return err
--- a/internal/lab/faultrig/gateway.go
+++ b/internal/lab/faultrig/gateway.go
@@ -126,6 +126,10 @@
 		}
 		s.Faults = append(s.Faults, f)
 	}
+	if rng.IntN(2) == 0 { // last, so that a seed's other faults are what they were without it
+		s.Faults = append(s.Faults, spec.Fault{Kind: "door-reload", At: spec.Span(rng.Float64() * 0.75 * float64(dur)), Share: 0.5,
+			Pick: rng.Uint64()>>1 | 1})
+	}
 	return s
 }
 
@@ -487,6 +491,8 @@
 		h.each(which, func(d *gatewaystandin.Node) error { d.Term(gatewaystandin.Bounds().Grace); return nil })
 		sleep(ctx, f.For.D())
 		h.each(which, again)
+	case "door-reload":
+		h.each(some(h.t.Nodes), func(d *gatewaystandin.Node) error { d.Reload(); return nil })
 	case "crash", "drain":
 		serving := h.t.Serving()
 		var wg sync.WaitGroup
--- a/internal/lab/faultrig/gateway_test.go
+++ b/internal/lab/faultrig/gateway_test.go
@@ -31,7 +31,8 @@
 		fault("ack-wipe", 0.3, 0.3, 0.3), fault("door-stall", 0.5, 1, 0.4), fault("drain", 0.8, 0.2,
 			0.2), fault("core-stall", 1.5, 1.5, 0.3),
 		fault("core-term", 2, 0.3, 0.3), fault("crash", 2.5, 0.3, 0.2), fault("herd-kill", 4, 0.2,
-			1), fault("ack-kill", 5, 0.3, 0.6), fault("ack-cut", 3, 0.8, 0), fault("door-cut", 1, 2, 0.4)}}
+			1), fault("ack-kill", 5, 0.3, 0.6), fault("ack-cut", 3, 0.8, 0), fault("door-cut", 1, 2, 0.4),
+		fault("door-reload", 2.5, 0, 0.6)}}
 	s.Faults[8].Shape, s.Faults[8].Way, s.Faults[9].Shape = "isolated", "out", "halves"
 	r, err := PlayGateway(context.Background(), s, GatewayOptions{Program: program, Rate: 60})
 	must.NoError(t, err)
--- a/internal/lab/gatewaystandin/deployment.go
+++ b/internal/lab/gatewaystandin/deployment.go
@@ -263,6 +263,12 @@
 	d.Process.Term(patience)
 }
 
+// Reload tells the node that its settings file may have changed.
+func (d *Node) Reload() {
+	d.t.Terms.History.Add(history.Event{Who: d.Name, Kind: Reloads})
+	d.Process.Reload()
+}
+
 // Tells is what a node says of itself.
 func (t *Deployment) Tells(d *Node) string { return t.tells(d, "/api/House.Status") }
 
--- a/internal/lab/standin/process.go
+++ b/internal/lab/standin/process.go
@@ -207,6 +207,13 @@
 	return do()
 }
 
+// Reload tells it by SIGHUP that what it reads at its start may have changed.
+func (d *Process) Reload() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.signal(syscall.SIGHUP)
+}
+
 // Term tells it to end, and kills it if it has not within a while.
 func (d *Process) Term(patience time.Duration) { d.end(syscall.SIGTERM, patience) }
 
