--- a/internal/lab/gatewaystandin/clients.go
+++ b/internal/lab/gatewaystandin/clients.go
@@ -207,6 +207,9 @@
 	w.Kind, w.Host, w.Path = g.Name, hostGuests, g.PathPrefix
 }
 
+// ComesAndGoes tells whether a request asks by a route that the first configuration does not have.
+func ComesAndGoes(w *Want) bool { return w.Host == hostGuests }
+
 // probeMost is what a probe waits.
 const probeMost = 2 * time.Second
 
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -231,6 +231,10 @@
 	if x.tries[t.nr] != t {
 		return
 	}
+	if p.w.refuses(&t.want) {
+		x.answered(t, 503, soon)
+		return
+	}
 	key := []byte(t.want.Key)
 	if len(key) == 0 {
 		key = nil
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -123,6 +123,9 @@
 	w.note(history.Event{Who: m.name, Kind: gatewaystandin.Terminates})
 	w.say("%s is told to end", m.name)
 	p.turn(p.h.Leaving)
+	if w.planted == cutsAtTheEnd {
+		p.cuts()
+	}
 	grace := m.settings.Bounds.Grace
 	done := false
 	w.every(20*time.Millisecond, func() bool {
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -242,6 +242,7 @@
 	if s.over {
 		return
 	}
+	e = x.p.w.denies(s, e)
 	s.over = true
 	delete(x.subs, s.ref)
 	switch {
