--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"clovergap/control"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/slots"
 )
 
@@ -59,7 +60,7 @@
 	nr    int
 	cum   [][]float64 // by plan, over its customers
 	by    [][]*customer
-	load  []float64 // by burst faults under way: factors
+	load  spec.Held // by burst faults under way: factors
 }
 
 func newClients(w *world) *clients {
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -1,7 +1,7 @@
 package emulator
 
 import (
-	"math"
+	"slices"
 	"time"
 
 	"clovergap/control"
@@ -10,148 +10,190 @@
 	"clovergap/internal/lab/spec"
 )
 
+// faultRun is a fault under way: the run with the front doors that it hits. What it does is in effects.
+type faultRun struct {
+	*world
+	fault  *spec.Fault
+	hit    []*door
+	killed []*door // those of them that it ended
+}
+
+// effects is what faults do in simulated time.
+var effects = spec.NodeActions(spec.Table[*faultRun]{
+	spec.RollNodes:    (*faultRun).roll,
+	spec.LoseZone:     (*faultRun).loseZone,
+	spec.CutZone:      (*faultRun).cutZone,
+	spec.SlowBackends: backendTrouble((*backend).slowed),
+	spec.FailBackends: backendTrouble(func(b *backend, by float64) func() {
+		b.failing += by
+		return func() { b.failing = max(0, b.failing-by) }
+	}),
+	spec.SilenceBackends:  backendTrouble(func(b *backend, _ float64) func() { b.silent++; return func() { b.silent-- } }),
+	spec.CrashBackends:    (*faultRun).crashBackends,
+	spec.DrainBackends:    (*faultRun).drainBackends,
+	spec.LosePeers:        func(r *faultRun, f *spec.Fault) func() { return r.lossBy.Hold(f.Share) },
+	spec.ResetSubmissions: func(r *faultRun, f *spec.Fault) func() { return r.resetBy.Hold(f.Share) },
+	spec.LoseAnswers:      func(r *faultRun, f *spec.Fault) func() { return r.lostBy.Hold(f.Share) },
+	spec.RaiseLoad:        func(r *faultRun, f *spec.Fault) func() { return r.clients.load.Hold(f.By) },
+	spec.DelayLists:       func(r *faultRun, _ *spec.Fault) func() { r.lateBy++; return func() { r.lateBy-- } },
+	spec.CutPeers:         (*faultRun).troublePeers,
+	spec.DelayPeers:       (*faultRun).troublePeers,
+	spec.RepeatPeers:      (*faultRun).troublePeers,
+	spec.ReorderPeers:     (*faultRun).troublePeers,
+	spec.LimitPeers:       (*faultRun).troublePeers,
+	spec.SpoilPeers:       (*faultRun).troublePeers,
+	spec.CounterDown:      (*faultRun).troubleCounter,
+	spec.CounterBusy:      (*faultRun).troubleCounter,
+	spec.CounterSpoilt:    (*faultRun).troubleCounter,
+	spec.CounterMute:      (*faultRun).troubleCounter,
+	spec.CounterLate:      (*faultRun).troubleCounter,
+	spec.CounterReset:     func(r *faultRun, _ *spec.Fault) func() { r.counter.Replace(); return nil },
+})
+
 // plan hangs the experiment's faults on the clock.
 func (w *world) plan() {
-	for _, f := range w.s.Faults {
-		f := f
+	for i := range w.s.Faults {
+		f := &w.s.Faults[i]
 		w.at(origin+f.At.D(), func() { w.applyFault(f) })
 	}
 }
 
-// until ends a fault's part.
-func (w *world) until(f spec.Fault, do func()) { w.after(f.For.D(), do) }
+// applyFault begins a fault, and ends it when its time is over.
+func (w *world) applyFault(f *spec.Fault) {
+	w.res.note("%s begins", f.Kind)
+	w.after(f.For.D(), func() { w.res.note("%s ends", f.Kind) })
+	r := &faultRun{world: w, fault: f}
+	if f.Target() == spec.SomeNodes {
+		r.hit = sample(w, w.doors, f)
+	}
+	end, err := effects.Begin(r, f)
+	if err != nil {
+		panic(err) // newWorld has looked at all kinds
+	}
+	if end != nil {
+		w.after(f.For.D(), end)
+	}
+}
 
-// with holds a share in a list for as long as the fault lasts.
-func (w *world) with(f spec.Fault, list *[]float64, x float64) {
-	*list = append(*list, x)
-	w.until(f, func() {
-		for i, v := range *list {
-			if v == x {
-				*list = append((*list)[:i], (*list)[i+1:]...)
-				return
-			}
+// Kill ends the front doors that are hit and run.
+func (r *faultRun) Kill() {
+	for _, d := range r.hit {
+		if d.up {
+			d.kill()
+			r.killed = append(r.killed, d)
 		}
-	})
+	}
 }
 
-func (w *world) hallNr(name string) int {
-	for i, h := range w.s.Halls.Names {
-		if h == name {
-			return i
+// Start starts those that the fault ended.
+func (r *faultRun) Start() {
+	for _, d := range r.killed {
+		if !d.up {
+			d.start()
 		}
 	}
-	return 0
 }
 
-// applyFault begins a fault.
-func (w *world) applyFault(f spec.Fault) {
-	w.res.note("%s begins", f.Kind)
-	w.until(f, func() { w.res.note("%s ends", f.Kind) })
-	switch f.Kind {
-	case "slow":
-		for _, b := range w.ready(f) {
-			b := b
-			b.advance()
-			b.slow *= f.By
-			b.plan()
-			w.until(f, func() { b.advance(); b.slow /= f.By; b.plan() })
-		}
-	case "failing":
-		for _, b := range w.ready(f) {
-			b := b
-			b.failing += f.By
-			w.until(f, func() { b.failing = max(0, b.failing-f.By) })
-		}
-	case "silent":
-		for _, b := range w.ready(f) {
-			b := b
-			b.silent++
-			w.until(f, func() { b.silent-- })
-		}
-	case "crash":
-		for _, b := range w.ready(f) {
-			w.crash(b, f.For.D())
+// Stall lets front doors stand still; each goes on by itself when the fault's time is over.
+func (r *faultRun) Stall(on bool) {
+	for _, d := range r.hit {
+		if on {
+			d.stall(r.fault.For.D())
 		}
-	case "drain", "release":
-		w.release(f)
-	case "hall-loss":
-		hall := w.hallNr(f.Hall)
-		for _, b := range append([]*backend(nil), w.backends...) {
-			if b.hall == hall {
-				w.crash(b, f.For.D())
-			}
+	}
+}
+
+// backendTrouble does something to some backends in service, and takes it back; by is the fault's strength.
+func backendTrouble(begin func(b *backend, by float64) (end func())) spec.Action[*faultRun] {
+	return func(r *faultRun, f *spec.Fault) func() {
+		var ends []func()
+		for _, b := range r.ready(f) {
+			ends = append(ends, begin(b, f.By))
 		}
-		if f.Share > 0 { // its front doors too
-			for _, d := range w.doors {
-				if d.hall == hall {
-					w.bounce(d, f.For.D())
-				}
+		return func() {
+			for _, end := range ends {
+				end()
 			}
 		}
-	case "hall-cut":
-		hall := w.hallNr(f.Hall)
-		w.cutHall[hall]++
-		w.until(f, func() { w.cutHall[hall]-- })
-	case "door-kill":
-		for _, d := range sample(w, w.doors, f) {
-			w.bounce(d, f.For.D())
+	}
+}
+
+// slowed makes a backend some times slower.
+func (b *backend) slowed(by float64) (end func()) {
+	b.advance()
+	b.slow *= by
+	b.plan()
+	return func() {
+		b.advance()
+		b.slow /= by
+		b.plan()
+	}
+}
+
+// crashBackends ends backends; each is replaced by a cold one when the fault is over.
+func (r *faultRun) crashBackends(f *spec.Fault) func() { return r.crash(r.ready(f)) }
+
+// loseZone ends the backends of a zone and, with a share, its front doors.
+func (r *faultRun) loseZone(f *spec.Fault) func() {
+	hall := r.hallNumber(f.Hall)
+	var lost []*backend
+	for _, b := range r.backends {
+		if b.hall == hall {
+			lost = append(lost, b)
 		}
-	case "door-stall":
-		for _, d := range sample(w, w.doors, f) {
-			d.stall(f.For.D())
+	}
+	replace := r.crash(lost)
+	for _, d := range r.doors {
+		if d.hall == hall && f.Share > 0 {
+			r.hit = append(r.hit, d)
 		}
-	case "door-roll":
-		w.roll(f)
-	case "peer-loss":
-		w.with(f, &w.lossBy, f.Share)
-	case "resets":
-		w.with(f, &w.resetBy, f.Share)
-	case "lost-answers":
-		w.with(f, &w.lostBy, f.Share)
-	case "burst":
-		w.with(f, &w.clients.load, f.By)
-	case "late-lists":
-		w.lateBy++
-		w.until(f, func() { w.lateBy-- })
-	case "counter-down":
-		w.troubled(f, func(m *sharedcounter.Mode) { m.Down = true })
-	case "counter-busy":
-		w.troubled(f, func(m *sharedcounter.Mode) { m.Busy = 1 - (1-m.Busy)*(1-f.Share) })
-	case "counter-spoilt":
-		w.troubled(f, func(m *sharedcounter.Mode) { m.Spoilt = 1 - (1-m.Spoilt)*(1-f.Share) })
-	case "counter-mute":
-		w.troubled(f, func(m *sharedcounter.Mode) { m.Mute = 1 - (1-m.Mute)*(1-f.Share) })
-	case "counter-late":
-		w.troubled(f, func(m *sharedcounter.Mode) { m.Late += f.Delay.D() })
-	case "counter-reset":
-		w.counter.Replace()
-	default:
-		hall := func(i int) string { return w.s.Halls.Names[w.doors[i].hall] }
-		if e, ok := netfault.Of(&f, len(w.doors), hall, f.Source(w.net)); ok {
-			id := w.links.Bring(e)
-			w.until(f, func() {
-				for _, c := range w.links.End(id) {
-					w.hear(c)
-				}
-			})
+	}
+	r.Kill()
+	return func() {
+		replace()
+		r.Start()
+	}
+}
+
+// cutZone lets no word in or out of a zone.
+func (r *faultRun) cutZone(f *spec.Fault) func() {
+	hall := r.hallNumber(f.Hall)
+	r.cutHall[hall]++
+	return func() { r.cutHall[hall]-- }
+}
+
+func (w *world) hallNumber(name string) int { return max(0, slices.Index(w.s.Halls.Names, name)) }
+
+// troublePeers does something to the datagrams between front doors.
+func (r *faultRun) troublePeers(f *spec.Fault) func() {
+	hall := func(i int) string { return r.s.Halls.Names[r.doors[i].hall] }
+	e, _ := netfault.Of(f, len(r.doors), hall, f.Source(r.net))
+	id := r.links.Bring(e)
+	return func() {
+		for _, c := range r.links.End(id) {
+			r.hear(c)
 		}
 	}
 }
 
-// troubled has the counter do something wrong while the fault lasts.
-func (w *world) troubled(f spec.Fault, change func(*sharedcounter.Mode)) {
-	i := len(w.countBy)
-	w.countBy = append(w.countBy, change)
+// troubleCounter has the counter do something wrong.
+func (r *faultRun) troubleCounter(f *spec.Fault) func() {
+	change := sharedcounter.Trouble(f)
+	place := len(r.countBy)
+	r.countBy = append(r.countBy, change)
 	sum := func() {
-		w.counter.Mode = sharedcounter.Mode{}
-		for _, do := range w.countBy {
-			if do != nil {
-				do(&w.counter.Mode)
+		r.counter.Mode = sharedcounter.Mode{}
+		for _, change := range r.countBy {
+			if change != nil {
+				change(&r.counter.Mode)
 			}
 		}
 	}
 	sum()
-	w.until(f, func() { w.countBy[i] = nil; sum() })
+	return func() {
+		r.countBy[place] = nil
+		sum()
+	}
 }
 
 // hear delivers a datagram.
@@ -163,7 +205,7 @@
 }
 
 // ready samples the backends in service.
-func (w *world) ready(f spec.Fault) []*backend {
+func (w *world) ready(f *spec.Fault) []*backend {
 	var all []*backend
 	for _, b := range w.backends {
 		if !b.dead && b.state == control.Ready {
@@ -176,10 +218,16 @@
 	return sample(w, all, f)
 }
 
-// crash ends a backend's process; one of a new id takes its place, cold, when the fault is over.
-func (w *world) crash(b *backend, gone time.Duration) {
-	b.die()
-	w.after(gone, func() { w.replace(b) })
+// crash ends the processes of backends; what it gives puts one of a new id in the place of each, cold.
+func (w *world) crash(all []*backend) (replace func()) {
+	for _, b := range all {
+		b.die()
+	}
+	return func() {
+		for _, b := range all {
+			w.replace(b)
+		}
+	}
 }
 
 // replace puts a new backend in the place of one that is gone.
@@ -190,21 +238,26 @@
 	w.tell(n, w.s.Discovery.Added)
 }
 
-// release drains backends in waves, each replaced by a cold one.
-func (w *world) release(f spec.Fault) {
-	all := w.ready(f)
+// waved gives when, within a fault's time, the nth of so many things has its turn.
+func waved(f *spec.Fault, n, all int) time.Duration {
+	waves := max(1, f.Waves)
+	return time.Duration(float64(n*waves/all) * float64(f.For) / float64(waves))
+}
+
+// drainBackends drains backends in waves, each replaced by a cold one.
+func (r *faultRun) drainBackends(f *spec.Fault) func() {
+	all := r.ready(f)
 	for i, b := range all {
-		b := b
-		wave := float64(i * max(1, f.Waves) / len(all))
-		w.after(time.Duration(wave*float64(f.For)/float64(max(1, f.Waves))), func() {
+		r.after(waved(f, i, len(all)), func() {
 			if b.dead || b.state != control.Ready {
 				return
 			}
-			b.drain(func() { w.gone(b) })
-			n := w.addBackend(b.hall, b.pod, w.now)
-			w.tell(n, w.s.Discovery.Added)
+			b.drain(func() { r.gone(b) })
+			n := r.addBackend(b.hall, b.pod, r.now)
+			r.tell(n, r.s.Discovery.Added)
 		})
 	}
+	return nil
 }
 
 // bounce kills a front door and starts it again.
@@ -221,13 +274,10 @@
 }
 
 // roll restarts front doors in waves.
-func (w *world) roll(f spec.Fault) {
-	all := sample(w, w.doors, f)
-	waves := max(1, f.Waves)
-	step := float64(f.For) / float64(waves)
-	for i, d := range all {
-		d := d
-		wave := math.Floor(float64(i) * float64(waves) / float64(len(all)))
-		w.after(time.Duration(wave*step), func() { w.bounce(d, time.Duration(step/2)) })
+func (r *faultRun) roll(f *spec.Fault) func() {
+	down := time.Duration(float64(f.For) / float64(max(1, f.Waves)) / 2)
+	for i, d := range r.hit {
+		r.after(waved(f, i, len(r.hit)), func() { r.bounce(d, down) })
 	}
+	return nil
 }
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -4,7 +4,6 @@
 package emulator
 
 import (
-	"container/heap"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -14,6 +13,7 @@
 	"clovergap/internal/lab/netfault"
 	"clovergap/internal/lab/sharedcounter"
 	"clovergap/internal/lab/spec"
+	"clovergap/internal/proxy/timerqueue"
 )
 
 // origin is the clock at the start: nought stands for "long ago" in the module's lists.
@@ -22,35 +22,11 @@
 // after the last client comes the world goes on until all is answered.
 const tail = 200 * time.Millisecond
 
-// event is something due.
-type event struct {
-	at  time.Duration
-	seq uint64
-	do  func()
-}
-
-type queue []event
-
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
-}
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
-	old := *q
-	x := old[len(old)-1]
-	old[len(old)-1] = event{}
-	*q = old[:len(old)-1]
-	return x
-}
-
 // world is one run.
 type world struct {
 	s        *spec.Spec
 	now, end time.Duration
-	q        queue
-	seq      uint64
+	dues     timerqueue.Queue[func()]
 	events   uint64
 	net      *rand.Rand // of everything that travels and fails; arrivals have a source of their own
 	doors    []*door
@@ -62,9 +38,9 @@
 	res      *recorder
 	make     func(*door) decider
 	cutHall  map[int]int   // halls cut off, by how many faults
-	lossBy   []float64     // of datagrams, by faults under way
-	resetBy  []float64     // of submissions
-	lostBy   []float64     // of answers
+	lossBy   spec.Held     // of datagrams, by faults under way
+	resetBy  spec.Held     // of submissions
+	lostBy   spec.Held     // of answers
 	lateBy   int           // faults that hold lists back
 	links    *netfault.Set // what faults do to datagrams
 	counter  *sharedcounter.Counter
@@ -115,8 +91,7 @@
 
 // at hangs something on the clock; what is past is due now.
 func (w *world) at(t time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.q, event{t, w.seq, do})
+	w.dues.Add(t, do)
 }
 
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
@@ -124,14 +99,15 @@
 // run plays until nothing that counts is left.
 func (w *world) run() {
 	last := w.end + w.longest() + tail
-	for len(w.q) > 0 {
-		e := heap.Pop(&w.q).(event)
-		if e.at > last {
+	for {
+		at, _ := w.dues.Next()
+		do, ok := w.dues.Take(last)
+		if !ok {
 			break
 		}
-		w.now = max(w.now, e.at)
+		w.now = max(w.now, at)
 		w.events++
-		e.do()
+		do()
 	}
 	w.now = last
 	w.judge.finish()
@@ -208,7 +184,7 @@
 }
 
 // sample gives a share of some things, at least one, chosen by the fault's source or the world's.
-func sample[T any](w *world, from []T, f spec.Fault) (out []T) {
+func sample[T any](w *world, from []T, f *spec.Fault) (out []T) {
 	for _, i := range spec.Hits(len(from), f.Share, f.Source(w.net)) {
 		out = append(out, from[i])
 	}
--- a/internal/lab/faultrig/faults.go
+++ b/internal/lab/faultrig/faults.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -49,11 +48,8 @@
 
 // play waits for a fault's time, brings it, and heals it when its time is over or the run ends.
 func (r *run) play(ctx context.Context, f *spec.Fault) {
-	if f.Kind == "door-late" {
-		r.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: f.Kind})
-		sleep(ctx, f.At.D()+f.For.D())
-		r.doors(r.hits(f, len(r.f.Doors)), func(d *standin.Door) error { return d.Again() })
-		r.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: f.Kind})
+	if f.Has(spec.StartLate) {
+		r.startLate(ctx, f)
 		return
 	}
 	sleep(ctx, f.At.D())
@@ -63,14 +59,36 @@
 	over, cancel := context.WithTimeout(ctx, f.For.D())
 	defer cancel()
 	r.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: f.Kind})
-	heal := r.apply(over, f)
+	under := &faultRun{run: r, ctx: over, fault: f}
+	if f.Target() == spec.SomeNodes {
+		under.hit = r.hits(f, len(r.f.Doors))
+	}
+	end, err := effects.Begin(under, f)
+	r.fail(err)
 	<-over.Done()
-	for _, h := range heal {
-		h()
+	if end != nil {
+		end()
 	}
 	r.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: f.Kind})
 }
 
+// startLate starts front doors that were not started with the others.
+func (r *run) startLate(ctx context.Context, f *spec.Fault) {
+	r.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: f.Kind})
+	sleep(ctx, f.At.D()+f.For.D())
+	r.doors(r.hits(f, len(r.f.Doors)), (*standin.Door).Again)
+	r.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: f.Kind})
+}
+
+// fail keeps the first thing that went wrong with the rig itself.
+func (r *run) fail(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.fault == nil {
+		r.fault = err
+	}
+}
+
 // told draws how late discovery tells of something.
 func (r *run) told() time.Duration {
 	r.mu.Lock()
@@ -82,172 +100,242 @@
 // doors does something to some front doors at once and waits for all.
 func (r *run) doors(which []int, do func(*standin.Door) error) {
 	var wg sync.WaitGroup
-	for _, nr := range which {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			if err := do(r.f.Doors[nr]); err != nil {
-				r.mu.Lock()
-				if r.fault == nil {
-					r.fault = err
-				}
-				r.mu.Unlock()
-			}
-		}()
+	for _, number := range which {
+		wg.Go(func() { r.fail(do(r.f.Doors[number])) })
 	}
 	wg.Wait()
 }
 
-// again starts front doors that a fault ended.
-func (r *run) again(which []int) func() {
-	return func() { r.doors(which, func(d *standin.Door) error { return d.Again() }) }
+// faultRun is a fault under way: the run with the front doors that it hits. What it does is in effects.
+type faultRun struct {
+	*run
+	ctx   context.Context // ends with the fault
+	fault *spec.Fault
+	hit   []int
 }
 
-// apply begins a fault and gives what heals it.
-func (r *run) apply(ctx context.Context, f *spec.Fault) (heal []func()) {
-	fleet := r.f
-	back := func(which []*standin.Backend, change func(*standin.Mode)) {
-		for _, b := range which {
-			heal = append(heal, b.Bring(change))
+// effects is what faults do to real processes.
+var effects = spec.NodeActions(spec.Table[*faultRun]{
+	spec.TerminateNodes:   (*faultRun).terminate,
+	spec.RollNodes:        (*faultRun).roll,
+	spec.SlowNodes:        (*faultRun).slowNodes,
+	spec.SameSeed:         (*faultRun).sameSeed,
+	spec.MoveDiscovery:    (*faultRun).moveDiscovery,
+	spec.FewSockets:       func(r *faultRun, f *spec.Fault) func() { return r.limit(0, int(f.By)) },
+	spec.LittleMemory:     func(r *faultRun, f *spec.Fault) func() { return r.limit(int(f.By), 0) },
+	spec.StallAtPoint:     (*faultRun).stallAtPoint,
+	spec.ExitAtPoint:      (*faultRun).exitAtPoint,
+	spec.LoseZone:         (*faultRun).loseZone,
+	spec.CutZone:          (*faultRun).cutZone,
+	spec.SlowBackends:     someBackends(func(m *standin.Mode, f *spec.Fault) { m.Slow = max(1, m.Slow) * f.By }),
+	spec.FailBackends:     someBackends(func(m *standin.Mode, f *spec.Fault) { m.Fail = either(m.Fail, min(f.By, 1)) }),
+	spec.SilenceBackends:  someBackends(func(m *standin.Mode, _ *spec.Fault) { m.Silent = 1 }),
+	spec.ResetSubmissions: allBackends(func(m *standin.Mode, f *spec.Fault) { m.ResetIn = either(m.ResetIn, f.Share) }),
+	spec.LoseAnswers:      allBackends(func(m *standin.Mode, f *spec.Fault) { m.Silent = either(m.Silent, f.Share) }),
+	spec.CrashBackends:    (*faultRun).crashBackends,
+	spec.DrainBackends:    (*faultRun).drainBackends,
+	spec.DelayLists:       (*faultRun).delayLists,
+	spec.RaiseLoad:        (*faultRun).raiseLoad,
+	spec.CutLinks:         troubleLinks(func(f *spec.Fault) standin.Trouble { return standin.Trouble{Cut: true, Delay: f.Delay.D()} }),
+	spec.DelayLinks:       troubleLinks(func(f *spec.Fault) standin.Trouble { return standin.Trouble{Delay: f.Delay.D()} }),
+	spec.LimitLinks:       troubleLinks(func(f *spec.Fault) standin.Trouble { return standin.Trouble{Delay: f.Delay.D(), Rate: f.By} }),
+	spec.CutPeers:         (*faultRun).troublePeers,
+	spec.LosePeers:        (*faultRun).troublePeers,
+	spec.DelayPeers:       (*faultRun).troublePeers,
+	spec.RepeatPeers:      (*faultRun).troublePeers,
+	spec.ReorderPeers:     (*faultRun).troublePeers,
+	spec.LimitPeers:       (*faultRun).troublePeers,
+	spec.SpoilPeers:       (*faultRun).troublePeers,
+	spec.CounterDown:      (*faultRun).troubleCounter,
+	spec.CounterBusy:      (*faultRun).troubleCounter,
+	spec.CounterSpoilt:    (*faultRun).troubleCounter,
+	spec.CounterMute:      (*faultRun).troubleCounter,
+	spec.CounterLate:      (*faultRun).troubleCounter,
+	spec.CounterReset:     func(r *faultRun, _ *spec.Fault) func() { r.f.Counter.Replace(); return nil },
+})
+
+// either is the chance that one of two things happens that don't depend on each other.
+func either(a, b float64) float64 { return 1 - (1-a)*(1-b) }
+
+// together makes one end of many.
+func together(ends []func()) func() {
+	return func() {
+		for _, end := range ends {
+			end()
 		}
 	}
-	some := func() (all []*standin.Backend) {
-		serving := fleet.Serving()
-		for _, i := range r.hits(f, len(serving)) {
-			all = append(all, serving[i])
-		}
-		return all
-	}
-	peers := func(e netfault.Effect) { heal = append(heal, fleet.Relay.Bring(e)) }
-	counter := func(change func(*sharedcounter.Mode)) { heal = append(heal, fleet.Counter.Bring(change)) }
-	adds := func(a, b float64) float64 { return 1 - (1-a)*(1-b) }
-	switch f.Kind {
-	case "slow":
-		back(some(), func(m *standin.Mode) { m.Slow = max(1, m.Slow) * f.By })
-	case "failing":
-		back(some(), func(m *standin.Mode) { m.Fail = adds(m.Fail, min(f.By, 1)) })
-	case "silent":
-		back(some(), func(m *standin.Mode) { m.Silent = 1 })
-	case "resets":
-		back(fleet.Serving(), func(m *standin.Mode) { m.ResetIn = adds(m.ResetIn, f.Share) })
-	case "lost-answers":
-		back(fleet.Serving(), func(m *standin.Mode) { m.Silent = adds(m.Silent, f.Share) })
-	case "crash":
-		for _, b := range some() {
-			fleet.Replace(b, f.For.D(), r.told)
-		}
-	case "drain", "release":
-		r.release(f, some())
-	case "hall-loss":
-		for _, b := range fleet.Serving() {
-			if b.Hall == f.Hall {
-				fleet.Replace(b, f.For.D(), r.told)
-			}
-		}
-		if f.Share > 0 {
-			mine := r.inHall(f.Hall)
-			r.doors(mine, func(d *standin.Door) error { d.Kill(); return nil })
-			heal = append(heal, r.again(mine))
+}
+
+// Kill ends the front doors that are hit.
+func (r *faultRun) Kill() { r.doors(r.hit, killDoor) }
+
+// Start starts those that were ended.
+func (r *faultRun) Start() { r.doors(r.hit, (*standin.Door).Again) }
+
+// Stall lets them stand still, and go on.
+func (r *faultRun) Stall(on bool) {
+	for _, number := range r.hit {
+		r.f.Doors[number].Hold(on, r.fault.Kind)
+	}
+}
+
+func killDoor(d *standin.Door) error {
+	d.Kill()
+	return nil
+}
+
+// terminate tells front doors to end; those that still run when the fault is over are killed, and all start again.
+func (r *faultRun) terminate(*spec.Fault) func() {
+	within := r.termWithin()
+	go r.doors(r.hit, func(d *standin.Door) error { d.Term(within); return nil })
+	return func() {
+		r.doors(r.hit, func(d *standin.Door) error { d.Term(within); return d.Again() })
+	}
+}
+
+// slowNodes gives front doors a share of a core.
+func (r *faultRun) slowNodes(f *spec.Fault) func() {
+	var wg sync.WaitGroup
+	for _, number := range r.hit {
+		wg.Go(func() { r.f.Doors[number].Slow(r.ctx, f.By) })
+	}
+	return wg.Wait
+}
+
+// sameSeed restarts front doors whose next life takes the seed, and so the epoch, of the last one.
+func (r *faultRun) sameSeed(*spec.Fault) func() {
+	r.doors(r.hit, func(d *standin.Door) error { d.SameSeed(); d.Kill(); return d.Again() })
+	return nil
+}
+
+// moveDiscovery gives front doors a new configuration, with another list.
+func (r *faultRun) moveDiscovery(*spec.Fault) func() {
+	r.doors(r.hit, func(d *standin.Door) error { return d.MoveDiscovery(1500 * time.Millisecond) })
+	return nil
+}
+
+// limit restarts front doors with little memory or few sockets, and without that when the fault is over; 0: not bounded.
+func (r *faultRun) limit(memory, sockets int) func() {
+	restart := func(memory, sockets int) {
+		r.doors(r.hit, func(d *standin.Door) error { d.Limits(memory, sockets); d.Kill(); return d.Again() })
+	}
+	restart(memory, sockets)
+	return func() { restart(0, 0) }
+}
+
+// someServing draws the backends that the fault hits.
+func (r *faultRun) someServing() (all []*standin.Backend) {
+	serving := r.f.Serving()
+	for _, i := range r.hits(r.fault, len(serving)) {
+		all = append(all, serving[i])
+	}
+	return all
+}
+
+func bring(to []*standin.Backend, f *spec.Fault, change func(*standin.Mode, *spec.Fault)) func() {
+	var ends []func()
+	for _, b := range to {
+		ends = append(ends, b.Bring(func(m *standin.Mode) { change(m, f) }))
+	}
+	return together(ends)
+}
+
+// someBackends has a share of the backends do something wrong.
+func someBackends(change func(*standin.Mode, *spec.Fault)) spec.Action[*faultRun] {
+	return func(r *faultRun, f *spec.Fault) func() { return bring(r.someServing(), f, change) }
+}
+
+// allBackends has all of them do something wrong with a share of the submissions.
+func allBackends(change func(*standin.Mode, *spec.Fault)) spec.Action[*faultRun] {
+	return func(r *faultRun, f *spec.Fault) func() { return bring(r.f.Serving(), f, change) }
+}
+
+// crashBackends ends backends; each is replaced by a cold one when the fault is over.
+func (r *faultRun) crashBackends(f *spec.Fault) func() {
+	for _, b := range r.someServing() {
+		r.f.Replace(b, f.For.D(), r.told)
+	}
+	return nil
+}
+
+// loseZone ends the backends of a zone and, with a share, its front doors.
+func (r *faultRun) loseZone(f *spec.Fault) func() {
+	for _, b := range r.f.Serving() {
+		if b.Hall == f.Hall {
+			r.f.Replace(b, f.For.D(), r.told)
 		}
-	case "hall-cut":
-		mine := r.inHall(f.Hall)
-		peers(netfault.Effect{Cut: true, On: func(a, b int) bool { return slices.Contains(mine, a) != slices.Contains(mine, b) }})
-		for _, d := range fleet.Doors {
-			for hall, w := range d.Backends {
-				if (hall == f.Hall) != (d.Hall == f.Hall) {
-					heal = append(heal, w.Bring(standin.Trouble{Cut: true}))
-				}
+	}
+	if f.Share <= 0 {
+		return nil
+	}
+	r.hit = r.inHall(f.Hall)
+	r.Kill()
+	return r.Start
+}
+
+// cutZone lets no word in or out of a zone.
+func (r *faultRun) cutZone(f *spec.Fault) func() {
+	mine := r.inHall(f.Hall)
+	ends := []func(){r.f.Relay.Bring(netfault.Effect{Cut: true, On: func(a, b int) bool {
+		return slices.Contains(mine, a) != slices.Contains(mine, b)
+	}})}
+	for _, d := range r.f.Doors {
+		for hall, w := range d.Backends {
+			if (hall == f.Hall) != (d.Hall == f.Hall) {
+				ends = append(ends, w.Bring(standin.Trouble{Cut: true}))
 			}
 		}
-	case "door-kill":
-		which := r.hits(f, len(fleet.Doors))
-		r.doors(which, func(d *standin.Door) error { d.Kill(); return nil })
-		heal = append(heal, r.again(which))
-	case "door-term":
-		which := r.hits(f, len(fleet.Doors))
-		go r.doors(which, func(d *standin.Door) error { d.Term(r.termWithin()); return nil })
-		heal = append(heal, func() {
-			r.doors(which, func(d *standin.Door) error { d.Term(r.termWithin()); return d.Again() })
-		})
-	case "door-stall":
-		for _, nr := range r.hits(f, len(fleet.Doors)) {
-			d := fleet.Doors[nr]
-			d.Hold(true, f.Kind)
-			heal = append(heal, func() { d.Hold(false, f.Kind) })
-		}
-	case "door-roll":
-		r.roll(ctx, f)
-	case "door-slow":
-		var wg sync.WaitGroup
-		for _, nr := range r.hits(f, len(fleet.Doors)) {
-			wg.Add(1)
-			go func() { defer wg.Done(); fleet.Doors[nr].Slow(ctx, f.By) }()
-		}
-		heal = append(heal, wg.Wait)
-	case "door-seed": // its next life takes the seed, and so the epoch, of its last one
-		r.doors(r.hits(f, len(fleet.Doors)), func(d *standin.Door) error { d.SameSeed(); d.Kill(); return d.Again() })
-	case "door-config":
-		r.doors(r.hits(f, len(fleet.Doors)), func(d *standin.Door) error { return d.MoveDiscovery(1500 * time.Millisecond) })
-	case "door-few", "door-little":
-		which := r.hits(f, len(fleet.Doors))
-		memory, sockets := int(f.By), 0
-		if f.Kind == "door-few" {
-			memory, sockets = 0, int(f.By)
-		}
-		r.doors(which, func(d *standin.Door) error { d.Limits(memory, sockets); d.Kill(); return d.Again() })
-		heal = append(heal, func() {
-			r.doors(which, func(d *standin.Door) error { d.Limits(0, 0); d.Kill(); return d.Again() })
-		})
-	case "late-lists":
-		for _, a := range fleet.Agents {
-			a.Late(true)
-			heal = append(heal, func() { a.Late(false) })
+	}
+	return together(ends)
+}
+
+// delayLists has discovery tell what it tells late.
+func (r *faultRun) delayLists(*spec.Fault) func() {
+	late := func(on bool) {
+		for _, a := range r.f.Agents {
+			a.Late(on)
 		}
-	case "burst":
+	}
+	late(true)
+	return func() { late(false) }
+}
+
+// raiseLoad lets clients ask more often.
+func (r *faultRun) raiseLoad(f *spec.Fault) func() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	end := r.load.Hold(f.By)
+	return func() {
 		r.mu.Lock()
-		r.load = append(r.load, f.By)
-		r.mu.Unlock()
-		heal = append(heal, func() {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			if i := slices.Index(r.load, f.By); i >= 0 {
-				r.load = slices.Delete(r.load, i, i+1)
-			}
-		})
-	case "link-cut", "link-delay", "link-rate":
-		t := standin.Trouble{Cut: f.Kind == "link-cut", Delay: f.Delay.D(), Only: map[string]standin.Direction{"in": standin.In, "out": standin.Out}[f.Way]}
-		if f.Kind == "link-rate" {
-			t.Rate = f.By
-		}
-		for _, nr := range r.hits(f, len(fleet.Doors)) {
-			for _, w := range ways(fleet.Doors[nr], f.Link) {
-				heal = append(heal, w.Bring(t))
+		defer r.mu.Unlock()
+		end()
+	}
+}
+
+// troubleLinks does something to the ways between front doors and what they call.
+func troubleLinks(trouble func(*spec.Fault) standin.Trouble) spec.Action[*faultRun] {
+	return func(r *faultRun, f *spec.Fault) func() {
+		t := trouble(f)
+		t.Only = map[string]standin.Direction{"in": standin.In, "out": standin.Out}[f.Way]
+		var ends []func()
+		for _, number := range r.hit {
+			for _, w := range ways(r.f.Doors[number], f.Link) {
+				ends = append(ends, w.Bring(t))
 			}
 		}
-	case "stall-at", "exit-at":
-		heal = append(heal, r.orders(f)...)
-	case "counter-down":
-		counter(func(m *sharedcounter.Mode) { m.Down = true })
-	case "counter-busy":
-		counter(func(m *sharedcounter.Mode) { m.Busy = adds(m.Busy, f.Share) })
-	case "counter-spoilt":
-		counter(func(m *sharedcounter.Mode) { m.Spoilt = adds(m.Spoilt, f.Share) })
-	case "counter-mute":
-		counter(func(m *sharedcounter.Mode) { m.Mute = adds(m.Mute, f.Share) })
-	case "counter-late":
-		counter(func(m *sharedcounter.Mode) { m.Late += f.Delay.D() })
-	case "counter-reset":
-		fleet.Counter.Replace()
-	default:
-		if e, ok := netfault.Of(f, len(fleet.Doors), func(i int) string { return fleet.Doors[i].Hall }, r.source(f)); ok {
-			peers(e)
-		} else {
-			r.mu.Lock()
-			r.fault = fmt.Errorf("fault %q is not played on real processes", f.Kind)
-			r.mu.Unlock()
-		}
+		return together(ends)
 	}
-	return heal
+}
+
+// troublePeers does something to the datagrams between front doors.
+func (r *faultRun) troublePeers(f *spec.Fault) func() {
+	e, _ := netfault.Of(f, len(r.f.Doors), func(i int) string { return r.f.Doors[i].Hall }, r.source(f))
+	return r.f.Relay.Bring(e)
+}
+
+// troubleCounter has the shared counter do something wrong.
+func (r *faultRun) troubleCounter(f *spec.Fault) func() {
+	return r.f.Counter.Bring(sharedcounter.Trouble(f))
 }
 
 func ways(d *standin.Door, link string) (all []*standin.Way) {
@@ -281,9 +369,9 @@
 	return longest + 700*time.Millisecond
 }
 
-// release drains backends in waves; each ends once all front doors have been told, and a cold one takes its place.
-func (r *run) release(f *spec.Fault, some []*standin.Backend) {
-	waves := max(1, f.Waves)
+// drainBackends drains backends in waves; each ends once all front doors have been told, and a cold one takes its place.
+func (r *faultRun) drainBackends(f *spec.Fault) func() {
+	waves, some := max(1, f.Waves), r.someServing()
 	for i, b := range some {
 		wave := math.Floor(float64(i*waves) / float64(len(some)))
 		r.f.Later(time.Duration(wave*float64(f.For)/float64(waves)), func() {
@@ -291,51 +379,59 @@
 			r.f.Replaced(b, r.s.Discovery.Late[1].D()+r.s.Rules.DrainGrace.D()+time.Second, r.told)
 		})
 	}
+	return nil
 }
 
 // roll restarts front doors in waves, each told to end and started again a while later.
-func (r *run) roll(ctx context.Context, f *spec.Fault) {
-	which := r.hits(f, len(r.f.Doors))
+func (r *faultRun) roll(f *spec.Fault) func() {
 	waves := max(1, f.Waves)
 	step := f.For.D() / time.Duration(waves)
-	for i, nr := range which {
-		d := r.f.Doors[nr]
-		wait := time.Duration(i*waves/len(which)) * step
-		r.wg.Add(1)
-		go func() {
-			defer r.wg.Done()
-			sleep(ctx, wait)
+	for i, number := range r.hit {
+		d := r.f.Doors[number]
+		wait := time.Duration(i*waves/len(r.hit)) * step
+		r.wg.Go(func() {
+			sleep(r.ctx, wait)
 			d.Term(r.termWithin())
-			if err := d.Again(); err != nil {
-				r.mu.Lock()
-				r.fault = err
-				r.mu.Unlock()
-			}
-		}()
+			r.fail(d.Again())
+		})
+	}
+	return nil
+}
+
+// pointTimes is how often a point is passed, at the most, before an order strikes there, and pointHold how long it lasts
+// where the fault does not say.
+const (
+	pointTimes = 40
+	pointHold  = 400 * time.Millisecond
+)
+
+// atPoint gives, for each front door that is hit, at which time of passing a point an order strikes.
+func (r *faultRun) atPoint(order func(d *standin.Door, nth int)) {
+	rng := r.source(r.fault)
+	for _, number := range spec.Hits(len(r.f.Doors), r.fault.Share, rng) {
+		nth := 1 + rng.IntN(pointTimes)
+		if r.fault.Waves > 0 {
+			nth = r.fault.Waves
+		}
+		order(r.f.Doors[number], nth)
 	}
 }
 
-// orders tells front doors to stand still, or to end, at a point in their code, again and again until the fault is over.
-func (r *run) orders(f *spec.Fault) (heal []func()) {
-	rng := r.source(f)
-	hold, most := f.Delay.D(), 40
+// stallAtPoint tells front doors to stand still at a point in their code.
+func (r *faultRun) stallAtPoint(f *spec.Fault) func() {
+	hold := f.Delay.D()
 	if hold <= 0 {
-		hold = 400 * time.Millisecond
+		hold = pointHold
 	}
-	for _, nr := range spec.Hits(len(r.f.Doors), f.Share, rng) {
-		d, nth := r.f.Doors[nr], 1+rng.IntN(most)
-		if f.Waves > 0 {
-			nth = f.Waves
-		}
-		if f.Kind == "exit-at" {
-			d.Order("exit", failpoint.Name(f.Point), nth, 0)
-			heal = append(heal, func() {
-				d.Kill() // if the point was never reached
-				r.again([]int{nr})()
-			})
-			continue
-		}
-		d.Order("stop", failpoint.Name(f.Point), nth, hold)
+	r.atPoint(func(d *standin.Door, nth int) { d.Order("stop", failpoint.Name(f.Point), nth, hold) })
+	return nil
+}
+
+// exitAtPoint tells front doors to end at a point; they are started again when the fault is over.
+func (r *faultRun) exitAtPoint(f *spec.Fault) func() {
+	r.atPoint(func(d *standin.Door, nth int) { d.Order("exit", failpoint.Name(f.Point), nth, 0) })
+	return func() {
+		r.Kill() // those that never reached the point
+		r.Start()
 	}
-	return heal
 }
--- /dev/null
+++ b/internal/lab/faultrig/gatewayjudge.go
@@ -0,0 +1,131 @@
+// What a run of the gateway's processes is held against, and what is kept of one that failed.
+
+package faultrig
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"time"
+
+	"clovergap/internal/history"
+	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/standin"
+)
+
+// recovers waits until every node serves every first route.
+func (h *gatewayRun) recovers(ctx context.Context, what string) []history.Broken {
+	began := time.Now()
+	late, cancel := context.WithTimeout(ctx, recoverMost)
+	defer cancel()
+	var mu sync.Mutex
+	var bad []history.Broken
+	h.each(h.t.Nodes, func(d *gatewaystandin.Node) error {
+		for late.Err() == nil {
+			if h.load.Probe(late, d) {
+				return nil
+			}
+			sleep(late, 100*time.Millisecond)
+		}
+		if ctx.Err() == nil {
+			mu.Lock()
+			bad = append(bad, history.Broken{Rule: "RECOVER", T: history.Now(), Who: d.Name,
+				What: fmt.Sprintf("does not serve %s after %s: %s",
+					recoverMost, what, h.t.Tells(d))})
+			mu.Unlock()
+		}
+		return nil
+	})
+	h.settled = append(h.settled, time.Since(began).Round(time.Millisecond))
+	return bad
+}
+
+// judge holds the history against the rules.
+func (h *gatewayRun) judge(res *GatewayResult, bad []history.Broken) {
+	o, _, _ := h.load.Outcomes()
+	res.Asked, res.Settled, res.InTime = o.Requests, o.Settled, o.InTime
+	res.Refused, res.Voided, res.Failed = o.Declined, o.Voided, o.Failed
+	for _, d := range h.t.Nodes {
+		if words, ended := d.Crash(); ended {
+			bad = append(bad, history.Broken{Rule: "Fault", T: history.Now(), Who: d.Name,
+				What: "ended by itself: " + words})
+		}
+	}
+	events := h.log.Events()
+	res.History = events
+	for _, v := range h.t.Operator.Versions() {
+		if v.Acked > 0 {
+			res.Taken++
+		} else if !v.Lost {
+			res.Unclear++
+		}
+	}
+	if n := events[max(0, len(events)-1)]; n.Kind == history.Lost {
+		res.Slow = time.Hour // what rests on what was not kept is no finding
+	}
+	bad = append(bad, gatewaystandin.Judge(events, h.t.Backends(), platform+res.Slow)...)
+	if h.also != nil {
+		bad = append(bad, h.also(events, platform+res.Slow)...)
+	}
+	spoilt := map[string]bool{}
+	for _, e := range events {
+		if e.Kind == standin.Spoils {
+			spoilt[e.Txn] = true
+		}
+	}
+	for _, b := range history.OneAnswer(gatewaystandin.Run(events), history.World{Slack: platform + res.Slow}) {
+		// What a backend broke off may end so, and what takes longer than its node's grace.
+		if !spoilt[b.Txn] && !gatewaystandin.OutOfGrace(events, b.Who, b.T) {
+			bad = append(bad, b)
+		}
+	}
+	for _, b := range bad {
+		if b.Timed && res.Slow > slowMost {
+			res.Doubted = append(res.Doubted, b)
+		} else {
+			res.Broken = append(res.Broken, b)
+		}
+	}
+}
+
+// keep writes the history and the nodes' logs of a run that failed.
+func (h *gatewayRun) keep(dir string, res *GatewayResult) error {
+	dir = filepath.Join(dir, fmt.Sprintf("%s-%d-%d", cmp.Or(h.name, "house"), res.Nodes, res.Seed))
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return err
+	}
+	f, err := os.Create(filepath.Join(dir, "history.jsonl"))
+	if err != nil {
+		return err
+	}
+	if err := errors.Join(history.Write(f, res.History), f.Close()); err != nil {
+		return err
+	}
+	if len(h.says) > 0 {
+		text := strings.Join(h.says, "\n") + "\n"
+		if err := os.WriteFile(filepath.Join(dir, "doors.txt"), []byte(text), 0o644); err != nil {
+			return err
+		}
+	}
+	for _, d := range h.t.Nodes {
+		in, err := os.Open(d.Log())
+		if err != nil {
+			continue // it wrote nothing
+		}
+		out, err := os.Create(filepath.Join(dir, d.Name+".log"))
+		if err != nil {
+			return errors.Join(err, in.Close())
+		}
+		_, err = io.Copy(out, in)
+		if err := errors.Join(err, in.Close(), out.Close()); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/lab/faultrig/rig.go
+++ b/internal/lab/faultrig/rig.go
@@ -78,7 +78,7 @@
 	log   *history.Log
 	rng   *rand.Rand
 	mu    sync.Mutex
-	load  []float64
+	load  spec.Held
 	fault error
 	wg    sync.WaitGroup
 }
@@ -97,7 +97,7 @@
 	}
 	late := map[int]bool{}
 	for i := range s.Faults {
-		if f := &s.Faults[i]; f.Kind == "door-late" {
+		if f := &s.Faults[i]; f.Has(spec.StartLate) {
 			for _, nr := range r.hits(f, s.Doors.Count) {
 				late[nr] = true
 			}
@@ -121,11 +121,7 @@
 	load.Rate = func() float64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		x := rate
-		for _, by := range r.load {
-			x *= by
-		}
-		return x
+		return rate * r.load.Product()
 	}
 	stop := make(chan struct{})
 	slow := watchSelf(stop)
--- a/internal/lab/netfault/links.go
+++ b/internal/lab/netfault/links.go
@@ -152,20 +152,20 @@
 
 // Of gives what a fault does to the datagrams between front doors, if it does anything.
 func Of(f *spec.Fault, n int, hall func(int) string, rng *rand.Rand) (e Effect, ok bool) {
-	switch f.Kind {
-	case "peer-cut":
+	switch f.Effect() {
+	case spec.CutPeers:
 		e = Effect{Cut: true, Hold: f.Hold, On: f.Pairs(n, hall, rng)}
-	case "peer-loss":
+	case spec.LosePeers:
 		e = Effect{Loss: f.Share}
-	case "peer-delay":
+	case spec.DelayPeers:
 		e = Effect{Delay: f.Delay.D()}
-	case "peer-double":
+	case spec.RepeatPeers:
 		e = Effect{Double: f.Share}
-	case "peer-reorder":
+	case spec.ReorderPeers:
 		e = Effect{Reorder: f.Share, Delay: f.Delay.D()}
-	case "peer-rate":
+	case spec.LimitPeers:
 		e = Effect{Rate: f.By}
-	case "peer-spoil":
+	case spec.SpoilPeers:
 		e = Effect{Spoil: f.Share}
 	default:
 		return e, false
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -10,6 +10,7 @@
 	"clovergap/internal/gateway/ingress"
 	"clovergap/internal/history"
 	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/gate"
 	"clovergap/internal/proxy/slots"
 )
@@ -21,7 +22,7 @@
 	known  gatewaystandin.Known
 	missed []int
 	heard  []bool
-	burst  []float64
+	burst  spec.Held
 	hot    []*rush
 	next   uint32
 	open   bool
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -11,6 +11,7 @@
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/history"
 	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 )
 
 // Result is what came of a day.
@@ -161,7 +162,7 @@
 func (w *world) closing() {
 	rng := source(w.day.Seed, 0xc105)
 	lost, struck := w.cores()[rng.IntN(w.day.Disks)], false
-	w.next(acked, 5*time.Second, func() {
+	w.next(spec.Acknowledged, 5*time.Second, func() {
 		struck = true
 		w.say("closing fault")
 		for _, m := range w.machines {
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -1,93 +1,67 @@
 package simulation
 
 import (
+	"math/rand/v2"
 	"slices"
-	"strings"
 	"time"
 
 	"clovergap/internal/lab/spec"
 )
 
-// Draw draws a day's faults from its seed, biased to moments that matter: right after an acknowledgement, while a disk writes,
-// while a view changes, right after a drain was acknowledged. One disk at the most is lost by them, none in days that
-// begin with the first start; the closing fault may take another, after the core has been calm.
-func Draw(site Site, seed uint64, most int, dur time.Duration) *Day {
-	if site.Hot {
-		return drawHot(site, seed, most, dur)
-	}
-	rng := source(seed, 0x5ced)
-	if site.Beat == 0 {
-		site.Beat = []time.Duration{time.Second, time.Second, 3 * time.Second}[rng.IntN(3)]
-	}
-	hot := site.Rate == 0 && rng.IntN(4) == 0
-	d := &Day{Site: site.Usual(), Seed: seed, For: dur}
-	if hot { // so that quotas, budgets and backends are pressed
-		d.Rate *= 4
-	}
-	d.Early = rng.IntN(4) == 0
-	if rng.IntN(3) == 0 {
-		d.Closing, d.Wipe = true, rng.IntN(2) == 0 && d.Tolerates() > 0
-	}
-	seconds := func(from, to float64) spec.Span { return spec.Span((from + rng.Float64()*(to-from)) * 1e9) }
-	wiped := d.Tolerates() == 0 || d.Early // a core founded by too few has none to lose: see docs/rehearsal.md
-	for range 1 + rng.IntN(max(1, most)) {
-		f := spec.Fault{Kind: kinds[rng.IntN(len(kinds))], At: spec.Span(rng.Float64() * 0.8 * float64(dur)), Pick: rng.Uint64()>>1 | 1,
-			Share: []float64{0.1, 0.3, 0.3, 0.6, 1}[rng.IntN(5)], For: seconds(0.05, 4), By: rng.Float64(),
-			Way: []string{"both", "both", "in", "out"}[rng.IntN(4)]}
-		switch {
-		case strings.HasSuffix(f.Kind, "-wipe"):
-			if wiped {
-				f.Kind = "core-kill"
-			}
-			wiped, f.Share = true, 0.01
-		case strings.HasSuffix(f.Kind, "-stall") || f.Kind == "drain" || f.Kind == "crash" || strings.HasSuffix(f.Kind, "-term"):
-			f.Share = min(f.Share, 0.6)
-		case f.Kind == "failing":
-			f.For = seconds(1, 8)
-		case f.Kind == "core-part":
-			f.For = seconds(15, 22)
-		case strings.HasPrefix(f.Kind, "disk-"):
-			f.Share = min(f.Share, 0.6)
-		}
-		if d.Early && rng.IntN(2) == 0 { // while the core is founded
-			f.At, f.For = seconds(0, 1.5), seconds(0.5, 8)
-		}
-		d.Faults = append(d.Faults, f)
-	}
-	return d
-}
-
-// kinds of faults; those that matter more stand more often.
-var kinds = []string{"door-kill", "core-kill", "herd-kill", "core-power", "ack-kill", "ack-kill", "ack-power", "sync-kill", "sync-power",
-	"view-kill", "view-stall", "drain-kill", "drain-kill", "door-stall", "core-stall", "ack-stall", "disk-wipe", "ack-wipe", "door-term",
-	"core-term", "door-cut", "core-cut", "core-cut", "core-part", "ack-cut", "drain-cut", "zone-cut", "loss", "disk-slow", "disk-hang", "disk-full",
-	"crash", "drain", "drain", "drain", "burst", "resets", "lost-answers", "slow", "failing"}
+// momentMost is how long a fault waits for its moment; then it comes all the same.
+const momentMost = 3 * time.Second
 
-// Kinds are the names of all faults.
-func Kinds() []string { return slices.Compact(slices.Sorted(slices.Values(kinds))) }
+// faultRun is a fault under way: the day with the machines that it hits. What it does is in effects.
+type faultRun struct {
+	*world
+	fault *spec.Fault
+	rng   *rand.Rand
+	hit   []*machine
+	// harmed machines count as in trouble while the fault lasts: those that a rule may not hold to anything meanwhile.
+	harmed []*machine
+}
 
-// moments that faults wait for, by the first word of their kind.
-var moments = map[string]moment{"ack": acked, "sync": writes, "view": asks, "call": passes}
+// effects is what faults do in simulated time. An action without an end calls over itself.
+var effects = spec.NodeActions(spec.Table[*faultRun]{
+	spec.PowerOffNodes:    func(r *faultRun, _ *spec.Fault) func() { return r.killed(true) },
+	spec.KillOrPowerOff:   func(r *faultRun, f *spec.Fault) func() { return r.killed(f.By < 0.5) },
+	spec.WipeNodes:        (*faultRun).wipe,
+	spec.ReplaceNodes:     (*faultRun).replaceNodes,
+	spec.TerminateNodes:   (*faultRun).terminate,
+	spec.RestartCaller:    (*faultRun).restartCaller,
+	spec.CutNodes:         (*faultRun).cutNodes,
+	spec.CutZone:          (*faultRun).cutZone,
+	spec.PartLeader:       (*faultRun).partLeader,
+	spec.RepeatCalls:      (*faultRun).repeatCalls,
+	spec.LoseFrames:       (*faultRun).loseFrames,
+	spec.SlowDisks:        (*faultRun).slowDisks,
+	spec.HangDisks:        (*faultRun).hangDisks,
+	spec.FillDisks:        (*faultRun).fillDisks,
+	spec.CrashBackends:    (*faultRun).crashBackends,
+	spec.DrainBackends:    (*faultRun).drainBackends,
+	spec.RaiseLoad:        (*faultRun).raiseLoad,
+	spec.RushTenant:       (*faultRun).rushTenant,
+	spec.SlowBackends:     backendTrouble(func(b *backend, on, by float64) { b.slow = 1 + on*(1+20*by) }),
+	spec.ResetSubmissions: backendTrouble(func(b *backend, on, by float64) { b.resets = on * by / 2 }),
+	spec.LoseAnswers:      backendTrouble(func(b *backend, on, by float64) { b.silent = on * by / 2 }),
+	spec.FailBackends:     backendTrouble(func(b *backend, on, by float64) { b.fails = on * (0.3 + 0.7*by) }),
+})
 
-// play brings a fault and heals it.
+// play brings a fault at its time, or at its moment after that, and ends it.
 func (w *world) play(f *spec.Fault) {
 	w.faults++
 	w.at(w.now+f.At.D(), func() {
-		first, _, _ := strings.Cut(f.Kind, "-")
-		m := moments[first]
-		if f.Kind == "drain-kill" || f.Kind == "drain-cut" {
-			m = drained
-		}
-		if m == "" {
+		moment := f.Moment()
+		if moment == "" {
 			w.applyFault(f)
 			return
 		}
-		if m == drained && len(w.timeline.live) > 0 { // one drains, so that the moment comes
+		if moment == spec.Drained && len(w.timeline.live) > 0 { // one drains, so that the moment comes
 			b := w.timeline.live[f.Pick%uint64(len(w.timeline.live))]
 			w.timeline.add(b.service, b.zone, time.Second)
 			b.drain()
 		}
-		w.next(m, 3*time.Second, func() { w.applyFault(f) })
+		w.next(moment, momentMost, func() { w.applyFault(f) })
 	})
 }
 
@@ -96,179 +70,277 @@
 
 // applyFault brings a fault now.
 func (w *world) applyFault(f *spec.Fault) {
-	rng := f.Source(w.net)
-	some := func(of []*machine) (all []*machine) {
-		for _, i := range spec.Hits(len(of), f.Share, rng) {
-			all = append(all, of[i])
-		}
-		return all
+	r := &faultRun{world: w, fault: f, rng: f.Source(w.net)}
+	r.hit = r.targets()
+	if !f.Has(spec.RestartCaller) || w.passer == nil {
+		w.say("fault %s for %s, share %.2f", f.Kind, f.For.D(), f.Share)
 	}
-	of, what := w.cores(), f.Kind[strings.LastIndexByte(f.Kind, '-')+1:]
-	if strings.HasPrefix(f.Kind, "door-") || strings.HasPrefix(f.Kind, "herd-") {
-		of = w.machines
+	end, err := effects.Begin(r, f)
+	if err != nil {
+		panic(err)
 	}
-	hit := some(of)
-	if f.Kind == "herd-kill" {
-		hit = w.machines
+	if end != nil {
+		r.lasts(end)
 	}
-	if (f.Kind == "drain-kill" || f.Kind == "drain-cut") && w.teller != nil {
-		hit = []*machine{w.teller}
+}
+
+// targets draws the machines that the fault hits.
+func (r *faultRun) targets() []*machine {
+	from := r.cores()
+	target := r.fault.Target()
+	if target == spec.SomeNodes || target == spec.AllNodes {
+		from = r.machines
 	}
-	if strings.HasPrefix(f.Kind, "call-") && w.passer != nil {
-		w.restarts(f, w.passer, 1+int(4*f.By))
-		return
+	var some []*machine // drawn for each fault, so that what is drawn later is the same for all
+	for _, i := range spec.Hits(len(from), r.fault.Share, r.rng) {
+		some = append(some, from[i])
 	}
-	w.say("fault %s for %s, share %.2f", f.Kind, f.For.D(), f.Share)
-	// lasts brings something that ends after the fault's time; on machines it counts as trouble.
-	lasts := func(machines []*machine, on, off func()) {
-		for _, m := range machines {
-			m.harm(true)
-		}
-		on()
-		w.after(f.For.D(), func() {
-			off()
-			for _, m := range machines {
-				m.harm(false)
-			}
-			w.say("fault %s ends", f.Kind)
-			w.faults--
-		})
+	switch {
+	case target == spec.AllNodes:
+		return slices.Clone(r.machines)
+	case target == spec.DrainerNode && r.teller != nil:
+		return []*machine{r.teller}
+	case target == spec.CallerNode && r.passer != nil:
+		return []*machine{r.passer}
 	}
-	each := func(all []*machine, do func(*machine)) func() {
-		return func() {
-			for _, m := range all {
-				do(m)
-			}
+	return some
+}
+
+// lasts ends the fault when its time is over. The harmed machines are in trouble until then.
+func (r *faultRun) lasts(end func()) {
+	r.after(r.fault.For.D(), func() {
+		end()
+		for _, m := range r.harmed {
+			m.harm(false)
 		}
+		r.over()
+	})
+}
+
+// over notes that the fault has ended.
+func (r *faultRun) over() {
+	r.say("fault %s ends", r.fault.Kind)
+	r.faults--
+}
+
+// harms marks machines as in trouble while the fault lasts.
+func (r *faultRun) harms(all []*machine) {
+	r.harmed = all
+	for _, m := range all {
+		m.harm(true)
 	}
-	backs := func(set func(b *backend, on float64)) {
-		var all []*backend
-		for _, i := range spec.Hits(len(w.timeline.live), f.Share, rng) {
-			all = append(all, w.timeline.live[i])
-		}
-		both := func(on float64) func() {
-			return func() {
-				for _, b := range all {
-					set(b, on)
-				}
-			}
-		}
-		lasts(nil, both(1), both(0))
+}
+
+// Kill ends the processes of the machines that are hit.
+func (r *faultRun) Kill() { r.killed(false) }
+
+// Start starts those that do not run.
+func (r *faultRun) Start() {
+	for _, m := range r.hit {
+		m.start()
 	}
-	switch what {
-	case "kill", "power":
-		power := what == "power"
-		if f.Kind == "drain-kill" {
-			power = f.By < 0.5
-		}
-		lasts(nil, each(hit, func(m *machine) { m.kill(power) }), each(hit, (*machine).start))
-	case "replace":
-		w.turn(func() {
-			for i, m := range hit { // by its place: it may have been replaced meanwhile
-				hit[i] = w.machines[m.nr].replace()
-			}
-			lasts(nil, func() {}, each(hit, (*machine).start))
-		})
-	case "wipe":
-		if w.day.Hard {
-			w.turn(func() {
-				for i, m := range hit {
-					hit[i] = w.machines[m.nr]
-					hit[i].kill(f.By < 0.5)
-					hit[i].loses()
-				}
-				lasts(nil, func() {}, each(hit, (*machine).start))
-			})
-			break
-		}
-		lasts(nil, each(hit, func(m *machine) {
+}
+
+// Stall lets them stand still, and go on.
+func (r *faultRun) Stall(on bool) {
+	for _, m := range r.hit {
+		m.hold(on)
+	}
+}
+
+// killed ends them, or takes their power.
+func (r *faultRun) killed(power bool) (end func()) {
+	for _, m := range r.hit {
+		m.kill(power)
+	}
+	return r.Start
+}
+
+// wipe kills machines and takes what is on their disks; on hard days each such loss waits for its turn.
+func (r *faultRun) wipe(f *spec.Fault) func() {
+	wipe := func() {
+		for _, m := range r.hit {
 			m.kill(f.By < 0.5)
 			m.loses()
-		}), each(hit, (*machine).start))
-	case "stall":
-		lasts(nil, each(hit, func(m *machine) { m.hold(true) }), each(hit, func(m *machine) { m.hold(false) }))
-	case "term":
-		for _, m := range hit {
-			m.term()
 		}
-		w.after(w.machines[0].settings.Bounds.Grace+200*time.Millisecond, func() {
-			lasts(nil, func() {}, each(hit, (*machine).start))
-		})
-	case "cut":
-		c := &cut{group: map[*machine]bool{}, in: f.Way != "out", out: f.Way != "in"}
-		if f.Kind == "zone-cut" {
-			c.zone, c.backends, c.in, c.out = w.zones[rng.IntN(len(w.zones))], true, true, true
-			hit = nil
-			for _, m := range w.machines {
-				if m.zone == c.zone {
-					hit = append(hit, m)
-				}
-			}
+	}
+	if !r.day.Hard {
+		wipe()
+		return r.Start
+	}
+	r.turn(func() {
+		for i, m := range r.hit { // by its place: it may have been replaced meanwhile
+			r.hit[i] = r.machines[m.nr]
 		}
-		for _, m := range hit {
-			c.group[m] = true
+		wipe()
+		r.lasts(r.Start)
+	})
+	return nil
+}
+
+// replaceNodes puts new machines in the place of those that are hit, when their turn has come.
+func (r *faultRun) replaceNodes(*spec.Fault) func() {
+	r.turn(func() {
+		for i, m := range r.hit { // by its place: it may have been replaced meanwhile
+			r.hit[i] = r.machines[m.nr].replace()
 		}
-		lasts(w.machines, func() { w.cuts = append(w.cuts, c) },
-			func() { w.cuts = slices.DeleteFunc(w.cuts, func(x *cut) bool { return x == c }) })
-	case "part":
-		m := hit[0]
-		if l := w.leader(); l != nil && f.By < 0.6 {
-			m = l
+		r.lasts(r.Start)
+	})
+	return nil
+}
+
+// terminate tells processes to end; they start again when their grace and the fault's time are over.
+func (r *faultRun) terminate(*spec.Fault) func() {
+	for _, m := range r.hit {
+		m.term()
+	}
+	r.after(r.machines[0].settings.Bounds.Grace+200*time.Millisecond, func() { r.lasts(r.Start) })
+	return nil
+}
+
+// restartCaller kills the node that has passed on a call, some times. Where none has, it kills some, as a kind without the moment.
+func (r *faultRun) restartCaller(f *spec.Fault) func() {
+	if r.passer == nil {
+		return r.killed(f.Kind == callPower)
+	}
+	r.restarts(f, r.passer, 1+int(4*f.By))
+	return nil
+}
+
+// callPower is the kind that takes the power of the node that passed on a call.
+const callPower = "call-power"
+
+// cutNodes lets the machines that are hit not hear the others, or not be heard, or both.
+func (r *faultRun) cutNodes(f *spec.Fault) func() {
+	return r.cut(&cut{in: f.Way != "out", out: f.Way != "in"})
+}
+
+// cutZone lets no word in or out of a zone, of its machines or of its backends.
+func (r *faultRun) cutZone(*spec.Fault) func() {
+	zone := r.zones[r.rng.IntN(len(r.zones))]
+	r.hit = nil
+	for _, m := range r.machines {
+		if m.zone == zone {
+			r.hit = append(r.hit, m)
 		}
-		if len(w.cores()) < 3 { // one of two is half
-			w.faults--
-			return
+	}
+	return r.cut(&cut{zone: zone, backends: true, in: true, out: true})
+}
+
+// cut brings a cut of the machines that are hit; all machines are in trouble by it.
+func (r *faultRun) cut(c *cut) func() {
+	c.group = map[*machine]bool{}
+	for _, m := range r.hit {
+		c.group[m] = true
+	}
+	r.harms(r.machines)
+	r.cuts = append(r.cuts, c)
+	return func() { r.cuts = slices.DeleteFunc(r.cuts, func(x *cut) bool { return x == c }) }
+}
+
+// partLeader parts the leader, or another machine with a disk, from the others with one.
+func (r *faultRun) partLeader(f *spec.Fault) func() {
+	m := r.hit[0]
+	if l := r.leader(); l != nil && f.By < 0.6 {
+		m = l
+	}
+	if len(r.cores()) < 3 { // one of two is half
+		r.faults--
+		return nil
+	}
+	r.part(f, m)
+	return nil
+}
+
+// repeatCalls lets calls and replies between nodes come once more, late.
+func (r *faultRun) repeatCalls(*spec.Fault) func() {
+	r.copies++
+	return func() { r.copies-- }
+}
+
+// loseFrames loses a share of the datagrams; frames that would be lost go again.
+func (r *faultRun) loseFrames(f *spec.Fault) func() {
+	r.harms(r.machines)
+	return r.losses.Hold(0.02 + 0.3*f.By)
+}
+
+// disks does something to the disks that are hit, whose machines are in trouble by it, and undoes it.
+func (r *faultRun) disks(begin, end func(*platter)) func() {
+	r.harms(r.hit)
+	for _, m := range r.hit {
+		begin(m.disk)
+	}
+	return func() {
+		for _, m := range r.hit {
+			end(m.disk)
 		}
-		w.part(f, m)
-	case "copies":
-		lasts(nil, func() { w.copies++ }, func() { w.copies-- })
-	case "loss":
-		x := 0.02 + 0.3*f.By
-		lasts(w.machines, func() { w.losses = append(w.losses, x) },
-			func() { w.losses = slices.Delete(w.losses, slices.Index(w.losses, x), slices.Index(w.losses, x)+1) })
-	case "slow":
-		if f.Kind == "slow" {
-			backs(func(b *backend, on float64) { b.slow = 1 + on*(1+20*f.By) })
-			break
+	}
+}
+
+func (r *faultRun) slowDisks(f *spec.Fault) func() {
+	by := 5 + 100*f.By
+	return r.disks(func(d *platter) { d.slow *= by }, func(d *platter) { d.slow /= by })
+}
+
+func (r *faultRun) hangDisks(*spec.Fault) func() {
+	return r.disks(func(d *platter) { d.hangs++ }, func(d *platter) { d.hangs-- })
+}
+
+func (r *faultRun) fillDisks(*spec.Fault) func() {
+	return r.disks(func(d *platter) { d.full++ }, func(d *platter) { d.full-- })
+}
+
+// backends draws the backends that the fault hits.
+func (r *faultRun) backendsHit() (all []*backend) {
+	for _, i := range spec.Hits(len(r.timeline.live), r.fault.Share, r.rng) {
+		all = append(all, r.timeline.live[i])
+	}
+	return all
+}
+
+// backendTrouble sets something of some backends, with on at 1, and takes it back, at 0; by is the fault's strength.
+func backendTrouble(set func(b *backend, on, by float64)) spec.Action[*faultRun] {
+	return func(r *faultRun, f *spec.Fault) func() {
+		hit := r.backendsHit()
+		for _, b := range hit {
+			set(b, 1, f.By)
 		}
-		by := 5 + 100*f.By
-		lasts(hit, each(hit, func(m *machine) { m.disk.slow *= by }), each(hit, func(m *machine) { m.disk.slow /= by }))
-	case "hang":
-		lasts(hit, each(hit, func(m *machine) { m.disk.hangs++ }), each(hit, func(m *machine) { m.disk.hangs-- }))
-	case "full":
-		lasts(hit, each(hit, func(m *machine) { m.disk.full++ }), each(hit, func(m *machine) { m.disk.full-- }))
-	case "crash", "drain":
-		for _, i := range spec.Hits(len(w.timeline.live), f.Share, rng) {
-			b := w.timeline.live[i]
-			if b.draining {
-				continue
-			}
-			if f.Kind == "drain" {
-				w.timeline.add(b.service, b.zone, time.Second)
-				b.drain()
-				continue
+		return func() {
+			for _, b := range hit {
+				set(b, 0, f.By)
 			}
-			w.after(0, b.crash)
-			w.after(f.For.D(), func() { w.timeline.add(b.service, b.zone, time.Second) })
 		}
-		lasts(nil, func() {}, func() {})
-	case "burst":
-		by := 2 + 2*f.By
-		lasts(nil, func() { w.clients.burst = append(w.clients.burst, by) }, func() {
-			i := slices.Index(w.clients.burst, by)
-			w.clients.burst = slices.Delete(w.clients.burst, i, i+1)
-		})
-	case "hot":
-		r := w.hot(f)
-		lasts(nil, func() { w.clients.hot = append(w.clients.hot, r) },
-			func() { w.clients.hot = slices.DeleteFunc(w.clients.hot, func(x *rush) bool { return x == r }) })
-	case "resets":
-		backs(func(b *backend, on float64) { b.resets = on * f.By / 2 })
-	case "answers":
-		backs(func(b *backend, on float64) { b.silent = on * f.By / 2 })
-	case "failing":
-		backs(func(b *backend, on float64) { b.fails = on * (0.3 + 0.7*f.By) })
-	default:
-		panic("no such fault: " + f.Kind)
 	}
 }
+
+// crashBackends ends backends at once; others come in their place when the fault is over.
+func (r *faultRun) crashBackends(f *spec.Fault) func() {
+	for _, b := range r.backendsHit() {
+		if !b.draining {
+			r.after(0, b.crash)
+			r.after(f.For.D(), func() { r.timeline.add(b.service, b.zone, time.Second) })
+		}
+	}
+	return func() {}
+}
+
+// drainBackends lets backends leave in order, each replaced by another at once.
+func (r *faultRun) drainBackends(*spec.Fault) func() {
+	for _, b := range r.backendsHit() {
+		if !b.draining {
+			r.timeline.add(b.service, b.zone, time.Second)
+			b.drain()
+		}
+	}
+	return func() {}
+}
+
+// raiseLoad lets clients ask more often.
+func (r *faultRun) raiseLoad(f *spec.Fault) func() { return r.clients.burst.Hold(2 + 2*f.By) }
+
+// rushTenant lets one tenant send many times its usual.
+func (r *faultRun) rushTenant(f *spec.Fault) func() {
+	rushing := r.hot(f)
+	r.clients.hot = append(r.clients.hot, rushing)
+	return func() { r.clients.hot = slices.DeleteFunc(r.clients.hot, func(x *rush) bool { return x == rushing }) }
+}
--- a/internal/lab/simulation/hard.go
+++ b/internal/lab/simulation/hard.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"net"
 	"strconv"
-	"strings"
 	"time"
 
 	"clovergap/internal/gateway/node"
@@ -39,20 +38,20 @@
 		f := spec.Fault{Kind: hardKinds[rng.IntN(len(hardKinds))], At: spec.Span(rng.Float64() * 0.9 * float64(dur)), Pick: rng.Uint64()>>1 | 1,
 			Share: []float64{0.1, 0.1, 0.3, 0.6, 1}[rng.IntN(5)], For: seconds(0.05, 4), By: rng.Float64(),
 			Way: []string{"both", "both", "in", "out"}[rng.IntN(4)]}
-		switch _, what, _ := strings.Cut(f.Kind, "-"); {
-		case what == "wipe" || what == "replace":
-			if f.Share = 0.01; d.Tolerates() == 0 || d.Early { // a core founded by too few has none to lose: see docs/rehearsal.md
+		switch {
+		case f.Has(spec.WipeNodes, spec.ReplaceNodes):
+			if f.Share = 0.01; d.Tolerates() == 0 || d.Early { // a core founded by too few has none to lose: see docs/simulation.md
 				f.Kind = "core-kill"
 			}
 		case f.Kind == "long-cut":
 			f.For, f.Share = spec.Span(longCut), 0.1
-		case strings.HasPrefix(f.Kind, "call-"):
+		case f.Has(spec.RestartCaller):
 			f.For = seconds(0.02, 0.8)
-		case f.Kind == "copies":
+		case f.Has(spec.RepeatCalls):
 			f.For = seconds(2, 10)
-		case what == "stall" || what == "term" || strings.HasPrefix(f.Kind, "disk-") || f.Kind == "drain" || f.Kind == "crash":
+		case f.Has(spec.StallNodes, spec.TerminateNodes, spec.SlowDisks, spec.HangDisks, spec.FillDisks, spec.DrainBackends, spec.CrashBackends):
 			f.Share = min(f.Share, 0.6)
-		case f.Kind == "failing":
+		case f.Has(spec.FailBackends):
 			f.For = seconds(1, 8)
 		}
 		d.Faults = append(d.Faults, f)
@@ -130,7 +129,7 @@
 			has.harm(false)
 		})
 	}
-	w.after(time.Millisecond, func() { m.kill(f.Kind == "call-power") }) // what it has sent is out
+	w.after(time.Millisecond, func() { m.kill(f.Kind == callPower) }) // what it has sent is out
 	w.after(time.Millisecond+f.For.D(), func() {
 		w.machines[m.nr].start()
 		m.harm(false)
@@ -141,9 +140,9 @@
 				w.restarts(f, m, left-1)
 				return
 			}
-			w.next(passes, time.Second, next)
+			w.next(spec.PassesOn, time.Second, next)
 		}
-		w.next(passes, time.Second, next)
+		w.next(spec.PassesOn, time.Second, next)
 	})
 }
 
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -11,6 +11,7 @@
 	"clovergap/internal/gateway/transport"
 	"clovergap/internal/history"
 	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
 	"clovergap/internal/proxy/eventloop"
@@ -370,10 +371,10 @@
 }
 
 // writes_ is a moment only where something of the log is written.
-func writes_(all []replication.Write) moment {
+func writes_(all []replication.Write) spec.Moment {
 	for _, a := range all {
 		if len(a.Entries) > 0 {
-			return writes
+			return spec.Writes
 		}
 	}
 	return ""
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -9,6 +9,7 @@
 	"clovergap/control"
 	"clovergap/internal/gateway/node"
 	"clovergap/internal/gateway/replication"
+	"clovergap/internal/lab/spec"
 )
 
 // As internal/gateway/transport and its kernel have it.
@@ -145,11 +146,11 @@
 		return false
 	}
 	if f.Core != nil && f.Core.Message.Kind == replication.PreVote {
-		p.w.happens(asks)
+		p.w.happens(spec.ViewChange)
 	}
 	if f.Call != nil {
 		p.w.passer, p.w.passedTo = p.m, v.to
-		p.w.happens(passes)
+		p.w.happens(spec.PassesOn)
 	}
 	if v.c != nil { // else it waits for a link, and is dropped when that is up
 		v.c.send(f)
--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -10,6 +10,7 @@
 	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/history"
 	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 )
 
 // operator changes the configuration, sends the same bytes again until the answer is clear, and reads.
@@ -109,7 +110,7 @@
 			o.known = max(o.known, gen)
 			o.taken = append(o.taken, order{gen, c.Path, text})
 			note(gatewaystandin.Taken, "")
-			w.happens(acked)
+			w.happens(spec.Acknowledged)
 		case clear:
 			v.Lost, v.Refusal = true, fmt.Sprint(status, " ", string(answer))
 			note(gatewaystandin.Refused, v.Refusal)
--- a/internal/lab/simulation/stage.go
+++ b/internal/lab/simulation/stage.go
@@ -11,6 +11,7 @@
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/history"
 	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 )
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
@@ -178,7 +179,7 @@
 			answered := func(ok bool, target string) {
 				if ok && phase == registry.Draining && !leaves {
 					w.teller = m
-					w.happens(drained)
+					w.happens(spec.Drained)
 				}
 				if !w.apart(m, b.zone) {
 					w.after(w.way(m.zone, b.zone), func() { end(ok, target) })
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -101,11 +101,11 @@
 	disks    *rand.Rand
 	backs    *rand.Rand
 	cuts     []*cut
-	losses   []float64 // of datagrams, and of frames that go again
+	losses   spec.Held // of datagrams, and of frames that go again
 	timeline *timeline
 	clients  *clients
 	operator *operator
-	waits    map[moment][]func()
+	waits    map[spec.Moment][]func()
 	teller   *machine // who last acknowledged a drain
 	faults   int      // under way
 	over     bool
@@ -123,19 +123,8 @@
 	doing    string           // what the turn under way is for, where it is metered
 }
 
-// moment is something that faults wait for.
-type moment string
-
-const (
-	acked   moment = "a configuration was acknowledged"
-	drained moment = "a drain was acknowledged"
-	asks    moment = "a member asks for another view"
-	writes  moment = "a disk has begun to write"
-	passes  moment = "a door passes on a call"
-)
-
 // happens calls those who wait for a moment.
-func (w *world) happens(m moment) {
+func (w *world) happens(m spec.Moment) {
 	all := w.waits[m]
 	if len(all) == 0 {
 		return
@@ -147,7 +136,7 @@
 }
 
 // next calls at the next such moment, or after a while.
-func (w *world) next(m moment, most time.Duration, do func()) {
+func (w *world) next(m spec.Moment, most time.Duration, do func()) {
 	done := false
 	once := func() {
 		if !done {
@@ -163,7 +152,7 @@
 
 func newWorld(d *Day) *world {
 	w := &world{day: d, now: origin, byInner: map[string]*machine{}, byCall: map[string]*machine{},
-		waits: map[moment][]func(){}, counted: 1 << 62, net: source(d.Seed, 0x6e6574), disks: source(d.Seed, 0xd15c), backs: source(d.Seed, 0xbac)}
+		waits: map[spec.Moment][]func(){}, counted: 1 << 62, net: source(d.Seed, 0x6e6574), disks: source(d.Seed, 0xd15c), backs: source(d.Seed, 0xbac)}
 	for i := range d.Zones {
 		w.zones = append(w.zones, fmt.Sprintf("zone-%d", i))
 	}
--- a/internal/lab/spec/fault.go
+++ b/internal/lab/spec/fault.go
@@ -29,78 +29,37 @@
 	Pick  uint64  `toml:"pick,omitempty"`  // seed of what it hits, so that it hits the same without the other faults; 0: the run's
 }
 
-// Where a fault can be played.
-const (
-	Anywhere  = "the emulator and real processes"
-	Processes = "real processes only (lab chaos)"
-)
-
-// kind is what a fault needs, and who can play it.
-type kind struct{ needs, where string }
-
-var kinds = map[string]kind{
-	"slow": {"share by", Anywhere}, "failing": {"share by", Anywhere}, "silent": {"share", Anywhere}, "crash": {"share", Anywhere},
-	"drain": {"share", Anywhere}, "release": {"share", Anywhere}, "hall-loss": {"hall", Anywhere}, "hall-cut": {"hall", Anywhere},
-	"door-kill": {"share", Anywhere}, "door-stall": {"share", Anywhere}, "door-roll": {"share", Anywhere}, "late-lists": {"", Anywhere},
-	"resets": {"share", Anywhere}, "lost-answers": {"share", Anywhere}, "burst": {"by", Anywhere},
-
-	"peer-loss": {"share", Anywhere}, "peer-cut": {"shape", Anywhere}, "peer-delay": {"delay", Anywhere}, "peer-double": {"share", Anywhere},
-	"peer-reorder": {"share delay", Anywhere}, "peer-rate": {"by", Anywhere}, "peer-spoil": {"share", Anywhere},
-
-	"counter-down": {"", Anywhere}, "counter-busy": {"share", Anywhere}, "counter-spoilt": {"share", Anywhere}, "counter-mute": {"share", Anywhere},
-	"counter-late": {"delay", Anywhere}, "counter-reset": {"", Anywhere},
-
-	"door-term": {"share", Processes}, "door-late": {"share", Processes}, "door-slow": {"share by", Processes}, "door-seed": {"share", Processes},
-	"door-config": {"share", Processes}, "door-few": {"share by", Processes}, "door-little": {"share by", Processes},
-	"link-cut": {"share link", Processes}, "link-delay": {"share link delay", Processes}, "link-rate": {"share link by", Processes},
-	"stall-at": {"share point", Processes}, "exit-at": {"share point", Processes},
-}
-
 // Shapes of cuts between front doors.
 var shapes = []string{"halves", "isolated", "bridge", "ring", "hall"}
 
-// Kinds lists the faults, in order.
-func Kinds() []string {
-	all := make([]string, 0, len(kinds))
-	for k := range kinds {
-		all = append(all, k)
-	}
-	sort.Strings(all)
-	return all
-}
-
-// Emulated tells whether the emulator can play a kind of fault.
-func Emulated(name string) bool { return kinds[name].where == Anywhere }
-
 // OnlyProcesses names the first fault that the emulator does not know.
 func (s *Spec) OnlyProcesses() error {
 	for i, f := range s.Faults {
-		if !Emulated(f.Kind) {
-			return fmt.Errorf("faults[%d].kind: %q is played on %s", i, f.Kind, kinds[f.Kind].where)
+		if !PlayedIn(Emulator, f.Kind) {
+			return fmt.Errorf("faults[%d].kind: %q is played on real processes only (lab chaos)", i, f.Kind)
 		}
 	}
 	return nil
 }
 
 func (f *Fault) wrong(s *Spec, at string, say func(bool, string, string)) {
-	k, ok := kinds[f.Kind]
-	needs := func(what string) bool { return slices.Contains(strings.Fields(k.needs), what) }
-	say(!ok, at+"kind", fmt.Sprintf("no such fault: %q", f.Kind))
+	needs := func(what Fields) bool { return kindOf(f.Kind).needs&what != 0 }
+	say(!PlayedIn(anywhere, f.Kind), at+"kind", fmt.Sprintf("no such fault: %q", f.Kind))
 	say(f.At < 0 || f.At >= s.For, at+"at", fmt.Sprintf("%s is beyond the end, %s", f.At.D(), s.For.D()))
 	say(f.For < 0, at+"for", "must not be below nought")
 	say(f.At+f.For > s.For, at+"for", fmt.Sprintf("it ends at %s, beyond the end, %s", (f.At+f.For).D(), s.For.D()))
-	say(needs("share") && !(f.Share > 0 && f.Share <= 1), at+"share", "must be over 0 and at most 1")
-	say(needs("by") && !(f.By > 0), at+"by", "must be more than nought")
+	say(needs(NeedsShare) && !(f.Share > 0 && f.Share <= 1), at+"share", "must be over 0 and at most 1")
+	say(needs(NeedsBy) && !(f.By > 0), at+"by", "must be more than nought")
 	say(f.Kind == "failing" && f.By > 1, at+"by", "must be over 0 and at most 1: it is the share that fails")
 	say(f.Kind == "door-slow" && f.By > 1, at+"by", "must be over 0 and at most 1: it is the share of a core")
-	say(needs("delay") && f.Delay <= 0, at+"delay", "must be more than nought, such as \"50ms\"")
-	say(needs("hall") && !slices.Contains(s.Halls.Names, f.Hall), at+"hall", fmt.Sprintf("no such hall: %q", f.Hall))
-	say(needs("shape") && !slices.Contains(shapes, f.Shape), at+"shape", fmt.Sprintf("must be %s, not %q", strings.Join(shapes, ", "), f.Shape))
+	say(needs(NeedsDelay) && f.Delay <= 0, at+"delay", "must be more than nought, such as \"50ms\"")
+	say(needs(NeedsHall) && !slices.Contains(s.Halls.Names, f.Hall), at+"hall", fmt.Sprintf("no such hall: %q", f.Hall))
+	say(needs(NeedsShape) && !slices.Contains(shapes, f.Shape), at+"shape", fmt.Sprintf("must be %s, not %q", strings.Join(shapes, ", "), f.Shape))
 	say(f.Shape == "hall" && !slices.Contains(s.Halls.Names, f.Hall), at+"hall", fmt.Sprintf("no such hall: %q", f.Hall))
 	say(f.Way != "" && f.Way != "in" && f.Way != "out" && f.Way != "both", at+"way", fmt.Sprintf("must be in, out or both, not %q", f.Way))
-	say(needs("link") && f.Link != "discovery" && f.Link != "backends" && f.Link != "counter", at+"link",
+	say(needs(NeedsLink) && f.Link != "discovery" && f.Link != "backends" && f.Link != "counter", at+"link",
 		fmt.Sprintf("must be discovery, backends or counter, not %q", f.Link))
-	say(needs("point") && !failpoint.Known(failpoint.Name(f.Point)), at+"point", fmt.Sprintf("no such point: %q", f.Point))
+	say(needs(NeedsPoint) && !failpoint.Known(failpoint.Name(f.Point)), at+"point", fmt.Sprintf("no such point: %q", f.Point))
 }
 
 // Pairs tells which ordered pairs of front doors a cut parts: hears(i, j) is false where nothing that i says gets to j.
@@ -186,8 +145,8 @@
 // after the last heal can.
 func (s *Spec) Draw(rng *rand.Rand, most int, emulated bool) {
 	var names []string
-	for _, k := range Kinds() {
-		if !notDrawn[k] && (!emulated || Emulated(k)) {
+	for _, k := range Kinds(anywhere) {
+		if !notDrawn[k] && (!emulated || PlayedIn(Emulator, k)) {
 			names = append(names, k)
 		}
 	}
@@ -197,11 +156,11 @@
 		f := Fault{Kind: names[rng.IntN(len(names))], Pick: rng.Uint64()>>1 | 1}
 		f.At = span(0.05*total, 0.7*total)
 		f.For = min(span(0.05, 0.5*total), Span(0.85*total*1e9)-f.At)
-		need := kinds[f.Kind].needs
-		if strings.Contains(need, "share") || f.Kind == "peer-cut" {
+		needs := kindOf(f.Kind).needs
+		if needs&NeedsShare != 0 || f.Kind == "peer-cut" {
 			f.Share = math.Round((0.05+0.75*rng.Float64())*100) / 100
 		}
-		if strings.Contains(need, "delay") {
+		if needs&NeedsDelay != 0 {
 			f.Delay = span(0.002, 0.3)
 		}
 		switch f.Kind {
@@ -222,13 +181,13 @@
 		case "release", "door-roll":
 			f.Waves = 1 + rng.IntN(4)
 		}
-		if strings.Contains(need, "hall") || f.Shape == "hall" {
+		if needs&NeedsHall != 0 || f.Shape == "hall" {
 			f.Hall = s.Halls.Names[rng.IntN(len(s.Halls.Names))]
 		}
 		if f.Kind == "link-cut" {
 			f.Way = []string{"in", "out", "both"}[rng.IntN(3)]
 		}
-		if strings.Contains(need, "link") {
+		if needs&NeedsLink != 0 {
 			f.Link = []string{"discovery", "backends", "counter"}[rng.IntN(3)]
 		}
 		if f.Kind == "hall-loss" && rng.IntN(2) == 0 {
