--- a/cmd/lab/chaos.go
+++ b/cmd/lab/chaos.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"sync"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -22,15 +21,12 @@
 
 // chaos are the flags of playing on real processes.
 type chaos struct {
-	named, keep, out    string
-	operator            string
-	seeds, nodes, most  int
-	first               uint64
-	dur                 time.Duration
-	rate                float64
-	jobs, times         int
-	shrink, replay, own bool
-	firstOnly           bool
+	seedRuns
+	named, out, operator string
+	nodes, most, times   int
+	dur                  time.Duration
+	rate                 float64
+	shrink, replay, own  bool
 }
 
 func chaosCommand() *cobra.Command {
@@ -94,7 +90,7 @@
 	c.Flags().IntVar(&k.times, "times", 1, "with --replay, how often; with --shrink, how often each try is played at most")
 	c.Flags().BoolVar(&k.shrink, "shrink", false, "find as few of the file's faults as still fail")
 	c.Flags().BoolVar(&k.replay, "replay", false, "play the file's faults as they are")
-	c.Flags().BoolVar(&k.firstOnly, "first-broken", false, "end when a rule is broken")
+	c.Flags().BoolVar(&k.firstBroken, "first-broken", false, "end when a rule is broken")
 	c.Flags().BoolVar(&k.own, "own", false, "the front doors' own histories too")
 	return c
 }
@@ -138,58 +134,9 @@
 
 // draw plays random schedules, some side by side.
 func (k *chaos) draw(ctx context.Context, s *spec.Spec) error {
-	seeds := make(chan uint64)
-	outer := ctx
-	ctx, enough := context.WithCancel(ctx)
-	defer enough()
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	var failed error
-	broken, played := 0, 0
-	for i := 0; i < k.jobs; i++ {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for seed := range seeds {
-				r, err := faultrig.Play(ctx, s.Drawn(seed, k.most, false), k.options())
-				mu.Lock()
-				switch {
-				case err != nil && ctx.Err() == nil:
-					if failed == nil {
-						failed = fmt.Errorf("seed %d: %w", seed, err)
-					}
-				case err == nil:
-					if played++; len(r.Broken) > 0 {
-						if broken++; k.firstOnly {
-							enough()
-						}
-					}
-					if err := k.tell(r); err != nil && failed == nil {
-						failed = err
-					}
-				}
-				mu.Unlock()
-			}
-		}()
-	}
-	for i := 0; i < k.seeds && ctx.Err() == nil; i++ {
-		select {
-		case seeds <- k.first + uint64(i):
-		case <-ctx.Done():
-		}
-	}
-	close(seeds)
-	wg.Wait()
-	if failed != nil {
-		return failed
-	}
-	if outer.Err() != nil {
-		return fmt.Errorf("stopped after %d of %d schedules, %d broke rules; --first goes on from there", played, k.seeds, broken)
-	}
-	if broken > 0 {
-		return fmt.Errorf("%d of %d schedules broke rules; they are kept in %s", broken, k.seeds, k.keep)
-	}
-	return nil
+	return playSeeds(ctx, &k.seedRuns, func(ctx context.Context, seed uint64) (*faultrig.Result, error) {
+		return faultrig.Play(ctx, s.Drawn(seed, k.most, false), k.options())
+	}, func(r *faultrig.Result) (bool, error) { return len(r.Broken) > 0, k.tell(r) })
 }
 
 // failing makes of a play one that tells whether it breaks the rule: the one that is broken first, and the same all the way, or
--- a/cmd/lab/gateway.go
+++ b/cmd/lab/gateway.go
@@ -70,11 +70,28 @@
 	return c
 }
 
-func gatewayDemo(ctx context.Context, path, fault string, doors int, rate float64, dur time.Duration) error {
+// demoRun is the gateway on loopback, live.
+type demoRun struct {
+	deployment *gatewaystandin.Deployment
+	clients    *gatewaystandin.Clients
+	beside     sync.WaitGroup
+	second     int
+	last       tableRow // what the last line of the table was made of
+}
+
+// tableRow is what one line of the demo's table is made of: totals since the start.
+type tableRow struct {
+	outcome standin.Outcome
+	status  map[int]int
+	reasons map[string]int
+}
+
+// gatewayDemo starts nodes, an operator and clients, and shows what becomes of requests until the time is over.
+func gatewayDemo(ctx context.Context, path, fault string, nodes int, rate float64, dur time.Duration) error {
 	log := history.InMemory(1 << 20)
-	t, err := gatewaystandin.New(gatewaystandin.Terms{Program: path, Nodes: doors, Disks: min(3, doors), Base: "127.0.0.",
-		Zones: zones, Each: 2,
-		Rate: rate, Seed: 1, Beat: time.Second, Lost: min(1, (min(3, doors)-1)/2), History: log})
+	disks := min(3, nodes)
+	t, err := gatewaystandin.New(gatewaystandin.Terms{Program: path, Nodes: nodes, Disks: disks, Base: "127.0.0.", Zones: zones, Each: 2,
+		Rate: rate, Seed: 1, Beat: time.Second, Lost: min(1, (disks-1)/2), History: log})
 	if err != nil {
 		return err
 	}
@@ -82,88 +99,97 @@
 	if err := t.Start(); err != nil {
 		return err
 	}
+	showNodes(t)
+	x := &demoRun{deployment: t, clients: gatewaystandin.NewClients(t)}
+	defer x.clients.Close()
+	defer x.beside.Wait()
+	x.beside.Go(func() { x.clients.Watch(ctx) })
+	x.beside.Go(func() { x.operate(ctx) })
+	fmt.Println(" sec  asked served  late | 429 503 502+504 other none | nodes' reasons | nodes ready, backends, version")
+	faultTime := demoFaultTime(fault, dur)
+	tick := time.NewTicker(time.Second)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			x.beside.Wait()
+			return gatewaySummary(t, x.clients, log)
+		case <-faultTime:
+			fmt.Println("  --", fault)
+			x.beside.Go(func() { gatewayFault(ctx, t, fault, x.clients) })
+		case <-tick.C:
+			x.show(ctx)
+		}
+	}
+}
+
+// showNodes prints where each node can be reached.
+func showNodes(t *gatewaystandin.Deployment) {
 	for _, d := range t.Nodes {
 		disk := ""
 		if d.Disk != "" {
 			disk = ", with a disk"
 		}
-		fmt.Printf("  %s in %s: clients at %s, control at %s, process %d%s\n", d.Name, d.Zone, d.Front, d.Control,
-			d.Pid(), disk)
+		fmt.Printf("  %s in %s: clients at %s, control at %s, process %d%s\n", d.Name, d.Zone, d.Front, d.Control, d.Pid(), disk)
 	}
-	load := gatewaystandin.NewClients(t)
-	defer load.Close()
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	both := func(do func(context.Context)) {
-		wg.Add(1)
-		go func() { defer wg.Done(); do(ctx) }()
+}
+
+// demoFaultTime is a third of the demo's time, or a little after its start.
+func demoFaultTime(fault string, dur time.Duration) <-chan time.Time {
+	switch {
+	case fault == "":
+		return nil
+	case dur > 0:
+		return time.After(dur / 3)
+	}
+	return time.After(5 * time.Second)
+}
+
+// operate opens with a configuration and changes it every other second; clients come once there is one.
+func (x *demoRun) operate(ctx context.Context) {
+	operator := x.deployment.Operator
+	if operator.Open(ctx) {
+		x.beside.Go(func() { x.clients.Open(ctx) })
 	}
-	both(load.Watch)
-	both(func(ctx context.Context) {
-		if t.Operator.Open(ctx) {
-			both(load.Open)
+	for ctx.Err() == nil {
+		rest(ctx, 2*time.Second)
+		operator.Step(ctx)
+		if _, config := operator.Known(); config != nil {
+			x.clients.Learn(config)
 		}
-		for ctx.Err() == nil {
-			rest(ctx, 2*time.Second)
-			t.Operator.Step(ctx)
-			if _, b := t.Operator.Known(); b != nil {
-				load.Learn(b)
-			}
+	}
+}
+
+// show prints the table's line of the last second.
+func (x *demoRun) show(ctx context.Context) {
+	x.second++
+	outcome, _, status := x.clients.Outcomes()
+	now := tableRow{outcome, status, gatewayReasons(ctx, x.deployment)}
+	ended := func(codes ...int) (n int) {
+		for _, code := range codes {
+			n += now.status[code] - x.last.status[code]
 		}
-	})
-	var later <-chan time.Time
-	if fault != "" {
-		wait := 5 * time.Second
-		if dur > 0 {
-			wait = dur / 3
+		return n
+	}
+	other := 0
+	for code := range now.status {
+		if code/100 != 2 && !slices.Contains([]int{0, 429, 503, 502, 504}, code) {
+			other += ended(code)
 		}
-		later = time.After(wait)
 	}
-	fmt.Println(" sec  asked served  late | 429 503 502+504 other none | doors' reasons | " +
-		"doors ready, backends, version")
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
-	last, lastStatus, lastWhy := standin.Outcome{}, map[int]int{}, map[string]int{}
-	for sec := 1; ; {
-		select {
-		case <-ctx.Done():
-			wg.Wait()
-			return gatewaySummary(t, load, log)
-		case <-later:
-			fmt.Println("  --", fault)
-			both(func(ctx context.Context) { gatewayFault(ctx, t, fault, load) })
-		case <-tick.C:
-			now, _, status := load.Outcomes()
-			d := func(codes ...int) (n int) {
-				for _, c := range codes {
-					n += status[c] - lastStatus[c]
-				}
-				return n
-			}
-			other := 0
-			for c := range status {
-				if c/100 != 2 && c != 0 && c != 429 && c != 503 && c != 502 && c != 504 {
-					other += d(c)
-				}
-			}
-			why := gatewayReasons(ctx, t)
-			var words []string
-			for k, n := range why {
-				if n > lastWhy[k] {
-					words = append(words, fmt.Sprintf("%s %d", k, n-lastWhy[k]))
-				}
-			}
-			slices.Sort(words)
-			version, _ := t.Operator.Known()
-			fmt.Printf("%4d %6d %6d %5d | %3d %3d %7d %5d %4d | %s | %d, %d, %d\n", sec, now.Requests-last.Requests,
-				now.InTime-last.InTime,
-				now.Settled-now.InTime-(last.Settled-last.InTime), d(429), d(503), d(502,
-					504), other, d(0), strings.Join(words, ", "),
-				load.Ready(), len(t.Serving()), version)
-			last, lastStatus, lastWhy = now, status, why
-			sec++
+	var reasons []string
+	for reason, n := range now.reasons {
+		if n > x.last.reasons[reason] {
+			reasons = append(reasons, fmt.Sprintf("%s %d", reason, n-x.last.reasons[reason]))
 		}
 	}
+	slices.Sort(reasons)
+	version, _ := x.deployment.Operator.Known()
+	a, b := now.outcome, x.last.outcome
+	fmt.Printf("%4d %6d %6d %5d | %3d %3d %7d %5d %4d | %s | %d, %d, %d\n", x.second, a.Requests-b.Requests, a.InTime-b.InTime,
+		a.Settled-a.InTime-(b.Settled-b.InTime), ended(429), ended(503), ended(502, 504), other, ended(0), strings.Join(reasons, ", "),
+		x.clients.Ready(), len(x.deployment.Serving()), version)
+	x.last = now
 }
 
 // rest waits, or until the context ends.
--- a/cmd/lab/gatewaychaos.go
+++ b/cmd/lab/gatewaychaos.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"strings"
-	"sync"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -17,10 +16,9 @@
 
 // gatewayChaos are the flags of playing schedules on the gateway's nodes.
 type gatewayChaos struct {
-	named, keep, out string
-	seeds, nodes     int
-	most, jobs       int
-	first            uint64
+	seedRuns
+	named, out       string
+	nodes, most      int
 	dur              time.Duration
 	rate             float64
 	only             []int
@@ -160,59 +158,11 @@
 func (k *gatewayChaos) play(ctx context.Context) error {
 	fmt.Printf(gatewayTable, "seed", "doors", "asked", "served", "refus", "fail", "no answ", "taken", "uncl",
 		"took", "held up", "recovered", "verdict")
-	return eachSeed(ctx, k, func(seed uint64) (*faultrig.GatewayResult, error) {
+	return playSeeds(ctx, &k.seedRuns, func(ctx context.Context, seed uint64) (*faultrig.GatewayResult, error) {
 		return faultrig.PlayGateway(ctx, k.drawn(seed), k.options())
 	}, func(r *faultrig.GatewayResult) (bool, error) { return len(r.Broken) > 0, k.tell(r) })
 }
 
-// eachSeed plays a schedule a seed, some side by side, and tells each result, which may be of broken rules.
-func eachSeed[T any](ctx context.Context, k *gatewayChaos, play func(uint64) (T, error), tell func(T) (bool, error)) error {
-	seeds := make(chan uint64)
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	var failed error
-	broken, played := 0, 0
-	for range k.jobs {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for seed := range seeds {
-				r, err := play(seed)
-				mu.Lock()
-				if err != nil && ctx.Err() == nil {
-					failed = errors.Join(failed, fmt.Errorf("seed %d: %w", seed, err))
-				} else if err == nil {
-					bad, err := tell(r)
-					if played++; bad {
-						broken++
-					}
-					failed = errors.Join(failed, err)
-				}
-				mu.Unlock()
-			}
-		}()
-	}
-	for i := 0; i < k.seeds && ctx.Err() == nil; i++ {
-		select {
-		case seeds <- k.first + uint64(i):
-		case <-ctx.Done():
-		}
-	}
-	close(seeds)
-	wg.Wait()
-	fmt.Printf("%d of %d schedules played on %d doors, %d broke rules\n", played, k.seeds, k.nodes, broken)
-	if failed != nil {
-		return failed
-	}
-	if ctx.Err() != nil {
-		return fmt.Errorf("stopped after %d of %d schedules; --first goes on from there", played, k.seeds)
-	}
-	if broken > 0 {
-		return fmt.Errorf("%d of %d schedules broke rules; their histories are in %s", broken, k.seeds, k.keep)
-	}
-	return nil
-}
-
 // smaller shrinks a seed's schedule that fails.
 func (k *gatewayChaos) smaller(ctx context.Context) error {
 	s, rule := k.drawn(k.first), ""
--- a/cmd/lab/gatewayrollout.go
+++ b/cmd/lab/gatewayrollout.go
@@ -70,7 +70,7 @@
 	fmt.Printf(rolloutTable, "seed", "advance", "share", "verdict", "doors", "last", "met it", "failed", "lost", "reads",
 		"unclear", "recorded", "asked", "flaw, verdict")
 	var all []*faultrig.RolloutResult
-	failed := eachSeed(ctx, &k.gatewayChaos, func(seed uint64) (*faultrig.RolloutResult, error) {
+	failed := playSeeds(ctx, &k.seedRuns, func(ctx context.Context, seed uint64) (*faultrig.RolloutResult, error) {
 		s := faultrig.DrawRollout(k.play, faultrig.Arm(k.arm), seed, k.nodes, k.dur)
 		if k.dwell > 0 {
 			s.Last(k.dwell)
--- a/internal/frontdoor/lease/check/check.go
+++ b/internal/frontdoor/lease/check/check.go
@@ -169,85 +169,104 @@
 
 // steps lists them.
 func (w *world) steps() (all []step) {
+	all = w.deliveries()
+	if w.now < w.m.Ticks {
+		all = append(all, step{"tick", (*world).tick})
+	}
+	for i := range w.nodes {
+		if w.restarts > 0 {
+			all = append(all, step{fmt.Sprintf("restart %d", i), func(x *world) { x.restart(i) }})
+		}
+		if w.drops > 0 && w.nodes[i].wants {
+			all = append(all, step{fmt.Sprintf("drop %d", i), func(x *world) { x.drop(i) }})
+		}
+		if w.moves > 0 && w.nodes[i].gen+1 < len(w.m.Fleets) {
+			all = append(all, step{fmt.Sprintf("move %d", i), func(x *world) { x.move(i) }})
+		}
+	}
+	return all
+}
+
+// deliveries are the packets under way: each may arrive, and be doubled.
+func (w *world) deliveries() (all []step) {
 	seen := map[packet]bool{}
-	for k, p := range w.net {
+	for place, p := range w.net {
 		if seen[p] {
 			continue
 		}
 		seen[p] = true
-		deliver := func(keep bool) func(*world) {
-			return func(x *world) {
-				if keep {
-					x.doubles--
-				} else {
-					x.net = append(x.net[:k:k], x.net[k+1:]...)
-				}
-				n := &x.nodes[p.to]
-				n.core.Now(n.own)
-				n.core.Heard(p.from, []byte(p.body))
-				x.pull(int(p.to))
-			}
-		}
 		name := fmt.Sprintf("%d>%d op %d", p.from, p.to, p.body[2])
-		all = append(all, step{name, deliver(false)})
+		all = append(all, step{name, func(x *world) {
+			x.net = append(x.net[:place:place], x.net[place+1:]...)
+			x.deliver(p)
+		}})
 		if w.doubles > 0 {
-			all = append(all, step{name + " doubled", deliver(true)})
+			all = append(all, step{name + " doubled", func(x *world) {
+				x.doubles--
+				x.deliver(p)
+			}})
 		}
 	}
-	if w.now < w.m.Ticks {
-		all = append(all, step{"tick", func(x *world) {
-			x.now++
-			for i := range x.nodes {
-				x.nodes[i].own += time.Duration(float64(x.m.Step) * x.m.rate(i))
-			}
-			x.look()
-			for i := range x.nodes {
-				if x.m.Stale == nil || !x.m.Stale(i) {
-					x.pull(i)
-				}
-			}
-		}})
+	return all
+}
+
+// deliver hands a packet to its node.
+func (w *world) deliver(p packet) {
+	n := &w.nodes[p.to]
+	n.core.Now(n.own)
+	n.core.Heard(p.from, []byte(p.body))
+	w.pull(int(p.to))
+}
+
+// tick lets all clocks go on, each at its rate.
+func (w *world) tick() {
+	w.now++
+	for i := range w.nodes {
+		w.nodes[i].own += time.Duration(float64(w.m.Step) * w.m.rate(i))
 	}
+	w.look()
 	for i := range w.nodes {
-		if w.restarts > 0 {
-			all = append(all, step{fmt.Sprintf("restart %d", i), func(x *world) {
-				x.restarts--
-				n := &x.nodes[i]
-				n.life++
-				c, err := lease.New(x.m.config(lease.Node(i), n.life, n.gen, x.now+1), n.own)
-				if err != nil {
-					x.bad = err.Error()
-					return
-				}
-				n.core, n.acts = c, 0
-				if n.wants {
-					x.wish(i)
-				}
-				x.pull(i)
-			}})
-		}
-		if w.drops > 0 && w.nodes[i].wants {
-			all = append(all, step{fmt.Sprintf("drop %d", i), func(x *world) {
-				x.drops--
-				x.nodes[i].acts = 0 // who gives a seat back has ended its act
-				x.nodes[i].core.Drop(x.m.Task)
-				x.wish(i)
-				x.pull(i)
-			}})
-		}
-		if w.moves > 0 && w.nodes[i].gen+1 < len(w.m.Fleets) {
-			all = append(all, step{fmt.Sprintf("move %d", i), func(x *world) {
-				x.moves--
-				n := &x.nodes[i]
-				n.gen++
-				if err := n.core.Move(x.m.Fleets[:n.gen+1]); err != nil {
-					x.bad = err.Error()
-				}
-				x.pull(i)
-			}})
+		if w.m.Stale == nil || !w.m.Stale(i) {
+			w.pull(i)
 		}
 	}
-	return all
+}
+
+// restart begins a node's next life, which knows nothing of the last one.
+func (w *world) restart(i int) {
+	w.restarts--
+	n := &w.nodes[i]
+	n.life++
+	c, err := lease.New(w.m.config(lease.Node(i), n.life, n.gen, w.now+1), n.own)
+	if err != nil {
+		w.bad = err.Error()
+		return
+	}
+	n.core, n.acts = c, 0
+	if n.wants {
+		w.wish(i)
+	}
+	w.pull(i)
+}
+
+// drop lets a node give its seat back, and wish again.
+func (w *world) drop(i int) {
+	w.drops--
+	w.nodes[i].acts = 0 // who gives a seat back has ended its act
+	w.nodes[i].core.Drop(w.m.Task)
+	w.wish(i)
+	w.pull(i)
+}
+
+// move tells a node of the next voters.
+func (w *world) move(i int) {
+	w.moves--
+	n := &w.nodes[i]
+	n.gen++
+	if err := n.core.Move(w.m.Fleets[:n.gen+1]); err != nil {
+		w.bad = err.Error()
+	}
+	w.pull(i)
 }
 
 // key names a state: what its future depends on.
--- a/internal/lab/experiments/lab.go
+++ b/internal/lab/experiments/lab.go
@@ -316,29 +316,34 @@
 	}, func(done int, x one) error { return told(done, x.c, x.r) })
 }
 
-// Seeds plays something for each of n seeds, some side by side, and tells of each as it ends.
+// Seeds plays something for each of n seeds, some side by side, and tells of each as it ends. A play that is ended from outside
+// is passed over. A failure of a play, or of the teller, lets what is under way end and is given.
 func Seeds[R any](ctx context.Context, first uint64, n, jobs int, play func(seed uint64) (R, error), told func(done int, r R) error) error {
 	feed := make(chan uint64)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var failed error
 	done := 0
+	ends := func(seed uint64, r R, err error) {
+		mu.Lock()
+		defer mu.Unlock()
+		if err != nil && ctx.Err() != nil {
+			return
+		}
+		if done++; err == nil && failed == nil {
+			err = told(done, r)
+		}
+		if err != nil && failed == nil {
+			failed = fmt.Errorf("seed %d: %w", seed, err)
+		}
+	}
 	for range jobs {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
+		wg.Go(func() {
 			for seed := range feed {
 				r, err := play(seed)
-				mu.Lock()
-				if done++; err == nil && failed == nil {
-					err = told(done, r)
-				}
-				if err != nil && failed == nil {
-					failed = fmt.Errorf("seed %d: %w", seed, err)
-				}
-				mu.Unlock()
+				ends(seed, r, err)
 			}
-		}()
+		})
 	}
 	for i := 0; i < n && ctx.Err() == nil; i++ {
 		select {
--- a/internal/lab/faultrig/rollout.go
+++ b/internal/lab/faultrig/rollout.go
@@ -158,37 +158,18 @@
 
 // act starts the roll-out, lets the new version fail, and waits until all nodes have pulled back.
 func (r *rolloutRun) act(ctx context.Context) (bad []history.Broken) {
-	broken := func(format string, args ...any) []history.Broken {
-		return append(bad, history.Broken{Rule: "ROLLOUT", T: history.Now(), What: fmt.Sprintf(format, args...)})
-	}
-	for _, l := range r.t.Serving() {
-		if l.Service == r.s.Play.Leading {
-			if _, err := r.t.AddVersion(l.Service, l.Zone, newVersion, time.Second); err != nil {
-				return broken("%s", err)
-			}
-		}
-	}
-	sleep(ctx, 3*time.Second) // all nodes have heard of them
-	r.from = history.Now()
-	why := r.call(ctx, rollout.Start, 0)
-	for until := time.Now().Add(orderMost); why != "" && strings.Contains(why, "room") && time.Now().Before(until); {
-		sleep(ctx, time.Second) // a machine that is held up has late beats: an operator would ask again
-		r.from = history.Now()
-		why = r.call(ctx, rollout.Start, 0)
-	}
-	if why != "" {
-		return broken("not started: %s", why)
+	if why := r.begins(ctx); why != "" {
+		return r.broken("%s", why)
 	}
 	watch, enough := context.WithCancel(ctx)
 	var side sync.WaitGroup
 	defer side.Wait()
 	defer enough()
 	for _, d := range r.t.Nodes {
-		side.Add(1)
-		go func() { defer side.Done(); r.watch(watch, d) }()
+		side.Go(func() { r.watch(watch, d) })
 	}
 	if !r.steps(ctx, r.s.Step) {
-		return broken("step %d does not come", r.s.Step)
+		return r.broken("step %d does not come", r.s.Step)
 	}
 	sleep(ctx, r.s.After)
 	if r.s.Arm != Good {
@@ -199,47 +180,88 @@
 	if !r.s.Seen || r.s.Arm == Good || r.s.Arm == Unjudged {
 		r.apply(ctx)
 	}
-	late := time.After(r.s.For)
 	stepped := make(chan bool, 1)
 	going, stop := context.WithCancel(ctx)
-	side.Add(1)
-	go func() { defer side.Done(); stepped <- r.steps(going, len(r.s.Steps)) }()
+	side.Go(func() { stepped <- r.steps(going, len(r.s.Steps)) })
 	defer stop()
-	select {
-	case <-r.seen:
-		stop()
-		if r.s.Seen && r.s.Arm == Judged {
-			r.apply(ctx)
-		}
-	case <-late:
-	case <-ctx.Done():
-	}
+	r.awaits(ctx, stop)
 	r.wg.Wait()
-	if !r.pulledBack() && r.s.Arm != Good { // somebody mends it at last
-		r.trial.Mended = history.Now()
-		r.odd = r.s.Arm == Judged
-		for _, d := range r.t.Nodes {
-			r.says = append(r.says, d.Name+": "+r.t.TellsRollouts(d))
-		}
-		r.t.Spoil(newVersion, nil)
+	if !r.pulledBack() && r.s.Arm != Good {
+		r.mends()
 	}
 	if r.s.Arm == Good {
 		if !<-stepped {
-			bad = broken("the last step does not come")
+			bad = r.broken("the last step does not come")
 		}
 		sleep(ctx, r.s.Dwell)
 	}
 	if r.pulledBack() {
-		for until := time.Now().Add(recoverMost); time.Now().Before(until) && r.nodesPulled() < len(r.t.Nodes); {
-			sleep(ctx, lookEvery)
+		bad = append(bad, r.afterPullBack(ctx)...)
+	}
+	return append(bad, r.recovers(ctx, "the roll-out's faults")...)
+}
+
+// broken is a breach of the roll-out's own rule.
+func (r *rolloutRun) broken(format string, args ...any) []history.Broken {
+	return []history.Broken{{Rule: "ROLLOUT", T: history.Now(), What: fmt.Sprintf(format, args...)}}
+}
+
+// begins starts backends of the new version and the roll-out; it says why that could not be done.
+func (r *rolloutRun) begins(ctx context.Context) (why string) {
+	for _, l := range r.t.Serving() {
+		if l.Service == r.s.Play.Leading {
+			if _, err := r.t.AddVersion(l.Service, l.Zone, newVersion, time.Second); err != nil {
+				return err.Error()
+			}
 		}
-		sleep(ctx, afterwards)
-		if why := r.call(ctx, rollout.Advance, len(r.s.Steps)); why == "" {
-			bad = broken("went on to step %d after the pull-back", len(r.s.Steps))
+	}
+	sleep(ctx, 3*time.Second) // all nodes have heard of them
+	r.from = history.Now()
+	why = r.call(ctx, rollout.Start, 0)
+	for until := time.Now().Add(orderMost); why != "" && strings.Contains(why, "room") && time.Now().Before(until); {
+		sleep(ctx, time.Second) // a machine that is held up has late beats: an operator would ask again
+		r.from = history.Now()
+		why = r.call(ctx, rollout.Start, 0)
+	}
+	if why != "" {
+		return "not started: " + why
+	}
+	return ""
+}
+
+// awaits waits until a node is seen to have pulled back, and stops the steps, or until the time is over.
+func (r *rolloutRun) awaits(ctx context.Context, stop func()) {
+	select {
+	case <-r.seen:
+		stop()
+		if r.s.Seen && r.s.Arm == Judged {
+			r.apply(ctx)
 		}
+	case <-time.After(r.s.For):
+	case <-ctx.Done():
 	}
-	bad = append(bad, r.recovers(ctx, "the roll-out's faults")...)
-	return bad
+}
+
+// mends ends the new version's failing where nobody has pulled back.
+func (r *rolloutRun) mends() {
+	r.trial.Mended = history.Now()
+	r.odd = r.s.Arm == Judged
+	for _, d := range r.t.Nodes {
+		r.says = append(r.says, d.Name+": "+r.t.TellsRollouts(d))
+	}
+	r.t.Spoil(newVersion, nil)
+}
+
+// afterPullBack waits until all nodes have pulled back, and sees that the roll-out does not go on.
+func (r *rolloutRun) afterPullBack(ctx context.Context) []history.Broken {
+	for until := time.Now().Add(recoverMost); time.Now().Before(until) && r.nodesPulled() < len(r.t.Nodes); {
+		sleep(ctx, lookEvery)
+	}
+	sleep(ctx, afterwards)
+	if why := r.call(ctx, rollout.Advance, len(r.s.Steps)); why == "" {
+		return r.broken("went on to step %d after the pull-back", len(r.s.Steps))
+	}
+	return nil
 }
 
 // steps brings the roll-out to a step: by the operator's word where the order wants that.
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -61,20 +61,42 @@
 	return r
 }
 
+// run plays a day: the start, the faults and the recovery from them, then what is read back at the end and the judge.
 func (w *world) run(r *Result) {
-	d := w.day
-	bad := func(rule, who, format string, args ...any) {
-		r.Broken = append(r.Broken, history.Broken{Rule: rule, T: w.now, Who: who, What: fmt.Sprintf(format, args...)})
+	w.start()
+	if !w.opens() {
+		r.Broken = append(r.Broken, history.Broken{Rule: "Acks", T: w.now, Who: "operator",
+			What: "no first configuration is taken, with nothing in trouble"})
+		return
+	}
+	w.clients.begin()
+	if w.day.Calm {
+		w.operator.goes = w.day.Changes
+		w.counted = w.now + warm
+		w.until(w.counted+w.day.For, nil)
+		w.count(r, w.day.For)
+		return
 	}
+	w.suffers(r)
+	w.operator.goes, w.clients.open = false, false
+	w.until(w.now+gatewaystandin.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
+	final := w.readsBack()
+	w.until(w.now+tail, nil)
+	w.over = true
+	w.judge(r, final)
+}
+
+// start starts backends and machines, some time apart.
+func (w *world) start() {
 	for _, s := range gatewaystandin.Services {
 		for _, z := range w.zones {
-			for range d.Each {
+			for range w.day.Each {
 				w.timeline.add(s.Name, z, 0)
 			}
 		}
 	}
 	apart := 300 * time.Millisecond
-	if d.Early {
+	if w.day.Early {
 		apart = []time.Duration{0, 300 * time.Millisecond, 2 * time.Second, 6 * time.Second}[w.net.IntN(4)]
 	}
 	for _, m := range w.machines { // until then it is as one that was killed
@@ -83,24 +105,24 @@
 	}
 	w.clients.watch()
 	w.watchContact()
+}
+
+// opens has the operator send the first configuration, and waits for it, unless faults begin before.
+func (w *world) opens() bool {
 	opened := false
 	w.operator.open(func() { opened = true })
-	if d.Early {
-		for i := range d.Faults {
-			w.play(&d.Faults[i])
-		}
-	} else if !w.until(w.now+openIn, func() bool { return opened }) {
-		bad("Acks", "operator", "no first configuration is taken, with nothing in trouble")
-		return
+	if !w.day.Early {
+		return w.until(w.now+openIn, func() bool { return opened })
 	}
-	w.clients.begin()
-	if d.Calm {
-		w.operator.goes = d.Changes
-		w.counted = w.now + warm
-		w.until(w.counted+d.For, nil)
-		w.count(r, d.For)
-		return
+	for i := range w.day.Faults {
+		w.play(&w.day.Faults[i])
 	}
+	return true
+}
+
+// suffers plays the faults, and the closing one, and waits until all serve again after each.
+func (w *world) suffers(r *Result) {
+	d := w.day
 	for i := range d.Faults {
 		if !d.Early {
 			w.play(&d.Faults[i])
@@ -115,9 +137,10 @@
 		w.closing()
 		w.recovers(r, "the closing fault")
 	}
-	w.operator.goes, w.clients.open = false, false
-	w.until(w.now+gatewaystandin.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
-	var final *routing.Config
+}
+
+// readsBack reads the newest configuration, twice if need be; nil if none comes.
+func (w *world) readsBack() (final *routing.Config) {
 	for range 2 {
 		if final == nil {
 			read := false
@@ -125,10 +148,13 @@
 			w.until(w.now+gatewaystandin.ClearMost+time.Second, func() bool { return read })
 		}
 	}
-	w.until(w.now+tail, nil)
-	w.over = true
-	cast := w.backends()
-	for _, v := range cast.Versions {
+	return final
+}
+
+// judge holds the day against the rules.
+func (w *world) judge(r *Result, final *routing.Config) {
+	backends := w.backends()
+	for _, v := range backends.Versions {
 		if v.Acked > 0 {
 			r.Taken++
 		}
@@ -136,8 +162,8 @@
 	for _, m := range w.cores() {
 		r.Syncs += m.disk.syncs
 	}
-	r.Broken = append(r.Broken, gatewaystandin.Kept(final, cast.Versions, w.now)...)
-	r.Broken = append(r.Broken, gatewaystandin.Judge(w.history, cast, slack)...)
+	r.Broken = append(r.Broken, gatewaystandin.Kept(final, backends.Versions, w.now)...)
+	r.Broken = append(r.Broken, gatewaystandin.Judge(w.history, backends, slack)...)
 	r.Broken = append(r.Broken, w.broken...)
 	slices.SortStableFunc(r.Broken, func(a, b history.Broken) int {
 		return cmp.Or(cmp.Compare(a.T, b.T), strings.Compare(a.Rule, b.Rule), strings.Compare(a.What, b.What))
--- a/internal/lab/standin/backend.go
+++ b/internal/lab/standin/backend.go
@@ -223,106 +223,145 @@
 	return c, err == nil
 }
 
+// request is one under way at a backend.
+type request struct {
+	*Backend
+	w     http.ResponseWriter
+	r     *http.Request
+	task  Task
+	mode  *Mode
+	came  history.Event
+	trace *trace           // of its connection; nil where none is kept
+	late  <-chan time.Time // nobody waits any more
+}
+
 // ServeHTTP does a request's work.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	m := b.mode.Load()
+	x := &request{Backend: b, w: w, r: r, mode: b.mode.Load()}
 	io.Copy(io.Discard, r.Body)
-	task := b.wire.Read(b, w, r)
-	if task.ID == "" {
+	if x.task = b.wire.Read(b, w, r); x.task.ID == "" {
 		return
 	}
-	if task.Does != nil {
-		m = task.Does
+	if x.task.Does != nil {
+		x.mode = x.task.Does
 	}
-	came := history.Event{T: history.Now(), Who: b.ID, N: float64(b.nr.Add(1)), Txn: task.ID, Key: task.Tenant, At: task.At}
-	t := b.marks.of(r.RemoteAddr, b.Addr)
-	if t != nil {
-		came.Own = time.Duration(t.sent.Load())
+	x.came = history.Event{T: history.Now(), Who: b.ID, N: float64(b.nr.Add(1)), Txn: x.task.ID, Key: x.task.Tenant, At: x.task.At}
+	if x.trace = b.marks.of(r.RemoteAddr, b.Addr); x.trace != nil {
+		x.came.Own = time.Duration(x.trace.sent.Load())
 	}
-	note := func(k history.Kind) {
-		came.Kind = k
-		b.log.Add(came)
-	}
-	if b.Chance(m.ResetIn) {
-		note(history.Arrived) // it has begun, and nobody will know
-		b.began(task)
-		note(history.Over)
-		if c, ok := hijack(w); ok {
-			reset(c)
-		}
+	if b.Chance(x.mode.ResetIn) {
+		x.resets()
 		return
 	}
 	held := b.held.Add(1)
 	defer b.held.Add(-1)
 	b.wire.Held(w, held)
-	if held > b.most || b.Chance(m.Full) {
-		note(history.Turned)
-		b.wire.TurnAway(w, task)
+	if held > b.most || b.Chance(x.mode.Full) {
+		x.note(history.Turned)
+		b.wire.TurnAway(w, x.task)
 		return
 	}
-	note(history.Arrived)
-	defer func() { // out until its answer is written, or the front door closed its side
-		over := came
-		over.T, over.Own, over.Kind = history.Now(), 0, history.Over
-		if t != nil && t.closed.Load() > 0 {
-			over.T = min(over.T, time.Duration(t.closed.Load()))
-		}
-		b.log.Add(over)
-	}()
-	var late <-chan time.Time
-	if task.Within > 0 {
-		timer := time.NewTimer(task.Within)
+	x.note(history.Arrived)
+	defer x.over()
+	if x.task.Within > 0 {
+		timer := time.NewTimer(x.task.Within)
 		defer timer.Stop()
-		late = timer.C
+		x.late = timer.C
 	}
-	select {
-	case b.slots <- struct{}{}:
-	case <-late:
-		turned := came
-		turned.T, turned.Kind = history.Now(), history.Turned
-		b.log.Add(turned)
-		b.wire.TurnAway(w, task)
-		return
-	case <-r.Context().Done():
+	if !x.waits() {
 		return
 	}
 	defer func() { <-b.slots }()
-	b.began(task)
-	if b.Chance(m.Silent) {
+	b.began(x.task)
+	if b.Chance(x.mode.Silent) {
 		<-r.Context().Done()
 		return
 	}
-	wait := b.work(task.Kind)
-	if m.Slow > 1 {
-		wait = time.Duration(float64(wait) * m.Slow)
+	if rest, done := x.works(); done {
+		x.answers(rest)
 	}
-	rest := wait
-	if task.Bytes > 0 {
-		wait /= 4
+}
+
+// note writes that the request has come, or what became of it at once.
+func (x *request) note(kind history.Kind) {
+	x.came.Kind = kind
+	x.log.Add(x.came)
+}
+
+// resets ends the connection of a request that has begun, and nobody will know.
+func (x *request) resets() {
+	x.note(history.Arrived)
+	x.began(x.task)
+	x.note(history.Over)
+	if c, ok := hijack(x.w); ok {
+		reset(c)
 	}
-	rest -= wait
+}
+
+// over writes that it is out no longer: its answer is written, or the front door has closed its side.
+func (x *request) over() {
+	e := x.came
+	e.T, e.Own, e.Kind = history.Now(), 0, history.Over
+	if x.trace != nil && x.trace.closed.Load() > 0 {
+		e.T = min(e.T, time.Duration(x.trace.closed.Load()))
+	}
+	x.log.Add(e)
+}
+
+// waits lets it wait for a slot; without one in time it is turned away.
+func (x *request) waits() bool {
 	select {
-	case <-time.After(wait + m.Delay):
-	case <-late: // nobody waits any more
-		w.WriteHeader(http.StatusGatewayTimeout)
-		return
-	case <-r.Context().Done(): // given up: the work stops
-		return
+	case x.slots <- struct{}{}:
+		return true
+	case <-x.late:
+		e := x.came
+		e.T, e.Kind = history.Now(), history.Turned
+		x.log.Add(e)
+		x.wire.TurnAway(x.w, x.task)
+	case <-x.r.Context().Done():
+	}
+	return false
+}
+
+// firstPart of its work is done before the first byte of an answer that comes in pieces.
+const firstPart = 4
+
+// works does the work, or as much of it as comes before the answer, and gives the rest. It is not done if nobody waits any more.
+func (x *request) works() (rest time.Duration, done bool) {
+	wait := x.work(x.task.Kind)
+	if x.mode.Slow > 1 {
+		wait = time.Duration(float64(wait) * x.mode.Slow)
 	}
-	body := "done " + task.ID
-	if task.Bytes > 0 {
-		body = Long(body, task.Bytes)
+	if x.task.Bytes > 0 {
+		rest = wait - wait/firstPart
+		wait /= firstPart
+	}
+	select {
+	case <-time.After(wait + x.mode.Delay):
+		return rest, true
+	case <-x.late:
+		x.w.WriteHeader(http.StatusGatewayTimeout)
+	case <-x.r.Context().Done(): // given up: the work stops
+	}
+	return 0, false
+}
+
+// answers writes its answer, or what the backend's mode makes of it.
+func (x *request) answers(rest time.Duration) {
+	body := "done " + x.task.ID
+	if x.task.Bytes > 0 {
+		body = Long(body, x.task.Bytes)
 	}
-	b.wire.Heads(b, w, task)
+	x.wire.Heads(x.Backend, x.w, x.task)
 	switch {
-	case b.Chance(m.Fail):
-		b.log.Add(history.Event{Who: b.ID, Kind: Fails, Txn: task.ID, N: http.StatusInternalServerError})
-		w.WriteHeader(http.StatusInternalServerError)
-	case b.Chance(m.Half), b.Chance(m.Stall), b.Chance(m.Spoilt):
-		b.log.Add(history.Event{Who: b.ID, Kind: Spoils, Txn: task.ID})
-		b.spoil(w, r, m, body)
+	case x.Chance(x.mode.Fail):
+		x.log.Add(history.Event{Who: x.ID, Kind: Fails, Txn: x.task.ID, N: http.StatusInternalServerError})
+		x.w.WriteHeader(http.StatusInternalServerError)
+	case x.Chance(x.mode.Half), x.Chance(x.mode.Stall), x.Chance(x.mode.Spoilt):
+		x.log.Add(history.Event{Who: x.ID, Kind: Spoils, Txn: x.task.ID})
+		x.spoil(x.w, x.r, x.mode, body)
 	default:
-		b.answer(w, r, body, rest)
+		x.answer(x.w, x.r, body, rest)
 	}
 }
 
--- a/internal/lab/standin/fleet.go
+++ b/internal/lab/standin/fleet.go
@@ -114,6 +114,9 @@
 	return With(s, Options{Program: program, Cores: cores, MemoryMB: memoryMB, Sockets: sockets})
 }
 
+// readyMost is how long front doors may take until they are ready.
+const readyMost = 30 * time.Second
+
 // With does so as the options say.
 func With(s *spec.Spec, o Options) (f *Fleet, err error) {
 	dir, err := os.MkdirTemp("", "clovergap-lab-")
@@ -130,75 +133,107 @@
 	if o.Links {
 		f.marks = &traces{}
 	}
+	if err := f.layBackends(); err != nil {
+		return f, err
+	}
+	if err := f.layDoors(); err != nil {
+		return f, err
+	}
+	return f, f.startDoors()
+}
+
+// layBackends starts the backends.
+func (f *Fleet) layBackends() error {
+	s := f.Spec
 	f.work = f.works()
 	for _, p := range s.Products {
 		f.once[p.Name] = p.Effect == "once-only"
 	}
-	for i := 0; i < s.Backends.Count; i++ {
+	for i := range s.Backends.Count {
 		if _, err := f.add(s.Halls.Names[i%len(s.Halls.Names)], i%s.Backends.Pods, time.Time{}); err != nil {
-			return f, err
+			return err
 		}
 	}
-	at := home()
+	return nil
+}
+
+// layDoors makes the front doors, without starting any, and what stands between them and the rest.
+func (f *Fleet) layDoors() (err error) {
+	s, at := f.Spec, home()
 	listen, err := free(at, s.Doors.Count, "tcp")
 	if err != nil {
-		return f, err
+		return err
 	}
 	peers, err := free(at, s.Doors.Count, "udp")
 	if err != nil {
-		return f, err
+		return err
 	}
 	if f.Counter, err = NewCounter(s.Seed); err != nil {
-		return f, err
+		return err
 	}
 	if f.Relay, err = NewRelay(peers, s.Seed); err != nil {
-		return f, err
+		return err
 	}
-	for i := 0; i < s.Doors.Count; i++ {
-		d := &Door{Nr: i, fresh: make(chan struct{}, 1), Hall: s.Halls.Names[i%len(s.Halls.Names)], Addr: listen[i], peers: peers[i], f: f,
-			conf: filepath.Join(dir, fmt.Sprintf("n%d.json", i)), Discovery: newWay(), Counter: newWay(), Backends: map[string]*Way{}, memory: o.MemoryMB, sockets: o.Sockets}
-		for _, hall := range s.Halls.Names {
-			d.Backends[hall] = newWay()
-		}
-		d.Process = NewProcess(fmt.Sprintf("n%d", i), o.History, d.prepare, d.line, d.serves)
-		f.Doors = append(f.Doors, d)
-		a, err := NewAgent()
-		if err != nil {
-			return f, err
+	for i := range s.Doors.Count {
+		if err := f.layDoor(i, listen[i], peers[i]); err != nil {
+			return err
 		}
-		a.door, a.log = d.Name, o.History
-		if o.Links {
-			a.way, a.seen = d.Discovery, f.marks
-		}
-		f.Agents = append(f.Agents, a)
-		if d.counter, err = f.via(d, "counter", f.Counter.Addr, d.Counter); err != nil {
-			return f, err
-		}
-		if d.discovery, err = f.via(d, "discovery", a.Addr, d.Discovery); err != nil {
-			return f, err
-		}
-		for _, b := range f.Backends {
-			if err := f.tell(d, b, "Ready"); err != nil {
-				return f, err
-			}
+	}
+	return nil
+}
+
+// layDoor makes one front door with its discovery agent and the ways to what it calls.
+func (f *Fleet) layDoor(number int, listen, peers string) error {
+	name, halls := fmt.Sprintf("n%d", number), f.Spec.Halls.Names
+	d := &Door{Nr: number, fresh: make(chan struct{}, 1), Hall: halls[number%len(halls)], Addr: listen, peers: peers, f: f,
+		conf: filepath.Join(f.dir, name+".json"), Discovery: newWay(), Counter: newWay(), Backends: map[string]*Way{},
+		memory: f.opt.MemoryMB, sockets: f.opt.Sockets}
+	for _, hall := range halls {
+		d.Backends[hall] = newWay()
+	}
+	d.Process = NewProcess(name, f.opt.History, d.prepare, d.line, d.serves)
+	f.Doors = append(f.Doors, d)
+	a, err := NewAgent()
+	if err != nil {
+		return err
+	}
+	a.door, a.log = d.Name, f.opt.History
+	if f.opt.Links {
+		a.way, a.seen = d.Discovery, f.marks
+	}
+	f.Agents = append(f.Agents, a)
+	if d.counter, err = f.via(d, "counter", f.Counter.Addr, d.Counter); err != nil {
+		return err
+	}
+	if d.discovery, err = f.via(d, "discovery", a.Addr, d.Discovery); err != nil {
+		return err
+	}
+	for _, b := range f.Backends {
+		if err := f.tell(d, b, "Ready"); err != nil {
+			return err
 		}
-		d.known = a.Whole()
 	}
+	d.known = a.Whole()
+	return nil
+}
+
+// startDoors starts all front doors but those that come late, and waits until they are ready.
+func (f *Fleet) startDoors() error {
 	for _, d := range f.Doors {
-		if !o.Late[d.Nr] {
+		if !f.opt.Late[d.Nr] {
 			if err := d.launch(); err != nil {
-				return f, err
+				return err
 			}
 		}
 	}
 	for _, d := range f.Doors {
-		if !o.Late[d.Nr] {
-			if err := d.ready(30 * time.Second); err != nil {
-				return f, err
+		if !f.opt.Late[d.Nr] {
+			if err := d.ready(readyMost); err != nil {
+				return err
 			}
 		}
 	}
-	return f, nil
+	return nil
 }
 
 // add starts a backend; a zero time is long ago.
