--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -11,6 +11,7 @@
 	"clovergap/internal/gateway/transport"
 	"clovergap/internal/history"
 	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
 	"clovergap/internal/proxy/eventloop"
@@ -397,10 +398,10 @@
 }
 
 // writes_ is a moment only where something of the log is written.
-func writes_(all []replication.LogWrite) moment {
+func writes_(all []replication.LogWrite) spec.Moment {
 	for _, a := range all {
 		if a.Log == replication.ConfigurationLog && len(a.Write.Entries) > 0 {
-			return writes
+			return spec.Writes
 		}
 	}
 	return ""
