--- a/internal/frontdoor/lease/check/fleet.go
+++ b/internal/frontdoor/lease/check/fleet.go
@@ -103,8 +103,7 @@
 		s.Draw(w.rng, b.Faults, true)
 		kept := s.Faults[:0]
 		for _, f := range s.Faults {
-			switch f.Kind {
-			case "door-kill", "door-stall", "door-roll", "peer-cut", "peer-loss", "peer-delay", "peer-double", "peer-reorder", "hall-cut":
+			if effects[f.Effect()] != nil {
 				kept = append(kept, f)
 			}
 		}
@@ -112,7 +111,7 @@
 	}
 	w.out.Faults = s.Faults
 	for i := range s.Faults {
-		w.at(s.Faults[i].At.D(), func() { w.strike(&s.Faults[i], s.Halls.Names) })
+		w.at(s.Faults[i].At.D(), func() { w.applyFault(&s.Faults[i], s.Halls.Names) })
 	}
 	for at, ok := w.q.Next(); ok && at <= b.For; at, ok = w.q.Next() {
 		do, _ := w.q.Take(at)
@@ -268,73 +267,6 @@
 	}
 }
 
-func (w *big) kill(i int, down time.Duration) {
-	d := w.doors[i]
-	if !d.up {
-		return
-	}
-	w.hurt(i)
-	d.up = false
-	w.after(down, func() { w.start(i) })
-}
-
-func (w *big) strike(f *spec.Fault, halls []string) {
-	rng := f.Source(w.rng)
-	hall := func(i int) string { return halls[i%len(halls)] }
-	w.under++
-	w.after(f.For.D(), func() {
-		if w.under--; w.under == 0 {
-			w.calm = w.now
-		}
-	})
-	hits := spec.Hits(len(w.doors), f.Share, rng)
-	switch f.Kind {
-	case "door-kill":
-		for _, i := range hits {
-			w.kill(i, f.For.D())
-		}
-	case "door-roll":
-		waves := max(1, f.Waves)
-		for k, i := range hits {
-			w.after(time.Duration(k*waves/len(hits))*f.For.D()/time.Duration(waves), func() { w.kill(i, f.For.D()/time.Duration(2*waves)) })
-		}
-	case "door-stall":
-		for _, i := range hits {
-			d, life := w.doors[i], w.doors[i].life
-			if !d.up {
-				continue
-			}
-			w.hurt(i)
-			d.still++
-			w.after(f.For.D(), func() {
-				if d.life != life || d.still == 0 {
-					return
-				}
-				if d.still--; d.still == 0 {
-					waits := d.waits
-					d.waits = nil
-					for _, do := range waits {
-						do()
-					}
-					w.turn(i, life, func(*door) {})
-				}
-			})
-		}
-	case "hall-cut":
-		id := w.links.Bring(netfault.Effect{Cut: true, On: func(a, b int) bool { return (hall(a) == f.Hall) != (hall(b) == f.Hall) }})
-		w.after(f.For.D(), func() { w.links.End(id) })
-	default:
-		if e, ok := netfault.Of(f, len(w.doors), hall, rng); ok {
-			id := w.links.Bring(e)
-			w.after(f.For.D(), func() {
-				for _, c := range w.links.End(id) {
-					w.deliver(c)
-				}
-			})
-		}
-	}
-}
-
 // Quantile of some spans.
 func Quantile(all []time.Duration, q float64) time.Duration {
 	if len(all) == 0 {
