--- a/internal/lab/simulation/catchup_test.go
+++ b/internal/lab/simulation/catchup_test.go
@@ -78,8 +78,8 @@
 }
 
 // thin is a site on thin links in which all is calm, with a configuration of about so many bytes.
-func thin(t *testing.T, doors, bytes int, mbps float64) *changer {
-	w := newWorld(&Day{Site: Site{Nodes: doors, Disks: 3, Zones: 1, Mbps: mbps}.Usual(), Seed: 1, For: time.Second, Log: logOf()})
+func thin(t *testing.T, nodes, bytes int, mbps float64) *changer {
+	w := newWorld(&Day{Site: Site{Nodes: nodes, Disks: 3, Zones: 1, Mbps: mbps}.Usual(), Seed: 1, For: time.Second, Log: logOf()})
 	for _, m := range w.machines {
 		m.start()
 	}
@@ -121,7 +121,7 @@
 
 // away has a member and a node without a disk miss so many changes. It tells how long each takes to be as new as the leader was when
 // it came back, with small changes going on, and what the others sent for it.
-func (c *changer) away(t *testing.T, times int, whole bool) (member, door time.Duration, bytes int64) {
+func (c *changer) away(t *testing.T, times int, whole bool) (member, node time.Duration, bytes int64) {
 	w := c.w
 	var gone *machine
 	for _, m := range w.cores() {
@@ -140,21 +140,21 @@
 	began, goal := w.now, c.gen
 	gone.start()
 	last.start()
-	w.every(200*time.Millisecond, func() bool { c.next(false); return member == 0 || door == 0 })
+	w.every(200*time.Millisecond, func() bool { c.next(false); return member == 0 || node == 0 })
 	must.True(t, w.until(w.now+2*time.Minute, func() bool {
 		if member == 0 && c.applied(gone) >= goal {
 			member = w.now - began
 		}
-		if door == 0 && c.applied(last) >= goal {
-			door = w.now - began
+		if node == 0 && c.applied(last) >= goal {
+			node = w.now - began
 		}
-		return member > 0 && door > 0
-	}), must.Sprintf("not level: member %v, door %v", member, door))
+		return member > 0 && node > 0
+	}), must.Sprintf("not level: member %v, node %v", member, node))
 	for _, m := range w.machines {
 		bytes += m.sent["core"] + m.sent["feed"]
 	}
 	w.until(w.now+5*time.Second, nil)
-	return member, door, bytes
+	return member, node, bytes
 }
 
 // A member and a node without a disk that come back after many changes are level within a stated time, on links of 2 Mbit/s and with
@@ -173,11 +173,11 @@
 		whole       bool
 	}{{30_000, 10, false}, {30_000, 300, false}, {number("CATCHUP_SIZE", 120_000), number("CATCHUP_TIMES", 12), true}} {
 		c := thin(t, 4, x.size, mbps)
-		member, door, bytes := c.away(t, x.times, x.whole)
+		member, node, bytes := c.away(t, x.times, x.whole)
 		once := time.Duration(float64(x.size) * 8000 / mbps)
-		t.Logf("%d changes, whole %v, of %d bytes: member %v, door %v, %d bytes sent", x.times, x.whole, x.size, member, door, bytes)
+		t.Logf("%d changes, whole %v, of %d bytes: member %v, node %v, %d bytes sent", x.times, x.whole, x.size, member, node, bytes)
 		must.LessEq(t, 4*once+3*time.Second, member)
-		must.LessEq(t, 4*once+3*time.Second, door)
+		must.LessEq(t, 4*once+3*time.Second, node)
 		must.LessEq(t, 4*int64(x.size)+300<<10, bytes)
 	}
 }
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -56,7 +56,7 @@
 }
 
 // kinds of faults; those that matter more stand more often.
-var kinds = []string{"door-kill", "core-kill", "herd-kill", "core-power", "ack-kill", "ack-kill", "ack-power", "sync-kill", "sync-power",
-	"view-kill", "view-stall", "drain-kill", "drain-kill", "door-stall", "core-stall", "ack-stall", "disk-wipe", "ack-wipe", "door-term",
-	"core-term", "door-cut", "core-cut", "core-cut", "core-part", "ack-cut", "drain-cut", "zone-cut", "loss", "disk-slow", "disk-hang", "disk-full",
+var kinds = []string{"node-kill", "core-kill", "all-kill", "core-power", "ack-kill", "ack-kill", "ack-power", "sync-kill", "sync-power",
+	"view-kill", "view-stall", "drain-kill", "drain-kill", "node-stall", "core-stall", "ack-stall", "disk-wipe", "ack-wipe", "node-term",
+	"core-term", "node-cut", "core-cut", "core-cut", "core-part", "ack-cut", "drain-cut", "zone-cut", "loss", "disk-slow", "disk-hang", "disk-full",
 	"crash", "drain", "drain", "drain", "burst", "resets", "lost-answers", "slow", "failing"}
--- a/internal/lab/simulation/hot.go
+++ b/internal/lab/simulation/hot.go
@@ -23,14 +23,14 @@
 		rush := seconds(0, 0.8*dur.Seconds())
 		add("hot", rush, seconds(1, 7), 0)
 		at, lasts := rush+seconds(-3, 1.5), seconds(0.2, 8)
-		add([]string{"door-cut", "door-cut", "door-cut", "core-cut", "zone-cut"}[rng.IntN(5)], at, lasts, some())
+		add([]string{"node-cut", "node-cut", "node-cut", "core-cut", "zone-cut"}[rng.IntN(5)], at, lasts, some())
 		switch rng.IntN(5) {
 		case 0: // again, within the window
-			add("door-cut", at+lasts+seconds(0, 2), seconds(0.2, 5), some())
+			add("node-cut", at+lasts+seconds(0, 2), seconds(0.2, 5), some())
 		case 1:
-			add([]string{"door-kill", "core-kill", "herd-kill"}[rng.IntN(3)], at+seconds(-1, 3), seconds(0.1, 3), some())
+			add([]string{"node-kill", "core-kill", "all-kill"}[rng.IntN(3)], at+seconds(-1, 3), seconds(0.1, 3), some())
 		case 2:
-			add("door-stall", at+seconds(-1, 3), seconds(0.3, 6), some())
+			add("node-stall", at+seconds(-1, 3), seconds(0.3, 6), some())
 		case 3:
 			add("loss", at+seconds(-1, 1), seconds(1, 6), 0)
 		}
--- a/internal/lab/simulation/parted_test.go
+++ b/internal/lab/simulation/parted_test.go
@@ -28,7 +28,7 @@
 			all.Core, all.Follower = append(all.Core, r.Parted.Core...), append(all.Follower, r.Parted.Follower...)
 		}
 	}
-	for name, took := range map[string][]time.Duration{"the door itself": all.Core, "who followed it": all.Follower} {
+	for name, took := range map[string][]time.Duration{"the node itself": all.Core, "who followed it": all.Follower} {
 		slices.Sort(took)
 		must.NotEq(t, 0, len(took), must.Sprint(name))
 		t.Log(fmt.Sprintf("an order to %s until its clear answer: %d, median %s, 99 in 100 %s, worst %s", name, len(took),
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -32,7 +32,7 @@
 	for name, d := range map[string]*Day{
 		// A node without a disk and the one that it followed stood still at once, for longer than silence is borne: neither
 		// had any reason to speak to the other again, their links being whole.
-		"two stand still": {Site: Site{Nodes: 7, Disks: 3}, Seed: 1504, Faults: []spec.Fault{{Kind: "door-stall",
+		"two stand still": {Site: Site{Nodes: 7, Disks: 3}, Seed: 1504, Faults: []spec.Fault{{Kind: "node-stall",
 			At: 336857009, For: 2243628234, Share: 0.3, Pick: 0x41a2054cc35fe963}}},
 		// The first seed stands still from its first moment on, while the others begin the core: awake, it began one of its own
 		// before it read that.
@@ -74,7 +74,7 @@
 
 // A node that does not come back is told by the rule on recovery, and by no other; the rules on histories are tested in extras.
 func TestRecoverIsJudged(t *testing.T) {
-	d := &Day{Site: Site{Nodes: 3, Disks: 3, Rate: 20}, Seed: 1, For: time.Second, Faults: []spec.Fault{{Kind: "door-kill", Share: 0.1,
+	d := &Day{Site: Site{Nodes: 3, Disks: 3, Rate: 20}, Seed: 1, For: time.Second, Faults: []spec.Fault{{Kind: "node-kill", Share: 0.1,
 		For: spec.Span(time.Hour), Pick: 1}}}
 	r := Play(d)
 	must.SliceLen(t, 1, r.Broken)
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -158,7 +158,7 @@
 	}
 	var seeds []string
 	for i := range d.Nodes {
-		m := &machine{w: w, nr: i, name: fmt.Sprintf("door-%d", i), ip: fmt.Sprintf("10.%d.%d.%d", i%d.Zones, i/200, i%200+1),
+		m := &machine{w: w, nr: i, name: fmt.Sprintf("node-%d", i), ip: fmt.Sprintf("10.%d.%d.%d", i%d.Zones, i/200, i%200+1),
 			zone: w.zones[i%d.Zones]}
 		m.inner, m.control = net.JoinHostPort(m.ip, strconv.Itoa(innerPort)), net.JoinHostPort(m.ip, strconv.Itoa(controlPort))
 		w.machines = append(w.machines, m)
@@ -171,7 +171,7 @@
 		}
 	}
 	for _, m := range w.machines {
-		m.settings = &settings.Settings{NodeName: m.name, Role: "door", Serves: []string{"edge", "control"}, IP: m.ip, Zone: m.zone,
+		m.settings = &settings.Settings{NodeName: m.name, Role: "node", Serves: []string{"edge", "control"}, IP: m.ip, Zone: m.zone,
 			InnerPorts: [2]int{innerPort, innerPort + 15}, SeedAddrs: seeds, FirstBoot: true, CountsAsLoss: m.disk != nil,
 			Bind:         settings.Bind{Front: "front", Readiness: "ready", Control: m.control},
 			BeatInterval: d.Beat, Tolerates: settings.Tolerates{Machines: d.Tolerates()}, Bounds: gatewaystandin.Bounds()}
--- a/internal/lab/spec/actions.go
+++ b/internal/lab/spec/actions.go
@@ -17,15 +17,15 @@
 	return begin(w, f), nil
 }
 
-// Nodes are the nodes that a fault hits, in any world.
-type Nodes interface {
+// HitNodes are the nodes that a fault hits, in any world.
+type HitNodes interface {
 	Kill()         // their processes end at once
 	Start()        // those that were ended start again
 	Stall(on bool) // they stand still, or go on
 }
 
 // NodeActions are the effects on nodes that are alike in all worlds, beside a world's own.
-func NodeActions[World Nodes](own Table[World]) Table[World] {
+func NodeActions[World HitNodes](own Table[World]) Table[World] {
 	own[KillNodes] = func(w World, _ *Fault) func() {
 		w.Kill()
 		return w.Start
--- a/internal/lab/spec/fault.go
+++ b/internal/lab/spec/fault.go
@@ -17,7 +17,7 @@
 	At    Span    `toml:"at"`
 	For   Span    `toml:"for"`
 	Share float64 `toml:"share,omitempty"` // of the backends, front doors, messages or answers that it hits
-	Hall  string  `toml:"hall,omitempty"`
+	Zone  string  `toml:"zone,omitempty"`
 	By    float64 `toml:"by,omitempty"`    // how much: times slower, share failing, times the load, bytes a second
 	Waves int     `toml:"waves,omitempty"` // of a release or a roll; at a point: the so many-th time, drawn if nought
 	Shape string  `toml:"shape,omitempty"` // of a cut between front doors
@@ -30,7 +30,7 @@
 }
 
 // Shapes of cuts between front doors.
-var shapes = []string{"halves", "isolated", "bridge", "ring", "hall"}
+var shapes = []string{"halves", "isolated", "bridge", "ring", "zone"}
 
 // OnlyProcesses names the first fault that the emulator does not know.
 func (s *Spec) OnlyProcesses() error {
@@ -51,11 +51,11 @@
 	say(needs(NeedsShare) && !(f.Share > 0 && f.Share <= 1), at+"share", "must be over 0 and at most 1")
 	say(needs(NeedsBy) && !(f.By > 0), at+"by", "must be more than nought")
 	say(f.Kind == "failing" && f.By > 1, at+"by", "must be over 0 and at most 1: it is the share that fails")
-	say(f.Kind == "door-slow" && f.By > 1, at+"by", "must be over 0 and at most 1: it is the share of a core")
+	say(f.Kind == "node-slow" && f.By > 1, at+"by", "must be over 0 and at most 1: it is the share of a core")
 	say(needs(NeedsDelay) && f.Delay <= 0, at+"delay", "must be more than nought, such as \"50ms\"")
-	say(needs(NeedsHall) && !slices.Contains(s.Halls.Names, f.Hall), at+"hall", fmt.Sprintf("no such hall: %q", f.Hall))
+	say(needs(NeedsZone) && !slices.Contains(s.Zones.Names, f.Zone), at+"zone", fmt.Sprintf("no such zone: %q", f.Zone))
 	say(needs(NeedsShape) && !slices.Contains(shapes, f.Shape), at+"shape", fmt.Sprintf("must be %s, not %q", strings.Join(shapes, ", "), f.Shape))
-	say(f.Shape == "hall" && !slices.Contains(s.Halls.Names, f.Hall), at+"hall", fmt.Sprintf("no such hall: %q", f.Hall))
+	say(f.Shape == "zone" && !slices.Contains(s.Zones.Names, f.Zone), at+"zone", fmt.Sprintf("no such zone: %q", f.Zone))
 	say(f.Way != "" && f.Way != "in" && f.Way != "out" && f.Way != "both", at+"way", fmt.Sprintf("must be in, out or both, not %q", f.Way))
 	say(needs(NeedsLink) && f.Link != "discovery" && f.Link != "backends" && f.Link != "counter", at+"link",
 		fmt.Sprintf("must be discovery, backends or counter, not %q", f.Link))
@@ -63,7 +63,7 @@
 }
 
 // Pairs tells which ordered pairs of front doors a cut parts: hears(i, j) is false where nothing that i says gets to j.
-func (f *Fault) Pairs(n int, hall func(int) string, rng *rand.Rand) (cut func(from, to int) bool) {
+func (f *Fault) Pairs(n int, zone func(int) string, rng *rand.Rand) (cut func(from, to int) bool) {
 	group := make([]int, n) // 0: the rest; 1: the cut group; 2: a bridge
 	order := rng.Perm(n)
 	size := 1
@@ -83,10 +83,10 @@
 			d := (place[from] - place[to] + n) % n
 			return d > 1 && d < n-1
 		}
-	case "hall":
+	case "zone":
 		size = 0
 		for i := range group {
-			if hall(i) == f.Hall {
+			if zone(i) == f.Zone {
 				group[i] = 1
 			}
 		}
@@ -130,7 +130,7 @@
 }
 
 // drawn kinds need a debug build or a machine of their own, or would end every run.
-var notDrawn = map[string]bool{"stall-at": true, "exit-at": true, "door-few": true, "door-little": true, "peer-spoil": true}
+var notDrawn = map[string]bool{"stall-at": true, "exit-at": true, "node-sockets": true, "node-memory": true, "peer-spoil": true}
 
 // Drawn gives an experiment with random faults on top of its own, and with a seed of its own.
 func (s *Spec) Drawn(seed uint64, most int, emulated bool) *Spec {
@@ -170,7 +170,7 @@
 			f.By = math.Round((0.1+0.8*rng.Float64())*100) / 100
 		case "burst":
 			f.By = math.Round((1.2+2*rng.Float64())*100) / 100
-		case "door-slow":
+		case "node-slow":
 			f.By = math.Round((0.1+0.5*rng.Float64())*100) / 100
 		case "link-rate", "peer-rate":
 			f.By = math.Round(2000 + 30000*rng.Float64())
@@ -178,11 +178,11 @@
 			f.Shape = shapes[rng.IntN(len(shapes))]
 			f.Way = []string{"in", "out", "both"}[rng.IntN(3)]
 			f.Hold = rng.IntN(3) == 0
-		case "release", "door-roll":
+		case "release", "node-roll":
 			f.Waves = 1 + rng.IntN(4)
 		}
-		if needs&NeedsHall != 0 || f.Shape == "hall" {
-			f.Hall = s.Halls.Names[rng.IntN(len(s.Halls.Names))]
+		if needs&NeedsZone != 0 || f.Shape == "zone" {
+			f.Zone = s.Zones.Names[rng.IntN(len(s.Zones.Names))]
 		}
 		if f.Kind == "link-cut" {
 			f.Way = []string{"in", "out", "both"}[rng.IntN(3)]
@@ -190,7 +190,7 @@
 		if needs&NeedsLink != 0 {
 			f.Link = []string{"discovery", "backends", "counter"}[rng.IntN(3)]
 		}
-		if f.Kind == "hall-loss" && rng.IntN(2) == 0 {
+		if f.Kind == "zone-loss" && rng.IntN(2) == 0 {
 			f.Share = 1
 		}
 		s.Faults = append(s.Faults, f)
--- a/internal/lab/spec/kinds.go
+++ b/internal/lab/spec/kinds.go
@@ -24,7 +24,7 @@
 	NeedsShare Fields = 1 << iota
 	NeedsBy
 	NeedsDelay
-	NeedsHall
+	NeedsZone
 	NeedsShape
 	NeedsLink
 	NeedsPoint
@@ -145,21 +145,21 @@
 	{name: "counter-reset", worlds: anywhere, effect: CounterReset},
 	{name: "counter-spoilt", needs: NeedsShare, worlds: anywhere, effect: CounterSpoilt},
 	{name: "crash", needs: NeedsShare, worlds: anywhere | gateways, effect: CrashBackends},
-	{name: "door-config", needs: NeedsShare, worlds: FrontDoors, target: SomeNodes, effect: MoveDiscovery},
-	{name: "door-few", needs: NeedsShare | NeedsBy, worlds: FrontDoors, target: SomeNodes, effect: FewSockets},
-	{name: "door-kill", needs: NeedsShare, worlds: anywhere | gateways, target: SomeNodes, effect: KillNodes},
-	{name: "door-late", needs: NeedsShare, worlds: FrontDoors, target: SomeNodes, effect: StartLate},
-	{name: "door-little", needs: NeedsShare | NeedsBy, worlds: FrontDoors, target: SomeNodes, effect: LittleMemory},
-	{name: "door-roll", needs: NeedsShare, worlds: anywhere, target: SomeNodes, effect: RollNodes},
-	{name: "door-seed", needs: NeedsShare, worlds: FrontDoors, target: SomeNodes, effect: SameSeed},
-	{name: "door-slow", needs: NeedsShare | NeedsBy, worlds: FrontDoors, target: SomeNodes, effect: SlowNodes},
-	{name: "door-stall", needs: NeedsShare, worlds: anywhere | gateways, target: SomeNodes, effect: StallNodes},
-	{name: "door-term", needs: NeedsShare, worlds: FrontDoors | gateways, target: SomeNodes, effect: TerminateNodes},
+	{name: "node-config", needs: NeedsShare, worlds: FrontDoors, target: SomeNodes, effect: MoveDiscovery},
+	{name: "node-sockets", needs: NeedsShare | NeedsBy, worlds: FrontDoors, target: SomeNodes, effect: FewSockets},
+	{name: "node-kill", needs: NeedsShare, worlds: anywhere | gateways, target: SomeNodes, effect: KillNodes},
+	{name: "node-late", needs: NeedsShare, worlds: FrontDoors, target: SomeNodes, effect: StartLate},
+	{name: "node-memory", needs: NeedsShare | NeedsBy, worlds: FrontDoors, target: SomeNodes, effect: LittleMemory},
+	{name: "node-roll", needs: NeedsShare, worlds: anywhere, target: SomeNodes, effect: RollNodes},
+	{name: "node-seed", needs: NeedsShare, worlds: FrontDoors, target: SomeNodes, effect: SameSeed},
+	{name: "node-slow", needs: NeedsShare | NeedsBy, worlds: FrontDoors, target: SomeNodes, effect: SlowNodes},
+	{name: "node-stall", needs: NeedsShare, worlds: anywhere | gateways, target: SomeNodes, effect: StallNodes},
+	{name: "node-term", needs: NeedsShare, worlds: FrontDoors | gateways, target: SomeNodes, effect: TerminateNodes},
 	{name: "drain", needs: NeedsShare, worlds: anywhere | gateways, effect: DrainBackends},
 	{name: "exit-at", needs: NeedsShare | NeedsPoint, worlds: FrontDoors, target: SomeNodes, effect: ExitAtPoint},
 	{name: "failing", needs: NeedsShare | NeedsBy, worlds: anywhere | Simulation, effect: FailBackends},
-	{name: "hall-cut", needs: NeedsHall, worlds: anywhere, effect: CutZone},
-	{name: "hall-loss", needs: NeedsHall, worlds: anywhere, effect: LoseZone},
+	{name: "zone-cut", needs: NeedsZone, worlds: anywhere | Simulation, effect: CutZone},
+	{name: "zone-loss", needs: NeedsZone, worlds: anywhere, effect: LoseZone},
 	{name: "late-lists", worlds: anywhere, effect: DelayLists},
 	{name: "link-cut", needs: NeedsShare | NeedsLink, worlds: FrontDoors, target: SomeNodes, effect: CutLinks},
 	{name: "link-delay", needs: NeedsShare | NeedsLink | NeedsDelay, worlds: FrontDoors, target: SomeNodes, effect: DelayLinks},
@@ -199,11 +199,11 @@
 	{name: "disk-hang", worlds: Simulation, target: SomeDisks, effect: HangDisks},
 	{name: "disk-slow", worlds: Simulation, target: SomeDisks, effect: SlowDisks},
 	{name: "disk-wipe", worlds: gateways, target: SomeDisks, effect: WipeNodes},
-	{name: "door-cut", worlds: gateways, target: SomeNodes, effect: CutNodes},
+	{name: "node-cut", worlds: gateways, target: SomeNodes, effect: CutNodes},
 	{name: "drain-cut", worlds: Simulation, moment: Drained, target: DrainerNode, effect: CutNodes},
 	{name: "drain-kill", worlds: Simulation, moment: Drained, target: DrainerNode, effect: KillOrPowerOff},
 	{name: "garble", worlds: Gateways, effect: GarbleAnswers},
-	{name: "herd-kill", worlds: gateways, target: AllNodes, effect: KillNodes},
+	{name: "all-kill", worlds: gateways, target: AllNodes, effect: KillNodes},
 	{name: "hot", worlds: Simulation, effect: RushTenant},
 	{name: "lead-kill", worlds: Gateways, target: LeaderNode, effect: KillNodes},
 	{name: "lead-stall", worlds: Gateways, target: LeaderNode, effect: StallNodes},
@@ -215,7 +215,6 @@
 	{name: "sync-replace", worlds: Simulation, moment: Writes, target: SomeDisks, effect: ReplaceNodes},
 	{name: "view-kill", worlds: Simulation, moment: ViewChange, target: SomeDisks, effect: KillNodes},
 	{name: "view-stall", worlds: Simulation, moment: ViewChange, target: SomeDisks, effect: StallNodes},
-	{name: "zone-cut", worlds: Simulation, effect: CutZone},
 }
 
 // byName are the kinds by their names.
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -44,8 +44,8 @@
 	Seed      uint64    `toml:"seed"`
 	For       Span      `toml:"for"`    // simulated time in which clients come
 	Policy    string    `toml:"policy"` // "module", or a mark: "seeing", "plain"
-	Doors     Doors     `toml:"doors"`
-	Halls     Halls     `toml:"halls"`
+	Nodes     Nodes     `toml:"nodes"`
+	Zones     Zones     `toml:"zones"`
 	Backends  Backends  `toml:"backends"`
 	Peers     Peers     `toml:"peers"`
 	Discovery Discovery `toml:"discovery"`
@@ -57,16 +57,16 @@
 	Faults    []Fault   `toml:"faults"`
 }
 
-// Doors are the front doors.
-type Doors struct {
+// Nodes are the front doors.
+type Nodes struct {
 	Count  int   `toml:"count"`
 	Spread Range `toml:"spread"` // of their starts, before clients come
 }
 
-// Halls are where front doors and backends stand, dealt out in turn.
-type Halls struct {
+// Zones are where front doors and backends stand, dealt out in turn.
+type Zones struct {
 	Names  []string `toml:"names"`
-	Same   Range    `toml:"same"`  // one way within a hall
+	Same   Range    `toml:"same"`  // one way within a zone
 	Cross  Range    `toml:"cross"` // and between two
 	Client Range    `toml:"client"`
 }
@@ -169,12 +169,12 @@
 // Policies are what may decide: the module, two marks, and quotas by a call to the counter for each txn.
 var Policies = []string{"module", "seeing", "plain", "counted"}
 
-// Default is a calm fleet of ten front doors before eight backends in two halls.
+// Default is a calm fleet of ten front doors before eight backends in two zones.
 func Default() Spec {
 	ms := func(n float64) Span { return Span(n * float64(time.Millisecond)) }
 	return Spec{Name: "default", Seed: 1, For: ms(30000), Policy: "module",
-		Doors:    Doors{10, Range{ms(20), ms(300)}},
-		Halls:    Halls{[]string{"a", "b"}, Range{ms(.1), ms(.3)}, Range{ms(.7), ms(1.3)}, Range{ms(.4), ms(.9)}},
+		Nodes:    Nodes{10, Range{ms(20), ms(300)}},
+		Zones:    Zones{[]string{"a", "b"}, Range{ms(.1), ms(.3)}, Range{ms(.7), ms(1.3)}, Range{ms(.4), ms(.9)}},
 		Backends: Backends{8, 2, 0.1, 8, 40, 4, 0.001, ms(400), ms(100), ms(0.8), 2, ms(30000), ms(250)},
 		Peers:    Peers{Range{ms(2), ms(30)}, 0.05, 100}, Discovery: Discovery{Range{ms(1200), ms(4000)}, Range{ms(400), ms(2200)}},
 		Clients: Clients{Load: 0.5, Use: 0.45, Skew: 0.6, Heavy: 0.1, HeavyBy: 6, Retries: 2, TryShare: 1,
@@ -263,18 +263,18 @@
 	}
 	say(s.For <= 0, "for", "must be more than nought")
 	say(!slices.Contains(Policies, s.Policy), "policy", "must be "+strings.Join(Policies, ", "))
-	say(s.Doors.Count < 1 || s.Doors.Count > 1000, "doors.count", "must be 1 to 1000")
+	say(s.Nodes.Count < 1 || s.Nodes.Count > 1000, "nodes.count", "must be 1 to 1000")
 	say(s.Backends.Count < 1 || s.Backends.Count > 2000, "backends.count", "must be 1 to 2000")
-	say(len(s.Halls.Names) < 1, "halls.names", "names no hall")
+	say(len(s.Zones.Names) < 1, "zones.names", "names no zone")
 	say(s.Backends.Cores <= 0 || s.Backends.Slots < 1, "backends.slots", "cores and slots must be more than nought")
 	say(s.Backends.Pods < 1, "backends.pods", "must be 1 at the least")
 	say(s.Clients.Load <= 0, "clients.load", "must be more than nought")
 	say(s.Clients.Use <= 0, "clients.use", "must be more than nought")
 	say(s.Clients.TryShare <= 0 || s.Clients.TryShare > 1, "clients.try_share", "must be over 0 and at most 1")
 	say(s.Rules.ColdFrom <= 0 || s.Rules.ColdFrom > 1, "rules.cold_from", "must be over 0 and at most 1")
-	for name, r := range map[string]Range{"halls.same": s.Halls.Same, "halls.cross": s.Halls.Cross, "halls.client": s.Halls.Client,
+	for name, r := range map[string]Range{"zones.same": s.Zones.Same, "zones.cross": s.Zones.Cross, "zones.client": s.Zones.Client,
 		"peers.delay": s.Peers.Delay, "discovery.late": s.Discovery.Late, "discovery.added": s.Discovery.Added,
-		"clients.backoff": s.Clients.Backoff, "clients.notice": s.Clients.Notice, "doors.spread": s.Doors.Spread} {
+		"clients.backoff": s.Clients.Backoff, "clients.notice": s.Clients.Notice, "nodes.spread": s.Nodes.Spread} {
 		say(r[0] < 0 || r[1] < r[0], name, "must be a least and a most, neither below nought")
 	}
 	say(len(s.Products) == 0, "products", "names none")
@@ -283,7 +283,7 @@
 		say(p.Work <= 0 || p.SLA <= 0 || p.Expiry < p.SLA, at+"expiry", "work and sla must be more than nought, expiry no less than sla")
 		say(p.Effect != "inquiry-like" && p.Effect != "referenced" && p.Effect != "once-only", at+"effect",
 			"must be inquiry-like, referenced or once-only")
-		say(p.Scope != "all" && p.Scope != "hall" && p.Scope != "pod", at+"repeat_scope", "must be all, hall or pod")
+		say(p.Scope != "all" && p.Scope != "zone" && p.Scope != "pod", at+"repeat_scope", "must be all, zone or pod")
 	}
 	say(len(s.Plans) == 0, "plans", "names none")
 	for i, p := range s.Plans {
--- a/internal/lab/standin/backend.go
+++ b/internal/lab/standin/backend.go
@@ -81,7 +81,7 @@
 
 // Backend is one, with slots and a queue in front of them.
 type Backend struct {
-	ID, Hall string
+	ID, Zone string
 	Pod      int
 	Addr     string
 
@@ -110,8 +110,8 @@
 }
 
 // NewBackend listens on loopback. Work gives how long a request of a kind takes.
-func NewBackend(id, hall string, pod, slots, queue int, seed uint64, work func(string) time.Duration) (*Backend, error) {
-	return newBackend(old{}, nil, id, hall, pod, slots, queue, seed, work)
+func NewBackend(id, zone string, pod, slots, queue int, seed uint64, work func(string) time.Duration) (*Backend, error) {
+	return newBackend(old{}, nil, id, zone, pod, slots, queue, seed, work)
 }
 
 // NewSpeaking makes one that speaks by a wire, and notes what comes in a history.
@@ -120,13 +120,13 @@
 	return newBackend(wire, log, id, zone, 0, slots, queue, seed, work)
 }
 
-func newBackend(wire Wire, log *history.Log, id, hall string, pod, slots, queue int, seed uint64,
+func newBackend(wire Wire, log *history.Log, id, zone string, pod, slots, queue int, seed uint64,
 	work func(string) time.Duration) (*Backend, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Backend{wire: wire, log: log, ID: id, Hall: hall, Pod: pod, Addr: l.Addr().String(), work: work, slots: make(chan struct{}, slots), most: int64(slots + queue),
+	b := &Backend{wire: wire, log: log, ID: id, Zone: zone, Pod: pod, Addr: l.Addr().String(), work: work, slots: make(chan struct{}, slots), most: int64(slots + queue),
 		l: l, rng: rand.New(rand.NewPCG(seed, 7)), ran: map[string]int{}, conns: map[net.Conn]bool{}}
 	b.mode.Store(&Mode{})
 	b.srv = &http.Server{Handler: b, ConnState: func(c net.Conn, s http.ConnState) {
@@ -178,7 +178,7 @@
 
 // Place is where it stands, for checkers.
 func (b *Backend) Place() history.Place {
-	return history.Place{Hall: b.Hall, Pod: b.Pod, Start: b.started}
+	return history.Place{Zone: b.Zone, Pod: b.Pod, Start: b.started}
 }
 
 // Close ends it.
@@ -428,7 +428,7 @@
 // Agent is discovery's on a front door's own machine: it answers with what it has been told.
 type Agent struct {
 	Addr string
-	door string
+	node string
 	log  *history.Log
 	way  *Way // to the front door; nil: straight
 	seen *traces
@@ -470,7 +470,7 @@
 func (a *Agent) Tell(b *Backend, state string) { a.tellAt(b, b.Addr, state) }
 
 func (a *Agent) tellAt(b *Backend, addr, state string) {
-	t := target{b.ID, addr, b.Hall, "m", b.Pod, state, 1, 0}
+	t := target{b.ID, addr, b.Zone, "m", b.Pod, state, 1, 0}
 	if !b.Boot.IsZero() {
 		t.Boot = b.Boot.UnixMilli()
 	}
@@ -517,7 +517,7 @@
 	}
 	note := func() {
 		for _, t := range list {
-			a.log.Add(history.Event{Who: a.door, Kind: history.Told, At: t.UID, What: t.State})
+			a.log.Add(history.Event{Who: a.node, Kind: history.Told, At: t.UID, What: t.State})
 		}
 	}
 	if a.way == nil {
--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -78,7 +78,7 @@
 
 // ask is one request as it will be sent.
 type ask struct {
-	door    int
+	node    int
 	product spec.Product
 	plan    spec.Plan
 	key     uint64
@@ -94,16 +94,16 @@
 	p := pick(c.rng, len(s.Products), func(i int) float64 { return s.Products[i].Share })
 	pl := pick(c.rng, len(s.Plans), func(i int) float64 { return s.Plans[i].Share })
 	a := ask{product: s.Products[p], plan: s.Plans[pl]}
-	a.width = max(1, int(a.plan.Width*float64(len(c.f.Doors))+0.5))
+	a.width = max(1, int(a.plan.Width*float64(len(c.f.Nodes))+0.5))
 	n := max(1, int(c.rate()*a.plan.Share/(s.Clients.Use*a.plan.Rate)))
 	a.key = uint64(pl)<<24 | uint64(c.rng.IntN(n))
-	a.first = int(a.key % uint64(len(c.f.Doors)))
+	a.first = int(a.key % uint64(len(c.f.Nodes)))
 	if a.plan.Ceiling > 0 { // as a site does: each of the set can hold a txn of its own
 		a.width = min(a.width, max(1, int(a.plan.Ceiling*a.plan.Burst/2)))
 	}
 	at := c.rng.IntN(a.width)
 	for i := 0; i < a.width; i++ {
-		if a.door = (a.first + (at+i)%a.width) % len(c.f.Doors); c.Notice == 0 || c.f.Doors[a.door].Down() < c.Notice {
+		if a.node = (a.first + (at+i)%a.width) % len(c.f.Nodes); c.Notice == 0 || c.f.Nodes[a.node].Down() < c.Notice {
 			break
 		}
 	}
@@ -128,9 +128,9 @@
 	}
 	// A body that the library can't get anew: it must not send anything again by itself.
 	body := struct{ io.Reader }{strings.NewReader(text)}
-	asked := history.Event{Who: "clients", Kind: history.Asked, Txn: a.id, Key: fmt.Sprintf("%s/%x", a.plan.Name, a.key), At: c.f.Doors[a.door].Name,
+	asked := history.Event{Who: "clients", Kind: history.Asked, Txn: a.id, Key: fmt.Sprintf("%s/%x", a.plan.Name, a.key), At: c.f.Nodes[a.node].Name,
 		N: 1, What: a.product.Name, Due: history.Now() + time.Until(meant) + a.product.Expiry.D()}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.f.Doors[a.door].Addr+"/api?lot=7", body)
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.f.Nodes[a.node].Addr+"/api?lot=7", body)
 	if err != nil {
 		return
 	}
--- a/internal/lab/standin/door.go
+++ b/internal/lab/standin/door.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// Door is one front door's process, in one life after another.
-type Door struct {
+// Node is one front door's process, in one life after another.
+type Node struct {
 	*Process
 	Nr        int
-	Hall      string
+	Zone      string
 	Addr      string
 	Discovery *Way
 	Counter   *Way
-	Backends  map[string]*Way // by hall
+	Backends  map[string]*Way // by zone
 
 	f                  *Fleet
 	conf               string // file
@@ -39,12 +39,12 @@
 }
 
 // write lays the configuration.
-func (d *Door) write() error {
+func (d *Node) write() error {
 	f := d.f
 	conf := map[string]any{"name": d.Name, "listen": d.Addr, "discovery": d.discovery, "seed": fmt.Sprintf("%016x", d.seed),
 		"limits": map[string]any{"cores": f.opt.Cores, "memory_mb": d.memory, "sockets": d.sockets}, "peer_listen": d.peers,
 		"peers": f.Relay.Peers(d.Nr), "counter": d.counter, "known": json.RawMessage(d.known),
-		"settings": Settings(f.Spec, d.Nr, d.Nr%len(f.Spec.Halls.Names))}
+		"settings": Settings(f.Spec, d.Nr, d.Nr%len(f.Spec.Zones.Names))}
 	text, err := json.MarshalIndent(conf, "", " ")
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 }
 
 // prepare lays the configuration of the next life, with a seed of its own each time.
-func (d *Door) prepare(life int) (*exec.Cmd, error) {
+func (d *Node) prepare(life int) (*exec.Cmd, error) {
 	if !d.same {
 		d.seed = d.f.Spec.Seed + uint64(d.Nr) + uint64(life)<<32
 	}
@@ -79,7 +79,7 @@
 }
 
 // line takes counters from the log.
-func (d *Door) line(text []byte) bool {
+func (d *Node) line(text []byte) bool {
 	var l struct {
 		Counters    string `json:"counters"`
 		Allocations int    `json:"allocations"`
@@ -109,7 +109,7 @@
 }
 
 // serves asks /up.
-func (d *Door) serves(ctx context.Context) bool {
+func (d *Node) serves(ctx context.Context) bool {
 	r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+d.Addr+"/up", nil)
 	r.Close = true
 	a, err := http.DefaultClient.Do(r)
@@ -121,7 +121,7 @@
 }
 
 // Counters asks a front door for its counters by SIGUSR1.
-func (d *Door) Counters(wait time.Duration) map[string]int {
+func (d *Node) Counters(wait time.Duration) map[string]int {
 	select {
 	case <-d.fresh:
 	default:
@@ -141,7 +141,7 @@
 }
 
 // Settle rewrites the configuration and has the process read it again.
-func (d *Door) Settle(change func()) error {
+func (d *Node) Settle(change func()) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change()
@@ -153,7 +153,7 @@
 }
 
 // Limits are those of the next lives; nought is the fleet's.
-func (d *Door) Limits(memoryMB, sockets int) {
+func (d *Node) Limits(memoryMB, sockets int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.memory, d.sockets = d.f.opt.MemoryMB, d.f.opt.Sockets
@@ -166,7 +166,7 @@
 }
 
 // SameSeed gives the next life the seed of this one, which the platform never does.
-func (d *Door) SameSeed() {
+func (d *Node) SameSeed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.same = true
@@ -174,7 +174,7 @@
 
 // MoveDiscovery gives the front door another address of its agent, as a new configuration does; the old one ends a
 // while later.
-func (d *Door) MoveDiscovery(old time.Duration) error {
+func (d *Node) MoveDiscovery(old time.Duration) error {
 	f := d.f
 	f.mu.Lock()
 	var was *proxy
@@ -199,7 +199,7 @@
 
 // Crashed names front doors that ended by themselves, with their last words.
 func (f *Fleet) Crashed() (who []int) {
-	for _, d := range f.Doors {
+	for _, d := range f.Nodes {
 		if _, bad := d.Crash(); bad {
 			who = append(who, d.Nr)
 		}
--- a/internal/lab/standin/fleet.go
+++ b/internal/lab/standin/fleet.go
@@ -16,10 +16,10 @@
 )
 
 // Settings puts an experiment into the platform's words, as a front door's configuration holds them.
-func Settings(s *spec.Spec, me, hall int) map[string]any {
+func Settings(s *spec.Spec, me, zone int) map[string]any {
 	us := func(d spec.Span) int64 { return d.D().Microseconds() }
 	effects := map[string]string{"inquiry-like": "idempotent", "referenced": "deduplicated", "once-only": "at_most_once"}
-	scopes := map[string]string{"all": "all", "hall": "zone", "pod": "cell"}
+	scopes := map[string]string{"all": "all", "zone": "zone", "pod": "cell"}
 	var classes, plans []map[string]any
 	for _, p := range s.Products {
 		classes = append(classes, map[string]any{"name": p.Name, "effect": effects[p.Effect], "dedupScope": scopes[p.Scope], "objective": us(p.SLA),
@@ -29,7 +29,7 @@
 		plans = append(plans, map[string]any{"name": p.Name, "refill": p.Rate, "peakUnits": p.Burst, "valueFactor": p.Price, "beyondEarns": p.OverValue,
 			"excessCost": p.OverCost, "atOnce": p.OpenCap, "ceilingRate": p.Ceiling * p.Rate, "hardBurst": p.Ceiling * p.Burst})
 	}
-	return map[string]any{"balancers": s.Doors.Count, "me": me, "zone": hall, "dcs": s.Halls.Names,
+	return map[string]any{"balancers": s.Nodes.Count, "me": me, "zone": zone, "dcs": s.Zones.Names,
 		"report": map[string]any{"how": "answers", "fields": []string{"concurrent"}},
 		"ceilings": map[string]any{"peers": true, "mayProbe": false, "cancel": s.Limits.Cancel, "retryAfter": s.Limits.Advice,
 			"maxRetryAfter": us(s.Limits.LongestAdvice), "maxAttempts": s.Limits.Submissions, "connIdle": us(s.Backends.ConnIdle),
@@ -43,7 +43,7 @@
 // Fleet is front doors with all they speak with.
 type Fleet struct {
 	Spec     *spec.Spec
-	Doors    []*Door
+	Nodes    []*Node
 	Backends []*Backend // those in service
 	Agents   []*Agent   // one a front door
 	Counter  *Counter
@@ -55,7 +55,7 @@
 	work     func(string) time.Duration
 	mu       sync.Mutex
 	all      []*Backend // those that were replaced too
-	proxies  map[*Door]map[string]*proxy
+	proxies  map[*Node]map[string]*proxy
 	timers   []*time.Timer
 	closed   bool
 }
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f = &Fleet{Spec: s, opt: o, dir: dir, once: map[string]bool{}, proxies: map[*Door]map[string]*proxy{}}
+	f = &Fleet{Spec: s, opt: o, dir: dir, once: map[string]bool{}, proxies: map[*Node]map[string]*proxy{}}
 	defer func() {
 		if err != nil {
 			f.Close()
@@ -136,10 +136,10 @@
 	if err := f.layBackends(); err != nil {
 		return f, err
 	}
-	if err := f.layDoors(); err != nil {
+	if err := f.layNodes(); err != nil {
 		return f, err
 	}
-	return f, f.startDoors()
+	return f, f.startNodes()
 }
 
 // layBackends starts the backends.
@@ -150,21 +150,21 @@
 		f.once[p.Name] = p.Effect == "once-only"
 	}
 	for i := range s.Backends.Count {
-		if _, err := f.add(s.Halls.Names[i%len(s.Halls.Names)], i%s.Backends.Pods, time.Time{}); err != nil {
+		if _, err := f.add(s.Zones.Names[i%len(s.Zones.Names)], i%s.Backends.Pods, time.Time{}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// layDoors makes the front doors, without starting any, and what stands between them and the rest.
-func (f *Fleet) layDoors() (err error) {
+// layNodes makes the front doors, without starting any, and what stands between them and the rest.
+func (f *Fleet) layNodes() (err error) {
 	s, at := f.Spec, home()
-	listen, err := free(at, s.Doors.Count, "tcp")
+	listen, err := free(at, s.Nodes.Count, "tcp")
 	if err != nil {
 		return err
 	}
-	peers, err := free(at, s.Doors.Count, "udp")
+	peers, err := free(at, s.Nodes.Count, "udp")
 	if err != nil {
 		return err
 	}
@@ -174,30 +174,30 @@
 	if f.Relay, err = NewRelay(peers, s.Seed); err != nil {
 		return err
 	}
-	for i := range s.Doors.Count {
-		if err := f.layDoor(i, listen[i], peers[i]); err != nil {
+	for i := range s.Nodes.Count {
+		if err := f.layNode(i, listen[i], peers[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// layDoor makes one front door with its discovery agent and the ways to what it calls.
-func (f *Fleet) layDoor(number int, listen, peers string) error {
-	name, halls := fmt.Sprintf("n%d", number), f.Spec.Halls.Names
-	d := &Door{Nr: number, fresh: make(chan struct{}, 1), Hall: halls[number%len(halls)], Addr: listen, peers: peers, f: f,
+// layNode makes one front door with its discovery agent and the ways to what it calls.
+func (f *Fleet) layNode(number int, listen, peers string) error {
+	name, zones := fmt.Sprintf("n%d", number), f.Spec.Zones.Names
+	d := &Node{Nr: number, fresh: make(chan struct{}, 1), Zone: zones[number%len(zones)], Addr: listen, peers: peers, f: f,
 		conf: filepath.Join(f.dir, name+".json"), Discovery: newWay(), Counter: newWay(), Backends: map[string]*Way{},
 		memory: f.opt.MemoryMB, sockets: f.opt.Sockets}
-	for _, hall := range halls {
-		d.Backends[hall] = newWay()
+	for _, zone := range zones {
+		d.Backends[zone] = newWay()
 	}
 	d.Process = NewProcess(name, f.opt.History, d.prepare, d.line, d.serves)
-	f.Doors = append(f.Doors, d)
+	f.Nodes = append(f.Nodes, d)
 	a, err := NewAgent()
 	if err != nil {
 		return err
 	}
-	a.door, a.log = d.Name, f.opt.History
+	a.node, a.log = d.Name, f.opt.History
 	if f.opt.Links {
 		a.way, a.seen = d.Discovery, f.marks
 	}
@@ -217,16 +217,16 @@
 	return nil
 }
 
-// startDoors starts all front doors but those that come late, and waits until they are ready.
-func (f *Fleet) startDoors() error {
-	for _, d := range f.Doors {
+// startNodes starts all front doors but those that come late, and waits until they are ready.
+func (f *Fleet) startNodes() error {
+	for _, d := range f.Nodes {
 		if !f.opt.Late[d.Nr] {
 			if err := d.launch(); err != nil {
 				return err
 			}
 		}
 	}
-	for _, d := range f.Doors {
+	for _, d := range f.Nodes {
 		if !f.opt.Late[d.Nr] {
 			if err := d.ready(readyMost); err != nil {
 				return err
@@ -237,11 +237,11 @@
 }
 
 // add starts a backend; a zero time is long ago.
-func (f *Fleet) add(hall string, pod int, boot time.Time) (*Backend, error) {
+func (f *Fleet) add(zone string, pod int, boot time.Time) (*Backend, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.all)
-	b, err := NewBackend(fmt.Sprintf("s-%d", n+1), hall, pod, f.Spec.Backends.Slots, f.Spec.Backends.Queue, f.Spec.Seed+uint64(n), f.work)
+	b, err := NewBackend(fmt.Sprintf("s-%d", n+1), zone, pod, f.Spec.Backends.Slots, f.Spec.Backends.Queue, f.Spec.Seed+uint64(n), f.work)
 	if err != nil {
 		return nil, err
 	}
@@ -257,7 +257,7 @@
 }
 
 // via gives the address at which a front door finds something: its own, or that of a proxy before it.
-func (f *Fleet) via(d *Door, what, addr string, w *Way) (string, error) {
+func (f *Fleet) via(d *Node, what, addr string, w *Way) (string, error) {
 	if !f.opt.Links {
 		return addr, nil
 	}
@@ -281,8 +281,8 @@
 }
 
 // tell brings one front door's agent news of a backend.
-func (f *Fleet) tell(d *Door, b *Backend, state string) error {
-	at, err := f.via(d, b.ID, b.Addr, d.Backends[b.Hall])
+func (f *Fleet) tell(d *Node, b *Backend, state string) error {
+	at, err := f.via(d, b.ID, b.Addr, d.Backends[b.Zone])
 	if err != nil {
 		return err
 	}
@@ -292,7 +292,7 @@
 
 // TellAll brings all agents news of a backend.
 func (f *Fleet) TellAll(b *Backend, state string) {
-	for _, d := range f.Doors {
+	for _, d := range f.Nodes {
 		f.tell(d, b, state)
 	}
 }
@@ -304,7 +304,7 @@
 	f.remove(b)
 	f.Later(told(), func() { f.TellAll(b, "Gone") })
 	f.Later(gone, func() {
-		n, err := f.add(b.Hall, b.Pod, time.Now())
+		n, err := f.add(b.Zone, b.Pod, time.Now())
 		if err == nil {
 			f.Later(told(), func() { f.TellAll(n, "Ready") })
 		}
@@ -314,7 +314,7 @@
 // Replaced lets a backend that drains go on for a while before it ends; a new one takes its place at once.
 func (f *Fleet) Replaced(b *Backend, goes time.Duration, told func() time.Duration) {
 	b.Bring(func(m *Mode) { m.Full = 1 }) // it takes nothing new, and turns away what comes
-	n, err := f.add(b.Hall, b.Pod, time.Now())
+	n, err := f.add(b.Zone, b.Pod, time.Now())
 	if err == nil {
 		f.Later(told(), func() { f.TellAll(n, "Ready") })
 	}
@@ -387,7 +387,7 @@
 	}
 	backends := f.all
 	f.mu.Unlock()
-	for _, d := range f.Doors {
+	for _, d := range f.Nodes {
 		d.Close()
 	}
 	for _, p := range proxies {
@@ -409,7 +409,7 @@
 }
 
 // Bounce kills a front door and starts it again after a while.
-func (f *Fleet) Bounce(d *Door, down time.Duration) error {
+func (f *Fleet) Bounce(d *Node, down time.Duration) error {
 	d.Kill()
 	time.Sleep(down)
 	return d.Again()
@@ -425,11 +425,11 @@
 	return n
 }
 
-// Lose takes down a hall's backends; discovery tells it after a while.
-func (f *Fleet) Lose(hall string, told time.Duration) {
+// Lose takes down a zone's backends; discovery tells it after a while.
+func (f *Fleet) Lose(zone string, told time.Duration) {
 	var lost []*Backend
 	for _, b := range f.Serving() {
-		if b.Hall == hall {
+		if b.Zone == zone {
 			b.Set(Mode{Down: true})
 			lost = append(lost, b)
 		}
--- a/internal/lab/standin/script.go
+++ b/internal/lab/standin/script.go
@@ -88,8 +88,8 @@
 }
 
 // Listed is a line of the list.
-func Listed(uid, addr, hall, state string) map[string]any {
-	return map[string]any{"uid": uid, "endpoint": addr, "az": hall, "model": "m", "pod_group": 0, "state": state, "capacity_hint": 1.0, "boot_ms": 0}
+func Listed(uid, addr, zone, state string) map[string]any {
+	return map[string]any{"uid": uid, "endpoint": addr, "az": zone, "model": "m", "pod_group": 0, "state": state, "capacity_hint": 1.0, "boot_ms": 0}
 }
 
 // Served is a backend's answer that settles, with a load report.
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -14,7 +14,7 @@
 	"clovergap/internal/lab/spec"
 )
 
-// fleet builds the front door and starts two of them before four backends in two halls.
+// fleet builds the front door and starts two of them before four backends in two zones.
 func fleet(t *testing.T) (*Fleet, *Clients) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "clovergap")
@@ -22,7 +22,7 @@
 		t.Fatalf("%v: %s", err, out)
 	}
 	s := spec.Default()
-	s.Doors.Count, s.Backends.Count = 2, 4
+	s.Nodes.Count, s.Backends.Count = 2, 4
 	for i := range s.Products { // whatever the machine, nothing is to time out but what is spoilt
 		s.Products[i].Work, s.Products[i].SLA, s.Products[i].Expiry = spec.Span(2*time.Millisecond), spec.Span(4*time.Second), spec.Span(8*time.Second)
 	}
@@ -66,26 +66,26 @@
 	}
 }
 
-// A hall that is lost and returns, and a front door that is killed and returns: all that is asked later is served.
+// A zone that is lost and returns, and a front door that is killed and returns: all that is asked later is served.
 func TestLossAndReturn(t *testing.T) {
 	f, c := fleet(t)
 	f.Lose("b", 50*time.Millisecond)
 	c.Open(context.Background(), 500*time.Millisecond)
 	f.Heal()
-	if err := f.Bounce(f.Doors[1], 50*time.Millisecond); err != nil {
+	if err := f.Bounce(f.Nodes[1], 50*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
 	after := NewClients(f, 64)
 	after.Rate = c.Rate
 	after.Open(context.Background(), 500*time.Millisecond)
 	o := after.Outcomes()[""]
-	if o.Settled < o.Requests*9/10 || o.Failed > 0 || f.Ready() != 4 || !f.Doors[1].Up() {
+	if o.Settled < o.Requests*9/10 || o.Failed > 0 || f.Ready() != 4 || !f.Nodes[1].Up() {
 		t.Errorf("after the return: %+v", o)
 	}
-	if n := f.Doors[0].Counters(10 * time.Second)["txns taken"]; n == 0 {
+	if n := f.Nodes[0].Counters(10 * time.Second)["txns taken"]; n == 0 {
 		t.Error("no counters told")
 	}
-	if cpu, err := f.Doors[0].CPU(); err != nil || cpu < 0 || f.Doors[0].Memory() <= 0 {
+	if cpu, err := f.Nodes[0].CPU(); err != nil || cpu < 0 || f.Nodes[0].Memory() <= 0 {
 		t.Errorf("%v %v", cpu, err)
 	}
 }
@@ -95,7 +95,7 @@
 	f, c := fleet(t)
 	c.Open(context.Background(), 300*time.Millisecond)
 	moved := f.Relay.Count()
-	taken := f.Doors[0].Counters(10 * time.Second)["mails taken"] + f.Doors[1].Counters(10 * time.Second)["mails taken"]
+	taken := f.Nodes[0].Counters(10 * time.Second)["mails taken"] + f.Nodes[1].Counters(10 * time.Second)["mails taken"]
 	if moved == 0 || taken == 0 {
 		t.Fatalf("%d datagrams moved, %d taken", moved, taken)
 	}
--- a/internal/proxy/downstream/server.go
+++ b/internal/proxy/downstream/server.go
@@ -83,7 +83,7 @@
 // streamRing is what waits of a body that is taken in parts, and of an answer that is given so.
 const streamRing = 64 << 10
 
-// Server is one side of a door that is called: its connections.
+// Server is one side of a node that is called: its connections.
 type Server struct {
 	e        *eventloop.Engine
 	handler  Handler
@@ -137,7 +137,7 @@
 }
 
 // crowded: more connections are open than idle ones are worth. Answers then end theirs: clients that ask once and stay
-// would else fill the house, and what the usual ones may hold, until they are let go.
+// would else fill the process, and what the usual ones may hold, until they are let go.
 func (in *Server) crowded() bool { return 2*in.clients.Held() > in.most }
 
 // Evict closes the connection that is worth least: one that never brought a whole message and had a moment for it,
@@ -314,7 +314,7 @@
 // Live and Due are the engine's: it is time to look at all clients.
 func (in *Server) Live(uint32) bool { return true }
 
-// Due closes connections that have had their time. What this door stood still is not theirs: what came meanwhile lies
+// Due closes connections that have had their time. What this node stood still is not theirs: what came meanwhile lies
 // unread, and is read before anybody is looked at again.
 func (in *Server) Due(uint32) {
 	in.e.At(in.e.Now()+sweepEvery, in, 0)
--- a/internal/proxy/downstream/server_test.go
+++ b/internal/proxy/downstream/server_test.go
@@ -26,7 +26,7 @@
 func (late) Live(uint32) bool { return true }
 func (l late) Due(uint32)     { l() }
 
-// A door that stood still looks at its clients only after it has read what came meanwhile: half a request whose rest lies
+// A node that stood still looks at its clients only after it has read what came meanwhile: half a request whose rest lies
 // unread is no client that keeps silent. Nobody waits: a due time of an hour ago is what a standstill leaves.
 func TestStandstillIsNotTheClients(t *testing.T) {
 	defer func() { unforgiving = false }()
--- a/internal/proxy/eventloop/numbers.go
+++ b/internal/proxy/eventloop/numbers.go
@@ -15,7 +15,7 @@
 // numbers gives descriptors their life. The poller takes its events a batch at a time and pairs them with connections by the
 // descriptor alone. One that is closed while a batch is worked through, and opened again for somebody else, would get what the
 // batch still holds of its former life, the end of it above all: a client's connection that was just read from, and its
-// request sent on, was closed so. A door short of processor takes long for a batch, and that is when it happened.
+// request sent on, was closed so. A node short of processor takes long for a batch, and that is when it happened.
 //
 // So a descriptor is used again only once its link knows of its end and no batch can hold an event of it. There is one
 // event of each in a batch: what was let go before a connection's last event was in no batch from its present one on.
--- a/internal/proxy/gate/gate.go
+++ b/internal/proxy/gate/gate.go
@@ -16,7 +16,7 @@
 )
 
 // Module is what decides: inputs only update what it knows, and Next gives what is to be done now, one by
-// one, until there is nothing. *control.Door is one.
+// one, until there is nothing. *control.Gateway is one.
 type Module interface {
 	Now(time.Duration)
 	TxnTaken(control.Txn)
@@ -166,7 +166,7 @@
 
 // Gate is the module with what it drives.
 type Gate struct {
-	door  Module
+	node  Module
 	clock Clock
 	txns  *slots.Table[txn]
 	send  Sender
@@ -178,8 +178,8 @@
 }
 
 // New makes a gate for at most so many txns at a time.
-func New(door Module, clock Clock, most int, count *counters.Set, log Log) *Gate {
-	return &Gate{door: door, clock: clock, txns: slots.New[txn](most), count: count, log: log}
+func New(node Module, clock Clock, most int, count *counters.Set, log Log) *Gate {
+	return &Gate{node: node, clock: clock, txns: slots.New[txn](most), count: count, log: log}
 }
 
 // Through says what carries submissions and messages.
@@ -221,8 +221,8 @@
 	*t = txn{front: front, who: who, expiry: x.Expiry}
 	x.ID = control.TxnID(ref)
 	g.count.Add(counters.TxnsTaken)
-	g.door.Now(g.clock.Now())
-	g.door.TxnTaken(x)
+	g.node.Now(g.clock.Now())
+	g.node.TxnTaken(x)
 	return ref, true
 }
 
@@ -234,8 +234,8 @@
 	}
 	g.count.Add(counters.TxnsLeft)
 	t.answered = true
-	g.door.Now(g.clock.Now())
-	g.door.ClientLeft(control.TxnID(ref))
+	g.node.Now(g.clock.Now())
+	g.node.ClientLeft(control.TxnID(ref))
 	g.halt(ref, t)
 }
 
@@ -335,8 +335,8 @@
 			g.decline(ref, t, 0, LackBackend)
 		}
 	}
-	g.door.Now(g.clock.Now())
-	g.door.SubmissionEnded(control.TxnID(ref), nr, at, o.Ending, over, o.Took, o.Load)
+	g.node.Now(g.clock.Now())
+	g.node.SubmissionEnded(control.TxnID(ref), nr, at, o.Ending, over, o.Took, o.Load)
 	g.drop(ref, t)
 }
 
@@ -365,27 +365,27 @@
 
 // Listed takes news of the backends.
 func (g *Gate) Listed(whole bool, list []control.Listing) {
-	g.door.Now(g.clock.Now())
-	g.door.ListChanged(whole, list)
+	g.node.Now(g.clock.Now())
+	g.node.ListChanged(whole, list)
 }
 
 // Heard takes a peer's message.
 func (g *Gate) Heard(from control.GatewayID, payload []byte) {
-	g.door.Now(g.clock.Now())
-	g.door.PeerSaid(from, payload)
+	g.node.Now(g.clock.Now())
+	g.node.PeerSaid(from, payload)
 }
 
 // Probed takes the answer to a probe.
 func (g *Gate) Probed(at control.BackendID, good bool, took time.Duration, load []float64) {
-	g.door.Now(g.clock.Now())
-	g.door.ProbeEnded(at, good, took, load)
+	g.node.Now(g.clock.Now())
+	g.node.ProbeEnded(at, good, took, load)
 }
 
 // Live: the module asks anew whenever something is due earlier.
 func (g *Gate) Live(nr uint32) bool { return nr == g.wake }
 
 // Due: the module's own due time has come; the pull at the end of the turn does the rest.
-func (g *Gate) Due(uint32) { g.door.Woken(0) }
+func (g *Gate) Due(uint32) { g.node.Woken(0) }
 
 func (g *Gate) drop(ref slots.Ref, t *txn) {
 	if t.answered && !t.out {
@@ -398,9 +398,9 @@
 
 // Pull carries out decisions until there is none left.
 func (g *Gate) Pull() {
-	g.door.Now(g.clock.Now())
+	g.node.Now(g.clock.Now())
 	for {
-		x, ok := g.door.Next()
+		x, ok := g.node.Next()
 		if !ok {
 			return
 		}
--- a/internal/proxy/upstream/orders_test.go
+++ b/internal/proxy/upstream/orders_test.go
@@ -160,7 +160,7 @@
 }
 func (w *watcher) Final(slots.Ref, string, control.Verb) {}
 
-// scenario is a door of the parts that requests pass, with two backends.
+// scenario is a node of the parts that requests pass, with two backends.
 type scenario struct {
 	t     *testing.T
 	e     *eventloop.Engine
@@ -580,7 +580,7 @@
 	t.Log("ids not looked at: found after", n, err)
 }
 
-// A door that stood still reads what came meanwhile before it holds an answer for cut short.
+// A node that stood still reads what came meanwhile before it holds an answer for cut short.
 func TestStandstillIsNotTheBackends(t *testing.T) {
 	defer func() { unfenced.unread = false }()
 	for _, fault := range []bool{false, true} {
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -258,7 +258,7 @@
 	s := a.d.subs.Get(slots.Ref(ref))
 	switch {
 	case !a.Live(ref) || a.d.e.Now() < s.wholeBy:
-	case a.d.e.Waited() > 0 && !unfenced.unread: // this door stood still: the rest may lie unread
+	case a.d.e.Waited() > 0 && !unfenced.unread: // this node stood still: the rest may lie unread
 		s.wholeBy = a.d.e.Now() + s.whole
 		a.d.e.At(s.wholeBy, a, ref)
 	default:
