--- a/internal/gateway/replication/chunk.go
+++ b/internal/gateway/replication/chunk.go
@@ -282,6 +282,9 @@
 // size is what an entry takes on a link and on disk, about.
 func (e *Entry) size() int { return len(e.Data) + 32 + 32*len(e.Members) }
 
+// Size is what an entry takes on a link and on disk, about.
+func (e *Entry) Size() int { return e.size() }
+
 // Uncompacted is how many bytes of entries after the snapshot there are, up to an index.
 func (p *Replica) Uncompacted(upto uint64) (n int) {
 	for i := range p.log {
@@ -292,6 +295,14 @@
 	return n
 }
 
+// uncommitted is how many bytes of entries are not committed.
+func (p *Replica) uncommitted() (n int) {
+	for i := p.committed - p.snap.Index; i < uint64(len(p.log)); i++ {
+		n += p.log[i].size()
+	}
+	return n
+}
+
 // First is the oldest entry that is at hand.
 func (p *Replica) First() uint64 { return p.snap.Index + 1 - uint64(len(p.trail)) }
 
--- a/internal/lab/faultrig/gatewaydraw.go
+++ b/internal/lab/faultrig/gatewaydraw.go
@@ -84,6 +84,10 @@
 		}
 		s.Faults = append(s.Faults, f)
 	}
+	if rng.IntN(2) == 0 { // last, so that a seed's other faults are what they were without it
+		s.Faults = append(s.Faults, spec.Fault{Kind: "node-reload", At: spec.Span(rng.Float64() * 0.75 * float64(dur)), Share: 0.5,
+			Pick: rng.Uint64()>>1 | 1})
+	}
 	return s
 }
 
--- a/internal/lab/faultrig/gatewayfaults.go
+++ b/internal/lab/faultrig/gatewayfaults.go
@@ -54,6 +54,7 @@
 var gatewayEffects = spec.NodeActions(spec.Table[*gatewayFault]{
 	spec.WipeNodes:        (*gatewayFault).wipe,
 	spec.TerminateNodes:   (*gatewayFault).terminate,
+	spec.ReloadNodes:      (*gatewayFault).reload,
 	spec.CutNodes:         (*gatewayFault).cutNodes,
 	spec.CrashBackends:    (*gatewayFault).crashBackends,
 	spec.DrainBackends:    (*gatewayFault).drainBackends,
@@ -141,6 +142,12 @@
 	return r.Start
 }
 
+// reload has nodes read their settings again, in the middle of traffic.
+func (r *gatewayFault) reload(*spec.Fault) func() {
+	r.each(r.hit, func(d *gatewaystandin.Node) error { d.Reload(); return nil })
+	return nil
+}
+
 // cutNodes parts nodes by the fault's shape, which a debug build plays.
 func (r *gatewayFault) cutNodes(f *spec.Fault) func() {
 	of := r.among()
--- a/internal/lab/spec/kinds.go
+++ b/internal/lab/spec/kinds.go
@@ -70,6 +70,7 @@
 	ReplaceNodes   // new machines with empty disks come in their place
 	StallNodes     // processes stand still
 	TerminateNodes // processes are told to end
+	ReloadNodes    // processes are told to read their settings again
 	RollNodes      // processes are restarted in waves
 	RestartCaller  // killed and started again, some times, each within the time of a call that it passed on
 	StartLate      // processes start later than the others
@@ -152,6 +153,7 @@
 	{name: "node-memory", needs: NeedsShare | NeedsBy, worlds: FrontDoors, target: SomeNodes, effect: LittleMemory},
 	{name: "node-roll", needs: NeedsShare, worlds: anywhere, target: SomeNodes, effect: RollNodes},
 	{name: "node-seed", needs: NeedsShare, worlds: FrontDoors, target: SomeNodes, effect: SameSeed},
+	{name: "node-reload", needs: NeedsShare, worlds: Gateways, target: SomeNodes, effect: ReloadNodes},
 	{name: "node-slow", needs: NeedsShare | NeedsBy, worlds: FrontDoors, target: SomeNodes, effect: SlowNodes},
 	{name: "node-stall", needs: NeedsShare, worlds: anywhere | gateways, target: SomeNodes, effect: StallNodes},
 	{name: "node-term", needs: NeedsShare, worlds: FrontDoors | gateways, target: SomeNodes, effect: TerminateNodes},
