--- /dev/null
+++ b/internal/gateway/controlapi/coordination.go
@@ -0,0 +1,214 @@
+package controlapi
+
+import (
+	"encoding/json"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"clovergap/internal/gateway/coordination"
+	"clovergap/internal/gateway/groups"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/proxy/answer"
+	"clovergap/internal/proxy/counters"
+	"clovergap/internal/proxy/downstream"
+)
+
+// Coordination is the part of a node that the applications' calls need.
+type Coordination interface {
+	// Coordinate brings a call to whoever leads its group. then is called once, within the caller's second, or within a watch's
+	// wait and a second.
+	Coordinate(c coordination.Call, then func(coordination.Answer))
+}
+
+// pathCall is a path that is followed by a name.
+type pathCall struct {
+	prefix    string
+	method    string
+	operation coordination.Operation
+}
+
+// pathCalls are the applications' calls.
+var pathCalls = []pathCall{
+	{"/api/Locks.Begin/", "POST", coordination.LockBegin},
+	{"/api/Locks.Heartbeat/", "POST", coordination.LockHeartbeat},
+	{"/api/Locks.Finish/", "POST", coordination.LockFinish},
+	{"/api/Locks.Read/", "GET", coordination.LockRead},
+	{"/api/Locks.List/", "GET", coordination.LockList},
+	{"/api/numbers/", "POST", coordination.Number},
+	{"/api/Cells.Replace/", "POST", coordination.KeyReplace},
+	{"/api/Cells.Read/", "GET", coordination.KeyRead},
+	{"/api/watch/", "GET", coordination.KeyWatch},
+}
+
+// coordinate takes an application's call; false: the path is another's.
+func (f *Handler) coordinate(c *downstream.Client, method, target string, body []byte) bool {
+	path, query, _ := strings.Cut(target, "?")
+	for _, p := range pathCalls {
+		text, ok := strings.CutPrefix(path, p.prefix)
+		if !ok {
+			continue
+		}
+		if method != p.method {
+			c.Reject(405, counters.NoSuchMethod, p.method+" only")
+			return true
+		}
+		call, err := readCall(p.operation, text, query, body)
+		t := f.hold(c)
+		if err != nil {
+			f.end(t, 400, []byte(err.Error()))
+			return true
+		}
+		f.node.Coordinate(call, func(a coordination.Answer) { f.coordinated(t, call.Operation, &a) })
+		return true
+	}
+	return false
+}
+
+// readCall reads a call from its path, its query and its body.
+func readCall(o coordination.Operation, text, query string, body []byte) (call coordination.Call, err error) {
+	call.Operation = o
+	if call.Name, err = url.PathUnescape(text); err != nil || call.Name == "" || len(call.Name) > coordination.LongestName {
+		return call, errors.New("no name in the path, or too long a one")
+	}
+	switch o {
+	case coordination.LockBegin:
+		var b LockBegin
+		err = readBody(body, &b)
+		call.Holder = b.Holder
+		call.Hold, err = holdOf(b.Hold, err)
+	case coordination.LockHeartbeat:
+		var b LockHeartbeat
+		err = readBody(body, &b)
+		call.Holder, call.Fence = b.Holder, b.Fence
+		call.Hold, err = holdOf(b.Hold, err)
+	case coordination.LockFinish:
+		var b LockFinish
+		err = readBody(body, &b)
+		call.Holder, call.Fence = b.Holder, b.Fence
+	case coordination.KeyReplace:
+		var b KeyReplace
+		err = readBody(body, &b)
+		call.Value, call.Expected = b.Value, b.Topic
+	case coordination.KeyWatch:
+		call.After, call.Wait, err = readWatch(query)
+	case coordination.LockList:
+		var group uint64
+		if group, err = strconv.ParseUint(call.Name, 10, 8); err == nil && group >= groups.Count {
+			err = errors.Errorf("groups are numbered from 0 to %d", groups.Count-1)
+		}
+		call.Group = groups.ID(group)
+	}
+	return call, err
+}
+
+func readBody(body []byte, into any) error {
+	if err := json.Unmarshal(body, into); err != nil {
+		return errors.Wrap(err, "body")
+	}
+	if err := valid.Struct(into); err != nil {
+		return errors.Wrap(err, "body")
+	}
+	return nil
+}
+
+// holdOf reads how long a lock is held.
+func holdOf(text string, err error) (time.Duration, error) {
+	if err != nil {
+		return 0, err
+	}
+	hold, err := routing.ParseSpan(text)
+	if err != nil {
+		return 0, errors.Wrap(err, "hold")
+	}
+	if hold <= 0 || hold > coordination.LongestHold {
+		return 0, errors.Errorf("hold: more than 0 s, at most %v", coordination.LongestHold)
+	}
+	return hold, nil
+}
+
+// readWatch reads where a watch begins, and how long it waits.
+func readWatch(query string) (after uint64, wait time.Duration, err error) {
+	values, err := url.ParseQuery(query)
+	if err != nil {
+		return 0, 0, errors.Wrap(err, "query")
+	}
+	if text := values.Get("after"); text != "" {
+		if after, err = strconv.ParseUint(text, 10, 64); err != nil {
+			return 0, 0, errors.Wrap(err, "after")
+		}
+	}
+	if text := values.Get("wait_ms"); text != "" {
+		ms, err := strconv.ParseUint(text, 10, 31)
+		if err != nil {
+			return 0, 0, errors.Wrap(err, "wait_ms")
+		}
+		wait = time.Duration(ms) * time.Millisecond
+	}
+	return after, min(wait, coordination.LongestWait), nil
+}
+
+// statusCodes are those that callers get. 412, 429 and 503 promise that nothing was done and never will be.
+var statusCodes = [...]int{
+	coordination.OK:          200,
+	coordination.Held:        409,
+	coordination.Lost:        409,
+	coordination.Conflict:    412,
+	coordination.NotFound:    404,
+	coordination.Compacted:   410,
+	coordination.Full:        429,
+	coordination.Unavailable: 503,
+	coordination.Unclear:     504,
+}
+
+// coordinated answers a call that was held.
+func (f *Handler) coordinated(t downstream.Ticket, o coordination.Operation, a *coordination.Answer) {
+	code := statusCodes[a.Status]
+	after := time.Duration(0)
+	if a.Status == coordination.Unavailable || a.Status == coordination.Full {
+		after = busyAdvice
+	}
+	text, err := json.Marshal(answerBody(o, a))
+	if err != nil {
+		code, text = 500, nil
+	}
+	f.in.Answer(t, func(b []byte, last bool) []byte {
+		return answer.Whole(b, code, "application/json", text, after, last)
+	})
+}
+
+// answerBody words an answer.
+func answerBody(o coordination.Operation, a *coordination.Answer) any {
+	switch {
+	case a.Status == coordination.Conflict:
+		return KeyRevision{Revision: a.Revision}
+	case a.Status != coordination.OK:
+		return Refusal{Error: a.Status.String()}
+	}
+	switch o {
+	case coordination.LockBegin:
+		return LockFence{Fence: a.Fence}
+	case coordination.Number:
+		return NextNumber{Value: a.Number}
+	case coordination.KeyReplace:
+		return KeyRevision{Revision: a.Revision}
+	case coordination.KeyRead:
+		return KeyValue{Value: a.Value, Revision: a.Revision}
+	case coordination.KeyWatch:
+		events := KeyEvents{Events: make([]KeyEvent, 0, len(a.Events)), Revision: a.Revision}
+		for _, e := range a.Events {
+			events.Events = append(events.Events, KeyEvent{Name: e.Name, Value: e.Value, Revision: e.Revision})
+		}
+		return events
+	case coordination.LockRead, coordination.LockList:
+		list := LockList{Locks: make([]LockStatus, 0, len(a.Locks))}
+		for _, l := range a.Locks {
+			list.Locks = append(list.Locks, LockStatus{Name: l.Name, Holder: l.Holder, Fence: l.Fence, LeftMs: l.Left.Milliseconds()})
+		}
+		return list
+	}
+	return struct{}{}
+}
--- /dev/null
+++ b/internal/gateway/controlapi/coordination_test.go
@@ -0,0 +1,97 @@
+package controlapi
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"clovergap/internal/gateway/coordination"
+)
+
+// Each call as the operators' page writes it, and each answer as the page writes that.
+func TestCoordinationCalls(t *testing.T) {
+	type wire struct {
+		call, body, asked string
+		answer            coordination.Answer
+		status            int
+		text              string
+	}
+	refused := func(status coordination.Status) string { return `{"error":"` + status.String() + `"}` }
+	for _, w := range []wire{
+		{"POST /api/Locks.Begin/l1f", `{"holder":"a3.7","hold":"3000ms"}`, `lock begin "l1f" "a3.7" 0 3s "" 0 0 0s`,
+			coordination.Answer{Fence: 41}, 200, `{"fence":41}`},
+		{"POST /api/Locks.Begin/l1f", `{"holder":"a3.7","hold":"3000ms"}`, `lock begin "l1f" "a3.7" 0 3s "" 0 0 0s`,
+			coordination.Answer{Status: coordination.Held}, 409, refused(coordination.Held)},
+		{"POST /api/Locks.Heartbeat/l1f", `{"holder":"a3.7","fence":41,"hold":"2s"}`, `lock heartbeat "l1f" "a3.7" 41 2s "" 0 0 0s`,
+			coordination.Answer{}, 200, `{}`},
+		{"POST /api/Locks.Heartbeat/l1f", `{"holder":"a3.7","fence":41,"hold":"2s"}`, `lock heartbeat "l1f" "a3.7" 41 2s "" 0 0 0s`,
+			coordination.Answer{Status: coordination.Lost}, 409, refused(coordination.Lost)},
+		{"POST /api/Locks.Finish/l1f", `{"holder":"a3.7","fence":41}`, `lock finish "l1f" "a3.7" 41 0s "" 0 0 0s`,
+			coordination.Answer{}, 200, `{}`},
+		{"POST /api/numbers/n2", `{}`, `number "n2" "" 0 0s "" 0 0 0s`, coordination.Answer{Number: 5120}, 200, `{"value":5120}`},
+		{"POST /api/Cells.Replace/g1.2d", `{"value":"5c0e","topic":907}`, `key replace "g1.2d" "" 0 0s "5c0e" 907 0 0s`,
+			coordination.Answer{Revision: 931}, 200, `{"revision":931}`},
+		{"POST /api/Cells.Replace/g1.2d", `{"value":"5c0e"}`, `key replace "g1.2d" "" 0 0s "5c0e" 0 0 0s`,
+			coordination.Answer{Status: coordination.Conflict, Revision: 922}, 412, `{"revision":922}`},
+		{"GET /api/Cells.Read/g1.2d", "", `key read "g1.2d" "" 0 0s "" 0 0 0s`,
+			coordination.Answer{Value: "5c0e", Revision: 931}, 200, `{"revision":931,"value":"5c0e"}`},
+		{"GET /api/Cells.Read/g%2F1", "", `key read "g/1" "" 0 0s "" 0 0 0s`,
+			coordination.Answer{Status: coordination.NotFound}, 404, refused(coordination.NotFound)},
+		{"GET /api/watch/g1.?after=930&wait_ms=2000", "", `key watch "g1." "" 0 0s "" 0 930 2s`,
+			coordination.Answer{Revision: 934, Events: []coordination.Event{{Name: "g1.2d", Value: "5c0e", Revision: 931}}}, 200,
+			`{"events":[{"name":"g1.2d","revision":931,"value":"5c0e"}],"revision":934}`},
+		{"GET /api/watch/g1.", "", `key watch "g1." "" 0 0s "" 0 0 0s`, coordination.Answer{Revision: 3}, 200, `{"events":[],"revision":3}`},
+		{"GET /api/watch/g1.?after=1", "", `key watch "g1." "" 0 0s "" 0 1 0s`,
+			coordination.Answer{Status: coordination.Compacted}, 410, refused(coordination.Compacted)},
+		{"GET /api/Locks.Read/l1f", "", `lock read "l1f" "" 0 0s "" 0 0 0s`,
+			coordination.Answer{Locks: []coordination.Lock{{Name: "l1f", Holder: "a", Fence: 3, Left: time.Second}}}, 200,
+			`{"locks":[{"fence":3,"holder":"a","left_ms":1000,"name":"l1f"}]}`},
+		// Only what promises that nothing was done has one of these three statuses.
+		{"POST /api/numbers/n2", `{}`, `number "n2" "" 0 0s "" 0 0 0s`,
+			coordination.Answer{Status: coordination.Full}, 429, refused(coordination.Full)},
+		{"POST /api/numbers/n2", `{}`, `number "n2" "" 0 0s "" 0 0 0s`,
+			coordination.Answer{Status: coordination.Unavailable}, 503, refused(coordination.Unavailable)},
+		{"POST /api/numbers/n2", `{}`, `number "n2" "" 0 0s "" 0 0 0s`,
+			coordination.Answer{Status: coordination.Unclear}, 504, refused(coordination.Unclear)},
+	} {
+		st := open(t)
+		c, r := st.dial()
+		st.set(func(h *fakeNode) { h.answer = w.answer })
+		send(c, w.call, w.body)
+		a, text := st.hears(r)
+		must.Eq(t, w.status, a.StatusCode, must.Sprint(w.call))
+		must.Eq(t, w.text, text)
+		must.Eq(t, []string{w.asked}, st.set(func(*fakeNode) {}))
+	}
+}
+
+// What is wrong in itself asks nobody.
+func TestCoordinationCallsRefused(t *testing.T) {
+	long := strings.Repeat("x", 5000)
+	for call, bodies := range map[string][]string{
+		"POST /api/Locks.Begin/l":      {"", "{", `{}`, `{"holder":"a"}`, `{"holder":"a","hold":"0ms"}`, `{"holder":"a","hold":"x"}`, `{"hold":"1s"}`},
+		"POST /api/Locks.Begin/":       {`{"holder":"a","hold":"1s"}`},
+		"POST /api/Locks.Heartbeat/l":  {`{"holder":"a","fence":-1,"hold":"1s"}`, `{"holder":"a","fence":1,"hold":"700s"}`},
+		"POST /api/Cells.Replace/g":    {`{"value":"` + long + `"}`, `{"value":1}`},
+		"GET /api/watch/g.?after=x":    {""},
+		"GET /api/watch/g.?wait_ms=-1": {""},
+		"GET /api/Locks.List/8":        {""},
+		"GET /api/Cells.Read/%zz":      {""},
+	} {
+		for _, body := range bodies {
+			st := open(t)
+			c, r := st.dial()
+			send(c, call, body)
+			a, _ := st.hears(r)
+			must.Eq(t, 400, a.StatusCode, must.Sprint(call, " ", body))
+			must.Len(t, 0, st.set(func(*fakeNode) {}))
+		}
+	}
+	st := open(t)
+	c, r := st.dial()
+	send(c, "GET /api/numbers/n", "")
+	a, _ := st.hears(r)
+	must.Eq(t, 405, a.StatusCode)
+}
--- a/internal/gateway/controlapi/doc.go
+++ b/internal/gateway/controlapi/doc.go
@@ -2,3 +2,4 @@
 package controlapi
 
 //go:generate go run github.com/oapi-codegen/oapi-codegen/v2/cmd/oapi-codegen@v2.8.2 -config ../../../api/stagedoor.yaml ../../../api/control.yaml
+//go:generate go run github.com/oapi-codegen/oapi-codegen/v2/cmd/oapi-codegen@v2.8.2 -config ../../../api/coordination.yaml ../../../api/control.yaml
--- a/internal/gateway/controlapi/handler.go
+++ b/internal/gateway/controlapi/handler.go
@@ -30,6 +30,7 @@
 	Leave(id string, then func(ok bool, target string))
 	Status() NodeStatus
 	Rollouts
+	Coordination
 }
 
 // Paths of the calls; the last two are followed by a backend's id.
@@ -69,8 +70,11 @@
 // Take takes a whole call.
 func (f *Handler) Take(c *downstream.Client) {
 	r, b := c.Request()
-	path, _, _ := strings.Cut(string(r.Target(b)), "?")
-	method := string(r.Method(b))
+	target, method := string(r.Target(b)), string(r.Method(b))
+	if f.coordinate(c, method, target, r.Body(b)) {
+		return
+	}
+	path, _, _ := strings.Cut(target, "?")
 	if call, ok := strings.CutPrefix(path, pathRollout); ok {
 		f.rollout(c, method, call, r.Body(b))
 		return
--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/shoenig/test/must"
 
+	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/statemachine"
@@ -35,6 +36,7 @@
 	later  bool
 	held   []func()
 	came   chan bool
+	answer coordination.Answer
 }
 
 func (h *fakeNode) do(what string, then func()) {
@@ -81,6 +83,12 @@
 	return RolloutHistory{Service: service, Rollouts: []RolloutPast{}}
 }
 
+func (h *fakeNode) Coordinate(c coordination.Call, then func(coordination.Answer)) {
+	a := h.answer
+	h.do(fmt.Sprintf("%v %q %q %d %v %q %d %d %v", c.Operation, c.Name, c.Holder, c.Fence, c.Hold, c.Value, c.Expected, c.After, c.Wait),
+		func() { then(a) })
+}
+
 // fixture is the form on sockets, before a deployment.
 type fixture struct {
 	t *testing.T
--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -41,6 +41,7 @@
 // Turns is a node's time. Whatever happens takes its turn; at the end of each the parts are pulled.
 type Turns interface {
 	Now() time.Duration
+	Refresh() // brings Now up to the time within a turn
 	At(at time.Duration, to eventloop.Alarm, ref uint32)
 	Turn(func())
 	Settled(func())
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
@@ -23,6 +24,8 @@
 	Reply  *Reply
 
 	Rollout *RolloutWord // while one runs
+
+	Coordination *coordination.Message
 }
 
 // Kind names what a frame carries.
@@ -42,6 +45,8 @@
 		return "calls"
 	case f.Rollout != nil:
 		return "roll-outs"
+	case f.Coordination != nil:
+		return "coordination"
 	}
 	return "others"
 }
--- a/internal/gateway/node/log.go
+++ b/internal/gateway/node/log.go
@@ -20,6 +20,7 @@
 	gatePart     part = "gate: "
 
 	rolloutPart part = "rollout: "
+	groupPart   part = "group: "
 )
 
 // newLog writes to standard error, a line an event.
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -14,6 +14,8 @@
 
 	"clovergap/control"
 	"clovergap/internal/gateway/admission"
+	"clovergap/internal/gateway/coordination"
+	"clovergap/internal/gateway/groups"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
@@ -91,8 +93,11 @@
 	echoes  map[string]echo
 	beganAt time.Duration
 
-	followers map[string]*follower
-	feedIn    replication.Incoming // from the node that is followed
+	followers    map[string]*follower
+	feedIn       replication.Incoming // from the node that is followed
+	coordination *coordination.Service
+	groups       groups.Host // nil: this node knows of no groups
+
 	calls     map[uint32]*call
 	callNr    uint32
 	fault     fault // tests put one in
@@ -133,6 +138,7 @@
 	h.echoes = map[string]echo{}
 	h.calls, h.beats, h.catalog = map[uint32]*call{}, map[registry.Ticket]heard{}, newCatalog()
 	h.fault = planted
+	h.coordination = coordination.New((*coordinator)(h), coordination.Terms{Address: h.inner, Life: h.life, History: h.settings.Bounds.History})
 	if h.own != nil {
 		h.own.h = h
 	}
@@ -230,6 +236,7 @@
 	}
 	h.pullRoster()
 	h.pullRegistry()
+	h.coordination.Flush()
 	h.gate.Pull()
 }
 
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -65,6 +65,8 @@
 		h.answered(from, f.Reply)
 	case f.Rollout != nil:
 		h.rolloutHeard(from, f.Rollout)
+	case f.Coordination != nil:
+		h.coordinationHeard(from, f.Coordination)
 	}
 }
 
@@ -99,6 +101,7 @@
 	h.roster.Down(to)
 	delete(h.followers, to)
 	delete(h.echoes, to)
+	h.coordination.Down(to)
 	for _, nr := range slices.Sorted(maps.Keys(h.calls)) {
 		if c := h.calls[nr]; c.sent == to { // it may have been taken: the same again is answered as the first was
 			c.sent, c.doubt, c.next = "", true, h.e.Now()+callAgain
--- a/internal/gateway/settings/callsheet.go
+++ b/internal/gateway/settings/callsheet.go
@@ -88,6 +88,8 @@
 	QuotaExcess  float64       `bound:"quota_excess"`
 	QuotaMargin  float64       `bound:"quota_margin"`
 	Recovery     time.Duration `bound:"recovery"`
+	History      time.Duration `bound:"history"` // a watch resumes from a revision that it was given so long ago
+	Release      time.Duration `bound:"release"` // a lock whose time has run out is free within it
 }
 
 // Stale is the age of a node's word of the core from which it wants no clients: calm machines are in touch that long after the last
@@ -108,7 +110,8 @@
 	return Bounds{SeedStale: 3 * s, AddrReuse: 2 * s, InTouch: 3 * s, AckWithin: 5 * s, CatchUp: 4 * s,
 		Drain: 2500 * ms, Grace: 6 * s, LossSlack: 200 * ms, ApplyWithin: 2500 * ms, RevertSlack: 250 * ms,
 		MaxStretch: 8 * s, RevokeWithin: 5 * s, RetryRatio: 0.2, RetryWindow: 10 * s, RetryExtra: 64,
-		QuotaWindow: 5 * s, QuotaExcess: 0.1, QuotaMargin: 20, Recovery: 15 * s}
+		QuotaWindow: 5 * s, QuotaExcess: 0.1, QuotaMargin: 20, Recovery: 15 * s,
+		History: 20 * s, Release: 1500 * ms}
 }
 
 // file is the sheet as it is written: times and bounds are texts.
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -245,6 +245,9 @@
 	})
 }
 
+// Refresh does nothing: no time passes within a simulated turn.
+func (p *process) Refresh() {}
+
 func (p *process) Turn(do func()) { do(); p.settled() }
 
 func (p *process) Settled(do func()) { p.settled = do }
--- a/internal/proxy/eventloop/engine.go
+++ b/internal/proxy/eventloop/engine.go
@@ -177,6 +177,10 @@
 // Now is the clock of this turn.
 func (e *Engine) Now() time.Duration { return e.now }
 
+// Refresh brings the clock of this turn up to now. What is read from a socket in a turn may have been sent after the turn began, if
+// the process stood still between.
+func (e *Engine) Refresh() { e.now = max(e.now, before+time.Since(e.born)) }
+
 // AtUnix puts a Unix time on this clock; nought stands for what lies before it.
 func (e *Engine) AtUnix(at time.Time) time.Duration {
 	return max(0, before+at.Round(0).Sub(e.born.Round(0)))
