--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -15,7 +15,6 @@
 	"clovergap/control"
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/coordination"
-	"clovergap/internal/gateway/groups"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
@@ -60,6 +59,7 @@
 	peers   Datagrams
 	roster  *membership.Roster
 	core    *core // nil without a disk
+	groups  *groupHost
 	machine *statemachine.Machine
 	applied uint64
 
@@ -96,7 +96,6 @@
 	followers    map[string]*follower
 	feedIn       replication.Incoming // from the node that is followed
 	coordination *coordination.Service
-	groups       groups.Host // nil: this node knows of no groups
 
 	calls     map[uint32]*call
 	callNr    uint32
@@ -139,6 +138,8 @@
 	h.calls, h.beats, h.catalog = map[uint32]*call{}, map[registry.Ticket]heard{}, newCatalog()
 	h.fault = planted
 	h.coordination = coordination.New((*coordinator)(h), coordination.Terms{Address: h.inner, Life: h.life, History: h.settings.Bounds.History})
+	h.groups = &groupHost{h: h}
+	h.coordination.Over(h.groups)
 	if h.own != nil {
 		h.own.h = h
 	}
@@ -233,10 +234,13 @@
 func (h *Node) pull() {
 	if h.core != nil {
 		h.core.pull()
+		h.groups.pull()
+		h.coordination.Flush()
+		h.groups.pull() // what watches that were told of puts ask for next
+		h.core.disk.flush()
 	}
 	h.pullRoster()
 	h.pullRegistry()
-	h.coordination.Flush()
 	h.gate.Pull()
 }
 
@@ -264,7 +268,9 @@
 	h.tendFeed()
 	h.wantSlot()
 	h.tendRollouts()
+	h.groups.want()
 	if h.core != nil {
+		h.groups.tend()
 		h.core.keepRegistry()
 	}
 	if now-h.saidAt >= time.Second {
