--- /dev/null
+++ b/internal/gateway/coordination/faultdays_test.go
@@ -0,0 +1,53 @@
+package coordination_test
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test"
+
+	"clovergap/internal/gateway/coordination"
+)
+
+const daySpan = 25 * time.Second
+
+// Days of all troubles at once break no rule, and at their end all is there.
+func TestDays(t *testing.T) {
+	days := uint64(60)
+	if testing.Short() {
+		days = 10
+	}
+	calls := 0
+	for seed := range days {
+		d := newDay(seed)
+		for _, v := range d.play(daySpan) {
+			t.Errorf("seed %d: %v", seed, v)
+		}
+		calls += len(d.history)
+		if t.Failed() {
+			return
+		}
+	}
+	t.Logf("%d days, %d calls", days, calls)
+}
+
+// The days notice each defence that is taken out; the explorer notices those that are about rare orders.
+func TestDaysNoticeFaults(t *testing.T) {
+	defer coordination.Plant(coordination.Sound)
+	for name, f := range coordination.Faults {
+		if slices.Contains(coordination.FaultsOfOrders, name) {
+			continue
+		}
+		coordination.Plant(f)
+		began, found := time.Now(), ""
+		seed := uint64(0)
+		for ; seed < 60 && found == ""; seed++ {
+			if broken := newDay(seed).play(daySpan); len(broken) > 0 {
+				found = broken[0].String()
+			}
+		}
+		t.Logf("%s: day %d, %v: %s", name, seed, time.Since(began).Round(time.Millisecond), found)
+		test.NotEq(t, "", found, test.Sprint(name))
+	}
+}
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -24,12 +24,12 @@
 }
 
 const (
-	// retireFor is longer than a copy of a call is on its way: see callFor.
+	// retireFor is longer than a call or a copy of it is on its way: see callFor and waitedMost.
 	retireFor = 4 * time.Second
-	// lateFinish is how long after its holder asked for a lock again a Finish is taken for one sent before that. The holder keeps
+	// lateFinish is longer than that too: how long after its holder asked for a lock again a Finish is taken for one sent before that. The holder keeps
 	// its fence, so nothing else tells the two apart, and freeing the lock under a holder that goes on is the worse mistake: the
 	// lock is then free when its time has run out.
-	lateFinish = 3 * time.Second
+	lateFinish = 2 * time.Second
 )
 
 // free tells whether nobody may hold a lock.
@@ -46,11 +46,10 @@
 		if l.holder != x.call.Holder {
 			return Answer{Status: Held}
 		}
-		if l.id != x.id {
+		if l.id != x.id { // else a copy of the call that took it: its time counts from the first
 			s.retire(l.id)
-			l.id, l.again, l.begun = x.id, true, s.clock
+			l.id, l.again, l.begun, l.until = x.id, true, s.clock, max(l.until, until)
 		}
-		l.until = max(l.until, until)
 		return Answer{Fence: l.fence}
 	}
 	if l != nil {
--- a/internal/gateway/coordination/service.go
+++ b/internal/gateway/coordination/service.go
@@ -13,6 +13,8 @@
 	patience  = 250 * time.Millisecond // with a node that says nothing
 	mostTries = 30
 
+	waitedMost = 200 * time.Millisecond // that a call may have lain unread
+
 	mostPending  = 4096  // calls that wait for an answer here
 	mostParked   = 8192  // watches of all nodes that wait here, where their group is led
 	mostWatchers = 16384 // watches of callers that wait here
@@ -24,6 +26,8 @@
 	Send(to string, m *Message) bool
 	// At has Due called with the number at a time, if Live says then that it is still of interest.
 	At(at time.Duration, number uint32)
+	// Waited is how long what is taken now may have lain unread, since this node stood still.
+	Waited() time.Duration
 	// InTouch tells whether this node has word of a majority. Without it calls end at once, so that callers turn elsewhere.
 	InTouch() bool
 }
@@ -133,6 +137,10 @@
 		s.counts.Answers[a.Status]++
 		then(a)
 	}
+	if s.outside.Waited() > waitedMost && s.fault != lateCopies {
+		answered(Answer{Status: Unavailable}) // its caller has turned elsewhere, and may be past what it asks for
+		return
+	}
 	if c.Operation == KeyWatch {
 		s.watch(&c, answered)
 		return
--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -41,7 +41,8 @@
 // Turns is a node's time. Whatever happens takes its turn; at the end of each the parts are pulled.
 type Turns interface {
 	Now() time.Duration
-	Refresh() // brings Now up to the time within a turn
+	Refresh()              // brings Now up to the time within a turn
+	Waited() time.Duration // how long what is read now may have lain unread
 	At(at time.Duration, to eventloop.Alarm, ref uint32)
 	Turn(func())
 	Settled(func())
--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -29,6 +29,8 @@
 
 func (c *coordinator) At(at time.Duration, number uint32) { c.e.At(at, c.coordination, number) }
 
+func (c *coordinator) Waited() time.Duration { return c.e.Waited() }
+
 func (c *coordinator) InTouch() bool { return (*Node)(c).may(takeCalls) }
 
 // groupsApplication hands a service the groups, and logs that they are led no longer; the host logs who leads.
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -54,6 +54,7 @@
 	over      bool
 	died      time.Duration
 	goes      time.Duration // on, after it last stood still
+	stopped   time.Duration // when that began
 	backlog   []func()
 	inbox     []func()      // turns that wait for its processor, in a metered day
 	busy      time.Duration // until then its processor has no time
@@ -155,6 +156,7 @@
 		if m.stands++; m.stands == 1 {
 			m.w.note(history.Event{Who: m.name, Kind: history.Stopped})
 			m.w.say("%s stands still", m.name)
+			p.stopped = m.w.now
 		}
 	case m.stands > 0:
 		if m.stands--; m.stands == 0 {
@@ -245,6 +247,17 @@
 	})
 }
 
+// Waited is how long the process stood still, where it goes on now.
+func (p *process) Waited() time.Duration {
+	if p.goes > 0 && p.w.now-p.goes <= justNow {
+		return p.goes - p.stopped
+	}
+	return 0
+}
+
+// justNow is how long after a standstill what is read may have waited: as in a real node.
+const justNow = 20 * time.Millisecond
+
 // Refresh does nothing: no time passes within a simulated turn.
 func (p *process) Refresh() {}
 
