--- a/internal/gateway/replication/logs.go
+++ b/internal/gateway/replication/logs.go
@@ -49,7 +49,7 @@
 func GroupTerms(log LogID) Terms {
 	t := DefaultTerms()
 	t.Log = log
-	t.Beat, t.Patience, t.Spread, t.Silence = 100*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond, 700*time.Millisecond
+	t.Beat, t.Patience, t.Spread, t.Silence = 100*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond, 500*time.Millisecond
 	t.Held, t.Trail = 1<<20, 16<<10
 	return t
 }
--- /dev/null
+++ b/internal/lab/simulation/groups_test.go
@@ -0,0 +1,234 @@
+package simulation
+
+import (
+	"fmt"
+	"os"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"clovergap/internal/gateway/coordination"
+	"clovergap/internal/gateway/groups"
+)
+
+// groupWorld is a day's world whose groups are led, eight disks and two nodes without one.
+func groupWorld(t *testing.T, seed uint64) *world {
+	w := newWorld(&Day{Site: Site{Nodes: 10, Disks: 8, Rate: 20}.Usual(), Seed: seed, For: time.Second})
+	for _, m := range w.machines {
+		m.settings.Contracts = []string{"coord"}
+		m.start()
+	}
+	w.operator.open(func() {})
+	must.True(t, w.until(w.now+20*time.Second, func() bool { return w.spread() }), must.Sprintf("seed %d: not all groups are led", seed))
+	return w
+}
+
+// leads is the machine that leads a group: the one of the newest view, if it runs.
+func (w *world) leads(id groups.ID) (leader *machine) {
+	newest := uint64(0)
+	for _, m := range w.cores() {
+		if m.p == nil {
+			continue
+		}
+		if s, ok := m.p.h.GroupStatus(id); ok && s.Role == "leading" && s.View > newest {
+			leader, newest = m, s.View
+		}
+	}
+	return leader
+}
+
+// spread tells whether each disk leads one group.
+func (w *world) spread() bool {
+	led := map[*machine]bool{}
+	for id := range groups.ID(groups.Count) {
+		if m := w.leads(id); m != nil {
+			led[m] = true
+		}
+	}
+	return len(led) == groups.Count
+}
+
+// nameIn is a counter of a group.
+func nameIn(id groups.ID) string {
+	for i := 0; ; i++ {
+		if name := fmt.Sprint("n", i); groups.Of(name) == id {
+			return name
+		}
+	}
+}
+
+// goesOn asks for numbers of a group at nodes that are not struck, each 10 ms, until one is given that was asked for after now, and tells
+// how long that took.
+func (w *world) goesOn(id groups.ID, struck *machine, most time.Duration) (time.Duration, bool) {
+	began, done, name, n := w.now, time.Duration(0), nameIn(id), 0
+	w.every(10*time.Millisecond, func() bool {
+		m := w.machines[n%len(w.machines)]
+		if n++; m == struck || !m.runs() {
+			return done == 0
+		}
+		m.p.turn(func() {
+			m.p.h.Coordinate(coordination.Call{Operation: coordination.Number, Name: name}, func(a coordination.Answer) {
+				if a.Status == coordination.OK && done == 0 {
+					done = w.now
+				}
+			})
+		})
+		return done == 0
+	})
+	ok := w.until(began+most, func() bool { return done > 0 })
+	return done - began, ok
+}
+
+// strikes are what befalls a leader, and what ends it.
+var strikes = []struct {
+	name    string
+	on, off func(w *world, m *machine)
+}{
+	{"killed", func(_ *world, m *machine) { m.kill(false) }, func(_ *world, m *machine) { m.start() }},
+	{"without power", func(_ *world, m *machine) { m.kill(true) }, func(_ *world, m *machine) { m.start() }},
+	{"frozen", func(_ *world, m *machine) { m.hold(true) }, func(_ *world, m *machine) { m.hold(false) }},
+	{"cut both ways", cutOff(true, true), heal},
+	{"hears nothing", cutOff(true, false), heal},
+	{"is not heard", cutOff(false, true), heal},
+	{"disk hangs", func(_ *world, m *machine) { m.disk.hangs++ }, func(_ *world, m *machine) { m.disk.hangs-- }},
+}
+
+func cutOff(in, out bool) func(w *world, m *machine) {
+	return func(w *world, m *machine) { w.cuts = append(w.cuts, &cut{group: map[*machine]bool{m: true}, in: in, out: out}) }
+}
+
+func heal(w *world, _ *machine) { w.cuts = nil }
+
+// A group whose leader is lost, whichever way, goes on under another one: within 1.1 s at the worst, and again afterwards. GROUP_TIMES
+// plays so many of each.
+func TestGroupsGoOnAfterTheirLeaderIsLost(t *testing.T) {
+	times := 3
+	if n, err := strconv.Atoi(os.Getenv("GROUP_TIMES")); err == nil {
+		times = n
+	}
+	for _, s := range strikes {
+		var took []time.Duration
+		for i := range times {
+			w := groupWorld(t, uint64(i+1))
+			id := groups.ID(i % groups.Count)
+			for calm := range 3 { // a call or two before it, so that something is known
+				_, ok := w.goesOn(id, nil, time.Second)
+				must.True(t, ok, must.Sprintf("%s, seed %d: no number in calm, %d", s.name, i+1, calm))
+			}
+			leader := w.leads(id)
+			s.on(w, leader)
+			span, ok := w.goesOn(id, leader, 5*time.Second)
+			must.True(t, ok, must.Sprintf("%s, seed %d: no number in 5 s", s.name, i+1))
+			took = append(took, span)
+			w.until(w.now+2*time.Second, nil)
+			s.off(w, leader)
+			w.until(w.now+time.Second, nil)
+			_, ok = w.goesOn(id, nil, time.Second)
+			must.True(t, ok, must.Sprintf("%s, seed %d: no number after it", s.name, i+1))
+		}
+		slices.Sort(took)
+		t.Logf("%-14s median %4d ms, worst %4d ms of %d", s.name, took[len(took)/2].Milliseconds(), took[len(took)-1].Milliseconds(), times)
+		must.Less(t, 1100*time.Millisecond, took[len(took)-1], must.Sprint(s.name))
+	}
+}
+
+// Two disks of eight are replaced by empty ones at other addresses, one after the other, the leader of a group among them: each group's
+// members become the configuration's, with the new disks and without the old ones, within the six seconds in which a machine and its
+// successor count as lost; and what was given before is not given again, also when all are killed afterwards.
+func TestGroupsFollowTheConfigurationsMembers(t *testing.T) {
+	w := groupWorld(t, 7)
+	for _, m := range w.machines {
+		m.settings.Tolerates.Machines = 2
+	}
+	highest := map[groups.ID]uint64{}
+	next := func(id groups.ID) {
+		given := uint64(0)
+		n := 0
+		w.every(40*time.Millisecond, func() bool {
+			m := w.machines[n%len(w.machines)]
+			if n++; m.runs() {
+				m.p.turn(func() {
+					m.p.h.Coordinate(coordination.Call{Operation: coordination.Number, Name: nameIn(id)}, func(a coordination.Answer) {
+						given = max(given, a.Number)
+					})
+				})
+			}
+			return given == 0
+		})
+		must.True(t, w.until(w.now+3*time.Second, func() bool { return given > 0 }), must.Sprint("group ", id))
+		must.Greater(t, highest[id], given)
+		highest[id] = given
+	}
+	all := func() {
+		for id := range groups.ID(groups.Count) {
+			next(id)
+		}
+	}
+	all()
+	for round := range 2 {
+		gone := w.leads(groups.ID(round))
+		old := gone.p.h.Status().Core.Me
+		came := gone.replace()
+		w.after(time.Second, came.start)
+		all()
+		began := w.now
+		moved := func() bool {
+			if came.p == nil {
+				return false
+			}
+			for id := range groups.ID(groups.Count) {
+				m := w.leads(id)
+				if m == nil {
+					return false
+				}
+				s, _ := m.p.h.GroupStatus(id)
+				had, has := false, false
+				for _, o := range s.Members {
+					had = had || fmt.Sprintf("%010x", uint64(o.ID)) == old
+					has = has || o.Addr == came.inner
+				}
+				if had || !has || !s.Settled {
+					return false
+				}
+			}
+			return true
+		}
+		must.True(t, w.until(w.now+7*time.Second, moved), must.Sprint("round ", round))
+		t.Logf("round %d: all groups had moved %v after the first calls went on", round, w.now-began)
+		all()
+	}
+	for _, m := range w.machines {
+		m.kill(true)
+	}
+	w.until(w.now+time.Second, nil)
+	for _, m := range w.machines {
+		m.start()
+	}
+	all()
+}
+
+// What an idle group costs: with the groups there and no calls, a node sends no more than so many bytes a second for them; where they
+// were never called for, none.
+func TestIdleGroupsCostLittle(t *testing.T) {
+	bytes := func(contracts ...string) (groupsOf, all int64) {
+		w := newWorld(&Day{Site: Site{Nodes: 10, Disks: 8, Rate: 20}.Usual(), Seed: 3, For: time.Second})
+		for _, m := range w.machines {
+			m.settings.Contracts = contracts
+			m.start()
+		}
+		w.operator.open(func() {})
+		w.until(w.now+12*time.Second, nil)
+		w.counted = w.now
+		w.until(w.now+5*time.Second, nil)
+		r := &Result{}
+		w.count(r, 5*time.Second)
+		return r.Disks["groups"], r.Disks.Sum()
+	}
+	none, before := bytes()
+	must.Eq(t, 0, none)
+	idle, with := bytes("coord")
+	t.Logf("a node with a disk sends %d B/s without groups, %d with eight idle ones, %d of them the groups'", before, with, idle)
+}
