--- a/internal/gateway/node/replica.go
+++ b/internal/gateway/node/replica.go
@@ -36,7 +36,7 @@
 		case replication.Send:
 			r.owner.send(a.To, a.Message)
 		case replication.Write:
-			r.disk.put(r.log, a)
+			r.disk.Put(r.log, a)
 		case replication.Restore:
 			r.owner.restore(a.Index, a.State)
 		case replication.Commit:
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -67,7 +67,13 @@
 
 // newCluster has so many members in view 2, and others beside them with empty disks.
 func newCluster(members, beside int, f fault, left budget) *cluster {
+	return newClusterOf(ConfigurationLog, members, beside, f, left)
+}
+
+// newClusterOf is as newCluster, for one of several logs on the same disks.
+func newClusterOf(log LogID, members, beside int, f fault, left budget) *cluster {
 	w := &cluster{left: left, fault: f, terms: calm, bases: map[place]uint64{}}
+	w.terms.Log = log
 	for i := range members + beside {
 		w.places = append(w.places, &simMember{disk: Kept{Me: MemberID(i + 1)}})
 		w.start(i)
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -46,6 +46,10 @@
 	leaveEarly       // who leaves does not wait until the others have what it has
 	lateLost         // a member is lost from when the host finds it so
 	leaveFounding    // a disk that has promised a view leaves its founding for another
+
+	dropMerged  // of two writes of a log that wait, the first is forgotten
+	oneFounding // all logs of a disk bear one founding's name
+	syncedAhead // a log's write counts as synced with another log's
 )
 
 func (f fault) String() string {
@@ -59,7 +63,8 @@
 		"contact before the view's first entry", "contact while it leads", "contact ahead of the log",
 		"nobody is replaced", "a learner counts before it has the state", "who restarts is replaced",
 		"too few members stay", "a dead learner blocks the next", "a leaver does not wait", "lost from when it is found",
-		"a founding is left after a promise"}[f]
+		"a founding is left after a promise",
+		"a write that waits is forgotten", "all logs have one founding", "synced with another log's write"}[f]
 }
 
 func (p *Replica) last() uint64 { return p.snap.Index + uint64(len(p.log)) }
--- a/internal/gateway/replication/logs.go
+++ b/internal/gateway/replication/logs.go
@@ -57,7 +57,7 @@
 // foundingOf names the founding of this log by these members: each log of a disk has another.
 func (p *Replica) foundingOf(members []Member) uint64 {
 	name := ClusterIDOf(members)
-	if p.terms.Log == ConfigurationLog {
+	if p.terms.Log == ConfigurationLog || p.fault == oneFounding {
 		return name
 	}
 	sum := fnv.New32a()
