--- a/internal/gateway/admission/requests.go
+++ b/internal/gateway/admission/requests.go
@@ -132,6 +132,10 @@
 func (o *Controller) submit(t *txn, to control.BackendID) {
 	h := t.service
 	o.turn(h)
+	if t.tries > 0 && t.tries >= t.call.MaxTries { // these were lowered while it was in line
+		o.end(t, LackBackend, o.advice(h))
+		return
+	}
 	may := !t.ended && !t.out && !(t.ran && t.call.Effectful) && t.tries < t.call.MaxTries &&
 		!slices.Contains(t.tried, to) && t.mayGo()
 	invariant.That(may, "what is sent may be sent")
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -11,6 +11,7 @@
 	"clovergap/internal/gateway/transport"
 	"clovergap/internal/history"
 	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
 	"clovergap/internal/proxy/eventloop"
@@ -124,6 +125,9 @@
 	w.note(history.Event{Who: m.name, Kind: gatewaystandin.Terminates})
 	w.say("%s is told to end", m.name)
 	p.turn(p.h.Leaving)
+	if w.planted == cutsAtTheEnd {
+		p.cuts()
+	}
 	grace := m.settings.Bounds.Grace
 	done := false
 	w.every(20*time.Millisecond, func() bool {
@@ -410,10 +414,10 @@
 }
 
 // writes_ is a moment only where something of the log is written.
-func writes_(all []replication.LogWrite) moment {
+func writes_(all []replication.LogWrite) spec.Moment {
 	for _, a := range all {
 		if a.Log == replication.ConfigurationLog && len(a.Write.Entries) > 0 {
-			return writes
+			return spec.Writes
 		}
 	}
 	return ""
