--- a/internal/gateway/coordination/faultdays_test.go
+++ b/internal/gateway/coordination/faultdays_test.go
@@ -8,6 +8,7 @@
 	"github.com/shoenig/test"
 
 	"clovergap/internal/gateway/coordination"
+	"clovergap/internal/lab/callhistory"
 )
 
 const daySpan = 25 * time.Second
@@ -24,6 +25,13 @@
 		for _, v := range d.play(daySpan) {
 			t.Errorf("seed %d: %v", seed, v)
 		}
+		if seed%6 == 0 {
+			broken, undecided := callhistory.Linearizable(d.history, 5*time.Second)
+			for _, v := range broken {
+				t.Errorf("seed %d: %v", seed, v)
+			}
+			test.SliceEmpty(t, undecided)
+		}
 		calls += len(d.history)
 		if t.Failed() {
 			return
--- /dev/null
+++ b/internal/gateway/coordination/state_test.go
@@ -0,0 +1,105 @@
+package coordination
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+	"pgregory.net/rapid"
+)
+
+// drawEntry draws an entry of a few names, some time after the one before.
+func drawEntry(t *rapid.T, at *time.Duration, nr uint32) []byte {
+	*at += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
+	draw := func(what string, most int) string { return fmt.Sprint(what, rapid.IntRange(0, most).Draw(t, what)) }
+	x := entry{at: *at, id: CallID{Life: 5, Number: nr - uint32(rapid.IntRange(0, 1).Draw(t, "copy"))}}
+	x.call = Call{Operation: Operation(rapid.IntRange(int(LockBegin), int(KeyReplace)).Draw(t, "operation")), Name: draw("n", 2),
+		Holder: draw("h", 2), Fence: uint64(rapid.IntRange(0, 4).Draw(t, "fence")), Value: draw("v", 30),
+		Hold: time.Duration(rapid.IntRange(1, 5000).Draw(t, "hold")) * time.Millisecond, Expected: uint64(rapid.IntRange(0, 3).Draw(t, "expected"))}
+	return x.encode()
+}
+
+// A member that is given the state goes on as one that applied all entries: the same results, the same bytes.
+func TestSnapshotGoesOn(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		a, b := NewState(time.Second), NewState(time.Second)
+		var at time.Duration
+		for nr := range uint32(rapid.IntRange(1, 60).Draw(t, "entries")) {
+			if rapid.IntRange(0, 9).Draw(t, "restores") == 0 {
+				must.NoError(t, b.Restore(a.Snapshot()))
+			}
+			x := drawEntry(t, &at, nr)
+			must.Eq(t, a.Apply(uint64(nr), x), b.Apply(uint64(nr), x))
+		}
+		must.Eq(t, a.Snapshot(), b.Snapshot())
+		must.Eq(t, a.keys.bytes, b.keys.bytes)
+		must.Eq(t, a.keys.events, b.keys.events)
+	})
+}
+
+// Bytes that are no entry or no state change nothing and end nothing.
+func TestTornBytes(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := NewState(time.Second)
+		var at time.Duration
+		for nr := range uint32(10) {
+			s.Apply(uint64(nr), drawEntry(t, &at, nr))
+		}
+		before := s.Snapshot()
+		s.Apply(11, rapid.SliceOf(rapid.Byte()).Draw(t, "entry"))
+		after := s.Snapshot()
+		if cut := rapid.IntRange(1, len(before)-1).Draw(t, "cut"); s.Restore(before[:cut]) != nil {
+			must.Eq(t, after, s.Snapshot())
+		}
+	})
+}
+
+// What is kept is bounded, and what is over a bound is told as not done.
+func TestBounds(t *testing.T) {
+	s := NewState(time.Second)
+	apply := func(c Call, at time.Duration) Answer {
+		x := entry{call: c, at: at, id: CallID{1, uint32(at)}}
+		a, err := decodeResult(s.Apply(1, x.encode()))
+		must.NoError(t, err)
+		return a
+	}
+	for i := range mostLocks + 1 {
+		a := apply(Call{Operation: LockBegin, Name: fmt.Sprint("l", i), Holder: "h", Hold: time.Second}, time.Duration(i)*time.Microsecond)
+		must.Eq(t, i == mostLocks, a.Status == Full)
+	}
+	// Locks whose time has run out make room.
+	must.Eq(t, OK, apply(Call{Operation: LockBegin, Name: "l", Holder: "h", Hold: time.Second}, time.Minute).Status)
+	for i := range mostNumbers + 1 {
+		must.Eq(t, i == mostNumbers, apply(Call{Operation: Number, Name: fmt.Sprint("n", i)}, time.Minute).Status == Full)
+	}
+	value, full := strings.Repeat("x", LongestValue), 0
+	for i := range mostKeyBytes/LongestValue + 100 {
+		if apply(Call{Operation: KeyReplace, Name: fmt.Sprint("g.", i), Value: value + fmt.Sprint(i)}, time.Minute).Status == Full {
+			full++
+		}
+	}
+	must.Positive(t, full)
+	must.LessEq(t, mostKeyBytes, s.keys.bytes)
+	must.LessEq(t, mostEvents+2*LongestValue, s.keys.events)
+	for i := range mostPuts + 100 {
+		apply(Call{Operation: KeyReplace, Name: "g.0", Value: fmt.Sprint("w", i)}, time.Minute)
+	}
+	must.MapLen(t, mostPuts, s.keys.puts)
+}
+
+// The value that a key has is known as put however many puts came since, and its first revision is given though the key has another.
+func TestRepeatedPut(t *testing.T) {
+	s := NewState(time.Second)
+	put := func(value string, expected uint64) Answer {
+		return s.replace(&Call{Operation: KeyReplace, Name: "g.k", Value: value, Expected: expected})
+	}
+	must.Eq(t, Answer{Revision: 1}, put("a", 0))
+	must.Eq(t, Answer{Revision: 2}, put("b", 1))
+	must.Eq(t, Answer{Revision: 2}, put("b", 1)) // its own put is why the key has not revision 1 any more
+	must.Eq(t, Answer{Revision: 1}, put("a", 0))
+	must.Eq(t, Answer{Status: Conflict, Revision: 2}, put("c", 1))
+	must.Eq(t, Answer{Revision: 3}, put("c", 0))
+	must.Eq(t, Answer{Status: Conflict}, s.replace(&Call{Operation: KeyReplace, Name: "g.new", Value: "x", Expected: 7}))
+}
--- a/internal/lab/simulation/groups_test.go
+++ b/internal/lab/simulation/groups_test.go
@@ -97,7 +97,9 @@
 }
 
 func cutOff(in, out bool) func(w *world, m *machine) {
-	return func(w *world, m *machine) { w.cuts = append(w.cuts, &cut{group: map[*machine]bool{m: true}, in: in, out: out}) }
+	return func(w *world, m *machine) {
+		w.cuts = append(w.cuts, &cut{group: map[*machine]bool{m: true}, in: in, out: out})
+	}
 }
 
 func heal(w *world, _ *machine) { w.cuts = nil }
