--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
@@ -23,7 +24,9 @@
 	Reply  *Reply
 
 	Rollout *RolloutWord // while one runs
-	Groups  *GroupLines  // once there are coordination groups
+
+	Coordination *coordination.Message
+	Groups       *GroupLines // once there are coordination groups
 }
 
 // Kind names what a frame carries.
@@ -45,6 +48,8 @@
 		return "groups"
 	case f.Rollout != nil:
 		return "roll-outs"
+	case f.Coordination != nil:
+		return "coordination"
 	}
 	return "others"
 }
