--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -368,6 +368,7 @@
 func (v *drive) Write(writes []replication.Write, note []byte, done func()) {
 	x := &write{v.p, writes, note, done}
 	v.d.writing = x
+	v.d.w.owned(v.p.m.name, &writes, func() bool { return v.d.writing != x })
 	v.d.w.happens(writes_(writes))
 	v.d.go_(x, 20*time.Millisecond)
 }
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -151,6 +151,7 @@
 		p.w.passer, p.w.passedTo = p.m, v.to
 		p.w.happens(passes)
 	}
+	p.w.owned(p.m.name, f, never)
 	if v.c != nil { // else it waits for a link, and is dropped when that is up
 		v.c.send(f)
 	}
--- /dev/null
+++ b/internal/lab/simulation/owned.go
@@ -0,0 +1,47 @@
+package simulation
+
+import (
+	"bytes"
+	"encoding/gob"
+	"fmt"
+	"reflect"
+	"time"
+
+	"clovergap/internal/history"
+)
+
+// Links and disks have goroutines of their own on a real node: what is handed to them is theirs from then on. In simulated time it is
+// encoded at once, so that whoever changed it later would go unseen. A day that watches owners looks at it again.
+
+// ownedFor is as long as a frame may wait for its link: what ends the link ends the wait.
+const ownedFor = 2 * time.Second
+
+// owned holds whoever handed something over to leaving it alone until it is taken, for a while at the most.
+func (w *world) owned(who string, x any, taken func() bool) {
+	if !w.owners {
+		return
+	}
+	was, until := decoded(x), w.now+ownedFor
+	w.every(ownedFor/4, func() bool {
+		if !reflect.DeepEqual(was, decoded(x)) {
+			w.broken = append(w.broken, history.Broken{Rule: "OWNER", T: w.now, Who: who, What: fmt.Sprintf("%T was changed after it was handed over", x)})
+			return false
+		}
+		return w.now < until && !taken()
+	})
+}
+
+// decoded gives an equal value that shares nothing.
+func decoded(x any) any {
+	var b bytes.Buffer
+	y := reflect.New(reflect.TypeOf(x).Elem())
+	if err := gob.NewEncoder(&b).Encode(x); err != nil {
+		panic(err)
+	}
+	if err := gob.NewDecoder(&b).DecodeValue(y); err != nil {
+		panic(err)
+	}
+	return y.Interface()
+}
+
+func never() bool { return false }
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -84,6 +84,8 @@
 	Changes bool // while the operator goes on, in a calm day
 	Hard    bool // disks wait their turn to be lost, and the operator sends again what was taken long ago: see DrawHard
 	Log     io.Writer
+
+	owners bool // what is handed over is looked at again: see owned.go
 }
 
 // world is a day under way.
@@ -113,6 +115,7 @@
 	counted  time.Duration
 	parted   Parted
 	planted  plant
+	owners   bool
 	chases   bool     // an order of a parted node's is under way
 	copies   int      // faults under way that let frames come twice
 	replaced int      // machines
@@ -163,7 +166,7 @@
 func source(seed, use uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, use)) }
 
 func newWorld(d *Day) *world {
-	w := &world{day: d, now: origin, byInner: map[string]*machine{}, byCall: map[string]*machine{},
+	w := &world{day: d, owners: d.owners, now: origin, byInner: map[string]*machine{}, byCall: map[string]*machine{},
 		waits: map[moment][]func(){}, counted: 1 << 62, net: source(d.Seed, 0x6e6574), disks: source(d.Seed, 0xd15c), backs: source(d.Seed, 0xbac)}
 	for i := range d.Zones {
 		w.zones = append(w.zones, fmt.Sprintf("zone-%d", i))
