--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -44,11 +44,14 @@
 	rate                                                          []float64 // a second, by office
 	born                                                          map[[2]int]time.Duration
 	next                                                          control.TxnID
+	kinds                                                         map[control.TxnID]control.ProductID
+	asked, served                                                 map[control.ProductID]int
 	taken, inAim, late, refused, voided, crossed, firsts, further int
 }
 
 func newFair(seed int64, doors, servers, slots int, rate float64, effectful bool) *fair {
 	f := &fair{rng: rand.New(rand.NewSource(seed)), mean: 120 * ms, born: map[[2]int]time.Duration{},
+		kinds: map[control.TxnID]control.ProductID{}, asked: map[control.ProductID]int{}, served: map[control.ProductID]int{},
 		call: Call{Effectful: effectful, Aim: 400 * ms, Deadline: 1500 * ms, MaxTries: 2,
 			Targets: []Target{{1, 1}}}}
 	var list []control.Listing
@@ -101,11 +104,17 @@
 	o.Now(f.now)
 	switch j.what {
 	case "arrival":
-		f.after(f.chance(time.Duration(float64(time.Second)/f.rate[j.node])), j)
+		rate, kind := f.rate[j.node], control.ProductID(max(j.nr, 1)) // nr: of a route added later
+		if kind > 1 {
+			rate *= addedPart
+		}
+		f.after(f.chance(time.Duration(float64(time.Second)/rate)), j)
 		f.next++
+		f.kinds[f.next] = kind
+		f.asked[kind]++
 		f.taken++
 		f.born[[2]int{j.node, int(f.next)}] = f.now
-		o.TxnTaken(control.Txn{ID: f.next, Product: 1, Units: 1, Expiry: f.now + f.call.Deadline})
+		o.TxnTaken(control.Txn{ID: f.next, Product: kind, Units: 1, Expiry: f.now + f.call.Deadline})
 	case "settled", "full", "cut":
 		how := map[string]control.Ending{"settled": control.Settled, "full": control.Full,
 			"cut": control.TimedOut}[j.what]
@@ -116,6 +125,7 @@
 		}
 		if waits && how == control.Settled {
 			delete(f.born, who)
+			f.served[f.kinds[j.txn]]++
 			if f.now-born <= f.call.Aim {
 				f.inAim++
 			} else {
@@ -234,3 +244,40 @@
 }
 
 func (f *fair) share(n int) float64 { return float64(n) / float64(f.taken) }
+
+// addedPart of a node's requests, beside these, go by each route that was added later.
+const addedPart = 0.1
+
+// A route that is added later is served as often as the first ones, from its first second on: on the service that there is, and on
+// one that just appeared, whose backends are slow from their start and of which no node has learnt anything yet.
+func TestAddedRoutesAreServed(t *testing.T) {
+	for _, doors := range []int{3, 12} {
+		f := newFair(2, doors, 13, 4, 200, false)
+		f.run(20 * time.Second)
+		for i := range 3 {
+			f.servers = append(f.servers, &server{speed: 1.5, slots: 4, zone: control.HallID(i)})
+		}
+		for i, o := range f.controllers {
+			o.Now(f.now)
+			o.SetCall(2, f.call)
+			onNew := f.call
+			onNew.Targets = []Target{{2, 1}}
+			o.SetCall(3, onNew)
+			for b := range 3 {
+				o.ListChanged(false, []control.Listing{{ID: control.BackendID(14 + b), Hall: control.HallID(b), State: control.Ready, Size: 4,
+					Service: 2, Cold: f.now + 3*time.Second}})
+			}
+			for kind := 2; kind <= 3; kind++ {
+				f.events.Add(f.now, job{what: "arrival", node: i, nr: kind})
+			}
+		}
+		f.asked, f.served = map[control.ProductID]int{}, map[control.ProductID]int{}
+		f.run(25 * time.Second)
+		first := float64(f.served[1]) / float64(f.asked[1])
+		must.Greater(t, 0.9, first)
+		for kind := control.ProductID(2); kind <= 3; kind++ {
+			must.Greater(t, 40, f.asked[kind])
+			must.Greater(t, 0.8*first, float64(f.served[kind])/float64(f.asked[kind]), must.Sprintf("%d doors, kind %d", doors, kind))
+		}
+	}
+}
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -304,6 +304,43 @@
 	must.Eq(t, []control.BackendID{7, 7}, st.node.gone)
 }
 
+// A failure bears a backend's seal only where it is that backend's, with the status that it gave: what the gateway answers itself
+// bears none, whatever the backend had begun to say.
+func TestOwnFailuresBearNoSeal(t *testing.T) {
+	st := open(t)
+	for _, status := range []string{"200 OK", "204 Empty", "302 Away", "403 No", "408 Slow", "421 Wrong", "429 Full", "500 Oops", "502 Bad",
+		"503 Full", "504 Late"} {
+		for name, more := range map[string]string{"": "", "not run": "X-Not-Run: 1\r\n", "encoded": "Content-Encoding: gzip\r\n"} {
+			for _, cut := range []bool{false, true} {
+				for _, path := range []string{"/pure/", "/once/"} {
+					c := st.client()
+					c.send(request("POST", path, "e", ""))
+					x := st.b.Next()
+					text := "HTTP/1.1 " + status + "\r\nX-Attempt-Id: e\r\nX-Backend-Seal: s\r\n" + more + "Content-Length: 2\r\n\r\nno"
+					if status == "204 Empty" {
+						text = strings.Replace(text, "Content-Length: 2\r\n\r\nno", "\r\n", 1)
+					}
+					if cut { // after the head, in the middle of the body
+						x.Answer(text[:len(text)-1])
+						x.C.Close()
+					} else {
+						x.Answer(text)
+					}
+					head, _, err := standin.ReadMessage(c.r)
+					must.NoError(t, err)
+					line, _, _ := strings.Cut(strings.TrimPrefix(head, "HTTP/1.1 "), "\r\n")
+					if strings.Contains(head, "X-Backend-Seal:") {
+						must.Eq(t, status, line, must.Sprint(status, name, cut, path))
+						must.False(t, cut)
+					} else {
+						must.True(t, line == "502 Bad Gateway" || line == "503 Service Unavailable", must.Sprint(status, line))
+					}
+				}
+			}
+		}
+	}
+}
+
 // An answer with another id is passed over and the right one awaited; one too many ends its connection.
 func TestAnotherID(t *testing.T) {
 	st := open(t)
