--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"clovergap/internal/gateway/coordination"
+	"clovergap/internal/gateway/groups"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
@@ -84,13 +85,33 @@
 // GroupLines are messages between members of the coordination groups: all that a node has for another one at the end of a turn.
 type GroupLines struct {
 	From  replication.MemberID
-	Lines []GroupLine
+	Lines []byte // each a group, and a message in its compact form: see replication.AppendMessage
 }
 
-// GroupLine is a message of one group.
-type GroupLine struct {
-	Group   uint8
-	Message replication.Message
+// groupLine is a message of one group.
+type groupLine struct {
+	group   groups.ID
+	message replication.Message
+}
+
+// append adds a line.
+func (g *GroupLines) append(l *groupLine) {
+	g.Lines = replication.AppendMessage(append(g.Lines, byte(l.group)), &l.message)
+}
+
+// each gives the lines in their order, until one can't be read.
+func (g *GroupLines) each(do func(l *groupLine)) error {
+	for rest := g.Lines; len(rest) > 0; {
+		l := groupLine{group: groups.ID(rest[0])}
+		var err error
+		if l.message, rest, err = replication.ReadMessage(rest[1:]); err != nil {
+			return err
+		}
+		if l.group < groups.Count {
+			do(&l)
+		}
+	}
+	return nil
 }
 
 // Follow asks a node with a disk for the entries after an index, and for those to come, and for its board.
--- a/internal/gateway/node/groups.go
+++ b/internal/gateway/node/groups.go
@@ -32,7 +32,7 @@
 	replicas [groups.Count]*groupReplica // nil without a disk
 	begun    bool                        // the founding is known here, or a disk holds a state
 	hints    [groups.Count]hint
-	out      map[string][]GroupLine // by address, of this turn
+	out      map[string][]groupLine // by address, of this turn
 	wanted   time.Duration          // when a call first wanted groups that have not begun
 	wantedAt time.Duration          // when the wish last went out
 	tendedAt time.Duration
@@ -80,7 +80,7 @@
 	if newApplication == nil {
 		return
 	}
-	g.app, g.out = newApplication(g.h), map[string][]GroupLine{}
+	g.app, g.out = newApplication(g.h), map[string][]groupLine{}
 	g.balancer = balancer{trouble: map[replication.MemberID]trouble{}}
 	core := g.h.core
 	for i := range g.replicas {
@@ -143,15 +143,16 @@
 		return
 	}
 	for _, addr := range slices.Sorted(maps.Keys(g.out)) {
-		lines := g.out[addr]
-		for len(lines) > 0 {
-			n, size := 0, 0
-			for ; n < len(lines) && (n == 0 || size < frameLines); n++ {
-				size += lines[n].Message.Size()
+		f := &GroupLines{From: g.h.core.me.ID}
+		for i := range g.out[addr] {
+			line := &g.out[addr][i]
+			if len(f.Lines) > 0 && len(f.Lines)+line.message.Size() > frameLines {
+				g.h.links.Send(addr, &Frame{Groups: f})
+				f = &GroupLines{From: f.From}
 			}
-			g.h.links.Send(addr, &Frame{Groups: &GroupLines{From: g.h.core.me.ID, Lines: lines[:n:n]}})
-			lines = lines[n:]
+			f.append(line)
 		}
+		g.h.links.Send(addr, &Frame{Groups: f})
 	}
 	clear(g.out)
 }
@@ -162,15 +163,15 @@
 		return
 	}
 	g.begun = true
-	for _, line := range f.Lines {
-		if int(line.Group) >= len(g.replicas) {
-			continue
-		}
-		r := g.replicas[line.Group]
-		if line.Message.Kind == replication.TakeOver && r.disk.stalled() > stallAfter {
-			continue // who can't sync can't lead
+	err := f.each(func(line *groupLine) {
+		r := g.replicas[line.group]
+		if line.message.Kind == replication.TakeOver && r.disk.stalled() > stallAfter {
+			return // who can't sync can't lead
 		}
-		r.now().Heard(f.From, line.Message)
+		r.now().Heard(f.From, line.message)
+	})
+	if err != nil {
+		g.h.warn(groupPart, "message of %d can't be read: %v", f.From, err)
 	}
 }
 
@@ -188,7 +189,7 @@
 
 func (r *groupReplica) send(to replication.Member, m replication.Message) {
 	if addr := r.h.addrOf(to); addr != "" {
-		r.host.out[addr] = append(r.host.out[addr], GroupLine{uint8(r.id), m})
+		r.host.out[addr] = append(r.host.out[addr], groupLine{r.id, m})
 	}
 }
 
--- a/internal/gateway/replication/contact.go
+++ b/internal/gateway/replication/contact.go
@@ -45,6 +45,9 @@
 	return now - since, told != 0 && since <= backMost
 }
 
+// tellsContact: what a node may do goes by the configuration's log alone, and its contact is told by no other.
+func (p *Replica) tellsContact() bool { return p.terms.Log == ConfigurationLog }
+
 // Contact is how long ago a majority was in contact at the latest, as far as is known here, and the newest view that this is known
 // of; false while there was no word of it in this life.
 func (p *Replica) Contact(now time.Duration) (age time.Duration, view uint64, ok bool) {
@@ -78,7 +81,7 @@
 // majorityContact is the leader's: the newest of its times since which a majority, of both lists while they change, was in
 // contact. Before an entry of this view is committed, others' entries may be acknowledged and not yet known here to be.
 func (p *Replica) majorityContact() {
-	if p.role != leading || p.committed < p.noOp && p.fault != contactEarly {
+	if p.role != leading || !p.tellsContact() || p.committed < p.noOp && p.fault != contactEarly {
 		return
 	}
 	since := func(t time.Duration) bool {
@@ -97,6 +100,9 @@
 
 // tellContact puts the leader's word into what it sends.
 func (p *Replica) tellContact(w *progress, m *Message) {
+	if m.Contact = -1; !p.tellsContact() {
+		return
+	}
 	p.majorityContact()
 	m.Clock, m.Echo, m.Contact = p.clock.Tell(p.now), w.clock, -1
 	if age, _, ok := p.Contact(p.now); ok {
--- a/internal/gateway/replication/lead.go
+++ b/internal/gateway/replication/lead.go
@@ -1,6 +1,7 @@
 package replication
 
 import (
+	"cmp"
 	"slices"
 
 	"clovergap/internal/proxy/invariant"
@@ -63,7 +64,7 @@
 		p.replicate(w)
 	}
 	if len(p.reads) > 0 && p.roundDone() == p.round && p.newRound() {
-		p.heartbeat()
+		p.askRound()
 	}
 	p.advanceCommit() // one member alone has nobody to answer
 }
@@ -153,6 +154,20 @@
 	p.beatAt = p.now + p.terms.Beat
 }
 
+// askRound tells a bare majority of the round that reads wait for: those that were heard last. Who of them does not answer is made
+// up for by the next heartbeat, which goes to all.
+func (p *Replica) askRound() {
+	if !p.terms.Narrow || !p.settled() {
+		p.heartbeat()
+		return
+	}
+	others := slices.DeleteFunc(p.sorted(), func(w *progress) bool { return !p.member(w.ID) })
+	slices.SortStableFunc(others, func(a, b *progress) int { return cmp.Compare(b.heard, a.heard) })
+	for _, w := range others[:min(len(others), len(p.Members())/2)] {
+		p.heartbeatTo(w)
+	}
+}
+
 func (p *Replica) heartbeatTo(w *progress) {
 	prev := w.next - 1
 	v, ok := p.viewAt(prev)
--- a/internal/gateway/replication/logs.go
+++ b/internal/gateway/replication/logs.go
@@ -50,7 +50,8 @@
 	t := DefaultTerms()
 	t.Log = log
 	t.Beat, t.Patience, t.Spread, t.Silence = 100*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond, 500*time.Millisecond
-	t.Held, t.Trail = 1<<20, 16<<10
+	t.Tell = t.Beat // only who leads answers by what is committed
+	t.Held, t.Trail, t.Narrow = 1<<20, 16<<10, true
 	return t
 }
 
--- a/internal/gateway/replication/types.go
+++ b/internal/gateway/replication/types.go
@@ -107,6 +107,7 @@
 	Chunk    int           // bytes of a chunk
 	Trail    int           // bytes of entries that are kept after they went into a snapshot, at the least
 	Log      LogID         // which of its disk's logs it is
+	Narrow   bool          // a round of reads asks a bare majority first, and the others with the next heartbeat
 }
 
 // DefaultTerms are for links of a few ms and from 2 Mbit/s on, and disks of some ms a sync: a window to each of a handful of
