--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -76,6 +76,11 @@
 	}
 	for key, id := range h.catalog.calls {
 		if _, ok := kept[key]; !ok {
+			if old := h.catalog.routes[id]; old != nil {
+				if now, ok := h.table.Route([]byte(old.Host), []byte(old.Prefix)); ok {
+					h.admission.LowerTries(id, now.MaxTries)
+				}
+			}
 			h.admission.DropCall(id)
 			delete(h.catalog.routes, id)
 		}
@@ -126,7 +131,7 @@
 // BackendName is a backend's id in its own words.
 func (h *Node) BackendName(id control.BackendID) string { return h.catalog.names[id] }
 
-// Gone: another backend answered at this one's address.
+// Gone is told when another backend answered at this one's address.
 func (h *Node) Gone(id control.BackendID) {
 	if h.registry != nil {
 		h.registry.Seen421(h.catalog.names[id])
--- a/internal/lab/faultrig/rig.go
+++ b/internal/lab/faultrig/rig.go
@@ -78,7 +78,7 @@
 	log   *history.Log
 	rng   *rand.Rand
 	mu    sync.Mutex
-	load  []float64
+	load  spec.Held
 	fault error
 	wg    sync.WaitGroup
 }
@@ -97,7 +97,7 @@
 	}
 	late := map[int]bool{}
 	for i := range s.Faults {
-		if f := &s.Faults[i]; f.Kind == "door-late" {
+		if f := &s.Faults[i]; f.Has(spec.StartLate) {
 			for _, nr := range r.hits(f, s.Doors.Count) {
 				late[nr] = true
 			}
@@ -121,11 +121,7 @@
 	load.Rate = func() float64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		x := rate
-		for _, by := range r.load {
-			x *= by
-		}
-		return x
+		return rate * r.load.Product()
 	}
 	stop := make(chan struct{})
 	slow := watchSelf(stop)
@@ -270,19 +266,23 @@
 	res.Beyond = beyond(s, h)
 }
 
-// Ceilings gives each customer's bound: its plan's ceiling with the rules' slack, and the platform's of 150 ms.
-func Ceilings(s *spec.Spec) func(key string) func(time.Duration) float64 {
-	by := map[string]func(time.Duration) float64{}
+// ceilingDelay is for how long a plan's rate may be spent beyond its ceiling: the platform's allowance.
+const ceilingDelay = 150 * time.Millisecond
+
+// Ceilings gives each customer's bound: its plan's ceiling with the rules' slack and the platform's.
+func Ceilings(s *spec.Spec) func(key string) (history.Bound, bool) {
+	byPlan := map[string]history.Bound{}
 	for _, p := range s.Plans {
 		if p.Ceiling > 0 {
 			store, rate := p.Ceiling*p.Burst, p.Ceiling*p.Rate
-			slack := max(1, s.Rules.CeilingSlack*store) + rate*0.15
-			by[p.Name] = func(d time.Duration) float64 { return store + slack + rate*d.Seconds() }
+			slack := max(1, s.Rules.CeilingSlack*store) + rate*ceilingDelay.Seconds()
+			byPlan[p.Name] = history.Bound{Store: store + slack, Rate: rate}
 		}
 	}
-	return func(key string) func(time.Duration) float64 {
+	return func(key string) (history.Bound, bool) {
 		plan, _, _ := strings.Cut(key, "/")
-		return by[plan]
+		bound, has := byPlan[plan]
+		return bound, has
 	}
 }
 
@@ -342,7 +342,7 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(base+".toml", []byte(strings.Join(why, "\n")+"\n"+string(text)), 0o644); err != nil {
+	if err = os.WriteFile(base+".toml", []byte(strings.Join(why, "\n")+"\n"+string(text)), 0o644); err != nil {
 		return err
 	}
 	f, err := os.Create(base + ".jsonl")
