--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -358,9 +358,13 @@
 	arrives := max(n.c.now+n.c.between(ms/2, 3*ms), n.links[to], n.last[to])
 	n.last[to] = arrives
 	life, from := peer.life, address(n.nr)
+	read, err := coordination.DecodeMessage(m.Encode())
+	if err != nil {
+		panic(err)
+	}
 	n.c.in(arrives-n.c.now, func() {
 		if peer.life == life {
-			peer.turn(func() { peer.service.Heard(from, m) })
+			peer.turn(func() { peer.service.Heard(from, read) })
 		}
 	})
 	return true
--- a/internal/gateway/coordination/entry.go
+++ b/internal/gateway/coordination/entry.go
@@ -16,26 +16,12 @@
 func (x *entry) encode() []byte {
 	var e encoder
 	e.uint(entryVersion)
-	e.uint(uint64(x.call.Operation))
 	e.time(x.at)
-	e.text(x.call.Name)
-	switch x.call.Operation {
-	case LockBegin:
-		e.text(x.call.Holder)
-		e.time(x.call.Hold)
-		e.uint(x.id.Life)
-		e.uint(uint64(x.id.Number))
-	case LockHeartbeat:
-		e.text(x.call.Holder)
-		e.uint(x.call.Fence)
-		e.time(x.call.Hold)
-	case LockFinish:
-		e.text(x.call.Holder)
-		e.uint(x.call.Fence)
-	case KeyReplace:
-		e.text(x.call.Value)
-		e.uint(x.call.Expected)
+	e.bool(x.call.Operation == LockBegin)
+	if x.call.Operation == LockBegin {
+		encodeID(&e, x.id)
 	}
+	x.call.encode(&e)
 	return e.bytes
 }
 
@@ -45,20 +31,11 @@
 	if d.uint() != entryVersion {
 		return x, errVersion
 	}
-	x.call.Operation = Operation(d.uint())
 	x.at = d.time()
-	x.call.Name = d.text()
-	switch x.call.Operation {
-	case LockBegin:
-		x.call.Holder, x.call.Hold = d.text(), d.time()
-		x.id = CallID{d.uint(), uint32(d.uint())}
-	case LockHeartbeat:
-		x.call.Holder, x.call.Fence, x.call.Hold = d.text(), d.uint(), d.time()
-	case LockFinish:
-		x.call.Holder, x.call.Fence = d.text(), d.uint()
-	case KeyReplace:
-		x.call.Value, x.call.Expected = d.text(), d.uint()
+	if d.bool() {
+		x.id = decodeID(&d)
 	}
+	x.call.decode(&d)
 	return x, d.err
 }
 
--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -15,7 +15,12 @@
 }
 
 // coordinationHeard takes what another node's coordination says.
-func (h *Node) coordinationHeard(from string, m *coordination.Message) {
+func (h *Node) coordinationHeard(from string, bytes []byte) {
+	m, err := coordination.DecodeMessage(bytes)
+	if err != nil {
+		h.warn(groupPart, "call from %s can't be read: %v", from, err)
+		return
+	}
 	h.e.Refresh()
 	h.coordination.Heard(from, m)
 }
@@ -24,7 +29,7 @@
 type coordinator Node
 
 func (c *coordinator) Send(to string, m *coordination.Message) bool {
-	return c.links.Send(to, &Frame{Coordination: m})
+	return c.links.Send(to, &Frame{Coordination: m.Encode()})
 }
 
 func (c *coordinator) At(at time.Duration, number uint32) { c.e.At(at, c.coordination, number) }
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/groups"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
@@ -26,7 +25,7 @@
 
 	Rollout *RolloutWord // while one runs
 
-	Coordination *coordination.Message
+	Coordination []byte      // a coordination.Message
 	Groups       *GroupLines // once there are coordination groups
 }
 
