--- /dev/null
+++ b/cmd/gateway/coordination.go
@@ -0,0 +1,273 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/url"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/groups"
+)
+
+// locksCmd is `gateway locks`.
+type locksCmd struct {
+	List   *locksListCmd   `arg:"subcommand:list" help:"list the locks that are held"`
+	Holder *locksHolderCmd `arg:"subcommand:holder" help:"tell who holds a lock"`
+}
+
+func (*locksCmd) run(io.Writer) error { return wrongly("give list or holder") }
+
+func (*locksCmd) examples() string {
+	return `  gateway locks list
+  gateway locks holder lot-4711`
+}
+
+type locksListCmd struct{ caller }
+
+func (c *locksListCmd) run(out io.Writer) error {
+	var all []controlapi.LockStatus
+	for id := range groups.Count {
+		list, _, err := readAs[controlapi.LockList](c.call("/api/Locks.List/"+strconv.Itoa(id), nil))
+		if err != nil {
+			return errors.Wrapf(err, "group %d", id)
+		}
+		all = append(all, list.Locks...)
+	}
+	slices.SortFunc(all, func(a, b controlapi.LockStatus) int { return compareNames(a.Name, b.Name) })
+	return c.show(out, all)
+}
+
+func compareNames(a, b string) int {
+	switch {
+	case a < b:
+		return -1
+	case a > b:
+		return 1
+	}
+	return 0
+}
+
+// show prints locks.
+func (c *caller) show(out io.Writer, all []controlapi.LockStatus) error {
+	if c.JSON {
+		text, err := json.Marshal(controlapi.LockList{Locks: all})
+		if err != nil {
+			return err
+		}
+		return print(out, text)
+	}
+	t := newTable(out, "LOCK", "HOLDER", "FENCE", "LEFT")
+	for _, l := range all {
+		t.row(l.Name, l.Holder, l.Fence, time.Duration(l.LeftMs)*time.Millisecond)
+	}
+	return t.Flush()
+}
+
+type locksHolderCmd struct {
+	caller
+	Name string `arg:"positional,required" placeholder:"LOCK"`
+}
+
+func (c *locksHolderCmd) run(out io.Writer) error {
+	list, _, err := readAs[controlapi.LockList](c.call("/api/Locks.Read/"+url.PathEscape(c.Name), nil))
+	if err != nil {
+		return err
+	}
+	return c.show(out, list.Locks)
+}
+
+// keysCmd is `gateway keys`.
+type keysCmd struct {
+	Get   *keysGetCmd   `arg:"subcommand:get" help:"read a key"`
+	Put   *keysPutCmd   `arg:"subcommand:put" help:"put a key's value"`
+	Watch *keysWatchCmd `arg:"subcommand:watch" help:"print the puts in a group of keys as they come"`
+}
+
+func (*keysCmd) run(io.Writer) error { return wrongly("give get, put or watch") }
+
+func (*keysCmd) examples() string {
+	return `  gateway keys get feature.colour
+  gateway keys put --revision 12 feature.colour green-7f3a
+  gateway keys watch feature.`
+}
+
+type keysGetCmd struct {
+	caller
+	Key string `arg:"positional,required" placeholder:"KEY"`
+}
+
+func (c *keysGetCmd) run(out io.Writer) error {
+	v, raw, err := readAs[controlapi.KeyValue](c.call("/api/Cells.Read/"+url.PathEscape(c.Key), nil))
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return print(out, raw)
+	}
+	t := newTable(out, "KEY", "REVISION", "VALUE")
+	t.row(c.Key, v.Revision, v.Value)
+	return t.Flush()
+}
+
+type keysPutCmd struct {
+	caller
+	Revision uint64 `arg:"--revision" placeholder:"N" help:"the revision that the key must have; 0: any"`
+	Key      string `arg:"positional,required" placeholder:"KEY"`
+	Value    string `arg:"positional,required" placeholder:"VALUE" help:"one that the key never had: the same again is the same put again"`
+}
+
+func (c *keysPutCmd) run(out io.Writer) error {
+	body, err := json.Marshal(controlapi.KeyReplace{Value: c.Value, Topic: c.Revision})
+	if err != nil {
+		return err
+	}
+	v, raw, err := readAs[controlapi.KeyRevision](c.call("/api/Cells.Replace/"+url.PathEscape(c.Key), body))
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return print(out, raw)
+	}
+	_, err = fmt.Fprintln(out, plain(c.Key), "has revision", v.Revision)
+	return err
+}
+
+type keysWatchCmd struct {
+	caller
+	After uint64 `arg:"--after" placeholder:"REVISION" help:"print the puts above it; 0: those from now on"`
+	Count int    `arg:"--count" placeholder:"N" help:"end after so many puts; 0: go on"`
+	Group string `arg:"positional,required" placeholder:"GROUP." help:"the keys' name up to the first dot, with the dot"`
+}
+
+// watchWait is how long a watch waits at a node; a node that says nothing is left after a second.
+const watchWait = 500 * time.Millisecond
+
+func (c *keysWatchCmd) run(out io.Writer) error {
+	after := c.After
+	for seen := 0; ; {
+		path := fmt.Sprintf("/api/watch/%s?after=%d&wait_ms=%d", url.PathEscape(c.Group), after, watchWait.Milliseconds())
+		all, _, err := readAs[controlapi.KeyEvents](c.call(path, nil))
+		if err != nil {
+			return err
+		}
+		for _, e := range all.Events {
+			if c.JSON {
+				text, err := json.Marshal(e)
+				if err != nil {
+					return err
+				}
+				if err := print(out, text); err != nil {
+					return err
+				}
+			} else if _, err := fmt.Fprintln(out, e.Revision, plain(e.Name), plain(e.Value)); err != nil {
+				return err
+			}
+			if seen++; c.Count > 0 && seen == c.Count {
+				return nil
+			}
+		}
+		after = all.Revision
+		if after == 0 { // a group without a put has no revision to wait after
+			time.Sleep(watchWait)
+		}
+	}
+}
+
+// groupsCmd is `gateway groups`.
+type groupsCmd struct {
+	List   *groupsListCmd   `arg:"subcommand:list" help:"list the groups, as the asked node knows them"`
+	Leader *groupsLeaderCmd `arg:"subcommand:leader" help:"tell who leads the group of a name"`
+	Move   *groupsMoveCmd   `arg:"subcommand:move" help:"have another member lead a group"`
+}
+
+func (*groupsCmd) run(io.Writer) error { return wrongly("give list, leader or move") }
+
+func (*groupsCmd) examples() string {
+	return `  gateway groups list
+  gateway groups leader lot-4711
+  gateway groups move 3 10.2.0.31:7240`
+}
+
+type groupsListCmd struct{ caller }
+
+func (c *groupsListCmd) run(out io.Writer) error {
+	list, raw, err := c.groups()
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return print(out, raw)
+	}
+	t := newTable(out, "GROUP", "LEADER", "VIEW", "SYNCED", "MEMBERS", "LOCKS", "NUMBERS", "KEYS", "BYTES")
+	for _, g := range list.Groups {
+		t.row(g.Group, g.Leader, g.View, g.Synced, len(g.Members), g.Locks, g.Numbers, g.Keys, g.KeyBytes+g.HistoryBytes)
+	}
+	return t.Flush()
+}
+
+// groups asks a node how the groups stand.
+func (c *caller) groups() (*controlapi.GroupList, []byte, error) {
+	return readAs[controlapi.GroupList](c.call("/api/Groups.List", nil))
+}
+
+type groupsLeaderCmd struct {
+	caller
+	Name string `arg:"positional,required" placeholder:"NAME" help:"of a lock, a counter or a key"`
+	Key  bool   `arg:"--key" help:"the name is a key's, or that of a group of keys"`
+}
+
+func (c *groupsLeaderCmd) run(out io.Writer) error {
+	list, _, err := c.groups()
+	if err != nil {
+		return err
+	}
+	id := groups.Of(c.Name)
+	if c.Key {
+		id = groups.Of(groups.KeyGroup(c.Name))
+	}
+	for _, g := range list.Groups {
+		if g.Group == int(id) {
+			t := newTable(out, "NAME", "GROUP", "LEADER", "CONTROL")
+			t.row(c.Name, g.Group, g.Leader, g.Control)
+			return t.Flush()
+		}
+	}
+	return errors.Errorf("%s knows nothing of group %d", list.Node, id)
+}
+
+type groupsMoveCmd struct {
+	caller
+	Group int    `arg:"positional,required" placeholder:"GROUP"`
+	To    string `arg:"positional,required" placeholder:"ADDR" help:"inner address of a member: see groups list --json"`
+}
+
+// run asks the node that leads the group, which alone can hand it over.
+func (c *groupsMoveCmd) run(out io.Writer) error {
+	list, _, err := c.groups()
+	if err != nil {
+		return err
+	}
+	at := slices.IndexFunc(list.Groups, func(g controlapi.GroupStatus) bool { return g.Group == c.Group })
+	if at < 0 {
+		return wrongly("there is no group %d", c.Group)
+	}
+	leader := list.Groups[at]
+	if leader.Control == "" {
+		return errors.Errorf("%s does not know who leads group %d", list.Node, c.Group)
+	}
+	body, err := json.Marshal(controlapi.GroupMove{To: c.To})
+	if err != nil {
+		return err
+	}
+	if _, err := c.ask([]string{leader.Control}, 1, "/api/Groups.Move/"+strconv.Itoa(c.Group), body); err != nil {
+		return err
+	}
+	_, err = fmt.Fprintln(out, "asked", plain(c.To), "to lead group", c.Group)
+	return err
+}
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -36,6 +36,9 @@
 	Backends *backendsCmd `arg:"subcommand:backends" help:"list the backends"`
 	Core     *coreCmd     `arg:"subcommand:core" help:"show the replicated log: members, view, leader, how far it is synced"`
 	Rollout  *rolloutCmd  `arg:"subcommand:rollout" help:"shift a share of users onto a new version of a service"`
+	Locks    *locksCmd    `arg:"subcommand:locks" help:"list the locks of applications, or tell who holds one"`
+	Keys     *keysCmd     `arg:"subcommand:keys" help:"read, put and watch the small keys of applications"`
+	Groups   *groupsCmd   `arg:"subcommand:groups" help:"list the groups that order applications' calls, or move one's lead"`
 	About    *versionCmd  `arg:"subcommand:version" help:"tell which build this is"`
 }
 
--- a/internal/gateway/controlapi/coordination.go
+++ b/internal/gateway/controlapi/coordination.go
@@ -22,8 +22,18 @@
 	// Coordinate brings a call to whoever leads its group. then is called once, within the caller's second, or within a watch's
 	// wait and a second.
 	Coordinate(c coordination.Call, then func(coordination.Answer))
+	// GroupList is how the groups stand, as this node knows it.
+	GroupList() GroupList
+	// MoveGroup has the node at an inner address lead a group; false: this node does not lead it, or that one could not at once.
+	MoveGroup(id groups.ID, address string) bool
 }
 
+// Paths of the calls on groups; a move's is followed by the group's number.
+const (
+	pathGroups    = "/api/Groups.List"
+	pathMoveGroup = "/api/Groups.Move/"
+)
+
 // pathCall is a path that is followed by a name.
 type pathCall struct {
 	prefix    string
@@ -47,6 +57,9 @@
 // coordinate takes an application's call; false: the path is another's.
 func (f *Handler) coordinate(c *downstream.Client, method, target string, body []byte) bool {
 	path, query, _ := strings.Cut(target, "?")
+	if f.groups(c, method, path, body) {
+		return true
+	}
 	for _, p := range pathCalls {
 		text, ok := strings.CutPrefix(path, p.prefix)
 		if !ok {
@@ -96,15 +109,54 @@
 	case coordination.KeyWatch:
 		call.After, call.Wait, err = readWatch(query)
 	case coordination.LockList:
-		var group uint64
-		if group, err = strconv.ParseUint(call.Name, 10, 8); err == nil && group >= groups.Count {
-			err = errors.Errorf("groups are numbered from 0 to %d", groups.Count-1)
-		}
-		call.Group = groups.ID(group)
+		call.Group, err = readGroup(call.Name)
 	}
 	return call, err
 }
 
+// groups takes a call on groups; false: the path is another's.
+func (f *Handler) groups(c *downstream.Client, method, path string, body []byte) bool {
+	text, move := strings.CutPrefix(path, pathMoveGroup)
+	switch {
+	case !move && path != pathGroups:
+		return false
+	case move != (method == "POST") || !move && method != "GET":
+		c.Reject(405, counters.NoSuchMethod, "GET to list, POST to move")
+		return true
+	}
+	t := f.hold(c)
+	if !move {
+		list, err := json.Marshal(f.node.GroupList())
+		if err != nil {
+			list = []byte(err.Error())
+		}
+		f.end(t, 200, list)
+		return true
+	}
+	var to GroupMove
+	id, err := readGroup(text)
+	if err == nil {
+		err = readBody(body, &to)
+	}
+	switch {
+	case err != nil:
+		f.end(t, 400, []byte(err.Error()))
+	case !f.node.MoveGroup(id, to.To):
+		f.end(t, 409, []byte("this node does not lead the group, or the other one could not lead it at once"))
+	default:
+		f.end(t, 200, []byte("{}"))
+	}
+	return true
+}
+
+func readGroup(text string) (groups.ID, error) {
+	id, err := strconv.ParseUint(text, 10, 8)
+	if err != nil || id >= groups.Count {
+		return 0, errors.Errorf("groups are numbered from 0 to %d", groups.Count-1)
+	}
+	return groups.ID(id), nil
+}
+
 func readBody(body []byte, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
 		return errors.Wrap(err, "body")
--- a/internal/gateway/controlapi/coordination_test.go
+++ b/internal/gateway/controlapi/coordination_test.go
@@ -95,3 +95,31 @@
 	a, _ := st.hears(r)
 	must.Eq(t, 405, a.StatusCode)
 }
+
+// The groups are listed, and moved by the node that leads.
+func TestGroups(t *testing.T) {
+	st := open(t)
+	c, r := st.dial()
+	send(c, "GET /api/Groups.List", "")
+	a, text := st.hears(r)
+	must.Eq(t, 200, a.StatusCode)
+	must.StrContains(t, text, `"leader":"x:1"`)
+	for _, x := range []struct {
+		call, body string
+		ok         bool
+		status     int
+	}{
+		{"POST /api/Groups.Move/1", `{"to":"x:2"}`, true, 200},
+		{"POST /api/Groups.Move/1", `{"to":"x:2"}`, false, 409},
+		{"POST /api/Groups.Move/9", `{"to":"x:2"}`, true, 400},
+		{"POST /api/Groups.Move/1", `{}`, true, 400},
+		{"GET /api/Groups.Move/1", "", true, 405},
+	} {
+		st := open(t)
+		c, r := st.dial()
+		st.set(func(h *fakeNode) { h.ok = x.ok })
+		send(c, x.call, x.body)
+		a, _ := st.hears(r)
+		must.Eq(t, x.status, a.StatusCode, must.Sprint(x.call))
+	}
+}
--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -14,6 +14,7 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/internal/gateway/coordination"
+	"clovergap/internal/gateway/groups"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/statemachine"
@@ -89,6 +90,14 @@
 		func() { then(a) })
 }
 
+func (h *fakeNode) GroupList() GroupList {
+	return GroupList{Node: "d", Groups: []GroupStatus{{Group: 1, Leader: "x:1"}}}
+}
+func (h *fakeNode) MoveGroup(id groups.ID, address string) bool {
+	h.asked = append(h.asked, fmt.Sprint("move ", id, " ", address))
+	return h.ok
+}
+
 // fixture is the form on sockets, before a deployment.
 type fixture struct {
 	t *testing.T
--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/groups"
 )
@@ -51,3 +52,49 @@
 }
 
 var _ groups.Application = groupsApplication{}
+
+// GroupList is how the groups stand, as this node knows it.
+func (h *Node) GroupList() controlapi.GroupList {
+	status := h.coordination.Status()
+	list := controlapi.GroupList{Node: h.settings.NodeName, Calls: callCounts(&status)}
+	for id := range groups.ID(groups.Count) {
+		g := controlapi.GroupStatus{Group: int(id)}
+		if leader, ok := h.groups.Leader(id); ok {
+			g.Leader = leader
+			if node, known := h.roster.Node(leader); known {
+				g.Control = node.Control
+			}
+		}
+		if replica, ok := h.GroupStatus(id); ok {
+			g.View, g.Synced = replica.View, replica.Synced
+			for _, m := range replica.Members {
+				g.Members = append(g.Members, h.addrOf(m))
+			}
+		}
+		for _, held := range status.Groups {
+			if held.ID == id {
+				g.Leads, g.Locks, g.Numbers, g.Keys = held.Leads, held.Locks, held.Numbers, held.Keys
+				g.KeyBytes, g.HistoryBytes = held.KeyBytes, held.Events
+			}
+		}
+		list.Groups = append(list.Groups, g)
+	}
+	return list
+}
+
+// callCounts words what a service did and holds.
+func callCounts(s *coordination.ServiceStatus) controlapi.CallCounts {
+	c := controlapi.CallCounts{Calls: map[string]uint64{}, Answers: map[string]uint64{}, PassedOn: s.Counts.PassedOn, Late: s.Counts.Late,
+		LeadsGained: s.Counts.Gained, LeadsLost: s.Counts.Lost, Pending: s.Pending, Watchers: s.Watchers, Parked: s.Parked}
+	for o, n := range s.Counts.Calls {
+		if n > 0 {
+			c.Calls[coordination.Operation(o).String()] = n
+		}
+	}
+	for status, n := range s.Counts.Answers {
+		if n > 0 {
+			c.Answers[coordination.Status(status).String()] = n
+		}
+	}
+	return c
+}
--- /dev/null
+++ b/pkg/coordination/client_test.go
@@ -0,0 +1,143 @@
+package coordination
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+)
+
+// node answers by what it is asked.
+type node struct {
+	mu    sync.Mutex
+	asked []string
+	say   func(path, body string) (status int, text string)
+}
+
+func (n *node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	n.mu.Lock()
+	n.asked = append(n.asked, r.URL.RequestURI()+" "+string(body))
+	status, text := n.say(r.URL.Path, string(body))
+	n.mu.Unlock()
+	w.WriteHeader(status)
+	io.WriteString(w, text)
+}
+
+func (n *node) count(part string) (found int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, a := range n.asked {
+		if strings.Contains(a, part) {
+			found++
+		}
+	}
+	return found
+}
+
+func serve(t *testing.T, say func(path, body string) (int, string)) (*node, *Client) {
+	n := &node{say: say}
+	srv := httptest.NewServer(n)
+	t.Cleanup(srv.Close)
+	c, err := New(strings.TrimPrefix(srv.URL, "http://"))
+	must.NoError(t, err)
+	t.Cleanup(c.Close)
+	return n, c
+}
+
+func within(t *testing.T, d time.Duration) context.Context {
+	ctx, stop := context.WithTimeout(t.Context(), d)
+	t.Cleanup(stop)
+	return ctx
+}
+
+// Each answer is the error that says what it promises.
+func TestErrors(t *testing.T) {
+	for status, want := range map[int]error{404: ErrNotFound, 410: ErrCompacted, 409: ErrHeld, 400: ErrInvalid} {
+		_, c := serve(t, func(string, string) (int, string) { return status, "" })
+		_, err := c.Get(within(t, time.Minute), "g.k")
+		must.ErrorIs(t, err, want)
+	}
+	_, c := serve(t, func(string, string) (int, string) { return 412, `{"revision":7}` })
+	_, err := c.Put(within(t, time.Minute), "g.k", "v", 3)
+	conflict, ok := err.(*ConflictError)
+	must.True(t, ok)
+	must.Eq(t, 7, conflict.Revision)
+}
+
+// A call without a clear answer is sent again, the same; if time runs out, only what surely did nothing is told so.
+func TestAgain(t *testing.T) {
+	tries := 0
+	n, c := serve(t, func(string, string) (int, string) {
+		if tries++; tries < 3 {
+			return 504, ""
+		}
+		return 200, `{"revision":9}`
+	})
+	revision, err := c.Put(within(t, time.Minute), "g.k", "v", 3)
+	must.NoError(t, err)
+	must.Eq(t, 9, revision)
+	must.Eq(t, 3, n.count(`{"value":"v","topic":3}`))
+	for status, want := range map[int]error{503: ErrUnavailable, 429: ErrUnavailable, 504: ErrUnclear} {
+		_, c := serve(t, func(string, string) (int, string) { return status, "" })
+		_, err := c.Next(within(t, 30*time.Millisecond), "n")
+		must.ErrorIs(t, err, want)
+	}
+}
+
+// A session renews; once nobody answers, or the lock is lost, it ends by itself, before its time has run out.
+func TestSession(t *testing.T) {
+	for name, renewal := range map[string]int{"nobody answers": 503, "lost": 409} {
+		beats := 0
+		_, c := serve(t, func(path, _ string) (int, string) {
+			if strings.Contains(path, "Begin") {
+				return 200, `{"fence":5}`
+			}
+			if beats++; beats > 2 {
+				return renewal, ""
+			}
+			return 200, "{}"
+		})
+		hold, began := 300*time.Millisecond, time.Now()
+		s, err := c.Lock(within(t, time.Minute), "l", "me", hold)
+		must.NoError(t, err)
+		must.Eq(t, 5, s.Fence())
+		<-s.Context().Done()
+		must.ErrorIs(t, context.Cause(s.Context()), ErrLost, must.Sprint(name))
+		must.Greater(t, 2*hold/renewalsInHold, time.Since(began))
+	}
+}
+
+// What is given back asks for no more time.
+func TestFinish(t *testing.T) {
+	n, c := serve(t, func(path, _ string) (int, string) {
+		if strings.Contains(path, "Begin") {
+			return 200, `{"fence":5}`
+		}
+		return 200, "{}"
+	})
+	s, err := c.Lock(within(t, time.Minute), "l", "me", time.Minute)
+	must.NoError(t, err)
+	must.NoError(t, s.Finish(within(t, time.Minute)))
+	must.Error(t, s.Context().Err())
+	must.Eq(t, 1, n.count(`/api/Locks.Finish/l {"holder":"me","fence":5}`))
+	must.Eq(t, 0, n.count("Heartbeat"))
+}
+
+// A lock that was given so late that its time has run out is not held.
+func TestLateLock(t *testing.T) {
+	late := make(chan struct{})
+	_, c := serve(t, func(string, string) (int, string) {
+		<-late // longer than the hold
+		return 200, `{"fence":5}`
+	})
+	t.Cleanup(func() { close(late) })
+	_, err := c.Lock(within(t, time.Minute), "l", "me", 50*time.Millisecond)
+	must.ErrorIs(t, err, ErrUnclear)
+}
