--- a/internal/lab/simulation/groups_test.go
+++ b/internal/lab/simulation/groups_test.go
@@ -318,3 +318,49 @@
 		must.Less(t, 40, frames)
 	}
 }
+
+// Configurations and calls share disks and links, and neither waits long for the other: 480 calls a second with puts of 4 KB beside an operator
+// who changes the configuration all the time.
+func TestConfigurationsAndCallsShareTheDisk(t *testing.T) {
+	const over = 10 * time.Second
+	play := func(perSecond int, changes bool) (acks, calls []time.Duration) {
+		w := groupWorld(t, 9)
+		began, n := w.now, 0
+		w.operator.goes = changes
+		if perSecond > 0 {
+			w.every(time.Second/time.Duration(perSecond), func() bool {
+				m, c, asked := w.machines[n%len(w.machines)], callMix(n), w.now
+				if n++; c.Operation == coordination.KeyReplace {
+					c.Value = fmt.Sprintf("%04096d", n)
+				}
+				m.p.turn(func() {
+					m.p.h.Coordinate(c, func(a coordination.Answer) {
+						must.NotEq(t, coordination.Unavailable, a.Status)
+						calls = append(calls, w.now-asked)
+					})
+				})
+				return w.now < began+over
+			})
+		}
+		w.until(began+over, nil)
+		for _, v := range w.operator.versions {
+			if v.Sent > began && v.Acked > 0 {
+				acks = append(acks, v.Acked-v.Sent)
+			}
+		}
+		slices.Sort(acks)
+		slices.Sort(calls)
+		return acks, calls
+	}
+	at := func(all []time.Duration, q float64) time.Duration {
+		return all[min(len(all)-1, int(q*float64(len(all))))].Round(100 * time.Microsecond)
+	}
+	aloneAcks, _ := play(0, true)
+	_, aloneCalls := play(480, false)
+	acks, calls := play(480, true)
+	t.Logf("%d changes: median %v, worst %v; beside calls median %v, worst %v", len(aloneAcks), at(aloneAcks, 0.5), at(aloneAcks, 1), at(acks, 0.5), at(acks, 1))
+	t.Logf("%d calls: median %v, 99 in 100 %v, worst %v; beside changes median %v, 99 in 100 %v, worst %v", len(aloneCalls), at(aloneCalls, 0.5),
+		at(aloneCalls, 0.99), at(aloneCalls, 1), at(calls, 0.5), at(calls, 0.99), at(calls, 1))
+	must.Less(t, at(aloneAcks, 0.5)+20*time.Millisecond, at(acks, 0.5))
+	must.Less(t, 60*time.Millisecond, at(calls, 0.99))
+}
