--- a/internal/gateway/node/members_test.go
+++ b/internal/gateway/node/members_test.go
@@ -22,7 +22,7 @@
 	i := len(d.settings)
 	s := *d.settings[0]
 	ip := fmt.Sprint(s.IP[:len(s.IP)-2], 11+i)
-	s.NodeName, s.IP, s.FirstBoot, s.DataDir = fmt.Sprint("door-", i), ip, false, d.t.TempDir()
+	s.NodeName, s.IP, s.FirstBoot, s.DataDir = fmt.Sprint("node-", i), ip, false, d.t.TempDir()
 	s.Bind = settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"}
 	d.settings = append(d.settings, &s)
 	d.start(i)
--- a/internal/gateway/node/node_test.go
+++ b/internal/gateway/node/node_test.go
@@ -47,7 +47,7 @@
 	var seeds []string
 	for i := range n {
 		ip := fmt.Sprintf("127.%d.%d.%d", 2+os.Getpid()>>8&127, os.Getpid()&255, 11+i)
-		s := &settings.Settings{NodeName: fmt.Sprint("door-", i), IP: ip, Zone: "z", InnerPorts: [2]int{17560, 17575},
+		s := &settings.Settings{NodeName: fmt.Sprint("node-", i), IP: ip, Zone: "z", InnerPorts: [2]int{17560, 17575},
 			Bind: settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"}, FirstBoot: true,
 			BeatInterval: time.Hour, Tolerates: settings.Tolerates{Machines: 1}, Bounds: settings.Usual()}
 		if i < 3 {
--- a/internal/gateway/node/parted_test.go
+++ b/internal/gateway/node/parted_test.go
@@ -18,8 +18,8 @@
 		span := func(s float64) spec.Span { return spec.Span(s * float64(time.Second)) }
 		return simulation.Play(&simulation.Day{Site: simulation.Site{Nodes: 7, Disks: 3}, Seed: seed, For: 24 * time.Second, Faults: []spec.Fault{
 			{Kind: "core-part", At: span(1), For: span(20), Share: 0.1, By: 0, Way: "both", Pick: 7},
-			{Kind: "door-stall", At: span(3), For: span(3), Share: 0.3, Pick: seed*8 + 3},
-			{Kind: "door-stall", At: span(12), For: span(2), Share: 0.3, Pick: seed*8 + 5}}})
+			{Kind: "node-stall", At: span(3), For: span(3), Share: 0.3, Pick: seed*8 + 3},
+			{Kind: "node-stall", At: span(12), For: span(2), Share: 0.3, Pick: seed*8 + 5}}})
 	}
 	defer node.Plant(node.Sound)
 	for seed := range uint64(2) {
