--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -34,8 +34,8 @@
 	Work   float64       // mean core seconds
 }
 
-// safe tells whether a client may repeat one that may have run.
-func (p Product) safe() bool {
+// Safe tells whether a client may repeat one that may have run.
+func (p Product) Safe() bool {
 	return p.Effect == "inquiry-like" || p.Effect == "referenced" && p.Scope == "all"
 }
 
@@ -46,6 +46,39 @@
 	Start time.Duration
 }
 
+// Reached is a submission that has begun, or may have: at a backend that stands somewhere, sent at a time.
+type Reached struct {
+	Place Place
+	Sent  time.Duration
+}
+
+// Repeat is how a repeat may run an effect once more.
+type Repeat uint8
+
+// The ways. What bears repeats, or drops them there and then, does not.
+const (
+	Harmless  Repeat = iota
+	OnceOnly         // its effect is never to be repeated
+	OtherDrop        // the backends there do not drop repeats of what ran at the first
+	Forgotten        // they do no longer
+)
+
+// Repeats tells what becomes of a submission after a first one that may have run.
+func (p Product) Repeats(first, again Reached, slack time.Duration) Repeat {
+	otherZone := first.Place.Zone != again.Place.Zone
+	switch {
+	case p.Effect == "once-only":
+		return OnceOnly
+	case p.Effect != "referenced":
+		return Harmless
+	case p.Scope == "zone" && otherZone, p.Scope == "pod" && (otherZone || first.Place.Pod != again.Place.Pod):
+		return OtherDrop
+	case again.Sent > first.Sent+p.Window+slack:
+		return Forgotten
+	}
+	return Harmless
+}
+
 // World is what a history is held against.
 type World struct {
 	Products map[string]Product
--- a/internal/history/effects.go
+++ b/internal/history/effects.go
@@ -158,17 +158,16 @@
 
 // again tells whether a later submission may run an effect once more.
 func (c *copies) again(b Event, w World) (Broken, bool) {
-	product, first, sent := w.Products[c.ask.What], c.began[0], sentAt(b)
-	before, now := w.Backends[first.Who], w.Backends[b.Who]
-	switch {
-	case product.Effect == "once-only":
+	product, first := w.Products[c.ask.What], c.began[0]
+	reached := func(e Event) Reached { return Reached{w.Backends[e.Who], sentAt(e)} }
+	switch product.Repeats(reached(first), reached(b), w.Slack) {
+	case OnceOnly:
 		return c.broken(b, false, "once-only, and begun at %s after it had begun at %s", b.Who, first.Who), true
-	case product.Effect == "referenced" && (product.Scope == "zone" && before.Zone != now.Zone ||
-		product.Scope == "pod" && (before.Zone != now.Zone || before.Pod != now.Pod)):
+	case OtherDrop:
 		return c.broken(b, false, "begun at %s, outside the %s of %s that drops its repeats", b.Who, product.Scope, first.Who), true
-	case product.Effect == "referenced" && sent > sentAt(first)+product.Window+w.Slack:
+	case Forgotten:
 		return c.broken(b, true, "begun again %s after its first time, its repeats are forgotten after %s",
-			(sent - sentAt(first)).Round(time.Millisecond), product.Window), true
+			(sentAt(b) - sentAt(first)).Round(time.Millisecond), product.Window), true
 	}
 	return Broken{}, false
 }
@@ -176,7 +175,7 @@
 // declined tells whether the request was declined, so that its client may repeat it, though it had begun.
 func (c *copies) declined(w World) (bad []Broken) {
 	f := c.final
-	if f == nil || f.N != 429 && f.N != 503 || w.Products[c.ask.What].safe() {
+	if f == nil || f.N != 429 && f.N != 503 || w.Products[c.ask.What].Safe() {
 		return nil
 	}
 	for _, b := range c.began {
--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"clovergap/control"
+	"clovergap/internal/history"
 	"clovergap/internal/lab/spec"
 )
 
@@ -62,6 +63,11 @@
 	work float64
 }
 
+// place is where it stands.
+func (b *backend) place() history.Place {
+	return history.Place{Zone: b.w.s.Zones.Names[b.zone], Pod: b.pod, Start: b.started}
+}
+
 func (w *world) addBackend(zone, pod int, started time.Duration) *backend {
 	w.nextUID++
 	b := &backend{w: w, id: control.BackendID(w.nextUID), zone: zone, pod: pod, state: control.Ready, started: started,
--- a/internal/lab/emulator/judge.go
+++ b/internal/lab/emulator/judge.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"clovergap/control"
+	"clovergap/internal/history"
 )
 
 // Rule is one of the five.
@@ -179,8 +180,7 @@
 		j.breaks(RuleLost, d, nr, "settled with an answer that no backend made for it")
 	}
 	p := j.w.s.Products[l.t.req.product]
-	safe := p.Effect == "inquiry-like" || p.Effect == "referenced" && p.Scope == "all"
-	if e == control.Full && !safe && (l.mayRun || l.out != nil && l.out.whole) {
+	if e == control.Full && !p.Judged().Safe() && (l.mayRun || l.out != nil && l.out.whole) {
 		j.breaks(RuleTwice, d, nr, "declined, so that the client may repeat it, though it may have run")
 	}
 }
@@ -200,14 +200,14 @@
 		j.breaks(RuleTwice, s.d, s.try.nr, "a second copy while the first is out")
 	}
 	l.out = s
-	p := w.s.Products[s.try.req.product]
 	if l.mayRun {
-		switch {
-		case p.Effect == "once-only":
+		p := w.s.Products[s.try.req.product]
+		switch p.Judged().Repeats(history.Reached{Place: l.ran.to.place(), Sent: l.ranAt}, history.Reached{Place: s.to.place(), Sent: w.now}, 0) {
+		case history.OnceOnly:
 			j.breaks(RuleTwice, s.d, s.try.nr, "a once-only txn goes again though it may have run")
-		case p.Effect == "referenced" && (p.Scope == "zone" && l.ran.to.zone != s.to.zone || p.Scope == "pod" && l.ran.to.pod != s.to.pod):
+		case history.OtherDrop:
 			j.breaks(RuleTwice, s.d, s.try.nr, "goes again outside the group that drops its repeats")
-		case p.Effect == "referenced" && w.now > l.ranAt+p.Window.D():
+		case history.Forgotten:
 			j.breaks(RuleTwice, s.d, s.try.nr, "goes again after its repeats are forgotten")
 		}
 	}
@@ -235,7 +235,7 @@
 		j.w.res.beyond(s.try.req)
 	}
 	if p.Ceiling > 0 {
-		slack := max(1, j.w.s.Rules.CeilingSlack*b.ceiling.most) + b.ceiling.rate*0.15
+		slack := j.w.s.Rules.CeilingSlackOf(&p)
 		b.ceiling.now(j.w.now)
 		if b.ceiling.level--; b.ceiling.level < -slack {
 			j.breaks(RuleCeiling, s.d, s.try.nr, fmt.Sprintf("the store of customer %x is at %.1f, the slack is %.1f", uint64(s.try.req.c.id),
--- a/internal/lab/emulator/policies.go
+++ b/internal/lab/emulator/policies.go
@@ -67,8 +67,7 @@
 	}
 	t.over = true
 	product := p.d.w.s.Products[t.x.Product]
-	safe := product.Effect == "inquiry-like" || product.Effect == "referenced" && product.Scope == "all"
-	if safe || !t.ran && !t.out {
+	if product.Judged().Safe() || !t.ran && !t.out {
 		p.d.Decline(t.who, ref, 0, gate.LackBackend)
 	} else {
 		p.d.Void(t.who, ref, gate.LackBackend)
--- a/internal/lab/faultrig/rig.go
+++ b/internal/lab/faultrig/rig.go
@@ -225,7 +225,7 @@
 	}
 	w := history.World{Products: map[string]history.Product{}, Backends: map[string]history.Place{}, Slack: platform + max(res.Slow, late)}
 	for _, p := range s.Products {
-		w.Products[p.Name] = history.Product{Effect: p.Effect, Scope: p.Scope, Window: p.Window.D(), Work: p.Work.D().Seconds()}
+		w.Products[p.Name] = p.Judged()
 	}
 	for _, b := range r.f.All() {
 		w.Backends[b.ID] = b.Place()
@@ -266,17 +266,12 @@
 	res.Beyond = beyond(s, h)
 }
 
-// ceilingDelay is for how long a plan's rate may be spent beyond its ceiling: the platform's allowance.
-const ceilingDelay = 150 * time.Millisecond
-
 // Ceilings gives each customer's bound: its plan's ceiling with the rules' slack and the platform's.
 func Ceilings(s *spec.Spec) func(key string) (history.Bound, bool) {
 	byPlan := map[string]history.Bound{}
 	for _, p := range s.Plans {
 		if p.Ceiling > 0 {
-			store, rate := p.Ceiling*p.Burst, p.Ceiling*p.Rate
-			slack := max(1, s.Rules.CeilingSlack*store) + rate*ceilingDelay.Seconds()
-			byPlan[p.Name] = history.Bound{Store: store + slack, Rate: rate}
+			byPlan[p.Name] = history.Bound{Store: p.Ceiling*p.Burst + s.Rules.CeilingSlackOf(&p), Rate: p.Ceiling * p.Rate}
 		}
 	}
 	return func(key string) (history.Bound, bool) {
--- a/internal/lab/gatewaystandin/request_rules.go
+++ b/internal/lab/gatewaystandin/request_rules.go
@@ -45,45 +45,6 @@
 	afterConfigApply = time.Second
 )
 
-// clientTry is one try of a client, with all that is known of it.
-type clientTry struct {
-	route, ask, end history.Event // end is Answered, Unheard or Left; none for what is under way at the end
-	ran             []history.Event
-	spoilt          bool // a backend broke its answer off, or reset the connection
-}
-
-// requestsOf gives the tries that were sent, in order.
-func requestsOf(h []history.Event) (all []*clientTry) {
-	by := map[string]*clientTry{}
-	for _, e := range Run(h) {
-		r := by[e.Txn]
-		switch {
-		case e.Kind == Route:
-			by[e.Txn] = &clientTry{route: e}
-		case r == nil:
-		case e.Kind == history.Asked:
-			r.ask = e
-			all = append(all, r)
-		case e.Kind == history.Answered, e.Kind == history.Unheard, e.Kind == Left:
-			r.end = e
-		case e.Kind == history.Arrived:
-			r.ran = append(r.ran, e)
-		case e.Kind == standin.Spoils:
-			r.spoilt = true
-		}
-	}
-	last := time.Duration(0)
-	for _, e := range h {
-		last = max(last, e.T)
-	}
-	for _, r := range all {
-		if at := r.ask.Due + listens; r.end.Kind == "" && at <= last {
-			r.end = history.Event{T: at, Kind: Left, Txn: r.ask.Txn}
-		}
-	}
-	return all
-}
-
 // judgeRequests holds single requests to the rules that speak of them.
 func judgeRequests(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Broken) {
 	x := &requestJudge{all: requestsOf(h), t: t, calm: c, slack: slack, crashes: map[string][]time.Duration{}}
