--- a/internal/history/backends.go
+++ b/internal/history/backends.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// DrainsKept: no front door sends to a backend longer than the grace after it was told that it drains or is gone.
+// DrainsKept checks that no front door sends to a backend longer than the grace after it was told that it drains or is gone.
 func DrainsKept(h []Event, w World, grace time.Duration) (bad []Broken) {
 	type way struct{ node, backend string }
 	told, node, off := map[way]time.Duration{}, map[string]string{}, spans(h)
@@ -53,7 +53,7 @@
 	By, Window         time.Duration
 }
 
-// NoColdPushedOver: in no window does a cold backend get more work than the stated times of what it can do by then.
+// NoColdPushedOver checks that in no window does a cold backend get more work than the stated times of what it can do by then.
 func NoColdPushedOver(h []Event, w World, c Cold) (bad []Broken) {
 	asks := map[string]Event{}
 	came := map[string][]Event{}
--- a/internal/lab/gatewaystandin/config_rules.go
+++ b/internal/lab/gatewaystandin/config_rules.go
@@ -12,7 +12,7 @@
 	"clovergap/internal/history"
 )
 
-// Kept: what was acknowledged is in the configuration read back at the end, at a time, or older than it; and what is
+// Kept checks that what was acknowledged is in the configuration read back at the end, at a time, or older than it; and what is
 // read is what was sent.
 func Kept(final *routing.Config, sent map[uint64]Version, at time.Duration) (bad []history.Broken) {
 	say := func(format string, args ...any) {
--- a/internal/lab/gatewaystandin/limit_rules.go
+++ b/internal/lab/gatewaystandin/limit_rules.go
@@ -12,7 +12,7 @@
 	"clovergap/internal/history"
 )
 
-// Quotas: in no window do a tenant's requests that were sent and that ran in it pass (rate x window + burst)
+// Quotas checks that in no window do a tenant's requests that were sent and that ran in it pass (rate x window + burst)
 // x (1 + excess) + margin, over all nodes.
 func Quotas(h []history.Event) (bad []history.Broken) {
 	b := Bounds()
--- a/internal/lab/gatewaystandin/rules.go
+++ b/internal/lab/gatewaystandin/rules.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-// Twice: an effectful try runs at most once, and what was answered 429, 503, 408 or 421 has not run and
+// Twice checks that an effectful try runs at most once, and what was answered 429, 503, 408 or 421 has not run and
 // never will.
 func Twice(h []history.Event) (bad []history.Broken) {
 	ask, ran, final := map[string]history.Event{}, map[string][]history.Event{}, map[string]history.Event{}
