--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -836,9 +836,9 @@
 	}, []fault{oneMajority}},
 }
 
-// maxStates is how many stages are looked at from each scene, unless PROMPTER_STAGES says otherwise.
+// maxStates is how many stages are looked at from each scene, unless REPLICATION_STAGES says otherwise.
 func maxStates(usual int) int {
-	if n, err := strconv.Atoi(os.Getenv("PROMPTER_STAGES")); err == nil {
+	if n, err := strconv.Atoi(os.Getenv("REPLICATION_STAGES")); err == nil {
 		return n
 	}
 	return usual
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -416,7 +416,7 @@
 // eachWalk plays so many walks as are asked for.
 func eachWalk(t *testing.T, play func(t *testing.T, seed int64)) {
 	walks := 40
-	if n, err := strconv.Atoi(os.Getenv("PROMPTER_WALKS")); err == nil {
+	if n, err := strconv.Atoi(os.Getenv("REPLICATION_WALKS")); err == nil {
 		walks = n
 	}
 	for seed := range int64(walks) {
--- a/internal/proxy/counters/counters.go
+++ b/internal/proxy/counters/counters.go
@@ -92,7 +92,7 @@
 	"ended not sent", "bad answers",
 	"answers to others", "backend connections evicted", "configurations taken",
 	"configurations bad", "lists taken", "lists bad", "watches lost",
-	"mails sent", "mails taken", "mails bad", "mails unsent", "accept errors", "turns",
+	"datagrams sent", "datagrams taken", "datagrams bad", "datagrams unsent", "accept errors", "turns",
 	"lease frames sent", "lease frames taken", "lease frames unsent", "leases granted", "leases over", "steps under leases", "stale steps refused",
 	"unknown keys", "not known yet", "answers cut short"}
 
