--- a/internal/gateway/node/groups.go
+++ b/internal/gateway/node/groups.go
@@ -23,7 +23,7 @@
 )
 
 // newApplication makes what the groups order, at a node with a disk. Nil: there are no groups.
-var newApplication func(h *Node) groups.Application
+var newApplication = func(h *Node) groups.Application { return groupsApplication{h.coordination, h} }
 
 // groupHost runs this node's part in the coordination groups.
 type groupHost struct {
