--- a/internal/lab/callhistory/keys.go
+++ b/internal/lab/callhistory/keys.go
@@ -3,7 +3,6 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
 	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/groups"
