--- a/internal/gateway/node/authority.go
+++ b/internal/gateway/node/authority.go
@@ -114,6 +114,9 @@
 // contact is how old this node's word of a majority is at the most, and the view that it is of; false: none came in this life.
 func (h *Node) contact() (age time.Duration, view uint64, ok bool) {
 	if h.core != nil {
+		if _, view, ok := h.core.p.Leader(); ok && h.fault == hearsLeader {
+			return 0, view, true
+		}
 		return h.core.p.Contact(h.e.Now())
 	}
 	return h.e.Now() - h.known.at, h.known.view, h.known.at > -never
@@ -159,6 +162,7 @@
 	endsAlone                      // an end is acknowledged by who cannot pass it on, on whatever copies there are
 	readyAlone                     // who has old word is ready, and denies
 	waitsAlone                     // an order waits where nobody can take it
+	hearsLeader                    // a node with a disk goes by that it hears a leader, whoever hears it
 	feederTells                    // who lives is told by the feeder, however old its word
 )
 
--- a/internal/gateway/node/export_test.go
+++ b/internal/gateway/node/export_test.go
@@ -7,5 +7,8 @@
 var Faults = map[string]fault{"all have all rights": noAuthority, "word counts from when it came": byReceipt,
 	"an end is acknowledged alone": endsAlone, "ready and sure with old word": readyAlone, "an order waits in vain": waitsAlone}
 
+// HearsLeader is a defence that takes a cut one way to be missed.
+const HearsLeader = hearsLeader
+
 // Sound is none of them.
 const Sound = sound
--- a/internal/gateway/node/parted_test.go
+++ b/internal/gateway/node/parted_test.go
@@ -37,3 +37,30 @@
 		must.NotEq(t, "", found, must.Sprint(name))
 	}
 }
+
+// A core node that hears the leader and is heard by no other node with a disk is told of no end, and those who follow it are told by
+// nobody else: had it gone by that it hears a leader, they would send requests to backends that said long ago that they leave. It
+// was so on the drawn day 22 of the auctions: see docs/incidents/rau-subastas-22.md.
+func TestDrainsWhileOneIsNotHeard(t *testing.T) {
+	play := func(seed uint64) *simulation.Result {
+		span := func(s float64) spec.Span { return spec.Span(s * float64(time.Second)) }
+		faults := []spec.Fault{{Kind: "core-part", At: span(1), For: span(20), Share: 0.1, By: 1, Way: "mute", Pick: seed}}
+		for n := range uint64(5) {
+			faults = append(faults, spec.Fault{Kind: "drain", At: span(5.1 + 3*float64(n)), For: span(1), Share: 0.2, Pick: seed + n})
+		}
+		return simulation.Play(&simulation.Day{Site: simulation.Site{Nodes: 12, Disks: 3}, Seed: seed, For: 24 * time.Second, Faults: faults})
+	}
+	defer node.Plant(node.Sound)
+	for seed := range uint64(6) {
+		must.SliceEmpty(t, play(seed+1).Broken, must.Sprint("seed ", seed+1))
+	}
+	node.Plant(node.HearsLeader)
+	found := map[string]int{}
+	for seed := range uint64(6) {
+		for _, b := range play(seed + 1).Broken {
+			found[b.Rule]++
+		}
+	}
+	t.Log("without the defence: ", found)
+	must.Greater(t, 0, found["DRAIN"])
+}
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -46,6 +46,12 @@
 	in, out  bool
 	backends bool // the way between nodes and backends is cut too
 	cores    bool // between machines with a disk alone
+	lasting  bool // links to the group last, though nothing comes back on them
+}
+
+// keeps tells whether a link goes on while nothing of its bytes is acknowledged.
+func (w *world) keeps(from, to *machine) bool {
+	return !w.parts(from, to) && slices.ContainsFunc(w.cuts, func(c *cut) bool { return c.lasting && c.group[to] })
 }
 
 func (w *world) parts(from, to *machine) bool {
@@ -274,7 +280,8 @@
 // parted tells whether what is sent may go unacknowledged.
 func (c *conn) parted() bool {
 	w := c.v.p.w
-	return c.peer.over || w.parts(c.v.p.m, c.v.to) || w.parts(c.v.to, c.v.p.m)
+	from, to := c.v.p.m, c.v.to
+	return c.peer.over || w.parts(from, to) || w.parts(to, from) && !w.keeps(from, to)
 }
 
 // watch looks after a link whose bytes are not acknowledged: it goes on, or ends after a while, or at once where another
--- a/internal/lab/simulation/parted.go
+++ b/internal/lab/simulation/parted.go
@@ -13,8 +13,8 @@
 	"clovergap/internal/lab/spec"
 )
 
-// A core node is parted from the other nodes with a disk, both ways or one way, for some twenty seconds; all other ways are whole. It
-// is poked all the while: orders, reads, a backend's last word, whether it is ready, and what it denies. And an order is sent
+// A core node is parted from the other nodes with a disk, both ways or one way, for some twenty seconds; all other ways are whole. With
+// "mute" it is heard by none of them, while their links to it last and it hears all that they say. It is poked all the while: orders, reads, a backend's last word, whether it is ready, and what it denies. And an order is sent
 // there, and to those who followed it, as an operator does: to the next node after each answer that is not clear.
 
 const (
@@ -29,7 +29,8 @@
 
 // part brings the cut and lets it end.
 func (w *world) part(f *spec.Fault, m *machine) {
-	c := &cut{group: map[*machine]bool{m: true}, in: f.Way != "out", out: f.Way != "in", cores: true}
+	lasting := f.Way == "mute"
+	c := &cut{group: map[*machine]bool{m: true}, in: f.Way != "out" && !lasting, out: f.Way != "in", cores: true, lasting: lasting}
 	note := func(k history.Kind) {
 		for _, o := range w.cores() {
 			if o != m && c.out {
--- a/internal/lab/simulation/parted_test.go
+++ b/internal/lab/simulation/parted_test.go
@@ -16,7 +16,7 @@
 // answer at the next node.
 func TestPartedForTwentySeconds(t *testing.T) {
 	var all Parted
-	for n, way := range []string{"both", "in", "out"} {
+	for n, way := range []string{"both", "in", "out", "mute"} {
 		for who, by := range map[string]float64{"who leads": 0, "another": 1} {
 			d := &Day{Site: Site{Nodes: 7, Disks: 3}, Seed: uint64(100 + n), For: 24 * time.Second, Faults: []spec.Fault{
 				{Kind: "core-part", At: spec.Span(time.Second), For: spec.Span(20 * time.Second), Share: 0.1, By: by, Way: way, Pick: 7}}}
