--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -46,15 +46,17 @@
 	House, Promise, Delivered uint64
 }
 
-// Store is an open file, for one goroutine at a time.
+// Store is an open file, for one goroutine at a time. On a disk that was full when a new file was to be made it is none yet: see made.
 type Store struct {
 	path string
 	me   replication.MemberID
-	db   *bbolt.DB
+	db   *bbolt.DB // nil until the file is there
 }
 
 // Open opens the file in a folder and reads all of it; where there is none it makes one, with a new
-// member's id, synced with its name. An error names the file. If what it holds can't be read, the error is
+// member's id, synced with its name. If the disk is too full for that, the store has an id alone (Made tells) and the first Apply that
+// finds room makes the file: until then nothing is confirmed under that id, so that a process which ends before has lost nothing
+// but the id. An error names the file. If what it holds can't be read, the error is
 // an Unreadable: the disk is to be taken for lost then, see Wipe.
 func Open(dir string) (*Store, replication.Kept, error) {
 	b := &Store{path: filepath.Join(dir, Name)}
@@ -91,14 +93,51 @@
 			return nil, replication.Kept{}, &Unreadable{b.path, err}
 		}
 	}
-	if err := guard(func() error { return b.open(dir, &k) }); err != nil {
-		b.Close()
-		return nil, replication.Kept{}, named(b.path, err)
+	empty := k.Me == 0
+	if empty {
+		me, err := newMember()
+		if err != nil {
+			return nil, k, err
+		}
+		k.Me = me
 	}
 	b.me = k.Me
+	if err := b.open(empty); err != nil && !(empty && full(err)) {
+		return nil, replication.Kept{}, named(b.path, err)
+	}
 	return b, k, nil
 }
 
+// full tells whether an error says that the disk takes no more bytes.
+func full(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
+
+// Made tells whether the file is there.
+func (b *Store) Made() bool { return b.db != nil }
+
+// made makes the file of a store that has none yet. What an earlier try left was never confirmed to be there.
+func (b *Store) made() error {
+	if b.db != nil {
+		return nil
+	}
+	if err := Wipe(filepath.Dir(b.path)); err != nil {
+		return err
+	}
+	return b.open(true)
+}
+
+// newMember draws the id of an empty disk.
+func newMember() (me replication.MemberID, err error) {
+	for me == 0 {
+		var random [8]byte
+		if _, err := rand.Read(random[:]); err != nil {
+			return 0, err
+		}
+		// 40 bits are enough, and it travels with each message.
+		me = replication.MemberID(binary.BigEndian.Uint64(random[:]) >> 24)
+	}
+	return me, nil
+}
+
 // Unreadable is the error of a file that is torn or does not hold together.
 type Unreadable struct {
 	Path string
@@ -129,25 +168,32 @@
 	return do()
 }
 
-// open opens the file to be written, and founds it if nothing was read.
-func (b *Store) open(dir string, k *replication.Kept) (err error) {
-	b.db, err = bbolt.Open(b.path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true,
-		FreelistType: bbolt.FreelistMapType, InitialMmapSize: 1 << 20, NoStatistics: true})
-	if err != nil {
-		return err
-	}
-	b.db.AllocSize = growth
-	if k.Me != 0 {
-		return nil
-	}
-	for k.Me == 0 {
-		var random [8]byte
-		if _, err := rand.Read(random[:]); err != nil {
+// openFile opens the file to be written; a test has it refuse, as a full disk does.
+var openFile = os.OpenFile
+
+// open opens the file to be written, and makes it where it is empty. Without success it leaves none open.
+func (b *Store) open(empty bool) error {
+	err := guard(func() (err error) {
+		b.db, err = bbolt.Open(b.path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true,
+			FreelistType: bbolt.FreelistMapType, InitialMmapSize: 1 << 20, NoStatistics: true, OpenFile: openFile})
+		if err != nil {
 			return err
 		}
-		// 40 bits are enough, and it travels with each message.
-		k.Me = replication.MemberID(binary.BigEndian.Uint64(random[:]) >> 24)
+		b.db.AllocSize = growth
+		if !empty {
+			return nil
+		}
+		return b.begin()
+	})
+	if err != nil && b.db != nil {
+		b.db.Close()
+		b.db = nil
 	}
+	return err
+}
+
+// begin writes what a new file has, and makes its name last.
+func (b *Store) begin() error {
 	if err := b.db.Update(func(tx *bbolt.Tx) error {
 		if _, err := tx.CreateBucket(logBucket); err != nil {
 			return err
@@ -156,11 +202,11 @@
 		if err != nil {
 			return err
 		}
-		return put(book, headKey, head{Me: k.Me})
+		return put(book, headKey, head{Me: b.me})
 	}); err != nil {
 		return err
 	}
-	return syncFolder(dir)
+	return syncFolder(filepath.Dir(b.path))
 }
 
 // read reads all there is. A file with no bucket at all is as a new one: the process ended before its first
@@ -206,6 +252,9 @@
 	}
 	last := writes[len(writes)-1]
 	h := head{Me: b.me, For: last.For, House: last.House, Promise: last.Promise, Delivered: last.Delivered}
+	if err := b.made(); err != nil {
+		return named(b.path, err)
+	}
 	err := guard(func() error {
 		if err := b.db.Update(func(tx *bbolt.Tx) error {
 			book, log := tx.Bucket(headBucket), tx.Bucket(logBucket)
@@ -265,6 +314,9 @@
 
 // Note keeps something beside the log that is good to have after a start and may be old or lost: the newest alone.
 func (b *Store) Note(what []byte) error {
+	if err := b.made(); err != nil {
+		return named(b.path, err)
+	}
 	return named(b.path, guard(func() error {
 		return b.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(headBucket).Put(noteKey, what) })
 	}))
@@ -272,7 +324,7 @@
 
 // Noted is the newest note, nil if there is none.
 func (b *Store) Noted() (what []byte) {
-	if guard(func() error {
+	if b.db == nil || guard(func() error {
 		return b.db.View(func(tx *bbolt.Tx) error {
 			what = bytes.Clone(tx.Bucket(headBucket).Get(noteKey))
 			return nil
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/go-faster/errors"
 	"github.com/shoenig/test/must"
+	"golang.org/x/sys/unix"
 
 	"clovergap/internal/gateway/replication"
 )
@@ -158,3 +159,45 @@
 		must.NoError(t, b.Close())
 	}
 }
+
+// The first start on a full disk: a store without a file, which ended the process. It has an id, confirms nothing, and is as any other
+// once the disk takes writes again, whatever an earlier try left behind. Other troubles still end the process, and touch nothing.
+func TestFullAtTheFirstStart(t *testing.T) {
+	defer func() { openFile = os.OpenFile }()
+	refuse := func(why error) {
+		openFile = func(name string, _ int, _ os.FileMode) (*os.File, error) {
+			return nil, &os.PathError{Op: "open", Path: name, Err: why}
+		}
+	}
+	dir := t.TempDir()
+	refuse(unix.EACCES)
+	_, _, err := Open(dir)
+	must.ErrorIs(t, err, unix.EACCES)
+
+	refuse(unix.ENOSPC)
+	b, k, err := Open(dir)
+	must.NoError(t, err)
+	must.False(t, b.Made())
+	must.Positive(t, k.Me)
+	must.Nil(t, b.Noted())
+	write := []replication.Write{{House: 1, Promise: 1, Delivered: 1, From: 2, Entries: []replication.Entry{entry(2, 1, "a")},
+		Snap: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.Me}}}}}
+	must.ErrorIs(t, b.Apply(write), unix.ENOSPC)
+	must.ErrorIs(t, b.Note([]byte("one")), unix.ENOSPC)
+	must.NoError(t, os.WriteFile(filepath.Join(dir, Name), make([]byte, 5000), 0o600)) // as much as there was room for
+	must.ErrorIs(t, b.Apply(write), unix.ENOSPC)
+
+	openFile = os.OpenFile
+	must.NoError(t, b.Apply(write))
+	must.True(t, b.Made())
+	must.NoError(t, b.Close())
+	b, back, err := Open(dir)
+	must.NoError(t, err)
+	must.Eq(t, k.Me, back.Me)
+	must.Len(t, 1, back.Entries)
+	must.NoError(t, b.Close())
+
+	refuse(unix.ENOSPC) // one that holds a state is opened without a write, or not at all
+	_, _, err = Open(dir)
+	must.ErrorIs(t, err, unix.ENOSPC)
+}
--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -135,6 +135,9 @@
 	if err != nil {
 		return nil, kept, err
 	}
+	if !book.Made() {
+		s.h.warn(corePart, "disk is full at its first start: has no vote until it takes writes")
+	}
 	s.disk = &disk{h: s.h, store: book, writes: make(chan batch, 1)}
 	go s.disk.run()
 	return s.disk, kept, nil
