--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -46,6 +46,7 @@
 	leaveEarly       // who leaves does not wait until the others have what it has
 	lateLost         // a member is lost from when the host finds it so
 	leaveFounding    // a disk that has promised a view leaves its founding for another
+	asksInTurn       // two that asked for one view both wait until they ask again, however slow the disks are
 )
 
 func (f fault) String() string {
@@ -59,7 +60,7 @@
 		"contact before the view's first entry", "contact while it leads", "contact ahead of the log",
 		"nobody is replaced", "a learner counts before it has the state", "who restarts is replaced",
 		"too few members stay", "a dead learner blocks the next", "a leaver does not wait", "lost from when it is found",
-		"a founding is left after a promise"}[f]
+		"a founding is left after a promise", "two that ask for one view both wait"}[f]
 }
 
 func (p *Replica) last() uint64 { return p.snap.Index + uint64(len(p.log)) }
@@ -283,6 +284,7 @@
 	case Prepare:
 		if p.role == preparing && p.promisedTo == p.me.ID {
 			p.promises[p.me.ID] = p.end()
+			p.awaitPromises()
 			p.tallyPromises()
 		}
 	}
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -330,6 +330,7 @@
 	heardAt     time.Duration
 	begun       bool          // a leader was heard of in this life, or promised
 	failedViews int           // views asked for since a leader was heard
+	preparedAt  time.Duration // when the last one was
 	due         time.Duration // a new view is asked for
 	woken       time.Duration // told to the host
 	matched     uint64        // the log is as the leader's up to here
--- a/internal/gateway/replication/view.go
+++ b/internal/gateway/replication/view.go
@@ -35,6 +35,10 @@
 		if p.role == leading && m.View > p.promise && p.peers[from] != nil && from != p.learner {
 			p.stepDown()
 		}
+		// Two that ask for one view at once keep each other from it: the lower id asks again, and the other one answers it.
+		if p.role == preparing && m.No && m.View == p.promise && p.me.ID < from && p.fault != asksInTurn {
+			p.prepare(true)
+		}
 	case PreVote:
 		lost := p.role != leading && p.now-p.heardAt >= p.terms.Patience
 		p.send(from, Message{Kind: PreVoted, View: p.promise, Round: m.Round, No: !lost})
@@ -134,7 +138,7 @@
 	p.markDirty(0)
 }
 
-// ask asks the others whether they have lost the leader too: one who was cut off alone must not disturb.
+// preVote asks the others whether they have lost the leader too: one who was cut off alone must not disturb.
 func (p *Replica) preVote() {
 	if p.setDue(); p.due == never {
 		return
@@ -158,13 +162,24 @@
 	p.promises, p.prepareSent = map[MemberID]place{}, map[MemberID]Member{}
 	p.setDue()
 	p.failedViews++
+	p.preparedAt = p.now
 	p.afterSync(waiting{kind: Prepare, view: p.promise})
 }
 
-// stopFor promises to take nothing from older views.
+// promisesIn is how many times as long as its own disk took a member waits for the promises of others, whose disks may be busier.
+const promisesIn = 3
+
+// awaitPromises has the next view wait for the promises of this one: who asks again while the others are still writing asks in vain.
+func (p *Replica) awaitPromises() {
+	if p.fault != asksInTurn && p.due != never {
+		p.due = max(p.due, p.now+min(promisesIn*(p.now-p.preparedAt), vainMost*p.terms.Patience))
+	}
+}
+
+// onPrepare promises to take nothing from older views.
 func (p *Replica) onPrepare(from MemberID, m Message) {
 	if m.View < p.promise || m.View == p.promise && p.promisedTo != from && p.fault != promiseTwo {
-		p.send(from, Message{Kind: RefuseView, View: p.promise})
+		p.send(from, Message{Kind: RefuseView, View: p.promise, No: p.role == preparing})
 		return
 	}
 	if m.View > p.promise || p.fault == promiseTwo {
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -553,3 +553,38 @@
 	must.Eq(t, list, second.Members())
 	must.Error(t, at(9, Kept{}).Found(again.Founders()))
 }
+
+// leadsAfter is how long it takes until a core of two founders has a leader that the other one follows.
+func leadsAfter(t *testing.T, seed int64, sync time.Duration, f fault) time.Duration {
+	w := foundBy(t, 2, 2, seed, f)
+	w.calm, w.sync = true, sync
+	for w.now < 30*time.Second {
+		w.until(w.now + 10*time.Millisecond)
+		if l := w.leader(); l >= 0 {
+			if m, _, ok := w.nodes[1-l].p.Leader(); ok && m.ID == w.nodes[l].p.me.ID {
+				return w.now
+			}
+		}
+	}
+	return w.now
+}
+
+// Two founders that start level both ask for the first view where a promise takes its time, and keep each other from it: once each had to
+// wait for a longer turn, up to seconds. Now the one with the lower id asks again at once.
+func TestTwoFoundersLeadSoon(t *testing.T) {
+	for _, sync := range []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond} {
+		worst := map[fault]time.Duration{}
+		for _, f := range []fault{sound, asksInTurn} {
+			sum, runs := time.Duration(0), 100
+			for seed := range int64(runs) {
+				took := leadsAfter(t, seed, sync, f)
+				sum, worst[f] = sum+took, max(worst[f], took)
+			}
+			t.Logf("syncs of %v, %v: a leader after %v in the mean, %v at worst", sync, f, sum/time.Duration(runs), worst[f])
+		}
+		must.LessEq(t, time.Second+5*sync, worst[sound])
+		if sync >= 150*time.Millisecond {
+			must.Greater(t, worst[sound], worst[asksInTurn])
+		}
+	}
+}
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -304,6 +304,7 @@
 	w       *world
 	rng     *rand.Rand
 	kept    replication.Kept
+	drawn   replication.MemberID // the id that a process has of an empty disk that was full when it began
 	noted   []byte
 	writing *write
 	slow    float64 // times as slow as it is
@@ -326,13 +327,21 @@
 
 // read gives what it holds, with an id for an empty one.
 func (d *platter) read() replication.Kept {
-	for d.kept.Me == 0 {
-		d.kept.Me = replication.MemberID(d.rng.Uint64() >> 24)
+	if d.kept.Me == 0 {
+		for d.drawn = 0; d.drawn == 0; {
+			d.drawn = replication.MemberID(d.rng.Uint64() >> 24)
+		}
+		if d.full == 0 {
+			d.kept.Me = d.drawn
+		}
+	}
+	k := d.kept
+	if k.Me == 0 {
+		k.Me = d.drawn
 	}
-	if err := d.kept.Check(); err != nil {
+	if err := k.Check(); err != nil {
 		panic("a disk does not hold together: " + err.Error())
 	}
-	k := d.kept
 	k.Entries = append([]replication.Entry(nil), k.Entries...)
 	return k
 }
@@ -346,6 +355,9 @@
 }
 
 func (d *platter) apply(x *write) {
+	if d.kept.Me == 0 {
+		d.kept.Me = d.drawn
+	}
 	for _, a := range x.writes {
 		d.kept.Apply(a)
 	}
--- a/internal/lab/simulation/members_test.go
+++ b/internal/lab/simulation/members_test.go
@@ -106,3 +106,68 @@
 		t.Logf("seed %d: replaced %v after both", seed, took)
 	}
 }
+
+// foundingDay starts three nodes with disks and four without, one disk not there as the others found the core: full until a time, or its
+// machine late. It gives when the core has three members, from when it is there, after which one more is lost and an order is taken.
+func foundingDay(t *testing.T, odd int, full bool, away time.Duration) (took time.Duration) {
+	w := newWorld(&Day{Site: Site{Nodes: 7, Disks: 3}.Usual(), Seed: uint64(odd + 1), For: 30 * time.Second})
+	one, name := w.machines[odd], must.Sprintf("disk %d, full %v", odd, full)
+	for _, z := range w.zones {
+		w.timeline.add(gatewaystandin.Services[0].Name, z, 0)
+	}
+	if full {
+		one.disk.full++
+	}
+	for _, m := range w.machines {
+		if m != one || full {
+			m.start()
+		}
+	}
+	w.clients.watch()
+	opened := false
+	w.operator.open(func() { opened = true })
+	must.True(t, w.until(w.now+openIn, func() bool { return opened }), name)
+	t.Logf("%s opened after %v", one.name, w.now-origin)
+	w.until(w.now+away, nil)
+	if full {
+		must.True(t, one.p.h.Ready(), name)
+		must.Eq(t, 0, one.disk.syncs, name)
+		one.disk.full--
+	} else {
+		one.start()
+	}
+	began := w.now
+	three := func() bool {
+		for _, m := range w.cores() {
+			if c := m.p.h.Status().Core; !c.Settled || len(c.Members) != 3 || c.Synced < c.Last {
+				return false
+			}
+		}
+		return true
+	}
+	must.True(t, w.until(began+catchUp, three), name)
+	took = w.now - began
+	w.operator.goes = true
+	taken := func() (n int) {
+		for _, v := range w.operator.versions {
+			if v.Acked > 0 {
+				n++
+			}
+		}
+		return n
+	}
+	was := taken()
+	w.machines[(odd+1)%3].kill(true)
+	must.True(t, w.until(w.now+gatewaystandin.ClearMost, func() bool { return taken() > was }), name)
+	return took
+}
+
+// One of three disks is full at the very first start, or its machine comes later than the others wait: they found the core, it serves on
+// without a vote, and counts as soon as it can, so that the loss of another is borne catch_up later.
+func TestFoundingWithoutOne(t *testing.T) {
+	for odd := range 3 {
+		for _, full := range []bool{true, false} {
+			t.Logf("disk %d, full %v: a member %v after", odd, full, foundingDay(t, odd, full, 2*time.Second))
+		}
+	}
+}
