--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -56,8 +56,9 @@
 // Disk keeps what the core must not forget. Writes go on apart from the turns, one at a time; done is called in a turn, once
 // all of them are synced. A note that can't be kept is let go.
 type Disk interface {
-	Write(writes []replication.Write, note []byte, done func())
+	Write(writes []replication.LogWrite, note []byte, done func())
 	Noted() []byte
+	Groups() map[replication.LogID]replication.Kept // what it held of the coordination groups
 }
 
 // Path is what carries requests and datagrams.
@@ -127,7 +128,7 @@
 	book, kept, err := logstore.Open(dir)
 	if torn := (*logstore.Unreadable)(nil); errors.As(err, &torn) {
 		s.h.warn(corePart, "disk can't be read, begins empty: %v", err)
-		if err := logstore.Wipe(dir); err != nil {
+		if err = logstore.Wipe(dir); err != nil {
 			return nil, kept, err
 		}
 		book, kept, err = logstore.Open(dir)
@@ -152,20 +153,21 @@
 
 // batch is what goes to the disk at once.
 type batch struct {
-	writes []replication.Write
+	writes []replication.LogWrite
 	note   []byte
 	done   func()
 }
 
-func (d *disk) Write(writes []replication.Write, note []byte, done func()) {
+func (d *disk) Write(writes []replication.LogWrite, note []byte, done func()) {
 	d.writes <- batch{writes, note, done}
 }
-func (d *disk) Noted() []byte { return d.store.Noted() }
+func (d *disk) Noted() []byte                                  { return d.store.Noted() }
+func (d *disk) Groups() map[replication.LogID]replication.Kept { return d.store.Groups() }
 
 func (d *disk) run() {
 	for b := range d.writes {
 		for wait := 20 * time.Millisecond; ; wait = min(2*wait, time.Second) {
-			err := d.store.Apply(b.writes)
+			err := d.store.ApplyAll(b.writes)
 			if err == nil {
 				break
 			}
@@ -174,7 +176,7 @@
 		}
 		if b.note != nil {
 			if err := d.store.Note(b.note); err != nil {
-				d.h.e.Turn(func() { d.h.warn(corePart, "board not kept: %v", err) })
+				d.h.e.Turn(func() { d.h.warn(corePart, "registry not kept: %v", err) })
 			}
 		}
 		d.h.e.Turn(b.done)
--- a/internal/gateway/node/node_test.go
+++ b/internal/gateway/node/node_test.go
@@ -95,7 +95,7 @@
 	if core != nil {
 		d.until("a write ends", func() bool {
 			writing := false
-			h.e.Turn(func() { writing = core.writing })
+			h.e.Turn(func() { writing = core.disk.writing })
 			return !writing
 		})
 		close(h.own.disk.writes)
@@ -150,7 +150,7 @@
 }
 
 func (d *nodes) status(i int) (s controlapi.NodeStatus) {
-	_, text := d.call(i, "GET", "/api/House.Status", "")
+	_, text := d.call(i, "GET", "/api/Node.Status", "")
 	if json.Unmarshal([]byte(text), &s); s.Core == nil {
 		s.Core = &controlapi.StatusCore{}
 	}
@@ -255,7 +255,7 @@
 		status, text = d.call(1, "POST", "/api/Backends.Leave/i-1", "")
 		return status == 503
 	})
-	must.StrContains(t, text, "too few doors")
+	must.StrContains(t, text, "too few nodes")
 	d.start(2)
 	must.EqJSON(t, bill(40, 30), d.settles(2, 200, "GET", read, ""))
 }
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -16,11 +16,13 @@
 // Kind is what an entry changes; its first byte in the log.
 type Kind byte
 
+// The kinds of entries.
 const (
-	Replace    Kind = 'r' // the whole configuration
-	Amend      Kind = 'a' // named items of it
-	AssignSlot Kind = 's' // a node asks for a slot
-	Rollout    Kind = 'u' // an rollout.Entry: an order to a roll-out, or a verdict on one
+	Replace     Kind = 'r' // the whole configuration
+	Amend       Kind = 'a' // named items of it
+	AssignSlot  Kind = 's' // a node asks for a slot
+	Rollout     Kind = 'u' // an rollout.Entry: an order to a roll-out, or a verdict on one
+	FoundGroups Kind = 'f' // the coordination groups begin, with the disks that it names
 )
 
 // maxSlots bounds the order of slots.
@@ -31,6 +33,7 @@
 	Configs  *routing.Register
 	Rollouts *rollout.State
 	slots    []membership.SlotHolder
+	founders []membership.Founder // of the coordination groups
 }
 
 // New is the state before the first entry.
@@ -84,8 +87,8 @@
 		if s.Rollouts.Known(e.Mark) {
 			return routing.Already, nil
 		}
-		if err := e.Inspect(); err != nil {
-			return routing.Invalid, err
+		if wrong := e.Inspect(); wrong != nil {
+			return routing.Invalid, wrong
 		}
 		return routing.Taken, nil
 	})
@@ -113,12 +116,15 @@
 	if k == Rollout {
 		return s.rollout(body, s.Rollouts.Apply)
 	}
+	if k == FoundGroups {
+		return s.foundGroups(body)
+	}
 	if k != AssignSlot {
 		return routing.Invalid, errors.Errorf("entry of unknown kind %q", k)
 	}
 	var d membership.SlotHolder
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&d); err != nil {
-		return routing.Invalid, errors.Wrap(err, "seat")
+		return routing.Invalid, errors.Wrap(err, "slot")
 	}
 	for i, o := range s.slots {
 		if o.Addr == d.Addr {
@@ -127,7 +133,7 @@
 		}
 	}
 	if len(s.slots) >= maxSlots {
-		return routing.Invalid, errors.New("no seat is left")
+		return routing.Invalid, errors.New("no slot is left")
 	}
 	s.slots = append(s.slots, d)
 	return routing.Taken, nil
@@ -136,13 +142,14 @@
 type kept struct {
 	Bills    []byte
 	Seats    []membership.SlotHolder
-	Rollouts []byte // not in snapshots of older programs
+	Rollouts []byte               // not in snapshots of older programs
+	Founders []membership.Founder // nor this
 }
 
 // Snapshot is the whole state.
 func (s *Machine) Snapshot() []byte {
 	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(kept{s.Configs.Snapshot(), s.slots, s.Rollouts.Snapshot()}) // of bytes and texts: it can't fail
+	gob.NewEncoder(&b).Encode(kept{s.Configs.Snapshot(), s.slots, s.Rollouts.Snapshot(), s.founders}) // of bytes and texts: it can't fail
 	return b.Bytes()
 }
 
@@ -160,5 +167,5 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
-	return &Machine{bills, rollouts, k.Seats}, nil
+	return &Machine{bills, rollouts, k.Seats, k.Founders}, nil
 }
--- a/internal/lab/experiments/lab.go
+++ b/internal/lab/experiments/lab.go
@@ -81,7 +81,7 @@
 	s := &Sweep{Seeds: 1, file: file}
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
-	if err := d.Decode(s); err != nil {
+	if err = d.Decode(s); err != nil {
 		return nil, tomlfile.Where(file, err)
 	}
 	if s.Base == "" || s.Seeds < 1 {
@@ -217,17 +217,17 @@
 		return err
 	}
 	had := map[string]bool{}
-	if old, cut, err := Read(out); err == nil {
+	if old, cut, unread := Read(out); unread == nil {
 		for _, r := range old {
 			had[key(r)] = true
 		}
 		if cut {
-			if err := rewrite(out, old); err != nil {
+			if err = rewrite(out, old); err != nil {
 				return err
 			}
 		}
-	} else if !errors.Is(err, os.ErrNotExist) {
-		return err
+	} else if !errors.Is(unread, os.ErrNotExist) {
+		return unread
 	}
 	f, err := os.OpenFile(out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -316,29 +316,34 @@
 	}, func(done int, x one) error { return told(done, x.c, x.r) })
 }
 
-// Seeds plays something for each of n seeds, some side by side, and tells of each as it ends.
+// Seeds plays something for each of n seeds, some side by side, and tells of each as it ends. A play that is ended from outside
+// is passed over. A failure of a play, or of the teller, lets what is under way end and is given.
 func Seeds[R any](ctx context.Context, first uint64, n, jobs int, play func(seed uint64) (R, error), told func(done int, r R) error) error {
 	feed := make(chan uint64)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var failed error
 	done := 0
+	ends := func(seed uint64, r R, err error) {
+		mu.Lock()
+		defer mu.Unlock()
+		if err != nil && ctx.Err() != nil {
+			return
+		}
+		if done++; err == nil && failed == nil {
+			err = told(done, r)
+		}
+		if err != nil && failed == nil {
+			failed = fmt.Errorf("seed %d: %w", seed, err)
+		}
+	}
 	for range jobs {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
+		wg.Go(func() {
 			for seed := range feed {
 				r, err := play(seed)
-				mu.Lock()
-				if done++; err == nil && failed == nil {
-					err = told(done, r)
-				}
-				if err != nil && failed == nil {
-					failed = fmt.Errorf("seed %d: %w", seed, err)
-				}
-				mu.Unlock()
+				ends(seed, r, err)
 			}
-		}()
+		})
 	}
 	for i := 0; i < n && ctx.Err() == nil; i++ {
 		select {
--- a/internal/lab/gatewaystandin/backend.go
+++ b/internal/lab/gatewaystandin/backend.go
@@ -38,6 +38,7 @@
 	cold          time.Duration
 }
 
+// What a backend takes, and how long it works.
 const (
 	SlotsEach  = 4 // of the small deployment
 	QueueEach  = 6
@@ -96,7 +97,7 @@
 	l.record(t)
 	w.Header().Set("X-Attempt-Id", t.ID)
 	if !t.Bare {
-		w.Header().Set("X-Backend-Seal", l.ID+"."+t.ID)
+		w.Header().Set("X-Backend-Seal", sealOf(l.ID, t.ID))
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	if l.phase.Load() {
@@ -149,7 +150,11 @@
 }
 
 // Crash ends it without a word.
-func (l *Line) Crash() {
+func (l *Line) Crash() { l.end(false) }
+
+// end ends it: in order, after a drain, or not.
+func (l *Line) end(drained bool) {
+	l.t.Terms.History.Add(BackendEnds(l.ID, drained))
 	l.left.Store(true)
 	l.cancel()
 	l.t.remove(l)
@@ -182,7 +187,7 @@
 		if l.phase.Load() {
 			phase = controlapi.Draining
 		}
-		body, _ := json.Marshal(controlapi.Beat{Address: l.Addr, CallSeq: l.seq.Add(1), Capacity: l.t.play().slots,
+		body, _ := json.Marshal(controlapi.Heartbeat{Address: l.Addr, CallSeq: l.seq.Add(1), Capacity: l.t.play().slots,
 			Generation: l.Version, Phase: phase,
 			ColdLeft: fmt.Sprintf("%dms", max(0,
 				l.cold-time.Since(l.from)).Milliseconds()), Target: l.Service, Zone: l.Zone})
@@ -190,7 +195,7 @@
 		if err != nil || status/100 != 2 || len(text) > ackMost {
 			return false
 		}
-		var a controlapi.BeatAnswer
+		var a controlapi.HeartbeatAnswer
 		if json.Unmarshal(text, &a) == nil && a.BeatTarget != "" {
 			l.mu.Lock()
 			l.target = a.BeatTarget
@@ -235,7 +240,7 @@
 	if acknowledged {
 		l.say(ctx, "Leave")
 	}
-	l.Crash()
+	l.end(true)
 	return acknowledged
 }
 
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -11,6 +11,7 @@
 	"clovergap/internal/gateway/transport"
 	"clovergap/internal/history"
 	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
 	"clovergap/internal/proxy/eventloop"
@@ -123,6 +124,9 @@
 	w.note(history.Event{Who: m.name, Kind: gatewaystandin.Terminates})
 	w.say("%s is told to end", m.name)
 	p.turn(p.h.Leaving)
+	if w.planted == cutsAtTheEnd {
+		p.cuts()
+	}
 	grace := m.settings.Bounds.Grace
 	done := false
 	w.every(20*time.Millisecond, func() bool {
@@ -304,7 +308,8 @@
 	w       *world
 	rng     *rand.Rand
 	kept    replication.Kept
-	drawn   replication.MemberID // the id that a process has of an empty disk that was full when it began
+	drawn   replication.MemberID                   // the id that a process has of an empty disk that was full when it began
+	groups  map[replication.LogID]replication.Kept // the coordination groups' logs
 	noted   []byte
 	writing *write
 	slow    float64 // times as slow as it is
@@ -315,7 +320,7 @@
 
 type write struct {
 	p      *process
-	writes []replication.Write
+	writes []replication.LogWrite
 	note   []byte
 	done   func()
 }
@@ -323,7 +328,7 @@
 func newPlatter(w *world) *platter { return &platter{w: w, rng: w.disks, slow: 1} }
 
 // wipe takes all that is on it.
-func (d *platter) wipe() { d.kept, d.noted, d.writing = replication.Kept{}, nil, nil }
+func (d *platter) wipe() { d.kept, d.groups, d.noted, d.writing = replication.Kept{}, nil, nil, nil }
 
 // read gives what it holds, with an id for an empty one.
 func (d *platter) read() replication.Kept {
@@ -359,7 +364,17 @@
 		d.kept.Me = d.drawn
 	}
 	for _, a := range x.writes {
-		d.kept.Apply(a)
+		if a.Log == replication.ConfigurationLog {
+			d.kept.Apply(a.Write)
+			continue
+		}
+		if d.groups == nil {
+			d.groups = map[replication.LogID]replication.Kept{}
+		}
+		k := d.groups[a.Log]
+		k.Me = d.kept.Me
+		k.Apply(a.Write)
+		d.groups[a.Log] = k
 	}
 	if x.note != nil {
 		d.noted = x.note
@@ -374,7 +389,20 @@
 
 func (v *drive) Noted() []byte { return v.d.noted }
 
-func (v *drive) Write(writes []replication.Write, note []byte, done func()) {
+// Groups are the logs of the coordination groups, as they are read at the start.
+func (v *drive) Groups() map[replication.LogID]replication.Kept {
+	held := map[replication.LogID]replication.Kept{}
+	for log, k := range v.d.groups {
+		if err := k.Check(); err != nil {
+			panic("a group's log does not hold together: " + err.Error())
+		}
+		k.Entries = append([]replication.Entry(nil), k.Entries...)
+		held[log] = k
+	}
+	return held
+}
+
+func (v *drive) Write(writes []replication.LogWrite, note []byte, done func()) {
 	x := &write{v.p, writes, note, done}
 	v.d.writing = x
 	v.d.w.happens(writes_(writes))
@@ -382,10 +410,10 @@
 }
 
 // writes_ is a moment only where something of the log is written.
-func writes_(all []replication.Write) moment {
+func writes_(all []replication.LogWrite) spec.Moment {
 	for _, a := range all {
-		if len(a.Entries) > 0 {
-			return writes
+		if a.Log == replication.ConfigurationLog && len(a.Write.Entries) > 0 {
+			return spec.Writes
 		}
 	}
 	return ""
