--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -114,6 +114,7 @@
 	sum      uint64 // of what travelled
 	counted  time.Duration
 	parted   Parted
+	ends     []time.Duration
 	planted  plant
 	owners   bool
 	chases   bool     // an order of a parted node's is under way
