--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -107,7 +107,7 @@
 }
 
 func newSockets(fds, memory int) *sockets {
-	s := &sockets{Engine: eventloop.New("", fds-200, ringBound, memory<<20/ringShare), fds: fds,
+	s := &sockets{Engine: eventloop.New("", fds-linksLeast, ringBound, memory<<20/ringShare), fds: fds,
 		seed: int64(rand.Uint64() >> 1), life: rand.Uint64()}
 	s.Engine.Silence(silence)
 	return s
@@ -117,8 +117,29 @@
 func (s *sockets) Counters() *counters.Set { return s.Engine.Count }
 
 func (s *sockets) Links(host transport.Host[Frame]) (_ Links, err error) {
-	s.mesh, err = transport.New[Frame](s.h.inner, s.life, host, s.Turn)
-	return s.mesh, err
+	if s.mesh, err = transport.New[Frame](s.h.inner, s.life, host, s.Turn); err != nil {
+		return nil, err
+	}
+	if s.h.settings.DataDir == "" { // all of these link to all that have a disk
+		s.mesh.Offer()
+	}
+	return s.mesh, nil
+}
+
+// Descriptors that links between nodes are left. A node with a disk has a link to each of the others, the rest have few.
+const (
+	linksLeast = 200
+	linksSpare = 100 // for links that are dialed anew before their former ones have ended
+	leastShare = 4   // of all are for requests and calls in any case
+)
+
+// leaveLinks leaves descriptors for the links of a deployment of so many nodes.
+func (s *sockets) leaveLinks(nodes int) {
+	links := linksLeast
+	if s.disk != nil {
+		links = max(links, nodes+linksSpare)
+	}
+	s.Engine.Descriptors(max(s.fds-links, s.fds/leastShare))
 }
 
 // Disk reads the disk. One that can't be read counts as lost: it is emptied, and let in anew by the others.
@@ -182,7 +203,7 @@
 	s.dispatch = upstream.New(s.Engine, &usher{g, h}, ingress.Terms(h, dialLimit), func() bool { return s.front.Evict() })
 	bounds := ingress.Bounds(ingress.Limits{Head: routing.DefaultMostHeader, Body: routing.DefaultMostBody,
 		HeadIn: routing.DefaultHeaderTimeout, Idle: routing.DefaultIdleTimeout})
-	s.front = downstream.New(s.Engine, max(1, (s.fds-200)/clientShare), bounds, func() bool { return s.dispatch.Evict(nil) })
+	s.front = downstream.New(s.Engine, max(1, (s.fds-linksLeast)/clientShare), bounds, func() bool { return s.dispatch.Evict(nil) })
 	form := ingress.New(s.front, s.Engine, g, h)
 	s.callers = downstream.New(s.Engine, callersMost, downstream.Bounds{Body: controlBound}, func() bool { return s.front.Evict() })
 	s.callers.Serves(controlapi.New(s.callers, h))
--- /dev/null
+++ b/internal/gateway/node/links_test.go
@@ -0,0 +1,28 @@
+package node
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"clovergap/internal/proxy/eventloop"
+)
+
+// A node with a disk leaves descriptors for a link to each of the others, and still has some for requests and calls where the others are
+// very many. Guards against a core that takes no calls: 299 links beside connections bounded as if there were 200.
+func TestDescriptorsLeftForLinks(t *testing.T) {
+	for _, c := range []struct {
+		disk             bool
+		fds, nodes, room int
+	}{
+		{true, 800, 3, 600}, {true, 800, 300, 400}, {true, 800, 720, 200}, {false, 800, 720, 600}, {false, 220, 3, 55},
+	} {
+		s := &sockets{Engine: eventloop.New("", 800, ringBound, 1<<20), fds: c.fds}
+		if c.disk {
+			s.disk = &disk{}
+		}
+		whole := s.Room()
+		s.leaveLinks(c.nodes)
+		must.Eq(t, c.room, s.Room()+800-whole, must.Sprintf("%+v", c))
+	}
+}
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -208,6 +208,9 @@
 	}
 	if len(order) != h.slots {
 		h.slots = len(order)
+		if h.own != nil {
+			h.own.leaveLinks(len(order))
+		}
 		addrs := make([]netip.AddrPort, len(order))
 		for i, s := range order {
 			addrs[i] = h.datagramAddr(s.Addr)
--- /dev/null
+++ b/internal/gateway/transport/back.go
@@ -0,0 +1,104 @@
+package transport
+
+import (
+	"context"
+	"net"
+	"syscall"
+	"time"
+)
+
+// Offered links. A node that hundreds of others dial would need two descriptors for each of them: the link that the other one
+// dialed and its own. A node that offers its links takes frames on those that it dialed as well, so that the other side needs no
+// link of its own. Whoever offers links uses none that is offered to it: two such nodes would else give way to each other
+// without end. A node that does not know of offers dials as before.
+
+// back is a link that another node dialed and offers.
+type back struct {
+	conn  net.Conn
+	ended chan struct{} // closed when nothing more comes on it
+}
+
+// Offer has others answer on the links that this node dials; it comes before the first Want.
+func (w *Mesh[F]) Offer() { w.offer = true }
+
+// offered notes that a node takes frames on a link that it dialed; the mesh is locked.
+func (w *Mesh[F]) offered(o opening, c net.Conn) bool {
+	if !o.Both || w.offer {
+		delete(w.backs, o.From)
+		return false
+	}
+	if raw, ok := c.(syscall.Conn); ok {
+		if r, err := raw.SyscallConn(); err == nil {
+			deadPeers("", "", r)
+		}
+	}
+	w.backs[o.From] = &back{c, make(chan struct{})}
+	return true
+}
+
+// drop notes that nothing more comes on a connection; the mesh is locked. That its node offers links stays known.
+func (w *Mesh[F]) drop(from string, c net.Conn) {
+	if b := w.backs[from]; b != nil && b.conn == c {
+		close(b.ended)
+		b.conn = nil
+	}
+}
+
+// open finds the link that a node offers. known tells that it offers links, if there is one or not.
+func (w *Mesh[F]) open(to string) (b back, known bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if o := w.backs[to]; o != nil {
+		return *o, true
+	}
+	return back{}, false
+}
+
+// reach gives a connection to a node, and what tells of its end: the one that it offers, else one that is dialed. A node that has offered
+// links dials this one itself as soon as it can; abort ends the wait for that.
+func (w *Mesh[F]) reach(now context.Context, l *link[F], abort func()) (net.Conn, <-chan struct{}, error) {
+	w.has(l, false, abort)
+	b, known := w.open(l.to)
+	if known && b.conn == nil {
+		select {
+		case <-now.Done():
+		case <-time.After(giveWay):
+		}
+		b, _ = w.open(l.to)
+	}
+	if b.conn != nil {
+		return b.conn, b.ended, nil
+	}
+	d := net.Dialer{Timeout: dialLimit, KeepAlive: -1, Control: deadPeers}
+	c, err := dial(now, &d, l.to)
+	if err != nil {
+		return nil, nil, err
+	}
+	return c, w.watch(c, l.to), nil
+}
+
+// watch reads what comes back on a connection that this node dialed: frames where it offers its links, else nothing but the end.
+func (w *Mesh[F]) watch(c net.Conn, to string) <-chan struct{} {
+	ended := make(chan struct{})
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.offer {
+		go func() {
+			var b [1]byte
+			c.Read(b[:])
+			close(ended)
+		}()
+		return ended
+	}
+	if w.done {
+		c.Close()
+		close(ended)
+		return ended
+	}
+	w.note(c)
+	w.all.Go(func() {
+		w.read(c, to)
+		close(ended)
+	})
+	return ended
+}
--- /dev/null
+++ b/internal/gateway/transport/back_test.go
@@ -0,0 +1,155 @@
+package transport
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+
+	"github.com/shoenig/test/must"
+	"go.uber.org/goleak"
+)
+
+// conns counts the connections that frames may come on.
+func (e *end) conns() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.ins)
+}
+
+// isOffered waits until a node's offer is known here.
+func (e *end) isOffered(from string) {
+	e.t.Helper()
+	for o, _ := e.open(from); o.conn == nil; o, _ = e.open(from) {
+		runtime.Gosched()
+	}
+}
+
+// A node that many others dial answers on the links that they offer: one connection serves both ways, whoever dialed first, and frames
+// arrive in order. Guards against a member of the core that runs out of descriptors (two for each of 299 nodes were 598 of its
+// 800), and took no control calls any more.
+func TestOfferedLinkServesBothWays(t *testing.T) {
+	defer goleak.VerifyNone(t)
+	for _, first := range []string{"the one that offers", "the other"} {
+		a, b := begin(t, addr(21)), begin(t, addr(22))
+		a.Offer()
+		if first == "the other" {
+			b.Want(a.me)
+			b.hears("up " + a.me)
+		}
+		a.Want(b.me)
+		a.hears("up " + b.me)
+		if first == "the other" { // it gives up its own link
+			b.hears("down " + a.me)
+		} else {
+			b.isOffered(a.me)
+			b.Want(a.me)
+		}
+		b.hears("up " + a.me)
+		a.say(b, 0, 100)
+		b.say(a, 100, 200)
+		for nr := range 100 {
+			b.hears(fmt.Sprintf("%s: %d", a.me, nr))
+			a.hears(fmt.Sprintf("%s: %d", b.me, 100+nr))
+		}
+		must.Eq(t, 1, a.conns()) // the one that it dialed itself
+		must.Eq(t, 1, b.conns())
+		a.turn.Lock()
+		must.Positive(t, a.came[b.me])
+		a.turn.Unlock()
+		b.Stop()
+		a.hears("down " + b.me)
+		a.Stop()
+	}
+}
+
+// The end of an offered link is told at both ends, and the next one serves both ways as well.
+func TestOfferedLinkEnds(t *testing.T) {
+	defer goleak.VerifyNone(t)
+	a, b := begin(t, addr(23)), begin(t, addr(24))
+	a.Offer()
+	a.Want(b.me)
+	a.hears("up " + b.me)
+	b.isOffered(a.me)
+	b.Want(a.me)
+	b.hears("up " + a.me)
+	b.mu.Lock()
+	b.backs[a.me].conn.Close()
+	b.mu.Unlock()
+	a.hears("down " + b.me)
+	a.hears("up " + b.me)
+	b.hears("down " + a.me)
+	b.hears("up " + a.me)
+	b.say(a, 1, 2)
+	a.hears(b.me + ": 1")
+	a.say(b, 2, 3)
+	b.hears(a.me + ": 2")
+	must.Eq(t, 1, a.conns())
+	a.Stop() // and one that is gone is dialed as any other
+	b.hears("down " + a.me)
+	again := begin(t, a.me)
+	b.hears("up " + a.me)
+	b.say(again, 3, 4)
+	again.hears(b.me + ": 3")
+	again.Stop()
+	b.Stop()
+}
+
+// Two nodes that both offer keep a link each: if either gave way to the other they would end each other's for ever.
+func TestTwoThatOffer(t *testing.T) {
+	defer goleak.VerifyNone(t)
+	a, b := begin(t, addr(25)), begin(t, addr(26))
+	a.Offer()
+	b.Offer()
+	a.Want(b.me)
+	a.hears("up " + b.me)
+	b.Want(a.me)
+	b.hears("up " + a.me)
+	a.say(b, 0, 50)
+	b.say(a, 50, 100)
+	for nr := range 50 {
+		b.hears(fmt.Sprintf("%s: %d", a.me, nr))
+		a.hears(fmt.Sprintf("%s: %d", b.me, 50+nr))
+	}
+	must.Eq(t, 2, a.conns())
+	a.Stop()
+	b.hears("down " + a.me)
+	b.Stop()
+}
+
+// A queue keeps the order through its growth and while frames are taken, drops beyond its bound, and gives the memory of a burst back.
+func TestQueue(t *testing.T) {
+	q := newQueue[int]()
+	put, took := 0, 0
+	add := func(n int) {
+		for range n {
+			v := put
+			if q.put(&v) {
+				put++
+			}
+		}
+	}
+	take := func(n int) {
+		for range n {
+			v := q.take()
+			must.NotNil(t, v)
+			must.Eq(t, took, *v)
+			took++
+		}
+	}
+	must.Nil(t, q.take())
+	must.True(t, q.empty())
+	for round := range 200 {
+		add(round%7 + 1)
+		take(min(put-took, round%5+1))
+	}
+	must.LessEq(t, 2*(put-took)+2, cap(q.frames)-1<<8) // free places are used again before new ones are made
+	add(2 * queueMost)
+	must.Eq(t, queueMost, put-took)
+	must.Eq(t, 1, len(q.ready))
+	take(queueMost)
+	must.True(t, q.empty())
+	must.Eq(t, 0, cap(q.frames))
+	add(1)
+	take(1)
+	must.Positive(t, cap(q.frames))
+}
--- a/internal/gateway/transport/mesh.go
+++ b/internal/gateway/transport/mesh.go
@@ -1,6 +1,7 @@
 // Package transport carries frames between the nodes of a deployment: gob streams over TCP that stay open, so that types travel
 // once. What is sent is lost when a link ends; whoever sends over it repeats what must arrive. Each node dials the
-// nodes that it wants to tell something and only writes there; what others say comes on links that they dialed.
+// nodes that it wants to tell something; what others say comes on links that they dialed, or back on a link that this node
+// offers to them: see Offer.
 package transport
 
 import (
@@ -25,8 +26,8 @@
 	writeLimit = 2 * time.Second
 	redialIn   = 40 * time.Millisecond // doubled up to redialMost: nodes that start together are up soon
 	redialMost = 640 * time.Millisecond
-	queueMost  = 4096     // frames that wait for a link
-	frameMost  = 16 << 20 // bytes of one frame
+	giveWay    = 300 * time.Millisecond // a node that offers its links is left so long to dial first
+	frameMost  = 16 << 20               // bytes of one frame
 )
 
 // Host is told what happens, each in a turn of its own.
@@ -45,12 +46,15 @@
 	ln    net.Listener
 	mu    sync.Mutex
 	links map[string]*link[F]
-	ins   map[net.Conn]uint64 // by their place among all that were accepted
+	ins   map[net.Conn]uint64 // by their place among all that frames come on
 	tail  uint64              // the last one's
 	from  map[string]net.Conn // the newest link of each node
 	lives map[string]uint64   // and its life
-	last  map[string]uint64   // and its place
+	last  map[string]stream   // and which one it is
+	nr    uint64              // of the last stream that this node began
+	backs map[string]*back    // links of other nodes that may be written to as well
 	life  uint64
+	offer bool
 	done  bool
 	all   sync.WaitGroup
 }
@@ -59,11 +63,24 @@
 type opening struct {
 	From string
 	Life uint64
+	Both bool   // its sender takes frames on this link as well, see Offer
+	Nr   uint64 // grows with each stream that the sender begins in its life; 0: a node of the version before
+}
+
+// stream tells which of a node's streams is the newer one: within a life by what the node says, else by the order in which their
+// connections came.
+type stream struct{ life, nr, place uint64 }
+
+func (s stream) before(o stream) bool {
+	if s.life == o.life && s.nr > 0 && o.nr > 0 {
+		return s.nr < o.nr
+	}
+	return s.place < o.place
 }
 
 type link[F any] struct {
 	to    string
-	queue chan *F
+	queue *queue[F]
 	stop  context.CancelFunc
 	abort func() // ends the dial, the pause or the connection that it has now
 	up    bool
@@ -77,7 +94,7 @@
 		return nil, errors.Wrap(err, "wings")
 	}
 	return &Mesh[F]{me: me, host: host, turn: turn, ln: ln, links: map[string]*link[F]{}, ins: map[net.Conn]uint64{},
-		from: map[string]net.Conn{}, lives: map[string]uint64{}, last: map[string]uint64{}, life: life}, nil
+		from: map[string]net.Conn{}, lives: map[string]uint64{}, last: map[string]stream{}, backs: map[string]*back{}, life: life}, nil
 }
 
 // Start takes links of others.
@@ -100,9 +117,8 @@
 		if w.done {
 			c.Close()
 		} else {
-			w.tail++
-			w.ins[c] = w.tail
-			w.all.Go(func() { w.read(c) })
+			w.note(c)
+			w.all.Go(func() { w.read(c, "") })
 		}
 		w.mu.Unlock()
 	}
@@ -123,12 +139,20 @@
 	return n, err
 }
 
-func (w *Mesh[F]) read(c net.Conn) {
+// note gives a connection that frames may come on its place; the mesh is locked.
+func (w *Mesh[F]) note(c net.Conn) {
+	w.tail++
+	w.ins[c] = w.tail
+}
+
+// read takes what comes on a connection until it ends. One that this node dialed bears the name of whom it leads to.
+func (w *Mesh[F]) read(c net.Conn, dialed string) {
 	var o opening
 	defer func() {
 		c.Close()
 		w.mu.Lock()
 		delete(w.ins, c)
+		w.drop(o.From, c)
 		if w.from[o.From] == c {
 			delete(w.from, o.From)
 		}
@@ -136,23 +160,26 @@
 	}()
 	b := &bounded{r: c, left: frameMost}
 	dec := gob.NewDecoder(bufio.NewReaderSize(b, 2<<10))
-	if dec.Decode(&o) != nil {
+	if dec.Decode(&o) != nil || dialed != "" && o.From != dialed {
 		return
 	}
 	// What a link before this one still holds is of an earlier time, perhaps of an earlier life; and where its machine
 	// lost power, nothing else ever ends it. Which is the earlier one is told by the order in which they came: which is read
 	// first is chance.
 	w.mu.Lock()
-	if w.ins[c] < w.last[o.From] {
+	this := stream{o.Life, o.Nr, w.ins[c]}
+	if this.before(w.last[o.From]) {
 		w.mu.Unlock()
 		return
 	}
-	w.last[o.From] = w.ins[c]
+	w.last[o.From] = this
 	if old := w.from[o.From]; old != nil {
 		old.Close()
 	}
 	w.from[o.From] = c
-	w.kick(o.From, o.Life)
+	if dialed == "" {
+		w.kick(o, c)
+	}
 	w.mu.Unlock()
 	w.turn(func() {
 		if w.newestOf(o.From, c) {
@@ -175,10 +202,12 @@
 
 // kick: a node has dialed us, so that it can be reached. A dial to it that hangs since its machine was dark, or a pause, ends;
 // and a connection to an earlier life of it, which may look well for as long as nothing is sent.
-func (w *Mesh[F]) kick(from string, life uint64) {
-	anew := w.lives[from] != 0 && w.lives[from] != life
-	w.lives[from] = life
-	if l := w.links[from]; l != nil && l.abort != nil && (!l.up || anew) {
+// Where it offers the link that it dialed, what this node has to say goes there from now on.
+func (w *Mesh[F]) kick(o opening, c net.Conn) {
+	anew := w.lives[o.From] != 0 && w.lives[o.From] != o.Life
+	w.lives[o.From] = o.Life
+	offered := w.offered(o, c)
+	if l := w.links[o.From]; l != nil && l.abort != nil && (!l.up || anew || offered) {
 		l.abort()
 	}
 }
@@ -198,7 +227,7 @@
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	l := &link[F]{to: to, queue: make(chan *F, queueMost), stop: stop}
+	l := &link[F]{to: to, queue: newQueue[F](), stop: stop}
 	w.links[to] = l
 	w.all.Go(func() { w.write(ctx, l) })
 }
@@ -218,32 +247,28 @@
 	w.mu.Lock()
 	l := w.links[to]
 	w.mu.Unlock()
-	if l == nil {
-		return false
-	}
-	select {
-	case l.queue <- f:
-		return true
-	default:
-		return false
-	}
+	return l != nil && l.queue.put(f)
 }
 
 // write dials, writes, and dials again, until the link is not wanted any more.
 func (w *Mesh[F]) write(ctx context.Context, l *link[F]) {
-	d := net.Dialer{Timeout: dialLimit, KeepAlive: -1, Control: deadPeers}
 	for wait := redialIn; ctx.Err() == nil; wait = min(2*wait, redialMost) {
 		now, abort := context.WithCancel(ctx)
-		w.has(l, false, abort)
-		c, err := dial(now, &d, l.to)
+		c, ended, err := w.reach(now, l, abort)
 		if err == nil {
 			wait = redialIn
-			for len(l.queue) > 0 { // meant for a link that is no more
-				<-l.queue
+			l.queue.clear() // meant for a link that is no more
+			w.has(l, true, func() {
+				abort()
+				c.Close()
+			})
+			if b, _ := w.open(l.to); b.conn != nil && b.conn != c { // it was offered meanwhile
+				c.Close()
+				abort()
+				continue
 			}
-			w.has(l, true, func() { c.Close() })
 			w.turn(func() { w.host.Up(l.to) })
-			w.pass(ctx, l, c)
+			w.pass(ctx, l, c, ended)
 			w.has(l, false, abort)
 			c.Close()
 			w.turn(func() {
@@ -298,27 +323,33 @@
 	return now == nil || now == l
 }
 
-// pass writes frames until the link fails. Nothing comes back on it: a read that ends tells of its end at once.
-func (w *Mesh[F]) pass(ctx context.Context, l *link[F], c net.Conn) {
-	ended := make(chan struct{})
-	go func() {
-		var b [1]byte
-		c.Read(b[:])
-		close(ended)
-	}()
+// opens is the first value of the next stream that this node begins.
+func (w *Mesh[F]) opens() opening {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.nr++
+	return opening{From: w.me, Life: w.life, Both: w.offer, Nr: w.nr}
+}
+
+// pass writes frames until the link fails, or ended tells that nothing more comes on its connection.
+func (w *Mesh[F]) pass(ctx context.Context, l *link[F], c net.Conn, ended <-chan struct{}) {
 	out := bufio.NewWriterSize(c, 4<<10)
 	enc := gob.NewEncoder(out)
-	if enc.Encode(opening{w.me, w.life}) != nil {
+	if enc.Encode(w.opens()) != nil || w.offer && out.Flush() != nil {
 		return
 	}
 	for {
 		select {
-		case f := <-l.queue:
+		case <-l.queue.ready:
+			f := l.queue.take()
+			if f == nil {
+				continue
+			}
 			if failpoint.Cut(l.to) && !through(ctx, l.to, writeLimit) {
 				return
 			}
 			c.SetWriteDeadline(time.Now().Add(writeLimit))
-			if enc.Encode(f) != nil || len(l.queue) == 0 && out.Flush() != nil {
+			if enc.Encode(f) != nil || l.queue.empty() && out.Flush() != nil {
 				return
 			}
 		case <-ended:
--- a/internal/gateway/transport/mesh_test.go
+++ b/internal/gateway/transport/mesh_test.go
@@ -231,7 +231,7 @@
 	said := func(life uint64) net.Conn {
 		c, err := net.Dial("tcp", a.me)
 		must.NoError(t, err)
-		must.NoError(t, gob.NewEncoder(c).Encode(opening{b.me, life}))
+		must.NoError(t, gob.NewEncoder(c).Encode(opening{From: b.me, Life: life}))
 		return c
 	}
 	first := said(11)
@@ -266,10 +266,10 @@
 	}
 	old, oldSays := dial()
 	now, says := dial()
-	must.NoError(t, says.Encode(opening{from, 2}))
+	must.NoError(t, says.Encode(opening{From: from, Life: 2}))
 	must.NoError(t, says.Encode(&frame{Nr: 1}))
 	a.hears(from + ": 1")
-	oldSays.Encode(opening{from, 1})
+	oldSays.Encode(opening{From: from, Life: 1})
 	oldSays.Encode(&frame{Nr: 9})
 	must.NoError(t, old.SetReadDeadline(time.Now().Add(patience)))
 	_, err := old.Read(make([]byte, 1)) // it is ended
--- a/internal/proxy/eventloop/engine.go
+++ b/internal/proxy/eventloop/engine.go
@@ -223,6 +223,9 @@
 // Room tells how many more connections may be opened.
 func (e *Engine) Room() int { return e.most - e.open }
 
+// Descriptors changes how many there are, some of which are the program's own, for connections from now on. Those that are open stay.
+func (e *Engine) Descriptors(n int) { e.most = n - ownFiles }
+
 // Open counts connections, dials among them.
 func (e *Engine) Open() int { return e.open }
 
