--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -403,12 +403,13 @@
 	return all
 }
 
-// Say is this node's hello to another one: it names all nodes to one with a disk, and those with a disk to the others.
+// Say is this node's hello to another one: it names the nodes with a disk, and to one with a disk those without that have no slot yet.
+// Who has a slot is in the core's order, which all are fed: to name them again in each hello would be the square of the deployment.
 func (c *Roster) Say(to string) Hello {
 	h := Hello{Door: c.me, Begun: c.begun()}
 	d := c.peers[to]
 	for _, a := range c.Addrs() {
-		if a != to && (d != nil && d.Disk != 0 || c.peers[a].Disk != 0) {
+		if a != to && (c.peers[a].Disk != 0 || d != nil && d.Disk != 0 && c.Slot(a) == NoSlot) {
 			h.Known = append(h.Known, a)
 		}
 	}
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -523,3 +523,22 @@
 		}
 	}
 }
+
+// Hellos must not carry the square of a deployment: who has a slot is known by the core's order, so that a hello to a node with a disk
+// names those alone that have none yet, beside the nodes with a disk. A node that nobody has in the order is still made known.
+func TestHellosNameNobodyWithASlot(t *testing.T) {
+	c := New(Node{Addr: "me", Disk: 9}, Terms{Seeds: []string{"disk"}, ClusterID: clusterIDOf}, 0)
+	var order []SlotHolder
+	for i := range 300 {
+		addr := fmt.Sprint("node-", i)
+		c.Hello(addr, Hello{Door: Node{Name: addr, Addr: addr}})
+		order = append(order, SlotHolder{Name: addr, Addr: addr})
+	}
+	for _, d := range []string{"disk", "disk-2"} {
+		c.Hello(d, Hello{Door: Node{Addr: d, Disk: Disk(len(d))}})
+	}
+	must.Len(t, 301, c.Say("disk").Known)
+	c.SetSlots(order[:299])
+	must.Eq(t, []string{"disk-2", "node-299"}, c.Say("disk").Known)
+	must.Eq(t, []string{"disk", "disk-2"}, c.Say("node-5").Known)
+}
