--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -117,6 +117,7 @@
 	nodes  int
 	place  int // of this node among those of its zone
 	places int
+	homes  homes
 
 	all   map[control.BackendID]*backend // with gone ones that still owe an answer
 	list  []*backend                     // in order of id
@@ -353,7 +354,7 @@
 		}
 	}
 	if b.away {
-		part *= awayPart
+		part *= c.homes.awayPart
 	}
 	return math.Pow(min(max(b.speed, speedLow), speedHigh), speedBend) / (max(b.Size, 1) * part)
 }
@@ -465,6 +466,7 @@
 		b.oweNext = now
 	}
 	b.sentAt = now
+	c.paced(now)
 	b.owed++
 	b.out++
 	c.out++
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -168,13 +168,14 @@
 		for i := range backends {
 			c.List(0, control.Listing{ID: control.BackendID(i + 1), Size: 4, State: control.Ready})
 		}
+		s := &fixture{Balancer: c, now: time.Second, got: map[control.BackendID]int{}}
+		s.play(300, Want{}) // its pace is known
 		own := map[control.BackendID]bool{}
 		for _, b := range c.list {
 			if own[b.ID] = !b.away; !b.away {
 				homes[b.ID]++
 			}
 		}
-		s := &fixture{Balancer: c, now: time.Second, got: map[control.BackendID]int{}}
 		s.play(400, Want{})
 		at := 0
 		for id, n := range s.got {
@@ -210,3 +211,67 @@
 	}
 	must.MapLen(t, backends, homes)
 }
+
+// A node of a very large fleet sends little: it has few homes then, each of which it sends to before the connection would have been closed
+// as idle, and more as soon as it sends more. Guards against twelve homes for three requests a second, where nearly each of the first
+// requests opened a connection. All backends have alike many nodes at any pace, and few homes leave the others a little.
+func TestHomesGoByPace(t *testing.T) {
+	const nodes, backends = 50, 42
+	homes := map[control.BackendID]int{}
+	for nr := range nodes {
+		c := New(rand.New(rand.NewSource(int64(nr))), 0, 6*nodes)
+		c.SetPlace(nr, nodes)
+		for i := range backends {
+			c.List(0, control.Listing{ID: control.BackendID(i + 1), Size: 4, State: control.Ready})
+		}
+		s := &fixture{Balancer: c, now: time.Second, got: map[control.BackendID]int{}}
+		count := func() (n int) {
+			for _, b := range c.list {
+				if !b.away {
+					n++
+				}
+			}
+			return n
+		}
+		must.Eq(t, homesLeast, count())
+		play := func(n int, gap time.Duration) (homes int) {
+			s.play(0, Want{})
+			for range n {
+				s.now += gap - 20*ms
+				before := s.got
+				s.got = map[control.BackendID]int{}
+				s.play(1, Want{})
+				for id := range s.got {
+					if !c.all[id].away {
+						homes++
+					}
+					before[id]++
+				}
+				s.got = before
+			}
+			return homes
+		}
+		play(60, 300*ms)
+		must.Between(t, 6, count(), 8)
+		at := play(200, 300*ms)
+		must.Between(t, 180, at, 199)
+		must.Greater(t, 12, len(s.got)) // of 42, in a minute
+		for _, b := range c.list {
+			if !b.away {
+				homes[b.ID]++
+			}
+		}
+		first := c.place * backends / nodes
+		must.False(t, c.list[first].away)
+		play(60, 50*ms)
+		must.Eq(t, homesUsual, count())
+		must.False(t, c.list[first].away)
+		play(30, 2*time.Second)
+		must.Eq(t, homesLeast, count())
+		must.False(t, c.list[first].away)
+	}
+	for id, n := range homes {
+		must.Between(t, nodes*6/backends-1, n, nodes*8/backends+2, must.Sprint("backend ", id))
+	}
+	must.MapLen(t, backends, homes)
+}
