--- a/internal/gateway/node/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -250,7 +250,7 @@
 		case rollout.Tell:
 			h.report(a.Report)
 		case rollout.Lowered:
-			h.warn(rolloutPart, "%s %d: this door pulls back for itself: %s", a.Service, a.Number, a.Why)
+			h.warn(rolloutPart, "%s %d: this node pulls back for itself: %s", a.Service, a.Number, a.Why)
 		}
 	}
 	h.sendReports()
@@ -331,7 +331,7 @@
 	}
 	h.rollouts.duty.Now(h.e.Now())
 	if err := h.rollouts.duty.Heard(rollout.NodeID(w.Seat), *w.Report); err != nil {
-		h.say(rolloutPart, "door %d: %v", w.Seat, err)
+		h.say(rolloutPart, "node %d: %v", w.Seat, err)
 	}
 }
 
@@ -368,7 +368,7 @@
 			x.node.Lap(l)
 			f := &Frame{Rollout: &RolloutWord{Lap: &l}}
 			for _, m := range h.core.p.Members() {
-				if addr := h.core.addr(m); addr != "" && addr != h.inner {
+				if addr := h.addrOf(m); addr != "" && addr != h.inner {
 					h.links.Send(addr, f)
 				}
 			}
--- a/internal/lab/simulation/stage.go
+++ b/internal/lab/simulation/stage.go
@@ -11,6 +11,7 @@
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/history"
 	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 )
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
@@ -84,11 +85,15 @@
 }
 
 // crash ends it without a word.
-func (b *backend) crash() {
+func (b *backend) crash() { b.end(false) }
+
+// end ends it: in order, after a drain, or not.
+func (b *backend) end(inOrder bool) {
 	if b.dead {
 		return
 	}
 	w, s := b.w, b.w.timeline
+	w.note(gatewaystandin.BackendEnds(b.id, inOrder))
 	b.dead = true
 	s.live = slices.DeleteFunc(s.live, func(x *backend) bool { return x == b })
 	delete(s.at, b.addr)
@@ -178,7 +183,7 @@
 			answered := func(ok bool, target string) {
 				if ok && phase == registry.Draining && !leaves {
 					w.teller = m
-					w.happens(drained)
+					w.happens(spec.Drained)
 				}
 				if !w.apart(m, b.zone) {
 					w.after(w.way(m.zone, b.zone), func() { end(ok, target) })
@@ -203,10 +208,10 @@
 		w.after(gatewaystandin.Bounds().Drain+gatewaystandin.DrainSlack, func() {
 			if acked {
 				b.say(true, func(bool) {})
-				w.after(500*time.Millisecond, b.crash)
+				w.after(500*time.Millisecond, func() { b.end(true) })
 				return
 			}
-			b.crash()
+			b.end(true)
 		})
 	}
 	ask = func() {
