--- a/internal/history/spending.go
+++ b/internal/history/spending.go
@@ -36,7 +36,7 @@
 // Most is what may be spent in a stretch so long.
 func (b Bound) Most(d time.Duration) float64 { return b.Store + b.Rate*d.Seconds() }
 
-// WithinBound: in no stretch of time does a key spend more than its bound. A key without a bound is passed over. One
+// WithinBound checks that in no stretch of time does a key spend more than its bound. A key without a bound is passed over. One
 // line is given for each key: that of the worst stretch.
 func WithinBound(rule string, h []Event, bound func(key string) (Bound, bool)) (bad []Broken) {
 	all := Spent(h)
