--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -13,6 +13,8 @@
 
 	"github.com/shoenig/test/must"
 
+	"clovergap/internal/gateway/coordination"
+	"clovergap/internal/gateway/groups"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/statemachine"
@@ -35,6 +37,7 @@
 	later  bool
 	held   []func()
 	came   chan bool
+	answer coordination.Answer
 }
 
 func (h *fakeNode) do(what string, then func()) {
@@ -81,6 +84,20 @@
 	return RolloutHistory{Service: service, Rollouts: []RolloutPast{}}
 }
 
+func (h *fakeNode) Coordinate(c coordination.Call, then func(coordination.Answer)) {
+	a := h.answer
+	h.do(fmt.Sprintf("%v %q %q %d %v %q %d %d %v", c.Operation, c.Name, c.Holder, c.Fence, c.Hold, c.Value, c.Expected, c.After, c.Wait),
+		func() { then(a) })
+}
+
+func (h *fakeNode) GroupList() GroupList {
+	return GroupList{Node: "d", Groups: []GroupStatus{{Group: 1, Leader: "x:1"}}}
+}
+func (h *fakeNode) MoveGroup(id groups.ID, address string) bool {
+	h.asked = append(h.asked, fmt.Sprint("move ", id, " ", address))
+	return h.ok
+}
+
 // fixture is the form on sockets, before a deployment.
 type fixture struct {
 	t *testing.T
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -14,6 +14,7 @@
 
 	"clovergap/control"
 	"clovergap/internal/gateway/admission"
+	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
@@ -92,8 +93,10 @@
 	echoes  map[string]echo
 	beganAt time.Duration
 
-	followers map[string]*follower
-	feedIn    replication.Incoming // from the node that is followed
+	followers    map[string]*follower
+	feedIn       replication.Incoming // from the node that is followed
+	coordination *coordination.Service
+
 	calls     map[uint32]*call
 	callNr    uint32
 	fault     fault // tests put one in
@@ -134,7 +137,9 @@
 	h.echoes = map[string]echo{}
 	h.calls, h.beats, h.catalog = map[uint32]*call{}, map[registry.Ticket]heard{}, newCatalog()
 	h.fault = planted
+	h.coordination = coordination.New((*coordinator)(h), coordination.Terms{Address: h.inner, Life: h.life, History: h.settings.Bounds.History})
 	h.groups = &groupHost{h: h}
+	h.coordination.Over(h.groups)
 	if h.own != nil {
 		h.own.h = h
 	}
@@ -230,6 +235,8 @@
 	if h.core != nil {
 		h.core.pull()
 		h.groups.pull()
+		h.coordination.Flush()
+		h.groups.pull() // what watches that were told of puts ask for next
 		h.core.disk.flush()
 	}
 	h.pullRoster()
--- a/internal/lab/simulation/resets.go
+++ b/internal/lab/simulation/resets.go
@@ -17,7 +17,7 @@
 	if rng.IntN(3) != 0 {
 		return
 	}
-	d.Faults = append(d.Faults, spec.Fault{Kind: []string{"core-reset", "door-reset"}[rng.IntN(2)], Share: []float64{0.1, 0.3, 1}[rng.IntN(3)],
+	d.Faults = append(d.Faults, spec.Fault{Kind: []string{"core-reset", "node-reset"}[rng.IntN(2)], Share: []float64{0.1, 0.3, 1}[rng.IntN(3)],
 		At: spec.Span(rng.Float64() * 0.8 * float64(dur)), For: spec.Span(rng.Float64() * 2e9), Pick: rng.Uint64()>>1 | 1})
 }
 
--- a/internal/lab/simulation/resets_test.go
+++ b/internal/lab/simulation/resets_test.go
@@ -12,7 +12,7 @@
 // All connections of the core's machines, or of all, are reset again and again: links, those to backends and those of clients. No
 // rule is broken by it, requests and changes go on, and the links are up again within a moment.
 func TestConnectionsAreReset(t *testing.T) {
-	for i, kind := range []string{"core-reset", "door-reset"} {
+	for i, kind := range []string{"core-reset", "node-reset"} {
 		d := &Day{Site: Site{Nodes: 5, Disks: 3}, Seed: 40 + uint64(i), For: 8 * time.Second, Faults: []spec.Fault{
 			{Kind: kind, Share: 1, At: spec.Span(time.Second), For: spec.Span(3 * time.Second), Pick: 5},
 			{Kind: "drain", Share: 0.2, At: spec.Span(2 * time.Second), For: spec.Span(time.Second), Pick: 7}}}
