--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -38,6 +38,7 @@
 	Door  Node
 	Known []string // addresses of nodes that the other one is to keep links to
 	Begun bool     // one that it has met holds a state of the core
+	Parts bool     // its program takes large calls in parts
 }
 
 // Founder is a node that begins the core.
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -59,7 +59,7 @@
 func TestOrdersEndAlike(t *testing.T) {
 	hello := func(a string, disk Disk, life uint64, known ...string) event {
 		return func(c *Roster) {
-			c.Hello(a, Hello{Node{Name: a, Addr: "elsewhere", Disk: disk, Life: life}, known, false})
+			c.Hello(a, Hello{Door: Node{Name: a, Addr: "elsewhere", Disk: disk, Life: life}, Known: known})
 		}
 	}
 	up := func(a string) event { return func(c *Roster) { c.Up(a) } }
--- a/internal/gateway/node/calls.go
+++ b/internal/gateway/node/calls.go
@@ -57,12 +57,13 @@
 // pass sends a call on, or settles it here.
 func (h *Node) pass(nr uint32) {
 	c := h.calls[nr]
-	c.doubt = c.doubt || c.sent != ""
+	c.doubt = c.doubt || h.mayHave(c, nr)
 	if !h.may(takeCalls) {
 		h.turnAway(nr)
 		return
 	}
 	if h.leading() {
+		h.cancel(c.sent, nr)
 		c.next, c.sent = c.until, "here"
 		h.lead(nr, false)
 		return
@@ -73,12 +74,16 @@
 		h.e.At(c.next, (*callAlarm)(h), nr)
 		return
 	}
+	was := c.sent
 	c.next, c.sent = h.e.Now()+callAgain, to
 	h.e.At(c.next, (*callAlarm)(h), nr)
 	if !slices.Contains(c.asked, to) {
 		c.asked = append(c.asked, to)
 	}
-	h.links.Send(to, &Frame{Call: &Call{Asker: h.life, Nr: nr, Kind: c.kind, Body: c.body, Hops: c.hops + 1}})
+	h.cancel(was, nr)
+	if !h.sendCall(to, nr, &Call{Asker: h.life, Nr: nr, Kind: c.kind, Body: c.body, Hops: c.hops + 1}, c.until) {
+		c.sent = "" // too many go there
+	}
 }
 
 // lead puts a call into the log, whose verdict holds. What this node refuses before it refuses by its own state: only once a round
@@ -119,7 +124,7 @@
 // turnAway ends a call here: while this node has no word of a majority, waiting is worth nothing.
 func (h *Node) turnAway(nr uint32) {
 	text := noMajority
-	if c := h.calls[nr]; c.doubt || c.sent != "" { // who has it may take it yet
+	if c := h.calls[nr]; c.doubt || h.mayHave(c, nr) { // who has it may take it yet
 		text = replication.Unknown.String()
 	}
 	h.end(nr, 503, []byte(text))
@@ -151,7 +156,7 @@
 // called takes a call that another node passed on.
 func (h *Node) called(from string, c *Call) {
 	h.ask(c.Kind, c.Body, c.Hops, func(status int, body []byte) {
-		h.links.Send(from, &Frame{Reply: &Reply{c.Asker, c.Nr, status, body}})
+		h.sendReply(from, &Reply{c.Asker, c.Nr, status, body})
 	})
 }
 
@@ -180,6 +185,7 @@
 		h.words[h.feeder] = word{h.e.Now(), never, 0, 0}
 		h.tendFeed()
 	}
+	h.cancel(c.sent, nr)
 	if status == 503 && h.e.Now()+callAgain < c.until {
 		c.sent, c.next = "", h.e.Now()+callAgain
 		h.e.At(c.next, (*callAlarm)(h), nr)
@@ -194,10 +200,11 @@
 	c := h.calls[nr]
 	delete(h.calls, nr)
 	if reads := c.kind == Read || c.kind == ReadRollouts; status/100 == 5 {
-		if status = 503; !reads && (c.doubt || c.sent != "") {
+		if status = 503; !reads && (c.doubt || h.mayHave(c, nr)) {
 			status = controlapi.Unclear
 		}
 	}
+	h.cancel(c.sent, nr)
 	c.then(status, body)
 }
 
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -23,6 +23,7 @@
 	Reply  *Reply
 
 	Rollout *RolloutWord // while one runs
+	Part    *Part        // of a large call or answer, to a program that takes it
 }
 
 // Kind names what a frame carries.
@@ -38,7 +39,7 @@
 		return "board"
 	case f.Follow != nil, f.Feed != nil:
 		return "feed"
-	case f.Call != nil, f.Reply != nil:
+	case f.Call != nil, f.Reply != nil, f.Part != nil:
 		return "calls"
 	case f.Rollout != nil:
 		return "roll-outs"
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -94,6 +94,7 @@
 	followers map[string]*follower
 	feedIn    replication.Incoming // from the node that is followed
 	calls     map[uint32]*call
+	parts     parts
 	callNr    uint32
 	fault     fault // tests put one in
 	slotAsked time.Duration
@@ -131,7 +132,7 @@
 	h.e, h.count = b, b.Counters()
 	h.machine, h.table, h.words, h.followers = statemachine.New(), routing.NewTable(nil), map[string]word{}, map[string]*follower{}
 	h.echoes = map[string]echo{}
-	h.calls, h.beats, h.catalog = map[uint32]*call{}, map[registry.Ticket]heard{}, newCatalog()
+	h.calls, h.parts, h.beats, h.catalog = map[uint32]*call{}, newParts(), map[registry.Ticket]heard{}, newCatalog()
 	h.fault = planted
 	if h.own != nil {
 		h.own.h = h
@@ -256,6 +257,7 @@
 	if h.feedLate {
 		h.feedAll()
 	}
+	h.tendParts()
 	h.tendFeed()
 	h.wantSlot()
 	h.tendRollouts()
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -33,6 +33,7 @@
 	switch {
 	case f.Hello != nil:
 		h.roster.Hello(from, *f.Hello)
+		h.parts.takes[from] = f.Hello.Parts
 		h.remind(from, f.Hello.Door)
 	case f.Ping != nil:
 		h.words[from] = word{h.e.Now(), f.Ping.Stale, f.Ping.Index, f.Ping.View}
@@ -65,6 +66,8 @@
 		h.called(from, f.Call)
 	case f.Reply != nil:
 		h.answered(from, f.Reply)
+	case f.Part != nil:
+		h.partHeard(from, f.Part)
 	case f.Rollout != nil:
 		h.rolloutHeard(from, f.Rollout)
 	}
@@ -104,7 +107,9 @@
 	delete(h.echoes, to)
 	for _, nr := range slices.Sorted(maps.Keys(h.calls)) {
 		if c := h.calls[nr]; c.sent == to { // it may have been taken: the same again is answered as the first was
-			c.sent, c.doubt, c.next = "", true, h.e.Now()+callAgain
+			c.doubt = c.doubt || h.mayHave(c, nr)
+			h.cancel(to, nr)
+			c.sent, c.next = "", h.e.Now()+callAgain
 			h.e.At(c.next, (*callAlarm)(h), nr)
 		}
 	}
@@ -169,6 +174,7 @@
 			h.links.Leave(a.Addr)
 		case membership.Greet:
 			hello := h.roster.Say(a.Addr)
+			hello.Parts = true
 			h.links.Send(a.Addr, &Frame{Hello: &hello})
 		case membership.Found:
 			members := membersOf(a.Founders)
--- a/internal/gateway/replication/chunk.go
+++ b/internal/gateway/replication/chunk.go
@@ -15,8 +15,8 @@
 	Data        []byte
 }
 
-// sameBlob tells whether two are parts of the same.
-func (c *Chunk) sameBlob(o *Chunk) bool {
+// SameBlob tells whether two are parts of the same.
+func (c *Chunk) SameBlob(o *Chunk) bool {
 	return c.Index == o.Index && c.View == o.View && c.Sum == o.Sum && c.Size == o.Size
 }
 
@@ -50,7 +50,7 @@
 // Ack takes what the receiver says that it has. Less than before: it has lost it. The same again: a chunk came out of its order, or
 // twice: what is in flight goes again, once from each place. Another blob's is of the past.
 func (o *Outgoing) Ack(had *Chunk, now time.Duration) {
-	if o.Blob == nil || had == nil || !had.sameBlob(&o.Blob.id) || had.Offset > had.Size {
+	if o.Blob == nil || had == nil || !had.SameBlob(&o.Blob.id) || had.Offset > had.Size {
 		return
 	}
 	if had.Offset == o.acked {
@@ -62,9 +62,15 @@
 	if had.Offset <= o.acked {
 		o.sent = had.Offset
 	}
+	if had.Offset > o.sent { // it had that before: what is in flight comes twice, which is no sign of a loss
+		o.again = had.Offset + 1
+	}
 	o.acked, o.sent, o.moved = had.Offset, max(o.sent, had.Offset), now
 }
 
+// Acked tells whether the receiver has all of it.
+func (o *Outgoing) Acked() bool { return o.acked == uint64(len(o.Blob.bytes)) }
+
 // Next is the next chunk to be sent: nil while as much is in flight as may be, or all is. What nobody acknowledged in time goes again.
 func (o *Outgoing) Next(t *Terms, now time.Duration) *Chunk {
 	size := uint64(len(o.Blob.bytes))
@@ -112,11 +118,11 @@
 	if c.Size == 0 || c.Size > blobMost {
 		return nil, nil
 	}
-	if !in.id.sameBlob(c) && (c.Offset == 0 || in.id.Size == 0) && (in.fault != mixChunks || in.id.Size == 0) {
+	if !in.id.SameBlob(c) && (c.Offset == 0 || in.id.Size == 0) && (in.fault != mixChunks || in.id.Size == 0) {
 		in.id, in.data = *c, nil
 		in.id.Offset, in.id.Data = 0, nil
 	}
-	same := in.id.sameBlob(c) || in.fault == mixChunks
+	same := in.id.SameBlob(c) || in.fault == mixChunks
 	if n := uint64(len(in.data)); same && (c.Offset == n || in.fault == skipChunks && c.Offset > n) {
 		in.data = append(in.data, c.Data...)
 	}
