--- /dev/null
+++ b/internal/gateway/node/versions_test.go
@@ -0,0 +1,313 @@
+package node
+
+import (
+	"encoding/gob"
+	"io"
+	"net"
+	"os"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/rollout"
+	"clovergap/internal/gateway/transport"
+)
+
+// testdata/before.frames is a link's whole stream as the version before wrote it (of 2 December 2026, before all was renamed): its opening
+// and a frame of each kind in which every field is set.
+
+// Fields that are newer than that: the version before neither sends nor reads them.
+var newer = []string{"Core.Hears", "Hello.Parts", "Part"}
+
+// The types of the version before, as far as gob goes by them: names and kinds of fields.
+type (
+	pastFrame struct {
+		Hello *struct {
+			Door struct {
+				Name, Addr, Control, Zone string
+				Disk                      uint64
+				First                     bool
+				Life                      uint64
+				Founded, Leaving          bool
+				House                     uint64
+			}
+			Known []string
+			Begun bool
+		}
+		Ping *struct {
+			Stale time.Duration
+			Index uint64
+			Lives []byte
+			View  uint64
+			Clock uint32
+			Echo  uint32
+		}
+		Found []pastMember
+		Core  *struct {
+			From    uint64
+			Message struct {
+				Kind                                         uint8
+				House, To, View, Index, At, Delivered, Round uint64
+				Elsewhere                                    uint64
+				No                                           bool
+				Entries                                      []struct {
+					Index, View uint64
+					Kind        uint8
+					Data        []byte
+					Members     []pastMember
+				}
+				Snap *struct {
+					Index, View uint64
+					Members     []pastMember
+					State       []byte
+				}
+				Chunk       *pastChunk
+				Chunks      bool
+				Clock, Echo uint32
+				Contact     int64
+			}
+		}
+		Board *struct {
+			Nr                   uint64
+			Words, Beats, Doubts []pastWord
+			Acks                 []uint64
+			All                  bool
+		}
+		Follow *struct {
+			After      uint64
+			Anew, Ends bool
+			Clock      uint32
+			Had        *pastChunk
+			Chunks     bool
+		}
+		Feed *struct {
+			After   uint64
+			State   []byte
+			Entries [][]byte
+			Stale   time.Duration
+			View    uint64
+			Echo    uint32
+			Index   uint64
+			Chunk   *pastChunk
+			Log     bool
+		}
+		Call *struct {
+			Asker uint64
+			Nr    uint32
+			Kind  byte
+			Body  []byte
+			Hops  int
+		}
+		Reply *struct {
+			Asker  uint64
+			Nr     uint32
+			Status int
+			Body   []byte
+		}
+		Rollout *struct {
+			Seat, Hops int
+			Report     *struct {
+				Service   string
+				Number    uint64
+				Step, Lap int
+				Life, Seq uint64
+				Zone      string
+				Alone     bool
+				Backs     int
+				Counts    [2][2]pastTally
+				Evidence  []byte
+			}
+			Lap *struct {
+				Service string
+				Number  uint64
+				Lap     int
+			}
+		}
+	}
+	pastMember struct {
+		ID   uint64
+		Addr string
+	}
+	pastChunk struct {
+		Index, View, Sum, Size, Offset uint64
+		Data                           []byte
+	}
+	pastWord struct {
+		ID, Service, Addr, Zone, Generation string
+		Capacity                            int
+		Phase                               uint8
+		ColdLeft                            time.Duration
+		Seq                                 uint64
+		Drained, Final                      bool
+		Age                                 time.Duration
+		Keeper                              int
+		Fence                               uint64
+		Missed                              int
+	}
+	pastTally struct {
+		Ends  uint32
+		By    [5]uint32
+		Times [26]uint32
+	}
+)
+
+// pastFrames are the frames of the version before, as this one has them.
+func pastFrames() []*Frame {
+	word := registry.Record{ID: "i-1", Service: "s", Addr: "10.0.0.9:80", Zone: "z", Generation: "g", Capacity: 4, Phase: registry.Draining,
+		ColdLeft: time.Second, Seq: 5, Drained: true, Final: true, Age: 2 * time.Second, Keeper: 1, Fence: 3, Missed: 2}
+	chunk := &replication.Chunk{Index: 7, View: 2, Sum: 11, Size: 12, Offset: 4, Data: []byte("chunk")}
+	members := []replication.Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}}
+	report := &rollout.Report{Service: "s", Number: 3, Step: 1, Lap: 2, Life: 9, Seq: 4, Zone: "z", Alone: true, Backs: 2, Evidence: []byte("e")}
+	report.Counts[1][0] = rollout.Tally{Ends: 5, By: [5]uint32{1, 2, 3, 4, 5}, Times: [rollout.Buckets]uint32{3: 7, 25: 1}}
+	return []*Frame{
+		{Hello: &membership.Hello{Door: membership.Node{Name: "door-0", Addr: "10.0.0.1:7110", Control: "10.0.0.1:7000", Zone: "z", Disk: 21,
+			First: true, Life: 31, Founded: true, Leaving: true, House: 41}, Known: []string{"10.0.0.2:7110"}, Begun: true}},
+		{Ping: &Ping{Stale: 150 * time.Millisecond, Index: 6, Lives: []byte{7}, View: 2, Clock: 1234567890, Echo: 987654321}},
+		{Found: members},
+		{Core: &Line{From: 21, Message: replication.Message{Kind: replication.Append, House: 41, To: 22, View: 2, Index: 5, At: 1, Delivered: 4,
+			Round: 3, Elsewhere: 2, No: true, Entries: []replication.Entry{{Index: 6, View: 2, Kind: replication.Change, Data: []byte("rbody")},
+				{Index: 7, View: 2, Kind: replication.ConfigChange, Members: members}},
+			Snap:  &replication.Snapshot{Index: 5, View: 1, Members: members, State: []byte("state")},
+			Chunk: chunk, Chunks: true, Clock: 1234567890, Echo: 987654321, Contact: -1}}},
+		{Board: &registry.Message{Nr: 8, Words: []registry.Record{word}, Beats: []registry.Record{word}, Doubts: []registry.Record{word},
+			Acks: []uint64{1, 2}, All: true}},
+		{Follow: &Follow{After: 6, Anew: true, Ends: true, Clock: 5, Had: chunk, Chunks: true}},
+		{Feed: &Feed{After: 6, State: []byte("state"), Entries: [][]byte{[]byte("rbody"), []byte("s")}, Stale: 20 * time.Millisecond, View: 2,
+			Echo: 3, Index: 7, Chunk: chunk, Log: true}},
+		{Call: &Call{Asker: 31, Nr: 2, Kind: 'r', Body: []byte("{}"), Hops: 1}},
+		{Reply: &Reply{Asker: 31, Nr: 2, Status: 412, Body: []byte("conflict")}},
+		{Rollout: &RolloutWord{Seat: 2, Hops: 1, Report: report}},
+		{Rollout: &RolloutWord{Lap: &rollout.Lap{Service: "s", Number: 3, Lap: 2}}},
+	}
+}
+
+// heardFrames is a node's end of the links, for a test.
+type heardFrames struct {
+	came chan *Frame
+	up   chan string
+}
+
+func (heardFrames) Came(string)                {}
+func (x heardFrames) Heard(_ string, f *Frame) { x.came <- f }
+func (x heardFrames) Up(to string)             { x.up <- to }
+func (heardFrames) Down(string)                {}
+
+func meshOf(t *testing.T, x heardFrames) *transport.Mesh[Frame] {
+	m, err := transport.New[Frame]("127.0.0.1:0", 31, x, func(do func()) { do() })
+	must.NoError(t, err)
+	m.Start()
+	t.Cleanup(m.Stop)
+	return m
+}
+
+// What the version before says on a link is understood by this one, to the last field.
+func TestFramesOfTheVersionBefore(t *testing.T) {
+	stream, err := os.ReadFile("testdata/before.frames")
+	must.NoError(t, err)
+	x := heardFrames{make(chan *Frame, 100), make(chan string, 100)}
+	c, err := net.Dial("tcp", meshOf(t, x).Addr())
+	must.NoError(t, err)
+	defer c.Close()
+	_, err = c.Write(stream)
+	must.NoError(t, err)
+	unset := map[string]bool{}
+	for _, want := range pastFrames() {
+		got := <-x.came
+		must.Eq(t, want, got)
+	}
+	zero(reflect.TypeFor[Frame](), pastFrames(), unset)
+	var names []string
+	for name := range unset {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	must.Eq(t, newer, names)
+}
+
+// zero finds the fields that no frame sets.
+func zero(of reflect.Type, frames []*Frame, unset map[string]bool) {
+	set := map[string]bool{}
+	var look func(path string, v reflect.Value)
+	look = func(path string, v reflect.Value) {
+		switch v.Kind() {
+		case reflect.Pointer:
+			if !v.IsNil() {
+				look(path, v.Elem())
+			}
+		case reflect.Slice, reflect.Array:
+			for i := range v.Len() {
+				look(path, v.Index(i))
+			}
+		case reflect.Struct:
+			for i := range v.NumField() {
+				name := path + "." + v.Type().Field(i).Name
+				if path == "" {
+					name = v.Type().Field(i).Name
+				}
+				set[name] = set[name] || !v.Field(i).IsZero()
+				look(name, v.Field(i))
+			}
+		}
+	}
+	for _, f := range frames {
+		look("", reflect.ValueOf(f))
+	}
+	for name, is := range set {
+		if !is {
+			unset[name] = true
+		}
+	}
+}
+
+// What this version says is understood by the version before: the same frames decode alike by its types, and one that it does not know
+// is none of those that it does.
+func TestFramesForTheVersionBefore(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	must.NoError(t, err)
+	defer ln.Close()
+	x := heardFrames{make(chan *Frame, 100), make(chan string, 100)}
+	m, to := meshOf(t, x), ln.Addr().String()
+	m.Want(to)
+	c, err := ln.Accept()
+	must.NoError(t, err)
+	defer c.Close()
+	was, err := os.Open("testdata/before.frames")
+	must.NoError(t, err)
+	defer was.Close()
+	type opening struct {
+		From string
+		Life uint64
+	}
+	old, now := gob.NewDecoder(was), gob.NewDecoder(c)
+	var a, b opening
+	must.NoError(t, old.Decode(&a))
+	must.Eq(t, to, <-x.up) // what was sent before is lost
+	frames := pastFrames()
+	for _, f := range frames {
+		must.True(t, m.Send(to, f))
+	}
+	must.NoError(t, now.Decode(&b))
+	must.Eq(t, a.Life, b.Life)
+	for range frames {
+		var a, b pastFrame
+		must.NoError(t, old.Decode(&a))
+		must.NoError(t, now.Decode(&b))
+		must.Eq(t, a, b)
+	}
+	must.ErrorIs(t, old.Decode(&pastFrame{}), io.EOF)
+	f := &Frame{Part: &Part{Call: &Call{Nr: 1}, Chunk: &replication.Chunk{Size: 1}}}
+	must.True(t, m.Send(to, f))
+	var empty pastFrame
+	must.NoError(t, now.Decode(&empty))
+	must.Eq(t, pastFrame{}, empty)
+	f = &Frame{Core: &Line{From: 3, Hears: []byte{1}}}
+	must.True(t, m.Send(to, f))
+	must.NoError(t, now.Decode(&empty))
+	must.Eq(t, 3, empty.Core.From)
+}
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -36,6 +36,11 @@
 // New is the state before the first entry.
 func New() *Machine { return &Machine{Configs: routing.NewRegister(), Rollouts: rollout.NewState()} }
 
+// Gob numbers types in the order in which a process first uses them, and the numbers are part of its bytes. A snapshot's types come first
+// here, so that equal states give equal bytes in all processes of a version: who is sent a snapshot in chunks goes on with another
+// sender's.
+func init() { New().Snapshot() }
+
 // Entry words a change for the log.
 func Entry(k Kind, body []byte) []byte { return append([]byte{byte(k)}, body...) }
 
