--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -54,3 +54,66 @@
 	}
 	must.Greater(t, int64(15<<20), fill(t, 1<<20, 20, 64<<20)) // the defence out
 }
+
+// A disk of 64 MB took 64 whole configurations of 3.4 MB one after the other, each as they come at their worst: two that are not committed
+// yet, which is all that the log holds of such, both replaced by another leader's; a snapshot and the entries after it in one write, as
+// after a disk that hung; a snapshot from elsewhere in the place of all. The file stays below ten configurations (node.diskCopies). Played at
+// a quarter of that size; PROMPTBOOK_STATE plays it larger.
+func TestSmallDiskHoldsWholeConfigurations(t *testing.T) {
+	state := 850_000
+	if n, err := strconv.Atoi(os.Getenv("PROMPTBOOK_STATE")); err == nil {
+		state = n
+	}
+	for seed := range uint64(3) {
+		smallDisk(t, seed, state, 64)
+	}
+}
+
+func smallDisk(t *testing.T, seed uint64, state, times int) {
+	dir := t.TempDir()
+	b, k, err := Open(dir)
+	must.NoError(t, err)
+	rng := rand.New(rand.NewPCG(3, seed))
+	me := []replication.Member{{ID: k.Me, Addr: "a"}}
+	view, at := uint64(1), uint64(1)
+	apply := func(w replication.Write) {
+		w.House, w.Promise = 1, view
+		must.NoError(t, b.Apply([]replication.Write{w}))
+		k.Apply(w)
+		must.NoError(t, k.Check())
+	}
+	entry := func(index uint64) replication.Entry {
+		return replication.Entry{Index: index, View: view, Data: make([]byte, state-rng.IntN(state/20))}
+	}
+	snap := func(index uint64) *replication.Snapshot {
+		return &replication.Snapshot{Index: index, View: view, Members: me, State: make([]byte, state+state/100)}
+	}
+	apply(replication.Write{Snap: snap(1), Delivered: 1})
+	for range times {
+		one, two := entry(at+1), entry(at+2)
+		switch rng.IntN(4) {
+		case 0: // one by one
+			apply(replication.Write{Delivered: at, From: at + 1, Entries: []replication.Entry{one}})
+			apply(replication.Write{Delivered: at + 1, From: at + 2, Entries: []replication.Entry{two}})
+			apply(replication.Write{Delivered: at + 2, Snap: snap(at + 2)})
+		case 1: // another leader's in their place
+			apply(replication.Write{Delivered: at, From: at + 1, Entries: []replication.Entry{one, two}})
+			view++
+			apply(replication.Write{Delivered: at, From: at + 1, Entries: []replication.Entry{entry(at + 1), entry(at + 2)}})
+			apply(replication.Write{Delivered: at + 2, Snap: snap(at + 2)})
+		case 2: // after a disk that hung
+			apply(replication.Write{Delivered: at + 1, Snap: snap(at), From: at + 1, Entries: []replication.Entry{one, two}})
+			apply(replication.Write{Delivered: at + 2, Snap: snap(at + 2)})
+		case 3: // a member that was away
+			apply(replication.Write{Delivered: at, From: at + 1, Entries: []replication.Entry{one, two}})
+			apply(replication.Write{Delivered: at + 9, Snap: snap(at + 9), From: at + 10})
+			at += 7
+		}
+		at += 2
+	}
+	must.NoError(t, b.Close())
+	info, err := os.Stat(filepath.Join(dir, Name))
+	must.NoError(t, err)
+	t.Logf("%d of %d KB: %d KB", times, state>>10, info.Size()>>10)
+	must.LessEq(t, int64(10*state), info.Size())
+}
--- a/internal/gateway/node/follower.go
+++ b/internal/gateway/node/follower.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/gob"
+	"time"
 
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/statemachine"
@@ -39,10 +40,14 @@
 			if len(state) == 0 {
 				state = statemachine.New().Snapshot()
 			}
-			f.upto = b.Index()
 			if f.chunks && len(state) > feedTerms.Window {
+				if h.mayBeOld() {
+					return
+				}
+				f.upto = b.Index()
 				f.send(b, b.Index(), false)
 			} else {
+				f.upto = b.Index()
 				h.links.Send(addr, &Frame{Feed: h.fresh(addr, &Feed{After: b.Index(), State: state})})
 			}
 			continue
@@ -73,6 +78,16 @@
 	}
 }
 
+// oldStateFor is how long a member that has just started keeps a large state back while it has no word of a majority.
+const oldStateFor = 2 * time.Second
+
+// mayBeOld tells whether the state may be long out of date: this member has just come back, and knows of no leader yet. Who was sent it
+// would be sent the newest after it; it asks again, or another. Where nobody leads for long it is better than nothing.
+func (h *Node) mayBeOld() bool {
+	_, _, word := h.contact()
+	return !word && h.e.Now()-h.beganAt < oldStateFor
+}
+
 // send begins with a blob, from where the follower has it.
 func (f *follower) send(b *replication.Blob, until uint64, log bool) {
 	f.out, f.until, f.log = replication.Outgoing{Blob: b}, until, log
--- /dev/null
+++ b/internal/gateway/node/oldstate_test.go
@@ -0,0 +1,60 @@
+package node
+
+import (
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/settings"
+	"clovergap/internal/gateway/statemachine"
+)
+
+// A member that was away for long came back and sent whoever picked it as a feeder the whole state that its disk held, 4 s for a MB on
+// 2 Mbit/s, and then the newest. It keeps a large state back until it has word of a majority, or has waited in vain for one.
+func TestOldStateIsKeptBack(t *testing.T) {
+	const asker, addr = "10.0.0.9:7110", "10.0.0.1:7110"
+	made := func(state []byte, members ...replication.Member) (*Node, *sent, func(time.Duration) int) {
+		clock, out := &still{now: time.Minute}, &sent{frames: map[string][]*Frame{}}
+		h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLog("a"), e: clock, links: out, machine: statemachine.New(),
+			followers: map[string]*follower{}, echoes: map[string]echo{}, beganAt: clock.now, applied: 5}
+		h.roster = membership.New(membership.Node{Name: "a", Addr: addr, Disk: 1}, membership.Terms{}, clock.now)
+		h.core = &core{h: h, me: members[0], hears: map[string]hearsWith{}, p: replication.New(members[0], replication.Kept{Me: 1, House: 1,
+			Promise: 1, Delivered: 5, Snap: replication.Snapshot{Index: 5, View: 1, Members: members, State: state}},
+			replication.DefaultTerms(), 1, clock.now)}
+		return h, out, func(at time.Duration) (bytes int) { // that a follower is sent which asks then
+			clock.now = time.Minute + at
+			delete(out.frames, asker)
+			h.followed(asker, &Follow{Chunks: true})
+			for _, f := range out.frames[asker] {
+				if f.Feed != nil && f.Feed.Chunk != nil {
+					bytes += len(f.Feed.Chunk.Data)
+				} else if f.Feed != nil {
+					bytes += len(f.Feed.State)
+				}
+			}
+			return bytes
+		}
+	}
+	all := []replication.Member{{ID: 1, Addr: addr}, {ID: 2, Addr: "b"}, {ID: 3, Addr: "c"}}
+	_, _, asks := made(make([]byte, 1<<20), all...)
+	must.Eq(t, 0, asks(0))
+	must.Eq(t, 0, asks(oldStateFor-1))
+	must.Eq(t, feedTerms.Window, asks(oldStateFor))
+	_, _, asks = made(make([]byte, 1000), all...) // what is small goes at once
+	must.Eq(t, 1000, asks(0))
+
+	h, _, asks := made(make([]byte, 1<<20), all[0]) // it is a majority by itself
+	must.Eq(t, 0, asks(0))
+	for at := time.Duration(0); at < oldStateFor-lookEvery; at += lookEvery {
+		h.core.p.Now(time.Minute + at)
+		for a, ok := h.core.p.Next(); ok; a, ok = h.core.p.Next() {
+			if w, ok := a.(replication.Write); ok {
+				h.core.p.Synced(w.Nr)
+			}
+		}
+	}
+	must.Eq(t, feedTerms.Window, asks(oldStateFor-lookEvery))
+}
