--- a/cmd/clovergap/serve.go
+++ b/cmd/clovergap/serve.go
@@ -20,10 +20,11 @@
 	"clovergap/internal/failpoint"
 	"clovergap/internal/frontdoor/config"
 	"clovergap/internal/frontdoor/discovery"
+	"clovergap/internal/frontdoor/lease"
 	"clovergap/internal/frontdoor/leasing"
+	"clovergap/internal/frontdoor/logs"
 	"clovergap/internal/frontdoor/operator"
 	"clovergap/internal/history"
-	"clovergap/internal/logs"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
 	"clovergap/internal/proxy/eventloop"
@@ -136,22 +137,22 @@
 // build puts the stages together and starts them.
 func build(c *config.Config, log *zap.Logger, past *past, o operator.Leases) (*front, error) {
 	f := &front{conf: c, log: log, past: past, e: eventloop.New(c.Listen, c.Sockets, http1.MostRaw, c.MemoryMB<<20/ringShare)}
-	door, err := control.New(c.Seed, c.Settings, f.e.Now())
+	node, err := control.New(c.Seed, c.Settings, f.e.Now())
 	if err != nil {
 		return nil, err
 	}
-	known, err := discovery.Read(c.Known, c.Halls, f.e.AtUnix)
+	known, err := discovery.Read(c.Known, c.Zones, f.e.AtUnix)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	k := &clock{Engine: f.e}
-	f.gate = gate.New(door, k, min(c.MostHeld, c.Sockets), f.e.Count, log)
+	f.gate = gate.New(node, k, min(c.MostHeld, c.Sockets), f.e.Count, log)
 	k.due = f.gate
 	clients := max(1, f.e.Room()/clientShare)
 	f.dispatch = upstream.New(f.e, f.gate, upstream.Terms{Dialect: upstream.NewReports(c.Fields), Idle: c.ConnIdle,
 		Dial: c.DialLimit}, func() bool { return f.intake.Evict() })
 	f.intake = downstream.New(f.e, clients, downstream.Bounds{}, func() bool { return f.dispatch.Evict(nil) })
-	downstream.NewTxns(f.intake, f.gate, c)
+	downstream.NewTxns(f.intake, f.gate, txnTerms(c))
 	var tell gate.Teller = quiet{}
 	if len(c.Peers) > 0 {
 		if f.peers, err = peers.New(f.e, c.PeerListen, c.Peers, c.Me, f.heard); err != nil {
@@ -169,14 +170,14 @@
 		if f.peers == nil {
 			return nil, errors.New("leases.on: the configuration names no peers")
 		}
-		hall := ""
-		if n, err := strconv.Atoi(c.Settings["hall"]); err == nil && n >= 0 && n < len(c.Halls) {
-			hall = c.Halls[n]
+		zone := ""
+		if n, wrong := strconv.Atoi(c.Settings["zone"]); wrong == nil && n >= 0 && n < len(c.Zones) {
+			zone = c.Zones[n]
 		}
-		if f.leases, err = leasing.New(f.e, o, c.Me, len(c.Peers), uint32(c.Seed)^uint32(c.Seed>>32), c.Name, hall, f.peers.Tell, log, past.add); err != nil {
+		if f.leases, err = leasing.New(f.e, o, c.Me, len(c.Peers), uint32(c.Seed)^uint32(c.Seed>>32), c.Name, zone, f.peers.Tell, log, past.add); err != nil {
 			return nil, err
 		}
-		f.peers.Frames(f.leases.Heard)
+		f.peers.Frames(lease.Mark, f.leases.Heard)
 		f.e.Settled(func() { f.gate.Pull(); f.leases.Pull() })
 	}
 	f.e.Short(func() {
@@ -186,7 +187,7 @@
 	})
 	f.e.Turn(func() { f.listed(known) })
 	failpoint.At(failpoint.BeforeReady)
-	if err := f.e.Start(); err != nil {
+	if err = f.e.Start(); err != nil {
 		return nil, err
 	}
 	if f.peers != nil {
@@ -196,7 +197,7 @@
 		}
 	}
 	f.e.Turn(func() {
-		f.watch = discovery.NewWatch(f.e, c.Discovery, c.Wait, c.Halls, f.listed, log)
+		f.watch = discovery.NewWatch(f.e, c.Discovery, c.Wait, c.Zones, f.listed, log)
 		f.watch.Start()
 	})
 	past.add(history.Event{Kind: history.Up})
@@ -254,7 +255,7 @@
 		return
 	}
 	var w *discovery.Watch
-	w = discovery.NewWatch(f.e, addr, c.Wait, c.Halls, func(l discovery.List) {
+	w = discovery.NewWatch(f.e, addr, c.Wait, c.Zones, func(l discovery.List) {
 		if w == f.next {
 			f.watch.Stop()
 			f.watch, f.next = w, nil
@@ -270,7 +271,7 @@
 	if _, err := control.New(c.Seed, c.Settings, 0); err != nil {
 		return discovery.List{}, err
 	}
-	known, err := discovery.Read(c.Known, c.Halls, func(time.Time) time.Duration { return 0 })
+	known, err := discovery.Read(c.Known, c.Zones, func(time.Time) time.Duration { return 0 })
 	if err != nil {
 		return known, fmt.Errorf("known: %w", err)
 	}
@@ -332,3 +333,12 @@
 		l.Errorf(format, v...)
 	}
 }
+
+// txnTerms is what the configuration says of the txns that clients may send.
+func txnTerms(c *config.Config) downstream.TxnTerms {
+	terms := downstream.TxnTerms{Plans: c.Plans, Gateways: max(len(c.Peers), 1), MostUnits: c.MostUnits}
+	for _, p := range c.Products {
+		terms.Products = append(terms.Products, downstream.Product{Name: p.Name, Keyed: p.Keyed, Safe: p.Safe})
+	}
+	return terms
+}
--- a/cmd/lab/chaos.go
+++ b/cmd/lab/chaos.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"sync"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -22,15 +21,12 @@
 
 // chaos are the flags of playing on real processes.
 type chaos struct {
-	named, keep, out    string
-	operator            string
-	seeds, nodes, most  int
-	first               uint64
-	dur                 time.Duration
-	rate                float64
-	jobs, times         int
-	shrink, replay, own bool
-	firstOnly           bool
+	seedRuns
+	named, out, operator string
+	nodes, most, times   int
+	dur                  time.Duration
+	rate                 float64
+	shrink, replay, own  bool
 }
 
 func chaosCommand() *cobra.Command {
@@ -48,7 +44,7 @@
 				return err
 			}
 			if k.nodes > 0 {
-				s.Doors.Count = k.nodes
+				s.Nodes.Count = k.nodes
 			}
 			if c.Flags().Changed("for") {
 				if k.replay || k.shrink {
@@ -86,7 +82,7 @@
 	c.Flags().StringVar(&k.out, "out", "", "add each run's result to this file of JSON lines")
 	c.Flags().IntVar(&k.seeds, "seeds", 5, "how many schedules")
 	c.Flags().Uint64Var(&k.first, "first", 1, "first seed")
-	c.Flags().IntVar(&k.nodes, "doors", 0, "front doors in place of the file's")
+	c.Flags().IntVar(&k.nodes, "nodes", 0, "front doors in place of the file's")
 	c.Flags().IntVar(&k.most, "faults", 6, "faults of a schedule at most")
 	c.Flags().DurationVar(&k.dur, "for", 30*time.Second, "how long each runs, in place of the file's")
 	c.Flags().Float64Var(&k.rate, "rate", 0, "requests a second in place of the file's load")
@@ -94,7 +90,7 @@
 	c.Flags().IntVar(&k.times, "times", 1, "with --replay, how often; with --shrink, how often each try is played at most")
 	c.Flags().BoolVar(&k.shrink, "shrink", false, "find as few of the file's faults as still fail")
 	c.Flags().BoolVar(&k.replay, "replay", false, "play the file's faults as they are")
-	c.Flags().BoolVar(&k.firstOnly, "first-broken", false, "end when a rule is broken")
+	c.Flags().BoolVar(&k.firstBroken, "first-broken", false, "end when a rule is broken")
 	c.Flags().BoolVar(&k.own, "own", false, "the front doors' own histories too")
 	return c
 }
@@ -113,7 +109,7 @@
 		verdict += fmt.Sprintf("; times not to be trusted (%s), %d set aside", r.Doubt, len(r.Doubted))
 	}
 	fmt.Printf("%s seed %d: %d front doors, %d faults, %d asked, %d settled, %d refused, %d voided, %d without answer, beyond quota %.3f, held up %s: %s\n",
-		r.Name, r.Seed, r.Doors, r.Faults, r.Asked, r.Settled, r.Refused, r.Voided, r.Failed, r.Beyond, r.Slow.Round(time.Millisecond), verdict)
+		r.Name, r.Seed, r.Nodes, r.Faults, r.Asked, r.Settled, r.Refused, r.Voided, r.Failed, r.Beyond, r.Slow.Round(time.Millisecond), verdict)
 	if r.Held > 0 {
 		fmt.Printf("  leases: %d grants and renewals, %d steps taken, %d stale ones refused\n", r.Held, r.Steps, r.Stale)
 	}
@@ -138,58 +134,9 @@
 
 // draw plays random schedules, some side by side.
 func (k *chaos) draw(ctx context.Context, s *spec.Spec) error {
-	seeds := make(chan uint64)
-	outer := ctx
-	ctx, enough := context.WithCancel(ctx)
-	defer enough()
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	var failed error
-	broken, played := 0, 0
-	for i := 0; i < k.jobs; i++ {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for seed := range seeds {
-				r, err := faultrig.Play(ctx, s.Drawn(seed, k.most, false), k.options())
-				mu.Lock()
-				switch {
-				case err != nil && ctx.Err() == nil:
-					if failed == nil {
-						failed = fmt.Errorf("seed %d: %w", seed, err)
-					}
-				case err == nil:
-					if played++; len(r.Broken) > 0 {
-						if broken++; k.firstOnly {
-							enough()
-						}
-					}
-					if err := k.tell(r); err != nil && failed == nil {
-						failed = err
-					}
-				}
-				mu.Unlock()
-			}
-		}()
-	}
-	for i := 0; i < k.seeds && ctx.Err() == nil; i++ {
-		select {
-		case seeds <- k.first + uint64(i):
-		case <-ctx.Done():
-		}
-	}
-	close(seeds)
-	wg.Wait()
-	if failed != nil {
-		return failed
-	}
-	if outer.Err() != nil {
-		return fmt.Errorf("stopped after %d of %d schedules, %d broke rules; --first goes on from there", played, k.seeds, broken)
-	}
-	if broken > 0 {
-		return fmt.Errorf("%d of %d schedules broke rules; they are kept in %s", broken, k.seeds, k.keep)
-	}
-	return nil
+	return playSeeds(ctx, &k.seedRuns, func(ctx context.Context, seed uint64) (*faultrig.Result, error) {
+		return faultrig.Play(ctx, s.Drawn(seed, k.most, false), k.options())
+	}, func(r *faultrig.Result) (bool, error) { return len(r.Broken) > 0, k.tell(r) })
 }
 
 // failing makes of a play one that tells whether it breaks the rule: the one that is broken first, and the same all the way, or
@@ -291,7 +238,7 @@
 		}
 		bad := make([]history.Broken, 0, len(r.Broken))
 		for _, b := range r.Broken {
-			bad = append(bad, history.Broken{Rule: b.Rule.String(), T: b.At, Who: fmt.Sprint("front door ", b.Door), Txn: fmt.Sprint(b.Txn), What: b.What})
+			bad = append(bad, history.Broken{Rule: b.Rule.String(), T: b.At, Who: fmt.Sprint("front door ", b.Node), Txn: fmt.Sprint(b.Txn), What: b.What})
 		}
 		fmt.Printf("\nseed %d BROKE %d: %s\n", c.Seed, r.RulesBroken, bad[0])
 		return faultrig.Keep(keep, c, &faultrig.Result{Broken: bad})
--- a/cmd/lab/gateway.go
+++ b/cmd/lab/gateway.go
@@ -22,13 +22,13 @@
 const gatewayProgram = "gateway"
 
 func gatewayCommand() *cobra.Command {
-	c := &cobra.Command{Use: "house",
-		Short: "The whole gateway: real doors, backends that beat, an operator, clients",
+	c := &cobra.Command{Use: "gateway",
+		Short: "The whole gateway: real nodes, backends that beat, an operator, clients",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				return usageError{fmt.Errorf("no such command: house %s", args[0])}
+				return usageError{fmt.Errorf("no such command: gateway %s", args[0])}
 			}
-			return usageError{fmt.Errorf("house wants demo, chaos, losses or rollout")}
+			return usageError{fmt.Errorf("gateway wants demo, chaos, losses or rollout")}
 		}, RunE: func(*cobra.Command, []string) error { return nil }}
 	c.AddCommand(gatewayDemoCommand(), gatewayChaosCommand(), gatewayLossesCommand(), gatewayRolloutCommand())
 	return c
@@ -39,42 +39,59 @@
 
 func gatewayDemoCommand() *cobra.Command {
 	var named, fault string
-	var doors int
+	var nodes int
 	var dur time.Duration
 	var rate float64
-	known := []string{"door-kill", "door-stall", "door-wipe", "release", "crash", "burst"}
-	c := &cobra.Command{Use: "demo", Short: "Three real doors with disks on loopback, and a live table",
+	known := []string{"node-kill", "node-stall", "node-wipe", "release", "crash", "burst"}
+	c := &cobra.Command{Use: "demo", Short: "Three real nodes with disks on loopback, and a live table",
 		Args: exactly(0, "no arguments"),
-		Long: "Starts doors at 127.0.0.1, 127.0.0.2 and so on, alike in their ports, the first three with a\n" +
+		Long: "Starts nodes at 127.0.0.1, 127.0.0.2 and so on, alike in their ports, the first three with a\n" +
 			"disk in a folder that goes with the demo; two services' backends that beat; an operator who changes\n" +
 			"the configuration every other second; clients with keys. Shows each second what was asked and served,\n" +
 			"and why the rest was not. Ctrl-C or --for ends it and all its processes.",
-		Example: "  lab house demo --for 20s\n  lab house demo --for 30s --fault door-wipe",
+		Example: "  lab gateway demo --for 20s\n  lab gateway demo --for 30s --fault node-wipe",
 		RunE: func(c *cobra.Command, _ []string) error {
 			if fault != "" && !slices.Contains(known, fault) {
 				return usageError{fmt.Errorf("no such fault: %q", fault)}
 			}
-			if doors < 1 || doors > 30 {
-				return usageError{fmt.Errorf("--doors must be 1 to 30")}
+			if nodes < 1 || nodes > 30 {
+				return usageError{fmt.Errorf("--nodes must be 1 to 30")}
 			}
 			return showDemo(c, gatewayProgram, named, dur, func(ctx context.Context, path string) error {
-				return gatewayDemo(ctx, path, fault, doors, rate, dur)
+				return gatewayDemo(ctx, path, fault, nodes, rate, dur)
 			})
 		}}
 	c.Flags().StringVar(&named, "program", "", "gateway program (default: beside lab, under bin, or built)")
 	c.Flags().StringVar(&fault, "fault", "", "fault to bring after a third of the time: "+strings.Join(known,
 		", "))
-	c.Flags().IntVar(&doors, "doors", 3, "doors, the first three with a disk")
+	c.Flags().IntVar(&nodes, "nodes", 3, "nodes, the first three with a disk")
 	c.Flags().DurationVar(&dur, "for", 0, "end after this long (default: at Ctrl-C)")
 	c.Flags().Float64Var(&rate, "rate", 80, "requests a second")
 	return c
 }
 
-func gatewayDemo(ctx context.Context, path, fault string, doors int, rate float64, dur time.Duration) error {
+// demoRun is the gateway on loopback, live.
+type demoRun struct {
+	deployment *gatewaystandin.Deployment
+	clients    *gatewaystandin.Clients
+	beside     sync.WaitGroup
+	second     int
+	last       tableRow // what the last line of the table was made of
+}
+
+// tableRow is what one line of the demo's table is made of: totals since the start.
+type tableRow struct {
+	outcome standin.Outcome
+	status  map[int]int
+	reasons map[string]int
+}
+
+// gatewayDemo starts nodes, an operator and clients, and shows what becomes of requests until the time is over.
+func gatewayDemo(ctx context.Context, path, fault string, nodes int, rate float64, dur time.Duration) error {
 	log := history.InMemory(1 << 20)
-	t, err := gatewaystandin.New(gatewaystandin.Terms{Program: path, Nodes: doors, Disks: min(3, doors), Base: "127.0.0.",
-		Zones: zones, Each: 2,
-		Rate: rate, Seed: 1, Beat: time.Second, Lost: min(1, (min(3, doors)-1)/2), History: log})
+	disks := min(3, nodes)
+	t, err := gatewaystandin.New(gatewaystandin.Terms{Program: path, Nodes: nodes, Disks: disks, Base: "127.0.0.", Zones: zones, Each: 2,
+		Rate: rate, Seed: 1, Beat: time.Second, Lost: min(1, (disks-1)/2), History: log})
 	if err != nil {
 		return err
 	}
@@ -82,88 +99,97 @@
 	if err := t.Start(); err != nil {
 		return err
 	}
+	showNodes(t)
+	x := &demoRun{deployment: t, clients: gatewaystandin.NewClients(t)}
+	defer x.clients.Close()
+	defer x.beside.Wait()
+	x.beside.Go(func() { x.clients.Watch(ctx) })
+	x.beside.Go(func() { x.operate(ctx) })
+	fmt.Println(" sec  asked served  late | 429 503 502+504 other none | nodes' reasons | nodes ready, backends, version")
+	faultTime := demoFaultTime(fault, dur)
+	tick := time.NewTicker(time.Second)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			x.beside.Wait()
+			return gatewaySummary(t, x.clients, log)
+		case <-faultTime:
+			fmt.Println("  --", fault)
+			x.beside.Go(func() { gatewayFault(ctx, t, fault, x.clients) })
+		case <-tick.C:
+			x.show(ctx)
+		}
+	}
+}
+
+// showNodes prints where each node can be reached.
+func showNodes(t *gatewaystandin.Deployment) {
 	for _, d := range t.Nodes {
 		disk := ""
 		if d.Disk != "" {
 			disk = ", with a disk"
 		}
-		fmt.Printf("  %s in %s: clients at %s, control at %s, process %d%s\n", d.Name, d.Zone, d.Front, d.Control,
-			d.Pid(), disk)
+		fmt.Printf("  %s in %s: clients at %s, control at %s, process %d%s\n", d.Name, d.Zone, d.Front, d.Control, d.Pid(), disk)
 	}
-	load := gatewaystandin.NewClients(t)
-	defer load.Close()
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	both := func(do func(context.Context)) {
-		wg.Add(1)
-		go func() { defer wg.Done(); do(ctx) }()
+}
+
+// demoFaultTime is a third of the demo's time, or a little after its start.
+func demoFaultTime(fault string, dur time.Duration) <-chan time.Time {
+	switch {
+	case fault == "":
+		return nil
+	case dur > 0:
+		return time.After(dur / 3)
+	}
+	return time.After(5 * time.Second)
+}
+
+// operate opens with a configuration and changes it every other second; clients come once there is one.
+func (x *demoRun) operate(ctx context.Context) {
+	operator := x.deployment.Operator
+	if operator.Open(ctx) {
+		x.beside.Go(func() { x.clients.Open(ctx) })
 	}
-	both(load.Watch)
-	both(func(ctx context.Context) {
-		if t.Operator.Open(ctx) {
-			both(load.Open)
+	for ctx.Err() == nil {
+		rest(ctx, 2*time.Second)
+		operator.Step(ctx)
+		if _, config := operator.Known(); config != nil {
+			x.clients.Learn(config)
 		}
-		for ctx.Err() == nil {
-			rest(ctx, 2*time.Second)
-			t.Operator.Step(ctx)
-			if _, b := t.Operator.Known(); b != nil {
-				load.Learn(b)
-			}
+	}
+}
+
+// show prints the table's line of the last second.
+func (x *demoRun) show(ctx context.Context) {
+	x.second++
+	outcome, _, status := x.clients.Outcomes()
+	now := tableRow{outcome, status, gatewayReasons(ctx, x.deployment)}
+	ended := func(codes ...int) (n int) {
+		for _, code := range codes {
+			n += now.status[code] - x.last.status[code]
 		}
-	})
-	var later <-chan time.Time
-	if fault != "" {
-		wait := 5 * time.Second
-		if dur > 0 {
-			wait = dur / 3
+		return n
+	}
+	other := 0
+	for code := range now.status {
+		if code/100 != 2 && !slices.Contains([]int{0, 429, 503, 502, 504}, code) {
+			other += ended(code)
 		}
-		later = time.After(wait)
 	}
-	fmt.Println(" sec  asked served  late | 429 503 502+504 other none | doors' reasons | " +
-		"doors ready, backends, version")
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
-	last, lastStatus, lastWhy := standin.Outcome{}, map[int]int{}, map[string]int{}
-	for sec := 1; ; {
-		select {
-		case <-ctx.Done():
-			wg.Wait()
-			return gatewaySummary(t, load, log)
-		case <-later:
-			fmt.Println("  --", fault)
-			both(func(ctx context.Context) { gatewayFault(ctx, t, fault, load) })
-		case <-tick.C:
-			now, _, status := load.Outcomes()
-			d := func(codes ...int) (n int) {
-				for _, c := range codes {
-					n += status[c] - lastStatus[c]
-				}
-				return n
-			}
-			other := 0
-			for c := range status {
-				if c/100 != 2 && c != 0 && c != 429 && c != 503 && c != 502 && c != 504 {
-					other += d(c)
-				}
-			}
-			why := gatewayReasons(ctx, t)
-			var words []string
-			for k, n := range why {
-				if n > lastWhy[k] {
-					words = append(words, fmt.Sprintf("%s %d", k, n-lastWhy[k]))
-				}
-			}
-			slices.Sort(words)
-			version, _ := t.Operator.Known()
-			fmt.Printf("%4d %6d %6d %5d | %3d %3d %7d %5d %4d | %s | %d, %d, %d\n", sec, now.Requests-last.Requests,
-				now.InTime-last.InTime,
-				now.Settled-now.InTime-(last.Settled-last.InTime), d(429), d(503), d(502,
-					504), other, d(0), strings.Join(words, ", "),
-				load.Ready(), len(t.Serving()), version)
-			last, lastStatus, lastWhy = now, status, why
-			sec++
+	var reasons []string
+	for reason, n := range now.reasons {
+		if n > x.last.reasons[reason] {
+			reasons = append(reasons, fmt.Sprintf("%s %d", reason, n-x.last.reasons[reason]))
 		}
 	}
+	slices.Sort(reasons)
+	version, _ := x.deployment.Operator.Known()
+	a, b := now.outcome, x.last.outcome
+	fmt.Printf("%4d %6d %6d %5d | %3d %3d %7d %5d %4d | %s | %d, %d, %d\n", x.second, a.Requests-b.Requests, a.InTime-b.InTime,
+		a.Settled-a.InTime-(b.Settled-b.InTime), ended(429), ended(503), ended(502, 504), other, ended(0), strings.Join(reasons, ", "),
+		x.clients.Ready(), len(x.deployment.Serving()), version)
+	x.last = now
 }
 
 // rest waits, or until the context ends.
@@ -180,7 +206,7 @@
 	defer cancel()
 	sum := map[string]int{}
 	for _, d := range t.Nodes {
-		r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+d.Control+"/api/House.Status", nil)
+		r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+d.Control+"/api/Node.Status", nil)
 		a, err := http.DefaultClient.Do(r)
 		if err != nil {
 			continue
@@ -216,17 +242,17 @@
 		}
 	}
 	switch fault {
-	case "door-kill":
+	case "node-kill":
 		d.Kill()
 		rest(ctx, 3*time.Second)
 		again()
-	case "door-wipe":
+	case "node-wipe":
 		d = t.Cores()[len(t.Cores())-1]
 		d.Kill()
 		d.Wipe()
 		rest(ctx, time.Second)
 		again()
-	case "door-stall":
+	case "node-stall":
 		d.Hold(true, fault)
 		rest(ctx, 4*time.Second)
 		d.Hold(false, fault)
--- a/cmd/lab/gatewaychaos.go
+++ b/cmd/lab/gatewaychaos.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"strings"
-	"sync"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -17,10 +16,9 @@
 
 // gatewayChaos are the flags of playing schedules on the gateway's nodes.
 type gatewayChaos struct {
-	named, keep, out string
-	seeds, nodes     int
-	most, jobs       int
-	first            uint64
+	seedRuns
+	named, out       string
+	nodes, most      int
 	dur              time.Duration
 	rate             float64
 	only             []int
@@ -30,16 +28,16 @@
 func gatewayChaosCommand() *cobra.Command {
 	var k gatewayChaos
 	c := &cobra.Command{Use: "chaos",
-		Short: "Random kills, stalls, cuts, lost disks and restarts of real doors, checked", Args: exactly(0,
+		Short: "Random kills, stalls, cuts, lost disks and restarts of real nodes, checked", Args: exactly(0,
 			"no arguments"),
-		Long: "Starts doors, three of them with a disk, with backends that beat, an operator and clients; draws\n" +
+		Long: "Starts nodes, three of them with a disk, with backends that beat, an operator and clients; draws\n" +
 			"overlapping faults from each seed, plays them, and holds what clients, backends and the operator saw\n" +
-			"against the rules. A schedule is drawn again from its seed, --doors, --faults and --for; --only plays\n" +
+			"against the rules. A schedule is drawn again from its seed, --nodes, --faults and --for; --only plays\n" +
 			"some of its faults. Ends with 1 if a rule was broken.",
-		Example: "  lab house chaos --doors 5 --seeds 20 --for 20s\n" +
-			"  lab house chaos --first 7 --seeds 1            # seed 7 again\n" +
-			"  lab house chaos --first 7 --seeds 1 --only 0,2 # two of its faults\n" +
-			"  lab house chaos --first 7 --seeds 1 --shrink",
+		Example: "  lab gateway chaos --nodes 5 --seeds 20 --for 20s\n" +
+			"  lab gateway chaos --first 7 --seeds 1            # seed 7 again\n" +
+			"  lab gateway chaos --first 7 --seeds 1 --only 0,2 # two of its faults\n" +
+			"  lab gateway chaos --first 7 --seeds 1 --shrink",
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := k.sound(); err != nil {
 				return err
@@ -64,11 +62,11 @@
 
 // flags are those of all that plays a schedule a seed.
 func (k *gatewayChaos) flags(c *cobra.Command, rate float64) {
-	c.Flags().StringVar(&k.keep, "keep", "found", "folder for histories and doors' logs of what failed")
+	c.Flags().StringVar(&k.keep, "keep", "found", "folder for histories and nodes' logs of what failed")
 	c.Flags().StringVar(&k.out, "out", "", "add each run's result to this file of JSON lines")
 	c.Flags().IntVar(&k.seeds, "seeds", 5, "how many schedules")
 	c.Flags().Uint64Var(&k.first, "first", 1, "first seed")
-	c.Flags().IntVar(&k.nodes, "doors", 5, "doors, the first three with a disk")
+	c.Flags().IntVar(&k.nodes, "nodes", 5, "nodes, the first three with a disk")
 	c.Flags().Float64Var(&k.rate, "rate", rate, "requests a second")
 	c.Flags().IntVar(&k.jobs, "jobs", 1, "runs side by side")
 }
@@ -87,7 +85,7 @@
 // sound tells whether the flags can be played.
 func (k *gatewayChaos) sound() error {
 	if k.seeds < 1 || k.jobs < 1 || k.most < 2 || k.nodes < faultrig.Disks || k.nodes > 60 {
-		return usageError{fmt.Errorf("--seeds and --jobs must be 1 at the least, --faults 2, --doors %d to 60", faultrig.Disks)}
+		return usageError{fmt.Errorf("--seeds and --jobs must be 1 at the least, --faults 2, --nodes %d to 60", faultrig.Disks)}
 	}
 	return nil
 }
@@ -158,61 +156,13 @@
 
 // play plays the schedules, some side by side.
 func (k *gatewayChaos) play(ctx context.Context) error {
-	fmt.Printf(gatewayTable, "seed", "doors", "asked", "served", "refus", "fail", "no answ", "taken", "uncl",
+	fmt.Printf(gatewayTable, "seed", "nodes", "asked", "served", "refus", "fail", "no answ", "taken", "uncl",
 		"took", "held up", "recovered", "verdict")
-	return eachSeed(ctx, k, func(seed uint64) (*faultrig.GatewayResult, error) {
+	return playSeeds(ctx, &k.seedRuns, func(ctx context.Context, seed uint64) (*faultrig.GatewayResult, error) {
 		return faultrig.PlayGateway(ctx, k.drawn(seed), k.options())
 	}, func(r *faultrig.GatewayResult) (bool, error) { return len(r.Broken) > 0, k.tell(r) })
 }
 
-// eachSeed plays a schedule a seed, some side by side, and tells each result, which may be of broken rules.
-func eachSeed[T any](ctx context.Context, k *gatewayChaos, play func(uint64) (T, error), tell func(T) (bool, error)) error {
-	seeds := make(chan uint64)
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	var failed error
-	broken, played := 0, 0
-	for range k.jobs {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for seed := range seeds {
-				r, err := play(seed)
-				mu.Lock()
-				if err != nil && ctx.Err() == nil {
-					failed = errors.Join(failed, fmt.Errorf("seed %d: %w", seed, err))
-				} else if err == nil {
-					bad, err := tell(r)
-					if played++; bad {
-						broken++
-					}
-					failed = errors.Join(failed, err)
-				}
-				mu.Unlock()
-			}
-		}()
-	}
-	for i := 0; i < k.seeds && ctx.Err() == nil; i++ {
-		select {
-		case seeds <- k.first + uint64(i):
-		case <-ctx.Done():
-		}
-	}
-	close(seeds)
-	wg.Wait()
-	fmt.Printf("%d of %d schedules played on %d doors, %d broke rules\n", played, k.seeds, k.nodes, broken)
-	if failed != nil {
-		return failed
-	}
-	if ctx.Err() != nil {
-		return fmt.Errorf("stopped after %d of %d schedules; --first goes on from there", played, k.seeds)
-	}
-	if broken > 0 {
-		return fmt.Errorf("%d of %d schedules broke rules; their histories are in %s", broken, k.seeds, k.keep)
-	}
-	return nil
-}
-
 // smaller shrinks a seed's schedule that fails.
 func (k *gatewayChaos) smaller(ctx context.Context) error {
 	s, rule := k.drawn(k.first), ""
--- a/internal/frontdoor/discovery/watch.go
+++ b/internal/frontdoor/discovery/watch.go
@@ -27,7 +27,7 @@
 	e      *eventloop.Engine
 	addr   string
 	wait   time.Duration // for something new
-	halls  []string
+	zones  []string
 	listed func(List)
 	log    *zap.Logger
 	l      *eventloop.Link
@@ -39,9 +39,9 @@
 }
 
 // NewWatch makes one; listed is told of each answer.
-func NewWatch(e *eventloop.Engine, addr string, wait time.Duration, halls []string, listed func(List),
+func NewWatch(e *eventloop.Engine, addr string, wait time.Duration, zones []string, listed func(List),
 	log *zap.Logger) *Watch {
-	return &Watch{e: e, addr: addr, wait: wait, halls: halls, listed: listed, log: log, r: http1.Responses()}
+	return &Watch{e: e, addr: addr, wait: wait, zones: zones, listed: listed, log: log, r: http1.Responses()}
 }
 
 // Start begins to watch.
@@ -92,10 +92,10 @@
 	w.l.Send(b)
 }
 
-// Live: it is the present call's.
+// Live reports whether a due time is still the present call's.
 func (w *Watch) Live(call uint32) bool { return call == w.call }
 
-// Due: a call was not answered in time, or it is time to try again.
+// Due is called when a call was not answered in time, or it is time to try again.
 func (w *Watch) Due(call uint32) {
 	if call != w.call {
 		return
@@ -120,7 +120,7 @@
 // Sent and Closed are the connection's.
 func (w *Watch) Sent() {}
 
-// Closed: the agent ended the connection.
+// Closed is called when the agent ended the connection.
 func (w *Watch) Closed() { w.again() }
 
 // Data reads an answer.
@@ -135,7 +135,7 @@
 			w.bad("an answer that can't be read")
 			return
 		}
-		list, err := Read(w.r.Body(b), w.halls, w.e.AtUnix)
+		list, err := Read(w.r.Body(b), w.zones, w.e.AtUnix)
 		if err != nil {
 			w.bad(err.Error())
 			return
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"clovergap/control"
-	"clovergap/internal/proxy/invariant"
 )
 
 const ms = time.Millisecond
@@ -81,6 +80,7 @@
 // Answer tells what a choice came to.
 type Answer int
 
+// What a choice may come to.
 const (
 	Chosen Answer = iota
 	Enough        // there are backends, all of them have enough for now
@@ -113,7 +113,7 @@
 // Balancer chooses among the backends of one service.
 type Balancer struct {
 	rng    *rand.Rand
-	zone   control.HallID
+	zone   control.ZoneID
 	nodes  int
 	place  int // of this node among those of its zone
 	places int
@@ -137,7 +137,7 @@
 }
 
 // New makes a cast without backends. Of its nodes many share the service, this one is in the zone given.
-func New(rng *rand.Rand, zone control.HallID, doors int) *Balancer {
+func New(rng *rand.Rand, zone control.ZoneID, doors int) *Balancer {
 	return &Balancer{rng: rng, zone: zone, nodes: max(doors, 1), all: map[control.BackendID]*backend{},
 		usual: map[control.ProductID]float64{}, pain: [2]float64{painCalm, painCalm}, pressed: -time.Minute}
 }
@@ -158,7 +158,7 @@
 	if b.State == control.Gone && l.State != control.Gone { // new, or back
 		at, _ := slices.BinarySearchFunc(c.list, l.ID, byID)
 		c.list = slices.Insert(c.list, at, b)
-		b.pass = c.turn[c.side(l.Hall)] + c.rng.Float64()/max(l.Size, 1)
+		b.pass = c.turn[c.side(l.Zone)] + c.rng.Float64()/max(l.Size, 1)
 	}
 	b.Listing = l
 	if l.State == control.Gone {
@@ -238,7 +238,7 @@
 	return time.Duration(s * float64(time.Second)), ok
 }
 
-func (c *Balancer) side(zone control.HallID) int {
+func (c *Balancer) side(zone control.ZoneID) int {
 	if zone == c.zone {
 		return 0
 	}
@@ -276,8 +276,8 @@
 				continue
 			}
 			stride := c.stride(now, b, w)
-			s := max(b.pass, c.turn[c.side(b.Hall)]-2*stride) + stride*(float64(b.out)+c.rng.Float64()/4)
-			if i := c.side(b.Hall); best[i] == nil || s < score[i] {
+			s := max(b.pass, c.turn[c.side(b.Zone)]-2*stride) + stride*(float64(b.out)+c.rng.Float64()/4)
+			if i := c.side(b.Zone); best[i] == nil || s < score[i] {
 				best[i], score[i] = b, s
 			}
 		}
@@ -409,7 +409,7 @@
 			continue
 		}
 		s := b.fails + float64(b.out) + c.rng.Float64()/2
-		if c.side(b.Hall) > 0 {
+		if c.side(b.Zone) > 0 {
 			s += crossCost
 		}
 		if best == nil || s < least {
@@ -441,174 +441,3 @@
 	}
 	return c.cross
 }
-
-// ---- What happens
-
-// Sent: a request went to a backend.
-func (c *Balancer) Sent(now time.Duration, id control.BackendID, w Want) {
-	b := c.all[id]
-	invariant.That(b != nil && b.State == control.Ready, "only a ready backend gets a request")
-	if b == nil {
-		return
-	}
-	side, stride := c.side(b.Hall), c.stride(now, b, w)
-	b.pass = max(b.pass, c.turn[side]-2*stride)
-	c.turn[side] = max(c.turn[side], b.pass)
-	b.pass += stride
-	if b.owed == 0 {
-		b.oweSince, b.expect = now, 0
-	}
-	if u, ok := c.Usual(w.Kind); ok {
-		b.expect = max(b.expect, u)
-	}
-	if b.owed == 1 {
-		b.oweNext = now
-	}
-	b.sentAt = now
-	b.owed++
-	b.out++
-	c.out++
-}
-
-// End is how a request ended at a backend.
-type End struct {
-	Ending control.Ending
-	Kind   control.ProductID
-	Took   time.Duration
-	Aim    time.Duration // an answer later than this loses half of its worth
-	Own    bool          // how long it took is this node's own doing
-}
-
-// Ended takes the one end of a request that was sent.
-func (c *Balancer) Ended(now time.Duration, id control.BackendID, e End) {
-	b := c.all[id]
-	invariant.That(b != nil && b.out > 0, "what ends at a backend was sent there")
-	if b == nil || b.out == 0 {
-		return
-	}
-	dead := c.Dead(now, id)
-	b.out--
-	c.out--
-	if b.State == control.Gone && b.out == 0 {
-		delete(c.all, id)
-	}
-	switch e.Ending {
-	case control.Settled, control.Errored, control.Full:
-		b.owed, b.oweSince, b.oweNext, c.heard = b.out, now, now, now
-	default:
-		if b.out == 0 {
-			b.owed = 0
-		}
-	}
-	bad := 0.0
-	switch e.Ending {
-	case control.CalledOff:
-		if !dead {
-			return
-		}
-		bad = 1
-	case control.NotSent:
-		b.fullUntil = max(b.fullUntil, now+notSentPause)
-		return
-	case control.Full:
-		c.shed(now, b)
-		return
-	case control.Settled:
-		b.fulls = 0
-		c.sheds -= wideStep * c.sheds
-		c.settled(now, b, e)
-	case control.TimedOut:
-		if e.Own {
-			return
-		}
-		c.hurt(now, b, lateCost)
-		bad = 1
-	default:
-		bad = 1
-	}
-	c.judge(now, b, bad, e.Ending)
-}
-
-// shed: a backend turned one away. It is left alone, twice as long each time in a row. It says nothing of the
-// others, unless many are turned away.
-func (c *Balancer) shed(now time.Duration, b *backend) {
-	pause := fullFirst << min(b.fulls, fullTimes)
-	b.fullUntil = now + time.Duration(float64(pause)*(0.75+c.rng.Float64()/2))
-	b.fulls++
-	c.sheds += wideStep * (1 - c.sheds)
-	if c.sheds > shedShare {
-		c.room *= 1 - shedDown
-		c.bound()
-	}
-	c.pressed = now
-	c.hurt(now, b, lateCost/2)
-}
-
-// settled learns from an answer's time.
-func (c *Balancer) settled(now time.Duration, b *backend, e End) {
-	if e.Own {
-		return
-	}
-	took := max(e.Took.Seconds(), 0.0005)
-	usual, ok := c.usual[e.Kind]
-	if !ok {
-		usual = took
-	}
-	took = min(took, longTimes*usual)
-	c.usual[e.Kind] = usual + usualStep*(took-usual)
-	b.answers++
-	b.speed += max(speedStep, 1/float64(b.answers+4)) * (took/usual - b.speed)
-	late := e.Aim > 0 && float64(e.Took) > lateFrom*float64(e.Aim)
-	pain := 0.0
-	if late {
-		pain = lateCost
-	}
-	c.hurt(now, b, pain)
-	used := float64(c.out+1) >= useLeast*c.room || now-c.pressed < 300*ms
-	switch {
-	case !late && used:
-		c.room += roomUp * (c.room + 1)
-	case late && used && now >= b.Cold && b.speed < crowdHigh:
-		c.room *= 1 - roomDown
-	}
-	c.bound()
-}
-
-func (c *Balancer) hurt(now time.Duration, b *backend, pain float64) {
-	side := c.side(b.Hall)
-	if side == 1 {
-		c.painAt = now
-	}
-	c.pain[side] += painStep * (pain - c.pain[side])
-}
-
-// judge sets a failing backend aside for a while. Where all fail alike, no backend is at fault.
-func (c *Balancer) judge(now time.Duration, b *backend, fail float64, how control.Ending) {
-	b.ends++
-	b.fails += max(failStep, 1/float64(b.ends+1)) * (fail - b.fails)
-	c.lost += wideStep * (fail - c.lost)
-	if fail == 0 {
-		if b.suspect {
-			b.suspect, b.rampFrom, b.fails = false, now, min(b.fails, failShare/2)
-		} else if b.fails < careShare/2 {
-			b.pause = 0
-		}
-		return
-	}
-	// What takes no connection is left at once. A request out from before the pause says nothing new.
-	if b.until > now || how != control.Unreachable && !b.suspect &&
-		(b.fails < failShare || b.fails < failOdd*c.lost) {
-		return
-	}
-	b.pause = min(max(asideFirst, 2*b.pause), asideLast)
-	b.until = now + time.Duration(float64(b.pause)*(0.8+0.4*c.rng.Float64()))
-	b.suspect = true
-}
-
-// Stood: this node stood still until now. Silence and time-outs of that time are of its own making.
-func (c *Balancer) Stood(now time.Duration) {
-	for _, b := range c.list {
-		b.oweSince, b.oweNext = now, now
-	}
-	c.heard = now
-}
--- a/internal/gateway/controlapi/handler.go
+++ b/internal/gateway/controlapi/handler.go
@@ -30,6 +30,7 @@
 	Leave(id string, then func(ok bool, target string))
 	Status() NodeStatus
 	Rollouts
+	Coordination
 }
 
 // Paths of the calls; the last two are followed by a backend's id.
@@ -38,7 +39,7 @@
 	pathReplace   = "/api/Config.Replace"
 	pathAmend     = "/api/Config.Amend"
 	pathRead      = "/api/Config.Read"
-	pathStatus    = "/api/House.Status"
+	pathStatus    = "/api/Node.Status"
 	pathHeartbeat = "/api/Backends.Heartbeat/"
 	pathLeave     = "/api/Backends.Leave/"
 )
@@ -69,8 +70,11 @@
 // Take takes a whole call.
 func (f *Handler) Take(c *downstream.Client) {
 	r, b := c.Request()
-	path, _, _ := strings.Cut(string(r.Target(b)), "?")
-	method := string(r.Method(b))
+	target, method := string(r.Target(b)), string(r.Method(b))
+	if f.coordinate(c, method, target, r.Body(b)) {
+		return
+	}
+	path, _, _ := strings.Cut(target, "?")
 	if call, ok := strings.CutPrefix(path, pathRollout); ok {
 		f.rollout(c, method, call, r.Body(b))
 		return
@@ -177,7 +181,7 @@
 }
 
 func readBeat(id string, body []byte) (registry.Record, error) {
-	var b Beat
+	var b Heartbeat
 	if id == "" || len(id) > longestID {
 		return registry.Record{}, errors.New("no id in the path")
 	}
@@ -205,9 +209,9 @@
 // acknowledge answers a backend's call.
 func (f *Handler) acknowledge(t downstream.Ticket, ok bool, target string) {
 	if !ok {
-		f.end(t, 503, []byte("too few doors have heard it"))
+		f.end(t, 503, []byte("too few nodes have heard it"))
 		return
 	}
-	body, _ := json.Marshal(BeatAnswer{BeatTarget: target})
+	body, _ := json.Marshal(HeartbeatAnswer{BeatTarget: target})
 	f.end(t, 200, body)
 }
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -56,7 +56,8 @@
 // pingTo is what a follower is told.
 func (h *Node) pingTo(addr string) *Ping {
 	_, view, _ := h.contact()
-	return &Ping{Stale: h.stale(), Index: h.applied, Lives: h.roster.Lives(), View: view, Echo: h.echoes[addr].clock}
+	return &Ping{Stale: h.stale(), Index: h.applied, Lives: h.roster.Lives(), View: view, Echo: h.echoes[addr].clock,
+		Leaders: h.groups.leaders()}
 }
 
 // hearsWait has the slots that this node hears go with the next message of the log to another one. True: a heartbeat is not needed
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -14,6 +14,7 @@
 
 	"clovergap/control"
 	"clovergap/internal/gateway/admission"
+	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
@@ -58,6 +59,7 @@
 	peers   Datagrams
 	roster  *membership.Roster
 	core    *core // nil without a disk
+	groups  *groupHost
 	machine *statemachine.Machine
 	applied uint64
 
@@ -91,8 +93,10 @@
 	echoes  map[string]echo
 	beganAt time.Duration
 
-	followers map[string]*follower
-	feedIn    replication.Incoming // from the node that is followed
+	followers    map[string]*follower
+	feedIn       replication.Incoming // from the node that is followed
+	coordination *coordination.Service
+
 	calls     map[uint32]*call
 	parts     parts
 	callNr    uint32
@@ -134,6 +138,9 @@
 	h.echoes = map[string]echo{}
 	h.calls, h.parts, h.beats, h.catalog = map[uint32]*call{}, newParts(), map[registry.Ticket]heard{}, newCatalog()
 	h.fault = planted
+	h.coordination = coordination.New((*coordinator)(h), coordination.Terms{Address: h.inner, Life: h.life, History: h.settings.Bounds.History})
+	h.groups = &groupHost{h: h}
+	h.coordination.Over(h.groups)
 	if h.own != nil {
 		h.own.h = h
 	}
@@ -228,6 +235,10 @@
 func (h *Node) pull() {
 	if h.core != nil {
 		h.core.pull()
+		h.groups.pull()
+		h.coordination.Flush()
+		h.groups.pull() // what watches that were told of puts ask for next
+		h.core.disk.flush()
 	}
 	h.pullRoster()
 	h.pullRegistry()
@@ -261,7 +272,9 @@
 	h.tendFeed()
 	h.wantSlot()
 	h.tendRollouts()
+	h.groups.want()
 	if h.core != nil {
+		h.groups.tend()
 		h.core.keepRegistry()
 	}
 	if now-h.saidAt >= time.Second {
--- a/internal/gateway/node/oldstate_test.go
+++ b/internal/gateway/node/oldstate_test.go
@@ -21,9 +21,11 @@
 		h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLog("a"), e: clock, links: out, machine: statemachine.New(),
 			followers: map[string]*follower{}, echoes: map[string]echo{}, beganAt: clock.now, applied: 5}
 		h.roster = membership.New(membership.Node{Name: "a", Addr: addr, Disk: 1}, membership.Terms{}, clock.now)
-		h.core = &core{h: h, me: members[0], hears: map[string]hearsWith{}, p: replication.New(members[0], replication.Kept{Me: 1, House: 1,
-			Promise: 1, Delivered: 5, Snap: replication.Snapshot{Index: 5, View: 1, Members: members, State: state}},
-			replication.DefaultTerms(), 1, clock.now)}
+		h.groups = &groupHost{h: h}
+		kept := replication.Kept{Me: 1, House: 1, Promise: 1, Delivered: 5,
+			Snap: replication.Snapshot{Index: 5, View: 1, Members: members, State: state}}
+		h.core = &core{hears: map[string]hearsWith{}, replicaHost: replicaHost{h: h, me: members[0],
+			p: replication.New(members[0], kept, replication.DefaultTerms(), 1, clock.now)}}
 		return h, out, func(at time.Duration) (bytes int) { // that a follower is sent which asks then
 			clock.now = time.Minute + at
 			delete(out.frames, asker)
--- a/internal/gateway/node/parts_test.go
+++ b/internal/gateway/node/parts_test.go
@@ -8,6 +8,7 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/settings"
 	"clovergap/internal/gateway/statemachine"
@@ -60,6 +61,7 @@
 		h.e, h.links, h.life, h.feeder = set{w.clock}, &wireEnd{w: w, me: x.me}, x.life, ""
 		h.settings.Bounds = settings.Bounds{InTouch: time.Hour}
 		h.calls, h.parts, h.beganAt = map[uint32]*call{}, newParts(), w.clock.now
+		h.groups, h.coordination = &groupHost{h: h}, coordination.New((*coordinator)(h), coordination.Terms{})
 		h.parts.takes = map[string]bool{wireA: true, wireB: true}
 		*x.h = h
 	}
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -15,7 +15,7 @@
 
 // Came, Heard, Up and Down are the links': each in a turn.
 
-// Came: the node that this one follows has dialed it anew. It may have given up a link before and with it the wish to follow:
+// Came is told when another node has dialed this one. It may be the node that it follows, which dialed it anew. It may have given up a link before and with it the wish to follow:
 // without a new one it would say nothing, and for two seconds nothing would tell of that.
 func (h *Node) Came(from string) {
 	h.core.forget(from)
@@ -24,6 +24,7 @@
 	}
 }
 
+// Heard takes a frame from another node.
 func (h *Node) Heard(from string, f *Frame) {
 	h.roster.Now(h.e.Now())
 	h.roster.Heard(from)
@@ -42,6 +43,7 @@
 		}
 		if from == h.feeder {
 			h.learn(f.Ping.Stale, f.Ping.View, f.Ping.Echo, f.Ping.Index)
+			h.groups.told(f.Ping.Leaders)
 		}
 		if f.Ping.Clock != 0 && h.hears(from) {
 			h.echoes[from] = echo{f.Ping.Clock, h.e.Now()}
@@ -53,6 +55,8 @@
 		h.core.lineHeard(from, f.Core)
 		h.core.p.Now(h.e.Now())
 		h.core.p.Heard(f.Core.From, f.Core.Message)
+	case f.Groups != nil && h.core != nil:
+		h.groups.heard(f.Groups)
 	case f.Board != nil && h.registry != nil:
 		if s := h.roster.Slot(from); s != membership.NoSlot {
 			h.registry.Now(h.e.Now())
@@ -70,9 +74,12 @@
 		h.partHeard(from, f.Part)
 	case f.Rollout != nil:
 		h.rolloutHeard(from, f.Rollout)
+	case f.Coordination != nil:
+		h.coordinationHeard(from, f.Coordination)
 	}
 }
 
+// Up is told when the link to another node stands.
 func (h *Node) Up(to string) {
 	h.roster.Now(h.e.Now())
 	h.roster.Up(to)
@@ -99,12 +106,15 @@
 	return ok
 }
 
+// Down is told when the link to another node ended.
 func (h *Node) Down(to string) {
 	h.roster.Now(h.e.Now())
 	h.roster.Down(to)
 	h.core.forget(to)
+	h.groups.down(to)
 	delete(h.followers, to)
 	delete(h.echoes, to)
+	h.coordination.Down(to)
 	for _, nr := range slices.Sorted(maps.Keys(h.calls)) {
 		if c := h.calls[nr]; c.sent == to { // it may have been taken: the same again is answered as the first was
 			c.doubt = c.doubt || h.mayHave(c, nr)
@@ -134,12 +144,12 @@
 	founders := c.p.Founders()
 	for _, m := range founders {
 		if d, ok := c.h.roster.Node(m.Addr); m.ID != c.me.ID && (!ok || !c.h.roster.Live(m.Addr) || d.Disk == 0 || d.Founded ||
-			replication.MemberID(d.Disk) == m.ID || c.addr(replication.Member{ID: m.ID}) != "") {
+			replication.MemberID(d.Disk) == m.ID || c.h.addrOf(replication.Member{ID: m.ID}) != "") {
 			return
 		}
 	}
 	if len(founders) > 1 && c.p.LayAside() {
-		c.h.say(corePart, "the founding of %d doors that this disk holds alone is laid aside", len(founders))
+		c.h.say(corePart, "the founding of %d nodes that this disk holds alone is laid aside", len(founders))
 	}
 }
 
@@ -152,7 +162,7 @@
 		h.say(corePart, "founding passed over: %v", err)
 		return
 	}
-	h.say(corePart, "founded by %d doors", len(members))
+	h.say(corePart, "founded by %d nodes", len(members))
 }
 
 // pullRoster carries out what the roster asks for.
@@ -210,7 +220,7 @@
 	if h.registry == nil {
 		h.registry = registry.New(registry.Slot(me), registry.Terms{BeatInterval: h.settings.BeatInterval,
 			Enough: h.settings.Tolerates.Machines + 1, Life: uint32(h.life)}, h.e.Now())
-		h.say(nodePart, "has seat %d of %d", me, len(order))
+		h.say(nodePart, "has slot %d of %d", me, len(order))
 		if h.core != nil {
 			h.core.remember()
 		}
--- a/internal/gateway/node/stage.go
+++ b/internal/gateway/node/stage.go
@@ -13,7 +13,7 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// Ready: clients may come, as far as this node knows.
+// Ready reports whether clients may come, as far as this node knows.
 func (h *Node) Ready() bool { return len(h.unready()) == 0 }
 
 // unready tells in words why no clients are wanted.
@@ -25,8 +25,8 @@
 	}
 	say(h.leaving, "it is told to end")
 	say(h.table.Version() == 0, "no configuration")
-	say(!h.stands(beReady), "no fresh word of the core")
-	say(h.registry == nil, "no seat")
+	say(!h.stands(beReady), "not heard of the core of late")
+	say(h.registry == nil, "no slot")
 	say(h.registry != nil && !h.registry.Serves(), "no backend is ready")
 	return why
 }
@@ -40,6 +40,7 @@
 	return v
 }
 
+// Serves is Ready for callers outside of a turn.
 func (h *Node) Serves() (is bool) {
 	h.e.Turn(func() { is = h.Ready() })
 	return is
--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -3,6 +3,8 @@
 import (
 	"bytes"
 	"fmt"
+	"math"
+	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"strings"
@@ -51,7 +53,7 @@
 
 var world = World{Slack: 50 * time.Millisecond,
 	Products: map[string]Product{"read": {Effect: "inquiry-like"}, "pay": {Effect: "once-only", Work: 0.5},
-		"bid": {Effect: "referenced", Scope: "hall", Window: 300 * time.Millisecond}, "pod": {Effect: "referenced", Scope: "pod", Window: time.Second}},
+		"bid": {Effect: "referenced", Scope: "zone", Window: 300 * time.Millisecond}, "pod": {Effect: "referenced", Scope: "pod", Window: time.Second}},
 	Backends: map[string]Place{"s1": {"a", 0, 0}, "s2": {"a", 1, 0}, "s3": {"b", 0, 0}, "new": {"a", 0, time.Nanosecond}}}
 
 const (
@@ -66,12 +68,7 @@
 	twice := func(h []Event) []Broken { return NoEffectTwice(h, world) }
 	drains := func(h []Event) []Broken { return DrainsKept(h, world, time.Second) }
 	bound := func(h []Event) []Broken {
-		return WithinBound("ceilings kept", h, func(key string) func(time.Duration) float64 {
-			if key != "p/1" {
-				return nil
-			}
-			return func(d time.Duration) float64 { return 2 + 10*d.Seconds() }
-		})
+		return WithinBound("ceilings kept", h, func(key string) (Bound, bool) { return Bound{Store: 2, Rate: 10}, key == "p/1" })
 	}
 	cold := func(h []Event) []Broken {
 		return NoColdPushedOver(h, world, Cold{From: 0.5, Times: 2, Cores: 1, By: 10 * time.Second, Window: time.Second})
@@ -106,14 +103,14 @@
 		{"many unsent", strings.ReplaceAll(strings.ReplaceAll(spend(1, 2, 3, 4), "s1 arrive", "x see"), "x see", "c unheard"), "nothing sent on", one},
 
 		{"once", fmt.Sprintf(asked, "pay") + began + answer, "", twice},
-		{"inside hall and window", fmt.Sprintf(asked, "bid") + began + "200 s2 arrive txn=1 n=2\n250 s2 over txn=1 n=2\n300 c answer txn=1 n=200 what=1", "", twice},
+		{"inside zone and window", fmt.Sprintf(asked, "bid") + began + "200 s2 arrive txn=1 n=2\n250 s2 over txn=1 n=2\n300 c answer txn=1 n=200 what=1", "", twice},
 		{"read again anywhere", fmt.Sprintf(asked, "read") + began + "700 s3 arrive txn=1 n=2", "", twice},
 		{"turned away, then elsewhere", fmt.Sprintf(asked, "pay") + "10 s1 turn-away txn=1 n=1\n20 s2 arrive txn=1 n=2\n30 c answer txn=1 n=200 what=1", "", twice},
 		{"declined before it began", fmt.Sprintf(asked, "pay") + "10 s1 turn-away txn=1 n=1\n20 c answer txn=1 n=429", "", twice},
 		{"held up on its way", fmt.Sprintf(asked, "read") + "900 s1 arrive txn=1 n=1 own=10\n100 s1 over txn=1 n=1\n120 s2 arrive txn=1 n=1 own=110\n150 s2 over txn=1 n=1", "", twice},
 		{"declined, and it runs later", fmt.Sprintf(asked, "pay") + "900 s1 arrive txn=1 n=1 own=10\n100 c answer txn=1 n=429", "declined", twice},
 		{"pay again", fmt.Sprintf(asked, "pay") + began + "100 s1 arrive txn=1 n=2", "once-only", twice},
-		{"other hall", fmt.Sprintf(asked, "bid") + began + "100 s3 arrive txn=1 n=2", "outside the hall", twice},
+		{"other zone", fmt.Sprintf(asked, "bid") + began + "100 s3 arrive txn=1 n=2", "outside the zone", twice},
 		{"other pod", fmt.Sprintf(asked, "pod") + began + "100 s2 arrive txn=1 n=2", "outside the pod", twice},
 		{"after the window", fmt.Sprintf(asked, "bid") + began + "500 s2 arrive txn=1 n=2", "forgotten", twice},
 		{"two copies", fmt.Sprintf(asked, "read") + "10 s1 arrive txn=1 n=1\n100 s2 arrive txn=1 n=2\n300 s1 over txn=1 n=1", "a second copy", twice},
@@ -200,7 +197,7 @@
 	for i := 0; i < 100; i++ {
 		l.Add(Event{Kind: Seen, Key: "backend", At: fmt.Sprint(i)})
 	}
-	if err := l.Close(); err != nil {
+	if err = l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	l.Add(Event{Kind: Seen}) // a front door that ends may still be told things
@@ -238,3 +235,39 @@
 		t.Errorf("%+v", h)
 	}
 }
+
+// The one pass over what was spent finds what a look at every stretch finds: a bound that is passed only inside a long
+// history, or by the smallest amount, would else go unseen.
+func TestWorstStretch(t *testing.T) {
+	rng := rand.New(rand.NewPCG(7, 7))
+	passed := 0
+	for range 400 {
+		most := Bound{Store: 1 + 5*rng.Float64(), Rate: 4 * rng.Float64()}
+		at, spends := time.Duration(rng.Int64N(1e15)), []Event(nil)
+		for range 1 + rng.IntN(40) {
+			at += time.Duration(rng.Int64N(1e9))
+			spends = append(spends, Event{T: at, N: float64(1 + rng.IntN(2))})
+		}
+		over := 0.0
+		for i := range spends {
+			sum := 0.0
+			for _, e := range spends[i:] {
+				sum += e.N
+				over = max(over, sum-most.Most(e.T-spends[i].T))
+			}
+		}
+		got := worstStretch(spends, most)
+		if math.Abs(got.over-over) > 1e-6 {
+			t.Fatalf("over by %g, every stretch says %g: %v", got.over, over, spends)
+		}
+		if over > 0 {
+			passed++
+			if d := spends[got.last].T - spends[got.first].T; math.Abs(got.sum-most.Most(d)-over) > 1e-6 {
+				t.Fatalf("the stretch named, %+v, is not over by %g", got, over)
+			}
+		}
+	}
+	if passed < 50 || passed > 350 {
+		t.Errorf("%d of 400 pass the bound: the draws show too little", passed)
+	}
+}
--- a/internal/lab/capacity/added.go
+++ b/internal/lab/capacity/added.go
@@ -105,7 +105,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			return nil, errors.New("the door does not serve in half a minute")
+			return nil, errors.New("the node does not serve in half a minute")
 		}
 	}
 	r = &Told{Added: o}
@@ -137,7 +137,7 @@
 	})}
 	go s.Serve(ln)
 	x.backends, x.at = append(x.backends, s), append(x.at, ln.Addr().String())
-	beat := controlapi.Beat{Address: ln.Addr().String(), Capacity: 16, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service,
+	beat := controlapi.Heartbeat{Address: ln.Addr().String(), Capacity: 16, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service,
 		Zone: "zone-0"}
 	wg.Go(func() {
 		for to := x.t.Nodes[0].Control; ctx.Err() == nil; {
--- a/internal/lab/faultrig/rollout.go
+++ b/internal/lab/faultrig/rollout.go
@@ -49,10 +49,10 @@
 }
 
 // DrawRollout draws a schedule from a seed.
-func DrawRollout(play string, arm Arm, seed uint64, doors int, dur time.Duration) *RolloutSchedule {
+func DrawRollout(play string, arm Arm, seed uint64, nodes int, dur time.Duration) *RolloutSchedule {
 	rng := rand.New(rand.NewPCG(seed, 0x9011+uint64(len(play)))) // plays differ in their schedules
 	span := func(from, to float64) spec.Span { return spec.Span((from + rng.Float64()*(to-from)) * 1e9) }
-	s := &RolloutSchedule{GatewaySchedule: GatewaySchedule{Play: gatewaystandin.Plays()[play](), Seed: seed, Nodes: doors, For: dur},
+	s := &RolloutSchedule{GatewaySchedule: GatewaySchedule{Play: gatewaystandin.Plays()[play](), Seed: seed, Nodes: nodes, For: dur},
 		Arm: arm, Steps: [][]int{{500, 2000, 5000, 9000}, {1000, 2500, 5000, 7500}, {1000, 3000, 6000, 9000}}[rng.IntN(3)],
 		Dwell: span(1.5, 2.5).D(), Advance: []string{"time", "word"}[rng.IntN(2)], Step: 2 + rng.IntN(3)}
 	s.After = time.Duration(rng.Float64() * float64(s.Dwell))
@@ -62,12 +62,12 @@
 		s.Flaw.Tenant = s.Play.Tenant(rng.IntN(4))
 	}
 	s.Seen = rng.IntN(2) == 0
-	kinds := []string{"door-kill", "core-kill", "lead-kill", "lead-kill", "door-stall", "core-stall", "lead-stall",
-		"lead-stall", "door-term", "lead-term", "ack-kill", "herd-kill"}
+	kinds := []string{"node-kill", "core-kill", "lead-kill", "lead-kill", "node-stall", "core-stall", "lead-stall",
+		"lead-stall", "node-term", "lead-term", "ack-kill", "all-kill"}
 	for range rng.IntN(4) { // none in one of four
 		f := spec.Fault{Kind: kinds[rng.IntN(len(kinds))], At: span(0, 1.2), For: span(0.1, 3), Share: 0.3,
 			Pick: rng.Uint64()>>1 | 1}
-		if f.Kind == "herd-kill" {
+		if f.Kind == "all-kill" {
 			f.Share, f.For = 1, span(0.05, 0.6)
 		}
 		s.Faults = append(s.Faults, f)
@@ -158,37 +158,18 @@
 
 // act starts the roll-out, lets the new version fail, and waits until all nodes have pulled back.
 func (r *rolloutRun) act(ctx context.Context) (bad []history.Broken) {
-	broken := func(format string, args ...any) []history.Broken {
-		return append(bad, history.Broken{Rule: "ROLLOUT", T: history.Now(), What: fmt.Sprintf(format, args...)})
-	}
-	for _, l := range r.t.Serving() {
-		if l.Service == r.s.Play.Leading {
-			if _, err := r.t.AddVersion(l.Service, l.Zone, newVersion, time.Second); err != nil {
-				return broken("%s", err)
-			}
-		}
-	}
-	sleep(ctx, 3*time.Second) // all nodes have heard of them
-	r.from = history.Now()
-	why := r.call(ctx, rollout.Start, 0)
-	for until := time.Now().Add(orderMost); why != "" && strings.Contains(why, "room") && time.Now().Before(until); {
-		sleep(ctx, time.Second) // a machine that is held up has late beats: an operator would ask again
-		r.from = history.Now()
-		why = r.call(ctx, rollout.Start, 0)
-	}
-	if why != "" {
-		return broken("not started: %s", why)
+	if why := r.begins(ctx); why != "" {
+		return r.broken("%s", why)
 	}
 	watch, enough := context.WithCancel(ctx)
 	var side sync.WaitGroup
 	defer side.Wait()
 	defer enough()
 	for _, d := range r.t.Nodes {
-		side.Add(1)
-		go func() { defer side.Done(); r.watch(watch, d) }()
+		side.Go(func() { r.watch(watch, d) })
 	}
 	if !r.steps(ctx, r.s.Step) {
-		return broken("step %d does not come", r.s.Step)
+		return r.broken("step %d does not come", r.s.Step)
 	}
 	sleep(ctx, r.s.After)
 	if r.s.Arm != Good {
@@ -199,47 +180,88 @@
 	if !r.s.Seen || r.s.Arm == Good || r.s.Arm == Unjudged {
 		r.apply(ctx)
 	}
-	late := time.After(r.s.For)
 	stepped := make(chan bool, 1)
 	going, stop := context.WithCancel(ctx)
-	side.Add(1)
-	go func() { defer side.Done(); stepped <- r.steps(going, len(r.s.Steps)) }()
+	side.Go(func() { stepped <- r.steps(going, len(r.s.Steps)) })
 	defer stop()
-	select {
-	case <-r.seen:
-		stop()
-		if r.s.Seen && r.s.Arm == Judged {
-			r.apply(ctx)
-		}
-	case <-late:
-	case <-ctx.Done():
-	}
+	r.awaits(ctx, stop)
 	r.wg.Wait()
-	if !r.pulledBack() && r.s.Arm != Good { // somebody mends it at last
-		r.trial.Mended = history.Now()
-		r.odd = r.s.Arm == Judged
-		for _, d := range r.t.Nodes {
-			r.says = append(r.says, d.Name+": "+r.t.TellsRollouts(d))
-		}
-		r.t.Spoil(newVersion, nil)
+	if !r.pulledBack() && r.s.Arm != Good {
+		r.mends()
 	}
 	if r.s.Arm == Good {
 		if !<-stepped {
-			bad = broken("the last step does not come")
+			bad = r.broken("the last step does not come")
 		}
 		sleep(ctx, r.s.Dwell)
 	}
 	if r.pulledBack() {
-		for until := time.Now().Add(recoverMost); time.Now().Before(until) && r.nodesPulled() < len(r.t.Nodes); {
-			sleep(ctx, lookEvery)
+		bad = append(bad, r.afterPullBack(ctx)...)
+	}
+	return append(bad, r.recovers(ctx, "the roll-out's faults")...)
+}
+
+// broken is a breach of the roll-out's own rule.
+func (r *rolloutRun) broken(format string, args ...any) []history.Broken {
+	return []history.Broken{{Rule: "ROLLOUT", T: history.Now(), What: fmt.Sprintf(format, args...)}}
+}
+
+// begins starts backends of the new version and the roll-out; it says why that could not be done.
+func (r *rolloutRun) begins(ctx context.Context) (why string) {
+	for _, l := range r.t.Serving() {
+		if l.Service == r.s.Play.Leading {
+			if _, err := r.t.AddVersion(l.Service, l.Zone, newVersion, time.Second); err != nil {
+				return err.Error()
+			}
 		}
-		sleep(ctx, afterwards)
-		if why := r.call(ctx, rollout.Advance, len(r.s.Steps)); why == "" {
-			bad = broken("went on to step %d after the pull-back", len(r.s.Steps))
+	}
+	sleep(ctx, 3*time.Second) // all nodes have heard of them
+	r.from = history.Now()
+	why = r.call(ctx, rollout.Start, 0)
+	for until := time.Now().Add(orderMost); why != "" && strings.Contains(why, "room") && time.Now().Before(until); {
+		sleep(ctx, time.Second) // a machine that is held up has late beats: an operator would ask again
+		r.from = history.Now()
+		why = r.call(ctx, rollout.Start, 0)
+	}
+	if why != "" {
+		return "not started: " + why
+	}
+	return ""
+}
+
+// awaits waits until a node is seen to have pulled back, and stops the steps, or until the time is over.
+func (r *rolloutRun) awaits(ctx context.Context, stop func()) {
+	select {
+	case <-r.seen:
+		stop()
+		if r.s.Seen && r.s.Arm == Judged {
+			r.apply(ctx)
 		}
+	case <-time.After(r.s.For):
+	case <-ctx.Done():
 	}
-	bad = append(bad, r.recovers(ctx, "the roll-out's faults")...)
-	return bad
+}
+
+// mends ends the new version's failing where nobody has pulled back.
+func (r *rolloutRun) mends() {
+	r.trial.Mended = history.Now()
+	r.odd = r.s.Arm == Judged
+	for _, d := range r.t.Nodes {
+		r.says = append(r.says, d.Name+": "+r.t.TellsRollouts(d))
+	}
+	r.t.Spoil(newVersion, nil)
+}
+
+// afterPullBack waits until all nodes have pulled back, and sees that the roll-out does not go on.
+func (r *rolloutRun) afterPullBack(ctx context.Context) []history.Broken {
+	for until := time.Now().Add(recoverMost); time.Now().Before(until) && r.nodesPulled() < len(r.t.Nodes); {
+		sleep(ctx, lookEvery)
+	}
+	sleep(ctx, afterwards)
+	if why := r.call(ctx, rollout.Advance, len(r.s.Steps)); why == "" {
+		return r.broken("went on to step %d after the pull-back", len(r.s.Steps))
+	}
+	return nil
 }
 
 // steps brings the roll-out to a step: by the operator's word where the order wants that.
@@ -355,7 +377,7 @@
 	case r.Arm == Good:
 		return "WRONGLY pulled back"
 	case r.Pulled < r.Nodes:
-		return fmt.Sprintf("pulled back at %d of %d doors", r.Pulled, r.Nodes)
+		return fmt.Sprintf("pulled back at %d of %d nodes", r.Pulled, r.Nodes)
 	}
 	return "pulled back"
 }
@@ -380,7 +402,7 @@
 	Broke    int                    `json:"broke"`  // runs that broke a rule
 	Pulled   int                    `json:"pulled"` // at all nodes
 	Verdict  Spread                 `json:"verdict"`
-	LastNode Spread                 `json:"last_door"`
+	LastNode Spread                 `json:"last_node"`
 	Last     Spread                 `json:"last"`
 	Met      [2]int                 `json:"met"`    // median and most of the requests that met it
 	Failed   [2]int                 `json:"failed"` // of these
@@ -394,7 +416,7 @@
 // SumRollouts takes times and requests from those that were pulled back, or from all where none was.
 func SumRollouts(all []*RolloutResult) (s RolloutSum) {
 	s.Why = map[string]int{}
-	var verdict, door, last []time.Duration
+	var verdict, node, last []time.Duration
 	var met, failed []int
 	none := !slices.ContainsFunc(all, func(r *RolloutResult) bool { return r.Pulled == r.Nodes })
 	for _, r := range all {
@@ -404,7 +426,7 @@
 		}
 		if r.Pulled == r.Nodes {
 			s.Pulled++
-			verdict, door, last = append(verdict, r.Met.Verdict), append(door, r.Met.LastNode), append(last, r.Met.Last)
+			verdict, node, last = append(verdict, r.Met.Verdict), append(node, r.Met.LastNode), append(last, r.Met.Last)
 		}
 		if r.Pulled == r.Nodes || none {
 			met, failed = append(met, r.Met.Requests), append(failed, r.Met.Failing)
@@ -416,7 +438,7 @@
 		s.Reads.UnderWay, s.Reads.Whole = s.Reads.UnderWay+r.Reads.UnderWay, s.Reads.Whole+r.Reads.Whole
 		s.Reads.Failed, s.Reads.Off = s.Reads.Failed+r.Reads.Failed, s.Reads.Off+r.Reads.Off
 	}
-	s.Verdict, s.LastNode, s.Last = spreadOf(verdict), spreadOf(door), spreadOf(last)
+	s.Verdict, s.LastNode, s.Last = spreadOf(verdict), spreadOf(node), spreadOf(last)
 	half := func(n []int) (x [2]int) {
 		if slices.Sort(n); len(n) > 0 {
 			x = [2]int{n[len(n)/2], n[len(n)-1]}
--- a/internal/lab/gatewaystandin/rollouts.go
+++ b/internal/lab/gatewaystandin/rollouts.go
@@ -93,7 +93,7 @@
 	return all, order
 }
 
-// Books: a write whose client was told that it is done is in the books once; one that was told refused is not; none
+// Ledger checks the books: a write whose client was told that it is done is in the books once; one that was told refused is not; none
 // is twice, by try or by the write that all its tries are for. What had no clear answer is counted.
 func Ledger(h []history.Event) (bad []history.Broken, u Open) {
 	u.Why = map[string]int{}
@@ -137,7 +137,7 @@
 		case a.flaw != "":
 			why = "the version's " + a.flaw
 		case o.meets(a.ask.At, a.ask.T, end):
-			why = "its door ended or stood still"
+			why = "its node ended or stood still"
 		case len(a.begun) == 0:
 			why = "never sent on"
 		case code == 504:
@@ -150,7 +150,7 @@
 	return bad, u
 }
 
-// Barred: once a node was seen to have pulled back, no request reaches the failing version by it, in a later life
+// Barred checks that once a node was seen to have pulled back, no request reaches the failing version by it, in a later life
 // neither; nor by any node that started anew after the verdict. A further try goes from the new version to the old,
 // never the other way.
 func Barred(h []history.Event, t *Trial) (bad []history.Broken) {
@@ -186,7 +186,7 @@
 				say("BACK", true, "went on to %s of the new version after the old one had it", b.Who)
 			}
 			if at, ok := closed[a.ask.At]; ok && b.T > at+t.Slack {
-				say("BARRED", a.ask.T <= at, "reached %s of the failing version %.3fs after its door had pulled back, asked "+
+				say("BARRED", a.ask.T <= at, "reached %s of the failing version %.3fs after its node had pulled back, asked "+
 					"%.3fs after", b.Who, (b.T - at).Seconds(), (a.ask.T - at).Seconds())
 			}
 		}
@@ -202,7 +202,7 @@
 	Off      int `json:"off"`    // whose node was killed, was ending or stood still
 }
 
-// Whole: reads under way on the failing version at the pull-back come whole, but for those that the version fails
+// Whole checks that reads under way on the failing version at the pull-back come whole, but for those that the version fails
 // itself and those whose node dies.
 func Whole(h []history.Event, t *Trial) (bad []history.Broken, r Carried) {
 	if t.Verdict == 0 {
@@ -245,13 +245,13 @@
 type Met struct {
 	FirstBad time.Duration `json:"first_bad"` // after the version was spoilt
 	Verdict  time.Duration `json:"verdict"`   // from the first failing answer until a node was seen to have pulled back
-	LastNode time.Duration `json:"last_door"` // and until the last one was
+	LastNode time.Duration `json:"last_node"` // and until the last one was
 	Last     time.Duration `json:"last"`      // and until the last request reached the version by any node
 	Requests int           `json:"requests"`  // that reached the version from the first failing one on
 	Failing  int           `json:"failing"`   // of these
 	Clients  int           `json:"clients"`   // of these, tries that did not end well for their clients
 
-	ByNode map[string]time.Duration `json:"by_door,omitempty"` // as Last, of each node
+	ByNode map[string]time.Duration `json:"by_node,omitempty"` // as Last, of each node
 }
 
 // Measure tells how long and how often a failing version was met; nothing where none failed.
--- a/internal/lab/gatewaystandin/rules.go
+++ b/internal/lab/gatewaystandin/rules.go
@@ -32,7 +32,7 @@
 	return out
 }
 
-// Twice: an effectful try runs at most once, and what was answered 429, 503, 408 or 421 has not run and
+// Twice checks that an effectful try runs at most once, and what was answered 429, 503, 408 or 421 has not run and
 // never will.
 func Twice(h []history.Event) (bad []history.Broken) {
 	ask, ran, final := map[string]history.Event{}, map[string][]history.Event{}, map[string]history.Event{}
@@ -63,7 +63,7 @@
 	return bad
 }
 
-// Quotas: in no window do a tenant's requests that were sent and that ran in it pass (rate x window + burst)
+// Quotas checks that in no window do a tenant's requests that were sent and that ran in it pass (rate x window + burst)
 // x (1 + excess) + margin, over all nodes.
 func Quotas(h []history.Event) (bad []history.Broken) {
 	b := Bounds()
@@ -171,7 +171,7 @@
 	return bad
 }
 
-// Kept: what was acknowledged is in the configuration read back at the end, at a time, or older than it; and what is
+// Kept checks that what was acknowledged is in the configuration read back at the end, at a time, or older than it; and what is
 // read is what was sent.
 func Kept(final *routing.Config, sent map[uint64]Version, at time.Duration) (bad []history.Broken) {
 	say := func(format string, args ...any) {
@@ -266,14 +266,14 @@
 
 func newCalm(h []history.Event, t *Backends) *calm {
 	c := &calm{events: map[string][]time.Duration{}, off: newOff(h), gaps: gapsOf(h), cores: t.Cores}
-	doors := map[string]bool{}
+	nodes := map[string]bool{}
 	for _, name := range t.Nodes {
-		doors[name] = true
+		nodes[name] = true
 	}
 	for _, e := range h {
 		switch core := slices.Contains(c.cores, e.Who); e.Kind {
 		case history.Down, history.Stopped, history.Up, history.Goes, Terminates, Troubled, Eased:
-			if !doors[e.Who] {
+			if !nodes[e.Who] {
 				continue
 			}
 			c.events[e.Who] = append(c.events[e.Who], e.T)
@@ -335,11 +335,11 @@
 
 // OutOfGrace tells whether a node that was told to end did so about then, with its grace used up: what takes longer
 // than that can't be waited for.
-func OutOfGrace(h []history.Event, door string, at time.Duration) bool {
+func OutOfGrace(h []history.Event, node string, at time.Duration) bool {
 	told := always
 	for _, e := range h {
 		switch {
-		case e.Who != door:
+		case e.Who != node:
 		case e.Kind == Terminates:
 			told = min(told, e.T)
 		case e.Kind == history.Down:
@@ -370,11 +370,11 @@
 }
 
 // touch tells whether a node was in touch for a whole time.
-func (c *calm) touch(door string, from, to time.Duration) bool {
+func (c *calm) touch(node string, from, to time.Duration) bool {
 	begin := from - Bounds().InTouch
-	return !between(c.events[door], begin, to) && !c.off.meets(door, begin, to) && c.settled(from, to) &&
+	return !between(c.events[node], begin, to) && !c.off.meets(node, begin, to) && c.settled(from, to) &&
 		!slices.ContainsFunc(c.cores, func(o string) bool { // without a path to one that has to do with most of the core
-			return !c.off.meets(o, begin, to) && c.reaches(o, begin, to, false) && !c.joined(door, o, begin, to, true)
+			return !c.off.meets(o, begin, to) && c.reaches(o, begin, to, false) && !c.joined(node, o, begin, to, true)
 		})
 }
 
@@ -389,6 +389,7 @@
 	bad = append(bad, reads(h, t)...)
 	bad = append(bad, acks(t, c, h)...)
 	bad = append(bad, backwards(h, t, c, slack)...)
+	bad = append(bad, judgeRequests(h, t, c, slack)...)
 	return append(bad, routes(h, t, c, slack)...)
 }
 
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -11,6 +11,7 @@
 	"clovergap/internal/gateway/transport"
 	"clovergap/internal/history"
 	"clovergap/internal/lab/gatewaystandin"
+	"clovergap/internal/lab/spec"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
 	"clovergap/internal/proxy/eventloop"
@@ -54,6 +55,7 @@
 	over      bool
 	died      time.Duration
 	goes      time.Duration // on, after it last stood still
+	stopped   time.Duration // when that began
 	backlog   []func()
 	inbox     []func()      // turns that wait for its processor, in a metered day
 	busy      time.Duration // until then its processor has no time
@@ -123,6 +125,9 @@
 	w.note(history.Event{Who: m.name, Kind: gatewaystandin.Terminates})
 	w.say("%s is told to end", m.name)
 	p.turn(p.h.Leaving)
+	if w.planted == cutsAtTheEnd {
+		p.cuts()
+	}
 	grace := m.settings.Bounds.Grace
 	done := false
 	w.every(20*time.Millisecond, func() bool {
@@ -155,6 +160,7 @@
 		if m.stands++; m.stands == 1 {
 			m.w.note(history.Event{Who: m.name, Kind: history.Stopped})
 			m.w.say("%s stands still", m.name)
+			p.stopped = m.w.now
 		}
 	case m.stands > 0:
 		if m.stands--; m.stands == 0 {
@@ -245,6 +251,20 @@
 	})
 }
 
+// Waited is how long the process stood still, where it goes on now.
+func (p *process) Waited() time.Duration {
+	if p.goes > 0 && p.w.now-p.goes <= justNow {
+		return p.goes - p.stopped
+	}
+	return 0
+}
+
+// justNow is how long after a standstill what is read may have waited: as in a real node.
+const justNow = 20 * time.Millisecond
+
+// Refresh does nothing: no time passes within a simulated turn.
+func (p *process) Refresh() {}
+
 func (p *process) Turn(do func()) { do(); p.settled() }
 
 func (p *process) Settled(do func()) { p.settled = do }
@@ -304,6 +324,7 @@
 	w       *world
 	rng     *rand.Rand
 	kept    replication.Kept
+	groups  map[replication.LogID]replication.Kept // the coordination groups' logs
 	noted   []byte
 	writing *write
 	slow    float64 // times as slow as it is
@@ -314,7 +335,7 @@
 
 type write struct {
 	p      *process
-	writes []replication.Write
+	writes []replication.LogWrite
 	note   []byte
 	done   func()
 }
@@ -322,7 +343,7 @@
 func newPlatter(w *world) *platter { return &platter{w: w, rng: w.disks, slow: 1} }
 
 // wipe takes all that is on it.
-func (d *platter) wipe() { d.kept, d.noted, d.writing = replication.Kept{}, nil, nil }
+func (d *platter) wipe() { d.kept, d.groups, d.noted, d.writing = replication.Kept{}, nil, nil, nil }
 
 // read gives what it holds, with an id for an empty one.
 func (d *platter) read() replication.Kept {
@@ -347,7 +368,17 @@
 
 func (d *platter) apply(x *write) {
 	for _, a := range x.writes {
-		d.kept.Apply(a)
+		if a.Log == replication.ConfigurationLog {
+			d.kept.Apply(a.Write)
+			continue
+		}
+		if d.groups == nil {
+			d.groups = map[replication.LogID]replication.Kept{}
+		}
+		k := d.groups[a.Log]
+		k.Me = d.kept.Me
+		k.Apply(a.Write)
+		d.groups[a.Log] = k
 	}
 	if x.note != nil {
 		d.noted = x.note
@@ -362,7 +393,20 @@
 
 func (v *drive) Noted() []byte { return v.d.noted }
 
-func (v *drive) Write(writes []replication.Write, note []byte, done func()) {
+// Groups are the logs of the coordination groups, as they are read at the start.
+func (v *drive) Groups() map[replication.LogID]replication.Kept {
+	held := map[replication.LogID]replication.Kept{}
+	for log, k := range v.d.groups {
+		if err := k.Check(); err != nil {
+			panic("a group's log does not hold together: " + err.Error())
+		}
+		k.Entries = append([]replication.Entry(nil), k.Entries...)
+		held[log] = k
+	}
+	return held
+}
+
+func (v *drive) Write(writes []replication.LogWrite, note []byte, done func()) {
 	x := &write{v.p, writes, note, done}
 	v.d.writing = x
 	v.d.w.happens(writes_(writes))
@@ -370,10 +414,10 @@
 }
 
 // writes_ is a moment only where something of the log is written.
-func writes_(all []replication.Write) moment {
+func writes_(all []replication.LogWrite) spec.Moment {
 	for _, a := range all {
-		if len(a.Entries) > 0 {
-			return writes
+		if a.Log == replication.ConfigurationLog && len(a.Write.Entries) > 0 {
+			return spec.Writes
 		}
 	}
 	return ""
