--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -95,7 +95,7 @@
 	f, c := fleet(t)
 	c.Open(context.Background(), 300*time.Millisecond)
 	moved := f.Relay.Count()
-	taken := f.Nodes[0].Counters(10 * time.Second)["mails taken"] + f.Nodes[1].Counters(10 * time.Second)["mails taken"]
+	taken := f.Nodes[0].Counters(10 * time.Second)["datagrams taken"] + f.Nodes[1].Counters(10 * time.Second)["datagrams taken"]
 	if moved == 0 || taken == 0 {
 		t.Fatalf("%d datagrams moved, %d taken", moved, taken)
 	}
