--- a/internal/history/effects.go
+++ b/internal/history/effects.go
@@ -11,7 +11,7 @@
 // unsentMost: beyond one in so many, requests whose connection is closed with nothing sent on for them are lost.
 const unsentMost = 200
 
-// OneAnswer: every request that a running front door has taken gets one final answer, made for it, before its client
+// OneAnswer checks that every request that a running front door has taken gets one final answer, made for it, before its client
 // goes. One that stood still or ended meanwhile is not held to it.
 func OneAnswer(h []Event, w World) (bad []Broken) {
 	const rule = "one final answer"
@@ -71,7 +71,7 @@
 	return bad
 }
 
-// NoEffectTwice: nothing that has an effect runs again where it may have run before, unless its repeats are dropped
+// NoEffectTwice checks that nothing that has an effect runs again where it may have run before, unless its repeats are dropped
 // there; there is one copy at a time; and what may have run is not declined, unless a repeat is harmless.
 func NoEffectTwice(h []Event, w World) (bad []Broken) {
 	for _, c := range copiesOf(h) {
