--- /dev/null
+++ b/internal/lab/simulation/applications.go
@@ -0,0 +1,106 @@
+package simulation
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"clovergap/internal/gateway/coordination"
+	"clovergap/internal/history"
+	"clovergap/internal/lab/callers"
+	"clovergap/internal/lab/callhistory"
+)
+
+// applications are the callers of coordination on a day that has some, and what they saw. Like clients they stand outside of all cuts.
+type applications struct {
+	w       *world
+	rng     *rand.Rand
+	callers *callers.Callers
+	history []*callhistory.Record
+}
+
+const (
+	silentFor  = time.Second     // after which a caller turns elsewhere
+	holdsEnd   = 8 * time.Second // by then all locks are free that nobody asks more time for
+	auditsEnd  = 5 * time.Second
+	ruleOfCall = "Call" // what a day names them by, before the rule's own name
+)
+
+// beginApplications has the day's callers begin.
+func (w *world) beginApplications() {
+	if w.day.Callers == 0 {
+		return
+	}
+	a := &applications{w: w, rng: source(w.day.Seed, 0xca11)}
+	w.applications = a
+	a.callers = callers.Begin(a, a.rng, callers.Terms{Lockers: w.day.Callers, History: w.machines[0].settings.Bounds.History / 4})
+}
+
+// endApplications has them end, asks for all once more, and judges what they saw.
+func (w *world) endApplications(r *Result) {
+	a := w.applications
+	if a == nil {
+		return
+	}
+	a.callers.Calm()
+	w.until(w.now+holdsEnd, nil)
+	a.callers.Audit()
+	w.until(w.now+auditsEnd, nil)
+	r.Calls = len(a.history)
+	for _, x := range a.history {
+		if x.Clear() {
+			r.ClearCalls++
+		}
+	}
+	for _, v := range callhistory.Check(a.history, callhistory.Terms{History: w.machines[0].settings.Bounds.History}) {
+		w.broken = append(w.broken, history.Broken{Rule: ruleOfCall + " " + string(v.Rule), T: w.now, Who: "application", What: v.Text})
+	}
+	for _, m := range a.callers.Missed() {
+		w.broken = append(w.broken, history.Broken{Rule: ruleOfCall + " " + string(callhistory.Lost), T: w.now, Who: "application", What: m})
+	}
+}
+
+// Now and the others are callers.World.
+func (a *applications) Now() time.Duration                  { return a.w.now }
+func (a *applications) After(wait time.Duration, do func()) { a.w.after(wait, do) }
+
+// Call sends a call to a node and waits for its answer: a second, and as long as a watch waits.
+func (a *applications) Call(caller string, c coordination.Call, then func(*callhistory.Record)) {
+	w := a.w
+	r := &callhistory.Record{Caller: caller, Call: c, Sent: w.now, Ended: callhistory.Never}
+	a.history = append(a.history, r)
+	told := false
+	tell := func() {
+		if !told {
+			told = true
+			then(r)
+		}
+	}
+	w.after(silentFor+c.Wait, tell)
+	m := w.machines[a.rng.IntN(len(w.machines))]
+	if m.dark {
+		return
+	}
+	way := span(a.rng, 500*time.Microsecond, 2*time.Millisecond)
+	w.after(way, func() {
+		p := m.p
+		if p == nil || p.upstreams.deaf {
+			w.after(way, tell)
+			return
+		}
+		p.turn(func() {
+			w.doing = "applications"
+			p.h.Coordinate(c, func(answer coordination.Answer) {
+				w.after(way, func() {
+					if told || p.over {
+						tell()
+						return
+					}
+					if r.Answer = answer; answer.Status != coordination.Unclear {
+						r.Ended = w.now
+					}
+					tell()
+				})
+			})
+		})
+	})
+}
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -16,20 +16,22 @@
 
 // Result is what came of a day.
 type Result struct {
-	Day       *Day
-	Broken    []history.Broken
-	Digest    string // of all that was seen and sent: the same for the same day
-	Counts    Counts
-	Taken     int             // configurations acknowledged
-	Recovered []time.Duration // until all nodes served: after the faults, after the closing fault
-	Played    time.Duration   // simulated
-	Events    uint64
-	Syncs     int
-	Disks     Traffic // bytes a second that a node with a disk sends, by kind, in the mean
-	Others    Traffic // and one without
-	Most      float64 // the most that any node sends
-	History   []history.Event
-	Parted    Parted
+	Day        *Day
+	Broken     []history.Broken
+	Digest     string // of all that was seen and sent: the same for the same day
+	Counts     Counts
+	Taken      int             // configurations acknowledged
+	Recovered  []time.Duration // until all nodes served: after the faults, after the closing fault
+	Played     time.Duration   // simulated
+	Events     uint64
+	Syncs      int
+	Disks      Traffic // bytes a second that a node with a disk sends, by kind, in the mean
+	Others     Traffic // and one without
+	Most       float64 // the most that any node sends
+	History    []history.Event
+	Parted     Parted
+	Calls      int // of applications
+	ClearCalls int // answered clearly
 }
 
 const (
@@ -70,6 +72,7 @@
 		return
 	}
 	w.clients.begin()
+	w.beginApplications()
 	if w.day.Calm {
 		w.operator.goes = w.day.Changes
 		w.counted = w.now + warm
@@ -79,6 +82,7 @@
 	}
 	w.suffers(r)
 	w.operator.goes, w.clients.open = false, false
+	w.endApplications(r)
 	w.until(w.now+gatewaystandin.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
 	final := w.readsBack()
 	w.until(w.now+tail, nil)
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -82,46 +82,48 @@
 	Wipe    bool // and one disk is lost by it
 	Calm    bool // nothing but its time is played: no recovery is waited for
 	Changes bool // while the operator goes on, in a calm day
+	Callers int  // applications that take locks; with some, all kinds of coordination calls come
 	Hard    bool // disks wait their turn to be lost, and the operator sends again what was taken long ago: see DrawHard
 	Log     io.Writer
 }
 
 // world is a day under way.
 type world struct {
-	day      *Day
-	now      time.Duration
-	dues     timerqueue.Queue[func()]
-	events   uint64
-	history  []history.Event
-	machines []*machine
-	byInner  map[string]*machine
-	byCall   map[string]*machine
-	zones    []string
-	net      *rand.Rand // what travels
-	disks    *rand.Rand
-	backs    *rand.Rand
-	cuts     []*cut
-	losses   spec.Held // of datagrams, and of frames that go again
-	timeline *timeline
-	clients  *clients
-	operator *operator
-	waits    map[spec.Moment][]func()
-	teller   *machine // who last acknowledged a drain
-	faults   int      // under way
-	over     bool
-	sum      uint64 // of what travelled
-	counted  time.Duration
-	parted   Parted
-	planted  plant
-	chases   bool     // an order of a parted node's is under way
-	copies   int      // faults under way that let frames come twice
-	replaced int      // machines
-	passer   *machine // who last passed on a call, and to whom
-	passedTo *machine
-	broken   []history.Broken // seen while the day went on
-	metered  bool             // work and frames are counted, and no history is kept
-	enough   func() string    // why a metered day is to end at once; nil: never
-	doing    string           // what the turn under way is for, where it is metered
+	day          *Day
+	now          time.Duration
+	dues         timerqueue.Queue[func()]
+	events       uint64
+	history      []history.Event
+	machines     []*machine
+	byInner      map[string]*machine
+	byCall       map[string]*machine
+	zones        []string
+	net          *rand.Rand // what travels
+	disks        *rand.Rand
+	backs        *rand.Rand
+	cuts         []*cut
+	losses       spec.Held // of datagrams, and of frames that go again
+	timeline     *timeline
+	clients      *clients
+	operator     *operator
+	applications *applications // nil: none call
+	waits        map[spec.Moment][]func()
+	teller       *machine // who last acknowledged a drain
+	faults       int      // under way
+	over         bool
+	sum          uint64 // of what travelled
+	counted      time.Duration
+	parted       Parted
+	planted      plant
+	chases       bool     // an order of a parted node's is under way
+	copies       int      // faults under way that let frames come twice
+	replaced     int      // machines
+	passer       *machine // who last passed on a call, and to whom
+	passedTo     *machine
+	broken       []history.Broken // seen while the day went on
+	metered      bool             // work and frames are counted, and no history is kept
+	enough       func() string    // why a metered day is to end at once; nil: never
+	doing        string           // what the turn under way is for, where it is metered
 }
 
 // happens calls those who wait for a moment.
@@ -179,6 +181,9 @@
 		if m.disk != nil {
 			m.settings.DataDir = "disk"
 		}
+		if d.Callers > 0 {
+			m.settings.Contracts = []string{"coord"}
+		}
 	}
 	w.timeline = newTimeline(w)
 	w.clients = newClients(w)
