--- a/cmd/gateway/coordination.go
+++ b/cmd/gateway/coordination.go
@@ -117,9 +117,9 @@
 
 type keysPutCmd struct {
 	caller
-	Revision uint64 `arg:"--revision" placeholder:"N" help:"the revision that the key must have; 0: any"`
-	Key      string `arg:"positional,required" placeholder:"KEY"`
-	Value    string `arg:"positional,required" placeholder:"VALUE" help:"one that the key never had: the same again is the same put again"`
+	Revision *uint64 `arg:"--revision" placeholder:"N" help:"the revision that the key must have; 0: it was never put; left out: any"`
+	Key      string  `arg:"positional,required" placeholder:"KEY"`
+	Value    string  `arg:"positional,required" placeholder:"VALUE" help:"one that the key never had: the same again is the same put again"`
 }
 
 func (c *keysPutCmd) run(out io.Writer) error {
--- a/internal/gateway/controlapi/coordination.gen.go
+++ b/internal/gateway/controlapi/coordination.gen.go
@@ -97,8 +97,8 @@
 
 // KeyReplace A key's new value.
 type KeyReplace struct {
-	// Topic The revision that the key must have; 0 or left out, it may have any.
-	Topic uint64 `json:"topic,omitempty"`
+	// Topic The revision that the key must have; 0, it must never have been put; left out, it may have any.
+	Topic *uint64 `json:"topic,omitempty"`
 
 	// Value At most 4 KiB. The same value again is the same put again.
 	Value string `json:"value" validate:"max=4096"`
--- a/internal/gateway/controlapi/coordination.go
+++ b/internal/gateway/controlapi/coordination.go
@@ -105,7 +105,10 @@
 	case coordination.KeyReplace:
 		var b KeyReplace
 		err = readBody(body, &b)
-		call.Value, call.Expected = b.Value, b.Topic
+		call.Value = b.Value
+		if b.Topic != nil {
+			call.Bound, call.Expected = true, *b.Topic
+		}
 	case coordination.KeyWatch:
 		call.After, call.Wait, err = readWatch(query)
 	case coordination.LockList:
--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -86,7 +86,7 @@
 
 func (h *fakeNode) Coordinate(c coordination.Call, then func(coordination.Answer)) {
 	a := h.answer
-	h.do(fmt.Sprintf("%v %q %q %d %v %q %d %d %v", c.Operation, c.Name, c.Holder, c.Fence, c.Hold, c.Value, c.Expected, c.After, c.Wait),
+	h.do(fmt.Sprintf("%v %q %q %d %v %q %v %d %d %v", c.Operation, c.Name, c.Holder, c.Fence, c.Hold, c.Value, c.Bound, c.Expected, c.After, c.Wait),
 		func() { then(a) })
 }
 
--- a/internal/gateway/coordination/call.go
+++ b/internal/gateway/coordination/call.go
@@ -39,7 +39,8 @@
 	Fence     uint64
 	Hold      time.Duration
 	Value     string
-	Expected  uint64        // the revision that the key must have, 0: any
+	Bound     bool          // a put is bound to Expected
+	Expected  uint64        // the revision that the key must have; 0: it must never have been put
 	After     uint64        // the revision after which a watch begins, 0: only the present revision is asked for
 	Wait      time.Duration // of a watch
 	Group     groups.ID     // of a LockList
--- a/internal/gateway/coordination/keys.go
+++ b/internal/gateway/coordination/keys.go
@@ -63,7 +63,7 @@
 	}
 	now, exists := g.keys[c.Name]
 	digest := digestOf(c.Name, c.Value)
-	conflicts := c.Expected != 0 && c.Expected != now.revision && s.fault != anyRevision
+	conflicts := c.Bound && c.Expected != now.revision && s.fault != anyRevision
 	if s.fault == revisionFirst && conflicts {
 		return Answer{Status: Conflict, Revision: now.revision}
 	}
--- a/internal/gateway/coordination/message.go
+++ b/internal/gateway/coordination/message.go
@@ -112,6 +112,7 @@
 		e.uint(c.Fence)
 	case KeyReplace:
 		e.text(c.Value)
+		e.bool(c.Bound)
 		e.uint(c.Expected)
 	case KeyWatch:
 		e.uint(c.After)
@@ -132,7 +133,7 @@
 	case LockFinish:
 		c.Holder, c.Fence = d.text(), d.uint()
 	case KeyReplace:
-		c.Value, c.Expected = d.text(), d.uint()
+		c.Value, c.Bound, c.Expected = d.text(), d.bool(), d.uint()
 	case KeyWatch:
 		c.After, c.Wait = d.uint(), d.time()
 	case LockList:
--- a/internal/gateway/coordination/state_test.go
+++ b/internal/gateway/coordination/state_test.go
@@ -17,7 +17,8 @@
 	x := entry{at: *at, id: CallID{Life: 5, Number: nr - uint32(rapid.IntRange(0, 1).Draw(t, "copy"))}}
 	x.call = Call{Operation: Operation(rapid.IntRange(int(LockBegin), int(KeyReplace)).Draw(t, "operation")), Name: draw("n", 2),
 		Holder: draw("h", 2), Fence: uint64(rapid.IntRange(0, 4).Draw(t, "fence")), Value: draw("v", 30),
-		Hold: time.Duration(rapid.IntRange(1, 5000).Draw(t, "hold")) * time.Millisecond, Expected: uint64(rapid.IntRange(0, 3).Draw(t, "expected"))}
+		Hold: time.Duration(rapid.IntRange(1, 5000).Draw(t, "hold")) * time.Millisecond, Bound: rapid.Bool().Draw(t, "bound"),
+		Expected: uint64(rapid.IntRange(0, 3).Draw(t, "expected"))}
 	return x.encode()
 }
 
@@ -93,13 +94,14 @@
 func TestRepeatedPut(t *testing.T) {
 	s := NewState(time.Second)
 	put := func(value string, expected uint64) Answer {
-		return s.replace(&Call{Operation: KeyReplace, Name: "g.k", Value: value, Expected: expected})
+		return s.replace(&Call{Operation: KeyReplace, Name: "g.k", Value: value, Bound: true, Expected: expected})
 	}
 	must.Eq(t, Answer{Revision: 1}, put("a", 0))
 	must.Eq(t, Answer{Revision: 2}, put("b", 1))
 	must.Eq(t, Answer{Revision: 2}, put("b", 1)) // its own put is why the key has not revision 1 any more
 	must.Eq(t, Answer{Revision: 1}, put("a", 0))
 	must.Eq(t, Answer{Status: Conflict, Revision: 2}, put("c", 1))
-	must.Eq(t, Answer{Revision: 3}, put("c", 0))
-	must.Eq(t, Answer{Status: Conflict}, s.replace(&Call{Operation: KeyReplace, Name: "g.new", Value: "x", Expected: 7}))
+	must.Eq(t, Answer{Status: Conflict, Revision: 2}, put("c", 0)) // 0: it must never have been put
+	must.Eq(t, Answer{Revision: 3}, s.replace(&Call{Operation: KeyReplace, Name: "g.k", Value: "c"}))
+	must.Eq(t, Answer{Status: Conflict}, s.replace(&Call{Operation: KeyReplace, Name: "g.new", Value: "x", Bound: true, Expected: 7}))
 }
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -187,12 +187,10 @@
 			e.d.world.After(e.d.between(0, 100*time.Millisecond), e.next)
 			return
 		}
-		expected := r.Answer.Revision
-		if e.d.rng.IntN(3) == 0 {
-			expected = 0
-		}
+		bound := e.d.rng.IntN(3) > 0
 		e.d.values++
-		c := coordination.Call{Operation: coordination.KeyReplace, Name: key, Value: fmt.Sprintf("v%d", e.d.values), Expected: expected}
+		c := coordination.Call{Operation: coordination.KeyReplace, Name: key, Value: fmt.Sprintf("v%d", e.d.values), Bound: bound,
+			Expected: r.Answer.Revision}
 		e.put(c, 1+e.d.rng.IntN(4))
 	})
 }
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -37,7 +37,7 @@
 }
 
 func (b *book) put(value string, expected uint64, a coordination.Answer) *Record {
-	return b.add(coordination.Call{Operation: coordination.KeyReplace, Name: "g.k", Value: value, Expected: expected}, a)
+	return b.add(coordination.Call{Operation: coordination.KeyReplace, Name: "g.k", Value: value, Bound: expected > 0, Expected: expected}, a)
 }
 
 func (b *book) read(value string, revision uint64) *Record {
@@ -93,6 +93,10 @@
 		"number falls":   {Order, func(b *book) { b.number(4); b.number(3) }},
 		"revision falls": {Order, func(b *book) { b.put("v2", 0, revision(2)); b.put("v1", 0, revision(1)) }},
 		"put over later": {Order, func(b *book) { b.put("v1", 0, revision(1)); b.put("v2", 0, revision(2)); b.put("v3", 1, revision(3)) }},
+		"put over a first": {Order, func(b *book) {
+			b.put("v1", 0, revision(1))
+			b.put("v2", 0, revision(2)).Call.Bound = true
+		}},
 		"watch skips": {Order, func(b *book) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 0, revision(2))
--- a/internal/lab/callhistory/keys.go
+++ b/internal/lab/callhistory/keys.go
@@ -17,7 +17,7 @@
 	shown      map[uint64]bool // and that it was shown under
 	good       *Record         // the first good answer
 	open       bool            // some call of it may have taken effect without being answered so
-	expected   map[uint64]bool // by those of its calls that were good
+	expected   map[uint64]bool // that its good calls were bound to
 	acked      time.Duration   // of the good answer
 	refusals   []*Record
 }
@@ -91,7 +91,10 @@
 			}
 			switch {
 			case r.Good():
-				p.given[r.Answer.Revision], p.expected[r.Call.Expected] = true, true
+				p.given[r.Answer.Revision] = true
+				if r.Call.Bound {
+					p.expected[r.Call.Expected] = true
+				}
 				if p.good == nil || r.Ended < p.good.Ended {
 					p.good = r
 				}
@@ -172,7 +175,7 @@
 	for _, p := range puts {
 		for expected := range p.expected {
 			for _, x := range puts {
-				if r := x.revision(); expected > 0 && r > expected && r < p.revision() {
+				if r := x.revision(); r > expected && r < p.revision() {
 					c.breaks(Order, "%q of %s was put over revision %d at %d, though %d was between", p.value, key, expected, p.revision(), r)
 				}
 			}
--- a/internal/lab/callhistory/linear.go
+++ b/internal/lab/callhistory/linear.go
@@ -12,6 +12,7 @@
 type step struct {
 	operation coordination.Operation
 	status    coordination.Status
+	bound     bool
 	expected  uint64
 	result    uint64 // revision or number
 	value     string
@@ -32,7 +33,7 @@
 		case x.operation == coordination.Number:
 			return x.result > now.last, nameState{last: x.result}
 		case x.operation == coordination.KeyReplace && x.status == coordination.OK:
-			return x.result > now.last && (x.expected == 0 || x.expected == now.last), nameState{x.value, x.result}
+			return x.result > now.last && (!x.bound || x.expected == now.last), nameState{x.value, x.result}
 		case x.operation == coordination.KeyReplace:
 			return x.result == now.last && x.expected != now.last, state
 		}
@@ -104,7 +105,7 @@
 		}
 		if at := p.revision(); at > 0 {
 			known[at] = true
-			calls = append(calls, operation(p.first.Sent, ended, step{operation: coordination.KeyReplace, expected: p.first.Call.Expected,
+			calls = append(calls, operation(p.first.Sent, ended, step{operation: coordination.KeyReplace, bound: p.first.Call.Bound, expected: p.first.Call.Expected,
 				result: at, value: p.value}))
 		} else if p.open {
 			unseen = min(unseen, p.first.Sent)
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -171,14 +171,23 @@
 	return v, err
 }
 
-// Put puts a key's value and gives its revision. expected is the revision that the key must have, 0 for any. Values must not repeat: the same
-// value again is the same put again.
-func (c *Client) Put(ctx context.Context, key, value string, expected uint64) (uint64, error) {
+// Put puts a key's value, whatever revision the key has, and gives the put's own. Values must not repeat: the same value again is the same
+// put again.
+func (c *Client) Put(ctx context.Context, key, value string) (uint64, error) {
+	return c.put(ctx, key, value, nil)
+}
+
+// PutAt is Put, if the key has a revision; 0: if it was never put.
+func (c *Client) PutAt(ctx context.Context, key, value string, revision uint64) (uint64, error) {
+	return c.put(ctx, key, value, &revision)
+}
+
+func (c *Client) put(ctx context.Context, key, value string, revision *uint64) (uint64, error) {
 	var v Value
 	body := struct {
-		Value string `json:"value"`
-		Topic uint64 `json:"topic,omitempty"`
-	}{value, expected}
+		Value string  `json:"value"`
+		Topic *uint64 `json:"topic,omitempty"`
+	}{value, revision}
 	err := c.call(ctx, http.MethodPost, "/api/Cells.Replace/"+url.PathEscape(key), body, 0, &v)
 	return v.Revision, err
 }
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -65,7 +65,7 @@
 		must.ErrorIs(t, err, want)
 	}
 	_, c := serve(t, func(string, string) (int, string) { return 412, `{"revision":7}` })
-	_, err := c.Put(within(t, time.Minute), "g.k", "v", 3)
+	_, err := c.PutAt(within(t, time.Minute), "g.k", "v", 3)
 	conflict, ok := err.(*ConflictError)
 	must.True(t, ok)
 	must.Eq(t, 7, conflict.Revision)
@@ -80,7 +80,7 @@
 		}
 		return 200, `{"revision":9}`
 	})
-	revision, err := c.Put(within(t, time.Minute), "g.k", "v", 3)
+	revision, err := c.PutAt(within(t, time.Minute), "g.k", "v", 3)
 	must.NoError(t, err)
 	must.Eq(t, 9, revision)
 	must.Eq(t, 3, n.count(`{"value":"v","topic":3}`))
