--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -376,7 +376,12 @@
 func found(t *testing.T, doors int, seed int64, f fault) *walk { return foundBy(t, doors, 3, seed, f) }
 
 func foundBy(t *testing.T, doors, founders int, seed int64, f fault) *walk {
-	w := &walk{t: t, rng: rand.New(rand.NewSource(seed)), fault: f, terms: DefaultTerms(), bytes: map[int]int{}}
+	return foundUnder(t, DefaultTerms(), doors, founders, seed, f)
+}
+
+// foundUnder is as foundBy, under other terms.
+func foundUnder(t *testing.T, terms Terms, doors, founders int, seed int64, f fault) *walk {
+	w := &walk{t: t, rng: rand.New(rand.NewSource(seed)), fault: f, terms: terms, bytes: map[int]int{}}
 	if seed%2 == 1 { // states and one change in eight go in chunks
 		w.terms.Window, w.terms.Chunk, w.terms.Trail = 4, 2, 300
 	}
@@ -402,7 +407,16 @@
 
 // troubled is a walk on three to five nodes with trouble until a time, and ten calm seconds after it.
 func troubled(t *testing.T, seed int64, f fault, trouble func(*walk), until time.Duration) *walk {
-	w := found(t, 3+int(seed%3), seed, f)
+	return found(t, 3+int(seed%3), seed, f).walks(trouble, until)
+}
+
+// takeGroupWalk is a walk of a coordination group.
+func takeGroupWalk(t *testing.T, seed int64, f fault) *walk {
+	return foundUnder(t, GroupTerms(1), 3+int(seed%3), 3, seed, f).walks((*walk).trouble, 40*time.Second)
+}
+
+// walks goes on with trouble until a time, and ten calm seconds after it.
+func (w *walk) walks(trouble func(*walk), until time.Duration) *walk {
 	w.tends(1)
 	w.proposes()
 	w.at(3*time.Second, func() { trouble(w) })
@@ -446,9 +460,18 @@
 
 // After any walk: one order, nothing acknowledged lost, reads new enough, and ten calm seconds later all go
 // on.
-func TestWalks(t *testing.T) {
+func TestWalks(t *testing.T) { goesOnAfter(t, takeWalk) }
+
+// The same under a group's terms: quick changes of leaders, rounds of reads that ask a bare majority.
+func TestWalksOfGroups(t *testing.T) { goesOnAfter(t, takeGroupWalk) }
+
+func TestWalksOfGroupsFindFaults(t *testing.T) {
+	walksFind(t, takeGroupWalk, 200, unreadRounds, readEarly, keepTokens)
+}
+
+func goesOnAfter(t *testing.T, play func(*testing.T, int64, fault) *walk) {
 	eachWalk(t, func(t *testing.T, seed int64) {
-		w := takeWalk(t, seed, sound)
+		w := play(t, seed, sound)
 		must.Eq(t, "", w.wrong)
 		done, l := w.done, w.leader()
 		must.NotEq(t, -1, l, must.Sprint("nobody leads"))
