--- a/internal/gateway/coordination/export_test.go
+++ b/internal/gateway/coordination/export_test.go
@@ -22,6 +22,7 @@
 	"a late finish frees a lock asked for again":   finishAfterBegin,
 	"a late copy takes a lock that was given back": copiesBegin,
 	"a copy counts however late":                   lateCopies,
+	"a leader keeps a clock of its own":            ownClock,
 	"a new leader forgets holds":                   forgetsHolds,
 	"a put counts whatever the revision":           anyRevision,
 	"a repeated put is compared first":             revisionFirst,
--- a/internal/gateway/coordination/faultdays_test.go
+++ b/internal/gateway/coordination/faultdays_test.go
@@ -1,7 +1,9 @@
 package coordination_test
 
 import (
+	"os"
 	"slices"
+	"strconv"
 	"testing"
 	"time"
 
@@ -13,11 +15,11 @@
 
 const daySpan = 25 * time.Second
 
-// Days of all troubles at once break no rule, and at their end all is there.
+// Days of all troubles at once break no rule, and at their end all is there. COORDINATION_DAYS plays so many.
 func TestDays(t *testing.T) {
 	days := uint64(60)
-	if testing.Short() {
-		days = 10
+	if n, err := strconv.ParseUint(os.Getenv("COORDINATION_DAYS"), 10, 32); err == nil {
+		days = n
 	}
 	calls := 0
 	for seed := range days {
--- a/internal/gateway/coordination/faults.go
+++ b/internal/gateway/coordination/faults.go
@@ -13,6 +13,7 @@
 	copiesBegin            // a late copy of a call takes a lock that was given back
 	lateCopies             // a copy of a call counts however late it is
 	forgetsHolds           // a new leader's clock begins beyond all holds
+	ownClock               // a node that led goes on by its own clock whatever others stamped since
 	anyRevision            // a put counts whatever the key's revision
 	revisionFirst          // a put that is repeated is compared like a new one
 	putsAgain              // a put that is repeated is a new one
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -24,12 +24,12 @@
 }
 
 const (
-	// retireFor is longer than a call or a copy of it is on its way: see callFor and waitedMost.
+	// retireFor is longer than a call, or a copy of it, is on its way from the node that took it: see waitedMost and callFor.
 	retireFor = 4 * time.Second
-	// lateFinish is longer than that too: how long after its holder asked for a lock again a Finish is taken for one sent before that. The holder keeps
-	// its fence, so nothing else tells the two apart, and freeing the lock under a holder that goes on is the worse mistake: the
-	// lock is then free when its time has run out.
-	lateFinish = 2 * time.Second
+	// lateFinish is longer than that too. So long after its holder asked for a lock again a Finish is taken for one sent before that. The
+	// holder keeps its fence, so nothing else tells the two apart, and freeing the lock under a holder that goes on is the worse
+	// mistake: the lock is then free when its time has run out.
+	lateFinish = 1200 * time.Millisecond
 )
 
 // free tells whether nobody may hold a lock.
--- a/internal/gateway/coordination/service.go
+++ b/internal/gateway/coordination/service.go
@@ -63,8 +63,17 @@
 type ledGroup struct {
 	state *State
 	leads bool
-	base  time.Duration // the log clock when the lead was gained
-	since time.Duration // and when that was
+	base  time.Duration // what the log clock showed at the least
+	since time.Duration // and when that was, by this node's clock
+}
+
+// advanced notes that the log clock showed what the newest entry was stamped with, some time before now. So a follower that comes to lead
+// knows how the clock went on since. It never keeps a time of its own that is ahead: another leader may have stamped entries by a clock
+// that was behind, and whatever holds by these must not end early. Who leads goes on by its own.
+func (g *ledGroup) advanced(now time.Duration) {
+	if !g.leads && (g.state.fault != ownClock || g.state.clock > g.base+now-g.since) {
+		g.base, g.since = g.state.clock, now
+	}
 }
 
 // remoteClock is what is known of another node's steady clock: it is at least at, ahead of this node's by so much.
@@ -91,14 +100,16 @@
 			s.news = append(s.news, keyGroup)
 		}
 	}
-	s.led[id].state = state
+	g := &s.led[id]
+	g.state, g.base, g.since = state, 0, s.host.Now()
+	state.advanced = func() { g.advanced(s.host.Now()) }
 	return state
 }
 
-// Gained begins to lead a group. The log clock goes on from where it stood.
+// Gained begins to lead a group.
 func (s *Service) Gained(id groups.ID, _ uint64) {
 	g := &s.led[id]
-	g.leads, g.base, g.since = true, g.state.clock, s.host.Now()
+	g.leads = true
 	if s.fault == forgetsHolds {
 		g.base += LongestHold
 	}
@@ -107,7 +118,9 @@
 
 // Lost ends leading a group: the watches that wait here are sent to whoever leads now.
 func (s *Service) Lost(id groups.ID, _ uint64) {
-	s.led[id].leads = false
+	g := &s.led[id]
+	g.leads = false
+	g.advanced(s.host.Now()) // others may have stamped entries before this was known
 	s.counts.Lost++
 	for _, w := range s.parkedOf(id) {
 		s.unpark(w)
--- a/internal/gateway/coordination/snapshot.go
+++ b/internal/gateway/coordination/snapshot.go
@@ -87,7 +87,7 @@
 
 // Restore takes the place of the whole state; empty means the one that a group starts with. If it fails the state is as before.
 func (s *State) Restore(bytes []byte) error {
-	fresh := &State{history: s.history, fault: s.fault, changed: s.changed}
+	fresh := &State{history: s.history, fault: s.fault, changed: s.changed, advanced: s.advanced}
 	fresh.clear()
 	if len(bytes) > 0 {
 		d := decoder{bytes: bytes}
@@ -100,6 +100,7 @@
 		}
 	}
 	*s = *fresh
+	s.advanced()
 	for name := range s.keys.groups {
 		s.changed(name)
 	}
--- a/internal/gateway/coordination/state.go
+++ b/internal/gateway/coordination/state.go
@@ -14,20 +14,21 @@
 
 // State is what a group's log folds to: locks, numbers and keys. It is a groups.StateMachine.
 type State struct {
-	clock   time.Duration // the log clock, at the newest entry
-	history time.Duration // how long events are kept at the least
-	fence   uint64        // the last one given, over all locks of the group
-	locks   map[string]*lock
-	retired []retiredBegin
-	numbers map[string]uint64
-	keys    keyTable
-	fault   fault
-	changed func(keyGroup string) // told of each put
+	clock    time.Duration // the log clock, at the newest entry
+	history  time.Duration // how long events are kept at the least
+	fence    uint64        // the last one given, over all locks of the group
+	locks    map[string]*lock
+	retired  []retiredBegin
+	numbers  map[string]uint64
+	keys     keyTable
+	fault    fault
+	changed  func(keyGroup string) // told of each put
+	advanced func()                // told when the clock may have gone on
 }
 
 // NewState is the state that a group starts with. A watch may resume for as long as history.
 func NewState(history time.Duration) *State {
-	s := &State{history: history, fault: planted, changed: func(string) {}}
+	s := &State{history: history, fault: planted, changed: func(string) {}, advanced: func() {}}
 	s.clear()
 	return s
 }
@@ -44,6 +45,7 @@
 		return encodeResult(Answer{Status: Unclear})
 	}
 	s.clock = max(s.clock, x.at)
+	s.advanced()
 	return encodeResult(s.apply(&x))
 }
 
