--- a/internal/lab/simulation/groups_test.go
+++ b/internal/lab/simulation/groups_test.go
@@ -16,8 +16,11 @@
 )
 
 // groupWorld is a day's world whose groups are led, eight disks and two nodes without one.
-func groupWorld(t *testing.T, seed uint64) *world {
-	w := newWorld(&Day{Site: Site{Nodes: 10, Disks: 8, Rate: 20}.Usual(), Seed: seed, For: time.Second})
+func groupWorld(t *testing.T, seed uint64) *world { return groupWorldOf(t, seed, 10, 8) }
+
+// groupWorldOf is one of so many nodes and disks.
+func groupWorldOf(t *testing.T, seed uint64, nodes, disks int) *world {
+	w := newWorld(&Day{Site: Site{Nodes: nodes, Disks: disks, Rate: 20}.Usual(), Seed: seed, For: time.Second})
 	for _, m := range w.machines {
 		m.settings.Contracts = []string{"coord"}
 		m.start()
@@ -41,15 +44,16 @@
 	return leader
 }
 
-// spread tells whether each disk leads one group.
+// spread tells whether all groups are led, and each disk leads its share.
 func (w *world) spread() bool {
-	led := map[*machine]bool{}
+	led, share := map[*machine]int{}, (groups.Count+w.day.Disks-1)/w.day.Disks
 	for id := range groups.ID(groups.Count) {
-		if m := w.leads(id); m != nil {
-			led[m] = true
+		m := w.leads(id)
+		if led[m]++; m == nil || led[m] > share {
+			return false
 		}
 	}
-	return len(led) == groups.Count
+	return true
 }
 
 // nameIn is a counter of a group.
@@ -256,11 +260,11 @@
 	processor                      time.Duration
 }
 
-// costAt plays a few seconds of so many calls a second at all nodes in turn.
-func costAt(t *testing.T, perSecond int) (c callCost) {
+// costAt plays a few seconds of so many calls a second at all nodes in turn, two of them without a disk.
+func costAt(t *testing.T, disks, perSecond int) (c callCost) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	w := groupWorld(t, 5)
+	w := groupWorldOf(t, 5, disks+2, disks)
 	w.metered = true
 	for _, m := range w.machines {
 		m.meter = meter{}
@@ -302,15 +306,61 @@
 
 // What a call costs, in syncs, frames, bytes and processor of all nodes together: no more than so much.
 func TestCostOfACall(t *testing.T) {
-	idle := costAt(t, 0)
-	for _, rate := range []int{120, 240, 480} {
-		c := costAt(t, rate)
-		must.Greater(t, 0.95*float64(rate), c.answered)
+	for _, at := range []struct{ disks, rate int }{{8, 120}, {8, 240}, {8, 480}, {3, 240}, {5, 240}} {
+		idle := costAt(t, at.disks, 0)
+		c := costAt(t, at.disks, at.rate)
+		must.Greater(t, 0.95*float64(at.rate), c.answered)
 		syncs, frames := (c.syncs-idle.syncs)/c.answered, (c.frames-idle.frames)/c.answered
-		t.Logf("%3d calls a second: %.1f syncs, %.1f frames, %.0f bytes, %v of processor a call (idle: %.0f syncs, %.0f frames, %.0f bytes, %v a second)",
-			rate, syncs, frames, (c.bytes-idle.bytes)/c.answered, time.Duration(float64(c.processor-idle.processor)/c.answered).Round(time.Microsecond),
+		t.Logf("%d disks, %3d calls a second: %.1f syncs, %.1f frames, %.0f bytes, %v of processor a call (idle: %.0f syncs, %.0f frames, %.0f bytes, %v a second)",
+			at.disks, at.rate, syncs, frames, (c.bytes-idle.bytes)/c.answered, time.Duration(float64(c.processor-idle.processor)/c.answered).Round(time.Microsecond),
 			idle.syncs, idle.frames, idle.bytes, idle.processor.Round(time.Microsecond))
 		must.Less(t, 8, syncs)
 		must.Less(t, 40, frames)
 	}
 }
+
+// Configurations and calls share disks and links, and neither waits long for the other: 480 calls a second with puts of 4 KB beside an operator
+// who changes the configuration all the time.
+func TestConfigurationsAndCallsShareTheDisk(t *testing.T) {
+	const over = 10 * time.Second
+	play := func(perSecond int, changes bool) (acks, calls []time.Duration) {
+		w := groupWorld(t, 9)
+		began, n := w.now, 0
+		w.operator.goes = changes
+		if perSecond > 0 {
+			w.every(time.Second/time.Duration(perSecond), func() bool {
+				m, c, asked := w.machines[n%len(w.machines)], callMix(n), w.now
+				if n++; c.Operation == coordination.KeyReplace {
+					c.Value = fmt.Sprintf("%04096d", n)
+				}
+				m.p.turn(func() {
+					m.p.h.Coordinate(c, func(a coordination.Answer) {
+						must.NotEq(t, coordination.Unavailable, a.Status)
+						calls = append(calls, w.now-asked)
+					})
+				})
+				return w.now < began+over
+			})
+		}
+		w.until(began+over, nil)
+		for _, v := range w.operator.versions {
+			if v.Sent > began && v.Acked > 0 {
+				acks = append(acks, v.Acked-v.Sent)
+			}
+		}
+		slices.Sort(acks)
+		slices.Sort(calls)
+		return acks, calls
+	}
+	at := func(all []time.Duration, q float64) time.Duration {
+		return all[min(len(all)-1, int(q*float64(len(all))))].Round(100 * time.Microsecond)
+	}
+	aloneAcks, _ := play(0, true)
+	_, aloneCalls := play(480, false)
+	acks, calls := play(480, true)
+	t.Logf("%d changes: median %v, worst %v; beside calls median %v, worst %v", len(aloneAcks), at(aloneAcks, 0.5), at(aloneAcks, 1), at(acks, 0.5), at(acks, 1))
+	t.Logf("%d calls: median %v, 99 in 100 %v, worst %v; beside changes median %v, 99 in 100 %v, worst %v", len(aloneCalls), at(aloneCalls, 0.5),
+		at(aloneCalls, 0.99), at(aloneCalls, 1), at(calls, 0.5), at(calls, 0.99), at(calls, 1))
+	must.Less(t, at(aloneAcks, 0.5)+20*time.Millisecond, at(acks, 0.5))
+	must.Less(t, 60*time.Millisecond, at(calls, 0.99))
+}
