--- a/control/quota_test.go
+++ b/control/quota_test.go
@@ -354,6 +354,6 @@
 		t.Logf("%v datagrams a second: %d of %d refused", datagrams, beyond, passed+beyond)
 		return beyond
 	}
-	must.Less(t, 10, refused(2000)) // of some 2,100
+	must.Less(t, 10, refused(2000))   // of some 2,100
 	must.Greater(t, 40, refused(400)) // what a node took before
 }
