--- /dev/null
+++ b/internal/gateway/coordination/entry.go
@@ -0,0 +1,60 @@
+package coordination
+
+import "time"
+
+// entryVersion begins each entry and each state.
+const entryVersion = 1
+
+// entry is a call in a group's log: what it is, when whoever led took it in by the log clock, and which call it is.
+type entry struct {
+	call Call
+	at   time.Duration
+	id   CallID
+}
+
+// encode words an entry for the log.
+func (x *entry) encode() []byte {
+	var e encoder
+	e.uint(entryVersion)
+	e.time(x.at)
+	e.bool(x.call.Operation == LockBegin)
+	if x.call.Operation == LockBegin {
+		encodeID(&e, x.id)
+	}
+	x.call.encode(&e)
+	return e.bytes
+}
+
+// decodeEntry reads an entry of the log.
+func decodeEntry(b []byte) (x entry, err error) {
+	d := decoder{bytes: b}
+	if d.uint() != entryVersion {
+		return x, errVersion
+	}
+	x.at = d.time()
+	if d.bool() {
+		x.id = decodeID(&d)
+	}
+	x.call.decode(&d)
+	return x, d.err
+}
+
+// encodeResult words what an entry led to, for whoever proposed it.
+func encodeResult(a Answer) []byte {
+	var e encoder
+	e.uint(uint64(a.Status))
+	e.uint(a.Fence)
+	e.uint(a.Number)
+	e.uint(a.Revision)
+	return e.bytes
+}
+
+func decodeResult(b []byte) (a Answer, err error) {
+	d := decoder{bytes: b}
+	a.Status = Status(d.uint())
+	a.Fence, a.Number, a.Revision = d.uint(), d.uint(), d.uint()
+	if d.err == nil && a.Status > Unclear {
+		return a, errVersion
+	}
+	return a, d.err
+}
--- a/internal/gateway/replication/logs.go
+++ b/internal/gateway/replication/logs.go
@@ -49,15 +49,16 @@
 func GroupTerms(log LogID) Terms {
 	t := DefaultTerms()
 	t.Log = log
-	t.Beat, t.Patience, t.Spread, t.Silence = 100*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond, 700*time.Millisecond
-	t.Held, t.Trail = 1<<20, 16<<10
+	t.Beat, t.Patience, t.Spread, t.Silence = 100*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond, 500*time.Millisecond
+	t.Tell = t.Beat // only who leads answers by what is committed
+	t.Held, t.Trail, t.Narrow = 1<<20, 16<<10, true
 	return t
 }
 
 // foundingOf names the founding of this log by these members: each log of a disk has another.
 func (p *Replica) foundingOf(members []Member) uint64 {
 	name := ClusterIDOf(members)
-	if p.terms.Log == ConfigurationLog {
+	if p.terms.Log == ConfigurationLog || p.fault == oneFounding {
 		return name
 	}
 	sum := fnv.New32a()
--- a/internal/lab/faultrig/rig.go
+++ b/internal/lab/faultrig/rig.go
@@ -37,7 +37,7 @@
 type Result struct {
 	Name    string           `json:"name"`
 	Seed    uint64           `json:"seed"`
-	Doors   int              `json:"doors"`
+	Nodes   int              `json:"nodes"`
 	Seconds float64          `json:"seconds"`
 	Faults  int              `json:"faults"`
 	Events  int              `json:"events"`
@@ -98,7 +98,7 @@
 	late := map[int]bool{}
 	for i := range s.Faults {
 		if f := &s.Faults[i]; f.Has(spec.StartLate) {
-			for _, nr := range r.hits(f, s.Doors.Count) {
+			for _, nr := range r.hits(f, s.Nodes.Count) {
 				late[nr] = true
 			}
 		}
@@ -139,7 +139,7 @@
 	}
 	r.log.Add(history.Event{Who: "rig", Kind: history.Closes})
 	close(stop)
-	res := &Result{Name: s.Name, Seed: s.Seed, Doors: s.Doors.Count, Seconds: time.Since(began).Seconds(), Faults: len(s.Faults), Slow: <-slow}
+	res := &Result{Name: s.Name, Seed: s.Seed, Nodes: s.Nodes.Count, Seconds: time.Since(began).Seconds(), Faults: len(s.Faults), Slow: <-slow}
 	if ctx.Err() != nil {
 		return res, ctx.Err()
 	}
@@ -191,7 +191,7 @@
 	s := r.s
 	o := load.Outcomes()[""]
 	res.Asked, res.Settled, res.InTime, res.Refused, res.Voided, res.Failed = o.Requests, o.Settled, o.InTime, o.Declined, o.Voided, o.Failed
-	for _, d := range r.f.Doors {
+	for _, d := range r.f.Nodes {
 		if words, bad := d.Crash(); bad {
 			res.Broken = append(res.Broken, history.Broken{Rule: "no front door crashes", T: history.Now(), Who: d.Name, What: words})
 		} else if d.Up() {
@@ -225,7 +225,7 @@
 	}
 	w := history.World{Products: map[string]history.Product{}, Backends: map[string]history.Place{}, Slack: platform + max(res.Slow, late)}
 	for _, p := range s.Products {
-		w.Products[p.Name] = history.Product{Effect: p.Effect, Scope: p.Scope, Window: p.Window.D(), Work: p.Work.D().Seconds()}
+		w.Products[p.Name] = p.Judged()
 	}
 	for _, b := range r.f.All() {
 		w.Backends[b.ID] = b.Place()
@@ -266,17 +266,12 @@
 	res.Beyond = beyond(s, h)
 }
 
-// ceilingDelay is for how long a plan's rate may be spent beyond its ceiling: the platform's allowance.
-const ceilingDelay = 150 * time.Millisecond
-
 // Ceilings gives each customer's bound: its plan's ceiling with the rules' slack and the platform's.
 func Ceilings(s *spec.Spec) func(key string) (history.Bound, bool) {
 	byPlan := map[string]history.Bound{}
 	for _, p := range s.Plans {
 		if p.Ceiling > 0 {
-			store, rate := p.Ceiling*p.Burst, p.Ceiling*p.Rate
-			slack := max(1, s.Rules.CeilingSlack*store) + rate*ceilingDelay.Seconds()
-			byPlan[p.Name] = history.Bound{Store: store + slack, Rate: rate}
+			byPlan[p.Name] = history.Bound{Store: p.Ceiling*p.Burst + s.Rules.CeilingSlackOf(&p), Rate: p.Ceiling * p.Rate}
 		}
 	}
 	return func(key string) (history.Bound, bool) {
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -28,6 +28,7 @@
 	spec.WipeNodes:        (*faultRun).wipe,
 	spec.ReplaceNodes:     (*faultRun).replaceNodes,
 	spec.TerminateNodes:   (*faultRun).terminate,
+	spec.ResetNodes:       (*faultRun).resetNodes,
 	spec.RestartCaller:    (*faultRun).restartCaller,
 	spec.CutNodes:         (*faultRun).cutNodes,
 	spec.CutZone:          (*faultRun).cutZone,
@@ -198,6 +199,25 @@
 	return nil
 }
 
+// resetNodes resets all connections of the machines that are hit, again and again.
+func (r *faultRun) resetNodes(f *spec.Fault) func() {
+	until := r.now + f.For.D()
+	reset := func() {
+		for _, m := range r.hit {
+			m.resets()
+		}
+	}
+	r.harms(r.hit)
+	reset()
+	r.every(resetEach, func() bool {
+		if r.now < until {
+			reset()
+		}
+		return r.now < until
+	})
+	return func() {}
+}
+
 // restartCaller kills the node that has passed on a call, some times. Where none has, it kills some, as a kind without the moment.
 func (r *faultRun) restartCaller(f *spec.Fault) func() {
 	if r.passer == nil {
