--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -108,7 +108,6 @@
 	timeline     *timeline
 	clients      *clients
 	operator     *operator
-	applications *applications // nil: none call
 	waits        map[spec.Moment][]func()
 	teller       *machine // who last acknowledged a drain
 	faults       int      // under way
@@ -116,6 +115,7 @@
 	sum          uint64 // of what travelled
 	counted      time.Duration
 	parted       Parted
+	ends         []time.Duration
 	planted      plant
 	owners       bool
 	chases       bool     // an order of a parted node's is under way
@@ -127,6 +127,7 @@
 	metered      bool             // work and frames are counted, and no history is kept
 	enough       func() string    // why a metered day is to end at once; nil: never
 	doing        string           // what the turn under way is for, where it is metered
+	applications *applications    // nil: none call
 }
 
 // happens calls those who wait for a moment.
