--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -98,6 +98,7 @@
 	coordination *coordination.Service
 
 	calls     map[uint32]*call
+	parts     parts
 	callNr    uint32
 	fault     fault // tests put one in
 	slotAsked time.Duration
@@ -135,7 +136,7 @@
 	h.e, h.count = b, b.Counters()
 	h.machine, h.table, h.words, h.followers = statemachine.New(), routing.NewTable(nil), map[string]word{}, map[string]*follower{}
 	h.echoes = map[string]echo{}
-	h.calls, h.beats, h.catalog = map[uint32]*call{}, map[registry.Ticket]heard{}, newCatalog()
+	h.calls, h.parts, h.beats, h.catalog = map[uint32]*call{}, newParts(), map[registry.Ticket]heard{}, newCatalog()
 	h.fault = planted
 	h.coordination = coordination.New((*coordinator)(h), coordination.Terms{Address: h.inner, Life: h.life, History: h.settings.Bounds.History})
 	h.groups = &groupHost{h: h}
@@ -261,10 +262,13 @@
 		news := h.pingedAt == 0
 		h.pingedAt = now
 		h.ping(news)
+	} else {
+		h.hearsOverdue()
 	}
 	if h.feedLate {
 		h.feedAll()
 	}
+	h.tendParts()
 	h.tendFeed()
 	h.wantSlot()
 	h.tendRollouts()
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -30,8 +30,9 @@
 	Most       float64 // the most that any node sends
 	History    []history.Event
 	Parted     Parted
-	Calls      int // of applications
-	ClearCalls int // answered clearly
+	Ends       []time.Duration // from a backend's first word that it leaves to its acknowledgement, or until it gave up
+	Calls      int             // of applications
+	ClearCalls int             // answered clearly
 }
 
 const (
@@ -59,7 +60,7 @@
 	}()
 	w.run(r)
 	r.Played, r.Events, r.Digest, r.Counts, r.History = w.now-origin, w.events, w.digest(), w.clients.counts, w.history
-	r.Parted = w.parted
+	r.Parted, r.Ends = w.parted, w.ends
 	return r
 }
 
