--- a/internal/lab/simulation/applications.go
+++ b/internal/lab/simulation/applications.go
@@ -22,7 +22,8 @@
 	silentFor  = time.Second     // after which a caller turns elsewhere
 	holdsEnd   = 8 * time.Second // by then all locks are free that nobody asks more time for
 	auditsEnd  = 5 * time.Second
-	ruleOfCall = "Call" // what a day names them by, before the rule's own name
+	decideIn   = 20 * time.Second // of real time, for the linearizability of a name
+	ruleOfCall = "Call"           // what a day names them by, before the rule's own name
 )
 
 // beginApplications has the day's callers begin.
@@ -51,7 +52,10 @@
 			r.ClearCalls++
 		}
 	}
-	for _, v := range callhistory.Check(a.history, callhistory.Terms{History: w.machines[0].settings.Bounds.History}) {
+	wrong := callhistory.Check(a.history, callhistory.Terms{History: w.machines[0].settings.Bounds.History})
+	illegal, undecided := callhistory.Linearizable(a.history, decideIn)
+	r.Undecided = len(undecided)
+	for _, v := range append(wrong, illegal...) {
 		w.broken = append(w.broken, history.Broken{Rule: ruleOfCall + " " + string(v.Rule), T: w.now, Who: "application", What: v.Text})
 	}
 	for _, m := range a.callers.Missed() {
--- a/internal/lab/simulation/applications_test.go
+++ b/internal/lab/simulation/applications_test.go
@@ -37,6 +37,7 @@
 			t.Errorf("seed %d: %s", seed, b)
 			wrong++
 		}
+		must.Zero(t, r.Undecided)
 		calls, clear = calls+r.Calls, clear+r.ClearCalls
 		if wrong > 20 {
 			break
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -33,6 +33,7 @@
 	Ends       []time.Duration // from a backend's first word that it leaves to its acknowledgement, or until it gave up
 	Calls      int             // of applications
 	ClearCalls int             // answered clearly
+	Undecided  int             // names whose linearizability took too long to decide
 }
 
 const (
