--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -50,6 +50,7 @@
 	dropMerged  // of two writes of a log that wait, the first is forgotten
 	oneFounding // all logs of a disk bear one founding's name
 	syncedAhead // a log's write counts as synced with another log's
+	asksInTurn  // two that asked for one view both wait until they ask again, however slow the disks are
 )
 
 func (f fault) String() string {
@@ -64,7 +65,8 @@
 		"nobody is replaced", "a learner counts before it has the state", "who restarts is replaced",
 		"too few members stay", "a dead learner blocks the next", "a leaver does not wait", "lost from when it is found",
 		"a founding is left after a promise",
-		"a write that waits is forgotten", "all logs have one founding", "synced with another log's write"}[f]
+		"a write that waits is forgotten", "all logs have one founding", "synced with another log's write",
+		"two that ask for one view both wait"}[f]
 }
 
 func (p *Replica) last() uint64 { return p.snap.Index + uint64(len(p.log)) }
@@ -288,6 +290,7 @@
 	case Prepare:
 		if p.role == preparing && p.promisedTo == p.me.ID {
 			p.promises[p.me.ID] = p.end()
+			p.awaitPromises()
 			p.tallyPromises()
 		}
 	}
