--- a/internal/lab/gatewaystandin/loss_rules.go
+++ b/internal/lab/gatewaystandin/loss_rules.go
@@ -31,13 +31,18 @@
 			}
 		}
 	}
-	for who, spans := range c.off {
+	isDown := func(e history.Event) bool { return e.Kind == history.Down || e.Kind == history.Up }
+	downs := slices.DeleteFunc(slices.Clone(h), func(e history.Event) bool { return !isDown(e) })
+	for who, spans := range newOff(downs) {
 		for _, s := range spans {
 			if !between(p.ends[who], s[0]-Bounds().Grace-afterGrace, s[0]) {
 				p.troubles = append(p.troubles, s)
 			}
 		}
 	}
+	for _, spans := range newOff(slices.DeleteFunc(slices.Clone(h), isDown)) {
+		p.troubles = append(p.troubles, spans...)
+	}
 	for _, g := range c.gaps {
 		p.troubles = append(p.troubles, [2]time.Duration{g.from, g.to})
 	}
--- a/internal/lab/gatewaystandin/request_rules_test.go
+++ b/internal/lab/gatewaystandin/request_rules_test.go
@@ -107,6 +107,7 @@
 		"cut by another node's end":                  {join(event(29*s, "d1", Terminates), cut), ""},
 		"cut long after an end":                      {join(event(20*s, "d0", Terminates), cut), ""},
 		"cut after its end, in other trouble":        {join(event(29*s, "d0", Terminates), event(28*s, "d1", history.Stopped), cut), ""},
+		"in trouble while it ends":                   {join(event(29*s, "d0", Terminates), event(29*s+s/2, "d0", Troubled), event(30*s+s/2, "d0", Eased), cut), ""},
 		"cut after its end, a backend crashed":       {join(event(29*s, "d0", Terminates), event(28*s, "t", Crashed), cut), ""},
 		"cut at once, nothing was passed on":         {join(event(29*s, "d0", Terminates), sent("a", "/browse/1", 30*s, s/10, 0)), ""},
 		"cut later, though nothing was passed on":    {join(event(29*s, "d0", Terminates), sent("a", "/browse/1", 30*s, s/2, 0)), "LOST"},
--- a/internal/lab/simulation/resets_test.go
+++ b/internal/lab/simulation/resets_test.go
@@ -48,3 +48,16 @@
 		must.True(t, v.c != nil && v.c != c)
 	}
 }
+
+// A node with a disk is cut off, and in the next moment its connections are reset: to whom it is not linked it has nothing to tell, and
+// took that for all having confirmed. It acknowledged an end that no other node with a disk had.
+func TestResetWhileCutOff(t *testing.T) {
+	for n, way := range []string{"both", "in", "out"} {
+		d := &Day{Site: Site{Nodes: 5, Disks: 3}, Seed: uint64(60 + n), For: 10 * time.Second, Faults: []spec.Fault{
+			{Kind: "core-part", At: spec.Span(2 * time.Second), For: spec.Span(8 * time.Second), Share: 0.1, By: 1, Way: way, Pick: 7},
+			{Kind: "core-reset", Share: 1, At: spec.Span(1900 * time.Millisecond), For: spec.Span(400 * time.Millisecond), Pick: 5}}}
+		for _, b := range Play(d).Broken {
+			t.Errorf("%s: %s", way, b)
+		}
+	}
+}
