--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -29,7 +29,8 @@
 	token    uint64
 	last     verdict // of the last entry applied
 	lookedAt time.Duration
-	view     uint64 // the last one whose leader was known
+	view     uint64               // the last one whose leader was known
+	hears    map[string]hearsWith // by address
 }
 
 // waiting is a call that the log settles.
@@ -56,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	c := &core{waits: map[uint64]waiting{}}
+	c := &core{waits: map[uint64]waiting{}, hears: map[string]hearsWith{}}
 	c.replicaHost = replicaHost{h: h, me: replication.Member{ID: kept.Me, Addr: h.inner}, owner: c,
 		disk: &diskQueue{node: h, disk: disk, synced: c.synced}}
 	c.p = replication.New(c.me, kept, replication.DefaultTerms(), h.seed, h.e.Now())
@@ -93,7 +94,7 @@
 
 func (c *core) send(to replication.Member, m replication.Message) {
 	if addr := c.h.addrOf(to); addr != "" {
-		c.h.links.Send(addr, &Frame{Core: &Line{c.me.ID, m}})
+		c.h.links.Send(addr, &Frame{Core: c.line(addr, m)})
 	}
 }
 
