--- a/cmd/lab/gateway.go
+++ b/cmd/lab/gateway.go
@@ -35,7 +35,7 @@
 }
 
 // zones of the deployments that are played.
-var zones = []string{"stalls", "circle", "gallery"}
+var zones = []string{"zone-a", "zone-b", "zone-c"}
 
 func gatewayDemoCommand() *cobra.Command {
 	var named, fault string
--- a/cmd/lab/leases.go
+++ b/cmd/lab/leases.go
@@ -26,7 +26,7 @@
 
 func leasesCommand() *cobra.Command {
 	var k leaseRuns
-	c := &cobra.Command{Use: "leases", Short: "Explore what the leases' core can do: no two may hold one seat", Args: exactly(0, "no arguments"),
+	c := &cobra.Command{Use: "leases", Short: "Explore what the leases' core can do: no two may hold one permit", Args: exactly(0, "no arguments"),
 		Long: "Goes through the states of a small world breadth first, and many random ways through larger ones, on all cores: messages\n" +
 			"lost, doubled, late and in any order, restarts without promises, clocks as uneven as they may be, voters that change.",
 		Example: "  lab leases --states 2000000 --walks 100000\n  lab leases --model restarts --walks 500000",
@@ -140,12 +140,12 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d front doors, %d tasks with %d wishers each, %d seeds of %s: %d grants, %d times two held one seat\n", nodes, b.Tasks, b.Wishers, seeds, b.For, grants, bad)
+	fmt.Printf("%d front doors, %d tasks with %d wishers each, %d seeds of %s: %d grants, %d times two held one permit\n", nodes, b.Tasks, b.Wishers, seeds, b.For, grants, bad)
 	fmt.Printf("  %d holders died or stood still: their tasks went on after %.2f s (median), %.2f s (99 %%), %.2f s (most); without a holder at rest %.2f s at most\n",
 		len(after), leasecheck.Quantile(after, 0.5).Seconds(), leasecheck.Quantile(after, 0.99).Seconds(), leasecheck.Quantile(after, 1).Seconds(), idle.Seconds())
 	fmt.Printf("  %.1f frames a front door a second, %.1f the one that sent most\n", frames, most)
 	if bad > 0 {
-		return fmt.Errorf("%d times two held one seat", bad)
+		return fmt.Errorf("%d times two held one permit", bad)
 	}
 	return nil
 }
--- a/internal/frontdoor/lease/lease.go
+++ b/internal/frontdoor/lease/lease.go
@@ -1,9 +1,9 @@
 // Package lease lets one front door, or at most so many, do a task for the whole fleet. It is a core without I/O: inputs
 // are messages, times and wishes; outputs are messages, grants and losses. docs/leases.md tells why it is safe.
 //
-// A task's seat is given by a few voters, hashed from its name. A voter promises the seat to one front door at a time,
+// A task's permit is given by a few voters, hashed from its name. A voter promises the permit to one front door at a time,
 // for the length of a lease by its own clock; who has the promise of a majority, and has told the same majority the
-// number of its grant, holds the seat until a margin before that length is over by its own clock, counted from when it
+// number of its grant, holds the permit until a margin before that length is over by its own clock, counted from when it
 // began to ask. Nothing rests on how long messages take, or on their coming at all.
 package lease
 
@@ -18,7 +18,7 @@
 // Node is a front door's number.
 type Node uint16
 
-// Number rises with each grant of a task's seat: what is touched under a lease refuses an older one.
+// Number rises with each grant of a task's permit: what is touched under a lease refuses an older one.
 type Number uint64
 
 // Task names what is to be done; at most TaskMost bytes.
@@ -28,8 +28,8 @@
 const (
 	TaskMost    = 64
 	slotsMost   = 1024 // that a voter keeps
-	waitingMost = 64   // that a voter keeps of a seat
-	SeatsMost   = 64
+	waitingMost = 64   // that a voter keeps of a permit
+	PermitsMost = 64
 )
 
 // Fleet is who there is under one generation of the configuration: front doors 0 to Members-1.
@@ -43,7 +43,7 @@
 	Me      Node
 	Life    uint32        // of this process, another one at each start
 	Fleets  []Fleet       // in rising generations; the last holds, those before it may still be in use elsewhere
-	Voters  int           // of a seat
+	Voters  int           // of a permit
 	Length  time.Duration // of a lease
 	Longest time.Duration // of any lease that any front door may still give or hold
 	Drift   float64       // every clock's rate is within 1-Drift and 1+Drift of the true one
@@ -86,10 +86,10 @@
 // window is over by then whatever the clocks.
 func (c *Config) silence() time.Duration { return c.Longest }
 
-// Grant is a seat that is held.
+// Grant is a permit that is held.
 type Grant struct {
 	Task   Task
-	Seat   int
+	Permit int
 	Number Number
 	Until  time.Duration // by the holder's own clock: it stops before
 }
@@ -113,13 +113,13 @@
 	Grant   Grant
 }
 
-// slot is a task's seat.
+// slot is a task's permit.
 type slot struct {
-	task Task
-	seat int
+	task   Task
+	permit int
 }
 
-// promise is what a voter keeps of a seat.
+// promise is what a voter keeps of a permit.
 type promise struct {
 	holder  Node
 	life    uint32
@@ -153,11 +153,11 @@
 // wish is a task that this front door wants.
 type wish struct {
 	task     Task
-	seats    int
+	permits  int
 	priority int
 	since    time.Duration
 	phase    phase
-	seat     int
+	permit   int
 	ask      uint32        // round in which votes were asked for: names the promise
 	round    uint32        // of the present question
 	sent     time.Duration // when it was first sent
@@ -167,7 +167,7 @@
 	number   Number
 	until    time.Duration // while held
 	renewing bool
-	tries    int           // seats refused in a row
+	tries    int           // permits refused in a row
 	wait     time.Duration // the least that refusals tell to wait
 	behind   int           // who waits before this one, at most
 	unheard  int           // questions in a row that too few answered
@@ -178,7 +178,7 @@
 	conf   Config
 	now    time.Duration
 	born   time.Duration
-	floor  Number // of seats that were forgotten
+	floor  Number // of permits that were forgotten
 	round  uint32
 	wishes map[Task]*wish
 	votes  map[slot]*promise
@@ -205,8 +205,8 @@
 	return &Core{conf: c, now: now, born: now, floor: c.Floor, wishes: map[Task]*wish{}, votes: map[slot]*promise{}, gens: map[Node]known{}}, nil
 }
 
-// Voters are those of a seat under one fleet: the highest by hash, the same at every front door.
-func Voters(f Fleet, voters int, task Task, seat int) []Node {
+// Voters are those of a permit under one fleet: the highest by hash, the same at every front door.
+func Voters(f Fleet, voters int, task Task, permit int) []Node {
 	type ranked struct {
 		n Node
 		h uint64
@@ -216,7 +216,7 @@
 		h := fnv.New64a()
 		var b [4]byte
 		binary.LittleEndian.PutUint16(b[:], uint16(i))
-		binary.LittleEndian.PutUint16(b[2:], uint16(seat))
+		binary.LittleEndian.PutUint16(b[2:], uint16(permit))
 		h.Write([]byte(task))
 		h.Write(b[:])
 		x := h.Sum64() // the last bytes stir the high bits too little
@@ -237,9 +237,9 @@
 
 // sets are the voters whose majorities are needed, one for each fleet that may still be in use: those of before, until
 // a majority of their voters has refused them for as long as any lease may last.
-func (c *Core) sets(task Task, seat int) (sets [][]Node) {
+func (c *Core) sets(task Task, permit int) (sets [][]Node) {
 	for i, f := range c.conf.Fleets {
-		set := Voters(f, c.conf.Voters, task, seat)
+		set := Voters(f, c.conf.Voters, task, permit)
 		if i < len(c.conf.Fleets)-1 && c.closed(set, c.conf.Fleets[i+1].Gen) {
 			continue
 		}
@@ -318,16 +318,16 @@
 // Now sets the clock, which never goes back.
 func (c *Core) Now(now time.Duration) { c.now = max(c.now, now) }
 
-// Wish wants a seat of a task until Drop: who waits longest, or has the higher priority, goes first.
-func (c *Core) Wish(task Task, seats, priority int) error {
-	if task == "" || len(task) > TaskMost || seats < 1 || seats > SeatsMost {
-		return fmt.Errorf("lease %q: names have 1 to %d bytes, tasks 1 to %d seats", task, TaskMost, SeatsMost)
+// Wish wants a permit of a task until Drop: who waits longest, or has the higher priority, goes first.
+func (c *Core) Wish(task Task, permits, priority int) error {
+	if task == "" || len(task) > TaskMost || permits < 1 || permits > PermitsMost {
+		return fmt.Errorf("lease %q: names have 1 to %d bytes, tasks 1 to %d permits", task, TaskMost, PermitsMost)
 	}
 	if w := c.wishes[task]; w != nil {
 		w.priority = priority
 		return nil
 	}
-	c.wishes[task] = &wish{task: task, seats: seats, priority: priority, since: c.now, again: c.now, seat: int(c.jitter(string(task), seats))}
+	c.wishes[task] = &wish{task: task, permits: permits, priority: priority, since: c.now, again: c.now, permit: int(c.jitter(string(task), permits))}
 	return nil
 }
 
@@ -345,10 +345,10 @@
 	return nil
 }
 
-// Drop gives a seat back, or the wish up.
+// Drop gives a permit back, or the wish up.
 func (c *Core) Drop(task Task) { c.HandOn(task, c.conf.Me) }
 
-// HandOn gives a seat back and asks its voters to keep it a while for another.
+// HandOn gives a permit back and asks its voters to keep it a while for another.
 func (c *Core) HandOn(task Task, to Node) {
 	w := c.wishes[task]
 	if w == nil {
@@ -371,7 +371,7 @@
 	}
 	m := c.message(opRelease, w)
 	m.node, m.rank = to, line
-	c.tell(everyone(c.sets(w.task, w.seat)), m)
+	c.tell(everyone(c.sets(w.task, w.permit)), m)
 	w.phase, w.renewing = idle, false
 }
 
@@ -384,7 +384,7 @@
 	return w.grant(), true
 }
 
-func (w *wish) grant() Grant { return Grant{w.task, w.seat, w.number, w.until} }
+func (w *wish) grant() Grant { return Grant{w.task, w.permit, w.number, w.until} }
 
 // jitter is a number below n, by this front door, its life, the round and a text: the same in the same state.
 func (c *Core) jitter(text string, n int) uint64 {
@@ -478,7 +478,7 @@
 // question asks all voters, or again those that have not answered.
 func (c *Core) question(w *wish, op byte) {
 	w.again = c.now + c.conf.Retry
-	sets := c.sets(w.task, w.seat)
+	sets := c.sets(w.task, w.permit)
 	var to []Node
 	for _, v := range everyone(sets) {
 		if !contains(w.yes, v) && !contains(w.no, v) {
@@ -488,18 +488,18 @@
 	c.tell(to, c.message(op, w))
 }
 
-// refuse gives a seat up for now: the promises that were got are given back, and the next seat is tried, or the same
+// refuse gives a permit up for now: the promises that were got are given back, and the next permit is tried, or the same
 // later. Who has others before it asks the less often, so that many wishes cost few messages.
 func (c *Core) refuse(w *wish) {
 	c.Refused++
-	if majority(c.sets(w.task, w.seat), append(append([]Node(nil), w.yes...), w.no...)) { // enough have spoken
+	if majority(c.sets(w.task, w.permit), append(append([]Node(nil), w.yes...), w.no...)) { // enough have spoken
 		w.unheard = 0
 	} else if w.unheard++; w.unheard > 1 { // cut off, or voters that are silent yet: asking more often helps nobody
 		w.wait = max(w.wait, min(c.conf.Retry<<min(w.unheard, 16), c.conf.Length))
 	}
 	c.release(w, c.conf.Me, stays)
-	w.seat = (w.seat + 1) % w.seats
-	if w.tries++; w.tries < w.seats {
+	w.permit = (w.permit + 1) % w.permits
+	if w.tries++; w.tries < w.permits {
 		w.again = c.now + c.conf.Retry/8
 		return
 	}
@@ -512,7 +512,7 @@
 // answered takes a voter's answer to the present question.
 func (c *Core) answered(from Node, m *message) {
 	w := c.wishes[m.task]
-	if w == nil || m.life != c.conf.Life || m.round != w.round || int(m.seat) != w.seat || w.phase == idle {
+	if w == nil || m.life != c.conf.Life || m.round != w.round || int(m.permit) != w.permit || w.phase == idle {
 		if m.op == opVote && m.life == c.conf.Life { // a promise for a wish that is over: it must not stand in the others' way
 			late := *m
 			late.op, late.ask, late.node, late.rank = opRelease, m.round, c.conf.Me, stays
@@ -527,7 +527,7 @@
 	case m.op == opVote && w.phase == asking:
 		w.highest = max(w.highest, m.number)
 		w.yes = with(w.yes, from)
-		if majority(c.sets(w.task, w.seat), w.yes) {
+		if majority(c.sets(w.task, w.permit), w.yes) {
 			c.round++
 			w.number = max(w.highest, c.conf.Floor) + 1
 			w.phase, w.round, w.sent, w.yes, w.no = sealing, c.round, c.now, nil, nil
@@ -535,7 +535,7 @@
 		}
 	case m.op == opSealed && (w.phase == sealing || w.phase == held && w.renewing):
 		w.yes = with(w.yes, from)
-		if !majority(c.sets(w.task, w.seat), w.yes) {
+		if !majority(c.sets(w.task, w.permit), w.yes) {
 			return
 		}
 		until := w.sent + c.conf.window()
@@ -558,7 +558,7 @@
 			w.wait = ms
 		}
 		w.behind = max(w.behind, int(m.rank))
-		if hopeless(c.sets(w.task, w.seat), w.no) {
+		if hopeless(c.sets(w.task, w.permit), w.no) {
 			c.refuse(w)
 		}
 	}
--- a/internal/frontdoor/lease/lease_test.go
+++ b/internal/frontdoor/lease/lease_test.go
@@ -62,7 +62,7 @@
 					f.sent++
 					f.wire = append(f.wire, flying{f.now + 5*ms, Node(i), x.To, x.Payload})
 				case Granted:
-					f.said = append(f.said, fmt.Sprintf("%d has %s/%d as number %d", i, x.Grant.Task, x.Grant.Seat, x.Grant.Number))
+					f.said = append(f.said, fmt.Sprintf("%d has %s/%d as number %d", i, x.Grant.Task, x.Grant.Permit, x.Grant.Number))
 				case Gone:
 					f.said = append(f.said, fmt.Sprintf("%d has %s no longer", i, x.Grant.Task))
 				}
@@ -104,7 +104,7 @@
 	f.cores[4].HandOn("books", 2)
 	f.run(200 * ms)
 	f.tell()
-	fmt.Println("# two seats")
+	fmt.Println("# two permits")
 	for i := range f.cores {
 		f.cores[i].Wish("turn", 2, 0)
 	}
@@ -122,7 +122,7 @@
 	// # handed on to one that waits, before one that has waited longer
 	// 4 has books no longer
 	// 2 has books/0 as number 4
-	// # two seats
+	// # two permits
 	// 0 has turn/0 as number 1
 	// 1 has turn/1 as number 1
 }
@@ -174,7 +174,7 @@
 
 // Whatever comes, nothing that is no frame is taken for one.
 func TestFrames(t *testing.T) {
-	m := &message{op: opSeal, seat: 3, rank: 2, gen: 7, life: 8, round: 9, ask: 10, ms: 11, node: 12, number: 1 << 50, task: "books/2026"}
+	m := &message{op: opSeal, permit: 3, rank: 2, gen: 7, life: 8, round: 9, ask: 10, ms: 11, node: 12, number: 1 << 50, task: "books/2026"}
 	b := m.encode()
 	got, err := decode(b)
 	if err != nil || *got != *m || len(b) > 256 {
--- a/internal/frontdoor/lease/message.go
+++ b/internal/frontdoor/lease/message.go
@@ -13,18 +13,18 @@
 
 // What a message says.
 const (
-	opAsk     byte = iota + 1 // promise me the seat
+	opAsk     byte = iota + 1 // promise me the permit
 	opVote                    // it is promised; number is the highest told here
 	opNo                      // it is not; ms is what is left of the promise, rank who waits before
 	opSeal                    // the grant's number is this; the promise is to hold its length from now
 	opSealed                  // so it is
 	opRelease                 // the promise is needed no longer; node is whom it is handed on to, or the sender
-	opFree                    // the seat is free: ask
+	opFree                    // the permit is free: ask
 )
 
 type message struct {
 	op     byte
-	seat   uint8
+	permit uint8
 	rank   uint8 // of an ask: its priority
 	gen    uint32
 	life   uint32 // of the asker
@@ -40,7 +40,7 @@
 
 // message makes one of a wish.
 func (c *Core) message(op byte, w *wish) *message {
-	m := &message{op: op, seat: uint8(w.seat), gen: c.gen(), life: c.conf.Life, round: w.round, ask: w.ask, task: w.task, number: w.number, node: c.conf.Me}
+	m := &message{op: op, permit: uint8(w.permit), gen: c.gen(), life: c.conf.Life, round: w.round, ask: w.ask, task: w.task, number: w.number, node: c.conf.Me}
 	if op == opAsk {
 		m.rank, m.number = uint8(min(max(w.priority, 0), 255)), 0
 		m.ms = uint32(min((c.now-w.since)/time.Millisecond, 1<<31))
@@ -50,7 +50,7 @@
 
 func (m *message) encode() []byte {
 	b := make([]byte, 0, fixed+len(m.task)+4)
-	b = append(b, Mark, version, m.op, m.seat, m.rank)
+	b = append(b, Mark, version, m.op, m.permit, m.rank)
 	for _, x := range []uint32{m.gen, m.life, m.round, m.ask, m.ms} {
 		b = binary.LittleEndian.AppendUint32(b, x)
 	}
@@ -68,7 +68,7 @@
 	if crc32.ChecksumIEEE(body) != sum {
 		return nil, errors.New("spoilt")
 	}
-	m := &message{op: b[2], seat: b[3], rank: b[4]}
+	m := &message{op: b[2], permit: b[3], rank: b[4]}
 	at := 5
 	for _, x := range []*uint32{&m.gen, &m.life, &m.round, &m.ask, &m.ms} {
 		*x = binary.LittleEndian.Uint32(b[at:])
@@ -76,7 +76,7 @@
 	}
 	m.node, m.number = Node(binary.LittleEndian.Uint16(b[at:])), Number(binary.LittleEndian.Uint64(b[at+2:]))
 	n := int(b[at+10])
-	if body = body[at+11:]; len(body) != n || n == 0 || n > TaskMost || m.op < opAsk || m.op > opFree || m.seat >= SeatsMost {
+	if body = body[at+11:]; len(body) != n || n == 0 || n > TaskMost || m.op < opAsk || m.op > opFree || m.permit >= PermitsMost {
 		return nil, errors.New("cut short or too long")
 	}
 	m.task = Task(body)
@@ -122,7 +122,7 @@
 		c.asked(from, m)
 	case opFree:
 		if w := c.wishes[m.task]; w != nil && w.phase == idle {
-			w.seat, w.again, w.tries = int(m.seat)%w.seats, c.now, 0
+			w.permit, w.again, w.tries = int(m.permit)%w.permits, c.now, 0
 		}
 	default:
 		c.answered(from, m)
@@ -162,7 +162,7 @@
 	for _, task := range c.order() {
 		w := c.wishes[task]
 		b = append(b, task...)
-		num(int64(w.phase), int64(w.seat), int64(w.ask), int64(w.round), t(w.sent), t(w.again), int64(w.highest), int64(w.number), t(w.until),
+		num(int64(w.phase), int64(w.permit), int64(w.ask), int64(w.round), t(w.sent), t(w.again), int64(w.highest), int64(w.number), t(w.until),
 			int64(w.tries), int64(w.wait), int64(w.behind), int64(w.unheard), t(w.since))
 		if w.renewing {
 			b = append(b, 'r')
@@ -179,7 +179,7 @@
 	for _, p := range c.sorted() {
 		v := c.votes[p]
 		b = append(b, p.task...)
-		num(int64(p.seat), int64(v.highest), max(t(v.until), 0), max(t(v.keptTo), 0))
+		num(int64(p.permit), int64(v.highest), max(t(v.until), 0), max(t(v.keptTo), 0))
 		if v.until > c.now {
 			num(int64(v.holder), int64(v.life), int64(v.ask))
 			if v.sealed {
--- a/internal/frontdoor/lease/voter.go
+++ b/internal/frontdoor/lease/voter.go
@@ -24,7 +24,7 @@
 		c.Silent++
 		return
 	}
-	p := c.promise(slot{m.task, int(m.seat)})
+	p := c.promise(slot{m.task, int(m.permit)})
 	if p == nil {
 		c.no(from, m, nil)
 		return
@@ -65,14 +65,14 @@
 		p.until, p.keptFor, p.keptTo = 0, from, 0
 		if m.node != from {
 			p.keptFor, p.keptTo = m.node, c.now+firstLook*c.conf.Retry
-			c.tell([]Node{m.node}, &message{op: opFree, gen: c.gen(), task: m.task, seat: m.seat})
-		} else if best := c.best(p); best != nil && p.sealed { // who waits longest hears at once; of a seat that nobody got, nobody
-			c.tell([]Node{best.who}, &message{op: opFree, gen: c.gen(), task: m.task, seat: m.seat})
+			c.tell([]Node{m.node}, &message{op: opFree, gen: c.gen(), task: m.task, permit: m.permit})
+		} else if best := c.best(p); best != nil && p.sealed { // who waits longest hears at once; of a permit that nobody got, nobody
+			c.tell([]Node{best.who}, &message{op: opFree, gen: c.gen(), task: m.task, permit: m.permit})
 		}
 	}
 }
 
-// promise finds or makes what is kept of a seat. When the table is full, seats that nobody has go: their numbers live
+// promise finds or makes what is kept of a permit. When the table is full, permits that nobody has go: their numbers live
 // on in the floor.
 func (c *Core) promise(s slot) *promise {
 	if p := c.votes[s]; p != nil {
@@ -98,7 +98,7 @@
 	return p
 }
 
-// no refuses, and says how long the seat is still promised and how many wait before the asker.
+// no refuses, and says how long the permit is still promised and how many wait before the asker.
 func (c *Core) no(from Node, m *message, p *promise) {
 	if m.op == opRelease {
 		return
@@ -117,7 +117,7 @@
 	c.tell([]Node{from}, &a)
 }
 
-// notice keeps a wish in the line of a seat: by priority, which grows with waiting, then by age.
+// notice keeps a wish in the line of a permit: by priority, which grows with waiting, then by age.
 func (c *Core) notice(p *promise, from Node, m *message) {
 	p.waiting = without(p.waiting, from)
 	since := c.now - time.Duration(m.ms)*time.Millisecond
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// turn tells whether a free seat may go to this one now: it is kept for whom it was handed on to, and for a better claim
+// turn tells whether a free permit may go to this one now: it is kept for whom it was handed on to, and for a better claim
 // that asked lately and will ask again. It is a matter of order only: any vote is safe.
 func (c *Core) turn(p *promise, from Node) bool {
 	if p.keptTo > c.now {
@@ -182,29 +182,29 @@
 // Promised is what a voter has promised, for people to see.
 type Promised struct {
 	Task    Task
-	Seat    int
+	Permit  int
 	Holder  Node
 	Number  Number
 	Left    time.Duration
 	Waiting int
 }
 
-// Promises lists what is promised here now, by task and seat.
+// Promises lists what is promised here now, by task and permit.
 func (c *Core) Promises() (all []Promised) {
 	for s, p := range c.votes {
 		if p.until > c.now {
-			all = append(all, Promised{s.task, s.seat, p.holder, p.highest, p.until - c.now, len(p.waiting)})
+			all = append(all, Promised{s.task, s.permit, p.holder, p.highest, p.until - c.now, len(p.waiting)})
 		}
 	}
 	sort.Slice(all, func(i, j int) bool {
-		return all[i].Task < all[j].Task || all[i].Task == all[j].Task && all[i].Seat < all[j].Seat
+		return all[i].Task < all[j].Task || all[i].Task == all[j].Task && all[i].Permit < all[j].Permit
 	})
 	return all
 }
 
 func sortSlots(all []slot) {
 	sort.Slice(all, func(i, j int) bool {
-		return all[i].task < all[j].task || all[i].task == all[j].task && all[i].seat < all[j].seat
+		return all[i].task < all[j].task || all[i].task == all[j].task && all[i].permit < all[j].permit
 	})
 }
 
--- a/internal/frontdoor/leasing/leasing.go
+++ b/internal/frontdoor/leasing/leasing.go
@@ -110,10 +110,10 @@
 			continue
 		case lease.Granted:
 			h.e.Count.Add(counters.Grants)
-			h.log.Info("lease granted", zap.String("task", string(g.Task)), zap.Int("seat", g.Seat), zap.Uint64("number", uint64(g.Number)))
+			h.log.Info("lease granted", zap.String("task", string(g.Task)), zap.Int("permit", g.Permit), zap.Uint64("number", uint64(g.Number)))
 		case lease.Gone:
 			h.e.Count.Add(counters.GrantsGone)
-			h.log.Info("lease over", zap.String("task", string(g.Task)), zap.Int("seat", g.Seat), zap.Uint64("number", uint64(g.Number)))
+			h.log.Info("lease over", zap.String("task", string(g.Task)), zap.Int("permit", g.Permit), zap.Uint64("number", uint64(g.Number)))
 		}
 		h.note(x)
 	}
@@ -136,7 +136,7 @@
 	if x.Kind == lease.Gone {
 		kind = history.Gave
 	}
-	h.past(history.Event{Kind: kind, Key: string(x.Grant.Task), What: strconv.Itoa(x.Grant.Seat), N: float64(x.Grant.Number),
+	h.past(history.Event{Kind: kind, Key: string(x.Grant.Task), What: strconv.Itoa(x.Grant.Permit), N: float64(x.Grant.Number),
 		Due: history.Now() + x.Grant.Until - h.e.Now()})
 	for _, w := range h.wake {
 		close(w)
@@ -261,25 +261,25 @@
 type View struct {
 	FrontDoor string     `json:"front_door"`
 	Silent    float64    `json:"silent_s,omitempty"` // it votes for nobody for so long yet
-	Holds     []Seat     `json:"holds"`
+	Holds     []Permit   `json:"holds"`
 	Promised  []Promised `json:"promised"`
 	Refused   int        `json:"refused"`
 	Bad       int        `json:"bad_frames"`
 	Old       int        `json:"older_generation"`
 }
 
-// Seat is one that is held here.
-type Seat struct {
+// Permit is one that is held here.
+type Permit struct {
 	Task   string  `json:"task"`
-	Seat   int     `json:"seat"`
+	Permit int     `json:"permit"`
 	Number uint64  `json:"number"`
 	LeftS  float64 `json:"left_s"`
 }
 
-// Promised is a seat that this front door, as one of its voters, has promised.
+// Promised is a permit that this front door, as one of its voters, has promised.
 type Promised struct {
 	Task    string  `json:"task"`
-	Seat    int     `json:"seat"`
+	Permit  int     `json:"permit"`
 	Holder  int     `json:"holder"`
 	Number  uint64  `json:"number"`
 	LeftS   float64 `json:"left_s"`
@@ -289,15 +289,15 @@
 // Look gives the view; in the owner's turn.
 func (h *Host) Look() View {
 	h.core.Now(h.e.Now())
-	v := View{FrontDoor: h.name, Holds: []Seat{}, Promised: []Promised{}, Refused: h.core.Refused, Bad: h.core.Bad, Old: h.core.Old,
+	v := View{FrontDoor: h.name, Holds: []Permit{}, Promised: []Promised{}, Refused: h.core.Refused, Bad: h.core.Bad, Old: h.core.Old,
 		Silent: max(0, h.core.SilentFor().Seconds())}
 	for _, t := range []lease.Task{turnTask, h.zoneTask(), rollTask} {
 		if g, ok := h.core.Holds(t); ok {
-			v.Holds = append(v.Holds, Seat{string(g.Task), g.Seat, uint64(g.Number), (g.Until - h.e.Now()).Seconds()})
+			v.Holds = append(v.Holds, Permit{string(g.Task), g.Permit, uint64(g.Number), (g.Until - h.e.Now()).Seconds()})
 		}
 	}
 	for _, p := range h.core.Promises() {
-		v.Promised = append(v.Promised, Promised{string(p.Task), p.Seat, int(p.Holder), uint64(p.Number), p.Left.Seconds(), p.Waiting})
+		v.Promised = append(v.Promised, Promised{string(p.Task), p.Permit, int(p.Holder), uint64(p.Number), p.Left.Seconds(), p.Waiting})
 	}
 	return v
 }
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -40,10 +40,10 @@
 	Goes     Kind = "go"        // and goes on
 	Strikes  Kind = "strike"    // a fault begins; What names it
 	Heals    Kind = "heal"      // and ends
-	Began    Kind = "begin"     // an act under a grant: Key the task, N the seat
+	Began    Kind = "begin"     // an act under a grant: Key the task, N the permit
 	Ended    Kind = "end"       // and its end
 	Took     Kind = "took"      // the keeper Who took a step numbered N for Key, from At
-	Holds    Kind = "hold"      // Who holds a seat, What, of the task Key until Due, by number N
+	Holds    Kind = "hold"      // Who holds a permit, What, of the task Key until Due, by number N
 	Gave     Kind = "gave"      // and holds it no longer
 	Seen     Kind = "see"       // Who holds What to be so of Key
 	Invoke   Kind = "invoke"    // of an operation on the register or lock Key: What is the operation, N its value
--- a/internal/history/leases.go
+++ b/internal/history/leases.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// NoOverlap checks that at no moment are more acts open for one task than it has seats. An act that is not ended is open until its
+// NoOverlap checks that at no moment are more acts open for one task than it has permits. An act that is not ended is open until its
 // process ends; one that stands still keeps its act open.
-func NoOverlap(h []Event, seats func(task string) int) (bad []Broken) {
+func NoOverlap(h []Event, permits func(task string) int) (bad []Broken) {
 	type act struct {
 		who string
 		at  time.Duration
@@ -29,9 +29,9 @@
 		switch e.Kind {
 		case Began:
 			open[e.Key] = append(open[e.Key], act{e.Who, e.T})
-			if n := len(open[e.Key]); n > seats(e.Key) {
+			if n := len(open[e.Key]); n > permits(e.Key) {
 				bad = append(bad, Broken{Rule: "no two holders act at once", T: e.T, Who: e.Who, Key: e.Key,
-					What: fmt.Sprintf("%d acts are open, that of %s since %.3fs; %d may be", n, open[e.Key][0].who, open[e.Key][0].at.Seconds(), seats(e.Key))})
+					What: fmt.Sprintf("%d acts are open, that of %s since %.3fs; %d may be", n, open[e.Key][0].who, open[e.Key][0].at.Seconds(), permits(e.Key))})
 			}
 		case Ended:
 			gone := false
@@ -54,18 +54,18 @@
 	return bad
 }
 
-// HoldsApart checks that at no moment is one seat of a task held by two, each until the time that it last gave, or until it gave the
-// seat back or ended. One that stands still holds on until that time and no longer: its own clock goes on.
+// HoldsApart checks that at no moment is one permit of a task held by two, each until the time that it last gave, or until it gave the
+// permit back or ended. One that stands still holds on until that time and no longer: its own clock goes on.
 func HoldsApart(h []Event) (bad []Broken) {
-	type seat struct{ task, nr string }
+	type permit struct{ task, nr string }
 	type hold struct {
 		who      string
 		from, to time.Duration
 		n        float64
 	}
-	now := map[seat][]hold{}
+	now := map[permit][]hold{}
 	for _, e := range h {
-		k := seat{e.Key, e.What}
+		k := permit{e.Key, e.What}
 		switch e.Kind {
 		case Holds:
 			kept := now[k][:0]
@@ -75,7 +75,7 @@
 					from = x.from
 				} else if x.to > e.T {
 					kept = append(kept, x)
-					bad = append(bad, Broken{Rule: "no two hold one seat", T: e.T, Who: e.Who, Key: e.Key + "/" + e.What,
+					bad = append(bad, Broken{Rule: "no two hold one permit", T: e.T, Who: e.Who, Key: e.Key + "/" + e.What,
 						What: fmt.Sprintf("held by number %g while %s holds it by number %g until %.3fs", e.N, x.who, x.n, x.to.Seconds())})
 				}
 			}
--- a/internal/lab/faultrig/gateway.go
+++ b/internal/lab/faultrig/gateway.go
@@ -142,7 +142,7 @@
 		each = 2
 	}
 	t, err := gatewaystandin.New(gatewaystandin.Terms{Program: o.Program, Nodes: s.Nodes, Disks: Disks,
-		Zones: []string{"stalls", "circle", "gallery"},
+		Zones: []string{"zone-a", "zone-b", "zone-c"},
 		Each:  each, Rate: o.Rate, Seed: s.Seed, Beat: time.Second, Lost: 1, History: log, Play: s.Play})
 	if err != nil {
 		return nil, err
--- a/internal/lab/leasecheck/check.go
+++ b/internal/lab/leasecheck/check.go
@@ -1,6 +1,6 @@
 // Package leasecheck explores what the core of the leases can do: its very code, in a small world in which messages are lost,
 // doubled, late by any time and in any order, processes restart without their promises, clocks run as unevenly as they
-// may, and the configuration reaches one front door after another. At no moment may two hold one seat, and the numbers
+// may, and the configuration reaches one front door after another. At no moment may two hold one permit, and the numbers
 // of grants must rise.
 package leasecheck
 
@@ -20,7 +20,7 @@
 type Model struct {
 	Nodes     int
 	Wishers   []lease.Node
-	Seats     int
+	Permits   int
 	Voters    int
 	Rates     []float64     // of the clocks; the last one goes on for the rest
 	Fleets    []lease.Fleet // generations that may come, the first holds at the start
@@ -41,7 +41,7 @@
 
 // Small is three voters, two of which wish, with clocks as far apart as their bound allows.
 func Small() Model {
-	return Model{TickOften: 5, Task: "t", Nodes: 3, Wishers: []lease.Node{0, 1}, Seats: 1, Voters: 3, Rates: []float64{0.75, 1.25, 1}, Fleets: []lease.Fleet{{Gen: 1, Members: 3}},
+	return Model{TickOften: 5, Task: "t", Nodes: 3, Wishers: []lease.Node{0, 1}, Permits: 1, Voters: 3, Rates: []float64{0.75, 1.25, 1}, Fleets: []lease.Fleet{{Gen: 1, Members: 3}},
 		Ticks: 9, Doubles: 1, Restarts: 1, Packets: 6, Length: 60, Drift: 0.25, Step: 8, Margin: 8}
 }
 
@@ -51,13 +51,13 @@
 }
 
 type node struct {
-	core  *lease.Core
-	own   time.Duration
-	life  uint32
-	gen   int // index of the last fleet it knows
-	wants bool
-	acts  time.Duration // until when its last act goes on, by its own clock: acts begin at a check and last a margin
-	seat  int
+	core   *lease.Core
+	own    time.Duration
+	life   uint32
+	gen    int // index of the last fleet it knows
+	wants  bool
+	acts   time.Duration // until when its last act goes on, by its own clock: acts begin at a check and last a margin
+	permit int
 }
 
 // world is a state.
@@ -100,7 +100,7 @@
 
 func (w *world) wish(i int) {
 	w.nodes[i].wants = true
-	w.nodes[i].core.Wish(w.m.Task, w.m.Seats, 0)
+	w.nodes[i].core.Wish(w.m.Task, w.m.Permits, 0)
 }
 
 func (w *world) clone() *world {
@@ -128,11 +128,11 @@
 		case lease.Send:
 			w.net = append(w.net, packet{lease.Node(i), x.To, string(x.Payload)})
 		case lease.Granted:
-			if x.Grant.Number <= w.highest[x.Grant.Seat] {
-				w.bad = fmt.Sprintf("node %d is granted number %d after %d", i, x.Grant.Number, w.highest[x.Grant.Seat])
+			if x.Grant.Number <= w.highest[x.Grant.Permit] {
+				w.bad = fmt.Sprintf("node %d is granted number %d after %d", i, x.Grant.Number, w.highest[x.Grant.Permit])
 			}
 			w.grants++
-			w.highest[x.Grant.Seat] = max(w.highest[x.Grant.Seat], x.Grant.Number)
+			w.highest[x.Grant.Permit] = max(w.highest[x.Grant.Permit], x.Grant.Number)
 		}
 	}
 	if len(w.net) > w.m.Packets {
@@ -141,22 +141,22 @@
 	w.look()
 }
 
-// look: who holds a seat now, each by its own clock?
+// look: who holds a permit now, each by its own clock?
 func (w *world) look() {
 	holders := map[int][]int{}
 	for i := range w.nodes {
 		n := &w.nodes[i]
 		n.core.Now(n.own)
 		if g, ok := n.core.Holds(w.m.Task); ok {
-			n.acts, n.seat = n.own+w.m.Margin, g.Seat
+			n.acts, n.permit = n.own+w.m.Margin, g.Permit
 		}
 		if n.own < n.acts {
-			holders[n.seat] = append(holders[n.seat], i)
+			holders[n.permit] = append(holders[n.permit], i)
 		}
 	}
-	for seat, who := range holders {
+	for permit, who := range holders {
 		if len(who) > 1 {
-			w.bad = fmt.Sprintf("nodes %v hold seat %d at once", who, seat)
+			w.bad = fmt.Sprintf("nodes %v hold permit %d at once", who, permit)
 		}
 	}
 }
@@ -249,10 +249,10 @@
 	w.pull(i)
 }
 
-// drop lets a node give its seat back, and wish again.
+// drop lets a node give its permit back, and wish again.
 func (w *world) drop(i int) {
 	w.drops--
-	w.nodes[i].acts = 0 // who gives a seat back has ended its act
+	w.nodes[i].acts = 0 // who gives a permit back has ended its act
 	w.nodes[i].core.Drop(w.m.Task)
 	w.wish(i)
 	w.pull(i)
@@ -274,7 +274,7 @@
 	var b []byte
 	for i := range w.nodes {
 		b = w.nodes[i].core.AppendState(b)
-		b = append(b, 0xff, byte(w.nodes[i].seat))
+		b = append(b, 0xff, byte(w.nodes[i].permit))
 		b = binary.AppendVarint(b, int64(max(0, w.nodes[i].acts-w.nodes[i].own)))
 	}
 	net := make([]string, 0, len(w.net))
@@ -287,7 +287,7 @@
 		b = append(b, p...)
 	}
 	b = binary.AppendUvarint(b, uint64(w.now))
-	for s := 0; s < w.m.Seats; s++ {
+	for s := 0; s < w.m.Permits; s++ {
 		b = binary.AppendUvarint(b, uint64(w.highest[s]))
 	}
 	b = append(b, byte(w.doubles), byte(w.restarts), byte(w.drops), byte(w.moves))
@@ -299,7 +299,7 @@
 type Result struct {
 	States, Depth int
 	Whole         bool // every state within the budgets was seen
-	Granted       int  // states, or grants of walks, in which somebody held a seat: nought would show nothing
+	Granted       int  // states, or grants of walks, in which somebody held a permit: nought would show nothing
 	Bad           string
 	Trace         []string // that leads there
 	Took          time.Duration
--- a/internal/lab/leasecheck/check_test.go
+++ b/internal/lab/leasecheck/check_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// No two hold one seat, and numbers rise, whatever is lost, doubled, late, restarted or uneven: all states of a small
+// No two hold one permit, and numbers rise, whatever is lost, doubled, late, restarted or uneven: all states of a small
 // world up to a bound, breadth first.
 func TestExplore(t *testing.T) {
 	m := Small()
@@ -38,7 +38,7 @@
 	}
 }
 
-// Voters of a seat are the same at every front door, spread evenly, and change little with the fleet.
+// Voters of a permit are the same at every front door, spread evenly, and change little with the fleet.
 func TestVoters(t *testing.T) {
 	load, moved := make([]int, 100), 0
 	for i := 0; i < 400; i++ {
@@ -57,7 +57,7 @@
 	}
 	for n, x := range load {
 		if x < 4 || x > 45 {
-			t.Errorf("front door %d votes for %d of 400 seats, 20 are even", n, x)
+			t.Errorf("front door %d votes for %d of 400 permits, 20 are even", n, x)
 		}
 	}
 	if moved > 60 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Sixty front doors under random overlapping faults: no two hold a seat, and with the fleet at rest every task has a holder.
+// Sixty front doors under random overlapping faults: no two hold a permit, and with the fleet at rest every task has a holder.
 func TestFleet(t *testing.T) {
 	var after []time.Duration
 	grants := 0
--- a/internal/lab/leasecheck/fleet.go
+++ b/internal/lab/leasecheck/fleet.go
@@ -212,7 +212,7 @@
 	})
 }
 
-// granted looks whether any other holds the seat now, each by its own clock, whether it stands still or not.
+// granted looks whether any other holds the permit now, each by its own clock, whether it stands still or not.
 func (w *big) granted(i int, g lease.Grant) {
 	w.out.Grants++
 	for _, n := range w.by[g.Task] {
@@ -221,7 +221,7 @@
 			continue
 		}
 		d.core.Now(d.own(w.now))
-		if o, ok := d.core.Holds(g.Task); ok && o.Seat == g.Seat {
+		if o, ok := d.core.Holds(g.Task); ok && o.Permit == g.Permit {
 			w.out.Bad = append(w.out.Bad, fmt.Sprintf("at %s front doors %d and %d hold %s", w.now, n, i, g.Task))
 		}
 	}
--- a/internal/lab/leasecheck/models.go
+++ b/internal/lab/leasecheck/models.go
@@ -24,8 +24,8 @@
 	moves.Nodes, moves.Wishers = 5, []lease.Node{0, 3, 4}
 	moves.Fleets = []lease.Fleet{{Gen: 1, Members: 3}, {Gen: 2, Members: 5}, {Gen: 3, Members: 4}}
 	moves.Rates, moves.Ticks, moves.Moves, moves.Restarts, moves.Doubles, moves.Packets = []float64{0.75, 1.25, 1, 0.75, 1.25}, 28, 10, 1, 2, 16
-	seats := five
-	seats.Seats, seats.Drops = 2, 3
+	permits := five
+	permits.Permits, permits.Drops = 2, 3
 	clocks := Small() // the voters' clocks as fast, a holder's as slow as they may be
 	clocks.Restarts, clocks.Doubles, clocks.Ticks, clocks.Rates = 0, 0, 12, []float64{0.75, 1.25, 1.25}
 	apart := Small() // the old and the new voters have nobody in common, and one front door hears late
@@ -38,5 +38,5 @@
 			break
 		}
 	}
-	return map[string]Model{"clocks": clocks, "voters apart": apart, "restarts": restarts, "five voters": five, "drops": drops, "a wisher without time": stale, "voters change": moves, "two seats": seats}
+	return map[string]Model{"clocks": clocks, "voters apart": apart, "restarts": restarts, "five voters": five, "drops": drops, "a wisher without time": stale, "voters change": moves, "two permits": permits}
 }
--- a/internal/lab/simulation/stage.go
+++ b/internal/lab/simulation/backends.go
@@ -182,7 +182,7 @@
 			w.doing = "beats"
 			answered := func(ok bool, target string) {
 				if ok && phase == registry.Draining && !leaves {
-					w.teller = m
+					w.drainer = m
 					w.happens(spec.Drained)
 				}
 				if !w.apart(m, b.zone) {
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -153,7 +153,7 @@
 		Due: w.now + left})
 	sent := w.now
 	gives := left
-	if !want.Effectful && m.p != nil && m.stands > 0 { // a node that does not read is left earlier
+	if !want.Effectful && m.p != nil && m.stalled > 0 { // a node that does not read is left earlier
 		gives = max(left/3, min(left, time.Second))
 	}
 	w.after(gives, func() { c.unheard(t, true) })
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -194,7 +194,7 @@
 		for _, m := range w.machines {
 			m.kill(rng.IntN(2) == 0)
 			if w.day.Wipe && m == lost {
-				m.loses()
+				m.loseDisk()
 			}
 		}
 	})
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -72,7 +72,7 @@
 func (w *world) applyFault(f *spec.Fault) {
 	r := &faultRun{world: w, fault: f, rng: f.Source(w.net)}
 	r.hit = r.targets()
-	if !f.Has(spec.RestartCaller) || w.passer == nil {
+	if !f.Has(spec.RestartCaller) || w.caller == nil {
 		w.say("fault %s for %s, share %.2f", f.Kind, f.For.D(), f.Share)
 	}
 	end, err := effects.Begin(r, f)
@@ -98,10 +98,10 @@
 	switch {
 	case target == spec.AllNodes:
 		return slices.Clone(r.machines)
-	case target == spec.DrainerNode && r.teller != nil:
-		return []*machine{r.teller}
-	case target == spec.CallerNode && r.passer != nil:
-		return []*machine{r.passer}
+	case target == spec.DrainerNode && r.drainer != nil:
+		return []*machine{r.drainer}
+	case target == spec.CallerNode && r.caller != nil:
+		return []*machine{r.caller}
 	}
 	return some
 }
@@ -111,7 +111,7 @@
 	r.after(r.fault.For.D(), func() {
 		end()
 		for _, m := range r.harmed {
-			m.harm(false)
+			m.countTrouble(false)
 		}
 		r.over()
 	})
@@ -127,7 +127,7 @@
 func (r *faultRun) harms(all []*machine) {
 	r.harmed = all
 	for _, m := range all {
-		m.harm(true)
+		m.countTrouble(true)
 	}
 }
 
@@ -144,7 +144,7 @@
 // Stall lets them stand still, and go on.
 func (r *faultRun) Stall(on bool) {
 	for _, m := range r.hit {
-		m.hold(on)
+		m.stall(on)
 	}
 }
 
@@ -161,7 +161,7 @@
 	wipe := func() {
 		for _, m := range r.hit {
 			m.kill(f.By < 0.5)
-			m.loses()
+			m.loseDisk()
 		}
 	}
 	if !r.day.Hard {
@@ -192,7 +192,7 @@
 // terminate tells processes to end; they start again when their grace and the fault's time are over.
 func (r *faultRun) terminate(*spec.Fault) func() {
 	for _, m := range r.hit {
-		m.term()
+		m.terminate()
 	}
 	r.after(r.machines[0].settings.Bounds.Grace+200*time.Millisecond, func() { r.lasts(r.Start) })
 	return nil
@@ -200,10 +200,10 @@
 
 // restartCaller kills the node that has passed on a call, some times. Where none has, it kills some, as a kind without the moment.
 func (r *faultRun) restartCaller(f *spec.Fault) func() {
-	if r.passer == nil {
+	if r.caller == nil {
 		return r.killed(f.Kind == callPower)
 	}
-	r.restarts(f, r.passer, 1+int(4*f.By))
+	r.restarts(f, r.caller, 1+int(4*f.By))
 	return nil
 }
 
@@ -265,7 +265,7 @@
 }
 
 // disks does something to the disks that are hit, whose machines are in trouble by it, and undoes it.
-func (r *faultRun) disks(begin, end func(*platter)) func() {
+func (r *faultRun) disks(begin, end func(*simulatedDisk)) func() {
 	r.harms(r.hit)
 	for _, m := range r.hit {
 		begin(m.disk)
@@ -279,15 +279,15 @@
 
 func (r *faultRun) slowDisks(f *spec.Fault) func() {
 	by := 5 + 100*f.By
-	return r.disks(func(d *platter) { d.slow *= by }, func(d *platter) { d.slow /= by })
+	return r.disks(func(d *simulatedDisk) { d.slow *= by }, func(d *simulatedDisk) { d.slow /= by })
 }
 
 func (r *faultRun) hangDisks(*spec.Fault) func() {
-	return r.disks(func(d *platter) { d.hangs++ }, func(d *platter) { d.hangs-- })
+	return r.disks(func(d *simulatedDisk) { d.hangs++ }, func(d *simulatedDisk) { d.hangs-- })
 }
 
 func (r *faultRun) fillDisks(*spec.Fault) func() {
-	return r.disks(func(d *platter) { d.full++ }, func(d *platter) { d.full-- })
+	return r.disks(func(d *simulatedDisk) { d.full++ }, func(d *simulatedDisk) { d.full-- })
 }
 
 // backends draws the backends that the fault hits.
--- a/internal/lab/simulation/feed_test.go
+++ b/internal/lab/simulation/feed_test.go
@@ -34,7 +34,7 @@
 			must.True(t, level())
 			m := w.machines[lost]
 			m.kill(true)
-			m.loses()
+			m.loseDisk()
 			w.after(away, m.start)
 			behind := false
 			w.every(lookEach, func() bool { behind = behind || !level(); return true })
--- a/internal/lab/simulation/hard.go
+++ b/internal/lab/simulation/hard_days.go
@@ -21,10 +21,10 @@
 	"copies", "call-kill", "call-kill", "call-kill", "call-power", "disk-wipe", "disk-slow"}, kinds...)
 
 const (
-	longCut   = 20 * time.Second
-	turnMost  = 40 * time.Second // that a loss of a disk waits for its turn
-	copiesMax = 6 * time.Second  // late
-	standsFor = 850 * time.Millisecond
+	longCut    = 20 * time.Second
+	turnMost   = 40 * time.Second // that a loss of a disk waits for its turn
+	copiesMax  = 6 * time.Second  // late
+	stalledFor = 850 * time.Millisecond
 )
 
 // DrawHard draws the faults of a hard day, from all kinds: disks are lost one after the other, as soon as the last one counts as
@@ -89,7 +89,7 @@
 	w := m.w
 	m.kill(true)
 	w.replaced++
-	n := &machine{w: w, nr: m.nr, name: m.name, zone: m.zone, life: m.life, trouble: m.trouble, eased: m.eased, disk: newPlatter(w),
+	n := &machine{w: w, nr: m.nr, name: m.name, zone: m.zone, life: m.life, trouble: m.trouble, eased: m.eased, disk: newSimulatedDisk(w),
 		ip: fmt.Sprintf("10.%d.%d.%d", m.nr%w.day.Zones, 100+w.replaced/200, w.replaced%200+1)}
 	n.inner, n.control = net.JoinHostPort(n.ip, strconv.Itoa(innerPort)), net.JoinHostPort(n.ip, strconv.Itoa(controlPort))
 	sheet := *m.settings
@@ -98,7 +98,7 @@
 	w.machines[m.nr] = n
 	w.byInner[n.inner], w.byCall[n.control] = n, n
 	w.say("%s is replaced, at %s", m.name, n.ip)
-	n.loses()
+	n.loseDisk()
 	return n
 }
 
@@ -120,23 +120,23 @@
 		return
 	}
 	w.say("fault %s for %s, %d left", f.Kind, f.For.D(), left)
-	m.harm(true)
-	if has := w.passedTo; f.By > 0.25 && has != m {
-		has.harm(true)
-		has.hold(true)
-		w.after(standsFor, func() {
-			has.hold(false)
-			has.harm(false)
+	m.countTrouble(true)
+	if has := w.callee; f.By > 0.25 && has != m {
+		has.countTrouble(true)
+		has.stall(true)
+		w.after(stalledFor, func() {
+			has.stall(false)
+			has.countTrouble(false)
 		})
 	}
 	w.after(time.Millisecond, func() { m.kill(f.Kind == callPower) }) // what it has sent is out
 	w.after(time.Millisecond+f.For.D(), func() {
 		w.machines[m.nr].start()
-		m.harm(false)
+		m.countTrouble(false)
 		until := w.now + 2*time.Second
 		var next func()
 		next = func() {
-			if w.passer == w.machines[m.nr] || w.now >= until {
+			if w.caller == w.machines[m.nr] || w.now >= until {
 				w.restarts(f, m, left-1)
 				return
 			}
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -20,22 +20,22 @@
 
 // machine is one node's: it goes on while processes come and go.
 type machine struct {
-	w               *world
-	nr              int
-	name, ip, zone  string
-	inner, control  string
-	settings        *settings.Settings
-	disk            *platter // nil: none
-	life            int
-	p               *process // nil: none runs
-	dark            bool     // it has no power
-	free            time.Duration
-	trouble, stands int // faults under way on it; that hold its process
-	sent            Traffic
-	meter           meter
-	serves          time.Duration // since when, in a recovery
-	eased           time.Duration // when its last trouble ended
-	heir            *machine      // what stands in its place
+	w                *world
+	nr               int
+	name, ip, zone   string
+	inner, control   string
+	settings         *settings.Settings
+	disk             *simulatedDisk // nil: none
+	life             int
+	p                *process // nil: none runs
+	dark             bool     // it has no power
+	free             time.Duration
+	trouble, stalled int // faults under way on it; that hold its process
+	sent             Traffic
+	meter            meter
+	serves           time.Duration // since when, in a recovery
+	eased            time.Duration // when its last trouble ended
+	heir             *machine      // what stands in its place
 }
 
 // before is what a node's clock shows at its start, as on real machines.
@@ -100,10 +100,10 @@
 	}
 	m.p = nil
 	p.over, p.died = true, m.w.now
-	if m.stands > 0 {
+	if m.stalled > 0 {
 		m.w.note(history.Event{Who: m.name, Kind: history.Goes})
 	}
-	m.stands = 0
+	m.stalled = 0
 	m.w.note(history.Event{Who: m.name, Kind: history.Down})
 	m.w.say("%s is killed, power off %v", m.name, power)
 	if m.disk != nil {
@@ -114,8 +114,8 @@
 	m.w.clients.lost(p, power)
 }
 
-// term tells a process to end in order.
-func (m *machine) term() {
+// terminate tells a process to end in order.
+func (m *machine) terminate() {
 	p := m.p
 	if p == nil {
 		return
@@ -150,18 +150,18 @@
 	})
 }
 
-// hold lets the process stand still, and go on.
-func (m *machine) hold(on bool) {
+// stall lets the process stand still, and go on.
+func (m *machine) stall(on bool) {
 	p := m.p
 	switch {
 	case p == nil:
 	case on:
-		if m.stands++; m.stands == 1 {
+		if m.stalled++; m.stalled == 1 {
 			m.w.note(history.Event{Who: m.name, Kind: history.Stopped})
 			m.w.say("%s stands still", m.name)
 		}
-	case m.stands > 0:
-		if m.stands--; m.stands == 0 {
+	case m.stalled > 0:
+		if m.stalled--; m.stalled == 0 {
 			m.w.note(history.Event{Who: m.name, Kind: history.Goes})
 			m.w.say("%s goes on", m.name)
 			p.goes = m.w.now
@@ -175,26 +175,26 @@
 	}
 }
 
-// loses takes what is on the machine's disk. Until the core has given it the state again, and a little, it counts as in trouble: a
+// loseDisk takes what is on the machine's disk. Until the core has given it the state again, and a little, it counts as in trouble: a
 // system that tolerates one loss does not owe anything while another machine is away too.
-func (m *machine) loses() {
+func (m *machine) loseDisk() {
 	m.w.say("%s loses its disk", m.name)
 	m.disk.wipe()
-	m.harm(true)
+	m.countTrouble(true)
 	m.w.every(100*time.Millisecond, func() bool {
 		if m.p != nil && m.disk.kept.Delivered > 0 {
-			m.harm(false)
+			m.countTrouble(false)
 			return false
 		}
 		return true
 	})
 }
 
-// harm marks that a fault on a machine or its links begins or ends.
-func (m *machine) harm(on bool) {
+// countTrouble marks that a fault on a machine or its links begins or ends.
+func (m *machine) countTrouble(on bool) {
 	switch {
 	case m.heir != nil:
-		m.heir.harm(on)
+		m.heir.countTrouble(on)
 	case on:
 		if m.trouble++; m.trouble == 1 {
 			m.w.note(history.Event{Who: m.name, Kind: gatewaystandin.Troubled})
@@ -208,13 +208,13 @@
 }
 
 // runs tells whether a process is there that does something.
-func (m *machine) runs() bool { return m.p != nil && m.stands == 0 }
+func (m *machine) runs() bool { return m.p != nil && m.stalled == 0 }
 
 // turn is one owner's: what happens, then what was decided. What comes while the process stands still waits.
 func (p *process) turn(do func()) {
 	switch {
 	case p.over:
-	case p.m.stands > 0:
+	case p.m.stalled > 0:
 		p.backlog = append(p.backlog, do)
 	case p.w.day.Share > 0 && (p.busy > p.w.now || len(p.inbox) > 0):
 		p.queue(do)
@@ -239,7 +239,7 @@
 
 func (p *process) At(at time.Duration, to eventloop.Alarm, ref uint32) {
 	p.w.at(max(at-before+p.born, p.w.now+late), func() {
-		if !p.over && (p.m.stands > 0 || to.Live(ref)) {
+		if !p.over && (p.m.stalled > 0 || to.Live(ref)) {
 			p.turn(func() {
 				if to.Live(ref) {
 					to.Due(ref)
@@ -303,8 +303,8 @@
 func (x *upstreams) Drain()                  { x.drained = true }
 func (x *upstreams) Deafen()                 { x.deaf = true }
 
-// platter is a disk: what is on it outlives processes.
-type platter struct {
+// simulatedDisk is a disk: what is on it outlives processes.
+type simulatedDisk struct {
 	w       *world
 	rng     *rand.Rand
 	kept    replication.Kept
@@ -324,13 +324,15 @@
 	done   func()
 }
 
-func newPlatter(w *world) *platter { return &platter{w: w, rng: w.disks, slow: 1} }
+func newSimulatedDisk(w *world) *simulatedDisk { return &simulatedDisk{w: w, rng: w.disks, slow: 1} }
 
 // wipe takes all that is on it.
-func (d *platter) wipe() { d.kept, d.groups, d.noted, d.writing = replication.Kept{}, nil, nil, nil }
+func (d *simulatedDisk) wipe() {
+	d.kept, d.groups, d.noted, d.writing = replication.Kept{}, nil, nil, nil
+}
 
 // read gives what it holds, with an id for an empty one.
-func (d *platter) read() replication.Kept {
+func (d *simulatedDisk) read() replication.Kept {
 	for d.kept.Me == 0 {
 		d.kept.Me = replication.MemberID(d.rng.Uint64() >> 24)
 	}
@@ -343,14 +345,14 @@
 }
 
 // killed ends the writer: what was being written is there whole, or not at all.
-func (d *platter) killed() {
+func (d *simulatedDisk) killed() {
 	if x := d.writing; x != nil && d.hangs == 0 && d.full == 0 && d.rng.IntN(2) == 0 {
 		d.apply(x)
 	}
 	d.writing = nil
 }
 
-func (d *platter) apply(x *write) {
+func (d *simulatedDisk) apply(x *write) {
 	for _, a := range x.writes {
 		if a.Log == replication.ConfigurationLog {
 			d.kept.Apply(a.Write)
@@ -372,7 +374,7 @@
 // drive is a disk as a process has it.
 type drive struct {
 	p *process
-	d *platter
+	d *simulatedDisk
 }
 
 func (v *drive) Noted() []byte { return v.d.noted }
@@ -393,12 +395,12 @@
 func (v *drive) Write(writes []replication.LogWrite, note []byte, done func()) {
 	x := &write{v.p, writes, note, done}
 	v.d.writing = x
-	v.d.w.happens(writes_(writes))
-	v.d.go_(x, 20*time.Millisecond)
+	v.d.w.happens(writeMoment(writes))
+	v.d.perform(x, 20*time.Millisecond)
 }
 
-// writes_ is a moment only where something of the log is written.
-func writes_(all []replication.LogWrite) spec.Moment {
+// writeMoment is a moment only where something of the log is written.
+func writeMoment(all []replication.LogWrite) spec.Moment {
 	for _, a := range all {
 		if a.Log == replication.ConfigurationLog && len(a.Write.Entries) > 0 {
 			return spec.Writes
@@ -407,18 +409,18 @@
 	return ""
 }
 
-// go_ writes and syncs. A full disk refuses, and is tried again; one that hangs answers when it goes on.
-func (d *platter) go_(x *write, wait time.Duration) {
+// perform writes and syncs. A full disk refuses, and is tried again; one that hangs answers when it goes on.
+func (d *simulatedDisk) perform(x *write, wait time.Duration) {
 	took := time.Duration(d.slow * float64(500*time.Microsecond+time.Duration(d.rng.ExpFloat64()*float64(2500*time.Microsecond))))
 	d.w.after(took, func() {
 		switch {
 		case d.writing != x:
 		case d.hangs > 0:
-			d.go_(x, wait)
+			d.perform(x, wait)
 		case d.full > 0:
 			d.w.after(wait, func() {
 				if d.writing == x {
-					d.go_(x, min(2*wait, time.Second))
+					d.perform(x, min(2*wait, time.Second))
 				}
 			})
 		default:
--- a/internal/lab/simulation/members_test.go
+++ b/internal/lab/simulation/members_test.go
@@ -32,15 +32,15 @@
 	w.until(w.now+2*time.Second, nil)
 	gone, next := w.machines[seed%3], w.machines[(seed+1+seed/3%2)%3]
 	loses := func() {
-		if gone.harm(true); told {
-			gone.term()
+		if gone.countTrouble(true); told {
+			gone.terminate()
 		} else {
 			gone.kill(true)
 		}
 		must.True(t, w.until(w.now+8*time.Second, func() bool { return gone.p == nil }))
 	}
 	comes := func() {
-		late.harm(true)
+		late.countTrouble(true)
 		late.start()
 	}
 	if before {
@@ -72,8 +72,8 @@
 	must.True(t, w.until(began+catchUp, three), must.Sprintf("seed %d: the lost one still counts", seed))
 	took := w.now - began
 	w.until(began+catchUp, nil)
-	late.harm(false)
-	gone.harm(false)
+	late.countTrouble(false)
+	gone.countTrouble(false)
 	taken := func() (n int) {
 		for _, v := range w.operator.versions {
 			if v.Acked > 0 {
@@ -83,13 +83,13 @@
 		return n
 	}
 	was := taken()
-	next.harm(true)
+	next.countTrouble(true)
 	next.kill(true)
 	must.True(t, w.until(w.now+gatewaystandin.ClearMost, func() bool { return taken() > was }), must.Sprintf("seed %d: nothing is taken", seed))
 	w.until(w.now+2*time.Second, nil)
 	next.start()
 	w.until(w.now+catchUp, nil)
-	next.harm(false)
+	next.countTrouble(false)
 	w.operator.goes, w.clients.open = false, false
 	w.until(w.now+gatewaystandin.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
 	w.over = true
--- a/internal/lab/simulation/meter.go
+++ b/internal/lab/simulation/meter.go
@@ -136,7 +136,7 @@
 		}
 		do := p.inbox[0]
 		p.inbox = p.inbox[1:]
-		if p.m.stands > 0 {
+		if p.m.stalled > 0 {
 			p.backlog = append(p.backlog, do)
 		} else {
 			p.metered(do)
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -149,7 +149,7 @@
 		p.w.happens(spec.ViewChange)
 	}
 	if f.Call != nil {
-		p.w.passer, p.w.passedTo = p.m, v.to
+		p.w.caller, p.w.callee = p.m, v.to
 		p.w.happens(spec.PassesOn)
 	}
 	if v.c != nil { // else it waits for a link, and is dropped when that is up
--- a/internal/lab/simulation/parted.go
+++ b/internal/lab/simulation/parted.go
@@ -18,10 +18,10 @@
 // there, and to those who followed it, as an operator does: to the next node after each answer that is not clear.
 
 const (
-	pokeEach  = 200 * time.Millisecond
-	flightMax = 20 * time.Millisecond // what was on its way when the cut began
-	atOnce    = 50 * time.Millisecond
-	ghostGen  = 1 << 40
+	pokeEach        = 200 * time.Millisecond
+	flightMax       = 20 * time.Millisecond // what was on its way when the cut began
+	atOnce          = 50 * time.Millisecond
+	staleGeneration = 1 << 40
 )
 
 // Parted is how long orders took until a clear answer, sent first to the node that is cut off, or to one that followed it.
@@ -55,11 +55,11 @@
 			return false
 		}
 		if n++; w.operator.known > 0 {
-			w.poke(m, began, ends)
+			w.probeParted(m, began, ends)
 			if n%2 == 0 {
-				w.chase(m, &w.parted.Core)
+				w.orderUntilClear(m, &w.parted.Core)
 			} else if len(fed) > 0 {
-				w.chase(fed[n/2%len(fed)], &w.parted.Follower)
+				w.orderUntilClear(fed[n/2%len(fed)], &w.parted.Follower)
 			}
 		}
 		return true
@@ -72,10 +72,10 @@
 	})
 }
 
-// ghost is an order on a version that is long gone: 412 at whoever may tell, and taken by nobody.
-func ghost() []byte {
+// staleOrder is an order on a version that is long gone: 412 at whoever may tell, and taken by nobody.
+func staleOrder() []byte {
 	b := gatewaystandin.First()
-	b.Generation = ghostGen
+	b.Generation = staleGeneration
 	text, err := json.Marshal(b)
 	if err != nil {
 		panic(err)
@@ -83,11 +83,11 @@
 	return text
 }
 
-// poke holds a parted node to what it may do.
-func (w *world) poke(m *machine, began, ends time.Duration) {
+// probeParted holds a parted node to what it may do.
+func (w *world) probeParted(m *machine, began, ends time.Duration) {
 	p, at := m.p, w.now
 	since := at - began
-	if p == nil || m.stands > 0 || since < flightMax {
+	if p == nil || m.stalled > 0 || since < flightMax {
 		return
 	}
 	bad := func(format string, args ...any) {
@@ -110,9 +110,9 @@
 	}
 	unclear := func(status int) bool { return status/100 == 5 }
 	p.turn(func() {
-		p.h.Change(statemachine.Replace, ghost(), answered("an order", unclear))
+		p.h.Change(statemachine.Replace, staleOrder(), answered("an order", unclear))
 		p.h.Newest(answered("a read", unclear))
-		p.h.Leave(fmt.Sprint("ghost-", began), func(ok bool, _ string) {
+		p.h.Leave(fmt.Sprint("stale-", began), func(ok bool, _ string) {
 			if ok && w.now < ends && m.p == p {
 				bad("acknowledges an end that nobody else has")
 			}
@@ -152,16 +152,16 @@
 }
 
 // stood tells whether a process stood still since then, or does.
-func (p *process) stood(since time.Duration) bool { return p.m.stands > 0 || p.goes >= since }
+func (p *process) stood(since time.Duration) bool { return p.m.stalled > 0 || p.goes >= since }
 
-// chase sends an order to a node, and on to the next ones, until the answer is clear: one at a time, since a refusal takes a place in
+// orderUntilClear sends an order to a node, and on to the next ones, until the answer is clear: one at a time, since a refusal takes a place in
 // the log too.
-func (w *world) chase(first *machine, into *[]time.Duration) {
-	if w.chases {
+func (w *world) orderUntilClear(first *machine, into *[]time.Duration) {
+	if w.chasing {
 		return
 	}
-	w.chases = true
-	body, began, wait, n := ghost(), w.now, 30*time.Millisecond, first.nr
+	w.chasing = true
+	body, began, wait, n := staleOrder(), w.now, 30*time.Millisecond, first.nr
 	var next func()
 	next = func() {
 		m := w.machines[n%len(w.machines)]
@@ -170,7 +170,7 @@
 			switch {
 			case gatewaystandin.Clear(status) || w.now-began > gatewaystandin.ClearMost:
 				*into = append(*into, w.now-began)
-				w.chases = false
+				w.chasing = false
 			default:
 				w.after(wait, next)
 				wait = min(2*wait, 500*time.Millisecond)
--- a/internal/lab/simulation/planted_test.go
+++ b/internal/lab/simulation/planted_test.go
@@ -43,7 +43,7 @@
 			b.fails = 0.3
 		}
 		w.until(w.now+5*time.Second, nil)
-		w.machines[4].term()
+		w.machines[4].terminate()
 		w.until(w.now+10*time.Second, nil)
 		w.operator.goes, w.clients.open = false, false
 		w.until(w.now+tail, nil)
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -106,18 +106,18 @@
 	clients  *clients
 	operator *operator
 	waits    map[spec.Moment][]func()
-	teller   *machine // who last acknowledged a drain
+	drainer  *machine // who last acknowledged a drain
 	faults   int      // under way
 	over     bool
 	sum      uint64 // of what travelled
 	counted  time.Duration
 	parted   Parted
 	planted  plant
-	chases   bool     // an order of a parted node's is under way
+	chasing  bool     // an order of a parted node's is under way
 	copies   int      // faults under way that let frames come twice
 	replaced int      // machines
-	passer   *machine // who last passed on a call, and to whom
-	passedTo *machine
+	caller   *machine // who last passed on a call, and to whom
+	callee   *machine
 	broken   []history.Broken // seen while the day went on
 	metered  bool             // work and frames are counted, and no history is kept
 	enough   func() string    // why a metered day is to end at once; nil: never
@@ -165,7 +165,7 @@
 		w.machines = append(w.machines, m)
 		w.byInner[m.inner], w.byCall[m.control] = m, m
 		if i < d.Disks {
-			m.disk = newPlatter(w)
+			m.disk = newSimulatedDisk(w)
 			if len(seeds) < 3 {
 				seeds = append(seeds, m.control)
 			}
