--- a/control/types.go
+++ b/control/types.go
@@ -29,7 +29,7 @@
 // PlanID names a quota's terms.
 type PlanID int
 
-// ZoneID names a place where backends and front doors stand.
+// ZoneID names a zone: a place where backends and front doors stand.
 type ZoneID int
 
 // PodID names a group of backends that fail together.
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -69,6 +69,8 @@
 		h.answered(from, f.Reply)
 	case f.Rollout != nil:
 		h.rolloutHeard(from, f.Rollout)
+	case f.Coordination != nil:
+		h.coordinationHeard(from, f.Coordination)
 	}
 }
 
@@ -106,6 +108,7 @@
 	h.groups.down(to)
 	delete(h.followers, to)
 	delete(h.echoes, to)
+	h.coordination.Down(to)
 	for _, nr := range slices.Sorted(maps.Keys(h.calls)) {
 		if c := h.calls[nr]; c.sent == to { // it may have been taken: the same again is answered as the first was
 			c.sent, c.doubt, c.next = "", true, h.e.Now()+callAgain
@@ -207,7 +210,7 @@
 	order := h.roster.Order()
 	if h.registry == nil {
 		h.registry = registry.New(registry.Slot(me), registry.Terms{BeatInterval: h.settings.BeatInterval,
-			Enough: h.settings.Tolerates.Machines + 1, Life: uint32(h.life)}, h.e.Now())
+			Enough: h.enoughCopies(), Life: uint32(h.life)}, h.e.Now())
 		h.say(nodePart, "has slot %d of %d", me, len(order))
 		if h.core != nil {
 			h.core.remember()
@@ -215,6 +218,9 @@
 	}
 	if len(order) != h.slots {
 		h.slots = len(order)
+		if h.own != nil {
+			h.own.leaveLinks(len(order))
+		}
 		addrs := make([]netip.AddrPort, len(order))
 		for i, s := range order {
 			addrs[i] = h.datagramAddr(s.Addr)
@@ -249,6 +255,14 @@
 	h.registry.SetNodes(doors)
 }
 
+// enoughCopies is at how many nodes with a disk the end of a backend is to be before it is acknowledged.
+func (h *Node) enoughCopies() int {
+	if h.fault == endsAlone {
+		return 0
+	}
+	return h.settings.Tolerates.Machines + 1
+}
+
 // datagramAddr is where a node takes datagrams: the port after that of its links.
 func (h *Node) datagramAddr(inner string) netip.AddrPort {
 	host, _, _ := net.SplitHostPort(inner)
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -55,6 +55,7 @@
 	over      bool
 	died      time.Duration
 	goes      time.Duration // on, after it last stood still
+	stopped   time.Duration // when that began
 	backlog   []func()
 	inbox     []func()      // turns that wait for its processor, in a metered day
 	busy      time.Duration // until then its processor has no time
@@ -159,6 +160,7 @@
 		if m.stalled++; m.stalled == 1 {
 			m.w.note(history.Event{Who: m.name, Kind: history.Stopped})
 			m.w.say("%s stands still", m.name)
+			p.stopped = m.w.now
 		}
 	case m.stalled > 0:
 		if m.stalled--; m.stalled == 0 {
@@ -249,6 +251,20 @@
 	})
 }
 
+// Waited is how long the process stood still, where it goes on now.
+func (p *process) Waited() time.Duration {
+	if p.goes > 0 && p.w.now-p.goes <= justNow {
+		return p.goes - p.stopped
+	}
+	return 0
+}
+
+// justNow is how long after a standstill what is read may have waited: as in a real node.
+const justNow = 20 * time.Millisecond
+
+// Refresh does nothing: no time passes within a simulated turn.
+func (p *process) Refresh() {}
+
 func (p *process) Turn(do func()) { do(); p.settled() }
 
 func (p *process) Settled(do func()) { p.settled = do }
@@ -308,6 +324,7 @@
 	w       *world
 	rng     *rand.Rand
 	kept    replication.Kept
+	drawn   replication.MemberID                   // the id that a process has of an empty disk that was full when it began
 	groups  map[replication.LogID]replication.Kept // the coordination groups' logs
 	noted   []byte
 	writing *write
@@ -333,13 +350,21 @@
 
 // read gives what it holds, with an id for an empty one.
 func (d *simulatedDisk) read() replication.Kept {
-	for d.kept.Me == 0 {
-		d.kept.Me = replication.MemberID(d.rng.Uint64() >> 24)
+	if d.kept.Me == 0 {
+		for d.drawn = 0; d.drawn == 0; {
+			d.drawn = replication.MemberID(d.rng.Uint64() >> 24)
+		}
+		if d.full == 0 {
+			d.kept.Me = d.drawn
+		}
+	}
+	k := d.kept
+	if k.Me == 0 {
+		k.Me = d.drawn
 	}
-	if err := d.kept.Check(); err != nil {
+	if err := k.Check(); err != nil {
 		panic("a disk does not hold together: " + err.Error())
 	}
-	k := d.kept
 	k.Entries = append([]replication.Entry(nil), k.Entries...)
 	return k
 }
@@ -353,6 +378,9 @@
 }
 
 func (d *simulatedDisk) apply(x *write) {
+	if d.kept.Me == 0 {
+		d.kept.Me = d.drawn
+	}
 	for _, a := range x.writes {
 		if a.Log == replication.ConfigurationLog {
 			d.kept.Apply(a.Write)
@@ -395,6 +423,7 @@
 func (v *drive) Write(writes []replication.LogWrite, note []byte, done func()) {
 	x := &write{v.p, writes, note, done}
 	v.d.writing = x
+	v.d.w.owned(v.p.m.name, &writes, func() bool { return v.d.writing != x })
 	v.d.w.happens(writeMoment(writes))
 	v.d.perform(x, 20*time.Millisecond)
 }
--- a/internal/proxy/eventloop/engine.go
+++ b/internal/proxy/eventloop/engine.go
@@ -180,6 +180,10 @@
 // Now is the clock of this turn.
 func (e *Engine) Now() time.Duration { return e.now }
 
+// Refresh brings the clock of this turn up to now. What is read from a socket in a turn may have been sent after the turn began, if
+// the process stood still between.
+func (e *Engine) Refresh() { e.now = max(e.now, before+time.Since(e.born)) }
+
 // AtUnix puts a Unix time on this clock; nought stands for what lies before it.
 func (e *Engine) AtUnix(at time.Time) time.Duration {
 	return max(0, before+at.Round(0).Sub(e.born.Round(0)))
@@ -226,6 +230,9 @@
 // Room tells how many more connections may be opened.
 func (e *Engine) Room() int { return e.most - e.open }
 
+// Descriptors changes how many there are, some of which are the program's own, for connections from now on. Those that are open stay.
+func (e *Engine) Descriptors(n int) { e.most = n - ownFiles }
+
 // Open counts connections, dials among them.
 func (e *Engine) Open() int { return e.open }
 
