--- a/internal/lab/simulation/groups_test.go
+++ b/internal/lab/simulation/groups_test.go
@@ -94,7 +94,7 @@
 }{
 	{"killed", func(_ *world, m *machine) { m.kill(false) }, func(_ *world, m *machine) { m.start() }},
 	{"without power", func(_ *world, m *machine) { m.kill(true) }, func(_ *world, m *machine) { m.start() }},
-	{"frozen", func(_ *world, m *machine) { m.hold(true) }, func(_ *world, m *machine) { m.hold(false) }},
+	{"frozen", func(_ *world, m *machine) { m.stall(true) }, func(_ *world, m *machine) { m.stall(false) }},
 	{"cut both ways", cutOff(true, true), heal},
 	{"hears nothing", cutOff(true, false), heal},
 	{"is not heard", cutOff(false, true), heal},
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -373,8 +373,8 @@
 				if q.w.metered {
 					q.m.meter.came(q.w, "mail", len(b)+datagramHead)
 				}
-				if seat, ok := q.datagrams.slots[p.m]; ok {
-					q.h.DatagramCame(control.GatewayID(seat), b)
+				if slot, ok := q.datagrams.slots[p.m]; ok {
+					q.h.DatagramCame(control.GatewayID(slot), b)
 				}
 			})
 		}
