--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -339,6 +339,7 @@
 	writes []replication.LogWrite
 	note   []byte
 	done   func()
+	look   func() // see owned
 }
 
 func newSimulatedDisk(w *world) *simulatedDisk { return &simulatedDisk{w: w, rng: w.disks, slow: 1} }
@@ -421,9 +422,9 @@
 }
 
 func (v *drive) Write(writes []replication.LogWrite, note []byte, done func()) {
-	x := &write{v.p, writes, note, done}
+	x := &write{p: v.p, writes: writes, note: note, done: done}
 	v.d.writing = x
-	v.d.w.owned(v.p.m.name, &writes, func() bool { return v.d.writing != x })
+	x.look = v.d.w.owned(v.p.m.name, &writes)
 	v.d.w.happens(writeMoment(writes))
 	v.d.perform(x, 20*time.Millisecond)
 }
@@ -453,6 +454,7 @@
 				}
 			})
 		default:
+			x.look()
 			d.apply(x)
 			d.writing = nil
 			d.syncs++
