--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -18,6 +18,7 @@
 // Came is told when another node has dialed this one. It may be the node that it follows, which dialed it anew. It may have given up a link before and with it the wish to follow:
 // without a new one it would say nothing, and for two seconds nothing would tell of that.
 func (h *Node) Came(from string) {
+	h.core.forget(from)
 	if from == h.feeder {
 		h.follow(from)
 	}
@@ -33,6 +34,7 @@
 	switch {
 	case f.Hello != nil:
 		h.roster.Hello(from, *f.Hello)
+		h.parts.takes[from] = f.Hello.Parts
 		h.remind(from, f.Hello.Door)
 	case f.Ping != nil:
 		h.words[from] = word{h.e.Now(), f.Ping.Stale, f.Ping.Index, f.Ping.View}
@@ -50,6 +52,7 @@
 	case f.Found != nil:
 		h.found(f.Found)
 	case f.Core != nil && h.core != nil:
+		h.core.lineHeard(from, f.Core)
 		h.core.p.Now(h.e.Now())
 		h.core.p.Heard(f.Core.From, f.Core.Message)
 	case f.Groups != nil && h.core != nil:
@@ -67,6 +70,8 @@
 		h.called(from, f.Call)
 	case f.Reply != nil:
 		h.answered(from, f.Reply)
+	case f.Part != nil:
+		h.partHeard(from, f.Part)
 	case f.Rollout != nil:
 		h.rolloutHeard(from, f.Rollout)
 	case f.Coordination != nil:
@@ -106,13 +111,16 @@
 func (h *Node) Down(to string) {
 	h.roster.Now(h.e.Now())
 	h.roster.Down(to)
+	h.core.forget(to)
 	h.groups.down(to)
 	delete(h.followers, to)
 	delete(h.echoes, to)
 	h.coordination.Down(to)
 	for _, nr := range slices.Sorted(maps.Keys(h.calls)) {
 		if c := h.calls[nr]; c.sent == to { // it may have been taken: the same again is answered as the first was
-			c.sent, c.doubt, c.next = "", true, h.e.Now()+callAgain
+			c.doubt = c.doubt || h.mayHave(c, nr)
+			h.cancel(to, nr)
+			c.sent, c.next = "", h.e.Now()+callAgain
 			h.e.At(c.next, (*callAlarm)(h), nr)
 		}
 	}
@@ -177,6 +185,7 @@
 			h.links.Leave(a.Addr)
 		case membership.Greet:
 			hello := h.roster.Say(a.Addr)
+			hello.Parts = true
 			h.links.Send(a.Addr, &Frame{Hello: &hello})
 		case membership.Found:
 			members := membersOf(a.Founders)
@@ -211,7 +220,7 @@
 	order := h.roster.Order()
 	if h.registry == nil {
 		h.registry = registry.New(registry.Slot(me), registry.Terms{BeatInterval: h.settings.BeatInterval,
-			Enough: h.settings.Tolerates.Machines + 1, Life: uint32(h.life)}, h.e.Now())
+			Enough: h.enoughCopies(), Life: uint32(h.life)}, h.e.Now())
 		h.say(nodePart, "has slot %d of %d", me, len(order))
 		if h.core != nil {
 			h.core.remember()
@@ -256,6 +265,14 @@
 	h.registry.SetNodes(doors)
 }
 
+// enoughCopies is at how many nodes with a disk the end of a backend is to be before it is acknowledged.
+func (h *Node) enoughCopies() int {
+	if h.fault == endsAlone {
+		return 0
+	}
+	return h.settings.Tolerates.Machines + 1
+}
+
 // datagramAddr is where a node takes datagrams: the port after that of its links.
 func (h *Node) datagramAddr(inner string) netip.AddrPort {
 	host, _, _ := net.SplitHostPort(inner)
@@ -276,41 +293,6 @@
 	return inners
 }
 
-// ping tells the watchers that this node lives, and those who follow it who does. A follower asks, with its clock, and is answered at
-// once; unasked it is told what is new, and at times.
-func (h *Node) ping(news bool) {
-	told := map[string]bool{}
-	if h.core != nil {
-		for _, addr := range h.following() {
-			told[addr] = true
-			if news || h.e.Now()-h.echoes[addr].at > 3*pingEvery/2 {
-				h.links.Send(addr, &Frame{Ping: h.pingTo(addr)})
-			}
-		}
-	}
-	_, view, _ := h.contact()
-	p := Ping{Stale: h.stale(), Index: h.applied, View: view}
-	if h.core != nil {
-		p.Lives = h.roster.Hears()
-	} else if h.feeder != "" {
-		told[h.feeder] = true
-		h.links.Send(h.feeder, &Frame{Ping: &Ping{Stale: p.Stale, Index: p.Index, View: p.View, Clock: h.clock.Tell(h.e.Now())}})
-	}
-	f := &Frame{Ping: &p}
-	for _, addr := range h.roster.Watchers() {
-		if !told[addr] {
-			h.links.Send(addr, f)
-		}
-	}
-}
-
-// pingTo is what a follower is told.
-func (h *Node) pingTo(addr string) *Ping {
-	_, view, _ := h.contact()
-	return &Ping{Stale: h.stale(), Index: h.applied, Lives: h.roster.Lives(), View: view, Echo: h.echoes[addr].clock,
-		Leaders: h.groups.leaders()}
-}
-
 // pullRegistry carries out what the board asks for.
 func (h *Node) pullRegistry() {
 	if h.registry == nil {
--- a/internal/gateway/registry/transfer.go
+++ b/internal/gateway/registry/transfer.go
@@ -53,9 +53,14 @@
 		b.work(p)
 		p.whole, p.greet = true, p.greet || !t.zone
 		for _, e := range b.list {
-			if e.phase() != Gone && (!t.zone || e.w.Zone == p.node.Zone) {
+			if b.worthTelling(e) && (!t.zone || e.w.Zone == p.node.Zone) {
 				b.tell(p, e.w.ID, true)
 			}
 		}
 	}
 }
+
+// worthTelling holds for backends that are there, and for those whose end may still be news to a follower.
+func (b *Registry) worthTelling(e *entry) bool {
+	return e.phase() != Gone || e.level() > noEnd && b.now-e.goneAt < endsFor
+}
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -65,7 +65,7 @@
 		must.ErrorIs(t, err, want)
 	}
 	_, c := serve(t, func(string, string) (int, string) { return 412, `{"revision":7}` })
-	_, err := c.Put(within(t, time.Minute), "g.k", "v", 3)
+	_, err := c.PutAt(within(t, time.Minute), "g.k", "v", 3)
 	conflict, ok := err.(*ConflictError)
 	must.True(t, ok)
 	must.Eq(t, 7, conflict.Revision)
@@ -80,17 +80,30 @@
 		}
 		return 200, `{"revision":9}`
 	})
-	revision, err := c.Put(within(t, time.Minute), "g.k", "v", 3)
+	revision, err := c.PutAt(within(t, time.Minute), "g.k", "v", 3)
 	must.NoError(t, err)
 	must.Eq(t, 9, revision)
 	must.Eq(t, 3, n.count(`{"value":"v","topic":3}`))
 	for status, want := range map[int]error{503: ErrUnavailable, 429: ErrUnavailable, 504: ErrUnclear} {
-		_, c := serve(t, func(string, string) (int, string) { return status, "" })
-		_, err := c.Next(within(t, 30*time.Millisecond), "n")
+		_, c := serve(t, nil)
+		ctx, stop := context.WithCancel(t.Context())
+		c.http.Transport = lastAnswer{status, stop}
+		_, err := c.Next(ctx, "n")
 		must.ErrorIs(t, err, want)
 	}
 }
 
+// lastAnswer gives a whole answer, after which the caller's time is over.
+type lastAnswer struct {
+	status int
+	stop   context.CancelFunc
+}
+
+func (a lastAnswer) RoundTrip(*http.Request) (*http.Response, error) {
+	a.stop()
+	return &http.Response{StatusCode: a.status, Body: http.NoBody}, nil
+}
+
 // A session renews; once nobody answers, or the lock is lost, it ends by itself, before its time has run out.
 func TestSession(t *testing.T) {
 	for name, renewal := range map[string]int{"nobody answers": 503, "lost": 409} {
