--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -24,6 +24,7 @@
 	Reply  *Reply
 
 	Rollout *RolloutWord // while one runs
+	Part    *Part        // of a large call or answer, to a program that takes it
 
 	Coordination []byte      // a coordination.Message
 	Groups       *GroupLines // once there are coordination groups
@@ -42,7 +43,7 @@
 		return "registry"
 	case f.Follow != nil, f.Feed != nil:
 		return "feed"
-	case f.Call != nil, f.Reply != nil:
+	case f.Call != nil, f.Reply != nil, f.Part != nil:
 		return "calls"
 	case f.Groups != nil:
 		return "groups"
@@ -54,7 +55,7 @@
 	return "others"
 }
 
-// Ping tells that the sender lives, and how old its knowledge of the core is.
+// Ping tells that the sender lives, and how old its knowledge of the core is: the latter not from one node with a disk to another.
 type Ping struct {
 	Stale time.Duration // all acknowledged so long ago has been applied (see authority.go); over an hour: not known
 	Index uint64        // of the last entry that it applied
@@ -79,6 +80,7 @@
 type Line struct {
 	From    replication.MemberID
 	Message replication.Message
+	Hears   []byte // at times: the slots that the sender hears, in the place of a Ping between nodes with a disk
 }
 
 // GroupLines are messages between members of the coordination groups: all that a node has for another one at the end of a turn.
