--- a/internal/gateway/routing/doc.go
+++ b/internal/gateway/routing/doc.go
@@ -7,3 +7,6 @@
 package routing
 
 //go:generate go run github.com/oapi-codegen/oapi-codegen/v2/cmd/oapi-codegen@v2.8.2 -config ../../../api/routing.yaml ../../../api/control.yaml
+
+// The package comment that the generator writes goes, so that the one above stands alone.
+//go:generate sed -i -e 1,2d -e "s/DO NOT EDIT[.]/&\\n/" wire.gen.go
