--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -44,7 +44,7 @@
 // 64 MB many times, and the 4 MiB that a call may have does. By entries alone, each 64, it grew to seventy.
 func TestSizeOfWholeConfigurations(t *testing.T) {
 	times := 20
-	if n, err := strconv.Atoi(os.Getenv("PROMPTBOOK_TIMES")); err == nil {
+	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_TIMES")); err == nil {
 		times = n
 	}
 	for _, state := range []int{250 << 10, 1 << 20, 4 << 20} {
@@ -58,10 +58,10 @@
 // A disk of 64 MB took 64 whole configurations of 3.4 MB one after the other, each as they come at their worst: two that are not committed
 // yet, which is all that the log holds of such, both replaced by another leader's; a snapshot and the entries after it in one write, as
 // after a disk that hung; a snapshot from elsewhere in the place of all. The file stays below ten configurations (node.diskCopies). Played at
-// a quarter of that size; PROMPTBOOK_STATE plays it larger.
+// a quarter of that size; LOGSTORE_STATE plays it larger.
 func TestSmallDiskHoldsWholeConfigurations(t *testing.T) {
 	state := 850_000
-	if n, err := strconv.Atoi(os.Getenv("PROMPTBOOK_STATE")); err == nil {
+	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_STATE")); err == nil {
 		state = n
 	}
 	const times, seed = 64, 1 // the worst of twelve seeds
--- a/internal/gateway/registry/ends_test.go
+++ b/internal/gateway/registry/ends_test.go
@@ -71,7 +71,7 @@
 // The word of an end may come first in a beat that is passed on, when what else the node is told waits for its confirmations. It goes
 // on from there as any other does: once it was known the word itself told nothing new, and those who follow never had it.
 func TestEndInAPassedOnBeatGoesOn(t *testing.T) {
-	for keeper := range Slot(3) {
+	for registrar := range Slot(3) {
 		tr := open(t, 6, 3)
 		s := server(1)
 		tr.beat(s, 0)
@@ -79,7 +79,7 @@
 		tr.step(time.Second)
 		w := s.Record
 		w.Seq, w.Phase, w.Drained, w.Keeper, w.Missed = s.Seq+1, Draining, true, None, None
-		tr.registries[keeper].Heard(5, Message{Beats: []Record{w}})
+		tr.registries[registrar].Heard(5, Message{Beats: []Record{w}})
 		tr.pump()
 		tr.phases(s.ID, Draining)
 	}
--- a/internal/gateway/registry/transfer.go
+++ b/internal/gateway/registry/transfer.go
@@ -8,7 +8,7 @@
 	zone bool
 }
 
-// enqueue has a follower wait for both, its zone's backends before anybody's whole board. Where most backends are in its zone there
+// enqueue has a follower wait for both, its zone's backends before anybody's whole registry. Where most backends are in its zone there
 // is nothing to be gained by it.
 func (b *Registry) enqueue(p *peer) {
 	near, there := 0, 0
