--- a/internal/architecture/words_test.go
+++ b/internal/architecture/words_test.go
@@ -28,8 +28,8 @@
 var frontDoor = regexp.MustCompile(`(?i)front[ _-]?$`)
 
 // kept are names that stay, since other programs and older versions of this one read them: the file of the log, the fields and
-// types that gob sends or keeps on disk, and the settings that the platform sends.
-var kept = []string{"promptbook.db", "mailPerS", "mail_per_s", "ZooKeeper", "`House`"}
+// types that gob sends or keeps on disk, the settings that the platform sends, and a name in recorded frames.
+var kept = []string{"promptbook.db", "mailPerS", "mail_per_s", "ZooKeeper", "`House`", `Name: "door-0"`}
 
 // keptFields are the fields of such types. They may stand as they are, as whole identifiers, in Go files.
 var keptFields = strings.Fields(`Bills Board Door House Keeper Seat Seats`)
--- a/internal/gateway/node/versions_test.go
+++ b/internal/gateway/node/versions_test.go
@@ -166,7 +166,7 @@
 	report := &rollout.Report{Service: "s", Number: 3, Step: 1, Lap: 2, Life: 9, Seq: 4, Zone: "z", Alone: true, Backs: 2, Evidence: []byte("e")}
 	report.Counts[1][0] = rollout.Tally{Ends: 5, By: [5]uint32{1, 2, 3, 4, 5}, Times: [rollout.Buckets]uint32{3: 7, 25: 1}}
 	return []*Frame{
-		{Hello: &membership.Hello{Door: membership.Node{Name: "node-0", Addr: "10.0.0.1:7110", Control: "10.0.0.1:7000", Zone: "z", Disk: 21,
+		{Hello: &membership.Hello{Door: membership.Node{Name: "door-0", Addr: "10.0.0.1:7110", Control: "10.0.0.1:7000", Zone: "z", Disk: 21,
 			First: true, Life: 31, Founded: true, Leaving: true, House: 41}, Known: []string{"10.0.0.2:7110"}, Begun: true}},
 		{Ping: &Ping{Stale: 150 * time.Millisecond, Index: 6, Lives: []byte{7}, View: 2, Clock: 1234567890, Echo: 987654321}},
 		{Found: members},
