--- a/internal/frontdoor/ledger/ledger.go
+++ b/internal/frontdoor/ledger/ledger.go
@@ -1,5 +1,5 @@
 // Package ledger is a file that many processes add to, a line a step, each step under the number of a lease's grant. It
-// is the keeper that refuses a stale act: a number lower than the last one that was taken for its task, or a span that
+// is the resource that refuses a stale act: a number lower than the last one that was taken for its task, or a span that
 // has been closed already, adds nothing. A process that dies while it writes leaves a broken last line, which the next
 // one cuts off.
 package ledger
--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -152,7 +152,7 @@
 		{"rising", "0 k took key=t n=1 at=n0\n1 k took key=t n=1 at=n0\n2 k took key=t n=3 at=n1\n3 k took key=u n=1 at=n1", "", NumbersRise},
 		{"falling", "0 k took key=t n=2 at=n0\n1 k took key=t n=1 at=n1", "after 2", NumbersRise},
 		{"shared", "0 k took key=t n=2 at=n0\n1 k took key=t n=2 at=n1", "also that of", NumbersRise},
-		{"shared at two keepers", "0 k took key=t n=2 at=n0\n1 l took key=t n=2 at=n1", "also that of", NumbersRise},
+		{"shared at two ledgers", "0 k took key=t n=2 at=n0\n1 l took key=t n=2 at=n1", "also that of", NumbersRise},
 
 		{"one mind", "0 r strike\n10 r heal\n20 n0 see key=b at=s1 what=bad\n30 n1 see key=b at=s1 what=bad\n600 x up", "", agree},
 		{"one is down", "0 n1 see key=b at=s1 what=good\n0 r strike\n10 n1 down\n10 r heal\n20 n0 see key=b at=s1 what=bad\n600 x up", "", agree},
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -42,7 +42,7 @@
 	Heals    Kind = "heal"      // and ends
 	Began    Kind = "begin"     // an act under a grant: Key the task, N the permit
 	Ended    Kind = "end"       // and its end
-	Took     Kind = "took"      // the keeper Who took a step numbered N for Key, from At
+	Took     Kind = "took"      // the ledger Who took a step numbered N for Key, from At
 	Holds    Kind = "hold"      // Who holds a permit, What, of the task Key until Due, by number N
 	Gave     Kind = "gave"      // and holds it no longer
 	Seen     Kind = "see"       // Who holds What to be so of Key
--- a/internal/history/leases.go
+++ b/internal/history/leases.go
@@ -95,9 +95,9 @@
 	return bad
 }
 
-// NumbersRise checks that no keeper takes a step with a number lower than one it took before, and one number comes from one holder.
+// NumbersRise checks that no ledger takes a step with a number lower than one it took before, and one number comes from one holder.
 func NumbersRise(h []Event) (bad []Broken) {
-	type place struct{ keeper, task string }
+	type place struct{ ledger, task string }
 	highest := map[place]Event{}
 	from := map[string]map[float64]string{}
 	for _, e := range h {
