--- /dev/null
+++ b/internal/gateway/replication/codec_bench_test.go
@@ -0,0 +1,120 @@
+package replication
+
+import (
+	"bytes"
+	"encoding/gob"
+	"testing"
+)
+
+// benchMessages are the messages that links carry most, and the largest of one link message.
+func benchMessages() map[string]Message {
+	members := []Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}, {ID: 23, Addr: "10.0.0.3:7110"}}
+	data := bytes.Repeat([]byte("entry"), 50)
+	head := Message{Kind: Append, House: 41, To: 22, View: 2, Index: 500, At: 2, Delivered: 499, Round: 9, Contact: -1}
+	heartbeat, entries, snapshot := head, head, head
+	for i := range uint64(16) {
+		entries.Entries = append(entries.Entries, Entry{Index: 501 + i, View: 2, Kind: Change, Data: data})
+	}
+	entries.Entries = append(entries.Entries, Entry{Index: 517, View: 2, Kind: ConfigChange, Members: members})
+	snapshot.Snap = &Snapshot{Index: 500, View: 2, Members: members, State: bytes.Repeat(data, 32)}
+	ack := Message{Kind: Ack, House: 41, To: 21, View: 2, Index: 500, Round: 9, Chunks: true, Contact: -1}
+	return map[string]Message{"heartbeat": heartbeat, "entries": entries, "snapshot": snapshot, "ack": ack}
+}
+
+// BenchmarkAppendMessage encodes into a buffer that is kept, as a link does.
+func BenchmarkAppendMessage(b *testing.B) {
+	for name, message := range benchMessages() {
+		b.Run(name, func(b *testing.B) {
+			buffer := AppendMessage(nil, &message)
+			b.SetBytes(int64(len(buffer)))
+			b.ReportAllocs()
+			for b.Loop() {
+				buffer = AppendMessage(buffer[:0], &message)
+			}
+		})
+	}
+}
+
+func BenchmarkReadMessage(b *testing.B) {
+	for name, message := range benchMessages() {
+		b.Run(name, func(b *testing.B) {
+			encoded := AppendMessage(nil, &message)
+			b.SetBytes(int64(len(encoded)))
+			b.ReportAllocs()
+			for b.Loop() {
+				if _, _, err := ReadMessage(encoded); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
+	}
+}
+
+// BenchmarkGobEncodeMessage is the configuration log's way: one encoder for a link, so that types are sent once.
+func BenchmarkGobEncodeMessage(b *testing.B) {
+	for name, message := range benchMessages() {
+		b.Run(name, func(b *testing.B) {
+			var stream bytes.Buffer
+			encoder := gob.NewEncoder(&stream)
+			b.ReportAllocs()
+			for b.Loop() {
+				stream.Reset()
+				if err := encoder.Encode(&message); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
+	}
+}
+
+// BenchmarkGobMessage encodes and decodes, with one encoder and one decoder for all.
+func BenchmarkGobMessage(b *testing.B) {
+	for name, message := range benchMessages() {
+		b.Run(name, func(b *testing.B) {
+			var stream bytes.Buffer
+			encoder, decoder := gob.NewEncoder(&stream), gob.NewDecoder(&stream)
+			b.ReportAllocs()
+			for b.Loop() {
+				var got Message
+				if err := encoder.Encode(&message); err != nil {
+					b.Fatal(err)
+				}
+				if err := decoder.Decode(&got); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
+	}
+}
+
+// BenchmarkGobEntry is an entry as the disk has it: each in bytes of its own, with its type.
+func BenchmarkGobEntry(b *testing.B) {
+	entry := benchMessages()["entries"].Entries[0]
+	b.ReportAllocs()
+	for b.Loop() {
+		var stream bytes.Buffer
+		var got Entry
+		if err := gob.NewEncoder(&stream).Encode(&entry); err != nil {
+			b.Fatal(err)
+		}
+		if err := gob.NewDecoder(&stream).Decode(&got); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+// BenchmarkGobSnapshot is a snapshot as the disk has it.
+func BenchmarkGobSnapshot(b *testing.B) {
+	snapshot := benchMessages()["snapshot"].Snap
+	b.ReportAllocs()
+	for b.Loop() {
+		var stream bytes.Buffer
+		var got Snapshot
+		if err := gob.NewEncoder(&stream).Encode(snapshot); err != nil {
+			b.Fatal(err)
+		}
+		if err := gob.NewDecoder(&stream).Decode(&got); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
