--- a/control/versions_test.go
+++ b/control/versions_test.go
@@ -25,3 +25,36 @@
 	must.True(t, reflect.DeepEqual(m, got))
 	must.Eq(t, words, hex.EncodeToString(m.encode()))
 }
+
+// The shapes that a datagram takes, beside the one with every field set: a delta alone, an acknowledgement alone, the marks of a
+// submission that was lost or failed, and figures past what a field holds, which are cut to its bound.
+func TestDatagramsOfTheVersionBefore(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		sent  message
+		taken *message // nil: as sent
+		bytes string
+	}{
+		{"delta alone", message{epoch: 1, seq: 1, deltas: []deltaLine{{customer: 1, units: 1}}}, nil, "0201000000000001010100100000000000000000000000000000000000"},
+		{"acknowledgement alone", message{epoch: 1, ackEpoch: 2, ackHigh: 40, ackMask: 0xffffffff}, nil, "020100000000000000000200000028ffffffff0000"},
+		{"marks", message{epoch: 1, version: 1, sights: []sight{{hash: sightMask, product: 63, crowd: crowded, ratio: sightLost}, {ratio: sightFailed},
+			{hash: 2, crowd: prompt, ratio: 20}}}, nil, "020100000000000000010000000000000000000003fffffffeff00000000fe02000001a0"},
+		{"past the bounds", message{epoch: 1<<32 - 1, gap: 16 * time.Second, age: time.Hour, seq: 1,
+			deltas: []deltaLine{{customer: 1 << 34, units: 1 << 20, part: -1 << 20}, {customer: 2, units: -1, part: 1 << 20}}},
+			&message{epoch: 1<<32 - 1, gap: 16 * time.Second, age: 255 * time.Second, seq: 1,
+				deltas: []deltaLine{{customer: 1 << 34, units: 1 << 16, part: -1 << 16}, {customer: 2, part: 1 << 16}}}, "02ffffffff807dff010280808080400080804000ffff7f0000000200000080808001000000000000000000000000000000"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			must.Eq(t, tc.bytes, hex.EncodeToString(tc.sent.encode()))
+			b, err := hex.DecodeString(tc.bytes)
+			must.NoError(t, err)
+			got, err := decodeMessage(b)
+			must.NoError(t, err)
+			want := &tc.sent
+			if tc.taken != nil {
+				want = tc.taken
+			}
+			must.True(t, reflect.DeepEqual(want, got))
+		})
+	}
+}
--- /dev/null
+++ b/internal/gateway/admission/bench_test.go
@@ -0,0 +1,60 @@
+package admission
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"clovergap/control"
+	"clovergap/internal/gateway/routing"
+)
+
+// A routed request through this node's decisions: the route and the tenant are looked up, admission lets it pass with
+// units of its tenant's quota, the balancer chooses its backend, and its answer is taken in. What is left out is I/O:
+// HTTP, the event loop, and the map from a route to its number, which node keeps.
+func BenchmarkRoutedRequest(b *testing.B) {
+	const hosts, backends = 20, 12
+	config := &routing.Config{Generation: 1}
+	for i := range hosts {
+		vhost := routing.ConfigHost{Hostname: fmt.Sprintf("host%d.example", i)}
+		for _, prefix := range []string{"/", "/api", "/api/orders", "/static"} {
+			vhost.PathList = append(vhost.PathList, routing.ConfigRoute{Name: vhost.Hostname + prefix, PathPrefix: prefix, Variant: routing.Pure, Target: "s"})
+		}
+		config.Vhosts = append(config.Vhosts, vhost)
+	}
+	config.Services = append(config.Services, routing.ConfigService{Name: "s"})
+	config.Tenants = append(config.Tenants, routing.ConfigTenant{Name: "t", ApiKeys: []string{"key"}, RatePerS: 1e9, Burst: 1e9})
+	table := routing.NewTable(config)
+
+	quota := control.NewQuota(1, 0, 1, 0, control.QuotaTerms{Gap: 200 * ms, ViewLife: time.Second, DatagramsPerSecond: 100, Start: 1})
+	quota.SetLimit(1, 1e9, 1e9)
+	d := New(1, Terms{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 64, Nodes: 2}, quota, 0)
+	d.SetCall(1, Call{Aim: 400 * ms, Deadline: 1500 * ms, MaxTries: 2, Targets: []Target{{1, 1}}})
+	for i := range backends {
+		d.ListChanged(false, []control.Listing{{ID: control.BackendID(i + 1), State: control.Ready, Size: 4, Service: 1}})
+	}
+	now, id := time.Second, control.TxnID(0)
+	host, path, key := []byte("Host7.example:8080"), []byte("/api/orders/17?full=1"), []byte("key")
+	served := 0
+	b.ReportAllocs()
+	for b.Loop() {
+		now += ms
+		id++
+		route, found := table.Route(host, path)
+		tenant, known := table.Tenant(key)
+		if !found || !known {
+			b.Fatal("not found")
+		}
+		d.Now(now)
+		d.TxnTaken(control.Txn{ID: id, Customer: 1, Product: 1, Plan: control.PlanID(tenant.Priority), Units: 1, Expiry: now + route.Deadline})
+		for x, ok := d.Next(); ok; x, ok = d.Next() {
+			if x.Verb == control.Submit {
+				d.SubmissionEnded(x.Txn, 0, x.Backend, control.Settled, true, 20*ms, nil)
+				served++
+			}
+		}
+	}
+	must.Positive(b, served)
+}
