--- a/cmd/gateway/coordination.go
+++ b/cmd/gateway/coordination.go
@@ -227,9 +227,9 @@
 	if err != nil {
 		return err
 	}
-	id := groups.Of(c.Name)
+	id := groups.GroupOf(c.Name)
 	if c.Key {
-		id = groups.Of(groups.KeyGroup(c.Name))
+		id = groups.GroupOf(groups.KeyGroup(c.Name))
 	}
 	for _, g := range list.Groups {
 		if g.Group == int(id) {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -144,7 +144,7 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	signal.Ignore(syscall.SIGPIPE)
 	if c.Settings == "" {
-		return wrongly("no settings file: %s is not set", settings.Env)
+		return wrongly("no settings file: %s is not set", settings.PathEnv)
 	}
 	sheet, err := settings.Load(c.Settings)
 	if err != nil {
--- a/internal/gateway/controlapi/handler.go
+++ b/internal/gateway/controlapi/handler.go
@@ -111,9 +111,9 @@
 		t := f.hold(c)
 		f.node.Leave(gone, func(ok bool, target string) { f.acknowledge(t, ok, target) })
 	default:
-		kind := statemachine.Replace
+		kind := statemachine.KindReplaceConfig
 		if path == pathAmend {
-			kind = statemachine.Amend
+			kind = statemachine.KindAmendConfig
 		}
 		body := bytes.Clone(r.Body(b))
 		t := f.hold(c)
--- a/internal/gateway/coordination/call.go
+++ b/internal/gateway/coordination/call.go
@@ -50,11 +50,11 @@
 func (c *Call) GroupID() groups.ID {
 	switch c.Operation {
 	case KeyReplace, KeyRead, KeyWatch:
-		return groups.Of(groups.KeyGroup(c.Name))
+		return groups.GroupOf(groups.KeyGroup(c.Name))
 	case LockList:
 		return c.Group
 	}
-	return groups.Of(c.Name)
+	return groups.GroupOf(c.Name)
 }
 
 // Status tells how a call ended.
--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -218,7 +218,7 @@
 					panic(err)
 				}
 				for _, entry := range all[n.applied[id]:x.applied[id]] {
-					n.ends(entry, groups.Unclear, nil)
+					n.ends(entry, groups.Ambiguous, nil)
 				}
 				n.applied[id] = x.applied[id]
 				break
@@ -269,7 +269,7 @@
 		n.learns(id, l.term-1)
 		n.catchUp(id)
 		n.leads[id], n.since[id], n.knows[id] = l.term, n.Now(), address(n.nr)
-		n.service.Gained(id, l.term)
+		n.service.LeadershipGained(id, l.term)
 	})
 }
 
@@ -284,10 +284,10 @@
 	for _, p := range all {
 		if !p.done {
 			p.done = true
-			p.then(groups.Unclear, nil)
+			p.then(groups.Ambiguous, nil)
 		}
 	}
-	n.service.Lost(id, term)
+	n.service.LeadershipLost(id, term)
 }
 
 // Propose and the others are groups.Host.
@@ -317,7 +317,7 @@
 	}
 }
 
-func (n *node) Read(id groups.ID, then func(bool)) {
+func (n *node) ReadIndex(id groups.ID, then func(bool)) {
 	if n.leads[id] == 0 {
 		then(false)
 		return
@@ -333,21 +333,21 @@
 	})
 }
 
-func (n *node) Leading(id groups.ID) (uint64, time.Duration, bool) {
+func (n *node) Leadership(id groups.ID) (uint64, time.Duration, bool) {
 	return n.leads[id], n.since[id], n.leads[id] != 0
 }
 
 func (n *node) Leader(id groups.ID) (string, bool) { return n.knows[id], n.knows[id] != "" }
 
-func (n *node) Guesses(id groups.ID) (all []string) {
+func (n *node) LeaderCandidates(id groups.ID) (all []string) {
 	for i := range 3 {
 		all = append(all, address((int(id)+i)%len(n.c.nodes)))
 	}
 	return all
 }
 
-func (n *node) Heard(id groups.ID, address string) { n.knows[id] = address }
-func (n *node) Now() time.Duration                 { return n.c.now - n.born }
+func (n *node) HintLeader(id groups.ID, address string) { n.knows[id] = address }
+func (n *node) Now() time.Duration                      { return n.c.now - n.born }
 
 // Send and the others are coordination.Outside.
 func (n *node) Send(to string, m *coordination.Message) bool {
--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -50,7 +50,7 @@
 		return
 	}
 	n := d.nodes[d.rng.IntN(len(d.nodes))]
-	id := groups.Of(callers.Names()[d.rng.IntN(len(callers.Names()))])
+	id := groups.GroupOf(callers.Names()[d.rng.IntN(len(callers.Names()))])
 	if d.rng.IntN(2) == 0 {
 		n = d.logs[id].leader
 	}
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -75,16 +75,16 @@
 func (x *explorer) Propose(_ groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
 	then(groups.Applied, x.state.Apply(1, entry))
 }
-func (x *explorer) Read(_ groups.ID, then func(bool))               { then(true) }
-func (x *explorer) Leading(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
-func (x *explorer) Leader(groups.ID) (string, bool)                 { return "", false }
-func (x *explorer) Guesses(groups.ID) []string                      { return nil }
-func (x *explorer) Heard(groups.ID, string)                         {}
-func (x *explorer) Now() time.Duration                              { return x.now }
-func (x *explorer) At(time.Duration, uint32)                        {}
-func (x *explorer) InTouch() bool                                   { return true }
-func (x *explorer) Waited() time.Duration                           { return 0 }
-func (x *explorer) Send(_ string, m *coordination.Message) bool     { x.reply = m.Reply; return true }
+func (x *explorer) ReadIndex(_ groups.ID, then func(bool))             { then(true) }
+func (x *explorer) Leadership(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
+func (x *explorer) Leader(groups.ID) (string, bool)                    { return "", false }
+func (x *explorer) LeaderCandidates(groups.ID) []string                { return nil }
+func (x *explorer) HintLeader(groups.ID, string)                       {}
+func (x *explorer) Now() time.Duration                                 { return x.now }
+func (x *explorer) At(time.Duration, uint32)                           {}
+func (x *explorer) InTouch() bool                                      { return true }
+func (x *explorer) Waited() time.Duration                              { return 0 }
+func (x *explorer) Send(_ string, m *coordination.Message) bool        { x.reply = m.Reply; return true }
 
 // deliver brings a copy of a call to the leader.
 func (x *explorer) deliver(p place, nr int) place {
@@ -92,7 +92,7 @@
 	c.flying--
 	s := coordination.New(x, coordination.Terms{Address: "leader", Life: x.life, History: testHistory})
 	s.Over(x)
-	id := groups.Of(exploreLock)
+	id := groups.GroupOf(exploreLock)
 	x.state, x.now, x.reply = s.StateMachine(id), p.now, nil
 	must.NoError(x.t, x.state.Restore([]byte(p.state)))
 	s.Resume(id, p.clock)
@@ -209,9 +209,9 @@
 	x := &explorer{life: 1}
 	s := coordination.New(x, coordination.Terms{Life: 1, History: testHistory})
 	s.Over(x)
-	id := groups.Of(exploreLock)
+	id := groups.GroupOf(exploreLock)
 	must.NoError(t, s.StateMachine(id).Restore([]byte(state)))
-	s.Gained(id, 1)
+	s.LeadershipGained(id, 1)
 	return s.LogClock(id)
 }
 
--- a/internal/gateway/coordination/lead.go
+++ b/internal/gateway/coordination/lead.go
@@ -70,7 +70,7 @@
 		reply(Done, answer())
 		return
 	}
-	s.host.Read(group, func(ok bool) {
+	s.host.ReadIndex(group, func(ok bool) {
 		if !ok {
 			reply(Refused, Answer{})
 			return
--- a/internal/gateway/coordination/pass.go
+++ b/internal/gateway/coordination/pass.go
@@ -86,7 +86,7 @@
 	if to, ok := s.host.Leader(p.group); ok && to != p.avoid && to != s.terms.Address {
 		return to
 	}
-	all := slices.DeleteFunc(slices.Clone(s.host.Guesses(p.group)), func(to string) bool { return to == s.terms.Address })
+	all := slices.DeleteFunc(slices.Clone(s.host.LeaderCandidates(p.group)), func(to string) bool { return to == s.terms.Address })
 	if len(all) == 0 {
 		return ""
 	}
@@ -104,7 +104,7 @@
 		return
 	}
 	if p := s.pending[r.Number]; p != nil && r.Outcome == Refused && r.Leader != "" && r.Leader != from {
-		s.host.Heard(p.group, r.Leader)
+		s.host.HintLeader(p.group, r.Leader)
 		p.avoid = from
 	}
 	s.ended(r.Number, r.Try, r.Outcome, r.Answer, r.Leader)
--- a/internal/gateway/coordination/service.go
+++ b/internal/gateway/coordination/service.go
@@ -106,8 +106,8 @@
 	return state
 }
 
-// Gained begins to lead a group.
-func (s *Service) Gained(id groups.ID, _ uint64) {
+// LeadershipGained begins to lead a group.
+func (s *Service) LeadershipGained(id groups.ID, _ uint64) {
 	g := &s.led[id]
 	g.leads = true
 	if s.fault == forgetsHolds {
@@ -116,8 +116,8 @@
 	s.counts.Gained++
 }
 
-// Lost ends leading a group: the watches that wait here are sent to whoever leads now.
-func (s *Service) Lost(id groups.ID, _ uint64) {
+// LeadershipLost ends leading a group: the watches that wait here are sent to whoever leads now.
+func (s *Service) LeadershipLost(id groups.ID, _ uint64) {
 	g := &s.led[id]
 	g.leads = false
 	g.advanced(s.host.Now()) // others may have stamped entries before this was known
@@ -139,7 +139,7 @@
 	if s.led[id].state == nil || !s.led[id].leads {
 		return false
 	}
-	_, _, ok := s.host.Leading(id)
+	_, _, ok := s.host.Leadership(id)
 	return ok
 }
 
--- a/internal/gateway/groups/groups.go
+++ b/internal/gateway/groups/groups.go
@@ -16,8 +16,8 @@
 // ID names a group: 0 to Count-1.
 type ID uint8
 
-// Of is the group of a lock's or a counter's whole name, or of a key group's name: see KeyGroup.
-func Of(name string) ID {
+// GroupOf is the group of a lock's or a counter's whole name, or of a key group's name: see KeyGroup.
+func GroupOf(name string) ID {
 	sum := fnv.New32a()
 	sum.Write([]byte(name))
 	hash := sum.Sum32()
@@ -53,7 +53,7 @@
 const (
 	Applied     Outcome = iota // committed and applied here; the result is Apply's
 	NotProposed                // nothing was proposed and never will be: it may be proposed again, here or elsewhere
-	Unclear                    // may have been committed, or may still be
+	Ambiguous                  // may have been committed, or may still be
 )
 
 func (o Outcome) String() string { return [...]string{"applied", "not proposed", "unclear"}[o] }
@@ -64,21 +64,21 @@
 	// called once, in a turn, maybe before Propose returns. It is bounded in entries and bytes that wait, beyond which the
 	// outcome is NotProposed; it has no bound in time: who waits for it gives up by itself, and takes it for Unclear then.
 	Propose(group ID, entry []byte, then func(outcome Outcome, result []byte))
-	// Read calls then once all entries that were committed before it was asked are applied here, and a majority confirmed
+	// ReadIndex calls then once all entries that were committed before it was asked are applied here, and a majority confirmed
 	// after it was asked that this node still led. False: this node does not lead, or lost the lead meanwhile. then may be
 	// called before Read returns. A leader that stood still finds out by it before it answers.
-	Read(group ID, then func(ok bool))
-	// Leading tells whether this node leads a group: in which term, and since when by this node's steady clock. It does so once
+	ReadIndex(group ID, then func(ok bool))
+	// Leadership tells whether this node leads a group: in which term, and since when by this node's steady clock. It does so once
 	// an entry of its own term is committed and applied, so that all that earlier leaders acknowledged is applied too. It
 	// is true of the past alone: another may lead by now, which Propose and Read find out.
-	Leading(group ID) (term uint64, since time.Duration, ok bool)
+	Leadership(group ID) (term uint64, since time.Duration, ok bool)
 	// Leader is the address among nodes of the one who leads a group, as far as is known here; false: not known.
 	Leader(group ID) (address string, ok bool)
-	// Guesses are the addresses to be asked for a group, the likeliest first, this node's own among them where it has a
+	// LeaderCandidates are the addresses to be asked for a group, the likeliest first, this node's own among them where it has a
 	// disk; three at the most.
-	Guesses(group ID) []string
-	// Heard notes that another node said who leads a group: in a reply to a call that was passed on.
-	Heard(group ID, address string)
+	LeaderCandidates(group ID) []string
+	// HintLeader notes that another node said who leads a group: in a reply to a call that was passed on.
+	HintLeader(group ID, address string)
 	// Now is this node's steady time.
 	Now() time.Duration
 }
@@ -88,8 +88,8 @@
 type Application interface {
 	// StateMachine is a group's, asked for once, before anything else is told of the group.
 	StateMachine(group ID) StateMachine
-	// Gained tells that this node leads a group now, in the sense of Host.Leading.
-	Gained(group ID, term uint64)
-	// Lost tells that it does no longer. What was proposed and not ended is told Unclear before it.
-	Lost(group ID, term uint64)
+	// LeadershipGained tells that this node leads a group now, in the sense of Host.Leading.
+	LeadershipGained(group ID, term uint64)
+	// LeadershipLost tells that it does no longer. What was proposed and not ended is told Unclear before it.
+	LeadershipLost(group ID, term uint64)
 }
--- a/internal/gateway/logentry/logentry.go
+++ b/internal/gateway/logentry/logentry.go
@@ -17,31 +17,31 @@
 	"clovergap/internal/proxy/invariant"
 )
 
-// Span is a time that JSON writes as the gateway's other calls do: a number with its unit, ms or s.
-type Span time.Duration
+// Duration is a time that JSON writes as the gateway's other calls do: a number with its unit, ms or s.
+type Duration time.Duration
 
 // MarshalText writes milliseconds.
-func (s Span) MarshalText() ([]byte, error) {
+func (s Duration) MarshalText() ([]byte, error) {
 	return append(strconv.AppendInt(nil, time.Duration(s).Milliseconds(), 10), "ms"...), nil
 }
 
 // UnmarshalText reads what time.ParseDuration reads.
-func (s *Span) UnmarshalText(b []byte) error {
+func (s *Duration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
-	*s = Span(d)
+	*s = Duration(d)
 	return err
 }
 
-var valid = func() *validator.Validate {
+var validate = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("json") })
 	return v
 }()
 
-// Check holds an order against its tags and tells the first thing that is wrong, by the name of the field.
-func Check(order any) error {
+// Validate holds an order against its tags and tells the first thing that is wrong, by the name of the field.
+func Validate(order any) error {
 	var all validator.ValidationErrors
-	err := valid.Struct(order)
+	err := validate.Struct(order)
 	if !errors.As(err, &all) {
 		return err
 	}
@@ -50,8 +50,8 @@
 	return errors.Errorf("%s: %v breaks %s", field, e.Value(), strings.Trim(e.Tag()+" "+e.Param(), " "))
 }
 
-// Pack words what is made of texts, numbers and lists of them.
-func Pack(v any) []byte {
+// Encode words what is made of texts, numbers and lists of them.
+func Encode(v any) []byte {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(v); err != nil {
 		invariant.That(false, "it can be written")
@@ -59,16 +59,16 @@
 	return b.Bytes()
 }
 
-// Unpack reads what Pack wrote; what names it in the error.
-func Unpack(b []byte, v any, what string) error {
+// Decode reads what Pack wrote; what names it in the error.
+func Decode(b []byte, v any, what string) error {
 	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(v); err != nil {
 		return errors.Wrap(err, what)
 	}
 	return nil
 }
 
-// Keep bounds a list to its last ones.
-func Keep[T any](list []T, most int) []T {
+// KeepLast bounds a list to its last ones.
+func KeepLast[T any](list []T, most int) []T {
 	if len(list) > most {
 		return slices.Clone(list[len(list)-most:])
 	}
--- a/internal/gateway/logentry/window.go
+++ b/internal/gateway/logentry/window.go
@@ -21,80 +21,82 @@
 	return Digest(h.Sum(nil)[:len(Digest{})])
 }
 
-// WindowBytes lets a Window know the last 4,400 requests at least, and 6,700 where their numbers follow one another.
-const WindowBytes = 112 << 10
+// DedupWindowBytes lets a Window know the last 4,400 requests at least, and 6,700 where their numbers follow one another.
+const DedupWindowBytes = 112 << 10
 
-// Window is a deduplication window: which requests were carried out of late, so that one that is sent again is known. It is bounded
+// DedupWindow is a deduplication window: which requests were carried out of late, so that one that is sent again is known. It is bounded
 // in the bytes that it takes when it is written; what it had to forget it says by a number: of a request at or below its
 // horizon that it does not know, nobody can tell whether it was carried out. Members that add the same come to the same.
-type Window struct {
-	most    int
-	size    int
-	done    []carried // oldest first; their numbers rise
-	known   map[Digest]struct{}
-	horizon uint64
+type DedupWindow struct {
+	maxBytes int
+	bytes    int
+	requests []request // oldest first; their numbers rise
+	digests  map[Digest]struct{}
+	horizon  uint64
 }
 
-type carried struct {
-	nr     uint64
+type request struct {
+	number uint64
 	digest Digest
 }
 
-// NewWindow is an empty one of so many bytes.
-func NewWindow(most int) *Window { return &Window{most: most, known: map[Digest]struct{}{}} }
+// NewDedupWindow is an empty one of so many bytes.
+func NewDedupWindow(most int) *DedupWindow {
+	return &DedupWindow{maxBytes: most, digests: map[Digest]struct{}{}}
+}
 
 // Has tells whether a request was carried out and is not forgotten.
-func (w *Window) Has(d Digest) bool {
-	_, ok := w.known[d]
+func (w *DedupWindow) Has(d Digest) bool {
+	_, ok := w.digests[d]
 	return ok
 }
 
 // Horizon is the highest number that may have been forgotten; 0 if none was.
-func (w *Window) Horizon() uint64 { return w.horizon }
+func (w *DedupWindow) Horizon() uint64 { return w.horizon }
 
 // newest is the number of the last one.
-func (w *Window) newest() uint64 {
-	if len(w.done) == 0 {
+func (w *DedupWindow) newest() uint64 {
+	if len(w.requests) == 0 {
 		return w.horizon
 	}
-	return w.done[len(w.done)-1].nr
+	return w.requests[len(w.requests)-1].number
 }
 
 // Add notes that a request was carried out; its number is above all before it.
-func (w *Window) Add(nr uint64, d Digest) {
+func (w *DedupWindow) Add(nr uint64, d Digest) {
 	invariant.That(nr > w.newest(), "numbers of what was carried out rise")
-	w.size += sizeOf(nr - w.newest())
-	w.done, w.known[d] = append(w.done, carried{nr, d}), struct{}{}
-	for w.size > w.most {
-		w.forget()
+	w.bytes += encodedSize(nr - w.newest())
+	w.requests, w.digests[d] = append(w.requests, request{nr, d}), struct{}{}
+	for w.bytes > w.maxBytes {
+		w.dropOldest()
 	}
 }
 
-// forget lets the oldest go.
-func (w *Window) forget() {
-	old := w.done[0]
-	w.size -= sizeOf(old.nr - w.horizon)
-	delete(w.known, old.digest)
-	w.done, w.horizon = w.done[1:], old.nr
+// dropOldest lets the oldest go.
+func (w *DedupWindow) dropOldest() {
+	old := w.requests[0]
+	w.bytes -= encodedSize(old.number - w.horizon)
+	delete(w.digests, old.digest)
+	w.requests, w.horizon = w.requests[1:], old.number
 }
 
-// sizeOf is what one takes when written, by how far its number lies above the one before.
-func sizeOf(above uint64) int { return len(binary.AppendUvarint(nil, above)) + len(Digest{}) }
+// encodedSize is what one takes when written, by how far its number lies above the one before.
+func encodedSize(above uint64) int { return len(binary.AppendUvarint(nil, above)) + len(Digest{}) }
 
 // Bytes writes it.
-func (w *Window) Bytes() []byte {
+func (w *DedupWindow) Bytes() []byte {
 	before := w.horizon
-	b := binary.AppendUvarint(make([]byte, 0, w.size+binary.MaxVarintLen64), before)
-	for _, c := range w.done {
-		b = append(binary.AppendUvarint(b, c.nr-before), c.digest[:]...)
-		before = c.nr
+	b := binary.AppendUvarint(make([]byte, 0, w.bytes+binary.MaxVarintLen64), before)
+	for _, c := range w.requests {
+		b = append(binary.AppendUvarint(b, c.number-before), c.digest[:]...)
+		before = c.number
 	}
 	return b
 }
 
-// ReadWindow reads what Bytes wrote.
-func ReadWindow(b []byte, most int) (*Window, error) {
-	w := NewWindow(most)
+// DecodeDedupWindow reads what Bytes wrote.
+func DecodeDedupWindow(b []byte, most int) (*DedupWindow, error) {
+	w := NewDedupWindow(most)
 	n := 0
 	if w.horizon, n = binary.Uvarint(b); n <= 0 {
 		return nil, errors.New("window: no horizon")
@@ -109,8 +111,8 @@
 	return w, nil
 }
 
-// Forgets says that a number and all below it may have been forgotten, as who took over from a program that did not say.
-func (w *Window) Forgets(nr uint64) {
-	invariant.That(len(w.done) == 0 && w.horizon == 0, "it is said at the start")
+// SetHorizon says that a number and all below it may have been forgotten, as who took over from a program that did not say.
+func (w *DedupWindow) SetHorizon(nr uint64) {
+	invariant.That(len(w.requests) == 0 && w.horizon == 0, "it is said at the start")
 	w.horizon = nr
 }
--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -11,14 +11,14 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// mostLogs bounds the logs of a file.
-const mostLogs = replication.LogID(64)
+// maxLogs bounds the logs of a file.
+const maxLogs = replication.LogID(64)
 
-// buckets are those of one log. A group's snapshot has a bucket of its own, so that it is not written again with each head;
+// logBuckets are those of one log. A group's snapshot has a bucket of its own, so that it is not written again with each head;
 // the configuration's stands beside its head, as it always did.
-type buckets struct {
-	head, snap *bbolt.Bucket
-	entries    *bbolt.Bucket // by index: 8 bytes, the highest byte first
+type logBuckets struct {
+	head, snapshot *bbolt.Bucket
+	entries        *bbolt.Bucket // by index: 8 bytes, the highest byte first
 }
 
 // bucketNames are those of a log's head, snapshot and entries.
@@ -30,46 +30,46 @@
 	return [3][]byte{name("head"), name("snapshot"), name("log")}
 }
 
-// bucketsOf are a log's as they are: nil where there are none.
-func bucketsOf(tx *bbolt.Tx, id replication.LogID) buckets {
+// lookupBuckets are a log's as they are: nil where there are none.
+func lookupBuckets(tx *bbolt.Tx, id replication.LogID) logBuckets {
 	names := bucketNames(id)
-	return buckets{tx.Bucket(names[0]), tx.Bucket(names[1]), tx.Bucket(names[2])}
+	return logBuckets{tx.Bucket(names[0]), tx.Bucket(names[1]), tx.Bucket(names[2])}
 }
 
-// create makes what is missing of a log's buckets.
-func create(tx *bbolt.Tx, id replication.LogID) (buckets, error) {
+// createBuckets makes what is missing of a log's buckets.
+func createBuckets(tx *bbolt.Tx, id replication.LogID) (logBuckets, error) {
 	for _, name := range bucketNames(id) {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-			return buckets{}, err
+			return logBuckets{}, err
 		}
 	}
-	return bucketsOf(tx, id), nil
+	return lookupBuckets(tx, id), nil
 }
 
-// none tells whether nothing of the log is there.
-func (l buckets) none() bool { return l.head == nil && l.snap == nil && l.entries == nil }
+// missing tells whether nothing of the log is there.
+func (l logBuckets) missing() bool { return l.head == nil && l.snapshot == nil && l.entries == nil }
 
 // readLog reads a log. me is the disk's id, where the head of this log may not differ; 0: whichever it is.
-func readLog(l buckets, me replication.MemberID) (k replication.Kept, err error) {
-	if l.head == nil || l.snap == nil || l.entries == nil {
+func readLog(l logBuckets, me replication.MemberID) (k replication.PersistentState, err error) {
+	if l.head == nil || l.snapshot == nil || l.entries == nil {
 		return k, errors.New("a bucket is missing")
 	}
-	var h head
-	if err := get(l.head.Get(headKey), &h); err != nil {
+	var h storedHead
+	if err := decodeGob(l.head.Get(headKey), &h); err != nil {
 		return k, errors.Wrap(err, "head")
 	}
 	if me != 0 && h.Me != me {
 		return k, errors.Errorf("kept by disk %d, this is %d", h.Me, me)
 	}
-	k = replication.Kept{Me: h.Me, House: h.House, Promise: h.Promise, For: h.For, Delivered: h.Delivered}
-	if v := l.snap.Get(snapKey); v != nil {
-		if err := get(v, &k.Snap); err != nil {
+	k = replication.PersistentState{ID: h.Me, ClusterID: h.House, Term: h.Promise, Vote: h.For, Commit: h.Delivered}
+	if v := l.snapshot.Get(snapshotKey); v != nil {
+		if err := decodeGob(v, &k.Snapshot); err != nil {
 			return k, errors.Wrap(err, "snapshot")
 		}
 	}
 	if err := l.entries.ForEach(func(key, v []byte) error {
 		var e replication.Entry
-		if err := get(v, &e); err != nil {
+		if err := decodeGob(v, &e); err != nil {
 			return errors.Wrapf(err, "entry %x", key)
 		}
 		k.Entries = append(k.Entries, e)
@@ -77,21 +77,21 @@
 	}); err != nil {
 		return k, err
 	}
-	return k, k.Check()
+	return k, k.Validate()
 }
 
-// gone are the keys of the entries that a write takes away.
-func (l buckets) gone(w replication.Write) (keys [][]byte) {
+// obsoleteKeys are the keys of the entries that a write takes away.
+func (l logBuckets) obsoleteKeys(w replication.Write) (keys [][]byte) {
 	c := l.entries.Cursor()
-	if w.Snap != nil {
-		for key, _ := c.First(); key != nil && binary.BigEndian.Uint64(key) <= w.Snap.Index; key, _ = c.Next() {
+	if w.Snapshot != nil {
+		for key, _ := c.First(); key != nil && binary.BigEndian.Uint64(key) <= w.Snapshot.Index; key, _ = c.Next() {
 			keys = append(keys, bytes.Clone(key))
 		}
 	}
-	if w.From > 0 {
-		from := w.From
-		if w.Snap != nil {
-			from = max(from, w.Snap.Index+1)
+	if w.FirstIndex > 0 {
+		from := w.FirstIndex
+		if w.Snapshot != nil {
+			from = max(from, w.Snapshot.Index+1)
 		}
 		for key, _ := c.Seek(indexKey(from)); key != nil; key, _ = c.Next() {
 			keys = append(keys, bytes.Clone(key))
--- a/internal/gateway/logstore/groups_test.go
+++ b/internal/gateway/logstore/groups_test.go
@@ -18,17 +18,17 @@
 	dir := t.TempDir()
 	b, k, err := Open(dir)
 	must.NoError(t, err)
-	want := map[replication.LogID]replication.Kept{}
+	want := map[replication.LogID]replication.PersistentState{}
 	for id := range replication.LogID(4) {
-		want[id] = replication.Kept{Me: k.Me}
+		want[id] = replication.PersistentState{ID: k.ID}
 	}
-	members := []replication.Member{{ID: k.Me, Addr: "a"}}
+	members := []replication.Member{{ID: k.ID, Addr: "a"}}
 	found := func(id replication.LogID) replication.LogWrite {
-		return replication.LogWrite{Log: id, Write: replication.Write{House: 5 + uint64(id), Promise: 1, Delivered: 1, From: 2,
-			Snap: &replication.Snapshot{Index: 1, View: 1, Members: members}}}
+		return replication.LogWrite{Log: id, Write: replication.Write{ClusterID: 5 + uint64(id), Term: 1, Commit: 1, FirstIndex: 2,
+			Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: members}}}
 	}
 	adds := func(id replication.LogID, from, view uint64, data ...string) replication.LogWrite {
-		w := replication.Write{House: 5 + uint64(id), Promise: view, Delivered: 1, From: from}
+		w := replication.Write{ClusterID: 5 + uint64(id), Term: view, Commit: 1, FirstIndex: from}
 		for i, text := range data {
 			w.Entries = append(w.Entries, entry(from+uint64(i), view, text))
 		}
@@ -39,12 +39,12 @@
 		{found(3), found(1)},
 		{adds(1, 2, 1, "a", "b"), adds(0, 2, 1, "c"), adds(3, 2, 1, "d", "e", "f")},
 		{adds(3, 3, 2, "g")},
-		{{Log: 1, Write: replication.Write{House: 6, Promise: 1, Delivered: 3,
-			Snap: &replication.Snapshot{Index: 2, View: 1, Members: members, State: []byte("a")}}}, {Log: 1, Write: replication.Write{House: 6, Promise: 1, Delivered: 3, From: 4,
+		{{Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3,
+			Snapshot: &replication.Snapshot{Index: 2, View: 1, Members: members, State: []byte("a")}}}, {Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3, FirstIndex: 4,
 			Entries: []replication.Entry{entry(4, 1, "h")}}}},
 		{found(2)},
 	} {
-		must.NoError(t, b.ApplyAll(batch))
+		must.NoError(t, b.Write(batch))
 		for _, w := range batch {
 			kept := want[w.Log]
 			kept.Apply(w.Write)
@@ -54,37 +54,37 @@
 		b, k, err = Open(dir)
 		must.NoError(t, err)
 		must.Eq(t, want[0], k)
-		for id, group := range b.Groups() {
+		for id, group := range b.GroupLogs() {
 			if len(want[id].Entries) == 0 {
 				group.Entries = want[id].Entries
 			}
 			must.Eq(t, want[id], group)
 		}
 	}
-	must.MapLen(t, 3, b.Groups())
+	must.MapLen(t, 3, b.GroupLogs())
 	must.NoError(t, b.Close())
 }
 
 // A transaction that fails, or whose process ends in it, leaves nothing of any log: the groups' writes of a turn are there together
 // or not at all.
-func TestAllLogsOrNone(t *testing.T) {
+func TestWriteIsAtomicAcrossLogs(t *testing.T) {
 	dir := t.TempDir()
 	b, k, err := Open(dir)
 	must.NoError(t, err)
-	first := replication.Write{House: 5, Promise: 1, Delivered: 1, From: 2,
-		Snap: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.Me, Addr: "a"}}}}
-	must.NoError(t, b.ApplyAll([]replication.LogWrite{{Log: 0, Write: first}, {Log: 1, Write: first}}))
+	first := replication.Write{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
+		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.ID, Addr: "a"}}}}
+	must.NoError(t, b.Write([]replication.LogWrite{{Log: 0, Write: first}, {Log: 1, Write: first}}))
 	tooLong := first
-	tooLong.Snap, tooLong.Entries = nil, []replication.Entry{{Index: 2, View: 1, Data: make([]byte, 4<<20)}}
-	b.db.MaxSize = 1 << 20
+	tooLong.Snapshot, tooLong.Entries = nil, []replication.Entry{{Index: 2, View: 1, Data: make([]byte, 4<<20)}}
+	b.file.MaxSize = 1 << 20
 	small := tooLong
 	small.Entries = []replication.Entry{entry(2, 1, "small")}
-	must.Error(t, b.ApplyAll([]replication.LogWrite{{Log: 0, Write: small}, {Log: 1, Write: tooLong}}))
+	must.Error(t, b.Write([]replication.LogWrite{{Log: 0, Write: small}, {Log: 1, Write: tooLong}}))
 	must.NoError(t, b.Close())
 	b, k, err = Open(dir)
 	must.NoError(t, err)
 	must.Len(t, 0, k.Entries)
-	must.Len(t, 0, b.Groups()[1].Entries)
+	must.Len(t, 0, b.GroupLogs()[1].Entries)
 	must.NoError(t, b.Close())
 }
 
@@ -96,18 +96,18 @@
 		dir := t.TempDir()
 		b, k, err := Open(dir)
 		must.NoError(t, err)
-		b.db.NoSync = true // what is looked at is the size
-		members := []replication.Member{{ID: k.Me, Addr: "a"}}
+		b.file.NoSync = true // what is looked at is the size
+		members := []replication.Member{{ID: k.ID, Addr: "a"}}
 		for index := uint64(1); index <= 12; index += 2 {
 			for log := replication.LogID(0); log <= groups; log++ {
-				w := replication.Write{House: 1 + uint64(log), Promise: 1, Delivered: index, From: index + 1,
-					Snap:    &replication.Snapshot{Index: index, View: 1, Members: members, State: make([]byte, state)},
-					Entries: []replication.Entry{{Index: index + 1, View: 1, Data: make([]byte, state/2)}}}
-				must.NoError(t, b.ApplyAll([]replication.LogWrite{{Log: log, Write: w}}))
+				w := replication.Write{ClusterID: 1 + uint64(log), Term: 1, Commit: index, FirstIndex: index + 1,
+					Snapshot: &replication.Snapshot{Index: index, View: 1, Members: members, State: make([]byte, state)},
+					Entries:  []replication.Entry{{Index: index + 1, View: 1, Data: make([]byte, state/2)}}}
+				must.NoError(t, b.Write([]replication.LogWrite{{Log: log, Write: w}}))
 			}
 		}
 		must.NoError(t, b.Close())
-		info, err := os.Stat(filepath.Join(dir, Name))
+		info, err := os.Stat(filepath.Join(dir, FileName))
 		must.NoError(t, err)
 		t.Logf("%d logs of %d KB and half as much of entries: a file of %d KB", groups+1, state>>10, info.Size()>>10)
 		must.LessEq(t, int64((groups+1)*state*3/2*5/4+6*state+256<<10), info.Size())
@@ -118,10 +118,10 @@
 func BenchmarkGroupWrite(b *testing.B) {
 	store, k, err := Open(b.TempDir())
 	must.NoError(b, err)
-	members := []replication.Member{{ID: k.Me, Addr: "a"}}
+	members := []replication.Member{{ID: k.ID, Addr: "a"}}
 	for log := replication.LogID(1); log <= 8; log++ {
-		must.NoError(b, store.ApplyAll([]replication.LogWrite{{Log: log, Write: replication.Write{House: 1, Promise: 1, Delivered: 1,
-			From: 2, Snap: &replication.Snapshot{Index: 1, View: 1, Members: members, State: make([]byte, 64<<10)}}}}))
+		must.NoError(b, store.Write([]replication.LogWrite{{Log: log, Write: replication.Write{ClusterID: 1, Term: 1, Commit: 1,
+			FirstIndex: 2, Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: members, State: make([]byte, 64<<10)}}}}))
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -133,8 +133,8 @@
 	began, n := spent(), 0
 	for b.Loop() {
 		index := uint64(2 + n/8)
-		must.NoError(b, store.ApplyAll([]replication.LogWrite{{Log: replication.LogID(1 + n%8), Write: replication.Write{House: 1, Promise: 1,
-			Delivered: index - 1, From: index, Entries: []replication.Entry{{Index: index, View: 1, Data: make([]byte, 100)}}}}}))
+		must.NoError(b, store.Write([]replication.LogWrite{{Log: replication.LogID(1 + n%8), Write: replication.Write{ClusterID: 1, Term: 1,
+			Commit: index - 1, FirstIndex: index, Entries: []replication.Entry{{Index: index, View: 1, Data: make([]byte, 100)}}}}}))
 		n++
 	}
 	b.ReportMetric(float64(spent()-began)/float64(n)/1e3, "cpu-us/op")
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -55,7 +55,7 @@
 	must.NoError(t, err)
 	content, err := io.ReadAll(z)
 	must.NoError(t, err)
-	must.NoError(t, os.WriteFile(filepath.Join(dir, Name), content, 0o600))
+	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), content, 0o600))
 	return dir
 }
 
@@ -66,9 +66,9 @@
 	machines [groups.Count]groups.StateMachine
 }
 
-func (h *leadingHost) Leading(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
-func (h *leadingHost) Read(_ groups.ID, then func(bool))               { then(true) }
-func (h *leadingHost) Now() time.Duration                              { return 0 }
+func (h *leadingHost) Leadership(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
+func (h *leadingHost) ReadIndex(_ groups.ID, then func(bool))             { then(true) }
+func (h *leadingHost) Now() time.Duration                                 { return 0 }
 func (h *leadingHost) Propose(id groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
 	then(groups.Applied, h.machines[id].Apply(1<<20, entry))
 }
@@ -81,7 +81,7 @@
 func (noPeers) At(time.Duration, uint32) {}
 
 // coordinationOf folds the groups' logs to the service that answers applications' calls.
-func coordinationOf(t *testing.T, logs map[replication.LogID]replication.Kept) *coordination.Service {
+func coordinationOf(t *testing.T, logs map[replication.LogID]replication.PersistentState) *coordination.Service {
 	t.Helper()
 	s := coordination.New(noPeers{}, coordination.Terms{Address: "here", Life: 1, History: 20 * time.Second})
 	host := &leadingHost{}
@@ -89,13 +89,13 @@
 	for id := range groups.ID(groups.Count) {
 		log, machine := logs[replication.LogID(id)+1], s.StateMachine(id)
 		host.machines[id] = machine
-		must.NoError(t, machine.Restore(log.Snap.State))
+		must.NoError(t, machine.Restore(log.Snapshot.State))
 		for _, e := range log.Entries {
-			if e.Kind == replication.Change {
+			if e.Kind == replication.EntryNormal {
 				machine.Apply(e.Index, e.Data)
 			}
 		}
-		s.Gained(id, 1)
+		s.LeadershipGained(id, 1)
 	}
 	return s
 }
@@ -107,12 +107,12 @@
 }
 
 // machineOf folds the configuration's log.
-func machineOf(t *testing.T, kept replication.Kept) *statemachine.Machine {
+func machineOf(t *testing.T, kept replication.PersistentState) *statemachine.Machine {
 	t.Helper()
-	machine, err := statemachine.Restore(kept.Snap.State)
+	machine, err := statemachine.Restore(kept.Snapshot.State)
 	must.NoError(t, err)
 	for _, e := range kept.Entries {
-		if e.Kind == replication.Change {
+		if e.Kind == replication.EntryNormal {
 			_, err := machine.Apply(e.Data)
 			must.NoError(t, err)
 		}
@@ -128,29 +128,29 @@
 		recordedThird: recordedHeir} {
 		store, kept, err := Open(recordedFolder(t, name))
 		must.NoError(t, err)
-		must.Eq(t, member.ID, kept.Me)
-		must.Eq(t, 619735245, kept.House)
-		must.Eq(t, 11, kept.Promise)
-		must.Eq(t, recordedLeader.ID, kept.For)
-		must.Eq(t, 78, kept.Delivered)
-		must.Eq(t, 64, kept.Snap.Index)
-		must.Eq(t, 11, kept.Snap.View)
-		must.Eq(t, replaced, kept.Snap.Members)
+		must.Eq(t, member.ID, kept.ID)
+		must.Eq(t, 619735245, kept.ClusterID)
+		must.Eq(t, 11, kept.Term)
+		must.Eq(t, recordedLeader.ID, kept.Vote)
+		must.Eq(t, 78, kept.Commit)
+		must.Eq(t, 64, kept.Snapshot.Index)
+		must.Eq(t, 11, kept.Snapshot.View)
+		must.Eq(t, replaced, kept.Snapshot.Members)
 		must.Len(t, 17, kept.Entries)
 		for i, e := range kept.Entries {
 			must.Eq(t, 65+uint64(i), e.Index)
 			must.Eq(t, 11, e.View)
 			if e.Index != 77 {
-				must.Eq(t, replication.Change, e.Kind)
+				must.Eq(t, replication.EntryNormal, e.Kind)
 				must.SliceEmpty(t, e.Members)
 				continue
 			}
-			must.Eq(t, replication.ConfigChange, e.Kind)
+			must.Eq(t, replication.EntryConfigChange, e.Kind)
 			must.Eq(t, []replication.Member{recordedLeader, recordedHeir, recordedNext}, e.Members)
 		}
-		must.MapLen(t, groups.Count, store.Groups())
-		for id, log := range store.Groups() {
-			must.Eq(t, member.ID, log.Me, must.Sprint("log ", id))
+		must.MapLen(t, groups.Count, store.GroupLogs())
+		for id, log := range store.GroupLogs() {
+			must.Eq(t, member.ID, log.ID, must.Sprint("log ", id))
 		}
 		must.NoError(t, store.Close())
 	}
@@ -168,25 +168,25 @@
 		7: {1847444969, 3, recordedHeir.ID, 4, 5, []uint64{3, 5}},
 		8: {1375970845, 7, recordedLeader.ID, 9, 10, []uint64{4, 10}},
 	} {
-		log := store.Groups()[id]
-		got := recordedLog{log.House, log.Promise, log.For, log.Delivered, log.Snap.Index + uint64(len(log.Entries)), nil}
+		log := store.GroupLogs()[id]
+		got := recordedLog{log.ClusterID, log.Term, log.Vote, log.Commit, log.Snapshot.Index + uint64(len(log.Entries)), nil}
 		for _, e := range log.Entries {
-			if e.Kind == replication.ConfigChange {
+			if e.Kind == replication.EntryConfigChange {
 				got.changes = append(got.changes, e.Index)
 			}
 		}
 		must.Eq(t, want, got, must.Sprint("log ", id))
 		if id == 2 {
-			must.Eq(t, 56, log.Snap.Index)
-			must.Eq(t, 5, log.Snap.View)
-			must.Eq(t, replaced, log.Snap.Members)
-			must.Len(t, 75110, log.Snap.State)
+			must.Eq(t, 56, log.Snapshot.Index)
+			must.Eq(t, 5, log.Snapshot.View)
+			must.Eq(t, replaced, log.Snapshot.Members)
+			must.Len(t, 75110, log.Snapshot.State)
 			continue
 		}
-		must.Eq(t, 1, log.Snap.Index)
-		must.Eq(t, 1, log.Snap.View)
-		must.Eq(t, founders, log.Snap.Members)
-		must.SliceEmpty(t, log.Snap.State)
+		must.Eq(t, 1, log.Snapshot.Index)
+		must.Eq(t, 1, log.Snapshot.View)
+		must.Eq(t, founders, log.Snapshot.Members)
+		must.SliceEmpty(t, log.Snapshot.State)
 	}
 }
 
@@ -205,7 +205,7 @@
 		store, kept, err := Open(recordedFolder(t, name))
 		must.NoError(t, err)
 		must.NoError(t, store.Close())
-		before, err := statemachine.Restore(kept.Snap.State)
+		before, err := statemachine.Restore(kept.Snapshot.State)
 		must.NoError(t, err)
 		must.Eq(t, 53, before.Configs.Version())
 		machine := machineOf(t, kept)
@@ -215,7 +215,7 @@
 "path_list":[{"name":"r","path_prefix":"/r1/","variant":"pure","deadline":"1s","target_latency":"1s","target":"s"}]}]}`,
 			string(machine.Configs.Body()))
 		for version := 2; version <= 67; version++ { // what was acknowledged is known when it is sent again
-			verdict, _ := machine.Decide(statemachine.Amend, fmt.Appendf(nil, `{"generation":%d,"parent_version":%d,"upserts":{"services":[{"name":"t%d"}]}}`,
+			verdict, _ := machine.Decide(statemachine.KindAmendConfig, fmt.Appendf(nil, `{"generation":%d,"parent_version":%d,"upserts":{"services":[{"name":"t%d"}]}}`,
 				version, version-1, version%10))
 			must.Eq(t, routing.Already, verdict, must.Sprint(version))
 		}
@@ -262,7 +262,7 @@
 	must.NoError(t, err)
 	defer store.Close()
 	var records []registry.Record
-	must.NoError(t, gob.NewDecoder(bytes.NewReader(store.Noted())).Decode(&records))
+	must.NoError(t, gob.NewDecoder(bytes.NewReader(store.SoftState())).Decode(&records))
 	record := func(id, addr, version string, owner registry.Slot, age time.Duration) registry.Record {
 		return registry.Record{ID: id, Service: "s", Addr: addr, Zone: "z", Generation: version, Capacity: 100, Phase: registry.Ready,
 			Seq: 1, Age: age, Keeper: owner, Fence: 1, Missed: -1}
@@ -277,7 +277,7 @@
 		store, _, err := Open(recordedFolder(t, name))
 		must.NoError(t, err)
 		must.NoError(t, store.Close())
-		s := coordinationOf(t, store.Groups())
+		s := coordinationOf(t, store.GroupLogs())
 		lock := func(name, holder string, fence uint64, left string) coordination.Lock {
 			d, err := time.ParseDuration(left)
 			must.NoError(t, err)
@@ -349,7 +349,7 @@
 func asRecorded(t *testing.T, dir string) (file recordedFile) {
 	t.Helper()
 	decode := func(b []byte, v any) { must.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(v)) }
-	db, err := bbolt.Open(filepath.Join(dir, Name), 0o600, &bbolt.Options{ReadOnly: true})
+	db, err := bbolt.Open(filepath.Join(dir, FileName), 0o600, &bbolt.Options{ReadOnly: true})
 	must.NoError(t, err)
 	defer db.Close()
 	log := func(tx *bbolt.Tx, head, snap, entries string) (log recordedBuckets) {
@@ -386,24 +386,24 @@
 		recorded, kept, err := Open(from)
 		must.NoError(t, err)
 		var records []registry.Record
-		must.NoError(t, gob.NewDecoder(bytes.NewReader(recorded.Noted())).Decode(&records))
+		must.NoError(t, gob.NewDecoder(bytes.NewReader(recorded.SoftState())).Decode(&records))
 		must.NoError(t, recorded.Close())
-		machine, err := statemachine.Restore(kept.Snap.State)
+		machine, err := statemachine.Restore(kept.Snapshot.State)
 		must.NoError(t, err)
-		kept.Snap.State = machine.Snapshot()
+		kept.Snapshot.State = machine.Snapshot()
 
 		again, _, err := Open(to)
 		must.NoError(t, err)
-		again.me = kept.Me
-		logs := recorded.Groups()
+		again.memberID = kept.ID
+		logs := recorded.GroupLogs()
 		logs[replication.ConfigurationLog] = kept
 		for id, log := range logs {
-			must.NoError(t, again.ApplyAll([]replication.LogWrite{{Log: id, Write: replication.Write{House: log.House, Promise: log.Promise,
-				For: log.For, Delivered: log.Delivered, Snap: &log.Snap, From: log.Snap.Index + 1, Entries: log.Entries}}}))
+			must.NoError(t, again.Write([]replication.LogWrite{{Log: id, Write: replication.Write{ClusterID: log.ClusterID, Term: log.Term,
+				Vote: log.Vote, Commit: log.Commit, Snapshot: &log.Snapshot, FirstIndex: log.Snapshot.Index + 1, Entries: log.Entries}}}))
 		}
 		var note bytes.Buffer
 		must.NoError(t, gob.NewEncoder(&note).Encode(records))
-		must.NoError(t, again.Note(note.Bytes()))
+		must.NoError(t, again.SaveSoftState(note.Bytes()))
 		must.NoError(t, again.Close())
 
 		want, got := asRecorded(t, from), asRecorded(t, to)
--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -12,30 +12,30 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// fill replaces a state of about so many bytes so often, as the log has it: an entry is written, and once entries have so many bytes
+// fillWithStates replaces a state of about so many bytes so often, as the log has it: an entry is written, and once entries have so many bytes
 // a snapshot in their place. It tells the size of the file.
-func fill(t *testing.T, state, times, compact int) int64 {
+func fillWithStates(t *testing.T, state, times, compact int) int64 {
 	dir := t.TempDir()
 	b, k, err := Open(dir)
 	must.NoError(t, err)
 	rng := rand.New(rand.NewPCG(1, 2))
-	me := []replication.Member{{ID: k.Me, Addr: "a"}}
-	must.NoError(t, b.Apply([]replication.Write{{House: 1, Promise: 1, Delivered: 1, From: 2,
-		Snap: &replication.Snapshot{Index: 1, View: 1, Members: me}}}))
+	me := []replication.Member{{ID: k.ID, Addr: "a"}}
+	must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2,
+		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: me}}}))
 	held := 0
 	for i := range times {
 		index := uint64(i + 2)
 		data := make([]byte, state-state/10+rng.IntN(state/5))
-		must.NoError(t, b.Apply([]replication.Write{{House: 1, Promise: 1, Delivered: index, From: index,
+		must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 1, Term: 1, Commit: index, FirstIndex: index,
 			Entries: []replication.Entry{{Index: index, View: 1, Data: data}}}}))
 		if held += len(data); held >= compact {
 			held = 0
-			must.NoError(t, b.Apply([]replication.Write{{House: 1, Promise: 1, Delivered: index,
-				Snap: &replication.Snapshot{Index: index, View: 1, Members: me, State: data}}}))
+			must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 1, Term: 1, Commit: index,
+				Snapshot: &replication.Snapshot{Index: index, View: 1, Members: me, State: data}}}))
 		}
 	}
 	must.NoError(t, b.Close())
-	info, err := os.Stat(filepath.Join(dir, Name))
+	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
 	return info.Size()
 }
@@ -48,11 +48,11 @@
 		times = n
 	}
 	for _, state := range []int{250 << 10, 1 << 20, 4 << 20} {
-		size := fill(t, state, times, 256<<10)
+		size := fillWithStates(t, state, times, 256<<10)
 		t.Logf("%d of %d KB: %d KB", times, state>>10, size>>10)
 		must.LessEq(t, int64(8*state+1<<20), size)
 	}
-	must.Greater(t, int64(15<<20), fill(t, 1<<20, 20, 64<<20)) // the defence out
+	must.Greater(t, int64(15<<20), fillWithStates(t, 1<<20, 20, 64<<20)) // the defence out
 }
 
 // A disk of 64 MB took 64 whole configurations of 3.4 MB one after the other, each as they come at their worst: two that are not committed
@@ -69,13 +69,13 @@
 	b, k, err := Open(dir)
 	must.NoError(t, err)
 	rng := rand.New(rand.NewPCG(3, seed))
-	me := []replication.Member{{ID: k.Me, Addr: "a"}}
+	me := []replication.Member{{ID: k.ID, Addr: "a"}}
 	view, at := uint64(1), uint64(1)
 	apply := func(w replication.Write) {
-		w.House, w.Promise = 1, view
-		must.NoError(t, b.Apply([]replication.Write{w}))
+		w.ClusterID, w.Term = 1, view
+		must.NoError(t, b.WriteConfigurationLog([]replication.Write{w}))
 		k.Apply(w)
-		must.NoError(t, k.Check())
+		must.NoError(t, k.Validate())
 	}
 	entry := func(index uint64) replication.Entry {
 		return replication.Entry{Index: index, View: view, Data: make([]byte, state-rng.IntN(state/20))}
@@ -83,31 +83,31 @@
 	snap := func(index uint64) *replication.Snapshot {
 		return &replication.Snapshot{Index: index, View: view, Members: me, State: make([]byte, state+state/100)}
 	}
-	apply(replication.Write{Snap: snap(1), Delivered: 1})
+	apply(replication.Write{Snapshot: snap(1), Commit: 1})
 	for range times {
 		one, two := entry(at+1), entry(at+2)
 		switch rng.IntN(4) {
 		case 0: // one by one
-			apply(replication.Write{Delivered: at, From: at + 1, Entries: []replication.Entry{one}})
-			apply(replication.Write{Delivered: at + 1, From: at + 2, Entries: []replication.Entry{two}})
-			apply(replication.Write{Delivered: at + 2, Snap: snap(at + 2)})
+			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{one}})
+			apply(replication.Write{Commit: at + 1, FirstIndex: at + 2, Entries: []replication.Entry{two}})
+			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
 		case 1: // another leader's in their place
-			apply(replication.Write{Delivered: at, From: at + 1, Entries: []replication.Entry{one, two}})
+			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
 			view++
-			apply(replication.Write{Delivered: at, From: at + 1, Entries: []replication.Entry{entry(at + 1), entry(at + 2)}})
-			apply(replication.Write{Delivered: at + 2, Snap: snap(at + 2)})
+			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{entry(at + 1), entry(at + 2)}})
+			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
 		case 2: // after a disk that hung
-			apply(replication.Write{Delivered: at + 1, Snap: snap(at), From: at + 1, Entries: []replication.Entry{one, two}})
-			apply(replication.Write{Delivered: at + 2, Snap: snap(at + 2)})
+			apply(replication.Write{Commit: at + 1, Snapshot: snap(at), FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
+			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
 		case 3: // a member that was away
-			apply(replication.Write{Delivered: at, From: at + 1, Entries: []replication.Entry{one, two}})
-			apply(replication.Write{Delivered: at + 9, Snap: snap(at + 9), From: at + 10})
+			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
+			apply(replication.Write{Commit: at + 9, Snapshot: snap(at + 9), FirstIndex: at + 10})
 			at += 7
 		}
 		at += 2
 	}
 	must.NoError(t, b.Close())
-	info, err := os.Stat(filepath.Join(dir, Name))
+	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
 	t.Logf("%d of %d KB: %d KB", times, state>>10, info.Size()>>10)
 	must.LessEq(t, int64(10*state), info.Size())
--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -27,30 +27,30 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Name is the file's, in the folder that Open is given.
-const Name = "promptbook.db"
+// FileName is the file's, in the folder that Open is given.
+const FileName = "promptbook.db"
 
-// growth is by how much the file grows; bbolt's own 16 MiB are much for a disk of 64.
-const growth = 64 << 10
+// allocBytes is by how much the file grows; bbolt's own 16 MiB are much for a disk of 64.
+const allocBytes = 64 << 10
 
 var (
-	headKey = []byte("head")
-	snapKey = []byte("snap")
-	noteKey = []byte("note")
+	headKey      = []byte("head")
+	snapshotKey  = []byte("snap")
+	softStateKey = []byte("note")
 )
 
-// head is all but the snapshot and the entries.
-type head struct {
+// storedHead is all but the snapshot and the entries.
+type storedHead struct {
 	Me, For                   replication.MemberID
 	House, Promise, Delivered uint64
 }
 
 // Store is an open file, for one goroutine at a time. On a disk that was full when a new file was to be made it is none yet: see made.
 type Store struct {
-	path   string
-	me     replication.MemberID
-	db     *bbolt.DB                              // nil until the file is there
-	groups map[replication.LogID]replication.Kept // as read
+	path      string
+	memberID  replication.MemberID
+	file      *bbolt.DB                                         // nil until the file is there
+	groupLogs map[replication.LogID]replication.PersistentState // as read
 }
 
 // Open opens the file in a folder and reads all of it; where there is none it makes one, with a new
@@ -58,18 +58,18 @@
 // finds room makes the file: until then nothing is confirmed under that id, so that a process which ends before has lost nothing
 // but the id. An error names the file. If what it holds can't be read, the error is
 // an Unreadable: the disk is to be taken for lost then, see Wipe.
-func Open(dir string) (*Store, replication.Kept, error) {
-	b := &Store{path: filepath.Join(dir, Name), groups: map[replication.LogID]replication.Kept{}}
-	var k replication.Kept
+func Open(dir string) (*Store, replication.PersistentState, error) {
+	b := &Store{path: filepath.Join(dir, FileName), groupLogs: map[replication.LogID]replication.PersistentState{}}
+	var k replication.PersistentState
 	switch info, err := os.Stat(b.path); {
 	case errors.Is(err, os.ErrNotExist):
 	case err != nil:
-		return nil, k, named(b.path, err)
+		return nil, k, wrapWithPath(b.path, err)
 	case info.Size() == 0: // a process ended before the first write: nothing was said yet
 	default:
 		// Only to read: a file that is broken can end the whole process when it is opened to be written.
 		var file *os.File
-		err := guard(func() error {
+		err := recoverFault(func() error {
 			db, err := bbolt.Open(b.path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second,
 				OpenFile: func(name string, flag int, mode os.FileMode) (_ *os.File, err error) {
 					file, err = os.OpenFile(name, flag, mode)
@@ -78,7 +78,7 @@
 			if err != nil {
 				return err
 			}
-			k, err = b.read(db)
+			k, err = b.readLogs(db)
 			return errors.Join(err, db.Close())
 		})
 		if err != nil && file != nil {
@@ -87,46 +87,46 @@
 			file.Close()
 		}
 		if errors.Is(err, os.ErrPermission) || errors.Is(err, berrors.ErrTimeout) {
-			return nil, k, named(b.path, err)
+			return nil, k, wrapWithPath(b.path, err)
 		}
 		if err != nil {
-			return nil, replication.Kept{}, &Unreadable{b.path, err}
+			return nil, replication.PersistentState{}, &CorruptError{b.path, err}
 		}
 	}
-	empty := k.Me == 0
+	empty := k.ID == 0
 	if empty {
-		me, err := newMember()
+		me, err := newMemberID()
 		if err != nil {
 			return nil, k, err
 		}
-		k.Me = me
+		k.ID = me
 	}
-	b.me = k.Me
-	if err := b.open(empty); err != nil && !(empty && full(err)) {
-		return nil, replication.Kept{}, named(b.path, err)
+	b.memberID = k.ID
+	if err := b.openForWriting(empty); err != nil && !(empty && isDiskFull(err)) {
+		return nil, replication.PersistentState{}, wrapWithPath(b.path, err)
 	}
 	return b, k, nil
 }
 
-// full tells whether an error says that the disk takes no more bytes.
-func full(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
+// isDiskFull tells whether an error says that the disk takes no more bytes.
+func isDiskFull(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
 
-// Made tells whether the file is there.
-func (b *Store) Made() bool { return b.db != nil }
+// Created tells whether the file is there.
+func (b *Store) Created() bool { return b.file != nil }
 
-// made makes the file of a store that has none yet. What an earlier try left was never confirmed to be there.
-func (b *Store) made() error {
-	if b.db != nil {
+// ensureCreated makes the file of a store that has none yet. What an earlier try left was never confirmed to be there.
+func (b *Store) ensureCreated() error {
+	if b.file != nil {
 		return nil
 	}
 	if err := Wipe(filepath.Dir(b.path)); err != nil {
 		return err
 	}
-	return b.open(true)
+	return b.openForWriting(true)
 }
 
-// newMember draws the id of an empty disk.
-func newMember() (me replication.MemberID, err error) {
+// newMemberID draws the id of an empty disk.
+func newMemberID() (me replication.MemberID, err error) {
 	for me == 0 {
 		var random [8]byte
 		if _, err = rand.Read(random[:]); err != nil {
@@ -138,27 +138,27 @@
 	return me, nil
 }
 
-// Unreadable is the error of a file that is torn or does not hold together.
-type Unreadable struct {
+// CorruptError is the error of a file that is torn or does not hold together.
+type CorruptError struct {
 	Path string
 	Err  error
 }
 
-func (u *Unreadable) Error() string {
+func (u *CorruptError) Error() string {
 	return "log " + u.Path + " can't be read: " + u.Err.Error()
 }
-func (u *Unreadable) Unwrap() error { return u.Err }
+func (u *CorruptError) Unwrap() error { return u.Err }
 
-// named names the file that an error, if there is one, is about.
-func named(path string, err error) error {
+// wrapWithPath names the file that an error, if there is one, is about.
+func wrapWithPath(path string, err error) error {
 	if err == nil {
 		return nil
 	}
 	return errors.Wrapf(err, "log %s", path)
 }
 
-// guard turns a panic or a fault of a mapping into an error.
-func guard(do func() error) (err error) {
+// recoverFault turns a panic or a fault of a mapping into an error.
+func recoverFault(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -171,58 +171,58 @@
 // openFile opens the file to be written; a test has it refuse, as a full disk does.
 var openFile = os.OpenFile
 
-// open opens the file to be written, and makes it where it is empty. Without success it leaves none open.
-func (b *Store) open(empty bool) error {
-	err := guard(func() (err error) {
-		b.db, err = bbolt.Open(b.path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true,
+// openForWriting opens the file to be written, and makes it where it is empty. Without success it leaves none open.
+func (b *Store) openForWriting(empty bool) error {
+	err := recoverFault(func() (err error) {
+		b.file, err = bbolt.Open(b.path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true,
 			FreelistType: bbolt.FreelistMapType, InitialMmapSize: 1 << 20, NoStatistics: true, OpenFile: openFile})
 		if err != nil {
 			return err
 		}
-		b.db.AllocSize = growth
+		b.file.AllocSize = allocBytes
 		if !empty {
 			return nil
 		}
-		return b.begin()
+		return b.initialize()
 	})
-	if err != nil && b.db != nil {
-		b.db.Close()
-		b.db = nil
+	if err != nil && b.file != nil {
+		b.file.Close()
+		b.file = nil
 	}
 	return err
 }
 
-// begin writes what a new file has, and makes its name last.
-func (b *Store) begin() error {
-	if err := b.db.Update(func(tx *bbolt.Tx) error {
-		configuration, err := create(tx, replication.ConfigurationLog)
+// initialize writes what a new file has, and makes its name last.
+func (b *Store) initialize() error {
+	if err := b.file.Update(func(tx *bbolt.Tx) error {
+		configuration, err := createBuckets(tx, replication.ConfigurationLog)
 		if err != nil {
 			return err
 		}
-		return put(configuration.head, headKey, head{Me: b.me})
+		return putGob(configuration.head, headKey, storedHead{Me: b.memberID})
 	}); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(b.path))
+	return syncDir(filepath.Dir(b.path))
 }
 
-// read reads all there is. A file with no bucket at all is as a new one: the process ended before its first
+// readLogs reads all there is. A file with no bucket at all is as a new one: the process ended before its first
 // write.
-func (b *Store) read(db *bbolt.DB) (k replication.Kept, err error) {
+func (b *Store) readLogs(db *bbolt.DB) (k replication.PersistentState, err error) {
 	return k, db.View(func(tx *bbolt.Tx) error {
-		configuration := bucketsOf(tx, replication.ConfigurationLog)
-		if configuration.none() {
+		configuration := lookupBuckets(tx, replication.ConfigurationLog)
+		if configuration.missing() {
 			return nil
 		}
 		if k, err = readLog(configuration, 0); err != nil {
 			return err
 		}
-		for id := range mostLogs {
-			group := bucketsOf(tx, id)
-			if id == replication.ConfigurationLog || group.none() {
+		for id := range maxLogs {
+			group := lookupBuckets(tx, id)
+			if id == replication.ConfigurationLog || group.missing() {
 				continue
 			}
-			if b.groups[id], err = readLog(group, k.Me); err != nil {
+			if b.groupLogs[id], err = readLog(group, k.ID); err != nil {
 				return errors.Wrapf(err, "group's log %d", id)
 			}
 		}
@@ -230,43 +230,43 @@
 	})
 }
 
-// Groups are the logs beside the configuration's that the file held when it was opened.
-func (b *Store) Groups() map[replication.LogID]replication.Kept { return b.groups }
+// GroupLogs are the logs beside the configuration's that the file held when it was opened.
+func (b *Store) GroupLogs() map[replication.LogID]replication.PersistentState { return b.groupLogs }
 
-// Apply puts writes to the configuration's log on disk: see ApplyAll.
-func (b *Store) Apply(writes []replication.Write) error {
+// WriteConfigurationLog puts writes to the configuration's log on disk: see Write.
+func (b *Store) WriteConfigurationLog(writes []replication.Write) error {
 	all := make([]replication.LogWrite, len(writes))
 	for i, w := range writes {
 		all[i].Write = w
 	}
-	return b.ApplyAll(all)
+	return b.Write(all)
 }
 
-// ApplyAll puts writes on disk, in one step: after it all are synced, or, with an error, none is there and they
+// Write puts writes on disk, in one step: after it all are synced, or, with an error, none is there and they
 // may be tried again.
-func (b *Store) ApplyAll(writes []replication.LogWrite) error {
+func (b *Store) Write(writes []replication.LogWrite) error {
 	if len(writes) == 0 {
 		return nil
 	}
-	if err := b.made(); err != nil {
-		return named(b.path, err)
+	if err := b.ensureCreated(); err != nil {
+		return wrapWithPath(b.path, err)
 	}
-	heads := map[replication.LogID]head{}
-	err := guard(func() error {
-		if err := b.db.Update(func(tx *bbolt.Tx) error {
+	heads := map[replication.LogID]storedHead{}
+	err := recoverFault(func() error {
+		if err := b.file.Update(func(tx *bbolt.Tx) error {
 			for _, w := range writes {
-				log, err := create(tx, w.Log)
+				log, err := createBuckets(tx, w.Log)
 				if err != nil {
 					return err
 				}
-				if err := apply(log, w.Write); err != nil {
+				if err := writeLog(log, w.Write); err != nil {
 					return err
 				}
-				heads[w.Log] = head{Me: b.me, For: w.Write.For, House: w.Write.House, Promise: w.Write.Promise,
-					Delivered: w.Write.Delivered}
+				heads[w.Log] = storedHead{Me: b.memberID, For: w.Write.Vote, House: w.Write.ClusterID, Promise: w.Write.Term,
+					Delivered: w.Write.Commit}
 			}
 			for id, h := range heads {
-				if err := put(bucketsOf(tx, id).head, headKey, h); err != nil {
+				if err := putGob(lookupBuckets(tx, id).head, headKey, h); err != nil {
 					return err
 				}
 			}
@@ -274,58 +274,60 @@
 		}); err != nil {
 			return err
 		}
-		return b.db.View(func(tx *bbolt.Tx) error {
+		return b.file.View(func(tx *bbolt.Tx) error {
 			for id, h := range heads {
-				var back head
-				if err := get(bucketsOf(tx, id).head.Get(headKey), &back); err != nil || back != h {
+				var back storedHead
+				if err := decodeGob(lookupBuckets(tx, id).head.Get(headKey), &back); err != nil || back != h {
 					return errors.New("what was written is not what is read")
 				}
 			}
 			return nil
 		})
 	})
-	return named(b.path, err)
+	return wrapWithPath(b.path, err)
 }
 
-func apply(log buckets, w replication.Write) error {
-	if w.Snap != nil {
-		if err := put(log.snap, snapKey, w.Snap); err != nil {
+func writeLog(log logBuckets, w replication.Write) error {
+	if w.Snapshot != nil {
+		if err := putGob(log.snapshot, snapshotKey, w.Snapshot); err != nil {
 			return err
 		}
 	}
 	// By their keys, and never by a cursor that goes on: in bbolt 1.5 one that deletes its way through several pages and is
 	// then sent to the end goes round for ever over pages that hold nothing any more.
-	for _, key := range log.gone(w) {
+	for _, key := range log.obsoleteKeys(w) {
 		if err := log.entries.Delete(key); err != nil {
 			return err
 		}
 	}
 	for _, e := range w.Entries {
-		if w.From == 0 {
+		if w.FirstIndex == 0 {
 			break
 		}
-		if err := put(log.entries, indexKey(e.Index), e); err != nil {
+		if err := putGob(log.entries, indexKey(e.Index), e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Note keeps something beside the log that is good to have after a start and may be old or lost: the newest alone.
-func (b *Store) Note(what []byte) error {
-	if err := b.made(); err != nil {
-		return named(b.path, err)
+// SaveSoftState keeps something beside the log that is good to have after a start and may be old or lost: the newest alone.
+func (b *Store) SaveSoftState(what []byte) error {
+	if err := b.ensureCreated(); err != nil {
+		return wrapWithPath(b.path, err)
 	}
-	return named(b.path, guard(func() error {
-		return b.db.Update(func(tx *bbolt.Tx) error { return bucketsOf(tx, replication.ConfigurationLog).head.Put(noteKey, what) })
+	return wrapWithPath(b.path, recoverFault(func() error {
+		return b.file.Update(func(tx *bbolt.Tx) error {
+			return lookupBuckets(tx, replication.ConfigurationLog).head.Put(softStateKey, what)
+		})
 	}))
 }
 
-// Noted is the newest note, nil if there is none.
-func (b *Store) Noted() (what []byte) {
-	if b.db == nil || guard(func() error {
-		return b.db.View(func(tx *bbolt.Tx) error {
-			what = bytes.Clone(bucketsOf(tx, replication.ConfigurationLog).head.Get(noteKey))
+// SoftState is the newest note, nil if there is none.
+func (b *Store) SoftState() (what []byte) {
+	if b.file == nil || recoverFault(func() error {
+		return b.file.View(func(tx *bbolt.Tx) error {
+			what = bytes.Clone(lookupBuckets(tx, replication.ConfigurationLog).head.Get(softStateKey))
 			return nil
 		})
 	}) != nil {
@@ -336,23 +338,23 @@
 
 // Close closes the file.
 func (b *Store) Close() error {
-	if b.db == nil {
+	if b.file == nil {
 		return nil
 	}
-	return named(b.path, b.db.Close())
+	return wrapWithPath(b.path, b.file.Close())
 }
 
 // Wipe takes the file away, for good: the disk counts as lost, and Open begins with a new member's id.
 func Wipe(dir string) error {
-	path := filepath.Join(dir, Name)
+	path := filepath.Join(dir, FileName)
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return named(path, err)
+		return wrapWithPath(path, err)
 	}
-	return named(path, syncFolder(dir))
+	return wrapWithPath(path, syncDir(dir))
 }
 
-// syncFolder makes the file's name last.
-func syncFolder(dir string) error {
+// syncDir makes the file's name last.
+func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -360,7 +362,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-func put(b *bbolt.Bucket, key []byte, v any) error {
+func putGob(b *bbolt.Bucket, key []byte, v any) error {
 	var buf bytes.Buffer
 	if err := gob.NewEncoder(&buf).Encode(v); err != nil {
 		return err
@@ -368,4 +370,4 @@
 	return b.Put(key, buf.Bytes())
 }
 
-func get(b []byte, v any) error { return gob.NewDecoder(bytes.NewReader(b)).Decode(v) }
+func decodeGob(b []byte, v any) error { return gob.NewDecoder(bytes.NewReader(b)).Decode(v) }
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -22,26 +22,26 @@
 	dir := t.TempDir()
 	b, want, err := Open(dir)
 	must.NoError(t, err)
-	must.NotEq(t, 0, want.Me)
-	members := []replication.Member{{ID: want.Me, Addr: "10.0.0.1:1"}, {ID: 7, Addr: "10.0.0.2:1"}}
+	must.NotEq(t, 0, want.ID)
+	members := []replication.Member{{ID: want.ID, Addr: "10.0.0.1:1"}, {ID: 7, Addr: "10.0.0.2:1"}}
 	for _, batch := range [][]replication.Write{
-		{{House: 5, Promise: 1, Delivered: 1, Snap: &replication.Snapshot{Index: 1, View: 1, Members: members}, From: 2}},
-		{{House: 5, Promise: 2, For: 7, Delivered: 1, From: 2,
+		{{ClusterID: 5, Term: 1, Commit: 1, Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: members}, FirstIndex: 2}},
+		{{ClusterID: 5, Term: 2, Vote: 7, Commit: 1, FirstIndex: 2,
 			Entries: []replication.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}},
-			{House: 5, Promise: 3, For: 7, Delivered: 2}},
-		{{House: 5, Promise: 3, For: 7, Delivered: 3, From: 4, // trimmed
+			{ClusterID: 5, Term: 3, Vote: 7, Commit: 2}},
+		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 3, FirstIndex: 4, // trimmed
 			Entries: []replication.Entry{entry(4, 3, "d"), entry(5, 3, "e")}}},
-		{{House: 5, Promise: 3, For: 7, Delivered: 4,
-			Snap: &replication.Snapshot{Index: 4, View: 3, Members: members, State: []byte("abd")}}},
-		{{House: 5, Promise: 9, For: 8, Delivered: 30, From: 31, // another's snapshot
-			Snap: &replication.Snapshot{Index: 30, View: 8, Members: members, State: []byte("z")}}},
+		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 4,
+			Snapshot: &replication.Snapshot{Index: 4, View: 3, Members: members, State: []byte("abd")}}},
+		{{ClusterID: 5, Term: 9, Vote: 8, Commit: 30, FirstIndex: 31, // another's snapshot
+			Snapshot: &replication.Snapshot{Index: 30, View: 8, Members: members, State: []byte("z")}}},
 	} {
-		must.NoError(t, b.Apply(batch))
+		must.NoError(t, b.WriteConfigurationLog(batch))
 		for _, w := range batch {
 			want.Apply(w)
 		}
 		must.NoError(t, b.Close())
-		var got replication.Kept
+		var got replication.PersistentState
 		b, got, err = Open(dir)
 		must.NoError(t, err)
 		if len(want.Entries) == 0 {
@@ -58,33 +58,33 @@
 	must.NoError(t, err)
 	list, index := []replication.Member{{ID: 1}}, uint64(1)
 	for range 30 {
-		must.NoError(t, b.Apply([]replication.Write{{House: 5, Promise: 1, Delivered: index,
-			Snap: &replication.Snapshot{Index: index, View: 1, Members: list, State: make([]byte, 100_000)}}}))
+		must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 5, Term: 1, Commit: index,
+			Snapshot: &replication.Snapshot{Index: index, View: 1, Members: list, State: make([]byte, 100_000)}}}))
 		for range 20 {
-			w := replication.Write{House: 5, Promise: 1, Delivered: index, From: index + 1}
+			w := replication.Write{ClusterID: 5, Term: 1, Commit: index, FirstIndex: index + 1}
 			for range 5 {
 				index++
 				w.Entries = append(w.Entries, entry(index, 1, string(make([]byte, 1000))))
 			}
-			must.NoError(t, b.Apply([]replication.Write{w}))
+			must.NoError(t, b.WriteConfigurationLog([]replication.Write{w}))
 		}
 	}
 	must.NoError(t, b.Close())
-	info, err := os.Stat(filepath.Join(dir, Name))
+	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
 	t.Log(info.Size())
 	must.Less(t, int64(1<<20), info.Size())
 }
 
 // A file that is cut short or overwritten gives an error that names it, or reads as it was: never a crash.
-func TestTornFile(t *testing.T) {
+func TestCorruptFile(t *testing.T) {
 	dir := t.TempDir()
-	path := filepath.Join(dir, Name)
+	path := filepath.Join(dir, FileName)
 	b, old, err := Open(dir)
 	must.NoError(t, err)
-	must.NoError(t, b.Apply([]replication.Write{{House: 5, Promise: 1, Delivered: 1, From: 2,
-		Entries: []replication.Entry{entry(2, 1, "a")},
-		Snap:    &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: 1}}, State: make([]byte, 9000)}}}))
+	must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
+		Entries:  []replication.Entry{entry(2, 1, "a")},
+		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: 1}}, State: make([]byte, 9000)}}}))
 	must.NoError(t, b.Close())
 	whole, err := os.ReadFile(path)
 	must.NoError(t, err)
@@ -97,7 +97,7 @@
 			return
 		}
 		bad++
-		var u *Unreadable
+		var u *CorruptError
 		must.True(t, errors.As(refused, &u), must.Sprint(refused))
 		must.StrContains(t, refused.Error(), path)
 	}
@@ -111,50 +111,50 @@
 	must.NoError(t, Wipe(dir))
 	b, k, err := Open(dir)
 	must.NoError(t, err)
-	must.NotEq(t, old.Me, k.Me)
-	must.Eq(t, 0, k.Promise)
+	must.NotEq(t, old.ID, k.ID)
+	must.Eq(t, 0, k.Term)
 	must.NoError(t, b.Close())
 }
 
 // A note stands beside the log: the newest alone, through a start, and an empty file has none.
-func TestNote(t *testing.T) {
+func TestSoftState(t *testing.T) {
 	dir := t.TempDir()
 	b, _, err := Open(dir)
 	must.NoError(t, err)
-	must.Nil(t, b.Noted())
-	must.NoError(t, b.Note([]byte("one")))
-	must.NoError(t, b.Note([]byte("two")))
+	must.Nil(t, b.SoftState())
+	must.NoError(t, b.SaveSoftState([]byte("one")))
+	must.NoError(t, b.SaveSoftState([]byte("two")))
 	must.NoError(t, b.Close())
 	b, _, err = Open(dir)
 	must.NoError(t, err)
-	must.Eq(t, "two", string(b.Noted()))
+	must.Eq(t, "two", string(b.SoftState()))
 	must.NoError(t, b.Close())
 }
 
 // A follower that was behind when the log was put into a snapshot deletes all its entries, over several pages, and goes on with a
 // later one in the same step. It used to go round for ever.
-func TestSnapshotAndMoreAtOnce(t *testing.T) {
+func TestSnapshotAndLaterEntriesInOneWrite(t *testing.T) {
 	for _, together := range []bool{true, false} {
 		b, k, err := Open(t.TempDir())
 		must.NoError(t, err)
-		snap := replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.Me, Addr: "a"}}}
-		first := replication.Write{Nr: 1, House: 1, Promise: 1, Delivered: 1, Snap: &snap, From: 2}
+		snap := replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.ID, Addr: "a"}}}
+		first := replication.Write{Seq: 1, ClusterID: 1, Term: 1, Commit: 1, Snapshot: &snap, FirstIndex: 2}
 		for i := uint64(2); i <= 400; i++ {
 			first.Entries = append(first.Entries, entry(i, 1, "some data of a change"))
 		}
-		must.NoError(t, b.Apply([]replication.Write{first}))
+		must.NoError(t, b.WriteConfigurationLog([]replication.Write{first}))
 		snap.Index = 400
-		later := []replication.Write{{Nr: 2, House: 1, Promise: 1, Delivered: 400, Snap: &snap, From: 401,
+		later := []replication.Write{{Seq: 2, ClusterID: 1, Term: 1, Commit: 400, Snapshot: &snap, FirstIndex: 401,
 			Entries: []replication.Entry{entry(401, 1, "more")}}}
 		if !together {
-			later = []replication.Write{{Nr: 2, House: 1, Promise: 1, Delivered: 400, Snap: &snap},
-				{Nr: 3, House: 1, Promise: 1, Delivered: 400, From: 401, Entries: later[0].Entries}}
+			later = []replication.Write{{Seq: 2, ClusterID: 1, Term: 1, Commit: 400, Snapshot: &snap},
+				{Seq: 3, ClusterID: 1, Term: 1, Commit: 400, FirstIndex: 401, Entries: later[0].Entries}}
 		}
-		must.NoError(t, b.Apply(later))
+		must.NoError(t, b.WriteConfigurationLog(later))
 		must.NoError(t, b.Close())
 		b, k, err = Open(filepath.Dir(b.path))
 		must.NoError(t, err)
-		must.Eq(t, 400, k.Snap.Index)
+		must.Eq(t, 400, k.Snapshot.Index)
 		must.Len(t, 1, k.Entries)
 		must.NoError(t, b.Close())
 	}
@@ -162,7 +162,7 @@
 
 // The first start on a full disk: a store without a file, which ended the process. It has an id, confirms nothing, and is as any other
 // once the disk takes writes again, whatever an earlier try left behind. Other troubles still end the process, and touch nothing.
-func TestFullAtTheFirstStart(t *testing.T) {
+func TestDiskFullAtFirstStart(t *testing.T) {
 	defer func() { openFile = os.OpenFile }()
 	refuse := func(why error) {
 		openFile = func(name string, _ int, _ os.FileMode) (*os.File, error) {
@@ -177,23 +177,23 @@
 	refuse(unix.ENOSPC)
 	b, k, err := Open(dir)
 	must.NoError(t, err)
-	must.False(t, b.Made())
-	must.Positive(t, k.Me)
-	must.Nil(t, b.Noted())
-	write := []replication.Write{{House: 1, Promise: 1, Delivered: 1, From: 2, Entries: []replication.Entry{entry(2, 1, "a")},
-		Snap: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.Me}}}}}
-	must.ErrorIs(t, b.Apply(write), unix.ENOSPC)
-	must.ErrorIs(t, b.Note([]byte("one")), unix.ENOSPC)
-	must.NoError(t, os.WriteFile(filepath.Join(dir, Name), make([]byte, 5000), 0o600)) // as much as there was room for
-	must.ErrorIs(t, b.Apply(write), unix.ENOSPC)
+	must.False(t, b.Created())
+	must.Positive(t, k.ID)
+	must.Nil(t, b.SoftState())
+	write := []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2, Entries: []replication.Entry{entry(2, 1, "a")},
+		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.ID}}}}}
+	must.ErrorIs(t, b.WriteConfigurationLog(write), unix.ENOSPC)
+	must.ErrorIs(t, b.SaveSoftState([]byte("one")), unix.ENOSPC)
+	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), make([]byte, 5000), 0o600)) // as much as there was room for
+	must.ErrorIs(t, b.WriteConfigurationLog(write), unix.ENOSPC)
 
 	openFile = os.OpenFile
-	must.NoError(t, b.Apply(write))
-	must.True(t, b.Made())
+	must.NoError(t, b.WriteConfigurationLog(write))
+	must.True(t, b.Created())
 	must.NoError(t, b.Close())
 	b, back, err := Open(dir)
 	must.NoError(t, err)
-	must.Eq(t, k.Me, back.Me)
+	must.Eq(t, k.ID, back.ID)
 	must.Len(t, 1, back.Entries)
 	must.NoError(t, b.Close())
 
--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -30,7 +30,7 @@
 	must.NoError(t, err)
 	b, err := io.ReadAll(z)
 	must.NoError(t, err)
-	must.NoError(t, os.WriteFile(filepath.Join(dir, Name), b, 0o600))
+	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), b, 0o600))
 	return dir
 }
 
@@ -128,14 +128,14 @@
 	b, kept, err := Open(pastFile(t))
 	must.NoError(t, err)
 	defer b.Close()
-	must.Eq(t, 0x90d0564f83, kept.Me)
-	must.Eq(t, 64, kept.Snap.Index)
-	must.SliceLen(t, 3, kept.Snap.Members)
-	must.Eq(t, 77, kept.Snap.Index+uint64(len(kept.Entries)))
-	machine, err := statemachine.Restore(kept.Snap.State)
+	must.Eq(t, 0x90d0564f83, kept.ID)
+	must.Eq(t, 64, kept.Snapshot.Index)
+	must.SliceLen(t, 3, kept.Snapshot.Members)
+	must.Eq(t, 77, kept.Snapshot.Index+uint64(len(kept.Entries)))
+	machine, err := statemachine.Restore(kept.Snapshot.State)
 	must.NoError(t, err)
 	for _, e := range kept.Entries {
-		if e.Kind == replication.Change {
+		if e.Kind == replication.EntryNormal {
 			_, err := machine.Apply(e.Data)
 			must.NoError(t, err)
 		}
@@ -145,7 +145,7 @@
 	must.SliceLen(t, 1, machine.Rollouts.Runs())
 	must.Eq(t, "s", machine.Rollouts.Runs()[0].Order.Service)
 	var records []registry.Record
-	must.NoError(t, gob.NewDecoder(bytes.NewReader(b.Noted())).Decode(&records))
+	must.NoError(t, gob.NewDecoder(bytes.NewReader(b.SoftState())).Decode(&records))
 	must.SliceLen(t, 9, records)
 	must.Eq(t, "i-0", records[0].ID)
 }
@@ -155,21 +155,21 @@
 	from, to := pastFile(t), t.TempDir()
 	past, kept, err := Open(from)
 	must.NoError(t, err)
-	note := past.Noted()
+	note := past.SoftState()
 	must.NoError(t, past.Close())
 	var records []registry.Record
 	must.NoError(t, gob.NewDecoder(bytes.NewReader(note)).Decode(&records))
-	machine, err := statemachine.Restore(kept.Snap.State)
+	machine, err := statemachine.Restore(kept.Snapshot.State)
 	must.NoError(t, err)
-	kept.Snap.State = machine.Snapshot()
+	kept.Snapshot.State = machine.Snapshot()
 	now, _, err := Open(to)
 	must.NoError(t, err)
-	now.me = kept.Me
-	must.NoError(t, now.Apply([]replication.Write{{House: kept.House, Promise: kept.Promise, For: kept.For, Delivered: kept.Delivered,
-		Snap: &kept.Snap, From: kept.Snap.Index + 1, Entries: kept.Entries}}))
+	now.memberID = kept.ID
+	must.NoError(t, now.WriteConfigurationLog([]replication.Write{{ClusterID: kept.ClusterID, Term: kept.Term, Vote: kept.Vote, Commit: kept.Commit,
+		Snapshot: &kept.Snapshot, FirstIndex: kept.Snapshot.Index + 1, Entries: kept.Entries}}))
 	var b bytes.Buffer
 	must.NoError(t, gob.NewEncoder(&b).Encode(records))
-	must.NoError(t, now.Note(b.Bytes()))
+	must.NoError(t, now.SaveSoftState(b.Bytes()))
 	must.NoError(t, now.Close())
 	want, got := asBefore(t, from), asBefore(t, to)
 	must.SliceLen(t, 9, want.Note)
--- a/internal/gateway/node/again_test.go
+++ b/internal/gateway/node/again_test.go
@@ -110,7 +110,7 @@
 		return status
 	}
 	change := func(body string) int {
-		return behind(func(h *Node, then func(int, []byte)) { h.Change(statemachine.Replace, []byte(body), then) })
+		return behind(func(h *Node, then func(int, []byte)) { h.Change(statemachine.KindReplaceConfig, []byte(body), then) })
 	}
 	orderRollout := func(rev uint64, mark string) int {
 		return behind(func(h *Node, then func(int, []byte)) { h.Rollout(entry(rev, mark), false, then) })
--- a/internal/gateway/node/authority.go
+++ b/internal/gateway/node/authority.go
@@ -52,13 +52,13 @@
 	follower   age
 	configured bool
 }{
-	beReady:   {inContact, settings.Bounds.Stale, settings.Bounds.Stale, true},
-	deny:      {inContact, settings.Bounds.Sure, settings.Bounds.Sure, true},
-	takeCalls: {inContact | starting, settings.Bounds.Parted, settings.Bounds.Stale, false},
-	feedFresh: {inContact, settings.Bounds.Parted, settings.Bounds.Parted, false},
-	ackBeats:  {inContact | starting, settings.Bounds.Parted, settings.Bounds.Stale, false},
-	ackEnds:   {inContact, settings.Bounds.Parted, settings.Bounds.Parted, false},
-	askSlot:   {inContact, settings.Bounds.Stale, settings.Bounds.Stale, false},
+	beReady:   {inContact, settings.Bounds.ReadyMaxAge, settings.Bounds.ReadyMaxAge, true},
+	deny:      {inContact, settings.Bounds.AuthoritativeMaxAge, settings.Bounds.AuthoritativeMaxAge, true},
+	takeCalls: {inContact | starting, settings.Bounds.PartitionedAge, settings.Bounds.ReadyMaxAge, false},
+	feedFresh: {inContact, settings.Bounds.PartitionedAge, settings.Bounds.PartitionedAge, false},
+	ackBeats:  {inContact | starting, settings.Bounds.PartitionedAge, settings.Bounds.ReadyMaxAge, false},
+	ackEnds:   {inContact, settings.Bounds.PartitionedAge, settings.Bounds.PartitionedAge, false},
+	askSlot:   {inContact, settings.Bounds.ReadyMaxAge, settings.Bounds.ReadyMaxAge, false},
 }
 
 // age is a bound on that of a node's word, from the settings.
@@ -107,8 +107,8 @@
 	if h.core == nil {
 		return false
 	}
-	h.core.p.Now(h.e.Now())
-	return h.core.p.Leading()
+	h.core.p.Tick(h.e.Now())
+	return h.core.p.IsLeader()
 }
 
 // contact is how old this node's word of a majority is at the most, and the view that it is of; false: none came in this life.
@@ -117,7 +117,7 @@
 		if _, view, ok := h.core.p.Leader(); ok && h.fault == hearsLeader {
 			return 0, view, true
 		}
-		return h.core.p.Contact(h.e.Now())
+		return h.core.p.QuorumContact(h.e.Now())
 	}
 	return h.e.Now() - h.known.at, h.known.view, h.known.at > -never
 }
@@ -140,7 +140,7 @@
 // what came back from another life. A feeder of the version before gives nothing back: then it is when it came.
 func (h *Node) learn(age time.Duration, view uint64, echo uint32, index uint64) {
 	now := h.e.Now()
-	at, ok := h.clock.Back(echo, now)
+	at, ok := h.clock.SentAt(echo, now)
 	switch {
 	case h.core != nil || age >= neverHeard || index > h.applied:
 		return
--- a/internal/gateway/node/balance.go
+++ b/internal/gateway/node/balance.go
@@ -59,7 +59,7 @@
 			disks = append(disks, uint64(m.ID))
 		}
 	}
-	for id, disk := range groups.Assign(disks) {
+	for id, disk := range groups.PreferredLeaders(disks) {
 		to[id] = replication.MemberID(disk)
 	}
 	return to
@@ -67,7 +67,7 @@
 
 // tend has the groups follow the configuration's members, and their leads spread.
 func (g *groupHost) tend() {
-	if !g.runs() || !g.h.core.p.Founded() {
+	if !g.runs() || !g.h.core.p.Bootstrapped() {
 		return
 	}
 	g.yield()
@@ -76,7 +76,7 @@
 		return
 	}
 	g.tendedAt = now
-	var reach []replication.Reach
+	var reach []replication.ReachableNode
 	for _, r := range g.h.disksInReach() {
 		if memberOf(g.h.core.p.Members(), r.ID) {
 			reach = append(reach, r)
@@ -85,16 +85,16 @@
 	there := func(m replication.Member) bool {
 		for _, r := range reach {
 			if r.ID == m.ID {
-				return !r.Leaving && g.balancer.trouble[m.ID].until <= now
+				return !r.Draining && g.balancer.trouble[m.ID].until <= now
 			}
 		}
 		return false
 	}
 	assigned := g.assigned(there)
 	for i, r := range g.replicas {
-		r.now().Tend(reach, g.h.settings.Tolerates.Machines)
-		if to := assigned[i]; r.term != 0 && to != 0 && to != r.me.ID && now-r.since > leadFirst && r.p.CanTransfer(to) {
-			r.p.TransferTo(to)
+		r.now().ReconcileMembers(reach, g.h.settings.Tolerance.Machines)
+		if to := assigned[i]; r.term != 0 && to != 0 && to != r.me.ID && now-r.since > leadFirst && r.p.CanTransferTo(to) {
+			r.p.TransferLeadershipTo(to)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 	if b.stall == 0 || now-b.yielded > stallCalm {
 		b.stall = stallAfter
 	}
-	if g.h.core.disk.stalled() > b.stall && slices.ContainsFunc(g.replicas[:], func(r *groupReplica) bool { return r.p.Leading() }) {
+	if g.h.core.disk.stalled() > b.stall && slices.ContainsFunc(g.replicas[:], func(r *groupReplica) bool { return r.p.IsLeader() }) {
 		b.stall, b.yielded = min(2*b.stall, stallMost), now
 		g.handOver()
 	}
@@ -118,8 +118,8 @@
 	}
 	assigned := g.assigned(func(m replication.Member) bool { return m.ID != g.h.core.me.ID && g.h.roster.Live(m.Addr) })
 	for i, r := range g.replicas {
-		if p := r.now(); p.Leading() {
-			p.TransferTo(assigned[i])
+		if p := r.now(); p.IsLeader() {
+			p.TransferLeadershipTo(assigned[i])
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	}
 	g.handOver()
 	for _, r := range g.replicas {
-		if r.p.Leading() && len(r.p.Members()) > 1 || !r.p.Leading() && r.p.Founded() && r.p.Elsewhere() < r.p.Committed() {
+		if r.p.IsLeader() && len(r.p.Members()) > 1 || !r.p.IsLeader() && r.p.Bootstrapped() && r.p.ReplicatedElsewhere() < r.p.CommitIndex() {
 			return false
 		}
 	}
--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -33,7 +33,7 @@
 	// Links to other nodes tell the host what comes, each in a turn.
 	Links(host transport.Host[Frame]) (Links, error)
 	// Disk is called for a node with one, and gives what it holds.
-	Disk() (Disk, replication.Kept, error)
+	Disk() (Disk, replication.PersistentState, error)
 	// Path is the way of requests and of datagrams, once the gate is there.
 	Path(h *Node, g *gate.Gate) (Path, error)
 }
@@ -61,7 +61,7 @@
 type Disk interface {
 	Write(writes []replication.LogWrite, note []byte, done func())
 	Noted() []byte
-	Groups() map[replication.LogID]replication.Kept // what it held of the coordination groups
+	Groups() map[replication.LogID]replication.PersistentState // what it held of the coordination groups
 }
 
 // Path is what carries requests and datagrams.
@@ -147,10 +147,10 @@
 }
 
 // Disk reads the disk. One that can't be read counts as lost: it is emptied, and let in anew by the others.
-func (s *sockets) Disk() (Disk, replication.Kept, error) {
+func (s *sockets) Disk() (Disk, replication.PersistentState, error) {
 	dir := s.h.settings.DataDir
 	book, kept, err := logstore.Open(dir)
-	if torn := (*logstore.Unreadable)(nil); errors.As(err, &torn) {
+	if torn := (*logstore.CorruptError)(nil); errors.As(err, &torn) {
 		s.h.warn(corePart, "disk can't be read, begins empty: %v", err)
 		if err = logstore.Wipe(dir); err != nil {
 			return nil, kept, err
@@ -160,7 +160,7 @@
 	if err != nil {
 		return nil, kept, err
 	}
-	if !book.Made() {
+	if !book.Created() {
 		s.h.warn(corePart, "disk is full at its first start: has no vote until it takes writes")
 	}
 	s.disk = &disk{h: s.h, store: book, writes: make(chan batch, 1)}
@@ -185,13 +185,13 @@
 func (d *disk) Write(writes []replication.LogWrite, note []byte, done func()) {
 	d.writes <- batch{writes, note, done}
 }
-func (d *disk) Noted() []byte                                  { return d.store.Noted() }
-func (d *disk) Groups() map[replication.LogID]replication.Kept { return d.store.Groups() }
+func (d *disk) Noted() []byte                                             { return d.store.SoftState() }
+func (d *disk) Groups() map[replication.LogID]replication.PersistentState { return d.store.GroupLogs() }
 
 func (d *disk) run() {
 	for b := range d.writes {
 		for wait := 20 * time.Millisecond; ; wait = min(2*wait, time.Second) {
-			err := d.store.ApplyAll(b.writes)
+			err := d.store.Write(b.writes)
 			if err == nil {
 				break
 			}
@@ -199,7 +199,7 @@
 			time.Sleep(wait)
 		}
 		if b.note != nil {
-			if err := d.store.Note(b.note); err != nil {
+			if err := d.store.SaveSoftState(b.note); err != nil {
 				d.h.e.Turn(func() { d.h.warn(corePart, "registry not kept: %v", err) })
 			}
 		}
--- a/internal/gateway/node/calls.go
+++ b/internal/gateway/node/calls.go
@@ -94,7 +94,7 @@
 		return
 	}
 	body, err := h.counted(c.kind, c.body)
-	if c.kind == statemachine.FoundGroups {
+	if c.kind == statemachine.KindBootstrapGroups {
 		body = h.core.founders()
 	}
 	refusal := 400
@@ -131,7 +131,7 @@
 func (h *Node) turnAway(nr uint32) {
 	text := noMajority
 	if c := h.calls[nr]; c.doubt || h.mayHave(c, nr) { // who has it may take it yet
-		text = replication.Unknown.String()
+		text = replication.OutcomeUnknown.String()
 	}
 	h.end(nr, 503, []byte(text))
 }
@@ -242,9 +242,9 @@
 		return
 	}
 	h.slotAsked = h.e.Now()
-	entry := statemachine.SlotEntry(membership.SlotHolder{Name: h.settings.NodeName, Addr: h.inner, Control: h.settings.Bind.Control,
+	entry := statemachine.AssignSlotEntry(membership.SlotHolder{Name: h.settings.NodeName, Addr: h.inner, Control: h.settings.Bind.Control,
 		Zone: h.settings.Zone})
-	h.ask(statemachine.AssignSlot, entry[1:], 0, func(status int, body []byte) {
+	h.ask(statemachine.KindAssignSlot, entry[1:], 0, func(status int, body []byte) {
 		if status != 200 {
 			h.say(nodePart, "no slot yet: %s", body)
 		}
@@ -257,7 +257,7 @@
 // unserviceable tells whether a configuration that would be taken has a route that can't be served. Whoever leads decides it, as it decides
 // what is too large.
 func (h *Node) unserviceable(k statemachine.Kind, body []byte) error {
-	if k != statemachine.Replace && k != statemachine.Amend {
+	if k != statemachine.KindReplaceConfig && k != statemachine.KindAmendConfig {
 		return nil
 	}
 	err := routing.CheckDeadlines(body)
@@ -278,10 +278,10 @@
 	if d := h.settings.Limits.DiskMB; d > 0 {
 		most = min(most, d<<20/diskCopies)
 	}
-	if k == statemachine.Amend {
+	if k == statemachine.KindAmendConfig {
 		size += len(h.machine.Configs.Body())
 	}
-	if k != statemachine.Replace && k != statemachine.Amend || size <= most {
+	if k != statemachine.KindReplaceConfig && k != statemachine.KindAmendConfig || size <= most {
 		return nil
 	}
 	if v, _ := h.machine.Decide(k, body); v != routing.Taken {
--- a/internal/gateway/node/calls_test.go
+++ b/internal/gateway/node/calls_test.go
@@ -19,7 +19,7 @@
 	d.until("a leader", func() bool {
 		for i, h := range d.live {
 			h.e.Turn(func() {
-				if h.core.p.Leading() {
+				if h.core.p.IsLeader() {
 					leader = i
 				}
 			})
--- a/internal/gateway/node/catchup_test.go
+++ b/internal/gateway/node/catchup_test.go
@@ -63,7 +63,7 @@
 	}
 	d.all("the newest", level)
 	for i := range 3 {
-		info, err := os.Stat(filepath.Join(d.settings[i].DataDir, logstore.Name))
+		info, err := os.Stat(filepath.Join(d.settings[i].DataDir, logstore.FileName))
 		must.NoError(t, err)
 		t.Logf("node %d: %d KB on disk", i, info.Size()>>10)
 		must.LessEq(t, int64(diskCopies*size+1<<20), info.Size())
--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -45,10 +45,10 @@
 	h *Node
 }
 
-// Lost tells that it does no longer.
-func (a groupsApplication) Lost(id groups.ID, term uint64) {
+// LeadershipLost tells that it does no longer.
+func (a groupsApplication) LeadershipLost(id groups.ID, term uint64) {
 	a.h.say(groupPart, "%d is led here no longer, view %d", id, term)
-	a.Service.Lost(id, term)
+	a.Service.LeadershipLost(id, term)
 }
 
 var _ groups.Application = groupsApplication{}
@@ -66,7 +66,7 @@
 			}
 		}
 		if replica, ok := h.GroupStatus(id); ok {
-			g.View, g.Synced = replica.View, replica.Synced
+			g.View, g.Synced = replica.Term, replica.SyncedIndex
 			for _, m := range replica.Members {
 				g.Members = append(g.Members, h.addrOf(m))
 			}
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -58,9 +58,9 @@
 		return err
 	}
 	c := &core{waits: map[uint64]waiting{}, hears: map[string]hearsWith{}}
-	c.replicaHost = replicaHost{h: h, me: replication.Member{ID: kept.Me, Addr: h.inner}, owner: c,
+	c.replicaHost = replicaHost{h: h, me: replication.Member{ID: kept.ID, Addr: h.inner}, owner: c,
 		disk: &diskQueue{node: h, disk: disk, synced: c.synced}}
-	c.p = replication.New(c.me, kept, replication.DefaultTerms(), h.seed, h.e.Now())
+	c.p = replication.New(c.me, kept, replication.DefaultConfig(), h.seed, h.e.Now())
 	h.core = c
 	h.groups.open(disk.Groups())
 	return nil
@@ -134,12 +134,12 @@
 
 func (c *core) commit(e replication.Entry) {
 	var data []byte
-	if e.Kind == replication.Change {
+	if e.Kind == replication.EntryNormal {
 		data = e.Data
 	}
 	v, err := c.h.apply(e.Index, data)
 	c.last = verdict{e.Index, data, v, err}
-	if e.Index%compactAt == 0 || c.p.Uncompacted(e.Index) >= compactSize {
+	if e.Index%compactAt == 0 || c.p.UncompactedBytes(e.Index) >= compactSize {
 		c.p.Compact(e.Index, c.h.machine.Snapshot())
 	}
 }
@@ -152,14 +152,14 @@
 	}
 	c.lookedAt = now
 	reach := c.h.disksInReach()
-	c.p.Tend(reach, c.h.settings.Tolerates.Machines)
+	c.p.ReconcileMembers(reach, c.h.settings.Tolerance.Machines)
 	c.layAside()
 }
 
 // disksInReach are the nodes with a disk that this one reaches, itself among them.
-func (h *Node) disksInReach() (reach []replication.Reach) {
+func (h *Node) disksInReach() (reach []replication.ReachableNode) {
 	for _, d := range h.roster.Disks() {
-		reach = append(reach, replication.Reach{Member: replication.Member{ID: replication.MemberID(d.Disk), Addr: d.Addr}, Leaving: d.Leaving})
+		reach = append(reach, replication.ReachableNode{Member: replication.Member{ID: replication.MemberID(d.Disk), Addr: d.Addr}, Draining: d.Leaving})
 	}
 	return reach
 }
@@ -167,13 +167,13 @@
 // propose puts a change into the log, or reads; then is told how it ended.
 func (c *core) propose(kind statemachine.Kind, body []byte, then func(status int, body []byte)) {
 	c.token++
-	c.p.Now(c.h.e.Now())
+	c.p.Tick(c.h.e.Now())
 	if kind == Read || kind == ReadRollouts {
 		c.waits[c.token] = waiting{kind, nil, then}
 		c.p.Read(c.token)
 		return
 	}
-	entry := statemachine.Entry(kind, body)
+	entry := statemachine.EncodeEntry(kind, body)
 	c.waits[c.token] = waiting{kind, entry, then}
 	c.p.Propose(c.token, entry)
 }
@@ -184,10 +184,10 @@
 	delete(c.waits, o.Token)
 	switch {
 	case !ok:
-	case o.Verdict == replication.Unknown:
-		w.then(controlapi.Unclear, []byte(o.Verdict.String()))
-	case o.Verdict != replication.Done:
-		w.then(503, []byte(o.Verdict.String()))
+	case o.Status == replication.OutcomeUnknown:
+		w.then(controlapi.Unclear, []byte(o.Status.String()))
+	case o.Status != replication.OutcomeCommitted:
+		w.then(503, []byte(o.Status.String()))
 	case w.kind == Read:
 		w.then(200, c.h.machine.Configs.Body())
 	case w.kind == ReadRollouts:
--- a/internal/gateway/node/cut_test.go
+++ b/internal/gateway/node/cut_test.go
@@ -43,7 +43,7 @@
 			case o == i && way != "in":
 				c.to = func(addr string) bool { return d.disk(addr) }
 			case o != i && way != "out":
-				at := d.settings[i].IP + ":17560"
+				at := d.settings[i].IPAddress + ":17560"
 				c.to = func(addr string) bool { return addr == at }
 			}
 		})
@@ -51,7 +51,7 @@
 }
 
 func (d *nodes) disk(addr string) bool {
-	return slices.ContainsFunc(d.settings[:3], func(s *settings.Settings) bool { return s.IP+":17560" == addr })
+	return slices.ContainsFunc(d.settings[:3], func(s *settings.Settings) bool { return s.IPAddress+":17560" == addr })
 }
 
 // broken is what a node that is cut off does and must not.
@@ -77,10 +77,10 @@
 			ended["end"] = true
 			bad(ok, "acknowledged an end")
 		})
-		if at > b.Parted() {
+		if at > b.PartitionedAge() {
 			bad(len(ended) < 3, "did not end a call at once")
 		}
-		if at > b.Stale() {
+		if at > b.ReadyMaxAge() {
 			bad(h.Ready(), "is ready")
 			_, no := h.Admit([]byte("nowhere"), []byte("/"), nil)
 			bad(no == ingress.NoRoute, "denies for sure")
@@ -92,7 +92,7 @@
 // without has a node go without a defence from now on, in a turn.
 func (d *nodes) without(h *Node, f fault) {
 	h.fault = f
-	h.registry.SetTerms(registry.Terms{BeatInterval: h.settings.BeatInterval, Enough: h.enoughCopies()})
+	h.registry.SetTerms(registry.Terms{BeatInterval: h.settings.HeartbeatInterval, Enough: h.enoughCopies()})
 }
 
 // On four real nodes, one with a disk is cut off from the others that have one: who leads, both ways, for twenty seconds; then who
@@ -134,7 +134,7 @@
 		d.until("it is cut off for long", func() bool {
 			broken = append(broken, d.broken(at, last)...)
 			long := false
-			h.e.Turn(func() { long = h.stale() > max(x.until, d.settings[at].Bounds.Stale()+time.Second/2) })
+			h.e.Turn(func() { long = h.stale() > max(x.until, d.settings[at].Bounds.ReadyMaxAge()+time.Second/2) })
 			return long
 		})
 		slices.Sort(broken)
@@ -152,7 +152,7 @@
 		}
 		d.parts(at, "")
 		d.all("to go by the newest and be in contact", func(s controlapi.NodeStatus) bool {
-			return s.Generation == uint64(last) && s.StaleMs != nil && *s.StaleMs < d.settings[0].Bounds.Parted().Milliseconds()
+			return s.Generation == uint64(last) && s.StaleMs != nil && *s.StaleMs < d.settings[0].Bounds.PartitionedAge().Milliseconds()
 		})
 	}
 }
@@ -167,7 +167,7 @@
 				h.follow(cut)
 			}
 			h.askedAt = h.e.Now() // it stays meanwhile
-			gone = len(h.roster.Disks()) == 1 && h.feeds(cut) > h.settings.Bounds.Parted()
+			gone = len(h.roster.Disks()) == 1 && h.feeds(cut) > h.settings.Bounds.PartitionedAge()
 		})
 		return gone
 	})
@@ -206,7 +206,7 @@
 			for i, w := range left {
 				c := h
 				before := c.known
-				c.learn(w.age, w.view, w.by.Tell(w.asked), w.index)
+				c.learn(w.age, w.view, w.by.Stamp(w.asked), w.index)
 				moved := c.known.at > before.at
 				if moved && (c.known.at > w.asked-w.age || w.view < before.view || w.index > 9 || w.by == other) {
 					wrong++
--- a/internal/gateway/node/disk.go
+++ b/internal/gateway/node/disk.go
@@ -35,7 +35,7 @@
 	d.disk.Write(batch, d.note, func() {
 		d.writing = false
 		for _, w := range batch {
-			d.synced(w.Log, w.Write.Nr)
+			d.synced(w.Log, w.Write.Seq)
 		}
 	})
 	d.note = nil
--- a/internal/gateway/node/feed.go
+++ b/internal/gateway/node/feed.go
@@ -55,7 +55,7 @@
 		h.foldRollouts()
 	}
 	if h.core != nil {
-		if h.feedLate = len(data) > 0 && statemachine.Kind(data[0]) == statemachine.AssignSlot; !h.feedLate {
+		if h.feedLate = len(data) > 0 && statemachine.Kind(data[0]) == statemachine.KindAssignSlot; !h.feedLate {
 			h.feedAll()
 		}
 	}
@@ -80,7 +80,7 @@
 	if h.core == nil {
 		return
 	}
-	if !h.core.p.Founded() {
+	if !h.core.p.Bootstrapped() {
 		if !f.Ends { // it asks another at once; without a word it would stay, since this node says other things
 			h.links.Send(from, &Frame{Feed: &Feed{Stale: never}})
 		}
@@ -120,7 +120,7 @@
 // fresh puts this node's word of the core into what a follower is sent.
 func (h *Node) fresh(to string, f *Feed) *Feed {
 	_, view, _ := h.contact()
-	f.Stale, f.View, f.Echo, f.Index = h.stale(), view, h.echoes[to].clock, h.core.p.Committed()
+	f.Stale, f.View, f.Echo, f.Index = h.stale(), view, h.echoes[to].clock, h.core.p.CommitIndex()
 	return f
 }
 
@@ -154,7 +154,7 @@
 	}
 	if f.Chunk != nil { // so that what follows comes
 		defer func() {
-			h.links.Send(from, &Frame{Follow: &Follow{After: h.applied, Clock: h.clock.Tell(h.e.Now()), Chunks: true}})
+			h.links.Send(from, &Frame{Follow: &Follow{After: h.applied, Clock: h.clock.Stamp(h.e.Now()), Chunks: true}})
 		}()
 	}
 	if f.State != nil && f.After > h.applied {
@@ -192,7 +192,7 @@
 		}
 	}
 	h.feeder, h.askedAt = addr, h.e.Now()
-	h.links.Send(addr, &Frame{Follow: &Follow{After: h.applied, Anew: anew, Clock: h.clock.Tell(h.e.Now()), Had: h.feedIn.Had(),
+	h.links.Send(addr, &Frame{Follow: &Follow{After: h.applied, Anew: anew, Clock: h.clock.Stamp(h.e.Now()), Had: h.feedIn.Received(),
 		Chunks: true}})
 }
 
--- a/internal/gateway/node/follower.go
+++ b/internal/gateway/node/follower.go
@@ -11,17 +11,17 @@
 
 // follower is a node that this one feeds.
 type follower struct {
-	upto   uint64               // it was sent all up to here
-	asked  uint64               // and asked for what comes after this, last
-	chunks bool                 // its program takes chunks
-	had    *replication.Chunk   // what it has of a blob, whoever sent that
-	out    replication.Outgoing // what it is being sent: kept until it has it
-	log    bool                 // out is entries, else a state
-	until  uint64               // who has applied this has all of out
+	upto   uint64                 // it was sent all up to here
+	asked  uint64                 // and asked for what comes after this, last
+	chunks bool                   // its program takes chunks
+	had    *replication.Chunk     // what it has of a blob, whoever sent that
+	out    replication.BlobSender // what it is being sent: kept until it has it
+	log    bool                   // out is entries, else a state
+	until  uint64                 // who has applied this has all of out
 }
 
 // feedTerms bound what is in flight to a follower, as to a member.
-var feedTerms = replication.DefaultTerms()
+var feedTerms = replication.DefaultConfig()
 
 // logMost is how many bytes of entries go in one blob.
 const logMost = 256 << 10
@@ -31,9 +31,9 @@
 func (h *Node) feed(addr string) {
 	f, p := h.followers[addr], h.core.p
 	for f.out.Blob == nil && f.upto < h.applied {
-		entries, ok := p.After(f.upto, h.applied)
+		entries, ok := p.EntriesAfter(f.upto, h.applied)
 		if !ok {
-			b := p.Pinned(f.upto+1, h.statesOut(f))
+			b := p.BlobToSend(f.upto+1, h.statesOut(f))
 			if b == nil {
 				return // it asks again
 			}
@@ -41,7 +41,7 @@
 			if len(state) == 0 {
 				state = statemachine.New().Snapshot()
 			}
-			if f.chunks && len(state) > feedTerms.Window {
+			if f.chunks && len(state) > feedTerms.MaxInflightBytes {
 				if h.mayBeOld() {
 					return
 				}
@@ -62,7 +62,7 @@
 			data = append(data, dataOf(e))
 		}
 		f.upto += uint64(len(data))
-		if f.chunks && size > feedTerms.Window {
+		if f.chunks && size > feedTerms.MaxInflightBytes {
 			var b bytes.Buffer
 			gob.NewEncoder(&b).Encode(data) // of bytes: it can't fail
 			f.send(replication.NewBlob(after, f.upto, b.Bytes()), f.upto, true)
@@ -74,7 +74,7 @@
 		return
 	}
 	now := h.e.Now()
-	for c := f.out.Next(&feedTerms, now); c != nil; c = f.out.Next(&feedTerms, now) {
+	for c := f.out.NextChunk(&feedTerms, now); c != nil; c = f.out.NextChunk(&feedTerms, now) {
 		h.links.Send(addr, &Frame{Feed: h.fresh(addr, &Feed{After: c.Index, Chunk: c, Log: f.log})})
 	}
 }
@@ -91,7 +91,7 @@
 
 // send begins with a blob, from where the follower has it.
 func (f *follower) send(b *replication.Blob, until uint64, log bool) {
-	f.out, f.until, f.log = replication.Outgoing{Blob: b}, until, log
+	f.out, f.until, f.log = replication.BlobSender{Blob: b}, until, log
 	if f.had != nil && f.had.Offset > 0 {
 		f.out.Ack(f.had, 0)
 	}
@@ -104,7 +104,7 @@
 	if f == nil || h.core == nil {
 		return
 	}
-	f.out, f.upto = replication.Outgoing{}, f.asked
+	f.out, f.upto = replication.BlobSender{}, f.asked
 	if f.asked < h.applied {
 		h.feed(addr)
 	} else {
@@ -124,7 +124,7 @@
 
 // dataOf is what an entry has for those who follow: nothing, if it is the core's own.
 func dataOf(e replication.Entry) []byte {
-	if e.Kind == replication.Change {
+	if e.Kind == replication.EntryNormal {
 		return e.Data
 	}
 	return nil
@@ -137,7 +137,7 @@
 	case f.out.Blob == nil:
 		f.upto = w.After
 	case w.After >= f.until:
-		f.out, f.upto = replication.Outgoing{}, w.After
+		f.out, f.upto = replication.BlobSender{}, w.After
 	default:
 		f.out.Ack(w.Had, h.e.Now())
 	}
@@ -149,9 +149,9 @@
 	if f.Chunk == nil {
 		return true
 	}
-	all, had := h.feedIn.Take(f.Chunk)
+	all, had := h.feedIn.Receive(f.Chunk)
 	if all == nil {
-		h.links.Send(from, &Frame{Follow: &Follow{After: h.applied, Clock: h.clock.Tell(h.e.Now()), Had: had, Chunks: true}})
+		h.links.Send(from, &Frame{Follow: &Follow{After: h.applied, Clock: h.clock.Stamp(h.e.Now()), Had: had, Chunks: true}})
 		return false
 	}
 	if !f.Log {
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -105,7 +105,7 @@
 	for rest := g.Lines; len(rest) > 0; {
 		l := groupLine{group: groups.ID(rest[0])}
 		var err error
-		if l.message, rest, err = replication.ReadMessage(rest[1:]); err != nil {
+		if l.message, rest, err = replication.DecodeMessage(rest[1:]); err != nil {
 			return err
 		}
 		if l.group < groups.Count {
--- a/internal/gateway/node/grouplead.go
+++ b/internal/gateway/node/grouplead.go
@@ -25,7 +25,7 @@
 	r.now().Propose(r.token, entry)
 }
 
-func (g *groupHost) Read(id groups.ID, then func(ok bool)) {
+func (g *groupHost) ReadIndex(id groups.ID, then func(ok bool)) {
 	if !g.asked() {
 		then(false)
 		return
@@ -36,12 +36,12 @@
 	r.now().Read(r.token)
 }
 
-func (g *groupHost) Leading(id groups.ID) (term uint64, since time.Duration, ok bool) {
+func (g *groupHost) Leadership(id groups.ID) (term uint64, since time.Duration, ok bool) {
 	if !g.asked() {
 		return 0, 0, false
 	}
 	r := g.replicas[id]
-	if view, leads := r.now().Term(); !leads || view != r.term {
+	if view, leads := r.now().LeaderTerm(); !leads || view != r.term {
 		return 0, 0, false
 	}
 	return r.term, r.since, true
@@ -57,7 +57,7 @@
 	return hint.addr, hint.addr != "" && g.h.e.Now()-hint.at < hintFor
 }
 
-func (g *groupHost) Guesses(id groups.ID) (addrs []string) {
+func (g *groupHost) LeaderCandidates(id groups.ID) (addrs []string) {
 	g.asked()
 	if addr, ok := g.Leader(id); ok {
 		addrs = append(addrs, addr)
@@ -69,7 +69,7 @@
 			disks, at[uint64(d.Disk)] = append(disks, uint64(d.Disk)), d.Addr
 		}
 	}
-	likely := append([]uint64{groups.Assign(disks)[id]}, groups.Ranked(id, disks)...)
+	likely := append([]uint64{groups.PreferredLeaders(disks)[id]}, groups.RankDisks(id, disks)...)
 	for _, disk := range likely {
 		if addr := at[disk]; addr != "" && len(addrs) < guessesMost && !slices.Contains(addrs, addr) {
 			addrs = append(addrs, addr)
@@ -78,7 +78,9 @@
 	return addrs
 }
 
-func (g *groupHost) Heard(id groups.ID, address string) { g.hints[id] = hint{address, g.h.e.Now()} }
+func (g *groupHost) HintLeader(id groups.ID, address string) {
+	g.hints[id] = hint{address, g.h.e.Now()}
+}
 
 func (g *groupHost) Now() time.Duration { return g.h.e.Now() }
 
@@ -106,7 +108,7 @@
 		return
 	}
 	g.wantedAt = now
-	g.h.ask(statemachine.FoundGroups, nil, 0, func(status int, body []byte) {
+	g.h.ask(statemachine.KindBootstrapGroups, nil, 0, func(status int, body []byte) {
 		if status != 200 {
 			g.h.say(groupPart, "not founded yet: %s", body)
 		}
@@ -132,7 +134,7 @@
 	for _, m := range c.p.Members() {
 		all = append(all, membership.Founder{Disk: membership.Disk(m.ID), Addr: m.Addr})
 	}
-	return statemachine.GroupsEntry(all)
+	return statemachine.BootstrapGroupsEntry(all)
 }
 
 // leaders are the slots of those who lead the groups, for others to know; nil: there are no groups.
@@ -155,7 +157,7 @@
 	for id, slot := range slots[:min(len(slots), groups.Count)] {
 		if s, ok := g.h.roster.At(slot); ok {
 			g.begun = true
-			g.Heard(groups.ID(id), s.Addr)
+			g.HintLeader(groups.ID(id), s.Addr)
 		}
 	}
 }
@@ -175,8 +177,8 @@
 	}
 	p := h.groups.replicas[id].now()
 	for _, m := range p.Members() {
-		if h.addrOf(m) == addr && p.CanTransfer(m.ID) {
-			p.TransferTo(m.ID)
+		if h.addrOf(m) == addr && p.CanTransferTo(m.ID) {
+			p.TransferLeadershipTo(m.ID)
 			return true
 		}
 	}
--- a/internal/gateway/node/groups.go
+++ b/internal/gateway/node/groups.go
@@ -77,7 +77,7 @@
 }
 
 // open makes the replicas from what the disk holds.
-func (g *groupHost) open(kept map[replication.LogID]replication.Kept) {
+func (g *groupHost) open(kept map[replication.LogID]replication.PersistentState) {
 	if newApplication == nil {
 		return
 	}
@@ -87,11 +87,11 @@
 	for i := range g.replicas {
 		id := groups.ID(i)
 		k := kept[logOf(id)]
-		k.Me = core.me.ID
-		g.begun = g.begun || k.House != 0
-		r := &groupReplica{host: g, id: id, machine: g.app.StateMachine(id), waits: map[uint64]groupCall{}, snap: len(k.Snap.State)}
+		k.ID = core.me.ID
+		g.begun = g.begun || k.ClusterID != 0
+		r := &groupReplica{host: g, id: id, machine: g.app.StateMachine(id), waits: map[uint64]groupCall{}, snap: len(k.Snapshot.State)}
 		r.replicaHost = replicaHost{h: g.h, me: core.me, log: logOf(id), disk: core.disk, owner: r, due: true}
-		r.p = replication.New(r.me, k, replication.GroupTerms(r.log), g.h.seed+int64(i)+1, g.h.e.Now())
+		r.p = replication.New(r.me, k, replication.GroupConfig(r.log), g.h.seed+int64(i)+1, g.h.e.Now())
 		g.replicas[i] = r
 	}
 }
@@ -110,10 +110,10 @@
 		return
 	}
 	for _, r := range g.replicas {
-		if r.p.Founded() {
+		if r.p.Bootstrapped() {
 			continue
 		}
-		if err := r.now().Found(members); err != nil {
+		if err := r.now().Bootstrap(members); err != nil {
 			g.h.warn(groupPart, "founding of group %d: %v", r.id, err)
 		}
 	}
@@ -166,10 +166,10 @@
 	g.begun = true
 	err := f.each(func(line *groupLine) {
 		r := g.replicas[line.group]
-		if line.message.Kind == replication.TakeOver && r.disk.stalled() > stallAfter {
+		if line.message.Kind == replication.MsgTimeoutNow && r.disk.stalled() > stallAfter {
 			return // who can't sync can't lead
 		}
-		r.now().Heard(f.From, line.message)
+		r.now().Step(f.From, line.message)
 	})
 	if err != nil {
 		g.h.warn(groupPart, "message of %d can't be read: %v", f.From, err)
@@ -183,7 +183,7 @@
 	}
 	for _, r := range g.replicas {
 		if m, _, ok := r.p.Leader(); ok && m.ID != r.me.ID && g.h.addrOf(m) == addr {
-			r.now().Suspect(m.ID)
+			r.now().ReportUnreachable(m.ID)
 		}
 	}
 }
@@ -205,7 +205,7 @@
 // more than writing entries: alike at all members.
 func (r *groupReplica) commit(e replication.Entry) {
 	r.last = applied{}
-	if e.Kind == replication.Change {
+	if e.Kind == replication.EntryNormal {
 		r.last = applied{e.Index, e.Data, r.machine.Apply(e.Index, e.Data)}
 	}
 	r.size += e.Size()
@@ -222,16 +222,16 @@
 	switch {
 	case !ok:
 	case c.read != nil:
-		c.read(o.Verdict == replication.Done)
-	case o.Verdict == replication.Done:
+		c.read(o.Status == replication.OutcomeCommitted)
+	case o.Status == replication.OutcomeCommitted:
 		if r.last.index != o.Index || !bytes.Equal(r.last.entry, c.entry) {
 			invariant.That(false, "a proposal ends by its own entry")
-			c.proposed(groups.Unclear, nil)
+			c.proposed(groups.Ambiguous, nil)
 			return
 		}
 		c.proposed(groups.Applied, r.last.result)
-	case o.Verdict == replication.Unknown:
-		c.proposed(groups.Unclear, nil)
+	case o.Status == replication.OutcomeUnknown:
+		c.proposed(groups.Ambiguous, nil)
 	default:
 		c.proposed(groups.NotProposed, nil)
 	}
@@ -239,16 +239,16 @@
 
 // tellLead tells the application, and who follows this node, who leads.
 func (r *groupReplica) tellLead() {
-	view, leads := r.p.Term()
+	view, leads := r.p.LeaderTerm()
 	if r.term != 0 && (!leads || view != r.term) {
 		lost := r.term
 		r.term = 0
-		r.host.app.Lost(r.id, lost)
+		r.host.app.LeadershipLost(r.id, lost)
 	}
 	if leads && r.term == 0 {
 		r.term, r.since = view, r.h.e.Now()
 		r.host.balancer.gained(r, r.leader, r.since)
-		r.host.app.Gained(r.id, view)
+		r.host.app.LeadershipGained(r.id, view)
 	}
 	if m, view, ok := r.p.Leader(); ok && view != r.view {
 		r.view, r.leader = view, m.ID
--- a/internal/gateway/node/groups_test.go
+++ b/internal/gateway/node/groups_test.go
@@ -42,14 +42,14 @@
 	return l.machines[id]
 }
 
-func (l *lists) Gained(id groups.ID, term uint64) {
+func (l *lists) LeadershipGained(id groups.ID, term uint64) {
 	if l.led[id] >= term {
 		l.wrong = fmt.Sprintf("group %d: term %d after %d", id, term, l.led[id])
 	}
 	l.led[id] = term
 }
 
-func (l *lists) Lost(id groups.ID, term uint64) {
+func (l *lists) LeadershipLost(id groups.ID, term uint64) {
 	if l.led[id] != term {
 		l.wrong = fmt.Sprintf("group %d: lost %d, led was %d", id, term, l.led[id])
 	}
@@ -68,7 +68,7 @@
 	d.until(fmt.Sprint("group ", id, " is led"), func() bool {
 		for i, h := range d.live {
 			led := false
-			h.e.Turn(func() { _, _, led = h.groups.Leading(id) })
+			h.e.Turn(func() { _, _, led = h.groups.Leadership(id) })
 			if led {
 				leader = i
 				return true
@@ -88,7 +88,7 @@
 		h := d.live[d.leaderOf(id)]
 		h.e.Turn(func() { h.groups.Propose(id, []byte(entry), func(o groups.Outcome, _ []byte) { outcome <- o }) })
 		o := <-outcome
-		if o == groups.Unclear {
+		if o == groups.Ambiguous {
 			unclear++
 		}
 		return o == groups.Applied
@@ -170,7 +170,7 @@
 		known := 0
 		h.e.Turn(func() {
 			for id := range groups.ID(groups.Count) {
-				if _, ok := h.groups.Leader(id); ok && len(h.groups.Guesses(id)) == guessesMost {
+				if _, ok := h.groups.Leader(id); ok && len(h.groups.LeaderCandidates(id)) == guessesMost {
 					known++
 				}
 			}
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -38,7 +38,7 @@
 		p.Lives = h.roster.Hears()
 	} else if h.feeder != "" {
 		told[h.feeder] = true
-		h.links.Send(h.feeder, &Frame{Ping: &Ping{Stale: p.Stale, Index: p.Index, View: p.View, Clock: h.clock.Tell(h.e.Now())}})
+		h.links.Send(h.feeder, &Frame{Ping: &Ping{Stale: p.Stale, Index: p.Index, View: p.View, Clock: h.clock.Stamp(h.e.Now())}})
 	}
 	f, toDisk := &Frame{Ping: &p}, &Frame{Ping: &Ping{Lives: p.Lives}}
 	for _, addr := range h.roster.Watchers() {
--- a/internal/gateway/node/heartbeat_test.go
+++ b/internal/gateway/node/heartbeat_test.go
@@ -44,7 +44,7 @@
 	h.roster = membership.New(membership.Node{Name: "a", Addr: "10.0.0.1:7110", Disk: 1}, membership.Terms{}, clock.now)
 	me := replication.Member{ID: 1, Addr: "10.0.0.1:7110"}
 	h.core = &core{hears: map[string]hearsWith{}, replicaHost: replicaHost{h: h, me: me,
-		p: replication.New(me, replication.Kept{Me: 1}, replication.DefaultTerms(), 1, clock.now)}}
+		p: replication.New(me, replication.PersistentState{ID: 1}, replication.DefaultConfig(), 1, clock.now)}}
 	slots := []membership.SlotHolder{{Addr: me.Addr}}
 	for i, a := range []string{b, c} {
 		h.roster.Hello(a, membership.Hello{Door: membership.Node{Addr: a, Disk: membership.Disk(i + 2), Life: 1, Founded: true}})
--- a/internal/gateway/node/leave.go
+++ b/internal/gateway/node/leave.go
@@ -27,8 +27,8 @@
 	h.roster.End()
 	h.say(nodePart, "ends, %d requests held", h.gate.Held())
 	if h.core != nil {
-		h.core.p.Now(h.e.Now())
-		h.core.p.HandOver()
+		h.core.p.Tick(h.e.Now())
+		h.core.p.TransferLeadership()
 		h.groups.handOver()
 	}
 }
@@ -49,18 +49,18 @@
 
 // left tells whether the others have what this member has; one that leads still, or again, hands over.
 func (c *core) left() bool {
-	c.p.Now(c.h.e.Now())
-	if c.p.Leading() {
-		c.p.HandOver()
+	c.p.Tick(c.h.e.Now())
+	if c.p.IsLeader() {
+		c.p.TransferLeadership()
 		return len(c.p.Members()) == 1
 	}
-	return !c.p.Founded() || c.p.Elsewhere() >= c.p.Committed()
+	return !c.p.Bootstrapped() || c.p.ReplicatedElsewhere() >= c.p.CommitIndex()
 }
 
 // End ends a node in order.
 func (h *Node) End() {
 	began := time.Now()
-	grace := h.settings.Bounds.Grace
+	grace := h.settings.Bounds.ShutdownGrace
 	if grace <= 0 {
 		grace = graceUsual
 	}
@@ -80,12 +80,12 @@
 			h.warn(nodePart, "settings not taken, the old ones stand: %v", err)
 			return
 		}
-		if fixed := h.settings.Fixed(s); len(fixed) > 0 {
+		if fixed := h.settings.RestartRequired(s); len(fixed) > 0 {
 			h.warn(nodePart, "settings that wait for a restart: %v", fixed)
 		}
 		h.roster.Now(h.e.Now())
 		h.roster.SetSeeds(h.innersOf(s.SeedAddrs)) // nodes that the settings name now are said hello to
-		h.settings.SeedAddrs, h.settings.Bounds, h.settings.Tolerates = s.SeedAddrs, s.Bounds, s.Tolerates
+		h.settings.SeedAddrs, h.settings.Bounds, h.settings.Tolerance = s.SeedAddrs, s.Bounds, s.Tolerance
 		h.say(nodePart, "settings taken")
 	})
 }
--- a/internal/gateway/node/links_test.go
+++ b/internal/gateway/node/links_test.go
@@ -45,19 +45,19 @@
 // sent then went nowhere. Guards against nodes that go from one member to the next, half a second at each, after the loss of all.
 func TestFollowerIsFedWhenItsLinkComesUp(t *testing.T) {
 	now, me := time.Minute, replication.Member{ID: 5, Addr: "10.0.0.9:7110"}
-	p := replication.New(me, replication.Kept{Me: me.ID}, replication.DefaultTerms(), 1, now)
-	must.NoError(t, p.Found([]replication.Member{me}))
+	p := replication.New(me, replication.PersistentState{ID: me.ID}, replication.DefaultConfig(), 1, now)
+	must.NoError(t, p.Bootstrap([]replication.Member{me}))
 	last := func() uint64 {
 		for a, ok := p.Next(); ok; a, ok = p.Next() {
 			if w, is := a.(replication.Write); is {
-				p.Synced(w.Nr)
+				p.Synced(w.Seq)
 			}
 		}
-		return p.Committed()
+		return p.CommitIndex()
 	}
-	for last(); !p.Leading(); last() {
+	for last(); !p.IsLeader(); last() {
 		now += 100 * time.Millisecond
-		p.Now(now)
+		p.Tick(now)
 	}
 	p.Propose(1, []byte("one"))
 	p.Propose(2, []byte("two"))
--- a/internal/gateway/node/members_test.go
+++ b/internal/gateway/node/members_test.go
@@ -21,8 +21,8 @@
 func (d *nodes) add() int {
 	i := len(d.settings)
 	s := *d.settings[0]
-	ip := fmt.Sprint(s.IP[:len(s.IP)-2], 11+i)
-	s.NodeName, s.IP, s.FirstBoot, s.DataDir = fmt.Sprint("node-", i), ip, false, d.t.TempDir()
+	ip := fmt.Sprint(s.IPAddress[:len(s.IPAddress)-2], 11+i)
+	s.NodeName, s.IPAddress, s.FirstBoot, s.DataDir = fmt.Sprint("node-", i), ip, false, d.t.TempDir()
 	s.Bind = settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"}
 	d.settings = append(d.settings, &s)
 	d.start(i)
@@ -55,7 +55,7 @@
 }
 
 func (d *nodes) inner(i int) string {
-	return fmt.Sprint(d.settings[i].IP, ":", d.settings[i].InnerPorts[0])
+	return fmt.Sprint(d.settings[i].IPAddress, ":", d.settings[i].InnerPorts[0])
 }
 
 // within tells whether something came to be before the time was over.
@@ -111,12 +111,12 @@
 	d.t.Helper()
 	book, kept, err := logstore.Open(d.settings[i].DataDir)
 	must.NoError(d.t, err)
-	p := replication.New(replication.Member{ID: kept.Me, Addr: d.inner(i)}, kept, replication.DefaultTerms(), 1, 0)
-	must.NoError(d.t, p.Found(append(others, replication.Member{ID: kept.Me, Addr: d.inner(i)})))
+	p := replication.New(replication.Member{ID: kept.ID, Addr: d.inner(i)}, kept, replication.DefaultConfig(), 1, 0)
+	must.NoError(d.t, p.Bootstrap(append(others, replication.Member{ID: kept.ID, Addr: d.inner(i)})))
 	for a, ok := p.Next(); ok; a, ok = p.Next() {
 		if w, is := a.(replication.Write); is {
-			must.NoError(d.t, book.Apply([]replication.Write{w}))
-			p.Synced(w.Nr)
+			must.NoError(d.t, book.WriteConfigurationLog([]replication.Write{w}))
+			p.Synced(w.Seq)
 		}
 	}
 	must.NoError(d.t, book.Close())
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -97,7 +97,7 @@
 	beganAt time.Duration
 
 	followers    map[string]*follower
-	feedIn       replication.Incoming // from the node that is followed
+	feedIn       replication.BlobReceiver // from the node that is followed
 	coordination *coordination.Service
 
 	calls     map[uint32]*call
@@ -136,13 +136,13 @@
 
 func build(h *Node, b Base) (*Node, error) {
 	h.seed, h.life = b.Draws()
-	h.inner = net.JoinHostPort(h.settings.IP, strconv.Itoa(h.settings.InnerPorts[0]))
+	h.inner = net.JoinHostPort(h.settings.IPAddress, strconv.Itoa(h.settings.InnerPorts[0]))
 	h.e, h.count = b, b.Counters()
 	h.machine, h.table, h.words, h.followers = statemachine.New(), routing.NewTable(nil), map[string]word{}, map[string]*follower{}
 	h.echoes = map[string]echo{}
 	h.calls, h.parts, h.beats, h.catalog = map[uint32]*call{}, newParts(), map[registry.Ticket]heard{}, newCatalog()
 	h.fault = planted
-	h.coordination = coordination.New((*coordinator)(h), coordination.Terms{Address: h.inner, Life: h.life, History: h.settings.Bounds.History})
+	h.coordination = coordination.New((*coordinator)(h), coordination.Terms{Address: h.inner, Life: h.life, History: h.settings.Bounds.WatchHistory})
 	h.groups = &groupHost{h: h}
 	h.coordination.Over(h.groups)
 	if h.own != nil {
@@ -172,9 +172,9 @@
 	me := membership.Node{Name: h.settings.NodeName, Addr: h.inner, Control: h.settings.Bind.Control, Zone: h.settings.Zone,
 		First: h.settings.FirstBoot, Life: h.life}
 	if h.core != nil {
-		me.Disk, me.Founded, me.House = membership.Disk(h.core.me.ID), h.core.p.Founded(), h.core.p.ClusterID()
+		me.Disk, me.Founded, me.House = membership.Disk(h.core.me.ID), h.core.p.Bootstrapped(), h.core.p.ClusterID()
 	}
-	h.roster = membership.New(me, membership.Terms{Seeds: h.innersOf(h.settings.SeedAddrs), Tolerates: h.settings.Tolerates.Machines,
+	h.roster = membership.New(me, membership.Terms{Seeds: h.innersOf(h.settings.SeedAddrs), Tolerates: h.settings.Tolerance.Machines,
 		ClusterID: func(f []membership.Founder) uint64 { return replication.ClusterIDOf(membersOf(f)) }}, h.e.Now())
 	h.known.at, h.beganAt, h.clock = -never, h.e.Now(), replication.NewClock(h.life)
 	return nil
--- a/internal/gateway/node/node_test.go
+++ b/internal/gateway/node/node_test.go
@@ -47,9 +47,9 @@
 	var seeds []string
 	for i := range n {
 		ip := fmt.Sprintf("127.%d.%d.%d", 2+os.Getpid()>>8&127, os.Getpid()&255, 11+i)
-		s := &settings.Settings{NodeName: fmt.Sprint("node-", i), IP: ip, Zone: "z", InnerPorts: [2]int{17560, 17575},
+		s := &settings.Settings{NodeName: fmt.Sprint("node-", i), IPAddress: ip, Zone: "z", InnerPorts: [2]int{17560, 17575},
 			Bind: settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"}, FirstBoot: true,
-			BeatInterval: time.Hour, Tolerates: settings.Tolerates{Machines: 1}, Bounds: settings.Usual()}
+			HeartbeatInterval: time.Hour, Tolerance: settings.Tolerance{Machines: 1}, Bounds: settings.DefaultBounds()}
 		if i < 3 {
 			s.DataDir = t.TempDir()
 			seeds = append(seeds, s.Bind.Control)
@@ -233,7 +233,7 @@
 	must.Eq(t, was.Slot, d.status(0).Slot)
 	must.Eq(t, was.Core.Me, d.status(0).Core.Me)
 	must.EqJSON(t, config(30, 21), d.settles(0, 200, "GET", read, ""))
-	must.NoError(t, os.Remove(filepath.Join(d.settings[1].DataDir, logstore.Name))) // this one has lost its disk
+	must.NoError(t, os.Remove(filepath.Join(d.settings[1].DataDir, logstore.FileName))) // this one has lost its disk
 	d.start(1)
 	for i := range 3 {
 		d.until("to be let in, as all know", func() bool {
--- a/internal/gateway/node/oldstate_test.go
+++ b/internal/gateway/node/oldstate_test.go
@@ -22,10 +22,10 @@
 			followers: map[string]*follower{}, echoes: map[string]echo{}, beganAt: clock.now, applied: 5}
 		h.roster = membership.New(membership.Node{Name: "a", Addr: addr, Disk: 1}, membership.Terms{}, clock.now)
 		h.groups = &groupHost{h: h}
-		kept := replication.Kept{Me: 1, House: 1, Promise: 1, Delivered: 5,
-			Snap: replication.Snapshot{Index: 5, View: 1, Members: members, State: state}}
+		kept := replication.PersistentState{ID: 1, ClusterID: 1, Term: 1, Commit: 5,
+			Snapshot: replication.Snapshot{Index: 5, View: 1, Members: members, State: state}}
 		h.core = &core{hears: map[string]hearsWith{}, replicaHost: replicaHost{h: h, me: members[0],
-			p: replication.New(members[0], kept, replication.DefaultTerms(), 1, clock.now)}}
+			p: replication.New(members[0], kept, replication.DefaultConfig(), 1, clock.now)}}
 		return h, out, func(at time.Duration) (bytes int) { // that a follower is sent which asks then
 			clock.now = time.Minute + at
 			delete(out.frames, asker)
@@ -44,19 +44,19 @@
 	_, _, asks := made(make([]byte, 1<<20), all...)
 	must.Eq(t, 0, asks(0))
 	must.Eq(t, 0, asks(oldStateFor-1))
-	must.Eq(t, feedTerms.Window, asks(oldStateFor))
+	must.Eq(t, feedTerms.MaxInflightBytes, asks(oldStateFor))
 	_, _, asks = made(make([]byte, 1000), all...) // what is small goes at once
 	must.Eq(t, 1000, asks(0))
 
 	h, _, asks := made(make([]byte, 1<<20), all[0]) // it is a majority by itself
 	must.Eq(t, 0, asks(0))
 	for at := time.Duration(0); at < oldStateFor-lookEvery; at += lookEvery {
-		h.core.p.Now(time.Minute + at)
+		h.core.p.Tick(time.Minute + at)
 		for a, ok := h.core.p.Next(); ok; a, ok = h.core.p.Next() {
 			if w, ok := a.(replication.Write); ok {
-				h.core.p.Synced(w.Nr)
+				h.core.p.Synced(w.Seq)
 			}
 		}
 	}
-	must.Eq(t, feedTerms.Window, asks(oldStateFor-lookEvery))
+	must.Eq(t, feedTerms.MaxInflightBytes, asks(oldStateFor-lookEvery))
 }
--- a/internal/gateway/node/orders.go
+++ b/internal/gateway/node/orders.go
@@ -31,19 +31,19 @@
 	}
 	body := e.Word()
 	if dry {
-		if v, err := h.machine.Decide(statemachine.Rollout, body); v != routing.Taken {
+		if v, err := h.machine.Decide(statemachine.KindRollout, body); v != routing.Taken {
 			then(answerOf(v, err))
 			return
 		}
 		then(200, text(h.wouldBe(e)))
 		return
 	}
-	if v, err, final := h.machine.Final(statemachine.Rollout, body); final {
+	if v, err, final := h.machine.DecideFinal(statemachine.KindRollout, body); final {
 		status, answer := answerOf(v, err)
-		then(status, h.worded(statemachine.Rollout, body, status, answer))
+		then(status, h.worded(statemachine.KindRollout, body, status, answer))
 		return
 	}
-	h.ask(statemachine.Rollout, body, 0, then)
+	h.ask(statemachine.KindRollout, body, 0, then)
 }
 
 // knows tells what an order names that this node does not know. Zones are those of nodes.
@@ -101,7 +101,7 @@
 
 // worded gives the answer to a call that was taken, where it has one.
 func (h *Node) worded(k statemachine.Kind, body []byte, status int, answer []byte) []byte {
-	if k != statemachine.Rollout || status != 200 {
+	if k != statemachine.KindRollout || status != 200 {
 		return answer
 	}
 	e, err := rollout.ReadEntry(body)
--- a/internal/gateway/node/parts.go
+++ b/internal/gateway/node/parts.go
@@ -44,13 +44,13 @@
 	part  Part // without a chunk
 	nr    uint32
 	until time.Duration
-	out   replication.Outgoing
+	out   replication.BlobSender
 	all   bool // the last chunk was sent: the other one may have all of it
 }
 
 // assembly is what one node has sent of a large call or answer.
 type assembly struct {
-	in    replication.Incoming
+	in    replication.BlobReceiver
 	at    time.Duration
 	call  Part              // the last call that was whole
 	id    replication.Chunk // and its body, kept so that the same again need not come again
@@ -70,26 +70,26 @@
 
 // sendCall sends a call, nr of this node's own; false if it can't be on its way.
 func (h *Node) sendCall(to string, nr uint32, c *Call, until time.Duration) bool {
-	if len(c.Body) <= feedTerms.Window || !h.parts.takes[to] {
+	if len(c.Body) <= feedTerms.MaxInflightBytes || !h.parts.takes[to] {
 		h.links.Send(to, &Frame{Call: c})
 		return true
 	}
 	head := *c
 	head.Body = nil
 	return h.transfer(to, &transfer{part: Part{Call: &head}, nr: nr, until: until,
-		out: replication.Outgoing{Blob: replication.NewBlob(uint64(c.Kind), 0, c.Body)}})
+		out: replication.BlobSender{Blob: replication.NewBlob(uint64(c.Kind), 0, c.Body)}})
 }
 
 // sendReply sends an answer. One that can't be sent is as one that was lost: the asker's time ends its call.
 func (h *Node) sendReply(to string, r *Reply) {
-	if len(r.Body) <= feedTerms.Window || !h.parts.takes[to] {
+	if len(r.Body) <= feedTerms.MaxInflightBytes || !h.parts.takes[to] {
 		h.links.Send(to, &Frame{Reply: r})
 		return
 	}
 	head := *r
 	head.Body = nil
 	h.transfer(to, &transfer{part: Part{Reply: &head}, until: h.e.Now() + callFor,
-		out: replication.Outgoing{Blob: replication.NewBlob(uint64(r.Status), 1, r.Body)}})
+		out: replication.BlobSender{Blob: replication.NewBlob(uint64(r.Status), 1, r.Body)}})
 }
 
 func (h *Node) transfer(to string, t *transfer) bool {
@@ -104,7 +104,7 @@
 // sendParts sends a node what may be in flight to it: of one transfer after the other.
 func (h *Node) sendParts(to string) {
 	now, queue := h.e.Now(), h.parts.out[to]
-	for len(queue) > 0 && (queue[0].out.Acked() || now >= queue[0].until) {
+	for len(queue) > 0 && (queue[0].out.Complete() || now >= queue[0].until) {
 		queue = queue[1:]
 	}
 	if len(queue) == 0 {
@@ -113,7 +113,7 @@
 	}
 	h.parts.out[to] = queue
 	t := queue[0]
-	for c := t.out.Next(&feedTerms, now); c != nil; c = t.out.Next(&feedTerms, now) {
+	for c := t.out.NextChunk(&feedTerms, now); c != nil; c = t.out.NextChunk(&feedTerms, now) {
 		part := t.part
 		part.Chunk = c
 		t.all = t.all || c.Offset+uint64(len(c.Data)) == c.Size
@@ -169,7 +169,7 @@
 
 // takePart puts a chunk to what has come before; it gives the whole once it is.
 func (h *Node) takePart(from string, p *Part) []byte {
-	whole, part := h.assembly(from).in.Take(p.Chunk)
+	whole, part := h.assembly(from).in.Receive(p.Chunk)
 	if whole != nil || part != nil {
 		h.had(from, p, part)
 	}
--- a/internal/gateway/node/parts_test.go
+++ b/internal/gateway/node/parts_test.go
@@ -93,8 +93,8 @@
 func (w *wire) passOn(body []byte, then func(int, []byte)) uint32 {
 	w.a.callNr++
 	nr, until := w.a.callNr, w.clock.now+callFor
-	w.a.calls[nr] = &call{kind: statemachine.Replace, body: body, until: until, sent: wireB, asked: []string{wireB}, then: then}
-	must.True(w.t, w.a.sendCall(wireB, nr, &Call{Asker: w.a.life, Nr: nr, Kind: statemachine.Replace, Body: body, Hops: 1}, until))
+	w.a.calls[nr] = &call{kind: statemachine.KindReplaceConfig, body: body, until: until, sent: wireB, asked: []string{wireB}, then: then}
+	must.True(w.t, w.a.sendCall(wireB, nr, &Call{Asker: w.a.life, Nr: nr, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}, until))
 	return nr
 }
 
@@ -130,7 +130,7 @@
 		}
 		must.MapLen(t, 1, w.b.calls)
 		must.True(t, bytes.Equal(body, w.b.calls[1].body))
-		must.LessEq(t, feedTerms.Window, w.most)
+		must.LessEq(t, feedTerms.MaxInflightBytes, w.most)
 		w.b.end(1, 200, body)
 		for _, c := range w.b.parts.out[wireA] {
 			c.until = never
@@ -139,7 +139,7 @@
 			w.run(1, func(int) bool { return lose(i) })
 		}
 		must.True(t, bytes.Equal(body, answer))
-		must.LessEq(t, feedTerms.Window, w.most)
+		must.LessEq(t, feedTerms.MaxInflightBytes, w.most)
 		w.run(200, keepAll)
 		must.MapEmpty(t, w.a.parts.out)
 		must.MapEmpty(t, w.b.parts.out)
@@ -164,7 +164,7 @@
 	nr = w.passOn(body, then)
 	w.run(400, keepAll)
 	must.MapLen(t, 1, w.b.calls)
-	must.Less(t, len(body)-before+3*feedTerms.Window, w.carried-before)
+	must.Less(t, len(body)-before+3*feedTerms.MaxInflightBytes, w.carried-before)
 	w.a.Down(wireB)
 	w.a.end(nr, 503, nil)
 	must.Eq(t, controlapi.Unclear, status)
@@ -184,7 +184,7 @@
 func TestLargeCallsAreBounded(t *testing.T) {
 	w := newWire(t)
 	chunk := func(size uint64) *Part {
-		return &Part{Call: &Call{Asker: 1, Nr: 1, Kind: statemachine.Replace},
+		return &Part{Call: &Call{Asker: 1, Nr: 1, Kind: statemachine.KindReplaceConfig},
 			Chunk: &replication.Chunk{Index: 1, Size: size, Data: make([]byte, 8<<10)}}
 	}
 	w.b.partHeard(wireA, chunk(partSize+1))
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -53,8 +53,8 @@
 		h.found(f.Found)
 	case f.Core != nil && h.core != nil:
 		h.core.lineHeard(from, f.Core)
-		h.core.p.Now(h.e.Now())
-		h.core.p.Heard(f.Core.From, f.Core.Message)
+		h.core.p.Tick(h.e.Now())
+		h.core.p.Step(f.Core.From, f.Core.Message)
 	case f.Groups != nil && h.core != nil:
 		h.groups.heard(f.Groups)
 	case f.Board != nil && h.registry != nil:
@@ -131,7 +131,7 @@
 	if h.core == nil || d.Founded || d.Disk == 0 {
 		return
 	}
-	founders := h.core.p.Founders()
+	founders := h.core.p.BootstrapMembers()
 	for _, m := range founders {
 		if m.ID == replication.MemberID(d.Disk) && h.roster.Spreads(h.core.p.ClusterID(), addr) {
 			h.links.Send(addr, &Frame{Found: founders})
@@ -142,14 +142,14 @@
 // layAside empties a disk that holds the word of a founding and nothing else, where another disk lies at the place of each other
 // founder: what that founding ever took is gone with those, and this one, waiting for them, would keep all from beginning anew.
 func (c *core) layAside() {
-	founders := c.p.Founders()
+	founders := c.p.BootstrapMembers()
 	for _, m := range founders {
 		if d, ok := c.h.roster.Node(m.Addr); m.ID != c.me.ID && (!ok || !c.h.roster.Live(m.Addr) || d.Disk == 0 || d.Founded ||
 			replication.MemberID(d.Disk) == m.ID || c.h.addrOf(replication.Member{ID: m.ID}) != "") {
 			return
 		}
 	}
-	if len(founders) > 1 && c.p.LayAside() {
+	if len(founders) > 1 && c.p.DiscardBootstrap() {
 		c.h.say(corePart, "the founding of %d nodes that this disk holds alone is laid aside", len(founders))
 	}
 }
@@ -159,7 +159,7 @@
 	if h.core == nil {
 		return
 	}
-	if err := h.core.p.Found(members); err != nil {
+	if err := h.core.p.Bootstrap(members); err != nil {
 		h.say(corePart, "founding passed over: %v", err)
 		return
 	}
@@ -219,7 +219,7 @@
 	}
 	order := h.roster.Order()
 	if h.registry == nil {
-		h.registry = registry.New(registry.Slot(me), registry.Terms{BeatInterval: h.settings.BeatInterval,
+		h.registry = registry.New(registry.Slot(me), registry.Terms{BeatInterval: h.settings.HeartbeatInterval,
 			Enough: h.enoughCopies(), Life: uint32(h.life)}, h.e.Now())
 		h.say(nodePart, "has slot %d of %d", me, len(order))
 		if h.core != nil {
@@ -270,7 +270,7 @@
 	if h.fault == endsAlone {
 		return 0
 	}
-	return h.settings.Tolerates.Machines + 1
+	return h.settings.Tolerance.Machines + 1
 }
 
 // datagramAddr is where a node takes datagrams: the port after that of its links.
--- a/internal/gateway/node/replica.go
+++ b/internal/gateway/node/replica.go
@@ -34,7 +34,7 @@
 		}
 		switch a := a.(type) {
 		case replication.Send:
-			r.owner.send(a.To, a.Message)
+			r.owner.send(a.Recipient, a.Message)
 		case replication.Write:
 			r.disk.Put(r.log, a)
 		case replication.Restore:
@@ -45,7 +45,7 @@
 			r.owner.settle(a)
 		case replication.Wake:
 			r.wake++
-			r.h.e.At(a.At, (*replicaAlarm)(r), r.wake)
+			r.h.e.At(a.Deadline, (*replicaAlarm)(r), r.wake)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 // now tells the replica the time, and has it pulled at the end of the turn.
 func (r *replicaHost) now() *replication.Replica {
 	r.due = true
-	r.p.Now(r.h.e.Now())
+	r.p.Tick(r.h.e.Now())
 	return r.p
 }
 
--- a/internal/gateway/node/replies_test.go
+++ b/internal/gateway/node/replies_test.go
@@ -24,7 +24,7 @@
 	d.until("a leader", func() bool {
 		for i := range d.live {
 			d.turn(i, func(h *Node) {
-				if h.core != nil && h.core.p.Leading() {
+				if h.core != nil && h.core.p.IsLeader() {
 					leader = i
 				}
 			})
@@ -73,12 +73,12 @@
 	before, led := uint32(0), true
 	d.turn(leader, func(h *Node) { before = h.callNr })
 	leads := func() bool { // on a machine that is busy it may be lost meanwhile: then this shows nothing
-		d.turn(leader, func(h *Node) { led = led && h.core.p.Leading() })
+		d.turn(leader, func(h *Node) { led = led && h.core.p.IsLeader() })
 		return led
 	}
 	goOn := d.still((leader+1)%3, (leader+2)%3) // nothing is acknowledged now
 	d.turn(3, func(h *Node) {
-		h.ask(statemachine.Replace, []byte(config(8, 7)), 0, func(int, []byte) {})
+		h.ask(statemachine.KindReplaceConfig, []byte(config(8, 7)), 0, func(int, []byte) {})
 		nr = h.callNr
 	})
 	d.until("the call at the leader", func() bool {
@@ -93,7 +93,7 @@
 	})
 	d.turn(3, func(h *Node) {
 		h.callNr = nr - 1
-		h.ask(statemachine.Replace, []byte(config(9, 8)), hopsMost, func(status int, _ []byte) { answer <- status }) // goes nowhere
+		h.ask(statemachine.KindReplaceConfig, []byte(config(9, 8)), hopsMost, func(status int, _ []byte) { answer <- status }) // goes nowhere
 	})
 	goOn()
 	must.Eq(t, 503, <-answer)
@@ -138,7 +138,7 @@
 				from string
 				Reply
 			}{{"x:1", Reply{h.life, a, 200, []byte("a")}}, {"x:1", Reply{h.life, a, 200, []byte("a")}},
-				{"y:1", Reply{h.life, b, 412, []byte("b")}}, {"x:1", Reply{h.life, b, 503, []byte(replication.Unknown.String())}},
+				{"y:1", Reply{h.life, b, 412, []byte("b")}}, {"x:1", Reply{h.life, b, 503, []byte(replication.OutcomeUnknown.String())}},
 				{"x:1", Reply{h.life + 1, b, 200, nil}}, {"z:1", Reply{h.life, b, 200, nil}}, {"y:1", Reply{h.life, b + 1, 200, nil}}}
 			for _, i := range order {
 				h.Heard(all[i].from, &Frame{Reply: &all[i].Reply})
--- a/internal/gateway/node/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -358,7 +358,7 @@
 		case rollout.Propose:
 			e := a.Entry
 			e.At = time.Now().UnixMilli()
-			h.core.propose(statemachine.Rollout, e.Word(), func(status int, body []byte) {
+			h.core.propose(statemachine.KindRollout, e.Word(), func(status int, body []byte) {
 				if status != 200 {
 					h.say(rolloutPart, "%s %d: %s not taken: %s", e.Service, e.Number, e.Verb, body)
 				}
@@ -415,7 +415,7 @@
 // counted is an operator's entry as whoever leads puts it into the log: with what the duty has counted until now. An order that
 // would be taken, but names what is not in the configuration, is refused here, since another node may not know the newest.
 func (h *Node) counted(k statemachine.Kind, body []byte) ([]byte, error) {
-	if k != statemachine.Rollout {
+	if k != statemachine.KindRollout {
 		return body, nil
 	}
 	e, err := rollout.ReadEntry(body)
--- a/internal/gateway/node/rollout_test.go
+++ b/internal/gateway/node/rollout_test.go
@@ -198,7 +198,7 @@
 	d.kill(1)
 	d.until("no word of the core", func() bool {
 		s := d.status(3)
-		return s.StaleMs != nil && *s.StaleMs > d.settings[3].Bounds.Sure().Milliseconds()
+		return s.StaleMs != nil && *s.StaleMs > d.settings[3].Bounds.AuthoritativeMaxAge().Milliseconds()
 	})
 	d.shares(5000)
 	// What was taken already is answered all the same: a caller whose first answer came too late must not wait for ever.
--- a/internal/gateway/node/stage.go
+++ b/internal/gateway/node/stage.go
@@ -49,7 +49,7 @@
 // Change brings a change to whoever leads, unless what is known here settles it for every later state: that it was taken, or that
 // it is wrong in itself. A node that is behind refuses nothing by its own state.
 func (h *Node) Change(kind statemachine.Kind, body []byte, then func(status int, body []byte)) {
-	if v, err, final := h.machine.Final(kind, body); final && (v != routing.Invalid || h.may(deny)) {
+	if v, err, final := h.machine.DecideFinal(kind, body); final && (v != routing.Invalid || h.may(deny)) {
 		then(answerOf(v, err))
 		return
 	}
@@ -161,8 +161,8 @@
 // coreStatus is this node's part in the core.
 func (h *Node) coreStatus() *controlapi.StatusCore {
 	c := h.core.p.Status()
-	s := &controlapi.StatusCore{Me: diskName(c.Me.ID), Role: c.Role, View: c.View, Leader: c.Leader.Addr,
-		Settled: c.Settled, First: c.First, Last: c.Last, Synced: c.Synced, Behind: c.Behind, Waiting: c.Waiting,
+	s := &controlapi.StatusCore{Me: diskName(c.Self.ID), Role: c.Role, View: c.Term, Leader: c.Leader.Addr,
+		Settled: c.MembersCommitted, First: c.FirstIndex, Last: c.LastIndex, Synced: c.SyncedIndex, Behind: c.Uncommitted, Waiting: c.Pending,
 		Members: []controlapi.StatusMember{}}
 	if c.Learner != 0 {
 		s.Learner = diskName(c.Learner)
--- a/internal/gateway/node/wire_test.go
+++ b/internal/gateway/node/wire_test.go
@@ -178,9 +178,9 @@
 
 func wireMessageSet() replication.Message {
 	members := []replication.Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}}
-	return replication.Message{Kind: replication.Append, House: 41, To: 22, View: 12, Index: 15, At: 11, Delivered: 14, Round: 13, Elsewhere: 16,
-		No: true, Entries: []replication.Entry{{Index: 17, View: 12, Kind: replication.Change, Data: []byte("change")},
-			{Index: 18, View: 10, Kind: replication.ConfigChange, Members: members}},
+	return replication.Message{Kind: replication.MsgAppend, House: 41, To: 22, View: 12, Index: 15, At: 11, Delivered: 14, Round: 13, Elsewhere: 16,
+		No: true, Entries: []replication.Entry{{Index: 17, View: 12, Kind: replication.EntryNormal, Data: []byte("change")},
+			{Index: 18, View: 10, Kind: replication.EntryConfigChange, Members: members}},
 		Snap:  &replication.Snapshot{Index: 9, View: 8, Members: members, State: []byte("state")},
 		Chunk: wireChunkSet(50, "chunk of the log"), Chunks: true, Clock: 1234567890, Echo: 987654321, Contact: -2}
 }
@@ -212,7 +212,7 @@
 
 // wireGroupLines are the messages of two groups. Their compact form leaves out Clock, Echo and Contact.
 func wireGroupLines() []groupLine {
-	first, last := wireMessageSet(), replication.Message{Kind: replication.Ack, House: 42, To: 23, View: 3, Index: 4, Contact: -1}
+	first, last := wireMessageSet(), replication.Message{Kind: replication.MsgAppendAck, House: 42, To: 23, View: 3, Index: 4, Contact: -1}
 	first.Clock, first.Echo, first.Contact = 0, 0, -1
 	return []groupLine{{group: 1, message: first}, {group: groups.Count - 1, message: last}}
 }
--- a/internal/gateway/outlier/settings.go
+++ b/internal/gateway/outlier/settings.go
@@ -10,14 +10,14 @@
 
 // Settings are the operators' word, an entry of the log like any other. Nought is the usual.
 type Settings struct {
-	On          bool          `json:"on"`
-	Routes      []Route       `json:"routes" validate:"max=256,unique=Route,dive"`
-	FloorNumber int           `json:"floor_number" validate:"min=1,max=1000"` // patient: so many stay in service
-	FloorShare  int           `json:"floor_share" validate:"min=10,max=100"`  // in 1/100 of the ready ones, at least
-	AloneShare  int           `json:"alone_share" validate:"min=1,max=50"`    // in 1/100 of a service: by one witness
-	AloneMost   int           `json:"alone_most" validate:"min=1,max=64"`     // of all services
-	Rest        logentry.Span `json:"rest" validate:"min=1000000000,max=600000000000"`
-	ProbeSilent logentry.Span `json:"probe_silent" validate:"min=0"` // 0: none that is in service is probed
+	On          bool              `json:"on"`
+	Routes      []Route           `json:"routes" validate:"max=256,unique=Route,dive"`
+	FloorNumber int               `json:"floor_number" validate:"min=1,max=1000"` // patient: so many stay in service
+	FloorShare  int               `json:"floor_share" validate:"min=10,max=100"`  // in 1/100 of the ready ones, at least
+	AloneShare  int               `json:"alone_share" validate:"min=1,max=50"`    // in 1/100 of a service: by one witness
+	AloneMost   int               `json:"alone_most" validate:"min=1,max=64"`     // of all services
+	Rest        logentry.Duration `json:"rest" validate:"min=1000000000,max=600000000000"`
+	ProbeSilent logentry.Duration `json:"probe_silent" validate:"min=0"` // 0: none that is in service is probed
 }
 
 // Route says how a route's requests judge and are bound, whatever its variant.
@@ -28,7 +28,7 @@
 
 // Usual is what goes where settings do not say.
 func Usual() Settings {
-	return Settings{FloorNumber: 2, FloorShare: 50, AloneShare: 13, AloneMost: 4, Rest: logentry.Span(5 * time.Second)}
+	return Settings{FloorNumber: 2, FloorShare: 50, AloneShare: 13, AloneMost: 4, Rest: logentry.Duration(5 * time.Second)}
 }
 
 // Check fills in what is left out and tells what is wrong, by the name of the field.
@@ -43,7 +43,7 @@
 	if s.Rest == 0 {
 		s.Rest = u.Rest
 	}
-	if err := logentry.Check(s); err != nil {
+	if err := logentry.Validate(s); err != nil {
 		return err
 	}
 	if p := time.Duration(s.ProbeSilent); p > 0 && p < time.Second {
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -172,12 +172,12 @@
 }
 
 // Word encodes an entry for the log.
-func (e *Entry) Word() []byte { return logentry.Pack(e) }
+func (e *Entry) Word() []byte { return logentry.Encode(e) }
 
 // ReadEntry decodes one.
 func ReadEntry(b []byte) (*Entry, error) {
 	e := new(Entry)
-	return e, logentry.Unpack(b, e, "entry of outlier")
+	return e, logentry.Decode(b, e, "entry of outlier")
 }
 
 func conflict(f string, a ...any) (routing.Verdict, error) {
@@ -295,7 +295,7 @@
 func (s *State) refute(w Slot) {
 	n := s.refuted(w) + 1
 	s.kept.Trust = slices.DeleteFunc(s.kept.Trust, func(t Trust) bool { return t.Seat == w })
-	s.kept.Trust = logentry.Keep(append(s.kept.Trust, Trust{w, n, s.Rev}), trustMost)
+	s.kept.Trust = logentry.KeepLast(append(s.kept.Trust, Trust{w, n, s.Rev}), trustMost)
 }
 
 // oldestFree is the case to drop where there is no room; -1: none.
@@ -317,7 +317,7 @@
 	s.Rev++
 	s.Fence = max(s.Fence, e.Fence)
 	if e.Mark != "" {
-		s.Marks = logentry.Keep(append(s.Marks, e.Mark), marksMost)
+		s.Marks = logentry.KeepLast(append(s.Marks, e.Mark), marksMost)
 	}
 	step := Free
 	switch e.Verb {
@@ -344,7 +344,7 @@
 			c.Falls = 0
 		}
 	}
-	s.kept.Past = logentry.Keep(append(s.kept.Past, Past{e.Verb, e.Key, step, e.By, e.At, e.Why, e.Witnesses}), pastMost)
+	s.kept.Past = logentry.KeepLast(append(s.kept.Past, Past{e.Verb, e.Key, step, e.By, e.At, e.Why, e.Witnesses}), pastMost)
 	return routing.Taken, nil
 }
 
@@ -365,7 +365,7 @@
 }
 
 // Snapshot is the whole state as bytes.
-func (s *State) Snapshot() []byte { return logentry.Pack(s.kept) }
+func (s *State) Snapshot() []byte { return logentry.Encode(s.kept) }
 
 // Restore reads one; nothing at all is the state before the first entry.
 func Restore(b []byte) (*State, error) {
@@ -374,5 +374,5 @@
 		return s, nil
 	}
 	s.kept = kept{}
-	return s, logentry.Unpack(b, &s.kept, "snapshot of outlier")
+	return s, logentry.Decode(b, &s.kept, "snapshot of outlier")
 }
--- a/internal/gateway/replication/chunk_test.go
+++ b/internal/gateway/replication/chunk_test.go
@@ -13,36 +13,36 @@
 	w.heartbeat(0)
 	for n := 0; n < most; n++ {
 		if n < 40 {
-			w.places[0].p.Propose(1, []byte("x"))
-			w.pull(0)
+			w.members[0].replica.Propose(1, []byte("x"))
+			w.drainActions(0)
 		}
 		reached := false
-		for i := 0; i < len(w.flight); {
-			m := w.flight[i]
-			if far := m.s.To.ID == 3 || m.from == 3; far && reached {
+		for i := 0; i < len(w.inflight); {
+			m := w.inflight[i]
+			if far := m.sent.Recipient.ID == 3 || m.from == 3; far && reached {
 				i++
 				continue
 			} else if far {
 				reached = true
-				if m.s.To.ID == 3 {
-					bytes += carried(m.s.Message)
+				if m.sent.Recipient.ID == 3 {
+					bytes += payloadBytes(m.sent.Message)
 				}
 			}
-			before := w.places[2].p.snap.Index
-			w.arrive(i)
-			if after := w.places[2].p.snap.Index; after != before {
+			before := w.members[2].replica.snapshot.Index
+			w.deliver(i)
+			if after := w.members[2].replica.snapshot.Index; after != before {
 				restores++
 			}
-			w.syncs(0, 1, 2)
+			w.syncAll(0, 1, 2)
 			i = 0
 		}
 		w.compact(0)
 		w.compact(1)
-		w.syncs(0, 1)
+		w.syncAll(0, 1)
 		if !reached {
 			w.heartbeat(0)
 		}
-		if w.places[2].p.synced == w.places[0].p.last() && n >= 40 {
+		if w.members[2].replica.syncedIndex == w.members[0].replica.lastIndex() && n >= 40 {
 			return bytes, restores, true
 		}
 	}
@@ -51,65 +51,65 @@
 
 // Changes that go on while a member is sent a snapshot neither replace it nor make it go anew: it is sent once, and the changes
 // after it follow. Without that, each compaction made the next snapshot whole: with one a message, it was never level.
-func TestSnapshotUnderWayIsKept(t *testing.T) {
+func TestSnapshotInTransferIsKept(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
-	w := newCluster(3, 0, sound, budget{}).inChunks().changes(state...)
+	w := newCluster(3, 0, sound, stepBudget{}).inChunks().commitOnTwo(state...)
 	bytes, restores, level := rejoin(w, 400)
-	must.Eq(t, "", w.wrong)
+	must.Eq(t, "", w.violation)
 	must.True(t, level)
 	must.Eq(t, 1, restores)
 	must.LessEq(t, len(state)+2*40, bytes) // the snapshot once, a change at most twice
-	w = newCluster(3, 0, unpinned, budget{}).inChunks().changes(state...)
+	w = newCluster(3, 0, unpinned, stepBudget{}).inChunks().commitOnTwo(state...)
 	bytes, _, level = rejoin(w, 400)
 	must.True(t, !level || bytes > 2*len(state)+2*40, must.Sprint("the fault is not seen"))
 }
 
 // Who has the newest log and can't send it in a message asks for the next view itself: a large tail would hold up the link for
 // as long as it takes, and one with an old log never leads.
-func TestLargeTailLeadsItself(t *testing.T) {
-	w := newCluster(3, 0, sound, budget{}).inChunks().changes("a", "b", "c")
-	w.places[2].p.prepare(true)
-	w.pull(2)
+func TestMemberWithLargeTailStartsElection(t *testing.T) {
+	w := newCluster(3, 0, sound, stepBudget{}).inChunks().commitOnTwo("a", "b", "c")
+	w.members[2].replica.startElection(true)
+	w.drainActions(2)
 	for range 2 { // the promise, then the wish for its log
-		w.syncs(2)
-		w.among([]int{2}, []int{1})
-		w.syncs(1)
-		w.among([]int{1}, []int{2})
+		w.syncAll(2)
+		w.deliverAmong([]int{2}, []int{1})
+		w.syncAll(1)
+		w.deliverAmong([]int{1}, []int{2})
 	}
-	must.Eq(t, preparing, w.places[1].p.role)
-	w.settle()
-	must.Eq(t, leading, w.places[1].p.role)
+	must.Eq(t, roleCandidate, w.members[1].replica.role)
+	w.deliverAll()
+	must.Eq(t, roleLeader, w.members[1].replica.role)
 	for range 9 {
 		w.heartbeat(1)
-		w.settle()
+		w.deliverAll()
 	}
-	must.Eq(t, "", w.wrong)
-	must.Eq(t, w.places[1].p.last(), w.places[2].p.synced)
+	must.Eq(t, "", w.violation)
+	must.Eq(t, w.members[1].replica.lastIndex(), w.members[2].replica.syncedIndex)
 }
 
 // What is kept for members is bounded: as many bytes as a new snapshot would be, one pinned snapshot for all, and one more.
-func TestWhatIsKeptIsBounded(t *testing.T) {
-	w := newCluster(3, 0, sound, budget{}).inChunks()
-	p := w.places[0].p
+func TestTrailingLogIsBounded(t *testing.T) {
+	w := newCluster(3, 0, sound, stepBudget{}).inChunks()
+	p := w.members[0].replica
 	for range 300 {
 		p.Propose(1, make([]byte, 1<<10))
-		w.pull(0)
-		w.settle()
+		w.drainActions(0)
+		w.deliverAll()
 		w.heartbeat(0)
-		w.settle()
-		p.Compact(p.committed, make([]byte, 100<<10))
+		w.deliverAll()
+		p.Compact(p.commitIndex, make([]byte, 100<<10))
 		size := 0
-		for i := range p.trail {
-			size += p.trail[i].size()
+		for i := range p.trailing {
+			size += p.trailing[i].size()
 		}
 		must.LessEq(t, 100<<10, size)
 	}
-	must.Greater(t, 64, len(p.trail))
-	_, known := p.viewAt(p.First() - 1) // else who lacks just what is kept was refused each message, until it was compacted away
+	must.Greater(t, 64, len(p.trailing))
+	_, known := p.termAt(p.FirstIndex() - 1) // else who lacks just what is kept was refused each message, until it was compacted away
 	must.True(t, known)
 	old := func(i uint64) *Blob { return NewBlob(i, 1, []byte{1}) }
-	a, b := old(p.First()), old(p.First()+1)
-	must.Eq(t, a, p.Pinned(3, []*Blob{a, b}))                     // the log goes on after it
-	must.Eq(t, p.snapBlob(), p.Pinned(3, []*Blob{old(1), a}[:1])) // not after that one
-	must.Nil(t, p.Pinned(p.First(), []*Blob{old(1), old(2)}))
+	a, b := old(p.FirstIndex()), old(p.FirstIndex()+1)
+	must.Eq(t, a, p.BlobToSend(3, []*Blob{a, b}))                               // the log goes on after it
+	must.Eq(t, p.latestSnapshotBlob(), p.BlobToSend(3, []*Blob{old(1), a}[:1])) // not after that one
+	must.Nil(t, p.BlobToSend(p.FirstIndex(), []*Blob{old(1), old(2)}))
 }
--- a/internal/gateway/replication/codec.go
+++ b/internal/gateway/replication/codec.go
@@ -9,20 +9,20 @@
 
 // The coordination groups' messages in a compact form: most are heartbeats and single entries, which gob would carry in three times the
 // bytes. Numbers are varints; a mask tells which fields follow. Contact, with its clocks, is not carried: nothing goes by it there
-// (see tellsContact).
+// (see reportsContact).
 
 // fields of a message that are there, as bits.
 const (
 	hasIndex = 1 << iota
-	hasAt
-	hasDelivered
-	hasRound
-	hasElsewhere
-	isNo
+	hasLogTerm
+	hasCommit
+	hasSeq
+	hasReplicatedElsewhere
+	isRejection
 	hasEntries
-	hasSnap
+	hasSnapshot
 	hasChunk
-	takesChunks
+	acceptsChunks
 )
 
 // AppendMessage adds a message's compact form.
@@ -35,15 +35,15 @@
 	}
 	numbers := []struct {
 		bit, value uint64
-	}{{hasIndex, m.Index}, {hasAt, m.At}, {hasDelivered, m.Delivered}, {hasRound, m.Round}, {hasElsewhere, m.Elsewhere}}
+	}{{hasIndex, m.Index}, {hasLogTerm, m.At}, {hasCommit, m.Delivered}, {hasSeq, m.Round}, {hasReplicatedElsewhere, m.Elsewhere}}
 	for _, n := range numbers {
 		set(n.bit, n.value != 0)
 	}
-	set(isNo, m.No)
+	set(isRejection, m.No)
 	set(hasEntries, len(m.Entries) > 0)
-	set(hasSnap, m.Snap != nil)
+	set(hasSnapshot, m.Snap != nil)
 	set(hasChunk, m.Chunk != nil)
-	set(takesChunks, m.Chunks)
+	set(acceptsChunks, m.Chunks)
 	b = append(b, byte(m.Kind))
 	for _, n := range []uint64{mask, m.House, uint64(m.To), m.View} {
 		b = binary.AppendUvarint(b, n)
@@ -89,94 +89,94 @@
 	return append(binary.AppendUvarint(b, uint64(len(data))), data...)
 }
 
-// errShort is of a message that ends too early, or names more than there is.
-var errShort = errors.New("message cut short")
+// ErrTruncatedMessage is of a message that ends too early, or names more than there is.
+var ErrTruncatedMessage = errors.New("message cut short")
 
-// ReadMessage reads one, and gives what follows it. What it gives shares nothing with b.
-func ReadMessage(b []byte) (m Message, rest []byte, err error) {
-	r := reader{b: b}
+// DecodeMessage reads one, and gives what follows it. What it gives shares nothing with b.
+func DecodeMessage(b []byte) (m Message, rest []byte, err error) {
+	r := messageReader{rest: b}
 	m.Kind = MessageKind(r.byte())
-	mask := r.number()
-	m.House, m.To, m.View, m.Contact = r.number(), MemberID(r.number()), r.number(), -1
+	mask := r.uvarint()
+	m.House, m.To, m.View, m.Contact = r.uvarint(), MemberID(r.uvarint()), r.uvarint(), -1
 	for _, n := range []struct {
 		bit uint64
 		to  *uint64
-	}{{hasIndex, &m.Index}, {hasAt, &m.At}, {hasDelivered, &m.Delivered}, {hasRound, &m.Round}, {hasElsewhere, &m.Elsewhere}} {
+	}{{hasIndex, &m.Index}, {hasLogTerm, &m.At}, {hasCommit, &m.Delivered}, {hasSeq, &m.Round}, {hasReplicatedElsewhere, &m.Elsewhere}} {
 		if mask&n.bit != 0 {
-			*n.to = r.number()
+			*n.to = r.uvarint()
 		}
 	}
-	m.No, m.Chunks = mask&isNo != 0, mask&takesChunks != 0
+	m.No, m.Chunks = mask&isRejection != 0, mask&acceptsChunks != 0
 	if mask&hasEntries != 0 {
 		for range r.count() {
-			m.Entries = append(m.Entries, Entry{Index: r.number(), View: r.number(), Kind: EntryKind(r.byte()), Data: r.bytes(), Members: r.members()})
+			m.Entries = append(m.Entries, Entry{Index: r.uvarint(), View: r.uvarint(), Kind: EntryKind(r.byte()), Data: r.bytes(), Members: r.members()})
 		}
 	}
-	if mask&hasSnap != 0 {
-		m.Snap = &Snapshot{Index: r.number(), View: r.number(), Members: r.members(), State: r.bytes()}
+	if mask&hasSnapshot != 0 {
+		m.Snap = &Snapshot{Index: r.uvarint(), View: r.uvarint(), Members: r.members(), State: r.bytes()}
 	}
 	if mask&hasChunk != 0 {
-		m.Chunk = &Chunk{Index: r.number(), View: r.number(), Sum: r.number(), Size: r.number(), Offset: r.number(), Data: r.bytes()}
+		m.Chunk = &Chunk{Index: r.uvarint(), View: r.uvarint(), Sum: r.uvarint(), Size: r.uvarint(), Offset: r.uvarint(), Data: r.bytes()}
 	}
-	if r.short {
-		return Message{}, nil, errShort
+	if r.truncated {
+		return Message{}, nil, ErrTruncatedMessage
 	}
-	return m, r.b, nil
+	return m, r.rest, nil
 }
 
-// reader reads what is there, and notes if it is not enough.
-type reader struct {
-	b     []byte
-	short bool
+// messageReader reads what is there, and notes if it is not enough.
+type messageReader struct {
+	rest      []byte
+	truncated bool
 }
 
-func (r *reader) fail() {
-	r.b, r.short = nil, true
+func (r *messageReader) fail() {
+	r.rest, r.truncated = nil, true
 }
 
-func (r *reader) byte() byte {
-	if len(r.b) == 0 {
+func (r *messageReader) byte() byte {
+	if len(r.rest) == 0 {
 		r.fail()
 		return 0
 	}
-	c := r.b[0]
-	r.b = r.b[1:]
+	c := r.rest[0]
+	r.rest = r.rest[1:]
 	return c
 }
 
-func (r *reader) number() uint64 {
-	n, size := binary.Uvarint(r.b)
+func (r *messageReader) uvarint() uint64 {
+	n, size := binary.Uvarint(r.rest)
 	if size <= 0 {
 		r.fail()
 		return 0
 	}
-	r.b = r.b[size:]
+	r.rest = r.rest[size:]
 	return n
 }
 
 // count is a number of things of which each takes a byte at the least.
-func (r *reader) count() int {
-	n := r.number()
-	if n > uint64(len(r.b)) {
+func (r *messageReader) count() int {
+	n := r.uvarint()
+	if n > uint64(len(r.rest)) {
 		r.fail()
 		return 0
 	}
 	return int(n)
 }
 
-func (r *reader) bytes() []byte {
+func (r *messageReader) bytes() []byte {
 	n := r.count()
 	if n == 0 {
 		return nil
 	}
-	data := bytes.Clone(r.b[:n])
-	r.b = r.b[n:]
+	data := bytes.Clone(r.rest[:n])
+	r.rest = r.rest[n:]
 	return data
 }
 
-func (r *reader) members() (list []Member) {
+func (r *messageReader) members() (list []Member) {
 	for range r.count() {
-		list = append(list, Member{ID: MemberID(r.number()), Addr: string(r.bytes())})
+		list = append(list, Member{ID: MemberID(r.uvarint()), Addr: string(r.bytes())})
 	}
 	return list
 }
--- a/internal/gateway/replication/codec_bench_test.go
+++ b/internal/gateway/replication/codec_bench_test.go
@@ -10,14 +10,14 @@
 func benchMessages() map[string]Message {
 	members := []Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}, {ID: 23, Addr: "10.0.0.3:7110"}}
 	data := bytes.Repeat([]byte("entry"), 50)
-	head := Message{Kind: Append, House: 41, To: 22, View: 2, Index: 500, At: 2, Delivered: 499, Round: 9, Contact: -1}
+	head := Message{Kind: MsgAppend, House: 41, To: 22, View: 2, Index: 500, At: 2, Delivered: 499, Round: 9, Contact: -1}
 	heartbeat, entries, snapshot := head, head, head
 	for i := range uint64(16) {
-		entries.Entries = append(entries.Entries, Entry{Index: 501 + i, View: 2, Kind: Change, Data: data})
+		entries.Entries = append(entries.Entries, Entry{Index: 501 + i, View: 2, Kind: EntryNormal, Data: data})
 	}
-	entries.Entries = append(entries.Entries, Entry{Index: 517, View: 2, Kind: ConfigChange, Members: members})
+	entries.Entries = append(entries.Entries, Entry{Index: 517, View: 2, Kind: EntryConfigChange, Members: members})
 	snapshot.Snap = &Snapshot{Index: 500, View: 2, Members: members, State: bytes.Repeat(data, 32)}
-	ack := Message{Kind: Ack, House: 41, To: 21, View: 2, Index: 500, Round: 9, Chunks: true, Contact: -1}
+	ack := Message{Kind: MsgAppendAck, House: 41, To: 21, View: 2, Index: 500, Round: 9, Chunks: true, Contact: -1}
 	return map[string]Message{"heartbeat": heartbeat, "entries": entries, "snapshot": snapshot, "ack": ack}
 }
 
@@ -42,7 +42,7 @@
 			b.SetBytes(int64(len(encoded)))
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, _, err := ReadMessage(encoded); err != nil {
+				if _, _, err := DecodeMessage(encoded); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/gateway/replication/contact.go
+++ b/internal/gateway/replication/contact.go
@@ -12,111 +12,111 @@
 // waited while a process stood still, is as old as it is. The clocks of a life begin at a number of its own, so that
 // those of another life match nothing.
 
-// known is what this member has word of: all that was acknowledged before at is committed here, as told in view.
-type known struct {
-	at   time.Duration // before any word: a long time ago
-	view uint64
+// contactState is what this member has word of: all that was acknowledged before at is committed here, as told in view.
+type contactState struct {
+	since time.Duration // before any word: a long time ago
+	term  uint64
 }
 
-const noWord = -never
+const noContact = -never
 
 // Clock is a steady clock as others give it back: in ms, rounded down, from a number by chance on.
-type Clock struct{ from uint32 }
+type Clock struct{ origin uint32 }
 
-// backMost is how old a clock may be that comes back: older ones are no news, and those of another life are all but surely older, or
+// maxStampAge is how old a clock may be that comes back: older ones are no news, and those of another life are all but surely older, or
 // ahead.
-const backMost = 8 * time.Second
+const maxStampAge = 8 * time.Second
 
 // NewClock makes that of a life.
 func NewClock(life uint64) Clock { return Clock{uint32(life * 0x9e3779b97f4a7c15 >> 32)} }
 
-// Tell words a time; never 0.
-func (c Clock) Tell(now time.Duration) uint32 {
-	told := c.from + uint32(now/time.Millisecond)
+// Stamp words a time; never 0.
+func (c Clock) Stamp(now time.Duration) uint32 {
+	told := c.origin + uint32(now/time.Millisecond)
 	if told == 0 {
 		told--
 	}
 	return told
 }
 
-// Back is when it was told, at the earliest.
-func (c Clock) Back(told uint32, now time.Duration) (time.Duration, bool) {
-	since := (time.Duration(c.Tell(now)-told) + 1) * time.Millisecond
-	return now - since, told != 0 && since <= backMost
+// SentAt is when it was told, at the earliest.
+func (c Clock) SentAt(told uint32, now time.Duration) (time.Duration, bool) {
+	since := (time.Duration(c.Stamp(now)-told) + 1) * time.Millisecond
+	return now - since, told != 0 && since <= maxStampAge
 }
 
-// tellsContact: what a node may do goes by the configuration's log alone, and its contact is told by no other.
-func (p *Replica) tellsContact() bool { return p.terms.Log == ConfigurationLog }
+// reportsContact: what a node may do goes by the configuration's log alone, and its contact is told by no other.
+func (p *Replica) reportsContact() bool { return p.config.LogID == ConfigurationLog }
 
-// Contact is how long ago a majority was in contact at the latest, as far as is known here, and the newest view that this is known
+// QuorumContact is how long ago a majority was in contact at the latest, as far as is known here, and the newest view that this is known
 // of; false while there was no word of it in this life.
-func (p *Replica) Contact(now time.Duration) (age time.Duration, view uint64, ok bool) {
-	if p.known.at == noWord {
-		view, _ = p.viewAt(p.committed)
+func (p *Replica) QuorumContact(now time.Duration) (age time.Duration, view uint64, ok bool) {
+	if p.quorumContact.since == noContact {
+		view, _ = p.termAt(p.commitIndex)
 		return never, view, false
 	}
-	return max(now, p.now) - p.known.at, p.known.view, true
+	return max(now, p.now) - p.quorumContact.since, p.quorumContact.term, true
 }
 
-// learnContact goes on to newer word.
-func (p *Replica) learnContact(at time.Duration, view uint64) {
-	if at >= p.known.at {
-		p.known = known{at, max(view, p.known.view)}
+// advanceContact goes on to newer word.
+func (p *Replica) advanceContact(at time.Duration, view uint64) {
+	if at >= p.quorumContact.since {
+		p.quorumContact = contactState{at, max(view, p.quorumContact.term)}
 	}
 }
 
-// answeredClock notes that a member followed this view when the clock that it gives back was told. A node of the version before
+// recordResponseClock notes that a member followed this view when the clock that it gives back was told. A node of the version before
 // tells none: then it is when its answer came.
-func (p *Replica) answeredClock(w *progress, m Message) {
-	at, ok := p.clock.Back(m.Echo, p.now)
+func (p *Replica) recordResponseClock(w *progress, m Message) {
+	at, ok := p.clock.SentAt(m.Echo, p.now)
 	if m.Clock == 0 || p.fault == contactByReceipt {
 		at, ok = p.now, true
 	}
-	w.clock = m.Clock
+	w.lastClock = m.Clock
 	if ok {
-		w.contact = max(w.contact, at)
+		w.contactAt = max(w.contactAt, at)
 	}
 }
 
-// majorityContact is the leader's: the newest of its times since which a majority, of both lists while they change, was in
+// updateQuorumContact is the leader's: the newest of its times since which a majority, of both lists while they change, was in
 // contact. Before an entry of this view is committed, others' entries may be acknowledged and not yet known here to be.
-func (p *Replica) majorityContact() {
-	if p.role != leading || !p.tellsContact() || p.committed < p.noOp && p.fault != contactEarly {
+func (p *Replica) updateQuorumContact() {
+	if p.role != roleLeader || !p.reportsContact() || p.commitIndex < p.termStartIndex && p.fault != contactEarly {
 		return
 	}
 	since := func(t time.Duration) bool {
-		return p.quorum(func(id MemberID) bool { return id == p.me.ID || p.peers[id] != nil && p.peers[id].contact >= t })
+		return p.hasQuorum(func(id MemberID) bool { return id == p.self.ID || p.peers[id] != nil && p.peers[id].contactAt >= t })
 	}
 	if since(p.now) || p.fault == contactLeads {
-		p.learnContact(p.now, p.promise)
+		p.advanceContact(p.now, p.term)
 		return
 	}
 	for _, w := range p.peers {
-		if w.contact > p.known.at && since(w.contact) {
-			p.learnContact(w.contact, p.promise)
+		if w.contactAt > p.quorumContact.since && since(w.contactAt) {
+			p.advanceContact(w.contactAt, p.term)
 		}
 	}
 }
 
-// tellContact puts the leader's word into what it sends.
-func (p *Replica) tellContact(w *progress, m *Message) {
-	if m.Contact = -1; !p.tellsContact() {
+// attachContact puts the leader's word into what it sends.
+func (p *Replica) attachContact(w *progress, m *Message) {
+	if m.Contact = -1; !p.reportsContact() {
 		return
 	}
-	p.majorityContact()
-	m.Clock, m.Echo, m.Contact = p.clock.Tell(p.now), w.clock, -1
-	if age, _, ok := p.Contact(p.now); ok {
+	p.updateQuorumContact()
+	m.Clock, m.Echo, m.Contact = p.clock.Stamp(p.now), w.lastClock, -1
+	if age, _, ok := p.QuorumContact(p.now); ok {
 		m.Contact = int64((age + time.Millisecond - 1) / time.Millisecond)
 	}
 }
 
-// heardContact takes the leader's word, once all that it had committed is committed here.
-func (p *Replica) heardContact(m Message) {
-	at, ok := p.clock.Back(m.Echo, p.now)
+// receiveContact takes the leader's word, once all that it had committed is committed here.
+func (p *Replica) receiveContact(m Message) {
+	at, ok := p.clock.SentAt(m.Echo, p.now)
 	if m.Clock == 0 || p.fault == followByReceipt {
 		at, ok = p.now, true
 	}
-	if ok && m.Contact >= 0 && (p.committed >= m.Delivered || p.fault == contactAhead) {
-		p.learnContact(at-time.Duration(m.Contact)*time.Millisecond, m.View)
+	if ok && m.Contact >= 0 && (p.commitIndex >= m.Delivered || p.fault == contactAhead) {
+		p.advanceContact(at-time.Duration(m.Contact)*time.Millisecond, m.View)
 	}
 }
--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -12,138 +12,138 @@
 // committed here, and no view newer than the one that it names was led by then. A member that stands still says nothing; what
 // it says when it wakes is judged by the time that it is.
 
-// wakes tells a member the time before anything else.
-func (w *cluster) wakes(i int) {
-	if w.timed {
-		w.places[i].p.Now(w.now)
+// tick tells a member the time before anything else.
+func (w *cluster) tick(i int) {
+	if w.judgesContact {
+		w.members[i].replica.Tick(w.now)
 	}
 }
 
-func (w *cluster) judgeContact() {
-	if !w.timed {
+func (w *cluster) checkContact() {
+	if !w.judgesContact {
 		return
 	}
-	for _, s := range w.places {
-		age, view, ok := s.p.Contact(w.now)
+	for _, s := range w.members {
+		age, view, ok := s.replica.QuorumContact(w.now)
 		if !ok {
 			continue
 		}
-		for n, at := range w.ackedAt {
-			if e := w.order[n]; at < w.now-age && e.Index > s.p.committed {
-				w.fail("member %d is in contact since %v in view %d, and lacks %d of %v", s.disk.Me, w.now-age, view, e.Index, at)
+		for n, at := range w.committedAt {
+			if e := w.committed[n]; at < w.now-age && e.Index > s.replica.commitIndex {
+				w.fail("member %d is in contact since %v in view %d, and lacks %d of %v", s.disk.ID, w.now-age, view, e.Index, at)
 			}
 		}
 	}
 }
 
-// timed lets time pass by steps, and by nothing else: nobody asks for a view before an hour of silence.
-func timed(w *cluster) *cluster {
-	for _, s := range w.places {
-		s.p.terms.Patience = time.Hour
+// withClock lets time pass by steps, and by nothing else: nobody asks for a view before an hour of silence.
+func withClock(w *cluster) *cluster {
+	for _, s := range w.members {
+		s.replica.config.ElectionTimeout = time.Hour
 	}
-	w.timed = true
+	w.judgesContact = true
 	for range 2 { // the second brings clocks back
 		w.now += time.Second
 		w.heartbeat(0)
-		w.settle()
+		w.deliverAll()
 	}
 	return w
 }
 
 var contactScenarios = []scenario{
 	{"an old leader, and answers that come late", func(f fault) *cluster {
-		w := timed(newCluster(3, 0, f, budget{changes: 1, beats: 1, ticks: 2}))
+		w := withClock(newCluster(3, 0, f, stepBudget{proposals: 1, heartbeats: 1, ticks: 2}))
 		w.heartbeat(0)
-		w.among([]int{0}, []int{1, 2})
-		late := w.flight
-		w.leads(1, 2)
-		w.only(1, 2)
-		w.syncs(2)
-		w.flight = append(w.flight, late...)
+		w.deliverAmong([]int{0}, []int{1, 2})
+		late := w.inflight
+		w.electAmong(1, 2)
+		w.deliverFromTo(1, 2)
+		w.syncAll(2)
+		w.inflight = append(w.inflight, late...)
 		return w
 	}, []fault{contactByReceipt, contactLeads}},
 	{"a follower, and word that comes late", func(f fault) *cluster {
-		w := timed(newCluster(3, 0, f, budget{changes: 1, ticks: 2}))
+		w := withClock(newCluster(3, 0, f, stepBudget{proposals: 1, ticks: 2}))
 		w.heartbeat(0)
-		late := w.flight
-		w.leads(1, 0)
-		w.only(1, 0)
-		w.syncs(0)
+		late := w.inflight
+		w.electAmong(1, 0)
+		w.deliverFromTo(1, 0)
+		w.syncAll(0)
 		for _, m := range late {
-			if m.s.To.ID == w.places[2].disk.Me {
-				w.flight = append(w.flight, m)
+			if m.sent.Recipient.ID == w.members[2].disk.ID {
+				w.inflight = append(w.inflight, m)
 			}
 		}
 		return w
 	}, []fault{followByReceipt}},
 	{"a new leader that does not know what was acknowledged", func(f fault) *cluster {
-		w := timed(newCluster(3, 0, f, budget{ticks: 1, beats: 1})).propose()
-		w.syncs(0)
-		w.only(0, 1)
-		w.syncs(1)
-		w.only(1, 0) // acknowledged
+		w := withClock(newCluster(3, 0, f, stepBudget{ticks: 1, heartbeats: 1})).propose()
+		w.syncAll(0)
+		w.deliverFromTo(0, 1)
+		w.syncAll(1)
+		w.deliverFromTo(1, 0) // acknowledged
 		w.now += time.Second
-		w.leads(1, 2)
+		w.electAmong(1, 2)
 		return w
 	}, []fault{contactEarly}},
 	{"a follower that lacks some", func(f fault) *cluster {
-		w := timed(newCluster(3, 0, f, budget{ticks: 1, beats: 2})).propose()
-		w.places[0].p.Propose(2, []byte("y"))
-		w.pull(0)
-		w.syncs(0)
-		w.among([]int{0}, []int{1})
-		w.syncs(1)
-		w.among([]int{1}, []int{0})
+		w := withClock(newCluster(3, 0, f, stepBudget{ticks: 1, heartbeats: 2})).propose()
+		w.members[0].replica.Propose(2, []byte("y"))
+		w.drainActions(0)
+		w.syncAll(0)
+		w.deliverAmong([]int{0}, []int{1})
+		w.syncAll(1)
+		w.deliverAmong([]int{1}, []int{0})
 		w.now += time.Second
 		return w
 	}, []fault{contactAhead}},
 	{"a cut, a new view, a change", func(f fault) *cluster {
-		return timed(newCluster(3, 0, f, budget{promises: 1, changes: 1, beats: 1, ticks: 2}))
+		return withClock(newCluster(3, 0, f, stepBudget{elections: 1, proposals: 1, heartbeats: 1, ticks: 2}))
 	}, nil},
 }
 
 func TestContactInAllOrders(t *testing.T) { exploreAll(t, contactScenarios) }
 
-type ack struct {
-	at    time.Duration
+type acknowledgement struct {
+	time  time.Duration
 	index uint64
 }
 
-// waits: what comes to a process that stands still is read when it goes on.
-func (w *walk) waits(d *simNode, act func()) bool {
-	if d.stands <= w.now {
+// deferWhilePaused: what comes to a process that stands still is read when it goes on.
+func (w *walk) deferWhilePaused(d *simNode, act func()) bool {
+	if d.pausedUntil <= w.now {
 		return false
 	}
-	w.at(d.stands-w.now, act)
+	w.after(d.pausedUntil-w.now, act)
 	return true
 }
 
-func (w *walk) judgeContact(i int) {
+func (w *walk) checkContact(i int) {
 	d := w.nodes[i]
-	if d.p.role == leading && w.led[d.p.promise] == 0 {
-		w.led[d.p.promise] = w.now
+	if d.replica.role == roleLeader && w.ledSince[d.replica.term] == 0 {
+		w.ledSince[d.replica.term] = w.now
 	}
-	age, view, ok := d.p.Contact(w.now)
+	age, view, ok := d.replica.QuorumContact(w.now)
 	if !ok {
 		return
 	}
 	since := w.now - age
-	for n := len(w.acks) - 1; n >= 0 && w.acks[n].at >= since-time.Minute; n-- {
-		if a := w.acks[n]; a.at < since && a.index > d.index {
-			w.fail("node %d is in contact since %v, and lacks %d of %v", i, since, a.index, a.at)
+	for n := len(w.acks) - 1; n >= 0 && w.acks[n].time >= since-time.Minute; n-- {
+		if a := w.acks[n]; a.time < since && a.index > d.index {
+			w.fail("node %d is in contact since %v, and lacks %d of %v", i, since, a.index, a.time)
 		}
 	}
-	for v, at := range w.led {
+	for v, at := range w.ledSince {
 		if v > view && at < since {
 			w.fail("node %d is in contact since %v by view %d, and %d was led at %v", i, since, view, v, at)
 		}
 	}
 }
 
-// chills lets processes stand still, and parts leaders from the others one way or both, for up to so long as votes need many times
+// pauseAndPartition lets processes stand still, and parts leaders from the others one way or both, for up to so long as votes need many times
 // over; what stood in a process or on a link comes late.
-func (w *walk) chills() {
-	if w.calm {
+func (w *walk) pauseAndPartition() {
+	if w.faultless {
 		return
 	}
 	i := w.rng.Intn(len(w.nodes))
@@ -152,24 +152,24 @@
 	}
 	switch w.rng.Intn(3) {
 	case 0:
-		w.nodes[i].stands = w.now + w.ms(4000)
+		w.nodes[i].pausedUntil = w.now + w.randomDelay(4000)
 	default:
 		in, out := w.rng.Intn(2) == 0, w.rng.Intn(2) == 0
 		for o := range w.nodes {
 			if in || !out {
-				w.cut[[2]int{o, i}] = true
+				w.partitioned[[2]int{o, i}] = true
 			}
 			if out || !in {
-				w.cut[[2]int{i, o}] = true
+				w.partitioned[[2]int{i, o}] = true
 			}
 		}
-		w.at(w.ms(5000), func() { clear(w.cut) })
+		w.after(w.randomDelay(5000), func() { clear(w.partitioned) })
 	}
-	w.at(w.ms(3000), w.chills)
+	w.after(w.randomDelay(3000), w.pauseAndPartition)
 }
 
 func contactWalk(t *testing.T, seed int64, f fault) *walk {
-	return troubled(t, seed, f, (*walk).chills, 30*time.Second)
+	return walkWithFaults(t, seed, f, (*walk).pauseAndPartition, 30*time.Second)
 }
 
 // Nobody says that its word is newer than it is, whoever stands still or is not heard; ten calm seconds later all
@@ -179,15 +179,15 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := contactWalk(t, seed, sound)
-			must.Eq(t, "", w.wrong)
+			must.Eq(t, "", w.violation)
 			for i, d := range w.nodes {
-				age, _, ok := d.p.Contact(w.now)
-				must.True(t, ok && age < 5*DefaultTerms().Beat, must.Sprintf("node %d: %v %v", i, age, ok))
+				age, _, ok := d.replica.QuorumContact(w.now)
+				must.True(t, ok && age < 5*DefaultConfig().HeartbeatInterval, must.Sprintf("node %d: %v %v", i, age, ok))
 			}
 		})
 	}
 }
 
 func TestContactWalksFindFaults(t *testing.T) {
-	walksFind(t, contactWalk, 200, contactByReceipt, followByReceipt, contactEarly, contactLeads)
+	requireFaultsFound(t, contactWalk, 200, contactByReceipt, followByReceipt, contactEarly, contactLeads)
 }
