--- a/internal/gateway/replication/lead.go
+++ b/internal/gateway/replication/lead.go
@@ -9,18 +9,18 @@
 
 // lead begins the new view.
 func (p *Replica) becomeLeader() {
-	p.role, p.leader, p.begun, p.failedViews = leading, p.me.ID, true, 0
+	p.role, p.leaderID, p.sawLeader, p.failedElections = roleLeader, p.self.ID, true, 0
 	p.peers = map[MemberID]*progress{}
-	p.round, p.reads, p.handingOver, p.successor, p.learner = 0, nil, 0, 0, 0
+	p.readSeq, p.reads, p.transferDeadline, p.transferee, p.learner = 0, nil, 0, 0, 0
 	p.trackMembers()
-	p.noOp = p.appendNew(Entry{Kind: NoOp})
-	p.beatAt = p.now + p.terms.Beat
-	p.advanceCommit()
+	p.termStartIndex = p.appendToOwnTerm(Entry{Kind: EntryNoOp})
+	p.heartbeatAt = p.now + p.config.HeartbeatInterval
+	p.maybeCommit()
 }
 
 // meet keeps a progress for all who count, and the learner.
 func (p *Replica) trackMembers() {
-	others := p.others()
+	others := p.otherMembers()
 	for _, m := range others {
 		if p.peers[m.ID] == nil {
 			p.peers[m.ID] = p.newProgress(m)
@@ -36,41 +36,43 @@
 
 // begin is a progress of which nothing is known yet.
 func (p *Replica) newProgress(m Member) *progress {
-	return &progress{Member: m, next: p.last() + 1, base: p.last(), heard: p.now, snapAt: -never, againAt: -never, contact: noWord}
+	return &progress{Member: m, nextIndex: p.lastIndex() + 1, inflightBase: p.lastIndex(), lastResponseAt: p.now, snapshotSentAt: -never, nextRetryAt: -never, contactAt: noContact}
 }
 
 // add puts a new entry of this view into the log and has it pushed.
-func (p *Replica) appendNew(e Entry) uint64 {
-	e.Index, e.View = p.last()+1, p.promise
+func (p *Replica) appendToOwnTerm(e Entry) uint64 {
+	e.Index, e.View = p.lastIndex()+1, p.term
 	p.appendEntry(e)
-	p.markDirty(e.Index)
-	if e.Kind == ConfigChange {
+	p.markUnwritten(e.Index)
+	if e.Kind == EntryConfigChange {
 		p.trackMembers()
 	}
-	p.flush = true
+	p.replicationPending = true
 	return e.Index
 }
 
 // mayCast: the list may be changed. An entry of this view must have been committed, else a list of another
 // view that is not known here might hold without meeting this one.
-func (p *Replica) mayReconfigure() bool { return p.settled() && p.committed >= p.noOp }
+func (p *Replica) canReconfigure() bool {
+	return p.membersCommitted() && p.commitIndex >= p.termStartIndex
+}
 
 // pushAll sends everyone what is new, and begins a round if reads wait for one.
 func (p *Replica) replicateAll() {
-	if p.role != leading {
+	if p.role != roleLeader {
 		return
 	}
-	for _, w := range p.sorted() {
-		p.replicate(w)
+	for _, w := range p.sortedPeers() {
+		p.replicateTo(w)
 	}
-	if len(p.reads) > 0 && p.roundDone() == p.round && p.newRound() {
-		p.askRound()
+	if len(p.reads) > 0 && p.confirmedReadSeq() == p.readSeq && p.startReadSeq() {
+		p.broadcastReadSeq()
 	}
-	p.advanceCommit() // one member alone has nobody to answer
+	p.maybeCommit() // one member alone has nobody to answer
 }
 
-// sorted are the others in a fixed order: the same inputs must give the same outputs.
-func (p *Replica) sorted() (all []*progress) {
+// sortedPeers are the others in a fixed order: the same inputs must give the same outputs.
+func (p *Replica) sortedPeers() (all []*progress) {
 	for _, w := range p.peers {
 		all = append(all, w)
 	}
@@ -84,33 +86,33 @@
 }
 
 // push sends a member the next it has not been sent.
-func (p *Replica) replicate(w *progress) {
-	if p.fault == unpinned && w.snap != nil && w.snap.Index < p.snap.Index {
-		w.out, w.snap, w.next = Outgoing{}, nil, 0
+func (p *Replica) replicateTo(w *progress) {
+	if p.fault == unpinned && w.transferSnapshot != nil && w.transferSnapshot.Index < p.snapshot.Index {
+		w.transfer, w.transferSnapshot, w.nextIndex = BlobSender{}, nil, 0
 	}
 	switch {
-	case w.out.Blob != nil:
+	case w.transfer.Blob != nil:
 		p.sendChunks(w)
-	case w.next < p.First():
+	case w.nextIndex < p.FirstIndex():
 		p.sendSnapshot(w)
-	case w.next <= p.last():
-		entries, size := p.from(w.next), 0
-		if p.large(len(entries[0].Data)) && (w.chunks || !w.answered) {
-			if e := entries[0]; w.answered {
-				v, _ := p.viewAt(e.Index - 1)
-				w.entry, w.snap, w.prev, w.out = &e, nil, place{v, e.Index - 1}, Outgoing{Blob: NewBlob(e.Index, e.View, e.Data)}
+	case w.nextIndex <= p.lastIndex():
+		entries, size := p.entriesFrom(w.nextIndex), 0
+		if p.needsChunks(len(entries[0].Data)) && (w.acceptsChunks || !w.responded) {
+			if e := entries[0]; w.responded {
+				v, _ := p.termAt(e.Index - 1)
+				w.transferEntry, w.transferSnapshot, w.transferPrev, w.transfer = &e, nil, logPosition{v, e.Index - 1}, BlobSender{Blob: NewBlob(e.Index, e.View, e.Data)}
 				p.sendChunks(w)
 			}
 			return
 		}
-		flying := p.inFlight(w)
+		flying := p.inflightBytes(w)
 		for i, e := range entries {
 			size += e.size()
-			if p.terms.Window > 0 && flying > 0 && flying+size > p.terms.Window || p.large(len(e.Data)) && i > 0 && w.chunks {
+			if p.config.MaxInflightBytes > 0 && flying > 0 && flying+size > p.config.MaxInflightBytes || p.needsChunks(len(e.Data)) && i > 0 && w.acceptsChunks {
 				entries = entries[:i]
 				break
 			}
-			if size > p.terms.Batch && i > 0 {
+			if size > p.config.MaxMessageBytes && i > 0 {
 				entries = entries[:i]
 				break
 			}
@@ -118,94 +120,94 @@
 		if len(entries) == 0 {
 			return
 		}
-		v, _ := p.viewAt(w.next - 1)
-		m := Message{Index: w.next - 1, At: v, Entries: entries}
-		w.next += uint64(len(entries))
-		p.appendTo(w, m)
+		v, _ := p.termAt(w.nextIndex - 1)
+		m := Message{Index: w.nextIndex - 1, At: v, Entries: entries}
+		w.nextIndex += uint64(len(entries))
+		p.sendAppend(w, m)
 	}
 }
 
-// inFlight is how many bytes of entries a member has been sent and not acknowledged.
-func (p *Replica) inFlight(w *progress) (n int) {
-	for i := max(w.match, w.base, p.First()-1) + 1; i < w.next; i++ {
-		if i <= p.snap.Index {
-			n += p.trail[i-p.First()].size()
+// inflightBytes is how many bytes of entries a member has been sent and not acknowledged.
+func (p *Replica) inflightBytes(w *progress) (n int) {
+	for i := max(w.matchIndex, w.inflightBase, p.FirstIndex()-1) + 1; i < w.nextIndex; i++ {
+		if i <= p.snapshot.Index {
+			n += p.trailing[i-p.FirstIndex()].size()
 		} else {
-			n += p.log[i-p.snap.Index-1].size()
+			n += p.log[i-p.snapshot.Index-1].size()
 		}
 	}
 	return n
 }
 
-func (p *Replica) appendTo(w *progress, m Message) {
+func (p *Replica) sendAppend(w *progress, m Message) {
 	if m.Kind == 0 {
-		m.Kind = Append
+		m.Kind = MsgAppend
 	}
-	m.View, m.Delivered, m.Round = p.promise, p.committed, p.round
-	p.tellContact(w, &m)
+	m.View, m.Delivered, m.Round = p.term, p.commitIndex, p.readSeq
+	p.attachContact(w, &m)
 	p.sendTo(w.Member, m)
 }
 
 // beat tells all that the leader is there, and what was committed.
-func (p *Replica) heartbeat() {
-	for _, w := range p.sorted() {
-		p.heartbeatTo(w)
+func (p *Replica) broadcastHeartbeat() {
+	for _, w := range p.sortedPeers() {
+		p.sendHeartbeat(w)
 	}
-	p.beatAt = p.now + p.terms.Beat
+	p.heartbeatAt = p.now + p.config.HeartbeatInterval
 }
 
-// askRound tells a bare majority of the round that reads wait for: those that were heard last. Who of them does not answer is made
+// broadcastReadSeq tells a bare majority of the round that reads wait for: those that were heard last. Who of them does not answer is made
 // up for by the next heartbeat, which goes to all.
-func (p *Replica) askRound() {
-	if !p.terms.Narrow || !p.settled() {
-		p.heartbeat()
+func (p *Replica) broadcastReadSeq() {
+	if !p.config.ReadMinimalQuorum || !p.membersCommitted() {
+		p.broadcastHeartbeat()
 		return
 	}
-	others := slices.DeleteFunc(p.sorted(), func(w *progress) bool { return !p.member(w.ID) })
-	slices.SortStableFunc(others, func(a, b *progress) int { return cmp.Compare(b.heard, a.heard) })
+	others := slices.DeleteFunc(p.sortedPeers(), func(w *progress) bool { return !p.isMember(w.ID) })
+	slices.SortStableFunc(others, func(a, b *progress) int { return cmp.Compare(b.lastResponseAt, a.lastResponseAt) })
 	for _, w := range others[:min(len(others), len(p.Members())/2)] {
-		p.heartbeatTo(w)
+		p.sendHeartbeat(w)
 	}
 }
 
-func (p *Replica) heartbeatTo(w *progress) {
-	prev := w.next - 1
-	v, ok := p.viewAt(prev)
-	if w.out.Blob != nil {
-		prev, v, ok = w.prev.index, w.prev.view, true
+func (p *Replica) sendHeartbeat(w *progress) {
+	prev := w.nextIndex - 1
+	v, ok := p.termAt(prev)
+	if w.transfer.Blob != nil {
+		prev, v, ok = w.transferPrev.index, w.transferPrev.term, true
 	}
 	if !ok {
-		prev, v = p.snap.Index, p.snap.View
+		prev, v = p.snapshot.Index, p.snapshot.View
 	}
 	m := Message{Index: prev, At: v}
-	if p.leaving(w.ID) { // only one that leaves goes by it
-		m.Elsewhere = p.heldWithout(w.ID)
+	if p.isDraining(w.ID) { // only one that leaves goes by it
+		m.Elsewhere = p.replicatedWithout(w.ID)
 	}
-	p.appendTo(w, m)
-	if w.out.Blob != nil {
+	p.sendAppend(w, m)
+	if w.transfer.Blob != nil {
 		p.sendChunks(w) // what was lost
 	}
 }
 
-// heldWithout is up to which index what is committed is on a majority's disks without a member's.
-func (p *Replica) heldWithout(id MemberID) uint64 {
+// replicatedWithout is up to which index what is committed is on a majority's disks without a member's.
+func (p *Replica) replicatedWithout(id MemberID) uint64 {
 	if p.fault == leaveEarly {
-		return p.committed
+		return p.commitIndex
 	}
 	on := func(o MemberID) uint64 {
 		switch w := p.peers[o]; {
 		case o == id:
 			return 0
-		case o == p.me.ID:
-			return p.synced
+		case o == p.self.ID:
+			return p.syncedIndex
 		case w != nil:
-			return w.match
+			return w.matchIndex
 		}
 		return 0
 	}
 	var most uint64
-	for _, m := range append(p.others(), p.me) {
-		if n := min(on(m.ID), p.committed); n > most && p.quorum(func(o MemberID) bool { return on(o) >= n }) {
+	for _, m := range append(p.otherMembers(), p.self) {
+		if n := min(on(m.ID), p.commitIndex); n > most && p.hasQuorum(func(o MemberID) bool { return on(o) >= n }) {
 			most = n
 		}
 	}
@@ -213,153 +215,153 @@
 }
 
 // answered takes a member's answer to what the leader sends.
-func (p *Replica) onAck(from MemberID, m Message) {
+func (p *Replica) onAppendResponse(from MemberID, m Message) {
 	w := p.peers[from]
-	if p.role != leading || m.View != p.promise && p.fault != countLate || w == nil {
+	if p.role != roleLeader || m.View != p.term && p.fault != countLate || w == nil {
 		return
 	}
-	w.heard, w.round = p.now, max(w.round, m.Round)
-	p.answeredClock(w, m)
-	w.answered, w.chunks = true, m.Chunks
-	if m.Kind == AckChunk {
-		w.out.Ack(m.Chunk, p.now)
-		p.replicate(w)
-		p.answerReads()
+	w.lastResponseAt, w.readSeq = p.now, max(w.readSeq, m.Round)
+	p.recordResponseClock(w, m)
+	w.responded, w.acceptsChunks = true, m.Chunks
+	if m.Kind == MsgChunkAck {
+		w.transfer.Ack(m.Chunk, p.now)
+		p.replicateTo(w)
+		p.finishReads()
 		return
 	}
-	if w.out.Blob != nil && (m.Index >= w.out.Blob.Index() || m.Kind == Reject && w.snap == nil) {
-		w.out, w.snap, w.entry = Outgoing{}, nil, nil
+	if w.transfer.Blob != nil && (m.Index >= w.transfer.Blob.Index() || m.Kind == MsgAppendReject && w.transferSnapshot == nil) {
+		w.transfer, w.transferSnapshot, w.transferEntry = BlobSender{}, nil, nil
 	}
-	if m.Kind == Reject && w.out.Blob != nil { // it is being sent what it lacks
-		p.replicate(w)
-		p.answerReads()
+	if m.Kind == MsgAppendReject && w.transfer.Blob != nil { // it is being sent what it lacks
+		p.replicateTo(w)
+		p.finishReads()
 		return
 	}
-	if m.Kind == Reject {
+	if m.Kind == MsgAppendReject {
 		// The lines sent since come back as missed too: once is enough.
-		if p.now >= w.againAt {
-			w.againAt = p.now + p.terms.Beat/2
-			w.base = max(m.Index, w.match)
-			w.next = w.base + 1
-			p.replicate(w)
+		if p.now >= w.nextRetryAt {
+			w.nextRetryAt = p.now + p.config.HeartbeatInterval/2
+			w.inflightBase = max(m.Index, w.matchIndex)
+			w.nextIndex = w.inflightBase + 1
+			p.replicateTo(w)
 		}
-		p.answerReads()
+		p.finishReads()
 		return
 	}
-	invariant.That(m.Index <= p.last(), "nobody has more than the leader")
-	was := w.match
-	w.match = max(w.match, m.Index)
-	w.next = max(w.next, w.match+1)
-	p.advanceCommit()
-	if p.role != leading || p.peers[from] == nil {
+	invariant.That(m.Index <= p.lastIndex(), "nobody has more than the leader")
+	was := w.matchIndex
+	w.matchIndex = max(w.matchIndex, m.Index)
+	w.nextIndex = max(w.nextIndex, w.matchIndex+1)
+	p.maybeCommit()
+	if p.role != roleLeader || p.peers[from] == nil {
 		return
 	}
 	if from == p.learner {
 		if m.Index > was {
-			p.learnAt = p.now
+			p.learnerProgressAt = p.now
 		}
-		p.admitLearner()
+		p.promoteLearner()
 	}
-	if p.peers[from] != nil && w.next <= p.last() {
-		p.replicate(w)
+	if p.peers[from] != nil && w.nextIndex <= p.lastIndex() {
+		p.replicateTo(w)
 	}
-	p.handOver()
+	p.maybeTransferLeadership()
 }
 
 // commit commits what a majority has on disk, through an entry of this view.
-func (p *Replica) advanceCommit() {
-	for p.role == leading {
+func (p *Replica) maybeCommit() {
+	for p.role == roleLeader {
 		had := func(n uint64) bool {
-			return p.quorum(func(id MemberID) bool {
-				if id == p.me.ID {
-					return p.synced >= n || p.fault == ackUnsynced
+			return p.hasQuorum(func(id MemberID) bool {
+				if id == p.self.ID {
+					return p.syncedIndex >= n || p.fault == ackUnsynced
 				}
-				if p.fault == countLearner && p.learner != 0 && id == p.others()[0].ID {
+				if p.fault == countLearner && p.learner != 0 && id == p.otherMembers()[0].ID {
 					id = p.learner // stands for one who counts
 				}
-				return p.peers[id] != nil && p.peers[id].match >= n
+				return p.peers[id] != nil && p.peers[id].matchIndex >= n
 			})
 		}
-		n := p.last()
-		for ; n > p.committed; n-- {
-			if v, _ := p.viewAt(n); v != p.promise && p.fault != countOld {
-				n = p.committed
+		n := p.lastIndex()
+		for ; n > p.commitIndex; n-- {
+			if v, _ := p.termAt(n); v != p.term && p.fault != countOld {
+				n = p.commitIndex
 				break
 			}
 			if had(n) {
 				break
 			}
 		}
-		if n <= p.committed {
+		if n <= p.commitIndex {
 			break
 		}
-		before := p.settled()
-		p.commitUpTo(n)
-		p.beatAt = min(p.beatAt, p.now+p.terms.Tell)
-		if !before && p.settled() {
-			p.heartbeat() // those who are no members any more hear so, once
+		before := p.membersCommitted()
+		p.commitTo(n)
+		p.heartbeatAt = min(p.heartbeatAt, p.now+p.config.CommitNotifyDelay)
+		if !before && p.membersCommitted() {
+			p.broadcastHeartbeat() // those who are no members any more hear so, once
 			p.trackMembers()
-			if !p.member(p.me.ID) {
+			if !p.isMember(p.self.ID) {
 				p.stepDown()
 			}
 		}
 	}
-	p.answerReads()
+	p.finishReads()
 }
 
-// newRound begins a round if reads wait for one.
-func (p *Replica) newRound() bool {
-	if n := len(p.reads); n == 0 || p.reads[n-1].round <= p.round {
+// startReadSeq begins a round if reads wait for one.
+func (p *Replica) startReadSeq() bool {
+	if n := len(p.reads); n == 0 || p.reads[n-1].readSeq <= p.readSeq {
 		return false
 	}
-	p.round++
+	p.readSeq++
 	return true
 }
 
-// roundDone is the newest round that a majority has heard.
-func (p *Replica) roundDone() (done uint64) {
+// confirmedReadSeq is the newest round that a majority has heard.
+func (p *Replica) confirmedReadSeq() (done uint64) {
 	heard := func(r uint64) bool {
-		return p.quorum(func(id MemberID) bool {
-			return id == p.me.ID || p.peers[id] != nil && p.peers[id].round >= r
+		return p.hasQuorum(func(id MemberID) bool {
+			return id == p.self.ID || p.peers[id] != nil && p.peers[id].readSeq >= r
 		})
 	}
-	if len(p.peers) == 0 && heard(p.round) {
-		return p.round
+	if len(p.peers) == 0 && heard(p.readSeq) {
+		return p.readSeq
 	}
 	for _, w := range p.peers {
-		if w.round > done && heard(w.round) {
-			done = w.round
+		if w.readSeq > done && heard(w.readSeq) {
+			done = w.readSeq
 		}
 	}
 	return done
 }
 
-// answerReads answers the reads whose round is through. Before the first entry of this view is committed,
+// finishReads answers the reads whose round is through. Before the first entry of this view is committed,
 // others' entries may be acknowledged and not yet known here to be.
-func (p *Replica) answerReads() {
-	if p.role != leading || len(p.reads) == 0 || p.committed < p.noOp && p.fault != readEarly {
+func (p *Replica) finishReads() {
+	if p.role != roleLeader || len(p.reads) == 0 || p.commitIndex < p.termStartIndex && p.fault != readEarly {
 		return
 	}
-	done, n := p.roundDone(), 0
+	done, n := p.confirmedReadSeq(), 0
 	if p.fault == unreadRounds {
-		done = p.round + 1
+		done = p.readSeq + 1
 	}
-	for ; n < len(p.reads) && p.reads[n].round <= done; n++ {
-		p.outcome(p.reads[n].token, p.committed, Done)
+	for ; n < len(p.reads) && p.reads[n].readSeq <= done; n++ {
+		p.finish(p.reads[n].token, p.commitIndex, OutcomeCommitted)
 	}
-	if p.reads = p.reads[n:]; len(p.reads) > 0 && done >= p.round {
-		p.flush = true // those that came during the round
+	if p.reads = p.reads[n:]; len(p.reads) > 0 && done >= p.readSeq {
+		p.replicationPending = true // those that came during the round
 	}
 }
 
-// handOver asks one who has all to take the lead.
-func (p *Replica) handOver() {
-	if p.role != leading || p.now >= p.handingOver || p.committed < p.last() {
+// maybeTransferLeadership asks one who has all to take the lead.
+func (p *Replica) maybeTransferLeadership() {
+	if p.role != roleLeader || p.now >= p.transferDeadline || p.commitIndex < p.lastIndex() {
 		return
 	}
-	for _, w := range p.sorted() {
-		if w.match == p.last() && p.takesOver(w) {
-			p.sendTo(w.Member, Message{Kind: TakeOver, View: p.promise})
+	for _, w := range p.sortedPeers() {
+		if w.matchIndex == p.lastIndex() && p.eligibleTransferee(w) {
+			p.sendTo(w.Member, Message{Kind: MsgTimeoutNow, View: p.term})
 			return
 		}
 	}
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -69,84 +69,84 @@
 		"two that ask for one view both wait"}[f]
 }
 
-func (p *Replica) last() uint64 { return p.snap.Index + uint64(len(p.log)) }
+func (p *Replica) lastIndex() uint64 { return p.snapshot.Index + uint64(len(p.log)) }
 
-func (p *Replica) end() place {
-	v, _ := p.viewAt(p.last())
-	return place{v, p.last()}
+func (p *Replica) lastPosition() logPosition {
+	v, _ := p.termAt(p.lastIndex())
+	return logPosition{v, p.lastIndex()}
 }
 
-// viewAt is the view of the entry at an index, if that is known.
-func (p *Replica) viewAt(index uint64) (uint64, bool) {
+// termAt is the view of the entry at an index, if that is known.
+func (p *Replica) termAt(index uint64) (uint64, bool) {
 	switch {
-	case index == p.snap.Index:
-		return p.snap.View, true
-	case index+1 < p.First() || index > p.last():
+	case index == p.snapshot.Index:
+		return p.snapshot.View, true
+	case index+1 < p.FirstIndex() || index > p.lastIndex():
 		return 0, false
-	case index+1 == p.First():
-		return p.trailView, true
-	case index < p.snap.Index:
-		return p.trail[index-p.First()].View, true
+	case index+1 == p.FirstIndex():
+		return p.trailingTerm, true
+	case index < p.snapshot.Index:
+		return p.trailing[index-p.FirstIndex()].View, true
 	}
-	return p.log[index-p.snap.Index-1].View, true
+	return p.log[index-p.snapshot.Index-1].View, true
 }
 
-// from is a copy of the log from an index on.
-func (p *Replica) from(index uint64) []Entry {
-	if index > p.last() {
+// entriesFrom is a copy of the log from an index on.
+func (p *Replica) entriesFrom(index uint64) []Entry {
+	if index > p.lastIndex() {
 		return nil
 	}
-	if index <= p.snap.Index {
-		return slices.Concat(p.trail[index-p.First():], p.log)
+	if index <= p.snapshot.Index {
+		return slices.Concat(p.trailing[index-p.FirstIndex():], p.log)
 	}
-	return slices.Clone(p.log[index-p.snap.Index-1:])
+	return slices.Clone(p.log[index-p.snapshot.Index-1:])
 }
 
 // put puts an entry behind the last.
 func (p *Replica) appendEntry(e Entry) {
-	invariant.That(e.Index == p.last()+1, "entries follow one another")
+	invariant.That(e.Index == p.lastIndex()+1, "entries follow one another")
 	p.log = append(p.log, e)
-	if e.Kind == ConfigChange {
-		p.configs = append(p.configs, config{e.Index, e.Members})
+	if e.Kind == EntryConfigChange {
+		p.memberConfigs = append(p.memberConfigs, memberConfig{e.Index, e.Members})
 	}
 }
 
 // trim takes away all entries from an index on.
-func (p *Replica) truncate(from uint64) {
-	invariant.That(from > p.committed, "what was delivered stays")
-	p.log = slices.Clone(p.log[:from-p.snap.Index-1])
-	for p.configs[len(p.configs)-1].index >= from {
-		p.configs = p.configs[:len(p.configs)-1]
+func (p *Replica) truncateFrom(from uint64) {
+	invariant.That(from > p.commitIndex, "what was delivered stays")
+	p.log = slices.Clone(p.log[:from-p.snapshot.Index-1])
+	for p.memberConfigs[len(p.memberConfigs)-1].index >= from {
+		p.memberConfigs = p.memberConfigs[:len(p.memberConfigs)-1]
 	}
-	p.unsync(from - 1)
-	p.markDirty(from)
+	p.invalidateSynced(from - 1)
+	p.markUnwritten(from)
 }
 
-// unsync: what is on disk beyond an index is not the log any more.
-func (p *Replica) unsync(upto uint64) {
-	p.synced = min(p.synced, upto)
-	for i := range p.writes {
-		p.writes[i].upto = min(p.writes[i].upto, upto)
+// invalidateSynced: what is on disk beyond an index is not the log any more.
+func (p *Replica) invalidateSynced(upto uint64) {
+	p.syncedIndex = min(p.syncedIndex, upto)
+	for i := range p.unsyncedWrites {
+		p.unsyncedWrites[i].lastIndex = min(p.unsyncedWrites[i].lastIndex, upto)
 	}
 }
 
 // take makes the log that of a newer one, given the entries after an index that both have.
-func (p *Replica) merge(prev uint64, entries []Entry) {
+func (p *Replica) appendAfter(prev uint64, entries []Entry) {
 	for i, e := range entries {
 		invariant.That(e.Index == prev+1+uint64(i), "entries follow one another")
 		if e.Index != prev+1+uint64(i) {
 			return
 		}
-		if e.Index <= p.committed {
+		if e.Index <= p.commitIndex {
 			continue
 		}
-		if v, ok := p.viewAt(e.Index); ok {
+		if v, ok := p.termAt(e.Index); ok {
 			if v == e.View || p.fault == noTruncate {
 				continue
 			}
-			p.truncate(e.Index)
+			p.truncateFrom(e.Index)
 		}
-		p.markDirty(e.Index)
+		p.markUnwritten(e.Index)
 		for _, e := range entries[i:] {
 			p.appendEntry(e)
 		}
@@ -154,56 +154,58 @@
 	}
 }
 
-// install puts a snapshot in the place of everything.
-func (p *Replica) install(s Snapshot) {
-	p.snap, p.log, p.trail = s, nil, nil
-	p.configs = []config{{s.Index, s.Members}}
-	p.committed = s.Index
-	p.unsync(0)
-	p.dirtySnap = true
-	p.markDirty(s.Index + 1)
-	p.out = append(p.out, Restore{s.Index, s.State})
+// installSnapshot puts a snapshot in the place of everything.
+func (p *Replica) installSnapshot(s Snapshot) {
+	p.snapshot, p.log, p.trailing = s, nil, nil
+	p.memberConfigs = []memberConfig{{s.Index, s.Members}}
+	p.commitIndex = s.Index
+	p.invalidateSynced(0)
+	p.unwrittenSnapshot = true
+	p.markUnwritten(s.Index + 1)
+	p.actions = append(p.actions, Restore{s.Index, s.State})
 }
 
-// mayInstall tells whether a snapshot is ahead of what is had here.
-func (p *Replica) mayInstall(s *Snapshot) bool {
-	if s == nil || s.Index <= p.committed {
+// needsSnapshot tells whether a snapshot is ahead of what is had here.
+func (p *Replica) needsSnapshot(s *Snapshot) bool {
+	if s == nil || s.Index <= p.commitIndex {
 		return false
 	}
-	v, ok := p.viewAt(s.Index)
+	v, ok := p.termAt(s.Index)
 	return !ok || v != s.View
 }
 
 // deliver hands over all up to an index.
-func (p *Replica) commitUpTo(upto uint64) {
-	invariant.That(upto <= p.last(), "only what is had is delivered")
-	for p.committed < min(upto, p.last()) {
-		p.committed++
-		e := p.log[p.committed-p.snap.Index-1]
-		p.out = append(p.out, Commit{e})
-		if token, ok := p.tokens[e.Index]; ok {
-			delete(p.tokens, e.Index)
-			p.outcome(token, e.Index, Done)
+func (p *Replica) commitTo(upto uint64) {
+	invariant.That(upto <= p.lastIndex(), "only what is had is delivered")
+	for p.commitIndex < min(upto, p.lastIndex()) {
+		p.commitIndex++
+		e := p.log[p.commitIndex-p.snapshot.Index-1]
+		p.actions = append(p.actions, Commit{e})
+		if token, ok := p.proposals[e.Index]; ok {
+			delete(p.proposals, e.Index)
+			p.finish(token, e.Index, OutcomeCommitted)
 		}
-		if e.Kind == ConfigChange {
-			p.markDirty(0) // that the list is settled must outlast the one who knew
+		if e.Kind == EntryConfigChange {
+			p.markUnwritten(0) // that the list is settled must outlast the one who knew
 		}
 	}
 }
 
-// settled: the newest list is known to be committed.
-func (p *Replica) settled() bool { return p.configs[len(p.configs)-1].index <= p.committed }
+// membersCommitted: the newest list is known to be committed.
+func (p *Replica) membersCommitted() bool {
+	return p.memberConfigs[len(p.memberConfigs)-1].index <= p.commitIndex
+}
 
-// quorum tells whether a majority of the members is so, and of those before if the newest list is not
+// hasQuorum tells whether a majority of the members is so, and of those before if the newest list is not
 // settled.
-func (p *Replica) quorum(is func(MemberID) bool) bool {
-	if !majority(p.Members(), is) {
+func (p *Replica) hasQuorum(is func(MemberID) bool) bool {
+	if !hasMajority(p.Members(), is) {
 		return false
 	}
-	return p.settled() || p.fault == oneMajority || majority(p.configs[len(p.configs)-2].members, is)
+	return p.membersCommitted() || p.fault == oneMajority || hasMajority(p.memberConfigs[len(p.memberConfigs)-2].members, is)
 }
 
-func majority(list []Member, is func(MemberID) bool) bool {
+func hasMajority(list []Member, is func(MemberID) bool) bool {
 	n := 0
 	for _, m := range list {
 		if is(m.ID) {
@@ -213,85 +215,85 @@
 	return n > len(list)/2
 }
 
-func (p *Replica) member(id MemberID) bool {
+func (p *Replica) isMember(id MemberID) bool {
 	return slices.ContainsFunc(p.Members(), func(m Member) bool { return m.ID == id })
 }
 
-// others are all who count, now or if the newest list should fall, but for this one.
-func (p *Replica) others() (list []Member) {
+// otherMembers are all who count, now or if the newest list should fall, but for this one.
+func (p *Replica) otherMembers() (list []Member) {
 	list = slices.Clone(p.Members())
-	if !p.settled() {
-		for _, m := range p.configs[len(p.configs)-2].members {
-			if !p.member(m.ID) {
+	if !p.membersCommitted() {
+		for _, m := range p.memberConfigs[len(p.memberConfigs)-2].members {
+			if !p.isMember(m.ID) {
 				list = append(list, m)
 			}
 		}
 	}
-	return slices.DeleteFunc(list, func(m Member) bool { return m.ID == p.me.ID })
+	return slices.DeleteFunc(list, func(m Member) bool { return m.ID == p.self.ID })
 }
 
 // touch notes that the disk is behind, and its entries from an index on if that is not 0.
-func (p *Replica) markDirty(from uint64) {
-	p.dirty = true
-	if from > 0 && (p.dirtyFrom == 0 || from < p.dirtyFrom) {
-		p.dirtyFrom = from
+func (p *Replica) markUnwritten(from uint64) {
+	p.unwritten = true
+	if from > 0 && (p.unwrittenFrom == 0 || from < p.unwrittenFrom) {
+		p.unwrittenFrom = from
 	}
 }
 
-// write is all that the disk is behind.
-func (p *Replica) write() Write {
-	w := Write{Nr: p.nr, House: p.clusterID, Promise: p.promise, For: p.promisedTo, Delivered: p.committed}
+// takeWrite is all that the disk is behind.
+func (p *Replica) takeWrite() Write {
+	w := Write{Seq: p.nextWriteSeq, ClusterID: p.clusterID, Term: p.term, Vote: p.votedFor, Commit: p.commitIndex}
 	if p.fault == forgetful {
-		w.Promise, w.For = 1, 0
+		w.Term, w.Vote = 1, 0
 	}
-	if p.dirtyFrom > 0 {
-		w.From = max(p.dirtyFrom, p.snap.Index+1)
-		w.Entries = p.from(w.From)
+	if p.unwrittenFrom > 0 {
+		w.FirstIndex = max(p.unwrittenFrom, p.snapshot.Index+1)
+		w.Entries = p.entriesFrom(w.FirstIndex)
 	}
-	if p.dirtySnap {
-		s := p.snap
-		w.Snap = &s
+	if p.unwrittenSnapshot {
+		s := p.snapshot
+		w.Snapshot = &s
 	}
-	p.writes = append(p.writes, issued{p.nr, p.last()})
-	p.nr++
-	p.dirty, p.dirtyFrom, p.dirtySnap = false, 0, false
+	p.unsyncedWrites = append(p.unsyncedWrites, unsyncedWrite{p.nextWriteSeq, p.lastIndex()})
+	p.nextWriteSeq++
+	p.unwritten, p.unwrittenFrom, p.unwrittenSnapshot = false, 0, false
 	return w
 }
 
 // when says something once all of now is on disk.
-func (p *Replica) afterSync(w waiting) {
-	w.nr = p.nr
-	if !p.dirty {
-		w.nr--
+func (p *Replica) replyAfterSync(w pendingReply) {
+	w.writeSeq = p.nextWriteSeq
+	if !p.unwritten {
+		w.writeSeq--
 	}
-	if w.nr <= p.done || p.fault == ackUnsynced && w.kind == Ack ||
-		p.fault == tellEarly && w.kind == Promise {
-		p.say(w)
-	} else if !slices.Contains(p.waits, w) {
-		p.waits = append(p.waits, w)
+	if w.writeSeq <= p.syncedWriteSeq || p.fault == ackUnsynced && w.kind == MsgAppendAck ||
+		p.fault == tellEarly && w.kind == MsgVoteGranted {
+		p.sendPendingReply(w)
+	} else if !slices.Contains(p.pendingReplies, w) {
+		p.pendingReplies = append(p.pendingReplies, w)
 	}
 }
 
-// say says what waited, unless a newer view was promised meanwhile.
-func (p *Replica) say(w waiting) {
-	if w.view != p.promise {
+// sendPendingReply says what waited, unless a newer view was promised meanwhile.
+func (p *Replica) sendPendingReply(w pendingReply) {
+	if w.term != p.term {
 		return
 	}
 	switch w.kind {
-	case Ack:
-		if p.role == following && p.leader == w.to {
-			p.ack()
+	case MsgAppendAck:
+		if p.role == roleFollower && p.leaderID == w.recipient {
+			p.sendAck()
 		}
-	case Promise:
-		if p.promisedTo == w.to {
-			e := p.end()
-			p.send(w.to, Message{Kind: Promise, View: p.promise, Index: e.index, At: e.view})
+	case MsgVoteGranted:
+		if p.votedFor == w.recipient {
+			e := p.lastPosition()
+			p.send(w.recipient, Message{Kind: MsgVoteGranted, View: p.term, Index: e.index, At: e.term})
 		}
-	case Prepare:
-		if p.role == preparing && p.promisedTo == p.me.ID {
-			p.promises[p.me.ID] = p.end()
-			p.awaitPromises()
-			p.tallyPromises()
+	case MsgRequestVote:
+		if p.role == roleCandidate && p.votedFor == p.self.ID {
+			p.votes[p.self.ID] = p.lastPosition()
+			p.awaitVotes()
+			p.tallyVotes()
 		}
 	}
 }
@@ -302,11 +304,11 @@
 		p.sendTo(w.Member, m)
 		return
 	}
-	if to == p.me.ID {
+	if to == p.self.ID {
 		return
 	}
-	for i := len(p.configs) - 1; i >= 0; i-- {
-		for _, o := range p.configs[i].members {
+	for i := len(p.memberConfigs) - 1; i >= 0; i-- {
+		for _, o := range p.memberConfigs[i].members {
 			if o.ID == to {
 				p.sendTo(o, m)
 				return
@@ -321,5 +323,5 @@
 	if m.House == 0 {
 		m.House = p.clusterID
 	}
-	p.out = append(p.out, Send{to, m})
+	p.actions = append(p.actions, Send{to, m})
 }
--- a/internal/gateway/replication/logs.go
+++ b/internal/gateway/replication/logs.go
@@ -20,8 +20,8 @@
 
 // Size is about how many bytes it puts on disk.
 func (w *Write) Size() (n int) {
-	if w.Snap != nil {
-		n = len(w.Snap.State)
+	if w.Snapshot != nil {
+		n = len(w.Snapshot.State)
 	}
 	for i := range w.Entries {
 		n += w.Entries[i].size()
@@ -44,63 +44,63 @@
 	return n
 }
 
-// GroupTerms are those of a coordination group: calls wait for a change of leaders, so it is quicker than a configuration's.
+// GroupConfig are those of a coordination group: calls wait for a change of leaders, so it is quicker than a configuration's.
 // The machines have 0.4 of a core and disks of up to 5 ms a sync: three heartbeats may be missed.
-func GroupTerms(log LogID) Terms {
-	t := DefaultTerms()
-	t.Log = log
-	t.Beat, t.Patience, t.Spread, t.Silence = 100*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond, 500*time.Millisecond
-	t.Tell = t.Beat // only who leads answers by what is committed
-	t.Held, t.Trail, t.Narrow = 1<<20, 16<<10, true
+func GroupConfig(log LogID) Config {
+	t := DefaultConfig()
+	t.LogID = log
+	t.HeartbeatInterval, t.ElectionTimeout, t.ElectionJitter, t.QuorumTimeout = 100*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond, 500*time.Millisecond
+	t.CommitNotifyDelay = t.HeartbeatInterval // only who leads answers by what is committed
+	t.MaxUncommittedBytes, t.TrailingBytes, t.ReadMinimalQuorum = 1<<20, 16<<10, true
 	return t
 }
 
-// foundingOf names the founding of this log by these members: each log of a disk has another.
-func (p *Replica) foundingOf(members []Member) uint64 {
+// clusterIDFor names the founding of this log by these members: each log of a disk has another.
+func (p *Replica) clusterIDFor(members []Member) uint64 {
 	name := ClusterIDOf(members)
-	if p.terms.Log == ConfigurationLog || p.fault == oneFounding {
+	if p.config.LogID == ConfigurationLog || p.fault == oneFounding {
 		return name
 	}
 	sum := fnv.New32a()
-	sum.Write(binary.BigEndian.AppendUint64([]byte{byte(p.terms.Log)}, name))
+	sum.Write(binary.BigEndian.AppendUint64([]byte{byte(p.config.LogID)}, name))
 	return uint64(sum.Sum32()) | 1
 }
 
-// Term is the view that this member leads, once an entry of it is committed: all that was acknowledged in earlier views is committed
+// LeaderTerm is the view that this member leads, once an entry of it is committed: all that was acknowledged in earlier views is committed
 // here then. It says nothing for sure about this very moment: that takes a Read.
-func (p *Replica) Term() (view uint64, leads bool) {
-	return p.promise, p.role == leading && p.committed >= p.noOp
+func (p *Replica) LeaderTerm() (view uint64, leads bool) {
+	return p.term, p.role == roleLeader && p.commitIndex >= p.termStartIndex
 }
 
-// Suspect tells that the link to a member broke. If it leads, this member has lost it, and asks the others soon: together with those
+// ReportUnreachable tells that the link to a member broke. If it leads, this member has lost it, and asks the others soon: together with those
 // whose links broke too. Those who still hear it say so.
-func (p *Replica) Suspect(id MemberID) {
-	if p.role != following || p.leader != id || p.due == never {
+func (p *Replica) ReportUnreachable(id MemberID) {
+	if p.role != roleFollower || p.leaderID != id || p.electionDeadline == never {
 		return
 	}
-	p.heardAt = min(p.heardAt, p.now-p.terms.Patience)
-	p.due = min(p.due, p.now+p.chance(p.terms.Beat/2))
+	p.leaderContactAt = min(p.leaderContactAt, p.now-p.config.ElectionTimeout)
+	p.electionDeadline = min(p.electionDeadline, p.now+p.random(p.config.HeartbeatInterval/2))
 }
 
-// TransferTo lets a certain member lead, as soon as it has all; another one, where that one is not heard. Proposals are refused
-// meanwhile, as with HandOver.
-func (p *Replica) TransferTo(id MemberID) {
-	p.successor = id
-	p.HandOver()
+// TransferLeadershipTo lets a certain member lead, as soon as it has all; another one, where that one is not heard. Proposals are refused
+// meanwhile, as with TransferLeadership.
+func (p *Replica) TransferLeadershipTo(id MemberID) {
+	p.transferee = id
+	p.TransferLeadership()
 }
 
-// CanTransfer tells whether a member could take the lead at once, as far as is known here.
-func (p *Replica) CanTransfer(id MemberID) bool {
+// CanTransferTo tells whether a member could take the lead at once, as far as is known here.
+func (p *Replica) CanTransferTo(id MemberID) bool {
 	w := p.peers[id]
-	return p.role == leading && w != nil && p.mayReconfigure() && p.member(id) && p.fresh(w) && w.match == p.last() &&
-		p.now-w.heard <= quietMost*p.terms.Beat
+	return p.role == roleLeader && w != nil && p.canReconfigure() && p.isMember(id) && p.recentlyActive(w) && w.matchIndex == p.lastIndex() &&
+		p.now-w.lastResponseAt <= maxMissedHeartbeats*p.config.HeartbeatInterval
 }
 
-// takesOver tells whether the lead may be handed to a member.
-func (p *Replica) takesOver(w *progress) bool {
-	if !p.fresh(w) || !p.member(w.ID) {
+// eligibleTransferee tells whether the lead may be handed to a member.
+func (p *Replica) eligibleTransferee(w *progress) bool {
+	if !p.recentlyActive(w) || !p.isMember(w.ID) {
 		return false
 	}
-	wished := p.peers[p.successor]
-	return wished == nil || wished == w || !p.fresh(wished) || !p.member(wished.ID)
+	wished := p.peers[p.transferee]
+	return wished == nil || wished == w || !p.recentlyActive(wished) || !p.isMember(wished.ID)
 }
--- a/internal/gateway/replication/types.go
+++ b/internal/gateway/replication/types.go
@@ -24,9 +24,9 @@
 
 // The kinds of entries.
 const (
-	Change       EntryKind = iota // the host's own
-	ConfigChange                  // the members from here on
-	NoOp                          // the first of a view
+	EntryNormal       EntryKind = iota // the host's own
+	EntryConfigChange                  // the members from here on
+	EntryNoOp                          // the first of a view
 )
 
 // Entry is one place in the log.
@@ -34,7 +34,7 @@
 	Index, View uint64
 	Kind        EntryKind
 	Data        []byte   // of a Change; never changed once proposed
-	Members     []Member // of a ConfigChange: the whole new list
+	Members     []Member // of a EntryConfigChange: the whole new list
 }
 
 // Snapshot is the host's state after an index, in the place of the log up to there.
@@ -44,34 +44,34 @@
 	State       []byte // empty means the state that a system starts with
 }
 
-// Kept is what the disk holds. The zero value but for Me is an empty disk.
-type Kept struct {
-	Me        MemberID
-	House     uint64   // tells one founding from another; 0 on an empty disk
-	Promise   uint64   // the newest view taken part in or promised
-	For       MemberID // who was promised it
-	Delivered uint64   // known to be committed up to here, maybe further
-	Snap      Snapshot
+// PersistentState is what the disk holds. The zero value but for Me is an empty disk.
+type PersistentState struct {
+	ID        MemberID
+	ClusterID uint64   // tells one founding from another; 0 on an empty disk
+	Term      uint64   // the newest view taken part in or promised
+	Vote      MemberID // who was promised it
+	Commit    uint64   // known to be committed up to here, maybe further
+	Snapshot  Snapshot
 	Entries   []Entry // from Snap.Index+1 on
 }
 
-// Check tells what is wrong with what a disk held.
-func (k *Kept) Check() error {
-	last := k.Snap.Index + uint64(len(k.Entries))
+// Validate tells what is wrong with what a disk held.
+func (k *PersistentState) Validate() error {
+	last := k.Snapshot.Index + uint64(len(k.Entries))
 	switch {
-	case k.Me == 0:
+	case k.ID == 0:
 		return errors.New("no member's id")
-	case k.House == 0 && (k.Promise != 0 || last != 0):
+	case k.ClusterID == 0 && (k.Term != 0 || last != 0):
 		return errors.New("not founded, yet with entries or a promise")
-	case k.House != 0 && (k.Snap.Index == 0 || len(k.Snap.Members) == 0):
+	case k.ClusterID != 0 && (k.Snapshot.Index == 0 || len(k.Snapshot.Members) == 0):
 		return errors.New("founded, yet without members")
-	case k.Delivered < k.Snap.Index || k.Delivered > last:
-		return errors.Errorf("delivered up to %d, kept are %d to %d", k.Delivered, k.Snap.Index, last)
+	case k.Commit < k.Snapshot.Index || k.Commit > last:
+		return errors.Errorf("delivered up to %d, kept are %d to %d", k.Commit, k.Snapshot.Index, last)
 	}
-	view := k.Snap.View
+	view := k.Snapshot.View
 	for i, e := range k.Entries {
-		if e.Index != k.Snap.Index+1+uint64(i) || e.View < view || e.View > k.Promise {
-			return errors.Errorf("entry %d of view %d stands in place %d", e.Index, e.View, k.Snap.Index+1+uint64(i))
+		if e.Index != k.Snapshot.Index+1+uint64(i) || e.View < view || e.View > k.Term {
+			return errors.Errorf("entry %d of view %d stands in place %d", e.Index, e.View, k.Snapshot.Index+1+uint64(i))
 		}
 		view = e.View
 	}
@@ -79,43 +79,43 @@
 }
 
 // Apply is what a write does to a disk.
-func (k *Kept) Apply(w Write) {
-	k.House, k.Promise, k.For, k.Delivered = w.House, w.Promise, w.For, w.Delivered
-	if w.Snap != nil {
-		gone := min(w.Snap.Index-k.Snap.Index, uint64(len(k.Entries)))
-		k.Snap, k.Entries = *w.Snap, slices.Clone(k.Entries[gone:])
+func (k *PersistentState) Apply(w Write) {
+	k.ClusterID, k.Term, k.Vote, k.Commit = w.ClusterID, w.Term, w.Vote, w.Commit
+	if w.Snapshot != nil {
+		gone := min(w.Snapshot.Index-k.Snapshot.Index, uint64(len(k.Entries)))
+		k.Snapshot, k.Entries = *w.Snapshot, slices.Clone(k.Entries[gone:])
 	}
-	if w.From > 0 {
-		keep := min(w.From-k.Snap.Index-1, uint64(len(k.Entries)))
+	if w.FirstIndex > 0 {
+		keep := min(w.FirstIndex-k.Snapshot.Index-1, uint64(len(k.Entries)))
 		k.Entries = append(slices.Clone(k.Entries[:keep]), w.Entries...)
 	}
 }
 
-// Terms are the spans and bounds.
-type Terms struct {
-	Beat     time.Duration // between a leader's heartbeats
-	Patience time.Duration // the least time without a leader before another view is asked for
-	Spread   time.Duration // on top of Patience, by chance
-	Silence  time.Duration // a leader that no majority answered for so long stops leading
-	Tell     time.Duration // others hear at most this late what was committed
-	Resend   time.Duration // a window that nobody acknowledged goes again, a whole snapshot wholeAgain times as late
-	Learn    time.Duration // a node to be admitted that says nothing for so long is given up
-	Pending  int           // most proposals, and most reads, that wait
-	Held     int           // bytes of entries that are not committed, but always one entry; 0: not bounded
-	Batch    int           // bytes of entries in one message, but always one entry
-	Window   int           // bytes in flight to one member; what is larger goes in chunks. 0: not bounded
-	Chunk    int           // bytes of a chunk
-	Trail    int           // bytes of entries that are kept after they went into a snapshot, at the least
-	Log      LogID         // which of its disk's logs it is
-	Narrow   bool          // a round of reads asks a bare majority first, and the others with the next heartbeat
+// Config are the spans and bounds.
+type Config struct {
+	HeartbeatInterval   time.Duration // between a leader's heartbeats
+	ElectionTimeout     time.Duration // the least time without a leader before another view is asked for
+	ElectionJitter      time.Duration // on top of Patience, by chance
+	QuorumTimeout       time.Duration // a leader that no majority answered for so long stops leading
+	CommitNotifyDelay   time.Duration // others hear at most this late what was committed
+	RetransmitTimeout   time.Duration // a window that nobody acknowledged goes again, a whole snapshot snapshotRetransmitFactor times as late
+	LearnerTimeout      time.Duration // a node to be admitted that says nothing for so long is given up
+	MaxPending          int           // most proposals, and most reads, that wait
+	MaxUncommittedBytes int           // bytes of entries that are not committed, but always one entry; 0: not bounded
+	MaxMessageBytes     int           // bytes of entries in one message, but always one entry
+	MaxInflightBytes    int           // bytes in flight to one member; what is larger goes in chunks. 0: not bounded
+	ChunkBytes          int           // bytes of a chunk
+	TrailingBytes       int           // bytes of entries that are kept after they went into a snapshot, at the least
+	LogID               LogID         // which of its disk's logs it is
+	ReadMinimalQuorum   bool          // a round of reads asks a bare majority first, and the others with the next heartbeat
 }
 
-// DefaultTerms are for links of a few ms and from 2 Mbit/s on, and disks of some ms a sync: a window to each of a handful of
+// DefaultConfig are for links of a few ms and from 2 Mbit/s on, and disks of some ms a sync: a window to each of a handful of
 // receivers holds up a heartbeat on such a link by less than a member is patient.
-func DefaultTerms() Terms {
-	return Terms{Beat: 150 * time.Millisecond, Patience: 400 * time.Millisecond, Spread: 400 * time.Millisecond,
-		Silence: time.Second, Tell: 20 * time.Millisecond, Resend: 500 * time.Millisecond, Learn: 3 * time.Second,
-		Pending: 1024, Held: 8 << 20, Batch: 16 << 10, Window: 16 << 10, Chunk: 8 << 10, Trail: 64 << 10}
+func DefaultConfig() Config {
+	return Config{HeartbeatInterval: 150 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond, ElectionJitter: 400 * time.Millisecond,
+		QuorumTimeout: time.Second, CommitNotifyDelay: 20 * time.Millisecond, RetransmitTimeout: 500 * time.Millisecond, LearnerTimeout: 3 * time.Second,
+		MaxPending: 1024, MaxUncommittedBytes: 8 << 20, MaxMessageBytes: 16 << 10, MaxInflightBytes: 16 << 10, ChunkBytes: 8 << 10, TrailingBytes: 64 << 10}
 }
 
 // MessageKind tells what a message is.
@@ -123,19 +123,19 @@
 
 // The kinds of messages; the comments tell what their fields hold.
 const (
-	Append      MessageKind = iota + 1 // leader's: Entries (maybe none) after Index of view At, or a Snap up to there
-	Ack                                // all up to Index is as the leader's, and synced; Round as heard
-	Reject                             // Index is not as told; committed is Index; Round as heard
-	RefuseView                         // promised to a newer View
-	PreVote                            // has the leader been lost? Round tells this asking from others
-	PreVoted                           // No: it has not
-	Prepare                            // stop the views before View and wait for its leader
-	Promise                            // promised, on disk; the last entry is Index of view At
-	FetchLog                           // the log after Index, please
-	LogTail                            // the log after Index, or a Snap and all after it
-	TakeOver                           // the leader leaves: ask for the next view now
-	AppendChunk                        // leader's: as Append, but Chunk is a part of what Snap or the one of Entries lacks
-	AckChunk                           // of the blob that Chunk names all before its Offset is had, in memory; Round as heard
+	MsgAppend          MessageKind = iota + 1 // leader's: Entries (maybe none) after Index of view At, or a Snap up to there
+	MsgAppendAck                              // all up to Index is as the leader's, and synced; Round as heard
+	MsgAppendReject                           // Index is not as told; committed is Index; Round as heard
+	MsgStaleTerm                              // promised to a newer View
+	MsgPreVote                                // has the leader been lost? Round tells this asking from others
+	MsgPreVoteResponse                        // No: it has not
+	MsgRequestVote                            // stop the views before View and wait for its leader
+	MsgVoteGranted                            // promised, on disk; the last entry is Index of view At
+	MsgFetchLog                               // the log after Index, please
+	MsgLogTail                                // the log after Index, or a Snap and all after it
+	MsgTimeoutNow                             // the leader leaves: ask for the next view now
+	MsgAppendChunk                            // leader's: as Append, but Chunk is a part of what Snap or the one of Entries lacks
+	MsgChunkAck                               // of the blob that Chunk names all before its Offset is had, in memory; Round as heard
 )
 
 // Message is what members say. One lost, doubled or late does no harm.
@@ -163,43 +163,43 @@
 
 // Send is a message to be sent, or lost.
 type Send struct {
-	To      Member
-	Message Message
+	Recipient Member
+	Message   Message
 }
 
 // Write is to be put on disk and synced as a whole, in the order of Nr; then Synced(Nr) is due. If it
 // fails, it is to be tried again, or the process must end: a later one must not be written without it.
 type Write struct {
-	Nr        uint64
-	House     uint64
-	Promise   uint64
-	For       MemberID
-	Delivered uint64
-	Snap      *Snapshot // if set, it takes the place of the old one and of the entries up to its index
-	From      uint64    // if not 0, the entries from here on are Entries and no others
-	Entries   []Entry
+	Seq        uint64
+	ClusterID  uint64
+	Term       uint64
+	Vote       MemberID
+	Commit     uint64
+	Snapshot   *Snapshot // if set, it takes the place of the old one and of the entries up to its index
+	FirstIndex uint64    // if not 0, the entries from here on are Entries and no others
+	Entries    []Entry
 }
 
-// Then is one write that does what two do, one after the other.
-func (w Write) Then(next Write) Write {
-	if s := next.Snap; s == nil {
-		next.Snap = w.Snap
-	} else if w.From > 0 && w.From <= s.Index {
-		w.Entries = w.Entries[min(uint64(len(w.Entries)), s.Index+1-w.From):]
-		w.From = s.Index + 1
+// Merge is one write that does what two do, one after the other.
+func (w Write) Merge(next Write) Write {
+	if s := next.Snapshot; s == nil {
+		next.Snapshot = w.Snapshot
+	} else if w.FirstIndex > 0 && w.FirstIndex <= s.Index {
+		w.Entries = w.Entries[min(uint64(len(w.Entries)), s.Index+1-w.FirstIndex):]
+		w.FirstIndex = s.Index + 1
 	}
 	switch {
-	case w.From == 0:
-	case next.From == 0:
-		next.From, next.Entries = w.From, w.Entries
-	case next.From > w.From:
-		keep := min(uint64(len(w.Entries)), next.From-w.From)
-		next.From, next.Entries = w.From, slices.Concat(w.Entries[:keep], next.Entries)
+	case w.FirstIndex == 0:
+	case next.FirstIndex == 0:
+		next.FirstIndex, next.Entries = w.FirstIndex, w.Entries
+	case next.FirstIndex > w.FirstIndex:
+		keep := min(uint64(len(w.Entries)), next.FirstIndex-w.FirstIndex)
+		next.FirstIndex, next.Entries = w.FirstIndex, slices.Concat(w.Entries[:keep], next.Entries)
 	}
 	return next
 }
 
-// Commit is the next entry of the order. NoOp and ConfigChange are committed too: Index has no gaps.
+// Commit is the next entry of the order. EntryNoOp and EntryConfigChange are committed too: Index has no gaps.
 type Commit struct{ Entry Entry }
 
 // Restore is the state to start from; Commit goes on after its Index. It comes first when the disk held
@@ -209,33 +209,33 @@
 	State []byte // empty means the state that a system starts with
 }
 
-// Verdict tells how a proposal or a read ended.
-type Verdict uint8
+// OutcomeStatus tells how a proposal or a read ended.
+type OutcomeStatus uint8
 
 // The verdicts. All but Done and Unknown promise that nothing was or will be taken.
 const (
-	Done      Verdict = iota
-	NotLeader         // Leader is the one to ask
-	NoLeader          // no leader is known, or this one hears no majority
-	Busy              // too many wait
-	Unknown           // may have been taken, or may still be
+	OutcomeCommitted OutcomeStatus = iota
+	OutcomeNotLeader               // Leader is the one to ask
+	OutcomeNoLeader                // no leader is known, or this one hears no majority
+	OutcomeBusy                    // too many wait
+	OutcomeUnknown                 // may have been taken, or may still be
 )
 
-func (v Verdict) String() string {
+func (v OutcomeStatus) String() string {
 	return [...]string{"done", "not the leader", "no leader that hears a majority", "too many wait", "unknown"}[v]
 }
 
 // Outcome is the end of a proposal (Index: its place; it was committed just before) or of a read (Index:
 // what was committed up to here is as new as anything acknowledged before the read came).
 type Outcome struct {
-	Token   uint64
-	Index   uint64
-	Verdict Verdict
-	Leader  Member // with NotLeader
+	Token  uint64
+	Index  uint64
+	Status OutcomeStatus
+	Leader Member // with OutcomeNotLeader
 }
 
 // Wake asks for Now at that time, in the place of any earlier Wake.
-type Wake struct{ At time.Duration }
+type Wake struct{ Deadline time.Duration }
 
 func (Send) action()    {}
 func (Write) action()   {}
--- a/internal/gateway/replication/view.go
+++ b/internal/gateway/replication/view.go
@@ -6,221 +6,221 @@
 	"clovergap/internal/proxy/invariant"
 )
 
-// Heard takes a message from a member, or from one who may become one.
-func (p *Replica) Heard(from MemberID, m Message) {
-	if m.To != p.me.ID && p.fault != countWiped || from == p.me.ID {
+// Step takes a message from a member, or from one who may become one.
+func (p *Replica) Step(from MemberID, m Message) {
+	if m.To != p.self.ID && p.fault != countWiped || from == p.self.ID {
 		return
 	}
-	if p.clusterID == 0 || m.House != p.clusterID && p.lone() {
-		if m.Kind == AppendChunk {
+	if p.clusterID == 0 || m.House != p.clusterID && p.onlyBootstrapped() {
+		if m.Kind == MsgAppendChunk {
 			p.onChunk(from, m)
-		} else if m.Kind == Append || p.clusterID == 0 && p.fault == countWiped && m.Kind == Prepare {
-			p.onFirst(from, m)
+		} else if m.Kind == MsgAppend || p.clusterID == 0 && p.fault == countWiped && m.Kind == MsgRequestVote {
+			p.joinCluster(from, m)
 		}
 		return
 	}
 	if m.House != p.clusterID {
 		return
 	}
-	p.seen = max(p.seen, m.View)
+	p.maxSeenTerm = max(p.maxSeenTerm, m.View)
 	switch m.Kind {
-	case Append:
+	case MsgAppend:
 		p.onAppend(from, m)
-	case AppendChunk:
+	case MsgAppendChunk:
 		p.onChunk(from, m)
-	case Ack, Reject, AckChunk:
-		p.onAck(from, m)
-	case RefuseView:
+	case MsgAppendAck, MsgAppendReject, MsgChunkAck:
+		p.onAppendResponse(from, m)
+	case MsgStaleTerm:
 		// One who knows a newer view takes nothing from this one any more.
-		if p.role == leading && m.View > p.promise && p.peers[from] != nil && from != p.learner {
+		if p.role == roleLeader && m.View > p.term && p.peers[from] != nil && from != p.learner {
 			p.stepDown()
 		}
 		// Two that ask for one view at once keep each other from it: the lower id asks again, and the other one answers it.
-		if p.role == preparing && m.No && m.View == p.promise && p.me.ID < from && p.fault != asksInTurn {
-			p.prepare(true)
+		if p.role == roleCandidate && m.No && m.View == p.term && p.self.ID < from && p.fault != asksInTurn {
+			p.startElection(true)
 		}
-	case PreVote:
-		lost := p.role != leading && p.now-p.heardAt >= p.terms.Patience
-		p.send(from, Message{Kind: PreVoted, View: p.promise, Round: m.Round, No: !lost})
-	case PreVoted:
-		if p.role == preVoting && m.Round == p.try && !m.No {
+	case MsgPreVote:
+		lost := p.role != roleLeader && p.now-p.leaderContactAt >= p.config.ElectionTimeout
+		p.send(from, Message{Kind: MsgPreVoteResponse, View: p.term, Round: m.Round, No: !lost})
+	case MsgPreVoteResponse:
+		if p.role == rolePreCandidate && m.Round == p.preVoteSeq && !m.No {
 			p.preVotes[from] = true
-			p.prepare(false)
+			p.startElection(false)
 		}
-	case Prepare:
-		p.onPrepare(from, m)
-	case Promise:
-		if p.role == preparing && m.View == p.promise {
-			p.promises[from] = place{m.At, m.Index}
-			p.tallyPromises()
+	case MsgRequestVote:
+		p.onRequestVote(from, m)
+	case MsgVoteGranted:
+		if p.role == roleCandidate && m.View == p.term {
+			p.votes[from] = logPosition{m.At, m.Index}
+			p.tallyVotes()
 		}
-	case FetchLog:
+	case MsgFetchLog:
 		p.onFetchLog(from, m)
-	case LogTail:
+	case MsgLogTail:
 		p.onLogTail(m)
-	case TakeOver:
-		if m.View == p.promise && p.leader == from && p.role == following && p.member(p.me.ID) {
-			p.prepare(true)
+	case MsgTimeoutNow:
+		if m.View == p.term && p.leaderID == from && p.role == roleFollower && p.isMember(p.self.ID) {
+			p.startElection(true)
 		}
 	}
 }
 
-// onFirst is for an empty disk, or one that holds a founding alone: it has nothing to say to anyone but a leader that gives it the
+// joinCluster is for an empty disk, or one that holds a founding alone: it has nothing to say to anyone but a leader that gives it the
 // state. A leader of another founding has the promises of that one's majority.
-func (p *Replica) onFirst(from MemberID, m Message) {
-	if m.Kind == Append && m.Snap == nil {
-		p.send(from, Message{Kind: Reject, House: m.House, View: m.View, Round: m.Round, Chunks: true})
+func (p *Replica) joinCluster(from MemberID, m Message) {
+	if m.Kind == MsgAppend && m.Snap == nil {
+		p.send(from, Message{Kind: MsgAppendReject, House: m.House, View: m.View, Round: m.Round, Chunks: true})
 		return
 	}
-	p.forget()
+	p.reset()
 	p.clusterID = m.House
-	p.Heard(from, m)
+	p.Step(from, m)
 }
 
-// lone tells whether this disk holds the word of a founding and nothing else: it has promised nobody a view, and has never confirmed an
+// onlyBootstrapped tells whether this disk holds the word of a founding and nothing else: it has promised nobody a view, and has never confirmed an
 // entry. So it owes its founding nothing, and is worth no more to it than an empty disk that can be handed the word.
-func (p *Replica) lone() bool {
-	return p.clusterID != 0 && p.snap.Index == 1 && len(p.log) == 0 && (p.promise == 1 || p.fault == leaveFounding)
+func (p *Replica) onlyBootstrapped() bool {
+	return p.clusterID != 0 && p.snapshot.Index == 1 && len(p.log) == 0 && (p.term == 1 || p.fault == leaveFounding)
 }
 
-// LayAside empties a disk that holds a founding alone, whose other members are gone for good; false: it holds more.
-func (p *Replica) LayAside() bool {
-	if !p.lone() {
+// DiscardBootstrap empties a disk that holds a founding alone, whose other members are gone for good; false: it holds more.
+func (p *Replica) DiscardBootstrap() bool {
+	if !p.onlyBootstrapped() {
 		return false
 	}
-	p.forget()
-	p.dirtySnap = true
-	p.markDirty(1)
+	p.reset()
+	p.unwrittenSnapshot = true
+	p.markUnwritten(1)
 	return true
 }
 
-// forget makes it as an empty disk: what is written next says what it holds.
-func (p *Replica) forget() {
-	invariant.That(len(p.log) == 0 && p.role != leading, "only a founding is laid aside")
-	p.clusterID, p.promise, p.promisedTo, p.seen, p.held = 0, 0, 0, 0, false
-	p.snap, p.configs, p.committed = Snapshot{}, []config{{}}, 0
-	p.unsync(0)
-	p.role, p.leader, p.due = following, 0, never
+// reset makes it as an empty disk: what is written next says what it holds.
+func (p *Replica) reset() {
+	invariant.That(len(p.log) == 0 && p.role != roleLeader, "only a founding is laid aside")
+	p.clusterID, p.term, p.votedFor, p.maxSeenTerm, p.bootstrapSynced = 0, 0, 0, 0, false
+	p.snapshot, p.memberConfigs, p.commitIndex = Snapshot{}, []memberConfig{{}}, 0
+	p.invalidateSynced(0)
+	p.role, p.leaderID, p.electionDeadline = roleFollower, 0, never
 }
 
-// beginTimes as soon a member asks for a view that has heard of no leader since its start. Those who have one say no.
-const beginTimes = 3
+// startupTimeoutDivisor as soon a member asks for a view that has heard of no leader since its start. Those who have one say no.
+const startupTimeoutDivisor = 3
 
-// vainMost is how many times its patience a member waits at most for a view that it asked for, and as much again by chance.
+// maxElectionBackoff is how many times its patience a member waits at most for a view that it asked for, and as much again by chance.
 // Each one asked for in vain doubles the next one's time: disks that sync slower than members are patient must not keep all
 // from ever being led.
-const vainMost = 4
+const maxElectionBackoff = 4
 
-// setDue starts the waiting for a leader anew.
-func (p *Replica) setDue() {
-	if p.due = never; p.clusterID != 0 && p.member(p.me.ID) {
-		wait, spread := p.terms.Patience, p.terms.Spread
-		if !p.begun { // nobody has led in this life: after the loss of all there is no leader to be patient with
-			wait, spread = wait/beginTimes, spread/beginTimes
+// resetElectionDeadline starts the waiting for a leader anew.
+func (p *Replica) resetElectionDeadline() {
+	if p.electionDeadline = never; p.clusterID != 0 && p.isMember(p.self.ID) {
+		wait, spread := p.config.ElectionTimeout, p.config.ElectionJitter
+		if !p.sawLeader { // nobody has led in this life: after the loss of all there is no leader to be patient with
+			wait, spread = wait/startupTimeoutDivisor, spread/startupTimeoutDivisor
 		}
-		for n := 0; n < p.failedViews && 2*wait <= vainMost*p.terms.Patience; n++ {
+		for n := 0; n < p.failedElections && 2*wait <= maxElectionBackoff*p.config.ElectionTimeout; n++ {
 			wait, spread = 2*wait, 2*spread
 		}
-		p.due = p.now + wait + p.chance(spread)
+		p.electionDeadline = p.now + wait + p.random(spread)
 	}
 }
 
 // rise goes on to a newer view, or to another leader than the promised one in the same.
-func (p *Replica) enterView(view uint64, to MemberID) {
-	invariant.That(view >= p.promise, "views rise")
-	if p.role == leading {
+func (p *Replica) enterTerm(view uint64, to MemberID) {
+	invariant.That(view >= p.term, "views rise")
+	if p.role == roleLeader {
 		p.stepDown()
 	}
-	p.promise, p.promisedTo = view, to
-	p.seen = max(p.seen, view)
-	p.role, p.leader = following, 0
-	p.matched, p.round, p.roundSaid, p.leaderClock = 0, 0, 0, 0
-	p.markDirty(0)
+	p.term, p.votedFor = view, to
+	p.maxSeenTerm = max(p.maxSeenTerm, view)
+	p.role, p.leaderID = roleFollower, 0
+	p.matchIndex, p.readSeq, p.ackedReadSeq, p.leaderClock = 0, 0, 0, 0
+	p.markUnwritten(0)
 }
 
-// preVote asks the others whether they have lost the leader too: one who was cut off alone must not disturb.
-func (p *Replica) preVote() {
-	if p.setDue(); p.due == never {
+// startPreVote asks the others whether they have lost the leader too: one who was cut off alone must not disturb.
+func (p *Replica) startPreVote() {
+	if p.resetElectionDeadline(); p.electionDeadline == never {
 		return
 	}
-	p.role, p.leader = preVoting, 0
-	p.try++
-	p.preVotes = map[MemberID]bool{p.me.ID: true}
-	for _, m := range p.others() {
-		p.sendTo(m, Message{Kind: PreVote, View: p.promise, Round: p.try})
+	p.role, p.leaderID = rolePreCandidate, 0
+	p.preVoteSeq++
+	p.preVotes = map[MemberID]bool{p.self.ID: true}
+	for _, m := range p.otherMembers() {
+		p.sendTo(m, Message{Kind: MsgPreVote, View: p.term, Round: p.preVoteSeq})
 	}
-	p.prepare(false)
+	p.startElection(false)
 }
 
 // stop asks for the promises, first this member's own: one who can't sync had better not ask.
-func (p *Replica) prepare(now bool) {
-	if !now && !p.quorum(func(id MemberID) bool { return p.preVotes[id] }) {
+func (p *Replica) startElection(now bool) {
+	if !now && !p.hasQuorum(func(id MemberID) bool { return p.preVotes[id] }) {
 		return
 	}
-	p.enterView(max(p.promise, p.seen)+1, p.me.ID)
-	p.role, p.fetch = preparing, 0
-	p.promises, p.prepareSent = map[MemberID]place{}, map[MemberID]Member{}
-	p.setDue()
-	p.failedViews++
-	p.preparedAt = p.now
-	p.afterSync(waiting{kind: Prepare, view: p.promise})
+	p.enterTerm(max(p.term, p.maxSeenTerm)+1, p.self.ID)
+	p.role, p.fetchingLogFrom = roleCandidate, 0
+	p.votes, p.voteRequests = map[MemberID]logPosition{}, map[MemberID]Member{}
+	p.resetElectionDeadline()
+	p.failedElections++
+	p.electionStartedAt = p.now
+	p.replyAfterSync(pendingReply{kind: MsgRequestVote, term: p.term})
 }
 
-// promisesIn is how many times as long as its own disk took a member waits for the promises of others, whose disks may be busier.
-const promisesIn = 3
+// voteWaitFactor is how many times as long as its own disk took a member waits for the promises of others, whose disks may be busier.
+const voteWaitFactor = 3
 
-// awaitPromises has the next view wait for the promises of this one: who asks again while the others are still writing asks in vain.
-func (p *Replica) awaitPromises() {
-	if p.fault != asksInTurn && p.due != never {
-		p.due = max(p.due, p.now+min(promisesIn*(p.now-p.preparedAt), vainMost*p.terms.Patience))
+// awaitVotes has the next view wait for the promises of this one: who asks again while the others are still writing asks in vain.
+func (p *Replica) awaitVotes() {
+	if p.fault != asksInTurn && p.electionDeadline != never {
+		p.electionDeadline = max(p.electionDeadline, p.now+min(voteWaitFactor*(p.now-p.electionStartedAt), maxElectionBackoff*p.config.ElectionTimeout))
 	}
 }
 
-// onPrepare promises to take nothing from older views.
-func (p *Replica) onPrepare(from MemberID, m Message) {
-	if m.View < p.promise || m.View == p.promise && p.promisedTo != from && p.fault != promiseTwo {
-		p.send(from, Message{Kind: RefuseView, View: p.promise, No: p.role == preparing})
+// onRequestVote promises to take nothing from older views.
+func (p *Replica) onRequestVote(from MemberID, m Message) {
+	if m.View < p.term || m.View == p.term && p.votedFor != from && p.fault != promiseTwo {
+		p.send(from, Message{Kind: MsgStaleTerm, View: p.term, No: p.role == roleCandidate})
 		return
 	}
-	if m.View > p.promise || p.fault == promiseTwo {
-		p.enterView(m.View, from)
-		p.heardAt, p.begun = p.now, true // whoever asked gets its time
-		p.setDue()
+	if m.View > p.term || p.fault == promiseTwo {
+		p.enterTerm(m.View, from)
+		p.leaderContactAt, p.sawLeader = p.now, true // whoever asked gets its time
+		p.resetElectionDeadline()
 	}
-	p.afterSync(waiting{kind: Promise, view: m.View, to: from})
+	p.replyAfterSync(pendingReply{kind: MsgVoteGranted, term: m.View, recipient: from})
 }
 
 // gather looks whether the promises suffice and this log is the newest among them.
-func (p *Replica) tallyPromises() {
-	if _, ok := p.promises[p.me.ID]; !ok {
+func (p *Replica) tallyVotes() {
+	if _, ok := p.votes[p.self.ID]; !ok {
 		return
 	}
-	for _, m := range p.others() {
-		if _, ok := p.prepareSent[m.ID]; !ok {
-			p.prepareSent[m.ID] = m
-			p.sendTo(m, Message{Kind: Prepare, View: p.promise})
+	for _, m := range p.otherMembers() {
+		if _, ok := p.voteRequests[m.ID]; !ok {
+			p.voteRequests[m.ID] = m
+			p.sendTo(m, Message{Kind: MsgRequestVote, View: p.term})
 		}
 	}
-	promised := func(id MemberID) bool { _, ok := p.promises[id]; return ok }
-	if !p.quorum(promised) && (p.fault != fewPromises || 2*len(p.promises) < len(p.Members())-1) {
+	promised := func(id MemberID) bool { _, ok := p.votes[id]; return ok }
+	if !p.hasQuorum(promised) && (p.fault != fewPromises || 2*len(p.votes) < len(p.Members())-1) {
 		return
 	}
-	newest, at := p.me.ID, p.end()
-	for id, e := range p.promises {
-		if e.newer(at) || e == at && newest != p.me.ID && id < newest {
+	newest, at := p.self.ID, p.lastPosition()
+	for id, e := range p.votes {
+		if e.newerThan(at) || e == at && newest != p.self.ID && id < newest {
 			newest, at = id, e
 		}
 	}
-	if newest != p.me.ID && p.fault != notNewest {
-		if p.fetch != newest {
-			p.fetch = newest
-			p.send(newest, Message{Kind: FetchLog, View: p.promise, Index: p.committed})
+	if newest != p.self.ID && p.fault != notNewest {
+		if p.fetchingLogFrom != newest {
+			p.fetchingLogFrom = newest
+			p.send(newest, Message{Kind: MsgFetchLog, View: p.term, Index: p.commitIndex})
 		}
 		return
 	}
-	if !p.member(p.me.ID) { // as the newest log tells: others will ask
-		p.role = following
-		p.setDue()
+	if !p.isMember(p.self.ID) { // as the newest log tells: others will ask
+		p.role = roleFollower
+		p.resetElectionDeadline()
 		return
 	}
 	p.becomeLeader()
@@ -228,15 +228,15 @@
 
 // fetched gives the log to the one who was promised the view.
 func (p *Replica) onFetchLog(from MemberID, m Message) {
-	if m.View != p.promise || p.promisedTo != from || p.role != following || p.leader != 0 {
+	if m.View != p.term || p.votedFor != from || p.role != roleFollower || p.leaderID != 0 {
 		return
 	}
-	a := Message{Kind: LogTail, View: p.promise, Index: m.Index}
-	if m.Index < p.snap.Index {
-		s := p.snap
+	a := Message{Kind: MsgLogTail, View: p.term, Index: m.Index}
+	if m.Index < p.snapshot.Index {
+		s := p.snapshot
 		a.Snap, a.Index = &s, s.Index
 	}
-	a.Entries = p.from(a.Index + 1)
+	a.Entries = p.entriesFrom(a.Index + 1)
 	size := 0
 	if a.Snap != nil {
 		size = len(a.Snap.State)
@@ -244,10 +244,10 @@
 	for i := range a.Entries {
 		size += a.Entries[i].size()
 	}
-	if p.large(size) && p.member(p.me.ID) {
+	if p.needsChunks(size) && p.isMember(p.self.ID) {
 		// It would hold up all else on the link for as long: who has the newest log asks for the next view itself, and
 		// brings the other up to it as its leader, in chunks.
-		p.prepare(true)
+		p.startElection(true)
 		return
 	}
 	p.send(from, a)
@@ -255,37 +255,37 @@
 
 // script takes a newer log.
 func (p *Replica) onLogTail(m Message) {
-	if p.role != preparing || m.View != p.promise {
+	if p.role != roleCandidate || m.View != p.term {
 		return
 	}
-	var at place
+	var at logPosition
 	if n := len(m.Entries); n > 0 {
-		at = place{m.Entries[n-1].View, m.Entries[n-1].Index}
+		at = logPosition{m.Entries[n-1].View, m.Entries[n-1].Index}
 	} else if m.Snap != nil {
-		at = place{m.Snap.View, m.Snap.Index}
+		at = logPosition{m.Snap.View, m.Snap.Index}
 	}
-	if !at.newer(p.end()) || m.Snap == nil && m.Index > p.committed {
+	if !at.newerThan(p.lastPosition()) || m.Snap == nil && m.Index > p.commitIndex {
 		return
 	}
-	if p.mayInstall(m.Snap) {
-		p.install(*m.Snap)
+	if p.needsSnapshot(m.Snap) {
+		p.installSnapshot(*m.Snap)
 	}
-	p.merge(m.Index, m.Entries)
-	p.tallyPromises()
+	p.appendAfter(m.Index, m.Entries)
+	p.tallyVotes()
 }
 
-// hearLeader takes what each of a leader's messages tells. False: it is of an older view.
-func (p *Replica) hearLeader(from MemberID, m Message) bool {
-	if m.View < p.promise && p.fault != takeOld {
-		p.send(from, Message{Kind: RefuseView, View: p.promise})
+// followLeader takes what each of a leader's messages tells. False: it is of an older view.
+func (p *Replica) followLeader(from MemberID, m Message) bool {
+	if m.View < p.term && p.fault != takeOld {
+		p.send(from, Message{Kind: MsgStaleTerm, View: p.term})
 		return false
 	}
-	if m.View > p.promise || p.promisedTo != from && p.fault != takeOld {
-		p.enterView(m.View, from)
+	if m.View > p.term || p.votedFor != from && p.fault != takeOld {
+		p.enterTerm(m.View, from)
 	}
-	invariant.That(p.role != leading, "a view has one leader")
-	p.role, p.leader, p.heardAt, p.begun, p.failedViews = following, from, p.now, true, 0
-	p.round = max(p.round, m.Round)
+	invariant.That(p.role != roleLeader, "a view has one leader")
+	p.role, p.leaderID, p.leaderContactAt, p.sawLeader, p.failedElections = roleFollower, from, p.now, true, 0
+	p.readSeq = max(p.readSeq, m.Round)
 	if p.leaderClock == 0 || int32(m.Clock-p.leaderClock) > 0 {
 		p.leaderClock = m.Clock
 	}
@@ -294,65 +294,65 @@
 
 // onAppend takes what a leader sends.
 func (p *Replica) onAppend(from MemberID, m Message) {
-	if !p.hearLeader(from, m) {
+	if !p.followLeader(from, m) {
 		return
 	}
 	if len(m.Entries) == 0 && m.Snap == nil {
-		p.elsewhere = m.Elsewhere
+		p.replicatedElsewhere = m.Elsewhere
 	}
-	if p.mayInstall(m.Snap) {
-		p.install(*m.Snap)
+	if p.needsSnapshot(m.Snap) {
+		p.installSnapshot(*m.Snap)
 	}
-	if v, ok := p.viewAt(m.Index); m.Index > p.committed && (!ok || v != m.At && p.fault != unmatched) {
-		p.setDue()
-		p.send(from, Message{Kind: Reject, View: m.View, Index: p.committed, Round: p.round,
-			Clock: p.clock.Tell(p.now), Echo: p.leaderClock, Chunks: true})
+	if v, ok := p.termAt(m.Index); m.Index > p.commitIndex && (!ok || v != m.At && p.fault != unmatched) {
+		p.resetElectionDeadline()
+		p.send(from, Message{Kind: MsgAppendReject, View: m.View, Index: p.commitIndex, Round: p.readSeq,
+			Clock: p.clock.Stamp(p.now), Echo: p.leaderClock, Chunks: true})
 		return
 	}
-	p.merge(m.Index, m.Entries)
-	p.setDue() // the list may be another now
-	p.matched = max(p.matched, m.Index+uint64(len(m.Entries)))
-	p.commitUpTo(max(p.committed, min(m.Delivered, p.matched)))
-	p.heardContact(m)
-	if p.matched <= p.synced || p.round > p.roundSaid || len(m.Entries) == 0 && m.Snap == nil {
-		p.ack()
+	p.appendAfter(m.Index, m.Entries)
+	p.resetElectionDeadline() // the list may be another now
+	p.matchIndex = max(p.matchIndex, m.Index+uint64(len(m.Entries)))
+	p.commitTo(max(p.commitIndex, min(m.Delivered, p.matchIndex)))
+	p.receiveContact(m)
+	if p.matchIndex <= p.syncedIndex || p.readSeq > p.ackedReadSeq || len(m.Entries) == 0 && m.Snap == nil {
+		p.sendAck()
 	}
-	if p.matched > p.synced {
-		p.afterSync(waiting{kind: Ack, view: p.promise, to: from})
+	if p.matchIndex > p.syncedIndex {
+		p.replyAfterSync(pendingReply{kind: MsgAppendAck, term: p.term, recipient: from})
 	}
 }
 
 // have tells the leader what is on disk, and the round: that one needs no disk.
-func (p *Replica) ack() {
-	upto := min(p.matched, p.synced)
+func (p *Replica) sendAck() {
+	upto := min(p.matchIndex, p.syncedIndex)
 	if p.fault == ackUnsynced {
-		upto = p.matched
+		upto = p.matchIndex
 	}
-	p.roundSaid = p.round
-	p.send(p.leader, Message{Kind: Ack, View: p.promise, Index: upto, Round: p.round, Clock: p.clock.Tell(p.now), Echo: p.leaderClock,
+	p.ackedReadSeq = p.readSeq
+	p.send(p.leaderID, Message{Kind: MsgAppendAck, View: p.term, Index: upto, Round: p.readSeq, Clock: p.clock.Stamp(p.now), Echo: p.leaderClock,
 		Chunks: true})
 }
 
 // stepDown stops leading.
 func (p *Replica) stepDown() {
-	p.role, p.leader = following, 0
-	p.heardAt = p.now - p.terms.Patience // nothing speaks against a new view
-	p.setDue()
-	p.peers, p.learner, p.handingOver = nil, 0, 0
-	p.matched, p.round, p.roundSaid = 0, 0, 0
-	indexes := make([]uint64, 0, len(p.tokens))
-	for i := range p.tokens {
+	p.role, p.leaderID = roleFollower, 0
+	p.leaderContactAt = p.now - p.config.ElectionTimeout // nothing speaks against a new view
+	p.resetElectionDeadline()
+	p.peers, p.learner, p.transferDeadline = nil, 0, 0
+	p.matchIndex, p.readSeq, p.ackedReadSeq = 0, 0, 0
+	indexes := make([]uint64, 0, len(p.proposals))
+	for i := range p.proposals {
 		indexes = append(indexes, i)
 	}
 	slices.Sort(indexes)
 	for _, i := range indexes {
-		p.outcome(p.tokens[i], i, Unknown)
+		p.finish(p.proposals[i], i, OutcomeUnknown)
 	}
 	if p.fault != keepTokens {
-		clear(p.tokens)
+		clear(p.proposals)
 	}
 	for _, r := range p.reads {
-		p.outcome(r.token, 0, NoLeader)
+		p.finish(r.token, 0, OutcomeNoLeader)
 	}
 	p.reads = nil
 }
--- a/internal/gateway/replication/writequeue.go
+++ b/internal/gateway/replication/writequeue.go
@@ -4,51 +4,51 @@
 // that a disk that hangs has no more to write than the state of each. It decides what goes into one transaction; the host takes that to
 // the disk, whole, and tells each replica once it is synced (Synced). The zero value is empty.
 type WriteQueue struct {
-	due   map[LogID]*Write
-	next  LogID // the group whose write goes first
-	fault fault
+	pending   map[LogID]*Write
+	nextGroup LogID // the group whose write goes first
+	fault     fault
 }
 
-// batchMost is how many bytes of the groups' writes go into one transaction, beside the configuration's: what a configuration waits
+// maxBatchBytes is how many bytes of the groups' writes go into one transaction, beside the configuration's: what a configuration waits
 // for at the most. One write always does.
-const batchMost = 256 << 10
+const maxBatchBytes = 256 << 10
 
 // Put adds what a replica writes, behind what it wrote before.
 func (q *WriteQueue) Put(log LogID, w Write) {
-	if q.due == nil {
-		q.due = map[LogID]*Write{}
+	if q.pending == nil {
+		q.pending = map[LogID]*Write{}
 	}
-	if before := q.due[log]; before != nil && q.fault != dropMerged {
-		w = before.Then(w)
+	if before := q.pending[log]; before != nil && q.fault != dropMerged {
+		w = before.Merge(w)
 	}
-	q.due[log] = &w
+	q.pending[log] = &w
 }
 
 // Take is the next transaction: the configuration's write always, and the groups' in turn, up to a bound. Nil: nothing waits.
 func (q *WriteQueue) Take() (batch []LogWrite) {
-	if len(q.due) == 0 {
+	if len(q.pending) == 0 {
 		return nil
 	}
 	most := ConfigurationLog
-	for log := range q.due {
+	for log := range q.pending {
 		most = max(most, log)
 	}
 	take := func(log LogID) {
-		batch = append(batch, LogWrite{log, *q.due[log]})
-		delete(q.due, log)
+		batch = append(batch, LogWrite{log, *q.pending[log]})
+		delete(q.pending, log)
 	}
-	if q.due[ConfigurationLog] != nil {
+	if q.pending[ConfigurationLog] != nil {
 		take(ConfigurationLog)
 	}
-	size, first := 0, max(q.next, 1)
+	size, first := 0, max(q.nextGroup, 1)
 	for i := range most {
 		log := 1 + (first-1+i)%most
-		if q.due[log] == nil {
+		if q.pending[log] == nil {
 			continue
 		}
-		own := q.due[log].Size()
-		if size += own; size > batchMost && size > own {
-			q.next = log
+		own := q.pending[log].Size()
+		if size += own; size > maxBatchBytes && size > own {
+			q.nextGroup = log
 			break
 		}
 		take(log)
--- a/internal/gateway/rollout/order.go
+++ b/internal/gateway/rollout/order.go
@@ -22,7 +22,7 @@
 type Number uint64
 
 // Span is a time that JSON writes with its unit.
-type Span = logentry.Span
+type Span = logentry.Duration
 
 // Rollout is an order: which version takes over from which, and how.
 type Rollout struct {
@@ -85,7 +85,7 @@
 	if r.Advance == "" {
 		r.Advance = "word"
 	}
-	if err := logentry.Check(r); err != nil {
+	if err := logentry.Validate(r); err != nil {
 		return err
 	}
 	for i := 1; i < len(r.Steps); i++ {
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -96,7 +96,7 @@
 // State is folded from the ordered log: all nodes come to the same.
 type State struct {
 	kept
-	done *logentry.Window // marks, by the Rev that they made
+	done *logentry.DedupWindow // marks, by the Rev that they made
 }
 
 type kept struct {
@@ -113,7 +113,7 @@
 const marksMost = 256
 
 // NewState is that before the first entry.
-func NewState() *State { return &State{done: logentry.NewWindow(logentry.WindowBytes)} }
+func NewState() *State { return &State{done: logentry.NewDedupWindow(logentry.DedupWindowBytes)} }
 
 // Runs are the newest roll-outs of all services; not to be changed.
 func (s *State) Runs() []Run { return s.kept.Runs }
@@ -139,12 +139,12 @@
 }
 
 // Word encodes an entry for the log.
-func (e *Entry) Word() []byte { return logentry.Pack(e) }
+func (e *Entry) Word() []byte { return logentry.Encode(e) }
 
 // ReadEntry decodes one.
 func ReadEntry(b []byte) (*Entry, error) {
 	e := new(Entry)
-	return e, logentry.Unpack(b, e, "entry of a roll-out")
+	return e, logentry.Decode(b, e, "entry of a roll-out")
 }
 
 // Inspect tells what is wrong with an entry by itself, whatever the state.
@@ -273,7 +273,7 @@
 		must := r.Order.Check()
 		invariant.That(must == nil, "an order that was taken is sound")
 		if had {
-			s.kept.Ended = logentry.Keep(append(s.kept.Ended, s.kept.Runs[i]), endedMost)
+			s.kept.Ended = logentry.KeepLast(append(s.kept.Ended, s.kept.Runs[i]), endedMost)
 			s.kept.Runs[i] = r
 		} else {
 			s.kept.Runs = slices.Insert(s.kept.Runs, i, r)
@@ -304,7 +304,7 @@
 func (s *State) Snapshot() []byte {
 	k := s.kept
 	k.Window = s.done.Bytes()
-	return logentry.Pack(k)
+	return logentry.Encode(k)
 }
 
 // Restore reads one; nothing at all is the state before the first entry.
@@ -313,7 +313,7 @@
 	if len(b) == 0 {
 		return s, nil
 	}
-	if err := logentry.Unpack(b, &s.kept, "snapshot of roll-outs"); err != nil {
+	if err := logentry.Decode(b, &s.kept, "snapshot of roll-outs"); err != nil {
 		return s, err
 	}
 	marks, window := s.Marks, s.Window
@@ -321,7 +321,7 @@
 	if window == nil { // each mark has made a rev of its own, at the latest the one that it is counted at here
 		before := s.Rev - uint64(len(marks))
 		if len(marks) == marksMost {
-			s.done.Forgets(before)
+			s.done.SetHorizon(before)
 		}
 		for i, m := range marks {
 			s.done.Add(before+1+uint64(i), markOf(m))
@@ -329,6 +329,6 @@
 		return s, nil
 	}
 	var err error
-	s.done, err = logentry.ReadWindow(window, logentry.WindowBytes)
+	s.done, err = logentry.DecodeDedupWindow(window, logentry.DedupWindowBytes)
 	return s, err
 }
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -44,7 +44,7 @@
 	version uint64
 	body    []byte
 	config  *Config
-	taken   *logentry.Window // by version
+	taken   *logentry.DedupWindow // by version
 
 	// The last call judged since the register changed: a node decides a call and then applies it.
 	judged  logentry.Digest
@@ -72,7 +72,9 @@
 }
 
 // NewRegister returns a register in which no configuration is in force.
-func NewRegister() *Register { return &Register{taken: logentry.NewWindow(logentry.WindowBytes)} }
+func NewRegister() *Register {
+	return &Register{taken: logentry.NewDedupWindow(logentry.DedupWindowBytes)}
+}
 
 // Decide tells what would become of a call now, and changes nothing. The error is nil where it would be
 // taken or was before, else a *Fault.
@@ -205,28 +207,28 @@
 	if r.defect == notKept {
 		s.Window = nil
 	}
-	return logentry.Pack(s)
+	return logentry.Encode(s)
 }
 
 // Restore makes the register of a snapshot. What was taken once is not judged again: a later program may
 // refuse more, but must not lose what is in force.
-func Restore(b []byte) (*Register, error) { return restore(b, logentry.WindowBytes) }
+func Restore(b []byte) (*Register, error) { return restore(b, logentry.DedupWindowBytes) }
 
 func restore(b []byte, window int) (*Register, error) {
 	var s snapshot
-	if err := logentry.Unpack(b, &s, "read snapshot of the configuration"); err != nil {
+	if err := logentry.Decode(b, &s, "read snapshot of the configuration"); err != nil {
 		return nil, err
 	}
-	r := &Register{taken: logentry.NewWindow(window)}
+	r := &Register{taken: logentry.NewDedupWindow(window)}
 	if len(s.Taken) == takenMost {
-		r.taken.Forgets(s.Taken[0].Version - 1)
+		r.taken.SetHorizon(s.Taken[0].Version - 1)
 	}
 	for _, t := range s.Taken {
 		r.taken.Add(t.Version, logentry.Digest(t.Digest[:len(logentry.Digest{})]))
 	}
 	if s.Window != nil {
 		var err error
-		if r.taken, err = logentry.ReadWindow(s.Window, window); err != nil {
+		if r.taken, err = logentry.DecodeDedupWindow(s.Window, window); err != nil {
 			return nil, errors.Wrap(err, "read snapshot of the configuration")
 		}
 	}
--- a/internal/gateway/settings/settings.go
+++ b/internal/gateway/settings/settings.go
@@ -17,29 +17,29 @@
 	"go.uber.org/multierr"
 )
 
-// Env names the variable that holds the path of the settings file.
-const Env = "CLOVERGAP_BOOT"
+// PathEnv names the variable that holds the path of the settings file.
+const PathEnv = "CLOVERGAP_BOOT"
 
 // Settings is what a process is told. Fields are named in the file as their tags say.
 type Settings struct {
-	NodeName     string            `yaml:"node_name" validate:"required"`
-	Role         string            `yaml:"role"`
-	Serves       []string          `yaml:"serves"` // edge, control, both or none
-	IP           string            `yaml:"ip" validate:"required,ip"`
-	Zone         string            `yaml:"zone" validate:"required"`
-	Region       string            `yaml:"region"`
-	Zones        map[string]string `yaml:"zones"` // region of each zone
-	Bind         Bind              `yaml:"bind"`
-	InnerPorts   [2]int            `yaml:"inner_port_range" validate:"dive,min=1,max=65535"` // first and last
-	SeedAddrs    []string          `yaml:"seed_addrs" validate:"dive,hostname_port"`
-	FirstBoot    bool              `yaml:"first_boot"`
-	CountsAsLoss bool              `yaml:"counts_as_loss"`
-	Limits       Limits            `yaml:"limits"`
-	DataDir      string            `yaml:"data_dir"` // empty: no disk
-	BeatInterval time.Duration     `yaml:"-"`        // beat_interval
-	Contracts    []string          `yaml:"contracts"`
-	Tolerates    Tolerates         `yaml:"tolerates"`
-	Bounds       Bounds            `yaml:"-"` // bounds
+	NodeName          string            `yaml:"node_name" validate:"required"`
+	Role              string            `yaml:"role"`
+	Serves            []string          `yaml:"serves"` // edge, control, both or none
+	IPAddress         string            `yaml:"ip" validate:"required,ip"`
+	Zone              string            `yaml:"zone" validate:"required"`
+	Region            string            `yaml:"region"`
+	Zones             map[string]string `yaml:"zones"` // region of each zone
+	Bind              Bind              `yaml:"bind"`
+	InnerPorts        [2]int            `yaml:"inner_port_range" validate:"dive,min=1,max=65535"` // first and last
+	SeedAddrs         []string          `yaml:"seed_addrs" validate:"dive,hostname_port"`
+	FirstBoot         bool              `yaml:"first_boot"`
+	CountsAsLoss      bool              `yaml:"counts_as_loss"`
+	Limits            Limits            `yaml:"limits"`
+	DataDir           string            `yaml:"data_dir"` // empty: no disk
+	HeartbeatInterval time.Duration     `yaml:"-"`        // beat_interval
+	Contracts         []string          `yaml:"contracts"`
+	Tolerance         Tolerance         `yaml:"tolerates"`
+	Bounds            Bounds            `yaml:"-"` // bounds
 }
 
 // Bind holds what to listen at, host:port; empty where the role does not serve it.
@@ -59,8 +59,8 @@
 	DiskMB   int     `yaml:"disk_mb" validate:"min=0"`
 }
 
-// Tolerates is what may be lost at once while all rules hold.
-type Tolerates struct {
+// Tolerance is what may be lost at once while all rules hold.
+type Tolerance struct {
 	Machines int `yaml:"machines" validate:"min=0"`
 	Zones    int `yaml:"zones" validate:"min=0"`
 	Regions  int `yaml:"regions" validate:"min=0"`
@@ -68,57 +68,57 @@
 
 // Bounds are the figures of the rules. What the file does not name stays as in Usual.
 type Bounds struct {
-	SeedStale    time.Duration `bound:"seed_stale"`
-	AddrReuse    time.Duration `bound:"addr_reuse"`
-	InTouch      time.Duration `bound:"in_touch"`
-	AckWithin    time.Duration `bound:"ack_within"`
-	CatchUp      time.Duration `bound:"catch_up"`
-	Drain        time.Duration `bound:"drain"`
-	Grace        time.Duration `bound:"grace"`
-	LossSlack    time.Duration `bound:"loss_slack"`
-	ApplyWithin  time.Duration `bound:"apply_within"`
-	RevertSlack  time.Duration `bound:"revert_slack"`
-	MaxStretch   time.Duration `bound:"max_stretch"`
-	StrictRevoke bool          `bound:"strict_revoke"`
-	RevokeWithin time.Duration `bound:"revoke_within"`
-	RetryRatio   float64       `bound:"retry_ratio"`
-	RetryWindow  time.Duration `bound:"retry_window"`
-	RetryExtra   float64       `bound:"retry_extra"`
-	QuotaWindow  time.Duration `bound:"quota_window"`
-	QuotaExcess  float64       `bound:"quota_excess"`
-	QuotaMargin  float64       `bound:"quota_margin"`
-	Recovery     time.Duration `bound:"recovery"`
-	History      time.Duration `bound:"history"` // a watch resumes from a revision that it was given so long ago
-	Release      time.Duration `bound:"release"` // a lock whose time has run out is free within it
+	SeedStale     time.Duration `bound:"seed_stale"`
+	AddrReuse     time.Duration `bound:"addr_reuse"`
+	InTouch       time.Duration `bound:"in_touch"`
+	AckWithin     time.Duration `bound:"ack_within"`
+	CatchUp       time.Duration `bound:"catch_up"`
+	BackendDrain  time.Duration `bound:"drain"`
+	ShutdownGrace time.Duration `bound:"grace"`
+	LossSlack     time.Duration `bound:"loss_slack"`
+	ApplyWithin   time.Duration `bound:"apply_within"`
+	RevertSlack   time.Duration `bound:"revert_slack"`
+	MaxStretch    time.Duration `bound:"max_stretch"`
+	StrictRevoke  bool          `bound:"strict_revoke"`
+	RevokeWithin  time.Duration `bound:"revoke_within"`
+	RetryRatio    float64       `bound:"retry_ratio"`
+	RetryWindow   time.Duration `bound:"retry_window"`
+	RetryExtra    float64       `bound:"retry_extra"`
+	QuotaWindow   time.Duration `bound:"quota_window"`
+	QuotaExcess   float64       `bound:"quota_excess"`
+	QuotaMargin   float64       `bound:"quota_margin"`
+	Recovery      time.Duration `bound:"recovery"`
+	WatchHistory  time.Duration `bound:"history"` // a watch resumes from a revision that it was given so long ago
+	LockRelease   time.Duration `bound:"release"` // a lock whose time has run out is free within it
 }
 
-// Stale is the age of a node's word of the core from which it wants no clients: calm machines are in touch that long after the last
+// ReadyMaxAge is the age of a node's word of the core from which it wants no clients: calm machines are in touch that long after the last
 // event, and have newer word by then.
-func (b Bounds) Stale() time.Duration { return b.InTouch }
+func (b Bounds) ReadyMaxAge() time.Duration { return b.InTouch }
 
-// Sure is the age up to which a node answers for sure by its own state: a change that it may lack is to be in force in ApplyWithin. The
+// AuthoritativeMaxAge is the age up to which a node answers for sure by its own state: a change that it may lack is to be in force in ApplyWithin. The
 // rest is for the answer's way.
-func (b Bounds) Sure() time.Duration { return b.ApplyWithin - b.ApplyWithin/25 }
+func (b Bounds) AuthoritativeMaxAge() time.Duration { return b.ApplyWithin - b.ApplyWithin/25 }
 
-// Parted is the age from which others are to be asked rather than waited for: half of what makes a machine in touch again, and
+// PartitionedAge is the age from which others are to be asked rather than waited for: half of what makes a machine in touch again, and
 // more than an ordinary change of leaders takes (0.4 to 0.8 s of silence, a few syncs, and a heartbeat's way back).
-func (b Bounds) Parted() time.Duration { return b.InTouch / 2 }
+func (b Bounds) PartitionedAge() time.Duration { return b.InTouch / 2 }
 
-// Usual holds the figures of the example in DEPLOY.md.
-func Usual() Bounds {
+// DefaultBounds holds the figures of the example in DEPLOY.md.
+func DefaultBounds() Bounds {
 	const s, ms = time.Second, time.Millisecond
 	return Bounds{SeedStale: 3 * s, AddrReuse: 2 * s, InTouch: 3 * s, AckWithin: 5 * s, CatchUp: 4 * s,
-		Drain: 2500 * ms, Grace: 6 * s, LossSlack: 200 * ms, ApplyWithin: 2500 * ms, RevertSlack: 250 * ms,
+		BackendDrain: 2500 * ms, ShutdownGrace: 6 * s, LossSlack: 200 * ms, ApplyWithin: 2500 * ms, RevertSlack: 250 * ms,
 		MaxStretch: 8 * s, RevokeWithin: 5 * s, RetryRatio: 0.2, RetryWindow: 10 * s, RetryExtra: 64,
 		QuotaWindow: 5 * s, QuotaExcess: 0.1, QuotaMargin: 20, Recovery: 15 * s,
-		History: 20 * s, Release: 1500 * ms}
+		WatchHistory: 20 * s, LockRelease: 1500 * ms}
 }
 
-// file is the sheet as it is written: times and bounds are texts.
-type file struct {
-	Settings `yaml:",inline"`
-	Beat     string   `yaml:"beat_interval" validate:"required"`
-	Bounds   []string `yaml:"bounds"`
+// document is the sheet as it is written: times and bounds are texts.
+type document struct {
+	Settings      `yaml:",inline"`
+	HeartbeatText string   `yaml:"beat_interval" validate:"required"`
+	BoundTexts    []string `yaml:"bounds"`
 }
 
 // Load reads the file at path.
@@ -139,37 +139,37 @@
 func Parse(text []byte) (*Settings, error) {
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
-		return nil, errors.Errorf("not YAML: %s", plain(err))
+		return nil, errors.Errorf("not YAML: %s", yamlMessage(err))
 	}
 	if len(tree.Docs) == 0 || tree.Docs[0].Body == nil {
 		return nil, errors.New("empty")
 	}
-	var f file
+	var f document
 	if err = yaml.NodeToValue(tree.Docs[0].Body, &f); err != nil {
-		return nil, errors.Errorf("%s: %s", where(tree.Docs[0].Body, err), plain(err))
+		return nil, errors.Errorf("%s: %s", fieldPath(tree.Docs[0].Body, err), yamlMessage(err))
 	}
-	err = valid(&f)
+	err = validate(&f)
 	s := f.Settings
-	if f.Beat != "" {
-		d, wrong := span(f.Beat)
+	if f.HeartbeatText != "" {
+		d, wrong := parseDuration(f.HeartbeatText)
 		if wrong == nil && d <= 0 {
 			wrong = errors.New("must be above 0")
 		}
 		if wrong != nil {
 			err = multierr.Append(err, errors.Wrap(wrong, "beat_interval"))
 		}
-		s.BeatInterval = d
+		s.HeartbeatInterval = d
 	}
-	s.Bounds = Usual()
-	err = multierr.Append(err, s.Bounds.read(f.Bounds))
+	s.Bounds = DefaultBounds()
+	err = multierr.Append(err, s.Bounds.parse(f.BoundTexts))
 	if err != nil {
 		return nil, err
 	}
 	return &s, nil
 }
 
-// valid checks what the tags say, and what needs two fields.
-func valid(f *file) (err error) {
+// validate checks what the tags say, and what needs two fields.
+func validate(f *document) (err error) {
 	v := validator.New()
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
@@ -183,7 +183,7 @@
 		for _, e := range all {
 			_, path, _ := strings.Cut(e.Namespace(), ".") // without the type
 			path = strings.TrimPrefix(path, "Sheet.")
-			err = multierr.Append(err, errors.Errorf("%s: %#v is not %s", path, e.Value(), rule(e)))
+			err = multierr.Append(err, errors.Errorf("%s: %#v is not %s", path, e.Value(), describeRule(e)))
 		}
 	}
 	if f.InnerPorts[0] > f.InnerPorts[1] {
@@ -200,8 +200,8 @@
 	return err
 }
 
-// rule words what a field should have been.
-func rule(e validator.FieldError) string {
+// describeRule words what a field should have been.
+func describeRule(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
 		return "given"
@@ -217,8 +217,8 @@
 	return e.Tag()
 }
 
-// read takes texts name=value; names that are not known are passed over.
-func (b *Bounds) read(texts []string) (err error) {
+// parse takes texts name=value; names that are not known are passed over.
+func (b *Bounds) parse(texts []string) (err error) {
 	at := map[string]reflect.Value{}
 	v := reflect.ValueOf(b).Elem()
 	for i := range v.NumField() {
@@ -231,7 +231,7 @@
 		if !ok {
 			err = multierr.Append(err, errors.Errorf("bounds: %q is not name=value", t))
 		} else if known {
-			if wrong := set(field, value); wrong != nil {
+			if wrong := setBound(field, value); wrong != nil {
 				err = multierr.Append(err, errors.Wrap(wrong, "bounds."+name))
 			}
 		}
@@ -239,10 +239,10 @@
 	return err
 }
 
-func set(field reflect.Value, value string) error {
+func setBound(field reflect.Value, value string) error {
 	switch p := field.Addr().Interface().(type) {
 	case *time.Duration:
-		d, err := span(value)
+		d, err := parseDuration(value)
 		*p = d
 		return err
 	case *bool:
@@ -260,8 +260,8 @@
 	return nil
 }
 
-// span reads a time as the pages write it: a number and its unit, ms or s.
-func span(text string) (time.Duration, error) {
+// parseDuration reads a time as the pages write it: a number and its unit, ms or s.
+func parseDuration(text string) (time.Duration, error) {
 	unit, digits := time.Millisecond, strings.TrimSuffix(text, "ms")
 	if digits == text {
 		unit, digits = time.Second, strings.TrimSuffix(text, "s")
@@ -273,9 +273,9 @@
 	return time.Duration(x * float64(unit)), nil
 }
 
-// Fixed names the fields that differ from other and are taken up by a restart only; the rest may change at
+// RestartRequired names the fields that differ from other and are taken up by a restart only; the rest may change at
 // any time.
-func (s *Settings) Fixed(other *Settings) []string {
+func (s *Settings) RestartRequired(other *Settings) []string {
 	var names []string
 	differ := func(name string, same bool) {
 		if !same {
@@ -285,7 +285,7 @@
 	differ("node_name", s.NodeName == other.NodeName)
 	differ("role", s.Role == other.Role)
 	differ("serves", slices.Equal(s.Serves, other.Serves))
-	differ("ip", s.IP == other.IP)
+	differ("ip", s.IPAddress == other.IPAddress)
 	differ("zone", s.Zone == other.Zone)
 	differ("region", s.Region == other.Region)
 	differ("bind.front", s.Bind.Front == other.Bind.Front)
@@ -297,8 +297,8 @@
 	return names
 }
 
-// plain is the message of a YAML error without the lines of the file.
-func plain(err error) string {
+// yamlMessage is the message of a YAML error without the lines of the file.
+func yamlMessage(err error) string {
 	var y yaml.Error
 	if !errors.As(err, &y) {
 		return err.Error()
@@ -314,25 +314,25 @@
 	return y.GetMessage() + line
 }
 
-// where finds the path of the field that an error is about.
-func where(root ast.Node, err error) string {
+// fieldPath finds the path of the field that an error is about.
+func fieldPath(root ast.Node, err error) string {
 	var y yaml.Error
 	if !errors.As(err, &y) || y.GetToken() == nil {
 		return "file"
 	}
-	f := &finder{offset: y.GetToken().Position.Offset, path: "file"}
+	f := &nodeFinder{offset: y.GetToken().Position.Offset, path: "file"}
 	ast.Walk(f, root)
 	return strings.TrimPrefix(f.path, "$.")
 }
 
-// finder looks for the node that begins at an offset; of several the innermost, which comes last.
-type finder struct {
+// nodeFinder looks for the node that begins at an offset; of several the innermost, which comes last.
+type nodeFinder struct {
 	offset int
 	path   string
 }
 
 // Visit is called for each node.
-func (f *finder) Visit(n ast.Node) ast.Visitor {
+func (f *nodeFinder) Visit(n ast.Node) ast.Visitor {
 	if t := n.GetToken(); t != nil && t.Position.Offset == f.offset && n.GetPath() != "" {
 		f.path = n.GetPath()
 	}
--- a/internal/gateway/statemachine/groups.go
+++ b/internal/gateway/statemachine/groups.go
@@ -10,8 +10,8 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// GroupsEntry words that the coordination groups begin with these disks, all of them with all.
-func GroupsEntry(founders []membership.Founder) []byte {
+// BootstrapGroupsEntry words that the coordination groups begin with these disks, all of them with all.
+func BootstrapGroupsEntry(founders []membership.Founder) []byte {
 	var b bytes.Buffer
 	gob.NewEncoder(&b).Encode(founders) // of numbers and texts: it can't fail
 	return b.Bytes()
@@ -20,8 +20,8 @@
 // Founders are the disks that the coordination groups began with; nil: they have not begun.
 func (s *Machine) Founders() []membership.Founder { return s.founders }
 
-// foundGroups takes the first founding, and no other: the groups of two would know nothing of each other.
-func (s *Machine) foundGroups(body []byte) (routing.Verdict, error) {
+// bootstrapGroups takes the first founding, and no other: the groups of two would know nothing of each other.
+func (s *Machine) bootstrapGroups(body []byte) (routing.Verdict, error) {
 	var founders []membership.Founder
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&founders); err != nil {
 		return routing.Invalid, errors.Wrap(err, "groups")
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -18,11 +18,11 @@
 
 // The kinds of entries.
 const (
-	Replace     Kind = 'r' // the whole configuration
-	Amend       Kind = 'a' // named items of it
-	AssignSlot  Kind = 's' // a node asks for a slot
-	Rollout     Kind = 'u' // an rollout.Entry: an order to a roll-out, or a verdict on one
-	FoundGroups Kind = 'f' // the coordination groups begin, with the disks that it names
+	KindReplaceConfig   Kind = 'r' // the whole configuration
+	KindAmendConfig     Kind = 'a' // named items of it
+	KindAssignSlot      Kind = 's' // a node asks for a slot
+	KindRollout         Kind = 'u' // an rollout.Entry: an order to a roll-out, or a verdict on one
+	KindBootstrapGroups Kind = 'f' // the coordination groups begin, with the disks that it names
 )
 
 // maxSlots bounds the order of slots.
@@ -44,14 +44,14 @@
 // sender's.
 func init() { New().Snapshot() }
 
-// Entry words a change for the log.
-func Entry(k Kind, body []byte) []byte { return append([]byte{byte(k)}, body...) }
+// EncodeEntry words a change for the log.
+func EncodeEntry(k Kind, body []byte) []byte { return append([]byte{byte(k)}, body...) }
 
-// SlotEntry words a node's wish for a slot.
-func SlotEntry(d membership.SlotHolder) []byte {
+// AssignSlotEntry words a node's wish for a slot.
+func AssignSlotEntry(d membership.SlotHolder) []byte {
 	var b bytes.Buffer
 	gob.NewEncoder(&b).Encode(d) // of texts alone: it can't fail
-	return Entry(AssignSlot, b.Bytes())
+	return EncodeEntry(KindAssignSlot, b.Bytes())
 }
 
 // Slots is the order of slots.
@@ -59,9 +59,9 @@
 
 func configKind(k Kind) (routing.Kind, bool) {
 	switch k {
-	case Replace:
+	case KindReplaceConfig:
 		return routing.Replace, true
-	case Amend:
+	case KindAmendConfig:
 		return routing.Amend, true
 	}
 	return 0, false
@@ -69,7 +69,7 @@
 
 // Decide tells what would become of a change now.
 func (s *Machine) Decide(k Kind, body []byte) (routing.Verdict, error) {
-	if k == Rollout {
+	if k == KindRollout {
 		return s.rollout(body, s.Rollouts.Decide)
 	}
 	kind, ok := configKind(k)
@@ -79,13 +79,13 @@
 	return s.Configs.Decide(kind, body)
 }
 
-// Final is as Decide, and tells besides whether the verdict is the same in every later state: what a node that is behind may
+// DecideFinal is as Decide, and tells besides whether the verdict is the same in every later state: what a node that is behind may
 // answer by.
-func (s *Machine) Final(k Kind, body []byte) (v routing.Verdict, err error, final bool) {
+func (s *Machine) DecideFinal(k Kind, body []byte) (v routing.Verdict, err error, final bool) {
 	if kind, ok := configKind(k); ok {
 		return s.Configs.Final(kind, body)
 	}
-	if k != Rollout {
+	if k != KindRollout {
 		return routing.Taken, nil, false
 	}
 	v, err = s.rollout(body, func(e *rollout.Entry) (routing.Verdict, error) {
@@ -118,13 +118,13 @@
 	if kind, ok := configKind(k); ok {
 		return s.Configs.Apply(kind, body)
 	}
-	if k == Rollout {
+	if k == KindRollout {
 		return s.rollout(body, s.Rollouts.Apply)
 	}
-	if k == FoundGroups {
-		return s.foundGroups(body)
+	if k == KindBootstrapGroups {
+		return s.bootstrapGroups(body)
 	}
-	if k != AssignSlot {
+	if k != KindAssignSlot {
 		return routing.Invalid, errors.Errorf("entry of unknown kind %q", k)
 	}
 	var d membership.SlotHolder
@@ -144,7 +144,7 @@
 	return routing.Taken, nil
 }
 
-type kept struct {
+type storedState struct {
 	Bills    []byte
 	Seats    []membership.SlotHolder
 	Rollouts []byte               // not in snapshots of older programs
@@ -154,13 +154,13 @@
 // Snapshot is the whole state.
 func (s *Machine) Snapshot() []byte {
 	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(kept{s.Configs.Snapshot(), s.slots, s.Rollouts.Snapshot(), s.founders}) // of bytes and texts: it can't fail
+	gob.NewEncoder(&b).Encode(storedState{s.Configs.Snapshot(), s.slots, s.Rollouts.Snapshot(), s.founders}) // of bytes and texts: it can't fail
 	return b.Bytes()
 }
 
 // Restore reads one.
 func Restore(b []byte) (*Machine, error) {
-	var k kept
+	var k storedState
 	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(&k); err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
--- a/internal/lab/simulation/applications.go
+++ b/internal/lab/simulation/applications.go
@@ -33,7 +33,7 @@
 	}
 	a := &applications{w: w, rng: source(w.day.Seed, 0xca11)}
 	w.applications = a
-	a.callers = callers.Begin(a, a.rng, callers.Terms{Lockers: w.day.Callers, History: w.machines[0].settings.Bounds.History / 4})
+	a.callers = callers.Begin(a, a.rng, callers.Terms{Lockers: w.day.Callers, History: w.machines[0].settings.Bounds.WatchHistory / 4})
 }
 
 // endApplications has them end, asks for all once more, and judges what they saw.
@@ -52,7 +52,7 @@
 			r.ClearCalls++
 		}
 	}
-	wrong := callhistory.Check(a.history, callhistory.Terms{History: w.machines[0].settings.Bounds.History})
+	wrong := callhistory.Check(a.history, callhistory.Terms{History: w.machines[0].settings.Bounds.WatchHistory})
 	illegal, undecided := callhistory.Linearizable(a.history, decideIn)
 	r.Undecided = len(undecided)
 	for _, v := range append(wrong, illegal...) {
--- a/internal/lab/simulation/hard_days.go
+++ b/internal/lab/simulation/hard_days.go
@@ -94,7 +94,7 @@
 		ip: fmt.Sprintf("10.%d.%d.%d", m.nr%w.day.Zones, 100+w.replaced/200, w.replaced%200+1)}
 	n.inner, n.control = net.JoinHostPort(n.ip, strconv.Itoa(innerPort)), net.JoinHostPort(n.ip, strconv.Itoa(controlPort))
 	sheet := *m.settings
-	sheet.NodeName, sheet.IP, sheet.Bind.Control = fmt.Sprintf("%s-%d", m.name, w.replaced), n.ip, n.control
+	sheet.NodeName, sheet.IPAddress, sheet.Bind.Control = fmt.Sprintf("%s-%d", m.name, w.replaced), n.ip, n.control
 	n.settings, m.heir = &sheet, n
 	w.machines[m.nr] = n
 	w.byInner[n.inner], w.byCall[n.control] = n, n
--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -55,9 +55,9 @@
 			answered := func(status int, text []byte) { w.after(way, func() { end(status, text) }) }
 			switch path {
 			case gatewaystandin.ReplacePath:
-				p.h.Change(statemachine.Replace, body, answered)
+				p.h.Change(statemachine.KindReplaceConfig, body, answered)
 			case gatewaystandin.AmendPath:
-				p.h.Change(statemachine.Amend, body, answered)
+				p.h.Change(statemachine.KindAmendConfig, body, answered)
 			default:
 				p.h.Newest(answered)
 			}
