--- a/cmd/clovergap/serve.go
+++ b/cmd/clovergap/serve.go
@@ -165,7 +165,7 @@
 		f.gate.Watched(past)
 	}
 	f.e.Accepted(f.intake.Accept)
-	f.e.Settled(f.gate.Pull)
+	f.e.OnTurnEnd(f.gate.Pull)
 	if o.On {
 		if f.peers == nil {
 			return nil, errors.New("leases.on: the configuration names no peers")
@@ -178,7 +178,7 @@
 			return nil, err
 		}
 		f.peers.Frames(lease.Mark, f.leases.Heard)
-		f.e.Settled(func() { f.gate.Pull(); f.leases.Pull() })
+		f.e.OnTurnEnd(func() { f.gate.Pull(); f.leases.Pull() })
 	}
 	f.e.Short(func() {
 		if !f.dispatch.Evict(nil) {
@@ -233,7 +233,7 @@
 		f.e.Count.Add(counters.Reloads)
 		f.move(c)
 		if f.peers != nil {
-			f.peers.Move(c.Peers, c.Me)
+			f.peers.SetPeers(c.Peers, c.Me)
 		}
 	})
 	f.log.Info("configuration taken", zap.String("discovery", c.Discovery),
@@ -287,7 +287,7 @@
 	for _, e := range l.Entries {
 		list = append(list, e.Listing)
 		listed[e.ID] = true
-		f.dispatch.At(e.ID, e.Addr, e.Started, e.State == control.Ready)
+		f.dispatch.SetBackend(e.ID, e.Addr, e.Started, e.State == control.Ready)
 	}
 	if l.Whole {
 		f.dispatch.Only(listed)
@@ -304,7 +304,7 @@
 		f.e.Turn(func() {
 			f.intake.Drain()
 			if time.Since(began) > quietFor {
-				f.e.Deafen()
+				f.e.StopListening()
 				over = f.gate.Held() == 0 && f.intake.Clients() == 0
 			}
 		})
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -167,9 +167,9 @@
 		case syscall.SIGHUP:
 			h.Reload(c.Settings)
 		case syscall.SIGUSR1:
-			h.Tell()
+			h.LogCounters()
 		default:
-			h.End()
+			h.Shutdown()
 			return nil
 		}
 	}
--- a/internal/gateway/controlapi/coordination.go
+++ b/internal/gateway/controlapi/coordination.go
@@ -24,8 +24,8 @@
 	Coordinate(c coordination.Call, then func(coordination.Answer))
 	// GroupList is how the groups stand, as this node knows it.
 	GroupList() GroupList
-	// MoveGroup has the node at an inner address lead a group; false: this node does not lead it, or that one could not at once.
-	MoveGroup(id groups.ID, address string) bool
+	// TransferGroup has the node at an inner address lead a group; false: this node does not lead it, or that one could not at once.
+	TransferGroup(id groups.ID, address string) bool
 }
 
 // Paths of the calls on groups; a move's is followed by the group's number.
@@ -144,7 +144,7 @@
 	switch {
 	case err != nil:
 		f.end(t, 400, []byte(err.Error()))
-	case !f.node.MoveGroup(id, to.To):
+	case !f.node.TransferGroup(id, to.To):
 		f.end(t, 409, []byte("this node does not lead the group, or the other one could not lead it at once"))
 	default:
 		f.end(t, 200, []byte("{}"))
--- a/internal/gateway/controlapi/handler.go
+++ b/internal/gateway/controlapi/handler.go
@@ -24,10 +24,10 @@
 	// Change brings a change to whoever leads: 200 taken, 400 invalid, 412 another version is current, 413 too large, 503 not
 	// now, Unclear.
 	Change(kind statemachine.Kind, body []byte, then func(status int, body []byte))
-	// Newest reads the newest configuration: 200 with it, 503 if it can't be told for sure now.
-	Newest(then func(status int, body []byte))
-	Beat(w registry.Record, then func(ok bool, target string))
-	Leave(id string, then func(ok bool, target string))
+	// ReadConfiguration reads the newest configuration: 200 with it, 503 if it can't be told for sure now.
+	ReadConfiguration(then func(status int, body []byte))
+	Heartbeat(w registry.Record, then func(ok bool, target string))
+	Deregister(id string, then func(ok bool, target string))
 	Status() NodeStatus
 	Rollouts
 	Coordination
@@ -100,7 +100,7 @@
 		c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, 200, "application/json", text, 0, last) })
 	case path == pathRead:
 		t := f.hold(c)
-		f.node.Newest(func(status int, body []byte) { f.end(t, status, body) })
+		f.node.ReadConfiguration(func(status int, body []byte) { f.end(t, status, body) })
 	case beat:
 		f.beat(c, id, r.Body(b))
 	case leave:
@@ -109,7 +109,7 @@
 			return
 		}
 		t := f.hold(c)
-		f.node.Leave(gone, func(ok bool, target string) { f.acknowledge(t, ok, target) })
+		f.node.Deregister(gone, func(ok bool, target string) { f.acknowledge(t, ok, target) })
 	default:
 		kind := statemachine.KindReplaceConfig
 		if path == pathAmend {
@@ -177,7 +177,7 @@
 		return
 	}
 	t := f.hold(c)
-	f.node.Beat(w, func(ok bool, target string) { f.acknowledge(t, ok, target) })
+	f.node.Heartbeat(w, func(ok bool, target string) { f.acknowledge(t, ok, target) })
 }
 
 func readBeat(id string, body []byte) (registry.Record, error) {
--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -57,14 +57,14 @@
 	status, text := h.status, []byte(h.body)
 	h.do(fmt.Sprintf("change %c %s", k, body), func() { then(status, text) })
 }
-func (h *fakeNode) Newest(then func(int, []byte)) {
+func (h *fakeNode) ReadConfiguration(then func(int, []byte)) {
 	status, text := h.status, []byte(h.body)
 	h.do("newest", func() { then(status, text) })
 }
-func (h *fakeNode) Beat(w registry.Record, then func(bool, string)) {
+func (h *fakeNode) Heartbeat(w registry.Record, then func(bool, string)) {
 	h.do(fmt.Sprint("beat ", w), func() { then(h.ok, h.target) })
 }
-func (h *fakeNode) Leave(id string, then func(bool, string)) {
+func (h *fakeNode) Deregister(id string, then func(bool, string)) {
 	h.do("leave "+id, func() { then(h.ok, h.target) })
 }
 
@@ -93,7 +93,7 @@
 func (h *fakeNode) GroupList() GroupList {
 	return GroupList{Node: "d", Groups: []GroupStatus{{Group: 1, Leader: "x:1"}}}
 }
-func (h *fakeNode) MoveGroup(id groups.ID, address string) bool {
+func (h *fakeNode) TransferGroup(id groups.ID, address string) bool {
 	h.asked = append(h.asked, fmt.Sprint("move ", id, " ", address))
 	return h.ok
 }
--- a/internal/gateway/ingress/flow_test.go
+++ b/internal/gateway/ingress/flow_test.go
@@ -31,7 +31,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(st.t, err)
 	st.t.Cleanup(func() { l.Close() })
-	st.e.Turn(func() { st.d.At(7, l.Addr().String(), 1, true) })
+	st.e.Turn(func() { st.d.SetBackend(7, l.Addr().String(), 1, true) })
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
 	return func() (*bufio.Reader, *net.TCPConn) {
 		c, err := l.Accept()
--- a/internal/gateway/ingress/handler.go
+++ b/internal/gateway/ingress/handler.go
@@ -53,7 +53,7 @@
 // Clock is the turn's time, and how long bytes may have lain unread.
 type Clock interface {
 	Now() time.Duration
-	Waited() time.Duration
+	InputDelay() time.Duration
 }
 
 // Handler is the form of the gateway's requests, and the gate's front for them.
@@ -190,7 +190,7 @@
 		wait = a.Deadline
 	}
 	// The client counts from when it sent. After a standstill the request may have lain unread for all of it.
-	v.expiry = f.clock.Now() + max(wait-f.clock.Waited(), 0)
+	v.expiry = f.clock.Now() + max(wait-f.clock.InputDelay(), 0)
 	x := control.Txn{Customer: a.Customer, Product: a.Product, Plan: control.PlanID(a.Rank), Expiry: v.expiry, SetWidth: 1}
 	if a.Metered {
 		x.Units = 1
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -123,13 +123,13 @@
 	f := New(st.in, st.e, st.g, st.node)
 	must.True(t, f != nil)
 	st.g.Through(st.d, nil)
-	st.e.Settled(st.g.Pull)
+	st.e.OnTurnEnd(st.g.Pull)
 	must.NoError(t, st.e.Listen("127.0.0.1:0", st.in.Accept))
 	var err error
 	st.b, err = standin.NewScript()
 	must.NoError(t, err)
 	must.NoError(t, st.e.Start())
-	st.e.Turn(func() { st.d.At(7, st.b.Addr(), 0, true) })
+	st.e.Turn(func() { st.d.SetBackend(7, st.b.Addr(), 0, true) })
 	t.Cleanup(func() { st.e.Stop(); st.b.Close() })
 	return st
 }
@@ -367,7 +367,7 @@
 	}
 	must.True(t, v.Wary())
 	st := open(t)
-	st.e.Turn(func() { st.d.Most(7, 1) })
+	st.e.Turn(func() { st.d.SetMaxConns(7, 1) })
 	c, other := st.client(), st.client()
 	c.send(request("GET", "/pure/", "m1", ""))
 	x := st.b.Next()
--- a/internal/gateway/node/again_test.go
+++ b/internal/gateway/node/again_test.go
@@ -14,24 +14,24 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-const replacePath = "/api/Config.Replace"
+const replaceConfigPath = "/api/Config.Replace"
 
 // An order that was taken is confirmed again by every node, after 300 others, and by nodes that all have started anew since from a
 // snapshot: its answer may have been lost, and whoever sent it does not know.
-func TestOrderAgainAfterMany(t *testing.T) {
-	d := open(t, 4)
-	d.settles(0, 200, "POST", replacePath, config(1, 0))
+func TestChangeRepeatedAfterMany(t *testing.T) {
+	d := startCluster(t, 4)
+	d.callUntilClear(0, 200, "POST", replaceConfigPath, configBody(1, 0))
 	for v := 2; v <= 301; v++ {
-		d.settles(v%4, 200, "POST", replacePath, config(v, v-1))
+		d.callUntilClear(v%4, 200, "POST", replaceConfigPath, configBody(v, v-1))
 	}
 	again := func() {
 		for i := range 4 {
 			for _, v := range []int{1, 2, 45, 300, 301} {
 				began := time.Now()
-				d.settles(i, 200, "POST", replacePath, config(v, v-1))
+				d.callUntilClear(i, 200, "POST", replaceConfigPath, configBody(v, v-1))
 				t.Log("node", i, "version", v, "again", time.Since(began))
 			}
-			d.settles(i, 412, "POST", replacePath, config(2, 0)) // that number was taken by another
+			d.callUntilClear(i, 412, "POST", replaceConfigPath, configBody(2, 0)) // that number was taken by another
 		}
 	}
 	again()
@@ -41,22 +41,22 @@
 	for i := range 4 {
 		d.start(i)
 	}
-	d.all("the newest version", func(s controlapi.NodeStatus) bool { return s.Generation == 301 })
+	d.eventuallyAll("the newest version", func(s controlapi.NodeStatus) bool { return s.Generation == 301 })
 	again()
 }
 
 // Eight orders at once on one version, each through a node of its own: one is taken. The same order through eight: all are told so.
-func TestEightAtOnce(t *testing.T) {
-	d := open(t, 8)
-	d.settles(0, 200, "POST", replacePath, config(1, 0))
-	d.all("the first version", func(s controlapi.NodeStatus) bool { return s.Generation == 1 })
+func TestEightConcurrentChanges(t *testing.T) {
+	d := startCluster(t, 8)
+	d.callUntilClear(0, 200, "POST", replaceConfigPath, configBody(1, 0))
+	d.eventuallyAll("the first version", func(s controlapi.NodeStatus) bool { return s.Generation == 1 })
 	at := func(body func(i int) string) (taken, lost int) {
 		var all sync.WaitGroup
 		var answers [8]int
 		for i := range answers {
 			all.Go(func() { // until it is settled: an answer that is not clear may be of one that was taken
-				for end := time.Now().Add(patience); answers[i] != 200 && answers[i] != 412 && time.Now().Before(end); {
-					answers[i], _ = d.call(i, "POST", replacePath, body(i))
+				for end := time.Now().Add(testTimeout); answers[i] != 200 && answers[i] != 412 && time.Now().Before(end); {
+					answers[i], _ = d.call(i, "POST", replaceConfigPath, body(i))
 				}
 			})
 		}
@@ -72,33 +72,33 @@
 		return taken, lost
 	}
 	for v := 1; v < 40; v += 10 {
-		taken, lost := at(func(i int) string { return config(v+1+i, v) })
+		taken, lost := at(func(i int) string { return configBody(v+1+i, v) })
 		must.Eq(t, [2]int{1, 7}, [2]int{taken, lost})
 		now := 0
-		d.until("one of them", func() bool { now = int(d.status(0).Generation); return now > v })
-		taken, _ = at(func(int) string { return config(v+10, now) })
+		d.eventually("one of them", func() bool { now = int(d.status(0).Generation); return now > v })
+		taken, _ = at(func(int) string { return configBody(v+10, now) })
 		must.Eq(t, 8, taken)
 	}
 }
 
 // A node that is behind, and knows neither what was taken nor of any backend, refuses nothing by that: neither an order that was taken
 // nor one that is valid on the newest state.
-func TestNodeBehind(t *testing.T) {
+func TestLaggingNode(t *testing.T) {
 	var fails atomic.Bool
-	d := open(t, 4)
-	d.all("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
-	d.settles(0, 200, "POST", replacePath, config(7, 0))
-	d.backend("v1-0", "v1", &fails)
-	d.backend("v2-0", "v2", &fails)
-	d.all("the backends", func(s controlapi.NodeStatus) bool { return len(s.Backends) == 2 && s.Generation == 7 })
+	d := startCluster(t, 4)
+	d.eventuallyAll("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
+	d.callUntilClear(0, 200, "POST", replaceConfigPath, configBody(7, 0))
+	d.startBackend("v1-0", "v1", &fails)
+	d.startBackend("v2-0", "v2", &fails)
+	d.eventuallyAll("the backends", func(s controlapi.NodeStatus) bool { return len(s.Backends) == 2 && s.Generation == 7 })
 	entry := func(rev uint64, mark string) *rollout.Entry {
 		return &rollout.Entry{Verb: rollout.Start, Service: "s", Mark: mark, Rev: rev, Room: rollout.Room{Busy: 9}, Order: &rollout.Rollout{
 			Service: "s", Old: "v1", New: "v2", Steps: []rollout.Step{{Share: 100, MinTime: rollout.Span(time.Second)}}}}
 	}
 	behind := func(do func(h *Node, then func(int, []byte))) (status int) {
-		d.until("a clear answer", func() bool {
+		d.eventually("a clear answer", func() bool {
 			answer := make(chan int, 1)
-			d.turn(3, func(h *Node) {
+			d.inTurn(3, func(h *Node) {
 				newest, registry := h.machine, h.registry
 				h.machine, h.registry = statemachine.New(), nil
 				do(h, func(status int, _ []byte) { answer <- status })
@@ -115,16 +115,16 @@
 	orderRollout := func(rev uint64, mark string) int {
 		return behind(func(h *Node, then func(int, []byte)) { h.Rollout(entry(rev, mark), false, then) })
 	}
-	must.Eq(t, 200, change(config(7, 0)))
-	must.Eq(t, 200, change(config(8, 7)))
-	must.Eq(t, 412, change(config(9, 7)))
-	must.Eq(t, 400, change(config(8, 8))) // wrong whatever is current
+	must.Eq(t, 200, change(configBody(7, 0)))
+	must.Eq(t, 200, change(configBody(8, 7)))
+	must.Eq(t, 412, change(configBody(9, 7)))
+	must.Eq(t, 400, change(configBody(8, 8))) // wrong whatever is current
 	must.Eq(t, 200, orderRollout(0, "first"))
 	must.Eq(t, 200, orderRollout(0, "first"))
 	must.Eq(t, 412, orderRollout(0, "second"))
-	rev := d.rollout(0).Rev
-	d.settles(0, 200, "POST", "/api/Rollout.PullBack/s", fmt.Sprintf(`{"number":1,"rev":%d,"mark":"back"}`, rev))
-	must.Eq(t, 200, orderRollout(d.rollout(0).Rev, "third"))
-	d.settles(0, 200, "POST", replacePath, `{"generation":9,"parent_version":8}`) // what the order names is there no more
+	rev := d.rolloutStatus(0).Rev
+	d.callUntilClear(0, 200, "POST", "/api/Rollout.PullBack/s", fmt.Sprintf(`{"number":1,"rev":%d,"mark":"back"}`, rev))
+	must.Eq(t, 200, orderRollout(d.rolloutStatus(0).Rev, "third"))
+	d.callUntilClear(0, 200, "POST", replaceConfigPath, `{"generation":9,"parent_version":8}`) // what the order names is there no more
 	must.Eq(t, 200, orderRollout(0, "first"))
 }
--- a/internal/gateway/node/authority.go
+++ b/internal/gateway/node/authority.go
@@ -14,156 +14,156 @@
 //
 // Nothing is written, confirmed or read by it: that takes a majority, whatever the age. Here is stated the rest, in one table.
 
-// standing is how a node stands to the core, for a right that ends at some age.
-type standing uint8
+// contactState is how a node stands to the core, for a right that ends at some age.
+type contactState uint8
 
 const (
-	leads       standing = 1 << iota // it leads, and a majority was in contact within the age
-	follows                          // its word of whoever leads is within the age
-	leadsParted                      // it leads, its word is older
-	parted                           // it does not lead, its word is older
-	starting                         // no word in this life, which is no older than an election takes
-	alone                            // no word in this life
-
-	inContact = leads | follows
+	leaderInContact     contactState = 1 << iota // it leads, and a majority was in contact within the age
+	followerInContact                            // its word of whoever leads is within the age
+	leaderPartitioned                            // it leads, its word is older
+	followerPartitioned                          // it does not lead, its word is older
+	starting                                     // no word in this life, which is no older than an election takes
+	noContact                                    // no word in this life
+
+	inContact = leaderInContact | followerInContact
 )
 
-// right is something that a node does for others.
-type right uint8
+// permission is something that a node does for others.
+type permission uint8
 
 const (
-	beReady   right = iota // clients are wanted here
-	deny                   // 401 and 404, and 400 to a change that is wrong in itself, by its own state
-	takeCalls              // an order or a read is taken or passed on; otherwise it ends at once
-	feedFresh              // its followers need not look for another node
-	ackBeats               // a beat is acknowledged
-	ackEnds                // a draining or Leave is, once enough others have it
-	askSlot                // it asks for a slot
+	permitReady        permission = iota // clients are wanted here
+	permitRefuse                         // 401 and 404, and 400 to a change that is wrong in itself, by its own state
+	permitCalls                          // an order or a read is taken or passed on; otherwise it ends at once
+	permitStream                         // its followers need not look for another node
+	permitAckHeartbeat                   // a beat is acknowledged
+	permitAckDrain                       // a draining or Leave is, once enough others have it
+	permitRequestSlot                    // it asks for a slot
 )
 
-// rights is the table: who has a right, within which age at a node with a disk and at one without, whose word is older by up to the time
+// permissions is the table: who has a right, within which age at a node with a disk and at one without, whose word is older by up to the time
 // between two pings, and whether it takes a configuration. What is not named here needs no word of a majority: serving
 // by the configuration that is there (2xx), its buckets' share by the nodes in reach, 200 to an order that is in its own
 // committed log, feeding what it has to who knows nothing newer. And what needs a majority has it from the log itself,
 // whatever the age: taking, confirming and refusing (412) an order, reading, giving a slot, members.
-var rights = [...]struct {
-	who        standing
-	member     age
-	follower   age
+var permissions = [...]struct {
+	who        contactState
+	member     ageBound
+	follower   ageBound
 	configured bool
 }{
-	beReady:   {inContact, settings.Bounds.ReadyMaxAge, settings.Bounds.ReadyMaxAge, true},
-	deny:      {inContact, settings.Bounds.AuthoritativeMaxAge, settings.Bounds.AuthoritativeMaxAge, true},
-	takeCalls: {inContact | starting, settings.Bounds.PartitionedAge, settings.Bounds.ReadyMaxAge, false},
-	feedFresh: {inContact, settings.Bounds.PartitionedAge, settings.Bounds.PartitionedAge, false},
-	ackBeats:  {inContact | starting, settings.Bounds.PartitionedAge, settings.Bounds.ReadyMaxAge, false},
-	ackEnds:   {inContact, settings.Bounds.PartitionedAge, settings.Bounds.PartitionedAge, false},
-	askSlot:   {inContact, settings.Bounds.ReadyMaxAge, settings.Bounds.ReadyMaxAge, false},
+	permitReady:        {inContact, settings.Bounds.ReadyMaxAge, settings.Bounds.ReadyMaxAge, true},
+	permitRefuse:       {inContact, settings.Bounds.AuthoritativeMaxAge, settings.Bounds.AuthoritativeMaxAge, true},
+	permitCalls:        {inContact | starting, settings.Bounds.PartitionedAge, settings.Bounds.ReadyMaxAge, false},
+	permitStream:       {inContact, settings.Bounds.PartitionedAge, settings.Bounds.PartitionedAge, false},
+	permitAckHeartbeat: {inContact | starting, settings.Bounds.PartitionedAge, settings.Bounds.ReadyMaxAge, false},
+	permitAckDrain:     {inContact, settings.Bounds.PartitionedAge, settings.Bounds.PartitionedAge, false},
+	permitRequestSlot:  {inContact, settings.Bounds.ReadyMaxAge, settings.Bounds.ReadyMaxAge, false},
 }
 
-// age is a bound on that of a node's word, from the settings.
-type age func(settings.Bounds) time.Duration
+// ageBound is a bound on that of a node's word, from the settings.
+type ageBound func(settings.Bounds) time.Duration
 
-// may tells whether this node has a right now.
-func (h *Node) may(r right) bool {
-	return (!rights[r].configured || h.table.Version() > 0) && h.stands(r)
+// permitted tells whether this node has a right now.
+func (h *Node) permitted(r permission) bool {
+	return (!permissions[r].configured || h.table.Version() > 0) && h.hasContactFor(r)
 }
 
-// stands tells whether its word of a majority is enough for a right.
-func (h *Node) stands(r right) bool {
-	within := rights[r].member
+// hasContactFor tells whether its word of a majority is enough for a right.
+func (h *Node) hasContactFor(r permission) bool {
+	within := permissions[r].member
 	if h.core == nil {
-		within = rights[r].follower
+		within = permissions[r].follower
 	}
 	switch without := h.fault; {
-	case without == endsAlone && r == ackEnds, without == waitsAlone && r == takeCalls,
-		without == readyAlone && (r == beReady || r == deny), without == noAuthority:
+	case without == ackDrainAlone && r == permitAckDrain, without == queueWithoutContact && r == permitCalls,
+		without == readyWithoutContact && (r == permitReady || r == permitRefuse), without == grantAllPermissions:
 		return true
 	}
-	return rights[r].who&h.standing(within(h.settings.Bounds)) != 0
+	return permissions[r].who&h.contactState(within(h.settings.Bounds)) != 0
 }
 
-// standing is this node's, for a right that ends at an age.
-func (h *Node) standing(within time.Duration) standing {
-	leading := h.leading() // the clock first
-	age, _, ok := h.contact()
+// contactState is this node's, for a right that ends at an age.
+func (h *Node) contactState(within time.Duration) contactState {
+	leading := h.isLeader() // the clock first
+	age, _, ok := h.quorumContact()
 	switch {
-	case !ok && h.e.Now()-h.beganAt < within:
+	case !ok && h.loop.Now()-h.startedAt < within:
 		return starting
 	case !ok:
-		return alone
+		return noContact
 	case leading && age < within:
-		return leads
+		return leaderInContact
 	case leading:
-		return leadsParted
+		return leaderPartitioned
 	case age < within:
-		return follows
+		return followerInContact
 	}
-	return parted
+	return followerPartitioned
 }
 
-// leading tells whether this node leads: the clock runs first, since one that stood still does not know that it was missed.
-func (h *Node) leading() bool {
+// isLeader tells whether this node leads: the clock runs first, since one that stood still does not know that it was missed.
+func (h *Node) isLeader() bool {
 	if h.core == nil {
 		return false
 	}
-	h.core.p.Tick(h.e.Now())
-	return h.core.p.IsLeader()
+	h.core.replica.Tick(h.loop.Now())
+	return h.core.replica.IsLeader()
 }
 
-// contact is how old this node's word of a majority is at the most, and the view that it is of; false: none came in this life.
-func (h *Node) contact() (age time.Duration, view uint64, ok bool) {
+// quorumContact is how old this node's word of a majority is at the most, and the view that it is of; false: none came in this life.
+func (h *Node) quorumContact() (age time.Duration, view uint64, ok bool) {
 	if h.core != nil {
-		if _, view, ok := h.core.p.Leader(); ok && h.fault == hearsLeader {
+		if _, view, ok := h.core.replica.Leader(); ok && h.fault == trustLeaderAlone {
 			return 0, view, true
 		}
-		return h.core.p.QuorumContact(h.e.Now())
+		return h.core.replica.QuorumContact(h.loop.Now())
 	}
-	return h.e.Now() - h.known.at, h.known.view, h.known.at > -never
+	return h.loop.Now() - h.streamContact.appliedAsOf, h.streamContact.term, h.streamContact.appliedAsOf > -neverAge
 }
 
-// stale is that age; never and more if there is none.
-func (h *Node) stale() time.Duration {
-	if age, _, ok := h.contact(); ok {
+// contactAge is that age; never and more if there is none.
+func (h *Node) contactAge() time.Duration {
+	if age, _, ok := h.quorumContact(); ok {
 		return age
 	}
-	return never
+	return neverAge
 }
 
-// known is a node's word without a disk.
-type known struct {
-	at   time.Duration // all that was acknowledged before it has been applied
-	view uint64        // the newest that a feeder's word was of
+// streamContact is a node's word without a disk.
+type streamContact struct {
+	appliedAsOf time.Duration // all that was acknowledged before it has been applied
+	term        uint64        // the newest that a feeder's word was of
 }
 
-// learn takes the feeder's word, once what it had applied is applied here. Word of an older view is not taken after a newer one's, nor
+// updateContact takes the feeder's word, once what it had applied is applied here. Word of an older view is not taken after a newer one's, nor
 // what came back from another life. A feeder of the version before gives nothing back: then it is when it came.
-func (h *Node) learn(age time.Duration, view uint64, echo uint32, index uint64) {
-	now := h.e.Now()
+func (h *Node) updateContact(age time.Duration, view uint64, echo uint32, index uint64) {
+	now := h.loop.Now()
 	at, ok := h.clock.SentAt(echo, now)
 	switch {
-	case h.core != nil || age >= neverHeard || index > h.applied:
+	case h.core != nil || age >= maxKnownAge || index > h.appliedIndex:
 		return
-	case view == 0 || h.fault == byReceipt:
+	case view == 0 || h.fault == countFromReceipt:
 		at = now
-	case !ok || view < h.known.view && h.fault != oldViews:
+	case !ok || view < h.streamContact.term && h.fault != acceptOlderTerms:
 		return
 	}
-	if at -= age; at > h.known.at {
-		h.known = known{at, max(h.known.view, view)}
+	if at -= age; at > h.streamContact.appliedAsOf {
+		h.streamContact = streamContact{at, max(h.streamContact.term, view)}
 	}
 }
 
 // Defences that tests take out; planted is what new nodes go without.
 const (
-	noAuthority fault = 100 + iota // all have all rights
-	byReceipt                      // word counts from when it came
-	oldViews                       // word of an older view is taken after a newer one's
-	endsAlone                      // an end is acknowledged by who cannot pass it on, on whatever copies there are
-	readyAlone                     // who has old word is ready, and denies
-	waitsAlone                     // an order waits where nobody can take it
-	hearsLeader                    // a node with a disk goes by that it hears a leader, whoever hears it
-	feederTells                    // who lives is told by the feeder, however old its word
+	grantAllPermissions fault = 100 + iota // all have all rights
+	countFromReceipt                       // word counts from when it came
+	acceptOlderTerms                       // word of an older view is taken after a newer one's
+	ackDrainAlone                          // an end is acknowledged by who cannot pass it on, on whatever copies there are
+	readyWithoutContact                    // who has old word is ready, and denies
+	queueWithoutContact                    // an order waits where nobody can take it
+	trustLeaderAlone                       // a node with a disk goes by that it hears a leader, whoever hears it
+	trustStaleUpstream                     // who lives is told by the feeder, however old its word
 )
 
-var planted = sound
+var plantedFault = noFault
--- a/internal/gateway/node/calls.go
+++ b/internal/gateway/node/calls.go
@@ -14,249 +14,249 @@
 )
 
 const (
-	callFor   = 900 * time.Millisecond // a caller of control waits a second
-	callAgain = 120 * time.Millisecond // while nobody leads, or who led is gone
-	hopsMost  = 3
-	callsMost = 256
+	callTimeout       = 900 * time.Millisecond // a caller of control waits a second
+	callRetryInterval = 120 * time.Millisecond // while nobody leads, or who led is gone
+	maxHops           = 3
+	maxPendingCalls   = 256
 )
 
 // fault is a defect that tests put in, to see that they find it.
 type fault uint8
 
 const (
-	sound       fault = iota
-	numberAlone       // an answer belongs to whatever call bears its number
+	noFault             fault = iota
+	matchBySequenceOnly       // an answer belongs to whatever call bears its number
 )
 
-// call is one that waits for whoever leads.
-type call struct {
-	kind  statemachine.Kind
-	body  []byte
-	hops  int
-	until time.Duration
-	next  time.Duration // when it goes again, if it is not on its way or another leads by then
-	sent  string        // to whom it is on its way
-	asked []string      // to whom it ever was
-	doubt bool          // one that had it is gone or left without an answer: it may have been taken
-	then  func(status int, body []byte)
+// pendingCall is one that waits for whoever leads.
+type pendingCall struct {
+	kind       statemachine.Kind
+	body       []byte
+	hops       int
+	deadline   time.Duration
+	retryAt    time.Duration // when it goes again, if it is not on its way or another leads by then
+	sentTo     string        // to whom it is on its way
+	recipients []string      // to whom it ever was
+	ambiguous  bool          // one that had it is gone or left without an answer: it may have been taken
+	done       func(status int, body []byte)
 }
 
-// ask brings a control call to whoever leads and tells how it ended: within callFor in any case, so that the caller
+// callLeader brings a control call to whoever leads and tells how it ended: within callTimeout in any case, so that the caller
 // is not held for what another node may know.
-func (h *Node) ask(kind statemachine.Kind, body []byte, hops int, then func(status int, body []byte)) {
-	if len(h.calls) >= callsMost {
+func (h *Node) callLeader(kind statemachine.Kind, body []byte, hops int, then func(status int, body []byte)) {
+	if len(h.pendingCalls) >= maxPendingCalls {
 		then(503, []byte("too many calls wait"))
 		return
 	}
-	h.callNr++ // of 32 bits, as the timer's are: no call lives long enough to meet its number again
-	h.calls[h.callNr] = &call{kind: kind, body: body, hops: hops, until: h.e.Now() + callFor, then: then}
-	h.pass(h.callNr)
-	h.e.At(h.e.Now()+callFor, (*callAlarm)(h), h.callNr)
+	h.lastCallID++ // of 32 bits, as the timer's are: no call lives long enough to meet its number again
+	h.pendingCalls[h.lastCallID] = &pendingCall{kind: kind, body: body, hops: hops, deadline: h.loop.Now() + callTimeout, done: then}
+	h.forwardCall(h.lastCallID)
+	h.loop.At(h.loop.Now()+callTimeout, (*callTimer)(h), h.lastCallID)
 }
 
-// pass sends a call on, or settles it here.
-func (h *Node) pass(nr uint32) {
-	c := h.calls[nr]
-	c.doubt = c.doubt || h.mayHave(c, nr)
-	if !h.may(takeCalls) {
-		h.turnAway(nr)
+// forwardCall sends a call on, or settles it here.
+func (h *Node) forwardCall(nr uint32) {
+	c := h.pendingCalls[nr]
+	c.ambiguous = c.ambiguous || h.mayBeReceived(c, nr)
+	if !h.permitted(permitCalls) {
+		h.rejectCall(nr)
 		return
 	}
-	if h.leading() {
-		h.cancel(c.sent, nr)
-		c.next, c.sent = c.until, "here"
-		h.lead(nr, false)
+	if h.isLeader() {
+		h.cancelTransfer(c.sentTo, nr)
+		c.retryAt, c.sentTo = c.deadline, "here"
+		h.proposeCall(nr, false)
 		return
 	}
-	to := h.leads()
-	if to == "" || c.hops >= hopsMost {
-		c.next = h.e.Now() + callAgain
-		h.e.At(c.next, (*callAlarm)(h), nr)
+	to := h.forwardTarget()
+	if to == "" || c.hops >= maxHops {
+		c.retryAt = h.loop.Now() + callRetryInterval
+		h.loop.At(c.retryAt, (*callTimer)(h), nr)
 		return
 	}
-	was := c.sent
-	c.next, c.sent = h.e.Now()+callAgain, to
-	h.e.At(c.next, (*callAlarm)(h), nr)
-	if !slices.Contains(c.asked, to) {
-		c.asked = append(c.asked, to)
+	was := c.sentTo
+	c.retryAt, c.sentTo = h.loop.Now()+callRetryInterval, to
+	h.loop.At(c.retryAt, (*callTimer)(h), nr)
+	if !slices.Contains(c.recipients, to) {
+		c.recipients = append(c.recipients, to)
 	}
-	h.cancel(was, nr)
-	if !h.sendCall(to, nr, &Call{Asker: h.life, Nr: nr, Kind: c.kind, Body: c.body, Hops: c.hops + 1}, c.until) {
-		c.sent = "" // too many go there
+	h.cancelTransfer(was, nr)
+	if !h.sendCall(to, nr, &Call{Asker: h.incarnation, Nr: nr, Kind: c.kind, Body: c.body, Hops: c.hops + 1}, c.deadline) {
+		c.sentTo = "" // too many go there
 	}
 }
 
-// lead puts a call into the log, whose verdict holds. What this node refuses before it refuses by its own state: only once a round
+// proposeCall puts a call into the log, whose verdict holds. What this node refuses before it refuses by its own state: only once a round
 // has told that it leads still, and that this state is as new as anything acknowledged.
-func (h *Node) lead(nr uint32, confirmed bool) {
-	c := h.calls[nr]
-	if c == nil || c.sent != "here" {
+func (h *Node) proposeCall(nr uint32, confirmed bool) {
+	c := h.pendingCalls[nr]
+	if c == nil || c.sentTo != "here" {
 		return
 	}
-	body, err := h.counted(c.kind, c.body)
+	body, err := h.prepareEntry(c.kind, c.body)
 	if c.kind == statemachine.KindBootstrapGroups {
-		body = h.core.founders()
+		body = h.core.groupFounders()
 	}
 	refusal := 400
 	if err == nil {
-		err = h.unserviceable(c.kind, body)
+		err = h.checkServiceable(c.kind, body)
 	}
 	if err == nil {
-		if err = h.tooLarge(c.kind, body); err != nil {
+		if err = h.checkSize(c.kind, body); err != nil {
 			refusal = 413
 		}
 	}
 	switch {
 	case err == nil:
 		h.core.propose(c.kind, body, func(status int, body []byte) {
-			h.replied(nr, status, h.worded(c.kind, c.body, status, body))
+			h.completeCall(nr, status, h.answerBody(c.kind, c.body, status, body))
 		})
 	case confirmed:
-		h.replied(nr, refusal, []byte(err.Error()))
+		h.completeCall(nr, refusal, []byte(err.Error()))
 	default:
-		h.core.propose(Read, nil, func(status int, body []byte) {
+		h.core.propose(ReadConfig, nil, func(status int, body []byte) {
 			if status != 200 {
-				h.replied(nr, status, body)
+				h.completeCall(nr, status, body)
 				return
 			}
-			h.lead(nr, true)
+			h.proposeCall(nr, true)
 		})
 	}
 }
 
-// noMajority tells a caller to go elsewhere: nothing was taken at this try.
-const noMajority = "no majority is in contact here, another node may know more"
+// noQuorumText tells a caller to go elsewhere: nothing was taken at this try.
+const noQuorumText = "no majority is in contact here, another node may know more"
 
-// turnAway ends a call here: while this node has no word of a majority, waiting is worth nothing.
-func (h *Node) turnAway(nr uint32) {
-	text := noMajority
-	if c := h.calls[nr]; c.doubt || h.mayHave(c, nr) { // who has it may take it yet
+// rejectCall ends a call here: while this node has no word of a majority, waiting is worth nothing.
+func (h *Node) rejectCall(nr uint32) {
+	text := noQuorumText
+	if c := h.pendingCalls[nr]; c.ambiguous || h.mayBeReceived(c, nr) { // who has it may take it yet
 		text = replication.OutcomeUnknown.String()
 	}
-	h.end(nr, 503, []byte(text))
+	h.finishCall(nr, 503, []byte(text))
 }
 
-// leads is the node to pass a call on to: the leader where it is known, else the node that this one follows.
-func (h *Node) leads() string {
+// forwardTarget is the node to pass a call on to: the leader where it is known, else the node that this one follows.
+func (h *Node) forwardTarget() string {
 	if h.core != nil {
-		if m, _, ok := h.core.p.Leader(); ok && m.ID != h.core.me.ID {
+		if m, _, ok := h.core.replica.Leader(); ok && m.ID != h.core.self.ID {
 			return m.Addr
 		}
 		return ""
 	}
-	if h.roster.Live(h.feeder) {
-		return h.feeder
+	if h.roster.Live(h.upstream) {
+		return h.upstream
 	}
 	return ""
 }
 
-// leadsAnew tells whether another leads, as far as is known here, than the node that a call was passed on to.
-func (h *Node) leadsAnew(than string) bool {
-	if h.leading() {
+// leaderChanged tells whether another leads, as far as is known here, than the node that a call was passed on to.
+func (h *Node) leaderChanged(than string) bool {
+	if h.isLeader() {
 		return true
 	}
-	to := h.leads()
+	to := h.forwardTarget()
 	return to != "" && to != than
 }
 
-// called takes a call that another node passed on.
-func (h *Node) called(from string, c *Call) {
-	h.ask(c.Kind, c.Body, c.Hops, func(status int, body []byte) {
+// receiveCall takes a call that another node passed on.
+func (h *Node) receiveCall(from string, c *Call) {
+	h.callLeader(c.Kind, c.Body, c.Hops, func(status int, body []byte) {
 		h.sendReply(from, &Reply{c.Asker, c.Nr, status, body})
 	})
 }
 
-// answered takes the answer to a call that was passed on. It is known by the life that asked and the number within it, and comes
+// receiveReply takes the answer to a call that was passed on. It is known by the life that asked and the number within it, and comes
 // from a node that was asked: one to a former life, or to a call that has ended, does nothing. A node that was asked before
 // the one that has the call now may still settle it, but not send it round again.
-func (h *Node) answered(from string, r *Reply) {
-	c := h.calls[r.Nr]
+func (h *Node) receiveReply(from string, r *Reply) {
+	c := h.pendingCalls[r.Nr]
 	switch {
 	case c == nil:
-	case r.Asker != h.life && h.fault != numberAlone:
-	case !slices.Contains(c.asked, from) && h.fault != numberAlone:
-	case r.Status/100 == 5 && from != c.sent && h.fault != numberAlone:
+	case r.Asker != h.incarnation && h.fault != matchBySequenceOnly:
+	case !slices.Contains(c.recipients, from) && h.fault != matchBySequenceOnly:
+	case r.Status/100 == 5 && from != c.sentTo && h.fault != matchBySequenceOnly:
 	default:
-		h.replied(r.Nr, r.Status, r.Body)
+		h.completeCall(r.Nr, r.Status, r.Body)
 	}
 }
 
-// replied ends a call. Nobody leading is no end while there is time: who did may just have gone.
-func (h *Node) replied(nr uint32, status int, body []byte) {
-	c := h.calls[nr]
+// completeCall ends a call. Nobody leading is no end while there is time: who did may just have gone.
+func (h *Node) completeCall(nr uint32, status int, body []byte) {
+	c := h.pendingCalls[nr]
 	if c == nil {
 		return
 	}
-	if status == 503 && string(body) == noMajority && c.sent == h.feeder && h.core == nil { // one that has word may be there
-		h.words[h.feeder] = word{h.e.Now(), never, 0, 0}
-		h.tendFeed()
+	if status == 503 && string(body) == noQuorumText && c.sentTo == h.upstream && h.core == nil { // one that has word may be there
+		h.upstreamReports[h.upstream] = upstreamReport{h.loop.Now(), neverAge, 0, 0}
+		h.checkUpstream()
 	}
-	h.cancel(c.sent, nr)
-	if status == 503 && h.e.Now()+callAgain < c.until {
-		c.sent, c.next = "", h.e.Now()+callAgain
-		h.e.At(c.next, (*callAlarm)(h), nr)
+	h.cancelTransfer(c.sentTo, nr)
+	if status == 503 && h.loop.Now()+callRetryInterval < c.deadline {
+		c.sentTo, c.retryAt = "", h.loop.Now()+callRetryInterval
+		h.loop.At(c.retryAt, (*callTimer)(h), nr)
 		return
 	}
-	c.sent, c.doubt = "", c.doubt || status == controlapi.Unclear
-	h.end(nr, status, body)
+	c.sentTo, c.ambiguous = "", c.ambiguous || status == controlapi.Unclear
+	h.finishCall(nr, status, body)
 }
 
-// end ends a call. A change that another node had before may have been taken there, whatever the last one knows of no leader.
-func (h *Node) end(nr uint32, status int, body []byte) {
-	c := h.calls[nr]
-	delete(h.calls, nr)
-	if reads := c.kind == Read || c.kind == ReadRollouts; status/100 == 5 {
-		if status = 503; !reads && (c.doubt || h.mayHave(c, nr)) {
+// finishCall ends a call. A change that another node had before may have been taken there, whatever the last one knows of no leader.
+func (h *Node) finishCall(nr uint32, status int, body []byte) {
+	c := h.pendingCalls[nr]
+	delete(h.pendingCalls, nr)
+	if reads := c.kind == ReadConfig || c.kind == ReadRollouts; status/100 == 5 {
+		if status = 503; !reads && (c.ambiguous || h.mayBeReceived(c, nr)) {
 			status = controlapi.Unclear
 		}
 	}
-	h.cancel(c.sent, nr)
-	c.then(status, body)
+	h.cancelTransfer(c.sentTo, nr)
+	c.done(status, body)
 }
 
-// callAlarm brings a call's due times.
-type callAlarm Node
+// callTimer brings a call's due times.
+type callTimer Node
 
-func (a *callAlarm) Live(nr uint32) bool { return a.calls[nr] != nil }
+func (a *callTimer) Live(nr uint32) bool { return a.pendingCalls[nr] != nil }
 
-func (a *callAlarm) Due(nr uint32) {
-	h, c := (*Node)(a), a.calls[nr]
-	switch now := h.e.Now(); {
+func (a *callTimer) Due(nr uint32) {
+	h, c := (*Node)(a), a.pendingCalls[nr]
+	switch now := h.loop.Now(); {
 	case c == nil:
-	case now >= c.until:
-		h.end(nr, 503, []byte("no clear answer in time"))
-	case !h.may(takeCalls):
-		h.turnAway(nr)
-	case now < c.next:
-	case c.sent != "" && !h.leadsAnew(c.sent): // its answer is still to come
-		c.next = now + callAgain
-		h.e.At(c.next, a, nr)
+	case now >= c.deadline:
+		h.finishCall(nr, 503, []byte("no clear answer in time"))
+	case !h.permitted(permitCalls):
+		h.rejectCall(nr)
+	case now < c.retryAt:
+	case c.sentTo != "" && !h.leaderChanged(c.sentTo): // its answer is still to come
+		c.retryAt = now + callRetryInterval
+		h.loop.At(c.retryAt, a, nr)
 	default: // one that stands still or is cut off never answers: another leads by now
-		h.pass(nr)
+		h.forwardCall(nr)
 	}
 }
 
-// wantSlot asks for a slot while this node has none.
-func (h *Node) wantSlot() {
-	if h.slot() != membership.NoSlot || h.e.Now()-h.slotAsked < time.Second || !h.may(askSlot) {
+// requestSlot asks for a slot while this node has none.
+func (h *Node) requestSlot() {
+	if h.slot() != membership.NoSlot || h.loop.Now()-h.slotRequestedAt < time.Second || !h.permitted(permitRequestSlot) {
 		return
 	}
-	h.slotAsked = h.e.Now()
-	entry := statemachine.AssignSlotEntry(membership.SlotHolder{Name: h.settings.NodeName, Addr: h.inner, Control: h.settings.Bind.Control,
+	h.slotRequestedAt = h.loop.Now()
+	entry := statemachine.AssignSlotEntry(membership.SlotHolder{Name: h.settings.NodeName, Addr: h.peerAddr, Control: h.settings.Bind.Control,
 		Zone: h.settings.Zone})
-	h.ask(statemachine.KindAssignSlot, entry[1:], 0, func(status int, body []byte) {
+	h.callLeader(statemachine.KindAssignSlot, entry[1:], 0, func(status int, body []byte) {
 		if status != 200 {
 			h.say(nodePart, "no slot yet: %s", body)
 		}
 	})
 }
 
-// diskCopies is how many times the largest state the file holds at the most, and a little: see logstore.
-const diskCopies = 10
+// diskCopiesPerState is how many times the largest state the file holds at the most, and a little: see logstore.
+const diskCopiesPerState = 10
 
-// unserviceable tells whether a configuration that would be taken has a route that can't be served. Whoever leads decides it, as it decides
+// checkServiceable tells whether a configuration that would be taken has a route that can't be served. Whoever leads decides it, as it decides
 // what is too large.
-func (h *Node) unserviceable(k statemachine.Kind, body []byte) error {
+func (h *Node) checkServiceable(k statemachine.Kind, body []byte) error {
 	if k != statemachine.KindReplaceConfig && k != statemachine.KindAmendConfig {
 		return nil
 	}
@@ -270,13 +270,13 @@
 	return err
 }
 
-// tooLarge tells whether a configuration that would be taken grows beyond what the disk is for. Whoever leads decides it, before
+// checkSize tells whether a configuration that would be taken grows beyond what the disk is for. Whoever leads decides it, before
 // anything is proposed: what is in the log is applied everywhere, whatever a node's disk. An amendment counts in full, whatever it
 // takes away.
-func (h *Node) tooLarge(k statemachine.Kind, body []byte) error {
-	size, most := len(body), controlBound
+func (h *Node) checkSize(k statemachine.Kind, body []byte) error {
+	size, most := len(body), maxControlBodyBytes
 	if d := h.settings.Limits.DiskMB; d > 0 {
-		most = min(most, d<<20/diskCopies)
+		most = min(most, d<<20/diskCopiesPerState)
 	}
 	if k == statemachine.KindAmendConfig {
 		size += len(h.machine.Configs.Body())
--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -12,47 +12,47 @@
 
 // catalog numbers what the parts know by number: names are the edge's.
 type catalog struct {
-	calls    map[routing.RouteKey]control.ProductID
-	routes   map[control.ProductID]*routing.Route
-	services map[string]control.ServiceID
-	zones    map[string]control.ZoneID
-	names    map[control.BackendID]string
-	titles   []string // services by number
-	last     control.ProductID
+	productIDs      map[routing.RouteKey]control.ProductID
+	routesByProduct map[control.ProductID]*routing.Route
+	services        map[string]control.ServiceID
+	zones           map[string]control.ZoneID
+	backendNames    map[control.BackendID]string
+	serviceNames    []string // services by number
+	lastProduct     control.ProductID
 }
 
-// leastConns of a backend are this node's in any case, where its bound is split over the nodes.
-const leastConns = 4
+// minConnsPerNode of a backend are this node's in any case, where its bound is split over the nodes.
+const minConnsPerNode = 4
 
 func newCatalog() catalog {
-	return catalog{calls: map[routing.RouteKey]control.ProductID{}, routes: map[control.ProductID]*routing.Route{},
-		services: map[string]control.ServiceID{}, zones: map[string]control.ZoneID{}, names: map[control.BackendID]string{}}
+	return catalog{productIDs: map[routing.RouteKey]control.ProductID{}, routesByProduct: map[control.ProductID]*routing.Route{},
+		services: map[string]control.ServiceID{}, zones: map[string]control.ZoneID{}, backendNames: map[control.BackendID]string{}}
 }
 
-func (s *catalog) zone(name string) control.ZoneID {
+func (s *catalog) zoneID(name string) control.ZoneID {
 	if _, ok := s.zones[name]; !ok {
 		s.zones[name] = control.ZoneID(len(s.zones))
 	}
 	return s.zones[name]
 }
 
-func (s *catalog) service(name string) control.ServiceID {
+func (s *catalog) serviceID(name string) control.ServiceID {
 	if _, ok := s.services[name]; !ok {
 		s.services[name] = control.ServiceID(len(s.services))
-		s.titles = append(s.titles, name)
+		s.serviceNames = append(s.serviceNames, name)
 	}
 	return s.services[name]
 }
 
 // backend names one by its id, alike at every node.
-func backendOf(id string) control.BackendID {
+func backendIDOf(id string) control.BackendID {
 	f := fnv.New64a()
 	f.Write([]byte(id))
 	return control.BackendID(f.Sum64())
 }
 
-// swap puts a new table in force, whole, in this turn.
-func (h *Node) swap() {
+// installConfiguration puts a new table in force, whole, in this turn.
+func (h *Node) installConfiguration() {
 	config := h.machine.Configs.Config()
 	if config == nil {
 		return
@@ -61,48 +61,48 @@
 	h.table = routing.NewTable(config)
 	kept := map[routing.RouteKey]control.ProductID{}
 	for _, r := range h.table.Routes() {
-		id, ok := h.catalog.calls[r.Key]
+		id, ok := h.catalog.productIDs[r.Key]
 		if !ok {
-			h.catalog.last++
-			id = h.catalog.last
+			h.catalog.lastProduct++
+			id = h.catalog.lastProduct
 			c := admission.Call{Effectful: r.Effectful, Aim: r.Target, Deadline: r.Deadline, MaxTries: r.MaxTries,
 				Priority: r.Priority}
 			for _, t := range r.Targets {
-				c.Targets = append(c.Targets, admission.Target{Service: h.catalog.service(t.Service), Weight: t.Weight})
+				c.Targets = append(c.Targets, admission.Target{Service: h.catalog.serviceID(t.Service), Weight: t.Weight})
 			}
 			h.admission.SetCall(id, c)
 		}
-		kept[r.Key], h.catalog.routes[id] = id, r
+		kept[r.Key], h.catalog.routesByProduct[id] = id, r
 	}
-	for key, id := range h.catalog.calls {
+	for key, id := range h.catalog.productIDs {
 		if _, ok := kept[key]; !ok {
-			if old := h.catalog.routes[id]; old != nil {
+			if old := h.catalog.routesByProduct[id]; old != nil {
 				if now, ok := h.table.Route([]byte(old.Host), []byte(old.Prefix)); ok {
 					h.admission.LowerTries(id, now.MaxTries)
 				}
 			}
 			h.admission.DropCall(id)
-			delete(h.catalog.routes, id)
+			delete(h.catalog.routesByProduct, id)
 		}
 	}
-	h.catalog.calls = kept
+	h.catalog.productIDs = kept
 	had := map[string]bool{}
 	for _, t := range h.table.Tenants() {
 		had[t.Name] = true
-		h.quota.SetLimit(customerOf(t.Name), t.Rate, t.Burst)
+		h.quota.SetLimit(customerID(t.Name), t.Rate, t.Burst)
 	}
 	for _, t := range old.Tenants() {
 		if !had[t.Name] {
-			h.quota.SetLimit(customerOf(t.Name), 0, 0)
+			h.quota.SetLimit(customerID(t.Name), 0, 0)
 		}
 	}
 	l := h.table.Limits()
-	h.front.Bound(ingress.Bounds(ingress.Limits{Head: l.MostHeader, Body: l.MostBody, HeadIn: l.HeaderTimeout, Idle: l.IdleTimeout}))
+	h.frontend.SetBounds(ingress.Bounds(ingress.Limits{Head: l.MostHeader, Body: l.MostBody, HeadIn: l.HeaderTimeout, Idle: l.IdleTimeout}))
 }
 
 // Admit tells what a request is: its route, its tenant, or why it may not go on.
 func (h *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
-	sure := h.may(deny)
+	sure := h.permitted(permitRefuse)
 	r, ok := h.table.Route(host, path)
 	if !ok {
 		if !sure {
@@ -110,7 +110,7 @@
 		}
 		return a, ingress.NoRoute
 	}
-	a = ingress.Admission{Product: h.catalog.calls[r.Key], Deadline: r.Deadline, Once: r.Effectful}
+	a = ingress.Admission{Product: h.catalog.productIDs[r.Key], Deadline: r.Deadline, Once: r.Effectful}
 	if r.Public || !h.table.HasTenants() {
 		return a, ingress.None
 	}
@@ -123,24 +123,24 @@
 	}
 	a.Tenant, a.Rank = t.Name, t.Priority
 	if a.Metered = t.Rate > 0; a.Metered {
-		a.Customer = customerOf(t.Name)
+		a.Customer = customerID(t.Name)
 	}
 	return a, ingress.None
 }
 
 // BackendName is a backend's id in its own words.
-func (h *Node) BackendName(id control.BackendID) string { return h.catalog.names[id] }
+func (h *Node) BackendName(id control.BackendID) string { return h.catalog.backendNames[id] }
 
 // Gone is told when another backend answered at this one's address.
 func (h *Node) Gone(id control.BackendID) {
 	if h.registry != nil {
-		h.registry.Seen421(h.catalog.names[id])
+		h.registry.Seen421(h.catalog.backendNames[id])
 	}
 }
 
-// listed takes news of a backend to those who go by it.
-func (h *Node) listed(c registry.Changed) {
-	id := backendOf(c.Word.ID)
+// updateListing takes news of a backend to those who go by it.
+func (h *Node) updateListing(c registry.Changed) {
+	id := backendIDOf(c.Word.ID)
 	state := control.Ready
 	switch c.Word.Phase {
 	case registry.Draining:
@@ -148,14 +148,14 @@
 	case registry.Gone:
 		state = control.Gone
 	}
-	h.catalog.names[id] = c.Word.ID
-	h.dispatch.At(id, c.Word.Addr, 0, state == control.Ready)
+	h.catalog.backendNames[id] = c.Word.ID
+	h.dispatcher.SetBackend(id, c.Word.Addr, 0, state == control.Ready)
 	if s, ok := h.table.Service(c.Word.Service); ok && s.MaxConns > 0 {
-		h.dispatch.Most(id, max(leastConns, s.MaxConns/max(h.slots, 1)))
+		h.dispatcher.SetMaxConns(id, max(minConnsPerNode, s.MaxConns/max(h.slotCount, 1)))
 	}
-	h.gate.Listed(false, []control.Listing{{ID: id, Zone: h.catalog.zone(c.Word.Zone), State: state,
+	h.gate.Listed(false, []control.Listing{{ID: id, Zone: h.catalog.zoneID(c.Word.Zone), State: state,
 		Size: float64(max(c.Word.Capacity, 1)), Service: h.poolOf(c.Word), Cold: c.ColdUntil}})
 	if state == control.Gone {
-		delete(h.catalog.names, id)
+		delete(h.catalog.backendNames, id)
 	}
 }
--- a/internal/gateway/node/catchup_test.go
+++ b/internal/gateway/node/catchup_test.go
@@ -17,7 +17,7 @@
 
 // largeConfig is a configuration of about so many bytes: its tenants make it up.
 func largeConfig(generation, parent, bytes int) string {
-	b := config(generation, parent)
+	b := configBody(generation, parent)
 	var t strings.Builder
 	for i := 0; t.Len() < bytes; i++ {
 		fmt.Fprintf(&t, `,{"name":"t%06d","api_keys":["key-of-the-tenant-%06d-%d"],"priority":1,"rate_per_s":5,"burst":5}`, i, i, generation)
@@ -25,7 +25,7 @@
 	return strings.Replace(b, `"services"`, `"tenants":[`+t.String()[1:]+`],"services"`, 1)
 }
 
-func sizeOf(name string, usual int) int {
+func envInt(name string, usual int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
@@ -36,10 +36,10 @@
 // of none grows with their number; one that is too large for the disk is refused before it is taken, with the bound.
 func TestAwayForManyLargeConfigurations(t *testing.T) {
 	const replace = "/api/Config.Replace"
-	size, times := sizeOf("CONFIG_BYTES", 200<<10), sizeOf("CONFIG_CHANGES", 8)
-	d := open(t, 4)
-	d.all("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
-	d.settles(0, 200, "POST", replace, largeConfig(1, 0, size))
+	size, times := envInt("CONFIG_BYTES", 200<<10), envInt("CONFIG_CHANGES", 8)
+	d := startCluster(t, 4)
+	d.eventuallyAll("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
+	d.callUntilClear(0, 200, "POST", replace, largeConfig(1, 0, size))
 	away := 0
 	for i := range 3 {
 		if d.status(i).Core.Role != "leading" {
@@ -51,30 +51,30 @@
 	left := (away + 1) % 3
 	began := time.Now()
 	for n := range times {
-		d.settles(left, 200, "POST", replace, largeConfig(n+2, n+1, size))
+		d.callUntilClear(left, 200, "POST", replace, largeConfig(n+2, n+1, size))
 	}
 	took := time.Since(began)
 	level := func(s controlapi.NodeStatus) bool { return s.Generation == uint64(times+1) }
 	for _, i := range []int{away, 3} {
 		began = time.Now()
 		d.start(i)
-		d.until("to be level", func() bool { return level(d.status(i)) })
+		d.eventually("to be level", func() bool { return level(d.status(i)) })
 		t.Logf("node %d is level after %v; %d changes took %v", i, time.Since(began), times, took)
 	}
-	d.all("the newest", level)
+	d.eventuallyAll("the newest", level)
 	for i := range 3 {
 		info, err := os.Stat(filepath.Join(d.settings[i].DataDir, logstore.FileName))
 		must.NoError(t, err)
 		t.Logf("node %d: %d KB on disk", i, info.Size()>>10)
-		must.LessEq(t, int64(diskCopies*size+1<<20), info.Size())
+		must.LessEq(t, int64(diskCopiesPerState*size+1<<20), info.Size())
 	}
-	most := 1 << 20 / diskCopies // a disk of 1 MB
+	most := 1 << 20 / diskCopiesPerState // a disk of 1 MB
 	for i := range 3 {
-		d.live[i].e.Turn(func() { d.live[i].settings.Limits.DiskMB = 1 })
+		d.running[i].loop.Turn(func() { d.running[i].settings.Limits.DiskMB = 1 })
 	}
-	text := d.settles(left, 413, "POST", replace, largeConfig(times+2, times+1, most+most/10))
+	text := d.callUntilClear(left, 413, "POST", replace, largeConfig(times+2, times+1, most+most/10))
 	must.StrContains(t, text, `"too_large"`)
 	must.StrContains(t, text, fmt.Sprint("at most ", most, " fit"))
-	d.settles(left, 412, "POST", replace, largeConfig(times+2, times, most+most/10)) // not its size is what is wrong
-	d.settles(left, 200, "POST", replace, largeConfig(times+2, times+1, most-most/5))
+	d.callUntilClear(left, 412, "POST", replace, largeConfig(times+2, times, most+most/10)) // not its size is what is wrong
+	d.callUntilClear(left, 200, "POST", replace, largeConfig(times+2, times+1, most-most/5))
 }
--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -11,43 +11,43 @@
 // Coordinate takes an application's call. The clock is read first: what lies unread in a socket may have been sent after this turn
 // began, if the process stood still, and a lock's time must not count from before its caller asked for it.
 func (h *Node) Coordinate(c coordination.Call, then func(coordination.Answer)) {
-	h.e.Refresh()
+	h.loop.Refresh()
 	h.coordination.Take(c, then)
 }
 
-// coordinationHeard takes what another node's coordination says.
-func (h *Node) coordinationHeard(from string, bytes []byte) {
+// receiveCoordination takes what another node's coordination says.
+func (h *Node) receiveCoordination(from string, bytes []byte) {
 	m, err := coordination.DecodeMessage(bytes)
 	if err != nil {
 		h.warn(groupPart, "call from %s can't be read: %v", from, err)
 		return
 	}
-	h.e.Refresh()
+	h.loop.Refresh()
 	h.coordination.Heard(from, m)
 }
 
-// coordinator is what a coordination.Service needs of its node.
-type coordinator Node
+// coordinationEnv is what a coordination.Service needs of its node.
+type coordinationEnv Node
 
-func (c *coordinator) Send(to string, m *coordination.Message) bool {
+func (c *coordinationEnv) Send(to string, m *coordination.Message) bool {
 	return c.links.Send(to, &Frame{Coordination: m.Encode()})
 }
 
-func (c *coordinator) At(at time.Duration, number uint32) { c.e.At(at, c.coordination, number) }
+func (c *coordinationEnv) At(at time.Duration, number uint32) { c.loop.At(at, c.coordination, number) }
 
-func (c *coordinator) Waited() time.Duration { return c.e.Waited() }
+func (c *coordinationEnv) Waited() time.Duration { return c.loop.InputDelay() }
 
-func (c *coordinator) InTouch() bool { return (*Node)(c).may(takeCalls) }
+func (c *coordinationEnv) InTouch() bool { return (*Node)(c).permitted(permitCalls) }
 
 // groupsApplication hands a service the groups, and logs that they are led no longer; the host logs who leads.
 type groupsApplication struct {
 	*coordination.Service
-	h *Node
+	node *Node
 }
 
 // LeadershipLost tells that it does no longer.
 func (a groupsApplication) LeadershipLost(id groups.ID, term uint64) {
-	a.h.say(groupPart, "%d is led here no longer, view %d", id, term)
+	a.node.say(groupPart, "%d is led here no longer, view %d", id, term)
 	a.Service.LeadershipLost(id, term)
 }
 
@@ -68,7 +68,7 @@
 		if replica, ok := h.GroupStatus(id); ok {
 			g.View, g.Synced = replica.Term, replica.SyncedIndex
 			for _, m := range replica.Members {
-				g.Members = append(g.Members, h.addrOf(m))
+				g.Members = append(g.Members, h.memberAddr(m))
 			}
 		}
 		for _, held := range status.Groups {
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	compactAt   = 64        // committed entries after which the log is put into a snapshot
-	compactSize = 256 << 10 // or so many bytes of them: alike at all members, whose snapshots are the same
-	admitEvery  = 300 * time.Millisecond
-	noteEvery   = 500 * time.Millisecond
+	compactEntries      = 64        // committed entries after which the log is put into a snapshot
+	compactBytes        = 256 << 10 // or so many bytes of them: alike at all members, whose snapshots are the same
+	memberCheckInterval = 300 * time.Millisecond
+	softStateInterval   = 500 * time.Millisecond
 )
 
 // core is this node's part in the log that orders configurations: none without a disk.
 type core struct {
 	replicaHost
-	noted    time.Duration      // when the registry last was, beside the log
-	waits    map[uint64]waiting // by token
-	token    uint64
-	last     verdict // of the last entry applied
-	lookedAt time.Duration
-	view     uint64               // the last one whose leader was known
-	hears    map[string]hearsWith // by address
+	softStateSavedAt time.Duration       // when the registry last was, beside the log
+	proposals        map[uint64]proposal // by token
+	lastToken        uint64
+	lastApplied      appliedChange // of the last entry applied
+	membersCheckedAt time.Duration
+	leaderTerm       uint64                   // the last one whose leader was known
+	liveness         map[string]livenessState // by address
 }
 
-// waiting is a call that the log settles.
-type waiting struct {
+// proposal is a call that the log settles.
+type proposal struct {
 	kind  statemachine.Kind
 	entry []byte // nil of a read
-	then  func(status int, body []byte)
+	done  func(status int, body []byte)
 }
 
-// verdict is on an entry, and on no other that ever stood at its index.
-type verdict struct {
+// appliedChange is on an entry, and on no other that ever stood at its index.
+type appliedChange struct {
 	index   uint64
 	entry   []byte
 	verdict routing.Verdict
@@ -49,7 +49,7 @@
 }
 
 // openCore begins with what the disk holds.
-func (h *Node) openCore(b Base) error {
+func (h *Node) openCore(b Environment) error {
 	if h.settings.DataDir == "" {
 		return nil
 	}
@@ -57,107 +57,107 @@
 	if err != nil {
 		return err
 	}
-	c := &core{waits: map[uint64]waiting{}, hears: map[string]hearsWith{}}
-	c.replicaHost = replicaHost{h: h, me: replication.Member{ID: kept.ID, Addr: h.inner}, owner: c,
-		disk: &diskQueue{node: h, disk: disk, synced: c.synced}}
-	c.p = replication.New(c.me, kept, replication.DefaultConfig(), h.seed, h.e.Now())
+	c := &core{proposals: map[uint64]proposal{}, liveness: map[string]livenessState{}}
+	c.replicaHost = replicaHost{node: h, self: replication.Member{ID: kept.ID, Addr: h.peerAddr}, owner: c,
+		disk: &diskQueue{node: h, disk: disk, onSynced: c.writeSynced}}
+	c.replica = replication.New(c.self, kept, replication.DefaultConfig(), h.seed, h.loop.Now())
 	h.core = c
-	h.groups.open(disk.Groups())
+	h.groups.open(disk.GroupLogs())
 	return nil
 }
 
-// synced tells a replica what is on disk.
-func (c *core) synced(log replication.LogID, nr uint64) {
+// writeSynced tells a replica what is on disk.
+func (c *core) writeSynced(log replication.LogID, nr uint64) {
 	r := &c.replicaHost
 	if log != replication.ConfigurationLog {
-		r = &c.h.groups.replicas[log-1].replicaHost
+		r = &c.node.groups.replicas[log-1].replicaHost
 	}
-	r.now().Synced(nr)
+	r.advance().Synced(nr)
 }
 
-// pull carries out what the log asks for.
-func (c *core) pull() {
-	c.now()
-	c.tend()
-	c.drain()
-	if m, view, ok := c.p.Leader(); ok && view != c.view {
-		c.view = view
-		c.h.pingedAt = 0 // who follows waits for the word that somebody leads
-		if m.ID == c.me.ID {
-			c.h.say(corePart, "leads view %d", view)
+// handleReady carries out what the log asks for.
+func (c *core) handleReady() {
+	c.advance()
+	c.checkMembers()
+	c.handleActions()
+	if m, view, ok := c.replica.Leader(); ok && view != c.leaderTerm {
+		c.leaderTerm = view
+		c.node.heartbeatAt = 0 // who follows waits for the word that somebody leads
+		if m.ID == c.self.ID {
+			c.node.say(corePart, "leads view %d", view)
 		} else {
-			c.h.say(corePart, "view %d is led by %s", view, m.Addr)
+			c.node.say(corePart, "view %d is led by %s", view, m.Addr)
 		}
 	}
-	c.h.roster.Settle(membership.Disk(c.me.ID), c.p.ClusterID())
+	c.node.roster.Settle(membership.Disk(c.self.ID), c.replica.ClusterID())
 }
 
-func (c *core) send(to replication.Member, m replication.Message) {
-	if addr := c.h.addrOf(to); addr != "" {
-		c.h.links.Send(addr, &Frame{Core: c.line(addr, m)})
+func (c *core) sendMessage(to replication.Member, m replication.Message) {
+	if addr := c.node.memberAddr(to); addr != "" {
+		c.node.links.Send(addr, &Frame{Core: c.coreMessage(addr, m)})
 	}
 }
 
-// keepRegistry has the registry kept beside the log, where it changed, now and then.
-func (c *core) keepRegistry() {
-	now := c.h.e.Now()
-	if !c.h.registryNews || now-c.noted < noteEvery || c.h.registry == nil {
+// saveRegistry has the registry kept beside the log, where it changed, now and then.
+func (c *core) saveRegistry() {
+	now := c.node.loop.Now()
+	if !c.node.registryDirty || now-c.softStateSavedAt < softStateInterval || c.node.registry == nil {
 		return
 	}
-	c.h.registryNews, c.noted = false, now
+	c.node.registryDirty, c.softStateSavedAt = false, now
 	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(c.h.registry.All()) // of texts and numbers: it can't fail
-	c.disk.note = b.Bytes()
+	gob.NewEncoder(&b).Encode(c.node.registry.All()) // of texts and numbers: it can't fail
+	c.disk.softState = b.Bytes()
 }
 
-// remember gives the registry what was kept of it.
-func (c *core) remember() {
+// loadRegistry gives the registry what was kept of it.
+func (c *core) loadRegistry() {
 	var words []registry.Record
-	if noted := c.disk.disk.Noted(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&words) == nil {
-		c.h.registry.Now(c.h.e.Now())
-		c.h.registry.Remember(words)
-		c.h.say(registryPart, "remembers %d backends", len(words))
+	if noted := c.disk.disk.SoftState(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&words) == nil {
+		c.node.registry.Now(c.node.loop.Now())
+		c.node.registry.Remember(words)
+		c.node.say(registryPart, "remembers %d backends", len(words))
 	}
 }
 
-func (c *core) restore(index uint64, state []byte) {
+func (c *core) restoreState(index uint64, state []byte) {
 	s := statemachine.New()
 	if len(state) > 0 {
 		var err error
 		if s, err = statemachine.Restore(state); err != nil {
-			c.h.warn(corePart, "state of %d can't be read: %v", index, err)
+			c.node.warn(corePart, "state of %d can't be read: %v", index, err)
 			return
 		}
 	}
-	c.h.begin(index, s)
+	c.node.installState(index, s)
 }
 
-func (c *core) commit(e replication.Entry) {
+func (c *core) applyCommitted(e replication.Entry) {
 	var data []byte
 	if e.Kind == replication.EntryNormal {
 		data = e.Data
 	}
-	v, err := c.h.apply(e.Index, data)
-	c.last = verdict{e.Index, data, v, err}
-	if e.Index%compactAt == 0 || c.p.UncompactedBytes(e.Index) >= compactSize {
-		c.p.Compact(e.Index, c.h.machine.Snapshot())
+	v, err := c.node.applyEntry(e.Index, data)
+	c.lastApplied = appliedChange{e.Index, data, v, err}
+	if e.Index%compactEntries == 0 || c.replica.UncompactedBytes(e.Index) >= compactBytes {
+		c.replica.Compact(e.Index, c.node.machine.Snapshot())
 	}
 }
 
-// tend tells the log which disks are reached: it lets new ones in, in the place of lost ones (replica/members.go).
-func (c *core) tend() {
-	now := c.h.e.Now()
-	if now-c.lookedAt < admitEvery {
+// checkMembers tells the log which disks are reached: it lets new ones in, in the place of lost ones (replica/members.go).
+func (c *core) checkMembers() {
+	now := c.node.loop.Now()
+	if now-c.membersCheckedAt < memberCheckInterval {
 		return
 	}
-	c.lookedAt = now
-	reach := c.h.disksInReach()
-	c.p.ReconcileMembers(reach, c.h.settings.Tolerance.Machines)
-	c.layAside()
+	c.membersCheckedAt = now
+	reach := c.node.reachableDisks()
+	c.replica.ReconcileMembers(reach, c.node.settings.Tolerance.Machines)
+	c.abandonLoneBootstrap()
 }
 
-// disksInReach are the nodes with a disk that this one reaches, itself among them.
-func (h *Node) disksInReach() (reach []replication.ReachableNode) {
+// reachableDisks are the nodes with a disk that this one reaches, itself among them.
+func (h *Node) reachableDisks() (reach []replication.ReachableNode) {
 	for _, d := range h.roster.Disks() {
 		reach = append(reach, replication.ReachableNode{Member: replication.Member{ID: replication.MemberID(d.Disk), Addr: d.Addr}, Draining: d.Leaving})
 	}
@@ -166,44 +166,44 @@
 
 // propose puts a change into the log, or reads; then is told how it ended.
 func (c *core) propose(kind statemachine.Kind, body []byte, then func(status int, body []byte)) {
-	c.token++
-	c.p.Tick(c.h.e.Now())
-	if kind == Read || kind == ReadRollouts {
-		c.waits[c.token] = waiting{kind, nil, then}
-		c.p.Read(c.token)
+	c.lastToken++
+	c.replica.Tick(c.node.loop.Now())
+	if kind == ReadConfig || kind == ReadRollouts {
+		c.proposals[c.lastToken] = proposal{kind, nil, then}
+		c.replica.Read(c.lastToken)
 		return
 	}
 	entry := statemachine.EncodeEntry(kind, body)
-	c.waits[c.token] = waiting{kind, entry, then}
-	c.p.Propose(c.token, entry)
+	c.proposals[c.lastToken] = proposal{kind, entry, then}
+	c.replica.Propose(c.lastToken, entry)
 }
 
-// settle answers a call whose place in the log is known.
-func (c *core) settle(o replication.Outcome) {
-	w, ok := c.waits[o.Token]
-	delete(c.waits, o.Token)
+// completeProposal answers a call whose place in the log is known.
+func (c *core) completeProposal(o replication.Outcome) {
+	w, ok := c.proposals[o.Token]
+	delete(c.proposals, o.Token)
 	switch {
 	case !ok:
 	case o.Status == replication.OutcomeUnknown:
-		w.then(controlapi.Unclear, []byte(o.Status.String()))
+		w.done(controlapi.Unclear, []byte(o.Status.String()))
 	case o.Status != replication.OutcomeCommitted:
-		w.then(503, []byte(o.Status.String()))
-	case w.kind == Read:
-		w.then(200, c.h.machine.Configs.Body())
+		w.done(503, []byte(o.Status.String()))
+	case w.kind == ReadConfig:
+		w.done(200, c.node.machine.Configs.Body())
 	case w.kind == ReadRollouts:
-		w.then(200, c.h.rolloutText())
+		w.done(200, c.node.rolloutStatusBody())
 	default:
-		v := c.last
+		v := c.lastApplied
 		if v.index != o.Index || !bytes.Equal(v.entry, w.entry) {
 			invariant.That(false, "a proposal ends by its own entry")
-			v = verdict{verdict: routing.Unclear}
+			v = appliedChange{verdict: routing.Unclear}
 		}
-		w.then(answerOf(v.verdict, v.err))
+		w.done(responseOf(v.verdict, v.err))
 	}
 }
 
-// answerOf is the table from verdicts on changes to answers.
-func answerOf(v routing.Verdict, err error) (int, []byte) {
+// responseOf is the table from verdicts on changes to answers.
+func responseOf(v routing.Verdict, err error) (int, []byte) {
 	text := ""
 	if err != nil {
 		text = err.Error()
--- a/internal/gateway/node/cut_test.go
+++ b/internal/gateway/node/cut_test.go
@@ -15,55 +15,55 @@
 	"clovergap/internal/gateway/settings"
 )
 
-// cut is a node's links to the others with what it says to some lost, as long as it is set: it is read and set in turns.
-type cut struct {
+// partitionedLinks is a node's links to the others with what it says to some lost, as long as it is set: it is read and set in turns.
+type partitionedLinks struct {
 	Links
-	to func(addr string) bool
+	drops func(addr string) bool
 }
 
-func (c *cut) Send(to string, f *Frame) bool {
-	if c.to != nil && c.to(to) {
+func (c *partitionedLinks) Send(to string, f *Frame) bool {
+	if c.drops != nil && c.drops(to) {
 		return true
 	}
 	return c.Links.Send(to, f)
 }
 
-// parts cuts one node off from the others with a disk: what it says, what they say, or both; an empty way joins them again.
-func (d *nodes) parts(i int, way string) {
-	for o, h := range d.live {
-		h.e.Turn(func() {
-			c, ok := h.links.(*cut)
+// partition cuts one node off from the others with a disk: what it says, what they say, or both; an empty way joins them again.
+func (d *testCluster) partition(i int, way string) {
+	for o, h := range d.running {
+		h.loop.Turn(func() {
+			c, ok := h.links.(*partitionedLinks)
 			if !ok {
-				c = &cut{Links: h.links}
+				c = &partitionedLinks{Links: h.links}
 				h.links = c
 			}
 			switch {
 			case way == "" || h.core == nil:
-				c.to = nil
+				c.drops = nil
 			case o == i && way != "in":
-				c.to = func(addr string) bool { return d.disk(addr) }
+				c.drops = func(addr string) bool { return d.isDiskNode(addr) }
 			case o != i && way != "out":
 				at := d.settings[i].IPAddress + ":17560"
-				c.to = func(addr string) bool { return addr == at }
+				c.drops = func(addr string) bool { return addr == at }
 			}
 		})
 	}
 }
 
-func (d *nodes) disk(addr string) bool {
+func (d *testCluster) isDiskNode(addr string) bool {
 	return slices.ContainsFunc(d.settings[:3], func(s *settings.Settings) bool { return s.IPAddress+":17560" == addr })
 }
 
-// broken is what a node that is cut off does and must not.
-func (d *nodes) broken(i, last int) (all []string) {
-	h, b := d.live[i], d.settings[i].Bounds
+// violations is what a node that is cut off does and must not.
+func (d *testCluster) violations(i, last int) (all []string) {
+	h, b := d.running[i], d.settings[i].Bounds
 	bad := func(is bool, what string) {
 		if is {
 			all = append(all, what)
 		}
 	}
-	h.e.Turn(func() {
-		at := h.stale()
+	h.loop.Turn(func() {
+		at := h.contactAge()
 		ended := map[string]bool{}
 		say := func(what string) func(int, []byte) {
 			return func(status int, _ []byte) {
@@ -71,9 +71,9 @@
 				bad(status/100 != 5, what)
 			}
 		}
-		h.Change('r', []byte(config(last+1000, last-1)), say("refused or took an order"))
-		h.Newest(say("told a read"))
-		h.Leave(fmt.Sprint("nobody-", last), func(ok bool, _ string) {
+		h.Change('r', []byte(configBody(last+1000, last-1)), say("refused or took an order"))
+		h.ReadConfiguration(say("told a read"))
+		h.Deregister(fmt.Sprint("nobody-", last), func(ok bool, _ string) {
 			ended["end"] = true
 			bad(ok, "acknowledged an end")
 		})
@@ -89,21 +89,21 @@
 	return all
 }
 
-// without has a node go without a defence from now on, in a turn.
-func (d *nodes) without(h *Node, f fault) {
+// plantFault has a node go without a defence from now on, in a turn.
+func (d *testCluster) plantFault(h *Node, f fault) {
 	h.fault = f
-	h.registry.SetTerms(registry.Terms{BeatInterval: h.settings.HeartbeatInterval, Enough: h.enoughCopies()})
+	h.registry.SetTerms(registry.Terms{BeatInterval: h.settings.HeartbeatInterval, Enough: h.minDrainCopies()})
 }
 
 // On four real nodes, one with a disk is cut off from the others that have one: who leads, both ways, for twenty seconds; then who
 // leads or another, one way or the other. The others go on, and so does the node that followed it; it does nothing that takes a
 // majority, and comes back. Without its defences it is found out.
 func TestCutOffNode(t *testing.T) {
-	d := open(t, 4)
-	d.all("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
-	d.settles(0, 200, "POST", "/api/Config.Replace", config(10, 0))
-	d.settles(3, 200, "POST", "/api/Backends.Heartbeat/i-1", beat("ready", 1))
-	d.all("to be ready", func(s controlapi.NodeStatus) bool { return s.Ready })
+	d := startCluster(t, 4)
+	d.eventuallyAll("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
+	d.callUntilClear(0, 200, "POST", "/api/Config.Replace", configBody(10, 0))
+	d.callUntilClear(3, 200, "POST", "/api/Backends.Heartbeat/i-1", heartbeatBody("ready", 1))
+	d.eventuallyAll("to be ready", func(s controlapi.NodeStatus) bool { return s.Ready })
 	last := 10
 	for _, x := range []struct {
 		leads bool
@@ -111,82 +111,82 @@
 		until time.Duration
 		fault fault
 	}{
-		{true, "both", 20 * time.Second, sound},
-		{true, "in", 0, sound}, {true, "out", 0, sound}, {false, "both", 0, sound}, {false, "out", 0, sound},
-		{true, "both", 0, noAuthority}, {true, "both", 0, endsAlone},
+		{true, "both", 20 * time.Second, noFault},
+		{true, "in", 0, noFault}, {true, "out", 0, noFault}, {false, "both", 0, noFault}, {false, "out", 0, noFault},
+		{true, "both", 0, grantAllPermissions}, {true, "both", 0, ackDrainAlone},
 	} {
-		l := d.leader()
+		l := d.awaitLeader()
 		at, other := l, (l+1)%3
 		if !x.leads {
 			at, other = (l+1)%3, l
 		}
-		h := d.live[at]
-		d.until("to be in contact", func() (is bool) { h.e.Turn(func() { is = h.stale() < time.Second }); return is })
-		d.live[3].e.Turn(func() { d.live[3].follow(h.inner) })
-		d.until("the node without a disk follows", func() bool { s := d.status(3); return s.Feeder == h.inner })
-		d.parts(at, x.way)
-		h.e.Turn(func() { d.without(h, x.fault) })
+		h := d.running[at]
+		d.eventually("to be in contact", func() (is bool) { h.loop.Turn(func() { is = h.contactAge() < time.Second }); return is })
+		d.running[3].loop.Turn(func() { d.running[3].requestStream(h.peerAddr) })
+		d.eventually("the node without a disk follows", func() bool { s := d.status(3); return s.Feeder == h.peerAddr })
+		d.partition(at, x.way)
+		h.loop.Turn(func() { d.plantFault(h, x.fault) })
 		next := last + 10
-		d.settles(other, 200, "POST", "/api/Config.Replace", config(next, last))
+		d.callUntilClear(other, 200, "POST", "/api/Config.Replace", configBody(next, last))
 		last = next
-		d.until("the follower has it", func() bool { return d.status(3).Generation == uint64(next) })
+		d.eventually("the follower has it", func() bool { return d.status(3).Generation == uint64(next) })
 		var broken []string
-		d.until("it is cut off for long", func() bool {
-			broken = append(broken, d.broken(at, last)...)
+		d.eventually("it is cut off for long", func() bool {
+			broken = append(broken, d.violations(at, last)...)
 			long := false
-			h.e.Turn(func() { long = h.stale() > max(x.until, d.settings[at].Bounds.ReadyMaxAge()+time.Second/2) })
+			h.loop.Turn(func() { long = h.contactAge() > max(x.until, d.settings[at].Bounds.ReadyMaxAge()+time.Second/2) })
 			return long
 		})
 		slices.Sort(broken)
 		switch broken = slices.Compact(broken); x.fault {
-		case sound:
+		case noFault:
 			must.SliceEmpty(t, broken, must.Sprint(x, broken))
-		case noAuthority: // ends are held by their copies too
+		case grantAllPermissions: // ends are held by their copies too
 			must.Eq(t, []string{"denies for sure", "did not end a call at once", "is ready"}, broken)
-		case endsAlone: // once its follower has it, which takes more than this turn
+		case ackDrainAlone: // once its follower has it, which takes more than this turn
 			must.Eq(t, []string{"acknowledged an end", "did not end a call at once"}, broken)
 		}
-		h.e.Turn(func() { d.without(h, sound) })
+		h.loop.Turn(func() { d.plantFault(h, noFault) })
 		if x.until > 0 {
-			d.comesBack(at)
+			d.checkReturn(at)
 		}
-		d.parts(at, "")
-		d.all("to go by the newest and be in contact", func(s controlapi.NodeStatus) bool {
+		d.partition(at, "")
+		d.eventuallyAll("to go by the newest and be in contact", func(s controlapi.NodeStatus) bool {
 			return s.Generation == uint64(last) && s.StaleMs != nil && *s.StaleMs < d.settings[0].Bounds.PartitionedAge().Milliseconds()
 		})
 	}
 }
 
-// comesBack: a node without a disk that follows a node that is cut off hears from it that all others are gone. It goes to one of
+// checkReturn: a node without a disk that follows a node that is cut off hears from it that all others are gone. It goes to one of
 // these all the same, by the links that it has; as long as it went by that word, it stayed for as long as the cut lasted.
-func (d *nodes) comesBack(at int) {
-	cut := d.live[at].inner
-	d.until("all others to count as gone", func() (gone bool) {
-		d.turn(3, func(h *Node) {
-			if h.fault = feederTells; h.feeder != cut {
-				h.follow(cut)
+func (d *testCluster) checkReturn(at int) {
+	cut := d.running[at].peerAddr
+	d.eventually("all others to count as gone", func() (gone bool) {
+		d.inTurn(3, func(h *Node) {
+			if h.fault = trustStaleUpstream; h.upstream != cut {
+				h.requestStream(cut)
 			}
-			h.askedAt = h.e.Now() // it stays meanwhile
-			gone = len(h.roster.Disks()) == 1 && h.feeds(cut) > h.settings.Bounds.PartitionedAge()
+			h.streamRequestedAt = h.loop.Now() // it stays meanwhile
+			gone = len(h.roster.Disks()) == 1 && h.upstreamAge(cut) > h.settings.Bounds.PartitionedAge()
 		})
 		return gone
 	})
-	d.turn(3, func(h *Node) {
-		for _, f := range []fault{feederTells, sound} {
-			h.fault, h.askedAt, h.stoodTo = f, 1, 0
-			h.tendFeed()
-			must.Eq(d.t, f == sound, h.feeder != cut)
+	d.inTurn(3, func(h *Node) {
+		for _, f := range []fault{trustStaleUpstream, noFault} {
+			h.fault, h.streamRequestedAt, h.pausedUntil = f, 1, 0
+			h.checkUpstream()
+			must.Eq(d.t, f == noFault, h.upstream != cut)
 		}
 	})
 }
 
-// fixed is a clock that stands.
-type fixed struct {
-	Turns
+// fixedClock is a clock that stands.
+type fixedClock struct {
+	EventLoop
 	now time.Duration
 }
 
-func (f fixed) Now() time.Duration { return f.now }
+func (f fixedClock) Now() time.Duration { return f.now }
 
 // In all orders of words from feeders: a node's own is never newer than the newest that it was told, counted from when it asked;
 // none of an older view is taken after a newer one's, none that is of more than it has, none that another life asked for.
@@ -205,19 +205,19 @@
 		orders = func(left []told, h Node) {
 			for i, w := range left {
 				c := h
-				before := c.known
-				c.learn(w.age, w.view, w.by.Stamp(w.asked), w.index)
-				moved := c.known.at > before.at
-				if moved && (c.known.at > w.asked-w.age || w.view < before.view || w.index > 9 || w.by == other) {
+				before := c.streamContact
+				c.updateContact(w.age, w.view, w.by.Stamp(w.asked), w.index)
+				moved := c.streamContact.appliedAsOf > before.appliedAsOf
+				if moved && (c.streamContact.appliedAsOf > w.asked-w.age || w.view < before.term || w.index > 9 || w.by == other) {
 					wrong++
 				}
 				orders(append(slices.Clone(left[:i]), left[i+1:]...), c)
 			}
 		}
-		orders(all, Node{e: fixed{now: now}, clock: own, applied: 9, known: known{at: -never}, fault: f})
+		orders(all, Node{loop: fixedClock{now: now}, clock: own, appliedIndex: 9, streamContact: streamContact{appliedAsOf: -neverAge}, fault: f})
 		return wrong
 	}
-	must.Eq(t, 0, play(sound))
-	must.Greater(t, 0, play(oldViews))
-	must.Greater(t, 0, play(byReceipt))
+	must.Eq(t, 0, play(noFault))
+	must.Greater(t, 0, play(acceptOlderTerms))
+	must.Greater(t, 0, play(countFromReceipt))
 }
--- a/internal/gateway/node/export_test.go
+++ b/internal/gateway/node/export_test.go
@@ -1,14 +1,14 @@
 package node
 
-// Plant lets the nodes that are made from now on go without a defence.
-func Plant(f fault) { planted = f }
+// PlantFault lets the nodes that are made from now on go without a defence.
+func PlantFault(f fault) { plantedFault = f }
 
 // Faults are the defences that a simulated day must miss, by name.
-var Faults = map[string]fault{"all have all rights": noAuthority, "word counts from when it came": byReceipt,
-	"an end is acknowledged alone": endsAlone, "ready and sure with old word": readyAlone, "an order waits in vain": waitsAlone}
+var Faults = map[string]fault{"all have all rights": grantAllPermissions, "word counts from when it came": countFromReceipt,
+	"an end is acknowledged alone": ackDrainAlone, "ready and sure with old word": readyWithoutContact, "an order waits in vain": queueWithoutContact}
 
-// HearsLeader is a defence that takes a cut one way to be missed.
-const HearsLeader = hearsLeader
+// TrustLeaderAlone is a defence that takes a cut one way to be missed.
+const TrustLeaderAlone = trustLeaderAlone
 
-// Sound is none of them.
-const Sound = sound
+// NoFault is none of them.
+const NoFault = noFault
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -14,20 +14,20 @@
 // Frame is what nodes say to each other on their links: one of its fields is set. Fields that are nil cost nothing.
 type Frame struct {
 	Hello  *membership.Hello
-	Ping   *Ping
+	Ping   *Heartbeat
 	Found  []replication.Member // who begins the core
-	Core   *Line
+	Core   *CoreMessage
 	Board  *registry.Message
-	Follow *Follow
-	Feed   *Feed
+	Follow *StreamRequest
+	Feed   *StreamData
 	Call   *Call
 	Reply  *Reply
 
-	Rollout *RolloutWord // while one runs
-	Part    *Part        // of a large call or answer, to a program that takes it
+	Rollout *RolloutMessage // while one runs
+	Part    *CallChunk      // of a large call or answer, to a program that takes it
 
-	Coordination []byte      // a coordination.Message
-	Groups       *GroupLines // once there are coordination groups
+	Coordination []byte         // a coordination.Message
+	Groups       *GroupMessages // once there are coordination groups
 }
 
 // Kind names what a frame carries.
@@ -55,8 +55,8 @@
 	return "others"
 }
 
-// Ping tells that the sender lives, and how old its knowledge of the core is: the latter not from one node with a disk to another.
-type Ping struct {
+// Heartbeat tells that the sender lives, and how old its knowledge of the core is: the latter not from one node with a disk to another.
+type Heartbeat struct {
 	Stale time.Duration // all acknowledged so long ago has been applied (see authority.go); over an hour: not known
 	Index uint64        // of the last entry that it applied
 	Lives []byte        // slots, a bit each: see roster.Told; nil from a node without a disk
@@ -67,43 +67,43 @@
 	Leaders []membership.Slot // of the coordination groups, to those who follow; nil: there are none
 }
 
-// RolloutWord is one of its fields: a report on its way to whoever leads, with the slot of the node that it is of, or the word
+// RolloutMessage is one of its fields: a report on its way to whoever leads, with the slot of the node that it is of, or the word
 // that evidence is gathered afresh, on its way to all nodes.
-type RolloutWord struct {
+type RolloutMessage struct {
 	Seat   membership.Slot
 	Hops   int
 	Report *rollout.Report
 	Lap    *rollout.Lap
 }
 
-// Line is a message between members of the core.
-type Line struct {
+// CoreMessage is a message between members of the core.
+type CoreMessage struct {
 	From    replication.MemberID
 	Message replication.Message
 	Hears   []byte // at times: the slots that the sender hears, in the place of a Ping between nodes with a disk
 }
 
-// GroupLines are messages between members of the coordination groups: all that a node has for another one at the end of a turn.
-type GroupLines struct {
+// GroupMessages are messages between members of the coordination groups: all that a node has for another one at the end of a turn.
+type GroupMessages struct {
 	From  replication.MemberID
 	Lines []byte // each a group, and a message in its compact form: see replication.AppendMessage
 }
 
-// groupLine is a message of one group.
-type groupLine struct {
+// groupMessage is a message of one group.
+type groupMessage struct {
 	group   groups.ID
 	message replication.Message
 }
 
 // append adds a line.
-func (g *GroupLines) append(l *groupLine) {
+func (g *GroupMessages) append(l *groupMessage) {
 	g.Lines = replication.AppendMessage(append(g.Lines, byte(l.group)), &l.message)
 }
 
-// each gives the lines in their order, until one can't be read.
-func (g *GroupLines) each(do func(l *groupLine)) error {
+// forEach gives the lines in their order, until one can't be read.
+func (g *GroupMessages) forEach(do func(l *groupMessage)) error {
 	for rest := g.Lines; len(rest) > 0; {
-		l := groupLine{group: groups.ID(rest[0])}
+		l := groupMessage{group: groups.ID(rest[0])}
 		var err error
 		if l.message, rest, err = replication.DecodeMessage(rest[1:]); err != nil {
 			return err
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// Follow asks a node with a disk for the entries after an index, and for those to come, and for its registry.
-type Follow struct {
+// StreamRequest asks a node with a disk for the entries after an index, and for those to come, and for its registry.
+type StreamRequest struct {
 	After uint64
 	Anew  bool // the sender did not follow it before
 	Ends  bool // and it does no longer
@@ -126,8 +126,8 @@
 	Chunks bool               // its program takes chunks
 }
 
-// Feed carries entries in order. With State, they begin after Index, which that state holds all of.
-type Feed struct {
+// StreamData carries entries in order. With State, they begin after Index, which that state holds all of.
+type StreamData struct {
 	After   uint64 // the first entry is the one after this
 	State   []byte
 	Entries [][]byte      // data of changes; empty ones are of the core's own
@@ -151,7 +151,7 @@
 
 // Read asks for the newest configuration, ReadRollouts for the roll-outs.
 const (
-	Read         statemachine.Kind = 'g'
+	ReadConfig   statemachine.Kind = 'g'
 	ReadRollouts statemachine.Kind = 'h'
 )
 
--- a/internal/gateway/node/grouplead.go
+++ b/internal/gateway/node/grouplead.go
@@ -15,63 +15,63 @@
 
 // Propose and the others are groups.Host.
 func (g *groupHost) Propose(id groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
-	if !g.asked() {
+	if !g.requestGroups() {
 		then(groups.NotProposed, nil)
 		return
 	}
 	r := g.replicas[id]
-	r.token++
-	r.waits[r.token] = groupCall{entry: entry, proposed: then}
-	r.now().Propose(r.token, entry)
+	r.lastToken++
+	r.pending[r.lastToken] = groupRequest{entry: entry, onProposed: then}
+	r.advance().Propose(r.lastToken, entry)
 }
 
 func (g *groupHost) ReadIndex(id groups.ID, then func(ok bool)) {
-	if !g.asked() {
+	if !g.requestGroups() {
 		then(false)
 		return
 	}
 	r := g.replicas[id]
-	r.token++
-	r.waits[r.token] = groupCall{read: then}
-	r.now().Read(r.token)
+	r.lastToken++
+	r.pending[r.lastToken] = groupRequest{onRead: then}
+	r.advance().Read(r.lastToken)
 }
 
 func (g *groupHost) Leadership(id groups.ID) (term uint64, since time.Duration, ok bool) {
-	if !g.asked() {
+	if !g.requestGroups() {
 		return 0, 0, false
 	}
 	r := g.replicas[id]
-	if view, leads := r.now().LeaderTerm(); !leads || view != r.term {
+	if view, leads := r.advance().LeaderTerm(); !leads || view != r.leadTerm {
 		return 0, 0, false
 	}
-	return r.term, r.since, true
+	return r.leadTerm, r.leadSince, true
 }
 
 func (g *groupHost) Leader(id groups.ID) (address string, ok bool) {
-	if g.runs() {
-		if m, _, known := g.replicas[id].p.Leader(); known {
-			return g.h.addrOf(m), true
+	if g.participates() {
+		if m, _, known := g.replicas[id].replica.Leader(); known {
+			return g.node.memberAddr(m), true
 		}
 	}
-	hint := g.hints[id]
-	return hint.addr, hint.addr != "" && g.h.e.Now()-hint.at < hintFor
+	hint := g.leaderHints[id]
+	return hint.addr, hint.addr != "" && g.node.loop.Now()-hint.receivedAt < leaderHintTTL
 }
 
 func (g *groupHost) LeaderCandidates(id groups.ID) (addrs []string) {
-	g.asked()
+	g.requestGroups()
 	if addr, ok := g.Leader(id); ok {
 		addrs = append(addrs, addr)
 	}
 	var disks []uint64
 	at := map[uint64]string{}
-	for _, d := range g.h.roster.Disks() {
+	for _, d := range g.node.roster.Disks() {
 		if d.Founded && !d.Leaving {
 			disks, at[uint64(d.Disk)] = append(disks, uint64(d.Disk)), d.Addr
 		}
 	}
 	likely := append([]uint64{groups.PreferredLeaders(disks)[id]}, groups.RankDisks(id, disks)...)
 	for _, disk := range likely {
-		if addr := at[disk]; addr != "" && len(addrs) < guessesMost && !slices.Contains(addrs, addr) {
+		if addr := at[disk]; addr != "" && len(addrs) < maxGuesses && !slices.Contains(addrs, addr) {
 			addrs = append(addrs, addr)
 		}
 	}
@@ -79,84 +79,84 @@
 }
 
 func (g *groupHost) HintLeader(id groups.ID, address string) {
-	g.hints[id] = hint{address, g.h.e.Now()}
+	g.leaderHints[id] = leaderHint{address, g.node.loop.Now()}
 }
 
-func (g *groupHost) Now() time.Duration { return g.h.e.Now() }
+func (g *groupHost) Now() time.Duration { return g.node.loop.Now() }
 
-// asked tells whether this node takes part in the groups. Where they have not begun, they are wanted from now on.
-func (g *groupHost) asked() bool {
-	if !g.begun && g.wanted == 0 {
-		g.wanted = max(g.h.e.Now(), 1)
+// requestGroups tells whether this node takes part in the groups. Where they have not begun, they are wanted from now on.
+func (g *groupHost) requestGroups() bool {
+	if !g.founded && g.requestedAt == 0 {
+		g.requestedAt = max(g.node.loop.Now(), 1)
 	}
-	return g.runs()
+	return g.participates()
 }
 
-// want has the groups founded, where that is wanted: by the deployment's contracts, or by a call that came.
-func (g *groupHost) want() {
-	now := g.h.e.Now()
-	if newApplication == nil || g.begun || now-g.wantedAt < wantEvery || !g.h.may(takeCalls) {
+// requestFounding has the groups founded, where that is wanted: by the deployment's contracts, or by a call that came.
+func (g *groupHost) requestFounding() {
+	now := g.node.loop.Now()
+	if newGroupApplication == nil || g.founded || now-g.foundingSentAt < foundingRetryInterval || !g.node.permitted(permitCalls) {
 		return
 	}
-	if g.wanted == 0 {
-		if !slices.Contains(g.h.settings.Contracts, coordinates) || !g.h.leading() {
+	if g.requestedAt == 0 {
+		if !slices.Contains(g.node.settings.Contracts, coordinationContract) || !g.node.isLeader() {
 			return
 		}
-		g.wanted = now
+		g.requestedAt = now
 	}
-	if g.h.leading() && !g.complete() {
+	if g.node.isLeader() && !g.membersComplete() {
 		return
 	}
-	g.wantedAt = now
-	g.h.ask(statemachine.KindBootstrapGroups, nil, 0, func(status int, body []byte) {
+	g.foundingSentAt = now
+	g.node.callLeader(statemachine.KindBootstrapGroups, nil, 0, func(status int, body []byte) {
 		if status != 200 {
-			g.h.say(groupPart, "not founded yet: %s", body)
+			g.node.say(groupPart, "not founded yet: %s", body)
 		}
 	})
 }
 
-// complete tells whether all disks in reach are members of the configuration's log, or were waited for.
-func (g *groupHost) complete() bool {
-	if g.h.e.Now()-g.wanted > foundWithin {
+// membersComplete tells whether all disks in reach are members of the configuration's log, or were waited for.
+func (g *groupHost) membersComplete() bool {
+	if g.node.loop.Now()-g.requestedAt > foundingWait {
 		return true
 	}
-	for _, r := range g.h.disksInReach() {
-		if !memberOf(g.h.core.p.Members(), r.ID) {
+	for _, r := range g.node.reachableDisks() {
+		if !containsMember(g.node.core.replica.Members(), r.ID) {
 			return false
 		}
 	}
 	return true
 }
 
-// founders words the disks that groups would begin with now.
-func (c *core) founders() []byte {
+// groupFounders words the disks that groups would begin with now.
+func (c *core) groupFounders() []byte {
 	var all []membership.Founder
-	for _, m := range c.p.Members() {
+	for _, m := range c.replica.Members() {
 		all = append(all, membership.Founder{Disk: membership.Disk(m.ID), Addr: m.Addr})
 	}
 	return statemachine.BootstrapGroupsEntry(all)
 }
 
-// leaders are the slots of those who lead the groups, for others to know; nil: there are no groups.
-func (g *groupHost) leaders() (slots []membership.Slot) {
-	if !g.runs() {
+// leaderSlots are the slots of those who lead the groups, for others to know; nil: there are no groups.
+func (g *groupHost) leaderSlots() (slots []membership.Slot) {
+	if !g.participates() {
 		return nil
 	}
 	for id := range groups.ID(groups.Count) {
 		slot := membership.NoSlot
 		if addr, ok := g.Leader(id); ok {
-			slot = g.h.roster.Slot(addr)
+			slot = g.node.roster.Slot(addr)
 		}
 		slots = append(slots, slot)
 	}
 	return slots
 }
 
-// told takes them from the node that this one follows.
-func (g *groupHost) told(slots []membership.Slot) {
+// learnLeaders takes them from the node that this one follows.
+func (g *groupHost) learnLeaders(slots []membership.Slot) {
 	for id, slot := range slots[:min(len(slots), groups.Count)] {
-		if s, ok := g.h.roster.At(slot); ok {
-			g.begun = true
+		if s, ok := g.node.roster.At(slot); ok {
+			g.founded = true
 			g.HintLeader(groups.ID(id), s.Addr)
 		}
 	}
@@ -164,20 +164,20 @@
 
 // GroupStatus is how a group's replica here stands; false: there is none.
 func (h *Node) GroupStatus(id groups.ID) (replication.Status, bool) {
-	if !h.groups.runs() {
+	if !h.groups.participates() {
 		return replication.Status{}, false
 	}
-	return h.groups.replicas[id].p.Status(), true
+	return h.groups.replicas[id].replica.Status(), true
 }
 
-// MoveGroup has a group that this node leads led by the member at an address; false: it does not lead it, or that one could not at once.
-func (h *Node) MoveGroup(id groups.ID, addr string) bool {
-	if !h.groups.runs() {
+// TransferGroup has a group that this node leads led by the member at an address; false: it does not lead it, or that one could not at once.
+func (h *Node) TransferGroup(id groups.ID, addr string) bool {
+	if !h.groups.participates() {
 		return false
 	}
-	p := h.groups.replicas[id].now()
+	p := h.groups.replicas[id].advance()
 	for _, m := range p.Members() {
-		if h.addrOf(m) == addr && p.CanTransferTo(m.ID) {
+		if h.memberAddr(m) == addr && p.CanTransferTo(m.ID) {
 			p.TransferLeadershipTo(m.ID)
 			return true
 		}
--- a/internal/gateway/node/groups_test.go
+++ b/internal/gateway/node/groups_test.go
@@ -30,45 +30,45 @@
 	return nil
 }
 
-// lists is an application of such machines at one node.
-type lists struct {
-	machines [groups.Count]*listMachine
-	led      [groups.Count]uint64
-	wrong    string
+// listApplication is an application of such machines at one node.
+type listApplication struct {
+	machines  [groups.Count]*listMachine
+	led       [groups.Count]uint64
+	violation string
 }
 
-func (l *lists) StateMachine(id groups.ID) groups.StateMachine {
+func (l *listApplication) StateMachine(id groups.ID) groups.StateMachine {
 	l.machines[id] = &listMachine{}
 	return l.machines[id]
 }
 
-func (l *lists) LeadershipGained(id groups.ID, term uint64) {
+func (l *listApplication) LeadershipGained(id groups.ID, term uint64) {
 	if l.led[id] >= term {
-		l.wrong = fmt.Sprintf("group %d: term %d after %d", id, term, l.led[id])
+		l.violation = fmt.Sprintf("group %d: term %d after %d", id, term, l.led[id])
 	}
 	l.led[id] = term
 }
 
-func (l *lists) LeadershipLost(id groups.ID, term uint64) {
+func (l *listApplication) LeadershipLost(id groups.ID, term uint64) {
 	if l.led[id] != term {
-		l.wrong = fmt.Sprintf("group %d: lost %d, led was %d", id, term, l.led[id])
+		l.violation = fmt.Sprintf("group %d: lost %d, led was %d", id, term, l.led[id])
 	}
 }
 
-// withLists has all nodes of a test run lists.
-func withLists(t *testing.T) {
-	before := newApplication
-	newApplication = func(*Node) groups.Application { return &lists{} }
-	t.Cleanup(func() { newApplication = before })
+// useListApplication has all nodes of a test run lists.
+func useListApplication(t *testing.T) {
+	before := newGroupApplication
+	newGroupApplication = func(*Node) groups.Application { return &listApplication{} }
+	t.Cleanup(func() { newGroupApplication = before })
 }
 
-// leaderOf waits for the node that leads a group.
-func (d *nodes) leaderOf(id groups.ID) (leader int) {
+// groupLeader waits for the node that leads a group.
+func (d *testCluster) groupLeader(id groups.ID) (leader int) {
 	d.t.Helper()
-	d.until(fmt.Sprint("group ", id, " is led"), func() bool {
-		for i, h := range d.live {
+	d.eventually(fmt.Sprint("group ", id, " is led"), func() bool {
+		for i, h := range d.running {
 			led := false
-			h.e.Turn(func() { _, _, led = h.groups.Leadership(id) })
+			h.loop.Turn(func() { _, _, led = h.groups.Leadership(id) })
 			if led {
 				leader = i
 				return true
@@ -79,14 +79,14 @@
 	return leader
 }
 
-// enter puts an entry into a group by whoever leads it, until it is applied; unclear ones are told. A leader that hands over proposes
+// proposeEntry puts an entry into a group by whoever leads it, until it is applied; unclear ones are told. A leader that hands over proposes
 // nothing for a moment.
-func (d *nodes) enter(id groups.ID, entry string) (unclear int) {
+func (d *testCluster) proposeEntry(id groups.ID, entry string) (unclear int) {
 	d.t.Helper()
-	d.until(fmt.Sprint("group ", id, " takes an entry"), func() bool {
+	d.eventually(fmt.Sprint("group ", id, " takes an entry"), func() bool {
 		outcome := make(chan groups.Outcome, 1)
-		h := d.live[d.leaderOf(id)]
-		h.e.Turn(func() { h.groups.Propose(id, []byte(entry), func(o groups.Outcome, _ []byte) { outcome <- o }) })
+		h := d.running[d.groupLeader(id)]
+		h.loop.Turn(func() { h.groups.Propose(id, []byte(entry), func(o groups.Outcome, _ []byte) { outcome <- o }) })
 		o := <-outcome
 		if o == groups.Ambiguous {
 			unclear++
@@ -96,41 +96,41 @@
 	return unclear
 }
 
-// entriesAt are a group's at a node.
-func (d *nodes) entriesAt(i int, id groups.ID) (all []string) {
-	h := d.live[i]
-	h.e.Turn(func() { all = append(all, h.groups.app.(*lists).machines[id].entries...) })
+// groupEntries are a group's at a node.
+func (d *testCluster) groupEntries(i int, id groups.ID) (all []string) {
+	h := d.running[i]
+	h.loop.Turn(func() { all = append(all, h.groups.app.(*listApplication).machines[id].entries...) })
 	return all
 }
 
 // Groups are founded where the contracts name coordination, spread over the disks, keep one order at all nodes, go on under another
 // leader when one is killed, and have all that was applied after a start of all.
 func TestGroupsOrderAndOutlastTheirLeaders(t *testing.T) {
-	withLists(t)
-	d := prepare(t, 4)
+	useListApplication(t)
+	d := newCluster(t, 4)
 	for i := range d.settings {
-		d.settings[i].Contracts = []string{coordinates}
+		d.settings[i].Contracts = []string{coordinationContract}
 		d.start(i)
 	}
 	want, unclear := map[groups.ID][]string{}, 0
 	add := func(id groups.ID, n int) {
 		for range n {
 			entry := fmt.Sprintf("%d.%d", id, len(want[id]))
-			unclear += d.enter(id, entry)
+			unclear += d.proposeEntry(id, entry)
 			want[id] = append(want[id], entry)
 		}
 	}
 	for id := range groups.ID(groups.Count) {
 		add(id, 5)
 	}
-	d.until("the leads are spread", func() bool {
+	d.eventually("the leads are spread", func() bool {
 		led := map[int]int{}
 		for id := range groups.ID(groups.Count) {
-			led[d.leaderOf(id)]++
+			led[d.groupLeader(id)]++
 		}
 		return len(led) == 3 && max(led[0], led[1], led[2]) <= 3
 	})
-	first := d.leaderOf(0)
+	first := d.groupLeader(0)
 	began := time.Now()
 	d.kill(first)
 	add(0, 1)
@@ -144,7 +144,7 @@
 		for i := range 3 {
 			twice := 0
 			for id, entries := range want {
-				all := d.entriesAt(i, id)
+				all := d.groupEntries(i, id)
 				once := slices.Compact(slices.Clone(all))
 				if twice += len(all) - len(once); !slices.Equal(once, entries) {
 					return false
@@ -154,7 +154,7 @@
 		}
 		return true
 	}
-	d.until("all have the same", alike)
+	d.eventually("all have the same", alike)
 	for i := range 4 {
 		d.kill(i)
 	}
@@ -164,22 +164,22 @@
 	for id := range groups.ID(groups.Count) {
 		add(id, 1)
 	}
-	d.until("all have the same again", alike)
-	h := d.live[3]
-	d.until("a node without a disk knows who leads", func() bool {
+	d.eventually("all have the same again", alike)
+	h := d.running[3]
+	d.eventually("a node without a disk knows who leads", func() bool {
 		known := 0
-		h.e.Turn(func() {
+		h.loop.Turn(func() {
 			for id := range groups.ID(groups.Count) {
-				if _, ok := h.groups.Leader(id); ok && len(h.groups.LeaderCandidates(id)) == guessesMost {
+				if _, ok := h.groups.Leader(id); ok && len(h.groups.LeaderCandidates(id)) == maxGuesses {
 					known++
 				}
 			}
 		})
 		return known == groups.Count
 	})
-	for _, h := range d.live {
-		if l, ok := h.groups.app.(*lists); ok {
-			must.Eq(t, "", l.wrong)
+	for _, h := range d.running {
+		if l, ok := h.groups.app.(*listApplication); ok {
+			must.Eq(t, "", l.violation)
 		}
 	}
 }
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -11,40 +11,40 @@
 // several times a second, so the slots go with one of these. A heartbeat by itself goes where the log has nothing to say, and to a
 // program that has not shown yet that it knows the other way.
 
-// hearsLate is how long the slots that are heard wait for a message of the log: two of a leader's heartbeats.
-const hearsLate = 300 * time.Millisecond
+// livenessMaxDelay is how long the slots that are heard wait for a message of the log: two of a leader's heartbeats.
+const livenessMaxDelay = 300 * time.Millisecond
 
-// hearsWith is what a node with a disk knows of telling another one the slots that it hears by messages of the log.
-type hearsWith struct {
-	knows bool          // the other one's program does so too
-	due   time.Duration // since when the slots wait for a message; 0: they don't
+// livenessState is what a node with a disk knows of telling another one the slots that it hears by messages of the log.
+type livenessState struct {
+	piggybacks   bool          // the other one's program does so too
+	pendingSince time.Duration // since when the slots wait for a message; 0: they don't
 }
 
-// ping tells the watchers that this node lives, and those who follow it who does. A follower asks, with its clock, and is answered at
+// sendHeartbeats tells the watchers that this node lives, and those who follow it who does. A follower asks, with its clock, and is answered at
 // once; unasked it is told what is new, and at times.
-func (h *Node) ping(news bool) {
+func (h *Node) sendHeartbeats(news bool) {
 	told := map[string]bool{}
 	if h.core != nil {
-		for _, addr := range h.following() {
+		for _, addr := range h.learnerAddrs() {
 			told[addr] = true
-			if news || h.e.Now()-h.echoes[addr].at > 3*pingEvery/2 {
-				h.links.Send(addr, &Frame{Ping: h.pingTo(addr)})
+			if news || h.loop.Now()-h.learnerClocks[addr].receivedAt > 3*heartbeatInterval/2 {
+				h.links.Send(addr, &Frame{Ping: h.learnerHeartbeat(addr)})
 			}
 		}
 	}
-	_, view, _ := h.contact()
-	p := Ping{Stale: h.stale(), Index: h.applied, View: view}
+	_, view, _ := h.quorumContact()
+	p := Heartbeat{Stale: h.contactAge(), Index: h.appliedIndex, View: view}
 	if h.core != nil {
 		p.Lives = h.roster.Hears()
-	} else if h.feeder != "" {
-		told[h.feeder] = true
-		h.links.Send(h.feeder, &Frame{Ping: &Ping{Stale: p.Stale, Index: p.Index, View: p.View, Clock: h.clock.Stamp(h.e.Now())}})
+	} else if h.upstream != "" {
+		told[h.upstream] = true
+		h.links.Send(h.upstream, &Frame{Ping: &Heartbeat{Stale: p.Stale, Index: p.Index, View: p.View, Clock: h.clock.Stamp(h.loop.Now())}})
 	}
-	f, toDisk := &Frame{Ping: &p}, &Frame{Ping: &Ping{Lives: p.Lives}}
+	f, toDisk := &Frame{Ping: &p}, &Frame{Ping: &Heartbeat{Lives: p.Lives}}
 	for _, addr := range h.roster.Watchers() {
 		node, met := h.roster.Node(addr)
 		switch {
-		case told[addr] || h.core != nil && h.hearsWait(addr, news):
+		case told[addr] || h.core != nil && h.deferLiveness(addr, news):
 		case h.core != nil && met && node.Disk != 0: // it has its own word of the core
 			h.links.Send(addr, toDisk)
 		default:
@@ -53,66 +53,66 @@
 	}
 }
 
-// pingTo is what a follower is told.
-func (h *Node) pingTo(addr string) *Ping {
-	_, view, _ := h.contact()
-	return &Ping{Stale: h.stale(), Index: h.applied, Lives: h.roster.Lives(), View: view, Echo: h.echoes[addr].clock,
-		Leaders: h.groups.leaders()}
+// learnerHeartbeat is what a follower is told.
+func (h *Node) learnerHeartbeat(addr string) *Heartbeat {
+	_, view, _ := h.quorumContact()
+	return &Heartbeat{Stale: h.contactAge(), Index: h.appliedIndex, Lives: h.roster.Lives(), View: view, Echo: h.learnerClocks[addr].clock,
+		Leaders: h.groups.leaderSlots()}
 }
 
-// hearsWait has the slots that this node hears go with the next message of the log to another one. True: a heartbeat is not needed
+// deferLiveness has the slots that this node hears go with the next message of the log to another one. True: a heartbeat is not needed
 // beside, unless no message goes soon.
-func (h *Node) hearsWait(addr string, news bool) bool {
-	x := h.core.hears[addr]
+func (h *Node) deferLiveness(addr string, news bool) bool {
+	x := h.core.liveness[addr]
 	if news { // at once
-		x.due = 0
-		h.core.hears[addr] = x
+		x.pendingSince = 0
+		h.core.liveness[addr] = x
 		return false
 	}
-	x.due = h.e.Now()
-	h.core.hears[addr] = x
-	return x.knows
+	x.pendingSince = h.loop.Now()
+	h.core.liveness[addr] = x
+	return x.piggybacks
 }
 
-// line is a message of the log to another member, with the slots that this one hears if they wait.
-func (c *core) line(addr string, m replication.Message) *Line {
-	line := &Line{From: c.me.ID, Message: m}
-	if x := c.hears[addr]; x.due > 0 {
-		x.due = 0
-		c.hears[addr] = x
-		line.Hears = c.h.roster.Hears()
+// coreMessage is a message of the log to another member, with the slots that this one hears if they wait.
+func (c *core) coreMessage(addr string, m replication.Message) *CoreMessage {
+	line := &CoreMessage{From: c.self.ID, Message: m}
+	if x := c.liveness[addr]; x.pendingSince > 0 {
+		x.pendingSince = 0
+		c.liveness[addr] = x
+		line.Hears = c.node.roster.Hears()
 	}
 	return line
 }
 
-// lineHeard takes what came with a message of the log.
-func (c *core) lineHeard(from string, line *Line) {
+// receiveLiveness takes what came with a message of the log.
+func (c *core) receiveLiveness(from string, line *CoreMessage) {
 	if line.Hears == nil {
 		return
 	}
-	x := c.hears[from]
-	x.knows = true
-	c.hears[from] = x
-	c.h.roster.Told(from, line.Hears)
+	x := c.liveness[from]
+	x.piggybacks = true
+	c.liveness[from] = x
+	c.node.roster.Told(from, line.Hears)
 }
 
-// forget: a link to or from a node begins or has ended; its program may be another one.
-func (c *core) forget(addr string) {
+// resetLiveness: a link to or from a node begins or has ended; its program may be another one.
+func (c *core) resetLiveness(addr string) {
 	if c != nil {
-		delete(c.hears, addr)
+		delete(c.liveness, addr)
 	}
 }
 
-// hearsOverdue sends heartbeats where slots waited for a message of the log in vain.
-func (h *Node) hearsOverdue() {
+// sendOverdueLiveness sends heartbeats where slots waited for a message of the log in vain.
+func (h *Node) sendOverdueLiveness() {
 	if h.core == nil {
 		return
 	}
-	now := h.e.Now()
+	now := h.loop.Now()
 	for _, addr := range h.roster.Watchers() {
-		if x := h.core.hears[addr]; x.knows && x.due > 0 && now-x.due >= hearsLate {
-			h.core.hears[addr] = hearsWith{}
-			h.links.Send(addr, &Frame{Ping: &Ping{Lives: h.roster.Hears()}})
+		if x := h.core.liveness[addr]; x.piggybacks && x.pendingSince > 0 && now-x.pendingSince >= livenessMaxDelay {
+			h.core.liveness[addr] = livenessState{}
+			h.links.Send(addr, &Frame{Ping: &Heartbeat{Lives: h.roster.Hears()}})
 		}
 	}
 }
--- a/internal/gateway/node/heartbeat_test.go
+++ b/internal/gateway/node/heartbeat_test.go
@@ -11,19 +11,19 @@
 	"clovergap/internal/gateway/settings"
 )
 
-// sent keeps what a node sends.
-type sent struct {
-	lost
+// recordingLinks keeps what a node sends.
+type recordingLinks struct {
+	discardingLinks
 	frames map[string][]*Frame
 }
 
-func (s *sent) Send(to string, f *Frame) bool {
+func (s *recordingLinks) Send(to string, f *Frame) bool {
 	s.frames[to] = append(s.frames[to], f)
 	return true
 }
 
-// pings are how many heartbeats went to a node since this was asked last.
-func (s *sent) pings(to string) (n int) {
+// takeHeartbeats are how many heartbeats went to a node since this was asked last.
+func (s *recordingLinks) takeHeartbeats(to string) (n int) {
 	for _, f := range s.frames[to] {
 		if f.Ping != nil {
 			n++
@@ -38,13 +38,13 @@
 // not know that way, or there is news, they go by themselves, since a slot that nobody tells of counts as lost after 2.2 s.
 func TestHeartbeatsWithTheLog(t *testing.T) {
 	const b, c = "10.0.0.2:7110", "10.0.0.3:7110"
-	clock, out := &still{now: time.Minute}, &sent{frames: map[string][]*Frame{}}
-	h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLog("a"), e: clock, links: out, words: map[string]word{},
-		followers: map[string]*follower{}}
+	clock, out := &manualClock{now: time.Minute}, &recordingLinks{frames: map[string][]*Frame{}}
+	h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out, upstreamReports: map[string]upstreamReport{},
+		learners: map[string]*learner{}}
 	h.roster = membership.New(membership.Node{Name: "a", Addr: "10.0.0.1:7110", Disk: 1}, membership.Terms{}, clock.now)
 	me := replication.Member{ID: 1, Addr: "10.0.0.1:7110"}
-	h.core = &core{hears: map[string]hearsWith{}, replicaHost: replicaHost{h: h, me: me,
-		p: replication.New(me, replication.PersistentState{ID: 1}, replication.DefaultConfig(), 1, clock.now)}}
+	h.core = &core{liveness: map[string]livenessState{}, replicaHost: replicaHost{node: h, self: me,
+		replica: replication.New(me, replication.PersistentState{ID: 1}, replication.DefaultConfig(), 1, clock.now)}}
 	slots := []membership.SlotHolder{{Addr: me.Addr}}
 	for i, a := range []string{b, c} {
 		h.roster.Hello(a, membership.Hello{Door: membership.Node{Addr: a, Disk: membership.Disk(i + 2), Life: 1, Founded: true}})
@@ -53,25 +53,25 @@
 	}
 	h.roster.SetSlots(slots)
 	ping := func(news bool) [2]int {
-		h.ping(news)
-		return [2]int{out.pings(b), out.pings(c)}
+		h.sendHeartbeats(news)
+		return [2]int{out.takeHeartbeats(b), out.takeHeartbeats(c)}
 	}
 	must.Eq(t, [2]int{1, 1}, ping(false)) // which way the others know is not known
-	must.Eq(t, []byte{7}, h.core.line(b, replication.Message{}).Hears)
-	must.Nil(t, h.core.line(b, replication.Message{}).Hears) // once
-	h.core.lineHeard(b, &Line{Hears: []byte{7}})
+	must.Eq(t, []byte{7}, h.core.coreMessage(b, replication.Message{}).Hears)
+	must.Nil(t, h.core.coreMessage(b, replication.Message{}).Hears) // once
+	h.core.receiveLiveness(b, &CoreMessage{Hears: []byte{7}})
 	must.Eq(t, [2]int{0, 1}, ping(false))
-	must.Eq(t, []byte{7}, h.core.line(b, replication.Message{}).Hears)
+	must.Eq(t, []byte{7}, h.core.coreMessage(b, replication.Message{}).Hears)
 	must.Eq(t, [2]int{0, 1}, ping(false))
-	clock.now += hearsLate - 1
-	h.hearsOverdue()
-	must.Eq(t, 0, out.pings(b))
+	clock.now += livenessMaxDelay - 1
+	h.sendOverdueLiveness()
+	must.Eq(t, 0, out.takeHeartbeats(b))
 	clock.now++
-	h.hearsOverdue() // the log says nothing
-	must.Eq(t, 1, out.pings(b))
-	must.Nil(t, h.core.line(b, replication.Message{}).Hears)
+	h.sendOverdueLiveness() // the log says nothing
+	must.Eq(t, 1, out.takeHeartbeats(b))
+	must.Nil(t, h.core.coreMessage(b, replication.Message{}).Hears)
 
-	h.core.lineHeard(b, &Line{Hears: []byte{7}})
+	h.core.receiveLiveness(b, &CoreMessage{Hears: []byte{7}})
 	must.Eq(t, [2]int{1, 1}, ping(true))
 	must.Eq(t, [2]int{0, 1}, ping(false))
 	h.Came(b) // perhaps another program
--- a/internal/gateway/node/links_test.go
+++ b/internal/gateway/node/links_test.go
@@ -20,23 +20,23 @@
 	}{
 		{true, 800, 3, 600}, {true, 800, 300, 400}, {true, 800, 720, 200}, {false, 800, 720, 600}, {false, 220, 3, 55},
 	} {
-		s := &sockets{Engine: eventloop.New("", 800, ringBound, 1<<20), fds: c.fds}
+		s := &sockets{Engine: eventloop.New("", 800, maxConnBufferBytes, 1<<20), maxFDs: c.fds}
 		if c.disk {
-			s.disk = &disk{}
+			s.disk = &diskWriter{}
 		}
 		whole := s.Room()
-		s.leaveLinks(c.nodes)
+		s.reserveLinkFDs(c.nodes)
 		must.Eq(t, c.room, s.Room()+800-whole, must.Sprintf("%+v", c))
 	}
 }
 
-// said takes what a node sends.
-type said struct {
+// frameRecorder takes what a node sends.
+type frameRecorder struct {
 	Links
 	frames []*Frame
 }
 
-func (s *said) Send(_ string, f *Frame) bool {
+func (s *frameRecorder) Send(_ string, f *Frame) bool {
 	s.frames = append(s.frames, f)
 	return true
 }
@@ -61,11 +61,11 @@
 	}
 	p.Propose(1, []byte("one"))
 	p.Propose(2, []byte("two"))
-	h := followerOf(t, "10.0.0.1:7110")
-	h.echoes, h.applied = map[string]echo{}, last()
-	h.core = &core{replicaHost: replicaHost{h: h, p: p}}
-	h.e.(*still).now = now
-	has := func(to *said) (all []string) {
+	h := newLearner(t, "10.0.0.1:7110")
+	h.learnerClocks, h.appliedIndex = map[string]clockEcho{}, last()
+	h.core = &core{replicaHost: replicaHost{node: h, replica: p}}
+	h.loop.(*manualClock).now = now
+	has := func(to *frameRecorder) (all []string) {
 		for _, f := range to.frames {
 			if f.Feed != nil {
 				for _, e := range f.Feed.Entries {
@@ -77,19 +77,19 @@
 		}
 		return all
 	}
-	early, late, again := &said{}, &said{}, &said{}
+	early, late, again := &frameRecorder{}, &frameRecorder{}, &frameRecorder{}
 	h.links = early
-	h.followed("10.0.0.1:7110", &Follow{After: 0, Chunks: true})
+	h.receiveStreamRequest("10.0.0.1:7110", &StreamRequest{After: 0, Chunks: true})
 	must.Eq(t, []string{"one", "two"}, has(early))
 	h.links = late
 	h.Up("10.0.0.1:7110")
 	must.Eq(t, []string{"one", "two"}, has(late))
-	h.followed("10.0.0.1:7110", &Follow{After: h.applied, Chunks: true})
+	h.receiveStreamRequest("10.0.0.1:7110", &StreamRequest{After: h.appliedIndex, Chunks: true})
 	h.links = again
 	h.Up("10.0.0.1:7110")
 	must.SliceEmpty(t, has(again)) // it has all
-	must.True(t, slices.ContainsFunc(again.frames, func(f *Frame) bool { return f.Feed != nil && f.Feed.After == h.applied }))
-	h.links = &said{}
+	must.True(t, slices.ContainsFunc(again.frames, func(f *Frame) bool { return f.Feed != nil && f.Feed.After == h.appliedIndex }))
+	h.links = &frameRecorder{}
 	h.Up("10.0.0.2:7110") // one that does not follow
-	must.SliceEmpty(t, h.links.(*said).frames)
+	must.SliceEmpty(t, h.links.(*frameRecorder).frames)
 }
--- a/internal/gateway/node/log.go
+++ b/internal/gateway/node/log.go
@@ -16,23 +16,23 @@
 	nodePart     part = "node: "
 	corePart     part = "core: "
 	registryPart part = "registry: "
-	feedPart     part = "feed: "
+	streamPart   part = "feed: "
 	gatePart     part = "gate: "
 	rolloutPart  part = "rollout: "
 	groupPart    part = "group: "
 )
 
-// newLog writes to standard error, a line an event.
-func newLog(name string) *log.Logger {
+// newLogger writes to standard error, a line an event.
+func newLogger(name string) *log.Logger {
 	return &log.Logger{Level: log.InfoLevel, TimeFormat: "15:04:05.000", Context: log.NewContext(nil).Str("node", name).Value(),
 		Writer: &log.IOWriter{Writer: os.Stderr}}
 }
 
-// notes take what the control module logs.
-type notes struct{ h *Node }
+// gateLog take what the control module logs.
+type gateLog struct{ node *Node }
 
 // Info logs a message of the control module.
-func (n notes) Info(text string, _ ...zap.Field) { n.h.say(gatePart, "%s", text) }
+func (n gateLog) Info(text string, _ ...zap.Field) { n.node.say(gatePart, "%s", text) }
 
 // say logs what happened in a part.
 func (h *Node) say(p part, format string, args ...any) {
@@ -44,18 +44,18 @@
 	h.log.Warn().Msg(string(p) + fmt.Sprintf(format, args...))
 }
 
-// tellState logs what changed of what operators ask first: who is heard, and whether clients are wanted here.
-func (h *Node) tellState() {
-	h.saidAt = h.e.Now()
+// logStateChanges logs what changed of what operators ask first: who is heard, and whether clients are wanted here.
+func (h *Node) logStateChanges() {
+	h.stateLoggedAt = h.loop.Now()
 	h.links.Check()
 	links := h.roster.Links()
 	unmet := strings.Join(links.Unmet, ", ")
-	if h.reach != h.said || unmet != h.saidUnmet {
-		h.said, h.saidUnmet = h.reach, unmet
-		h.say(nodePart, "hears %d of %d nodes; %d of %d links are up%s", h.reach, h.slots, links.Up, links.Wanted, without(unmet))
+	if h.reachable != h.loggedReachable || unmet != h.loggedUnmet {
+		h.loggedReachable, h.loggedUnmet = h.reachable, unmet
+		h.say(nodePart, "hears %d of %d nodes; %d of %d links are up%s", h.reachable, h.slotCount, links.Up, links.Wanted, unmetSuffix(unmet))
 	}
-	if why := strings.Join(h.unready(), ", "); why != h.notReady {
-		if h.notReady = why; why == "" {
+	if why := strings.Join(h.unreadyReasons(), ", "); why != h.loggedUnready {
+		if h.loggedUnready = why; why == "" {
 			h.say(nodePart, "is ready")
 		} else {
 			h.say(nodePart, "is not ready: %s", why)
@@ -63,8 +63,8 @@
 	}
 }
 
-// without tells of nodes that a link leads to and that have said no hello.
-func without(unmet string) string {
+// unmetSuffix tells of nodes that a link leads to and that have said no hello.
+func unmetSuffix(unmet string) string {
 	if unmet == "" {
 		return ""
 	}
--- a/internal/gateway/node/members_test.go
+++ b/internal/gateway/node/members_test.go
@@ -13,12 +13,12 @@
 	"clovergap/internal/gateway/settings"
 )
 
-// catchUp is well over the 4 s after which a new machine, and the one that it takes the place of, must not count as lost any more on the
+// replacementTimeout is well over the 4 s after which a new machine, and the one that it takes the place of, must not count as lost any more on the
 // small sites: processors are shared here. The bound itself is held in simulated time, in internal/lab/simulation.
-const catchUp = 12 * time.Second
+const replacementTimeout = 12 * time.Second
 
-// add starts one more node with an empty disk of its own, after the first start of all.
-func (d *nodes) add() int {
+// addNode starts one more node with an empty disk of its own, after the first start of all.
+func (d *testCluster) addNode() int {
 	i := len(d.settings)
 	s := *d.settings[0]
 	ip := fmt.Sprint(s.IPAddress[:len(s.IPAddress)-2], 11+i)
@@ -29,11 +29,11 @@
 	return i
 }
 
-// leads is the node that leads.
-func (d *nodes) leads() (who int) {
+// awaitLeaderStatus is the node that leads.
+func (d *testCluster) awaitLeaderStatus() (who int) {
 	d.t.Helper()
-	d.until("one leads", func() bool {
-		for i := range d.live {
+	d.eventually("one leads", func() bool {
+		for i := range d.running {
 			if d.status(i).Core.Role == "leading" {
 				who = i
 				return true
@@ -44,22 +44,22 @@
 	return who
 }
 
-// holds tells whether a node knows of three members, in the end, of which one is in and another out.
-func (d *nodes) holds(at, in, out int) bool {
+// hasReplaced tells whether a node knows of three members, in the end, of which one is in and another out.
+func (d *testCluster) hasReplaced(at, in, out int) bool {
 	has := map[string]bool{}
 	s := d.status(at).Core
 	for _, m := range s.Members {
 		has[m.Address] = true
 	}
-	return s.Settled && len(has) == 3 && has[d.inner(in)] && !has[d.inner(out)]
+	return s.Settled && len(has) == 3 && has[d.peerAddr(in)] && !has[d.peerAddr(out)]
 }
 
-func (d *nodes) inner(i int) string {
+func (d *testCluster) peerAddr(i int) string {
 	return fmt.Sprint(d.settings[i].IPAddress, ":", d.settings[i].InnerPorts[0])
 }
 
 // within tells whether something came to be before the time was over.
-func (d *nodes) within(most time.Duration, is func() bool) (took time.Duration, ok bool) {
+func (d *testCluster) within(most time.Duration, is func() bool) (took time.Duration, ok bool) {
 	began := time.Now()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
@@ -71,13 +71,13 @@
 	return most, false
 }
 
-// three founds three nodes with disks, all of them members, and a configuration.
-func three(t *testing.T) *nodes {
-	d := open(t, 3)
-	d.all("three members", func(s controlapi.NodeStatus) bool {
+// startThreeMembers founds three nodes with disks, all of them members, and a configuration.
+func startThreeMembers(t *testing.T) *testCluster {
+	d := startCluster(t, 3)
+	d.eventuallyAll("three members", func(s controlapi.NodeStatus) bool {
 		return s.Slot != nil && len(s.Core.Members) == 3 && s.Core.Settled
 	})
-	d.settles(0, 200, "POST", "/api/Config.Replace", config(1, 0))
+	d.callUntilClear(0, 200, "POST", "/api/Config.Replace", configBody(1, 0))
 	return d
 }
 
@@ -85,11 +85,13 @@
 // later one more is lost: with one loss at a time that must be borne. Three members of which one was replaced made four, of which the
 // lost one counted for a minute: the second loss left two of four, and no order was taken.
 func TestSecondLossAfterReplacement(t *testing.T) {
-	d := three(t)
-	gone := (d.leads() + 1) % 3
+	d := startThreeMembers(t)
+	gone := (d.awaitLeaderStatus() + 1) % 3
 	d.kill(gone)
-	heir := d.add()
-	took, ok := d.within(catchUp, func() bool { return d.holds(d.leads(), heir, gone) && d.holds(heir, heir, gone) })
+	heir := d.addNode()
+	took, ok := d.within(replacementTimeout, func() bool {
+		return d.hasReplaced(d.awaitLeaderStatus(), heir, gone) && d.hasReplaced(heir, heir, gone)
+	})
 	t.Log("replaced after", took, ok)
 	must.True(t, ok, must.Sprint("the lost one still counts"))
 	for i := range 3 { // another is lost: the one that led all of this, for the worst
@@ -98,21 +100,21 @@
 			break
 		}
 	}
-	took, ok = d.within(catchUp, func() bool {
-		status, _ := d.call(heir, "POST", "/api/Config.Replace", config(2, 1))
+	took, ok = d.within(replacementTimeout, func() bool {
+		status, _ := d.call(heir, "POST", "/api/Config.Replace", configBody(2, 1))
 		return status == 200
 	})
 	t.Log("taken after", took, ok)
 	must.True(t, ok, must.Sprint("no order is taken after one more loss"))
 }
 
-// lonely puts the word of a founding on a node's disk that was for nodes which never had it.
-func (d *nodes) lonely(i int, others ...replication.Member) {
+// writeLoneBootstrap puts the word of a founding on a node's disk that was for nodes which never had it.
+func (d *testCluster) writeLoneBootstrap(i int, others ...replication.Member) {
 	d.t.Helper()
 	book, kept, err := logstore.Open(d.settings[i].DataDir)
 	must.NoError(d.t, err)
-	p := replication.New(replication.Member{ID: kept.ID, Addr: d.inner(i)}, kept, replication.DefaultConfig(), 1, 0)
-	must.NoError(d.t, p.Bootstrap(append(others, replication.Member{ID: kept.ID, Addr: d.inner(i)})))
+	p := replication.New(replication.Member{ID: kept.ID, Addr: d.peerAddr(i)}, kept, replication.DefaultConfig(), 1, 0)
+	must.NoError(d.t, p.Bootstrap(append(others, replication.Member{ID: kept.ID, Addr: d.peerAddr(i)})))
 	for a, ok := p.Next(); ok; a, ok = p.Next() {
 		if w, is := a.(replication.Write); is {
 			must.NoError(d.t, book.WriteConfigurationLog([]replication.Write{w}))
@@ -122,10 +124,10 @@
 	must.NoError(d.t, book.Close())
 }
 
-// meets waits until all nodes that live have the same three members.
-func (d *nodes) meets() {
+// awaitThreeMembers waits until all nodes that live have the same three members.
+func (d *testCluster) awaitThreeMembers() {
 	d.t.Helper()
-	d.all("three members", func(s controlapi.NodeStatus) bool {
+	d.eventuallyAll("three members", func(s controlapi.NodeStatus) bool {
 		return s.Slot != nil && s.Core.Settled && len(s.Core.Members) == 3 && s.Core.Leader != ""
 	})
 }
@@ -134,48 +136,48 @@
 // appears. Until then the loss of one of the two stops the core.
 func TestThirdDiskComesLate(t *testing.T) {
 	for late := range 3 {
-		d := prepare(t, 3)
+		d := newCluster(t, 3)
 		for i := range 3 {
 			if i != late {
 				d.start(i)
 			}
 		}
 		for i := range 3 {
-			d.until("two begin", func() bool { return i == late || d.status(i).Core.Settled && len(d.status(i).Core.Members) == 2 })
+			d.eventually("two begin", func() bool { return i == late || d.status(i).Core.Settled && len(d.status(i).Core.Members) == 2 })
 		}
 		began := time.Now()
 		d.start(late)
-		d.meets()
+		d.awaitThreeMembers()
 		t.Log("the third one's", late, "is a member after", time.Since(began))
-		d.end()
+		d.stop()
 	}
 }
 
 // The first seed began the core and was killed before the others had the word. They begin it without the first seed; it is back with a
 // disk that holds a founding that nobody joined, and stayed out for ever.
 func TestLoneFounderJoinsTheOthers(t *testing.T) {
-	d := prepare(t, 3)
+	d := newCluster(t, 3)
 	d.start(1)
 	d.start(2)
 	for i := 1; i < 3; i++ {
-		d.until("two begin", func() bool { return d.status(i).Core.Settled && len(d.status(i).Core.Members) == 2 })
+		d.eventually("two begin", func() bool { return d.status(i).Core.Settled && len(d.status(i).Core.Members) == 2 })
 	}
-	d.settles(1, 200, "POST", "/api/Config.Replace", config(1, 0))
-	d.lonely(0, replication.Member{ID: 5, Addr: d.inner(1)}, replication.Member{ID: 6, Addr: d.inner(2)})
+	d.callUntilClear(1, 200, "POST", "/api/Config.Replace", configBody(1, 0))
+	d.writeLoneBootstrap(0, replication.Member{ID: 5, Addr: d.peerAddr(1)}, replication.Member{ID: 6, Addr: d.peerAddr(2)})
 	d.settings[0].FirstBoot = false
 	d.start(0)
-	d.meets()
-	d.all("the configuration", func(s controlapi.NodeStatus) bool { return s.Generation == 1 })
+	d.awaitThreeMembers()
+	d.eventuallyAll("the configuration", func(s controlapi.NodeStatus) bool { return s.Generation == 1 })
 }
 
 // The same where the others have lost their disks before they had the word: nobody began anything, since one that they met held a state.
 func TestLoneFoundingWhoseOthersAreEmpty(t *testing.T) {
-	d := prepare(t, 3)
-	d.lonely(0, replication.Member{ID: 5, Addr: d.inner(1)}, replication.Member{ID: 6, Addr: d.inner(2)})
+	d := newCluster(t, 3)
+	d.writeLoneBootstrap(0, replication.Member{ID: 5, Addr: d.peerAddr(1)}, replication.Member{ID: 6, Addr: d.peerAddr(2)})
 	for i := range 3 {
 		d.settings[i].FirstBoot = false
 		d.start(i)
 	}
-	d.meets()
-	d.settles(0, 200, "POST", "/api/Config.Replace", config(1, 0))
+	d.awaitThreeMembers()
+	d.callUntilClear(0, 200, "POST", "/api/Config.Replace", configBody(1, 0))
 }
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -28,91 +28,91 @@
 
 // Shares and bounds of a node.
 const (
-	ringBound    = 256 << 10 // bytes that a connection may have waiting
-	controlBound = 4 << 20   // bytes of a control call
-	ringShare    = 4         // of the memory holds what comes in
-	clientShare  = 2         // of the descriptors are clients'
-	callersMost  = 512       // connections of control
-	heldMost     = 4096      // requests at a time
-	dialLimit    = 700 * time.Millisecond
-	silence      = 3 * time.Second // of bytes that nobody acknowledges
-	lookEvery    = 100 * time.Millisecond
-	// datagramsMost is how many datagrams a second a node takes: the owner of a tenant with a fifth of all requests is asked by each node for
+	maxConnBufferBytes   = 256 << 10 // bytes that a connection may have waiting
+	maxControlBodyBytes  = 4 << 20   // bytes of a control call
+	inboundMemoryDivisor = 4         // of the memory holds what comes in
+	clientFDDivisor      = 2         // of the descriptors are clients'
+	maxControlConns      = 512       // connections of control
+	maxInFlight          = 4096      // requests at a time
+	dialTimeout          = 700 * time.Millisecond
+	unackedTimeout       = 3 * time.Second // of bytes that nobody acknowledges
+	tickInterval         = 100 * time.Millisecond
+	// maxDatagramsPerSecond is how many datagrams a second a node takes: the owner of a tenant with a fifth of all requests is asked by each node for
 	// nearly each of them. Beyond seven tenths of it nodes are told to write less often, and their requests wait longer than they may.
-	datagramsMost = 2000
-	// allNewShare of the burst is in buckets after the loss of all nodes: what was spent before it is not known any more,
+	maxDatagramsPerSecond = 2000
+	// coldStartQuotaShare of the burst is in buckets after the loss of all nodes: what was spent before it is not known any more,
 	// and half a burst more in five seconds is under what the rule on quotas leaves (rate x 5 + burst, a tenth more).
-	allNewShare = 0.5
-	// newOwner is how long a bucket stays empty at a new owner, where slots are added: the old one goes on until it knows.
-	newOwner = time.Second
+	coldStartQuotaShare = 0.5
+	// newOwnerDelay is how long a bucket stays empty at a new owner, where slots are added: the old one goes on until it knows.
+	newOwnerDelay = time.Second
 )
 
 // Node is one node.
 type Node struct {
-	settings *settings.Settings
-	log      *log.Logger
-	seed     int64
-	life     uint64
-	inner    string // where it takes links; its name among nodes
+	settings    *settings.Settings
+	log         *log.Logger
+	seed        int64
+	incarnation uint64
+	peerAddr    string // where it takes links; its name among nodes
 
-	e       Turns
-	own     *sockets // nil in a simulation
-	count   *counters.Set
-	links   Links
-	peers   Datagrams
-	roster  *membership.Roster
-	core    *core // nil without a disk
-	groups  *groupHost
-	machine *statemachine.Machine
-	applied uint64
+	loop         EventLoop
+	sockets      *sockets // nil in a simulation
+	counters     *counters.Set
+	links        Links
+	datagrams    Datagrams
+	roster       *membership.Roster
+	core         *core // nil without a disk
+	groups       *groupHost
+	machine      *statemachine.Machine
+	appliedIndex uint64
 
-	feedLate bool // followers have yet to be told what was applied last: slots
-	slotsNew bool // and the roster the order of slots
+	streamDeferred bool // followers have yet to be told what was applied last: slots
+	slotsChanged   bool // and the roster the order of slots
 
-	registry     *registry.Registry // nil until there is a slot
-	registryWake uint32
-	registryNews bool // since it was last kept on disk
-	beats        map[registry.Ticket]heard
+	registry          *registry.Registry // nil until there is a slot
+	registryTimerSeq  uint32
+	registryDirty     bool // since it was last kept on disk
+	pendingHeartbeats map[registry.Ticket]pendingHeartbeat
 
-	quota     *control.Quota
-	admission *admission.Controller
-	gate      *gate.Gate
-	rollouts  rollouts
-	dispatch  Ways
-	front     Front
+	quota      *control.Quota
+	admission  *admission.Controller
+	gate       *gate.Gate
+	rollouts   rolloutHost
+	dispatcher Dispatcher
+	frontend   Frontend
 
-	table   *routing.Table
-	catalog catalog
-	words   map[string]word // by address
-	feeder  string
-	askedAt time.Duration
-	fedAt   time.Duration
-	saysAt  time.Duration // when anything came from the feeder
-	askWait time.Duration
-	tickAt  time.Duration
-	stoodTo time.Duration // when this node last stood still until
-	clock   replication.Clock
-	known   known // without a disk: its word of the core
-	echoes  map[string]echo
-	beganAt time.Duration
+	table             *routing.Table
+	catalog           catalog
+	upstreamReports   map[string]upstreamReport // by address
+	upstream          string
+	streamRequestedAt time.Duration
+	streamReceivedAt  time.Duration
+	upstreamContactAt time.Duration // when anything came from the feeder
+	streamRetryDelay  time.Duration
+	lastTickAt        time.Duration
+	pausedUntil       time.Duration // when this node last stood still until
+	clock             replication.Clock
+	streamContact     streamContact // without a disk: its word of the core
+	learnerClocks     map[string]clockEcho
+	startedAt         time.Duration
 
-	followers    map[string]*follower
-	feedIn       replication.BlobReceiver // from the node that is followed
+	learners     map[string]*learner
+	incomingBlob replication.BlobReceiver // from the node that is followed
 	coordination *coordination.Service
 
-	calls     map[uint32]*call
-	parts     parts
-	callNr    uint32
-	fault     fault // tests put one in
-	slotAsked time.Duration
-	pingedAt  time.Duration
-	slots     int
-	reach     int    // nodes in reach
-	said      int    // and as last logged
-	saidUnmet string // nodes that said no hello, as last logged
-	saidAt    time.Duration
-	notReady  string // why clients were last not wanted, as logged
-	leaving   bool
+	pendingCalls    map[uint32]*pendingCall
+	chunked         chunkedCalls
+	lastCallID      uint32
+	fault           fault // tests put one in
+	slotRequestedAt time.Duration
+	heartbeatAt     time.Duration
+	slotCount       int
+	reachable       int    // nodes in reach
+	loggedReachable int    // and as last logged
+	loggedUnmet     string // nodes that said no hello, as last logged
+	stateLoggedAt   time.Duration
+	loggedUnready   string // why clients were last not wanted, as logged
+	shuttingDown    bool
 }
 
 // New puts a node together; Start begins it.
@@ -126,168 +126,168 @@
 		memory = 256
 	}
 	s := newSockets(fds, memory)
-	return build(&Node{settings: sheet, own: s, log: newLog(sheet.NodeName)}, s)
+	return assemble(&Node{settings: sheet, sockets: s, log: newLogger(sheet.NodeName)}, s)
 }
 
-// Over puts a node together over what it is given to stand on; Begin begins it.
-func Over(sheet *settings.Settings, b Base, log *log.Logger) (*Node, error) {
-	return build(&Node{settings: sheet, log: log}, b)
+// NewWithEnvironment puts a node together over what it is given to stand on; Begin begins it.
+func NewWithEnvironment(sheet *settings.Settings, b Environment, log *log.Logger) (*Node, error) {
+	return assemble(&Node{settings: sheet, log: log}, b)
 }
 
-func build(h *Node, b Base) (*Node, error) {
-	h.seed, h.life = b.Draws()
-	h.inner = net.JoinHostPort(h.settings.IPAddress, strconv.Itoa(h.settings.InnerPorts[0]))
-	h.e, h.count = b, b.Counters()
-	h.machine, h.table, h.words, h.followers = statemachine.New(), routing.NewTable(nil), map[string]word{}, map[string]*follower{}
-	h.echoes = map[string]echo{}
-	h.calls, h.parts, h.beats, h.catalog = map[uint32]*call{}, newParts(), map[registry.Ticket]heard{}, newCatalog()
-	h.fault = planted
-	h.coordination = coordination.New((*coordinator)(h), coordination.Terms{Address: h.inner, Life: h.life, History: h.settings.Bounds.WatchHistory})
-	h.groups = &groupHost{h: h}
+func assemble(h *Node, b Environment) (*Node, error) {
+	h.seed, h.incarnation = b.Identity()
+	h.peerAddr = net.JoinHostPort(h.settings.IPAddress, strconv.Itoa(h.settings.InnerPorts[0]))
+	h.loop, h.counters = b, b.Counters()
+	h.machine, h.table, h.upstreamReports, h.learners = statemachine.New(), routing.NewTable(nil), map[string]upstreamReport{}, map[string]*learner{}
+	h.learnerClocks = map[string]clockEcho{}
+	h.pendingCalls, h.chunked, h.pendingHeartbeats, h.catalog = map[uint32]*pendingCall{}, newChunkedCalls(), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
+	h.fault = plantedFault
+	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Terms{Address: h.peerAddr, Life: h.incarnation, History: h.settings.Bounds.WatchHistory})
+	h.groups = &groupHost{node: h}
 	h.coordination.Over(h.groups)
-	if h.own != nil {
-		h.own.h = h
+	if h.sockets != nil {
+		h.sockets.node = h
 	}
-	if err := h.buildPeers(b); err != nil {
+	if err := h.buildCluster(b); err != nil {
 		return nil, err
 	}
-	if err := h.buildPath(b); err != nil {
+	if err := h.buildDataPath(b); err != nil {
 		return nil, err
 	}
-	h.e.Settled(h.pull)
+	h.loop.OnTurnEnd(h.handleReady)
 	return h, nil
 }
 
-// buildPeers makes what nodes know of each other.
-func (h *Node) buildPeers(b Base) (err error) {
+// buildCluster makes what nodes know of each other.
+func (h *Node) buildCluster(b Environment) (err error) {
 	if h.links, err = b.Links(h); err != nil {
 		return err
 	}
-	h.e.Turn(func() { // the core may have something to say at once: it is pulled once all is there
+	h.loop.Turn(func() { // the core may have something to say at once: it is pulled once all is there
 		err = h.openCore(b)
 	})
 	if err != nil {
 		return errors.Wrap(err, "core")
 	}
-	me := membership.Node{Name: h.settings.NodeName, Addr: h.inner, Control: h.settings.Bind.Control, Zone: h.settings.Zone,
-		First: h.settings.FirstBoot, Life: h.life}
+	me := membership.Node{Name: h.settings.NodeName, Addr: h.peerAddr, Control: h.settings.Bind.Control, Zone: h.settings.Zone,
+		First: h.settings.FirstBoot, Life: h.incarnation}
 	if h.core != nil {
-		me.Disk, me.Founded, me.House = membership.Disk(h.core.me.ID), h.core.p.Bootstrapped(), h.core.p.ClusterID()
+		me.Disk, me.Founded, me.House = membership.Disk(h.core.self.ID), h.core.replica.Bootstrapped(), h.core.replica.ClusterID()
 	}
-	h.roster = membership.New(me, membership.Terms{Seeds: h.innersOf(h.settings.SeedAddrs), Tolerates: h.settings.Tolerance.Machines,
-		ClusterID: func(f []membership.Founder) uint64 { return replication.ClusterIDOf(membersOf(f)) }}, h.e.Now())
-	h.known.at, h.beganAt, h.clock = -never, h.e.Now(), replication.NewClock(h.life)
+	h.roster = membership.New(me, membership.Terms{Seeds: h.peerAddrs(h.settings.SeedAddrs), Tolerates: h.settings.Tolerance.Machines,
+		ClusterID: func(f []membership.Founder) uint64 { return replication.ClusterIDOf(founderMembers(f)) }}, h.loop.Now())
+	h.streamContact.appliedAsOf, h.startedAt, h.clock = -neverAge, h.loop.Now(), replication.NewClock(h.incarnation)
 	return nil
 }
 
-// buildPath makes the way of requests and of calls.
-func (h *Node) buildPath(b Base) error {
-	h.quota = control.NewQuota(h.seed, 0, 1, h.e.Now(), control.QuotaTerms{Gap: 50 * time.Millisecond,
-		ViewLife: time.Second, DatagramsPerSecond: datagramsMost, MostUnits: 1, Parts: true, Start: allNewShare, Fence: newOwner,
+// buildDataPath makes the way of requests and of calls.
+func (h *Node) buildDataPath(b Environment) error {
+	h.quota = control.NewQuota(h.seed, 0, 1, h.loop.Now(), control.QuotaTerms{Gap: 50 * time.Millisecond,
+		ViewLife: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MostUnits: 1, Parts: true, Start: coldStartQuotaShare, Fence: newOwnerDelay,
 		Window: h.settings.Bounds.QuotaWindow, Excess: h.settings.Bounds.QuotaExcess, Margin: float64(h.settings.Bounds.QuotaMargin)})
 	h.openRollouts()
-	h.admission = admission.New(h.seed, admission.Terms{Zone: h.catalog.zone(h.settings.Zone),
+	h.admission = admission.New(h.seed, admission.Terms{Zone: h.catalog.zoneID(h.settings.Zone),
 		RetryRatio: h.settings.Bounds.RetryRatio, RetryWindow: h.settings.Bounds.RetryWindow,
-		RetryExtra: h.settings.Bounds.RetryExtra, Nodes: 1}, h.quota, h.e.Now())
-	h.admission.SetSides((*sides)(h))
-	k := &clock{Turns: h.e}
-	h.gate = gate.New(h.admission, k, heldMost, h.count, notes{h})
-	k.due = h.gate
-	p, err := b.Path(h, h.gate)
+		RetryExtra: h.settings.Bounds.RetryExtra, Nodes: 1}, h.quota, h.loop.Now())
+	h.admission.SetSides((*requestSides)(h))
+	k := &gateClock{EventLoop: h.loop}
+	h.gate = gate.New(h.admission, k, maxInFlight, h.counters, gateLog{h})
+	k.timer = h.gate
+	p, err := b.DataPath(h, h.gate)
 	if err != nil {
 		return err
 	}
-	h.dispatch, h.peers, h.front = p.Ways, p.Datagrams, p.Front
-	h.gate.Through(h.dispatch, h.peers)
+	h.dispatcher, h.datagrams, h.frontend = p.Dispatcher, p.Datagrams, p.Frontend
+	h.gate.Through(h.dispatcher, h.datagrams)
 	return nil
 }
 
-// clock gives the gate the engine's time; the module's next due time is an entry among all others.
-type clock struct {
-	Turns
-	due eventloop.Alarm
+// gateClock gives the gate the engine's time; the module's next due time is an entry among all others.
+type gateClock struct {
+	EventLoop
+	timer eventloop.Alarm
 }
 
-func (c *clock) Wake(at time.Duration, nr uint32) { c.At(at, c.due, nr) }
+func (c *gateClock) Wake(at time.Duration, nr uint32) { c.At(at, c.timer, nr) }
 
 // Start begins to listen and to say hello.
 func (h *Node) Start() error {
-	if err := h.own.Start(); err != nil {
+	if err := h.sockets.Start(); err != nil {
 		return err
 	}
 	var err error
-	h.e.Turn(func() {
-		if err = h.own.peers.Start(); err == nil {
-			h.Begin()
+	h.loop.Turn(func() {
+		if err = h.sockets.peers.Start(); err == nil {
+			h.StartTimers()
 		}
 	})
 	if err != nil {
 		return err
 	}
-	h.own.mesh.Start()
+	h.sockets.mesh.Start()
 	h.say(nodePart, "serves at %s, control at %s, disk %v", h.settings.Bind.Front, h.settings.Bind.Control, h.core != nil)
 	return nil
 }
 
-// Begin begins the periodic work, in a turn.
-func (h *Node) Begin() { h.e.At(h.e.Now()+lookEvery, (*tick)(h), 0) }
+// StartTimers begins the periodic work, in a turn.
+func (h *Node) StartTimers() { h.loop.At(h.loop.Now()+tickInterval, (*tickTimer)(h), 0) }
 
-// DatagramCame takes a peer's datagram to the quota, by the module.
-func (h *Node) DatagramCame(from control.GatewayID, payload []byte) { h.gate.Heard(from, payload) }
+// ReceiveDatagram takes a peer's datagram to the quota, by the module.
+func (h *Node) ReceiveDatagram(from control.GatewayID, payload []byte) { h.gate.Heard(from, payload) }
 
-// pull carries out what the parts decided: the log first, since all else goes by it.
-func (h *Node) pull() {
+// handleReady carries out what the parts decided: the log first, since all else goes by it.
+func (h *Node) handleReady() {
 	if h.core != nil {
-		h.core.pull()
-		h.groups.pull()
+		h.core.handleReady()
+		h.groups.handleReady()
 		h.coordination.Flush()
-		h.groups.pull() // what watches that were told of puts ask for next
+		h.groups.handleReady() // what watches that were told of puts ask for next
 		h.core.disk.flush()
 	}
-	h.pullRoster()
-	h.pullRegistry()
+	h.handleRosterActions()
+	h.handleRegistryActions()
 	h.gate.Pull()
 }
 
-// tick is the one periodic timer.
-type tick Node
+// tickTimer is the one periodic timer.
+type tickTimer Node
 
-func (t *tick) Live(uint32) bool { return true }
+func (t *tickTimer) Live(uint32) bool { return true }
 
-func (t *tick) Due(uint32) {
+func (t *tickTimer) Due(uint32) {
 	h := (*Node)(t)
-	now := h.e.Now()
-	h.e.At(now+lookEvery, t, 0)
-	if h.tickAt > 0 && now-h.tickAt > standstill {
-		h.stoodTo = now
+	now := h.loop.Now()
+	h.loop.At(now+tickInterval, t, 0)
+	if h.lastTickAt > 0 && now-h.lastTickAt > pauseThreshold {
+		h.pausedUntil = now
 	}
-	h.tickAt = now
-	if now-h.pingedAt >= pingEvery {
-		news := h.pingedAt == 0
-		h.pingedAt = now
-		h.ping(news)
+	h.lastTickAt = now
+	if now-h.heartbeatAt >= heartbeatInterval {
+		news := h.heartbeatAt == 0
+		h.heartbeatAt = now
+		h.sendHeartbeats(news)
 	} else {
-		h.hearsOverdue()
+		h.sendOverdueLiveness()
 	}
-	if h.feedLate {
-		h.feedAll()
+	if h.streamDeferred {
+		h.streamToLearners()
 	}
-	h.tendParts()
-	h.tendFeed()
-	h.wantSlot()
-	h.tendRollouts()
-	h.groups.want()
+	h.tickTransfers()
+	h.checkUpstream()
+	h.requestSlot()
+	h.tickRollouts()
+	h.groups.requestFounding()
 	if h.core != nil {
-		h.groups.tend()
-		h.core.keepRegistry()
+		h.groups.maintain()
+		h.core.saveRegistry()
 	}
-	if now-h.saidAt >= time.Second {
-		h.tellState()
+	if now-h.stateLoggedAt >= time.Second {
+		h.logStateChanges()
 	}
 }
 
-// customerOf names a tenant for the quota: the same at every node. Messages carry 34 bits of it.
-func customerOf(tenant string) control.CustomerID {
+// customerID names a tenant for the quota: the same at every node. Messages carry 34 bits of it.
+func customerID(tenant string) control.CustomerID {
 	f := fnv.New32a()
 	f.Write([]byte(tenant))
 	return control.CustomerID(f.Sum32()) + 1
--- a/internal/gateway/node/node_test.go
+++ b/internal/gateway/node/node_test.go
@@ -20,29 +20,29 @@
 	"clovergap/internal/gateway/settings"
 )
 
-// patience bounds every wait of these tests; none of them depends on how long anything takes within it.
-const patience = 60 * time.Second
+// testTimeout bounds every wait of these tests; none of them depends on how long anything takes within it.
+const testTimeout = 60 * time.Second
 
-// nodes are several of a deployment in this process, each at an address of its own on the loopback.
-type nodes struct {
+// testCluster are several of a deployment in this process, each at an address of its own on the loopback.
+type testCluster struct {
 	t        *testing.T
 	http     *http.Client
-	live     map[int]*Node
+	running  map[int]*Node
 	settings []*settings.Settings
 }
 
-// open starts so many nodes, the first three with a disk.
-func open(t *testing.T, n int) *nodes {
-	d := prepare(t, n)
+// startCluster starts so many nodes, the first three with a disk.
+func startCluster(t *testing.T, n int) *testCluster {
+	d := newCluster(t, n)
 	for i := range d.settings {
 		d.start(i)
 	}
 	return d
 }
 
-// prepare has their settings, and starts none.
-func prepare(t *testing.T, n int) *nodes {
-	d := &nodes{t: t, live: map[int]*Node{}, http: &http.Client{Timeout: patience,
+// newCluster has their settings, and starts none.
+func newCluster(t *testing.T, n int) *testCluster {
+	d := &testCluster{t: t, running: map[int]*Node{}, http: &http.Client{Timeout: testTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true}}}
 	var seeds []string
 	for i := range n {
@@ -59,50 +59,50 @@
 	for _, s := range d.settings {
 		s.SeedAddrs = seeds
 	}
-	t.Cleanup(d.end)
+	t.Cleanup(d.stop)
 	return d
 }
 
-// end kills all.
-func (d *nodes) end() {
+// stop kills all.
+func (d *testCluster) stop() {
 	for i := range d.settings {
 		d.kill(i)
 	}
-	d.until("all ends", func() bool { return goleak.Find() == nil })
+	d.eventually("all ends", func() bool { return goleak.Find() == nil })
 }
 
-func (d *nodes) start(i int) {
+func (d *testCluster) start(i int) {
 	d.t.Helper()
 	h, err := New(d.settings[i])
 	must.NoError(d.t, err)
 	must.NoError(d.t, h.Start())
-	d.live[i] = h
+	d.running[i] = h
 }
 
 // kill ends a node as a killed process ends, but for the writes that are under way.
-func (d *nodes) kill(i int) {
-	h := d.live[i]
+func (d *testCluster) kill(i int) {
+	h := d.running[i]
 	if h == nil {
 		return
 	}
-	delete(d.live, i)
+	delete(d.running, i)
 	core := h.core
-	h.e.Turn(func() {
+	h.loop.Turn(func() {
 		h.core = nil
-		h.e.Settled(func() {})
+		h.loop.OnTurnEnd(func() {})
 	})
-	h.own.mesh.Stop()
+	h.sockets.mesh.Stop()
 	if core != nil {
-		d.until("a write ends", func() bool {
+		d.eventually("a write ends", func() bool {
 			writing := false
-			h.e.Turn(func() { writing = core.disk.writing })
+			h.loop.Turn(func() { writing = core.disk.writing })
 			return !writing
 		})
-		close(h.own.disk.writes)
-		h.own.disk.store.Close()
+		close(h.sockets.disk.writes)
+		h.sockets.disk.store.Close()
 	}
-	h.own.Stop()
-	datagram := h.datagramAddr(h.inner)
+	h.sockets.Stop()
+	datagram := h.datagramAddr(h.peerAddr)
 	for fd := range 1 << 12 { // the poller leaves it open
 		if at, err := syscall.Getsockname(fd); err == nil {
 			if at, ok := at.(*syscall.SockaddrInet4); ok && at.Addr == datagram.Addr().As4() && at.Port == int(datagram.Port()) {
@@ -113,19 +113,19 @@
 	d.settings[i].FirstBoot = false
 }
 
-// until waits for what is to come.
-func (d *nodes) until(what string, is func() bool) {
+// eventually waits for what is to come.
+func (d *testCluster) eventually(what string, is func() bool) {
 	d.t.Helper()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
-	for end := time.Now().Add(patience); !is(); <-tick.C {
+	for end := time.Now().Add(testTimeout); !is(); <-tick.C {
 		if time.Now().After(end) {
 			d.t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-func (d *nodes) call(i int, method, path, body string) (int, string) {
+func (d *testCluster) call(i int, method, path, body string) (int, string) {
 	r, err := http.NewRequest(method, "http://"+d.settings[i].Bind.Control+path, bytes.NewBufferString(body))
 	must.NoError(d.t, err)
 	a, err := d.http.Do(r)
@@ -137,11 +137,11 @@
 	return a.StatusCode, string(text)
 }
 
-// settles calls until the answer is a clear one, as an operator does, which is to have that status.
-func (d *nodes) settles(i, want int, method, path, body string) (text string) {
+// callUntilClear calls until the answer is a clear one, as an operator does, which is to have that status.
+func (d *testCluster) callUntilClear(i, want int, method, path, body string) (text string) {
 	d.t.Helper()
 	status := 0
-	d.until("a clear answer to "+path, func() bool {
+	d.eventually("a clear answer to "+path, func() bool {
 		status, text = d.call(i, method, path, body)
 		return status != 0 && status != 503
 	})
@@ -149,7 +149,7 @@
 	return text
 }
 
-func (d *nodes) status(i int) (s controlapi.NodeStatus) {
+func (d *testCluster) status(i int) (s controlapi.NodeStatus) {
 	_, text := d.call(i, "GET", "/api/Node.Status", "")
 	if json.Unmarshal([]byte(text), &s); s.Core == nil {
 		s.Core = &controlapi.StatusCore{}
@@ -157,21 +157,21 @@
 	return s
 }
 
-// all waits until every node that lives says so of itself.
-func (d *nodes) all(what string, is func(s controlapi.NodeStatus) bool) {
+// eventuallyAll waits until every node that lives says so of itself.
+func (d *testCluster) eventuallyAll(what string, is func(s controlapi.NodeStatus) bool) {
 	d.t.Helper()
-	for i := range d.live {
-		d.until(fmt.Sprint(what, " at ", i), func() bool { return is(d.status(i)) })
+	for i := range d.running {
+		d.eventually(fmt.Sprint(what, " at ", i), func() bool { return is(d.status(i)) })
 	}
 }
 
-func config(generation, parent int) string {
+func configBody(generation, parent int) string {
 	return fmt.Sprintf(`{"generation":%d,"parent_version":%d,"services":[{"name":"s"}],"vhosts":[{"hostname":"h.example",
 "path_list":[{"name":"r","path_prefix":"/r%d/","variant":"pure","deadline":"1s","target_latency":"1s","target":"s"}]}]}`,
 		generation, parent, generation)
 }
 
-func beat(phase string, seq int) string {
+func heartbeatBody(phase string, seq int) string {
 	return fmt.Sprintf(`{"target":"s","address":"127.0.0.1:9","zone":"z","capacity":1,"phase":%q,"call_seq":%d}`, phase, seq)
 }
 
@@ -179,8 +179,8 @@
 // followed by all; one that is killed comes back with what its disk holds, one that lost its disk is let in again.
 func TestNode(t *testing.T) {
 	const replace, read = "/api/Config.Replace", "/api/Config.Read"
-	d := open(t, 4)
-	d.all("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
+	d := startCluster(t, 4)
+	d.eventuallyAll("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
 	slots := map[int]bool{}
 	for i := range 4 {
 		s := d.status(i)
@@ -191,25 +191,25 @@
 
 	for i, last := range []int{0, 7, 9, 20} { // through each node; the last has no disk
 		next := []int{7, 9, 20, 21}[i]
-		d.settles(i, 200, "POST", replace, config(next, last))
+		d.callUntilClear(i, 200, "POST", replace, configBody(next, last))
 		in := func(s controlapi.NodeStatus) bool { return s.Generation == uint64(next) }
-		d.all("the new configuration", in)
+		d.eventuallyAll("the new configuration", in)
 		for j := range 4 {
-			d.settles(j, 200, "POST", replace, config(next, last)) // the same again
-			d.settles(j, 412, "POST", replace, config(next+1, last))
-			d.settles(j, 400, "POST", replace, config(next, next)) // not above it
-			must.StrContains(t, d.settles(j, 400, "POST", replace, "{"), `"invalid"`)
-			must.EqJSON(t, config(next, last), d.settles(j, 200, "GET", read, ""))
+			d.callUntilClear(j, 200, "POST", replace, configBody(next, last)) // the same again
+			d.callUntilClear(j, 412, "POST", replace, configBody(next+1, last))
+			d.callUntilClear(j, 400, "POST", replace, configBody(next, next)) // not above it
+			must.StrContains(t, d.callUntilClear(j, 400, "POST", replace, "{"), `"invalid"`)
+			must.EqJSON(t, configBody(next, last), d.callUntilClear(j, 200, "GET", read, ""))
 		}
-		d.all("no other", in)
+		d.eventuallyAll("no other", in)
 	}
 
-	d.settles(3, 200, "POST", "/api/Backends.Heartbeat/i-1", beat("ready", 1))
+	d.callUntilClear(3, 200, "POST", "/api/Backends.Heartbeat/i-1", heartbeatBody("ready", 1))
 	phase := func(want string) func(s controlapi.NodeStatus) bool {
 		return func(s controlapi.NodeStatus) bool { return len(s.Backends) == 1 && s.Backends[0].Phase == want }
 	}
-	d.all("a backend, and to be ready", func(s controlapi.NodeStatus) bool { return phase("ready")(s) && s.Ready })
-	d.settles(3, 200, "POST", "/api/Backends.Heartbeat/i-1", beat("draining", 2))
+	d.eventuallyAll("a backend, and to be ready", func(s controlapi.NodeStatus) bool { return phase("ready")(s) && s.Ready })
+	d.callUntilClear(3, 200, "POST", "/api/Backends.Heartbeat/i-1", heartbeatBody("draining", 2))
 	know := 0
 	for i := range 4 {
 		if phase("draining")(d.status(i)) {
@@ -217,14 +217,14 @@
 		}
 	}
 	must.GreaterEq(t, 2, know)
-	d.all("its end", phase("draining"))
+	d.eventuallyAll("its end", phase("draining"))
 
 	d.kill(1)
-	d.settles(3, 200, "POST", replace, config(30, 21))
+	d.callUntilClear(3, 200, "POST", replace, configBody(30, 21))
 	was := d.status(0)
 	d.kill(0) // now there is no majority: nothing is taken, and a node alone acknowledges no end
-	d.until("no leader", func() bool { r := d.status(2).Core.Role; return r != "" && r != "leading" })
-	status, _ := d.call(3, "POST", replace, config(31, 30))
+	d.eventually("no leader", func() bool { r := d.status(2).Core.Role; return r != "" && r != "leading" })
+	status, _ := d.call(3, "POST", replace, configBody(31, 30))
 	must.Eq(t, 503, status)
 	status, _ = d.call(3, "GET", read, "")
 	must.Eq(t, 503, status)
@@ -232,11 +232,11 @@
 	must.GreaterEq(t, 21, d.status(0).Generation) // from its disk, whoever leads
 	must.Eq(t, was.Slot, d.status(0).Slot)
 	must.Eq(t, was.Core.Me, d.status(0).Core.Me)
-	must.EqJSON(t, config(30, 21), d.settles(0, 200, "GET", read, ""))
+	must.EqJSON(t, configBody(30, 21), d.callUntilClear(0, 200, "GET", read, ""))
 	must.NoError(t, os.Remove(filepath.Join(d.settings[1].DataDir, logstore.FileName))) // this one has lost its disk
 	d.start(1)
 	for i := range 3 {
-		d.until("to be let in, as all know", func() bool {
+		d.eventually("to be let in, as all know", func() bool {
 			s, live := d.status(i), 0
 			for _, m := range s.Core.Members {
 				if m.Live {
@@ -247,15 +247,15 @@
 		})
 	}
 	d.kill(0) // so that all rests on the one that was let in
-	d.settles(3, 200, "POST", replace, config(40, 30))
+	d.callUntilClear(3, 200, "POST", replace, configBody(40, 30))
 	d.kill(3)
 	d.kill(2)
 	text := ""
-	d.until("to hear nobody", func() bool {
+	d.eventually("to hear nobody", func() bool {
 		status, text = d.call(1, "POST", "/api/Backends.Leave/i-1", "")
 		return status == 503
 	})
 	must.StrContains(t, text, "too few nodes")
 	d.start(2)
-	must.EqJSON(t, config(40, 30), d.settles(2, 200, "GET", read, ""))
+	must.EqJSON(t, configBody(40, 30), d.callUntilClear(2, 200, "GET", read, ""))
 }
--- a/internal/gateway/node/orders.go
+++ b/internal/gateway/node/orders.go
@@ -21,33 +21,33 @@
 		e.Mark = fmt.Sprintf("%016x", rand.Uint64())
 	}
 	if e.Verb == rollout.Start {
-		if err := h.knows(e.Order); err != nil && dry {
-			then(answerOf(routing.Invalid, err))
+		if err := h.checkKnown(e.Order); err != nil && dry {
+			then(responseOf(routing.Invalid, err))
 			return
 		}
 		told := e.Room
-		e.Room = h.roomOf(e.Order)
+		e.Room = h.rolloutCapacity(e.Order)
 		e.Room.New, e.Room.Busy = max(told.New, e.Room.New), cmp.Or(told.Busy, e.Room.Busy)
 	}
 	body := e.Word()
 	if dry {
 		if v, err := h.machine.Decide(statemachine.KindRollout, body); v != routing.Taken {
-			then(answerOf(v, err))
+			then(responseOf(v, err))
 			return
 		}
-		then(200, text(h.wouldBe(e)))
+		then(200, marshalAnswer(h.dryRunAnswer(e)))
 		return
 	}
 	if v, err, final := h.machine.DecideFinal(statemachine.KindRollout, body); final {
-		status, answer := answerOf(v, err)
-		then(status, h.worded(statemachine.KindRollout, body, status, answer))
+		status, answer := responseOf(v, err)
+		then(status, h.answerBody(statemachine.KindRollout, body, status, answer))
 		return
 	}
-	h.ask(statemachine.KindRollout, body, 0, then)
+	h.callLeader(statemachine.KindRollout, body, 0, then)
 }
 
-// knows tells what an order names that this node does not know. Zones are those of nodes.
-func (h *Node) knows(o *rollout.Rollout) error {
+// checkKnown tells what an order names that this node does not know. Zones are those of nodes.
+func (h *Node) checkKnown(o *rollout.Rollout) error {
 	service := func(n string) bool { _, ok := h.table.Service(n); return ok }
 	route := func(n string) bool {
 		for _, r := range h.table.Routes() {
@@ -76,8 +76,8 @@
 	return o.Known(service, route, tenant, zone)
 }
 
-// wouldBe counts the known keys that each step of an order would have on the new version.
-func (h *Node) wouldBe(e *rollout.Entry) controlapi.RolloutAnswer {
+// dryRunAnswer counts the known keys that each step of an order would have on the new version.
+func (h *Node) dryRunAnswer(e *rollout.Entry) controlapi.RolloutAnswer {
 	var users [][]byte
 	if config := h.machine.Configs.Config(); config != nil {
 		for _, t := range config.Tenants {
@@ -92,15 +92,15 @@
 		Room: &controlapi.RolloutRoom{Old: e.Room.Old, New: e.Room.New, Busy: e.Room.Busy}}
 }
 
-// text words an answer.
-func text(v any) []byte {
+// marshalAnswer words an answer.
+func marshalAnswer(v any) []byte {
 	b, err := json.Marshal(v)
 	invariant.That(err == nil, "an answer can be worded")
 	return b
 }
 
-// worded gives the answer to a call that was taken, where it has one.
-func (h *Node) worded(k statemachine.Kind, body []byte, status int, answer []byte) []byte {
+// answerBody gives the answer to a call that was taken, where it has one.
+func (h *Node) answerBody(k statemachine.Kind, body []byte, status int, answer []byte) []byte {
 	if k != statemachine.KindRollout || status != 200 {
 		return answer
 	}
@@ -112,39 +112,39 @@
 	if r == nil {
 		return answer
 	}
-	return text(controlapi.RolloutAnswer{Service: e.Service, Number: uint64(r.Number), Rev: r.Rev, Phase: string(r.Phase),
+	return marshalAnswer(controlapi.RolloutAnswer{Service: e.Service, Number: uint64(r.Number), Rev: r.Rev, Phase: string(r.Phase),
 		Step: r.Step, Steps: len(r.Order.Steps), Share: r.Share(),
 		Room: &controlapi.RolloutRoom{Old: r.Room.Old, New: r.Room.New, Busy: r.Room.Busy}})
 }
 
 // Rollouts asks whoever leads, who has the counts; where nobody can be asked, it is this node's own knowledge.
 func (h *Node) Rollouts(then func(status int, body []byte)) {
-	h.ask(ReadRollouts, nil, 0, func(status int, body []byte) {
+	h.callLeader(ReadRollouts, nil, 0, func(status int, body []byte) {
 		if status != 200 {
-			status, body = 200, h.rolloutText()
+			status, body = 200, h.rolloutStatusBody()
 		}
 		then(status, body)
 	})
 }
 
-// rolloutText is how roll-outs stand, as this node knows it.
-func (h *Node) rolloutText() []byte {
+// rolloutStatusBody is how roll-outs stand, as this node knows it.
+func (h *Node) rolloutStatusBody() []byte {
 	x, s := &h.rollouts, h.machine.Rollouts
-	all := controlapi.RolloutStatus{Node: h.settings.NodeName, Rev: s.Rev, Leads: x.duty != nil || h.leading(),
+	all := controlapi.RolloutStatus{Node: h.settings.NodeName, Rev: s.Rev, Leads: x.coordinator != nil || h.isLeader(),
 		Rollouts: []controlapi.RolloutRun{}}
 	for i := range s.Runs() {
 		r := &s.Runs()[i]
 		run := controlapi.RolloutRun{Service: r.Order.Service, Number: uint64(r.Number), Rev: r.Rev, Phase: string(r.Phase),
 			Step: r.Step, Steps: len(r.Order.Steps), Share: r.Share(), Old: r.Order.Old, New: r.Order.New, Held: r.Held,
-			Here: x.node.Share(r.Order.Service)}
-		if x.duty != nil && r.Phase == rollout.Running {
+			Here: x.local.Share(r.Order.Service)}
+		if x.coordinator != nil && r.Phase == rollout.Running {
 			var c rollout.Counts
-			c, run.Doubt = x.duty.Counts(r.Order.Service)
-			run.Counts = ptr(countsOf(&c))
+			c, run.Doubt = x.coordinator.Counts(r.Order.Service)
+			run.Counts = ptr(rolloutCounts(&c))
 		}
 		all.Rollouts = append(all.Rollouts, run)
 	}
-	return text(all)
+	return marshalAnswer(all)
 }
 
 // RolloutHistory is what became of a service's roll-outs, as this node knows it.
@@ -157,7 +157,7 @@
 		past := controlapi.RolloutPast{Number: uint64(r.Number), Old: r.Order.Old, New: r.Order.New, Phase: string(r.Phase)}
 		for _, p := range r.History {
 			past.Lines = append(past.Lines, controlapi.RolloutLine{Verb: string(p.Verb), Step: p.Step, Share: p.Share, By: p.By,
-				At: p.At, Why: p.Why, Counts: countsOf(&p.Counts)})
+				At: p.At, Why: p.Why, Counts: rolloutCounts(&p.Counts)})
 		}
 		all.Rollouts = append(all.Rollouts, past)
 	}
@@ -168,14 +168,14 @@
 	return all
 }
 
-func countsOf(c *rollout.Counts) controlapi.RolloutCounts {
+func rolloutCounts(c *rollout.Counts) controlapi.RolloutCounts {
 	side := func(s rollout.Side) controlapi.RolloutSide {
-		return controlapi.RolloutSide{Reads: tallyOf(&c[s][rollout.Read]), Writes: tallyOf(&c[s][rollout.Write])}
+		return controlapi.RolloutSide{Reads: rolloutTally(&c[s][rollout.Read]), Writes: rolloutTally(&c[s][rollout.Write])}
 	}
 	return controlapi.RolloutCounts{Old: side(rollout.Old), New: side(rollout.New)}
 }
 
-func tallyOf(t *rollout.Tally) controlapi.RolloutTally {
+func rolloutTally(t *rollout.Tally) controlapi.RolloutTally {
 	return controlapi.RolloutTally{Ends: int(t.Ends), Failed: int(t.By[rollout.Failed]), None: int(t.By[rollout.NoAnswer]),
 		Wrong: int(t.By[rollout.Wrong]), Full: int(t.By[rollout.Full]), HalfMs: t.Quantile(0.5).Milliseconds(),
 		TenthMs: t.Quantile(0.9).Milliseconds()}
--- a/internal/gateway/node/parts.go
+++ b/internal/gateway/node/parts.go
@@ -17,22 +17,22 @@
 
 // Bounds of large calls.
 const (
-	partSize      = controlBound + 64<<10 // bytes of one
-	transfersMost = 16                    // that wait for one node, those under way included
-	assembliesOf  = 4                     // nodes whose large calls are put together at one time
-	assemblyKept  = 10 * time.Second      // for the same call to go on
+	maxChunkedBody = maxControlBodyBytes + 64<<10 // bytes of one
+	maxTransfers   = 16                           // that wait for one node, those under way included
+	maxAssemblies  = 4                            // nodes whose large calls are put together at one time
+	assemblyTTL    = 10 * time.Second             // for the same call to go on
 )
 
-// Part is a chunk of the body of a call or an answer, which come without it, or tells how much of that is had.
-type Part struct {
+// CallChunk is a chunk of the body of a call or an answer, which come without it, or tells how much of that is had.
+type CallChunk struct {
 	Call  *Call
 	Reply *Reply
 	Chunk *replication.Chunk
 	Had   *replication.Chunk
 }
 
-// same tells whether two are of one call or answer.
-func (p *Part) same(o *Part) bool {
+// sameMessage tells whether two are of one call or answer.
+func (p *CallChunk) sameMessage(o *CallChunk) bool {
 	if p.Call != nil && o.Call != nil {
 		return p.Call.Asker == o.Call.Asker && p.Call.Nr == o.Call.Nr
 	}
@@ -41,197 +41,197 @@
 
 // transfer is a large call or answer on its way to a node.
 type transfer struct {
-	part  Part // without a chunk
-	nr    uint32
-	until time.Duration
-	out   replication.BlobSender
-	all   bool // the last chunk was sent: the other one may have all of it
+	header        CallChunk // without a chunk
+	sequence      uint32
+	deadline      time.Duration
+	outgoing      replication.BlobSender
+	lastChunkSent bool // the last chunk was sent: the other one may have all of it
 }
 
 // assembly is what one node has sent of a large call or answer.
 type assembly struct {
-	in    replication.BlobReceiver
-	at    time.Duration
-	call  Part              // the last call that was whole
-	id    replication.Chunk // and its body, kept so that the same again need not come again
-	whole []byte
+	incoming   replication.BlobReceiver
+	receivedAt time.Duration
+	call       CallChunk         // the last call that was whole
+	bodyID     replication.Chunk // and its body, kept so that the same again need not come again
+	body       []byte
 }
 
-// parts are the large calls and answers of a node.
-type parts struct {
-	takes map[string]bool // whose programs take chunks of calls
-	out   map[string][]*transfer
-	in    map[string]*assembly
+// chunkedCalls are the large calls and answers of a node.
+type chunkedCalls struct {
+	supportedBy map[string]bool // whose programs take chunks of calls
+	outgoing    map[string][]*transfer
+	incoming    map[string]*assembly
 }
 
-func newParts() parts {
-	return parts{map[string]bool{}, map[string][]*transfer{}, map[string]*assembly{}}
+func newChunkedCalls() chunkedCalls {
+	return chunkedCalls{map[string]bool{}, map[string][]*transfer{}, map[string]*assembly{}}
 }
 
 // sendCall sends a call, nr of this node's own; false if it can't be on its way.
 func (h *Node) sendCall(to string, nr uint32, c *Call, until time.Duration) bool {
-	if len(c.Body) <= feedTerms.MaxInflightBytes || !h.parts.takes[to] {
+	if len(c.Body) <= streamConfig.MaxInflightBytes || !h.chunked.supportedBy[to] {
 		h.links.Send(to, &Frame{Call: c})
 		return true
 	}
 	head := *c
 	head.Body = nil
-	return h.transfer(to, &transfer{part: Part{Call: &head}, nr: nr, until: until,
-		out: replication.BlobSender{Blob: replication.NewBlob(uint64(c.Kind), 0, c.Body)}})
+	return h.enqueueTransfer(to, &transfer{header: CallChunk{Call: &head}, sequence: nr, deadline: until,
+		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(c.Kind), 0, c.Body)}})
 }
 
 // sendReply sends an answer. One that can't be sent is as one that was lost: the asker's time ends its call.
 func (h *Node) sendReply(to string, r *Reply) {
-	if len(r.Body) <= feedTerms.MaxInflightBytes || !h.parts.takes[to] {
+	if len(r.Body) <= streamConfig.MaxInflightBytes || !h.chunked.supportedBy[to] {
 		h.links.Send(to, &Frame{Reply: r})
 		return
 	}
 	head := *r
 	head.Body = nil
-	h.transfer(to, &transfer{part: Part{Reply: &head}, until: h.e.Now() + callFor,
-		out: replication.BlobSender{Blob: replication.NewBlob(uint64(r.Status), 1, r.Body)}})
+	h.enqueueTransfer(to, &transfer{header: CallChunk{Reply: &head}, deadline: h.loop.Now() + callTimeout,
+		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(r.Status), 1, r.Body)}})
 }
 
-func (h *Node) transfer(to string, t *transfer) bool {
-	if len(h.parts.out[to]) >= transfersMost {
+func (h *Node) enqueueTransfer(to string, t *transfer) bool {
+	if len(h.chunked.outgoing[to]) >= maxTransfers {
 		return false
 	}
-	h.parts.out[to] = append(h.parts.out[to], t)
-	h.sendParts(to)
+	h.chunked.outgoing[to] = append(h.chunked.outgoing[to], t)
+	h.sendChunks(to)
 	return true
 }
 
-// sendParts sends a node what may be in flight to it: of one transfer after the other.
-func (h *Node) sendParts(to string) {
-	now, queue := h.e.Now(), h.parts.out[to]
-	for len(queue) > 0 && (queue[0].out.Complete() || now >= queue[0].until) {
+// sendChunks sends a node what may be in flight to it: of one transfer after the other.
+func (h *Node) sendChunks(to string) {
+	now, queue := h.loop.Now(), h.chunked.outgoing[to]
+	for len(queue) > 0 && (queue[0].outgoing.Complete() || now >= queue[0].deadline) {
 		queue = queue[1:]
 	}
 	if len(queue) == 0 {
-		delete(h.parts.out, to)
+		delete(h.chunked.outgoing, to)
 		return
 	}
-	h.parts.out[to] = queue
+	h.chunked.outgoing[to] = queue
 	t := queue[0]
-	for c := t.out.NextChunk(&feedTerms, now); c != nil; c = t.out.NextChunk(&feedTerms, now) {
-		part := t.part
+	for c := t.outgoing.NextChunk(&streamConfig, now); c != nil; c = t.outgoing.NextChunk(&streamConfig, now) {
+		part := t.header
 		part.Chunk = c
-		t.all = t.all || c.Offset+uint64(len(c.Data)) == c.Size
+		t.lastChunkSent = t.lastChunkSent || c.Offset+uint64(len(c.Data)) == c.Size
 		h.links.Send(to, &Frame{Part: &part})
 	}
 }
 
-// partHeard takes a chunk, or how much of one's own another node has.
-func (h *Node) partHeard(from string, p *Part) {
+// receiveChunk takes a chunk, or how much of one's own another node has.
+func (h *Node) receiveChunk(from string, p *CallChunk) {
 	switch {
 	case p.Had != nil:
-		if queue := h.parts.out[from]; len(queue) > 0 && queue[0].part.same(p) {
-			queue[0].out.Ack(p.Had, h.e.Now())
-			h.sendParts(from)
+		if queue := h.chunked.outgoing[from]; len(queue) > 0 && queue[0].header.sameMessage(p) {
+			queue[0].outgoing.Ack(p.Had, h.loop.Now())
+			h.sendChunks(from)
 		}
-	case p.Chunk == nil || p.Chunk.Size > partSize || (p.Call == nil) == (p.Reply == nil):
-	case p.Reply != nil && (p.Reply.Asker != h.life || h.calls[p.Reply.Nr] == nil):
-		h.had(from, p, nil) // nobody waits for it
+	case p.Chunk == nil || p.Chunk.Size > maxChunkedBody || (p.Call == nil) == (p.Reply == nil):
+	case p.Reply != nil && (p.Reply.Asker != h.incarnation || h.pendingCalls[p.Reply.Nr] == nil):
+		h.acknowledgeChunk(from, p, nil) // nobody waits for it
 	case p.Reply != nil:
-		if whole := h.takePart(from, p); whole != nil {
+		if whole := h.assembleChunk(from, p); whole != nil {
 			r := *p.Reply
 			r.Body = whole
-			delete(h.parts.in, from)
-			h.answered(from, &r)
+			delete(h.chunked.incoming, from)
+			h.receiveReply(from, &r)
 		}
 	default:
-		h.callPartHeard(from, p)
+		h.receiveCallChunk(from, p)
 	}
 }
 
-// callPartHeard takes a chunk of a call. Of one whose body has come before, nothing but the first chunk needs to.
-func (h *Node) callPartHeard(from string, p *Part) {
-	a := h.assembly(from)
-	switch again := a.whole != nil && a.id.SameBlob(p.Chunk); {
-	case again && a.call.same(p):
-		h.had(from, p, nil) // it is under way
+// receiveCallChunk takes a chunk of a call. Of one whose body has come before, nothing but the first chunk needs to.
+func (h *Node) receiveCallChunk(from string, p *CallChunk) {
+	a := h.assemblyFrom(from)
+	switch again := a.body != nil && a.bodyID.SameBlob(p.Chunk); {
+	case again && a.call.sameMessage(p):
+		h.acknowledgeChunk(from, p, nil) // it is under way
 		return
 	case again:
-		h.had(from, p, nil)
+		h.acknowledgeChunk(from, p, nil)
 	default:
-		whole := h.takePart(from, p)
+		whole := h.assembleChunk(from, p)
 		if whole == nil {
 			return
 		}
-		a.whole, a.id = whole, *p.Chunk
-		a.id.Data = nil
+		a.body, a.bodyID = whole, *p.Chunk
+		a.bodyID.Data = nil
 	}
-	a.call = Part{Call: p.Call}
+	a.call = CallChunk{Call: p.Call}
 	c := *p.Call
-	c.Body = a.whole
-	h.called(from, &c)
+	c.Body = a.body
+	h.receiveCall(from, &c)
 }
 
-// takePart puts a chunk to what has come before; it gives the whole once it is.
-func (h *Node) takePart(from string, p *Part) []byte {
-	whole, part := h.assembly(from).in.Receive(p.Chunk)
+// assembleChunk puts a chunk to what has come before; it gives the whole once it is.
+func (h *Node) assembleChunk(from string, p *CallChunk) []byte {
+	whole, part := h.assemblyFrom(from).incoming.Receive(p.Chunk)
 	if whole != nil || part != nil {
-		h.had(from, p, part)
+		h.acknowledgeChunk(from, p, part)
 	}
 	return whole
 }
 
-// had tells a node how much is had of what a chunk is of: nil means all.
-func (h *Node) had(to string, p *Part, had *replication.Chunk) {
+// acknowledgeChunk tells a node how much is had of what a chunk is of: nil means all.
+func (h *Node) acknowledgeChunk(to string, p *CallChunk, had *replication.Chunk) {
 	if had == nil {
 		id := *p.Chunk
 		id.Offset, id.Data = id.Size, nil
 		had = &id
 	}
-	h.links.Send(to, &Frame{Part: &Part{Call: p.Call, Reply: p.Reply, Had: had}})
+	h.links.Send(to, &Frame{Part: &CallChunk{Call: p.Call, Reply: p.Reply, Had: had}})
 }
 
-// assembly is where what a node sends is put together. Where others have all places, the one that has been still longest gives way: it
+// assemblyFrom is where what a node sends is put together. Where others have all places, the one that has been still longest gives way: it
 // begins anew.
-func (h *Node) assembly(from string) *assembly {
-	a := h.parts.in[from]
+func (h *Node) assemblyFrom(from string) *assembly {
+	a := h.chunked.incoming[from]
 	if a == nil {
-		if len(h.parts.in) >= assembliesOf {
+		if len(h.chunked.incoming) >= maxAssemblies {
 			oldest := ""
-			for _, addr := range slices.Sorted(maps.Keys(h.parts.in)) {
-				if oldest == "" || h.parts.in[addr].at < h.parts.in[oldest].at {
+			for _, addr := range slices.Sorted(maps.Keys(h.chunked.incoming)) {
+				if oldest == "" || h.chunked.incoming[addr].receivedAt < h.chunked.incoming[oldest].receivedAt {
 					oldest = addr
 				}
 			}
-			delete(h.parts.in, oldest)
+			delete(h.chunked.incoming, oldest)
 		}
 		a = &assembly{}
-		h.parts.in[from] = a
+		h.chunked.incoming[from] = a
 	}
-	a.at = h.e.Now()
+	a.receivedAt = h.loop.Now()
 	return a
 }
 
-// mayHave tells whether the node that a call was sent to may have all of it.
-func (h *Node) mayHave(c *call, nr uint32) bool {
-	if c.sent == "" {
+// mayBeReceived tells whether the node that a call was sent to may have all of it.
+func (h *Node) mayBeReceived(c *pendingCall, nr uint32) bool {
+	if c.sentTo == "" {
 		return false
 	}
-	for _, t := range h.parts.out[c.sent] {
-		if t.nr == nr && t.part.Call != nil {
-			return t.all
+	for _, t := range h.chunked.outgoing[c.sentTo] {
+		if t.sequence == nr && t.header.Call != nil {
+			return t.lastChunkSent
 		}
 	}
 	return true
 }
 
-// cancel takes a call off its way.
-func (h *Node) cancel(to string, nr uint32) {
-	queue := slices.DeleteFunc(h.parts.out[to], func(t *transfer) bool { return t.nr == nr && t.part.Call != nil })
-	if h.parts.out[to] = queue; len(queue) == 0 {
-		delete(h.parts.out, to)
+// cancelTransfer takes a call off its way.
+func (h *Node) cancelTransfer(to string, nr uint32) {
+	queue := slices.DeleteFunc(h.chunked.outgoing[to], func(t *transfer) bool { return t.sequence == nr && t.header.Call != nil })
+	if h.chunked.outgoing[to] = queue; len(queue) == 0 {
+		delete(h.chunked.outgoing, to)
 	}
 }
 
-// tendParts sends again what was lost, and forgets what nobody goes on with.
-func (h *Node) tendParts() {
-	for _, to := range slices.Sorted(maps.Keys(h.parts.out)) {
-		h.sendParts(to)
+// tickTransfers sends again what was lost, and forgets what nobody goes on with.
+func (h *Node) tickTransfers() {
+	for _, to := range slices.Sorted(maps.Keys(h.chunked.outgoing)) {
+		h.sendChunks(to)
 	}
-	maps.DeleteFunc(h.parts.in, func(_ string, a *assembly) bool { return h.e.Now()-a.at >= assemblyKept })
+	maps.DeleteFunc(h.chunked.incoming, func(_ string, a *assembly) bool { return h.loop.Now()-a.receivedAt >= assemblyTTL })
 }
--- a/internal/gateway/node/patience_test.go
+++ b/internal/gateway/node/patience_test.go
@@ -14,77 +14,77 @@
 // whichever was younger at the moment, again and again, and was told all the backends by each: with two hundred that did so,
 // the nodes with a disk had no time left to agree on who leads.
 func TestNobodyLeads(t *testing.T) {
-	h := followerOf(t, "10.0.0.1:7110", "10.0.0.2:7110")
-	now := h.e.Now()
-	first := h.feeder
+	h := newLearner(t, "10.0.0.1:7110", "10.0.0.2:7110")
+	now := h.loop.Now()
+	first := h.upstream
 	other := map[string]string{"10.0.0.1:7110": "10.0.0.2:7110", "10.0.0.2:7110": "10.0.0.1:7110"}[first]
 	for i := range 40 {
-		now += lookEvery
-		h.e.(*still).now = now
+		now += tickInterval
+		h.loop.(*manualClock).now = now
 		h.roster.Now(now)
 		for _, a := range []string{first, other} {
 			h.roster.Heard(a)
-			h.saysAt = now
-			h.words[a] = word{now, never + time.Duration(i)*pingEvery, 0, 0} // it has just started and knows of no leader
+			h.upstreamContactAt = now
+			h.upstreamReports[a] = upstreamReport{now, neverAge + time.Duration(i)*heartbeatInterval, 0, 0} // it has just started and knows of no leader
 		}
-		h.words[other] = word{now, never - 10*time.Second, 0, 0} // this one did a while ago
-		h.fedAt = now
-		h.tendFeed()
-		must.Eq(t, first, h.feeder)
+		h.upstreamReports[other] = upstreamReport{now, neverAge - 10*time.Second, 0, 0} // this one did a while ago
+		h.streamReceivedAt = now
+		h.checkUpstream()
+		must.Eq(t, first, h.upstream)
 	}
 	// One that knows of a leader is changed over to.
-	h.words[other] = word{now, 0, 0, 0}
-	h.e.(*still).now = now + followAgain
-	h.roster.Now(now + followAgain)
-	h.tendFeed()
-	must.Eq(t, other, h.feeder)
+	h.upstreamReports[other] = upstreamReport{now, 0, 0, 0}
+	h.loop.(*manualClock).now = now + minStreamRetry
+	h.roster.Now(now + minStreamRetry)
+	h.checkUpstream()
+	must.Eq(t, other, h.upstream)
 }
 
 // A node that says something, but not yet what was asked, has much to do: it is waited for, and not for ever.
 func TestBusyFeederIsWaitedFor(t *testing.T) {
-	h := followerOf(t, "10.0.0.1:7110", "10.0.0.2:7110")
-	first, asked := h.feeder, h.askedAt
-	h.fedAt = asked - 1
-	for now := asked; now <= asked+followLong+followMost; now += lookEvery {
-		h.e.(*still).now = now
+	h := newLearner(t, "10.0.0.1:7110", "10.0.0.2:7110")
+	first, asked := h.upstream, h.streamRequestedAt
+	h.streamReceivedAt = asked - 1
+	for now := asked; now <= asked+busyUpstreamTimeout+maxStreamRetry; now += tickInterval {
+		h.loop.(*manualClock).now = now
 		h.roster.Now(now)
 		for _, d := range h.roster.Addrs() {
 			h.roster.Heard(d)
 		}
-		h.saysAt = now
-		h.words[first] = word{now, 0, 0, 0}
-		h.tendFeed()
-		if now-asked < followLong {
-			must.Eq(t, first, h.feeder)
-			must.Eq(t, asked, h.askedAt) // nor asked again
+		h.upstreamContactAt = now
+		h.upstreamReports[first] = upstreamReport{now, 0, 0, 0}
+		h.checkUpstream()
+		if now-asked < busyUpstreamTimeout {
+			must.Eq(t, first, h.upstream)
+			must.Eq(t, asked, h.streamRequestedAt) // nor asked again
 		}
 	}
-	must.NotEq(t, asked, h.askedAt)
+	must.NotEq(t, asked, h.streamRequestedAt)
 }
 
-// still is a node's time that a test sets.
-type still struct {
-	Turns
+// manualClock is a node's time that a test sets.
+type manualClock struct {
+	EventLoop
 	now time.Duration
 }
 
-func (s *still) Now() time.Duration { return s.now }
+func (s *manualClock) Now() time.Duration { return s.now }
 
-// lost takes what a node sends.
-type lost struct{ Links }
+// discardingLinks takes what a node sends.
+type discardingLinks struct{ Links }
 
-func (lost) Send(string, *Frame) bool { return true }
+func (discardingLinks) Send(string, *Frame) bool { return true }
 
-// followerOf is a node without a disk that follows one of these.
-func followerOf(t *testing.T, disks ...string) *Node {
-	h := &Node{settings: &settings.Settings{NodeName: "node"}, log: newLog("node"), e: &still{now: time.Minute}, links: lost{}, words: map[string]word{},
-		followers: map[string]*follower{}}
-	h.roster = membership.New(membership.Node{Name: "node", Addr: "10.0.0.9:7110"}, membership.Terms{}, h.e.Now())
+// newLearner is a node without a disk that follows one of these.
+func newLearner(t *testing.T, disks ...string) *Node {
+	h := &Node{settings: &settings.Settings{NodeName: "node"}, log: newLogger("node"), loop: &manualClock{now: time.Minute}, links: discardingLinks{}, upstreamReports: map[string]upstreamReport{},
+		learners: map[string]*learner{}}
+	h.roster = membership.New(membership.Node{Name: "node", Addr: "10.0.0.9:7110"}, membership.Terms{}, h.loop.Now())
 	for i, a := range disks {
 		h.roster.Hello(a, membership.Hello{Door: membership.Node{Name: a, Addr: a, Disk: membership.Disk(i + 1), Life: 1, Founded: true}})
 		h.roster.Up(a)
 	}
-	h.tendFeed()
-	must.NotEq(t, "", h.feeder)
+	h.checkUpstream()
+	must.NotEq(t, "", h.upstream)
 	return h
 }
--- a/internal/gateway/node/replica.go
+++ b/internal/gateway/node/replica.go
@@ -6,59 +6,59 @@
 
 // replicaHost carries between one of this node's replicas, its timer, the disk and whoever goes by its log.
 type replicaHost struct {
-	h     *Node
-	me    replication.Member
-	p     *replication.Replica
-	log   replication.LogID
-	disk  *diskQueue
-	owner replicaOwner
-	wake  uint32
-	due   bool // something came since it was last pulled
+	node     *Node
+	self     replication.Member
+	replica  *replication.Replica
+	logID    replication.LogID
+	disk     *diskQueue
+	owner    replicaOwner
+	timerSeq uint32
+	ready    bool // something came since it was last pulled
 }
 
 // replicaOwner takes what a replica decides for its host: replication.Send, Restore, Commit and Outcome.
 type replicaOwner interface {
-	send(to replication.Member, m replication.Message)
-	restore(index uint64, state []byte)
-	commit(e replication.Entry)
-	settle(o replication.Outcome)
+	sendMessage(to replication.Member, m replication.Message)
+	restoreState(index uint64, state []byte)
+	applyCommitted(e replication.Entry)
+	completeProposal(o replication.Outcome)
 }
 
-// drain carries out what the replica asks for.
-func (r *replicaHost) drain() {
-	r.due = false
+// handleActions carries out what the replica asks for.
+func (r *replicaHost) handleActions() {
+	r.ready = false
 	for {
-		a, ok := r.p.Next()
+		a, ok := r.replica.Next()
 		if !ok {
 			return
 		}
 		switch a := a.(type) {
 		case replication.Send:
-			r.owner.send(a.Recipient, a.Message)
+			r.owner.sendMessage(a.Recipient, a.Message)
 		case replication.Write:
-			r.disk.Put(r.log, a)
+			r.disk.Put(r.logID, a)
 		case replication.Restore:
-			r.owner.restore(a.Index, a.State)
+			r.owner.restoreState(a.Index, a.State)
 		case replication.Commit:
-			r.owner.commit(a.Entry)
+			r.owner.applyCommitted(a.Entry)
 		case replication.Outcome:
-			r.owner.settle(a)
+			r.owner.completeProposal(a)
 		case replication.Wake:
-			r.wake++
-			r.h.e.At(a.Deadline, (*replicaAlarm)(r), r.wake)
+			r.timerSeq++
+			r.node.loop.At(a.Deadline, (*replicaTimer)(r), r.timerSeq)
 		}
 	}
 }
 
-// now tells the replica the time, and has it pulled at the end of the turn.
-func (r *replicaHost) now() *replication.Replica {
-	r.due = true
-	r.p.Tick(r.h.e.Now())
-	return r.p
+// advance tells the replica the time, and has it pulled at the end of the turn.
+func (r *replicaHost) advance() *replication.Replica {
+	r.ready = true
+	r.replica.Tick(r.node.loop.Now())
+	return r.replica
 }
 
 // addr of a member: where its node says that it is, since a view may name an older place.
-func (h *Node) addrOf(m replication.Member) string {
+func (h *Node) memberAddr(m replication.Member) string {
 	if d, ok := h.roster.Node(m.Addr); ok && replication.MemberID(d.Disk) == m.ID {
 		return m.Addr
 	}
@@ -70,8 +70,8 @@
 	return m.Addr
 }
 
-// replicaAlarm brings a replica's own due time; the pull at the end of the turn does the rest.
-type replicaAlarm replicaHost
+// replicaTimer brings a replica's own due time; the pull at the end of the turn does the rest.
+type replicaTimer replicaHost
 
-func (a *replicaAlarm) Live(nr uint32) bool { return nr == a.wake }
-func (a *replicaAlarm) Due(uint32)          { (*replicaHost)(a).now() }
+func (a *replicaTimer) Live(nr uint32) bool { return nr == a.timerSeq }
+func (a *replicaTimer) Due(uint32)          { (*replicaHost)(a).advance() }
--- a/internal/gateway/node/replies_test.go
+++ b/internal/gateway/node/replies_test.go
@@ -14,17 +14,19 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// turn is something done, or looked at, in a node's turn.
-func (d *nodes) turn(i int, do func(h *Node)) { d.live[i].e.Turn(func() { do(d.live[i]) }) }
+// inTurn is something done, or looked at, in a node's turn.
+func (d *testCluster) inTurn(i int, do func(h *Node)) {
+	d.running[i].loop.Turn(func() { do(d.running[i]) })
+}
 
-// leader is the number of the node that leads.
-func (d *nodes) leader() (leader int) {
+// awaitLeader is the number of the node that leads.
+func (d *testCluster) awaitLeader() (leader int) {
 	d.t.Helper()
 	leader = -1
-	d.until("a leader", func() bool {
-		for i := range d.live {
-			d.turn(i, func(h *Node) {
-				if h.core != nil && h.core.p.IsLeader() {
+	d.eventually("a leader", func() bool {
+		for i := range d.running {
+			d.inTurn(i, func(h *Node) {
+				if h.core != nil && h.core.replica.IsLeader() {
 					leader = i
 				}
 			})
@@ -34,12 +36,12 @@
 	return leader
 }
 
-// still holds nodes in a turn each until they are told to go on.
-func (d *nodes) still(which ...int) (goOn func()) {
+// pause holds nodes in a turn each until they are told to go on.
+func (d *testCluster) pause(which ...int) (goOn func()) {
 	end := make(chan bool)
 	for _, i := range which {
 		standing := make(chan bool)
-		go d.live[i].e.Turn(func() {
+		go d.running[i].loop.Turn(func() {
 			close(standing)
 			<-end
 		})
@@ -53,57 +55,57 @@
 
 // A node that is killed and back before its call was answered numbers its calls anew: the answer to its former life's call must
 // not end the one of this life that bears the same number, which never left the node.
-func TestReplyOfAFormerLife(t *testing.T) {
-	d := open(t, 4)
-	d.settles(3, 200, "POST", "/api/Config.Replace", config(7, 0))
+func TestReplyToFormerIncarnation(t *testing.T) {
+	d := startCluster(t, 4)
+	d.callUntilClear(3, 200, "POST", "/api/Config.Replace", configBody(7, 0))
 	leader, is, answer, nr := 0, false, make(chan int, 1), uint32(0)
 	hasSlot := func(h *Node) bool {
-		return h.slot() != membership.NoSlot && h.feeder == d.live[leader].inner && h.fedAt >= h.askedAt
+		return h.slot() != membership.NoSlot && h.upstream == d.running[leader].peerAddr && h.streamReceivedAt >= h.streamRequestedAt
 	}
-	d.until("to follow the leader", func() bool {
-		leader = d.leader()
-		d.turn(3, func(h *Node) {
-			if h.feeder != d.live[leader].inner {
-				h.follow(d.live[leader].inner)
+	d.eventually("to follow the leader", func() bool {
+		leader = d.awaitLeader()
+		d.inTurn(3, func(h *Node) {
+			if h.upstream != d.running[leader].peerAddr {
+				h.requestStream(d.running[leader].peerAddr)
 			}
-			is = hasSlot(h) && len(h.calls) == 0
+			is = hasSlot(h) && len(h.pendingCalls) == 0
 		})
 		return is
 	})
 	before, led := uint32(0), true
-	d.turn(leader, func(h *Node) { before = h.callNr })
+	d.inTurn(leader, func(h *Node) { before = h.lastCallID })
 	leads := func() bool { // on a machine that is busy it may be lost meanwhile: then this shows nothing
-		d.turn(leader, func(h *Node) { led = led && h.core.p.IsLeader() })
+		d.inTurn(leader, func(h *Node) { led = led && h.core.replica.IsLeader() })
 		return led
 	}
-	goOn := d.still((leader+1)%3, (leader+2)%3) // nothing is acknowledged now
-	d.turn(3, func(h *Node) {
-		h.ask(statemachine.KindReplaceConfig, []byte(config(8, 7)), 0, func(int, []byte) {})
-		nr = h.callNr
+	goOn := d.pause((leader+1)%3, (leader+2)%3) // nothing is acknowledged now
+	d.inTurn(3, func(h *Node) {
+		h.callLeader(statemachine.KindReplaceConfig, []byte(configBody(8, 7)), 0, func(int, []byte) {})
+		nr = h.lastCallID
 	})
-	d.until("the call at the leader", func() bool {
-		d.turn(leader, func(h *Node) { is = h.callNr > before })
+	d.eventually("the call at the leader", func() bool {
+		d.inTurn(leader, func(h *Node) { is = h.lastCallID > before })
 		return is || !leads()
 	})
 	d.kill(3)
 	d.start(3)
-	d.until("the next life to be fed", func() bool {
-		d.turn(3, func(h *Node) { is = hasSlot(h) })
+	d.eventually("the next life to be fed", func() bool {
+		d.inTurn(3, func(h *Node) { is = hasSlot(h) })
 		return is || !leads()
 	})
-	d.turn(3, func(h *Node) {
-		h.callNr = nr - 1
-		h.ask(statemachine.KindReplaceConfig, []byte(config(9, 8)), hopsMost, func(status int, _ []byte) { answer <- status }) // goes nowhere
+	d.inTurn(3, func(h *Node) {
+		h.lastCallID = nr - 1
+		h.callLeader(statemachine.KindReplaceConfig, []byte(configBody(9, 8)), maxHops, func(status int, _ []byte) { answer <- status }) // goes nowhere
 	})
 	goOn()
 	must.Eq(t, 503, <-answer)
 	if leads() {
-		d.all("the former life's change", func(s controlapi.NodeStatus) bool { return s.Generation == 8 })
+		d.eventuallyAll("the former life's change", func(s controlapi.NodeStatus) bool { return s.Generation == 8 })
 	}
 }
 
-// orders calls do with all orders of n messages.
-func orders(n int, do func(order []int)) {
+// permutations calls do with all orders of n messages.
+func permutations(n int, do func(order []int)) {
 	var step func(order []int)
 	step = func(order []int) {
 		if len(order) == n {
@@ -121,38 +123,38 @@
 // Answers come in all orders, twice, from a former life, from a node that was never asked, and late from one that was asked
 // before another: each call ends once, with its own answer.
 func TestRepliesInAllOrders(t *testing.T) {
-	d := open(t, 1)
-	h := d.live[0]
+	d := startCluster(t, 1)
+	h := d.running[0]
 	misled := func(f fault) (n int) {
 		h.fault = f
-		defer func() { h.fault = sound }()
-		orders(7, func(order []int) {
+		defer func() { h.fault = noFault }()
+		permutations(7, func(order []int) {
 			got := [2][]string{}
 			for i := range got {
-				h.callNr++
-				h.calls[h.callNr] = &call{kind: Read, until: h.e.Now() + callFor, asked: []string{"x:1", "y:1"}[:i+1], sent: "xy"[i:i+1] + ":1",
-					then: func(status int, body []byte) { got[i] = append(got[i], fmt.Sprint(status, string(body))) }}
+				h.lastCallID++
+				h.pendingCalls[h.lastCallID] = &pendingCall{kind: ReadConfig, deadline: h.loop.Now() + callTimeout, recipients: []string{"x:1", "y:1"}[:i+1], sentTo: "xy"[i:i+1] + ":1",
+					done: func(status int, body []byte) { got[i] = append(got[i], fmt.Sprint(status, string(body))) }}
 			}
-			a, b := h.callNr-1, h.callNr
+			a, b := h.lastCallID-1, h.lastCallID
 			all := []struct {
 				from string
 				Reply
-			}{{"x:1", Reply{h.life, a, 200, []byte("a")}}, {"x:1", Reply{h.life, a, 200, []byte("a")}},
-				{"y:1", Reply{h.life, b, 412, []byte("b")}}, {"x:1", Reply{h.life, b, 503, []byte(replication.OutcomeUnknown.String())}},
-				{"x:1", Reply{h.life + 1, b, 200, nil}}, {"z:1", Reply{h.life, b, 200, nil}}, {"y:1", Reply{h.life, b + 1, 200, nil}}}
+			}{{"x:1", Reply{h.incarnation, a, 200, []byte("a")}}, {"x:1", Reply{h.incarnation, a, 200, []byte("a")}},
+				{"y:1", Reply{h.incarnation, b, 412, []byte("b")}}, {"x:1", Reply{h.incarnation, b, 503, []byte(replication.OutcomeUnknown.String())}},
+				{"x:1", Reply{h.incarnation + 1, b, 200, nil}}, {"z:1", Reply{h.incarnation, b, 200, nil}}, {"y:1", Reply{h.incarnation, b + 1, 200, nil}}}
 			for _, i := range order {
 				h.Heard(all[i].from, &Frame{Reply: &all[i].Reply})
 			}
 			if !slices.Equal(got[0], []string{"200a"}) || !slices.Equal(got[1], []string{"412b"}) {
 				n++
 			}
-			clear(h.calls)
+			clear(h.pendingCalls)
 		})
 		return n
 	}
-	d.turn(0, func(h *Node) {
-		h.beganAt = h.e.Now() // one that has just begun waits for whoever leads, later it would end calls at once
-		must.Eq(t, 0, misled(sound))
-		must.Positive(t, misled(numberAlone))
+	d.inTurn(0, func(h *Node) {
+		h.startedAt = h.loop.Now() // one that has just begun waits for whoever leads, later it would end calls at once
+		must.Eq(t, 0, misled(noFault))
+		must.Positive(t, misled(matchBySequenceOnly))
 	})
 }
