--- a/internal/gateway/node/rollout_test.go
+++ b/internal/gateway/node/rollout_test.go
@@ -16,8 +16,8 @@
 	"clovergap/internal/gateway/rollout"
 )
 
-// backend answers for a version, and beats once: the interval is long.
-func (d *nodes) backend(id, version string, fails *atomic.Bool) {
+// startBackend answers for a version, and beats once: the interval is long.
+func (d *testCluster) startBackend(id, version string, fails *atomic.Bool) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
 		w.Header().Set("X-Version", version)
@@ -29,14 +29,14 @@
 	}))
 	s.Config.ErrorLog = nil
 	d.t.Cleanup(s.Close)
-	d.settles(0, 200, "POST", "/api/Backends.Heartbeat/"+id, fmt.Sprintf(`{"target":"s","address":%q,"zone":"z",
+	d.callUntilClear(0, 200, "POST", "/api/Backends.Heartbeat/"+id, fmt.Sprintf(`{"target":"s","address":%q,"zone":"z",
 "generation":%q,"capacity":100,"phase":"ready","call_seq":1}`, strings.TrimPrefix(s.URL, "http://"), version))
 }
 
 var attempts atomic.Int64
 
-// asks sends a client's request to a node and gives the version that answered, "" if none did.
-func (d *nodes) asks(i int, method, key, mark string) (version string) {
+// request sends a client's request to a node and gives the version that answered, "" if none did.
+func (d *testCluster) request(i int, method, key, mark string) (version string) {
 	r, err := http.NewRequest(method, "http://"+d.settings[i].Bind.Front+map[string]string{"GET": "/r/", "POST": "/w/"}[method], nil)
 	must.NoError(d.t, err)
 	r.Host = "h.example"
@@ -53,7 +53,7 @@
 	return a.Header.Get("X-Version")
 }
 
-func (d *nodes) rollout(i int) (r controlapi.RolloutRun) {
+func (d *testCluster) rolloutStatus(i int) (r controlapi.RolloutRun) {
 	var s controlapi.RolloutStatus
 	_, text := d.call(i, "GET", "/api/Rollout.Status", "")
 	if json.Unmarshal([]byte(text), &s); len(s.Rollouts) > 0 {
@@ -62,17 +62,17 @@
 	return r
 }
 
-// here is a node's own share, and whether it has made sure of what it knows in this life.
-func (d *nodes) here(i int) (share int, touched bool) {
-	h := d.live[i]
-	h.e.Turn(func() { share, touched = h.rollouts.node.Share("s"), h.rollouts.touched })
+// localShare is a node's own share, and whether it has made sure of what it knows in this life.
+func (d *testCluster) localShare(i int) (share int, touched bool) {
+	h := d.running[i]
+	h.loop.Turn(func() { share, touched = h.rollouts.local.Share("s"), h.rollouts.caughtUp })
 	return share, touched
 }
 
-func (d *nodes) shares(want int) {
+func (d *testCluster) awaitShare(want int) {
 	d.t.Helper()
-	for i := range d.live {
-		d.until(fmt.Sprint("share ", want, " at ", i), func() bool { share, _ := d.here(i); return share == want })
+	for i := range d.running {
+		d.eventually(fmt.Sprint("share ", want, " at ", i), func() bool { share, _ := d.localShare(i); return share == want })
 	}
 }
 
@@ -84,8 +84,8 @@
 	const order = `{"service":"s","old":"v1","new":"v2","steps":[{"share":5000,"min_time":"1s"},{"share":9000,"min_time":"1s"}],
 "rev":%d,"mark":%q,"by":"ana","busy":100%s}`
 	var good, bad atomic.Bool
-	d := open(t, 4)
-	d.all("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
+	d := startCluster(t, 4)
+	d.eventuallyAll("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
 	users, keys := [][]byte{}, []string{}
 	for i := range 40 {
 		keys = append(keys, fmt.Sprint("key-", i))
@@ -97,37 +97,37 @@
 "vhosts":[{"hostname":"h.example","path_list":[{"name":"r","path_prefix":"/r/","variant":"pure","target":%q},
 {"name":"w","path_prefix":"/w/","variant":"effectful","target":%q}]}]}`, generation, parent, service, list, service, service)
 	}
-	d.settles(0, 200, "POST", "/api/Config.Replace", config(1, 0, "s"))
-	must.StrContains(t, d.settles(0, 400, "POST", start, fmt.Sprintf(order, 0, "m", "")), "room") // there are no backends
+	d.callUntilClear(0, 200, "POST", "/api/Config.Replace", config(1, 0, "s"))
+	must.StrContains(t, d.callUntilClear(0, 400, "POST", start, fmt.Sprintf(order, 0, "m", "")), "room") // there are no backends
 	for i, v := range []string{"v1", "v1", "v2", "v2"} {
 		if i == 2 { // the new version may be there later
-			d.all("the old version", func(s controlapi.NodeStatus) bool { return len(s.Backends) == 2 && s.Ready })
-			must.StrContains(t, d.settles(1, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true`)), "new: v2 has room for none")
-			d.settles(1, 200, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true,"new_room":200`))
+			d.eventuallyAll("the old version", func(s controlapi.NodeStatus) bool { return len(s.Backends) == 2 && s.Ready })
+			must.StrContains(t, d.callUntilClear(1, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true`)), "new: v2 has room for none")
+			d.callUntilClear(1, 200, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true,"new_room":200`))
 		}
-		d.backend(fmt.Sprint(v, "-", i), v, map[string]*atomic.Bool{"v1": &good, "v2": &bad}[v])
+		d.startBackend(fmt.Sprint(v, "-", i), v, map[string]*atomic.Bool{"v1": &good, "v2": &bad}[v])
 	}
-	d.all("the backends, and to be ready", func(s controlapi.NodeStatus) bool { return len(s.Backends) == 4 && s.Ready })
+	d.eventuallyAll("the backends, and to be ready", func(s controlapi.NodeStatus) bool { return len(s.Backends) == 4 && s.Ready })
 
 	var dry controlapi.RolloutAnswer
-	must.NoError(t, json.Unmarshal([]byte(d.settles(3, 200, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true`))), &dry))
+	must.NoError(t, json.Unmarshal([]byte(d.callUntilClear(3, 200, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true`))), &dry))
 	must.Eq(t, (&rollout.Rollout{Service: "s", Steps: []rollout.Step{{Share: 5000}, {Share: 9000}}}).Shared(1, users), dry.Moved)
 	must.Eq(t, controlapi.RolloutRoom{Old: 200, New: 200, Busy: 100}, *dry.Room)
-	must.Eq(t, "", d.rollout(3).Phase) // nothing was changed
-	must.StrContains(t, d.settles(3, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"shares":1`)), "shares")
-	must.StrContains(t, d.settles(3, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"limits":{"routes":["x"]}`)), "limits.routes[0]")
-	first := d.settles(3, 200, "POST", start, fmt.Sprintf(order, 0, "m", ""))
-	must.Eq(t, first, d.settles(1, 200, "POST", start, fmt.Sprintf(order, 0, "m", "")))
-	d.settles(2, 412, "POST", start, fmt.Sprintf(order, 0, "other", ""))
-	must.EqJSON(t, config(1, 0, "s"), d.settles(2, 200, "GET", "/api/Config.Read", ""))
-
-	d.shares(5000)
+	must.Eq(t, "", d.rolloutStatus(3).Phase) // nothing was changed
+	must.StrContains(t, d.callUntilClear(3, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"shares":1`)), "shares")
+	must.StrContains(t, d.callUntilClear(3, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"limits":{"routes":["x"]}`)), "limits.routes[0]")
+	first := d.callUntilClear(3, 200, "POST", start, fmt.Sprintf(order, 0, "m", ""))
+	must.Eq(t, first, d.callUntilClear(1, 200, "POST", start, fmt.Sprintf(order, 0, "m", "")))
+	d.callUntilClear(2, 412, "POST", start, fmt.Sprintf(order, 0, "other", ""))
+	must.EqJSON(t, config(1, 0, "s"), d.callUntilClear(2, 200, "GET", "/api/Config.Read", ""))
+
+	d.awaitShare(5000)
 	sides := func() (moved map[string]bool) {
 		moved = map[string]bool{}
 		for _, k := range keys {
-			v := d.asks(0, "GET", k, "")
+			v := d.request(0, "GET", k, "")
 			for i := 1; i < 4; i++ {
-				must.Eq(t, v, d.asks(i, "GET", k, ""))
+				must.Eq(t, v, d.request(i, "GET", k, ""))
 			}
 			if v == "v2" {
 				moved[k] = true
@@ -139,12 +139,12 @@
 	must.MapLen(t, dry.Moved[0], before)
 	marks := map[string]int{}
 	for i := range 20 { // users of one key, by their marks
-		marks[d.asks(i%4, "GET", keys[0], fmt.Sprint("mark-", i))]++
+		marks[d.request(i%4, "GET", keys[0], fmt.Sprint("mark-", i))]++
 	}
 	must.MapLen(t, 2, marks)
-	d.settles(2, 412, "POST", "/api/Rollout.Finish/s", fmt.Sprintf(word, 1, 1, 0))
-	d.settles(2, 200, "POST", "/api/Rollout.Step/s", fmt.Sprintf(word, 1, 1, 2))
-	d.shares(9000)
+	d.callUntilClear(2, 412, "POST", "/api/Rollout.Finish/s", fmt.Sprintf(word, 1, 1, 0))
+	d.callUntilClear(2, 200, "POST", "/api/Rollout.Step/s", fmt.Sprintf(word, 1, 1, 2))
+	d.awaitShare(9000)
 	after := sides()
 	must.MapLen(t, dry.Moved[1], after)
 	for k := range before {
@@ -153,17 +153,17 @@
 
 	bad.Store(true)
 	n := 0
-	d.until("a verdict", func() bool {
+	d.eventually("a verdict", func() bool {
 		for range 40 {
 			n++
-			d.asks(n%4, "POST", keys[n%len(keys)], "")
+			d.request(n%4, "POST", keys[n%len(keys)], "")
 		}
-		return d.rollout(3).Phase == string(rollout.Pulled)
+		return d.rolloutStatus(3).Phase == string(rollout.Pulled)
 	})
-	d.shares(0)
+	d.awaitShare(0)
 	must.MapEmpty(t, sides())
 	var past controlapi.RolloutHistory
-	must.NoError(t, json.Unmarshal([]byte(d.settles(3, 200, "GET", "/api/Rollout.History/s", "")), &past))
+	must.NoError(t, json.Unmarshal([]byte(d.callUntilClear(3, 200, "GET", "/api/Rollout.History/s", "")), &past))
 	lines := past.Rollouts[0].Lines
 	must.Len(t, 3, lines)
 	must.Eq(t, "duty", lines[2].By)
@@ -171,66 +171,66 @@
 	must.Eq(t, 0, lines[2].Counts.Old.Writes.Failed)
 
 	bad.Store(false)
-	d.settles(0, 412, "POST", start, fmt.Sprintf(order, 0, "again", ""))
-	d.settles(0, 200, "POST", start, fmt.Sprintf(order, d.rollout(0).Rev, "again", ""))
-	d.shares(5000)
+	d.callUntilClear(0, 412, "POST", start, fmt.Sprintf(order, 0, "again", ""))
+	d.callUntilClear(0, 200, "POST", start, fmt.Sprintf(order, d.rolloutStatus(0).Rev, "again", ""))
+	d.awaitShare(5000)
 	for _, i := range []int{1, 3} { // with a disk, and without
 		d.kill(i)
 		d.start(i)
-		d.until("to have asked", func() bool {
-			share, touched := d.here(i)
+		d.eventually("to have asked", func() bool {
+			share, touched := d.localShare(i)
 			must.True(t, touched || share == 0)
 			return share == 5000
 		})
 	}
-	now := d.rollout(0)
-	d.settles(1, 200, "POST", "/api/Rollout.Step/s", fmt.Sprintf(`{"number":2,"rev":%d,"step":2,"mark":"s"}`, now.Rev))
-	d.settles(1, 200, "POST", "/api/Rollout.Finish/s", fmt.Sprintf(`{"number":2,"rev":%d,"mark":"f"}`, d.rollout(0).Rev))
-	d.shares(rollout.Whole)
+	now := d.rolloutStatus(0)
+	d.callUntilClear(1, 200, "POST", "/api/Rollout.Step/s", fmt.Sprintf(`{"number":2,"rev":%d,"step":2,"mark":"s"}`, now.Rev))
+	d.callUntilClear(1, 200, "POST", "/api/Rollout.Finish/s", fmt.Sprintf(`{"number":2,"rev":%d,"mark":"f"}`, d.rolloutStatus(0).Rev))
+	d.awaitShare(rollout.Whole)
 	must.MapLen(t, len(keys), sides())
 	back := strings.NewReplacer(`"v1"`, `"v2"`, `"v2"`, `"v1"`).Replace(order) // the way back is one the other way round
-	d.settles(1, 200, "POST", start, fmt.Sprintf(back, d.rollout(0).Rev, "back", ""))
-	d.shares(5000)
+	d.callUntilClear(1, 200, "POST", start, fmt.Sprintf(back, d.rolloutStatus(0).Rev, "back", ""))
+	d.awaitShare(5000)
 	third := (&rollout.Rollout{Service: "s", Steps: []rollout.Step{{Share: 5000}}}).Shared(3, users)[0]
 	must.MapLen(t, len(keys)-third, sides())
 
 	d.kill(0) // without a majority each node goes by itself: its share stays, and falls where the version fails
 	d.kill(1)
-	d.until("no word of the core", func() bool {
+	d.eventually("no word of the core", func() bool {
 		s := d.status(3)
 		return s.StaleMs != nil && *s.StaleMs > d.settings[3].Bounds.AuthoritativeMaxAge().Milliseconds()
 	})
-	d.shares(5000)
+	d.awaitShare(5000)
 	// What was taken already is answered all the same: a caller whose first answer came too late must not wait for ever.
-	must.StrContains(t, d.settles(3, 200, "POST", start, fmt.Sprintf(back, 0, "back", "")), `"phase":"running"`)
+	must.StrContains(t, d.callUntilClear(3, 200, "POST", start, fmt.Sprintf(back, 0, "back", "")), `"phase":"running"`)
 	good.Store(true)
-	d.until("each node's own judgement", func() bool {
+	d.eventually("each node's own judgement", func() bool {
 		for range 40 {
 			n++
-			d.asks(2+n%2, "POST", keys[n/2%len(keys)], "")
+			d.request(2+n%2, "POST", keys[n/2%len(keys)], "")
 		}
-		a, _ := d.here(2)
-		b, _ := d.here(3)
+		a, _ := d.localShare(2)
+		b, _ := d.localShare(3)
 		return a == 0 && b == 0
 	})
 	good.Store(false)
-	must.Eq(t, string(rollout.Running), d.rollout(3).Phase) // as far as anybody knows
+	must.Eq(t, string(rollout.Running), d.rolloutStatus(3).Phase) // as far as anybody knows
 	d.start(0)
 	d.start(1)
-	d.until("the fleet's word", func() bool { return d.rollout(0).Phase == string(rollout.Pulled) })
-	d.settles(1, 200, "POST", start, fmt.Sprintf(back, d.rollout(0).Rev, "back again", ""))
-	d.shares(5000)
+	d.eventually("the fleet's word", func() bool { return d.rolloutStatus(0).Phase == string(rollout.Pulled) })
+	d.callUntilClear(1, 200, "POST", start, fmt.Sprintf(back, d.rolloutStatus(0).Rev, "back again", ""))
+	d.awaitShare(5000)
 
 	lead := 0
-	for i := range d.live {
+	for i := range d.running {
 		if d.status(i).Core.Role == "leading" {
 			lead = i
 		}
 	}
 	d.kill(lead) // the duty goes to another
-	d.settles(3, 200, "POST", "/api/Config.Replace", config(2, 1, "t"))
-	d.until("the end of it", func() bool { return d.rollout(3).Phase == string(rollout.Pulled) })
-	must.StrContains(t, d.settles(3, 200, "GET", "/api/Rollout.History/s", ""), "not in the configuration")
+	d.callUntilClear(3, 200, "POST", "/api/Config.Replace", config(2, 1, "t"))
+	d.eventually("the end of it", func() bool { return d.rolloutStatus(3).Phase == string(rollout.Pulled) })
+	must.StrContains(t, d.callUntilClear(3, 200, "GET", "/api/Rollout.History/s", ""), "not in the configuration")
 }
 
 // What ends is told apart: only what the service could have said better counts against a version.
--- a/internal/gateway/node/versions_test.go
+++ b/internal/gateway/node/versions_test.go
@@ -75,7 +75,7 @@
 		}
 		Board *struct {
 			Nr                   uint64
-			Words, Beats, Doubts []pastWord
+			Words, Beats, Doubts []pastRecord
 			Acks                 []uint64
 			All                  bool
 		}
@@ -138,7 +138,7 @@
 		Index, View, Sum, Size, Offset uint64
 		Data                           []byte
 	}
-	pastWord struct {
+	pastRecord struct {
 		ID, Service, Addr, Zone, Generation string
 		Capacity                            int
 		Phase                               uint8
@@ -168,37 +168,37 @@
 	return []*Frame{
 		{Hello: &membership.Hello{Door: membership.Node{Name: "door-0", Addr: "10.0.0.1:7110", Control: "10.0.0.1:7000", Zone: "z", Disk: 21,
 			First: true, Life: 31, Founded: true, Leaving: true, House: 41}, Known: []string{"10.0.0.2:7110"}, Begun: true}},
-		{Ping: &Ping{Stale: 150 * time.Millisecond, Index: 6, Lives: []byte{7}, View: 2, Clock: 1234567890, Echo: 987654321}},
+		{Ping: &Heartbeat{Stale: 150 * time.Millisecond, Index: 6, Lives: []byte{7}, View: 2, Clock: 1234567890, Echo: 987654321}},
 		{Found: members},
-		{Core: &Line{From: 21, Message: replication.Message{Kind: replication.MsgAppend, House: 41, To: 22, View: 2, Index: 5, At: 1, Delivered: 4,
+		{Core: &CoreMessage{From: 21, Message: replication.Message{Kind: replication.MsgAppend, House: 41, To: 22, View: 2, Index: 5, At: 1, Delivered: 4,
 			Round: 3, Elsewhere: 2, No: true, Entries: []replication.Entry{{Index: 6, View: 2, Kind: replication.EntryNormal, Data: []byte("rbody")},
 				{Index: 7, View: 2, Kind: replication.EntryConfigChange, Members: members}},
 			Snap:  &replication.Snapshot{Index: 5, View: 1, Members: members, State: []byte("state")},
 			Chunk: chunk, Chunks: true, Clock: 1234567890, Echo: 987654321, Contact: -1}}},
 		{Board: &registry.Message{Nr: 8, Words: []registry.Record{word}, Beats: []registry.Record{word}, Doubts: []registry.Record{word},
 			Acks: []uint64{1, 2}, All: true}},
-		{Follow: &Follow{After: 6, Anew: true, Ends: true, Clock: 5, Had: chunk, Chunks: true}},
-		{Feed: &Feed{After: 6, State: []byte("state"), Entries: [][]byte{[]byte("rbody"), []byte("s")}, Stale: 20 * time.Millisecond, View: 2,
+		{Follow: &StreamRequest{After: 6, Anew: true, Ends: true, Clock: 5, Had: chunk, Chunks: true}},
+		{Feed: &StreamData{After: 6, State: []byte("state"), Entries: [][]byte{[]byte("rbody"), []byte("s")}, Stale: 20 * time.Millisecond, View: 2,
 			Echo: 3, Index: 7, Chunk: chunk, Log: true}},
 		{Call: &Call{Asker: 31, Nr: 2, Kind: 'r', Body: []byte("{}"), Hops: 1}},
 		{Reply: &Reply{Asker: 31, Nr: 2, Status: 412, Body: []byte("conflict")}},
-		{Rollout: &RolloutWord{Seat: 2, Hops: 1, Report: report}},
-		{Rollout: &RolloutWord{Lap: &rollout.Lap{Service: "s", Number: 3, Lap: 2}}},
+		{Rollout: &RolloutMessage{Seat: 2, Hops: 1, Report: report}},
+		{Rollout: &RolloutMessage{Lap: &rollout.Lap{Service: "s", Number: 3, Lap: 2}}},
 	}
 }
 
-// heardFrames is a node's end of the links, for a test.
-type heardFrames struct {
-	came chan *Frame
-	up   chan string
+// receivedFrames is a node's end of the links, for a test.
+type receivedFrames struct {
+	frames  chan *Frame
+	linksUp chan string
 }
 
-func (heardFrames) Came(string)                {}
-func (x heardFrames) Heard(_ string, f *Frame) { x.came <- f }
-func (x heardFrames) Up(to string)             { x.up <- to }
-func (heardFrames) Down(string)                {}
+func (receivedFrames) Came(string)                {}
+func (x receivedFrames) Heard(_ string, f *Frame) { x.frames <- f }
+func (x receivedFrames) Up(to string)             { x.linksUp <- to }
+func (receivedFrames) Down(string)                {}
 
-func meshOf(t *testing.T, x heardFrames) *transport.Mesh[Frame] {
+func startMesh(t *testing.T, x receivedFrames) *transport.Mesh[Frame] {
 	m, err := transport.New[Frame]("127.0.0.1:0", 31, x, func(do func()) { do() })
 	must.NoError(t, err)
 	m.Start()
@@ -210,18 +210,18 @@
 func TestFramesOfTheVersionBefore(t *testing.T) {
 	stream, err := os.ReadFile("testdata/before.frames")
 	must.NoError(t, err)
-	x := heardFrames{make(chan *Frame, 100), make(chan string, 100)}
-	c, err := net.Dial("tcp", meshOf(t, x).Addr())
+	x := receivedFrames{make(chan *Frame, 100), make(chan string, 100)}
+	c, err := net.Dial("tcp", startMesh(t, x).Addr())
 	must.NoError(t, err)
 	defer c.Close()
 	_, err = c.Write(stream)
 	must.NoError(t, err)
 	unset := map[string]bool{}
 	for _, want := range pastFrames() {
-		got := <-x.came
+		got := <-x.frames
 		must.Eq(t, want, got)
 	}
-	zero(reflect.TypeFor[Frame](), pastFrames(), unset)
+	unsetFields(reflect.TypeFor[Frame](), pastFrames(), unset)
 	var names []string
 	for name := range unset {
 		names = append(names, name)
@@ -230,8 +230,8 @@
 	must.Eq(t, newer, names)
 }
 
-// zero finds the fields that no frame sets.
-func zero(of reflect.Type, frames []*Frame, unset map[string]bool) {
+// unsetFields finds the fields that no frame sets.
+func unsetFields(of reflect.Type, frames []*Frame, unset map[string]bool) {
 	set := map[string]bool{}
 	var look func(path string, v reflect.Value)
 	look = func(path string, v reflect.Value) {
@@ -271,8 +271,8 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer ln.Close()
-	x := heardFrames{make(chan *Frame, 100), make(chan string, 100)}
-	m, to := meshOf(t, x), ln.Addr().String()
+	x := receivedFrames{make(chan *Frame, 100), make(chan string, 100)}
+	m, to := startMesh(t, x), ln.Addr().String()
 	m.Want(to)
 	c, err := ln.Accept()
 	must.NoError(t, err)
@@ -287,7 +287,7 @@
 	old, now := gob.NewDecoder(was), gob.NewDecoder(c)
 	var a, b opening
 	must.NoError(t, old.Decode(&a))
-	must.Eq(t, to, <-x.up) // what was sent before is lost
+	must.Eq(t, to, <-x.linksUp) // what was sent before is lost
 	frames := pastFrames()
 	for _, f := range frames {
 		must.True(t, m.Send(to, f))
@@ -301,12 +301,12 @@
 		must.Eq(t, a, b)
 	}
 	must.ErrorIs(t, old.Decode(&pastFrame{}), io.EOF)
-	f := &Frame{Part: &Part{Call: &Call{Nr: 1}, Chunk: &replication.Chunk{Size: 1}}}
+	f := &Frame{Part: &CallChunk{Call: &Call{Nr: 1}, Chunk: &replication.Chunk{Size: 1}}}
 	must.True(t, m.Send(to, f))
 	var empty pastFrame
 	must.NoError(t, now.Decode(&empty))
 	must.Eq(t, pastFrame{}, empty)
-	f = &Frame{Core: &Line{From: 3, Hears: []byte{1}}}
+	f = &Frame{Core: &CoreMessage{From: 3, Hears: []byte{1}}}
 	must.True(t, m.Send(to, f))
 	must.NoError(t, now.Decode(&empty))
 	must.Eq(t, 3, empty.Core.From)
--- a/internal/gateway/node/wire_test.go
+++ b/internal/gateway/node/wire_test.go
@@ -211,10 +211,10 @@
 }
 
 // wireGroupLines are the messages of two groups. Their compact form leaves out Clock, Echo and Contact.
-func wireGroupLines() []groupLine {
+func wireGroupLines() []groupMessage {
 	first, last := wireMessageSet(), replication.Message{Kind: replication.MsgAppendAck, House: 42, To: 23, View: 3, Index: 4, Contact: -1}
 	first.Clock, first.Echo, first.Contact = 0, 0, -1
-	return []groupLine{{group: 1, message: first}, {group: groups.Count - 1, message: last}}
+	return []groupMessage{{group: 1, message: first}, {group: groups.Count - 1, message: last}}
 }
 
 // wireFrames are the frames of the stream, as the program has them.
@@ -225,7 +225,7 @@
 	report.Counts[0][1] = rollout.Tally{Ends: 16, By: [5]uint32{4: 16}}
 	call := &Call{Asker: 31, Nr: 2, Kind: 'r', Body: []byte("call"), Hops: 1}
 	reply := &Reply{Asker: 32, Nr: 3, Status: 412, Body: []byte("reply")}
-	lines := &GroupLines{From: 24}
+	lines := &GroupMessages{From: 24}
 	for _, l := range wireGroupLines() {
 		lines.append(&l)
 	}
@@ -233,21 +233,21 @@
 		{Hello: &membership.Hello{Door: membership.Node{Name: "node-0", Addr: "10.0.0.1:7110", Control: "10.0.0.1:7000", Zone: "zone", Disk: 21,
 			First: true, Life: 31, Founded: true, Leaving: true, House: 41}, Known: []string{"10.0.0.2:7110", "10.0.0.3:7110"}, Begun: true, Parts: true,
 			Knows: 51}},
-		{Ping: &Ping{Stale: 150 * time.Millisecond, Index: 6, Lives: []byte{7}, View: 2, Clock: 1234567890, Echo: 987654321,
+		{Ping: &Heartbeat{Stale: 150 * time.Millisecond, Index: 6, Lives: []byte{7}, View: 2, Clock: 1234567890, Echo: 987654321,
 			Leaders: []membership.Slot{2, 1}}},
 		{Found: []replication.Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}}},
-		{Core: &Line{From: 21, Message: wireMessageSet(), Hears: []byte{5}}},
+		{Core: &CoreMessage{From: 21, Message: wireMessageSet(), Hears: []byte{5}}},
 		{Board: &registry.Message{Nr: 8, Words: []registry.Record{wireRecordSet("word")}, Beats: []registry.Record{wireRecordSet("beat")},
 			Doubts: []registry.Record{wireRecordSet("doubt")}, Acks: []uint64{1, 2}, All: true, Unreached: []registry.Slot{3, 4}}},
-		{Follow: &Follow{After: 6, Anew: true, Ends: true, Clock: 5, Had: wireChunkSet(60, "had"), Chunks: true}},
-		{Feed: &Feed{After: 6, State: []byte("state"), Entries: [][]byte{[]byte("entry"), []byte("e")}, Stale: 20 * time.Millisecond, View: 2,
+		{Follow: &StreamRequest{After: 6, Anew: true, Ends: true, Clock: 5, Had: wireChunkSet(60, "had"), Chunks: true}},
+		{Feed: &StreamData{After: 6, State: []byte("state"), Entries: [][]byte{[]byte("entry"), []byte("e")}, Stale: 20 * time.Millisecond, View: 2,
 			Echo: 3, Index: 7, Chunk: wireChunkSet(70, "chunk"), Log: true}},
 		{Call: call},
 		{Reply: reply},
-		{Rollout: &RolloutWord{Seat: 2, Hops: 1, Report: report}},
-		{Rollout: &RolloutWord{Lap: &rollout.Lap{Service: "service", Number: 3, Lap: 2}}},
-		{Part: &Part{Call: call, Chunk: wireChunkSet(80, "part")}},
-		{Part: &Part{Reply: reply, Had: wireChunkSet(90, "had of the part")}},
+		{Rollout: &RolloutMessage{Seat: 2, Hops: 1, Report: report}},
+		{Rollout: &RolloutMessage{Lap: &rollout.Lap{Service: "service", Number: 3, Lap: 2}}},
+		{Part: &CallChunk{Call: call, Chunk: wireChunkSet(80, "part")}},
+		{Part: &CallChunk{Reply: reply, Had: wireChunkSet(90, "had of the part")}},
 		{Groups: lines},
 	}
 	for _, m := range wireCoordination() {
@@ -261,16 +261,16 @@
 func TestFramesOfDD5A45A(t *testing.T) {
 	stream, err := os.ReadFile("testdata/dd5a45a.frames")
 	must.NoError(t, err)
-	x := heardFrames{make(chan *Frame, 100), make(chan string, 100)}
-	c, err := net.Dial("tcp", meshOf(t, x).Addr())
+	x := receivedFrames{make(chan *Frame, 100), make(chan string, 100)}
+	c, err := net.Dial("tcp", startMesh(t, x).Addr())
 	must.NoError(t, err)
 	defer c.Close()
 	_, err = c.Write(stream)
 	must.NoError(t, err)
 	var messages []*coordination.Message
-	var lines []groupLine
+	var lines []groupMessage
 	for _, want := range wireFrames() {
-		got := <-x.came
+		got := <-x.frames
 		must.Eq(t, want, got)
 		if got.Coordination != nil {
 			m, err := coordination.DecodeMessage(got.Coordination)
@@ -278,13 +278,13 @@
 			messages = append(messages, m)
 		}
 		if got.Groups != nil {
-			must.NoError(t, got.Groups.each(func(l *groupLine) { lines = append(lines, *l) }))
+			must.NoError(t, got.Groups.forEach(func(l *groupMessage) { lines = append(lines, *l) }))
 		}
 	}
 	must.Eq(t, wireCoordination(), messages)
 	must.True(t, reflect.DeepEqual(wireGroupLines(), lines))
 	unset := map[string]bool{}
-	zero(reflect.TypeFor[Frame](), wireFrames(), unset)
+	unsetFields(reflect.TypeFor[Frame](), wireFrames(), unset)
 	must.MapEmpty(t, unset)
 }
 
@@ -293,13 +293,13 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer ln.Close()
-	x := heardFrames{make(chan *Frame, 100), make(chan string, 100)}
-	m, to := meshOf(t, x), ln.Addr().String()
+	x := receivedFrames{make(chan *Frame, 100), make(chan string, 100)}
+	m, to := startMesh(t, x), ln.Addr().String()
 	m.Want(to)
 	c, err := ln.Accept()
 	must.NoError(t, err)
 	defer c.Close()
-	must.Eq(t, to, <-x.up) // what was sent before is lost
+	must.Eq(t, to, <-x.linksUp) // what was sent before is lost
 	frames := wireFrames()
 	for _, f := range frames {
 		must.True(t, m.Send(to, f))
@@ -353,7 +353,7 @@
 	}
 }
 
-// testdata/dd5a45a.registry is the registry as core.keepRegistry wrote it beside the log at commit dd5a45a.
+// testdata/dd5a45a.registry is the registry as core.saveRegistry wrote it beside the log at commit dd5a45a.
 func TestRegistryOnDiskOfDD5A45A(t *testing.T) {
 	kept, err := os.ReadFile("testdata/dd5a45a.registry")
 	must.NoError(t, err)
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -109,7 +109,7 @@
 	for i := range o.Wide.Backends {
 		wg.Go(func() { x.beats(beats, i) })
 	}
-	if !x.until(ctx, 2*time.Minute, func(h *node.Node) bool { return h.Serves() }) {
+	if !x.until(ctx, 2*time.Minute, func(h *node.Node) bool { return h.IsServing() }) {
 		return nil, errors.New("not all nodes are ready in two minutes")
 	}
 	s := &Seen{Hollow: o, ReadyS: time.Since(began).Seconds()}
@@ -258,7 +258,7 @@
 		left := slices.Clone(x.nodes)
 		for len(left) > 0 && time.Since(acked) < 12*time.Second {
 			left = slices.DeleteFunc(left, func(h *node.Node) bool {
-				if h.InForce() < next {
+				if h.ConfigurationVersion() < next {
 					return false
 				}
 				times = append(times, ms(time.Since(acked)))
--- a/internal/lab/simulation/backends.go
+++ b/internal/lab/simulation/backends.go
@@ -202,9 +202,9 @@
 				}
 			}
 			if leaves {
-				p.h.Leave(b.id, answered)
+				p.h.Deregister(b.id, answered)
 			} else {
-				p.h.Beat(word, answered)
+				p.h.Heartbeat(word, answered)
 			}
 		})
 	})
--- a/internal/lab/simulation/large_test.go
+++ b/internal/lab/simulation/large_test.go
@@ -28,7 +28,7 @@
 	view, began := leads.p.h.Status().Core.View, w.now
 	w.every(50*time.Millisecond, func() bool {
 		for _, m := range w.machines { // until it is in force, and has to be had everywhere
-			if age, _ := m.p.h.Fresh(); c.applied(leads) == c.gen {
+			if age, _ := m.p.h.Staleness(); c.applied(leads) == c.gen {
 				oldest = max(oldest, age)
 			}
 		}
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -82,12 +82,12 @@
 	if m.settings.FirstBoot = m.life == 1; w.replaced > 0 {
 		m.settings.SeedAddrs = w.seeds()
 	}
-	h, err := node.Over(m.settings, p, w.logger(m.name))
+	h, err := node.NewWithEnvironment(m.settings, p, w.logger(m.name))
 	if err != nil {
 		panic(err)
 	}
 	p.h = h
-	p.turn(func() { h.Begin() })
+	p.turn(func() { h.StartTimers() })
 	w.note(history.Event{Who: m.name, Life: m.life, Kind: history.Up})
 	w.say("%s starts, life %d", m.name, m.life)
 }
@@ -127,7 +127,7 @@
 	w, began := m.w, m.w.now
 	w.note(history.Event{Who: m.name, Kind: gatewaystandin.Terminates})
 	w.say("%s is told to end", m.name)
-	p.turn(p.h.Leaving)
+	p.turn(p.h.BeginShutdown)
 	if w.planted == cutsAtTheEnd {
 		p.cuts()
 	}
@@ -141,7 +141,7 @@
 			m.kill(false)
 			return false
 		}
-		p.turn(func() { done = done || p.h.Ends(w.now-began) })
+		p.turn(func() { done = done || p.h.ContinueShutdown(w.now-began) })
 		if done || w.now-began > grace-400*time.Millisecond {
 			w.after(150*time.Millisecond, func() {
 				if !p.over {
@@ -254,8 +254,8 @@
 	})
 }
 
-// Waited is how long the process stood still, where it goes on now.
-func (p *process) Waited() time.Duration {
+// InputDelay is how long the process stood still, where it goes on now.
+func (p *process) InputDelay() time.Duration {
 	if p.goes > 0 && p.w.now-p.goes <= justNow {
 		return p.goes - p.stopped
 	}
@@ -270,9 +270,9 @@
 
 func (p *process) Turn(do func()) { do(); p.settled() }
 
-func (p *process) Settled(do func()) { p.settled = do }
+func (p *process) OnTurnEnd(do func()) { p.settled = do }
 
-func (p *process) Draws() (int64, uint64) { return p.seed, p.id }
+func (p *process) Identity() (int64, uint64) { return p.seed, p.id }
 
 func (p *process) Counters() *counters.Set { return p.count }
 
@@ -282,12 +282,12 @@
 	return &drive{p, p.m.disk}, p.m.disk.read(), nil
 }
 
-func (p *process) Path(h *node.Node, g *gate.Gate) (node.Path, error) {
+func (p *process) DataPath(h *node.Node, g *gate.Gate) (node.DataPath, error) {
 	p.h, p.g = h, g
 	p.ways = newWays(p)
 	p.upstreams = &upstreams{p: p, tries: map[uint32]*try{}}
 	p.datagrams = datagrams{p: p, slots: map[*machine]int{}}
-	return node.Path{Ways: p.ways, Datagrams: &p.datagrams, Front: p.upstreams}, nil
+	return node.DataPath{Dispatcher: p.ways, Datagrams: &p.datagrams, Frontend: p.upstreams}, nil
 }
 
 // datagrams are a node's datagrams.
@@ -297,7 +297,7 @@
 	slots map[*machine]int
 }
 
-func (x *datagrams) Move(addrs []netip.AddrPort, me int) {
+func (x *datagrams) SetPeers(addrs []netip.AddrPort, me int) {
 	x.all = nil
 	clear(x.slots)
 	for i, a := range addrs {
@@ -317,10 +317,10 @@
 	deaf    bool
 }
 
-func (x *upstreams) Bound(downstream.Bounds) {}
-func (x *upstreams) Clients() int            { return len(x.tries) }
-func (x *upstreams) Drain()                  { x.drained = true }
-func (x *upstreams) Deafen()                 { x.deaf = true }
+func (x *upstreams) SetBounds(downstream.Bounds) {}
+func (x *upstreams) Clients() int                { return len(x.tries) }
+func (x *upstreams) Drain()                      { x.drained = true }
+func (x *upstreams) StopListening()              { x.deaf = true }
 
 // simulatedDisk is a disk: what is on it outlives processes.
 type simulatedDisk struct {
@@ -409,10 +409,10 @@
 	d *simulatedDisk
 }
 
-func (v *drive) Noted() []byte { return v.d.noted }
+func (v *drive) SoftState() []byte { return v.d.noted }
 
-// Groups are the logs of the coordination groups, as they are read at the start.
-func (v *drive) Groups() map[replication.LogID]replication.PersistentState {
+// GroupLogs are the logs of the coordination groups, as they are read at the start.
+func (v *drive) GroupLogs() map[replication.LogID]replication.PersistentState {
 	held := map[replication.LogID]replication.PersistentState{}
 	for log, k := range v.d.groups {
 		if err := k.Validate(); err != nil {
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -130,7 +130,7 @@
 // newestOf is the configuration as the first member of the core has it.
 func (w *world) newestOf() (text []byte) {
 	w.machines[0].p.turn(func() {
-		w.machines[0].p.h.Newest(func(_ int, b []byte) { text = b })
+		w.machines[0].p.h.ReadConfiguration(func(_ int, b []byte) { text = b })
 	})
 	w.until(w.now+2*time.Second, func() bool { return text != nil })
 	return text
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -379,7 +379,7 @@
 					q.m.meter.came(q.w, "datagrams", len(b)+datagramHead)
 				}
 				if slot, ok := q.datagrams.slots[p.m]; ok {
-					q.h.DatagramCame(control.GatewayID(slot), b)
+					q.h.ReceiveDatagram(control.GatewayID(slot), b)
 				}
 			})
 		}
--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -59,7 +59,7 @@
 			case gatewaystandin.AmendPath:
 				p.h.Change(statemachine.KindAmendConfig, body, answered)
 			default:
-				p.h.Newest(answered)
+				p.h.ReadConfiguration(answered)
 			}
 		})
 	})
--- a/internal/lab/simulation/owned_test.go
+++ b/internal/lab/simulation/owned_test.go
@@ -26,7 +26,7 @@
 func TestOwnersAreWatched(t *testing.T) {
 	w := newWorld(&Day{Site: Site{Nodes: 3, Disks: 3}.Usual(), Seed: 1, owners: true})
 	entries := []replication.Entry{{Index: 1, Data: []byte("a")}, {Index: 2, Data: []byte("b")}}
-	look := w.owned("node-0", &node.Frame{Core: &node.Line{Message: replication.Message{Entries: entries}}})
+	look := w.owned("node-0", &node.Frame{Core: &node.CoreMessage{Message: replication.Message{Entries: entries}}})
 	look()
 	must.SliceEmpty(t, w.broken)
 	entries[1].Data = []byte("c") // as a log does that cuts its end off and grows again in place
--- a/internal/lab/simulation/parted.go
+++ b/internal/lab/simulation/parted.go
@@ -112,8 +112,8 @@
 	unclear := func(status int) bool { return status/100 == 5 }
 	p.turn(func() {
 		p.h.Change(statemachine.KindReplaceConfig, staleOrder(), answered("an order", unclear))
-		p.h.Newest(answered("a read", unclear))
-		p.h.Leave(fmt.Sprint("stale-", began), func(ok bool, _ string) {
+		p.h.ReadConfiguration(answered("a read", unclear))
+		p.h.Deregister(fmt.Sprint("stale-", began), func(ok bool, _ string) {
 			if ok && w.now < ends && m.p == p {
 				bad("acknowledges an end that nobody else has")
 			}
@@ -143,7 +143,7 @@
 	if !m.runs() {
 		return
 	}
-	age, generation := m.p.h.Fresh()
+	age, generation := m.p.h.Staleness()
 	for n, v := range w.operator.versions {
 		if v.Acked > 0 && v.Acked < w.now-age && n > generation {
 			w.broken = append(w.broken, history.Broken{Rule: "STALE", T: w.now, Who: m.name, What: fmt.Sprintf(
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -54,8 +54,8 @@
 	return &ways{p: p, at: map[control.BackendID]*place{}, subs: map[slots.Ref]*submission{}}
 }
 
-// At says where a backend is.
-func (x *ways) At(id control.BackendID, addr string, _ time.Duration, ready bool) {
+// SetBackend says where a backend is.
+func (x *ways) SetBackend(id control.BackendID, addr string, _ time.Duration, ready bool) {
 	b := x.at[id]
 	if b == nil {
 		if ready {
@@ -78,8 +78,8 @@
 	}
 }
 
-// Most bounds nothing here: no more connections are kept than requests are out.
-func (x *ways) Most(control.BackendID, int) {}
+// SetMaxConns bounds nothing here: no more connections are kept than requests are out.
+func (x *ways) SetMaxConns(control.BackendID, int) {}
 
 func (x *ways) Probe(control.BackendID) {}
 
--- a/internal/proxy/downstream/server.go
+++ b/internal/proxy/downstream/server.go
@@ -112,9 +112,9 @@
 	in.streams, _ = f.(Streamer)
 }
 
-// Bound changes the bounds, for messages and connections that begin from now on, and waits that are under
+// SetBounds changes the bounds, for messages and connections that begin from now on, and waits that are under
 // way.
-func (in *Server) Bound(b Bounds) { in.bounds = b.filled() }
+func (in *Server) SetBounds(b Bounds) { in.bounds = b.filled() }
 
 // Accept takes a new connection. When as many as may be are open, one that does nothing goes.
 func (in *Server) Accept(l *eventloop.Link) {
@@ -318,7 +318,7 @@
 // unread, and is read before anybody is looked at again.
 func (in *Server) Due(uint32) {
 	in.e.At(in.e.Now()+sweepEvery, in, 0)
-	if stood := in.e.Waited(); stood > 0 && !unforgiving {
+	if stood := in.e.InputDelay(); stood > 0 && !unforgiving {
 		in.clients.Each(func(_ slots.Ref, c *Client) { c.since = min(c.since+stood, in.e.Now()) })
 		return
 	}
--- a/internal/proxy/downstream/server_test.go
+++ b/internal/proxy/downstream/server_test.go
@@ -37,7 +37,7 @@
 		in.Serves(greeter{})
 		begun := make(chan bool, 1)
 		e.Accepted(in.Accept)
-		e.Settled(func() {
+		e.OnTurnEnd(func() {
 			in.clients.Each(func(_ slots.Ref, c *Client) {
 				if c.begun && len(begun) == 0 {
 					begun <- true
--- a/internal/proxy/downstream/txn.go
+++ b/internal/proxy/downstream/txn.go
@@ -154,7 +154,7 @@
 	}
 	// The client counts from when it sent. After a standstill the txn may have lain unread for all of it: taken as
 	// new, it would be answered past its expiry.
-	x.Expiry = f.e.Now() + max(span-f.e.Waited(), 0)
+	x.Expiry = f.e.Now() + max(span-f.e.InputDelay(), 0)
 	if x.Customer, ok = customer(cookie); !ok {
 		return x, why, "cookie: key is 16 hexadecimal digits below 2^33"
 	}
--- a/internal/proxy/eventloop/engine.go
+++ b/internal/proxy/eventloop/engine.go
@@ -99,8 +99,8 @@
 // Accepted says who takes new clients.
 func (e *Engine) Accepted(f func(*Link)) { e.accept = f }
 
-// Settled says who pulls decisions at the end of a turn.
-func (e *Engine) Settled(f func()) { e.settled = f }
+// OnTurnEnd says who pulls decisions at the end of a turn.
+func (e *Engine) OnTurnEnd(f func()) { e.settled = f }
 
 // Short says who gives descriptors back when they run out.
 func (e *Engine) Short(f func()) { e.short = f }
@@ -169,8 +169,8 @@
 // stoodLeast is more than the system's usual lateness; what is read within it after a standstill may have waited.
 const stoodLeast = 20 * time.Millisecond
 
-// Waited is how long bytes that are read now may have lain in the socket, at the most that can be known.
-func (e *Engine) Waited() time.Duration {
+// InputDelay is how long bytes that are read now may have lain in the socket, at the most that can be known.
+func (e *Engine) InputDelay() time.Duration {
 	if e.stood > 0 && e.now-e.stoodAt <= stoodLeast {
 		return e.stood
 	}
--- a/internal/proxy/eventloop/listen.go
+++ b/internal/proxy/eventloop/listen.go
@@ -73,8 +73,8 @@
 	return a.Listener.Close()
 }
 
-// Deafen takes no new connections from now on, anywhere: they are refused.
-func (e *Engine) Deafen() {
+// StopListening takes no new connections from now on, anywhere: they are refused.
+func (e *Engine) StopListening() {
 	for nr := range e.ears {
 		e.DeafenAt(nr)
 	}
--- a/internal/proxy/peers/peers.go
+++ b/internal/proxy/peers/peers.go
@@ -32,7 +32,7 @@
 func New(e *eventloop.Engine, listen string, addrs []netip.AddrPort, me int,
 	heard func(control.GatewayID, []byte)) (*Peers, error) {
 	p := &Peers{e: e, fd: -1, heard: heard}
-	p.Move(addrs, me)
+	p.SetPeers(addrs, me)
 	var err error
 	p.listen, err = netip.ParseAddrPort(listen)
 	return p, err
@@ -42,8 +42,8 @@
 // the module passes over them.
 func (p *Peers) Frames(mark byte, f func(control.GatewayID, []byte)) { p.mark, p.frames = mark, f }
 
-// Move says where the others are from now on.
-func (p *Peers) Move(addrs []netip.AddrPort, me int) {
+// SetPeers says where the others are from now on.
+func (p *Peers) SetPeers(addrs []netip.AddrPort, me int) {
 	p.ids, p.addrs = map[netip.AddrPort]control.GatewayID{}, nil
 	for i, a := range addrs {
 		if i != me {
--- a/internal/proxy/upstream/orders_test.go
+++ b/internal/proxy/upstream/orders_test.go
@@ -200,7 +200,7 @@
 				continue
 			}
 			id := control.BackendID(i + 1)
-			s.d.At(id, s.at[i].ln.Addr().String(), 0, true)
+			s.d.SetBackend(id, s.at[i].ln.Addr().String(), 0, true)
 			s.g.Listed(false, []control.Listing{{ID: id, State: control.Ready, Size: 4, Service: 1}})
 		}
 		s.hands.now += 30 * time.Second // tokens have come in
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -102,18 +102,18 @@
 	return d
 }
 
-// Most bounds the connections to a backend that is known; 0 bounds nothing.
-func (d *Dispatch) Most(id control.BackendID, conns int) {
+// SetMaxConns bounds the connections to a backend that is known; 0 bounds nothing.
+func (d *Dispatch) SetMaxConns(id control.BackendID, conns int) {
 	if b := d.backends[id]; b != nil {
 		b.most = conns
 	}
 }
 
-// At says where a backend is, since when, and whether it takes anything new. Connections to where it was before, or to
+// SetBackend says where a backend is, since when, and whether it takes anything new. Connections to where it was before, or to
 // the process before, are not used again: where a machine vanished they are open and silent. What is still being
 // connected to one that drains or is gone ends here, never sent. One that takes nothing new is forgotten: what is out
 // there keeps its own hold of it.
-func (d *Dispatch) At(id control.BackendID, addr string, started time.Duration, ready bool) {
+func (d *Dispatch) SetBackend(id control.BackendID, addr string, started time.Duration, ready bool) {
 	b := d.backends[id]
 	if b == nil {
 		if ready {
@@ -140,7 +140,7 @@
 func (d *Dispatch) Only(listed map[control.BackendID]bool) {
 	for id, b := range d.backends {
 		if !listed[id] {
-			d.At(id, b.addr, b.started, false)
+			d.SetBackend(id, b.addr, b.started, false)
 		}
 	}
 }
@@ -258,7 +258,7 @@
 	s := a.d.subs.Get(slots.Ref(ref))
 	switch {
 	case !a.Live(ref) || a.d.e.Now() < s.wholeBy:
-	case a.d.e.Waited() > 0 && !unfenced.unread: // this node stood still: the rest may lie unread
+	case a.d.e.InputDelay() > 0 && !unfenced.unread: // this node stood still: the rest may lie unread
 		s.wholeBy = a.d.e.Now() + s.whole
 		a.d.e.At(s.wholeBy, a, ref)
 	default:
