--- a/internal/gateway/controlapi/coordination.go
+++ b/internal/gateway/controlapi/coordination.go
@@ -21,7 +21,7 @@
 type Coordination interface {
 	// Coordinate brings a call to whoever leads its group. then is called once, within the caller's second, or within a watch's
 	// wait and a second.
-	Coordinate(c coordination.Call, then func(coordination.Answer))
+	Coordinate(c coordination.Call, then func(coordination.Result))
 	// GroupList is how the groups stand, as this node knows it.
 	GroupList() GroupList
 	// TransferGroup has the node at an inner address lead a group; false: this node does not lead it, or that one could not at once.
@@ -43,13 +43,13 @@
 
 // pathCalls are the applications' calls.
 var pathCalls = []pathCall{
-	{"/api/Locks.Begin/", "POST", coordination.LockBegin},
-	{"/api/Locks.Heartbeat/", "POST", coordination.LockHeartbeat},
-	{"/api/Locks.Finish/", "POST", coordination.LockFinish},
+	{"/api/Locks.Begin/", "POST", coordination.LockAcquire},
+	{"/api/Locks.Heartbeat/", "POST", coordination.LockRenew},
+	{"/api/Locks.Finish/", "POST", coordination.LockRelease},
 	{"/api/Locks.Read/", "GET", coordination.LockRead},
 	{"/api/Locks.List/", "GET", coordination.LockList},
-	{"/api/numbers/", "POST", coordination.Number},
-	{"/api/Cells.Replace/", "POST", coordination.KeyReplace},
+	{"/api/numbers/", "POST", coordination.NumberNext},
+	{"/api/Cells.Replace/", "POST", coordination.KeyPut},
 	{"/api/Cells.Read/", "GET", coordination.KeyRead},
 	{"/api/watch/", "GET", coordination.KeyWatch},
 }
@@ -75,7 +75,7 @@
 			f.end(t, 400, []byte(err.Error()))
 			return true
 		}
-		f.node.Coordinate(call, func(a coordination.Answer) { f.coordinated(t, call.Operation, &a) })
+		f.node.Coordinate(call, func(a coordination.Result) { f.coordinated(t, call.Operation, &a) })
 		return true
 	}
 	return false
@@ -84,33 +84,33 @@
 // readCall reads a call from its path, its query and its body.
 func readCall(o coordination.Operation, text, query string, body []byte) (call coordination.Call, err error) {
 	call.Operation = o
-	if call.Name, err = url.PathUnescape(text); err != nil || call.Name == "" || len(call.Name) > coordination.LongestName {
+	if call.Name, err = url.PathUnescape(text); err != nil || call.Name == "" || len(call.Name) > coordination.MaxNameBytes {
 		return call, errors.New("no name in the path, or too long a one")
 	}
 	switch o {
-	case coordination.LockBegin:
+	case coordination.LockAcquire:
 		var b LockBegin
 		err = readBody(body, &b)
 		call.Holder = b.Holder
-		call.Hold, err = holdOf(b.Hold, err)
-	case coordination.LockHeartbeat:
+		call.TTL, err = holdOf(b.Hold, err)
+	case coordination.LockRenew:
 		var b LockHeartbeat
 		err = readBody(body, &b)
-		call.Holder, call.Fence = b.Holder, b.Fence
-		call.Hold, err = holdOf(b.Hold, err)
-	case coordination.LockFinish:
+		call.Holder, call.FencingToken = b.Holder, b.Fence
+		call.TTL, err = holdOf(b.Hold, err)
+	case coordination.LockRelease:
 		var b LockFinish
 		err = readBody(body, &b)
-		call.Holder, call.Fence = b.Holder, b.Fence
-	case coordination.KeyReplace:
+		call.Holder, call.FencingToken = b.Holder, b.Fence
+	case coordination.KeyPut:
 		var b KeyReplace
 		err = readBody(body, &b)
 		call.Value = b.Value
 		if b.Topic != nil {
-			call.Bound, call.Expected = true, *b.Topic
+			call.Conditional, call.ExpectedRevision = true, *b.Topic
 		}
 	case coordination.KeyWatch:
-		call.After, call.Wait, err = readWatch(query)
+		call.AfterRevision, call.Timeout, err = readWatch(query)
 	case coordination.LockList:
 		call.Group, err = readGroup(call.Name)
 	}
@@ -179,8 +179,8 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "hold")
 	}
-	if hold <= 0 || hold > coordination.LongestHold {
-		return 0, errors.Errorf("hold: more than 0 s, at most %v", coordination.LongestHold)
+	if hold <= 0 || hold > coordination.MaxTTL {
+		return 0, errors.Errorf("hold: more than 0 s, at most %v", coordination.MaxTTL)
 	}
 	return hold, nil
 }
@@ -203,27 +203,27 @@
 		}
 		wait = time.Duration(ms) * time.Millisecond
 	}
-	return after, min(wait, coordination.LongestWait), nil
+	return after, min(wait, coordination.MaxWatchTimeout), nil
 }
 
 // statusCodes are those that callers get. 412, 429 and 503 promise that nothing was done and never will be.
 var statusCodes = [...]int{
-	coordination.OK:          200,
-	coordination.Held:        409,
-	coordination.Lost:        409,
-	coordination.Conflict:    412,
-	coordination.NotFound:    404,
-	coordination.Compacted:   410,
-	coordination.Full:        429,
-	coordination.Unavailable: 503,
-	coordination.Unclear:     504,
+	coordination.StatusOK:           200,
+	coordination.StatusLockHeld:     409,
+	coordination.StatusLockLost:     409,
+	coordination.StatusConflict:     412,
+	coordination.StatusNotFound:     404,
+	coordination.StatusCompacted:    410,
+	coordination.StatusLimitReached: 429,
+	coordination.StatusUnavailable:  503,
+	coordination.StatusAmbiguous:    504,
 }
 
 // coordinated answers a call that was held.
-func (f *Handler) coordinated(t downstream.Ticket, o coordination.Operation, a *coordination.Answer) {
+func (f *Handler) coordinated(t downstream.Ticket, o coordination.Operation, a *coordination.Result) {
 	code := statusCodes[a.Status]
 	after := time.Duration(0)
-	if a.Status == coordination.Unavailable || a.Status == coordination.Full {
+	if a.Status == coordination.StatusUnavailable || a.Status == coordination.StatusLimitReached {
 		after = busyAdvice
 	}
 	text, err := json.Marshal(answerBody(o, a))
@@ -236,19 +236,19 @@
 }
 
 // answerBody words an answer.
-func answerBody(o coordination.Operation, a *coordination.Answer) any {
+func answerBody(o coordination.Operation, a *coordination.Result) any {
 	switch {
-	case a.Status == coordination.Conflict:
+	case a.Status == coordination.StatusConflict:
 		return KeyRevision{Revision: a.Revision}
-	case a.Status != coordination.OK:
+	case a.Status != coordination.StatusOK:
 		return Refusal{Error: a.Status.String()}
 	}
 	switch o {
-	case coordination.LockBegin:
-		return LockFence{Fence: a.Fence}
-	case coordination.Number:
+	case coordination.LockAcquire:
+		return LockFence{Fence: a.FencingToken}
+	case coordination.NumberNext:
 		return NextNumber{Value: a.Number}
-	case coordination.KeyReplace:
+	case coordination.KeyPut:
 		return KeyRevision{Revision: a.Revision}
 	case coordination.KeyRead:
 		return KeyValue{Value: a.Value, Revision: a.Revision}
@@ -261,7 +261,7 @@
 	case coordination.LockRead, coordination.LockList:
 		list := LockList{Locks: make([]LockStatus, 0, len(a.Locks))}
 		for _, l := range a.Locks {
-			list.Locks = append(list.Locks, LockStatus{Name: l.Name, Holder: l.Holder, Fence: l.Fence, LeftMs: l.Left.Milliseconds()})
+			list.Locks = append(list.Locks, LockStatus{Name: l.Name, Holder: l.Holder, Fence: l.FencingToken, LeftMs: l.TimeLeft.Milliseconds()})
 		}
 		return list
 	}
--- a/internal/gateway/controlapi/coordination_test.go
+++ b/internal/gateway/controlapi/coordination_test.go
@@ -14,49 +14,49 @@
 func TestCoordinationCalls(t *testing.T) {
 	type wire struct {
 		call, body, asked string
-		answer            coordination.Answer
+		answer            coordination.Result
 		status            int
 		text              string
 	}
 	refused := func(status coordination.Status) string { return `{"error":"` + status.String() + `"}` }
 	for _, w := range []wire{
 		{"POST /api/Locks.Begin/l1f", `{"holder":"a3.7","hold":"3000ms"}`, `lock begin "l1f" "a3.7" 0 3s "" false 0 0 0s`,
-			coordination.Answer{Fence: 41}, 200, `{"fence":41}`},
+			coordination.Result{FencingToken: 41}, 200, `{"fence":41}`},
 		{"POST /api/Locks.Begin/l1f", `{"holder":"a3.7","hold":"3000ms"}`, `lock begin "l1f" "a3.7" 0 3s "" false 0 0 0s`,
-			coordination.Answer{Status: coordination.Held}, 409, refused(coordination.Held)},
+			coordination.Result{Status: coordination.StatusLockHeld}, 409, refused(coordination.StatusLockHeld)},
 		{"POST /api/Locks.Heartbeat/l1f", `{"holder":"a3.7","fence":41,"hold":"2s"}`, `lock heartbeat "l1f" "a3.7" 41 2s "" false 0 0 0s`,
-			coordination.Answer{}, 200, `{}`},
+			coordination.Result{}, 200, `{}`},
 		{"POST /api/Locks.Heartbeat/l1f", `{"holder":"a3.7","fence":41,"hold":"2s"}`, `lock heartbeat "l1f" "a3.7" 41 2s "" false 0 0 0s`,
-			coordination.Answer{Status: coordination.Lost}, 409, refused(coordination.Lost)},
+			coordination.Result{Status: coordination.StatusLockLost}, 409, refused(coordination.StatusLockLost)},
 		{"POST /api/Locks.Finish/l1f", `{"holder":"a3.7","fence":41}`, `lock finish "l1f" "a3.7" 41 0s "" false 0 0 0s`,
-			coordination.Answer{}, 200, `{}`},
-		{"POST /api/numbers/n2", `{}`, `number "n2" "" 0 0s "" false 0 0 0s`, coordination.Answer{Number: 5120}, 200, `{"value":5120}`},
+			coordination.Result{}, 200, `{}`},
+		{"POST /api/numbers/n2", `{}`, `number "n2" "" 0 0s "" false 0 0 0s`, coordination.Result{Number: 5120}, 200, `{"value":5120}`},
 		{"POST /api/Cells.Replace/g1.2d", `{"value":"5c0e","topic":907}`, `key replace "g1.2d" "" 0 0s "5c0e" true 907 0 0s`,
-			coordination.Answer{Revision: 931}, 200, `{"revision":931}`},
+			coordination.Result{Revision: 931}, 200, `{"revision":931}`},
 		{"POST /api/Cells.Replace/g1.2d", `{"value":"5c0e"}`, `key replace "g1.2d" "" 0 0s "5c0e" false 0 0 0s`,
-			coordination.Answer{Status: coordination.Conflict, Revision: 922}, 412, `{"revision":922}`},
+			coordination.Result{Status: coordination.StatusConflict, Revision: 922}, 412, `{"revision":922}`},
 		{"POST /api/Cells.Replace/g1.2d", `{"value":"5c0e","topic":0}`, `key replace "g1.2d" "" 0 0s "5c0e" true 0 0 0s`,
-			coordination.Answer{Status: coordination.Conflict, Revision: 922}, 412, `{"revision":922}`},
+			coordination.Result{Status: coordination.StatusConflict, Revision: 922}, 412, `{"revision":922}`},
 		{"GET /api/Cells.Read/g1.2d", "", `key read "g1.2d" "" 0 0s "" false 0 0 0s`,
-			coordination.Answer{Value: "5c0e", Revision: 931}, 200, `{"revision":931,"value":"5c0e"}`},
+			coordination.Result{Value: "5c0e", Revision: 931}, 200, `{"revision":931,"value":"5c0e"}`},
 		{"GET /api/Cells.Read/g%2F1", "", `key read "g/1" "" 0 0s "" false 0 0 0s`,
-			coordination.Answer{Status: coordination.NotFound}, 404, refused(coordination.NotFound)},
+			coordination.Result{Status: coordination.StatusNotFound}, 404, refused(coordination.StatusNotFound)},
 		{"GET /api/watch/g1.?after=930&wait_ms=2000", "", `key watch "g1." "" 0 0s "" false 0 930 2s`,
-			coordination.Answer{Revision: 934, Events: []coordination.Event{{Name: "g1.2d", Value: "5c0e", Revision: 931}}}, 200,
+			coordination.Result{Revision: 934, Events: []coordination.Event{{Name: "g1.2d", Value: "5c0e", Revision: 931}}}, 200,
 			`{"events":[{"name":"g1.2d","revision":931,"value":"5c0e"}],"revision":934}`},
-		{"GET /api/watch/g1.", "", `key watch "g1." "" 0 0s "" false 0 0 0s`, coordination.Answer{Revision: 3}, 200, `{"events":[],"revision":3}`},
+		{"GET /api/watch/g1.", "", `key watch "g1." "" 0 0s "" false 0 0 0s`, coordination.Result{Revision: 3}, 200, `{"events":[],"revision":3}`},
 		{"GET /api/watch/g1.?after=1", "", `key watch "g1." "" 0 0s "" false 0 1 0s`,
-			coordination.Answer{Status: coordination.Compacted}, 410, refused(coordination.Compacted)},
+			coordination.Result{Status: coordination.StatusCompacted}, 410, refused(coordination.StatusCompacted)},
 		{"GET /api/Locks.Read/l1f", "", `lock read "l1f" "" 0 0s "" false 0 0 0s`,
-			coordination.Answer{Locks: []coordination.Lock{{Name: "l1f", Holder: "a", Fence: 3, Left: time.Second}}}, 200,
+			coordination.Result{Locks: []coordination.LockInfo{{Name: "l1f", Holder: "a", FencingToken: 3, TimeLeft: time.Second}}}, 200,
 			`{"locks":[{"fence":3,"holder":"a","left_ms":1000,"name":"l1f"}]}`},
 		// Only what promises that nothing was done has one of these three statuses.
 		{"POST /api/numbers/n2", `{}`, `number "n2" "" 0 0s "" false 0 0 0s`,
-			coordination.Answer{Status: coordination.Full}, 429, refused(coordination.Full)},
+			coordination.Result{Status: coordination.StatusLimitReached}, 429, refused(coordination.StatusLimitReached)},
 		{"POST /api/numbers/n2", `{}`, `number "n2" "" 0 0s "" false 0 0 0s`,
-			coordination.Answer{Status: coordination.Unavailable}, 503, refused(coordination.Unavailable)},
+			coordination.Result{Status: coordination.StatusUnavailable}, 503, refused(coordination.StatusUnavailable)},
 		{"POST /api/numbers/n2", `{}`, `number "n2" "" 0 0s "" false 0 0 0s`,
-			coordination.Answer{Status: coordination.Unclear}, 504, refused(coordination.Unclear)},
+			coordination.Result{Status: coordination.StatusAmbiguous}, 504, refused(coordination.StatusAmbiguous)},
 	} {
 		st := open(t)
 		c, r := st.dial()
--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -37,7 +37,7 @@
 	later  bool
 	held   []func()
 	came   chan bool
-	answer coordination.Answer
+	answer coordination.Result
 }
 
 func (h *fakeNode) do(what string, then func()) {
@@ -84,9 +84,9 @@
 	return RolloutHistory{Service: service, Rollouts: []RolloutPast{}}
 }
 
-func (h *fakeNode) Coordinate(c coordination.Call, then func(coordination.Answer)) {
+func (h *fakeNode) Coordinate(c coordination.Call, then func(coordination.Result)) {
 	a := h.answer
-	h.do(fmt.Sprintf("%v %q %q %d %v %q %v %d %d %v", c.Operation, c.Name, c.Holder, c.Fence, c.Hold, c.Value, c.Bound, c.Expected, c.After, c.Wait),
+	h.do(fmt.Sprintf("%v %q %q %d %v %q %v %d %d %v", c.Operation, c.Name, c.Holder, c.FencingToken, c.TTL, c.Value, c.Conditional, c.ExpectedRevision, c.AfterRevision, c.Timeout),
 		func() { then(a) })
 }
 
--- a/internal/gateway/coordination/codec.go
+++ b/internal/gateway/coordination/codec.go
@@ -7,20 +7,20 @@
 	"github.com/go-faster/errors"
 )
 
-// errShort is told of bytes that end too early.
-var errShort = errors.New("entry ends too early")
+// ErrTruncated is told of bytes that end too early.
+var ErrTruncated = errors.New("entry ends too early")
 
 // encoder appends values. All that is kept is written by it, so that the same state gives the same bytes at each member.
 type encoder struct{ bytes []byte }
 
 func (e *encoder) uint(v uint64) { e.bytes = binary.AppendUvarint(e.bytes, v) }
-func (e *encoder) text(s string) {
+func (e *encoder) string(s string) {
 	e.uint(uint64(len(s)))
 	e.bytes = append(e.bytes, s...)
 }
 
-// time is kept in microseconds, rounded down.
-func (e *encoder) time(d time.Duration) { e.uint(uint64(max(d, 0) / time.Microsecond)) }
+// duration is kept in microseconds, rounded down.
+func (e *encoder) duration(d time.Duration) { e.uint(uint64(max(d, 0) / time.Microsecond)) }
 
 func (e *encoder) bool(is bool) {
 	if is {
@@ -42,17 +42,17 @@
 	}
 	v, n := binary.Uvarint(d.bytes)
 	if n <= 0 {
-		d.err = errShort
+		d.err = ErrTruncated
 		return 0
 	}
 	d.bytes = d.bytes[n:]
 	return v
 }
 
-func (d *decoder) text() string {
+func (d *decoder) string() string {
 	n := d.uint()
 	if d.err == nil && n > uint64(len(d.bytes)) {
-		d.err = errShort
+		d.err = ErrTruncated
 	}
 	if d.err != nil {
 		return ""
@@ -62,14 +62,14 @@
 	return s
 }
 
-func (d *decoder) time() time.Duration { return time.Duration(d.uint()) * time.Microsecond }
-func (d *decoder) bool() bool          { return d.uint() != 0 }
+func (d *decoder) duration() time.Duration { return time.Duration(d.uint()) * time.Microsecond }
+func (d *decoder) bool() bool              { return d.uint() != 0 }
 
 // count reads how many records follow; each takes a byte at the least.
 func (d *decoder) count() int {
 	n := d.uint()
 	if d.err == nil && n > uint64(len(d.bytes)) {
-		d.err = errShort
+		d.err = ErrTruncated
 	}
 	if d.err != nil {
 		return 0
--- a/internal/gateway/coordination/entry.go
+++ b/internal/gateway/coordination/entry.go
@@ -7,19 +7,19 @@
 
 // entry is a call in a group's log: what it is, when whoever led took it in by the log clock, and which call it is.
 type entry struct {
-	call Call
-	at   time.Duration
-	id   CallID
+	call    Call
+	logTime time.Duration
+	callID  CallID
 }
 
 // encode words an entry for the log.
 func (x *entry) encode() []byte {
 	var e encoder
 	e.uint(entryVersion)
-	e.time(x.at)
-	e.bool(x.call.Operation == LockBegin)
-	if x.call.Operation == LockBegin {
-		encodeID(&e, x.id)
+	e.duration(x.logTime)
+	e.bool(x.call.Operation == LockAcquire)
+	if x.call.Operation == LockAcquire {
+		encodeCallID(&e, x.callID)
 	}
 	x.call.encode(&e)
 	return e.bytes
@@ -29,32 +29,32 @@
 func decodeEntry(b []byte) (x entry, err error) {
 	d := decoder{bytes: b}
 	if d.uint() != entryVersion {
-		return x, errVersion
+		return x, ErrUnknownVersion
 	}
-	x.at = d.time()
+	x.logTime = d.duration()
 	if d.bool() {
-		x.id = decodeID(&d)
+		x.callID = decodeCallID(&d)
 	}
 	x.call.decode(&d)
 	return x, d.err
 }
 
 // encodeResult words what an entry led to, for whoever proposed it.
-func encodeResult(a Answer) []byte {
+func encodeResult(a Result) []byte {
 	var e encoder
 	e.uint(uint64(a.Status))
-	e.uint(a.Fence)
+	e.uint(a.FencingToken)
 	e.uint(a.Number)
 	e.uint(a.Revision)
 	return e.bytes
 }
 
-func decodeResult(b []byte) (a Answer, err error) {
+func decodeResult(b []byte) (a Result, err error) {
 	d := decoder{bytes: b}
 	a.Status = Status(d.uint())
-	a.Fence, a.Number, a.Revision = d.uint(), d.uint(), d.uint()
-	if d.err == nil && a.Status > Unclear {
-		return a, errVersion
+	a.FencingToken, a.Number, a.Revision = d.uint(), d.uint(), d.uint()
+	if d.err == nil && a.Status > StatusAmbiguous {
+		return a, ErrUnknownVersion
 	}
 	return a, d.err
 }
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -18,58 +18,58 @@
 // arrive late; time goes on in steps, and another node may come to lead.
 
 const (
-	exploreLock  = "l0"
-	exploreHold  = 1200 * ms
-	exploreStep  = 500 * ms
-	exploreFor   = 800 * ms // a call counts
-	exploreDepth = 10
-	exploreSends = 5
-	exploreSteps = 3
+	exploreLock        = "l0"
+	exploreTTL         = 1200 * ms
+	exploreStep        = 500 * ms
+	exploreCallTimeout = 800 * ms // a call counts
+	exploreDepth       = 10
+	exploreMaxCalls    = 5
+	exploreMaxSteps    = 3
 )
 
-// place is where the exploration stands.
-type place struct {
-	now     time.Duration
-	clock   time.Duration // the log clock
-	state   string        // a snapshot
-	callers [2]exploreCaller
-	calls   [exploreSends]exploreCall
-	sends   int
-	steps   int
-	copies  int
-	changes int
+// exploreState is where the exploration stands.
+type exploreState struct {
+	now           time.Duration
+	logTime       time.Duration // the log clock
+	snapshot      string        // a snapshot
+	callers       [2]exploreCaller
+	calls         [exploreMaxCalls]exploreCall
+	callCount     int
+	steps         int
+	duplicates    int
+	leaderChanges int
 }
 
 // exploreCaller is a caller of the lock.
 type exploreCaller struct {
-	waits int // for the answer to that call, from 1; 0: none
-	holds bool
-	until time.Duration
-	fence uint64
+	awaitedCall  int // for the answer to that call, from 1; 0: none
+	hasLock      bool
+	expiresAt    time.Duration
+	fencingToken uint64
 }
 
 // exploreCall is one of its calls.
 type exploreCall struct {
-	caller   int
-	what     coordination.Operation
-	fence    uint64
-	sent     time.Duration
-	flying   int  // copies
-	answered bool // with 200
-	returned bool // a Begin whose lock was given back since, and that was answered
+	caller       int
+	operation    coordination.Operation
+	fencingToken uint64
+	sent         time.Duration
+	inFlight     int  // copies
+	acknowledged bool // with 200
+	released     bool // a Begin whose lock was given back since, and that was answered
 }
 
 // explorer is a leader that is put wherever the exploration stands.
 type explorer struct {
-	t      *testing.T
-	now    time.Duration
-	life   uint64
-	reply  *coordination.Reply
-	state  groups.StateMachine
-	depth  int
-	seen   map[place]int // the least depth at which a place was met
-	broken string
-	path   []string
+	t           *testing.T
+	now         time.Duration
+	incarnation uint64
+	response    *coordination.ForwardResponse
+	state       groups.StateMachine
+	depth       int
+	seen        map[exploreState]int // the least depth at which a place was met
+	violation   string
+	path        []string
 }
 
 func (x *explorer) Propose(_ groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
@@ -81,157 +81,157 @@
 func (x *explorer) LeaderCandidates(groups.ID) []string                { return nil }
 func (x *explorer) HintLeader(groups.ID, string)                       {}
 func (x *explorer) Now() time.Duration                                 { return x.now }
-func (x *explorer) At(time.Duration, uint32)                           {}
-func (x *explorer) InTouch() bool                                      { return true }
-func (x *explorer) Waited() time.Duration                              { return 0 }
-func (x *explorer) Send(_ string, m *coordination.Message) bool        { x.reply = m.Reply; return true }
+func (x *explorer) ScheduleAt(time.Duration, uint32)                   {}
+func (x *explorer) HasQuorumContact() bool                             { return true }
+func (x *explorer) InputDelay() time.Duration                          { return 0 }
+func (x *explorer) Send(_ string, m *coordination.Message) bool        { x.response = m.Response; return true }
 
 // deliver brings a copy of a call to the leader.
-func (x *explorer) deliver(p place, nr int) place {
+func (x *explorer) deliver(p exploreState, nr int) exploreState {
 	c := &p.calls[nr]
-	c.flying--
-	s := coordination.New(x, coordination.Terms{Address: "leader", Life: x.life, History: testHistory})
-	s.Over(x)
+	c.inFlight--
+	s := coordination.New(x, coordination.Config{Address: "leader", Incarnation: x.incarnation, HistoryRetention: testHistory})
+	s.SetHost(x)
 	id := groups.GroupOf(exploreLock)
-	x.state, x.now, x.reply = s.StateMachine(id), p.now, nil
-	must.NoError(x.t, x.state.Restore([]byte(p.state)))
-	s.Resume(id, p.clock)
-	held := x.state.(*coordination.State).Held()
-	s.Heard("node", &coordination.Message{Ask: &coordination.Ask{Asker: 7, Number: uint32(nr) + 1, Life: x.life, Until: c.sent + exploreFor,
-		Call: coordination.Call{Operation: c.what, Name: exploreLock, Holder: fmt.Sprint("h", c.caller), Fence: c.fence, Hold: exploreHold}}})
-	before := p.state
-	p.state = string(x.state.Snapshot())
-	if p.now > c.sent+exploreFor && !bytes.Equal([]byte(before), []byte(p.state)) {
-		x.breaks("a copy that came %v after its call did something", p.now-c.sent)
+	x.state, x.now, x.response = s.StateMachine(id), p.now, nil
+	must.NoError(x.t, x.state.Restore([]byte(p.snapshot)))
+	s.BecomeLeaderAt(id, p.logTime)
+	held := x.state.(*coordination.State).HeldLocks()
+	s.Receive("node", &coordination.Message{Request: &coordination.ForwardRequest{OriginIncarnation: 7, Sequence: uint32(nr) + 1, TargetIncarnation: x.incarnation, Deadline: c.sent + exploreCallTimeout,
+		Call: coordination.Call{Operation: c.operation, Name: exploreLock, Holder: fmt.Sprint("h", c.caller), FencingToken: c.fencingToken, TTL: exploreTTL}}})
+	before := p.snapshot
+	p.snapshot = string(x.state.Snapshot())
+	if p.now > c.sent+exploreCallTimeout && !bytes.Equal([]byte(before), []byte(p.snapshot)) {
+		x.report("a copy that came %v after its call did something", p.now-c.sent)
 	}
-	good := x.reply.Outcome == coordination.Done && x.reply.Answer.Status == coordination.OK
-	if good && c.what == coordination.LockBegin && c.returned && held != x.state.(*coordination.State).Held() {
-		x.breaks("a copy of a call that was answered and given back took the lock")
+	good := x.response.Outcome == coordination.AttemptDone && x.response.Result.Status == coordination.StatusOK
+	if good && c.operation == coordination.LockAcquire && c.released && held != x.state.(*coordination.State).HeldLocks() {
+		x.report("a copy of a call that was answered and given back took the lock")
 	}
-	if who := &p.callers[c.caller]; who.waits == nr+1 {
-		who.waits = 0
+	if who := &p.callers[c.caller]; who.awaitedCall == nr+1 {
+		who.awaitedCall = 0
 		if good {
-			x.answered(&p, c, who)
+			x.applySuccess(&p, c, who)
 		}
 	}
 	return p
 }
 
-// answered is what a good answer means to its caller.
-func (x *explorer) answered(p *place, c *exploreCall, who *exploreCaller) {
-	c.answered = true
-	switch c.what {
-	case coordination.LockBegin:
-		if who.holds && p.now <= who.until {
-			who.until = max(who.until, c.sent+exploreHold)
+// applySuccess is what a good answer means to its caller.
+func (x *explorer) applySuccess(p *exploreState, c *exploreCall, who *exploreCaller) {
+	c.acknowledged = true
+	switch c.operation {
+	case coordination.LockAcquire:
+		if who.hasLock && p.now <= who.expiresAt {
+			who.expiresAt = max(who.expiresAt, c.sent+exploreTTL)
 		} else {
-			who.holds, who.until = true, c.sent+exploreHold
+			who.hasLock, who.expiresAt = true, c.sent+exploreTTL
 		}
-		who.fence = x.reply.Answer.Fence
-	case coordination.LockHeartbeat:
-		if who.holds && p.now <= who.until {
-			who.until = max(who.until, c.sent+exploreHold)
+		who.fencingToken = x.response.Result.FencingToken
+	case coordination.LockRenew:
+		if who.hasLock && p.now <= who.expiresAt {
+			who.expiresAt = max(who.expiresAt, c.sent+exploreTTL)
 		}
-	case coordination.LockFinish:
-		for i := range p.calls[:p.sends] {
-			if b := &p.calls[i]; b.caller == c.caller && b.what == coordination.LockBegin && b.answered {
-				b.returned = true
+	case coordination.LockRelease:
+		for i := range p.calls[:p.callCount] {
+			if b := &p.calls[i]; b.caller == c.caller && b.operation == coordination.LockAcquire && b.acknowledged {
+				b.released = true
 			}
 		}
 	}
 }
 
-func (x *explorer) breaks(format string, args ...any) {
-	if x.broken == "" {
-		x.broken = fmt.Sprintf(format, args...) + " " + fmt.Sprint(x.path)
+func (x *explorer) report(format string, args ...any) {
+	if x.violation == "" {
+		x.violation = fmt.Sprintf(format, args...) + " " + fmt.Sprint(x.path)
 	}
 }
 
 // visit goes on from a place in all ways.
-func (x *explorer) visit(p place, depth int) {
-	if met, ok := x.seen[p]; x.broken != "" || ok && met <= depth {
+func (x *explorer) visit(p exploreState, depth int) {
+	if met, ok := x.seen[p]; x.violation != "" || ok && met <= depth {
 		return
 	}
 	x.seen[p] = depth
 	a, b := p.callers[0], p.callers[1]
-	if a.holds && b.holds && p.now < a.until && p.now < b.until {
-		x.breaks("both hold the lock")
+	if a.hasLock && b.hasLock && p.now < a.expiresAt && p.now < b.expiresAt {
+		x.report("both hold the lock")
 		return
 	}
 	if depth == x.depth {
 		return
 	}
-	step := func(what string, args []any, next place) {
+	step := func(what string, args []any, next exploreState) {
 		x.path = append(x.path, fmt.Sprintf(what, args...))
 		x.visit(next, depth+1)
 		x.path = x.path[:len(x.path)-1]
 	}
 	for i := range p.callers {
-		if next := p; p.callers[i].waits > 0 { // the connection is reset
-			next.callers[i].waits = 0
+		if next := p; p.callers[i].awaitedCall > 0 { // the connection is reset
+			next.callers[i].awaitedCall = 0
 			step("%d gives up", []any{i}, next)
 			continue
 		}
-		for _, what := range []coordination.Operation{coordination.LockBegin, coordination.LockHeartbeat, coordination.LockFinish} {
+		for _, what := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
 			if next, ok := p.send(i, what); ok {
 				step("%d sends %v", []any{i, what}, next)
 			}
 		}
 	}
-	for nr := range p.calls[:p.sends] {
-		if p.calls[nr].flying == 0 {
+	for nr := range p.calls[:p.callCount] {
+		if p.calls[nr].inFlight == 0 {
 			continue
 		}
 		x.path = append(x.path, fmt.Sprintf("call %d arrives", nr))
 		x.visit(x.deliver(p, nr), depth+1)
 		x.path = x.path[:len(x.path)-1]
-		if next := p; p.copies == 0 && p.calls[nr].flying == 1 {
-			next.copies++
-			next.calls[nr].flying++
+		if next := p; p.duplicates == 0 && p.calls[nr].inFlight == 1 {
+			next.duplicates++
+			next.calls[nr].inFlight++
 			step("call %d is passed on twice", []any{nr}, next)
 		}
 	}
-	if next := p; p.steps < exploreSteps {
+	if next := p; p.steps < exploreMaxSteps {
 		next.steps++
 		next.now += exploreStep
-		next.clock += exploreStep
+		next.logTime += exploreStep
 		step("time", nil, next)
 	}
-	if next := p; p.changes == 0 { // the new leader's clock begins at the newest entry
-		next.changes++
-		next.clock = clockOf(x.t, p.state)
+	if next := p; p.leaderChanges == 0 { // the new leader's clock begins at the newest entry
+		next.leaderChanges++
+		next.logTime = newLeaderLogTime(x.t, p.snapshot)
 		step("another leads", nil, next)
 	}
 }
 
-// clockOf is the log clock of a state, with which a new leader begins.
-func clockOf(t *testing.T, state string) time.Duration {
-	x := &explorer{life: 1}
-	s := coordination.New(x, coordination.Terms{Life: 1, History: testHistory})
-	s.Over(x)
+// newLeaderLogTime is the log clock of a state, with which a new leader begins.
+func newLeaderLogTime(t *testing.T, state string) time.Duration {
+	x := &explorer{incarnation: 1}
+	s := coordination.New(x, coordination.Config{Incarnation: 1, HistoryRetention: testHistory})
+	s.SetHost(x)
 	id := groups.GroupOf(exploreLock)
 	must.NoError(t, s.StateMachine(id).Restore([]byte(state)))
 	s.LeadershipGained(id, 1)
-	return s.LogClock(id)
+	return s.LogTime(id)
 }
 
-func (p place) send(caller int, what coordination.Operation) (place, bool) {
+func (p exploreState) send(caller int, what coordination.Operation) (exploreState, bool) {
 	who := &p.callers[caller]
-	if p.sends == exploreSends || what != coordination.LockBegin && !who.holds {
+	if p.callCount == exploreMaxCalls || what != coordination.LockAcquire && !who.hasLock {
 		return p, false
 	}
-	p.calls[p.sends] = exploreCall{caller: caller, what: what, fence: who.fence, sent: p.now, flying: 1}
-	p.sends++
-	who.waits = p.sends
-	if what == coordination.LockFinish {
-		who.holds, who.until = false, 0
+	p.calls[p.callCount] = exploreCall{caller: caller, operation: what, fencingToken: who.fencingToken, sent: p.now, inFlight: 1}
+	p.callCount++
+	who.awaitedCall = p.callCount
+	if what == coordination.LockRelease {
+		who.hasLock, who.expiresAt = false, 0
 	}
 	return p, true
 }
 
 func explore(t *testing.T, depth int) *explorer {
-	x := &explorer{t: t, life: 1, depth: depth, seen: map[place]int{}}
-	x.visit(place{now: time.Minute, state: string(coordination.NewState(testHistory).Snapshot())}, 0)
+	x := &explorer{t: t, incarnation: 1, depth: depth, seen: map[exploreState]int{}}
+	x.visit(exploreState{now: time.Minute, snapshot: string(coordination.NewState(testHistory).Snapshot())}, 0)
 	return x
 }
 
@@ -242,7 +242,7 @@
 		depth -= 2
 	}
 	x := explore(t, depth)
-	must.Eq(t, "", x.broken)
+	must.Eq(t, "", x.violation)
 	t.Logf("%d places in %v", len(x.seen), time.Since(began).Round(time.Millisecond))
 }
 
@@ -253,7 +253,7 @@
 		coordination.Plant(coordination.Faults[name])
 		began := time.Now()
 		x := explore(t, exploreDepth)
-		t.Logf("%s: %d places, %v: %s", name, len(x.seen), time.Since(began).Round(time.Millisecond), x.broken)
-		test.NotEq(t, "", x.broken, test.Sprint(name))
+		t.Logf("%s: %d places, %v: %s", name, len(x.seen), time.Since(began).Round(time.Millisecond), x.violation)
+		test.NotEq(t, "", x.violation, test.Sprint(name))
 	}
 }
--- a/internal/gateway/coordination/export_test.go
+++ b/internal/gateway/coordination/export_test.go
@@ -39,22 +39,22 @@
 	"a snapshot lacks the history":                 forgetsHistory,
 }
 
-// LogClock and Resume let the explorer begin anywhere: a leader goes on at that time of the log clock.
-func (s *Service) LogClock(id groups.ID) time.Duration { return s.logClock(id) }
+// LogTime and Resume let the explorer begin anywhere: a leader goes on at that time of the log clock.
+func (s *Service) LogTime(id groups.ID) time.Duration { return s.logTime(id) }
 
-func (s *Service) Resume(id groups.ID, clock time.Duration) {
-	s.led[id].leads, s.led[id].base, s.led[id].since = true, clock, s.host.Now()
+func (s *Service) BecomeLeaderAt(id groups.ID, clock time.Duration) {
+	s.hosted[id].isLeader, s.hosted[id].anchorLogTime, s.hosted[id].anchoredAt = true, clock, s.host.Now()
 }
 
 // FaultsOfOrders are those that the explorer of orders is to notice; the days are to notice the others.
 var FaultsOfOrders = []string{"any fence counts", "a late finish frees a lock asked for again", "a late copy takes a lock that was given back",
 	"a copy counts however late", "a new leader forgets holds"}
 
-// Held tells which locks are held, and until when by the log clock.
-func (s *State) Held() string {
+// HeldLocks tells which locks are held, and until when by the log clock.
+func (s *State) HeldLocks() string {
 	text := ""
 	for name, l := range s.locks {
-		text += fmt.Sprint(name, l.holder, l.fence, l.until, ";")
+		text += fmt.Sprint(name, l.holder, l.fencingToken, l.expiresAt, ";")
 	}
 	return text
 }
--- a/internal/gateway/coordination/golden_test.go
+++ b/internal/gateway/coordination/golden_test.go
@@ -38,14 +38,14 @@
 // goldenCalls are a call of each operation, with all fields that are sent of it.
 func goldenCalls() map[string]Call {
 	return map[string]Call{
-		"lock begin":     {Operation: LockBegin, Name: "l1", Holder: "worker-1", Hold: 2500 * time.Millisecond},
-		"lock heartbeat": {Operation: LockHeartbeat, Name: "l1", Holder: "worker-1", Fence: 300, Hold: 90 * time.Second},
-		"lock finish":    {Operation: LockFinish, Name: "l1", Holder: "worker-1", Fence: 1 << 40},
-		"number":         {Operation: Number, Name: "orders"},
-		"key replace":    {Operation: KeyReplace, Name: "g.k", Value: "a value\x00\xff", Bound: true, Expected: 129},
-		"key put":        {Operation: KeyReplace, Name: "g.k2", Value: "another"},
+		"lock begin":     {Operation: LockAcquire, Name: "l1", Holder: "worker-1", TTL: 2500 * time.Millisecond},
+		"lock heartbeat": {Operation: LockRenew, Name: "l1", Holder: "worker-1", FencingToken: 300, TTL: 90 * time.Second},
+		"lock finish":    {Operation: LockRelease, Name: "l1", Holder: "worker-1", FencingToken: 1 << 40},
+		"number":         {Operation: NumberNext, Name: "orders"},
+		"key replace":    {Operation: KeyPut, Name: "g.k", Value: "a value\x00\xff", Conditional: true, ExpectedRevision: 129},
+		"key put":        {Operation: KeyPut, Name: "g.k2", Value: "another"},
 		"key read":       {Operation: KeyRead, Name: "g.k"},
-		"key watch":      {Operation: KeyWatch, Name: "g.", After: 1 << 33, Wait: 30 * time.Second},
+		"key watch":      {Operation: KeyWatch, Name: "g.", AfterRevision: 1 << 33, Timeout: 30 * time.Second},
 		"lock read":      {Operation: LockRead, Name: "l1"},
 		"lock list":      {Operation: LockList, Group: 5},
 	}
@@ -55,24 +55,24 @@
 func goldenMessages() map[string]Message {
 	all := map[string]Message{}
 	for name, c := range goldenCalls() {
-		all["ask "+name] = Message{Ask: &Ask{Asker: 1<<63 + 5, Number: 1<<31 + 7, Try: 29, Life: 1<<62 + 3, Until: 77*time.Hour + 9*time.Microsecond, Call: c}}
+		all["ask "+name] = Message{Request: &ForwardRequest{OriginIncarnation: 1<<63 + 5, Sequence: 1<<31 + 7, Attempt: 29, TargetIncarnation: 1<<62 + 3, Deadline: 77*time.Hour + 9*time.Microsecond, Call: c}}
 	}
-	answer := Answer{Status: Held, Fence: 301, Number: 302, Revision: 303, Value: "v\x00",
+	answer := Result{Status: StatusLockHeld, FencingToken: 301, Number: 302, Revision: 303, Value: "v\x00",
 		Events: []Event{{"g.a", "x", 302}, {"g.b", "", 303}},
-		Locks:  []Lock{{"l1", "worker-1", 300, 1500 * time.Microsecond}, {"l2", "worker-2", 301, time.Hour}}}
-	for name, o := range map[string]Outcome{"0 done": Done, "1 refused": Refused, "2 uncertain": Uncertain, "3 undated": Undated} {
-		all["reply "+name] = Message{Reply: &Reply{Asker: 1<<63 + 5, Number: 1<<31 + 7, Try: 29, Outcome: o, Leader: "10.0.0.1:7001", Life: 1<<62 + 3,
-			Clock: 5 * time.Hour, Answer: answer}}
+		Locks:  []LockInfo{{"l1", "worker-1", 300, 1500 * time.Microsecond}, {"l2", "worker-2", 301, time.Hour}}}
+	for name, o := range map[string]AttemptOutcome{"0 done": AttemptDone, "1 refused": AttemptRejected, "2 uncertain": AttemptAmbiguous, "3 undated": AttemptDeadlineInvalid} {
+		all["reply "+name] = Message{Response: &ForwardResponse{OriginIncarnation: 1<<63 + 5, Sequence: 1<<31 + 7, Attempt: 29, Outcome: o, LeaderHint: "10.0.0.1:7001", ResponderIncarnation: 1<<62 + 3,
+			ResponderClock: 5 * time.Hour, Result: answer}}
 	}
 	for i, s := range goldenStatuses() {
-		all[fmt.Sprint("reply with status ", i)] = Message{Reply: &Reply{Answer: Answer{Status: s}}}
+		all[fmt.Sprint("reply with status ", i)] = Message{Response: &ForwardResponse{Result: Result{Status: s}}}
 	}
 	return all
 }
 
 // goldenStatuses are the statuses by the numbers that are sent and stored.
 func goldenStatuses() []Status {
-	return []Status{OK, Held, Lost, Conflict, NotFound, Compacted, Full, Unavailable, Unclear}
+	return []Status{StatusOK, StatusLockHeld, StatusLockLost, StatusConflict, StatusNotFound, StatusCompacted, StatusLimitReached, StatusUnavailable, StatusAmbiguous}
 }
 
 func TestRecordedMessages(t *testing.T) {
@@ -91,28 +91,28 @@
 	at := func(seconds int) time.Duration { return time.Duration(seconds) * time.Second }
 	life := uint64(1<<63 + 5)
 	lock := func(name, holder string) Call {
-		return Call{Operation: LockBegin, Name: name, Holder: holder, Hold: 10 * time.Second}
+		return Call{Operation: LockAcquire, Name: name, Holder: holder, TTL: 10 * time.Second}
 	}
-	put := func(key, value string) Call { return Call{Operation: KeyReplace, Name: key, Value: value} }
+	put := func(key, value string) Call { return Call{Operation: KeyPut, Name: key, Value: value} }
 	return []entry{
 		{lock("l1", "worker-1"), at(1), CallID{life, 1}},
 		{lock("l2", "worker-2"), at(1), CallID{life, 2}},
 		{lock("l1", "worker-2"), at(2), CallID{life, 3}},
 		{lock("l1", "worker-1"), at(3), CallID{life, 4}},
-		{Call{Operation: LockHeartbeat, Name: "l1", Holder: "worker-1", Fence: 1, Hold: 30 * time.Second}, at(4), CallID{}},
-		{Call{Operation: LockHeartbeat, Name: "l1", Holder: "worker-1", Fence: 7, Hold: 30 * time.Second}, at(4), CallID{}},
-		{Call{Operation: LockFinish, Name: "l2", Holder: "worker-2", Fence: 2}, at(4), CallID{}},
+		{Call{Operation: LockRenew, Name: "l1", Holder: "worker-1", FencingToken: 1, TTL: 30 * time.Second}, at(4), CallID{}},
+		{Call{Operation: LockRenew, Name: "l1", Holder: "worker-1", FencingToken: 7, TTL: 30 * time.Second}, at(4), CallID{}},
+		{Call{Operation: LockRelease, Name: "l2", Holder: "worker-2", FencingToken: 2}, at(4), CallID{}},
 		{lock("l2", "worker-2"), at(5), CallID{life, 2}},
 		{lock("l3", "worker-3"), at(5), CallID{life, 5}},
-		{Call{Operation: Number, Name: "orders"}, at(5), CallID{}},
-		{Call{Operation: Number, Name: "orders"}, at(5), CallID{}},
-		{Call{Operation: Number, Name: "invoices"}, at(5), CallID{}},
+		{Call{Operation: NumberNext, Name: "orders"}, at(5), CallID{}},
+		{Call{Operation: NumberNext, Name: "orders"}, at(5), CallID{}},
+		{Call{Operation: NumberNext, Name: "invoices"}, at(5), CallID{}},
 		{put("g.k", "one"), at(6), CallID{}},
 		{put("g.k", "two"), at(6), CallID{}},
 		{put("g.k", "one"), at(6), CallID{}},
 		{put("h.k", "three"), at(6), CallID{}},
-		{Call{Operation: KeyReplace, Name: "g.k", Value: "four", Bound: true, Expected: 1}, at(7), CallID{}},
-		{Call{Operation: KeyReplace, Name: "g.k2", Value: "five", Bound: true}, at(9), CallID{}},
+		{Call{Operation: KeyPut, Name: "g.k", Value: "four", Conditional: true, ExpectedRevision: 1}, at(7), CallID{}},
+		{Call{Operation: KeyPut, Name: "g.k2", Value: "five", Conditional: true}, at(9), CallID{}},
 		{put("g.k", "six"), at(20), CallID{}},
 		{Call{Operation: KeyRead, Name: "g.k"}, at(20), CallID{}},
 	}
@@ -123,15 +123,15 @@
 	files, results, want := recorded(t, "entries"), recorded(t, "results"), goldenLog()
 	must.MapLen(t, len(want), files)
 	must.MapLen(t, len(want), results)
-	statuses := []Status{OK, OK, Held, OK, OK, Lost, OK, Unclear, OK, OK, OK, OK, OK, OK, OK, OK, Conflict, OK, OK, Unclear}
+	statuses := []Status{StatusOK, StatusOK, StatusLockHeld, StatusOK, StatusOK, StatusLockLost, StatusOK, StatusAmbiguous, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusConflict, StatusOK, StatusOK, StatusAmbiguous}
 	s := NewState(4 * time.Second)
 	for i, x := range want {
 		name := fmt.Sprint(i)
 		got, err := decodeEntry(files[name])
 		must.NoError(t, err, must.Sprint(name))
 		must.Eq(t, x.call, got.call, must.Sprint(name))
-		must.Eq(t, x.at, got.at, must.Sprint(name))
-		must.Eq(t, x.id, got.id, must.Sprint(name))
+		must.Eq(t, x.logTime, got.logTime, must.Sprint(name))
+		must.Eq(t, x.callID, got.callID, must.Sprint(name))
 		must.Eq(t, files[name], x.encode(), must.Sprint(name))
 		must.Eq(t, results[name], s.Apply(uint64(i), files[name]), must.Sprint(name))
 		a, err := decodeResult(results[name])
@@ -146,32 +146,32 @@
 	b := recorded(t, "snapshot")["result"]
 	a, err := decodeResult(b)
 	must.NoError(t, err)
-	must.Eq(t, Answer{Status: Conflict, Fence: 301, Number: 302, Revision: 303}, a)
+	must.Eq(t, Result{Status: StatusConflict, FencingToken: 301, Number: 302, Revision: 303}, a)
 	must.Eq(t, b, encodeResult(a))
 }
 
 // goldenState has all that a snapshot holds.
 func goldenState() *State {
 	s := NewState(4 * time.Second)
-	s.clock, s.fence = 77*time.Hour+9*time.Microsecond, 1<<40
-	s.locks = map[string]*lock{
-		"l1": {holder: "worker-1", fence: 300, until: 78 * time.Hour, id: CallID{1<<63 + 5, 1<<31 + 7}, begun: 76 * time.Hour, again: true},
-		"l2": {holder: "worker-2", fence: 301, until: 79 * time.Hour, id: CallID{6, 8}, begun: 77 * time.Hour},
+	s.logTime, s.lastFencingToken = 77*time.Hour+9*time.Microsecond, 1<<40
+	s.locks = map[string]*lockState{
+		"l1": {holder: "worker-1", fencingToken: 300, expiresAt: 78 * time.Hour, callID: CallID{1<<63 + 5, 1<<31 + 7}, lastAcquireAt: 76 * time.Hour, reacquired: true},
+		"l2": {holder: "worker-2", fencingToken: 301, expiresAt: 79 * time.Hour, callID: CallID{6, 8}, lastAcquireAt: 77 * time.Hour},
 	}
-	s.retired = []retiredBegin{{CallID{9, 10}, 75 * time.Hour}, {CallID{1<<63 + 11, 12}, 76 * time.Hour}}
+	s.retiredCalls = []retiredCall{{CallID{9, 10}, 75 * time.Hour}, {CallID{1<<63 + 11, 12}, 76 * time.Hour}}
 	s.numbers = map[string]uint64{"orders": 1 << 50, "invoices": 3}
-	first, second := digestOf("g.a", "x"), digestOf("h.a", "z")
+	first, second := newPutDigest("g.a", "x"), newPutDigest("h.a", "z")
 	a := storedEvent{Event{"g.a", "w", 11}, 70 * time.Hour}
 	b := storedEvent{Event{"g.a", "x", 12}, 71 * time.Hour}
 	s.keys = keyTable{
 		groups: map[string]*keyGroup{
-			"g.": {revision: 12, floor: 10, keys: map[string]keyValue{"g.a": {"x", 12}, "g.b": {"\x00y", 9}}, events: []storedEvent{a, b}},
-			"h.": {revision: 1 << 35, floor: 1 << 34, keys: map[string]keyValue{"h.a": {"z", 1 << 35}}},
+			"g.": {revision: 12, compactedRevision: 10, keys: map[string]keyValue{"g.a": {"x", 12}, "g.b": {"\x00y", 9}}, events: []storedEvent{a, b}},
+			"h.": {revision: 1 << 35, compactedRevision: 1 << 34, keys: map[string]keyValue{"h.a": {"z", 1 << 35}}},
 		},
-		bytes:  len("g.a") + len("x") + len("g.b") + len("\x00y") + len("h.a") + len("z") + 3*eventOverhead,
-		events: a.size() + b.size(),
-		puts:   map[putDigest]uint64{first: 12, second: 1 << 35},
-		order:  []putDigest{second, first},
+		bytes:        len("g.a") + len("x") + len("g.b") + len("\x00y") + len("h.a") + len("z") + 3*eventOverhead,
+		historyBytes: a.size() + b.size(),
+		putRevisions: map[putDigest]uint64{first: 12, second: 1 << 35},
+		putOrder:     []putDigest{second, first},
 	}
 	return s
 }
@@ -179,10 +179,10 @@
 func TestRecordedSnapshot(t *testing.T) {
 	b, want, got := recorded(t, "snapshot")["state"], goldenState(), NewState(4*time.Second)
 	must.NoError(t, got.Restore(b))
-	must.Eq(t, want.clock, got.clock)
-	must.Eq(t, want.fence, got.fence)
+	must.Eq(t, want.logTime, got.logTime)
+	must.Eq(t, want.lastFencingToken, got.lastFencingToken)
 	must.True(t, reflect.DeepEqual(want.locks, got.locks))
-	must.True(t, reflect.DeepEqual(want.retired, got.retired))
+	must.True(t, reflect.DeepEqual(want.retiredCalls, got.retiredCalls))
 	must.Eq(t, want.numbers, got.numbers)
 	must.True(t, reflect.DeepEqual(want.keys, got.keys))
 	must.Eq(t, b, want.Snapshot())
@@ -192,10 +192,10 @@
 // An entry, a message and a state of a version that is not known are told from such as are torn.
 func TestUnknownVersion(t *testing.T) {
 	_, err := decodeEntry([]byte{2})
-	must.ErrorIs(t, err, errVersion)
+	must.ErrorIs(t, err, ErrUnknownVersion)
 	_, err = DecodeMessage([]byte{3})
-	must.ErrorIs(t, err, errVersion)
-	must.ErrorIs(t, NewState(time.Second).Restore([]byte{2}), errVersion)
+	must.ErrorIs(t, err, ErrUnknownVersion)
+	must.ErrorIs(t, NewState(time.Second).Restore([]byte{2}), ErrUnknownVersion)
 	_, err = decodeEntry([]byte{1})
-	must.ErrorIs(t, err, errShort)
+	must.ErrorIs(t, err, ErrTruncated)
 }
--- a/internal/gateway/coordination/lead.go
+++ b/internal/gateway/coordination/lead.go
@@ -4,87 +4,87 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// replier ends one try of a call.
-type replier func(Outcome, Answer)
+// replyFunc ends one try of a call.
+type replyFunc func(AttemptOutcome, Result)
 
-// serve decides a call, if this node leads its group.
-func (s *Service) serve(c *Call, id CallID, reply replier) {
+// serveAsLeader decides a call, if this node leads its group.
+func (s *Service) serveAsLeader(c *Call, id CallID, reply replyFunc) {
 	group := c.GroupID()
-	if int(group) >= len(s.led) || !s.leads(group) {
-		reply(Refused, Answer{})
+	if int(group) >= len(s.hosted) || !s.isLeader(group) {
+		reply(AttemptRejected, Result{})
 		return
 	}
 	switch c.Operation {
-	case LockBegin:
+	case LockAcquire:
 		// Callers that wait for a lock ask again and again: as long as another may hold it this costs no entry.
-		if s.led[group].state.holds(c.Name, c.Holder, s.logClock(group)) {
-			reply(Done, Answer{Status: Held})
+		if s.hosted[group].state.isLockedByOther(c.Name, c.Holder, s.logTime(group)) {
+			reply(AttemptDone, Result{Status: StatusLockHeld})
 			return
 		}
 		s.propose(group, c, id, reply)
-	case LockHeartbeat, LockFinish, KeyReplace:
+	case LockRenew, LockRelease, KeyPut:
 		s.propose(group, c, id, reply)
-	case Number:
+	case NumberNext:
 		if s.fault == numbersInMemory {
 			s.numbers[c.Name]++
-			reply(Done, Answer{Number: s.numbers[c.Name]})
+			reply(AttemptDone, Result{Number: s.numbers[c.Name]})
 			return
 		}
 		s.propose(group, c, id, reply)
 	case KeyRead, LockRead, LockList:
-		s.confirm(group, s.fault == readsAlone, reply, func() Answer { return s.read(group, c) })
+		s.readLinearizable(group, s.fault == readsAlone, reply, func() Result { return s.readState(group, c) })
 	case KeyWatch:
 		s.serveWatch(group, c, reply)
 	default:
-		reply(Done, Answer{Status: Full})
+		reply(AttemptDone, Result{Status: StatusLimitReached})
 	}
 }
 
 // propose puts a call into its group's log, stamped with the time at which it was taken in.
-func (s *Service) propose(group groups.ID, c *Call, id CallID, reply replier) {
-	x := entry{call: *c, at: s.logClock(group), id: id}
+func (s *Service) propose(group groups.ID, c *Call, id CallID, reply replyFunc) {
+	x := entry{call: *c, logTime: s.logTime(group), callID: id}
 	s.host.Propose(group, x.encode(), func(o groups.Outcome, result []byte) {
 		if o != groups.Applied {
-			reply(outcomeOf(o), Answer{})
+			reply(attemptOutcome(o), Result{})
 			return
 		}
 		a, err := decodeResult(result)
-		if err != nil || a.Status == Unclear {
-			reply(Uncertain, Answer{})
+		if err != nil || a.Status == StatusAmbiguous {
+			reply(AttemptAmbiguous, Result{})
 			return
 		}
-		reply(Done, a)
+		reply(AttemptDone, a)
 	})
 }
 
-func outcomeOf(o groups.Outcome) Outcome {
+func attemptOutcome(o groups.Outcome) AttemptOutcome {
 	if o == groups.NotProposed {
-		return Refused
+		return AttemptRejected
 	}
-	return Uncertain
+	return AttemptAmbiguous
 }
 
-// confirm answers from the group's state once it holds all that was acknowledged before.
-func (s *Service) confirm(group groups.ID, alone bool, reply replier, answer func() Answer) {
+// readLinearizable answers from the group's state once it holds all that was acknowledged before.
+func (s *Service) readLinearizable(group groups.ID, alone bool, reply replyFunc, answer func() Result) {
 	if alone {
-		reply(Done, answer())
+		reply(AttemptDone, answer())
 		return
 	}
 	s.host.ReadIndex(group, func(ok bool) {
 		if !ok {
-			reply(Refused, Answer{})
+			reply(AttemptRejected, Result{})
 			return
 		}
-		reply(Done, answer())
+		reply(AttemptDone, answer())
 	})
 }
 
-// read answers a call that changes nothing.
-func (s *Service) read(group groups.ID, c *Call) Answer {
-	state := s.led[group].state
+// readState answers a call that changes nothing.
+func (s *Service) readState(group groups.ID, c *Call) Result {
+	state := s.hosted[group].state
 	if c.Operation == KeyRead {
-		return state.read(c.Name)
+		return state.readKey(c.Name)
 	}
 	of := func(name string) bool { return c.Operation == LockList || name == c.Name }
-	return Answer{Locks: state.held(s.logClock(group), of)}
+	return Result{Locks: state.listLocks(s.logTime(group), of)}
 }
--- a/internal/gateway/coordination/message.go
+++ b/internal/gateway/coordination/message.go
@@ -8,73 +8,73 @@
 
 // Message is what services say to each other: one of its fields is set.
 type Message struct {
-	Ask   *Ask
-	Reply *Reply
+	Request  *ForwardRequest
+	Response *ForwardResponse
 }
 
-// Ask is a call on its way to whoever leads its group. It counts until a time by the clock of the life that it is meant for: one that
+// ForwardRequest is a call on its way to whoever leads its group. It counts until a time by the clock of the life that it is meant for: one that
 // stood on a link, or was read after a standstill, does nothing.
-type Ask struct {
-	Asker  uint64 // the life of the node that took the call
-	Number uint32 // of the call there
-	Try    uint8
-	Life   uint64        // that Until is of; 0: its clock is not known yet
-	Until  time.Duration // by that life's steady clock
-	Call   Call
+type ForwardRequest struct {
+	OriginIncarnation uint64 // the life of the node that took the call
+	Sequence          uint32 // of the call there
+	Attempt           uint8
+	TargetIncarnation uint64        // that Until is of; 0: its clock is not known yet
+	Deadline          time.Duration // by that life's steady clock
+	Call              Call
 }
 
-// Reply ends an Ask.
-type Reply struct {
-	Asker   uint64
-	Number  uint32
-	Try     uint8
-	Outcome Outcome
-	Leader  string        // where the asked node isn't: who leads, as far as it knows
-	Life    uint64        // of the node that answers
-	Clock   time.Duration // and its steady clock
-	Answer  Answer
+// ForwardResponse ends an Ask.
+type ForwardResponse struct {
+	OriginIncarnation    uint64
+	Sequence             uint32
+	Attempt              uint8
+	Outcome              AttemptOutcome
+	LeaderHint           string        // where the asked node isn't: who leads, as far as it knows
+	ResponderIncarnation uint64        // of the node that answers
+	ResponderClock       time.Duration // and its steady clock
+	Result               Result
 }
 
-// Outcome tells how one try of a call ended.
-type Outcome uint8
+// AttemptOutcome tells how one try of a call ended.
+type AttemptOutcome uint8
 
 // The outcomes.
 const (
-	Done      Outcome = iota // the answer holds
-	Refused                  // this try did nothing and never will
-	Uncertain                // it may have taken effect, or may still
-	Undated                  // Refused, since it bore no time of this life's clock
+	AttemptDone            AttemptOutcome = iota // the answer holds
+	AttemptRejected                              // this try did nothing and never will
+	AttemptAmbiguous                             // it may have taken effect, or may still
+	AttemptDeadlineInvalid                       // Refused, since it bore no time of this life's clock
 )
 
 // The kinds of messages on a link.
 const (
-	askKind   = 1
-	replyKind = 2
+	requestKind  = 1
+	responseKind = 2
 )
 
 // Encode words a message for a link: bytes between zones are dear.
 func (m *Message) Encode() []byte {
 	var e encoder
-	if a := m.Ask; a != nil {
-		e.uint(askKind)
-		e.uint(a.Asker)
-		e.uint(uint64(a.Number))
-		e.uint(uint64(a.Try))
-		e.uint(a.Life)
-		e.time(a.Until)
+	if a := m.Request; a != nil {
+		e.uint(requestKind)
+		e.uint(a.OriginIncarnation)
+		e.uint(uint64(a.Sequence))
+		e.uint(uint64(a.Attempt))
+		e.uint(a.TargetIncarnation)
+		e.duration(a.Deadline)
 		a.Call.encode(&e)
 		return e.bytes
 	}
-	r := m.Reply
-	e.uint(replyKind)
-	e.uint(r.Asker)
-	e.uint(uint64(r.Number))
-	e.uint(uint64(r.Try))
+	r := m.Response
+	e.uint(responseKind)
+	e.uint(r.OriginIncarnation)
+	e.uint(uint64(r.Sequence))
+	e.uint(uint64(r.Attempt))
 	e.uint(uint64(r.Outcome))
-	e.text(r.Leader)
-	e.uint(r.Life)
-	e.time(r.Clock)
-	r.Answer.encode(&e)
+	e.string(r.LeaderHint)
+	e.uint(r.ResponderIncarnation)
+	e.duration(r.ResponderClock)
+	r.Result.encode(&e)
 	return e.bytes
 }
 
@@ -82,41 +82,41 @@
 func DecodeMessage(b []byte) (*Message, error) {
 	d := decoder{bytes: b}
 	switch d.uint() {
-	case askKind:
-		a := &Ask{Asker: d.uint(), Number: uint32(d.uint()), Try: uint8(d.uint()), Life: d.uint(), Until: d.time()}
+	case requestKind:
+		a := &ForwardRequest{OriginIncarnation: d.uint(), Sequence: uint32(d.uint()), Attempt: uint8(d.uint()), TargetIncarnation: d.uint(), Deadline: d.duration()}
 		a.Call.decode(&d)
-		return &Message{Ask: a}, d.err
-	case replyKind:
-		r := &Reply{Asker: d.uint(), Number: uint32(d.uint()), Try: uint8(d.uint()), Outcome: Outcome(d.uint()), Leader: d.text(),
-			Life: d.uint(), Clock: d.time()}
-		r.Answer.decode(&d)
-		return &Message{Reply: r}, d.err
+		return &Message{Request: a}, d.err
+	case responseKind:
+		r := &ForwardResponse{OriginIncarnation: d.uint(), Sequence: uint32(d.uint()), Attempt: uint8(d.uint()), Outcome: AttemptOutcome(d.uint()), LeaderHint: d.string(),
+			ResponderIncarnation: d.uint(), ResponderClock: d.duration()}
+		r.Result.decode(&d)
+		return &Message{Response: r}, d.err
 	}
-	return nil, errVersion
+	return nil, ErrUnknownVersion
 }
 
 // encode words a call: only those fields that its operation has.
 func (c *Call) encode(e *encoder) {
 	e.uint(uint64(c.Operation))
-	e.text(c.Name)
+	e.string(c.Name)
 	switch c.Operation {
-	case LockBegin:
-		e.text(c.Holder)
-		e.time(c.Hold)
-	case LockHeartbeat:
-		e.text(c.Holder)
-		e.uint(c.Fence)
-		e.time(c.Hold)
-	case LockFinish:
-		e.text(c.Holder)
-		e.uint(c.Fence)
-	case KeyReplace:
-		e.text(c.Value)
-		e.bool(c.Bound)
-		e.uint(c.Expected)
+	case LockAcquire:
+		e.string(c.Holder)
+		e.duration(c.TTL)
+	case LockRenew:
+		e.string(c.Holder)
+		e.uint(c.FencingToken)
+		e.duration(c.TTL)
+	case LockRelease:
+		e.string(c.Holder)
+		e.uint(c.FencingToken)
+	case KeyPut:
+		e.string(c.Value)
+		e.bool(c.Conditional)
+		e.uint(c.ExpectedRevision)
 	case KeyWatch:
-		e.uint(c.After)
-		e.time(c.Wait)
+		e.uint(c.AfterRevision)
+		e.duration(c.Timeout)
 	case LockList:
 		e.uint(uint64(c.Group))
 	}
@@ -124,53 +124,53 @@
 
 func (c *Call) decode(d *decoder) {
 	c.Operation = Operation(d.uint())
-	c.Name = d.text()
+	c.Name = d.string()
 	switch c.Operation {
-	case LockBegin:
-		c.Holder, c.Hold = d.text(), d.time()
-	case LockHeartbeat:
-		c.Holder, c.Fence, c.Hold = d.text(), d.uint(), d.time()
-	case LockFinish:
-		c.Holder, c.Fence = d.text(), d.uint()
-	case KeyReplace:
-		c.Value, c.Bound, c.Expected = d.text(), d.bool(), d.uint()
+	case LockAcquire:
+		c.Holder, c.TTL = d.string(), d.duration()
+	case LockRenew:
+		c.Holder, c.FencingToken, c.TTL = d.string(), d.uint(), d.duration()
+	case LockRelease:
+		c.Holder, c.FencingToken = d.string(), d.uint()
+	case KeyPut:
+		c.Value, c.Conditional, c.ExpectedRevision = d.string(), d.bool(), d.uint()
 	case KeyWatch:
-		c.After, c.Wait = d.uint(), d.time()
+		c.AfterRevision, c.Timeout = d.uint(), d.duration()
 	case LockList:
 		c.Group = groups.ID(d.uint())
 	}
 }
 
-func (a *Answer) encode(e *encoder) {
+func (a *Result) encode(e *encoder) {
 	e.uint(uint64(a.Status))
-	e.uint(a.Fence)
+	e.uint(a.FencingToken)
 	e.uint(a.Number)
 	e.uint(a.Revision)
-	e.text(a.Value)
+	e.string(a.Value)
 	e.uint(uint64(len(a.Events)))
 	for _, x := range a.Events {
-		e.text(x.Name)
-		e.text(x.Value)
+		e.string(x.Name)
+		e.string(x.Value)
 		e.uint(x.Revision)
 	}
 	e.uint(uint64(len(a.Locks)))
 	for _, l := range a.Locks {
-		e.text(l.Name)
-		e.text(l.Holder)
-		e.uint(l.Fence)
-		e.time(l.Left)
+		e.string(l.Name)
+		e.string(l.Holder)
+		e.uint(l.FencingToken)
+		e.duration(l.TimeLeft)
 	}
 }
 
-func (a *Answer) decode(d *decoder) {
-	a.Status, a.Fence, a.Number, a.Revision, a.Value = Status(d.uint()), d.uint(), d.uint(), d.uint(), d.text()
-	if a.Status > Unclear && d.err == nil {
-		d.err = errVersion
+func (a *Result) decode(d *decoder) {
+	a.Status, a.FencingToken, a.Number, a.Revision, a.Value = Status(d.uint()), d.uint(), d.uint(), d.uint(), d.string()
+	if a.Status > StatusAmbiguous && d.err == nil {
+		d.err = ErrUnknownVersion
 	}
 	for range d.count() {
-		a.Events = append(a.Events, Event{d.text(), d.text(), d.uint()})
+		a.Events = append(a.Events, Event{d.string(), d.string(), d.uint()})
 	}
 	for range d.count() {
-		a.Locks = append(a.Locks, Lock{d.text(), d.text(), d.uint(), d.time()})
+		a.Locks = append(a.Locks, LockInfo{d.string(), d.string(), d.uint(), d.duration()})
 	}
 }
--- a/internal/gateway/coordination/snapshot.go
+++ b/internal/gateway/coordination/snapshot.go
@@ -9,8 +9,8 @@
 func (s *State) Snapshot() []byte {
 	var e encoder
 	e.uint(entryVersion)
-	e.time(s.clock)
-	fence := s.fence
+	e.duration(s.logTime)
+	fence := s.lastFencingToken
 	if s.fault == forgetsFence {
 		fence = 0
 	}
@@ -18,7 +18,7 @@
 	s.encodeLocks(&e)
 	e.uint(uint64(len(s.numbers)))
 	for _, name := range slices.Sorted(maps.Keys(s.numbers)) {
-		e.text(name)
+		e.string(name)
 		e.uint(s.numbers[name])
 	}
 	s.encodeKeys(&e)
@@ -29,37 +29,37 @@
 	e.uint(uint64(len(s.locks)))
 	for _, name := range slices.Sorted(maps.Keys(s.locks)) {
 		l := s.locks[name]
-		e.text(name)
-		e.text(l.holder)
-		e.uint(l.fence)
-		e.time(l.until)
-		encodeID(e, l.id)
-		e.time(l.begun)
-		e.bool(l.again)
-	}
-	e.uint(uint64(len(s.retired)))
-	for _, r := range s.retired {
-		encodeID(e, r.id)
-		e.time(r.at)
+		e.string(name)
+		e.string(l.holder)
+		e.uint(l.fencingToken)
+		e.duration(l.expiresAt)
+		encodeCallID(e, l.callID)
+		e.duration(l.lastAcquireAt)
+		e.bool(l.reacquired)
+	}
+	e.uint(uint64(len(s.retiredCalls)))
+	for _, r := range s.retiredCalls {
+		encodeCallID(e, r.callID)
+		e.duration(r.retiredAt)
 	}
 }
 
-func encodeID(e *encoder, id CallID) {
-	e.uint(id.Life)
-	e.uint(uint64(id.Number))
+func encodeCallID(e *encoder, id CallID) {
+	e.uint(id.Incarnation)
+	e.uint(uint64(id.Sequence))
 }
 
 func (s *State) encodeKeys(e *encoder) {
 	e.uint(uint64(len(s.keys.groups)))
 	for _, name := range slices.Sorted(maps.Keys(s.keys.groups)) {
 		g := s.keys.groups[name]
-		e.text(name)
+		e.string(name)
 		e.uint(g.revision)
-		e.uint(g.floor)
+		e.uint(g.compactedRevision)
 		e.uint(uint64(len(g.keys)))
 		for _, key := range slices.Sorted(maps.Keys(g.keys)) {
-			e.text(key)
-			e.text(g.keys[key].value)
+			e.string(key)
+			e.string(g.keys[key].value)
 			e.uint(g.keys[key].revision)
 		}
 		events := g.events
@@ -68,31 +68,31 @@
 		}
 		e.uint(uint64(len(events)))
 		for _, x := range events {
-			e.text(x.Name)
-			e.text(x.Value)
+			e.string(x.Name)
+			e.string(x.Value)
 			e.uint(x.Revision)
-			e.time(x.at)
+			e.duration(x.recordedAt)
 		}
 	}
-	order := s.keys.order
+	order := s.keys.putOrder
 	if s.fault == forgetsPuts {
 		order = nil
 	}
 	e.uint(uint64(len(order)))
 	for _, d := range order {
 		e.bytes = append(e.bytes, d[:]...)
-		e.uint(s.keys.puts[d])
+		e.uint(s.keys.putRevisions[d])
 	}
 }
 
 // Restore takes the place of the whole state; empty means the one that a group starts with. If it fails the state is as before.
 func (s *State) Restore(bytes []byte) error {
-	fresh := &State{history: s.history, fault: s.fault, changed: s.changed, advanced: s.advanced}
-	fresh.clear()
+	fresh := &State{historyRetention: s.historyRetention, fault: s.fault, onKeyGroupChanged: s.onKeyGroupChanged, onLogTimeAdvanced: s.onLogTimeAdvanced}
+	fresh.reset()
 	if len(bytes) > 0 {
 		d := decoder{bytes: bytes}
 		if d.uint() != entryVersion {
-			return errVersion
+			return ErrUnknownVersion
 		}
 		fresh.decode(&d)
 		if d.err != nil {
@@ -100,57 +100,57 @@
 		}
 	}
 	*s = *fresh
-	s.advanced()
+	s.onLogTimeAdvanced()
 	for name := range s.keys.groups {
-		s.changed(name)
+		s.onKeyGroupChanged(name)
 	}
 	return nil
 }
 
 func (s *State) decode(d *decoder) {
-	s.clock = d.time()
-	s.fence = d.uint()
+	s.logTime = d.duration()
+	s.lastFencingToken = d.uint()
 	for range d.count() {
-		name := d.text()
-		s.locks[name] = &lock{holder: d.text(), fence: d.uint(), until: d.time(), id: decodeID(d), begun: d.time(), again: d.bool()}
+		name := d.string()
+		s.locks[name] = &lockState{holder: d.string(), fencingToken: d.uint(), expiresAt: d.duration(), callID: decodeCallID(d), lastAcquireAt: d.duration(), reacquired: d.bool()}
 	}
 	for range d.count() {
-		s.retired = append(s.retired, retiredBegin{decodeID(d), d.time()})
+		s.retiredCalls = append(s.retiredCalls, retiredCall{decodeCallID(d), d.duration()})
 	}
 	for range d.count() {
-		name := d.text()
+		name := d.string()
 		s.numbers[name] = d.uint()
 	}
 	for range d.count() {
-		name := d.text()
-		s.keys.groups[name] = s.decodeGroup(d)
+		name := d.string()
+		s.keys.groups[name] = s.decodeKeyGroup(d)
 	}
 	for range d.count() {
 		var digest putDigest
 		if d.err != nil || len(d.bytes) < len(digest) {
-			d.err = errShort
+			d.err = ErrTruncated
 			return
 		}
 		d.bytes = d.bytes[copy(digest[:], d.bytes):]
-		s.keys.order = append(s.keys.order, digest)
-		s.keys.puts[digest] = d.uint()
+		s.keys.putOrder = append(s.keys.putOrder, digest)
+		s.keys.putRevisions[digest] = d.uint()
 	}
 }
 
-func decodeID(d *decoder) CallID { return CallID{d.uint(), uint32(d.uint())} }
+func decodeCallID(d *decoder) CallID { return CallID{d.uint(), uint32(d.uint())} }
 
-func (s *State) decodeGroup(d *decoder) *keyGroup {
-	g := &keyGroup{revision: d.uint(), floor: d.uint(), keys: map[string]keyValue{}}
+func (s *State) decodeKeyGroup(d *decoder) *keyGroup {
+	g := &keyGroup{revision: d.uint(), compactedRevision: d.uint(), keys: map[string]keyValue{}}
 	for range d.count() {
-		key := d.text()
-		v := keyValue{value: d.text(), revision: d.uint()}
+		key := d.string()
+		v := keyValue{value: d.string(), revision: d.uint()}
 		g.keys[key] = v
 		s.keys.bytes += len(key) + len(v.value) + eventOverhead
 	}
 	for range d.count() {
-		x := storedEvent{Event{Name: d.text(), Value: d.text(), Revision: d.uint()}, d.time()}
+		x := storedEvent{Event{Name: d.string(), Value: d.string(), Revision: d.uint()}, d.duration()}
 		g.events = append(g.events, x)
-		s.keys.events += x.size()
+		s.keys.historyBytes += x.size()
 	}
 	return g
 }
--- a/internal/gateway/coordination/state_test.go
+++ b/internal/gateway/coordination/state_test.go
@@ -14,16 +14,16 @@
 func drawEntry(t *rapid.T, at *time.Duration, nr uint32) []byte {
 	*at += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 	draw := func(what string, most int) string { return fmt.Sprint(what, rapid.IntRange(0, most).Draw(t, what)) }
-	x := entry{at: *at, id: CallID{Life: 5, Number: nr - uint32(rapid.IntRange(0, 1).Draw(t, "copy"))}}
-	x.call = Call{Operation: Operation(rapid.IntRange(int(LockBegin), int(KeyReplace)).Draw(t, "operation")), Name: draw("n", 2),
-		Holder: draw("h", 2), Fence: uint64(rapid.IntRange(0, 4).Draw(t, "fence")), Value: draw("v", 30),
-		Hold: time.Duration(rapid.IntRange(1, 5000).Draw(t, "hold")) * time.Millisecond, Bound: rapid.Bool().Draw(t, "bound"),
-		Expected: uint64(rapid.IntRange(0, 3).Draw(t, "expected"))}
+	x := entry{logTime: *at, callID: CallID{Incarnation: 5, Sequence: nr - uint32(rapid.IntRange(0, 1).Draw(t, "copy"))}}
+	x.call = Call{Operation: Operation(rapid.IntRange(int(LockAcquire), int(KeyPut)).Draw(t, "operation")), Name: draw("n", 2),
+		Holder: draw("h", 2), FencingToken: uint64(rapid.IntRange(0, 4).Draw(t, "fence")), Value: draw("v", 30),
+		TTL: time.Duration(rapid.IntRange(1, 5000).Draw(t, "hold")) * time.Millisecond, Conditional: rapid.Bool().Draw(t, "bound"),
+		ExpectedRevision: uint64(rapid.IntRange(0, 3).Draw(t, "expected"))}
 	return x.encode()
 }
 
 // A member that is given the state goes on as one that applied all entries: the same results, the same bytes.
-func TestSnapshotGoesOn(t *testing.T) {
+func TestRestoredStateContinues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(time.Second), NewState(time.Second)
 		var at time.Duration
@@ -36,12 +36,12 @@
 		}
 		must.Eq(t, a.Snapshot(), b.Snapshot())
 		must.Eq(t, a.keys.bytes, b.keys.bytes)
-		must.Eq(t, a.keys.events, b.keys.events)
+		must.Eq(t, a.keys.historyBytes, b.keys.historyBytes)
 	})
 }
 
 // Bytes that are no entry or no state change nothing and end nothing.
-func TestTornBytes(t *testing.T) {
+func TestCorruptBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(time.Second)
 		var at time.Duration
@@ -60,48 +60,48 @@
 // What is kept is bounded, and what is over a bound is told as not done.
 func TestBounds(t *testing.T) {
 	s := NewState(time.Second)
-	apply := func(c Call, at time.Duration) Answer {
-		x := entry{call: c, at: at, id: CallID{1, uint32(at)}}
+	apply := func(c Call, at time.Duration) Result {
+		x := entry{call: c, logTime: at, callID: CallID{1, uint32(at)}}
 		a, err := decodeResult(s.Apply(1, x.encode()))
 		must.NoError(t, err)
 		return a
 	}
-	for i := range mostLocks + 1 {
-		a := apply(Call{Operation: LockBegin, Name: fmt.Sprint("l", i), Holder: "h", Hold: time.Second}, time.Duration(i)*time.Microsecond)
-		must.Eq(t, i == mostLocks, a.Status == Full)
+	for i := range maxLocks + 1 {
+		a := apply(Call{Operation: LockAcquire, Name: fmt.Sprint("l", i), Holder: "h", TTL: time.Second}, time.Duration(i)*time.Microsecond)
+		must.Eq(t, i == maxLocks, a.Status == StatusLimitReached)
 	}
 	// Locks whose time has run out make room.
-	must.Eq(t, OK, apply(Call{Operation: LockBegin, Name: "l", Holder: "h", Hold: time.Second}, time.Minute).Status)
-	for i := range mostNumbers + 1 {
-		must.Eq(t, i == mostNumbers, apply(Call{Operation: Number, Name: fmt.Sprint("n", i)}, time.Minute).Status == Full)
+	must.Eq(t, StatusOK, apply(Call{Operation: LockAcquire, Name: "l", Holder: "h", TTL: time.Second}, time.Minute).Status)
+	for i := range maxNumbers + 1 {
+		must.Eq(t, i == maxNumbers, apply(Call{Operation: NumberNext, Name: fmt.Sprint("n", i)}, time.Minute).Status == StatusLimitReached)
 	}
-	value, full := strings.Repeat("x", LongestValue), 0
-	for i := range mostKeyBytes/LongestValue + 100 {
-		if apply(Call{Operation: KeyReplace, Name: fmt.Sprint("g.", i), Value: value + fmt.Sprint(i)}, time.Minute).Status == Full {
+	value, full := strings.Repeat("x", MaxValueBytes), 0
+	for i := range maxKeyBytes/MaxValueBytes + 100 {
+		if apply(Call{Operation: KeyPut, Name: fmt.Sprint("g.", i), Value: value + fmt.Sprint(i)}, time.Minute).Status == StatusLimitReached {
 			full++
 		}
 	}
 	must.Positive(t, full)
-	must.LessEq(t, mostKeyBytes, s.keys.bytes)
-	must.LessEq(t, mostEvents+2*LongestValue, s.keys.events)
-	for i := range mostPuts + 100 {
-		apply(Call{Operation: KeyReplace, Name: "g.0", Value: fmt.Sprint("w", i)}, time.Minute)
+	must.LessEq(t, maxKeyBytes, s.keys.bytes)
+	must.LessEq(t, maxHistoryBytes+2*MaxValueBytes, s.keys.historyBytes)
+	for i := range maxRememberedPuts + 100 {
+		apply(Call{Operation: KeyPut, Name: "g.0", Value: fmt.Sprint("w", i)}, time.Minute)
 	}
-	must.MapLen(t, mostPuts, s.keys.puts)
+	must.MapLen(t, maxRememberedPuts, s.keys.putRevisions)
 }
 
 // The value that a key has is known as put however many puts came since, and its first revision is given though the key has another.
 func TestRepeatedPut(t *testing.T) {
 	s := NewState(time.Second)
-	put := func(value string, expected uint64) Answer {
-		return s.replace(&Call{Operation: KeyReplace, Name: "g.k", Value: value, Bound: true, Expected: expected})
+	put := func(value string, expected uint64) Result {
+		return s.put(&Call{Operation: KeyPut, Name: "g.k", Value: value, Conditional: true, ExpectedRevision: expected})
 	}
-	must.Eq(t, Answer{Revision: 1}, put("a", 0))
-	must.Eq(t, Answer{Revision: 2}, put("b", 1))
-	must.Eq(t, Answer{Revision: 2}, put("b", 1)) // its own put is why the key has not revision 1 any more
-	must.Eq(t, Answer{Revision: 1}, put("a", 0))
-	must.Eq(t, Answer{Status: Conflict, Revision: 2}, put("c", 1))
-	must.Eq(t, Answer{Status: Conflict, Revision: 2}, put("c", 0)) // 0: it must never have been put
-	must.Eq(t, Answer{Revision: 3}, s.replace(&Call{Operation: KeyReplace, Name: "g.k", Value: "c"}))
-	must.Eq(t, Answer{Status: Conflict}, s.replace(&Call{Operation: KeyReplace, Name: "g.new", Value: "x", Bound: true, Expected: 7}))
+	must.Eq(t, Result{Revision: 1}, put("a", 0))
+	must.Eq(t, Result{Revision: 2}, put("b", 1))
+	must.Eq(t, Result{Revision: 2}, put("b", 1)) // its own put is why the key has not revision 1 any more
+	must.Eq(t, Result{Revision: 1}, put("a", 0))
+	must.Eq(t, Result{Status: StatusConflict, Revision: 2}, put("c", 1))
+	must.Eq(t, Result{Status: StatusConflict, Revision: 2}, put("c", 0)) // 0: it must never have been put
+	must.Eq(t, Result{Revision: 3}, s.put(&Call{Operation: KeyPut, Name: "g.k", Value: "c"}))
+	must.Eq(t, Result{Status: StatusConflict}, s.put(&Call{Operation: KeyPut, Name: "g.new", Value: "x", Conditional: true, ExpectedRevision: 7}))
 }
--- a/internal/gateway/coordination/watch.go
+++ b/internal/gateway/coordination/watch.go
@@ -8,168 +8,168 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// watchSlice is how long a watch is left with the node that leads its group, before it is asked for again: so long a lead that was lost
+// watchPollTimeout is how long a watch is left with the node that leads its group, before it is asked for again: so long a lead that was lost
 // without a word is not noticed.
-const watchSlice = 600 * time.Millisecond
+const watchPollTimeout = 600 * time.Millisecond
 
 // parkedWatch is one that waits for a put, where its group is led.
 type parkedWatch struct {
-	number uint32
-	group  groups.ID
-	name   string
-	after  uint64
-	until  time.Duration
-	reply  replier
+	sequence      uint32
+	group         groups.ID
+	keyGroup      string
+	afterRevision uint64
+	deadline      time.Duration
+	reply         replyFunc
 }
 
 // serveWatch answers a watch as soon as there is something to tell, or its time has run out.
-func (s *Service) serveWatch(group groups.ID, c *Call, reply replier) {
-	state := s.led[group].state
-	if c.After == 0 {
-		s.confirm(group, s.fault == watchesAlone, reply, func() Answer { return Answer{Revision: state.revision(c.Name)} })
+func (s *Service) serveWatch(group groups.ID, c *Call, reply replyFunc) {
+	state := s.hosted[group].state
+	if c.AfterRevision == 0 {
+		s.readLinearizable(group, s.fault == watchesAlone, reply, func() Result { return Result{Revision: state.keyGroupRevision(c.Name)} })
 		return
 	}
-	a := state.after(c.Name, c.After)
-	if a.Status != OK || len(a.Events) > 0 {
-		reply(Done, a)
+	a := state.eventsAfter(c.Name, c.AfterRevision)
+	if a.Status != StatusOK || len(a.Events) > 0 {
+		reply(AttemptDone, a)
 		return
 	}
-	w := &parkedWatch{number: s.next(), group: group, name: c.Name, after: c.After, until: s.host.Now() + c.Wait, reply: reply}
-	if c.Wait <= 0 || len(s.parked) >= mostParked {
-		s.endWatch(w)
+	w := &parkedWatch{sequence: s.nextSequence(), group: group, keyGroup: c.Name, afterRevision: c.AfterRevision, deadline: s.host.Now() + c.Timeout, reply: reply}
+	if c.Timeout <= 0 || len(s.parkedWatches) >= maxParkedWatches {
+		s.expireWatch(w)
 		return
 	}
-	s.parked[w.number] = w
-	if s.waiting[w.name] == nil {
-		s.waiting[w.name] = map[uint32]*parkedWatch{}
+	s.parkedWatches[w.sequence] = w
+	if s.parkedByKeyGroup[w.keyGroup] == nil {
+		s.parkedByKeyGroup[w.keyGroup] = map[uint32]*parkedWatch{}
 	}
-	s.waiting[w.name][w.number] = w
-	s.outside.At(w.until, w.number)
+	s.parkedByKeyGroup[w.keyGroup][w.sequence] = w
+	s.env.ScheduleAt(w.deadline, w.sequence)
 }
 
-// endWatch answers a watch whose time has run out. A majority is asked whether there is truly nothing to tell.
-func (s *Service) endWatch(w *parkedWatch) {
-	s.confirm(w.group, s.fault == watchesAlone, w.reply, func() Answer { return s.led[w.group].state.after(w.name, w.after) })
+// expireWatch answers a watch whose time has run out. A majority is asked whether there is truly nothing to tell.
+func (s *Service) expireWatch(w *parkedWatch) {
+	s.readLinearizable(w.group, s.fault == watchesAlone, w.reply, func() Result { return s.hosted[w.group].state.eventsAfter(w.keyGroup, w.afterRevision) })
 }
 
-func (s *Service) parkedDue(w *parkedWatch) {
-	if s.host.Now() < w.until {
+func (s *Service) handleWatchTimer(w *parkedWatch) {
+	if s.host.Now() < w.deadline {
 		return
 	}
 	s.unpark(w)
-	s.endWatch(w)
+	s.expireWatch(w)
 }
 
 func (s *Service) unpark(w *parkedWatch) {
-	delete(s.parked, w.number)
-	delete(s.waiting[w.name], w.number)
-	if len(s.waiting[w.name]) == 0 {
-		delete(s.waiting, w.name)
+	delete(s.parkedWatches, w.sequence)
+	delete(s.parkedByKeyGroup[w.keyGroup], w.sequence)
+	if len(s.parkedByKeyGroup[w.keyGroup]) == 0 {
+		delete(s.parkedByKeyGroup, w.keyGroup)
 	}
 }
 
-// parkedOf are the watches that wait for a group, in their order.
-func (s *Service) parkedOf(id groups.ID) (all []*parkedWatch) {
-	for _, number := range sortedKeys(s.parked) {
-		if w := s.parked[number]; w.group == id {
+// parkedIn are the watches that wait for a group, in their order.
+func (s *Service) parkedIn(id groups.ID) (all []*parkedWatch) {
+	for _, number := range sortedKeys(s.parkedWatches) {
+		if w := s.parkedWatches[number]; w.group == id {
 			all = append(all, w)
 		}
 	}
 	return all
 }
 
-// Flush tells the watches that wait here of what was put. The node calls it at the end of each turn.
-func (s *Service) Flush() {
-	for len(s.news) > 0 {
-		name := s.news[0]
-		s.news = s.news[1:]
-		for _, number := range sortedKeys(s.waiting[name]) {
-			w := s.parked[number]
-			if a := s.led[w.group].state.after(name, w.after); a.Status != OK || len(a.Events) > 0 {
+// NotifyWatchers tells the watches that wait here of what was put. The node calls it at the end of each turn.
+func (s *Service) NotifyWatchers() {
+	for len(s.changedKeyGroups) > 0 {
+		name := s.changedKeyGroups[0]
+		s.changedKeyGroups = s.changedKeyGroups[1:]
+		for _, number := range sortedKeys(s.parkedByKeyGroup[name]) {
+			w := s.parkedWatches[number]
+			if a := s.hosted[w.group].state.eventsAfter(name, w.afterRevision); a.Status != StatusOK || len(a.Events) > 0 {
 				s.unpark(w)
-				w.reply(Done, a)
+				w.reply(AttemptDone, a)
 			}
 		}
 	}
-	s.news = nil
+	s.changedKeyGroups = nil
 }
 
 // watchKey names the watches of callers that wait for the same.
 type watchKey struct {
-	name  string
-	after uint64
+	keyGroup      string
+	afterRevision uint64
 }
 
 // sharedWatch are these. They have one question on its way to whoever leads the group, whatever their number.
 type sharedWatch struct {
-	key watchKey
-	all []watcher
+	key      watchKey
+	watchers []watcher
 }
 
 // watcher is a caller that waits.
 type watcher struct {
-	until time.Duration
-	asked bool // the present question was asked after it came
-	then  func(Answer)
+	deadline  time.Duration
+	inRequest bool // the present question was asked after it came
+	done      func(Result)
 }
 
-// watch takes a caller's watch. A long one waits here together with those that wait for the same.
-func (s *Service) watch(c *Call, then func(Answer)) {
-	if c.After == 0 || c.Wait < 2*watchSlice {
-		if c.After == 0 {
-			c.Wait = 0
+// startWatch takes a caller's watch. A long one waits here together with those that wait for the same.
+func (s *Service) startWatch(c *Call, then func(Result)) {
+	if c.AfterRevision == 0 || c.Timeout < 2*watchPollTimeout {
+		if c.AfterRevision == 0 {
+			c.Timeout = 0
 		}
-		s.ask(c, callFor+c.Wait, then)
+		s.startCall(c, callTimeout+c.Timeout, then)
 		return
 	}
-	if s.watched >= mostWatchers {
-		then(Answer{Status: Full})
+	if s.watcherCount >= maxWatchers {
+		then(Result{Status: StatusLimitReached})
 		return
 	}
 	now := s.host.Now()
-	key := watchKey{c.Name, c.After}
-	w := s.shared[key]
-	s.watched++
+	key := watchKey{c.Name, c.AfterRevision}
+	w := s.sharedWatches[key]
+	s.watcherCount++
 	if w != nil {
-		w.all = append(w.all, watcher{until: now + c.Wait, then: then})
+		w.watchers = append(w.watchers, watcher{deadline: now + c.Timeout, done: then})
 		return
 	}
-	w = &sharedWatch{key: key, all: []watcher{{until: now + c.Wait, then: then}}}
-	s.shared[key] = w
-	s.askShared(w)
+	w = &sharedWatch{key: key, watchers: []watcher{{deadline: now + c.Timeout, done: then}}}
+	s.sharedWatches[key] = w
+	s.pollShared(w)
 }
 
-// askShared asks for what watchers wait for, for as long as the first of them waits.
-func (s *Service) askShared(w *sharedWatch) {
-	wait := watchSlice
-	for i := range w.all {
-		w.all[i].asked = true
-		wait = min(wait, max(w.all[i].until-s.host.Now(), 0))
+// pollShared asks for what watchers wait for, for as long as the first of them waits.
+func (s *Service) pollShared(w *sharedWatch) {
+	wait := watchPollTimeout
+	for i := range w.watchers {
+		w.watchers[i].inRequest = true
+		wait = min(wait, max(w.watchers[i].deadline-s.host.Now(), 0))
 	}
-	c := Call{Operation: KeyWatch, Name: w.key.name, After: w.key.after, Wait: wait}
-	s.ask(&c, callFor+wait, func(a Answer) { s.sharedEnded(w, a) })
+	c := Call{Operation: KeyWatch, Name: w.key.keyGroup, AfterRevision: w.key.afterRevision, Timeout: wait}
+	s.startCall(&c, callTimeout+wait, func(a Result) { s.sharedPollEnded(w, a) })
 }
 
-// sharedEnded hands out an answer. That there is nothing to tell ends the watches that were there when it was asked, and whose
+// sharedPollEnded hands out an answer. That there is nothing to tell ends the watches that were there when it was asked, and whose
 // time has run out.
-func (s *Service) sharedEnded(w *sharedWatch, a Answer) {
+func (s *Service) sharedPollEnded(w *sharedWatch, a Result) {
 	now := s.host.Now()
 	var ended, left []watcher
-	for _, x := range w.all {
-		if a.Status == OK && len(a.Events) == 0 && (x.until > now || !x.asked) {
+	for _, x := range w.watchers {
+		if a.Status == StatusOK && len(a.Events) == 0 && (x.deadline > now || !x.inRequest) {
 			left = append(left, x)
 		} else {
 			ended = append(ended, x)
 		}
 	}
-	s.watched -= len(ended)
-	if w.all = left; len(left) == 0 {
-		delete(s.shared, w.key)
+	s.watcherCount -= len(ended)
+	if w.watchers = left; len(left) == 0 {
+		delete(s.sharedWatches, w.key)
 	} else {
-		s.askShared(w)
+		s.pollShared(w)
 	}
 	for _, x := range ended {
-		x.then(a)
+		x.done(a)
 	}
 }
 
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -74,7 +74,7 @@
 }
 
 // noPeers is a coordination.Outside without any other node.
-type noPeers struct{ coordination.Outside }
+type noPeers struct{ coordination.Env }
 
 func (noPeers) Waited() time.Duration    { return 0 }
 func (noPeers) InTouch() bool            { return true }
@@ -83,9 +83,9 @@
 // coordinationOf folds the groups' logs to the service that answers applications' calls.
 func coordinationOf(t *testing.T, logs map[replication.LogID]replication.PersistentState) *coordination.Service {
 	t.Helper()
-	s := coordination.New(noPeers{}, coordination.Terms{Address: "here", Life: 1, History: 20 * time.Second})
+	s := coordination.New(noPeers{}, coordination.Config{Address: "here", Incarnation: 1, HistoryRetention: 20 * time.Second})
 	host := &leadingHost{}
-	s.Over(host)
+	s.SetHost(host)
 	for id := range groups.ID(groups.Count) {
 		log, machine := logs[replication.LogID(id)+1], s.StateMachine(id)
 		host.machines[id] = machine
@@ -101,8 +101,8 @@
 }
 
 // answerOf is a service's answer to a call.
-func answerOf(s *coordination.Service, c coordination.Call) (answer coordination.Answer) {
-	s.Take(c, func(a coordination.Answer) { answer = a })
+func answerOf(s *coordination.Service, c coordination.Call) (answer coordination.Result) {
+	s.Submit(c, func(a coordination.Result) { answer = a })
 	return answer
 }
 
@@ -278,12 +278,12 @@
 		must.NoError(t, err)
 		must.NoError(t, store.Close())
 		s := coordinationOf(t, store.GroupLogs())
-		lock := func(name, holder string, fence uint64, left string) coordination.Lock {
+		lock := func(name, holder string, fence uint64, left string) coordination.LockInfo {
 			d, err := time.ParseDuration(left)
 			must.NoError(t, err)
-			return coordination.Lock{Name: name, Holder: holder, Fence: fence, Left: d}
+			return coordination.LockInfo{Name: name, Holder: holder, FencingToken: fence, TimeLeft: d}
 		}
-		for id, want := range [groups.Count][]coordination.Lock{
+		for id, want := range [groups.Count][]coordination.LockInfo{
 			0: {lock("l2f", "ben", 1, "8m59.071888s")},
 			1: {lock("l1f", "ana", 1, "9m59.070846s"), lock("name-15", "gil", 3, "9m49.810523s"),
 				lock("name-24", "ivo", 5, "9m39.999716s"), lock("name-3", "fay", 2, "9m59.8069s")},
@@ -292,12 +292,12 @@
 		} {
 			must.Eq(t, want, answerOf(s, coordination.Call{Operation: coordination.LockList, Group: groups.ID(id)}).Locks)
 		}
-		must.Eq(t, coordination.Held, answerOf(s, coordination.Call{Operation: coordination.LockBegin, Name: "l1f", Holder: "zoe",
-			Hold: time.Second}).Status)
-		must.Eq(t, 6, answerOf(s, coordination.Call{Operation: coordination.LockBegin, Name: "name-99", Holder: "zoe",
-			Hold: time.Second}).Fence) // group 1's next one
+		must.Eq(t, coordination.StatusLockHeld, answerOf(s, coordination.Call{Operation: coordination.LockAcquire, Name: "l1f", Holder: "zoe",
+			TTL: time.Second}).Status)
+		must.Eq(t, 6, answerOf(s, coordination.Call{Operation: coordination.LockAcquire, Name: "name-99", Holder: "zoe",
+			TTL: time.Second}).FencingToken) // group 1's next one
 		for counter, last := range map[string]uint64{"orders": 3, "bills": 2, "name-30": 4} {
-			must.Eq(t, last+1, answerOf(s, coordination.Call{Operation: coordination.Number, Name: counter}).Number)
+			must.Eq(t, last+1, answerOf(s, coordination.Call{Operation: coordination.NumberNext, Name: counter}).Number)
 		}
 
 		values := map[string]string{"alone": "two"}
@@ -308,16 +308,16 @@
 		}
 		values["g1.k0"], revisions["g1.k0"] = "last", 91
 		for key, value := range values {
-			must.Eq(t, coordination.Answer{Value: value, Revision: revisions[key]},
+			must.Eq(t, coordination.Result{Value: value, Revision: revisions[key]},
 				answerOf(s, coordination.Call{Operation: coordination.KeyRead, Name: key}))
 		}
-		must.Eq(t, coordination.NotFound, answerOf(s, coordination.Call{Operation: coordination.KeyRead, Name: "none"}).Status)
+		must.Eq(t, coordination.StatusNotFound, answerOf(s, coordination.Call{Operation: coordination.KeyRead, Name: "none"}).Status)
 		must.Eq(t, []coordination.Event{{Name: "g1.k4", Value: fmt.Sprint("88-", strings.Repeat("v", 1500)), Revision: 89},
 			{Name: "g1.k5", Value: fmt.Sprint("89-", strings.Repeat("v", 1500)), Revision: 90}, {Name: "g1.k0", Value: "last", Revision: 91}},
-			answerOf(s, coordination.Call{Operation: coordination.KeyWatch, Name: "g1.", After: 88}).Events)
-		must.SliceLen(t, 83, answerOf(s, coordination.Call{Operation: coordination.KeyWatch, Name: "g1.", After: 1}).Events)
-		for key, put := range map[string]coordination.Answer{"one": {Revision: 1}, "two": {Revision: 2}, "three": {Status: coordination.Conflict, Revision: 2}} {
-			must.Eq(t, put, answerOf(s, coordination.Call{Operation: coordination.KeyReplace, Name: "alone", Value: key, Bound: true, Expected: 1}))
+			answerOf(s, coordination.Call{Operation: coordination.KeyWatch, Name: "g1.", AfterRevision: 88}).Events)
+		must.SliceLen(t, 83, answerOf(s, coordination.Call{Operation: coordination.KeyWatch, Name: "g1.", AfterRevision: 1}).Events)
+		for key, put := range map[string]coordination.Result{"one": {Revision: 1}, "two": {Revision: 2}, "three": {Status: coordination.StatusConflict, Revision: 2}} {
+			must.Eq(t, put, answerOf(s, coordination.Call{Operation: coordination.KeyPut, Name: "alone", Value: key, Conditional: true, ExpectedRevision: 1}))
 		}
 	}
 }
--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -11,81 +11,81 @@
 // no more. Guards against
 // an exchange that is made once a link: a node that lost power was never told by two of three members that they are there, and followed the
 // third into a standstill (incident mvk-anadolu 7).
-func TestLostHelloIsAskedForAgain(t *testing.T) {
+func TestLostHelloIsRepeated(t *testing.T) {
 	const hellos = 5 // so many, of both sides, may be lost, each or not
 	for lost := range 1 << hellos {
 		now := time.Minute
-		node := New(Node{Addr: "node", Life: 2}, Terms{Seeds: []string{"disk"}}, now)
-		disk := New(Node{Addr: "disk", Disk: 7, Founded: true, Life: 9}, Terms{Seeds: []string{"disk"}}, now)
-		disk.Hello("node", Hello{Door: Node{Addr: "node", Life: 1}}) // of its life before
+		node := New(Node{Addr: "node", Life: 2}, Config{Seeds: []string{"disk"}}, now)
+		disk := New(Node{Addr: "disk", Disk: 7, Founded: true, Life: 9}, Config{Seeds: []string{"disk"}}, now)
+		disk.HandleHello("node", Hello{Door: Node{Addr: "node", Life: 1}}) // of its life before
 		drain(disk)
-		node.Up("disk")
-		disk.Up("node")
+		node.LinkUp("disk")
+		disk.LinkUp("node")
 		said, last := 0, time.Duration(0)
 		carry := func(from, to *Roster) {
 			for _, a := range drain(from) {
-				if a.Verb != Greet || a.Addr != to.me.Addr {
+				if a.Kind != SendHello || a.Addr != to.self.Addr {
 					continue
 				}
-				h := from.Say(to.me.Addr)
+				h := from.HelloTo(to.self.Addr)
 				said, last = said+1, now
 				if said > hellos || lost>>(said-1)&1 == 0 {
-					to.Hello(from.me.Addr, h)
+					to.HandleHello(from.self.Addr, h)
 				}
 			}
 		}
 		changes := now + 10*time.Second
-		for end := now + 20*time.Second; now < end; now += lookEvery {
+		for end := now + 20*time.Second; now < end; now += refreshInterval {
 			if now == changes {
 				said = 0 // of these so many may be lost again
-				disk.Settle(8, 3)
+				disk.SetCluster(8, 3)
 			}
 			for _, c := range []*Roster{node, disk} {
-				c.Now(now)
-				c.Heard(map[*Roster]string{node: "disk", disk: "node"}[c]) // other things come
+				c.Tick(now)
+				c.FrameReceived(map[*Roster]string{node: "disk", disk: "node"}[c]) // other things come
 			}
 			carry(node, disk)
 			carry(disk, node)
 		}
 		must.True(t, node.Live("disk"), must.Sprintf("lost %05b", lost))
-		must.Eq(t, disk.me, node.peers["disk"].Node, must.Sprintf("lost %05b", lost))
-		must.Eq(t, node.me, disk.peers["node"].Node, must.Sprintf("lost %05b", lost))
+		must.Eq(t, disk.self, node.peers["disk"].Node, must.Sprintf("lost %05b", lost))
+		must.Eq(t, node.self, disk.peers["node"].Node, must.Sprintf("lost %05b", lost))
 		must.LessEq(t, hellos+4, said)
-		must.Less(t, changes+(hellos+3)*helloEvery, last) // and nothing more is said
+		must.Less(t, changes+(hellos+3)*helloInterval, last) // and nothing more is said
 	}
 }
 
 // To a program that never says what it knows, as the version before, few are said again; and none to one that knows this life.
-func TestHellosToOthersAreFew(t *testing.T) {
+func TestHelloRepeatsAreBounded(t *testing.T) {
 	me := Node{Addr: "disk", Disk: 7, Life: 7, Founded: true}
-	for _, knows := range []uint64{0, me.stamp()} {
+	for _, knows := range []uint64{0, me.fingerprint()} {
 		now := time.Minute
-		c := New(me, Terms{Seeds: []string{"disk"}}, now)
-		c.Hello("node", Hello{Door: Node{Addr: "node", Life: 1}, Knows: knows})
-		c.Up("node")
-		said := count(drain(c), Greet, "node")
+		c := New(me, Config{Seeds: []string{"disk"}}, now)
+		c.HandleHello("node", Hello{Door: Node{Addr: "node", Life: 1}, Knows: knows})
+		c.LinkUp("node")
+		said := count(drain(c), SendHello, "node")
 		must.Eq(t, 1, said)
 		for range 100 {
-			now += lookEvery
-			c.Now(now)
-			c.Heard("node")
-			said += count(drain(c), Greet, "node")
+			now += refreshInterval
+			c.Tick(now)
+			c.FrameReceived("node")
+			said += count(drain(c), SendHello, "node")
 		}
-		must.Eq(t, map[uint64]int{0: 1 + helloMost, me.stamp(): 1}[knows], said)
+		must.Eq(t, map[uint64]int{0: 1 + maxHelloRepeats, me.fingerprint(): 1}[knows], said)
 	}
 }
 
 // Whatever of a node others go by changes its stamp.
-func TestStampsTellStatesApart(t *testing.T) {
+func TestFingerprintsDiffer(t *testing.T) {
 	seen := map[uint64]Node{}
 	for life := range uint64(4) {
 		for disk := range Disk(4) {
 			for cluster := range uint64(4) {
 				for flags := range 4 {
 					n := Node{Life: life, Disk: disk, House: cluster, Founded: flags&1 > 0, Leaving: flags&2 > 0}
-					other, twice := seen[n.stamp()]
+					other, twice := seen[n.fingerprint()]
 					must.False(t, twice, must.Sprint(n, other))
-					seen[n.stamp()] = n
+					seen[n.fingerprint()] = n
 				}
 			}
 		}
--- a/internal/gateway/membership/nearer_test.go
+++ b/internal/gateway/membership/nearer_test.go
@@ -14,7 +14,7 @@
 	for i := range nodes {
 		from, best := fmt.Sprintf("10.0.%d.%d:7110", i/200, i%200), ""
 		for d := range disks {
-			if a := fmt.Sprintf("10.1.0.%d:7110", d); best == "" || Nearer(from, a, best) {
+			if a := fmt.Sprintf("10.1.0.%d:7110", d); best == "" || Prefers(from, a, best) {
 				best = a
 			}
 		}
@@ -24,6 +24,6 @@
 	for a, n := range turned {
 		must.Between(t, nodes/disks/2, n, nodes/disks*3/2, must.Sprint(a))
 	}
-	must.False(t, Nearer("a", "b", "b"))
-	must.NotEq(t, Nearer("a", "b", "c"), Nearer("a", "c", "b"))
+	must.False(t, Prefers("a", "b", "b"))
+	must.NotEq(t, Prefers("a", "b", "c"), Prefers("a", "c", "b"))
 }
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -48,182 +48,182 @@
 	Addr string
 }
 
-// Verb is what an action asks of the host.
-type Verb int
+// ActionKind is what an action asks of the host.
+type ActionKind int
 
 // What may become of a link.
 const (
-	Want    Verb = iota // keep a link to Addr
-	Leave               // keep it no longer
-	Greet               // say Hello to Addr
-	Found               // tell the node at Addr that Founders begin the core
-	Changed             // the live nodes are others than before
+	Connect          ActionKind = iota // keep a link to Addr
+	Disconnect                         // keep it no longer
+	SendHello                          // say Hello to Addr
+	Bootstrap                          // tell the node at Addr that Founders begin the core
+	LiveNodesChanged                   // the live nodes are others than before
 )
 
 // Action is one thing to do now.
 type Action struct {
-	Verb     Verb
+	Kind     ActionKind
 	Addr     string
 	Founders []Founder
 }
 
-// Terms are what a deployment sets.
-type Terms struct {
-	Seeds     []string // inner addresses, in the order of the settings
-	Tolerates int      // peers with a disk that may be lost at once
-	ClusterID func([]Founder) uint64
+// Config are what a deployment sets.
+type Config struct {
+	Seeds           []string // inner addresses, in the order of the settings
+	ToleratedLosses int      // peers with a disk that may be lost at once
+	ClusterID       func([]Founder) uint64
 }
 
 const (
-	silentFor  = 2200 * time.Millisecond // a node that is not heard for longer counts as lost
-	standstill = time.Second
-	forgetIn   = 90 * time.Second        // and after this it is dialed no more, unless it is a seed or has a slot
-	foundHeard = 1100 * time.Millisecond // and the seeds were heard within this: one that has just been cut off must not begin it
-	foundCalm  = 500 * time.Millisecond  // no further node with a disk came for so long
-	foundMost  = 3 * time.Second         // with fewer than are needed, the core begins all the same
-	foundNext  = 2500 * time.Millisecond // the next seed begins it where the ones before are silent
-	foundLate  = 6 * time.Second         // as long waits one that has lived before: others may still come with a state
-	foundAgain = time.Second
-	lookEvery  = 200 * time.Millisecond
-	dialLate   = 2 * time.Second // a node without a disk that said nothing yet is dialed after so long: it may not find its way
-	guestFor   = 5 * time.Second // a node without a disk is answered by another one for so long after its hello
-	maxNodes   = 1024            // as many as there may be slots
+	livenessTimeout         = 2200 * time.Millisecond // a node that is not heard for longer counts as lost
+	stallThreshold          = time.Second
+	forgetAfter             = 90 * time.Second        // and after this it is dialed no more, unless it is a seed or has a slot
+	bootstrapContactTimeout = 1100 * time.Millisecond // and the seeds were heard within this: one that has just been cut off must not begin it
+	bootstrapQuietPeriod    = 500 * time.Millisecond  // no further node with a disk came for so long
+	bootstrapTimeout        = 3 * time.Second         // with fewer than are needed, the core begins all the same
+	bootstrapSeedInterval   = 2500 * time.Millisecond // the next seed begins it where the ones before are silent
+	bootstrapRestartDelay   = 6 * time.Second         // as long waits one that has lived before: others may still come with a state
+	bootstrapResendInterval = time.Second
+	refreshInterval         = 200 * time.Millisecond
+	passiveDialDelay        = 2 * time.Second // a node without a disk that said nothing yet is dialed after so long: it may not find its way
+	guestLinkTimeout        = 5 * time.Second // a node without a disk is answered by another one for so long after its hello
+	maxNodes                = 1024            // as many as there may be slots
 )
 
 type peer struct {
 	Node
-	met    bool // it said hello in its present life
-	knows  bool // of one that holds a state of the core
-	named  bool // as one to keep a link to
-	linked bool // we want a link to it
-	up     bool // and have it
-	heard  time.Duration
-	known  time.Duration
-	asked  time.Duration // when it last said hello
-	hello  hello         // what was said to it
-	live   bool
+	introduced   bool // it said hello in its present life
+	knowsCluster bool // of one that holds a state of the core
+	advertised   bool // as one to keep a link to
+	linkWanted   bool // we want a link to it
+	linkUp       bool // and have it
+	receivedAt   time.Duration
+	discoveredAt time.Duration
+	helloAt      time.Duration // when it last said hello
+	hello        helloState    // what was said to it
+	live         bool
 }
 
 // Roster is one node's knowledge of all.
 type Roster struct {
-	now, born time.Duration
-	me        Node
-	terms     Terms
-	seeds     []string // as the settings name them now
-	peers     map[string]*peer
-	slots     map[string]Slot
-	opinions  map[string]opinion
-	order     []SlotHolder
-	ready     []Action
-	looked    time.Duration
-	lastDisk  time.Duration            // when a node with a disk was first met
-	founders  []Founder                // who begin the core, where this node says so
-	toldAt    map[string]time.Duration // them, by address
-	changed   bool
+	now, startedAt  time.Duration
+	self            Node
+	config          Config
+	seeds           []string // as the settings name them now
+	peers           map[string]*peer
+	slots           map[string]Slot
+	livenessReports map[string]livenessReport
+	slotHolders     []SlotHolder
+	actions         []Action
+	refreshedAt     time.Duration
+	lastDiskAt      time.Duration            // when a node with a disk was first met
+	founders        []Founder                // who begin the core, where this node says so
+	bootstrapSentAt map[string]time.Duration // them, by address
+	changed         bool
 }
 
 // SlotHolder is a node's entry in the order of slots.
 type SlotHolder struct{ Name, Addr, Control, Zone string }
 
 // New makes one that knows its seeds.
-func New(me Node, t Terms, now time.Duration) *Roster {
-	c := &Roster{now: now, born: now, me: me, terms: t, peers: map[string]*peer{}, slots: map[string]Slot{}, opinions: map[string]opinion{},
-		toldAt: map[string]time.Duration{}, looked: now, lastDisk: now}
+func New(me Node, t Config, now time.Duration) *Roster {
+	c := &Roster{now: now, startedAt: now, self: me, config: t, peers: map[string]*peer{}, slots: map[string]Slot{}, livenessReports: map[string]livenessReport{},
+		bootstrapSentAt: map[string]time.Duration{}, refreshedAt: now, lastDiskAt: now}
 	c.SetSeeds(t.Seeds)
 	return c
 }
 
-// Now sets the clock. A long step means that this node stood still and could hear nobody: silence counts anew. Else it would
+// Tick sets the clock. A long step means that this node stood still and could hear nobody: silence counts anew. Else it would
 // take all for lost for a moment, and leave the node that it follows though all that this one sent lies unread.
-func (c *Roster) Now(t time.Duration) {
-	if step := t - c.now; step > standstill {
-		c.lastDisk = t // others may have begun the core meanwhile: their word of it lies unread
+func (c *Roster) Tick(t time.Duration) {
+	if step := t - c.now; step > stallThreshold {
+		c.lastDiskAt = t // others may have begun the core meanwhile: their word of it lies unread
 		for _, d := range c.peers {
-			d.heard += step
+			d.receivedAt += step
 		}
-		for a, o := range c.opinions {
-			o.at += step
-			c.opinions[a] = o
+		for a, o := range c.livenessReports {
+			o.receivedAt += step
+			c.livenessReports[a] = o
 		}
 	}
 	c.now = max(c.now, t)
 }
 
-// Me is what this node says of itself.
-func (c *Roster) Me() Node { return c.me }
+// Self is what this node says of itself.
+func (c *Roster) Self() Node { return c.self }
 
-// Settle says which founding this node's disk holds a state of from now on; all are told.
-func (c *Roster) Settle(disk Disk, clusterID uint64) {
-	if c.me.Disk != disk || c.me.House != clusterID {
-		c.me.Disk, c.me.Founded, c.me.House = disk, clusterID != 0, clusterID
-		c.greetAll()
+// SetCluster says which founding this node's disk holds a state of from now on; all are told.
+func (c *Roster) SetCluster(disk Disk, clusterID uint64) {
+	if c.self.Disk != disk || c.self.House != clusterID {
+		c.self.Disk, c.self.Founded, c.self.House = disk, clusterID != 0, clusterID
+		c.helloAll()
 	}
 }
 
-// Spreads tells whether the word of a founding may go to a node: to seeds first, which hold one alone each, and to all others once more
+// MayBootstrap tells whether the word of a founding may go to a node: to seeds first, which hold one alone each, and to all others once more
 // than half of the seeds hold it, so that no two foundings ever come that far. A seed without a disk can hold none: being there is
 // all that it says, as when the core is begun.
-func (c *Roster) Spreads(clusterID uint64, to string) bool {
+func (c *Roster) MayBootstrap(clusterID uint64, to string) bool {
 	n := 0
-	for _, a := range c.terms.Seeds {
+	for _, a := range c.config.Seeds {
 		d, ok := c.Node(a)
 		if ok && (d.Disk != 0 && d.House == clusterID || d.Disk == 0 && c.Live(a)) {
 			n++
 		}
 	}
-	return 2*n > len(c.terms.Seeds) || slices.Contains(c.terms.Seeds, to)
+	return 2*n > len(c.config.Seeds) || slices.Contains(c.config.Seeds, to)
 }
 
-// End says that this node ends; all are told.
-func (c *Roster) End() {
-	c.me.Leaving = true
-	c.greetAll()
+// AnnounceShutdown says that this node ends; all are told.
+func (c *Roster) AnnounceShutdown() {
+	c.self.Leaving = true
+	c.helloAll()
 }
 
-func (c *Roster) greetAll() {
+func (c *Roster) helloAll() {
 	for _, a := range c.Addrs() {
 		p := c.peers[a]
-		p.hello.again, p.hello.confirms = 0, false
-		if p.up {
-			c.greet(a, p)
+		p.hello.repeats, p.hello.confirmed = 0, false
+		if p.linkUp {
+			c.sendHello(a, p)
 		}
 	}
 }
 
-func (c *Roster) do(a Action) { c.ready = append(c.ready, a) }
+func (c *Roster) push(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Roster) learn(addr string) *peer {
+func (c *Roster) discover(addr string) *peer {
 	d := c.peers[addr]
-	if d != nil || addr == c.me.Addr || addr == "" || len(c.peers) >= maxNodes {
+	if d != nil || addr == c.self.Addr || addr == "" || len(c.peers) >= maxNodes {
 		return d
 	}
-	d = &peer{Node: Node{Addr: addr}, heard: c.now - silentFor, known: c.now, asked: c.now - guestFor}
+	d = &peer{Node: Node{Addr: addr}, receivedAt: c.now - livenessTimeout, discoveredAt: c.now, helloAt: c.now - guestLinkTimeout}
 	c.peers[addr] = d
-	c.link(addr, d)
+	c.updateLink(addr, d)
 	return d
 }
 
-// link keeps or leaves our link to a node. Nodes with a disk keep links to all, the others to those alone, so that links
+// updateLink keeps or leaves our link to a node. Nodes with a disk keep links to all, the others to those alone, so that links
 // and what goes over them grow with the nodes and not with their square. Two nodes without a disk are linked only while one
 // of them may know nobody else: it dials its seeds until it has a slot and a node with a disk, and is answered meanwhile.
 // A node without a disk that has said nothing is left to dial first: a node with a disk that starts knows hundreds by the order
 // of slots, and would dial them all in the moment in which they all dial it.
-func (c *Roster) link(addr string, d *peer) {
-	want := c.me.Disk != 0 && (d.met || c.now-d.heard < silentFor || c.now-d.known >= dialLate) || d.Disk != 0 || d.named && !d.met || c.now-d.asked < guestFor ||
-		slices.Contains(c.seeds, addr) && !c.tied()
+func (c *Roster) updateLink(addr string, d *peer) {
+	want := c.self.Disk != 0 && (d.introduced || c.now-d.receivedAt < livenessTimeout || c.now-d.discoveredAt >= passiveDialDelay) || d.Disk != 0 || d.advertised && !d.introduced || c.now-d.helloAt < guestLinkTimeout ||
+		slices.Contains(c.seeds, addr) && !c.attached()
 	switch {
-	case want && !d.linked:
-		c.do(Action{Verb: Want, Addr: addr})
-	case !want && d.linked:
-		d.up = false
-		c.do(Action{Verb: Leave, Addr: addr})
+	case want && !d.linkWanted:
+		c.push(Action{Kind: Connect, Addr: addr})
+	case !want && d.linkWanted:
+		d.linkUp = false
+		c.push(Action{Kind: Disconnect, Addr: addr})
 	}
-	d.linked = want
+	d.linkWanted = want
 }
 
-// tied tells whether this node needs its seeds no more: the core has told who there is, and a node with a disk lives.
-func (c *Roster) tied() bool {
-	if len(c.order) == 0 {
+// attached tells whether this node needs its seeds no more: the core has told who there is, and a node with a disk lives.
+func (c *Roster) attached() bool {
+	if len(c.slotHolders) == 0 {
 		return false
 	}
 	for _, d := range c.peers {
@@ -239,106 +239,106 @@
 func (c *Roster) SetSeeds(all []string) {
 	c.seeds = all
 	for _, a := range all {
-		if d := c.learn(a); d != nil {
-			c.link(a, d)
+		if d := c.discover(a); d != nil {
+			c.updateLink(a, d)
 		}
 	}
 }
 
-// Up and Down tell how our link to a node is.
-func (c *Roster) Up(addr string) {
+// LinkUp and Down tell how our link to a node is.
+func (c *Roster) LinkUp(addr string) {
 	if d := c.peers[addr]; d != nil {
-		d.up = true
-		c.greet(addr, d)
-		c.look() // its hello may have come before
+		d.linkUp = true
+		c.sendHello(addr, d)
+		c.refresh() // its hello may have come before
 	}
 }
 
-// Down is told when the link to a node ended.
-func (c *Roster) Down(addr string) {
+// LinkDown is told when the link to a node ended.
+func (c *Roster) LinkDown(addr string) {
 	if d := c.peers[addr]; d != nil {
-		d.up = false
-		c.look()
+		d.linkUp = false
+		c.refresh()
 	}
 }
 
-// Heard is told when something came from a node.
-func (c *Roster) Heard(addr string) {
-	if d := c.learn(addr); d != nil {
-		d.heard = c.now
+// FrameReceived is told when something came from a node.
+func (c *Roster) FrameReceived(addr string) {
+	if d := c.discover(addr); d != nil {
+		d.receivedAt = c.now
 		if !d.live {
-			c.look()
+			c.refresh()
 		}
 	}
 }
 
-// Hello takes what a node says of itself.
-func (c *Roster) Hello(from string, h Hello) {
-	d := c.learn(from)
+// HandleHello takes what a node says of itself.
+func (c *Roster) HandleHello(from string, h Hello) {
+	d := c.discover(from)
 	if d == nil {
 		return
 	}
 	if h.Door.Disk != 0 && d.Disk != h.Door.Disk {
-		c.lastDisk = c.now
+		c.lastDiskAt = c.now
 	}
-	again := d.met && d.Life != h.Door.Life
-	found := h.Door.Disk != 0 && (!d.met || d.Disk != h.Door.Disk)
-	begun := c.begun()
-	d.hello.heard(h, d, c.me)
-	d.Node, d.met, d.knows, d.heard, d.asked = h.Door, true, h.Begun, c.now, c.now
+	again := d.introduced && d.Life != h.Door.Life
+	found := h.Door.Disk != 0 && (!d.introduced || d.Disk != h.Door.Disk)
+	begun := c.clusterExists()
+	d.hello.received(h, d, c.self)
+	d.Node, d.introduced, d.knowsCluster, d.receivedAt, d.helloAt = h.Door, true, h.Begun, c.now, c.now
 	d.Addr = from
-	c.link(from, d)
+	c.updateLink(from, d)
 	switch {
-	case begun && !c.begun(): // it held a founding that nobody joined, and has laid it aside: who was told of it must not wait on
-		c.greetAll()
-	case begun != c.begun():
-		c.warn()
+	case begun && !c.clusterExists(): // it held a founding that nobody joined, and has laid it aside: who was told of it must not wait on
+		c.helloAll()
+	case begun != c.clusterExists():
+		c.notifySeeds()
 	}
 	for _, a := range h.Known {
-		if o := c.learn(a); o != nil {
-			o.named = true
-			c.link(a, o)
+		if o := c.discover(a); o != nil {
+			o.advertised = true
+			c.updateLink(a, o)
 		}
 	}
-	if found && c.me.Disk == 0 { // whoever has dialed this node as a seed waits for such a one
+	if found && c.self.Disk == 0 { // whoever has dialed this node as a seed waits for such a one
 		for _, a := range c.Addrs() {
-			if o := c.peers[a]; o.up && o.Disk == 0 {
-				c.greet(a, o)
+			if o := c.peers[a]; o.linkUp && o.Disk == 0 {
+				c.sendHello(a, o)
 			}
 		}
 	}
 	if again {
 		c.changed = true
 	}
-	c.look()
+	c.refresh()
 }
 
-// begun tells whether a node that was met holds a state of the core.
-func (c *Roster) begun() bool {
+// clusterExists tells whether a node that was met holds a state of the core.
+func (c *Roster) clusterExists() bool {
 	for _, d := range c.peers {
-		if d.met && d.Founded {
+		if d.introduced && d.Founded {
 			return true
 		}
 	}
 	return false
 }
 
-// warn tells the seeds that may still begin the core whether another one has: they may not reach it themselves.
-func (c *Roster) warn() {
-	for _, a := range c.terms.Seeds {
-		if d := c.peers[a]; d != nil && d.up && d.met && d.First && !d.Founded {
-			c.greet(a, d)
+// notifySeeds tells the seeds that may still begin the core whether another one has: they may not reach it themselves.
+func (c *Roster) notifySeeds() {
+	for _, a := range c.config.Seeds {
+		if d := c.peers[a]; d != nil && d.linkUp && d.introduced && d.First && !d.Founded {
+			c.sendHello(a, d)
 		}
 	}
 }
 
 // SetSlots takes the order of slots as the core has it.
 func (c *Roster) SetSlots(order []SlotHolder) {
-	c.order = order
+	c.slotHolders = order
 	clear(c.slots)
 	for i, s := range order {
 		c.slots[s.Addr] = Slot(i)
-		c.learn(s.Addr)
+		c.discover(s.Addr)
 	}
 	c.changed = true
 }
@@ -351,39 +351,39 @@
 	return NoSlot
 }
 
-// At is who has a slot.
-func (c *Roster) At(s Slot) (SlotHolder, bool) {
-	if s < 0 || int(s) >= len(c.order) {
+// SlotHolderAt is who has a slot.
+func (c *Roster) SlotHolderAt(s Slot) (SlotHolder, bool) {
+	if s < 0 || int(s) >= len(c.slotHolders) {
 		return SlotHolder{}, false
 	}
-	return c.order[s], true
+	return c.slotHolders[s], true
 }
 
-// Order is all slots.
-func (c *Roster) Order() []SlotHolder { return c.order }
+// SlotHolders is all slots.
+func (c *Roster) SlotHolders() []SlotHolder { return c.slotHolders }
 
 // Live tells whether a node is linked both ways.
 func (c *Roster) Live(addr string) bool {
 	d := c.peers[addr]
-	return addr == c.me.Addr || d != nil && d.live
+	return addr == c.self.Addr || d != nil && d.live
 }
 
 // Node is what a node last said of itself.
 func (c *Roster) Node(addr string) (Node, bool) {
-	if addr == c.me.Addr {
-		return c.me, true
+	if addr == c.self.Addr {
+		return c.self, true
 	}
 	d := c.peers[addr]
-	if d == nil || !d.met {
+	if d == nil || !d.introduced {
 		return Node{}, false
 	}
 	return d.Node, true
 }
 
-// Disks are the live nodes with a disk, this one among them, in the order of their addresses.
-func (c *Roster) Disks() (all []Node) {
-	if c.me.Disk != 0 {
-		all = append(all, c.me)
+// LiveDiskNodes are the live nodes with a disk, this one among them, in the order of their addresses.
+func (c *Roster) LiveDiskNodes() (all []Node) {
+	if c.self.Disk != 0 {
+		all = append(all, c.self)
 	}
 	for _, a := range c.Addrs() {
 		if d := c.peers[a]; d.live && d.Disk != 0 {
@@ -393,11 +393,11 @@
 	return all
 }
 
-// Linked are the other nodes with a disk that our links reach, live or not, in the order of their addresses: where nobody lives
+// LinkedDiskNodes are the other nodes with a disk that our links reach, live or not, in the order of their addresses: where nobody lives
 // as far as this node is told, it is one of these that may tell more.
-func (c *Roster) Linked() (all []Node) {
+func (c *Roster) LinkedDiskNodes() (all []Node) {
 	for _, a := range c.Addrs() {
-		if d := c.peers[a]; d.up && d.met && d.Disk != 0 {
+		if d := c.peers[a]; d.linkUp && d.introduced && d.Disk != 0 {
 			all = append(all, d.Node)
 		}
 	}
@@ -414,13 +414,13 @@
 	return all
 }
 
-// Say is this node's hello to another one: it names the nodes with a disk, and to one with a disk those without that have no slot yet.
+// HelloTo is this node's hello to another one: it names the nodes with a disk, and to one with a disk those without that have no slot yet.
 // Who has a slot is in the core's order, which all are fed: to name them again in each hello would be the square of the deployment.
-func (c *Roster) Say(to string) Hello {
+func (c *Roster) HelloTo(to string) Hello {
 	d := c.peers[to]
-	h := Hello{Door: c.me, Begun: c.begun()}
-	if d != nil && d.met {
-		h.Knows = d.stamp()
+	h := Hello{Door: c.self, Begun: c.clusterExists()}
+	if d != nil && d.introduced {
+		h.Knows = d.fingerprint()
 	}
 	for _, a := range c.Addrs() {
 		if a != to && (c.peers[a].Disk != 0 || d != nil && d.Disk != 0 && c.Slot(a) == NoSlot) {
@@ -430,85 +430,85 @@
 	return h
 }
 
-// look works out who is live.
-func (c *Roster) look() {
-	c.looked = c.now
+// refresh works out who is live.
+func (c *Roster) refresh() {
+	c.refreshedAt = c.now
 	for _, a := range c.Addrs() { // in order: what is asked for must not go by chance
 		d := c.peers[a]
-		live := (!d.linked || d.up && d.met) && (c.hears(a) || c.told(c.Slot(a)))
+		live := (!d.linkWanted || d.linkUp && d.introduced) && (c.reachable(a) || c.reportedLive(c.Slot(a)))
 		if live != d.live {
 			d.live, c.changed = live, true
 		}
-		c.link(a, d)
-		c.helloAgain(a, d)
-		if c.Slot(a) == NoSlot && !slices.Contains(c.seeds, a) && c.now-max(d.heard, d.known) > forgetIn {
+		c.updateLink(a, d)
+		c.repeatHello(a, d)
+		if c.Slot(a) == NoSlot && !slices.Contains(c.seeds, a) && c.now-max(d.receivedAt, d.discoveredAt) > forgetAfter {
 			delete(c.peers, a)
-			if d.linked {
-				c.do(Action{Verb: Leave, Addr: a})
+			if d.linkWanted {
+				c.push(Action{Kind: Disconnect, Addr: a})
 			}
 		}
 	}
-	c.found()
+	c.bootstrap()
 }
 
-// found begins the core at the first start of all: the first seed does, once no further node with a disk comes. Only
+// bootstrap begins the core at the first start of all: the first seed does, once no further node with a disk comes. Only
 // where the seeds before are silent, or have lived before, does the next one. If all of them were killed before the first word
 // was on disk, none is at its first start any more, and none may wait for ever: then the first live seed begins it, later, where
 // as many disks are empty as a core needs, so that nothing can have been acknowledged. Nodes that have a state take
 // no such word, and nobody begins anything where one that is met has a state or knows of one that has, or without
 // more than half of the seeds: two halves must not found two systems (see Spreads). Who begins it is settled once in a life; the word
 // goes again to those that have not written it down, since a link may have lost it.
-func (c *Roster) found() {
-	if c.founders == nil && !c.begin() {
+func (c *Roster) bootstrap() {
+	if c.founders == nil && !c.chooseFounders() {
 		return
 	}
-	clusterID := c.terms.ClusterID(c.founders)
+	clusterID := c.config.ClusterID(c.founders)
 	for _, f := range c.founders {
 		d := c.peers[f.Addr]
-		if at, told := c.toldAt[f.Addr]; !c.Spreads(clusterID, f.Addr) || told && c.now-at < foundAgain {
+		if at, told := c.bootstrapSentAt[f.Addr]; !c.MayBootstrap(clusterID, f.Addr) || told && c.now-at < bootstrapResendInterval {
 			continue
 		}
-		if f.Addr == c.me.Addr && !c.me.Founded || d != nil && d.up && d.Disk == f.Disk && !d.Founded {
-			c.toldAt[f.Addr] = c.now
-			c.do(Action{Verb: Found, Addr: f.Addr, Founders: c.founders})
+		if f.Addr == c.self.Addr && !c.self.Founded || d != nil && d.linkUp && d.Disk == f.Disk && !d.Founded {
+			c.bootstrapSentAt[f.Addr] = c.now
+			c.push(Action{Kind: Bootstrap, Addr: f.Addr, Founders: c.founders})
 		}
 	}
 }
 
-// begin tells whether this node is to begin the core now, and names the founders.
-func (c *Roster) begin() bool {
-	rank := slices.Index(c.terms.Seeds, c.me.Addr)
-	turn := time.Duration(rank) * foundNext
-	if !c.me.First {
-		turn += foundLate
+// chooseFounders tells whether this node is to begin the core now, and names the founders.
+func (c *Roster) chooseFounders() bool {
+	rank := slices.Index(c.config.Seeds, c.self.Addr)
+	turn := time.Duration(rank) * bootstrapSeedInterval
+	if !c.self.First {
+		turn += bootstrapRestartDelay
 	}
-	if c.me.Founded || rank < 0 || c.now-c.born < turn {
+	if c.self.Founded || rank < 0 || c.now-c.startedAt < turn {
 		return false
 	}
 	var with []Founder
-	if c.me.Disk != 0 {
-		with = append(with, Founder{c.me.Disk, c.me.Addr})
+	if c.self.Disk != 0 {
+		with = append(with, Founder{c.self.Disk, c.self.Addr})
 	}
 	seeds := 0
-	for _, a := range c.terms.Seeds {
-		if d := c.peers[a]; a == c.me.Addr || d != nil && d.live && c.now-d.heard < foundHeard {
+	for _, a := range c.config.Seeds {
+		if d := c.peers[a]; a == c.self.Addr || d != nil && d.live && c.now-d.receivedAt < bootstrapContactTimeout {
 			seeds++
 		}
 	}
-	if 2*seeds <= len(c.terms.Seeds) {
+	if 2*seeds <= len(c.config.Seeds) {
 		return false
 	}
 	for a, d := range c.peers {
-		if d.met && (d.Founded || d.knows) || slices.Contains(c.terms.Seeds[:rank], a) && d.live && (d.First || !c.me.First) {
+		if d.introduced && (d.Founded || d.knowsCluster) || slices.Contains(c.config.Seeds[:rank], a) && d.live && (d.First || !c.self.First) {
 			return false // it has begun, or is for a seed before to begin
 		}
-		if d.Disk != 0 && (d.live || d.met && c.me.First) { // it is empty, whichever life this is
+		if d.Disk != 0 && (d.live || d.introduced && c.self.First) { // it is empty, whichever life this is
 			with = append(with, Founder{d.Disk, a})
 		}
 	}
-	need := 2*c.terms.Tolerates + 1
-	calm := c.now-c.lastDisk >= foundCalm && c.now-c.born >= foundCalm
-	if len(with) == 0 || !calm || len(with) < need && c.now-c.born < foundMost+turn || !c.me.First && len(with) < need {
+	need := 2*c.config.ToleratedLosses + 1
+	calm := c.now-c.lastDiskAt >= bootstrapQuietPeriod && c.now-c.startedAt >= bootstrapQuietPeriod
+	if len(with) == 0 || !calm || len(with) < need && c.now-c.startedAt < bootstrapTimeout+turn || !c.self.First && len(with) < need {
 		return false
 	}
 	slices.SortFunc(with, func(a, b Founder) int { return strings.Compare(a.Addr, b.Addr) })
@@ -518,17 +518,17 @@
 
 // Next gives the next thing to do now, or false.
 func (c *Roster) Next() (Action, bool) {
-	if c.now-c.looked >= lookEvery {
-		c.look()
+	if c.now-c.refreshedAt >= refreshInterval {
+		c.refresh()
 	}
-	if len(c.ready) > 0 {
-		a := c.ready[0]
-		c.ready = c.ready[1:]
+	if len(c.actions) > 0 {
+		a := c.actions[0]
+		c.actions = c.actions[1:]
 		return a, true
 	}
 	if c.changed {
 		c.changed = false
-		return Action{Verb: Changed}, true
+		return Action{Kind: LiveNodesChanged}, true
 	}
 	return Action{}, false
 }
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -45,9 +45,9 @@
 	return all
 }
 
-func count(all []Action, v Verb, addr string) (n int) {
+func count(all []Action, v ActionKind, addr string) (n int) {
 	for _, a := range all {
-		if a.Verb == v && a.Addr == addr {
+		if a.Kind == v && a.Addr == addr {
 			n++
 		}
 	}
@@ -56,18 +56,18 @@
 
 // A link comes and goes on its own, and what the other node says comes on another: whatever the order between nodes,
 // and between a node's hellos and our link to it, the same nodes are live in the end.
-func TestOrdersEndAlike(t *testing.T) {
+func TestEventOrdersConverge(t *testing.T) {
 	hello := func(a string, disk Disk, life uint64, known ...string) event {
 		return func(c *Roster) {
-			c.Hello(a, Hello{Door: Node{Name: a, Addr: "elsewhere", Disk: disk, Life: life}, Known: known})
+			c.HandleHello(a, Hello{Door: Node{Name: a, Addr: "elsewhere", Disk: disk, Life: life}, Known: known})
 		}
 	}
-	up := func(a string) event { return func(c *Roster) { c.Up(a) } }
-	down := func(a string) event { return func(c *Roster) { c.Down(a) } }
+	up := func(a string) event { return func(c *Roster) { c.LinkUp(a) } }
+	down := func(a string) event { return func(c *Roster) { c.LinkDown(a) } }
 	tries := 0
 	interleave([][]event{{hello("a", 1, 1, "b", "x"), up("a")}, {down("b"), up("b")},
 		{hello("b", 2, 1), hello("b", 3, 2)}, {up("d"), down("d")}, {hello("d", 4, 1)}}, func(order []event) {
-		c := New(Node{Addr: "me", Disk: 9}, Terms{Seeds: []string{"me", "a", "b", "d"}, Tolerates: 1}, 0)
+		c := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me", "a", "b", "d"}, ToleratedLosses: 1}, 0)
 		var did []Action
 		for _, e := range order {
 			e(c)
@@ -75,9 +75,9 @@
 		}
 		tries++
 		must.True(t, slices.Equal([]Node{{Addr: "me", Disk: 9}, {Name: "a", Addr: "a", Disk: 1, Life: 1},
-			{Name: "b", Addr: "b", Disk: 3, Life: 2}}, c.Disks())) // those that live
+			{Name: "b", Addr: "b", Disk: 3, Life: 2}}, c.LiveDiskNodes())) // those that live
 		must.True(t, slices.Equal([]string{"a", "b", "d", "x"}, c.Addrs()))
-		must.Eq(t, "1 1 1", fmt.Sprint(count(did, Want, "x"), count(did, Greet, "a"), count(did, Greet, "b")))
+		must.Eq(t, "1 1 1", fmt.Sprint(count(did, Connect, "x"), count(did, SendHello, "a"), count(did, SendHello, "b")))
 	})
 	must.Eq(t, 22680, tries)
 }
@@ -85,20 +85,20 @@
 // simNode is a node in a small world of nodes that say hello, found, die and come back.
 type simNode struct {
 	*Roster
-	dead bool
-	up   map[string]bool
-	took []Founder // what its disk holds: the first word of a founding that it was told
+	stopped  bool
+	linkUp   map[string]bool
+	founders []Founder // what its disk holds: the first word of a founding that it was told
 }
 
 type world struct {
-	now    time.Duration
-	terms  Terms
-	actors map[string]*simNode
-	names  []string
-	joins  func(a, b string) bool     // they reach each other now
-	loses  func(from, to string) bool // a Found is lost
-	told   map[string]bool            // all lists of founders that were told
-	by     []string                   // who began, in order
+	now            time.Duration
+	config         Config
+	nodes          map[string]*simNode
+	names          []string
+	connected      func(a, b string) bool     // they reach each other now
+	dropsBootstrap func(from, to string) bool // a Found is lost
+	proposals      map[string]bool            // all lists of founders that were told
+	bootstrappers  []string                   // who began, in order
 }
 
 func clusterIDOf(list []Founder) uint64 {
@@ -108,8 +108,8 @@
 }
 
 func newWorld(seeds string, disks ...string) *world {
-	w := &world{terms: Terms{strings.Split(seeds, ""), 1, clusterIDOf}, actors: map[string]*simNode{}, told: map[string]bool{},
-		joins: func(string, string) bool { return true }, loses: func(string, string) bool { return false }}
+	w := &world{config: Config{strings.Split(seeds, ""), 1, clusterIDOf}, nodes: map[string]*simNode{}, proposals: map[string]bool{},
+		connected: func(string, string) bool { return true }, dropsBootstrap: func(string, string) bool { return false }}
 	for i, n := range disks {
 		w.start(n, Disk(i+1), true)
 	}
@@ -118,80 +118,80 @@
 
 // start begins a life of a node; its disk keeps what it took.
 func (w *world) start(name string, disk Disk, first bool) *simNode {
-	a := w.actors[name]
+	a := w.nodes[name]
 	if a == nil {
 		a = &simNode{}
-		w.actors[name] = a
+		w.nodes[name] = a
 		w.names = append(w.names, name)
 	}
-	me := Node{Name: name, Addr: name, Disk: disk, First: first, Life: uint64(w.now) + 1, Founded: a.took != nil}
-	if a.took != nil {
-		me.House = clusterIDOf(a.took)
+	me := Node{Name: name, Addr: name, Disk: disk, First: first, Life: uint64(w.now) + 1, Founded: a.founders != nil}
+	if a.founders != nil {
+		me.House = clusterIDOf(a.founders)
 	}
-	a.Roster, a.dead, a.up = New(me, w.terms, w.now), false, map[string]bool{}
+	a.Roster, a.stopped, a.linkUp = New(me, w.config, w.now), false, map[string]bool{}
 	return a
 }
 
-func (w *world) reach(a, b string) bool {
-	x := w.actors[b]
-	return x != nil && !x.dead && !w.actors[a].dead && w.joins(a, b)
+func (w *world) reachable(a, b string) bool {
+	x := w.nodes[b]
+	return x != nil && !x.stopped && !w.nodes[a].stopped && w.connected(a, b)
 }
 
 // step lets a fifth of a second pass.
 func (w *world) step() {
 	w.now += 200 * ms
 	for _, n := range w.names {
-		a := w.actors[n]
-		if a.dead {
+		a := w.nodes[n]
+		if a.stopped {
 			continue
 		}
-		a.Now(w.now)
+		a.Tick(w.now)
 		for _, to := range a.Addrs() {
-			if is := w.reach(n, to); is != a.up[to] {
-				if a.up[to] = is; is {
-					a.Up(to)
+			if is := w.reachable(n, to); is != a.linkUp[to] {
+				if a.linkUp[to] = is; is {
+					a.LinkUp(to)
 				} else {
-					a.Down(to)
+					a.LinkDown(to)
 				}
 			}
-			if w.reach(to, n) && w.actors[to].up[n] && slices.Contains(w.actors[to].Watchers(), n) {
-				a.Heard(to)
+			if w.reachable(to, n) && w.nodes[to].linkUp[n] && slices.Contains(w.nodes[to].Watchers(), n) {
+				a.FrameReceived(to)
 			}
 		}
 	}
 	for again := true; again; {
 		again = false
 		for _, n := range w.names {
-			a := w.actors[n]
+			a := w.nodes[n]
 			for _, do := range drain(a.Roster) {
-				if again = true; do.Verb == Found {
-					w.found(n, do)
+				if again = true; do.Kind == Bootstrap {
+					w.deliverBootstrap(n, do)
 				}
-				if do.Verb == Greet && w.reach(n, do.Addr) {
-					w.actors[do.Addr].Hello(n, a.Say(do.Addr))
+				if do.Kind == SendHello && w.reachable(n, do.Addr) {
+					w.nodes[do.Addr].HandleHello(n, a.HelloTo(do.Addr))
 				}
 			}
 		}
 	}
 }
 
-func (w *world) found(from string, do Action) {
-	if list := fmt.Sprint(do.Founders); !w.told[list] {
-		w.told[list], w.by = true, append(w.by, from)
+func (w *world) deliverBootstrap(from string, do Action) {
+	if list := fmt.Sprint(do.Founders); !w.proposals[list] {
+		w.proposals[list], w.bootstrappers = true, append(w.bootstrappers, from)
 	}
-	to := w.actors[do.Addr]
-	if from != do.Addr && (!w.reach(from, do.Addr) || w.loses(from, do.Addr)) || to.took != nil {
+	to := w.nodes[do.Addr]
+	if from != do.Addr && (!w.reachable(from, do.Addr) || w.dropsBootstrap(from, do.Addr)) || to.founders != nil {
 		return
 	}
-	if me := (Founder{to.Me().Disk, do.Addr}); slices.Contains(do.Founders, me) {
-		to.took = do.Founders
-		to.Settle(me.Disk, clusterIDOf(do.Founders))
+	if me := (Founder{to.Self().Disk, do.Addr}); slices.Contains(do.Founders, me) {
+		to.founders = do.Founders
+		to.SetCluster(me.Disk, clusterIDOf(do.Founders))
 	}
 }
 
-func (w *world) die(names ...string) {
+func (w *world) stop(names ...string) {
 	for _, n := range names {
-		w.actors[n].dead = true
+		w.nodes[n].stopped = true
 	}
 }
 
@@ -202,13 +202,13 @@
 	return w
 }
 
-// systems counts the lists of founders that a majority of them holds.
-func (w *world) systems() (n int) {
+// majorities counts the lists of founders that a majority of them holds.
+func (w *world) majorities() (n int) {
 	holds := map[string]int{}
-	for _, a := range w.actors {
-		if a.took != nil {
-			list := fmt.Sprint(a.took)
-			if holds[list]++; holds[list] == len(a.took)/2+1 {
+	for _, a := range w.nodes {
+		if a.founders != nil {
+			list := fmt.Sprint(a.founders)
+			if holds[list]++; holds[list] == len(a.founders)/2+1 {
 				n++
 			}
 		}
@@ -222,18 +222,18 @@
 	w := newWorld("abc", "a", "b", "c")
 	w.start("d", 0, true)
 	lost := 0
-	w.loses = func(_, to string) bool { lost++; return to == "c" && lost < 4 }
+	w.dropsBootstrap = func(_, to string) bool { lost++; return to == "c" && lost < 4 }
 	w.until(400 * ms)
-	must.MapEmpty(t, w.told)
+	must.MapEmpty(t, w.proposals)
 	w.until(2 * time.Second)
-	must.Eq(t, []string{"a"}, w.by)
+	must.Eq(t, []string{"a"}, w.bootstrappers)
 	all := []Founder{{1, "a"}, {2, "b"}, {3, "c"}}
-	must.Eq(t, all, w.actors["b"].took)
-	must.SliceEmpty(t, w.actors["c"].took)
+	must.Eq(t, all, w.nodes["b"].founders)
+	must.SliceEmpty(t, w.nodes["c"].founders)
 	w.until(8 * time.Second)
-	must.Eq(t, all, w.actors["c"].took)
-	must.SliceEmpty(t, w.actors["d"].took)
-	must.Eq(t, []string{"a"}, w.by)
+	must.Eq(t, all, w.nodes["c"].founders)
+	must.SliceEmpty(t, w.nodes["d"].founders)
+	must.Eq(t, []string{"a"}, w.bootstrappers)
 	said := lost
 	w.until(20 * time.Second) // all have it: nothing is said again
 	must.Eq(t, said, lost)
@@ -249,36 +249,36 @@
 		by    string // who began
 		size  int    // of the list
 	}{
-		{"the first is never there", "abc", func(w *world) { w.die("a") }, "b", 2},
-		{"the first dies early", "abc", func(w *world) { w.until(200 * ms).die("a") }, "b", 3},
+		{"the first is never there", "abc", func(w *world) { w.stop("a") }, "b", 2},
+		{"the first dies early", "abc", func(w *world) { w.until(200 * ms).stop("a") }, "b", 3},
 		{"it comes back with a new life", "abc", func(w *world) {
-			w.until(200 * ms).die("a")
+			w.until(200 * ms).stop("a")
 			w.until(1000*ms).start("a", 1, false)
 		}, "b", 3},
 		{"it comes back late, while it is waited for", "abc", func(w *world) {
-			w.die("a")
+			w.stop("a")
 			w.until(2200*ms).start("a", 1, true)
 		}, "a", 3},
 		{"it comes back with a state", "abc", func(w *world) {
-			w.until(200 * ms).die("a")
-			w.actors["a"].took = []Founder{{1, "a"}}
+			w.until(200 * ms).stop("a")
+			w.nodes["a"].founders = []Founder{{1, "a"}}
 			w.until(1000*ms).start("a", 1, false)
 		}, "", 0},
 		{"another holds a state", "abc", func(w *world) {
-			w.actors["c"].took = []Founder{{3, "c"}}
+			w.nodes["c"].founders = []Founder{{3, "c"}}
 			w.start("c", 3, false)
 		}, "", 0},
-		{"two are never there", "abc", func(w *world) { w.die("a", "b") }, "", 0},
+		{"two are never there", "abc", func(w *world) { w.stop("a", "b") }, "", 0},
 		{"no seed has a disk to found with", "def", func(w *world) {
 			for _, n := range []string{"d", "e", "f"} {
 				w.start(n, 0, true)
 			}
-			w.die("d", "c")
+			w.stop("d", "c")
 		}, "e", 2},
 		{"a seed without a disk hears two that do not hear each other", "abf", func(w *world) {
 			w.start("f", 0, true)
 			w.start("d", 4, true)
-			w.joins = func(a, b string) bool { return strings.Contains("af fa bf fb ad da bc cb", a+b) }
+			w.connected = func(a, b string) bool { return strings.Contains("af fa bf fb ad da bc cb", a+b) }
 		}, "a", 2},
 		{"all were killed before a word of it was on disk", "abc", func(w *world) {
 			for nr, n := range []string{"a", "b", "c"} {
@@ -286,18 +286,18 @@
 			}
 		}, "a", 3},
 		{"all but one, and that was wiped as well", "abc", func(w *world) {
-			w.die("a", "b")
+			w.stop("a", "b")
 			w.start("c", 9, false)
 		}, "", 0},
-		{"one seed, and it is alone", "a", func(w *world) { w.joins = func(a, b string) bool { return false } }, "a", 1},
+		{"one seed, and it is alone", "a", func(w *world) { w.connected = func(a, b string) bool { return false } }, "a", 1},
 		{"all seeds are the same", "bbb", func(*world) {}, "b", 3},
 	} {
 		w := newWorld(c.seeds, "a", "b", "c")
 		c.do(w)
 		w.until(12 * time.Second)
-		by := strings.Join(w.by, "")
+		by := strings.Join(w.bootstrappers, "")
 		must.Eq(t, c.by, by, must.Sprint(c.name))
-		for list := range w.told {
+		for list := range w.proposals {
 			must.Eq(t, c.size, strings.Count(list, "{"), must.Sprint(c.name))
 		}
 	}
@@ -317,69 +317,69 @@
 		for _, dies := range []time.Duration{far, 400 * ms, 3400 * ms} {
 			lossy := tries%2 > 0
 			w := newWorld("abc", "a", "b", "c", "d")
-			w.joins = func(a, b string) bool { return w.now >= min(when[min(a, b)+max(a, b)], 10*time.Second) }
-			w.loses = func(_, to string) bool { return lossy && w.now < 7*time.Second && to != "d" }
+			w.connected = func(a, b string) bool { return w.now >= min(when[min(a, b)+max(a, b)], 10*time.Second) }
+			w.dropsBootstrap = func(_, to string) bool { return lossy && w.now < 7*time.Second && to != "d" }
 			alone := false
 			for w.now < 14*time.Second {
 				w.step()
-				must.LessEq(t, 1, w.systems(), must.Sprintf("meet %o, dies %v: %v", meet, dies, w.by))
-				if a := w.actors["a"]; w.now == dies {
-					a.dead = true
-					alone = a.took != nil && w.systems() == 0
+				must.LessEq(t, 1, w.majorities(), must.Sprintf("meet %o, dies %v: %v", meet, dies, w.bootstrappers))
+				if a := w.nodes["a"]; w.now == dies {
+					a.stopped = true
+					alone = a.founders != nil && w.majorities() == 0
 				} else if w.now == dies+800*ms {
 					w.start("a", 1, false)
 				}
 			}
 			if tries++; !alone {
-				must.Eq(t, 1, w.systems(), must.Sprintf("meet %o, dies %v: %v", meet, dies, w.by))
+				must.Eq(t, 1, w.majorities(), must.Sprintf("meet %o, dies %v: %v", meet, dies, w.bootstrappers))
 			}
 		}
 	}
 }
 
 // A node that says nothing is not live, one that is not heard for long is forgotten, and a seed or one with a slot is not.
-func TestSilence(t *testing.T) {
-	c := New(Node{Addr: "me", Disk: 9}, Terms{Seeds: []string{"s"}}, 0)
+func TestLivenessTimeout(t *testing.T) {
+	c := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"s"}}, 0)
 	for _, a := range []string{"s", "x", "y"} {
-		c.Hello(a, Hello{Door: Node{Name: a, Life: 1}, Knows: c.me.stamp()})
-		c.Up(a)
+		c.HandleHello(a, Hello{Door: Node{Name: a, Life: 1}, Knows: c.self.fingerprint()})
+		c.LinkUp(a)
 	}
 	c.SetSlots([]SlotHolder{{Addr: "me"}, {Addr: "y"}})
-	must.Eq(t, 1, count(drain(c), Changed, ""))
+	must.Eq(t, 1, count(drain(c), LiveNodesChanged, ""))
 	must.Eq(t, Slot(1), c.Slot("y"))
 	must.Eq(t, NoSlot, c.Slot("x"))
-	for at := time.Duration(0); at < silentFor; at += 100 * ms {
-		c.Now(at)
-		c.Heard("x")
+	for at := time.Duration(0); at < livenessTimeout; at += 100 * ms {
+		c.Tick(at)
+		c.FrameReceived("x")
 		must.SliceEmpty(t, drain(c))
 	}
-	c.Now(silentFor)
-	must.Eq(t, 1, count(drain(c), Changed, "")) // s and y have gone, at once
+	c.Tick(livenessTimeout)
+	must.Eq(t, 1, count(drain(c), LiveNodesChanged, "")) // s and y have gone, at once
 	pass := func(until time.Duration) {
 		for at := c.now; at < until; at += 500 * ms {
-			c.Now(at)
+			c.Tick(at)
 		}
-		c.Now(until)
+		c.Tick(until)
 	}
 	must.True(t, c.Live("x"))
 	must.False(t, c.Live("y"))
-	c.Heard("y")
+	c.FrameReceived("y")
 	must.True(t, c.Live("y")) // its link never ended
-	c.Hello("y", Hello{Door: Node{Name: "y", Life: 2}})
-	must.Eq(t, 1, count(drain(c), Changed, "")) // another life of it, though it stays live
-	pass(silentFor + forgetIn + ms)
+	c.HandleHello("y", Hello{Door: Node{Name: "y", Life: 2}})
+	must.Eq(t, 1, count(drain(c), LiveNodesChanged, "")) // another life of it, though it stays live
+	pass(livenessTimeout + forgetAfter + ms)
 	gone := drain(c)
-	must.Eq(t, 1, count(gone, Leave, "x"))
+	must.Eq(t, 1, count(gone, Disconnect, "x"))
 	must.Eq(t, []string{"s", "y"}, c.Addrs())
-	c.Heard("x")
-	must.Eq(t, 1, count(drain(c), Want, "x"))
+	c.FrameReceived("x")
+	must.Eq(t, 1, count(drain(c), Connect, "x"))
 	var many []string
 	for i := range 2 * maxNodes {
 		many = append(many, fmt.Sprint("z", i))
 	}
 	c.SetSeeds(many)
 	must.Len(t, maxNodes, c.Addrs())
-	c.Hello("x", Hello{Door: Node{Name: "x", Disk: 5}}) // a full table still takes word of those in it
+	c.HandleHello("x", Hello{Door: Node{Name: "x", Disk: 5}}) // a full table still takes word of those in it
 	d, _ := c.Node("x")
 	must.Eq(t, Disk(5), d.Disk)
 }
@@ -387,7 +387,7 @@
 // Links must not grow with the square of the nodes, and nobody may be left without one: a node without a disk that knows only
 // seeds without a disk is brought to those that have one, leaves the seeds when it has a slot, and goes back to them when
 // all nodes with a disk are gone.
-func TestLinksGoByNodesWithADisk(t *testing.T) {
+func TestLinksGoThroughDiskNodes(t *testing.T) {
 	w := newWorld("dea", "a", "b", "c")
 	for _, n := range []string{"d", "e", "f", "g"} {
 		w.start(n, 0, true)
@@ -398,12 +398,12 @@
 			order = append(order, SlotHolder{Name: n, Addr: n})
 		}
 		for _, n := range w.names {
-			w.actors[n].SetSlots(order)
+			w.nodes[n].SetSlots(order)
 		}
 	}
 	linked := func(n string) (all string) {
-		for _, a := range w.actors[n].Addrs() {
-			if w.actors[n].peers[a].linked {
+		for _, a := range w.nodes[n].Addrs() {
+			if w.nodes[n].peers[a].linkWanted {
 				all += a
 			}
 		}
@@ -413,13 +413,13 @@
 		for end := w.now + d; w.now < end; {
 			w.step()
 			for _, n := range w.names {
-				if a := w.actors[n]; !a.dead && a.Me().Disk != 0 {
+				if a := w.nodes[n]; !a.stopped && a.Self().Disk != 0 {
 					for _, o := range w.names {
-						if b := w.actors[o]; b != a && !b.dead && b.Me().Disk != 0 {
-							b.Told(n, a.Hears())
-						} else if !b.dead && n == "b" {
-							b.Heard(n)
-							b.Told(n, a.Lives())
+						if b := w.nodes[o]; b != a && !b.stopped && b.Self().Disk != 0 {
+							b.HandleLiveness(n, a.ReachableSlots())
+						} else if !b.stopped && n == "b" {
+							b.FrameReceived(n)
+							b.HandleLiveness(n, a.LiveSlots())
 						}
 					}
 				}
@@ -432,10 +432,10 @@
 	must.Eq(t, "bcdefg", linked("a"))
 	for _, n := range []string{"d", "e", "f", "g"} {
 		must.Eq(t, "abc", linked(n))
-		must.True(t, w.actors[n].Live("d")) // by the word of those with a disk
-		must.Eq(t, []string{"a", "b", "c"}, w.actors[n].Say("f").Known)
+		must.True(t, w.nodes[n].Live("d")) // by the word of those with a disk
+		must.Eq(t, []string{"a", "b", "c"}, w.nodes[n].HelloTo("f").Known)
 	}
-	w.actors["a"].dead = true // the one seed with a disk
+	w.nodes["a"].stopped = true // the one seed with a disk
 	w.start("h", 0, false)
 	feed(time.Second)
 	must.Eq(t, "abcde", linked("h")) // a is a seed: it may come back
@@ -443,7 +443,7 @@
 	feed(10 * time.Second)
 	must.Eq(t, "abc", linked("h"))
 	must.Eq(t, "abc", linked("d"))
-	w.die("b", "c")
+	w.stop("b", "c")
 	w.until(w.now + 4*time.Second)
 	must.Eq(t, "abcde", linked("h"))
 	must.Eq(t, "abce", linked("d"))
@@ -451,24 +451,24 @@
 
 // A node that was frozen for seconds wakes with all that others sent unread: it must not hold them for lost before it has read
 // it. One left the node that it followed so, dropped the news that lay unread, and went by an old configuration for seconds.
-func TestStandstillIsNotSilence(t *testing.T) {
-	c := New(Node{Addr: "me"}, Terms{}, 0)
-	c.Hello("a", Hello{Door: Node{Name: "a", Disk: 1, Life: 1}, Knows: c.me.stamp()})
-	c.Up("a")
+func TestStallIsNotATimeout(t *testing.T) {
+	c := New(Node{Addr: "me"}, Config{}, 0)
+	c.HandleHello("a", Hello{Door: Node{Name: "a", Disk: 1, Life: 1}, Knows: c.self.fingerprint()})
+	c.LinkUp("a")
 	c.SetSlots([]SlotHolder{{Addr: "me"}, {Addr: "a"}, {Addr: "b"}})
-	c.Told("a", []byte{7})
+	c.HandleLiveness("a", []byte{7})
 	must.True(t, c.Live("a") && c.Live("b"))
-	c.Now(500 * ms)
+	c.Tick(500 * ms)
 	drain(c)
-	c.Now(20 * time.Second)
+	c.Tick(20 * time.Second)
 	must.SliceEmpty(t, drain(c))
 	must.True(t, c.Live("a") && c.Live("b"))
 	for at := 20 * time.Second; at < 21900*ms; at += 500 * ms {
-		c.Now(at)
+		c.Tick(at)
 		drain(c)
 	}
 	must.True(t, c.Live("a") && c.Live("b"))
-	c.Now(22 * time.Second)
+	c.Tick(22 * time.Second)
 	drain(c)
 	must.False(t, c.Live("a") || c.Live("b")) // 2.2 s of silence, of which 0.5 s came before
 }
@@ -477,24 +477,24 @@
 // go by nodes that it has not heard for a second. It would else begin a system of its own, which the others never join.
 func TestWhoWasAwayDoesNotBegin(t *testing.T) {
 	began := func(pause time.Duration, hears bool) bool {
-		c := New(Node{Addr: "a", Disk: 1, First: true}, Terms{Seeds: []string{"a", "b", "c"}, Tolerates: 1, ClusterID: clusterIDOf}, 0)
+		c := New(Node{Addr: "a", Disk: 1, First: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: clusterIDOf}, 0)
 		for i, n := range []string{"b", "c"} {
-			c.Hello(n, Hello{Door: Node{Name: n, Disk: Disk(i + 2), First: true, Life: 1}})
-			c.Up(n)
+			c.HandleHello(n, Hello{Door: Node{Name: n, Disk: Disk(i + 2), First: true, Life: 1}})
+			c.LinkUp(n)
 		}
 		drain(c)
 		for c.now < 400*ms {
-			c.Now(c.now + 100*ms)
+			c.Tick(c.now + 100*ms)
 		}
-		c.Now(c.now + pause)
+		c.Tick(c.now + pause)
 		did := drain(c)
 		for end := c.now + time.Second; c.now < end; did = append(did, drain(c)...) {
-			if c.Now(c.now + 100*ms); hears {
-				c.Heard("b")
-				c.Hello("c", Hello{Door: Node{Name: "c", Disk: 3, First: true, Life: 1, Founded: pause > 0}})
+			if c.Tick(c.now + 100*ms); hears {
+				c.FrameReceived("b")
+				c.HandleHello("c", Hello{Door: Node{Name: "c", Disk: 3, First: true, Life: 1, Founded: pause > 0}})
 			}
 		}
-		return count(did, Found, "a") > 0
+		return count(did, Bootstrap, "a") > 0
 	}
 	must.True(t, began(0, true))
 	must.False(t, began(6*time.Second, true)) // another has begun it
@@ -507,7 +507,7 @@
 func TestSeedsHoldTheWordFirst(t *testing.T) {
 	for cut := 400 * ms; cut < 1600*ms; cut += 100 * ms {
 		w := newWorld("abc", "a", "b", "c", "d", "e")
-		w.joins = func(x, y string) bool {
+		w.connected = func(x, y string) bool {
 			x, y = min(x, y), max(x, y)
 			switch {
 			case w.now > 20*time.Second:
@@ -519,54 +519,54 @@
 		}
 		for w.now < 20*time.Second {
 			w.step()
-			must.LessEq(t, 1, w.systems(), must.Sprintf("cut at %v: %v", cut, w.by))
+			must.LessEq(t, 1, w.majorities(), must.Sprintf("cut at %v: %v", cut, w.bootstrappers))
 		}
 	}
 }
 
 // Hellos must not carry the square of a deployment: who has a slot is known by the core's order, so that a hello to a node with a disk
 // names those alone that have none yet, beside the nodes with a disk. A node that nobody has in the order is still made known.
-func TestHellosNameNobodyWithASlot(t *testing.T) {
-	c := New(Node{Addr: "me", Disk: 9}, Terms{Seeds: []string{"disk"}, ClusterID: clusterIDOf}, 0)
+func TestHellosOmitSlotHolders(t *testing.T) {
+	c := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"disk"}, ClusterID: clusterIDOf}, 0)
 	var order []SlotHolder
 	for i := range 300 {
 		addr := fmt.Sprint("node-", i)
-		c.Hello(addr, Hello{Door: Node{Name: addr, Addr: addr}})
+		c.HandleHello(addr, Hello{Door: Node{Name: addr, Addr: addr}})
 		order = append(order, SlotHolder{Name: addr, Addr: addr})
 	}
 	for _, d := range []string{"disk", "disk-2"} {
-		c.Hello(d, Hello{Door: Node{Addr: d, Disk: Disk(len(d))}})
+		c.HandleHello(d, Hello{Door: Node{Addr: d, Disk: Disk(len(d))}})
 	}
-	must.Len(t, 301, c.Say("disk").Known)
+	must.Len(t, 301, c.HelloTo("disk").Known)
 	c.SetSlots(order[:299])
-	must.Eq(t, []string{"disk-2", "node-299"}, c.Say("disk").Known)
-	must.Eq(t, []string{"disk", "disk-2"}, c.Say("node-5").Known)
+	must.Eq(t, []string{"disk-2", "node-299"}, c.HelloTo("disk").Known)
+	must.Eq(t, []string{"disk", "disk-2"}, c.HelloTo("node-5").Known)
 }
 
 // A node with a disk that starts knows hundreds of nodes by the order of slots. It leaves them to dial first, which they all do in that
 // moment, and answers; those that say nothing are dialed a little later, for they may not find their way. Guards against a member
 // with no descriptors left right after a loss of power: its 300 dials came beside theirs.
 func TestSlotHoldersDialFirst(t *testing.T) {
-	c := New(Node{Addr: "me", Disk: 9}, Terms{Seeds: []string{"me"}, ClusterID: clusterIDOf}, 0)
+	c := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me"}, ClusterID: clusterIDOf}, 0)
 	var order []SlotHolder
 	for i := range 300 {
 		addr := fmt.Sprint("node-", i)
 		order = append(order, SlotHolder{Name: addr, Addr: addr})
 	}
 	c.SetSlots(order)
-	c.Now(300 * ms)
-	must.Eq(t, 0, count(drain(c), Want, "node-7"))
-	c.Heard("node-7")
-	c.Hello("node-8", Hello{Door: Node{Addr: "node-8"}})
+	c.Tick(300 * ms)
+	must.Eq(t, 0, count(drain(c), Connect, "node-7"))
+	c.FrameReceived("node-7")
+	c.HandleHello("node-8", Hello{Door: Node{Addr: "node-8"}})
 	all := drain(c)
-	must.Eq(t, 1, count(all, Want, "node-7"))
-	must.Eq(t, 1, count(all, Want, "node-8"))
-	must.Eq(t, 0, count(all, Want, "node-9"))
-	for at := 400 * ms; at <= dialLate+lookEvery; at += lookEvery {
-		c.Now(at)
+	must.Eq(t, 1, count(all, Connect, "node-7"))
+	must.Eq(t, 1, count(all, Connect, "node-8"))
+	must.Eq(t, 0, count(all, Connect, "node-9"))
+	for at := 400 * ms; at <= passiveDialDelay+refreshInterval; at += refreshInterval {
+		c.Tick(at)
 		all = append(all, drain(c)...)
 	}
-	must.Eq(t, 1, count(all, Want, "node-9"))
-	must.Eq(t, 1, count(all, Want, "node-7"))
-	must.Eq(t, 0, count(all, Leave, "node-7"))
+	must.Eq(t, 1, count(all, Connect, "node-9"))
+	must.Eq(t, 1, count(all, Connect, "node-7"))
+	must.Eq(t, 0, count(all, Disconnect, "node-7"))
 }
--- a/internal/gateway/membership/watch.go
+++ b/internal/gateway/membership/watch.go
@@ -10,13 +10,13 @@
 // tell each other whom they hear, and all who follow them who lives. So a fleet of n nodes sends a few heartbeats a node and not
 // n, and all nodes go by the same word. What comes from a node itself, whatever it is, counts as well.
 
-// watchersMost is how many watchers a node has: one may be lost and one cut off while the third still hears it.
-const watchersMost = 3
+// maxWatchers is how many watchers a node has: one may be lost and one cut off while the third still hears it.
+const maxWatchers = 3
 
-// opinion is what another node with a disk last told.
-type opinion struct {
-	hears []byte
-	at    time.Duration
+// livenessReport is what another node with a disk last told.
+type livenessReport struct {
+	slots      []byte
+	receivedAt time.Duration
 }
 
 // The figures of FNV-1a.
@@ -25,8 +25,8 @@
 	fnvPrime  = 0x100000001b3
 )
 
-// place is where a node stands on the ring (FNV-1a, its bits spread: addresses differ in their last digits alone).
-func place(addr string) uint64 {
+// ringPosition is where a node stands on the ring (FNV-1a, its bits spread: addresses differ in their last digits alone).
+func ringPosition(addr string) uint64 {
 	h := uint64(fnvOffset)
 	for i := range len(addr) {
 		h = (h ^ uint64(addr[i])) * fnvPrime
@@ -40,21 +40,21 @@
 // or nobody has a slot, all that are known are told.
 func (c *Roster) Watchers() (all []string) {
 	for a, d := range c.peers {
-		if d.met && d.Disk != 0 && (d.live || c.me.Disk != 0) {
+		if d.introduced && d.Disk != 0 && (d.live || c.self.Disk != 0) {
 			all = append(all, a)
 		}
 	}
 	slices.Sort(all)
-	if len(all) == 0 || len(c.order) == 0 { // the core is not there yet
+	if len(all) == 0 || len(c.slotHolders) == 0 { // the core is not there yet
 		all = c.Addrs()
-		return slices.DeleteFunc(all, func(a string) bool { return !c.peers[a].linked })
+		return slices.DeleteFunc(all, func(a string) bool { return !c.peers[a].linkWanted })
 	}
-	if c.me.Disk != 0 || len(all) <= watchersMost {
+	if c.self.Disk != 0 || len(all) <= maxWatchers {
 		return all
 	}
-	me := place(c.me.Addr)
+	me := ringPosition(c.self.Addr)
 	slices.SortFunc(all, func(a, b string) int {
-		if x, y := place(a)-me, place(b)-me; x != y { // the way round the ring
+		if x, y := ringPosition(a)-me, ringPosition(b)-me; x != y { // the way round the ring
 			if x < y {
 				return -1
 			}
@@ -62,20 +62,20 @@
 		}
 		return strings.Compare(a, b)
 	})
-	return all[:watchersMost]
+	return all[:maxWatchers]
 }
 
-// Nearer tells which of two nodes, a or not, the one at an address turns to where both are as good: each node has an order of its own.
-func Nearer(from, a, b string) bool {
-	x, y := place(from+" "+a), place(from+" "+b)
+// Prefers tells which of two nodes, a or not, the one at an address turns to where both are as good: each node has an order of its own.
+func Prefers(from, a, b string) bool {
+	x, y := ringPosition(from+" "+a), ringPosition(from+" "+b)
 	return x < y || x == y && a < b
 }
 
-func bit(set []byte, s Slot) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
+func hasSlot(set []byte, s Slot) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
 
-func (c *Roster) set(in func(addr string) bool) []byte {
-	set := make([]byte, (len(c.order)+7)/8)
-	for i, s := range c.order {
+func (c *Roster) slotSet(in func(addr string) bool) []byte {
+	set := make([]byte, (len(c.slotHolders)+7)/8)
+	for i, s := range c.slotHolders {
 		if in(s.Addr) {
 			set[i/8] |= 1 << (i % 8)
 		}
@@ -83,34 +83,34 @@
 	return set
 }
 
-// hears tells whether anything came from a node of late.
-func (c *Roster) hears(addr string) bool {
+// reachable tells whether anything came from a node of late.
+func (c *Roster) reachable(addr string) bool {
 	d := c.peers[addr]
-	return addr == c.me.Addr || d != nil && d.met && c.now-d.heard < silentFor
+	return addr == c.self.Addr || d != nil && d.introduced && c.now-d.receivedAt < livenessTimeout
 }
 
-// Hears are the slots that this node hears itself, a bit each: what nodes with a disk tell each other. It holds no hearsay,
+// ReachableSlots are the slots that this node hears itself, a bit each: what nodes with a disk tell each other. It holds no hearsay,
 // else two nodes could keep a dead one alive between them.
-func (c *Roster) Hears() []byte { return c.set(c.hears) }
+func (c *Roster) ReachableSlots() []byte { return c.slotSet(c.reachable) }
 
-// Lives are the slots of the live nodes, a bit each: what nodes with a disk tell those who follow them.
-func (c *Roster) Lives() []byte {
-	return c.set(func(addr string) bool { return c.hears(addr) || c.told(c.Slot(addr)) })
+// LiveSlots are the slots of the live nodes, a bit each: what nodes with a disk tell those who follow them.
+func (c *Roster) LiveSlots() []byte {
+	return c.slotSet(func(addr string) bool { return c.reachable(addr) || c.reportedLive(c.Slot(addr)) })
 }
 
-// Told takes the slots that another node hears, or that live where this one has no disk and follows it.
-func (c *Roster) Told(from string, slots []byte) {
-	if c.me.Disk == 0 {
-		clear(c.opinions) // one word at a time: that of the node that is followed
+// HandleLiveness takes the slots that another node hears, or that live where this one has no disk and follows it.
+func (c *Roster) HandleLiveness(from string, slots []byte) {
+	if c.self.Disk == 0 {
+		clear(c.livenessReports) // one word at a time: that of the node that is followed
 	}
-	c.opinions[from] = opinion{slots, c.now}
-	c.look()
+	c.livenessReports[from] = livenessReport{slots, c.now}
+	c.refresh()
 }
 
-// told tells whether a node that is heard hears a slot.
-func (c *Roster) told(s Slot) bool {
-	for from, o := range c.opinions {
-		if bit(o.hears, s) && c.now-o.at < silentFor && c.hears(from) {
+// reportedLive tells whether a node that is heard hears a slot.
+func (c *Roster) reportedLive(s Slot) bool {
+	for from, o := range c.livenessReports {
+		if hasSlot(o.slots, s) && c.now-o.receivedAt < livenessTimeout && c.reachable(from) {
 			return true
 		}
 	}
@@ -119,24 +119,24 @@
 
 // LinkReport tells how a node's links are: what its operators ask first when it hears fewer nodes than others do.
 type LinkReport struct {
-	Wanted, Up int
-	Unmet      []string // addresses of nodes whose link is up, and which have said no hello, in order
+	Wanted, Connected int
+	WithoutHello      []string // addresses of nodes whose link is up, and which have said no hello, in order
 }
 
 // Links reports on this node's links. A node without a disk goes by those that it has met alone: one that it has not can't feed it.
 func (c *Roster) Links() (r LinkReport) {
 	for _, addr := range c.Addrs() {
 		p := c.peers[addr]
-		if !p.linked {
+		if !p.linkWanted {
 			continue
 		}
 		r.Wanted++
-		if !p.up {
+		if !p.linkUp {
 			continue
 		}
-		r.Up++
-		if !p.met {
-			r.Unmet = append(r.Unmet, addr)
+		r.Connected++
+		if !p.introduced {
+			r.WithoutHello = append(r.WithoutHello, addr)
 		}
 	}
 	return r
--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -50,8 +50,8 @@
 
 // Links carry frames to other nodes; what is sent may be lost.
 type Links interface {
-	Want(to string)
-	Leave(to string)
+	Connect(to string)
+	Disconnect(to string)
 	Send(to string, f *Frame) bool
 	Check() // each second: asserts what must hold of them
 }
@@ -125,7 +125,7 @@
 		return nil, err
 	}
 	if s.node.settings.DataDir == "" { // all of these link to all that have a disk
-		s.mesh.Offer()
+		s.mesh.OfferLinks()
 	}
 	return s.mesh, nil
 }
--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -134,27 +134,27 @@
 // Gone is told when another backend answered at this one's address.
 func (h *Node) Gone(id control.BackendID) {
 	if h.registry != nil {
-		h.registry.Seen421(h.catalog.backendNames[id])
+		h.registry.AddressTaken(h.catalog.backendNames[id])
 	}
 }
 
 // updateListing takes news of a backend to those who go by it.
 func (h *Node) updateListing(c registry.Changed) {
-	id := backendIDOf(c.Word.ID)
+	id := backendIDOf(c.Record.ID)
 	state := control.Ready
-	switch c.Word.Phase {
+	switch c.Record.Phase {
 	case registry.Draining:
 		state = control.Draining
 	case registry.Gone:
 		state = control.Gone
 	}
-	h.catalog.backendNames[id] = c.Word.ID
-	h.dispatcher.SetBackend(id, c.Word.Addr, 0, state == control.Ready)
-	if s, ok := h.table.Service(c.Word.Service); ok && s.MaxConns > 0 {
+	h.catalog.backendNames[id] = c.Record.ID
+	h.dispatcher.SetBackend(id, c.Record.Addr, 0, state == control.Ready)
+	if s, ok := h.table.Service(c.Record.Service); ok && s.MaxConns > 0 {
 		h.dispatcher.SetMaxConns(id, max(minConnsPerNode, s.MaxConns/max(h.slotCount, 1)))
 	}
-	h.gate.Listed(false, []control.Listing{{ID: id, Zone: h.catalog.zoneID(c.Word.Zone), State: state,
-		Size: float64(max(c.Word.Capacity, 1)), Service: h.poolOf(c.Word), Cold: c.ColdUntil}})
+	h.gate.Listed(false, []control.Listing{{ID: id, Zone: h.catalog.zoneID(c.Record.Zone), State: state,
+		Size: float64(max(c.Record.Capacity, 1)), Service: h.poolOf(c.Record), Cold: c.SlowStartUntil}})
 	if state == control.Gone {
 		delete(h.catalog.backendNames, id)
 	}
--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -10,9 +10,9 @@
 
 // Coordinate takes an application's call. The clock is read first: what lies unread in a socket may have been sent after this turn
 // began, if the process stood still, and a lock's time must not count from before its caller asked for it.
-func (h *Node) Coordinate(c coordination.Call, then func(coordination.Answer)) {
+func (h *Node) Coordinate(c coordination.Call, then func(coordination.Result)) {
 	h.loop.Refresh()
-	h.coordination.Take(c, then)
+	h.coordination.Submit(c, then)
 }
 
 // receiveCoordination takes what another node's coordination says.
@@ -23,7 +23,7 @@
 		return
 	}
 	h.loop.Refresh()
-	h.coordination.Heard(from, m)
+	h.coordination.Receive(from, m)
 }
 
 // coordinationEnv is what a coordination.Service needs of its node.
@@ -33,11 +33,13 @@
 	return c.links.Send(to, &Frame{Coordination: m.Encode()})
 }
 
-func (c *coordinationEnv) At(at time.Duration, number uint32) { c.loop.At(at, c.coordination, number) }
+func (c *coordinationEnv) ScheduleAt(at time.Duration, number uint32) {
+	c.loop.At(at, c.coordination, number)
+}
 
-func (c *coordinationEnv) Waited() time.Duration { return c.loop.InputDelay() }
+func (c *coordinationEnv) InputDelay() time.Duration { return c.loop.InputDelay() }
 
-func (c *coordinationEnv) InTouch() bool { return (*Node)(c).permitted(permitCalls) }
+func (c *coordinationEnv) HasQuorumContact() bool { return (*Node)(c).permitted(permitCalls) }
 
 // groupsApplication hands a service the groups, and logs that they are led no longer; the host logs who leads.
 type groupsApplication struct {
@@ -73,8 +75,8 @@
 		}
 		for _, held := range status.Groups {
 			if held.ID == id {
-				g.Leads, g.Locks, g.Numbers, g.Keys = held.Leads, held.Locks, held.Numbers, held.Keys
-				g.KeyBytes, g.HistoryBytes = held.KeyBytes, held.Events
+				g.Leads, g.Locks, g.Numbers, g.Keys = held.IsLeader, held.Locks, held.Numbers, held.Keys
+				g.KeyBytes, g.HistoryBytes = held.KeyBytes, held.HistoryBytes
 			}
 		}
 		list.Groups = append(list.Groups, g)
@@ -84,14 +86,14 @@
 
 // callCounts words what a service did and holds.
 func callCounts(s *coordination.ServiceStatus) controlapi.CallCounts {
-	c := controlapi.CallCounts{Calls: map[string]uint64{}, Answers: map[string]uint64{}, PassedOn: s.Counts.PassedOn, Late: s.Counts.Late,
-		LeadsGained: s.Counts.Gained, LeadsLost: s.Counts.Lost, Pending: s.Pending, Watchers: s.Watchers, Parked: s.Parked}
-	for o, n := range s.Counts.Calls {
+	c := controlapi.CallCounts{Calls: map[string]uint64{}, Answers: map[string]uint64{}, PassedOn: s.Counters.Forwarded, Late: s.Counters.LateRequests,
+		LeadsGained: s.Counters.LeadershipsGained, LeadsLost: s.Counters.LeadershipsLost, Pending: s.Pending, Watchers: s.Watchers, Parked: s.ParkedWatches}
+	for o, n := range s.Counters.Calls {
 		if n > 0 {
 			c.Calls[coordination.Operation(o).String()] = n
 		}
 	}
-	for status, n := range s.Counts.Answers {
+	for status, n := range s.Counters.Results {
 		if n > 0 {
 			c.Answers[coordination.Status(status).String()] = n
 		}
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -89,7 +89,7 @@
 			c.node.say(corePart, "view %d is led by %s", view, m.Addr)
 		}
 	}
-	c.node.roster.Settle(membership.Disk(c.self.ID), c.replica.ClusterID())
+	c.node.roster.SetCluster(membership.Disk(c.self.ID), c.replica.ClusterID())
 }
 
 func (c *core) sendMessage(to replication.Member, m replication.Message) {
@@ -106,7 +106,7 @@
 	}
 	c.node.registryDirty, c.softStateSavedAt = false, now
 	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(c.node.registry.All()) // of texts and numbers: it can't fail
+	gob.NewEncoder(&b).Encode(c.node.registry.Backends()) // of texts and numbers: it can't fail
 	c.disk.softState = b.Bytes()
 }
 
@@ -114,8 +114,8 @@
 func (c *core) loadRegistry() {
 	var words []registry.Record
 	if noted := c.disk.disk.SoftState(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&words) == nil {
-		c.node.registry.Now(c.node.loop.Now())
-		c.node.registry.Remember(words)
+		c.node.registry.Tick(c.node.loop.Now())
+		c.node.registry.Restore(words)
 		c.node.say(registryPart, "remembers %d backends", len(words))
 	}
 }
@@ -158,7 +158,7 @@
 
 // reachableDisks are the nodes with a disk that this one reaches, itself among them.
 func (h *Node) reachableDisks() (reach []replication.ReachableNode) {
-	for _, d := range h.roster.Disks() {
+	for _, d := range h.roster.LiveDiskNodes() {
 		reach = append(reach, replication.ReachableNode{Member: replication.Member{ID: replication.MemberID(d.Disk), Addr: d.Addr}, Draining: d.Leaving})
 	}
 	return reach
--- a/internal/gateway/node/cut_test.go
+++ b/internal/gateway/node/cut_test.go
@@ -92,7 +92,7 @@
 // plantFault has a node go without a defence from now on, in a turn.
 func (d *testCluster) plantFault(h *Node, f fault) {
 	h.fault = f
-	h.registry.SetTerms(registry.Terms{BeatInterval: h.settings.HeartbeatInterval, Enough: h.minDrainCopies()})
+	h.registry.SetConfig(registry.Config{HeartbeatInterval: h.settings.HeartbeatInterval, MinCopies: h.minDrainCopies()})
 }
 
 // On four real nodes, one with a disk is cut off from the others that have one: who leads, both ways, for twenty seconds; then who
@@ -167,7 +167,7 @@
 				h.requestStream(cut)
 			}
 			h.streamRequestedAt = h.loop.Now() // it stays meanwhile
-			gone = len(h.roster.Disks()) == 1 && h.upstreamAge(cut) > h.settings.Bounds.PartitionedAge()
+			gone = len(h.roster.LiveDiskNodes()) == 1 && h.upstreamAge(cut) > h.settings.Bounds.PartitionedAge()
 		})
 		return gone
 	})
--- a/internal/gateway/node/feed.go
+++ b/internal/gateway/node/feed.go
@@ -127,8 +127,8 @@
 // updateRegistryLearner tells the registry whether a node gets its news from this one.
 func (h *Node) updateRegistryLearner(addr string) {
 	if s := h.roster.Slot(addr); s != membership.NoSlot && h.registry != nil {
-		h.registry.Now(h.loop.Now())
-		h.registry.Hears(registry.Slot(s), h.isLearner(addr))
+		h.registry.Tick(h.loop.Now())
+		h.registry.SetFollower(registry.Slot(s), h.isLearner(addr))
 	}
 }
 
@@ -229,11 +229,11 @@
 	}
 	var best membership.Node
 	least := time.Duration(1<<63 - 1)
-	disks := h.roster.Disks()
+	disks := h.roster.LiveDiskNodes()
 	// Who lives is told by the node that is followed: without one nobody seems to, and one that is cut off tells that all others
 	// are gone, while they are but a link away.
 	if len(disks) == 0 || h.upstreamAge(h.upstream) >= feedStale && h.fault != trustStaleUpstream {
-		disks = h.roster.Linked()
+		disks = h.roster.LinkedDiskNodes()
 	}
 	for _, d := range disks {
 		if !d.Founded || d.Addr == h.peerAddr {
@@ -254,7 +254,7 @@
 		switch {
 		case stale < least, stale == least && d.Addr == h.upstream:
 			best, least = d, stale
-		case stale == least && best.Addr != h.upstream && membership.Nearer(h.peerAddr, d.Addr, best.Addr):
+		case stale == least && best.Addr != h.upstream && membership.Prefers(h.peerAddr, d.Addr, best.Addr):
 			best = d // not all the first by address
 		}
 	}
--- a/internal/gateway/node/grouplead.go
+++ b/internal/gateway/node/grouplead.go
@@ -64,7 +64,7 @@
 	}
 	var disks []uint64
 	at := map[uint64]string{}
-	for _, d := range g.node.roster.Disks() {
+	for _, d := range g.node.roster.LiveDiskNodes() {
 		if d.Founded && !d.Leaving {
 			disks, at[uint64(d.Disk)] = append(disks, uint64(d.Disk)), d.Addr
 		}
@@ -155,7 +155,7 @@
 // learnLeaders takes them from the node that this one follows.
 func (g *groupHost) learnLeaders(slots []membership.Slot) {
 	for id, slot := range slots[:min(len(slots), groups.Count)] {
-		if s, ok := g.node.roster.At(slot); ok {
+		if s, ok := g.node.roster.SlotHolderAt(slot); ok {
 			g.founded = true
 			g.HintLeader(groups.ID(id), s.Addr)
 		}
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -35,7 +35,7 @@
 	_, view, _ := h.quorumContact()
 	p := Heartbeat{Stale: h.contactAge(), Index: h.appliedIndex, View: view}
 	if h.core != nil {
-		p.Lives = h.roster.Hears()
+		p.Lives = h.roster.ReachableSlots()
 	} else if h.upstream != "" {
 		told[h.upstream] = true
 		h.links.Send(h.upstream, &Frame{Ping: &Heartbeat{Stale: p.Stale, Index: p.Index, View: p.View, Clock: h.clock.Stamp(h.loop.Now())}})
@@ -56,7 +56,7 @@
 // learnerHeartbeat is what a follower is told.
 func (h *Node) learnerHeartbeat(addr string) *Heartbeat {
 	_, view, _ := h.quorumContact()
-	return &Heartbeat{Stale: h.contactAge(), Index: h.appliedIndex, Lives: h.roster.Lives(), View: view, Echo: h.learnerClocks[addr].clock,
+	return &Heartbeat{Stale: h.contactAge(), Index: h.appliedIndex, Lives: h.roster.LiveSlots(), View: view, Echo: h.learnerClocks[addr].clock,
 		Leaders: h.groups.leaderSlots()}
 }
 
@@ -80,7 +80,7 @@
 	if x := c.liveness[addr]; x.pendingSince > 0 {
 		x.pendingSince = 0
 		c.liveness[addr] = x
-		line.Hears = c.node.roster.Hears()
+		line.Hears = c.node.roster.ReachableSlots()
 	}
 	return line
 }
@@ -93,7 +93,7 @@
 	x := c.liveness[from]
 	x.piggybacks = true
 	c.liveness[from] = x
-	c.node.roster.Told(from, line.Hears)
+	c.node.roster.HandleLiveness(from, line.Hears)
 }
 
 // resetLiveness: a link to or from a node begins or has ended; its program may be another one.
@@ -112,7 +112,7 @@
 	for _, addr := range h.roster.Watchers() {
 		if x := h.core.liveness[addr]; x.piggybacks && x.pendingSince > 0 && now-x.pendingSince >= livenessMaxDelay {
 			h.core.liveness[addr] = livenessState{}
-			h.links.Send(addr, &Frame{Ping: &Heartbeat{Lives: h.roster.Hears()}})
+			h.links.Send(addr, &Frame{Ping: &Heartbeat{Lives: h.roster.ReachableSlots()}})
 		}
 	}
 }
--- a/internal/gateway/node/heartbeat_test.go
+++ b/internal/gateway/node/heartbeat_test.go
@@ -41,14 +41,14 @@
 	clock, out := &manualClock{now: time.Minute}, &recordingLinks{frames: map[string][]*Frame{}}
 	h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out, upstreamReports: map[string]upstreamReport{},
 		learners: map[string]*learner{}}
-	h.roster = membership.New(membership.Node{Name: "a", Addr: "10.0.0.1:7110", Disk: 1}, membership.Terms{}, clock.now)
+	h.roster = membership.New(membership.Node{Name: "a", Addr: "10.0.0.1:7110", Disk: 1}, membership.Config{}, clock.now)
 	me := replication.Member{ID: 1, Addr: "10.0.0.1:7110"}
 	h.core = &core{liveness: map[string]livenessState{}, replicaHost: replicaHost{node: h, self: me,
 		replica: replication.New(me, replication.PersistentState{ID: 1}, replication.DefaultConfig(), 1, clock.now)}}
 	slots := []membership.SlotHolder{{Addr: me.Addr}}
 	for i, a := range []string{b, c} {
-		h.roster.Hello(a, membership.Hello{Door: membership.Node{Addr: a, Disk: membership.Disk(i + 2), Life: 1, Founded: true}})
-		h.roster.Up(a)
+		h.roster.HandleHello(a, membership.Hello{Door: membership.Node{Addr: a, Disk: membership.Disk(i + 2), Life: 1, Founded: true}})
+		h.roster.LinkUp(a)
 		slots = append(slots, membership.SlotHolder{Addr: a})
 	}
 	h.roster.SetSlots(slots)
@@ -74,6 +74,6 @@
 	h.core.receiveLiveness(b, &CoreMessage{Hears: []byte{7}})
 	must.Eq(t, [2]int{1, 1}, ping(true))
 	must.Eq(t, [2]int{0, 1}, ping(false))
-	h.Came(b) // perhaps another program
+	h.PeerConnected(b) // perhaps another program
 	must.Eq(t, [2]int{1, 1}, ping(false))
 }
--- a/internal/gateway/node/leave.go
+++ b/internal/gateway/node/leave.go
@@ -24,7 +24,7 @@
 // BeginShutdown begins the end of a node, in a turn: it says that it is not ready, and hands over what it leads.
 func (h *Node) BeginShutdown() {
 	h.shuttingDown = true
-	h.roster.End()
+	h.roster.AnnounceShutdown()
 	h.say(nodePart, "ends, %d requests held", h.gate.Held())
 	if h.core != nil {
 		h.core.replica.Tick(h.loop.Now())
@@ -83,7 +83,7 @@
 		if fixed := h.settings.RestartRequired(s); len(fixed) > 0 {
 			h.warn(nodePart, "settings that wait for a restart: %v", fixed)
 		}
-		h.roster.Now(h.loop.Now())
+		h.roster.Tick(h.loop.Now())
 		h.roster.SetSeeds(h.peerAddrs(s.SeedAddrs)) // nodes that the settings name now are said hello to
 		h.settings.SeedAddrs, h.settings.Bounds, h.settings.Tolerance = s.SeedAddrs, s.Bounds, s.Tolerance
 		h.say(nodePart, "settings taken")
--- a/internal/gateway/node/links_test.go
+++ b/internal/gateway/node/links_test.go
@@ -82,14 +82,14 @@
 	h.receiveStreamRequest("10.0.0.1:7110", &StreamRequest{After: 0, Chunks: true})
 	must.Eq(t, []string{"one", "two"}, has(early))
 	h.links = late
-	h.Up("10.0.0.1:7110")
+	h.LinkUp("10.0.0.1:7110")
 	must.Eq(t, []string{"one", "two"}, has(late))
 	h.receiveStreamRequest("10.0.0.1:7110", &StreamRequest{After: h.appliedIndex, Chunks: true})
 	h.links = again
-	h.Up("10.0.0.1:7110")
+	h.LinkUp("10.0.0.1:7110")
 	must.SliceEmpty(t, has(again)) // it has all
 	must.True(t, slices.ContainsFunc(again.frames, func(f *Frame) bool { return f.Feed != nil && f.Feed.After == h.appliedIndex }))
 	h.links = &frameRecorder{}
-	h.Up("10.0.0.2:7110") // one that does not follow
+	h.LinkUp("10.0.0.2:7110") // one that does not follow
 	must.SliceEmpty(t, h.links.(*frameRecorder).frames)
 }
--- a/internal/gateway/node/log.go
+++ b/internal/gateway/node/log.go
@@ -49,10 +49,10 @@
 	h.stateLoggedAt = h.loop.Now()
 	h.links.Check()
 	links := h.roster.Links()
-	unmet := strings.Join(links.Unmet, ", ")
+	unmet := strings.Join(links.WithoutHello, ", ")
 	if h.reachable != h.loggedReachable || unmet != h.loggedUnmet {
 		h.loggedReachable, h.loggedUnmet = h.reachable, unmet
-		h.say(nodePart, "hears %d of %d nodes; %d of %d links are up%s", h.reachable, h.slotCount, links.Up, links.Wanted, unmetSuffix(unmet))
+		h.say(nodePart, "hears %d of %d nodes; %d of %d links are up%s", h.reachable, h.slotCount, links.Connected, links.Wanted, unmetSuffix(unmet))
 	}
 	if why := strings.Join(h.unreadyReasons(), ", "); why != h.loggedUnready {
 		if h.loggedUnready = why; why == "" {
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -142,9 +142,9 @@
 	h.learnerClocks = map[string]clockEcho{}
 	h.pendingCalls, h.chunked, h.pendingHeartbeats, h.catalog = map[uint32]*pendingCall{}, newChunkedCalls(), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
 	h.fault = plantedFault
-	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Terms{Address: h.peerAddr, Life: h.incarnation, History: h.settings.Bounds.WatchHistory})
+	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Config{Address: h.peerAddr, Incarnation: h.incarnation, HistoryRetention: h.settings.Bounds.WatchHistory})
 	h.groups = &groupHost{node: h}
-	h.coordination.Over(h.groups)
+	h.coordination.SetHost(h.groups)
 	if h.sockets != nil {
 		h.sockets.node = h
 	}
@@ -174,7 +174,7 @@
 	if h.core != nil {
 		me.Disk, me.Founded, me.House = membership.Disk(h.core.self.ID), h.core.replica.Bootstrapped(), h.core.replica.ClusterID()
 	}
-	h.roster = membership.New(me, membership.Terms{Seeds: h.peerAddrs(h.settings.SeedAddrs), Tolerates: h.settings.Tolerance.Machines,
+	h.roster = membership.New(me, membership.Config{Seeds: h.peerAddrs(h.settings.SeedAddrs), ToleratedLosses: h.settings.Tolerance.Machines,
 		ClusterID: func(f []membership.Founder) uint64 { return replication.ClusterIDOf(founderMembers(f)) }}, h.loop.Now())
 	h.streamContact.appliedAsOf, h.startedAt, h.clock = -neverAge, h.loop.Now(), replication.NewClock(h.incarnation)
 	return nil
@@ -240,7 +240,7 @@
 	if h.core != nil {
 		h.core.handleReady()
 		h.groups.handleReady()
-		h.coordination.Flush()
+		h.coordination.NotifyWatchers()
 		h.groups.handleReady() // what watches that were told of puts ask for next
 		h.core.disk.flush()
 	}
--- a/internal/gateway/node/oldstate_test.go
+++ b/internal/gateway/node/oldstate_test.go
@@ -20,7 +20,7 @@
 		clock, out := &manualClock{now: time.Minute}, &recordingLinks{frames: map[string][]*Frame{}}
 		h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out, machine: statemachine.New(),
 			learners: map[string]*learner{}, learnerClocks: map[string]clockEcho{}, startedAt: clock.now, appliedIndex: 5}
-		h.roster = membership.New(membership.Node{Name: "a", Addr: addr, Disk: 1}, membership.Terms{}, clock.now)
+		h.roster = membership.New(membership.Node{Name: "a", Addr: addr, Disk: 1}, membership.Config{}, clock.now)
 		h.groups = &groupHost{node: h}
 		kept := replication.PersistentState{ID: 1, ClusterID: 1, Term: 1, Commit: 5,
 			Snapshot: replication.Snapshot{Index: 5, View: 1, Members: members, State: state}}
--- a/internal/gateway/node/orders.go
+++ b/internal/gateway/node/orders.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	zone := func(n string) bool {
-		for _, s := range h.roster.Order() {
+		for _, s := range h.roster.SlotHolders() {
 			if s.Zone == n {
 				return true
 			}
--- a/internal/gateway/node/parts_test.go
+++ b/internal/gateway/node/parts_test.go
@@ -61,7 +61,7 @@
 		h.loop, h.links, h.incarnation, h.upstream = withoutAlarms{w.clock}, &linkEnd{link: w, address: x.me}, x.life, ""
 		h.settings.Bounds = settings.Bounds{InTouch: time.Hour}
 		h.pendingCalls, h.chunked, h.startedAt = map[uint32]*pendingCall{}, newChunkedCalls(), w.clock.now
-		h.groups, h.coordination = &groupHost{node: h}, coordination.New((*coordinationEnv)(h), coordination.Terms{})
+		h.groups, h.coordination = &groupHost{node: h}, coordination.New((*coordinationEnv)(h), coordination.Config{})
 		h.chunked.supportedBy = map[string]bool{senderAddr: true, receiverAddr: true}
 		*x.h = h
 	}
@@ -165,14 +165,14 @@
 	w.run(400, loseNone)
 	must.MapLen(t, 1, w.receiver.pendingCalls)
 	must.Less(t, len(body)-before+3*streamConfig.MaxInflightBytes, w.chunkBytes-before)
-	w.sender.Down(receiverAddr)
+	w.sender.LinkDown(receiverAddr)
 	w.sender.finishCall(nr, 503, nil)
 	must.Eq(t, controlapi.Unclear, status)
 
 	w = newCallLink(t)
 	nr = w.forward(body, then)
 	w.run(100, loseNone)
-	w.sender.Down(receiverAddr) // the link ends midway
+	w.sender.LinkDown(receiverAddr) // the link ends midway
 	must.False(t, w.sender.pendingCalls[nr].ambiguous)
 	must.Eq(t, "", w.sender.pendingCalls[nr].sentTo)
 	must.MapEmpty(t, w.sender.chunked.outgoing)
--- a/internal/gateway/node/patience_test.go
+++ b/internal/gateway/node/patience_test.go
@@ -21,9 +21,9 @@
 	for i := range 40 {
 		now += tickInterval
 		h.loop.(*manualClock).now = now
-		h.roster.Now(now)
+		h.roster.Tick(now)
 		for _, a := range []string{first, other} {
-			h.roster.Heard(a)
+			h.roster.FrameReceived(a)
 			h.upstreamContactAt = now
 			h.upstreamReports[a] = upstreamReport{now, neverAge + time.Duration(i)*heartbeatInterval, 0, 0} // it has just started and knows of no leader
 		}
@@ -35,7 +35,7 @@
 	// One that knows of a leader is changed over to.
 	h.upstreamReports[other] = upstreamReport{now, 0, 0, 0}
 	h.loop.(*manualClock).now = now + minStreamRetry
-	h.roster.Now(now + minStreamRetry)
+	h.roster.Tick(now + minStreamRetry)
 	h.checkUpstream()
 	must.Eq(t, other, h.upstream)
 }
@@ -47,9 +47,9 @@
 	h.streamReceivedAt = asked - 1
 	for now := asked; now <= asked+busyUpstreamTimeout+maxStreamRetry; now += tickInterval {
 		h.loop.(*manualClock).now = now
-		h.roster.Now(now)
+		h.roster.Tick(now)
 		for _, d := range h.roster.Addrs() {
-			h.roster.Heard(d)
+			h.roster.FrameReceived(d)
 		}
 		h.upstreamContactAt = now
 		h.upstreamReports[first] = upstreamReport{now, 0, 0, 0}
@@ -79,10 +79,10 @@
 func newLearner(t *testing.T, disks ...string) *Node {
 	h := &Node{settings: &settings.Settings{NodeName: "node"}, log: newLogger("node"), loop: &manualClock{now: time.Minute}, links: discardingLinks{}, upstreamReports: map[string]upstreamReport{},
 		learners: map[string]*learner{}}
-	h.roster = membership.New(membership.Node{Name: "node", Addr: "10.0.0.9:7110"}, membership.Terms{}, h.loop.Now())
+	h.roster = membership.New(membership.Node{Name: "node", Addr: "10.0.0.9:7110"}, membership.Config{}, h.loop.Now())
 	for i, a := range disks {
-		h.roster.Hello(a, membership.Hello{Door: membership.Node{Name: a, Addr: a, Disk: membership.Disk(i + 1), Life: 1, Founded: true}})
-		h.roster.Up(a)
+		h.roster.HandleHello(a, membership.Hello{Door: membership.Node{Name: a, Addr: a, Disk: membership.Disk(i + 1), Life: 1, Founded: true}})
+		h.roster.LinkUp(a)
 	}
 	h.checkUpstream()
 	must.NotEq(t, "", h.upstream)
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -15,31 +15,31 @@
 
 // Came, Heard, Up and Down are the links': each in a turn.
 
-// Came is told when another node has dialed this one. It may be the node that it follows, which dialed it anew. It may have given up a link before and with it the wish to follow:
+// PeerConnected is told when another node has dialed this one. It may be the node that it follows, which dialed it anew. It may have given up a link before and with it the wish to follow:
 // without a new one it would say nothing, and for two seconds nothing would tell of that.
-func (h *Node) Came(from string) {
+func (h *Node) PeerConnected(from string) {
 	h.core.resetLiveness(from)
 	if from == h.upstream {
 		h.requestStream(from)
 	}
 }
 
-// Heard takes a frame from another node.
-func (h *Node) Heard(from string, f *Frame) {
-	h.roster.Now(h.loop.Now())
-	h.roster.Heard(from)
+// FrameReceived takes a frame from another node.
+func (h *Node) FrameReceived(from string, f *Frame) {
+	h.roster.Tick(h.loop.Now())
+	h.roster.FrameReceived(from)
 	if from == h.upstream {
 		h.upstreamContactAt = h.loop.Now()
 	}
 	switch {
 	case f.Hello != nil:
-		h.roster.Hello(from, *f.Hello)
+		h.roster.HandleHello(from, *f.Hello)
 		h.chunked.supportedBy[from] = f.Hello.Parts
 		h.resendBootstrap(from, f.Hello.Door)
 	case f.Ping != nil:
 		h.upstreamReports[from] = upstreamReport{h.loop.Now(), f.Ping.Stale, f.Ping.Index, f.Ping.View}
 		if f.Ping.Lives != nil && (h.core != nil || from == h.upstream) {
-			h.roster.Told(from, f.Ping.Lives)
+			h.roster.HandleLiveness(from, f.Ping.Lives)
 		}
 		if from == h.upstream {
 			h.updateContact(f.Ping.Stale, f.Ping.View, f.Ping.Echo, f.Ping.Index)
@@ -59,8 +59,8 @@
 		h.groups.receive(f.Groups)
 	case f.Board != nil && h.registry != nil:
 		if s := h.roster.Slot(from); s != membership.NoSlot {
-			h.registry.Now(h.loop.Now())
-			h.registry.Heard(registry.Slot(s), *f.Board)
+			h.registry.Tick(h.loop.Now())
+			h.registry.Receive(registry.Slot(s), *f.Board)
 		}
 	case f.Follow != nil:
 		h.receiveStreamRequest(from, f.Follow)
@@ -79,10 +79,10 @@
 	}
 }
 
-// Up is told when the link to another node stands.
-func (h *Node) Up(to string) {
-	h.roster.Now(h.loop.Now())
-	h.roster.Up(to)
+// LinkUp is told when the link to another node stands.
+func (h *Node) LinkUp(to string) {
+	h.roster.Tick(h.loop.Now())
+	h.roster.LinkUp(to)
 	if d, ok := h.roster.Node(to); ok {
 		h.resendBootstrap(to, d)
 	}
@@ -96,8 +96,8 @@
 // syncRegistryTo tells a node of the backends.
 func (h *Node) syncRegistryTo(addr string) {
 	if s := h.roster.Slot(addr); s != membership.NoSlot && h.registry != nil {
-		h.registry.Now(h.loop.Now())
-		h.registry.Greet(registry.Slot(s))
+		h.registry.Tick(h.loop.Now())
+		h.registry.SyncPeer(registry.Slot(s))
 	}
 }
 
@@ -107,15 +107,15 @@
 	return ok
 }
 
-// Down is told when the link to another node ended.
-func (h *Node) Down(to string) {
-	h.roster.Now(h.loop.Now())
-	h.roster.Down(to)
+// LinkDown is told when the link to another node ended.
+func (h *Node) LinkDown(to string) {
+	h.roster.Tick(h.loop.Now())
+	h.roster.LinkDown(to)
 	h.core.resetLiveness(to)
 	h.groups.linkDown(to)
 	delete(h.learners, to)
 	delete(h.learnerClocks, to)
-	h.coordination.Down(to)
+	h.coordination.PeerDisconnected(to)
 	for _, nr := range slices.Sorted(maps.Keys(h.pendingCalls)) {
 		if c := h.pendingCalls[nr]; c.sentTo == to { // it may have been taken: the same again is answered as the first was
 			c.ambiguous = c.ambiguous || h.mayBeReceived(c, nr)
@@ -133,7 +133,7 @@
 	}
 	founders := h.core.replica.BootstrapMembers()
 	for _, m := range founders {
-		if m.ID == replication.MemberID(d.Disk) && h.roster.Spreads(h.core.replica.ClusterID(), addr) {
+		if m.ID == replication.MemberID(d.Disk) && h.roster.MayBootstrap(h.core.replica.ClusterID(), addr) {
 			h.links.Send(addr, &Frame{Found: founders})
 		}
 	}
@@ -168,7 +168,7 @@
 
 // handleRosterActions carries out what the roster asks for.
 func (h *Node) handleRosterActions() {
-	h.roster.Now(h.loop.Now())
+	h.roster.Tick(h.loop.Now())
 	if h.slotsChanged { // once for all that came in this turn
 		h.slotsChanged = false
 		h.roster.SetSlots(h.machine.Slots())
@@ -178,23 +178,23 @@
 		if !ok {
 			return
 		}
-		switch a.Verb {
-		case membership.Want:
-			h.links.Want(a.Addr)
-		case membership.Leave:
-			h.links.Leave(a.Addr)
-		case membership.Greet:
-			hello := h.roster.Say(a.Addr)
+		switch a.Kind {
+		case membership.Connect:
+			h.links.Connect(a.Addr)
+		case membership.Disconnect:
+			h.links.Disconnect(a.Addr)
+		case membership.SendHello:
+			hello := h.roster.HelloTo(a.Addr)
 			hello.Parts = true
 			h.links.Send(a.Addr, &Frame{Hello: &hello})
-		case membership.Found:
+		case membership.Bootstrap:
 			members := founderMembers(a.Founders)
 			if a.Addr == h.peerAddr {
 				h.bootstrap(members)
 			} else {
 				h.links.Send(a.Addr, &Frame{Found: members})
 			}
-		case membership.Changed:
+		case membership.LiveNodesChanged:
 			h.updateNodes()
 		}
 	}
@@ -217,10 +217,10 @@
 	if me == membership.NoSlot {
 		return
 	}
-	order := h.roster.Order()
+	order := h.roster.SlotHolders()
 	if h.registry == nil {
-		h.registry = registry.New(registry.Slot(me), registry.Terms{BeatInterval: h.settings.HeartbeatInterval,
-			Enough: h.minDrainCopies(), Life: uint32(h.incarnation)}, h.loop.Now())
+		h.registry = registry.New(registry.Slot(me), registry.Config{HeartbeatInterval: h.settings.HeartbeatInterval,
+			MinCopies: h.minDrainCopies(), Incarnation: uint32(h.incarnation)}, h.loop.Now())
 		h.say(nodePart, "has slot %d of %d", me, len(order))
 		if h.core != nil {
 			h.core.loadRegistry()
@@ -252,8 +252,8 @@
 			reach++
 		}
 		d, _ := h.roster.Node(s.Addr)
-		nodes = append(nodes, registry.Node{Seat: registry.Slot(i), Control: s.Control, Zone: s.Zone,
-			Live: live[i], Firm: d.Disk != 0, Hears: h.isLearner(s.Addr)})
+		nodes = append(nodes, registry.Node{Slot: registry.Slot(i), ControlAddr: s.Control, Zone: s.Zone,
+			Live: live[i], HasDisk: d.Disk != 0, Follows: h.isLearner(s.Addr)})
 	}
 	if h.core != nil && reach != h.reachable {
 		h.heartbeatAt = 0 // who follows goes by this node's word of who lives: an owner in its first second by a third of the rate
@@ -261,7 +261,7 @@
 	h.reachable = reach
 	h.quota.Reach(live)
 	h.admission.SetPlace(place, places)
-	h.registry.Now(h.loop.Now())
+	h.registry.Tick(h.loop.Now())
 	h.registry.SetNodes(nodes)
 }
 
@@ -298,7 +298,7 @@
 	if h.registry == nil {
 		return
 	}
-	h.registry.Now(h.loop.Now())
+	h.registry.Tick(h.loop.Now())
 	for {
 		a, ok := h.registry.Next()
 		if !ok {
@@ -306,7 +306,7 @@
 		}
 		switch a := a.(type) {
 		case registry.Send:
-			if s, ok := h.roster.At(membership.Slot(a.To)); ok {
+			if s, ok := h.roster.SlotHolderAt(membership.Slot(a.Target)); ok {
 				m := a.Message
 				h.links.Send(s.Addr, &Frame{Board: &m})
 			}
@@ -316,11 +316,11 @@
 		case registry.Acknowledge:
 			if then, ok := h.pendingHeartbeats[a.Ticket]; ok {
 				delete(h.pendingHeartbeats, a.Ticket)
-				then.answer(a.OK && h.permitted(then.permission), a.Target)
+				then.answer(a.Confirmed && h.permitted(then.permission), a.OwnerAddr)
 			}
 		case registry.Wake:
 			h.registryTimerSeq++
-			h.loop.At(a.At, (*registryTimer)(h), h.registryTimerSeq)
+			h.loop.At(a.Deadline, (*registryTimer)(h), h.registryTimerSeq)
 		}
 	}
 }
--- a/internal/gateway/node/replica.go
+++ b/internal/gateway/node/replica.go
@@ -62,7 +62,7 @@
 	if d, ok := h.roster.Node(m.Addr); ok && replication.MemberID(d.Disk) == m.ID {
 		return m.Addr
 	}
-	for _, d := range h.roster.Disks() {
+	for _, d := range h.roster.LiveDiskNodes() {
 		if replication.MemberID(d.Disk) == m.ID {
 			return d.Addr
 		}
--- a/internal/gateway/node/replies_test.go
+++ b/internal/gateway/node/replies_test.go
@@ -143,7 +143,7 @@
 				{"y:1", Reply{h.incarnation, b, 412, []byte("b")}}, {"x:1", Reply{h.incarnation, b, 503, []byte(replication.OutcomeUnknown.String())}},
 				{"x:1", Reply{h.incarnation + 1, b, 200, nil}}, {"z:1", Reply{h.incarnation, b, 200, nil}}, {"y:1", Reply{h.incarnation, b + 1, 200, nil}}}
 			for _, i := range order {
-				h.Heard(all[i].from, &Frame{Reply: &all[i].Reply})
+				h.FrameReceived(all[i].from, &Frame{Reply: &all[i].Reply})
 			}
 			if !slices.Equal(got[0], []string{"200a"}) || !slices.Equal(got[1], []string{"412b"}) {
 				n++
--- a/internal/gateway/node/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -150,14 +150,14 @@
 	if h.registry == nil {
 		return
 	}
-	h.registry.Now(h.loop.Now())
-	words := slices.DeleteFunc(h.registry.All(), func(w registry.Record) bool { return w.Service != service })
+	h.registry.Tick(h.loop.Now())
+	words := slices.DeleteFunc(h.registry.Backends(), func(w registry.Record) bool { return w.Service != service })
 	for _, first := range []bool{true, false} {
 		for _, w := range words {
 			if (h.poolOf(w) == main) == first {
-				c := registry.Changed{Word: w}
+				c := registry.Changed{Record: w}
 				if w.ColdLeft > 0 {
-					c.ColdUntil = h.loop.Now() + w.ColdLeft
+					c.SlowStartUntil = h.loop.Now() + w.ColdLeft
 				}
 				h.updateListing(c)
 			}
@@ -401,7 +401,7 @@
 	if h.registry == nil {
 		return m
 	}
-	for _, w := range h.registry.All() {
+	for _, w := range h.registry.Backends() {
 		switch {
 		case w.Service != o.Service || w.Phase != registry.Ready:
 		case w.Generation == o.New:
--- a/internal/gateway/node/stage.go
+++ b/internal/gateway/node/stage.go
@@ -27,7 +27,7 @@
 	say(h.table.Version() == 0, "no configuration")
 	say(!h.hasContactFor(permitReady), "not heard of the core of late")
 	say(h.registry == nil, "no slot")
-	say(h.registry != nil && !h.registry.Serves(), "no backend is ready")
+	say(h.registry != nil && !h.registry.HasReady(), "no backend is ready")
 	return why
 }
 
@@ -74,12 +74,12 @@
 	if w.Phase == registry.Draining {
 		r = permitAckDrain
 	}
-	h.awaitAcknowledgement(r, then, func() registry.Ticket { return h.registry.Beat(w) })
+	h.awaitAcknowledgement(r, then, func() registry.Ticket { return h.registry.Heartbeat(w) })
 }
 
 // Deregister takes a backend's last word.
 func (h *Node) Deregister(id string, then func(ok bool, target string)) {
-	h.awaitAcknowledgement(permitAckDrain, then, func() registry.Ticket { return h.registry.Leave(id, 0) })
+	h.awaitAcknowledgement(permitAckDrain, then, func() registry.Ticket { return h.registry.Deregister(id, 0) })
 }
 
 func (h *Node) awaitAcknowledgement(r permission, then func(ok bool, target string), note func() registry.Ticket) {
@@ -87,7 +87,7 @@
 		then(false, "")
 		return
 	}
-	h.registry.Now(h.loop.Now())
+	h.registry.Tick(h.loop.Now())
 	ticket := note()
 	if !h.permitted(r) {
 		then(false, "")
@@ -114,9 +114,9 @@
 	}
 	if h.registry != nil {
 		b := h.registry.Status()
-		s.Registry = &controlapi.StatusRegistry{Ready: b.Ready, Draining: b.Draining, Gone: b.Gone, Kept: b.Kept,
-			Unwatched: b.Unwatched, Waiting: b.Waiting, Unconfirmed: b.Unconfirmed, Refused: b.Refused}
-		for _, w := range h.registry.All() {
+		s.Registry = &controlapi.StatusRegistry{Ready: b.Ready, Draining: b.Draining, Gone: b.Gone, Kept: b.Owned,
+			Unwatched: b.OwnerLost, Waiting: b.PendingCalls, Unconfirmed: b.Unconfirmed, Refused: b.Refused}
+		for _, w := range h.registry.Backends() {
 			s.Backends = append(s.Backends, backendStatus(w))
 		}
 	}
@@ -152,7 +152,7 @@
 		}
 		all = append(all, d)
 	}
-	for _, s := range h.roster.Order() {
+	for _, s := range h.roster.SlotHolders() {
 		add(s.Addr, s)
 	}
 	add(h.peerAddr, membership.SlotHolder{})
--- a/internal/gateway/node/versions_test.go
+++ b/internal/gateway/node/versions_test.go
@@ -193,10 +193,10 @@
 	linksUp chan string
 }
 
-func (receivedFrames) Came(string)                {}
-func (x receivedFrames) Heard(_ string, f *Frame) { x.frames <- f }
-func (x receivedFrames) Up(to string)             { x.linksUp <- to }
-func (receivedFrames) Down(string)                {}
+func (receivedFrames) PeerConnected(string)               {}
+func (x receivedFrames) FrameReceived(_ string, f *Frame) { x.frames <- f }
+func (x receivedFrames) LinkUp(to string)                 { x.linksUp <- to }
+func (receivedFrames) LinkDown(string)                    {}
 
 func startMesh(t *testing.T, x receivedFrames) *transport.Mesh[Frame] {
 	m, err := transport.New[Frame]("127.0.0.1:0", 31, x, func(do func()) { do() })
@@ -273,7 +273,7 @@
 	defer ln.Close()
 	x := receivedFrames{make(chan *Frame, 100), make(chan string, 100)}
 	m, to := startMesh(t, x), ln.Addr().String()
-	m.Want(to)
+	m.Connect(to)
 	c, err := ln.Accept()
 	must.NoError(t, err)
 	defer c.Close()
--- a/internal/gateway/node/wire_test.go
+++ b/internal/gateway/node/wire_test.go
@@ -192,22 +192,22 @@
 // wireCoordination are a message of each operation, and an answer.
 func wireCoordination() (all []*coordination.Message) {
 	for _, call := range []coordination.Call{
-		{Operation: coordination.LockBegin, Name: "lock", Holder: "holder", Hold: time.Second},
-		{Operation: coordination.LockHeartbeat, Name: "lock", Holder: "holder", Fence: 7, Hold: 2 * time.Second},
-		{Operation: coordination.LockFinish, Name: "lock", Holder: "holder", Fence: 8},
-		{Operation: coordination.KeyReplace, Name: "group/key", Value: "value", Bound: true, Expected: 9},
+		{Operation: coordination.LockAcquire, Name: "lock", Holder: "holder", TTL: time.Second},
+		{Operation: coordination.LockRenew, Name: "lock", Holder: "holder", FencingToken: 7, TTL: 2 * time.Second},
+		{Operation: coordination.LockRelease, Name: "lock", Holder: "holder", FencingToken: 8},
+		{Operation: coordination.KeyPut, Name: "group/key", Value: "value", Conditional: true, ExpectedRevision: 9},
 		{Operation: coordination.KeyRead, Name: "group/key"},
-		{Operation: coordination.KeyWatch, Name: "group", After: 10, Wait: 3 * time.Second},
+		{Operation: coordination.KeyWatch, Name: "group", AfterRevision: 10, Timeout: 3 * time.Second},
 		{Operation: coordination.LockList, Name: "", Group: 3},
-		{Operation: coordination.Number, Name: "counter"},
+		{Operation: coordination.NumberNext, Name: "counter"},
 		{Operation: coordination.LockRead, Name: "lock"},
 	} {
-		all = append(all, &coordination.Message{Ask: &coordination.Ask{Asker: 31, Number: 32, Try: 33, Life: 34, Until: 35 * time.Second, Call: call}})
+		all = append(all, &coordination.Message{Request: &coordination.ForwardRequest{OriginIncarnation: 31, Sequence: 32, Attempt: 33, TargetIncarnation: 34, Deadline: 35 * time.Second, Call: call}})
 	}
-	return append(all, &coordination.Message{Reply: &coordination.Reply{Asker: 41, Number: 42, Try: 43, Outcome: coordination.Undated,
-		Leader: "10.0.0.2:7110", Life: 44, Clock: 45 * time.Second, Answer: coordination.Answer{Status: coordination.Unclear, Fence: 46, Number: 47,
+	return append(all, &coordination.Message{Response: &coordination.ForwardResponse{OriginIncarnation: 41, Sequence: 42, Attempt: 43, Outcome: coordination.AttemptDeadlineInvalid,
+		LeaderHint: "10.0.0.2:7110", ResponderIncarnation: 44, ResponderClock: 45 * time.Second, Result: coordination.Result{Status: coordination.StatusAmbiguous, FencingToken: 46, Number: 47,
 			Revision: 48, Value: "answer", Events: []coordination.Event{{Name: "key", Value: "put", Revision: 49}},
-			Locks: []coordination.Lock{{Name: "lock", Holder: "holder", Fence: 50, Left: 51 * time.Second}}}}})
+			Locks: []coordination.LockInfo{{Name: "lock", Holder: "holder", FencingToken: 50, TimeLeft: 51 * time.Second}}}}})
 }
 
 // wireGroupLines are the messages of two groups. Their compact form leaves out Clock, Echo and Contact.
@@ -295,7 +295,7 @@
 	defer ln.Close()
 	x := receivedFrames{make(chan *Frame, 100), make(chan string, 100)}
 	m, to := startMesh(t, x), ln.Addr().String()
-	m.Want(to)
+	m.Connect(to)
 	c, err := ln.Accept()
 	must.NoError(t, err)
 	defer c.Close()
--- a/internal/gateway/registry/join.go
+++ b/internal/gateway/registry/join.go
@@ -5,160 +5,160 @@
 	"slices"
 )
 
-// join adds what a word says to what is known. It is the same in every order and repetition: the newest Seq
+// merge adds what a word says to what is known. It is the same in every order and repetition: the newest Seq
 // gives the facts, the highest fence the registrar; draining and leaving stay. A silence counts only at exactly
 // the newest Seq and fence: a later beat revives, and an older registrar does not undo a newer one. It tells
 // whether the backend was gone and lives again.
-func (b *Registry) join(e *entry, w Record) (revived bool) {
+func (b *Registry) merge(e *entry, w Record) (revived bool) {
 	was := e.phase()
 	quiet := w.Phase == Gone && !w.Final
-	seq, fence := max(e.w.Seq, w.Seq), max(e.w.Fence, w.Fence)
-	gone := e.gone && e.w.Seq == seq && e.w.Fence == fence || quiet && w.Seq == seq && w.Fence == fence
-	if w.Service != "" && (w.Seq > e.w.Seq || e.w.Service == "") {
-		b.facts(e, w)
-	}
-	if w.Seq > e.w.Seq {
-		e.beatAt, e.here = b.now, false
-	}
-	if w.Fence > e.w.Fence || w.Fence == e.w.Fence && w.Keeper > e.w.Keeper {
-		b.registrar(e, w.Keeper, w.Missed)
-	}
-	e.w.Seq, e.w.Fence = seq, fence
-	e.w.Drained = e.w.Drained || w.Drained || w.Phase == Draining
-	e.w.Final = e.w.Final || w.Final
-	e.born = min(e.born, b.now-w.Age)
-	b.quiet(e, was, gone)
-	b.touch(e)
+	seq, fence := max(e.record.Seq, w.Seq), max(e.record.Fence, w.Fence)
+	gone := e.timedOut && e.record.Seq == seq && e.record.Fence == fence || quiet && w.Seq == seq && w.Fence == fence
+	if w.Service != "" && (w.Seq > e.record.Seq || e.record.Service == "") {
+		b.mergeDetails(e, w)
+	}
+	if w.Seq > e.record.Seq {
+		e.lastSeenAt, e.directHeartbeat = b.now, false
+	}
+	if w.Fence > e.record.Fence || w.Fence == e.record.Fence && w.Keeper > e.record.Keeper {
+		b.setOwner(e, w.Keeper, w.Missed)
+	}
+	e.record.Seq, e.record.Fence = seq, fence
+	e.record.Drained = e.record.Drained || w.Drained || w.Phase == Draining
+	e.record.Final = e.record.Final || w.Final
+	e.firstSeenAt = min(e.firstSeenAt, b.now-w.Age)
+	b.setTimedOut(e, was, gone)
+	b.enqueueAddrChanges(e)
 	return was == Gone && e.phase() != Gone
 }
 
-// facts takes what the backend says of itself.
-func (b *Registry) facts(e *entry, w Record) {
-	if e.w.Addr != w.Addr {
-		b.move(e, w.Addr)
+// mergeDetails takes what the backend says of itself.
+func (b *Registry) mergeDetails(e *entry, w Record) {
+	if e.record.Addr != w.Addr {
+		b.reindexAddr(e, w.Addr)
 	}
-	e.w.Service, e.w.Zone, e.w.Generation, e.w.Capacity = w.Service, w.Zone, w.Generation, w.Capacity
+	e.record.Service, e.record.Zone, e.record.Generation, e.record.Capacity = w.Service, w.Zone, w.Generation, w.Capacity
 	// Each beat says it a little differently; only what matters counts.
-	if cold := b.now + w.ColdLeft; w.ColdLeft > 0 && max(cold-e.cold, e.cold-cold) > tick {
-		e.cold = cold
+	if cold := b.now + w.ColdLeft; w.ColdLeft > 0 && max(cold-e.slowStartUntil, e.slowStartUntil-cold) > tickInterval {
+		e.slowStartUntil = cold
 	}
 }
 
-// registrar notes who watches from now on.
-func (b *Registry) registrar(e *entry, to, missed Slot) {
-	if e.w.Keeper == b.me && to != b.me && b.lost(to) {
+// setOwner notes who watches from now on.
+func (b *Registry) setOwner(e *entry, to, missed Slot) {
+	if e.record.Keeper == b.localSlot && to != b.localSlot && b.unreachable(to) {
 		// Another node hears a registrar that this one does not: it is not to be taken from it again and again.
-		e.shy = b.now + shyBeats*b.terms.BeatInterval
+		e.noTakeoverUntil = b.now + takeoverHoldoffHeartbeats*b.config.HeartbeatInterval
 	}
-	e.w.Keeper, e.w.Missed = to, missed
-	e.kept, e.beatAt = b.now, b.now
+	e.record.Keeper, e.record.Missed = to, missed
+	e.ownerSince, e.lastSeenAt = b.now, b.now
 }
 
-// quiet sets what a silence says and counts the gone.
-func (b *Registry) quiet(e *entry, was Phase, gone bool) {
-	e.gone, e.doubt = gone, gone && e.doubt
+// setTimedOut sets what a silence says and counts the gone.
+func (b *Registry) setTimedOut(e *entry, was Phase, gone bool) {
+	e.timedOut, e.suspected = gone, gone && e.suspected
 	switch is := e.phase(); {
 	case was != Gone && is == Gone:
-		b.gone++
+		b.goneCount++
 		e.goneAt = b.now
 	case was == Gone && is != Gone:
-		b.gone--
+		b.goneCount--
 	}
 }
 
-// hush marks one as gone by silence.
-func (b *Registry) hush(e *entry) {
-	b.quiet(e, e.phase(), true)
-	b.touch(e)
+// expire marks one as gone by silence.
+func (b *Registry) expire(e *entry) {
+	b.setTimedOut(e, e.phase(), true)
+	b.enqueueAddrChanges(e)
 }
 
-// move files the entry under another address.
-func (b *Registry) move(e *entry, addr string) {
-	b.unfile(e)
-	if e.w.Addr = addr; addr == "" {
+// reindexAddr files the entry under another address.
+func (b *Registry) reindexAddr(e *entry, addr string) {
+	b.unindexAddr(e)
+	if e.record.Addr = addr; addr == "" {
 		return
 	}
 	b.byAddr[addr] = append(b.byAddr[addr], e)
 }
 
-func (b *Registry) unfile(e *entry) {
-	if e.w.Addr == "" {
+func (b *Registry) unindexAddr(e *entry) {
+	if e.record.Addr == "" {
 		return
 	}
-	rest := slices.DeleteFunc(b.byAddr[e.w.Addr], func(x *entry) bool { return x == e })
+	rest := slices.DeleteFunc(b.byAddr[e.record.Addr], func(x *entry) bool { return x == e })
 	for _, x := range rest {
-		b.queue(x)
+		b.enqueueChange(x)
 	}
 	if len(rest) == 0 {
-		delete(b.byAddr, e.w.Addr)
+		delete(b.byAddr, e.record.Addr)
 	} else {
-		b.byAddr[e.w.Addr] = rest
+		b.byAddr[e.record.Addr] = rest
 	}
 }
 
-// touch has the views looked at of all that share the address.
-func (b *Registry) touch(e *entry) {
-	b.queue(e)
-	for _, x := range b.byAddr[e.w.Addr] {
-		b.queue(x)
+// enqueueAddrChanges has the views looked at of all that share the address.
+func (b *Registry) enqueueAddrChanges(e *entry) {
+	b.enqueueChange(e)
+	for _, x := range b.byAddr[e.record.Addr] {
+		b.enqueueChange(x)
 	}
 }
 
-func (b *Registry) queue(e *entry) {
-	if !e.queued {
-		e.queued = true
-		b.fresh = append(b.fresh, e)
+func (b *Registry) enqueueChange(e *entry) {
+	if !e.changeQueued {
+		e.changeQueued = true
+		b.changedEntries = append(b.changedEntries, e)
 	}
 }
 
 // displaced tells that a younger one lives at the same address.
 func (b *Registry) displaced(e *entry) bool {
-	for _, x := range b.byAddr[e.w.Addr] {
-		if x != e && x.phase() != Gone && (x.born > e.born || x.born == e.born && x.w.ID > e.w.ID) {
+	for _, x := range b.byAddr[e.record.Addr] {
+		if x != e && x.phase() != Gone && (x.firstSeenAt > e.firstSeenAt || x.firstSeenAt == e.firstSeenAt && x.record.ID > e.record.ID) {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *Registry) view(e *entry) Phase {
-	if e.w.Service == "" || b.displaced(e) {
+func (b *Registry) visiblePhase(e *entry) Phase {
+	if e.record.Service == "" || b.displaced(e) {
 		return Gone
 	}
 	return e.phase()
 }
 
-// show gives the view where it differs from the last shown.
-func (b *Registry) show(e *entry) (Action, bool) {
-	w := b.record(e)
-	w.Phase = b.view(e)
-	same := w.Service == e.shown.Service && w.Addr == e.shown.Addr && w.Zone == e.shown.Zone &&
-		w.Generation == e.shown.Generation && w.Capacity == e.shown.Capacity && w.Phase == e.shown.Phase &&
-		e.cold == e.shownCold
-	if same || !e.everShown && w.Phase == Gone {
+// publish gives the view where it differs from the last shown.
+func (b *Registry) publish(e *entry) (Action, bool) {
+	w := b.recordOf(e)
+	w.Phase = b.visiblePhase(e)
+	same := w.Service == e.published.Service && w.Addr == e.published.Addr && w.Zone == e.published.Zone &&
+		w.Generation == e.published.Generation && w.Capacity == e.published.Capacity && w.Phase == e.published.Phase &&
+		e.slowStartUntil == e.publishedSlowStart
+	if same || !e.everPublished && w.Phase == Gone {
 		return nil, false
 	}
-	e.shown, e.shownCold, e.everShown = w, e.cold, true
-	return Changed{Word: w, ColdUntil: e.cold}, true
+	e.published, e.publishedSlowStart, e.everPublished = w, e.slowStartUntil, true
+	return Changed{Record: w, SlowStartUntil: e.slowStartUntil}, true
 }
 
-// forget drops what has been gone for long, and the oldest where there are too many.
-func (b *Registry) forget() {
+// pruneTombstones drops what has been gone for long, and the oldest where there are too many.
+func (b *Registry) pruneTombstones() {
 	var dead []*entry
-	for _, e := range b.list {
+	for _, e := range b.sorted {
 		if e.phase() == Gone {
 			dead = append(dead, e)
 		}
 	}
 	slices.SortStableFunc(dead, func(x, y *entry) int { return cmp.Compare(x.goneAt, y.goneAt) })
-	over := max(len(dead)-tombs, len(b.all)-most+1)
+	over := max(len(dead)-maxTombstones, len(b.entries)-maxBackends+1)
 	for i, e := range dead {
-		if i >= over && b.now-e.goneAt < tombFor {
+		if i >= over && b.now-e.goneAt < tombstoneTTL {
 			break
 		}
-		b.unfile(e)
-		delete(b.all, e.w.ID)
-		b.gone--
+		b.unindexAddr(e)
+		delete(b.entries, e.record.ID)
+		b.goneCount--
 	}
-	b.list = slices.DeleteFunc(b.list, func(e *entry) bool { return b.all[e.w.ID] != e })
+	b.sorted = slices.DeleteFunc(b.sorted, func(e *entry) bool { return b.entries[e.record.ID] != e })
 }
