--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -19,8 +19,8 @@
 // Slot is a node's number, the same at every node and in every life of it.
 type Slot int
 
-// None is no node.
-const None Slot = -1
+// NoSlot is no node.
+const NoSlot Slot = -1
 
 // Phase is where a backend is in its life.
 type Phase uint8
@@ -76,19 +76,19 @@
 
 // Node is a node that is known, this one too, live or not.
 type Node struct {
-	Seat    Slot
-	Control string // address for beats; a live node without one keeps nothing
-	Zone    string // backends are kept in their own zone where a node lives there; "" everywhere: any node
-	Live    bool   // heard of late; for this node it does not matter
-	Firm    bool   // has a disk and counts as a loss: such keep backends, and copies at them are what a drain rests on
-	Hears   bool   // it follows this node, and is told all that becomes known here
+	Slot        Slot
+	ControlAddr string // address for beats; a live node without one keeps nothing
+	Zone        string // backends are kept in their own zone where a node lives there; "" everywhere: any node
+	Live        bool   // heard of late; for this node it does not matter
+	HasDisk     bool   // has a disk and counts as a loss: such keep backends, and copies at them are what a drain rests on
+	Follows     bool   // it follows this node, and is told all that becomes known here
 }
 
-// Terms are the figures of the settings file that bind the registry.
-type Terms struct {
-	BeatInterval time.Duration // between two beats of a backend
-	Enough       int           // nodes with a disk that must hold an end before it is acknowledged: tolerated losses + 1
-	Life         uint32        // differs between lives of this node: old confirmations match nothing
+// Config are the figures of the settings file that bind the registry.
+type Config struct {
+	HeartbeatInterval time.Duration // between two beats of a backend
+	MinCopies         int           // nodes with a disk that must hold an end before it is acknowledged: tolerated losses + 1
+	Incarnation       uint32        // differs between lives of this node: old confirmations match nothing
 }
 
 // Ticket names a call of a backend that waits for Acknowledge.
@@ -99,25 +99,25 @@
 
 // Send goes to another node; it may be lost.
 type Send struct {
-	To      Slot
+	Target  Slot
 	Message Message
 }
 
-// Changed tells the view of one backend that differs from the last told. ColdUntil is on the host's clock.
+// Changed tells the view of one backend that differs from the last told. SlowStartUntil is on the host's clock.
 type Changed struct {
-	Word      Record
-	ColdUntil time.Duration
+	Record         Record
+	SlowStartUntil time.Duration
 }
 
 // Acknowledge ends a ticket: 200 with Target as beat_target where OK, else 503.
 type Acknowledge struct {
-	Ticket Ticket
-	Target string // may be empty
-	OK     bool
+	Ticket    Ticket
+	OwnerAddr string // may be empty
+	Confirmed bool
 }
 
 // Wake asks for Now at a time, or earlier. The newest counts.
-type Wake struct{ At time.Duration }
+type Wake struct{ Deadline time.Duration }
 
 func (Send) action()        {}
 func (Changed) action()     {}
@@ -125,242 +125,242 @@
 func (Wake) action()        {}
 
 const (
-	most       = 8192                   // backends that are known, tombstones too
-	tombs      = 4096                   // of them gone
-	tombFor    = 60 * time.Second       // how long a gone one is remembered
-	nameFor    = 3 * time.Second        // for so long the node that is followed may pause while it tells all it has
-	nameMost   = 10 * time.Second       // and take in all
-	tick       = 500 * time.Millisecond // longest sleep while there is something to watch
-	standstill = time.Second            // a longer step of the clock was a freeze of this node
-	never      = time.Duration(1<<63 - 1)
+	maxBackends     = 8192                   // backends that are known, tombstones too
+	maxTombstones   = 4096                   // of them gone
+	tombstoneTTL    = 60 * time.Second       // how long a gone one is remembered
+	fullSyncGrace   = 3 * time.Second        // for so long the node that is followed may pause while it tells all it has
+	fullSyncTimeout = 10 * time.Second       // and take in all
+	tickInterval    = 500 * time.Millisecond // longest sleep while there is something to watch
+	stallThreshold  = time.Second            // a longer step of the clock was a freeze of this node
+	never           = time.Duration(1<<63 - 1)
 )
 
 // Registry is one node's list. It is not safe for concurrent use.
 type Registry struct {
-	me    Slot
-	terms Terms
-	now   time.Duration
-	calm  time.Duration // silence counts from here at the earliest
-	next  time.Duration // next look at all backends
-	woken time.Duration // last Wake given
-
-	all    map[string]*entry
-	list   []*entry // all, by id
-	byAddr map[string][]*entry
-	gone   int
-
-	met    bool   // SetNodes was told
-	nodes  []Node // those that may keep: live, with an address for beats, by slot
-	known  int    // other nodes, live or not
-	live   int    // other nodes that live
-	firm   bool   // a firm node lives
-	disks  bool   // a firm node is known, live or not
-	self   Node
-	feeder Slot          // who last began to tell all that it has
-	fedAt  time.Duration // and when
-	askAt  time.Duration // when what it did not name is told to it; never: it was
-	slots  []Slot        // of peers, sorted
-	busy   []Slot        // of peers that are to be told something, or have yet to confirm it, sorted
-	queued []transfer    // who follows and waits to be told what there is
-	peers  map[Slot]*peer
-	tail   Ticket
-	waits  []wait
-	out    []Action // acknowledgements that are due
-	fresh  []*entry // whose view may have changed
-	refuse uint64   // backends not taken as the registry was full
+	localSlot    Slot
+	config       Config
+	now          time.Duration
+	timeoutFloor time.Duration // silence counts from here at the earliest
+	nextScanAt   time.Duration // next look at all backends
+	wakeAt       time.Duration // last Wake given
+
+	entries   map[string]*entry
+	sorted    []*entry // all, by id
+	byAddr    map[string][]*entry
+	goneCount int
+
+	hasNodes         bool   // SetNodes was told
+	ownerCandidates  []Node // those that may keep: live, with an address for beats, by slot
+	knownCount       int    // other nodes, live or not
+	liveCount        int    // other nodes that live
+	hasLiveDisk      bool   // a firm node lives
+	hasKnownDisk     bool   // a firm node is known, live or not
+	local            Node
+	syncSource       Slot          // who last began to tell all that it has
+	syncStartedAt    time.Duration // and when
+	reportMissingAt  time.Duration // when what it did not name is told to it; never: it was
+	peerSlots        []Slot        // of peers, sorted
+	activePeers      []Slot        // of peers that are to be told something, or have yet to confirm it, sorted
+	syncQueue        []syncRequest // who follows and waits to be told what there is
+	peers            map[Slot]*peer
+	lastTicket       Ticket
+	pendingCalls     []pendingCall
+	acknowledgements []Action // acknowledgements that are due
+	changedEntries   []*entry // whose view may have changed
+	refused          uint64   // backends not taken as the registry was full
 }
 
 // entry is what is known of one backend. In w, Phase, ColdLeft and Age are unused: see word.
 type entry struct {
-	w      Record
-	gone   bool // by silence, at this Seq and Fence
-	goneAt time.Duration
-	born   time.Duration
-	cold   time.Duration // until when
-	beatAt time.Duration // last sign of life, or since when this node watches
-	kept   time.Duration // since when the registrar is known as such
-	named  time.Duration // when the feeder last said a word of it
-	signAt time.Duration // last beat that came here or was passed on to this node
-	here   bool          // and it came here
-	shy    time.Duration // until then not taken over: another node still hears its registrar
-	doubt  bool          // gone by what this node saw, until its registrar says so too
-	told   map[Slot]level
-
-	queued    bool
-	shown     Record
-	shownCold time.Duration
-	everShown bool
+	record          Record
+	timedOut        bool // by silence, at this Seq and Fence
+	goneAt          time.Duration
+	firstSeenAt     time.Duration
+	slowStartUntil  time.Duration // until when
+	lastSeenAt      time.Duration // last sign of life, or since when this node watches
+	ownerSince      time.Duration // since when the registrar is known as such
+	syncedAt        time.Duration // when the feeder last said a word of it
+	lastHeartbeatAt time.Duration // last beat that came here or was passed on to this node
+	directHeartbeat bool          // and it came here
+	noTakeoverUntil time.Duration // until then not taken over: another node still hears its registrar
+	suspected       bool          // gone by what this node saw, until its registrar says so too
+	notified        map[Slot]departure
+
+	changeQueued       bool
+	published          Record
+	publishedSlowStart time.Duration
+	everPublished      bool
 }
 
-// level is how much of an end is known.
-type level uint8
+// departure is how much of an end is known.
+type departure uint8
 
 const (
-	noEnd level = iota
-	drains
-	left
+	notDeparting departure = iota
+	draining
+	departed
 )
 
-func (e *entry) level() level {
+func (e *entry) departure() departure {
 	switch {
-	case e.w.Final:
-		return left
-	case e.w.Drained:
-		return drains
+	case e.record.Final:
+		return departed
+	case e.record.Drained:
+		return draining
 	}
-	return noEnd
+	return notDeparting
 }
 
 func (e *entry) phase() Phase {
 	switch {
-	case e.w.Final || e.gone:
+	case e.record.Final || e.timedOut:
 		return Gone
-	case e.w.Drained:
+	case e.record.Drained:
 		return Draining
 	}
 	return Ready
 }
 
 // New makes an empty registry; heartbeats fill it. Until Nodes is told, no end of a backend is acknowledged.
-func New(me Slot, terms Terms, now time.Duration) *Registry {
+func New(me Slot, terms Config, now time.Duration) *Registry {
 	invariant.That(me >= 0, "a registry has a slot")
-	return &Registry{me: me, terms: terms, now: now, calm: now, next: now + tick, woken: never, feeder: None, askAt: never,
-		all: map[string]*entry{}, byAddr: map[string][]*entry{}, peers: map[Slot]*peer{}}
+	return &Registry{localSlot: me, config: terms, now: now, timeoutFloor: now, nextScanAt: now + tickInterval, wakeAt: never, syncSource: NoSlot, reportMissingAt: never,
+		entries: map[string]*entry{}, byAddr: map[string][]*entry{}, peers: map[Slot]*peer{}}
 }
 
-// SetTerms takes figures that changed while running.
-func (b *Registry) SetTerms(t Terms) { t.Life, b.terms = b.terms.Life, t }
+// SetConfig takes figures that changed while running.
+func (b *Registry) SetConfig(t Config) { t.Incarnation, b.config = b.config.Incarnation, t }
 
-// Now moves the clock; earlier times are passed over. A step of over a second means that this node stood
+// Tick moves the clock; earlier times are passed over. A step of over a second means that this node stood
 // still: no beat could come, so silence counts anew.
-func (b *Registry) Now(t time.Duration) {
+func (b *Registry) Tick(t time.Duration) {
 	if t < b.now {
 		return
 	}
-	if t >= b.woken {
-		b.woken = never
+	if t >= b.wakeAt {
+		b.wakeAt = never
 	}
-	if t-b.now > standstill {
-		b.calm = t
-		for _, e := range b.list {
-			e.beatAt = t
+	if t-b.now > stallThreshold {
+		b.timeoutFloor = t
+		for _, e := range b.sorted {
+			e.lastSeenAt = t
 		}
 	}
 	b.now = t
-	for _, s := range b.busy {
+	for _, s := range b.activePeers {
 		if p := b.peers[s]; p != nil {
-			b.resend(p)
+			b.resendOverdue(p)
 		}
 	}
-	if t >= b.next {
-		b.look()
+	if t >= b.nextScanAt {
+		b.scan()
 	}
-	b.settle()
+	b.answerDecided()
 }
 
-// Beat takes a backend's call that names its phase. The host answers when the ticket is acknowledged.
-func (b *Registry) Beat(w Record) Ticket {
-	b.tail++
-	e := b.entry(w.ID)
+// Heartbeat takes a backend's call that names its phase. The host answers when the ticket is acknowledged.
+func (b *Registry) Heartbeat(w Record) Ticket {
+	b.lastTicket++
+	e := b.entryFor(w.ID)
 	if e == nil {
-		b.out = append(b.out, Acknowledge{Ticket: b.tail})
-		return b.tail
+		b.acknowledgements = append(b.acknowledgements, Acknowledge{Ticket: b.lastTicket})
+		return b.lastTicket
 	}
-	w.Final, w.Fence, w.Keeper, w.Missed, w.Age = false, 0, None, None, 0
+	w.Final, w.Fence, w.Keeper, w.Missed, w.Age = false, 0, NoSlot, NoSlot, 0
 	w.Drained = w.Phase == Draining
-	asked := noEnd
+	asked := notDeparting
 	if w.Drained {
-		asked = drains
+		asked = draining
 	}
-	b.beat(e, w, true)
-	b.ticket(e, asked)
-	return b.tail
+	b.handleHeartbeat(e, w, true)
+	b.trackCall(e, asked)
+	return b.lastTicket
 }
 
-// Leave takes a backend's last call.
-func (b *Registry) Leave(id string, seq uint64) Ticket {
-	b.tail++
-	e := b.entry(id)
+// Deregister takes a backend's last call.
+func (b *Registry) Deregister(id string, seq uint64) Ticket {
+	b.lastTicket++
+	e := b.entryFor(id)
 	if e == nil {
-		b.out = append(b.out, Acknowledge{Ticket: b.tail})
-		return b.tail
+		b.acknowledgements = append(b.acknowledgements, Acknowledge{Ticket: b.lastTicket})
+		return b.lastTicket
 	}
-	was := e.level()
-	b.join(e, Record{ID: id, Phase: Gone, Final: true, Keeper: None, Missed: None})
-	if was != left {
-		b.spread(e, true)
+	was := e.departure()
+	b.merge(e, Record{ID: id, Phase: Gone, Final: true, Keeper: NoSlot, Missed: NoSlot})
+	if was != departed {
+		b.broadcast(e, true)
 	}
-	b.ticket(e, left)
-	return b.tail
+	b.trackCall(e, departed)
+	return b.lastTicket
 }
 
-// Remember takes what this node knew before its start, from a disk. It may be old: all are watched for silence from now
+// Restore takes what this node knew before its start, from a disk. It may be old: all are watched for silence from now
 // on, and whoever knows newer goes before it. After the loss of all nodes it spares them a wait for the beats. What is
 // wrong in it costs a submission that can't be sent or is turned away by another backend's id.
-func (b *Registry) Remember(words []Record) {
+func (b *Registry) Restore(words []Record) {
 	for _, w := range words {
-		if e := b.entry(w.ID); e != nil && w.Phase != Gone {
+		if e := b.entryFor(w.ID); e != nil && w.Phase != Gone {
 			w.ColdLeft = 0 // nobody knows how long ago that was
-			b.join(e, w)
+			b.merge(e, w)
 		}
 	}
 }
 
-// Seen421 says that another backend answers at the address of this one: it is gone here, and its registrar is
+// AddressTaken says that another backend answers at the address of this one: it is gone here, and its registrar is
 // told. Its next beat revives it everywhere.
-func (b *Registry) Seen421(id string) {
-	e := b.all[id]
+func (b *Registry) AddressTaken(id string) {
+	e := b.entries[id]
 	if e == nil || e.phase() == Gone {
 		return
 	}
-	b.hush(e)
-	if e.w.Keeper == b.me {
-		b.spread(e, true)
+	b.expire(e)
+	if e.record.Keeper == b.localSlot {
+		b.broadcast(e, true)
 	} else {
-		e.doubt = true
-		b.ask(e)
+		e.suspected = true
+		b.reportSuspicion(e)
 	}
 }
 
 // Next gives what is to be done; call it until there is nothing more, after every input.
 func (b *Registry) Next() (Action, bool) {
-	if len(b.out) > 0 {
-		a := b.out[0]
-		b.out = b.out[1:]
+	if len(b.acknowledgements) > 0 {
+		a := b.acknowledgements[0]
+		b.acknowledgements = b.acknowledgements[1:]
 		return a, true
 	}
-	b.out = nil
-	for len(b.fresh) > 0 {
-		e := b.fresh[0]
-		b.fresh = b.fresh[1:]
-		e.queued = false
-		if a, ok := b.show(e); ok {
+	b.acknowledgements = nil
+	for len(b.changedEntries) > 0 {
+		e := b.changedEntries[0]
+		b.changedEntries = b.changedEntries[1:]
+		e.changeQueued = false
+		if a, ok := b.publish(e); ok {
 			return a, true
 		}
 	}
-	b.fresh = nil
-	b.transfer()
-	for _, s := range b.busy {
+	b.changedEntries = nil
+	b.startSyncs()
+	for _, s := range b.activePeers {
 		if p := b.peers[s]; p != nil {
-			if m, ok := b.load(p); ok {
-				return Send{To: s, Message: m}, true
+			if m, ok := b.nextMessage(p); ok {
+				return Send{Target: s, Message: m}, true
 			}
 		}
 	}
-	b.rest()
-	if at := b.wake(); at != b.woken {
-		b.woken = at
-		return Wake{At: at}, true
+	b.deactivateIdle()
+	if at := b.nextWake(); at != b.wakeAt {
+		b.wakeAt = at
+		return Wake{Deadline: at}, true
 	}
 	return nil, false
 }
 
-// All gives the backends that are not gone, by id; ColdLeft and Age are as of the last Now.
-func (b *Registry) All() []Record {
+// Backends gives the backends that are not gone, by id; ColdLeft and Age are as of the last Now.
+func (b *Registry) Backends() []Record {
 	var words []Record
-	for _, e := range b.list {
-		if b.view(e) != Gone {
-			words = append(words, b.record(e))
+	for _, e := range b.sorted {
+		if b.visiblePhase(e) != Gone {
+			words = append(words, b.recordOf(e))
 		}
 	}
 	return words
@@ -369,23 +369,23 @@
 // Status is for operators.
 type Status struct {
 	Ready, Draining, Gone int // backends
-	Kept                  int // watched by this node
-	Unwatched             int // whose registrar is not heard
-	Waiting               int // calls that wait for other nodes
+	Owned                 int // watched by this node
+	OwnerLost             int // whose registrar is not heard
+	PendingCalls          int // calls that wait for other nodes
 	Unconfirmed           int // records that other nodes have not confirmed
 	Refused               uint64
 }
 
-// Serves tells whether a backend is ready. It looks no further than the first: it is asked each second and more.
-func (b *Registry) Serves() bool {
-	return slices.ContainsFunc(b.list, func(e *entry) bool { return b.view(e) == Ready })
+// HasReady tells whether a backend is ready. It looks no further than the first: it is asked each second and more.
+func (b *Registry) HasReady() bool {
+	return slices.ContainsFunc(b.sorted, func(e *entry) bool { return b.visiblePhase(e) == Ready })
 }
 
 // Status counts what there is.
 func (b *Registry) Status() Status {
-	s := Status{Waiting: len(b.waits), Refused: b.refuse}
-	for _, e := range b.list {
-		switch b.view(e) {
+	s := Status{PendingCalls: len(b.pendingCalls), Refused: b.refused}
+	for _, e := range b.sorted {
+		switch b.visiblePhase(e) {
 		case Ready:
 			s.Ready++
 		case Draining:
@@ -396,85 +396,85 @@
 		if e.phase() == Gone {
 			continue
 		}
-		if e.w.Keeper == b.me {
-			s.Kept++
-		} else if b.lost(e.w.Keeper) {
-			s.Unwatched++
+		if e.record.Keeper == b.localSlot {
+			s.Owned++
+		} else if b.unreachable(e.record.Keeper) {
+			s.OwnerLost++
 		}
 	}
 	for _, p := range b.peers {
-		s.Unconfirmed += len(p.order)
-		for _, f := range p.flight {
+		s.Unconfirmed += len(p.pendingIDs)
+		for _, f := range p.inFlight {
 			s.Unconfirmed += len(f.ids)
 		}
 	}
 	return s
 }
 
-// entry finds or makes one; nil when the registry is full.
-func (b *Registry) entry(id string) *entry {
-	if e := b.all[id]; e != nil {
+// entryFor finds or makes one; nil when the registry is full.
+func (b *Registry) entryFor(id string) *entry {
+	if e := b.entries[id]; e != nil {
 		return e
 	}
 	if id == "" {
 		return nil
 	}
-	if len(b.all) >= most {
-		b.refuse++
+	if len(b.entries) >= maxBackends {
+		b.refused++
 		return nil
 	}
-	e := &entry{w: Record{ID: id, Keeper: None, Missed: None}, born: b.now, beatAt: b.now, kept: b.now,
-		signAt: -never / 2}
-	b.all[id] = e
-	at, _ := slices.BinarySearchFunc(b.list, id, byID)
-	b.list = slices.Insert(b.list, at, e)
+	e := &entry{record: Record{ID: id, Keeper: NoSlot, Missed: NoSlot}, firstSeenAt: b.now, lastSeenAt: b.now, ownerSince: b.now,
+		lastHeartbeatAt: -never / 2}
+	b.entries[id] = e
+	at, _ := slices.BinarySearchFunc(b.sorted, id, compareID)
+	b.sorted = slices.Insert(b.sorted, at, e)
 	return e
 }
 
-func byID(e *entry, id string) int { return strings.Compare(e.w.ID, id) }
+func compareID(e *entry, id string) int { return strings.Compare(e.record.ID, id) }
 
-// record is the entry as it travels.
-func (b *Registry) record(e *entry) Record {
-	w := e.w
+// recordOf is the entry as it travels.
+func (b *Registry) recordOf(e *entry) Record {
+	w := e.record
 	w.Phase = e.phase()
-	w.ColdLeft = max(0, e.cold-b.now)
-	w.Age = b.now - e.born
+	w.ColdLeft = max(0, e.slowStartUntil-b.now)
+	w.Age = b.now - e.firstSeenAt
 	return w
 }
 
-// wake is when Now is wanted next.
-func (b *Registry) wake() time.Duration {
+// nextWake is when Now is wanted next.
+func (b *Registry) nextWake() time.Duration {
 	at := never
-	if len(b.all) > b.gone {
-		at = b.next
+	if len(b.entries) > b.goneCount {
+		at = b.nextScanAt
 	}
-	for _, w := range b.waits {
-		at = min(at, w.due(b.now))
+	for _, w := range b.pendingCalls {
+		at = min(at, w.deadline(b.now))
 	}
-	for _, s := range b.busy {
-		at = min(at, b.peers[s].due())
+	for _, s := range b.activePeers {
+		at = min(at, b.peers[s].nextDeadline())
 	}
 	return at
 }
 
-// work notes that a node is to be looked at: a turn that concerns few nodes must not go over all of them.
-func (b *Registry) work(p *peer) {
-	if p.busy {
+// activate notes that a node is to be looked at: a turn that concerns few nodes must not go over all of them.
+func (b *Registry) activate(p *peer) {
+	if p.active {
 		return
 	}
-	p.busy = true
-	at, _ := slices.BinarySearch(b.busy, p.node.Seat)
-	b.busy = slices.Insert(b.busy, at, p.node.Seat)
+	p.active = true
+	at, _ := slices.BinarySearch(b.activePeers, p.node.Slot)
+	b.activePeers = slices.Insert(b.activePeers, at, p.node.Slot)
 }
 
-// rest lets those go that have nothing more to be told, and have confirmed all.
-func (b *Registry) rest() {
-	b.busy = slices.DeleteFunc(b.busy, func(s Slot) bool {
+// deactivateIdle lets those go that have nothing more to be told, and have confirmed all.
+func (b *Registry) deactivateIdle() {
+	b.activePeers = slices.DeleteFunc(b.activePeers, func(s Slot) bool {
 		p := b.peers[s]
 		if p == nil {
 			return true
 		}
-		p.busy = p.greet || len(p.order)+len(p.flight)+len(p.again)+len(p.doubts)+len(p.beats)+len(p.acks) > 0
-		return !p.busy
+		p.active = p.fullSyncNext || len(p.pendingIDs)+len(p.inFlight)+len(p.retransmits)+len(p.suspicions)+len(p.heartbeats)+len(p.acks) > 0
+		return !p.active
 	})
 }
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -10,67 +10,67 @@
 )
 
 const (
-	ms   = time.Millisecond
-	beat = 1500 * ms
+	ms                = time.Millisecond
+	heartbeatInterval = 1500 * ms
 )
 
 // fleet is a few nodes and the datagrams between them, on one clock.
 type fleet struct {
-	t          *testing.T
-	now        time.Duration
-	registries map[Slot]*Registry
-	live       map[Slot]bool
-	cut        map[[2]Slot]bool
-	firm       int // nodes from 0 that count
-	messages   int
-	acks       map[Slot]map[Ticket]Acknowledge
-	views      map[Slot]map[string]Record
+	t           *testing.T
+	now         time.Duration
+	registries  map[Slot]*Registry
+	live        map[Slot]bool
+	partitioned map[[2]Slot]bool
+	disks       int // nodes from 0 that count
+	messages    int
+	acks        map[Slot]map[Ticket]Acknowledge
+	views       map[Slot]map[string]Record
 }
 
-func open(t *testing.T, n, firm int) *fleet {
-	tr := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, cut: map[[2]Slot]bool{}, firm: firm,
+func newFleet(t *testing.T, n, firm int) *fleet {
+	tr := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: firm,
 		acks: map[Slot]map[Ticket]Acknowledge{}, views: map[Slot]map[string]Record{}}
 	for s := range Slot(n) {
 		tr.start(s)
 	}
-	tr.meet()
+	tr.updateNodes()
 	return tr
 }
 
 func (tr *fleet) start(s Slot) {
 	enough := 2
-	if tr.firm == 1 { // the loss of the only disk is not tolerated
+	if tr.disks == 1 { // the loss of the only disk is not tolerated
 		enough = 1
 	}
-	tr.registries[s] = New(s, Terms{BeatInterval: beat, Enough: enough, Life: uint32(tr.now)}, tr.now)
+	tr.registries[s] = New(s, Config{HeartbeatInterval: heartbeatInterval, MinCopies: enough, Incarnation: uint32(tr.now)}, tr.now)
 	tr.acks[s], tr.views[s], tr.live[s] = map[Ticket]Acknowledge{}, map[string]Record{}, true
 }
 
-// meet tells each node which others it hears, and who follows whom: nodes without a disk the first one with a disk that
+// updateNodes tells each node which others it hears, and who follows whom: nodes without a disk the first one with a disk that
 // they reach.
-func (tr *fleet) meet() {
-	reach := func(a, b Slot) bool { return tr.live[b] && !tr.cut[[2]Slot{a, b}] }
+func (tr *fleet) updateNodes() {
+	reach := func(a, b Slot) bool { return tr.live[b] && !tr.partitioned[[2]Slot{a, b}] }
 	follows := func(s Slot) Slot {
-		for o := range Slot(tr.firm) {
-			if int(s) >= tr.firm && reach(s, o) && reach(o, s) {
+		for o := range Slot(tr.disks) {
+			if int(s) >= tr.disks && reach(s, o) && reach(o, s) {
 				return o
 			}
 		}
-		return None
+		return NoSlot
 	}
 	for s, b := range tr.registries {
 		var nodes []Node
 		for o := range Slot(len(tr.registries)) {
-			nodes = append(nodes, Node{Seat: o, Control: fmt.Sprint("node", o), Firm: int(o) < tr.firm,
-				Live: reach(s, o), Hears: follows(o) == s})
+			nodes = append(nodes, Node{Slot: o, ControlAddr: fmt.Sprint("node", o), HasDisk: int(o) < tr.disks,
+				Live: reach(s, o), Follows: follows(o) == s})
 		}
 		b.SetNodes(nodes)
 	}
-	tr.pump()
+	tr.deliverAll()
 }
 
-// pump carries datagrams until there is none; cut and dead nodes get none.
-func (tr *fleet) pump() {
+// deliverAll carries datagrams until there is none; cut and dead nodes get none.
+func (tr *fleet) deliverAll() {
 	for again := true; again; {
 		again = false
 		for s := range Slot(len(tr.registries)) {
@@ -82,28 +82,28 @@
 				case Send:
 					again = true
 					tr.messages++
-					if tr.live[a.To] && !tr.cut[[2]Slot{s, a.To}] {
-						tr.registries[a.To].Heard(s, a.Message)
+					if tr.live[a.Target] && !tr.partitioned[[2]Slot{s, a.Target}] {
+						tr.registries[a.Target].Receive(s, a.Message)
 					}
 				case Acknowledge:
 					tr.acks[s][a.Ticket] = a
 				case Changed:
-					tr.views[s][a.Word.ID] = a.Word
+					tr.views[s][a.Record.ID] = a.Record
 				}
 			}
 		}
 	}
 }
 
-func (tr *fleet) step(d time.Duration) {
+func (tr *fleet) advance(d time.Duration) {
 	for end := tr.now + d; tr.now < end; {
 		tr.now += min(100*ms, end-tr.now)
 		for s, b := range tr.registries {
 			if tr.live[s] {
-				b.Now(tr.now)
+				b.Tick(tr.now)
 			}
 		}
-		tr.pump()
+		tr.deliverAll()
 	}
 }
 
@@ -113,23 +113,23 @@
 	target Slot
 }
 
-func (tr *fleet) beat(s *backend, at Slot) Acknowledge {
+func (tr *fleet) heartbeat(s *backend, at Slot) Acknowledge {
 	s.Seq++
-	ticket := tr.registries[at].Beat(s.Record)
-	tr.pump()
+	ticket := tr.registries[at].Heartbeat(s.Record)
+	tr.deliverAll()
 	a, ok := tr.acks[at][ticket]
-	if ok && a.Target != "" {
-		fmt.Sscanf(a.Target, "node%d", &s.target)
+	if ok && a.OwnerAddr != "" {
+		fmt.Sscanf(a.OwnerAddr, "node%d", &s.target)
 	}
 	return a
 }
 
-func server(i int) *backend {
+func newBackend(i int) *backend {
 	return &backend{Record: Record{ID: fmt.Sprint("i-", i), Service: "s", Capacity: 4,
 		Addr: fmt.Sprint("10.0.0.", i, ":80")}}
 }
 
-func (tr *fleet) phases(id string, want Phase) {
+func (tr *fleet) requirePhase(id string, want Phase) {
 	tr.t.Helper()
 	for s := range tr.registries {
 		if w, ok := tr.views[s][id]; tr.live[s] && (ok || want != Gone) {
@@ -138,19 +138,19 @@
 	}
 }
 
-// know is all that must be alike at nodes that have heard the same.
-func know(b *Registry) map[string]Record {
+// knownRecords is all that must be alike at nodes that have heard the same.
+func knownRecords(b *Registry) map[string]Record {
 	m := map[string]Record{}
-	for id, e := range b.all {
-		w := b.record(e)
-		w.ColdLeft, w.Missed, w.Seq = 0, None, 0 // beats do not travel
+	for id, e := range b.entries {
+		w := b.recordOf(e)
+		w.ColdLeft, w.Missed, w.Seq = 0, NoSlot, 0 // beats do not travel
 		m[id] = w
 	}
 	return m
 }
 
-// orders calls f with every order of n things.
-func orders(n int, f func([]int)) {
+// permutations calls f with every order of n things.
+func permutations(n int, f func([]int)) {
 	var go1 func(head, rest []int)
 	go1 = func(head, rest []int) {
 		if len(rest) == 0 {
@@ -169,10 +169,10 @@
 }
 
 func TestAllOrdersOfWordsEndAlike(t *testing.T) {
-	w := server(1).Record
+	w := newBackend(1).Record
 	say := func(f func(*Record)) Record {
 		x := w
-		x.Keeper, x.Missed = None, None
+		x.Keeper, x.Missed = NoSlot, NoSlot
 		f(&x)
 		return x
 	}
@@ -189,7 +189,7 @@
 			say(func(x *Record) { x.Seq, x.Fence, x.Keeper, x.Phase, x.Drained = 2, 1, 3, Draining, true }),
 			say(func(x *Record) { x.Seq, x.Fence, x.Keeper = 3, 1, 3 }),
 			say(func(x *Record) { x.Seq, x.Fence, x.Keeper, x.Phase = 3, 1, 3, Gone }),
-			{ID: w.ID, Keeper: None, Missed: None, Phase: Gone, Final: true},
+			{ID: w.ID, Keeper: NoSlot, Missed: NoSlot, Phase: Gone, Final: true},
 		},
 		{ // two at one address
 			say(func(x *Record) { x.Seq, x.Fence, x.Keeper, x.Age = 9, 1, 3, 9*time.Second }),
@@ -199,16 +199,16 @@
 	} {
 		var first map[string]Record
 		var seen []Record
-		orders(len(words), func(order []int) {
-			b := New(0, Terms{BeatInterval: beat}, 0)
+		permutations(len(words), func(order []int) {
+			b := New(0, Config{HeartbeatInterval: heartbeatInterval}, 0)
 			for _, i := range append(order, order[0]) {
-				b.Heard(Slot(words[i].Keeper+1), Message{Words: words[i : i+1]})
+				b.Receive(Slot(words[i].Keeper+1), Message{Words: words[i : i+1]})
 			}
 			if first == nil {
-				first, seen = know(b), b.All()
+				first, seen = knownRecords(b), b.Backends()
 			}
-			must.Eq(t, first, know(b), must.Sprint(order))
-			must.SliceLen(t, len(seen), b.All())
+			must.Eq(t, first, knownRecords(b), must.Sprint(order))
+			must.SliceLen(t, len(seen), b.Backends())
 		})
 	}
 }
@@ -217,142 +217,142 @@
 	// Calls of one backend at three nodes, in every order and with the nodes cut from each other meanwhile
 	// or not.
 	for _, cut := range []bool{false, true} {
-		orders(4, func(order []int) {
-			tr := open(t, 3, 0)
+		permutations(4, func(order []int) {
+			tr := newFleet(t, 3, 0)
 			if cut {
 				for _, p := range [][2]Slot{{0, 1}, {1, 0}, {0, 2}, {2, 0}} {
-					tr.cut[p] = true
+					tr.partitioned[p] = true
 				}
-				tr.meet()
+				tr.updateNodes()
 			}
 			for _, i := range order {
-				w := server(1).Record
+				w := newBackend(1).Record
 				switch i {
 				case 0:
 					w.Seq = 1
-					tr.registries[0].Beat(w)
+					tr.registries[0].Heartbeat(w)
 				case 1:
 					w.Seq, w.Capacity = 2, 6
-					tr.registries[1].Beat(w)
+					tr.registries[1].Heartbeat(w)
 				case 2:
 					w.Seq, w.Phase = 3, Draining
-					tr.registries[2].Beat(w)
+					tr.registries[2].Heartbeat(w)
 				case 3:
 					w.Seq = 4
-					tr.registries[0].Beat(w)
+					tr.registries[0].Heartbeat(w)
 				}
-				tr.pump()
+				tr.deliverAll()
 			}
-			tr.cut = map[[2]Slot]bool{}
-			tr.meet()
-			tr.step(time.Second)
-			tr.phases("i-1", Draining)
-			must.Eq(t, know(tr.registries[0])["i-1"], know(tr.registries[1])["i-1"], must.Sprint(cut, order))
+			tr.partitioned = map[[2]Slot]bool{}
+			tr.updateNodes()
+			tr.advance(time.Second)
+			tr.requirePhase("i-1", Draining)
+			must.Eq(t, knownRecords(tr.registries[0])["i-1"], knownRecords(tr.registries[1])["i-1"], must.Sprint(cut, order))
 		})
 	}
 }
 
 func TestBeatsAreSteeredAndDoNotTravel(t *testing.T) {
-	tr := open(t, 4, 0)
+	tr := newFleet(t, 4, 0)
 	var all []*backend
 	for i := range 20 {
-		all = append(all, server(i))
-		must.True(t, tr.beat(all[i], 0).OK)
+		all = append(all, newBackend(i))
+		must.True(t, tr.heartbeat(all[i], 0).Confirmed)
 	}
-	tr.step(200 * ms)
+	tr.advance(200 * ms)
 	for _, s := range all {
-		tr.phases(s.ID, Ready)
-		must.Eq(t, s.target, tr.registries[0].all[s.ID].w.Keeper)
+		tr.requirePhase(s.ID, Ready)
+		must.Eq(t, s.target, tr.registries[0].entries[s.ID].record.Keeper)
 	}
 	kept := map[Slot]int{}
 	for _, s := range all {
 		kept[s.target]++
-		tr.beat(s, s.target)
+		tr.heartbeat(s, s.target)
 	}
 	must.MapLen(t, 4, kept)
-	tr.step(200 * ms)
+	tr.advance(200 * ms)
 	tr.messages = 0
 	for range 8 {
 		for _, s := range all {
-			must.True(t, tr.beat(s, s.target).OK)
+			must.True(t, tr.heartbeat(s, s.target).Confirmed)
 		}
-		tr.step(beat)
+		tr.advance(heartbeatInterval)
 	}
 	must.Eq(t, 0, tr.messages)
 	// Without beats all are gone at all nodes, and one that beats again is back.
-	tr.step(4 * beat)
+	tr.advance(4 * heartbeatInterval)
 	for _, s := range all {
-		tr.phases(s.ID, Gone)
+		tr.requirePhase(s.ID, Gone)
 	}
-	tr.beat(all[3], 2)
-	tr.step(100 * ms)
-	tr.phases(all[3].ID, Ready)
+	tr.heartbeat(all[3], 2)
+	tr.advance(100 * ms)
+	tr.requirePhase(all[3].ID, Ready)
 }
 
 func TestDrainIsAcknowledgedWhenOthersKnow(t *testing.T) {
-	tr := open(t, 4, 2)
-	s := server(1)
-	tr.beat(s, 0)
-	tr.step(time.Second)
+	tr := newFleet(t, 4, 2)
+	s := newBackend(1)
+	tr.heartbeat(s, 0)
+	tr.advance(time.Second)
 	s.Phase = Draining
-	must.True(t, tr.beat(s, 0).OK)
-	tr.phases(s.ID, Draining)
-	must.Eq(t, 0, tr.registries[0].Status().Waiting)
+	must.True(t, tr.heartbeat(s, 0).Confirmed)
+	tr.requirePhase(s.ID, Draining)
+	must.Eq(t, 0, tr.registries[0].Status().PendingCalls)
 
 	// Node 3 has not been missed yet but hears nothing: enough is enough after a while.
-	mute := func(o Slot) { tr.cut[[2]Slot{0, o}] = true }
+	mute := func(o Slot) { tr.partitioned[[2]Slot{0, o}] = true }
 	mute(3)
-	s = server(2)
-	tr.beat(s, 0)
+	s = newBackend(2)
+	tr.heartbeat(s, 0)
 	s.Phase = Draining
-	must.False(t, tr.beat(s, 0).OK)
-	ticket := tr.registries[0].tail
-	tr.step(400 * ms)
+	must.False(t, tr.heartbeat(s, 0).Confirmed)
+	ticket := tr.registries[0].lastTicket
+	tr.advance(400 * ms)
 	must.MapNotContainsKey(t, tr.acks[0], ticket)
-	tr.step(100 * ms)
-	must.True(t, tr.acks[0][ticket].OK)
+	tr.advance(100 * ms)
+	must.True(t, tr.acks[0][ticket].Confirmed)
 
 	// Copies at nodes that do not count are not enough.
 	mute(1)
-	ticket = tr.registries[0].Leave(s.ID, 9)
-	tr.pump()
-	tr.step(700 * ms)
+	ticket = tr.registries[0].Deregister(s.ID, 9)
+	tr.deliverAll()
+	tr.advance(700 * ms)
 	must.MapNotContainsKey(t, tr.acks[0], ticket)
-	tr.step(100 * ms)
+	tr.advance(100 * ms)
 	must.MapContainsKey(t, tr.acks[0], ticket)
-	must.False(t, tr.acks[0][ticket].OK)
+	must.False(t, tr.acks[0][ticket].Confirmed)
 
 	// Node 1 hears again: the word is still on its way, and the next call finds it told.
-	delete(tr.cut, [2]Slot{0, 1})
-	delete(tr.cut, [2]Slot{0, 3})
-	tr.step(time.Second)
-	tr.phases(s.ID, Gone)
-	ticket = tr.registries[0].Leave(s.ID, 10)
-	tr.pump()
-	must.True(t, tr.acks[0][ticket].OK)
+	delete(tr.partitioned, [2]Slot{0, 1})
+	delete(tr.partitioned, [2]Slot{0, 3})
+	tr.advance(time.Second)
+	tr.requirePhase(s.ID, Gone)
+	ticket = tr.registries[0].Deregister(s.ID, 10)
+	tr.deliverAll()
+	must.True(t, tr.acks[0][ticket].Confirmed)
 
 	// A node that hears nobody acknowledges no end, but a node that is alone may.
 	for o := range Slot(3) {
 		mute(o + 1)
 	}
-	tr.meet()
-	s = server(3)
-	must.True(t, tr.beat(s, 0).OK)
+	tr.updateNodes()
+	s = newBackend(3)
+	must.True(t, tr.heartbeat(s, 0).Confirmed)
 	s.Phase = Draining
-	must.False(t, tr.beat(s, 0).OK)
-	tr = open(t, 1, 0)
-	must.True(t, tr.beat(s, 0).OK)
+	must.False(t, tr.heartbeat(s, 0).Confirmed)
+	tr = newFleet(t, 1, 0)
+	must.True(t, tr.heartbeat(s, 0).Confirmed)
 }
 
 func TestRegistrarLostIsNotItsBackends(t *testing.T) {
-	tr := open(t, 4, 0)
+	tr := newFleet(t, 4, 0)
 	var all []*backend
 	for i := range 30 {
-		all = append(all, server(i))
-		tr.beat(all[i], 0)
-		tr.beat(all[i], all[i].target)
+		all = append(all, newBackend(i))
+		tr.heartbeat(all[i], 0)
+		tr.heartbeat(all[i], all[i].target)
 	}
-	tr.step(time.Second)
+	tr.advance(time.Second)
 	dead := all[0].target
 	var orphans, dumb []*backend
 	for _, s := range all {
@@ -372,148 +372,148 @@
 	next := (dead + 1) % 4
 	for i := range 7 {
 		for _, s := range others {
-			tr.beat(s, s.target)
+			tr.heartbeat(s, s.target)
 		}
 		for _, s := range orphans {
 			if i == 0 || s.target == dead {
-				tr.beat(s, next) // its beat failed: it turns to the next node
+				tr.heartbeat(s, next) // its beat failed: it turns to the next node
 			} else {
-				tr.beat(s, s.target)
+				tr.heartbeat(s, s.target)
 			}
 		}
 		if i == 1 {
-			tr.meet() // only now the nodes miss it
+			tr.updateNodes() // only now the nodes miss it
 		}
 		for _, s := range all {
 			if i < 4 || s != dumb[0] {
-				tr.phases(s.ID, Ready)
+				tr.requirePhase(s.ID, Ready)
 			}
 		}
-		tr.step(beat)
+		tr.advance(heartbeatInterval)
 	}
-	tr.phases(dumb[0].ID, Gone) // it went together with its registrar
+	tr.requirePhase(dumb[0].ID, Gone) // it went together with its registrar
 	for _, s := range orphans {
 		must.NotEq(t, dead, s.target)
-		must.Eq(t, s.target, tr.registries[next].all[s.ID].w.Keeper)
+		must.Eq(t, s.target, tr.registries[next].entries[s.ID].record.Keeper)
 	}
 	// The registrar comes back and knows nothing: it is told the whole registry, ends too.
 	tr.start(dead)
-	tr.meet()
-	tr.step(time.Second)
-	must.Eq(t, know(tr.registries[next]), know(tr.registries[dead]))
-	must.Eq(t, 29, len(tr.registries[dead].All()))
+	tr.updateNodes()
+	tr.advance(time.Second)
+	must.Eq(t, knownRecords(tr.registries[next]), knownRecords(tr.registries[dead]))
+	must.Eq(t, 29, len(tr.registries[dead].Backends()))
 }
 
-func TestCutOffNodeJudgesOnlyWhatItHeard(t *testing.T) {
-	tr := open(t, 5, 0)
+func TestIsolatedNodeExpiresOnlyDirectBackends(t *testing.T) {
+	tr := newFleet(t, 5, 0)
 	var all []*backend
 	for i := range 20 {
-		all = append(all, server(i))
-		tr.beat(all[i], 1)
+		all = append(all, newBackend(i))
+		tr.heartbeat(all[i], 1)
 	}
-	tr.step(100 * ms)
+	tr.advance(100 * ms)
 	for o := range Slot(4) {
-		tr.cut[[2]Slot{0, o + 1}], tr.cut[[2]Slot{o + 1, 0}] = true, true
+		tr.partitioned[[2]Slot{0, o + 1}], tr.partitioned[[2]Slot{o + 1, 0}] = true, true
 	}
-	tr.meet()
+	tr.updateNodes()
 	for range 10 {
 		for _, s := range all {
 			at := s.target
 			if at == 0 {
 				at = 2 // its zone does not reach node 0 any more
 			}
-			tr.beat(s, at)
+			tr.heartbeat(s, at)
 		}
-		tr.step(beat)
+		tr.advance(heartbeatInterval)
 	}
-	must.SliceLen(t, 20, tr.registries[0].All())
-	tr.cut = map[[2]Slot]bool{}
-	tr.meet()
-	tr.step(time.Second)
+	must.SliceLen(t, 20, tr.registries[0].Backends())
+	tr.partitioned = map[[2]Slot]bool{}
+	tr.updateNodes()
+	tr.advance(time.Second)
 	for _, s := range all {
-		tr.phases(s.ID, Ready)
+		tr.requirePhase(s.ID, Ready)
 	}
 }
 
-func TestStandstillIsNotSilence(t *testing.T) {
-	tr := open(t, 2, 0)
-	s := server(1)
-	tr.beat(s, 0)
-	tr.beat(s, s.target)
+func TestStallIsNotATimeout(t *testing.T) {
+	tr := newFleet(t, 2, 0)
+	s := newBackend(1)
+	tr.heartbeat(s, 0)
+	tr.heartbeat(s, s.target)
 	b := tr.registries[s.target]
-	b.Now(tr.now + 20*time.Second)
-	tr.pump()
-	tr.phases(s.ID, Ready)
+	b.Tick(tr.now + 20*time.Second)
+	tr.deliverAll()
+	tr.requirePhase(s.ID, Ready)
 	for range 20 {
 		tr.now += 200 * ms
-		b.Now(tr.now + 20*time.Second)
+		b.Tick(tr.now + 20*time.Second)
 	}
-	tr.pump()
-	tr.phases(s.ID, Ready)
+	tr.deliverAll()
+	tr.requirePhase(s.ID, Ready)
 	for range 5 {
 		tr.now += 200 * ms
-		b.Now(tr.now + 20*time.Second)
+		b.Tick(tr.now + 20*time.Second)
 	}
-	tr.pump()
-	tr.phases(s.ID, Gone)
+	tr.deliverAll()
+	tr.requirePhase(s.ID, Gone)
 }
 
 func TestAddressUsedAgain(t *testing.T) {
-	tr := open(t, 3, 0)
-	old := server(1)
-	tr.beat(old, 0)
-	tr.step(2 * time.Second)
-	young := server(2)
+	tr := newFleet(t, 3, 0)
+	old := newBackend(1)
+	tr.heartbeat(old, 0)
+	tr.advance(2 * time.Second)
+	young := newBackend(2)
 	young.Addr, young.Service = old.Addr, "other"
-	tr.beat(young, 1)
-	tr.step(600 * ms)
-	tr.phases(old.ID, Gone)
-	tr.phases(young.ID, Ready)
-	must.SliceLen(t, 1, tr.registries[2].All())
+	tr.heartbeat(young, 1)
+	tr.advance(600 * ms)
+	tr.requirePhase(old.ID, Gone)
+	tr.requirePhase(young.ID, Ready)
+	must.SliceLen(t, 1, tr.registries[2].Backends())
 	// A late call of the old one changes nothing for long, and the young one's end does not bring it back.
 	old.Seq += 5
-	tr.beat(old, 2)
-	tr.step(600 * ms)
-	tr.phases(old.ID, Gone)
-	tr.phases(young.ID, Ready)
-	tr.registries[0].Leave(young.ID, 9)
-	tr.pump()
-	tr.phases(young.ID, Gone)
-	tr.phases(old.ID, Gone)
+	tr.heartbeat(old, 2)
+	tr.advance(600 * ms)
+	tr.requirePhase(old.ID, Gone)
+	tr.requirePhase(young.ID, Ready)
+	tr.registries[0].Deregister(young.ID, 9)
+	tr.deliverAll()
+	tr.requirePhase(young.ID, Gone)
+	tr.requirePhase(old.ID, Gone)
 }
 
 func TestTombstonesEnd(t *testing.T) {
-	tr := open(t, 2, 0)
-	s := server(1)
-	tr.beat(s, 0)
-	tr.registries[1].Leave(s.ID, 2)
-	tr.pump()
+	tr := newFleet(t, 2, 0)
+	s := newBackend(1)
+	tr.heartbeat(s, 0)
+	tr.registries[1].Deregister(s.ID, 2)
+	tr.deliverAll()
 	s.Seq = 7
-	tr.beat(s, 0)
-	tr.phases(s.ID, Gone)
-	tr.step(tombFor + time.Second)
+	tr.heartbeat(s, 0)
+	tr.requirePhase(s.ID, Gone)
+	tr.advance(tombstoneTTL + time.Second)
 	must.Eq(t, Status{}, tr.registries[0].Status())
-	must.MapEmpty(t, tr.registries[0].all)
+	must.MapEmpty(t, tr.registries[0].entries)
 	must.MapEmpty(t, tr.registries[0].byAddr)
-	for i := range tombs + 100 {
-		tr.registries[0].Leave(fmt.Sprint(i), 1)
+	for i := range maxTombstones + 100 {
+		tr.registries[0].Deregister(fmt.Sprint(i), 1)
 	}
-	tr.step(time.Second)
-	must.Eq(t, tombs, len(tr.registries[0].all))
+	tr.advance(time.Second)
+	must.Eq(t, maxTombstones, len(tr.registries[0].entries))
 }
 
-func TestAfterAnyTroubleAllKnowTheSame(t *testing.T) {
+func TestNodesConvergeAfterFaults(t *testing.T) {
 	for seed := range int64(200) {
 		r := rand.New(rand.NewSource(seed))
 		n := 3 + r.Intn(9)
-		tr, all, crashed := open(t, n, r.Intn(4)), []*backend{}, map[string]bool{}
+		tr, all, crashed := newFleet(t, n, r.Intn(4)), []*backend{}, map[string]bool{}
 		for i := range 12 {
-			all = append(all, server(i))
+			all = append(all, newBackend(i))
 		}
 		beats := func() {
 			for _, s := range all {
 				for tries := 0; tries < n && !crashed[s.ID]; tries++ {
-					if tr.live[s.target] && tr.beat(s, s.target).OK {
+					if tr.live[s.target] && tr.heartbeat(s, s.target).Confirmed {
 						break
 					}
 					s.target = Slot(r.Intn(n))
@@ -524,10 +524,10 @@
 			tr.start(d)
 			for o, b := range tr.registries {
 				if o != d && tr.live[o] {
-					b.Greet(d) // it may have been back before anybody missed it
+					b.SyncPeer(d) // it may have been back before anybody missed it
 				}
 			}
-			tr.meet()
+			tr.updateNodes()
 		}
 		for range 25 {
 			x, y, s := Slot(r.Intn(n)), Slot(r.Intn(n)), all[r.Intn(len(all))]
@@ -537,44 +537,44 @@
 			case 1:
 				back(x)
 			case 2:
-				tr.cut[[2]Slot{x, y}], tr.cut[[2]Slot{y, x}] = x != y, x != y
+				tr.partitioned[[2]Slot{x, y}], tr.partitioned[[2]Slot{y, x}] = x != y, x != y
 			case 3:
-				tr.cut = map[[2]Slot]bool{}
+				tr.partitioned = map[[2]Slot]bool{}
 			case 4:
 				s.Phase = Draining
 			case 5:
 				crashed[s.ID] = true
 			case 6:
-				tr.registries[x].Seen421(s.ID)
+				tr.registries[x].AddressTaken(s.ID)
 			}
 			for range 2 { // trouble is noticed before the next beats, after, or not at all
 				if r.Intn(2) == 0 {
-					tr.meet()
+					tr.updateNodes()
 				}
 				beats()
-				tr.step(time.Duration(r.Intn(1000)) * ms)
+				tr.advance(time.Duration(r.Intn(1000)) * ms)
 			}
 		}
-		tr.cut = map[[2]Slot]bool{}
+		tr.partitioned = map[[2]Slot]bool{}
 		for d := range Slot(n) {
 			if !tr.live[d] {
 				back(d)
 			}
 		}
-		tr.meet()
+		tr.updateNodes()
 		for i := range 12 {
 			if i == 9 {
 				tr.messages = 0
 			}
 			beats()
-			tr.step(beat)
+			tr.advance(heartbeatInterval)
 		}
 		for _, s := range all {
 			want := s.Phase
 			if crashed[s.ID] {
 				want = Gone
 			}
-			tr.phases(s.ID, want)
+			tr.requirePhase(s.ID, want)
 		}
 		must.Eq(t, 0, tr.messages, must.Sprint("in calm, seed ", seed))
 	}
@@ -583,130 +583,130 @@
 // What goes over a link must not grow with the nodes: a release of many backends, and a node that comes back in the middle of
 // it, cost a node without a disk one word a change from the one that it follows, and its registry once. On thin links, words
 // of all to all held up requests and broke DRAIN.
-func TestMessagesGrowWithTheNodesAndNotTheirSquare(t *testing.T) {
+func TestMessagesGrowLinearlyWithNodes(t *testing.T) {
 	for _, n := range []int{12, 48, 96} {
-		tr := open(t, n, 3)
+		tr := newFleet(t, n, 3)
 		for i := range 60 {
-			tr.beat(server(i), Slot(i%n))
+			tr.heartbeat(newBackend(i), Slot(i%n))
 		}
-		tr.step(time.Second)
+		tr.advance(time.Second)
 		for s := range Slot(n) {
-			must.Len(t, 60, tr.registries[s].All())
+			must.Len(t, 60, tr.registries[s].Backends())
 		}
 		tr.messages = 0
 		for i := range 60 {
-			s := server(i)
+			s := newBackend(i)
 			s.Seq, s.Phase = 9, Draining
-			must.True(t, tr.beat(s, Slot(i%n)).OK, must.Sprint("known by those with a disk, it is acknowledged at once"))
+			must.True(t, tr.heartbeat(s, Slot(i%n)).Confirmed, must.Sprint("known by those with a disk, it is acknowledged at once"))
 		}
 		must.LessEq(t, 60*(2*n+20), tr.messages, must.Sprint(n, " nodes")) // a word and its confirmation each
-		tr.step(time.Second)
+		tr.advance(time.Second)
 		tr.messages = 0
 		tr.start(Slot(n - 1))
 		for s := range Slot(n - 1) {
-			tr.registries[s].Greet(Slot(n - 1))
+			tr.registries[s].SyncPeer(Slot(n - 1))
 		}
-		tr.meet()
-		tr.step(time.Second)
+		tr.updateNodes()
+		tr.advance(time.Second)
 		must.LessEq(t, 12, tr.messages)
-		must.Len(t, 60, tr.registries[Slot(n-1)].All())
+		must.Len(t, 60, tr.registries[Slot(n-1)].Backends())
 	}
 }
 
 // After the loss of all nodes one that remembers spares the others a wait for the beats. What it remembers wrongly goes:
 // a backend that says nothing is gone after three beats, one that left meanwhile stays gone where that is known.
-func TestWhatOneNodeRemembers(t *testing.T) {
-	tr := open(t, 3, 1)
-	lives, died := server(1), server(2)
+func TestRestore(t *testing.T) {
+	tr := newFleet(t, 3, 1)
+	lives, died := newBackend(1), newBackend(2)
 	for _, s := range []*backend{lives, died} {
-		tr.beat(s, 0)
-		tr.beat(s, s.target)
+		tr.heartbeat(s, 0)
+		tr.heartbeat(s, s.target)
 	}
-	tr.step(time.Second)
-	kept := tr.registries[0].All()
+	tr.advance(time.Second)
+	kept := tr.registries[0].Backends()
 	must.Len(t, 2, kept)
 	for s := range Slot(3) {
 		tr.start(s)
 	}
-	tr.registries[0].Remember(kept)
-	tr.meet()
-	tr.step(200 * ms)
-	tr.phases(lives.ID, Ready)
-	tr.phases(died.ID, Ready)
+	tr.registries[0].Restore(kept)
+	tr.updateNodes()
+	tr.advance(200 * ms)
+	tr.requirePhase(lives.ID, Ready)
+	tr.requirePhase(died.ID, Ready)
 	for range 6 {
-		tr.beat(lives, lives.target)
-		tr.step(beat)
+		tr.heartbeat(lives, lives.target)
+		tr.advance(heartbeatInterval)
 	}
-	tr.phases(lives.ID, Ready)
-	tr.phases(died.ID, Gone)
+	tr.requirePhase(lives.ID, Ready)
+	tr.requirePhase(died.ID, Gone)
 
 	tr.start(0)
-	tr.registries[0].Leave(lives.ID, 0)
-	tr.registries[0].Remember(kept)
-	tr.pump()
-	must.Eq(t, Gone, tr.registries[0].view(tr.registries[0].all[lives.ID]))
+	tr.registries[0].Deregister(lives.ID, 0)
+	tr.registries[0].Restore(kept)
+	tr.deliverAll()
+	must.Eq(t, Gone, tr.registries[0].visiblePhase(tr.registries[0].entries[lives.ID]))
 }
 
 // The only node with a disk comes back knowing nothing: those who follow it tell what it did not name. What lives is kept again
 // without a wait for its beat, what died meanwhile goes after three beats at all nodes, though no beat ever names it again.
-func TestOthersKeepWhatAMissingNodeShouldHaveHad(t *testing.T) {
-	tr := open(t, 4, 1)
-	lives, died := server(1), server(2)
+func TestFollowersReportMissingBackends(t *testing.T) {
+	tr := newFleet(t, 4, 1)
+	lives, died := newBackend(1), newBackend(2)
 	for _, s := range []*backend{lives, died} {
-		tr.beat(s, 3)
+		tr.heartbeat(s, 3)
 		must.Eq(t, Slot(0), s.target) // nodes with a disk keep
-		tr.beat(s, 0)
+		tr.heartbeat(s, 0)
 	}
-	tr.step(time.Second)
+	tr.advance(time.Second)
 	tr.start(0)
 	for s := range Slot(3) {
-		tr.registries[s+1].Greet(0)
+		tr.registries[s+1].SyncPeer(0)
 	}
-	tr.meet()
-	must.Len(t, 0, tr.registries[0].All())
-	tr.step(nameFor + time.Second)
-	must.Len(t, 2, tr.registries[0].All())
-	must.Len(t, 2, tr.registries[2].All())
+	tr.updateNodes()
+	must.Len(t, 0, tr.registries[0].Backends())
+	tr.advance(fullSyncGrace + time.Second)
+	must.Len(t, 2, tr.registries[0].Backends())
+	must.Len(t, 2, tr.registries[2].Backends())
 	for range 6 {
-		tr.beat(lives, 0)
-		tr.step(beat)
+		tr.heartbeat(lives, 0)
+		tr.advance(heartbeatInterval)
 	}
-	tr.phases(lives.ID, Ready)
-	tr.phases(died.ID, Gone)
+	tr.requirePhase(lives.ID, Ready)
+	tr.requirePhase(died.ID, Gone)
 }
 
 // A node that came back has nothing of what its former life knew: a late word of that one, read after the new one was greeted, is
 // no copy. The end of a backend is acknowledged once the present life confirms it.
 func TestLateWordOfFormerLifeIsNoCopy(t *testing.T) {
-	defer func() { wordIsCopy = false }()
+	defer func() { trustUnconfirmedPeers = false }()
 	for _, fault := range []bool{false, true} {
-		wordIsCopy = fault
-		tr := open(t, 2, 2)
+		trustUnconfirmedPeers = fault
+		tr := newFleet(t, 2, 2)
 		s := &backend{Record: Record{ID: "b", Service: "s", Addr: "10.0.0.1:80"}}
-		tr.beat(s, 0)
+		tr.heartbeat(s, 0)
 		late := s.Record
-		late.Phase, late.Drained, late.Seq, late.Keeper, late.Missed = Draining, true, s.Seq+1, None, None
-		tr.registries[0].Greet(1) // the link to its new life is up, the datagrams of the former one lies unread
-		sent := tr.held(0)
-		tr.registries[0].Heard(1, Message{Nr: 7, Words: []Record{late}})
+		late.Phase, late.Drained, late.Seq, late.Keeper, late.Missed = Draining, true, s.Seq+1, NoSlot, NoSlot
+		tr.registries[0].SyncPeer(1) // the link to its new life is up, the datagrams of the former one lies unread
+		sent := tr.takeMessages(0)
+		tr.registries[0].Receive(1, Message{Nr: 7, Words: []Record{late}})
 		s.Phase, s.Seq = Draining, s.Seq+1
-		ticket := tr.registries[0].Beat(s.Record)
-		sent = append(sent, tr.held(0)...)
+		ticket := tr.registries[0].Heartbeat(s.Record)
+		sent = append(sent, tr.takeMessages(0)...)
 		_, early := tr.acks[0][ticket]
 		must.Eq(t, fault, early)
-		tr.registries[1] = New(1, Terms{BeatInterval: beat, Enough: 2, Life: 99}, tr.now)
-		tr.registries[1].SetNodes([]Node{{Seat: 0, Firm: true, Live: true}, {Seat: 1, Firm: true, Live: true}})
+		tr.registries[1] = New(1, Config{HeartbeatInterval: heartbeatInterval, MinCopies: 2, Incarnation: 99}, tr.now)
+		tr.registries[1].SetNodes([]Node{{Slot: 0, HasDisk: true, Live: true}, {Slot: 1, HasDisk: true, Live: true}})
 		for _, m := range sent {
-			tr.registries[1].Heard(0, m)
+			tr.registries[1].Receive(0, m)
 		}
-		tr.pump()
-		must.True(t, tr.acks[0][ticket].OK)
-		must.Eq(t, Draining, tr.registries[1].all["b"].phase())
+		tr.deliverAll()
+		must.True(t, tr.acks[0][ticket].Confirmed)
+		must.Eq(t, Draining, tr.registries[1].entries["b"].phase())
 	}
 }
 
-// held gives what a node sends, and carries it nowhere.
-func (tr *fleet) held(s Slot) (sent []Message) {
+// takeMessages gives what a node sends, and carries it nowhere.
+func (tr *fleet) takeMessages(s Slot) (sent []Message) {
 	for a, ok := tr.registries[s].Next(); ok; a, ok = tr.registries[s].Next() {
 		switch a := a.(type) {
 		case Send:
--- a/internal/gateway/registry/spread.go
+++ b/internal/gateway/registry/spread.go
@@ -10,464 +10,464 @@
 type peer struct {
 	node   Node
 	lostAt time.Duration
-	nr     uint64
+	seq    uint64
 
-	order  []string // ids whose words wait to be sent
-	waits  map[string]bool
-	sendAt time.Duration // when they go
-	flight []*parcel     // sent and not confirmed
-	again  []*parcel     // to be sent once more
-	sure   bool          // has confirmed something since it was greeted: what it says is of its present life
-	behind bool          // gave no confirmation: only asked for a sign, and greeted when there is one
+	pendingIDs   []string // ids whose words wait to be sent
+	pendingSet   map[string]bool
+	sendAt       time.Duration      // when they go
+	inFlight     []*inFlightMessage // sent and not confirmed
+	retransmits  []*inFlightMessage // to be sent once more
+	confirmed    bool               // has confirmed something since it was greeted: what it says is of its present life
+	unresponsive bool               // gave no confirmation: only asked for a sign, and greeted when there is one
 
-	busy   bool // its slot is among the registry's busy ones
-	greet  bool // the next message begins to tell all there is
-	whole  bool // and it is being told all that
-	doubts []string
-	beats  []Record
-	acks   []uint64
+	active       bool // its slot is among the registry's busy ones
+	fullSyncNext bool // the next message begins to tell all there is
+	syncing      bool // and it is being told all that
+	suspicions   []string
+	heartbeats   []Record
+	acks         []uint64
 }
 
-// parcel is one message on its way, with what it said when it was first sent.
-type parcel struct {
-	nr     uint64
-	ids    []string
-	levels []level
-	doubts []string
-	greet  bool
-	at     time.Duration
-	tries  int
+// inFlightMessage is one message on its way, with what it said when it was first sent.
+type inFlightMessage struct {
+	seq        uint64
+	ids        []string
+	departures []departure
+	suspicions []string
+	fullSync   bool
+	sentAt     time.Duration
+	attempts   int
 }
 
-func (b *Registry) peer(s Slot) *peer {
+func (b *Registry) peerAt(s Slot) *peer {
 	p := b.peers[s]
 	if p == nil {
-		p = &peer{node: Node{Seat: s}, nr: uint64(b.terms.Life) << 32, waits: map[string]bool{},
+		p = &peer{node: Node{Slot: s}, seq: uint64(b.config.Incarnation) << 32, pendingSet: map[string]bool{},
 			lostAt: b.now}
 		b.peers[s] = p
-		at := sort.Search(len(b.slots), func(i int) bool { return b.slots[i] >= s })
-		b.slots = slices.Insert(b.slots, at, s)
+		at := sort.Search(len(b.peerSlots), func(i int) bool { return b.peerSlots[i] >= s })
+		b.peerSlots = slices.Insert(b.peerSlots, at, s)
 	}
 	return p
 }
 
-// wordIsCopy takes a defence out; only a test sets it.
-var wordIsCopy bool
+// trustUnconfirmedPeers takes a defence out; only a test sets it.
+var trustUnconfirmedPeers bool
 
-// drop forgets what was on its way to a node: it may come back in a new life that has heard nothing.
-func (b *Registry) drop(p *peer) {
+// resetPeer forgets what was on its way to a node: it may come back in a new life that has heard nothing.
+func (b *Registry) resetPeer(p *peer) {
 	p.lostAt = b.now
-	p.order, p.flight, p.again, p.doubts, p.beats, p.acks = nil, nil, nil, nil, nil, nil
-	p.behind, p.greet, p.whole, p.sure = false, false, false, false
-	clear(p.waits)
-	b.queued = slices.DeleteFunc(b.queued, func(t transfer) bool { return t.to == p.node.Seat })
-	for _, e := range b.list {
-		delete(e.told, p.node.Seat)
+	p.pendingIDs, p.inFlight, p.retransmits, p.suspicions, p.heartbeats, p.acks = nil, nil, nil, nil, nil, nil
+	p.unresponsive, p.fullSyncNext, p.syncing, p.confirmed = false, false, false, false
+	clear(p.pendingSet)
+	b.syncQueue = slices.DeleteFunc(b.syncQueue, func(t syncRequest) bool { return t.target == p.node.Slot })
+	for _, e := range b.sorted {
+		delete(e.notified, p.node.Slot)
 	}
 }
 
-// tells tells whether a node gets this one's words: where a node with a disk lives, such ones do, and those who follow
+// informs tells whether a node gets this one's words: where a node with a disk lives, such ones do, and those who follow
 // this node.
-func (b *Registry) tells(p *peer) bool {
-	return p.node.Live && (!b.firm || p.node.Firm || p.node.Hears)
+func (b *Registry) informs(p *peer) bool {
+	return p.node.Live && (!b.hasLiveDisk || p.node.HasDisk || p.node.Follows)
 }
 
-// Greet tells a node that is connected anew, or follows anew. One that follows gets all backends that are not gone. Nodes
+// SyncPeer tells a node that is connected anew, or follows anew. One that follows gets all backends that are not gone. Nodes
 // with a disk tell each other those kept here, those that the other should keep, those whose registrar is missing and that
 // fall to this node, and all ends: together they tell it the whole registry. A node without a disk tells the ends of
 // backends that are still there; more of what it knows follows where the other turns out not to have it.
-func (b *Registry) Greet(s Slot) {
+func (b *Registry) SyncPeer(s Slot) {
 	p := b.peers[s]
 	if p == nil {
 		return
 	}
-	b.drop(p)
-	if !b.tells(p) {
+	b.resetPeer(p)
+	if !b.informs(p) {
 		return
 	}
-	if p.node.Hears {
-		b.enqueue(p)
-		b.transfer()
+	if p.node.Follows {
+		b.enqueueSync(p)
+		b.startSyncs()
 		return
 	}
-	for _, e := range b.list {
-		k, there := e.w.Keeper, e.phase() != Gone
+	for _, e := range b.sorted {
+		k, there := e.record.Keeper, e.phase() != Gone
 		var tell bool
 		switch {
-		case b.firm && !b.self.Firm:
-			tell = there && e.level() > noEnd
+		case b.hasLiveDisk && !b.local.HasDisk:
+			tell = there && e.departure() > notDeparting
 		default:
-			tell = k == b.me || k == s || e.level() > noEnd || b.lost(k) && b.duty(e, s).Seat == b.me
+			tell = k == b.localSlot || k == s || e.departure() > notDeparting || b.unreachable(k) && b.ownerFor(e, s).Slot == b.localSlot
 		}
 		if tell {
-			b.tell(p, e.w.ID, true)
+			b.enqueueUpdate(p, e.record.ID, true)
 		}
 	}
 }
 
-// unnamed tells the node that is followed what it did not name a while after it began to tell all it has: so it learns
+// reportMissing tells the node that is followed what it did not name a while after it began to tell all it has: so it learns
 // what it should have had, or this node that it is gone.
-func (b *Registry) unnamed() {
-	if b.now < b.askAt {
+func (b *Registry) reportMissing() {
+	if b.now < b.reportMissingAt {
 		return
 	}
-	b.askAt = never
-	p := b.peers[b.feeder]
-	if p == nil || !b.tells(p) {
+	b.reportMissingAt = never
+	p := b.peers[b.syncSource]
+	if p == nil || !b.informs(p) {
 		return
 	}
-	for _, e := range b.list {
-		if e.phase() != Gone && e.named < b.fedAt {
-			b.tell(p, e.w.ID, false)
+	for _, e := range b.sorted {
+		if e.phase() != Gone && e.syncedAt < b.syncStartedAt {
+			b.enqueueUpdate(p, e.record.ID, false)
 		}
 	}
 }
 
-// spread tells all nodes that this one tells, at once or together with other small news.
-func (b *Registry) spread(e *entry, now bool) { b.pass(e, nil, now) }
+// broadcast tells all nodes that this one tells, at once or together with other small news.
+func (b *Registry) broadcast(e *entry, now bool) { b.forward(e, nil, now) }
 
-// pass tells what came from one node to the others: what a node with a disk told it has told all that have one, so it is
+// forward tells what came from one node to the others: what a node with a disk told it has told all that have one, so it is
 // for those who follow; what another told is for all.
-func (b *Registry) pass(e *entry, from *peer, now bool) {
-	for _, s := range b.slots {
-		if p := b.peers[s]; p != from && b.tells(p) && !(from != nil && from.node.Firm && p.node.Firm) {
-			b.tell(p, e.w.ID, now)
+func (b *Registry) forward(e *entry, from *peer, now bool) {
+	for _, s := range b.peerSlots {
+		if p := b.peers[s]; p != from && b.informs(p) && !(from != nil && from.node.HasDisk && p.node.HasDisk) {
+			b.enqueueUpdate(p, e.record.ID, now)
 		}
 	}
 }
 
-func (b *Registry) tell(p *peer, id string, now bool) {
+func (b *Registry) enqueueUpdate(p *peer, id string, now bool) {
 	at := b.now
 	if !now {
-		at += packFor
+		at += batchDelay
 	}
-	b.work(p)
-	if len(p.order) == 0 || at < p.sendAt {
+	b.activate(p)
+	if len(p.pendingIDs) == 0 || at < p.sendAt {
 		p.sendAt = at
 	}
-	if !p.waits[id] {
-		p.waits[id] = true
-		p.order = append(p.order, id)
+	if !p.pendingSet[id] {
+		p.pendingSet[id] = true
+		p.pendingIDs = append(p.pendingIDs, id)
 	}
 }
 
-// relay passes a beat on; the next beat makes up for a lost one.
-func (b *Registry) relay(e *entry, s Slot) {
-	if p := b.peers[s]; p != nil && p.node.Live && len(p.beats) < wordsMost {
-		b.work(p)
-		p.beats = append(p.beats, b.record(e))
+// relayHeartbeat passes a beat on; the next beat makes up for a lost one.
+func (b *Registry) relayHeartbeat(e *entry, s Slot) {
+	if p := b.peers[s]; p != nil && p.node.Live && len(p.heartbeats) < maxUpdatesPerMessage {
+		b.activate(p)
+		p.heartbeats = append(p.heartbeats, b.recordOf(e))
 	}
 }
 
-// load takes what is due for a node.
-func (b *Registry) load(p *peer) (m Message, ok bool) {
+// nextMessage takes what is due for a node.
+func (b *Registry) nextMessage(p *peer) (m Message, ok bool) {
 	m.Acks, p.acks = p.acks, nil
 	if !p.node.Live {
 		return m, len(m.Acks) > 0
 	}
-	m.Beats, p.beats = p.beats, nil
-	if len(p.again) > 0 {
-		f := p.again[0]
-		p.again = p.again[1:]
-		return b.fill(m, f), true
+	m.Beats, p.heartbeats = p.heartbeats, nil
+	if len(p.retransmits) > 0 {
+		f := p.retransmits[0]
+		p.retransmits = p.retransmits[1:]
+		return b.buildMessage(m, f), true
 	}
-	due := len(p.order) > 0 && b.now >= p.sendAt || p.greet
-	if !due && len(p.doubts) == 0 || p.behind || len(p.flight) >= flightMost {
+	due := len(p.pendingIDs) > 0 && b.now >= p.sendAt || p.fullSyncNext
+	if !due && len(p.suspicions) == 0 || p.unresponsive || len(p.inFlight) >= maxInFlight {
 		return m, len(m.Acks)+len(m.Beats) > 0
 	}
-	p.nr++
-	f := &parcel{nr: p.nr, at: b.now, doubts: p.doubts, greet: p.greet}
-	p.doubts, p.greet = nil, false
+	p.seq++
+	f := &inFlightMessage{seq: p.seq, sentAt: b.now, suspicions: p.suspicions, fullSync: p.fullSyncNext}
+	p.suspicions, p.fullSyncNext = nil, false
 	if due {
-		n := min(len(p.order), wordsMost)
-		f.ids, p.order = slices.Clone(p.order[:n]), p.order[n:]
+		n := min(len(p.pendingIDs), maxUpdatesPerMessage)
+		f.ids, p.pendingIDs = slices.Clone(p.pendingIDs[:n]), p.pendingIDs[n:]
 	}
 	for _, id := range f.ids {
-		delete(p.waits, id)
-		l := noEnd
-		if e := b.all[id]; e != nil {
-			l = e.level()
+		delete(p.pendingSet, id)
+		l := notDeparting
+		if e := b.entries[id]; e != nil {
+			l = e.departure()
 		}
-		f.levels = append(f.levels, l)
+		f.departures = append(f.departures, l)
 	}
-	p.flight = append(p.flight, f)
-	return b.fill(m, f), true
+	p.inFlight = append(p.inFlight, f)
+	return b.buildMessage(m, f), true
 }
 
-// endsOnTheirWay are the backends whose end a node has been sent, or was about to be, and has not confirmed.
-func (b *Registry) endsOnTheirWay(p *peer) (ids []string) {
+// unconfirmedDepartures are the backends whose end a node has been sent, or was about to be, and has not confirmed.
+func (b *Registry) unconfirmedDepartures(p *peer) (ids []string) {
 	ends := func(all []string) {
 		for _, id := range all {
-			if e := b.all[id]; e != nil && e.level() > e.told[p.node.Seat] {
+			if e := b.entries[id]; e != nil && e.departure() > e.notified[p.node.Slot] {
 				ids = append(ids, id)
 			}
 		}
 	}
-	ends(p.order)
-	for _, f := range p.flight {
+	ends(p.pendingIDs)
+	for _, f := range p.inFlight {
 		ends(f.ids)
 	}
 	return ids
 }
 
-// sendRound tells the other nodes with a disk once more of ends that did not reach one of them: they may reach it.
-func (b *Registry) sendRound(ids []string) {
+// rebroadcastDepartures tells the other nodes with a disk once more of ends that did not reach one of them: they may reach it.
+func (b *Registry) rebroadcastDepartures(ids []string) {
 	for _, id := range ids {
-		for _, s := range b.slots {
-			if p := b.peers[s]; p.node.Firm && b.tells(p) {
-				b.tell(p, id, true)
+		for _, s := range b.peerSlots {
+			if p := b.peers[s]; p.node.HasDisk && b.informs(p) {
+				b.enqueueUpdate(p, id, true)
 			}
 		}
 	}
 }
 
-// unreached are the nodes with a disk that this one does not reach.
-func (b *Registry) unreached() (all []Slot) {
-	for _, s := range b.slots {
-		if p := b.peers[s]; p.node.Firm && !p.node.Live {
+// unreachableDiskNodes are the nodes with a disk that this one does not reach.
+func (b *Registry) unreachableDiskNodes() (all []Slot) {
+	for _, s := range b.peerSlots {
+		if p := b.peers[s]; p.node.HasDisk && !p.node.Live {
 			all = append(all, s)
 		}
 	}
 	return all
 }
 
-// goRound tells ends to nodes with a disk that whoever told this one does not reach.
-func (b *Registry) goRound(m Message) {
-	if !b.self.Firm {
+// forwardDepartures tells ends to nodes with a disk that whoever told this one does not reach.
+func (b *Registry) forwardDepartures(m Message) {
+	if !b.local.HasDisk {
 		return
 	}
 	for _, s := range m.Unreached {
 		p := b.peers[s]
-		if p == nil || !p.node.Firm || !b.tells(p) {
+		if p == nil || !p.node.HasDisk || !b.informs(p) {
 			continue
 		}
 		for _, w := range m.Words {
-			if e := b.all[w.ID]; e != nil && e.level() > e.told[s] && !p.carries(w.ID, e.level()) {
-				b.tell(p, w.ID, true)
+			if e := b.entries[w.ID]; e != nil && e.departure() > e.notified[s] && !p.hasInFlight(w.ID, e.departure()) {
+				b.enqueueUpdate(p, w.ID, true)
 			}
 		}
 	}
 }
 
-// fill writes the words of a parcel as they are now.
-func (b *Registry) fill(m Message, f *parcel) Message {
-	m.Nr, m.All = f.nr, f.greet
+// buildMessage writes the words of a parcel as they are now.
+func (b *Registry) buildMessage(m Message, f *inFlightMessage) Message {
+	m.Nr, m.All = f.seq, f.fullSync
 	ends := false
 	for _, id := range f.ids {
-		if e := b.all[id]; e != nil {
-			m.Words = append(m.Words, b.record(e))
-			ends = ends || e.level() > noEnd
+		if e := b.entries[id]; e != nil {
+			m.Words = append(m.Words, b.recordOf(e))
+			ends = ends || e.departure() > notDeparting
 		}
 	}
 	if ends {
-		m.Unreached = b.unreached()
+		m.Unreached = b.unreachableDiskNodes()
 	}
-	for _, id := range f.doubts {
-		if e := b.all[id]; e != nil {
-			m.Doubts = append(m.Doubts, b.record(e))
+	for _, id := range f.suspicions {
+		if e := b.entries[id]; e != nil {
+			m.Doubts = append(m.Doubts, b.recordOf(e))
 		}
 	}
 	return m
 }
 
-// resend repeats what was not confirmed, and gives up on a node that confirms nothing.
-func (b *Registry) resend(p *peer) {
-	for _, f := range p.flight {
-		if b.now-f.at < p.patience(f) {
+// resendOverdue repeats what was not confirmed, and gives up on a node that confirms nothing.
+func (b *Registry) resendOverdue(p *peer) {
+	for _, f := range p.inFlight {
+		if b.now-f.sentAt < p.ackTimeout(f) {
 			continue
 		}
-		if f.tries++; f.tries > resendMost && !p.behind {
-			b.drop(p)
-			p.behind = true
-			p.nr++
-			f = &parcel{nr: p.nr, at: b.now}
-			p.flight, p.again = []*parcel{f}, []*parcel{f}
+		if f.attempts++; f.attempts > maxResends && !p.unresponsive {
+			b.resetPeer(p)
+			p.unresponsive = true
+			p.seq++
+			f = &inFlightMessage{seq: p.seq, sentAt: b.now}
+			p.inFlight, p.retransmits = []*inFlightMessage{f}, []*inFlightMessage{f}
 			return
 		}
-		f.at = b.now
-		if !slices.Contains(p.again, f) {
-			p.again = append(p.again, f)
+		f.sentAt = b.now
+		if !slices.Contains(p.retransmits, f) {
+			p.retransmits = append(p.retransmits, f)
 		}
 	}
 }
 
-// patience is how long a confirmation is waited for: twice as long after each time. Links lose nothing while they are up, so what is not
+// ackTimeout is how long a confirmation is waited for: twice as long after each time. Links lose nothing while they are up, so what is not
 // confirmed mostly waits where the node has more to do than it can, and the same again is no help to it.
-func (p *peer) patience(f *parcel) time.Duration {
-	if p.behind {
-		return askAfter
+func (p *peer) ackTimeout(f *inFlightMessage) time.Duration {
+	if p.unresponsive {
+		return probeInterval
 	}
-	return resendAfter << min(f.tries, resendDoubles)
+	return resendTimeout << min(f.attempts, maxResendDoublings)
 }
 
-// due is when the node wants to be looked at again.
-func (p *peer) due() time.Duration {
+// nextDeadline is when the node wants to be looked at again.
+func (p *peer) nextDeadline() time.Duration {
 	at := never
-	for _, f := range p.flight {
-		at = min(at, f.at+p.patience(f))
+	for _, f := range p.inFlight {
+		at = min(at, f.sentAt+p.ackTimeout(f))
 	}
-	if p.node.Live && !p.behind && len(p.order) > 0 && len(p.flight) < flightMost {
+	if p.node.Live && !p.unresponsive && len(p.pendingIDs) > 0 && len(p.inFlight) < maxInFlight {
 		at = min(at, p.sendAt)
 	}
 	return at
 }
 
-// Heard takes a message of another node.
-func (b *Registry) Heard(from Slot, m Message) {
+// Receive takes a message of another node.
+func (b *Registry) Receive(from Slot, m Message) {
 	p := b.peers[from]
 	if p == nil {
-		if from < 0 || from == b.me {
+		if from < 0 || from == b.localSlot {
 			return
 		}
-		p = b.peer(from)
+		p = b.peerAt(from)
 	}
-	if p.behind && p.node.Live {
-		b.Greet(from)
+	if p.unresponsive && p.node.Live {
+		b.SyncPeer(from)
 	}
 	if m.All {
-		b.feeder, b.fedAt, b.askAt = from, b.now, b.now+nameFor
+		b.syncSource, b.syncStartedAt, b.reportMissingAt = from, b.now, b.now+fullSyncGrace
 	}
 	for _, nr := range m.Acks {
-		b.confirmed(p, nr)
+		b.handleAck(p, nr)
 	}
-	if from == b.feeder && len(m.Words) > 0 && b.askAt != never { // it is still telling all it has
-		b.askAt = max(b.askAt, min(b.now+nameFor, b.fedAt+nameMost))
+	if from == b.syncSource && len(m.Words) > 0 && b.reportMissingAt != never { // it is still telling all it has
+		b.reportMissingAt = max(b.reportMissingAt, min(b.now+fullSyncGrace, b.syncStartedAt+fullSyncTimeout))
 	}
 	for _, w := range m.Words {
-		b.heard(p, w)
+		b.handleUpdate(p, w)
 	}
-	b.goRound(m)
+	b.forwardDepartures(m)
 	for _, w := range m.Beats {
-		if e := b.entry(w.ID); e != nil {
-			b.beat(e, w, false)
+		if e := b.entryFor(w.ID); e != nil {
+			b.handleHeartbeat(e, w, false)
 		}
 	}
 	for _, w := range m.Doubts {
-		b.doubted(p, w)
+		b.handleSuspicion(p, w)
 	}
-	if m.Nr != 0 && len(p.acks) < confirmsMost {
-		b.work(p)
+	if m.Nr != 0 && len(p.acks) < maxPendingAcks {
+		b.activate(p)
 		p.acks = append(p.acks, m.Nr)
 	}
-	b.settle()
+	b.answerDecided()
 }
 
-// heard joins a word and says otherwise where more is known here.
-func (b *Registry) heard(p *peer, w Record) {
-	e := b.entry(w.ID)
+// handleUpdate joins a word and says otherwise where more is known here.
+func (b *Registry) handleUpdate(p *peer, w Record) {
+	e := b.entryFor(w.ID)
 	if e == nil {
 		return
 	}
-	mine := e.w.Keeper == b.me && e.phase() != Gone
-	recent := b.now-e.signAt < silentBeats*b.terms.BeatInterval
-	before, was, levelBefore, cold, doubt := e.w, e.phase(), e.level(), e.cold, e.doubt
-	b.join(e, w)
-	if p.node.Seat == b.feeder {
-		e.named = b.now
+	mine := e.record.Keeper == b.localSlot && e.phase() != Gone
+	recent := b.now-e.lastHeartbeatAt < missedHeartbeats*b.config.HeartbeatInterval
+	before, was, levelBefore, cold, doubt := e.record, e.phase(), e.departure(), e.slowStartUntil, e.suspected
+	b.merge(e, w)
+	if p.node.Slot == b.syncSource {
+		e.syncedAt = b.now
 	}
 	// What this node alone held for gone, nobody was told.
-	turned := e.phase() != was || e.level() > levelBefore || doubt && w.Phase == Gone
-	news := turned || differs(before, e.w)
+	turned := e.phase() != was || e.departure() > levelBefore || doubt && w.Phase == Gone
+	news := turned || recordChanged(before, e.record)
 	switch {
-	case e.w.Keeper == b.me && (before.Keeper != b.me || news):
+	case e.record.Keeper == b.localSlot && (before.Keeper != b.localSlot || news):
 		// The registrar answers for what all know: others may have believed it, or have come up with it.
-		b.spread(e, turned)
-	case b.self.Firm && (news || e.cold != cold):
-		b.pass(e, p, turned)
+		b.broadcast(e, turned)
+	case b.local.HasDisk && (news || e.slowStartUntil != cold):
+		b.forward(e, p, turned)
 	}
-	if k := b.peers[e.w.Keeper]; b.self.Firm && before.Service == "" && e.phase() != Gone && k != nil && k != p && k.node.Live {
-		b.tell(k, e.w.ID, false) // new here, and not from its registrar: that one may have forgotten it, and watches again
+	if k := b.peers[e.record.Keeper]; b.local.HasDisk && before.Service == "" && e.phase() != Gone && k != nil && k != p && k.node.Live {
+		b.enqueueUpdate(k, e.record.ID, false) // new here, and not from its registrar: that one may have forgotten it, and watches again
 	}
-	if w.Phase == Gone && p.node.Seat == e.w.Keeper {
-		e.doubt = false
+	if w.Phase == Gone && p.node.Slot == e.record.Keeper {
+		e.suspected = false
 	}
 	// It holds the end itself, if it has said so in its present life: a late word of the former one is no copy.
-	if l := lvl(w); l > noEnd && (p.sure || wordIsCopy) {
-		b.tolds(e, p.node.Seat, l)
+	if l := departureOf(w); l > notDeparting && (p.confirmed || trustUnconfirmedPeers) {
+		b.recordNotified(e, p.node.Slot, l)
 	}
-	if w.Missed != None && w.Fence == e.w.Fence && w.Keeper == e.w.Keeper {
-		if w.Missed == b.me && mine && recent {
+	if w.Missed != NoSlot && w.Fence == e.record.Fence && w.Keeper == e.record.Keeper {
+		if w.Missed == b.localSlot && mine && recent {
 			// Somebody thinks this node missing, but the beats still come here.
-			b.claim(e, None)
-			b.spread(e, true)
+			b.takeOwnership(e, NoSlot)
+			b.broadcast(e, true)
 			return
 		}
-		if m := b.peers[w.Missed]; w.Missed != p.node.Seat && m != nil && m.node.Live {
-			b.tell(m, e.w.ID, true)
+		if m := b.peers[w.Missed]; w.Missed != p.node.Slot && m != nil && m.node.Live {
+			b.enqueueUpdate(m, e.record.ID, true)
 		}
 	}
-	is := b.record(e)
+	is := b.recordOf(e)
 	switch {
-	case w.Phase == Gone && is.Phase != Gone && (e.w.Keeper == b.me || recent):
-		b.spread(e, true) // whoever believed it must be told
-	case w.Phase != is.Phase || lvl(w) != lvl(is) ||
+	case w.Phase == Gone && is.Phase != Gone && (e.record.Keeper == b.localSlot || recent):
+		b.broadcast(e, true) // whoever believed it must be told
+	case w.Phase != is.Phase || departureOf(w) != departureOf(is) ||
 		w.Keeper != is.Keeper && (w.Fence < is.Fence || w.Fence == is.Fence && w.Keeper < is.Keeper),
-		w.Seq < is.Seq && is.Phase != Gone && p.node.Seat == is.Keeper: // its silence would be of a beat that was not the last
+		w.Seq < is.Seq && is.Phase != Gone && p.node.Slot == is.Keeper: // its silence would be of a beat that was not the last
 		if p.node.Live {
-			b.tell(p, e.w.ID, true)
+			b.enqueueUpdate(p, e.record.ID, true)
 		}
 	}
 }
 
-// doubted hears that another backend answered at the address: the next beat shows who is right.
-func (b *Registry) doubted(p *peer, w Record) {
-	e := b.entry(w.ID)
+// handleSuspicion hears that another backend answered at the address: the next beat shows who is right.
+func (b *Registry) handleSuspicion(p *peer, w Record) {
+	e := b.entryFor(w.ID)
 	if e == nil {
 		return
 	}
 	before := e.phase()
-	b.join(e, w)
+	b.merge(e, w)
 	if e.phase() != Gone {
-		b.hush(e)
+		b.expire(e)
 	}
 	if before != Gone {
-		b.spread(e, true)
+		b.broadcast(e, true)
 	} else {
-		b.tell(p, e.w.ID, true)
+		b.enqueueUpdate(p, e.record.ID, true)
 	}
 }
 
-// ask tells the registrar of a doubt.
-func (b *Registry) ask(e *entry) {
-	e.kept = b.now
-	if p := b.peers[e.w.Keeper]; p != nil && p.node.Live && !slices.Contains(p.doubts, e.w.ID) {
-		b.work(p)
-		p.doubts = append(p.doubts, e.w.ID)
+// reportSuspicion tells the registrar of a doubt.
+func (b *Registry) reportSuspicion(e *entry) {
+	e.ownerSince = b.now
+	if p := b.peers[e.record.Keeper]; p != nil && p.node.Live && !slices.Contains(p.suspicions, e.record.ID) {
+		b.activate(p)
+		p.suspicions = append(p.suspicions, e.record.ID)
 	}
 }
 
-func lvl(w Record) level {
+func departureOf(w Record) departure {
 	switch {
 	case w.Final:
-		return left
+		return departed
 	case w.Drained || w.Phase == Draining:
-		return drains
+		return draining
 	}
-	return noEnd
+	return notDeparting
 }
 
-// confirmed notes what a node has taken in.
-func (b *Registry) confirmed(p *peer, nr uint64) {
-	for i, f := range p.flight {
-		if f.nr != nr {
+// handleAck notes what a node has taken in.
+func (b *Registry) handleAck(p *peer, nr uint64) {
+	for i, f := range p.inFlight {
+		if f.seq != nr {
 			continue
 		}
 		for j, id := range f.ids {
-			if e := b.all[id]; e != nil && f.levels[j] > noEnd {
-				b.tolds(e, p.node.Seat, f.levels[j])
+			if e := b.entries[id]; e != nil && f.departures[j] > notDeparting {
+				b.recordNotified(e, p.node.Slot, f.departures[j])
 			}
 		}
-		p.sure = true
-		p.flight = slices.Delete(p.flight, i, i+1)
-		p.again = slices.DeleteFunc(p.again, func(x *parcel) bool { return x == f })
+		p.confirmed = true
+		p.inFlight = slices.Delete(p.inFlight, i, i+1)
+		p.retransmits = slices.DeleteFunc(p.retransmits, func(x *inFlightMessage) bool { return x == f })
 		return
 	}
 }
 
-// tolds notes that a node knows of an end.
-func (b *Registry) tolds(e *entry, s Slot, l level) {
-	if e.told == nil {
-		e.told = map[Slot]level{}
+// recordNotified notes that a node knows of an end.
+func (b *Registry) recordNotified(e *entry, s Slot, l departure) {
+	if e.notified == nil {
+		e.notified = map[Slot]departure{}
 	}
-	e.told[s] = max(e.told[s], l)
+	e.notified[s] = max(e.notified[s], l)
 }
--- a/internal/gateway/registry/wait.go
+++ b/internal/gateway/registry/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// wait is a call that ends a backend, held until other nodes know: this one may be killed the moment it
+// pendingCall is a call that ends a backend, held until other nodes know: this one may be killed the moment it
 // answers.
 //
 // An end is acknowledged on as many confirmed copies as may be lost and one more (Terms.Enough), at nodes with a disk, whoever
@@ -20,58 +20,58 @@
 //     follows anew.
 //
 // Whatever carries words from nodes with a disk to the others (each by itself, or by one in a zone) has to keep the last two.
-type wait struct {
-	ticket Ticket
-	e      *entry
-	asked  level
-	since  time.Duration
+type pendingCall struct {
+	ticket    Ticket
+	entry     *entry
+	requested departure
+	since     time.Duration
 }
 
-func (w wait) due(now time.Duration) time.Duration {
-	if now < w.since+waitAll {
-		return w.since + waitAll
+func (w pendingCall) deadline(now time.Duration) time.Duration {
+	if now < w.since+allCopiesTimeout {
+		return w.since + allCopiesTimeout
 	}
-	return w.since + waitEnough
+	return w.since + minCopiesTimeout
 }
 
-// ticket acknowledges at once, or when others know of the end.
-func (b *Registry) ticket(e *entry, asked level) {
-	w := wait{ticket: b.tail, e: e, asked: asked, since: b.now}
-	if asked != noEnd {
-		for _, s := range b.slots {
+// trackCall acknowledges at once, or when others know of the end.
+func (b *Registry) trackCall(e *entry, asked departure) {
+	w := pendingCall{ticket: b.lastTicket, entry: e, requested: asked, since: b.now}
+	if asked != notDeparting {
+		for _, s := range b.peerSlots {
 			p := b.peers[s]
-			if b.tells(p) && e.told[s] < asked && !p.carries(e.w.ID, asked) {
-				b.tell(p, e.w.ID, true)
+			if b.informs(p) && e.notified[s] < asked && !p.hasInFlight(e.record.ID, asked) {
+				b.enqueueUpdate(p, e.record.ID, true)
 			}
 		}
 	}
 	if ok, done := b.decide(w); done {
-		b.answer(w, ok)
+		b.answerCall(w, ok)
 		return
 	}
-	b.waits = append(b.waits, w)
+	b.pendingCalls = append(b.pendingCalls, w)
 }
 
-// carries tells whether the end is on its way already.
-func (p *peer) carries(id string, l level) bool {
-	for _, f := range p.flight {
-		if i := slices.Index(f.ids, id); i >= 0 && f.levels[i] >= l {
+// hasInFlight tells whether the end is on its way already.
+func (p *peer) hasInFlight(id string, l departure) bool {
+	for _, f := range p.inFlight {
+		if i := slices.Index(f.ids, id); i >= 0 && f.departures[i] >= l {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *Registry) answer(w wait, ok bool) {
-	b.out = append(b.out, Acknowledge{Ticket: w.ticket, Target: b.duty(w.e, None).Control, OK: ok})
+func (b *Registry) answerCall(w pendingCall, ok bool) {
+	b.acknowledgements = append(b.acknowledgements, Acknowledge{Ticket: w.ticket, OwnerAddr: b.ownerFor(w.entry, NoSlot).ControlAddr, Confirmed: ok})
 }
 
-// settle answers the calls that are decided.
-func (b *Registry) settle() {
-	b.waits = slices.DeleteFunc(b.waits, func(w wait) bool {
+// answerDecided answers the calls that are decided.
+func (b *Registry) answerDecided() {
+	b.pendingCalls = slices.DeleteFunc(b.pendingCalls, func(w pendingCall) bool {
 		ok, done := b.decide(w)
 		if done {
-			b.answer(w, ok)
+			b.answerCall(w, ok)
 		}
 		return done
 	})
@@ -79,56 +79,56 @@
 
 // decide tells whether a call may be answered, and how: when the nodes that this one tells have confirmed it, and enough copies lie at
 // nodes with a disk. The others have it from these a moment later. Where too few such nodes are heard another node may tell them.
-func (b *Registry) decide(w wait) (ok, done bool) {
-	if w.asked == noEnd || b.met && b.known == 0 {
+func (b *Registry) decide(w pendingCall) (ok, done bool) {
+	if w.requested == notDeparting || b.hasNodes && b.knownCount == 0 {
 		return true, true
 	}
-	c := b.copies(w)
-	if !b.met || b.live == 0 || c.inReach < c.enough {
+	c := b.countCopies(w)
+	if !b.hasNodes || b.liveCount == 0 || c.reachable < c.required {
 		return false, true
 	}
 	age := b.now - w.since
 	switch {
-	case c.held < c.enough:
-	case c.all, age >= waitAll && age < tooLate && c.others > 0:
+	case c.confirmed < c.required:
+	case c.all, age >= allCopiesTimeout && age < callTimeout && c.others > 0:
 		return true, true
 	}
-	return false, age >= waitEnough
+	return false, age >= minCopiesTimeout
 }
 
-// copies is where an end is known to be. Nodes with a disk count; where none is known at all, any node does.
-type copies struct {
-	enough  int  // it takes so many
-	inReach int  // so many are heard, this one among them
-	held    int  // so many of them have it
-	others  int  // so many other nodes have it, whether they count or not
-	all     bool // all nodes have it that this one tells
+// copyCounts is where an end is known to be. Nodes with a disk count; where none is known at all, any node does.
+type copyCounts struct {
+	required  int  // it takes so many
+	reachable int  // so many are heard, this one among them
+	confirmed int  // so many of them have it
+	others    int  // so many other nodes have it, whether they count or not
+	all       bool // all nodes have it that this one tells
 }
 
-func (b *Registry) copies(w wait) copies {
-	c := copies{enough: b.terms.Enough, all: true}
-	if !b.disks {
-		c.enough = min(c.enough, b.known+1)
+func (b *Registry) countCopies(w pendingCall) copyCounts {
+	c := copyCounts{required: b.config.MinCopies, all: true}
+	if !b.hasKnownDisk {
+		c.required = min(c.required, b.knownCount+1)
 	}
-	if !b.disks || b.self.Firm {
-		c.inReach, c.held = 1, 1
+	if !b.hasKnownDisk || b.local.HasDisk {
+		c.reachable, c.confirmed = 1, 1
 	}
-	for _, s := range b.slots {
+	for _, s := range b.peerSlots {
 		p := b.peers[s]
-		if !b.tells(p) {
+		if !b.informs(p) {
 			continue
 		}
-		counts := !b.disks || p.node.Firm
+		counts := !b.hasKnownDisk || p.node.HasDisk
 		if counts {
-			c.inReach++
+			c.reachable++
 		}
-		if w.e.told[s] < w.asked {
+		if w.entry.notified[s] < w.requested {
 			c.all = false
 			continue
 		}
 		c.others++
 		if counts {
-			c.held++
+			c.confirmed++
 		}
 	}
 	return c
--- a/internal/gateway/transport/mesh.go
+++ b/internal/gateway/transport/mesh.go
@@ -15,41 +15,41 @@
 
 // Bounds of a link.
 const (
-	dialLimit  = 600 * time.Millisecond
-	writeLimit = 2 * time.Second
-	redialIn   = 40 * time.Millisecond // doubled up to redialMost: nodes that start together are up soon
-	redialMost = 640 * time.Millisecond
-	giveWay    = 300 * time.Millisecond // a node that offers its links is left so long to dial first
-	frameMost  = 16 << 20               // bytes of one frame
+	dialTimeout      = 600 * time.Millisecond
+	writeTimeout     = 2 * time.Second
+	minRedialBackoff = 40 * time.Millisecond // doubled up to maxRedialBackoff: nodes that start together are up soon
+	maxRedialBackoff = 640 * time.Millisecond
+	offerGrace       = 300 * time.Millisecond // a node that offers its links is left so long to dial first
+	maxFrameBytes    = 16 << 20               // bytes of one frame
 )
 
 // Host is told what happens, each in a turn of its own.
 type Host[F any] interface {
-	Came(from string)        // a link of another node is up: what it sent on one before may be lost
-	Heard(from string, f *F) // from: where the sender takes frames itself
-	Up(to string)            // a link that was dialed is up; all before is lost
-	Down(to string)          // it has ended
+	PeerConnected(from string)       // a link of another node is up: what it sent on one before may be lost
+	FrameReceived(from string, f *F) // from: where the sender takes frames itself
+	LinkUp(to string)                // a link that was dialed is up; all before is lost
+	LinkDown(to string)              // it has ended
 }
 
 // Mesh are a node's links. Frames are of one type, gob-friendly.
 type Mesh[F any] struct {
-	me       string
-	host     Host[F]
-	turn     func(func())
-	ln       net.Listener
-	mu       sync.Mutex
-	links    map[string]*link[F]
-	incoming map[net.Conn]*incoming  // what frames come on
-	tail     uint64                  // place of the last of them
-	from     map[string]net.Conn     // the newest link of each node
-	lives    map[string]uint64       // and its life
-	last     map[string]stream       // and which one it is
-	nr       uint64                  // of the last stream that this node began
-	offers   map[string]*offeredLink // links of other nodes that may be written to as well
-	life     uint64
-	offer    bool
-	done     bool
-	all      sync.WaitGroup
+	addr          string
+	host          Host[F]
+	turn          func(func())
+	listener      net.Listener
+	mu            sync.Mutex
+	links         map[string]*link[F]
+	incoming      map[net.Conn]*incoming  // what frames come on
+	lastArrival   uint64                  // place of the last of them
+	inbound       map[string]net.Conn     // the newest link of each node
+	incarnations  map[string]uint64       // and its life
+	newestStreams map[string]stream       // and which one it is
+	streamSeq     uint64                  // of the last stream that this node began
+	offers        map[string]*offeredLink // links of other nodes that may be written to as well
+	incarnation   uint64
+	offersLinks   bool
+	stopped       bool
+	goroutines    sync.WaitGroup
 }
 
 // New listens at an inner address, which is this node's name among the links; life is another one at each start. turn runs
@@ -59,40 +59,40 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "transport")
 	}
-	return &Mesh[F]{me: me, host: host, turn: turn, ln: ln, links: map[string]*link[F]{}, incoming: map[net.Conn]*incoming{},
-		from: map[string]net.Conn{}, lives: map[string]uint64{}, last: map[string]stream{}, offers: map[string]*offeredLink{}, life: life}, nil
+	return &Mesh[F]{addr: me, host: host, turn: turn, listener: ln, links: map[string]*link[F]{}, incoming: map[net.Conn]*incoming{},
+		inbound: map[string]net.Conn{}, incarnations: map[string]uint64{}, newestStreams: map[string]stream{}, offers: map[string]*offeredLink{}, incarnation: life}, nil
 }
 
 // Start takes links of others.
-func (w *Mesh[F]) Start() { w.all.Go(w.accept) }
+func (w *Mesh[F]) Start() { w.goroutines.Go(w.accept) }
 
 // Addr is where frames come in.
-func (w *Mesh[F]) Addr() string { return w.ln.Addr().String() }
+func (w *Mesh[F]) Addr() string { return w.listener.Addr().String() }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (b *frameLimiter) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
 		return 0, errors.New("frame too long")
 	}
-	n, err := b.r.Read(p[:min(len(p), b.left)])
-	b.left -= n
+	n, err := b.reader.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
 	return n, err
 }
 
-// Want keeps a link to a node from now on.
-func (w *Mesh[F]) Want(to string) {
+// Connect keeps a link to a node from now on.
+func (w *Mesh[F]) Connect(to string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.links[to] != nil || to == w.me || w.done {
+	if w.links[to] != nil || to == w.addr || w.stopped {
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	l := &link[F]{to: to, queue: newQueue[F](), stop: stop}
+	l := &link[F]{target: to, queue: newQueue[F](), stop: stop}
 	w.links[to] = l
-	w.all.Go(func() { w.write(ctx, l) })
+	w.goroutines.Go(func() { w.runWriter(ctx, l) })
 }
 
-// Leave keeps it no longer.
-func (w *Mesh[F]) Leave(to string) {
+// Disconnect keeps it no longer.
+func (w *Mesh[F]) Disconnect(to string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l := w.links[to]; l != nil {
@@ -112,8 +112,8 @@
 // Stop ends all links, and returns when nothing more is told. It is not for a turn.
 func (w *Mesh[F]) Stop() {
 	w.mu.Lock()
-	w.done = true
-	w.ln.Close()
+	w.stopped = true
+	w.listener.Close()
 	for _, l := range w.links {
 		l.stop()
 	}
@@ -121,5 +121,5 @@
 		c.Close()
 	}
 	w.mu.Unlock()
-	w.all.Wait()
+	w.goroutines.Wait()
 }
--- a/internal/gateway/transport/mesh_test.go
+++ b/internal/gateway/transport/mesh_test.go
@@ -21,59 +21,59 @@
 	"clovergap/internal/proxy/invariant"
 )
 
-// patience bounds every wait of these tests; none of them depends on how long anything takes within it.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of these tests; none of them depends on how long anything takes within it.
+const testTimeout = 20 * time.Second
 
 // frame has a field that is seldom set, as those of nodes have.
 type frame struct {
-	Nr   int
-	More *string
-	Fat  []byte
+	Number  int
+	More    *string
+	Payload []byte
 }
 
-// end is one node: what it was told, in order.
-type end struct {
+// testNode is one node: what it was told, in order.
+type testNode struct {
 	*Mesh[frame]
-	t    *testing.T
-	me   string
-	turn sync.Mutex
-	told chan string
-	came map[string]int // links of others, as told
+	t           *testing.T
+	addr        string
+	turn        sync.Mutex
+	events      chan string
+	connections map[string]int // links of others, as told
 }
 
-func (e *end) Came(from string) { e.came[from]++ }
-func (e *end) Heard(from string, f *frame) {
+func (e *testNode) PeerConnected(from string) { e.connections[from]++ }
+func (e *testNode) FrameReceived(from string, f *frame) {
 	more := ""
 	if f.More != nil {
 		more = *f.More
 	}
-	e.told <- fmt.Sprintf("%s: %d%s", from, f.Nr, more)
+	e.events <- fmt.Sprintf("%s: %d%s", from, f.Number, more)
 }
-func (e *end) Up(to string)   { e.told <- "up " + to }
-func (e *end) Down(to string) { e.told <- "down " + to }
+func (e *testNode) LinkUp(to string)   { e.events <- "up " + to }
+func (e *testNode) LinkDown(to string) { e.events <- "down " + to }
 
-// lives numbers the starts.
-var lives atomic.Uint64
+// lastIncarnation numbers the starts.
+var lastIncarnation atomic.Uint64
 
-// hears waits for the next word.
-func (e *end) hears(want string) {
+// expect waits for the next word.
+func (e *testNode) expect(want string) {
 	e.t.Helper()
 	select {
-	case got := <-e.told:
+	case got := <-e.events:
 		must.Eq(e.t, want, got)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		e.t.Fatalf("never told: %s", want)
 	}
 }
 
-// addr is an address of this process's own on the loopback: its port is free for whoever comes again.
-func addr(nr int) string {
+// testAddr is an address of this process's own on the loopback: its port is free for whoever comes again.
+func testAddr(nr int) string {
 	return fmt.Sprintf("127.%d.%d.%d:17560", 2+os.Getpid()>>8&127, os.Getpid()&255, nr)
 }
 
-func begin(t *testing.T, me string) *end {
-	e := &end{t: t, me: me, told: make(chan string, 1<<14), came: map[string]int{}}
-	w, err := New[frame](me, lives.Add(1), e, func(f func()) {
+func startNode(t *testing.T, me string) *testNode {
+	e := &testNode{t: t, addr: me, events: make(chan string, 1<<14), connections: map[string]int{}}
+	w, err := New[frame](me, lastIncarnation.Add(1), e, func(f func()) {
 		e.turn.Lock()
 		defer e.turn.Unlock()
 		f()
@@ -84,9 +84,9 @@
 	return e
 }
 
-func (e *end) say(to *end, from, upto int) {
+func (e *testNode) sendFrames(to *testNode, from, upto int) {
 	for nr := from; nr < upto; nr++ {
-		must.True(e.t, e.Send(to.me, &frame{Nr: nr}))
+		must.True(e.t, e.Send(to.addr, &frame{Number: nr}))
 	}
 }
 
@@ -94,70 +94,70 @@
 // again, and hears nothing of before; nobody is told anything once it has stopped.
 func TestLinks(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, b, c := begin(t, addr(1)), begin(t, addr(2)), begin(t, addr(3))
-	must.Eq(t, a.me, a.Addr())
-	must.False(t, a.Send(b.me, &frame{})) // nobody wants that link
-	for _, to := range []*end{a, b, c} {
-		a.Want(to.me) // its own is passed over
-		a.Want(to.me)
+	a, b, c := startNode(t, testAddr(1)), startNode(t, testAddr(2)), startNode(t, testAddr(3))
+	must.Eq(t, a.addr, a.Addr())
+	must.False(t, a.Send(b.addr, &frame{})) // nobody wants that link
+	for _, to := range []*testNode{a, b, c} {
+		a.Connect(to.addr) // its own is passed over
+		a.Connect(to.addr)
 	}
-	first, second := <-a.told, <-a.told
-	must.SliceContainsAll(t, []string{"up " + b.me, "up " + c.me}, []string{first, second})
-	c.Want(b.me)
-	c.hears("up " + b.me)
+	first, second := <-a.events, <-a.events
+	must.SliceContainsAll(t, []string{"up " + b.addr, "up " + c.addr}, []string{first, second})
+	c.Connect(b.addr)
+	c.expect("up " + b.addr)
 	more := " and more"
-	must.True(t, c.Send(b.me, &frame{Nr: 7, More: &more}))
-	b.hears(c.me + ": 7 and more")
-	a.say(b, 0, 3000)
-	a.say(c, 0, 10)
+	must.True(t, c.Send(b.addr, &frame{Number: 7, More: &more}))
+	b.expect(c.addr + ": 7 and more")
+	a.sendFrames(b, 0, 3000)
+	a.sendFrames(c, 0, 10)
 	for nr := range 3000 {
-		b.hears(fmt.Sprintf("%s: %d", a.me, nr))
+		b.expect(fmt.Sprintf("%s: %d", a.addr, nr))
 	}
 	for nr := range 10 {
-		c.hears(fmt.Sprintf("%s: %d", a.me, nr))
+		c.expect(fmt.Sprintf("%s: %d", a.addr, nr))
 	}
-	_, err := New[frame](b.me, 1, b, nil)
+	_, err := New[frame](b.addr, 1, b, nil)
 	must.Error(t, err) // taken
 
 	b.Stop()
-	a.hears("down " + b.me)
-	a.Send(b.me, &frame{Nr: -1}) // waits for a link that is no more
-	again := begin(t, b.me)
-	a.hears("up " + b.me)
-	a.say(b, 5, 6)
-	again.hears(a.me + ": 5")
-	c.hears("down " + b.me)
-	c.hears("up " + b.me)
-	c.Leave(b.me)
-	c.hears("down " + b.me)
-	must.False(t, c.Send(b.me, &frame{}))
-	c.Want(b.me)
-	c.hears("up " + b.me)
-	c.say(b, 8, 9)
-	again.hears(c.me + ": 8")
+	a.expect("down " + b.addr)
+	a.Send(b.addr, &frame{Number: -1}) // waits for a link that is no more
+	again := startNode(t, b.addr)
+	a.expect("up " + b.addr)
+	a.sendFrames(b, 5, 6)
+	again.expect(a.addr + ": 5")
+	c.expect("down " + b.addr)
+	c.expect("up " + b.addr)
+	c.Disconnect(b.addr)
+	c.expect("down " + b.addr)
+	must.False(t, c.Send(b.addr, &frame{}))
+	c.Connect(b.addr)
+	c.expect("up " + b.addr)
+	c.sendFrames(b, 8, 9)
+	again.expect(c.addr + ": 8")
 	again.turn.Lock()
-	must.Positive(t, again.came[a.me]) // each link that lasts, before what comes on it
-	must.Positive(t, again.came[c.me])
+	must.Positive(t, again.connections[a.addr]) // each link that lasts, before what comes on it
+	must.Positive(t, again.connections[c.addr])
 	again.turn.Unlock()
-	for _, e := range []*end{a, again, c} {
+	for _, e := range []*testNode{a, again, c} {
 		e.Stop()
-		e.Want(addr(4)) // too late
+		e.Connect(testAddr(4)) // too late
 	}
-	must.False(t, a.Send(addr(4), &frame{}))
+	must.False(t, a.Send(testAddr(4), &frame{}))
 }
 
 // A link whose frames are longer than any may be, or are none, ends; others do not.
 func TestFrameBound(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, b := begin(t, addr(1)), begin(t, addr(2))
+	a, b := startNode(t, testAddr(1)), startNode(t, testAddr(2))
 	defer a.Stop()
 	defer b.Stop()
-	b.Want(a.me)
-	b.hears("up " + a.me)
+	b.Connect(a.addr)
+	b.expect("up " + a.addr)
 	dial := func() (net.Conn, *gob.Encoder) {
-		c, err := net.Dial("tcp", a.me)
+		c, err := net.Dial("tcp", a.addr)
 		must.NoError(t, err)
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		enc := gob.NewEncoder(c)
 		must.NoError(t, enc.Encode(opening{From: "x"}))
 		return c, enc
@@ -171,96 +171,96 @@
 	}
 	c, enc := dial()
 	for nr := range 3 { // each has the bound for itself
-		must.NoError(t, enc.Encode(frame{Nr: nr, Fat: make([]byte, frameMost*3/4)}))
-		a.hears(fmt.Sprintf("x: %d", nr))
+		must.NoError(t, enc.Encode(frame{Number: nr, Payload: make([]byte, maxFrameBytes*3/4)}))
+		a.expect(fmt.Sprintf("x: %d", nr))
 	}
-	enc.Encode(frame{Nr: 3, Fat: make([]byte, frameMost+1<<16)})
+	enc.Encode(frame{Number: 3, Payload: make([]byte, maxFrameBytes+1<<16)})
 	ended(c)
 	c, _ = dial()
 	c.Write([]byte{0xfc, 0x3f, 0xff, 0xff, 0xff}) // a gigabyte is said to come
-	io.CopyN(c, bytes.NewReader(make([]byte, 2*frameMost)), 2*frameMost)
+	io.CopyN(c, bytes.NewReader(make([]byte, 2*maxFrameBytes)), 2*maxFrameBytes)
 	ended(c)
 	c, _ = dial()
 	io.WriteString(c, strings.Repeat("GET / HTTP/1.1\r\n\r\n", 10))
 	ended(c)
 	c, enc = dial()
-	must.NoError(t, enc.Encode(frame{Nr: 5}))
-	a.hears("x: 5")
+	must.NoError(t, enc.Encode(frame{Number: 5}))
+	a.expect("x: 5")
 	other, enc := dial() // another life of x: what the one before had to say is over
-	must.NoError(t, enc.Encode(frame{Nr: 6}))
-	a.hears("x: 6")
+	must.NoError(t, enc.Encode(frame{Number: 6}))
+	a.expect("x: 6")
 	ended(c)
 	other.Close()
-	b.say(a, 4, 5)
-	a.hears(b.me + ": 4") // and nothing of the others before it
+	b.sendFrames(a, 4, 5)
+	a.expect(b.addr + ": 4") // and nothing of the others before it
 }
 
 // A peer that does not read holds up neither who sends nor links to others: what it does not take is dropped, and its
 // link ends.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, b := begin(t, addr(1)), begin(t, addr(2))
+	a, b := startNode(t, testAddr(1)), startNode(t, testAddr(2))
 	defer a.Stop()
 	defer b.Stop()
-	ln, err := net.Listen("tcp", addr(3))
+	ln, err := net.Listen("tcp", testAddr(3))
 	must.NoError(t, err)
 	defer ln.Close()
-	deaf := &end{me: addr(3)}
-	a.Want(deaf.me)
-	a.hears("up " + deaf.me)
-	a.Want(b.me)
-	a.hears("up " + b.me)
-	fat := &frame{Fat: make([]byte, 64<<10)}
+	deaf := &testNode{addr: testAddr(3)}
+	a.Connect(deaf.addr)
+	a.expect("up " + deaf.addr)
+	a.Connect(b.addr)
+	a.expect("up " + b.addr)
+	fat := &frame{Payload: make([]byte, 64<<10)}
 	sent := 0
-	for a.Send(deaf.me, fat) {
+	for a.Send(deaf.addr, fat) {
 		sent++
 	}
-	must.Between(t, queueMost, sent, 4*queueMost)
-	a.say(b, 0, 100)
+	must.Between(t, maxQueuedFrames, sent, 4*maxQueuedFrames)
+	a.sendFrames(b, 0, 100)
 	for nr := range 100 {
-		b.hears(fmt.Sprintf("%s: %d", a.me, nr))
+		b.expect(fmt.Sprintf("%s: %d", a.addr, nr))
 	}
-	a.hears("down " + deaf.me)
+	a.expect("down " + deaf.addr)
 }
 
 // A link may look well though its node has started anew: where a machine lost power nothing ends it while nothing is sent.
 // The node's own word that it lives again, by a link with another life, ends it and has it dialed again at once.
 func TestAnotherLifeIsDialedAgain(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, b := begin(t, addr(1)), begin(t, addr(2))
-	a.Want(b.me)
-	a.hears("up " + b.me)
+	a, b := startNode(t, testAddr(1)), startNode(t, testAddr(2))
+	a.Connect(b.addr)
+	a.expect("up " + b.addr)
 	said := func(life uint64) net.Conn {
-		c, err := net.Dial("tcp", a.me)
+		c, err := net.Dial("tcp", a.addr)
 		must.NoError(t, err)
-		must.NoError(t, gob.NewEncoder(c).Encode(opening{From: b.me, Life: life}))
+		must.NoError(t, gob.NewEncoder(c).Encode(opening{From: b.addr, Life: life}))
 		return c
 	}
 	first := said(11)
 	defer first.Close()
-	for !a.knows(b.me, 11) { // the same life says nothing of the link
+	for !a.knowsIncarnation(b.addr, 11) { // the same life says nothing of the link
 		runtime.Gosched()
 	}
 	second := said(12)
 	defer second.Close()
-	a.hears("down " + b.me)
-	a.hears("up " + b.me)
+	a.expect("down " + b.addr)
+	a.expect("up " + b.addr)
 	a.Stop()
 	b.Stop()
 }
 
-func (e *end) knows(from string, life uint64) bool {
+func (e *testNode) knowsIncarnation(from string, life uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.lives[from] == life
+	return e.incarnations[from] == life
 }
 
 // A node that was killed and came back: the link of its former life is read last, as where the reader has no processor. It
 // neither takes the place of the new one nor is any frame of it taken.
 func TestFormerLifeReadLast(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a := begin(t, addr(41))
-	from := addr(42)
+	a := startNode(t, testAddr(41))
+	from := testAddr(42)
 	dial := func() (net.Conn, *gob.Encoder) {
 		c, err := net.Dial("tcp", a.Addr())
 		must.NoError(t, err)
@@ -269,18 +269,18 @@
 	old, oldSays := dial()
 	now, says := dial()
 	must.NoError(t, says.Encode(opening{From: from, Life: 2}))
-	must.NoError(t, says.Encode(&frame{Nr: 1}))
-	a.hears(from + ": 1")
+	must.NoError(t, says.Encode(&frame{Number: 1}))
+	a.expect(from + ": 1")
 	oldSays.Encode(opening{From: from, Life: 1})
-	oldSays.Encode(&frame{Nr: 9})
-	must.NoError(t, old.SetReadDeadline(time.Now().Add(patience)))
+	oldSays.Encode(&frame{Number: 9})
+	must.NoError(t, old.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err := old.Read(make([]byte, 1)) // it is ended
 	must.Error(t, err)
 	must.False(t, errors.Is(err, os.ErrDeadlineExceeded))
-	must.NoError(t, says.Encode(&frame{Nr: 2}))
-	a.hears(from + ": 2")
+	must.NoError(t, says.Encode(&frame{Number: 2}))
+	a.expect(from + ": 2")
 	a.mu.Lock()
-	must.Eq(t, 2, a.lives[from])
+	must.Eq(t, 2, a.incarnations[from])
 	a.mu.Unlock()
 	old.Close()
 	now.Close()
@@ -291,22 +291,22 @@
 // whose writer is on its way to say so, is none.
 func TestCheckFindsLinkWithoutConnection(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, b := offeredPair(t, 51)
+	a, b := startOfferedPair(t, 51)
 	check := func() (broken bool) {
 		defer func() { broken = recover() != nil || broken }()
 		before := invariant.Broken()
 		b.Check()
 		return invariant.Broken() > before
 	}
-	for range 3 * overMost {
+	for range 3 * maxEndedChecks {
 		must.False(t, check())
 	}
 	b.mu.Lock()
-	conn := b.links[a.me].conn
+	conn := b.links[a.addr].conn
 	in := b.incoming[conn]
 	delete(b.incoming, conn) // as if its reading had ended, and nobody had been told
 	b.mu.Unlock()
-	for range overMost - 1 {
+	for range maxEndedChecks - 1 {
 		must.False(t, check())
 	}
 	must.True(t, check())
@@ -315,6 +315,6 @@
 	b.mu.Unlock()
 	must.False(t, check())
 	a.Stop()
-	b.hears("down " + a.me)
+	b.expect("down " + a.addr)
 	b.Stop()
 }
--- a/internal/gateway/transport/offer.go
+++ b/internal/gateway/transport/offer.go
@@ -18,12 +18,12 @@
 	ended <-chan struct{} // closed when nothing more comes on it
 }
 
-// Offer has others answer on the links that this node dials; it comes before the first Want.
-func (w *Mesh[F]) Offer() { w.offer = true }
+// OfferLinks has others answer on the links that this node dials; it comes before the first Want.
+func (w *Mesh[F]) OfferLinks() { w.offersLinks = true }
 
-// noteOffer notes that a node takes frames on a link that it dialed; the mesh is locked.
-func (w *Mesh[F]) noteOffer(o opening, c net.Conn) bool {
-	if !o.Both || w.offer {
+// recordOffer notes that a node takes frames on a link that it dialed; the mesh is locked.
+func (w *Mesh[F]) recordOffer(o opening, c net.Conn) bool {
+	if !o.Both || w.offersLinks {
 		delete(w.offers, o.From)
 		return false
 	}
@@ -36,9 +36,9 @@
 	return true
 }
 
-// endIncoming notes that nothing more comes on a connection, and tells whoever writes to it; the mesh is locked. That its node offers
+// untrackIncoming notes that nothing more comes on a connection, and tells whoever writes to it; the mesh is locked. That its node offers
 // links stays known.
-func (w *Mesh[F]) endIncoming(from string, c net.Conn) {
+func (w *Mesh[F]) untrackIncoming(from string, c net.Conn) {
 	close(w.incoming[c].ended)
 	delete(w.incoming, c)
 	if b := w.offers[from]; b != nil && b.conn == c {
@@ -56,49 +56,49 @@
 	return offeredLink{}, false
 }
 
-// reach gives a connection to a node, and what tells of its end: the one that it offers, else one that is dialed. A node that has offered
+// connect gives a connection to a node, and what tells of its end: the one that it offers, else one that is dialed. A node that has offered
 // links dials this one itself as soon as it can; abort ends the wait for that.
-func (w *Mesh[F]) reach(now context.Context, l *link[F], abort func()) (net.Conn, <-chan struct{}, error) {
+func (w *Mesh[F]) connect(now context.Context, l *link[F], abort func()) (net.Conn, <-chan struct{}, error) {
 	w.setConnection(l, nil, abort)
-	b, known := w.offerOf(l.to)
+	b, known := w.offerOf(l.target)
 	if known && b.conn == nil {
 		select {
 		case <-now.Done():
-		case <-time.After(giveWay):
+		case <-time.After(offerGrace):
 		}
-		b, _ = w.offerOf(l.to)
+		b, _ = w.offerOf(l.target)
 	}
 	if b.conn != nil {
 		return b.conn, b.ended, nil
 	}
-	d := net.Dialer{Timeout: dialLimit, KeepAlive: -1, Control: setUserTimeout}
-	c, err := dial(now, &d, l.to)
+	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
+	c, err := dial(now, &d, l.target)
 	if err != nil {
 		return nil, nil, err
 	}
-	return c, w.watch(c, l.to), nil
+	return c, w.watchEnd(c, l.target), nil
 }
 
-// watch reads what comes back on a connection that this node dialed: frames where it offers its links, else nothing but the end.
-func (w *Mesh[F]) watch(c net.Conn, to string) <-chan struct{} {
+// watchEnd reads what comes back on a connection that this node dialed: frames where it offers its links, else nothing but the end.
+func (w *Mesh[F]) watchEnd(c net.Conn, to string) <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.offer {
+	if !w.offersLinks {
 		ended := make(chan struct{})
 		go func() {
 			var b [1]byte
 			c.Read(b[:])
-			hideEnd(c, to)
+			hidePowerLoss(c, to)
 			close(ended)
 		}()
 		return ended
 	}
-	in := w.noteIncoming(c)
-	if w.done {
+	in := w.trackIncoming(c)
+	if w.stopped {
 		c.Close()
-		w.endIncoming("", c)
+		w.untrackIncoming("", c)
 	} else {
-		w.all.Go(func() { w.read(c, to) })
+		w.goroutines.Go(func() { w.readFrames(c, to) })
 	}
 	return in.ended
 }
--- a/internal/gateway/transport/offer_test.go
+++ b/internal/gateway/transport/offer_test.go
@@ -12,40 +12,40 @@
 	"go.uber.org/goleak"
 )
 
-// conns counts the connections that frames may come on.
-func (e *end) conns() int {
+// incomingCount counts the connections that frames may come on.
+func (e *testNode) incomingCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.incoming)
 }
 
-// isOffered waits until a node's offer is known here.
-func (e *end) isOffered(from string) {
+// awaitOffer waits until a node's offer is known here.
+func (e *testNode) awaitOffer(from string) {
 	e.t.Helper()
 	for o, _ := e.offerOf(from); o.conn == nil; o, _ = e.offerOf(from) {
 		runtime.Gosched()
 	}
 }
 
-// offeredPair is two nodes of which a offers the link that b answers on, up both ways.
-func offeredPair(t *testing.T, nr int) (a, b *end) {
-	a, b = begin(t, addr(nr)), begin(t, addr(nr+1))
-	a.Offer()
-	a.Want(b.me)
-	a.hears("up " + b.me)
-	b.isOffered(a.me)
-	b.Want(a.me)
-	b.hears("up " + a.me)
+// startOfferedPair is two nodes of which a offers the link that b answers on, up both ways.
+func startOfferedPair(t *testing.T, nr int) (a, b *testNode) {
+	a, b = startNode(t, testAddr(nr)), startNode(t, testAddr(nr+1))
+	a.OfferLinks()
+	a.Connect(b.addr)
+	a.expect("up " + b.addr)
+	b.awaitOffer(a.addr)
+	b.Connect(a.addr)
+	b.expect("up " + a.addr)
 	return a, b
 }
 
 // exchange has two nodes say so many frames to each other, which both hear in order.
-func exchange(a, b *end, frames int) {
-	a.say(b, 0, frames)
-	b.say(a, frames, 2*frames)
+func exchange(a, b *testNode, frames int) {
+	a.sendFrames(b, 0, frames)
+	b.sendFrames(a, frames, 2*frames)
 	for nr := range frames {
-		b.hears(fmt.Sprintf("%s: %d", a.me, nr))
-		a.hears(fmt.Sprintf("%s: %d", b.me, frames+nr))
+		b.expect(fmt.Sprintf("%s: %d", a.addr, nr))
+		a.expect(fmt.Sprintf("%s: %d", b.addr, frames+nr))
 	}
 }
 
@@ -55,29 +55,29 @@
 func TestOfferedLinkServesBothWays(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	for _, first := range []string{"the one that offers", "the other"} {
-		a, b := begin(t, addr(21)), begin(t, addr(22))
-		a.Offer()
+		a, b := startNode(t, testAddr(21)), startNode(t, testAddr(22))
+		a.OfferLinks()
 		if first == "the other" {
-			b.Want(a.me)
-			b.hears("up " + a.me)
+			b.Connect(a.addr)
+			b.expect("up " + a.addr)
 		}
-		a.Want(b.me)
-		a.hears("up " + b.me)
+		a.Connect(b.addr)
+		a.expect("up " + b.addr)
 		if first == "the other" { // it gives up its own link
-			b.hears("down " + a.me)
+			b.expect("down " + a.addr)
 		} else {
-			b.isOffered(a.me)
-			b.Want(a.me)
+			b.awaitOffer(a.addr)
+			b.Connect(a.addr)
 		}
-		b.hears("up " + a.me)
+		b.expect("up " + a.addr)
 		exchange(a, b, 100)
-		must.Eq(t, 1, a.conns()) // the one that it dialed itself
-		must.Eq(t, 1, b.conns())
+		must.Eq(t, 1, a.incomingCount()) // the one that it dialed itself
+		must.Eq(t, 1, b.incomingCount())
 		a.turn.Lock()
-		must.Positive(t, a.came[b.me])
+		must.Positive(t, a.connections[b.addr])
 		a.turn.Unlock()
 		b.Stop()
-		a.hears("down " + b.me)
+		a.expect("down " + b.addr)
 		a.Stop()
 	}
 }
@@ -85,43 +85,43 @@
 // The end of an offered link is told at both ends, and the next one serves both ways as well.
 func TestOfferedLinkEnds(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, b := offeredPair(t, 23)
+	a, b := startOfferedPair(t, 23)
 	b.mu.Lock()
-	b.offers[a.me].conn.Close()
+	b.offers[a.addr].conn.Close()
 	b.mu.Unlock()
-	a.hears("down " + b.me)
-	a.hears("up " + b.me)
-	b.hears("down " + a.me)
-	b.hears("up " + a.me)
-	b.say(a, 1, 2)
-	a.hears(b.me + ": 1")
-	a.say(b, 2, 3)
-	b.hears(a.me + ": 2")
-	must.Eq(t, 1, a.conns())
+	a.expect("down " + b.addr)
+	a.expect("up " + b.addr)
+	b.expect("down " + a.addr)
+	b.expect("up " + a.addr)
+	b.sendFrames(a, 1, 2)
+	a.expect(b.addr + ": 1")
+	a.sendFrames(b, 2, 3)
+	b.expect(a.addr + ": 2")
+	must.Eq(t, 1, a.incomingCount())
 	a.Stop() // and one that is gone is dialed as any other
-	b.hears("down " + a.me)
-	again := begin(t, a.me)
-	b.hears("up " + a.me)
-	b.say(again, 3, 4)
-	again.hears(b.me + ": 3")
+	b.expect("down " + a.addr)
+	again := startNode(t, a.addr)
+	b.expect("up " + a.addr)
+	b.sendFrames(again, 3, 4)
+	again.expect(b.addr + ": 3")
 	again.Stop()
 	b.Stop()
 }
 
 // Two nodes that both offer keep a link each: if either gave way to the other they would end each other's for ever.
-func TestTwoThatOffer(t *testing.T) {
+func TestBothOfferLinks(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, b := begin(t, addr(25)), begin(t, addr(26))
-	a.Offer()
-	b.Offer()
-	a.Want(b.me)
-	a.hears("up " + b.me)
-	b.Want(a.me)
-	b.hears("up " + a.me)
+	a, b := startNode(t, testAddr(25)), startNode(t, testAddr(26))
+	a.OfferLinks()
+	b.OfferLinks()
+	a.Connect(b.addr)
+	a.expect("up " + b.addr)
+	b.Connect(a.addr)
+	b.expect("up " + a.addr)
 	exchange(a, b, 50)
-	must.Eq(t, 2, a.conns())
+	must.Eq(t, 2, a.incomingCount())
 	a.Stop()
-	b.hears("down " + a.me)
+	b.expect("down " + a.addr)
 	b.Stop()
 }
 
@@ -152,10 +152,10 @@
 		take(min(put-took, round%5+1))
 	}
 	must.LessEq(t, 2*(put-took)+2, cap(q.frames)-1<<8) // free places are used again before new ones are made
-	add(2 * queueMost)
-	must.Eq(t, queueMost, put-took)
+	add(2 * maxQueuedFrames)
+	must.Eq(t, maxQueuedFrames, put-took)
 	must.Eq(t, 1, len(q.ready))
-	take(queueMost)
+	take(maxQueuedFrames)
 	must.True(t, q.empty())
 	must.Eq(t, 0, cap(q.frames))
 	add(1)
@@ -170,34 +170,34 @@
 	defer goleak.VerifyNone(t)
 	for _, later := range []opening{{Life: 11, Nr: 2}, {Life: 12, Nr: 1}} {
 		for _, spoken := range []bool{false, true} {
-			b, from := begin(t, addr(27)), addr(28)
+			b, from := startNode(t, testAddr(27)), testAddr(28)
 			offer := func(life, nr uint64) (net.Conn, *gob.Decoder) {
-				c, err := net.Dial("tcp", b.me)
+				c, err := net.Dial("tcp", b.addr)
 				must.NoError(t, err)
-				must.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+				must.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 				must.NoError(t, gob.NewEncoder(c).Encode(opening{From: from, Life: life, Nr: nr, Both: true}))
 				return c, gob.NewDecoder(c)
 			}
 			reads := func(dec *gob.Decoder, nr int) {
 				var o opening
 				must.NoError(t, dec.Decode(&o))
-				must.Eq(t, b.me, o.From)
+				must.Eq(t, b.addr, o.From)
 				var f frame
 				must.NoError(t, dec.Decode(&f))
-				must.Eq(t, nr, f.Nr)
+				must.Eq(t, nr, f.Number)
 			}
 			former, dec := offer(11, 1)
-			b.isOffered(from)
-			b.Want(from)
-			b.hears("up " + from)
+			b.awaitOffer(from)
+			b.Connect(from)
+			b.expect("up " + from)
 			if spoken {
-				must.True(t, b.Send(from, &frame{Nr: 1}))
+				must.True(t, b.Send(from, &frame{Number: 1}))
 				reads(dec, 1)
 			}
 			now, dec := offer(later.Life, later.Nr)
-			b.hears("down " + from)
-			b.hears("up " + from)
-			must.True(t, b.Send(from, &frame{Nr: 2}))
+			b.expect("down " + from)
+			b.expect("up " + from)
+			must.True(t, b.Send(from, &frame{Number: 2}))
 			reads(dec, 2)
 			former.Close()
 			now.Close()
--- a/internal/gateway/transport/queue.go
+++ b/internal/gateway/transport/queue.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// queueMost is how many frames may wait for one link; more are dropped.
-const queueMost = 4096
+// maxQueuedFrames is how many frames may wait for one link; more are dropped.
+const maxQueuedFrames = 4096
 
-// keptPlaces is how many places an empty queue keeps: the memory of a burst is given back.
-const keptPlaces = 64
+// keptCapacity is how many places an empty queue keeps: the memory of a burst is given back.
+const keptCapacity = 64
 
 // queue holds the frames that wait for one link, in order. It grows with its use: a node may have hundreds of links, with something
 // waiting on few of them.
@@ -23,7 +23,7 @@
 func (q *queue[F]) put(f *F) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.frames)-q.head >= queueMost {
+	if len(q.frames)-q.head >= maxQueuedFrames {
 		return false
 	}
 	if q.head > 0 && len(q.frames) == cap(q.frames) { // places that are free again before new ones
@@ -49,7 +49,7 @@
 		q.signal()
 		return f
 	}
-	if q.frames, q.head = q.frames[:0], 0; cap(q.frames) > keptPlaces {
+	if q.frames, q.head = q.frames[:0], 0; cap(q.frames) > keptCapacity {
 		q.frames = nil
 	}
 	return f
--- a/internal/gateway/transport/read.go
+++ b/internal/gateway/transport/read.go
@@ -17,8 +17,8 @@
 
 // incoming is a connection that frames come on.
 type incoming struct {
-	place uint64        // among all of them, by their beginning
-	ended chan struct{} // closed when nothing more comes on it
+	arrival uint64        // among all of them, by their beginning
+	ended   chan struct{} // closed when nothing more comes on it
 }
 
 // opening is the first value on a link. Life differs between two starts of a node.
@@ -31,18 +31,18 @@
 
 // stream tells which of a node's streams is the newer one: within a life by what the node says, else by the order in which their
 // connections came.
-type stream struct{ life, nr, place uint64 }
+type stream struct{ incarnation, seq, arrival uint64 }
 
 func (s stream) before(o stream) bool {
-	if s.life == o.life && s.nr > 0 && o.nr > 0 {
-		return s.nr < o.nr
+	if s.incarnation == o.incarnation && s.seq > 0 && o.seq > 0 {
+		return s.seq < o.seq
 	}
-	return s.place < o.place
+	return s.arrival < o.arrival
 }
 
 func (w *Mesh[F]) accept() {
 	for {
-		c, err := w.ln.Accept()
+		c, err := w.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
@@ -51,44 +51,44 @@
 			continue
 		}
 		w.mu.Lock()
-		if w.done {
+		if w.stopped {
 			c.Close()
 		} else {
-			w.noteIncoming(c)
-			w.all.Go(func() { w.read(c, "") })
+			w.trackIncoming(c)
+			w.goroutines.Go(func() { w.readFrames(c, "") })
 		}
 		w.mu.Unlock()
 	}
 }
 
-// bounded ends a stream whose frame is longer than any may be.
-type bounded struct {
-	r    io.Reader
-	left int
+// frameLimiter ends a stream whose frame is longer than any may be.
+type frameLimiter struct {
+	reader    io.Reader
+	remaining int
 }
 
-// noteIncoming gives a connection that frames may come on its place; the mesh is locked.
-func (w *Mesh[F]) noteIncoming(c net.Conn) *incoming {
-	w.tail++
-	in := &incoming{place: w.tail, ended: make(chan struct{})}
+// trackIncoming gives a connection that frames may come on its place; the mesh is locked.
+func (w *Mesh[F]) trackIncoming(c net.Conn) *incoming {
+	w.lastArrival++
+	in := &incoming{arrival: w.lastArrival, ended: make(chan struct{})}
 	w.incoming[c] = in
 	return in
 }
 
-// read takes what comes on a connection until it ends. One that this node dialed bears the name of whom it leads to.
-func (w *Mesh[F]) read(c net.Conn, dialed string) {
+// readFrames takes what comes on a connection until it ends. One that this node dialed bears the name of whom it leads to.
+func (w *Mesh[F]) readFrames(c net.Conn, dialed string) {
 	var o opening
 	defer func() {
-		hideEnd(c, cmp.Or(o.From, dialed))
+		hidePowerLoss(c, cmp.Or(o.From, dialed))
 		c.Close()
 		w.mu.Lock()
-		w.endIncoming(o.From, c)
-		if w.from[o.From] == c {
-			delete(w.from, o.From)
+		w.untrackIncoming(o.From, c)
+		if w.inbound[o.From] == c {
+			delete(w.inbound, o.From)
 		}
 		w.mu.Unlock()
 	}()
-	b := &bounded{r: c, left: frameMost}
+	b := &frameLimiter{reader: c, remaining: maxFrameBytes}
 	dec := gob.NewDecoder(bufio.NewReaderSize(b, 2<<10))
 	if dec.Decode(&o) != nil || dialed != "" && o.From != dialed {
 		return
@@ -97,70 +97,70 @@
 	// lost power, nothing else ever ends it. Which is the earlier one is told by the order in which they came: which is read
 	// first is chance.
 	w.mu.Lock()
-	this := stream{o.Life, o.Nr, w.incoming[c].place}
-	if this.before(w.last[o.From]) {
+	this := stream{o.Life, o.Nr, w.incoming[c].arrival}
+	if this.before(w.newestStreams[o.From]) {
 		w.mu.Unlock()
 		return
 	}
-	w.last[o.From] = this
-	if old := w.from[o.From]; old != nil {
+	w.newestStreams[o.From] = this
+	if old := w.inbound[o.From]; old != nil {
 		old.Close()
 	}
-	w.from[o.From] = c
+	w.inbound[o.From] = c
 	if dialed == "" {
-		w.dialedBy(o, c)
+		w.peerDialed(o, c)
 	}
 	w.mu.Unlock()
 	w.turn(func() {
-		if w.newestOf(o.From, c) {
-			w.host.Came(o.From)
+		if w.isNewestFrom(o.From, c) {
+			w.host.PeerConnected(o.From)
 		}
 	})
 	for {
 		f := new(F)
-		b.left = frameMost
+		b.remaining = maxFrameBytes
 		if dec.Decode(f) != nil {
 			return
 		}
 		w.turn(func() {
-			if w.newestOf(o.From, c) {
-				w.host.Heard(o.From, f)
+			if w.isNewestFrom(o.From, c) {
+				w.host.FrameReceived(o.From, f)
 			}
 		})
 	}
 }
 
-// dialedBy: a node has dialed us, so that it can be reached. A dial to it that hangs since its machine was dark, or a pause, ends;
+// peerDialed: a node has dialed us, so that it can be reached. A dial to it that hangs since its machine was dark, or a pause, ends;
 // and a connection to an earlier life of it, which may look well for as long as nothing is sent.
 // Where it offers the link that it dialed, what this node has to say goes there from now on.
-func (w *Mesh[F]) dialedBy(o opening, c net.Conn) {
-	anew := w.lives[o.From] != 0 && w.lives[o.From] != o.Life
-	w.lives[o.From] = o.Life
-	offered := w.noteOffer(o, c)
-	if l := w.links[o.From]; l != nil && l.abort != nil && (!l.up || anew || offered) {
+func (w *Mesh[F]) peerDialed(o opening, c net.Conn) {
+	anew := w.incarnations[o.From] != 0 && w.incarnations[o.From] != o.Life
+	w.incarnations[o.From] = o.Life
+	offered := w.recordOffer(o, c)
+	if l := w.links[o.From]; l != nil && l.abort != nil && (!l.connected || anew || offered) {
 		l.abort()
 	}
 }
 
-// newestOf tells whether a node has dialed no other link since this one.
-func (w *Mesh[F]) newestOf(from string, c net.Conn) bool {
+// isNewestFrom tells whether a node has dialed no other link since this one.
+func (w *Mesh[F]) isNewestFrom(from string, c net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.from[from] == c
+	return w.inbound[from] == c
 }
 
-// hideEnd plays a machine without power in a debug build: nothing tells this side of the end of a connection, until it closes that
+// hidePowerLoss plays a machine without power in a debug build: nothing tells this side of the end of a connection, until it closes that
 // itself.
-func hideEnd(c net.Conn, from string) {
+func hidePowerLoss(c net.Conn, from string) {
 	if !failpoint.Dark(from) {
 		return
 	}
-	for b := make([]byte, 1); ; time.Sleep(cutLook) {
+	for b := make([]byte, 1); ; time.Sleep(partitionPollInterval) {
 		if _, err := c.Read(b); errors.Is(err, net.ErrClosed) {
 			return
 		}
 	}
 }
 
-// cutLook is how often a debug build looks whether a cut has healed.
-const cutLook = 5 * time.Millisecond
+// partitionPollInterval is how often a debug build looks whether a cut has healed.
+const partitionPollInterval = 5 * time.Millisecond
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -20,218 +20,218 @@
 	Call(caller string, c coordination.Call, then func(*callhistory.Record))
 }
 
-// Terms say how callers behave.
-type Terms struct {
-	Lockers   int
-	History   time.Duration // how long watchers sleep at the most
-	LongHolds bool          // some locks are held for up to ten seconds
+// Config say how callers behave.
+type Config struct {
+	Lockers         int
+	MaxWatcherPause time.Duration // how long watchers sleep at the most
+	LongTTLs        bool          // some locks are held for up to ten seconds
 }
 
 // Callers are some callers of each kind, on few names so that they meet.
 type Callers struct {
-	world  World
-	rng    *rand.Rand
-	terms  Terms
-	values int
-	calm   bool
-	missed []string
+	world      World
+	rng        *rand.Rand
+	config     Config
+	lastValue  int
+	stopping   bool
+	unanswered []string
 }
 
 const (
-	locks     = 2
-	counters  = 2
-	keyGroups = 2
-	keys      = 3 // of a group
+	lockCount     = 2
+	counterCount  = 2
+	keyGroupCount = 2
+	keysPerGroup  = 3 // of a group
 )
 
-// Begin has callers begin.
-func Begin(w World, rng *rand.Rand, t Terms) *Callers {
-	d := &Callers{world: w, rng: rng, terms: t}
+// Start has callers begin.
+func Start(w World, rng *rand.Rand, t Config) *Callers {
+	d := &Callers{world: w, rng: rng, config: t}
 	for i := range t.Lockers {
-		(&locker{d: d, name: fmt.Sprintf("a%d", i)}).next()
+		(&locker{callers: d, name: fmt.Sprintf("a%d", i)}).acquire()
 	}
 	for i := range 3 {
-		d.numbers(fmt.Sprintf("c%d", i), fmt.Sprintf("n%d", i%counters))
+		d.requestNumbers(fmt.Sprintf("c%d", i), fmt.Sprintf("n%d", i%counterCount))
 	}
 	for i := range 4 {
-		(&editor{d: d, name: fmt.Sprintf("e%d", i)}).next()
+		(&editor{callers: d, name: fmt.Sprintf("e%d", i)}).readAndPut()
 	}
 	for i := range 3 {
-		(&watcher{d: d, name: fmt.Sprintf("w%d", i), group: fmt.Sprintf("g%d.", i%keyGroups)}).next()
+		(&watcher{callers: d, name: fmt.Sprintf("w%d", i), keyGroup: fmt.Sprintf("g%d.", i%keyGroupCount)}).watch()
 	}
 	return d
 }
 
-// Calm has them end what they are at, and begin nothing more.
-func (d *Callers) Calm() { d.calm = true }
+// Stop has them end what they are at, and begin nothing more.
+func (d *Callers) Stop() { d.stopping = true }
 
-// Missed is what the audit got no answer to.
-func (d *Callers) Missed() []string { return d.missed }
+// Unanswered is what the audit got no answer to.
+func (d *Callers) Unanswered() []string { return d.unanswered }
 
 // Names are those that callers use, by group.
 func Names() []string { return []string{"l0", "l1", "n0", "g0.", "g1."} }
 
-// between draws a time.
-func (d *Callers) between(from, to time.Duration) time.Duration {
+// randomDuration draws a time.
+func (d *Callers) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(d.rng.Int64N(int64(to-from)+1))
 }
 
-// again tells whether a call is worth sending again.
-func again(r *callhistory.Record) bool {
-	return !r.Clear() || r.Answer.Status == coordination.Unavailable || r.Answer.Status == coordination.Full
+// shouldRetry tells whether a call is worth sending again.
+func shouldRetry(r *callhistory.Record) bool {
+	return !r.IsDefinite() || r.Result.Status == coordination.StatusUnavailable || r.Result.Status == coordination.StatusLimitReached
 }
 
-// numbers asks for numbers.
-func (d *Callers) numbers(caller, name string) {
-	if d.calm {
+// requestNumbers asks for numbers.
+func (d *Callers) requestNumbers(caller, name string) {
+	if d.stopping {
 		return
 	}
-	d.world.Call(caller, coordination.Call{Operation: coordination.Number, Name: name}, func(*callhistory.Record) {
-		d.world.After(d.between(0, 100*time.Millisecond), func() { d.numbers(caller, name) })
+	d.world.Call(caller, coordination.Call{Operation: coordination.NumberNext, Name: name}, func(*callhistory.Record) {
+		d.world.After(d.randomDuration(0, 100*time.Millisecond), func() { d.requestNumbers(caller, name) })
 	})
 }
 
 // locker is a caller that takes locks: it holds them for an instant or for long, dies holding, sleeps beyond its time, asks again.
 type locker struct {
-	d     *Callers
-	name  string
-	lock  string
-	fence uint64
-	hold  time.Duration
-	until time.Duration
+	callers      *Callers
+	name         string
+	lock         string
+	fencingToken uint64
+	ttl          time.Duration
+	expiresAt    time.Duration
 }
 
-func (l *locker) next() {
-	if l.d.calm {
+func (l *locker) acquire() {
+	if l.callers.stopping {
 		return
 	}
-	if l.lock == "" || l.d.rng.IntN(3) > 0 {
-		l.lock = fmt.Sprintf("l%d", l.d.rng.IntN(2))
+	if l.lock == "" || l.callers.rng.IntN(3) > 0 {
+		l.lock = fmt.Sprintf("l%d", l.callers.rng.IntN(2))
 	}
-	l.hold = l.d.between(300*time.Millisecond, 2500*time.Millisecond)
-	if l.d.terms.LongHolds && l.d.rng.IntN(6) == 0 {
-		l.hold *= 4
+	l.ttl = l.callers.randomDuration(300*time.Millisecond, 2500*time.Millisecond)
+	if l.callers.config.LongTTLs && l.callers.rng.IntN(6) == 0 {
+		l.ttl *= 4
 	}
-	sent := l.d.world.Now()
-	l.d.world.Call(l.name, coordination.Call{Operation: coordination.LockBegin, Name: l.lock, Holder: l.name, Hold: l.hold},
+	sent := l.callers.world.Now()
+	l.callers.world.Call(l.name, coordination.Call{Operation: coordination.LockAcquire, Name: l.lock, Holder: l.name, TTL: l.ttl},
 		func(r *callhistory.Record) {
-			if !r.Good() {
-				l.d.world.After(l.d.between(10*time.Millisecond, 200*time.Millisecond), l.next)
+			if !r.Succeeded() {
+				l.callers.world.After(l.callers.randomDuration(10*time.Millisecond, 200*time.Millisecond), l.acquire)
 				return
 			}
-			l.fence, l.until = r.Answer.Fence, sent+l.hold
-			l.holds(l.d.rng.IntN(6))
+			l.fencingToken, l.expiresAt = r.Result.FencingToken, sent+l.ttl
+			l.keepLock(l.callers.rng.IntN(6))
 		})
 }
 
-// holds goes on holding, for so many heartbeats.
-func (l *locker) holds(beats int) {
-	switch x := l.d.rng.IntN(20); {
+// keepLock goes on holding, for so many heartbeats.
+func (l *locker) keepLock(beats int) {
+	switch x := l.callers.rng.IntN(20); {
 	case x == 0: // dies, and comes back by its name
-		l.d.world.After(l.d.between(0, 3*time.Second), l.next)
+		l.callers.world.After(l.callers.randomDuration(0, 3*time.Second), l.acquire)
 		return
 	case x == 1: // sleeps
-		l.d.world.After(l.hold+l.d.between(0, 500*time.Millisecond), func() { l.beat(0) })
+		l.callers.world.After(l.ttl+l.callers.randomDuration(0, 500*time.Millisecond), func() { l.renew(0) })
 		return
-	case beats == 0 || l.d.calm:
-		l.d.world.After(l.d.between(0, 100*time.Millisecond), func() { l.finish(l.d.rng.IntN(3)) })
+	case beats == 0 || l.callers.stopping:
+		l.callers.world.After(l.callers.randomDuration(0, 100*time.Millisecond), func() { l.release(l.callers.rng.IntN(3)) })
 		return
 	}
-	l.d.world.After(l.hold/3, func() { l.beat(beats - 1) })
+	l.callers.world.After(l.ttl/3, func() { l.renew(beats - 1) })
 }
 
-func (l *locker) beat(left int) {
-	sent, hold := l.d.world.Now(), l.hold
-	if l.d.rng.IntN(5) == 0 {
+func (l *locker) renew(left int) {
+	sent, hold := l.callers.world.Now(), l.ttl
+	if l.callers.rng.IntN(5) == 0 {
 		hold /= 4
 	}
-	c := coordination.Call{Operation: coordination.LockHeartbeat, Name: l.lock, Holder: l.name, Fence: l.fence, Hold: hold}
-	l.d.world.Call(l.name, c, func(r *callhistory.Record) {
+	c := coordination.Call{Operation: coordination.LockRenew, Name: l.lock, Holder: l.name, FencingToken: l.fencingToken, TTL: hold}
+	l.callers.world.Call(l.name, c, func(r *callhistory.Record) {
 		switch {
-		case r.Good() && r.Ended <= l.until:
-			l.until = max(l.until, sent+hold)
-			l.holds(left)
-		case again(r) && l.d.world.Now() < l.until:
-			l.beat(left)
+		case r.Succeeded() && r.Ended <= l.expiresAt:
+			l.expiresAt = max(l.expiresAt, sent+hold)
+			l.keepLock(left)
+		case shouldRetry(r) && l.callers.world.Now() < l.expiresAt:
+			l.renew(left)
 		default:
-			l.next()
+			l.acquire()
 		}
 	})
 }
 
-// finish gives the lock back, and asks so often again; without an answer it goes on all the same.
-func (l *locker) finish(tries int) {
-	c := coordination.Call{Operation: coordination.LockFinish, Name: l.lock, Holder: l.name, Fence: l.fence}
-	l.d.world.Call(l.name, c, func(r *callhistory.Record) {
-		if again(r) && tries > 0 {
-			l.finish(tries - 1)
+// release gives the lock back, and asks so often again; without an answer it goes on all the same.
+func (l *locker) release(tries int) {
+	c := coordination.Call{Operation: coordination.LockRelease, Name: l.lock, Holder: l.name, FencingToken: l.fencingToken}
+	l.callers.world.Call(l.name, c, func(r *callhistory.Record) {
+		if shouldRetry(r) && tries > 0 {
+			l.release(tries - 1)
 			return
 		}
-		l.next()
+		l.acquire()
 	})
 }
 
 // editor reads and puts keys.
 type editor struct {
-	d    *Callers
-	name string
+	callers *Callers
+	name    string
 }
 
-func (e *editor) next() {
-	if e.d.calm {
+func (e *editor) readAndPut() {
+	if e.callers.stopping {
 		return
 	}
-	key := fmt.Sprintf("g%d.%d", e.d.rng.IntN(2), e.d.rng.IntN(3))
-	e.d.world.Call(e.name, coordination.Call{Operation: coordination.KeyRead, Name: key}, func(r *callhistory.Record) {
-		if again(r) || e.d.rng.IntN(4) == 0 {
-			e.d.world.After(e.d.between(0, 100*time.Millisecond), e.next)
+	key := fmt.Sprintf("g%d.%d", e.callers.rng.IntN(2), e.callers.rng.IntN(3))
+	e.callers.world.Call(e.name, coordination.Call{Operation: coordination.KeyRead, Name: key}, func(r *callhistory.Record) {
+		if shouldRetry(r) || e.callers.rng.IntN(4) == 0 {
+			e.callers.world.After(e.callers.randomDuration(0, 100*time.Millisecond), e.readAndPut)
 			return
 		}
-		bound := e.d.rng.IntN(3) > 0
-		e.d.values++
-		c := coordination.Call{Operation: coordination.KeyReplace, Name: key, Value: fmt.Sprintf("v%d", e.d.values), Bound: bound,
-			Expected: r.Answer.Revision}
-		e.put(c, 1+e.d.rng.IntN(4))
+		bound := e.callers.rng.IntN(3) > 0
+		e.callers.lastValue++
+		c := coordination.Call{Operation: coordination.KeyPut, Name: key, Value: fmt.Sprintf("v%d", e.callers.lastValue), Conditional: bound,
+			ExpectedRevision: r.Result.Revision}
+		e.put(c, 1+e.callers.rng.IntN(4))
 	})
 }
 
 // put puts a value, again and again for some tries without a clear answer.
 func (e *editor) put(c coordination.Call, tries int) {
-	e.d.world.Call(e.name, c, func(r *callhistory.Record) {
-		if again(r) && tries > 0 {
-			e.d.world.After(e.d.between(0, 600*time.Millisecond), func() { e.put(c, tries-1) })
+	e.callers.world.Call(e.name, c, func(r *callhistory.Record) {
+		if shouldRetry(r) && tries > 0 {
+			e.callers.world.After(e.callers.randomDuration(0, 600*time.Millisecond), func() { e.put(c, tries-1) })
 			return
 		}
-		e.d.world.After(e.d.between(0, 60*time.Millisecond), e.next)
+		e.callers.world.After(e.callers.randomDuration(0, 60*time.Millisecond), e.readAndPut)
 	})
 }
 
 // watcher watches a group of keys, sometimes from a revision that it had before.
 type watcher struct {
-	d     *Callers
-	name  string
-	group string
-	after uint64
+	callers       *Callers
+	name          string
+	keyGroup      string
+	afterRevision uint64
 }
 
-func (w *watcher) next() {
-	if w.d.calm {
+func (w *watcher) watch() {
+	if w.callers.stopping {
 		return
 	}
-	wait := []time.Duration{0, 300 * time.Millisecond, 2 * time.Second}[w.d.rng.IntN(3)]
-	c := coordination.Call{Operation: coordination.KeyWatch, Name: w.group, After: w.after, Wait: wait}
-	w.d.world.Call(w.name, c, func(r *callhistory.Record) {
+	wait := []time.Duration{0, 300 * time.Millisecond, 2 * time.Second}[w.callers.rng.IntN(3)]
+	c := coordination.Call{Operation: coordination.KeyWatch, Name: w.keyGroup, AfterRevision: w.afterRevision, Timeout: wait}
+	w.callers.world.Call(w.name, c, func(r *callhistory.Record) {
 		switch {
-		case r.Good():
-			w.after = r.Answer.Revision
-		case r.Clear() && r.Answer.Status == coordination.Compacted:
-			w.after = 0
+		case r.Succeeded():
+			w.afterRevision = r.Result.Revision
+		case r.IsDefinite() && r.Result.Status == coordination.StatusCompacted:
+			w.afterRevision = 0
 		}
-		pause := w.d.between(0, 30*time.Millisecond)
-		if w.d.rng.IntN(15) == 0 {
-			pause = w.d.between(0, w.d.terms.History)
+		pause := w.callers.randomDuration(0, 30*time.Millisecond)
+		if w.callers.rng.IntN(15) == 0 {
+			pause = w.callers.randomDuration(0, w.callers.config.MaxWatcherPause)
 		}
-		w.d.world.After(pause, w.next)
+		w.callers.world.After(pause, w.watch)
 	})
 }
 
@@ -239,20 +239,20 @@
 func (d *Callers) Audit() {
 	ask := func(c coordination.Call) {
 		d.world.Call("audit", c, func(r *callhistory.Record) {
-			if !r.Clear() || r.Answer.Status != coordination.OK && r.Answer.Status != coordination.NotFound {
-				d.missed = append(d.missed, fmt.Sprintf("the audit got no answer: %v", r))
+			if !r.IsDefinite() || r.Result.Status != coordination.StatusOK && r.Result.Status != coordination.StatusNotFound {
+				d.unanswered = append(d.unanswered, fmt.Sprintf("the audit got no answer: %v", r))
 			}
 		})
 	}
-	for i := range counters {
-		ask(coordination.Call{Operation: coordination.Number, Name: fmt.Sprintf("n%d", i)})
+	for i := range counterCount {
+		ask(coordination.Call{Operation: coordination.NumberNext, Name: fmt.Sprintf("n%d", i)})
 	}
-	for i := range locks {
-		ask(coordination.Call{Operation: coordination.LockBegin, Name: fmt.Sprintf("l%d", i), Holder: "audit", Hold: time.Second})
+	for i := range lockCount {
+		ask(coordination.Call{Operation: coordination.LockAcquire, Name: fmt.Sprintf("l%d", i), Holder: "audit", TTL: time.Second})
 	}
-	for i := range keyGroups {
+	for i := range keyGroupCount {
 		ask(coordination.Call{Operation: coordination.KeyWatch, Name: fmt.Sprintf("g%d.", i)})
-		for k := range keys {
+		for k := range keysPerGroup {
 			ask(coordination.Call{Operation: coordination.KeyRead, Name: fmt.Sprintf("g%d.%d", i, k)})
 		}
 	}
--- a/internal/lab/callhistory/history.go
+++ b/internal/lab/callhistory/history.go
@@ -18,21 +18,23 @@
 	Call   coordination.Call
 	Sent   time.Duration
 	Ended  time.Duration // Never without a clear answer
-	Answer coordination.Answer
+	Result coordination.Result
 }
 
-// Clear tells whether the call got an answer that says what became of it.
-func (r *Record) Clear() bool { return r.Ended != Never && r.Answer.Status != coordination.Unclear }
+// IsDefinite tells whether the call got an answer that says what became of it.
+func (r *Record) IsDefinite() bool {
+	return r.Ended != Never && r.Result.Status != coordination.StatusAmbiguous
+}
 
-// Good tells whether it was done.
-func (r *Record) Good() bool { return r.Clear() && r.Answer.Status == coordination.OK }
+// Succeeded tells whether it was done.
+func (r *Record) Succeeded() bool { return r.IsDefinite() && r.Result.Status == coordination.StatusOK }
 
-// before tells whether a call had ended when another was sent.
-func (r *Record) before(x *Record) bool { return r.Ended != Never && r.Ended < x.Sent }
+// endedBefore tells whether a call had ended when another was sent.
+func (r *Record) endedBefore(x *Record) bool { return r.Ended != Never && r.Ended < x.Sent }
 
 func (r *Record) String() string {
 	return fmt.Sprintf("%s: %v of %s, sent at %v, ended at %v: %v fence %d number %d revision %d", r.Caller, r.Call.Operation,
-		r.Call.Name, r.Sent, r.Ended, r.Answer.Status, r.Answer.Fence, r.Answer.Number, r.Answer.Revision)
+		r.Call.Name, r.Sent, r.Ended, r.Result.Status, r.Result.FencingToken, r.Result.Number, r.Result.Revision)
 }
 
 // Rule is one of the operators' rules.
@@ -40,12 +42,12 @@
 
 // The rules.
 const (
-	One     Rule = "ONE"
-	Order   Rule = "ORDER"
-	Stale   Rule = "STALE"
-	Mixed   Rule = "MIXED"
-	Refused Rule = "REFUSED"
-	Lost    Rule = "LOST"
+	RuleOne     Rule = "ONE"
+	RuleOrder   Rule = "ORDER"
+	RuleStale   Rule = "STALE"
+	RuleMixed   Rule = "MIXED"
+	RuleRefused Rule = "REFUSED"
+	RuleLost    Rule = "LOST"
 )
 
 // Violation is a broken rule.
@@ -56,42 +58,42 @@
 
 func (v Violation) String() string { return string(v.Rule) + ": " + v.Text }
 
-// Terms are the bounds that rules name.
-type Terms struct {
-	History time.Duration // a watch may resume from what it was given so long ago
+// Config are the bounds that rules name.
+type Config struct {
+	HistoryRetention time.Duration // a watch may resume from what it was given so long ago
 }
 
 // Check checks a history against all rules, in the order of the calls' sending.
-func Check(all []*Record, t Terms) (broken []Violation) {
+func Check(all []*Record, t Config) (broken []Violation) {
 	c := newChecker(all, t)
-	c.locks()
-	c.numbers()
-	c.keys()
-	c.watches()
-	return c.broken
+	c.checkLocks()
+	c.checkNumbers()
+	c.checkKeys()
+	c.checkWatches()
+	return c.violations
 }
 
 // checker gathers what it finds.
 type checker struct {
-	terms  Terms
-	byName map[coordination.Operation]map[string][]*Record
-	puts   map[string]*put // by key and value
-	broken []Violation
+	config        Config
+	recordsByName map[coordination.Operation]map[string][]*Record
+	puts          map[string]*put // by key and value
+	violations    []Violation
 }
 
-func newChecker(all []*Record, t Terms) *checker {
-	c := &checker{terms: t, byName: map[coordination.Operation]map[string][]*Record{}, puts: map[string]*put{}}
+func newChecker(all []*Record, t Config) *checker {
+	c := &checker{config: t, recordsByName: map[coordination.Operation]map[string][]*Record{}, puts: map[string]*put{}}
 	for _, r := range all {
-		names := c.byName[r.Call.Operation]
+		names := c.recordsByName[r.Call.Operation]
 		if names == nil {
 			names = map[string][]*Record{}
-			c.byName[r.Call.Operation] = names
+			c.recordsByName[r.Call.Operation] = names
 		}
 		names[r.Call.Name] = append(names[r.Call.Name], r)
 	}
 	return c
 }
 
-func (c *checker) breaks(rule Rule, format string, args ...any) {
-	c.broken = append(c.broken, Violation{rule, fmt.Sprintf(format, args...)})
+func (c *checker) report(rule Rule, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
--- a/internal/lab/callhistory/linear.go
+++ b/internal/lab/callhistory/linear.go
@@ -8,8 +8,8 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// step is a call on one name, for the linearizability checker.
-type step struct {
+// modelCall is a call on one name, for the linearizability checker.
+type modelCall struct {
 	operation coordination.Operation
 	status    coordination.Status
 	bound     bool
@@ -18,26 +18,26 @@
 	value     string
 }
 
-// nameState is a key or a counter.
-type nameState struct {
-	value string
-	last  uint64
+// modelState is a key or a counter.
+type modelState struct {
+	value    string
+	revision uint64
 }
 
-// model is a key or a counter that does one call at a time.
-var model = porcupine.Model{
-	Init: func() any { return nameState{} },
+// callModel is a key or a counter that does one call at a time.
+var callModel = porcupine.Model{
+	Init: func() any { return modelState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		now, x := state.(nameState), input.(step)
+		now, x := state.(modelState), input.(modelCall)
 		switch {
-		case x.operation == coordination.Number:
-			return x.result > now.last, nameState{last: x.result}
-		case x.operation == coordination.KeyReplace && x.status == coordination.OK:
-			return x.result > now.last && (!x.bound || x.expected == now.last), nameState{x.value, x.result}
-		case x.operation == coordination.KeyReplace:
-			return x.result == now.last && x.expected != now.last, state
+		case x.operation == coordination.NumberNext:
+			return x.result > now.revision, modelState{revision: x.result}
+		case x.operation == coordination.KeyPut && x.status == coordination.StatusOK:
+			return x.result > now.revision && (!x.bound || x.expected == now.revision), modelState{x.value, x.result}
+		case x.operation == coordination.KeyPut:
+			return x.result == now.revision && x.expected != now.revision, state
 		}
-		return x.result == now.last && x.value == now.value, state
+		return x.result == now.revision && x.value == now.value, state
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
@@ -45,28 +45,28 @@
 // Linearizable checks that the calls on each counter and key could have been done one at a time, each between its sending and its end.
 // Names that take longer than so long are named as not decided.
 func Linearizable(all []*Record, most time.Duration) (broken []Violation, undecided []string) {
-	c := newChecker(all, Terms{})
-	c.gather()
-	for _, name := range sortedNames(c.byName[coordination.KeyWatch]) {
-		for _, r := range c.byName[coordination.KeyWatch][name] {
-			for _, e := range r.Answer.Events {
-				c.shows(r, e.Name, e.Value, e.Revision)
+	c := newChecker(all, Config{})
+	c.collectPuts()
+	for _, name := range sortedNames(c.recordsByName[coordination.KeyWatch]) {
+		for _, r := range c.recordsByName[coordination.KeyWatch][name] {
+			for _, e := range r.Result.Events {
+				c.recordObserved(r, e.Name, e.Value, e.Revision)
 			}
 		}
 	}
 	check := func(name string, calls []porcupine.Operation) {
-		switch porcupine.CheckOperationsTimeout(model, calls, most) {
+		switch porcupine.CheckOperationsTimeout(callModel, calls, most) {
 		case porcupine.Illegal:
-			broken = append(broken, Violation{Order, name + ": no order of its calls gives these answers"})
+			broken = append(broken, Violation{RuleOrder, name + ": no order of its calls gives these answers"})
 		case porcupine.Unknown:
 			undecided = append(undecided, name)
 		}
 	}
-	for _, name := range sortedNames(c.byName[coordination.Number]) {
+	for _, name := range sortedNames(c.recordsByName[coordination.NumberNext]) {
 		var calls []porcupine.Operation
-		for _, r := range c.byName[coordination.Number][name] {
-			if r.Good() {
-				calls = append(calls, operation(r.Sent, r.Ended, step{operation: coordination.Number, result: r.Answer.Number}))
+		for _, r := range c.recordsByName[coordination.NumberNext][name] {
+			if r.Succeeded() {
+				calls = append(calls, newOperation(r.Sent, r.Ended, modelCall{operation: coordination.NumberNext, result: r.Result.Number}))
 			}
 		}
 		check(name, calls)
@@ -76,56 +76,56 @@
 		byKey[c.puts[name].key] = append(byKey[c.puts[name].key], c.puts[name])
 	}
 	for _, key := range sortedNames(byKey) {
-		check(key, c.callsOn(key, byKey[key]))
+		check(key, c.keyOperations(key, byKey[key]))
 	}
 	return broken, undecided
 }
 
-func operation(sent, ended time.Duration, s step) porcupine.Operation {
+func newOperation(sent, ended time.Duration, s modelCall) porcupine.Operation {
 	return porcupine.Operation{Input: s, Call: int64(sent), Return: int64(ended)}
 }
 
-// callsOn are a key's puts, once each however often they were sent, its refusals and its reads. Reads show further puts that got no clear
+// keyOperations are a key's puts, once each however often they were sent, its refusals and its reads. Reads show further puts that got no clear
 // answer; a refusal may show the revision of one whose value nobody saw.
-func (c *checker) callsOn(key string, puts []*put) (calls []porcupine.Operation) {
+func (c *checker) keyOperations(key string, puts []*put) (calls []porcupine.Operation) {
 	var reads []*Record
-	for _, r := range c.byName[coordination.KeyRead][key] {
-		if r.Good() {
-			c.shows(r, key, r.Answer.Value, r.Answer.Revision)
+	for _, r := range c.recordsByName[coordination.KeyRead][key] {
+		if r.Succeeded() {
+			c.recordObserved(r, key, r.Result.Value, r.Result.Revision)
 			reads = append(reads, r)
-		} else if r.Clear() && r.Answer.Status == coordination.NotFound {
+		} else if r.IsDefinite() && r.Result.Status == coordination.StatusNotFound {
 			reads = append(reads, r)
 		}
 	}
 	known, unseen := map[uint64]bool{}, Never
 	for _, p := range puts {
 		ended := Never
-		if p.good != nil {
-			ended = p.good.Ended
+		if p.firstSuccess != nil {
+			ended = p.firstSuccess.Ended
 		}
 		if at := p.revision(); at > 0 {
 			known[at] = true
-			calls = append(calls, operation(p.first.Sent, ended, step{operation: coordination.KeyReplace, bound: p.first.Call.Bound, expected: p.first.Call.Expected,
+			calls = append(calls, newOperation(p.firstSent.Sent, ended, modelCall{operation: coordination.KeyPut, bound: p.firstSent.Call.Conditional, expected: p.firstSent.Call.ExpectedRevision,
 				result: at, value: p.value}))
-		} else if p.open {
-			unseen = min(unseen, p.first.Sent)
+		} else if p.ambiguous {
+			unseen = min(unseen, p.firstSent.Sent)
 		}
 	}
 	for _, p := range puts {
-		for _, r := range p.refusals {
-			if r.Answer.Status != coordination.Conflict {
+		for _, r := range p.rejections {
+			if r.Result.Status != coordination.StatusConflict {
 				continue
 			}
-			if at := r.Answer.Revision; at > 0 && !known[at] {
+			if at := r.Result.Revision; at > 0 && !known[at] {
 				known[at] = true
-				calls = append(calls, operation(unseen, Never, step{operation: coordination.KeyReplace, result: at}))
+				calls = append(calls, newOperation(unseen, Never, modelCall{operation: coordination.KeyPut, result: at}))
 			}
-			calls = append(calls, operation(r.Sent, r.Ended, step{operation: coordination.KeyReplace, status: coordination.Conflict,
-				expected: r.Call.Expected, result: r.Answer.Revision}))
+			calls = append(calls, newOperation(r.Sent, r.Ended, modelCall{operation: coordination.KeyPut, status: coordination.StatusConflict,
+				expected: r.Call.ExpectedRevision, result: r.Result.Revision}))
 		}
 	}
 	for _, r := range reads {
-		calls = append(calls, operation(r.Sent, r.Ended, step{operation: coordination.KeyRead, result: r.Answer.Revision, value: r.Answer.Value}))
+		calls = append(calls, newOperation(r.Sent, r.Ended, modelCall{operation: coordination.KeyRead, result: r.Result.Revision, value: r.Result.Value}))
 	}
 	return calls
 }
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -10,31 +10,31 @@
 
 // tenure is a span in which a caller regards itself as a lock's holder.
 type tenure struct {
-	holder      string
-	from, until time.Duration
+	holder     string
+	start, end time.Duration
 }
 
-// locks checks ONE.
-func (c *checker) locks() {
+// checkLocks checks ONE.
+func (c *checker) checkLocks() {
 	names := map[string][]*Record{}
-	for _, o := range []coordination.Operation{coordination.LockBegin, coordination.LockHeartbeat, coordination.LockFinish} {
-		for name, all := range c.byName[o] {
+	for _, o := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
+		for name, all := range c.recordsByName[o] {
 			names[name] = append(names[name], all...)
 		}
 	}
 	for _, name := range sortedNames(names) {
 		all := names[name]
 		slices.SortStableFunc(all, func(a, b *Record) int { return cmp.Compare(a.Sent, b.Sent) })
-		c.fences(name, all)
-		c.overlaps(name, tenures(all))
+		c.checkFencingTokens(name, all)
+		c.checkOverlaps(name, tenures(all))
 	}
 }
 
-// fences checks that fences rise over holders.
-func (c *checker) fences(name string, all []*Record) {
+// checkFencingTokens checks that fences rise over holders.
+func (c *checker) checkFencingTokens(name string, all []*Record) {
 	var given []*Record
 	for _, r := range all {
-		if r.Call.Operation == coordination.LockBegin && r.Good() {
+		if r.Call.Operation == coordination.LockAcquire && r.Succeeded() {
 			given = append(given, r)
 		}
 	}
@@ -42,10 +42,10 @@
 		for _, x := range given {
 			switch {
 			case x.Call.Holder == r.Call.Holder:
-			case x.Answer.Fence == r.Answer.Fence && x.Sent < r.Sent:
-				c.breaks(One, "%s: two holders got fence %d: %v and %v", name, r.Answer.Fence, x, r)
-			case x.before(r) && x.Answer.Fence > r.Answer.Fence:
-				c.breaks(One, "%s: a fence not above one given before: %v after %v", name, r, x)
+			case x.Result.FencingToken == r.Result.FencingToken && x.Sent < r.Sent:
+				c.report(RuleOne, "%s: two holders got fence %d: %v and %v", name, r.Result.FencingToken, x, r)
+			case x.endedBefore(r) && x.Result.FencingToken > r.Result.FencingToken:
+				c.report(RuleOne, "%s: a fence not above one given before: %v after %v", name, r, x)
 			}
 		}
 	}
@@ -59,31 +59,31 @@
 		h := r.Call.Holder
 		now := open[h]
 		switch r.Call.Operation {
-		case coordination.LockFinish:
+		case coordination.LockRelease:
 			if now != nil {
-				now.until = min(now.until, r.Sent)
+				now.end = min(now.end, r.Sent)
 				spans = append(spans, *now)
 				delete(open, h)
 			}
-		case coordination.LockBegin:
-			if !r.Good() {
+		case coordination.LockAcquire:
+			if !r.Succeeded() {
 				continue
 			}
-			if now != nil && r.Ended <= now.until { // it asks again, and goes on holding
-				now.until = max(now.until, r.Sent+r.Call.Hold)
+			if now != nil && r.Ended <= now.end { // it asks again, and goes on holding
+				now.end = max(now.end, r.Sent+r.Call.TTL)
 				continue
 			}
 			if now != nil {
 				spans = append(spans, *now)
 			}
-			open[h] = &tenure{h, r.Ended, r.Sent + r.Call.Hold}
-		case coordination.LockHeartbeat:
+			open[h] = &tenure{h, r.Ended, r.Sent + r.Call.TTL}
+		case coordination.LockRenew:
 			switch {
-			case now == nil || !r.Clear():
-			case r.Answer.Status == coordination.Lost:
-				now.until = min(now.until, r.Ended)
-			case r.Good() && r.Ended <= now.until:
-				now.until = max(now.until, r.Sent+r.Call.Hold)
+			case now == nil || !r.IsDefinite():
+			case r.Result.Status == coordination.StatusLockLost:
+				now.end = min(now.end, r.Ended)
+			case r.Succeeded() && r.Ended <= now.end:
+				now.end = max(now.end, r.Sent+r.Call.TTL)
 			}
 		}
 	}
@@ -93,14 +93,14 @@
 	return spans
 }
 
-// overlaps checks that no two holders count themselves one at the same moment.
-func (c *checker) overlaps(name string, spans []tenure) {
-	slices.SortFunc(spans, func(a, b tenure) int { return cmp.Compare(a.from, b.from) })
+// checkOverlaps checks that no two holders count themselves one at the same moment.
+func (c *checker) checkOverlaps(name string, spans []tenure) {
+	slices.SortFunc(spans, func(a, b tenure) int { return cmp.Compare(a.start, b.start) })
 	for i, a := range spans {
 		for _, b := range spans[i+1:] {
-			if a.holder != b.holder && b.from < a.until && a.from < b.until {
-				c.breaks(One, "%s: %s holds it from %v to %v, %s from %v to %v", name, a.holder, a.from, a.until, b.holder, b.from,
-					b.until)
+			if a.holder != b.holder && b.start < a.end && a.start < b.end {
+				c.report(RuleOne, "%s: %s holds it from %v to %v, %s from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start,
+					b.end)
 			}
 		}
 	}
--- a/internal/lab/capacity/state.go
+++ b/internal/lab/capacity/state.go
@@ -72,10 +72,10 @@
 		}},
 		{"registry", "backend", []int{100, 1000, 5800}, func(n int) func() any {
 			return func() any {
-				b := registry.New(0, registry.Terms{BeatInterval: 1500 * time.Millisecond, Enough: 3, Life: 1}, 0)
-				b.SetNodes([]registry.Node{{Seat: 0, Control: "10.0.0.1:7102", Zone: "zone-0", Live: true, Firm: true}})
+				b := registry.New(0, registry.Config{HeartbeatInterval: 1500 * time.Millisecond, MinCopies: 3, Incarnation: 1}, 0)
+				b.SetNodes([]registry.Node{{Slot: 0, ControlAddr: "10.0.0.1:7102", Zone: "zone-0", Live: true, HasDisk: true}})
 				for i := range n {
-					b.Beat(registry.Record{ID: fmt.Sprintf("i-service-%d", i), Service: fmt.Sprintf("service-%03d", i%270),
+					b.Heartbeat(registry.Record{ID: fmt.Sprintf("i-service-%d", i), Service: fmt.Sprintf("service-%03d", i%270),
 						Addr: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1), Zone: "zone-0", Generation: "v1", Capacity: 4,
 						Phase: registry.Ready, Seq: 1})
 					for _, ok := b.Next(); ok; _, ok = b.Next() {
@@ -87,14 +87,14 @@
 		{"roster", "node", []int{48, 200, 500}, func(n int) func() any {
 			return func() any {
 				at := func(i int) string { return fmt.Sprintf("10.0.%d.%d:7110", i/200, i%200+1) }
-				c := membership.New(membership.Node{Name: "node-0", Addr: at(0), Zone: "zone-0", Disk: 1}, membership.Terms{Tolerates: 2}, 0)
+				c := membership.New(membership.Node{Name: "node-0", Addr: at(0), Zone: "zone-0", Disk: 1}, membership.Config{ToleratedLosses: 2}, 0)
 				var order []membership.SlotHolder
 				for i := range n {
 					order = append(order, membership.SlotHolder{Name: fmt.Sprintf("node-%d", i), Addr: at(i), Control: at(i), Zone: "zone-0"})
 				}
 				c.SetSlots(order)
 				for i := 1; i < n; i++ {
-					c.Hello(at(i), membership.Hello{Door: membership.Node{Name: fmt.Sprintf("node-%d", i), Addr: at(i), Control: at(i), Zone: "zone-0",
+					c.HandleHello(at(i), membership.Hello{Door: membership.Node{Name: fmt.Sprintf("node-%d", i), Addr: at(i), Control: at(i), Zone: "zone-0",
 						Life: uint64(i)}})
 				}
 				for _, ok := c.Next(); ok; _, ok = c.Next() {
--- a/internal/lab/simulation/applications.go
+++ b/internal/lab/simulation/applications.go
@@ -33,7 +33,7 @@
 	}
 	a := &applications{w: w, rng: source(w.day.Seed, 0xca11)}
 	w.applications = a
-	a.callers = callers.Begin(a, a.rng, callers.Terms{Lockers: w.day.Callers, History: w.machines[0].settings.Bounds.WatchHistory / 4})
+	a.callers = callers.Start(a, a.rng, callers.Config{Lockers: w.day.Callers, MaxWatcherPause: w.machines[0].settings.Bounds.WatchHistory / 4})
 }
 
 // endApplications has them end, asks for all once more, and judges what they saw.
@@ -42,24 +42,24 @@
 	if a == nil {
 		return
 	}
-	a.callers.Calm()
+	a.callers.Stop()
 	w.until(w.now+holdsEnd, nil)
 	a.callers.Audit()
 	w.until(w.now+auditsEnd, nil)
 	r.Calls = len(a.history)
 	for _, x := range a.history {
-		if x.Clear() {
+		if x.IsDefinite() {
 			r.ClearCalls++
 		}
 	}
-	wrong := callhistory.Check(a.history, callhistory.Terms{History: w.machines[0].settings.Bounds.WatchHistory})
+	wrong := callhistory.Check(a.history, callhistory.Config{HistoryRetention: w.machines[0].settings.Bounds.WatchHistory})
 	illegal, undecided := callhistory.Linearizable(a.history, decideIn)
 	r.Undecided = len(undecided)
 	for _, v := range append(wrong, illegal...) {
 		w.broken = append(w.broken, history.Broken{Rule: ruleOfCall + " " + string(v.Rule), T: w.now, Who: "application", What: v.Text})
 	}
-	for _, m := range a.callers.Missed() {
-		w.broken = append(w.broken, history.Broken{Rule: ruleOfCall + " " + string(callhistory.Lost), T: w.now, Who: "application", What: m})
+	for _, m := range a.callers.Unanswered() {
+		w.broken = append(w.broken, history.Broken{Rule: ruleOfCall + " " + string(callhistory.RuleLost), T: w.now, Who: "application", What: m})
 	}
 }
 
@@ -79,7 +79,7 @@
 			then(r)
 		}
 	}
-	w.after(silentFor+c.Wait, tell)
+	w.after(silentFor+c.Timeout, tell)
 	m := w.machines[a.rng.IntN(len(w.machines))]
 	if m.dark {
 		return
@@ -93,13 +93,13 @@
 		}
 		p.turn(func() {
 			w.doing = "applications"
-			p.h.Coordinate(c, func(answer coordination.Answer) {
+			p.h.Coordinate(c, func(answer coordination.Result) {
 				w.after(way, func() {
 					if told || p.over {
 						tell()
 						return
 					}
-					if r.Answer = answer; answer.Status != coordination.Unclear {
+					if r.Result = answer; answer.Status != coordination.StatusAmbiguous {
 						r.Ended = w.now
 					}
 					tell()
--- a/internal/lab/simulation/groups_test.go
+++ b/internal/lab/simulation/groups_test.go
@@ -75,8 +75,8 @@
 			return done == 0
 		}
 		m.p.turn(func() {
-			m.p.h.Coordinate(coordination.Call{Operation: coordination.Number, Name: name}, func(a coordination.Answer) {
-				if a.Status == coordination.OK && done == 0 {
+			m.p.h.Coordinate(coordination.Call{Operation: coordination.NumberNext, Name: name}, func(a coordination.Result) {
+				if a.Status == coordination.StatusOK && done == 0 {
 					done = w.now
 				}
 			})
@@ -158,7 +158,7 @@
 			m := w.machines[n%len(w.machines)]
 			if n++; m.runs() {
 				m.p.turn(func() {
-					m.p.h.Coordinate(coordination.Call{Operation: coordination.Number, Name: nameIn(id)}, func(a coordination.Answer) {
+					m.p.h.Coordinate(coordination.Call{Operation: coordination.NumberNext, Name: nameIn(id)}, func(a coordination.Result) {
 						given = max(given, a.Number)
 					})
 				})
@@ -245,11 +245,11 @@
 	holder := fmt.Sprintf("a%d.%d", i%24, i%7)
 	switch i % 8 {
 	case 0, 1:
-		return coordination.Call{Operation: coordination.LockBegin, Name: fmt.Sprint("l", i%12), Holder: holder, Hold: 300 * time.Millisecond}
+		return coordination.Call{Operation: coordination.LockAcquire, Name: fmt.Sprint("l", i%12), Holder: holder, TTL: 300 * time.Millisecond}
 	case 2:
-		return coordination.Call{Operation: coordination.Number, Name: fmt.Sprint("n", i%2)}
+		return coordination.Call{Operation: coordination.NumberNext, Name: fmt.Sprint("n", i%2)}
 	case 3, 4:
-		return coordination.Call{Operation: coordination.KeyReplace, Name: fmt.Sprintf("g%d.%d", i%8, i%5), Value: fmt.Sprintf("%016x", i)}
+		return coordination.Call{Operation: coordination.KeyPut, Name: fmt.Sprintf("g%d.%d", i%8, i%5), Value: fmt.Sprintf("%016x", i)}
 	}
 	return coordination.Call{Operation: coordination.KeyRead, Name: fmt.Sprintf("g%d.%d", i%8, i%5)}
 }
@@ -280,8 +280,8 @@
 			m := w.machines[n%len(w.machines)]
 			n++
 			m.p.turn(func() {
-				m.p.h.Coordinate(callMix(n), func(a coordination.Answer) {
-					if a.Status != coordination.Unclear && a.Status != coordination.Unavailable {
+				m.p.h.Coordinate(callMix(n), func(a coordination.Result) {
+					if a.Status != coordination.StatusAmbiguous && a.Status != coordination.StatusUnavailable {
 						c.answered += 1 / over.Seconds()
 					}
 				})
@@ -330,12 +330,12 @@
 		if perSecond > 0 {
 			w.every(time.Second/time.Duration(perSecond), func() bool {
 				m, c, asked := w.machines[n%len(w.machines)], callMix(n), w.now
-				if n++; c.Operation == coordination.KeyReplace {
+				if n++; c.Operation == coordination.KeyPut {
 					c.Value = fmt.Sprintf("%04096d", n)
 				}
 				m.p.turn(func() {
-					m.p.h.Coordinate(c, func(a coordination.Answer) {
-						must.NotEq(t, coordination.Unavailable, a.Status)
+					m.p.h.Coordinate(c, func(a coordination.Result) {
+						must.NotEq(t, coordination.StatusUnavailable, a.Status)
 						calls = append(calls, w.now-asked)
 					})
 				})
--- a/internal/lab/simulation/hard_days.go
+++ b/internal/lab/simulation/hard_days.go
@@ -165,7 +165,7 @@
 		if err := gob.NewDecoder(&b).Decode(f); err != nil {
 			panic(err)
 		}
-		q.turn(func() { q.h.Heard(from.inner, f) })
+		q.turn(func() { q.h.FrameReceived(from.inner, f) })
 	})
 }
 
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -130,8 +130,8 @@
 	gone    bool // what was sent last was lost with its sender
 }
 
-// Want, Leave and Send are the links of a deployment.
-func (p *process) Want(to string) {
+// Connect, Leave and Send are the links of a deployment.
+func (p *process) Connect(to string) {
 	if m := p.w.byInner[to]; m != nil && p.links[to] == nil && m != p.m {
 		v := &wing{p: p, to: m, wait: redialIn}
 		p.links[to] = v
@@ -142,7 +142,7 @@
 // Check is for links over sockets: here an end is told in the order of events.
 func (p *process) Check() {}
 
-func (p *process) Leave(to string) {
+func (p *process) Disconnect(to string) {
 	if v := p.links[to]; v != nil {
 		delete(p.links, to)
 		v.dial++
@@ -222,12 +222,12 @@
 			} else if back != nil && anew && back.c.peer.over {
 				back.c.end()
 			}
-			peer.h.Came(from)
+			peer.h.PeerConnected(from)
 		})
 	})
 	v.p.turn(func() {
 		if v.c == c && v.wanted() {
-			v.p.h.Up(v.to.inner)
+			v.p.h.LinkUp(v.to.inner)
 		}
 	})
 }
@@ -278,7 +278,7 @@
 				peer.m.meter.came(peer.w, f.Kind(), len(b)+frameHead)
 			}
 			if peer.from[from] == c {
-				peer.h.Heard(from, f)
+				peer.h.FrameReceived(from, f)
 			}
 		})
 	})
@@ -331,7 +331,7 @@
 	}
 	v.p.turn(func() {
 		if now := v.p.links[v.to.inner]; now == nil || now == v {
-			v.p.h.Down(v.to.inner)
+			v.p.h.LinkDown(v.to.inner)
 		}
 	})
 	if v.wanted() {
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -38,17 +38,17 @@
 }
 
 const (
-	silence    = time.Second
-	pauseFirst = 20 * time.Millisecond // between two tries, doubled each time
-	pauseMost  = 500 * time.Millisecond
-	answerMost = 1 << 20
+	attemptTimeout   = time.Second
+	initialBackoff   = 20 * time.Millisecond // between two tries, doubled each time
+	maxBackoff       = 500 * time.Millisecond
+	maxResponseBytes = 1 << 20
 )
 
 // Client calls nodes by their control addresses.
 type Client struct {
-	nodes []string
-	next  atomic.Uint32
-	http  *http.Client
+	nodes    []string
+	nextNode atomic.Uint32
+	http     *http.Client
 }
 
 // New makes a client of nodes at these control addresses, host:port.
@@ -62,17 +62,19 @@
 // Close ends the connections that do nothing.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// answer is what a node said.
-type answer struct {
+// response is what a node said.
+type response struct {
 	status int
 	body   []byte
 }
 
-// clear tells whether an answer ends the call: else another node is asked.
-func (a *answer) clear() bool { return a.status/100 != 5 && a.status != http.StatusTooManyRequests }
+// isDefinite tells whether an answer ends the call: else another node is asked.
+func (a *response) isDefinite() bool {
+	return a.status/100 != 5 && a.status != http.StatusTooManyRequests
+}
 
-// call brings a call to the nodes until one answers clearly or the context ends. It is for calls that may come twice.
-func (c *Client) call(ctx context.Context, method, path string, body any, wait time.Duration, into any) error {
+// do brings a call to the nodes until one answers clearly or the context ends. It is for calls that may come twice.
+func (c *Client) do(ctx context.Context, method, path string, body any, wait time.Duration, into any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return errors.Wrap(err, "body")
@@ -80,11 +82,11 @@
 	if method == http.MethodGet {
 		text = nil
 	}
-	doubt, pause := false, pauseFirst
+	doubt, pause := false, initialBackoff
 	for {
-		a, err := c.once(ctx, method, path, text, wait)
-		if err == nil && a.clear() {
-			return a.read(into)
+		a, err := c.attempt(ctx, method, path, text, wait)
+		if err == nil && a.isDefinite() {
+			return a.decode(into)
 		}
 		doubt = doubt || err != nil || a.status != http.StatusServiceUnavailable && a.status != http.StatusTooManyRequests
 		timer := time.NewTimer(pause)
@@ -97,19 +99,19 @@
 			return ErrUnavailable
 		case <-timer.C:
 		}
-		pause = min(2*pause, pauseMost)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
-// once is one try, at the next node if the last one failed.
-func (c *Client) once(ctx context.Context, method, path string, body []byte, wait time.Duration) (a answer, err error) {
-	nr := c.next.Load()
+// attempt is one try, at the next node if the last one failed.
+func (c *Client) attempt(ctx context.Context, method, path string, body []byte, wait time.Duration) (a response, err error) {
+	nr := c.nextNode.Load()
 	defer func() {
-		if err != nil || !a.clear() {
-			c.next.CompareAndSwap(nr, nr+1)
+		if err != nil || !a.isDefinite() {
+			c.nextNode.CompareAndSwap(nr, nr+1)
 		}
 	}()
-	ctx, cancel := context.WithTimeout(ctx, silence+wait)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+wait)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.nodes[int(nr)%len(c.nodes)]+path, bytes.NewReader(body))
 	if err != nil {
@@ -124,12 +126,12 @@
 	}
 	defer response.Body.Close()
 	a.status = response.StatusCode
-	a.body, err = io.ReadAll(io.LimitReader(response.Body, answerMost))
+	a.body, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	return a, err
 }
 
-// read gives an answer's content, or its error.
-func (a *answer) read(into any) error {
+// decode gives an answer's content, or its error.
+func (a *response) decode(into any) error {
 	switch a.status {
 	case http.StatusOK:
 		if into == nil {
@@ -155,7 +157,7 @@
 // Next gives a number above all that were given under a name before.
 func (c *Client) Next(ctx context.Context, name string) (uint64, error) {
 	var n struct{ Value uint64 }
-	err := c.call(ctx, http.MethodPost, "/api/numbers/"+url.PathEscape(name), struct{}{}, 0, &n)
+	err := c.do(ctx, http.MethodPost, "/api/numbers/"+url.PathEscape(name), struct{}{}, 0, &n)
 	return n.Value, err
 }
 
@@ -167,7 +169,7 @@
 
 // Get reads a key: at or above every put that was acknowledged before.
 func (c *Client) Get(ctx context.Context, key string) (v Value, err error) {
-	err = c.call(ctx, http.MethodGet, "/api/Cells.Read/"+url.PathEscape(key), nil, 0, &v)
+	err = c.do(ctx, http.MethodGet, "/api/Cells.Read/"+url.PathEscape(key), nil, 0, &v)
 	return v, err
 }
 
@@ -188,7 +190,7 @@
 		Value string  `json:"value"`
 		Topic *uint64 `json:"topic,omitempty"`
 	}{value, revision}
-	err := c.call(ctx, http.MethodPost, "/api/Cells.Replace/"+url.PathEscape(key), body, 0, &v)
+	err := c.do(ctx, http.MethodPost, "/api/Cells.Replace/"+url.PathEscape(key), body, 0, &v)
 	return v.Revision, err
 }
 
@@ -208,6 +210,6 @@
 	}
 	path := "/api/watch/" + url.PathEscape(group) + "?after=" + strconv.FormatUint(after, 10) + "&wait_ms=" +
 		strconv.FormatInt(wait.Milliseconds(), 10)
-	err := c.call(ctx, http.MethodGet, path, nil, wait, &all)
+	err := c.do(ctx, http.MethodGet, path, nil, wait, &all)
 	return all.Events, all.Revision, err
 }
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -13,27 +13,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// node answers by what it is asked.
-type node struct {
-	mu    sync.Mutex
-	asked []string
-	say   func(path, body string) (status int, text string)
+// fakeNode answers by what it is asked.
+type fakeNode struct {
+	mu       sync.Mutex
+	requests []string
+	respond  func(path, body string) (status int, text string)
 }
 
-func (n *node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	n.mu.Lock()
-	n.asked = append(n.asked, r.URL.RequestURI()+" "+string(body))
-	status, text := n.say(r.URL.Path, string(body))
+	n.requests = append(n.requests, r.URL.RequestURI()+" "+string(body))
+	status, text := n.respond(r.URL.Path, string(body))
 	n.mu.Unlock()
 	w.WriteHeader(status)
 	io.WriteString(w, text)
 }
 
-func (n *node) count(part string) (found int) {
+func (n *fakeNode) count(part string) (found int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, a := range n.asked {
+	for _, a := range n.requests {
 		if strings.Contains(a, part) {
 			found++
 		}
@@ -41,8 +41,8 @@
 	return found
 }
 
-func serve(t *testing.T, say func(path, body string) (int, string)) (*node, *Client) {
-	n := &node{say: say}
+func newFakeNode(t *testing.T, say func(path, body string) (int, string)) (*fakeNode, *Client) {
+	n := &fakeNode{respond: say}
 	srv := httptest.NewServer(n)
 	t.Cleanup(srv.Close)
 	c, err := New(strings.TrimPrefix(srv.URL, "http://"))
@@ -51,7 +51,7 @@
 	return n, c
 }
 
-func within(t *testing.T, d time.Duration) context.Context {
+func contextWithTimeout(t *testing.T, d time.Duration) context.Context {
 	ctx, stop := context.WithTimeout(t.Context(), d)
 	t.Cleanup(stop)
 	return ctx
@@ -60,47 +60,47 @@
 // Each answer is the error that says what it promises.
 func TestErrors(t *testing.T) {
 	for status, want := range map[int]error{404: ErrNotFound, 410: ErrCompacted, 409: ErrHeld, 400: ErrInvalid} {
-		_, c := serve(t, func(string, string) (int, string) { return status, "" })
-		_, err := c.Get(within(t, time.Minute), "g.k")
+		_, c := newFakeNode(t, func(string, string) (int, string) { return status, "" })
+		_, err := c.Get(contextWithTimeout(t, time.Minute), "g.k")
 		must.ErrorIs(t, err, want)
 	}
-	_, c := serve(t, func(string, string) (int, string) { return 412, `{"revision":7}` })
-	_, err := c.PutAt(within(t, time.Minute), "g.k", "v", 3)
+	_, c := newFakeNode(t, func(string, string) (int, string) { return 412, `{"revision":7}` })
+	_, err := c.PutAt(contextWithTimeout(t, time.Minute), "g.k", "v", 3)
 	conflict, ok := err.(*ConflictError)
 	must.True(t, ok)
 	must.Eq(t, 7, conflict.Revision)
 }
 
 // A call without a clear answer is sent again, the same; if time runs out, only what surely did nothing is told so.
-func TestAgain(t *testing.T) {
+func TestRetry(t *testing.T) {
 	tries := 0
-	n, c := serve(t, func(string, string) (int, string) {
+	n, c := newFakeNode(t, func(string, string) (int, string) {
 		if tries++; tries < 3 {
 			return 504, ""
 		}
 		return 200, `{"revision":9}`
 	})
-	revision, err := c.PutAt(within(t, time.Minute), "g.k", "v", 3)
+	revision, err := c.PutAt(contextWithTimeout(t, time.Minute), "g.k", "v", 3)
 	must.NoError(t, err)
 	must.Eq(t, 9, revision)
 	must.Eq(t, 3, n.count(`{"value":"v","topic":3}`))
 	for status, want := range map[int]error{503: ErrUnavailable, 429: ErrUnavailable, 504: ErrUnclear} {
-		_, c := serve(t, nil)
+		_, c := newFakeNode(t, nil)
 		ctx, stop := context.WithCancel(t.Context())
-		c.http.Transport = lastAnswer{status, stop}
+		c.http.Transport = lastResponse{status, stop}
 		_, err := c.Next(ctx, "n")
 		must.ErrorIs(t, err, want)
 	}
 }
 
-// lastAnswer gives a whole answer, after which the caller's time is over.
-type lastAnswer struct {
+// lastResponse gives a whole answer, after which the caller's time is over.
+type lastResponse struct {
 	status int
-	stop   context.CancelFunc
+	cancel context.CancelFunc
 }
 
-func (a lastAnswer) RoundTrip(*http.Request) (*http.Response, error) {
-	a.stop()
+func (a lastResponse) RoundTrip(*http.Request) (*http.Response, error) {
+	a.cancel()
 	return &http.Response{StatusCode: a.status, Body: http.NoBody}, nil
 }
 
@@ -108,7 +108,7 @@
 func TestSession(t *testing.T) {
 	for name, renewal := range map[string]int{"nobody answers": 503, "lost": 409} {
 		beats := 0
-		_, c := serve(t, func(path, _ string) (int, string) {
+		_, c := newFakeNode(t, func(path, _ string) (int, string) {
 			if strings.Contains(path, "Begin") {
 				return 200, `{"fence":5}`
 			}
@@ -118,26 +118,26 @@
 			return 200, "{}"
 		})
 		hold, began := 300*time.Millisecond, time.Now()
-		s, err := c.Lock(within(t, time.Minute), "l", "me", hold)
+		s, err := c.Lock(contextWithTimeout(t, time.Minute), "l", "me", hold)
 		must.NoError(t, err)
 		must.Eq(t, 5, s.Fence())
 		<-s.Context().Done()
 		must.ErrorIs(t, context.Cause(s.Context()), ErrLost, must.Sprint(name))
-		must.Greater(t, 2*hold/renewalsInHold, time.Since(began))
+		must.Greater(t, 2*hold/renewalsPerTTL, time.Since(began))
 	}
 }
 
 // What is given back asks for no more time.
 func TestFinish(t *testing.T) {
-	n, c := serve(t, func(path, _ string) (int, string) {
+	n, c := newFakeNode(t, func(path, _ string) (int, string) {
 		if strings.Contains(path, "Begin") {
 			return 200, `{"fence":5}`
 		}
 		return 200, "{}"
 	})
-	s, err := c.Lock(within(t, time.Minute), "l", "me", time.Minute)
+	s, err := c.Lock(contextWithTimeout(t, time.Minute), "l", "me", time.Minute)
 	must.NoError(t, err)
-	must.NoError(t, s.Finish(within(t, time.Minute)))
+	must.NoError(t, s.Finish(contextWithTimeout(t, time.Minute)))
 	must.Error(t, s.Context().Err())
 	must.Eq(t, 1, n.count(`/api/Locks.Finish/l {"holder":"me","fence":5}`))
 	must.Eq(t, 0, n.count("Heartbeat"))
@@ -146,11 +146,11 @@
 // A lock that was given so late that its time has run out is not held.
 func TestLateLock(t *testing.T) {
 	late := make(chan struct{})
-	_, c := serve(t, func(string, string) (int, string) {
+	_, c := newFakeNode(t, func(string, string) (int, string) {
 		<-late // longer than the hold
 		return 200, `{"fence":5}`
 	})
 	t.Cleanup(func() { close(late) })
-	_, err := c.Lock(within(t, time.Minute), "l", "me", 50*time.Millisecond)
+	_, err := c.Lock(contextWithTimeout(t, time.Minute), "l", "me", 50*time.Millisecond)
 	must.ErrorIs(t, err, ErrUnclear)
 }
