--- a/cmd/clovergap/past.go
+++ b/cmd/clovergap/past.go
@@ -60,9 +60,9 @@
 
 var (
 	states  = map[control.BackendState]string{control.Ready: "Ready", control.Draining: "Terminating", control.Gone: "Gone"}
-	endings = map[control.Ending]string{control.Settled: "settled", control.Errored: "errored", control.Full: "full", control.TimedOut: "timed out",
-		control.Unreachable: "unreachable", control.Broken: "broken", control.CalledOff: "called off", control.NotSent: "not sent"}
-	finals = map[control.Verb]string{gate.Settled: "settled", control.Decline: "declined", control.Void: "voided"}
+	endings = map[control.Ending]string{control.Succeeded: "settled", control.Errored: "errored", control.Rejected: "full", control.TimedOut: "timed out",
+		control.Unreachable: "unreachable", control.ConnectionLost: "broken", control.Canceled: "called off", control.NotSent: "not sent"}
+	finals = map[control.Action]string{gate.Settled: "settled", control.Reject: "declined", control.Fail: "voided"}
 )
 
 // Sent, Ended and Final are the steps of a txn, as the gate tells them. A txn is named by this front door's number for
@@ -75,6 +75,6 @@
 	p.add(history.Event{Kind: "submission-over", Key: fmt.Sprint(txn), At: fmt.Sprint(at), N: float64(nr), What: endings[how]})
 }
 
-func (p *past) Final(txn slots.Ref, id string, how control.Verb) {
+func (p *past) Final(txn slots.Ref, id string, how control.Action) {
 	p.add(history.Event{Kind: "final", Txn: id, Key: fmt.Sprint(txn), What: finals[how]})
 }
--- a/cmd/clovergap/serve.go
+++ b/cmd/clovergap/serve.go
@@ -282,10 +282,10 @@
 func (f *front) listed(l discovery.List) {
 	failpoint.At(failpoint.BeforeList)
 	f.past.listed(l)
-	list := make([]control.Listing, 0, len(l.Entries))
+	list := make([]control.Endpoint, 0, len(l.Entries))
 	listed := map[control.BackendID]bool{}
 	for _, e := range l.Entries {
-		list = append(list, e.Listing)
+		list = append(list, e.Endpoint)
 		listed[e.ID] = true
 		f.dispatch.SetBackend(e.ID, e.Addr, e.Started, e.State == control.Ready)
 	}
--- a/control/account.go
+++ b/control/account.go
@@ -9,149 +9,149 @@
 
 // account is one customer here: the bucket if this gateway owns it, the view if not.
 type account struct {
-	id       CustomerID
-	limit    *limit
-	planID   PlanID
-	owner    GatewayID
-	first    GatewayID // of the set
-	width    int
-	inSet    bool
-	used     time.Duration
-	out      int     // submissions out from here
-	kept     float64 // units of txns that are covered and wait for a backend
-	keeps    int     // and how many these are
-	level    float64 // owner: remaining; other: the snapshot's remaining
-	levelAt  time.Duration
-	known    bool // a snapshot has come
-	version  uint64
-	reports  []*report
-	spent    bool // exhaustion told
-	unsent   float64
-	unacked  float64
-	dirty    bool
-	packed   time.Duration // last part of a delta
-	asked    time.Duration // oldest ask without an answer
-	sharers  int
-	outElse  int
-	part     float64 // ceiling's part left
-	partAt   time.Duration
-	listened bool
-	want     float64 // of the ceiling, to ask the owner for
-	wanted   float64 // units that a txn waits for
-	bare     float64 // by parts: units that it may spend without the owner's word
-	bareAt   time.Duration
-	bareOut  float64       // spent so, and not known to be covered or lost
-	bareSent float64       // of unsent
-	solo     bool          // spent of its part alone, and not all of that is acknowledged
-	toldAt   time.Duration // the owner has heard of it since then at the least
-	proving  float64       // acknowledged: the owner's next figures tell whether they were covered
-	lent     float64       // units that the owner holds for this gateway
-	lentAt   time.Duration
-	lentGone float64 // spent or let go, and not yet told
+	id                  CustomerID
+	limit               *limit
+	planID              PlanID
+	owner               GatewayID
+	setFirst            GatewayID // of the set
+	setWidth            int
+	placed              bool
+	usedAt              time.Duration
+	inFlight            int     // submissions out from here
+	reserved            float64 // units of txns that are covered and wait for a backend
+	reservations        int     // and how many these are
+	level               float64 // owner: remaining; other: the snapshot's remaining
+	levelAt             time.Duration
+	hasSnapshot         bool // a snapshot has come
+	version             uint64
+	reports             []*report
+	exhausted           bool // exhaustion told
+	unreported          float64
+	unacked             float64
+	dirty               bool
+	reportedAt          time.Duration // last part of a delta
+	requestedAt         time.Duration // oldest ask without an answer
+	reporters           int
+	inFlightElsewhere   int
+	hardShare           float64 // ceiling's part left
+	hardShareAt         time.Duration
+	inSet               bool
+	hardWanted          float64 // of the ceiling, to ask the owner for
+	unitsWanted         float64 // units that a txn waits for
+	allowance           float64 // by parts: units that it may spend without the owner's word
+	allowanceAt         time.Duration
+	allowanceUsed       float64       // spent so, and not known to be covered or lost
+	allowanceUnreported float64       // of unsent
+	usedIsolated        bool          // spent of its part alone, and not all of that is acknowledged
+	ackedSince          time.Duration // the owner has heard of it since then at the least
+	allowanceAcked      float64       // acknowledged: the owner's next figures tell whether they were covered
+	granted             float64       // units that the owner holds for this gateway
+	grantedAt           time.Duration
+	grantUsed           float64 // spent or let go, and not yet told
 }
 
 type report struct {
-	from   GatewayID
-	left   float64 // told last
-	at     time.Duration
-	out    int
-	want   float64 // of the ceiling
-	wanted float64 // units that a txn waits for
-	units  float64 // told that it may spend them, and not yet reported; by parts: lent
-	told   time.Duration
-	part   float64 // of the rate: kept for it while it is silent
+	from          GatewayID
+	snapshotLevel float64 // told last
+	receivedAt    time.Duration
+	inFlight      int
+	hardWanted    float64 // of the ceiling
+	unitsWanted   float64 // units that a txn waits for
+	granted       float64 // told that it may spend them, and not yet reported; by parts: lent
+	grantedAt     time.Duration
+	withheld      float64 // of the rate: kept for it while it is silent
 }
 
-// sent counts submissions out.
-func (q *Quota) sent(a *account, n int) {
-	a.out += n
-	q.outChanged(a)
+// addInFlight counts submissions out.
+func (q *Limiter) addInFlight(a *account, n int) {
+	a.inFlight += n
+	q.inFlightChanged(a)
 }
 
 // account finds or makes the account of a customer.
-func (q *Quota) account(id CustomerID, pl PlanID) *account {
+func (q *Limiter) account(id CustomerID, pl PlanID) *account {
 	a := q.accounts[id]
 	if a == nil {
-		a = &account{id: id, planID: pl, owner: q.me, sharers: 1, used: q.now, bareAt: q.now}
-		if q.ofPlan != nil {
-			a.limit = q.ofPlan(pl)
-			a.level, a.levelAt = q.sinceBirth(a), q.now
+		a = &account{id: id, planID: pl, owner: q.self, reporters: 1, usedAt: q.now, allowanceAt: q.now}
+		if q.planLimit != nil {
+			a.limit = q.planLimit(pl)
+			a.level, a.levelAt = q.initialLevel(a), q.now
 		}
-		a.part, a.partAt = 0, q.born
+		a.hardShare, a.hardShareAt = 0, q.startedAt
 		q.accounts[id] = a
-		q.order = append(q.order, a)
+		q.ordered = append(q.ordered, a)
 	}
 	return a
 }
 
-func (q *Quota) mark(a *account) {
-	if !a.dirty && a.owner != q.me {
+func (q *Limiter) scheduleReport(a *account) {
+	if !a.dirty && a.owner != q.self {
 		a.dirty = true
 		p := q.peers[a.owner]
 		p.dirty = append(p.dirty, a)
-		q.post(p)
+		q.schedulePeer(p)
 	}
 }
 
-func (q *Quota) outChanged(a *account) {
-	if a.limit.openCap > 0 {
-		q.mark(a)
+func (q *Limiter) inFlightChanged(a *account) {
+	if a.limit.maxInFlight > 0 {
+		q.scheduleReport(a)
 	}
 }
 
-// reporters counts the gateways that reported lately, and, but for one of them, their submissions out and
+// recentReporters counts the gateways that reported lately, and, but for one of them, their submissions out and
 // the units they have just been told of.
-func (q *Quota) reporters(a *account, but *peer) (n, out int, told float64) {
+func (q *Limiter) recentReporters(a *account, but *peer) (n, out int, told float64) {
 	for _, r := range a.reports {
-		if q.now-r.at < reporterFor {
+		if q.now-r.receivedAt < reporterTTL {
 			n++
 			if but != nil && r.from == but.id {
 				continue
 			}
-			out += r.out
-			if !q.terms.Parts && q.now-r.told < q.answerIn(a) {
-				told += r.units
+			out += r.inFlight
+			if !q.config.Strict && q.now-r.grantedAt < q.answerTimeout(a) {
+				told += r.granted
 			}
 		}
 	}
 	return n, out, told
 }
 
-// lentOut is what is lent of an owned bucket, and may have been spent. A gateway that is silent for a window more has
+// outstandingGrants is what is lent of an owned bucket, and may have been spent. A gateway that is silent for a window more has
 // spent it before that, or let go of it.
-func (q *Quota) lentOut(a *account) (units float64) {
-	if q.terms.Parts {
+func (q *Limiter) outstandingGrants(a *account) (units float64) {
+	if q.config.Strict {
 		for _, r := range a.reports {
-			if q.now-r.told >= lentHeld {
-				r.units = 0
+			if q.now-r.grantedAt >= grantMaxAge {
+				r.granted = 0
 			}
-			units += r.units
+			units += r.granted
 		}
 	}
 	return units
 }
 
-// lentNow is what this gateway has of what the owner lent it. What is not used soon it lets go.
-func (q *Quota) lentNow(a *account) float64 {
-	if q.now-a.lentAt >= lentFor {
-		a.lent, a.lentGone = 0, a.lentGone+a.lent
+// currentGrant is what this gateway has of what the owner lent it. What is not used soon it lets go.
+func (q *Limiter) currentGrant(a *account) float64 {
+	if q.now-a.grantedAt >= grantTTL {
+		a.granted, a.grantUsed = 0, a.grantUsed+a.granted
 	}
-	return a.lent
+	return a.granted
 }
 
-// proved settles acknowledged units that were spent on no word: where the owner has units left, they were covered.
-func (q *Quota) proved(a *account, left float64) {
-	back := min(a.proving, a.bareOut)
-	if q.bareNow(a); left > 0 {
-		a.bare += back
+// confirmAllowance settles acknowledged units that were spent on no word: where the owner has units left, they were covered.
+func (q *Limiter) confirmAllowance(a *account, left float64) {
+	back := min(a.allowanceAcked, a.allowanceUsed)
+	if q.allowanceNow(a); left > 0 {
+		a.allowance += back
 	}
-	a.proving, a.bareOut = 0, a.bareOut-back
+	a.allowanceAcked, a.allowanceUsed = 0, a.allowanceUsed-back
 }
 
-// give puts of a reporter's part of the rate into the bucket.
-func (q *Quota) give(a *account, r *report, units float64) {
-	if units = min(units, r.part); units > 0 {
-		a.level, r.part = min(a.limit.burst, a.level+units), r.part-units
+// releaseWithheld puts of a reporter's part of the rate into the bucket.
+func (q *Limiter) releaseWithheld(a *account, r *report, units float64) {
+	if units = min(units, r.withheld); units > 0 {
+		a.level, r.withheld = min(a.limit.burst, a.level+units), r.withheld-units
 	}
 }
 
@@ -162,154 +162,156 @@
 			return r
 		}
 	}
-	r := &report{from: from, at: -reporterFor}
+	r := &report{from: from, receivedAt: -reporterTTL}
 	a.reports = append(a.reports, r)
 	return r
 }
 
-// outElse is how many submissions other gateways have out for a customer, as far as told.
-func (q *Quota) outElse(a *account) int {
-	if a.owner == q.me {
-		_, out, _ := q.reporters(a, nil)
+// inFlightElsewhere is how many submissions other gateways have out for a customer, as far as told.
+func (q *Limiter) inFlightElsewhere(a *account) int {
+	if a.owner == q.self {
+		_, out, _ := q.recentReporters(a, nil)
 		return out
 	}
-	return a.outElse
+	return a.inFlightElsewhere
 }
 
-// place works out the owner: rendezvous hashing over the customer's set, the same at every gateway.
-func (q *Quota) place(a *account, setFirst GatewayID, width int) {
+// assignOwner works out the owner: rendezvous hashing over the customer's set, the same at every gateway.
+func (q *Limiter) assignOwner(a *account, setFirst GatewayID, width int) {
 	width = min(max(width, 1), q.gateways)
 	first := GatewayID(max(int(setFirst), 0) % q.gateways)
-	if a.inSet && a.first == first && a.width == width {
+	if a.placed && a.setFirst == first && a.setWidth == width {
 		return
 	}
-	if a.inSet { // a peer had told another set: what this one had of a ceiling by it is void
-		a.part, a.partAt = 0, q.now
+	if a.placed { // a peer had told another set: what this one had of a ceiling by it is void
+		a.hardShare, a.hardShareAt = 0, q.now
 	}
-	a.inSet, a.first, a.width, a.sharers = true, first, width, width
-	a.owner = ownerOf(a.id, first, a.width, q.gateways)
-	a.listened = (int(q.me-first)%q.gateways+q.gateways)%q.gateways < a.width
-	if a.owner != q.me {
-		a.level, a.known = 0, false
+	a.placed, a.setFirst, a.setWidth, a.reporters = true, first, width, width
+	a.owner = ownerOf(a.id, first, a.setWidth, q.gateways)
+	a.inSet = (int(q.self-first)%q.gateways+q.gateways)%q.gateways < a.setWidth
+	if a.owner != q.self {
+		a.level, a.hasSnapshot = 0, false
 	}
 }
 
-// partNow brings this gateway's part of a ceiling up to now.
-func (q *Quota) partNow(a *account) float64 {
-	fill := a.limit.ceilRate * q.partOf(a) * (q.now - a.partAt).Seconds()
-	a.part, a.partAt = min(q.partCap(a), a.part+fill), q.now
-	return a.part
+// hardShareNow brings this gateway's part of a ceiling up to now.
+func (q *Limiter) hardShareNow(a *account) float64 {
+	fill := a.limit.hardRate * q.hardFraction(a) * (q.now - a.hardShareAt).Seconds()
+	a.hardShare, a.hardShareAt = min(q.hardShareCap(a), a.hardShare+fill), q.now
+	return a.hardShare
 }
 
-// partCap is what it holds at most.
-func (q *Quota) partCap(a *account) float64 { return a.limit.ceilBurst * q.partOf(a) }
+// hardShareCap is what it holds at most.
+func (q *Limiter) hardShareCap(a *account) float64 { return a.limit.hardBurst * q.hardFraction(a) }
 
 // refill brings an owned bucket up to now.
-func (q *Quota) refill(a *account) {
+func (q *Limiter) refill(a *account) {
 	if q.now >= a.levelAt {
-		a.level = min(a.limit.burst, a.level+q.filled(a, q.now-a.levelAt))
+		a.level = min(a.limit.burst, a.level+q.refillAmount(a, q.now-a.levelAt))
 		a.levelAt = q.now
 	}
 }
 
-// sinceBirth is what a bucket that was empty when this gateway started holds by now.
-func (q *Quota) sinceBirth(a *account) float64 {
-	level := a.limit.rate * max(0, q.now-q.since-q.terms.Fence).Seconds()
-	if q.allNew && q.elders == 0 {
-		level += q.startOf(a)
+// initialLevel is what a bucket that was empty when this gateway started holds by now.
+func (q *Limiter) initialLevel(a *account) float64 {
+	level := a.limit.rate * max(0, q.now-q.ownersSince-q.config.OwnershipDelay).Seconds()
+	if q.freshCluster && q.olderPeers == 0 {
+		level += q.initialFill(a)
 	}
 	return min(a.limit.burst, level)
 }
 
-// startOf is what a bucket begins with in a fleet that is all new.
-func (q *Quota) startOf(a *account) float64 {
-	start := q.terms.Start * a.limit.burst
-	if q.terms.Parts {
-		start = min(start, a.limit.rate*startMost.Seconds())
+// initialFill is what a bucket begins with in a fleet that is all new.
+func (q *Limiter) initialFill(a *account) float64 {
+	start := q.config.InitialFill * a.limit.burst
+	if q.config.Strict {
+		start = min(start, a.limit.rate*maxInitialFill.Seconds())
 	}
 	return start
 }
 
-// ask makes the account part of the next delta, with nought if need be, unless a question is on its way.
-func (q *Quota) ask(a *account) {
-	if a.asked == 0 {
-		a.asked = q.now
-	} else if q.now-a.packed < q.answerIn(a) {
+// requestSnapshot makes the account part of the next delta, with nought if need be, unless a question is on its way.
+func (q *Limiter) requestSnapshot(a *account) {
+	if a.requestedAt == 0 {
+		a.requestedAt = q.now
+	} else if q.now-a.reportedAt < q.answerTimeout(a) {
 		return
 	}
-	q.mark(a)
+	q.scheduleReport(a)
 }
 
-// outOf is what a delta tells beside units: submissions out; by parts, after a time alone, what may be part of that and is
+// reportedInFlight is what a delta tells beside units: submissions out; by parts, after a time alone, what may be part of that and is
 // yet to be told of or acknowledged, but for the delta's own.
-func (q *Quota) outOf(a *account, but float64) int {
+func (q *Limiter) reportedInFlight(a *account, but float64) int {
 	switch {
-	case !q.terms.Parts:
-		return a.out
+	case !q.config.Strict:
+		return a.inFlight
 	case a.unacked <= 0:
-		a.solo = false
-	case a.solo:
-		return int(math.Ceil(max(0, a.unacked+a.unsent-but)))
+		a.usedIsolated = false
+	case a.usedIsolated:
+		return int(math.Ceil(max(0, a.unacked+a.unreported-but)))
 	}
 	return 0
 }
 
-// spend draws units from the bucket, the view and the ceiling's part.
-func (q *Quota) spend(a *account, units float64) {
-	if a.limit.ceilRate > 0 {
-		a.part -= units
+// consume draws units from the bucket, the view and the ceiling's part.
+func (q *Limiter) consume(a *account, units float64) {
+	if a.limit.hardRate > 0 {
+		a.hardShare -= units
 	}
 	if a.limit.rate <= 0 {
 		return
 	}
-	if a.owner == q.me {
+	if a.owner == q.self {
 		q.refill(a)
 		q.draw(a, units)
 		return
 	}
-	if q.terms.Parts {
-		q.spendAway(a, units)
+	if q.config.Strict {
+		q.consumeRemote(a, units)
 	}
-	a.unsent += units
-	q.mark(a)
+	a.unreported += units
+	q.scheduleReport(a)
 }
 
-// spendAway takes units of what is lent or, where that is not enough, of what may be spent on no word.
-func (q *Quota) spendAway(a *account, units float64) {
-	if q.lentNow(a) >= units {
-		a.lent, a.lentGone = a.lent-units, a.lentGone+units
+// consumeRemote takes units of what is lent or, where that is not enough, of what may be spent on no word.
+func (q *Limiter) consumeRemote(a *account, units float64) {
+	if q.currentGrant(a) >= units {
+		a.granted, a.grantUsed = a.granted-units, a.grantUsed+units
 		return
 	}
-	q.bareNow(a)
-	if a.bare -= units; q.aloneFrom(a) >= q.now {
-		a.bareOut, a.bareSent = a.bareOut+units, a.bareSent+units
+	q.allowanceNow(a)
+	if a.allowance -= units; q.isolatedFrom(a) >= q.now {
+		a.allowanceUsed, a.allowanceUnreported = a.allowanceUsed+units, a.allowanceUnreported+units
 	} else {
-		a.solo = true
+		a.usedIsolated = true
 	}
 }
 
-// early tells whether parts of the rate are kept for gateways that have just fallen silent. Of a small quota they come to
+// withholdsEarly tells whether parts of the rate are kept for gateways that have just fallen silent. Of a small quota they come to
 // nothing in that time, and to keep them would only delay it.
-func (q *Quota) early(a *account) bool { return a.limit.rate >= earlyFrom*float64(q.gateways) }
+func (q *Limiter) withholdsEarly(a *account) bool {
+	return a.limit.rate >= minWithholdRate*float64(q.gateways)
+}
 
-// aloneFrom is when this gateway's part of the rate is its own, or later than now. The owner is silent, and either lost for
+// isolatedFrom is when this gateway's part of the rate is its own, or later than now. The owner is silent, and either lost for
 // so long that it knows that of this gateway too, or it was told of the customer shortly before: then it keeps the part.
-func (q *Quota) aloneFrom(a *account) time.Duration {
-	p, asked := q.peers[a.owner], a.asked
-	for _, f := range p.flight {
-		if asked == 0 || f.sent < asked {
-			asked = f.sent
+func (q *Limiter) isolatedFrom(a *account) time.Duration {
+	p, asked := q.peers[a.owner], a.requestedAt
+	for _, f := range p.unacked {
+		if asked == 0 || f.firstSentAt < asked {
+			asked = f.firstSentAt
 		}
 	}
 	if asked == 0 {
 		return q.now
 	}
-	from := max(asked, p.heard, q.stallTo) + askTries*q.answerIn(a)
-	if q.early(a) && a.toldAt > 0 && asked-a.toldAt < activeIn {
+	from := max(asked, p.receivedAt, q.pausedUntil) + ownerAttempts*q.answerTimeout(a)
+	if q.withholdsEarly(a) && a.ackedSince > 0 && asked-a.ackedSince < recentReport {
 		return from
 	}
-	if p.lostAt == 0 {
+	if p.unreachableSince == 0 {
 		return q.now
 	}
-	return max(from, p.lostAt+lostLag)
+	return max(from, p.unreachableSince+reachabilityLag)
 }
--- a/control/bound_test.go
+++ b/control/bound_test.go
@@ -9,10 +9,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// storm is a cut with all gateways pressed without end: each spends whatever is covered, at once. Gateways [0, k) after the
+// partitionStorm is a cut with all gateways pressed without end: each spends whatever is covered, at once. Gateways [0, k) after the
 // owner are cut off from it and from the others on its side.
-type storm struct {
-	*crew
+type partitionStorm struct {
+	*cluster
 	k            int
 	rate, burst  float64
 	split        bool
@@ -22,43 +22,43 @@
 	step         time.Duration
 }
 
-func newStorm(t *testing.T, n, k int, rate, burst float64) *storm {
-	s := &storm{crew: newCrew(t, n, rate, burst), k: k, rate: rate, burst: burst, in: true, out: true, step: 10 * ms,
-		found: 2900 * ms, healy: 900 * ms}
+func newPartitionStorm(t *testing.T, n, k int, rate, burst float64) *partitionStorm {
+	s := &partitionStorm{cluster: newCluster(t, n, rate, burst), k: k, rate: rate, burst: burst, in: true, out: true, step: 10 * millisecond,
+		found: 2900 * millisecond, healy: 900 * millisecond}
 	return s
 }
 
-// far tells whether a gateway is on the other side than the owner.
-func (s *storm) far(g GatewayID) bool {
-	n := len(s.all)
+// isolated tells whether a gateway is on the other side than the owner.
+func (s *partitionStorm) isolated(g GatewayID) bool {
+	n := len(s.limiters)
 	return (int(g)-int(s.owner())-1+n)%n < s.k
 }
 
-// cutNow parts the sides, or joins them; gateways find it within a span, in an order that chance gives.
-func (s *storm) cutNow(off bool) {
+// partition parts the sides, or joins them; gateways find it within a span, in an order that chance gives.
+func (s *partitionStorm) partition(off bool) {
 	s.split = off
-	for i := range s.all {
-		for j := range s.all {
-			if a, b := GatewayID(i), GatewayID(j); s.far(a) != s.far(b) {
-				s.cut[[2]GatewayID{a, b}] = off && (s.far(b) && s.in || s.far(a) && s.out)
+	for i := range s.limiters {
+		for j := range s.limiters {
+			if a, b := GatewayID(i), GatewayID(j); s.isolated(a) != s.isolated(b) {
+				s.partitioned[[2]GatewayID{a, b}] = off && (s.isolated(b) && s.in || s.isolated(a) && s.out)
 			}
 		}
 	}
 }
 
-// tell tells one gateway who is in reach.
-func (s *storm) tell(g GatewayID, split bool) {
-	live := make([]bool, len(s.all))
+// notify tells one gateway who is in reach.
+func (s *partitionStorm) notify(g GatewayID, split bool) {
+	live := make([]bool, len(s.limiters))
 	for i := range live {
-		live[i] = !split || s.far(g) == s.far(GatewayID(i))
+		live[i] = !split || s.isolated(g) == s.isolated(GatewayID(i))
 	}
-	if s.all[g] != nil {
-		s.all[g].Reach(live)
+	if s.limiters[g] != nil {
+		s.limiters[g].SetReachable(live)
 	}
 }
 
-// goes goes on for a while. What was told by the end of findings is told when it is due.
-func (s *storm) goes(d time.Duration, due map[time.Duration][]func()) {
+// advance goes on for a while. What was told by the end of findings is told when it is due.
+func (s *partitionStorm) advance(d time.Duration, due map[time.Duration][]func()) {
 	for end := s.now + d; s.now < end; {
 		s.now += s.step
 		for at, all := range due {
@@ -69,21 +69,21 @@
 				delete(due, at)
 			}
 		}
-		for _, i := range s.chance.Perm(len(s.all)) {
-			q := s.all[i]
+		for _, i := range s.rng.Perm(len(s.limiters)) {
+			q := s.limiters[i]
 			if q == nil {
 				continue
 			}
 			q.Now(s.now)
 			for tries := 0.0; s.pressed && tries <= s.rate+s.burst; tries++ { // more at once is over any bound
-				if v, _ := q.Covered(watched, Wish{Units: 1, Arrived: s.now, SLA: 400 * ms}); v != Pass {
+				if v, _ := q.Check(watched, Request{Units: 1, Arrived: s.now, SLA: 400 * millisecond}); v != Allowed {
 					break
 				}
-				q.Spend(watched, 1)
-				s.spent = append(s.spent, s.now)
+				q.Consume(watched, 1)
+				s.consumed = append(s.consumed, s.now)
 			}
 		}
-		s.carry()
+		s.deliver()
 	}
 }
 
@@ -92,41 +92,41 @@
 	"once":      {0, 12 * time.Second},
 	"before":    {-2 * time.Second, 9 * time.Second},
 	"long ago":  {-20 * time.Second, 6 * time.Second},
-	"rush then": {300 * ms, 8 * time.Second},
-	"thrice":    {0, 700 * ms, 1200 * ms, 2200 * ms, 2900 * ms, 9 * time.Second},
-	"by turns":  {0, 4500 * ms, 5 * time.Second, 9500 * ms, 10 * time.Second, 14 * time.Second},
+	"rush then": {300 * millisecond, 8 * time.Second},
+	"thrice":    {0, 700 * millisecond, 1200 * millisecond, 2200 * millisecond, 2900 * millisecond, 9 * time.Second},
+	"by turns":  {0, 4500 * millisecond, 5 * time.Second, 9500 * millisecond, 10 * time.Second, 14 * time.Second},
 }
 
-// plays a plan; each gateway finds a change after a while of its own.
-func (s *storm) plays(plan []time.Duration, spread bool) {
+// play a plan; each gateway finds a change after a while of its own.
+func (s *partitionStorm) play(plan []time.Duration, spread bool) {
 	due := map[time.Duration][]func(){}
 	add := func(at time.Duration, do func()) { due[at] = append(due[at], do) }
 	const rush = 40 * time.Second
 	for i, after := range plan {
 		off, at := i%2 == 0, rush+after
-		add(at, func() { s.cutNow(off) })
-		for g := range s.all {
+		add(at, func() { s.partition(off) })
+		for g := range s.limiters {
 			wait := s.found
 			if !off {
 				wait = s.healy
 			}
 			if spread {
-				wait -= time.Duration(s.chance.Int63n(int64(900 * ms)))
+				wait -= time.Duration(s.rng.Int63n(int64(900 * millisecond)))
 			}
 			add(at+wait+time.Duration(g), func() { // found only if it is still so
 				if s.split == off {
-					s.tell(GatewayID(g), off)
+					s.notify(GatewayID(g), off)
 				}
 			})
 		}
 	}
-	calm := rush + min(plan[0], 0) - 100*ms
-	s.step = 50 * ms
-	s.goes(calm, due) // in the end buckets are full, and each gateway has its part
-	s.step = 10 * ms
-	s.goes(rush-calm, due)
+	calm := rush + min(plan[0], 0) - 100*millisecond
+	s.step = 50 * millisecond
+	s.advance(calm, due) // in the end buckets are full, and each gateway has its part
+	s.step = 10 * millisecond
+	s.advance(rush-calm, due)
 	s.pressed = true
-	s.goes(plan[len(plan)-1]+4*time.Second, due)
+	s.advance(plan[len(plan)-1]+4*time.Second, due)
 }
 
 // A cut bears the rule whoever is on which side: all numbers of gateways cut off from the owner, small and large rates and
@@ -142,10 +142,10 @@
 					if n == 12 && nr%6 != 0 { // a part of these, all k and all limits
 						continue
 					}
-					s := newStorm(t, n, k, l[0], l[1])
+					s := newPartitionStorm(t, n, k, l[0], l[1])
 					s.in, s.out = nr%3 != 1, nr%3 != 2 // some one way
-					s.plays(plan, (k+i)%2 == 0)
-					s.bounded(fmt.Sprintf("%d of %d, %v, %s", k, n, l, name))
+					s.play(plan, (k+i)%2 == 0)
+					s.mustBeBounded(fmt.Sprintf("%d of %d, %v, %s", k, n, l, name))
 				}
 			}
 		}
@@ -157,26 +157,26 @@
 	for _, l := range [][2]float64{{6, 6}, {20, 20}, {200, 200}, {20, 400}, {400, 20}} {
 		for _, n := range []int{2, 3, 5, 12} {
 			for who := range 3 {
-				s := newStorm(t, n, 1, l[0], l[1])
-				s.step = 50 * ms
-				s.goes(40*time.Second, nil)
-				s.step, s.pressed = 10*ms, true
+				s := newPartitionStorm(t, n, 1, l[0], l[1])
+				s.step = 50 * millisecond
+				s.advance(40*time.Second, nil)
+				s.step, s.pressed = 10*millisecond, true
 				for life := range int64(10) {
-					s.goes(300*ms, nil)
+					s.advance(300*millisecond, nil)
 					var gone []GatewayID
-					for i := range s.all {
+					for i := range s.limiters {
 						g := GatewayID(i)
-						if who == 2 && s.chance.Intn(2) == 0 || who < 2 && (g == s.owner()) == (who == 0) {
-							gone, s.all[i] = append(gone, g), nil
+						if who == 2 && s.rng.Intn(2) == 0 || who < 2 && (g == s.owner()) == (who == 0) {
+							gone, s.limiters[i] = append(gone, g), nil
 						}
 					}
-					s.goes(400*ms, nil)
+					s.advance(400*millisecond, nil)
 					for _, g := range gone {
-						s.all[g] = NewQuota(100*life+int64(g)+50, g, n, s.now, gatewayTerms)
-						s.all[g].SetLimit(watched, l[0], l[1])
+						s.limiters[g] = NewLimiter(100*life+int64(g)+50, g, n, s.now, gatewayTerms)
+						s.limiters[g].SetLimit(watched, l[0], l[1])
 					}
 				}
-				s.bounded(fmt.Sprintf("%d, %v, %d", n, l, who))
+				s.mustBeBounded(fmt.Sprintf("%d, %v, %d", n, l, who))
 			}
 		}
 	}
@@ -186,31 +186,31 @@
 func TestQuotaAnyGrowth(t *testing.T) {
 	for _, l := range [][2]float64{{6, 6}, {20, 20}, {200, 200}, {20, 400}, {400, 20}} {
 		for seed := range int64(8) {
-			s := newStorm(t, 2, 1, l[0], l[1])
-			s.chance, s.step = rand.New(rand.NewSource(seed)), 50*ms
-			s.goes(40*time.Second, nil)
-			s.step, s.pressed = 10*ms, true
+			s := newPartitionStorm(t, 2, 1, l[0], l[1])
+			s.rng, s.step = rand.New(rand.NewSource(seed)), 50*millisecond
+			s.advance(40*time.Second, nil)
+			s.step, s.pressed = 10*millisecond, true
 			for n := 3; n <= 8; n++ {
-				q := NewQuota(int64(n)+100, 0, 1, s.now, gatewayTerms)
+				q := NewLimiter(int64(n)+100, 0, 1, s.now, gatewayTerms)
 				q.SetLimit(watched, l[0], l[1])
 				q.Grow(GatewayID(n-1), n)
-				s.all = append(s.all, q)
-				for _, i := range s.chance.Perm(n - 1) {
-					s.goes(time.Duration(s.chance.Int63n(int64(time.Second)/int64(n))), nil)
-					s.all[i].Grow(GatewayID(i), n)
+				s.limiters = append(s.limiters, q)
+				for _, i := range s.rng.Perm(n - 1) {
+					s.advance(time.Duration(s.rng.Int63n(int64(time.Second)/int64(n))), nil)
+					s.limiters[i].Grow(GatewayID(i), n)
 				}
 			}
-			s.goes(5*time.Second, nil)
-			s.bounded(fmt.Sprintf("%v, %d", l, seed))
+			s.advance(5*time.Second, nil)
+			s.mustBeBounded(fmt.Sprintf("%v, %d", l, seed))
 		}
 	}
 }
 
-func (s *storm) bounded(what string) {
+func (s *partitionStorm) mustBeBounded(what string) {
 	s.t.Helper()
 	first, most := 0, 0
-	for i, at := range s.spent {
-		for ; s.spent[first] <= at-5*time.Second; first++ {
+	for i, at := range s.consumed {
+		for ; s.consumed[first] <= at-5*time.Second; first++ {
 		}
 		most = max(most, i-first+1)
 	}
@@ -220,15 +220,15 @@
 // An owner that starts again is believed at once: its versions begin anew, and what it lends must not count as told before.
 // Nodes without units of their own refused most of what was owed until it had sent as many messages as in its life before.
 func TestQuotaLentByNextLife(t *testing.T) {
-	c := newCrew(t, 12, 100, 100)
+	c := newCluster(t, 12, 100, 100)
 	c.run(20*time.Second, 5)
 	g := c.owner()
-	c.all[g] = NewQuota(99, g, 12, c.now, gatewayTerms)
-	c.all[g].SetLimit(watched, 100, 100)
-	for i := range c.all {
+	c.limiters[g] = NewLimiter(99, g, 12, c.now, gatewayTerms)
+	c.limiters[g].SetLimit(watched, 100, 100)
+	for i := range c.limiters {
 		if GatewayID(i) != g { // what they may spend on no word is used up
-			a := c.all[i].accounts[watched]
-			a.bare, a.bareAt = 0, c.now+time.Minute
+			a := c.limiters[i].accounts[watched]
+			a.allowance, a.allowanceAt = 0, c.now+time.Minute
 		}
 	}
 	c.run(2*time.Second, 5)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -6,19 +6,19 @@
 )
 
 func Example_endings() {
-	s := warm()
+	s := newWarmScenario()
 	c := ownedBy(0)
-	for id, e := range []Ending{Settled, Errored, Full, TimedOut, Unreachable, Broken} {
+	for id, e := range []Ending{Succeeded, Errored, Rejected, TimedOut, Unreachable, ConnectionLost} {
 		fmt.Println("#", id, "inquiry-like, then ending", e)
 		s.txn(TxnID(id), c, 0, 0)
 		s.ended(TxnID(id), e)
-		if s.d.txns[TxnID(id)] != nil {
+		if s.controller.txns[TxnID(id)] != nil {
 			s.ended(TxnID(id), e)
 		}
-		if s.d.txns[TxnID(id)] != nil {
+		if s.controller.txns[TxnID(id)] != nil {
 			s.ended(TxnID(id), e)
 		}
-		s.d.ClientLeft(TxnID(id)) // an id no longer held is passed over
+		s.controller.ClientLeft(TxnID(id)) // an id no longer held is passed over
 		s.pull()
 	}
 	// Output:
@@ -52,13 +52,13 @@
 }
 
 func Example_expiry() {
-	s := warm()
+	s := newWarmScenario()
 	s.txn(1, ownedBy(0), 2, 0)
-	s.at(11997)
-	s.at(11998)
-	s.d.SubmissionEnded(1, 0, 1, TimedOut, false, 0, nil) // its own outcome comes after the answer
-	s.at(12100)
-	fmt.Println(len(s.d.txns), "held")
+	s.advance(11997)
+	s.advance(11998)
+	s.controller.SubmissionEnded(1, 0, 1, TimedOut, false, 0, nil) // its own outcome comes after the answer
+	s.advance(12100)
+	fmt.Println(len(s.controller.txns), "held")
 	// Output:
 	// 10000 submit 1 to 1
 	// 11998 void 1
@@ -67,12 +67,12 @@
 }
 
 func Example_onceOnly() {
-	s := warm()
+	s := newWarmScenario()
 	fmt.Println("# proved not to have run: again elsewhere, then declined")
 	s.txn(1, ownedBy(0), 2, 0)
 	s.ended(1, Unreachable)
-	s.ended(1, Full)
-	s.ended(1, Full)
+	s.ended(1, Rejected)
+	s.ended(1, Rejected)
 	fmt.Println("# may have run: voided at once")
 	s.txn(2, ownedBy(0), 2, 0)
 	s.ended(2, Errored)
@@ -88,20 +88,20 @@
 }
 
 func Example_referenced() {
-	s := warm()
+	s := newWarmScenario()
 	fmt.Println("# repeats stay in the pod of the first that may have run")
 	s.txn(1, ownedBy(0), 1, 0)
-	s.ended(1, Broken)
-	s.ended(1, Broken)
+	s.ended(1, ConnectionLost)
+	s.ended(1, ConnectionLost)
 	fmt.Println("# and inside the window: with the time over it is voided")
 	s.txn(2, ownedBy(0), 1, 0)
-	s.d.products[1].window = 0
-	s.ended(2, Broken)
+	s.controller.products[1].repeatWindow = 0
+	s.ended(2, ConnectionLost)
 	fmt.Println("# where all backends know repeats, it may be declined")
 	s.txn(3, ownedBy(0), 3, 0)
-	s.ended(3, Broken)
-	s.ended(3, Broken)
-	s.ended(3, Broken)
+	s.ended(3, ConnectionLost)
+	s.ended(3, ConnectionLost)
+	s.ended(3, ConnectionLost)
 	// Output:
 	// # repeats stay in the pod of the first that may have run
 	// 10000 submit 1 to 1, 446
@@ -118,14 +118,14 @@
 }
 
 func Example_draining() {
-	s := warm()
-	s.list(false, Listing{ID: 1, State: Draining}, Listing{ID: 2, State: Gone})
+	s := newWarmScenario()
+	s.list(false, Endpoint{ID: 1, State: Draining}, Endpoint{ID: 2, State: Gone})
 	for id := TxnID(1); id < 5; id++ {
 		s.txn(id, ownedBy(0)+CustomerID(id), 0, 0)
 	}
 	s.list(true) // an empty list: nothing is ready
 	s.txn(9, ownedBy(0), 0, 0)
-	s.at(10200)
+	s.advance(10200)
 	// Output:
 	// 10000 submit 1 to 3, 446
 	// 10000 submit 2 to 3, 446
@@ -135,16 +135,16 @@
 }
 
 // sends counts what goes to a backend while txns of one product come every 10 ms for a span.
-func (s *scene) sends(id BackendID, from, to int) (n int) {
+func (s *scenario) sends(id BackendID, from, to int) (n int) {
 	for at := from; at < to; at += 10 {
-		s.d.Now(ms * time.Duration(at))
-		s.d.TxnTaken(Txn{ID: TxnID(at), Customer: CustomerID(at), SetWidth: 3, Units: 1, Expiry: s.d.now + time.Second})
-		for x, ok := s.d.Next(); ok; x, ok = s.d.Next() {
-			if x.Verb == Submit && x.Backend == id {
+		s.controller.Now(millisecond * time.Duration(at))
+		s.controller.TxnArrived(Txn{ID: TxnID(at), Customer: CustomerID(at), SetWidth: 3, Units: 1, Expiry: s.controller.now + time.Second})
+		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
+			if x.Action == Submit && x.Backend == id {
 				n++
 			}
-			if x.Verb == Submit {
-				s.d.SubmissionEnded(x.Txn, 0, x.Backend, Settled, true, 10*ms, nil)
+			if x.Action == Submit {
+				s.controller.SubmissionEnded(x.Txn, 0, x.Backend, Succeeded, true, 10*millisecond, nil)
 			}
 		}
 	}
@@ -152,15 +152,15 @@
 }
 
 func Example_coldBudget() {
-	s := warm()
-	s.list(false, Listing{ID: 1, State: Ready, Started: 9900 * ms})
+	s := newWarmScenario()
+	s.list(false, Endpoint{ID: 1, State: Ready, Started: 9900 * millisecond})
 	fmt.Println("beside warm ones, second by second:")
 	for at := 10000; at < 14000; at += 1000 {
 		fmt.Println(" cold", s.sends(1, at, at+1000))
 	}
-	s = newScene(settings(0), 0)
-	s.at(20000)
-	s.list(true, Listing{ID: 1, State: Ready, Started: 19900 * ms})
+	s = newScenario(settings(0), 0)
+	s.advance(20000)
+	s.list(true, Endpoint{ID: 1, State: Ready, Started: 19900 * millisecond})
 	fmt.Println("alone, with nothing warm to judge by:")
 	for at := 20000; at < 23000; at += 1000 {
 		fmt.Println(" cold", s.sends(1, at, at+1000))
@@ -178,22 +178,22 @@
 }
 
 func Example_ceilingAcrossRestart() {
-	s := newScene(settings(0), 0)
+	s := newScenario(settings(0), 0)
 	s.quiet = true
-	s.list(true, Listing{ID: 1, State: Ready}, Listing{ID: 2, State: Ready})
-	s.at(10000)
-	s.d.room = 100
+	s.list(true, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Ready})
+	s.advance(10000)
+	s.controller.capacity = 100
 	c := ownedBy(0)
 	fmt.Println("# the owner's pool and its part, two thirds of the ceiling, then nothing but their refill")
 	for id := TxnID(1); id <= 16; id++ {
 		s.txn(id, c, 0, 1)
 	}
-	s = newScene(settings(0), 10000)
+	s = newScenario(settings(0), 10000)
 	s.quiet = true
-	s.list(true, Listing{ID: 1, State: Ready}, Listing{ID: 2, State: Ready})
+	s.list(true, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Ready})
 	fmt.Println("# the next life starts with an empty part")
 	s.txn(1, c, 0, 1)
-	s.at(10200)
+	s.advance(10200)
 	// Output:
 	// # the owner's pool and its part, two thirds of the ceiling, then nothing but their refill
 	// 10000 submit 1 to 1, 446
@@ -214,20 +214,20 @@
 }
 
 func Example_ownerRestart() {
-	s := newScene(settings(0), 5000)
-	s.list(true, Listing{ID: 1, State: Ready})
+	s := newScenario(settings(0), 5000)
+	s.list(true, Endpoint{ID: 1, State: Ready})
 	fmt.Println("# an owner's bucket starts empty and refills at the rate: a txn waits for its unit")
 	s.txn(1, ownedBy(0), 0, 0)
-	s.at(5100)
-	s.at(5120)
+	s.advance(5100)
+	s.advance(5120)
 	fmt.Println("# a message of the peer's old life is dropped after its new one is known")
 	c := ownedBy(0)
-	s.hear(1, &message{epoch: 7, seq: 5, deltas: []deltaLine{{c, 0, 0, 0, 0, 0, 0, 3}}})
-	s.at(5200)
-	s.hear(1, &message{epoch: 8, seq: 1, deltas: []deltaLine{{c, 0, 0, 0, 0, 0, 0, 3}}})
-	s.at(5300)
-	s.hear(1, &message{epoch: 7, seq: 6, deltas: []deltaLine{{c, 0, 9, 0, 0, 0, 0, 3}}})
-	s.at(5400)
+	s.receive(1, &message{epoch: 7, seq: 5, deltas: []delta{{c, 0, 0, 0, 0, 0, 0, 3}}})
+	s.advance(5200)
+	s.receive(1, &message{epoch: 8, seq: 1, deltas: []delta{{c, 0, 0, 0, 0, 0, 0, 3}}})
+	s.advance(5300)
+	s.receive(1, &message{epoch: 7, seq: 6, deltas: []delta{{c, 0, 9, 0, 0, 0, 0, 3}}})
+	s.advance(5400)
 	// Output:
 	// # an owner's bucket starts empty and refills at the rate: a txn waits for its unit
 	//  5100 submit 1 to 1, 356
@@ -237,22 +237,22 @@
 }
 
 func Example_deltas() {
-	s := newScene(settings(0), 0)
-	s.at(10000)
+	s := newScenario(settings(0), 0)
+	s.advance(10000)
 	c := ownedBy(0)
-	first := &message{epoch: 7, seq: 1, deltas: []deltaLine{{c, 0, 3, 0, 0, 0, 0, 3}}}
-	second := &message{epoch: 7, seq: 2, deltas: []deltaLine{{c, 0, 5, 0, 0, 0, 0, 3}}}
+	first := &message{epoch: 7, seq: 1, deltas: []delta{{c, 0, 3, 0, 0, 0, 0, 3}}}
+	second := &message{epoch: 7, seq: 2, deltas: []delta{{c, 0, 5, 0, 0, 0, 0, 3}}}
 	fmt.Println("# out of order and twice, each applied once")
-	s.hear(1, second)
-	s.d.lastWork = 20 * time.Second // no refill of the trace by periodic work
-	s.at(10100)
-	s.hear(1, first)
-	s.at(10200)
-	s.hear(1, second)
-	s.at(10300)
+	s.receive(1, second)
+	s.controller.sweptAt = 20 * time.Second // no refill of the trace by periodic work
+	s.advance(10100)
+	s.receive(1, first)
+	s.advance(10200)
+	s.receive(1, second)
+	s.advance(10300)
 	fmt.Println("# what does not decode is dropped and counted")
-	s.d.PeerSaid(1, []byte{1, 2, 3})
-	fmt.Println(s.d.quota.badDatagrams)
+	s.controller.DatagramReceived(1, []byte{1, 2, 3})
+	fmt.Println(s.controller.quota.badDatagrams)
 	// Output:
 	// # out of order and twice, each applied once
 	// 10000 tell 1: snapshot left 15 sharers 2 ack 2
@@ -263,30 +263,30 @@
 }
 
 func Example_views() {
-	s := warm()
-	s.quiet, s.d.room = false, 5
+	s := newWarmScenario()
+	s.quiet, s.controller.capacity = false, 5
 	c := ownedBy(1)
 	fmt.Println("# new: one txn after the other from the allowance, asking the owner")
 	for id := TxnID(1); id < 9; id++ {
 		s.txn(id, c, 0, 0)
 	}
-	s.at(10050)
+	s.advance(10050)
 	fmt.Println("# lost: the delta goes again under its sequence")
-	s.at(10200)
+	s.advance(10200)
 	fmt.Println("# the snapshot acknowledges the first two: four units are left, two of them used since")
 	snap := func(version uint64, left float64) *message {
-		return &message{epoch: 9, version: version, ackEpoch: s.d.quota.epoch, ackHigh: 2, ackMask: 3,
-			snaps: []snapLine{{c, left, 1, 0, 0}}}
+		return &message{epoch: 9, version: version, ackEpoch: s.controller.quota.epoch, ackHigh: 2, ackMask: 3,
+			snapshots: []snapshot{{c, left, 1, 0, 0}}}
 	}
-	s.hear(1, snap(5, 4))
+	s.receive(1, snap(5, 4))
 	s.txn(11, c, 0, 0)
 	fmt.Println("# an older snapshot that comes late brings nothing back")
-	s.hear(1, snap(4, 20))
+	s.receive(1, snap(4, 20))
 	s.txn(12, c, 0, 0)
 	s.txn(13, c, 0, 0)
-	s.at(10500)
+	s.advance(10500)
 	fmt.Println("# stale: the allowance alone, and it asks afresh")
-	s.at(11900)
+	s.advance(11900)
 	s.txn(14, c, 0, 0)
 	// Output:
 	// # new: one txn after the other from the allowance, asking the owner
@@ -318,23 +318,23 @@
 }
 
 func Example_oneProductFails() {
-	s := warm()
+	s := newWarmScenario()
 	c := ownedBy(0)
 	fmt.Println("# product 0 fails at one backend: passed over for it, still taken for product 3")
 	first := BackendID(0)
 	for id := TxnID(1); id < 13; id++ {
 		p := ProductID(id % 2 * 3)
-		s.d.TxnTaken(Txn{ID: id, Customer: c, Product: p, Units: 1, SetWidth: 3, Expiry: s.d.now + time.Second})
-		x, _ := s.d.Next()
-		for s.d.txns[id] != nil && x.Verb == Submit {
-			e := Settled
+		s.controller.TxnArrived(Txn{ID: id, Customer: c, Product: p, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
+		x, _ := s.controller.Next()
+		for s.controller.txns[id] != nil && x.Action == Submit {
+			e := Succeeded
 			if p == 0 && (first == 0 || x.Backend == first) {
 				first, e = x.Backend, Errored
 			}
-			fmt.Printf("product %d at %d: %v\n", p, x.Backend, map[Ending]string{Settled: "settled", Errored: "error"}[e])
-			t := s.d.txns[id]
-			s.d.SubmissionEnded(id, t.nr-1, x.Backend, e, e == Settled, 10*ms, nil)
-			x, _ = s.d.Next()
+			fmt.Printf("product %d at %d: %v\n", p, x.Backend, map[Ending]string{Succeeded: "settled", Errored: "error"}[e])
+			t := s.controller.txns[id]
+			s.controller.SubmissionEnded(id, t.submissions-1, x.Backend, e, e == Succeeded, 10*millisecond, nil)
+			x, _ = s.controller.Next()
 		}
 	}
 	// Output:
@@ -356,37 +356,37 @@
 }
 
 func Example_fullBackend() {
-	s := warm()
-	room := s.d.room
+	s := newWarmScenario()
+	room := s.controller.capacity
 	for id := TxnID(1); id < 40; id++ {
-		s.d.TxnTaken(Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.d.now + time.Second})
-		for x, ok := s.d.Next(); ok; x, ok = s.d.Next() {
-			if x.Verb == Submit {
-				s.d.SubmissionEnded(x.Txn, s.d.txns[x.Txn].nr-1, x.Backend, Full, false, ms, nil)
+		s.controller.TxnArrived(Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
+		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
+			if x.Action == Submit {
+				s.controller.SubmissionEnded(x.Txn, s.controller.txns[x.Txn].submissions-1, x.Backend, Rejected, false, millisecond, nil)
 			}
 		}
-		s.d.Now(s.d.now + 10*ms)
+		s.controller.Now(s.controller.now + 10*millisecond)
 	}
-	fmt.Println("room as before:", s.d.room == room, "- pause of backend 1 grew:", s.d.backends[1].fulls > 1)
+	fmt.Println("room as before:", s.controller.capacity == room, "- pause of backend 1 grew:", s.controller.backends[1].rejections > 1)
 	// Output:
 	// room as before: true - pause of backend 1 grew: true
 }
 
 func Example_repeatsGiveWay() {
-	s := warm()
-	s.d.room = 0.4
+	s := newWarmScenario()
+	s.controller.capacity = 0.4
 	take := func(id TxnID, repeat bool) {
-		s.d.TxnTaken(Txn{ID: id, Customer: CustomerID(id), Repeat: repeat, Units: 1, SetWidth: 1,
-			Expiry: s.d.now + time.Second})
+		s.controller.TxnArrived(Txn{ID: id, Customer: CustomerID(id), Retry: repeat, Units: 1, SetWidth: 1,
+			Expiry: s.controller.now + time.Second})
 		s.pull()
 	}
 	fmt.Println("# room for one: the first try waits, the repeat is declined at once with advice")
 	take(1, false)
 	take(2, false)
 	take(3, true)
-	s.at(10100)
-	s.ended(1, Settled)
-	s.at(10500)
+	s.advance(10100)
+	s.ended(1, Succeeded)
+	s.advance(10500)
 	// Output:
 	// # room for one: the first try waits, the repeat is declined at once with advice
 	// 10000 submit 1 to 3, 446
@@ -395,16 +395,16 @@
 }
 
 func Example_beyondQuotaThatPays() {
-	s := warm()
-	s.d.plans[0].overValue, s.d.plans[0].overCost = 0.3, 0
+	s := newWarmScenario()
+	s.controller.plans[0].overValue, s.controller.plans[0].overCost = 0.3, 0
 	c := ownedBy(0)
-	a := s.d.quota.account(c, 0)
-	a.level, a.levelAt = 0, s.d.now
+	a := s.controller.quota.account(c, 0)
+	a.level, a.levelAt = 0, s.controller.now
 	a.limit.rate = 1
 	fmt.Println("# no units, room to spare, nothing charged: goes on, and takes no units")
 	s.txn(1, c, 0, 0)
 	fmt.Println("# something lacked room lately: declined, with advice when units are due")
-	s.d.pressed = s.d.now
+	s.controller.saturatedAt = s.controller.now
 	s.txn(2, c, 0, 0)
 	// Output:
 	// # no units, room to spare, nothing charged: goes on, and takes no units
@@ -414,41 +414,41 @@
 }
 
 func Example_ceilingPool() {
-	s := newScene(settings(0), 0)
-	s.list(true, Listing{ID: 1, State: Ready})
-	s.at(10000)
-	s.d.room = 3
+	s := newScenario(settings(0), 0)
+	s.list(true, Endpoint{ID: 1, State: Ready})
+	s.advance(10000)
+	s.controller.capacity = 3
 	c := ownedBy(1)
-	a := s.d.quota.account(c, 1)
-	s.d.quota.place(a, 0, 3)
-	s.d.quota.partNow(a)
+	a := s.controller.quota.account(c, 1)
+	s.controller.quota.assignOwner(a, 0, 3)
+	s.controller.quota.hardShareNow(a)
 	fmt.Println("# a part without a unit: the owner is asked for what is lacking, and its grant lets the txn go")
-	a.part, s.quiet = 0.25, true
+	a.hardShare, s.quiet = 0.25, true
 	s.txn(1, c, 0, 1)
-	fmt.Printf("asks for %.2f\n", -s.datagrams[len(s.datagrams)-1].deltas[0].part)
-	m := &message{epoch: 9, version: 3, ackEpoch: s.d.quota.epoch, ackHigh: 1, ackMask: 1, snaps: []snapLine{{c, 5, 1, 0, 0.75}}}
-	s.hear(1, m)
+	fmt.Printf("asks for %.2f\n", -s.datagrams[len(s.datagrams)-1].deltas[0].transfer)
+	m := &message{epoch: 9, version: 3, ackEpoch: s.controller.quota.epoch, ackHigh: 1, ackMask: 1, snapshots: []snapshot{{c, 5, 1, 0, 0.75}}}
+	s.receive(1, m)
 	fmt.Println("# a grant comes once, whatever is repeated, and no more than the part holds")
-	a.part, m.version, m.snaps[0].grant = 0, 4, 900
-	s.hear(1, m)
-	fmt.Printf("%.1f of %.1f\n", a.part, s.d.quota.partCap(a))
-	a.part = 0
-	s.hear(1, m)
+	a.hardShare, m.version, m.snapshots[0].grant = 0, 4, 900
+	s.receive(1, m)
+	fmt.Printf("%.1f of %.1f\n", a.hardShare, s.controller.quota.hardShareCap(a))
+	a.hardShare = 0
+	s.receive(1, m)
 	fmt.Println("# a grant for an earlier life is lost")
 	m.version, m.ackEpoch = 5, 77
-	s.hear(1, m)
-	fmt.Printf("%.1f\n", a.part)
+	s.receive(1, m)
+	fmt.Printf("%.1f\n", a.hardShare)
 	fmt.Println("# all parts and the pool are the whole ceiling; an owner gives no more than its pool")
-	own := s.d.quota.account(ownedBy(0), 1)
-	s.d.quota.place(own, 0, 3)
-	fmt.Printf("%.1f and twice %.1f of %.1f\n", s.d.quota.partCap(own), s.d.quota.partCap(a), a.limit.ceilBurst)
-	own.part, own.partAt = 2, s.d.now
+	own := s.controller.quota.account(ownedBy(0), 1)
+	s.controller.quota.assignOwner(own, 0, 3)
+	fmt.Printf("%.1f and twice %.1f of %.1f\n", s.controller.quota.hardShareCap(own), s.controller.quota.hardShareCap(a), a.limit.hardBurst)
+	own.hardShare, own.hardShareAt = 2, s.controller.now
 	for seq, want := range []float64{3, 1.5} {
-		s.hear(2, &message{epoch: 9, seq: uint64(seq) + 1, ackEpoch: s.d.quota.epoch,
-			deltas: []deltaLine{{own.id, 1, 0, 0, -want, 0, 0, 3}}})
-		s.at(int(s.d.now.Milliseconds()) + 50)
+		s.receive(2, &message{epoch: 9, seq: uint64(seq) + 1, ackEpoch: s.controller.quota.epoch,
+			deltas: []delta{{own.id, 1, 0, 0, -want, 0, 0, 3}}})
+		s.advance(int(s.controller.now.Milliseconds()) + 50)
 		grant := 0.0
-		for _, l := range s.datagrams[len(s.datagrams)-1].snaps {
+		for _, l := range s.datagrams[len(s.datagrams)-1].snapshots {
 			grant = l.grant
 		}
 		fmt.Printf("asked for %.1f it gives %.1f\n", want, grant)
@@ -469,22 +469,22 @@
 
 // The view is good for 150 ms, the wait for a backend is longer: what covered the txn must still do so.
 func Example_keptWhileWaiting() {
-	s := newScene(settings(0), 0)
-	s.list(true, Listing{ID: 1, State: Ready})
-	s.at(10000)
+	s := newScenario(settings(0), 0)
+	s.list(true, Endpoint{ID: 1, State: Ready})
+	s.advance(10000)
 	c := ownedBy(1)
-	s.d.plans[0].burst = 2 // tight: a view is good for an answer's time only
-	s.d.room = 0.3
+	s.controller.plans[0].burst = 2 // tight: a view is good for an answer's time only
+	s.controller.capacity = 0.3
 	s.txn(1, ownedBy(0), 0, 0)
 	s.quiet = true
 	s.txn(2, c, 0, 0)
-	s.hear(1, &message{epoch: 9, version: 1, ackEpoch: s.d.quota.epoch, ackHigh: 1, ackMask: 1, snaps: []snapLine{{c, 2, 2, 0, 0}}})
-	a := s.d.quota.accounts[c]
-	fmt.Println("kept:", a.kept, "- what others may spend of the view is less by that")
-	s.at(10170)
-	s.ended(1, Settled)
-	s.at(10180)
-	fmt.Println("kept:", a.kept)
+	s.receive(1, &message{epoch: 9, version: 1, ackEpoch: s.controller.quota.epoch, ackHigh: 1, ackMask: 1, snapshots: []snapshot{{c, 2, 2, 0, 0}}})
+	a := s.controller.quota.accounts[c]
+	fmt.Println("kept:", a.reserved, "- what others may spend of the view is less by that")
+	s.advance(10170)
+	s.ended(1, Succeeded)
+	s.advance(10180)
+	fmt.Println("kept:", a.reserved)
 	// Output:
 	// 10000 submit 1 to 1, 446
 	// kept: 1 - what others may spend of the view is less by that
@@ -494,24 +494,24 @@
 
 // A client's patience counts from its first try, so a repeat's expiry tells how long ago that was.
 func Example_repeatInTime() {
-	s := warm()
+	s := newWarmScenario()
 	c := ownedBy(0)
-	a := s.d.quota.account(c, 0)
+	a := s.controller.quota.account(c, 0)
 	again := func(id TxnID, left time.Duration) {
-		a.level, a.levelAt = 5, s.d.now // of 20: under what a late repeat must leave
-		s.d.TxnTaken(Txn{ID: id, Customer: c, Repeat: true, Units: 1, SetWidth: 3, Expiry: s.d.now + left})
+		a.level, a.levelAt = 5, s.controller.now // of 20: under what a late repeat must leave
+		s.controller.TxnArrived(Txn{ID: id, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + left})
 		s.pull()
 	}
 	fmt.Println("# no first try was seen: it may be late and leaves the low bucket alone")
-	again(1, 1900*ms)
+	again(1, 1900*millisecond)
 	s.txn(2, ownedBy(0), 0, 0)
 	fmt.Println("# 100 ms gone: like a first try, with that much less time")
-	again(3, 1900*ms)
+	again(3, 1900*millisecond)
 	fmt.Println("# 600 ms gone, the SLA time is over: declined at once")
-	again(4, 1400*ms)
+	again(4, 1400*millisecond)
 	fmt.Println("# late answers still earn something: it is a late repeat again")
-	s.d.products[0].late = 0.2
-	again(5, 1400*ms)
+	s.controller.products[0].lateValue = 0.2
+	again(5, 1400*millisecond)
 	// Output:
 	// # no first try was seen: it may be late and leaves the low bucket alone
 	// 10000 decline 1, 600
@@ -525,18 +525,18 @@
 }
 
 func Example_silentOwner() {
-	s := warm()
+	s := newWarmScenario()
 	c := ownedBy(1)
 	fmt.Println("# the allowance is spent, then grows at the rate while no gateway is heard")
 	for id := TxnID(1); id < 200; id++ {
-		s.d.TxnTaken(Txn{ID: id, Customer: c, Units: 1, SetWidth: 3, Expiry: s.d.now + 2*time.Second})
-		for x, ok := s.d.Next(); ok; x, ok = s.d.Next() {
-			if x.Verb == Submit {
-				fmt.Printf("%d ", s.d.now.Milliseconds())
-				s.d.SubmissionEnded(x.Txn, 0, x.Backend, Settled, true, 10*ms, nil)
+		s.controller.TxnArrived(Txn{ID: id, Customer: c, Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
+		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
+			if x.Action == Submit {
+				fmt.Printf("%d ", s.controller.now.Milliseconds())
+				s.controller.SubmissionEnded(x.Txn, 0, x.Backend, Succeeded, true, 10*millisecond, nil)
 			}
 		}
-		s.d.Now(s.d.now + 10*ms)
+		s.controller.Now(s.controller.now + 10*millisecond)
 	}
 	// Output:
 	// # the allowance is spent, then grows at the rate while no gateway is heard
@@ -544,15 +544,15 @@
 }
 
 func Example_worthUnderPressure() {
-	s := warm()
-	s.d.room, s.d.products[2].value = 0.4, 5
+	s := newWarmScenario()
+	s.controller.capacity, s.controller.products[2].value = 0.4, 5
 	c := ownedBy(0)
 	fmt.Println("# no room: of two that wait, what is worth most for its time goes first")
 	for id, p := range []ProductID{0, 0, 2} {
 		s.txn(TxnID(id), c, p, 0)
 	}
-	s.at(10100)
-	s.ended(0, Settled)
+	s.advance(10100)
+	s.ended(0, Succeeded)
 	// Output:
 	// # no room: of two that wait, what is worth most for its time goes first
 	// 10000 submit 0 to 1, 446
@@ -561,18 +561,18 @@
 }
 
 func Example_silentBackendIsTried() {
-	s := newScene(settings(0), 0)
+	s := newScenario(settings(0), 0)
 	s.quiet = true
-	s.list(true, Listing{ID: 1, State: Ready}, Listing{ID: 2, State: Ready})
-	s.at(10000)
-	b := s.d.backends[1]
-	b.owed, b.oweSince, b.sentAt = 2, 10*time.Second, 10*time.Second
-	s.d.looked = time.Minute
+	s.list(true, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Ready})
+	s.advance(10000)
+	b := s.controller.backends[1]
+	b.unanswered, b.unansweredSince, b.sentAt = 2, 10*time.Second, 10*time.Second
+	s.controller.examinedAt = time.Minute
 	for at := 10400; at < 11200; at += 400 {
-		s.at(at)
+		s.advance(at)
 		for _, p := range []ProductID{2, 0} {
 			t := &txn{Txn: Txn{Product: p}}
-			fmt.Println(at, "product", p, "passes it over:", s.d.silent(b, t))
+			fmt.Println(at, "product", p, "passes it over:", s.controller.unresponsive(b, t))
 		}
 	}
 	// Output:
@@ -583,23 +583,23 @@
 }
 
 func Example_oddInputs() {
-	s := warm()
+	s := newWarmScenario()
 	take := func(x Txn) {
-		s.d.TxnTaken(x)
+		s.controller.TxnArrived(x)
 		s.pull()
 	}
-	now := s.d.now
+	now := s.controller.now
 	fmt.Println("# expiry over, product and plan that the settings don't name, odd sets, no units")
 	take(Txn{ID: 1, Units: 1, Expiry: now - time.Second})
 	take(Txn{ID: 2, Product: 9, Expiry: now + time.Second})
 	take(Txn{ID: 3, Plan: -4, Expiry: now + time.Second})
 	take(Txn{ID: 4, Customer: ownedBy(0), SetWidth: -3, SetFirst: -9, Expiry: now + time.Second})
 	take(Txn{ID: 5, Customer: 77, SetWidth: 1 << 40, SetFirst: 1 << 40, Units: -5, Expiry: now + time.Second})
-	s.d.SubmissionEnded(99, 0, 1, Settled, true, 0, nil)
-	s.d.SubmissionEnded(4, 7, 55, Settled, true, 0, []float64{1, 2, 3, 4})
-	s.d.ProbeEnded(55, true, 0, nil)
-	s.d.PeerSaid(99, nil)
-	s.d.PeerSaid(0, []byte("from myself"))
+	s.controller.SubmissionEnded(99, 0, 1, Succeeded, true, 0, nil)
+	s.controller.SubmissionEnded(4, 7, 55, Succeeded, true, 0, []float64{1, 2, 3, 4})
+	s.controller.ProbeEnded(55, true, 0, nil)
+	s.controller.DatagramReceived(99, nil)
+	s.controller.DatagramReceived(0, []byte("from myself"))
 	s.pull()
 	_, err := New(1, Settings{}, 0)
 	fmt.Println(err)
@@ -614,12 +614,12 @@
 }
 
 func Example_repeatsLeaveALowBucket() {
-	s := warm()
+	s := newWarmScenario()
 	c := ownedBy(0)
-	a := s.d.quota.account(c, 0)
+	a := s.controller.quota.account(c, 0)
 	fmt.Println("# four units of twenty left: not for a repeat, at once, but for a first try")
-	a.level, a.levelAt = 4, s.d.now
-	s.d.TxnTaken(Txn{ID: 1, Customer: c, Repeat: true, Units: 1, SetWidth: 3, Expiry: s.d.now + time.Second})
+	a.level, a.levelAt = 4, s.controller.now
+	s.controller.TxnArrived(Txn{ID: 1, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
 	s.pull()
 	s.txn(2, c, 0, 0)
 	// Output:
@@ -629,22 +629,22 @@
 }
 
 func Example_silentBackendsAreSetAside() {
-	s := warm()
-	for _, b := range s.d.list {
-		b.owed, b.oweSince, b.sentAt = 2, s.d.now, s.d.now
+	s := newWarmScenario()
+	for _, b := range s.controller.ordered {
+		b.unanswered, b.unansweredSince, b.sentAt = 2, s.controller.now, s.controller.now
 	}
 	fmt.Println("# none has answered for a while: all are set aside and probed")
-	s.at(11700)
-	s.at(12300)
-	for _, b := range s.d.list {
-		s.d.ProbeEnded(b.ID, true, ms, nil)
+	s.advance(11700)
+	s.advance(12300)
+	for _, b := range s.controller.ordered {
+		s.controller.ProbeEnded(b.ID, true, millisecond, nil)
 	}
-	s.at(12900)
-	for _, b := range s.d.list {
-		s.d.ProbeEnded(b.ID, true, ms, nil)
+	s.advance(12900)
+	for _, b := range s.controller.ordered {
+		s.controller.ProbeEnded(b.ID, true, millisecond, nil)
 	}
-	s.at(13400)
-	fmt.Println("back:", !s.d.list[0].aside)
+	s.advance(13400)
+	fmt.Println("back:", !s.controller.ordered[0].ejected)
 	// Output:
 	// # none has answered for a while: all are set aside and probed
 	// 12200 probe 1
@@ -656,21 +656,21 @@
 }
 
 func Example_roomAndSilence() {
-	s := warm()
+	s := newWarmScenario()
 	s.txn(1, ownedBy(0), 0, 0)
-	b, before := s.d.txns[1].outAt, s.d.room
-	s.d.use = 1
-	s.d.Now(s.d.now + 200*ms)
-	s.d.Now(s.d.now + 200*ms)
-	s.d.pressed = s.d.now
-	s.d.adjustRoom(s.d.crowding(s.d.txns[1], b, TimedOut))
-	fmt.Println("time-out at a backend that has answered nothing since: room as before:", s.d.room == before)
-	b.oweSince = s.d.now
-	s.d.adjustRoom(s.d.crowding(s.d.txns[1], b, TimedOut))
-	fmt.Println("it answered others meanwhile: room taken away:", s.d.room < before)
-	before, s.d.pressed = s.d.room, s.d.now-pressFor
-	s.d.adjustRoom(s.d.crowding(s.d.txns[1], b, TimedOut))
-	fmt.Println("nothing lacked room lately: late answers are the work's own, room as before:", s.d.room == before)
+	b, before := s.controller.txns[1].current, s.controller.capacity
+	s.controller.utilization = 1
+	s.controller.Now(s.controller.now + 200*millisecond)
+	s.controller.Now(s.controller.now + 200*millisecond)
+	s.controller.saturatedAt = s.controller.now
+	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, TimedOut))
+	fmt.Println("time-out at a backend that has answered nothing since: room as before:", s.controller.capacity == before)
+	b.unansweredSince = s.controller.now
+	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, TimedOut))
+	fmt.Println("it answered others meanwhile: room taken away:", s.controller.capacity < before)
+	before, s.controller.saturatedAt = s.controller.capacity, s.controller.now-pressureTTL
+	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, TimedOut))
+	fmt.Println("nothing lacked room lately: late answers are the work's own, room as before:", s.controller.capacity == before)
 	// Output:
 	// 10000 submit 1 to 1, 446
 	// time-out at a backend that has answered nothing since: room as before: true
@@ -679,38 +679,38 @@
 }
 
 func Example_wideSets() {
-	s := newScene(settings(0), 0)
-	s.list(true, Listing{ID: 1, State: Ready})
-	s.at(10000)
-	s.d.room = 3
+	s := newScenario(settings(0), 0)
+	s.list(true, Endpoint{ID: 1, State: Ready})
+	s.advance(10000)
+	s.controller.capacity = 3
 	c := ownedBy(1)
-	s.d.plans[0].burst = 2 // less than a unit for each gateway of the set
+	s.controller.plans[0].burst = 2 // less than a unit for each gateway of the set
 	fmt.Println("# new, but an allowance for each would be too much: the owner is asked, and says two")
 	s.txn(1, c, 0, 0)
-	s.at(10030)
-	s.hear(1, &message{epoch: 9, version: 1, ackEpoch: s.d.quota.epoch, ackHigh: 1, ackMask: 1, snaps: []snapLine{{c, 2, 2, 0, 0}}})
+	s.advance(10030)
+	s.receive(1, &message{epoch: 9, version: 1, ackEpoch: s.controller.quota.epoch, ackHigh: 1, ackMask: 1, snapshots: []snapshot{{c, 2, 2, 0, 0}}})
 	fmt.Println("# it says none: declined, with the time until there is one")
 	s.quiet = true
-	s.at(11000)
+	s.advance(11000)
 	s.quiet = false
 	s.txn(2, c, 0, 0)
-	s.hear(1, &message{epoch: 9, version: 2, ackEpoch: s.d.quota.epoch, ackHigh: 2, ackMask: 3, snaps: []snapLine{{c, 0, 2, 0, 0}}})
-	s.at(11150)
+	s.receive(1, &message{epoch: 9, version: 2, ackEpoch: s.controller.quota.epoch, ackHigh: 2, ackMask: 3, snapshots: []snapshot{{c, 0, 2, 0, 0}}})
+	s.advance(11150)
 	fmt.Println("# no answer in time: the allowance is there for that")
 	s.quiet = true
-	s.at(13000)
+	s.advance(13000)
 	s.quiet = false
 	s.txn(3, c, 0, 0)
-	s.at(13140)
+	s.advance(13140)
 	fmt.Println("# an owner tells one asker of the units it has just told another of only once")
 	c = ownedBy(0)
-	s.d.plans[0].burst = 1
+	s.controller.plans[0].burst = 1
 	s.quiet = true
-	s.at(14000)
+	s.advance(14000)
 	s.quiet = false
-	s.d.lastWork = time.Minute
+	s.controller.sweptAt = time.Minute
 	for g := GatewayID(1); g < 3; g++ {
-		s.hear(g, &message{epoch: 9, seq: 1, deltas: []deltaLine{{c, 0, 0, 0, 0, 0, 1, 3}}})
+		s.receive(g, &message{epoch: 9, seq: 1, deltas: []delta{{c, 0, 0, 0, 0, 0, 1, 3}}})
 	}
 	// Output:
 	// # new, but an allowance for each would be too much: the owner is asked, and says two
@@ -734,21 +734,21 @@
 
 func Example_messages() {
 	most := 1<<20 - 1
-	m := &message{epoch: 1<<32 - 1, gap: gapMost, seq: 1 << 40, version: 1 << 40, ackEpoch: 1<<32 - 1, ackHigh: 1 << 40,
-		deltas: []deltaLine{{1<<33 - 1, 200, 65535, most, -65535, 1023, 65535, 1024}},
-		snaps:  []snapLine{{1<<33 - 1, 65535, 1000, most, 65535}}}
+	m := &message{epoch: 1<<32 - 1, interval: maxInterval, seq: 1 << 40, version: 1 << 40, ackEpoch: 1<<32 - 1, ackHigh: 1 << 40,
+		deltas:    []delta{{1<<33 - 1, 200, 65535, most, -65535, 1023, 65535, 1024}},
+		snapshots: []snapshot{{1<<33 - 1, 65535, 1000, most, 65535}}}
 	b := m.encode()
 	back, err := decodeMessage(b)
-	fmt.Println(back.deltas[0] == m.deltas[0], back.snaps[0] == m.snaps[0], back.gap == m.gap, err)
+	fmt.Println(back.deltas[0] == m.deltas[0], back.snapshots[0] == m.snapshots[0], back.interval == m.interval, err)
 	fmt.Println("# cut short anywhere, too long, or with a number out of range: dropped and counted, nothing changes")
-	s := warm()
+	s := newWarmScenario()
 	for n := range b {
-		s.d.PeerSaid(1, b[:n])
+		s.controller.DatagramReceived(1, b[:n])
 	}
-	s.d.PeerSaid(1, append(b, 0))
-	m.deltas[0].width = 1 << 30
-	s.d.PeerSaid(1, m.encode())
-	fmt.Println(s.d.quota.badDatagrams == len(b)+2, len(s.d.quota.accounts), s.d.quota.peers[1].heard)
+	s.controller.DatagramReceived(1, append(b, 0))
+	m.deltas[0].setWidth = 1 << 30
+	s.controller.DatagramReceived(1, m.encode())
+	fmt.Println(s.controller.quota.badDatagrams == len(b)+2, len(s.controller.quota.accounts), s.controller.quota.peers[1].receivedAt)
 	// Output:
 	// true true true <nil>
 	// # cut short anywhere, too long, or with a number out of range: dropped and counted, nothing changes
@@ -756,18 +756,18 @@
 }
 
 func Example_standingStill() {
-	s := warm()
+	s := newWarmScenario()
 	s.txn(1, ownedBy(0), 0, 0)
-	b := s.d.txns[1].outAt
-	b.owed = 3
-	s.d.Now(12 * time.Second) // no turn for two seconds
-	s.d.SubmissionEnded(1, 0, b.ID, TimedOut, true, 272*ms, nil)
+	b := s.controller.txns[1].current
+	b.unanswered = 3
+	s.controller.Now(12 * time.Second) // no turn for two seconds
+	s.controller.SubmissionEnded(1, 0, b.ID, TimedOut, true, 272*millisecond, nil)
 	for id := TxnID(2); id < 10; id++ {
-		s.d.TxnTaken(Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.d.now + 2*time.Second})
+		s.controller.TxnArrived(Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
 	}
 	fmt.Println("# of eight txns that came over two seconds the last two are still in their SLA time")
 	s.pull()
-	fmt.Println("held against the backend:", b.fails, "- silent for", s.d.now-b.oweSince)
+	fmt.Println("held against the backend:", b.failureShare, "- silent for", s.controller.now-b.unansweredSince)
 	// Output:
 	// 10000 submit 1 to 1, 446
 	// # of eight txns that came over two seconds the last two are still in their SLA time
@@ -785,11 +785,11 @@
 func Example_newFleet() {
 	c := ownedBy(0)
 	for _, age := range []time.Duration{0, 60 * time.Second} {
-		s := newScene(settings(0), 5000)
+		s := newScenario(settings(0), 5000)
 		for g := GatewayID(1); g < 3; g++ {
-			s.d.PeerSaid(g, (&message{epoch: 7, age: age, seq: 1}).encode())
+			s.controller.DatagramReceived(g, (&message{epoch: 7, age: age, seq: 1}).encode())
 		}
-		fmt.Println("peers up for", age, "- a bucket starts with", s.d.quota.account(c, 0).level)
+		fmt.Println("peers up for", age, "- a bucket starts with", s.controller.quota.account(c, 0).level)
 	}
 	// Output:
 	// peers up for 0s - a bucket starts with 20
@@ -797,29 +797,29 @@
 }
 
 func Example_sights() {
-	s := warm()
-	b := s.d.backends[2]
+	s := newWarmScenario()
+	b := s.controller.backends[2]
 	m := &message{epoch: 7}
 	for i := 0; i < 4; i++ {
-		m.sights = append(m.sights, sight{hash: b.hash & sightMask, ratio: sightFailed}, sight{hash: 5, ratio: 9})
+		m.observations = append(m.observations, observation{backendHash: b.hash & observationHashMask, ratio: observedFailed}, observation{backendHash: 5, ratio: 9})
 	}
-	s.hear(1, m)
-	fmt.Println("told of failures: passed over for that product", b.fail[0].until > s.d.now, "and no other", b.fail[1].until > s.d.now)
-	fmt.Println("a backend that its own list does not name stays unknown:", len(s.d.backends))
+	s.receive(1, m)
+	fmt.Println("told of failures: passed over for that product", b.failures[0].excludedUntil > s.controller.now, "and no other", b.failures[1].excludedUntil > s.controller.now)
+	fmt.Println("a backend that its own list does not name stays unknown:", len(s.controller.backends))
 	// Output:
 	// told of failures: passed over for that product true and no other false
 	// a backend that its own list does not name stays unknown: 3
 }
 
 func Example_wrongSetFromAPeer() {
-	s := warm()
+	s := newWarmScenario()
 	c := ownedBy(0)
-	s.hear(1, &message{epoch: 7, seq: 1, deltas: []deltaLine{{c, 1, 0, 0, 0, 0, 0, 1}}})
-	a := s.d.quota.accounts[c]
-	fmt.Println("a peer says the set is this gateway alone:", a.width, "part", s.d.quota.partNow(a) > 0)
-	s.d.TxnTaken(Txn{ID: 1, Customer: c, Plan: 1, Units: 1, SetWidth: 3, Expiry: s.d.now + time.Second})
+	s.receive(1, &message{epoch: 7, seq: 1, deltas: []delta{{c, 1, 0, 0, 0, 0, 0, 1}}})
+	a := s.controller.quota.accounts[c]
+	fmt.Println("a peer says the set is this gateway alone:", a.setWidth, "part", s.controller.quota.hardShareNow(a) > 0)
+	s.controller.TxnArrived(Txn{ID: 1, Customer: c, Plan: 1, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
 	s.pull()
-	fmt.Println("a txn says three: width", a.width, "part", a.part)
+	fmt.Println("a txn says three: width", a.setWidth, "part", a.hardShare)
 	// Output:
 	// a peer says the set is this gateway alone: 1 part true
 	// a txn says three: width 3 part 0
@@ -827,25 +827,25 @@
 
 // What is gone is forgotten: backends at once, an owned customer when its bucket is full again, and not before.
 func Example_forgetting() {
-	s := warm()
+	s := newWarmScenario()
 	mine, other := ownedBy(0), ownedBy(1)
 	for i := 4; i < 500; i++ {
-		s.list(false, Listing{ID: BackendID(i - 1)}, Listing{ID: BackendID(i), State: Ready})
+		s.list(false, Endpoint{ID: BackendID(i - 1)}, Endpoint{ID: BackendID(i), State: Ready})
 	}
-	fmt.Println("backends", len(s.d.list), len(s.d.backends), len(s.d.byHash))
-	s.d.plans[0].rate = 2
+	fmt.Println("backends", len(s.controller.ordered), len(s.controller.backends), len(s.controller.byHash))
+	s.controller.plans[0].rate = 2
 	s.txn(1, mine, 0, 0)
-	s.ended(1, Settled)
+	s.ended(1, Succeeded)
 	s.txn(2, other, 0, 0)
-	s.ended(2, Settled)
+	s.ended(2, Succeeded)
 	for i := 1; i <= 3; i++ { // a peer goes on using what is quiet here
-		s.at(10000 + 4000*i)
-		s.hear(1, &message{epoch: 7, ackEpoch: s.d.quota.epoch, ackHigh: 9, ackMask: 1<<32 - 1, seq: uint64(i),
-			deltas: []deltaLine{{customer: mine, units: 15, width: 3}}})
+		s.advance(10000 + 4000*i)
+		s.receive(1, &message{epoch: 7, ackEpoch: s.controller.quota.epoch, ackHigh: 9, ackMask: 1<<32 - 1, seq: uint64(i),
+			deltas: []delta{{customer: mine, units: 15, setWidth: 3}}})
 	}
-	fmt.Printf("left %.0f, customers %d\n", s.d.quota.accounts[mine].level, len(s.d.quota.order))
-	s.at(40000)
-	fmt.Println("customers", len(s.d.quota.order), len(s.d.quota.accounts))
+	fmt.Printf("left %.0f, customers %d\n", s.controller.quota.accounts[mine].level, len(s.controller.quota.ordered))
+	s.advance(40000)
+	fmt.Println("customers", len(s.controller.quota.ordered), len(s.controller.quota.accounts))
 	// Output:
 	// backends 3 3 3
 	// 10000 submit 1 to 1, 446
@@ -857,18 +857,18 @@
 // A load report that can't be true is not taken, and an old one counts ever less: a backend that told of a crowd
 // once, and is therefore not chosen, would else never tell of anything again.
 func Example_reports() {
-	s := warm()
-	b := s.d.backends[1]
+	s := newWarmScenario()
+	b := s.controller.backends[1]
 	tell := func(held float64) {
-		s.d.SubmissionEnded(0, 0, 1, Settled, true, 0, []float64{held})
-		fmt.Printf("told %g: load %.1f\n", held, s.d.load(b))
+		s.controller.SubmissionEnded(0, 0, 1, Succeeded, true, 0, []float64{held})
+		fmt.Printf("told %g: load %.1f\n", held, s.controller.loadOf(b))
 	}
-	s.d.survey()
+	s.controller.survey()
 	tell(1e5)
 	tell(20)
 	for t := 11000; t <= 14000; t += 1000 {
-		s.at(t)
-		fmt.Printf("%d: load %.1f\n", t, s.d.load(b))
+		s.advance(t)
+		fmt.Printf("%d: load %.1f\n", t, s.controller.loadOf(b))
 	}
 	// Output:
 	// told 100000: load 0.0
@@ -881,27 +881,27 @@
 
 // Reports are late: what looks a little fuller keeps its customers, only one that overflows loses them.
 func Example_reportedLoads() {
-	s := newScene(settings(0), 0)
+	s := newScenario(settings(0), 0)
 	for id := BackendID(1); id <= 20; id++ {
-		s.list(false, Listing{ID: id, State: Ready})
+		s.list(false, Endpoint{ID: id, State: Ready})
 	}
 	s.quiet = true
-	s.at(10000)
-	s.d.room = 50
+	s.advance(10000)
+	s.controller.capacity = 50
 	c := ownedBy(0)
 	first := func(id TxnID) *backend {
 		s.txn(id, c, 0, 0)
-		return s.d.txns[id].outAt
+		return s.controller.txns[id].current
 	}
 	b := first(1)
-	s.ended(1, Settled)
+	s.ended(1, Succeeded)
 	for i, held := range []float64{4, 40} {
-		for _, x := range s.d.list {
-			x.others, x.told = 1, s.d.now
+		for _, x := range s.controller.ordered {
+			x.inFlightElsewhere, x.loadReportedAt = 1, s.controller.now
 		}
-		b.others = held
+		b.inFlightElsewhere = held
 		fmt.Printf("it holds %.0f, the others 1: first again: %v\n", held, first(TxnID(i+2)) == b)
-		s.ended(TxnID(i+2), Settled)
+		s.ended(TxnID(i+2), Succeeded)
 	}
 	// Output:
 	// 10000 submit 1 to 14, 446
--- a/control/quota_test.go
+++ b/control/quota_test.go
@@ -8,123 +8,123 @@
 	"github.com/shoenig/test/must"
 )
 
-// crew is some Quotas under the gateway's terms and the messages between them, which the test carries by
+// cluster is some Quotas under the gateway's terms and the messages between them, which the test carries by
 // hand.
-type crew struct {
-	t         *testing.T
-	now       time.Duration
-	all       []*Quota
-	datagrams []parcelOf
-	chance    *rand.Rand
-	lose      float64 // share of messages lost, and as many come twice or late
-	cut       map[[2]GatewayID]bool
-	spent     []time.Duration // units of the customer watched, over all
+type cluster struct {
+	t           *testing.T
+	now         time.Duration
+	limiters    []*Limiter
+	datagrams   []datagram
+	rng         *rand.Rand
+	lossRate    float64 // share of messages lost, and as many come twice or late
+	partitioned map[[2]GatewayID]bool
+	consumed    []time.Duration // units of the customer watched, over all
 }
 
-type parcelOf struct {
-	from, to GatewayID
-	at       time.Duration
-	bytes    []byte
+type datagram struct {
+	from, to  GatewayID
+	arrivesAt time.Duration
+	bytes     []byte
 }
 
-const watched, turn = CustomerID(7), 2 * ms
+const watched, step = CustomerID(7), 2 * millisecond
 
-var gatewayTerms = QuotaTerms{Gap: 200 * ms, ViewLife: time.Second, DatagramsPerSecond: 200, Parts: true,
-	Fence: time.Second, Window: 5 * time.Second, Excess: 0.1, Margin: 20}
+var gatewayTerms = Config{MinInterval: 200 * millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 200, Strict: true,
+	OwnershipDelay: time.Second, Window: 5 * time.Second, Excess: 0.1, Margin: 20}
 
-func newCrew(t *testing.T, n int, rate, burst float64) *crew {
-	return newCrewOf(t, n, rate, burst, gatewayTerms)
+func newCluster(t *testing.T, n int, rate, burst float64) *cluster {
+	return newClusterOf(t, n, rate, burst, gatewayTerms)
 }
 
-func newCrewOf(t *testing.T, n int, rate, burst float64, terms QuotaTerms) *crew {
-	c := &crew{t: t, chance: rand.New(rand.NewSource(3)), cut: map[[2]GatewayID]bool{}}
+func newClusterOf(t *testing.T, n int, rate, burst float64, terms Config) *cluster {
+	c := &cluster{t: t, rng: rand.New(rand.NewSource(3)), partitioned: map[[2]GatewayID]bool{}}
 	for i := 0; i < n; i++ {
-		c.all = append(c.all, NewQuota(int64(i), GatewayID(i), n, 0, terms))
-		c.all[i].SetLimit(watched, rate, burst)
+		c.limiters = append(c.limiters, NewLimiter(int64(i), GatewayID(i), n, 0, terms))
+		c.limiters[i].SetLimit(watched, rate, burst)
 	}
 	return c
 }
 
-func (c *crew) owner() GatewayID { return ownerOf(watched, 0, len(c.all), len(c.all)) }
+func (c *cluster) owner() GatewayID { return ownerOf(watched, 0, len(c.limiters), len(c.limiters)) }
 
 // other is a gateway that is not the owner.
-func (c *crew) other() GatewayID { return (c.owner() + 1) % GatewayID(len(c.all)) }
+func (c *cluster) other() GatewayID { return (c.owner() + 1) % GatewayID(len(c.limiters)) }
 
-// apart cuts one gateway off from the rest, or joins it again.
-func (c *crew) apart(g GatewayID, off bool) {
-	for i := range c.all {
-		c.cut[[2]GatewayID{g, GatewayID(i)}], c.cut[[2]GatewayID{GatewayID(i), g}] = off, off
+// isolate cuts one gateway off from the rest, or joins it again.
+func (c *cluster) isolate(g GatewayID, off bool) {
+	for i := range c.limiters {
+		c.partitioned[[2]GatewayID{g, GatewayID(i)}], c.partitioned[[2]GatewayID{GatewayID(i), g}] = off, off
 	}
 }
 
-// reach tells a gateway that it is in touch with all on its side: those in off are alone, each by itself.
-func (c *crew) reach(g GatewayID, off func(GatewayID) bool) {
-	live := make([]bool, len(c.all))
+// setReachable tells a gateway that it is in touch with all on its side: those in off are alone, each by itself.
+func (c *cluster) setReachable(g GatewayID, off func(GatewayID) bool) {
+	live := make([]bool, len(c.limiters))
 	for i := range live {
 		live[i] = !off(g) && !off(GatewayID(i))
 	}
-	c.all[g].Reach(live)
+	c.limiters[g].SetReachable(live)
 }
 
 // run goes on for a while in which each gateway is asked for so many units a second.
-func (c *crew) run(d time.Duration, each float64, who ...GatewayID) (passed int) {
+func (c *cluster) run(d time.Duration, each float64, who ...GatewayID) (passed int) {
 	for end := c.now + d; c.now < end; {
-		c.now += turn
-		for i, q := range c.all {
+		c.now += step
+		for i, q := range c.limiters {
 			if q == nil {
 				continue
 			}
 			q.Now(c.now)
-			if len(who) > 0 && GatewayID(i) != who[0] || c.chance.Float64() > each*turn.Seconds() {
+			if len(who) > 0 && GatewayID(i) != who[0] || c.rng.Float64() > each*step.Seconds() {
 				continue
 			}
-			if v, _ := q.Covered(watched, Wish{Units: 1, Arrived: c.now, SLA: 400 * ms}); v == Pass {
-				q.Spend(watched, 1)
-				c.spent = append(c.spent, c.now)
+			if v, _ := q.Check(watched, Request{Units: 1, Arrived: c.now, SLA: 400 * millisecond}); v == Allowed {
+				q.Consume(watched, 1)
+				c.consumed = append(c.consumed, c.now)
 				passed++
 			}
 		}
-		c.carry()
+		c.deliver()
 	}
 	return passed
 }
 
-func (c *crew) carry() {
+func (c *cluster) deliver() {
 	kept := c.datagrams[:0]
 	for _, m := range c.datagrams {
-		if m.at > c.now {
+		if m.arrivesAt > c.now {
 			kept = append(kept, m)
-		} else if q := c.all[m.to]; q != nil {
-			q.PeerSaid(m.from, m.bytes)
+		} else if q := c.limiters[m.to]; q != nil {
+			q.DatagramReceived(m.from, m.bytes)
 		}
 	}
 	c.datagrams = kept
-	for i, q := range c.all {
+	for i, q := range c.limiters {
 		if q == nil {
 			continue
 		}
 		q.Sweep()
-		for to, b, ok := q.Datagrams(); ok; to, b, ok = q.Datagrams() {
-			m := parcelOf{GatewayID(i), to, c.now + turn, b}
-			if c.cut[[2]GatewayID{m.from, to}] || c.chance.Float64() < c.lose {
+		for to, b, ok := q.NextDatagram(); ok; to, b, ok = q.NextDatagram() {
+			m := datagram{GatewayID(i), to, c.now + step, b}
+			if c.partitioned[[2]GatewayID{m.from, to}] || c.rng.Float64() < c.lossRate {
 				continue
 			}
 			c.datagrams = append(c.datagrams, m)
-			if c.chance.Float64() < c.lose {
-				m.at += time.Duration(c.chance.Intn(300)) * ms
+			if c.rng.Float64() < c.lossRate {
+				m.arrivesAt += time.Duration(c.rng.Intn(300)) * millisecond
 				c.datagrams = append(c.datagrams, m)
 			}
 		}
-		must.GreaterEq(c.t, c.now, q.Next())
+		must.GreaterEq(c.t, c.now, q.NextDeadline())
 	}
 }
 
-// bounded holds the rule: no window of five seconds has more than it allows.
-func (c *crew) bounded(rate, burst float64) {
+// mustBeBounded holds the rule: no window of five seconds has more than it allows.
+func (c *cluster) mustBeBounded(rate, burst float64) {
 	c.t.Helper()
 	first := 0
-	for i, at := range c.spent {
-		for ; c.spent[first] <= at-5*time.Second; first++ {
+	for i, at := range c.consumed {
+		for ; c.consumed[first] <= at-5*time.Second; first++ {
 		}
 		must.LessEq(c.t, (rate*5+burst)*1.1+20, float64(i-first+1), must.Sprintf("at %v", at))
 	}
@@ -133,79 +133,79 @@
 func TestQuotaManyAsk(t *testing.T) {
 	for _, n := range []int{2, 3, 12} {
 		for _, lose := range []float64{0, 0.2} {
-			c := newCrew(t, n, 40, 60)
-			c.lose = lose
+			c := newCluster(t, n, 40, 60)
+			c.lossRate = lose
 			c.run(4*time.Second, 0) // buckets fill
 			c.run(10*time.Second, 400/float64(n))
-			c.bounded(40, 60)
-			must.Greater(t, 0.8*(40*10+60), float64(len(c.spent)), must.Sprint("most of what is allowed is used"))
+			c.mustBeBounded(40, 60)
+			must.Greater(t, 0.8*(40*10+60), float64(len(c.consumed)), must.Sprint("most of what is allowed is used"))
 		}
 	}
 }
 
 // A gateway restarts again and again, the owner or another: no life brings a fresh share.
 func TestQuotaRestarts(t *testing.T) {
-	c := newCrew(t, 3, 40, 60)
+	c := newCluster(t, 3, 40, 60)
 	for life := int64(1); life < 12; life++ {
-		c.run(1500*ms, 150)
+		c.run(1500*millisecond, 150)
 		g := c.owner()
 		if life%3 == 0 {
 			g = c.other()
 		}
-		c.all[g] = nil
-		c.run(700*ms, 150)
-		c.all[g] = NewQuota(100*life, g, 3, c.now, gatewayTerms)
-		c.all[g].SetLimit(watched, 40, 60)
+		c.limiters[g] = nil
+		c.run(700*millisecond, 150)
+		c.limiters[g] = NewLimiter(100*life, g, 3, c.now, gatewayTerms)
+		c.limiters[g].SetLimit(watched, 40, 60)
 	}
-	c.bounded(40, 60)
+	c.mustBeBounded(40, 60)
 }
 
 // The owner is cut off, and told of it: it and those that are alone share the rate.
 func TestQuotaCut(t *testing.T) {
-	c := newCrew(t, 3, 40, 60)
+	c := newCluster(t, 3, 40, 60)
 	c.run(4*time.Second, 60)
-	c.apart(c.owner(), true)
-	c.run(500*ms, 60)
-	for i := range c.all {
-		c.reach(GatewayID(i), func(g GatewayID) bool { return g == c.owner() })
+	c.isolate(c.owner(), true)
+	c.run(500*millisecond, 60)
+	for i := range c.limiters {
+		c.setReachable(GatewayID(i), func(g GatewayID) bool { return g == c.owner() })
 	}
 	c.run(20*time.Second, 60)
 	one := c.run(10*time.Second, 60, c.other())
 	must.Between(t, 10*40/3-15, one, 10*40/3+15, must.Sprint("its part of the rate, alone"))
-	c.apart(c.owner(), false)
-	for i := range c.all {
-		c.reach(GatewayID(i), func(GatewayID) bool { return false })
+	c.isolate(c.owner(), false)
+	for i := range c.limiters {
+		c.setReachable(GatewayID(i), func(GatewayID) bool { return false })
 	}
 	c.run(10*time.Second, 60)
-	c.bounded(40, 60)
-	before := len(c.spent)
+	c.mustBeBounded(40, 60)
+	before := len(c.consumed)
 	c.run(5*time.Second, 60)
-	must.Greater(t, 150, len(c.spent)-before, must.Sprint("back to the whole rate"))
+	must.Greater(t, 150, len(c.consumed)-before, must.Sprint("back to the whole rate"))
 }
 
 // More gateways come, not known to all at once: the new owner's bucket starts empty, what was told to the
 // old one and not acknowledged is told to the new one.
 func TestQuotaGrow(t *testing.T) {
-	c := newCrew(t, 2, 40, 60)
+	c := newCluster(t, 2, 40, 60)
 	c.run(4*time.Second, 0)
 	for n := 3; n <= 8; n++ {
 		c.run(time.Second, 80)
-		q := NewQuota(int64(n), GatewayID(n-1), n, c.now, gatewayTerms)
+		q := NewLimiter(int64(n), GatewayID(n-1), n, c.now, gatewayTerms)
 		q.SetLimit(watched, 40, 60)
-		c.all = append(c.all, q)
-		for _, i := range c.chance.Perm(n - 1) {
-			c.run(100*ms, 80)
-			c.all[i].Grow(GatewayID(i), n)
+		c.limiters = append(c.limiters, q)
+		for _, i := range c.rng.Perm(n - 1) {
+			c.run(100*millisecond, 80)
+			c.limiters[i].Grow(GatewayID(i), n)
 		}
 	}
 	c.run(5*time.Second, 80)
-	c.bounded(40, 60)
-	must.Greater(t, 500, len(c.spent))
+	c.mustBeBounded(40, 60)
+	must.Greater(t, 500, len(c.consumed))
 }
 
 func TestQuotaLimits(t *testing.T) {
-	c := newCrew(t, 2, 40, 60)
-	own, other := c.all[c.owner()], c.all[c.other()]
+	c := newCluster(t, 2, 40, 60)
+	own, other := c.limiters[c.owner()], c.limiters[c.other()]
 	c.run(4*time.Second, 0)
 	own.SetLimit(watched, 5, 10)
 	must.Eq(t, 10, own.accounts[watched].level)
@@ -219,8 +219,8 @@
 	for late = 1; ownerOf(late, 0, 2, 2) != c.owner() || late == watched; late++ {
 	}
 	other.SetLimit(late, 10, 10)
-	other.Covered(late, Wish{Units: 1, Arrived: c.now, SLA: time.Second})
-	other.Spend(late, 3)
+	other.Check(late, Request{Units: 1, Arrived: c.now, SLA: time.Second})
+	other.Consume(late, 3)
 	c.run(time.Second, 0)
 	must.Positive(t, own.BadDatagrams())
 	must.Eq(t, 3, other.accounts[late].unacked)
@@ -230,33 +230,33 @@
 
 	// Not metered any more, here before there.
 	own.SetLimit(late, 0, 0)
-	other.Spend(late, 2)
+	other.Consume(late, 2)
 	c.run(time.Second, 0)
 	must.Eq(t, 0, other.accounts[late].unacked)
-	v, _ := own.Covered(late, Wish{Units: 1e6, Arrived: c.now})
-	must.Eq(t, Pass, v)
+	v, _ := own.Check(late, Request{Units: 1e6, Arrived: c.now})
+	must.Eq(t, Allowed, v)
 	c.run(2*time.Minute, 0)
-	must.MapEmpty(t, own.gone)
+	must.MapEmpty(t, own.removed)
 }
 
 // Alone from the start, never having heard an owner: its part of what the rule leaves, and of the rate once it is told
 // that the owner is lost.
 func TestQuotaAlone(t *testing.T) {
-	c := newCrew(t, 4, 40, 60)
-	c.apart(c.other(), true)
+	c := newCluster(t, 4, 40, 60)
+	c.isolate(c.other(), true)
 	must.LessEq(t, 60/4+10, c.run(time.Second, 500, c.other()))
-	c.reach(c.other(), func(g GatewayID) bool { return g != c.other() })
+	c.setReachable(c.other(), func(g GatewayID) bool { return g != c.other() })
 	must.LessEq(t, 110, c.run(10*time.Second, 500, c.other()))
-	must.Greater(t, 80, len(c.spent))
+	must.Greater(t, 80, len(c.consumed))
 }
 
 // Few units for many gateways: those that ask get them, one by one, and nobody starves on fragments.
 func TestQuotaSmall(t *testing.T) {
-	c := newCrew(t, 12, 2, 3)
+	c := newCluster(t, 12, 2, 3)
 	c.run(5*time.Second, 0)
 	c.run(20*time.Second, 1)
-	c.bounded(2, 3)
-	must.Greater(t, 30, len(c.spent))
+	c.mustBeBounded(2, 3)
+	must.Greater(t, 30, len(c.consumed))
 }
 
 // Gateways are cut off and start again at random, the owner above all, and messages get lost. Reach is told
@@ -264,66 +264,66 @@
 func TestQuotaTroubles(t *testing.T) {
 	const n, rate, burst = 12, 200, 100
 	for seed := int64(0); seed < 3; seed++ {
-		c := newCrew(t, n, rate, burst)
-		c.chance, c.lose = rand.New(rand.NewSource(seed)), 0.05
+		c := newCluster(t, n, rate, burst)
+		c.rng, c.lossRate = rand.New(rand.NewSource(seed)), 0.05
 		off := map[GatewayID]bool{}
 		for life := seed*100 + 50; life < seed*100+70; life++ {
-			g := GatewayID(c.chance.Intn(n))
-			if c.chance.Intn(2) == 0 {
+			g := GatewayID(c.rng.Intn(n))
+			if c.rng.Intn(2) == 0 {
 				g = c.owner()
 			}
-			if c.chance.Intn(3) == 0 {
-				c.all[g] = NewQuota(life, g, n, c.now, gatewayTerms)
-				c.all[g].SetLimit(watched, rate, burst)
+			if c.rng.Intn(3) == 0 {
+				c.limiters[g] = NewLimiter(life, g, n, c.now, gatewayTerms)
+				c.limiters[g].SetLimit(watched, rate, burst)
 			} else if off[g] = !off[g]; !off[g] {
 				delete(off, g)
-				c.apart(g, false)
+				c.isolate(g, false)
 			}
 			for g := range off {
-				c.apart(g, true)
+				c.isolate(g, true)
 			}
-			c.run(600*ms, 8*rate/n)
-			for g := range c.all {
-				c.reach(GatewayID(g), func(g GatewayID) bool { return off[g] })
+			c.run(600*millisecond, 8*rate/n)
+			for g := range c.limiters {
+				c.setReachable(GatewayID(g), func(g GatewayID) bool { return off[g] })
 			}
-			c.run(time.Duration(c.chance.Intn(3000))*ms, 8*rate/n)
+			c.run(time.Duration(c.rng.Intn(3000))*millisecond, 8*rate/n)
 		}
-		c.bounded(rate, burst)
+		c.mustBeBounded(rate, burst)
 	}
 }
 
-// waitingWish is a wish that the quota has not settled yet.
-type waitingWish struct {
+// waitingRequest is a wish that the quota has not settled yet.
+type waitingRequest struct {
 	at GatewayID
-	w  Wish
+	w  Request
 }
 
-// patient runs a crew where wishes come by chance at any gateway, so many a second in all, and wait while they may. It tells how many
+// runWaiting runs a crew where wishes come by chance at any gateway, so many a second in all, and wait while they may. It tells how many
 // were let pass and how many were not.
-func (c *crew) patient(d time.Duration, all float64, sla time.Duration) (passed, beyond int) {
-	var waits []waitingWish
+func (c *cluster) runWaiting(d time.Duration, all float64, sla time.Duration) (passed, beyond int) {
+	var waits []waitingRequest
 	for end := c.now + d; c.now < end; {
-		c.now += turn
-		for _, q := range c.all {
+		c.now += step
+		for _, q := range c.limiters {
 			q.Now(c.now)
 		}
-		if c.chance.Float64() < all*turn.Seconds() {
-			waits = append(waits, waitingWish{GatewayID(c.chance.Intn(len(c.all))), Wish{Units: 1, Arrived: c.now, SLA: sla}})
+		if c.rng.Float64() < all*step.Seconds() {
+			waits = append(waits, waitingRequest{GatewayID(c.rng.Intn(len(c.limiters))), Request{Units: 1, Arrived: c.now, SLA: sla}})
 		}
 		rest := waits[:0]
 		for _, x := range waits {
-			switch v, _ := c.all[x.at].Covered(watched, x.w); v {
-			case Pass:
-				c.all[x.at].Spend(watched, 1)
+			switch v, _ := c.limiters[x.at].Check(watched, x.w); v {
+			case Allowed:
+				c.limiters[x.at].Consume(watched, 1)
 				passed++
-			case Beyond:
+			case Exceeded:
 				beyond++
 			default:
 				rest = append(rest, x)
 			}
 		}
 		waits = rest
-		c.carry()
+		c.deliver()
 	}
 	return passed, beyond
 }
@@ -334,9 +334,9 @@
 func TestQuotaOfManyGateways(t *testing.T) {
 	for _, n := range []int{24, 300} {
 		for _, rate := range []float64{4, 16, 60} {
-			c := newCrew(t, n, rate, rate)
-			c.patient(6*time.Second, 0, 0) // buckets fill
-			passed, beyond := c.patient(30*time.Second, rate/1.6, 800*ms)
+			c := newCluster(t, n, rate, rate)
+			c.runWaiting(6*time.Second, 0, 0) // buckets fill
+			passed, beyond := c.runWaiting(30*time.Second, rate/1.6, 800*millisecond)
 			must.Greater(t, 12*beyond, passed, must.Sprintf("%d gateways, rate %v: %d of %d", n, rate, beyond, passed+beyond))
 		}
 	}
@@ -347,10 +347,10 @@
 func TestQuotaOfOneLargeCustomer(t *testing.T) {
 	refused := func(datagrams float64) int {
 		terms := gatewayTerms
-		terms.Gap, terms.DatagramsPerSecond = 50*ms, datagrams
-		c := newCrewOf(t, 300, 290, 290, terms)
-		c.patient(6*time.Second, 0, 0)
-		passed, beyond := c.patient(12*time.Second, 180, 480*ms)
+		terms.MinInterval, terms.DatagramsPerSecond = 50*millisecond, datagrams
+		c := newClusterOf(t, 300, 290, 290, terms)
+		c.runWaiting(6*time.Second, 0, 0)
+		passed, beyond := c.runWaiting(12*time.Second, 180, 480*millisecond)
 		t.Logf("%v datagrams a second: %d of %d refused", datagrams, beyond, passed+beyond)
 		return beyond
 	}
--- a/control/recorded_test.go
+++ b/control/recorded_test.go
@@ -40,7 +40,7 @@
 }
 
 // playQuotas plays five quotas of which peers get lost, start again and are added, and gives the digest of their verdicts and messages.
-func playQuotas(seed int64, terms QuotaTerms) string {
+func playQuotas(seed int64, terms Config) string {
 	type sent struct {
 		from, to GatewayID
 		at       time.Duration
@@ -48,11 +48,11 @@
 	}
 	const customers = 12
 	chance, rec := rand.New(rand.NewSource(seed)), newRecorder()
-	var all []*Quota
+	var all []*Limiter
 	var under []sent
 	now := time.Duration(0)
-	start := func(i, n int) *Quota {
-		q := NewQuota(seed*100+int64(now/time.Millisecond)+int64(i), GatewayID(i), n, now, terms)
+	start := func(i, n int) *Limiter {
+		q := NewLimiter(seed*100+int64(now/time.Millisecond)+int64(i), GatewayID(i), n, now, terms)
 		for c := CustomerID(1); c <= customers; c++ {
 			q.SetLimit(c, float64(c)*4, float64(c)*8)
 		}
@@ -90,7 +90,7 @@
 				for j := range live {
 					live[j] = lost < 0 || (i == lost) == (j == lost)
 				}
-				q.Reach(live)
+				q.SetReachable(live)
 			}
 		}
 		for i, q := range all {
@@ -100,15 +100,15 @@
 			q.Now(now)
 			c := CustomerID(1 + chance.Intn(customers))
 			units := float64(1 + chance.Intn(4))
-			v, at := q.Covered(c, Wish{Units: units, Arrived: now - time.Duration(chance.Intn(300))*time.Millisecond, SLA: 400 * time.Millisecond,
+			v, at := q.Check(c, Request{Units: units, Arrived: now - time.Duration(chance.Intn(300))*time.Millisecond, SLA: 400 * time.Millisecond,
 				Late: chance.Intn(5) == 0})
 			rec.add(int64(i), int64(v), int64(at))
-			if v == Pass {
+			if v == Allowed {
 				if chance.Intn(4) == 0 {
-					q.Keep(c, units)
-					q.Unkeep(c, units)
+					q.Reserve(c, units)
+					q.Release(c, units)
 				}
-				q.Spend(c, units)
+				q.Consume(c, units)
 			}
 		}
 		rest := under[:0]
@@ -116,14 +116,14 @@
 			if m.at > now {
 				rest = append(rest, m)
 			} else {
-				rec.add(flag(all[m.to].PeerSaid(m.from, m.payload)))
+				rec.add(flag(all[m.to].DatagramReceived(m.from, m.payload)))
 			}
 		}
 		under = rest
 		for i, q := range all {
 			q.Sweep()
-			rec.add(int64(q.Next()))
-			for to, payload, ok := q.Datagrams(); ok; to, payload, ok = q.Datagrams() {
+			rec.add(int64(q.NextDeadline()))
+			for to, payload, ok := q.NextDatagram(); ok; to, payload, ok = q.NextDatagram() {
 				rec.add(int64(to))
 				rec.Write(payload)
 				if lost >= 0 && (i == lost) != (int(to) == lost) || chance.Intn(20) == 0 {
@@ -138,12 +138,12 @@
 
 func TestQuotaDecidesAsRecorded(t *testing.T) {
 	even := gatewayTerms
-	even.Parts, even.Start = false, 0.5
+	even.Strict, even.InitialFill = false, 0.5
 	young := gatewayTerms
-	young.Start, young.Gap = 1, 20*time.Millisecond
+	young.InitialFill, young.MinInterval = 1, 20*time.Millisecond
 	for _, tc := range []struct {
 		name  string
-		terms QuotaTerms
+		terms Config
 		seed  int64
 		want  string
 	}{
@@ -182,7 +182,7 @@
 		sent     time.Duration
 	}
 	chance, rec := rand.New(rand.NewSource(seed)), newRecorder()
-	var doors []*Gateway
+	var doors []*Controller
 	now := time.Second
 	for i := range 3 {
 		s := recordedSettings(i)
@@ -193,15 +193,15 @@
 		}
 		doors = append(doors, d)
 	}
-	list := func(id int, state BackendState, started time.Duration) Listing {
-		return Listing{ID: BackendID(id), Zone: ZoneID(id % 2), Pod: PodID(id % 4), State: state, Size: 4, Started: started}
+	list := func(id int, state BackendState, started time.Duration) Endpoint {
+		return Endpoint{ID: BackendID(id), Zone: ZoneID(id % 2), Pod: PodID(id % 4), State: state, Capacity: 4, Started: started}
 	}
 	for _, d := range doors {
-		var all []Listing
+		var all []Endpoint
 		for id := 1; id <= 8; id++ {
 			all = append(all, list(id, Ready, 0))
 		}
-		d.ListChanged(true, all)
+		d.EndpointsChanged(true, all)
 	}
 	still := func(step int) bool { return step%1500 > 1420 } // the second one, now and then
 	tries := map[[2]int]int{}
@@ -216,11 +216,11 @@
 			for _, d := range doors {
 				switch chance.Intn(3) {
 				case 0:
-					d.ListChanged(false, []Listing{list(id, Draining, 0)})
+					d.EndpointsChanged(false, []Endpoint{list(id, Draining, 0)})
 				case 1:
-					d.ListChanged(false, []Listing{list(id, Gone, 0)})
+					d.EndpointsChanged(false, []Endpoint{list(id, Gone, 0)})
 				default:
-					d.ListChanged(false, []Listing{list(id, Ready, now)})
+					d.EndpointsChanged(false, []Endpoint{list(id, Ready, now)})
 				}
 			}
 		}
@@ -232,26 +232,26 @@
 			}
 			d, x := doors[e.door], e.decision
 			d.Now(now)
-			switch x.Verb {
-			case Tell:
-				d.PeerSaid(e.from, x.Payload)
+			switch x.Action {
+			case SendDatagram:
+				d.DatagramReceived(e.from, x.Payload)
 			case Probe:
 				d.ProbeEnded(x.Backend, chance.Intn(5) > 0, 3*time.Millisecond, []float64{float64(held[x.Backend])})
 			case Submit:
 				held[x.Backend]--
 				who := [2]int{e.door, int(x.Txn)}
-				how, took := Settled, e.at-e.sent
+				how, took := Succeeded, e.at-e.sent
 				switch {
 				case x.Backend == 3 && now > 15*time.Second && now < 22*time.Second:
 					how = Errored
 				case x.Backend == 5 && now > 20*time.Second && now < 26*time.Second:
-					how = []Ending{Unreachable, Broken, TimedOut}[chance.Intn(3)]
-				case x.Limit > 0 && took > x.Limit:
-					how, took = TimedOut, x.Limit
+					how = []Ending{Unreachable, ConnectionLost, TimedOut}[chance.Intn(3)]
+				case x.After > 0 && took > x.After:
+					how, took = TimedOut, x.After
 				case chance.Intn(20) == 0:
-					how = []Ending{Errored, Full, TimedOut, Unreachable, Broken, CalledOff, NotSent}[chance.Intn(7)]
+					how = []Ending{Errored, Rejected, TimedOut, Unreachable, ConnectionLost, Canceled, NotSent}[chance.Intn(7)]
 				}
-				over := how == Settled || !open[who]
+				over := how == Succeeded || !open[who]
 				d.SubmissionEnded(x.Txn, e.nr, x.Backend, how, over, took, []float64{float64(held[x.Backend])})
 				if over {
 					delete(open, who)
@@ -268,17 +268,17 @@
 				next++
 				product := ProductID(chance.Intn(4))
 				open[[2]int{i, int(next)}] = true
-				d.TxnTaken(Txn{ID: next, Customer: CustomerID(1 + chance.Intn(20)), Product: product, Plan: PlanID(chance.Intn(4)), Units: float64(1 + chance.Intn(3)),
-					Expiry: now + time.Duration(500+chance.Intn(1500))*time.Millisecond, SetFirst: 0, SetWidth: 3, Repeat: chance.Intn(6) == 0})
+				d.TxnArrived(Txn{ID: next, Customer: CustomerID(1 + chance.Intn(20)), Product: product, Plan: PlanID(chance.Intn(4)), Units: float64(1 + chance.Intn(3)),
+					Expiry: now + time.Duration(500+chance.Intn(1500))*time.Millisecond, SetFirst: 0, SetWidth: 3, Retry: chance.Intn(6) == 0})
 			}
 			if chance.Intn(400) == 0 && next > 0 {
 				d.ClientLeft(next)
 			}
 			for x, ok := d.Next(); ok; x, ok = d.Next() {
-				rec.add(int64(x.Verb), int64(x.Txn), int64(x.Nr), int64(x.Backend), int64(x.Limit), int64(x.Whole), int64(x.Peer), int64(x.Why))
+				rec.add(int64(x.Action), int64(x.Txn), int64(x.Attempt), int64(x.Backend), int64(x.After), int64(x.ResponseTimeout), int64(x.Peer), int64(x.Reason))
 				rec.Write(x.Payload)
 				who := [2]int{i, int(x.Txn)}
-				switch x.Verb {
+				switch x.Action {
 				case Submit:
 					held[x.Backend]++
 					took := time.Duration(chance.ExpFloat64() * 40 * float64(time.Millisecond) * float64(1+held[x.Backend]/6))
@@ -289,11 +289,11 @@
 					tries[who]++
 				case Probe:
 					queue = append(queue, event{at: now + 3*time.Millisecond, door: i, decision: x})
-				case Tell:
+				case SendDatagram:
 					if chance.Intn(15) > 0 {
 						queue = append(queue, event{at: now + 4*time.Millisecond, door: int(x.Peer), decision: x, from: GatewayID(i)})
 					}
-				case Decline, Void:
+				case Reject, Fail:
 					delete(open, who)
 				}
 			}
--- a/control/scene_test.go
+++ b/control/scene_test.go
@@ -6,10 +6,10 @@
 )
 
 // A scene drives one gateway and prints its decisions. Times are in milliseconds.
-type scene struct {
-	d         *Gateway
-	datagrams []*message
-	quiet     bool // print no datagram
+type scenario struct {
+	controller *Controller
+	datagrams  []*message
+	quiet      bool // print no datagram
 }
 
 // Products of a scene: 0 inquiry-like, 1 referenced in its pod, 2 once-only, 3 referenced everywhere.
@@ -38,45 +38,45 @@
 	return s
 }
 
-func newScene(s Settings, at int) *scene {
-	d, err := New(1, s, ms*time.Duration(at))
+func newScenario(s Settings, at int) *scenario {
+	d, err := New(1, s, millisecond*time.Duration(at))
 	if err != nil {
 		fmt.Println(err)
 	}
-	return &scene{d: d}
+	return &scenario{controller: d}
 }
 
-// warm gives a scene at 10 s with three warm backends: 1 and 2 in pod 0, 3 in pod 1.
-func warm() *scene {
-	s := newScene(settings(0), 0)
-	s.list(true, Listing{ID: 1, State: Ready}, Listing{ID: 2, State: Ready}, Listing{ID: 3, Pod: 1, State: Ready})
-	s.quiet, s.d.room = true, 3
-	s.at(10000)
+// newWarmScenario gives a scene at 10 s with three warm backends: 1 and 2 in pod 0, 3 in pod 1.
+func newWarmScenario() *scenario {
+	s := newScenario(settings(0), 0)
+	s.list(true, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Ready}, Endpoint{ID: 3, Pod: 1, State: Ready})
+	s.quiet, s.controller.capacity = true, 3
+	s.advance(10000)
 	return s
 }
 
-// at moves the clock and prints what is decided by then.
+// advance moves the clock and prints what is decided by then.
 // It goes there in turns, as a host does: a gateway without a turn has stood still.
-func (s *scene) at(t int) {
-	for to := ms * time.Duration(t); s.d.now < to; {
-		s.d.Now(min(to, s.d.now+50*ms))
+func (s *scenario) advance(t int) {
+	for to := millisecond * time.Duration(t); s.controller.now < to; {
+		s.controller.Now(min(to, s.controller.now+50*millisecond))
 		s.pull()
 	}
 }
 
-func (s *scene) list(whole bool, l ...Listing) { s.d.ListChanged(whole, l) }
+func (s *scenario) list(whole bool, l ...Endpoint) { s.controller.EndpointsChanged(whole, l) }
 
 // txn takes a txn of one unit in, from the customer, with two seconds until its expiry.
-func (s *scene) txn(id TxnID, c CustomerID, p ProductID, pl PlanID) {
-	s.d.TxnTaken(Txn{ID: id, Customer: c, Product: p, Plan: pl, Units: 1, SetWidth: 3,
-		Expiry: s.d.now + 2*time.Second})
+func (s *scenario) txn(id TxnID, c CustomerID, p ProductID, pl PlanID) {
+	s.controller.TxnArrived(Txn{ID: id, Customer: c, Product: p, Plan: pl, Units: 1, SetWidth: 3,
+		Expiry: s.controller.now + 2*time.Second})
 	s.pull()
 }
 
 // ended ends the present submission of a txn.
-func (s *scene) ended(id TxnID, e Ending) {
-	t := s.d.txns[id]
-	s.d.SubmissionEnded(id, t.nr-1, t.outAt.ID, e, e == Settled, s.d.now-t.sent, nil)
+func (s *scenario) ended(id TxnID, e Ending) {
+	t := s.controller.txns[id]
+	s.controller.SubmissionEnded(id, t.submissions-1, t.current.ID, e, e == Succeeded, s.controller.now-t.sentAt, nil)
 	s.pull()
 }
 
@@ -85,46 +85,46 @@
 	d, _ := New(1, settings(0), 0)
 	for c := CustomerID(1); ; c++ {
 		a := d.quota.account(c, 0)
-		if d.quota.place(a, 0, 3); a.owner == g {
+		if d.quota.assignOwner(a, 0, 3); a.owner == g {
 			return c
 		}
 	}
 }
 
-// hear delivers a message from a peer.
-func (s *scene) hear(from GatewayID, m *message) {
-	s.d.PeerSaid(from, m.encode())
+// receive delivers a message from a peer.
+func (s *scenario) receive(from GatewayID, m *message) {
+	s.controller.DatagramReceived(from, m.encode())
 	s.pull()
 }
 
-func (s *scene) pull() {
+func (s *scenario) pull() {
 	for {
-		x, ok := s.d.Next()
+		x, ok := s.controller.Next()
 		if !ok {
 			return
 		}
-		fmt.Print(s.line(x))
+		fmt.Print(s.format(x))
 	}
 }
 
-func (s *scene) line(x Decision) string {
-	t := fmt.Sprintf("%5d ", s.d.now.Milliseconds())
+func (s *scenario) format(x Decision) string {
+	t := fmt.Sprintf("%5d ", s.controller.now.Milliseconds())
 	limit := ""
-	if x.Limit > 0 {
-		limit = fmt.Sprintf(", %d", x.Limit.Milliseconds())
+	if x.After > 0 {
+		limit = fmt.Sprintf(", %d", x.After.Milliseconds())
 	}
-	switch x.Verb {
+	switch x.Action {
 	case Submit:
 		return fmt.Sprintf("%ssubmit %d to %d%s\n", t, x.Txn, x.Backend, limit)
-	case Decline:
+	case Reject:
 		return fmt.Sprintf("%sdecline %d%s\n", t, x.Txn, limit)
-	case Void:
+	case Fail:
 		return fmt.Sprintf("%svoid %d\n", t, x.Txn)
-	case Recall:
-		return fmt.Sprintf("%srecall %d/%d\n", t, x.Txn, x.Nr)
+	case Cancel:
+		return fmt.Sprintf("%srecall %d/%d\n", t, x.Txn, x.Attempt)
 	case Probe:
 		return fmt.Sprintf("%sprobe %d\n", t, x.Backend)
-	case Tell:
+	case SendDatagram:
 		m, err := decodeMessage(x.Payload)
 		if err != nil {
 			return t + err.Error() + "\n"
@@ -137,8 +137,8 @@
 		for _, l := range m.deltas {
 			text += fmt.Sprintf(" delta %d used %g", m.seq, l.units)
 		}
-		for _, l := range m.snaps {
-			text += fmt.Sprintf(" snapshot left %g sharers %d ack %d", l.left, l.sharers, m.ackHigh)
+		for _, l := range m.snapshots {
+			text += fmt.Sprintf(" snapshot left %g sharers %d ack %d", l.level, l.reporters, m.ackHigh)
 		}
 		return text + "\n"
 	}
--- a/control/state.go
+++ b/control/state.go
@@ -10,86 +10,86 @@
 
 // Bookkeeping without decisions: lists and ids held. That of the quota is in quotastate.go and account.go.
 
-// ListChanged takes news of the backends; a whole list replaces the old one.
-func (d *Gateway) ListChanged(whole bool, list []Listing) {
+// EndpointsChanged takes news of the backends; a whole list replaces the old one.
+func (d *Controller) EndpointsChanged(whole bool, list []Endpoint) {
 	if whole {
-		for _, b := range d.list {
+		for _, b := range d.ordered {
 			b.State = Gone
 		}
 	}
 	for _, l := range list {
 		b := d.backends[l.ID]
 		if b == nil {
-			b = &backend{Listing: l, hash: mix(uint64(l.ID)), slow: 1, fail: make([]failing, len(d.products))}
+			b = &backend{Endpoint: l, hash: hash64(uint64(l.ID)), slowdown: 1, failures: make([]productFailures, len(d.products))}
 			d.backends[l.ID] = b
-			d.list = append(d.list, b)
-			d.byHash[b.hash&sightMask] = b
-			sort.Slice(d.list, func(i, j int) bool { return d.list[i].ID < d.list[j].ID })
+			d.ordered = append(d.ordered, b)
+			d.byHash[b.hash&observationHashMask] = b
+			sort.Slice(d.ordered, func(i, j int) bool { return d.ordered[i].ID < d.ordered[j].ID })
 		}
 		if l.Started > b.Started { // a new process: what was known of the old one is void
-			*b = backend{Listing: l, hash: b.hash, slow: 1, out: b.out,
-				fail: make([]failing, len(d.products))}
+			*b = backend{Endpoint: l, hash: b.hash, slowdown: 1, inFlight: b.inFlight,
+				failures: make([]productFailures, len(d.products))}
 		}
-		b.Listing = l
+		b.Endpoint = l
 	}
-	d.list = slices.DeleteFunc(d.list, func(b *backend) bool { // what is out there keeps its own hold of it
+	d.ordered = slices.DeleteFunc(d.ordered, func(b *backend) bool { // what is out there keeps its own hold of it
 		if b.State == Gone {
 			delete(d.backends, b.ID)
-			delete(d.byHash, b.hash&sightMask)
+			delete(d.byHash, b.hash&observationHashMask)
 		}
 		return b.State == Gone
 	})
-	d.recheck, d.noRoom, d.open = true, false, d.open[:0]
+	d.recheck, d.saturated, d.available = true, false, d.available[:0]
 }
 
 // ClientLeft is told when nobody waits for this txn any more.
-func (d *Gateway) ClientLeft(id TxnID) {
+func (d *Controller) ClientLeft(id TxnID) {
 	if t := d.txns[id]; t != nil {
 		d.forget(t)
 	}
 }
 
-func (d *Gateway) forget(t *txn) {
+func (d *Controller) forget(t *txn) {
 	t.ended = true
-	d.unkeep(t)
-	if t.outAt != nil { // the outcome is still to come and counts for the backend
+	d.release(t)
+	if t.current != nil { // the outcome is still to come and counts for the backend
 		return
 	}
 	delete(d.txns, t.ID)
 }
 
-// unkeep lets go of the units kept for a txn.
-func (d *Gateway) unkeep(t *txn) {
-	if t.kept {
-		d.quota.Unkeep(t.Customer, t.Units)
+// release lets go of the units kept for a txn.
+func (d *Controller) release(t *txn) {
+	if t.reserved {
+		d.quota.Release(t.Customer, t.Units)
 	}
-	t.kept = false
+	t.reserved = false
 }
 
-// usual is the usual answer time of such a txn.
-func (d *Gateway) usual(t *txn) time.Duration {
-	if s, ok := d.typical[d.sort(t)]; ok {
+// usualLatency is the usual answer time of such a txn.
+func (d *Controller) usualLatency(t *txn) time.Duration {
+	if s, ok := d.latency[d.workKind(t)]; ok {
 		return time.Duration(s * float64(time.Second))
 	}
-	return d.products[t.Product].slaTime / unknownPart
+	return d.products[t.Product].slaTime / unknownLatencyDivisor
 }
 
 // wake asks for the one periodic timer and, if something is due before it, for that time.
-func (d *Gateway) wake() (Decision, bool) {
-	next := d.lastWork + d.pace()
-	if at, ok := d.due.Next(); ok {
+func (d *Controller) wake() (Decision, bool) {
+	next := d.sweptAt + d.workInterval()
+	if at, ok := d.timers.Next(); ok {
 		next = min(next, at)
 	}
-	next = max(next, d.now+ms)
+	next = max(next, d.now+millisecond)
 	if d.wakeAt > d.now && d.wakeAt <= next {
 		return Decision{}, false
 	}
 	d.wakeAt = next
-	return Decision{Verb: Wake, Limit: d.wakeAt - d.now}, true
+	return Decision{Action: Wake, After: d.wakeAt - d.now}, true
 }
 
 // ProbeEnded takes the answer to a probe.
-func (d *Gateway) ProbeEnded(at BackendID, good bool, took time.Duration, load []float64) {
+func (d *Controller) ProbeEnded(at BackendID, good bool, took time.Duration, load []float64) {
 	b := d.backends[at]
 	if b == nil {
 		return
@@ -97,15 +97,15 @@
 	b.probing = false
 	d.readLoad(b, load)
 	if !good {
-		b.probes = 0
-		b.fails += smooth * (1 - b.fails)
+		b.passedProbes = 0
+		b.failureShare += smoothing * (1 - b.failureShare)
 		return
 	}
-	b.probes++
+	b.passedProbes++
 }
 
-// TxnTaken takes a client's txn in.
-func (d *Gateway) TxnTaken(x Txn) {
+// TxnArrived takes a client's txn in.
+func (d *Controller) TxnArrived(x Txn) {
 	if d.txns[x.ID] != nil {
 		return
 	}
@@ -114,141 +114,141 @@
 	if x.Product < 0 || int(x.Product) >= len(d.products) || x.Plan < 0 || int(x.Plan) >= len(d.plans) {
 		t.Product, t.Plan, t.slaAt = 0, 0, d.now // a kind that the settings don't name: declined for want of time
 	} else {
-		d.dates(t)
+		d.setDeadlines(t)
 	}
 	d.txns[x.ID] = t
-	d.due.Add(x.Expiry-2*ms, x.ID) // rule 1: every expiry is watched
-	d.todo = append(d.todo, t)
+	d.timers.Add(x.Expiry-2*millisecond, x.ID) // rule 1: every expiry is watched
+	d.undecided = append(d.undecided, t)
 }
 
 // SubmissionEnded takes the one outcome of a submission.
-func (d *Gateway) SubmissionEnded(id TxnID, nr int, at BackendID, e Ending, over bool, took time.Duration,
+func (d *Controller) SubmissionEnded(id TxnID, nr int, at BackendID, e Ending, over bool, took time.Duration,
 	load []float64) {
 	t, b := d.txns[id], d.backends[at]
 	if b != nil {
-		d.learn(t, b, e, took, load)
+		d.recordOutcome(t, b, e, took, load)
 	}
-	if t == nil || nr != t.nr-1 || t.outAt == nil {
+	if t == nil || nr != t.submissions-1 || t.current == nil {
 		return
 	}
-	t.outAt.out--
-	t.outAt = nil
-	if a := d.quota.accounts[t.Customer]; a != nil && a.out > 0 {
-		d.quota.sent(a, -1)
+	t.current.inFlight--
+	t.current = nil
+	if a := d.quota.accounts[t.Customer]; a != nil && a.inFlight > 0 {
+		d.quota.addInFlight(a, -1)
 	}
-	if !e.neverRan() && !t.mayHaveRun {
-		t.mayHaveRun, t.firstRan = true, t.sent
+	if !e.provesNotRun() && !t.mayHaveRun {
+		t.mayHaveRun, t.firstRanAt = true, t.sentAt
 		if b != nil {
 			t.ranZone, t.ranPod = b.Zone, b.Pod
 		}
 	}
-	d.recheck, d.noRoom = true, false
+	d.recheck, d.saturated = true, false
 	if over || t.ended {
 		d.forget(t)
 		return
 	}
-	d.todo = append(d.todo, t)
+	d.undecided = append(d.undecided, t)
 }
 
 // Woken is called when a wake-up that was asked for has come.
-func (d *Gateway) Woken(uint64) {}
+func (d *Controller) Woken(uint64) {}
 
-// sort names the kind of work of a txn: work goes by product and units.
-func (d *Gateway) sort(t *txn) int { return int(t.Product)*64 + int(min(max(t.Units, 0), 63)) }
+// workKind names the kind of work of a txn: work goes by product and units.
+func (d *Controller) workKind(t *txn) int { return int(t.Product)*64 + int(min(max(t.Units, 0), 63)) }
 
-// note writes the line for the log.
-func (d *Gateway) note(aside int) {
-	d.ready = append(d.ready, Decision{Verb: Note, Text: fmt.Sprintf("given up for want of%s; room %.2f, "+
-		"%d of %d backends aside, %d txns wait, %d bad messages", d.gaveUp.text(), d.room, aside, len(d.open),
-		len(d.line), d.quota.badDatagrams)})
-	d.gaveUp, d.noted = tally{}, d.now
+// logSummary writes the line for the log.
+func (d *Controller) logSummary(aside int) {
+	d.decisions = append(d.decisions, Decision{Action: Log, Text: fmt.Sprintf("given up for want of%s; room %.2f, "+
+		"%d of %d backends aside, %d txns wait, %d bad messages", d.givenUp.text(), d.capacity, aside, len(d.available),
+		len(d.waiting), d.quota.badDatagrams)})
+	d.givenUp, d.loggedAt = reasonCounts{}, d.now
 }
 
-// slowest is the longest usual answer time, in seconds.
-func (d *Gateway) slowest() float64 {
+// slowestLatency is the longest usual answer time, in seconds.
+func (d *Controller) slowestLatency() float64 {
 	s := 0.0
 	for p := range d.products {
-		s = max(s, d.products[p].slaTime.Seconds()/unknownPart)
+		s = max(s, d.products[p].slaTime.Seconds()/unknownLatencyDivisor)
 	}
 	return max(s, 0.001)
 }
 
-// settles counts what warm backends settle: sends may be more than they can do.
-func (d *Gateway) settles(b *backend) {
-	if b.warm >= 1 {
-		d.doneRate, d.doneAt = d.doneNow()+1/rateOver, d.now
+// countCompletion counts what warm backends settle: sends may be more than they can do.
+func (d *Controller) countCompletion(b *backend) {
+	if b.warmth >= 1 {
+		d.completionRate, d.completionRateAt = d.completionRateNow()+1/rateWindow, d.now
 	}
 }
 
-// doneNow is its smoothed rate.
-func (d *Gateway) doneNow() float64 {
-	return d.doneRate * math.Exp(-(d.now-d.doneAt).Seconds()/rateOver)
+// completionRateNow is its smoothed rate.
+func (d *Controller) completionRateNow() float64 {
+	return d.completionRate * math.Exp(-(d.now-d.completionRateAt).Seconds()/rateWindow)
 }
 
-// weight is a txn's work against the mean of those sent: a cold backend's budget is one of work.
-func (d *Gateway) weight(t *txn) float64 {
-	if d.work <= 0 {
+// workWeight is a txn's work against the mean of those sent: a cold backend's budget is one of work.
+func (d *Controller) workWeight(t *txn) float64 {
+	if d.meanWork <= 0 {
 		return 1
 	}
-	return d.usual(t).Seconds() / d.work
+	return d.usualLatency(t).Seconds() / d.meanWork
 }
 
-// wish is what a txn asks of the quota.
-func (d *Gateway) wish(t *txn) Wish {
-	return Wish{Units: t.Units, Arrived: t.arrived, SLA: d.products[t.Product].slaTime, Late: t.late}
+// quotaRequest is what a txn asks of the quota.
+func (d *Controller) quotaRequest(t *txn) Request {
+	return Request{Units: t.Units, Arrived: t.arrived, SLA: d.products[t.Product].slaTime, Late: t.late}
 }
 
-// PeerSaid takes a peer message. What does not decode is dropped and counted.
-func (d *Gateway) PeerSaid(from GatewayID, payload []byte) {
-	if d.quota.PeerSaid(from, payload) {
+// DatagramReceived takes a peer message. What does not decode is dropped and counted.
+func (d *Controller) DatagramReceived(from GatewayID, payload []byte) {
+	if d.quota.DatagramReceived(from, payload) {
 		d.recheck = true
 	}
 }
 
-// tellSights adds to a message to a peer, if there is room, how the last submissions went.
-func (d *Gateway) tellSights(p *peer, m *message) {
-	if fresh := min(d.sightNr-p.sightNr, len(d.sights)); m.room() >= fresh*sightSize {
-		m.sights, p.sightNr = d.sights[len(d.sights)-fresh:], d.sightNr
+// attachObservations adds to a message to a peer, if there is room, how the last submissions went.
+func (d *Controller) attachObservations(p *peer, m *message) {
+	if fresh := min(d.observationCount-p.observationsSent, len(d.observations)); m.remaining() >= fresh*observationBytes {
+		m.observations, p.observationsSent = d.observations[len(d.observations)-fresh:], d.observationCount
 	}
 }
 
-// hearSights takes what a peer tells of backends.
-func (d *Gateway) hearSights(sights []sight) {
+// takeObservations takes what a peer tells of backends.
+func (d *Controller) takeObservations(sights []observation) {
 	for _, s := range sights {
-		if b := d.byHash[s.hash]; b != nil && int(s.product) < len(d.products) {
-			d.observe(b, s)
-			d.adjustRoom(s.crowd)
+		if b := d.byHash[s.backendHash]; b != nil && int(s.product) < len(d.products) {
+			d.applyObservation(b, s)
+			d.adjustCapacity(s.congestion)
 		}
 	}
 }
 
 // survey brings up to now what every choice goes by, once for all choices of a short while.
-func (d *Gateway) survey() {
-	if d.now-d.surveyed < lookEvery && len(d.open) > 0 {
+func (d *Controller) survey() {
+	if d.now-d.surveyedAt < surveyInterval && len(d.available) > 0 {
 		return
 	}
-	d.surveyed, d.open = d.now, d.open[:0]
-	n, slow := 0.0, d.slows[:0]
-	for _, b := range d.list {
+	d.surveyedAt, d.available = d.now, d.available[:0]
+	n, slow := 0.0, d.slowdowns[:0]
+	for _, b := range d.ordered {
 		if b.State != Ready {
 			continue
 		}
-		b.warm = d.warmth(b)
-		d.open = append(d.open, b)
-		if !b.aside {
-			slow = append(slow, b.slow)
-			if b.warm >= 1 {
+		b.warmth = d.warmthOf(b)
+		d.available = append(d.available, b)
+		if !b.ejected {
+			slow = append(slow, b.slowdown)
+			if b.warmth >= 1 {
 				n++
 			}
 		}
 	}
 	// The median answer time against the usual: when all are slow alike, none is at fault.
-	d.slows, d.median, d.warmRate = slow, max(middle(slow), 0.1), d.doneNow()/max(n, 1)
+	d.slowdowns, d.medianSlowdown, d.warmRate = slow, max(median(slow), 0.1), d.completionRateNow()/max(n, 1)
 }
 
 // readLoad takes a load report: what others keep there. More than all gateways may have out can't be true.
-func (d *Gateway) readLoad(b *backend, load []float64) {
-	if held, ok := heldBy(d.fields, load); ok && held <= roomMost*float64(d.gateways) {
-		b.others, b.told = b.others+smoothLoad*(max(0, held-float64(b.out))-b.others), d.now
+func (d *Controller) readLoad(b *backend, load []float64) {
+	if held, ok := inFlightOf(d.loadFields, load); ok && held <= maxCapacity*float64(d.gateways) {
+		b.inFlightElsewhere, b.loadReportedAt = b.inFlightElsewhere+loadSmoothing*(max(0, held-float64(b.inFlight))-b.inFlightElsewhere), d.now
 	}
 }
--- a/control/types.go
+++ b/control/types.go
@@ -43,18 +43,18 @@
 
 // How a submission may end.
 const (
-	Settled Ending = iota
+	Succeeded Ending = iota
 	Errored
-	Full        // turned away unseen
-	TimedOut    // no answer in time
-	Unreachable // no connection made
-	Broken      // connection lost on the way
-	CalledOff
+	Rejected       // turned away unseen
+	TimedOut       // no answer in time
+	Unreachable    // no connection made
+	ConnectionLost // connection lost on the way
+	Canceled
 	NotSent
 )
 
-// neverRan tells whether an ending proves that the submission did not run.
-func (e Ending) neverRan() bool { return e == Full || e == Unreachable || e == NotSent }
+// provesNotRun tells whether an ending proves that the submission did not run.
+func (e Ending) provesNotRun() bool { return e == Rejected || e == Unreachable || e == NotSent }
 
 // BackendState is what the list says of a backend.
 type BackendState int
@@ -66,16 +66,16 @@
 	Draining
 )
 
-// Listing is one line of the backend list.
-type Listing struct {
-	ID      BackendID
-	Zone    ZoneID
-	Pod     PodID
-	State   BackendState
-	Size    float64
-	Started time.Duration // 0: long ago
-	Service ServiceID     // what it serves, where there are several
-	Cold    time.Duration // a time of the clock: it is slow until then; 0: as the settings say
+// Endpoint is one line of the backend list.
+type Endpoint struct {
+	ID           BackendID
+	Zone         ZoneID
+	Pod          PodID
+	State        BackendState
+	Capacity     float64
+	Started      time.Duration // 0: long ago
+	Service      ServiceID     // what it serves, where there are several
+	WarmingUntil time.Duration // a time of the clock: it is slow until then; 0: as the settings say
 }
 
 // Txn is what a client brings.
@@ -88,99 +88,99 @@
 	Expiry   time.Duration // a time of the clock
 	SetFirst GatewayID     // first gateway of the customer's set
 	SetWidth int
-	Repeat   bool
+	Retry    bool
 }
 
-// Verb is what a decision asks of the host.
-type Verb int
+// Action is what a decision asks of the host.
+type Action int
 
 // What the module may decide.
 const (
-	Submit  Verb = iota // pass Txn to Backend, give up after Limit (0: at expiry)
-	Decline             // end Txn; the client may safely come again, best after Limit
-	Void                // end Txn; it may have run
-	Recall              // call off submission Nr of Txn
-	Probe               // check Backend
-	Tell                // send Payload to Peer
-	Wake                // call Woken after Limit
-	Note                // a line for the log, in Text
+	Submit       Action = iota // pass Txn to Backend, give up after Limit (0: at expiry)
+	Reject                     // end Txn; the client may safely come again, best after Limit
+	Fail                       // end Txn; it may have run
+	Cancel                     // call off submission Nr of Txn
+	Probe                      // check Backend
+	SendDatagram               // send Payload to Peer
+	Wake                       // call Woken after Limit
+	Log                        // a line for the log, in Text
 )
 
 // Decision is one thing to do now.
 type Decision struct {
-	Verb    Verb
-	Txn     TxnID
-	Nr      int
-	Backend BackendID
-	Limit   time.Duration
-	Whole   time.Duration // an answer that has begun and is not whole by then is spoilt
-	Peer    GatewayID
-	Payload []byte
-	Text    string
-	Why     Lack // of Decline and Void: what was lacking
-	Token   uint64
+	Action          Action
+	Txn             TxnID
+	Attempt         int
+	Backend         BackendID
+	After           time.Duration
+	ResponseTimeout time.Duration // an answer that has begun and is not whole by then is spoilt
+	Peer            GatewayID
+	Payload         []byte
+	Text            string
+	Reason          Reason // of Decline and Void: what was lacking
+	Token           uint64
 }
 
 // Settings are names and values as the host has them.
 type Settings map[string]string
 
-// picker reads settings and keeps the first complaint.
-type picker struct {
-	s   Settings
-	err error
+// settingsReader reads settings and keeps the first complaint.
+type settingsReader struct {
+	settings Settings
+	err      error
 }
 
-func (p *picker) complain(name, why string) {
+func (p *settingsReader) fail(name, why string) {
 	if p.err == nil {
 		p.err = fmt.Errorf("setting %s: %s", name, why)
 	}
 }
 
-func (p *picker) text(name string) string {
-	v, ok := p.s[name]
+func (p *settingsReader) text(name string) string {
+	v, ok := p.settings[name]
 	if !ok {
-		p.complain(name, "missing")
+		p.fail(name, "missing")
 	}
 	return v
 }
 
-func (p *picker) number(name string) float64 {
+func (p *settingsReader) number(name string) float64 {
 	v, err := strconv.ParseFloat(p.text(name), 64)
 	if err != nil {
-		p.complain(name, "not a number")
+		p.fail(name, "not a number")
 	}
 	return v
 }
 
-func (p *picker) count(name string, most int) int {
+func (p *settingsReader) count(name string, most int) int {
 	v, err := strconv.Atoi(p.text(name))
 	if err != nil || v < 0 || v > most {
-		p.complain(name, "not a whole number in range")
+		p.fail(name, "not a whole number in range")
 		return 0
 	}
 	return v
 }
 
-func (p *picker) span(name string) time.Duration {
+func (p *settingsReader) duration(name string) time.Duration {
 	return time.Duration(p.number(name) * float64(time.Microsecond))
 }
 
-func (p *picker) yes(name string) bool { return p.text(name) == "true" }
+func (p *settingsReader) boolean(name string) bool { return p.text(name) == "true" }
 
-func (p *picker) list(name string) []string {
-	if p.s[name] == "" {
+func (p *settingsReader) list(name string) []string {
+	if p.settings[name] == "" {
 		return nil
 	}
-	return strings.Split(p.s[name], ",")
+	return strings.Split(p.settings[name], ",")
 }
 
 // product, plan: a kind of txn and a kind of customer, as the settings have them.
 type product struct {
-	slaTime, window time.Duration
-	patience        time.Duration // how long a client waits in all, over all its tries
-	tryFor          time.Duration // and how long in one, as first tries show
-	value, late     float64
-	kind, scope     string
+	slaTime, repeatWindow time.Duration
+	clientTimeout         time.Duration // how long a client waits in all, over all its tries
+	attemptTimeout        time.Duration // and how long in one, as first tries show
+	value, lateValue      float64
+	effect, repeatScope   string
 }
 
 type plan struct {
@@ -192,157 +192,157 @@
 type txn struct {
 	Txn
 	arrived, slaAt time.Duration
-	waits          bool // in the waiting line
-	giveUp         time.Duration
-	drawn          bool // units taken
-	over           bool // let in beyond the quota
+	queued         bool // in the waiting line
+	giveUpAt       time.Duration
+	consumed       bool // units taken
+	overQuota      bool // let in beyond the quota
 	late           bool // a repeat whose SLA time is over, or may be
-	kept           bool // its units are kept while it waits for a backend
+	reserved       bool // its units are kept while it waits for a backend
 	ended          bool
-	why            Lack // what it last lacked
-	nr             int  // submissions so far
-	outAt          *backend
-	sent           time.Duration
+	reason         Reason // what it last lacked
+	submissions    int    // submissions so far
+	current        *backend
+	sentAt         time.Duration
 	mayHaveRun     bool
-	firstRan       time.Duration // send of the first submission that may have run
+	firstRanAt     time.Duration // send of the first submission that may have run
 	ranZone        ZoneID
 	ranPod         PodID
-	last           *backend
+	previous       *backend
 }
 
 // backend is what is known of one.
 type backend struct {
-	Listing
-	hash      uint64  // for rankings
-	warm      float64 // share of its capacity that it surely has
-	out       int
-	others    float64       // what other gateways keep there, by reports
-	told      time.Duration // by the last one
-	slow      float64       // answer time against the usual, smoothed
-	fails     float64       // share of failing submissions, smoothed
-	seen      float64       // weight of what fails was made of
-	oweSince  time.Duration
-	owed      int // sends since the last answer
-	fullUntil time.Duration
-	fail      []failing // by product
-	load      float64   // at the last choice
-	fulls     int       // full answers in a row
-	aside     bool
-	probes    int // good probes in a row while aside
-	probing   bool
-	nextProbe time.Duration
-	backoff   time.Duration
-	rampFrom  time.Duration
-	cold      float64 // tokens of the cold budget
-	coldAt    time.Duration
-	lapses    bool // the cold budget is under one send in its window
-	sentAt    time.Duration
+	Endpoint
+	hash              uint64  // for rankings
+	warmth            float64 // share of its capacity that it surely has
+	inFlight          int
+	inFlightElsewhere float64       // what other gateways keep there, by reports
+	loadReportedAt    time.Duration // by the last one
+	slowdown          float64       // answer time against the usual, smoothed
+	failureShare      float64       // share of failing submissions, smoothed
+	failureSamples    float64       // weight of what fails was made of
+	unansweredSince   time.Duration
+	unanswered        int // sends since the last answer
+	rejectingUntil    time.Duration
+	failures          []productFailures // by product
+	load              float64           // at the last choice
+	rejections        int               // full answers in a row
+	ejected           bool
+	passedProbes      int // good probes in a row while aside
+	probing           bool
+	nextProbeAt       time.Duration
+	backoff           time.Duration
+	slowStartFrom     time.Duration
+	warmUpTokens      float64 // tokens of the cold budget
+	warmUpTokensAt    time.Duration
+	tokensLapse       bool // the cold budget is under one send in its window
+	sentAt            time.Duration
 }
 
-// sight is how a submission went at a backend: its time against the usual, or one of the two marks.
-type sight struct {
-	hash    uint64 // the lower part of the backend's
-	product ProductID
-	ratio   float64
-	crowd   crowding
+// observation is how a submission went at a backend: its time against the usual, or one of the two marks.
+type observation struct {
+	backendHash uint64 // the lower part of the backend's
+	product     ProductID
+	ratio       float64
+	congestion  congestion
 }
 
-// crowding is what an answer says of the fleet.
-type crowding int
+// congestion is what an answer says of the fleet.
+type congestion int
 
 const (
-	unclear crowding = iota
-	prompt
-	crowded
+	congestionUnknown congestion = iota
+	notCongested
+	congested
 )
 
-const sightLost, sightFailed = -1, -2
+const observedLost, observedFailed = -1, -2
 
-// failing is how a backend does with one product.
-type failing struct {
-	share, seen  float64
-	until, pause time.Duration // passed over
+// productFailures is how a backend does with one product.
+type productFailures struct {
+	share, samples         float64
+	excludedUntil, backoff time.Duration // passed over
 }
 
-func (p *picker) products() (all []product) {
+func (p *settingsReader) products() (all []product) {
 	for i := 0; i < p.count("products.count", 255); i++ {
 		at := fmt.Sprintf("products.%d.", i)
-		all = append(all, product{slaTime: p.span(at + "sla_time"), kind: p.text(at + "effect"),
-			scope: p.text(at + "repeat_scope"), window: p.span(at + "repeat_window"),
-			value: p.number(at + "value"), late: p.number(at + "late_value"), patience: p.span(at + "expiry")})
+		all = append(all, product{slaTime: p.duration(at + "sla_time"), effect: p.text(at + "effect"),
+			repeatScope: p.text(at + "repeat_scope"), repeatWindow: p.duration(at + "repeat_window"),
+			value: p.number(at + "value"), lateValue: p.number(at + "late_value"), clientTimeout: p.duration(at + "expiry")})
 	}
 	return all
 }
 
-func (p *picker) plans() (all []plan) {
+func (p *settingsReader) plans() (all []plan) {
 	for i := 0; i < p.count("plans.count", 1<<16); i++ {
 		at := fmt.Sprintf("plans.%d.", i)
 		all = append(all, plan{limit{rate: p.number(at + "rate"), burst: p.number(at + "burst"),
-			openCap: p.count(at+"open_cap", 1<<20), ceilRate: p.number(at + "ceiling_rate"),
-			ceilBurst: p.number(at + "ceiling_burst")},
+			maxInFlight: p.count(at+"open_cap", 1<<20), hardRate: p.number(at + "ceiling_rate"),
+			hardBurst: p.number(at + "ceiling_burst")},
 			p.number(at + "price"), p.number(at + "over_value"), p.number(at + "over_cost")})
 	}
 	return all
 }
 
-// Gateway is the decision module of one gateway.
-type Gateway struct {
-	quota               *Quota
-	now, born, lastWork time.Duration
-	rng                 *rand.Rand
-	gateways            int
-	zone                ZoneID
-	products            []product
-	plans               []plan
-	probes              bool
-	cancel, advice      bool
-	adviceMost          time.Duration
-	submissions         int
-	byProbe             bool
-	fields              []string
-	warmBy, fallWindow  time.Duration
-	coldFrom, fallTimes float64
-
-	txns       map[TxnID]*txn
-	due        timerqueue.Queue[TxnID]
-	todo       []*txn
-	line       []*txn // waiting for units, a view, a slot or a backend
-	recheck    bool
-	ready      []Decision
-	backends   map[BackendID]*backend
-	list       []*backend      // in order of id
-	typical    map[int]float64 // usual answer time by product and units, in seconds
-	retries    float64
-	probeRight float64 // probes that may go out to learn of load
-	wakeAt     time.Duration
-	stallFrom  time.Duration // when this gateway stood still last
-	stallTo    time.Duration
-	room       float64       // submissions out at a usual backend, at most
-	pressed    time.Duration // when room last ran out
-	gaveUp     tally
-	noted      time.Duration
-	surveyed   time.Duration
-	open       []*backend // ready ones
-	can        []*backend
-	slows      []float64
-	median     float64
-	warmRate   float64 // sends a second to a warm backend
-	noRoom     bool
-	work       float64   // mean usual time of the txns sent, in seconds
-	everywhere []failing // failing shares of the fleet
-	looked     time.Duration
-	roomUp     float64 // share that a prompt answer adds to the room
-	lost       float64 // share of submissions, everywhere
-	doneRate   float64 // settled a second at warm backends, smoothed
-	doneAt     time.Duration
-	sights     []sight // how the last submissions went
-	sightNr    int
-	byHash     map[uint64]*backend
-	use        float64 // share of the room in use
+// Controller is the decision module of one gateway.
+type Controller struct {
+	quota                        *Limiter
+	now, startedAt, sweptAt      time.Duration
+	rng                          *rand.Rand
+	gateways                     int
+	zone                         ZoneID
+	products                     []product
+	plans                        []plan
+	probesAllowed                bool
+	cancelAllowed, adviceAllowed bool
+	maxAdvice                    time.Duration
+	maxSubmissions               int
+	loadByProbe                  bool
+	loadFields                   []string
+	warmUpTime, fallWindow       time.Duration
+	initialWarmth, fallMultiple  float64
+
+	txns             map[TxnID]*txn
+	timers           timerqueue.Queue[TxnID]
+	undecided        []*txn
+	waiting          []*txn // waiting for units, a view, a slot or a backend
+	recheck          bool
+	decisions        []Decision
+	backends         map[BackendID]*backend
+	ordered          []*backend      // in order of id
+	latency          map[int]float64 // usual answer time by product and units, in seconds
+	retryCredit      float64
+	probeCredit      float64 // probes that may go out to learn of load
+	wakeAt           time.Duration
+	pausedFrom       time.Duration // when this gateway stood still last
+	pausedUntil      time.Duration
+	capacity         float64       // submissions out at a usual backend, at most
+	saturatedAt      time.Duration // when room last ran out
+	givenUp          reasonCounts
+	loggedAt         time.Duration
+	surveyedAt       time.Duration
+	available        []*backend // ready ones
+	candidates       []*backend
+	slowdowns        []float64
+	medianSlowdown   float64
+	warmRate         float64 // sends a second to a warm backend
+	saturated        bool
+	meanWork         float64           // mean usual time of the txns sent, in seconds
+	fleetFailures    []productFailures // failing shares of the fleet
+	examinedAt       time.Duration
+	capacityGain     float64 // share that a prompt answer adds to the room
+	lostShare        float64 // share of submissions, everywhere
+	completionRate   float64 // settled a second at warm backends, smoothed
+	completionRateAt time.Duration
+	observations     []observation // how the last submissions went
+	observationCount int
+	byHash           map[uint64]*backend
+	utilization      float64 // share of the room in use
 }
 
-// mix is a hash of one word; ownership and rankings go by it.
-func mix(x uint64) uint64 {
+// hash64 is a hash of one word; ownership and rankings go by it.
+func hash64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -354,15 +354,15 @@
 	best := uint64(0)
 	for i := 0; i < width; i++ {
 		g := GatewayID((int(first) + i) % gateways)
-		if h := mix(uint64(c)*0x9e3779b97f4a7c15 + uint64(g)); h >= best {
+		if h := hash64(uint64(c)*0x9e3779b97f4a7c15 + uint64(g)); h >= best {
 			best, owner = h, g
 		}
 	}
 	return owner
 }
 
-// heldBy reads from a load report how many txns a backend holds: in hand, or waiting and in service.
-func heldBy(fields []string, load []float64) (held float64, ok bool) {
+// inFlightOf reads from a load report how many txns a backend holds: in hand, or waiting and in service.
+func inFlightOf(fields []string, load []float64) (held float64, ok bool) {
 	v := map[string]float64{}
 	for i, f := range fields {
 		if i < len(load) && load[i] >= 0 && load[i] < 1e6 {
@@ -376,8 +376,8 @@
 	return v["queue"] + rate*v["service_ms"]/1000, ok
 }
 
-// middle is the median of some figures, 1 if there are none.
-func middle(s []float64) float64 {
+// median is the median of some figures, 1 if there are none.
+func median(s []float64) float64 {
 	if len(s) == 0 {
 		return 1
 	}
@@ -385,59 +385,59 @@
 	return s[len(s)/2]
 }
 
-// Lack is what a txn had too little of.
-type Lack int
+// Reason is what a txn had too little of.
+type Reason int
 
 const (
-	lackTime Lack = iota
-	lackUnits
-	lackView
-	lackSlot
-	lackCeiling
-	lackBackend
-	lacks
+	reasonNoTime Reason = iota
+	reasonNoUnits
+	reasonNoSnapshot
+	reasonNoSlot
+	reasonHardLimit
+	reasonNoBackend
+	reasonCount
 )
 
-// tally counts txns given up by what they lacked.
-type tally [lacks]int
+// reasonCounts counts txns given up by what they lacked.
+type reasonCounts [reasonCount]int
 
-func (n tally) text() (s string) {
+func (n reasonCounts) text() (s string) {
 	for i, name := range []string{"time", "units", "a view", "slots", "ceiling", "backends"} {
 		s += fmt.Sprintf(" %s %d", name, n[i])
 	}
 	return s
 }
 
-// newGateway makes an instance that knows its settings and nothing else.
-func newGateway(seed int64, s Settings, now time.Duration) (*Gateway, *picker) {
-	p := &picker{s: s}
+// newController makes an instance that knows its settings and nothing else.
+func newController(seed int64, s Settings, now time.Duration) (*Controller, *settingsReader) {
+	p := &settingsReader{settings: s}
 	me := GatewayID(p.count("me", 1<<20))
-	d := &Gateway{now: now, born: now, lastWork: now, rng: rand.New(rand.NewSource(seed)),
-		gateways: p.count("gateways", 1<<20), zone: ZoneID(p.count("zone", 1<<16)), probes: p.yes("limits.probes"),
-		cancel: p.yes("limits.cancel"), advice: p.yes("limits.advice"),
-		adviceMost: p.span("limits.longest_advice"), submissions: p.count("limits.max_submissions", 1<<16),
-		byProbe: p.text("report.how") == "probe", warmBy: p.span("rules.warm_by"),
-		fallWindow: p.span("rules.fall_window"), coldFrom: p.number("rules.cold_from"),
-		fallTimes: p.number("rules.fall_multiple"), txns: map[TxnID]*txn{}, backends: map[BackendID]*backend{},
-		byHash: map[uint64]*backend{}, typical: map[int]float64{}}
-	d.fields = (&picker{s: Settings{"f": s["report.fields"]}}).list("f")
+	d := &Controller{now: now, startedAt: now, sweptAt: now, rng: rand.New(rand.NewSource(seed)),
+		gateways: p.count("gateways", 1<<20), zone: ZoneID(p.count("zone", 1<<16)), probesAllowed: p.boolean("limits.probes"),
+		cancelAllowed: p.boolean("limits.cancel"), adviceAllowed: p.boolean("limits.advice"),
+		maxAdvice: p.duration("limits.longest_advice"), maxSubmissions: p.count("limits.max_submissions", 1<<16),
+		loadByProbe: p.text("report.how") == "probe", warmUpTime: p.duration("rules.warm_by"),
+		fallWindow: p.duration("rules.fall_window"), initialWarmth: p.number("rules.cold_from"),
+		fallMultiple: p.number("rules.fall_multiple"), txns: map[TxnID]*txn{}, backends: map[BackendID]*backend{},
+		byHash: map[uint64]*backend{}, latency: map[int]float64{}}
+	d.loadFields = (&settingsReader{settings: Settings{"f": s["report.fields"]}}).list("f")
 	d.products, d.plans = p.products(), p.plans()
 	if len(d.products) == 0 || len(d.plans) == 0 {
-		p.complain("products.count and plans.count", "must be one at the least")
+		p.fail("products.count and plans.count", "must be one at the least")
 	}
-	d.everywhere = make([]failing, len(d.products))
+	d.fleetFailures = make([]productFailures, len(d.products))
 	if d.gateways < 1 || int(me) >= d.gateways {
-		p.complain("me", "must be under the number of gateways, which is one at the least")
+		p.fail("me", "must be under the number of gateways, which is one at the least")
 	}
-	d.quota = newQuota(d.rng.Uint32()|1, me, d.gateways, now, QuotaTerms{Gap: leastGap, ViewLife: viewLife,
-		DatagramsPerSecond: p.number("quota.mail_per_s"), Start: 1, MostUnits: p.number("quota.most_units")})
-	d.quota.tells = p.yes("limits.peers")
-	d.quota.ofPlan = func(pl PlanID) *limit {
+	d.quota = newLimiter(d.rng.Uint32()|1, me, d.gateways, now, Config{MinInterval: minInterval, SnapshotTTL: snapshotTTL,
+		DatagramsPerSecond: p.number("quota.mail_per_s"), InitialFill: 1, MaxUnits: p.number("quota.most_units")})
+	d.quota.peersEnabled = p.boolean("limits.peers")
+	d.quota.planLimit = func(pl PlanID) *limit {
 		if pl < 0 || int(pl) >= len(d.plans) {
 			return nil
 		}
 		return &d.plans[pl].limit
 	}
-	d.quota.along, d.quota.heardOf = d.tellSights, d.hearSights
+	d.quota.attach, d.quota.onObservations = d.attachObservations, d.takeObservations
 	return d, p
 }
--- a/internal/frontdoor/discovery/list.go
+++ b/internal/frontdoor/discovery/list.go
@@ -14,7 +14,7 @@
 
 // Entry is one backend and where it listens.
 type Entry struct {
-	control.Listing
+	control.Endpoint
 	Addr string
 }
 
@@ -60,8 +60,8 @@
 		if _, err := netip.ParseAddrPort(t.Endpoint); err != nil && state != control.Gone {
 			return List{}, fmt.Errorf("target %q at %q", t.UID, t.Endpoint)
 		}
-		e := Entry{Addr: t.Endpoint, Listing: control.Listing{ID: id(t.UID), Zone: -1, Pod: control.PodID(t.PodGroup),
-			State: state, Size: t.Hint}}
+		e := Entry{Addr: t.Endpoint, Endpoint: control.Endpoint{ID: id(t.UID), Zone: -1, Pod: control.PodID(t.PodGroup),
+			State: state, Capacity: t.Hint}}
 		for i, h := range zones {
 			if h == t.AZ {
 				e.Zone = control.ZoneID(i)
--- a/internal/frontdoor/discovery/list_test.go
+++ b/internal/frontdoor/discovery/list_test.go
@@ -19,7 +19,7 @@
 		l, err := Read([]byte(text), []string{"a", "b"}, clock)
 		fmt.Println(l.Rev, l.Whole, err)
 		for _, e := range l.Entries {
-			fmt.Printf("  %x zone %d pod %d state %d size %g started %v at %q\n", e.ID, e.Zone, e.Pod, e.State, e.Size,
+			fmt.Printf("  %x zone %d pod %d state %d size %g started %v at %q\n", e.ID, e.Zone, e.Pod, e.State, e.Capacity,
 				e.Started, e.Addr)
 		}
 	}
--- a/internal/frontdoor/simwire/wire.go
+++ b/internal/frontdoor/simwire/wire.go
@@ -28,9 +28,9 @@
 	outProbe, outTell, outNote, outCrash, outBy        = 1050, 1070, 1080, 1090, 1130
 )
 
-var endings = map[byte]control.Ending{0: control.Settled, 5: control.Errored, 11: control.Full,
-	110: control.TimedOut, 111: control.Unreachable, 104: control.Broken,
-	125: control.CalledOff, 114: control.NotSent}
+var endings = map[byte]control.Ending{0: control.Succeeded, 5: control.Errored, 11: control.Rejected,
+	110: control.TimedOut, 111: control.Unreachable, 104: control.ConnectionLost,
+	125: control.Canceled, 114: control.NotSent}
 
 // cursor walks through the bytes of one frame.
 type cursor struct {
@@ -83,7 +83,7 @@
 
 // Host runs the instances of one process, each as if alone.
 type Host struct {
-	nodes map[uint16]*control.Gateway
+	nodes map[uint16]*control.Controller
 	heard map[uint16]bool
 	order []uint16
 	out   []byte
@@ -92,7 +92,7 @@
 
 // Serve answers frames until the input ends.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
-	h.nodes = map[uint16]*control.Gateway{}
+	h.nodes = map[uint16]*control.Controller{}
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	for {
 		var head [16]byte
@@ -193,7 +193,7 @@
 	}
 }
 
-func (h *Host) decode(f *cursor, who uint16, now time.Duration) func(d *control.Gateway) {
+func (h *Host) decode(f *cursor, who uint16, now time.Duration) func(d *control.Controller) {
 	switch f.code {
 	case inStart:
 		seed := int64(f.u64())
@@ -207,34 +207,34 @@
 			return nil
 		}
 		h.nodes[who] = d
-		return func(*control.Gateway) {}
+		return func(*control.Controller) {}
 	case inStop:
 		delete(h.nodes, who)
 	case inList:
 		how := f.u8()
 		f.u64()
 		n := int(f.u32())
-		var list []control.Listing
+		var list []control.Endpoint
 		for ; n > 0 && f.err == nil; n-- {
-			l := control.Listing{ID: f.backend(), Zone: control.ZoneID(f.u8())}
+			l := control.Endpoint{ID: f.backend(), Zone: control.ZoneID(f.u8())}
 			f.u8()
 			l.Pod = control.PodID(f.u16())
 			l.State = control.BackendState(f.u8())
-			l.Size, l.Started = f.f32(), f.span()
+			l.Capacity, l.Started = f.f32(), f.span()
 			list = append(list, l)
 		}
 		if how == 0 {
 			return nil
 		}
-		return func(d *control.Gateway) { d.ListChanged(how != 2, list) }
+		return func(d *control.Controller) { d.EndpointsChanged(how != 2, list) }
 	case inTxn:
 		t := control.Txn{ID: control.TxnID(f.u32()), Expiry: f.span()}
 		t.SetWidth, t.Units = int(f.f32()), f.f32()
 		t.Product = control.ProductID(f.u8())
-		t.Repeat = f.u8()&2 != 0
+		t.Retry = f.u8()&2 != 0
 		t.Plan = control.PlanID(f.u32())
 		t.SetFirst, t.Customer = control.GatewayID(f.f32()), control.CustomerID(f.u64())
-		return func(d *control.Gateway) { d.TxnTaken(t) }
+		return func(d *control.Controller) { d.TxnArrived(t) }
 	case inOpened:
 		f.take(16)
 	case inEnded:
@@ -244,25 +244,25 @@
 		f.u16()
 		ending, ok := endings[f.u8()]
 		if !ok {
-			ending = control.Broken
+			ending = control.ConnectionLost
 		}
 		b, load := f.backend(), f.load()
-		return func(d *control.Gateway) { d.SubmissionEnded(id, nr, b, ending, over, took, load) }
+		return func(d *control.Controller) { d.SubmissionEnded(id, nr, b, ending, over, took, load) }
 	case inGone:
 		id := control.TxnID(f.u32())
-		return func(d *control.Gateway) { d.ClientLeft(id) }
+		return func(d *control.Controller) { d.ClientLeft(id) }
 	case inWoken:
 		token := f.u64()
-		return func(d *control.Gateway) { d.Woken(token) }
+		return func(d *control.Controller) { d.Woken(token) }
 	case inProbed:
 		took := micros(uint64(f.u32()))
 		good := f.u8() == 0
 		b, load := f.backend(), f.load()
-		return func(d *control.Gateway) { d.ProbeEnded(b, good, took, load) }
+		return func(d *control.Controller) { d.ProbeEnded(b, good, took, load) }
 	case inPeer:
 		from := control.GatewayID(f.u32())
 		payload := f.take(int(f.u16()))
-		return func(d *control.Gateway) { d.PeerSaid(from, payload) }
+		return func(d *control.Controller) { d.DatagramReceived(from, payload) }
 	case inCount:
 		f.take(17)
 	}
@@ -290,24 +290,24 @@
 	id := le.AppendUint32(nil, uint32(x.Txn))
 	at := binary.BigEndian.AppendUint32(nil, uint32(x.Backend>>16))
 	at = le.AppendUint16(at, uint16(x.Backend))
-	span := uint32(min(max(x.Limit.Microseconds(), 0), math.MaxUint32))
-	switch x.Verb {
+	span := uint32(min(max(x.After.Microseconds(), 0), math.MaxUint32))
+	switch x.Action {
 	case control.Submit:
 		h.say(who, outSubmit, le.AppendUint32(append(id, at...), span))
-	case control.Decline:
+	case control.Reject:
 		h.say(who, outDecline, le.AppendUint32(id, span))
-	case control.Void:
+	case control.Fail:
 		h.say(who, outVoid, id)
-	case control.Recall:
-		h.say(who, outRecall, le.AppendUint16(id, uint16(x.Nr)))
+	case control.Cancel:
+		h.say(who, outRecall, le.AppendUint16(id, uint16(x.Attempt)))
 	case control.Probe:
 		h.say(who, outProbe, at)
-	case control.Tell:
+	case control.SendDatagram:
 		to := le.AppendUint32(nil, uint32(x.Peer))
 		h.say(who, outTell, append(to, text(string(x.Payload))...))
 	case control.Wake:
 		h.say(who, outWake, le.AppendUint64(le.AppendUint32(nil, span), x.Token))
-	case control.Note:
+	case control.Log:
 		h.say(who, outNote, text(x.Text))
 	}
 }
--- a/internal/gateway/admission/bench_test.go
+++ b/internal/gateway/admission/bench_test.go
@@ -28,19 +28,19 @@
 	config.Tenants = append(config.Tenants, routing.ConfigTenant{Name: "t", ApiKeys: []string{"key"}, RatePerS: 1e9, Burst: 1e9})
 	table := routing.NewTable(config)
 
-	quota := control.NewQuota(1, 0, 1, 0, control.QuotaTerms{Gap: 200 * ms, ViewLife: time.Second, DatagramsPerSecond: 100, Start: 1})
+	quota := control.NewLimiter(1, 0, 1, 0, control.Config{MinInterval: 200 * millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 100, InitialFill: 1})
 	quota.SetLimit(1, 1e9, 1e9)
-	d := New(1, Terms{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 64, Nodes: 2}, quota, 0)
-	d.SetCall(1, Call{Aim: 400 * ms, Deadline: 1500 * ms, MaxTries: 2, Targets: []Target{{1, 1}}})
+	d := New(1, Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: 2}, quota, 0)
+	d.SetRoute(1, Route{LatencyTarget: 400 * millisecond, Deadline: 1500 * millisecond, MaxAttempts: 2, Targets: []Target{{1, 1}}})
 	for i := range backends {
-		d.ListChanged(false, []control.Listing{{ID: control.BackendID(i + 1), State: control.Ready, Size: 4, Service: 1}})
+		d.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(i + 1), State: control.Ready, Capacity: 4, Service: 1}})
 	}
 	now, id := time.Second, control.TxnID(0)
 	host, path, key := []byte("Host7.example:8080"), []byte("/api/orders/17?full=1"), []byte("key")
 	served := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		now += ms
+		now += millisecond
 		id++
 		route, found := table.Route(host, path)
 		tenant, known := table.Tenant(key)
@@ -48,10 +48,10 @@
 			b.Fatal("not found")
 		}
 		d.Now(now)
-		d.TxnTaken(control.Txn{ID: id, Customer: 1, Product: 1, Plan: control.PlanID(tenant.Priority), Units: 1, Expiry: now + route.Deadline})
+		d.TxnArrived(control.Txn{ID: id, Customer: 1, Product: 1, Plan: control.PlanID(tenant.Priority), Units: 1, Expiry: now + route.Deadline})
 		for x, ok := d.Next(); ok; x, ok = d.Next() {
-			if x.Verb == control.Submit {
-				d.SubmissionEnded(x.Txn, 0, x.Backend, control.Settled, true, 20*ms, nil)
+			if x.Action == control.Submit {
+				d.SubmissionEnded(x.Txn, 0, x.Backend, control.Succeeded, true, 20*millisecond, nil)
 				served++
 			}
 		}
--- a/internal/gateway/admission/left_test.go
+++ b/internal/gateway/admission/left_test.go
@@ -10,9 +10,9 @@
 )
 
 // recalls counts the submissions that are called off.
-func (d *desk) recalls() (n int) {
-	for _, x := range d.seen {
-		if x.Verb == control.Recall {
+func (d *harness) recalls() (n int) {
+	for _, x := range d.decided {
+		if x.Action == control.Cancel {
 			n++
 		}
 	}
@@ -24,70 +24,70 @@
 // sent for a client that has left. Guards against backends that work on for nobody (incident mvk-anadolu 7).
 func TestClientLeft(t *testing.T) {
 	t.Run("while it is out", leftWhileOut)
-	t.Run("after another try", leftAfterAnotherTry)
-	t.Run("in line", leftInLine)
+	t.Run("after another try", leftAfterRetry)
+	t.Run("in line", leftWhileQueued)
 }
 
 func leftWhileOut(t *testing.T) {
-	for _, call := range []Call{pure, bid} {
-		for _, how := range []control.Ending{control.CalledOff, control.Settled, control.NotSent, control.Full, control.TimedOut} {
-			d := newDesk(call, 2)
-			d.take(1)
+	for _, call := range []Route{idempotentRoute, effectfulRoute} {
+		for _, how := range []control.Ending{control.Canceled, control.Succeeded, control.NotSent, control.Rejected, control.TimedOut} {
+			d := newHarness(call, 2)
+			d.arrive(1)
 			d.ClientLeft(1)
-			d.turn()
+			d.pull()
 			if call.Effectful {
-				must.Len(t, 1, d.seen)
-				d.SubmissionEnded(1, 0, d.last().Backend, how, true, 50*ms, nil)
+				must.Len(t, 1, d.decided)
+				d.SubmissionEnded(1, 0, d.last().Backend, how, true, 50*millisecond, nil)
 			} else {
-				must.Eq(t, control.Decision{Verb: control.Recall, Txn: 1}, d.last())
-				d.SubmissionEnded(1, 0, d.seen[0].Backend, how, true, 50*ms, nil)
+				must.Eq(t, control.Decision{Action: control.Cancel, Txn: 1}, d.last())
+				d.SubmissionEnded(1, 0, d.decided[0].Backend, how, true, 50*millisecond, nil)
 			}
-			seen := len(d.seen)
+			seen := len(d.decided)
 			d.ClientLeft(1) // told twice
-			d.at(d.now + 12*time.Second)
-			must.Len(t, seen, d.seen)
+			d.advance(d.now + 12*time.Second)
+			must.Len(t, seen, d.decided)
 			must.MapEmpty(t, d.txns)
-			must.Zero(t, d.services[0].holds)
+			must.Zero(t, d.services[0].txnCount)
 		}
 	}
 }
 
 // It is called off once, by its second submission as by its first, and not if that is called off already.
-func leftAfterAnotherTry(t *testing.T) {
-	d := newDesk(pure, 2)
-	d.take(1)
-	d.ends(control.Full, false)
-	must.Eq(t, control.Submit, d.last().Verb)
+func leftAfterRetry(t *testing.T) {
+	d := newHarness(idempotentRoute, 2)
+	d.arrive(1)
+	d.endLast(control.Rejected, false)
+	must.Eq(t, control.Submit, d.last().Action)
 	d.ClientLeft(1)
-	d.turn()
-	must.Eq(t, control.Decision{Verb: control.Recall, Txn: 1, Nr: 1}, d.last())
+	d.pull()
+	must.Eq(t, control.Decision{Action: control.Cancel, Txn: 1, Attempt: 1}, d.last())
 	d.ClientLeft(1)
-	d.turn()
+	d.pull()
 	must.Eq(t, 1, d.recalls())
 
-	d = newDesk(pure, 2)
-	d.take(1)
-	d.take(2)
+	d = newHarness(idempotentRoute, 2)
+	d.arrive(1)
+	d.arrive(2)
 	for d.recalls() == 0 && d.now < 40*time.Second { // both are silent
-		d.at(d.now + 100*ms)
+		d.advance(d.now + 100*millisecond)
 	}
 	if n := d.recalls(); n > 0 {
 		left := d.last().Txn
 		d.ClientLeft(left)
-		d.turn()
+		d.pull()
 		must.Eq(t, n, d.recalls())
 	}
 }
 
 // One that waits for a backend or for units is sent to nobody once its client has left.
-func leftInLine(t *testing.T) {
-	d := newDesk(pure, 0)
-	d.take(1)
+func leftWhileQueued(t *testing.T) {
+	d := newHarness(idempotentRoute, 0)
+	d.arrive(1)
 	d.ClientLeft(1)
 	d.list(control.Ready, 1, 2)
-	d.at(d.now + 5*time.Second)
-	for _, x := range d.seen {
-		must.NotEq(t, control.Submit, x.Verb)
+	d.advance(d.now + 5*time.Second)
+	for _, x := range d.decided {
+		must.NotEq(t, control.Submit, x.Action)
 	}
 	must.MapEmpty(t, d.txns)
 }
--- a/internal/gateway/admission/queue.go
+++ b/internal/gateway/admission/queue.go
@@ -9,78 +9,78 @@
 	"clovergap/internal/gateway/balancer"
 )
 
-// queue puts a txn in the line of its service. All pass through it, so that no lower one overtakes.
-func (o *Controller) queue(t *txn) {
+// enqueue puts a txn in the line of its service. All pass through it, so that no lower one overtakes.
+func (o *Controller) enqueue(t *txn) {
 	h := t.service
-	if len(h.line) >= lineMost {
-		o.end(t, LackBackend, o.advice(h))
+	if len(h.queue) >= maxQueue {
+		o.finish(t, ReasonNoBackend, o.retryAfter(h))
 		return
 	}
-	if t.Customer != 0 && !t.drawn && !t.kept {
+	if t.Customer != 0 && !t.consumed && !t.reserved {
 		// What covers it is kept for it: else a view that ages while it waits would refuse it.
-		t.kept = true
-		o.meter.Keep(t.Customer, t.Units)
+		t.reserved = true
+		o.limiter.Reserve(t.Customer, t.Units)
 	}
-	at, _ := slices.BinarySearchFunc(h.line, t, inLine)
-	h.line = slices.Insert(h.line, at, t)
-	t.waits, h.look = true, true
-	aim := t.aimAt - t.arrived
-	until := t.arrived + time.Duration(waitAim*float64(aim)) - waitTravel
-	if t.nr > 0 {
-		left := t.aimAt - o.now
+	at, _ := slices.BinarySearchFunc(h.queue, t, compareQueued)
+	h.queue = slices.Insert(h.queue, at, t)
+	t.queued, h.recheck = true, true
+	aim := t.targetAt - t.arrived
+	until := t.arrived + time.Duration(queueTimeShare*float64(aim)) - clientTravelTime
+	if t.submissions > 0 {
+		left := t.targetAt - o.now
 		if left <= 0 {
 			left = t.deadline - o.now
 		}
-		until = o.now + time.Duration(waitAgain*float64(left))
+		until = o.now + time.Duration(retryQueueTimeShare*float64(left))
 	}
-	o.giveUpAt(t, max(until, o.now+ms))
+	o.setGiveUp(t, max(until, o.now+millisecond))
 }
 
-// inLine orders those who wait: by priority, one that was sent before first, then by arrival.
-func inLine(a, b *txn) int {
+// compareQueued orders those who wait: by priority, one that was sent before first, then by arrival.
+func compareQueued(a, b *txn) int {
 	switch {
 	case a.rank != b.rank:
 		return slices.Compare(a.rank[:], b.rank[:])
-	case (a.nr > 0) != (b.nr > 0):
-		return b.nr - a.nr
+	case (a.submissions > 0) != (b.submissions > 0):
+		return b.submissions - a.submissions
 	case a.arrived != b.arrived:
 		return int(min(max(a.arrived-b.arrived, -1), 1))
 	}
 	return -1
 }
 
-// takeFromQueue sends the first of a line for whom there is a backend; false when nobody may go now.
-func (o *Controller) takeFromQueue() bool {
+// sendQueued sends the first of a line for whom there is a backend; false when nobody may go now.
+func (o *Controller) sendQueued() bool {
 	for _, h := range o.services {
-		if !h.look {
+		if !h.recheck {
 			continue
 		}
 		stuck, effectful := 0, false
-		for i, t := range h.line {
-			if t.call.Effectful && effectful && len(t.tried) == 0 || stuck >= stuckMost {
+		for i, t := range h.queue {
+			if t.route.Effectful && effectful && len(t.attempted) == 0 || stuck >= maxBlocked {
 				continue
 			}
-			id, a := h.balancer.Pick(o.now, t.want())
-			if a == balancer.Enough || a == balancer.None && len(t.tried) == 0 {
+			id, a := h.balancer.Pick(o.now, t.balancerRequest())
+			if a == balancer.Saturated || a == balancer.NoBackend && len(t.attempted) == 0 {
 				// Nor is there anything for those behind, unless this one is choosier.
-				if !t.call.Effectful && len(t.tried) == 0 {
+				if !t.route.Effectful && len(t.attempted) == 0 {
 					break
 				}
-				stuck, effectful = stuck+1, effectful || t.call.Effectful && len(t.tried) == 0
+				stuck, effectful = stuck+1, effectful || t.route.Effectful && len(t.attempted) == 0
 				continue
 			}
-			if a == balancer.None {
-				h.line = slices.Delete(h.line, i, i+1)
-				t.waits = false
-				o.end(t, LackBackend, o.advice(h))
+			if a == balancer.NoBackend {
+				h.queue = slices.Delete(h.queue, i, i+1)
+				t.queued = false
+				o.finish(t, ReasonNoBackend, o.retryAfter(h))
 				return true
 			}
-			h.line = slices.Delete(h.line, i, i+1)
-			t.waits = false
+			h.queue = slices.Delete(h.queue, i, i+1)
+			t.queued = false
 			o.submit(t, id)
 			return true
 		}
-		h.look = false
+		h.recheck = false
 	}
 	return false
 }
--- a/internal/gateway/admission/recorded_test.go
+++ b/internal/gateway/admission/recorded_test.go
@@ -28,26 +28,26 @@
 	var all []*Controller
 	now := time.Second
 	for i := range nodes {
-		quota := control.NewQuota(seed+int64(i), control.GatewayID(i), nodes, now, control.QuotaTerms{Gap: 200 * ms, ViewLife: time.Second,
-			DatagramsPerSecond: 200, Parts: true, Fence: time.Second, Window: 5 * time.Second, Excess: 0.1, Margin: 20})
+		quota := control.NewLimiter(seed+int64(i), control.GatewayID(i), nodes, now, control.Config{MinInterval: 200 * millisecond, SnapshotTTL: time.Second,
+			DatagramsPerSecond: 200, Strict: true, OwnershipDelay: time.Second, Window: 5 * time.Second, Excess: 0.1, Margin: 20})
 		for c := control.CustomerID(1); c <= 6; c++ {
 			quota.SetLimit(c, float64(c)*10, float64(c)*20)
 		}
-		d := New(seed*10+int64(i), Terms{Zone: control.ZoneID(i % 2), RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 64, Nodes: nodes}, quota, now)
-		d.SetSides(&odd{})
-		d.SetCall(1, Call{Aim: 400 * ms, Deadline: 1500 * ms, MaxTries: 3, Priority: 1, Targets: []Target{{1, 3}, {3, 1}}})
-		d.SetCall(2, Call{Effectful: true, Aim: 400 * ms, Deadline: 1500 * ms, MaxTries: 2, Targets: []Target{{1, 1}}})
-		d.SetCall(3, Call{Deadline: 800 * ms, MaxTries: 2, Priority: 2, Targets: []Target{{3, 1}}})
-		d.SetPlace(i/2, 2)
+		d := New(seed*10+int64(i), Config{Zone: control.ZoneID(i % 2), RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: nodes}, quota, now)
+		d.SetAssigner(&oddAssigner{})
+		d.SetRoute(1, Route{LatencyTarget: 400 * millisecond, Deadline: 1500 * millisecond, MaxAttempts: 3, Priority: 1, Targets: []Target{{1, 3}, {3, 1}}})
+		d.SetRoute(2, Route{Effectful: true, LatencyTarget: 400 * millisecond, Deadline: 1500 * millisecond, MaxAttempts: 2, Targets: []Target{{1, 1}}})
+		d.SetRoute(3, Route{Deadline: 800 * millisecond, MaxAttempts: 2, Priority: 2, Targets: []Target{{3, 1}}})
+		d.SetZoneIndex(i/2, 2)
 		all = append(all, d)
 	}
-	line := func(id int, state control.BackendState) control.Listing {
-		return control.Listing{ID: control.BackendID(id), Zone: control.ZoneID(id % 2), State: state, Size: 4, Service: control.ServiceID(1 + id%3),
-			Cold: map[bool]time.Duration{true: now + 3*time.Second}[id%5 == 0]}
+	line := func(id int, state control.BackendState) control.Endpoint {
+		return control.Endpoint{ID: control.BackendID(id), Zone: control.ZoneID(id % 2), State: state, Capacity: 4, Service: control.ServiceID(1 + id%3),
+			WarmingUntil: map[bool]time.Duration{true: now + 3*time.Second}[id%5 == 0]}
 	}
 	for id := 1; id <= backends; id++ {
 		for _, d := range all {
-			d.ListChanged(false, []control.Listing{line(id, control.Ready)})
+			d.EndpointsChanged(false, []control.Endpoint{line(id, control.Ready)})
 		}
 	}
 	still := func(step int) bool { return step%1500 > 1420 } // the second one, now and then
@@ -57,27 +57,27 @@
 	var queue []event
 	var next control.TxnID
 	for step := 0; now < 60*time.Second; step++ {
-		now += 5 * ms
+		now += 5 * millisecond
 		switch step % 2000 {
 		case 700:
 			for _, d := range all {
-				d.SetRollout(1, 2, Shared)
+				d.SetRollout(1, 2, CanaryShared)
 			}
 		case 1500:
 			for _, d := range all {
-				d.SetRollout(1, 2, []Open{Shut, Spare}[step/2000%2])
+				d.SetRollout(1, 2, []CanaryAccess{CanaryClosed, CanaryFallback}[step/2000%2])
 			}
 		case 1800:
 			for i, d := range all {
 				d.SetNodes(2 + step/2000%3)
-				d.SetPlace(i/2, 1+step/2000%3)
-				d.LowerTries(1, 2)
+				d.SetZoneIndex(i/2, 1+step/2000%3)
+				d.LowerMaxAttempts(1, 2)
 			}
 		}
 		if step%400 == 399 {
 			id, state := 1+chance.Intn(backends), []control.BackendState{control.Ready, control.Draining, control.Gone}[chance.Intn(3)]
 			for _, d := range all {
-				d.ListChanged(false, []control.Listing{line(id, state)})
+				d.EndpointsChanged(false, []control.Endpoint{line(id, state)})
 			}
 		}
 		rest := queue[:0]
@@ -89,32 +89,32 @@
 			d, x := all[e.node], e.x
 			d.Now(now)
 			who := [2]int{e.node, int(x.Txn)}
-			switch x.Verb {
-			case control.Tell:
-				all[x.Peer].PeerSaid(control.GatewayID(e.node), x.Payload)
-			case control.Recall:
+			switch x.Action {
+			case control.SendDatagram:
+				all[x.Peer].DatagramReceived(control.GatewayID(e.node), x.Payload)
+			case control.Cancel:
 				// Taken at once below.
 			case control.Submit:
 				if e.nr != tries[who]-1 {
 					continue // called off meanwhile
 				}
 				held[x.Backend]--
-				how, took := control.Settled, now-e.sent
+				how, took := control.Succeeded, now-e.sent
 				switch {
 				case x.Backend%7 == 3 && now > 15*time.Second && now < 22*time.Second:
 					how = control.Errored
 				case x.Backend%7 == 5 && now > 30*time.Second && now < 40*time.Second:
-					how = []control.Ending{control.Unreachable, control.Broken, control.TimedOut}[chance.Intn(3)]
-				case took > x.Limit:
-					how, took = control.TimedOut, x.Limit
+					how = []control.Ending{control.Unreachable, control.ConnectionLost, control.TimedOut}[chance.Intn(3)]
+				case took > x.After:
+					how, took = control.TimedOut, x.After
 				case chance.Intn(25) == 0:
-					how = []control.Ending{control.Errored, control.Full, control.TimedOut, control.Unreachable, control.Broken, control.NotSent}[chance.Intn(6)]
+					how = []control.Ending{control.Errored, control.Rejected, control.TimedOut, control.Unreachable, control.ConnectionLost, control.NotSent}[chance.Intn(6)]
 				}
-				if how == control.Settled && chance.Intn(30) == 0 {
+				if how == control.Succeeded && chance.Intn(30) == 0 {
 					d.Begun(x.Txn)
-					how = control.Broken
+					how = control.ConnectionLost
 				}
-				over := how == control.Settled || answered[who]
+				over := how == control.Succeeded || answered[who]
 				d.SubmissionEnded(x.Txn, e.nr, x.Backend, how, over, took, nil)
 			}
 		}
@@ -126,57 +126,57 @@
 			d.Now(now)
 			for chance.Float64() < load {
 				next++
-				d.TxnTaken(control.Txn{ID: next, Customer: control.CustomerID(chance.Intn(7)), Product: control.ProductID(1 + chance.Intn(3)),
-					Plan: control.PlanID(chance.Intn(3)), Units: 1, Expiry: now + time.Duration(500+chance.Intn(1500))*ms, Repeat: chance.Intn(6) == 0})
+				d.TxnArrived(control.Txn{ID: next, Customer: control.CustomerID(chance.Intn(7)), Product: control.ProductID(1 + chance.Intn(3)),
+					Plan: control.PlanID(chance.Intn(3)), Units: 1, Expiry: now + time.Duration(500+chance.Intn(1500))*millisecond, Retry: chance.Intn(6) == 0})
 			}
 			if chance.Intn(100) == 0 && next > 0 {
 				d.ClientLeft(next)
 			}
 			for x, ok := d.Next(); ok; x, ok = d.Next() {
-				if x.Verb == control.Note {
+				if x.Action == control.Log {
 					continue
 				}
 				count++
-				for _, v := range []int64{int64(x.Verb), int64(x.Txn), int64(x.Nr), int64(x.Backend), int64(x.Limit), int64(x.Whole), int64(x.Peer), int64(x.Why)} {
+				for _, v := range []int64{int64(x.Action), int64(x.Txn), int64(x.Attempt), int64(x.Backend), int64(x.After), int64(x.ResponseTimeout), int64(x.Peer), int64(x.Reason)} {
 					digest.Write(binary.LittleEndian.AppendUint64(nil, uint64(v)))
 				}
 				digest.Write(x.Payload)
 				who := [2]int{i, int(x.Txn)}
-				switch x.Verb {
+				switch x.Action {
 				case control.Submit:
 					held[x.Backend]++
-					took := time.Duration(chance.ExpFloat64() * 60 * float64(ms) * float64(1+held[x.Backend]/4))
+					took := time.Duration(chance.ExpFloat64() * 60 * float64(millisecond) * float64(1+held[x.Backend]/4))
 					if x.Backend == 7 {
 						took *= 6
 					}
 					if x.Backend == 11 && now > 20*time.Second && now < 30*time.Second {
 						took = 10 * time.Second
 					}
-					queue = append(queue, event{now + min(took, x.Limit+ms), i, x, tries[who], now})
+					queue = append(queue, event{now + min(took, x.After+millisecond), i, x, tries[who], now})
 					tries[who]++
-				case control.Recall:
+				case control.Cancel:
 					tries[who]++ // what is queued for it is void
 					for j, e := range queue {
-						if e.node == i && e.x.Txn == x.Txn && e.x.Verb == control.Submit && e.nr == x.Nr {
+						if e.node == i && e.x.Txn == x.Txn && e.x.Action == control.Submit && e.nr == x.Attempt {
 							held[e.x.Backend]--
 							queue = append(queue[:j:j], queue[j+1:]...)
-							d.SubmissionEnded(x.Txn, x.Nr, e.x.Backend, control.CalledOff, answered[who], now-e.sent, nil)
+							d.SubmissionEnded(x.Txn, x.Attempt, e.x.Backend, control.Canceled, answered[who], now-e.sent, nil)
 							break
 						}
 					}
 					tries[who]--
-				case control.Tell:
+				case control.SendDatagram:
 					if chance.Intn(15) > 0 {
-						queue = append(queue, event{at: now + 4*ms, node: i, x: x})
+						queue = append(queue, event{at: now + 4*millisecond, node: i, x: x})
 					}
-				case control.Decline, control.Void:
+				case control.Reject, control.Fail:
 					answered[who] = true
 				}
 			}
 		}
 	}
 	for _, d := range all {
-		count += int(d.Busy(1))
+		count += int(d.PeakConcurrency(1))
 	}
 	return fmt.Sprintf("%d %016x", count, digest.Sum64())
 }
--- a/internal/gateway/admission/requests.go
+++ b/internal/gateway/admission/requests.go
@@ -11,183 +11,183 @@
 	"clovergap/internal/proxy/invariant"
 )
 
-// lookAt does what is due for a txn.
-func (o *Controller) lookAt(t *txn, what int) {
+// fireTimer does what is due for a txn.
+func (o *Controller) fireTimer(t *txn, what int) {
 	switch what {
-	case lookExpiry: // ids come round: it may be one that is long gone that this was for
+	case timerExpiry: // ids come round: it may be one that is long gone that this was for
 		if !t.begun && o.now >= t.deadline {
-			o.end(t, LackTime, 0)
+			o.finish(t, ReasonNoTime, 0)
 		}
-	case lookGiveUp:
+	case timerGiveUp:
 		switch {
-		case t.ended || t.out || o.now < t.giveUp:
-		case t.waits && o.crossed(t):
-		case t.waits:
-			o.end(t, LackBackend, o.advice(t.service))
-		case t.asks: // decided a last time, as the owner of its quota has been silent
-			o.asking = slices.DeleteFunc(o.asking, func(x *txn) bool { return x == t })
-			t.asks = false
-			o.todo = append(o.todo, t)
+		case t.ended || t.inFlight || o.now < t.giveUpAt:
+		case t.queued && o.fallBackToStable(t):
+		case t.queued:
+			o.finish(t, ReasonNoBackend, o.retryAfter(t.service))
+		case t.awaitsUnits: // decided a last time, as the owner of its quota has been silent
+			o.awaitingUnits = slices.DeleteFunc(o.awaitingUnits, func(x *txn) bool { return x == t })
+			t.awaitsUnits = false
+			o.undecided = append(o.undecided, t)
 		}
-	case lookDead:
-		if t.ended || !t.out || t.quit || t.begun || o.now < t.sent+deadLeast {
+	case timerDeadBackend:
+		if t.ended || !t.inFlight || t.canceled || t.begun || o.now < t.sentAt+minDeadTime {
 			return
 		}
-		may := t.tries+1 < t.call.MaxTries && o.fits(t) && o.held(t.service) >= 1
-		if may && t.service.balancer.Dead(o.now, t.at) {
-			t.quit = true
-			o.ready = append(o.ready, control.Decision{Verb: control.Recall, Txn: t.ID, Nr: t.nr - 1})
+		may := t.attempts+1 < t.route.MaxAttempts && o.mayAnswerInTime(t) && o.retryTokens(t.service) >= 1
+		if may && t.service.balancer.Dead(o.now, t.backend) {
+			t.canceled = true
+			o.decisions = append(o.decisions, control.Decision{Action: control.Cancel, Txn: t.ID, Attempt: t.submissions - 1})
 			return
 		}
-		o.due.Add(o.now+deadAgain, look{t.ID, lookDead})
+		o.timers.Add(o.now+deadCheckInterval, timer{t.ID, timerDeadBackend})
 	}
 }
 
-// usual is the usual time of an answer to a txn.
-func (o *Controller) usual(t *txn) time.Duration {
+// usualLatency is the usual time of an answer to a txn.
+func (o *Controller) usualLatency(t *txn) time.Duration {
 	if t.service != nil {
-		if u, ok := t.service.balancer.Usual(t.Product); ok {
+		if u, ok := t.service.balancer.UsualLatency(t.Product); ok {
 			return u
 		}
 	}
-	return t.call.Aim / unknown
+	return t.route.LatencyTarget / unknownLatencyDivisor
 }
 
-// fits tells whether an answer may still come in time. A late answer is worth something, so only the deadline
+// mayAnswerInTime tells whether an answer may still come in time. A late answer is worth something, so only the deadline
 // counts.
-func (o *Controller) fits(t *txn) bool {
-	usual := min(o.usual(t), max(t.call.Deadline, t.deadline-t.arrived)/4)
+func (o *Controller) mayAnswerInTime(t *txn) bool {
+	usual := min(o.usualLatency(t), max(t.route.Deadline, t.deadline-t.arrived)/4)
 	return o.now+usual/2 < t.deadline
 }
 
 // decide settles what happens to a txn that has no submission out.
 func (o *Controller) decide(t *txn) {
-	if t.ended || t.out || t.waits || t.asks {
+	if t.ended || t.inFlight || t.queued || t.awaitsUnits {
 		return
 	}
 	if t.service == nil {
-		if t.service = o.chooseService(t.call); t.service == nil {
-			o.end(t, LackBackend, adviceNone)
+		if t.service = o.chooseService(t.route); t.service == nil {
+			o.finish(t, ReasonNoBackend, noBackendRetryAfter)
 			return
 		}
-		t.service.holds++
+		t.service.txnCount++
 	}
-	if t.service.under != nil || t.service.main != nil {
-		o.side(t)
+	if t.service.canary != nil || t.service.stable != nil {
+		o.chooseVersion(t)
 	}
-	if !o.fits(t) {
-		o.end(t, LackTime, o.advice(t.service))
+	if !o.mayAnswerInTime(t) {
+		o.finish(t, ReasonNoTime, o.retryAfter(t.service))
 		return
 	}
-	if t.nr > 0 && !o.again(t) {
-		o.end(t, LackBackend, o.advice(t.service))
+	if t.submissions > 0 && !o.mayRetry(t) {
+		o.finish(t, ReasonNoBackend, o.retryAfter(t.service))
 		return
 	}
-	if t.Customer != 0 && !t.drawn && !t.kept {
-		switch v, until := o.meter.Covered(t.Customer, o.wish(t)); v {
-		case control.Beyond:
-			o.end(t, LackUnits, until)
+	if t.Customer != 0 && !t.consumed && !t.reserved {
+		switch v, until := o.limiter.Check(t.Customer, o.quotaRequest(t)); v {
+		case control.Exceeded:
+			o.finish(t, ReasonNoUnits, until)
 			return
-		case control.Wait:
-			if until = min(until, t.aimAt); until <= o.now {
-				o.end(t, LackUnits, period)
+		case control.Pending:
+			if until = min(until, t.targetAt); until <= o.now {
+				o.finish(t, ReasonNoUnits, busyInterval)
 				return
 			}
-			t.asks = true
-			o.asking = append(o.asking, t)
-			o.giveUpAt(t, until)
+			t.awaitsUnits = true
+			o.awaitingUnits = append(o.awaitingUnits, t)
+			o.setGiveUp(t, until)
 			return
 		}
 	}
-	o.queue(t)
+	o.enqueue(t)
 }
 
-func (o *Controller) wish(t *txn) control.Wish {
-	return control.Wish{Units: t.Units, Arrived: t.arrived, Late: t.Repeat,
-		SLA: time.Duration(unitAim * float64(t.aimAt-t.arrived))}
+func (o *Controller) quotaRequest(t *txn) control.Request {
+	return control.Request{Units: t.Units, Arrived: t.arrived, Late: t.Retry,
+		SLA: time.Duration(quotaTargetShare * float64(t.targetAt-t.arrived))}
 }
 
-// again tells whether a txn that was sent before may go to another backend: tries, and the budget, last. The
+// mayRetry tells whether a txn that was sent before may go to another backend: tries, and the budget, last. The
 // token itself is taken with the send.
-func (o *Controller) again(t *txn) bool {
-	if t.ran && t.call.Effectful || t.tries >= t.call.MaxTries || t.hops > freeHops {
+func (o *Controller) mayRetry(t *txn) bool {
+	if t.mayHaveRun && t.route.Effectful || t.attempts >= t.route.MaxAttempts || t.failedConnects > maxFreeConnects {
 		return false
 	}
-	return t.tries == 0 || o.held(t.service) >= 1
+	return t.attempts == 0 || o.retryTokens(t.service) >= 1
 }
 
-func (o *Controller) giveUpAt(t *txn, at time.Duration) {
-	if t.giveUp == at {
+func (o *Controller) setGiveUp(t *txn, at time.Duration) {
+	if t.giveUpAt == at {
 		return
 	}
-	t.giveUp = at
-	o.due.Add(at, look{t.ID, lookGiveUp})
+	t.giveUpAt = at
+	o.timers.Add(at, timer{t.ID, timerGiveUp})
 }
 
-func (t *txn) want() balancer.Want {
-	return balancer.Want{Kind: t.Product, Effectful: t.call.Effectful, Tried: t.tried}
+func (t *txn) balancerRequest() balancer.Request {
+	return balancer.Request{Kind: t.Product, Effectful: t.route.Effectful, Attempted: t.attempted}
 }
 
 // submit is the one gate that every send passes; every rule is asked again here.
 func (o *Controller) submit(t *txn, to control.BackendID) {
 	h := t.service
-	o.turn(h)
-	if t.tries > 0 && t.tries >= t.call.MaxTries { // these were lowered while it was in line
-		o.end(t, LackBackend, o.advice(h))
+	o.advanceBudget(h)
+	if t.attempts > 0 && t.attempts >= t.route.MaxAttempts { // these were lowered while it was in line
+		o.finish(t, ReasonNoBackend, o.retryAfter(h))
 		return
 	}
-	may := !t.ended && !t.out && !(t.ran && t.call.Effectful) && t.tries < t.call.MaxTries &&
-		!slices.Contains(t.tried, to) && t.mayGo()
+	may := !t.ended && !t.inFlight && !(t.mayHaveRun && t.route.Effectful) && t.attempts < t.route.MaxAttempts &&
+		!slices.Contains(t.attempted, to) && t.mayUseVersion()
 	invariant.That(may, "what is sent may be sent")
-	if !may || !o.fits(t) {
-		o.end(t, LackTime, o.advice(h))
+	if !may || !o.mayAnswerInTime(t) {
+		o.finish(t, ReasonNoTime, o.retryAfter(h))
 		return
 	}
 	switch {
-	case t.nr == 0:
-		h.budget.earn(earnPart * o.terms.RetryRatio)
-	case t.tries > 0 && !h.budget.spend():
-		o.end(t, LackBackend, o.advice(h))
+	case t.submissions == 0:
+		h.budget.earn(earnShare * o.config.RetryRatio)
+	case t.attempts > 0 && !h.budget.take():
+		o.finish(t, ReasonNoBackend, o.retryAfter(h))
 		return
 	}
-	o.unkeep(t)
-	if t.Customer != 0 && !t.drawn {
-		o.meter.Spend(t.Customer, t.Units)
+	o.release(t)
+	if t.Customer != 0 && !t.consumed {
+		o.limiter.Consume(t.Customer, t.Units)
 	}
-	t.drawn = true
-	h.balancer.Sent(o.now, to, t.want())
-	if t.nr > 0 {
-		o.count.again++
+	t.consumed = true
+	h.balancer.Sent(o.now, to, t.balancerRequest())
+	if t.submissions > 0 {
+		o.counts.retried++
 	}
-	t.nr++
-	t.out, t.at, t.sent, t.quit = true, to, o.now, false
-	t.tried = append(t.tried, to)
+	t.submissions++
+	t.inFlight, t.backend, t.sentAt, t.canceled = true, to, o.now, false
+	t.attempted = append(t.attempted, to)
 	limit := t.deadline - o.now
-	o.ready = append(o.ready, control.Decision{Verb: control.Submit, Txn: t.ID, Backend: to,
-		Limit: limit, Whole: limit + margin})
-	if !t.call.Effectful && t.tries+1 < t.call.MaxTries {
-		from := max(o.now+max(deadLeast, time.Duration(deadTimes*float64(o.usual(t)))),
-			t.arrived+time.Duration(deadFrom*float64(t.aimAt-t.arrived)))
+	o.decisions = append(o.decisions, control.Decision{Action: control.Submit, Txn: t.ID, Backend: to,
+		After: limit, ResponseTimeout: limit + deadlineMargin})
+	if !t.route.Effectful && t.attempts+1 < t.route.MaxAttempts {
+		from := max(o.now+max(minDeadTime, time.Duration(deadLatencyFactor*float64(o.usualLatency(t)))),
+			t.arrived+time.Duration(deadTargetShare*float64(t.targetAt-t.arrived)))
 		if from < t.deadline {
-			o.due.Add(from, look{t.ID, lookDead})
+			o.timers.Add(from, timer{t.ID, timerDeadBackend})
 		}
 	}
 }
 
-// end is the one place where a txn gets its final answer, at once. A decline is a promise that it has not run
+// finish is the one place where a txn gets its final answer, at once. A decline is a promise that it has not run
 // and never will.
-func (o *Controller) end(t *txn, why control.Lack, advice time.Duration) {
+func (o *Controller) finish(t *txn, why control.Reason, advice time.Duration) {
 	if t.ended {
 		return
 	}
-	x := control.Decision{Verb: control.Void, Txn: t.ID, Why: why}
-	if !t.ran && !t.out {
-		x.Verb, x.Limit = control.Decline, min(max(advice, 0), adviceMost)
+	x := control.Decision{Action: control.Fail, Txn: t.ID, Reason: why}
+	if !t.mayHaveRun && !t.inFlight {
+		x.Action, x.After = control.Reject, min(max(advice, 0), maxRetryAfter)
 	}
-	o.count.lacks[min(max(int(why), 0), len(o.count.lacks)-1)]++
-	o.ready = append(o.ready, x)
-	if t.out && !t.quit {
-		o.ready = append(o.ready, control.Decision{Verb: control.Recall, Txn: t.ID, Nr: t.nr - 1})
+	o.counts.reasons[min(max(int(why), 0), len(o.counts.reasons)-1)]++
+	o.decisions = append(o.decisions, x)
+	if t.inFlight && !t.canceled {
+		o.decisions = append(o.decisions, control.Decision{Action: control.Cancel, Txn: t.ID, Attempt: t.submissions - 1})
 	}
 	o.forget(t)
 }
@@ -195,29 +195,29 @@
 // forget lets go of a txn, but for a submission that is still out.
 func (o *Controller) forget(t *txn) {
 	t.ended = true
-	o.unkeep(t)
-	if t.waits {
-		t.waits = false
-		t.service.line = slices.DeleteFunc(t.service.line, func(x *txn) bool { return x == t })
+	o.release(t)
+	if t.queued {
+		t.queued = false
+		t.service.queue = slices.DeleteFunc(t.service.queue, func(x *txn) bool { return x == t })
 	}
-	if t.asks {
-		t.asks = false
-		o.asking = slices.DeleteFunc(o.asking, func(x *txn) bool { return x == t })
+	if t.awaitsUnits {
+		t.awaitsUnits = false
+		o.awaitingUnits = slices.DeleteFunc(o.awaitingUnits, func(x *txn) bool { return x == t })
 	}
-	if t.out {
+	if t.inFlight {
 		return
 	}
 	if o.txns[t.ID] == t {
 		delete(o.txns, t.ID)
 		if t.service != nil {
-			t.service.holds--
+			t.service.txnCount--
 		}
 	}
 }
 
-func (o *Controller) unkeep(t *txn) {
-	if t.kept {
-		t.kept = false
-		o.meter.Unkeep(t.Customer, t.Units)
+func (o *Controller) release(t *txn) {
+	if t.reserved {
+		t.reserved = false
+		o.limiter.Release(t.Customer, t.Units)
 	}
 }
--- a/internal/gateway/admission/service.go
+++ b/internal/gateway/admission/service.go
@@ -17,42 +17,42 @@
 		return int(h.id) - int(id)
 	})
 	if !ok {
-		h := &service{id: id, balancer: balancer.New(o.rng, o.terms.Zone, o.terms.Nodes)}
-		h.balancer.SetPlace(o.place, o.places)
-		h.budget = &budget{window: o.terms.RetryWindow, at: o.now,
-			nr: int64(o.now / (o.terms.RetryWindow / parts))}
+		h := &service{id: id, balancer: balancer.New(o.rng, o.config.Zone, o.config.Nodes)}
+		h.balancer.SetZoneIndex(o.zoneIndex, o.zoneNodes)
+		h.budget = &budget{window: o.config.RetryWindow, updatedAt: o.now,
+			part: int64(o.now / (o.config.RetryWindow / budgetParts))}
 		o.services = slices.Insert(o.services, at, h)
 	}
 	return o.services[at]
 }
 
-// turn brings the budget of a service up to now.
-func (o *Controller) turn(h *service) {
-	h.budget.turn(o.now, dripPart*o.terms.RetryExtra/float64(o.terms.Nodes))
+// advanceBudget brings the budget of a service up to now.
+func (o *Controller) advanceBudget(h *service) {
+	h.budget.advance(o.now, dripShare*o.config.RetryAllowance/float64(o.config.Nodes))
 }
 
-// held is how many further tries the budget of a service allows now.
-func (o *Controller) held(h *service) float64 {
-	o.turn(h)
-	return h.budget.held()
+// retryTokens is how many further tries the budget of a service allows now.
+func (o *Controller) retryTokens(h *service) float64 {
+	o.advanceBudget(h)
+	return h.budget.available()
 }
 
 // chooseService chooses a service by the weights; one without a ready backend only if all are without.
-func (o *Controller) chooseService(c *Call) *service {
+func (o *Controller) chooseService(c *Route) *service {
 	for _, any := range []bool{false, true} {
 		sum := 0
 		for _, t := range c.Targets {
-			if any || o.service(t.Service).ready() > 0 {
+			if any || o.service(t.Service).readyBackends() > 0 {
 				sum += max(t.Weight, 0)
 			}
 		}
 		if sum == 0 {
 			continue
 		}
-		n := int(c.next() * float64(sum))
+		n := int(c.nextWeightPoint() * float64(sum))
 		for _, t := range c.Targets {
 			h := o.service(t.Service)
-			if !any && h.ready() == 0 {
+			if !any && h.readyBackends() == 0 {
 				continue
 			}
 			if n -= max(t.Weight, 0); n < 0 {
@@ -63,60 +63,60 @@
 	return nil
 }
 
-// advice is when to come back: once those in line are through, by what this node has out and how long it
+// retryAfter is when to come back: once those in line are through, by what this node has out and how long it
 // takes. A part of it is chance, so that they don't come back together.
-func (o *Controller) advice(h *service) time.Duration {
+func (o *Controller) retryAfter(h *service) time.Duration {
 	if h == nil || h.balancer.Ready() == 0 {
-		return time.Duration(float64(adviceNone) * (0.7 + 0.6*o.rng.Float64()))
+		return time.Duration(float64(noBackendRetryAfter) * (0.7 + 0.6*o.rng.Float64()))
 	}
-	usual := 100 * ms
-	if len(h.line) > 0 {
-		usual = o.usual(h.line[0])
+	usual := 100 * millisecond
+	if len(h.queue) > 0 {
+		usual = o.usualLatency(h.queue[0])
 	}
-	wait := float64(usual) * float64(len(h.line)+1) / max(h.balancer.Room(), 1)
-	return min(adviceMost, time.Duration(wait*(0.7+0.6*o.rng.Float64()))+20*ms)
+	wait := float64(usual) * float64(len(h.queue)+1) / max(h.balancer.Capacity(), 1)
+	return min(maxRetryAfter, time.Duration(wait*(0.7+0.6*o.rng.Float64()))+20*millisecond)
 }
 
-// pace is the time from one periodic work to the next.
-func (o *Controller) pace() time.Duration {
-	if len(o.asking) > 0 {
-		return period
+// workInterval is the time from one periodic work to the next.
+func (o *Controller) workInterval() time.Duration {
+	if len(o.awaitingUnits) > 0 {
+		return busyInterval
 	}
 	for _, h := range o.services {
-		if len(h.line) > 0 {
-			return period
+		if len(h.queue) > 0 {
+			return busyInterval
 		}
 	}
 	if len(o.txns) > 0 {
-		return outPeriod
+		return inFlightInterval
 	}
-	return sweepEvery
+	return sweepInterval
 }
 
-// work is all that comes by the clock.
-func (o *Controller) work() {
-	o.askAgain = len(o.asking) > 0
+// periodicWork is all that comes by the clock.
+func (o *Controller) periodicWork() {
+	o.recheckUnits = len(o.awaitingUnits) > 0
 	for _, h := range o.services {
-		h.look = len(h.line) > 0 // pauses of backends may be over
+		h.recheck = len(h.queue) > 0 // pauses of backends may be over
 	}
-	if o.now-o.swept >= sweepEvery {
-		o.swept = o.now
+	if o.now-o.sweptAt >= sweepInterval {
+		o.sweptAt = o.now
 		for _, h := range o.services {
-			h.use.turn(o.now)
+			h.concurrency.advance(o.now)
 		}
 		o.services = slices.DeleteFunc(o.services, func(h *service) bool {
-			return h.holds == 0 && h.balancer.Idle() && h.main == nil && h.under == nil && !o.named(h)
+			return h.txnCount == 0 && h.balancer.Empty() && h.stable == nil && h.canary == nil && !o.hasRoute(h)
 		})
 	}
-	if o.now-o.noted >= noteEvery && o.count != (counts{}) {
-		o.ready = append(o.ready, control.Decision{Verb: control.Note, Text: o.count.text(o)})
-		o.count, o.noted = counts{}, o.now
+	if o.now-o.loggedAt >= logInterval && o.counts != (counts{}) {
+		o.decisions = append(o.decisions, control.Decision{Action: control.Log, Text: o.counts.text(o)})
+		o.counts, o.loggedAt = counts{}, o.now
 	}
 }
 
-// named tells whether a call goes to a service.
-func (o *Controller) named(h *service) bool {
-	for _, c := range o.calls {
+// hasRoute tells whether a call goes to a service.
+func (o *Controller) hasRoute(h *service) bool {
+	for _, c := range o.routes {
 		if slices.ContainsFunc(c.Targets, func(t Target) bool { return t.Service == h.id }) {
 			return true
 		}
@@ -126,35 +126,35 @@
 
 // wake asks for the time of the next work or due txn.
 func (o *Controller) wake() (control.Decision, bool) {
-	next := min(o.lastWork+o.pace(), max(o.meter.Next(), o.now+minDatagrams))
-	if at, ok := o.due.Next(); ok {
+	next := min(o.workedAt+o.workInterval(), max(o.limiter.NextDeadline(), o.now+minDatagramInterval))
+	if at, ok := o.timers.Next(); ok {
 		next = min(next, at)
 	}
-	next = max(next, o.now+ms)
+	next = max(next, o.now+millisecond)
 	if o.wakeAt > o.now && o.wakeAt <= next {
 		return control.Decision{}, false
 	}
 	o.wakeAt = next
-	return control.Decision{Verb: control.Wake, Limit: next - o.now}, true
+	return control.Decision{Action: control.Wake, After: next - o.now}, true
 }
 
 // counts are for the line in the log.
 type counts struct {
-	taken, again int
-	left         int // clients that went away before their answer
-	leftOut      int // of these, with a request at a backend
-	ranOn        int // of these, requests that may be repeated and were there for over half a second more
-	ends         [control.NotSent + 1]int
-	lacks        [LackBackend + 1]int
+	arrived, retried    int
+	clientsLeft         int // clients that went away before their answer
+	clientsLeftInFlight int // of these, with a request at a backend
+	ranOn               int // of these, requests that may be repeated and were there for over half a second more
+	endings             [control.NotSent + 1]int
+	reasons             [ReasonNoBackend + 1]int
 }
 
 func (n *counts) text(o *Controller) string {
 	line, out := 0, 0
 	for _, h := range o.services {
-		line, out = line+len(h.line), out+h.balancer.Out()
+		line, out = line+len(h.queue), out+h.balancer.InFlight()
 	}
 	return fmt.Sprintf("%d taken, %d sent again, %d turned away, %d failed, given up for want of time %d, "+
-		"units %d, backends %d; %d wait, %d out; %d clients left, %d with a request at a backend, %d ran on", n.taken, n.again, n.ends[control.Full],
-		n.ends[control.Errored]+n.ends[control.TimedOut]+n.ends[control.Unreachable]+n.ends[control.Broken],
-		n.lacks[LackTime], n.lacks[LackUnits], n.lacks[LackBackend], line, out, n.left, n.leftOut, n.ranOn)
+		"units %d, backends %d; %d wait, %d out; %d clients left, %d with a request at a backend, %d ran on", n.arrived, n.retried, n.endings[control.Rejected],
+		n.endings[control.Errored]+n.endings[control.TimedOut]+n.endings[control.Unreachable]+n.endings[control.ConnectionLost],
+		n.reasons[ReasonNoTime], n.reasons[ReasonNoUnits], n.reasons[ReasonNoBackend], line, out, n.clientsLeft, n.clientsLeftInFlight, n.ranOn)
 }
--- a/internal/gateway/admission/sides_test.go
+++ b/internal/gateway/admission/sides_test.go
@@ -11,121 +11,121 @@
 	"clovergap/internal/gateway/rollout"
 )
 
-// odd sends requests with odd numbers to the new version.
-type odd struct{ told []Compared }
+// oddAssigner sends requests with odd numbers to the new version.
+type oddAssigner struct{ comparisons []Comparison }
 
-func (s *odd) Begin(id control.TxnID, _ control.ProductID, service control.ServiceID) Began {
-	return Began{Number: 7, Side: rollout.Side(id % 2), Counts: true, Tenant: uint32(service)}
+func (s *oddAssigner) Assign(id control.TxnID, _ control.ProductID, service control.ServiceID) Assignment {
+	return Assignment{Number: 7, Side: rollout.Side(id % 2), Counts: true, Tenant: uint32(service)}
 }
-func (s *odd) Ended(e Compared) { s.told = append(s.told, e) }
+func (s *oddAssigner) SubmissionEnded(e Comparison) { s.comparisons = append(s.comparisons, e) }
 
 const firstNew = 11 // backends from here on are of the new version
 
-func newSides(call Call, old, new int) (*desk, *odd) {
-	d, s := newDesk(call, old), &odd{}
-	d.SetSides(s)
+func newCanaryHarness(call Route, old, new int) (*harness, *oddAssigner) {
+	d, s := newHarness(call, old), &oddAssigner{}
+	d.SetAssigner(s)
 	d.listNew(control.Ready, new)
-	d.SetRollout(1, 2, Shared)
+	d.SetRollout(1, 2, CanaryShared)
 	return d, s
 }
 
-func (d *desk) listNew(state control.BackendState, n int) {
+func (d *harness) listNew(state control.BackendState, n int) {
 	for i := range n {
-		d.ListChanged(false, []control.Listing{{ID: control.BackendID(firstNew + i), State: state, Size: 4, Service: 2}})
+		d.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(firstNew + i), State: state, Capacity: 4, Service: 2}})
 	}
 }
 
-func (d *desk) isNew(what string) bool {
+func (d *harness) isNew(what string) bool {
 	d.t.Helper()
-	must.Eq(d.t, control.Submit, d.last().Verb, must.Sprint(what))
+	must.Eq(d.t, control.Submit, d.last().Action, must.Sprint(what))
 	return d.last().Backend >= firstNew
 }
 
 // Where a first submission goes, and where a further one: to the old version, to the new one only from there and where the old
 // has nobody; never from old to new. Only first ones are told.
 func TestSides(t *testing.T) {
-	d, s := newSides(pure, 3, 3)
+	d, s := newCanaryHarness(idempotentRoute, 3, 3)
 	d.t = t
-	d.take(1)
+	d.arrive(1)
 	must.True(t, d.isNew("first, new"))
-	d.ends(control.Errored, false)
+	d.endLast(control.Errored, false)
 	must.False(t, d.isNew("again, from new"))
-	d.ends(control.Settled, true)
-	d.take(2)
+	d.endLast(control.Succeeded, true)
+	d.arrive(2)
 	must.False(t, d.isNew("first, old"))
-	d.ends(control.Errored, false)
+	d.endLast(control.Errored, false)
 	must.False(t, d.isNew("again, from old"))
-	d.ends(control.Settled, true)
-	must.SliceLen(t, 2, s.told)
-	must.Eq(t, Compared{Began: Began{7, rollout.New, true, 1}, Service: 1, Kind: 1, At: s.told[0].At, Ending: control.Errored,
-		Took: 50 * ms}, s.told[0])
-	must.Eq(t, rollout.Old, s.told[1].Side)
+	d.endLast(control.Succeeded, true)
+	must.SliceLen(t, 2, s.comparisons)
+	must.Eq(t, Comparison{Assignment: Assignment{7, rollout.Canary, true, 1}, Service: 1, Kind: 1, Backend: s.comparisons[0].Backend, Ending: control.Errored,
+		Took: 50 * millisecond}, s.comparisons[0])
+	must.Eq(t, rollout.Baseline, s.comparisons[1].Side)
 
 	d.list(control.Gone, 1, 3)
-	d.take(3)
+	d.arrive(3)
 	must.True(t, d.isNew("new, with no old"))
-	d.ends(control.Errored, false)
+	d.endLast(control.Errored, false)
 	must.True(t, d.isNew("again, with no old"))
-	d.ends(control.Settled, true)
-	d.take(4)
-	d.at(d.now + time.Second)
-	must.Eq(t, control.Decline, d.last().Verb) // old, with no old
+	d.endLast(control.Succeeded, true)
+	d.arrive(4)
+	d.advance(d.now + time.Second)
+	must.Eq(t, control.Reject, d.last().Action) // old, with no old
 
 	d.list(control.Ready, 1, 1)
 	d.listNew(control.Gone, 3)
-	n := len(s.told)
-	d.take(5)
+	n := len(s.comparisons)
+	d.arrive(5)
 	must.False(t, d.isNew("new, with no new"))
-	d.ends(control.Errored, false)
-	must.SliceLen(t, n, s.told) // that is no verdict
-	must.Eq(t, control.Void, d.last().Verb)
+	d.endLast(control.Errored, false)
+	must.SliceLen(t, n, s.comparisons) // that is no verdict
+	must.Eq(t, control.Fail, d.last().Action)
 }
 
 // At a pull-back what waits for the new version goes to the old one; what was sent there ends as it may, and what did not run
 // goes on at the old one.
 func TestPullBack(t *testing.T) {
-	d, s := newSides(bid, 5, 1)
-	defer func() { must.SliceLen(t, 1, s.told) }() // the one that was sent there and ended
+	d, s := newCanaryHarness(effectfulRoute, 5, 1)
+	defer func() { must.SliceLen(t, 1, s.comparisons) }() // the one that was sent there and ended
 	d.t = t
 	id := control.TxnID(1)
-	for d.take(id); d.last().Txn == id; d.take(id) {
+	for d.arrive(id); d.last().Txn == id; d.arrive(id) {
 		id += 2
 	}
 	must.Greater(t, 1, id)
-	d.SetRollout(1, 2, Shut)
-	d.turn()
+	d.SetRollout(1, 2, CanaryClosed)
+	d.pull()
 	must.Eq(t, id, d.last().Txn)
 	must.False(t, d.isNew("waited"))
-	d.ends(control.Settled, true)
-	d.SubmissionEnded(1, 0, firstNew, control.Full, false, 50*ms, nil) // it has not run
-	d.turn()
+	d.endLast(control.Succeeded, true)
+	d.SubmissionEnded(1, 0, firstNew, control.Rejected, false, 50*millisecond, nil) // it has not run
+	d.pull()
 	must.Eq(t, 1, d.last().Txn)
 	must.False(t, d.isNew("turned away"))
-	d.take(101)
+	d.arrive(101)
 	must.False(t, d.isNew("pulled back"))
 	d.list(control.Gone, 1, 5)
-	d.take(103)
-	d.at(d.now + time.Second)
-	must.Eq(t, control.Decline, d.last().Verb) // not even where there is nobody else
-	d.SetRollout(1, 2, Spare)
+	d.arrive(103)
+	d.advance(d.now + time.Second)
+	must.Eq(t, control.Reject, d.last().Action) // not even where there is nobody else
+	d.SetRollout(1, 2, CanaryFallback)
 	d.listNew(control.Ready, 2)
-	d.take(105)
+	d.arrive(105)
 	must.True(t, d.isNew("spare"))
 }
 
 // One that finds the new version short of room waits for it, and then goes to the old one instead of nowhere.
 func TestShortOfRoom(t *testing.T) {
-	d, s := newSides(pure, 3, 1)
+	d, s := newCanaryHarness(idempotentRoute, 3, 1)
 	d.t = t
 	id := control.TxnID(1)
-	for d.take(id); d.last().Txn == id; d.take(id) {
+	for d.arrive(id); d.last().Txn == id; d.arrive(id) {
 		id += 2
 	}
-	d.at(d.now + 100*ms)
+	d.advance(d.now + 100*millisecond)
 	must.Eq(t, id, d.last().Txn)
 	must.False(t, d.isNew("no room"))
-	d.ends(control.Errored, false)
-	must.SliceEmpty(t, s.told) // it did not end on its own side
+	d.endLast(control.Errored, false)
+	must.SliceEmpty(t, s.comparisons) // it did not end on its own side
 }
 
 // Whatever comes in whatever order: nothing of the old side is sent to the new version, nothing at all while that is shut, and
@@ -133,15 +133,15 @@
 func TestNeverFromOldToNew(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
-		d, _ := newSides(map[bool]Call{true: pure, false: bid}[seed%2 == 0], 3, 3)
-		open, id := Shared, control.TxnID(0)
+		d, _ := newCanaryHarness(map[bool]Route{true: idempotentRoute, false: effectfulRoute}[seed%2 == 0], 3, 3)
+		open, id := CanaryShared, control.TxnID(0)
 		out := map[control.TxnID]control.Decision{}
 		nr := map[control.TxnID]int{}
 		sent := map[bool]int{}
 		for range 600 {
 			switch rng.Intn(8) {
 			case 0:
-				open = Open(rng.Intn(2)) * Shared
+				open = CanaryAccess(rng.Intn(2)) * CanaryShared
 				d.SetRollout(1, 2, open)
 			case 1:
 				d.list(control.BackendState(rng.Intn(2)), 1, 3)
@@ -149,27 +149,27 @@
 				d.listNew(control.BackendState(rng.Intn(2)), 3)
 			case 3, 4:
 				id++
-				d.take(id)
+				d.arrive(id)
 			default:
 				for i, x := range out {
 					delete(out, i)
 					how := control.Ending(rng.Intn(int(control.NotSent)))
-					d.SubmissionEnded(i, nr[i]-1, x.Backend, how, how == control.Settled, 20*ms, nil)
+					d.SubmissionEnded(i, nr[i]-1, x.Backend, how, how == control.Succeeded, 20*millisecond, nil)
 					break
 				}
 			}
-			d.at(d.now + 10*ms)
-			for _, x := range d.seen {
-				if x.Verb != control.Submit {
+			d.advance(d.now + 10*millisecond)
+			for _, x := range d.decided {
+				if x.Action != control.Submit {
 					continue
 				}
 				isNew := x.Backend >= firstNew
-				must.False(t, isNew && (x.Txn%2 == 0 || open == Shut), must.Sprint(seed, " ", x))
+				must.False(t, isNew && (x.Txn%2 == 0 || open == CanaryClosed), must.Sprint(seed, " ", x))
 				sent[isNew]++
 				out[x.Txn] = x
 				nr[x.Txn]++
 			}
-			d.seen = nil
+			d.decided = nil
 		}
 		must.Positive(t, sent[true])
 		must.Positive(t, sent[false])
