--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -32,14 +32,14 @@
 	dead  bool
 }
 
-// fair is a few offices before queueing servers, in simulated time.
-type fair struct {
+// simulated is a few offices before queueing servers, in simulated time.
+type simulated struct {
 	now                                                           time.Duration
 	rng                                                           *rand.Rand
 	controllers                                                   []*Controller
 	servers                                                       []*server
 	events                                                        timerqueue.Queue[job]
-	call                                                          Call
+	call                                                          Route
 	mean                                                          time.Duration
 	rate                                                          []float64 // a second, by office
 	born                                                          map[[2]int]time.Duration
@@ -49,26 +49,26 @@
 	taken, inAim, late, refused, voided, crossed, firsts, further int
 }
 
-func newFair(seed int64, nodes, servers, slots int, rate float64, effectful bool) *fair {
-	f := &fair{rng: rand.New(rand.NewSource(seed)), mean: 120 * ms, born: map[[2]int]time.Duration{},
+func newSimulated(seed int64, nodes, servers, slots int, rate float64, effectful bool) *simulated {
+	f := &simulated{rng: rand.New(rand.NewSource(seed)), mean: 120 * millisecond, born: map[[2]int]time.Duration{},
 		kinds: map[control.TxnID]control.ProductID{}, asked: map[control.ProductID]int{}, served: map[control.ProductID]int{},
-		call: Call{Effectful: effectful, Aim: 400 * ms, Deadline: 1500 * ms, MaxTries: 2,
+		call: Route{Effectful: effectful, LatencyTarget: 400 * millisecond, Deadline: 1500 * millisecond, MaxAttempts: 2,
 			Targets: []Target{{1, 1}}}}
-	var list []control.Listing
+	var list []control.Endpoint
 	for i := range servers {
 		f.servers = append(f.servers, &server{speed: 0.6 + 0.8*float64(i)/float64(servers-1), slots: slots,
 			zone: control.ZoneID(i % 3)})
-		list = append(list, control.Listing{ID: control.BackendID(i + 1), Zone: control.ZoneID(i % 3),
-			State: control.Ready, Size: float64(slots), Service: 1})
+		list = append(list, control.Endpoint{ID: control.BackendID(i + 1), Zone: control.ZoneID(i % 3),
+			State: control.Ready, Capacity: float64(slots), Service: 1})
 	}
 	f.rng.Shuffle(servers, func(i, j int) {
 		f.servers[i].speed, f.servers[j].speed = f.servers[j].speed, f.servers[i].speed
 	})
 	for i := range nodes {
-		o := New(100*seed+int64(i), Terms{Zone: control.ZoneID(i % 3), RetryRatio: 0.2,
-			RetryWindow: 10 * time.Second, RetryExtra: 64, Nodes: nodes}, free(), 0)
-		o.SetCall(1, f.call)
-		o.ListChanged(true, list)
+		o := New(100*seed+int64(i), Config{Zone: control.ZoneID(i % 3), RetryRatio: 0.2,
+			RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: nodes}, unlimited(), 0)
+		o.SetRoute(1, f.call)
+		o.EndpointsChanged(true, list)
 		f.controllers = append(f.controllers, o)
 		f.rate = append(f.rate, rate/float64(nodes)*(0.6+0.8*f.rng.Float64()))
 		f.events.Add(0, job{what: "arrival", node: i})
@@ -76,14 +76,14 @@
 	return f
 }
 
-func (f *fair) after(d time.Duration, j job) { f.events.Add(f.now+d, j) }
+func (f *simulated) after(d time.Duration, j job) { f.events.Add(f.now+d, j) }
 
-func (f *fair) chance(mean time.Duration) time.Duration {
+func (f *simulated) chance(mean time.Duration) time.Duration {
 	return time.Duration(f.rng.ExpFloat64() * float64(mean))
 }
 
 // run plays until a time.
-func (f *fair) run(until time.Duration) {
+func (f *simulated) run(until time.Duration) {
 	for {
 		at, _ := f.events.Next()
 		if at > until {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (f *fair) play(j job) {
+func (f *simulated) play(j job) {
 	o := f.controllers[j.node]
 	if j.what == "arrive" || j.what == "done" {
 		f.serve(j)
@@ -114,65 +114,65 @@
 		f.asked[kind]++
 		f.taken++
 		f.born[[2]int{j.node, int(f.next)}] = f.now
-		o.TxnTaken(control.Txn{ID: f.next, Product: kind, Units: 1, Expiry: f.now + f.call.Deadline})
+		o.TxnArrived(control.Txn{ID: f.next, Product: kind, Units: 1, Expiry: f.now + f.call.Deadline})
 	case "settled", "full", "cut":
-		how := map[string]control.Ending{"settled": control.Settled, "full": control.Full,
+		how := map[string]control.Ending{"settled": control.Succeeded, "full": control.Rejected,
 			"cut": control.TimedOut}[j.what]
 		who := [2]int{j.node, int(j.txn)}
 		born, waits := f.born[who]
-		if t := o.txns[j.txn]; t == nil || !t.out || t.nr-1 != j.nr {
+		if t := o.txns[j.txn]; t == nil || !t.inFlight || t.submissions-1 != j.nr {
 			break // it has ended otherwise
 		}
-		if waits && how == control.Settled {
+		if waits && how == control.Succeeded {
 			delete(f.born, who)
 			f.served[f.kinds[j.txn]]++
-			if f.now-born <= f.call.Aim {
+			if f.now-born <= f.call.LatencyTarget {
 				f.inAim++
 			} else {
 				f.late++
 			}
 		}
-		o.SubmissionEnded(j.txn, j.nr, j.at, how, how == control.Settled, f.now-j.sent, nil)
+		o.SubmissionEnded(j.txn, j.nr, j.at, how, how == control.Succeeded, f.now-j.sent, nil)
 	}
 	f.pull(j.node, o)
 }
 
-func (f *fair) pull(node int, o *Controller) {
+func (f *simulated) pull(node int, o *Controller) {
 	for x, ok := o.Next(); ok; x, ok = o.Next() {
 		who := [2]int{node, int(x.Txn)}
-		switch x.Verb {
+		switch x.Action {
 		case control.Submit:
-			nr := o.txns[x.Txn].nr - 1
+			nr := o.txns[x.Txn].submissions - 1
 			if nr == 0 {
 				f.firsts++
 			} else {
 				f.further++
 			}
 			j := job{"arrive", node, x.Txn, nr, x.Backend, f.now}
-			if f.servers[x.Backend-1].zone != o.terms.Zone {
+			if f.servers[x.Backend-1].zone != o.config.Zone {
 				f.crossed++
 			}
-			f.after(ms, j)
+			f.after(millisecond, j)
 			j.what = "cut"
-			f.after(x.Limit, j)
-		case control.Decline, control.Void:
-			if x.Verb == control.Void {
+			f.after(x.After, j)
+		case control.Reject, control.Fail:
+			if x.Action == control.Fail {
 				f.voided++
 			} else {
 				f.refused++
 			}
 			delete(f.born, who)
-		case control.Recall:
-			if t := o.txns[x.Txn]; t != nil && t.out {
-				o.SubmissionEnded(x.Txn, x.Nr, t.at, control.CalledOff, t.ended, f.now-t.sent, nil)
+		case control.Cancel:
+			if t := o.txns[x.Txn]; t != nil && t.inFlight {
+				o.SubmissionEnded(x.Txn, x.Attempt, t.backend, control.Canceled, t.ended, f.now-t.sentAt, nil)
 			}
 		case control.Wake:
-			f.after(x.Limit, job{what: "wake", node: node})
+			f.after(x.After, job{what: "wake", node: node})
 		}
 	}
 }
 
-func (f *fair) serve(j job) {
+func (f *simulated) serve(j job) {
 	s := f.servers[j.at-1]
 	if s.dead {
 		return
@@ -185,12 +185,12 @@
 			s.queue = append(s.queue, j)
 		default:
 			j.what = "full"
-			f.after(ms, j)
+			f.after(millisecond, j)
 		}
 		return
 	}
 	j.what = "settled"
-	f.after(ms, j)
+	f.after(millisecond, j)
 	s.busy--
 	if len(s.queue) > 0 {
 		next := s.queue[0]
@@ -199,7 +199,7 @@
 	}
 }
 
-func (f *fair) start(s *server, j job) {
+func (f *simulated) start(s *server, j job) {
 	s.busy++
 	d := time.Duration(float64(f.chance(f.mean)) * s.speed)
 	j.what = "done"
@@ -210,7 +210,7 @@
 // Fast backends are used a little more than slow ones, but none is crowded; few requests leave their zone, and what is beyond what all
 // can do is refused without taking away from the rest.
 func TestFair(t *testing.T) {
-	f := newFair(1, 12, 13, 4, 330, false)
+	f := newSimulated(1, 12, 13, 4, 330, false)
 	f.run(40 * time.Second)
 	for zone := range control.ZoneID(3) {
 		least, most := 1.0, 0.0
@@ -224,7 +224,7 @@
 	must.Greater(t, 0.93, f.share(f.inAim))
 	must.Less(t, 0.06, f.share(f.crossed))
 
-	f = newFair(1, 12, 13, 4, 650, false) // half as much again as all can do
+	f = newSimulated(1, 12, 13, 4, 650, false) // half as much again as all can do
 	f.run(40 * time.Second)
 	must.Greater(t, 0.55, f.share(f.inAim))
 	must.LessEq(t, 0.2*float64(f.firsts)+64, float64(f.further))
@@ -233,7 +233,7 @@
 // Two backends that are silent cost little: others take over, those are tried with few.
 func TestSilent(t *testing.T) {
 	for _, effectful := range []bool{false, true} {
-		f := newFair(1, 12, 13, 4, 217, effectful)
+		f := newSimulated(1, 12, 13, 4, 217, effectful)
 		f.run(20 * time.Second)
 		f.taken, f.inAim, f.voided = 0, 0, 0
 		f.servers[0].dead, f.servers[5].dead = true, true
@@ -243,7 +243,7 @@
 	}
 }
 
-func (f *fair) share(n int) float64 { return float64(n) / float64(f.taken) }
+func (f *simulated) share(n int) float64 { return float64(n) / float64(f.taken) }
 
 // addedPart of a node's requests, beside these, go by each route that was added later.
 const addedPart = 0.1
@@ -252,20 +252,20 @@
 // one that just appeared, whose backends are slow from their start and of which no node has learnt anything yet.
 func TestAddedRoutesAreServed(t *testing.T) {
 	for _, nodes := range []int{3, 12} {
-		f := newFair(2, nodes, 13, 4, 200, false)
+		f := newSimulated(2, nodes, 13, 4, 200, false)
 		f.run(20 * time.Second)
 		for i := range 3 {
 			f.servers = append(f.servers, &server{speed: 1.5, slots: 4, zone: control.ZoneID(i)})
 		}
 		for i, o := range f.controllers {
 			o.Now(f.now)
-			o.SetCall(2, f.call)
+			o.SetRoute(2, f.call)
 			onNew := f.call
 			onNew.Targets = []Target{{2, 1}}
-			o.SetCall(3, onNew)
+			o.SetRoute(3, onNew)
 			for b := range 3 {
-				o.ListChanged(false, []control.Listing{{ID: control.BackendID(14 + b), Zone: control.ZoneID(b), State: control.Ready, Size: 4,
-					Service: 2, Cold: f.now + 3*time.Second}})
+				o.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(14 + b), Zone: control.ZoneID(b), State: control.Ready, Capacity: 4,
+					Service: 2, WarmingUntil: f.now + 3*time.Second}})
 			}
 			for kind := 2; kind <= 3; kind++ {
 				f.events.Add(f.now, job{what: "arrival", node: i, nr: kind})
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -24,31 +24,31 @@
 		got: map[control.BackendID]int{}, takes: map[control.BackendID]time.Duration{},
 		fails: map[control.BackendID]control.Ending{}}
 	for i := range 6 {
-		s.List(0, s.line(control.BackendID(i+1), control.Ready))
+		s.SetEndpoint(0, s.line(control.BackendID(i+1), control.Ready))
 	}
 	return s
 }
 
-func (s *fixture) line(id control.BackendID, state control.BackendState) control.Listing {
-	return control.Listing{ID: id, Zone: control.ZoneID((id - 1) / 3), State: state, Size: 4}
+func (s *fixture) line(id control.BackendID, state control.BackendState) control.Endpoint {
+	return control.Endpoint{ID: id, Zone: control.ZoneID((id - 1) / 3), State: state, Capacity: 4}
 }
 
 // play sends so many, one each 20 ms, each ended before the next: what each backend has out is no guide here.
-func (s *fixture) play(n int, w Want) {
+func (s *fixture) play(n int, w Request) {
 	clear(s.got)
 	for range n {
-		s.now += 20 * ms
+		s.now += 20 * millisecond
 		id, a := s.Pick(s.now, w)
 		if a != Chosen {
 			continue
 		}
 		s.got[id]++
 		s.Sent(s.now, id, w)
-		took := 100 * ms
+		took := 100 * millisecond
 		if t := s.takes[id]; t > 0 {
 			took = t
 		}
-		s.Ended(s.now, id, End{Ending: s.fails[id], Took: took, Aim: 400 * ms})
+		s.Ended(s.now, id, Outcome{Ending: s.fails[id], Took: took, LatencyTarget: 400 * millisecond})
 	}
 }
 
@@ -56,28 +56,28 @@
 
 func TestZone(t *testing.T) {
 	s := newFixture(1)
-	s.play(300, Want{})
+	s.play(300, Request{})
 	must.Zero(t, s.elsewhere())
 	// Somewhat slower is no reason to leave, late is.
 	for i := range 3 {
-		s.takes[control.BackendID(i+1)] = 200 * ms
+		s.takes[control.BackendID(i+1)] = 200 * millisecond
 	}
-	s.play(300, Want{})
+	s.play(300, Request{})
 	must.Zero(t, s.elsewhere())
 	for i := range 3 {
-		s.takes[control.BackendID(i+1)] = 500 * ms
+		s.takes[control.BackendID(i+1)] = 500 * millisecond
 	}
-	s.play(300, Want{})
+	s.play(300, Request{})
 	must.Greater(t, 50, s.elsewhere())
 	// And so is a zone that turns all away, or fails. When it is well again, they come back.
-	for _, e := range []control.Ending{control.Full, control.Unreachable} {
+	for _, e := range []control.Ending{control.Rejected, control.Unreachable} {
 		s = newFixture(1)
 		s.fails[1], s.fails[2], s.fails[3] = e, e, e
-		s.play(300, Want{})
+		s.play(300, Request{})
 		must.Greater(t, 200, s.elsewhere())
 		clear(s.fails)
-		s.play(600, Want{})
-		s.play(100, Want{})
+		s.play(600, Request{})
+		s.play(100, Request{})
 		must.Less(t, 10, s.elsewhere())
 	}
 }
@@ -87,11 +87,11 @@
 	first := map[control.BackendID]int{}
 	for seed := range int64(12) {
 		s := newFixture(seed)
-		id, _ := s.Pick(s.now, Want{})
+		id, _ := s.Pick(s.now, Request{})
 		first[id]++
-		s.takes[1], s.takes[2], s.takes[3] = 60*ms, 100*ms, 140*ms
-		s.play(600, Want{})
-		s.play(600, Want{})
+		s.takes[1], s.takes[2], s.takes[3] = 60*millisecond, 100*millisecond, 140*millisecond
+		s.play(600, Request{})
+		s.play(600, Request{})
 		must.Between(t, 1.9, float64(s.got[1])/float64(s.got[2]), 2.7) // (100/60)^1.6 is 2.26
 		must.Between(t, 1.5, float64(s.got[2])/float64(s.got[3]), 2.1)
 	}
@@ -100,21 +100,21 @@
 
 func TestAside(t *testing.T) {
 	s := newFixture(1)
-	s.play(60, Want{})
-	s.fails[2] = control.Broken
-	s.play(300, Want{}) // six seconds
+	s.play(60, Request{})
+	s.fails[2] = control.ConnectionLost
+	s.play(300, Request{}) // six seconds
 	must.Between(t, 2, s.got[2], 15)
-	s.play(300, Want{Effectful: true})
+	s.play(300, Request{Effectful: true})
 	must.Less(t, 3, s.got[2])
 	delete(s.fails, 2)
-	s.play(600, Want{})
-	s.play(300, Want{})
+	s.play(600, Request{})
+	s.play(300, Request{})
 	must.Greater(t, 60, s.got[2])
 	// Where all fail alike, all are still tried.
 	for i := range 6 {
 		s.fails[control.BackendID(i+1)] = control.Errored
 	}
-	s.play(300, Want{})
+	s.play(300, Request{})
 	must.MapLen(t, 6, s.got)
 	for _, n := range s.got {
 		must.Greater(t, 5, n)
@@ -124,35 +124,35 @@
 func TestColdAndDraining(t *testing.T) {
 	s := newFixture(1)
 	cold := s.line(7, control.Ready)
-	cold.Zone, cold.Cold = 0, s.now+6*time.Second
-	s.List(s.now, cold)
-	s.List(s.now, s.line(1, control.Draining))
-	s.play(300, Want{})
+	cold.Zone, cold.WarmingUntil = 0, s.now+6*time.Second
+	s.SetEndpoint(s.now, cold)
+	s.SetEndpoint(s.now, s.line(1, control.Draining))
+	s.play(300, Request{})
 	must.Between(t, 10, s.got[7], 50)
 	must.Zero(t, s.got[1])
-	s.play(200, Want{})
-	s.play(300, Want{})
+	s.play(200, Request{})
+	s.play(300, Request{})
 	must.Greater(t, 85, s.got[7])
 }
 
 // One that owes answers for long gets few, and is dead once others have answered.
 func TestSilence(t *testing.T) {
 	s := newFixture(1)
-	s.play(100, Want{})
+	s.play(100, Request{})
 	for range 2 {
-		s.Sent(s.now, 1, Want{})
+		s.Sent(s.now, 1, Request{})
 	}
-	s.now += 250 * ms
+	s.now += 250 * millisecond
 	must.False(t, s.Dead(s.now, 1))
-	s.now += 200 * ms
+	s.now += 200 * millisecond
 	must.False(t, s.Dead(s.now, 1)) // nobody else was asked
-	s.play(5, Want{Tried: []control.BackendID{1}})
+	s.play(5, Request{Attempted: []control.BackendID{1}})
 	must.True(t, s.Dead(s.now, 1))
 	for range 10 {
-		id, _ := s.Pick(s.now, Want{})
+		id, _ := s.Pick(s.now, Request{})
 		must.NotEq(t, 1, id)
 	}
-	s.Stood(s.now) // unless the silence was this node's own
+	s.Resumed(s.now) // unless the silence was this node's own
 	must.False(t, s.Dead(s.now, 1))
 }
 
@@ -164,19 +164,19 @@
 	homes := map[control.BackendID]int{}
 	for nr := range nodes {
 		c := New(rand.New(rand.NewSource(int64(nr))), 0, 4*nodes)
-		c.SetPlace(nr, nodes)
+		c.SetZoneIndex(nr, nodes)
 		for i := range backends {
-			c.List(0, control.Listing{ID: control.BackendID(i + 1), Size: 4, State: control.Ready})
+			c.SetEndpoint(0, control.Endpoint{ID: control.BackendID(i + 1), Capacity: 4, State: control.Ready})
 		}
 		s := &fixture{Balancer: c, now: time.Second, got: map[control.BackendID]int{}}
-		s.play(300, Want{}) // its pace is known
+		s.play(300, Request{}) // its pace is known
 		own := map[control.BackendID]bool{}
-		for _, b := range c.list {
-			if own[b.ID] = !b.away; !b.away {
+		for _, b := range c.ordered {
+			if own[b.ID] = !b.outsideSubset; !b.outsideSubset {
 				homes[b.ID]++
 			}
 		}
-		s.play(400, Want{})
+		s.play(400, Request{})
 		at := 0
 		for id, n := range s.got {
 			if own[id] {
@@ -186,20 +186,20 @@
 		must.Between(t, 330, at, 399)
 		var out []control.BackendID
 		for range 24 { // none of them ends
-			id, a := s.Pick(s.now, Want{})
+			id, a := s.Pick(s.now, Request{})
 			must.Eq(t, Chosen, a)
-			s.Sent(s.now, id, Want{})
+			s.Sent(s.now, id, Request{})
 			out = append(out, id)
 		}
 		for _, id := range out {
-			s.Ended(s.now, id, End{Took: 100 * ms, Aim: 400 * ms})
+			s.Ended(s.now, id, Outcome{Took: 100 * millisecond, LatencyTarget: 400 * millisecond})
 		}
 		for id := range own {
 			if own[id] {
-				s.List(s.now, control.Listing{ID: id, State: control.Gone})
+				s.SetEndpoint(s.now, control.Endpoint{ID: id, State: control.Gone})
 			}
 		}
-		s.play(50, Want{})
+		s.play(50, Request{})
 		total := 0
 		for _, n := range s.got {
 			total += n
@@ -207,7 +207,7 @@
 		must.Eq(t, 50, total)
 	}
 	for id, n := range homes {
-		must.Between(t, homeNodes, n, homeNodes+2, must.Sprint("backend ", id))
+		must.Between(t, nodesPerBackend, n, nodesPerBackend+2, must.Sprint("backend ", id))
 	}
 	must.MapLen(t, backends, homes)
 }
@@ -220,29 +220,29 @@
 	homes := map[control.BackendID]int{}
 	for nr := range nodes {
 		c := New(rand.New(rand.NewSource(int64(nr))), 0, 6*nodes)
-		c.SetPlace(nr, nodes)
+		c.SetZoneIndex(nr, nodes)
 		for i := range backends {
-			c.List(0, control.Listing{ID: control.BackendID(i + 1), Size: 4, State: control.Ready})
+			c.SetEndpoint(0, control.Endpoint{ID: control.BackendID(i + 1), Capacity: 4, State: control.Ready})
 		}
 		s := &fixture{Balancer: c, now: time.Second, got: map[control.BackendID]int{}}
 		count := func() (n int) {
-			for _, b := range c.list {
-				if !b.away {
+			for _, b := range c.ordered {
+				if !b.outsideSubset {
 					n++
 				}
 			}
 			return n
 		}
-		must.Eq(t, homesLeast, count())
+		must.Eq(t, minSubset, count())
 		play := func(n int, gap time.Duration) (homes int) {
-			s.play(0, Want{})
+			s.play(0, Request{})
 			for range n {
-				s.now += gap - 20*ms
+				s.now += gap - 20*millisecond
 				before := s.got
 				s.got = map[control.BackendID]int{}
-				s.play(1, Want{})
+				s.play(1, Request{})
 				for id := range s.got {
-					if !c.all[id].away {
+					if !c.known[id].outsideSubset {
 						homes++
 					}
 					before[id]++
@@ -251,24 +251,24 @@
 			}
 			return homes
 		}
-		play(60, 300*ms)
+		play(60, 300*millisecond)
 		must.Between(t, 6, count(), 8)
-		at := play(200, 300*ms)
+		at := play(200, 300*millisecond)
 		must.Between(t, 180, at, 199)
 		must.Greater(t, 12, len(s.got)) // of 42, in a minute
-		for _, b := range c.list {
-			if !b.away {
+		for _, b := range c.ordered {
+			if !b.outsideSubset {
 				homes[b.ID]++
 			}
 		}
-		first := c.place * backends / nodes
-		must.False(t, c.list[first].away)
-		play(60, 50*ms)
-		must.Eq(t, homesUsual, count())
-		must.False(t, c.list[first].away)
+		first := c.zoneIndex * backends / nodes
+		must.False(t, c.ordered[first].outsideSubset)
+		play(60, 50*millisecond)
+		must.Eq(t, maxSubsetByRate, count())
+		must.False(t, c.ordered[first].outsideSubset)
 		play(30, 2*time.Second)
-		must.Eq(t, homesLeast, count())
-		must.False(t, c.list[first].away)
+		must.Eq(t, minSubset, count())
+		must.False(t, c.ordered[first].outsideSubset)
 	}
 	for id, n := range homes {
 		must.Between(t, nodes*6/backends-1, n, nodes*8/backends+2, must.Sprint("backend ", id))
@@ -279,16 +279,16 @@
 // A backend that is silent is set aside although every client leaves it before its time is up; one whose clients leave soon is not. Guards
 // against learning nothing of a backend whose requests are called off.
 func TestSilenceWhereClientsLeave(t *testing.T) {
-	for _, after := range []time.Duration{150 * ms, 500 * ms} {
+	for _, after := range []time.Duration{150 * millisecond, 500 * millisecond} {
 		s := newFixture(1)
-		s.play(100, Want{})
+		s.play(100, Request{})
 		for range 8 {
-			s.Sent(s.now, 1, Want{})
+			s.Sent(s.now, 1, Request{})
 			s.now += after
-			s.Ended(s.now, 1, End{Ending: control.CalledOff, Took: after, Aim: 400 * ms, Left: true})
+			s.Ended(s.now, 1, Outcome{Ending: control.Canceled, Took: after, LatencyTarget: 400 * millisecond, ClientLeft: true})
 		}
-		s.play(60, Want{})
-		if after > 4*100*ms {
+		s.play(60, Request{})
+		if after > 4*100*millisecond {
 			must.Zero(t, s.got[1])
 		} else {
 			must.Positive(t, s.got[1])
--- a/internal/gateway/balancer/homes.go
+++ b/internal/gateway/balancer/homes.go
@@ -16,84 +16,84 @@
 // How many homes a node has goes by what it sends: each is to be sent to before its idle connection closes, and often enough that its
 // speed is known. A window that grows or shrinks keeps its beginning, so that homes stay homes.
 const (
-	homesLeast = 4               // backends: fewer are all homes
-	homesUsual = 12              // no more for the sake of what is sent alone
-	homeEvery  = 2 * time.Second // a home is sent to so often in the mean; backends mostly close what was idle for ten
-	homeNodes  = 4               // nodes that a backend is a home of, at least
-	awayPart   = 0.05            // of its share, for one that is no home
-	awayAll    = 0.06            // and of what the homes get, for all that are none
-	paceOver   = 2 * time.Second // what is sent is counted for so long
-	paceStep   = 0.5             // weight of a count in the pace
+	minSubset          = 4               // backends: fewer are all homes
+	maxSubsetByRate    = 12              // no more for the sake of what is sent alone
+	subsetSendInterval = 2 * time.Second // a home is sent to so often in the mean; backends mostly close what was idle for ten
+	nodesPerBackend    = 4               // nodes that a backend is a home of, at least
+	outsideShare       = 0.05            // of its share, for one that is no home
+	maxOutsideTotal    = 0.06            // and of what the homes get, for all that are none
+	rateWindow         = 2 * time.Second // what is sent is counted for so long
+	rateSmoothing      = 0.5             // weight of a count in the pace
 )
 
-// homes is what this node's homes are chosen by.
-type homes struct {
-	want     int     // by the pace
-	pace     float64 // requests a second
-	sent     int     // since from
-	from     time.Duration
-	awayPart float64
+// subset is what this node's homes are chosen by.
+type subset struct {
+	size         int     // by the pace
+	rate         float64 // requests a second
+	sent         int     // since from
+	since        time.Duration
+	outsideShare float64
 }
 
-// SetPlace says which of how many nodes of this zone this one is, from 0.
-func (c *Balancer) SetPlace(nr, of int) {
+// SetZoneIndex says which of how many nodes of this zone this one is, from 0.
+func (c *Balancer) SetZoneIndex(nr, of int) {
 	if of = max(of, 1); nr < 0 || nr >= of {
 		nr = 0
 	}
-	if c.place != nr || c.places != of {
-		c.place, c.places = nr, of
-		c.settleHomes()
+	if c.zoneIndex != nr || c.zoneNodes != of {
+		c.zoneIndex, c.zoneNodes = nr, of
+		c.updateSubset()
 	}
 }
 
-// paced notes that a request is sent, and follows the pace: more homes at once, fewer only where it is well below.
-func (c *Balancer) paced(now time.Duration) {
-	h := &c.homes
-	if h.sent++; h.from == 0 {
-		h.from = now
+// recordSend notes that a request is sent, and follows the pace: more homes at once, fewer only where it is well below.
+func (c *Balancer) recordSend(now time.Duration) {
+	h := &c.subset
+	if h.sent++; h.since == 0 {
+		h.since = now
 	}
-	over := now - h.from
-	if over < paceOver {
+	over := now - h.since
+	if over < rateWindow {
 		return
 	}
-	h.pace += paceStep * (float64(h.sent)/over.Seconds() - h.pace)
-	h.sent, h.from = 0, now
-	want := int(math.Ceil(h.pace * homeEvery.Seconds()))
-	if want = min(max(want, homesLeast), homesUsual); want > h.want || want < h.want-1 {
-		h.want = want
-		c.settleHomes()
+	h.rate += rateSmoothing * (float64(h.sent)/over.Seconds() - h.rate)
+	h.sent, h.since = 0, now
+	want := int(math.Ceil(h.rate * subsetSendInterval.Seconds()))
+	if want = min(max(want, minSubset), maxSubsetByRate); want > h.size || want < h.size-1 {
+		h.size = want
+		c.updateSubset()
 	}
 }
 
-// settleHomes works out which backends are homes, after the list, the nodes or the pace have changed.
-func (c *Balancer) settleHomes() {
+// updateSubset works out which backends are homes, after the list, the nodes or the pace have changed.
+func (c *Balancer) updateSubset() {
 	var ring []*backend
-	for _, b := range c.list { // by id: a hash
-		if b.State == control.Ready && c.side(b.Zone) == 0 {
+	for _, b := range c.ordered { // by id: a hash
+		if b.State == control.Ready && c.locality(b.Zone) == 0 {
 			ring = append(ring, b)
 		}
 	}
 	n := len(ring)
 	count := n
-	if c.places > 0 {
-		count = min(n, max(homesLeast, c.homes.want, (homeNodes*n+c.places-1)/c.places))
+	if c.zoneNodes > 0 {
+		count = min(n, max(minSubset, c.subset.size, (nodesPerBackend*n+c.zoneNodes-1)/c.zoneNodes))
 	}
-	c.homes.awayPart = awayPart
+	c.subset.outsideShare = outsideShare
 	if away := n - count; away > 0 {
-		c.homes.awayPart = min(awayPart, awayAll*float64(count)/float64(away))
+		c.subset.outsideShare = min(outsideShare, maxOutsideTotal*float64(count)/float64(away))
 	}
 	for i, b := range ring {
 		first := 0
 		if count < n {
-			first = c.place * n / c.places
+			first = c.zoneIndex * n / c.zoneNodes
 		}
 		away := (i-first+n)%n >= count
-		switch size := max(b.Size, 1); {
-		case b.away && !away: // its place in the order is far ahead: it takes its turn from now on
-			b.pass = min(b.pass, c.turn[0]+c.rng.Float64()/size)
-		case away && !b.away: // those that are no homes come one by one, not all of them at first
-			b.pass = max(b.pass, c.turn[0]+c.rng.Float64()/(size*c.homes.awayPart))
+		switch size := max(b.Capacity, 1); {
+		case b.outsideSubset && !away: // its place in the order is far ahead: it takes its turn from now on
+			b.pass = min(b.pass, c.virtualTime[0]+c.rng.Float64()/size)
+		case away && !b.outsideSubset: // those that are no homes come one by one, not all of them at first
+			b.pass = max(b.pass, c.virtualTime[0]+c.rng.Float64()/(size*c.subset.outsideShare))
 		}
-		b.away = away
+		b.outsideSubset = away
 	}
 }
--- a/internal/gateway/controlapi/rollouts.go
+++ b/internal/gateway/controlapi/rollouts.go
@@ -28,8 +28,8 @@
 const pathRollout = "/api/Rollout."
 
 // rolloutVerbs are the calls that change something.
-var rolloutVerbs = map[string]rollout.Verb{"Start": rollout.Start, "Step": rollout.Advance, "Hold": rollout.Hold,
-	"PullBack": rollout.PullBack, "Finish": rollout.Finish}
+var rolloutVerbs = map[string]rollout.Verb{"Start": rollout.Start, "Step": rollout.Advance, "Hold": rollout.Pause,
+	"PullBack": rollout.Rollback, "Finish": rollout.Finish}
 
 // rollout takes a call on roll-outs.
 func (f *Handler) rollout(c *downstream.Client, method, call string, body []byte) {
@@ -89,13 +89,13 @@
 	if err := strict(&o); err != nil {
 		return nil, false, err
 	}
-	order := new(rollout.Rollout)
+	order := new(rollout.Spec)
 	if err := json.Unmarshal(body, order); err != nil {
 		return nil, false, errors.Wrap(err, "body")
 	}
-	if err := order.Check(); err != nil {
+	if err := order.Normalize(); err != nil {
 		return nil, false, err
 	}
 	return &rollout.Entry{Verb: verb, Service: o.Service, Mark: o.Mark, By: o.By, Why: o.Why, Rev: o.Rev, Order: order,
-		Room: rollout.Room{New: max(o.NewRoom, 0), Busy: max(o.Busy, 0)}}, o.DryRun, nil
+		Room: rollout.Capacity{New: max(o.NewRoom, 0), Busy: max(o.Busy, 0)}}, o.DryRun, nil
 }
--- a/internal/gateway/ingress/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -28,7 +28,7 @@
 func (d *Dialect) Read(x upstream.Carried, r *http1.Reader, b []byte) upstream.Verdict {
 	id, many := r.Get(b, "x-attempt-id")
 	if len(id) == 0 || many {
-		return upstream.Verdict{Ending: control.Broken} // no backend's answer
+		return upstream.Verdict{Ending: control.ConnectionLost} // no backend's answer
 	}
 	if string(id) != x.ID {
 		return upstream.Verdict{Other: true}
@@ -37,19 +37,19 @@
 	notRun, _ := r.Get(b, "x-not-run")
 	switch s := r.Status(); {
 	case s == 421:
-		v.Ending, v.Closes = control.Full, true
+		v.Ending, v.Closes = control.Rejected, true
 		d.lookups.Gone(x.At)
 	case notRun != nil:
-		v.Ending = control.Full
+		v.Ending = control.Rejected
 	case s < 300:
 		seal, _ := r.Get(b, "x-backend-seal")
 		form, _ := r.Get(b, "content-encoding")
 		if len(seal) > 0 && (len(form) == 0 || http1.Same(form, "identity")) {
-			v.Ending = control.Settled
+			v.Ending = control.Succeeded
 		}
 	case s == 408 || s == 429 || s == 503: // a promise that the backend does not keep: it may have run
 	case s < 500:
-		v.Ending = control.Settled // the service's own word, whatever it is
+		v.Ending = control.Succeeded // the service's own word, whatever it is
 	default:
 		v.Final = x.Once
 	}
--- a/internal/gateway/ingress/flow_test.go
+++ b/internal/gateway/ingress/flow_test.go
@@ -222,10 +222,10 @@
 		must.NoError(t, err)
 		return c, conn, a
 	}
-	for _, verb := range []control.Verb{control.Recall, control.Void} {
+	for _, verb := range []control.Action{control.Cancel, control.Fail} {
 		_, conn, a := begin("g")
 		st.e.Turn(func() {
-			d := control.Decision{Verb: verb}
+			d := control.Decision{Action: verb}
 			for d.Txn = range st.module.expiry {
 			}
 			clear(st.module.expiry)
@@ -233,7 +233,7 @@
 		})
 		conn.Write(body[1000:])
 		got, err := io.ReadAll(a.Body)
-		if verb == control.Recall {
+		if verb == control.Cancel {
 			must.NoError(t, err)
 			must.True(t, bytes.Equal(body, got))
 			conn.Close()
--- a/internal/gateway/ingress/handler.go
+++ b/internal/gateway/ingress/handler.go
@@ -284,7 +284,7 @@
 }
 
 // Decline says that a request has not run and never will, and when it is best to come again.
-func (f *Handler) Decline(who, txn slots.Ref, after time.Duration, why control.Lack) {
+func (f *Handler) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
 	status := 503
 	if why == gate.LackUnits {
 		status = 429
@@ -293,7 +293,7 @@
 }
 
 // Void makes no such promise.
-func (f *Handler) Void(who, txn slots.Ref, why control.Lack) {
+func (f *Handler) Void(who, txn slots.Ref, why control.Reason) {
 	status := 502
 	if c := f.in.Waits(who, txn); why == gate.LackTime || c != nil && visitOf(c).expiry <= f.clock.Now() {
 		status = 504
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -29,36 +29,36 @@
 // what may have is voided.
 type fakeModule struct {
 	todo    []control.Decision
-	lacking control.Lack // set: requests are declined for it
+	lacking control.Reason // set: requests are declined for it
 	expiry  map[control.TxnID]time.Duration
 }
 
 func (u *fakeModule) Now(time.Duration) {}
-func (u *fakeModule) TxnTaken(x control.Txn) {
+func (u *fakeModule) TxnArrived(x control.Txn) {
 	u.expiry[x.ID] = x.Expiry
-	d := control.Decision{Verb: control.Submit, Txn: x.ID, Backend: 7}
+	d := control.Decision{Action: control.Submit, Txn: x.ID, Backend: 7}
 	if u.lacking != 0 {
-		d = control.Decision{Verb: control.Decline, Txn: x.ID, Why: u.lacking, Limit: 1500 * time.Millisecond}
+		d = control.Decision{Action: control.Reject, Txn: x.ID, Reason: u.lacking, After: 1500 * time.Millisecond}
 	}
 	u.todo = append(u.todo, d)
 }
 
 func (u *fakeModule) ClientLeft(id control.TxnID) {
-	u.todo = append(u.todo, control.Decision{Verb: control.Recall, Txn: id})
+	u.todo = append(u.todo, control.Decision{Action: control.Cancel, Txn: id})
 }
 
 func (u *fakeModule) SubmissionEnded(id control.TxnID, _ int, _ control.BackendID, e control.Ending, over bool,
 	_ time.Duration, _ []float64) {
-	d := control.Decision{Verb: control.Void, Txn: id, Why: gate.LackBackend}
-	if e == control.Full || e == control.Unreachable || e == control.NotSent {
-		d.Verb = control.Decline
+	d := control.Decision{Action: control.Fail, Txn: id, Reason: gate.LackBackend}
+	if e == control.Rejected || e == control.Unreachable || e == control.NotSent {
+		d.Action = control.Reject
 	}
 	if !over {
 		u.todo = append(u.todo, d)
 	}
 }
-func (u *fakeModule) ListChanged(bool, []control.Listing)                          {}
-func (u *fakeModule) PeerSaid(control.GatewayID, []byte)                           {}
+func (u *fakeModule) EndpointsChanged(bool, []control.Endpoint)                    {}
+func (u *fakeModule) DatagramReceived(control.GatewayID, []byte)                   {}
 func (u *fakeModule) ProbeEnded(control.BackendID, bool, time.Duration, []float64) {}
 func (u *fakeModule) Woken(uint64)                                                 {}
 func (u *fakeModule) Next() (d control.Decision, ok bool) {
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -239,20 +239,20 @@
 		must.Eq(t, rollout.Running, run.Phase)
 		must.Eq(t, 2, run.Step)
 		must.False(t, run.Held)
-		must.Eq(t, rollout.Room{Old: 200, New: 100, Busy: 50}, run.Room)
-		must.Eq(t, rollout.Rollout{Service: "s", Old: "v1", New: "v2", Advance: "word",
-			Failing: run.Order.Failing, Steps: []rollout.Step{{Share: 5000, MinTime: rollout.Span(time.Second)}, {Share: 9000, MinTime: rollout.Span(time.Second)}}}, run.Order)
+		must.Eq(t, rollout.Capacity{Old: 200, New: 100, Busy: 50}, run.Room)
+		must.Eq(t, rollout.Spec{Service: "s", Old: "v1", New: "v2", Advance: "word",
+			Failing: run.Order.Failing, Steps: []rollout.Step{{Share: 5000, MinTime: rollout.Duration(time.Second)}, {Share: 9000, MinTime: rollout.Duration(time.Second)}}}, run.Order)
 		must.Eq(t, "{[5xx none wrong] 10 9500 130}", fmt.Sprint(run.Order.Failing))
 		must.SliceLen(t, 2, run.History)
 		must.Eq(t, "start 1 5000 ana 1796229222189", pastText(run.History[0]))
 		must.Eq(t, "step 1 9000  1796229222438", pastText(run.History[1]))
-		must.True(t, machine.Rollouts.Known("m-1"))
-		must.True(t, machine.Rollouts.Known("m-2"))
-		must.False(t, machine.Rollouts.Known("m-3"))
+		must.True(t, machine.Rollouts.CallApplied("m-1"))
+		must.True(t, machine.Rollouts.CallApplied("m-2"))
+		must.False(t, machine.Rollouts.CallApplied("m-3"))
 	}
 }
 
-func pastText(p rollout.Past) string {
+func pastText(p rollout.HistoryEntry) string {
 	return fmt.Sprint(p.Verb, " ", p.Step, " ", p.Share, " ", p.By, " ", p.At)
 }
 
--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -65,12 +65,12 @@
 		if !ok {
 			h.catalog.lastProduct++
 			id = h.catalog.lastProduct
-			c := admission.Call{Effectful: r.Effectful, Aim: r.Target, Deadline: r.Deadline, MaxTries: r.MaxTries,
+			c := admission.Route{Effectful: r.Effectful, LatencyTarget: r.Target, Deadline: r.Deadline, MaxAttempts: r.MaxTries,
 				Priority: r.Priority}
 			for _, t := range r.Targets {
 				c.Targets = append(c.Targets, admission.Target{Service: h.catalog.serviceID(t.Service), Weight: t.Weight})
 			}
-			h.admission.SetCall(id, c)
+			h.admission.SetRoute(id, c)
 		}
 		kept[r.Key], h.catalog.routesByProduct[id] = id, r
 	}
@@ -78,10 +78,10 @@
 		if _, ok := kept[key]; !ok {
 			if old := h.catalog.routesByProduct[id]; old != nil {
 				if now, ok := h.table.Route([]byte(old.Host), []byte(old.Prefix)); ok {
-					h.admission.LowerTries(id, now.MaxTries)
+					h.admission.LowerMaxAttempts(id, now.MaxTries)
 				}
 			}
-			h.admission.DropCall(id)
+			h.admission.RemoveRoute(id)
 			delete(h.catalog.routesByProduct, id)
 		}
 	}
@@ -153,8 +153,8 @@
 	if s, ok := h.table.Service(c.Record.Service); ok && s.MaxConns > 0 {
 		h.dispatcher.SetMaxConns(id, max(minConnsPerNode, s.MaxConns/max(h.slotCount, 1)))
 	}
-	h.gate.Listed(false, []control.Listing{{ID: id, Zone: h.catalog.zoneID(c.Record.Zone), State: state,
-		Size: float64(max(c.Record.Capacity, 1)), Service: h.poolOf(c.Record), Cold: c.SlowStartUntil}})
+	h.gate.Listed(false, []control.Endpoint{{ID: id, Zone: h.catalog.zoneID(c.Record.Zone), State: state,
+		Capacity: float64(max(c.Record.Capacity, 1)), Service: h.poolOf(c.Record), WarmingUntil: c.SlowStartUntil}})
 	if state == control.Gone {
 		delete(h.catalog.backendNames, id)
 	}
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -74,7 +74,7 @@
 	registryDirty     bool // since it was last kept on disk
 	pendingHeartbeats map[registry.Ticket]pendingHeartbeat
 
-	quota      *control.Quota
+	quota      *control.Limiter
 	admission  *admission.Controller
 	gate       *gate.Gate
 	rollouts   rolloutHost
@@ -182,14 +182,14 @@
 
 // buildDataPath makes the way of requests and of calls.
 func (h *Node) buildDataPath(b Environment) error {
-	h.quota = control.NewQuota(h.seed, 0, 1, h.loop.Now(), control.QuotaTerms{Gap: 50 * time.Millisecond,
-		ViewLife: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MostUnits: 1, Parts: true, Start: coldStartQuotaShare, Fence: newOwnerDelay,
+	h.quota = control.NewLimiter(h.seed, 0, 1, h.loop.Now(), control.Config{MinInterval: 50 * time.Millisecond,
+		SnapshotTTL: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MaxUnits: 1, Strict: true, InitialFill: coldStartQuotaShare, OwnershipDelay: newOwnerDelay,
 		Window: h.settings.Bounds.QuotaWindow, Excess: h.settings.Bounds.QuotaExcess, Margin: float64(h.settings.Bounds.QuotaMargin)})
 	h.openRollouts()
-	h.admission = admission.New(h.seed, admission.Terms{Zone: h.catalog.zoneID(h.settings.Zone),
+	h.admission = admission.New(h.seed, admission.Config{Zone: h.catalog.zoneID(h.settings.Zone),
 		RetryRatio: h.settings.Bounds.RetryRatio, RetryWindow: h.settings.Bounds.RetryWindow,
-		RetryExtra: h.settings.Bounds.RetryExtra, Nodes: 1}, h.quota, h.loop.Now())
-	h.admission.SetSides((*requestSides)(h))
+		RetryAllowance: h.settings.Bounds.RetryExtra, Nodes: 1}, h.quota, h.loop.Now())
+	h.admission.SetAssigner((*requestSides)(h))
 	k := &gateClock{EventLoop: h.loop}
 	h.gate = gate.New(h.admission, k, maxInFlight, h.counters, gateLog{h})
 	k.timer = h.gate
--- a/internal/gateway/node/orders.go
+++ b/internal/gateway/node/orders.go
@@ -29,7 +29,7 @@
 		e.Room = h.rolloutCapacity(e.Order)
 		e.Room.New, e.Room.Busy = max(told.New, e.Room.New), cmp.Or(told.Busy, e.Room.Busy)
 	}
-	body := e.Word()
+	body := e.Encode()
 	if dry {
 		if v, err := h.machine.Decide(statemachine.KindRollout, body); v != routing.Taken {
 			then(responseOf(v, err))
@@ -47,7 +47,7 @@
 }
 
 // checkKnown tells what an order names that this node does not know. Zones are those of nodes.
-func (h *Node) checkKnown(o *rollout.Rollout) error {
+func (h *Node) checkKnown(o *rollout.Spec) error {
 	service := func(n string) bool { _, ok := h.table.Service(n); return ok }
 	route := func(n string) bool {
 		for _, r := range h.table.Routes() {
@@ -73,7 +73,7 @@
 		}
 		return n == h.settings.Zone
 	}
-	return o.Known(service, route, tenant, zone)
+	return o.CheckReferences(service, route, tenant, zone)
 }
 
 // dryRunAnswer counts the known keys that each step of an order would have on the new version.
@@ -88,7 +88,7 @@
 	}
 	n := h.machine.Rollouts.Last + 1
 	return controlapi.RolloutAnswer{Service: e.Service, Number: uint64(n), Phase: "dry", Rev: e.Rev, Steps: len(e.Order.Steps),
-		Users: ptr(len(users)), Moved: e.Order.Shared(n, users),
+		Users: ptr(len(users)), Moved: e.Order.CountMoved(n, users),
 		Room: &controlapi.RolloutRoom{Old: e.Room.Old, New: e.Room.New, Busy: e.Room.Busy}}
 }
 
@@ -104,7 +104,7 @@
 	if k != statemachine.KindRollout || status != 200 {
 		return answer
 	}
-	e, err := rollout.ReadEntry(body)
+	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return answer
 	}
@@ -172,11 +172,11 @@
 	side := func(s rollout.Side) controlapi.RolloutSide {
 		return controlapi.RolloutSide{Reads: rolloutTally(&c[s][rollout.Read]), Writes: rolloutTally(&c[s][rollout.Write])}
 	}
-	return controlapi.RolloutCounts{Old: side(rollout.Old), New: side(rollout.New)}
+	return controlapi.RolloutCounts{Old: side(rollout.Baseline), New: side(rollout.Canary)}
 }
 
 func rolloutTally(t *rollout.Tally) controlapi.RolloutTally {
-	return controlapi.RolloutTally{Ends: int(t.Ends), Failed: int(t.By[rollout.Failed]), None: int(t.By[rollout.NoAnswer]),
-		Wrong: int(t.By[rollout.Wrong]), Full: int(t.By[rollout.Full]), HalfMs: t.Quantile(0.5).Milliseconds(),
+	return controlapi.RolloutTally{Ends: int(t.Ends), Failed: int(t.By[rollout.ServerError]), None: int(t.By[rollout.NoResponse]),
+		Wrong: int(t.By[rollout.InvalidResponse]), Full: int(t.By[rollout.Rejected]), HalfMs: t.Quantile(0.5).Milliseconds(),
 		TenthMs: t.Quantile(0.9).Milliseconds()}
 }
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -259,8 +259,8 @@
 		h.heartbeatAt = 0 // who follows goes by this node's word of who lives: an owner in its first second by a third of the rate
 	}
 	h.reachable = reach
-	h.quota.Reach(live)
-	h.admission.SetPlace(place, places)
+	h.quota.SetReachable(live)
+	h.admission.SetZoneIndex(place, places)
 	h.registry.Tick(h.loop.Now())
 	h.registry.SetNodes(nodes)
 }
--- a/internal/gateway/node/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -57,7 +57,7 @@
 type admissionState struct {
 	number rollout.Number
 	phase  rollout.Phase
-	open   admission.Open
+	open   admission.CanaryAccess
 	final  bool // finished, and the node knows that there is no later one
 }
 
@@ -73,11 +73,11 @@
 		return
 	}
 	x.appliedRevision = s.Rev
-	x.local.Now(h.loop.Now())
-	x.local.Fold(s)
+	x.local.Tick(h.loop.Now())
+	x.local.ApplyState(s)
 	if x.coordinator != nil {
-		x.coordinator.Now(h.loop.Now())
-		x.coordinator.Fold(s)
+		x.coordinator.Tick(h.loop.Now())
+		x.coordinator.ApplyState(s)
 	}
 	for i := range s.Runs() {
 		r := &s.Runs()[i]
@@ -110,7 +110,7 @@
 // then on all but the old one.
 func (h *Node) poolOf(w registry.Record) control.ServiceID {
 	if r := h.machine.Rollouts.Run(w.Service); r != nil {
-		if pool := h.rollouts.local.Pool(w.Service, w.Generation); (pool == rollout.New) != (r.Phase == rollout.Finished) {
+		if pool := h.rollouts.local.BackendSide(w.Service, w.Generation); (pool == rollout.Canary) != (r.Phase == rollout.Finished) {
 			return h.catalog.serviceID(secondaryService(w.Service))
 		}
 	}
@@ -124,12 +124,12 @@
 		r := &h.machine.Rollouts.Runs()[i]
 		name := r.Order.Service
 		ended := r.Phase == rollout.Finished
-		now := admissionState{r.Number, r.Phase, admission.Shared, ended && x.local.Touched()}
+		now := admissionState{r.Number, r.Phase, admission.CanaryShared, ended && x.local.EverConnected()}
 		switch {
 		case ended:
-			now.open = admission.Spare
-		case x.local.Barred(name):
-			now.open = admission.Shut
+			now.open = admission.CanaryFallback
+		case x.local.CanaryBarred(name):
+			now.open = admission.CanaryClosed
 		}
 		was, had := x.admissionStates[name]
 		if was == now {
@@ -138,7 +138,7 @@
 		x.admissionStates[name] = now
 		main, under := h.catalog.serviceID(name), h.catalog.serviceID(secondaryService(name))
 		if !had || was.number != now.number || was.final != now.final || (was.phase == rollout.Finished) != ended {
-			h.admission.SetRollout(main, under, admission.Shut)
+			h.admission.SetRollout(main, under, admission.CanaryClosed)
 			h.relistBackends(name, main)
 		}
 		h.admission.SetRollout(main, under, now.open)
@@ -170,8 +170,8 @@
 // requestSides answers the office.
 type requestSides Node
 
-// Begin tells where a request begins, by its user.
-func (s *requestSides) Begin(id control.TxnID, kind control.ProductID, service control.ServiceID) admission.Began {
+// Assign tells where a request begins, by its user.
+func (s *requestSides) Assign(id control.TxnID, kind control.ProductID, service control.ServiceID) admission.Assignment {
 	h := (*Node)(s)
 	name := h.catalog.serviceNames[service]
 	user, tenant := h.frontend.User(h.gate.Asker(slots.Ref(id)), slots.Ref(id))
@@ -179,8 +179,8 @@
 	if r := h.catalog.routesByProduct[kind]; r != nil {
 		in.Route = r.Name
 	}
-	b := admission.Began{Number: h.rollouts.local.Number(name)}
-	b.Side, b.Counts = h.rollouts.local.Side(name, user, in)
+	b := admission.Assignment{Number: h.rollouts.local.RunningNumber(name)}
+	b.Side, b.Counts = h.rollouts.local.ChooseSide(name, user, in)
 	if b.Counts {
 		f := fnv.New32a()
 		f.Write([]byte(tenant))
@@ -189,32 +189,32 @@
 	return b
 }
 
-// Ended passes on how a request that counts has ended.
-func (s *requestSides) Ended(e admission.Compared) {
+// SubmissionEnded passes on how a request that counts has ended.
+func (s *requestSides) SubmissionEnded(e admission.Comparison) {
 	x := &(*Node)(s).rollouts
-	end := rollout.End{Side: e.Side, Call: uint32(e.Kind), Tenant: e.Tenant, Backend: uint64(e.At),
-		Cause: causeOf(e.Ending, x.answerStatus), Took: e.Took, Cold: e.Cold}
+	end := rollout.Outcome{Side: e.Side, Route: uint32(e.Kind), Tenant: e.Tenant, Backend: uint64(e.Backend),
+		Cause: causeOf(e.Ending, x.answerStatus), Latency: e.Took, WarmingUp: e.WarmingUp}
 	if e.Effectful {
 		end.Kind = rollout.Write
 	}
-	x.local.Ended(s.catalog.serviceNames[e.Service], e.Number, end)
+	x.local.RecordOutcome(s.catalog.serviceNames[e.Service], e.Number, end)
 }
 
 // causeOf is the table from endings, and the status of the answer where there was one, to causes.
 func causeOf(e control.Ending, status int) rollout.Cause {
 	switch {
-	case e == control.Settled:
-		return rollout.Fine
-	case e == control.Full:
-		return rollout.Full
+	case e == control.Succeeded:
+		return rollout.Success
+	case e == control.Rejected:
+		return rollout.Rejected
 	case e != control.Errored:
-		return rollout.NoAnswer
+		return rollout.NoResponse
 	case status >= 500:
-		return rollout.Failed
+		return rollout.ServerError
 	case status >= 400: // the service's own word
-		return rollout.Fine
+		return rollout.Success
 	}
-	return rollout.Wrong
+	return rollout.InvalidResponse
 }
 
 // outcomeTap notes the status of an answer on its way to the gate, for the time of the call.
@@ -224,7 +224,7 @@
 }
 
 func (u *outcomeTap) Ended(txn slots.Ref, nr int, at control.BackendID, o gate.Outcome) {
-	if x := &u.node.rollouts; x.local.Active() && o.Answer != nil {
+	if x := &u.node.rollouts; x.local.HasRollouts() && o.Answer != nil {
 		x.answerStatus = o.Answer.Status()
 	}
 	u.Gate.Ended(txn, nr, at, o)
@@ -236,7 +236,7 @@
 // tickRollouts is the part of the one timer.
 func (h *Node) tickRollouts() {
 	x := &h.rollouts
-	if !x.local.Active() {
+	if !x.local.HasRollouts() {
 		return
 	}
 	now := h.loop.Now()
@@ -245,14 +245,14 @@
 		x.catchUpRequestedAt = now
 		h.callLeader(ReadRollouts, nil, 0, h.receiveCatchUp)
 	}
-	x.local.Touch(fresh && x.caughtUp)
-	x.local.Now(now)
+	x.local.SetConnected(fresh && x.caughtUp)
+	x.local.Tick(now)
 	for a, ok := x.local.Next(); ok; a, ok = x.local.Next() {
 		switch a := a.(type) {
-		case rollout.Tell:
+		case rollout.SendReport:
 			h.queueReport(a.Report)
-		case rollout.Lowered:
-			h.warn(rolloutPart, "%s %d: this node pulls back for itself: %s", a.Service, a.Number, a.Why)
+		case rollout.LocalRollback:
+			h.warn(rolloutPart, "%s %d: this node pulls back for itself: %s", a.Service, a.Number, a.Reason)
 		}
 	}
 	h.sendReports()
@@ -304,8 +304,8 @@
 func (h *Node) receiveRolloutMessage(from string, w *RolloutMessage) {
 	switch {
 	case w.Lap != nil:
-		h.rollouts.local.Now(h.loop.Now())
-		h.rollouts.local.Lap(*w.Lap)
+		h.rollouts.local.Tick(h.loop.Now())
+		h.rollouts.local.HandleLap(*w.Lap)
 		if h.core != nil {
 			h.sendToFollowers(from, &Frame{Rollout: w})
 		}
@@ -331,8 +331,8 @@
 	if w.Seat == membership.NoSlot {
 		return
 	}
-	h.rollouts.coordinator.Now(h.loop.Now())
-	if err := h.rollouts.coordinator.Heard(rollout.NodeID(w.Seat), *w.Report); err != nil {
+	h.rollouts.coordinator.Tick(h.loop.Now())
+	if err := h.rollouts.coordinator.HandleReport(rollout.NodeID(w.Seat), *w.Report); err != nil {
 		h.say(rolloutPart, "node %d: %v", w.Seat, err)
 	}
 }
@@ -346,28 +346,28 @@
 	}
 	if _, view, _ := h.core.replica.Leader(); x.coordinator == nil || x.coordinatorTerm != view {
 		x.coordinator, x.coordinatorTerm = rollout.NewCoordinator(view, now), view
-		x.coordinator.Fold(h.machine.Rollouts)
+		x.coordinator.ApplyState(h.machine.Rollouts)
 		x.backendsRefreshedAt = now - backendsRefreshInterval
 	}
 	if now-x.backendsRefreshedAt >= backendsRefreshInterval {
 		x.backendsRefreshedAt = now
-		x.coordinator.SetNodes(h.slotCount)
+		x.coordinator.SetNodeCount(h.slotCount)
 		h.updateCoordinatorBackends()
 	}
-	x.coordinator.Now(now)
+	x.coordinator.Tick(now)
 	for a, ok := x.coordinator.Next(); ok; a, ok = x.coordinator.Next() {
 		switch a := a.(type) {
 		case rollout.Propose:
 			e := a.Entry
 			e.At = time.Now().UnixMilli()
-			h.core.propose(statemachine.KindRollout, e.Word(), func(status int, body []byte) {
+			h.core.propose(statemachine.KindRollout, e.Encode(), func(status int, body []byte) {
 				if status != 200 {
 					h.say(rolloutPart, "%s %d: %s not taken: %s", e.Service, e.Number, e.Verb, body)
 				}
 			})
-		case rollout.Laps:
+		case rollout.BroadcastLap:
 			l := a.Lap
-			x.local.Lap(l)
+			x.local.HandleLap(l)
 			f := &Frame{Rollout: &RolloutMessage{Lap: &l}}
 			for _, m := range h.core.replica.Members() {
 				if addr := h.memberAddr(m); addr != "" && addr != h.peerAddr {
@@ -391,13 +391,13 @@
 			old = room.Old
 		}
 		_, known := h.table.Service(r.Order.Service)
-		h.rollouts.coordinator.Backends(r.Order.Service, old, known || h.table.Version() == 0)
+		h.rollouts.coordinator.SetBaselineBackends(r.Order.Service, old, known || h.table.Version() == 0)
 	}
 }
 
 // rolloutCapacity is how many requests the ready backends of each version take at a time, and how many there are at the busiest, as
 // far as this node's own tell.
-func (h *Node) rolloutCapacity(o *rollout.Rollout) (m rollout.Room) {
+func (h *Node) rolloutCapacity(o *rollout.Spec) (m rollout.Capacity) {
 	if h.registry == nil {
 		return m
 	}
@@ -410,7 +410,7 @@
 			m.Old += max(w.Capacity, 1)
 		}
 	}
-	m.Busy = int(math.Ceil(h.admission.Busy(h.catalog.serviceID(o.Service)) * float64(max(h.slotCount, 1))))
+	m.Busy = int(math.Ceil(h.admission.PeakConcurrency(h.catalog.serviceID(o.Service)) * float64(max(h.slotCount, 1))))
 	return m
 }
 
@@ -420,7 +420,7 @@
 	if k != statemachine.KindRollout {
 		return body, nil
 	}
-	e, err := rollout.ReadEntry(body)
+	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return nil, err
 	}
@@ -436,5 +436,5 @@
 	if h.rollouts.coordinator != nil {
 		e.Counts, _ = h.rollouts.coordinator.Counts(e.Service)
 	}
-	return e.Word(), nil
+	return e.Encode(), nil
 }
--- a/internal/gateway/node/rollout_test.go
+++ b/internal/gateway/node/rollout_test.go
@@ -111,7 +111,7 @@
 
 	var dry controlapi.RolloutAnswer
 	must.NoError(t, json.Unmarshal([]byte(d.callUntilClear(3, 200, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true`))), &dry))
-	must.Eq(t, (&rollout.Rollout{Service: "s", Steps: []rollout.Step{{Share: 5000}, {Share: 9000}}}).Shared(1, users), dry.Moved)
+	must.Eq(t, (&rollout.Spec{Service: "s", Steps: []rollout.Step{{Share: 5000}, {Share: 9000}}}).CountMoved(1, users), dry.Moved)
 	must.Eq(t, controlapi.RolloutRoom{Old: 200, New: 200, Busy: 100}, *dry.Room)
 	must.Eq(t, "", d.rolloutStatus(3).Phase) // nothing was changed
 	must.StrContains(t, d.callUntilClear(3, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"shares":1`)), "shares")
@@ -158,7 +158,7 @@
 			n++
 			d.request(n%4, "POST", keys[n%len(keys)], "")
 		}
-		return d.rolloutStatus(3).Phase == string(rollout.Pulled)
+		return d.rolloutStatus(3).Phase == string(rollout.RolledBack)
 	})
 	d.awaitShare(0)
 	must.MapEmpty(t, sides())
@@ -186,12 +186,12 @@
 	now := d.rolloutStatus(0)
 	d.callUntilClear(1, 200, "POST", "/api/Rollout.Step/s", fmt.Sprintf(`{"number":2,"rev":%d,"step":2,"mark":"s"}`, now.Rev))
 	d.callUntilClear(1, 200, "POST", "/api/Rollout.Finish/s", fmt.Sprintf(`{"number":2,"rev":%d,"mark":"f"}`, d.rolloutStatus(0).Rev))
-	d.awaitShare(rollout.Whole)
+	d.awaitShare(rollout.FullShare)
 	must.MapLen(t, len(keys), sides())
 	back := strings.NewReplacer(`"v1"`, `"v2"`, `"v2"`, `"v1"`).Replace(order) // the way back is one the other way round
 	d.callUntilClear(1, 200, "POST", start, fmt.Sprintf(back, d.rolloutStatus(0).Rev, "back", ""))
 	d.awaitShare(5000)
-	third := (&rollout.Rollout{Service: "s", Steps: []rollout.Step{{Share: 5000}}}).Shared(3, users)[0]
+	third := (&rollout.Spec{Service: "s", Steps: []rollout.Step{{Share: 5000}}}).CountMoved(3, users)[0]
 	must.MapLen(t, len(keys)-third, sides())
 
 	d.kill(0) // without a majority each node goes by itself: its share stays, and falls where the version fails
@@ -217,7 +217,7 @@
 	must.Eq(t, string(rollout.Running), d.rolloutStatus(3).Phase) // as far as anybody knows
 	d.start(0)
 	d.start(1)
-	d.eventually("the fleet's word", func() bool { return d.rolloutStatus(0).Phase == string(rollout.Pulled) })
+	d.eventually("the fleet's word", func() bool { return d.rolloutStatus(0).Phase == string(rollout.RolledBack) })
 	d.callUntilClear(1, 200, "POST", start, fmt.Sprintf(back, d.rolloutStatus(0).Rev, "back again", ""))
 	d.awaitShare(5000)
 
@@ -229,7 +229,7 @@
 	}
 	d.kill(lead) // the duty goes to another
 	d.callUntilClear(3, 200, "POST", "/api/Config.Replace", config(2, 1, "t"))
-	d.eventually("the end of it", func() bool { return d.rolloutStatus(3).Phase == string(rollout.Pulled) })
+	d.eventually("the end of it", func() bool { return d.rolloutStatus(3).Phase == string(rollout.RolledBack) })
 	must.StrContains(t, d.callUntilClear(3, 200, "GET", "/api/Rollout.History/s", ""), "not in the configuration")
 }
 
@@ -239,10 +239,10 @@
 		how    control.Ending
 		status int
 		want   rollout.Cause
-	}{{control.Settled, 404, rollout.Fine}, {control.Settled, 0, rollout.Fine}, {control.Errored, 500, rollout.Failed},
-		{control.Errored, 200, rollout.Wrong}, {control.Errored, 429, rollout.Fine}, {control.Full, 503, rollout.Full},
-		{control.TimedOut, 0, rollout.NoAnswer}, {control.Broken, 0, rollout.NoAnswer},
-		{control.Unreachable, 0, rollout.NoAnswer}} {
+	}{{control.Succeeded, 404, rollout.Success}, {control.Succeeded, 0, rollout.Success}, {control.Errored, 500, rollout.ServerError},
+		{control.Errored, 200, rollout.InvalidResponse}, {control.Errored, 429, rollout.Success}, {control.Rejected, 503, rollout.Rejected},
+		{control.TimedOut, 0, rollout.NoResponse}, {control.ConnectionLost, 0, rollout.NoResponse},
+		{control.Unreachable, 0, rollout.NoResponse}} {
 		must.Eq(t, x.want, causeOf(x.how, x.status), must.Sprint(x))
 	}
 }
--- a/internal/gateway/node/versions_test.go
+++ b/internal/gateway/node/versions_test.go
@@ -164,7 +164,7 @@
 	chunk := &replication.Chunk{Index: 7, View: 2, Sum: 11, Size: 12, Offset: 4, Data: []byte("chunk")}
 	members := []replication.Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}}
 	report := &rollout.Report{Service: "s", Number: 3, Step: 1, Lap: 2, Life: 9, Seq: 4, Zone: "z", Alone: true, Backs: 2, Evidence: []byte("e")}
-	report.Counts[1][0] = rollout.Tally{Ends: 5, By: [5]uint32{1, 2, 3, 4, 5}, Times: [rollout.Buckets]uint32{3: 7, 25: 1}}
+	report.Counts[1][0] = rollout.Tally{Ends: 5, By: [5]uint32{1, 2, 3, 4, 5}, Times: [rollout.LatencyBuckets]uint32{3: 7, 25: 1}}
 	return []*Frame{
 		{Hello: &membership.Hello{Door: membership.Node{Name: "door-0", Addr: "10.0.0.1:7110", Control: "10.0.0.1:7000", Zone: "z", Disk: 21,
 			First: true, Life: 31, Founded: true, Leaving: true, House: 41}, Known: []string{"10.0.0.2:7110"}, Begun: true}},
--- a/internal/gateway/node/wire_test.go
+++ b/internal/gateway/node/wire_test.go
@@ -221,7 +221,7 @@
 func wireFrames() []*Frame {
 	report := &rollout.Report{Service: "service", Number: 3, Step: 1, Lap: 2, Life: 9, Seq: 4, Zone: "zone", Alone: true, Backs: 5,
 		Evidence: []byte("evidence")}
-	report.Counts[1][0] = rollout.Tally{Ends: 15, By: [5]uint32{1, 2, 3, 4, 5}, Times: [rollout.Buckets]uint32{3: 7, 25: 1}}
+	report.Counts[1][0] = rollout.Tally{Ends: 15, By: [5]uint32{1, 2, 3, 4, 5}, Times: [rollout.LatencyBuckets]uint32{3: 7, 25: 1}}
 	report.Counts[0][1] = rollout.Tally{Ends: 16, By: [5]uint32{4: 16}}
 	call := &Call{Asker: 31, Nr: 2, Kind: 'r', Body: []byte("call"), Hops: 1}
 	reply := &Reply{Asker: 32, Nr: 3, Status: 412, Body: []byte("reply")}
--- a/internal/gateway/outlier/duty.go
+++ b/internal/gateway/outlier/duty.go
@@ -12,169 +12,169 @@
 )
 
 const (
-	askAgain   = time.Second            // a question, or an entry that did not come back through the log
-	askFor     = 500 * time.Millisecond // after which half of the nodes are enough
-	freshFor   = 2 * time.Second        // a window that was told longer ago is not the present one
-	lossFor    = 4 * time.Second        // after which nobody can tell any more what else was answered then
-	vouchLeast = 2                      // clean answers that tell a lost one from a late one
-	vouchTimes = 6                      // in so small a part of its time
-	restLeast  = 20                     // ends of the rest to compare with
-	restTimes  = 2                      // its failing share, at least
-	strictOver = 0.05                   // beyond strictRest times the rest's
-	strictRest = 4
-	patientAll = 0.5
-	restMost   = 10 * time.Minute
-	probesBack = 3  // clean ones in a row
-	readsBack  = 20 // and clean ends, in the steps back
-	writesBack = 40
-	writesLast = 4  // doublings
-	nodesBack  = 4  // from so many nodes at the least, where there are
-	worthFail  = 10 // clean ends that one failing costs
-	filesMost  = 4096
-	unknownFor = 60 * time.Second // a life that no registry knows
+	retryInterval      = time.Second            // a question, or an entry that did not come back through the log
+	quorumWait         = 500 * time.Millisecond // after which half of the nodes are enough
+	freshWindow        = 2 * time.Second        // a window that was told longer ago is not the present one
+	lossConfirmTimeout = 4 * time.Second        // after which nobody can tell any more what else was answered then
+	minVouchingAnswers = 2                      // clean answers that tell a lost one from a late one
+	vouchingSpeedup    = 6                      // in so small a part of its time
+	minServiceAnswers  = 20                     // ends of the rest to compare with
+	patientRateFactor  = 2                      // its failing share, at least
+	strictRateMargin   = 0.05                   // beyond strictRateFactor times the rest's
+	strictRateFactor   = 4
+	patientMinRate     = 0.5
+	maxEjectionTime    = 10 * time.Minute
+	readmitProbes      = 3  // clean ones in a row
+	readmitReads       = 20 // and clean ends, in the steps back
+	readmitWrites      = 40
+	maxWriteDoublings  = 4  // doublings
+	readmitNodes       = 4  // from so many nodes at the least, where there are
+	failurePenalty     = 10 // clean ends that one failing costs
+	maxObservedKeys    = 4096
+	unknownTTL         = 60 * time.Second // a life that no registry knows
 )
 
-// failLeast are failing ends that make a verdict by their share; failAsk, of those told, that make a question.
-const failAsk = 2
+// minFailures are failing ends that make a verdict by their share; minFailuresToAsk, of those told, that make a question.
+const minFailuresToAsk = 2
 
-var failLeast = [manners]uint32{5, 8}
+var minFailures = [modeCount]uint32{5, 8}
 
 // Coordinator is the one node's part that judges for all. It may be taken over at any time by another with a higher fence:
 // what it needs is told again within two seconds.
 type Coordinator struct {
-	queue
-	now     time.Duration
-	began   time.Duration
-	fence   uint64
-	nodes   int
-	state   *State
-	lives   map[LifeID]Life
-	files   map[Key]*dossier
-	ways    map[Key]*way
-	forgot  time.Duration
-	askKeys []Key
+	actionQueue
+	now          time.Duration
+	startedAt    time.Duration
+	fencingToken uint64
+	nodeCount    int
+	state        *State
+	backends     map[InstanceID]Backend
+	evidence     map[Key]*keyEvidence
+	recoveries   map[Key]*recovery
+	forgotAt     time.Duration
+	requestKeys  []Key
 }
 
-// dossier is what all nodes have of a key.
-type dossier struct {
-	by    map[Slot]*told
-	news  bool
-	asked time.Duration
-	said  time.Duration // last proposal
-	lost  map[Slot]lost // by witnesses
+// keyEvidence is what all nodes have of a key.
+type keyEvidence struct {
+	byWitness   map[Slot]*receivedObservation
+	changed     bool
+	requestedAt time.Duration
+	proposedAt  time.Duration          // last proposal
+	losses      map[Slot]confirmedLoss // by witnesses
 }
 
-// lost is the newest half of a proof of a witness that others bore out.
-type lost struct {
-	rev uint64
-	at  time.Duration
+// confirmedLoss is the newest half of a proof of a witness that others bore out.
+type confirmedLoss struct {
+	revision   uint64
+	observedAt time.Duration
 }
 
-type told struct {
-	File
-	zone  string
-	life  uint64
-	seq   uint64
-	doubt bool
-	at    time.Duration
+type receivedObservation struct {
+	Observation
+	zone        string
+	incarnation uint64
+	seq         uint64
+	selfDoubt   bool
+	receivedAt  time.Duration
 }
 
-// way is that of a case back into service.
-type way struct {
-	rev   uint64
-	since time.Duration
-	said  time.Duration
+// recovery is that of a case back into service.
+type recovery struct {
+	revision   uint64
+	since      time.Duration
+	proposedAt time.Duration
 }
 
 // NewCoordinator makes one. The fence must be above that of whoever had the duty before.
 func NewCoordinator(fence uint64, now time.Duration) *Coordinator {
-	return &Coordinator{now: now, began: now, fence: fence, nodes: 1, state: NewState(), lives: map[LifeID]Life{},
-		files: map[Key]*dossier{}, ways: map[Key]*way{}, forgot: now}
+	return &Coordinator{now: now, startedAt: now, fencingToken: fence, nodeCount: 1, state: NewState(), backends: map[InstanceID]Backend{},
+		evidence: map[Key]*keyEvidence{}, recoveries: map[Key]*recovery{}, forgotAt: now}
 }
 
-// SetNodes says how many live.
-func (d *Coordinator) SetNodes(n int) { d.nodes = max(n, 1) }
+// SetNodeCount says how many live.
+func (d *Coordinator) SetNodeCount(n int) { d.nodeCount = max(n, 1) }
 
-// Fold takes the state after an entry, or after a snapshot without one; the host changes it in the same turn only.
-func (d *Coordinator) Fold(s *State, e *Entry) {
+// ApplyState takes the state after an entry, or after a snapshot without one; the host changes it in the same turn only.
+func (d *Coordinator) ApplyState(s *State, e *Entry) {
 	d.state = s
-	if e != nil && e.Verb != Set && e.Verb != Forget {
-		d.ways[e.Key] = &way{rev: s.rev(e.Key), since: d.now, said: -askAgain}
+	if e != nil && e.Verb != SetSettings && e.Verb != Forget {
+		d.recoveries[e.Key] = &recovery{revision: s.revision(e.Key), since: d.now, proposedAt: -retryInterval}
 		return
 	}
-	for i := range s.Cases() {
-		if c := &s.Cases()[i]; d.ways[c.Key] == nil {
-			d.ways[c.Key] = &way{rev: c.Rev, since: d.now, said: -askAgain}
+	for i := range s.Ejections() {
+		if c := &s.Ejections()[i]; d.recoveries[c.Key] == nil {
+			d.recoveries[c.Key] = &recovery{revision: c.Rev, since: d.now, proposedAt: -retryInterval}
 		}
 	}
-	maps.DeleteFunc(d.ways, func(k Key, _ *way) bool { return s.Case(k) == nil })
+	maps.DeleteFunc(d.recoveries, func(k Key, _ *recovery) bool { return s.Ejection(k) == nil })
 }
 
-// Life takes what the registry tells of a backend.
-func (d *Coordinator) Life(l Life) {
-	if d.lives[l.ID] = l; l.Phase == Gone {
-		for m := range manners {
-			delete(d.files, Key{l.ID, m})
+// SetBackend takes what the registry tells of a backend.
+func (d *Coordinator) SetBackend(l Backend) {
+	if d.backends[l.ID] = l; l.Phase == Gone {
+		for m := range modeCount {
+			delete(d.evidence, Key{l.ID, m})
 		}
-		if !slices.ContainsFunc(d.state.Cases(), func(c Case) bool { return c.ID == l.ID }) {
-			delete(d.lives, l.ID)
+		if !slices.ContainsFunc(d.state.Ejections(), func(c Ejection) bool { return c.ID == l.ID }) {
+			delete(d.backends, l.ID)
 		}
 	}
 }
 
-// Heard takes a report.
-func (d *Coordinator) Heard(from Slot, r Report) {
-	for _, f := range r.Files {
-		l, ok := d.lives[f.ID]
-		if !ok || l.Phase != Ready || !f.sound() || !d.state.On() {
+// HandleReport takes a report.
+func (d *Coordinator) HandleReport(from Slot, r Report) {
+	for _, f := range r.Observations {
+		l, ok := d.backends[f.ID]
+		if !ok || l.Phase != Ready || !f.valid() || !d.state.Enabled() {
 			continue
 		}
-		x := d.files[f.Key]
+		x := d.evidence[f.Key]
 		if x == nil {
-			if len(d.files) >= filesMost {
+			if len(d.evidence) >= maxObservedKeys {
 				continue
 			}
-			x = &dossier{by: map[Slot]*told{}, lost: map[Slot]lost{}, asked: -askAgain, said: -askAgain}
-			d.files[f.Key] = x
+			x = &keyEvidence{byWitness: map[Slot]*receivedObservation{}, losses: map[Slot]confirmedLoss{}, requestedAt: -retryInterval, proposedAt: -retryInterval}
+			d.evidence[f.Key] = x
 		}
-		if t := x.by[from]; t != nil && t.life == r.Life && t.seq >= r.Seq {
+		if t := x.byWitness[from]; t != nil && t.incarnation == r.Incarnation && t.seq >= r.Seq {
 			continue
 		}
-		x.by[from], x.news = &told{f, r.Zone, r.Life, r.Seq, r.Doubt, d.now}, true
+		x.byWitness[from], x.changed = &receivedObservation{f, r.Zone, r.Incarnation, r.Seq, r.SelfDoubt, d.now}, true
 	}
 }
 
-// Now sets the clock and judges what is new.
-func (d *Coordinator) Now(now time.Duration) {
+// Tick sets the clock and judges what is new.
+func (d *Coordinator) Tick(now time.Duration) {
 	d.now = max(d.now, now)
-	if !d.state.On() {
+	if !d.state.Enabled() {
 		return
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(d.files), Key.compare) {
-		x := d.files[k]
-		if x.news {
-			x.news = false
-			d.judge(k, x)
+	for _, k := range slices.SortedFunc(maps.Keys(d.evidence), Key.compare) {
+		x := d.evidence[k]
+		if x.changed {
+			x.changed = false
+			d.evaluate(k, x)
 		}
-		if !d.lively(x) {
-			delete(d.files, k)
+		if !d.hasFreshEvidence(x) {
+			delete(d.evidence, k)
 		}
 	}
-	for len(d.askKeys) > 0 {
-		n := min(len(d.askKeys), tellMost)
-		d.do(AskAll{Ask{d.askKeys[:n:n]}})
-		d.askKeys = d.askKeys[n:]
+	for len(d.requestKeys) > 0 {
+		n := min(len(d.requestKeys), maxObservations)
+		d.push(BroadcastRequest{ReportRequest{d.requestKeys[:n:n]}})
+		d.requestKeys = d.requestKeys[n:]
 	}
-	for i := range d.state.Cases() {
-		d.back(&d.state.Cases()[i])
+	for i := range d.state.Ejections() {
+		d.advanceRecovery(&d.state.Ejections()[i])
 	}
-	d.forget()
+	d.forgetGone()
 }
 
-// lively tells whether anything of a dossier may still count.
-func (d *Coordinator) lively(x *dossier) bool {
-	for _, t := range x.by {
-		if d.now-t.at <= pieceFor {
+// hasFreshEvidence tells whether anything of a dossier may still count.
+func (d *Coordinator) hasFreshEvidence(x *keyEvidence) bool {
+	for _, t := range x.byWitness {
+		if d.now-t.receivedAt <= evidenceTTL {
 			return true
 		}
 	}
@@ -183,50 +183,50 @@
 
 // Rules of a verdict.
 const (
-	byProof = "proof"
-	byLinks = "lost"
-	byShare = "failing"
+	ruleConclusive = "proof"
+	ruleLost       = "lost"
+	ruleRate       = "failing"
 )
 
-// judge holds what all nodes have of a key against the three rules.
-func (d *Coordinator) judge(k Key, x *dossier) {
-	l, c := d.lives[k.ID], d.state.Case(k)
-	if l.Phase != Ready || c != nil && c.Step == Out {
+// evaluate holds what all nodes have of a key against the three rules.
+func (d *Coordinator) evaluate(k Key, x *keyEvidence) {
+	l, c := d.backends[k.ID], d.state.Ejection(k)
+	if l.Phase != Ready || c != nil && c.Step == Ejected {
 		return
 	}
-	rev, back, mute := d.state.rev(k), c != nil && c.Step != Free, membership.NoSlot
+	rev, back, mute := d.state.revision(k), c != nil && c.Step != InService, membership.NoSlot
 	if back {
-		mute = c.Alone // whoever alone had it out has no say on its way back
+		mute = c.SoleWitness // whoever alone had it out has no say on its way back
 	}
 	var proofs []Slot
 	doubt := false
-	var pieces []Piece
+	var pieces []Evidence
 	var all, most Window // most: what one node has that has most failing
-	for _, s := range slices.Sorted(maps.Keys(x.by)) {
-		t := x.by[s]
+	for _, s := range slices.Sorted(maps.Keys(x.byWitness)) {
+		t := x.byWitness[s]
 		if t.Rev != rev || s == mute {
 			continue
 		}
 		proof := false
-		for _, p := range t.Pieces {
-			if p.Age+d.now-t.at <= pieceFor {
-				proof, pieces = proof || weights[p.Kind][k.Manner] == Proof, append(pieces, p)
+		for _, p := range t.Evidence {
+			if p.Age+d.now-t.receivedAt <= evidenceTTL {
+				proof, pieces = proof || weights[p.Kind][k.Mode] == Conclusive, append(pieces, p)
 			}
 		}
 		if proof {
-			proofs, doubt = append(proofs, s), doubt || t.doubt
+			proofs, doubt = append(proofs, s), doubt || t.selfDoubt
 		}
-		if d.now-t.at <= freshFor {
+		if d.now-t.receivedAt <= freshWindow {
 			if all.add(t.Window); t.Window.Failing > most.Failing {
 				most = t.Window
 			}
 		}
 	}
-	if d.nodes == 1 {
+	if d.nodeCount == 1 {
 		most = Window{}
 	}
-	halves, sure := d.losses(k, x, rev, mute)
-	links := len(halves) > 0 && (len(halves)+len(proofs) > 1 || back) && sure && d.answered(k, x) && d.near(x, l, rev, halves)
+	halves, sure := d.confirmedLosses(k, x, rev, mute)
+	links := len(halves) > 0 && (len(halves)+len(proofs) > 1 || back) && sure && d.requestAnswered(k, x) && d.seenInZone(x, l, rev, halves)
 	both, suffice := slices.Clone(proofs), len(proofs)
 	for _, s := range halves {
 		if links && !slices.Contains(proofs, s) {
@@ -236,69 +236,69 @@
 	if doubt {
 		suffice = 0
 	}
-	if len(proofs) > 0 && d.convict(k, x, byProof, both, suffice, pieces, all) {
+	if len(proofs) > 0 && d.proposeEjection(k, x, ruleConclusive, both, suffice, pieces, all) {
 		return
 	}
 	suffice = 0
 	if back { // in a trickle one that is lost is enough
 		suffice = len(halves)
 	}
-	if links && d.convict(k, x, byLinks, halves, suffice, pieces, all) {
+	if links && d.proposeEjection(k, x, ruleLost, halves, suffice, pieces, all) {
 		return
 	}
-	if w := all.minus(most); w.Failing >= failAsk && w.share() >= low[k.Manner] && d.answered(k, x) {
-		if slots, ok := d.fails(k, x, rev, mute, all); ok {
+	if w := all.sub(most); w.Failing >= minFailuresToAsk && w.failureRate() >= doubtRate[k.Mode] && d.requestAnswered(k, x) {
+		if slots, ok := d.exceedsRate(k, x, rev, mute, all); ok {
 			suffice = 0
-			if d.nodes == 1 {
+			if d.nodeCount == 1 {
 				suffice = 1
 			}
-			d.convict(k, x, byShare, slots, suffice, pieces, all)
+			d.proposeEjection(k, x, ruleRate, slots, suffice, pieces, all)
 		}
 	}
 }
 
-// answered asks all nodes about a key, and tells whether enough have answered.
-func (d *Coordinator) answered(k Key, x *dossier) bool {
+// requestAnswered asks all nodes about a key, and tells whether enough have answered.
+func (d *Coordinator) requestAnswered(k Key, x *keyEvidence) bool {
 	n := 0
-	for _, t := range x.by {
-		if t.at >= x.asked {
+	for _, t := range x.byWitness {
+		if t.receivedAt >= x.requestedAt {
 			n++
 		}
 	}
-	since := d.now - x.asked
-	if since < askAgain && (4*n >= 3*d.nodes || 2*n >= d.nodes && since >= askFor) {
+	since := d.now - x.requestedAt
+	if since < retryInterval && (4*n >= 3*d.nodeCount || 2*n >= d.nodeCount && since >= quorumWait) {
 		return true
 	}
-	x.news = true
-	if since >= askAgain {
-		x.asked = d.now
-		d.askKeys = append(d.askKeys, k)
+	x.changed = true
+	if since >= retryInterval {
+		x.requestedAt = d.now
+		d.requestKeys = append(d.requestKeys, k)
 	}
 	return false
 }
 
-// near tells whether one of the witnesses is in the backend's zone, or nobody there has had an end of it: links from
+// seenInZone tells whether one of the witnesses is in the backend's zone, or nobody there has had an end of it: links from
 // elsewhere may be bad.
-func (d *Coordinator) near(x *dossier, l Life, rev uint64, slots []Slot) bool {
+func (d *Coordinator) seenInZone(x *keyEvidence, l Backend, rev uint64, slots []Slot) bool {
 	local := false
-	for s, t := range x.by {
+	for s, t := range x.byWitness {
 		if t.zone == l.Zone && slices.Contains(slots, s) {
 			return true
 		}
-		local = local || t.zone == l.Zone && t.Rev == rev && d.now-t.at <= freshFor && t.Window.ends() > 0
+		local = local || t.zone == l.Zone && t.Rev == rev && d.now-t.receivedAt <= freshWindow && t.Window.total() > 0
 	}
 	return !local
 }
 
-// vouched tells a lost answer from a late one: in the second half of its time others came, in a small part of it, and not
+// confirmsLoss tells a lost answer from a late one: in the second half of its time others came, in a small part of it, and not
 // by one node's word.
-func (x *dossier) vouched(rev uint64, p Piece, at time.Duration, nodes int) bool {
+func (x *keyEvidence) confirmsLoss(rev uint64, p Evidence, at time.Duration, nodes int) bool {
 	var all, most Window
-	for _, t := range x.by {
+	for _, t := range x.byWitness {
 		var sum Window
-		for i, w := range t.Late {
-			to := t.at - t.Into - time.Duration(i)*slotLong
-			if t.Rev == rev && to <= at && to-slotLong >= at-p.Wait/2 {
+		for i, w := range t.Slots {
+			to := t.receivedAt - t.SlotAge - time.Duration(i)*slotDuration
+			if t.Rev == rev && to <= at && to-slotDuration >= at-p.Timeout/2 {
 				sum.add(w)
 			}
 		}
@@ -307,62 +307,62 @@
 		}
 	}
 	quick := func(w Window) bool {
-		return w.Clean > 0 && time.Duration(w.Took/w.Clean)*time.Millisecond <= p.Wait/vouchTimes
+		return w.Clean > 0 && time.Duration(w.LatencyMillis/w.Clean)*time.Millisecond <= p.Timeout/vouchingSpeedup
 	}
-	return all.Clean >= vouchLeast && quick(all) && (nodes == 1 || quick(all.minus(most)))
+	return all.Clean >= minVouchingAnswers && quick(all) && (nodes == 1 || quick(all.sub(most)))
 }
 
-// losses are the witnesses of halves that others bear out; false where that is still asked.
-func (d *Coordinator) losses(k Key, x *dossier, rev uint64, mute Slot) (slots []Slot, sure bool) {
+// confirmedLosses are the witnesses of halves that others bear out; false where that is still asked.
+func (d *Coordinator) confirmedLosses(k Key, x *keyEvidence, rev uint64, mute Slot) (slots []Slot, sure bool) {
 	sure = true
-	for _, s := range slices.Sorted(maps.Keys(x.by)) {
-		t := x.by[s]
+	for _, s := range slices.Sorted(maps.Keys(x.byWitness)) {
+		t := x.byWitness[s]
 		if t.Rev != rev || s == mute {
 			continue
 		}
-		for _, p := range t.Pieces {
-			at := t.at - p.Age
-			if weights[p.Kind][k.Manner] != Half || x.lost[s].rev == rev && x.lost[s].at >= at-slotLong || d.now-at > lossFor {
+		for _, p := range t.Evidence {
+			at := t.receivedAt - p.Age
+			if weights[p.Kind][k.Mode] != Partial || x.losses[s].revision == rev && x.losses[s].observedAt >= at-slotDuration || d.now-at > lossConfirmTimeout {
 				continue
 			}
-			if p.Kind == Lost && !d.answered(k, x) {
+			if p.Kind == LostAnswer && !d.requestAnswered(k, x) {
 				sure = false
-			} else if p.Kind == Reset || x.vouched(rev, p, at, d.nodes) {
-				x.lost[s] = lost{rev, at}
+			} else if p.Kind == ConnectionReset || x.confirmsLoss(rev, p, at, d.nodeCount) {
+				x.losses[s] = confirmedLoss{rev, at}
 			}
 		}
-		if o, ok := x.lost[s]; ok && o.rev == rev && d.now-o.at <= pieceFor {
+		if o, ok := x.losses[s]; ok && o.revision == rev && d.now-o.observedAt <= evidenceTTL {
 			slots = append(slots, s)
 		}
 	}
 	return slots, sure
 }
 
-// fails holds the failing share against the rest's, without any one node.
-func (d *Coordinator) fails(k Key, x *dossier, rev uint64, mute Slot, all Window) (slots []Slot, is bool) {
+// exceedsRate holds the failing share against the rest's, without any one node.
+func (d *Coordinator) exceedsRate(k Key, x *keyEvidence, rev uint64, mute Slot, all Window) (slots []Slot, is bool) {
 	var rest Window
 	by := map[Slot]Window{} // what each node has of the rest
-	for s, t := range x.by {
-		if d.now-t.at <= freshFor {
-			by[s] = t.Rest
+	for s, t := range x.byWitness {
+		if d.now-t.receivedAt <= freshWindow {
+			by[s] = t.ServiceWindow
 		}
 	}
-	for o, y := range d.files { // those that are in doubt themselves are no rest
-		if o.Manner != k.Manner || d.lives[o.ID].Service != d.lives[k.ID].Service {
+	for o, y := range d.evidence { // those that are in doubt themselves are no rest
+		if o.Mode != k.Mode || d.backends[o.ID].Service != d.backends[k.ID].Service {
 			continue
 		}
 		var w Window
-		for _, t := range y.by {
-			if d.now-t.at <= freshFor {
+		for _, t := range y.byWitness {
+			if d.now-t.receivedAt <= freshWindow {
 				w.add(t.Window)
 			}
 		}
-		if o != k && (w.Failing < 2 || w.share() < low[k.Manner]) {
+		if o != k && (w.Failing < 2 || w.failureRate() < doubtRate[k.Mode]) {
 			continue
 		}
-		for s, t := range y.by {
-			if d.now-t.at <= freshFor {
-				by[s] = by[s].minus(t.Window)
+		for s, t := range y.byWitness {
+			if d.now-t.receivedAt <= freshWindow {
+				by[s] = by[s].sub(t.Window)
 			}
 		}
 	}
@@ -370,132 +370,132 @@
 		rest.add(w)
 	}
 	sick := func(w, rest Window) bool {
-		asked := max(patientAll, restTimes*rest.share())
-		if k.Manner == Strict {
-			asked = strictOver + strictRest*rest.share()
+		asked := max(patientMinRate, patientRateFactor*rest.failureRate())
+		if k.Mode == Strict {
+			asked = strictRateMargin + strictRateFactor*rest.failureRate()
 		}
-		return rest.ends() >= restLeast && w.Failing >= failLeast[k.Manner] && w.share() >= asked
+		return rest.total() >= minServiceAnswers && w.Failing >= minFailures[k.Mode] && w.failureRate() >= asked
 	}
 	if !sick(all, rest) {
 		return nil, false
 	}
-	for s, t := range x.by {
-		if d.now-t.at > freshFor {
+	for s, t := range x.byWitness {
+		if d.now-t.receivedAt > freshWindow {
 			continue
 		}
 		w := all
 		if t.Rev == rev && s != mute {
-			w = all.minus(t.Window)
+			w = all.sub(t.Window)
 			if t.Window.Failing > 0 {
 				slots = append(slots, s)
 			}
 		}
-		if d.nodes > 1 && !sick(w, rest.minus(by[s])) {
+		if d.nodeCount > 1 && !sick(w, rest.sub(by[s])) {
 			return nil, false
 		}
 	}
 	slices.SortFunc(slots, func(a, b Slot) int {
-		return cmp.Or(cmp.Compare(x.by[b].Window.Failing, x.by[a].Window.Failing), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(x.byWitness[b].Window.Failing, x.byWitness[a].Window.Failing), cmp.Compare(a, b))
 	})
 	return slots, len(slots) > 0
 }
 
-// convict proposes a verdict; false where the state would not take it.
-func (d *Coordinator) convict(k Key, x *dossier, rule string, slots []Slot, suffice int, pieces []Piece, all Window) bool {
-	l := d.lives[k.ID]
+// proposeEjection proposes a verdict; false where the state would not take it.
+func (d *Coordinator) proposeEjection(k Key, x *keyEvidence, rule string, slots []Slot, suffice int, pieces []Evidence, all Window) bool {
+	l := d.backends[k.ID]
 	backs := 0
-	for _, o := range d.lives {
+	for _, o := range d.backends {
 		if o.Service == l.Service && o.Phase == Ready {
 			backs++
 		}
 	}
-	e := Entry{Verb: Convict, Rev: d.state.rev(k), Key: k, Service: l.Service, Witnesses: slots[:min(len(slots), witnesses)],
-		Suffice: suffice, Backs: backs, Score: int(1000 * all.share()), Why: rule + ": " + words(pieces, all)}
-	return d.propose(e, &x.said)
+	e := Entry{Verb: Eject, Revision: d.state.revision(k), Key: k, Service: l.Service, Witnesses: slots[:min(len(slots), maxNamedWitnesses)],
+		SufficientAlone: suffice, ReadyBackends: backs, Score: int(1000 * all.failureRate()), Reason: rule + ": " + describeEvidence(pieces, all)}
+	return d.propose(e, &x.proposedAt)
 }
 
 // propose puts an entry forward if the state would take it now, and again where it does not come back.
 func (d *Coordinator) propose(e Entry, said *time.Duration) bool {
-	e.By, e.Fence = "duty", d.fence
+	e.Author, e.FencingToken = "duty", d.fencingToken
 	if v, _ := d.state.Decide(&e); v != routing.Taken {
 		return false
 	}
-	if d.now-*said >= askAgain {
+	if d.now-*said >= retryInterval {
 		*said = d.now
-		d.do(Propose{e})
+		d.push(Propose{e})
 	}
 	return true
 }
 
-// rest is how long a case stays out at the least.
-func rest(s *State, c *Case) time.Duration {
-	return min(time.Duration(s.Settings().Rest)<<c.Falls, restMost)
+// ejectionTime is how long a case stays out at the least.
+func ejectionTime(s *State, c *Ejection) time.Duration {
+	return min(time.Duration(s.Settings().BaseEjectionTime)<<c.Repeats, maxEjectionTime)
 }
 
-// need is what a step asks for, in clean ends; a probe counts for two reads where a service has none.
-func (c *Case) need() uint32 {
-	if c.Step == Writes {
-		return writesBack << min(c.Falls, writesLast)
+// requiredAnswers is what a step asks for, in clean ends; a probe counts for two reads where a service has none.
+func (c *Ejection) requiredAnswers() uint32 {
+	if c.Step == LimitedWrites {
+		return readmitWrites << min(c.Repeats, maxWriteDoublings)
 	}
-	return readsBack
+	return readmitReads
 }
 
-// back takes a case one step on where what is asked for has come, from several nodes: one alone may lie.
-func (d *Coordinator) back(c *Case) {
-	w, l := d.ways[c.Key], d.lives[c.ID]
-	if c.Step == Free || w == nil || l.ID == "" || l.Phase != Ready {
+// advanceRecovery takes a case one step on where what is asked for has come, from several nodes: one alone may lie.
+func (d *Coordinator) advanceRecovery(c *Ejection) {
+	w, l := d.recoveries[c.Key], d.backends[c.ID]
+	if c.Step == InService || w == nil || l.ID == "" || l.Phase != Ready {
 		return
 	}
-	var sum Sums
+	var sum Totals
 	worst := uint32(0) // what the one node says that says most: one alone may lie
-	if x := d.files[c.Key]; x != nil {
-		most := c.need()/min(uint32(d.nodes), nodesBack) + 1
-		for _, t := range x.by {
+	if x := d.evidence[c.Key]; x != nil {
+		most := c.requiredAnswers()/min(uint32(d.nodeCount), readmitNodes) + 1
+		for _, t := range x.byWitness {
 			if t.Rev == c.Rev {
-				sum.add(Sums{Clean: min(t.Clean, most), Failing: t.Failing, Reads: min(t.Reads, most), Probes: t.Probes})
+				sum.add(Totals{Clean: min(t.Clean, most), Failing: t.Failing, Reads: min(t.Reads, most), Probes: t.Probes})
 				worst = max(worst, t.Failing)
 			}
 		}
 	}
-	if d.nodes > 1 {
+	if d.nodeCount > 1 {
 		sum.Failing -= worst
 	}
-	e := Entry{Verb: Parole, Rev: c.Rev, Key: c.Key, Service: c.Service,
-		Why: fmt.Sprintf("%d clean ends, %d failing, %d clean reads, %d probes", sum.Clean, sum.Failing, sum.Reads, sum.Probes)}
-	if c.Step.next(c.Manner) == Free {
-		e.Verb = Acquit
+	e := Entry{Verb: StepUp, Revision: c.Rev, Key: c.Key, Service: c.Service,
+		Reason: fmt.Sprintf("%d clean ends, %d failing, %d clean reads, %d probes", sum.Clean, sum.Failing, sum.Reads, sum.Probes)}
+	if c.Step.next(c.Mode) == InService {
+		e.Verb = Readmit
 	}
 	ready := false
 	switch {
-	case c.Step == Out:
-		ready = d.now-w.since >= rest(d.state, c) && sum.Probes >= probesBack
-	case c.Step == Reads && c.Manner == Strict:
-		ready = sum.Reads+2*sum.Probes >= c.need()
+	case c.Step == Ejected:
+		ready = d.now-w.since >= ejectionTime(d.state, c) && sum.Probes >= readmitProbes
+	case c.Step == ReadsOnly && c.Mode == Strict:
+		ready = sum.Reads+2*sum.Probes >= c.requiredAnswers()
 	default:
-		ready = sum.Clean >= c.need()+worthFail*sum.Failing
+		ready = sum.Clean >= c.requiredAnswers()+failurePenalty*sum.Failing
 	}
 	if ready {
-		d.propose(e, &w.said)
+		d.propose(e, &w.proposedAt)
 	}
 }
 
-// forget drops the cases of lives that are gone, or that no registry has known for long.
-func (d *Coordinator) forget() {
-	if d.now-d.forgot < askAgain {
+// forgetGone drops the cases of lives that are gone, or that no registry has known for long.
+func (d *Coordinator) forgetGone() {
+	if d.now-d.forgotAt < retryInterval {
 		return
 	}
-	var gone []LifeID
-	for i := range d.state.Cases() {
-		id := d.state.Cases()[i].ID
-		l, known := d.lives[id]
-		if (known && l.Phase == Gone || !known && d.now-d.began > unknownFor) && !slices.Contains(gone, id) {
+	var gone []InstanceID
+	for i := range d.state.Ejections() {
+		id := d.state.Ejections()[i].ID
+		l, known := d.backends[id]
+		if (known && l.Phase == Gone || !known && d.now-d.startedAt > unknownTTL) && !slices.Contains(gone, id) {
 			gone = append(gone, id)
 		}
 	}
 	if len(gone) > 0 {
-		d.propose(Entry{Verb: Forget, Gone: gone}, &d.forgot)
+		d.propose(Entry{Verb: Forget, GoneInstances: gone}, &d.forgotAt)
 	}
-	maps.DeleteFunc(d.lives, func(id LifeID, l Life) bool {
-		return l.Phase == Gone && d.state.Case(Key{id, Strict}) == nil && d.state.Case(Key{id, Patient}) == nil
+	maps.DeleteFunc(d.backends, func(id InstanceID, l Backend) bool {
+		return l.Phase == Gone && d.state.Ejection(Key{id, Strict}) == nil && d.state.Ejection(Key{id, Patient}) == nil
 	})
 }
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -9,193 +9,193 @@
 )
 
 const (
-	heldBack   = 500 * time.Millisecond // what a link may have done, until it is told
-	holdFor    = 10 * time.Second       // a node's own hold, doubled each time
-	holdTimes  = 3                      // so often
-	atOnce     = 1
-	tellPace   = 200 * time.Millisecond // of news of a key
-	tellSlow   = time.Second            // of what is no news yet
-	tellAgain  = 2 * time.Second        // while pieces count
-	tellMost   = 32                     // files of one report
-	probePace  = time.Second
-	emptyEvery = 5 * time.Second
-	trickleAll = 10 // a second, of all nodes
-	gapTimes   = 8  // the usual gap between answers of a zone
-	gapLeast   = 300 * time.Millisecond
-	gapMost    = 3 * time.Second
-	gapStep    = 0.05
-	resetsMost = 2 // other backends that reset at once: it was not theirs
+	linkEvidenceDelay   = 500 * time.Millisecond // what a link may have done, until it is told
+	localEjectionTime   = 10 * time.Second       // a node's own hold, doubled each time
+	maxLocalDoublings   = 3                      // so often
+	reportNow           = 1
+	reportDelay         = 200 * time.Millisecond // of news of a key
+	slowReportDelay     = time.Second            // of what is no news yet
+	reportRepeat        = 2 * time.Second        // while pieces count
+	maxObservations     = 32                     // files of one report
+	probeInterval       = time.Second
+	noneAvailableRepeat = 5 * time.Second
+	limitedPerSecond    = 10 // a second, of all nodes
+	gapFactor           = 8  // the usual gap between answers of a zone
+	minGap              = 300 * time.Millisecond
+	maxGap              = 3 * time.Second
+	gapSmoothing        = 0.05
+	maxOtherResets      = 2 // other backends that reset at once: it was not theirs
 )
 
-// low is the share from which a backend is in doubt, and a node tells of it.
-var low = [manners]float64{0.05, 0.3}
+// doubtRate is the share from which a backend is in doubt, and a node tells of it.
+var doubtRate = [modeCount]float64{0.05, 0.3}
 
 // Node is one node's part: a witness, and bound by verdicts.
 type Node struct {
-	queue
-	now      time.Duration
-	zone     string
-	life     uint64
-	seq      uint64
-	nodes    int
-	cut      bool
-	state    *State
-	lives    map[LifeID]*life
-	services map[string]*service // by service
-	paths    map[string]*path    // by zone
-	busy     map[Key]*file       // all with anything to look at
-	held     []held              // not told yet
-	resets   []reset             // of the last moment
-	dirty    []*service          // whose binds may have changed
-}
-
-type life struct {
-	Life
-	service *service
-	files   [manners]file
-	endAt   time.Duration // last answer that came here
-	probed  time.Duration
+	actionQueue
+	now          time.Duration
+	zone         string
+	incarnation  uint64
+	seq          uint64
+	nodeCount    int
+	disconnected bool
+	state        *State
+	backends     map[InstanceID]*backend
+	services     map[string]*service  // by service
+	zonePaths    map[string]*zonePath // by zone
+	active       map[Key]*keyState    // all with anything to look at
+	delayed      []delayedEvidence    // not told yet
+	resets       []observedReset      // of the last moment
+	dirty        []*service           // whose binds may have changed
+}
+
+type backend struct {
+	Backend
+	service      *service
+	keys         [modeCount]keyState
+	lastAnswerAt time.Duration // last answer that came here
+	probedAt     time.Duration
 }
 
 type service struct {
-	name  string
-	lives []*life // ready ones, by id
-	rings [manners]ring
-	doubt time.Duration // until when this node doubts itself
-	dirty bool
-	empty time.Duration // last line on that; 0: somebody is in service
+	name            string
+	backends        []*backend // ready ones, by id
+	windows         [modeCount]slidingWindow
+	doubtUntil      time.Duration // until when this node doubts itself
+	dirty           bool
+	noneAvailableAt time.Duration // last line on that; 0: somebody is in service
 }
 
-// file is what this node has of a key.
-type file struct {
-	key    Key
-	at     *life
-	rev    uint64
-	since  time.Duration // when the rev came here
-	ring   ring
-	pieces []piece
-	Sums
-	said  Sums          // as last told
-	waits int           // pieces that are held back
-	until time.Duration // of this node's own hold
-	holds int
-	bound Bind
-	own   bool
-	news  time.Duration // longest it may wait to be told; 0: nothing to tell
-	told  time.Duration
+// keyState is what this node has of a key.
+type keyState struct {
+	key           Key
+	backend       *backend
+	revision      uint64
+	revisionSince time.Duration // when the rev came here
+	window        slidingWindow
+	evidence      []evidenceItem
+	Totals
+	reportedTotals Totals        // as last told
+	delayedCount   int           // pieces that are held back
+	ejectedUntil   time.Duration // of this node's own hold
+	localEjections int
+	access         Access
+	local          bool
+	reportWithin   time.Duration // longest it may wait to be told; 0: nothing to tell
+	reportedAt     time.Duration
 }
 
-type piece struct {
-	kind Kind
-	at   time.Duration
-	wait time.Duration
+type evidenceItem struct {
+	kind       EvidenceKind
+	observedAt time.Duration
+	timeout    time.Duration
 }
 
-// held is a piece that a link may have made.
-type held struct {
-	piece
-	file *file
-	rev  uint64
-	sent time.Duration
+// delayedEvidence is a piece that a link may have made.
+type delayedEvidence struct {
+	evidenceItem
+	state    *keyState
+	revision uint64
+	sentAt   time.Duration
 }
 
-type reset struct {
-	id LifeID
-	at time.Duration
+type observedReset struct {
+	id         InstanceID
+	observedAt time.Duration
 }
 
-// path is whether the backends of a zone are heard.
-type path struct {
-	last  time.Duration // answer
-	usual float64       // gap between two, in seconds
-	calm  time.Duration // since when no gap was long
+// zonePath is whether the backends of a zone are heard.
+type zonePath struct {
+	lastAnswerAt time.Duration // answer
+	usualGap     float64       // gap between two, in seconds
+	steadySince  time.Duration // since when no gap was long
 }
 
-func (p *path) gap() time.Duration {
-	return min(max(time.Duration(gapTimes*p.usual*float64(time.Second)), gapLeast), gapMost)
+func (p *zonePath) tolerance() time.Duration {
+	return min(max(time.Duration(gapFactor*p.usualGap*float64(time.Second)), minGap), maxGap)
 }
 
-func (p *path) heard(now time.Duration) {
-	if now-p.last > p.gap() {
-		p.calm = now
+func (p *zonePath) observeAnswer(now time.Duration) {
+	if now-p.lastAnswerAt > p.tolerance() {
+		p.steadySince = now
 	}
-	p.usual += gapStep * (min(now-p.last, gapMost).Seconds() - p.usual)
-	p.last = now
+	p.usualGap += gapSmoothing * (min(now-p.lastAnswerAt, maxGap).Seconds() - p.usualGap)
+	p.lastAnswerAt = now
 }
 
-// whole tells that answers kept coming from a time on, so often that a cut as long as half of it would show.
-func (p *path) whole(from, now time.Duration) bool {
-	return p != nil && p.calm <= from && p.last > from && now-p.last <= p.gap() && p.gap() <= max((now-from)/2, gapLeast)
+// intact tells that answers kept coming from a time on, so often that a cut as long as half of it would show.
+func (p *zonePath) intact(from, now time.Duration) bool {
+	return p != nil && p.steadySince <= from && p.lastAnswerAt > from && now-p.lastAnswerAt <= p.tolerance() && p.tolerance() <= max((now-from)/2, minGap)
 }
 
 // NewNode makes one. Life differs between lives of a node.
 func NewNode(zone string, lifeNr uint64, now time.Duration) *Node {
-	return &Node{now: now, zone: zone, life: lifeNr, nodes: 1, cut: true, state: NewState(), lives: map[LifeID]*life{},
-		services: map[string]*service{}, paths: map[string]*path{}, busy: map[Key]*file{}}
+	return &Node{now: now, zone: zone, incarnation: lifeNr, nodeCount: 1, disconnected: true, state: NewState(), backends: map[InstanceID]*backend{},
+		services: map[string]*service{}, zonePaths: map[string]*zonePath{}, active: map[Key]*keyState{}}
 }
 
-// SetNodes says how many share the backends.
-func (d *Node) SetNodes(n int) { d.nodes = max(n, 1) }
+// SetNodeCount says how many share the backends.
+func (d *Node) SetNodeCount(n int) { d.nodeCount = max(n, 1) }
 
-// Fold takes the state after an entry, or after a snapshot without one; the host changes it in the same turn only.
-func (d *Node) Fold(s *State, e *Entry) {
+// ApplyState takes the state after an entry, or after a snapshot without one; the host changes it in the same turn only.
+func (d *Node) ApplyState(s *State, e *Entry) {
 	d.state = s
-	if e != nil && e.Verb != Set && e.Verb != Forget {
-		if l := d.lives[e.Key.ID]; l != nil {
-			d.fold(l, e.Key.Manner)
+	if e != nil && e.Verb != SetSettings && e.Verb != Forget {
+		if l := d.backends[e.Key.ID]; l != nil {
+			d.applyKey(l, e.Key.Mode)
 		}
 	} else {
-		for _, l := range d.lives {
-			d.fold(l, Strict)
-			d.fold(l, Patient)
+		for _, l := range d.backends {
+			d.applyKey(l, Strict)
+			d.applyKey(l, Patient)
 		}
 	}
-	if !s.On() {
-		d.held, d.resets = nil, nil
-		for _, f := range d.busy {
-			d.anew(f, f.rev)
+	if !s.Enabled() {
+		d.delayed, d.resets = nil, nil
+		for _, f := range d.active {
+			d.resetKey(f, f.revision)
 		}
 	}
-	d.bind()
+	d.updateAccess()
 }
 
-func (d *Node) fold(l *life, m Manner) {
-	f := &l.files[m]
-	if rev := d.state.rev(f.key); rev != f.rev {
-		d.anew(f, rev)
+func (d *Node) applyKey(l *backend, m Mode) {
+	f := &l.keys[m]
+	if rev := d.state.revision(f.key); rev != f.revision {
+		d.resetKey(f, rev)
 	}
-	d.stir(l.service)
+	d.markDirty(l.service)
 }
 
-// stir has a service's binds looked at.
-func (d *Node) stir(h *service) {
+// markDirty has a service's binds looked at.
+func (d *Node) markDirty(h *service) {
 	if !h.dirty {
 		h.dirty = true
 		d.dirty = append(d.dirty, h)
 	}
 }
 
-// anew: what was seen under another rev says nothing any more.
-func (d *Node) anew(f *file, rev uint64) {
-	*f = file{key: f.key, at: f.at, rev: rev, since: d.now, holds: f.holds, bound: f.bound, own: f.own}
-	d.busy[f.key] = f
+// resetKey: what was seen under another rev says nothing any more.
+func (d *Node) resetKey(f *keyState, rev uint64) {
+	*f = keyState{key: f.key, backend: f.backend, revision: rev, revisionSince: d.now, localEjections: f.localEjections, access: f.access, local: f.local}
+	d.active[f.key] = f
 }
 
-// Touch says whether this node hears the core. What it found of links while it did not is dropped at its return.
-func (d *Node) Touch(fresh bool) {
-	if fresh && d.cut {
-		d.held = nil
-		for _, f := range d.busy {
-			f.waits = 0
-			f.pieces = slices.DeleteFunc(f.pieces, func(p piece) bool { return weights[p.kind][f.key.Manner] == Half })
+// SetConnected says whether this node hears the core. What it found of links while it did not is dropped at its return.
+func (d *Node) SetConnected(fresh bool) {
+	if fresh && d.disconnected {
+		d.delayed = nil
+		for _, f := range d.active {
+			f.delayedCount = 0
+			f.evidence = slices.DeleteFunc(f.evidence, func(p evidenceItem) bool { return weights[p.kind][f.key.Mode] == Partial })
 		}
 	}
-	d.cut = !fresh
+	d.disconnected = !fresh
 }
 
-// Life takes what the registry tells of a backend.
-func (d *Node) Life(x Life) {
-	l := d.lives[x.ID]
+// SetBackend takes what the registry tells of a backend.
+func (d *Node) SetBackend(x Backend) {
+	l := d.backends[x.ID]
 	if l == nil {
 		if x.Phase != Ready {
 			return
@@ -205,279 +205,281 @@
 			h = &service{name: x.Service}
 			d.services[x.Service] = h
 		}
-		l = &life{service: h, endAt: d.now}
-		for m := range l.files {
-			f := &l.files[m]
-			f.key, f.at = Key{x.ID, Manner(m)}, l
-			d.anew(f, d.state.rev(f.key))
+		l = &backend{service: h, lastAnswerAt: d.now}
+		for m := range l.keys {
+			f := &l.keys[m]
+			f.key, f.backend = Key{x.ID, Mode(m)}, l
+			d.resetKey(f, d.state.revision(f.key))
 		}
-		d.lives[x.ID] = l
+		d.backends[x.ID] = l
 	}
-	l.Life = x
+	l.Backend = x
 	h := l.service
-	d.stir(h)
-	at, had := slices.BinarySearchFunc(h.lives, x.ID, func(l *life, id LifeID) int {
+	d.markDirty(h)
+	at, had := slices.BinarySearchFunc(h.backends, x.ID, func(l *backend, id InstanceID) int {
 		return Key{ID: l.ID}.compare(Key{ID: id})
 	})
 	if is := x.Phase == Ready; is && !had {
-		h.lives = slices.Insert(h.lives, at, l)
+		h.backends = slices.Insert(h.backends, at, l)
 	} else if !is && had {
-		h.lives = slices.Delete(h.lives, at, at+1)
+		h.backends = slices.Delete(h.backends, at, at+1)
 	}
 	if x.Phase != Ready { // it gets nothing new, and what is told of it now is not about the service
-		delete(d.lives, x.ID)
-		for m := range l.files {
-			d.bound(&l.files[m], Open, false) // one that comes back begins so
-			delete(d.busy, l.files[m].key)
+		delete(d.backends, x.ID)
+		for m := range l.keys {
+			d.setAccess(&l.keys[m], Open, false) // one that comes back begins so
+			delete(d.active, l.keys[m].key)
 		}
-		if len(h.lives) == 0 {
+		if len(h.backends) == 0 {
 			delete(d.services, h.name)
 		}
 	}
-	d.bind()
+	d.updateAccess()
 }
 
-// Manner is how a route's requests judge and are bound.
-func (d *Node) Manner(route string, effectful bool) Manner {
-	if !d.state.On() {
-		return Unjudged
+// ModeFor is how a route's requests judge and are bound.
+func (d *Node) ModeFor(route string, effectful bool) Mode {
+	if !d.state.Enabled() {
+		return Unwatched
 	}
-	return d.state.Settings().Manner(route, effectful)
+	return d.state.Settings().ModeFor(route, effectful)
 }
 
-// Rev is kept with a submission, for its end.
-func (d *Node) Rev(k Key) uint64 { return d.state.rev(k) }
+// Revision is kept with a submission, for its end.
+func (d *Node) Revision(k Key) uint64 { return d.state.revision(k) }
 
-// Ended takes the one end of a submission that was sent at a time under a rev.
-func (d *Node) Ended(k Key, rev uint64, sent time.Duration, seen Seen) {
-	l := d.lives[k.ID]
-	kind := seen.Kind()
-	if l == nil || !d.state.On() {
+// RecordAttempt takes the one end of a submission that was sent at a time under a rev.
+func (d *Node) RecordAttempt(k Key, rev uint64, sent time.Duration, seen AttemptEnd) {
+	l := d.backends[k.ID]
+	kind := seen.Evidence()
+	if l == nil || !d.state.Enabled() {
 		return
 	}
-	if seen.answered() {
-		l.endAt = d.now
-		p := d.paths[l.Zone]
+	if seen.pathWorked() {
+		l.lastAnswerAt = d.now
+		p := d.zonePaths[l.Zone]
 		if p == nil {
-			p = &path{last: d.now, calm: d.now, usual: gapMost.Seconds() / gapTimes}
-			d.paths[l.Zone] = p
+			p = &zonePath{lastAnswerAt: d.now, steadySince: d.now, usualGap: maxGap.Seconds() / gapFactor}
+			d.zonePaths[l.Zone] = p
 		}
-		p.heard(d.now)
+		p.observeAnswer(d.now)
 	}
-	if kind == Reset {
-		d.resets = append(d.resets, reset{k.ID, d.now})
+	if kind == ConnectionReset {
+		d.resets = append(d.resets, observedReset{k.ID, d.now})
 	}
-	d.saw(l, k, rev, kind, sent)
+	d.record(l, k, rev, kind, sent)
 }
 
-// Saw takes what is no end of a submission: Stray and Second, by the rev under which the connection's last was sent.
-func (d *Node) Saw(k Key, rev uint64, kind Kind) {
-	if l := d.lives[k.ID]; l != nil && d.state.On() {
-		d.saw(l, k, rev, kind, d.now)
+// RecordEvidence takes what is no end of a submission: Stray and Second, by the rev under which the connection's last was sent.
+func (d *Node) RecordEvidence(k Key, rev uint64, kind EvidenceKind) {
+	if l := d.backends[k.ID]; l != nil && d.state.Enabled() {
+		d.record(l, k, rev, kind, d.now)
 	}
 }
 
-func (d *Node) saw(l *life, k Key, rev uint64, kind Kind, sent time.Duration) {
-	if k.Manner >= manners || kind == None {
+func (d *Node) record(l *backend, k Key, rev uint64, kind EvidenceKind, sent time.Duration) {
+	if k.Mode >= modeCount || kind == NoEvidence {
 		return
 	}
-	f := &l.files[k.Manner]
-	if f.rev != rev {
+	f := &l.keys[k.Mode]
+	if f.revision != rev {
 		return
 	}
 	switch {
-	case kind == Clean:
-		w := f.ring.at(d.now)
+	case kind == CleanAnswer:
+		w := f.window.slotAt(d.now)
 		w.Clean++
-		w.Took += uint32((d.now - sent).Milliseconds())
-		l.service.rings[k.Manner].at(d.now).Clean++
+		w.LatencyMillis += uint32((d.now - sent).Milliseconds())
+		l.service.windows[k.Mode].slotAt(d.now).Clean++
 		f.Clean++
-		if s := &l.files[Strict]; k.Manner == Patient && s.rev > 0 {
+		if s := &l.keys[Strict]; k.Mode == Patient && s.revision > 0 {
 			s.Reads++
 		}
-	case weights[kind][k.Manner] == Nothing:
-	case kind == Lost || kind == Reset: // a link may have done that
-		if k.Manner == Strict && d.mayHold(l) {
-			f.waits++
+	case weights[kind][k.Mode] == Ignored:
+	case kind == LostAnswer || kind == ConnectionReset: // a link may have done that
+		if k.Mode == Strict && d.mayEjectLocally(l) {
+			f.delayedCount++
 		}
-		d.held = append(d.held, held{piece{kind, d.now, d.now - sent}, f, rev, sent})
-		d.busy[k] = f
-		d.stir(l.service)
+		d.delayed = append(d.delayed, delayedEvidence{evidenceItem{kind, d.now, d.now - sent}, f, rev, sent})
+		d.active[k] = f
+		d.markDirty(l.service)
 	default:
-		d.count(f, piece{kind, d.now, 0})
+		d.countEvidence(f, evidenceItem{kind, d.now, 0})
 	}
-	d.bind()
+	d.updateAccess()
 }
 
-// count takes what only the backend can have done, or what was held back long enough.
-func (d *Node) count(f *file, p piece) {
-	m := f.key.Manner
-	if weights[p.kind][m] != Half { // those have a rule of their own
-		f.ring.at(d.now).Failing++
-		f.at.service.rings[m].at(d.now).Failing++
+// countEvidence takes what only the backend can have done, or what was held back long enough.
+func (d *Node) countEvidence(f *keyState, p evidenceItem) {
+	m := f.key.Mode
+	if weights[p.kind][m] != Partial { // those have a rule of their own
+		f.window.slotAt(d.now).Failing++
+		f.backend.service.windows[m].slotAt(d.now).Failing++
 		f.Failing++
 	}
-	d.busy[f.key] = f
-	if weights[p.kind][m] == Share {
-		if f.ring.sum(d.now).share() >= low[m] {
-			f.tell(tellSlow)
+	d.active[f.key] = f
+	if weights[p.kind][m] == ByRate {
+		if f.window.sum(d.now).failureRate() >= doubtRate[m] {
+			f.scheduleReport(slowReportDelay)
 		}
 		return
 	}
-	if f.pieces = append(f.pieces, p); len(f.pieces) > piecesMost {
-		f.pieces = f.pieces[1:]
+	if f.evidence = append(f.evidence, p); len(f.evidence) > maxEvidence {
+		f.evidence = f.evidence[1:]
 	}
-	f.tell(tellPace)
-	if m == Strict && d.mayHold(f.at) {
-		f.until = d.now + holdFor<<min(f.holds, holdTimes)
-		f.holds++
+	f.scheduleReport(reportDelay)
+	if m == Strict && d.mayEjectLocally(f.backend) {
+		f.ejectedUntil = d.now + localEjectionTime<<min(f.localEjections, maxLocalDoublings)
+		f.localEjections++
 	}
-	d.stir(f.at.service)
+	d.markDirty(f.backend.service)
 }
 
-// tell wants the file told within a time.
-func (f *file) tell(in time.Duration) {
-	if f.news == 0 || in < f.news {
-		f.news = in
+// scheduleReport wants the file told within a time.
+func (f *keyState) scheduleReport(in time.Duration) {
+	if f.reportWithin == 0 || in < f.reportWithin {
+		f.reportWithin = in
 	}
 }
 
-// mayHold bounds what a node holds off by itself: one that sees more than half fail doubts itself.
-func (d *Node) mayHold(l *life) bool {
+// mayEjectLocally bounds what a node holds off by itself: one that sees more than half fail doubts itself.
+func (d *Node) mayEjectLocally(l *backend) bool {
 	h, n := l.service, 0
-	for _, o := range h.lives {
-		if f := &o.files[Strict]; o != l && f.holding(d.now) {
+	for _, o := range h.backends {
+		if f := &o.keys[Strict]; o != l && f.locallyEjected(d.now) {
 			n++
 		}
 	}
-	if n+1 > max(1, len(h.lives)/2) {
-		h.doubt = d.now + windowLong
+	if n+1 > max(1, len(h.backends)/2) {
+		h.doubtUntil = d.now + windowDuration
 		return false
 	}
 	return true
 }
 
-func (f *file) holding(now time.Duration) bool { return f.waits > 0 || f.until > now }
+func (f *keyState) locallyEjected(now time.Duration) bool {
+	return f.delayedCount > 0 || f.ejectedUntil > now
+}
 
-// Probed takes the answer to a probe: which life answered, "" if none did, and whether it is well.
-func (d *Node) Probed(id, by LifeID, well bool) {
-	l := d.lives[id]
-	if l == nil || !d.state.On() {
+// HandleProbe takes the answer to a probe: which life answered, "" if none did, and whether it is well.
+func (d *Node) HandleProbe(id, by InstanceID, well bool) {
+	l := d.backends[id]
+	if l == nil || !d.state.Enabled() {
 		return
 	}
-	l.endAt = d.now
-	for m := range l.files {
-		f := &l.files[m]
+	l.lastAnswerAt = d.now
+	for m := range l.keys {
+		f := &l.keys[m]
 		switch {
 		case by != "" && by != id:
-			d.count(f, piece{Stranger, d.now, 0})
+			d.countEvidence(f, evidenceItem{WrongInstance, d.now, 0})
 		case well && by == id:
 			f.Probes++
 		default:
 			f.Probes = 0
 		}
 	}
-	d.bind()
+	d.updateAccess()
 }
 
-// Asked takes the duty's question.
-func (d *Node) Asked(a Ask) {
+// HandleRequest takes the duty's question.
+func (d *Node) HandleRequest(a ReportRequest) {
 	for _, k := range a.Keys {
-		if l := d.lives[k.ID]; l != nil && k.Manner < manners {
-			l.files[k.Manner].news = atOnce
-			d.busy[k] = &l.files[k.Manner]
+		if l := d.backends[k.ID]; l != nil && k.Mode < modeCount {
+			l.keys[k.Mode].reportWithin = reportNow
+			d.active[k] = &l.keys[k.Mode]
 		}
 	}
 	d.report(a.Keys)
 }
 
-// Now sets the clock.
-func (d *Node) Now(now time.Duration) {
+// Tick sets the clock.
+func (d *Node) Tick(now time.Duration) {
 	d.now = max(d.now, now)
-	d.settle()
-	keys := slices.SortedFunc(maps.Keys(d.busy), Key.compare)
+	d.releaseDelayed()
+	keys := slices.SortedFunc(maps.Keys(d.active), Key.compare)
 	for _, k := range keys {
-		d.look(d.busy[k])
+		d.maintain(d.active[k])
 	}
 	for _, h := range d.services {
-		if h.empty > 0 && d.now-h.empty >= emptyEvery {
-			d.stir(h)
+		if h.noneAvailableAt > 0 && d.now-h.noneAvailableAt >= noneAvailableRepeat {
+			d.markDirty(h)
 		}
 	}
-	d.silent()
-	d.bind()
+	d.probeIdle()
+	d.updateAccess()
 	d.report(keys)
 }
 
-// settle tells of what was held back, or drops it as a link's or this node's own.
-func (d *Node) settle() {
+// releaseDelayed tells of what was held back, or drops it as a link's or this node's own.
+func (d *Node) releaseDelayed() {
 	due := 0
-	for _, x := range d.held {
-		if d.now-x.at < heldBack {
+	for _, x := range d.delayed {
+		if d.now-x.observedAt < linkEvidenceDelay {
 			break
 		}
 		due++
-		f := x.file
-		if f.rev != x.rev || d.lives[f.key.ID] != f.at {
+		f := x.state
+		if f.revision != x.revision || d.backends[f.key.ID] != f.backend {
 			continue
 		}
-		f.waits = max(f.waits-1, 0)
-		d.stir(f.at.service)
-		others := map[LifeID]bool{}
+		f.delayedCount = max(f.delayedCount-1, 0)
+		d.markDirty(f.backend.service)
+		others := map[InstanceID]bool{}
 		for _, r := range d.resets {
-			if x.kind == Reset && r.id != f.key.ID && (r.at-x.at).Abs() <= heldBack {
+			if x.kind == ConnectionReset && r.id != f.key.ID && (r.observedAt-x.observedAt).Abs() <= linkEvidenceDelay {
 				others[r.id] = true
 			}
 		}
 		// A cut makes no resets, and what it broke shows at several backends at once.
-		if !d.cut && len(others) < resetsMost && (x.kind == Reset || d.paths[f.at.Zone].whole(x.sent, d.now)) {
-			d.count(f, x.piece)
+		if !d.disconnected && len(others) < maxOtherResets && (x.kind == ConnectionReset || d.zonePaths[f.backend.Zone].intact(x.sentAt, d.now)) {
+			d.countEvidence(f, x.evidenceItem)
 		}
 	}
-	d.held = d.held[due:]
-	d.resets = slices.DeleteFunc(d.resets, func(r reset) bool { return d.now-r.at > 3*heldBack })
+	d.delayed = d.delayed[due:]
+	d.resets = slices.DeleteFunc(d.resets, func(r observedReset) bool { return d.now-r.observedAt > 3*linkEvidenceDelay })
 }
 
-// look tends a file that is not at rest.
-func (d *Node) look(f *file) {
-	f.pieces = slices.DeleteFunc(f.pieces, func(p piece) bool { return d.now-p.at > pieceFor })
-	if f.until > 0 && f.until <= d.now {
-		f.until = 0
-		d.stir(f.at.service)
+// maintain tends a file that is not at rest.
+func (d *Node) maintain(f *keyState) {
+	f.evidence = slices.DeleteFunc(f.evidence, func(p evidenceItem) bool { return d.now-p.observedAt > evidenceTTL })
+	if f.ejectedUntil > 0 && f.ejectedUntil <= d.now {
+		f.ejectedUntil = 0
+		d.markDirty(f.backend.service)
 	}
-	c := d.state.Case(f.key)
-	way := c != nil && c.Step != Free && d.state.On()
+	c := d.state.Ejection(f.key)
+	way := c != nil && c.Step != InService && d.state.Enabled()
 	if way {
-		if f.Sums != f.said {
-			f.tell(tellSlow)
+		if f.Totals != f.reportedTotals {
+			f.scheduleReport(slowReportDelay)
 		}
-		if rest := rest(d.state, c); f.at.Kept && c.Step <= Reads && c.Step.next(f.key.Manner) != Free && d.now-f.since >= rest {
-			d.probe(f.at)
+		if rest := ejectionTime(d.state, c); f.backend.Owned && c.Step <= ReadsOnly && c.Step.next(f.key.Mode) != InService && d.now-f.revisionSince >= rest {
+			d.probe(f.backend)
 		}
-	} else if len(f.pieces) == 0 && f.waits == 0 && f.until == 0 && f.news == 0 {
-		delete(d.busy, f.key)
+	} else if len(f.evidence) == 0 && f.delayedCount == 0 && f.ejectedUntil == 0 && f.reportWithin == 0 {
+		delete(d.active, f.key)
 	}
-	if len(f.pieces) > 0 && d.now-f.told >= tellAgain {
-		f.tell(atOnce)
+	if len(f.evidence) > 0 && d.now-f.reportedAt >= reportRepeat {
+		f.scheduleReport(reportNow)
 	}
 }
 
-func (d *Node) probe(l *life) {
-	if d.now-l.probed >= probePace {
-		l.probed = d.now
-		d.do(Probe{l.ID})
+func (d *Node) probe(l *backend) {
+	if d.now-l.probedAt >= probeInterval {
+		l.probedAt = d.now
+		d.push(Probe{l.ID})
 	}
 }
 
-// silent has those in service probed that this node keeps and has not heard, where the settings say so.
-func (d *Node) silent() {
-	after := time.Duration(d.state.Settings().ProbeSilent)
-	if after == 0 || !d.state.On() {
+// probeIdle has those in service probed that this node keeps and has not heard, where the settings say so.
+func (d *Node) probeIdle() {
+	after := time.Duration(d.state.Settings().ProbeIdleAfter)
+	if after == 0 || !d.state.Enabled() {
 		return
 	}
 	for _, h := range d.services {
-		for _, l := range h.lives {
-			if l.Kept && d.now-max(l.endAt, l.probed) >= after {
+		for _, l := range h.backends {
+			if l.Owned && d.now-max(l.lastAnswerAt, l.probedAt) >= after {
 				d.probe(l)
 			}
 		}
@@ -486,63 +488,63 @@
 
 // report tells what is due.
 func (d *Node) report(keys []Key) {
-	if d.cut || !d.state.On() {
+	if d.disconnected || !d.state.Enabled() {
 		return
 	}
-	var files []File
+	var files []Observation
 	doubt := false
 	for _, k := range keys {
-		f := d.busy[k]
-		if f == nil || f.news == 0 || d.now-f.told < f.news && f.told > 0 {
+		f := d.active[k]
+		if f == nil || f.reportWithin == 0 || d.now-f.reportedAt < f.reportWithin && f.reportedAt > 0 {
 			continue
 		}
-		h := f.at.service
-		x := File{Key: k, Rev: f.rev, Window: f.ring.sum(d.now), Rest: h.rings[k.Manner].sum(d.now),
-			Sums: f.Sums}
-		if k.Manner == Strict && (len(f.pieces) > 0 || f.news == atOnce) {
-			x.Late, x.Into = f.ring.late(d.now), d.now%slotLong
+		h := f.backend.service
+		x := Observation{Key: k, Rev: f.revision, Window: f.window.sum(d.now), ServiceWindow: h.windows[k.Mode].sum(d.now),
+			Totals: f.Totals}
+		if k.Mode == Strict && (len(f.evidence) > 0 || f.reportWithin == reportNow) {
+			x.Slots, x.SlotAge = f.window.completedSlots(d.now), d.now%slotDuration
 		}
-		f.news, f.told, f.said = 0, d.now, f.Sums
-		for _, p := range f.pieces {
-			x.Pieces = append(x.Pieces, Piece{p.kind, d.now - p.at, p.wait})
+		f.reportWithin, f.reportedAt, f.reportedTotals = 0, d.now, f.Totals
+		for _, p := range f.evidence {
+			x.Evidence = append(x.Evidence, Evidence{p.kind, d.now - p.observedAt, p.timeout})
 		}
-		doubt = doubt || h.doubt > d.now
-		if files = append(files, x); len(files) == tellMost {
+		doubt = doubt || h.doubtUntil > d.now
+		if files = append(files, x); len(files) == maxObservations {
 			break // the rest with the next turn
 		}
 	}
 	if len(files) > 0 {
 		d.seq++
-		d.do(Tell{Report{d.zone, d.life, d.seq, doubt, files}})
+		d.push(SendReport{Report{d.zone, d.incarnation, d.seq, doubt, files}})
 	}
 }
 
-// bind tells the host what changed in what backends get.
-func (d *Node) bind() {
+// updateAccess tells the host what changed in what backends get.
+func (d *Node) updateAccess() {
 	for _, h := range d.dirty {
 		h.dirty = false
-		d.bindPatient(h)
-		d.bindStrict(h)
+		d.updatePatient(h)
+		d.updateStrict(h)
 	}
 	d.dirty = d.dirty[:0]
 }
 
-func (d *Node) verdict(k Key) Bind {
-	if c := d.state.Case(k); c != nil && d.state.On() {
-		return c.bind()
+func (d *Node) accessOf(k Key) Access {
+	if c := d.state.Ejection(k); c != nil && d.state.Enabled() {
+		return c.access()
 	}
 	return Open
 }
 
-// bindPatient keeps the least sick in service down to the floor.
-func (d *Node) bindPatient(h *service) {
-	var out []*Case
-	for _, l := range h.lives {
-		if k := l.files[Patient].key; d.verdict(k) != Open {
-			out = append(out, d.state.Case(k))
+// updatePatient keeps the least sick in service down to the floor.
+func (d *Node) updatePatient(h *service) {
+	var out []*Ejection
+	for _, l := range h.backends {
+		if k := l.keys[Patient].key; d.accessOf(k) != Open {
+			out = append(out, d.state.Ejection(k))
 		}
 	}
-	slices.SortFunc(out, func(a, b *Case) int {
+	slices.SortFunc(out, func(a, b *Ejection) int {
 		switch { // the least sick first
 		case a.Step != b.Step:
 			return int(b.Step) - int(a.Step)
@@ -551,47 +553,47 @@
 		}
 		return a.compare(b.Key)
 	})
-	short := max(0, d.state.Settings().floor(len(h.lives))-(len(h.lives)-len(out)))
+	short := max(0, d.state.Settings().minInService(len(h.backends))-(len(h.backends)-len(out)))
 	invariant.That(short <= len(out), "a floor is not above all")
-	kept := map[LifeID]bool{}
+	kept := map[InstanceID]bool{}
 	for _, c := range out[:short] {
 		kept[c.ID] = true
 	}
-	for _, l := range h.lives {
-		if f := &l.files[Patient]; kept[l.ID] {
-			d.bound(f, Open, false)
+	for _, l := range h.backends {
+		if f := &l.keys[Patient]; kept[l.ID] {
+			d.setAccess(f, Open, false)
 		} else {
-			d.bound(f, d.verdict(f.key), false)
+			d.setAccess(f, d.accessOf(f.key), false)
 		}
 	}
 }
 
-// bindStrict has no floor: a write is better refused than lost.
-func (d *Node) bindStrict(h *service) {
+// updateStrict has no floor: a write is better refused than lost.
+func (d *Node) updateStrict(h *service) {
 	some := false
-	for _, l := range h.lives {
-		f := &l.files[Strict]
-		b := d.verdict(f.key)
-		own := b != Shut && d.state.On() && f.holding(d.now)
+	for _, l := range h.backends {
+		f := &l.keys[Strict]
+		b := d.accessOf(f.key)
+		own := b != Closed && d.state.Enabled() && f.locallyEjected(d.now)
 		if own {
-			b = Shut
+			b = Closed
 		}
-		some = some || b != Shut
-		d.bound(f, b, own)
+		some = some || b != Closed
+		d.setAccess(f, b, own)
 	}
 	switch {
-	case some || len(h.lives) == 0:
-		h.empty = 0
-	case h.empty == 0 || d.now-h.empty >= emptyEvery:
-		h.empty = d.now
-		d.do(Empty{h.name, Strict, len(h.lives)})
+	case some || len(h.backends) == 0:
+		h.noneAvailableAt = 0
+	case h.noneAvailableAt == 0 || d.now-h.noneAvailableAt >= noneAvailableRepeat:
+		h.noneAvailableAt = d.now
+		d.push(NoneAvailable{h.name, Strict, len(h.backends)})
 	}
 }
 
-func (d *Node) bound(f *file, b Bind, own bool) {
-	if f.bound == b && f.own == own {
+func (d *Node) setAccess(f *keyState, b Access, own bool) {
+	if f.access == b && f.local == own {
 		return
 	}
-	f.bound, f.own = b, own
-	d.do(Bound{f.key, b, time.Duration(d.nodes) * time.Second / trickleAll, own})
+	f.access, f.local = b, own
+	d.push(SetAccess{f.key, b, time.Duration(d.nodeCount) * time.Second / limitedPerSecond, own})
 }
--- a/internal/gateway/outlier/sim_test.go
+++ b/internal/gateway/outlier/sim_test.go
@@ -35,10 +35,10 @@
 }
 
 // fault is what a backend does to a request, beside answering it: None for nothing.
-type fault func(w *world, node *simNode, m Manner) (kind Kind, slower float64)
+type fault func(w *world, node *simNode, m Mode) (kind EvidenceKind, slower float64)
 
 type simBack struct {
-	Life
+	Backend
 	trade *trade
 	fault fault
 	from  time.Duration // the fault's
@@ -56,8 +56,8 @@
 	key  Key
 	rev  uint64
 	sent time.Duration
-	seen Seen
-	also Kind // seen a moment later
+	seen AttemptEnd
+	also EvidenceKind // seen a moment later
 	done bool
 }
 
@@ -68,7 +68,7 @@
 	state   *State
 	at      int                   // entries applied
 	due     map[int]time.Duration // when an entry comes
-	bind    map[Key]Bound
+	bind    map[Key]SetAccess
 	out     map[Key]int // under way
 	sentAt  map[Key]time.Duration
 	liar    func(d *simNode) *Report
@@ -92,14 +92,14 @@
 	base   float64 // share of 5xx that all backends have
 	nr     int
 
-	met             map[Kind]int // requests that met a fault
+	met             map[EvidenceKind]int // requests that met a fault
 	verdicts, wrong int
 	firstTo, lastTo []time.Duration // first evidence to the entry, and the entry to the last node in touch
 	told            int
 	worst           float64       // share of the patient that is shut, against the bound
 	shutWrong       time.Duration // healthy backends shut by verdicts, times how long, of all nodes' time
 	ownWrong        time.Duration // and by nodes' own holds
-	bad             map[LifeID]bool
+	bad             map[InstanceID]bool
 	most            int // cases that a liar has out alone
 }
 
@@ -127,13 +127,13 @@
 
 func newWorld(seed int64, nodes int, trades []*trade) *world {
 	w := &world{rng: rand.New(rand.NewSource(seed)), trades: trades, state: NewState(),
-		later: map[time.Duration][]func(){}, met: map[Kind]int{}, bad: map[LifeID]bool{}}
+		later: map[time.Duration][]func(){}, met: map[EvidenceKind]int{}, bad: map[InstanceID]bool{}}
 	for i := range nodes {
 		w.nodes = append(w.nodes, &simNode{Node: NewNode(zone(i%3), uint64(seed)*1000+uint64(i), 0), slot: Slot(i), zone: i % 3,
-			state: NewState(), due: map[int]time.Duration{}, bind: map[Key]Bound{}, out: map[Key]int{},
+			state: NewState(), due: map[int]time.Duration{}, bind: map[Key]SetAccess{}, out: map[Key]int{},
 			sentAt: map[Key]time.Duration{}})
-		w.nodes[i].SetNodes(nodes)
-		w.nodes[i].Touch(true)
+		w.nodes[i].SetNodeCount(nodes)
+		w.nodes[i].SetConnected(true)
 	}
 	w.newDuty(1, 0)
 	for _, t := range trades {
@@ -141,7 +141,7 @@
 			w.start(t, i%3)
 		}
 	}
-	w.append(Entry{Verb: Set, Settings: &Settings{On: true}})
+	w.append(Entry{Verb: SetSettings, Settings: &Settings{Enabled: true}})
 	return w
 }
 
@@ -149,7 +149,7 @@
 
 func (w *world) start(t *trade, z int) *simBack {
 	w.nr++
-	b := &simBack{Life: Life{ID: LifeID(fmt.Sprintf("i-%03d", w.nr)), Service: t.name, Zone: zone(z)}, trade: t,
+	b := &simBack{Backend: Backend{ID: InstanceID(fmt.Sprintf("i-%03d", w.nr)), Service: t.name, Zone: zone(z)}, trade: t,
 		speed: math.Exp(0.15 * w.rng.NormFloat64()), from: long, first: long}
 	w.backs, t.all = append(w.backs, b), append(t.all, b)
 	w.tell(b)
@@ -158,22 +158,22 @@
 
 func (w *world) tell(b *simBack) {
 	for i, d := range w.nodes {
-		l := b.Life
-		l.Kept = i == w.nr*7919%len(w.nodes)
-		d.Life(l)
+		l := b.Backend
+		l.Owned = i == w.nr*7919%len(w.nodes)
+		d.SetBackend(l)
 	}
-	w.duty.Life(b.Life)
+	w.duty.SetBackend(b.Backend)
 }
 
 func (w *world) newDuty(fence uint64, at int) {
 	w.duty, w.dutyAt = NewCoordinator(fence, w.now), at
-	w.duty.SetNodes(len(w.nodes))
+	w.duty.SetNodeCount(len(w.nodes))
 	for _, b := range w.backs {
 		if b.Phase == Ready {
-			w.duty.Life(b.Life)
+			w.duty.SetBackend(b.Backend)
 		}
 	}
-	w.duty.Fold(w.state, nil)
+	w.duty.ApplyState(w.state, nil)
 }
 
 // apart tells whether two places hear each other, and until when they do not.
@@ -197,13 +197,13 @@
 
 // append puts an entry into the log, if the state takes it; each node has it a little later, in order.
 func (w *world) append(e Entry) {
-	was := w.state.Case(e.Key)
+	was := w.state.Ejection(e.Key)
 	if v, _ := w.state.Apply(&e); v != routing.Taken {
 		return
 	}
 	w.log, w.logAt = append(w.log, e), append(w.logAt, w.now)
-	w.duty.Fold(w.state, &e)
-	if e.Verb == Convict {
+	w.duty.ApplyState(w.state, &e)
+	if e.Verb == Eject {
 		w.verdicts++
 		for _, b := range w.backs {
 			if b.ID != e.Key.ID {
@@ -225,7 +225,7 @@
 
 func (w *world) feed(d *simNode) {
 	touch := w.apart(int(d.slot), d.zone, w.dutyAt, w.dutyAt%3) == 0
-	if d.Touch(touch); !touch {
+	if d.SetConnected(touch); !touch {
 		return
 	}
 	for d.at < len(w.log) && d.due[d.at] <= w.now {
@@ -233,12 +233,12 @@
 			panic(err)
 		}
 		delete(d.due, d.at)
-		if d.at++; w.log[d.at-1].Verb == Convict {
+		if d.at++; w.log[d.at-1].Verb == Eject {
 			if late := w.now - w.logAt[d.at-1]; late < time.Second {
 				w.lastTo = append(w.lastTo, late)
 			}
 		}
-		d.Fold(d.state, &w.log[d.at-1])
+		d.ApplyState(d.state, &w.log[d.at-1])
 	}
 }
 
@@ -261,23 +261,23 @@
 	}
 	for _, d := range w.nodes {
 		w.feed(d)
-		if w.now%(2*tick) == 0 || len(d.held) > 0 {
-			d.Now(w.now)
+		if w.now%(2*tick) == 0 || len(d.delayed) > 0 {
+			d.Tick(w.now)
 		}
 		w.pull(d)
 		w.check(d)
 	}
-	w.duty.Now(w.now)
+	w.duty.Tick(w.now)
 	for a, ok := w.duty.Next(); ok; a, ok = w.duty.Next() {
 		switch a := a.(type) {
 		case Propose:
 			if w.core() {
 				w.after(tick, func() { w.append(a.Entry) })
 			}
-		case AskAll:
+		case BroadcastRequest:
 			for _, d := range w.nodes {
 				if w.apart(int(d.slot), d.zone, w.dutyAt, w.dutyAt%3) == 0 && w.rng.Intn(50) > 0 {
-					w.after(tick, func() { d.Asked(a.Ask) })
+					w.after(tick, func() { d.HandleRequest(a.Request) })
 				}
 			}
 		}
@@ -297,18 +297,18 @@
 func (w *world) pull(d *simNode) {
 	for a, ok := d.Next(); ok; a, ok = d.Next() {
 		switch a := a.(type) {
-		case Tell:
+		case SendReport:
 			r := a.Report
 			if d.liar != nil {
 				continue
 			}
 			w.send(d, r)
-		case Bound:
+		case SetAccess:
 			d.bind[a.Key] = a
 		case Probe:
 			for _, b := range w.backs {
 				if b.ID == a.ID && !b.dead && w.apart(int(d.slot), d.zone, -1, zoneOf(b)) == 0 {
-					w.after(2*tick, func() { d.Probed(b.ID, b.ID, true) }) // it lies: always well
+					w.after(2*tick, func() { d.HandleProbe(b.ID, b.ID, true) }) // it lies: always well
 				}
 			}
 		}
@@ -335,14 +335,14 @@
 	for range n {
 		w.after(time.Duration(w.rng.Intn(60))*ms, func() {
 			if w.apart(int(d.slot), d.zone, w.dutyAt, w.dutyAt%3) == 0 {
-				w.duty.Heard(d.slot, r)
+				w.duty.HandleReport(d.slot, r)
 			}
 		})
 	}
 }
 
 // ask sends a tick's requests of one manner.
-func (w *world) ask(t *trade, m Manner, rate float64) {
+func (w *world) ask(t *trade, m Mode, rate float64) {
 	for n := rate * tick.Seconds(); n > 0; n-- {
 		if n < 1 && w.rng.Float64() > n {
 			break
@@ -357,7 +357,7 @@
 }
 
 // pick chooses one in the node's zone, else any, as its binds let it.
-func (w *world) pick(d *simNode, t *trade, m Manner) *simBack {
+func (w *world) pick(d *simNode, t *trade, m Mode) *simBack {
 	var near, far []*simBack
 	for _, b := range t.all {
 		k := Key{b.ID, m}
@@ -365,7 +365,7 @@
 			continue
 		}
 		switch x := d.bind[k]; {
-		case x.Bind == Shut, x.Bind == Trickle && (d.out[k] > 0 || w.now-d.sentAt[k] < x.Every):
+		case x.Access == Closed, x.Access == Limited && (d.out[k] > 0 || w.now-d.sentAt[k] < x.Interval):
 		case zoneOf(b) == d.zone:
 			near = append(near, b)
 		default:
@@ -381,17 +381,17 @@
 	return near[w.rng.Intn(len(near))]
 }
 
-func (w *world) request(d *simNode, b *simBack, m Manner) {
+func (w *world) request(d *simNode, b *simBack, m Mode) {
 	t := b.trade
-	x := &request{node: d, back: b, key: Key{b.ID, m}, rev: d.Rev(Key{b.ID, m}), sent: w.now, seen: Seen{How: control.Settled}}
+	x := &request{node: d, back: b, key: Key{b.ID, m}, rev: d.Revision(Key{b.ID, m}), sent: w.now, seen: AttemptEnd{Ending: control.Succeeded}}
 	d.out[x.key]++
 	d.sentAt[x.key] = w.now
-	kind, slower := None, 1.0
+	kind, slower := NoEvidence, 1.0
 	if b.fault != nil && w.now >= b.from {
 		kind, slower = b.fault(w, d, m)
 	}
-	if kind == None && w.rng.Float64() < w.base {
-		kind = Failed
+	if kind == NoEvidence && w.rng.Float64() < w.base {
+		kind = ServerError
 	}
 	took := time.Duration(float64(t.work) * b.speed * slower * math.Exp(0.4*w.rng.NormFloat64()))
 	if b.to > 0 { // it goes on at its usual pace then
@@ -407,25 +407,25 @@
 		}
 	}
 	switch kind {
-	case Lost:
+	case LostAnswer:
 		took = long
-	case Failed:
-		x.seen.How = control.Errored
-	case Unsealed:
-		x.seen = Seen{How: control.Errored, Form: true}
-	case Reset:
-		x.seen = Seen{How: control.Broken, Some: true}
-	case Second, Stray:
+	case ServerError:
+		x.seen.Ending = control.Errored
+	case MalformedAnswer:
+		x.seen = AttemptEnd{Ending: control.Errored, Malformed: true}
+	case ConnectionReset:
+		x.seen = AttemptEnd{Ending: control.ConnectionLost, PartialAnswer: true}
+	case DuplicateAnswer, StrayAnswer:
 		x.also = kind
 	}
-	if kind != None {
+	if kind != NoEvidence {
 		w.met[kind]++
 	}
 	if took > t.deadline {
-		took, x.seen = t.deadline, Seen{How: control.TimedOut}
+		took, x.seen = t.deadline, AttemptEnd{Ending: control.TimedOut}
 	}
 	if b.dead {
-		x.seen = Seen{How: control.Unreachable}
+		x.seen = AttemptEnd{Ending: control.Unreachable}
 		took = tick
 	}
 	b.reqs = append(slices.DeleteFunc(b.reqs, func(r *request) bool { return r.done }), x)
@@ -439,17 +439,17 @@
 	x.done = true
 	d := x.node
 	d.out[x.key]--
-	if k := x.seen.Kind(); k > Clean && x.back.first == long && w.now > x.back.from {
+	if k := x.seen.Evidence(); k > CleanAnswer && x.back.first == long && w.now > x.back.from {
 		x.back.first = w.now
 	}
 	d.Node.now = w.now
-	d.Ended(x.key, x.rev, x.sent, x.seen)
-	if x.also != None {
+	d.RecordAttempt(x.key, x.rev, x.sent, x.seen)
+	if x.also != NoEvidence {
 		w.after(2*tick, func() {
 			if x.back.first == long {
 				x.back.first = w.now
 			}
-			d.Saw(x.key, x.rev, x.also)
+			d.RecordEvidence(x.key, x.rev, x.also)
 		})
 	}
 	w.pull(d)
@@ -467,18 +467,18 @@
 				continue
 			}
 			ready++
-			if d.bind[Key{b.ID, Patient}].Bind == Open {
+			if d.bind[Key{b.ID, Patient}].Access == Open {
 				open++
 			}
-			if x := d.bind[Key{b.ID, Strict}]; x.Bind == Shut && !b.ever && !b.dead {
-				if x.Own {
+			if x := d.bind[Key{b.ID, Strict}]; x.Access == Closed && !b.ever && !b.dead {
+				if x.Local {
 					w.ownWrong += 10 * tick / time.Duration(len(w.nodes))
 				} else {
 					w.shutWrong += 10 * tick / time.Duration(len(w.nodes))
 				}
 			}
 		}
-		floor := d.state.Settings().floor(ready)
+		floor := d.state.Settings().minInService(ready)
 		if open < floor {
 			panic(fmt.Sprintf("node %d has %d of %d open, floor %d", d.slot, open, ready, floor))
 		}
@@ -487,7 +487,7 @@
 }
 
 // sick makes some of a service's backends do a thing to a share of a manner's requests, from callers of a zone (-1: any).
-func (w *world) sick(service string, part float64, m Manner, kind Kind, share float64, caller int) {
+func (w *world) sick(service string, part float64, m Mode, kind EvidenceKind, share float64, caller int) {
 	var all []*simBack
 	for _, b := range w.backs {
 		if b.Service == service {
@@ -496,11 +496,11 @@
 	}
 	for _, b := range all[:int(part*float64(len(all)))] {
 		b.from, b.ever = 5*time.Second+time.Duration(w.rng.Intn(2000))*ms, caller < 0
-		b.fault = func(w *world, d *simNode, is Manner) (Kind, float64) {
+		b.fault = func(w *world, d *simNode, is Mode) (EvidenceKind, float64) {
 			if is == m && w.rng.Float64() < share && (caller < 0 || caller == d.zone && caller != zoneOf(b)) {
 				return kind, 1
 			}
-			return None, 1
+			return NoEvidence, 1
 		}
 	}
 }
@@ -510,7 +510,7 @@
 	for _, b := range w.backs {
 		for _, x := range slices.Clone(b.reqs) {
 			if !x.done && is(x) {
-				x.seen, x.also = Seen{How: control.Broken}, None
+				x.seen, x.also = AttemptEnd{Ending: control.ConnectionLost}, NoEvidence
 				w.end(x)
 			}
 		}
@@ -549,7 +549,7 @@
 		c.from, c.to = from, from+time.Duration(1000+w.rng.Intn(7000))*ms
 		w.cuts = append(w.cuts, c)
 		if c.zone == w.dutyAt%3 || c.node == w.dutyAt { // who follows is on the other side
-			w.after(c.from-w.now+1500*ms, func() { w.newDuty(w.duty.fence+1, (w.dutyAt+1)%len(w.nodes)) })
+			w.after(c.from-w.now+1500*ms, func() { w.newDuty(w.duty.fencingToken+1, (w.dutyAt+1)%len(w.nodes)) })
 		}
 	}
 	for at := every; at < long/20; at += time.Duration((0.5 + w.rng.Float64()) * float64(every)) {
@@ -572,7 +572,7 @@
 			case 5: // slow for ten seconds
 				b, times := any(), []float64{3, 10, 100}[w.rng.Intn(3)]
 				b.from, b.to = w.now, w.now+10*time.Second
-				b.fault = func(*world, *simNode, Manner) (Kind, float64) { return None, times }
+				b.fault = func(*world, *simNode, Mode) (EvidenceKind, float64) { return NoEvidence, times }
 				w.after(10*time.Second, func() { b.fault, b.to = nil, 0 })
 			case 6:
 				if b := any(); b.Phase == Ready && !b.dead {
@@ -596,7 +596,7 @@
 			panic(fmt.Sprint("node ", d.slot, " has another state"))
 		}
 		for k, b := range d.bind {
-			if o := w.nodes[0].bind[k]; !b.Own && !o.Own && b.Bind != o.Bind {
+			if o := w.nodes[0].bind[k]; !b.Local && !o.Local && b.Access != o.Access {
 				panic(fmt.Sprintf("nodes %d and 0 bind %v otherwise", d.slot, k))
 			}
 		}
@@ -653,9 +653,9 @@
 		}, func(w *world) {
 			wrong, verdicts, worst, played = wrong+w.wrong, verdicts+w.verdicts, max(worst, w.worst), played+w.now
 			own, told = own+w.ownWrong, told+w.told
-			for _, p := range w.state.Past() {
-				if p.Verb == Convict && w.bad[p.Key.ID] {
-					t.Log(p.Key, p.Why, p.Witnesses)
+			for _, p := range w.state.History() {
+				if p.Verb == Eject && w.bad[p.Key.ID] {
+					t.Log(p.Key, p.Reason, p.Witnesses)
 				}
 			}
 		})
@@ -671,20 +671,20 @@
 		return nil
 	}
 	d.seq++
-	r := &Report{Zone: zone(w.rng.Intn(3)), Life: 1, Seq: d.seq}
+	r := &Report{Zone: zone(w.rng.Intn(3)), Incarnation: 1, Seq: d.seq}
 	var late []Window
-	for range lateSlots {
-		late = append(late, Window{Clean: 50, Took: 500})
+	for range maxReportedSlots {
+		late = append(late, Window{Clean: 50, LatencyMillis: 500})
 	}
 	for _, i := range w.rng.Perm(len(w.backs))[:min(40, len(w.backs))] {
-		for m := range manners {
-			f := File{Key: Key{w.backs[i].ID, m}, Window: Window{0, 1000, 0}, Rest: Window{1 << 20, 0, 0}, Late: late,
-				Sums: Sums{Failing: 1 << 20}}
-			f.Rev = d.state.rev(f.Key)
-			for k := Failed; k < kinds; k++ {
-				f.Pieces = append(f.Pieces, Piece{k, 0, 2 * time.Second})
+		for m := range modeCount {
+			f := Observation{Key: Key{w.backs[i].ID, m}, Window: Window{0, 1000, 0}, ServiceWindow: Window{1 << 20, 0, 0}, Slots: late,
+				Totals: Totals{Failing: 1 << 20}}
+			f.Rev = d.state.revision(f.Key)
+			for k := ServerError; k < evidenceKinds; k++ {
+				f.Evidence = append(f.Evidence, Evidence{k, 0, 2 * time.Second})
 			}
-			r.Files = append(r.Files, f)
+			r.Observations = append(r.Observations, f)
 		}
 	}
 	return r
@@ -711,18 +711,18 @@
 			for w.now < 90*time.Second {
 				w.step()
 				n, of := 0, map[string]int{}
-				for _, x := range w.state.Cases() {
-					if x.Step != Free && x.Alone == liar.slot {
+				for _, x := range w.state.Ejections() {
+					if x.Step != InService && x.SoleWitness == liar.slot {
 						n++
-						of[x.Service+x.Manner.String()]++
-					} else if x.Step != Free && !c.troubles {
+						of[x.Service+x.Mode.String()]++
+					} else if x.Step != InService && !c.troubles {
 						panic(fmt.Sprintf("%v is out by more than the liar", x))
 					}
 				}
 				w.most = max(w.most, n)
 				for _, x := range w.trades {
-					for m := range manners {
-						a, all := w.state.Settings().alone(len(x.all), 0)
+					for m := range modeCount {
+						a, all := w.state.Settings().soleWitnessLimits(len(x.all), 0)
 						if k := of[x.name+m.String()]; k > a && !c.troubles || n > all {
 							panic(fmt.Sprintf("node %d alone has %d of %s out, %d in all", liar.slot, k, x.name, n))
 						}
@@ -732,8 +732,8 @@
 			return w
 		}, func(w *world) {
 			most, verdicts, shut, by = max(most, w.most), verdicts+w.verdicts, shut+w.shutWrong, by+w.now
-			for _, p := range w.state.Past() {
-				if p.Verb == Convict && len(p.Witnesses) > 1 && w.bad[p.Key.ID] {
+			for _, p := range w.state.History() {
+				if p.Verb == Eject && len(p.Witnesses) > 1 && w.bad[p.Key.ID] {
 					others++
 				}
 			}
@@ -760,23 +760,23 @@
 		trades  func() []*trade
 		service string
 		part    float64
-		manner  Manner
-		kind    Kind
+		manner  Mode
+		kind    EvidenceKind
 		share   float64
 		caller  int           // of this zone only, at backends elsewhere; -1: any
 		most    time.Duration // stated, for the median; 0: no verdict
 	}{
-		{"one answer in forty lost", 12, small, "libro", 0.5, Strict, Lost, 1. / 40, -1, 15 * time.Second},
-		{"one answer in forty lost", 96, site, "libro", 0.5, Strict, Lost, 1. / 40, -1, 15 * time.Second},
-		{"one in forty answered twice", 12, small, "libro", 0.5, Strict, Second, 1. / 40, -1, 300 * ms},
-		{"one in forty answered twice", 96, site, "libro", 0.5, Strict, Second, 1. / 40, -1, 300 * ms},
-		{"all within two seconds, no seal", 12, small, "libro", 1, Strict, Unsealed, 1, -1, time.Second},
-		{"one in five fails by 5xx", 12, small, "libro", 0.5, Strict, Failed, 0.2, -1, 15 * time.Second},
-		{"one in five fails by 5xx", 96, site, "libro", 0.5, Strict, Failed, 0.2, -1, 20 * time.Second},
-		{"nine reads in ten without a seal", 96, site, "catalogo", 0.5, Patient, Unsealed, 0.9, -1, 15 * time.Second},
-		{"one in ten lost, from one zone", 12, small, "libro", 1, Strict, Lost, 0.1, 2, 0},
-		{"one in ten lost, from one zone", 96, site, "libro", 1, Strict, Lost, 0.1, 2, 0},
-		{"all fail by 5xx alike", 12, small, "libro", 1, Strict, Failed, 0.5, -1, 0},
+		{"one answer in forty lost", 12, small, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
+		{"one answer in forty lost", 96, site, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
+		{"one in forty answered twice", 12, small, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"one in forty answered twice", 96, site, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"all within two seconds, no seal", 12, small, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
+		{"one in five fails by 5xx", 12, small, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
+		{"one in five fails by 5xx", 96, site, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
+		{"nine reads in ten without a seal", 96, site, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
+		{"one in ten lost, from one zone", 12, small, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"one in ten lost, from one zone", 96, site, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"all fail by 5xx alike", 12, small, "libro", 1, Strict, ServerError, 0.5, -1, 0},
 	} {
 		var first, last []time.Duration
 		met, verdicts, sick, refused := 0, 0, 0, 0
@@ -789,7 +789,7 @@
 			return w
 		}, func(w *world) {
 			first, last = append(first, w.firstTo...), append(last, w.lastTo...)
-			met, verdicts, sick = met+w.met[c.kind], verdicts+w.verdicts, sick+len(w.state.Cases())
+			met, verdicts, sick = met+w.met[c.kind], verdicts+w.verdicts, sick+len(w.state.Ejections())
 			for _, d := range w.nodes {
 				refused += d.refused
 			}
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -17,12 +17,12 @@
 
 // Set and Clear are operators', the others the duty's.
 const (
-	Set     Verb = "set"     // settings
-	Convict Verb = "convict" // shut, or shut again
-	Parole  Verb = "parole"  // one step back
-	Acquit  Verb = "acquit"  // the last one
-	Clear   Verb = "clear"   // free at once, and what was seen before says nothing
-	Forget  Verb = "forget"  // lives that are gone
+	SetSettings Verb = "set"     // settings
+	Eject       Verb = "convict" // shut, or shut again
+	StepUp      Verb = "parole"  // one step back
+	Readmit     Verb = "acquit"  // the last one
+	Clear       Verb = "clear"   // free at once, and what was seen before says nothing
+	Forget      Verb = "forget"  // lives that are gone
 )
 
 // Step is where a case is.
@@ -30,10 +30,10 @@
 
 // A strict case goes from Out by Reads and Writes to Free, a patient one from Out by Reads.
 const (
-	Out Step = iota
-	Reads
-	Writes
-	Free
+	Ejected Step = iota
+	ReadsOnly
+	LimitedWrites
+	InService
 )
 
 var stepNames = [...]string{"out", "reads", "writes", "free"}
@@ -41,141 +41,141 @@
 func (s Step) String() string { return stepNames[s] }
 
 // next is the step after, by manner.
-func (s Step) next(m Manner) Step {
-	if s == Reads && m == Patient {
-		return Free
+func (s Step) next(m Mode) Step {
+	if s == ReadsOnly && m == Patient {
+		return InService
 	}
-	return min(s+1, Free)
+	return min(s+1, InService)
 }
 
-// bind is what a case lets through in its own manner.
-func (c *Case) bind() Bind {
+// access is what a case lets through in its own manner.
+func (c *Ejection) access() Access {
 	switch {
-	case c.Step == Free:
+	case c.Step == InService:
 		return Open
-	case c.Step == Writes || c.Step == Reads && c.Manner == Patient:
-		return Trickle
+	case c.Step == LimitedWrites || c.Step == ReadsOnly && c.Mode == Patient:
+		return Limited
 	}
-	return Shut
+	return Closed
 }
 
 // Entry is an order or a verdict, as the ordered log has it. Rev names what it builds on: of two at once one wins, and
 // a late one hits nothing newer.
 type Entry struct {
-	Verb  Verb
-	Mark  string // operators: names the call; the same again is answered as the first was
-	By    string // who, for the history
-	At    int64  // milliseconds since 1970, for the history alone
-	Why   string
-	Rev   uint64 // of the case, 0 if there is none; of the settings for Set
-	Fence uint64 // the duty: 1 or more. 0: an operator
-
-	Key       Key
-	Service   string
-	Witnesses []Slot // Convict: those whose word alone would do first
-	Suffice   int    // Convict: so many they are
-	Backs     int    // Convict: ready ones of the service
-	Score     int    // Convict: failing share, in 1/1000
-	Gone      []LifeID
-	Settings  *Settings
+	Verb         Verb
+	CallID       string // operators: names the call; the same again is answered as the first was
+	Author       string // who, for the history
+	UnixMilli    int64  // milliseconds since 1970, for the history alone
+	Reason       string
+	Revision     uint64 // of the case, 0 if there is none; of the settings for Set
+	FencingToken uint64 // the duty: 1 or more. 0: an operator
+
+	Key             Key
+	Service         string
+	Witnesses       []Slot // Convict: those whose word alone would do first
+	SufficientAlone int    // Convict: so many they are
+	ReadyBackends   int    // Convict: ready ones of the service
+	Score           int    // Convict: failing share, in 1/1000
+	GoneInstances   []InstanceID
+	Settings        *Settings
 }
 
-// Case is what became of a key that was ever convicted.
-type Case struct {
+// Ejection is what became of a key that was ever convicted.
+type Ejection struct {
 	Key
-	Service string
-	Step    Step
-	Rev     uint64 // rises with each change of it
-	Falls   int    // convictions but the first
-	Alone   Slot   // on whose word alone it is out; NoSlot: on more, or not out
-	Score   int
-	Why     string
+	Service     string
+	Step        Step
+	Rev         uint64 // rises with each change of it
+	Repeats     int    // convictions but the first
+	SoleWitness Slot   // on whose word alone it is out; NoSlot: on more, or not out
+	Score       int
+	Reason      string
 }
 
-// Past is one line of the history.
-type Past struct {
+// HistoryEntry is one line of the history.
+type HistoryEntry struct {
 	Verb      Verb
 	Key       Key
 	Step      Step
-	By        string
-	At        int64
-	Why       string
+	Author    string
+	UnixMilli int64
+	Reason    string
 	Witnesses []Slot
 }
 
 // Trust is what is held against a witness.
 type Trust struct {
-	Seat    Slot
+	Witness Slot
 	Refuted int    // verdicts of its own that nobody else bore out
 	Rev     uint64 // at the last of them
 }
 
 // Bounds of the state.
 const (
-	casesMost = 1024
-	pastMost  = 256
-	marksMost = 256
-	textMost  = 256
-	trustMost = 1024
-	fallsMost = 16
-	witnesses = 8
-	forgive   = 24 // entries, some five verdicts with their ways back, after which half of it is forgiven
+	maxEjections      = 1024
+	maxHistory        = 256
+	maxCallIDs        = 256
+	maxTextBytes      = 256
+	maxTrust          = 1024
+	maxRepeats        = 16
+	maxNamedWitnesses = 8
+	forgiveAfter      = 24 // entries, some five verdicts with their ways back, after which half of it is forgiven
 )
 
 // State is folded from the ordered log: all nodes come to the same.
-type State struct{ kept }
-
-type kept struct {
-	Settings Settings
-	SetRev   uint64
-	Cases    []Case // by key
-	Past     []Past
-	Trust    []Trust
-	Rev      uint64
-	Fence    uint64
-	Marks    []string
+type State struct{ snapshot }
+
+type snapshot struct {
+	Settings         Settings
+	SettingsRevision uint64
+	Ejections        []Ejection // by key
+	History          []HistoryEntry
+	Trust            []Trust
+	Revision         uint64
+	FencingToken     uint64
+	CallIDs          []string
 }
 
 // NewState is that before the first entry.
-func NewState() *State { return &State{kept{Settings: Usual()}} }
+func NewState() *State { return &State{snapshot{Settings: DefaultSettings()}} }
 
-// On tells whether anything is judged, reported or bound.
-func (s *State) On() bool { return s.kept.Settings.On }
+// Enabled tells whether anything is judged, reported or bound.
+func (s *State) Enabled() bool { return s.snapshot.Settings.Enabled }
 
 // Settings are those in force; not to be changed.
-func (s *State) Settings() *Settings { return &s.kept.Settings }
+func (s *State) Settings() *Settings { return &s.snapshot.Settings }
 
-// Cases are all, by key; not to be changed.
-func (s *State) Cases() []Case { return s.kept.Cases }
+// Ejections are all, by key; not to be changed.
+func (s *State) Ejections() []Ejection { return s.snapshot.Ejections }
 
-// Past is the history, oldest first; not to be changed.
-func (s *State) Past() []Past { return s.kept.Past }
+// History is the history, oldest first; not to be changed.
+func (s *State) History() []HistoryEntry { return s.snapshot.History }
 
-// Case of a key, nil if it was never convicted; not to be changed.
-func (s *State) Case(k Key) *Case {
+// Ejection of a key, nil if it was never convicted; not to be changed.
+func (s *State) Ejection(k Key) *Ejection {
 	if i, ok := s.find(k); ok {
-		return &s.kept.Cases[i]
+		return &s.snapshot.Ejections[i]
 	}
 	return nil
 }
 
 // Rev under which a key's evidence is gathered now.
-func (s *State) rev(k Key) uint64 {
-	if c := s.Case(k); c != nil {
+func (s *State) revision(k Key) uint64 {
+	if c := s.Ejection(k); c != nil {
 		return c.Rev
 	}
 	return 0
 }
 
 func (s *State) find(k Key) (int, bool) {
-	return slices.BinarySearchFunc(s.kept.Cases, k, func(c Case, k Key) int { return c.compare(k) })
+	return slices.BinarySearchFunc(s.snapshot.Ejections, k, func(c Ejection, k Key) int { return c.compare(k) })
 }
 
-// Word encodes an entry for the log.
-func (e *Entry) Word() []byte { return logentry.Encode(e) }
+// Encode encodes an entry for the log.
+func (e *Entry) Encode() []byte { return logentry.Encode(e) }
 
-// ReadEntry decodes one.
-func ReadEntry(b []byte) (*Entry, error) {
+// DecodeEntry decodes one.
+func DecodeEntry(b []byte) (*Entry, error) {
 	e := new(Entry)
 	return e, logentry.Decode(b, e, "entry of outlier")
 }
@@ -186,106 +186,106 @@
 
 // Decide tells what would become of an entry now, and changes nothing.
 func (s *State) Decide(e *Entry) (routing.Verdict, error) {
-	if e.Mark != "" && slices.Contains(s.Marks, e.Mark) {
+	if e.CallID != "" && slices.Contains(s.CallIDs, e.CallID) {
 		return routing.Already, nil
 	}
-	for _, t := range []string{e.Mark, e.By, e.Why, e.Service, string(e.Key.ID)} {
-		if len(t) > textMost {
-			return routing.Invalid, errors.Errorf("a text is longer than %d bytes", textMost)
+	for _, t := range []string{e.CallID, e.Author, e.Reason, e.Service, string(e.Key.ID)} {
+		if len(t) > maxTextBytes {
+			return routing.Invalid, errors.Errorf("a text is longer than %d bytes", maxTextBytes)
 		}
 	}
-	c := s.Case(e.Key)
-	rev := s.rev(e.Key)
-	if e.Verb == Set {
-		rev = s.SetRev
+	c := s.Ejection(e.Key)
+	rev := s.revision(e.Key)
+	if e.Verb == SetSettings {
+		rev = s.SettingsRevision
 	}
-	byDuty := e.Verb != Set && e.Verb != Clear
+	byDuty := e.Verb != SetSettings && e.Verb != Clear
 	switch {
-	case byDuty != (e.Fence > 0):
-		return routing.Invalid, errors.Errorf("fence: %d is not that of who may %s", e.Fence, e.Verb)
-	case byDuty && e.Fence < s.Fence:
-		return conflict("fence: is %d, but %d was seen", e.Fence, s.Fence)
+	case byDuty != (e.FencingToken > 0):
+		return routing.Invalid, errors.Errorf("fence: %d is not that of who may %s", e.FencingToken, e.Verb)
+	case byDuty && e.FencingToken < s.FencingToken:
+		return conflict("fence: is %d, but %d was seen", e.FencingToken, s.FencingToken)
 	case e.Verb == Forget:
-		if len(e.Gone) == 0 || len(e.Gone) > casesMost {
+		if len(e.GoneInstances) == 0 || len(e.GoneInstances) > maxEjections {
 			return routing.Invalid, errors.New("gone: names no life, or too many")
 		}
 		return routing.Taken, nil
-	case e.Rev != rev:
-		return conflict("rev: is %d, but %d is current", e.Rev, rev)
-	case e.Verb == Set:
+	case e.Revision != rev:
+		return conflict("rev: is %d, but %d is current", e.Revision, rev)
+	case e.Verb == SetSettings:
 		if e.Settings == nil {
 			return routing.Invalid, errors.New("settings: missing")
 		}
 		x := *e.Settings
-		if err := x.Check(); err != nil {
+		if err := x.Normalize(); err != nil {
 			return routing.Invalid, err
 		}
 		return routing.Taken, nil
-	case e.Verb == Convict:
-		return s.convict(e, c)
+	case e.Verb == Eject:
+		return s.decideEject(e, c)
 	case c == nil:
-		return conflict("key: %s was never convicted as %s", e.Key.ID, e.Key.Manner)
+		return conflict("key: %s was never convicted as %s", e.Key.ID, e.Key.Mode)
 	case e.Verb == Clear:
 		return routing.Taken, nil
-	case e.Verb == Parole && c.Step != Free && c.Step.next(c.Manner) != Free,
-		e.Verb == Acquit && c.Step != Free && c.Step.next(c.Manner) == Free:
+	case e.Verb == StepUp && c.Step != InService && c.Step.next(c.Mode) != InService,
+		e.Verb == Readmit && c.Step != InService && c.Step.next(c.Mode) == InService:
 		return routing.Taken, nil
-	case e.Verb == Parole || e.Verb == Acquit:
+	case e.Verb == StepUp || e.Verb == Readmit:
 		return conflict("verb: no %s from %s", e.Verb, c.Step)
 	}
 	return routing.Invalid, errors.Errorf("verb: no %q", e.Verb)
 }
 
-func (s *State) convict(e *Entry, c *Case) (routing.Verdict, error) {
+func (s *State) decideEject(e *Entry, c *Ejection) (routing.Verdict, error) {
 	switch {
-	case e.Key.ID == "" || e.Key.Manner >= manners || e.Service == "" || e.Backs < 1:
+	case e.Key.ID == "" || e.Key.Mode >= modeCount || e.Service == "" || e.ReadyBackends < 1:
 		return routing.Invalid, errors.New("key: names no backend of a service")
-	case len(e.Witnesses) == 0 || len(e.Witnesses) > witnesses:
+	case len(e.Witnesses) == 0 || len(e.Witnesses) > maxNamedWitnesses:
 		return routing.Invalid, errors.New("witnesses: none, or too many")
-	case !s.On():
+	case !s.Enabled():
 		return conflict("settings: nothing is judged")
-	case c != nil && c.Step == Out:
-		return conflict("key: %s is out as %s", e.Key.ID, e.Key.Manner)
-	case c == nil && len(s.kept.Cases) >= casesMost && s.oldestFree() < 0:
-		return conflict("key: %d cases are kept, and none of them is free", casesMost)
+	case c != nil && c.Step == Ejected:
+		return conflict("key: %s is out as %s", e.Key.ID, e.Key.Mode)
+	case c == nil && len(s.snapshot.Ejections) >= maxEjections && s.oldestInService() < 0:
+		return conflict("key: %d cases are kept, and none of them is free", maxEjections)
 	}
-	if _, ok := s.rests(e); !ok {
+	if _, ok := s.soleWitness(e); !ok {
 		return conflict("witnesses: not two that are trusted, and no one may have more out alone")
 	}
 	return routing.Taken, nil
 }
 
-// rests tells on whose word alone a verdict is, or that it is on several: a refuted witness weighs half of one each time.
+// soleWitness tells on whose word alone a verdict is, or that it is on several: a refuted witness weighs half of one each time.
 // What one alone may have out is the bound on a node that lies.
-func (s *State) rests(e *Entry) (alone Slot, ok bool) {
+func (s *State) soleWitness(e *Entry) (alone Slot, ok bool) {
 	weight := 0.0
 	for _, w := range e.Witnesses {
-		weight += math.Pow(0.5, float64(s.refuted(w)))
+		weight += math.Pow(0.5, float64(s.refutations(w)))
 	}
 	if weight >= 2 {
 		return membership.NoSlot, true
 	}
-	for _, w := range e.Witnesses[:min(max(e.Suffice, 0), len(e.Witnesses))] {
+	for _, w := range e.Witnesses[:min(max(e.SufficientAlone, 0), len(e.Witnesses))] {
 		ofService, ofAll := 0, 0
-		for i := range s.kept.Cases {
-			if o := &s.kept.Cases[i]; o.Alone == w && o.Key != e.Key {
+		for i := range s.snapshot.Ejections {
+			if o := &s.snapshot.Ejections[i]; o.SoleWitness == w && o.Key != e.Key {
 				ofAll++
-				if o.Service == e.Service && o.Manner == e.Key.Manner {
+				if o.Service == e.Service && o.Mode == e.Key.Mode {
 					ofService++
 				}
 			}
 		}
-		if mayService, mayAll := s.kept.Settings.alone(e.Backs, s.refuted(w)); ofService < mayService && ofAll < mayAll {
+		if mayService, mayAll := s.snapshot.Settings.soleWitnessLimits(e.ReadyBackends, s.refutations(w)); ofService < mayService && ofAll < mayAll {
 			return w, true
 		}
 	}
 	return membership.NoSlot, false
 }
 
-func (s *State) refuted(w Slot) int {
-	for _, t := range s.kept.Trust {
-		if t.Seat == w {
-			return t.Refuted >> min((s.Rev-t.Rev)/forgive, 62)
+func (s *State) refutations(w Slot) int {
+	for _, t := range s.snapshot.Trust {
+		if t.Witness == w {
+			return t.Refuted >> min((s.Revision-t.Rev)/forgiveAfter, 62)
 		}
 	}
 	return 0
@@ -293,16 +293,16 @@
 
 // refute notes that what one witness alone had out came back, and nobody else had seen anything.
 func (s *State) refute(w Slot) {
-	n := s.refuted(w) + 1
-	s.kept.Trust = slices.DeleteFunc(s.kept.Trust, func(t Trust) bool { return t.Seat == w })
-	s.kept.Trust = logentry.KeepLast(append(s.kept.Trust, Trust{w, n, s.Rev}), trustMost)
+	n := s.refutations(w) + 1
+	s.snapshot.Trust = slices.DeleteFunc(s.snapshot.Trust, func(t Trust) bool { return t.Witness == w })
+	s.snapshot.Trust = logentry.KeepLast(append(s.snapshot.Trust, Trust{w, n, s.Revision}), maxTrust)
 }
 
-// oldestFree is the case to drop where there is no room; -1: none.
-func (s *State) oldestFree() int {
+// oldestInService is the case to drop where there is no room; -1: none.
+func (s *State) oldestInService() int {
 	least := -1
-	for i := range s.kept.Cases {
-		if c := &s.kept.Cases[i]; c.Step == Free && (least < 0 || c.Rev < s.kept.Cases[least].Rev) {
+	for i := range s.snapshot.Ejections {
+		if c := &s.snapshot.Ejections[i]; c.Step == InService && (least < 0 || c.Rev < s.snapshot.Ejections[least].Rev) {
 			least = i
 		}
 	}
@@ -314,58 +314,58 @@
 	if v, err := s.Decide(e); v != routing.Taken {
 		return v, err
 	}
-	s.Rev++
-	s.Fence = max(s.Fence, e.Fence)
-	if e.Mark != "" {
-		s.Marks = logentry.KeepLast(append(s.Marks, e.Mark), marksMost)
+	s.Revision++
+	s.FencingToken = max(s.FencingToken, e.FencingToken)
+	if e.CallID != "" {
+		s.CallIDs = logentry.KeepLast(append(s.CallIDs, e.CallID), maxCallIDs)
 	}
-	step := Free
+	step := InService
 	switch e.Verb {
-	case Set:
-		s.kept.Settings, s.SetRev = *e.Settings, s.Rev
-		err := s.kept.Settings.Check()
+	case SetSettings:
+		s.snapshot.Settings, s.SettingsRevision = *e.Settings, s.Revision
+		err := s.snapshot.Settings.Normalize()
 		invariant.That(err == nil, "settings that were taken are sound")
 	case Forget:
-		s.kept.Cases = slices.DeleteFunc(s.kept.Cases, func(c Case) bool { return slices.Contains(e.Gone, c.ID) })
-	case Convict:
-		s.fall(e)
-		step = Out
+		s.snapshot.Ejections = slices.DeleteFunc(s.snapshot.Ejections, func(c Ejection) bool { return slices.Contains(e.GoneInstances, c.ID) })
+	case Eject:
+		s.eject(e)
+		step = Ejected
 	default:
-		c := s.Case(e.Key)
-		if e.Verb == Acquit && c.Alone != membership.NoSlot {
-			s.refute(c.Alone)
+		c := s.Ejection(e.Key)
+		if e.Verb == Readmit && c.SoleWitness != membership.NoSlot {
+			s.refute(c.SoleWitness)
 		}
-		if e.Verb == Parole {
-			step = c.Step.next(c.Manner)
+		if e.Verb == StepUp {
+			step = c.Step.next(c.Mode)
 		} else {
-			c.Alone = membership.NoSlot
+			c.SoleWitness = membership.NoSlot
 		}
-		if c.Step, c.Rev = step, s.Rev; e.Verb == Clear {
-			c.Falls = 0
+		if c.Step, c.Rev = step, s.Revision; e.Verb == Clear {
+			c.Repeats = 0
 		}
 	}
-	s.kept.Past = logentry.KeepLast(append(s.kept.Past, Past{e.Verb, e.Key, step, e.By, e.At, e.Why, e.Witnesses}), pastMost)
+	s.snapshot.History = logentry.KeepLast(append(s.snapshot.History, HistoryEntry{e.Verb, e.Key, step, e.Author, e.UnixMilli, e.Reason, e.Witnesses}), maxHistory)
 	return routing.Taken, nil
 }
 
-func (s *State) fall(e *Entry) {
-	alone, _ := s.rests(e)
+func (s *State) eject(e *Entry) {
+	alone, _ := s.soleWitness(e)
 	i, had := s.find(e.Key)
 	if !had {
-		if len(s.kept.Cases) >= casesMost {
-			at := s.oldestFree()
-			s.kept.Cases = slices.Delete(s.kept.Cases, at, at+1)
+		if len(s.snapshot.Ejections) >= maxEjections {
+			at := s.oldestInService()
+			s.snapshot.Ejections = slices.Delete(s.snapshot.Ejections, at, at+1)
 			i, _ = s.find(e.Key)
 		}
-		s.kept.Cases = slices.Insert(s.kept.Cases, i, Case{Key: e.Key, Falls: -1})
+		s.snapshot.Ejections = slices.Insert(s.snapshot.Ejections, i, Ejection{Key: e.Key, Repeats: -1})
 	}
-	c := &s.kept.Cases[i]
-	c.Service, c.Step, c.Rev, c.Alone, c.Score, c.Why = e.Service, Out, s.Rev, alone, e.Score, e.Why
-	c.Falls = min(c.Falls+1, fallsMost)
+	c := &s.snapshot.Ejections[i]
+	c.Service, c.Step, c.Rev, c.SoleWitness, c.Score, c.Reason = e.Service, Ejected, s.Revision, alone, e.Score, e.Reason
+	c.Repeats = min(c.Repeats+1, maxRepeats)
 }
 
 // Snapshot is the whole state as bytes.
-func (s *State) Snapshot() []byte { return logentry.Encode(s.kept) }
+func (s *State) Snapshot() []byte { return logentry.Encode(s.snapshot) }
 
 // Restore reads one; nothing at all is the state before the first entry.
 func Restore(b []byte) (*State, error) {
@@ -373,6 +373,6 @@
 	if len(b) == 0 {
 		return s, nil
 	}
-	s.kept = kept{}
-	return s, logentry.Decode(b, &s.kept, "snapshot of outlier")
+	s.snapshot = snapshot{}
+	return s, logentry.Decode(b, &s.snapshot, "snapshot of outlier")
 }
--- a/internal/gateway/rollout/counts.go
+++ b/internal/gateway/rollout/counts.go
@@ -22,37 +22,37 @@
 
 // A 4xx is the service's own word and Fine.
 const (
-	Fine     Cause = iota
-	Failed         // "5xx": an answer of 5xx
-	NoAnswer       // "none": time-out, reset, no connection
-	Wrong          // "wrong": an answer that is not ours, such as bytes without a seal
-	Full           // "full": turned away unseen
-	causes
+	Success         Cause = iota
+	ServerError           // "5xx": an answer of 5xx
+	NoResponse            // "none": time-out, reset, no connection
+	InvalidResponse       // "wrong": an answer that is not ours, such as bytes without a seal
+	Rejected              // "full": turned away unseen
+	causeCount
 )
 
-var causeNames = [causes]string{"", "5xx", "none", "wrong", "full"}
+var causeNames = [causeCount]string{"", "5xx", "none", "wrong", "full"}
 
-// End is the one end of a request's first submission. Further tries are not told: they go only where the first
+// Outcome is the one end of a request's first submission. Further tries are not told: they go only where the first
 // one failed. Nor is what ended by this node's own doing.
-type End struct {
-	Side    Side
-	Kind    Kind
-	Call    uint32 // the route, by a number of this node's: each has its own usual time
-	Tenant  uint32 // alike at every node
-	Backend uint64 // alike at every node, not 0
-	Cause   Cause
-	Took    time.Duration // from its sending to the whole answer
-	Cold    bool          // the backend is still slow from its start: how long it took says nothing
+type Outcome struct {
+	Side      Side
+	Kind      Kind
+	Route     uint32 // the route, by a number of this node's: each has its own usual time
+	Tenant    uint32 // alike at every node
+	Backend   uint64 // alike at every node, not 0
+	Cause     Cause
+	Latency   time.Duration // from its sending to the whole answer
+	WarmingUp bool          // the backend is still slow from its start: how long it took says nothing
 }
 
-// Buckets of a Tally's times: bucket i ends at 2^(i/2) milliseconds, the last one nowhere.
-const Buckets = 26
+// LatencyBuckets of a Tally's times: bucket i ends at 2^(i/2) milliseconds, the last one nowhere.
+const LatencyBuckets = 26
 
 // Tally is what ended on one side, of one kind.
 type Tally struct {
 	Ends  uint32
-	By    [causes]uint32  // by Cause
-	Times [Buckets]uint32 // answers of warm backends
+	By    [causeCount]uint32     // by Cause
+	Times [LatencyBuckets]uint32 // answers of warm backends
 }
 
 // Counts are of one step: by Side and Kind.
@@ -91,68 +91,68 @@
 
 // What is tested: failing ends by kind over all and by group of tenants, and slow answers by kind.
 const (
-	groups  = 16 // of tenants, by hash
-	slices_ = 1 + groups
-	slow    = 2 * slices_
-	tests   = slow + 2
-	thetas  = 4
-	windows = 2 // evidence since the step began, and of the present lap
-	backsOf = 32
+	tenantGroups = 16 // of tenants, by hash
+	failureTests = 1 + tenantGroups
+	latencyTests = 2 * failureTests
+	testCount    = latencyTests + 2
+	ratioCount   = 4
+	windowCount  = 2 // evidence since the step began, and of the present lap
+	maxBackends  = 32
 )
 
-// theta are how many times as often the new version may fail: the test bets on each of them.
-var theta = [thetas]float64{1.4, 2.2, 6, 40}
+// failureRatios are how many times as often the new version may fail: the test bets on each of them.
+var failureRatios = [ratioCount]float64{1.4, 2.2, 6, 40}
 
-type vector [tests][thetas]float64
+type logWealth [testCount][ratioCount]float64
 
 // evidence against the new version, in nats, for each window; and the part of it that rests on one backend's
 // failures.
 type evidence struct {
-	l  [windows]vector
-	by map[uint64]*[windows]vector
+	total      [windowCount]logWealth
+	perBackend map[uint64]*[windowCount]logWealth
 }
 
 // Ends are put together for a span before they are weighed: a short one where the new version has enough of
 // them. One failing end among few weighs little, however sure the bet.
 const (
-	spanLong = 500 * time.Millisecond
-	spanMost = 4 * spanLong
-	spanEnds = 10 // of the new version
+	shortSpan         = 500 * time.Millisecond
+	longSpan          = 4 * shortSpan
+	shortSpanOutcomes = 10 // of the new version
 )
 
 // span counts the ends of one span at one node. These are compared with each other only: what befalls both
 // sides, in this span and at this node, cancels.
 type span struct {
-	n, x [2][tests]uint32 // ends and bad ones
-	by   map[uint64]*[tests]uint32
+	outcomes, failures [2][testCount]uint32 // ends and bad ones
+	perBackend         map[uint64]*[testCount]uint32
 }
 
-// fold weighs a span. Given how many were bad on both sides together, each of them was on the new side with
+// add weighs a span. Given how many were bad on both sides together, each of them was on the new side with
 // chance n1/(n0+n1) if the versions are alike; the bet on theta multiplies by c1 for one on the new side, by
 // c0 for one on the old, and its mean is at most 1. Extra bad ends are borne at the rate given: their mean
 // effect is taken off. See the note for why the product never grows by chance.
-func (e *evidence) fold(s *span, extra func(test int) float64) {
-	for t := range tests {
-		n0, n1 := float64(s.n[Old][t]), float64(s.n[New][t])
+func (e *evidence) add(s *span, extra func(test int) float64) {
+	for t := range testCount {
+		n0, n1 := float64(s.outcomes[Baseline][t]), float64(s.outcomes[Canary][t])
 		if n0 == 0 || n1 == 0 {
 			continue
 		}
-		x0, x1, borne := float64(s.x[Old][t]), float64(s.x[New][t]), n1*extra(t)
-		for i, th := range theta {
+		x0, x1, borne := float64(s.failures[Baseline][t]), float64(s.failures[Canary][t]), n1*extra(t)
+		for i, th := range failureRatios {
 			c0 := (n0 + n1) / (th*n1 + n0)
 			gain := math.Log(th * c0)
 			d := x1*gain + x0*math.Log(c0) - borne*(th*c0-1)
-			for w := range e.l {
-				e.l[w][t][i] += d
+			for w := range e.total {
+				e.total[w][t][i] += d
 			}
-			for b, x := range s.by {
+			for b, x := range s.perBackend {
 				if x[t] == 0 {
 					continue
 				}
-				v := e.by[b]
+				v := e.perBackend[b]
 				if v == nil {
-					v = new([windows]vector)
-					e.by[b] = v
+					v = new([windowCount]logWealth)
+					e.perBackend[b] = v
 				}
 				for w := range v {
 					v[w][t][i] += float64(x[t]) * gain
@@ -162,33 +162,33 @@
 	}
 }
 
-// drop forgets one window.
-func (e *evidence) drop(w int) {
-	e.l[w] = vector{}
-	for _, v := range e.by {
-		v[w] = vector{}
+// resetWindow forgets one window.
+func (e *evidence) resetWindow(w int) {
+	e.total[w] = logWealth{}
+	for _, v := range e.perBackend {
+		v[w] = logWealth{}
 	}
 }
 
-// grain of packed evidence, in parts of a nat. It is rounded against a pull-back.
-const grain = 64
+// evidencePerNat of packed evidence, in parts of a nat. It is rounded against a pull-back.
+const evidencePerNat = 64
 
-// pack writes evidence: for each line its test and window, the backend (0: all), the bets.
-func (e *evidence) pack() []byte {
+// encode writes evidence: for each line its test and window, the backend (0: all), the bets.
+func (e *evidence) encode() []byte {
 	var b []byte
-	put := func(back uint64, w, t int, v *[thetas]float64, round func(float64) float64) {
-		if *v == ([thetas]float64{}) {
+	put := func(back uint64, w, t int, v *[ratioCount]float64, round func(float64) float64) {
+		if *v == ([ratioCount]float64{}) {
 			return
 		}
 		b = binary.AppendUvarint(append(b, byte(t<<1|w)), back)
 		for _, x := range v {
-			b = binary.AppendVarint(b, int64(round(x*grain)))
+			b = binary.AppendVarint(b, int64(round(x*evidencePerNat)))
 		}
 	}
-	for w := range windows {
-		for t := range tests {
-			put(0, w, t, &e.l[w][t], math.Floor)
-			for back, v := range e.by {
+	for w := range windowCount {
+		for t := range testCount {
+			put(0, w, t, &e.total[w][t], math.Floor)
+			for back, v := range e.perBackend {
 				put(back, w, t, &v[w][t], math.Ceil)
 			}
 		}
@@ -196,25 +196,25 @@
 	return b
 }
 
-// unpack reads it.
-func unpack(b []byte) (*evidence, error) {
-	e := &evidence{by: map[uint64]*[windows]vector{}}
+// decodeEvidence reads it.
+func decodeEvidence(b []byte) (*evidence, error) {
+	e := &evidence{perBackend: map[uint64]*[windowCount]logWealth{}}
 	for len(b) > 0 {
 		w, t := int(b[0]&1), int(b[0]>>1)
 		back, n := binary.Uvarint(b[1:])
-		if n <= 0 || t >= tests {
+		if n <= 0 || t >= testCount {
 			return nil, errors.New("evidence: broken line")
 		}
 		b = b[1+n:]
-		to := &e.l[w][t]
+		to := &e.total[w][t]
 		if back != 0 {
-			v := e.by[back]
+			v := e.perBackend[back]
 			if v == nil {
-				if len(e.by) >= backsOf {
+				if len(e.perBackend) >= maxBackends {
 					return nil, errors.New("evidence: too many backends")
 				}
-				v = new([windows]vector)
-				e.by[back] = v
+				v = new([windowCount]logWealth)
+				e.perBackend[back] = v
 			}
 			to = &v[w][t]
 		}
@@ -223,141 +223,141 @@
 			if n <= 0 {
 				return nil, errors.New("evidence: cut short")
 			}
-			to[i], b = float64(x)/grain, b[n:]
+			to[i], b = float64(x)/evidencePerNat, b[n:]
 		}
 	}
 	return e, nil
 }
 
-// limit is the old version's time at the quantile, for one route: it moves up with each answer above it and
+// quantileEstimate is the old version's time at the quantile, for one route: it moves up with each answer above it and
 // down with each below, so that it settles where the parts are right.
-type limit struct {
-	at   float64 // seconds
-	seen int
+type quantileEstimate struct {
+	seconds float64 // seconds
+	samples int
 }
 
 const (
-	limitLeast = 20   // answers before it is used
-	limitStep  = 0.04 // a longer one to begin with
-	limitsMost = 512
-	slack      = 0.010 // seconds that are borne in any case: another zone, a new connection
+	minQuantileSamples = 20   // answers before it is used
+	minQuantileStep    = 0.04 // a longer one to begin with
+	maxQuantileRoutes  = 512
+	latencySlack       = 0.010 // seconds that are borne in any case: another zone, a new connection
 )
 
-func (l *limit) learn(took, quantile float64) {
-	if l.seen++; l.seen == 1 {
-		l.at = took
+func (l *quantileEstimate) observe(took, quantile float64) {
+	if l.samples++; l.samples == 1 {
+		l.seconds = took
 		return
 	}
-	step := max(limitStep, 1/math.Sqrt(float64(l.seen)))
-	if took > l.at {
-		l.at *= math.Exp(step * quantile)
+	step := max(minQuantileStep, 1/math.Sqrt(float64(l.samples)))
+	if took > l.seconds {
+		l.seconds *= math.Exp(step * quantile)
 	} else {
-		l.at *= math.Exp(-step * (1 - quantile))
+		l.seconds *= math.Exp(-step * (1 - quantile))
 	}
 }
 
-// counter is what one node knows of one running step.
-type counter struct {
-	failing  Failing
-	counted  [causes]bool
-	sums     Counts
-	span     span
-	since    time.Duration
-	evidence evidence
-	limits   map[uint32]*limit
-	backs    map[uint64]struct{} // of the new version, seen at work
-	changed  bool
+// stepCounter is what one node knows of one running step.
+type stepCounter struct {
+	criteria       FailureCriteria
+	countedCauses  [causeCount]bool
+	counts         Counts
+	span           span
+	spanStart      time.Duration
+	evidence       evidence
+	latencyByRoute map[uint32]*quantileEstimate
+	canaryBackends map[uint64]struct{} // of the new version, seen at work
+	changed        bool
 }
 
-func newCounter(f Failing, now time.Duration) *counter {
-	c := &counter{failing: f, since: now, limits: map[uint32]*limit{}, backs: map[uint64]struct{}{}}
-	c.evidence.by, c.span.by = map[uint64]*[windows]vector{}, map[uint64]*[tests]uint32{}
+func newStepCounter(f FailureCriteria, now time.Duration) *stepCounter {
+	c := &stepCounter{criteria: f, spanStart: now, latencyByRoute: map[uint32]*quantileEstimate{}, canaryBackends: map[uint64]struct{}{}}
+	c.evidence.perBackend, c.span.perBackend = map[uint64]*[windowCount]logWealth{}, map[uint64]*[testCount]uint32{}
 	for i := range causeNames {
 		for _, n := range f.Causes {
-			c.counted[i] = c.counted[i] || n == causeNames[i]
+			c.countedCauses[i] = c.countedCauses[i] || n == causeNames[i]
 		}
 	}
 	return c
 }
 
-// ended takes an end.
-func (c *counter) ended(e End) {
-	t := &c.sums[e.Side][e.Kind]
+// record takes an end.
+func (c *stepCounter) record(e Outcome) {
+	t := &c.counts[e.Side][e.Kind]
 	t.Ends++
 	t.By[e.Cause]++
 	c.changed = true
-	if e.Side == New && len(c.backs) < backsOf {
-		c.backs[e.Backend] = struct{}{}
+	if e.Side == Canary && len(c.canaryBackends) < maxBackends {
+		c.canaryBackends[e.Backend] = struct{}{}
 	}
-	bad := c.counted[e.Cause]
-	base := int(e.Kind) * slices_
-	c.note(e, base, bad)
-	c.note(e, base+1+int(mix(uint64(e.Tenant))%groups), bad)
-	if e.Cause != Fine || e.Cold {
+	bad := c.countedCauses[e.Cause]
+	base := int(e.Kind) * failureTests
+	c.recordTest(e, base, bad)
+	c.recordTest(e, base+1+int(mixBits(uint64(e.Tenant))%tenantGroups), bad)
+	if e.Cause != Success || e.WarmingUp {
 		return
 	}
-	took := e.Took.Seconds()
-	t.Times[min(max(int(math.Ceil(2*math.Log2(took*1000))), 0), Buckets-1)]++
-	l := c.limits[e.Call]
+	took := e.Latency.Seconds()
+	t.Times[min(max(int(math.Ceil(2*math.Log2(took*1000))), 0), LatencyBuckets-1)]++
+	l := c.latencyByRoute[e.Route]
 	if l == nil {
-		if len(c.limits) >= limitsMost {
+		if len(c.latencyByRoute) >= maxQuantileRoutes {
 			return
 		}
-		l = &limit{}
-		c.limits[e.Call] = l
+		l = &quantileEstimate{}
+		c.latencyByRoute[e.Route] = l
 	}
-	if l.seen >= limitLeast {
-		most := l.at + slack
-		if e.Side == New {
-			most = l.at*float64(c.failing.Slower)/100 + slack
+	if l.samples >= minQuantileSamples {
+		most := l.seconds + latencySlack
+		if e.Side == Canary {
+			most = l.seconds*float64(c.criteria.Slower)/100 + latencySlack
 		}
-		c.note(e, slow+int(e.Kind), took > most)
+		c.recordTest(e, latencyTests+int(e.Kind), took > most)
 	}
-	if e.Side == Old { // after its own comparison: the limit must not know what is compared with it
-		l.learn(took, float64(c.failing.Quantile)/Whole)
+	if e.Side == Baseline { // after its own comparison: the limit must not know what is compared with it
+		l.observe(took, float64(c.criteria.Quantile)/FullShare)
 	}
 }
 
-func (c *counter) note(e End, test int, bad bool) {
-	c.span.n[e.Side][test]++
+func (c *stepCounter) recordTest(e Outcome, test int, bad bool) {
+	c.span.outcomes[e.Side][test]++
 	if !bad {
 		return
 	}
-	c.span.x[e.Side][test]++
-	if e.Side == Old {
+	c.span.failures[e.Side][test]++
+	if e.Side == Baseline {
 		return
 	}
-	v := c.span.by[e.Backend]
+	v := c.span.perBackend[e.Backend]
 	if v == nil {
-		if _, old := c.evidence.by[e.Backend]; !old && len(c.evidence.by)+len(c.span.by) >= backsOf {
+		if _, old := c.evidence.perBackend[e.Backend]; !old && len(c.evidence.perBackend)+len(c.span.perBackend) >= maxBackends {
 			return // beyond the bound a backend can't be left out
 		}
-		v = new([tests]uint32)
-		c.span.by[e.Backend] = v
+		v = new([testCount]uint32)
+		c.span.perBackend[e.Backend] = v
 	}
 	v[test]++
 }
 
-// close ends a span and weighs it.
-func (c *counter) close(now time.Duration) {
-	c.evidence.fold(&c.span, func(t int) float64 {
-		if t >= slow {
-			return slowExtra
+// closeSpan ends a span and weighs it.
+func (c *stepCounter) closeSpan(now time.Duration) {
+	c.evidence.add(&c.span, func(t int) float64 {
+		if t >= latencyTests {
+			return toleratedSlowRate
 		}
-		return float64(c.failing.Extra) / Whole
+		return float64(c.criteria.Extra) / FullShare
 	})
-	c.span.n, c.span.x = [2][tests]uint32{}, [2][tests]uint32{}
-	clear(c.span.by)
-	c.since = now
+	c.span.outcomes, c.span.failures = [2][testCount]uint32{}, [2][testCount]uint32{}
+	clear(c.span.perBackend)
+	c.spanStart = now
 }
 
-// due is when the span ends.
-func (c *counter) due() time.Duration {
-	if n := &c.span.n[New]; n[0]+n[slices_] < spanEnds {
-		return c.since + spanMost
+// spanEnd is when the span ends.
+func (c *stepCounter) spanEnd() time.Duration {
+	if n := &c.span.outcomes[Canary]; n[0]+n[failureTests] < shortSpanOutcomes {
+		return c.spanStart + longSpan
 	}
-	return c.since + spanLong
+	return c.spanStart + shortSpan
 }
 
-// slowExtra of the answers may be slow beyond what the order bears.
-const slowExtra = 0.01
+// toleratedSlowRate of the answers may be slow beyond what the order bears.
+const toleratedSlowRate = 0.01
--- a/internal/gateway/rollout/judge_test.go
+++ b/internal/gateway/rollout/judge_test.go
@@ -15,36 +15,36 @@
 	"github.com/shoenig/test/must"
 )
 
-// world is a simulated service: nodes in three zones, their requests, a roll-out.
-type world struct {
-	rng    *rand.Rand
-	nodes  []*Node
-	duty   *Coordinator
-	state  *State
-	rate   float64 // requests a second, over all nodes; three in ten are writes
-	wrong  float64 // share that fails on both sides
-	speed  map[uint64]float64
-	common func(now time.Duration) (fails, slower float64) // times as much, on both sides
-	fault  func(now time.Duration, e *End, zone int, tenant int) (fails, slower float64)
-	now    time.Duration
+// simulation is a simulated service: nodes in three zones, their requests, a roll-out.
+type simulation struct {
+	rng           *rand.Rand
+	nodes         []*Node
+	coordinator   *Coordinator
+	state         *State
+	rate          float64 // requests a second, over all nodes; three in ten are writes
+	failureRate   float64 // share that fails on both sides
+	backendSpeed  map[uint64]float64
+	commonFactors func(now time.Duration) (fails, slower float64) // times as much, on both sides
+	fault         func(now time.Duration, e *Outcome, zone int, tenant int) (fails, slower float64)
+	now           time.Duration
 
-	met, failed int // requests that met the new version, and failed there
-	lost        int // reports lost, of seven
-	bytes       int
-	end         string
-	alone       int
+	canaryRequests, canaryFailures int // requests that met the new version, and failed there
+	lostOfSeven                    int // reports lost, of seven
+	evidenceBytes                  int
+	rollbackReason                 string
+	localRollbacks                 int
 }
 
 const (
-	oldBacks, newBacks = 7, 6
-	tick               = 250 * time.Millisecond
+	baselineCount, canaryCount = 7, 6
+	tick                       = 250 * time.Millisecond
 )
 
-func newWorld(seed int64, nodes int, rate float64, o *Rollout) *world {
-	w := &world{rng: rand.New(rand.NewSource(seed)), rate: rate, wrong: 0.004, state: NewState(),
-		duty: NewCoordinator(1, 0), speed: map[uint64]float64{}, lost: 1}
-	w.common = func(time.Duration) (float64, float64) { return 1, 1 }
-	w.fault = func(time.Duration, *End, int, int) (float64, float64) { return 0, 1 }
+func newSimulation(seed int64, nodes int, rate float64, o *Spec) *simulation {
+	w := &simulation{rng: rand.New(rand.NewSource(seed)), rate: rate, failureRate: 0.004, state: NewState(),
+		coordinator: NewCoordinator(1, 0), backendSpeed: map[uint64]float64{}, lostOfSeven: 1}
+	w.commonFactors = func(time.Duration) (float64, float64) { return 1, 1 }
+	w.fault = func(time.Duration, *Outcome, int, int) (float64, float64) { return 0, 1 }
 	e := startEntry(o, 0, "")
 	e.Room.New = 1000
 	if _, err := w.state.Apply(e); err != nil {
@@ -52,100 +52,100 @@
 	}
 	for i := range nodes {
 		d := NewNode(fmt.Sprint("zone-", i%3), uint64(seed)+uint64(i), 0)
-		d.Touch(true)
+		d.SetConnected(true)
 		w.nodes = append(w.nodes, d)
 	}
-	for b := range uint64(oldBacks + newBacks) {
-		w.speed[b+1] = math.Exp(0.15 * w.rng.NormFloat64())
+	for b := range uint64(baselineCount + canaryCount) {
+		w.backendSpeed[b+1] = math.Exp(0.15 * w.rng.NormFloat64())
 	}
-	w.fold()
+	w.applyState()
 	return w
 }
 
-func (w *world) fold() {
-	w.duty.Fold(w.state)
+func (w *simulation) applyState() {
+	w.coordinator.ApplyState(w.state)
 	for _, d := range w.nodes {
-		d.Fold(w.state)
+		d.ApplyState(w.state)
 	}
 }
 
 // step plays one tick: the requests of each node, then what they say and what comes of it. A verdict is in
 // force at the nodes with the next.
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now += tick
-	cf, cs := w.common(w.now)
+	cf, cs := w.commonFactors(w.now)
 	for i, d := range w.nodes {
 		n := w.rate * tick.Seconds() / float64(len(w.nodes))
 		for range int(n + w.rng.Float64()) {
 			w.request(i, d, cf, cs)
 		}
-		d.Now(w.now)
+		d.Tick(w.now)
 		for a, ok := d.Next(); ok; a, ok = d.Next() {
 			switch a := a.(type) {
-			case Tell:
-				w.bytes += len(a.Report.Evidence)
-				if w.rng.Intn(7) >= w.lost {
-					if err := w.duty.Heard(NodeID(i), a.Report); err != nil {
+			case SendReport:
+				w.evidenceBytes += len(a.Report.Evidence)
+				if w.rng.Intn(7) >= w.lostOfSeven {
+					if err := w.coordinator.HandleReport(NodeID(i), a.Report); err != nil {
 						panic(err)
 					}
 				}
-			case Lowered:
-				w.alone++
+			case LocalRollback:
+				w.localRollbacks++
 			}
 		}
 	}
-	w.duty.Now(w.now)
-	for a, ok := w.duty.Next(); ok; a, ok = w.duty.Next() {
+	w.coordinator.Tick(w.now)
+	for a, ok := w.coordinator.Next(); ok; a, ok = w.coordinator.Next() {
 		switch a := a.(type) {
-		case Laps:
+		case BroadcastLap:
 			for _, d := range w.nodes {
-				d.Lap(a.Lap)
+				d.HandleLap(a.Lap)
 			}
 		case Propose:
 			if _, err := w.state.Apply(&a.Entry); err != nil {
 				panic(err)
 			}
-			if a.Entry.Verb == PullBack {
-				w.end = a.Entry.Why
+			if a.Entry.Verb == Rollback {
+				w.rollbackReason = a.Entry.Why
 			}
-			w.fold()
+			w.applyState()
 		}
 	}
 }
 
-func (w *world) request(node int, d *Node, cf, cs float64) {
+func (w *simulation) request(node int, d *Node, cf, cs float64) {
 	user := w.rng.Intn(4000)
 	name := binary.LittleEndian.AppendUint16(nil, uint16(user))
 	tenant := user % 8
-	side, counts := d.Side("libro", name, Scope{})
-	e := End{Side: side, Tenant: uint32(tenant), Backend: uint64(1 + w.rng.Intn(oldBacks))}
+	side, counts := d.ChooseSide("libro", name, Scope{})
+	e := Outcome{Side: side, Tenant: uint32(tenant), Backend: uint64(1 + w.rng.Intn(baselineCount))}
 	if w.rng.Float64() < 0.3 {
-		e.Kind, e.Call = Write, 1
+		e.Kind, e.Route = Write, 1
 	}
-	if side == New {
-		e.Backend = uint64(1 + oldBacks + w.rng.Intn(newBacks))
-		e.Cold = w.now < 8*time.Second
-		w.met++
+	if side == Canary {
+		e.Backend = uint64(1 + baselineCount + w.rng.Intn(canaryCount))
+		e.WarmingUp = w.now < 8*time.Second
+		w.canaryRequests++
 	}
 	fails, slower := w.fault(w.now, &e, node%3, tenant)
-	took := 0.12 * w.speed[e.Backend] * cs * slower * math.Exp(0.4*w.rng.NormFloat64())
-	e.Took = time.Duration(took * float64(time.Second))
-	if e.Cold {
-		e.Took *= 3
+	took := 0.12 * w.backendSpeed[e.Backend] * cs * slower * math.Exp(0.4*w.rng.NormFloat64())
+	e.Latency = time.Duration(took * float64(time.Second))
+	if e.WarmingUp {
+		e.Latency *= 3
 	}
-	if w.rng.Float64() < w.wrong*cf+fails {
+	if w.rng.Float64() < w.failureRate*cf+fails {
 		e.Cause = Cause(1 + w.rng.Intn(3))
-		if side == New {
-			w.failed++
+		if side == Canary {
+			w.canaryFailures++
 		}
 	}
 	if counts {
-		d.Ended("libro", d.Number("libro"), e)
+		d.RecordOutcome("libro", d.RunningNumber("libro"), e)
 	}
 }
 
 // A good version under the sites' usual troubles: 1,000 roll-outs in four steps.
-func TestAGoodVersionStays(t *testing.T) {
+func TestGoodVersionStays(t *testing.T) {
 	t.Parallel()
 	const plays = 1000
 	var wrong, alone, finished, bytes int
@@ -154,21 +154,21 @@
 	for part := range 8 {
 		all.Go(func() {
 			for seed := part; seed < plays; seed += 8 {
-				w := newWorld(int64(seed), 6, 150, order(100, 500, 2500, 5000))
-				w.wrong = 0.004 + 0.026*w.rng.Float64()
-				troubles(w)
-				for w.now < 45*time.Second && w.end == "" {
+				w := newSimulation(int64(seed), 6, 150, testSpec(100, 500, 2500, 5000))
+				w.failureRate = 0.004 + 0.026*w.rng.Float64()
+				injectFaults(w)
+				for w.now < 45*time.Second && w.rollbackReason == "" {
 					w.step()
 				}
 				mu.Lock()
-				if alone += w.alone; w.end != "" {
+				if alone += w.localRollbacks; w.rollbackReason != "" {
 					wrong++
-					t.Logf("seed %d at %v: %s", seed, w.now, w.end)
+					t.Logf("seed %d at %v: %s", seed, w.now, w.rollbackReason)
 				}
 				if w.state.Run("libro").Step == 4 {
 					finished++
 				}
-				bytes += w.bytes
+				bytes += w.evidenceBytes
 				mu.Unlock()
 			}
 		})
@@ -180,37 +180,37 @@
 	must.GreaterEq(t, plays*8/10, finished)
 }
 
-// troubles of one kind or another: worse and slower for all at once, one backend that crashes or is bad all the
+// injectFaults of one kind or another: worse and slower for all at once, one backend that crashes or is bad all the
 // time, one node that has trouble with the way.
-func troubles(w *world) {
+func injectFaults(w *simulation) {
 	from := time.Duration(5+w.rng.Intn(30)) * time.Second
 	in := func(now, long time.Duration) bool { return now >= from && now < from+long }
-	bad := uint64(1 + w.rng.Intn(oldBacks+newBacks))
+	bad := uint64(1 + w.rng.Intn(baselineCount+canaryCount))
 	sick := w.rng.Intn(3)
 	switch w.rng.Intn(5) {
 	case 0:
-		w.common = func(now time.Duration) (float64, float64) {
+		w.commonFactors = func(now time.Duration) (float64, float64) {
 			if in(now, 6*time.Second) {
 				return 15, 2.5
 			}
 			return 1, 1
 		}
 	case 1: // what balancer lets through of a crashed one
-		w.fault = func(now time.Duration, e *End, _, _ int) (float64, float64) {
+		w.fault = func(now time.Duration, e *Outcome, _, _ int) (float64, float64) {
 			if e.Backend == bad && in(now, time.Second) {
 				return 1, 1
 			}
 			return 0, 1
 		}
 	case 2:
-		w.fault = func(_ time.Duration, e *End, _, _ int) (float64, float64) {
+		w.fault = func(_ time.Duration, e *Outcome, _, _ int) (float64, float64) {
 			if e.Backend == bad {
 				return 0.2, 2
 			}
 			return 0, 1
 		}
 	case 3: // the zone's nodes reach the others badly, on both sides
-		w.fault = func(now time.Duration, _ *End, zone, _ int) (float64, float64) {
+		w.fault = func(now time.Duration, _ *Outcome, zone, _ int) (float64, float64) {
 			if zone == sick && in(now, 5*time.Second) {
 				return 0.3, 1.5
 			}
@@ -220,24 +220,24 @@
 }
 
 // What fails is pulled back; the table is that of the note.
-func TestFailingVersionsArePulledBack(t *testing.T) {
+func TestFailingVersionsAreRolledBack(t *testing.T) {
 	t.Parallel()
-	type fault = func(now time.Duration, e *End, zone, tenant int) (float64, float64)
-	type only = func(now time.Duration, e *End, zone, tenant int) bool
+	type fault = func(now time.Duration, e *Outcome, zone, tenant int) (float64, float64)
+	type only = func(now time.Duration, e *Outcome, zone, tenant int) bool
 	always := func(fails, slower float64, only only) fault {
-		return func(now time.Duration, e *End, zone, tenant int) (float64, float64) {
-			if e.Side == New && only(now, e, zone, tenant) {
+		return func(now time.Duration, e *Outcome, zone, tenant int) (float64, float64) {
+			if e.Side == Canary && only(now, e, zone, tenant) {
 				return fails, slower
 			}
 			return 0, 1
 		}
 	}
-	third := func(_ time.Duration, _ *End, zone, _ int) bool { return zone == 1 }
-	eighth := func(_ time.Duration, _ *End, _, tenant int) bool { return tenant == 3 }
-	cold := func(_ time.Duration, e *End, _, _ int) bool { return e.Cold }
-	later := func(now time.Duration, _ *End, _, _ int) bool { return now > 10*time.Minute }
-	any := func(time.Duration, *End, int, int) bool { return true }
-	writes := func(_ time.Duration, e *End, _, _ int) bool { return e.Kind == Write }
+	third := func(_ time.Duration, _ *Outcome, zone, _ int) bool { return zone == 1 }
+	eighth := func(_ time.Duration, _ *Outcome, _, tenant int) bool { return tenant == 3 }
+	cold := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.WarmingUp }
+	later := func(now time.Duration, _ *Outcome, _, _ int) bool { return now > 10*time.Minute }
+	any := func(time.Duration, *Outcome, int, int) bool { return true }
+	writes := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.Kind == Write }
 	for _, c := range []struct {
 		name  string
 		share int
@@ -269,16 +269,16 @@
 			late = 10 * time.Minute
 		}
 		for seed := range int64(plays) {
-			w := newWorld(seed, 12, c.rate, order(c.share))
+			w := newSimulation(seed, 12, c.rate, testSpec(c.share))
 			w.fault = c.fault
 			was := 0
-			for w.end == "" && w.now < late+2*time.Minute {
+			for w.rollbackReason == "" && w.now < late+2*time.Minute {
 				if w.step(); w.now == late {
-					was = w.met
+					was = w.canaryRequests
 				}
 			}
-			took, met, failed = append(took, w.now-late), append(met, w.met-was), append(failed, w.failed)
-			alone += w.alone
+			took, met, failed = append(took, w.now-late), append(met, w.canaryRequests-was), append(failed, w.canaryFailures)
+			alone += w.localRollbacks
 		}
 		slices.Sort(took)
 		slices.Sort(met)
@@ -295,8 +295,8 @@
 // starts anew is another life; whoever takes the duty over has all with one more of each.
 func TestAllOrdersOfReports(t *testing.T) {
 	t.Parallel()
-	w := newWorld(1, 2, 400, order(5000))
-	w.lost = 7
+	w := newSimulation(1, 2, 400, testSpec(5000))
+	w.lostOfSeven = 7
 	var told []Report
 	for range 3 {
 		for range 4 {
@@ -305,9 +305,9 @@
 				for range 40 {
 					w.request(i, d, 1, 1)
 				}
-				d.Now(w.now)
+				d.Tick(w.now)
 				for a, ok := d.Next(); ok; a, ok = d.Next() {
-					told = append(told, a.(Tell).Report)
+					told = append(told, a.(SendReport).Report)
 				}
 			}
 		}
@@ -323,16 +323,16 @@
 	var each func(left, done []int)
 	each = func(left, done []int) {
 		d := NewCoordinator(2, w.now)
-		d.Fold(w.state)
+		d.ApplyState(w.state)
 		for _, i := range append(done, done...) {
-			must.NoError(t, d.Heard(NodeID(i%2), told[i]))
+			must.NoError(t, d.HandleReport(NodeID(i%2), told[i]))
 		}
 		if slices.Contains(done, 4) && slices.Contains(done, 5) {
 			got, _ := d.Counts("libro")
 			must.Eq(t, want, got)
 			old := told[4]
 			old.Number++
-			must.NoError(t, d.Heard(0, old))
+			must.NoError(t, d.HandleReport(0, old))
 			got, _ = d.Counts("libro")
 			must.Eq(t, want, got)
 		}
@@ -345,38 +345,38 @@
 	broken := told[5]
 	broken.Evidence = broken.Evidence[:len(broken.Evidence)-1]
 	d := NewCoordinator(2, 0)
-	d.Fold(w.state)
-	must.Error(t, d.Heard(1, broken))
+	d.ApplyState(w.state)
+	must.Error(t, d.HandleReport(1, broken))
 }
 
 // One sick node is never a verdict: neither while it is the first whose report has come, nor by several lives of it.
-func TestOneNodeIsNoVerdict(t *testing.T) {
+func TestOneNodeDoesNotRollBack(t *testing.T) {
 	s := NewState()
-	e := startEntry(order(5000), 0, "")
+	e := startEntry(testSpec(5000), 0, "")
 	_, err := s.Apply(e)
 	must.NoError(t, err)
 	d := NewCoordinator(2, 0)
-	d.SetNodes(12)
-	d.Fold(s)
+	d.SetNodeCount(12)
+	d.ApplyState(s)
 	now := time.Duration(0)
 	sick := func(id NodeID, life uint64) (pulled bool) {
 		node := NewNode("a", life, now)
-		node.Fold(s)
-		node.Touch(true)
+		node.ApplyState(s)
+		node.SetConnected(true)
 		for end := now + 3*time.Second; now < end; now += tick {
 			for i := range 20 {
-				node.Ended("libro", 1, End{Side: Side(i % 2), Backend: uint64(1 + i%6), Cause: Cause(i % 2)})
+				node.RecordOutcome("libro", 1, Outcome{Side: Side(i % 2), Backend: uint64(1 + i%6), Cause: Cause(i % 2)})
 			}
-			node.Now(now)
+			node.Tick(now)
 			for a, ok := node.Next(); ok; a, ok = node.Next() {
-				if tell, is := a.(Tell); is {
-					must.NoError(t, d.Heard(id, tell.Report))
+				if tell, is := a.(SendReport); is {
+					must.NoError(t, d.HandleReport(id, tell.Report))
 				}
 			}
-			d.Now(now)
+			d.Tick(now)
 			for a, ok := d.Next(); ok; a, ok = d.Next() {
 				p, is := a.(Propose)
-				pulled = pulled || is && p.Entry.Verb == PullBack
+				pulled = pulled || is && p.Entry.Verb == Rollback
 			}
 		}
 		return pulled
