--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -36,240 +36,240 @@
 // Action is what the host is to do: Tell or Lowered.
 type Action interface{ action() }
 
-// Tell goes to the node with the duty; it may be lost.
-type Tell struct{ Report Report }
+// SendReport goes to the node with the duty; it may be lost.
+type SendReport struct{ Report Report }
 
-// Lowered is for the log: this node has pulled back for itself.
-type Lowered struct {
+// LocalRollback is for the log: this node has pulled back for itself.
+type LocalRollback struct {
 	Service string
 	Number  Number
-	Why     string
+	Reason  string
 }
 
-func (Tell) action()    {}
-func (Lowered) action() {}
+func (SendReport) action()    {}
+func (LocalRollback) action() {}
 
-// reportEvery is how often a node reports while something changes.
-const reportEvery = time.Second
+// reportInterval is how often a node reports while something changes.
+const reportInterval = time.Second
 
 // Node is what one node goes by.
 type Node struct {
-	now     time.Duration
-	zone    string
-	life    uint64
-	touched bool // in this life it has been in touch with the core
-	cut     bool
-	runs    map[string]*run
-	ready   []Action
+	now           time.Duration
+	zone          string
+	incarnation   uint64
+	everConnected bool // in this life it has been in touch with the core
+	disconnected  bool
+	rollouts      map[string]*localRollout
+	actions       []Action
 }
 
-// run is a node's view of one roll-out.
-type run struct {
+// localRollout is a node's view of one roll-out.
+type localRollout struct {
 	Run
-	salt   uint64
-	alone  bool // this node has pulled back for itself: for the rest of this life
-	count  *counter
-	lap    int
-	seq    uint64
-	told   time.Duration
-	waited bool // an unsent change is there
-	doubt  bool // it goes out without waiting
+	salt       uint64
+	rolledBack bool // this node has pulled back for itself: for the rest of this life
+	counter    *stepCounter
+	lap        int
+	seq        uint64
+	reportedAt time.Duration
+	unreported bool // an unsent change is there
+	urgent     bool // it goes out without waiting
 }
 
 // NewNode makes one. Life differs between lives of a node.
 func NewNode(zone string, life uint64, now time.Duration) *Node {
-	return &Node{now: now, zone: zone, life: life, cut: true, runs: map[string]*run{}}
+	return &Node{now: now, zone: zone, incarnation: life, disconnected: true, rollouts: map[string]*localRollout{}}
 }
 
-// Fold takes the state after an entry or a snapshot.
-func (d *Node) Fold(s *State) {
+// ApplyState takes the state after an entry or a snapshot.
+func (d *Node) ApplyState(s *State) {
 	for i := range s.Runs() {
 		r := &s.Runs()[i]
-		x := d.runs[r.Order.Service]
+		x := d.rollouts[r.Order.Service]
 		if x == nil || x.Number != r.Number {
-			x = &run{salt: salt(r.Order.Service, r.Number)}
-			d.runs[r.Order.Service] = x
+			x = &localRollout{salt: hashSalt(r.Order.Service, r.Number)}
+			d.rollouts[r.Order.Service] = x
 		}
-		again := x.count == nil || x.Step != r.Step
+		again := x.counter == nil || x.Step != r.Step
 		x.Run = *r
 		switch {
 		case r.Phase != Running:
-			x.count = nil
+			x.counter = nil
 		case again:
-			x.anew(d.now)
-			x.told, x.lap = d.now, max(x.lap, 1)
+			x.resetCounter(d.now)
+			x.reportedAt, x.lap = d.now, max(x.lap, 1)
 		}
 	}
-	for name := range d.runs {
+	for name := range d.rollouts {
 		if s.Run(name) == nil {
-			delete(d.runs, name)
+			delete(d.rollouts, name)
 		}
 	}
 }
 
-// anew begins counts and evidence; usual times stay.
-func (x *run) anew(now time.Duration) {
-	was := x.count
-	x.count = newCounter(x.Order.Failing, now)
+// resetCounter begins counts and evidence; usual times stay.
+func (x *localRollout) resetCounter(now time.Duration) {
+	was := x.counter
+	x.counter = newStepCounter(x.Order.Failing, now)
 	if was != nil {
-		x.count.limits = was.limits
+		x.counter.latencyByRoute = was.latencyByRoute
 	}
 }
 
-// Touch says whether this node has fresh word of the core. Until it once had, it sends nobody to a new version
+// SetConnected says whether this node has fresh word of the core. Until it once had, it sends nobody to a new version
 // that may have been pulled back meanwhile. What it finds while cut off is for its own judgement only, and is
 // dropped at its return: else a cut would look like a failing version to the fleet.
-func (d *Node) Touch(fresh bool) {
-	if fresh && d.cut {
-		for _, x := range d.runs {
-			if x.count != nil {
-				sums := x.count.sums
-				x.anew(d.now)
-				x.count.sums = sums
+func (d *Node) SetConnected(fresh bool) {
+	if fresh && d.disconnected {
+		for _, x := range d.rollouts {
+			if x.counter != nil {
+				sums := x.counter.counts
+				x.resetCounter(d.now)
+				x.counter.counts = sums
 			}
 		}
 	}
-	d.cut, d.touched = !fresh, d.touched || fresh
+	d.disconnected, d.everConnected = !fresh, d.everConnected || fresh
 }
 
-// Lap takes the duty's word; a number that was had or passed changes nothing.
-func (d *Node) Lap(l Lap) {
-	if x := d.runs[l.Service]; x != nil && x.Number == l.Number && l.Lap > x.lap {
+// HandleLap takes the duty's word; a number that was had or passed changes nothing.
+func (d *Node) HandleLap(l Lap) {
+	if x := d.rollouts[l.Service]; x != nil && x.Number == l.Number && l.Lap > x.lap {
 		x.lap = l.Lap
-		if x.count != nil {
-			x.count.close(d.now)
-			x.count.evidence.drop(1)
+		if x.counter != nil {
+			x.counter.closeSpan(d.now)
+			x.counter.evidence.resetWindow(1)
 		}
 	}
 }
 
-// Touched tells whether Touch was ever given fresh word: pools may be others from then on.
-func (d *Node) Touched() bool { return d.touched }
+// EverConnected tells whether Touch was ever given fresh word: pools may be others from then on.
+func (d *Node) EverConnected() bool { return d.everConnected }
 
-// Active tells whether there is anything to ask this node for. Without a roll-out there is not.
-func (d *Node) Active() bool { return len(d.runs) > 0 }
+// HasRollouts tells whether there is anything to ask this node for. Without a roll-out there is not.
+func (d *Node) HasRollouts() bool { return len(d.rollouts) > 0 }
 
-// Pool is the side of a backend, by the generation in its beats: what is not the new version is the old one. Once a
+// BackendSide is the side of a backend, by the generation in its beats: what is not the new version is the old one. Once a
 // roll-out is finished, what is not the old version is the new one: a third one may come without another roll-out. But a node
 // that was in no touch yet may not know of another, which tries that one, or has pulled it back.
-func (d *Node) Pool(service, generation string) Side {
-	x := d.runs[service]
+func (d *Node) BackendSide(service, generation string) Side {
+	x := d.rollouts[service]
 	switch {
 	case x == nil:
-		return Old
-	case x.Phase == Finished && d.touched && generation != x.Order.Old, generation == x.Order.New:
-		return New
+		return Baseline
+	case x.Phase == Finished && d.everConnected && generation != x.Order.Old, generation == x.Order.New:
+		return Canary
 	}
-	return Old
+	return Baseline
 }
 
 // Share is what this node sends to the new version now, in 1/10000 of the users that the order is about.
 func (d *Node) Share(service string) int {
-	if x := d.runs[service]; x != nil && !x.alone && (d.touched || x.Phase == Finished) {
+	if x := d.rollouts[service]; x != nil && !x.rolledBack && (d.everConnected || x.Phase == Finished) {
 		return x.Run.Share()
 	}
 	return 0
 }
 
-// Barred tells that the new version gets no request at all, neither first nor further tries.
-func (d *Node) Barred(service string) bool {
-	x := d.runs[service]
-	return x != nil && (x.Phase == Pulled || x.alone || !d.touched && x.Phase == Running)
+// CanaryBarred tells that the new version gets no request at all, neither first nor further tries.
+func (d *Node) CanaryBarred(service string) bool {
+	x := d.rollouts[service]
+	return x != nil && (x.Phase == RolledBack || x.rolledBack || !d.everConnected && x.Phase == Running)
 }
 
-// Side tells where a request begins, and whether it is one that the versions are compared by. The user is nil
+// ChooseSide tells where a request begins, and whether it is one that the versions are compared by. The user is nil
 // where there is neither mark nor key: such requests stay on the old side.
-func (d *Node) Side(service string, user []byte, in Scope) (side Side, counts bool) {
-	x := d.runs[service]
+func (d *Node) ChooseSide(service string, user []byte, in Scope) (side Side, counts bool) {
+	x := d.rollouts[service]
 	switch share := d.Share(service); {
-	case x == nil || x.Phase == Pulled:
-		return Old, false
+	case x == nil || x.Phase == RolledBack:
+		return Baseline, false
 	case x.Phase == Finished:
-		return New, false
-	case len(user) == 0 || !x.Order.Limits.hold(in):
-		return Old, false
-	case place(x.salt, user) < share:
-		return New, true
+		return Canary, false
+	case len(user) == 0 || !x.Order.Limits.matches(in):
+		return Baseline, false
+	case userPosition(x.salt, user) < share:
+		return Canary, true
 	default:
-		return Old, share > 0
+		return Baseline, share > 0
 	}
 }
 
-// Ended takes the end of a first submission that counts, by the number of the roll-out under which it began.
-func (d *Node) Ended(service string, n Number, e End) {
-	if x := d.runs[service]; x != nil && x.Number == n && x.count != nil && e.Cause < causes && e.Backend != 0 {
-		x.count.ended(e)
-		x.waited = true
+// RecordOutcome takes the end of a first submission that counts, by the number of the roll-out under which it began.
+func (d *Node) RecordOutcome(service string, n Number, e Outcome) {
+	if x := d.rollouts[service]; x != nil && x.Number == n && x.counter != nil && e.Cause < causeCount && e.Backend != 0 {
+		x.counter.record(e)
+		x.unreported = true
 	}
 }
 
-// Number is the roll-out of a service that a request begins under, for Ended; 0 if none runs.
-func (d *Node) Number(service string) Number {
-	if x := d.runs[service]; x != nil && x.count != nil {
+// RunningNumber is the roll-out of a service that a request begins under, for Ended; 0 if none runs.
+func (d *Node) RunningNumber(service string) Number {
+	if x := d.rollouts[service]; x != nil && x.counter != nil {
 		return x.Number
 	}
 	return 0
 }
 
-// Now sets the clock and weighs the spans that are over.
-func (d *Node) Now(now time.Duration) {
+// Tick sets the clock and weighs the spans that are over.
+func (d *Node) Tick(now time.Duration) {
 	d.now = max(d.now, now)
-	if at, ok := d.Due(); !ok || d.now < at {
+	if at, ok := d.NextDeadline(); !ok || d.now < at {
 		return
 	}
-	for _, name := range sorted(d.runs) {
-		x := d.runs[name]
-		c := x.count
-		if c == nil || d.now < c.due() {
+	for _, name := range sortedKeys(d.rollouts) {
+		x := d.rollouts[name]
+		c := x.counter
+		if c == nil || d.now < c.spanEnd() {
 			continue
 		}
-		c.close(d.now)
-		if c.changed && !x.alone {
+		c.closeSpan(d.now)
+		if c.changed && !x.rolledBack {
 			c.changed = false
-			f := []*found{{evidence: &c.evidence, zone: d.zone, backs: len(c.backs)}}
-			score, doubt := judge(f, x.Step, x.lap, AloneWrong)
-			if x.doubt = doubt >= 1; score >= 1 {
-				x.alone, x.waited, x.doubt = true, true, true
-				d.ready = append(d.ready, Lowered{name, x.Number, why(&c.sums)})
+			f := []*found{{evidence: &c.evidence, zone: d.zone, canaryBackends: len(c.canaryBackends)}}
+			score, doubt := evaluate(f, x.Step, x.lap, NodeFalsePositiveRate)
+			if x.urgent = doubt >= 1; score >= 1 {
+				x.rolledBack, x.unreported, x.urgent = true, true, true
+				d.actions = append(d.actions, LocalRollback{name, x.Number, describeCounts(&c.counts)})
 			}
 		}
-		if x.waited && !d.cut && (d.now-x.told >= reportEvery || x.doubt) {
-			x.waited, x.told = false, d.now
+		if x.unreported && !d.disconnected && (d.now-x.reportedAt >= reportInterval || x.urgent) {
+			x.unreported, x.reportedAt = false, d.now
 			x.seq++
-			d.ready = append(d.ready, Tell{Report{Service: name, Number: x.Number, Step: x.Step, Lap: x.lap,
-				Life: d.life, Seq: x.seq, Zone: d.zone, Alone: x.alone, Backs: len(c.backs), Counts: c.sums,
-				Evidence: c.evidence.pack()}})
+			d.actions = append(d.actions, SendReport{Report{Service: name, Number: x.Number, Step: x.Step, Lap: x.lap,
+				Life: d.incarnation, Seq: x.seq, Zone: d.zone, Alone: x.rolledBack, Backs: len(c.canaryBackends), Counts: c.counts,
+				Evidence: c.evidence.encode()}})
 		}
 	}
 }
 
 // Next gives the next thing to do now, or false when there is none.
 func (d *Node) Next() (Action, bool) {
-	if len(d.ready) == 0 {
+	if len(d.actions) == 0 {
 		return nil, false
 	}
-	a := d.ready[0]
-	d.ready = d.ready[1:]
+	a := d.actions[0]
+	d.actions = d.actions[1:]
 	return a, true
 }
 
-func sorted[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Due is when Now has something to weigh; false while no roll-out runs.
-func (d *Node) Due() (at time.Duration, ok bool) {
-	for _, x := range d.runs {
-		if x.count != nil && (!ok || x.count.due() < at) {
-			at, ok = x.count.due(), true
+// NextDeadline is when Now has something to weigh; false while no roll-out runs.
+func (d *Node) NextDeadline() (at time.Duration, ok bool) {
+	for _, x := range d.rollouts {
+		if x.counter != nil && (!ok || x.counter.spanEnd() < at) {
+			at, ok = x.counter.spanEnd(), true
 		}
 	}
 	return at, ok
 }
 
-// found reads a report.
-func (r *Report) found() (*found, error) {
-	e, err := unpack(r.Evidence)
+// findings reads a report.
+func (r *Report) findings() (*found, error) {
+	e, err := decodeEvidence(r.Evidence)
 	if err != nil {
 		return nil, errors.Wrapf(err, "report on %s", r.Service)
 	}
-	return &found{evidence: e, zone: r.Zone, backs: r.Backs}, nil
+	return &found{evidence: e, zone: r.Zone, canaryBackends: r.Backs}, nil
 }
--- a/internal/gateway/rollout/order.go
+++ b/internal/gateway/rollout/order.go
@@ -15,31 +15,31 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// Whole is all users: shares are in 1/10000.
-const Whole = 10000
+// FullShare is all users: shares are in 1/10000.
+const FullShare = 10000
 
 // Number names a roll-out: no two have the same. 0 is none.
 type Number uint64
 
-// Span is a time that JSON writes with its unit.
-type Span = logentry.Duration
-
-// Rollout is an order: which version takes over from which, and how.
-type Rollout struct {
-	Service string  `json:"service" validate:"required,max=128"`
-	Old     string  `json:"old" validate:"required,max=128"`             // generation in the backends' beats
-	New     string  `json:"new" validate:"required,max=128,nefield=Old"` // generation
-	Steps   []Step  `json:"steps" validate:"required,max=16,dive"`
-	Limits  Limits  `json:"limits"`
-	Failing Failing `json:"failing"`
-	Advance string  `json:"advance" validate:"oneof=time word"` // who goes on to the next step
+// Duration is a time that JSON writes with its unit.
+type Duration = logentry.Duration
+
+// Spec is an order: which version takes over from which, and how.
+type Spec struct {
+	Service string          `json:"service" validate:"required,max=128"`
+	Old     string          `json:"old" validate:"required,max=128"`             // generation in the backends' beats
+	New     string          `json:"new" validate:"required,max=128,nefield=Old"` // generation
+	Steps   []Step          `json:"steps" validate:"required,max=16,dive"`
+	Limits  Limits          `json:"limits"`
+	Failing FailureCriteria `json:"failing"`
+	Advance string          `json:"advance" validate:"oneof=time word"` // who goes on to the next step
 }
 
 // Step is a share of users, and what must pass before the next one.
 type Step struct {
-	Share    int  `json:"share" validate:"min=1,max=9000"`    // in 1/10000; a tenth stays to compare with
-	MinTime  Span `json:"min_time" validate:"min=1000000000"` // a second or more
-	Requests int  `json:"requests" validate:"min=0"`          // on the new side, over all nodes
+	Share    int      `json:"share" validate:"min=1,max=9000"`    // in 1/10000; a tenth stays to compare with
+	MinTime  Duration `json:"min_time" validate:"min=1000000000"` // a second or more
+	Requests int      `json:"requests" validate:"min=0"`          // on the new side, over all nodes
 }
 
 // Limits bind a roll-out to some of the traffic; an empty list binds nothing. Zones are the nodes'.
@@ -49,30 +49,30 @@
 	Zones   []string `json:"zones" validate:"max=32,dive,required"`
 }
 
-// Failing tells what counts, always against the old version in the same span. What is left out has the value
+// FailureCriteria tells what counts, always against the old version in the same span. What is left out has the value
 // of Usual.
-type Failing struct {
+type FailureCriteria struct {
 	Causes   []string `json:"causes" validate:"required,dive,oneof=5xx none wrong full"`
 	Extra    int      `json:"extra" validate:"min=0,max=5000"`       // so many more failing, in 1/10000, are borne
 	Quantile int      `json:"quantile" validate:"min=5000,max=9900"` // in 1/10000, of the old version's times
 	Slower   int      `json:"slower" validate:"min=100,max=1000"`    // so many hundredths of it are borne
 }
 
-// Usual is what failing means where an order does not say.
-func Usual() Failing {
-	return Failing{Causes: []string{"5xx", "none", "wrong"}, Extra: 10, Quantile: 9500, Slower: 130}
+// DefaultFailureCriteria is what failing means where an order does not say.
+func DefaultFailureCriteria() FailureCriteria {
+	return FailureCriteria{Causes: []string{"5xx", "none", "wrong"}, Extra: 10, Quantile: 9500, Slower: 130}
 }
 
-// Room is a service's backends, in requests at a time: those of the old version, of the new one, and how many
+// Capacity is a service's backends, in requests at a time: those of the old version, of the new one, and how many
 // are used at the busiest (0: not known, then seven tenths of all).
-type Room struct{ Old, New, Busy int }
+type Capacity struct{ Old, New, Busy int }
 
-// spare is what must be free beyond the busiest: a quarter.
-const spare = 1.25
+// spareFactor is what must be free beyond the busiest: a quarter.
+const spareFactor = 1.25
 
-// Check fills in what is left out and tells what is wrong, by the name of the field.
-func (r *Rollout) Check() error {
-	u, f := Usual(), &r.Failing
+// Normalize fills in what is left out and tells what is wrong, by the name of the field.
+func (r *Spec) Normalize() error {
+	u, f := DefaultFailureCriteria(), &r.Failing
 	if len(f.Causes) == 0 {
 		f.Causes, f.Extra = u.Causes, max(f.Extra, u.Extra)
 	}
@@ -96,9 +96,9 @@
 	return nil
 }
 
-// Fits tells whether there is room: the old version can take all back at any moment, the new one bears its
+// CheckCapacity tells whether there is room: the old version can take all back at any moment, the new one bears its
 // largest share.
-func (r *Rollout) Fits(m Room) error {
+func (r *Spec) CheckCapacity(m Capacity) error {
 	switch {
 	case m.Old <= 0:
 		return errors.Errorf("old: %s has room for none", r.Old)
@@ -109,19 +109,19 @@
 	if m.Busy <= 0 {
 		busy = 0.7 * float64(m.Old+m.New)
 	}
-	if need := busy * spare; float64(m.Old) < need {
+	if need := busy * spareFactor; float64(m.Old) < need {
 		return errors.Errorf("old: %s has room for %d at a time, %.0f must stay to take all users back",
 			r.Old, m.Old, need)
 	}
 	last := len(r.Steps) - 1
-	if need := busy * spare * float64(r.Steps[last].Share) / Whole; float64(m.New) < need {
+	if need := busy * spareFactor * float64(r.Steps[last].Share) / FullShare; float64(m.New) < need {
 		return errors.Errorf("steps[%d].share: %s has room for %d at a time, %.0f are needed", last, r.New, m.New, need)
 	}
 	return nil
 }
 
-// Known tells whether the configuration in force has what an order names.
-func (r *Rollout) Known(service, route, tenant, zone func(string) bool) error {
+// CheckReferences tells whether the configuration in force has what an order names.
+func (r *Spec) CheckReferences(service, route, tenant, zone func(string) bool) error {
 	if !service(r.Service) {
 		return errors.Errorf("service: no %q in the configuration", r.Service)
 	}
@@ -140,7 +140,7 @@
 // Scope is where a request belongs. Empty: to none.
 type Scope struct{ Tenant, Route, Zone string }
 
-func (l *Limits) hold(s Scope) bool {
+func (l *Limits) matches(s Scope) bool {
 	in := func(list []string, one string) bool { return len(list) == 0 || slices.Contains(list, one) }
 	return in(l.Tenants, s.Tenant) && in(l.Routes, s.Route) && in(l.Zones, s.Zone)
 }
@@ -150,51 +150,51 @@
 
 // Old is also the side of all that no order is about.
 const (
-	Old Side = iota
-	New
+	Baseline Side = iota
+	Canary
 )
 
 func (s Side) String() string { return [...]string{"old", "new"}[s] }
 
-// May tells whether a request that began on one side may go, or go again, to another: never from old to new.
-func May(began, to Side) bool { return to == Old || began == New }
+// MayAttempt tells whether a request that began on one side may go, or go again, to another: never from old to new.
+func MayAttempt(began, to Side) bool { return to == Baseline || began == Canary }
 
 const fnvOffset, fnvPrime = 14695981039346656037, 1099511628211
 
-func fnv[T string | []byte](h uint64, b T) uint64 {
+func fnv1a[T string | []byte](h uint64, b T) uint64 {
 	for i := range len(b) {
 		h = (h ^ uint64(b[i])) * fnvPrime
 	}
 	return h
 }
 
-// salt makes every roll-out begin with other users.
-func salt(service string, n Number) uint64 {
+// hashSalt makes every roll-out begin with other users.
+func hashSalt(service string, n Number) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(n))
-	return fnv(fnv(fnvOffset, service), b[:])
+	return fnv1a(fnv1a(fnvOffset, service), b[:])
 }
 
-// mix spreads all bits over all: the hash alone leaves its upper bits alike for texts that end alike. Murmur3's
+// mixBits spreads all bits over all: the hash alone leaves its upper bits alike for texts that end alike. Murmur3's
 // finalizer (Appleby).
-func mix(h uint64) uint64 {
+func mixBits(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
 	return h ^ h>>33
 }
 
-// place of a user among all, 0 to Whole-1. It does not depend on shares, so whoever is on the new side stays
+// userPosition of a user among all, 0 to Whole-1. It does not depend on shares, so whoever is on the new side stays
 // there while they grow; and it is the same at every node.
-func place(salt uint64, user []byte) int {
-	hi, _ := bits.Mul64(mix(fnv(salt, user)), Whole)
+func userPosition(salt uint64, user []byte) int {
+	hi, _ := bits.Mul64(mixBits(fnv1a(salt, user)), FullShare)
 	return int(hi)
 }
 
-// Shared counts how many of some users each step of an order would move: for a dry run, where users are few.
-func (r *Rollout) Shared(n Number, users [][]byte) []int {
-	counts, s := make([]int, len(r.Steps)), salt(r.Service, n)
+// CountMoved counts how many of some users each step of an order would move: for a dry run, where users are few.
+func (r *Spec) CountMoved(n Number, users [][]byte) []int {
+	counts, s := make([]int, len(r.Steps)), hashSalt(r.Service, n)
 	for _, u := range users {
-		p := place(s, u)
+		p := userPosition(s, u)
 		for i := range r.Steps {
 			if p < r.Steps[i].Share {
 				counts[i]++
@@ -204,6 +204,6 @@
 	return counts
 }
 
-func (r *Rollout) String() string {
+func (r *Spec) String() string {
 	return fmt.Sprintf("%s from %s to %s in %d steps", r.Service, r.Old, r.New, len(r.Steps))
 }
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -14,12 +14,12 @@
 // Verb is what an entry does.
 type Verb string
 
-// Start is an operator's, Step and PullBack also the duty's, and so is Hold where there is nowhere to go back to.
+// Start is an operator's, Step and Rollback also the duty's, and so is Hold where there is nowhere to go back to.
 const (
 	Start    Verb = "start"
 	Advance  Verb = "step"
-	Hold     Verb = "hold"
-	PullBack Verb = "pull-back"
+	Pause    Verb = "hold"
+	Rollback Verb = "pull-back"
 	Finish   Verb = "finish"
 )
 
@@ -32,13 +32,13 @@
 	By      string // who, for the history
 	At      int64  // milliseconds since 1970, for the history alone
 	Why     string
-	Rev     uint64 // operators: of the service's newest roll-out, 0 if there was none. Not asked of Hold, PullBack
+	Rev     uint64 // operators: of the service's newest roll-out, 0 if there was none. Not asked of Hold, Rollback
 	Number  Number // all but Start
 	Step    int    // Advance: the step to go to, from 1. The duty: the step judged, or to go to
 	Fence   uint64 // the duty: 1 or more. 0: an operator
-	Order   *Rollout
-	Room    Room   // Start: as whoever took the call knew it
-	Counts  Counts // of the step so far, as the duty has them
+	Order   *Spec
+	Room    Capacity // Start: as whoever took the call knew it
+	Counts  Counts   // of the step so far, as the duty has them
 }
 
 // Phase of a roll-out.
@@ -46,13 +46,13 @@
 
 // Pulled and Finished end a roll-out and stay in force until another one of the service starts.
 const (
-	Running  Phase = "running"
-	Pulled   Phase = "pulled back"
-	Finished Phase = "finished"
+	Running    Phase = "running"
+	RolledBack Phase = "pulled back"
+	Finished   Phase = "finished"
 )
 
-// Past is one line of a history. Counts are those of the step that the line ends, as the duty last had them.
-type Past struct {
+// HistoryEntry is one line of a history. Counts are those of the step that the line ends, as the duty last had them.
+type HistoryEntry struct {
 	Verb   Verb
 	Step   int
 	Share  int
@@ -66,12 +66,12 @@
 type Run struct {
 	Number  Number
 	Rev     uint64 // rises with each change of it
-	Order   Rollout
-	Room    Room
+	Order   Spec
+	Room    Capacity
 	Phase   Phase
 	Step    int // from 1
 	Held    bool
-	History []Past
+	History []HistoryEntry
 }
 
 // Share is of the users that the order is about, in 1/10000.
@@ -80,23 +80,23 @@
 	case Running:
 		return r.Order.Steps[r.Step-1].Share
 	case Finished:
-		return Whole
+		return FullShare
 	}
 	return 0
 }
 
 // Bounds of the state.
 const (
-	runsMost    = 64 // services
-	endedMost   = 32 // earlier roll-outs, of all services
-	historyMost = 48 // lines of one
-	textMost    = 512
+	maxServices  = 64 // services
+	maxEnded     = 32 // earlier roll-outs, of all services
+	maxHistory   = 48 // lines of one
+	maxTextBytes = 512
 )
 
 // State is folded from the ordered log: all nodes come to the same.
 type State struct {
 	kept
-	done *logentry.DedupWindow // marks, by the Rev that they made
+	appliedCalls *logentry.DedupWindow // marks, by the Rev that they made
 }
 
 type kept struct {
@@ -110,10 +110,12 @@
 	Window []byte
 }
 
-const marksMost = 256
+const maxStoredMarks = 256
 
 // NewState is that before the first entry.
-func NewState() *State { return &State{done: logentry.NewDedupWindow(logentry.DedupWindowBytes)} }
+func NewState() *State {
+	return &State{appliedCalls: logentry.NewDedupWindow(logentry.DedupWindowBytes)}
+}
 
 // Runs are the newest roll-outs of all services; not to be changed.
 func (s *State) Runs() []Run { return s.kept.Runs }
@@ -129,8 +131,8 @@
 	return nil
 }
 
-// Running tells whether any roll-out runs or has ended in a way that binds: else nothing is on the wire.
-func (s *State) Running() bool { return len(s.kept.Runs) > 0 }
+// HasRollouts tells whether any roll-out runs or has ended in a way that binds: else nothing is on the wire.
+func (s *State) HasRollouts() bool { return len(s.kept.Runs) > 0 }
 
 func (s *State) find(service string) (int, bool) {
 	return slices.BinarySearchFunc(s.kept.Runs, service, func(r Run, n string) int {
@@ -138,19 +140,19 @@
 	})
 }
 
-// Word encodes an entry for the log.
-func (e *Entry) Word() []byte { return logentry.Encode(e) }
+// Encode encodes an entry for the log.
+func (e *Entry) Encode() []byte { return logentry.Encode(e) }
 
-// ReadEntry decodes one.
-func ReadEntry(b []byte) (*Entry, error) {
+// DecodeEntry decodes one.
+func DecodeEntry(b []byte) (*Entry, error) {
 	e := new(Entry)
 	return e, logentry.Decode(b, e, "entry of a roll-out")
 }
 
-// Inspect tells what is wrong with an entry by itself, whatever the state.
-func (e *Entry) Inspect() error {
-	if len(e.Service) > textMost || len(e.By) > textMost || len(e.Why) > textMost || len(e.Mark) > textMost {
-		return errors.Errorf("a text is longer than %d bytes", textMost)
+// Validate tells what is wrong with an entry by itself, whatever the state.
+func (e *Entry) Validate() error {
+	if len(e.Service) > maxTextBytes || len(e.By) > maxTextBytes || len(e.Why) > maxTextBytes || len(e.Mark) > maxTextBytes {
+		return errors.Errorf("a text is longer than %d bytes", maxTextBytes)
 	}
 	if e.Verb == Start && (e.Order == nil || e.Order.Service != e.Service || e.Fence != 0) {
 		return errors.New("order: missing, or of another service")
@@ -158,8 +160,8 @@
 	switch e.Verb {
 	case Start:
 		o := *e.Order
-		return o.Check()
-	case Advance, Hold, PullBack, Finish:
+		return o.Normalize()
+	case Advance, Pause, Rollback, Finish:
 		return nil
 	}
 	return errors.Errorf("verb: no %q", e.Verb)
@@ -168,40 +170,42 @@
 // Decide tells what would become of an entry now, and changes nothing. A call that lost its race may be one that won it, so
 // long ago that its mark is forgotten.
 func (s *State) Decide(e *Entry) (routing.Verdict, error) {
-	v, err := s.weigh(e)
-	if v == routing.Conflict && s.forgot(e) {
+	v, err := s.decide(e)
+	if v == routing.Conflict && s.mayBeForgotten(e) {
 		return routing.Unclear, errors.Wrap(err, "not known any more what was taken")
 	}
 	return v, err
 }
 
-// forgot tells whether a mark that is not known may be of a call that was taken. The service's rev stood where that call says.
-func (s *State) forgot(e *Entry) bool {
-	horizon := s.done.Horizon()
+// mayBeForgotten tells whether a mark that is not known may be of a call that was taken. The service's rev stood where that call says.
+func (s *State) mayBeForgotten(e *Entry) bool {
+	horizon := s.appliedCalls.Horizon()
 	if e.Mark == "" || horizon == 0 || s.Run(e.Service) == nil {
 		return false
 	}
-	if e.Verb == Hold || e.Verb == PullBack { // they name no rev
+	if e.Verb == Pause || e.Verb == Rollback { // they name no rev
 		return e.Number <= s.Last
 	}
 	return e.Rev < horizon
 }
 
-// Known tells whether the call of a mark was taken.
-func (s *State) Known(mark string) bool { return mark != "" && s.done.Has(markOf(mark)) }
+// CallApplied tells whether the call of a mark was taken.
+func (s *State) CallApplied(mark string) bool {
+	return mark != "" && s.appliedCalls.Has(callDigest(mark))
+}
 
-func markOf(mark string) logentry.Digest { return logentry.DigestOf([]byte(mark)) }
+func callDigest(mark string) logentry.Digest { return logentry.DigestOf([]byte(mark)) }
 
-func (s *State) weigh(e *Entry) (routing.Verdict, error) {
-	if s.Known(e.Mark) {
+func (s *State) decide(e *Entry) (routing.Verdict, error) {
+	if s.CallApplied(e.Mark) {
 		return routing.Already, nil
 	}
-	if err := e.Inspect(); err != nil {
+	if err := e.Validate(); err != nil {
 		return routing.Invalid, err
 	}
 	r := s.Run(e.Service)
 	if e.Verb == Start {
-		return s.start(e, r)
+		return s.decideStart(e, r)
 	}
 	conflict := func(f string, a ...any) (routing.Verdict, error) {
 		return routing.Conflict, errors.Errorf(f, a...)
@@ -213,7 +217,7 @@
 		return conflict("number: is %d, but %d is the newest", e.Number, r.Number)
 	case r.Phase != Running:
 		return conflict("number: roll-out %d is %s", r.Number, r.Phase)
-	case e.Fence == 0 && e.Rev != r.Rev && e.Verb != PullBack && e.Verb != Hold: // these may not come too late
+	case e.Fence == 0 && e.Rev != r.Rev && e.Verb != Rollback && e.Verb != Pause: // these may not come too late
 		return conflict("rev: is %d, but %d is current", e.Rev, r.Rev)
 	case e.Fence != 0 && e.Fence < s.Fence:
 		return conflict("fence: is %d, but %d was seen", e.Fence, s.Fence)
@@ -234,9 +238,9 @@
 	return routing.Taken, nil
 }
 
-func (s *State) start(e *Entry, r *Run) (routing.Verdict, error) {
+func (s *State) decideStart(e *Entry, r *Run) (routing.Verdict, error) {
 	o := *e.Order
-	o.Check() // fills in what is left out
+	o.Normalize() // fills in what is left out
 	rev := uint64(0)
 	if r != nil {
 		rev = r.Rev
@@ -247,10 +251,10 @@
 	if r != nil && r.Phase == Running {
 		return routing.Conflict, errors.Errorf("service: roll-out %d of %q runs", r.Number, e.Service)
 	}
-	if r == nil && len(s.kept.Runs) >= runsMost {
-		return routing.Invalid, errors.Errorf("service: %d have roll-outs, no more are kept", runsMost)
+	if r == nil && len(s.kept.Runs) >= maxServices {
+		return routing.Invalid, errors.Errorf("service: %d have roll-outs, no more are kept", maxServices)
 	}
-	if err := o.Fits(e.Room); err != nil {
+	if err := o.CheckCapacity(e.Room); err != nil {
 		return routing.Invalid, err
 	}
 	return routing.Taken, nil
@@ -263,17 +267,17 @@
 	}
 	s.Rev++
 	if e.Mark != "" {
-		s.done.Add(s.Rev, markOf(e.Mark))
+		s.appliedCalls.Add(s.Rev, callDigest(e.Mark))
 	}
 	s.Fence = max(s.Fence, e.Fence)
 	i, had := s.find(e.Service)
 	if e.Verb == Start {
 		s.Last++
 		r := Run{Number: s.Last, Order: *e.Order, Room: e.Room, Phase: Running, Step: 1}
-		must := r.Order.Check()
+		must := r.Order.Normalize()
 		invariant.That(must == nil, "an order that was taken is sound")
 		if had {
-			s.kept.Ended = logentry.KeepLast(append(s.kept.Ended, s.kept.Runs[i]), endedMost)
+			s.kept.Ended = logentry.KeepLast(append(s.kept.Ended, s.kept.Runs[i]), maxEnded)
 			s.kept.Runs[i] = r
 		} else {
 			s.kept.Runs = slices.Insert(s.kept.Runs, i, r)
@@ -285,17 +289,17 @@
 	switch e.Verb {
 	case Advance:
 		r.Step, r.Held = e.Step, r.Held && e.Fence != 0
-	case Hold:
+	case Pause:
 		r.Held = true
-	case PullBack:
-		r.Phase = Pulled
+	case Rollback:
+		r.Phase = RolledBack
 	case Finish:
 		r.Phase = Finished
 	}
-	if len(r.History) == historyMost { // the first line, the order's, stays
+	if len(r.History) == maxHistory { // the first line, the order's, stays
 		r.History = slices.Delete(r.History, 1, 2)
 	}
-	r.History = append(r.History, Past{Verb: e.Verb, Step: ended, Share: r.Share(), By: e.By, At: e.At, Why: e.Why,
+	r.History = append(r.History, HistoryEntry{Verb: e.Verb, Step: ended, Share: r.Share(), By: e.By, At: e.At, Why: e.Why,
 		Counts: e.Counts})
 	return routing.Taken, nil
 }
@@ -303,7 +307,7 @@
 // Snapshot is the whole state as bytes.
 func (s *State) Snapshot() []byte {
 	k := s.kept
-	k.Window = s.done.Bytes()
+	k.Window = s.appliedCalls.Bytes()
 	return logentry.Encode(k)
 }
 
@@ -320,15 +324,15 @@
 	s.Marks, s.Window = nil, nil
 	if window == nil { // each mark has made a rev of its own, at the latest the one that it is counted at here
 		before := s.Rev - uint64(len(marks))
-		if len(marks) == marksMost {
-			s.done.SetHorizon(before)
+		if len(marks) == maxStoredMarks {
+			s.appliedCalls.SetHorizon(before)
 		}
 		for i, m := range marks {
-			s.done.Add(before+1+uint64(i), markOf(m))
+			s.appliedCalls.Add(before+1+uint64(i), callDigest(m))
 		}
 		return s, nil
 	}
 	var err error
-	s.done, err = logentry.DecodeDedupWindow(window, logentry.DedupWindowBytes)
+	s.appliedCalls, err = logentry.DecodeDedupWindow(window, logentry.DedupWindowBytes)
 	return s, err
 }
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -14,45 +14,45 @@
 	"clovergap/internal/gateway/routing"
 )
 
-func order(shares ...int) *Rollout {
-	r := &Rollout{Service: "libro", Old: "v1", New: "v2", Advance: "time"}
+func testSpec(shares ...int) *Spec {
+	r := &Spec{Service: "libro", Old: "v1", New: "v2", Advance: "time"}
 	for _, s := range shares {
-		r.Steps = append(r.Steps, Step{Share: s, MinTime: Span(10 * time.Second), Requests: 10})
+		r.Steps = append(r.Steps, Step{Share: s, MinTime: Duration(10 * time.Second), Requests: 10})
 	}
 	return r
 }
 
-func startEntry(o *Rollout, rev uint64, mark string) *Entry {
-	return &Entry{Verb: Start, Service: o.Service, Rev: rev, Mark: mark, By: "ana", Order: o, Room: Room{100, 100, 60}}
+func startEntry(o *Spec, rev uint64, mark string) *Entry {
+	return &Entry{Verb: Start, Service: o.Service, Rev: rev, Mark: mark, By: "ana", Order: o, Room: Capacity{100, 100, 60}}
 }
 
-func TestAnOrderIsReadAndRefusedByItsField(t *testing.T) {
-	var r Rollout
+func TestSpecErrorsNameTheirField(t *testing.T) {
+	var r Spec
 	must.NoError(t, json.Unmarshal([]byte(`{"service":"libro","old":"v1","new":"v2",
 		"steps":[{"share":100,"min_time":"10s"},{"share":2500,"min_time":"60000ms","requests":500}]}`), &r))
-	must.NoError(t, r.Check())
-	must.Eq(t, Usual(), r.Failing)
-	must.NoError(t, r.Fits(Room{Old: 24, New: 8, Busy: 19}))
-	for want, spoil := range map[string]func(*Rollout){
-		"new":               func(r *Rollout) { r.New = "v1" },
-		"steps[1].share":    func(r *Rollout) { r.Steps[1].Share = 100 },
-		"steps[0].share":    func(r *Rollout) { r.Steps[0].Share = 9500 },
-		"steps[0].min_time": func(r *Rollout) { r.Steps[0].MinTime = 0 },
-		"failing.causes[0]": func(r *Rollout) { r.Failing.Causes = []string{"4xx"} },
-		"advance":           func(r *Rollout) { r.Advance = "moon" },
+	must.NoError(t, r.Normalize())
+	must.Eq(t, DefaultFailureCriteria(), r.Failing)
+	must.NoError(t, r.CheckCapacity(Capacity{Old: 24, New: 8, Busy: 19}))
+	for want, spoil := range map[string]func(*Spec){
+		"new":               func(r *Spec) { r.New = "v1" },
+		"steps[1].share":    func(r *Spec) { r.Steps[1].Share = 100 },
+		"steps[0].share":    func(r *Spec) { r.Steps[0].Share = 9500 },
+		"steps[0].min_time": func(r *Spec) { r.Steps[0].MinTime = 0 },
+		"failing.causes[0]": func(r *Spec) { r.Failing.Causes = []string{"4xx"} },
+		"advance":           func(r *Spec) { r.Advance = "moon" },
 	} {
 		x := r
 		x.Steps = append([]Step(nil), r.Steps...)
 		spoil(&x)
-		err := x.Check()
+		err := x.Normalize()
 		must.Error(t, err, must.Sprint(want))
 		must.StrContains(t, err.Error(), want)
 	}
-	must.ErrorContains(t, r.Fits(Room{Old: 24, New: 8, Busy: 20}), "old: v1 has room for 24")
-	must.ErrorContains(t, r.Fits(Room{Old: 90, New: 8, Busy: 40}), "steps[1].share: v2")
+	must.ErrorContains(t, r.CheckCapacity(Capacity{Old: 24, New: 8, Busy: 20}), "old: v1 has room for 24")
+	must.ErrorContains(t, r.CheckCapacity(Capacity{Old: 90, New: 8, Busy: 40}), "steps[1].share: v2")
 	all, none := func(string) bool { return true }, func(string) bool { return false }
 	r.Limits.Tenants = []string{"huka"}
-	must.ErrorContains(t, r.Known(all, all, none, all), "limits.tenants[0]")
+	must.ErrorContains(t, r.CheckReferences(all, all, none, all), "limits.tenants[0]")
 }
 
 func TestSharesAreExactAndSticky(t *testing.T) {
@@ -63,8 +63,8 @@
 		names[i] = fmt.Appendf(nil, "2b9wu3fexd9dnn2c%d", i)
 	}
 	for n := range Number(5) {
-		for i, got := range order(shares...).Shared(n, names) {
-			p := float64(shares[i]) / Whole // stated: that of as many coins
+		for i, got := range testSpec(shares...).CountMoved(n, names) {
+			p := float64(shares[i]) / FullShare // stated: that of as many coins
 			must.InDelta(t, p*users, float64(got), 5*math.Sqrt(users*p*(1-p))+5)
 		}
 	}
@@ -74,42 +74,42 @@
 	for step := range shares {
 		e := &Entry{Verb: Advance, Service: "libro", Number: 1, Step: step + 1, Fence: 1}
 		if step == 0 {
-			e = startEntry(order(shares...), 0, "")
+			e = startEntry(testSpec(shares...), 0, "")
 			e.Room.New = 1000
 		}
 		v, err := s.Apply(e)
 		must.Eq(t, routing.Taken, v, must.Sprint(err))
 		for _, d := range []*Node{a, b} {
-			d.Fold(s)
-			d.Touch(true)
+			d.ApplyState(s)
+			d.SetConnected(true)
 		}
 		for i, u := range names {
-			x, _ := a.Side("libro", u, Scope{})
-			y, _ := b.Side("libro", u, Scope{Tenant: "any"})
-			if x != y || on[i] && x == Old {
+			x, _ := a.ChooseSide("libro", u, Scope{})
+			y, _ := b.ChooseSide("libro", u, Scope{Tenant: "any"})
+			if x != y || on[i] && x == Baseline {
 				t.Fatalf("user %d is on %v, %v", i, x, y)
 			}
-			on[i] = x == New
+			on[i] = x == Canary
 		}
 	}
-	side, counts := a.Side("libro", nil, Scope{})
-	must.True(t, side == Old && !counts)
-	must.True(t, May(New, Old) && May(New, New) && May(Old, Old) && !May(Old, New))
+	side, counts := a.ChooseSide("libro", nil, Scope{})
+	must.True(t, side == Baseline && !counts)
+	must.True(t, MayAttempt(Canary, Baseline) && MayAttempt(Canary, Canary) && MayAttempt(Baseline, Baseline) && !MayAttempt(Baseline, Canary))
 }
 
 // All orders of seven entries of two operators and two nodes with the duty: a state that ends never runs again,
 // what is taken is taken by all alike, an old verdict never hits the next roll-out.
 func TestAllOrdersOfEntries(t *testing.T) {
 	t.Parallel()
-	next := order(100)
+	next := testSpec(100)
 	next.New = "v3"
 	entries := []*Entry{
-		startEntry(order(100, 500), 0, "ana-1"),
+		startEntry(testSpec(100, 500), 0, "ana-1"),
 		startEntry(next, 0, "ben-1"),
 		{Verb: Advance, Service: "libro", Number: 1, Step: 2, Fence: 2},
-		{Verb: PullBack, Service: "libro", Number: 1, Step: 1, Fence: 1},
-		{Verb: PullBack, Service: "libro", Number: 1, Step: 2, Fence: 2},
-		{Verb: Hold, Service: "libro", Number: 1, Rev: 1, Mark: "ben-2"},
+		{Verb: Rollback, Service: "libro", Number: 1, Step: 1, Fence: 1},
+		{Verb: Rollback, Service: "libro", Number: 1, Step: 2, Fence: 2},
+		{Verb: Pause, Service: "libro", Number: 1, Rev: 1, Mark: "ben-2"},
 		startEntry(next, 2, "ben-3"),
 	}
 	var each func(left []int, done []int)
@@ -148,7 +148,7 @@
 		must.Eq(t, 1, marks["ana-1"]+marks["ben-1"]) // one of two wins
 		for mark, n := range marks {
 			if mark != "" && n > 0 { // the same again
-				v, err := s.Apply(&Entry{Verb: PullBack, Service: "libro", Mark: mark})
+				v, err := s.Apply(&Entry{Verb: Rollback, Service: "libro", Mark: mark})
 				must.True(t, v == routing.Already && err == nil)
 			}
 		}
@@ -164,14 +164,14 @@
 		if r := s.Run("libro"); r != nil {
 			rev = r.Rev
 		}
-		v, err := s.Apply(startEntry(order(100), rev, fmt.Sprint(i)))
+		v, err := s.Apply(startEntry(testSpec(100), rev, fmt.Sprint(i)))
 		must.Eq(t, routing.Taken, v, must.Sprint(err))
 		r := s.Run("libro")
 		for range 60 {
-			e := &Entry{Verb: Hold, Service: "libro", Number: r.Number, Step: 1, Fence: 1, Why: strings.Repeat("x", 200)}
-			e.Counts[New][Write].Ends = 7
+			e := &Entry{Verb: Pause, Service: "libro", Number: r.Number, Step: 1, Fence: 1, Why: strings.Repeat("x", 200)}
+			e.Counts[Canary][Write].Ends = 7
 			if i == 0 {
-				read, unread := ReadEntry(e.Word())
+				read, unread := DecodeEntry(e.Encode())
 				must.NoError(t, unread)
 				must.Eq(t, e, read)
 				e = read
@@ -179,11 +179,11 @@
 			_, err = s.Apply(e)
 			must.NoError(t, err)
 		}
-		_, err = s.Apply(&Entry{Verb: PullBack, Service: "libro", Number: r.Number, Rev: r.Rev})
+		_, err = s.Apply(&Entry{Verb: Rollback, Service: "libro", Number: r.Number, Rev: r.Rev})
 		must.NoError(t, err)
 	}
-	must.Eq(t, endedMost, len(s.Ended()))
-	must.Eq(t, historyMost, len(s.Run("libro").History))
+	must.Eq(t, maxEnded, len(s.Ended()))
+	must.Eq(t, maxHistory, len(s.Run("libro").History))
 	b := s.Snapshot()
 	must.Less(t, 1<<20, len(b))
 	again, err := Restore(b)
@@ -193,9 +193,9 @@
 	must.Error(t, err)
 }
 
-func TestANodeThatIsCutOffOnlyLowers(t *testing.T) {
+func TestPartitionedNodeOnlyLowersShare(t *testing.T) {
 	s := NewState()
-	e := startEntry(order(9000), 0, "")
+	e := startEntry(testSpec(9000), 0, "")
 	e.Room.New = 10
 	_, err := s.Apply(e)
 	must.ErrorContains(t, err, "steps[0].share") // no room for so many
@@ -204,40 +204,40 @@
 	must.NoError(t, err)
 	user := []byte("someone")
 	late := NewNode("a", 1, 0)
-	late.Fold(s) // of its disk: it may have been pulled back since
-	must.True(t, late.Share("libro") == 0 && late.Barred("libro"))
-	late.Touch(true)
+	late.ApplyState(s) // of its disk: it may have been pulled back since
+	must.True(t, late.Share("libro") == 0 && late.CanaryBarred("libro"))
+	late.SetConnected(true)
 	must.Eq(t, 9000, late.Share("libro"))
-	late.Touch(false)
+	late.SetConnected(false)
 	must.Eq(t, 9000, late.Share("libro"))
 	for now := time.Duration(0); now < 5*time.Second; now += 100 * time.Millisecond {
-		late.Now(now)
+		late.Tick(now)
 		for i := range 10 {
-			late.Ended("libro", 1, End{Side: Old, Kind: Write, Backend: uint64(1 + i%3)})
-			late.Ended("libro", 1, End{Side: New, Kind: Write, Backend: uint64(5 + i%3), Cause: Wrong})
+			late.RecordOutcome("libro", 1, Outcome{Side: Baseline, Kind: Write, Backend: uint64(1 + i%3)})
+			late.RecordOutcome("libro", 1, Outcome{Side: Canary, Kind: Write, Backend: uint64(5 + i%3), Cause: InvalidResponse})
 		}
 	}
-	must.True(t, late.Share("libro") == 0 && late.Barred("libro"))
-	side, _ := late.Side("libro", user, Scope{})
-	must.Eq(t, Old, side)
+	must.True(t, late.Share("libro") == 0 && late.CanaryBarred("libro"))
+	side, _ := late.ChooseSide("libro", user, Scope{})
+	must.Eq(t, Baseline, side)
 	a, ok := late.Next()
-	low, is := a.(Lowered)
+	low, is := a.(LocalRollback)
 	must.True(t, ok && is)
-	must.StrContains(t, low.Why, "writes: new")
-	late.Touch(true)
-	late.Fold(s) // the fleet's share does not bring it back
+	must.StrContains(t, low.Reason, "writes: new")
+	late.SetConnected(true)
+	late.ApplyState(s) // the fleet's share does not bring it back
 	must.Eq(t, 0, late.Share("libro"))
-	must.Eq(t, Old, late.Pool("libro", "v1.5"))
+	must.Eq(t, Baseline, late.BackendSide("libro", "v1.5"))
 	done := NewState()
-	must.NoError(t, apply(done, startEntry(order(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Rev: 1}))
-	for i, want := range []Side{Old, New} { // a third version, which another roll-out may have pulled back
+	must.NoError(t, apply(done, startEntry(testSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Rev: 1}))
+	for i, want := range []Side{Baseline, Canary} { // a third version, which another roll-out may have pulled back
 		ended := NewNode("a", 1, 0)
-		ended.Fold(done)
-		ended.Touch(i == 1)
-		must.Eq(t, want, ended.Pool("libro", "v3"))
-		must.True(t, ended.Pool("libro", "v1") == Old && ended.Pool("libro", "v2") == New)
+		ended.ApplyState(done)
+		ended.SetConnected(i == 1)
+		must.Eq(t, want, ended.BackendSide("libro", "v3"))
+		must.True(t, ended.BackendSide("libro", "v1") == Baseline && ended.BackendSide("libro", "v2") == Canary)
 	}
-	must.Eq(t, New, late.Pool("libro", "v2"))
+	must.Eq(t, Canary, late.BackendSide("libro", "v2"))
 }
 
 func apply(s *State, all ...*Entry) error {
@@ -254,39 +254,39 @@
 
 // Marks of calls that were taken are known again, also by who starts from an older program's snapshot; once they are forgotten,
 // nobody is told that his call lost a race.
-func TestMarksAreForgottenByNumber(t *testing.T) {
+func TestCallIDsAreForgottenByNumber(t *testing.T) {
 	t.Parallel()
 	for _, old := range []bool{false, true} {
 		s := NewState()
-		s.Apply(startEntry(order(100), 0, "first"))
+		s.Apply(startEntry(testSpec(100), 0, "first"))
 		hold := func(i int) *Entry {
-			return &Entry{Verb: Hold, Service: "libro", Number: 1, Mark: fmt.Sprint("m", i)}
+			return &Entry{Verb: Pause, Service: "libro", Number: 1, Mark: fmt.Sprint("m", i)}
 		}
 		for i := range 300 {
 			s.Apply(hold(i))
 		}
 		if old {
 			k := s.kept
-			for i := 300 - marksMost; i < 300; i++ {
+			for i := 300 - maxStoredMarks; i < 300; i++ {
 				k.Marks = append(k.Marks, hold(i).Mark)
 			}
 			var err error
 			s, err = Restore(logentry.Encode(k))
 			must.NoError(t, err)
 		} else {
-			s.done, _ = logentry.DecodeDedupWindow(s.done.Bytes(), 18*marksMost)
+			s.appliedCalls, _ = logentry.DecodeDedupWindow(s.appliedCalls.Bytes(), 18*maxStoredMarks)
 		}
 		for range 2 {
 			for i := 300 - 200; i < 300; i++ {
 				v, _ := s.Decide(hold(i))
 				must.Eq(t, routing.Already, v)
 			}
-			v, err := s.Decide(startEntry(order(100), 0, "first"))
+			v, err := s.Decide(startEntry(testSpec(100), 0, "first"))
 			must.Eq(t, routing.Unclear, v)
 			must.Error(t, err)
-			v, _ = s.Decide(startEntry(order(100), s.Run("libro").Rev, "second")) // its rev stands: it never was
+			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Rev, "second")) // its rev stands: it never was
 			must.Eq(t, routing.Conflict, v)
-			other := order(100)
+			other := testSpec(100)
 			other.Service = "other"
 			v, _ = s.Decide(startEntry(other, 0, "third"))
 			must.Eq(t, routing.Taken, v)
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -89,10 +89,10 @@
 		return routing.Taken, nil, false
 	}
 	v, err = s.rollout(body, func(e *rollout.Entry) (routing.Verdict, error) {
-		if s.Rollouts.Known(e.Mark) {
+		if s.Rollouts.CallApplied(e.Mark) {
 			return routing.Already, nil
 		}
-		if wrong := e.Inspect(); wrong != nil {
+		if wrong := e.Validate(); wrong != nil {
 			return routing.Invalid, wrong
 		}
 		return routing.Taken, nil
@@ -102,7 +102,7 @@
 
 // rollout reads an entry on roll-outs and hands it on.
 func (s *Machine) rollout(body []byte, to func(*rollout.Entry) (routing.Verdict, error)) (routing.Verdict, error) {
-	e, err := rollout.ReadEntry(body)
+	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return routing.Invalid, err
 	}
--- a/internal/gateway/statemachine/machine_test.go
+++ b/internal/gateway/statemachine/machine_test.go
@@ -34,15 +34,15 @@
 		rolloutEntry(rollout.Entry{Verb: rollout.Start, Mark: "m", Order: testRollout}),
 		rolloutEntry(rollout.Entry{Verb: rollout.Start, Mark: "m", Order: testRollout}),
 		rolloutEntry(rollout.Entry{Verb: rollout.Advance, Number: 1, Step: 2, Fence: 5}), EncodeEntry(KindRollout, []byte("{")),
-		rolloutEntry(rollout.Entry{Verb: rollout.PullBack, Number: 1, Step: 1, Fence: 5, Why: "bad"})}
+		rolloutEntry(rollout.Entry{Verb: rollout.Rollback, Number: 1, Step: 1, Fence: 5, Why: "bad"})}
 }
 
-var testRollout = &rollout.Rollout{Service: "s", Old: "v1", New: "v2", Steps: []rollout.Step{{Share: 100,
-	MinTime: rollout.Span(time.Second)}}}
+var testRollout = &rollout.Spec{Service: "s", Old: "v1", New: "v2", Steps: []rollout.Step{{Share: 100,
+	MinTime: rollout.Duration(time.Second)}}}
 
 func rolloutEntry(e rollout.Entry) []byte {
-	e.Service, e.Room = "s", rollout.Room{Old: 9, New: 9, Busy: 5}
-	return EncodeEntry(KindRollout, e.Word())
+	e.Service, e.Room = "s", rollout.Capacity{Old: 9, New: 9, Busy: 5}
+	return EncodeEntry(KindRollout, e.Encode())
 }
 
 // Every entry has its verdict; slots are given in order, and a node that asks again keeps its own under its new name.
@@ -68,7 +68,7 @@
 	must.Eq(t, []membership.SlotHolder{b, slotHolder("a"), slotHolder("c")}, s.Slots())
 	must.Eq(t, 9, s.Configs.Version())
 	must.Eq(t, config(9, 5), s.Configs.Body()) // a roll-out changes nothing of it
-	must.Eq(t, rollout.Pulled, s.Rollouts.Run("s").Phase)
+	must.Eq(t, rollout.RolledBack, s.Rollouts.Run("s").Phase)
 	for i := range maxSlots { // they are bounded
 		s.Apply(AssignSlotEntry(slotHolder(fmt.Sprint(i))))
 	}
@@ -104,7 +104,7 @@
 	s, err := Restore(older.Bytes())
 	must.NoError(t, err)
 	must.Eq(t, whole.Configs.Snapshot(), s.Configs.Snapshot())
-	must.False(t, s.Rollouts.Running())
+	must.False(t, s.Rollouts.HasRollouts())
 	v, _ := s.Apply(rolloutEntry(rollout.Entry{Verb: rollout.Start, Order: testRollout}))
 	must.Eq(t, routing.Taken, v)
 	for _, bad := range [][]byte{nil, []byte("x"), snaps[3][:len(snaps[3])/2]} {
--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -79,8 +79,8 @@
 	return b
 }
 
-func (b *backend) listing() control.Listing {
-	return control.Listing{ID: b.id, Zone: control.ZoneID(b.zone), Pod: control.PodID(b.pod), State: b.state, Size: 1,
+func (b *backend) listing() control.Endpoint {
+	return control.Endpoint{ID: b.id, Zone: control.ZoneID(b.zone), Pod: control.PodID(b.pod), State: b.state, Capacity: 1,
 		Started: b.started}
 }
 
@@ -124,7 +124,7 @@
 	w.judge.arrived(sub, b)
 	if b.state != control.Ready || w.now > sub.try.expiry || len(b.active) >= w.s.Backends.Slots &&
 		len(b.waiting) >= w.s.Backends.Queue {
-		sub.reply(control.Full)
+		sub.reply(control.Rejected)
 		return
 	}
 	if b.warmth() < 1 && b.pushed(sub) {
@@ -202,7 +202,7 @@
 		if j.sub.fails {
 			j.sub.reply(control.Errored)
 		} else {
-			j.sub.reply(control.Settled)
+			j.sub.reply(control.Succeeded)
 		}
 	}
 	b.refill()
@@ -291,7 +291,7 @@
 				w.after(250*time.Millisecond, deliver)
 				return
 			}
-			d.listed([]control.Listing{l})
+			d.listed([]control.Endpoint{l})
 		}
 		w.after(w.between(late), deliver)
 	}
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -212,9 +212,9 @@
 		r := t.req
 		ref, ok := d.brain.Take(control.Txn{Customer: r.c.id, Product: control.ProductID(r.product),
 			Plan: control.PlanID(r.c.plan), Units: 1, Expiry: t.expiry, SetFirst: control.GatewayID(r.c.first),
-			SetWidth: r.c.width, Repeat: w.s.Clients.Marks && r.tries > 1}, d, slots.Ref(t.nr))
+			SetWidth: r.c.width, Retry: w.s.Clients.Marks && r.tries > 1}, d, slots.Ref(t.nr))
 		if t.ref = ref; !ok {
-			c.answer(d, slots.Ref(t.nr), control.Full, 0, nil)
+			c.answer(d, slots.Ref(t.nr), control.Rejected, 0, nil)
 		}
 	})
 }
@@ -269,10 +269,10 @@
 	c.drop(t)
 	w, r := c.w, t.req
 	switch e {
-	case control.Settled:
+	case control.Succeeded:
 		r.done, r.beyond = true, t.beyond
 		w.res.settled(r)
-	case control.Full:
+	case control.Rejected:
 		w.res.declined++
 		c.again(r, advice, verdictDeclined)
 	default:
--- a/internal/lab/emulator/frontdoor.go
+++ b/internal/lab/emulator/frontdoor.go
@@ -17,7 +17,7 @@
 	Take(x control.Txn, front gate.Front, who slots.Ref) (slots.Ref, bool)
 	Left(ref slots.Ref)
 	Ended(ref slots.Ref, nr int, at control.BackendID, o gate.Outcome)
-	Listed(whole bool, list []control.Listing)
+	Listed(whole bool, list []control.Endpoint)
 	Heard(from control.GatewayID, payload []byte)
 	Live(nr uint32) bool
 	Due(nr uint32)
@@ -65,7 +65,7 @@
 	d.count = &counters.Set{}
 	d.idle, d.subs, d.told = map[*backend][]held{}, map[*submission]bool{}, map[control.BackendID]time.Duration{}
 	d.brain = d.w.make(d)
-	var list []control.Listing
+	var list []control.Endpoint
 	for _, b := range d.w.backends {
 		if b.state != control.Gone {
 			list = append(list, b.listing())
@@ -134,7 +134,7 @@
 	})
 }
 
-func (d *node) listed(list []control.Listing) {
+func (d *node) listed(list []control.Endpoint) {
 	d.turn(func() {
 		for _, l := range list {
 			if l.State == control.Ready {
@@ -190,16 +190,16 @@
 
 // Settle, Decline and Void are the final answers.
 func (d *node) Settle(who, _ slots.Ref, o gate.Outcome) {
-	d.w.clients.answer(d, who, control.Settled, 0, o.Body)
+	d.w.clients.answer(d, who, control.Succeeded, 0, o.Body)
 }
 
 // Decline: trying again is harmless.
-func (d *node) Decline(who, _ slots.Ref, after time.Duration, _ control.Lack) {
-	d.w.clients.answer(d, who, control.Full, after, nil)
+func (d *node) Decline(who, _ slots.Ref, after time.Duration, _ control.Reason) {
+	d.w.clients.answer(d, who, control.Rejected, after, nil)
 }
 
 // Void makes no such promise.
-func (d *node) Void(who, _ slots.Ref, _ control.Lack) {
+func (d *node) Void(who, _ slots.Ref, _ control.Reason) {
 	d.w.clients.answer(d, who, control.Errored, 0, nil)
 }
 
@@ -210,7 +210,7 @@
 func (d *node) Recall(ref slots.Ref, nr int) {
 	for s := range d.subs {
 		if s.ref == ref && s.nr == nr && !s.over {
-			s.finish(control.CalledOff)
+			s.finish(control.Canceled)
 			return
 		}
 	}
@@ -284,13 +284,13 @@
 		switch {
 		case s.over || s.life != s.d.life:
 		case s.to.dead:
-			w.after(way, func() { s.finish(control.Broken) })
+			w.after(way, func() { s.finish(control.ConnectionLost) })
 		case !s.to.reachable(s.d): // nothing comes back
 		default:
 			s.to.take(s)
 			if w.faultAt(w.resetBy) { // sometime while it runs
 				in := time.Duration(w.net.Float64() * s.try.req.work * float64(time.Second))
-				w.after(way+in, func() { s.finish(control.Broken) })
+				w.after(way+in, func() { s.finish(control.ConnectionLost) })
 			}
 		}
 	})
@@ -311,7 +311,7 @@
 	if s.over || s.life != s.d.life || !s.d.up {
 		return
 	}
-	if !s.whole && (e == control.TimedOut || e == control.CalledOff) {
+	if !s.whole && (e == control.TimedOut || e == control.Canceled) {
 		e = control.NotSent
 	}
 	b := s.to
@@ -334,12 +334,12 @@
 		}
 		s.over = true
 		delete(d.subs, s)
-		if e == control.Settled || e == control.Errored || e == control.Full {
+		if e == control.Succeeded || e == control.Errored || e == control.Rejected {
 			d.idle[s.to] = append(d.idle[s.to], held{d.w.now})
 		}
 		d.w.judge.ended(s, e)
 		o := gate.Outcome{Ending: e, Took: d.w.now - s.sent, Load: load}
-		if e == control.Settled {
+		if e == control.Succeeded {
 			o.Body = binary.LittleEndian.AppendUint32(nil, uint32(s.try.nr))
 		}
 		d.brain.Ended(s.ref, s.nr, s.to.id, o)
@@ -362,7 +362,7 @@
 	for _, s := range mine {
 		s := s
 		if b.reachable(d) {
-			d.w.after(d.w.hop(d.zone, b.zone), func() { s.end(control.Broken, nil) })
+			d.w.after(d.w.hop(d.zone, b.zone), func() { s.end(control.ConnectionLost, nil) })
 		}
 	}
 }
--- a/internal/lab/emulator/judge.go
+++ b/internal/lab/emulator/judge.go
@@ -176,11 +176,11 @@
 		j.breaks(RuleLost, d, nr, "a second final answer")
 		return
 	}
-	if e == control.Settled && made != nr {
+	if e == control.Succeeded && made != nr {
 		j.breaks(RuleLost, d, nr, "settled with an answer that no backend made for it")
 	}
 	p := j.w.s.Products[l.t.req.product]
-	if e == control.Full && !p.Judged().Safe() && (l.mayRun || l.out != nil && l.out.whole) {
+	if e == control.Rejected && !p.Judged().Safe() && (l.mayRun || l.out != nil && l.out.whole) {
 		j.breaks(RuleTwice, d, nr, "declined, so that the client may repeat it, though it may have run")
 	}
 }
@@ -259,7 +259,7 @@
 	if l.out == s {
 		l.out = nil
 	}
-	if e != control.Full && e != control.Unreachable && e != control.NotSent && !l.mayRun {
+	if e != control.Rejected && e != control.Unreachable && e != control.NotSent && !l.mayRun {
 		l.mayRun, l.ran, l.ranAt = true, s, s.sent
 	}
 }
--- a/internal/lab/emulator/policies.go
+++ b/internal/lab/emulator/policies.go
@@ -141,12 +141,12 @@
 	}
 	t.out = false
 	switch o.Ending {
-	case control.Settled:
+	case control.Succeeded:
 		if !t.over {
 			t.over = true
 			p.d.Settle(t.who, ref, o)
 		}
-	case control.Full, control.Unreachable, control.NotSent:
+	case control.Rejected, control.Unreachable, control.NotSent:
 		if p.seeing && t.nr < p.d.w.s.Limits.Submissions && !t.over {
 			p.send(ref, t)
 			return
@@ -161,7 +161,7 @@
 	}
 }
 
-func (p *simple) Listed(whole bool, list []control.Listing) {
+func (p *simple) Listed(whole bool, list []control.Endpoint) {
 	if whole {
 		clear(p.state)
 		p.ready = p.ready[:0]
--- a/internal/lab/faultrig/rollout.go
+++ b/internal/lab/faultrig/rollout.go
@@ -85,13 +85,13 @@
 }
 
 // order is the roll-out that is started.
-func (s *RolloutSchedule) order() rollout.Rollout {
-	r := rollout.Rollout{Service: s.Play.Leading, Old: gatewaystandin.FirstVersion, New: newVersion, Advance: s.Advance}
+func (s *RolloutSchedule) order() rollout.Spec {
+	r := rollout.Spec{Service: s.Play.Leading, Old: gatewaystandin.FirstVersion, New: newVersion, Advance: s.Advance}
 	for _, share := range s.Steps {
-		r.Steps = append(r.Steps, rollout.Step{Share: share, MinTime: rollout.Span(s.Dwell), Requests: 10})
+		r.Steps = append(r.Steps, rollout.Step{Share: share, MinTime: rollout.Duration(s.Dwell), Requests: 10})
 	}
 	if s.Arm == Unjudged { // backends that are full count, of which there are none, and ten times as slow
-		r.Failing = rollout.Failing{Causes: []string{"full"}, Extra: 5000, Quantile: 9900, Slower: 1000}
+		r.Failing = rollout.FailureCriteria{Causes: []string{"full"}, Extra: 5000, Quantile: 9900, Slower: 1000}
 	}
 	return r
 }
--- a/internal/lab/faultrig/rollout_test.go
+++ b/internal/lab/faultrig/rollout_test.go
@@ -20,7 +20,7 @@
 			must.Eq(t, s.Flaw, other.Flaw)
 			for _, s := range []*RolloutSchedule{s, other} {
 				o := s.order()
-				must.NoError(t, o.Check())
+				must.NoError(t, o.Normalize())
 				must.Len(t, 4, o.Steps)
 			}
 			must.Between(t, 2, s.Step, 4)
--- a/internal/lab/gatewaystandin/orders.go
+++ b/internal/lab/gatewaystandin/orders.go
@@ -59,7 +59,7 @@
 		return "", false
 	}
 	last := all.Rollouts[len(all.Rollouts)-1]
-	if last.Phase != string(rollout.Pulled) || len(last.Lines) == 0 {
+	if last.Phase != string(rollout.RolledBack) || len(last.Lines) == 0 {
 		return "", false
 	}
 	line := last.Lines[len(last.Lines)-1]
@@ -67,7 +67,7 @@
 }
 
 // Rollout gives an operator's order on top of a roll-out as it was seen, again and again until the answer is clear.
-func (o *Operator) Rollout(ctx context.Context, verb rollout.Verb, r rollout.Rollout, seen RolloutView,
+func (o *Operator) Rollout(ctx context.Context, verb rollout.Verb, r rollout.Spec, seen RolloutView,
 	step int) (status int, text []byte, clear bool) {
 	body := map[string]any{}
 	if verb == rollout.Start {
@@ -76,8 +76,8 @@
 		body["busy"] = o.t.play().busy
 	}
 	body["mark"], body["by"], body["rev"] = fmt.Sprintf("%s-%d", verb, o.number()), "operator", seen.Rev
-	name := map[rollout.Verb]string{rollout.Start: "Start", rollout.Advance: "Step", rollout.Hold: "Hold",
-		rollout.PullBack: "PullBack", rollout.Finish: "Finish"}[verb]
+	name := map[rollout.Verb]string{rollout.Start: "Start", rollout.Advance: "Step", rollout.Pause: "Hold",
+		rollout.Rollback: "PullBack", rollout.Finish: "Finish"}[verb]
 	if verb != rollout.Start {
 		name += "/" + r.Service
 		body["number"] = seen.Number
--- a/internal/lab/simulation/backends.go
+++ b/internal/lab/simulation/backends.go
@@ -110,7 +110,7 @@
 		if p := m.p; p != nil {
 			for _, x := range p.ways.sorted() {
 				if x.line != nil && x.line.b == b && x.written {
-					x.answer(control.Broken, false)
+					x.answer(control.ConnectionLost, false)
 				}
 			}
 		}
@@ -245,7 +245,7 @@
 func (b *backend) take(s *submission) {
 	w := b.w
 	if b.dead {
-		s.answer(control.Broken, false)
+		s.answer(control.ConnectionLost, false)
 		return
 	}
 	turned := func() {
@@ -262,7 +262,7 @@
 		b.queue = append(b.queue, s)
 	default:
 		turned()
-		s.answer(control.Full, false)
+		s.answer(control.Rejected, false)
 	}
 }
 
@@ -285,7 +285,7 @@
 	}
 	resets, silent, fails := w.backs.Float64() < b.resets, w.backs.Float64() < b.silent, w.backs.Float64() < b.fails
 	if resets {
-		w.after(span(w.backs, 0, took), func() { s.answer(control.Broken, false) })
+		w.after(span(w.backs, 0, took), func() { s.answer(control.ConnectionLost, false) })
 	}
 	w.after(took, func() {
 		b.running--
@@ -297,7 +297,7 @@
 		case fails:
 			s.answer(control.Errored, s.try.adm.Once)
 		default:
-			s.answer(control.Settled, false)
+			s.answer(control.Succeeded, false)
 		}
 		b.refill()
 	})
@@ -309,7 +309,7 @@
 		b.queue = b.queue[1:]
 		if s.queued = false; s.until <= b.w.now { // its time is up: it says that it has not run
 			b.w.note(history.Event{Who: b.id, Kind: history.Turned, Txn: s.try.id})
-			s.answer(control.Full, false)
+			s.answer(control.Rejected, false)
 			continue
 		}
 		b.run(s)
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -299,14 +299,14 @@
 	case t == nil:
 	case string(o.Body) != t.id:
 		x.p.w.note(history.Event{Who: "clients", Kind: gatewaystandin.Mixed, Txn: t.id, At: t.m.name, What: string(o.Body)})
-	case o.Ending == control.Settled:
+	case o.Ending == control.Succeeded:
 		x.answered(t, 200, 0)
 	default:
 		x.answered(t, 500, 0)
 	}
 }
 
-func (x *upstreams) Decline(who, txn slots.Ref, after time.Duration, why control.Lack) {
+func (x *upstreams) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
 	status := 503
 	if why == gate.LackUnits {
 		status = 429
@@ -316,7 +316,7 @@
 	}
 }
 
-func (x *upstreams) Void(who, txn slots.Ref, why control.Lack) {
+func (x *upstreams) Void(who, txn slots.Ref, why control.Reason) {
 	t := x.of(who, txn)
 	if t == nil {
 		return
--- a/internal/lab/simulation/resets.go
+++ b/internal/lab/simulation/resets.go
@@ -48,7 +48,7 @@
 			case s.dialing:
 				s.end(control.Unreachable, false)
 			case s.written:
-				s.end(control.Broken, false)
+				s.end(control.ConnectionLost, false)
 			}
 		}
 	})
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -209,7 +209,7 @@
 				if !s.over {
 					x.p.h.Gone(s.to)
 					s.line = nil
-					s.end(control.Full, false)
+					s.end(control.Rejected, false)
 				}
 			})
 		}
@@ -229,7 +229,7 @@
 func (x *ways) Recall(ref slots.Ref, nr int) {
 	if s := x.subs[ref]; s != nil && s.nr == nr {
 		if s.written {
-			s.end(control.CalledOff, false)
+			s.end(control.Canceled, false)
 		} else {
 			s.end(control.NotSent, false)
 		}
@@ -246,7 +246,7 @@
 	s.over = true
 	delete(x.subs, s.ref)
 	switch {
-	case e == control.Settled || e == control.Errored || e == control.Full && s.line != nil:
+	case e == control.Succeeded || e == control.Errored || e == control.Rejected && s.line != nil:
 		if l := s.line; l != nil && !l.b.dead && s.place.ready {
 			l.since = x.p.w.now
 			s.place.idle = append(s.place.idle, l)
--- a/internal/proxy/downstream/txn.go
+++ b/internal/proxy/downstream/txn.go
@@ -117,14 +117,14 @@
 }
 
 // Decline says that coming again is harmless.
-func (f *Txns) Decline(who, txn slots.Ref, after time.Duration, _ control.Lack) {
+func (f *Txns) Decline(who, txn slots.Ref, after time.Duration, _ control.Reason) {
 	if c := f.Holds(who, txn); c != nil {
 		c.Answer(func(b []byte, last bool) []byte { return answer.Decline(b, after, last) })
 	}
 }
 
 // Void makes no such promise.
-func (f *Txns) Void(who, txn slots.Ref, _ control.Lack) {
+func (f *Txns) Void(who, txn slots.Ref, _ control.Reason) {
 	if c := f.Holds(who, txn); c != nil {
 		c.Answer(answer.Void)
 	}
@@ -177,7 +177,7 @@
 		return x, counters.BadQuota, "x-quota: units, spread and first"
 	}
 	if v, _ := r.Get(b, "req-retry"); len(v) > 0 {
-		if x.Repeat = string(v) == "1"; !x.Repeat && string(v) != "0" {
+		if x.Retry = string(v) == "1"; !x.Retry && string(v) != "0" {
 			return x, why, "req-retry: 1"
 		}
 	}
--- a/internal/proxy/gate/gate.go
+++ b/internal/proxy/gate/gate.go
@@ -19,12 +19,12 @@
 // one, until there is nothing. *control.Gateway is one.
 type Module interface {
 	Now(time.Duration)
-	TxnTaken(control.Txn)
+	TxnArrived(control.Txn)
 	ClientLeft(control.TxnID)
 	SubmissionEnded(id control.TxnID, nr int, at control.BackendID, e control.Ending, over bool, took time.Duration,
 		load []float64)
-	ListChanged(whole bool, list []control.Listing)
-	PeerSaid(from control.GatewayID, payload []byte)
+	EndpointsChanged(whole bool, list []control.Endpoint)
+	DatagramReceived(from control.GatewayID, payload []byte)
 	ProbeEnded(at control.BackendID, good bool, took time.Duration, load []float64)
 	Woken(uint64)
 	Next() (control.Decision, bool)
@@ -32,7 +32,7 @@
 
 // What a txn lacked, in the module's order and that of the counters.
 const (
-	LackTime control.Lack = iota
+	LackTime control.Reason = iota
 	LackUnits
 	LackView
 	LackSlot
@@ -46,9 +46,9 @@
 	// Settle gives what the backend answered, or a Final failure.
 	Settle(who, txn slots.Ref, o Outcome)
 	// Decline: it never ran and never will; the client may come again, best after some time (0: no advice).
-	Decline(who, txn slots.Ref, after time.Duration, why control.Lack)
+	Decline(who, txn slots.Ref, after time.Duration, why control.Reason)
 	// Void: it may have run.
-	Void(who, txn slots.Ref, why control.Lack)
+	Void(who, txn slots.Ref, why control.Reason)
 	// AppendTo writes what is passed on to a backend; nothing once the client has gone.
 	AppendTo(b []byte, who, txn slots.Ref, at control.BackendID, wait time.Duration) []byte
 }
@@ -126,13 +126,13 @@
 }
 
 // Settled is what a watcher is told of a txn that a backend's answer ended; the module's verbs name the others.
-const Settled control.Verb = -1
+const Settled control.Action = -1
 
 // Watcher is told of the steps of txns, where operators want a history of them. Without one nothing is done.
 type Watcher interface {
 	Sent(txn slots.Ref, id string, nr int, to control.BackendID)
 	Ended(txn slots.Ref, nr int, at control.BackendID, how control.Ending)
-	Final(txn slots.Ref, id string, how control.Verb)
+	Final(txn slots.Ref, id string, how control.Action)
 }
 
 // namer is a front that knows txns by their clients' ids.
@@ -191,7 +191,7 @@
 func (t *txn) message(ref slots.Ref) Message { return Message{t.front, t.who, ref} }
 
 // final tells of a final answer before it leaves.
-func (g *Gate) final(ref slots.Ref, t *txn, how control.Verb) {
+func (g *Gate) final(ref slots.Ref, t *txn, how control.Action) {
 	failpoint.At(failpoint.BeforeAnswer)
 	if g.watch != nil {
 		g.watch.Final(ref, t.message(ref).ID(), how)
@@ -222,7 +222,7 @@
 	x.ID = control.TxnID(ref)
 	g.count.Add(counters.TxnsTaken)
 	g.node.Now(g.clock.Now())
-	g.node.TxnTaken(x)
+	g.node.TxnArrived(x)
 	return ref, true
 }
 
@@ -322,7 +322,7 @@
 			g.count.Add(counters.CutShort)
 		}
 		t.front.(Streamer).End(t.who, ref, o.Answer != nil)
-	case o.Ending == control.Settled || o.Final:
+	case o.Ending == control.Succeeded || o.Final:
 		g.count.Add(counters.Settled)
 		over, t.answered = true, true
 		g.final(ref, t, Settled)
@@ -345,34 +345,34 @@
 
 // ran tells whether a submission that ended so may have run.
 func ran(e control.Ending) bool {
-	return e != control.Full && e != control.Unreachable && e != control.NotSent
+	return e != control.Rejected && e != control.Unreachable && e != control.NotSent
 }
 
 // decline and void give the one answer to a txn that no backend's answer ends.
-func (g *Gate) decline(ref slots.Ref, t *txn, after time.Duration, why control.Lack) {
-	g.final(ref, t, control.Decline)
+func (g *Gate) decline(ref slots.Ref, t *txn, after time.Duration, why control.Reason) {
+	g.final(ref, t, control.Reject)
 	g.count.Add(counters.GaveUpTime + counters.ID(why))
 	g.count.Add(counters.Declined)
 	t.front.Decline(t.who, ref, after, why)
 }
 
-func (g *Gate) void(ref slots.Ref, t *txn, why control.Lack) {
-	g.final(ref, t, control.Void)
+func (g *Gate) void(ref slots.Ref, t *txn, why control.Reason) {
+	g.final(ref, t, control.Fail)
 	g.count.Add(counters.GaveUpTime + counters.ID(why))
 	g.count.Add(counters.Voided)
 	t.front.Void(t.who, ref, why)
 }
 
 // Listed takes news of the backends.
-func (g *Gate) Listed(whole bool, list []control.Listing) {
+func (g *Gate) Listed(whole bool, list []control.Endpoint) {
 	g.node.Now(g.clock.Now())
-	g.node.ListChanged(whole, list)
+	g.node.EndpointsChanged(whole, list)
 }
 
 // Heard takes a peer's message.
 func (g *Gate) Heard(from control.GatewayID, payload []byte) {
 	g.node.Now(g.clock.Now())
-	g.node.PeerSaid(from, payload)
+	g.node.DatagramReceived(from, payload)
 }
 
 // Probed takes the answer to a probe.
@@ -410,7 +410,7 @@
 
 func (g *Gate) carryOut(x control.Decision) {
 	ref := slots.Ref(x.Txn)
-	switch x.Verb {
+	switch x.Action {
 	case control.Submit:
 		t := g.txns.Get(ref)
 		invariant.That(t != nil && !t.out && !t.answered, "a submission goes out alone, for a txn that waits")
@@ -428,23 +428,23 @@
 		}
 		g.count.Add(counters.Submissions)
 		limit := t.expiry - g.clock.Now()
-		if x.Limit > 0 {
-			limit = min(limit, x.Limit)
+		if x.After > 0 {
+			limit = min(limit, x.After)
 		}
 		failpoint.At(failpoint.BeforeSubmit)
 		if g.watch != nil {
 			g.watch.Sent(ref, t.message(ref).ID(), nr, x.Backend)
 		}
-		g.send.Submit(ref, nr, t.message(ref), x.Backend, limit, x.Whole)
+		g.send.Submit(ref, nr, t.message(ref), x.Backend, limit, x.ResponseTimeout)
 		failpoint.At(failpoint.AfterSubmit)
-	case control.Decline, control.Void:
+	case control.Reject, control.Fail:
 		t := g.txns.Get(ref)
 		invariant.That(t != nil && !t.answered, "a txn is answered once")
 		if t == nil || t.answered {
 			return
 		}
 		t.answered = true
-		refused := x.Verb == control.Decline
+		refused := x.Action == control.Reject
 		if refused && (t.ran || t.out) && t.message(ref).Once() && !unguarded {
 			invariant.That(false, "what is refused has not run, and nothing of it is out")
 			refused = false
@@ -454,24 +454,24 @@
 			g.count.Add(counters.CutShort)
 			t.front.(Streamer).End(t.who, ref, false)
 		case refused:
-			g.decline(ref, t, x.Limit, x.Why)
+			g.decline(ref, t, x.After, x.Reason)
 		default:
-			g.void(ref, t, x.Why)
+			g.void(ref, t, x.Reason)
 		}
 		g.halt(ref, t)
-	case control.Recall:
+	case control.Cancel:
 		if t := g.txns.Get(ref); t != nil && t.begun && !t.answered {
 			return // its answer is on its way to the client already
 		}
-		g.send.Recall(ref, x.Nr)
+		g.send.Recall(ref, x.Attempt)
 	case control.Probe:
 		g.send.Probe(x.Backend)
-	case control.Tell:
+	case control.SendDatagram:
 		g.tell.Tell(x.Peer, x.Payload)
 	case control.Wake:
 		g.wake++
-		g.clock.Wake(g.clock.Now()+x.Limit, g.wake)
-	case control.Note:
+		g.clock.Wake(g.clock.Now()+x.After, g.wake)
+	case control.Log:
 		g.log.Info(x.Text)
 	}
 }
--- a/internal/proxy/gate/gate_test.go
+++ b/internal/proxy/gate/gate_test.go
@@ -22,21 +22,21 @@
 
 func (m *careless) Now(time.Duration)                                            {}
 func (m *careless) ClientLeft(control.TxnID)                                     {}
-func (m *careless) ListChanged(bool, []control.Listing)                          {}
-func (m *careless) PeerSaid(control.GatewayID, []byte)                           {}
+func (m *careless) EndpointsChanged(bool, []control.Endpoint)                    {}
+func (m *careless) DatagramReceived(control.GatewayID, []byte)                   {}
 func (m *careless) ProbeEnded(control.BackendID, bool, time.Duration, []float64) {}
 func (m *careless) Woken(uint64)                                                 {}
-func (m *careless) TxnTaken(x control.Txn)                                       { m.send(x.ID) }
+func (m *careless) TxnArrived(x control.Txn)                                     { m.send(x.ID) }
 func (m *careless) send(id control.TxnID) {
 	if m.sends++; m.sends <= 3 {
-		m.todo = append(m.todo, control.Decision{Verb: control.Submit, Txn: id, Backend: 1})
+		m.todo = append(m.todo, control.Decision{Action: control.Submit, Txn: id, Backend: 1})
 	}
 }
 func (m *careless) SubmissionEnded(id control.TxnID, _ int, _ control.BackendID, _ control.Ending, over bool, _ time.Duration, _ []float64) {
 	switch {
 	case over:
 	case m.refuse:
-		m.todo = append(m.todo, control.Decision{Verb: control.Decline, Txn: id})
+		m.todo = append(m.todo, control.Decision{Action: control.Reject, Txn: id})
 	default:
 		m.send(id)
 	}
@@ -58,14 +58,14 @@
 func (w *wire) Submit(slots.Ref, int, Message, control.BackendID, time.Duration, time.Duration) {
 	w.sent++
 }
-func (w *wire) Recall(slots.Ref, int)                                   {}
-func (w *wire) Probe(control.BackendID)                                 {}
-func (w *wire) Settle(_, _ slots.Ref, _ Outcome)                        { w.told += "settled" }
-func (w *wire) Decline(_, _ slots.Ref, _ time.Duration, _ control.Lack) { w.told += "refused" }
-func (w *wire) Void(_, _ slots.Ref, _ control.Lack)                     { w.told += "void" }
-func (w *wire) Once(_, _ slots.Ref) bool                                { return true }
-func (w *wire) Now() time.Duration                                      { return time.Hour }
-func (w *wire) Wake(time.Duration, uint32)                              {}
+func (w *wire) Recall(slots.Ref, int)                                     {}
+func (w *wire) Probe(control.BackendID)                                   {}
+func (w *wire) Settle(_, _ slots.Ref, _ Outcome)                          { w.told += "settled" }
+func (w *wire) Decline(_, _ slots.Ref, _ time.Duration, _ control.Reason) { w.told += "refused" }
+func (w *wire) Void(_, _ slots.Ref, _ control.Reason)                     { w.told += "void" }
+func (w *wire) Once(_, _ slots.Ref) bool                                  { return true }
+func (w *wire) Now() time.Duration                                        { return time.Hour }
+func (w *wire) Wake(time.Duration, uint32)                                {}
 func (w *wire) AppendTo(b []byte, _, _ slots.Ref, _ control.BackendID, _ time.Duration) []byte {
 	return b
 }
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -86,7 +86,7 @@
 		return
 	}
 	if !ok {
-		c.d.giveUp(c.sub, s, control.Broken, control.Unreachable)
+		c.d.giveUp(c.sub, s, control.ConnectionLost, control.Unreachable)
 		return
 	}
 	c.carry(c.sub, s)
@@ -99,7 +99,7 @@
 	left := s.until - c.d.e.Now()
 	c.d.scratch = s.message.AppendTo(c.d.scratch[:0], c.b.id, left)
 	if len(c.d.scratch) == 0 || left <= 0 { // its client has gone, or its time, before anything was written
-		c.d.giveUp(ref, s, control.Broken, control.NotSent)
+		c.d.giveUp(ref, s, control.ConnectionLost, control.NotSent)
 		return
 	}
 	c.r.Bodiless = bytes.HasPrefix(c.d.scratch, []byte("HEAD "))
@@ -124,7 +124,7 @@
 		return
 	}
 	s.conn = nil
-	c.d.giveUp(c.sub, s, control.Broken, control.Unreachable)
+	c.d.giveUp(c.sub, s, control.ConnectionLost, control.Unreachable)
 }
 
 func (c *conn) close() {
@@ -196,7 +196,7 @@
 
 // answered ends a submission by its answer and keeps the connection where it may carry another.
 func (c *conn) answered(ref slots.Ref, s *submission, v Verdict, b []byte, size int) {
-	if v.Ending == control.Broken { // it has the form of an answer, and is none
+	if v.Ending == control.ConnectionLost { // it has the form of an answer, and is none
 		c.d.spoilt(ref, s)
 		return
 	}
@@ -231,7 +231,7 @@
 // spoilt: an answer that can't be read ends as a broken connection does, it may have run.
 func (d *Dispatch) spoilt(ref slots.Ref, s *submission) {
 	d.e.Count.Add(counters.BadAnswer)
-	d.giveUp(ref, s, control.Broken, control.Unreachable)
+	d.giveUp(ref, s, control.ConnectionLost, control.Unreachable)
 }
 
 // Evict closes the connection that has been idle longest, wherever it leads but to one backend.
--- a/internal/proxy/upstream/dialect.go
+++ b/internal/proxy/upstream/dialect.go
@@ -53,10 +53,10 @@
 	v := Verdict{Ending: control.Errored, Load: d.report(r, b)} // whatever else it says, it may have run
 	switch r.Status() {
 	case 200:
-		v.Ending = control.Settled
+		v.Ending = control.Succeeded
 	case 503, 504:
 		if word, _ := r.Get(b, "srv-declined"); string(word) == "1" {
-			v.Ending = control.Full
+			v.Ending = control.Rejected
 		}
 	}
 	return v
--- a/internal/proxy/upstream/flow.go
+++ b/internal/proxy/upstream/flow.go
@@ -37,7 +37,7 @@
 		b, whole, ok := s.message.Part(c.d.scratch[:0])
 		c.d.scratch = b[:0]
 		if !ok { // the rest never comes
-			c.d.giveUp(c.sub, s, control.Broken, control.NotSent)
+			c.d.giveUp(c.sub, s, control.ConnectionLost, control.NotSent)
 			return
 		}
 		if s.flows = !whole; len(b) == 0 {
@@ -59,16 +59,16 @@
 	}
 	v := c.read(s, b)
 	switch {
-	case v.Other, v.Ending == control.Broken: // what belongs to nobody is not waited for to its end
+	case v.Other, v.Ending == control.ConnectionLost: // what belongs to nobody is not waited for to its end
 		c.d.spoilt(ref, s)
 		return true
-	case v.Ending != control.Settled && !v.Final:
+	case v.Ending != control.Succeeded && !v.Final:
 		c.d.cut(s)
 		c.d.tell(ref, s, v.Ending)
 		return true
 	}
 	if !c.d.gate.Begun(s.txn, gate.Outcome{Ending: v.Ending, Load: v.Load, Final: v.Final, Answer: &c.r, Bytes: b}) {
-		c.d.giveUp(ref, s, control.Broken, control.Unreachable)
+		c.d.giveUp(ref, s, control.ConnectionLost, control.Unreachable)
 		return true
 	}
 	c.verdict, c.flows, s.wholeBy = v, true, 0
@@ -92,7 +92,7 @@
 	for {
 		room := c.d.gate.Room(s.txn)
 		if room < 0 {
-			c.d.giveUp(ref, s, control.CalledOff, control.NotSent)
+			c.d.giveUp(ref, s, control.Canceled, control.NotSent)
 			return
 		}
 		h := c.l.In.Head()
--- a/internal/proxy/upstream/orders_test.go
+++ b/internal/proxy/upstream/orders_test.go
@@ -111,9 +111,9 @@
 func (a *asker) Settle(_, txn slots.Ref, o gate.Outcome) {
 	a.say(txn, "answer "+string(o.Body))
 }
-func (a *asker) Decline(_, txn slots.Ref, _ time.Duration, _ control.Lack) { a.say(txn, "refused") }
-func (a *asker) Void(_, txn slots.Ref, _ control.Lack)                     { a.say(txn, "void") }
-func (a *asker) Once(_, _ slots.Ref) bool                                  { return true }
+func (a *asker) Decline(_, txn slots.Ref, _ time.Duration, _ control.Reason) { a.say(txn, "refused") }
+func (a *asker) Void(_, txn slots.Ref, _ control.Reason)                     { a.say(txn, "void") }
+func (a *asker) Once(_, _ slots.Ref) bool                                    { return true }
 func (a *asker) ID(_, txn slots.Ref) string {
 	if a.same {
 		return "same"
@@ -140,9 +140,9 @@
 		return Verdict{Other: true}
 	}
 	if r.Status() == 421 {
-		return Verdict{Ending: control.Full, Closes: true}
+		return Verdict{Ending: control.Rejected, Closes: true}
 	}
-	return Verdict{Ending: control.Settled}
+	return Verdict{Ending: control.Succeeded}
 }
 
 // hands is the clock of the gate and the office, moved by the test alone.
@@ -158,7 +158,7 @@
 func (w *watcher) Ended(_ slots.Ref, _ int, _ control.BackendID, how control.Ending) {
 	w.ends = append(w.ends, how)
 }
-func (w *watcher) Final(slots.Ref, string, control.Verb) {}
+func (w *watcher) Final(slots.Ref, string, control.Action) {}
 
 // scenario is a node of the parts that requests pass, with two backends.
 type scenario struct {
@@ -186,10 +186,10 @@
 func newScenario(t *testing.T, e *eventloop.Engine, dialect Dialect, body, tries int) *scenario { // as many backends as tries
 	s := &scenario{t: t, e: e, hands: &hands{now: time.Hour}, w: &watcher{}, rung: make(chan bool, 1),
 		a: &asker{told: map[slots.Ref][]string{}, gone: map[slots.Ref]bool{}, body: make([]byte, body)}}
-	quota := control.NewQuota(1, 0, 1, time.Hour, control.QuotaTerms{Gap: 200 * time.Millisecond, ViewLife: time.Second,
+	quota := control.NewLimiter(1, 0, 1, time.Hour, control.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
 		DatagramsPerSecond: 100})
-	o := admission.New(1, admission.Terms{RetryRatio: 1, RetryWindow: 10 * time.Second, RetryExtra: 64, Nodes: 1}, quota, time.Hour)
-	o.SetCall(1, admission.Call{Effectful: true, Aim: time.Minute, MaxTries: tries, Targets: []admission.Target{{Service: 1, Weight: 1}}})
+	o := admission.New(1, admission.Config{RetryRatio: 1, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: 1}, quota, time.Hour)
+	o.SetRoute(1, admission.Route{Effectful: true, LatencyTarget: time.Minute, MaxAttempts: tries, Targets: []admission.Target{{Service: 1, Weight: 1}}})
 	s.g = gate.New(o, s.hands, 100, &counters.Set{}, zap.NewNop())
 	s.g.Watched(s.w)
 	s.e.Turn(func() {
@@ -201,7 +201,7 @@
 			}
 			id := control.BackendID(i + 1)
 			s.d.SetBackend(id, s.at[i].ln.Addr().String(), 0, true)
-			s.g.Listed(false, []control.Listing{{ID: id, State: control.Ready, Size: 4, Service: 1}})
+			s.g.Listed(false, []control.Endpoint{{ID: id, State: control.Ready, Capacity: 4, Service: 1}})
 		}
 		s.hands.now += 30 * time.Second // tokens have come in
 		s.g.Pull()
@@ -368,7 +368,7 @@
 		})
 	}
 	e.Turn(func() {
-		if len(s.w.ends) > 0 && s.w.ends[0] == control.Full {
+		if len(s.w.ends) > 0 && s.w.ends[0] == control.Rejected {
 			refused = 1
 		}
 	})
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -152,7 +152,7 @@
 	}
 	d.subs.Each(func(ref slots.Ref, s *submission) {
 		if s.backend == b && s.conn != nil && s.conn.dialing {
-			d.giveUp(ref, s, control.Broken, control.NotSent)
+			d.giveUp(ref, s, control.ConnectionLost, control.NotSent)
 		}
 	})
 }
@@ -205,7 +205,7 @@
 func (d *Dispatch) Recall(txn slots.Ref, nr int) {
 	ref := d.byTxn[txn]
 	if s := d.subs.Get(ref); s != nil && s.nr == nr {
-		d.giveUp(ref, s, control.CalledOff, control.NotSent)
+		d.giveUp(ref, s, control.Canceled, control.NotSent)
 	}
 }
 
@@ -283,6 +283,6 @@
 func (a *dialAlarm) Due(ref uint32) {
 	if s := a.d.subs.Get(slots.Ref(ref)); a.Live(ref) && a.d.e.Now() >= s.began+a.d.terms.Dial {
 		a.d.e.Count.Add(counters.DialsFailed)
-		a.d.giveUp(slots.Ref(ref), s, control.Broken, control.Unreachable)
+		a.d.giveUp(slots.Ref(ref), s, control.ConnectionLost, control.Unreachable)
 	}
 }
