--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -76,9 +76,9 @@
 // noPeers is a coordination.Outside without any other node.
 type noPeers struct{ coordination.Env }
 
-func (noPeers) Waited() time.Duration    { return 0 }
-func (noPeers) InTouch() bool            { return true }
-func (noPeers) At(time.Duration, uint32) {}
+func (noPeers) InputDelay() time.Duration    { return 0 }
+func (noPeers) HasQuorumContact() bool            { return true }
+func (noPeers) ScheduleAt(time.Duration, uint32) {}
 
 // coordinationOf folds the groups' logs to the service that answers applications' calls.
 func coordinationOf(t *testing.T, logs map[replication.LogID]replication.PersistentState) *coordination.Service {
--- a/internal/gateway/node/orders.go
+++ b/internal/gateway/node/orders.go
@@ -48,30 +48,30 @@
 
 // checkKnown tells what an order names that this node does not know. Zones are those of nodes.
 func (h *Node) checkKnown(o *rollout.Spec) error {
-	service := func(n string) bool { _, ok := h.table.Service(n); return ok }
-	route := func(n string) bool {
+	service := func(name string) bool { _, ok := h.table.Service(name); return ok }
+	route := func(name string) bool {
 		for _, r := range h.table.Routes() {
-			if r.Name == n {
+			if r.Name == name {
 				return true
 			}
 		}
 		return false
 	}
-	tenant := func(n string) bool {
+	tenant := func(name string) bool {
 		for _, t := range h.table.Tenants() {
-			if t.Name == n {
+			if t.Name == name {
 				return true
 			}
 		}
 		return false
 	}
-	zone := func(n string) bool {
+	zone := func(name string) bool {
 		for _, s := range h.roster.SlotHolders() {
-			if s.Zone == n {
+			if s.Zone == name {
 				return true
 			}
 		}
-		return n == h.settings.Zone
+		return name == h.settings.Zone
 	}
 	return o.CheckReferences(service, route, tenant, zone)
 }
@@ -86,9 +86,9 @@
 			}
 		}
 	}
-	n := h.machine.Rollouts.Last + 1
-	return controlapi.RolloutAnswer{Service: e.Service, Number: uint64(n), Phase: "dry", Rev: e.Rev, Steps: len(e.Order.Steps),
-		Users: ptr(len(users)), Moved: e.Order.CountMoved(n, users),
+	number := h.machine.Rollouts.Last + 1
+	return controlapi.RolloutAnswer{Service: e.Service, Number: uint64(number), Phase: "dry", Rev: e.Rev, Steps: len(e.Order.Steps),
+		Users: ptr(len(users)), Moved: e.Order.CountMoved(number, users),
 		Room: &controlapi.RolloutRoom{Old: e.Room.Old, New: e.Room.New, Busy: e.Room.Busy}}
 }
 
--- a/internal/gateway/statemachine/process_test.go
+++ b/internal/gateway/statemachine/process_test.go
@@ -43,7 +43,7 @@
 	}
 	want := ""
 	for i, what := range []string{"nothing", "roll-outs", "hellos"} {
-		c := exec.Command(os.Args[0], "-test.run=^TestSnapshotsAreAlikeInAllProcesses$")
+		c := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
 		c.Env = append(os.Environ(), preludeEnv+"="+what)
 		out, err := c.Output()
 		must.NoError(t, err, must.Sprint(string(out)))
