--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -144,28 +144,28 @@
 }
 
 // SetNodes says how many nodes share the service.
-func (c *Balancer) SetNodes(n int) { c.nodes = max(n, 1) }
+func (b *Balancer) SetNodes(n int) { b.nodes = max(n, 1) }
 
 // SetEndpoint takes one line of the list. A backend that drains or is gone gets nothing from now on.
-func (c *Balancer) SetEndpoint(now time.Duration, l control.Endpoint) {
-	b := c.known[l.ID]
-	if b == nil {
+func (b *Balancer) SetEndpoint(now time.Duration, l control.Endpoint) {
+	candidate := b.known[l.ID]
+	if candidate == nil {
 		if l.State == control.Gone {
 			return
 		}
-		b = &backend{slowdown: 1, slowStartFrom: -slowStartTime}
-		c.known[l.ID] = b
+		candidate = &backend{slowdown: 1, slowStartFrom: -slowStartTime}
+		b.known[l.ID] = candidate
 	}
-	if b.State == control.Gone && l.State != control.Gone { // new, or back
-		at, _ := slices.BinarySearchFunc(c.ordered, l.ID, compareID)
-		c.ordered = slices.Insert(c.ordered, at, b)
-		b.pass = c.virtualTime[c.locality(l.Zone)] + c.rng.Float64()/max(l.Capacity, 1)
+	if candidate.State == control.Gone && l.State != control.Gone { // new, or back
+		at, _ := slices.BinarySearchFunc(b.ordered, l.ID, compareID)
+		b.ordered = slices.Insert(b.ordered, at, candidate)
+		candidate.pass = b.virtualTime[b.locality(l.Zone)] + b.rng.Float64()/max(l.Capacity, 1)
 	}
-	b.Endpoint = l
+	candidate.Endpoint = l
 	if l.State == control.Gone {
-		c.remove(b)
+		b.remove(candidate)
 	}
-	c.updateSlots()
+	b.updateSlots()
 }
 
 func compareID(b *backend, id control.BackendID) int {
@@ -178,42 +178,42 @@
 	return 0
 }
 
-func (c *Balancer) remove(b *backend) {
-	if at, ok := slices.BinarySearchFunc(c.ordered, b.ID, compareID); ok {
-		c.ordered = slices.Delete(c.ordered, at, at+1)
+func (b *Balancer) remove(backend *backend) {
+	if at, ok := slices.BinarySearchFunc(b.ordered, backend.ID, compareID); ok {
+		b.ordered = slices.Delete(b.ordered, at, at+1)
 	}
-	if b.inFlight == 0 {
-		delete(c.known, b.ID)
+	if backend.inFlight == 0 {
+		delete(b.known, backend.ID)
 	}
 }
 
 // updateSlots brings the sum of the slots up to now. The room follows it: with half the backends gone, half is
 // left.
-func (c *Balancer) updateSlots() {
-	was := c.slots
-	c.slots = 0
-	for _, b := range c.ordered {
-		if b.State == control.Ready {
-			c.slots += max(b.Capacity, 1)
+func (b *Balancer) updateSlots() {
+	was := b.slots
+	b.slots = 0
+	for _, backend := range b.ordered {
+		if backend.State == control.Ready {
+			b.slots += max(backend.Capacity, 1)
 		}
 	}
-	if was > 0 && c.slots > 0 && c.capacity > 0 {
-		c.capacity *= c.slots / was
-	} else if c.slots > 0 {
-		c.capacity = initialCapacityFactor * c.slots / float64(c.nodes)
+	if was > 0 && b.slots > 0 && b.capacity > 0 {
+		b.capacity *= b.slots / was
+	} else if b.slots > 0 {
+		b.capacity = initialCapacityFactor * b.slots / float64(b.nodes)
 	}
-	c.boundCapacity()
-	c.updateSubset()
+	b.boundCapacity()
+	b.updateSubset()
 }
 
-func (c *Balancer) boundCapacity() {
-	c.capacity = min(max(c.capacity, 1), max(1, maxCapacityFactor*c.slots))
+func (b *Balancer) boundCapacity() {
+	b.capacity = min(max(b.capacity, 1), max(1, maxCapacityFactor*b.slots))
 }
 
 // Ready counts the backends that may get something.
-func (c *Balancer) Ready() (n int) {
-	for _, b := range c.ordered {
-		if b.State == control.Ready {
+func (b *Balancer) Ready() (n int) {
+	for _, backend := range b.ordered {
+		if backend.State == control.Ready {
 			n++
 		}
 	}
@@ -221,28 +221,28 @@
 }
 
 // WarmingUp tells whether a backend is still slow from its start, or not known any more.
-func (c *Balancer) WarmingUp(now time.Duration, id control.BackendID) bool {
-	b := c.known[id]
-	return b == nil || now < b.WarmingUntil
+func (b *Balancer) WarmingUp(now time.Duration, id control.BackendID) bool {
+	backend := b.known[id]
+	return backend == nil || now < backend.WarmingUntil
 }
 
 // Empty tells that there is nothing to keep: no backend and nothing out.
-func (c *Balancer) Empty() bool { return len(c.known) == 0 }
+func (b *Balancer) Empty() bool { return len(b.known) == 0 }
 
 // InFlight counts what this node has out at the service.
-func (c *Balancer) InFlight() int { return c.inFlight }
+func (b *Balancer) InFlight() int { return b.inFlight }
 
 // Capacity is how much it may have out now.
-func (c *Balancer) Capacity() float64 { return c.capacity }
+func (b *Balancer) Capacity() float64 { return b.capacity }
 
 // UsualLatency is the usual answer time of a kind of request; false while none has been answered.
-func (c *Balancer) UsualLatency(kind control.ProductID) (time.Duration, bool) {
-	s, ok := c.latency[kind]
+func (b *Balancer) UsualLatency(kind control.ProductID) (time.Duration, bool) {
+	s, ok := b.latency[kind]
 	return time.Duration(s * float64(time.Second)), ok
 }
 
-func (c *Balancer) locality(zone control.ZoneID) int {
-	if zone == c.zone {
+func (b *Balancer) locality(zone control.ZoneID) int {
+	if zone == b.zone {
 		return 0
 	}
 	return 1
@@ -254,10 +254,10 @@
 // on by its stride, which is small for many slots and a good speed, and what it has out counts as sends to
 // come. So each gets its part of the traffic, evenly spread. The fastest of all would be the choice of a
 // dozen nodes at once; a part by speed is not.
-func (c *Balancer) Pick(now time.Duration, w Request) (control.BackendID, Result) {
-	if c.inFlight >= int(max(1, c.capacity)) {
-		c.saturatedAt = now
-		if c.HasBackend(w) {
+func (b *Balancer) Pick(now time.Duration, w Request) (control.BackendID, Result) {
+	if b.inFlight >= int(max(1, b.capacity)) {
+		b.saturatedAt = now
+		if b.HasBackend(w) {
 			return 0, Saturated
 		}
 		return 0, NoBackend
@@ -266,22 +266,22 @@
 	var score [2]float64
 	enough, some := false, false
 	for careful := w.Effectful; ; careful = false {
-		for _, b := range c.ordered {
-			if b.State != control.Ready || slices.Contains(w.Attempted, b.ID) {
+		for _, backend := range b.ordered {
+			if backend.State != control.Ready || slices.Contains(w.Attempted, backend.ID) {
 				continue
 			}
 			some = true
-			switch c.grade(now, b, w, careful) {
+			switch b.grade(now, backend, w, careful) {
 			case bad:
 				continue
 			case busy:
 				enough = true
 				continue
 			}
-			stride := c.stride(now, b, w)
-			s := max(b.pass, c.virtualTime[c.locality(b.Zone)]-2*stride) + stride*(float64(b.inFlight)+c.rng.Float64()/4)
-			if i := c.locality(b.Zone); best[i] == nil || s < score[i] {
-				best[i], score[i] = b, s
+			stride := b.stride(now, backend, w)
+			s := max(backend.pass, b.virtualTime[b.locality(backend.Zone)]-2*stride) + stride*(float64(backend.inFlight)+b.rng.Float64()/4)
+			if i := b.locality(backend.Zone); best[i] == nil || s < score[i] {
+				best[i], score[i] = backend, s
 			}
 		}
 		if best[0] != nil || best[1] != nil || enough || !careful {
@@ -289,20 +289,20 @@
 		}
 	}
 	switch {
-	case best[0] != nil && best[1] != nil && c.rng.Float64() < c.crossZoneShareNow(now):
+	case best[0] != nil && best[1] != nil && b.rng.Float64() < b.crossZoneShareNow(now):
 		return best[1].ID, Chosen
 	case best[0] != nil:
 		return best[0].ID, Chosen
-	case best[1] != nil && (!enough || c.valueLoss[1] < crowdedValueLoss || c.valueLoss[1]+crossZoneCost < c.valueLoss[0]):
+	case best[1] != nil && (!enough || b.valueLoss[1] < crowdedValueLoss || b.valueLoss[1]+crossZoneCost < b.valueLoss[0]):
 		// This zone has enough. Where the others are as crowded, each would only fill the place of another.
 		return best[1].ID, Chosen
 	case enough:
-		c.saturatedAt = now
+		b.saturatedAt = now
 		return 0, Saturated
 	case !some:
 		return 0, NoBackend
 	}
-	return c.pickLeastBad(now, w)
+	return b.pickLeastBad(now, w)
 }
 
 type grade int
@@ -314,67 +314,67 @@
 )
 
 // grade tells whether a backend may be chosen now.
-func (c *Balancer) grade(now time.Duration, b *backend, w Request, careful bool) grade {
-	if b.ejectedUntil > now || c.unresponsive(now, b, w) {
+func (b *Balancer) grade(now time.Duration, backend *backend, w Request, careful bool) grade {
+	if backend.ejectedUntil > now || b.unresponsive(now, backend, w) {
 		return bad
 	}
-	if careful && (b.failureShare > effectfulFailureThreshold || b.suspect && now < b.ejectedUntil+(effectfulEjectionFactor-1)*b.backoff) {
+	if careful && (backend.failureShare > effectfulFailureThreshold || backend.suspect && now < backend.ejectedUntil+(effectfulEjectionFactor-1)*backend.backoff) {
 		return bad
 	}
-	if b.rejectingUntil > now || b.inFlight >= c.maxInFlight(now, b) {
+	if backend.rejectingUntil > now || backend.inFlight >= b.maxInFlight(now, backend) {
 		return busy
 	}
 	return good
 }
 
 // maxInFlight is how many this node may have out there.
-func (c *Balancer) maxInFlight(now time.Duration, b *backend) int {
-	if b.suspect || now < b.WarmingUntil || b.slowdown > crowdedSlowdown || b.rejections > 0 {
+func (b *Balancer) maxInFlight(now time.Duration, backend *backend) int {
+	if backend.suspect || now < backend.WarmingUntil || backend.slowdown > crowdedSlowdown || backend.rejections > 0 {
 		return 1
 	}
-	n := perBackend * c.capacity * max(b.Capacity, 1) / max(c.slots, 1)
-	n = min(n, queueFactor*max(b.Capacity, 1)+1)
-	if b.answers == 0 {
+	n := perBackend * b.capacity * max(backend.Capacity, 1) / max(b.slots, 1)
+	n = min(n, queueFactor*max(backend.Capacity, 1)+1)
+	if backend.answers == 0 {
 		n = min(n, 2)
 	}
 	return max(1, int(n+0.5))
 }
 
 // stride is the distance between two sends to a backend.
-func (c *Balancer) stride(now time.Duration, b *backend, w Request) float64 {
+func (b *Balancer) stride(now time.Duration, backend *backend, w Request) float64 {
 	part := 1.0
-	if now < b.WarmingUntil {
+	if now < backend.WarmingUntil {
 		part = warmUpShare
-	} else if from := max(b.slowStartFrom, b.WarmingUntil); now-from < slowStartTime {
+	} else if from := max(backend.slowStartFrom, backend.WarmingUntil); now-from < slowStartTime {
 		part = warmUpShare + (1-warmUpShare)*float64(now-from)/float64(slowStartTime)
 	}
-	if b.answers == 0 {
+	if backend.answers == 0 {
 		if w.Effectful {
 			part *= unknownEffectfulShare
 		} else {
 			part *= unknownShare
 		}
 	}
-	if b.outsideSubset {
-		part *= c.subset.outsideShare
+	if backend.outsideSubset {
+		part *= b.subset.outsideShare
 	}
-	return math.Pow(min(max(b.slowdown, minSlowdown), maxSlowdown), slowdownExponent) / (max(b.Capacity, 1) * part)
+	return math.Pow(min(max(backend.slowdown, minSlowdown), maxSlowdown), slowdownExponent) / (max(backend.Capacity, 1) * part)
 }
 
 // unresponsive tells that a backend owes answers for longer than such requests take. Now and then a pure one tries
 // it all the same.
-func (c *Balancer) unresponsive(now time.Duration, b *backend, w Request) bool {
-	if b.unanswered == 0 {
+func (b *Balancer) unresponsive(now time.Duration, backend *backend, w Request) bool {
+	if backend.unanswered == 0 {
 		return false
 	}
 	times := unresponsiveFactor
-	if b.unanswered == 1 {
+	if backend.unanswered == 1 {
 		times = singleUnresponsiveFactor
 	}
-	if now-b.unansweredSince <= max(minUnresponsiveTime, b.expectedTime(times)) {
+	if now-backend.unansweredSince <= max(minUnresponsiveTime, backend.expectedTime(times)) {
 		return false
 	}
-	return w.Effectful || now-b.sentAt < trialInterval
+	return w.Effectful || now-backend.sentAt < trialInterval
 }
 
 // expectedTime is some times the usual time of what a backend owes, at its speed.
@@ -384,43 +384,43 @@
 
 // Dead tells that what is out at a backend is not worth waiting for: it owes several answers for long, or one
 // where it is under suspicion or gone, and others have answered meanwhile.
-func (c *Balancer) Dead(now time.Duration, id control.BackendID) bool {
-	b := c.known[id]
-	if b == nil || b.unanswered == 0 || b.unanswered < deadUnanswered && b.State != control.Gone && !b.suspect {
+func (b *Balancer) Dead(now time.Duration, id control.BackendID) bool {
+	backend := b.known[id]
+	if backend == nil || backend.unanswered == 0 || backend.unanswered < deadUnanswered && backend.State != control.Gone && !backend.suspect {
 		return false
 	}
-	most := max(minUnresponsiveTime, b.expectedTime(unresponsiveFactor))
-	if b.unanswered >= deadUnanswered && now-b.secondUnansweredAt <= b.expectedTime(deadSecondFactor) {
+	most := max(minUnresponsiveTime, backend.expectedTime(unresponsiveFactor))
+	if backend.unanswered >= deadUnanswered && now-backend.secondUnansweredAt <= backend.expectedTime(deadSecondFactor) {
 		return false // one may take long by chance, not two
 	}
-	return now-b.unansweredSince > most && c.answeredAt > b.unansweredSince+most/2
+	return now-backend.unansweredSince > most && b.answeredAt > backend.unansweredSince+most/2
 }
 
 // HasBackend tells whether any backend is ready that a request was not sent to before.
-func (c *Balancer) HasBackend(w Request) bool {
-	return slices.ContainsFunc(c.ordered, func(b *backend) bool {
-		return b.State == control.Ready && !slices.Contains(w.Attempted, b.ID)
+func (b *Balancer) HasBackend(w Request) bool {
+	return slices.ContainsFunc(b.ordered, func(candidate *backend) bool {
+		return candidate.State == control.Ready && !slices.Contains(w.Attempted, candidate.ID)
 	})
 }
 
 // pickLeastBad: when all are failing or silent, the least so that has little out. Never is everyone set aside.
-func (c *Balancer) pickLeastBad(now time.Duration, w Request) (control.BackendID, Result) {
+func (b *Balancer) pickLeastBad(now time.Duration, w Request) (control.BackendID, Result) {
 	var best *backend
 	least := 0.0
-	for _, b := range c.ordered {
-		if b.State != control.Ready || slices.Contains(w.Attempted, b.ID) || b.inFlight >= c.maxInFlight(now, b) {
+	for _, backend := range b.ordered {
+		if backend.State != control.Ready || slices.Contains(w.Attempted, backend.ID) || backend.inFlight >= b.maxInFlight(now, backend) {
 			continue
 		}
-		s := b.failureShare + float64(b.inFlight) + c.rng.Float64()/2
-		if c.locality(b.Zone) > 0 {
+		s := backend.failureShare + float64(backend.inFlight) + b.rng.Float64()/2
+		if b.locality(backend.Zone) > 0 {
 			s += crossZoneCost
 		}
 		if best == nil || s < least {
-			best, least = b, s
+			best, least = backend, s
 		}
 	}
 	if best == nil {
-		c.saturatedAt = now
+		b.saturatedAt = now
 		return 0, Saturated
 	}
 	return best.ID, Chosen
@@ -429,18 +429,18 @@
 // crossZoneShareNow is the share of requests that leave this zone though it has room: it grows while answers from here
 // lose clearly more of their worth than those from elsewhere, by more than the way between zones costs. It
 // moves slowly, so that nodes don't rush together to where it is quiet.
-func (c *Balancer) crossZoneShareNow(now time.Duration) float64 {
-	if now-c.crossZoneAt < crossZoneInterval {
-		return c.crossZoneShare
+func (b *Balancer) crossZoneShareNow(now time.Duration) float64 {
+	if now-b.crossZoneAt < crossZoneInterval {
+		return b.crossZoneShare
 	}
-	c.crossZoneAt = now
-	if now-c.remoteAnswerAt > valueLossTTL {
-		c.valueLoss[1] = initialValueLoss
+	b.crossZoneAt = now
+	if now-b.remoteAnswerAt > valueLossTTL {
+		b.valueLoss[1] = initialValueLoss
 	}
-	if diff := c.valueLoss[0] - c.valueLoss[1] - crossZoneCost; diff > 0 {
-		c.crossZoneShare = min(maxCrossZoneShare, c.crossZoneShare+crossZoneGain*diff)
-	} else if c.crossZoneShare *= crossZoneDecay; c.crossZoneShare < 0.01 {
-		c.crossZoneShare = 0
+	if diff := b.valueLoss[0] - b.valueLoss[1] - crossZoneCost; diff > 0 {
+		b.crossZoneShare = min(maxCrossZoneShare, b.crossZoneShare+crossZoneGain*diff)
+	} else if b.crossZoneShare *= crossZoneDecay; b.crossZoneShare < 0.01 {
+		b.crossZoneShare = 0
 	}
-	return c.crossZoneShare
+	return b.crossZoneShare
 }
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -29,30 +29,30 @@
 	return s
 }
 
-func (s *fixture) line(id control.BackendID, state control.BackendState) control.Endpoint {
+func (f *fixture) line(id control.BackendID, state control.BackendState) control.Endpoint {
 	return control.Endpoint{ID: id, Zone: control.ZoneID((id - 1) / 3), State: state, Capacity: 4}
 }
 
 // play sends so many, one each 20 ms, each ended before the next: what each backend has out is no guide here.
-func (s *fixture) play(n int, w Request) {
-	clear(s.got)
+func (f *fixture) play(n int, w Request) {
+	clear(f.got)
 	for range n {
-		s.now += 20 * millisecond
-		id, a := s.Pick(s.now, w)
+		f.now += 20 * millisecond
+		id, a := f.Pick(f.now, w)
 		if a != Chosen {
 			continue
 		}
-		s.got[id]++
-		s.Sent(s.now, id, w)
+		f.got[id]++
+		f.Sent(f.now, id, w)
 		took := 100 * millisecond
-		if t := s.takes[id]; t > 0 {
+		if t := f.takes[id]; t > 0 {
 			took = t
 		}
-		s.Ended(s.now, id, Outcome{Ending: s.fails[id], Took: took, LatencyTarget: 400 * millisecond})
+		f.Ended(f.now, id, Outcome{Ending: f.fails[id], Took: took, LatencyTarget: 400 * millisecond})
 	}
 }
 
-func (s *fixture) elsewhere() int { return s.got[4] + s.got[5] + s.got[6] }
+func (f *fixture) elsewhere() int { return f.got[4] + f.got[5] + f.got[6] }
 
 func TestZone(t *testing.T) {
 	s := newFixture(1)
--- a/internal/gateway/balancer/homes.go
+++ b/internal/gateway/balancer/homes.go
@@ -36,19 +36,19 @@
 }
 
 // SetZoneIndex says which of how many nodes of this zone this one is, from 0.
-func (c *Balancer) SetZoneIndex(nr, of int) {
+func (b *Balancer) SetZoneIndex(nr, of int) {
 	if of = max(of, 1); nr < 0 || nr >= of {
 		nr = 0
 	}
-	if c.zoneIndex != nr || c.zoneNodes != of {
-		c.zoneIndex, c.zoneNodes = nr, of
-		c.updateSubset()
+	if b.zoneIndex != nr || b.zoneNodes != of {
+		b.zoneIndex, b.zoneNodes = nr, of
+		b.updateSubset()
 	}
 }
 
 // recordSend notes that a request is sent, and follows the pace: more homes at once, fewer only where it is well below.
-func (c *Balancer) recordSend(now time.Duration) {
-	h := &c.subset
+func (b *Balancer) recordSend(now time.Duration) {
+	h := &b.subset
 	if h.sent++; h.since == 0 {
 		h.since = now
 	}
@@ -61,39 +61,39 @@
 	want := int(math.Ceil(h.rate * subsetSendInterval.Seconds()))
 	if want = min(max(want, minSubset), maxSubsetByRate); want > h.size || want < h.size-1 {
 		h.size = want
-		c.updateSubset()
+		b.updateSubset()
 	}
 }
 
 // updateSubset works out which backends are homes, after the list, the nodes or the pace have changed.
-func (c *Balancer) updateSubset() {
+func (b *Balancer) updateSubset() {
 	var ring []*backend
-	for _, b := range c.ordered { // by id: a hash
-		if b.State == control.Ready && c.locality(b.Zone) == 0 {
-			ring = append(ring, b)
+	for _, backend := range b.ordered { // by id: a hash
+		if backend.State == control.Ready && b.locality(backend.Zone) == 0 {
+			ring = append(ring, backend)
 		}
 	}
 	n := len(ring)
 	count := n
-	if c.zoneNodes > 0 {
-		count = min(n, max(minSubset, c.subset.size, (nodesPerBackend*n+c.zoneNodes-1)/c.zoneNodes))
+	if b.zoneNodes > 0 {
+		count = min(n, max(minSubset, b.subset.size, (nodesPerBackend*n+b.zoneNodes-1)/b.zoneNodes))
 	}
-	c.subset.outsideShare = outsideShare
+	b.subset.outsideShare = outsideShare
 	if away := n - count; away > 0 {
-		c.subset.outsideShare = min(outsideShare, maxOutsideTotal*float64(count)/float64(away))
+		b.subset.outsideShare = min(outsideShare, maxOutsideTotal*float64(count)/float64(away))
 	}
-	for i, b := range ring {
+	for i, candidate := range ring {
 		first := 0
 		if count < n {
-			first = c.zoneIndex * n / c.zoneNodes
+			first = b.zoneIndex * n / b.zoneNodes
 		}
 		away := (i-first+n)%n >= count
-		switch size := max(b.Capacity, 1); {
-		case b.outsideSubset && !away: // its place in the order is far ahead: it takes its turn from now on
-			b.pass = min(b.pass, c.virtualTime[0]+c.rng.Float64()/size)
-		case away && !b.outsideSubset: // those that are no homes come one by one, not all of them at first
-			b.pass = max(b.pass, c.virtualTime[0]+c.rng.Float64()/(size*c.subset.outsideShare))
+		switch size := max(candidate.Capacity, 1); {
+		case candidate.outsideSubset && !away: // its place in the order is far ahead: it takes its turn from now on
+			candidate.pass = min(candidate.pass, b.virtualTime[0]+b.rng.Float64()/size)
+		case away && !candidate.outsideSubset: // those that are no homes come one by one, not all of them at first
+			candidate.pass = max(candidate.pass, b.virtualTime[0]+b.rng.Float64()/(size*b.subset.outsideShare))
 		}
-		b.outsideSubset = away
+		candidate.outsideSubset = away
 	}
 }
--- a/internal/gateway/balancer/learn.go
+++ b/internal/gateway/balancer/learn.go
@@ -12,30 +12,30 @@
 // ---- What happens
 
 // Sent is told when a request went to a backend.
-func (c *Balancer) Sent(now time.Duration, id control.BackendID, w Request) {
-	b := c.known[id]
-	invariant.That(b != nil && b.State == control.Ready, "only a ready backend gets a request")
-	if b == nil {
+func (b *Balancer) Sent(now time.Duration, id control.BackendID, w Request) {
+	backend := b.known[id]
+	invariant.That(backend != nil && backend.State == control.Ready, "only a ready backend gets a request")
+	if backend == nil {
 		return
 	}
-	side, stride := c.locality(b.Zone), c.stride(now, b, w)
-	b.pass = max(b.pass, c.virtualTime[side]-2*stride)
-	c.virtualTime[side] = max(c.virtualTime[side], b.pass)
-	b.pass += stride
-	if b.unanswered == 0 {
-		b.unansweredSince, b.expectedLatency = now, 0
+	side, stride := b.locality(backend.Zone), b.stride(now, backend, w)
+	backend.pass = max(backend.pass, b.virtualTime[side]-2*stride)
+	b.virtualTime[side] = max(b.virtualTime[side], backend.pass)
+	backend.pass += stride
+	if backend.unanswered == 0 {
+		backend.unansweredSince, backend.expectedLatency = now, 0
 	}
-	if u, ok := c.UsualLatency(w.Kind); ok {
-		b.expectedLatency = max(b.expectedLatency, u)
+	if u, ok := b.UsualLatency(w.Kind); ok {
+		backend.expectedLatency = max(backend.expectedLatency, u)
 	}
-	if b.unanswered == 1 {
-		b.secondUnansweredAt = now
+	if backend.unanswered == 1 {
+		backend.secondUnansweredAt = now
 	}
-	b.sentAt = now
-	c.recordSend(now)
-	b.unanswered++
+	backend.sentAt = now
+	b.recordSend(now)
+	backend.unanswered++
+	backend.inFlight++
 	b.inFlight++
-	c.inFlight++
 }
 
 // Outcome is how a request ended at a backend.
@@ -49,24 +49,24 @@
 }
 
 // Ended takes the one end of a request that was sent.
-func (c *Balancer) Ended(now time.Duration, id control.BackendID, e Outcome) {
-	b := c.known[id]
-	invariant.That(b != nil && b.inFlight > 0, "what ends at a backend was sent there")
-	if b == nil || b.inFlight == 0 {
+func (b *Balancer) Ended(now time.Duration, id control.BackendID, e Outcome) {
+	backend := b.known[id]
+	invariant.That(backend != nil && backend.inFlight > 0, "what ends at a backend was sent there")
+	if backend == nil || backend.inFlight == 0 {
 		return
 	}
-	dead := c.Dead(now, id)
+	dead := b.Dead(now, id)
+	backend.inFlight--
 	b.inFlight--
-	c.inFlight--
-	if b.State == control.Gone && b.inFlight == 0 {
-		delete(c.known, id)
+	if backend.State == control.Gone && backend.inFlight == 0 {
+		delete(b.known, id)
 	}
 	switch e.Ending {
 	case control.Succeeded, control.Errored, control.Rejected:
-		b.unanswered, b.unansweredSince, b.secondUnansweredAt, c.answeredAt = b.inFlight, now, now, now
+		backend.unanswered, backend.unansweredSince, backend.secondUnansweredAt, b.answeredAt = backend.inFlight, now, now, now
 	default:
-		if b.inFlight == 0 {
-			b.unanswered = 0
+		if backend.inFlight == 0 {
+			backend.unanswered = 0
 		}
 	}
 	bad := 0.0
@@ -74,113 +74,113 @@
 	case control.Canceled:
 		// Where clients leave early nothing runs into its time any more: one that was silent for long when its client left has
 		// failed all the same.
-		silent := e.ClientLeft && !e.SelfInflicted && e.Took > max(minUnresponsiveTime, b.expectedTime(unresponsiveFactor))
+		silent := e.ClientLeft && !e.SelfInflicted && e.Took > max(minUnresponsiveTime, backend.expectedTime(unresponsiveFactor))
 		if !dead && !silent {
 			return
 		}
 		bad = 1
 	case control.NotSent:
-		b.rejectingUntil = max(b.rejectingUntil, now+notSentBackoff)
+		backend.rejectingUntil = max(backend.rejectingUntil, now+notSentBackoff)
 		return
 	case control.Rejected:
-		c.recordRejection(now, b)
+		b.recordRejection(now, backend)
 		return
 	case control.Succeeded:
-		b.rejections = 0
-		c.rejectionShare -= serviceSmoothing * c.rejectionShare
-		c.recordAnswer(now, b, e)
+		backend.rejections = 0
+		b.rejectionShare -= serviceSmoothing * b.rejectionShare
+		b.recordAnswer(now, backend, e)
 	case control.TimedOut:
 		if e.SelfInflicted {
 			return
 		}
-		c.recordValueLoss(now, b, lateCost)
+		b.recordValueLoss(now, backend, lateCost)
 		bad = 1
 	default:
 		bad = 1
 	}
-	c.recordResult(now, b, bad, e.Ending)
+	b.recordResult(now, backend, bad, e.Ending)
 }
 
 // recordRejection: a backend turned one away. It is left alone, twice as long each time in a row. It says nothing of the
 // others, unless many are turned away.
-func (c *Balancer) recordRejection(now time.Duration, b *backend) {
-	pause := rejectionBackoff << min(b.rejections, maxRejectionDoublings)
-	b.rejectingUntil = now + time.Duration(float64(pause)*(0.75+c.rng.Float64()/2))
-	b.rejections++
-	c.rejectionShare += serviceSmoothing * (1 - c.rejectionShare)
-	if c.rejectionShare > rejectionThreshold {
-		c.capacity *= 1 - rejectionCapacityLoss
-		c.boundCapacity()
-	}
-	c.saturatedAt = now
-	c.recordValueLoss(now, b, lateCost/2)
+func (b *Balancer) recordRejection(now time.Duration, backend *backend) {
+	pause := rejectionBackoff << min(backend.rejections, maxRejectionDoublings)
+	backend.rejectingUntil = now + time.Duration(float64(pause)*(0.75+b.rng.Float64()/2))
+	backend.rejections++
+	b.rejectionShare += serviceSmoothing * (1 - b.rejectionShare)
+	if b.rejectionShare > rejectionThreshold {
+		b.capacity *= 1 - rejectionCapacityLoss
+		b.boundCapacity()
+	}
+	b.saturatedAt = now
+	b.recordValueLoss(now, backend, lateCost/2)
 }
 
 // recordAnswer learns from an answer's time.
-func (c *Balancer) recordAnswer(now time.Duration, b *backend, e Outcome) {
+func (b *Balancer) recordAnswer(now time.Duration, backend *backend, e Outcome) {
 	if e.SelfInflicted {
 		return
 	}
 	took := max(e.Took.Seconds(), 0.0005)
-	usual, ok := c.latency[e.Kind]
+	usual, ok := b.latency[e.Kind]
 	if !ok {
 		usual = took
 	}
 	took = min(took, maxLatencyFactor*usual)
-	c.latency[e.Kind] = usual + latencySmoothing*(took-usual)
-	b.answers++
-	b.slowdown += max(slowdownSmoothing, 1/float64(b.answers+4)) * (took/usual - b.slowdown)
+	b.latency[e.Kind] = usual + latencySmoothing*(took-usual)
+	backend.answers++
+	backend.slowdown += max(slowdownSmoothing, 1/float64(backend.answers+4)) * (took/usual - backend.slowdown)
 	late := e.LatencyTarget > 0 && float64(e.Took) > lateTargetShare*float64(e.LatencyTarget)
 	pain := 0.0
 	if late {
 		pain = lateCost
 	}
-	c.recordValueLoss(now, b, pain)
-	used := float64(c.inFlight+1) >= minUtilization*c.capacity || now-c.saturatedAt < 300*millisecond
+	b.recordValueLoss(now, backend, pain)
+	used := float64(b.inFlight+1) >= minUtilization*b.capacity || now-b.saturatedAt < 300*millisecond
 	switch {
 	case !late && used:
-		c.capacity += capacityGain * (c.capacity + 1)
-	case late && used && now >= b.WarmingUntil && b.slowdown < crowdedSlowdown:
-		c.capacity *= 1 - capacityLoss
+		b.capacity += capacityGain * (b.capacity + 1)
+	case late && used && now >= backend.WarmingUntil && backend.slowdown < crowdedSlowdown:
+		b.capacity *= 1 - capacityLoss
 	}
-	c.boundCapacity()
+	b.boundCapacity()
 }
 
-func (c *Balancer) recordValueLoss(now time.Duration, b *backend, pain float64) {
-	side := c.locality(b.Zone)
+func (b *Balancer) recordValueLoss(now time.Duration, backend *backend, pain float64) {
+	side := b.locality(backend.Zone)
 	if side == 1 {
-		c.remoteAnswerAt = now
+		b.remoteAnswerAt = now
 	}
-	c.valueLoss[side] += valueLossSmoothing * (pain - c.valueLoss[side])
+	b.valueLoss[side] += valueLossSmoothing * (pain - b.valueLoss[side])
 }
 
 // recordResult sets a failing backend aside for a while. Where all fail alike, no backend is at fault.
-func (c *Balancer) recordResult(now time.Duration, b *backend, fail float64, how control.Ending) {
-	b.endings++
-	b.failureShare += max(failureSmoothing, 1/float64(b.endings+1)) * (fail - b.failureShare)
-	c.failureShare += serviceSmoothing * (fail - c.failureShare)
+func (b *Balancer) recordResult(now time.Duration, backend *backend, fail float64, how control.Ending) {
+	backend.endings++
+	backend.failureShare += max(failureSmoothing, 1/float64(backend.endings+1)) * (fail - backend.failureShare)
+	b.failureShare += serviceSmoothing * (fail - b.failureShare)
 	if fail == 0 {
-		if b.suspect {
-			b.suspect, b.slowStartFrom, b.failureShare = false, now, min(b.failureShare, failureThreshold/2)
-		} else if b.failureShare < effectfulFailureThreshold/2 {
-			b.backoff = 0
+		if backend.suspect {
+			backend.suspect, backend.slowStartFrom, backend.failureShare = false, now, min(backend.failureShare, failureThreshold/2)
+		} else if backend.failureShare < effectfulFailureThreshold/2 {
+			backend.backoff = 0
 		}
 		return
 	}
 	// What takes no connection is left at once. A request out from before the pause says nothing new.
-	if b.ejectedUntil > now || how != control.Unreachable && !b.suspect &&
-		(b.failureShare < failureThreshold || b.failureShare < failureOutlierFactor*c.failureShare) {
+	if backend.ejectedUntil > now || how != control.Unreachable && !backend.suspect &&
+		(backend.failureShare < failureThreshold || backend.failureShare < failureOutlierFactor*b.failureShare) {
 		return
 	}
-	b.backoff = min(max(minEjectionTime, 2*b.backoff), maxEjectionTime)
-	b.ejectedUntil = now + time.Duration(float64(b.backoff)*(0.8+0.4*c.rng.Float64()))
-	b.suspect = true
+	backend.backoff = min(max(minEjectionTime, 2*backend.backoff), maxEjectionTime)
+	backend.ejectedUntil = now + time.Duration(float64(backend.backoff)*(0.8+0.4*b.rng.Float64()))
+	backend.suspect = true
 }
 
 // Resumed is told that this node stood still until now. Silence and time-outs of that time are of its own making.
-func (c *Balancer) Resumed(now time.Duration) {
-	for _, b := range c.ordered {
-		b.unansweredSince, b.secondUnansweredAt = now, now
+func (b *Balancer) Resumed(now time.Duration) {
+	for _, backend := range b.ordered {
+		backend.unansweredSince, backend.secondUnansweredAt = now, now
 	}
-	c.answeredAt = now
+	b.answeredAt = now
 }
--- a/internal/gateway/controlapi/coordination.go
+++ b/internal/gateway/controlapi/coordination.go
@@ -55,9 +55,9 @@
 }
 
 // coordinate takes an application's call; false: the path is another's.
-func (f *Handler) coordinate(c *downstream.Client, method, target string, body []byte) bool {
+func (h *Handler) coordinate(c *downstream.Client, method, target string, body []byte) bool {
 	path, query, _ := strings.Cut(target, "?")
-	if f.groups(c, method, path, body) {
+	if h.groups(c, method, path, body) {
 		return true
 	}
 	for _, p := range pathCalls {
@@ -70,12 +70,12 @@
 			return true
 		}
 		call, err := readCall(p.operation, text, query, body)
-		t := f.hold(c)
+		t := h.hold(c)
 		if err != nil {
-			f.end(t, 400, []byte(err.Error()))
+			h.end(t, 400, []byte(err.Error()))
 			return true
 		}
-		f.node.Coordinate(call, func(a coordination.Result) { f.coordinated(t, call.Operation, &a) })
+		h.node.Coordinate(call, func(a coordination.Result) { h.coordinated(t, call.Operation, &a) })
 		return true
 	}
 	return false
@@ -118,7 +118,7 @@
 }
 
 // groups takes a call on groups; false: the path is another's.
-func (f *Handler) groups(c *downstream.Client, method, path string, body []byte) bool {
+func (h *Handler) groups(c *downstream.Client, method, path string, body []byte) bool {
 	text, move := strings.CutPrefix(path, pathMoveGroup)
 	switch {
 	case !move && path != pathGroups:
@@ -127,13 +127,13 @@
 		c.Reject(405, counters.NoSuchMethod, "GET to list, POST to move")
 		return true
 	}
-	t := f.hold(c)
+	t := h.hold(c)
 	if !move {
-		list, err := json.Marshal(f.node.GroupList())
+		list, err := json.Marshal(h.node.GroupList())
 		if err != nil {
 			list = []byte(err.Error())
 		}
-		f.end(t, 200, list)
+		h.end(t, 200, list)
 		return true
 	}
 	var to GroupMove
@@ -143,11 +143,11 @@
 	}
 	switch {
 	case err != nil:
-		f.end(t, 400, []byte(err.Error()))
-	case !f.node.TransferGroup(id, to.To):
-		f.end(t, 409, []byte("this node does not lead the group, or the other one could not lead it at once"))
+		h.end(t, 400, []byte(err.Error()))
+	case !h.node.TransferGroup(id, to.To):
+		h.end(t, 409, []byte("this node does not lead the group, or the other one could not lead it at once"))
 	default:
-		f.end(t, 200, []byte("{}"))
+		h.end(t, 200, []byte("{}"))
 	}
 	return true
 }
@@ -220,7 +220,7 @@
 }
 
 // coordinated answers a call that was held.
-func (f *Handler) coordinated(t downstream.Ticket, o coordination.Operation, a *coordination.Result) {
+func (h *Handler) coordinated(t downstream.Ticket, o coordination.Operation, a *coordination.Result) {
 	code := statusCodes[a.Status]
 	after := time.Duration(0)
 	if a.Status == coordination.StatusUnavailable || a.Status == coordination.StatusLimitReached {
@@ -230,7 +230,7 @@
 	if err != nil {
 		code, text = 500, nil
 	}
-	f.in.Answer(t, func(b []byte, last bool) []byte {
+	h.in.Answer(t, func(b []byte, last bool) []byte {
 		return answer.Whole(b, code, "application/json", text, after, last)
 	})
 }
--- a/internal/gateway/controlapi/handler.go
+++ b/internal/gateway/controlapi/handler.go
@@ -65,18 +65,18 @@
 func New(in *downstream.Server, h Node) *Handler { return &Handler{in, h} }
 
 // Left is never told: calls go on when their caller has left.
-func (f *Handler) Left(slots.Ref) {}
+func (h *Handler) Left(slots.Ref) {}
 
 // Take takes a whole call.
-func (f *Handler) Take(c *downstream.Client) {
+func (h *Handler) Take(c *downstream.Client) {
 	r, b := c.Request()
 	target, method := string(r.Target(b)), string(r.Method(b))
-	if f.coordinate(c, method, target, r.Body(b)) {
+	if h.coordinate(c, method, target, r.Body(b)) {
 		return
 	}
 	path, _, _ := strings.Cut(target, "?")
 	if call, ok := strings.CutPrefix(path, pathRollout); ok {
-		f.rollout(c, method, call, r.Body(b))
+		h.rollout(c, method, call, r.Body(b))
 		return
 	}
 	want := "POST"
@@ -91,52 +91,52 @@
 	case method != want:
 		c.Reject(405, counters.NoSuchMethod, want+" only")
 	case path == pathReady:
-		f.ready(c)
+		h.ready(c)
 	case path == pathStatus:
-		text, err := json.Marshal(f.node.Status())
+		text, err := json.Marshal(h.node.Status())
 		if err != nil {
 			text = []byte(err.Error())
 		}
 		c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, 200, "application/json", text, 0, last) })
 	case path == pathRead:
-		t := f.hold(c)
-		f.node.ReadConfiguration(func(status int, body []byte) { f.end(t, status, body) })
+		t := h.hold(c)
+		h.node.ReadConfiguration(func(status int, body []byte) { h.end(t, status, body) })
 	case beat:
-		f.beat(c, id, r.Body(b))
+		h.beat(c, id, r.Body(b))
 	case leave:
 		if gone == "" || len(gone) > longestID {
 			c.Reject(400, counters.BadID, "no id in the path")
 			return
 		}
-		t := f.hold(c)
-		f.node.Deregister(gone, func(ok bool, target string) { f.acknowledge(t, ok, target) })
+		t := h.hold(c)
+		h.node.Deregister(gone, func(ok bool, target string) { h.acknowledge(t, ok, target) })
 	default:
 		kind := statemachine.KindReplaceConfig
 		if path == pathAmend {
 			kind = statemachine.KindAmendConfig
 		}
 		body := bytes.Clone(r.Body(b))
-		t := f.hold(c)
-		f.node.Change(kind, body, func(status int, text []byte) { f.end(t, status, text) })
+		t := h.hold(c)
+		h.node.Change(kind, body, func(status int, text []byte) { h.end(t, status, text) })
 	}
 }
 
-func (f *Handler) hold(c *downstream.Client) downstream.Ticket {
+func (h *Handler) hold(c *downstream.Client) downstream.Ticket {
 	t := c.Ticket()
 	c.Hold(0, "")
 	return t
 }
 
-func (f *Handler) ready(c *downstream.Client) {
+func (h *Handler) ready(c *downstream.Client) {
 	status := 503
-	if f.node.Ready() {
+	if h.node.Ready() {
 		status = 200
 	}
 	c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, status, "", nil, 0, last) })
 }
 
 // end answers a call that was held. What is no configuration is worded as a refusal.
-func (f *Handler) end(t downstream.Ticket, status int, body []byte) {
+func (h *Handler) end(t downstream.Ticket, status int, body []byte) {
 	if status != 200 {
 		body, _ = json.Marshal(Refusal{Error: kindOf(status), Detail: string(body)})
 	}
@@ -147,7 +147,7 @@
 	if status == 503 {
 		after = busyAdvice
 	}
-	f.in.Answer(t, func(b []byte, last bool) []byte {
+	h.in.Answer(t, func(b []byte, last bool) []byte {
 		return answer.Whole(b, status, "application/json", body, after, last)
 	})
 }
@@ -170,14 +170,14 @@
 }
 
 // beat takes what a backend says of itself.
-func (f *Handler) beat(c *downstream.Client, id string, body []byte) {
+func (h *Handler) beat(c *downstream.Client, id string, body []byte) {
 	w, err := readBeat(id, body)
 	if err != nil {
 		c.Reject(400, counters.BadRequest, err.Error())
 		return
 	}
-	t := f.hold(c)
-	f.node.Heartbeat(w, func(ok bool, target string) { f.acknowledge(t, ok, target) })
+	t := h.hold(c)
+	h.node.Heartbeat(w, func(ok bool, target string) { h.acknowledge(t, ok, target) })
 }
 
 func readBeat(id string, body []byte) (registry.Record, error) {
@@ -207,11 +207,11 @@
 }
 
 // acknowledge answers a backend's call.
-func (f *Handler) acknowledge(t downstream.Ticket, ok bool, target string) {
+func (h *Handler) acknowledge(t downstream.Ticket, ok bool, target string) {
 	if !ok {
-		f.end(t, 503, []byte("too few nodes have heard it"))
+		h.end(t, 503, []byte("too few nodes have heard it"))
 		return
 	}
 	body, _ := json.Marshal(HeartbeatAnswer{BeatTarget: target})
-	f.end(t, 200, body)
+	h.end(t, 200, body)
 }
--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -40,62 +40,62 @@
 	answer coordination.Result
 }
 
-func (h *fakeNode) do(what string, then func()) {
-	h.asked = append(h.asked, what)
-	if h.later {
-		h.held = append(h.held, then)
-		h.came <- true
+func (f *fakeNode) do(what string, then func()) {
+	f.asked = append(f.asked, what)
+	if f.later {
+		f.held = append(f.held, then)
+		f.came <- true
 	} else {
 		then()
 	}
 }
-func (h *fakeNode) Ready() bool { return h.ready }
-func (h *fakeNode) Status() NodeStatus {
+func (f *fakeNode) Ready() bool { return f.ready }
+func (f *fakeNode) Status() NodeStatus {
 	return NodeStatus{Node: "d", Generation: 7, Nodes: []StatusNode{}}
 }
-func (h *fakeNode) Change(k statemachine.Kind, body []byte, then func(int, []byte)) {
-	status, text := h.status, []byte(h.body)
-	h.do(fmt.Sprintf("change %c %s", k, body), func() { then(status, text) })
+func (f *fakeNode) Change(k statemachine.Kind, body []byte, then func(int, []byte)) {
+	status, text := f.status, []byte(f.body)
+	f.do(fmt.Sprintf("change %c %s", k, body), func() { then(status, text) })
 }
-func (h *fakeNode) ReadConfiguration(then func(int, []byte)) {
-	status, text := h.status, []byte(h.body)
-	h.do("newest", func() { then(status, text) })
+func (f *fakeNode) ReadConfiguration(then func(int, []byte)) {
+	status, text := f.status, []byte(f.body)
+	f.do("newest", func() { then(status, text) })
 }
-func (h *fakeNode) Heartbeat(w registry.Record, then func(bool, string)) {
-	h.do(fmt.Sprint("beat ", w), func() { then(h.ok, h.target) })
+func (f *fakeNode) Heartbeat(w registry.Record, then func(bool, string)) {
+	f.do(fmt.Sprint("beat ", w), func() { then(f.ok, f.target) })
 }
-func (h *fakeNode) Deregister(id string, then func(bool, string)) {
-	h.do("leave "+id, func() { then(h.ok, h.target) })
+func (f *fakeNode) Deregister(id string, then func(bool, string)) {
+	f.do("leave "+id, func() { then(f.ok, f.target) })
 }
 
-func (h *fakeNode) Rollout(e *rollout.Entry, dry bool, then func(int, []byte)) {
-	status, text := h.status, []byte(h.body)
+func (f *fakeNode) Rollout(e *rollout.Entry, dry bool, then func(int, []byte)) {
+	status, text := f.status, []byte(f.body)
 	what := fmt.Sprintf("%s %q %d %d %d %s %s %s %v", e.Verb, e.Service, e.Rev, e.Number, e.Step, e.Mark, e.By, e.Why, dry)
 	if e.Order != nil {
 		what += fmt.Sprint(" ", e.Order)
 	}
-	h.do(what, func() { then(status, text) })
+	f.do(what, func() { then(status, text) })
 }
-func (h *fakeNode) Rollouts(then func(int, []byte)) {
-	status, text := h.status, []byte(h.body)
-	h.do("rollouts", func() { then(status, text) })
+func (f *fakeNode) Rollouts(then func(int, []byte)) {
+	status, text := f.status, []byte(f.body)
+	f.do("rollouts", func() { then(status, text) })
 }
-func (h *fakeNode) RolloutHistory(service string) RolloutHistory {
+func (f *fakeNode) RolloutHistory(service string) RolloutHistory {
 	return RolloutHistory{Service: service, Rollouts: []RolloutPast{}}
 }
 
-func (h *fakeNode) Coordinate(c coordination.Call, then func(coordination.Result)) {
-	a := h.answer
-	h.do(fmt.Sprintf("%v %q %q %d %v %q %v %d %d %v", c.Operation, c.Name, c.Holder, c.FencingToken, c.TTL, c.Value, c.Conditional, c.ExpectedRevision, c.AfterRevision, c.Timeout),
+func (f *fakeNode) Coordinate(c coordination.Call, then func(coordination.Result)) {
+	a := f.answer
+	f.do(fmt.Sprintf("%v %q %q %d %v %q %v %d %d %v", c.Operation, c.Name, c.Holder, c.FencingToken, c.TTL, c.Value, c.Conditional, c.ExpectedRevision, c.AfterRevision, c.Timeout),
 		func() { then(a) })
 }
 
-func (h *fakeNode) GroupList() GroupList {
+func (f *fakeNode) GroupList() GroupList {
 	return GroupList{Node: "d", Groups: []GroupStatus{{Group: 1, Leader: "x:1"}}}
 }
-func (h *fakeNode) TransferGroup(id groups.ID, address string) bool {
-	h.asked = append(h.asked, fmt.Sprint("move ", id, " ", address))
-	return h.ok
+func (f *fakeNode) TransferGroup(id groups.ID, address string) bool {
+	f.asked = append(f.asked, fmt.Sprint("move ", id, " ", address))
+	return f.ok
 }
 
 // fixture is the form on sockets, before a deployment.
@@ -115,11 +115,11 @@
 	return st
 }
 
-func (st *fixture) dial() (net.Conn, *bufio.Reader) {
-	c, err := net.Dial("tcp", st.e.AddrOf(0))
-	must.NoError(st.t, err)
+func (f *fixture) dial() (net.Conn, *bufio.Reader) {
+	c, err := net.Dial("tcp", f.e.AddrOf(0))
+	must.NoError(f.t, err)
 	c.SetDeadline(time.Now().Add(patience))
-	st.t.Cleanup(func() { c.Close() })
+	f.t.Cleanup(func() { c.Close() })
 	return c, bufio.NewReader(c)
 }
 
@@ -128,20 +128,20 @@
 }
 
 // hears reads the next answer.
-func (st *fixture) hears(r *bufio.Reader) (*http.Response, string) {
-	st.t.Helper()
+func (f *fixture) hears(r *bufio.Reader) (*http.Response, string) {
+	f.t.Helper()
 	a, err := http.ReadResponse(r, nil)
-	must.NoError(st.t, err)
+	must.NoError(f.t, err)
 	body, err := io.ReadAll(a.Body)
-	must.NoError(st.t, err)
+	must.NoError(f.t, err)
 	return a, string(body)
 }
 
 // set changes the deployment in a turn, and gives what it was asked since the last time.
-func (st *fixture) set(f func(h *fakeNode)) (asked []string) {
-	st.e.Turn(func() {
-		asked, st.h.asked = st.h.asked, nil
-		f(st.h)
+func (f *fixture) set(call func(h *fakeNode)) (asked []string) {
+	f.e.Turn(func() {
+		asked, f.h.asked = f.h.asked, nil
+		call(f.h)
 	})
 	return asked
 }
--- a/internal/gateway/controlapi/rollouts.go
+++ b/internal/gateway/controlapi/rollouts.go
@@ -32,7 +32,7 @@
 	"PullBack": rollout.Rollback, "Finish": rollout.Finish}
 
 // rollout takes a call on roll-outs.
-func (f *Handler) rollout(c *downstream.Client, method, call string, body []byte) {
+func (h *Handler) rollout(c *downstream.Client, method, call string, body []byte) {
 	name, text, _ := strings.Cut(call, "/")
 	verb, changes := rolloutVerbs[name]
 	service, err := url.PathUnescape(text)
@@ -47,22 +47,22 @@
 	case method != want:
 		c.Reject(405, counters.NoSuchMethod, want+" only")
 	case name == "Status":
-		t := f.hold(c)
-		f.node.Rollouts(func(status int, body []byte) { f.end(t, status, body) })
+		t := h.hold(c)
+		h.node.Rollouts(func(status int, body []byte) { h.end(t, status, body) })
 	case name == "History":
-		text, err := json.Marshal(f.node.RolloutHistory(service))
+		text, err := json.Marshal(h.node.RolloutHistory(service))
 		if err != nil {
 			text = []byte(err.Error())
 		}
 		c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, 200, "application/json", text, 0, last) })
 	default:
 		e, dry, err := readRollout(verb, service, body)
-		t := f.hold(c)
+		t := h.hold(c)
 		if err != nil {
-			f.end(t, 400, []byte(err.Error()))
+			h.end(t, 400, []byte(err.Error()))
 			return
 		}
-		f.node.Rollout(e, dry, func(status int, body []byte) { f.end(t, status, body) })
+		h.node.Rollout(e, dry, func(status int, body []byte) { h.end(t, status, body) })
 	}
 }
 
--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -45,16 +45,16 @@
 	lastSequence int
 }
 
-func (q *eventQueue) Len() int { return len(q.events) }
-func (q *eventQueue) Less(i, j int) bool {
-	a, b := q.events[i], q.events[j]
+func (e *eventQueue) Len() int { return len(e.events) }
+func (e *eventQueue) Less(i, j int) bool {
+	a, b := e.events[i], e.events[j]
 	return a.time < b.time || a.time == b.time && a.sequence < b.sequence
 }
-func (q *eventQueue) Swap(i, j int) { q.events[i], q.events[j] = q.events[j], q.events[i] }
-func (q *eventQueue) Push(x any)    { q.events = append(q.events, x.(event)) }
-func (q *eventQueue) Pop() any {
-	last := q.events[len(q.events)-1]
-	q.events = q.events[:len(q.events)-1]
+func (e *eventQueue) Swap(i, j int) { e.events[i], e.events[j] = e.events[j], e.events[i] }
+func (e *eventQueue) Push(x any)    { e.events = append(e.events, x.(event)) }
+func (e *eventQueue) Pop() any {
+	last := e.events[len(e.events)-1]
+	e.events = e.events[:len(e.events)-1]
 	return last
 }
 
--- a/internal/gateway/coordination/entry.go
+++ b/internal/gateway/coordination/entry.go
@@ -13,16 +13,16 @@
 }
 
 // encode words an entry for the log.
-func (x *entry) encode() []byte {
-	var e encoder
-	e.uint(entryVersion)
-	e.duration(x.logTime)
-	e.bool(x.call.Operation == LockAcquire)
-	if x.call.Operation == LockAcquire {
-		encodeCallID(&e, x.callID)
+func (e *entry) encode() []byte {
+	var item encoder
+	item.uint(entryVersion)
+	item.duration(e.logTime)
+	item.bool(e.call.Operation == LockAcquire)
+	if e.call.Operation == LockAcquire {
+		encodeCallID(&item, e.callID)
 	}
-	x.call.encode(&e)
-	return e.bytes
+	e.call.encode(&item)
+	return item.bytes
 }
 
 // decodeEntry reads an entry of the log.
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -72,53 +72,53 @@
 	path        []string
 }
 
-func (x *explorer) Propose(_ groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
-	then(groups.Applied, x.state.Apply(1, entry))
+func (e *explorer) Propose(_ groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
+	then(groups.Applied, e.state.Apply(1, entry))
 }
-func (x *explorer) ReadIndex(_ groups.ID, then func(bool))             { then(true) }
-func (x *explorer) Leadership(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
-func (x *explorer) Leader(groups.ID) (string, bool)                    { return "", false }
-func (x *explorer) LeaderCandidates(groups.ID) []string                { return nil }
-func (x *explorer) HintLeader(groups.ID, string)                       {}
-func (x *explorer) Now() time.Duration                                 { return x.now }
-func (x *explorer) ScheduleAt(time.Duration, uint32)                   {}
-func (x *explorer) HasQuorumContact() bool                             { return true }
-func (x *explorer) InputDelay() time.Duration                          { return 0 }
-func (x *explorer) Send(_ string, m *coordination.Message) bool        { x.response = m.Response; return true }
+func (e *explorer) ReadIndex(_ groups.ID, then func(bool))             { then(true) }
+func (e *explorer) Leadership(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
+func (e *explorer) Leader(groups.ID) (string, bool)                    { return "", false }
+func (e *explorer) LeaderCandidates(groups.ID) []string                { return nil }
+func (e *explorer) HintLeader(groups.ID, string)                       {}
+func (e *explorer) Now() time.Duration                                 { return e.now }
+func (e *explorer) ScheduleAt(time.Duration, uint32)                   {}
+func (e *explorer) HasQuorumContact() bool                             { return true }
+func (e *explorer) InputDelay() time.Duration                          { return 0 }
+func (e *explorer) Send(_ string, m *coordination.Message) bool        { e.response = m.Response; return true }
 
 // deliver brings a copy of a call to the leader.
-func (x *explorer) deliver(p exploreState, nr int) exploreState {
+func (e *explorer) deliver(p exploreState, nr int) exploreState {
 	c := &p.calls[nr]
 	c.inFlight--
-	s := coordination.New(x, coordination.Config{Address: "leader", Incarnation: x.incarnation, HistoryRetention: testHistory})
-	s.SetHost(x)
+	s := coordination.New(e, coordination.Config{Address: "leader", Incarnation: e.incarnation, HistoryRetention: testHistory})
+	s.SetHost(e)
 	id := groups.GroupOf(exploreLock)
-	x.state, x.now, x.response = s.StateMachine(id), p.now, nil
-	must.NoError(x.t, x.state.Restore([]byte(p.snapshot)))
+	e.state, e.now, e.response = s.StateMachine(id), p.now, nil
+	must.NoError(e.t, e.state.Restore([]byte(p.snapshot)))
 	s.BecomeLeaderAt(id, p.logTime)
-	held := x.state.(*coordination.State).HeldLocks()
-	s.Receive("node", &coordination.Message{Request: &coordination.ForwardRequest{OriginIncarnation: 7, Sequence: uint32(nr) + 1, TargetIncarnation: x.incarnation, Deadline: c.sent + exploreCallTimeout,
+	held := e.state.(*coordination.State).HeldLocks()
+	s.Receive("node", &coordination.Message{Request: &coordination.ForwardRequest{OriginIncarnation: 7, Sequence: uint32(nr) + 1, TargetIncarnation: e.incarnation, Deadline: c.sent + exploreCallTimeout,
 		Call: coordination.Call{Operation: c.operation, Name: exploreLock, Holder: fmt.Sprint("h", c.caller), FencingToken: c.fencingToken, TTL: exploreTTL}}})
 	before := p.snapshot
-	p.snapshot = string(x.state.Snapshot())
+	p.snapshot = string(e.state.Snapshot())
 	if p.now > c.sent+exploreCallTimeout && !bytes.Equal([]byte(before), []byte(p.snapshot)) {
-		x.report("a copy that came %v after its call did something", p.now-c.sent)
+		e.report("a copy that came %v after its call did something", p.now-c.sent)
 	}
-	good := x.response.Outcome == coordination.AttemptDone && x.response.Result.Status == coordination.StatusOK
-	if good && c.operation == coordination.LockAcquire && c.released && held != x.state.(*coordination.State).HeldLocks() {
-		x.report("a copy of a call that was answered and given back took the lock")
+	good := e.response.Outcome == coordination.AttemptDone && e.response.Result.Status == coordination.StatusOK
+	if good && c.operation == coordination.LockAcquire && c.released && held != e.state.(*coordination.State).HeldLocks() {
+		e.report("a copy of a call that was answered and given back took the lock")
 	}
 	if who := &p.callers[c.caller]; who.awaitedCall == nr+1 {
 		who.awaitedCall = 0
 		if good {
-			x.applySuccess(&p, c, who)
+			e.applySuccess(&p, c, who)
 		}
 	}
 	return p
 }
 
 // applySuccess is what a good answer means to its caller.
-func (x *explorer) applySuccess(p *exploreState, c *exploreCall, who *exploreCaller) {
+func (e *explorer) applySuccess(p *exploreState, c *exploreCall, who *exploreCaller) {
 	c.acknowledged = true
 	switch c.operation {
 	case coordination.LockAcquire:
@@ -127,7 +127,7 @@
 		} else {
 			who.hasLock, who.expiresAt = true, c.sent+exploreTTL
 		}
-		who.fencingToken = x.response.Result.FencingToken
+		who.fencingToken = e.response.Result.FencingToken
 	case coordination.LockRenew:
 		if who.hasLock && p.now <= who.expiresAt {
 			who.expiresAt = max(who.expiresAt, c.sent+exploreTTL)
@@ -141,30 +141,30 @@
 	}
 }
 
-func (x *explorer) report(format string, args ...any) {
-	if x.violation == "" {
-		x.violation = fmt.Sprintf(format, args...) + " " + fmt.Sprint(x.path)
+func (e *explorer) report(format string, args ...any) {
+	if e.violation == "" {
+		e.violation = fmt.Sprintf(format, args...) + " " + fmt.Sprint(e.path)
 	}
 }
 
 // visit goes on from a place in all ways.
-func (x *explorer) visit(p exploreState, depth int) {
-	if met, ok := x.seen[p]; x.violation != "" || ok && met <= depth {
+func (e *explorer) visit(p exploreState, depth int) {
+	if met, ok := e.seen[p]; e.violation != "" || ok && met <= depth {
 		return
 	}
-	x.seen[p] = depth
+	e.seen[p] = depth
 	a, b := p.callers[0], p.callers[1]
 	if a.hasLock && b.hasLock && p.now < a.expiresAt && p.now < b.expiresAt {
-		x.report("both hold the lock")
+		e.report("both hold the lock")
 		return
 	}
-	if depth == x.depth {
+	if depth == e.depth {
 		return
 	}
 	step := func(what string, args []any, next exploreState) {
-		x.path = append(x.path, fmt.Sprintf(what, args...))
-		x.visit(next, depth+1)
-		x.path = x.path[:len(x.path)-1]
+		e.path = append(e.path, fmt.Sprintf(what, args...))
+		e.visit(next, depth+1)
+		e.path = e.path[:len(e.path)-1]
 	}
 	for i := range p.callers {
 		if next := p; p.callers[i].awaitedCall > 0 { // the connection is reset
@@ -182,9 +182,9 @@
 		if p.calls[nr].inFlight == 0 {
 			continue
 		}
-		x.path = append(x.path, fmt.Sprintf("call %d arrives", nr))
-		x.visit(x.deliver(p, nr), depth+1)
-		x.path = x.path[:len(x.path)-1]
+		e.path = append(e.path, fmt.Sprintf("call %d arrives", nr))
+		e.visit(e.deliver(p, nr), depth+1)
+		e.path = e.path[:len(e.path)-1]
 		if next := p; p.duplicates == 0 && p.calls[nr].inFlight == 1 {
 			next.duplicates++
 			next.calls[nr].inFlight++
@@ -199,7 +199,7 @@
 	}
 	if next := p; p.leaderChanges == 0 { // the new leader's clock begins at the newest entry
 		next.leaderChanges++
-		next.logTime = newLeaderLogTime(x.t, p.snapshot)
+		next.logTime = newLeaderLogTime(e.t, p.snapshot)
 		step("another leads", nil, next)
 	}
 }
@@ -215,18 +215,18 @@
 	return s.LogTime(id)
 }
 
-func (p exploreState) send(caller int, what coordination.Operation) (exploreState, bool) {
-	who := &p.callers[caller]
-	if p.callCount == exploreMaxCalls || what != coordination.LockAcquire && !who.hasLock {
-		return p, false
+func (e exploreState) send(caller int, what coordination.Operation) (exploreState, bool) {
+	who := &e.callers[caller]
+	if e.callCount == exploreMaxCalls || what != coordination.LockAcquire && !who.hasLock {
+		return e, false
 	}
-	p.calls[p.callCount] = exploreCall{caller: caller, operation: what, fencingToken: who.fencingToken, sent: p.now, inFlight: 1}
-	p.callCount++
-	who.awaitedCall = p.callCount
+	e.calls[e.callCount] = exploreCall{caller: caller, operation: what, fencingToken: who.fencingToken, sent: e.now, inFlight: 1}
+	e.callCount++
+	who.awaitedCall = e.callCount
 	if what == coordination.LockRelease {
 		who.hasLock, who.expiresAt = false, 0
 	}
-	return p, true
+	return e, true
 }
 
 func explore(t *testing.T, depth int) *explorer {
--- a/internal/gateway/coordination/keys.go
+++ b/internal/gateway/coordination/keys.go
@@ -38,7 +38,7 @@
 // eventOverhead is what an event takes beside its texts.
 const eventOverhead = 64
 
-func (e *storedEvent) size() int { return eventOverhead + len(e.Name) + len(e.Value) }
+func (s *storedEvent) size() int { return eventOverhead + len(s.Name) + len(s.Value) }
 
 // putDigest names a put of a value to a key.
 type putDigest [16]byte
--- a/internal/gateway/coordination/message.go
+++ b/internal/gateway/coordination/message.go
@@ -141,20 +141,20 @@
 	}
 }
 
-func (a *Result) encode(e *encoder) {
-	e.uint(uint64(a.Status))
-	e.uint(a.FencingToken)
-	e.uint(a.Number)
-	e.uint(a.Revision)
-	e.string(a.Value)
-	e.uint(uint64(len(a.Events)))
-	for _, x := range a.Events {
+func (r *Result) encode(e *encoder) {
+	e.uint(uint64(r.Status))
+	e.uint(r.FencingToken)
+	e.uint(r.Number)
+	e.uint(r.Revision)
+	e.string(r.Value)
+	e.uint(uint64(len(r.Events)))
+	for _, x := range r.Events {
 		e.string(x.Name)
 		e.string(x.Value)
 		e.uint(x.Revision)
 	}
-	e.uint(uint64(len(a.Locks)))
-	for _, l := range a.Locks {
+	e.uint(uint64(len(r.Locks)))
+	for _, l := range r.Locks {
 		e.string(l.Name)
 		e.string(l.Holder)
 		e.uint(l.FencingToken)
@@ -162,15 +162,15 @@
 	}
 }
 
-func (a *Result) decode(d *decoder) {
-	a.Status, a.FencingToken, a.Number, a.Revision, a.Value = Status(d.uint()), d.uint(), d.uint(), d.uint(), d.string()
-	if a.Status > StatusAmbiguous && d.err == nil {
+func (r *Result) decode(d *decoder) {
+	r.Status, r.FencingToken, r.Number, r.Revision, r.Value = Status(d.uint()), d.uint(), d.uint(), d.uint(), d.string()
+	if r.Status > StatusAmbiguous && d.err == nil {
 		d.err = ErrUnknownVersion
 	}
 	for range d.count() {
-		a.Events = append(a.Events, Event{d.string(), d.string(), d.uint()})
+		r.Events = append(r.Events, Event{d.string(), d.string(), d.uint()})
 	}
 	for range d.count() {
-		a.Locks = append(a.Locks, LockInfo{d.string(), d.string(), d.uint(), d.duration()})
+		r.Locks = append(r.Locks, LockInfo{d.string(), d.string(), d.uint(), d.duration()})
 	}
 }
--- a/internal/gateway/coordination/service.go
+++ b/internal/gateway/coordination/service.go
@@ -70,9 +70,9 @@
 // anchorClock notes that the log clock showed what the newest entry was stamped with, some time before now. So a follower that comes to lead
 // knows how the clock went on since. It never keeps a time of its own that is ahead: another leader may have stamped entries by a clock
 // that was behind, and whatever holds by these must not end early. Who leads goes on by its own.
-func (g *hostedGroup) anchorClock(now time.Duration) {
-	if !g.isLeader && (g.state.fault != ownClock || g.state.logTime > g.anchorLogTime+now-g.anchoredAt) {
-		g.anchorLogTime, g.anchoredAt = g.state.logTime, now
+func (h *hostedGroup) anchorClock(now time.Duration) {
+	if !h.isLeader && (h.state.fault != ownClock || h.state.logTime > h.anchorLogTime+now-h.anchoredAt) {
+		h.anchorLogTime, h.anchoredAt = h.state.logTime, now
 	}
 }
 
--- a/internal/gateway/ingress/flow.go
+++ b/internal/gateway/ingress/flow.go
@@ -16,27 +16,27 @@
 const mark = "00000000\r\n"
 
 // More is called when more of a request's body has come, or its client is ready for more of the answer.
-func (f *Handler) More(c *downstream.Client) {
+func (h *Handler) More(c *downstream.Client) {
 	if txn := c.Txn(); txn != 0 {
-		f.gate.More(txn)
+		h.gate.More(txn)
 	}
 }
 
 // Flows tells whether a request's body is passed on as it comes.
-func (f *Handler) Flows(who, txn slots.Ref) bool {
-	c := f.in.Waits(who, txn)
+func (h *Handler) Flows(who, txn slots.Ref) bool {
+	c := h.in.Waits(who, txn)
 	return c != nil && c.Flows()
 }
 
 // Spent tells whether some of it has gone.
-func (f *Handler) Spent(who, txn slots.Ref) bool {
-	c := f.in.Waits(who, txn)
+func (h *Handler) Spent(who, txn slots.Ref) bool {
+	c := h.in.Waits(who, txn)
 	return c != nil && c.Flows() && visitOf(c).spent
 }
 
 // Part adds what has come of such a body, as it goes on.
-func (f *Handler) Part(b []byte, who, txn slots.Ref) (out []byte, whole, ok bool) {
-	c := f.in.Waits(who, txn)
+func (h *Handler) Part(b []byte, who, txn slots.Ref) (out []byte, whole, ok bool) {
+	c := h.in.Waits(who, txn)
 	if c == nil || c.IsClosed() || !c.Flows() {
 		return b, false, false
 	}
@@ -82,8 +82,8 @@
 }
 
 // Begin passes the head of a long answer on.
-func (f *Handler) Begin(who, txn slots.Ref, o gate.Outcome) bool {
-	c := f.in.Holds(who, txn)
+func (h *Handler) Begin(who, txn slots.Ref, o gate.Outcome) bool {
+	c := h.in.Holds(who, txn)
 	if c == nil {
 		return false
 	}
@@ -97,8 +97,8 @@
 }
 
 // Room is how many bytes of such an answer its client is ready for.
-func (f *Handler) Room(who, txn slots.Ref) int {
-	c := f.in.Waits(who, txn)
+func (h *Handler) Room(who, txn slots.Ref) int {
+	c := h.in.Waits(who, txn)
 	if c == nil || c.IsClosed() {
 		return -1
 	}
@@ -106,21 +106,21 @@
 }
 
 // Pass passes a part of it on.
-func (f *Handler) Pass(who, txn slots.Ref, part []byte) {
-	c := f.in.Waits(who, txn)
+func (h *Handler) Pass(who, txn slots.Ref, part []byte) {
+	c := h.in.Waits(who, txn)
 	if c == nil {
 		return
 	}
 	if visitOf(c).chunks {
-		f.part = chunk(append(append(f.part[:0], mark...), part...), 0, len(part))
-		part = f.part
+		h.part = chunk(append(append(h.part[:0], mark...), part...), 0, len(part))
+		part = h.part
 	}
 	c.Pass(part)
 }
 
 // End ends it, or breaks off what is not whole.
-func (f *Handler) End(who, txn slots.Ref, whole bool) {
-	c := f.in.Waits(who, txn)
+func (h *Handler) End(who, txn slots.Ref, whole bool) {
+	c := h.in.Waits(who, txn)
 	if c == nil {
 		return
 	}
--- a/internal/gateway/ingress/flow_test.go
+++ b/internal/gateway/ingress/flow_test.go
@@ -27,17 +27,17 @@
 }
 
 // stall is a backend that hands over its connections as they are.
-func (st *fixture) stall() (next func() (*bufio.Reader, *net.TCPConn)) {
+func (f *fixture) stall() (next func() (*bufio.Reader, *net.TCPConn)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	must.NoError(st.t, err)
-	st.t.Cleanup(func() { l.Close() })
-	st.e.Turn(func() { st.d.SetBackend(7, l.Addr().String(), 1, true) })
+	must.NoError(f.t, err)
+	f.t.Cleanup(func() { l.Close() })
+	f.e.Turn(func() { f.d.SetBackend(7, l.Addr().String(), 1, true) })
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
 	return func() (*bufio.Reader, *net.TCPConn) {
 		c, err := l.Accept()
-		must.NoError(st.t, err)
+		must.NoError(f.t, err)
 		c.SetDeadline(time.Now().Add(patience))
-		st.t.Cleanup(func() { c.Close() })
+		f.t.Cleanup(func() { c.Close() })
 		return bufio.NewReader(c), c.(*net.TCPConn)
 	}
 }
--- a/internal/gateway/ingress/handler.go
+++ b/internal/gateway/ingress/handler.go
@@ -136,7 +136,7 @@
 }
 
 // Take admits a request, or refuses it right here.
-func (f *Handler) Take(c *downstream.Client) {
+func (h *Handler) Take(c *downstream.Client) {
 	r, b := c.Request()
 	// Bytes behind a message that no message begins with show that its length was wrong.
 	if rest := c.Rest(); len(rest) > 0 && !http1.MayStart(rest) {
@@ -146,8 +146,8 @@
 	target := r.Target(b)
 	id, ids := r.Get(b, "x-attempt-id")
 	host, hosts := r.Get(b, "host")
-	key, keyed, keys := f.key(r, b)
-	wait, ok := f.wait(r, b)
+	key, keyed, keys := h.key(r, b)
+	wait, ok := h.wait(r, b)
 	switch {
 	case target[0] != '/':
 		c.Reject(400, counters.BadRequest, "a path is needed")
@@ -169,16 +169,16 @@
 		key = nil
 	}
 	path, _, _ := bytes.Cut(target, []byte("?"))
-	a, why := f.lookups.Admit(f.plain(host), path, key)
+	a, why := h.lookups.Admit(h.plain(host), path, key)
 	switch why {
 	case NoRoute:
-		f.refuse(c, id, 404, counters.NoSuchPath, 0)
+		h.refuse(c, id, 404, counters.NoSuchPath, 0)
 		return
 	case NoKey:
-		f.refuse(c, id, 401, counters.NoSuchKey, 0)
+		h.refuse(c, id, 401, counters.NoSuchKey, 0)
 		return
 	case UnknownYet:
-		f.refuse(c, id, 503, counters.UnknownYet, soon)
+		h.refuse(c, id, 503, counters.UnknownYet, soon)
 		return
 	}
 	v, _ := c.Note.(*visit)
@@ -190,21 +190,21 @@
 		wait = a.Deadline
 	}
 	// The client counts from when it sent. After a standstill the request may have lain unread for all of it.
-	v.expiry = f.clock.Now() + max(wait-f.clock.InputDelay(), 0)
+	v.expiry = h.clock.Now() + max(wait-h.clock.InputDelay(), 0)
 	x := control.Txn{Customer: a.Customer, Product: a.Product, Plan: control.PlanID(a.Rank), Expiry: v.expiry, SetWidth: 1}
 	if a.Metered {
 		x.Units = 1
 	}
-	ref, ok := f.gate.Take(x, f, c.Who())
+	ref, ok := h.gate.Take(x, h, c.Who())
 	if !ok {
-		f.refuse(c, id, 503, counters.Declined, soon)
+		h.refuse(c, id, 503, counters.Declined, soon)
 		return
 	}
 	c.Hold(ref, string(id))
 }
 
 // key reads a key: `Token KEY`. What else a client may say of itself is no key.
-func (f *Handler) key(r *http1.Reader, b []byte) (key []byte, ok, many bool) {
+func (h *Handler) key(r *http1.Reader, b []byte) (key []byte, ok, many bool) {
 	v, many := r.Get(b, "authorization")
 	const form = "token "
 	if len(v) <= len(form) || !http1.Same(v[:len(form)], form) {
@@ -215,22 +215,22 @@
 
 // User names whoever a request is of, for a share of users, and its tenant: the client's mark together with its key, where
 // it has one, else the key; nil where there is neither. It is good until the next call.
-func (f *Handler) User(who, txn slots.Ref) (user []byte, tenant string) {
-	c := f.in.Waits(who, txn)
+func (h *Handler) User(who, txn slots.Ref) (user []byte, tenant string) {
+	c := h.in.Waits(who, txn)
 	if c == nil || c.IsClosed() {
 		return nil, ""
 	}
 	r, b := c.Request()
-	key, _, _ := f.key(r, b)
+	key, _, _ := h.key(r, b)
 	mark, many := r.Get(b, "x-client-mark")
-	if f.user = append(f.user[:0], key...); len(mark) > 0 && !many {
-		f.user = append(append(f.user, 0), mark...)
+	if h.user = append(h.user[:0], key...); len(mark) > 0 && !many {
+		h.user = append(append(h.user, 0), mark...)
 	}
-	return f.user, visitOf(c).Tenant
+	return h.user, visitOf(c).Tenant
 }
 
 // wait reads how long the client waits; 0: it does not say.
-func (f *Handler) wait(r *http1.Reader, b []byte) (time.Duration, bool) {
+func (h *Handler) wait(r *http1.Reader, b []byte) (time.Duration, bool) {
 	v, many := r.Get(b, "x-deadline-ms")
 	if v == nil {
 		return 0, true
@@ -241,40 +241,40 @@
 }
 
 // plain gives a host in lower case, without its port.
-func (f *Handler) plain(host []byte) []byte {
+func (h *Handler) plain(host []byte) []byte {
 	if i := bytes.LastIndexByte(host, ':'); i >= 0 && bytes.IndexByte(host[i:], ']') < 0 {
 		host = host[:i]
 	}
 	for i, c := range host {
 		if c >= 'A' && c <= 'Z' {
-			f.host = append(append(f.host[:0], host[:i]...), bytes.ToLower(host[i:])...)
-			return f.host
+			h.host = append(append(h.host[:0], host[:i]...), bytes.ToLower(host[i:])...)
+			return h.host
 		}
 	}
 	return host
 }
 
 // refuse answers without a body what goes no further.
-func (f *Handler) refuse(c *downstream.Client, id []byte, status int, why counters.ID, after time.Duration) {
-	f.in.Count(why)
+func (h *Handler) refuse(c *downstream.Client, id []byte, status int, why counters.ID, after time.Duration) {
+	h.in.Count(why)
 	c.Answer(func(b []byte, last bool) []byte { return answer.Refuse(b, status, "X-Attempt-Id", id, after, last) })
 }
 
 // Left is told when the client of a request has gone away.
-func (f *Handler) Left(txn slots.Ref) { f.gate.Left(txn) }
+func (h *Handler) Left(txn slots.Ref) { h.gate.Left(txn) }
 
 // ID names a request by its client's id, while the client waits.
-func (f *Handler) ID(who, txn slots.Ref) string { return f.in.ID(who, txn) }
+func (h *Handler) ID(who, txn slots.Ref) string { return h.in.ID(who, txn) }
 
 // Once tells whether a request may run at most once; one whose client has gone goes nowhere any more.
-func (f *Handler) Once(who, txn slots.Ref) bool {
-	c := f.in.Waits(who, txn)
+func (h *Handler) Once(who, txn slots.Ref) bool {
+	c := h.in.Waits(who, txn)
 	return c == nil || visitOf(c).Once
 }
 
 // Settle passes a backend's answer on.
-func (f *Handler) Settle(who, txn slots.Ref, o gate.Outcome) {
-	if c := f.in.Holds(who, txn); c != nil {
+func (h *Handler) Settle(who, txn slots.Ref, o gate.Outcome) {
+	if c := h.in.Holds(who, txn); c != nil {
 		r, m := c.Request()
 		head := string(r.Method(m)) == "HEAD"
 		c.Answer(func(b []byte, last bool) []byte {
@@ -284,31 +284,31 @@
 }
 
 // Decline says that a request has not run and never will, and when it is best to come again.
-func (f *Handler) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
+func (h *Handler) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
 	status := 503
 	if why == gate.LackUnits {
 		status = 429
 	}
-	f.end(who, txn, status, after)
+	h.end(who, txn, status, after)
 }
 
 // Void makes no such promise.
-func (f *Handler) Void(who, txn slots.Ref, why control.Reason) {
+func (h *Handler) Void(who, txn slots.Ref, why control.Reason) {
 	status := 502
-	if c := f.in.Waits(who, txn); why == gate.LackTime || c != nil && visitOf(c).expiry <= f.clock.Now() {
+	if c := h.in.Waits(who, txn); why == gate.LackTime || c != nil && visitOf(c).expiry <= h.clock.Now() {
 		status = 504
 	}
-	f.end(who, txn, status, 0)
+	h.end(who, txn, status, 0)
 }
 
-func (f *Handler) end(who, txn slots.Ref, status int, after time.Duration) {
-	c := f.in.Holds(who, txn)
+func (h *Handler) end(who, txn slots.Ref, status int, after time.Duration) {
+	c := h.in.Holds(who, txn)
 	switch v := visitOf(c); {
 	case c == nil:
 	case v.wrong != nil:
 		c.Doubtful(v.wrong)
 	default:
-		id := []byte(f.in.ID(who, txn))
+		id := []byte(h.in.ID(who, txn))
 		c.Answer(func(b []byte, last bool) []byte { return answer.Refuse(b, status, "X-Attempt-Id", id, after, last) })
 	}
 }
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -33,39 +33,39 @@
 	expiry  map[control.TxnID]time.Duration
 }
 
-func (u *fakeModule) Now(time.Duration) {}
-func (u *fakeModule) TxnArrived(x control.Txn) {
-	u.expiry[x.ID] = x.Expiry
+func (f *fakeModule) Now(time.Duration) {}
+func (f *fakeModule) TxnArrived(x control.Txn) {
+	f.expiry[x.ID] = x.Expiry
 	d := control.Decision{Action: control.Submit, Txn: x.ID, Backend: 7}
-	if u.lacking != 0 {
-		d = control.Decision{Action: control.Reject, Txn: x.ID, Reason: u.lacking, After: 1500 * time.Millisecond}
+	if f.lacking != 0 {
+		d = control.Decision{Action: control.Reject, Txn: x.ID, Reason: f.lacking, After: 1500 * time.Millisecond}
 	}
-	u.todo = append(u.todo, d)
+	f.todo = append(f.todo, d)
 }
 
-func (u *fakeModule) ClientLeft(id control.TxnID) {
-	u.todo = append(u.todo, control.Decision{Action: control.Cancel, Txn: id})
+func (f *fakeModule) ClientLeft(id control.TxnID) {
+	f.todo = append(f.todo, control.Decision{Action: control.Cancel, Txn: id})
 }
 
-func (u *fakeModule) SubmissionEnded(id control.TxnID, _ int, _ control.BackendID, e control.Ending, over bool,
+func (f *fakeModule) SubmissionEnded(id control.TxnID, _ int, _ control.BackendID, e control.Ending, over bool,
 	_ time.Duration, _ []float64) {
 	d := control.Decision{Action: control.Fail, Txn: id, Reason: gate.LackBackend}
 	if e == control.Rejected || e == control.Unreachable || e == control.NotSent {
 		d.Action = control.Reject
 	}
 	if !over {
-		u.todo = append(u.todo, d)
+		f.todo = append(f.todo, d)
 	}
 }
-func (u *fakeModule) EndpointsChanged(bool, []control.Endpoint)                    {}
-func (u *fakeModule) DatagramReceived(control.GatewayID, []byte)                   {}
-func (u *fakeModule) ProbeEnded(control.BackendID, bool, time.Duration, []float64) {}
-func (u *fakeModule) Woken(uint64)                                                 {}
-func (u *fakeModule) Next() (d control.Decision, ok bool) {
-	if len(u.todo) == 0 {
+func (f *fakeModule) EndpointsChanged(bool, []control.Endpoint)                    {}
+func (f *fakeModule) DatagramReceived(control.GatewayID, []byte)                   {}
+func (f *fakeModule) ProbeEnded(control.BackendID, bool, time.Duration, []float64) {}
+func (f *fakeModule) Woken(uint64)                                                 {}
+func (f *fakeModule) Next() (d control.Decision, ok bool) {
+	if len(f.todo) == 0 {
 		return d, false
 	}
-	d, u.todo = u.todo[0], u.todo[1:]
+	d, f.todo = f.todo[0], f.todo[1:]
 	return d, true
 }
 
@@ -82,9 +82,9 @@
 	gone    []control.BackendID
 }
 
-func (h *fakeNode) Admit(host, path, key []byte) (Admission, Refusal) {
+func (f *fakeNode) Admit(host, path, key []byte) (Admission, Refusal) {
 	switch kind, _, _ := strings.Cut(strings.TrimPrefix(string(path), "/"), "/"); {
-	case h.unknown:
+	case f.unknown:
 		return Admission{}, UnknownYet
 	case string(host) != "lots.example" || kind != "pure" && kind != "once" && kind != "open":
 		return Admission{}, NoRoute
@@ -96,8 +96,8 @@
 		return Admission{Tenant: "huka", Once: kind == "once", Deadline: 20 * time.Second}, None
 	}
 }
-func (h *fakeNode) BackendName(control.BackendID) string { return "i-7" }
-func (h *fakeNode) Gone(at control.BackendID)            { h.gone = append(h.gone, at) }
+func (f *fakeNode) BackendName(control.BackendID) string { return "i-7" }
+func (f *fakeNode) Gone(at control.BackendID)            { f.gone = append(f.gone, at) }
 
 // fixture is a node's data path between a client and a backend that answers as told.
 type fixture struct {
@@ -140,12 +140,12 @@
 	r *bufio.Reader
 }
 
-func (st *fixture) client() *client {
-	c, err := net.Dial("tcp", st.e.AddrOf(0))
-	must.NoError(st.t, err)
+func (f *fixture) client() *client {
+	c, err := net.Dial("tcp", f.e.AddrOf(0))
+	must.NoError(f.t, err)
 	c.SetDeadline(time.Now().Add(patience))
-	st.t.Cleanup(func() { c.Close() })
-	return &client{st.t, c, bufio.NewReader(c)}
+	f.t.Cleanup(func() { c.Close() })
+	return &client{f.t, c, bufio.NewReader(c)}
 }
 
 func (c *client) send(text string) { io.WriteString(c, text) }
@@ -173,8 +173,8 @@
 	must.ErrorIs(c.t, err, io.EOF)
 }
 
-func (st *fixture) count(id counters.ID) (n uint64) {
-	st.e.Turn(func() { n = st.e.Count[id] })
+func (f *fixture) count(id counters.ID) (n uint64) {
+	f.e.Turn(func() { n = f.e.Count[id] })
 	return n
 }
 
@@ -391,12 +391,12 @@
 	tickets chan downstream.Ticket
 }
 
-func (f *later) Take(c *downstream.Client) {
+func (l *later) Take(c *downstream.Client) {
 	t := c.Ticket()
 	c.Hold(0, "")
-	f.tickets <- t
+	l.tickets <- t
 }
-func (f *later) Left(slots.Ref) {}
+func (l *later) Left(slots.Ref) {}
 
 func TestLateAnswers(t *testing.T) {
 	e := eventloop.New("", 256, 64<<10, 16<<20)
--- a/internal/gateway/ingress/words.go
+++ b/internal/gateway/ingress/words.go
@@ -64,12 +64,12 @@
 	return x
 }
 
-func (x *named) has(name []byte) (found bool) {
-	if !x.n {
+func (n *named) has(name []byte) (found bool) {
+	if !n.n {
 		return false
 	}
-	x.r.Each(x.b, func(n, value []byte) {
-		if len(n) == 10 && http1.Same(n, "connection") {
+	n.r.Each(n.b, func(data, value []byte) {
+		if len(data) == 10 && http1.Same(data, "connection") {
 			found = found || http1.Names(value, name)
 		}
 	})
@@ -78,12 +78,12 @@
 
 // AppendTo writes what goes on to a backend: method, target, body and end-to-end headers as they came, with
 // the backend's id, the tenant and what is left of the time.
-func (f *Handler) AppendTo(b []byte, who, txn slots.Ref, at control.BackendID, wait time.Duration) []byte {
-	c := f.in.Waits(who, txn)
+func (h *Handler) AppendTo(b []byte, who, txn slots.Ref, at control.BackendID, wait time.Duration) []byte {
+	c := h.in.Waits(who, txn)
 	if c == nil || c.IsClosed() {
 		return b
 	}
-	to := f.lookups.BackendName(at)
+	to := h.lookups.BackendName(at)
 	if to == "" {
 		return b
 	}
--- a/internal/gateway/logentry/logentry.go
+++ b/internal/gateway/logentry/logentry.go
@@ -21,14 +21,14 @@
 type Duration time.Duration
 
 // MarshalText writes milliseconds.
-func (s Duration) MarshalText() ([]byte, error) {
-	return append(strconv.AppendInt(nil, time.Duration(s).Milliseconds(), 10), "ms"...), nil
+func (d Duration) MarshalText() ([]byte, error) {
+	return append(strconv.AppendInt(nil, time.Duration(d).Milliseconds(), 10), "ms"...), nil
 }
 
 // UnmarshalText reads what time.ParseDuration reads.
-func (s *Duration) UnmarshalText(b []byte) error {
-	d, err := time.ParseDuration(string(b))
-	*s = Duration(d)
+func (d *Duration) UnmarshalText(b []byte) error {
+	interval, err := time.ParseDuration(string(b))
+	*d = Duration(interval)
 	return err
 }
 
--- a/internal/gateway/logentry/window.go
+++ b/internal/gateway/logentry/window.go
@@ -46,48 +46,48 @@
 }
 
 // Has tells whether a request was carried out and is not forgotten.
-func (w *DedupWindow) Has(d Digest) bool {
-	_, ok := w.digests[d]
+func (d *DedupWindow) Has(digest Digest) bool {
+	_, ok := d.digests[digest]
 	return ok
 }
 
 // Horizon is the highest number that may have been forgotten; 0 if none was.
-func (w *DedupWindow) Horizon() uint64 { return w.horizon }
+func (d *DedupWindow) Horizon() uint64 { return d.horizon }
 
 // newest is the number of the last one.
-func (w *DedupWindow) newest() uint64 {
-	if len(w.requests) == 0 {
-		return w.horizon
+func (d *DedupWindow) newest() uint64 {
+	if len(d.requests) == 0 {
+		return d.horizon
 	}
-	return w.requests[len(w.requests)-1].number
+	return d.requests[len(d.requests)-1].number
 }
 
 // Add notes that a request was carried out; its number is above all before it.
-func (w *DedupWindow) Add(nr uint64, d Digest) {
-	invariant.That(nr > w.newest(), "numbers of what was carried out rise")
-	w.bytes += encodedSize(nr - w.newest())
-	w.requests, w.digests[d] = append(w.requests, request{nr, d}), struct{}{}
-	for w.bytes > w.maxBytes {
-		w.dropOldest()
+func (d *DedupWindow) Add(nr uint64, digest Digest) {
+	invariant.That(nr > d.newest(), "numbers of what was carried out rise")
+	d.bytes += encodedSize(nr - d.newest())
+	d.requests, d.digests[digest] = append(d.requests, request{nr, digest}), struct{}{}
+	for d.bytes > d.maxBytes {
+		d.dropOldest()
 	}
 }
 
 // dropOldest lets the oldest go.
-func (w *DedupWindow) dropOldest() {
-	old := w.requests[0]
-	w.bytes -= encodedSize(old.number - w.horizon)
-	delete(w.digests, old.digest)
-	w.requests, w.horizon = w.requests[1:], old.number
+func (d *DedupWindow) dropOldest() {
+	old := d.requests[0]
+	d.bytes -= encodedSize(old.number - d.horizon)
+	delete(d.digests, old.digest)
+	d.requests, d.horizon = d.requests[1:], old.number
 }
 
 // encodedSize is what one takes when written, by how far its number lies above the one before.
 func encodedSize(above uint64) int { return len(binary.AppendUvarint(nil, above)) + len(Digest{}) }
 
 // Bytes writes it.
-func (w *DedupWindow) Bytes() []byte {
-	before := w.horizon
-	b := binary.AppendUvarint(make([]byte, 0, w.bytes+binary.MaxVarintLen64), before)
-	for _, c := range w.requests {
+func (d *DedupWindow) Bytes() []byte {
+	before := d.horizon
+	b := binary.AppendUvarint(make([]byte, 0, d.bytes+binary.MaxVarintLen64), before)
+	for _, c := range d.requests {
 		b = append(binary.AppendUvarint(b, c.number-before), c.digest[:]...)
 		before = c.number
 	}
@@ -112,7 +112,7 @@
 }
 
 // SetHorizon says that a number and all below it may have been forgotten, as who took over from a program that did not say.
-func (w *DedupWindow) SetHorizon(nr uint64) {
-	invariant.That(len(w.requests) == 0 && w.horizon == 0, "it is said at the start")
-	w.horizon = nr
+func (d *DedupWindow) SetHorizon(nr uint64) {
+	invariant.That(len(d.requests) == 0 && d.horizon == 0, "it is said at the start")
+	d.horizon = nr
 }
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -66,11 +66,11 @@
 	machines [groups.Count]groups.StateMachine
 }
 
-func (h *leadingHost) Leadership(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
-func (h *leadingHost) ReadIndex(_ groups.ID, then func(bool))             { then(true) }
-func (h *leadingHost) Now() time.Duration                                 { return 0 }
-func (h *leadingHost) Propose(id groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
-	then(groups.Applied, h.machines[id].Apply(1<<20, entry))
+func (l *leadingHost) Leadership(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
+func (l *leadingHost) ReadIndex(_ groups.ID, then func(bool))             { then(true) }
+func (l *leadingHost) Now() time.Duration                                 { return 0 }
+func (l *leadingHost) Propose(id groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
+	then(groups.Applied, l.machines[id].Apply(1<<20, entry))
 }
 
 // noPeers is a coordination.Outside without any other node.
--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -112,17 +112,17 @@
 func isDiskFull(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
 
 // Created tells whether the file is there.
-func (b *Store) Created() bool { return b.file != nil }
+func (s *Store) Created() bool { return s.file != nil }
 
 // ensureCreated makes the file of a store that has none yet. What an earlier try left was never confirmed to be there.
-func (b *Store) ensureCreated() error {
-	if b.file != nil {
+func (s *Store) ensureCreated() error {
+	if s.file != nil {
 		return nil
 	}
-	if err := Wipe(filepath.Dir(b.path)); err != nil {
+	if err := Wipe(filepath.Dir(s.path)); err != nil {
 		return err
 	}
-	return b.openForWriting(true)
+	return s.openForWriting(true)
 }
 
 // newMemberID draws the id of an empty disk.
@@ -144,10 +144,10 @@
 	Err  error
 }
 
-func (u *CorruptError) Error() string {
-	return "log " + u.Path + " can't be read: " + u.Err.Error()
+func (c *CorruptError) Error() string {
+	return "log " + c.Path + " can't be read: " + c.Err.Error()
 }
-func (u *CorruptError) Unwrap() error { return u.Err }
+func (c *CorruptError) Unwrap() error { return c.Err }
 
 // wrapWithPath names the file that an error, if there is one, is about.
 func wrapWithPath(path string, err error) error {
@@ -172,43 +172,43 @@
 var openFile = os.OpenFile
 
 // openForWriting opens the file to be written, and makes it where it is empty. Without success it leaves none open.
-func (b *Store) openForWriting(empty bool) error {
+func (s *Store) openForWriting(empty bool) error {
 	err := recoverFault(func() (err error) {
-		b.file, err = bbolt.Open(b.path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true,
+		s.file, err = bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true,
 			FreelistType: bbolt.FreelistMapType, InitialMmapSize: 1 << 20, NoStatistics: true, OpenFile: openFile})
 		if err != nil {
 			return err
 		}
-		b.file.AllocSize = allocBytes
+		s.file.AllocSize = allocBytes
 		if !empty {
 			return nil
 		}
-		return b.initialize()
+		return s.initialize()
 	})
-	if err != nil && b.file != nil {
-		b.file.Close()
-		b.file = nil
+	if err != nil && s.file != nil {
+		s.file.Close()
+		s.file = nil
 	}
 	return err
 }
 
 // initialize writes what a new file has, and makes its name last.
-func (b *Store) initialize() error {
-	if err := b.file.Update(func(tx *bbolt.Tx) error {
+func (s *Store) initialize() error {
+	if err := s.file.Update(func(tx *bbolt.Tx) error {
 		configuration, err := createBuckets(tx, replication.ConfigurationLog)
 		if err != nil {
 			return err
 		}
-		return putGob(configuration.head, headKey, storedHead{Me: b.memberID})
+		return putGob(configuration.head, headKey, storedHead{Me: s.memberID})
 	}); err != nil {
 		return err
 	}
-	return syncDir(filepath.Dir(b.path))
+	return syncDir(filepath.Dir(s.path))
 }
 
 // readLogs reads all there is. A file with no bucket at all is as a new one: the process ended before its first
 // write.
-func (b *Store) readLogs(db *bbolt.DB) (k replication.PersistentState, err error) {
+func (s *Store) readLogs(db *bbolt.DB) (k replication.PersistentState, err error) {
 	return k, db.View(func(tx *bbolt.Tx) error {
 		configuration := lookupBuckets(tx, replication.ConfigurationLog)
 		if configuration.missing() {
@@ -222,7 +222,7 @@
 			if id == replication.ConfigurationLog || group.missing() {
 				continue
 			}
-			if b.groupLogs[id], err = readLog(group, k.ID); err != nil {
+			if s.groupLogs[id], err = readLog(group, k.ID); err != nil {
 				return errors.Wrapf(err, "group's log %d", id)
 			}
 		}
@@ -231,29 +231,29 @@
 }
 
 // GroupLogs are the logs beside the configuration's that the file held when it was opened.
-func (b *Store) GroupLogs() map[replication.LogID]replication.PersistentState { return b.groupLogs }
+func (s *Store) GroupLogs() map[replication.LogID]replication.PersistentState { return s.groupLogs }
 
 // WriteConfigurationLog puts writes to the configuration's log on disk: see Write.
-func (b *Store) WriteConfigurationLog(writes []replication.Write) error {
+func (s *Store) WriteConfigurationLog(writes []replication.Write) error {
 	all := make([]replication.LogWrite, len(writes))
 	for i, w := range writes {
 		all[i].Write = w
 	}
-	return b.Write(all)
+	return s.Write(all)
 }
 
 // Write puts writes on disk, in one step: after it all are synced, or, with an error, none is there and they
 // may be tried again.
-func (b *Store) Write(writes []replication.LogWrite) error {
+func (s *Store) Write(writes []replication.LogWrite) error {
 	if len(writes) == 0 {
 		return nil
 	}
-	if err := b.ensureCreated(); err != nil {
-		return wrapWithPath(b.path, err)
+	if err := s.ensureCreated(); err != nil {
+		return wrapWithPath(s.path, err)
 	}
 	heads := map[replication.LogID]storedHead{}
 	err := recoverFault(func() error {
-		if err := b.file.Update(func(tx *bbolt.Tx) error {
+		if err := s.file.Update(func(tx *bbolt.Tx) error {
 			for _, w := range writes {
 				log, err := createBuckets(tx, w.Log)
 				if err != nil {
@@ -262,7 +262,7 @@
 				if err := writeLog(log, w.Write); err != nil {
 					return err
 				}
-				heads[w.Log] = storedHead{Me: b.memberID, For: w.Write.Vote, House: w.Write.ClusterID, Promise: w.Write.Term,
+				heads[w.Log] = storedHead{Me: s.memberID, For: w.Write.Vote, House: w.Write.ClusterID, Promise: w.Write.Term,
 					Delivered: w.Write.Commit}
 			}
 			for id, h := range heads {
@@ -274,7 +274,7 @@
 		}); err != nil {
 			return err
 		}
-		return b.file.View(func(tx *bbolt.Tx) error {
+		return s.file.View(func(tx *bbolt.Tx) error {
 			for id, h := range heads {
 				var back storedHead
 				if err := decodeGob(lookupBuckets(tx, id).head.Get(headKey), &back); err != nil || back != h {
@@ -284,7 +284,7 @@
 			return nil
 		})
 	})
-	return wrapWithPath(b.path, err)
+	return wrapWithPath(s.path, err)
 }
 
 func writeLog(log logBuckets, w replication.Write) error {
@@ -312,21 +312,21 @@
 }
 
 // SaveSoftState keeps something beside the log that is good to have after a start and may be old or lost: the newest alone.
-func (b *Store) SaveSoftState(what []byte) error {
-	if err := b.ensureCreated(); err != nil {
-		return wrapWithPath(b.path, err)
+func (s *Store) SaveSoftState(what []byte) error {
+	if err := s.ensureCreated(); err != nil {
+		return wrapWithPath(s.path, err)
 	}
-	return wrapWithPath(b.path, recoverFault(func() error {
-		return b.file.Update(func(tx *bbolt.Tx) error {
+	return wrapWithPath(s.path, recoverFault(func() error {
+		return s.file.Update(func(tx *bbolt.Tx) error {
 			return lookupBuckets(tx, replication.ConfigurationLog).head.Put(softStateKey, what)
 		})
 	}))
 }
 
 // SoftState is the newest note, nil if there is none.
-func (b *Store) SoftState() (what []byte) {
-	if b.file == nil || recoverFault(func() error {
-		return b.file.View(func(tx *bbolt.Tx) error {
+func (s *Store) SoftState() (what []byte) {
+	if s.file == nil || recoverFault(func() error {
+		return s.file.View(func(tx *bbolt.Tx) error {
 			what = bytes.Clone(lookupBuckets(tx, replication.ConfigurationLog).head.Get(softStateKey))
 			return nil
 		})
@@ -337,11 +337,11 @@
 }
 
 // Close closes the file.
-func (b *Store) Close() error {
-	if b.file == nil {
+func (s *Store) Close() error {
+	if s.file == nil {
 		return nil
 	}
-	return wrapWithPath(b.path, b.file.Close())
+	return wrapWithPath(s.path, s.file.Close())
 }
 
 // Wipe takes the file away, for good: the disk counts as lost, and Open begins with a new member's id.
--- a/internal/gateway/membership/hello.go
+++ b/internal/gateway/membership/hello.go
@@ -35,35 +35,35 @@
 }
 
 // received takes a node's own hello; p is what was known of it before.
-func (s *helloState) received(h Hello, p *peer, own Node) {
-	s.confirmed = h.Knows == own.fingerprint()
-	if !p.introduced || p.fingerprint() != h.Door.fingerprint() {
-		s.repeats = 0
+func (h *helloState) received(hello Hello, p *peer, own Node) {
+	h.confirmed = hello.Knows == own.fingerprint()
+	if !p.introduced || p.fingerprint() != hello.Door.fingerprint() {
+		h.repeats = 0
 	}
 }
 
 // needsRepeat tells whether one is to be said again: without one of its we ask for as long as it takes, else until each has said that it knows
 // the other as it is.
-func (s *helloState) needsRepeat(p *peer, now time.Duration) bool {
-	if !p.linkWanted || !p.linkUp || now-s.sentAt < helloInterval {
+func (h *helloState) needsRepeat(p *peer, now time.Duration) bool {
+	if !p.linkWanted || !p.linkUp || now-h.sentAt < helloInterval {
 		return false
 	}
-	return !p.introduced || s.repeats < maxHelloRepeats && (s.acknowledged != p.fingerprint() || !s.confirmed)
+	return !p.introduced || h.repeats < maxHelloRepeats && (h.acknowledged != p.fingerprint() || !h.confirmed)
 }
 
 // sendHello says hello over a link that is up.
-func (c *Roster) sendHello(addr string, p *peer) {
-	p.hello.sentAt, p.hello.acknowledged = c.now, 0
+func (r *Roster) sendHello(addr string, p *peer) {
+	p.hello.sentAt, p.hello.acknowledged = r.now, 0
 	if p.introduced {
 		p.hello.acknowledged = p.fingerprint()
 	}
-	c.push(Action{Kind: SendHello, Addr: addr})
+	r.push(Action{Kind: SendHello, Addr: addr})
 }
 
 // repeatHello says one again where it is owed.
-func (c *Roster) repeatHello(addr string, p *peer) {
-	if p.hello.needsRepeat(p, c.now) {
+func (r *Roster) repeatHello(addr string, p *peer) {
+	if p.hello.needsRepeat(p, r.now) {
 		p.hello.repeats++
-		c.sendHello(addr, p)
+		r.sendHello(addr, p)
 	}
 }
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -135,71 +135,71 @@
 
 // Tick sets the clock. A long step means that this node stood still and could hear nobody: silence counts anew. Else it would
 // take all for lost for a moment, and leave the node that it follows though all that this one sent lies unread.
-func (c *Roster) Tick(t time.Duration) {
-	if step := t - c.now; step > stallThreshold {
-		c.lastDiskAt = t // others may have begun the core meanwhile: their word of it lies unread
-		for _, d := range c.peers {
+func (r *Roster) Tick(t time.Duration) {
+	if step := t - r.now; step > stallThreshold {
+		r.lastDiskAt = t // others may have begun the core meanwhile: their word of it lies unread
+		for _, d := range r.peers {
 			d.receivedAt += step
 		}
-		for a, o := range c.livenessReports {
+		for a, o := range r.livenessReports {
 			o.receivedAt += step
-			c.livenessReports[a] = o
+			r.livenessReports[a] = o
 		}
 	}
-	c.now = max(c.now, t)
+	r.now = max(r.now, t)
 }
 
 // Self is what this node says of itself.
-func (c *Roster) Self() Node { return c.self }
+func (r *Roster) Self() Node { return r.self }
 
 // SetCluster says which founding this node's disk holds a state of from now on; all are told.
-func (c *Roster) SetCluster(disk Disk, clusterID uint64) {
-	if c.self.Disk != disk || c.self.House != clusterID {
-		c.self.Disk, c.self.Founded, c.self.House = disk, clusterID != 0, clusterID
-		c.helloAll()
+func (r *Roster) SetCluster(disk Disk, clusterID uint64) {
+	if r.self.Disk != disk || r.self.House != clusterID {
+		r.self.Disk, r.self.Founded, r.self.House = disk, clusterID != 0, clusterID
+		r.helloAll()
 	}
 }
 
 // MayBootstrap tells whether the word of a founding may go to a node: to seeds first, which hold one alone each, and to all others once more
 // than half of the seeds hold it, so that no two foundings ever come that far. A seed without a disk can hold none: being there is
 // all that it says, as when the core is begun.
-func (c *Roster) MayBootstrap(clusterID uint64, to string) bool {
+func (r *Roster) MayBootstrap(clusterID uint64, to string) bool {
 	n := 0
-	for _, a := range c.config.Seeds {
-		d, ok := c.Node(a)
-		if ok && (d.Disk != 0 && d.House == clusterID || d.Disk == 0 && c.Live(a)) {
+	for _, a := range r.config.Seeds {
+		d, ok := r.Node(a)
+		if ok && (d.Disk != 0 && d.House == clusterID || d.Disk == 0 && r.Live(a)) {
 			n++
 		}
 	}
-	return 2*n > len(c.config.Seeds) || slices.Contains(c.config.Seeds, to)
+	return 2*n > len(r.config.Seeds) || slices.Contains(r.config.Seeds, to)
 }
 
 // AnnounceShutdown says that this node ends; all are told.
-func (c *Roster) AnnounceShutdown() {
-	c.self.Leaving = true
-	c.helloAll()
+func (r *Roster) AnnounceShutdown() {
+	r.self.Leaving = true
+	r.helloAll()
 }
 
-func (c *Roster) helloAll() {
-	for _, a := range c.Addrs() {
-		p := c.peers[a]
+func (r *Roster) helloAll() {
+	for _, a := range r.Addrs() {
+		p := r.peers[a]
 		p.hello.repeats, p.hello.confirmed = 0, false
 		if p.linkUp {
-			c.sendHello(a, p)
+			r.sendHello(a, p)
 		}
 	}
 }
 
-func (c *Roster) push(a Action) { c.actions = append(c.actions, a) }
+func (r *Roster) push(a Action) { r.actions = append(r.actions, a) }
 
-func (c *Roster) discover(addr string) *peer {
-	d := c.peers[addr]
-	if d != nil || addr == c.self.Addr || addr == "" || len(c.peers) >= maxNodes {
+func (r *Roster) discover(addr string) *peer {
+	d := r.peers[addr]
+	if d != nil || addr == r.self.Addr || addr == "" || len(r.peers) >= maxNodes {
 		return d
 	}
-	d = &peer{Node: Node{Addr: addr}, receivedAt: c.now - livenessTimeout, discoveredAt: c.now, helloAt: c.now - guestLinkTimeout}
-	c.peers[addr] = d
-	c.updateLink(addr, d)
+	d = &peer{Node: Node{Addr: addr}, receivedAt: r.now - livenessTimeout, discoveredAt: r.now, helloAt: r.now - guestLinkTimeout}
+	r.peers[addr] = d
+	r.updateLink(addr, d)
 	return d
 }
 
@@ -208,25 +208,25 @@
 // of them may know nobody else: it dials its seeds until it has a slot and a node with a disk, and is answered meanwhile.
 // A node without a disk that has said nothing is left to dial first: a node with a disk that starts knows hundreds by the order
 // of slots, and would dial them all in the moment in which they all dial it.
-func (c *Roster) updateLink(addr string, d *peer) {
-	want := c.self.Disk != 0 && (d.introduced || c.now-d.receivedAt < livenessTimeout || c.now-d.discoveredAt >= passiveDialDelay) || d.Disk != 0 || d.advertised && !d.introduced || c.now-d.helloAt < guestLinkTimeout ||
-		slices.Contains(c.seeds, addr) && !c.attached()
+func (r *Roster) updateLink(addr string, d *peer) {
+	want := r.self.Disk != 0 && (d.introduced || r.now-d.receivedAt < livenessTimeout || r.now-d.discoveredAt >= passiveDialDelay) || d.Disk != 0 || d.advertised && !d.introduced || r.now-d.helloAt < guestLinkTimeout ||
+		slices.Contains(r.seeds, addr) && !r.attached()
 	switch {
 	case want && !d.linkWanted:
-		c.push(Action{Kind: Connect, Addr: addr})
+		r.push(Action{Kind: Connect, Addr: addr})
 	case !want && d.linkWanted:
 		d.linkUp = false
-		c.push(Action{Kind: Disconnect, Addr: addr})
+		r.push(Action{Kind: Disconnect, Addr: addr})
 	}
 	d.linkWanted = want
 }
 
 // attached tells whether this node needs its seeds no more: the core has told who there is, and a node with a disk lives.
-func (c *Roster) attached() bool {
-	if len(c.slotHolders) == 0 {
+func (r *Roster) attached() bool {
+	if len(r.slotHolders) == 0 {
 		return false
 	}
-	for _, d := range c.peers {
+	for _, d := range r.peers {
 		if d.live && d.Disk != 0 {
 			return true
 		}
@@ -236,86 +236,86 @@
 
 // SetSeeds takes the seeds that the settings name by now. Who begins the core goes by those of the start: they are alike
 // at all nodes.
-func (c *Roster) SetSeeds(all []string) {
-	c.seeds = all
+func (r *Roster) SetSeeds(all []string) {
+	r.seeds = all
 	for _, a := range all {
-		if d := c.discover(a); d != nil {
-			c.updateLink(a, d)
+		if d := r.discover(a); d != nil {
+			r.updateLink(a, d)
 		}
 	}
 }
 
 // LinkUp and Down tell how our link to a node is.
-func (c *Roster) LinkUp(addr string) {
-	if d := c.peers[addr]; d != nil {
+func (r *Roster) LinkUp(addr string) {
+	if d := r.peers[addr]; d != nil {
 		d.linkUp = true
-		c.sendHello(addr, d)
-		c.refresh() // its hello may have come before
+		r.sendHello(addr, d)
+		r.refresh() // its hello may have come before
 	}
 }
 
 // LinkDown is told when the link to a node ended.
-func (c *Roster) LinkDown(addr string) {
-	if d := c.peers[addr]; d != nil {
+func (r *Roster) LinkDown(addr string) {
+	if d := r.peers[addr]; d != nil {
 		d.linkUp = false
-		c.refresh()
+		r.refresh()
 	}
 }
 
 // FrameReceived is told when something came from a node.
-func (c *Roster) FrameReceived(addr string) {
-	if d := c.discover(addr); d != nil {
-		d.receivedAt = c.now
+func (r *Roster) FrameReceived(addr string) {
+	if d := r.discover(addr); d != nil {
+		d.receivedAt = r.now
 		if !d.live {
-			c.refresh()
+			r.refresh()
 		}
 	}
 }
 
 // HandleHello takes what a node says of itself.
-func (c *Roster) HandleHello(from string, h Hello) {
-	d := c.discover(from)
+func (r *Roster) HandleHello(from string, h Hello) {
+	d := r.discover(from)
 	if d == nil {
 		return
 	}
 	if h.Door.Disk != 0 && d.Disk != h.Door.Disk {
-		c.lastDiskAt = c.now
+		r.lastDiskAt = r.now
 	}
 	again := d.introduced && d.Life != h.Door.Life
 	found := h.Door.Disk != 0 && (!d.introduced || d.Disk != h.Door.Disk)
-	begun := c.clusterExists()
-	d.hello.received(h, d, c.self)
-	d.Node, d.introduced, d.knowsCluster, d.receivedAt, d.helloAt = h.Door, true, h.Begun, c.now, c.now
+	begun := r.clusterExists()
+	d.hello.received(h, d, r.self)
+	d.Node, d.introduced, d.knowsCluster, d.receivedAt, d.helloAt = h.Door, true, h.Begun, r.now, r.now
 	d.Addr = from
-	c.updateLink(from, d)
+	r.updateLink(from, d)
 	switch {
-	case begun && !c.clusterExists(): // it held a founding that nobody joined, and has laid it aside: who was told of it must not wait on
-		c.helloAll()
-	case begun != c.clusterExists():
-		c.notifySeeds()
+	case begun && !r.clusterExists(): // it held a founding that nobody joined, and has laid it aside: who was told of it must not wait on
+		r.helloAll()
+	case begun != r.clusterExists():
+		r.notifySeeds()
 	}
 	for _, a := range h.Known {
-		if o := c.discover(a); o != nil {
+		if o := r.discover(a); o != nil {
 			o.advertised = true
-			c.updateLink(a, o)
+			r.updateLink(a, o)
 		}
 	}
-	if found && c.self.Disk == 0 { // whoever has dialed this node as a seed waits for such a one
-		for _, a := range c.Addrs() {
-			if o := c.peers[a]; o.linkUp && o.Disk == 0 {
-				c.sendHello(a, o)
+	if found && r.self.Disk == 0 { // whoever has dialed this node as a seed waits for such a one
+		for _, a := range r.Addrs() {
+			if o := r.peers[a]; o.linkUp && o.Disk == 0 {
+				r.sendHello(a, o)
 			}
 		}
 	}
 	if again {
-		c.changed = true
+		r.changed = true
 	}
-	c.refresh()
+	r.refresh()
 }
 
 // clusterExists tells whether a node that was met holds a state of the core.
-func (c *Roster) clusterExists() bool {
-	for _, d := range c.peers {
+func (r *Roster) clusterExists() bool {
+	for _, d := range r.peers {
 		if d.introduced && d.Founded {
 			return true
 		}
@@ -324,56 +324,56 @@
 }
 
 // notifySeeds tells the seeds that may still begin the core whether another one has: they may not reach it themselves.
-func (c *Roster) notifySeeds() {
-	for _, a := range c.config.Seeds {
-		if d := c.peers[a]; d != nil && d.linkUp && d.introduced && d.First && !d.Founded {
-			c.sendHello(a, d)
+func (r *Roster) notifySeeds() {
+	for _, a := range r.config.Seeds {
+		if d := r.peers[a]; d != nil && d.linkUp && d.introduced && d.First && !d.Founded {
+			r.sendHello(a, d)
 		}
 	}
 }
 
 // SetSlots takes the order of slots as the core has it.
-func (c *Roster) SetSlots(order []SlotHolder) {
-	c.slotHolders = order
-	clear(c.slots)
+func (r *Roster) SetSlots(order []SlotHolder) {
+	r.slotHolders = order
+	clear(r.slots)
 	for i, s := range order {
-		c.slots[s.Addr] = Slot(i)
-		c.discover(s.Addr)
+		r.slots[s.Addr] = Slot(i)
+		r.discover(s.Addr)
 	}
-	c.changed = true
+	r.changed = true
 }
 
 // Slot of an address, or NoSlot.
-func (c *Roster) Slot(addr string) Slot {
-	if s, ok := c.slots[addr]; ok {
+func (r *Roster) Slot(addr string) Slot {
+	if s, ok := r.slots[addr]; ok {
 		return s
 	}
 	return NoSlot
 }
 
 // SlotHolderAt is who has a slot.
-func (c *Roster) SlotHolderAt(s Slot) (SlotHolder, bool) {
-	if s < 0 || int(s) >= len(c.slotHolders) {
+func (r *Roster) SlotHolderAt(s Slot) (SlotHolder, bool) {
+	if s < 0 || int(s) >= len(r.slotHolders) {
 		return SlotHolder{}, false
 	}
-	return c.slotHolders[s], true
+	return r.slotHolders[s], true
 }
 
 // SlotHolders is all slots.
-func (c *Roster) SlotHolders() []SlotHolder { return c.slotHolders }
+func (r *Roster) SlotHolders() []SlotHolder { return r.slotHolders }
 
 // Live tells whether a node is linked both ways.
-func (c *Roster) Live(addr string) bool {
-	d := c.peers[addr]
-	return addr == c.self.Addr || d != nil && d.live
+func (r *Roster) Live(addr string) bool {
+	d := r.peers[addr]
+	return addr == r.self.Addr || d != nil && d.live
 }
 
 // Node is what a node last said of itself.
-func (c *Roster) Node(addr string) (Node, bool) {
-	if addr == c.self.Addr {
-		return c.self, true
+func (r *Roster) Node(addr string) (Node, bool) {
+	if addr == r.self.Addr {
+		return r.self, true
 	}
-	d := c.peers[addr]
+	d := r.peers[addr]
 	if d == nil || !d.introduced {
 		return Node{}, false
 	}
@@ -381,12 +381,12 @@
 }
 
 // LiveDiskNodes are the live nodes with a disk, this one among them, in the order of their addresses.
-func (c *Roster) LiveDiskNodes() (all []Node) {
-	if c.self.Disk != 0 {
-		all = append(all, c.self)
+func (r *Roster) LiveDiskNodes() (all []Node) {
+	if r.self.Disk != 0 {
+		all = append(all, r.self)
 	}
-	for _, a := range c.Addrs() {
-		if d := c.peers[a]; d.live && d.Disk != 0 {
+	for _, a := range r.Addrs() {
+		if d := r.peers[a]; d.live && d.Disk != 0 {
 			all = append(all, d.Node)
 		}
 	}
@@ -395,9 +395,9 @@
 
 // LinkedDiskNodes are the other nodes with a disk that our links reach, live or not, in the order of their addresses: where nobody lives
 // as far as this node is told, it is one of these that may tell more.
-func (c *Roster) LinkedDiskNodes() (all []Node) {
-	for _, a := range c.Addrs() {
-		if d := c.peers[a]; d.linkUp && d.introduced && d.Disk != 0 {
+func (r *Roster) LinkedDiskNodes() (all []Node) {
+	for _, a := range r.Addrs() {
+		if d := r.peers[a]; d.linkUp && d.introduced && d.Disk != 0 {
 			all = append(all, d.Node)
 		}
 	}
@@ -405,9 +405,9 @@
 }
 
 // Addrs are the other nodes that are known, in order.
-func (c *Roster) Addrs() []string {
-	all := make([]string, 0, len(c.peers))
-	for a := range c.peers {
+func (r *Roster) Addrs() []string {
+	all := make([]string, 0, len(r.peers))
+	for a := range r.peers {
 		all = append(all, a)
 	}
 	sort.Strings(all)
@@ -416,14 +416,14 @@
 
 // HelloTo is this node's hello to another one: it names the nodes with a disk, and to one with a disk those without that have no slot yet.
 // Who has a slot is in the core's order, which all are fed: to name them again in each hello would be the square of the deployment.
-func (c *Roster) HelloTo(to string) Hello {
-	d := c.peers[to]
-	h := Hello{Door: c.self, Begun: c.clusterExists()}
+func (r *Roster) HelloTo(to string) Hello {
+	d := r.peers[to]
+	h := Hello{Door: r.self, Begun: r.clusterExists()}
 	if d != nil && d.introduced {
 		h.Knows = d.fingerprint()
 	}
-	for _, a := range c.Addrs() {
-		if a != to && (c.peers[a].Disk != 0 || d != nil && d.Disk != 0 && c.Slot(a) == NoSlot) {
+	for _, a := range r.Addrs() {
+		if a != to && (r.peers[a].Disk != 0 || d != nil && d.Disk != 0 && r.Slot(a) == NoSlot) {
 			h.Known = append(h.Known, a)
 		}
 	}
@@ -431,24 +431,24 @@
 }
 
 // refresh works out who is live.
-func (c *Roster) refresh() {
-	c.refreshedAt = c.now
-	for _, a := range c.Addrs() { // in order: what is asked for must not go by chance
-		d := c.peers[a]
-		live := (!d.linkWanted || d.linkUp && d.introduced) && (c.reachable(a) || c.reportedLive(c.Slot(a)))
+func (r *Roster) refresh() {
+	r.refreshedAt = r.now
+	for _, a := range r.Addrs() { // in order: what is asked for must not go by chance
+		d := r.peers[a]
+		live := (!d.linkWanted || d.linkUp && d.introduced) && (r.reachable(a) || r.reportedLive(r.Slot(a)))
 		if live != d.live {
-			d.live, c.changed = live, true
+			d.live, r.changed = live, true
 		}
-		c.updateLink(a, d)
-		c.repeatHello(a, d)
-		if c.Slot(a) == NoSlot && !slices.Contains(c.seeds, a) && c.now-max(d.receivedAt, d.discoveredAt) > forgetAfter {
-			delete(c.peers, a)
+		r.updateLink(a, d)
+		r.repeatHello(a, d)
+		if r.Slot(a) == NoSlot && !slices.Contains(r.seeds, a) && r.now-max(d.receivedAt, d.discoveredAt) > forgetAfter {
+			delete(r.peers, a)
 			if d.linkWanted {
-				c.push(Action{Kind: Disconnect, Addr: a})
+				r.push(Action{Kind: Disconnect, Addr: a})
 			}
 		}
 	}
-	c.bootstrap()
+	r.bootstrap()
 }
 
 // bootstrap begins the core at the first start of all: the first seed does, once no further node with a disk comes. Only
@@ -458,76 +458,76 @@
 // no such word, and nobody begins anything where one that is met has a state or knows of one that has, or without
 // more than half of the seeds: two halves must not found two systems (see Spreads). Who begins it is settled once in a life; the word
 // goes again to those that have not written it down, since a link may have lost it.
-func (c *Roster) bootstrap() {
-	if c.founders == nil && !c.chooseFounders() {
+func (r *Roster) bootstrap() {
+	if r.founders == nil && !r.chooseFounders() {
 		return
 	}
-	clusterID := c.config.ClusterID(c.founders)
-	for _, f := range c.founders {
-		d := c.peers[f.Addr]
-		if at, told := c.bootstrapSentAt[f.Addr]; !c.MayBootstrap(clusterID, f.Addr) || told && c.now-at < bootstrapResendInterval {
+	clusterID := r.config.ClusterID(r.founders)
+	for _, f := range r.founders {
+		d := r.peers[f.Addr]
+		if at, told := r.bootstrapSentAt[f.Addr]; !r.MayBootstrap(clusterID, f.Addr) || told && r.now-at < bootstrapResendInterval {
 			continue
 		}
-		if f.Addr == c.self.Addr && !c.self.Founded || d != nil && d.linkUp && d.Disk == f.Disk && !d.Founded {
-			c.bootstrapSentAt[f.Addr] = c.now
-			c.push(Action{Kind: Bootstrap, Addr: f.Addr, Founders: c.founders})
+		if f.Addr == r.self.Addr && !r.self.Founded || d != nil && d.linkUp && d.Disk == f.Disk && !d.Founded {
+			r.bootstrapSentAt[f.Addr] = r.now
+			r.push(Action{Kind: Bootstrap, Addr: f.Addr, Founders: r.founders})
 		}
 	}
 }
 
 // chooseFounders tells whether this node is to begin the core now, and names the founders.
-func (c *Roster) chooseFounders() bool {
-	rank := slices.Index(c.config.Seeds, c.self.Addr)
+func (r *Roster) chooseFounders() bool {
+	rank := slices.Index(r.config.Seeds, r.self.Addr)
 	turn := time.Duration(rank) * bootstrapSeedInterval
-	if !c.self.First {
+	if !r.self.First {
 		turn += bootstrapRestartDelay
 	}
-	if c.self.Founded || rank < 0 || c.now-c.startedAt < turn {
+	if r.self.Founded || rank < 0 || r.now-r.startedAt < turn {
 		return false
 	}
 	var with []Founder
-	if c.self.Disk != 0 {
-		with = append(with, Founder{c.self.Disk, c.self.Addr})
+	if r.self.Disk != 0 {
+		with = append(with, Founder{r.self.Disk, r.self.Addr})
 	}
 	seeds := 0
-	for _, a := range c.config.Seeds {
-		if d := c.peers[a]; a == c.self.Addr || d != nil && d.live && c.now-d.receivedAt < bootstrapContactTimeout {
+	for _, a := range r.config.Seeds {
+		if d := r.peers[a]; a == r.self.Addr || d != nil && d.live && r.now-d.receivedAt < bootstrapContactTimeout {
 			seeds++
 		}
 	}
-	if 2*seeds <= len(c.config.Seeds) {
+	if 2*seeds <= len(r.config.Seeds) {
 		return false
 	}
-	for a, d := range c.peers {
-		if d.introduced && (d.Founded || d.knowsCluster) || slices.Contains(c.config.Seeds[:rank], a) && d.live && (d.First || !c.self.First) {
+	for a, d := range r.peers {
+		if d.introduced && (d.Founded || d.knowsCluster) || slices.Contains(r.config.Seeds[:rank], a) && d.live && (d.First || !r.self.First) {
 			return false // it has begun, or is for a seed before to begin
 		}
-		if d.Disk != 0 && (d.live || d.introduced && c.self.First) { // it is empty, whichever life this is
+		if d.Disk != 0 && (d.live || d.introduced && r.self.First) { // it is empty, whichever life this is
 			with = append(with, Founder{d.Disk, a})
 		}
 	}
-	need := 2*c.config.ToleratedLosses + 1
-	calm := c.now-c.lastDiskAt >= bootstrapQuietPeriod && c.now-c.startedAt >= bootstrapQuietPeriod
-	if len(with) == 0 || !calm || len(with) < need && c.now-c.startedAt < bootstrapTimeout+turn || !c.self.First && len(with) < need {
+	need := 2*r.config.ToleratedLosses + 1
+	calm := r.now-r.lastDiskAt >= bootstrapQuietPeriod && r.now-r.startedAt >= bootstrapQuietPeriod
+	if len(with) == 0 || !calm || len(with) < need && r.now-r.startedAt < bootstrapTimeout+turn || !r.self.First && len(with) < need {
 		return false
 	}
 	slices.SortFunc(with, func(a, b Founder) int { return strings.Compare(a.Addr, b.Addr) })
-	c.founders = with
+	r.founders = with
 	return true
 }
 
 // Next gives the next thing to do now, or false.
-func (c *Roster) Next() (Action, bool) {
-	if c.now-c.refreshedAt >= refreshInterval {
-		c.refresh()
+func (r *Roster) Next() (Action, bool) {
+	if r.now-r.refreshedAt >= refreshInterval {
+		r.refresh()
 	}
-	if len(c.actions) > 0 {
-		a := c.actions[0]
-		c.actions = c.actions[1:]
+	if len(r.actions) > 0 {
+		a := r.actions[0]
+		r.actions = r.actions[1:]
 		return a, true
 	}
-	if c.changed {
-		c.changed = false
+	if r.changed {
+		r.changed = false
 		return Action{Kind: LiveNodesChanged}, true
 	}
 	return Action{}, false
--- a/internal/gateway/membership/watch.go
+++ b/internal/gateway/membership/watch.go
@@ -38,21 +38,21 @@
 
 // Watchers are the nodes to tell that this one lives. A node with a disk tells all others that have one; while none is known,
 // or nobody has a slot, all that are known are told.
-func (c *Roster) Watchers() (all []string) {
-	for a, d := range c.peers {
-		if d.introduced && d.Disk != 0 && (d.live || c.self.Disk != 0) {
+func (r *Roster) Watchers() (all []string) {
+	for a, d := range r.peers {
+		if d.introduced && d.Disk != 0 && (d.live || r.self.Disk != 0) {
 			all = append(all, a)
 		}
 	}
 	slices.Sort(all)
-	if len(all) == 0 || len(c.slotHolders) == 0 { // the core is not there yet
-		all = c.Addrs()
-		return slices.DeleteFunc(all, func(a string) bool { return !c.peers[a].linkWanted })
+	if len(all) == 0 || len(r.slotHolders) == 0 { // the core is not there yet
+		all = r.Addrs()
+		return slices.DeleteFunc(all, func(a string) bool { return !r.peers[a].linkWanted })
 	}
-	if c.self.Disk != 0 || len(all) <= maxWatchers {
+	if r.self.Disk != 0 || len(all) <= maxWatchers {
 		return all
 	}
-	me := ringPosition(c.self.Addr)
+	me := ringPosition(r.self.Addr)
 	slices.SortFunc(all, func(a, b string) int {
 		if x, y := ringPosition(a)-me, ringPosition(b)-me; x != y { // the way round the ring
 			if x < y {
@@ -73,9 +73,9 @@
 
 func hasSlot(set []byte, s Slot) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
 
-func (c *Roster) slotSet(in func(addr string) bool) []byte {
-	set := make([]byte, (len(c.slotHolders)+7)/8)
-	for i, s := range c.slotHolders {
+func (r *Roster) slotSet(in func(addr string) bool) []byte {
+	set := make([]byte, (len(r.slotHolders)+7)/8)
+	for i, s := range r.slotHolders {
 		if in(s.Addr) {
 			set[i/8] |= 1 << (i % 8)
 		}
@@ -84,33 +84,33 @@
 }
 
 // reachable tells whether anything came from a node of late.
-func (c *Roster) reachable(addr string) bool {
-	d := c.peers[addr]
-	return addr == c.self.Addr || d != nil && d.introduced && c.now-d.receivedAt < livenessTimeout
+func (r *Roster) reachable(addr string) bool {
+	d := r.peers[addr]
+	return addr == r.self.Addr || d != nil && d.introduced && r.now-d.receivedAt < livenessTimeout
 }
 
 // ReachableSlots are the slots that this node hears itself, a bit each: what nodes with a disk tell each other. It holds no hearsay,
 // else two nodes could keep a dead one alive between them.
-func (c *Roster) ReachableSlots() []byte { return c.slotSet(c.reachable) }
+func (r *Roster) ReachableSlots() []byte { return r.slotSet(r.reachable) }
 
 // LiveSlots are the slots of the live nodes, a bit each: what nodes with a disk tell those who follow them.
-func (c *Roster) LiveSlots() []byte {
-	return c.slotSet(func(addr string) bool { return c.reachable(addr) || c.reportedLive(c.Slot(addr)) })
+func (r *Roster) LiveSlots() []byte {
+	return r.slotSet(func(addr string) bool { return r.reachable(addr) || r.reportedLive(r.Slot(addr)) })
 }
 
 // HandleLiveness takes the slots that another node hears, or that live where this one has no disk and follows it.
-func (c *Roster) HandleLiveness(from string, slots []byte) {
-	if c.self.Disk == 0 {
-		clear(c.livenessReports) // one word at a time: that of the node that is followed
+func (r *Roster) HandleLiveness(from string, slots []byte) {
+	if r.self.Disk == 0 {
+		clear(r.livenessReports) // one word at a time: that of the node that is followed
 	}
-	c.livenessReports[from] = livenessReport{slots, c.now}
-	c.refresh()
+	r.livenessReports[from] = livenessReport{slots, r.now}
+	r.refresh()
 }
 
 // reportedLive tells whether a node that is heard hears a slot.
-func (c *Roster) reportedLive(s Slot) bool {
-	for from, o := range c.livenessReports {
-		if hasSlot(o.slots, s) && c.now-o.receivedAt < livenessTimeout && c.reachable(from) {
+func (r *Roster) reportedLive(s Slot) bool {
+	for from, o := range r.livenessReports {
+		if hasSlot(o.slots, s) && r.now-o.receivedAt < livenessTimeout && r.reachable(from) {
 			return true
 		}
 	}
@@ -124,20 +124,20 @@
 }
 
 // Links reports on this node's links. A node without a disk goes by those that it has met alone: one that it has not can't feed it.
-func (c *Roster) Links() (r LinkReport) {
-	for _, addr := range c.Addrs() {
-		p := c.peers[addr]
+func (r *Roster) Links() (linkReport LinkReport) {
+	for _, addr := range r.Addrs() {
+		p := r.peers[addr]
 		if !p.linkWanted {
 			continue
 		}
-		r.Wanted++
+		linkReport.Wanted++
 		if !p.linkUp {
 			continue
 		}
-		r.Connected++
+		linkReport.Connected++
 		if !p.introduced {
-			r.WithoutHello = append(r.WithoutHello, addr)
+			linkReport.WithoutHello = append(linkReport.WithoutHello, addr)
 		}
 	}
-	return r
+	return linkReport
 }
--- a/internal/gateway/node/authority.go
+++ b/internal/gateway/node/authority.go
@@ -65,30 +65,30 @@
 type ageBound func(settings.Bounds) time.Duration
 
 // permitted tells whether this node has a right now.
-func (h *Node) permitted(r permission) bool {
-	return (!permissions[r].configured || h.table.Version() > 0) && h.hasContactFor(r)
+func (n *Node) permitted(r permission) bool {
+	return (!permissions[r].configured || n.table.Version() > 0) && n.hasContactFor(r)
 }
 
 // hasContactFor tells whether its word of a majority is enough for a right.
-func (h *Node) hasContactFor(r permission) bool {
+func (n *Node) hasContactFor(r permission) bool {
 	within := permissions[r].member
-	if h.core == nil {
+	if n.core == nil {
 		within = permissions[r].follower
 	}
-	switch without := h.fault; {
+	switch without := n.fault; {
 	case without == ackDrainAlone && r == permitAckDrain, without == queueWithoutContact && r == permitCalls,
 		without == readyWithoutContact && (r == permitReady || r == permitRefuse), without == grantAllPermissions:
 		return true
 	}
-	return permissions[r].who&h.contactState(within(h.settings.Bounds)) != 0
+	return permissions[r].who&n.contactState(within(n.settings.Bounds)) != 0
 }
 
 // contactState is this node's, for a right that ends at an age.
-func (h *Node) contactState(within time.Duration) contactState {
-	leading := h.isLeader() // the clock first
-	age, _, ok := h.quorumContact()
+func (n *Node) contactState(within time.Duration) contactState {
+	leading := n.isLeader() // the clock first
+	age, _, ok := n.quorumContact()
 	switch {
-	case !ok && h.loop.Now()-h.startedAt < within:
+	case !ok && n.loop.Now()-n.startedAt < within:
 		return starting
 	case !ok:
 		return noContact
@@ -103,28 +103,28 @@
 }
 
 // isLeader tells whether this node leads: the clock runs first, since one that stood still does not know that it was missed.
-func (h *Node) isLeader() bool {
-	if h.core == nil {
+func (n *Node) isLeader() bool {
+	if n.core == nil {
 		return false
 	}
-	h.core.replica.Tick(h.loop.Now())
-	return h.core.replica.IsLeader()
+	n.core.replica.Tick(n.loop.Now())
+	return n.core.replica.IsLeader()
 }
 
 // quorumContact is how old this node's word of a majority is at the most, and the view that it is of; false: none came in this life.
-func (h *Node) quorumContact() (age time.Duration, view uint64, ok bool) {
-	if h.core != nil {
-		if _, view, ok := h.core.replica.Leader(); ok && h.fault == trustLeaderAlone {
+func (n *Node) quorumContact() (age time.Duration, view uint64, ok bool) {
+	if n.core != nil {
+		if _, view, ok := n.core.replica.Leader(); ok && n.fault == trustLeaderAlone {
 			return 0, view, true
 		}
-		return h.core.replica.QuorumContact(h.loop.Now())
+		return n.core.replica.QuorumContact(n.loop.Now())
 	}
-	return h.loop.Now() - h.streamContact.appliedAsOf, h.streamContact.term, h.streamContact.appliedAsOf > -neverAge
+	return n.loop.Now() - n.streamContact.appliedAsOf, n.streamContact.term, n.streamContact.appliedAsOf > -neverAge
 }
 
 // contactAge is that age; never and more if there is none.
-func (h *Node) contactAge() time.Duration {
-	if age, _, ok := h.quorumContact(); ok {
+func (n *Node) contactAge() time.Duration {
+	if age, _, ok := n.quorumContact(); ok {
 		return age
 	}
 	return neverAge
@@ -138,19 +138,19 @@
 
 // updateContact takes the feeder's word, once what it had applied is applied here. Word of an older view is not taken after a newer one's, nor
 // what came back from another life. A feeder of the version before gives nothing back: then it is when it came.
-func (h *Node) updateContact(age time.Duration, view uint64, echo uint32, index uint64) {
-	now := h.loop.Now()
-	at, ok := h.clock.SentAt(echo, now)
+func (n *Node) updateContact(age time.Duration, view uint64, echo uint32, index uint64) {
+	now := n.loop.Now()
+	at, ok := n.clock.SentAt(echo, now)
 	switch {
-	case h.core != nil || age >= maxKnownAge || index > h.appliedIndex:
+	case n.core != nil || age >= maxKnownAge || index > n.appliedIndex:
 		return
-	case view == 0 || h.fault == countFromReceipt:
+	case view == 0 || n.fault == countFromReceipt:
 		at = now
-	case !ok || view < h.streamContact.term && h.fault != acceptOlderTerms:
+	case !ok || view < n.streamContact.term && n.fault != acceptOlderTerms:
 		return
 	}
-	if at -= age; at > h.streamContact.appliedAsOf {
-		h.streamContact = streamContact{at, max(h.streamContact.term, view)}
+	if at -= age; at > n.streamContact.appliedAsOf {
+		n.streamContact = streamContact{at, max(n.streamContact.term, view)}
 	}
 }
 
--- a/internal/gateway/node/balance.go
+++ b/internal/gateway/node/balance.go
@@ -33,12 +33,12 @@
 }
 
 // penalizeFormerLeader notes that this node leads a group after another one: one that ought to lead it and does no longer is in trouble.
-func (b *leadBalancer) penalizeFormerLeader(r *groupReplica, before replication.MemberID, now time.Duration) {
+func (l *leadBalancer) penalizeFormerLeader(r *groupReplica, before replication.MemberID, now time.Duration) {
 	ought := r.host.assignedLeaders(func(replication.Member) bool { return true })[r.id]
 	if ought == r.self.ID || ought != before {
 		return
 	}
-	t := b.penalties[ought]
+	t := l.penalties[ought]
 	switch {
 	case now < t.until:
 		return
@@ -48,7 +48,7 @@
 		t.duration = min(2*t.duration, maxLeadPenalty)
 	}
 	t.until = now + t.duration
-	b.penalties[ought] = t
+	l.penalties[ought] = t
 }
 
 // assignedLeaders is which member ought to lead each group, of those that may.
--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -248,6 +248,6 @@
 	loop    *eventloop.Engine
 }
 
-func (e frontendServer) User(who, txn slots.Ref) ([]byte, string) { return e.handler.User(who, txn) }
+func (f frontendServer) User(who, txn slots.Ref) ([]byte, string) { return f.handler.User(who, txn) }
 
-func (e frontendServer) StopListening() { e.loop.StopListening() }
+func (f frontendServer) StopListening() { f.loop.StopListening() }
--- a/internal/gateway/node/calls.go
+++ b/internal/gateway/node/calls.go
@@ -43,83 +43,83 @@
 
 // callLeader brings a control call to whoever leads and tells how it ended: within callTimeout in any case, so that the caller
 // is not held for what another node may know.
-func (h *Node) callLeader(kind statemachine.Kind, body []byte, hops int, then func(status int, body []byte)) {
-	if len(h.pendingCalls) >= maxPendingCalls {
+func (n *Node) callLeader(kind statemachine.Kind, body []byte, hops int, then func(status int, body []byte)) {
+	if len(n.pendingCalls) >= maxPendingCalls {
 		then(503, []byte("too many calls wait"))
 		return
 	}
-	h.lastCallID++ // of 32 bits, as the timer's are: no call lives long enough to meet its number again
-	h.pendingCalls[h.lastCallID] = &pendingCall{kind: kind, body: body, hops: hops, deadline: h.loop.Now() + callTimeout, done: then}
-	h.forwardCall(h.lastCallID)
-	h.loop.At(h.loop.Now()+callTimeout, (*callTimer)(h), h.lastCallID)
+	n.lastCallID++ // of 32 bits, as the timer's are: no call lives long enough to meet its number again
+	n.pendingCalls[n.lastCallID] = &pendingCall{kind: kind, body: body, hops: hops, deadline: n.loop.Now() + callTimeout, done: then}
+	n.forwardCall(n.lastCallID)
+	n.loop.At(n.loop.Now()+callTimeout, (*callTimer)(n), n.lastCallID)
 }
 
 // forwardCall sends a call on, or settles it here.
-func (h *Node) forwardCall(nr uint32) {
-	c := h.pendingCalls[nr]
-	c.ambiguous = c.ambiguous || h.mayBeReceived(c, nr)
-	if !h.permitted(permitCalls) {
-		h.rejectCall(nr)
+func (n *Node) forwardCall(nr uint32) {
+	c := n.pendingCalls[nr]
+	c.ambiguous = c.ambiguous || n.mayBeReceived(c, nr)
+	if !n.permitted(permitCalls) {
+		n.rejectCall(nr)
 		return
 	}
-	if h.isLeader() {
-		h.cancelTransfer(c.sentTo, nr)
+	if n.isLeader() {
+		n.cancelTransfer(c.sentTo, nr)
 		c.retryAt, c.sentTo = c.deadline, "here"
-		h.proposeCall(nr, false)
+		n.proposeCall(nr, false)
 		return
 	}
-	to := h.forwardTarget()
+	to := n.forwardTarget()
 	if to == "" || c.hops >= maxHops {
-		c.retryAt = h.loop.Now() + callRetryInterval
-		h.loop.At(c.retryAt, (*callTimer)(h), nr)
+		c.retryAt = n.loop.Now() + callRetryInterval
+		n.loop.At(c.retryAt, (*callTimer)(n), nr)
 		return
 	}
 	was := c.sentTo
-	c.retryAt, c.sentTo = h.loop.Now()+callRetryInterval, to
-	h.loop.At(c.retryAt, (*callTimer)(h), nr)
+	c.retryAt, c.sentTo = n.loop.Now()+callRetryInterval, to
+	n.loop.At(c.retryAt, (*callTimer)(n), nr)
 	if !slices.Contains(c.recipients, to) {
 		c.recipients = append(c.recipients, to)
 	}
-	h.cancelTransfer(was, nr)
-	if !h.sendCall(to, nr, &Call{Asker: h.incarnation, Nr: nr, Kind: c.kind, Body: c.body, Hops: c.hops + 1}, c.deadline) {
+	n.cancelTransfer(was, nr)
+	if !n.sendCall(to, nr, &Call{Asker: n.incarnation, Nr: nr, Kind: c.kind, Body: c.body, Hops: c.hops + 1}, c.deadline) {
 		c.sentTo = "" // too many go there
 	}
 }
 
 // proposeCall puts a call into the log, whose verdict holds. What this node refuses before it refuses by its own state: only once a round
 // has told that it leads still, and that this state is as new as anything acknowledged.
-func (h *Node) proposeCall(nr uint32, confirmed bool) {
-	c := h.pendingCalls[nr]
+func (n *Node) proposeCall(nr uint32, confirmed bool) {
+	c := n.pendingCalls[nr]
 	if c == nil || c.sentTo != "here" {
 		return
 	}
-	body, err := h.prepareEntry(c.kind, c.body)
+	body, err := n.prepareEntry(c.kind, c.body)
 	if c.kind == statemachine.KindBootstrapGroups {
-		body = h.core.groupFounders()
+		body = n.core.groupFounders()
 	}
 	refusal := 400
 	if err == nil {
-		err = h.checkServiceable(c.kind, body)
+		err = n.checkServiceable(c.kind, body)
 	}
 	if err == nil {
-		if err = h.checkSize(c.kind, body); err != nil {
+		if err = n.checkSize(c.kind, body); err != nil {
 			refusal = 413
 		}
 	}
 	switch {
 	case err == nil:
-		h.core.propose(c.kind, body, func(status int, body []byte) {
-			h.completeCall(nr, status, h.answerBody(c.kind, c.body, status, body))
+		n.core.propose(c.kind, body, func(status int, body []byte) {
+			n.completeCall(nr, status, n.answerBody(c.kind, c.body, status, body))
 		})
 	case confirmed:
-		h.completeCall(nr, refusal, []byte(err.Error()))
+		n.completeCall(nr, refusal, []byte(err.Error()))
 	default:
-		h.core.propose(ReadConfig, nil, func(status int, body []byte) {
+		n.core.propose(ReadConfig, nil, func(status int, body []byte) {
 			if status != 200 {
-				h.completeCall(nr, status, body)
+				n.completeCall(nr, status, body)
 				return
 			}
-			h.proposeCall(nr, true)
+			n.proposeCall(nr, true)
 		})
 	}
 }
@@ -128,125 +128,125 @@
 const noQuorumText = "no majority is in contact here, another node may know more"
 
 // rejectCall ends a call here: while this node has no word of a majority, waiting is worth nothing.
-func (h *Node) rejectCall(nr uint32) {
+func (n *Node) rejectCall(nr uint32) {
 	text := noQuorumText
-	if c := h.pendingCalls[nr]; c.ambiguous || h.mayBeReceived(c, nr) { // who has it may take it yet
+	if c := n.pendingCalls[nr]; c.ambiguous || n.mayBeReceived(c, nr) { // who has it may take it yet
 		text = replication.OutcomeUnknown.String()
 	}
-	h.finishCall(nr, 503, []byte(text))
+	n.finishCall(nr, 503, []byte(text))
 }
 
 // forwardTarget is the node to pass a call on to: the leader where it is known, else the node that this one follows.
-func (h *Node) forwardTarget() string {
-	if h.core != nil {
-		if m, _, ok := h.core.replica.Leader(); ok && m.ID != h.core.self.ID {
+func (n *Node) forwardTarget() string {
+	if n.core != nil {
+		if m, _, ok := n.core.replica.Leader(); ok && m.ID != n.core.self.ID {
 			return m.Addr
 		}
 		return ""
 	}
-	if h.roster.Live(h.upstream) {
-		return h.upstream
+	if n.roster.Live(n.upstream) {
+		return n.upstream
 	}
 	return ""
 }
 
 // leaderChanged tells whether another leads, as far as is known here, than the node that a call was passed on to.
-func (h *Node) leaderChanged(than string) bool {
-	if h.isLeader() {
+func (n *Node) leaderChanged(than string) bool {
+	if n.isLeader() {
 		return true
 	}
-	to := h.forwardTarget()
+	to := n.forwardTarget()
 	return to != "" && to != than
 }
 
 // receiveCall takes a call that another node passed on.
-func (h *Node) receiveCall(from string, c *Call) {
-	h.callLeader(c.Kind, c.Body, c.Hops, func(status int, body []byte) {
-		h.sendReply(from, &Reply{c.Asker, c.Nr, status, body})
+func (n *Node) receiveCall(from string, c *Call) {
+	n.callLeader(c.Kind, c.Body, c.Hops, func(status int, body []byte) {
+		n.sendReply(from, &Reply{c.Asker, c.Nr, status, body})
 	})
 }
 
 // receiveReply takes the answer to a call that was passed on. It is known by the life that asked and the number within it, and comes
 // from a node that was asked: one to a former life, or to a call that has ended, does nothing. A node that was asked before
 // the one that has the call now may still settle it, but not send it round again.
-func (h *Node) receiveReply(from string, r *Reply) {
-	c := h.pendingCalls[r.Nr]
+func (n *Node) receiveReply(from string, r *Reply) {
+	c := n.pendingCalls[r.Nr]
 	switch {
 	case c == nil:
-	case r.Asker != h.incarnation && h.fault != matchBySequenceOnly:
-	case !slices.Contains(c.recipients, from) && h.fault != matchBySequenceOnly:
-	case r.Status/100 == 5 && from != c.sentTo && h.fault != matchBySequenceOnly:
+	case r.Asker != n.incarnation && n.fault != matchBySequenceOnly:
+	case !slices.Contains(c.recipients, from) && n.fault != matchBySequenceOnly:
+	case r.Status/100 == 5 && from != c.sentTo && n.fault != matchBySequenceOnly:
 	default:
-		h.completeCall(r.Nr, r.Status, r.Body)
+		n.completeCall(r.Nr, r.Status, r.Body)
 	}
 }
 
 // completeCall ends a call. Nobody leading is no end while there is time: who did may just have gone.
-func (h *Node) completeCall(nr uint32, status int, body []byte) {
-	c := h.pendingCalls[nr]
+func (n *Node) completeCall(nr uint32, status int, body []byte) {
+	c := n.pendingCalls[nr]
 	if c == nil {
 		return
 	}
-	if status == 503 && string(body) == noQuorumText && c.sentTo == h.upstream && h.core == nil { // one that has word may be there
-		h.upstreamReports[h.upstream] = upstreamReport{h.loop.Now(), neverAge, 0, 0}
-		h.checkUpstream()
+	if status == 503 && string(body) == noQuorumText && c.sentTo == n.upstream && n.core == nil { // one that has word may be there
+		n.upstreamReports[n.upstream] = upstreamReport{n.loop.Now(), neverAge, 0, 0}
+		n.checkUpstream()
 	}
-	h.cancelTransfer(c.sentTo, nr)
-	if status == 503 && h.loop.Now()+callRetryInterval < c.deadline {
-		c.sentTo, c.retryAt = "", h.loop.Now()+callRetryInterval
-		h.loop.At(c.retryAt, (*callTimer)(h), nr)
+	n.cancelTransfer(c.sentTo, nr)
+	if status == 503 && n.loop.Now()+callRetryInterval < c.deadline {
+		c.sentTo, c.retryAt = "", n.loop.Now()+callRetryInterval
+		n.loop.At(c.retryAt, (*callTimer)(n), nr)
 		return
 	}
 	c.sentTo, c.ambiguous = "", c.ambiguous || status == controlapi.Unclear
-	h.finishCall(nr, status, body)
+	n.finishCall(nr, status, body)
 }
 
 // finishCall ends a call. A change that another node had before may have been taken there, whatever the last one knows of no leader.
-func (h *Node) finishCall(nr uint32, status int, body []byte) {
-	c := h.pendingCalls[nr]
-	delete(h.pendingCalls, nr)
+func (n *Node) finishCall(nr uint32, status int, body []byte) {
+	c := n.pendingCalls[nr]
+	delete(n.pendingCalls, nr)
 	if reads := c.kind == ReadConfig || c.kind == ReadRollouts; status/100 == 5 {
-		if status = 503; !reads && (c.ambiguous || h.mayBeReceived(c, nr)) {
+		if status = 503; !reads && (c.ambiguous || n.mayBeReceived(c, nr)) {
 			status = controlapi.Unclear
 		}
 	}
-	h.cancelTransfer(c.sentTo, nr)
+	n.cancelTransfer(c.sentTo, nr)
 	c.done(status, body)
 }
 
 // callTimer brings a call's due times.
 type callTimer Node
 
-func (a *callTimer) Live(nr uint32) bool { return a.pendingCalls[nr] != nil }
+func (c *callTimer) Live(nr uint32) bool { return c.pendingCalls[nr] != nil }
 
-func (a *callTimer) Due(nr uint32) {
-	h, c := (*Node)(a), a.pendingCalls[nr]
+func (c *callTimer) Due(nr uint32) {
+	h, pendingCall := (*Node)(c), c.pendingCalls[nr]
 	switch now := h.loop.Now(); {
-	case c == nil:
-	case now >= c.deadline:
+	case pendingCall == nil:
+	case now >= pendingCall.deadline:
 		h.finishCall(nr, 503, []byte("no clear answer in time"))
 	case !h.permitted(permitCalls):
 		h.rejectCall(nr)
-	case now < c.retryAt:
-	case c.sentTo != "" && !h.leaderChanged(c.sentTo): // its answer is still to come
-		c.retryAt = now + callRetryInterval
-		h.loop.At(c.retryAt, a, nr)
+	case now < pendingCall.retryAt:
+	case pendingCall.sentTo != "" && !h.leaderChanged(pendingCall.sentTo): // its answer is still to come
+		pendingCall.retryAt = now + callRetryInterval
+		h.loop.At(pendingCall.retryAt, c, nr)
 	default: // one that stands still or is cut off never answers: another leads by now
 		h.forwardCall(nr)
 	}
 }
 
 // requestSlot asks for a slot while this node has none.
-func (h *Node) requestSlot() {
-	if h.slot() != membership.NoSlot || h.loop.Now()-h.slotRequestedAt < time.Second || !h.permitted(permitRequestSlot) {
+func (n *Node) requestSlot() {
+	if n.slot() != membership.NoSlot || n.loop.Now()-n.slotRequestedAt < time.Second || !n.permitted(permitRequestSlot) {
 		return
 	}
-	h.slotRequestedAt = h.loop.Now()
-	entry := statemachine.AssignSlotEntry(membership.SlotHolder{Name: h.settings.NodeName, Addr: h.peerAddr, Control: h.settings.Bind.Control,
-		Zone: h.settings.Zone})
-	h.callLeader(statemachine.KindAssignSlot, entry[1:], 0, func(status int, body []byte) {
+	n.slotRequestedAt = n.loop.Now()
+	entry := statemachine.AssignSlotEntry(membership.SlotHolder{Name: n.settings.NodeName, Addr: n.peerAddr, Control: n.settings.Bind.Control,
+		Zone: n.settings.Zone})
+	n.callLeader(statemachine.KindAssignSlot, entry[1:], 0, func(status int, body []byte) {
 		if status != 200 {
-			h.say(nodePart, "no slot yet: %s", body)
+			n.say(nodePart, "no slot yet: %s", body)
 		}
 	})
 }
@@ -256,7 +256,7 @@
 
 // checkServiceable tells whether a configuration that would be taken has a route that can't be served. Whoever leads decides it, as it decides
 // what is too large.
-func (h *Node) checkServiceable(k statemachine.Kind, body []byte) error {
+func (n *Node) checkServiceable(k statemachine.Kind, body []byte) error {
 	if k != statemachine.KindReplaceConfig && k != statemachine.KindAmendConfig {
 		return nil
 	}
@@ -264,7 +264,7 @@
 	if err == nil {
 		return nil
 	}
-	if v, _ := h.machine.Decide(k, body); v != routing.Taken {
+	if v, _ := n.machine.Decide(k, body); v != routing.Taken {
 		return nil // its answer is another
 	}
 	return err
@@ -273,18 +273,18 @@
 // checkSize tells whether a configuration that would be taken grows beyond what the disk is for. Whoever leads decides it, before
 // anything is proposed: what is in the log is applied everywhere, whatever a node's disk. An amendment counts in full, whatever it
 // takes away.
-func (h *Node) checkSize(k statemachine.Kind, body []byte) error {
+func (n *Node) checkSize(k statemachine.Kind, body []byte) error {
 	size, most := len(body), maxControlBodyBytes
-	if d := h.settings.Limits.DiskMB; d > 0 {
+	if d := n.settings.Limits.DiskMB; d > 0 {
 		most = min(most, d<<20/diskCopiesPerState)
 	}
 	if k == statemachine.KindAmendConfig {
-		size += len(h.machine.Configs.Body())
+		size += len(n.machine.Configs.Body())
 	}
 	if k != statemachine.KindReplaceConfig && k != statemachine.KindAmendConfig || size <= most {
 		return nil
 	}
-	if v, _ := h.machine.Decide(k, body); v != routing.Taken {
+	if v, _ := n.machine.Decide(k, body); v != routing.Taken {
 		return nil // its answer is another
 	}
 	return errors.Errorf("configuration of %d bytes, at most %d fit", size, most)
--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -29,19 +29,19 @@
 		services: map[string]control.ServiceID{}, zones: map[string]control.ZoneID{}, backendNames: map[control.BackendID]string{}}
 }
 
-func (s *catalog) zoneID(name string) control.ZoneID {
-	if _, ok := s.zones[name]; !ok {
-		s.zones[name] = control.ZoneID(len(s.zones))
+func (c *catalog) zoneID(name string) control.ZoneID {
+	if _, ok := c.zones[name]; !ok {
+		c.zones[name] = control.ZoneID(len(c.zones))
 	}
-	return s.zones[name]
+	return c.zones[name]
 }
 
-func (s *catalog) serviceID(name string) control.ServiceID {
-	if _, ok := s.services[name]; !ok {
-		s.services[name] = control.ServiceID(len(s.services))
-		s.serviceNames = append(s.serviceNames, name)
+func (c *catalog) serviceID(name string) control.ServiceID {
+	if _, ok := c.services[name]; !ok {
+		c.services[name] = control.ServiceID(len(c.services))
+		c.serviceNames = append(c.serviceNames, name)
 	}
-	return s.services[name]
+	return c.services[name]
 }
 
 // backend names one by its id, alike at every node.
@@ -52,69 +52,69 @@
 }
 
 // installConfiguration puts a new table in force, whole, in this turn.
-func (h *Node) installConfiguration() {
-	config := h.machine.Configs.Config()
+func (n *Node) installConfiguration() {
+	config := n.machine.Configs.Config()
 	if config == nil {
 		return
 	}
-	old := h.table
-	h.table = routing.NewTable(config)
+	old := n.table
+	n.table = routing.NewTable(config)
 	kept := map[routing.RouteKey]control.ProductID{}
-	for _, r := range h.table.Routes() {
-		id, ok := h.catalog.productIDs[r.Key]
+	for _, r := range n.table.Routes() {
+		id, ok := n.catalog.productIDs[r.Key]
 		if !ok {
-			h.catalog.lastProduct++
-			id = h.catalog.lastProduct
+			n.catalog.lastProduct++
+			id = n.catalog.lastProduct
 			c := admission.Route{Effectful: r.Effectful, LatencyTarget: r.Target, Deadline: r.Deadline, MaxAttempts: r.MaxTries,
 				Priority: r.Priority}
 			for _, t := range r.Targets {
-				c.Targets = append(c.Targets, admission.Target{Service: h.catalog.serviceID(t.Service), Weight: t.Weight})
+				c.Targets = append(c.Targets, admission.Target{Service: n.catalog.serviceID(t.Service), Weight: t.Weight})
 			}
-			h.admission.SetRoute(id, c)
+			n.admission.SetRoute(id, c)
 		}
-		kept[r.Key], h.catalog.routesByProduct[id] = id, r
+		kept[r.Key], n.catalog.routesByProduct[id] = id, r
 	}
-	for key, id := range h.catalog.productIDs {
+	for key, id := range n.catalog.productIDs {
 		if _, ok := kept[key]; !ok {
-			if old := h.catalog.routesByProduct[id]; old != nil {
-				if now, ok := h.table.Route([]byte(old.Host), []byte(old.Prefix)); ok {
-					h.admission.LowerMaxAttempts(id, now.MaxTries)
+			if old := n.catalog.routesByProduct[id]; old != nil {
+				if now, ok := n.table.Route([]byte(old.Host), []byte(old.Prefix)); ok {
+					n.admission.LowerMaxAttempts(id, now.MaxTries)
 				}
 			}
-			h.admission.RemoveRoute(id)
-			delete(h.catalog.routesByProduct, id)
+			n.admission.RemoveRoute(id)
+			delete(n.catalog.routesByProduct, id)
 		}
 	}
-	h.catalog.productIDs = kept
+	n.catalog.productIDs = kept
 	had := map[string]bool{}
-	for _, t := range h.table.Tenants() {
+	for _, t := range n.table.Tenants() {
 		had[t.Name] = true
-		h.quota.SetLimit(customerID(t.Name), t.Rate, t.Burst)
+		n.quota.SetLimit(customerID(t.Name), t.Rate, t.Burst)
 	}
 	for _, t := range old.Tenants() {
 		if !had[t.Name] {
-			h.quota.SetLimit(customerID(t.Name), 0, 0)
+			n.quota.SetLimit(customerID(t.Name), 0, 0)
 		}
 	}
-	l := h.table.Limits()
-	h.frontend.SetBounds(ingress.Bounds(ingress.Limits{Head: l.MostHeader, Body: l.MostBody, HeadIn: l.HeaderTimeout, Idle: l.IdleTimeout}))
+	l := n.table.Limits()
+	n.frontend.SetBounds(ingress.Bounds(ingress.Limits{Head: l.MostHeader, Body: l.MostBody, HeadIn: l.HeaderTimeout, Idle: l.IdleTimeout}))
 }
 
 // Admit tells what a request is: its route, its tenant, or why it may not go on.
-func (h *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
-	sure := h.permitted(permitRefuse)
-	r, ok := h.table.Route(host, path)
+func (n *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
+	sure := n.permitted(permitRefuse)
+	r, ok := n.table.Route(host, path)
 	if !ok {
 		if !sure {
 			return a, ingress.UnknownYet
 		}
 		return a, ingress.NoRoute
 	}
-	a = ingress.Admission{Product: h.catalog.productIDs[r.Key], Deadline: r.Deadline, Once: r.Effectful}
-	if r.Public || !h.table.HasTenants() {
+	a = ingress.Admission{Product: n.catalog.productIDs[r.Key], Deadline: r.Deadline, Once: r.Effectful}
+	if r.Public || !n.table.HasTenants() {
 		return a, ingress.None
 	}
-	t, ok := h.table.Tenant(key)
+	t, ok := n.table.Tenant(key)
 	if !ok {
 		if !sure {
 			return a, ingress.UnknownYet
@@ -129,17 +129,17 @@
 }
 
 // BackendName is a backend's id in its own words.
-func (h *Node) BackendName(id control.BackendID) string { return h.catalog.backendNames[id] }
+func (n *Node) BackendName(id control.BackendID) string { return n.catalog.backendNames[id] }
 
 // Gone is told when another backend answered at this one's address.
-func (h *Node) Gone(id control.BackendID) {
-	if h.registry != nil {
-		h.registry.AddressTaken(h.catalog.backendNames[id])
+func (n *Node) Gone(id control.BackendID) {
+	if n.registry != nil {
+		n.registry.AddressTaken(n.catalog.backendNames[id])
 	}
 }
 
 // updateListing takes news of a backend to those who go by it.
-func (h *Node) updateListing(c registry.Changed) {
+func (n *Node) updateListing(c registry.Changed) {
 	id := backendIDOf(c.Record.ID)
 	state := control.Ready
 	switch c.Record.Phase {
@@ -148,14 +148,14 @@
 	case registry.Gone:
 		state = control.Gone
 	}
-	h.catalog.backendNames[id] = c.Record.ID
-	h.dispatcher.SetBackend(id, c.Record.Addr, 0, state == control.Ready)
-	if s, ok := h.table.Service(c.Record.Service); ok && s.MaxConns > 0 {
-		h.dispatcher.SetMaxConns(id, max(minConnsPerNode, s.MaxConns/max(h.slotCount, 1)))
+	n.catalog.backendNames[id] = c.Record.ID
+	n.dispatcher.SetBackend(id, c.Record.Addr, 0, state == control.Ready)
+	if s, ok := n.table.Service(c.Record.Service); ok && s.MaxConns > 0 {
+		n.dispatcher.SetMaxConns(id, max(minConnsPerNode, s.MaxConns/max(n.slotCount, 1)))
 	}
-	h.gate.Listed(false, []control.Endpoint{{ID: id, Zone: h.catalog.zoneID(c.Record.Zone), State: state,
-		Capacity: float64(max(c.Record.Capacity, 1)), Service: h.poolOf(c.Record), WarmingUntil: c.SlowStartUntil}})
+	n.gate.Listed(false, []control.Endpoint{{ID: id, Zone: n.catalog.zoneID(c.Record.Zone), State: state,
+		Capacity: float64(max(c.Record.Capacity, 1)), Service: n.poolOf(c.Record), WarmingUntil: c.SlowStartUntil}})
 	if state == control.Gone {
-		delete(h.catalog.backendNames, id)
+		delete(n.catalog.backendNames, id)
 	}
 }
--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -10,20 +10,20 @@
 
 // Coordinate takes an application's call. The clock is read first: what lies unread in a socket may have been sent after this turn
 // began, if the process stood still, and a lock's time must not count from before its caller asked for it.
-func (h *Node) Coordinate(c coordination.Call, then func(coordination.Result)) {
-	h.loop.Refresh()
-	h.coordination.Submit(c, then)
+func (n *Node) Coordinate(c coordination.Call, then func(coordination.Result)) {
+	n.loop.Refresh()
+	n.coordination.Submit(c, then)
 }
 
 // receiveCoordination takes what another node's coordination says.
-func (h *Node) receiveCoordination(from string, bytes []byte) {
+func (n *Node) receiveCoordination(from string, bytes []byte) {
 	m, err := coordination.DecodeMessage(bytes)
 	if err != nil {
-		h.warn(groupPart, "call from %s can't be read: %v", from, err)
+		n.warn(groupPart, "call from %s can't be read: %v", from, err)
 		return
 	}
-	h.loop.Refresh()
-	h.coordination.Receive(from, m)
+	n.loop.Refresh()
+	n.coordination.Receive(from, m)
 }
 
 // coordinationEnv is what a coordination.Service needs of its node.
@@ -48,29 +48,29 @@
 }
 
 // LeadershipLost tells that it does no longer.
-func (a groupsApplication) LeadershipLost(id groups.ID, term uint64) {
-	a.node.say(groupPart, "%d is led here no longer, view %d", id, term)
-	a.Service.LeadershipLost(id, term)
+func (g groupsApplication) LeadershipLost(id groups.ID, term uint64) {
+	g.node.say(groupPart, "%d is led here no longer, view %d", id, term)
+	g.Service.LeadershipLost(id, term)
 }
 
 var _ groups.Application = groupsApplication{}
 
 // GroupList is how the groups stand, as this node knows it.
-func (h *Node) GroupList() controlapi.GroupList {
-	status := h.coordination.Status()
-	list := controlapi.GroupList{Node: h.settings.NodeName, Calls: callCounts(&status)}
+func (n *Node) GroupList() controlapi.GroupList {
+	status := n.coordination.Status()
+	list := controlapi.GroupList{Node: n.settings.NodeName, Calls: callCounts(&status)}
 	for id := range groups.ID(groups.Count) {
 		g := controlapi.GroupStatus{Group: int(id)}
-		if leader, ok := h.groups.Leader(id); ok {
+		if leader, ok := n.groups.Leader(id); ok {
 			g.Leader = leader
-			if node, known := h.roster.Node(leader); known {
+			if node, known := n.roster.Node(leader); known {
 				g.Control = node.Control
 			}
 		}
-		if replica, ok := h.GroupStatus(id); ok {
+		if replica, ok := n.GroupStatus(id); ok {
 			g.View, g.Synced = replica.Term, replica.SyncedIndex
 			for _, m := range replica.Members {
-				g.Members = append(g.Members, h.memberAddr(m))
+				g.Members = append(g.Members, n.memberAddr(m))
 			}
 		}
 		for _, held := range status.Groups {
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -49,8 +49,8 @@
 }
 
 // openCore begins with what the disk holds.
-func (h *Node) openCore(b Environment) error {
-	if h.settings.DataDir == "" {
+func (n *Node) openCore(b Environment) error {
+	if n.settings.DataDir == "" {
 		return nil
 	}
 	disk, kept, err := b.Disk()
@@ -58,11 +58,11 @@
 		return err
 	}
 	c := &core{proposals: map[uint64]proposal{}, liveness: map[string]livenessState{}}
-	c.replicaHost = replicaHost{node: h, self: replication.Member{ID: kept.ID, Addr: h.peerAddr}, owner: c,
-		disk: &diskQueue{node: h, disk: disk, onSynced: c.writeSynced}}
-	c.replica = replication.New(c.self, kept, replication.DefaultConfig(), h.seed, h.loop.Now())
-	h.core = c
-	h.groups.open(disk.GroupLogs())
+	c.replicaHost = replicaHost{node: n, self: replication.Member{ID: kept.ID, Addr: n.peerAddr}, owner: c,
+		disk: &diskQueue{node: n, disk: disk, onSynced: c.writeSynced}}
+	c.replica = replication.New(c.self, kept, replication.DefaultConfig(), n.seed, n.loop.Now())
+	n.core = c
+	n.groups.open(disk.GroupLogs())
 	return nil
 }
 
@@ -157,8 +157,8 @@
 }
 
 // reachableDisks are the nodes with a disk that this one reaches, itself among them.
-func (h *Node) reachableDisks() (reach []replication.ReachableNode) {
-	for _, d := range h.roster.LiveDiskNodes() {
+func (n *Node) reachableDisks() (reach []replication.ReachableNode) {
+	for _, d := range n.roster.LiveDiskNodes() {
 		reach = append(reach, replication.ReachableNode{Member: replication.Member{ID: replication.MemberID(d.Disk), Addr: d.Addr}, Draining: d.Leaving})
 	}
 	return reach
--- a/internal/gateway/node/cut_test.go
+++ b/internal/gateway/node/cut_test.go
@@ -21,16 +21,16 @@
 	drops func(addr string) bool
 }
 
-func (c *partitionedLinks) Send(to string, f *Frame) bool {
-	if c.drops != nil && c.drops(to) {
+func (p *partitionedLinks) Send(to string, f *Frame) bool {
+	if p.drops != nil && p.drops(to) {
 		return true
 	}
-	return c.Links.Send(to, f)
+	return p.Links.Send(to, f)
 }
 
 // partition cuts one node off from the others with a disk: what it says, what they say, or both; an empty way joins them again.
-func (d *testCluster) partition(i int, way string) {
-	for o, h := range d.running {
+func (t *testCluster) partition(i int, way string) {
+	for o, h := range t.running {
 		h.loop.Turn(func() {
 			c, ok := h.links.(*partitionedLinks)
 			if !ok {
@@ -41,22 +41,22 @@
 			case way == "" || h.core == nil:
 				c.drops = nil
 			case o == i && way != "in":
-				c.drops = func(addr string) bool { return d.isDiskNode(addr) }
+				c.drops = func(addr string) bool { return t.isDiskNode(addr) }
 			case o != i && way != "out":
-				at := d.settings[i].IPAddress + ":17560"
+				at := t.settings[i].IPAddress + ":17560"
 				c.drops = func(addr string) bool { return addr == at }
 			}
 		})
 	}
 }
 
-func (d *testCluster) isDiskNode(addr string) bool {
-	return slices.ContainsFunc(d.settings[:3], func(s *settings.Settings) bool { return s.IPAddress+":17560" == addr })
+func (t *testCluster) isDiskNode(addr string) bool {
+	return slices.ContainsFunc(t.settings[:3], func(s *settings.Settings) bool { return s.IPAddress+":17560" == addr })
 }
 
 // violations is what a node that is cut off does and must not.
-func (d *testCluster) violations(i, last int) (all []string) {
-	h, b := d.running[i], d.settings[i].Bounds
+func (t *testCluster) violations(i, last int) (all []string) {
+	h, b := t.running[i], t.settings[i].Bounds
 	bad := func(is bool, what string) {
 		if is {
 			all = append(all, what)
@@ -90,7 +90,7 @@
 }
 
 // plantFault has a node go without a defence from now on, in a turn.
-func (d *testCluster) plantFault(h *Node, f fault) {
+func (t *testCluster) plantFault(h *Node, f fault) {
 	h.fault = f
 	h.registry.SetConfig(registry.Config{HeartbeatInterval: h.settings.HeartbeatInterval, MinCopies: h.minDrainCopies()})
 }
@@ -159,10 +159,10 @@
 
 // checkReturn: a node without a disk that follows a node that is cut off hears from it that all others are gone. It goes to one of
 // these all the same, by the links that it has; as long as it went by that word, it stayed for as long as the cut lasted.
-func (d *testCluster) checkReturn(at int) {
-	cut := d.running[at].peerAddr
-	d.eventually("all others to count as gone", func() (gone bool) {
-		d.inTurn(3, func(h *Node) {
+func (t *testCluster) checkReturn(at int) {
+	cut := t.running[at].peerAddr
+	t.eventually("all others to count as gone", func() (gone bool) {
+		t.inTurn(3, func(h *Node) {
 			if h.fault = trustStaleUpstream; h.upstream != cut {
 				h.requestStream(cut)
 			}
@@ -171,11 +171,11 @@
 		})
 		return gone
 	})
-	d.inTurn(3, func(h *Node) {
+	t.inTurn(3, func(h *Node) {
 		for _, f := range []fault{trustStaleUpstream, noFault} {
 			h.fault, h.streamRequestedAt, h.pausedUntil = f, 1, 0
 			h.checkUpstream()
-			must.Eq(d.t, f == noFault, h.upstream != cut)
+			must.Eq(t.t, f == noFault, h.upstream != cut)
 		}
 	})
 }
--- a/internal/gateway/node/feed.go
+++ b/internal/gateway/node/feed.go
@@ -24,39 +24,39 @@
 )
 
 // installState starts from a state.
-func (h *Node) installState(index uint64, s *statemachine.Machine) {
-	if index < h.appliedIndex {
+func (n *Node) installState(index uint64, s *statemachine.Machine) {
+	if index < n.appliedIndex {
 		return // never back within a life
 	}
-	h.appliedIndex, h.machine = index, s
-	h.roster.SetSlots(s.Slots())
-	h.installConfiguration()
-	h.applyRollouts()
-	h.groups.found(s.Founders())
-	for _, addr := range h.learnerAddrs() {
-		h.streamTo(addr)
+	n.appliedIndex, n.machine = index, s
+	n.roster.SetSlots(s.Slots())
+	n.installConfiguration()
+	n.applyRollouts()
+	n.groups.found(s.Founders())
+	for _, addr := range n.learnerAddrs() {
+		n.streamTo(addr)
 	}
 }
 
 // applyEntry takes the next entry of the order. Empty data is the core's own.
-func (h *Node) applyEntry(index uint64, data []byte) (v routing.Verdict, err error) {
-	h.appliedIndex = index
+func (n *Node) applyEntry(index uint64, data []byte) (v routing.Verdict, err error) {
+	n.appliedIndex = index
 	if len(data) > 0 {
-		before, slots := h.machine.Configs.Version(), len(h.machine.Slots())
-		if v, err = h.machine.Apply(data); err != nil && v != routing.Conflict {
-			h.say(corePart, "entry %d changes nothing: %v", index, err)
+		before, slots := n.machine.Configs.Version(), len(n.machine.Slots())
+		if v, err = n.machine.Apply(data); err != nil && v != routing.Conflict {
+			n.say(corePart, "entry %d changes nothing: %v", index, err)
 		}
-		if h.machine.Configs.Version() != before {
-			h.say(corePart, "configuration %d is in force", h.machine.Configs.Version())
-			h.installConfiguration()
+		if n.machine.Configs.Version() != before {
+			n.say(corePart, "configuration %d is in force", n.machine.Configs.Version())
+			n.installConfiguration()
 		}
-		h.groups.found(h.machine.Founders())
-		h.slotsChanged = h.slotsChanged || len(h.machine.Slots()) != slots
-		h.applyRollouts()
+		n.groups.found(n.machine.Founders())
+		n.slotsChanged = n.slotsChanged || len(n.machine.Slots()) != slots
+		n.applyRollouts()
 	}
-	if h.core != nil {
-		if h.streamDeferred = len(data) > 0 && statemachine.Kind(data[0]) == statemachine.KindAssignSlot; !h.streamDeferred {
-			h.streamToLearners()
+	if n.core != nil {
+		if n.streamDeferred = len(data) > 0 && statemachine.Kind(data[0]) == statemachine.KindAssignSlot; !n.streamDeferred {
+			n.streamToLearners()
 		}
 	}
 	return v, err
@@ -64,50 +64,50 @@
 
 // streamToLearners sends all followers what they lack. Slots wait for the next tick: at the first start each node asks for one, and each
 // would be told to all by itself.
-func (h *Node) streamToLearners() {
-	h.streamDeferred = false
-	for _, addr := range h.learnerAddrs() {
-		h.streamTo(addr)
+func (n *Node) streamToLearners() {
+	n.streamDeferred = false
+	for _, addr := range n.learnerAddrs() {
+		n.streamTo(addr)
 	}
 }
 
 // learnerAddrs are those who follow, in order: what is sent must not go by chance.
-func (h *Node) learnerAddrs() []string { return slices.Sorted(maps.Keys(h.learners)) }
+func (n *Node) learnerAddrs() []string { return slices.Sorted(maps.Keys(n.learners)) }
 
 // receiveStreamRequest takes a wish to follow. It holds until it is taken back or the link ends, however long the other one is silent: one
 // that was frozen does not know that it was missed, and would wait for news that nobody sends it.
-func (h *Node) receiveStreamRequest(from string, f *StreamRequest) {
-	if h.core == nil {
+func (n *Node) receiveStreamRequest(from string, f *StreamRequest) {
+	if n.core == nil {
 		return
 	}
-	if !h.core.replica.Bootstrapped() {
+	if !n.core.replica.Bootstrapped() {
 		if !f.Ends { // it asks another at once; without a word it would stay, since this node says other things
-			h.links.Send(from, &Frame{Feed: &StreamData{Stale: neverAge}})
+			n.links.Send(from, &Frame{Feed: &StreamData{Stale: neverAge}})
 		}
 		return
 	}
 	if f.Ends {
-		delete(h.learners, from)
-		delete(h.learnerClocks, from)
-		h.updateRegistryLearner(from)
+		delete(n.learners, from)
+		delete(n.learnerClocks, from)
+		n.updateRegistryLearner(from)
 		return
 	}
-	had := h.isLearner(from)
+	had := n.isLearner(from)
 	if !had || f.Anew {
-		h.learners[from] = &learner{}
+		n.learners[from] = &learner{}
 	}
-	h.learners[from].handleRequest(f, h)
-	h.learnerClocks[from] = clockEcho{f.Clock, h.loop.Now()}
+	n.learners[from].handleRequest(f, n)
+	n.learnerClocks[from] = clockEcho{f.Clock, n.loop.Now()}
 	if !had {
-		h.updateRegistryLearner(from)
-		h.heartbeatAt = 0 // it waits for the word of who lives
+		n.updateRegistryLearner(from)
+		n.heartbeatAt = 0 // it waits for the word of who lives
 	} else if f.Anew {
-		h.syncRegistryTo(from)
+		n.syncRegistryTo(from)
 	}
-	if f.After < h.appliedIndex {
-		h.streamTo(from)
+	if f.After < n.appliedIndex {
+		n.streamTo(from)
 	} else {
-		h.links.Send(from, &Frame{Feed: h.withContact(from, &StreamData{After: h.appliedIndex})})
+		n.links.Send(from, &Frame{Feed: n.withContact(from, &StreamData{After: n.appliedIndex})})
 	}
 }
 
@@ -118,81 +118,81 @@
 }
 
 // withContact puts this node's word of the core into what a follower is sent.
-func (h *Node) withContact(to string, f *StreamData) *StreamData {
-	_, view, _ := h.quorumContact()
-	f.Stale, f.View, f.Echo, f.Index = h.contactAge(), view, h.learnerClocks[to].clock, h.core.replica.CommitIndex()
+func (n *Node) withContact(to string, f *StreamData) *StreamData {
+	_, view, _ := n.quorumContact()
+	f.Stale, f.View, f.Echo, f.Index = n.contactAge(), view, n.learnerClocks[to].clock, n.core.replica.CommitIndex()
 	return f
 }
 
 // updateRegistryLearner tells the registry whether a node gets its news from this one.
-func (h *Node) updateRegistryLearner(addr string) {
-	if s := h.roster.Slot(addr); s != membership.NoSlot && h.registry != nil {
-		h.registry.Tick(h.loop.Now())
-		h.registry.SetFollower(registry.Slot(s), h.isLearner(addr))
+func (n *Node) updateRegistryLearner(addr string) {
+	if s := n.roster.Slot(addr); s != membership.NoSlot && n.registry != nil {
+		n.registry.Tick(n.loop.Now())
+		n.registry.SetFollower(registry.Slot(s), n.isLearner(addr))
 	}
 }
 
 // receiveStream takes entries from the node that is followed. What was had before is passed over, a gap is asked for anew.
-func (h *Node) receiveStream(from string, f *StreamData) {
-	if h.core != nil || from != h.upstream {
+func (n *Node) receiveStream(from string, f *StreamData) {
+	if n.core != nil || from != n.upstream {
 		return
 	}
-	h.streamReceivedAt, h.streamRetryDelay = h.loop.Now(), minStreamRetry
-	if f.After == 0 && f.State == nil && f.Chunk == nil && len(f.Entries) == 0 && h.appliedIndex > 0 { // it is back with an empty disk
-		h.upstreamReports[from] = upstreamReport{h.streamReceivedAt, unansweredAge, 0, 0}
+	n.streamReceivedAt, n.streamRetryDelay = n.loop.Now(), minStreamRetry
+	if f.After == 0 && f.State == nil && f.Chunk == nil && len(f.Entries) == 0 && n.appliedIndex > 0 { // it is back with an empty disk
+		n.upstreamReports[from] = upstreamReport{n.streamReceivedAt, unansweredAge, 0, 0}
 		return
 	}
-	if f.View > 0 && f.View < h.streamContact.term && h.fault != acceptOlderTerms { // what it has was had before that view began
-		h.upstreamReports[from] = upstreamReport{h.streamReceivedAt, neverAge, f.After, f.View}
+	if f.View > 0 && f.View < n.streamContact.term && n.fault != acceptOlderTerms { // what it has was had before that view began
+		n.upstreamReports[from] = upstreamReport{n.streamReceivedAt, neverAge, f.After, f.View}
 		return
 	}
-	if w := h.upstreamReports[from]; w.receivedAt == 0 || h.loop.Now()-w.receivedAt > heartbeatInterval {
-		h.upstreamReports[from] = upstreamReport{h.streamReceivedAt, f.Stale, f.After, f.View}
+	if w := n.upstreamReports[from]; w.receivedAt == 0 || n.loop.Now()-w.receivedAt > heartbeatInterval {
+		n.upstreamReports[from] = upstreamReport{n.streamReceivedAt, f.Stale, f.After, f.View}
 	}
-	if !h.assembleStream(from, f) {
+	if !n.assembleStream(from, f) {
 		return
 	}
 	if f.Chunk != nil { // so that what follows comes
 		defer func() {
-			h.links.Send(from, &Frame{Follow: &StreamRequest{After: h.appliedIndex, Clock: h.clock.Stamp(h.loop.Now()), Chunks: true}})
+			n.links.Send(from, &Frame{Follow: &StreamRequest{After: n.appliedIndex, Clock: n.clock.Stamp(n.loop.Now()), Chunks: true}})
 		}()
 	}
-	if f.State != nil && f.After > h.appliedIndex {
+	if f.State != nil && f.After > n.appliedIndex {
 		s, err := statemachine.Restore(f.State)
 		if err != nil {
-			h.warn(streamPart, "state of %d can't be read: %v", f.After, err)
+			n.warn(streamPart, "state of %d can't be read: %v", f.After, err)
 			return
 		}
-		h.installState(f.After, s)
+		n.installState(f.After, s)
 	}
 	for i, data := range f.Entries {
 		switch index := f.After + 1 + uint64(i); {
-		case index <= h.appliedIndex:
-		case index == h.appliedIndex+1:
-			h.applyEntry(index, data)
+		case index <= n.appliedIndex:
+		case index == n.appliedIndex+1:
+			n.applyEntry(index, data)
 		default:
-			h.requestStream(from)
+			n.requestStream(from)
 			return
 		}
 	}
-	if f.After > h.appliedIndex {
-		h.requestStream(from)
+	if f.After > n.appliedIndex {
+		n.requestStream(from)
 		return
 	}
-	h.updateContact(f.Stale, f.View, f.Echo, f.Index)
+	n.updateContact(f.Stale, f.View, f.Echo, f.Index)
 }
 
 // requestStream asks a node with a disk for the entries from here on.
-func (h *Node) requestStream(addr string) {
-	anew := h.upstream != addr
+func (n *Node) requestStream(addr string) {
+	anew := n.upstream != addr
 	if anew {
-		h.say(streamPart, "follows %s after %d", addr, h.appliedIndex)
-		if h.upstream != "" {
-			h.links.Send(h.upstream, &Frame{Follow: &StreamRequest{Ends: true}})
+		n.say(streamPart, "follows %s after %d", addr, n.appliedIndex)
+		if n.upstream != "" {
+			n.links.Send(n.upstream, &Frame{Follow: &StreamRequest{Ends: true}})
 		}
 	}
-	h.upstream, h.streamRequestedAt = addr, h.loop.Now()
-	h.links.Send(addr, &Frame{Follow: &StreamRequest{After: h.appliedIndex, Anew: anew, Clock: h.clock.Stamp(h.loop.Now()), Had: h.incomingBlob.Received(),
+	n.upstream, n.streamRequestedAt = addr, n.loop.Now()
+	n.links.Send(addr, &Frame{Follow: &StreamRequest{After: n.appliedIndex, Anew: anew, Clock: n.clock.Stamp(n.loop.Now()), Had: n.incomingBlob.Received(),
 		Chunks: true}})
 }
 
@@ -201,65 +201,65 @@
 // one that did not answer goes to the end. After a standstill of both sides no node with a disk may be heard, and none has a
 // reason to say anything while the links are there: then those are asked that a link leads to. One that knows of no leader
 // yet has what its disk held, which is better than nothing after the loss of all.
-func (h *Node) checkUpstream() {
-	if h.core != nil {
+func (n *Node) checkUpstream() {
+	if n.core != nil {
 		return
 	}
-	now, feedStale := h.loop.Now(), permissions[permitStream].member(h.settings.Bounds)
-	if h.upstream != "" && now-h.streamRequestedAt < max(h.streamRetryDelay, minStreamRetry) || now-h.pausedUntil < pauseGrace && h.pausedUntil > 0 {
+	now, feedStale := n.loop.Now(), permissions[permitStream].member(n.settings.Bounds)
+	if n.upstream != "" && now-n.streamRequestedAt < max(n.streamRetryDelay, minStreamRetry) || now-n.pausedUntil < pauseGrace && n.pausedUntil > 0 {
 		return
 	}
-	answered := h.streamReceivedAt >= h.streamRequestedAt
-	if !answered && h.upstreamContactAt > h.streamRequestedAt && now-h.streamRequestedAt < busyUpstreamTimeout && h.roster.Live(h.upstream) {
+	answered := n.streamReceivedAt >= n.streamRequestedAt
+	if !answered && n.upstreamContactAt > n.streamRequestedAt && now-n.streamRequestedAt < busyUpstreamTimeout && n.roster.Live(n.upstream) {
 		return
 	}
-	if answered && h.roster.Live(h.upstream) && h.upstreamAge(h.upstream) < feedStale {
-		if w := h.upstreamReports[h.upstream]; w.index > h.appliedIndex && now-max(h.streamRequestedAt, h.streamReceivedAt) > minStreamRetry {
-			h.requestStream(h.upstream) // what it sent was lost
+	if answered && n.roster.Live(n.upstream) && n.upstreamAge(n.upstream) < feedStale {
+		if w := n.upstreamReports[n.upstream]; w.index > n.appliedIndex && now-max(n.streamRequestedAt, n.streamReceivedAt) > minStreamRetry {
+			n.requestStream(n.upstream) // what it sent was lost
 		}
 		return
 	}
-	if h.upstream != "" {
-		if w, ok := h.upstreamReports[h.upstream]; !ok || !answered || now-w.receivedAt > feedStale {
-			h.upstreamReports[h.upstream] = upstreamReport{now, unansweredAge, 0, 0} // it says nothing
+	if n.upstream != "" {
+		if w, ok := n.upstreamReports[n.upstream]; !ok || !answered || now-w.receivedAt > feedStale {
+			n.upstreamReports[n.upstream] = upstreamReport{now, unansweredAge, 0, 0} // it says nothing
 		}
 		if !answered {
-			h.streamRetryDelay = min(2*max(h.streamRetryDelay, minStreamRetry), maxStreamRetry)
+			n.streamRetryDelay = min(2*max(n.streamRetryDelay, minStreamRetry), maxStreamRetry)
 		}
 	}
 	var best membership.Node
 	least := time.Duration(1<<63 - 1)
-	disks := h.roster.LiveDiskNodes()
+	disks := n.roster.LiveDiskNodes()
 	// Who lives is told by the node that is followed: without one nobody seems to, and one that is cut off tells that all others
 	// are gone, while they are but a link away.
-	if len(disks) == 0 || h.upstreamAge(h.upstream) >= feedStale && h.fault != trustStaleUpstream {
-		disks = h.roster.LinkedDiskNodes()
+	if len(disks) == 0 || n.upstreamAge(n.upstream) >= feedStale && n.fault != trustStaleUpstream {
+		disks = n.roster.LinkedDiskNodes()
 	}
 	for _, d := range disks {
-		if !d.Founded || d.Addr == h.peerAddr {
+		if !d.Founded || d.Addr == n.peerAddr {
 			continue
 		}
 		stale := time.Duration(0)
-		if w, ok := h.upstreamReports[d.Addr]; ok && now-w.receivedAt < reportTTL {
-			switch stale = h.upstreamAge(d.Addr); {
+		if w, ok := n.upstreamReports[d.Addr]; ok && now-w.receivedAt < reportTTL {
+			switch stale = n.upstreamAge(d.Addr); {
 			case w.contactAge == unansweredAge:
 				stale = unansweredAge
-			case w.term == 0 || w.term >= h.streamContact.term: // while nobody leads, all are as good; one of an older view is not
+			case w.term == 0 || w.term >= n.streamContact.term: // while nobody leads, all are as good; one of an older view is not
 				stale = min(stale, feedStale).Truncate(feedStale)
 			}
 		}
-		if d.Zone != h.settings.Zone {
+		if d.Zone != n.settings.Zone {
 			stale += time.Millisecond
 		}
 		switch {
-		case stale < least, stale == least && d.Addr == h.upstream:
+		case stale < least, stale == least && d.Addr == n.upstream:
 			best, least = d, stale
-		case stale == least && best.Addr != h.upstream && membership.Prefers(h.peerAddr, d.Addr, best.Addr):
+		case stale == least && best.Addr != n.upstream && membership.Prefers(n.peerAddr, d.Addr, best.Addr):
 			best = d // not all the first by address
 		}
 	}
 	if best.Addr != "" {
-		h.requestStream(best.Addr)
+		n.requestStream(best.Addr)
 	}
 }
 
@@ -273,10 +273,10 @@
 
 // upstreamAge is how old a node's word of the core is, as it told, for the choice of a feeder alone: what this node may do goes by its
 // own (see authority.go). One whose view is older than what is known here has nothing new.
-func (h *Node) upstreamAge(addr string) time.Duration {
-	w, ok := h.upstreamReports[addr]
-	if !ok || w.term > 0 && w.term < h.streamContact.term && h.fault != acceptOlderTerms {
+func (n *Node) upstreamAge(addr string) time.Duration {
+	w, ok := n.upstreamReports[addr]
+	if !ok || w.term > 0 && w.term < n.streamContact.term && n.fault != acceptOlderTerms {
 		return neverAge
 	}
-	return w.contactAge + max(0, h.loop.Now()-w.receivedAt-heartbeatInterval)
+	return w.contactAge + max(0, n.loop.Now()-w.receivedAt-heartbeatInterval)
 }
--- a/internal/gateway/node/follower.go
+++ b/internal/gateway/node/follower.go
@@ -28,12 +28,12 @@
 
 // streamTo sends a follower what it lacks: entries as long as they are at hand, else the core's snapshot, and what follows it. What is
 // more than a window goes in chunks, acknowledged by Follow.
-func (h *Node) streamTo(addr string) {
-	f, p := h.learners[addr], h.core.replica
-	for f.outgoing.Blob == nil && f.sentIndex < h.appliedIndex {
-		entries, ok := p.EntriesAfter(f.sentIndex, h.appliedIndex)
+func (n *Node) streamTo(addr string) {
+	f, p := n.learners[addr], n.core.replica
+	for f.outgoing.Blob == nil && f.sentIndex < n.appliedIndex {
+		entries, ok := p.EntriesAfter(f.sentIndex, n.appliedIndex)
 		if !ok {
-			b := p.BlobToSend(f.sentIndex+1, h.snapshotsInFlight(f))
+			b := p.BlobToSend(f.sentIndex+1, n.snapshotsInFlight(f))
 			if b == nil {
 				return // it asks again
 			}
@@ -42,14 +42,14 @@
 				state = statemachine.New().Snapshot()
 			}
 			if f.acceptsChunks && len(state) > streamConfig.MaxInflightBytes {
-				if h.stateMayBeStale() {
+				if n.stateMayBeStale() {
 					return
 				}
 				f.sentIndex = b.Index()
 				f.beginBlob(b, b.Index(), false)
 			} else {
 				f.sentIndex = b.Index()
-				h.links.Send(addr, &Frame{Feed: h.withContact(addr, &StreamData{After: b.Index(), State: state})})
+				n.links.Send(addr, &Frame{Feed: n.withContact(addr, &StreamData{After: b.Index(), State: state})})
 			}
 			continue
 		}
@@ -67,15 +67,15 @@
 			gob.NewEncoder(&b).Encode(data) // of bytes: it can't fail
 			f.beginBlob(replication.NewBlob(after, f.sentIndex, b.Bytes()), f.sentIndex, true)
 		} else {
-			h.links.Send(addr, &Frame{Feed: h.withContact(addr, &StreamData{After: after, Entries: data})})
+			n.links.Send(addr, &Frame{Feed: n.withContact(addr, &StreamData{After: after, Entries: data})})
 		}
 	}
 	if f.outgoing.Blob == nil {
 		return
 	}
-	now := h.loop.Now()
+	now := n.loop.Now()
 	for c := f.outgoing.NextChunk(&streamConfig, now); c != nil; c = f.outgoing.NextChunk(&streamConfig, now) {
-		h.links.Send(addr, &Frame{Feed: h.withContact(addr, &StreamData{After: c.Index, Chunk: c, Log: f.sendsEntries})})
+		n.links.Send(addr, &Frame{Feed: n.withContact(addr, &StreamData{After: c.Index, Chunk: c, Log: f.sendsEntries})})
 	}
 }
 
@@ -84,38 +84,38 @@
 
 // stateMayBeStale tells whether the state may be long out of date: this member has just come back, and knows of no leader yet. Who was sent it
 // would be sent the newest after it; it asks again, or another. Where nobody leads for long it is better than nothing.
-func (h *Node) stateMayBeStale() bool {
-	_, _, word := h.quorumContact()
-	return !word && h.loop.Now()-h.startedAt < staleStateGrace
+func (n *Node) stateMayBeStale() bool {
+	_, _, word := n.quorumContact()
+	return !word && n.loop.Now()-n.startedAt < staleStateGrace
 }
 
 // beginBlob begins with a blob, from where the follower has it.
-func (f *learner) beginBlob(b *replication.Blob, until uint64, log bool) {
-	f.outgoing, f.outgoingLastIndex, f.sendsEntries = replication.BlobSender{Blob: b}, until, log
-	if f.receivedChunk != nil && f.receivedChunk.Offset > 0 {
-		f.outgoing.Ack(f.receivedChunk, 0)
+func (l *learner) beginBlob(b *replication.Blob, until uint64, log bool) {
+	l.outgoing, l.outgoingLastIndex, l.sendsEntries = replication.BlobSender{Blob: b}, until, log
+	if l.receivedChunk != nil && l.receivedChunk.Offset > 0 {
+		l.outgoing.Ack(l.receivedChunk, 0)
 	}
 }
 
 // resumeStream sends a follower what it asked for over a link that has just come up: what was sent since it asked may have been lost with the
 // one before, or had none to go on.
-func (h *Node) resumeStream(addr string) {
-	f := h.learners[addr]
-	if f == nil || h.core == nil {
+func (n *Node) resumeStream(addr string) {
+	f := n.learners[addr]
+	if f == nil || n.core == nil {
 		return
 	}
 	f.outgoing, f.sentIndex = replication.BlobSender{}, f.requestedIndex
-	if f.requestedIndex < h.appliedIndex {
-		h.streamTo(addr)
+	if f.requestedIndex < n.appliedIndex {
+		n.streamTo(addr)
 	} else {
-		h.links.Send(addr, &Frame{Feed: h.withContact(addr, &StreamData{After: h.appliedIndex})})
+		n.links.Send(addr, &Frame{Feed: n.withContact(addr, &StreamData{After: n.appliedIndex})})
 	}
 }
 
 // snapshotsInFlight are the states that others are being sent.
-func (h *Node) snapshotsInFlight(but *learner) (all []*replication.Blob) {
-	for _, addr := range h.learnerAddrs() {
-		if f := h.learners[addr]; f != but && f.outgoing.Blob != nil && !f.sendsEntries {
+func (n *Node) snapshotsInFlight(but *learner) (all []*replication.Blob) {
+	for _, addr := range n.learnerAddrs() {
+		if f := n.learners[addr]; f != but && f.outgoing.Blob != nil && !f.sendsEntries {
 			all = append(all, f.outgoing.Blob)
 		}
 	}
@@ -131,33 +131,33 @@
 }
 
 // handleRequest takes where a follower stands.
-func (f *learner) handleRequest(w *StreamRequest, h *Node) {
-	f.acceptsChunks, f.receivedChunk, f.requestedIndex = w.Chunks, w.Had, w.After
+func (l *learner) handleRequest(w *StreamRequest, h *Node) {
+	l.acceptsChunks, l.receivedChunk, l.requestedIndex = w.Chunks, w.Had, w.After
 	switch {
-	case f.outgoing.Blob == nil:
-		f.sentIndex = w.After
-	case w.After >= f.outgoingLastIndex:
-		f.outgoing, f.sentIndex = replication.BlobSender{}, w.After
+	case l.outgoing.Blob == nil:
+		l.sentIndex = w.After
+	case w.After >= l.outgoingLastIndex:
+		l.outgoing, l.sentIndex = replication.BlobSender{}, w.After
 	default:
-		f.outgoing.Ack(w.Had, h.loop.Now())
+		l.outgoing.Ack(w.Had, h.loop.Now())
 	}
 }
 
 // assembleStream takes a chunk of what the node that is followed sends, and tells it what is had. The last one makes of it what one message
 // would have brought; until then nothing of it is taken.
-func (h *Node) assembleStream(from string, f *StreamData) bool {
+func (n *Node) assembleStream(from string, f *StreamData) bool {
 	if f.Chunk == nil {
 		return true
 	}
-	all, had := h.incomingBlob.Receive(f.Chunk)
+	all, had := n.incomingBlob.Receive(f.Chunk)
 	if all == nil {
-		h.links.Send(from, &Frame{Follow: &StreamRequest{After: h.appliedIndex, Clock: h.clock.Stamp(h.loop.Now()), Had: had, Chunks: true}})
+		n.links.Send(from, &Frame{Follow: &StreamRequest{After: n.appliedIndex, Clock: n.clock.Stamp(n.loop.Now()), Had: had, Chunks: true}})
 		return false
 	}
 	if !f.Log {
 		f.State = all
 	} else if err := gob.NewDecoder(bytes.NewReader(all)).Decode(&f.Entries); err != nil {
-		h.warn(streamPart, "entries after %d can't be read: %v", f.After, err)
+		n.warn(streamPart, "entries after %d can't be read: %v", f.After, err)
 		return false
 	}
 	return true
--- a/internal/gateway/node/grouplead.go
+++ b/internal/gateway/node/grouplead.go
@@ -11,7 +11,7 @@
 )
 
 // Groups runs the coordination groups at this node: see groups.Host.
-func (h *Node) Groups() groups.Host { return h.groups }
+func (n *Node) Groups() groups.Host { return n.groups }
 
 // Propose and the others are groups.Host.
 func (g *groupHost) Propose(id groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
@@ -163,21 +163,21 @@
 }
 
 // GroupStatus is how a group's replica here stands; false: there is none.
-func (h *Node) GroupStatus(id groups.ID) (replication.Status, bool) {
-	if !h.groups.participates() {
+func (n *Node) GroupStatus(id groups.ID) (replication.Status, bool) {
+	if !n.groups.participates() {
 		return replication.Status{}, false
 	}
-	return h.groups.replicas[id].replica.Status(), true
+	return n.groups.replicas[id].replica.Status(), true
 }
 
 // TransferGroup has a group that this node leads led by the member at an address; false: it does not lead it, or that one could not at once.
-func (h *Node) TransferGroup(id groups.ID, addr string) bool {
-	if !h.groups.participates() {
+func (n *Node) TransferGroup(id groups.ID, addr string) bool {
+	if !n.groups.participates() {
 		return false
 	}
-	p := h.groups.replicas[id].advance()
+	p := n.groups.replicas[id].advance()
 	for _, m := range p.Members() {
-		if h.memberAddr(m) == addr && p.CanTransferTo(m.ID) {
+		if n.memberAddr(m) == addr && p.CanTransferTo(m.ID) {
 			p.TransferLeadershipTo(m.ID)
 			return true
 		}
--- a/internal/gateway/node/groups.go
+++ b/internal/gateway/node/groups.go
@@ -188,48 +188,48 @@
 	}
 }
 
-func (r *groupReplica) sendMessage(to replication.Member, m replication.Message) {
-	if addr := r.node.memberAddr(to); addr != "" {
-		r.host.outbox[addr] = append(r.host.outbox[addr], groupMessage{r.id, m})
+func (g *groupReplica) sendMessage(to replication.Member, m replication.Message) {
+	if addr := g.node.memberAddr(to); addr != "" {
+		g.host.outbox[addr] = append(g.host.outbox[addr], groupMessage{g.id, m})
 	}
 }
 
-func (r *groupReplica) restoreState(index uint64, state []byte) {
-	if err := r.machine.Restore(state); err != nil {
-		r.node.warn(groupPart, "state of group %d at %d can't be read: %v", r.id, index, err)
+func (g *groupReplica) restoreState(index uint64, state []byte) {
+	if err := g.machine.Restore(state); err != nil {
+		g.node.warn(groupPart, "state of group %d at %d can't be read: %v", g.id, index, err)
 	}
-	r.logBytes, r.snapshotBytes = 0, len(state)
+	g.logBytes, g.snapshotBytes = 0, len(state)
 }
 
 // applyCommitted applies an entry, and puts the log into a snapshot once it has as many bytes as that, so that writing snapshots costs no
 // more than writing entries: alike at all members.
-func (r *groupReplica) applyCommitted(e replication.Entry) {
-	r.lastApplied = appliedEntry{}
+func (g *groupReplica) applyCommitted(e replication.Entry) {
+	g.lastApplied = appliedEntry{}
 	if e.Kind == replication.EntryNormal {
-		r.lastApplied = appliedEntry{e.Index, e.Data, r.machine.Apply(e.Index, e.Data)}
+		g.lastApplied = appliedEntry{e.Index, e.Data, g.machine.Apply(e.Index, e.Data)}
 	}
-	r.logBytes += e.Size()
-	if r.logBytes >= min(max(minCompactBytes, r.snapshotBytes), maxCompactBytes) {
-		state := r.machine.Snapshot()
-		r.logBytes, r.snapshotBytes = 0, len(state)
-		r.replica.Compact(e.Index, state)
+	g.logBytes += e.Size()
+	if g.logBytes >= min(max(minCompactBytes, g.snapshotBytes), maxCompactBytes) {
+		state := g.machine.Snapshot()
+		g.logBytes, g.snapshotBytes = 0, len(state)
+		g.replica.Compact(e.Index, state)
 	}
 }
 
-func (r *groupReplica) completeProposal(o replication.Outcome) {
-	c, ok := r.pending[o.Token]
-	delete(r.pending, o.Token)
+func (g *groupReplica) completeProposal(o replication.Outcome) {
+	c, ok := g.pending[o.Token]
+	delete(g.pending, o.Token)
 	switch {
 	case !ok:
 	case c.onRead != nil:
 		c.onRead(o.Status == replication.OutcomeCommitted)
 	case o.Status == replication.OutcomeCommitted:
-		if r.lastApplied.index != o.Index || !bytes.Equal(r.lastApplied.entry, c.entry) {
+		if g.lastApplied.index != o.Index || !bytes.Equal(g.lastApplied.entry, c.entry) {
 			invariant.That(false, "a proposal ends by its own entry")
 			c.onProposed(groups.Ambiguous, nil)
 			return
 		}
-		c.onProposed(groups.Applied, r.lastApplied.result)
+		c.onProposed(groups.Applied, g.lastApplied.result)
 	case o.Status == replication.OutcomeUnknown:
 		c.onProposed(groups.Ambiguous, nil)
 	default:
@@ -238,23 +238,23 @@
 }
 
 // notifyLeadership tells the application, and who follows this node, who leads.
-func (r *groupReplica) notifyLeadership() {
-	view, leads := r.replica.LeaderTerm()
-	if r.leadTerm != 0 && (!leads || view != r.leadTerm) {
-		lost := r.leadTerm
-		r.leadTerm = 0
-		r.host.app.LeadershipLost(r.id, lost)
+func (g *groupReplica) notifyLeadership() {
+	view, leads := g.replica.LeaderTerm()
+	if g.leadTerm != 0 && (!leads || view != g.leadTerm) {
+		lost := g.leadTerm
+		g.leadTerm = 0
+		g.host.app.LeadershipLost(g.id, lost)
 	}
-	if leads && r.leadTerm == 0 {
-		r.leadTerm, r.leadSince = view, r.node.loop.Now()
-		r.host.balancer.penalizeFormerLeader(r, r.leader, r.leadSince)
-		r.host.app.LeadershipGained(r.id, view)
+	if leads && g.leadTerm == 0 {
+		g.leadTerm, g.leadSince = view, g.node.loop.Now()
+		g.host.balancer.penalizeFormerLeader(g, g.leader, g.leadSince)
+		g.host.app.LeadershipGained(g.id, view)
 	}
-	if m, view, ok := r.replica.Leader(); ok && view != r.leaderTerm {
-		r.leaderTerm, r.leader = view, m.ID
-		r.node.heartbeatAt = 0 // who follows passes calls on by it
-		if m.ID == r.self.ID {
-			r.node.say(groupPart, "leads group %d in view %d", r.id, view)
+	if m, view, ok := g.replica.Leader(); ok && view != g.leaderTerm {
+		g.leaderTerm, g.leader = view, m.ID
+		g.node.heartbeatAt = 0 // who follows passes calls on by it
+		if m.ID == g.self.ID {
+			g.node.say(groupPart, "leads group %d in view %d", g.id, view)
 		}
 	}
 }
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -22,55 +22,55 @@
 
 // sendHeartbeats tells the watchers that this node lives, and those who follow it who does. A follower asks, with its clock, and is answered at
 // once; unasked it is told what is new, and at times.
-func (h *Node) sendHeartbeats(news bool) {
+func (n *Node) sendHeartbeats(news bool) {
 	told := map[string]bool{}
-	if h.core != nil {
-		for _, addr := range h.learnerAddrs() {
+	if n.core != nil {
+		for _, addr := range n.learnerAddrs() {
 			told[addr] = true
-			if news || h.loop.Now()-h.learnerClocks[addr].receivedAt > 3*heartbeatInterval/2 {
-				h.links.Send(addr, &Frame{Ping: h.learnerHeartbeat(addr)})
+			if news || n.loop.Now()-n.learnerClocks[addr].receivedAt > 3*heartbeatInterval/2 {
+				n.links.Send(addr, &Frame{Ping: n.learnerHeartbeat(addr)})
 			}
 		}
 	}
-	_, view, _ := h.quorumContact()
-	p := Heartbeat{Stale: h.contactAge(), Index: h.appliedIndex, View: view}
-	if h.core != nil {
-		p.Lives = h.roster.ReachableSlots()
-	} else if h.upstream != "" {
-		told[h.upstream] = true
-		h.links.Send(h.upstream, &Frame{Ping: &Heartbeat{Stale: p.Stale, Index: p.Index, View: p.View, Clock: h.clock.Stamp(h.loop.Now())}})
+	_, view, _ := n.quorumContact()
+	p := Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, View: view}
+	if n.core != nil {
+		p.Lives = n.roster.ReachableSlots()
+	} else if n.upstream != "" {
+		told[n.upstream] = true
+		n.links.Send(n.upstream, &Frame{Ping: &Heartbeat{Stale: p.Stale, Index: p.Index, View: p.View, Clock: n.clock.Stamp(n.loop.Now())}})
 	}
 	f, toDisk := &Frame{Ping: &p}, &Frame{Ping: &Heartbeat{Lives: p.Lives}}
-	for _, addr := range h.roster.Watchers() {
-		node, met := h.roster.Node(addr)
+	for _, addr := range n.roster.Watchers() {
+		node, met := n.roster.Node(addr)
 		switch {
-		case told[addr] || h.core != nil && h.deferLiveness(addr, news):
-		case h.core != nil && met && node.Disk != 0: // it has its own word of the core
-			h.links.Send(addr, toDisk)
+		case told[addr] || n.core != nil && n.deferLiveness(addr, news):
+		case n.core != nil && met && node.Disk != 0: // it has its own word of the core
+			n.links.Send(addr, toDisk)
 		default:
-			h.links.Send(addr, f)
+			n.links.Send(addr, f)
 		}
 	}
 }
 
 // learnerHeartbeat is what a follower is told.
-func (h *Node) learnerHeartbeat(addr string) *Heartbeat {
-	_, view, _ := h.quorumContact()
-	return &Heartbeat{Stale: h.contactAge(), Index: h.appliedIndex, Lives: h.roster.LiveSlots(), View: view, Echo: h.learnerClocks[addr].clock,
-		Leaders: h.groups.leaderSlots()}
+func (n *Node) learnerHeartbeat(addr string) *Heartbeat {
+	_, view, _ := n.quorumContact()
+	return &Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, Lives: n.roster.LiveSlots(), View: view, Echo: n.learnerClocks[addr].clock,
+		Leaders: n.groups.leaderSlots()}
 }
 
 // deferLiveness has the slots that this node hears go with the next message of the log to another one. True: a heartbeat is not needed
 // beside, unless no message goes soon.
-func (h *Node) deferLiveness(addr string, news bool) bool {
-	x := h.core.liveness[addr]
+func (n *Node) deferLiveness(addr string, news bool) bool {
+	x := n.core.liveness[addr]
 	if news { // at once
 		x.pendingSince = 0
-		h.core.liveness[addr] = x
+		n.core.liveness[addr] = x
 		return false
 	}
-	x.pendingSince = h.loop.Now()
-	h.core.liveness[addr] = x
+	x.pendingSince = n.loop.Now()
+	n.core.liveness[addr] = x
 	return x.piggybacks
 }
 
@@ -104,15 +104,15 @@
 }
 
 // sendOverdueLiveness sends heartbeats where slots waited for a message of the log in vain.
-func (h *Node) sendOverdueLiveness() {
-	if h.core == nil {
+func (n *Node) sendOverdueLiveness() {
+	if n.core == nil {
 		return
 	}
-	now := h.loop.Now()
-	for _, addr := range h.roster.Watchers() {
-		if x := h.core.liveness[addr]; x.piggybacks && x.pendingSince > 0 && now-x.pendingSince >= livenessMaxDelay {
-			h.core.liveness[addr] = livenessState{}
-			h.links.Send(addr, &Frame{Ping: &Heartbeat{Lives: h.roster.ReachableSlots()}})
+	now := n.loop.Now()
+	for _, addr := range n.roster.Watchers() {
+		if x := n.core.liveness[addr]; x.piggybacks && x.pendingSince > 0 && now-x.pendingSince >= livenessMaxDelay {
+			n.core.liveness[addr] = livenessState{}
+			n.links.Send(addr, &Frame{Ping: &Heartbeat{Lives: n.roster.ReachableSlots()}})
 		}
 	}
 }
--- a/internal/gateway/node/heartbeat_test.go
+++ b/internal/gateway/node/heartbeat_test.go
@@ -17,19 +17,19 @@
 	frames map[string][]*Frame
 }
 
-func (s *recordingLinks) Send(to string, f *Frame) bool {
-	s.frames[to] = append(s.frames[to], f)
+func (r *recordingLinks) Send(to string, f *Frame) bool {
+	r.frames[to] = append(r.frames[to], f)
 	return true
 }
 
 // takeHeartbeats are how many heartbeats went to a node since this was asked last.
-func (s *recordingLinks) takeHeartbeats(to string) (n int) {
-	for _, f := range s.frames[to] {
+func (r *recordingLinks) takeHeartbeats(to string) (n int) {
+	for _, f := range r.frames[to] {
 		if f.Ping != nil {
 			n++
 		}
 	}
-	delete(s.frames, to)
+	delete(r.frames, to)
 	return n
 }
 
--- a/internal/gateway/node/leave.go
+++ b/internal/gateway/node/leave.go
@@ -22,29 +22,29 @@
 )
 
 // BeginShutdown begins the end of a node, in a turn: it says that it is not ready, and hands over what it leads.
-func (h *Node) BeginShutdown() {
-	h.shuttingDown = true
-	h.roster.AnnounceShutdown()
-	h.say(nodePart, "ends, %d requests held", h.gate.Held())
-	if h.core != nil {
-		h.core.replica.Tick(h.loop.Now())
-		h.core.replica.TransferLeadership()
-		h.groups.transferLeadership()
+func (n *Node) BeginShutdown() {
+	n.shuttingDown = true
+	n.roster.AnnounceShutdown()
+	n.say(nodePart, "ends, %d requests held", n.gate.Held())
+	if n.core != nil {
+		n.core.replica.Tick(n.loop.Now())
+		n.core.replica.TransferLeadership()
+		n.groups.transferLeadership()
 	}
 }
 
 // ContinueShutdown goes on with it so long after it began, in a turn, and tells whether all is done.
-func (h *Node) ContinueShutdown(since time.Duration) bool {
-	kept := h.core == nil || h.core.replicatedElsewhere() && h.groups.replicatedElsewhere()
+func (n *Node) ContinueShutdown(since time.Duration) bool {
+	kept := n.core == nil || n.core.replicatedElsewhere() && n.groups.replicatedElsewhere()
 	if since < drainDelay {
 		return false
 	}
-	h.frontend.Drain()
+	n.frontend.Drain()
 	if since <= stopListeningDelay {
 		return false
 	}
-	h.frontend.StopListening()
-	return kept && h.gate.Held() == 0 && h.frontend.Clients() == 0
+	n.frontend.StopListening()
+	return kept && n.gate.Held() == 0 && n.frontend.Clients() == 0
 }
 
 // replicatedElsewhere tells whether the others have what this member has; one that leads still, or again, hands over.
@@ -58,44 +58,44 @@
 }
 
 // Shutdown ends a node in order.
-func (h *Node) Shutdown() {
+func (n *Node) Shutdown() {
 	began := time.Now()
-	grace := h.settings.Bounds.ShutdownGrace
+	grace := n.settings.Bounds.ShutdownGrace
 	if grace <= 0 {
 		grace = defaultGrace
 	}
-	h.loop.Turn(h.BeginShutdown)
+	n.loop.Turn(n.BeginShutdown)
 	for over := false; !over && time.Since(began) < grace-shutdownMargin; time.Sleep(shutdownPollInterval) {
-		h.loop.Turn(func() { over = h.ContinueShutdown(time.Since(began)) })
+		n.loop.Turn(func() { over = n.ContinueShutdown(time.Since(began)) })
 	}
-	h.loop.Turn(func() { h.say(nodePart, "ended, %d requests held", h.gate.Held()) })
+	n.loop.Turn(func() { n.say(nodePart, "ended, %d requests held", n.gate.Held()) })
 	time.Sleep(shutdownLinger)
 }
 
 // Reload reads the settings again. A file that can't be read or is wrong changes nothing; what can't move waits for a restart.
-func (h *Node) Reload(path string) {
+func (n *Node) Reload(path string) {
 	s, err := settings.Load(path)
-	h.loop.Turn(func() {
+	n.loop.Turn(func() {
 		if err != nil {
-			h.warn(nodePart, "settings not taken, the old ones stand: %v", err)
+			n.warn(nodePart, "settings not taken, the old ones stand: %v", err)
 			return
 		}
-		if fixed := h.settings.RestartRequired(s); len(fixed) > 0 {
-			h.warn(nodePart, "settings that wait for a restart: %v", fixed)
+		if fixed := n.settings.RestartRequired(s); len(fixed) > 0 {
+			n.warn(nodePart, "settings that wait for a restart: %v", fixed)
 		}
-		h.roster.Tick(h.loop.Now())
-		h.roster.SetSeeds(h.peerAddrs(s.SeedAddrs)) // nodes that the settings name now are said hello to
-		h.settings.SeedAddrs, h.settings.Bounds, h.settings.Tolerance = s.SeedAddrs, s.Bounds, s.Tolerance
-		h.say(nodePart, "settings taken")
+		n.roster.Tick(n.loop.Now())
+		n.roster.SetSeeds(n.peerAddrs(s.SeedAddrs)) // nodes that the settings name now are said hello to
+		n.settings.SeedAddrs, n.settings.Bounds, n.settings.Tolerance = s.SeedAddrs, s.Bounds, s.Tolerance
+		n.say(nodePart, "settings taken")
 	})
 }
 
 // LogCounters writes the counters to the log.
-func (h *Node) LogCounters() {
+func (n *Node) LogCounters() {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	h.loop.Turn(func() {
-		h.say(nodePart, "counters: %s; heap %d KB of %d, held %d, clients %d, must holds broken %d", h.counters.Text(),
-			m.HeapAlloc>>10, m.Sys>>10, h.gate.Held(), h.frontend.Clients(), invariant.Broken())
+	n.loop.Turn(func() {
+		n.say(nodePart, "counters: %s; heap %d KB of %d, held %d, clients %d, must holds broken %d", n.counters.Text(),
+			m.HeapAlloc>>10, m.Sys>>10, n.gate.Held(), n.frontend.Clients(), invariant.Broken())
 	})
 }
--- a/internal/gateway/node/links_test.go
+++ b/internal/gateway/node/links_test.go
@@ -36,8 +36,8 @@
 	frames []*Frame
 }
 
-func (s *frameRecorder) Send(_ string, f *Frame) bool {
-	s.frames = append(s.frames, f)
+func (f *frameRecorder) Send(_ string, frame *Frame) bool {
+	f.frames = append(f.frames, frame)
 	return true
 }
 
--- a/internal/gateway/node/log.go
+++ b/internal/gateway/node/log.go
@@ -32,33 +32,33 @@
 type gateLog struct{ node *Node }
 
 // Info logs a message of the control module.
-func (n gateLog) Info(text string, _ ...zap.Field) { n.node.say(gatePart, "%s", text) }
+func (g gateLog) Info(text string, _ ...zap.Field) { g.node.say(gatePart, "%s", text) }
 
 // say logs what happened in a part.
-func (h *Node) say(p part, format string, args ...any) {
-	h.log.Info().Msg(string(p) + fmt.Sprintf(format, args...))
+func (n *Node) say(p part, format string, args ...any) {
+	n.log.Info().Msg(string(p) + fmt.Sprintf(format, args...))
 }
 
 // warn logs what went wrong in a part.
-func (h *Node) warn(p part, format string, args ...any) {
-	h.log.Warn().Msg(string(p) + fmt.Sprintf(format, args...))
+func (n *Node) warn(p part, format string, args ...any) {
+	n.log.Warn().Msg(string(p) + fmt.Sprintf(format, args...))
 }
 
 // logStateChanges logs what changed of what operators ask first: who is heard, and whether clients are wanted here.
-func (h *Node) logStateChanges() {
-	h.stateLoggedAt = h.loop.Now()
-	h.links.Check()
-	links := h.roster.Links()
+func (n *Node) logStateChanges() {
+	n.stateLoggedAt = n.loop.Now()
+	n.links.Check()
+	links := n.roster.Links()
 	unmet := strings.Join(links.WithoutHello, ", ")
-	if h.reachable != h.loggedReachable || unmet != h.loggedUnmet {
-		h.loggedReachable, h.loggedUnmet = h.reachable, unmet
-		h.say(nodePart, "hears %d of %d nodes; %d of %d links are up%s", h.reachable, h.slotCount, links.Connected, links.Wanted, unmetSuffix(unmet))
+	if n.reachable != n.loggedReachable || unmet != n.loggedUnmet {
+		n.loggedReachable, n.loggedUnmet = n.reachable, unmet
+		n.say(nodePart, "hears %d of %d nodes; %d of %d links are up%s", n.reachable, n.slotCount, links.Connected, links.Wanted, unmetSuffix(unmet))
 	}
-	if why := strings.Join(h.unreadyReasons(), ", "); why != h.loggedUnready {
-		if h.loggedUnready = why; why == "" {
-			h.say(nodePart, "is ready")
+	if why := strings.Join(n.unreadyReasons(), ", "); why != n.loggedUnready {
+		if n.loggedUnready = why; why == "" {
+			n.say(nodePart, "is ready")
 		} else {
-			h.say(nodePart, "is not ready: %s", why)
+			n.say(nodePart, "is not ready: %s", why)
 		}
 	}
 }
--- a/internal/gateway/node/members_test.go
+++ b/internal/gateway/node/members_test.go
@@ -18,23 +18,23 @@
 const replacementTimeout = 12 * time.Second
 
 // addNode starts one more node with an empty disk of its own, after the first start of all.
-func (d *testCluster) addNode() int {
-	i := len(d.settings)
-	s := *d.settings[0]
+func (t *testCluster) addNode() int {
+	i := len(t.settings)
+	s := *t.settings[0]
 	ip := fmt.Sprint(s.IPAddress[:len(s.IPAddress)-2], 11+i)
-	s.NodeName, s.IPAddress, s.FirstBoot, s.DataDir = fmt.Sprint("node-", i), ip, false, d.t.TempDir()
+	s.NodeName, s.IPAddress, s.FirstBoot, s.DataDir = fmt.Sprint("node-", i), ip, false, t.t.TempDir()
 	s.Bind = settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"}
-	d.settings = append(d.settings, &s)
-	d.start(i)
+	t.settings = append(t.settings, &s)
+	t.start(i)
 	return i
 }
 
 // awaitLeaderStatus is the node that leads.
-func (d *testCluster) awaitLeaderStatus() (who int) {
-	d.t.Helper()
-	d.eventually("one leads", func() bool {
-		for i := range d.running {
-			if d.status(i).Core.Role == "leading" {
+func (t *testCluster) awaitLeaderStatus() (who int) {
+	t.t.Helper()
+	t.eventually("one leads", func() bool {
+		for i := range t.running {
+			if t.status(i).Core.Role == "leading" {
 				who = i
 				return true
 			}
@@ -45,21 +45,21 @@
 }
 
 // hasReplaced tells whether a node knows of three members, in the end, of which one is in and another out.
-func (d *testCluster) hasReplaced(at, in, out int) bool {
+func (t *testCluster) hasReplaced(at, in, out int) bool {
 	has := map[string]bool{}
-	s := d.status(at).Core
+	s := t.status(at).Core
 	for _, m := range s.Members {
 		has[m.Address] = true
 	}
-	return s.Settled && len(has) == 3 && has[d.peerAddr(in)] && !has[d.peerAddr(out)]
+	return s.Settled && len(has) == 3 && has[t.peerAddr(in)] && !has[t.peerAddr(out)]
 }
 
-func (d *testCluster) peerAddr(i int) string {
-	return fmt.Sprint(d.settings[i].IPAddress, ":", d.settings[i].InnerPorts[0])
+func (t *testCluster) peerAddr(i int) string {
+	return fmt.Sprint(t.settings[i].IPAddress, ":", t.settings[i].InnerPorts[0])
 }
 
 // within tells whether something came to be before the time was over.
-func (d *testCluster) within(most time.Duration, is func() bool) (took time.Duration, ok bool) {
+func (t *testCluster) within(most time.Duration, is func() bool) (took time.Duration, ok bool) {
 	began := time.Now()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
@@ -109,25 +109,25 @@
 }
 
 // writeLoneBootstrap puts the word of a founding on a node's disk that was for nodes which never had it.
-func (d *testCluster) writeLoneBootstrap(i int, others ...replication.Member) {
-	d.t.Helper()
-	book, kept, err := logstore.Open(d.settings[i].DataDir)
-	must.NoError(d.t, err)
-	p := replication.New(replication.Member{ID: kept.ID, Addr: d.peerAddr(i)}, kept, replication.DefaultConfig(), 1, 0)
-	must.NoError(d.t, p.Bootstrap(append(others, replication.Member{ID: kept.ID, Addr: d.peerAddr(i)})))
+func (t *testCluster) writeLoneBootstrap(i int, others ...replication.Member) {
+	t.t.Helper()
+	book, kept, err := logstore.Open(t.settings[i].DataDir)
+	must.NoError(t.t, err)
+	p := replication.New(replication.Member{ID: kept.ID, Addr: t.peerAddr(i)}, kept, replication.DefaultConfig(), 1, 0)
+	must.NoError(t.t, p.Bootstrap(append(others, replication.Member{ID: kept.ID, Addr: t.peerAddr(i)})))
 	for a, ok := p.Next(); ok; a, ok = p.Next() {
 		if w, is := a.(replication.Write); is {
-			must.NoError(d.t, book.WriteConfigurationLog([]replication.Write{w}))
+			must.NoError(t.t, book.WriteConfigurationLog([]replication.Write{w}))
 			p.Synced(w.Seq)
 		}
 	}
-	must.NoError(d.t, book.Close())
+	must.NoError(t.t, book.Close())
 }
 
 // awaitThreeMembers waits until all nodes that live have the same three members.
-func (d *testCluster) awaitThreeMembers() {
-	d.t.Helper()
-	d.eventuallyAll("three members", func(s controlapi.NodeStatus) bool {
+func (t *testCluster) awaitThreeMembers() {
+	t.t.Helper()
+	t.eventuallyAll("three members", func(s controlapi.NodeStatus) bool {
 		return s.Slot != nil && s.Core.Settled && len(s.Core.Members) == 3 && s.Core.Leader != ""
 	})
 }
