--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -159,46 +159,46 @@
 }
 
 // buildCluster makes what nodes know of each other.
-func (h *Node) buildCluster(b Environment) (err error) {
-	if h.links, err = b.Links(h); err != nil {
+func (n *Node) buildCluster(b Environment) (err error) {
+	if n.links, err = b.Links(n); err != nil {
 		return err
 	}
-	h.loop.Turn(func() { // the core may have something to say at once: it is pulled once all is there
-		err = h.openCore(b)
+	n.loop.Turn(func() { // the core may have something to say at once: it is pulled once all is there
+		err = n.openCore(b)
 	})
 	if err != nil {
 		return errors.Wrap(err, "core")
 	}
-	me := membership.Node{Name: h.settings.NodeName, Addr: h.peerAddr, Control: h.settings.Bind.Control, Zone: h.settings.Zone,
-		First: h.settings.FirstBoot, Life: h.incarnation}
-	if h.core != nil {
-		me.Disk, me.Founded, me.House = membership.Disk(h.core.self.ID), h.core.replica.Bootstrapped(), h.core.replica.ClusterID()
+	me := membership.Node{Name: n.settings.NodeName, Addr: n.peerAddr, Control: n.settings.Bind.Control, Zone: n.settings.Zone,
+		First: n.settings.FirstBoot, Life: n.incarnation}
+	if n.core != nil {
+		me.Disk, me.Founded, me.House = membership.Disk(n.core.self.ID), n.core.replica.Bootstrapped(), n.core.replica.ClusterID()
 	}
-	h.roster = membership.New(me, membership.Config{Seeds: h.peerAddrs(h.settings.SeedAddrs), ToleratedLosses: h.settings.Tolerance.Machines,
-		ClusterID: func(f []membership.Founder) uint64 { return replication.ClusterIDOf(founderMembers(f)) }}, h.loop.Now())
-	h.streamContact.appliedAsOf, h.startedAt, h.clock = -neverAge, h.loop.Now(), replication.NewClock(h.incarnation)
+	n.roster = membership.New(me, membership.Config{Seeds: n.peerAddrs(n.settings.SeedAddrs), ToleratedLosses: n.settings.Tolerance.Machines,
+		ClusterID: func(f []membership.Founder) uint64 { return replication.ClusterIDOf(founderMembers(f)) }}, n.loop.Now())
+	n.streamContact.appliedAsOf, n.startedAt, n.clock = -neverAge, n.loop.Now(), replication.NewClock(n.incarnation)
 	return nil
 }
 
 // buildDataPath makes the way of requests and of calls.
-func (h *Node) buildDataPath(b Environment) error {
-	h.quota = control.NewLimiter(h.seed, 0, 1, h.loop.Now(), control.Config{MinInterval: 50 * time.Millisecond,
+func (n *Node) buildDataPath(b Environment) error {
+	n.quota = control.NewLimiter(n.seed, 0, 1, n.loop.Now(), control.Config{MinInterval: 50 * time.Millisecond,
 		SnapshotTTL: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MaxUnits: 1, Strict: true, InitialFill: coldStartQuotaShare, OwnershipDelay: newOwnerDelay,
-		Window: h.settings.Bounds.QuotaWindow, Excess: h.settings.Bounds.QuotaExcess, Margin: float64(h.settings.Bounds.QuotaMargin)})
-	h.openRollouts()
-	h.admission = admission.New(h.seed, admission.Config{Zone: h.catalog.zoneID(h.settings.Zone),
-		RetryRatio: h.settings.Bounds.RetryRatio, RetryWindow: h.settings.Bounds.RetryWindow,
-		RetryAllowance: h.settings.Bounds.RetryExtra, Nodes: 1}, h.quota, h.loop.Now())
-	h.admission.SetAssigner((*requestSides)(h))
-	k := &gateClock{EventLoop: h.loop}
-	h.gate = gate.New(h.admission, k, maxInFlight, h.counters, gateLog{h})
-	k.timer = h.gate
-	p, err := b.DataPath(h, h.gate)
+		Window: n.settings.Bounds.QuotaWindow, Excess: n.settings.Bounds.QuotaExcess, Margin: float64(n.settings.Bounds.QuotaMargin)})
+	n.openRollouts()
+	n.admission = admission.New(n.seed, admission.Config{Zone: n.catalog.zoneID(n.settings.Zone),
+		RetryRatio: n.settings.Bounds.RetryRatio, RetryWindow: n.settings.Bounds.RetryWindow,
+		RetryAllowance: n.settings.Bounds.RetryExtra, Nodes: 1}, n.quota, n.loop.Now())
+	n.admission.SetAssigner((*requestSides)(n))
+	k := &gateClock{EventLoop: n.loop}
+	n.gate = gate.New(n.admission, k, maxInFlight, n.counters, gateLog{n})
+	k.timer = n.gate
+	p, err := b.DataPath(n, n.gate)
 	if err != nil {
 		return err
 	}
-	h.dispatcher, h.datagrams, h.frontend = p.Dispatcher, p.Datagrams, p.Frontend
-	h.gate.Through(h.dispatcher, h.datagrams)
+	n.dispatcher, n.datagrams, n.frontend = p.Dispatcher, p.Datagrams, p.Frontend
+	n.gate.Through(n.dispatcher, n.datagrams)
 	return nil
 }
 
@@ -208,45 +208,45 @@
 	timer eventloop.Alarm
 }
 
-func (c *gateClock) Wake(at time.Duration, nr uint32) { c.At(at, c.timer, nr) }
+func (g *gateClock) Wake(at time.Duration, nr uint32) { g.At(at, g.timer, nr) }
 
 // Start begins to listen and to say hello.
-func (h *Node) Start() error {
-	if err := h.sockets.Start(); err != nil {
+func (n *Node) Start() error {
+	if err := n.sockets.Start(); err != nil {
 		return err
 	}
 	var err error
-	h.loop.Turn(func() {
-		if err = h.sockets.peers.Start(); err == nil {
-			h.StartTimers()
+	n.loop.Turn(func() {
+		if err = n.sockets.peers.Start(); err == nil {
+			n.StartTimers()
 		}
 	})
 	if err != nil {
 		return err
 	}
-	h.sockets.mesh.Start()
-	h.say(nodePart, "serves at %s, control at %s, disk %v", h.settings.Bind.Front, h.settings.Bind.Control, h.core != nil)
+	n.sockets.mesh.Start()
+	n.say(nodePart, "serves at %s, control at %s, disk %v", n.settings.Bind.Front, n.settings.Bind.Control, n.core != nil)
 	return nil
 }
 
 // StartTimers begins the periodic work, in a turn.
-func (h *Node) StartTimers() { h.loop.At(h.loop.Now()+tickInterval, (*tickTimer)(h), 0) }
+func (n *Node) StartTimers() { n.loop.At(n.loop.Now()+tickInterval, (*tickTimer)(n), 0) }
 
 // ReceiveDatagram takes a peer's datagram to the quota, by the module.
-func (h *Node) ReceiveDatagram(from control.GatewayID, payload []byte) { h.gate.Heard(from, payload) }
+func (n *Node) ReceiveDatagram(from control.GatewayID, payload []byte) { n.gate.Heard(from, payload) }
 
 // handleReady carries out what the parts decided: the log first, since all else goes by it.
-func (h *Node) handleReady() {
-	if h.core != nil {
-		h.core.handleReady()
-		h.groups.handleReady()
-		h.coordination.NotifyWatchers()
-		h.groups.handleReady() // what watches that were told of puts ask for next
-		h.core.disk.flush()
+func (n *Node) handleReady() {
+	if n.core != nil {
+		n.core.handleReady()
+		n.groups.handleReady()
+		n.coordination.NotifyWatchers()
+		n.groups.handleReady() // what watches that were told of puts ask for next
+		n.core.disk.flush()
 	}
-	h.handleRosterActions()
-	h.handleRegistryActions()
-	h.gate.Pull()
+	n.handleRosterActions()
+	n.handleRegistryActions()
+	n.gate.Pull()
 }
 
 // tickTimer is the one periodic timer.
--- a/internal/gateway/node/node_test.go
+++ b/internal/gateway/node/node_test.go
@@ -64,28 +64,28 @@
 }
 
 // stop kills all.
-func (d *testCluster) stop() {
-	for i := range d.settings {
-		d.kill(i)
+func (t *testCluster) stop() {
+	for i := range t.settings {
+		t.kill(i)
 	}
-	d.eventually("all ends", func() bool { return goleak.Find() == nil })
+	t.eventually("all ends", func() bool { return goleak.Find() == nil })
 }
 
-func (d *testCluster) start(i int) {
-	d.t.Helper()
-	h, err := New(d.settings[i])
-	must.NoError(d.t, err)
-	must.NoError(d.t, h.Start())
-	d.running[i] = h
+func (t *testCluster) start(i int) {
+	t.t.Helper()
+	h, err := New(t.settings[i])
+	must.NoError(t.t, err)
+	must.NoError(t.t, h.Start())
+	t.running[i] = h
 }
 
 // kill ends a node as a killed process ends, but for the writes that are under way.
-func (d *testCluster) kill(i int) {
-	h := d.running[i]
+func (t *testCluster) kill(i int) {
+	h := t.running[i]
 	if h == nil {
 		return
 	}
-	delete(d.running, i)
+	delete(t.running, i)
 	core := h.core
 	h.loop.Turn(func() {
 		h.core = nil
@@ -93,7 +93,7 @@
 	})
 	h.sockets.mesh.Stop()
 	if core != nil {
-		d.eventually("a write ends", func() bool {
+		t.eventually("a write ends", func() bool {
 			writing := false
 			h.loop.Turn(func() { writing = core.disk.writing })
 			return !writing
@@ -110,25 +110,25 @@
 			}
 		}
 	}
-	d.settings[i].FirstBoot = false
+	t.settings[i].FirstBoot = false
 }
 
 // eventually waits for what is to come.
-func (d *testCluster) eventually(what string, is func() bool) {
-	d.t.Helper()
+func (t *testCluster) eventually(what string, is func() bool) {
+	t.t.Helper()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for end := time.Now().Add(testTimeout); !is(); <-tick.C {
 		if time.Now().After(end) {
-			d.t.Fatalf("never: %s", what)
+			t.t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-func (d *testCluster) call(i int, method, path, body string) (int, string) {
-	r, err := http.NewRequest(method, "http://"+d.settings[i].Bind.Control+path, bytes.NewBufferString(body))
-	must.NoError(d.t, err)
-	a, err := d.http.Do(r)
+func (t *testCluster) call(i int, method, path, body string) (int, string) {
+	r, err := http.NewRequest(method, "http://"+t.settings[i].Bind.Control+path, bytes.NewBufferString(body))
+	must.NoError(t.t, err)
+	a, err := t.http.Do(r)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -138,19 +138,19 @@
 }
 
 // callUntilClear calls until the answer is a clear one, as an operator does, which is to have that status.
-func (d *testCluster) callUntilClear(i, want int, method, path, body string) (text string) {
-	d.t.Helper()
+func (t *testCluster) callUntilClear(i, want int, method, path, body string) (text string) {
+	t.t.Helper()
 	status := 0
-	d.eventually("a clear answer to "+path, func() bool {
-		status, text = d.call(i, method, path, body)
+	t.eventually("a clear answer to "+path, func() bool {
+		status, text = t.call(i, method, path, body)
 		return status != 0 && status != 503
 	})
-	must.Eq(d.t, want, status, must.Sprint(text))
+	must.Eq(t.t, want, status, must.Sprint(text))
 	return text
 }
 
-func (d *testCluster) status(i int) (s controlapi.NodeStatus) {
-	_, text := d.call(i, "GET", "/api/Node.Status", "")
+func (t *testCluster) status(i int) (s controlapi.NodeStatus) {
+	_, text := t.call(i, "GET", "/api/Node.Status", "")
 	if json.Unmarshal([]byte(text), &s); s.Core == nil {
 		s.Core = &controlapi.StatusCore{}
 	}
@@ -158,10 +158,10 @@
 }
 
 // eventuallyAll waits until every node that lives says so of itself.
-func (d *testCluster) eventuallyAll(what string, is func(s controlapi.NodeStatus) bool) {
-	d.t.Helper()
-	for i := range d.running {
-		d.eventually(fmt.Sprint(what, " at ", i), func() bool { return is(d.status(i)) })
+func (t *testCluster) eventuallyAll(what string, is func(s controlapi.NodeStatus) bool) {
+	t.t.Helper()
+	for i := range t.running {
+		t.eventually(fmt.Sprint(what, " at ", i), func() bool { return is(t.status(i)) })
 	}
 }
 
--- a/internal/gateway/node/orders.go
+++ b/internal/gateway/node/orders.go
@@ -16,41 +16,41 @@
 
 // Rollout brings an operator's order to whoever leads, as a change of the configuration goes. What is wrong in itself, or
 // is known here to have been taken, needs no leader; a dry run goes by what is known here alone.
-func (h *Node) Rollout(e *rollout.Entry, dry bool, then func(status int, body []byte)) {
+func (n *Node) Rollout(e *rollout.Entry, dry bool, then func(status int, body []byte)) {
 	if e.At = time.Now().UnixMilli(); e.Mark == "" { // the same call may go out twice from here
 		e.Mark = fmt.Sprintf("%016x", rand.Uint64())
 	}
 	if e.Verb == rollout.Start {
-		if err := h.checkKnown(e.Order); err != nil && dry {
+		if err := n.checkKnown(e.Order); err != nil && dry {
 			then(responseOf(routing.Invalid, err))
 			return
 		}
 		told := e.Room
-		e.Room = h.rolloutCapacity(e.Order)
+		e.Room = n.rolloutCapacity(e.Order)
 		e.Room.New, e.Room.Busy = max(told.New, e.Room.New), cmp.Or(told.Busy, e.Room.Busy)
 	}
 	body := e.Encode()
 	if dry {
-		if v, err := h.machine.Decide(statemachine.KindRollout, body); v != routing.Taken {
+		if v, err := n.machine.Decide(statemachine.KindRollout, body); v != routing.Taken {
 			then(responseOf(v, err))
 			return
 		}
-		then(200, marshalAnswer(h.dryRunAnswer(e)))
+		then(200, marshalAnswer(n.dryRunAnswer(e)))
 		return
 	}
-	if v, err, final := h.machine.DecideFinal(statemachine.KindRollout, body); final {
+	if v, err, final := n.machine.DecideFinal(statemachine.KindRollout, body); final {
 		status, answer := responseOf(v, err)
-		then(status, h.answerBody(statemachine.KindRollout, body, status, answer))
+		then(status, n.answerBody(statemachine.KindRollout, body, status, answer))
 		return
 	}
-	h.callLeader(statemachine.KindRollout, body, 0, then)
+	n.callLeader(statemachine.KindRollout, body, 0, then)
 }
 
 // checkKnown tells what an order names that this node does not know. Zones are those of nodes.
-func (h *Node) checkKnown(o *rollout.Spec) error {
-	service := func(name string) bool { _, ok := h.table.Service(name); return ok }
+func (n *Node) checkKnown(o *rollout.Spec) error {
+	service := func(name string) bool { _, ok := n.table.Service(name); return ok }
 	route := func(name string) bool {
-		for _, r := range h.table.Routes() {
+		for _, r := range n.table.Routes() {
 			if r.Name == name {
 				return true
 			}
@@ -58,7 +58,7 @@
 		return false
 	}
 	tenant := func(name string) bool {
-		for _, t := range h.table.Tenants() {
+		for _, t := range n.table.Tenants() {
 			if t.Name == name {
 				return true
 			}
@@ -66,27 +66,27 @@
 		return false
 	}
 	zone := func(name string) bool {
-		for _, s := range h.roster.SlotHolders() {
+		for _, s := range n.roster.SlotHolders() {
 			if s.Zone == name {
 				return true
 			}
 		}
-		return name == h.settings.Zone
+		return name == n.settings.Zone
 	}
 	return o.CheckReferences(service, route, tenant, zone)
 }
 
 // dryRunAnswer counts the known keys that each step of an order would have on the new version.
-func (h *Node) dryRunAnswer(e *rollout.Entry) controlapi.RolloutAnswer {
+func (n *Node) dryRunAnswer(e *rollout.Entry) controlapi.RolloutAnswer {
 	var users [][]byte
-	if config := h.machine.Configs.Config(); config != nil {
+	if config := n.machine.Configs.Config(); config != nil {
 		for _, t := range config.Tenants {
 			for _, key := range t.ApiKeys {
 				users = append(users, []byte(key))
 			}
 		}
 	}
-	number := h.machine.Rollouts.Last + 1
+	number := n.machine.Rollouts.Last + 1
 	return controlapi.RolloutAnswer{Service: e.Service, Number: uint64(number), Phase: "dry", Rev: e.Rev, Steps: len(e.Order.Steps),
 		Users: ptr(len(users)), Moved: e.Order.CountMoved(number, users),
 		Room: &controlapi.RolloutRoom{Old: e.Room.Old, New: e.Room.New, Busy: e.Room.Busy}}
@@ -100,7 +100,7 @@
 }
 
 // answerBody gives the answer to a call that was taken, where it has one.
-func (h *Node) answerBody(k statemachine.Kind, body []byte, status int, answer []byte) []byte {
+func (n *Node) answerBody(k statemachine.Kind, body []byte, status int, answer []byte) []byte {
 	if k != statemachine.KindRollout || status != 200 {
 		return answer
 	}
@@ -108,7 +108,7 @@
 	if err != nil {
 		return answer
 	}
-	r := h.machine.Rollouts.Run(e.Service)
+	r := n.machine.Rollouts.Run(e.Service)
 	if r == nil {
 		return answer
 	}
@@ -118,19 +118,19 @@
 }
 
 // Rollouts asks whoever leads, who has the counts; where nobody can be asked, it is this node's own knowledge.
-func (h *Node) Rollouts(then func(status int, body []byte)) {
-	h.callLeader(ReadRollouts, nil, 0, func(status int, body []byte) {
+func (n *Node) Rollouts(then func(status int, body []byte)) {
+	n.callLeader(ReadRollouts, nil, 0, func(status int, body []byte) {
 		if status != 200 {
-			status, body = 200, h.rolloutStatusBody()
+			status, body = 200, n.rolloutStatusBody()
 		}
 		then(status, body)
 	})
 }
 
 // rolloutStatusBody is how roll-outs stand, as this node knows it.
-func (h *Node) rolloutStatusBody() []byte {
-	x, s := &h.rollouts, h.machine.Rollouts
-	all := controlapi.RolloutStatus{Node: h.settings.NodeName, Rev: s.Rev, Leads: x.coordinator != nil || h.isLeader(),
+func (n *Node) rolloutStatusBody() []byte {
+	x, s := &n.rollouts, n.machine.Rollouts
+	all := controlapi.RolloutStatus{Node: n.settings.NodeName, Rev: s.Rev, Leads: x.coordinator != nil || n.isLeader(),
 		Rollouts: []controlapi.RolloutRun{}}
 	for i := range s.Runs() {
 		r := &s.Runs()[i]
@@ -148,7 +148,7 @@
 }
 
 // RolloutHistory is what became of a service's roll-outs, as this node knows it.
-func (h *Node) RolloutHistory(service string) controlapi.RolloutHistory {
+func (n *Node) RolloutHistory(service string) controlapi.RolloutHistory {
 	all := controlapi.RolloutHistory{Service: service, Rollouts: []controlapi.RolloutPast{}}
 	add := func(r *rollout.Run) {
 		if r == nil || r.Order.Service != service {
@@ -161,10 +161,10 @@
 		}
 		all.Rollouts = append(all.Rollouts, past)
 	}
-	for i := range h.machine.Rollouts.Ended() {
-		add(&h.machine.Rollouts.Ended()[i])
+	for i := range n.machine.Rollouts.Ended() {
+		add(&n.machine.Rollouts.Ended()[i])
 	}
-	add(h.machine.Rollouts.Run(service))
+	add(n.machine.Rollouts.Run(service))
 	return all
 }
 
--- a/internal/gateway/node/parts.go
+++ b/internal/gateway/node/parts.go
@@ -32,11 +32,11 @@
 }
 
 // sameMessage tells whether two are of one call or answer.
-func (p *CallChunk) sameMessage(o *CallChunk) bool {
-	if p.Call != nil && o.Call != nil {
-		return p.Call.Asker == o.Call.Asker && p.Call.Nr == o.Call.Nr
+func (c *CallChunk) sameMessage(o *CallChunk) bool {
+	if c.Call != nil && o.Call != nil {
+		return c.Call.Asker == o.Call.Asker && c.Call.Nr == o.Call.Nr
 	}
-	return p.Reply != nil && o.Reply != nil && p.Reply.Asker == o.Reply.Asker && p.Reply.Nr == o.Reply.Nr
+	return c.Reply != nil && o.Reply != nil && c.Reply.Asker == o.Reply.Asker && c.Reply.Nr == o.Reply.Nr
 }
 
 // transfer is a large call or answer on its way to a node.
@@ -69,92 +69,92 @@
 }
 
 // sendCall sends a call, nr of this node's own; false if it can't be on its way.
-func (h *Node) sendCall(to string, nr uint32, c *Call, until time.Duration) bool {
-	if len(c.Body) <= streamConfig.MaxInflightBytes || !h.chunked.supportedBy[to] {
-		h.links.Send(to, &Frame{Call: c})
+func (n *Node) sendCall(to string, nr uint32, c *Call, until time.Duration) bool {
+	if len(c.Body) <= streamConfig.MaxInflightBytes || !n.chunked.supportedBy[to] {
+		n.links.Send(to, &Frame{Call: c})
 		return true
 	}
 	head := *c
 	head.Body = nil
-	return h.enqueueTransfer(to, &transfer{header: CallChunk{Call: &head}, sequence: nr, deadline: until,
+	return n.enqueueTransfer(to, &transfer{header: CallChunk{Call: &head}, sequence: nr, deadline: until,
 		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(c.Kind), 0, c.Body)}})
 }
 
 // sendReply sends an answer. One that can't be sent is as one that was lost: the asker's time ends its call.
-func (h *Node) sendReply(to string, r *Reply) {
-	if len(r.Body) <= streamConfig.MaxInflightBytes || !h.chunked.supportedBy[to] {
-		h.links.Send(to, &Frame{Reply: r})
+func (n *Node) sendReply(to string, r *Reply) {
+	if len(r.Body) <= streamConfig.MaxInflightBytes || !n.chunked.supportedBy[to] {
+		n.links.Send(to, &Frame{Reply: r})
 		return
 	}
 	head := *r
 	head.Body = nil
-	h.enqueueTransfer(to, &transfer{header: CallChunk{Reply: &head}, deadline: h.loop.Now() + callTimeout,
+	n.enqueueTransfer(to, &transfer{header: CallChunk{Reply: &head}, deadline: n.loop.Now() + callTimeout,
 		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(r.Status), 1, r.Body)}})
 }
 
-func (h *Node) enqueueTransfer(to string, t *transfer) bool {
-	if len(h.chunked.outgoing[to]) >= maxTransfers {
+func (n *Node) enqueueTransfer(to string, t *transfer) bool {
+	if len(n.chunked.outgoing[to]) >= maxTransfers {
 		return false
 	}
-	h.chunked.outgoing[to] = append(h.chunked.outgoing[to], t)
-	h.sendChunks(to)
+	n.chunked.outgoing[to] = append(n.chunked.outgoing[to], t)
+	n.sendChunks(to)
 	return true
 }
 
 // sendChunks sends a node what may be in flight to it: of one transfer after the other.
-func (h *Node) sendChunks(to string) {
-	now, queue := h.loop.Now(), h.chunked.outgoing[to]
+func (n *Node) sendChunks(to string) {
+	now, queue := n.loop.Now(), n.chunked.outgoing[to]
 	for len(queue) > 0 && (queue[0].outgoing.Complete() || now >= queue[0].deadline) {
 		queue = queue[1:]
 	}
 	if len(queue) == 0 {
-		delete(h.chunked.outgoing, to)
+		delete(n.chunked.outgoing, to)
 		return
 	}
-	h.chunked.outgoing[to] = queue
+	n.chunked.outgoing[to] = queue
 	t := queue[0]
 	for c := t.outgoing.NextChunk(&streamConfig, now); c != nil; c = t.outgoing.NextChunk(&streamConfig, now) {
 		part := t.header
 		part.Chunk = c
 		t.lastChunkSent = t.lastChunkSent || c.Offset+uint64(len(c.Data)) == c.Size
-		h.links.Send(to, &Frame{Part: &part})
+		n.links.Send(to, &Frame{Part: &part})
 	}
 }
 
 // receiveChunk takes a chunk, or how much of one's own another node has.
-func (h *Node) receiveChunk(from string, p *CallChunk) {
+func (n *Node) receiveChunk(from string, p *CallChunk) {
 	switch {
 	case p.Had != nil:
-		if queue := h.chunked.outgoing[from]; len(queue) > 0 && queue[0].header.sameMessage(p) {
-			queue[0].outgoing.Ack(p.Had, h.loop.Now())
-			h.sendChunks(from)
+		if queue := n.chunked.outgoing[from]; len(queue) > 0 && queue[0].header.sameMessage(p) {
+			queue[0].outgoing.Ack(p.Had, n.loop.Now())
+			n.sendChunks(from)
 		}
 	case p.Chunk == nil || p.Chunk.Size > maxChunkedBody || (p.Call == nil) == (p.Reply == nil):
-	case p.Reply != nil && (p.Reply.Asker != h.incarnation || h.pendingCalls[p.Reply.Nr] == nil):
-		h.acknowledgeChunk(from, p, nil) // nobody waits for it
+	case p.Reply != nil && (p.Reply.Asker != n.incarnation || n.pendingCalls[p.Reply.Nr] == nil):
+		n.acknowledgeChunk(from, p, nil) // nobody waits for it
 	case p.Reply != nil:
-		if whole := h.assembleChunk(from, p); whole != nil {
+		if whole := n.assembleChunk(from, p); whole != nil {
 			r := *p.Reply
 			r.Body = whole
-			delete(h.chunked.incoming, from)
-			h.receiveReply(from, &r)
+			delete(n.chunked.incoming, from)
+			n.receiveReply(from, &r)
 		}
 	default:
-		h.receiveCallChunk(from, p)
+		n.receiveCallChunk(from, p)
 	}
 }
 
 // receiveCallChunk takes a chunk of a call. Of one whose body has come before, nothing but the first chunk needs to.
-func (h *Node) receiveCallChunk(from string, p *CallChunk) {
-	a := h.assemblyFrom(from)
+func (n *Node) receiveCallChunk(from string, p *CallChunk) {
+	a := n.assemblyFrom(from)
 	switch again := a.body != nil && a.bodyID.SameBlob(p.Chunk); {
 	case again && a.call.sameMessage(p):
-		h.acknowledgeChunk(from, p, nil) // it is under way
+		n.acknowledgeChunk(from, p, nil) // it is under way
 		return
 	case again:
-		h.acknowledgeChunk(from, p, nil)
+		n.acknowledgeChunk(from, p, nil)
 	default:
-		whole := h.assembleChunk(from, p)
+		whole := n.assembleChunk(from, p)
 		if whole == nil {
 			return
 		}
@@ -164,55 +164,55 @@
 	a.call = CallChunk{Call: p.Call}
 	c := *p.Call
 	c.Body = a.body
-	h.receiveCall(from, &c)
+	n.receiveCall(from, &c)
 }
 
 // assembleChunk puts a chunk to what has come before; it gives the whole once it is.
-func (h *Node) assembleChunk(from string, p *CallChunk) []byte {
-	whole, part := h.assemblyFrom(from).incoming.Receive(p.Chunk)
+func (n *Node) assembleChunk(from string, p *CallChunk) []byte {
+	whole, part := n.assemblyFrom(from).incoming.Receive(p.Chunk)
 	if whole != nil || part != nil {
-		h.acknowledgeChunk(from, p, part)
+		n.acknowledgeChunk(from, p, part)
 	}
 	return whole
 }
 
 // acknowledgeChunk tells a node how much is had of what a chunk is of: nil means all.
-func (h *Node) acknowledgeChunk(to string, p *CallChunk, had *replication.Chunk) {
+func (n *Node) acknowledgeChunk(to string, p *CallChunk, had *replication.Chunk) {
 	if had == nil {
 		id := *p.Chunk
 		id.Offset, id.Data = id.Size, nil
 		had = &id
 	}
-	h.links.Send(to, &Frame{Part: &CallChunk{Call: p.Call, Reply: p.Reply, Had: had}})
+	n.links.Send(to, &Frame{Part: &CallChunk{Call: p.Call, Reply: p.Reply, Had: had}})
 }
 
 // assemblyFrom is where what a node sends is put together. Where others have all places, the one that has been still longest gives way: it
 // begins anew.
-func (h *Node) assemblyFrom(from string) *assembly {
-	a := h.chunked.incoming[from]
+func (n *Node) assemblyFrom(from string) *assembly {
+	a := n.chunked.incoming[from]
 	if a == nil {
-		if len(h.chunked.incoming) >= maxAssemblies {
+		if len(n.chunked.incoming) >= maxAssemblies {
 			oldest := ""
-			for _, addr := range slices.Sorted(maps.Keys(h.chunked.incoming)) {
-				if oldest == "" || h.chunked.incoming[addr].receivedAt < h.chunked.incoming[oldest].receivedAt {
+			for _, addr := range slices.Sorted(maps.Keys(n.chunked.incoming)) {
+				if oldest == "" || n.chunked.incoming[addr].receivedAt < n.chunked.incoming[oldest].receivedAt {
 					oldest = addr
 				}
 			}
-			delete(h.chunked.incoming, oldest)
+			delete(n.chunked.incoming, oldest)
 		}
 		a = &assembly{}
-		h.chunked.incoming[from] = a
+		n.chunked.incoming[from] = a
 	}
-	a.receivedAt = h.loop.Now()
+	a.receivedAt = n.loop.Now()
 	return a
 }
 
 // mayBeReceived tells whether the node that a call was sent to may have all of it.
-func (h *Node) mayBeReceived(c *pendingCall, nr uint32) bool {
+func (n *Node) mayBeReceived(c *pendingCall, nr uint32) bool {
 	if c.sentTo == "" {
 		return false
 	}
-	for _, t := range h.chunked.outgoing[c.sentTo] {
+	for _, t := range n.chunked.outgoing[c.sentTo] {
 		if t.sequence == nr && t.header.Call != nil {
 			return t.lastChunkSent
 		}
@@ -221,17 +221,17 @@
 }
 
 // cancelTransfer takes a call off its way.
-func (h *Node) cancelTransfer(to string, nr uint32) {
-	queue := slices.DeleteFunc(h.chunked.outgoing[to], func(t *transfer) bool { return t.sequence == nr && t.header.Call != nil })
-	if h.chunked.outgoing[to] = queue; len(queue) == 0 {
-		delete(h.chunked.outgoing, to)
+func (n *Node) cancelTransfer(to string, nr uint32) {
+	queue := slices.DeleteFunc(n.chunked.outgoing[to], func(t *transfer) bool { return t.sequence == nr && t.header.Call != nil })
+	if n.chunked.outgoing[to] = queue; len(queue) == 0 {
+		delete(n.chunked.outgoing, to)
 	}
 }
 
 // tickTransfers sends again what was lost, and forgets what nobody goes on with.
-func (h *Node) tickTransfers() {
-	for _, to := range slices.Sorted(maps.Keys(h.chunked.outgoing)) {
-		h.sendChunks(to)
+func (n *Node) tickTransfers() {
+	for _, to := range slices.Sorted(maps.Keys(n.chunked.outgoing)) {
+		n.sendChunks(to)
 	}
-	maps.DeleteFunc(h.chunked.incoming, func(_ string, a *assembly) bool { return h.loop.Now()-a.receivedAt >= assemblyTTL })
+	maps.DeleteFunc(n.chunked.incoming, func(_ string, a *assembly) bool { return n.loop.Now()-a.receivedAt >= assemblyTTL })
 }
--- a/internal/gateway/node/patience_test.go
+++ b/internal/gateway/node/patience_test.go
@@ -68,7 +68,7 @@
 	now time.Duration
 }
 
-func (s *manualClock) Now() time.Duration { return s.now }
+func (m *manualClock) Now() time.Duration { return m.now }
 
 // discardingLinks takes what a node sends.
 type discardingLinks struct{ Links }
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -17,124 +17,124 @@
 
 // PeerConnected is told when another node has dialed this one. It may be the node that it follows, which dialed it anew. It may have given up a link before and with it the wish to follow:
 // without a new one it would say nothing, and for two seconds nothing would tell of that.
-func (h *Node) PeerConnected(from string) {
-	h.core.resetLiveness(from)
-	if from == h.upstream {
-		h.requestStream(from)
+func (n *Node) PeerConnected(from string) {
+	n.core.resetLiveness(from)
+	if from == n.upstream {
+		n.requestStream(from)
 	}
 }
 
 // FrameReceived takes a frame from another node.
-func (h *Node) FrameReceived(from string, f *Frame) {
-	h.roster.Tick(h.loop.Now())
-	h.roster.FrameReceived(from)
-	if from == h.upstream {
-		h.upstreamContactAt = h.loop.Now()
+func (n *Node) FrameReceived(from string, f *Frame) {
+	n.roster.Tick(n.loop.Now())
+	n.roster.FrameReceived(from)
+	if from == n.upstream {
+		n.upstreamContactAt = n.loop.Now()
 	}
 	switch {
 	case f.Hello != nil:
-		h.roster.HandleHello(from, *f.Hello)
-		h.chunked.supportedBy[from] = f.Hello.Parts
-		h.resendBootstrap(from, f.Hello.Door)
+		n.roster.HandleHello(from, *f.Hello)
+		n.chunked.supportedBy[from] = f.Hello.Parts
+		n.resendBootstrap(from, f.Hello.Door)
 	case f.Ping != nil:
-		h.upstreamReports[from] = upstreamReport{h.loop.Now(), f.Ping.Stale, f.Ping.Index, f.Ping.View}
-		if f.Ping.Lives != nil && (h.core != nil || from == h.upstream) {
-			h.roster.HandleLiveness(from, f.Ping.Lives)
+		n.upstreamReports[from] = upstreamReport{n.loop.Now(), f.Ping.Stale, f.Ping.Index, f.Ping.View}
+		if f.Ping.Lives != nil && (n.core != nil || from == n.upstream) {
+			n.roster.HandleLiveness(from, f.Ping.Lives)
 		}
-		if from == h.upstream {
-			h.updateContact(f.Ping.Stale, f.Ping.View, f.Ping.Echo, f.Ping.Index)
-			h.groups.learnLeaders(f.Ping.Leaders)
+		if from == n.upstream {
+			n.updateContact(f.Ping.Stale, f.Ping.View, f.Ping.Echo, f.Ping.Index)
+			n.groups.learnLeaders(f.Ping.Leaders)
 		}
-		if f.Ping.Clock != 0 && h.isLearner(from) {
-			h.learnerClocks[from] = clockEcho{f.Ping.Clock, h.loop.Now()}
-			h.links.Send(from, &Frame{Ping: h.learnerHeartbeat(from)})
+		if f.Ping.Clock != 0 && n.isLearner(from) {
+			n.learnerClocks[from] = clockEcho{f.Ping.Clock, n.loop.Now()}
+			n.links.Send(from, &Frame{Ping: n.learnerHeartbeat(from)})
 		}
 	case f.Found != nil:
-		h.bootstrap(f.Found)
-	case f.Core != nil && h.core != nil:
-		h.core.receiveLiveness(from, f.Core)
-		h.core.replica.Tick(h.loop.Now())
-		h.core.replica.Step(f.Core.From, f.Core.Message)
-	case f.Groups != nil && h.core != nil:
-		h.groups.receive(f.Groups)
-	case f.Board != nil && h.registry != nil:
-		if s := h.roster.Slot(from); s != membership.NoSlot {
-			h.registry.Tick(h.loop.Now())
-			h.registry.Receive(registry.Slot(s), *f.Board)
+		n.bootstrap(f.Found)
+	case f.Core != nil && n.core != nil:
+		n.core.receiveLiveness(from, f.Core)
+		n.core.replica.Tick(n.loop.Now())
+		n.core.replica.Step(f.Core.From, f.Core.Message)
+	case f.Groups != nil && n.core != nil:
+		n.groups.receive(f.Groups)
+	case f.Board != nil && n.registry != nil:
+		if s := n.roster.Slot(from); s != membership.NoSlot {
+			n.registry.Tick(n.loop.Now())
+			n.registry.Receive(registry.Slot(s), *f.Board)
 		}
 	case f.Follow != nil:
-		h.receiveStreamRequest(from, f.Follow)
+		n.receiveStreamRequest(from, f.Follow)
 	case f.Feed != nil:
-		h.receiveStream(from, f.Feed)
+		n.receiveStream(from, f.Feed)
 	case f.Call != nil:
-		h.receiveCall(from, f.Call)
+		n.receiveCall(from, f.Call)
 	case f.Reply != nil:
-		h.receiveReply(from, f.Reply)
+		n.receiveReply(from, f.Reply)
 	case f.Part != nil:
-		h.receiveChunk(from, f.Part)
+		n.receiveChunk(from, f.Part)
 	case f.Rollout != nil:
-		h.receiveRolloutMessage(from, f.Rollout)
+		n.receiveRolloutMessage(from, f.Rollout)
 	case f.Coordination != nil:
-		h.receiveCoordination(from, f.Coordination)
+		n.receiveCoordination(from, f.Coordination)
 	}
 }
 
 // LinkUp is told when the link to another node stands.
-func (h *Node) LinkUp(to string) {
-	h.roster.Tick(h.loop.Now())
-	h.roster.LinkUp(to)
-	if d, ok := h.roster.Node(to); ok {
-		h.resendBootstrap(to, d)
+func (n *Node) LinkUp(to string) {
+	n.roster.Tick(n.loop.Now())
+	n.roster.LinkUp(to)
+	if d, ok := n.roster.Node(to); ok {
+		n.resendBootstrap(to, d)
 	}
-	h.resumeStream(to)
-	h.syncRegistryTo(to) // it may have started anew
-	if to == h.upstream {
-		h.requestStream(to) // so that the wish to follow it may have been lost with the link before
+	n.resumeStream(to)
+	n.syncRegistryTo(to) // it may have started anew
+	if to == n.upstream {
+		n.requestStream(to) // so that the wish to follow it may have been lost with the link before
 	}
 }
 
 // syncRegistryTo tells a node of the backends.
-func (h *Node) syncRegistryTo(addr string) {
-	if s := h.roster.Slot(addr); s != membership.NoSlot && h.registry != nil {
-		h.registry.Tick(h.loop.Now())
-		h.registry.SyncPeer(registry.Slot(s))
+func (n *Node) syncRegistryTo(addr string) {
+	if s := n.roster.Slot(addr); s != membership.NoSlot && n.registry != nil {
+		n.registry.Tick(n.loop.Now())
+		n.registry.SyncPeer(registry.Slot(s))
 	}
 }
 
 // isLearner tells whether a node gets its news from this one.
-func (h *Node) isLearner(addr string) bool {
-	_, ok := h.learners[addr]
+func (n *Node) isLearner(addr string) bool {
+	_, ok := n.learners[addr]
 	return ok
 }
 
 // LinkDown is told when the link to another node ended.
-func (h *Node) LinkDown(to string) {
-	h.roster.Tick(h.loop.Now())
-	h.roster.LinkDown(to)
-	h.core.resetLiveness(to)
-	h.groups.linkDown(to)
-	delete(h.learners, to)
-	delete(h.learnerClocks, to)
-	h.coordination.PeerDisconnected(to)
-	for _, nr := range slices.Sorted(maps.Keys(h.pendingCalls)) {
-		if c := h.pendingCalls[nr]; c.sentTo == to { // it may have been taken: the same again is answered as the first was
-			c.ambiguous = c.ambiguous || h.mayBeReceived(c, nr)
-			h.cancelTransfer(to, nr)
-			c.sentTo, c.retryAt = "", h.loop.Now()+callRetryInterval
-			h.loop.At(c.retryAt, (*callTimer)(h), nr)
+func (n *Node) LinkDown(to string) {
+	n.roster.Tick(n.loop.Now())
+	n.roster.LinkDown(to)
+	n.core.resetLiveness(to)
+	n.groups.linkDown(to)
+	delete(n.learners, to)
+	delete(n.learnerClocks, to)
+	n.coordination.PeerDisconnected(to)
+	for _, nr := range slices.Sorted(maps.Keys(n.pendingCalls)) {
+		if c := n.pendingCalls[nr]; c.sentTo == to { // it may have been taken: the same again is answered as the first was
+			c.ambiguous = c.ambiguous || n.mayBeReceived(c, nr)
+			n.cancelTransfer(to, nr)
+			c.sentTo, c.retryAt = "", n.loop.Now()+callRetryInterval
+			n.loop.At(c.retryAt, (*callTimer)(n), nr)
 		}
 	}
 }
 
 // resendBootstrap hands the founding to a founder that missed it: who began it may have died before the word reached the others.
-func (h *Node) resendBootstrap(addr string, d membership.Node) {
-	if h.core == nil || d.Founded || d.Disk == 0 {
+func (n *Node) resendBootstrap(addr string, d membership.Node) {
+	if n.core == nil || d.Founded || d.Disk == 0 {
 		return
 	}
-	founders := h.core.replica.BootstrapMembers()
+	founders := n.core.replica.BootstrapMembers()
 	for _, m := range founders {
-		if m.ID == replication.MemberID(d.Disk) && h.roster.MayBootstrap(h.core.replica.ClusterID(), addr) {
-			h.links.Send(addr, &Frame{Found: founders})
+		if m.ID == replication.MemberID(d.Disk) && n.roster.MayBootstrap(n.core.replica.ClusterID(), addr) {
+			n.links.Send(addr, &Frame{Found: founders})
 		}
 	}
 }
@@ -155,47 +155,47 @@
 }
 
 // bootstrap begins the core, if this node's disk is empty.
-func (h *Node) bootstrap(members []replication.Member) {
-	if h.core == nil {
+func (n *Node) bootstrap(members []replication.Member) {
+	if n.core == nil {
 		return
 	}
-	if err := h.core.replica.Bootstrap(members); err != nil {
-		h.say(corePart, "founding passed over: %v", err)
+	if err := n.core.replica.Bootstrap(members); err != nil {
+		n.say(corePart, "founding passed over: %v", err)
 		return
 	}
-	h.say(corePart, "founded by %d nodes", len(members))
+	n.say(corePart, "founded by %d nodes", len(members))
 }
 
 // handleRosterActions carries out what the roster asks for.
-func (h *Node) handleRosterActions() {
-	h.roster.Tick(h.loop.Now())
-	if h.slotsChanged { // once for all that came in this turn
-		h.slotsChanged = false
-		h.roster.SetSlots(h.machine.Slots())
+func (n *Node) handleRosterActions() {
+	n.roster.Tick(n.loop.Now())
+	if n.slotsChanged { // once for all that came in this turn
+		n.slotsChanged = false
+		n.roster.SetSlots(n.machine.Slots())
 	}
 	for {
-		a, ok := h.roster.Next()
+		a, ok := n.roster.Next()
 		if !ok {
 			return
 		}
 		switch a.Kind {
 		case membership.Connect:
-			h.links.Connect(a.Addr)
+			n.links.Connect(a.Addr)
 		case membership.Disconnect:
-			h.links.Disconnect(a.Addr)
+			n.links.Disconnect(a.Addr)
 		case membership.SendHello:
-			hello := h.roster.HelloTo(a.Addr)
+			hello := n.roster.HelloTo(a.Addr)
 			hello.Parts = true
-			h.links.Send(a.Addr, &Frame{Hello: &hello})
+			n.links.Send(a.Addr, &Frame{Hello: &hello})
 		case membership.Bootstrap:
 			members := founderMembers(a.Founders)
-			if a.Addr == h.peerAddr {
-				h.bootstrap(members)
+			if a.Addr == n.peerAddr {
+				n.bootstrap(members)
 			} else {
-				h.links.Send(a.Addr, &Frame{Found: members})
+				n.links.Send(a.Addr, &Frame{Found: members})
 			}
 		case membership.LiveNodesChanged:
-			h.updateNodes()
+			n.updateNodes()
 		}
 	}
 }
@@ -208,119 +208,119 @@
 }
 
 // slot is this node's, or NoSlot.
-func (h *Node) slot() membership.Slot { return h.roster.Slot(h.peerAddr) }
+func (n *Node) slot() membership.Slot { return n.roster.Slot(n.peerAddr) }
 
 // updateNodes tells the parts that go by nodes which there are, and which live.
-func (h *Node) updateNodes() {
-	h.checkUpstream()
-	me := h.slot()
+func (n *Node) updateNodes() {
+	n.checkUpstream()
+	me := n.slot()
 	if me == membership.NoSlot {
 		return
 	}
-	order := h.roster.SlotHolders()
-	if h.registry == nil {
-		h.registry = registry.New(registry.Slot(me), registry.Config{HeartbeatInterval: h.settings.HeartbeatInterval,
-			MinCopies: h.minDrainCopies(), Incarnation: uint32(h.incarnation)}, h.loop.Now())
-		h.say(nodePart, "has slot %d of %d", me, len(order))
-		if h.core != nil {
-			h.core.loadRegistry()
+	order := n.roster.SlotHolders()
+	if n.registry == nil {
+		n.registry = registry.New(registry.Slot(me), registry.Config{HeartbeatInterval: n.settings.HeartbeatInterval,
+			MinCopies: n.minDrainCopies(), Incarnation: uint32(n.incarnation)}, n.loop.Now())
+		n.say(nodePart, "has slot %d of %d", me, len(order))
+		if n.core != nil {
+			n.core.loadRegistry()
 		}
 	}
-	if len(order) != h.slotCount {
-		h.slotCount = len(order)
-		if h.sockets != nil {
-			h.sockets.reserveLinkFDs(len(order))
+	if len(order) != n.slotCount {
+		n.slotCount = len(order)
+		if n.sockets != nil {
+			n.sockets.reserveLinkFDs(len(order))
 		}
 		addrs := make([]netip.AddrPort, len(order))
 		for i, s := range order {
-			addrs[i] = h.datagramAddr(s.Addr)
+			addrs[i] = n.datagramAddr(s.Addr)
 		}
-		h.datagrams.SetPeers(addrs, int(me))
-		h.quota.Grow(control.GatewayID(me), len(order))
-		h.admission.SetNodes(len(order))
+		n.datagrams.SetPeers(addrs, int(me))
+		n.quota.Grow(control.GatewayID(me), len(order))
+		n.admission.SetNodes(len(order))
 	}
 	nodes := make([]registry.Node, 0, len(order))
 	reach, place, places, live := 0, 0, 0, make([]bool, len(order))
 	for i, s := range order {
-		if s.Zone == h.settings.Zone {
+		if s.Zone == n.settings.Zone {
 			if i == int(me) {
 				place = places
 			}
 			places++
 		}
-		if live[i] = h.roster.Live(s.Addr); live[i] {
+		if live[i] = n.roster.Live(s.Addr); live[i] {
 			reach++
 		}
-		d, _ := h.roster.Node(s.Addr)
+		d, _ := n.roster.Node(s.Addr)
 		nodes = append(nodes, registry.Node{Slot: registry.Slot(i), ControlAddr: s.Control, Zone: s.Zone,
-			Live: live[i], HasDisk: d.Disk != 0, Follows: h.isLearner(s.Addr)})
+			Live: live[i], HasDisk: d.Disk != 0, Follows: n.isLearner(s.Addr)})
 	}
-	if h.core != nil && reach != h.reachable {
-		h.heartbeatAt = 0 // who follows goes by this node's word of who lives: an owner in its first second by a third of the rate
+	if n.core != nil && reach != n.reachable {
+		n.heartbeatAt = 0 // who follows goes by this node's word of who lives: an owner in its first second by a third of the rate
 	}
-	h.reachable = reach
-	h.quota.SetReachable(live)
-	h.admission.SetZoneIndex(place, places)
-	h.registry.Tick(h.loop.Now())
-	h.registry.SetNodes(nodes)
+	n.reachable = reach
+	n.quota.SetReachable(live)
+	n.admission.SetZoneIndex(place, places)
+	n.registry.Tick(n.loop.Now())
+	n.registry.SetNodes(nodes)
 }
 
 // minDrainCopies is at how many nodes with a disk the end of a backend is to be before it is acknowledged.
-func (h *Node) minDrainCopies() int {
-	if h.fault == ackDrainAlone {
+func (n *Node) minDrainCopies() int {
+	if n.fault == ackDrainAlone {
 		return 0
 	}
-	return h.settings.Tolerance.Machines + 1
+	return n.settings.Tolerance.Machines + 1
 }
 
 // datagramAddr is where a node takes datagrams: the port after that of its links.
-func (h *Node) datagramAddr(inner string) netip.AddrPort {
+func (n *Node) datagramAddr(inner string) netip.AddrPort {
 	host, _, _ := net.SplitHostPort(inner)
 	a, err := netip.ParseAddr(host)
 	if err != nil {
 		return netip.AddrPort{}
 	}
-	return netip.AddrPortFrom(a, uint16(h.settings.InnerPorts[0]+1))
+	return netip.AddrPortFrom(a, uint16(n.settings.InnerPorts[0]+1))
 }
 
 // peerAddrs is where the nodes at some control addresses take links: the ports of a deployment are alike.
-func (h *Node) peerAddrs(controls []string) (inners []string) {
+func (n *Node) peerAddrs(controls []string) (inners []string) {
 	for _, c := range controls {
 		if host, _, err := net.SplitHostPort(c); err == nil {
-			inners = append(inners, net.JoinHostPort(host, strconv.Itoa(h.settings.InnerPorts[0])))
+			inners = append(inners, net.JoinHostPort(host, strconv.Itoa(n.settings.InnerPorts[0])))
 		}
 	}
 	return inners
 }
 
 // handleRegistryActions carries out what the registry asks for.
-func (h *Node) handleRegistryActions() {
-	if h.registry == nil {
+func (n *Node) handleRegistryActions() {
+	if n.registry == nil {
 		return
 	}
-	h.registry.Tick(h.loop.Now())
+	n.registry.Tick(n.loop.Now())
 	for {
-		a, ok := h.registry.Next()
+		a, ok := n.registry.Next()
 		if !ok {
 			return
 		}
 		switch a := a.(type) {
 		case registry.Send:
-			if s, ok := h.roster.SlotHolderAt(membership.Slot(a.Target)); ok {
+			if s, ok := n.roster.SlotHolderAt(membership.Slot(a.Target)); ok {
 				m := a.Message
-				h.links.Send(s.Addr, &Frame{Board: &m})
+				n.links.Send(s.Addr, &Frame{Board: &m})
 			}
 		case registry.Changed:
-			h.registryDirty = true
-			h.updateListing(a)
+			n.registryDirty = true
+			n.updateListing(a)
 		case registry.Acknowledge:
-			if then, ok := h.pendingHeartbeats[a.Ticket]; ok {
-				delete(h.pendingHeartbeats, a.Ticket)
-				then.answer(a.Confirmed && h.permitted(then.permission), a.OwnerAddr)
+			if then, ok := n.pendingHeartbeats[a.Ticket]; ok {
+				delete(n.pendingHeartbeats, a.Ticket)
+				then.answer(a.Confirmed && n.permitted(then.permission), a.OwnerAddr)
 			}
 		case registry.Wake:
-			h.registryTimerSeq++
-			h.loop.At(a.Deadline, (*registryTimer)(h), h.registryTimerSeq)
+			n.registryTimerSeq++
+			n.loop.At(a.Deadline, (*registryTimer)(n), n.registryTimerSeq)
 		}
 	}
 }
@@ -328,5 +328,5 @@
 // registryTimer brings the registry's due time; the pull at the end of the turn does the rest.
 type registryTimer Node
 
-func (a *registryTimer) Live(nr uint32) bool { return nr == a.registryTimerSeq }
-func (a *registryTimer) Due(uint32)          {}
+func (r *registryTimer) Live(nr uint32) bool { return nr == r.registryTimerSeq }
+func (r *registryTimer) Due(uint32)          {}
--- a/internal/gateway/node/replica.go
+++ b/internal/gateway/node/replica.go
@@ -58,11 +58,11 @@
 }
 
 // addr of a member: where its node says that it is, since a view may name an older place.
-func (h *Node) memberAddr(m replication.Member) string {
-	if d, ok := h.roster.Node(m.Addr); ok && replication.MemberID(d.Disk) == m.ID {
+func (n *Node) memberAddr(m replication.Member) string {
+	if d, ok := n.roster.Node(m.Addr); ok && replication.MemberID(d.Disk) == m.ID {
 		return m.Addr
 	}
-	for _, d := range h.roster.LiveDiskNodes() {
+	for _, d := range n.roster.LiveDiskNodes() {
 		if replication.MemberID(d.Disk) == m.ID {
 			return d.Addr
 		}
@@ -73,5 +73,5 @@
 // replicaTimer brings a replica's own due time; the pull at the end of the turn does the rest.
 type replicaTimer replicaHost
 
-func (a *replicaTimer) Live(nr uint32) bool { return nr == a.timerSeq }
-func (a *replicaTimer) Due(uint32)          { (*replicaHost)(a).advance() }
+func (r *replicaTimer) Live(nr uint32) bool { return nr == r.timerSeq }
+func (r *replicaTimer) Due(uint32)          { (*replicaHost)(r).advance() }
--- a/internal/gateway/node/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -61,22 +61,22 @@
 	final  bool // finished, and the node knows that there is no later one
 }
 
-func (h *Node) openRollouts() {
-	h.rollouts = rolloutHost{local: rollout.NewNode(h.settings.Zone, h.incarnation, h.loop.Now()), loggedRevisions: map[string]uint64{},
+func (n *Node) openRollouts() {
+	n.rollouts = rolloutHost{local: rollout.NewNode(n.settings.Zone, n.incarnation, n.loop.Now()), loggedRevisions: map[string]uint64{},
 		admissionStates: map[string]admissionState{}, catchUpRequestedAt: -time.Second}
 }
 
 // applyRollouts takes the state after an entry or a snapshot.
-func (h *Node) applyRollouts() {
-	x, s := &h.rollouts, h.machine.Rollouts
+func (n *Node) applyRollouts() {
+	x, s := &n.rollouts, n.machine.Rollouts
 	if s.Rev == x.appliedRevision {
 		return
 	}
 	x.appliedRevision = s.Rev
-	x.local.Tick(h.loop.Now())
+	x.local.Tick(n.loop.Now())
 	x.local.ApplyState(s)
 	if x.coordinator != nil {
-		x.coordinator.Tick(h.loop.Now())
+		x.coordinator.Tick(n.loop.Now())
 		x.coordinator.ApplyState(s)
 	}
 	for i := range s.Runs() {
@@ -84,11 +84,11 @@
 		if x.loggedRevisions[r.Order.Service] != r.Rev {
 			x.loggedRevisions[r.Order.Service] = r.Rev
 			last := r.History[len(r.History)-1]
-			h.say(rolloutPart, "%s %d: %s by %s: %s, step %d of %d, %s of the users%s", r.Order.Service, r.Number, last.Verb,
+			n.say(rolloutPart, "%s %d: %s by %s: %s, step %d of %d, %s of the users%s", r.Order.Service, r.Number, last.Verb,
 				cmp.Or(last.By, "nobody named"), r.Phase, r.Step, len(r.Order.Steps), formatShare(r.Share()), reasonSuffix(last.Why))
 		}
 	}
-	h.updateRolloutAdmission()
+	n.updateRolloutAdmission()
 }
 
 func reasonSuffix(why string) string {
@@ -108,20 +108,20 @@
 
 // poolOf is where a backend is listed: until a roll-out is finished the main version is all but the new one, from
 // then on all but the old one.
-func (h *Node) poolOf(w registry.Record) control.ServiceID {
-	if r := h.machine.Rollouts.Run(w.Service); r != nil {
-		if pool := h.rollouts.local.BackendSide(w.Service, w.Generation); (pool == rollout.Canary) != (r.Phase == rollout.Finished) {
-			return h.catalog.serviceID(secondaryService(w.Service))
+func (n *Node) poolOf(w registry.Record) control.ServiceID {
+	if r := n.machine.Rollouts.Run(w.Service); r != nil {
+		if pool := n.rollouts.local.BackendSide(w.Service, w.Generation); (pool == rollout.Canary) != (r.Phase == rollout.Finished) {
+			return n.catalog.serviceID(secondaryService(w.Service))
 		}
 	}
-	return h.catalog.serviceID(w.Service)
+	return n.catalog.serviceID(w.Service)
 }
 
 // updateRolloutAdmission tells the office who may go where, as far as that has changed.
-func (h *Node) updateRolloutAdmission() {
-	x := &h.rollouts
-	for i := range h.machine.Rollouts.Runs() {
-		r := &h.machine.Rollouts.Runs()[i]
+func (n *Node) updateRolloutAdmission() {
+	x := &n.rollouts
+	for i := range n.machine.Rollouts.Runs() {
+		r := &n.machine.Rollouts.Runs()[i]
 		name := r.Order.Service
 		ended := r.Phase == rollout.Finished
 		now := admissionState{r.Number, r.Phase, admission.CanaryShared, ended && x.local.EverConnected()}
@@ -136,30 +136,30 @@
 			continue
 		}
 		x.admissionStates[name] = now
-		main, under := h.catalog.serviceID(name), h.catalog.serviceID(secondaryService(name))
+		main, under := n.catalog.serviceID(name), n.catalog.serviceID(secondaryService(name))
 		if !had || was.number != now.number || was.final != now.final || (was.phase == rollout.Finished) != ended {
-			h.admission.SetRollout(main, under, admission.CanaryClosed)
-			h.relistBackends(name, main)
+			n.admission.SetRollout(main, under, admission.CanaryClosed)
+			n.relistBackends(name, main)
 		}
-		h.admission.SetRollout(main, under, now.open)
+		n.admission.SetRollout(main, under, now.open)
 	}
 }
 
 // relistBackends lists the backends of a service by their versions: those of the main one first, so that it is never without.
-func (h *Node) relistBackends(service string, main control.ServiceID) {
-	if h.registry == nil {
+func (n *Node) relistBackends(service string, main control.ServiceID) {
+	if n.registry == nil {
 		return
 	}
-	h.registry.Tick(h.loop.Now())
-	words := slices.DeleteFunc(h.registry.Backends(), func(w registry.Record) bool { return w.Service != service })
+	n.registry.Tick(n.loop.Now())
+	words := slices.DeleteFunc(n.registry.Backends(), func(w registry.Record) bool { return w.Service != service })
 	for _, first := range []bool{true, false} {
 		for _, w := range words {
-			if (h.poolOf(w) == main) == first {
+			if (n.poolOf(w) == main) == first {
 				c := registry.Changed{Record: w}
 				if w.ColdLeft > 0 {
-					c.SlowStartUntil = h.loop.Now() + w.ColdLeft
+					c.SlowStartUntil = n.loop.Now() + w.ColdLeft
 				}
-				h.updateListing(c)
+				n.updateListing(c)
 			}
 		}
 	}
@@ -171,13 +171,13 @@
 type requestSides Node
 
 // Assign tells where a request begins, by its user.
-func (s *requestSides) Assign(id control.TxnID, kind control.ProductID, service control.ServiceID) admission.Assignment {
-	h := (*Node)(s)
+func (r *requestSides) Assign(id control.TxnID, kind control.ProductID, service control.ServiceID) admission.Assignment {
+	h := (*Node)(r)
 	name := h.catalog.serviceNames[service]
 	user, tenant := h.frontend.User(h.gate.Asker(slots.Ref(id)), slots.Ref(id))
 	in := rollout.Scope{Tenant: tenant, Zone: h.settings.Zone}
-	if r := h.catalog.routesByProduct[kind]; r != nil {
-		in.Route = r.Name
+	if route := h.catalog.routesByProduct[kind]; route != nil {
+		in.Route = route.Name
 	}
 	b := admission.Assignment{Number: h.rollouts.local.RunningNumber(name)}
 	b.Side, b.Counts = h.rollouts.local.ChooseSide(name, user, in)
@@ -190,14 +190,14 @@
 }
 
 // SubmissionEnded passes on how a request that counts has ended.
-func (s *requestSides) SubmissionEnded(e admission.Comparison) {
-	x := &(*Node)(s).rollouts
+func (r *requestSides) SubmissionEnded(e admission.Comparison) {
+	x := &(*Node)(r).rollouts
 	end := rollout.Outcome{Side: e.Side, Route: uint32(e.Kind), Tenant: e.Tenant, Backend: uint64(e.Backend),
 		Cause: causeOf(e.Ending, x.answerStatus), Latency: e.Took, WarmingUp: e.WarmingUp}
 	if e.Effectful {
 		end.Kind = rollout.Write
 	}
-	x.local.RecordOutcome(s.catalog.serviceNames[e.Service], e.Number, end)
+	x.local.RecordOutcome(r.catalog.serviceNames[e.Service], e.Number, end)
 }
 
 // causeOf is the table from endings, and the status of the answer where there was one, to causes.
@@ -223,56 +223,56 @@
 	node *Node
 }
 
-func (u *outcomeTap) Ended(txn slots.Ref, nr int, at control.BackendID, o gate.Outcome) {
-	if x := &u.node.rollouts; x.local.HasRollouts() && o.Answer != nil {
-		x.answerStatus = o.Answer.Status()
+func (o *outcomeTap) Ended(txn slots.Ref, nr int, at control.BackendID, outcome gate.Outcome) {
+	if x := &o.node.rollouts; x.local.HasRollouts() && outcome.Answer != nil {
+		x.answerStatus = outcome.Answer.Status()
 	}
-	u.Gate.Ended(txn, nr, at, o)
-	u.node.rollouts.answerStatus = 0
+	o.Gate.Ended(txn, nr, at, outcome)
+	o.node.rollouts.answerStatus = 0
 }
 
 // ---- Reports and the duty
 
 // tickRollouts is the part of the one timer.
-func (h *Node) tickRollouts() {
-	x := &h.rollouts
+func (n *Node) tickRollouts() {
+	x := &n.rollouts
 	if !x.local.HasRollouts() {
 		return
 	}
-	now := h.loop.Now()
-	fresh := h.permitted(permitRefuse)
+	now := n.loop.Now()
+	fresh := n.permitted(permitRefuse)
 	if fresh && !x.caughtUp && now-x.catchUpRequestedAt >= time.Second {
 		x.catchUpRequestedAt = now
-		h.callLeader(ReadRollouts, nil, 0, h.receiveCatchUp)
+		n.callLeader(ReadRollouts, nil, 0, n.receiveCatchUp)
 	}
 	x.local.SetConnected(fresh && x.caughtUp)
 	x.local.Tick(now)
 	for a, ok := x.local.Next(); ok; a, ok = x.local.Next() {
 		switch a := a.(type) {
 		case rollout.SendReport:
-			h.queueReport(a.Report)
+			n.queueReport(a.Report)
 		case rollout.LocalRollback:
-			h.warn(rolloutPart, "%s %d: this node pulls back for itself: %s", a.Service, a.Number, a.Reason)
+			n.warn(rolloutPart, "%s %d: this node pulls back for itself: %s", a.Service, a.Number, a.Reason)
 		}
 	}
-	h.sendReports()
-	h.runRolloutCoordinator()
-	h.updateRolloutAdmission()
+	n.sendReports()
+	n.runRolloutCoordinator()
+	n.updateRolloutAdmission()
 }
 
 // receiveCatchUp: what whoever leads knew when it was asked; this node's own may be of before its last life.
-func (h *Node) receiveCatchUp(status int, body []byte) {
+func (n *Node) receiveCatchUp(status int, body []byte) {
 	var there controlapi.RolloutStatus
-	if status == 200 && json.Unmarshal(body, &there) == nil && h.machine.Rollouts.Rev >= there.Rev {
-		h.rollouts.caughtUp = true
+	if status == 200 && json.Unmarshal(body, &there) == nil && n.machine.Rollouts.Rev >= there.Rev {
+		n.rollouts.caughtUp = true
 	}
 }
 
 // queueReport lays one out to be sent in place of the one before it.
-func (h *Node) queueReport(r rollout.Report) {
-	x := &h.rollouts
+func (n *Node) queueReport(r rollout.Report) {
+	x := &n.rollouts
 	if x.coordinator != nil {
-		h.receiveReport(&RolloutMessage{Seat: h.slot(), Report: &r})
+		n.receiveReport(&RolloutMessage{Seat: n.slot(), Report: &r})
 		return
 	}
 	for i := range x.queuedReports {
@@ -286,73 +286,73 @@
 	}
 }
 
-func (h *Node) sendReports() {
-	x, now := &h.rollouts, h.loop.Now()
+func (n *Node) sendReports() {
+	x, now := &n.rollouts, n.loop.Now()
 	x.reportBudget = min(x.reportBudget+reportBytesPerSecond*(now-x.reportBudgetAt).Seconds(), reportBurstBytes)
 	x.reportBudgetAt = now
 	for len(x.queuedReports) > 0 && x.reportBudget > 0 {
 		r := x.queuedReports[0]
 		x.queuedReports = x.queuedReports[1:]
 		x.reportBudget -= float64(reportOverheadBytes + len(r.Evidence))
-		if to := h.forwardTarget(); to != "" {
-			h.links.Send(to, &Frame{Rollout: &RolloutMessage{Seat: h.slot(), Hops: 1, Report: &r}})
+		if to := n.forwardTarget(); to != "" {
+			n.links.Send(to, &Frame{Rollout: &RolloutMessage{Seat: n.slot(), Hops: 1, Report: &r}})
 		}
 	}
 }
 
 // receiveRolloutMessage takes a report, or the word of a lap, or passes it on.
-func (h *Node) receiveRolloutMessage(from string, w *RolloutMessage) {
+func (n *Node) receiveRolloutMessage(from string, w *RolloutMessage) {
 	switch {
 	case w.Lap != nil:
-		h.rollouts.local.Tick(h.loop.Now())
-		h.rollouts.local.HandleLap(*w.Lap)
-		if h.core != nil {
-			h.sendToFollowers(from, &Frame{Rollout: w})
+		n.rollouts.local.Tick(n.loop.Now())
+		n.rollouts.local.HandleLap(*w.Lap)
+		if n.core != nil {
+			n.sendToFollowers(from, &Frame{Rollout: w})
 		}
 	case w.Report == nil || len(w.Report.Evidence) > maxEvidenceBytes:
-	case h.rollouts.coordinator != nil:
-		h.receiveReport(w)
-	case w.Hops < maxHops && h.core != nil:
-		if to := h.forwardTarget(); to != "" && to != from {
-			h.links.Send(to, &Frame{Rollout: &RolloutMessage{Seat: w.Seat, Hops: w.Hops + 1, Report: w.Report}})
+	case n.rollouts.coordinator != nil:
+		n.receiveReport(w)
+	case w.Hops < maxHops && n.core != nil:
+		if to := n.forwardTarget(); to != "" && to != from {
+			n.links.Send(to, &Frame{Rollout: &RolloutMessage{Seat: w.Seat, Hops: w.Hops + 1, Report: w.Report}})
 		}
 	}
 }
 
-func (h *Node) sendToFollowers(but string, f *Frame) {
-	for addr := range h.learners {
+func (n *Node) sendToFollowers(but string, f *Frame) {
+	for addr := range n.learners {
 		if addr != but {
-			h.links.Send(addr, f)
+			n.links.Send(addr, f)
 		}
 	}
 }
 
-func (h *Node) receiveReport(w *RolloutMessage) {
+func (n *Node) receiveReport(w *RolloutMessage) {
 	if w.Seat == membership.NoSlot {
 		return
 	}
-	h.rollouts.coordinator.Tick(h.loop.Now())
-	if err := h.rollouts.coordinator.HandleReport(rollout.NodeID(w.Seat), *w.Report); err != nil {
-		h.say(rolloutPart, "node %d: %v", w.Seat, err)
+	n.rollouts.coordinator.Tick(n.loop.Now())
+	if err := n.rollouts.coordinator.HandleReport(rollout.NodeID(w.Seat), *w.Report); err != nil {
+		n.say(rolloutPart, "node %d: %v", w.Seat, err)
 	}
 }
 
 // runRolloutCoordinator judges for all while this node leads: the fence is the number of its view.
-func (h *Node) runRolloutCoordinator() {
-	x, now := &h.rollouts, h.loop.Now()
-	if !h.isLeader() {
+func (n *Node) runRolloutCoordinator() {
+	x, now := &n.rollouts, n.loop.Now()
+	if !n.isLeader() {
 		x.coordinator = nil
 		return
 	}
-	if _, view, _ := h.core.replica.Leader(); x.coordinator == nil || x.coordinatorTerm != view {
+	if _, view, _ := n.core.replica.Leader(); x.coordinator == nil || x.coordinatorTerm != view {
 		x.coordinator, x.coordinatorTerm = rollout.NewCoordinator(view, now), view
-		x.coordinator.ApplyState(h.machine.Rollouts)
+		x.coordinator.ApplyState(n.machine.Rollouts)
 		x.backendsRefreshedAt = now - backendsRefreshInterval
 	}
 	if now-x.backendsRefreshedAt >= backendsRefreshInterval {
 		x.backendsRefreshedAt = now
-		x.coordinator.SetNodeCount(h.slotCount)
-		h.updateCoordinatorBackends()
+		x.coordinator.SetNodeCount(n.slotCount)
+		n.updateCoordinatorBackends()
 	}
 	x.coordinator.Tick(now)
 	for a, ok := x.coordinator.Next(); ok; a, ok = x.coordinator.Next() {
@@ -360,48 +360,48 @@
 		case rollout.Propose:
 			e := a.Entry
 			e.At = time.Now().UnixMilli()
-			h.core.propose(statemachine.KindRollout, e.Encode(), func(status int, body []byte) {
+			n.core.propose(statemachine.KindRollout, e.Encode(), func(status int, body []byte) {
 				if status != 200 {
-					h.say(rolloutPart, "%s %d: %s not taken: %s", e.Service, e.Number, e.Verb, body)
+					n.say(rolloutPart, "%s %d: %s not taken: %s", e.Service, e.Number, e.Verb, body)
 				}
 			})
 		case rollout.BroadcastLap:
 			l := a.Lap
 			x.local.HandleLap(l)
 			f := &Frame{Rollout: &RolloutMessage{Lap: &l}}
-			for _, m := range h.core.replica.Members() {
-				if addr := h.memberAddr(m); addr != "" && addr != h.peerAddr {
-					h.links.Send(addr, f)
+			for _, m := range n.core.replica.Members() {
+				if addr := n.memberAddr(m); addr != "" && addr != n.peerAddr {
+					n.links.Send(addr, f)
 				}
 			}
-			h.sendToFollowers("", f)
+			n.sendToFollowers("", f)
 		}
 	}
 }
 
 // updateCoordinatorBackends tells the duty whether there is an old version to go back to, and a service at all.
-func (h *Node) updateCoordinatorBackends() {
-	for i := range h.machine.Rollouts.Runs() {
-		r := &h.machine.Rollouts.Runs()[i]
+func (n *Node) updateCoordinatorBackends() {
+	for i := range n.machine.Rollouts.Runs() {
+		r := &n.machine.Rollouts.Runs()[i]
 		if r.Phase != rollout.Running {
 			continue
 		}
 		old := -1
-		if room := h.rolloutCapacity(&r.Order); room.Old+room.New > 0 {
+		if room := n.rolloutCapacity(&r.Order); room.Old+room.New > 0 {
 			old = room.Old
 		}
-		_, known := h.table.Service(r.Order.Service)
-		h.rollouts.coordinator.SetBaselineBackends(r.Order.Service, old, known || h.table.Version() == 0)
+		_, known := n.table.Service(r.Order.Service)
+		n.rollouts.coordinator.SetBaselineBackends(r.Order.Service, old, known || n.table.Version() == 0)
 	}
 }
 
 // rolloutCapacity is how many requests the ready backends of each version take at a time, and how many there are at the busiest, as
 // far as this node's own tell.
-func (h *Node) rolloutCapacity(o *rollout.Spec) (m rollout.Capacity) {
-	if h.registry == nil {
+func (n *Node) rolloutCapacity(o *rollout.Spec) (m rollout.Capacity) {
+	if n.registry == nil {
 		return m
 	}
-	for _, w := range h.registry.Backends() {
+	for _, w := range n.registry.Backends() {
 		switch {
 		case w.Service != o.Service || w.Phase != registry.Ready:
 		case w.Generation == o.New:
@@ -410,13 +410,13 @@
 			m.Old += max(w.Capacity, 1)
 		}
 	}
-	m.Busy = int(math.Ceil(h.admission.PeakConcurrency(h.catalog.serviceID(o.Service)) * float64(max(h.slotCount, 1))))
+	m.Busy = int(math.Ceil(n.admission.PeakConcurrency(n.catalog.serviceID(o.Service)) * float64(max(n.slotCount, 1))))
 	return m
 }
 
 // prepareEntry is an operator's entry as whoever leads puts it into the log: with what the duty has counted until now. An order that
 // would be taken, but names what is not in the configuration, is refused here, since another node may not know the newest.
-func (h *Node) prepareEntry(k statemachine.Kind, body []byte) ([]byte, error) {
+func (n *Node) prepareEntry(k statemachine.Kind, body []byte) ([]byte, error) {
 	if k != statemachine.KindRollout {
 		return body, nil
 	}
@@ -425,16 +425,16 @@
 		return nil, err
 	}
 	if e.Order != nil { // whoever took the call may know of fewer backends
-		here := h.rolloutCapacity(e.Order)
+		here := n.rolloutCapacity(e.Order)
 		e.Room.Old, e.Room.New = max(e.Room.Old, here.Old), max(e.Room.New, here.New)
 	}
-	if v, _ := h.machine.Rollouts.Decide(e); v == routing.Taken && e.Order != nil {
-		if err := h.checkKnown(e.Order); err != nil {
+	if v, _ := n.machine.Rollouts.Decide(e); v == routing.Taken && e.Order != nil {
+		if err := n.checkKnown(e.Order); err != nil {
 			return nil, err
 		}
 	}
-	if h.rollouts.coordinator != nil {
-		e.Counts, _ = h.rollouts.coordinator.Counts(e.Service)
+	if n.rollouts.coordinator != nil {
+		e.Counts, _ = n.rollouts.coordinator.Counts(e.Service)
 	}
 	return e.Encode(), nil
 }
--- a/internal/gateway/node/rollout_test.go
+++ b/internal/gateway/node/rollout_test.go
@@ -17,7 +17,7 @@
 )
 
 // startBackend answers for a version, and beats once: the interval is long.
-func (d *testCluster) startBackend(id, version string, fails *atomic.Bool) {
+func (t *testCluster) startBackend(id, version string, fails *atomic.Bool) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
 		w.Header().Set("X-Version", version)
@@ -28,24 +28,24 @@
 		w.Header().Set("X-Backend-Seal", "s")
 	}))
 	s.Config.ErrorLog = nil
-	d.t.Cleanup(s.Close)
-	d.callUntilClear(0, 200, "POST", "/api/Backends.Heartbeat/"+id, fmt.Sprintf(`{"target":"s","address":%q,"zone":"z",
+	t.t.Cleanup(s.Close)
+	t.callUntilClear(0, 200, "POST", "/api/Backends.Heartbeat/"+id, fmt.Sprintf(`{"target":"s","address":%q,"zone":"z",
 "generation":%q,"capacity":100,"phase":"ready","call_seq":1}`, strings.TrimPrefix(s.URL, "http://"), version))
 }
 
 var attempts atomic.Int64
 
 // request sends a client's request to a node and gives the version that answered, "" if none did.
-func (d *testCluster) request(i int, method, key, mark string) (version string) {
-	r, err := http.NewRequest(method, "http://"+d.settings[i].Bind.Front+map[string]string{"GET": "/r/", "POST": "/w/"}[method], nil)
-	must.NoError(d.t, err)
+func (t *testCluster) request(i int, method, key, mark string) (version string) {
+	r, err := http.NewRequest(method, "http://"+t.settings[i].Bind.Front+map[string]string{"GET": "/r/", "POST": "/w/"}[method], nil)
+	must.NoError(t.t, err)
 	r.Host = "h.example"
 	r.Header.Set("Authorization", "Token "+key)
 	r.Header.Set("X-Attempt-Id", fmt.Sprint("a-", attempts.Add(1)))
 	if mark != "" {
 		r.Header.Set("X-Client-Mark", mark)
 	}
-	a, err := d.http.Do(r)
+	a, err := t.http.Do(r)
 	if err != nil {
 		return ""
 	}
@@ -53,9 +53,9 @@
 	return a.Header.Get("X-Version")
 }
 
-func (d *testCluster) rolloutStatus(i int) (r controlapi.RolloutRun) {
+func (t *testCluster) rolloutStatus(i int) (r controlapi.RolloutRun) {
 	var s controlapi.RolloutStatus
-	_, text := d.call(i, "GET", "/api/Rollout.Status", "")
+	_, text := t.call(i, "GET", "/api/Rollout.Status", "")
 	if json.Unmarshal([]byte(text), &s); len(s.Rollouts) > 0 {
 		r = s.Rollouts[0]
 	}
@@ -63,16 +63,16 @@
 }
 
 // localShare is a node's own share, and whether it has made sure of what it knows in this life.
-func (d *testCluster) localShare(i int) (share int, touched bool) {
-	h := d.running[i]
+func (t *testCluster) localShare(i int) (share int, touched bool) {
+	h := t.running[i]
 	h.loop.Turn(func() { share, touched = h.rollouts.local.Share("s"), h.rollouts.caughtUp })
 	return share, touched
 }
 
-func (d *testCluster) awaitShare(want int) {
-	d.t.Helper()
-	for i := range d.running {
-		d.eventually(fmt.Sprint("share ", want, " at ", i), func() bool { share, _ := d.localShare(i); return share == want })
+func (t *testCluster) awaitShare(want int) {
+	t.t.Helper()
+	for i := range t.running {
+		t.eventually(fmt.Sprint("share ", want, " at ", i), func() bool { share, _ := t.localShare(i); return share == want })
 	}
 }
 
--- a/internal/gateway/node/versions_test.go
+++ b/internal/gateway/node/versions_test.go
@@ -194,8 +194,8 @@
 }
 
 func (receivedFrames) PeerConnected(string)               {}
-func (x receivedFrames) FrameReceived(_ string, f *Frame) { x.frames <- f }
-func (x receivedFrames) LinkUp(to string)                 { x.linksUp <- to }
+func (r receivedFrames) FrameReceived(_ string, f *Frame) { r.frames <- f }
+func (r receivedFrames) LinkUp(to string)                 { r.linksUp <- to }
 func (receivedFrames) LinkDown(string)                    {}
 
 func startMesh(t *testing.T, x receivedFrames) *transport.Mesh[Frame] {
--- a/internal/gateway/outlier/duty.go
+++ b/internal/gateway/outlier/duty.go
@@ -93,88 +93,88 @@
 }
 
 // SetNodeCount says how many live.
-func (d *Coordinator) SetNodeCount(n int) { d.nodeCount = max(n, 1) }
+func (c *Coordinator) SetNodeCount(n int) { c.nodeCount = max(n, 1) }
 
 // ApplyState takes the state after an entry, or after a snapshot without one; the host changes it in the same turn only.
-func (d *Coordinator) ApplyState(s *State, e *Entry) {
-	d.state = s
+func (c *Coordinator) ApplyState(s *State, e *Entry) {
+	c.state = s
 	if e != nil && e.Verb != SetSettings && e.Verb != Forget {
-		d.recoveries[e.Key] = &recovery{revision: s.revision(e.Key), since: d.now, proposedAt: -retryInterval}
+		c.recoveries[e.Key] = &recovery{revision: s.revision(e.Key), since: c.now, proposedAt: -retryInterval}
 		return
 	}
 	for i := range s.Ejections() {
-		if c := &s.Ejections()[i]; d.recoveries[c.Key] == nil {
-			d.recoveries[c.Key] = &recovery{revision: c.Rev, since: d.now, proposedAt: -retryInterval}
+		if ejection := &s.Ejections()[i]; c.recoveries[ejection.Key] == nil {
+			c.recoveries[ejection.Key] = &recovery{revision: ejection.Rev, since: c.now, proposedAt: -retryInterval}
 		}
 	}
-	maps.DeleteFunc(d.recoveries, func(k Key, _ *recovery) bool { return s.Ejection(k) == nil })
+	maps.DeleteFunc(c.recoveries, func(k Key, _ *recovery) bool { return s.Ejection(k) == nil })
 }
 
 // SetBackend takes what the registry tells of a backend.
-func (d *Coordinator) SetBackend(l Backend) {
-	if d.backends[l.ID] = l; l.Phase == Gone {
+func (c *Coordinator) SetBackend(l Backend) {
+	if c.backends[l.ID] = l; l.Phase == Gone {
 		for m := range modeCount {
-			delete(d.evidence, Key{l.ID, m})
+			delete(c.evidence, Key{l.ID, m})
 		}
-		if !slices.ContainsFunc(d.state.Ejections(), func(c Ejection) bool { return c.ID == l.ID }) {
-			delete(d.backends, l.ID)
+		if !slices.ContainsFunc(c.state.Ejections(), func(ejection Ejection) bool { return ejection.ID == l.ID }) {
+			delete(c.backends, l.ID)
 		}
 	}
 }
 
 // HandleReport takes a report.
-func (d *Coordinator) HandleReport(from Slot, r Report) {
+func (c *Coordinator) HandleReport(from Slot, r Report) {
 	for _, f := range r.Observations {
-		l, ok := d.backends[f.ID]
-		if !ok || l.Phase != Ready || !f.valid() || !d.state.Enabled() {
+		l, ok := c.backends[f.ID]
+		if !ok || l.Phase != Ready || !f.valid() || !c.state.Enabled() {
 			continue
 		}
-		x := d.evidence[f.Key]
+		x := c.evidence[f.Key]
 		if x == nil {
-			if len(d.evidence) >= maxObservedKeys {
+			if len(c.evidence) >= maxObservedKeys {
 				continue
 			}
 			x = &keyEvidence{byWitness: map[Slot]*receivedObservation{}, losses: map[Slot]confirmedLoss{}, requestedAt: -retryInterval, proposedAt: -retryInterval}
-			d.evidence[f.Key] = x
+			c.evidence[f.Key] = x
 		}
 		if t := x.byWitness[from]; t != nil && t.incarnation == r.Incarnation && t.seq >= r.Seq {
 			continue
 		}
-		x.byWitness[from], x.changed = &receivedObservation{f, r.Zone, r.Incarnation, r.Seq, r.SelfDoubt, d.now}, true
+		x.byWitness[from], x.changed = &receivedObservation{f, r.Zone, r.Incarnation, r.Seq, r.SelfDoubt, c.now}, true
 	}
 }
 
 // Tick sets the clock and judges what is new.
-func (d *Coordinator) Tick(now time.Duration) {
-	d.now = max(d.now, now)
-	if !d.state.Enabled() {
+func (c *Coordinator) Tick(now time.Duration) {
+	c.now = max(c.now, now)
+	if !c.state.Enabled() {
 		return
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(d.evidence), Key.compare) {
-		x := d.evidence[k]
+	for _, k := range slices.SortedFunc(maps.Keys(c.evidence), Key.compare) {
+		x := c.evidence[k]
 		if x.changed {
 			x.changed = false
-			d.evaluate(k, x)
+			c.evaluate(k, x)
 		}
-		if !d.hasFreshEvidence(x) {
-			delete(d.evidence, k)
+		if !c.hasFreshEvidence(x) {
+			delete(c.evidence, k)
 		}
 	}
-	for len(d.requestKeys) > 0 {
-		n := min(len(d.requestKeys), maxObservations)
-		d.push(BroadcastRequest{ReportRequest{d.requestKeys[:n:n]}})
-		d.requestKeys = d.requestKeys[n:]
+	for len(c.requestKeys) > 0 {
+		n := min(len(c.requestKeys), maxObservations)
+		c.push(BroadcastRequest{ReportRequest{c.requestKeys[:n:n]}})
+		c.requestKeys = c.requestKeys[n:]
 	}
-	for i := range d.state.Ejections() {
-		d.advanceRecovery(&d.state.Ejections()[i])
+	for i := range c.state.Ejections() {
+		c.advanceRecovery(&c.state.Ejections()[i])
 	}
-	d.forgetGone()
+	c.forgetGone()
 }
 
 // hasFreshEvidence tells whether anything of a dossier may still count.
-func (d *Coordinator) hasFreshEvidence(x *keyEvidence) bool {
+func (c *Coordinator) hasFreshEvidence(x *keyEvidence) bool {
 	for _, t := range x.byWitness {
-		if d.now-t.receivedAt <= evidenceTTL {
+		if c.now-t.receivedAt <= evidenceTTL {
 			return true
 		}
 	}
@@ -189,14 +189,14 @@
 )
 
 // evaluate holds what all nodes have of a key against the three rules.
-func (d *Coordinator) evaluate(k Key, x *keyEvidence) {
-	l, c := d.backends[k.ID], d.state.Ejection(k)
-	if l.Phase != Ready || c != nil && c.Step == Ejected {
+func (c *Coordinator) evaluate(k Key, x *keyEvidence) {
+	l, ejection := c.backends[k.ID], c.state.Ejection(k)
+	if l.Phase != Ready || ejection != nil && ejection.Step == Ejected {
 		return
 	}
-	rev, back, mute := d.state.revision(k), c != nil && c.Step != InService, membership.NoSlot
+	rev, back, mute := c.state.revision(k), ejection != nil && ejection.Step != InService, membership.NoSlot
 	if back {
-		mute = c.SoleWitness // whoever alone had it out has no say on its way back
+		mute = ejection.SoleWitness // whoever alone had it out has no say on its way back
 	}
 	var proofs []Slot
 	doubt := false
@@ -209,24 +209,24 @@
 		}
 		proof := false
 		for _, p := range t.Evidence {
-			if p.Age+d.now-t.receivedAt <= evidenceTTL {
+			if p.Age+c.now-t.receivedAt <= evidenceTTL {
 				proof, pieces = proof || weights[p.Kind][k.Mode] == Conclusive, append(pieces, p)
 			}
 		}
 		if proof {
 			proofs, doubt = append(proofs, s), doubt || t.selfDoubt
 		}
-		if d.now-t.receivedAt <= freshWindow {
+		if c.now-t.receivedAt <= freshWindow {
 			if all.add(t.Window); t.Window.Failing > most.Failing {
 				most = t.Window
 			}
 		}
 	}
-	if d.nodeCount == 1 {
+	if c.nodeCount == 1 {
 		most = Window{}
 	}
-	halves, sure := d.confirmedLosses(k, x, rev, mute)
-	links := len(halves) > 0 && (len(halves)+len(proofs) > 1 || back) && sure && d.requestAnswered(k, x) && d.seenInZone(x, l, rev, halves)
+	halves, sure := c.confirmedLosses(k, x, rev, mute)
+	links := len(halves) > 0 && (len(halves)+len(proofs) > 1 || back) && sure && c.requestAnswered(k, x) && c.seenInZone(x, l, rev, halves)
 	both, suffice := slices.Clone(proofs), len(proofs)
 	for _, s := range halves {
 		if links && !slices.Contains(proofs, s) {
@@ -236,65 +236,65 @@
 	if doubt {
 		suffice = 0
 	}
-	if len(proofs) > 0 && d.proposeEjection(k, x, ruleConclusive, both, suffice, pieces, all) {
+	if len(proofs) > 0 && c.proposeEjection(k, x, ruleConclusive, both, suffice, pieces, all) {
 		return
 	}
 	suffice = 0
 	if back { // in a trickle one that is lost is enough
 		suffice = len(halves)
 	}
-	if links && d.proposeEjection(k, x, ruleLost, halves, suffice, pieces, all) {
+	if links && c.proposeEjection(k, x, ruleLost, halves, suffice, pieces, all) {
 		return
 	}
-	if w := all.sub(most); w.Failing >= minFailuresToAsk && w.failureRate() >= doubtRate[k.Mode] && d.requestAnswered(k, x) {
-		if slots, ok := d.exceedsRate(k, x, rev, mute, all); ok {
+	if w := all.sub(most); w.Failing >= minFailuresToAsk && w.failureRate() >= doubtRate[k.Mode] && c.requestAnswered(k, x) {
+		if slots, ok := c.exceedsRate(k, x, rev, mute, all); ok {
 			suffice = 0
-			if d.nodeCount == 1 {
+			if c.nodeCount == 1 {
 				suffice = 1
 			}
-			d.proposeEjection(k, x, ruleRate, slots, suffice, pieces, all)
+			c.proposeEjection(k, x, ruleRate, slots, suffice, pieces, all)
 		}
 	}
 }
 
 // requestAnswered asks all nodes about a key, and tells whether enough have answered.
-func (d *Coordinator) requestAnswered(k Key, x *keyEvidence) bool {
+func (c *Coordinator) requestAnswered(k Key, x *keyEvidence) bool {
 	n := 0
 	for _, t := range x.byWitness {
 		if t.receivedAt >= x.requestedAt {
 			n++
 		}
 	}
-	since := d.now - x.requestedAt
-	if since < retryInterval && (4*n >= 3*d.nodeCount || 2*n >= d.nodeCount && since >= quorumWait) {
+	since := c.now - x.requestedAt
+	if since < retryInterval && (4*n >= 3*c.nodeCount || 2*n >= c.nodeCount && since >= quorumWait) {
 		return true
 	}
 	x.changed = true
 	if since >= retryInterval {
-		x.requestedAt = d.now
-		d.requestKeys = append(d.requestKeys, k)
+		x.requestedAt = c.now
+		c.requestKeys = append(c.requestKeys, k)
 	}
 	return false
 }
 
 // seenInZone tells whether one of the witnesses is in the backend's zone, or nobody there has had an end of it: links from
 // elsewhere may be bad.
-func (d *Coordinator) seenInZone(x *keyEvidence, l Backend, rev uint64, slots []Slot) bool {
+func (c *Coordinator) seenInZone(x *keyEvidence, l Backend, rev uint64, slots []Slot) bool {
 	local := false
 	for s, t := range x.byWitness {
 		if t.zone == l.Zone && slices.Contains(slots, s) {
 			return true
 		}
-		local = local || t.zone == l.Zone && t.Rev == rev && d.now-t.receivedAt <= freshWindow && t.Window.total() > 0
+		local = local || t.zone == l.Zone && t.Rev == rev && c.now-t.receivedAt <= freshWindow && t.Window.total() > 0
 	}
 	return !local
 }
 
 // confirmsLoss tells a lost answer from a late one: in the second half of its time others came, in a small part of it, and not
 // by one node's word.
-func (x *keyEvidence) confirmsLoss(rev uint64, p Evidence, at time.Duration, nodes int) bool {
+func (k *keyEvidence) confirmsLoss(rev uint64, p Evidence, at time.Duration, nodes int) bool {
 	var all, most Window
-	for _, t := range x.byWitness {
+	for _, t := range k.byWitness {
 		var sum Window
 		for i, w := range t.Slots {
 			to := t.receivedAt - t.SlotAge - time.Duration(i)*slotDuration
@@ -313,7 +313,7 @@
 }
 
 // confirmedLosses are the witnesses of halves that others bear out; false where that is still asked.
-func (d *Coordinator) confirmedLosses(k Key, x *keyEvidence, rev uint64, mute Slot) (slots []Slot, sure bool) {
+func (c *Coordinator) confirmedLosses(k Key, x *keyEvidence, rev uint64, mute Slot) (slots []Slot, sure bool) {
 	sure = true
 	for _, s := range slices.Sorted(maps.Keys(x.byWitness)) {
 		t := x.byWitness[s]
@@ -322,16 +322,16 @@
 		}
 		for _, p := range t.Evidence {
 			at := t.receivedAt - p.Age
-			if weights[p.Kind][k.Mode] != Partial || x.losses[s].revision == rev && x.losses[s].observedAt >= at-slotDuration || d.now-at > lossConfirmTimeout {
+			if weights[p.Kind][k.Mode] != Partial || x.losses[s].revision == rev && x.losses[s].observedAt >= at-slotDuration || c.now-at > lossConfirmTimeout {
 				continue
 			}
-			if p.Kind == LostAnswer && !d.requestAnswered(k, x) {
+			if p.Kind == LostAnswer && !c.requestAnswered(k, x) {
 				sure = false
-			} else if p.Kind == ConnectionReset || x.confirmsLoss(rev, p, at, d.nodeCount) {
+			} else if p.Kind == ConnectionReset || x.confirmsLoss(rev, p, at, c.nodeCount) {
 				x.losses[s] = confirmedLoss{rev, at}
 			}
 		}
-		if o, ok := x.losses[s]; ok && o.revision == rev && d.now-o.observedAt <= evidenceTTL {
+		if o, ok := x.losses[s]; ok && o.revision == rev && c.now-o.observedAt <= evidenceTTL {
 			slots = append(slots, s)
 		}
 	}
@@ -339,21 +339,21 @@
 }
 
 // exceedsRate holds the failing share against the rest's, without any one node.
-func (d *Coordinator) exceedsRate(k Key, x *keyEvidence, rev uint64, mute Slot, all Window) (slots []Slot, is bool) {
+func (c *Coordinator) exceedsRate(k Key, x *keyEvidence, rev uint64, mute Slot, all Window) (slots []Slot, is bool) {
 	var rest Window
 	by := map[Slot]Window{} // what each node has of the rest
 	for s, t := range x.byWitness {
-		if d.now-t.receivedAt <= freshWindow {
+		if c.now-t.receivedAt <= freshWindow {
 			by[s] = t.ServiceWindow
 		}
 	}
-	for o, y := range d.evidence { // those that are in doubt themselves are no rest
-		if o.Mode != k.Mode || d.backends[o.ID].Service != d.backends[k.ID].Service {
+	for o, y := range c.evidence { // those that are in doubt themselves are no rest
+		if o.Mode != k.Mode || c.backends[o.ID].Service != c.backends[k.ID].Service {
 			continue
 		}
 		var w Window
 		for _, t := range y.byWitness {
-			if d.now-t.receivedAt <= freshWindow {
+			if c.now-t.receivedAt <= freshWindow {
 				w.add(t.Window)
 			}
 		}
@@ -361,7 +361,7 @@
 			continue
 		}
 		for s, t := range y.byWitness {
-			if d.now-t.receivedAt <= freshWindow {
+			if c.now-t.receivedAt <= freshWindow {
 				by[s] = by[s].sub(t.Window)
 			}
 		}
@@ -380,7 +380,7 @@
 		return nil, false
 	}
 	for s, t := range x.byWitness {
-		if d.now-t.receivedAt > freshWindow {
+		if c.now-t.receivedAt > freshWindow {
 			continue
 		}
 		w := all
@@ -390,7 +390,7 @@
 				slots = append(slots, s)
 			}
 		}
-		if d.nodeCount > 1 && !sick(w, rest.sub(by[s])) {
+		if c.nodeCount > 1 && !sick(w, rest.sub(by[s])) {
 			return nil, false
 		}
 	}
@@ -401,28 +401,28 @@
 }
 
 // proposeEjection proposes a verdict; false where the state would not take it.
-func (d *Coordinator) proposeEjection(k Key, x *keyEvidence, rule string, slots []Slot, suffice int, pieces []Evidence, all Window) bool {
-	l := d.backends[k.ID]
+func (c *Coordinator) proposeEjection(k Key, x *keyEvidence, rule string, slots []Slot, suffice int, pieces []Evidence, all Window) bool {
+	l := c.backends[k.ID]
 	backs := 0
-	for _, o := range d.backends {
+	for _, o := range c.backends {
 		if o.Service == l.Service && o.Phase == Ready {
 			backs++
 		}
 	}
-	e := Entry{Verb: Eject, Revision: d.state.revision(k), Key: k, Service: l.Service, Witnesses: slots[:min(len(slots), maxNamedWitnesses)],
+	e := Entry{Verb: Eject, Revision: c.state.revision(k), Key: k, Service: l.Service, Witnesses: slots[:min(len(slots), maxNamedWitnesses)],
 		SufficientAlone: suffice, ReadyBackends: backs, Score: int(1000 * all.failureRate()), Reason: rule + ": " + describeEvidence(pieces, all)}
-	return d.propose(e, &x.proposedAt)
+	return c.propose(e, &x.proposedAt)
 }
 
 // propose puts an entry forward if the state would take it now, and again where it does not come back.
-func (d *Coordinator) propose(e Entry, said *time.Duration) bool {
-	e.Author, e.FencingToken = "duty", d.fencingToken
-	if v, _ := d.state.Decide(&e); v != routing.Taken {
+func (c *Coordinator) propose(e Entry, said *time.Duration) bool {
+	e.Author, e.FencingToken = "duty", c.fencingToken
+	if v, _ := c.state.Decide(&e); v != routing.Taken {
 		return false
 	}
-	if d.now-*said >= retryInterval {
-		*said = d.now
-		d.push(Propose{e})
+	if c.now-*said >= retryInterval {
+		*said = c.now
+		c.push(Propose{e})
 	}
 	return true
 }
@@ -433,69 +433,69 @@
 }
 
 // requiredAnswers is what a step asks for, in clean ends; a probe counts for two reads where a service has none.
-func (c *Ejection) requiredAnswers() uint32 {
-	if c.Step == LimitedWrites {
-		return readmitWrites << min(c.Repeats, maxWriteDoublings)
+func (e *Ejection) requiredAnswers() uint32 {
+	if e.Step == LimitedWrites {
+		return readmitWrites << min(e.Repeats, maxWriteDoublings)
 	}
 	return readmitReads
 }
 
 // advanceRecovery takes a case one step on where what is asked for has come, from several nodes: one alone may lie.
-func (d *Coordinator) advanceRecovery(c *Ejection) {
-	w, l := d.recoveries[c.Key], d.backends[c.ID]
-	if c.Step == InService || w == nil || l.ID == "" || l.Phase != Ready {
+func (c *Coordinator) advanceRecovery(ejection *Ejection) {
+	w, l := c.recoveries[ejection.Key], c.backends[ejection.ID]
+	if ejection.Step == InService || w == nil || l.ID == "" || l.Phase != Ready {
 		return
 	}
 	var sum Totals
 	worst := uint32(0) // what the one node says that says most: one alone may lie
-	if x := d.evidence[c.Key]; x != nil {
-		most := c.requiredAnswers()/min(uint32(d.nodeCount), readmitNodes) + 1
+	if x := c.evidence[ejection.Key]; x != nil {
+		most := ejection.requiredAnswers()/min(uint32(c.nodeCount), readmitNodes) + 1
 		for _, t := range x.byWitness {
-			if t.Rev == c.Rev {
+			if t.Rev == ejection.Rev {
 				sum.add(Totals{Clean: min(t.Clean, most), Failing: t.Failing, Reads: min(t.Reads, most), Probes: t.Probes})
 				worst = max(worst, t.Failing)
 			}
 		}
 	}
-	if d.nodeCount > 1 {
+	if c.nodeCount > 1 {
 		sum.Failing -= worst
 	}
-	e := Entry{Verb: StepUp, Revision: c.Rev, Key: c.Key, Service: c.Service,
+	e := Entry{Verb: StepUp, Revision: ejection.Rev, Key: ejection.Key, Service: ejection.Service,
 		Reason: fmt.Sprintf("%d clean ends, %d failing, %d clean reads, %d probes", sum.Clean, sum.Failing, sum.Reads, sum.Probes)}
-	if c.Step.next(c.Mode) == InService {
+	if ejection.Step.next(ejection.Mode) == InService {
 		e.Verb = Readmit
 	}
 	ready := false
 	switch {
-	case c.Step == Ejected:
-		ready = d.now-w.since >= ejectionTime(d.state, c) && sum.Probes >= readmitProbes
-	case c.Step == ReadsOnly && c.Mode == Strict:
-		ready = sum.Reads+2*sum.Probes >= c.requiredAnswers()
+	case ejection.Step == Ejected:
+		ready = c.now-w.since >= ejectionTime(c.state, ejection) && sum.Probes >= readmitProbes
+	case ejection.Step == ReadsOnly && ejection.Mode == Strict:
+		ready = sum.Reads+2*sum.Probes >= ejection.requiredAnswers()
 	default:
-		ready = sum.Clean >= c.requiredAnswers()+failurePenalty*sum.Failing
+		ready = sum.Clean >= ejection.requiredAnswers()+failurePenalty*sum.Failing
 	}
 	if ready {
-		d.propose(e, &w.proposedAt)
+		c.propose(e, &w.proposedAt)
 	}
 }
 
 // forgetGone drops the cases of lives that are gone, or that no registry has known for long.
-func (d *Coordinator) forgetGone() {
-	if d.now-d.forgotAt < retryInterval {
+func (c *Coordinator) forgetGone() {
+	if c.now-c.forgotAt < retryInterval {
 		return
 	}
 	var gone []InstanceID
-	for i := range d.state.Ejections() {
-		id := d.state.Ejections()[i].ID
-		l, known := d.backends[id]
-		if (known && l.Phase == Gone || !known && d.now-d.startedAt > unknownTTL) && !slices.Contains(gone, id) {
+	for i := range c.state.Ejections() {
+		id := c.state.Ejections()[i].ID
+		l, known := c.backends[id]
+		if (known && l.Phase == Gone || !known && c.now-c.startedAt > unknownTTL) && !slices.Contains(gone, id) {
 			gone = append(gone, id)
 		}
 	}
 	if len(gone) > 0 {
-		d.propose(Entry{Verb: Forget, GoneInstances: gone}, &d.forgotAt)
+		c.propose(Entry{Verb: Forget, GoneInstances: gone}, &c.forgotAt)
 	}
-	maps.DeleteFunc(d.backends, func(id InstanceID, l Backend) bool {
-		return l.Phase == Gone && d.state.Ejection(Key{id, Strict}) == nil && d.state.Ejection(Key{id, Patient}) == nil
+	maps.DeleteFunc(c.backends, func(id InstanceID, l Backend) bool {
+		return l.Phase == Gone && c.state.Ejection(Key{id, Strict}) == nil && c.state.Ejection(Key{id, Patient}) == nil
 	})
 }
--- a/internal/gateway/outlier/outlier.go
+++ b/internal/gateway/outlier/outlier.go
@@ -67,7 +67,7 @@
 
 var evidenceNames = [evidenceKinds]string{"none", "clean", "failed", "lost", "reset", "unsealed", "stray", "second", "stranger"}
 
-func (k EvidenceKind) String() string { return evidenceNames[k] }
+func (e EvidenceKind) String() string { return evidenceNames[e] }
 
 // Weight is what a piece of evidence is worth.
 type Weight uint8
@@ -102,27 +102,27 @@
 
 // Evidence tells what it is evidence of. A backend resets fresh connections that are too many for it, and what is late but
 // comes is only slow.
-func (s AttemptEnd) Evidence() EvidenceKind {
+func (a AttemptEnd) Evidence() EvidenceKind {
 	switch {
-	case s.NodeStalled:
+	case a.NodeStalled:
 		return NoEvidence
-	case s.Ending == control.Succeeded:
+	case a.Ending == control.Succeeded:
 		return CleanAnswer
-	case s.Malformed && (s.Ending == control.Errored || s.Ending == control.ConnectionLost):
+	case a.Malformed && (a.Ending == control.Errored || a.Ending == control.ConnectionLost):
 		return MalformedAnswer
-	case s.Ending == control.Errored:
+	case a.Ending == control.Errored:
 		return ServerError
-	case s.Ending == control.ConnectionLost && (s.PartialAnswer || !s.FreshConnection):
+	case a.Ending == control.ConnectionLost && (a.PartialAnswer || !a.FreshConnection):
 		return ConnectionReset
-	case s.Ending == control.TimedOut && !s.PartialAnswer:
+	case a.Ending == control.TimedOut && !a.PartialAnswer:
 		return LostAnswer
 	}
 	return NoEvidence
 }
 
 // pathWorked tells that the way to the backend and back was whole.
-func (s AttemptEnd) pathWorked() bool {
-	return s.PartialAnswer || s.Malformed || s.Ending == control.Succeeded || s.Ending == control.Errored || s.Ending == control.Rejected
+func (a AttemptEnd) pathWorked() bool {
+	return a.PartialAnswer || a.Malformed || a.Ending == control.Succeeded || a.Ending == control.Errored || a.Ending == control.Rejected
 }
 
 // Phase of a life, as the registry has it.
@@ -198,36 +198,36 @@
 	newestSlot time.Duration // of the newest
 }
 
-func (r *slidingWindow) slotAt(now time.Duration) *Window {
+func (s *slidingWindow) slotAt(now time.Duration) *Window {
 	nr := now / slotDuration
-	for i := max(r.newestSlot+1, nr-windowSlots+1); i <= nr; i++ {
-		r.slots[i%windowSlots] = Window{}
+	for i := max(s.newestSlot+1, nr-windowSlots+1); i <= nr; i++ {
+		s.slots[i%windowSlots] = Window{}
 	}
-	r.newestSlot = max(r.newestSlot, nr)
-	return &r.slots[r.newestSlot%windowSlots]
+	s.newestSlot = max(s.newestSlot, nr)
+	return &s.slots[s.newestSlot%windowSlots]
 }
 
-func (r *slidingWindow) sum(now time.Duration) (w Window) {
-	r.slotAt(now)
-	for _, s := range r.slots {
-		w.add(s)
+func (s *slidingWindow) sum(now time.Duration) (w Window) {
+	s.slotAt(now)
+	for _, window := range s.slots {
+		w.add(window)
 	}
 	return w
 }
 
 // completedSlots are the last whole slots, the newest first.
-func (r *slidingWindow) completedSlots(now time.Duration) (list []Window) {
-	r.slotAt(now)
-	for i := range min(maxReportedSlots, r.newestSlot) {
-		list = append(list, r.slots[(r.newestSlot-1-i)%windowSlots])
+func (s *slidingWindow) completedSlots(now time.Duration) (list []Window) {
+	s.slotAt(now)
+	for i := range min(maxReportedSlots, s.newestSlot) {
+		list = append(list, s.slots[(s.newestSlot-1-i)%windowSlots])
 	}
 	return list
 }
 
 // valid tells that a file is one that a node may have written.
-func (f *Observation) valid() bool {
-	return f.Mode < modeCount && len(f.Slots) <= maxReportedSlots && len(f.Evidence) <= maxEvidence &&
-		!slices.ContainsFunc(f.Evidence, func(p Evidence) bool { return p.Kind >= evidenceKinds || p.Age < 0 || p.Timeout < 0 })
+func (o *Observation) valid() bool {
+	return o.Mode < modeCount && len(o.Slots) <= maxReportedSlots && len(o.Evidence) <= maxEvidence &&
+		!slices.ContainsFunc(o.Evidence, func(p Evidence) bool { return p.Kind >= evidenceKinds || p.Age < 0 || p.Timeout < 0 })
 }
 
 // Observation is what one node has of a key: sums and the pieces that still count. The newest stands for all before it, so it
@@ -250,11 +250,11 @@
 	Probes         uint32 // clean ones in a row
 }
 
-func (s *Totals) add(o Totals) {
-	s.Clean += o.Clean
-	s.Failing += o.Failing
-	s.Reads += o.Reads
-	s.Probes += o.Probes
+func (t *Totals) add(o Totals) {
+	t.Clean += o.Clean
+	t.Failing += o.Failing
+	t.Reads += o.Reads
+	t.Probes += o.Probes
 }
 
 // Report goes to the node with the duty; it may be lost.
@@ -309,16 +309,16 @@
 // actionQueue is what the host has not pulled yet.
 type actionQueue struct{ actions []Action }
 
-func (q *actionQueue) push(a Action) { q.actions = append(q.actions, a) }
+func (a *actionQueue) push(action Action) { a.actions = append(a.actions, action) }
 
 // Next gives the next thing to do now, or false when there is none.
-func (q *actionQueue) Next() (Action, bool) {
-	if len(q.actions) == 0 {
+func (a *actionQueue) Next() (Action, bool) {
+	if len(a.actions) == 0 {
 		return nil, false
 	}
-	a := q.actions[0]
-	q.actions = q.actions[1:]
-	return a, true
+	action := a.actions[0]
+	a.actions = a.actions[1:]
+	return action, true
 }
 
 // describeEvidence of a list of pieces, by kind.
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -49,11 +49,11 @@
 }
 
 // access is what a case lets through in its own manner.
-func (c *Ejection) access() Access {
+func (e *Ejection) access() Access {
 	switch {
-	case c.Step == InService:
+	case e.Step == InService:
 		return Open
-	case c.Step == LimitedWrites || c.Step == ReadsOnly && c.Mode == Patient:
+	case e.Step == LimitedWrites || e.Step == ReadsOnly && e.Mode == Patient:
 		return Limited
 	}
 	return Closed
--- a/internal/gateway/registry/ends_test.go
+++ b/internal/gateway/registry/ends_test.go
@@ -8,16 +8,16 @@
 )
 
 // partition cuts two nodes from each other, both ways.
-func (tr *fleet) partition(a, b Slot) {
-	tr.partitioned[[2]Slot{a, b}], tr.partitioned[[2]Slot{b, a}] = true, true
+func (f *fleet) partition(a, b Slot) {
+	f.partitioned[[2]Slot{a, b}], f.partitioned[[2]Slot{b, a}] = true, true
 }
 
 // drain has a backend say at a node that it leaves, and gives the answer, if there is one at once.
-func (tr *fleet) drain(s *backend, at Slot) (a Acknowledge, answered bool) {
+func (f *fleet) drain(s *backend, at Slot) (a Acknowledge, answered bool) {
 	s.Seq, s.Phase = s.Seq+1, Draining
-	ticket := tr.registries[at].Heartbeat(s.Record)
-	tr.deliverAll()
-	a, answered = tr.acks[at][ticket]
+	ticket := f.registries[at].Heartbeat(s.Record)
+	f.deliverAll()
+	a, answered = f.acks[at][ticket]
 	return a, answered
 }
 
--- a/internal/gateway/registry/join.go
+++ b/internal/gateway/registry/join.go
@@ -9,111 +9,111 @@
 // gives the facts, the highest fence the registrar; draining and leaving stay. A silence counts only at exactly
 // the newest Seq and fence: a later beat revives, and an older registrar does not undo a newer one. It tells
 // whether the backend was gone and lives again.
-func (b *Registry) merge(e *entry, w Record) (revived bool) {
+func (r *Registry) merge(e *entry, w Record) (revived bool) {
 	was := e.phase()
 	quiet := w.Phase == Gone && !w.Final
 	seq, fence := max(e.record.Seq, w.Seq), max(e.record.Fence, w.Fence)
 	gone := e.timedOut && e.record.Seq == seq && e.record.Fence == fence || quiet && w.Seq == seq && w.Fence == fence
 	if w.Service != "" && (w.Seq > e.record.Seq || e.record.Service == "") {
-		b.mergeDetails(e, w)
+		r.mergeDetails(e, w)
 	}
 	if w.Seq > e.record.Seq {
-		e.lastSeenAt, e.directHeartbeat = b.now, false
+		e.lastSeenAt, e.directHeartbeat = r.now, false
 	}
 	if w.Fence > e.record.Fence || w.Fence == e.record.Fence && w.Keeper > e.record.Keeper {
-		b.setOwner(e, w.Keeper, w.Missed)
+		r.setOwner(e, w.Keeper, w.Missed)
 	}
 	e.record.Seq, e.record.Fence = seq, fence
 	e.record.Drained = e.record.Drained || w.Drained || w.Phase == Draining
 	e.record.Final = e.record.Final || w.Final
-	e.firstSeenAt = min(e.firstSeenAt, b.now-w.Age)
-	b.setTimedOut(e, was, gone)
-	b.enqueueAddrChanges(e)
+	e.firstSeenAt = min(e.firstSeenAt, r.now-w.Age)
+	r.setTimedOut(e, was, gone)
+	r.enqueueAddrChanges(e)
 	return was == Gone && e.phase() != Gone
 }
 
 // mergeDetails takes what the backend says of itself.
-func (b *Registry) mergeDetails(e *entry, w Record) {
+func (r *Registry) mergeDetails(e *entry, w Record) {
 	if e.record.Addr != w.Addr {
-		b.reindexAddr(e, w.Addr)
+		r.reindexAddr(e, w.Addr)
 	}
 	e.record.Service, e.record.Zone, e.record.Generation, e.record.Capacity = w.Service, w.Zone, w.Generation, w.Capacity
 	// Each beat says it a little differently; only what matters counts.
-	if cold := b.now + w.ColdLeft; w.ColdLeft > 0 && max(cold-e.slowStartUntil, e.slowStartUntil-cold) > tickInterval {
+	if cold := r.now + w.ColdLeft; w.ColdLeft > 0 && max(cold-e.slowStartUntil, e.slowStartUntil-cold) > tickInterval {
 		e.slowStartUntil = cold
 	}
 }
 
 // setOwner notes who watches from now on.
-func (b *Registry) setOwner(e *entry, to, missed Slot) {
-	if e.record.Keeper == b.localSlot && to != b.localSlot && b.unreachable(to) {
+func (r *Registry) setOwner(e *entry, to, missed Slot) {
+	if e.record.Keeper == r.localSlot && to != r.localSlot && r.unreachable(to) {
 		// Another node hears a registrar that this one does not: it is not to be taken from it again and again.
-		e.noTakeoverUntil = b.now + takeoverHoldoffHeartbeats*b.config.HeartbeatInterval
+		e.noTakeoverUntil = r.now + takeoverHoldoffHeartbeats*r.config.HeartbeatInterval
 	}
 	e.record.Keeper, e.record.Missed = to, missed
-	e.ownerSince, e.lastSeenAt = b.now, b.now
+	e.ownerSince, e.lastSeenAt = r.now, r.now
 }
 
 // setTimedOut sets what a silence says and counts the gone.
-func (b *Registry) setTimedOut(e *entry, was Phase, gone bool) {
+func (r *Registry) setTimedOut(e *entry, was Phase, gone bool) {
 	e.timedOut, e.suspected = gone, gone && e.suspected
 	switch is := e.phase(); {
 	case was != Gone && is == Gone:
-		b.goneCount++
-		e.goneAt = b.now
+		r.goneCount++
+		e.goneAt = r.now
 	case was == Gone && is != Gone:
-		b.goneCount--
+		r.goneCount--
 	}
 }
 
 // expire marks one as gone by silence.
-func (b *Registry) expire(e *entry) {
-	b.setTimedOut(e, e.phase(), true)
-	b.enqueueAddrChanges(e)
+func (r *Registry) expire(e *entry) {
+	r.setTimedOut(e, e.phase(), true)
+	r.enqueueAddrChanges(e)
 }
 
 // reindexAddr files the entry under another address.
-func (b *Registry) reindexAddr(e *entry, addr string) {
-	b.unindexAddr(e)
+func (r *Registry) reindexAddr(e *entry, addr string) {
+	r.unindexAddr(e)
 	if e.record.Addr = addr; addr == "" {
 		return
 	}
-	b.byAddr[addr] = append(b.byAddr[addr], e)
+	r.byAddr[addr] = append(r.byAddr[addr], e)
 }
 
-func (b *Registry) unindexAddr(e *entry) {
+func (r *Registry) unindexAddr(e *entry) {
 	if e.record.Addr == "" {
 		return
 	}
-	rest := slices.DeleteFunc(b.byAddr[e.record.Addr], func(x *entry) bool { return x == e })
+	rest := slices.DeleteFunc(r.byAddr[e.record.Addr], func(x *entry) bool { return x == e })
 	for _, x := range rest {
-		b.enqueueChange(x)
+		r.enqueueChange(x)
 	}
 	if len(rest) == 0 {
-		delete(b.byAddr, e.record.Addr)
+		delete(r.byAddr, e.record.Addr)
 	} else {
-		b.byAddr[e.record.Addr] = rest
+		r.byAddr[e.record.Addr] = rest
 	}
 }
 
 // enqueueAddrChanges has the views looked at of all that share the address.
-func (b *Registry) enqueueAddrChanges(e *entry) {
-	b.enqueueChange(e)
-	for _, x := range b.byAddr[e.record.Addr] {
-		b.enqueueChange(x)
+func (r *Registry) enqueueAddrChanges(e *entry) {
+	r.enqueueChange(e)
+	for _, x := range r.byAddr[e.record.Addr] {
+		r.enqueueChange(x)
 	}
 }
 
-func (b *Registry) enqueueChange(e *entry) {
+func (r *Registry) enqueueChange(e *entry) {
 	if !e.changeQueued {
 		e.changeQueued = true
-		b.changedEntries = append(b.changedEntries, e)
+		r.changedEntries = append(r.changedEntries, e)
 	}
 }
 
 // displaced tells that a younger one lives at the same address.
-func (b *Registry) displaced(e *entry) bool {
-	for _, x := range b.byAddr[e.record.Addr] {
+func (r *Registry) displaced(e *entry) bool {
+	for _, x := range r.byAddr[e.record.Addr] {
 		if x != e && x.phase() != Gone && (x.firstSeenAt > e.firstSeenAt || x.firstSeenAt == e.firstSeenAt && x.record.ID > e.record.ID) {
 			return true
 		}
@@ -121,17 +121,17 @@
 	return false
 }
 
-func (b *Registry) visiblePhase(e *entry) Phase {
-	if e.record.Service == "" || b.displaced(e) {
+func (r *Registry) visiblePhase(e *entry) Phase {
+	if e.record.Service == "" || r.displaced(e) {
 		return Gone
 	}
 	return e.phase()
 }
 
 // publish gives the view where it differs from the last shown.
-func (b *Registry) publish(e *entry) (Action, bool) {
-	w := b.recordOf(e)
-	w.Phase = b.visiblePhase(e)
+func (r *Registry) publish(e *entry) (Action, bool) {
+	w := r.recordOf(e)
+	w.Phase = r.visiblePhase(e)
 	same := w.Service == e.published.Service && w.Addr == e.published.Addr && w.Zone == e.published.Zone &&
 		w.Generation == e.published.Generation && w.Capacity == e.published.Capacity && w.Phase == e.published.Phase &&
 		e.slowStartUntil == e.publishedSlowStart
@@ -143,22 +143,22 @@
 }
 
 // pruneTombstones drops what has been gone for long, and the oldest where there are too many.
-func (b *Registry) pruneTombstones() {
+func (r *Registry) pruneTombstones() {
 	var dead []*entry
-	for _, e := range b.sorted {
+	for _, e := range r.sorted {
 		if e.phase() == Gone {
 			dead = append(dead, e)
 		}
 	}
 	slices.SortStableFunc(dead, func(x, y *entry) int { return cmp.Compare(x.goneAt, y.goneAt) })
-	over := max(len(dead)-maxTombstones, len(b.entries)-maxBackends+1)
+	over := max(len(dead)-maxTombstones, len(r.entries)-maxBackends+1)
 	for i, e := range dead {
-		if i >= over && b.now-e.goneAt < tombstoneTTL {
+		if i >= over && r.now-e.goneAt < tombstoneTTL {
 			break
 		}
-		b.unindexAddr(e)
-		delete(b.entries, e.record.ID)
-		b.goneCount--
+		r.unindexAddr(e)
+		delete(r.entries, e.record.ID)
+		r.goneCount--
 	}
-	b.sorted = slices.DeleteFunc(b.sorted, func(e *entry) bool { return b.entries[e.record.ID] != e })
+	r.sorted = slices.DeleteFunc(r.sorted, func(e *entry) bool { return r.entries[e.record.ID] != e })
 }
--- a/internal/gateway/registry/keep.go
+++ b/internal/gateway/registry/keep.go
@@ -28,96 +28,96 @@
 
 // SetNodes tells all nodes that are known, this one too. One that is no longer live or named is lost: what it
 // kept goes to the next after a grace. One that lives again is greeted.
-func (b *Registry) SetNodes(nodes []Node) {
-	b.hasNodes = true
+func (r *Registry) SetNodes(nodes []Node) {
+	r.hasNodes = true
 	named := map[Slot]bool{}
-	b.ownerCandidates, b.knownCount, b.liveCount, b.hasLiveDisk, b.hasKnownDisk = b.ownerCandidates[:0], 0, 0, false, false
-	b.local = Node{Slot: b.localSlot}
+	r.ownerCandidates, r.knownCount, r.liveCount, r.hasLiveDisk, r.hasKnownDisk = r.ownerCandidates[:0], 0, 0, false, false
+	r.local = Node{Slot: r.localSlot}
 	var back []Slot
 	var adrift []string
 	for _, d := range nodes {
-		if d.Slot == b.localSlot {
+		if d.Slot == r.localSlot {
 			d.Live = true
-			b.local = d
+			r.local = d
 		} else if d.Slot >= 0 {
 			named[d.Slot] = true
-			b.knownCount++
-			p := b.peerAt(d.Slot)
+			r.knownCount++
+			p := r.peerAt(d.Slot)
 			switch {
 			case d.Live && (!p.node.Live || d.HasDisk && !p.node.HasDisk || d.Follows && !p.node.Follows):
 				back = append(back, d.Slot)
 			case !d.Live && p.node.Live || p.node.Follows && !d.Follows:
 				if p.node.HasDisk {
-					adrift = append(adrift, b.unconfirmedDepartures(p)...)
+					adrift = append(adrift, r.unconfirmedDepartures(p)...)
 				}
-				b.resetPeer(p)
+				r.resetPeer(p)
 			}
 			p.node = d
 			if d.Live {
-				b.liveCount++
+				r.liveCount++
 			}
 		} else {
 			continue
 		}
-		b.hasKnownDisk = b.hasKnownDisk || d.HasDisk
+		r.hasKnownDisk = r.hasKnownDisk || d.HasDisk
 		if d.Live {
-			b.hasLiveDisk = b.hasLiveDisk || d.HasDisk
+			r.hasLiveDisk = r.hasLiveDisk || d.HasDisk
 			if d.ControlAddr != "" {
-				b.ownerCandidates = append(b.ownerCandidates, d)
+				r.ownerCandidates = append(r.ownerCandidates, d)
 			}
 		}
 	}
-	slices.SortFunc(b.ownerCandidates, func(x, y Node) int { return int(x.Slot - y.Slot) })
-	if slices.ContainsFunc(b.ownerCandidates, func(d Node) bool { return d.HasDisk }) { // else whoever lives keeps
-		b.ownerCandidates = slices.DeleteFunc(b.ownerCandidates, func(d Node) bool { return !d.HasDisk })
+	slices.SortFunc(r.ownerCandidates, func(x, y Node) int { return int(x.Slot - y.Slot) })
+	if slices.ContainsFunc(r.ownerCandidates, func(d Node) bool { return d.HasDisk }) { // else whoever lives keeps
+		r.ownerCandidates = slices.DeleteFunc(r.ownerCandidates, func(d Node) bool { return !d.HasDisk })
 	}
-	for s, p := range b.peers {
+	for s, p := range r.peers {
 		if !named[s] {
-			b.resetPeer(p)
-			delete(b.peers, s)
-			b.activePeers = slices.DeleteFunc(b.activePeers, func(x Slot) bool { return x == s })
+			r.resetPeer(p)
+			delete(r.peers, s)
+			r.activePeers = slices.DeleteFunc(r.activePeers, func(x Slot) bool { return x == s })
 		}
 	}
-	b.peerSlots = slices.DeleteFunc(b.peerSlots, func(s Slot) bool { return !named[s] })
+	r.peerSlots = slices.DeleteFunc(r.peerSlots, func(s Slot) bool { return !named[s] })
 	for _, s := range back {
-		b.SyncPeer(s)
+		r.SyncPeer(s)
 	}
-	b.rebroadcastDepartures(adrift)
-	b.answerDecided()
+	r.rebroadcastDepartures(adrift)
+	r.answerDecided()
 }
 
 // SetFollower tells that a node follows this one, or does no longer: what Nodes would tell of it, without looking at all the others.
-func (b *Registry) SetFollower(s Slot, on bool) {
-	p := b.peers[s]
+func (r *Registry) SetFollower(s Slot, on bool) {
+	p := r.peers[s]
 	if p == nil || p.node.Follows == on {
 		return
 	}
 	if !on {
-		b.resetPeer(p)
+		r.resetPeer(p)
 	}
 	p.node.Follows = on
 	if on && p.node.Live {
-		b.SyncPeer(s)
+		r.SyncPeer(s)
 	}
-	b.answerDecided()
+	r.answerDecided()
 }
 
 // unreachable tells that a node is not heard.
-func (b *Registry) unreachable(s Slot) bool {
-	if s == b.localSlot {
+func (r *Registry) unreachable(s Slot) bool {
+	if s == r.localSlot {
 		return false
 	}
-	p := b.peers[s]
+	p := r.peers[s]
 	return p == nil || !p.node.Live
 }
 
 // ownerFor names the registrar of a backend over the live nodes but one; None where there is no node for it.
-func (b *Registry) ownerFor(e *entry, but Slot) Node {
+func (r *Registry) ownerFor(e *entry, but Slot) Node {
 	h := fnv.New64a()
 	h.Write([]byte(e.record.ID))
 	key := h.Sum64()
 	best, found, near, top := Node{Slot: NoSlot}, false, false, uint64(0)
-	for _, d := range b.ownerCandidates {
+	for _, d := range r.ownerCandidates {
 		if d.Slot == but {
 			continue
 		}
@@ -140,35 +140,35 @@
 }
 
 // handleHeartbeat takes a beat that came to this node itself, or was passed on by another.
-func (b *Registry) handleHeartbeat(e *entry, w Record, direct bool) {
+func (r *Registry) handleHeartbeat(e *entry, w Record, direct bool) {
 	before, level := e.record, e.departure()
-	revived := b.merge(e, w)
+	revived := r.merge(e, w)
 	ends := e.departure() > level // whoever passed it on may have told nobody else
 	if e.record.Seq > before.Seq {
-		e.lastHeartbeatAt, e.directHeartbeat = b.now, direct
+		e.lastHeartbeatAt, e.directHeartbeat = r.now, direct
 	} else if e.record.Keeper != NoSlot && !direct && !ends {
 		return // a late one
 	}
-	to := b.ownerFor(e, NoSlot)
+	to := r.ownerFor(e, NoSlot)
 	claimed := false
-	if to.Slot == b.localSlot && e.record.Keeper != b.localSlot && e.phase() != Gone {
-		b.takeOwnership(e, NoSlot)
+	if to.Slot == r.localSlot && e.record.Keeper != r.localSlot && e.phase() != Gone {
+		r.takeOwnership(e, NoSlot)
 		claimed = true
 	}
 	news := claimed || revived || recordChanged(before, e.record)
-	mine := to.Slot == b.localSlot || e.record.Keeper == b.localSlot
+	mine := to.Slot == r.localSlot || e.record.Keeper == r.localSlot
 	if news && mine || ends {
-		b.broadcast(e, ends || revived)
+		r.broadcast(e, ends || revived)
 	}
 	if !direct || e.record.Final {
 		return
 	}
-	if to.Slot != NoSlot && to.Slot != b.localSlot {
-		b.relayHeartbeat(e, to.Slot)
+	if to.Slot != NoSlot && to.Slot != r.localSlot {
+		r.relayHeartbeat(e, to.Slot)
 	}
 	// The registrar that is known may not know yet that it is no longer the one: it must not see silence.
-	if k := e.record.Keeper; k != to.Slot && k != b.localSlot && !b.unreachable(k) {
-		b.relayHeartbeat(e, k)
+	if k := e.record.Keeper; k != to.Slot && k != r.localSlot && !r.unreachable(k) {
+		r.relayHeartbeat(e, k)
 	}
 }
 
@@ -179,61 +179,61 @@
 }
 
 // takeOwnership makes this node the registrar, under the next fence.
-func (b *Registry) takeOwnership(e *entry, missed Slot) {
-	b.setOwner(e, b.localSlot, missed)
+func (r *Registry) takeOwnership(e *entry, missed Slot) {
+	r.setOwner(e, r.localSlot, missed)
 	e.record.Fence++
 	e.timedOut = false
-	b.enqueueAddrChanges(e)
+	r.enqueueAddrChanges(e)
 }
 
 // scan goes over all backends: silence of those kept here, and those whose registrar is missing.
-func (b *Registry) scan() {
-	b.nextScanAt = b.now + scanInterval
-	b.reportMissing()
-	silent := missedHeartbeats * b.config.HeartbeatInterval
-	grace := ownerGraceHalfIntervals * b.config.HeartbeatInterval / 2
+func (r *Registry) scan() {
+	r.nextScanAt = r.now + scanInterval
+	r.reportMissing()
+	silent := missedHeartbeats * r.config.HeartbeatInterval
+	grace := ownerGraceHalfIntervals * r.config.HeartbeatInterval / 2
 	old := false
-	for _, e := range b.sorted {
+	for _, e := range r.sorted {
 		if e.phase() == Gone {
-			old = old || b.now-e.goneAt >= tombstoneTTL
-			if e.suspected && b.now-e.ownerSince >= b.config.HeartbeatInterval {
-				b.reportSuspicion(e)
+			old = old || r.now-e.goneAt >= tombstoneTTL
+			if e.suspected && r.now-e.ownerSince >= r.config.HeartbeatInterval {
+				r.reportSuspicion(e)
 			}
 			continue
 		}
-		if e.record.Keeper == b.localSlot {
+		if e.record.Keeper == r.localSlot {
 			// A node that hears few others judges only those that last beat here: the rest may beat
 			// elsewhere.
-			judge := e.directHeartbeat || b.reachesMajority()
-			if b.displaced(e) || judge && b.now-max(e.lastSeenAt, b.timeoutFloor) >= silent {
-				b.expire(e)
-				b.broadcast(e, true)
+			judge := e.directHeartbeat || r.reachesMajority()
+			if r.displaced(e) || judge && r.now-max(e.lastSeenAt, r.timeoutFloor) >= silent {
+				r.expire(e)
+				r.broadcast(e, true)
 			}
 			continue
 		}
-		if !b.unreachable(e.record.Keeper) || !b.reachesMajority() || b.now < e.noTakeoverUntil {
+		if !r.unreachable(e.record.Keeper) || !r.reachesMajority() || r.now < e.noTakeoverUntil {
 			continue
 		}
-		since := max(e.ownerSince, b.timeoutFloor)
-		if p := b.peers[e.record.Keeper]; p != nil {
+		since := max(e.ownerSince, r.timeoutFloor)
+		if p := r.peers[e.record.Keeper]; p != nil {
 			since = max(since, p.lostAt)
 		}
-		if b.now-since < grace {
+		if r.now-since < grace {
 			continue
 		}
-		if to := b.ownerFor(e, NoSlot).Slot; to == b.localSlot {
-			b.takeOwnership(e, e.record.Keeper)
-			b.broadcast(e, false)
-		} else if p := b.peers[to]; p != nil && b.now-since >= grace+b.config.HeartbeatInterval {
+		if to := r.ownerFor(e, NoSlot).Slot; to == r.localSlot {
+			r.takeOwnership(e, e.record.Keeper)
+			r.broadcast(e, false)
+		} else if p := r.peers[to]; p != nil && r.now-since >= grace+r.config.HeartbeatInterval {
 			// The one whose turn it is may never have heard of it.
-			b.enqueueUpdate(p, e.record.ID, false)
-			e.ownerSince = b.now
+			r.enqueueUpdate(p, e.record.ID, false)
+			e.ownerSince = r.now
 		}
 	}
-	if old || b.goneCount > maxTombstones || len(b.entries) >= maxBackends {
-		b.pruneTombstones()
+	if old || r.goneCount > maxTombstones || len(r.entries) >= maxBackends {
+		r.pruneTombstones()
 	}
 }
 
 // reachesMajority tells whether this node hears more than half of all, itself among them.
-func (b *Registry) reachesMajority() bool { return 2*(b.liveCount+1) > b.knownCount+1 }
+func (r *Registry) reachesMajority() bool { return 2*(r.liveCount+1) > r.knownCount+1 }
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -229,42 +229,42 @@
 }
 
 // SetConfig takes figures that changed while running.
-func (b *Registry) SetConfig(t Config) { t.Incarnation, b.config = b.config.Incarnation, t }
+func (r *Registry) SetConfig(t Config) { t.Incarnation, r.config = r.config.Incarnation, t }
 
 // Tick moves the clock; earlier times are passed over. A step of over a second means that this node stood
 // still: no beat could come, so silence counts anew.
-func (b *Registry) Tick(t time.Duration) {
-	if t < b.now {
+func (r *Registry) Tick(t time.Duration) {
+	if t < r.now {
 		return
 	}
-	if t >= b.wakeAt {
-		b.wakeAt = never
+	if t >= r.wakeAt {
+		r.wakeAt = never
 	}
-	if t-b.now > stallThreshold {
-		b.timeoutFloor = t
-		for _, e := range b.sorted {
+	if t-r.now > stallThreshold {
+		r.timeoutFloor = t
+		for _, e := range r.sorted {
 			e.lastSeenAt = t
 		}
 	}
-	b.now = t
-	for _, s := range b.activePeers {
-		if p := b.peers[s]; p != nil {
-			b.resendOverdue(p)
+	r.now = t
+	for _, s := range r.activePeers {
+		if p := r.peers[s]; p != nil {
+			r.resendOverdue(p)
 		}
 	}
-	if t >= b.nextScanAt {
-		b.scan()
+	if t >= r.nextScanAt {
+		r.scan()
 	}
-	b.answerDecided()
+	r.answerDecided()
 }
 
 // Heartbeat takes a backend's call that names its phase. The host answers when the ticket is acknowledged.
-func (b *Registry) Heartbeat(w Record) Ticket {
-	b.lastTicket++
-	e := b.entryFor(w.ID)
+func (r *Registry) Heartbeat(w Record) Ticket {
+	r.lastTicket++
+	e := r.entryFor(w.ID)
 	if e == nil {
-		b.acknowledgements = append(b.acknowledgements, Acknowledge{Ticket: b.lastTicket})
-		return b.lastTicket
+		r.acknowledgements = append(r.acknowledgements, Acknowledge{Ticket: r.lastTicket})
+		return r.lastTicket
 	}
 	w.Final, w.Fence, w.Keeper, w.Missed, w.Age = false, 0, NoSlot, NoSlot, 0
 	w.Drained = w.Phase == Draining
@@ -272,95 +272,95 @@
 	if w.Drained {
 		asked = draining
 	}
-	b.handleHeartbeat(e, w, true)
-	b.trackCall(e, asked)
-	return b.lastTicket
+	r.handleHeartbeat(e, w, true)
+	r.trackCall(e, asked)
+	return r.lastTicket
 }
 
 // Deregister takes a backend's last call.
-func (b *Registry) Deregister(id string, seq uint64) Ticket {
-	b.lastTicket++
-	e := b.entryFor(id)
+func (r *Registry) Deregister(id string, seq uint64) Ticket {
+	r.lastTicket++
+	e := r.entryFor(id)
 	if e == nil {
-		b.acknowledgements = append(b.acknowledgements, Acknowledge{Ticket: b.lastTicket})
-		return b.lastTicket
+		r.acknowledgements = append(r.acknowledgements, Acknowledge{Ticket: r.lastTicket})
+		return r.lastTicket
 	}
 	was := e.departure()
-	b.merge(e, Record{ID: id, Phase: Gone, Final: true, Keeper: NoSlot, Missed: NoSlot})
+	r.merge(e, Record{ID: id, Phase: Gone, Final: true, Keeper: NoSlot, Missed: NoSlot})
 	if was != departed {
-		b.broadcast(e, true)
+		r.broadcast(e, true)
 	}
-	b.trackCall(e, departed)
-	return b.lastTicket
+	r.trackCall(e, departed)
+	return r.lastTicket
 }
 
 // Restore takes what this node knew before its start, from a disk. It may be old: all are watched for silence from now
 // on, and whoever knows newer goes before it. After the loss of all nodes it spares them a wait for the beats. What is
 // wrong in it costs a submission that can't be sent or is turned away by another backend's id.
-func (b *Registry) Restore(words []Record) {
+func (r *Registry) Restore(words []Record) {
 	for _, w := range words {
-		if e := b.entryFor(w.ID); e != nil && w.Phase != Gone {
+		if e := r.entryFor(w.ID); e != nil && w.Phase != Gone {
 			w.ColdLeft = 0 // nobody knows how long ago that was
-			b.merge(e, w)
+			r.merge(e, w)
 		}
 	}
 }
 
 // AddressTaken says that another backend answers at the address of this one: it is gone here, and its registrar is
 // told. Its next beat revives it everywhere.
-func (b *Registry) AddressTaken(id string) {
-	e := b.entries[id]
+func (r *Registry) AddressTaken(id string) {
+	e := r.entries[id]
 	if e == nil || e.phase() == Gone {
 		return
 	}
-	b.expire(e)
-	if e.record.Keeper == b.localSlot {
-		b.broadcast(e, true)
+	r.expire(e)
+	if e.record.Keeper == r.localSlot {
+		r.broadcast(e, true)
 	} else {
 		e.suspected = true
-		b.reportSuspicion(e)
+		r.reportSuspicion(e)
 	}
 }
 
 // Next gives what is to be done; call it until there is nothing more, after every input.
-func (b *Registry) Next() (Action, bool) {
-	if len(b.acknowledgements) > 0 {
-		a := b.acknowledgements[0]
-		b.acknowledgements = b.acknowledgements[1:]
+func (r *Registry) Next() (Action, bool) {
+	if len(r.acknowledgements) > 0 {
+		a := r.acknowledgements[0]
+		r.acknowledgements = r.acknowledgements[1:]
 		return a, true
 	}
-	b.acknowledgements = nil
-	for len(b.changedEntries) > 0 {
-		e := b.changedEntries[0]
-		b.changedEntries = b.changedEntries[1:]
+	r.acknowledgements = nil
+	for len(r.changedEntries) > 0 {
+		e := r.changedEntries[0]
+		r.changedEntries = r.changedEntries[1:]
 		e.changeQueued = false
-		if a, ok := b.publish(e); ok {
+		if a, ok := r.publish(e); ok {
 			return a, true
 		}
 	}
-	b.changedEntries = nil
-	b.startSyncs()
-	for _, s := range b.activePeers {
-		if p := b.peers[s]; p != nil {
-			if m, ok := b.nextMessage(p); ok {
+	r.changedEntries = nil
+	r.startSyncs()
+	for _, s := range r.activePeers {
+		if p := r.peers[s]; p != nil {
+			if m, ok := r.nextMessage(p); ok {
 				return Send{Target: s, Message: m}, true
 			}
 		}
 	}
-	b.deactivateIdle()
-	if at := b.nextWake(); at != b.wakeAt {
-		b.wakeAt = at
+	r.deactivateIdle()
+	if at := r.nextWake(); at != r.wakeAt {
+		r.wakeAt = at
 		return Wake{Deadline: at}, true
 	}
 	return nil, false
 }
 
 // Backends gives the backends that are not gone, by id; ColdLeft and Age are as of the last Now.
-func (b *Registry) Backends() []Record {
+func (r *Registry) Backends() []Record {
 	var words []Record
-	for _, e := range b.sorted {
-		if b.visiblePhase(e) != Gone {
-			words = append(words, b.recordOf(e))
+	for _, e := range r.sorted {
+		if r.visiblePhase(e) != Gone {
+			words = append(words, r.recordOf(e))
 		}
 	}
 	return words
@@ -377,15 +377,15 @@
 }
 
 // HasReady tells whether a backend is ready. It looks no further than the first: it is asked each second and more.
-func (b *Registry) HasReady() bool {
-	return slices.ContainsFunc(b.sorted, func(e *entry) bool { return b.visiblePhase(e) == Ready })
+func (r *Registry) HasReady() bool {
+	return slices.ContainsFunc(r.sorted, func(e *entry) bool { return r.visiblePhase(e) == Ready })
 }
 
 // Status counts what there is.
-func (b *Registry) Status() Status {
-	s := Status{PendingCalls: len(b.pendingCalls), Refused: b.refused}
-	for _, e := range b.sorted {
-		switch b.visiblePhase(e) {
+func (r *Registry) Status() Status {
+	s := Status{PendingCalls: len(r.pendingCalls), Refused: r.refused}
+	for _, e := range r.sorted {
+		switch r.visiblePhase(e) {
 		case Ready:
 			s.Ready++
 		case Draining:
@@ -396,13 +396,13 @@
 		if e.phase() == Gone {
 			continue
 		}
-		if e.record.Keeper == b.localSlot {
+		if e.record.Keeper == r.localSlot {
 			s.Owned++
-		} else if b.unreachable(e.record.Keeper) {
+		} else if r.unreachable(e.record.Keeper) {
 			s.OwnerLost++
 		}
 	}
-	for _, p := range b.peers {
+	for _, p := range r.peers {
 		s.Unconfirmed += len(p.pendingIDs)
 		for _, f := range p.inFlight {
 			s.Unconfirmed += len(f.ids)
@@ -412,65 +412,65 @@
 }
 
 // entryFor finds or makes one; nil when the registry is full.
-func (b *Registry) entryFor(id string) *entry {
-	if e := b.entries[id]; e != nil {
+func (r *Registry) entryFor(id string) *entry {
+	if e := r.entries[id]; e != nil {
 		return e
 	}
 	if id == "" {
 		return nil
 	}
-	if len(b.entries) >= maxBackends {
-		b.refused++
+	if len(r.entries) >= maxBackends {
+		r.refused++
 		return nil
 	}
-	e := &entry{record: Record{ID: id, Keeper: NoSlot, Missed: NoSlot}, firstSeenAt: b.now, lastSeenAt: b.now, ownerSince: b.now,
+	e := &entry{record: Record{ID: id, Keeper: NoSlot, Missed: NoSlot}, firstSeenAt: r.now, lastSeenAt: r.now, ownerSince: r.now,
 		lastHeartbeatAt: -never / 2}
-	b.entries[id] = e
-	at, _ := slices.BinarySearchFunc(b.sorted, id, compareID)
-	b.sorted = slices.Insert(b.sorted, at, e)
+	r.entries[id] = e
+	at, _ := slices.BinarySearchFunc(r.sorted, id, compareID)
+	r.sorted = slices.Insert(r.sorted, at, e)
 	return e
 }
 
 func compareID(e *entry, id string) int { return strings.Compare(e.record.ID, id) }
 
 // recordOf is the entry as it travels.
-func (b *Registry) recordOf(e *entry) Record {
+func (r *Registry) recordOf(e *entry) Record {
 	w := e.record
 	w.Phase = e.phase()
-	w.ColdLeft = max(0, e.slowStartUntil-b.now)
-	w.Age = b.now - e.firstSeenAt
+	w.ColdLeft = max(0, e.slowStartUntil-r.now)
+	w.Age = r.now - e.firstSeenAt
 	return w
 }
 
 // nextWake is when Now is wanted next.
-func (b *Registry) nextWake() time.Duration {
+func (r *Registry) nextWake() time.Duration {
 	at := never
-	if len(b.entries) > b.goneCount {
-		at = b.nextScanAt
+	if len(r.entries) > r.goneCount {
+		at = r.nextScanAt
 	}
-	for _, w := range b.pendingCalls {
-		at = min(at, w.deadline(b.now))
+	for _, w := range r.pendingCalls {
+		at = min(at, w.deadline(r.now))
 	}
-	for _, s := range b.activePeers {
-		at = min(at, b.peers[s].nextDeadline())
+	for _, s := range r.activePeers {
+		at = min(at, r.peers[s].nextDeadline())
 	}
 	return at
 }
 
 // activate notes that a node is to be looked at: a turn that concerns few nodes must not go over all of them.
-func (b *Registry) activate(p *peer) {
+func (r *Registry) activate(p *peer) {
 	if p.active {
 		return
 	}
 	p.active = true
-	at, _ := slices.BinarySearch(b.activePeers, p.node.Slot)
-	b.activePeers = slices.Insert(b.activePeers, at, p.node.Slot)
+	at, _ := slices.BinarySearch(r.activePeers, p.node.Slot)
+	r.activePeers = slices.Insert(r.activePeers, at, p.node.Slot)
 }
 
 // deactivateIdle lets those go that have nothing more to be told, and have confirmed all.
-func (b *Registry) deactivateIdle() {
-	b.activePeers = slices.DeleteFunc(b.activePeers, func(s Slot) bool {
-		p := b.peers[s]
+func (r *Registry) deactivateIdle() {
+	r.activePeers = slices.DeleteFunc(r.activePeers, func(s Slot) bool {
+		p := r.peers[s]
 		if p == nil {
 			return true
 		}
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -37,73 +37,73 @@
 	return tr
 }
 
-func (tr *fleet) start(s Slot) {
+func (f *fleet) start(s Slot) {
 	enough := 2
-	if tr.disks == 1 { // the loss of the only disk is not tolerated
+	if f.disks == 1 { // the loss of the only disk is not tolerated
 		enough = 1
 	}
-	tr.registries[s] = New(s, Config{HeartbeatInterval: heartbeatInterval, MinCopies: enough, Incarnation: uint32(tr.now)}, tr.now)
-	tr.acks[s], tr.views[s], tr.live[s] = map[Ticket]Acknowledge{}, map[string]Record{}, true
+	f.registries[s] = New(s, Config{HeartbeatInterval: heartbeatInterval, MinCopies: enough, Incarnation: uint32(f.now)}, f.now)
+	f.acks[s], f.views[s], f.live[s] = map[Ticket]Acknowledge{}, map[string]Record{}, true
 }
 
 // updateNodes tells each node which others it hears, and who follows whom: nodes without a disk the first one with a disk that
 // they reach.
-func (tr *fleet) updateNodes() {
-	reach := func(a, b Slot) bool { return tr.live[b] && !tr.partitioned[[2]Slot{a, b}] }
+func (f *fleet) updateNodes() {
+	reach := func(a, b Slot) bool { return f.live[b] && !f.partitioned[[2]Slot{a, b}] }
 	follows := func(s Slot) Slot {
-		for o := range Slot(tr.disks) {
-			if int(s) >= tr.disks && reach(s, o) && reach(o, s) {
+		for o := range Slot(f.disks) {
+			if int(s) >= f.disks && reach(s, o) && reach(o, s) {
 				return o
 			}
 		}
 		return NoSlot
 	}
-	for s, b := range tr.registries {
+	for s, b := range f.registries {
 		var nodes []Node
-		for o := range Slot(len(tr.registries)) {
-			nodes = append(nodes, Node{Slot: o, ControlAddr: fmt.Sprint("node", o), HasDisk: int(o) < tr.disks,
+		for o := range Slot(len(f.registries)) {
+			nodes = append(nodes, Node{Slot: o, ControlAddr: fmt.Sprint("node", o), HasDisk: int(o) < f.disks,
 				Live: reach(s, o), Follows: follows(o) == s})
 		}
 		b.SetNodes(nodes)
 	}
-	tr.deliverAll()
+	f.deliverAll()
 }
 
 // deliverAll carries datagrams until there is none; cut and dead nodes get none.
-func (tr *fleet) deliverAll() {
+func (f *fleet) deliverAll() {
 	for again := true; again; {
 		again = false
-		for s := range Slot(len(tr.registries)) {
-			if !tr.live[s] {
+		for s := range Slot(len(f.registries)) {
+			if !f.live[s] {
 				continue
 			}
-			for a, ok := tr.registries[s].Next(); ok; a, ok = tr.registries[s].Next() {
+			for a, ok := f.registries[s].Next(); ok; a, ok = f.registries[s].Next() {
 				switch a := a.(type) {
 				case Send:
 					again = true
-					tr.messages++
-					if tr.live[a.Target] && !tr.partitioned[[2]Slot{s, a.Target}] {
-						tr.registries[a.Target].Receive(s, a.Message)
+					f.messages++
+					if f.live[a.Target] && !f.partitioned[[2]Slot{s, a.Target}] {
+						f.registries[a.Target].Receive(s, a.Message)
 					}
 				case Acknowledge:
-					tr.acks[s][a.Ticket] = a
+					f.acks[s][a.Ticket] = a
 				case Changed:
-					tr.views[s][a.Record.ID] = a.Record
+					f.views[s][a.Record.ID] = a.Record
 				}
 			}
 		}
 	}
 }
 
-func (tr *fleet) advance(d time.Duration) {
-	for end := tr.now + d; tr.now < end; {
-		tr.now += min(100*ms, end-tr.now)
-		for s, b := range tr.registries {
-			if tr.live[s] {
-				b.Tick(tr.now)
+func (f *fleet) advance(d time.Duration) {
+	for end := f.now + d; f.now < end; {
+		f.now += min(100*ms, end-f.now)
+		for s, b := range f.registries {
+			if f.live[s] {
+				b.Tick(f.now)
 			}
 		}
-		tr.deliverAll()
+		f.deliverAll()
 	}
 }
 
@@ -113,11 +113,11 @@
 	target Slot
 }
 
-func (tr *fleet) heartbeat(s *backend, at Slot) Acknowledge {
+func (f *fleet) heartbeat(s *backend, at Slot) Acknowledge {
 	s.Seq++
-	ticket := tr.registries[at].Heartbeat(s.Record)
-	tr.deliverAll()
-	a, ok := tr.acks[at][ticket]
+	ticket := f.registries[at].Heartbeat(s.Record)
+	f.deliverAll()
+	a, ok := f.acks[at][ticket]
 	if ok && a.OwnerAddr != "" {
 		fmt.Sscanf(a.OwnerAddr, "node%d", &s.target)
 	}
@@ -129,11 +129,11 @@
 		Addr: fmt.Sprint("10.0.0.", i, ":80")}}
 }
 
-func (tr *fleet) requirePhase(id string, want Phase) {
-	tr.t.Helper()
-	for s := range tr.registries {
-		if w, ok := tr.views[s][id]; tr.live[s] && (ok || want != Gone) {
-			must.Eq(tr.t, want, w.Phase, must.Sprintf("node %d of %s", s, id))
+func (f *fleet) requirePhase(id string, want Phase) {
+	f.t.Helper()
+	for s := range f.registries {
+		if w, ok := f.views[s][id]; f.live[s] && (ok || want != Gone) {
+			must.Eq(f.t, want, w.Phase, must.Sprintf("node %d of %s", s, id))
 		}
 	}
 }
@@ -706,13 +706,13 @@
 }
 
 // takeMessages gives what a node sends, and carries it nowhere.
-func (tr *fleet) takeMessages(s Slot) (sent []Message) {
-	for a, ok := tr.registries[s].Next(); ok; a, ok = tr.registries[s].Next() {
+func (f *fleet) takeMessages(s Slot) (sent []Message) {
+	for a, ok := f.registries[s].Next(); ok; a, ok = f.registries[s].Next() {
 		switch a := a.(type) {
 		case Send:
 			sent = append(sent, a.Message)
 		case Acknowledge:
-			tr.acks[s][a.Ticket] = a
+			f.acks[s][a.Ticket] = a
 		}
 	}
 	return sent
--- a/internal/gateway/registry/spread.go
+++ b/internal/gateway/registry/spread.go
@@ -39,14 +39,14 @@
 	attempts   int
 }
 
-func (b *Registry) peerAt(s Slot) *peer {
-	p := b.peers[s]
+func (r *Registry) peerAt(s Slot) *peer {
+	p := r.peers[s]
 	if p == nil {
-		p = &peer{node: Node{Slot: s}, seq: uint64(b.config.Incarnation) << 32, pendingSet: map[string]bool{},
-			lostAt: b.now}
-		b.peers[s] = p
-		at := sort.Search(len(b.peerSlots), func(i int) bool { return b.peerSlots[i] >= s })
-		b.peerSlots = slices.Insert(b.peerSlots, at, s)
+		p = &peer{node: Node{Slot: s}, seq: uint64(r.config.Incarnation) << 32, pendingSet: map[string]bool{},
+			lostAt: r.now}
+		r.peers[s] = p
+		at := sort.Search(len(r.peerSlots), func(i int) bool { return r.peerSlots[i] >= s })
+		r.peerSlots = slices.Insert(r.peerSlots, at, s)
 	}
 	return p
 }
@@ -55,93 +55,93 @@
 var trustUnconfirmedPeers bool
 
 // resetPeer forgets what was on its way to a node: it may come back in a new life that has heard nothing.
-func (b *Registry) resetPeer(p *peer) {
-	p.lostAt = b.now
+func (r *Registry) resetPeer(p *peer) {
+	p.lostAt = r.now
 	p.pendingIDs, p.inFlight, p.retransmits, p.suspicions, p.heartbeats, p.acks = nil, nil, nil, nil, nil, nil
 	p.unresponsive, p.fullSyncNext, p.syncing, p.confirmed = false, false, false, false
 	clear(p.pendingSet)
-	b.syncQueue = slices.DeleteFunc(b.syncQueue, func(t syncRequest) bool { return t.target == p.node.Slot })
-	for _, e := range b.sorted {
+	r.syncQueue = slices.DeleteFunc(r.syncQueue, func(t syncRequest) bool { return t.target == p.node.Slot })
+	for _, e := range r.sorted {
 		delete(e.notified, p.node.Slot)
 	}
 }
 
 // informs tells whether a node gets this one's words: where a node with a disk lives, such ones do, and those who follow
 // this node.
-func (b *Registry) informs(p *peer) bool {
-	return p.node.Live && (!b.hasLiveDisk || p.node.HasDisk || p.node.Follows)
+func (r *Registry) informs(p *peer) bool {
+	return p.node.Live && (!r.hasLiveDisk || p.node.HasDisk || p.node.Follows)
 }
 
 // SyncPeer tells a node that is connected anew, or follows anew. One that follows gets all backends that are not gone. Nodes
 // with a disk tell each other those kept here, those that the other should keep, those whose registrar is missing and that
 // fall to this node, and all ends: together they tell it the whole registry. A node without a disk tells the ends of
 // backends that are still there; more of what it knows follows where the other turns out not to have it.
-func (b *Registry) SyncPeer(s Slot) {
-	p := b.peers[s]
+func (r *Registry) SyncPeer(s Slot) {
+	p := r.peers[s]
 	if p == nil {
 		return
 	}
-	b.resetPeer(p)
-	if !b.informs(p) {
+	r.resetPeer(p)
+	if !r.informs(p) {
 		return
 	}
 	if p.node.Follows {
-		b.enqueueSync(p)
-		b.startSyncs()
+		r.enqueueSync(p)
+		r.startSyncs()
 		return
 	}
-	for _, e := range b.sorted {
+	for _, e := range r.sorted {
 		k, there := e.record.Keeper, e.phase() != Gone
 		var tell bool
 		switch {
-		case b.hasLiveDisk && !b.local.HasDisk:
+		case r.hasLiveDisk && !r.local.HasDisk:
 			tell = there && e.departure() > notDeparting
 		default:
-			tell = k == b.localSlot || k == s || e.departure() > notDeparting || b.unreachable(k) && b.ownerFor(e, s).Slot == b.localSlot
+			tell = k == r.localSlot || k == s || e.departure() > notDeparting || r.unreachable(k) && r.ownerFor(e, s).Slot == r.localSlot
 		}
 		if tell {
-			b.enqueueUpdate(p, e.record.ID, true)
+			r.enqueueUpdate(p, e.record.ID, true)
 		}
 	}
 }
 
 // reportMissing tells the node that is followed what it did not name a while after it began to tell all it has: so it learns
 // what it should have had, or this node that it is gone.
-func (b *Registry) reportMissing() {
-	if b.now < b.reportMissingAt {
+func (r *Registry) reportMissing() {
+	if r.now < r.reportMissingAt {
 		return
 	}
-	b.reportMissingAt = never
-	p := b.peers[b.syncSource]
-	if p == nil || !b.informs(p) {
+	r.reportMissingAt = never
+	p := r.peers[r.syncSource]
+	if p == nil || !r.informs(p) {
 		return
 	}
-	for _, e := range b.sorted {
-		if e.phase() != Gone && e.syncedAt < b.syncStartedAt {
-			b.enqueueUpdate(p, e.record.ID, false)
+	for _, e := range r.sorted {
+		if e.phase() != Gone && e.syncedAt < r.syncStartedAt {
+			r.enqueueUpdate(p, e.record.ID, false)
 		}
 	}
 }
 
 // broadcast tells all nodes that this one tells, at once or together with other small news.
-func (b *Registry) broadcast(e *entry, now bool) { b.forward(e, nil, now) }
+func (r *Registry) broadcast(e *entry, now bool) { r.forward(e, nil, now) }
 
 // forward tells what came from one node to the others: what a node with a disk told it has told all that have one, so it is
 // for those who follow; what another told is for all.
-func (b *Registry) forward(e *entry, from *peer, now bool) {
-	for _, s := range b.peerSlots {
-		if p := b.peers[s]; p != from && b.informs(p) && !(from != nil && from.node.HasDisk && p.node.HasDisk) {
-			b.enqueueUpdate(p, e.record.ID, now)
+func (r *Registry) forward(e *entry, from *peer, now bool) {
+	for _, s := range r.peerSlots {
+		if p := r.peers[s]; p != from && r.informs(p) && !(from != nil && from.node.HasDisk && p.node.HasDisk) {
+			r.enqueueUpdate(p, e.record.ID, now)
 		}
 	}
 }
 
-func (b *Registry) enqueueUpdate(p *peer, id string, now bool) {
-	at := b.now
+func (r *Registry) enqueueUpdate(p *peer, id string, now bool) {
+	at := r.now
 	if !now {
 		at += batchDelay
 	}
-	b.activate(p)
+	r.activate(p)
 	if len(p.pendingIDs) == 0 || at < p.sendAt {
 		p.sendAt = at
 	}
@@ -152,15 +152,15 @@
 }
 
 // relayHeartbeat passes a beat on; the next beat makes up for a lost one.
-func (b *Registry) relayHeartbeat(e *entry, s Slot) {
-	if p := b.peers[s]; p != nil && p.node.Live && len(p.heartbeats) < maxUpdatesPerMessage {
-		b.activate(p)
-		p.heartbeats = append(p.heartbeats, b.recordOf(e))
+func (r *Registry) relayHeartbeat(e *entry, s Slot) {
+	if p := r.peers[s]; p != nil && p.node.Live && len(p.heartbeats) < maxUpdatesPerMessage {
+		r.activate(p)
+		p.heartbeats = append(p.heartbeats, r.recordOf(e))
 	}
 }
 
 // nextMessage takes what is due for a node.
-func (b *Registry) nextMessage(p *peer) (m Message, ok bool) {
+func (r *Registry) nextMessage(p *peer) (m Message, ok bool) {
 	m.Acks, p.acks = p.acks, nil
 	if !p.node.Live {
 		return m, len(m.Acks) > 0
@@ -169,14 +169,14 @@
 	if len(p.retransmits) > 0 {
 		f := p.retransmits[0]
 		p.retransmits = p.retransmits[1:]
-		return b.buildMessage(m, f), true
+		return r.buildMessage(m, f), true
 	}
-	due := len(p.pendingIDs) > 0 && b.now >= p.sendAt || p.fullSyncNext
+	due := len(p.pendingIDs) > 0 && r.now >= p.sendAt || p.fullSyncNext
 	if !due && len(p.suspicions) == 0 || p.unresponsive || len(p.inFlight) >= maxInFlight {
 		return m, len(m.Acks)+len(m.Beats) > 0
 	}
 	p.seq++
-	f := &inFlightMessage{seq: p.seq, sentAt: b.now, suspicions: p.suspicions, fullSync: p.fullSyncNext}
+	f := &inFlightMessage{seq: p.seq, sentAt: r.now, suspicions: p.suspicions, fullSync: p.fullSyncNext}
 	p.suspicions, p.fullSyncNext = nil, false
 	if due {
 		n := min(len(p.pendingIDs), maxUpdatesPerMessage)
@@ -185,20 +185,20 @@
 	for _, id := range f.ids {
 		delete(p.pendingSet, id)
 		l := notDeparting
-		if e := b.entries[id]; e != nil {
+		if e := r.entries[id]; e != nil {
 			l = e.departure()
 		}
 		f.departures = append(f.departures, l)
 	}
 	p.inFlight = append(p.inFlight, f)
-	return b.buildMessage(m, f), true
+	return r.buildMessage(m, f), true
 }
 
 // unconfirmedDepartures are the backends whose end a node has been sent, or was about to be, and has not confirmed.
-func (b *Registry) unconfirmedDepartures(p *peer) (ids []string) {
+func (r *Registry) unconfirmedDepartures(p *peer) (ids []string) {
 	ends := func(all []string) {
 		for _, id := range all {
-			if e := b.entries[id]; e != nil && e.departure() > e.notified[p.node.Slot] {
+			if e := r.entries[id]; e != nil && e.departure() > e.notified[p.node.Slot] {
 				ids = append(ids, id)
 			}
 		}
@@ -211,20 +211,20 @@
 }
 
 // rebroadcastDepartures tells the other nodes with a disk once more of ends that did not reach one of them: they may reach it.
-func (b *Registry) rebroadcastDepartures(ids []string) {
+func (r *Registry) rebroadcastDepartures(ids []string) {
 	for _, id := range ids {
-		for _, s := range b.peerSlots {
-			if p := b.peers[s]; p.node.HasDisk && b.informs(p) {
-				b.enqueueUpdate(p, id, true)
+		for _, s := range r.peerSlots {
+			if p := r.peers[s]; p.node.HasDisk && r.informs(p) {
+				r.enqueueUpdate(p, id, true)
 			}
 		}
 	}
 }
 
 // unreachableDiskNodes are the nodes with a disk that this one does not reach.
-func (b *Registry) unreachableDiskNodes() (all []Slot) {
-	for _, s := range b.peerSlots {
-		if p := b.peers[s]; p.node.HasDisk && !p.node.Live {
+func (r *Registry) unreachableDiskNodes() (all []Slot) {
+	for _, s := range r.peerSlots {
+		if p := r.peers[s]; p.node.HasDisk && !p.node.Live {
 			all = append(all, s)
 		}
 	}
@@ -232,59 +232,59 @@
 }
 
 // forwardDepartures tells ends to nodes with a disk that whoever told this one does not reach.
-func (b *Registry) forwardDepartures(m Message) {
-	if !b.local.HasDisk {
+func (r *Registry) forwardDepartures(m Message) {
+	if !r.local.HasDisk {
 		return
 	}
 	for _, s := range m.Unreached {
-		p := b.peers[s]
-		if p == nil || !p.node.HasDisk || !b.informs(p) {
+		p := r.peers[s]
+		if p == nil || !p.node.HasDisk || !r.informs(p) {
 			continue
 		}
 		for _, w := range m.Words {
-			if e := b.entries[w.ID]; e != nil && e.departure() > e.notified[s] && !p.hasInFlight(w.ID, e.departure()) {
-				b.enqueueUpdate(p, w.ID, true)
+			if e := r.entries[w.ID]; e != nil && e.departure() > e.notified[s] && !p.hasInFlight(w.ID, e.departure()) {
+				r.enqueueUpdate(p, w.ID, true)
 			}
 		}
 	}
 }
 
 // buildMessage writes the words of a parcel as they are now.
-func (b *Registry) buildMessage(m Message, f *inFlightMessage) Message {
+func (r *Registry) buildMessage(m Message, f *inFlightMessage) Message {
 	m.Nr, m.All = f.seq, f.fullSync
 	ends := false
 	for _, id := range f.ids {
-		if e := b.entries[id]; e != nil {
-			m.Words = append(m.Words, b.recordOf(e))
+		if e := r.entries[id]; e != nil {
+			m.Words = append(m.Words, r.recordOf(e))
 			ends = ends || e.departure() > notDeparting
 		}
 	}
 	if ends {
-		m.Unreached = b.unreachableDiskNodes()
+		m.Unreached = r.unreachableDiskNodes()
 	}
 	for _, id := range f.suspicions {
-		if e := b.entries[id]; e != nil {
-			m.Doubts = append(m.Doubts, b.recordOf(e))
+		if e := r.entries[id]; e != nil {
+			m.Doubts = append(m.Doubts, r.recordOf(e))
 		}
 	}
 	return m
 }
 
 // resendOverdue repeats what was not confirmed, and gives up on a node that confirms nothing.
-func (b *Registry) resendOverdue(p *peer) {
+func (r *Registry) resendOverdue(p *peer) {
 	for _, f := range p.inFlight {
-		if b.now-f.sentAt < p.ackTimeout(f) {
+		if r.now-f.sentAt < p.ackTimeout(f) {
 			continue
 		}
 		if f.attempts++; f.attempts > maxResends && !p.unresponsive {
-			b.resetPeer(p)
+			r.resetPeer(p)
 			p.unresponsive = true
 			p.seq++
-			f = &inFlightMessage{seq: p.seq, sentAt: b.now}
+			f = &inFlightMessage{seq: p.seq, sentAt: r.now}
 			p.inFlight, p.retransmits = []*inFlightMessage{f}, []*inFlightMessage{f}
 			return
 		}
-		f.sentAt = b.now
+		f.sentAt = r.now
 		if !slices.Contains(p.retransmits, f) {
 			p.retransmits = append(p.retransmits, f)
 		}
@@ -313,125 +313,125 @@
 }
 
 // Receive takes a message of another node.
-func (b *Registry) Receive(from Slot, m Message) {
-	p := b.peers[from]
+func (r *Registry) Receive(from Slot, m Message) {
+	p := r.peers[from]
 	if p == nil {
-		if from < 0 || from == b.localSlot {
+		if from < 0 || from == r.localSlot {
 			return
 		}
-		p = b.peerAt(from)
+		p = r.peerAt(from)
 	}
 	if p.unresponsive && p.node.Live {
-		b.SyncPeer(from)
+		r.SyncPeer(from)
 	}
 	if m.All {
-		b.syncSource, b.syncStartedAt, b.reportMissingAt = from, b.now, b.now+fullSyncGrace
+		r.syncSource, r.syncStartedAt, r.reportMissingAt = from, r.now, r.now+fullSyncGrace
 	}
 	for _, nr := range m.Acks {
-		b.handleAck(p, nr)
+		r.handleAck(p, nr)
 	}
-	if from == b.syncSource && len(m.Words) > 0 && b.reportMissingAt != never { // it is still telling all it has
-		b.reportMissingAt = max(b.reportMissingAt, min(b.now+fullSyncGrace, b.syncStartedAt+fullSyncTimeout))
+	if from == r.syncSource && len(m.Words) > 0 && r.reportMissingAt != never { // it is still telling all it has
+		r.reportMissingAt = max(r.reportMissingAt, min(r.now+fullSyncGrace, r.syncStartedAt+fullSyncTimeout))
 	}
 	for _, w := range m.Words {
-		b.handleUpdate(p, w)
+		r.handleUpdate(p, w)
 	}
-	b.forwardDepartures(m)
+	r.forwardDepartures(m)
 	for _, w := range m.Beats {
-		if e := b.entryFor(w.ID); e != nil {
-			b.handleHeartbeat(e, w, false)
+		if e := r.entryFor(w.ID); e != nil {
+			r.handleHeartbeat(e, w, false)
 		}
 	}
 	for _, w := range m.Doubts {
-		b.handleSuspicion(p, w)
+		r.handleSuspicion(p, w)
 	}
 	if m.Nr != 0 && len(p.acks) < maxPendingAcks {
-		b.activate(p)
+		r.activate(p)
 		p.acks = append(p.acks, m.Nr)
 	}
-	b.answerDecided()
+	r.answerDecided()
 }
 
 // handleUpdate joins a word and says otherwise where more is known here.
-func (b *Registry) handleUpdate(p *peer, w Record) {
-	e := b.entryFor(w.ID)
+func (r *Registry) handleUpdate(p *peer, w Record) {
+	e := r.entryFor(w.ID)
 	if e == nil {
 		return
 	}
-	mine := e.record.Keeper == b.localSlot && e.phase() != Gone
-	recent := b.now-e.lastHeartbeatAt < missedHeartbeats*b.config.HeartbeatInterval
+	mine := e.record.Keeper == r.localSlot && e.phase() != Gone
+	recent := r.now-e.lastHeartbeatAt < missedHeartbeats*r.config.HeartbeatInterval
 	before, was, levelBefore, cold, doubt := e.record, e.phase(), e.departure(), e.slowStartUntil, e.suspected
-	b.merge(e, w)
-	if p.node.Slot == b.syncSource {
-		e.syncedAt = b.now
+	r.merge(e, w)
+	if p.node.Slot == r.syncSource {
+		e.syncedAt = r.now
 	}
 	// What this node alone held for gone, nobody was told.
 	turned := e.phase() != was || e.departure() > levelBefore || doubt && w.Phase == Gone
 	news := turned || recordChanged(before, e.record)
 	switch {
-	case e.record.Keeper == b.localSlot && (before.Keeper != b.localSlot || news):
+	case e.record.Keeper == r.localSlot && (before.Keeper != r.localSlot || news):
 		// The registrar answers for what all know: others may have believed it, or have come up with it.
-		b.broadcast(e, turned)
-	case b.local.HasDisk && (news || e.slowStartUntil != cold):
-		b.forward(e, p, turned)
+		r.broadcast(e, turned)
+	case r.local.HasDisk && (news || e.slowStartUntil != cold):
+		r.forward(e, p, turned)
 	}
-	if k := b.peers[e.record.Keeper]; b.local.HasDisk && before.Service == "" && e.phase() != Gone && k != nil && k != p && k.node.Live {
-		b.enqueueUpdate(k, e.record.ID, false) // new here, and not from its registrar: that one may have forgotten it, and watches again
+	if k := r.peers[e.record.Keeper]; r.local.HasDisk && before.Service == "" && e.phase() != Gone && k != nil && k != p && k.node.Live {
+		r.enqueueUpdate(k, e.record.ID, false) // new here, and not from its registrar: that one may have forgotten it, and watches again
 	}
 	if w.Phase == Gone && p.node.Slot == e.record.Keeper {
 		e.suspected = false
 	}
 	// It holds the end itself, if it has said so in its present life: a late word of the former one is no copy.
 	if l := departureOf(w); l > notDeparting && (p.confirmed || trustUnconfirmedPeers) {
-		b.recordNotified(e, p.node.Slot, l)
+		r.recordNotified(e, p.node.Slot, l)
 	}
 	if w.Missed != NoSlot && w.Fence == e.record.Fence && w.Keeper == e.record.Keeper {
-		if w.Missed == b.localSlot && mine && recent {
+		if w.Missed == r.localSlot && mine && recent {
 			// Somebody thinks this node missing, but the beats still come here.
-			b.takeOwnership(e, NoSlot)
-			b.broadcast(e, true)
+			r.takeOwnership(e, NoSlot)
+			r.broadcast(e, true)
 			return
 		}
-		if m := b.peers[w.Missed]; w.Missed != p.node.Slot && m != nil && m.node.Live {
-			b.enqueueUpdate(m, e.record.ID, true)
+		if m := r.peers[w.Missed]; w.Missed != p.node.Slot && m != nil && m.node.Live {
+			r.enqueueUpdate(m, e.record.ID, true)
 		}
 	}
-	is := b.recordOf(e)
+	is := r.recordOf(e)
 	switch {
-	case w.Phase == Gone && is.Phase != Gone && (e.record.Keeper == b.localSlot || recent):
-		b.broadcast(e, true) // whoever believed it must be told
+	case w.Phase == Gone && is.Phase != Gone && (e.record.Keeper == r.localSlot || recent):
+		r.broadcast(e, true) // whoever believed it must be told
 	case w.Phase != is.Phase || departureOf(w) != departureOf(is) ||
 		w.Keeper != is.Keeper && (w.Fence < is.Fence || w.Fence == is.Fence && w.Keeper < is.Keeper),
 		w.Seq < is.Seq && is.Phase != Gone && p.node.Slot == is.Keeper: // its silence would be of a beat that was not the last
 		if p.node.Live {
-			b.enqueueUpdate(p, e.record.ID, true)
+			r.enqueueUpdate(p, e.record.ID, true)
 		}
 	}
 }
 
 // handleSuspicion hears that another backend answered at the address: the next beat shows who is right.
-func (b *Registry) handleSuspicion(p *peer, w Record) {
-	e := b.entryFor(w.ID)
+func (r *Registry) handleSuspicion(p *peer, w Record) {
+	e := r.entryFor(w.ID)
 	if e == nil {
 		return
 	}
 	before := e.phase()
-	b.merge(e, w)
+	r.merge(e, w)
 	if e.phase() != Gone {
-		b.expire(e)
+		r.expire(e)
 	}
 	if before != Gone {
-		b.broadcast(e, true)
+		r.broadcast(e, true)
 	} else {
-		b.enqueueUpdate(p, e.record.ID, true)
+		r.enqueueUpdate(p, e.record.ID, true)
 	}
 }
 
 // reportSuspicion tells the registrar of a doubt.
-func (b *Registry) reportSuspicion(e *entry) {
-	e.ownerSince = b.now
-	if p := b.peers[e.record.Keeper]; p != nil && p.node.Live && !slices.Contains(p.suspicions, e.record.ID) {
-		b.activate(p)
+func (r *Registry) reportSuspicion(e *entry) {
+	e.ownerSince = r.now
+	if p := r.peers[e.record.Keeper]; p != nil && p.node.Live && !slices.Contains(p.suspicions, e.record.ID) {
+		r.activate(p)
 		p.suspicions = append(p.suspicions, e.record.ID)
 	}
 }
@@ -447,14 +447,14 @@
 }
 
 // handleAck notes what a node has taken in.
-func (b *Registry) handleAck(p *peer, nr uint64) {
+func (r *Registry) handleAck(p *peer, nr uint64) {
 	for i, f := range p.inFlight {
 		if f.seq != nr {
 			continue
 		}
 		for j, id := range f.ids {
-			if e := b.entries[id]; e != nil && f.departures[j] > notDeparting {
-				b.recordNotified(e, p.node.Slot, f.departures[j])
+			if e := r.entries[id]; e != nil && f.departures[j] > notDeparting {
+				r.recordNotified(e, p.node.Slot, f.departures[j])
 			}
 		}
 		p.confirmed = true
@@ -465,7 +465,7 @@
 }
 
 // recordNotified notes that a node knows of an end.
-func (b *Registry) recordNotified(e *entry, s Slot, l departure) {
+func (r *Registry) recordNotified(e *entry, s Slot, l departure) {
 	if e.notified == nil {
 		e.notified = map[Slot]departure{}
 	}
--- a/internal/gateway/registry/storm_test.go
+++ b/internal/gateway/registry/storm_test.go
@@ -39,32 +39,32 @@
 }
 
 // collect takes what is to be sent, each confirmed after a while, and gives the words in it.
-func (c *followerCrowd) collect(after time.Duration) (sent int) {
-	for a, ok := c.registry.Next(); ok; a, ok = c.registry.Next() {
+func (f *followerCrowd) collect(after time.Duration) (sent int) {
+	for a, ok := f.registry.Next(); ok; a, ok = f.registry.Next() {
 		if m, is := a.(Send); is && m.Message.Nr != 0 {
 			sent += len(m.Message.Words)
-			c.records[m.Target] += len(m.Message.Words)
-			c.fullSyncs[m.Target] = c.fullSyncs[m.Target] || m.Message.All
-			c.unacked = append(c.unacked, pendingAck{c.registry.now + after, m.Target, m.Message.Nr})
+			f.records[m.Target] += len(m.Message.Words)
+			f.fullSyncs[m.Target] = f.fullSyncs[m.Target] || m.Message.All
+			f.unacked = append(f.unacked, pendingAck{f.registry.now + after, m.Target, m.Message.Nr})
 		}
 	}
 	return sent
 }
 
 // runUntil goes on to a time; confirmations come when they are due.
-func (c *followerCrowd) runUntil(t time.Duration, after time.Duration) {
-	for now := c.registry.now; now <= t; now += 10 * time.Millisecond {
-		c.registry.Tick(now)
-		rest := c.unacked
-		c.unacked = nil
+func (f *followerCrowd) runUntil(t time.Duration, after time.Duration) {
+	for now := f.registry.now; now <= t; now += 10 * time.Millisecond {
+		f.registry.Tick(now)
+		rest := f.unacked
+		f.unacked = nil
 		for _, d := range rest {
 			if d.at <= now {
-				c.registry.Receive(d.to, Message{Acks: []uint64{d.seq}})
+				f.registry.Receive(d.to, Message{Acks: []uint64{d.seq}})
 			} else {
-				c.unacked = append(c.unacked, d)
+				f.unacked = append(f.unacked, d)
 			}
 		}
-		c.collect(after)
+		f.collect(after)
 	}
 }
 
--- a/internal/gateway/registry/transfer.go
+++ b/internal/gateway/registry/transfer.go
@@ -10,9 +10,9 @@
 
 // enqueueSync has a follower wait for both, its zone's backends before anybody's whole registry. Where most backends are in its zone there
 // is nothing to be gained by it.
-func (b *Registry) enqueueSync(p *peer) {
+func (r *Registry) enqueueSync(p *peer) {
 	near, there := 0, 0
-	for _, e := range b.sorted {
+	for _, e := range r.sorted {
 		if e.phase() != Gone {
 			there++
 			if e.record.Zone == p.node.Zone {
@@ -21,24 +21,24 @@
 		}
 	}
 	if near > 0 && 2*near < there {
-		at := slices.IndexFunc(b.syncQueue, func(t syncRequest) bool { return !t.zoneOnly })
+		at := slices.IndexFunc(r.syncQueue, func(t syncRequest) bool { return !t.zoneOnly })
 		if at < 0 {
-			at = len(b.syncQueue)
+			at = len(r.syncQueue)
 		}
-		b.syncQueue = slices.Insert(b.syncQueue, at, syncRequest{p.node.Slot, true})
+		r.syncQueue = slices.Insert(r.syncQueue, at, syncRequest{p.node.Slot, true})
 	}
-	b.syncQueue = append(b.syncQueue, syncRequest{p.node.Slot, false})
+	r.syncQueue = append(r.syncQueue, syncRequest{p.node.Slot, false})
 }
 
 // startSyncs begins to tell what there is to those who follow and wait for it, a few at a time: after the loss of all nodes everybody
 // asks at once, and what all are told together comes so late to each that they give up and ask another node, for all of it again.
-func (b *Registry) startSyncs() {
-	if len(b.syncQueue) == 0 {
+func (r *Registry) startSyncs() {
+	if len(r.syncQueue) == 0 {
 		return
 	}
 	under := 0
-	for _, s := range b.peerSlots {
-		p := b.peers[s]
+	for _, s := range r.peerSlots {
+		p := r.peers[s]
 		if p.syncing && len(p.pendingIDs)+len(p.inFlight) == 0 && !p.fullSyncNext {
 			p.syncing = false
 		}
@@ -46,21 +46,21 @@
 			under++
 		}
 	}
-	for ; under < maxFullSyncs && len(b.syncQueue) > 0; under++ {
-		t := b.syncQueue[0]
-		b.syncQueue = b.syncQueue[1:]
-		p := b.peers[t.target]
-		b.activate(p)
+	for ; under < maxFullSyncs && len(r.syncQueue) > 0; under++ {
+		t := r.syncQueue[0]
+		r.syncQueue = r.syncQueue[1:]
+		p := r.peers[t.target]
+		r.activate(p)
 		p.syncing, p.fullSyncNext = true, p.fullSyncNext || !t.zoneOnly
-		for _, e := range b.sorted {
-			if b.relevantToFollower(e) && (!t.zoneOnly || e.record.Zone == p.node.Zone) {
-				b.enqueueUpdate(p, e.record.ID, true)
+		for _, e := range r.sorted {
+			if r.relevantToFollower(e) && (!t.zoneOnly || e.record.Zone == p.node.Zone) {
+				r.enqueueUpdate(p, e.record.ID, true)
 			}
 		}
 	}
 }
 
 // relevantToFollower holds for backends that are there, and for those whose end may still be news to a follower.
-func (b *Registry) relevantToFollower(e *entry) bool {
-	return e.phase() != Gone || e.departure() > notDeparting && b.now-e.goneAt < departureRetention
+func (r *Registry) relevantToFollower(e *entry) bool {
+	return e.phase() != Gone || e.departure() > notDeparting && r.now-e.goneAt < departureRetention
 }
--- a/internal/gateway/registry/wait.go
+++ b/internal/gateway/registry/wait.go
@@ -27,29 +27,29 @@
 	since     time.Duration
 }
 
-func (w pendingCall) deadline(now time.Duration) time.Duration {
-	if now < w.since+allCopiesTimeout {
-		return w.since + allCopiesTimeout
+func (p pendingCall) deadline(now time.Duration) time.Duration {
+	if now < p.since+allCopiesTimeout {
+		return p.since + allCopiesTimeout
 	}
-	return w.since + minCopiesTimeout
+	return p.since + minCopiesTimeout
 }
 
 // trackCall acknowledges at once, or when others know of the end.
-func (b *Registry) trackCall(e *entry, asked departure) {
-	w := pendingCall{ticket: b.lastTicket, entry: e, requested: asked, since: b.now}
+func (r *Registry) trackCall(e *entry, asked departure) {
+	w := pendingCall{ticket: r.lastTicket, entry: e, requested: asked, since: r.now}
 	if asked != notDeparting {
-		for _, s := range b.peerSlots {
-			p := b.peers[s]
-			if b.informs(p) && e.notified[s] < asked && !p.hasInFlight(e.record.ID, asked) {
-				b.enqueueUpdate(p, e.record.ID, true)
+		for _, s := range r.peerSlots {
+			p := r.peers[s]
+			if r.informs(p) && e.notified[s] < asked && !p.hasInFlight(e.record.ID, asked) {
+				r.enqueueUpdate(p, e.record.ID, true)
 			}
 		}
 	}
-	if ok, done := b.decide(w); done {
-		b.answerCall(w, ok)
+	if ok, done := r.decide(w); done {
+		r.answerCall(w, ok)
 		return
 	}
-	b.pendingCalls = append(b.pendingCalls, w)
+	r.pendingCalls = append(r.pendingCalls, w)
 }
 
 // hasInFlight tells whether the end is on its way already.
@@ -62,16 +62,16 @@
 	return false
 }
 
-func (b *Registry) answerCall(w pendingCall, ok bool) {
-	b.acknowledgements = append(b.acknowledgements, Acknowledge{Ticket: w.ticket, OwnerAddr: b.ownerFor(w.entry, NoSlot).ControlAddr, Confirmed: ok})
+func (r *Registry) answerCall(w pendingCall, ok bool) {
+	r.acknowledgements = append(r.acknowledgements, Acknowledge{Ticket: w.ticket, OwnerAddr: r.ownerFor(w.entry, NoSlot).ControlAddr, Confirmed: ok})
 }
 
 // answerDecided answers the calls that are decided.
-func (b *Registry) answerDecided() {
-	b.pendingCalls = slices.DeleteFunc(b.pendingCalls, func(w pendingCall) bool {
-		ok, done := b.decide(w)
+func (r *Registry) answerDecided() {
+	r.pendingCalls = slices.DeleteFunc(r.pendingCalls, func(w pendingCall) bool {
+		ok, done := r.decide(w)
 		if done {
-			b.answerCall(w, ok)
+			r.answerCall(w, ok)
 		}
 		return done
 	})
@@ -79,15 +79,15 @@
 
 // decide tells whether a call may be answered, and how: when the nodes that this one tells have confirmed it, and enough copies lie at
 // nodes with a disk. The others have it from these a moment later. Where too few such nodes are heard another node may tell them.
-func (b *Registry) decide(w pendingCall) (ok, done bool) {
-	if w.requested == notDeparting || b.hasNodes && b.knownCount == 0 {
+func (r *Registry) decide(w pendingCall) (ok, done bool) {
+	if w.requested == notDeparting || r.hasNodes && r.knownCount == 0 {
 		return true, true
 	}
-	c := b.countCopies(w)
-	if !b.hasNodes || b.liveCount == 0 || c.reachable < c.required {
+	c := r.countCopies(w)
+	if !r.hasNodes || r.liveCount == 0 || c.reachable < c.required {
 		return false, true
 	}
-	age := b.now - w.since
+	age := r.now - w.since
 	switch {
 	case c.confirmed < c.required:
 	case c.all, age >= allCopiesTimeout && age < callTimeout && c.others > 0:
@@ -105,20 +105,20 @@
 	all       bool // all nodes have it that this one tells
 }
 
-func (b *Registry) countCopies(w pendingCall) copyCounts {
-	c := copyCounts{required: b.config.MinCopies, all: true}
-	if !b.hasKnownDisk {
-		c.required = min(c.required, b.knownCount+1)
+func (r *Registry) countCopies(w pendingCall) copyCounts {
+	c := copyCounts{required: r.config.MinCopies, all: true}
+	if !r.hasKnownDisk {
+		c.required = min(c.required, r.knownCount+1)
 	}
-	if !b.hasKnownDisk || b.local.HasDisk {
+	if !r.hasKnownDisk || r.local.HasDisk {
 		c.reachable, c.confirmed = 1, 1
 	}
-	for _, s := range b.peerSlots {
-		p := b.peers[s]
-		if !b.informs(p) {
+	for _, s := range r.peerSlots {
+		p := r.peers[s]
+		if !r.informs(p) {
 			continue
 		}
-		counts := !b.hasKnownDisk || p.node.HasDisk
+		counts := !r.hasKnownDisk || p.node.HasDisk
 		if counts {
 			c.reachable++
 		}
--- a/internal/gateway/replication/codec.go
+++ b/internal/gateway/replication/codec.go
@@ -130,53 +130,53 @@
 	truncated bool
 }
 
-func (r *messageReader) fail() {
-	r.rest, r.truncated = nil, true
+func (m *messageReader) fail() {
+	m.rest, m.truncated = nil, true
 }
 
-func (r *messageReader) byte() byte {
-	if len(r.rest) == 0 {
-		r.fail()
+func (m *messageReader) byte() byte {
+	if len(m.rest) == 0 {
+		m.fail()
 		return 0
 	}
-	c := r.rest[0]
-	r.rest = r.rest[1:]
+	c := m.rest[0]
+	m.rest = m.rest[1:]
 	return c
 }
 
-func (r *messageReader) uvarint() uint64 {
-	n, size := binary.Uvarint(r.rest)
+func (m *messageReader) uvarint() uint64 {
+	n, size := binary.Uvarint(m.rest)
 	if size <= 0 {
-		r.fail()
+		m.fail()
 		return 0
 	}
-	r.rest = r.rest[size:]
+	m.rest = m.rest[size:]
 	return n
 }
 
 // count is a number of things of which each takes a byte at the least.
-func (r *messageReader) count() int {
-	n := r.uvarint()
-	if n > uint64(len(r.rest)) {
-		r.fail()
+func (m *messageReader) count() int {
+	n := m.uvarint()
+	if n > uint64(len(m.rest)) {
+		m.fail()
 		return 0
 	}
 	return int(n)
 }
 
-func (r *messageReader) bytes() []byte {
-	n := r.count()
+func (m *messageReader) bytes() []byte {
+	n := m.count()
 	if n == 0 {
 		return nil
 	}
-	data := bytes.Clone(r.rest[:n])
-	r.rest = r.rest[n:]
+	data := bytes.Clone(m.rest[:n])
+	m.rest = m.rest[n:]
 	return data
 }
 
-func (r *messageReader) members() (list []Member) {
-	for range r.count() {
-		list = append(list, Member{ID: MemberID(r.uvarint()), Addr: string(r.bytes())})
+func (m *messageReader) members() (list []Member) {
+	for range m.count() {
+		list = append(list, Member{ID: MemberID(m.uvarint()), Addr: string(m.bytes())})
 	}
 	return list
 }
--- a/internal/gateway/replication/contact.go
+++ b/internal/gateway/replication/contact.go
@@ -46,31 +46,31 @@
 }
 
 // reportsContact: what a node may do goes by the configuration's log alone, and its contact is told by no other.
-func (p *Replica) reportsContact() bool { return p.config.LogID == ConfigurationLog }
+func (r *Replica) reportsContact() bool { return r.config.LogID == ConfigurationLog }
 
 // QuorumContact is how long ago a majority was in contact at the latest, as far as is known here, and the newest view that this is known
 // of; false while there was no word of it in this life.
-func (p *Replica) QuorumContact(now time.Duration) (age time.Duration, view uint64, ok bool) {
-	if p.quorumContact.since == noContact {
-		view, _ = p.termAt(p.commitIndex)
+func (r *Replica) QuorumContact(now time.Duration) (age time.Duration, view uint64, ok bool) {
+	if r.quorumContact.since == noContact {
+		view, _ = r.termAt(r.commitIndex)
 		return never, view, false
 	}
-	return max(now, p.now) - p.quorumContact.since, p.quorumContact.term, true
+	return max(now, r.now) - r.quorumContact.since, r.quorumContact.term, true
 }
 
 // advanceContact goes on to newer word.
-func (p *Replica) advanceContact(at time.Duration, view uint64) {
-	if at >= p.quorumContact.since {
-		p.quorumContact = contactState{at, max(view, p.quorumContact.term)}
+func (r *Replica) advanceContact(at time.Duration, view uint64) {
+	if at >= r.quorumContact.since {
+		r.quorumContact = contactState{at, max(view, r.quorumContact.term)}
 	}
 }
 
 // recordResponseClock notes that a member followed this view when the clock that it gives back was told. A node of the version before
 // tells none: then it is when its answer came.
-func (p *Replica) recordResponseClock(w *progress, m Message) {
-	at, ok := p.clock.SentAt(m.Echo, p.now)
-	if m.Clock == 0 || p.fault == contactByReceipt {
-		at, ok = p.now, true
+func (r *Replica) recordResponseClock(w *progress, m Message) {
+	at, ok := r.clock.SentAt(m.Echo, r.now)
+	if m.Clock == 0 || r.fault == contactByReceipt {
+		at, ok = r.now, true
 	}
 	w.lastClock = m.Clock
 	if ok {
@@ -80,43 +80,43 @@
 
 // updateQuorumContact is the leader's: the newest of its times since which a majority, of both lists while they change, was in
 // contact. Before an entry of this view is committed, others' entries may be acknowledged and not yet known here to be.
-func (p *Replica) updateQuorumContact() {
-	if p.role != roleLeader || !p.reportsContact() || p.commitIndex < p.termStartIndex && p.fault != contactEarly {
+func (r *Replica) updateQuorumContact() {
+	if r.role != roleLeader || !r.reportsContact() || r.commitIndex < r.termStartIndex && r.fault != contactEarly {
 		return
 	}
 	since := func(t time.Duration) bool {
-		return p.hasQuorum(func(id MemberID) bool { return id == p.self.ID || p.peers[id] != nil && p.peers[id].contactAt >= t })
+		return r.hasQuorum(func(id MemberID) bool { return id == r.self.ID || r.peers[id] != nil && r.peers[id].contactAt >= t })
 	}
-	if since(p.now) || p.fault == contactLeads {
-		p.advanceContact(p.now, p.term)
+	if since(r.now) || r.fault == contactLeads {
+		r.advanceContact(r.now, r.term)
 		return
 	}
-	for _, w := range p.peers {
-		if w.contactAt > p.quorumContact.since && since(w.contactAt) {
-			p.advanceContact(w.contactAt, p.term)
+	for _, w := range r.peers {
+		if w.contactAt > r.quorumContact.since && since(w.contactAt) {
+			r.advanceContact(w.contactAt, r.term)
 		}
 	}
 }
 
 // attachContact puts the leader's word into what it sends.
-func (p *Replica) attachContact(w *progress, m *Message) {
-	if m.Contact = -1; !p.reportsContact() {
+func (r *Replica) attachContact(w *progress, m *Message) {
+	if m.Contact = -1; !r.reportsContact() {
 		return
 	}
-	p.updateQuorumContact()
-	m.Clock, m.Echo, m.Contact = p.clock.Stamp(p.now), w.lastClock, -1
-	if age, _, ok := p.QuorumContact(p.now); ok {
+	r.updateQuorumContact()
+	m.Clock, m.Echo, m.Contact = r.clock.Stamp(r.now), w.lastClock, -1
+	if age, _, ok := r.QuorumContact(r.now); ok {
 		m.Contact = int64((age + time.Millisecond - 1) / time.Millisecond)
 	}
 }
 
 // receiveContact takes the leader's word, once all that it had committed is committed here.
-func (p *Replica) receiveContact(m Message) {
-	at, ok := p.clock.SentAt(m.Echo, p.now)
-	if m.Clock == 0 || p.fault == followByReceipt {
-		at, ok = p.now, true
+func (r *Replica) receiveContact(m Message) {
+	at, ok := r.clock.SentAt(m.Echo, r.now)
+	if m.Clock == 0 || r.fault == followByReceipt {
+		at, ok = r.now, true
 	}
-	if ok && m.Contact >= 0 && (p.commitIndex >= m.Delivered || p.fault == contactAhead) {
-		p.advanceContact(at-time.Duration(m.Contact)*time.Millisecond, m.View)
+	if ok && m.Contact >= 0 && (r.commitIndex >= m.Delivered || r.fault == contactAhead) {
+		r.advanceContact(at-time.Duration(m.Contact)*time.Millisecond, m.View)
 	}
 }
--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -13,24 +13,24 @@
 // it says when it wakes is judged by the time that it is.
 
 // tick tells a member the time before anything else.
-func (w *cluster) tick(i int) {
-	if w.judgesContact {
-		w.members[i].replica.Tick(w.now)
+func (c *cluster) tick(i int) {
+	if c.judgesContact {
+		c.members[i].replica.Tick(c.now)
 	}
 }
 
-func (w *cluster) checkContact() {
-	if !w.judgesContact {
+func (c *cluster) checkContact() {
+	if !c.judgesContact {
 		return
 	}
-	for _, s := range w.members {
-		age, view, ok := s.replica.QuorumContact(w.now)
+	for _, s := range c.members {
+		age, view, ok := s.replica.QuorumContact(c.now)
 		if !ok {
 			continue
 		}
-		for n, at := range w.committedAt {
-			if e := w.committed[n]; at < w.now-age && e.Index > s.replica.commitIndex {
-				w.fail("member %d is in contact since %v in view %d, and lacks %d of %v", s.disk.ID, w.now-age, view, e.Index, at)
+		for n, at := range c.committedAt {
+			if e := c.committed[n]; at < c.now-age && e.Index > s.replica.commitIndex {
+				c.fail("member %d is in contact since %v in view %d, and lacks %d of %v", s.disk.ID, c.now-age, view, e.Index, at)
 			}
 		}
 	}
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -54,11 +54,11 @@
 	description string
 }
 
-func (s *traceStep) String() string {
-	if s == nil {
+func (t *traceStep) String() string {
+	if t == nil {
 		return ""
 	}
-	return s.before.String() + "\n  " + s.description
+	return t.before.String() + "\n  " + t.description
 }
 
 // timelessConfig are terms under which time never matters: steps are taken when the explorer says so.
@@ -98,51 +98,51 @@
 	return w
 }
 
-func (w *cluster) start(i int) {
-	s := w.members[i]
+func (c *cluster) start(i int) {
+	s := c.members[i]
 	s.writes, s.down = nil, false
-	s.replica = New(Member{s.disk.ID, fmt.Sprint("node", i)}, s.disk, w.config, 1, 0)
-	s.replica.fault = w.fault
-	w.drainActions(i)
+	s.replica = New(Member{s.disk.ID, fmt.Sprint("node", i)}, s.disk, c.config, 1, 0)
+	s.replica.fault = c.fault
+	c.drainActions(i)
 }
 
-func (w *cluster) fail(f string, a ...any) {
-	if w.violation == "" {
-		w.violation = fmt.Sprintf(f, a...)
+func (c *cluster) fail(f string, a ...any) {
+	if c.violation == "" {
+		c.violation = fmt.Sprintf(f, a...)
 	}
 }
 
 // drainActions carries out a member's actions and judges them.
-func (w *cluster) drainActions(i int) {
-	s := w.members[i]
-	if c := s.replica.memberConfigs[len(s.replica.memberConfigs)-1]; s.replica.role == roleLeader && c.index > s.replica.commitIndex {
-		if v, _ := s.replica.termAt(c.index); v == s.replica.term && w.configBases[logPosition{v, c.index}] == 0 {
-			w.configBases = maps.Clone(w.configBases)
-			w.configBases[logPosition{v, c.index}] = s.replica.commitIndex
+func (c *cluster) drainActions(i int) {
+	s := c.members[i]
+	if memberConfig := s.replica.memberConfigs[len(s.replica.memberConfigs)-1]; s.replica.role == roleLeader && memberConfig.index > s.replica.commitIndex {
+		if v, _ := s.replica.termAt(memberConfig.index); v == s.replica.term && c.configBases[logPosition{v, memberConfig.index}] == 0 {
+			c.configBases = maps.Clone(c.configBases)
+			c.configBases[logPosition{v, memberConfig.index}] = s.replica.commitIndex
 		}
 	}
 	for a, ok := s.replica.Next(); ok; a, ok = s.replica.Next() {
 		switch a := a.(type) {
 		case Send:
-			w.inflight = append(w.inflight, inflightMessage{s.disk.ID, a})
+			c.inflight = append(c.inflight, inflightMessage{s.disk.ID, a})
 		case Write:
 			s.writes = append(s.writes, a)
 		case Commit:
-			w.checkCommit(i, a.Entry)
+			c.checkCommit(i, a.Entry)
 		case Restore:
-			if all := w.stateAt(a.Index); string(a.State) != all {
-				w.fail("member %d restores %q at %d, delivered is %q", s.disk.ID, a.State, a.Index, all)
+			if all := c.stateAt(a.Index); string(a.State) != all {
+				c.fail("member %d restores %q at %d, delivered is %q", s.disk.ID, a.State, a.Index, all)
 			}
 		}
 	}
 	if s.replica.role == roleLeader && s.replica.term > s.ledTerm {
 		s.ledTerm = s.replica.term
-		if slices.ContainsFunc(w.members, func(o *simMember) bool { return o != s && o.ledTerm == s.ledTerm }) {
-			w.fail("two lead view %d", s.ledTerm)
+		if slices.ContainsFunc(c.members, func(o *simMember) bool { return o != s && o.ledTerm == s.ledTerm }) {
+			c.fail("two lead view %d", s.ledTerm)
 		}
-		for _, e := range w.committed {
+		for _, e := range c.committed {
 			if v, ok := s.replica.termAt(e.Index); e.Index > s.replica.snapshot.Index && (!ok || v != e.View) {
-				w.fail("member %d leads view %d without the delivered entry %d", s.replica.self.ID, s.replica.term, e.Index)
+				c.fail("member %d leads view %d without the delivered entry %d", s.replica.self.ID, s.replica.term, e.Index)
 			}
 		}
 	}
@@ -157,125 +157,125 @@
 	return k.Snapshot.Index >= e.Index || n < uint64(len(k.Entries)) && sameEntry(k.Entries[n], e)
 }
 
-func (w *cluster) checkCommit(i int, e Entry) {
-	if n := e.Index - 2; n < uint64(len(w.committed)) {
-		if !sameEntry(w.committed[n], e) {
-			w.fail("entry %d of view %d was delivered, and then one of view %d", e.Index, w.committed[n].View, e.View)
+func (c *cluster) checkCommit(i int, e Entry) {
+	if n := e.Index - 2; n < uint64(len(c.committed)) {
+		if !sameEntry(c.committed[n], e) {
+			c.fail("entry %d of view %d was delivered, and then one of view %d", e.Index, c.committed[n].View, e.View)
 		}
 		return
 	}
-	w.committed, w.committedAt = append(w.committed, e), append(w.committedAt, w.now)
+	c.committed, c.committedAt = append(c.committed, e), append(c.committedAt, c.now)
 	if e.Kind == EntryConfigChange {
-		w.checkMembers(e)
+		c.checkMembers(e)
 	}
-	if !hasMajority(w.members[i].replica.Members(), func(id MemberID) bool {
+	if !hasMajority(c.members[i].replica.Members(), func(id MemberID) bool {
 		had := func(k PersistentState) bool { return k.ID == id && hasEntry(k, e) }
 		now := func(s *simMember) bool { return had(s.disk) }
-		return slices.ContainsFunc(w.wipedDisks, had) || slices.ContainsFunc(w.members, now)
+		return slices.ContainsFunc(c.wipedDisks, had) || slices.ContainsFunc(c.members, now)
 	}) {
-		w.fail("entry %d is delivered and on too few disks", e.Index)
+		c.fail("entry %d is delivered and on too few disks", e.Index)
 	}
 }
 
 // stateAt is the host's state: what was delivered up to an index, the newest first, so that two differ in each byte.
-func (w *cluster) stateAt(upto uint64) (all string) {
-	for _, e := range w.committed[:min(uint64(len(w.committed)), max(upto, 1)-1)] {
+func (c *cluster) stateAt(upto uint64) (all string) {
+	for _, e := range c.committed[:min(uint64(len(c.committed)), max(upto, 1)-1)] {
 		all = string(e.Data) + all
 	}
 	return all
 }
 
 // compact has a member put all that it delivered into a snapshot.
-func (w *cluster) compact(i int) {
-	p := w.members[i].replica
-	p.Compact(p.commitIndex, []byte(w.stateAt(p.commitIndex)))
-	w.drainActions(i)
+func (c *cluster) compact(i int) {
+	p := c.members[i].replica
+	p.Compact(p.commitIndex, []byte(c.stateAt(p.commitIndex)))
+	c.drainActions(i)
 }
 
 // checkMembers: once a list is in force as many more may go as its size says, whoever they are. So who is new on it has what the leader
 // knew to be committed when it made it, and it is no shorter than what it was founded with.
-func (w *cluster) checkMembers(e Entry) {
-	was := w.currentMembers
-	if w.currentMembers = e.Members; len(e.Members) < len(was) {
-		w.fail("list %d has %d members", e.Index, len(e.Members))
+func (c *cluster) checkMembers(e Entry) {
+	was := c.currentMembers
+	if c.currentMembers = e.Members; len(e.Members) < len(was) {
+		c.fail("list %d has %d members", e.Index, len(e.Members))
 	}
-	for _, s := range w.members {
+	for _, s := range c.members {
 		is := func(m Member) bool { return m.ID == s.disk.ID }
-		have, base := s.disk.Snapshot.Index+uint64(len(s.disk.Entries)), w.configBases[logPosition{e.View, e.Index}]
+		have, base := s.disk.Snapshot.Index+uint64(len(s.disk.Entries)), c.configBases[logPosition{e.View, e.Index}]
 		if slices.ContainsFunc(e.Members, is) && !slices.ContainsFunc(was, is) && !s.down && have < base {
-			w.fail("list %d is in force, and its new member %d has %d of %d", e.Index, s.disk.ID, have, base)
+			c.fail("list %d is in force, and its new member %d has %d of %d", e.Index, s.disk.ID, have, base)
 		}
 	}
 }
 
-func (w *cluster) sync(i int) {
-	s := w.members[i]
+func (c *cluster) sync(i int) {
+	s := c.members[i]
 	s.disk.Apply(s.writes[0])
 	nr := s.writes[0].Seq
 	s.writes = s.writes[1:]
-	w.tick(i)
+	c.tick(i)
 	s.replica.Synced(nr)
-	w.drainActions(i)
+	c.drainActions(i)
 }
 
-func (w *cluster) deliver(n int) {
-	m := w.inflight[n]
-	w.inflight = slices.Delete(slices.Clone(w.inflight), n, n+1)
-	for i, s := range w.members {
+func (c *cluster) deliver(n int) {
+	m := c.inflight[n]
+	c.inflight = slices.Delete(slices.Clone(c.inflight), n, n+1)
+	for i, s := range c.members {
 		if s.down {
 			continue
 		}
 		if s.replica.self.Addr == m.sent.Recipient.Addr || m.sent.Recipient.Addr == "" && s.replica.self.ID == m.sent.Recipient.ID {
-			w.tick(i)
+			c.tick(i)
 			s.replica.Step(m.from, m.sent.Message)
-			w.drainActions(i)
+			c.drainActions(i)
 		}
 	}
 }
 
-func (w *cluster) heartbeat(i int) {
-	w.tick(i)
-	if !w.judgesContact {
-		w.members[i].replica.now++ // what nobody acknowledged goes again
+func (c *cluster) heartbeat(i int) {
+	c.tick(i)
+	if !c.judgesContact {
+		c.members[i].replica.now++ // what nobody acknowledged goes again
 	}
-	w.members[i].replica.broadcastHeartbeat()
-	w.drainActions(i)
+	c.members[i].replica.broadcastHeartbeat()
+	c.drainActions(i)
 }
 
 // deliverAll lets all come through in order.
-func (w *cluster) deliverAll() {
+func (c *cluster) deliverAll() {
 	for again := true; again; {
-		again = len(w.inflight) > 0
-		for i, s := range w.members {
+		again = len(c.inflight) > 0
+		for i, s := range c.members {
 			for len(s.writes) > 0 {
-				w.sync(i)
+				c.sync(i)
 				again = true
 			}
 		}
-		if len(w.inflight) > 0 {
-			w.deliver(0)
+		if len(c.inflight) > 0 {
+			c.deliver(0)
 		}
 	}
 }
 
 // dropStale takes away what can't do anything any more: answers to who has gone on to a newer view, on disk.
-func (w *cluster) dropStale() {
-	w.inflight = slices.DeleteFunc(slices.Clone(w.inflight), func(f inflightMessage) bool {
-		to := slices.IndexFunc(w.members, func(s *simMember) bool { return s.disk.ID == f.sent.Recipient.ID })
+func (c *cluster) dropStale() {
+	c.inflight = slices.DeleteFunc(slices.Clone(c.inflight), func(f inflightMessage) bool {
+		to := slices.IndexFunc(c.members, func(s *simMember) bool { return s.disk.ID == f.sent.Recipient.ID })
 		k := f.sent.Message.Kind
-		return to < 0 || f.sent.Message.View < w.members[to].disk.Term && k != MsgAppend && k != MsgRequestVote
+		return to < 0 || f.sent.Message.View < c.members[to].disk.Term && k != MsgAppend && k != MsgRequestVote
 	})
 }
 
 // nextSteps are all that could come next. What is never taken was lost or has yet to come.
-func (w *cluster) nextSteps(do func(what string, act func(*cluster))) {
-	for n, m := range w.inflight {
-		key := string(m.key(nil, w.judgesContact))
-		if !slices.ContainsFunc(w.inflight[:n], func(o inflightMessage) bool { return string(o.key(nil, w.judgesContact)) == key }) {
+func (c *cluster) nextSteps(do func(what string, act func(*cluster))) {
+	for n, m := range c.inflight {
+		key := string(m.key(nil, c.judgesContact))
+		if !slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.key(nil, c.judgesContact)) == key }) {
 			k := m.sent.Message
 			what := fmt.Sprintf("%d>%d kind %d view %d index %d", m.from, m.sent.Recipient.ID, k.Kind, k.View, k.Index)
 			do(what, func(w *cluster) { w.deliver(n) })
-			if k.Chunk != nil && w.budget.duplicates > 0 {
+			if k.Chunk != nil && c.budget.duplicates > 0 {
 				do(what+" and will again", func(w *cluster) {
 					w.budget.duplicates--
 					w.inflight = append(slices.Clone(w.inflight), w.inflight[n])
@@ -284,59 +284,59 @@
 			}
 		}
 	}
-	for i, s := range w.members {
+	for i, s := range c.members {
 		id := s.disk.ID
 		if s.down {
-			if w.budget.restarts > 0 {
+			if c.budget.restarts > 0 {
 				do(fmt.Sprintf("%d is back", id), func(w *cluster) { w.budget.restarts--; w.start(i) })
 			}
 			continue
 		}
-		if w.budget.losses > 0 {
+		if c.budget.losses > 0 {
 			do(fmt.Sprintf("%d is lost", id), func(w *cluster) { w.budget.losses--; w.takeDown(i) })
 		}
-		if w.budget.replacements > 0 && s.replica.role == roleLeader {
-			w.nextReplacements(i, do)
+		if c.budget.replacements > 0 && s.replica.role == roleLeader {
+			c.nextReplacements(i, do)
 		}
 		if len(s.writes) > 0 {
 			do(fmt.Sprintf("%d syncs", id), func(w *cluster) { w.sync(i) })
 		}
-		if w.budget.crashes > 0 {
+		if c.budget.crashes > 0 {
 			do(fmt.Sprintf("%d loses power", id), func(w *cluster) { w.budget.crashes--; w.start(i) })
 		}
-		if w.budget.wipes > 0 && s.replica.Bootstrapped() {
+		if c.budget.wipes > 0 && s.replica.Bootstrapped() {
 			do(fmt.Sprintf("%d loses its disk", id), func(w *cluster) { w.budget.wipes--; w.wipeDisk(i) })
 		}
-		if w.budget.elections > 0 && s.replica.role != roleLeader && s.replica.isMember(id) {
+		if c.budget.elections > 0 && s.replica.role != roleLeader && s.replica.isMember(id) {
 			do(fmt.Sprintf("%d asks", id), func(w *cluster) { w.budget.elections--; w.members[i].replica.startElection(true); w.drainActions(i) })
 		}
-		if w.budget.proposals > 0 && s.replica.role == roleLeader {
+		if c.budget.proposals > 0 && s.replica.role == roleLeader {
 			do(fmt.Sprintf("%d proposes", id), func(w *cluster) {
 				w.budget.proposals--
 				w.members[i].replica.Propose(1, []byte{byte(w.budget.proposals)})
 				w.drainActions(i)
 			})
 		}
-		if w.budget.compactions > 0 && s.replica.commitIndex > s.replica.snapshot.Index {
+		if c.budget.compactions > 0 && s.replica.commitIndex > s.replica.snapshot.Index {
 			do(fmt.Sprintf("%d compacts", id), func(w *cluster) { w.budget.compactions--; w.compact(i) })
 		}
-		if w.budget.heartbeats > 0 && s.replica.role == roleLeader {
+		if c.budget.heartbeats > 0 && s.replica.role == roleLeader {
 			do(fmt.Sprintf("%d beats", id), func(w *cluster) { w.budget.heartbeats--; w.heartbeat(i) })
 		}
 	}
-	if w.budget.ticks > 0 {
+	if c.budget.ticks > 0 {
 		do("a second passes", func(w *cluster) { w.budget.ticks--; w.now += time.Second })
 	}
 }
 
 // takeDown takes a member away with what it has on disk.
-func (w *cluster) takeDown(i int) { w.members[i].down, w.members[i].writes = true, nil }
+func (c *cluster) takeDown(i int) { c.members[i].down, c.members[i].writes = true, nil }
 
 // nextReplacements are the replacements that a leader could begin: any that is there for any member that is lost.
-func (w *cluster) nextReplacements(i int, do func(what string, act func(*cluster))) {
-	p := w.members[i].replica
-	for _, in := range w.members {
-		for _, out := range w.members {
+func (c *cluster) nextReplacements(i int, do func(what string, act func(*cluster))) {
+	p := c.members[i].replica
+	for _, in := range c.members {
+		for _, out := range c.members {
 			if from, to := in.replica.self, out.replica.self.ID; !in.down && out.down && !p.isMember(from.ID) && p.isMember(to) {
 				do(fmt.Sprintf("%d takes %d in for %d", p.self.ID, from.ID, to), func(w *cluster) {
 					w.budget.replacements--
@@ -349,29 +349,29 @@
 }
 
 // replaceMember has a member lost and another take its place, as all know that reach each other.
-func (w *cluster) replaceMember(out, in int) *cluster {
-	w.takeDown(out)
-	w.members[0].replica.AddMember(w.members[in].replica.self, w.members[out].disk.ID)
-	w.drainActions(0)
-	w.deliverAll()
-	w.heartbeat(0)
-	w.deliverAll()
-	return w
-}
-
-func (w *cluster) wipeDisk(i int) {
-	s := w.members[i]
-	w.wipedDisks = append(slices.Clone(w.wipedDisks), s.disk)
-	if s.disk = (PersistentState{ID: s.disk.ID + 10}); w.fault == countWiped {
+func (c *cluster) replaceMember(out, in int) *cluster {
+	c.takeDown(out)
+	c.members[0].replica.AddMember(c.members[in].replica.self, c.members[out].disk.ID)
+	c.drainActions(0)
+	c.deliverAll()
+	c.heartbeat(0)
+	c.deliverAll()
+	return c
+}
+
+func (c *cluster) wipeDisk(i int) {
+	s := c.members[i]
+	c.wipedDisks = append(slices.Clone(c.wipedDisks), s.disk)
+	if s.disk = (PersistentState{ID: s.disk.ID + 10}); c.fault == countWiped {
 		s.disk.ID -= 10
 	}
-	w.start(i)
+	c.start(i)
 }
 
-func (w *cluster) clone() *cluster {
-	c := *w
-	c.members = nil
-	for _, s := range w.members {
+func (c *cluster) clone() *cluster {
+	cluster := *c
+	cluster.members = nil
+	for _, s := range c.members {
 		o, p := *s, *s.replica
 		p.log, p.memberConfigs, p.unsyncedWrites = slices.Clone(p.log), slices.Clone(p.memberConfigs), slices.Clone(p.unsyncedWrites)
 		p.pendingReplies, p.reads, p.peers = slices.Clone(p.pendingReplies), slices.Clone(p.reads), maps.Clone(p.peers)
@@ -383,13 +383,13 @@
 		p.proposals, p.preVotes = maps.Clone(p.proposals), maps.Clone(p.preVotes)
 		p.votes, p.voteRequests, p.lostSince = maps.Clone(p.votes), maps.Clone(p.voteRequests), maps.Clone(p.lostSince)
 		o.replica = &p
-		c.members = append(c.members, &o)
+		cluster.members = append(cluster.members, &o)
 	}
-	c.inflight, c.committed, c.committedAt = slices.Clip(w.inflight), slices.Clip(w.committed), slices.Clip(w.committedAt)
-	for _, s := range c.members {
+	cluster.inflight, cluster.committed, cluster.committedAt = slices.Clip(c.inflight), slices.Clip(c.committed), slices.Clip(c.committedAt)
+	for _, s := range cluster.members {
 		s.writes = slices.Clip(s.writes)
 	}
-	return &c
+	return &cluster
 }
 
 func appendUvarints(b []byte, all ...uint64) []byte {
@@ -407,9 +407,9 @@
 	return b
 }
 
-func (f inflightMessage) key(b []byte, timed bool) []byte {
-	m := f.sent.Message
-	b = appendUvarints(b, uint64(f.from), uint64(m.To), uint64(m.Kind), m.View, m.Index, m.At, m.Delivered, m.Round)
+func (i inflightMessage) key(b []byte, timed bool) []byte {
+	m := i.sent.Message
+	b = appendUvarints(b, uint64(i.from), uint64(m.To), uint64(m.Kind), m.View, m.Index, m.At, m.Delivered, m.Round)
 	if m.Snap != nil {
 		b = append(append(b, 's'), m.Snap.State...)
 	}
@@ -427,9 +427,9 @@
 }
 
 // key tells stages apart that may go on differently.
-func (w *cluster) key() uint64 {
+func (c *cluster) key() uint64 {
 	var b []byte
-	for _, s := range w.members {
+	for _, s := range c.members {
 		p := s.replica
 		b = appendUvarints(b, uint64(p.self.ID), uint64(p.role), p.term, uint64(p.votedFor), uint64(p.leaderID),
 			p.commitIndex, p.syncedIndex, p.nextWriteSeq-p.syncedWriteSeq, p.matchIndex, p.readSeq, p.ackedReadSeq, p.maxSeenTerm, uint64(p.fetchingLogFrom), p.termStartIndex, p.snapshot.Index, uint64(len(p.unsyncedWrites)),
@@ -447,7 +447,7 @@
 				if o := q.transfer; o.Blob != nil {
 					b = appendUvarints(o.Blob.id.key(b), o.acked, o.sent, o.retransmittedFrom, uint64(p.now-o.progressAt))
 				}
-				if w.judgesContact {
+				if c.judgesContact {
 					b = appendUvarints(b, uint64(q.lastClock), uint64(q.contactAt))
 				}
 			}
@@ -455,7 +455,7 @@
 				b = appendUvarints(b, q.term, q.index)
 			}
 		}
-		if w.judgesContact {
+		if c.judgesContact {
 			b = appendUvarints(b, uint64(p.leaderClock), uint64(p.quorumContact.since), p.quorumContact.term)
 		}
 		b = appendEntries(appendUvarints(b, s.disk.Term, uint64(s.disk.Vote), s.disk.Commit), s.disk.Entries)
@@ -464,11 +464,11 @@
 		}
 	}
 	var flight []string
-	for _, f := range w.inflight {
-		flight = append(flight, string(f.key(nil, w.judgesContact)))
+	for _, f := range c.inflight {
+		flight = append(flight, string(f.key(nil, c.judgesContact)))
 	}
 	slices.Sort(flight)
-	b = append(b, fmt.Sprint(w.budget, w.now, w.committedAt)...)
+	b = append(b, fmt.Sprint(c.budget, c.now, c.committedAt)...)
 	for _, f := range flight {
 		b = append(b, f...)
 	}
@@ -515,81 +515,81 @@
 }
 
 // electAmong lets a member ask and only some others promise; what else was said is lost.
-func (w *cluster) electAmong(i int, with ...int) {
-	w.members[i].replica.startElection(true)
-	w.drainActions(i)
-	w.sync(i)
-	w.deliverAmong([]int{i}, with)
-	w.syncAll(with...)
-	w.deliverAmong(with, []int{i})
-	if w.members[i].replica.role == roleCandidate { // another's log is newer
-		w.deliverAmong([]int{i}, with)
-		w.deliverAmong(with, []int{i})
+func (c *cluster) electAmong(i int, with ...int) {
+	c.members[i].replica.startElection(true)
+	c.drainActions(i)
+	c.sync(i)
+	c.deliverAmong([]int{i}, with)
+	c.syncAll(with...)
+	c.deliverAmong(with, []int{i})
+	if c.members[i].replica.role == roleCandidate { // another's log is newer
+		c.deliverAmong([]int{i}, with)
+		c.deliverAmong(with, []int{i})
 	}
-	w.sync(i)
+	c.sync(i)
 }
 
 // syncAll lets some have on disk all that they wrote.
-func (w *cluster) syncAll(which ...int) {
+func (c *cluster) syncAll(which ...int) {
 	for _, i := range which {
-		for len(w.members[i].writes) > 0 {
-			w.sync(i)
+		for len(c.members[i].writes) > 0 {
+			c.sync(i)
 		}
 	}
 }
 
 // deliverFromTo lets all that one said to another come through; what others said is lost.
-func (w *cluster) deliverFromTo(from, to int) { w.deliverAmong([]int{from}, []int{to}) }
+func (c *cluster) deliverFromTo(from, to int) { c.deliverAmong([]int{from}, []int{to}) }
 
 // deliverAmong lets all that some said to others come through; the rest is lost.
-func (w *cluster) deliverAmong(from, to []int) {
+func (c *cluster) deliverAmong(from, to []int) {
 	in := func(which []int, id MemberID) bool {
-		return slices.ContainsFunc(which, func(i int) bool { return w.members[i].disk.ID == id })
+		return slices.ContainsFunc(which, func(i int) bool { return c.members[i].disk.ID == id })
 	}
-	w.inflight = slices.DeleteFunc(w.inflight, func(f inflightMessage) bool { return !in(from, f.from) || !in(to, f.sent.Recipient.ID) })
-	for n := len(w.inflight); n > 0; n-- {
-		w.deliver(0)
+	c.inflight = slices.DeleteFunc(c.inflight, func(f inflightMessage) bool { return !in(from, f.from) || !in(to, f.sent.Recipient.ID) })
+	for n := len(c.inflight); n > 0; n-- {
+		c.deliver(0)
 	}
 }
 
 // propose has an entry that only the first member has so far.
-func (w *cluster) propose() *cluster {
-	w.members[0].replica.Propose(1, []byte("x"))
-	w.drainActions(0)
-	return w
+func (c *cluster) propose() *cluster {
+	c.members[0].replica.Propose(1, []byte("x"))
+	c.drainActions(0)
+	return c
 }
 
 // inChunks has all go in chunks of a byte, two in flight.
-func (w *cluster) inChunks() *cluster {
-	w.config.MaxInflightBytes, w.config.ChunkBytes, w.config.TrailingBytes = 2, 1, 64<<10
-	for _, s := range w.members {
-		s.replica.config = w.config
+func (c *cluster) inChunks() *cluster {
+	c.config.MaxInflightBytes, c.config.ChunkBytes, c.config.TrailingBytes = 2, 1, 64<<10
+	for _, s := range c.members {
+		s.replica.config = c.config
 	}
-	return w
+	return c
 }
 
 // commitOnTwo has so many delivered by the first two, which both compact, while the third hears nothing.
-func (w *cluster) commitOnTwo(all ...string) *cluster {
+func (c *cluster) commitOnTwo(all ...string) *cluster {
 	for _, data := range all {
-		w.members[0].replica.Propose(1, []byte(data))
+		c.members[0].replica.Propose(1, []byte(data))
 		for range 3 {
-			w.drainActions(0)
-			w.syncAll(0)
-			w.deliverAmong([]int{0}, []int{1})
-			w.syncAll(1)
-			w.deliverAmong([]int{1}, []int{0})
-		}
-		w.heartbeat(0)
-		w.deliverAmong([]int{0}, []int{1})
-		w.inflight = nil
-	}
-	w.compact(0)
-	w.compact(1)
-	w.syncAll(0, 1)
-	for _, s := range w.members { // as after a restart: what is not in the snapshot alone is not at hand
+			c.drainActions(0)
+			c.syncAll(0)
+			c.deliverAmong([]int{0}, []int{1})
+			c.syncAll(1)
+			c.deliverAmong([]int{1}, []int{0})
+		}
+		c.heartbeat(0)
+		c.deliverAmong([]int{0}, []int{1})
+		c.inflight = nil
+	}
+	c.compact(0)
+	c.compact(1)
+	c.syncAll(0, 1)
+	for _, s := range c.members { // as after a restart: what is not in the snapshot alone is not at hand
 		s.replica.trailing = nil
 	}
-	return w
+	return c
 }
 
 // The scenes: what has been, before all orders of what may come are tried, and the faults that this must
