--- a/internal/gateway/replication/lead.go
+++ b/internal/gateway/replication/lead.go
@@ -8,72 +8,72 @@
 )
 
 // lead begins the new view.
-func (p *Replica) becomeLeader() {
-	p.role, p.leaderID, p.sawLeader, p.failedElections = roleLeader, p.self.ID, true, 0
-	p.peers = map[MemberID]*progress{}
-	p.readSeq, p.reads, p.transferDeadline, p.transferee, p.learner = 0, nil, 0, 0, 0
-	p.trackMembers()
-	p.termStartIndex = p.appendToOwnTerm(Entry{Kind: EntryNoOp})
-	p.heartbeatAt = p.now + p.config.HeartbeatInterval
-	p.maybeCommit()
+func (r *Replica) becomeLeader() {
+	r.role, r.leaderID, r.sawLeader, r.failedElections = roleLeader, r.self.ID, true, 0
+	r.peers = map[MemberID]*progress{}
+	r.readSeq, r.reads, r.transferDeadline, r.transferee, r.learner = 0, nil, 0, 0, 0
+	r.trackMembers()
+	r.termStartIndex = r.appendToOwnTerm(Entry{Kind: EntryNoOp})
+	r.heartbeatAt = r.now + r.config.HeartbeatInterval
+	r.maybeCommit()
 }
 
 // meet keeps a progress for all who count, and the learner.
-func (p *Replica) trackMembers() {
-	others := p.otherMembers()
+func (r *Replica) trackMembers() {
+	others := r.otherMembers()
 	for _, m := range others {
-		if p.peers[m.ID] == nil {
-			p.peers[m.ID] = p.newProgress(m)
+		if r.peers[m.ID] == nil {
+			r.peers[m.ID] = r.newProgress(m)
 		}
-		p.peers[m.ID].Member = m
+		r.peers[m.ID].Member = m
 	}
-	for id := range p.peers {
-		if id != p.learner && !slices.ContainsFunc(others, func(m Member) bool { return m.ID == id }) {
-			delete(p.peers, id)
+	for id := range r.peers {
+		if id != r.learner && !slices.ContainsFunc(others, func(m Member) bool { return m.ID == id }) {
+			delete(r.peers, id)
 		}
 	}
 }
 
 // begin is a progress of which nothing is known yet.
-func (p *Replica) newProgress(m Member) *progress {
-	return &progress{Member: m, nextIndex: p.lastIndex() + 1, inflightBase: p.lastIndex(), lastResponseAt: p.now, snapshotSentAt: -never, nextRetryAt: -never, contactAt: noContact}
+func (r *Replica) newProgress(m Member) *progress {
+	return &progress{Member: m, nextIndex: r.lastIndex() + 1, inflightBase: r.lastIndex(), lastResponseAt: r.now, snapshotSentAt: -never, nextRetryAt: -never, contactAt: noContact}
 }
 
 // add puts a new entry of this view into the log and has it pushed.
-func (p *Replica) appendToOwnTerm(e Entry) uint64 {
-	e.Index, e.View = p.lastIndex()+1, p.term
-	p.appendEntry(e)
-	p.markUnwritten(e.Index)
+func (r *Replica) appendToOwnTerm(e Entry) uint64 {
+	e.Index, e.View = r.lastIndex()+1, r.term
+	r.appendEntry(e)
+	r.markUnwritten(e.Index)
 	if e.Kind == EntryConfigChange {
-		p.trackMembers()
+		r.trackMembers()
 	}
-	p.replicationPending = true
+	r.replicationPending = true
 	return e.Index
 }
 
 // mayCast: the list may be changed. An entry of this view must have been committed, else a list of another
 // view that is not known here might hold without meeting this one.
-func (p *Replica) canReconfigure() bool {
-	return p.membersCommitted() && p.commitIndex >= p.termStartIndex
+func (r *Replica) canReconfigure() bool {
+	return r.membersCommitted() && r.commitIndex >= r.termStartIndex
 }
 
 // pushAll sends everyone what is new, and begins a round if reads wait for one.
-func (p *Replica) replicateAll() {
-	if p.role != roleLeader {
+func (r *Replica) replicateAll() {
+	if r.role != roleLeader {
 		return
 	}
-	for _, w := range p.sortedPeers() {
-		p.replicateTo(w)
+	for _, w := range r.sortedPeers() {
+		r.replicateTo(w)
 	}
-	if len(p.reads) > 0 && p.confirmedReadSeq() == p.readSeq && p.startReadSeq() {
-		p.broadcastReadSeq()
+	if len(r.reads) > 0 && r.confirmedReadSeq() == r.readSeq && r.startReadSeq() {
+		r.broadcastReadSeq()
 	}
-	p.maybeCommit() // one member alone has nobody to answer
+	r.maybeCommit() // one member alone has nobody to answer
 }
 
 // sortedPeers are the others in a fixed order: the same inputs must give the same outputs.
-func (p *Replica) sortedPeers() (all []*progress) {
-	for _, w := range p.peers {
+func (r *Replica) sortedPeers() (all []*progress) {
+	for _, w := range r.peers {
 		all = append(all, w)
 	}
 	slices.SortFunc(all, func(a, b *progress) int {
@@ -86,33 +86,33 @@
 }
 
 // push sends a member the next it has not been sent.
-func (p *Replica) replicateTo(w *progress) {
-	if p.fault == unpinned && w.transferSnapshot != nil && w.transferSnapshot.Index < p.snapshot.Index {
+func (r *Replica) replicateTo(w *progress) {
+	if r.fault == unpinned && w.transferSnapshot != nil && w.transferSnapshot.Index < r.snapshot.Index {
 		w.transfer, w.transferSnapshot, w.nextIndex = BlobSender{}, nil, 0
 	}
 	switch {
 	case w.transfer.Blob != nil:
-		p.sendChunks(w)
-	case w.nextIndex < p.FirstIndex():
-		p.sendSnapshot(w)
-	case w.nextIndex <= p.lastIndex():
-		entries, size := p.entriesFrom(w.nextIndex), 0
-		if p.needsChunks(len(entries[0].Data)) && (w.acceptsChunks || !w.responded) {
+		r.sendChunks(w)
+	case w.nextIndex < r.FirstIndex():
+		r.sendSnapshot(w)
+	case w.nextIndex <= r.lastIndex():
+		entries, size := r.entriesFrom(w.nextIndex), 0
+		if r.needsChunks(len(entries[0].Data)) && (w.acceptsChunks || !w.responded) {
 			if e := entries[0]; w.responded {
-				v, _ := p.termAt(e.Index - 1)
+				v, _ := r.termAt(e.Index - 1)
 				w.transferEntry, w.transferSnapshot, w.transferPrev, w.transfer = &e, nil, logPosition{v, e.Index - 1}, BlobSender{Blob: NewBlob(e.Index, e.View, e.Data)}
-				p.sendChunks(w)
+				r.sendChunks(w)
 			}
 			return
 		}
-		flying := p.inflightBytes(w)
+		flying := r.inflightBytes(w)
 		for i, e := range entries {
 			size += e.size()
-			if p.config.MaxInflightBytes > 0 && flying > 0 && flying+size > p.config.MaxInflightBytes || p.needsChunks(len(e.Data)) && i > 0 && w.acceptsChunks {
+			if r.config.MaxInflightBytes > 0 && flying > 0 && flying+size > r.config.MaxInflightBytes || r.needsChunks(len(e.Data)) && i > 0 && w.acceptsChunks {
 				entries = entries[:i]
 				break
 			}
-			if size > p.config.MaxMessageBytes && i > 0 {
+			if size > r.config.MaxMessageBytes && i > 0 {
 				entries = entries[:i]
 				break
 			}
@@ -120,94 +120,94 @@
 		if len(entries) == 0 {
 			return
 		}
-		v, _ := p.termAt(w.nextIndex - 1)
+		v, _ := r.termAt(w.nextIndex - 1)
 		m := Message{Index: w.nextIndex - 1, At: v, Entries: entries}
 		w.nextIndex += uint64(len(entries))
-		p.sendAppend(w, m)
+		r.sendAppend(w, m)
 	}
 }
 
 // inflightBytes is how many bytes of entries a member has been sent and not acknowledged.
-func (p *Replica) inflightBytes(w *progress) (n int) {
-	for i := max(w.matchIndex, w.inflightBase, p.FirstIndex()-1) + 1; i < w.nextIndex; i++ {
-		if i <= p.snapshot.Index {
-			n += p.trailing[i-p.FirstIndex()].size()
+func (r *Replica) inflightBytes(w *progress) (n int) {
+	for i := max(w.matchIndex, w.inflightBase, r.FirstIndex()-1) + 1; i < w.nextIndex; i++ {
+		if i <= r.snapshot.Index {
+			n += r.trailing[i-r.FirstIndex()].size()
 		} else {
-			n += p.log[i-p.snapshot.Index-1].size()
+			n += r.log[i-r.snapshot.Index-1].size()
 		}
 	}
 	return n
 }
 
-func (p *Replica) sendAppend(w *progress, m Message) {
+func (r *Replica) sendAppend(w *progress, m Message) {
 	if m.Kind == 0 {
 		m.Kind = MsgAppend
 	}
-	m.View, m.Delivered, m.Round = p.term, p.commitIndex, p.readSeq
-	p.attachContact(w, &m)
-	p.sendTo(w.Member, m)
+	m.View, m.Delivered, m.Round = r.term, r.commitIndex, r.readSeq
+	r.attachContact(w, &m)
+	r.sendTo(w.Member, m)
 }
 
 // beat tells all that the leader is there, and what was committed.
-func (p *Replica) broadcastHeartbeat() {
-	for _, w := range p.sortedPeers() {
-		p.sendHeartbeat(w)
+func (r *Replica) broadcastHeartbeat() {
+	for _, w := range r.sortedPeers() {
+		r.sendHeartbeat(w)
 	}
-	p.heartbeatAt = p.now + p.config.HeartbeatInterval
+	r.heartbeatAt = r.now + r.config.HeartbeatInterval
 }
 
 // broadcastReadSeq tells a bare majority of the round that reads wait for: those that were heard last. Who of them does not answer is made
 // up for by the next heartbeat, which goes to all.
-func (p *Replica) broadcastReadSeq() {
-	if !p.config.ReadMinimalQuorum || !p.membersCommitted() {
-		p.broadcastHeartbeat()
+func (r *Replica) broadcastReadSeq() {
+	if !r.config.ReadMinimalQuorum || !r.membersCommitted() {
+		r.broadcastHeartbeat()
 		return
 	}
-	others := slices.DeleteFunc(p.sortedPeers(), func(w *progress) bool { return !p.isMember(w.ID) })
+	others := slices.DeleteFunc(r.sortedPeers(), func(w *progress) bool { return !r.isMember(w.ID) })
 	slices.SortStableFunc(others, func(a, b *progress) int { return cmp.Compare(b.lastResponseAt, a.lastResponseAt) })
-	for _, w := range others[:min(len(others), len(p.Members())/2)] {
-		p.sendHeartbeat(w)
+	for _, w := range others[:min(len(others), len(r.Members())/2)] {
+		r.sendHeartbeat(w)
 	}
 }
 
-func (p *Replica) sendHeartbeat(w *progress) {
+func (r *Replica) sendHeartbeat(w *progress) {
 	prev := w.nextIndex - 1
-	v, ok := p.termAt(prev)
+	v, ok := r.termAt(prev)
 	if w.transfer.Blob != nil {
 		prev, v, ok = w.transferPrev.index, w.transferPrev.term, true
 	}
 	if !ok {
-		prev, v = p.snapshot.Index, p.snapshot.View
+		prev, v = r.snapshot.Index, r.snapshot.View
 	}
 	m := Message{Index: prev, At: v}
-	if p.isDraining(w.ID) { // only one that leaves goes by it
-		m.Elsewhere = p.replicatedWithout(w.ID)
+	if r.isDraining(w.ID) { // only one that leaves goes by it
+		m.Elsewhere = r.replicatedWithout(w.ID)
 	}
-	p.sendAppend(w, m)
+	r.sendAppend(w, m)
 	if w.transfer.Blob != nil {
-		p.sendChunks(w) // what was lost
+		r.sendChunks(w) // what was lost
 	}
 }
 
 // replicatedWithout is up to which index what is committed is on a majority's disks without a member's.
-func (p *Replica) replicatedWithout(id MemberID) uint64 {
-	if p.fault == leaveEarly {
-		return p.commitIndex
+func (r *Replica) replicatedWithout(id MemberID) uint64 {
+	if r.fault == leaveEarly {
+		return r.commitIndex
 	}
 	on := func(o MemberID) uint64 {
-		switch w := p.peers[o]; {
+		switch w := r.peers[o]; {
 		case o == id:
 			return 0
-		case o == p.self.ID:
-			return p.syncedIndex
+		case o == r.self.ID:
+			return r.syncedIndex
 		case w != nil:
 			return w.matchIndex
 		}
 		return 0
 	}
 	var most uint64
-	for _, m := range append(p.otherMembers(), p.self) {
-		if n := min(on(m.ID), p.commitIndex); n > most && p.hasQuorum(func(o MemberID) bool { return on(o) >= n }) {
+	for _, m := range append(r.otherMembers(), r.self) {
+		if n := min(on(m.ID), r.commitIndex); n > most && r.hasQuorum(func(o MemberID) bool { return on(o) >= n }) {
 			most = n
 		}
 	}
@@ -215,120 +215,120 @@
 }
 
 // answered takes a member's answer to what the leader sends.
-func (p *Replica) onAppendResponse(from MemberID, m Message) {
-	w := p.peers[from]
-	if p.role != roleLeader || m.View != p.term && p.fault != countLate || w == nil {
+func (r *Replica) onAppendResponse(from MemberID, m Message) {
+	w := r.peers[from]
+	if r.role != roleLeader || m.View != r.term && r.fault != countLate || w == nil {
 		return
 	}
-	w.lastResponseAt, w.readSeq = p.now, max(w.readSeq, m.Round)
-	p.recordResponseClock(w, m)
+	w.lastResponseAt, w.readSeq = r.now, max(w.readSeq, m.Round)
+	r.recordResponseClock(w, m)
 	w.responded, w.acceptsChunks = true, m.Chunks
 	if m.Kind == MsgChunkAck {
-		w.transfer.Ack(m.Chunk, p.now)
-		p.replicateTo(w)
-		p.finishReads()
+		w.transfer.Ack(m.Chunk, r.now)
+		r.replicateTo(w)
+		r.finishReads()
 		return
 	}
 	if w.transfer.Blob != nil && (m.Index >= w.transfer.Blob.Index() || m.Kind == MsgAppendReject && w.transferSnapshot == nil) {
 		w.transfer, w.transferSnapshot, w.transferEntry = BlobSender{}, nil, nil
 	}
 	if m.Kind == MsgAppendReject && w.transfer.Blob != nil { // it is being sent what it lacks
-		p.replicateTo(w)
-		p.finishReads()
+		r.replicateTo(w)
+		r.finishReads()
 		return
 	}
 	if m.Kind == MsgAppendReject {
 		// The lines sent since come back as missed too: once is enough.
-		if p.now >= w.nextRetryAt {
-			w.nextRetryAt = p.now + p.config.HeartbeatInterval/2
+		if r.now >= w.nextRetryAt {
+			w.nextRetryAt = r.now + r.config.HeartbeatInterval/2
 			w.inflightBase = max(m.Index, w.matchIndex)
 			w.nextIndex = w.inflightBase + 1
-			p.replicateTo(w)
+			r.replicateTo(w)
 		}
-		p.finishReads()
+		r.finishReads()
 		return
 	}
-	invariant.That(m.Index <= p.lastIndex(), "nobody has more than the leader")
+	invariant.That(m.Index <= r.lastIndex(), "nobody has more than the leader")
 	was := w.matchIndex
 	w.matchIndex = max(w.matchIndex, m.Index)
 	w.nextIndex = max(w.nextIndex, w.matchIndex+1)
-	p.maybeCommit()
-	if p.role != roleLeader || p.peers[from] == nil {
+	r.maybeCommit()
+	if r.role != roleLeader || r.peers[from] == nil {
 		return
 	}
-	if from == p.learner {
+	if from == r.learner {
 		if m.Index > was {
-			p.learnerProgressAt = p.now
+			r.learnerProgressAt = r.now
 		}
-		p.promoteLearner()
+		r.promoteLearner()
 	}
-	if p.peers[from] != nil && w.nextIndex <= p.lastIndex() {
-		p.replicateTo(w)
+	if r.peers[from] != nil && w.nextIndex <= r.lastIndex() {
+		r.replicateTo(w)
 	}
-	p.maybeTransferLeadership()
+	r.maybeTransferLeadership()
 }
 
 // commit commits what a majority has on disk, through an entry of this view.
-func (p *Replica) maybeCommit() {
-	for p.role == roleLeader {
+func (r *Replica) maybeCommit() {
+	for r.role == roleLeader {
 		had := func(n uint64) bool {
-			return p.hasQuorum(func(id MemberID) bool {
-				if id == p.self.ID {
-					return p.syncedIndex >= n || p.fault == ackUnsynced
+			return r.hasQuorum(func(id MemberID) bool {
+				if id == r.self.ID {
+					return r.syncedIndex >= n || r.fault == ackUnsynced
 				}
-				if p.fault == countLearner && p.learner != 0 && id == p.otherMembers()[0].ID {
-					id = p.learner // stands for one who counts
+				if r.fault == countLearner && r.learner != 0 && id == r.otherMembers()[0].ID {
+					id = r.learner // stands for one who counts
 				}
-				return p.peers[id] != nil && p.peers[id].matchIndex >= n
+				return r.peers[id] != nil && r.peers[id].matchIndex >= n
 			})
 		}
-		n := p.lastIndex()
-		for ; n > p.commitIndex; n-- {
-			if v, _ := p.termAt(n); v != p.term && p.fault != countOld {
-				n = p.commitIndex
+		n := r.lastIndex()
+		for ; n > r.commitIndex; n-- {
+			if v, _ := r.termAt(n); v != r.term && r.fault != countOld {
+				n = r.commitIndex
 				break
 			}
 			if had(n) {
 				break
 			}
 		}
-		if n <= p.commitIndex {
+		if n <= r.commitIndex {
 			break
 		}
-		before := p.membersCommitted()
-		p.commitTo(n)
-		p.heartbeatAt = min(p.heartbeatAt, p.now+p.config.CommitNotifyDelay)
-		if !before && p.membersCommitted() {
-			p.broadcastHeartbeat() // those who are no members any more hear so, once
-			p.trackMembers()
-			if !p.isMember(p.self.ID) {
-				p.stepDown()
+		before := r.membersCommitted()
+		r.commitTo(n)
+		r.heartbeatAt = min(r.heartbeatAt, r.now+r.config.CommitNotifyDelay)
+		if !before && r.membersCommitted() {
+			r.broadcastHeartbeat() // those who are no members any more hear so, once
+			r.trackMembers()
+			if !r.isMember(r.self.ID) {
+				r.stepDown()
 			}
 		}
 	}
-	p.finishReads()
+	r.finishReads()
 }
 
 // startReadSeq begins a round if reads wait for one.
-func (p *Replica) startReadSeq() bool {
-	if n := len(p.reads); n == 0 || p.reads[n-1].readSeq <= p.readSeq {
+func (r *Replica) startReadSeq() bool {
+	if n := len(r.reads); n == 0 || r.reads[n-1].readSeq <= r.readSeq {
 		return false
 	}
-	p.readSeq++
+	r.readSeq++
 	return true
 }
 
 // confirmedReadSeq is the newest round that a majority has heard.
-func (p *Replica) confirmedReadSeq() (done uint64) {
-	heard := func(r uint64) bool {
-		return p.hasQuorum(func(id MemberID) bool {
-			return id == p.self.ID || p.peers[id] != nil && p.peers[id].readSeq >= r
+func (r *Replica) confirmedReadSeq() (done uint64) {
+	heard := func(count uint64) bool {
+		return r.hasQuorum(func(id MemberID) bool {
+			return id == r.self.ID || r.peers[id] != nil && r.peers[id].readSeq >= count
 		})
 	}
-	if len(p.peers) == 0 && heard(p.readSeq) {
-		return p.readSeq
+	if len(r.peers) == 0 && heard(r.readSeq) {
+		return r.readSeq
 	}
-	for _, w := range p.peers {
+	for _, w := range r.peers {
 		if w.readSeq > done && heard(w.readSeq) {
 			done = w.readSeq
 		}
@@ -338,30 +338,30 @@
 
 // finishReads answers the reads whose round is through. Before the first entry of this view is committed,
 // others' entries may be acknowledged and not yet known here to be.
-func (p *Replica) finishReads() {
-	if p.role != roleLeader || len(p.reads) == 0 || p.commitIndex < p.termStartIndex && p.fault != readEarly {
+func (r *Replica) finishReads() {
+	if r.role != roleLeader || len(r.reads) == 0 || r.commitIndex < r.termStartIndex && r.fault != readEarly {
 		return
 	}
-	done, n := p.confirmedReadSeq(), 0
-	if p.fault == unreadRounds {
-		done = p.readSeq + 1
+	done, n := r.confirmedReadSeq(), 0
+	if r.fault == unreadRounds {
+		done = r.readSeq + 1
 	}
-	for ; n < len(p.reads) && p.reads[n].readSeq <= done; n++ {
-		p.finish(p.reads[n].token, p.commitIndex, OutcomeCommitted)
+	for ; n < len(r.reads) && r.reads[n].readSeq <= done; n++ {
+		r.finish(r.reads[n].token, r.commitIndex, OutcomeCommitted)
 	}
-	if p.reads = p.reads[n:]; len(p.reads) > 0 && done >= p.readSeq {
-		p.replicationPending = true // those that came during the round
+	if r.reads = r.reads[n:]; len(r.reads) > 0 && done >= r.readSeq {
+		r.replicationPending = true // those that came during the round
 	}
 }
 
 // maybeTransferLeadership asks one who has all to take the lead.
-func (p *Replica) maybeTransferLeadership() {
-	if p.role != roleLeader || p.now >= p.transferDeadline || p.commitIndex < p.lastIndex() {
+func (r *Replica) maybeTransferLeadership() {
+	if r.role != roleLeader || r.now >= r.transferDeadline || r.commitIndex < r.lastIndex() {
 		return
 	}
-	for _, w := range p.sortedPeers() {
-		if w.matchIndex == p.lastIndex() && p.eligibleTransferee(w) {
-			p.sendTo(w.Member, Message{Kind: MsgTimeoutNow, View: p.term})
+	for _, w := range r.sortedPeers() {
+		if w.matchIndex == r.lastIndex() && r.eligibleTransferee(w) {
+			r.sendTo(w.Member, Message{Kind: MsgTimeoutNow, View: r.term})
 			return
 		}
 	}
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -69,140 +69,140 @@
 		"two that ask for one view both wait"}[f]
 }
 
-func (p *Replica) lastIndex() uint64 { return p.snapshot.Index + uint64(len(p.log)) }
+func (r *Replica) lastIndex() uint64 { return r.snapshot.Index + uint64(len(r.log)) }
 
-func (p *Replica) lastPosition() logPosition {
-	v, _ := p.termAt(p.lastIndex())
-	return logPosition{v, p.lastIndex()}
+func (r *Replica) lastPosition() logPosition {
+	v, _ := r.termAt(r.lastIndex())
+	return logPosition{v, r.lastIndex()}
 }
 
 // termAt is the view of the entry at an index, if that is known.
-func (p *Replica) termAt(index uint64) (uint64, bool) {
+func (r *Replica) termAt(index uint64) (uint64, bool) {
 	switch {
-	case index == p.snapshot.Index:
-		return p.snapshot.View, true
-	case index+1 < p.FirstIndex() || index > p.lastIndex():
+	case index == r.snapshot.Index:
+		return r.snapshot.View, true
+	case index+1 < r.FirstIndex() || index > r.lastIndex():
 		return 0, false
-	case index+1 == p.FirstIndex():
-		return p.trailingTerm, true
-	case index < p.snapshot.Index:
-		return p.trailing[index-p.FirstIndex()].View, true
+	case index+1 == r.FirstIndex():
+		return r.trailingTerm, true
+	case index < r.snapshot.Index:
+		return r.trailing[index-r.FirstIndex()].View, true
 	}
-	return p.log[index-p.snapshot.Index-1].View, true
+	return r.log[index-r.snapshot.Index-1].View, true
 }
 
 // entriesFrom is a copy of the log from an index on.
-func (p *Replica) entriesFrom(index uint64) []Entry {
-	if index > p.lastIndex() {
+func (r *Replica) entriesFrom(index uint64) []Entry {
+	if index > r.lastIndex() {
 		return nil
 	}
-	if index <= p.snapshot.Index {
-		return slices.Concat(p.trailing[index-p.FirstIndex():], p.log)
+	if index <= r.snapshot.Index {
+		return slices.Concat(r.trailing[index-r.FirstIndex():], r.log)
 	}
-	return slices.Clone(p.log[index-p.snapshot.Index-1:])
+	return slices.Clone(r.log[index-r.snapshot.Index-1:])
 }
 
 // put puts an entry behind the last.
-func (p *Replica) appendEntry(e Entry) {
-	invariant.That(e.Index == p.lastIndex()+1, "entries follow one another")
-	p.log = append(p.log, e)
+func (r *Replica) appendEntry(e Entry) {
+	invariant.That(e.Index == r.lastIndex()+1, "entries follow one another")
+	r.log = append(r.log, e)
 	if e.Kind == EntryConfigChange {
-		p.memberConfigs = append(p.memberConfigs, memberConfig{e.Index, e.Members})
+		r.memberConfigs = append(r.memberConfigs, memberConfig{e.Index, e.Members})
 	}
 }
 
 // trim takes away all entries from an index on.
-func (p *Replica) truncateFrom(from uint64) {
-	invariant.That(from > p.commitIndex, "what was delivered stays")
-	p.log = slices.Clone(p.log[:from-p.snapshot.Index-1])
-	for p.memberConfigs[len(p.memberConfigs)-1].index >= from {
-		p.memberConfigs = p.memberConfigs[:len(p.memberConfigs)-1]
+func (r *Replica) truncateFrom(from uint64) {
+	invariant.That(from > r.commitIndex, "what was delivered stays")
+	r.log = slices.Clone(r.log[:from-r.snapshot.Index-1])
+	for r.memberConfigs[len(r.memberConfigs)-1].index >= from {
+		r.memberConfigs = r.memberConfigs[:len(r.memberConfigs)-1]
 	}
-	p.invalidateSynced(from - 1)
-	p.markUnwritten(from)
+	r.invalidateSynced(from - 1)
+	r.markUnwritten(from)
 }
 
 // invalidateSynced: what is on disk beyond an index is not the log any more.
-func (p *Replica) invalidateSynced(upto uint64) {
-	p.syncedIndex = min(p.syncedIndex, upto)
-	for i := range p.unsyncedWrites {
-		p.unsyncedWrites[i].lastIndex = min(p.unsyncedWrites[i].lastIndex, upto)
+func (r *Replica) invalidateSynced(upto uint64) {
+	r.syncedIndex = min(r.syncedIndex, upto)
+	for i := range r.unsyncedWrites {
+		r.unsyncedWrites[i].lastIndex = min(r.unsyncedWrites[i].lastIndex, upto)
 	}
 }
 
 // take makes the log that of a newer one, given the entries after an index that both have.
-func (p *Replica) appendAfter(prev uint64, entries []Entry) {
+func (r *Replica) appendAfter(prev uint64, entries []Entry) {
 	for i, e := range entries {
 		invariant.That(e.Index == prev+1+uint64(i), "entries follow one another")
 		if e.Index != prev+1+uint64(i) {
 			return
 		}
-		if e.Index <= p.commitIndex {
+		if e.Index <= r.commitIndex {
 			continue
 		}
-		if v, ok := p.termAt(e.Index); ok {
-			if v == e.View || p.fault == noTruncate {
+		if v, ok := r.termAt(e.Index); ok {
+			if v == e.View || r.fault == noTruncate {
 				continue
 			}
-			p.truncateFrom(e.Index)
+			r.truncateFrom(e.Index)
 		}
-		p.markUnwritten(e.Index)
+		r.markUnwritten(e.Index)
 		for _, e := range entries[i:] {
-			p.appendEntry(e)
+			r.appendEntry(e)
 		}
 		return
 	}
 }
 
 // installSnapshot puts a snapshot in the place of everything.
-func (p *Replica) installSnapshot(s Snapshot) {
-	p.snapshot, p.log, p.trailing = s, nil, nil
-	p.memberConfigs = []memberConfig{{s.Index, s.Members}}
-	p.commitIndex = s.Index
-	p.invalidateSynced(0)
-	p.unwrittenSnapshot = true
-	p.markUnwritten(s.Index + 1)
-	p.actions = append(p.actions, Restore{s.Index, s.State})
+func (r *Replica) installSnapshot(s Snapshot) {
+	r.snapshot, r.log, r.trailing = s, nil, nil
+	r.memberConfigs = []memberConfig{{s.Index, s.Members}}
+	r.commitIndex = s.Index
+	r.invalidateSynced(0)
+	r.unwrittenSnapshot = true
+	r.markUnwritten(s.Index + 1)
+	r.actions = append(r.actions, Restore{s.Index, s.State})
 }
 
 // needsSnapshot tells whether a snapshot is ahead of what is had here.
-func (p *Replica) needsSnapshot(s *Snapshot) bool {
-	if s == nil || s.Index <= p.commitIndex {
+func (r *Replica) needsSnapshot(s *Snapshot) bool {
+	if s == nil || s.Index <= r.commitIndex {
 		return false
 	}
-	v, ok := p.termAt(s.Index)
+	v, ok := r.termAt(s.Index)
 	return !ok || v != s.View
 }
 
 // deliver hands over all up to an index.
-func (p *Replica) commitTo(upto uint64) {
-	invariant.That(upto <= p.lastIndex(), "only what is had is delivered")
-	for p.commitIndex < min(upto, p.lastIndex()) {
-		p.commitIndex++
-		e := p.log[p.commitIndex-p.snapshot.Index-1]
-		p.actions = append(p.actions, Commit{e})
-		if token, ok := p.proposals[e.Index]; ok {
-			delete(p.proposals, e.Index)
-			p.finish(token, e.Index, OutcomeCommitted)
+func (r *Replica) commitTo(upto uint64) {
+	invariant.That(upto <= r.lastIndex(), "only what is had is delivered")
+	for r.commitIndex < min(upto, r.lastIndex()) {
+		r.commitIndex++
+		e := r.log[r.commitIndex-r.snapshot.Index-1]
+		r.actions = append(r.actions, Commit{e})
+		if token, ok := r.proposals[e.Index]; ok {
+			delete(r.proposals, e.Index)
+			r.finish(token, e.Index, OutcomeCommitted)
 		}
 		if e.Kind == EntryConfigChange {
-			p.markUnwritten(0) // that the list is settled must outlast the one who knew
+			r.markUnwritten(0) // that the list is settled must outlast the one who knew
 		}
 	}
 }
 
 // membersCommitted: the newest list is known to be committed.
-func (p *Replica) membersCommitted() bool {
-	return p.memberConfigs[len(p.memberConfigs)-1].index <= p.commitIndex
+func (r *Replica) membersCommitted() bool {
+	return r.memberConfigs[len(r.memberConfigs)-1].index <= r.commitIndex
 }
 
 // hasQuorum tells whether a majority of the members is so, and of those before if the newest list is not
 // settled.
-func (p *Replica) hasQuorum(is func(MemberID) bool) bool {
-	if !hasMajority(p.Members(), is) {
+func (r *Replica) hasQuorum(is func(MemberID) bool) bool {
+	if !hasMajority(r.Members(), is) {
 		return false
 	}
-	return p.membersCommitted() || p.fault == oneMajority || hasMajority(p.memberConfigs[len(p.memberConfigs)-2].members, is)
+	return r.membersCommitted() || r.fault == oneMajority || hasMajority(r.memberConfigs[len(r.memberConfigs)-2].members, is)
 }
 
 func hasMajority(list []Member, is func(MemberID) bool) bool {
@@ -215,113 +215,113 @@
 	return n > len(list)/2
 }
 
-func (p *Replica) isMember(id MemberID) bool {
-	return slices.ContainsFunc(p.Members(), func(m Member) bool { return m.ID == id })
+func (r *Replica) isMember(id MemberID) bool {
+	return slices.ContainsFunc(r.Members(), func(m Member) bool { return m.ID == id })
 }
 
 // otherMembers are all who count, now or if the newest list should fall, but for this one.
-func (p *Replica) otherMembers() (list []Member) {
-	list = slices.Clone(p.Members())
-	if !p.membersCommitted() {
-		for _, m := range p.memberConfigs[len(p.memberConfigs)-2].members {
-			if !p.isMember(m.ID) {
+func (r *Replica) otherMembers() (list []Member) {
+	list = slices.Clone(r.Members())
+	if !r.membersCommitted() {
+		for _, m := range r.memberConfigs[len(r.memberConfigs)-2].members {
+			if !r.isMember(m.ID) {
 				list = append(list, m)
 			}
 		}
 	}
-	return slices.DeleteFunc(list, func(m Member) bool { return m.ID == p.self.ID })
+	return slices.DeleteFunc(list, func(m Member) bool { return m.ID == r.self.ID })
 }
 
 // touch notes that the disk is behind, and its entries from an index on if that is not 0.
-func (p *Replica) markUnwritten(from uint64) {
-	p.unwritten = true
-	if from > 0 && (p.unwrittenFrom == 0 || from < p.unwrittenFrom) {
-		p.unwrittenFrom = from
+func (r *Replica) markUnwritten(from uint64) {
+	r.unwritten = true
+	if from > 0 && (r.unwrittenFrom == 0 || from < r.unwrittenFrom) {
+		r.unwrittenFrom = from
 	}
 }
 
 // takeWrite is all that the disk is behind.
-func (p *Replica) takeWrite() Write {
-	w := Write{Seq: p.nextWriteSeq, ClusterID: p.clusterID, Term: p.term, Vote: p.votedFor, Commit: p.commitIndex}
-	if p.fault == forgetful {
+func (r *Replica) takeWrite() Write {
+	w := Write{Seq: r.nextWriteSeq, ClusterID: r.clusterID, Term: r.term, Vote: r.votedFor, Commit: r.commitIndex}
+	if r.fault == forgetful {
 		w.Term, w.Vote = 1, 0
 	}
-	if p.unwrittenFrom > 0 {
-		w.FirstIndex = max(p.unwrittenFrom, p.snapshot.Index+1)
-		w.Entries = p.entriesFrom(w.FirstIndex)
+	if r.unwrittenFrom > 0 {
+		w.FirstIndex = max(r.unwrittenFrom, r.snapshot.Index+1)
+		w.Entries = r.entriesFrom(w.FirstIndex)
 	}
-	if p.unwrittenSnapshot {
-		s := p.snapshot
+	if r.unwrittenSnapshot {
+		s := r.snapshot
 		w.Snapshot = &s
 	}
-	p.unsyncedWrites = append(p.unsyncedWrites, unsyncedWrite{p.nextWriteSeq, p.lastIndex()})
-	p.nextWriteSeq++
-	p.unwritten, p.unwrittenFrom, p.unwrittenSnapshot = false, 0, false
+	r.unsyncedWrites = append(r.unsyncedWrites, unsyncedWrite{r.nextWriteSeq, r.lastIndex()})
+	r.nextWriteSeq++
+	r.unwritten, r.unwrittenFrom, r.unwrittenSnapshot = false, 0, false
 	return w
 }
 
 // when says something once all of now is on disk.
-func (p *Replica) replyAfterSync(w pendingReply) {
-	w.writeSeq = p.nextWriteSeq
-	if !p.unwritten {
+func (r *Replica) replyAfterSync(w pendingReply) {
+	w.writeSeq = r.nextWriteSeq
+	if !r.unwritten {
 		w.writeSeq--
 	}
-	if w.writeSeq <= p.syncedWriteSeq || p.fault == ackUnsynced && w.kind == MsgAppendAck ||
-		p.fault == tellEarly && w.kind == MsgVoteGranted {
-		p.sendPendingReply(w)
-	} else if !slices.Contains(p.pendingReplies, w) {
-		p.pendingReplies = append(p.pendingReplies, w)
+	if w.writeSeq <= r.syncedWriteSeq || r.fault == ackUnsynced && w.kind == MsgAppendAck ||
+		r.fault == tellEarly && w.kind == MsgVoteGranted {
+		r.sendPendingReply(w)
+	} else if !slices.Contains(r.pendingReplies, w) {
+		r.pendingReplies = append(r.pendingReplies, w)
 	}
 }
 
 // sendPendingReply says what waited, unless a newer view was promised meanwhile.
-func (p *Replica) sendPendingReply(w pendingReply) {
-	if w.term != p.term {
+func (r *Replica) sendPendingReply(w pendingReply) {
+	if w.term != r.term {
 		return
 	}
 	switch w.kind {
 	case MsgAppendAck:
-		if p.role == roleFollower && p.leaderID == w.recipient {
-			p.sendAck()
+		if r.role == roleFollower && r.leaderID == w.recipient {
+			r.sendAck()
 		}
 	case MsgVoteGranted:
-		if p.votedFor == w.recipient {
-			e := p.lastPosition()
-			p.send(w.recipient, Message{Kind: MsgVoteGranted, View: p.term, Index: e.index, At: e.term})
+		if r.votedFor == w.recipient {
+			e := r.lastPosition()
+			r.send(w.recipient, Message{Kind: MsgVoteGranted, View: r.term, Index: e.index, At: e.term})
 		}
 	case MsgRequestVote:
-		if p.role == roleCandidate && p.votedFor == p.self.ID {
-			p.votes[p.self.ID] = p.lastPosition()
-			p.awaitVotes()
-			p.tallyVotes()
+		if r.role == roleCandidate && r.votedFor == r.self.ID {
+			r.votes[r.self.ID] = r.lastPosition()
+			r.awaitVotes()
+			r.tallyVotes()
 		}
 	}
 }
 
 // send sends a message to whom it may be known where to find.
-func (p *Replica) send(to MemberID, m Message) {
-	if w := p.peers[to]; w != nil {
-		p.sendTo(w.Member, m)
+func (r *Replica) send(to MemberID, m Message) {
+	if w := r.peers[to]; w != nil {
+		r.sendTo(w.Member, m)
 		return
 	}
-	if to == p.self.ID {
+	if to == r.self.ID {
 		return
 	}
-	for i := len(p.memberConfigs) - 1; i >= 0; i-- {
-		for _, o := range p.memberConfigs[i].members {
+	for i := len(r.memberConfigs) - 1; i >= 0; i-- {
+		for _, o := range r.memberConfigs[i].members {
 			if o.ID == to {
-				p.sendTo(o, m)
+				r.sendTo(o, m)
 				return
 			}
 		}
 	}
-	p.sendTo(Member{ID: to}, m) // the host may know its address
+	r.sendTo(Member{ID: to}, m) // the host may know its address
 }
 
-func (p *Replica) sendTo(to Member, m Message) {
+func (r *Replica) sendTo(to Member, m Message) {
 	m.To = to.ID
 	if m.House == 0 {
-		m.House = p.clusterID
+		m.House = r.clusterID
 	}
-	p.actions = append(p.actions, Send{to, m})
+	r.actions = append(r.actions, Send{to, m})
 }
--- a/internal/gateway/replication/logs.go
+++ b/internal/gateway/replication/logs.go
@@ -56,51 +56,51 @@
 }
 
 // clusterIDFor names the founding of this log by these members: each log of a disk has another.
-func (p *Replica) clusterIDFor(members []Member) uint64 {
+func (r *Replica) clusterIDFor(members []Member) uint64 {
 	name := ClusterIDOf(members)
-	if p.config.LogID == ConfigurationLog || p.fault == oneFounding {
+	if r.config.LogID == ConfigurationLog || r.fault == oneFounding {
 		return name
 	}
 	sum := fnv.New32a()
-	sum.Write(binary.BigEndian.AppendUint64([]byte{byte(p.config.LogID)}, name))
+	sum.Write(binary.BigEndian.AppendUint64([]byte{byte(r.config.LogID)}, name))
 	return uint64(sum.Sum32()) | 1
 }
 
 // LeaderTerm is the view that this member leads, once an entry of it is committed: all that was acknowledged in earlier views is committed
 // here then. It says nothing for sure about this very moment: that takes a Read.
-func (p *Replica) LeaderTerm() (view uint64, leads bool) {
-	return p.term, p.role == roleLeader && p.commitIndex >= p.termStartIndex
+func (r *Replica) LeaderTerm() (view uint64, leads bool) {
+	return r.term, r.role == roleLeader && r.commitIndex >= r.termStartIndex
 }
 
 // ReportUnreachable tells that the link to a member broke. If it leads, this member has lost it, and asks the others soon: together with those
 // whose links broke too. Those who still hear it say so.
-func (p *Replica) ReportUnreachable(id MemberID) {
-	if p.role != roleFollower || p.leaderID != id || p.electionDeadline == never {
+func (r *Replica) ReportUnreachable(id MemberID) {
+	if r.role != roleFollower || r.leaderID != id || r.electionDeadline == never {
 		return
 	}
-	p.leaderContactAt = min(p.leaderContactAt, p.now-p.config.ElectionTimeout)
-	p.electionDeadline = min(p.electionDeadline, p.now+p.random(p.config.HeartbeatInterval/2))
+	r.leaderContactAt = min(r.leaderContactAt, r.now-r.config.ElectionTimeout)
+	r.electionDeadline = min(r.electionDeadline, r.now+r.random(r.config.HeartbeatInterval/2))
 }
 
 // TransferLeadershipTo lets a certain member lead, as soon as it has all; another one, where that one is not heard. Proposals are refused
 // meanwhile, as with TransferLeadership.
-func (p *Replica) TransferLeadershipTo(id MemberID) {
-	p.transferee = id
-	p.TransferLeadership()
+func (r *Replica) TransferLeadershipTo(id MemberID) {
+	r.transferee = id
+	r.TransferLeadership()
 }
 
 // CanTransferTo tells whether a member could take the lead at once, as far as is known here.
-func (p *Replica) CanTransferTo(id MemberID) bool {
-	w := p.peers[id]
-	return p.role == roleLeader && w != nil && p.canReconfigure() && p.isMember(id) && p.recentlyActive(w) && w.matchIndex == p.lastIndex() &&
-		p.now-w.lastResponseAt <= maxMissedHeartbeats*p.config.HeartbeatInterval
+func (r *Replica) CanTransferTo(id MemberID) bool {
+	w := r.peers[id]
+	return r.role == roleLeader && w != nil && r.canReconfigure() && r.isMember(id) && r.recentlyActive(w) && w.matchIndex == r.lastIndex() &&
+		r.now-w.lastResponseAt <= maxMissedHeartbeats*r.config.HeartbeatInterval
 }
 
 // eligibleTransferee tells whether the lead may be handed to a member.
-func (p *Replica) eligibleTransferee(w *progress) bool {
-	if !p.recentlyActive(w) || !p.isMember(w.ID) {
+func (r *Replica) eligibleTransferee(w *progress) bool {
+	if !r.recentlyActive(w) || !r.isMember(w.ID) {
 		return false
 	}
-	wished := p.peers[p.transferee]
-	return wished == nil || wished == w || !p.recentlyActive(wished) || !p.isMember(wished.ID)
+	wished := r.peers[r.transferee]
+	return wished == nil || wished == w || !r.recentlyActive(wished) || !r.isMember(wished.ID)
 }
--- a/internal/gateway/replication/members.go
+++ b/internal/gateway/replication/members.go
@@ -33,33 +33,33 @@
 
 // ReconcileMembers tells which disks the host reaches, this one among them, and makes the next change of membership that is due, where this
 // member leads. It is for calling every few hundred ms, by all members: a new leader knows so who is lost, and since when.
-func (p *Replica) ReconcileMembers(reach []ReachableNode, tolerates int) {
-	p.trackReachability(reach)
-	if p.role != roleLeader || p.lostSince[p.self.ID] != 0 { // one that leaves hands over, and its successor tends
+func (r *Replica) ReconcileMembers(reach []ReachableNode, tolerates int) {
+	r.trackReachability(reach)
+	if r.role != roleLeader || r.lostSince[r.self.ID] != 0 { // one that leaves hands over, and its successor tends
 		return
 	}
 	var learners []Member
 	here, moved := false, false
-	list := slices.Clone(p.Members())
-	for _, r := range reach {
-		if i := slices.IndexFunc(list, func(m Member) bool { return m.ID == r.ID }); i >= 0 {
-			moved = moved || list[i].Addr != r.Addr
-			list[i].Addr = r.Addr
-		} else if !r.Draining {
-			learners, here = append(learners, r.Member), here || r.ID == p.learner
+	list := slices.Clone(r.Members())
+	for _, reachableNode := range reach {
+		if i := slices.IndexFunc(list, func(m Member) bool { return m.ID == reachableNode.ID }); i >= 0 {
+			moved = moved || list[i].Addr != reachableNode.Addr
+			list[i].Addr = reachableNode.Addr
+		} else if !reachableNode.Draining {
+			learners, here = append(learners, reachableNode.Member), here || reachableNode.ID == r.learner
 		}
 	}
-	if moved && distinctAddresses(list) && p.canReconfigure() { // a disk is at another address now: a list of the same, by both majorities too
-		p.appendToOwnTerm(Entry{Kind: EntryConfigChange, Members: list})
+	if moved && distinctAddresses(list) && r.canReconfigure() { // a disk is at another address now: a list of the same, by both majorities too
+		r.appendToOwnTerm(Entry{Kind: EntryConfigChange, Members: list})
 	}
-	if p.learner != 0 && (!here || p.now-p.learnerProgressAt > maxLearnerTimeouts*p.config.LearnerTimeout && len(learners) > 1) && p.fault != keepDead {
-		p.dropLearner()
+	if r.learner != 0 && (!here || r.now-r.learnerProgressAt > maxLearnerTimeouts*r.config.LearnerTimeout && len(learners) > 1) && r.fault != keepDead {
+		r.dropLearner()
 	}
-	if m, ok := p.nextLearner(learners); ok && len(p.Members()) < maxMembers {
-		p.reconcileLearner(m, tolerates)
+	if m, ok := r.nextLearner(learners); ok && len(r.Members()) < maxMembers {
+		r.reconcileLearner(m, tolerates)
 	}
-	if id := p.memberToRemove(tolerates); id != 0 {
-		p.RemoveMember(id)
+	if id := r.memberToRemove(tolerates); id != 0 {
+		r.RemoveMember(id)
 	}
 }
 
@@ -73,48 +73,48 @@
 }
 
 // trackReachability notes since when members are not reached.
-func (p *Replica) trackReachability(reach []ReachableNode) {
-	now := max(p.now, 1) // 0 is not lost
-	for id := range p.lostSince {
-		if !p.isMember(id) {
-			delete(p.lostSince, id)
+func (r *Replica) trackReachability(reach []ReachableNode) {
+	now := max(r.now, 1) // 0 is not lost
+	for id := range r.lostSince {
+		if !r.isMember(id) {
+			delete(r.lostSince, id)
 		}
 	}
-	for _, m := range p.Members() {
-		i := slices.IndexFunc(reach, func(r ReachableNode) bool { return r.ID == m.ID })
-		here := i >= 0 || m.ID == p.self.ID
-		if now-p.unreachableSince(m.ID, now) > maxMissedHeartbeats*p.config.HeartbeatInterval { // without power it ends no link
+	for _, m := range r.Members() {
+		i := slices.IndexFunc(reach, func(reachableNode ReachableNode) bool { return reachableNode.ID == m.ID })
+		here := i >= 0 || m.ID == r.self.ID
+		if now-r.unreachableSince(m.ID, now) > maxMissedHeartbeats*r.config.HeartbeatInterval { // without power it ends no link
 			here = false
 		}
 		switch {
 		case i >= 0 && reach[i].Draining:
-			p.lostSince[m.ID] = now - drainedLongAgo
+			r.lostSince[m.ID] = now - drainedLongAgo
 		case here:
-			delete(p.lostSince, m.ID)
-		case p.lostSince[m.ID] == 0 || p.isDraining(m.ID): // it has left: from here on it may be restarting
-			p.lostSince[m.ID] = p.unreachableSince(m.ID, now)
+			delete(r.lostSince, m.ID)
+		case r.lostSince[m.ID] == 0 || r.isDraining(m.ID): // it has left: from here on it may be restarting
+			r.lostSince[m.ID] = r.unreachableSince(m.ID, now)
 		default:
-			p.lostSince[m.ID] = p.unreachableSince(m.ID, p.lostSince[m.ID])
+			r.lostSince[m.ID] = r.unreachableSince(m.ID, r.lostSince[m.ID])
 		}
 	}
 }
 
 // isDraining tells whether a member has said that it ends.
-func (p *Replica) isDraining(id MemberID) bool { return p.lostSince[id] < p.now-drainedLongAgo/2 }
+func (r *Replica) isDraining(id MemberID) bool { return r.lostSince[id] < r.now-drainedLongAgo/2 }
 
 // unreachableSince is since when a member is lost. A host takes seconds to find that out, and with as much again on top of it a successor would
 // count only after catch_up: the leader goes by the last answer to its heartbeats, where that is longer ago.
-func (p *Replica) unreachableSince(id MemberID, lost time.Duration) time.Duration {
-	if w := p.peers[id]; w != nil && p.fault != lateLost {
+func (r *Replica) unreachableSince(id MemberID, lost time.Duration) time.Duration {
+	if w := r.peers[id]; w != nil && r.fault != lateLost {
 		return max(min(lost, w.lastResponseAt), 1)
 	}
 	return lost
 }
 
 // allRespondedSinceLearner tells whether all members have answered since the learner came: one that lies without power looks as if it were there.
-func (p *Replica) allRespondedSinceLearner() bool {
-	for _, m := range p.otherMembers() {
-		if w := p.peers[m.ID]; w == nil || w.lastResponseAt <= p.learnerSince {
+func (r *Replica) allRespondedSinceLearner() bool {
+	for _, m := range r.otherMembers() {
+		if w := r.peers[m.ID]; w == nil || w.lastResponseAt <= r.learnerSince {
 			return false
 		}
 	}
@@ -123,23 +123,23 @@
 
 // nextLearner is who is given the state: the one that is, else one at a member's address, else the next after the one that was
 // given up last.
-func (p *Replica) nextLearner(all []Member) (Member, bool) {
+func (r *Replica) nextLearner(all []Member) (Member, bool) {
 	if len(all) == 0 {
 		return Member{}, false
 	}
 	slices.SortFunc(all, func(a, b Member) int { return compareMemberIDs(a.ID, b.ID) })
 	for _, m := range all {
-		if m.ID == p.learner {
+		if m.ID == r.learner {
 			return m, true
 		}
 	}
 	for _, m := range all {
-		if p.memberAtAddressOf(m) != 0 && m.ID != p.lastDroppedLearner {
+		if r.memberAtAddressOf(m) != 0 && m.ID != r.lastDroppedLearner {
 			return m, true
 		}
 	}
 	for _, m := range all {
-		if m.ID > p.lastDroppedLearner {
+		if m.ID > r.lastDroppedLearner {
 			return m, true
 		}
 	}
@@ -154,8 +154,8 @@
 }
 
 // memberAtAddressOf is the member at a learner's address, whose disk is gone or elsewhere.
-func (p *Replica) memberAtAddressOf(m Member) MemberID {
-	for _, o := range p.Members() {
+func (r *Replica) memberAtAddressOf(m Member) MemberID {
+	for _, o := range r.Members() {
 		if o.Addr == m.Addr && o.ID != m.ID {
 			return o.ID
 		}
@@ -164,26 +164,26 @@
 }
 
 // reconcileLearner lets a learner in: in whose place is decided anew each time until it has the state.
-func (p *Replica) reconcileLearner(m Member, tolerates int) {
-	id, since := p.longestLost()
-	switch held := p.memberAtAddressOf(m); {
-	case p.fault == addOnly:
-		p.AddMember(m, 0)
+func (r *Replica) reconcileLearner(m Member, tolerates int) {
+	id, since := r.longestLost()
+	switch held := r.memberAtAddressOf(m); {
+	case r.fault == addOnly:
+		r.AddMember(m, 0)
 	case held != 0:
-		p.AddMember(m, held)
-	case id != 0 && p.now-since >= replaceLostAfter:
-		p.AddMember(m, id)
-	case len(p.Members()) > 2*tolerates && p.fault != hasty && (id != 0 || p.learner != m.ID || !p.allRespondedSinceLearner()):
-		p.startLearner(m, nil)
+		r.AddMember(m, held)
+	case id != 0 && r.now-since >= replaceLostAfter:
+		r.AddMember(m, id)
+	case len(r.Members()) > 2*tolerates && r.fault != hasty && (id != 0 || r.learner != m.ID || !r.allRespondedSinceLearner()):
+		r.startLearner(m, nil)
 	default:
-		p.AddMember(m, 0)
+		r.AddMember(m, 0)
 	}
 }
 
 // longestLost is the member that is lost for longest, of two the lower; 0 if none is.
-func (p *Replica) longestLost() (id MemberID, since time.Duration) {
-	for _, m := range p.Members() {
-		if at, lost := p.lostSince[m.ID]; lost && m.ID != p.self.ID && (id == 0 || at < since || at == since && m.ID < id) {
+func (r *Replica) longestLost() (id MemberID, since time.Duration) {
+	for _, m := range r.Members() {
+		if at, lost := r.lostSince[m.ID]; lost && m.ID != r.self.ID && (id == 0 || at < since || at == since && m.ID < id) {
 			id, since = m.ID, at
 		}
 	}
@@ -191,15 +191,15 @@
 }
 
 // memberToRemove is a lost member that had better not be counted any more; 0 if there is none.
-func (p *Replica) memberToRemove(tolerates int) MemberID {
-	n := len(p.Members())
-	live := n - len(p.lostSince)
-	id, since := p.longestLost()
+func (r *Replica) memberToRemove(tolerates int) MemberID {
+	n := len(r.Members())
+	live := n - len(r.lostSince)
+	id, since := r.longestLost()
 	floor := 2*tolerates + 1
-	if p.fault == shrinkFar {
+	if r.fault == shrinkFar {
 		floor = 1
 	}
-	if id == 0 || p.now-since < removeLostAfter || n <= floor || live-majoritySize(n) >= tolerates || p.fault == addOnly {
+	if id == 0 || r.now-since < removeLostAfter || n <= floor || live-majoritySize(n) >= tolerates || r.fault == addOnly {
 		return 0
 	}
 	return id
@@ -210,69 +210,69 @@
 // AddMember lets the leader give its state to a new member and, once that has it on disk, make it one: in the
 // place of the one at the same address, or else of the member replaces, or on top (replaces 0). One at a time;
 // it is to be called again until Members has it. False: not the leader, or not now.
-func (p *Replica) AddMember(m Member, replaces MemberID) bool {
-	list := slices.Clone(p.Members())
+func (r *Replica) AddMember(m Member, replaces MemberID) bool {
+	list := slices.Clone(r.Members())
 	if slices.ContainsFunc(list, func(o Member) bool { return o.ID == m.ID }) {
-		return p.role == roleLeader
+		return r.role == roleLeader
 	}
-	if held := p.memberAtAddressOf(m); held != 0 {
+	if held := r.memberAtAddressOf(m); held != 0 {
 		replaces = held // and nobody else: one change must not take two out
 	}
 	list = slices.DeleteFunc(list, func(o Member) bool { return o.ID == replaces })
-	if !p.startLearner(m, append(list, m)) {
+	if !r.startLearner(m, append(list, m)) {
 		return false
 	}
-	p.promoteLearner()
+	r.promoteLearner()
 	return true
 }
 
 // startLearner begins to give a disk the state, or goes on with it; the list is the one to hold from when it has it, nil: it is held back.
-func (p *Replica) startLearner(m Member, list []Member) bool {
-	if p.role != roleLeader || m.ID == 0 || p.learner != 0 && p.learner != m.ID {
+func (r *Replica) startLearner(m Member, list []Member) bool {
+	if r.role != roleLeader || m.ID == 0 || r.learner != 0 && r.learner != m.ID {
 		return false
 	}
-	p.learnerConfig = memberConfig{p.memberConfigs[len(p.memberConfigs)-1].index, list}
-	if p.learner == m.ID {
+	r.learnerConfig = memberConfig{r.memberConfigs[len(r.memberConfigs)-1].index, list}
+	if r.learner == m.ID {
 		return true
 	}
-	p.learner, p.learnerProgressAt, p.learnerSince = m.ID, p.now, p.now
-	if p.peers[m.ID] == nil {
-		p.peers[m.ID] = p.newProgress(m)
+	r.learner, r.learnerProgressAt, r.learnerSince = m.ID, r.now, r.now
+	if r.peers[m.ID] == nil {
+		r.peers[m.ID] = r.newProgress(m)
 	}
-	p.sendHeartbeat(p.peers[m.ID])
+	r.sendHeartbeat(r.peers[m.ID])
 	return true
 }
 
 // promoteLearner makes the learner a member, if it has the state and may be one.
-func (p *Replica) promoteLearner() {
-	w := p.peers[p.learner]
-	if p.learner == 0 || w == nil || p.learnerConfig.members == nil || !p.canReconfigure() ||
-		(w.matchIndex < p.commitIndex || w.matchIndex == 0) && p.fault != admitEarly {
+func (r *Replica) promoteLearner() {
+	w := r.peers[r.learner]
+	if r.learner == 0 || w == nil || r.learnerConfig.members == nil || !r.canReconfigure() ||
+		(w.matchIndex < r.commitIndex || w.matchIndex == 0) && r.fault != admitEarly {
 		return
 	}
-	p.learner = 0
-	if p.learnerConfig.index == p.memberConfigs[len(p.memberConfigs)-1].index { // else the list has changed since: to be asked for again
-		p.appendToOwnTerm(Entry{Kind: EntryConfigChange, Members: p.learnerConfig.members})
+	r.learner = 0
+	if r.learnerConfig.index == r.memberConfigs[len(r.memberConfigs)-1].index { // else the list has changed since: to be asked for again
+		r.appendToOwnTerm(Entry{Kind: EntryConfigChange, Members: r.learnerConfig.members})
 	}
-	p.trackMembers()
+	r.trackMembers()
 }
 
 // dropLearner gives up the learner.
-func (p *Replica) dropLearner() {
-	p.lastDroppedLearner, p.learner = p.learner, 0
-	p.trackMembers()
+func (r *Replica) dropLearner() {
+	r.lastDroppedLearner, r.learner = r.learner, 0
+	r.trackMembers()
 }
 
 // RemoveMember takes a member out of the list. It is to be called again until Members is without it. False: not
 // the leader, not now, or it is the last one.
-func (p *Replica) RemoveMember(id MemberID) bool {
-	list := slices.DeleteFunc(slices.Clone(p.Members()), func(o Member) bool { return o.ID == id })
-	if len(list) == len(p.Members()) {
+func (r *Replica) RemoveMember(id MemberID) bool {
+	list := slices.DeleteFunc(slices.Clone(r.Members()), func(o Member) bool { return o.ID == id })
+	if len(list) == len(r.Members()) {
 		return true
 	}
-	if p.role != roleLeader || !p.canReconfigure() || len(list) == 0 {
+	if r.role != roleLeader || !r.canReconfigure() || len(list) == 0 {
 		return false
 	}
-	p.appendToOwnTerm(Entry{Kind: EntryConfigChange, Members: list})
+	r.appendToOwnTerm(Entry{Kind: EntryConfigChange, Members: list})
 	return true
 }
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -43,8 +43,8 @@
 // is newer.
 type logPosition struct{ term, index uint64 }
 
-func (a logPosition) newerThan(b logPosition) bool {
-	return a.term > b.term || a.term == b.term && a.index > b.index
+func (l logPosition) newerThan(b logPosition) bool {
+	return l.term > b.term || l.term == b.term && l.index > b.index
 }
 
 type memberConfig struct {
@@ -181,58 +181,58 @@
 }
 
 // Tick tells the time. After a standstill it is to be told before messages that came meanwhile.
-func (p *Replica) Tick(t time.Duration) {
-	p.now = max(p.now, t)
+func (r *Replica) Tick(t time.Duration) {
+	r.now = max(r.now, t)
 	switch {
-	case p.role == roleLeader:
-		heard := func(id MemberID) bool { return id == p.self.ID || p.peers[id] != nil && p.recentlyActive(p.peers[id]) }
-		if !p.hasQuorum(heard) {
-			p.stepDown()
+	case r.role == roleLeader:
+		heard := func(id MemberID) bool { return id == r.self.ID || r.peers[id] != nil && r.recentlyActive(r.peers[id]) }
+		if !r.hasQuorum(heard) {
+			r.stepDown()
 			return
 		}
-		if l := p.peers[p.learner]; l != nil && p.now-l.lastResponseAt > p.config.LearnerTimeout && p.fault != keepDead {
-			p.dropLearner()
+		if l := r.peers[r.learner]; l != nil && r.now-l.lastResponseAt > r.config.LearnerTimeout && r.fault != keepDead {
+			r.dropLearner()
 		}
-		if p.now >= p.heartbeatAt {
-			p.startReadSeq()
-			p.broadcastHeartbeat()
+		if r.now >= r.heartbeatAt {
+			r.startReadSeq()
+			r.broadcastHeartbeat()
 		}
-		p.updateQuorumContact()
-	case p.now >= p.electionDeadline:
-		p.startPreVote()
+		r.updateQuorumContact()
+	case r.now >= r.electionDeadline:
+		r.startPreVote()
 	}
 }
 
-func (p *Replica) recentlyActive(w *progress) bool {
-	return p.now-w.lastResponseAt <= p.config.QuorumTimeout
+func (r *Replica) recentlyActive(w *progress) bool {
+	return r.now-w.lastResponseAt <= r.config.QuorumTimeout
 }
 
 // Bootstrap writes view 1 with these members on an empty disk, if this member is one of them. The same list
 // again does nothing; anything else where something is on disk is refused. All founders must be handed the
 // same list.
-func (p *Replica) Bootstrap(members []Member) error {
-	members, clusterID := sortedMembers(members), p.clusterIDFor(members)
+func (r *Replica) Bootstrap(members []Member) error {
+	members, clusterID := sortedMembers(members), r.clusterIDFor(members)
 	mine := false
 	for i, m := range members {
 		if m.ID == 0 || i > 0 && members[i-1].ID == m.ID {
 			return errors.Errorf("a founder's id %d is 0 or twice in the list", m.ID)
 		}
-		mine = mine || m.ID == p.self.ID
+		mine = mine || m.ID == r.self.ID
 	}
 	switch {
 	case !mine:
 		return errors.New("this member is not among the founders")
-	case p.clusterID == clusterID:
+	case r.clusterID == clusterID:
 		return nil
-	case p.clusterID != 0:
+	case r.clusterID != 0:
 		return errors.New("there is something on disk already")
 	}
-	p.clusterID, p.term, p.maxSeenTerm = clusterID, 1, 1
-	p.snapshot = Snapshot{Index: 1, View: 1, Members: members}
-	p.memberConfigs = []memberConfig{{1, members}}
-	p.commitIndex, p.unwrittenSnapshot = 1, true
-	p.markUnwritten(2)
-	p.resetElectionDeadline()
+	r.clusterID, r.term, r.maxSeenTerm = clusterID, 1, 1
+	r.snapshot = Snapshot{Index: 1, View: 1, Members: members}
+	r.memberConfigs = []memberConfig{{1, members}}
+	r.commitIndex, r.unwrittenSnapshot = 1, true
+	r.markUnwritten(2)
+	r.resetElectionDeadline()
 	return nil
 }
 
@@ -253,129 +253,129 @@
 
 // Propose asks for an entry; its Outcome carries the token, which is the host's and not used twice. The
 // data is kept.
-func (p *Replica) Propose(token uint64, data []byte) {
-	if v := p.admitRequest(len(p.proposals)); v != OutcomeCommitted {
-		p.finish(token, 0, v)
+func (r *Replica) Propose(token uint64, data []byte) {
+	if v := r.admitRequest(len(r.proposals)); v != OutcomeCommitted {
+		r.finish(token, 0, v)
 		return
 	}
-	if p.config.MaxUncommittedBytes > 0 && p.commitIndex < p.lastIndex() && p.uncommittedBytes()+len(data) > p.config.MaxUncommittedBytes {
-		p.finish(token, 0, OutcomeBusy) // the disks are not for any number of large ones that wait
+	if r.config.MaxUncommittedBytes > 0 && r.commitIndex < r.lastIndex() && r.uncommittedBytes()+len(data) > r.config.MaxUncommittedBytes {
+		r.finish(token, 0, OutcomeBusy) // the disks are not for any number of large ones that wait
 		return
 	}
-	p.proposals[p.appendToOwnTerm(Entry{Kind: EntryNormal, Data: data})] = token
+	r.proposals[r.appendToOwnTerm(Entry{Kind: EntryNormal, Data: data})] = token
 }
 
 // Read asks what is committed; see Outcome.
-func (p *Replica) Read(token uint64) {
-	if p.role != roleLeader || len(p.reads) >= p.config.MaxPending {
-		p.finish(token, 0, p.admitRequest(len(p.reads)))
+func (r *Replica) Read(token uint64) {
+	if r.role != roleLeader || len(r.reads) >= r.config.MaxPending {
+		r.finish(token, 0, r.admitRequest(len(r.reads)))
 		return
 	}
-	p.reads = append(p.reads, pendingRead{token, p.readSeq + 1})
-	p.replicationPending = true
+	r.reads = append(r.reads, pendingRead{token, r.readSeq + 1})
+	r.replicationPending = true
 }
 
 // admitRequest tells why a proposal is not taken; Done if it is.
-func (p *Replica) admitRequest(waiting int) OutcomeStatus {
-	switch _, _, known := p.Leader(); {
-	case p.role != roleLeader && known:
+func (r *Replica) admitRequest(waiting int) OutcomeStatus {
+	switch _, _, known := r.Leader(); {
+	case r.role != roleLeader && known:
 		return OutcomeNotLeader
-	case p.role != roleLeader || p.now < p.transferDeadline:
+	case r.role != roleLeader || r.now < r.transferDeadline:
 		return OutcomeNoLeader
-	case waiting >= p.config.MaxPending:
+	case waiting >= r.config.MaxPending:
 		return OutcomeBusy
 	}
 	return OutcomeCommitted
 }
 
-func (p *Replica) finish(token, index uint64, v OutcomeStatus) {
+func (r *Replica) finish(token, index uint64, v OutcomeStatus) {
 	o := Outcome{Token: token, Index: index, Status: v}
 	if v == OutcomeNotLeader {
-		o.Leader, _, _ = p.Leader()
+		o.Leader, _, _ = r.Leader()
 	}
-	p.actions = append(p.actions, o)
+	r.actions = append(r.actions, o)
 }
 
 // TransferLeadership lets another member lead, as soon as one has all. Proposals are refused meanwhile; after a
 // second without a new leader they are taken again.
-func (p *Replica) TransferLeadership() {
-	if p.role == roleLeader && p.now >= p.transferDeadline {
-		p.transferDeadline = p.now + p.config.QuorumTimeout
-		p.maybeTransferLeadership()
+func (r *Replica) TransferLeadership() {
+	if r.role == roleLeader && r.now >= r.transferDeadline {
+		r.transferDeadline = r.now + r.config.QuorumTimeout
+		r.maybeTransferLeadership()
 	}
 }
 
 // Synced tells that the write nr and all before it are on disk.
-func (p *Replica) Synced(nr uint64) {
-	invariant.That(nr < p.nextWriteSeq, "what is synced was written")
-	p.syncedWriteSeq = max(p.syncedWriteSeq, nr)
-	for len(p.unsyncedWrites) > 0 && p.unsyncedWrites[0].seq <= nr {
-		p.syncedIndex = max(p.syncedIndex, p.unsyncedWrites[0].lastIndex)
-		p.bootstrapSynced = p.bootstrapSynced || p.clusterID != 0 && p.syncedIndex > 0
-		p.unsyncedWrites = p.unsyncedWrites[1:]
+func (r *Replica) Synced(nr uint64) {
+	invariant.That(nr < r.nextWriteSeq, "what is synced was written")
+	r.syncedWriteSeq = max(r.syncedWriteSeq, nr)
+	for len(r.unsyncedWrites) > 0 && r.unsyncedWrites[0].seq <= nr {
+		r.syncedIndex = max(r.syncedIndex, r.unsyncedWrites[0].lastIndex)
+		r.bootstrapSynced = r.bootstrapSynced || r.clusterID != 0 && r.syncedIndex > 0
+		r.unsyncedWrites = r.unsyncedWrites[1:]
 	}
 	n := 0
-	for ; n < len(p.pendingReplies) && p.pendingReplies[n].writeSeq <= p.syncedWriteSeq; n++ {
-		p.sendPendingReply(p.pendingReplies[n])
+	for ; n < len(r.pendingReplies) && r.pendingReplies[n].writeSeq <= r.syncedWriteSeq; n++ {
+		r.sendPendingReply(r.pendingReplies[n])
 	}
-	p.pendingReplies = p.pendingReplies[n:]
-	if p.role == roleLeader {
-		p.maybeCommit()
+	r.pendingReplies = r.pendingReplies[n:]
+	if r.role == roleLeader {
+		r.maybeCommit()
 	}
 }
 
 // Compact puts the host's state after an index that was committed in the place of the log up to there.
-func (p *Replica) Compact(index uint64, state []byte) {
-	invariant.That(index <= p.commitIndex, "only what was delivered goes into a snapshot")
-	if index <= p.snapshot.Index || index > p.commitIndex {
+func (r *Replica) Compact(index uint64, state []byte) {
+	invariant.That(index <= r.commitIndex, "only what was delivered goes into a snapshot")
+	if index <= r.snapshot.Index || index > r.commitIndex {
 		return
 	}
-	view, _ := p.termAt(index)
-	gone, before := p.log[:index-p.snapshot.Index], p.snapshot.View
-	p.log = slices.Clone(p.log[index-p.snapshot.Index:])
-	for len(p.memberConfigs) > 1 && p.memberConfigs[1].index <= index {
-		p.memberConfigs = p.memberConfigs[1:]
+	view, _ := r.termAt(index)
+	gone, before := r.log[:index-r.snapshot.Index], r.snapshot.View
+	r.log = slices.Clone(r.log[index-r.snapshot.Index:])
+	for len(r.memberConfigs) > 1 && r.memberConfigs[1].index <= index {
+		r.memberConfigs = r.memberConfigs[1:]
 	}
-	p.snapshot = Snapshot{Index: index, View: view, Members: p.memberConfigs[0].members, State: state}
-	p.retainTrailing(gone, before)
-	p.unwrittenSnapshot = true
-	p.markUnwritten(0)
+	r.snapshot = Snapshot{Index: index, View: view, Members: r.memberConfigs[0].members, State: state}
+	r.retainTrailing(gone, before)
+	r.unwrittenSnapshot = true
+	r.markUnwritten(0)
 }
 
 // Next is what is to be done, until there is nothing.
-func (p *Replica) Next() (Action, bool) {
-	if len(p.actions) == 0 && p.replicationPending {
-		p.replicationPending = false
-		p.replicateAll()
+func (r *Replica) Next() (Action, bool) {
+	if len(r.actions) == 0 && r.replicationPending {
+		r.replicationPending = false
+		r.replicateAll()
 	}
-	if len(p.actions) == 0 && p.unwritten {
-		p.actions = append(p.actions, p.takeWrite())
+	if len(r.actions) == 0 && r.unwritten {
+		r.actions = append(r.actions, r.takeWrite())
 	}
-	if len(p.actions) == 0 {
-		if at := p.nextDeadline(); at != p.announcedDeadline && at != never {
-			p.announcedDeadline = at
+	if len(r.actions) == 0 {
+		if at := r.nextDeadline(); at != r.announcedDeadline && at != never {
+			r.announcedDeadline = at
 			return Wake{at}, true
 		}
 		return nil, false
 	}
-	a := p.actions[0]
-	if p.actions = p.actions[1:]; len(p.actions) == 0 {
-		p.actions = nil
+	a := r.actions[0]
+	if r.actions = r.actions[1:]; len(r.actions) == 0 {
+		r.actions = nil
 	}
 	return a, true
 }
 
-func (p *Replica) nextDeadline() time.Duration {
-	if p.role == roleLeader {
-		return p.heartbeatAt
+func (r *Replica) nextDeadline() time.Duration {
+	if r.role == roleLeader {
+		return r.heartbeatAt
 	}
-	return p.electionDeadline
+	return r.electionDeadline
 }
 
 // random is splitmix64: below n, by the seed.
-func (p *Replica) random(n time.Duration) time.Duration {
-	p.randomState += 0x9e3779b97f4a7c15
-	z := p.randomState
+func (r *Replica) random(n time.Duration) time.Duration {
+	r.randomState += 0x9e3779b97f4a7c15
+	z := r.randomState
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return time.Duration((z ^ z>>31) % uint64(max(n, 1)))
--- a/internal/gateway/replication/status.go
+++ b/internal/gateway/replication/status.go
@@ -5,62 +5,62 @@
 import "slices"
 
 // ClusterID names the founding whose state this disk holds, synced; 0: none.
-func (p *Replica) ClusterID() uint64 {
-	if !p.bootstrapSynced {
+func (r *Replica) ClusterID() uint64 {
+	if !r.bootstrapSynced {
 		return 0
 	}
-	return p.clusterID
+	return r.clusterID
 }
 
 // ReplicatedElsewhere is up to which index all that is known here to be committed is on the disks of a majority of the members without
 // this one, where it leaves, and Committed what is known to be: who leaves waits until the one has come up to the other.
-func (p *Replica) ReplicatedElsewhere() uint64 {
+func (r *Replica) ReplicatedElsewhere() uint64 {
 	switch {
-	case p.role == roleLeader:
-		return p.replicatedWithout(p.self.ID)
-	case !p.isMember(p.self.ID): // nothing rests on it
-		return p.commitIndex
+	case r.role == roleLeader:
+		return r.replicatedWithout(r.self.ID)
+	case !r.isMember(r.self.ID): // nothing rests on it
+		return r.commitIndex
 	}
-	return min(p.replicatedElsewhere, p.commitIndex)
+	return min(r.replicatedElsewhere, r.commitIndex)
 }
 
 // CommitIndex is up to which index entries are known to be committed.
-func (p *Replica) CommitIndex() uint64 { return p.commitIndex }
+func (r *Replica) CommitIndex() uint64 { return r.commitIndex }
 
 // Leader is who leads, as far as is known here, and the view.
-func (p *Replica) Leader() (Member, uint64, bool) {
-	if p.leaderID == p.self.ID {
-		return p.self, p.term, true
+func (r *Replica) Leader() (Member, uint64, bool) {
+	if r.leaderID == r.self.ID {
+		return r.self, r.term, true
 	}
-	if p.leaderID == 0 || p.now-p.leaderContactAt > p.config.QuorumTimeout {
-		return Member{}, p.term, false
+	if r.leaderID == 0 || r.now-r.leaderContactAt > r.config.QuorumTimeout {
+		return Member{}, r.term, false
 	}
-	for _, c := range p.memberConfigs {
-		if i := slices.IndexFunc(c.members, func(m Member) bool { return m.ID == p.leaderID }); i >= 0 {
-			return c.members[i], p.term, true
+	for _, c := range r.memberConfigs {
+		if i := slices.IndexFunc(c.members, func(m Member) bool { return m.ID == r.leaderID }); i >= 0 {
+			return c.members[i], r.term, true
 		}
 	}
-	return Member{}, p.term, false
+	return Member{}, r.term, false
 }
 
 // IsLeader tells whether this member leads and has heard a majority of late. It says nothing for sure about
 // this very moment: that takes a Read.
-func (p *Replica) IsLeader() bool { return p.role == roleLeader }
+func (r *Replica) IsLeader() bool { return r.role == roleLeader }
 
 // Members is the newest list; nil before a founding.
-func (p *Replica) Members() []Member { return p.memberConfigs[len(p.memberConfigs)-1].members }
+func (r *Replica) Members() []Member { return r.memberConfigs[len(r.memberConfigs)-1].members }
 
 // BootstrapMembers are those of view 1, while nothing is known to be committed after the founding: one of them with an empty disk has
 // missed the word, and may be handed it by any other. Nil otherwise.
-func (p *Replica) BootstrapMembers() []Member {
-	if p.clusterID == 0 || p.snapshot.Index != 1 {
+func (r *Replica) BootstrapMembers() []Member {
+	if r.clusterID == 0 || r.snapshot.Index != 1 {
 		return nil
 	}
-	return slices.Clone(p.snapshot.Members)
+	return slices.Clone(r.snapshot.Members)
 }
 
 // Bootstrapped tells whether there is anything on this disk but the member's id.
-func (p *Replica) Bootstrapped() bool { return p.clusterID != 0 }
+func (r *Replica) Bootstrapped() bool { return r.clusterID != 0 }
 
 // Status is for operators.
 type Status struct {
@@ -76,9 +76,9 @@
 }
 
 // Status is how things stand.
-func (p *Replica) Status() Status {
-	leader, _, _ := p.Leader()
-	return Status{Self: p.self, Role: p.role.String(), Term: p.term, Leader: leader, Members: p.Members(),
-		MembersCommitted: p.membersCommitted(), Learner: p.learner, FirstIndex: p.snapshot.Index + 1, LastIndex: p.lastIndex(), SyncedIndex: p.syncedIndex,
-		Uncommitted: p.lastIndex() - p.commitIndex, Pending: len(p.proposals) + len(p.reads)}
+func (r *Replica) Status() Status {
+	leader, _, _ := r.Leader()
+	return Status{Self: r.self, Role: r.role.String(), Term: r.term, Leader: leader, Members: r.Members(),
+		MembersCommitted: r.membersCommitted(), Learner: r.learner, FirstIndex: r.snapshot.Index + 1, LastIndex: r.lastIndex(), SyncedIndex: r.syncedIndex,
+		Uncommitted: r.lastIndex() - r.commitIndex, Pending: len(r.proposals) + len(r.reads)}
 }
--- a/internal/gateway/replication/types.go
+++ b/internal/gateway/replication/types.go
@@ -56,22 +56,22 @@
 }
 
 // Validate tells what is wrong with what a disk held.
-func (k *PersistentState) Validate() error {
-	last := k.Snapshot.Index + uint64(len(k.Entries))
+func (p *PersistentState) Validate() error {
+	last := p.Snapshot.Index + uint64(len(p.Entries))
 	switch {
-	case k.ID == 0:
+	case p.ID == 0:
 		return errors.New("no member's id")
-	case k.ClusterID == 0 && (k.Term != 0 || last != 0):
+	case p.ClusterID == 0 && (p.Term != 0 || last != 0):
 		return errors.New("not founded, yet with entries or a promise")
-	case k.ClusterID != 0 && (k.Snapshot.Index == 0 || len(k.Snapshot.Members) == 0):
+	case p.ClusterID != 0 && (p.Snapshot.Index == 0 || len(p.Snapshot.Members) == 0):
 		return errors.New("founded, yet without members")
-	case k.Commit < k.Snapshot.Index || k.Commit > last:
-		return errors.Errorf("delivered up to %d, kept are %d to %d", k.Commit, k.Snapshot.Index, last)
+	case p.Commit < p.Snapshot.Index || p.Commit > last:
+		return errors.Errorf("delivered up to %d, kept are %d to %d", p.Commit, p.Snapshot.Index, last)
 	}
-	view := k.Snapshot.View
-	for i, e := range k.Entries {
-		if e.Index != k.Snapshot.Index+1+uint64(i) || e.View < view || e.View > k.Term {
-			return errors.Errorf("entry %d of view %d stands in place %d", e.Index, e.View, k.Snapshot.Index+1+uint64(i))
+	view := p.Snapshot.View
+	for i, e := range p.Entries {
+		if e.Index != p.Snapshot.Index+1+uint64(i) || e.View < view || e.View > p.Term {
+			return errors.Errorf("entry %d of view %d stands in place %d", e.Index, e.View, p.Snapshot.Index+1+uint64(i))
 		}
 		view = e.View
 	}
@@ -79,15 +79,15 @@
 }
 
 // Apply is what a write does to a disk.
-func (k *PersistentState) Apply(w Write) {
-	k.ClusterID, k.Term, k.Vote, k.Commit = w.ClusterID, w.Term, w.Vote, w.Commit
+func (p *PersistentState) Apply(w Write) {
+	p.ClusterID, p.Term, p.Vote, p.Commit = w.ClusterID, w.Term, w.Vote, w.Commit
 	if w.Snapshot != nil {
-		gone := min(w.Snapshot.Index-k.Snapshot.Index, uint64(len(k.Entries)))
-		k.Snapshot, k.Entries = *w.Snapshot, slices.Clone(k.Entries[gone:])
+		gone := min(w.Snapshot.Index-p.Snapshot.Index, uint64(len(p.Entries)))
+		p.Snapshot, p.Entries = *w.Snapshot, slices.Clone(p.Entries[gone:])
 	}
 	if w.FirstIndex > 0 {
-		keep := min(w.FirstIndex-k.Snapshot.Index-1, uint64(len(k.Entries)))
-		k.Entries = append(slices.Clone(k.Entries[:keep]), w.Entries...)
+		keep := min(w.FirstIndex-p.Snapshot.Index-1, uint64(len(p.Entries)))
+		p.Entries = append(slices.Clone(p.Entries[:keep]), w.Entries...)
 	}
 }
 
@@ -221,8 +221,8 @@
 	OutcomeUnknown                 // may have been taken, or may still be
 )
 
-func (v OutcomeStatus) String() string {
-	return [...]string{"done", "not the leader", "no leader that hears a majority", "too many wait", "unknown"}[v]
+func (o OutcomeStatus) String() string {
+	return [...]string{"done", "not the leader", "no leader that hears a majority", "too many wait", "unknown"}[o]
 }
 
 // Outcome is the end of a proposal (Index: its place; it was committed just before) or of a read (Index:
--- a/internal/gateway/replication/writequeue.go
+++ b/internal/gateway/replication/writequeue.go
@@ -14,41 +14,41 @@
 const maxBatchBytes = 256 << 10
 
 // Put adds what a replica writes, behind what it wrote before.
-func (q *WriteQueue) Put(log LogID, w Write) {
-	if q.pending == nil {
-		q.pending = map[LogID]*Write{}
+func (w *WriteQueue) Put(log LogID, write Write) {
+	if w.pending == nil {
+		w.pending = map[LogID]*Write{}
 	}
-	if before := q.pending[log]; before != nil && q.fault != dropMerged {
-		w = before.Merge(w)
+	if before := w.pending[log]; before != nil && w.fault != dropMerged {
+		write = before.Merge(write)
 	}
-	q.pending[log] = &w
+	w.pending[log] = &write
 }
 
 // Take is the next transaction: the configuration's write always, and the groups' in turn, up to a bound. Nil: nothing waits.
-func (q *WriteQueue) Take() (batch []LogWrite) {
-	if len(q.pending) == 0 {
+func (w *WriteQueue) Take() (batch []LogWrite) {
+	if len(w.pending) == 0 {
 		return nil
 	}
 	most := ConfigurationLog
-	for log := range q.pending {
+	for log := range w.pending {
 		most = max(most, log)
 	}
 	take := func(log LogID) {
-		batch = append(batch, LogWrite{log, *q.pending[log]})
-		delete(q.pending, log)
+		batch = append(batch, LogWrite{log, *w.pending[log]})
+		delete(w.pending, log)
 	}
-	if q.pending[ConfigurationLog] != nil {
+	if w.pending[ConfigurationLog] != nil {
 		take(ConfigurationLog)
 	}
-	size, first := 0, max(q.nextGroup, 1)
+	size, first := 0, max(w.nextGroup, 1)
 	for i := range most {
 		log := 1 + (first-1+i)%most
-		if q.pending[log] == nil {
+		if w.pending[log] == nil {
 			continue
 		}
-		own := q.pending[log].Size()
+		own := w.pending[log].Size()
 		if size += own; size > maxBatchBytes && size > own {
-			q.nextGroup = log
+			w.nextGroup = log
 			break
 		}
 		take(log)
--- a/internal/gateway/rollout/counts.go
+++ b/internal/gateway/rollout/counts.go
@@ -243,16 +243,16 @@
 	latencySlack       = 0.010 // seconds that are borne in any case: another zone, a new connection
 )
 
-func (l *quantileEstimate) observe(took, quantile float64) {
-	if l.samples++; l.samples == 1 {
-		l.seconds = took
+func (q *quantileEstimate) observe(took, quantile float64) {
+	if q.samples++; q.samples == 1 {
+		q.seconds = took
 		return
 	}
-	step := max(minQuantileStep, 1/math.Sqrt(float64(l.samples)))
-	if took > l.seconds {
-		l.seconds *= math.Exp(step * quantile)
+	step := max(minQuantileStep, 1/math.Sqrt(float64(q.samples)))
+	if took > q.seconds {
+		q.seconds *= math.Exp(step * quantile)
 	} else {
-		l.seconds *= math.Exp(-step * (1 - quantile))
+		q.seconds *= math.Exp(-step * (1 - quantile))
 	}
 }
 
@@ -281,82 +281,82 @@
 }
 
 // record takes an end.
-func (c *stepCounter) record(e Outcome) {
-	t := &c.counts[e.Side][e.Kind]
+func (s *stepCounter) record(e Outcome) {
+	t := &s.counts[e.Side][e.Kind]
 	t.Ends++
 	t.By[e.Cause]++
-	c.changed = true
-	if e.Side == Canary && len(c.canaryBackends) < maxBackends {
-		c.canaryBackends[e.Backend] = struct{}{}
+	s.changed = true
+	if e.Side == Canary && len(s.canaryBackends) < maxBackends {
+		s.canaryBackends[e.Backend] = struct{}{}
 	}
-	bad := c.countedCauses[e.Cause]
+	bad := s.countedCauses[e.Cause]
 	base := int(e.Kind) * failureTests
-	c.recordTest(e, base, bad)
-	c.recordTest(e, base+1+int(mixBits(uint64(e.Tenant))%tenantGroups), bad)
+	s.recordTest(e, base, bad)
+	s.recordTest(e, base+1+int(mixBits(uint64(e.Tenant))%tenantGroups), bad)
 	if e.Cause != Success || e.WarmingUp {
 		return
 	}
 	took := e.Latency.Seconds()
 	t.Times[min(max(int(math.Ceil(2*math.Log2(took*1000))), 0), LatencyBuckets-1)]++
-	l := c.latencyByRoute[e.Route]
+	l := s.latencyByRoute[e.Route]
 	if l == nil {
-		if len(c.latencyByRoute) >= maxQuantileRoutes {
+		if len(s.latencyByRoute) >= maxQuantileRoutes {
 			return
 		}
 		l = &quantileEstimate{}
-		c.latencyByRoute[e.Route] = l
+		s.latencyByRoute[e.Route] = l
 	}
 	if l.samples >= minQuantileSamples {
 		most := l.seconds + latencySlack
 		if e.Side == Canary {
-			most = l.seconds*float64(c.criteria.Slower)/100 + latencySlack
+			most = l.seconds*float64(s.criteria.Slower)/100 + latencySlack
 		}
-		c.recordTest(e, latencyTests+int(e.Kind), took > most)
+		s.recordTest(e, latencyTests+int(e.Kind), took > most)
 	}
 	if e.Side == Baseline { // after its own comparison: the limit must not know what is compared with it
-		l.observe(took, float64(c.criteria.Quantile)/FullShare)
+		l.observe(took, float64(s.criteria.Quantile)/FullShare)
 	}
 }
 
-func (c *stepCounter) recordTest(e Outcome, test int, bad bool) {
-	c.span.outcomes[e.Side][test]++
+func (s *stepCounter) recordTest(e Outcome, test int, bad bool) {
+	s.span.outcomes[e.Side][test]++
 	if !bad {
 		return
 	}
-	c.span.failures[e.Side][test]++
+	s.span.failures[e.Side][test]++
 	if e.Side == Baseline {
 		return
 	}
-	v := c.span.perBackend[e.Backend]
+	v := s.span.perBackend[e.Backend]
 	if v == nil {
-		if _, old := c.evidence.perBackend[e.Backend]; !old && len(c.evidence.perBackend)+len(c.span.perBackend) >= maxBackends {
+		if _, old := s.evidence.perBackend[e.Backend]; !old && len(s.evidence.perBackend)+len(s.span.perBackend) >= maxBackends {
 			return // beyond the bound a backend can't be left out
 		}
 		v = new([testCount]uint32)
-		c.span.perBackend[e.Backend] = v
+		s.span.perBackend[e.Backend] = v
 	}
 	v[test]++
 }
 
 // closeSpan ends a span and weighs it.
-func (c *stepCounter) closeSpan(now time.Duration) {
-	c.evidence.add(&c.span, func(t int) float64 {
+func (s *stepCounter) closeSpan(now time.Duration) {
+	s.evidence.add(&s.span, func(t int) float64 {
 		if t >= latencyTests {
 			return toleratedSlowRate
 		}
-		return float64(c.criteria.Extra) / FullShare
+		return float64(s.criteria.Extra) / FullShare
 	})
-	c.span.outcomes, c.span.failures = [2][testCount]uint32{}, [2][testCount]uint32{}
-	clear(c.span.perBackend)
-	c.spanStart = now
+	s.span.outcomes, s.span.failures = [2][testCount]uint32{}, [2][testCount]uint32{}
+	clear(s.span.perBackend)
+	s.spanStart = now
 }
 
 // spanEnd is when the span ends.
-func (c *stepCounter) spanEnd() time.Duration {
-	if n := &c.span.outcomes[Canary]; n[0]+n[failureTests] < shortSpanOutcomes {
-		return c.spanStart + longSpan
+func (s *stepCounter) spanEnd() time.Duration {
+	if n := &s.span.outcomes[Canary]; n[0]+n[failureTests] < shortSpanOutcomes {
+		return s.spanStart + longSpan
 	}
-	return c.spanStart + shortSpan
+	return s.spanStart + shortSpan
 }
 
 // toleratedSlowRate of the answers may be slow beyond what the order bears.
--- a/internal/gateway/rollout/duty.go
+++ b/internal/gateway/rollout/duty.go
@@ -62,33 +62,33 @@
 }
 
 // ApplyState takes the state after an entry or a snapshot.
-func (d *Coordinator) ApplyState(s *State) {
+func (c *Coordinator) ApplyState(s *State) {
 	for i := range s.Runs() {
 		r := &s.Runs()[i]
-		t := d.active[r.Order.Service]
+		t := c.active[r.Order.Service]
 		switch {
 		case r.Phase != Running:
-			delete(d.active, r.Order.Service)
+			delete(c.active, r.Order.Service)
 		case t == nil || t.Number != r.Number || t.Step != r.Step:
-			n := &activeRollout{Run: *r, stepStart: d.now, lap: 1, lapStart: d.now, proposedAt: -proposalRetry, reports: map[nodeIncarnation]*receivedReport{}, baselineBackends: -1}
+			n := &activeRollout{Run: *r, stepStart: c.now, lap: 1, lapStart: c.now, proposedAt: -proposalRetry, reports: map[nodeIncarnation]*receivedReport{}, baselineBackends: -1}
 			if t != nil && t.Number == r.Number {
 				n.lap, n.lapStart, n.baselineBackends, n.unconfigured = t.lap, t.lapStart, t.baselineBackends, t.unconfigured
 			}
-			d.active[r.Order.Service] = n
+			c.active[r.Order.Service] = n
 		default:
 			t.Run = *r
 		}
 	}
-	for name := range d.active {
+	for name := range c.active {
 		if s.Run(name) == nil {
-			delete(d.active, name)
+			delete(c.active, name)
 		}
 	}
 }
 
 // HandleReport takes a report.
-func (d *Coordinator) HandleReport(from NodeID, r Report) error {
-	t := d.active[r.Service]
+func (c *Coordinator) HandleReport(from NodeID, r Report) error {
+	t := c.active[r.Service]
 	if t == nil || t.Number != r.Number || t.Step != r.Step {
 		return nil
 	}
@@ -101,7 +101,7 @@
 		return err
 	}
 	if r.Lap > t.lap { // of whoever had the duty before
-		t.lap, t.lapStart = r.Lap, d.now
+		t.lap, t.lapStart = r.Lap, c.now
 	}
 	f.node = from
 	t.reports[key], t.changed = &receivedReport{r, f}, true
@@ -109,55 +109,55 @@
 }
 
 // SetNodeCount says how many there are: where there are others, none is believed alone.
-func (d *Coordinator) SetNodeCount(n int) { d.nodeCount = n }
+func (c *Coordinator) SetNodeCount(n int) { c.nodeCount = n }
 
 // SetBaselineBackends says how many backends of the old version are ready, and whether the configuration still has the
 // service.
-func (d *Coordinator) SetBaselineBackends(service string, old int, known bool) {
-	if t := d.active[service]; t != nil {
+func (c *Coordinator) SetBaselineBackends(service string, old int, known bool) {
+	if t := c.active[service]; t != nil {
 		t.baselineBackends, t.unconfigured = old, !known
 	}
 }
 
 // Counts are the sums of all nodes in the present step of a service, and the doubt: from 1 on there is no next
 // step by itself.
-func (d *Coordinator) Counts(service string) (c Counts, doubt float64) {
-	t := d.active[service]
+func (c *Coordinator) Counts(service string) (counts Counts, doubt float64) {
+	t := c.active[service]
 	if t == nil {
-		return c, 0
+		return counts, 0
 	}
 	return t.counts(), t.doubt
 }
 
-func (t *activeRollout) counts() (c Counts) {
-	for _, h := range t.reports {
+func (a *activeRollout) counts() (c Counts) {
+	for _, h := range a.reports {
 		c.Add(&h.Report.Counts)
 	}
 	return c
 }
 
 // Tick sets the clock.
-func (d *Coordinator) Tick(now time.Duration) {
-	d.now = max(d.now, now)
-	for _, name := range sortedKeys(d.active) {
-		t := d.active[name]
-		if d.now-t.lapStart >= lapInterval {
-			t.lap, t.lapStart = t.lap+1, d.now
-			d.actions = append(d.actions, BroadcastLap{Lap{name, t.Number, t.lap}})
+func (c *Coordinator) Tick(now time.Duration) {
+	c.now = max(c.now, now)
+	for _, name := range sortedKeys(c.active) {
+		t := c.active[name]
+		if c.now-t.lapStart >= lapInterval {
+			t.lap, t.lapStart = t.lap+1, c.now
+			c.actions = append(c.actions, BroadcastLap{Lap{name, t.Number, t.lap}})
 		}
 		if t.unconfigured {
-			d.propose(t, Rollback, t.Step, "the service is not in the configuration any more")
+			c.propose(t, Rollback, t.Step, "the service is not in the configuration any more")
 		}
 		if t.changed {
 			t.changed = false
-			d.evaluate(t)
+			c.evaluate(t)
 		}
-		d.advanceIfDue(t)
+		c.advanceIfDue(t)
 	}
 }
 
 // evaluate looks at what all nodes found.
-func (d *Coordinator) evaluate(t *activeRollout) {
+func (c *Coordinator) evaluate(t *activeRollout) {
 	var list []*found
 	alone, spoke := map[NodeID]bool{}, map[NodeID]bool{}
 	for key, h := range t.reports {
@@ -183,40 +183,40 @@
 	if len(alone) > 0 { // for a step by itself that is enough to wait
 		t.doubt = max(doubt, 1)
 	}
-	if (score < 1 || len(spoke) == 1 && d.nodeCount > 1) && len(alone) < 2 {
+	if (score < 1 || len(spoke) == 1 && c.nodeCount > 1) && len(alone) < 2 {
 		return
 	}
-	c := t.counts()
+	counts := t.counts()
 	if t.baselineBackends == 0 {
 		if !t.Held {
-			d.propose(t, Pause, t.Step, "failing, but no backend of the old version is left: "+describeCounts(&c))
+			c.propose(t, Pause, t.Step, "failing, but no backend of the old version is left: "+describeCounts(&counts))
 		}
 		return
 	}
-	d.propose(t, Rollback, t.Step, describeCounts(&c))
+	c.propose(t, Rollback, t.Step, describeCounts(&counts))
 }
 
 // advanceIfDue goes on by itself where the order says so.
-func (d *Coordinator) advanceIfDue(t *activeRollout) {
+func (c *Coordinator) advanceIfDue(t *activeRollout) {
 	s := t.Order.Steps[t.Step-1]
 	if t.Order.Advance != "time" || t.Held || t.Step == len(t.Order.Steps) || t.doubt >= 1 || t.unconfigured ||
-		d.now-t.stepStart < time.Duration(s.MinTime) {
+		c.now-t.stepStart < time.Duration(s.MinTime) {
 		return
 	}
-	c := t.counts()
-	if seen := int(c[Canary][Read].Ends + c[Canary][Write].Ends); seen >= s.Requests {
-		d.propose(t, Advance, t.Step+1, fmt.Sprintf("%d requests of the new version in order", seen))
+	counts := t.counts()
+	if seen := int(counts[Canary][Read].Ends + counts[Canary][Write].Ends); seen >= s.Requests {
+		c.propose(t, Advance, t.Step+1, fmt.Sprintf("%d requests of the new version in order", seen))
 	}
 }
 
-func (d *Coordinator) propose(t *activeRollout, v Verb, step int, why string) {
+func (c *Coordinator) propose(t *activeRollout, v Verb, step int, why string) {
 	t.changed = true
-	if d.now-t.proposedAt < proposalRetry {
+	if c.now-t.proposedAt < proposalRetry {
 		return
 	}
-	t.proposedAt = d.now
-	d.actions = append(d.actions, Propose{Entry{Verb: v, Service: t.Order.Service, By: "duty", Why: why,
-		Number: t.Number, Step: step, Fence: d.fence, Counts: t.counts()}})
+	t.proposedAt = c.now
+	c.actions = append(c.actions, Propose{Entry{Verb: v, Service: t.Order.Service, By: "duty", Why: why,
+		Number: t.Number, Step: step, Fence: c.fence, Counts: t.counts()}})
 }
 
 // describeCounts words what was counted.
@@ -236,11 +236,11 @@
 func failures(t *Tally) uint32 { return t.By[ServerError] + t.By[NoResponse] + t.By[InvalidResponse] }
 
 // Next gives the next thing to do now, or false when there is none.
-func (d *Coordinator) Next() (Action, bool) {
-	if len(d.actions) == 0 {
+func (c *Coordinator) Next() (Action, bool) {
+	if len(c.actions) == 0 {
 		return nil, false
 	}
-	a := d.actions[0]
-	d.actions = d.actions[1:]
+	a := c.actions[0]
+	c.actions = c.actions[1:]
 	return a, true
 }
--- a/internal/gateway/rollout/judge_test.go
+++ b/internal/gateway/rollout/judge_test.go
@@ -62,81 +62,81 @@
 	return w
 }
 
-func (w *simulation) applyState() {
-	w.coordinator.ApplyState(w.state)
-	for _, d := range w.nodes {
-		d.ApplyState(w.state)
+func (s *simulation) applyState() {
+	s.coordinator.ApplyState(s.state)
+	for _, d := range s.nodes {
+		d.ApplyState(s.state)
 	}
 }
 
 // step plays one tick: the requests of each node, then what they say and what comes of it. A verdict is in
 // force at the nodes with the next.
-func (w *simulation) step() {
-	w.now += tick
-	cf, cs := w.commonFactors(w.now)
-	for i, d := range w.nodes {
-		n := w.rate * tick.Seconds() / float64(len(w.nodes))
-		for range int(n + w.rng.Float64()) {
-			w.request(i, d, cf, cs)
+func (s *simulation) step() {
+	s.now += tick
+	cf, cs := s.commonFactors(s.now)
+	for i, d := range s.nodes {
+		n := s.rate * tick.Seconds() / float64(len(s.nodes))
+		for range int(n + s.rng.Float64()) {
+			s.request(i, d, cf, cs)
 		}
-		d.Tick(w.now)
+		d.Tick(s.now)
 		for a, ok := d.Next(); ok; a, ok = d.Next() {
 			switch a := a.(type) {
 			case SendReport:
-				w.evidenceBytes += len(a.Report.Evidence)
-				if w.rng.Intn(7) >= w.lostOfSeven {
-					if err := w.coordinator.HandleReport(NodeID(i), a.Report); err != nil {
+				s.evidenceBytes += len(a.Report.Evidence)
+				if s.rng.Intn(7) >= s.lostOfSeven {
+					if err := s.coordinator.HandleReport(NodeID(i), a.Report); err != nil {
 						panic(err)
 					}
 				}
 			case LocalRollback:
-				w.localRollbacks++
+				s.localRollbacks++
 			}
 		}
 	}
-	w.coordinator.Tick(w.now)
-	for a, ok := w.coordinator.Next(); ok; a, ok = w.coordinator.Next() {
+	s.coordinator.Tick(s.now)
+	for a, ok := s.coordinator.Next(); ok; a, ok = s.coordinator.Next() {
 		switch a := a.(type) {
 		case BroadcastLap:
-			for _, d := range w.nodes {
+			for _, d := range s.nodes {
 				d.HandleLap(a.Lap)
 			}
 		case Propose:
-			if _, err := w.state.Apply(&a.Entry); err != nil {
+			if _, err := s.state.Apply(&a.Entry); err != nil {
 				panic(err)
 			}
 			if a.Entry.Verb == Rollback {
-				w.rollbackReason = a.Entry.Why
+				s.rollbackReason = a.Entry.Why
 			}
-			w.applyState()
+			s.applyState()
 		}
 	}
 }
 
-func (w *simulation) request(node int, d *Node, cf, cs float64) {
-	user := w.rng.Intn(4000)
+func (s *simulation) request(node int, d *Node, cf, cs float64) {
+	user := s.rng.Intn(4000)
 	name := binary.LittleEndian.AppendUint16(nil, uint16(user))
 	tenant := user % 8
 	side, counts := d.ChooseSide("libro", name, Scope{})
-	e := Outcome{Side: side, Tenant: uint32(tenant), Backend: uint64(1 + w.rng.Intn(baselineCount))}
-	if w.rng.Float64() < 0.3 {
+	e := Outcome{Side: side, Tenant: uint32(tenant), Backend: uint64(1 + s.rng.Intn(baselineCount))}
+	if s.rng.Float64() < 0.3 {
 		e.Kind, e.Route = Write, 1
 	}
 	if side == Canary {
-		e.Backend = uint64(1 + baselineCount + w.rng.Intn(canaryCount))
-		e.WarmingUp = w.now < 8*time.Second
-		w.canaryRequests++
+		e.Backend = uint64(1 + baselineCount + s.rng.Intn(canaryCount))
+		e.WarmingUp = s.now < 8*time.Second
+		s.canaryRequests++
 	}
-	fails, slower := w.fault(w.now, &e, node%3, tenant)
-	took := 0.12 * w.backendSpeed[e.Backend] * cs * slower * math.Exp(0.4*w.rng.NormFloat64())
+	fails, slower := s.fault(s.now, &e, node%3, tenant)
+	took := 0.12 * s.backendSpeed[e.Backend] * cs * slower * math.Exp(0.4*s.rng.NormFloat64())
 	e.Latency = time.Duration(took * float64(time.Second))
 	if e.WarmingUp {
 		e.Latency *= 3
 	}
-	if w.rng.Float64() < w.failureRate*cf+fails {
-		e.Cause = Cause(1 + w.rng.Intn(3))
+	if s.rng.Float64() < s.failureRate*cf+fails {
+		e.Cause = Cause(1 + s.rng.Intn(3))
 		if side == Canary {
-			w.canaryFailures++
+			s.canaryFailures++
 		}
 	}
 	if counts {
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -82,13 +82,13 @@
 }
 
 // ApplyState takes the state after an entry or a snapshot.
-func (d *Node) ApplyState(s *State) {
+func (n *Node) ApplyState(s *State) {
 	for i := range s.Runs() {
 		r := &s.Runs()[i]
-		x := d.rollouts[r.Order.Service]
+		x := n.rollouts[r.Order.Service]
 		if x == nil || x.Number != r.Number {
 			x = &localRollout{salt: hashSalt(r.Order.Service, r.Number)}
-			d.rollouts[r.Order.Service] = x
+			n.rollouts[r.Order.Service] = x
 		}
 		again := x.counter == nil || x.Step != r.Step
 		x.Run = *r
@@ -96,92 +96,92 @@
 		case r.Phase != Running:
 			x.counter = nil
 		case again:
-			x.resetCounter(d.now)
-			x.reportedAt, x.lap = d.now, max(x.lap, 1)
+			x.resetCounter(n.now)
+			x.reportedAt, x.lap = n.now, max(x.lap, 1)
 		}
 	}
-	for name := range d.rollouts {
+	for name := range n.rollouts {
 		if s.Run(name) == nil {
-			delete(d.rollouts, name)
+			delete(n.rollouts, name)
 		}
 	}
 }
 
 // resetCounter begins counts and evidence; usual times stay.
-func (x *localRollout) resetCounter(now time.Duration) {
-	was := x.counter
-	x.counter = newStepCounter(x.Order.Failing, now)
+func (l *localRollout) resetCounter(now time.Duration) {
+	was := l.counter
+	l.counter = newStepCounter(l.Order.Failing, now)
 	if was != nil {
-		x.counter.latencyByRoute = was.latencyByRoute
+		l.counter.latencyByRoute = was.latencyByRoute
 	}
 }
 
 // SetConnected says whether this node has fresh word of the core. Until it once had, it sends nobody to a new version
 // that may have been pulled back meanwhile. What it finds while cut off is for its own judgement only, and is
 // dropped at its return: else a cut would look like a failing version to the fleet.
-func (d *Node) SetConnected(fresh bool) {
-	if fresh && d.disconnected {
-		for _, x := range d.rollouts {
+func (n *Node) SetConnected(fresh bool) {
+	if fresh && n.disconnected {
+		for _, x := range n.rollouts {
 			if x.counter != nil {
 				sums := x.counter.counts
-				x.resetCounter(d.now)
+				x.resetCounter(n.now)
 				x.counter.counts = sums
 			}
 		}
 	}
-	d.disconnected, d.everConnected = !fresh, d.everConnected || fresh
+	n.disconnected, n.everConnected = !fresh, n.everConnected || fresh
 }
 
 // HandleLap takes the duty's word; a number that was had or passed changes nothing.
-func (d *Node) HandleLap(l Lap) {
-	if x := d.rollouts[l.Service]; x != nil && x.Number == l.Number && l.Lap > x.lap {
+func (n *Node) HandleLap(l Lap) {
+	if x := n.rollouts[l.Service]; x != nil && x.Number == l.Number && l.Lap > x.lap {
 		x.lap = l.Lap
 		if x.counter != nil {
-			x.counter.closeSpan(d.now)
+			x.counter.closeSpan(n.now)
 			x.counter.evidence.resetWindow(1)
 		}
 	}
 }
 
 // EverConnected tells whether Touch was ever given fresh word: pools may be others from then on.
-func (d *Node) EverConnected() bool { return d.everConnected }
+func (n *Node) EverConnected() bool { return n.everConnected }
 
 // HasRollouts tells whether there is anything to ask this node for. Without a roll-out there is not.
-func (d *Node) HasRollouts() bool { return len(d.rollouts) > 0 }
+func (n *Node) HasRollouts() bool { return len(n.rollouts) > 0 }
 
 // BackendSide is the side of a backend, by the generation in its beats: what is not the new version is the old one. Once a
 // roll-out is finished, what is not the old version is the new one: a third one may come without another roll-out. But a node
 // that was in no touch yet may not know of another, which tries that one, or has pulled it back.
-func (d *Node) BackendSide(service, generation string) Side {
-	x := d.rollouts[service]
+func (n *Node) BackendSide(service, generation string) Side {
+	x := n.rollouts[service]
 	switch {
 	case x == nil:
 		return Baseline
-	case x.Phase == Finished && d.everConnected && generation != x.Order.Old, generation == x.Order.New:
+	case x.Phase == Finished && n.everConnected && generation != x.Order.Old, generation == x.Order.New:
 		return Canary
 	}
 	return Baseline
 }
 
 // Share is what this node sends to the new version now, in 1/10000 of the users that the order is about.
-func (d *Node) Share(service string) int {
-	if x := d.rollouts[service]; x != nil && !x.rolledBack && (d.everConnected || x.Phase == Finished) {
+func (n *Node) Share(service string) int {
+	if x := n.rollouts[service]; x != nil && !x.rolledBack && (n.everConnected || x.Phase == Finished) {
 		return x.Run.Share()
 	}
 	return 0
 }
 
 // CanaryBarred tells that the new version gets no request at all, neither first nor further tries.
-func (d *Node) CanaryBarred(service string) bool {
-	x := d.rollouts[service]
-	return x != nil && (x.Phase == RolledBack || x.rolledBack || !d.everConnected && x.Phase == Running)
+func (n *Node) CanaryBarred(service string) bool {
+	x := n.rollouts[service]
+	return x != nil && (x.Phase == RolledBack || x.rolledBack || !n.everConnected && x.Phase == Running)
 }
 
 // ChooseSide tells where a request begins, and whether it is one that the versions are compared by. The user is nil
 // where there is neither mark nor key: such requests stay on the old side.
-func (d *Node) ChooseSide(service string, user []byte, in Scope) (side Side, counts bool) {
-	x := d.rollouts[service]
-	switch share := d.Share(service); {
+func (n *Node) ChooseSide(service string, user []byte, in Scope) (side Side, counts bool) {
+	x := n.rollouts[service]
+	switch share := n.Share(service); {
 	case x == nil || x.Phase == RolledBack:
 		return Baseline, false
 	case x.Phase == Finished:
@@ -196,68 +196,68 @@
 }
 
 // RecordOutcome takes the end of a first submission that counts, by the number of the roll-out under which it began.
-func (d *Node) RecordOutcome(service string, n Number, e Outcome) {
-	if x := d.rollouts[service]; x != nil && x.Number == n && x.counter != nil && e.Cause < causeCount && e.Backend != 0 {
+func (n *Node) RecordOutcome(service string, number Number, e Outcome) {
+	if x := n.rollouts[service]; x != nil && x.Number == number && x.counter != nil && e.Cause < causeCount && e.Backend != 0 {
 		x.counter.record(e)
 		x.unreported = true
 	}
 }
 
 // RunningNumber is the roll-out of a service that a request begins under, for Ended; 0 if none runs.
-func (d *Node) RunningNumber(service string) Number {
-	if x := d.rollouts[service]; x != nil && x.counter != nil {
+func (n *Node) RunningNumber(service string) Number {
+	if x := n.rollouts[service]; x != nil && x.counter != nil {
 		return x.Number
 	}
 	return 0
 }
 
 // Tick sets the clock and weighs the spans that are over.
-func (d *Node) Tick(now time.Duration) {
-	d.now = max(d.now, now)
-	if at, ok := d.NextDeadline(); !ok || d.now < at {
+func (n *Node) Tick(now time.Duration) {
+	n.now = max(n.now, now)
+	if at, ok := n.NextDeadline(); !ok || n.now < at {
 		return
 	}
-	for _, name := range sortedKeys(d.rollouts) {
-		x := d.rollouts[name]
+	for _, name := range sortedKeys(n.rollouts) {
+		x := n.rollouts[name]
 		c := x.counter
-		if c == nil || d.now < c.spanEnd() {
+		if c == nil || n.now < c.spanEnd() {
 			continue
 		}
-		c.closeSpan(d.now)
+		c.closeSpan(n.now)
 		if c.changed && !x.rolledBack {
 			c.changed = false
-			f := []*found{{evidence: &c.evidence, zone: d.zone, canaryBackends: len(c.canaryBackends)}}
+			f := []*found{{evidence: &c.evidence, zone: n.zone, canaryBackends: len(c.canaryBackends)}}
 			score, doubt := evaluate(f, x.Step, x.lap, NodeFalsePositiveRate)
 			if x.urgent = doubt >= 1; score >= 1 {
 				x.rolledBack, x.unreported, x.urgent = true, true, true
-				d.actions = append(d.actions, LocalRollback{name, x.Number, describeCounts(&c.counts)})
+				n.actions = append(n.actions, LocalRollback{name, x.Number, describeCounts(&c.counts)})
 			}
 		}
-		if x.unreported && !d.disconnected && (d.now-x.reportedAt >= reportInterval || x.urgent) {
-			x.unreported, x.reportedAt = false, d.now
+		if x.unreported && !n.disconnected && (n.now-x.reportedAt >= reportInterval || x.urgent) {
+			x.unreported, x.reportedAt = false, n.now
 			x.seq++
-			d.actions = append(d.actions, SendReport{Report{Service: name, Number: x.Number, Step: x.Step, Lap: x.lap,
-				Life: d.incarnation, Seq: x.seq, Zone: d.zone, Alone: x.rolledBack, Backs: len(c.canaryBackends), Counts: c.counts,
+			n.actions = append(n.actions, SendReport{Report{Service: name, Number: x.Number, Step: x.Step, Lap: x.lap,
+				Life: n.incarnation, Seq: x.seq, Zone: n.zone, Alone: x.rolledBack, Backs: len(c.canaryBackends), Counts: c.counts,
 				Evidence: c.evidence.encode()}})
 		}
 	}
 }
 
 // Next gives the next thing to do now, or false when there is none.
-func (d *Node) Next() (Action, bool) {
-	if len(d.actions) == 0 {
+func (n *Node) Next() (Action, bool) {
+	if len(n.actions) == 0 {
 		return nil, false
 	}
-	a := d.actions[0]
-	d.actions = d.actions[1:]
+	a := n.actions[0]
+	n.actions = n.actions[1:]
 	return a, true
 }
 
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
 
 // NextDeadline is when Now has something to weigh; false while no roll-out runs.
-func (d *Node) NextDeadline() (at time.Duration, ok bool) {
-	for _, x := range d.rollouts {
+func (n *Node) NextDeadline() (at time.Duration, ok bool) {
+	for _, x := range n.rollouts {
 		if x.counter != nil && (!ok || x.counter.spanEnd() < at) {
 			at, ok = x.counter.spanEnd(), true
 		}
--- a/internal/gateway/rollout/order.go
+++ b/internal/gateway/rollout/order.go
@@ -71,8 +71,8 @@
 const spareFactor = 1.25
 
 // Normalize fills in what is left out and tells what is wrong, by the name of the field.
-func (r *Spec) Normalize() error {
-	u, f := DefaultFailureCriteria(), &r.Failing
+func (s *Spec) Normalize() error {
+	u, f := DefaultFailureCriteria(), &s.Failing
 	if len(f.Causes) == 0 {
 		f.Causes, f.Extra = u.Causes, max(f.Extra, u.Extra)
 	}
@@ -82,15 +82,15 @@
 	if f.Slower == 0 {
 		f.Slower = u.Slower
 	}
-	if r.Advance == "" {
-		r.Advance = "word"
+	if s.Advance == "" {
+		s.Advance = "word"
 	}
-	if err := logentry.Validate(r); err != nil {
+	if err := logentry.Validate(s); err != nil {
 		return err
 	}
-	for i := 1; i < len(r.Steps); i++ {
-		if r.Steps[i].Share <= r.Steps[i-1].Share {
-			return errors.Errorf("steps[%d].share: %d is not above the step before", i, r.Steps[i].Share)
+	for i := 1; i < len(s.Steps); i++ {
+		if s.Steps[i].Share <= s.Steps[i-1].Share {
+			return errors.Errorf("steps[%d].share: %d is not above the step before", i, s.Steps[i].Share)
 		}
 	}
 	return nil
@@ -98,12 +98,12 @@
 
 // CheckCapacity tells whether there is room: the old version can take all back at any moment, the new one bears its
 // largest share.
-func (r *Spec) CheckCapacity(m Capacity) error {
+func (s *Spec) CheckCapacity(m Capacity) error {
 	switch {
 	case m.Old <= 0:
-		return errors.Errorf("old: %s has room for none", r.Old)
+		return errors.Errorf("old: %s has room for none", s.Old)
 	case m.New <= 0:
-		return errors.Errorf("new: %s has room for none", r.New)
+		return errors.Errorf("new: %s has room for none", s.New)
 	}
 	busy := float64(m.Busy)
 	if m.Busy <= 0 {
@@ -111,25 +111,25 @@
 	}
 	if need := busy * spareFactor; float64(m.Old) < need {
 		return errors.Errorf("old: %s has room for %d at a time, %.0f must stay to take all users back",
-			r.Old, m.Old, need)
+			s.Old, m.Old, need)
 	}
-	last := len(r.Steps) - 1
-	if need := busy * spareFactor * float64(r.Steps[last].Share) / FullShare; float64(m.New) < need {
-		return errors.Errorf("steps[%d].share: %s has room for %d at a time, %.0f are needed", last, r.New, m.New, need)
+	last := len(s.Steps) - 1
+	if need := busy * spareFactor * float64(s.Steps[last].Share) / FullShare; float64(m.New) < need {
+		return errors.Errorf("steps[%d].share: %s has room for %d at a time, %.0f are needed", last, s.New, m.New, need)
 	}
 	return nil
 }
 
 // CheckReferences tells whether the configuration in force has what an order names.
-func (r *Spec) CheckReferences(service, route, tenant, zone func(string) bool) error {
-	if !service(r.Service) {
-		return errors.Errorf("service: no %q in the configuration", r.Service)
+func (s *Spec) CheckReferences(service, route, tenant, zone func(string) bool) error {
+	if !service(s.Service) {
+		return errors.Errorf("service: no %q in the configuration", s.Service)
 	}
 	for _, l := range []struct {
 		field string
 		names []string
 		has   func(string) bool
-	}{{"routes", r.Limits.Routes, route}, {"tenants", r.Limits.Tenants, tenant}, {"zones", r.Limits.Zones, zone}} {
+	}{{"routes", s.Limits.Routes, route}, {"tenants", s.Limits.Tenants, tenant}, {"zones", s.Limits.Zones, zone}} {
 		if i := slices.IndexFunc(l.names, func(n string) bool { return !l.has(n) }); i >= 0 {
 			return errors.Errorf("limits.%s[%d]: no %q in the configuration", l.field, i, l.names[i])
 		}
@@ -191,12 +191,12 @@
 }
 
 // CountMoved counts how many of some users each step of an order would move: for a dry run, where users are few.
-func (r *Spec) CountMoved(n Number, users [][]byte) []int {
-	counts, s := make([]int, len(r.Steps)), hashSalt(r.Service, n)
+func (s *Spec) CountMoved(n Number, users [][]byte) []int {
+	counts, count := make([]int, len(s.Steps)), hashSalt(s.Service, n)
 	for _, u := range users {
-		p := userPosition(s, u)
-		for i := range r.Steps {
-			if p < r.Steps[i].Share {
+		p := userPosition(count, u)
+		for i := range s.Steps {
+			if p < s.Steps[i].Share {
 				counts[i]++
 			}
 		}
@@ -204,6 +204,6 @@
 	return counts
 }
 
-func (r *Spec) String() string {
-	return fmt.Sprintf("%s from %s to %s in %d steps", r.Service, r.Old, r.New, len(r.Steps))
+func (s *Spec) String() string {
+	return fmt.Sprintf("%s from %s to %s in %d steps", s.Service, s.Old, s.New, len(s.Steps))
 }
--- a/internal/gateway/routing/merge.go
+++ b/internal/gateway/routing/merge.go
@@ -28,29 +28,29 @@
 }
 
 // index finds a field as encoding/json would, so that what is read and what is kept never differ.
-func (s object) index(name string) int {
-	return slices.IndexFunc(s, func(e entry) bool { return strings.EqualFold(e.name, name) })
+func (o object) index(name string) int {
+	return slices.IndexFunc(o, func(e entry) bool { return strings.EqualFold(e.name, name) })
 }
 
-func (s object) get(name string) json.RawMessage {
-	if i := s.index(name); i >= 0 {
-		return s[i].value
+func (o object) get(name string) json.RawMessage {
+	if i := o.index(name); i >= 0 {
+		return o[i].value
 	}
 	return nil
 }
 
-func (s *object) set(name string, value json.RawMessage) {
-	if i := s.index(name); i >= 0 {
-		(*s)[i].value = value
+func (o *object) set(name string, value json.RawMessage) {
+	if i := o.index(name); i >= 0 {
+		(*o)[i].value = value
 		return
 	}
-	*s = append(*s, entry{name, value})
+	*o = append(*o, entry{name, value})
 }
 
-func (s object) bytes() json.RawMessage {
+func (o object) bytes() json.RawMessage {
 	var out bytes.Buffer
 	out.WriteByte('{')
-	for i, e := range s {
+	for i, e := range o {
 		if i > 0 {
 			out.WriteByte(',')
 		}
--- a/internal/gateway/settings/settings.go
+++ b/internal/gateway/settings/settings.go
@@ -332,9 +332,9 @@
 }
 
 // Visit is called for each node.
-func (f *nodeFinder) Visit(n ast.Node) ast.Visitor {
-	if t := n.GetToken(); t != nil && t.Position.Offset == f.offset && n.GetPath() != "" {
-		f.path = n.GetPath()
+func (n *nodeFinder) Visit(node ast.Node) ast.Visitor {
+	if t := node.GetToken(); t != nil && t.Position.Offset == n.offset && node.GetPath() != "" {
+		n.path = node.GetPath()
 	}
-	return f
+	return n
 }
--- a/internal/gateway/statemachine/groups.go
+++ b/internal/gateway/statemachine/groups.go
@@ -18,10 +18,10 @@
 }
 
 // Founders are the disks that the coordination groups began with; nil: they have not begun.
-func (s *Machine) Founders() []membership.Founder { return s.founders }
+func (m *Machine) Founders() []membership.Founder { return m.founders }
 
 // bootstrapGroups takes the first founding, and no other: the groups of two would know nothing of each other.
-func (s *Machine) bootstrapGroups(body []byte) (routing.Verdict, error) {
+func (m *Machine) bootstrapGroups(body []byte) (routing.Verdict, error) {
 	var founders []membership.Founder
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&founders); err != nil {
 		return routing.Invalid, errors.Wrap(err, "groups")
@@ -29,9 +29,9 @@
 	if len(founders) == 0 {
 		return routing.Invalid, errors.New("groups without a disk")
 	}
-	if len(s.founders) > 0 {
+	if len(m.founders) > 0 {
 		return routing.Already, nil
 	}
-	s.founders = founders
+	m.founders = founders
 	return routing.Taken, nil
 }
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -55,7 +55,7 @@
 }
 
 // Slots is the order of slots.
-func (s *Machine) Slots() []membership.SlotHolder { return s.slots }
+func (m *Machine) Slots() []membership.SlotHolder { return m.slots }
 
 func configKind(k Kind) (routing.Kind, bool) {
 	switch k {
@@ -68,28 +68,28 @@
 }
 
 // Decide tells what would become of a change now.
-func (s *Machine) Decide(k Kind, body []byte) (routing.Verdict, error) {
+func (m *Machine) Decide(k Kind, body []byte) (routing.Verdict, error) {
 	if k == KindRollout {
-		return s.rollout(body, s.Rollouts.Decide)
+		return m.rollout(body, m.Rollouts.Decide)
 	}
 	kind, ok := configKind(k)
 	if !ok {
 		return routing.Taken, nil
 	}
-	return s.Configs.Decide(kind, body)
+	return m.Configs.Decide(kind, body)
 }
 
 // DecideFinal is as Decide, and tells besides whether the verdict is the same in every later state: what a node that is behind may
 // answer by.
-func (s *Machine) DecideFinal(k Kind, body []byte) (v routing.Verdict, err error, final bool) {
+func (m *Machine) DecideFinal(k Kind, body []byte) (v routing.Verdict, err error, final bool) {
 	if kind, ok := configKind(k); ok {
-		return s.Configs.Final(kind, body)
+		return m.Configs.Final(kind, body)
 	}
 	if k != KindRollout {
 		return routing.Taken, nil, false
 	}
-	v, err = s.rollout(body, func(e *rollout.Entry) (routing.Verdict, error) {
-		if s.Rollouts.CallApplied(e.Mark) {
+	v, err = m.rollout(body, func(e *rollout.Entry) (routing.Verdict, error) {
+		if m.Rollouts.CallApplied(e.Mark) {
 			return routing.Already, nil
 		}
 		if wrong := e.Validate(); wrong != nil {
@@ -101,7 +101,7 @@
 }
 
 // rollout reads an entry on roll-outs and hands it on.
-func (s *Machine) rollout(body []byte, to func(*rollout.Entry) (routing.Verdict, error)) (routing.Verdict, error) {
+func (m *Machine) rollout(body []byte, to func(*rollout.Entry) (routing.Verdict, error)) (routing.Verdict, error) {
 	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return routing.Invalid, err
@@ -110,19 +110,19 @@
 }
 
 // Apply takes an entry. What it can't read changes nothing: an entry of a newer program must not stop an older one.
-func (s *Machine) Apply(entry []byte) (routing.Verdict, error) {
+func (m *Machine) Apply(entry []byte) (routing.Verdict, error) {
 	if len(entry) == 0 {
 		return routing.Invalid, errors.New("empty entry")
 	}
 	k, body := Kind(entry[0]), entry[1:]
 	if kind, ok := configKind(k); ok {
-		return s.Configs.Apply(kind, body)
+		return m.Configs.Apply(kind, body)
 	}
 	if k == KindRollout {
-		return s.rollout(body, s.Rollouts.Apply)
+		return m.rollout(body, m.Rollouts.Apply)
 	}
 	if k == KindBootstrapGroups {
-		return s.bootstrapGroups(body)
+		return m.bootstrapGroups(body)
 	}
 	if k != KindAssignSlot {
 		return routing.Invalid, errors.Errorf("entry of unknown kind %q", k)
@@ -131,16 +131,16 @@
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&d); err != nil {
 		return routing.Invalid, errors.Wrap(err, "slot")
 	}
-	for i, o := range s.slots {
+	for i, o := range m.slots {
 		if o.Addr == d.Addr {
-			s.slots[i] = d
+			m.slots[i] = d
 			return routing.Already, nil
 		}
 	}
-	if len(s.slots) >= maxSlots {
+	if len(m.slots) >= maxSlots {
 		return routing.Invalid, errors.New("no slot is left")
 	}
-	s.slots = append(s.slots, d)
+	m.slots = append(m.slots, d)
 	return routing.Taken, nil
 }
 
@@ -152,9 +152,9 @@
 }
 
 // Snapshot is the whole state.
-func (s *Machine) Snapshot() []byte {
+func (m *Machine) Snapshot() []byte {
 	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(storedState{s.Configs.Snapshot(), s.slots, s.Rollouts.Snapshot(), s.founders}) // of bytes and texts: it can't fail
+	gob.NewEncoder(&b).Encode(storedState{m.Configs.Snapshot(), m.slots, m.Rollouts.Snapshot(), m.founders}) // of bytes and texts: it can't fail
 	return b.Bytes()
 }
 
--- a/internal/gateway/transport/check.go
+++ b/internal/gateway/transport/check.go
@@ -9,11 +9,11 @@
 
 // Check looks whether every link that is up goes over a connection that has not ended: else whoever is linked waits for word that never
 // comes. It is to be called each second.
-func (w *Mesh[F]) Check() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, l := range w.links {
-		if _, both := w.incoming[l.conn]; !l.connected || l.conn == nil || both {
+func (m *Mesh[F]) Check() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, l := range m.links {
+		if _, both := m.incoming[l.conn]; !l.connected || l.conn == nil || both {
 			l.endedChecks = 0
 			continue
 		}
--- a/internal/gateway/transport/mesh.go
+++ b/internal/gateway/transport/mesh.go
@@ -64,62 +64,62 @@
 }
 
 // Start takes links of others.
-func (w *Mesh[F]) Start() { w.goroutines.Go(w.accept) }
+func (m *Mesh[F]) Start() { m.goroutines.Go(m.accept) }
 
 // Addr is where frames come in.
-func (w *Mesh[F]) Addr() string { return w.listener.Addr().String() }
+func (m *Mesh[F]) Addr() string { return m.listener.Addr().String() }
 
-func (b *frameLimiter) Read(p []byte) (int, error) {
-	if b.remaining <= 0 {
+func (f *frameLimiter) Read(p []byte) (int, error) {
+	if f.remaining <= 0 {
 		return 0, errors.New("frame too long")
 	}
-	n, err := b.reader.Read(p[:min(len(p), b.remaining)])
-	b.remaining -= n
+	n, err := f.reader.Read(p[:min(len(p), f.remaining)])
+	f.remaining -= n
 	return n, err
 }
 
 // Connect keeps a link to a node from now on.
-func (w *Mesh[F]) Connect(to string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.links[to] != nil || to == w.addr || w.stopped {
+func (m *Mesh[F]) Connect(to string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.links[to] != nil || to == m.addr || m.stopped {
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	l := &link[F]{target: to, queue: newQueue[F](), stop: stop}
-	w.links[to] = l
-	w.goroutines.Go(func() { w.runWriter(ctx, l) })
+	m.links[to] = l
+	m.goroutines.Go(func() { m.runWriter(ctx, l) })
 }
 
 // Disconnect keeps it no longer.
-func (w *Mesh[F]) Disconnect(to string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if l := w.links[to]; l != nil {
+func (m *Mesh[F]) Disconnect(to string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if l := m.links[to]; l != nil {
 		l.stop()
-		delete(w.links, to)
+		delete(m.links, to)
 	}
 }
 
 // Send gives a frame to a node's link; it tells whether the frame is on its way. A full queue drops it.
-func (w *Mesh[F]) Send(to string, f *F) bool {
-	w.mu.Lock()
-	l := w.links[to]
-	w.mu.Unlock()
+func (m *Mesh[F]) Send(to string, f *F) bool {
+	m.mu.Lock()
+	l := m.links[to]
+	m.mu.Unlock()
 	return l != nil && l.queue.put(f)
 }
 
 // Stop ends all links, and returns when nothing more is told. It is not for a turn.
-func (w *Mesh[F]) Stop() {
-	w.mu.Lock()
-	w.stopped = true
-	w.listener.Close()
-	for _, l := range w.links {
+func (m *Mesh[F]) Stop() {
+	m.mu.Lock()
+	m.stopped = true
+	m.listener.Close()
+	for _, l := range m.links {
 		l.stop()
 	}
-	for c := range w.incoming {
+	for c := range m.incoming {
 		c.Close()
 	}
-	w.mu.Unlock()
-	w.goroutines.Wait()
+	m.mu.Unlock()
+	m.goroutines.Wait()
 }
--- a/internal/gateway/transport/mesh_test.go
+++ b/internal/gateway/transport/mesh_test.go
@@ -41,28 +41,28 @@
 	connections map[string]int // links of others, as told
 }
 
-func (e *testNode) PeerConnected(from string) { e.connections[from]++ }
-func (e *testNode) FrameReceived(from string, f *frame) {
+func (t *testNode) PeerConnected(from string) { t.connections[from]++ }
+func (t *testNode) FrameReceived(from string, f *frame) {
 	more := ""
 	if f.More != nil {
 		more = *f.More
 	}
-	e.events <- fmt.Sprintf("%s: %d%s", from, f.Number, more)
+	t.events <- fmt.Sprintf("%s: %d%s", from, f.Number, more)
 }
-func (e *testNode) LinkUp(to string)   { e.events <- "up " + to }
-func (e *testNode) LinkDown(to string) { e.events <- "down " + to }
+func (t *testNode) LinkUp(to string)   { t.events <- "up " + to }
+func (t *testNode) LinkDown(to string) { t.events <- "down " + to }
 
 // lastIncarnation numbers the starts.
 var lastIncarnation atomic.Uint64
 
 // expect waits for the next word.
-func (e *testNode) expect(want string) {
-	e.t.Helper()
+func (t *testNode) expect(want string) {
+	t.t.Helper()
 	select {
-	case got := <-e.events:
-		must.Eq(e.t, want, got)
+	case got := <-t.events:
+		must.Eq(t.t, want, got)
 	case <-time.After(testTimeout):
-		e.t.Fatalf("never told: %s", want)
+		t.t.Fatalf("never told: %s", want)
 	}
 }
 
@@ -84,9 +84,9 @@
 	return e
 }
 
-func (e *testNode) sendFrames(to *testNode, from, upto int) {
+func (t *testNode) sendFrames(to *testNode, from, upto int) {
 	for nr := from; nr < upto; nr++ {
-		must.True(e.t, e.Send(to.addr, &frame{Number: nr}))
+		must.True(t.t, t.Send(to.addr, &frame{Number: nr}))
 	}
 }
 
@@ -249,10 +249,10 @@
 	b.Stop()
 }
 
-func (e *testNode) knowsIncarnation(from string, life uint64) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.incarnations[from] == life
+func (t *testNode) knowsIncarnation(from string, life uint64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.incarnations[from] == life
 }
 
 // A node that was killed and came back: the link of its former life is read last, as where the reader has no processor. It
--- a/internal/gateway/transport/offer.go
+++ b/internal/gateway/transport/offer.go
@@ -19,12 +19,12 @@
 }
 
 // OfferLinks has others answer on the links that this node dials; it comes before the first Want.
-func (w *Mesh[F]) OfferLinks() { w.offersLinks = true }
+func (m *Mesh[F]) OfferLinks() { m.offersLinks = true }
 
 // recordOffer notes that a node takes frames on a link that it dialed; the mesh is locked.
-func (w *Mesh[F]) recordOffer(o opening, c net.Conn) bool {
-	if !o.Both || w.offersLinks {
-		delete(w.offers, o.From)
+func (m *Mesh[F]) recordOffer(o opening, c net.Conn) bool {
+	if !o.Both || m.offersLinks {
+		delete(m.offers, o.From)
 		return false
 	}
 	if raw, ok := c.(syscall.Conn); ok {
@@ -32,25 +32,25 @@
 			setUserTimeout("", "", r)
 		}
 	}
-	w.offers[o.From] = &offeredLink{c, w.incoming[c].ended}
+	m.offers[o.From] = &offeredLink{c, m.incoming[c].ended}
 	return true
 }
 
 // untrackIncoming notes that nothing more comes on a connection, and tells whoever writes to it; the mesh is locked. That its node offers
 // links stays known.
-func (w *Mesh[F]) untrackIncoming(from string, c net.Conn) {
-	close(w.incoming[c].ended)
-	delete(w.incoming, c)
-	if b := w.offers[from]; b != nil && b.conn == c {
+func (m *Mesh[F]) untrackIncoming(from string, c net.Conn) {
+	close(m.incoming[c].ended)
+	delete(m.incoming, c)
+	if b := m.offers[from]; b != nil && b.conn == c {
 		b.conn = nil
 	}
 }
 
 // offerOf finds the link that a node offers. known tells that it offers links, if there is one or not.
-func (w *Mesh[F]) offerOf(to string) (b offeredLink, known bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if o := w.offers[to]; o != nil {
+func (m *Mesh[F]) offerOf(to string) (b offeredLink, known bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if o := m.offers[to]; o != nil {
 		return *o, true
 	}
 	return offeredLink{}, false
@@ -58,15 +58,15 @@
 
 // connect gives a connection to a node, and what tells of its end: the one that it offers, else one that is dialed. A node that has offered
 // links dials this one itself as soon as it can; abort ends the wait for that.
-func (w *Mesh[F]) connect(now context.Context, l *link[F], abort func()) (net.Conn, <-chan struct{}, error) {
-	w.setConnection(l, nil, abort)
-	b, known := w.offerOf(l.target)
+func (m *Mesh[F]) connect(now context.Context, l *link[F], abort func()) (net.Conn, <-chan struct{}, error) {
+	m.setConnection(l, nil, abort)
+	b, known := m.offerOf(l.target)
 	if known && b.conn == nil {
 		select {
 		case <-now.Done():
 		case <-time.After(offerGrace):
 		}
-		b, _ = w.offerOf(l.target)
+		b, _ = m.offerOf(l.target)
 	}
 	if b.conn != nil {
 		return b.conn, b.ended, nil
@@ -76,14 +76,14 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return c, w.watchEnd(c, l.target), nil
+	return c, m.watchEnd(c, l.target), nil
 }
 
 // watchEnd reads what comes back on a connection that this node dialed: frames where it offers its links, else nothing but the end.
-func (w *Mesh[F]) watchEnd(c net.Conn, to string) <-chan struct{} {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.offersLinks {
+func (m *Mesh[F]) watchEnd(c net.Conn, to string) <-chan struct{} {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.offersLinks {
 		ended := make(chan struct{})
 		go func() {
 			var b [1]byte
@@ -93,12 +93,12 @@
 		}()
 		return ended
 	}
-	in := w.trackIncoming(c)
-	if w.stopped {
+	in := m.trackIncoming(c)
+	if m.stopped {
 		c.Close()
-		w.untrackIncoming("", c)
+		m.untrackIncoming("", c)
 	} else {
-		w.goroutines.Go(func() { w.readFrames(c, to) })
+		m.goroutines.Go(func() { m.readFrames(c, to) })
 	}
 	return in.ended
 }
--- a/internal/gateway/transport/offer_test.go
+++ b/internal/gateway/transport/offer_test.go
@@ -13,16 +13,16 @@
 )
 
 // incomingCount counts the connections that frames may come on.
-func (e *testNode) incomingCount() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return len(e.incoming)
+func (t *testNode) incomingCount() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.incoming)
 }
 
 // awaitOffer waits until a node's offer is known here.
-func (e *testNode) awaitOffer(from string) {
-	e.t.Helper()
-	for o, _ := e.offerOf(from); o.conn == nil; o, _ = e.offerOf(from) {
+func (t *testNode) awaitOffer(from string) {
+	t.t.Helper()
+	for o, _ := t.offerOf(from); o.conn == nil; o, _ = t.offerOf(from) {
 		runtime.Gosched()
 	}
 }
--- a/internal/gateway/transport/read.go
+++ b/internal/gateway/transport/read.go
@@ -40,9 +40,9 @@
 	return s.arrival < o.arrival
 }
 
-func (w *Mesh[F]) accept() {
+func (m *Mesh[F]) accept() {
 	for {
-		c, err := w.listener.Accept()
+		c, err := m.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
@@ -50,14 +50,14 @@
 			time.Sleep(10 * time.Millisecond) // descriptors ran out
 			continue
 		}
-		w.mu.Lock()
-		if w.stopped {
+		m.mu.Lock()
+		if m.stopped {
 			c.Close()
 		} else {
-			w.trackIncoming(c)
-			w.goroutines.Go(func() { w.readFrames(c, "") })
+			m.trackIncoming(c)
+			m.goroutines.Go(func() { m.readFrames(c, "") })
 		}
-		w.mu.Unlock()
+		m.mu.Unlock()
 	}
 }
 
@@ -68,25 +68,25 @@
 }
 
 // trackIncoming gives a connection that frames may come on its place; the mesh is locked.
-func (w *Mesh[F]) trackIncoming(c net.Conn) *incoming {
-	w.lastArrival++
-	in := &incoming{arrival: w.lastArrival, ended: make(chan struct{})}
-	w.incoming[c] = in
+func (m *Mesh[F]) trackIncoming(c net.Conn) *incoming {
+	m.lastArrival++
+	in := &incoming{arrival: m.lastArrival, ended: make(chan struct{})}
+	m.incoming[c] = in
 	return in
 }
 
 // readFrames takes what comes on a connection until it ends. One that this node dialed bears the name of whom it leads to.
-func (w *Mesh[F]) readFrames(c net.Conn, dialed string) {
+func (m *Mesh[F]) readFrames(c net.Conn, dialed string) {
 	var o opening
 	defer func() {
 		hidePowerLoss(c, cmp.Or(o.From, dialed))
 		c.Close()
-		w.mu.Lock()
-		w.untrackIncoming(o.From, c)
-		if w.inbound[o.From] == c {
-			delete(w.inbound, o.From)
+		m.mu.Lock()
+		m.untrackIncoming(o.From, c)
+		if m.inbound[o.From] == c {
+			delete(m.inbound, o.From)
 		}
-		w.mu.Unlock()
+		m.mu.Unlock()
 	}()
 	b := &frameLimiter{reader: c, remaining: maxFrameBytes}
 	dec := gob.NewDecoder(bufio.NewReaderSize(b, 2<<10))
@@ -96,24 +96,24 @@
 	// What a link before this one still holds is of an earlier time, perhaps of an earlier life; and where its machine
 	// lost power, nothing else ever ends it. Which is the earlier one is told by the order in which they came: which is read
 	// first is chance.
-	w.mu.Lock()
-	this := stream{o.Life, o.Nr, w.incoming[c].arrival}
-	if this.before(w.newestStreams[o.From]) {
-		w.mu.Unlock()
+	m.mu.Lock()
+	this := stream{o.Life, o.Nr, m.incoming[c].arrival}
+	if this.before(m.newestStreams[o.From]) {
+		m.mu.Unlock()
 		return
 	}
-	w.newestStreams[o.From] = this
-	if old := w.inbound[o.From]; old != nil {
+	m.newestStreams[o.From] = this
+	if old := m.inbound[o.From]; old != nil {
 		old.Close()
 	}
-	w.inbound[o.From] = c
+	m.inbound[o.From] = c
 	if dialed == "" {
-		w.peerDialed(o, c)
+		m.peerDialed(o, c)
 	}
-	w.mu.Unlock()
-	w.turn(func() {
-		if w.isNewestFrom(o.From, c) {
-			w.host.PeerConnected(o.From)
+	m.mu.Unlock()
+	m.turn(func() {
+		if m.isNewestFrom(o.From, c) {
+			m.host.PeerConnected(o.From)
 		}
 	})
 	for {
@@ -122,9 +122,9 @@
 		if dec.Decode(f) != nil {
 			return
 		}
-		w.turn(func() {
-			if w.isNewestFrom(o.From, c) {
-				w.host.FrameReceived(o.From, f)
+		m.turn(func() {
+			if m.isNewestFrom(o.From, c) {
+				m.host.FrameReceived(o.From, f)
 			}
 		})
 	}
@@ -133,20 +133,20 @@
 // peerDialed: a node has dialed us, so that it can be reached. A dial to it that hangs since its machine was dark, or a pause, ends;
 // and a connection to an earlier life of it, which may look well for as long as nothing is sent.
 // Where it offers the link that it dialed, what this node has to say goes there from now on.
-func (w *Mesh[F]) peerDialed(o opening, c net.Conn) {
-	anew := w.incarnations[o.From] != 0 && w.incarnations[o.From] != o.Life
-	w.incarnations[o.From] = o.Life
-	offered := w.recordOffer(o, c)
-	if l := w.links[o.From]; l != nil && l.abort != nil && (!l.connected || anew || offered) {
+func (m *Mesh[F]) peerDialed(o opening, c net.Conn) {
+	anew := m.incarnations[o.From] != 0 && m.incarnations[o.From] != o.Life
+	m.incarnations[o.From] = o.Life
+	offered := m.recordOffer(o, c)
+	if l := m.links[o.From]; l != nil && l.abort != nil && (!l.connected || anew || offered) {
 		l.abort()
 	}
 }
 
 // isNewestFrom tells whether a node has dialed no other link since this one.
-func (w *Mesh[F]) isNewestFrom(from string, c net.Conn) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.inbound[from] == c
+func (m *Mesh[F]) isNewestFrom(from string, c net.Conn) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.inbound[from] == c
 }
 
 // hidePowerLoss plays a machine without power in a debug build: nothing tells this side of the end of a connection, until it closes that
--- a/internal/gateway/transport/write.go
+++ b/internal/gateway/transport/write.go
@@ -27,39 +27,39 @@
 }
 
 // setConnection says what a link's abort is to end. conn is what it goes over; nil: it is not up.
-func (w *Mesh[F]) setConnection(l *link[F], conn net.Conn, abort func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (m *Mesh[F]) setConnection(l *link[F], conn net.Conn, abort func()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	l.connected, l.abort, l.conn, l.endedChecks = conn != nil, abort, nil, 0
-	if _, both := w.incoming[conn]; both {
+	if _, both := m.incoming[conn]; both {
 		l.conn = conn
 	}
 }
 
 // runWriter dials, writes, and dials again, until the link is not wanted any more.
-func (w *Mesh[F]) runWriter(ctx context.Context, l *link[F]) {
+func (m *Mesh[F]) runWriter(ctx context.Context, l *link[F]) {
 	for wait := minRedialBackoff; ctx.Err() == nil; wait = min(2*wait, maxRedialBackoff) {
 		now, abort := context.WithCancel(ctx)
-		c, ended, err := w.connect(now, l, abort)
+		c, ended, err := m.connect(now, l, abort)
 		if err == nil {
 			wait = minRedialBackoff
 			l.queue.clear() // meant for a link that is no more
-			w.setConnection(l, c, func() {
+			m.setConnection(l, c, func() {
 				abort()
 				c.Close()
 			})
-			if b, _ := w.offerOf(l.target); b.conn != nil && b.conn != c { // it was offered meanwhile
+			if b, _ := m.offerOf(l.target); b.conn != nil && b.conn != c { // it was offered meanwhile
 				c.Close()
 				abort()
 				continue
 			}
-			w.turn(func() { w.host.LinkUp(l.target) })
-			w.writeFrames(ctx, l, c, ended)
-			w.setConnection(l, nil, abort)
+			m.turn(func() { m.host.LinkUp(l.target) })
+			m.writeFrames(ctx, l, c, ended)
+			m.setConnection(l, nil, abort)
 			c.Close()
-			w.turn(func() {
-				if w.isCurrentLink(l) { // else the one in its place may be up already
-					w.host.LinkDown(l.target)
+			m.turn(func() {
+				if m.isCurrentLink(l) { // else the one in its place may be up already
+					m.host.LinkDown(l.target)
 				}
 			})
 		}
@@ -92,26 +92,26 @@
 }
 
 // isCurrentLink tells whether no other link has been wanted since in the place of this one.
-func (w *Mesh[F]) isCurrentLink(l *link[F]) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.links[l.target]
+func (m *Mesh[F]) isCurrentLink(l *link[F]) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.links[l.target]
 	return now == nil || now == l
 }
 
 // nextHandshake is the first value of the next stream that this node begins.
-func (w *Mesh[F]) nextHandshake() opening {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.streamSeq++
-	return opening{From: w.addr, Life: w.incarnation, Both: w.offersLinks, Nr: w.streamSeq}
+func (m *Mesh[F]) nextHandshake() opening {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.streamSeq++
+	return opening{From: m.addr, Life: m.incarnation, Both: m.offersLinks, Nr: m.streamSeq}
 }
 
 // writeFrames writes frames until the link fails, or ended tells that nothing more comes on its connection.
-func (w *Mesh[F]) writeFrames(ctx context.Context, l *link[F], c net.Conn, ended <-chan struct{}) {
+func (m *Mesh[F]) writeFrames(ctx context.Context, l *link[F], c net.Conn, ended <-chan struct{}) {
 	out := bufio.NewWriterSize(c, 4<<10)
 	enc := gob.NewEncoder(out)
-	if enc.Encode(w.nextHandshake()) != nil || w.offersLinks && out.Flush() != nil {
+	if enc.Encode(m.nextHandshake()) != nil || m.offersLinks && out.Flush() != nil {
 		return
 	}
 	for {
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -63,17 +63,17 @@
 }
 
 // Stop has them end what they are at, and begin nothing more.
-func (d *Callers) Stop() { d.stopping = true }
+func (c *Callers) Stop() { c.stopping = true }
 
 // Unanswered is what the audit got no answer to.
-func (d *Callers) Unanswered() []string { return d.unanswered }
+func (c *Callers) Unanswered() []string { return c.unanswered }
 
 // Names are those that callers use, by group.
 func Names() []string { return []string{"l0", "l1", "n0", "g0.", "g1."} }
 
 // randomDuration draws a time.
-func (d *Callers) randomDuration(from, to time.Duration) time.Duration {
-	return from + time.Duration(d.rng.Int64N(int64(to-from)+1))
+func (c *Callers) randomDuration(from, to time.Duration) time.Duration {
+	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
 }
 
 // shouldRetry tells whether a call is worth sending again.
@@ -82,12 +82,12 @@
 }
 
 // requestNumbers asks for numbers.
-func (d *Callers) requestNumbers(caller, name string) {
-	if d.stopping {
+func (c *Callers) requestNumbers(caller, name string) {
+	if c.stopping {
 		return
 	}
-	d.world.Call(caller, coordination.Call{Operation: coordination.NumberNext, Name: name}, func(*callhistory.Record) {
-		d.world.After(d.randomDuration(0, 100*time.Millisecond), func() { d.requestNumbers(caller, name) })
+	c.world.Call(caller, coordination.Call{Operation: coordination.NumberNext, Name: name}, func(*callhistory.Record) {
+		c.world.After(c.randomDuration(0, 100*time.Millisecond), func() { c.requestNumbers(caller, name) })
 	})
 }
 
@@ -236,11 +236,11 @@
 }
 
 // Audit asks for all once more, when all is calm and every lock's time has run out: each must be answered.
-func (d *Callers) Audit() {
-	ask := func(c coordination.Call) {
-		d.world.Call("audit", c, func(r *callhistory.Record) {
+func (c *Callers) Audit() {
+	ask := func(call coordination.Call) {
+		c.world.Call("audit", call, func(r *callhistory.Record) {
 			if !r.IsDefinite() || r.Result.Status != coordination.StatusOK && r.Result.Status != coordination.StatusNotFound {
-				d.unanswered = append(d.unanswered, fmt.Sprintf("the audit got no answer: %v", r))
+				c.unanswered = append(c.unanswered, fmt.Sprintf("the audit got no answer: %v", r))
 			}
 		})
 	}
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -17,35 +17,35 @@
 	now     time.Duration
 }
 
-func (b *historyBuilder) add(c coordination.Call, a coordination.Result) *Record {
-	r := &Record{Caller: "a", Call: c, Sent: b.now, Ended: b.now + 1, Result: a}
-	b.now += 2
-	b.records = append(b.records, r)
+func (h *historyBuilder) add(c coordination.Call, a coordination.Result) *Record {
+	r := &Record{Caller: "a", Call: c, Sent: h.now, Ended: h.now + 1, Result: a}
+	h.now += 2
+	h.records = append(h.records, r)
 	return r
 }
 
-func (b *historyBuilder) acquire(holder string, fence uint64, hold time.Duration) *Record {
-	return b.add(coordination.Call{Operation: coordination.LockAcquire, Name: "l", Holder: holder, TTL: hold}, coordination.Result{FencingToken: fence})
+func (h *historyBuilder) acquire(holder string, fence uint64, hold time.Duration) *Record {
+	return h.add(coordination.Call{Operation: coordination.LockAcquire, Name: "l", Holder: holder, TTL: hold}, coordination.Result{FencingToken: fence})
 }
 
-func (b *historyBuilder) release(holder string, fence uint64) *Record {
-	return b.add(coordination.Call{Operation: coordination.LockRelease, Name: "l", Holder: holder, FencingToken: fence}, coordination.Result{})
+func (h *historyBuilder) release(holder string, fence uint64) *Record {
+	return h.add(coordination.Call{Operation: coordination.LockRelease, Name: "l", Holder: holder, FencingToken: fence}, coordination.Result{})
 }
 
-func (b *historyBuilder) number(value uint64) *Record {
-	return b.add(coordination.Call{Operation: coordination.NumberNext, Name: "n"}, coordination.Result{Number: value})
+func (h *historyBuilder) number(value uint64) *Record {
+	return h.add(coordination.Call{Operation: coordination.NumberNext, Name: "n"}, coordination.Result{Number: value})
 }
 
-func (b *historyBuilder) put(value string, expected uint64, a coordination.Result) *Record {
-	return b.add(coordination.Call{Operation: coordination.KeyPut, Name: "g.k", Value: value, Conditional: expected > 0, ExpectedRevision: expected}, a)
+func (h *historyBuilder) put(value string, expected uint64, a coordination.Result) *Record {
+	return h.add(coordination.Call{Operation: coordination.KeyPut, Name: "g.k", Value: value, Conditional: expected > 0, ExpectedRevision: expected}, a)
 }
 
-func (b *historyBuilder) read(value string, revision uint64) *Record {
-	return b.add(coordination.Call{Operation: coordination.KeyRead, Name: "g.k"}, coordination.Result{Value: value, Revision: revision})
+func (h *historyBuilder) read(value string, revision uint64) *Record {
+	return h.add(coordination.Call{Operation: coordination.KeyRead, Name: "g.k"}, coordination.Result{Value: value, Revision: revision})
 }
 
-func (b *historyBuilder) watch(after uint64, a coordination.Result) *Record {
-	return b.add(coordination.Call{Operation: coordination.KeyWatch, Name: "g.", AfterRevision: after}, a)
+func (h *historyBuilder) watch(after uint64, a coordination.Result) *Record {
+	return h.add(coordination.Call{Operation: coordination.KeyWatch, Name: "g.", AfterRevision: after}, a)
 }
 
 func revision(r uint64) coordination.Result { return coordination.Result{Revision: r} }
--- a/internal/lab/capacity/added.go
+++ b/internal/lab/capacity/added.go
@@ -69,10 +69,10 @@
 }
 
 // Play starts nodes and backends, and asks.
-func (o Added) Play(ctx context.Context) (r *Told, err error) {
-	x := &added{Added: o, ctx: ctx, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-	if x.t, err = gatewaystandin.New(gatewaystandin.Terms{Program: o.Program, Nodes: o.Nodes, Disks: min(3, o.Nodes), Zones: []string{"zone-0"}, Rate: 1,
-		Seed: 1, Beat: time.Second, Lost: (min(3, o.Nodes) - 1) / 2, History: history.InMemory(1 << 10)}); err != nil {
+func (a Added) Play(ctx context.Context) (r *Told, err error) {
+	x := &added{Added: a, ctx: ctx, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	if x.t, err = gatewaystandin.New(gatewaystandin.Terms{Program: a.Program, Nodes: a.Nodes, Disks: min(3, a.Nodes), Zones: []string{"zone-0"}, Rate: 1,
+		Seed: 1, Beat: time.Second, Lost: (min(3, a.Nodes) - 1) / 2, History: history.InMemory(1 << 10)}); err != nil {
 		return nil, err
 	}
 	defer x.t.Close()
@@ -83,14 +83,14 @@
 	for _, d := range x.t.Nodes {
 		hollow.settings = append(hollow.settings, &settings.Settings{Bind: settings.Bind{Control: d.Control}})
 	}
-	if _, err = hollow.order(ctx, gatewaystandin.ReplacePath, simulation.FirstText(o.Wide), 1); err != nil {
+	if _, err = hollow.order(ctx, gatewaystandin.ReplacePath, simulation.FirstText(a.Wide), 1); err != nil {
 		return nil, errors.Wrap(err, "the first configuration")
 	}
 	beats, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	for i := range o.Backends {
+	for i := range a.Backends {
 		if err = x.backend(beats, &wg, hollow, i); err != nil {
 			return nil, err
 		}
@@ -108,12 +108,12 @@
 			return nil, errors.New("the node does not serve in half a minute")
 		}
 	}
-	r = &Told{Added: o}
+	r = &Told{Added: a}
 	x.load(2*time.Second, &Told{}) // connections are there
-	if o.Change > 0 {
+	if a.Change > 0 {
 		wg.Go(func() { x.changes(beats, hollow, r) })
 	}
-	x.load(o.Over, r)
+	x.load(a.Over, r)
 	pid := x.t.Nodes[0].Pid()
 	file := fmt.Sprintf("/proc/%d/status", pid)
 	r.Peak, r.RSS = float64(field(file, "VmHWM:"))*1024, float64(field(file, "VmRSS:"))*1024
@@ -121,7 +121,7 @@
 }
 
 // backend answers at once, and beats.
-func (x *added) backend(ctx context.Context, wg *sync.WaitGroup, h *hollow, i int) error {
+func (a *added) backend(ctx context.Context, wg *sync.WaitGroup, h *hollow, i int) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -136,15 +136,15 @@
 		io.WriteString(w, "done "+nr)
 	})}
 	go s.Serve(ln)
-	x.backends, x.at = append(x.backends, s), append(x.at, ln.Addr().String())
+	a.backends, a.at = append(a.backends, s), append(a.at, ln.Addr().String())
 	beat := controlapi.Heartbeat{Address: ln.Addr().String(), Capacity: 16, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service,
 		Zone: "zone-0"}
 	wg.Go(func() {
-		for to := x.t.Nodes[0].Control; ctx.Err() == nil; {
+		for to := a.t.Nodes[0].Control; ctx.Err() == nil; {
 			beat.CallSeq++
 			body, _ := json.Marshal(beat)
 			if status, _, err := h.post(ctx, to, "/api/Backends.Heartbeat/"+id, body); err != nil || status/100 != 2 {
-				to = x.t.Nodes[int(beat.CallSeq)%len(x.t.Nodes)].Control
+				to = a.t.Nodes[int(beat.CallSeq)%len(a.t.Nodes)].Control
 			}
 			select {
 			case <-ctx.Done():
@@ -156,8 +156,8 @@
 }
 
 // ask sends one request, and takes the time from when it was meant to be sent.
-func (x *added) ask(to string, nr int, meant time.Time) (float64, bool) {
-	r, err := http.NewRequestWithContext(x.ctx, "GET", "http://"+to+"/browse/"+fmt.Sprint(nr), nil)
+func (a *added) ask(to string, nr int, meant time.Time) (float64, bool) {
+	r, err := http.NewRequestWithContext(a.ctx, "GET", "http://"+to+"/browse/"+fmt.Sprint(nr), nil)
 	if err != nil {
 		return 0, false
 	}
@@ -165,33 +165,33 @@
 	r.Host = "programme.example"
 	r.Header.Set("X-Attempt-Id", id)
 	r.Header.Set("X-Deadline-Ms", "1500")
-	r.Header.Set("Authorization", "Token "+simulation.AccountKey(nr%max(x.Wide.Tenants, 1)))
-	a, err := x.client.Do(r)
+	r.Header.Set("Authorization", "Token "+simulation.AccountKey(nr%max(a.Wide.Tenants, 1)))
+	response, err := a.client.Do(r)
 	if err != nil {
 		return 0, false
 	}
-	defer a.Body.Close()
-	body, err := io.ReadAll(a.Body)
-	return ms(time.Since(meant)), err == nil && a.StatusCode == 200 && string(body) == "done "+id
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	return ms(time.Since(meant)), err == nil && response.StatusCode == 200 && string(body) == "done "+id
 }
 
 // load asks by chance at the rate, the node and the backends in turn, whatever became of what was sent before.
-func (x *added) load(over time.Duration, r *Told) {
+func (a *added) load(over time.Duration, r *Told) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var all [2][]float64
 	var bad [2]int
 	end, next := time.Now().Add(over), time.Now()
-	for nr := 0; next.Before(end) && x.ctx.Err() == nil; nr++ {
-		next = next.Add(time.Duration(rand.ExpFloat64() / (2 * x.Rate) * float64(time.Second)))
+	for nr := 0; next.Before(end) && a.ctx.Err() == nil; nr++ {
+		next = next.Add(time.Duration(rand.ExpFloat64() / (2 * a.Rate) * float64(time.Second)))
 		time.Sleep(time.Until(next))
-		meant, which, to := time.Now(), nr%2, x.t.Nodes[0].Front
+		meant, which, to := time.Now(), nr%2, a.t.Nodes[0].Front
 		if which == 1 {
-			to = x.at[nr/2%len(x.at)]
+			to = a.at[nr/2%len(a.at)]
 		}
-		who := rand.IntN(max(x.Wide.Tenants, 1))
+		who := rand.IntN(max(a.Wide.Tenants, 1))
 		wg.Go(func() {
-			took, ok := x.ask(to, who, meant)
+			took, ok := a.ask(to, who, meant)
 			mu.Lock()
 			defer mu.Unlock()
 			if ok {
@@ -206,12 +206,12 @@
 }
 
 // changes makes them every so often.
-func (x *added) changes(ctx context.Context, h *hollow, r *Told) {
+func (a *added) changes(ctx context.Context, h *hollow, r *Told) {
 	for version := uint64(1); ; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(x.Change):
+		case <-time.After(a.Change):
 		}
 		deadline, aim := "1500ms", "400ms"
 		body, _ := json.Marshal(routing.Amendment{Generation: version + 1, ParentVersion: version, Upserts: &routing.Upserts{
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -82,8 +82,8 @@
 }
 
 // Play starts the nodes, measures, and leaves them to the end of the process.
-func (o Hollow) Play(ctx context.Context, tell io.Writer) (*Seen, error) {
-	x := &hollow{Hollow: o}
+func (h Hollow) Play(ctx context.Context, tell io.Writer) (*Seen, error) {
+	x := &hollow{Hollow: h}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := new(net.Dialer).DialContext(ctx, network, addr)
 		return counted{c, &x.bytes}, err
@@ -98,7 +98,7 @@
 	if err = x.start(); err != nil {
 		return nil, err
 	}
-	version, err := x.order(ctx, gatewaystandin.ReplacePath, simulation.FirstText(o.Wide), 1)
+	version, err := x.order(ctx, gatewaystandin.ReplacePath, simulation.FirstText(h.Wide), 1)
 	if err != nil {
 		return nil, errors.Wrap(err, "the first configuration")
 	}
@@ -106,36 +106,36 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	for i := range o.Wide.Backends {
+	for i := range h.Wide.Backends {
 		wg.Go(func() { x.beats(beats, i) })
 	}
-	if !x.until(ctx, 2*time.Minute, func(h *node.Node) bool { return h.IsServing() }) {
+	if !x.until(ctx, 2*time.Minute, func(otherNode *node.Node) bool { return otherNode.IsServing() }) {
 		return nil, errors.New("not all nodes are ready in two minutes")
 	}
-	s := &Seen{Hollow: o, ReadyS: time.Since(began).Seconds()}
+	s := &Seen{Hollow: h, ReadyS: time.Since(began).Seconds()}
 	fmt.Fprintf(tell, "all ready after %.1f s\n", s.ReadyS)
 	time.Sleep(8 * time.Second)
 	before, bytes, cpu, at := written(), x.bytes.Load(), processTime(), time.Now()
-	time.Sleep(o.Over)
+	time.Sleep(h.Over)
 	secs := time.Since(at).Seconds()
 	s.Written = (float64(written()-before) - float64(x.bytes.Load()-bytes)) / secs
 	s.Core = (processTime() - cpu).Seconds() / secs
-	s.Heap, s.RSS, s.Descriptors = (x.heap()-empty)/float64(o.Nodes), resident(), x.descriptors()
+	s.Heap, s.RSS, s.Descriptors = (x.heap()-empty)/float64(h.Nodes), resident(), x.descriptors()
 	return s, x.changes(ctx, s, version)
 }
 
-func (x *hollow) start() error {
+func (h *hollow) start() error {
 	pid := os.Getpid()
 	var seeds []string
-	for i := range x.Nodes {
+	for i := range h.Nodes {
 		ip := fmt.Sprintf("127.%d.%d.%d", 2+(pid>>4+i/200)&127, 10+pid&127, 11+i%200)
-		s := &settings.Settings{NodeName: fmt.Sprint("node-", i), IPAddress: ip, Zone: fmt.Sprint("zone-", i%x.Zones), InnerPorts: [2]int{17560, 17575},
+		s := &settings.Settings{NodeName: fmt.Sprint("node-", i), IPAddress: ip, Zone: fmt.Sprint("zone-", i%h.Zones), InnerPorts: [2]int{17560, 17575},
 			Bind:      settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"},
-			FirstBoot: true, CountsAsLoss: i < x.Members, HeartbeatInterval: x.Beat,
-			Tolerance: settings.Tolerance{Machines: (x.Members - 1) / 2}, Bounds: gatewaystandin.Bounds(),
+			FirstBoot: true, CountsAsLoss: i < h.Members, HeartbeatInterval: h.Beat,
+			Tolerance: settings.Tolerance{Machines: (h.Members - 1) / 2}, Bounds: gatewaystandin.Bounds(),
 			Limits: settings.Limits{MaxFDs: descriptorsMost}} // the poller goes by their numbers, which all nodes share
-		if i < x.Members {
-			s.DataDir = filepath.Join(x.dir, s.NodeName)
+		if i < h.Members {
+			s.DataDir = filepath.Join(h.dir, s.NodeName)
 			if err := os.Mkdir(s.DataDir, 0o755); err != nil {
 				return err
 			}
@@ -143,25 +143,25 @@
 				seeds = append(seeds, s.Bind.Control)
 			}
 		}
-		x.settings = append(x.settings, s)
+		h.settings = append(h.settings, s)
 	}
-	for _, s := range x.settings {
+	for _, s := range h.settings {
 		s.SeedAddrs = seeds
-		h, err := node.New(s)
+		otherNode, err := node.New(s)
 		if err != nil {
 			return err
 		}
-		if err := h.Start(); err != nil {
+		if err := otherNode.Start(); err != nil {
 			return err
 		}
-		x.nodes = append(x.nodes, h)
+		h.nodes = append(h.nodes, otherNode)
 	}
 	return nil
 }
 
 // until waits for something of every node.
-func (x *hollow) until(ctx context.Context, most time.Duration, is func(*node.Node) bool) bool {
-	left := slices.Clone(x.nodes)
+func (h *hollow) until(ctx context.Context, most time.Duration, is func(*node.Node) bool) bool {
+	left := slices.Clone(h.nodes)
 	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		if left = slices.DeleteFunc(left, is); len(left) == 0 {
 			return true
@@ -171,13 +171,13 @@
 }
 
 // post makes one call.
-func (x *hollow) post(ctx context.Context, to, path string, body []byte) (int, []byte, error) {
+func (h *hollow) post(ctx context.Context, to, path string, body []byte) (int, []byte, error) {
 	r, err := http.NewRequestWithContext(ctx, "POST", "http://"+to+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
 	r.Header.Set("Content-Type", "application/json")
-	a, err := x.client.Do(r)
+	a, err := h.client.Do(r)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -187,10 +187,10 @@
 }
 
 // order sends one until it is taken, to one node after the other.
-func (x *hollow) order(ctx context.Context, path string, body []byte, version uint64) (uint64, error) {
+func (h *hollow) order(ctx context.Context, path string, body []byte, version uint64) (uint64, error) {
 	last := ""
 	for i := range 200 {
-		status, text, err := x.post(ctx, x.settings[i%len(x.settings)].Bind.Control, path, body)
+		status, text, err := h.post(ctx, h.settings[i%len(h.settings)].Bind.Control, path, body)
 		if err == nil && status == 200 {
 			return version, nil
 		}
@@ -205,26 +205,26 @@
 }
 
 // beats says of one backend that it lives, as long as it does.
-func (x *hollow) beats(ctx context.Context, i int) {
-	services := 2 + x.Wide.Services
+func (h *hollow) beats(ctx context.Context, i int) {
+	services := 2 + h.Wide.Services
 	service := simulation.ServiceName(i % services)
-	to, beat := x.settings[i%len(x.settings)].Bind.Control, controlapi.Heartbeat{Address: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1),
-		Capacity: 4, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service, Zone: fmt.Sprint("zone-", i/services%x.Zones)}
+	to, beat := h.settings[i%len(h.settings)].Bind.Control, controlapi.Heartbeat{Address: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1),
+		Capacity: 4, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service, Zone: fmt.Sprint("zone-", i/services%h.Zones)}
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(x.Beat * time.Duration(i) / time.Duration(max(x.Wide.Backends, 1))):
+	case <-time.After(h.Beat * time.Duration(i) / time.Duration(max(h.Wide.Backends, 1))):
 	}
-	tick := time.NewTicker(x.Beat)
+	tick := time.NewTicker(h.Beat)
 	defer tick.Stop()
 	for {
 		beat.CallSeq++
 		body, _ := json.Marshal(beat)
-		status, text, err := x.post(ctx, to, fmt.Sprintf("/api/Backends.Heartbeat/i-%s-%d", service, i), body)
+		status, text, err := h.post(ctx, to, fmt.Sprintf("/api/Backends.Heartbeat/i-%s-%d", service, i), body)
 		var a controlapi.HeartbeatAnswer
 		switch {
 		case err != nil || status/100 != 2:
-			to = x.settings[(i+int(beat.CallSeq))%len(x.settings)].Bind.Control
+			to = h.settings[(i+int(beat.CallSeq))%len(h.settings)].Bind.Control
 		case json.Unmarshal(text, &a) == nil && a.BeatTarget != "":
 			to = a.BeatTarget
 		}
@@ -237,9 +237,9 @@
 }
 
 // changes makes some, one after the other, and takes the time from each acknowledgement until the nodes have it.
-func (x *hollow) changes(ctx context.Context, s *Seen, version uint64) error {
+func (h *hollow) changes(ctx context.Context, s *Seen, version uint64) error {
 	var acks, times []float64
-	for i := range x.Changes {
+	for i := range h.Changes {
 		next := version + 1
 		deadline, aim := "1500ms", "400ms"
 		a := routing.Amendment{Generation: next, ParentVersion: version, Upserts: &routing.Upserts{Vhosts: []routing.ConfigHost{{
@@ -250,15 +250,15 @@
 			return err
 		}
 		began := time.Now()
-		if version, err = x.order(ctx, gatewaystandin.AmendPath, body, next); err != nil {
+		if version, err = h.order(ctx, gatewaystandin.AmendPath, body, next); err != nil {
 			return errors.Wrap(err, "a change")
 		}
 		acked := time.Now()
 		acks = append(acks, ms(acked.Sub(began)))
-		left := slices.Clone(x.nodes)
+		left := slices.Clone(h.nodes)
 		for len(left) > 0 && time.Since(acked) < 12*time.Second {
-			left = slices.DeleteFunc(left, func(h *node.Node) bool {
-				if h.ConfigurationVersion() < next {
+			left = slices.DeleteFunc(left, func(otherNode *node.Node) bool {
+				if otherNode.ConfigurationVersion() < next {
 					return false
 				}
 				times = append(times, ms(time.Since(acked)))
@@ -281,7 +281,7 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func (x *hollow) heap() float64 {
+func (h *hollow) heap() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -290,8 +290,8 @@
 }
 
 // descriptors are those that nodes hold.
-func (x *hollow) descriptors() int {
-	x.client.CloseIdleConnections()
+func (h *hollow) descriptors() int {
+	h.client.CloseIdleConnections()
 	all, _ := os.ReadDir("/proc/self/fd")
 	return len(all)
 }
--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -21,15 +21,15 @@
 
 type jobs []*job
 
-func (h jobs) Len() int           { return len(h) }
-func (h jobs) Less(i, j int) bool { return h[i].goal < h[j].goal }
-func (h jobs) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].at, h[j].at = i, j }
-func (h *jobs) Push(x any)        { j := x.(*job); j.at = len(*h); *h = append(*h, j) }
-func (h *jobs) Pop() any {
-	old := *h
-	j := old[len(old)-1]
-	*h, j.at = old[:len(old)-1], -1
-	return j
+func (j jobs) Len() int           { return len(j) }
+func (j jobs) Less(i, count int) bool { return j[i].goal < j[count].goal }
+func (j jobs) Swap(i, count int)      { j[i], j[count] = j[count], j[i]; j[i].at, j[count].at = i, count }
+func (j *jobs) Push(x any)        { item := x.(*job); item.at = len(*j); *j = append(*j, item) }
+func (j *jobs) Pop() any {
+	old := *j
+	job := old[len(old)-1]
+	*j, job.at = old[:len(old)-1], -1
+	return job
 }
 
 // backend shares its cores evenly among the txns in work, up to one core each.
--- a/internal/lab/emulator/counted.go
+++ b/internal/lab/emulator/counted.go
@@ -24,13 +24,13 @@
 }
 
 // calls is one to the counter; how is false where no total came in time.
-func (d *node) calls(name string, amount float64, life time.Duration, then func(total float64, known bool)) {
-	w, mine, over := d.w, d.life, false
+func (n *node) calls(name string, amount float64, life time.Duration, then func(total float64, known bool)) {
+	w, mine, over := n.w, n.life, false
 	end := func(total float64, known bool) {
 		if !over {
 			over = true
-			if d.life == mine && d.up {
-				d.turn(func() { then(total, known) })
+			if n.life == mine && n.up {
+				n.turn(func() { then(total, known) })
 			}
 		}
 	}
@@ -49,29 +49,29 @@
 }
 
 // Take asks the counter first: a window of one burst's refill, in which the burst may be spent.
-func (p *counting) Take(x control.Txn, _ gate.Front, who slots.Ref) (slots.Ref, bool) {
-	p.next++
-	ref, t, w := p.next, &simpleTxn{x: x, who: who}, p.d.w
-	p.txns[ref] = t
+func (c *counting) Take(x control.Txn, _ gate.Front, who slots.Ref) (slots.Ref, bool) {
+	c.next++
+	ref, t, w := c.next, &simpleTxn{x: x, who: who}, c.d.w
+	c.txns[ref] = t
 	plan := w.s.Plans[x.Plan]
 	window := time.Duration(plan.Burst / plan.Rate * float64(time.Second))
 	name := fmt.Sprintf("%x-%d", uint64(x.Customer), int64(w.now/max(window, 1)))
-	life := p.d.life
+	life := c.d.life
 	w.at(x.Expiry-2*time.Millisecond, func() {
-		if !t.over && p.d.up && p.d.life == life {
-			p.d.turn(func() { p.end(ref, t) })
+		if !t.over && c.d.up && c.d.life == life {
+			c.d.turn(func() { c.end(ref, t) })
 		}
 	})
-	p.d.calls(name, x.Units, 2*window, func(total float64, known bool) {
+	c.d.calls(name, x.Units, 2*window, func(total float64, known bool) {
 		switch {
 		case t.over:
 		case known && total > plan.Burst:
-			p.end(ref, t)
+			c.end(ref, t)
 		default:
 			if !known {
-				p.unknown++
+				c.unknown++
 			}
-			p.send(ref, t)
+			c.send(ref, t)
 		}
 	})
 	return ref, true
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -76,18 +76,18 @@
 }
 
 // Kill ends the front doors that are hit and run.
-func (r *faultRun) Kill() {
-	for _, d := range r.hit {
+func (f *faultRun) Kill() {
+	for _, d := range f.hit {
 		if d.up {
 			d.kill()
-			r.killed = append(r.killed, d)
+			f.killed = append(f.killed, d)
 		}
 	}
 }
 
 // Start starts those that the fault ended.
-func (r *faultRun) Start() {
-	for _, d := range r.killed {
+func (f *faultRun) Start() {
+	for _, d := range f.killed {
 		if !d.up {
 			d.start()
 		}
@@ -95,10 +95,10 @@
 }
 
 // Stall lets front doors stand still; each goes on by itself when the fault's time is over.
-func (r *faultRun) Stall(on bool) {
-	for _, d := range r.hit {
+func (f *faultRun) Stall(on bool) {
+	for _, d := range f.hit {
 		if on {
-			d.stall(r.fault.For.D())
+			d.stall(f.fault.For.D())
 		}
 	}
 }
@@ -131,67 +131,67 @@
 }
 
 // crashBackends ends backends; each is replaced by a cold one when the fault is over.
-func (r *faultRun) crashBackends(f *spec.Fault) func() { return r.crash(r.ready(f)) }
+func (f *faultRun) crashBackends(fault *spec.Fault) func() { return f.crash(f.ready(fault)) }
 
 // loseZone ends the backends of a zone and, with a share, its front doors.
-func (r *faultRun) loseZone(f *spec.Fault) func() {
-	zone := r.zoneNumber(f.Zone)
+func (f *faultRun) loseZone(fault *spec.Fault) func() {
+	zone := f.zoneNumber(fault.Zone)
 	var lost []*backend
-	for _, b := range r.backends {
+	for _, b := range f.backends {
 		if b.zone == zone {
 			lost = append(lost, b)
 		}
 	}
-	replace := r.crash(lost)
-	for _, d := range r.nodes {
-		if d.zone == zone && f.Share > 0 {
-			r.hit = append(r.hit, d)
+	replace := f.crash(lost)
+	for _, d := range f.nodes {
+		if d.zone == zone && fault.Share > 0 {
+			f.hit = append(f.hit, d)
 		}
 	}
-	r.Kill()
+	f.Kill()
 	return func() {
 		replace()
-		r.Start()
+		f.Start()
 	}
 }
 
 // cutZone lets no word in or out of a zone.
-func (r *faultRun) cutZone(f *spec.Fault) func() {
-	zone := r.zoneNumber(f.Zone)
-	r.zonesCut[zone]++
-	return func() { r.zonesCut[zone]-- }
+func (f *faultRun) cutZone(fault *spec.Fault) func() {
+	zone := f.zoneNumber(fault.Zone)
+	f.zonesCut[zone]++
+	return func() { f.zonesCut[zone]-- }
 }
 
 func (w *world) zoneNumber(name string) int { return max(0, slices.Index(w.s.Zones.Names, name)) }
 
 // troublePeers does something to the datagrams between front doors.
-func (r *faultRun) troublePeers(f *spec.Fault) func() {
-	zone := func(i int) string { return r.s.Zones.Names[r.nodes[i].zone] }
-	e, _ := netfault.Of(f, len(r.nodes), zone, f.Source(r.net))
-	id := r.links.Bring(e)
+func (f *faultRun) troublePeers(fault *spec.Fault) func() {
+	zone := func(i int) string { return f.s.Zones.Names[f.nodes[i].zone] }
+	e, _ := netfault.Of(fault, len(f.nodes), zone, fault.Source(f.net))
+	id := f.links.Bring(e)
 	return func() {
-		for _, c := range r.links.End(id) {
-			r.hear(c)
+		for _, c := range f.links.End(id) {
+			f.hear(c)
 		}
 	}
 }
 
 // troubleCounter has the counter do something wrong.
-func (r *faultRun) troubleCounter(f *spec.Fault) func() {
-	change := sharedcounter.Trouble(f)
-	place := len(r.countBy)
-	r.countBy = append(r.countBy, change)
+func (f *faultRun) troubleCounter(fault *spec.Fault) func() {
+	change := sharedcounter.Trouble(fault)
+	place := len(f.countBy)
+	f.countBy = append(f.countBy, change)
 	sum := func() {
-		r.counter.Mode = sharedcounter.Mode{}
-		for _, change := range r.countBy {
+		f.counter.Mode = sharedcounter.Mode{}
+		for _, change := range f.countBy {
 			if change != nil {
-				change(&r.counter.Mode)
+				change(&f.counter.Mode)
 			}
 		}
 	}
 	sum()
 	return func() {
-		r.countBy[place] = nil
+		f.countBy[place] = nil
 		sum()
 	}
 }
@@ -245,16 +245,16 @@
 }
 
 // drainBackends drains backends in waves, each replaced by a cold one.
-func (r *faultRun) drainBackends(f *spec.Fault) func() {
-	all := r.ready(f)
+func (f *faultRun) drainBackends(fault *spec.Fault) func() {
+	all := f.ready(fault)
 	for i, b := range all {
-		r.after(waved(f, i, len(all)), func() {
+		f.after(waved(fault, i, len(all)), func() {
 			if b.dead || b.state != control.Ready {
 				return
 			}
-			b.drain(func() { r.gone(b) })
-			n := r.addBackend(b.zone, b.pod, r.now)
-			r.tell(n, r.s.Discovery.Added)
+			b.drain(func() { f.gone(b) })
+			n := f.addBackend(b.zone, b.pod, f.now)
+			f.tell(n, f.s.Discovery.Added)
 		})
 	}
 	return nil
@@ -274,10 +274,10 @@
 }
 
 // roll restarts front doors in waves.
-func (r *faultRun) roll(f *spec.Fault) func() {
-	down := time.Duration(float64(f.For) / float64(max(1, f.Waves)) / 2)
-	for i, d := range r.hit {
-		r.after(waved(f, i, len(r.hit)), func() { r.bounce(d, down) })
+func (f *faultRun) roll(fault *spec.Fault) func() {
+	down := time.Duration(float64(fault.For) / float64(max(1, fault.Waves)) / 2)
+	for i, d := range f.hit {
+		f.after(waved(fault, i, len(f.hit)), func() { f.bounce(d, down) })
 	}
 	return nil
 }
--- a/internal/lab/emulator/frontdoor.go
+++ b/internal/lab/emulator/frontdoor.go
@@ -59,74 +59,74 @@
 }
 
 // start begins a life, with the list as discovery has it.
-func (d *node) start() {
-	d.life++
-	d.up, d.stalled, d.backlog = true, false, nil
-	d.count = &counters.Set{}
-	d.idle, d.subs, d.told = map[*backend][]held{}, map[*submission]bool{}, map[control.BackendID]time.Duration{}
-	d.brain = d.w.make(d)
+func (n *node) start() {
+	n.life++
+	n.up, n.stalled, n.backlog = true, false, nil
+	n.count = &counters.Set{}
+	n.idle, n.subs, n.told = map[*backend][]held{}, map[*submission]bool{}, map[control.BackendID]time.Duration{}
+	n.brain = n.w.make(n)
 	var list []control.Endpoint
-	for _, b := range d.w.backends {
+	for _, b := range n.w.backends {
 		if b.state != control.Gone {
 			list = append(list, b.listing())
 		}
 	}
-	d.turn(func() { d.brain.Listed(true, list) })
+	n.turn(func() { n.brain.Listed(true, list) })
 }
 
 // kill ends the process at once: what it holds is left to its clients.
-func (d *node) kill() {
-	if !d.up {
+func (n *node) kill() {
+	if !n.up {
 		return
 	}
-	d.w.res.add(d.count)
-	d.up = false
+	n.w.res.add(n.count)
+	n.up = false
 	var mine []*submission
-	for s := range d.subs {
+	for s := range n.subs {
 		mine = append(mine, s)
 	}
 	sortSubs(mine)
 	for _, s := range mine {
 		s := s
 		s.over = true
-		d.w.after(d.w.hop(d.zone, s.to.zone), func() { s.to.drop(s) })
+		n.w.after(n.w.hop(n.zone, s.to.zone), func() { s.to.drop(s) })
 	}
-	for b, idle := range d.idle {
+	for b, idle := range n.idle {
 		b.open -= len(idle)
 	}
-	d.w.clients.lost(d)
-	d.w.judge.killed(d)
+	n.w.clients.lost(n)
+	n.w.judge.killed(n)
 }
 
 // turn is one owner's: inputs, then decisions until there is none.
-func (d *node) turn(do func()) {
-	if !d.up {
+func (n *node) turn(do func()) {
+	if !n.up {
 		return
 	}
-	if d.stalled {
-		d.backlog = append(d.backlog, do)
+	if n.stalled {
+		n.backlog = append(n.backlog, do)
 		return
 	}
 	do()
-	d.brain.Pull()
+	n.brain.Pull()
 }
 
 // stall lets the process stand still for a while: what comes meanwhile waits.
-func (d *node) stall(long time.Duration) {
-	if !d.up || d.stalled {
+func (n *node) stall(long time.Duration) {
+	if !n.up || n.stalled {
 		return
 	}
-	life := d.life
-	d.stalled = true
-	d.w.judge.stalled(d, d.w.now+long)
-	d.w.after(long, func() {
-		if d.life != life || !d.up {
+	life := n.life
+	n.stalled = true
+	n.w.judge.stalled(n, n.w.now+long)
+	n.w.after(long, func() {
+		if n.life != life || !n.up {
 			return
 		}
-		d.stalled = false
-		backlog := d.backlog
-		d.backlog = nil
-		d.turn(func() {
+		n.stalled = false
+		backlog := n.backlog
+		n.backlog = nil
+		n.turn(func() {
 			for _, do := range backlog {
 				do()
 			}
@@ -134,32 +134,32 @@
 	})
 }
 
-func (d *node) listed(list []control.Endpoint) {
-	d.turn(func() {
+func (n *node) listed(list []control.Endpoint) {
+	n.turn(func() {
 		for _, l := range list {
 			if l.State == control.Ready {
-				delete(d.told, l.ID)
-			} else if _, ok := d.told[l.ID]; !ok {
-				d.told[l.ID] = d.w.now
+				delete(n.told, l.ID)
+			} else if _, ok := n.told[l.ID]; !ok {
+				n.told[l.ID] = n.w.now
 			}
 		}
-		d.brain.Listed(false, list)
+		n.brain.Listed(false, list)
 	})
 }
 
 // ---- what the gate asks of its host
 
 // Now is the clock.
-func (d *node) Now() time.Duration { return d.w.now }
+func (n *node) Now() time.Duration { return n.w.now }
 
 // Wake hangs the module's due time on the clock.
-func (d *node) Wake(at time.Duration, nr uint32) {
-	life := d.life
-	d.w.at(at, func() {
-		if d.life == life && d.up && (d.stalled || d.brain.Live(nr)) {
-			d.turn(func() {
-				if d.brain.Live(nr) {
-					d.brain.Due(nr)
+func (n *node) Wake(at time.Duration, nr uint32) {
+	life := n.life
+	n.w.at(at, func() {
+		if n.life == life && n.up && (n.stalled || n.brain.Live(nr)) {
+			n.turn(func() {
+				if n.brain.Live(nr) {
+					n.brain.Due(nr)
 				}
 			})
 		}
@@ -167,48 +167,48 @@
 }
 
 // Tell sends a datagram: late, lost, or cut off.
-func (d *node) Tell(peer control.GatewayID, payload []byte) {
-	w := d.w
+func (n *node) Tell(peer control.GatewayID, payload []byte) {
+	w := n.w
 	w.res.messages++
-	w.judge.said(d, payload)
+	w.judge.said(n, payload)
 	if int(peer) < 0 || int(peer) >= len(w.nodes) || w.net.Float64() < w.s.Peers.Loss || w.faultAt(w.lossBy) {
 		return
 	}
-	if w.apart(d.zone, w.nodes[peer].zone) {
+	if w.apart(n.zone, w.nodes[peer].zone) {
 		return
 	}
-	for _, c := range w.links.Send(w.now, d.nr, int(peer), payload) {
+	for _, c := range w.links.Send(w.now, n.nr, int(peer), payload) {
 		c.After += w.between(w.s.Peers.Delay)
 		w.hear(c)
 	}
 }
 
 // AppendTo gives the number of the try: the emulated wire needs no more.
-func (d *node) AppendTo(b []byte, who, _ slots.Ref, _ control.BackendID, _ time.Duration) []byte {
+func (n *node) AppendTo(b []byte, who, _ slots.Ref, _ control.BackendID, _ time.Duration) []byte {
 	return binary.LittleEndian.AppendUint32(b, uint32(who))
 }
 
 // Settle, Decline and Void are the final answers.
-func (d *node) Settle(who, _ slots.Ref, o gate.Outcome) {
-	d.w.clients.answer(d, who, control.Succeeded, 0, o.Body)
+func (n *node) Settle(who, _ slots.Ref, o gate.Outcome) {
+	n.w.clients.answer(n, who, control.Succeeded, 0, o.Body)
 }
 
 // Decline: trying again is harmless.
-func (d *node) Decline(who, _ slots.Ref, after time.Duration, _ control.Reason) {
-	d.w.clients.answer(d, who, control.Rejected, after, nil)
+func (n *node) Decline(who, _ slots.Ref, after time.Duration, _ control.Reason) {
+	n.w.clients.answer(n, who, control.Rejected, after, nil)
 }
 
 // Void makes no such promise.
-func (d *node) Void(who, _ slots.Ref, _ control.Reason) {
-	d.w.clients.answer(d, who, control.Errored, 0, nil)
+func (n *node) Void(who, _ slots.Ref, _ control.Reason) {
+	n.w.clients.answer(n, who, control.Errored, 0, nil)
 }
 
 // Probe is not allowed on this site; as dispatch does, it is answered as failed.
-func (d *node) Probe(control.BackendID) {}
+func (n *node) Probe(control.BackendID) {}
 
 // Recall gives a submission up.
-func (d *node) Recall(ref slots.Ref, nr int) {
-	for s := range d.subs {
+func (n *node) Recall(ref slots.Ref, nr int) {
+	for s := range n.subs {
 		if s.ref == ref && s.nr == nr && !s.over {
 			s.finish(control.Canceled)
 			return
@@ -233,23 +233,23 @@
 }
 
 // Submit sends a txn to a backend, over a connection that rests or a new one.
-func (d *node) Submit(ref slots.Ref, nr int, m gate.Message, at control.BackendID, limit, _ time.Duration) {
-	d.submit(ref, nr, d.w.clients.tries[binary.LittleEndian.Uint32(m.AppendTo(nil, at, limit))], d.w.byID[at], limit)
+func (n *node) Submit(ref slots.Ref, nr int, m gate.Message, at control.BackendID, limit, _ time.Duration) {
+	n.submit(ref, nr, n.w.clients.tries[binary.LittleEndian.Uint32(m.AppendTo(nil, at, limit))], n.w.byID[at], limit)
 }
 
-func (d *node) submit(ref slots.Ref, nr int, t *try, b *backend, limit time.Duration) {
-	w := d.w
-	s := &submission{d: d, life: d.life, ref: ref, nr: nr, try: t, to: b, sent: w.now}
-	d.subs[s] = true
+func (n *node) submit(ref slots.Ref, nr int, t *try, b *backend, limit time.Duration) {
+	w := n.w
+	s := &submission{d: n, life: n.life, ref: ref, nr: nr, try: t, to: b, sent: w.now}
+	n.subs[s] = true
 	w.res.submissions++
-	if b.zone != d.zone {
+	if b.zone != n.zone {
 		w.res.crossed++
 	}
 	w.judge.sent(s)
 	w.after(max(limit, 0), func() { s.finish(control.TimedOut) })
-	way := w.hop(d.zone, b.zone)
-	if idle := d.idle[b]; len(idle) > 0 {
-		d.idle[b] = idle[:len(idle)-1]
+	way := w.hop(n.zone, b.zone)
+	if idle := n.idle[b]; len(idle) > 0 {
+		n.idle[b] = idle[:len(idle)-1]
 		if w.now-idle[len(idle)-1].since < w.s.Backends.ConnIdle.D() {
 			s.write(way)
 			return
@@ -257,7 +257,7 @@
 		b.open--
 	}
 	w.res.handshakes++
-	if !b.reachable(d) {
+	if !b.reachable(n) {
 		w.after(w.s.Backends.DialLimit.D(), func() { s.finish(control.Unreachable) })
 		return
 	}
@@ -347,13 +347,13 @@
 }
 
 // broken: the backend's process has ended.
-func (d *node) broken(b *backend) {
-	if n := len(d.idle[b]); n > 0 {
-		b.open -= n
-		delete(d.idle, b)
+func (n *node) broken(b *backend) {
+	if count := len(n.idle[b]); count > 0 {
+		b.open -= count
+		delete(n.idle, b)
 	}
 	var mine []*submission
-	for s := range d.subs {
+	for s := range n.subs {
 		if s.to == b && s.whole {
 			mine = append(mine, s)
 		}
@@ -361,8 +361,8 @@
 	sortSubs(mine)
 	for _, s := range mine {
 		s := s
-		if b.reachable(d) {
-			d.w.after(d.w.hop(d.zone, b.zone), func() { s.end(control.ConnectionLost, nil) })
+		if b.reachable(n) {
+			n.w.after(n.w.hop(n.zone, b.zone), func() { s.end(control.ConnectionLost, nil) })
 		}
 	}
 }
--- a/internal/lab/emulator/policies.go
+++ b/internal/lab/emulator/policies.go
@@ -45,59 +45,59 @@
 	return p
 }
 
-func (p *simple) Take(x control.Txn, _ gate.Front, who slots.Ref) (slots.Ref, bool) {
-	p.next++
+func (s *simple) Take(x control.Txn, _ gate.Front, who slots.Ref) (slots.Ref, bool) {
+	s.next++
 	t := &simpleTxn{x: x, who: who}
-	p.txns[p.next] = t
-	ref := p.next
-	life := p.d.life
-	p.d.w.at(x.Expiry-2*time.Millisecond, func() {
-		if !t.over && p.d.up && p.d.life == life {
-			p.d.turn(func() { p.end(ref, t) })
+	s.txns[s.next] = t
+	ref := s.next
+	life := s.d.life
+	s.d.w.at(x.Expiry-2*time.Millisecond, func() {
+		if !t.over && s.d.up && s.d.life == life {
+			s.d.turn(func() { s.end(ref, t) })
 		}
 	})
-	p.send(ref, t)
+	s.send(ref, t)
 	return ref, true
 }
 
 // end gives a txn up.
-func (p *simple) end(ref slots.Ref, t *simpleTxn) {
+func (s *simple) end(ref slots.Ref, t *simpleTxn) {
 	if t.over {
 		return
 	}
 	t.over = true
-	product := p.d.w.s.Products[t.x.Product]
+	product := s.d.w.s.Products[t.x.Product]
 	if product.Judged().Safe() || !t.ran && !t.out {
-		p.d.Decline(t.who, ref, 0, gate.LackBackend)
+		s.d.Decline(t.who, ref, 0, gate.LackBackend)
 	} else {
-		p.d.Void(t.who, ref, gate.LackBackend)
+		s.d.Void(t.who, ref, gate.LackBackend)
 	}
 }
 
 // send sends a txn on, or gives it up.
-func (p *simple) send(ref slots.Ref, t *simpleTxn) {
-	w := p.d.w
+func (s *simple) send(ref slots.Ref, t *simpleTxn) {
+	w := s.d.w
 	tr := w.clients.tries[uint32(t.who)]
 	if tr == nil || t.over {
 		return
 	}
-	to := p.choose(tr)
+	to := s.choose(tr)
 	if to == nil {
-		p.end(ref, t)
+		s.end(ref, t)
 		return
 	}
 	nr := t.nr
 	t.nr, t.out = t.nr+1, true
-	p.d.submit(ref, nr, tr, to, t.x.Expiry-w.now-3*time.Millisecond)
+	s.d.submit(ref, nr, tr, to, t.x.Expiry-w.now-3*time.Millisecond)
 }
 
-func (p *simple) pick(t *try) *backend {
-	w := p.d.w
-	if !p.seeing {
-		if len(p.ready) == 0 {
+func (s *simple) pick(t *try) *backend {
+	w := s.d.w
+	if !s.seeing {
+		if len(s.ready) == 0 {
 			return nil
 		}
-		return w.byID[p.ready[w.net.IntN(len(p.ready))]]
+		return w.byID[s.ready[w.net.IntN(len(s.ready))]]
 	}
 	book, plan := w.judge.book(t.req.c), w.s.Plans[t.req.c.plan]
 	if book.quota.now(w.now) < 1 || plan.OpenCap > 0 && book.open >= plan.OpenCap ||
@@ -107,14 +107,14 @@
 	var best *backend
 	least := math.Inf(1)
 	for _, b := range w.backends {
-		if b.dead || b.state != control.Ready || b.warmth() < 1 || !b.reachable(p.d) || b.failing > 0 {
+		if b.dead || b.state != control.Ready || b.warmth() < 1 || !b.reachable(s.d) || b.failing > 0 {
 			continue
 		}
-		if _, told := p.d.told[b.id]; told || p.state[b.id] != control.Ready {
+		if _, told := s.d.told[b.id]; told || s.state[b.id] != control.Ready {
 			continue
 		}
 		load := float64(len(b.active)+len(b.waiting)+1) / b.capacity()
-		if b.zone != p.d.zone {
+		if b.zone != s.d.zone {
 			load *= 1.02
 		}
 		if load < least {
@@ -128,14 +128,14 @@
 	return best
 }
 
-func (p *simple) Left(ref slots.Ref) {
-	if t := p.txns[ref]; t != nil {
+func (s *simple) Left(ref slots.Ref) {
+	if t := s.txns[ref]; t != nil {
 		t.over = true
 	}
 }
 
-func (p *simple) Ended(ref slots.Ref, _ int, _ control.BackendID, o gate.Outcome) {
-	t := p.txns[ref]
+func (s *simple) Ended(ref slots.Ref, _ int, _ control.BackendID, o gate.Outcome) {
+	t := s.txns[ref]
 	if t == nil {
 		return
 	}
@@ -144,37 +144,37 @@
 	case control.Succeeded:
 		if !t.over {
 			t.over = true
-			p.d.Settle(t.who, ref, o)
+			s.d.Settle(t.who, ref, o)
 		}
 	case control.Rejected, control.Unreachable, control.NotSent:
-		if p.seeing && t.nr < p.d.w.s.Limits.Submissions && !t.over {
-			p.send(ref, t)
+		if s.seeing && t.nr < s.d.w.s.Limits.Submissions && !t.over {
+			s.send(ref, t)
 			return
 		}
-		p.end(ref, t)
+		s.end(ref, t)
 	default:
 		t.ran = true
-		p.end(ref, t)
+		s.end(ref, t)
 	}
 	if t.over {
-		delete(p.txns, ref)
+		delete(s.txns, ref)
 	}
 }
 
-func (p *simple) Listed(whole bool, list []control.Endpoint) {
+func (s *simple) Listed(whole bool, list []control.Endpoint) {
 	if whole {
-		clear(p.state)
-		p.ready = p.ready[:0]
+		clear(s.state)
+		s.ready = s.ready[:0]
 	}
 	for _, l := range list {
-		if _, ok := p.state[l.ID]; !ok && l.State == control.Ready {
-			p.ready = append(p.ready, l.ID)
+		if _, ok := s.state[l.ID]; !ok && l.State == control.Ready {
+			s.ready = append(s.ready, l.ID)
 		}
-		p.state[l.ID] = l.State
+		s.state[l.ID] = l.State
 		if l.State != control.Ready {
-			for i, id := range p.ready {
+			for i, id := range s.ready {
 				if id == l.ID {
-					p.ready = append(p.ready[:i], p.ready[i+1:]...)
+					s.ready = append(s.ready[:i], s.ready[i+1:]...)
 					break
 				}
 			}
@@ -182,7 +182,7 @@
 	}
 }
 
-func (p *simple) Heard(control.GatewayID, []byte) {}
-func (p *simple) Live(uint32) bool                { return false }
-func (p *simple) Due(uint32)                      {}
-func (p *simple) Pull()                           {}
+func (s *simple) Heard(control.GatewayID, []byte) {}
+func (s *simple) Live(uint32) bool                { return false }
+func (s *simple) Due(uint32)                      {}
+func (s *simple) Pull()                           {}
--- a/internal/lab/faultrig/faults.go
+++ b/internal/lab/faultrig/faults.go
@@ -167,15 +167,15 @@
 }
 
 // Kill ends the front doors that are hit.
-func (r *faultRun) Kill() { r.nodes(r.hit, killNode) }
+func (f *faultRun) Kill() { f.nodes(f.hit, killNode) }
 
 // Start starts those that were ended.
-func (r *faultRun) Start() { r.nodes(r.hit, (*standin.Node).Again) }
+func (f *faultRun) Start() { f.nodes(f.hit, (*standin.Node).Again) }
 
 // Stall lets them stand still, and go on.
-func (r *faultRun) Stall(on bool) {
-	for _, number := range r.hit {
-		r.f.Nodes[number].Hold(on, r.fault.Kind)
+func (f *faultRun) Stall(on bool) {
+	for _, number := range f.hit {
+		f.f.Nodes[number].Hold(on, f.fault.Kind)
 	}
 }
 
@@ -185,48 +185,48 @@
 }
 
 // terminate tells front doors to end; those that still run when the fault is over are killed, and all start again.
-func (r *faultRun) terminate(*spec.Fault) func() {
-	within := r.termWithin()
-	go r.nodes(r.hit, func(d *standin.Node) error { d.Term(within); return nil })
+func (f *faultRun) terminate(*spec.Fault) func() {
+	within := f.termWithin()
+	go f.nodes(f.hit, func(d *standin.Node) error { d.Term(within); return nil })
 	return func() {
-		r.nodes(r.hit, func(d *standin.Node) error { d.Term(within); return d.Again() })
+		f.nodes(f.hit, func(d *standin.Node) error { d.Term(within); return d.Again() })
 	}
 }
 
 // slowNodes gives front doors a share of a core.
-func (r *faultRun) slowNodes(f *spec.Fault) func() {
+func (f *faultRun) slowNodes(fault *spec.Fault) func() {
 	var wg sync.WaitGroup
-	for _, number := range r.hit {
-		wg.Go(func() { r.f.Nodes[number].Slow(r.ctx, f.By) })
+	for _, number := range f.hit {
+		wg.Go(func() { f.f.Nodes[number].Slow(f.ctx, fault.By) })
 	}
 	return wg.Wait
 }
 
 // sameSeed restarts front doors whose next life takes the seed, and so the epoch, of the last one.
-func (r *faultRun) sameSeed(*spec.Fault) func() {
-	r.nodes(r.hit, func(d *standin.Node) error { d.SameSeed(); d.Kill(); return d.Again() })
+func (f *faultRun) sameSeed(*spec.Fault) func() {
+	f.nodes(f.hit, func(d *standin.Node) error { d.SameSeed(); d.Kill(); return d.Again() })
 	return nil
 }
 
 // moveDiscovery gives front doors a new configuration, with another list.
-func (r *faultRun) moveDiscovery(*spec.Fault) func() {
-	r.nodes(r.hit, func(d *standin.Node) error { return d.MoveDiscovery(1500 * time.Millisecond) })
+func (f *faultRun) moveDiscovery(*spec.Fault) func() {
+	f.nodes(f.hit, func(d *standin.Node) error { return d.MoveDiscovery(1500 * time.Millisecond) })
 	return nil
 }
 
 // limit restarts front doors with little memory or few sockets, and without that when the fault is over; 0: not bounded.
-func (r *faultRun) limit(memory, sockets int) func() {
+func (f *faultRun) limit(memory, sockets int) func() {
 	restart := func(memory, sockets int) {
-		r.nodes(r.hit, func(d *standin.Node) error { d.Limits(memory, sockets); d.Kill(); return d.Again() })
+		f.nodes(f.hit, func(d *standin.Node) error { d.Limits(memory, sockets); d.Kill(); return d.Again() })
 	}
 	restart(memory, sockets)
 	return func() { restart(0, 0) }
 }
 
 // someServing draws the backends that the fault hits.
-func (r *faultRun) someServing() (all []*standin.Backend) {
-	serving := r.f.Serving()
-	for _, i := range r.hits(r.fault, len(serving)) {
+func (f *faultRun) someServing() (all []*standin.Backend) {
+	serving := f.f.Serving()
+	for _, i := range f.hits(f.fault, len(serving)) {
 		all = append(all, serving[i])
 	}
 	return all
@@ -251,37 +251,37 @@
 }
 
 // crashBackends ends backends; each is replaced by a cold one when the fault is over.
-func (r *faultRun) crashBackends(f *spec.Fault) func() {
-	for _, b := range r.someServing() {
-		r.f.Replace(b, f.For.D(), r.told)
+func (f *faultRun) crashBackends(fault *spec.Fault) func() {
+	for _, b := range f.someServing() {
+		f.f.Replace(b, fault.For.D(), f.told)
 	}
 	return nil
 }
 
 // loseZone ends the backends of a zone and, with a share, its front doors.
-func (r *faultRun) loseZone(f *spec.Fault) func() {
-	for _, b := range r.f.Serving() {
-		if b.Zone == f.Zone {
-			r.f.Replace(b, f.For.D(), r.told)
+func (f *faultRun) loseZone(fault *spec.Fault) func() {
+	for _, b := range f.f.Serving() {
+		if b.Zone == fault.Zone {
+			f.f.Replace(b, fault.For.D(), f.told)
 		}
 	}
-	if f.Share <= 0 {
+	if fault.Share <= 0 {
 		return nil
 	}
-	r.hit = r.inZone(f.Zone)
-	r.Kill()
-	return r.Start
+	f.hit = f.inZone(fault.Zone)
+	f.Kill()
+	return f.Start
 }
 
 // cutZone lets no word in or out of a zone.
-func (r *faultRun) cutZone(f *spec.Fault) func() {
-	mine := r.inZone(f.Zone)
-	ends := []func(){r.f.Relay.Bring(netfault.Effect{Cut: true, On: func(a, b int) bool {
+func (f *faultRun) cutZone(fault *spec.Fault) func() {
+	mine := f.inZone(fault.Zone)
+	ends := []func(){f.f.Relay.Bring(netfault.Effect{Cut: true, On: func(a, b int) bool {
 		return slices.Contains(mine, a) != slices.Contains(mine, b)
 	}})}
-	for _, d := range r.f.Nodes {
+	for _, d := range f.f.Nodes {
 		for zone, w := range d.Backends {
-			if (zone == f.Zone) != (d.Zone == f.Zone) {
+			if (zone == fault.Zone) != (d.Zone == fault.Zone) {
 				ends = append(ends, w.Bring(standin.Trouble{Cut: true}))
 			}
 		}
@@ -290,9 +290,9 @@
 }
 
 // delayLists has discovery tell what it tells late.
-func (r *faultRun) delayLists(*spec.Fault) func() {
+func (f *faultRun) delayLists(*spec.Fault) func() {
 	late := func(on bool) {
-		for _, a := range r.f.Agents {
+		for _, a := range f.f.Agents {
 			a.Late(on)
 		}
 	}
@@ -301,13 +301,13 @@
 }
 
 // raiseLoad lets clients ask more often.
-func (r *faultRun) raiseLoad(f *spec.Fault) func() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	end := r.load.Hold(f.By)
+func (f *faultRun) raiseLoad(fault *spec.Fault) func() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	end := f.load.Hold(fault.By)
 	return func() {
-		r.mu.Lock()
-		defer r.mu.Unlock()
+		f.mu.Lock()
+		defer f.mu.Unlock()
 		end()
 	}
 }
@@ -328,14 +328,14 @@
 }
 
 // troublePeers does something to the datagrams between front doors.
-func (r *faultRun) troublePeers(f *spec.Fault) func() {
-	e, _ := netfault.Of(f, len(r.f.Nodes), func(i int) string { return r.f.Nodes[i].Zone }, r.source(f))
-	return r.f.Relay.Bring(e)
+func (f *faultRun) troublePeers(fault *spec.Fault) func() {
+	e, _ := netfault.Of(fault, len(f.f.Nodes), func(i int) string { return f.f.Nodes[i].Zone }, f.source(fault))
+	return f.f.Relay.Bring(e)
 }
 
 // troubleCounter has the shared counter do something wrong.
-func (r *faultRun) troubleCounter(f *spec.Fault) func() {
-	return r.f.Counter.Bring(sharedcounter.Trouble(f))
+func (f *faultRun) troubleCounter(fault *spec.Fault) func() {
+	return f.f.Counter.Bring(sharedcounter.Trouble(fault))
 }
 
 func ways(d *standin.Node, link string) (all []*standin.Way) {
@@ -370,29 +370,29 @@
 }
 
 // drainBackends drains backends in waves; each ends once all front doors have been told, and a cold one takes its place.
-func (r *faultRun) drainBackends(f *spec.Fault) func() {
-	waves, some := max(1, f.Waves), r.someServing()
+func (f *faultRun) drainBackends(fault *spec.Fault) func() {
+	waves, some := max(1, fault.Waves), f.someServing()
 	for i, b := range some {
 		wave := math.Floor(float64(i*waves) / float64(len(some)))
-		r.f.Later(time.Duration(wave*float64(f.For)/float64(waves)), func() {
-			r.f.Later(r.told(), func() { r.f.TellAll(b, "Terminating") })
-			r.f.Replaced(b, r.s.Discovery.Late[1].D()+r.s.Rules.DrainGrace.D()+time.Second, r.told)
+		f.f.Later(time.Duration(wave*float64(fault.For)/float64(waves)), func() {
+			f.f.Later(f.told(), func() { f.f.TellAll(b, "Terminating") })
+			f.f.Replaced(b, f.s.Discovery.Late[1].D()+f.s.Rules.DrainGrace.D()+time.Second, f.told)
 		})
 	}
 	return nil
 }
 
 // roll restarts front doors in waves, each told to end and started again a while later.
-func (r *faultRun) roll(f *spec.Fault) func() {
-	waves := max(1, f.Waves)
-	step := f.For.D() / time.Duration(waves)
-	for i, number := range r.hit {
-		d := r.f.Nodes[number]
-		wait := time.Duration(i*waves/len(r.hit)) * step
-		r.wg.Go(func() {
-			sleep(r.ctx, wait)
-			d.Term(r.termWithin())
-			r.fail(d.Again())
+func (f *faultRun) roll(fault *spec.Fault) func() {
+	waves := max(1, fault.Waves)
+	step := fault.For.D() / time.Duration(waves)
+	for i, number := range f.hit {
+		d := f.f.Nodes[number]
+		wait := time.Duration(i*waves/len(f.hit)) * step
+		f.wg.Go(func() {
+			sleep(f.ctx, wait)
+			d.Term(f.termWithin())
+			f.fail(d.Again())
 		})
 	}
 	return nil
@@ -406,32 +406,32 @@
 )
 
 // atPoint gives, for each front door that is hit, at which time of passing a point an order strikes.
-func (r *faultRun) atPoint(order func(d *standin.Node, nth int)) {
-	rng := r.source(r.fault)
-	for _, number := range spec.Hits(len(r.f.Nodes), r.fault.Share, rng) {
+func (f *faultRun) atPoint(order func(d *standin.Node, nth int)) {
+	rng := f.source(f.fault)
+	for _, number := range spec.Hits(len(f.f.Nodes), f.fault.Share, rng) {
 		nth := 1 + rng.IntN(pointTimes)
-		if r.fault.Waves > 0 {
-			nth = r.fault.Waves
+		if f.fault.Waves > 0 {
+			nth = f.fault.Waves
 		}
-		order(r.f.Nodes[number], nth)
+		order(f.f.Nodes[number], nth)
 	}
 }
 
 // stallAtPoint tells front doors to stand still at a point in their code.
-func (r *faultRun) stallAtPoint(f *spec.Fault) func() {
-	hold := f.Delay.D()
+func (f *faultRun) stallAtPoint(fault *spec.Fault) func() {
+	hold := fault.Delay.D()
 	if hold <= 0 {
 		hold = pointHold
 	}
-	r.atPoint(func(d *standin.Node, nth int) { d.Order("stop", failpoint.Name(f.Point), nth, hold) })
+	f.atPoint(func(d *standin.Node, nth int) { d.Order("stop", failpoint.Name(fault.Point), nth, hold) })
 	return nil
 }
 
 // exitAtPoint tells front doors to end at a point; they are started again when the fault is over.
-func (r *faultRun) exitAtPoint(f *spec.Fault) func() {
-	r.atPoint(func(d *standin.Node, nth int) { d.Order("exit", failpoint.Name(f.Point), nth, 0) })
+func (f *faultRun) exitAtPoint(fault *spec.Fault) func() {
+	f.atPoint(func(d *standin.Node, nth int) { d.Order("exit", failpoint.Name(fault.Point), nth, 0) })
 	return func() {
-		r.Kill() // those that never reached the point
-		r.Start()
+		f.Kill() // those that never reached the point
+		f.Start()
 	}
 }
--- a/internal/lab/faultrig/gateway.go
+++ b/internal/lab/faultrig/gateway.go
@@ -157,13 +157,13 @@
 	return h, nil
 }
 
-func (h *gatewayRun) leave() {
-	h.load.Close()
-	h.t.Close()
+func (g *gatewayRun) leave() {
+	g.load.Close()
+	g.t.Close()
 }
 
 // run plays all; what is broken by its end is given.
-func (h *gatewayRun) run(ctx context.Context) (bad []history.Broken) {
+func (g *gatewayRun) run(ctx context.Context) (bad []history.Broken) {
 	all, cancel := context.WithCancel(ctx)
 	var side sync.WaitGroup
 	defer side.Wait()
@@ -172,11 +172,11 @@
 		side.Add(1)
 		go func() { defer side.Done(); do(all) }()
 	}
-	h.steps.Store(true)
+	g.steps.Store(true)
 	open := make(chan struct{})
-	beside(h.load.Watch)
-	beside(func(ctx context.Context) { h.operate(ctx, open) })
-	if !h.s.Early {
+	beside(g.load.Watch)
+	beside(func(ctx context.Context) { g.operate(ctx, open) })
+	if !g.s.Early {
 		select {
 		case <-open:
 		case <-all.Done():
@@ -188,84 +188,84 @@
 	}
 	loads, enough := context.WithCancel(all)
 	defer enough()
-	beside(func(context.Context) { h.load.Open(loads) })
-	beside(func(context.Context) { h.load.Regular(loads) })
-	bad = append(bad, h.act(all)...)
+	beside(func(context.Context) { g.load.Open(loads) })
+	beside(func(context.Context) { g.load.Regular(loads) })
+	bad = append(bad, g.act(all)...)
 	if all.Err() != nil {
 		return nil
 	}
 	enough()
-	h.steps.Store(false)
-	h.turn.Lock() // what is read last is read after the last change's answer
-	defer h.turn.Unlock()
+	g.steps.Store(false)
+	g.turn.Lock() // what is read last is read after the last change's answer
+	defer g.turn.Unlock()
 	last, over := context.WithTimeout(all, recoverMost)
 	defer over()
-	final := h.t.Operator.Read(last)
+	final := g.t.Operator.Read(last)
 	if final == nil {
-		final = h.t.Operator.Read(last)
+		final = g.t.Operator.Read(last)
 	}
-	h.log.Add(history.Event{Who: "rig", Kind: history.Closes})
+	g.log.Add(history.Event{Who: "rig", Kind: history.Closes})
 	if all.Err() != nil {
 		return nil
 	}
 	if final == nil || len(bad) > 0 {
-		for _, d := range h.t.Nodes {
-			h.says = append(h.says, d.Name+": "+h.t.Tells(d))
+		for _, d := range g.t.Nodes {
+			g.says = append(g.says, d.Name+": "+g.t.Tells(d))
 		}
 	}
-	return append(bad, gatewaystandin.Kept(final, h.t.Operator.Versions(), history.Now())...)
+	return append(bad, gatewaystandin.Kept(final, g.t.Operator.Versions(), history.Now())...)
 }
 
 // faults plays a schedule's.
-func (h *gatewayRun) faults(all context.Context) (bad []history.Broken) {
-	h.apply(all)
-	sleep(all, h.s.For)
-	h.wg.Wait() // every fault has healed
-	h.calmed = time.Now()
-	bad = append(bad, h.recovers(all, "the faults")...)
-	if h.s.Close && len(bad) == 0 {
-		if h.s.Wipe {
-			sleep(all, wipeCalm-time.Since(h.calmed))
+func (g *gatewayRun) faults(all context.Context) (bad []history.Broken) {
+	g.apply(all)
+	sleep(all, g.s.For)
+	g.wg.Wait() // every fault has healed
+	g.calmed = time.Now()
+	bad = append(bad, g.recovers(all, "the faults")...)
+	if g.s.Close && len(bad) == 0 {
+		if g.s.Wipe {
+			sleep(all, wipeCalm-time.Since(g.calmed))
 		}
-		h.closing(all)
-		h.calmed = time.Now()
-		bad = append(bad, h.recovers(all, "the closing fault")...)
+		g.closing(all)
+		g.calmed = time.Now()
+		bad = append(bad, g.recovers(all, "the closing fault")...)
 	}
 	return bad
 }
 
 // apply lets all faults begin, each at its time from now.
-func (h *gatewayRun) apply(ctx context.Context) {
-	for i := range h.s.Faults {
-		h.wg.Add(1)
-		go func() { defer h.wg.Done(); h.play(ctx, &h.s.Faults[i]) }()
+func (g *gatewayRun) apply(ctx context.Context) {
+	for i := range g.s.Faults {
+		g.wg.Add(1)
+		go func() { defer g.wg.Done(); g.play(ctx, &g.s.Faults[i]) }()
 	}
 }
 
 // operate sends the first configuration, then changes it, until all is over.
-func (h *gatewayRun) operate(ctx context.Context, open chan struct{}) {
-	rng := rand.New(rand.NewPCG(h.s.Seed, 0x09))
-	if !h.t.Operator.Open(ctx) {
+func (g *gatewayRun) operate(ctx context.Context, open chan struct{}) {
+	rng := rand.New(rand.NewPCG(g.s.Seed, 0x09))
+	if !g.t.Operator.Open(ctx) {
 		return
 	}
 	close(open)
 	for ctx.Err() == nil {
-		if h.steps.Load() {
-			before, _ := h.t.Operator.Known()
-			h.turn.Lock()
-			if h.steps.Load() {
-				h.t.Operator.Step(ctx)
+		if g.steps.Load() {
+			before, _ := g.t.Operator.Known()
+			g.turn.Lock()
+			if g.steps.Load() {
+				g.t.Operator.Step(ctx)
 			}
-			h.turn.Unlock()
-			now, config := h.t.Operator.Known()
+			g.turn.Unlock()
+			now, config := g.t.Operator.Known()
 			if config != nil {
-				h.load.Learn(config)
+				g.load.Learn(config)
 			}
 			if now > before {
-				h.mu.Lock()
-				close(h.acked)
-				h.acked = make(chan struct{})
-				h.mu.Unlock()
+				g.mu.Lock()
+				close(g.acked)
+				g.acked = make(chan struct{})
+				g.mu.Unlock()
 			}
 		}
 		sleep(ctx, time.Duration(100+rng.IntN(600))*time.Millisecond)
--- a/internal/lab/faultrig/gatewaydraw.go
+++ b/internal/lab/faultrig/gatewaydraw.go
@@ -139,8 +139,8 @@
 var cutWays = []string{"both", "in", "out"}
 
 // cuts tells whether any fault parts nodes or takes their power, which only debug builds can play.
-func (s *GatewaySchedule) cuts() bool {
-	return slices.ContainsFunc(s.Faults, func(f spec.Fault) bool { return f.Has(spec.CutNodes, spec.PowerOffNodes) })
+func (g *GatewaySchedule) cuts() bool {
+	return slices.ContainsFunc(g.Faults, func(f spec.Fault) bool { return f.Has(spec.CutNodes, spec.PowerOffNodes) })
 }
 
 // DrawFounding draws a schedule of the first start of all: nodes start up to some seconds apart, and are killed and
--- a/internal/lab/faultrig/gatewayfaults.go
+++ b/internal/lab/faultrig/gatewayfaults.go
@@ -16,10 +16,10 @@
 )
 
 // acknowledged waits for the next acknowledgement, or for a while.
-func (h *gatewayRun) acknowledged(ctx context.Context, most time.Duration) {
-	h.mu.Lock()
-	ch := h.acked
-	h.mu.Unlock()
+func (g *gatewayRun) acknowledged(ctx context.Context, most time.Duration) {
+	g.mu.Lock()
+	ch := g.acked
+	g.mu.Unlock()
 	select {
 	case <-ch:
 	case <-ctx.Done():
@@ -28,10 +28,10 @@
 }
 
 // each does something to some nodes at once and waits for all.
-func (h *gatewayRun) each(which []*gatewaystandin.Node, do func(*gatewaystandin.Node) error) {
+func (g *gatewayRun) each(which []*gatewaystandin.Node, do func(*gatewaystandin.Node) error) {
 	var wg sync.WaitGroup
 	for _, d := range which {
-		wg.Go(func() { h.fail(do(d)) })
+		wg.Go(func() { g.fail(do(d)) })
 	}
 	wg.Wait()
 }
@@ -67,20 +67,20 @@
 })
 
 // play waits for a fault's time and moment, brings it and heals it.
-func (h *gatewayRun) play(ctx context.Context, f *spec.Fault) {
+func (g *gatewayRun) play(ctx context.Context, f *spec.Fault) {
 	sleep(ctx, f.At.D())
 	if ctx.Err() != nil {
 		return
 	}
 	if f.Moment() == spec.Acknowledged {
-		h.acknowledged(ctx, ackMost)
+		g.acknowledged(ctx, ackMost)
 	}
-	h.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: f.Kind})
-	defer func() { h.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: f.Kind}) }()
-	r := &gatewayFault{gatewayRun: h, ctx: ctx, fault: f}
+	g.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: f.Kind})
+	defer func() { g.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: f.Kind}) }()
+	r := &gatewayFault{gatewayRun: g, ctx: ctx, fault: f}
 	r.hit = r.targets()
 	end, err := gatewayEffects.Begin(r, f)
-	h.fail(err)
+	g.fail(err)
 	if end != nil {
 		sleep(ctx, f.For.D())
 		end()
@@ -88,32 +88,32 @@
 }
 
 // fail keeps the first thing that went wrong with the rig itself.
-func (h *gatewayRun) fail(err error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.fault == nil {
-		h.fault = err
+func (g *gatewayRun) fail(err error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.fault == nil {
+		g.fault = err
 	}
 }
 
 // among gives the nodes that the fault may hit.
-func (r *gatewayFault) among() []*gatewaystandin.Node {
-	if r.fault.Target() == spec.SomeDisks {
-		return r.t.Cores()
+func (g *gatewayFault) among() []*gatewaystandin.Node {
+	if g.fault.Target() == spec.SomeDisks {
+		return g.t.Cores()
 	}
-	return r.t.Nodes
+	return g.t.Nodes
 }
 
 // targets draws the nodes that it hits.
-func (r *gatewayFault) targets() (all []*gatewaystandin.Node) {
-	switch r.fault.Target() {
+func (g *gatewayFault) targets() (all []*gatewaystandin.Node) {
+	switch g.fault.Target() {
 	case spec.LeaderNode:
-		return r.leader(r.ctx)
+		return g.leader(g.ctx)
 	case spec.AllNodes:
-		return r.t.Nodes
+		return g.t.Nodes
 	case spec.SomeNodes, spec.SomeDisks:
-		from := r.among()
-		for _, i := range spec.Hits(len(from), r.fault.Share, r.fault.Source(nil)) {
+		from := g.among()
+		for _, i := range spec.Hits(len(from), g.fault.Share, g.fault.Source(nil)) {
 			all = append(all, from[i])
 		}
 	}
@@ -121,14 +121,14 @@
 }
 
 // Kill ends the processes of the nodes that are hit.
-func (r *gatewayFault) Kill() { r.each(r.hit, kill) }
+func (g *gatewayFault) Kill() { g.each(g.hit, kill) }
 
 // Start starts those that were ended.
-func (r *gatewayFault) Start() { r.each(r.hit, again) }
+func (g *gatewayFault) Start() { g.each(g.hit, again) }
 
 // Stall lets them stand still, and go on.
-func (r *gatewayFault) Stall(on bool) {
-	r.each(r.hit, func(d *gatewaystandin.Node) error { d.Hold(on, r.fault.Kind); return nil })
+func (g *gatewayFault) Stall(on bool) {
+	g.each(g.hit, func(d *gatewaystandin.Node) error { d.Hold(on, g.fault.Kind); return nil })
 }
 
 // darkFirst is how long the other nodes have to take a machine for one without power, before its process ends.
@@ -136,10 +136,10 @@
 
 // powerOff ends processes so that no other node is told, which a debug build plays. What was not synced is kept all the same: the
 // machine that all run on goes on.
-func (r *gatewayFault) powerOff(*spec.Fault) func() {
-	hit := r.hit
+func (g *gatewayFault) powerOff(*spec.Fault) func() {
+	hit := g.hit
 	dark := func(on bool) {
-		for _, node := range r.t.Nodes {
+		for _, node := range g.t.Nodes {
 			for _, off := range hit {
 				if node != off {
 					node.Dark(off.Host, on)
@@ -148,35 +148,35 @@
 		}
 	}
 	dark(true)
-	sleep(r.ctx, darkFirst)
-	r.Kill()
+	sleep(g.ctx, darkFirst)
+	g.Kill()
 	return func() {
 		dark(false)
-		r.Start()
+		g.Start()
 	}
 }
 
 // wipe ends processes and takes what is on their disks.
-func (r *gatewayFault) wipe(*spec.Fault) func() {
-	r.each(r.hit, (*gatewaystandin.Node).Wipe)
-	return r.Start
+func (g *gatewayFault) wipe(*spec.Fault) func() {
+	g.each(g.hit, (*gatewaystandin.Node).Wipe)
+	return g.Start
 }
 
 // terminate tells processes to end, within their grace.
-func (r *gatewayFault) terminate(*spec.Fault) func() {
-	r.each(r.hit, func(d *gatewaystandin.Node) error { d.Term(gatewaystandin.Bounds().ShutdownGrace); return nil })
-	return r.Start
+func (g *gatewayFault) terminate(*spec.Fault) func() {
+	g.each(g.hit, func(d *gatewaystandin.Node) error { d.Term(gatewaystandin.Bounds().ShutdownGrace); return nil })
+	return g.Start
 }
 
 // reload has nodes read their settings again, in the middle of traffic.
-func (r *gatewayFault) reload(*spec.Fault) func() {
-	r.each(r.hit, func(d *gatewaystandin.Node) error { d.Reload(); return nil })
+func (g *gatewayFault) reload(*spec.Fault) func() {
+	g.each(g.hit, func(d *gatewaystandin.Node) error { d.Reload(); return nil })
 	return nil
 }
 
 // cutNodes parts nodes by the fault's shape, which a debug build plays.
-func (r *gatewayFault) cutNodes(f *spec.Fault) func() {
-	of := r.among()
+func (g *gatewayFault) cutNodes(f *spec.Fault) func() {
+	of := g.among()
 	parts := f.Pairs(len(of), nil, f.Source(nil))
 	part := func(on bool) {
 		for i, from := range of {
@@ -192,43 +192,43 @@
 }
 
 // serving draws the backends that the fault hits.
-func (r *gatewayFault) serving() (all []*gatewaystandin.Line) {
-	serving := r.t.Serving()
-	for _, i := range spec.Hits(len(serving), r.fault.Share, r.fault.Source(nil)) {
+func (g *gatewayFault) serving() (all []*gatewaystandin.Line) {
+	serving := g.t.Serving()
+	for _, i := range spec.Hits(len(serving), g.fault.Share, g.fault.Source(nil)) {
 		all = append(all, serving[i])
 	}
 	return all
 }
 
 // add starts a backend like another.
-func (r *gatewayFault) add(like *gatewaystandin.Line) {
-	if _, err := r.t.Add(like.Service, like.Zone, 0); r.ctx.Err() == nil {
-		r.fail(err)
+func (g *gatewayFault) add(like *gatewaystandin.Line) {
+	if _, err := g.t.Add(like.Service, like.Zone, 0); g.ctx.Err() == nil {
+		g.fail(err)
 	}
 }
 
 // crashBackends ends backends at once; others come in their place when the fault is over.
-func (r *gatewayFault) crashBackends(*spec.Fault) func() {
-	hit := r.serving()
+func (g *gatewayFault) crashBackends(*spec.Fault) func() {
+	hit := g.serving()
 	for _, b := range hit {
 		b.Crash()
 	}
 	return func() {
 		var wg sync.WaitGroup
 		for _, b := range hit {
-			wg.Go(func() { r.add(b) })
+			wg.Go(func() { g.add(b) })
 		}
 		wg.Wait()
 	}
 }
 
 // drainBackends lets backends leave in order, others coming in their place first.
-func (r *gatewayFault) drainBackends(*spec.Fault) func() {
+func (g *gatewayFault) drainBackends(*spec.Fault) func() {
 	var wg sync.WaitGroup
-	for _, b := range r.serving() {
+	for _, b := range g.serving() {
 		wg.Go(func() {
-			r.add(b)
-			b.Drain(r.ctx)
+			g.add(b)
+			b.Drain(g.ctx)
 		})
 	}
 	wg.Wait()
@@ -247,43 +247,43 @@
 }
 
 // raiseLoad lets clients ask more often.
-func (r *gatewayFault) raiseLoad(f *spec.Fault) func() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	end := r.burst.Hold(f.By)
+func (g *gatewayFault) raiseLoad(f *spec.Fault) func() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	end := g.burst.Hold(f.By)
 	return func() {
-		r.mu.Lock()
-		defer r.mu.Unlock()
+		g.mu.Lock()
+		defer g.mu.Unlock()
 		end()
 	}
 }
 
 // leader is the node that leads the core, by the first word of any of the core.
-func (h *gatewayRun) leader(ctx context.Context) []*gatewaystandin.Node {
-	for _, d := range h.t.Cores() {
-		s := h.t.Status(ctx, d, 300*time.Millisecond)
-		for _, x := range h.t.Cores() {
+func (g *gatewayRun) leader(ctx context.Context) []*gatewaystandin.Node {
+	for _, d := range g.t.Cores() {
+		s := g.t.Status(ctx, d, 300*time.Millisecond)
+		for _, x := range g.t.Cores() {
 			if s != nil && s.Core != nil && strings.HasPrefix(s.Core.Leader, x.Host+":") {
 				return []*gatewaystandin.Node{x}
 			}
 		}
 	}
-	return h.t.Cores()[:1]
+	return g.t.Cores()[:1]
 }
 
 // closing kills all right after an acknowledgement; one disk may be lost by it.
-func (h *gatewayRun) closing(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(h.s.Seed, 0xc105))
-	lost := h.t.Cores()[rng.IntN(Disks)]
-	h.acknowledged(ctx, 5*time.Second)
-	h.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: "closing"})
-	h.each(h.t.Nodes, func(d *gatewaystandin.Node) error {
-		if h.s.Wipe && d == lost {
+func (g *gatewayRun) closing(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(g.s.Seed, 0xc105))
+	lost := g.t.Cores()[rng.IntN(Disks)]
+	g.acknowledged(ctx, 5*time.Second)
+	g.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: "closing"})
+	g.each(g.t.Nodes, func(d *gatewaystandin.Node) error {
+		if g.s.Wipe && d == lost {
 			return d.Wipe()
 		}
 		return kill(d)
 	})
 	sleep(ctx, time.Duration(200+rng.IntN(800))*time.Millisecond)
-	h.each(h.t.Nodes, again)
-	h.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: "closing"})
+	g.each(g.t.Nodes, again)
+	g.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: "closing"})
 }
--- a/internal/lab/faultrig/gatewayjudge.go
+++ b/internal/lab/faultrig/gatewayjudge.go
@@ -20,15 +20,15 @@
 )
 
 // recovers waits until every node serves every first route.
-func (h *gatewayRun) recovers(ctx context.Context, what string) []history.Broken {
+func (g *gatewayRun) recovers(ctx context.Context, what string) []history.Broken {
 	began := time.Now()
 	late, cancel := context.WithTimeout(ctx, recoverMost)
 	defer cancel()
 	var mu sync.Mutex
 	var bad []history.Broken
-	h.each(h.t.Nodes, func(d *gatewaystandin.Node) error {
+	g.each(g.t.Nodes, func(d *gatewaystandin.Node) error {
 		for late.Err() == nil {
-			if h.load.Probe(late, d) {
+			if g.load.Probe(late, d) {
 				return nil
 			}
 			sleep(late, 100*time.Millisecond)
@@ -37,29 +37,29 @@
 			mu.Lock()
 			bad = append(bad, history.Broken{Rule: "RECOVER", T: history.Now(), Who: d.Name,
 				What: fmt.Sprintf("does not serve %s after %s: %s",
-					recoverMost, what, h.t.Tells(d))})
+					recoverMost, what, g.t.Tells(d))})
 			mu.Unlock()
 		}
 		return nil
 	})
-	h.settled = append(h.settled, time.Since(began).Round(time.Millisecond))
+	g.settled = append(g.settled, time.Since(began).Round(time.Millisecond))
 	return bad
 }
 
 // judge holds the history against the rules.
-func (h *gatewayRun) judge(res *GatewayResult, bad []history.Broken) {
-	o, _, _ := h.load.Outcomes()
+func (g *gatewayRun) judge(res *GatewayResult, bad []history.Broken) {
+	o, _, _ := g.load.Outcomes()
 	res.Asked, res.Settled, res.InTime = o.Requests, o.Settled, o.InTime
 	res.Refused, res.Voided, res.Failed = o.Declined, o.Voided, o.Failed
-	for _, d := range h.t.Nodes {
+	for _, d := range g.t.Nodes {
 		if words, ended := d.Crash(); ended {
 			bad = append(bad, history.Broken{Rule: "Fault", T: history.Now(), Who: d.Name,
 				What: "ended by itself: " + words})
 		}
 	}
-	events := h.log.Events()
+	events := g.log.Events()
 	res.History = events
-	for _, v := range h.t.Operator.Versions() {
+	for _, v := range g.t.Operator.Versions() {
 		if v.Acked > 0 {
 			res.Taken++
 		} else if !v.Lost {
@@ -69,9 +69,9 @@
 	if n := events[max(0, len(events)-1)]; n.Kind == history.Lost {
 		res.Slow = time.Hour // what rests on what was not kept is no finding
 	}
-	bad = append(bad, gatewaystandin.Judge(events, h.t.Backends(), platform+res.Slow)...)
-	if h.also != nil {
-		bad = append(bad, h.also(events, platform+res.Slow)...)
+	bad = append(bad, gatewaystandin.Judge(events, g.t.Backends(), platform+res.Slow)...)
+	if g.also != nil {
+		bad = append(bad, g.also(events, platform+res.Slow)...)
 	}
 	spoilt := map[string]bool{}
 	for _, e := range events {
@@ -95,8 +95,8 @@
 }
 
 // keep writes the history and the nodes' logs of a run that failed.
-func (h *gatewayRun) keep(dir string, res *GatewayResult) error {
-	dir = filepath.Join(dir, fmt.Sprintf("%s-%d-%d", cmp.Or(h.name, "gateway"), res.Nodes, res.Seed))
+func (g *gatewayRun) keep(dir string, res *GatewayResult) error {
+	dir = filepath.Join(dir, fmt.Sprintf("%s-%d-%d", cmp.Or(g.name, "gateway"), res.Nodes, res.Seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -107,13 +107,13 @@
 	if err := errors.Join(history.Write(f, res.History), f.Close()); err != nil {
 		return err
 	}
-	if len(h.says) > 0 {
-		text := strings.Join(h.says, "\n") + "\n"
+	if len(g.says) > 0 {
+		text := strings.Join(g.says, "\n") + "\n"
 		if err := os.WriteFile(filepath.Join(dir, "nodes.txt"), []byte(text), 0o644); err != nil {
 			return err
 		}
 	}
-	for _, d := range h.t.Nodes {
+	for _, d := range g.t.Nodes {
 		in, err := os.Open(d.Log())
 		if err != nil {
 			continue // it wrote nothing
--- a/internal/lab/faultrig/rollout.go
+++ b/internal/lab/faultrig/rollout.go
@@ -79,21 +79,21 @@
 }
 
 // Last lets each step last so long, with the failing at the same part of its step.
-func (s *RolloutSchedule) Last(dwell time.Duration) {
-	s.After = time.Duration(float64(s.After) / float64(s.Dwell) * float64(dwell))
-	s.Dwell = dwell
+func (r *RolloutSchedule) Last(dwell time.Duration) {
+	r.After = time.Duration(float64(r.After) / float64(r.Dwell) * float64(dwell))
+	r.Dwell = dwell
 }
 
 // order is the roll-out that is started.
-func (s *RolloutSchedule) order() rollout.Spec {
-	r := rollout.Spec{Service: s.Play.Leading, Old: gatewaystandin.FirstVersion, New: newVersion, Advance: s.Advance}
-	for _, share := range s.Steps {
-		r.Steps = append(r.Steps, rollout.Step{Share: share, MinTime: rollout.Duration(s.Dwell), Requests: 10})
+func (r *RolloutSchedule) order() rollout.Spec {
+	spec := rollout.Spec{Service: r.Play.Leading, Old: gatewaystandin.FirstVersion, New: newVersion, Advance: r.Advance}
+	for _, share := range r.Steps {
+		spec.Steps = append(spec.Steps, rollout.Step{Share: share, MinTime: rollout.Duration(r.Dwell), Requests: 10})
 	}
-	if s.Arm == Unjudged { // backends that are full count, of which there are none, and ten times as slow
-		r.Failing = rollout.FailureCriteria{Causes: []string{"full"}, Extra: 5000, Quantile: 9900, Slower: 1000}
+	if r.Arm == Unjudged { // backends that are full count, of which there are none, and ten times as slow
+		spec.Failing = rollout.FailureCriteria{Causes: []string{"full"}, Extra: 5000, Quantile: 9900, Slower: 1000}
 	}
-	return r
+	return spec
 }
 
 // RolloutResult is what came of it.
