--- a/internal/lab/faultrig/spans.go
+++ b/internal/lab/faultrig/spans.go
@@ -85,17 +85,17 @@
 }
 
 // watched brings one loss and tells how long the rig itself was held up meanwhile.
-func (h *gatewayRun) watched(ctx context.Context, l Loss, rng *rand.Rand) (*Spans, time.Duration, error) {
+func (g *gatewayRun) watched(ctx context.Context, l Loss, rng *rand.Rand) (*Spans, time.Duration, error) {
 	s, stop := &Spans{Loss: l}, make(chan struct{})
 	slow := watchSelf(stop)
-	leader, view, err := h.well(ctx)
+	leader, view, err := g.well(ctx)
 	sleep(ctx, time.Duration(rng.IntN(1000))*time.Millisecond) // anywhere between the leader's beats
 	switch {
 	case err != nil:
 	case l == Emptied:
-		err = h.empty(ctx, s)
+		err = g.empty(ctx, s)
 	default:
-		err = h.lose(ctx, s, leader, view)
+		err = g.lose(ctx, s, leader, view)
 	}
 	close(stop)
 	return s, <-slow, err
@@ -108,8 +108,8 @@
 }
 
 // lose takes the leader away and waits for what it measures.
-func (h *gatewayRun) lose(ctx context.Context, s *Spans, leader *gatewaystandin.Node, view uint64) (err error) {
-	rest := slices.DeleteFunc(slices.Clone(h.t.Nodes), func(d *gatewaystandin.Node) bool { return d == leader })
+func (g *gatewayRun) lose(ctx context.Context, s *Spans, leader *gatewaystandin.Node, view uint64) (err error) {
+	rest := slices.DeleteFunc(slices.Clone(g.t.Nodes), func(d *gatewaystandin.Node) bool { return d == leader })
 	part := func(off bool) {
 		for _, d := range rest {
 			leader.Part(d, off)
@@ -130,14 +130,14 @@
 	var side sync.WaitGroup
 	var leads time.Duration
 	side.Go(func() {
-		if h.another(late, leader, view) {
+		if g.another(late, leader, view) {
 			leads = time.Since(began)
 		}
 	})
 	var taken time.Duration
 	side.Go(func() {
 		for late.Err() == nil && taken == 0 {
-			if h.t.Operator.Change(late) {
+			if g.t.Operator.Change(late) {
 				taken = time.Since(began)
 			}
 		}
@@ -160,18 +160,18 @@
 }
 
 // empty kills all nodes and starts them again.
-func (h *gatewayRun) empty(ctx context.Context, s *Spans) error {
+func (g *gatewayRun) empty(ctx context.Context, s *Spans) error {
 	began, killed := time.Now(), history.Now()
-	h.each(h.t.Nodes, kill)
+	g.each(g.t.Nodes, kill)
 	var side sync.WaitGroup
 	defer side.Wait()
-	side.Go(func() { h.each(h.t.Nodes, again) })
-	if bad := h.recovers(ctx, string(s.Loss)); len(bad) > 0 {
+	side.Go(func() { g.each(g.t.Nodes, again) })
+	if bad := g.recovers(ctx, string(s.Loss)); len(bad) > 0 {
 		return fmt.Errorf("%s", bad[0])
 	}
 	s.All = append(s.All, time.Since(began))
 	sleep(ctx, 2*time.Second) // what was sent by then has its answer
-	at, ok := quarter(h.log.Events(), killed)
+	at, ok := quarter(g.log.Events(), killed)
 	if !ok {
 		return errors.New("never was a quarter of the tries served")
 	}
@@ -216,11 +216,11 @@
 }
 
 // well waits until all is well, and tells who leads.
-func (h *gatewayRun) well(ctx context.Context) (*gatewaystandin.Node, uint64, error) {
+func (g *gatewayRun) well(ctx context.Context) (*gatewaystandin.Node, uint64, error) {
 	late, cancel := context.WithTimeout(ctx, recoverMost)
 	defer cancel()
 	for late.Err() == nil {
-		if d, view := h.t.Leader(late); d != nil {
+		if d, view := g.t.Leader(late); d != nil {
 			return d, view, nil
 		}
 		sleep(late, 50*time.Millisecond)
@@ -229,20 +229,20 @@
 		return nil, 0, ctx.Err()
 	}
 	text := ""
-	for _, d := range h.t.Nodes {
-		text += "\n" + d.Name + ": " + h.t.Tells(d)
+	for _, d := range g.t.Nodes {
+		text += "\n" + d.Name + ": " + g.t.Tells(d)
 	}
 	return nil, 0, fmt.Errorf("not all is well after %s:%s", recoverMost, text)
 }
 
 // another waits until another of the core leads a newer view.
-func (h *gatewayRun) another(ctx context.Context, than *gatewaystandin.Node, view uint64) bool {
+func (g *gatewayRun) another(ctx context.Context, than *gatewaystandin.Node, view uint64) bool {
 	for ctx.Err() == nil {
-		for _, d := range h.t.Cores() {
+		for _, d := range g.t.Cores() {
 			if d == than {
 				continue
 			}
-			if s := h.t.Status(ctx, d, time.Second); s != nil && s.Core != nil && s.Core.Role == "leading" && s.Core.View > view {
+			if s := g.t.Status(ctx, d, time.Second); s != nil && s.Core != nil && s.Core.Role == "leading" && s.Core.View > view {
 				return true
 			}
 		}
--- a/internal/lab/gatewaystandin/backend.go
+++ b/internal/lab/gatewaystandin/backend.go
@@ -106,47 +106,47 @@
 }
 
 // Add starts a backend that is slow for a while, and lets it beat.
-func (t *Deployment) Add(service, zone string, cold time.Duration) (*Line, error) {
-	return t.AddVersion(service, zone, FirstVersion, cold)
+func (d *Deployment) Add(service, zone string, cold time.Duration) (*Line, error) {
+	return d.AddVersion(service, zone, FirstVersion, cold)
 }
 
 // FirstVersion is that of the backends that a deployment begins with.
 const FirstVersion = "v1"
 
 // AddVersion is Add with the version that the backend beats with.
-func (t *Deployment) AddVersion(service, zone, version string, cold time.Duration) (*Line, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.closed {
+func (d *Deployment) AddVersion(service, zone, version string, cold time.Duration) (*Line, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.closed {
 		return nil, errors.New("the deployment is closed")
 	}
-	t.lives++
-	src := rand.New(rand.NewPCG(t.Terms.Seed, 0xbac0+uint64(t.lives)))
+	d.lives++
+	src := rand.New(rand.NewPCG(d.Terms.Seed, 0xbac0+uint64(d.lives)))
 	var draw sync.Mutex
-	l := &Line{Service: service, Zone: zone, Version: version, t: t, from: time.Now(), cold: cold}
-	b, err := standin.NewSpeaking(l, t.Terms.History, fmt.Sprintf("i-%s-%d", service, t.lives), zone, t.play().slots,
+	l := &Line{Service: service, Zone: zone, Version: version, t: d, from: time.Now(), cold: cold}
+	b, err := standin.NewSpeaking(l, d.Terms.History, fmt.Sprintf("i-%s-%d", service, d.lives), zone, d.play().slots,
 		QueueEach,
-		t.Terms.Seed+uint64(t.lives), func(kind string) time.Duration {
+		d.Terms.Seed+uint64(d.lives), func(kind string) time.Duration {
 			draw.Lock()
 			defer draw.Unlock()
-			return time.Duration(float64(t.work(kind)) * (0.5 + min(src.ExpFloat64(), longestDraw)/2))
+			return time.Duration(float64(d.work(kind)) * (0.5 + min(src.ExpFloat64(), longestDraw)/2))
 		})
 	if err != nil {
 		return nil, err
 	}
 	l.Backend = b
-	ctx, cancel := context.WithCancel(t.ctx)
+	ctx, cancel := context.WithCancel(d.ctx)
 	l.cancel = cancel
-	t.outputs, t.all = append(t.outputs, l), append(t.all, l)
-	t.wg.Add(1)
-	go func() { defer t.wg.Done(); l.beats(ctx) }()
+	d.outputs, d.all = append(d.outputs, l), append(d.all, l)
+	d.wg.Add(1)
+	go func() { defer d.wg.Done(); l.beats(ctx) }()
 	return l, nil
 }
 
-func (t *Deployment) remove(l *Line) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.outputs = slices.DeleteFunc(t.outputs, func(x *Line) bool { return x == l })
+func (d *Deployment) remove(l *Line) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.outputs = slices.DeleteFunc(d.outputs, func(x *Line) bool { return x == l })
 }
 
 // Crash ends it without a word.
@@ -245,12 +245,12 @@
 }
 
 // post makes one control call and follows 307 twice.
-func (t *Deployment) post(ctx context.Context, to, path string, body []byte, most time.Duration) (status int,
+func (d *Deployment) post(ctx context.Context, to, path string, body []byte, most time.Duration) (status int,
 	text []byte, err error) {
-	return t.call(ctx, "POST", to, path, body, most)
+	return d.call(ctx, "POST", to, path, body, most)
 }
 
-func (t *Deployment) call(ctx context.Context, method, to, path string, body []byte,
+func (d *Deployment) call(ctx context.Context, method, to, path string, body []byte,
 	most time.Duration) (status int, text []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
@@ -262,7 +262,7 @@
 		}
 		r.ContentLength = int64(len(body))
 		r.Header.Set("Content-Type", "application/json")
-		a, err := t.control.Transport.RoundTrip(r)
+		a, err := d.control.Transport.RoundTrip(r)
 		if err != nil {
 			return 0, nil, err
 		}
--- a/internal/lab/gatewaystandin/calm_rules.go
+++ b/internal/lab/gatewaystandin/calm_rules.go
@@ -24,15 +24,15 @@
 }
 
 // Backends names who played.
-func (t *Deployment) Backends() *Backends {
-	c := &Backends{Nodes: map[string]string{}, Services: map[string]string{}, Versions: t.Operator.Versions()}
-	for _, d := range t.Nodes {
-		c.Nodes[d.Control] = d.Name
+func (d *Deployment) Backends() *Backends {
+	c := &Backends{Nodes: map[string]string{}, Services: map[string]string{}, Versions: d.Operator.Versions()}
+	for _, node := range d.Nodes {
+		c.Nodes[node.Control] = node.Name
 	}
-	for _, d := range t.Cores() {
-		c.Cores = append(c.Cores, d.Name)
+	for _, otherNode := range d.Cores() {
+		c.Cores = append(c.Cores, otherNode.Name)
 	}
-	for _, l := range t.All() {
+	for _, l := range d.All() {
 		c.Services[l.ID] = l.Service
 	}
 	return c
--- a/internal/lab/gatewaystandin/config_rules.go
+++ b/internal/lab/gatewaystandin/config_rules.go
@@ -141,71 +141,71 @@
 	bad   []history.Broken
 }
 
-func (x *routeJudge) say(r *clientTry, rule string, timed bool, at time.Duration, format string, args ...any) {
-	x.bad = append(x.bad, history.Broken{Rule: rule, T: at, Who: r.ask.At, Txn: r.route.Txn, Key: r.route.What,
+func (r *routeJudge) say(clientTry *clientTry, rule string, timed bool, at time.Duration, format string, args ...any) {
+	r.bad = append(r.bad, history.Broken{Rule: rule, T: at, Who: clientTry.ask.At, Txn: clientTry.route.Txn, Key: clientTry.route.What,
 		What: fmt.Sprintf(format, args...), Timed: timed})
 }
 
 // asked: what ran is what was asked, as its tenant, by a service that some configuration ever sent names for it.
-func (x *routeJudge) asked(r *clientTry) {
+func (r *routeJudge) asked(clientTry *clientTry) {
 	ever := map[string]bool{}
-	for _, v := range x.t.Versions {
-		for _, s := range targets(v.Config, r.route) {
+	for _, v := range r.t.Versions {
+		for _, s := range targets(v.Config, clientTry.route) {
 			ever[s] = true
 		}
 	}
-	for _, e := range r.ran {
-		if e.At != r.route.At {
-			x.say(r, "UNASKED", false, e.T, "asked %s, ran %s", r.route.At, e.At)
+	for _, e := range clientTry.ran {
+		if e.At != clientTry.route.At {
+			r.say(clientTry, "UNASKED", false, e.T, "asked %s, ran %s", clientTry.route.At, e.At)
 		}
-		if e.Key != r.ask.Key && r.ask.T > 0 {
-			x.say(r, "UNASKED", false, e.T, "ran as the tenant %q, its key is of %q", e.Key, r.ask.Key)
+		if e.Key != clientTry.ask.Key && clientTry.ask.T > 0 {
+			r.say(clientTry, "UNASKED", false, e.T, "ran as the tenant %q, its key is of %q", e.Key, clientTry.ask.Key)
 		}
-		if !ever[x.t.Services[e.Who]] {
-			x.say(r, "ROUTE", false, e.T, "ran at %s, of a service that no configuration names for it", e.Who)
+		if !ever[r.t.Services[e.Who]] {
+			r.say(clientTry, "ROUTE", false, e.T, "ran at %s, of a service that no configuration names for it", e.Who)
 		}
 	}
 }
 
 // inForce: a node in touch answers and routes by a configuration that may be in force.
-func (x *routeJudge) inForce(r *clientTry) {
-	if r.ask.T == 0 || len(x.force) == 0 {
+func (r *routeJudge) inForce(clientTry *clientTry) {
+	if clientTry.ask.T == 0 || len(r.force) == 0 {
 		return
 	}
-	end := max(r.answer.T, r.ask.T)
-	for _, e := range r.ran {
+	end := max(clientTry.answer.T, clientTry.ask.T)
+	for _, e := range clientTry.ran {
 		end = max(end, e.T)
 	}
-	if !x.calm.touch(r.ask.At, r.ask.T, end) {
+	if !r.calm.touch(clientTry.ask.At, clientTry.ask.T, end) {
 		return
 	}
-	allowed, some, none := x.allowed(r, end)
-	if code := r.answer.N; !none && some && (code == 401 || code == 403 || code == 404) {
-		x.say(r, "CONFIG", true, r.answer.T,
+	allowed, some, none := r.allowed(clientTry, end)
+	if code := clientTry.answer.N; !none && some && (code == 401 || code == 403 || code == 404) {
+		r.say(clientTry, "CONFIG", true, clientTry.answer.T,
 			"answered %.0f, though every configuration that may be in force has its route and key", code)
 	}
-	for _, e := range r.ran {
-		if !allowed[x.t.Services[e.Who]] {
-			x.say(r, "CONFIG", true, e.T, "ran at %s, as only an older configuration allows", e.Who)
+	for _, e := range clientTry.ran {
+		if !allowed[r.t.Services[e.Who]] {
+			r.say(clientTry, "CONFIG", true, e.T, "ran at %s, as only an older configuration allows", e.Who)
 		}
 	}
 }
 
 // allowed gives the services that versions which may be in force during a try name for it, and whether some or any of these
 // versions name one, or none.
-func (x *routeJudge) allowed(r *clientTry, end time.Duration) (services map[string]bool, some, none bool) {
+func (r *routeJudge) allowed(clientTry *clientTry, end time.Duration) (services map[string]bool, some, none bool) {
 	from := 0
-	for i, v := range x.force {
-		if v.Acked > 0 && v.Acked+Bounds().ApplyWithin+x.slack < r.ask.T {
+	for i, v := range r.force {
+		if v.Acked > 0 && v.Acked+Bounds().ApplyWithin+r.slack < clientTry.ask.T {
 			from = i
 		}
 	}
 	services = map[string]bool{}
-	for _, v := range x.force[from:] {
+	for _, v := range r.force[from:] {
 		if v.Sent > end {
 			break
 		}
-		to := targets(v.Config, r.route)
+		to := targets(v.Config, clientTry.route)
 		for _, s := range to {
 			services[s] = true
 		}
@@ -215,18 +215,18 @@
 }
 
 // force are the versions that were in force, in order: the newest that was read or acknowledged, and what it builds on.
-func (t *Backends) force(read uint64) (all []Version) {
-	for n, v := range t.Versions {
+func (b *Backends) force(read uint64) (all []Version) {
+	for n, v := range b.Versions {
 		if v.Acked > 0 { // none may have been read
 			read = max(read, n)
 		}
 	}
-	for n := range chain(read, t.Versions) {
-		if v, ok := t.Versions[n]; ok {
+	for n := range chain(read, b.Versions) {
+		if v, ok := b.Versions[n]; ok {
 			all = append(all, v)
 		}
 	}
-	slices.SortFunc(all, func(a, b Version) int { return int(a.Config.Generation) - int(b.Config.Generation) })
+	slices.SortFunc(all, func(a, version Version) int { return int(a.Config.Generation) - int(version.Config.Generation) })
 	return all
 }
 
--- a/internal/lab/gatewaystandin/core.go
+++ b/internal/lab/gatewaystandin/core.go
@@ -10,8 +10,8 @@
 )
 
 // Status is what a node says of itself; nil if it says nothing in time.
-func (t *Deployment) Status(ctx context.Context, d *Node, most time.Duration) *controlapi.NodeStatus {
-	status, text, err := t.call(ctx, "GET", d.Control, "/api/Node.Status", nil, most)
+func (d *Deployment) Status(ctx context.Context, node *Node, most time.Duration) *controlapi.NodeStatus {
+	status, text, err := d.call(ctx, "GET", node.Control, "/api/Node.Status", nil, most)
 	s := new(controlapi.NodeStatus)
 	if err != nil || status != http.StatusOK || json.Unmarshal(text, s) != nil {
 		return nil
@@ -20,9 +20,9 @@
 }
 
 // Leader is who leads the core and the view, if all of the core say the same, have all, and every node is ready; else nil.
-func (t *Deployment) Leader(ctx context.Context) (leader *Node, view uint64) {
-	for _, d := range t.Nodes {
-		s := t.Status(ctx, d, time.Second)
+func (d *Deployment) Leader(ctx context.Context) (leader *Node, view uint64) {
+	for _, node := range d.Nodes {
+		s := d.Status(ctx, node, time.Second)
 		if s == nil || !s.Ready {
 			return nil, 0
 		}
@@ -33,11 +33,11 @@
 		if view == 0 {
 			view = c.View
 		}
-		if c.View != view || !c.Settled || c.Behind > 0 || c.Learner != "" || len(c.Members) != len(t.Cores()) {
+		if c.View != view || !c.Settled || c.Behind > 0 || c.Learner != "" || len(c.Members) != len(d.Cores()) {
 			return nil, 0
 		}
 		if c.Role == "leading" {
-			leader = d
+			leader = node
 		}
 	}
 	return leader, view
--- a/internal/lab/gatewaystandin/cuts.go
+++ b/internal/lab/gatewaystandin/cuts.go
@@ -13,12 +13,12 @@
 )
 
 // Part lets nothing that the node says get to another, or lets it again. The nodes must be debug builds.
-func (d *Node) Part(to *Node, off bool) {
-	note := func(k history.Kind) { d.t.Terms.History.Add(history.Event{Who: d.Name, At: to.Name, Kind: k}) }
+func (n *Node) Part(to *Node, off bool) {
+	note := func(k history.Kind) { n.t.Terms.History.Add(history.Event{Who: n.Name, At: to.Name, Kind: k}) }
 	if off {
 		note(Parted)
 	}
-	d.Cut(to.Host, off)
+	n.Cut(to.Host, off)
 	if !off {
 		note(Joined)
 	}
--- a/internal/lab/gatewaystandin/deployment.go
+++ b/internal/lab/gatewaystandin/deployment.go
@@ -161,13 +161,13 @@
 func addr(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
 
 // Start starts all nodes at once and waits until their addresses answer.
-func (t *Deployment) Start() error {
-	errs := make(chan error, len(t.Nodes))
-	for _, d := range t.Nodes {
-		go func() { errs <- d.Again() }()
+func (d *Deployment) Start() error {
+	errs := make(chan error, len(d.Nodes))
+	for _, node := range d.Nodes {
+		go func() { errs <- node.Again() }()
 	}
 	var bad error
-	for range t.Nodes {
+	for range d.Nodes {
 		if err := <-errs; err != nil {
 			bad = err
 		}
@@ -176,25 +176,25 @@
 }
 
 // Settings is the text of the node's settings file.
-func (d *Node) Settings(first bool) string {
-	t, b := d.t, Bounds()
+func (n *Node) Settings(first bool) string {
+	t, b := n.t, Bounds()
 	var s strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&s, format+"\n", args...) }
-	line("node_name: %q\nrole: \"node\"\nserves: [\"edge\", \"control\"]", d.Name)
-	line("ip: %q\nzone: %q\nregion: \"loopback\"", d.Host, d.Zone)
+	line("node_name: %q\nrole: \"node\"\nserves: [\"edge\", \"control\"]", n.Name)
+	line("ip: %q\nzone: %q\nregion: \"loopback\"", n.Host, n.Zone)
 	line("zones:")
 	for _, z := range t.Terms.Zones {
 		line("  %s: \"loopback\"", z)
 	}
-	line("bind: {front: %q, readiness: %q, control: %q}", d.Front, d.Readying, d.Control)
+	line("bind: {front: %q, readiness: %q, control: %q}", n.Front, n.Readying, n.Control)
 	line("inner_port_range: [%d, %d]\nseed_addrs:", t.at.inner, t.at.inner+15)
 	for _, a := range t.seeds {
 		line("  - %q", a)
 	}
-	line("first_boot: %v\ncounts_as_loss: %v", first, d.Disk != "")
+	line("first_boot: %v\ncounts_as_loss: %v", first, n.Disk != "")
 	line("limits: {cpu_share: 1, cores: 1, memory_mb: 284, max_fds: 3000, link_mbps: 1000.0, disk_mb: 64}")
-	if d.Disk != "" {
-		line("data_dir: %q", d.Disk)
+	if n.Disk != "" {
+		line("data_dir: %q", n.Disk)
 	}
 	line("beat_interval: \"%dms\"\ntolerates: {machines: %d, zones: 0, regions: 0}",
 		t.Terms.Beat.Milliseconds(), t.Terms.Lost)
@@ -205,34 +205,34 @@
 }
 
 // prepare lays the settings of the next life. Only the first start of all is one on empty disks.
-func (d *Node) prepare(life int) (*exec.Cmd, error) {
-	file := filepath.Join(d.t.dir, d.Name+".yaml")
-	if err := os.WriteFile(file, []byte(d.Settings(life == 1)), 0o600); err != nil {
+func (n *Node) prepare(life int) (*exec.Cmd, error) {
+	file := filepath.Join(n.t.dir, n.Name+".yaml")
+	if err := os.WriteFile(file, []byte(n.Settings(life == 1)), 0o600); err != nil {
 		return nil, err
 	}
-	if d.Disk != "" {
-		if err := os.MkdirAll(d.Disk, 0o700); err != nil {
+	if n.Disk != "" {
+		if err := os.MkdirAll(n.Disk, 0o700); err != nil {
 			return nil, err
 		}
 	}
-	cmd := exec.Command(d.t.Terms.Program, "serve")
+	cmd := exec.Command(n.t.Terms.Program, "serve")
 	cmd.Env = append(os.Environ(), "GOTRACEBACK=single", settings.PathEnv+"="+file)
 	return cmd, nil
 }
 
 // serves tells whether the node answers whether it is ready, be it no.
-func (d *Node) serves(ctx context.Context) bool {
-	_, ok := d.t.ready(ctx, d)
+func (n *Node) serves(ctx context.Context) bool {
+	_, ok := n.t.ready(ctx, n)
 	return ok
 }
 
 // ready asks a node whether it is, as the platform does.
-func (t *Deployment) ready(ctx context.Context, d *Node) (yes, answered bool) {
+func (d *Deployment) ready(ctx context.Context, node *Node) (yes, answered bool) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+d.Readying+"/api/ready", nil)
+	r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+node.Readying+"/api/ready", nil)
 	r.Close = true
-	a, err := t.control.Do(r)
+	a, err := d.control.Do(r)
 	if err != nil {
 		return false, false
 	}
@@ -241,13 +241,13 @@
 }
 
 // Wipe kills the node and empties its disk.
-func (d *Node) Wipe() error {
-	if d.Disk == "" {
+func (n *Node) Wipe() error {
+	if n.Disk == "" {
 		return errors.New("no disk to wipe")
 	}
-	return d.KillAnd(func() error {
-		d.t.Terms.History.Add(history.Event{Who: d.Name, Kind: Wiped})
-		return os.RemoveAll(d.Disk)
+	return n.KillAnd(func() error {
+		n.t.Terms.History.Add(history.Event{Who: n.Name, Kind: Wiped})
+		return os.RemoveAll(n.Disk)
 	})
 }
 
@@ -258,25 +258,25 @@
 const Terminates history.Kind = "term"
 
 // Term tells the node to end, and kills it if it has not within a while.
-func (d *Node) Term(patience time.Duration) {
-	d.t.Terms.History.Add(history.Event{Who: d.Name, Kind: Terminates})
-	d.Process.Term(patience)
+func (n *Node) Term(patience time.Duration) {
+	n.t.Terms.History.Add(history.Event{Who: n.Name, Kind: Terminates})
+	n.Process.Term(patience)
 }
 
 // Reload tells the node that its settings file may have changed.
-func (d *Node) Reload() {
-	d.t.Terms.History.Add(history.Event{Who: d.Name, Kind: Reloads})
-	d.Process.Reload()
+func (n *Node) Reload() {
+	n.t.Terms.History.Add(history.Event{Who: n.Name, Kind: Reloads})
+	n.Process.Reload()
 }
 
 // Tells is what a node says of itself.
-func (t *Deployment) Tells(d *Node) string { return t.tells(d, "/api/Node.Status") }
+func (d *Deployment) Tells(node *Node) string { return d.tells(node, "/api/Node.Status") }
 
 // TellsRollouts is what a node says of roll-outs.
-func (t *Deployment) TellsRollouts(d *Node) string { return t.tells(d, "/api/Rollout.Status") }
+func (d *Deployment) TellsRollouts(node *Node) string { return d.tells(node, "/api/Rollout.Status") }
 
-func (t *Deployment) tells(d *Node, path string) string {
-	status, text, err := t.call(t.ctx, "GET", d.Control, path, nil, time.Second)
+func (d *Deployment) tells(node *Node, path string) string {
+	status, text, err := d.call(d.ctx, "GET", node.Control, path, nil, time.Second)
 	if err != nil {
 		return err.Error()
 	}
@@ -284,11 +284,11 @@
 }
 
 // Log is the file of all that the node's lives wrote.
-func (d *Node) Log() string { return filepath.Join(d.t.dir, d.Name+".log") }
+func (n *Node) Log() string { return filepath.Join(n.t.dir, n.Name+".log") }
 
 // line keeps the log, and tells its lines from a crash's last words.
-func (d *Node) line(text []byte) bool {
-	if f, err := os.OpenFile(d.Log(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err == nil {
+func (n *Node) line(text []byte) bool {
+	if f, err := os.OpenFile(n.Log(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err == nil {
 		f.Write(append(text[:len(text):len(text)], '\n'))
 		f.Close()
 	}
@@ -296,38 +296,38 @@
 }
 
 // Cores are the nodes with a disk.
-func (t *Deployment) Cores() []*Node { return t.Nodes[:min(t.Terms.Disks, len(t.Nodes))] }
+func (d *Deployment) Cores() []*Node { return d.Nodes[:min(d.Terms.Disks, len(d.Nodes))] }
 
 // Serving lists the backends that beat.
-func (t *Deployment) Serving() []*Line {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return append([]*Line(nil), t.outputs...)
+func (d *Deployment) Serving() []*Line {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return append([]*Line(nil), d.outputs...)
 }
 
 // All lists all backends that ever were.
-func (t *Deployment) All() []*Line {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return append([]*Line(nil), t.all...)
+func (d *Deployment) All() []*Line {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return append([]*Line(nil), d.all...)
 }
 
 // Close ends all: the nodes by their processes' numbers.
-func (t *Deployment) Close() {
-	t.mu.Lock()
-	t.closed = true
-	t.mu.Unlock()
-	t.stop()
-	for _, d := range t.Nodes {
-		d.Close()
+func (d *Deployment) Close() {
+	d.mu.Lock()
+	d.closed = true
+	d.mu.Unlock()
+	d.stop()
+	for _, node := range d.Nodes {
+		node.Close()
 	}
-	t.wg.Wait()
-	for _, l := range t.All() {
+	d.wg.Wait()
+	for _, l := range d.All() {
 		l.Close()
 	}
-	t.control.CloseIdleConnections()
-	os.RemoveAll(t.dir)
+	d.control.CloseIdleConnections()
+	os.RemoveAll(d.dir)
 }
 
 // source draws from the deployment's seed, apart for each use.
-func (t *Deployment) source(use uint64) *rand.Rand { return rand.New(rand.NewPCG(t.Terms.Seed, use)) }
+func (d *Deployment) source(use uint64) *rand.Rand { return rand.New(rand.NewPCG(d.Terms.Seed, use)) }
--- a/internal/lab/gatewaystandin/gone_rules.go
+++ b/internal/lab/gatewaystandin/gone_rules.go
@@ -23,25 +23,25 @@
 
 // ranOn: a request that may be repeated reaches a backend, or is still there, over half a second after its client has left, by a node
 // in touch.
-func (x *requestJudge) ranOn(h []history.Event) (bad []history.Broken) {
+func (r *requestJudge) ranOn(h []history.Event) (bad []history.Broken) {
 	over := map[runOf]time.Duration{}
 	for _, e := range h {
 		if e.Kind == history.Over {
 			over[runOf{e.Who, e.Txn, e.N}] = e.T
 		}
 	}
-	for _, r := range x.all {
-		if r.end.Kind != history.Left || r.ask.What != "pure" {
+	for _, clientTry := range r.all {
+		if clientTry.end.Kind != history.Left || clientTry.ask.What != "pure" {
 			continue
 		}
-		late := r.end.T + ranOnAfter + x.slack
-		if !x.calm.touch(r.ask.At, r.ask.T, late) {
+		late := clientTry.end.T + ranOnAfter + r.slack
+		if !r.calm.touch(clientTry.ask.At, clientTry.ask.T, late) {
 			continue
 		}
-		for _, run := range r.ran {
+		for _, run := range clientTry.ran {
 			if end, ok := over[runOf{run.Who, run.Txn, run.N}]; run.T > late || ok && end > late {
-				bad = append(bad, history.Broken{Rule: "GONE", T: late, Who: r.ask.At, Txn: r.ask.Txn, Timed: true,
-					What: fmt.Sprintf("its client left at %.3fs, at %s from %.3fs to %.3fs", r.end.T.Seconds(), run.Who,
+				bad = append(bad, history.Broken{Rule: "GONE", T: late, Who: clientTry.ask.At, Txn: clientTry.ask.Txn, Timed: true,
+					What: fmt.Sprintf("its client left at %.3fs, at %s from %.3fs to %.3fs", clientTry.end.T.Seconds(), run.Who,
 						run.T.Seconds(), end.Seconds())})
 			}
 		}
--- a/internal/lab/gatewaystandin/loss_rules.go
+++ b/internal/lab/gatewaystandin/loss_rules.go
@@ -66,8 +66,8 @@
 }
 
 // losses: around planned work, and in no other trouble, who has read a request does not end its connection without an answer.
-func (x *requestJudge) losses(h []history.Event) (bad []history.Broken) {
-	p := newPlanned(h, x.calm)
+func (r *requestJudge) losses(h []history.Event) (bad []history.Broken) {
+	p := newPlanned(h, r.calm)
 	over := map[string]time.Duration{} // when the last backend had done with a try
 	for _, e := range h {
 		if e.Kind == history.Over {
@@ -75,31 +75,31 @@
 		}
 	}
 	beside := map[string]*besideConfigs{}
-	for _, r := range x.all {
-		if r.end.Kind == "" || !p.quiet(r.ask.T-Bounds().InTouch, r.end.T) {
+	for _, clientTry := range r.all {
+		if clientTry.end.Kind == "" || !p.quiet(clientTry.ask.T-Bounds().InTouch, clientTry.end.T) {
 			continue
 		}
-		of := beside[r.ask.At]
+		of := beside[clientTry.ask.At]
 		if of == nil {
 			of = &besideConfigs{}
-			beside[r.ask.At] = of
+			beside[clientTry.ask.At] = of
 		}
-		cut := x.cut(r)
-		at, ends := x.ending(p, r)
+		cut := r.cut(clientTry)
+		at, ends := r.ending(p, clientTry)
 		switch {
 		case cut && ends:
-			if !workedOn(r, over[r.ask.Txn], at) {
-				bad = append(bad, x.lost(r, "while its node was told to end"))
+			if !workedOn(clientTry, over[clientTry.ask.Txn], at) {
+				bad = append(bad, r.lost(clientTry, "while its node was told to end"))
 			}
-		case cut && reloading(p, r):
-			bad = append(bad, x.lost(r, "while its node read its settings again"))
-		case x.config(r):
-			of.beside = of.beside.with(r.end)
-			if cut && r.end.T-r.ask.T < time.Duration(usedShare*float64(x.allowed(r))) {
-				of.cut = append(of.cut, r)
+		case cut && reloading(p, clientTry):
+			bad = append(bad, r.lost(clientTry, "while its node read its settings again"))
+		case r.config(clientTry):
+			of.beside = of.beside.with(clientTry.end)
+			if cut && clientTry.end.T-clientTry.ask.T < time.Duration(usedShare*float64(r.allowed(clientTry))) {
+				of.cut = append(of.cut, clientTry)
 			}
 		default:
-			of.apart = of.apart.with(r.end)
+			of.apart = of.apart.with(clientTry.end)
 			if cut {
 				of.cutApart++
 			}
@@ -107,8 +107,8 @@
 	}
 	for _, of := range beside {
 		if of.often() {
-			for _, r := range of.cut {
-				bad = append(bad, x.lost(r, "while a configuration was on its way"))
+			for _, item := range of.cut {
+				bad = append(bad, r.lost(item, "while a configuration was on its way"))
 			}
 		}
 	}
@@ -128,38 +128,38 @@
 	return float64(len(b.cut))*float64(max(b.apart.asked, 1)) > cutTimes*float64(b.cutApart)*float64(b.beside.asked)
 }
 
-func (x *requestJudge) lost(r *clientTry, when string) history.Broken {
-	return history.Broken{Rule: "LOST", T: r.end.T, Who: r.ask.At, Txn: r.ask.Txn, Key: r.route.What, Timed: true,
-		What: fmt.Sprintf("its connection ended without an answer after %s, %s", r.end.T-r.ask.T, when)}
+func (r *requestJudge) lost(clientTry *clientTry, when string) history.Broken {
+	return history.Broken{Rule: "LOST", T: clientTry.end.T, Who: clientTry.ask.At, Txn: clientTry.ask.Txn, Key: clientTry.route.What, Timed: true,
+		What: fmt.Sprintf("its connection ended without an answer after %s, %s", clientTry.end.T-clientTry.ask.T, when)}
 }
 
 // allowed is how long a try may take: what its client waits, and its route's timeout.
-func (x *requestJudge) allowed(r *clientTry) time.Duration {
-	left := r.ask.Due - r.ask.T
-	if t := x.timeout(r); t > 0 {
+func (r *requestJudge) allowed(clientTry *clientTry) time.Duration {
+	left := clientTry.ask.Due - clientTry.ask.T
+	if t := r.timeout(clientTry); t > 0 {
 		left = min(left, t)
 	}
 	return left
 }
 
 // cut tells whether a connection ended without an answer, by the node's doing and before the time was over.
-func (x *requestJudge) cut(r *clientTry) bool {
-	took := r.end.T - r.ask.T
-	if r.end.Kind != history.Unheard || r.spoilt || took+x.slack >= x.allowed(r) {
+func (r *requestJudge) cut(clientTry *clientTry) bool {
+	took := clientTry.end.T - clientTry.ask.T
+	if clientTry.end.Kind != history.Unheard || clientTry.spoilt || took+r.slack >= r.allowed(clientTry) {
 		return false
 	}
-	for _, e := range r.ran {
-		if between(x.crashes[e.Who], r.ask.T, r.end.T) {
+	for _, e := range clientTry.ran {
+		if between(r.crashes[e.Who], clientTry.ask.T, clientTry.end.T) {
 			return false
 		}
 	}
-	return len(r.ran) > 0 || took > Bounds().LossSlack
+	return len(clientTry.ran) > 0 || took > Bounds().LossSlack
 }
 
 // ending tells whether a try ended while its node was told to end, and since when that was.
-func (x *requestJudge) ending(p *planned, r *clientTry) (at time.Duration, ends bool) {
-	for _, t := range p.ends[r.ask.At] {
-		if t <= r.end.T && r.end.T <= t+Bounds().ShutdownGrace+afterGrace+x.slack {
+func (r *requestJudge) ending(p *planned, clientTry *clientTry) (at time.Duration, ends bool) {
+	for _, t := range p.ends[clientTry.ask.At] {
+		if t <= clientTry.end.T && clientTry.end.T <= t+Bounds().ShutdownGrace+afterGrace+r.slack {
 			return t, true
 		}
 	}
@@ -184,9 +184,9 @@
 }
 
 // config tells whether a try ended while a configuration that may be in force was on its way.
-func (x *requestJudge) config(r *clientTry) bool {
-	return slices.ContainsFunc(x.force, func(v Version) bool {
+func (r *requestJudge) config(clientTry *clientTry) bool {
+	return slices.ContainsFunc(r.force, func(v Version) bool {
 		to := v.Acked + Bounds().ApplyWithin + afterConfigApply
-		return v.Sent <= r.end.T && (v.Acked == 0 || r.end.T <= to)
+		return v.Sent <= clientTry.end.T && (v.Acked == 0 || clientTry.end.T <= to)
 	})
 }
--- a/internal/lab/gatewaystandin/orders.go
+++ b/internal/lab/gatewaystandin/orders.go
@@ -26,11 +26,11 @@
 const lookMost = 300 * time.Millisecond
 
 // Rollout is how a service's newest roll-out stands, asked of a node; whoever leads knows best.
-func (t *Deployment) Rollout(ctx context.Context, d *Node, service string) (v RolloutView, ok bool) {
+func (d *Deployment) Rollout(ctx context.Context, node *Node, service string) (v RolloutView, ok bool) {
 	var all struct {
 		Rollouts []RolloutView `json:"rollouts"`
 	}
-	status, text, err := t.call(ctx, "GET", d.Control, "/api/Rollout.Status", nil, lookMost)
+	status, text, err := d.call(ctx, "GET", node.Control, "/api/Rollout.Status", nil, lookMost)
 	if err != nil || status != http.StatusOK || json.Unmarshal(text, &all) != nil {
 		return v, false
 	}
@@ -43,7 +43,7 @@
 }
 
 // PulledBack tells whether a node itself goes by a pull-back of a service's newest roll-out, and why there was one.
-func (t *Deployment) PulledBack(ctx context.Context, d *Node, service string) (why string, yes bool) {
+func (d *Deployment) PulledBack(ctx context.Context, node *Node, service string) (why string, yes bool) {
 	var all struct {
 		Rollouts []struct {
 			Phase string `json:"phase"`
@@ -54,7 +54,7 @@
 			} `json:"lines"`
 		} `json:"rollouts"`
 	}
-	status, text, err := t.call(ctx, "GET", d.Control, "/api/Rollout.History/"+service, nil, lookMost)
+	status, text, err := d.call(ctx, "GET", node.Control, "/api/Rollout.History/"+service, nil, lookMost)
 	if err != nil || status != http.StatusOK || json.Unmarshal(text, &all) != nil || len(all.Rollouts) == 0 {
 		return "", false
 	}
--- a/internal/lab/gatewaystandin/play.go
+++ b/internal/lab/gatewaystandin/play.go
@@ -124,16 +124,16 @@
 func (p *Play) Tenant(i int) string { return tenant(i % tenantsEach) }
 
 // play is what is played.
-func (t *Deployment) play() *Play {
-	if t.Terms.Play != nil {
-		return t.Terms.Play
+func (d *Deployment) play() *Play {
+	if d.Terms.Play != nil {
+		return d.Terms.Play
 	}
 	return fakeNode
 }
 
 // kind names what is asked for, for the work it takes: in the small deployment all of a service is alike.
-func (t *Deployment) kind(service, path string) string {
-	if name, _, ok := strings.Cut(strings.TrimPrefix(path, "/"), "/"); ok && t.play().of(name) != nil {
+func (d *Deployment) kind(service, path string) string {
+	if name, _, ok := strings.Cut(strings.TrimPrefix(path, "/"), "/"); ok && d.play().of(name) != nil {
 		return name
 	}
 	return service
@@ -149,11 +149,11 @@
 }
 
 // work is how long a request of a kind takes in the middle.
-func (t *Deployment) work(kind string) time.Duration {
-	if k := t.play().of(kind); k != nil {
+func (d *Deployment) work(kind string) time.Duration {
+	if k := d.play().of(kind); k != nil {
 		return k.Work
 	}
-	for _, s := range t.play().services {
+	for _, s := range d.play().services {
 		if s.Name == kind && s.Work > 0 {
 			return s.Work
 		}
@@ -268,17 +268,17 @@
 }
 
 // Spoil lets all backends of a version have a flaw, those that come later too; nil ends it.
-func (t *Deployment) Spoil(version string, f *Flaw) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (d *Deployment) Spoil(version string, f *Flaw) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if f == nil {
-		delete(t.flaws, version)
+		delete(d.flaws, version)
 		return
 	}
-	if t.flaws == nil {
-		t.flaws = map[string]Flaw{}
+	if d.flaws == nil {
+		d.flaws = map[string]Flaw{}
 	}
-	t.flaws[version] = *f
+	d.flaws[version] = *f
 }
 
 // Kinds of events of versions.
--- a/internal/lab/gatewaystandin/request_rules.go
+++ b/internal/lab/gatewaystandin/request_rules.go
@@ -101,24 +101,24 @@
 
 // inForce are the versions that may be in force for a try at any moment until a time: the newest that every node has by
 // when it was asked, and those sent since.
-func (x *requestJudge) inForce(r *clientTry, until time.Duration) []Version {
+func (r *requestJudge) inForce(clientTry *clientTry, until time.Duration) []Version {
 	from := 0
-	for i, v := range x.force {
-		if v.Acked > 0 && v.Acked+Bounds().ApplyWithin+x.slack < r.ask.T {
+	for i, v := range r.force {
+		if v.Acked > 0 && v.Acked+Bounds().ApplyWithin+r.slack < clientTry.ask.T {
 			from = i
 		}
 	}
 	to := from
-	for to < len(x.force) && x.force[to].Sent <= until {
+	for to < len(r.force) && r.force[to].Sent <= until {
 		to++
 	}
-	return x.force[min(from, to):to]
+	return r.force[min(from, to):to]
 }
 
 // ended is when a try was over, as far as anybody saw.
-func (r *clientTry) ended() time.Duration {
-	end := max(r.end.T, r.ask.T)
-	for _, e := range r.ran {
+func (c *clientTry) ended() time.Duration {
+	end := max(c.end.T, c.ask.T)
+	for _, e := range c.ran {
 		end = max(end, e.T)
 	}
 	return end
@@ -140,23 +140,23 @@
 }
 
 // tries: no more than a few requests run, in one try, on more backends than their route's max_tries.
-func (x *requestJudge) tries() (bad []history.Broken) {
-	for _, r := range x.all {
+func (r *requestJudge) tries() (bad []history.Broken) {
+	for _, clientTry := range r.all {
 		most := 0
-		for _, v := range x.inForce(r, r.ended()) {
-			if route := routeOf(v.Config, r.route); route != nil {
+		for _, v := range r.inForce(clientTry, clientTry.ended()) {
+			if route := routeOf(v.Config, clientTry.route); route != nil {
 				most = max(most, route.MaxTries, 1)
 			}
 		}
 		at := map[string]bool{}
-		for _, e := range r.ran {
-			if !between(x.crashes[e.Who], r.ask.T, r.ended()) {
+		for _, e := range clientTry.ran {
+			if !between(r.crashes[e.Who], clientTry.ask.T, clientTry.ended()) {
 				at[e.Who] = true
 			}
 		}
 		if most > 0 && len(at) > most {
-			bad = append(bad, history.Broken{Rule: "BUDGET", T: r.ran[len(r.ran)-1].T, Who: r.ask.At, Txn: r.ask.Txn,
-				Key: r.route.What, What: fmt.Sprintf("ran on %d backends, %d are the most in one try", len(at), most)})
+			bad = append(bad, history.Broken{Rule: "BUDGET", T: clientTry.ran[len(clientTry.ran)-1].T, Who: clientTry.ask.At, Txn: clientTry.ask.Txn,
+				Key: clientTry.route.What, What: fmt.Sprintf("ran on %d backends, %d are the most in one try", len(at), most)})
 		}
 	}
 	if len(bad) <= triesBeyondMost {
@@ -166,9 +166,9 @@
 }
 
 // timeout is the longest time that a route lets a try be held, by any version that may be in force; nought: there is none.
-func (x *requestJudge) timeout(r *clientTry) (most time.Duration) {
-	for _, v := range x.inForce(r, r.ended()) {
-		route := routeOf(v.Config, r.route)
+func (r *requestJudge) timeout(clientTry *clientTry) (most time.Duration) {
+	for _, v := range r.inForce(clientTry, clientTry.ended()) {
+		route := routeOf(v.Config, clientTry.route)
 		if route == nil || route.Deadline == nil {
 			continue
 		}
@@ -180,49 +180,49 @@
 }
 
 // held: a node without trouble does not hold a request a quarter of a second past its route's deadline.
-func (x *requestJudge) held() (bad []history.Broken) {
-	for _, r := range x.all {
-		most := x.timeout(r)
-		if most == 0 || r.end.T <= r.ask.T+most+heldMost+x.slack || !x.undisturbed(r.ask.At, r.ask.T, r.end.T) {
+func (r *requestJudge) held() (bad []history.Broken) {
+	for _, clientTry := range r.all {
+		most := r.timeout(clientTry)
+		if most == 0 || clientTry.end.T <= clientTry.ask.T+most+heldMost+r.slack || !r.undisturbed(clientTry.ask.At, clientTry.ask.T, clientTry.end.T) {
 			continue
 		}
-		bad = append(bad, history.Broken{Rule: "Held", T: r.end.T, Who: r.ask.At, Txn: r.ask.Txn, Key: r.route.What, Timed: true,
-			What: fmt.Sprintf("held for %s, its route's deadline is %s", r.end.T-r.ask.T, most)})
+		bad = append(bad, history.Broken{Rule: "Held", T: clientTry.end.T, Who: clientTry.ask.At, Txn: clientTry.ask.Txn, Key: clientTry.route.What, Timed: true,
+			What: fmt.Sprintf("held for %s, its route's deadline is %s", clientTry.end.T-clientTry.ask.T, most)})
 	}
 	return bad
 }
 
 // undisturbed tells whether a node was in no trouble of its own for a whole time, and a while before.
-func (x *requestJudge) undisturbed(node string, from, to time.Duration) bool {
+func (r *requestJudge) undisturbed(node string, from, to time.Duration) bool {
 	begin := from - Bounds().InTouch
-	return !between(x.calm.events[node], begin, to) && !x.calm.off.meets(node, begin, to)
+	return !between(r.calm.events[node], begin, to) && !r.calm.off.meets(node, begin, to)
 }
 
 // addedRoutes: nodes in touch serve requests on routes that were added later not much seldomer than those on the first ones.
-func (x *requestJudge) addedRoutes() (bad []history.Broken) {
-	if len(x.force) == 0 {
+func (r *requestJudge) addedRoutes() (bad []history.Broken) {
+	if len(r.force) == 0 {
 		return nil
 	}
 	first, added := map[string]share{}, map[string]share{}
-	for _, r := range x.all {
-		versions := x.inForce(r, r.ended())
-		if r.end.N == 429 || r.end.Kind == "" || r.end.Kind == history.Left || len(versions) == 0 || !x.calm.touch(r.ask.At, r.ask.T, r.ended()) ||
-			slices.ContainsFunc(versions, func(v Version) bool { return routeOf(v.Config, r.route) == nil }) {
+	for _, clientTry := range r.all {
+		versions := r.inForce(clientTry, clientTry.ended())
+		if clientTry.end.N == 429 || clientTry.end.Kind == "" || clientTry.end.Kind == history.Left || len(versions) == 0 || !r.calm.touch(clientTry.ask.At, clientTry.ask.T, clientTry.ended()) ||
+			slices.ContainsFunc(versions, func(v Version) bool { return routeOf(v.Config, clientTry.route) == nil }) {
 			continue
 		}
 		to := added
-		if routeOf(x.force[0].Config, r.route) != nil {
+		if routeOf(r.force[0].Config, clientTry.route) != nil {
 			to = first
 		}
-		for _, of := range []string{"", r.ask.At} {
-			to[of] = to[of].with(r.end)
+		for _, of := range []string{"", clientTry.ask.At} {
+			to[of] = to[of].with(clientTry.end)
 		}
 	}
 	for of, a := range added {
 		f := first[of]
 		least := starvedShare * f.rate() // where few of the first are served, more are asked for to tell it from chance
 		if a.asked >= addedLeast && f.asked > 0 && a.rate() < least && least*float64(a.asked) >= servedLeast {
-			bad = append(bad, history.Broken{Rule: "CONFIG", T: x.all[len(x.all)-1].ask.T, Who: of, What: fmt.Sprintf(
+			bad = append(bad, history.Broken{Rule: "CONFIG", T: r.all[len(r.all)-1].ask.T, Who: of, What: fmt.Sprintf(
 				"served %d of %d on routes added later, %d of %d on the first", a.served, a.asked, f.served, f.asked)})
 		}
 	}
@@ -244,29 +244,29 @@
 
 // starved: no kind of request and no tenant is served much seldomer than all. What lies beyond a tenant's limit is not owed, nor
 // what no configuration in force allows, nor a route that was added later at a node that was out of touch: it can't know of it.
-func (x *requestJudge) starved() (bad []history.Broken) {
+func (r *requestJudge) starved() (bad []history.Broken) {
 	all, by := share{}, map[string]share{}
-	for _, r := range x.all {
-		versions := x.inForce(r, r.ended())
-		if r.end.N == 429 || r.end.Kind == "" || !x.begun(r) || slices.ContainsFunc(versions, func(v Version) bool { return routeOf(v.Config, r.route) == nil }) {
+	for _, clientTry := range r.all {
+		versions := r.inForce(clientTry, clientTry.ended())
+		if clientTry.end.N == 429 || clientTry.end.Kind == "" || !r.begun(clientTry) || slices.ContainsFunc(versions, func(v Version) bool { return routeOf(v.Config, clientTry.route) == nil }) {
 			continue
 		}
-		if routeOf(x.force[0].Config, r.route) == nil && !x.calm.touch(r.ask.At, r.ask.T, r.ended()) {
+		if routeOf(r.force[0].Config, clientTry.route) == nil && !r.calm.touch(clientTry.ask.At, clientTry.ask.T, clientTry.ended()) {
 			continue // it may not have been told of the route
 		}
-		all = all.with(r.end)
-		for _, of := range []string{kindOf(r), "tenant " + r.ask.Key} {
-			by[of] = by[of].with(r.end)
+		all = all.with(clientTry.end)
+		for _, of := range []string{kindOf(clientTry), "tenant " + clientTry.ask.Key} {
+			by[of] = by[of].with(clientTry.end)
 		}
 	}
-	for name, most := range x.limits() {
+	for name, most := range r.limits() {
 		of := "tenant " + name
 		by[of] = share{min(by[of].asked, most), by[of].served}
 	}
 	for of, s := range by {
 		least := starvedShare * all.rate() // fewer are expected than can be told from chance on days that serve next to nothing
 		if s.asked >= kindLeast && s.rate() < least && least*float64(s.asked) >= servedLeast {
-			bad = append(bad, history.Broken{Rule: "Starved", T: x.all[len(x.all)-1].ask.T, Key: of, What: fmt.Sprintf(
+			bad = append(bad, history.Broken{Rule: "Starved", T: r.all[len(r.all)-1].ask.T, Key: of, What: fmt.Sprintf(
 				"served %d of %d that are owed, of all %d of %d", s.served, s.asked, all.served, all.asked)})
 		}
 	}
@@ -275,8 +275,8 @@
 }
 
 // begun tells whether the first configuration was in force everywhere when a request was sent.
-func (x *requestJudge) begun(r *clientTry) bool {
-	return len(x.force) > 0 && x.force[0].Acked > 0 && r.ask.T > x.force[0].Acked+Bounds().ApplyWithin
+func (r *requestJudge) begun(clientTry *clientTry) bool {
+	return len(r.force) > 0 && r.force[0].Acked > 0 && clientTry.ask.T > r.force[0].Acked+Bounds().ApplyWithin
 }
 
 // kindOf is a request's kind: its route's, or that of all routes that come and go.
@@ -288,13 +288,13 @@
 }
 
 // limits are how many requests of each metered tenant are owed over the whole time, at the most.
-func (x *requestJudge) limits() map[string]int {
+func (r *requestJudge) limits() map[string]int {
 	limits := map[string]int{}
-	if len(x.all) == 0 {
+	if len(r.all) == 0 {
 		return limits
 	}
-	seconds := (x.all[len(x.all)-1].ask.T - x.all[0].ask.T).Seconds()
-	for _, v := range x.force {
+	seconds := (r.all[len(r.all)-1].ask.T - r.all[0].ask.T).Seconds()
+	for _, v := range r.force {
 		for _, t := range v.Config.Tenants {
 			if t.RatePerS > 0 {
 				limits[t.Name] = max(limits[t.Name], int(t.RatePerS*seconds+t.Burst))
--- a/internal/lab/gatewaystandin/rollouts.go
+++ b/internal/lab/gatewaystandin/rollouts.go
@@ -21,9 +21,9 @@
 }
 
 // Outputs tells service and version of all backends that ever were.
-func (t *Deployment) Outputs() map[string][2]string {
+func (d *Deployment) Outputs() map[string][2]string {
 	all := map[string][2]string{}
-	for _, l := range t.All() {
+	for _, l := range d.All() {
 		all[l.ID] = [2]string{l.Service, l.Version}
 	}
 	return all
--- a/internal/lab/leasecheck/faults.go
+++ b/internal/lab/leasecheck/faults.go
@@ -28,72 +28,72 @@
 })
 
 // applyFault begins a fault, and ends it when its time is over.
-func (w *big) applyFault(f *spec.Fault, zones []string) {
-	w.under++
-	w.after(f.For.D(), func() {
-		if w.under--; w.under == 0 {
-			w.calm = w.now
+func (b *big) applyFault(f *spec.Fault, zones []string) {
+	b.under++
+	b.after(f.For.D(), func() {
+		if b.under--; b.under == 0 {
+			b.calm = b.now
 		}
 	})
-	r := &faultRun{big: w, fault: f, zone: func(i int) string { return zones[i%len(zones)] }, lives: map[int]uint32{}}
-	r.hit = spec.Hits(len(w.members), f.Share, f.Source(w.rng))
+	r := &faultRun{big: b, fault: f, zone: func(i int) string { return zones[i%len(zones)] }, lives: map[int]uint32{}}
+	r.hit = spec.Hits(len(b.members), f.Share, f.Source(b.rng))
 	end, err := effects.Begin(r, f)
 	if err != nil {
 		panic(err) // only those of the table are drawn
 	}
 	if end != nil {
-		w.after(f.For.D(), end)
+		b.after(f.For.D(), end)
 	}
 }
 
 // kill ends a front door that runs.
-func (w *big) kill(i int) (killed bool) {
-	d := w.members[i]
+func (b *big) kill(i int) (killed bool) {
+	d := b.members[i]
 	if !d.up {
 		return false
 	}
-	w.hurt(i)
+	b.hurt(i)
 	d.up = false
 	return true
 }
 
 // Kill ends the front doors that are hit and run.
-func (r *faultRun) Kill() {
-	for _, i := range r.hit {
-		if r.kill(i) {
-			r.lives[i] = r.members[i].life
+func (f *faultRun) Kill() {
+	for _, i := range f.hit {
+		if f.kill(i) {
+			f.lives[i] = f.members[i].life
 		}
 	}
 }
 
 // Start starts those that it ended.
-func (r *faultRun) Start() {
-	for _, i := range r.hit {
-		if _, killed := r.lives[i]; killed {
-			r.start(i)
+func (f *faultRun) Start() {
+	for _, i := range f.hit {
+		if _, killed := f.lives[i]; killed {
+			f.start(i)
 		}
 	}
 }
 
 // Stall lets front doors stand still, and go on if they still live the same life.
-func (r *faultRun) Stall(on bool) {
-	for _, i := range r.hit {
-		d := r.members[i]
-		life, stalled := r.lives[i]
+func (f *faultRun) Stall(on bool) {
+	for _, i := range f.hit {
+		d := f.members[i]
+		life, stalled := f.lives[i]
 		switch {
 		case on && d.up:
-			r.hurt(i)
+			f.hurt(i)
 			d.still++
-			r.lives[i] = d.life
+			f.lives[i] = d.life
 		case !on && stalled && d.life == life && d.still > 0:
-			r.resume(i)
+			f.resume(i)
 		}
 	}
 }
 
 // resume ends one reason to stand still; without another, what came meanwhile is done.
-func (w *big) resume(i int) {
-	d := w.members[i]
+func (b *big) resume(i int) {
+	d := b.members[i]
 	if d.still--; d.still > 0 {
 		return
 	}
@@ -102,16 +102,16 @@
 	for _, do := range waits {
 		do()
 	}
-	w.turn(i, d.life, func(*member) {})
+	b.turn(i, d.life, func(*member) {})
 }
 
 // roll restarts front doors in waves.
-func (r *faultRun) roll(f *spec.Fault) func() {
-	waves := max(1, f.Waves)
-	for k, i := range r.hit {
-		r.after(time.Duration(k*waves/len(r.hit))*f.For.D()/time.Duration(waves), func() {
-			if r.kill(i) {
-				r.after(f.For.D()/time.Duration(2*waves), func() { r.start(i) })
+func (f *faultRun) roll(fault *spec.Fault) func() {
+	waves := max(1, fault.Waves)
+	for k, i := range f.hit {
+		f.after(time.Duration(k*waves/len(f.hit))*fault.For.D()/time.Duration(waves), func() {
+			if f.kill(i) {
+				f.after(fault.For.D()/time.Duration(2*waves), func() { f.start(i) })
 			}
 		})
 	}
@@ -119,20 +119,20 @@
 }
 
 // cutZone lets no datagram in or out of a zone.
-func (r *faultRun) cutZone(f *spec.Fault) func() {
-	id := r.links.Bring(netfault.Effect{Cut: true, On: func(a, b int) bool { return (r.zone(a) == f.Zone) != (r.zone(b) == f.Zone) }})
-	return func() { r.links.End(id) }
+func (f *faultRun) cutZone(fault *spec.Fault) func() {
+	id := f.links.Bring(netfault.Effect{Cut: true, On: func(a, b int) bool { return (f.zone(a) == fault.Zone) != (f.zone(b) == fault.Zone) }})
+	return func() { f.links.End(id) }
 }
 
 // troublePeers does something to the datagrams between front doors.
-func (r *faultRun) troublePeers(f *spec.Fault) func() {
-	rng := f.Source(r.rng)
-	spec.Hits(len(r.members), f.Share, rng) // drawn first for all faults
-	e, _ := netfault.Of(f, len(r.members), r.zone, rng)
-	id := r.links.Bring(e)
+func (f *faultRun) troublePeers(fault *spec.Fault) func() {
+	rng := fault.Source(f.rng)
+	spec.Hits(len(f.members), fault.Share, rng) // drawn first for all faults
+	e, _ := netfault.Of(fault, len(f.members), f.zone, rng)
+	id := f.links.Bring(e)
 	return func() {
-		for _, c := range r.links.End(id) {
-			r.deliver(c)
+		for _, c := range f.links.End(id) {
+			f.deliver(c)
 		}
 	}
 }
--- a/internal/lab/leasecheck/fleet.go
+++ b/internal/lab/leasecheck/fleet.go
@@ -129,140 +129,140 @@
 	return w.out, nil
 }
 
-func (w *big) at(t time.Duration, do func()) {
-	w.q.Add(max(t, w.now), do)
+func (b *big) at(t time.Duration, do func()) {
+	b.q.Add(max(t, b.now), do)
 }
 
-func (w *big) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+func (b *big) after(d time.Duration, do func()) { b.at(b.now+d, do) }
 
 // own is a front door's clock.
-func (d *member) own(now time.Duration) time.Duration {
-	return time.Duration(float64(now-d.born) * d.rate)
+func (m *member) own(now time.Duration) time.Duration {
+	return time.Duration(float64(now-m.born) * m.rate)
 }
 
-func (w *big) start(i int) {
-	d := w.members[i]
+func (b *big) start(i int) {
+	d := b.members[i]
 	if d.up {
 		return
 	}
 	d.life++
-	d.up, d.still, d.waits, d.born = true, 0, nil, w.now
-	c, err := lease.New(lease.Config{Me: lease.Node(i), Life: uint32(w.rng.Uint32()), Fleets: []lease.Fleet{{Gen: 1, Members: w.b.Nodes}}, Voters: w.b.Voters,
-		Length: w.b.Length, Longest: w.b.Length, Drift: w.b.Drift, Margin: w.b.Margin, Retry: w.b.Retry,
-		Floor: lease.Number(1e9 + w.now.Milliseconds())}, 0)
+	d.up, d.still, d.waits, d.born = true, 0, nil, b.now
+	c, err := lease.New(lease.Config{Me: lease.Node(i), Life: uint32(b.rng.Uint32()), Fleets: []lease.Fleet{{Gen: 1, Members: b.b.Nodes}}, Voters: b.b.Voters,
+		Length: b.b.Length, Longest: b.b.Length, Drift: b.b.Drift, Margin: b.b.Margin, Retry: b.b.Retry,
+		Floor: lease.Number(1e9 + b.now.Milliseconds())}, 0)
 	if err != nil {
-		w.out.Bad = append(w.out.Bad, err.Error())
+		b.out.Bad = append(b.out.Bad, err.Error())
 		return
 	}
 	d.core = c
-	for _, t := range w.wants[i] {
+	for _, t := range b.wants[i] {
 		c.Wish(t, 1, 0)
 	}
-	w.pull(i)
+	b.pull(i)
 }
 
 // turn does something at a front door, or later if it stands still.
-func (w *big) turn(i int, life uint32, do func(*member)) {
-	d := w.members[i]
+func (b *big) turn(i int, life uint32, do func(*member)) {
+	d := b.members[i]
 	if !d.up || d.life != life {
 		return
 	}
 	if d.still > 0 {
-		d.waits = append(d.waits, func() { w.turn(i, life, do) })
+		d.waits = append(d.waits, func() { b.turn(i, life, do) })
 		return
 	}
-	d.core.Now(d.own(w.now))
+	d.core.Now(d.own(b.now))
 	do(d)
-	w.pull(i)
+	b.pull(i)
 }
 
-func (w *big) pull(i int) {
-	d := w.members[i]
-	d.core.Now(d.own(w.now))
+func (b *big) pull(i int) {
+	d := b.members[i]
+	d.core.Now(d.own(b.now))
 	for x, ok := d.core.Next(); ok; x, ok = d.core.Next() {
 		switch x.Kind {
 		case lease.Send:
 			d.sent++
-			for _, c := range w.links.Send(w.now, i, int(x.To), x.Payload) {
-				w.deliver(c)
+			for _, c := range b.links.Send(b.now, i, int(x.To), x.Payload) {
+				b.deliver(c)
 			}
 		case lease.Granted:
-			w.granted(i, x.Grant)
+			b.granted(i, x.Grant)
 		case lease.Renewed: // it stood still for less than its lease
-			delete(w.lost, x.Grant.Task)
-			delete(w.free, x.Grant.Task)
+			delete(b.lost, x.Grant.Task)
+			delete(b.free, x.Grant.Task)
 		case lease.Gone:
-			w.gone(x.Grant.Task)
+			b.gone(x.Grant.Task)
 		}
 	}
 	if at, ok := d.core.Due(); ok {
 		d.timer++
 		nr, life := d.timer, d.life
-		w.after(max(time.Duration(float64(at-d.own(w.now))/d.rate), time.Microsecond), func() {
+		b.after(max(time.Duration(float64(at-d.own(b.now))/d.rate), time.Microsecond), func() {
 			if d.timer == nr {
-				w.turn(i, life, func(*member) {})
+				b.turn(i, life, func(*member) {})
 			}
 		})
 	}
 }
 
-func (w *big) deliver(c netfault.Copy) {
-	w.after(c.After, func() {
-		w.turn(c.To, w.members[c.To].life, func(d *member) { d.core.Heard(lease.Node(c.From), c.Payload) })
+func (b *big) deliver(c netfault.Copy) {
+	b.after(c.After, func() {
+		b.turn(c.To, b.members[c.To].life, func(d *member) { d.core.Heard(lease.Node(c.From), c.Payload) })
 	})
 }
 
 // granted looks whether any other holds the permit now, each by its own clock, whether it stands still or not.
-func (w *big) granted(i int, g lease.Grant) {
-	w.out.Grants++
-	for _, n := range w.by[g.Task] {
-		d := w.members[n]
+func (b *big) granted(i int, g lease.Grant) {
+	b.out.Grants++
+	for _, n := range b.by[g.Task] {
+		d := b.members[n]
 		if n == i || !d.up {
 			continue
 		}
-		d.core.Now(d.own(w.now))
+		d.core.Now(d.own(b.now))
 		if o, ok := d.core.Holds(g.Task); ok && o.Permit == g.Permit {
-			w.out.Bad = append(w.out.Bad, fmt.Sprintf("at %s front doors %d and %d hold %s", w.now, n, i, g.Task))
+			b.out.Bad = append(b.out.Bad, fmt.Sprintf("at %s front doors %d and %d hold %s", b.now, n, i, g.Task))
 		}
 	}
-	if since, ok := w.lost[g.Task]; ok {
-		w.out.After = append(w.out.After, w.now-since)
-		delete(w.lost, g.Task)
+	if since, ok := b.lost[g.Task]; ok {
+		b.out.After = append(b.out.After, b.now-since)
+		delete(b.lost, g.Task)
 	}
-	if since, ok := w.free[g.Task]; ok {
-		w.idle(g.Task, since)
-		delete(w.free, g.Task)
+	if since, ok := b.free[g.Task]; ok {
+		b.idle(g.Task, since)
+		delete(b.free, g.Task)
 	}
 }
 
 // idle notes how long a task had no holder with the fleet at rest.
-func (w *big) idle(_ lease.Task, since time.Duration) {
-	if w.under > 0 {
+func (b *big) idle(_ lease.Task, since time.Duration) {
+	if b.under > 0 {
 		return
 	}
-	from := max(since, w.calm+w.b.settles(), w.b.settles())
-	w.out.Idle = max(w.out.Idle, w.now-from)
+	from := max(since, b.calm+b.b.settles(), b.b.settles())
+	b.out.Idle = max(b.out.Idle, b.now-from)
 }
 
-func (w *big) gone(t lease.Task) {
-	if _, ok := w.free[t]; !ok {
-		w.free[t] = w.now
+func (b *big) gone(t lease.Task) {
+	if _, ok := b.free[t]; !ok {
+		b.free[t] = b.now
 	}
 }
 
 // hurt notes the tasks whose holder has died or begins to stand still.
-func (w *big) hurt(i int) {
-	d := w.members[i]
+func (b *big) hurt(i int) {
+	d := b.members[i]
 	if !d.up {
 		return
 	}
-	d.core.Now(d.own(w.now))
-	for _, t := range w.wants[i] {
+	d.core.Now(d.own(b.now))
+	for _, t := range b.wants[i] {
 		if _, ok := d.core.Holds(t); ok {
-			if _, known := w.lost[t]; !known {
-				w.lost[t] = w.now
+			if _, known := b.lost[t]; !known {
+				b.lost[t] = b.now
 			}
-			w.gone(t)
+			b.gone(t)
 		}
 	}
 }
--- a/internal/lab/simulation/backends.go
+++ b/internal/lab/simulation/backends.go
@@ -63,24 +63,24 @@
 }
 
 // add starts a backend. An address that another had is used first.
-func (s *timeline) add(service, zone string, cold time.Duration) *backend {
-	w := s.w
-	s.born++
-	b := &backend{w: w, id: fmt.Sprintf("i-%s-%d", service, s.born), service: service, zone: zone, slot: s.born, from: w.now,
+func (t *timeline) add(service, zone string, cold time.Duration) *backend {
+	w := t.w
+	t.born++
+	b := &backend{w: w, id: fmt.Sprintf("i-%s-%d", service, t.born), service: service, zone: zone, slot: t.born, from: w.now,
 		cold: cold, slow: 1}
-	for i, v := range s.free {
+	for i, v := range t.free {
 		if v.from <= w.now {
 			b.addr = v.addr
-			s.free = slices.Delete(s.free, i, i+1)
+			t.free = slices.Delete(t.free, i, i+1)
 			break
 		}
 	}
 	if b.addr == "" {
-		b.addr = fmt.Sprintf("10.200.%d.%d:8080", s.born/200, s.born%200+1)
+		b.addr = fmt.Sprintf("10.200.%d.%d:8080", t.born/200, t.born%200+1)
 	}
-	s.at[b.addr] = b
-	s.live = append(s.live, b)
-	s.services[b.id] = service
+	t.at[b.addr] = b
+	t.live = append(t.live, b)
+	t.services[b.id] = service
 	w.every(w.day.Beat, func() bool {
 		if !b.dead {
 			b.say(false, func(bool) {})
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -197,9 +197,9 @@
 }
 
 // answered: an answer is on its way.
-func (x *upstreams) answered(t *try, status int, after time.Duration) {
-	delete(x.tries, t.nr)
-	w := x.p.w
+func (u *upstreams) answered(t *try, status int, after time.Duration) {
+	delete(u.tries, t.nr)
+	w := u.p.w
 	w.after(w.way(t.m.zone, t.want.Zone), func() {
 		if t.over {
 			return
@@ -227,13 +227,13 @@
 const soon = 300 * time.Millisecond
 
 // take admits a request whose client waits so long, some of which it may have lain unread.
-func (x *upstreams) take(t *try, wait, unread time.Duration) {
-	p := x.p
-	if x.tries[t.nr] != t {
+func (u *upstreams) take(t *try, wait, unread time.Duration) {
+	p := u.p
+	if u.tries[t.nr] != t {
 		return
 	}
 	if p.w.refuses(&t.want) {
-		x.answered(t, 503, soon)
+		u.answered(t, 503, soon)
 		return
 	}
 	key := []byte(t.want.Key)
@@ -243,13 +243,13 @@
 	a, why := p.h.Admit([]byte(t.want.Host), []byte(t.want.Path), key)
 	switch why {
 	case ingress.NoRoute:
-		x.answered(t, 404, 0)
+		u.answered(t, 404, 0)
 		return
 	case ingress.NoKey:
-		x.answered(t, 401, 0)
+		u.answered(t, 401, 0)
 		return
 	case ingress.UnknownYet:
-		x.answered(t, 503, soon)
+		u.answered(t, 503, soon)
 		return
 	}
 	t.adm, t.tenant = a, a.Tenant
@@ -261,69 +261,69 @@
 	if a.Metered {
 		txn.Units = 1
 	}
-	ref, ok := p.g.Take(txn, x, slots.Ref(t.nr))
+	ref, ok := p.g.Take(txn, u, slots.Ref(t.nr))
 	if !ok {
-		x.answered(t, 503, soon)
+		u.answered(t, 503, soon)
 		return
 	}
 	t.ref = ref
 }
 
 // of finds a try that waits.
-func (x *upstreams) of(who, txn slots.Ref) *try {
-	if t := x.tries[uint32(who)]; t != nil && (t.ref == 0 || t.ref == txn) {
+func (u *upstreams) of(who, txn slots.Ref) *try {
+	if t := u.tries[uint32(who)]; t != nil && (t.ref == 0 || t.ref == txn) {
 		return t
 	}
 	return nil
 }
 
 // AppendTo gives the number of the try: no bytes are needed here.
-func (x *upstreams) AppendTo(b []byte, who, txn slots.Ref, _ control.BackendID, _ time.Duration) []byte {
-	if x.of(who, txn) == nil {
+func (u *upstreams) AppendTo(b []byte, who, txn slots.Ref, _ control.BackendID, _ time.Duration) []byte {
+	if u.of(who, txn) == nil {
 		return b
 	}
 	return binary.LittleEndian.AppendUint32(b, uint32(who))
 }
 
 // User names whoever a request is of: its key.
-func (x *upstreams) User(who, txn slots.Ref) ([]byte, string) {
-	if t := x.of(who, txn); t != nil {
+func (u *upstreams) User(who, txn slots.Ref) ([]byte, string) {
+	if t := u.of(who, txn); t != nil {
 		return []byte(t.want.Key), t.tenant
 	}
 	return nil, ""
 }
 
-func (x *upstreams) Settle(who, txn slots.Ref, o gate.Outcome) {
-	t := x.of(who, txn)
+func (u *upstreams) Settle(who, txn slots.Ref, o gate.Outcome) {
+	t := u.of(who, txn)
 	switch {
 	case t == nil:
 	case string(o.Body) != t.id:
-		x.p.w.note(history.Event{Who: "clients", Kind: gatewaystandin.Mixed, Txn: t.id, At: t.m.name, What: string(o.Body)})
+		u.p.w.note(history.Event{Who: "clients", Kind: gatewaystandin.Mixed, Txn: t.id, At: t.m.name, What: string(o.Body)})
 	case o.Ending == control.Succeeded:
-		x.answered(t, 200, 0)
+		u.answered(t, 200, 0)
 	default:
-		x.answered(t, 500, 0)
+		u.answered(t, 500, 0)
 	}
 }
 
-func (x *upstreams) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
+func (u *upstreams) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
 	status := 503
 	if why == gate.LackUnits {
 		status = 429
 	}
-	if t := x.of(who, txn); t != nil {
-		x.answered(t, status, after)
+	if t := u.of(who, txn); t != nil {
+		u.answered(t, status, after)
 	}
 }
 
-func (x *upstreams) Void(who, txn slots.Ref, why control.Reason) {
-	t := x.of(who, txn)
+func (u *upstreams) Void(who, txn slots.Ref, why control.Reason) {
+	t := u.of(who, txn)
 	if t == nil {
 		return
 	}
 	status := 502
-	if why == gate.LackTime || t.expiry <= x.p.Now() {
+	if why == gate.LackTime || t.expiry <= u.p.Now() {
 		status = 504
 	}
-	x.answered(t, status, 0)
+	u.answered(t, status, 0)
 }
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -86,144 +86,144 @@
 }
 
 // targets draws the machines that the fault hits.
-func (r *faultRun) targets() []*machine {
-	from := r.cores()
-	target := r.fault.Target()
+func (f *faultRun) targets() []*machine {
+	from := f.cores()
+	target := f.fault.Target()
 	if target == spec.SomeNodes || target == spec.AllNodes {
-		from = r.machines
+		from = f.machines
 	}
 	var some []*machine // drawn for each fault, so that what is drawn later is the same for all
-	for _, i := range spec.Hits(len(from), r.fault.Share, r.rng) {
+	for _, i := range spec.Hits(len(from), f.fault.Share, f.rng) {
 		some = append(some, from[i])
 	}
 	switch {
 	case target == spec.AllNodes:
-		return slices.Clone(r.machines)
-	case target == spec.DrainerNode && r.drainer != nil:
-		return []*machine{r.drainer}
-	case target == spec.CallerNode && r.caller != nil:
-		return []*machine{r.caller}
+		return slices.Clone(f.machines)
+	case target == spec.DrainerNode && f.drainer != nil:
+		return []*machine{f.drainer}
+	case target == spec.CallerNode && f.caller != nil:
+		return []*machine{f.caller}
 	}
 	return some
 }
 
 // lasts ends the fault when its time is over. The harmed machines are in trouble until then.
-func (r *faultRun) lasts(end func()) {
-	r.after(r.fault.For.D(), func() {
+func (f *faultRun) lasts(end func()) {
+	f.after(f.fault.For.D(), func() {
 		end()
-		for _, m := range r.harmed {
+		for _, m := range f.harmed {
 			m.countTrouble(false)
 		}
-		r.over()
+		f.over()
 	})
 }
 
 // over notes that the fault has ended.
-func (r *faultRun) over() {
-	r.say("fault %s ends", r.fault.Kind)
-	r.faults--
+func (f *faultRun) over() {
+	f.say("fault %s ends", f.fault.Kind)
+	f.faults--
 }
 
 // harms marks machines as in trouble while the fault lasts.
-func (r *faultRun) harms(all []*machine) {
-	r.harmed = all
+func (f *faultRun) harms(all []*machine) {
+	f.harmed = all
 	for _, m := range all {
 		m.countTrouble(true)
 	}
 }
 
 // Kill ends the processes of the machines that are hit.
-func (r *faultRun) Kill() { r.killed(false) }
+func (f *faultRun) Kill() { f.killed(false) }
 
 // Start starts those that do not run.
-func (r *faultRun) Start() {
-	for _, m := range r.hit {
+func (f *faultRun) Start() {
+	for _, m := range f.hit {
 		m.start()
 	}
 }
 
 // Stall lets them stand still, and go on.
-func (r *faultRun) Stall(on bool) {
-	for _, m := range r.hit {
+func (f *faultRun) Stall(on bool) {
+	for _, m := range f.hit {
 		m.stall(on)
 	}
 }
 
 // killed ends them, or takes their power.
-func (r *faultRun) killed(power bool) (end func()) {
-	for _, m := range r.hit {
+func (f *faultRun) killed(power bool) (end func()) {
+	for _, m := range f.hit {
 		m.kill(power)
 	}
-	return r.Start
+	return f.Start
 }
 
 // wipe kills machines and takes what is on their disks; on hard days each such loss waits for its turn.
-func (r *faultRun) wipe(f *spec.Fault) func() {
+func (f *faultRun) wipe(fault *spec.Fault) func() {
 	wipe := func() {
-		for _, m := range r.hit {
-			m.kill(f.By < 0.5)
+		for _, m := range f.hit {
+			m.kill(fault.By < 0.5)
 			m.loseDisk()
 		}
 	}
-	if !r.day.Hard {
+	if !f.day.Hard {
 		wipe()
-		return r.Start
+		return f.Start
 	}
-	r.turn(func() {
-		for i, m := range r.hit { // by its place: it may have been replaced meanwhile
-			r.hit[i] = r.machines[m.nr]
+	f.turn(func() {
+		for i, m := range f.hit { // by its place: it may have been replaced meanwhile
+			f.hit[i] = f.machines[m.nr]
 		}
 		wipe()
-		r.lasts(r.Start)
+		f.lasts(f.Start)
 	})
 	return nil
 }
 
 // replaceNodes puts new machines in the place of those that are hit, when their turn has come.
-func (r *faultRun) replaceNodes(*spec.Fault) func() {
-	r.turn(func() {
-		for i, m := range r.hit { // by its place: it may have been replaced meanwhile
-			r.hit[i] = r.machines[m.nr].replace()
+func (f *faultRun) replaceNodes(*spec.Fault) func() {
+	f.turn(func() {
+		for i, m := range f.hit { // by its place: it may have been replaced meanwhile
+			f.hit[i] = f.machines[m.nr].replace()
 		}
-		r.lasts(r.Start)
+		f.lasts(f.Start)
 	})
 	return nil
 }
 
 // terminate tells processes to end; they start again when their grace and the fault's time are over.
-func (r *faultRun) terminate(*spec.Fault) func() {
-	for _, m := range r.hit {
+func (f *faultRun) terminate(*spec.Fault) func() {
+	for _, m := range f.hit {
 		m.terminate()
 	}
-	r.after(r.machines[0].settings.Bounds.ShutdownGrace+200*time.Millisecond, func() { r.lasts(r.Start) })
+	f.after(f.machines[0].settings.Bounds.ShutdownGrace+200*time.Millisecond, func() { f.lasts(f.Start) })
 	return nil
 }
 
 // resetNodes resets all connections of the machines that are hit, again and again.
-func (r *faultRun) resetNodes(f *spec.Fault) func() {
-	until := r.now + f.For.D()
+func (f *faultRun) resetNodes(fault *spec.Fault) func() {
+	until := f.now + fault.For.D()
 	reset := func() {
-		for _, m := range r.hit {
+		for _, m := range f.hit {
 			m.resets()
 		}
 	}
-	r.harms(r.hit)
+	f.harms(f.hit)
 	reset()
-	r.every(resetEach, func() bool {
-		if r.now < until {
+	f.every(resetEach, func() bool {
+		if f.now < until {
 			reset()
 		}
-		return r.now < until
+		return f.now < until
 	})
 	return func() {}
 }
 
 // restartCaller kills the node that has passed on a call, some times. Where none has, it kills some, as a kind without the moment.
-func (r *faultRun) restartCaller(f *spec.Fault) func() {
-	if r.caller == nil {
-		return r.killed(f.Kind == callPower)
+func (f *faultRun) restartCaller(fault *spec.Fault) func() {
+	if f.caller == nil {
+		return f.killed(fault.Kind == callPower)
 	}
-	r.restarts(f, r.caller, 1+int(4*f.By))
+	f.restarts(fault, f.caller, 1+int(4*fault.By))
 	return nil
 }
 
@@ -231,89 +231,89 @@
 const callPower = "call-power"
 
 // cutNodes lets the machines that are hit not hear the others, or not be heard, or both.
-func (r *faultRun) cutNodes(f *spec.Fault) func() {
-	return r.cut(&cut{in: f.Way != "out", out: f.Way != "in"})
+func (f *faultRun) cutNodes(fault *spec.Fault) func() {
+	return f.cut(&cut{in: fault.Way != "out", out: fault.Way != "in"})
 }
 
 // cutZone lets no word in or out of a zone, of its machines or of its backends.
-func (r *faultRun) cutZone(*spec.Fault) func() {
-	zone := r.zones[r.rng.IntN(len(r.zones))]
-	r.hit = nil
-	for _, m := range r.machines {
+func (f *faultRun) cutZone(*spec.Fault) func() {
+	zone := f.zones[f.rng.IntN(len(f.zones))]
+	f.hit = nil
+	for _, m := range f.machines {
 		if m.zone == zone {
-			r.hit = append(r.hit, m)
+			f.hit = append(f.hit, m)
 		}
 	}
-	return r.cut(&cut{zone: zone, backends: true, in: true, out: true})
+	return f.cut(&cut{zone: zone, backends: true, in: true, out: true})
 }
 
 // cut brings a cut of the machines that are hit; all machines are in trouble by it.
-func (r *faultRun) cut(c *cut) func() {
+func (f *faultRun) cut(c *cut) func() {
 	c.group = map[*machine]bool{}
-	for _, m := range r.hit {
+	for _, m := range f.hit {
 		c.group[m] = true
 	}
-	r.harms(r.machines)
-	r.cuts = append(r.cuts, c)
-	return func() { r.cuts = slices.DeleteFunc(r.cuts, func(x *cut) bool { return x == c }) }
+	f.harms(f.machines)
+	f.cuts = append(f.cuts, c)
+	return func() { f.cuts = slices.DeleteFunc(f.cuts, func(x *cut) bool { return x == c }) }
 }
 
 // partLeader parts the leader, or another machine with a disk, from the others with one.
-func (r *faultRun) partLeader(f *spec.Fault) func() {
-	m := r.hit[0]
-	if l := r.leader(); l != nil && f.By < 0.6 {
+func (f *faultRun) partLeader(fault *spec.Fault) func() {
+	m := f.hit[0]
+	if l := f.leader(); l != nil && fault.By < 0.6 {
 		m = l
 	}
-	if len(r.cores()) < 3 { // one of two is half
-		r.faults--
+	if len(f.cores()) < 3 { // one of two is half
+		f.faults--
 		return nil
 	}
-	r.part(f, m)
+	f.part(fault, m)
 	return nil
 }
 
 // repeatCalls lets calls and replies between nodes come once more, late.
-func (r *faultRun) repeatCalls(*spec.Fault) func() {
-	r.copies++
-	return func() { r.copies-- }
+func (f *faultRun) repeatCalls(*spec.Fault) func() {
+	f.copies++
+	return func() { f.copies-- }
 }
 
 // loseFrames loses a share of the datagrams; frames that would be lost go again.
-func (r *faultRun) loseFrames(f *spec.Fault) func() {
-	r.harms(r.machines)
-	return r.losses.Hold(0.02 + 0.3*f.By)
+func (f *faultRun) loseFrames(fault *spec.Fault) func() {
+	f.harms(f.machines)
+	return f.losses.Hold(0.02 + 0.3*fault.By)
 }
 
 // disks does something to the disks that are hit, whose machines are in trouble by it, and undoes it.
-func (r *faultRun) disks(begin, end func(*simulatedDisk)) func() {
-	r.harms(r.hit)
-	for _, m := range r.hit {
+func (f *faultRun) disks(begin, end func(*simulatedDisk)) func() {
+	f.harms(f.hit)
+	for _, m := range f.hit {
 		begin(m.disk)
 	}
 	return func() {
-		for _, m := range r.hit {
+		for _, m := range f.hit {
 			end(m.disk)
 		}
 	}
 }
 
-func (r *faultRun) slowDisks(f *spec.Fault) func() {
-	by := 5 + 100*f.By
-	return r.disks(func(d *simulatedDisk) { d.slow *= by }, func(d *simulatedDisk) { d.slow /= by })
+func (f *faultRun) slowDisks(fault *spec.Fault) func() {
+	by := 5 + 100*fault.By
+	return f.disks(func(d *simulatedDisk) { d.slow *= by }, func(d *simulatedDisk) { d.slow /= by })
 }
 
-func (r *faultRun) hangDisks(*spec.Fault) func() {
-	return r.disks(func(d *simulatedDisk) { d.hangs++ }, func(d *simulatedDisk) { d.hangs-- })
+func (f *faultRun) hangDisks(*spec.Fault) func() {
+	return f.disks(func(d *simulatedDisk) { d.hangs++ }, func(d *simulatedDisk) { d.hangs-- })
 }
 
-func (r *faultRun) fillDisks(*spec.Fault) func() {
-	return r.disks(func(d *simulatedDisk) { d.full++ }, func(d *simulatedDisk) { d.full-- })
+func (f *faultRun) fillDisks(*spec.Fault) func() {
+	return f.disks(func(d *simulatedDisk) { d.full++ }, func(d *simulatedDisk) { d.full-- })
 }
 
 // backends draws the backends that the fault hits.
-func (r *faultRun) backendsHit() (all []*backend) {
-	for _, i := range spec.Hits(len(r.timeline.live), r.fault.Share, r.rng) {
-		all = append(all, r.timeline.live[i])
+func (f *faultRun) backendsHit() (all []*backend) {
+	for _, i := range spec.Hits(len(f.timeline.live), f.fault.Share, f.rng) {
+		all = append(all, f.timeline.live[i])
 	}
 	return all
 }
@@ -334,21 +334,21 @@
 }
 
 // crashBackends ends backends at once; others come in their place when the fault is over.
-func (r *faultRun) crashBackends(f *spec.Fault) func() {
-	for _, b := range r.backendsHit() {
+func (f *faultRun) crashBackends(fault *spec.Fault) func() {
+	for _, b := range f.backendsHit() {
 		if !b.draining {
-			r.after(0, b.crash)
-			r.after(f.For.D(), func() { r.timeline.add(b.service, b.zone, time.Second) })
+			f.after(0, b.crash)
+			f.after(fault.For.D(), func() { f.timeline.add(b.service, b.zone, time.Second) })
 		}
 	}
 	return func() {}
 }
 
 // drainBackends lets backends leave in order, each replaced by another at once.
-func (r *faultRun) drainBackends(*spec.Fault) func() {
-	for _, b := range r.backendsHit() {
+func (f *faultRun) drainBackends(*spec.Fault) func() {
+	for _, b := range f.backendsHit() {
 		if !b.draining {
-			r.timeline.add(b.service, b.zone, time.Second)
+			f.timeline.add(b.service, b.zone, time.Second)
 			b.drain()
 		}
 	}
@@ -356,11 +356,11 @@
 }
 
 // raiseLoad lets clients ask more often.
-func (r *faultRun) raiseLoad(f *spec.Fault) func() { return r.clients.burst.Hold(2 + 2*f.By) }
+func (f *faultRun) raiseLoad(fault *spec.Fault) func() { return f.clients.burst.Hold(2 + 2*fault.By) }
 
 // rushTenant lets one tenant send many times its usual.
-func (r *faultRun) rushTenant(f *spec.Fault) func() {
-	rushing := r.hot(f)
-	r.clients.hot = append(r.clients.hot, rushing)
-	return func() { r.clients.hot = slices.DeleteFunc(r.clients.hot, func(x *rush) bool { return x == rushing }) }
+func (f *faultRun) rushTenant(fault *spec.Fault) func() {
+	rushing := f.hot(fault)
+	f.clients.hot = append(f.clients.hot, rushing)
+	return func() { f.clients.hot = slices.DeleteFunc(f.clients.hot, func(x *rush) bool { return x == rushing }) }
 }
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -297,14 +297,14 @@
 	slots map[*machine]int
 }
 
-func (x *datagrams) SetPeers(addrs []netip.AddrPort, me int) {
-	x.all = nil
-	clear(x.slots)
+func (d *datagrams) SetPeers(addrs []netip.AddrPort, me int) {
+	d.all = nil
+	clear(d.slots)
 	for i, a := range addrs {
-		m := x.p.w.byInner[netip.AddrPortFrom(a.Addr(), innerPort).String()]
-		x.all = append(x.all, m)
+		m := d.p.w.byInner[netip.AddrPortFrom(a.Addr(), innerPort).String()]
+		d.all = append(d.all, m)
 		if i != me {
-			x.slots[m] = i
+			d.slots[m] = i
 		}
 	}
 }
@@ -317,10 +317,10 @@
 	deaf    bool
 }
 
-func (x *upstreams) SetBounds(downstream.Bounds) {}
-func (x *upstreams) Clients() int                { return len(x.tries) }
-func (x *upstreams) Drain()                      { x.drained = true }
-func (x *upstreams) StopListening()              { x.deaf = true }
+func (u *upstreams) SetBounds(downstream.Bounds) {}
+func (u *upstreams) Clients() int                { return len(u.tries) }
+func (u *upstreams) Drain()                      { u.drained = true }
+func (u *upstreams) StopListening()              { u.deaf = true }
 
 // simulatedDisk is a disk: what is on it outlives processes.
 type simulatedDisk struct {
@@ -348,23 +348,23 @@
 func newSimulatedDisk(w *world) *simulatedDisk { return &simulatedDisk{w: w, rng: w.disks, slow: 1} }
 
 // wipe takes all that is on it.
-func (d *simulatedDisk) wipe() {
-	d.kept, d.groups, d.noted, d.writing = replication.PersistentState{}, nil, nil, nil
+func (s *simulatedDisk) wipe() {
+	s.kept, s.groups, s.noted, s.writing = replication.PersistentState{}, nil, nil, nil
 }
 
 // read gives what it holds, with an id for an empty one.
-func (d *simulatedDisk) read() replication.PersistentState {
-	if d.kept.ID == 0 {
-		for d.drawn = 0; d.drawn == 0; {
-			d.drawn = replication.MemberID(d.rng.Uint64() >> 24)
+func (s *simulatedDisk) read() replication.PersistentState {
+	if s.kept.ID == 0 {
+		for s.drawn = 0; s.drawn == 0; {
+			s.drawn = replication.MemberID(s.rng.Uint64() >> 24)
 		}
-		if d.full == 0 {
-			d.kept.ID = d.drawn
+		if s.full == 0 {
+			s.kept.ID = s.drawn
 		}
 	}
-	k := d.kept
+	k := s.kept
 	if k.ID == 0 {
-		k.ID = d.drawn
+		k.ID = s.drawn
 	}
 	if err := k.Validate(); err != nil {
 		panic("a disk does not hold together: " + err.Error())
@@ -374,32 +374,32 @@
 }
 
 // killed ends the writer: what was being written is there whole, or not at all.
-func (d *simulatedDisk) killed() {
-	if x := d.writing; x != nil && d.hangs == 0 && d.full == 0 && d.rng.IntN(2) == 0 {
-		d.apply(x)
+func (s *simulatedDisk) killed() {
+	if x := s.writing; x != nil && s.hangs == 0 && s.full == 0 && s.rng.IntN(2) == 0 {
+		s.apply(x)
 	}
-	d.writing = nil
+	s.writing = nil
 }
 
-func (d *simulatedDisk) apply(x *write) {
-	if d.kept.ID == 0 {
-		d.kept.ID = d.drawn
+func (s *simulatedDisk) apply(x *write) {
+	if s.kept.ID == 0 {
+		s.kept.ID = s.drawn
 	}
 	for _, a := range x.writes {
 		if a.Log == replication.ConfigurationLog {
-			d.kept.Apply(a.Write)
+			s.kept.Apply(a.Write)
 			continue
 		}
-		if d.groups == nil {
-			d.groups = map[replication.LogID]replication.PersistentState{}
+		if s.groups == nil {
+			s.groups = map[replication.LogID]replication.PersistentState{}
 		}
-		k := d.groups[a.Log]
-		k.ID = d.kept.ID
+		k := s.groups[a.Log]
+		k.ID = s.kept.ID
 		k.Apply(a.Write)
-		d.groups[a.Log] = k
+		s.groups[a.Log] = k
 	}
 	if x.note != nil {
-		d.noted = x.note
+		s.noted = x.note
 	}
 }
 
@@ -409,12 +409,12 @@
 	d *simulatedDisk
 }
 
-func (v *drive) SoftState() []byte { return v.d.noted }
+func (d *drive) SoftState() []byte { return d.d.noted }
 
 // GroupLogs are the logs of the coordination groups, as they are read at the start.
-func (v *drive) GroupLogs() map[replication.LogID]replication.PersistentState {
+func (d *drive) GroupLogs() map[replication.LogID]replication.PersistentState {
 	held := map[replication.LogID]replication.PersistentState{}
-	for log, k := range v.d.groups {
+	for log, k := range d.d.groups {
 		if err := k.Validate(); err != nil {
 			panic("a group's log does not hold together: " + err.Error())
 		}
@@ -424,12 +424,12 @@
 	return held
 }
 
-func (v *drive) Write(writes []replication.LogWrite, note []byte, done func()) {
-	x := &write{p: v.p, writes: writes, note: note, done: done}
-	v.d.writing = x
-	x.look = v.d.w.owned(v.p.m.name, &writes)
-	v.d.w.happens(writeMoment(writes))
-	v.d.perform(x, 20*time.Millisecond)
+func (d *drive) Write(writes []replication.LogWrite, note []byte, done func()) {
+	x := &write{p: d.p, writes: writes, note: note, done: done}
+	d.d.writing = x
+	x.look = d.d.w.owned(d.p.m.name, &writes)
+	d.d.w.happens(writeMoment(writes))
+	d.d.perform(x, 20*time.Millisecond)
 }
 
 // writeMoment is a moment only where something of the log is written.
@@ -443,24 +443,24 @@
 }
 
 // perform writes and syncs. A full disk refuses, and is tried again; one that hangs answers when it goes on.
-func (d *simulatedDisk) perform(x *write, wait time.Duration) {
-	took := time.Duration(d.slow * float64(500*time.Microsecond+time.Duration(d.rng.ExpFloat64()*float64(2500*time.Microsecond))))
-	d.w.after(took, func() {
+func (s *simulatedDisk) perform(x *write, wait time.Duration) {
+	took := time.Duration(s.slow * float64(500*time.Microsecond+time.Duration(s.rng.ExpFloat64()*float64(2500*time.Microsecond))))
+	s.w.after(took, func() {
 		switch {
-		case d.writing != x:
-		case d.hangs > 0:
-			d.perform(x, wait)
-		case d.full > 0:
-			d.w.after(wait, func() {
-				if d.writing == x {
-					d.perform(x, min(2*wait, time.Second))
+		case s.writing != x:
+		case s.hangs > 0:
+			s.perform(x, wait)
+		case s.full > 0:
+			s.w.after(wait, func() {
+				if s.writing == x {
+					s.perform(x, min(2*wait, time.Second))
 				}
 			})
 		default:
 			x.look()
-			d.apply(x)
-			d.writing = nil
-			d.syncs++
+			s.apply(x)
+			s.writing = nil
+			s.syncs++
 			x.p.turn(x.done)
 		}
 	})
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -57,30 +57,30 @@
 }
 
 // phase plays one, and adds what all did in it.
-func (x *metered) phase(name string, do func(p *Phase)) {
-	if !named(x.only, name) {
+func (m *metered) phase(name string, do func(p *Phase)) {
+	if !named(m.only, name) {
 		return
 	}
-	w := x.w
+	w := m.w
 	p := Phase{Name: name}
 	before, began := w.counts(), w.now
 	do(&p)
 	over := w.now - began
 	p.Seconds = over.Seconds()
 	p.Member, p.Other = w.shared(before, over, true), w.shared(before, over, false)
-	for _, m := range w.machines {
-		if m.p != nil && !m.p.h.Ready() {
+	for _, machine := range w.machines {
+		if machine.p != nil && !machine.p.h.Ready() {
 			p.Unready++
 		}
 	}
-	x.r.Phases = append(x.r.Phases, p)
-	if x.tell != nil {
-		x.tell(p)
+	m.r.Phases = append(m.r.Phases, p)
+	if m.tell != nil {
+		m.tell(p)
 	}
 }
 
-func (x *metered) play() string {
-	w, d := x.w, x.w.day
+func (m *metered) play() string {
+	w, d := m.w, m.w.day
 	all := []string{}
 	for _, s := range gatewaystandin.Services {
 		all = append(all, s.Name)
@@ -94,8 +94,8 @@
 	empty := heap()
 	opened := false
 	before, began := w.counts(), w.now
-	for _, m := range w.machines {
-		w.after(span(w.net, 0, 300*time.Millisecond), m.start)
+	for _, machine := range w.machines {
+		w.after(span(w.net, 0, 300*time.Millisecond), machine.start)
 	}
 	w.clients.watch()
 	w.operator.open(func() { opened = true })
@@ -104,26 +104,26 @@
 	ok := w.until(w.now+settleMost, w.slowly(ready))
 	p := Phase{Name: "start", Seconds: (w.now - began).Seconds(), All: secondsOr(ok, w.now-began)}
 	p.Member, p.Other = w.shared(before, w.now-began, true), w.shared(before, w.now-began, false)
-	x.r.Phases = append(x.r.Phases, p)
-	if x.tell != nil {
-		x.tell(p)
+	m.r.Phases = append(m.r.Phases, p)
+	if m.tell != nil {
+		m.tell(p)
 	}
 	w.operator.goes = false
 	if !opened {
 		return "no first configuration was taken"
 	}
-	x.r.Config = len(w.newestOf())
+	m.r.Config = len(w.newestOf())
 	w.clients.begin()
-	w.until(w.now+x.warm, nil)
-	x.r.Heap = (heap() - empty) / float64(d.Nodes)
-	x.r.Known = len(w.machines[0].p.h.Status().Nodes)
-	x.phase("calm", func(*Phase) { w.until(w.now+x.over, nil) })
-	x.phase("changes", func(p *Phase) { x.changes(p, nil) })
-	x.phase("releases", x.releases)
-	x.phase("restarts", x.restarts)
-	x.phase("zone", x.zone)
-	x.phase("region", x.region)
-	x.phase("killed", x.killed)
+	w.until(w.now+m.warm, nil)
+	m.r.Heap = (heap() - empty) / float64(d.Nodes)
+	m.r.Known = len(w.machines[0].p.h.Status().Nodes)
+	m.phase("calm", func(*Phase) { w.until(w.now+m.over, nil) })
+	m.phase("changes", func(p *Phase) { m.changes(p, nil) })
+	m.phase("releases", m.releases)
+	m.phase("restarts", m.restarts)
+	m.phase("zone", m.zone)
+	m.phase("region", m.region)
+	m.phase("killed", m.killed)
 	return ""
 }
 
@@ -159,10 +159,10 @@
 }
 
 // changes makes one change after the other, and takes the time until each node has it.
-func (x *metered) changes(p *Phase, away map[*machine]bool) {
-	w := x.w
+func (m *metered) changes(p *Phase, away map[*machine]bool) {
+	w := m.w
 	var times, lasts, acks []float64
-	end := w.now + x.over
+	end := w.now + m.over
 	for w.now < end {
 		began := w.now
 		version, done := uint64(0), false
@@ -193,15 +193,15 @@
 		acks = append(acks, ms(acked-began))
 		last := time.Duration(0)
 		left := map[*machine]bool{}
-		for _, m := range w.machines {
-			if !away[m] && m.p != nil {
-				left[m] = true
+		for _, machine := range w.machines {
+			if !away[machine] && machine.p != nil {
+				left[machine] = true
 			}
 		}
 		for len(left) > 0 && w.now-acked < reachedMost {
-			for _, m := range w.machines {
-				if left[m] && m.p != nil && m.p.h.Version() >= version {
-					delete(left, m)
+			for _, item := range w.machines {
+				if left[item] && item.p != nil && item.p.h.Version() >= version {
+					delete(left, item)
 					last = w.now - acked
 					times = append(times, ms(last))
 				}
@@ -221,9 +221,9 @@
 }
 
 // releases replaces backends, one after the other: a new one comes, an old one drains.
-func (x *metered) releases(p *Phase) {
-	w := x.w
-	end := w.now + x.over
+func (m *metered) releases(p *Phase) {
+	w := m.w
+	end := w.now + m.over
 	for w.now < end {
 		var old *backend
 		for _, b := range w.timeline.live {
@@ -243,15 +243,15 @@
 }
 
 // restarts kills and starts nodes without a disk, one after the other.
-func (x *metered) restarts(p *Phase) {
-	w := x.w
+func (m *metered) restarts(p *Phase) {
+	w := m.w
 	rng := source(w.day.Seed, 0x2e57)
-	end := w.now + x.over
+	end := w.now + m.over
 	for w.now < end && w.day.Nodes > w.day.Disks {
-		m := w.machines[w.day.Disks+rng.IntN(w.day.Nodes-w.day.Disks)]
-		m.kill(false)
+		machine := w.machines[w.day.Disks+rng.IntN(w.day.Nodes-w.day.Disks)]
+		machine.kill(false)
 		w.until(w.now+turnover/5, nil)
-		m.start()
+		machine.start()
 		p.Events++
 		w.until(w.now+turnover*4/5, nil)
 	}
@@ -260,16 +260,16 @@
 }
 
 // zone takes the power of one, with its backends, goes on with changes, and gives it back.
-func (x *metered) zone(p *Phase) {
-	w := x.w
+func (m *metered) zone(p *Phase) {
+	w := m.w
 	if len(w.zones) < 2 {
 		return
 	}
 	lost, away := w.zones[0], map[*machine]bool{}
-	for _, m := range w.machines {
-		if m.zone == lost {
-			away[m] = true
-			m.kill(true)
+	for _, machine := range w.machines {
+		if machine.zone == lost {
+			away[machine] = true
+			machine.kill(true)
 		}
 	}
 	var dead []*backend
@@ -279,10 +279,10 @@
 			b.crash()
 		}
 	}
-	x.changes(p, away)
-	for _, m := range w.machines {
-		if away[m] {
-			w.after(span(w.net, 0, time.Second), m.start)
+	m.changes(p, away)
+	for _, item := range w.machines {
+		if away[item] {
+			w.after(span(w.net, 0, time.Second), item.start)
 		}
 	}
 	for _, b := range dead {
@@ -294,25 +294,25 @@
 }
 
 // region cuts one off from the others, goes on with changes, and joins it again.
-func (x *metered) region(p *Phase) {
-	w := x.w
+func (m *metered) region(p *Phase) {
+	w := m.w
 	if w.day.Regions < 2 {
 		return
 	}
 	c := &cut{group: map[*machine]bool{}, in: true, out: true}
-	for _, m := range w.machines {
-		if w.region(m.zone) == w.day.Regions-1 {
-			c.group[m] = true
+	for _, machine := range w.machines {
+		if w.region(machine.zone) == w.day.Regions-1 {
+			c.group[machine] = true
 		}
 	}
 	w.cuts = append(w.cuts, c)
 	w.until(w.now+4*time.Second, nil) // the others have noticed
-	x.changes(p, c.group)
+	m.changes(p, c.group)
 	w.cuts = nil
 	began, newest := w.now, w.operator.known
 	p.All = secondsOr(w.until(w.now+settleMost, w.slowly(func() bool {
-		for m := range c.group {
-			if m.p.h.Version() < newest || !m.p.h.Ready() {
+		for item := range c.group {
+			if item.p.h.Version() < newest || !item.p.h.Ready() {
 				return false
 			}
 		}
@@ -321,18 +321,18 @@
 }
 
 // killed ends all at once; they start again within a second.
-func (x *metered) killed(p *Phase) {
-	w := x.w
-	for _, m := range w.machines {
-		m.kill(false)
+func (m *metered) killed(p *Phase) {
+	w := m.w
+	for _, machine := range w.machines {
+		machine.kill(false)
 	}
 	began := w.now
-	for _, m := range w.machines {
-		w.after(span(w.net, 200*time.Millisecond, time.Second), m.start)
+	for _, item := range w.machines {
+		w.after(span(w.net, 200*time.Millisecond, time.Second), item.start)
 	}
 	w.until(w.now+time.Second, nil)
 	p.All = secondsOr(w.until(w.now+settleMost, w.slowly(func() bool { return w.ready(nil) })), w.now-began)
-	w.until(max(w.now, began+x.over), nil)
+	w.until(max(w.now, began+m.over), nil)
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/lab/simulation/meter.go
+++ b/internal/lab/simulation/meter.go
@@ -21,7 +21,7 @@
 // Limits of a wide deployment's tenants.
 const accountRate, accountBurst = 50, 50
 
-func (x Wide) service(i int) string { return fmt.Sprintf("service-%03d", i) }
+func (w Wide) service(i int) string { return fmt.Sprintf("service-%03d", i) }
 
 // ServiceName is the name of a wide deployment's service: the small deployment's come first.
 func ServiceName(i int) string {
@@ -35,24 +35,24 @@
 func AccountKey(i int) string { return fmt.Sprintf("account-key-%06d", i) }
 
 // first is the configuration that the deployment begins with.
-func (x Wide) first() *routing.Config {
+func (w Wide) first() *routing.Config {
 	b := gatewaystandin.First()
-	for i := range x.Services {
+	for i := range w.Services {
 		s := b.Services[0]
-		s.Name = x.service(i)
+		s.Name = w.service(i)
 		b.Services = append(b.Services, s)
 	}
 	wide := routing.ConfigHost{Hostname: "wide.example"}
-	for i := range x.Routes {
+	for i := range w.Routes {
 		r := b.Vhosts[0].PathList[0]
 		r.Name, r.PathPrefix = fmt.Sprintf("route-%04d", i), fmt.Sprintf("/route-%04d/", i)
 		r.Target = b.Services[i%len(b.Services)].Name
 		wide.PathList = append(wide.PathList, r)
 	}
-	if x.Routes > 0 {
+	if w.Routes > 0 {
 		b.Vhosts = append(b.Vhosts, wide)
 	}
-	for i := range x.Tenants {
+	for i := range w.Tenants {
 		b.Tenants = append(b.Tenants, routing.ConfigTenant{Name: fmt.Sprintf("account-%06d", i), ApiKeys: []string{AccountKey(i)},
 			Priority: 1, RatePerS: accountRate, Burst: accountBurst})
 	}
@@ -90,24 +90,24 @@
 }
 
 // came notes what a turn under way is for.
-func (x *meter) came(w *world, kind string, bytes int) {
+func (m *meter) came(w *world, kind string, bytes int) {
 	w.doing = kind
-	x.frames++
-	x.got.add(kind, bytes)
+	m.frames++
+	m.got.add(kind, bytes)
 }
 
 // turn takes a turn, and the processor time of it. A thread's own clock is read: what else runs on the machine is not in it.
-func (x *meter) turn(w *world, do func()) {
+func (m *meter) turn(w *world, do func()) {
 	w.doing = "timers"
 	began := threadTime()
 	do()
-	if x.spent == nil {
-		x.spent, x.turns = map[string]time.Duration{}, Traffic{}
+	if m.spent == nil {
+		m.spent, m.turns = map[string]time.Duration{}, Traffic{}
 	}
 	took := threadTime() - began
-	x.all += took
-	x.spent[w.doing] += took
-	x.turns[w.doing]++
+	m.all += took
+	m.spent[w.doing] += took
+	m.turns[w.doing]++
 }
 
 // frameTime is what a frame takes beside its turn, at either end: a call of the kernel and its way through it.
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -170,48 +170,48 @@
 	return true
 }
 
-func (v *wing) wanted() bool { return !v.p.over && v.p.links[v.to.inner] == v }
+func (w *wing) wanted() bool { return !w.p.over && w.p.links[w.to.inner] == w }
 
 // again dials after a while.
-func (v *wing) again(wait time.Duration) {
-	v.dial++
-	nr, w := v.dial, v.p.w
-	w.after(wait, func() {
-		if nr != v.dial || !v.wanted() || v.c != nil {
+func (w *wing) again(wait time.Duration) {
+	w.dial++
+	nr, world := w.dial, w.p.w
+	world.after(wait, func() {
+		if nr != w.dial || !w.wanted() || w.c != nil {
 			return
 		}
 		failed := func() {
-			if nr == v.dial && v.wanted() && v.c == nil {
-				v.wait = min(2*v.wait, redialMost)
-				v.again(v.wait)
+			if nr == w.dial && w.wanted() && w.c == nil {
+				w.wait = min(2*w.wait, redialMost)
+				w.again(w.wait)
 			}
 		}
-		m, trip := v.to, w.way(v.p.m.zone, v.to.zone)+w.way(v.to.zone, v.p.m.zone)
-		v.p.m.leaves("links", 3*frameHead)
-		if m.dark || w.parts(v.p.m, m) || w.parts(m, v.p.m) {
-			w.after(dialLimit, failed)
+		m, trip := w.to, world.way(w.p.m.zone, w.to.zone)+world.way(w.to.zone, w.p.m.zone)
+		w.p.m.leaves("links", 3*frameHead)
+		if m.dark || world.parts(w.p.m, m) || world.parts(m, w.p.m) {
+			world.after(dialLimit, failed)
 			return
 		}
-		w.after(trip, func() {
-			if nr != v.dial || !v.wanted() || v.c != nil {
+		world.after(trip, func() {
+			if nr != w.dial || !w.wanted() || w.c != nil {
 				return
 			}
 			if m.p == nil {
 				failed()
 				return
 			}
-			v.up(m.p)
+			w.up(m.p)
 		})
 	})
 }
 
-func (v *wing) up(peer *process) {
-	c := &conn{v: v, peer: peer, last: v.p.w.now}
+func (w *wing) up(peer *process) {
+	c := &conn{v: w, peer: peer, last: w.p.w.now}
 	c.enc, c.dec = gob.NewEncoder(&c.out), gob.NewDecoder(&c.in)
-	v.c, v.wait = c, redialIn
-	from, life := v.p.m.inner, v.p.id
-	c.last += v.p.w.way(v.p.m.zone, v.to.zone) // what it says first names who has dialed
-	v.p.w.at(c.last, func() {
+	w.c, w.wait = c, redialIn
+	from, life := w.p.m.inner, w.p.id
+	c.last += w.p.w.way(w.p.m.zone, w.to.zone) // what it says first names who has dialed
+	w.p.w.at(c.last, func() {
 		peer.turn(func() {
 			peer.from[from] = c
 			anew := peer.lives[from] != 0 && peer.lives[from] != life
@@ -225,9 +225,9 @@
 			peer.h.PeerConnected(from)
 		})
 	})
-	v.p.turn(func() {
-		if v.c == c && v.wanted() {
-			v.p.h.LinkUp(v.to.inner)
+	w.p.turn(func() {
+		if w.c == c && w.wanted() {
+			w.p.h.LinkUp(w.to.inner)
 		}
 	})
 }
@@ -362,12 +362,12 @@
 }
 
 // Tell sends a datagram.
-func (x *datagrams) Tell(peer control.GatewayID, payload []byte) {
-	p := x.p
-	if int(peer) >= len(x.all) || x.all[peer] == nil {
+func (d *datagrams) Tell(peer control.GatewayID, payload []byte) {
+	p := d.p
+	if int(peer) >= len(d.all) || d.all[peer] == nil {
 		return
 	}
-	m, at := x.all[peer], p.m.leaves("datagrams", len(payload)+datagramHead)
+	m, at := d.all[peer], p.m.leaves("datagrams", len(payload)+datagramHead)
 	if m == p.m || p.w.parts(p.m, m) || p.w.faultAt() || at-p.w.now > queueMost {
 		return
 	}
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -55,17 +55,17 @@
 }
 
 // SetBackend says where a backend is.
-func (x *ways) SetBackend(id control.BackendID, addr string, _ time.Duration, ready bool) {
-	b := x.at[id]
+func (w *ways) SetBackend(id control.BackendID, addr string, _ time.Duration, ready bool) {
+	b := w.at[id]
 	if b == nil {
 		if ready {
-			x.at[id] = &place{addr: addr, ready: true}
+			w.at[id] = &place{addr: addr, ready: true}
 		}
 		return
 	}
 	if b.addr != addr || !ready {
 		b.idle = nil
-		for _, s := range x.sorted() {
+		for _, s := range w.sorted() {
 			if s.place == b && s.dialing {
 				s.end(control.NotSent, false)
 			}
@@ -74,49 +74,49 @@
 	if b.ready = ready; ready {
 		b.addr = addr
 	} else {
-		delete(x.at, id)
+		delete(w.at, id)
 	}
 }
 
 // SetMaxConns bounds nothing here: no more connections are kept than requests are out.
-func (x *ways) SetMaxConns(control.BackendID, int) {}
+func (w *ways) SetMaxConns(control.BackendID, int) {}
 
-func (x *ways) Probe(control.BackendID) {}
+func (w *ways) Probe(control.BackendID) {}
 
 // sorted are the submissions that are out, in order.
-func (x *ways) sorted() []*submission {
-	all := make([]*submission, 0, len(x.subs))
-	for _, ref := range sortedKeys(x.subs) {
-		all = append(all, x.subs[ref])
+func (w *ways) sorted() []*submission {
+	all := make([]*submission, 0, len(w.subs))
+	for _, ref := range sortedKeys(w.subs) {
+		all = append(all, w.subs[ref])
 	}
 	return all
 }
 
 // lost: the node's process has ended, and its connections with it.
-func (x *ways) lost() {
-	for _, s := range x.sorted() {
+func (w *ways) lost() {
+	for _, s := range w.sorted() {
 		s.over = true
 		s.leave()
 	}
 }
 
 // Submit sends on. However it ends, the gate hears of it once.
-func (x *ways) Submit(ref slots.Ref, nr int, m gate.Message, to control.BackendID, limit, _ time.Duration) {
-	w, b := x.p.w, x.at[to]
+func (w *ways) Submit(ref slots.Ref, nr int, m gate.Message, to control.BackendID, limit, _ time.Duration) {
+	world, b := w.p.w, w.at[to]
 	if b == nil || !b.ready {
-		x.p.g.Ended(ref, nr, to, gate.Outcome{Ending: control.NotSent})
+		w.p.g.Ended(ref, nr, to, gate.Outcome{Ending: control.NotSent})
 		return
 	}
-	s := &submission{x: x, ref: ref, nr: nr, to: to, place: b, began: w.now, until: w.now + limit, name: x.p.h.BackendName(to)}
-	x.subs[ref] = s
+	s := &submission{x: w, ref: ref, nr: nr, to: to, place: b, began: world.now, until: world.now + limit, name: w.p.h.BackendName(to)}
+	w.subs[ref] = s
 	if number := m.AppendTo(nil, to, limit); len(number) > 0 && s.name != "" {
-		s.try = x.p.upstreams.tries[numberOf(number)]
+		s.try = w.p.upstreams.tries[numberOf(number)]
 	}
-	w.at(s.until, func() {
+	world.at(s.until, func() {
 		if s.over {
 			return
 		}
-		x.p.turn(func() {
+		w.p.turn(func() {
 			if s.written {
 				s.end(control.TimedOut, false)
 			} else {
@@ -127,7 +127,7 @@
 	for len(b.idle) > 0 {
 		l := b.idle[len(b.idle)-1]
 		b.idle = b.idle[:len(b.idle)-1]
-		if !l.b.dead && w.now-l.since < idleMost {
+		if !l.b.dead && world.now-l.since < idleMost {
 			s.line = l
 			s.write()
 			return
@@ -226,8 +226,8 @@
 }
 
 // Recall calls a submission off.
-func (x *ways) Recall(ref slots.Ref, nr int) {
-	if s := x.subs[ref]; s != nil && s.nr == nr {
+func (w *ways) Recall(ref slots.Ref, nr int) {
+	if s := w.subs[ref]; s != nil && s.nr == nr {
 		if s.written {
 			s.end(control.Canceled, false)
 		} else {
--- a/internal/lab/standin/backend.go
+++ b/internal/lab/standin/backend.go
@@ -284,42 +284,42 @@
 }
 
 // note writes that the request has come, or what became of it at once.
-func (x *request) note(kind history.Kind) {
-	x.came.Kind = kind
-	x.log.Add(x.came)
+func (r *request) note(kind history.Kind) {
+	r.came.Kind = kind
+	r.log.Add(r.came)
 }
 
 // resets ends the connection of a request that has begun, and nobody will know.
-func (x *request) resets() {
-	x.note(history.Arrived)
-	x.began(x.task)
-	x.note(history.Over)
-	if c, ok := hijack(x.w); ok {
+func (r *request) resets() {
+	r.note(history.Arrived)
+	r.began(r.task)
+	r.note(history.Over)
+	if c, ok := hijack(r.w); ok {
 		reset(c)
 	}
 }
 
 // over writes that it is out no longer: its answer is written, or the front door has closed its side.
-func (x *request) over() {
-	e := x.came
+func (r *request) over() {
+	e := r.came
 	e.T, e.Own, e.Kind = history.Now(), 0, history.Over
-	if x.trace != nil && x.trace.closed.Load() > 0 {
-		e.T = min(e.T, time.Duration(x.trace.closed.Load()))
+	if r.trace != nil && r.trace.closed.Load() > 0 {
+		e.T = min(e.T, time.Duration(r.trace.closed.Load()))
 	}
-	x.log.Add(e)
+	r.log.Add(e)
 }
 
 // waits lets it wait for a slot; without one in time it is turned away.
-func (x *request) waits() bool {
+func (r *request) waits() bool {
 	select {
-	case x.slots <- struct{}{}:
+	case r.slots <- struct{}{}:
 		return true
-	case <-x.late:
-		e := x.came
+	case <-r.late:
+		e := r.came
 		e.T, e.Kind = history.Now(), history.Turned
-		x.log.Add(e)
-		x.wire.TurnAway(x.w, x.task)
-	case <-x.r.Context().Done():
+		r.log.Add(e)
+		r.wire.TurnAway(r.w, r.task)
+	case <-r.r.Context().Done():
 	}
 	return false
 }
@@ -328,41 +328,41 @@
 const firstPart = 4
 
 // works does the work, or as much of it as comes before the answer, and gives the rest. It is not done if nobody waits any more.
-func (x *request) works() (rest time.Duration, done bool) {
-	wait := x.work(x.task.Kind)
-	if x.mode.Slow > 1 {
-		wait = time.Duration(float64(wait) * x.mode.Slow)
+func (r *request) works() (rest time.Duration, done bool) {
+	wait := r.work(r.task.Kind)
+	if r.mode.Slow > 1 {
+		wait = time.Duration(float64(wait) * r.mode.Slow)
 	}
-	if x.task.Bytes > 0 {
+	if r.task.Bytes > 0 {
 		rest = wait - wait/firstPart
 		wait /= firstPart
 	}
 	select {
-	case <-time.After(wait + x.mode.Delay):
+	case <-time.After(wait + r.mode.Delay):
 		return rest, true
-	case <-x.late:
-		x.w.WriteHeader(http.StatusGatewayTimeout)
-	case <-x.r.Context().Done(): // given up: the work stops
+	case <-r.late:
+		r.w.WriteHeader(http.StatusGatewayTimeout)
+	case <-r.r.Context().Done(): // given up: the work stops
 	}
 	return 0, false
 }
 
 // answers writes its answer, or what the backend's mode makes of it.
-func (x *request) answers(rest time.Duration) {
-	body := "done " + x.task.ID
-	if x.task.Bytes > 0 {
-		body = Long(body, x.task.Bytes)
+func (r *request) answers(rest time.Duration) {
+	body := "done " + r.task.ID
+	if r.task.Bytes > 0 {
+		body = Long(body, r.task.Bytes)
 	}
-	x.wire.Heads(x.Backend, x.w, x.task)
+	r.wire.Heads(r.Backend, r.w, r.task)
 	switch {
-	case x.Chance(x.mode.Fail):
-		x.log.Add(history.Event{Who: x.ID, Kind: Fails, Txn: x.task.ID, N: http.StatusInternalServerError})
-		x.w.WriteHeader(http.StatusInternalServerError)
-	case x.Chance(x.mode.Half), x.Chance(x.mode.Stall), x.Chance(x.mode.Spoilt):
-		x.log.Add(history.Event{Who: x.ID, Kind: Spoils, Txn: x.task.ID})
-		x.spoil(x.w, x.r, x.mode, body)
+	case r.Chance(r.mode.Fail):
+		r.log.Add(history.Event{Who: r.ID, Kind: Fails, Txn: r.task.ID, N: http.StatusInternalServerError})
+		r.w.WriteHeader(http.StatusInternalServerError)
+	case r.Chance(r.mode.Half), r.Chance(r.mode.Stall), r.Chance(r.mode.Spoilt):
+		r.log.Add(history.Event{Who: r.ID, Kind: Spoils, Txn: r.task.ID})
+		r.spoil(r.w, r.r, r.mode, body)
 	default:
-		x.answer(x.w, x.r, body, rest)
+		r.answer(r.w, r.r, body, rest)
 	}
 }
 
--- a/internal/lab/standin/frontdoor.go
+++ b/internal/lab/standin/frontdoor.go
@@ -39,47 +39,47 @@
 }
 
 // write lays the configuration.
-func (d *Node) write() error {
-	f := d.f
-	conf := map[string]any{"name": d.Name, "listen": d.Addr, "discovery": d.discovery, "seed": fmt.Sprintf("%016x", d.seed),
-		"limits": map[string]any{"cores": f.opt.Cores, "memory_mb": d.memory, "sockets": d.sockets}, "peer_listen": d.peers,
-		"peers": f.Relay.Peers(d.Nr), "counter": d.counter, "known": json.RawMessage(d.known),
-		"settings": Settings(f.Spec, d.Nr, d.Nr%len(f.Spec.Zones.Names))}
+func (n *Node) write() error {
+	f := n.f
+	conf := map[string]any{"name": n.Name, "listen": n.Addr, "discovery": n.discovery, "seed": fmt.Sprintf("%016x", n.seed),
+		"limits": map[string]any{"cores": f.opt.Cores, "memory_mb": n.memory, "sockets": n.sockets}, "peer_listen": n.peers,
+		"peers": f.Relay.Peers(n.Nr), "counter": n.counter, "known": json.RawMessage(n.known),
+		"settings": Settings(f.Spec, n.Nr, n.Nr%len(f.Spec.Zones.Names))}
 	text, err := json.MarshalIndent(conf, "", " ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(d.conf, text, 0o600)
+	return os.WriteFile(n.conf, text, 0o600)
 }
 
 // prepare lays the configuration of the next life, with a seed of its own each time.
-func (d *Node) prepare(life int) (*exec.Cmd, error) {
-	if !d.same {
-		d.seed = d.f.Spec.Seed + uint64(d.Nr) + uint64(life)<<32
+func (n *Node) prepare(life int) (*exec.Cmd, error) {
+	if !n.same {
+		n.seed = n.f.Spec.Seed + uint64(n.Nr) + uint64(life)<<32
 	}
-	d.same = false
-	if err := d.write(); err != nil {
+	n.same = false
+	if err := n.write(); err != nil {
 		return nil, err
 	}
-	args := []string{"serve", "--config", d.conf}
-	text := strings.NewReplacer("{name}", d.Name, "{dir}", d.f.dir).Replace(d.f.opt.Operator)
-	if own := d.f.opt.Own; own != "" {
-		text += fmt.Sprintf("\n[history]\nfile = %q\ntxns = true\n", filepath.Join(own, d.Name+".jsonl"))
+	args := []string{"serve", "--config", n.conf}
+	text := strings.NewReplacer("{name}", n.Name, "{dir}", n.f.dir).Replace(n.f.opt.Operator)
+	if own := n.f.opt.Own; own != "" {
+		text += fmt.Sprintf("\n[history]\nfile = %q\ntxns = true\n", filepath.Join(own, n.Name+".jsonl"))
 	}
 	if text != "" {
-		file := filepath.Join(d.f.dir, d.Name+".toml")
+		file := filepath.Join(n.f.dir, n.Name+".toml")
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			return nil, err
 		}
 		args = append(args, "--operator", file)
 	}
-	cmd := exec.Command(d.f.opt.Program, args...)
+	cmd := exec.Command(n.f.opt.Program, args...)
 	cmd.Env = append(os.Environ(), "GOTRACEBACK=single")
 	return cmd, nil
 }
 
 // line takes counters from the log.
-func (d *Node) line(text []byte) bool {
+func (n *Node) line(text []byte) bool {
 	var l struct {
 		Counters    string `json:"counters"`
 		Allocations int    `json:"allocations"`
@@ -94,23 +94,23 @@
 	counts := map[string]int{"allocations": l.Allocations, "must holds broken": l.MustHold}
 	for _, part := range strings.Split(l.Counters, ", ") {
 		if i := strings.LastIndexByte(part, ' '); i > 0 {
-			n, _ := strconv.Atoi(part[i+1:])
-			counts[part[:i]] = n
+			count, _ := strconv.Atoi(part[i+1:])
+			counts[part[:i]] = count
 		}
 	}
-	d.mu.Lock()
-	d.last = counts
-	d.mu.Unlock()
+	n.mu.Lock()
+	n.last = counts
+	n.mu.Unlock()
 	select {
-	case d.fresh <- struct{}{}:
+	case n.fresh <- struct{}{}:
 	default:
 	}
 	return true
 }
 
 // serves asks /up.
-func (d *Node) serves(ctx context.Context) bool {
-	r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+d.Addr+"/up", nil)
+func (n *Node) serves(ctx context.Context) bool {
+	r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+n.Addr+"/up", nil)
 	r.Close = true
 	a, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -121,80 +121,80 @@
 }
 
 // Counters asks a front door for its counters by SIGUSR1.
-func (d *Node) Counters(wait time.Duration) map[string]int {
+func (n *Node) Counters(wait time.Duration) map[string]int {
 	select {
-	case <-d.fresh:
+	case <-n.fresh:
 	default:
 	}
-	d.mu.Lock()
-	sent := d.signal(syscall.SIGUSR1)
-	d.mu.Unlock()
+	n.mu.Lock()
+	sent := n.signal(syscall.SIGUSR1)
+	n.mu.Unlock()
 	if sent {
 		select {
-		case <-d.fresh:
+		case <-n.fresh:
 		case <-time.After(wait):
 		}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.last
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.last
 }
 
 // Settle rewrites the configuration and has the process read it again.
-func (d *Node) Settle(change func()) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (n *Node) Settle(change func()) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	change()
-	if err := d.write(); err != nil {
+	if err := n.write(); err != nil {
 		return err
 	}
-	d.signal(syscall.SIGHUP)
+	n.signal(syscall.SIGHUP)
 	return nil
 }
 
 // Limits are those of the next lives; nought is the fleet's.
-func (d *Node) Limits(memoryMB, sockets int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.memory, d.sockets = d.f.opt.MemoryMB, d.f.opt.Sockets
+func (n *Node) Limits(memoryMB, sockets int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.memory, n.sockets = n.f.opt.MemoryMB, n.f.opt.Sockets
 	if memoryMB > 0 {
-		d.memory = memoryMB
+		n.memory = memoryMB
 	}
 	if sockets > 0 {
-		d.sockets = sockets
+		n.sockets = sockets
 	}
 }
 
 // SameSeed gives the next life the seed of this one, which the platform never does.
-func (d *Node) SameSeed() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.same = true
+func (n *Node) SameSeed() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.same = true
 }
 
 // MoveDiscovery gives the front door another address of its agent, as a new configuration does; the old one ends a
 // while later.
-func (d *Node) MoveDiscovery(old time.Duration) error {
-	f := d.f
+func (n *Node) MoveDiscovery(old time.Duration) error {
+	f := n.f
 	f.mu.Lock()
 	var was *proxy
-	if f.proxies[d] != nil {
-		was = f.proxies[d]["discovery"]
-		delete(f.proxies[d], "discovery")
+	if f.proxies[n] != nil {
+		was = f.proxies[n]["discovery"]
+		delete(f.proxies[n], "discovery")
 	}
 	f.mu.Unlock()
 	if was == nil {
 		return errors.New("a fleet without links has one address of discovery")
 	}
-	at, err := f.via(d, "discovery", f.Agents[d.Nr].Addr, d.Discovery)
+	at, err := f.via(n, "discovery", f.Agents[n.Nr].Addr, n.Discovery)
 	if err != nil {
 		return err
 	}
 	f.Later(old, was.Close)
 	f.mu.Lock()
-	f.proxies[d][fmt.Sprint("discovery until ", at)] = was // closed with the fleet at the latest
+	f.proxies[n][fmt.Sprint("discovery until ", at)] = was // closed with the fleet at the latest
 	f.mu.Unlock()
-	return d.Settle(func() { d.discovery = at })
+	return n.Settle(func() { n.discovery = at })
 }
 
 // Crashed names front doors that ended by themselves, with their last words.
--- a/internal/lab/standin/process.go
+++ b/internal/lab/standin/process.go
@@ -56,11 +56,11 @@
 const linesKept = 12
 
 // launch starts the process, again if need be.
-func (d *Process) launch() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.life++
-	cmd, err := d.prepare(d.life)
+func (p *Process) launch() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.life++
+	cmd, err := p.prepare(p.life)
 	if err != nil {
 		return err
 	}
@@ -75,70 +75,70 @@
 		return err
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("%s: %w", d.Name, err)
+		return fmt.Errorf("%s: %w", p.Name, err)
 	}
-	d.cmd, d.in, d.exit, d.meant, d.holds, d.gone = cmd, in, make(chan struct{}), false, 0, time.Time{}
-	d.ended, d.orders, d.said = nil, map[failpoint.Name]time.Duration{}, nil
-	for host := range d.cut {
-		d.say("cut %s\n", host)
+	p.cmd, p.in, p.exit, p.meant, p.holds, p.gone = cmd, in, make(chan struct{}), false, 0, time.Time{}
+	p.ended, p.orders, p.said = nil, map[failpoint.Name]time.Duration{}, nil
+	for host := range p.cut {
+		p.say("cut %s\n", host)
 	}
-	for host := range d.dark {
-		d.say("dark %s\n", host)
+	for host := range p.dark {
+		p.say("dark %s\n", host)
 	}
-	go d.read(out, cmd, d.exit)
+	go p.read(out, cmd, p.exit)
 	return nil
 }
 
 // read takes points that were reached and last words from the log.
-func (d *Process) read(out io.Reader, cmd *exec.Cmd, exit chan struct{}) {
+func (p *Process) read(out io.Reader, cmd *exec.Cmd, exit chan struct{}) {
 	in := bufio.NewScanner(out)
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
 		var l failpoint.Reached
 		switch {
-		case !d.line(in.Bytes()):
-			d.mu.Lock()
-			d.said = append(d.said, in.Text())
-			d.said = d.said[max(0, len(d.said)-linesKept):]
-			d.mu.Unlock()
+		case !p.line(in.Bytes()):
+			p.mu.Lock()
+			p.said = append(p.said, in.Text())
+			p.said = p.said[max(0, len(p.said)-linesKept):]
+			p.mu.Unlock()
 		case json.Unmarshal(in.Bytes(), &l) == nil && l.Does == "stop":
-			go d.reached(cmd, l.Point)
+			go p.reached(cmd, l.Point)
 		}
 	}
 	err, how := cmd.Wait(), ""
 	if err == nil {
 		err, how = errors.New("it ended with 0"), history.InOrder
 	}
-	d.mu.Lock()
-	d.ended, d.gone = err, time.Now()
-	d.note(history.Down, how)
-	d.mu.Unlock()
+	p.mu.Lock()
+	p.ended, p.gone = err, time.Now()
+	p.note(history.Down, how)
+	p.mu.Unlock()
 	close(exit)
 }
 
 // note adds to the history; the lock is held.
-func (d *Process) note(k history.Kind, what string) {
-	d.log.Add(history.Event{Who: d.Name, Life: d.life, Kind: k, What: what})
+func (p *Process) note(k history.Kind, what string) {
+	p.log.Add(history.Event{Who: p.Name, Life: p.life, Kind: k, What: what})
 }
 
 // signal reaches the process if it runs; the lock is held.
-func (d *Process) signal(s os.Signal) bool {
-	return d.cmd != nil && d.ended == nil && d.cmd.Process.Signal(s) == nil
+func (p *Process) signal(s os.Signal) bool {
+	return p.cmd != nil && p.ended == nil && p.cmd.Process.Signal(s) == nil
 }
 
 // Pid is the process's number; nought if it never ran.
-func (d *Process) Pid() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.cmd == nil {
+func (p *Process) Pid() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil {
 		return 0
 	}
-	return d.cmd.Process.Pid
+	return p.cmd.Process.Pid
 }
 
 // CPU is the processor time the process has used.
-func (d *Process) CPU() (time.Duration, error) {
-	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.Pid()))
+func (p *Process) CPU() (time.Duration, error) {
+	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 	if err != nil {
 		return 0, err
 	}
@@ -152,8 +152,8 @@
 }
 
 // Memory is the most that the process held, in MB.
-func (d *Process) Memory() float64 {
-	b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.Pid()))
+func (p *Process) Memory() float64 {
+	b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Pid()))
 	for _, l := range strings.Split(string(b), "\n") {
 		if strings.HasPrefix(l, "VmHWM:") {
 			kb, _ := strconv.Atoi(strings.Fields(l)[1])
@@ -164,111 +164,111 @@
 }
 
 // ready waits until the process serves.
-func (d *Process) ready(most time.Duration) error {
+func (p *Process) ready(most time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), most)
 	defer cancel()
-	d.mu.Lock()
-	exit, life := d.exit, d.life
-	d.mu.Unlock()
+	p.mu.Lock()
+	exit, life := p.exit, p.life
+	p.mu.Unlock()
 	for {
-		if d.serves(ctx) {
-			d.mu.Lock()
-			if d.life == life && d.ended == nil {
-				d.note(history.Up, "")
+		if p.serves(ctx) {
+			p.mu.Lock()
+			if p.life == life && p.ended == nil {
+				p.note(history.Up, "")
 			}
-			d.mu.Unlock()
+			p.mu.Unlock()
 			return nil
 		}
 		select {
 		case <-exit:
-			if d.Meant() {
+			if p.Meant() {
 				return nil // killed in its start, as a fault may
 			}
-			return fmt.Errorf("%s ended before it was up: %v %s", d.Name, d.ended, strings.Join(d.said, "; "))
+			return fmt.Errorf("%s ended before it was up: %v %s", p.Name, p.ended, strings.Join(p.said, "; "))
 		case <-ctx.Done():
-			return fmt.Errorf("%s was not up within %s", d.Name, most)
+			return fmt.Errorf("%s was not up within %s", p.Name, most)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
 // Meant tells whether the process's end was asked for.
-func (d *Process) Meant() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.meant
+func (p *Process) Meant() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.meant
 }
 
 // Kill ends the process at once; Again starts it anew.
-func (d *Process) Kill() { d.end(syscall.SIGKILL, time.Second) }
+func (p *Process) Kill() { p.end(syscall.SIGKILL, time.Second) }
 
 // KillAnd ends the process and does something before it may start again.
-func (d *Process) KillAnd(do func() error) error {
-	d.Kill() // who waits for it to serve gives up
-	d.start.Lock()
-	defer d.start.Unlock()
-	d.Kill()
+func (p *Process) KillAnd(do func() error) error {
+	p.Kill() // who waits for it to serve gives up
+	p.start.Lock()
+	defer p.start.Unlock()
+	p.Kill()
 	return do()
 }
 
 // Reload tells it by SIGHUP that what it reads at its start may have changed.
-func (d *Process) Reload() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.signal(syscall.SIGHUP)
+func (p *Process) Reload() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.signal(syscall.SIGHUP)
 }
 
 // Term tells it to end, and kills it if it has not within a while.
-func (d *Process) Term(patience time.Duration) { d.end(syscall.SIGTERM, patience) }
+func (p *Process) Term(patience time.Duration) { p.end(syscall.SIGTERM, patience) }
 
-func (d *Process) end(s syscall.Signal, patience time.Duration) {
-	d.mu.Lock()
-	d.meant = true
-	exit := d.exit
-	running := d.signal(s)
+func (p *Process) end(s syscall.Signal, patience time.Duration) {
+	p.mu.Lock()
+	p.meant = true
+	exit := p.exit
+	running := p.signal(s)
 	if running && s == syscall.SIGKILL { // one that waits for its disk is seen to end much later
-		d.note(history.Down, "")
+		p.note(history.Down, "")
 	}
-	d.mu.Unlock()
+	p.mu.Unlock()
 	if !running {
 		return
 	}
 	select {
 	case <-exit:
 	case <-time.After(patience):
-		d.mu.Lock()
-		d.signal(syscall.SIGKILL)
-		d.mu.Unlock()
+		p.mu.Lock()
+		p.signal(syscall.SIGKILL)
+		p.mu.Unlock()
 		<-exit
 	}
 }
 
 // Again starts a process that has ended and waits until it is up.
-func (d *Process) Again() error {
-	d.start.Lock() // two faults may heal at once
-	defer d.start.Unlock()
-	if d.Up() {
+func (p *Process) Again() error {
+	p.start.Lock() // two faults may heal at once
+	defer p.start.Unlock()
+	if p.Up() {
 		return nil
 	}
-	if err := d.launch(); err != nil {
+	if err := p.launch(); err != nil {
 		return err
 	}
-	return d.ready(30 * time.Second)
+	return p.ready(30 * time.Second)
 }
 
 // Hold lets the process stand still, or go on; while any reason holds it, it stands.
-func (d *Process) Hold(still bool, why string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (p *Process) Hold(still bool, why string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if still {
-		if d.holds++; d.holds == 1 && d.signal(syscall.SIGSTOP) {
-			d.note(history.Stopped, why)
+		if p.holds++; p.holds == 1 && p.signal(syscall.SIGSTOP) {
+			p.note(history.Stopped, why)
 		}
 		return
 	}
-	if d.holds > 0 {
-		if d.holds--; d.holds == 0 && d.signal(syscall.SIGCONT) {
-			d.note(history.Goes, why)
+	if p.holds > 0 {
+		if p.holds--; p.holds == 0 && p.signal(syscall.SIGCONT) {
+			p.note(history.Goes, why)
 		}
 	}
 }
@@ -278,82 +278,82 @@
 
 // Slow gives the process a share of a core until the context ends: it stands still for the rest of each
 // short period.
-func (d *Process) Slow(ctx context.Context, share float64) {
+func (p *Process) Slow(ctx context.Context, share float64) {
 	run := time.Duration(share * float64(slowPeriod))
 	for ctx.Err() == nil {
-		d.pulse(true)
+		p.pulse(true)
 		time.Sleep(slowPeriod - run)
-		d.pulse(false)
+		p.pulse(false)
 		time.Sleep(run)
 	}
 }
 
 // pulse is a hold too short for the history.
-func (d *Process) pulse(still bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.holds > 0 {
+func (p *Process) pulse(still bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.holds > 0 {
 		return
 	}
 	if still {
-		d.signal(syscall.SIGSTOP)
+		p.signal(syscall.SIGSTOP)
 	} else {
-		d.signal(syscall.SIGCONT)
+		p.signal(syscall.SIGCONT)
 	}
 }
 
 // Order tells a debug build to stand still for a while, or to end, when it reaches a point for so many-th
 // time.
-func (d *Process) Order(does string, at failpoint.Name, nth int, hold time.Duration) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.ended != nil || d.in == nil {
-		return fmt.Errorf("%s does not run", d.Name)
+func (p *Process) Order(does string, at failpoint.Name, nth int, hold time.Duration) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.ended != nil || p.in == nil {
+		return fmt.Errorf("%s does not run", p.Name)
 	}
-	d.orders[at] = hold
+	p.orders[at] = hold
 	if does == "exit" {
-		d.meant = true
+		p.meant = true
 	}
-	_, err := fmt.Fprintf(d.in, "%s %s %d\n", does, at, nth)
+	_, err := fmt.Fprintf(p.in, "%s %s %d\n", does, at, nth)
 	return err
 }
 
 // Cut lets nothing that a debug build says get to a host, or lets it again; while any reason cuts it off, it is.
-func (d *Process) Cut(host string, off bool) { d.order(&d.cut, host, off, "cut", "mend") }
+func (p *Process) Cut(host string, off bool) { p.order(&p.cut, host, off, "cut", "mend") }
 
 // Dark has a debug build take a host for a machine without power, or no longer: nothing gets there, and no end of its connections is
 // told.
-func (d *Process) Dark(host string, off bool) { d.order(&d.dark, host, off, "dark", "light") }
+func (p *Process) Dark(host string, off bool) { p.order(&p.dark, host, off, "dark", "light") }
 
 // order counts the reasons for something about a host, and gives the order for the first one, and another when none is left.
-func (d *Process) order(reasons *map[string]int, host string, on bool, begin, end string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (p *Process) order(reasons *map[string]int, host string, on bool, begin, end string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if *reasons == nil {
 		*reasons = map[string]int{}
 	}
 	if on {
 		if (*reasons)[host]++; (*reasons)[host] == 1 {
-			d.say("%s %s\n", begin, host)
+			p.say("%s %s\n", begin, host)
 		}
 		return
 	}
 	if (*reasons)[host]--; (*reasons)[host] <= 0 {
 		delete(*reasons, host)
-		d.say("%s %s\n", end, host)
+		p.say("%s %s\n", end, host)
 	}
 }
 
 // say gives an order to the process if it runs; the lock is held.
-func (d *Process) say(format string, args ...any) {
-	if d.in != nil && d.ended == nil {
-		fmt.Fprintf(d.in, format, args...) // one that ends now needs none
+func (p *Process) say(format string, args ...any) {
+	if p.in != nil && p.ended == nil {
+		fmt.Fprintf(p.in, format, args...) // one that ends now needs none
 	}
 }
 
 // reached: the process stands still at a point, by its own doing. It goes on after the time that was
 // ordered.
-func (d *Process) reached(cmd *exec.Cmd, at failpoint.Name) {
+func (p *Process) reached(cmd *exec.Cmd, at failpoint.Name) {
 	state := func() byte {
 		b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid))
 		if i := strings.LastIndexByte(string(b), ')'); i > 0 && len(b) > i+2 {
@@ -364,64 +364,64 @@
 	for i := 0; i < 1000 && state() != 'T' && state() != 0; i++ {
 		time.Sleep(time.Millisecond)
 	}
-	d.mu.Lock()
-	hold := d.orders[at]
-	if d.cmd != cmd {
-		d.mu.Unlock()
+	p.mu.Lock()
+	hold := p.orders[at]
+	if p.cmd != cmd {
+		p.mu.Unlock()
 		return
 	}
-	d.holds++
-	d.note(history.Stopped, string(at))
-	exit := d.exit
-	d.mu.Unlock()
+	p.holds++
+	p.note(history.Stopped, string(at))
+	exit := p.exit
+	p.mu.Unlock()
 	wake := time.NewTimer(hold)
 	defer wake.Stop()
 	select {
 	case <-exit:
 	case <-wake.C:
-		d.Hold(false, string(at))
+		p.Hold(false, string(at))
 	}
 }
 
 // Up tells whether the process runs.
-func (d *Process) Up() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.cmd != nil && d.ended == nil
+func (p *Process) Up() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.cmd != nil && p.ended == nil
 }
 
 // Down tells for how long it has not run; nought if it runs.
-func (d *Process) Down() time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.cmd == nil {
+func (p *Process) Down() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil {
 		return time.Hour // not started yet
 	}
-	if d.ended == nil {
+	if p.ended == nil {
 		return 0
 	}
-	return time.Since(d.gone)
+	return time.Since(p.gone)
 }
 
 // Crash gives the last words of a process that ended by itself.
-func (d *Process) Crash() (string, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.ended == nil || d.meant {
+func (p *Process) Crash() (string, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.ended == nil || p.meant {
 		return "", false
 	}
-	return fmt.Sprint(d.ended, ": ", strings.Join(d.said, "; ")), true
+	return fmt.Sprint(p.ended, ": ", strings.Join(p.said, "; ")), true
 }
 
 // Close ends the process for good and waits for it.
-func (d *Process) Close() {
-	d.mu.Lock()
-	d.meant = true
-	exit := d.exit
-	if d.cmd != nil {
-		d.cmd.Process.Kill()
-	}
-	d.mu.Unlock()
+func (p *Process) Close() {
+	p.mu.Lock()
+	p.meant = true
+	exit := p.exit
+	if p.cmd != nil {
+		p.cmd.Process.Kill()
+	}
+	p.mu.Unlock()
 	if exit != nil {
 		<-exit
 	}
--- a/internal/lab/standin/script.go
+++ b/internal/lab/standin/script.go
@@ -70,21 +70,21 @@
 }
 
 // Target is the call's method and target.
-func (x *Call) Target() string {
-	line, _, _ := strings.Cut(x.Head, "\r\n")
+func (c *Call) Target() string {
+	line, _, _ := strings.Cut(c.Head, "\r\n")
 	return strings.TrimSuffix(line, " HTTP/1.1")
 }
 
 // Answer writes a text as it is.
-func (x *Call) Answer(text string) { io.WriteString(x.C, text) }
+func (c *Call) Answer(text string) { io.WriteString(c.C, text) }
 
 // List answers as discovery's agent does, with targets in its form.
-func (x *Call) List(rev int, all bool, targets ...map[string]any) {
+func (c *Call) List(rev int, all bool, targets ...map[string]any) {
 	if targets == nil {
 		targets = []map[string]any{}
 	}
 	b, _ := json.Marshal(map[string]any{"rev": rev, "all": all, "targets": targets})
-	x.Answer(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b))
+	c.Answer(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b))
 }
 
 // Listed is a line of the list.
--- a/internal/proxy/downstream/server.go
+++ b/internal/proxy/downstream/server.go
@@ -107,45 +107,45 @@
 }
 
 // Serves says what the messages mean; it comes before the first connection.
-func (in *Server) Serves(f Handler) {
-	in.handler = f
-	in.streams, _ = f.(Streamer)
+func (s *Server) Serves(f Handler) {
+	s.handler = f
+	s.streams, _ = f.(Streamer)
 }
 
 // SetBounds changes the bounds, for messages and connections that begin from now on, and waits that are under
 // way.
-func (in *Server) SetBounds(b Bounds) { in.bounds = b.filled() }
+func (s *Server) SetBounds(b Bounds) { s.bounds = b.filled() }
 
 // Accept takes a new connection. When as many as may be are open, one that does nothing goes.
-func (in *Server) Accept(l *eventloop.Link) {
-	in.e.Count.Add(counters.ClientsOpened)
-	if in.clients.Held() >= in.most && !in.Evict() || in.e.Room() < 0 && !in.Evict() && !in.makeRoom() {
+func (s *Server) Accept(l *eventloop.Link) {
+	s.e.Count.Add(counters.ClientsOpened)
+	if s.clients.Held() >= s.most && !s.Evict() || s.e.Room() < 0 && !s.Evict() && !s.makeRoom() {
 		l.CloseSoon()
-		in.e.Count.Add(counters.ClientsRefused)
+		s.e.Count.Add(counters.ClientsRefused)
 		return
 	}
-	ref, c, ok := in.clients.Add()
+	ref, c, ok := s.clients.Add()
 	if !ok {
 		l.CloseSoon()
-		in.e.Count.Add(counters.ClientsRefused)
+		s.e.Count.Add(counters.ClientsRefused)
 		return
 	}
-	*c = Client{in: in, l: l, me: ref, r: http1.Requests(), since: in.e.Now()}
-	c.r.Bound(in.bounds.Head, in.bounds.Body)
-	l.Bound(in.bounds.Raw)
+	*c = Client{in: s, l: l, me: ref, r: http1.Requests(), since: s.e.Now()}
+	c.r.Bound(s.bounds.Head, s.bounds.Body)
+	l.Bound(s.bounds.Raw)
 	l.Own(c)
 }
 
 // crowded: more connections are open than idle ones are worth. Answers then end theirs: clients that ask once and stay
 // would else fill the process, and what the usual ones may hold, until they are let go.
-func (in *Server) crowded() bool { return 2*in.clients.Held() > in.most }
+func (s *Server) crowded() bool { return 2*s.clients.Held() > s.most }
 
 // Evict closes the connection that is worth least: one that never brought a whole message and had a moment for it,
 // before the one idle longest. One that has a txn, or may have one unread, stays.
-func (in *Server) Evict() bool {
+func (s *Server) Evict() bool {
 	var least *Client
-	strange := func(c *Client) bool { return c.nr == 0 && in.e.Now()-c.since > moment }
-	in.clients.Each(func(_ slots.Ref, c *Client) {
+	strange := func(c *Client) bool { return c.nr == 0 && s.e.Now()-c.since > moment }
+	s.clients.Each(func(_ slots.Ref, c *Client) {
 		if c.busy || !strange(c) && !c.idle() {
 			return
 		}
@@ -159,15 +159,15 @@
 	if least == nil {
 		return false
 	}
-	in.e.Count.Add(counters.ClientsEvicted)
+	s.e.Count.Add(counters.ClientsEvicted)
 	least.close()
 	return true
 }
 
 // Drain closes connections between txns from now on; what has been taken is answered.
-func (in *Server) Drain() {
-	in.draining = true
-	in.clients.Each(func(_ slots.Ref, c *Client) {
+func (s *Server) Drain() {
+	s.draining = true
+	s.clients.Each(func(_ slots.Ref, c *Client) {
 		if c.idle() && c.l.Clean() {
 			c.close()
 		}
@@ -175,7 +175,7 @@
 }
 
 // Clients counts connections.
-func (in *Server) Clients() int { return in.clients.Held() }
+func (s *Server) Clients() int { return s.clients.Held() }
 
 // Client is one connection of a client; it has one message at a time.
 type Client struct {
@@ -219,7 +219,7 @@
 }
 
 // Count counts one, for a form.
-func (in *Server) Count(id counters.ID) { in.e.Count.Add(id) }
+func (s *Server) Count(id counters.ID) { s.e.Count.Add(id) }
 
 // Claim takes an id for as long as the message is held; it fails if another client has it.
 func (c *Client) Claim(id string) bool {
@@ -264,42 +264,42 @@
 
 // Answer answers a message that was held, as the Client's Answer does. It tells whether its client still
 // waits: nobody else ever gets it.
-func (in *Server) Answer(t Ticket, write func(b []byte, last bool) []byte) bool {
-	c := in.clients.Get(t.who)
+func (s *Server) Answer(t Ticket, write func(b []byte, last bool) []byte) bool {
+	c := s.clients.Get(t.who)
 	if c == nil || !c.busy || c.nr != t.nr {
-		in.e.Count.Add(counters.Unheard)
+		s.e.Count.Add(counters.Unheard)
 		return false
 	}
-	c.last = c.last || in.draining || in.crowded()
+	c.last = c.last || s.draining || s.crowded()
 	c.Answer(write)
 	return true
 }
 
 // Holds finds the client that waits for a txn, nil if it has gone.
-func (in *Server) Holds(who, txn slots.Ref) *Client {
-	c := in.waits(who, txn)
+func (s *Server) Holds(who, txn slots.Ref) *Client {
+	c := s.waits(who, txn)
 	if c == nil {
-		in.e.Count.Add(counters.Unheard)
+		s.e.Count.Add(counters.Unheard)
 		return nil
 	}
-	c.last = c.last || in.draining || in.crowded()
+	c.last = c.last || s.draining || s.crowded()
 	return c
 }
 
 // waits finds it without a word on its answer.
-func (in *Server) waits(who, txn slots.Ref) *Client {
-	if c := in.clients.Get(who); c != nil && c.txn == txn && txn != 0 {
+func (s *Server) waits(who, txn slots.Ref) *Client {
+	if c := s.clients.Get(who); c != nil && c.txn == txn && txn != 0 {
 		return c
 	}
 	return nil
 }
 
 // Waits finds the client that waits for a txn, where no answer is due yet.
-func (in *Server) Waits(who, txn slots.Ref) *Client { return in.waits(who, txn) }
+func (s *Server) Waits(who, txn slots.Ref) *Client { return s.waits(who, txn) }
 
 // ID names a txn by its client's id, while the client waits.
-func (in *Server) ID(who, txn slots.Ref) string {
-	if c := in.waits(who, txn); c != nil {
+func (s *Server) ID(who, txn slots.Ref) string {
+	if c := s.waits(who, txn); c != nil {
 		return c.id
 	}
 	return ""
@@ -312,35 +312,35 @@
 var unforgiving bool
 
 // Live and Due are the engine's: it is time to look at all clients.
-func (in *Server) Live(uint32) bool { return true }
+func (s *Server) Live(uint32) bool { return true }
 
 // Due closes connections that have had their time. What this node stood still is not theirs: what came meanwhile lies
 // unread, and is read before anybody is looked at again.
-func (in *Server) Due(uint32) {
-	in.e.At(in.e.Now()+sweepEvery, in, 0)
-	if stood := in.e.InputDelay(); stood > 0 && !unforgiving {
-		in.clients.Each(func(_ slots.Ref, c *Client) { c.since = min(c.since+stood, in.e.Now()) })
+func (s *Server) Due(uint32) {
+	s.e.At(s.e.Now()+sweepEvery, s, 0)
+	if stood := s.e.InputDelay(); stood > 0 && !unforgiving {
+		s.clients.Each(func(_ slots.Ref, c *Client) { c.since = min(c.since+stood, s.e.Now()) })
 		return
 	}
-	in.clients.Each(func(_ slots.Ref, c *Client) {
-		most := in.bounds.WholeIn
+	s.clients.Each(func(_ slots.Ref, c *Client) {
+		most := s.bounds.WholeIn
 		switch {
 		case c.busy:
 			return
 		case c.l.Unwritten() > 0:
-			most = in.bounds.ReadIn
+			most = s.bounds.ReadIn
 		case !c.begun && c.nr > 0:
-			most = in.bounds.Idle
+			most = s.bounds.Idle
 		case !c.headed():
-			most = in.bounds.HeadIn
+			most = s.bounds.HeadIn
 		}
-		if in.e.Now()-c.since < most || !c.begun && c.l.Unwritten() == 0 && !c.l.Clean() {
+		if s.e.Now()-c.since < most || !c.begun && c.l.Unwritten() == 0 && !c.l.Clean() {
 			return
 		}
 		if c.idle() {
-			in.e.Count.Add(counters.ClientsIdle)
+			s.e.Count.Add(counters.ClientsIdle)
 		} else {
-			in.e.Count.Add(counters.ClientsStuck)
+			s.e.Count.Add(counters.ClientsStuck)
 		}
 		c.close()
 	})
--- a/internal/proxy/downstream/txn.go
+++ b/internal/proxy/downstream/txn.go
@@ -61,10 +61,10 @@
 }
 
 // Left is told when the client of a txn has gone away.
-func (f *Txns) Left(txn slots.Ref) { f.gate.Left(txn) }
+func (t *Txns) Left(txn slots.Ref) { t.gate.Left(txn) }
 
 // Take makes a txn of a whole message, or answers it right here.
-func (f *Txns) Take(c *Client) {
+func (t *Txns) Take(c *Client) {
 	r, b := c.Request()
 	method, target := r.Method(b), r.Target(b)
 	path, _, _ := bytes.Cut(target, []byte("?"))
@@ -74,7 +74,7 @@
 			c.Reject(405, counters.NoSuchMethod, "GET only")
 			return
 		}
-		f.e.Count.Add(counters.Ups)
+		t.e.Count.Add(counters.Ups)
 		c.Answer(answer.Up)
 		return
 	case string(path) != "/api":
@@ -90,7 +90,7 @@
 		c.Doubtful(http1.ErrFraming)
 		return
 	}
-	x, why, line := f.read(r, b)
+	x, why, line := t.read(r, b)
 	if line != "" {
 		c.Reject(400, why, line)
 		return
@@ -100,7 +100,7 @@
 		c.Reject(400, counters.BadID, "req-id: of a request that is still open")
 		return
 	}
-	ref, ok := f.gate.Take(x, f, c.Who())
+	ref, ok := t.gate.Take(x, t, c.Who())
 	if !ok {
 		c.Answer(func(b []byte, last bool) []byte { return answer.Decline(b, 0, last) })
 		return
@@ -109,29 +109,29 @@
 }
 
 // Settle gives the one answer to a txn, as Decline and Void do.
-func (f *Txns) Settle(who, txn slots.Ref, o gate.Outcome) {
-	if c := f.Holds(who, txn); c != nil {
+func (t *Txns) Settle(who, txn slots.Ref, o gate.Outcome) {
+	if c := t.Holds(who, txn); c != nil {
 		kind, _ := o.Answer.Get(o.Bytes, "content-type")
 		c.Answer(func(b []byte, last bool) []byte { return answer.Settle(b, o.Body, kind, last) })
 	}
 }
 
 // Decline says that coming again is harmless.
-func (f *Txns) Decline(who, txn slots.Ref, after time.Duration, _ control.Reason) {
-	if c := f.Holds(who, txn); c != nil {
+func (t *Txns) Decline(who, txn slots.Ref, after time.Duration, _ control.Reason) {
+	if c := t.Holds(who, txn); c != nil {
 		c.Answer(func(b []byte, last bool) []byte { return answer.Decline(b, after, last) })
 	}
 }
 
 // Void makes no such promise.
-func (f *Txns) Void(who, txn slots.Ref, _ control.Reason) {
-	if c := f.Holds(who, txn); c != nil {
+func (t *Txns) Void(who, txn slots.Ref, _ control.Reason) {
+	if c := t.Holds(who, txn); c != nil {
 		c.Answer(answer.Void)
 	}
 }
 
 // read makes a txn of a message's headers, or says in one line what is wrong with them.
-func (f *Txns) read(r *http1.Reader, b []byte) (x control.Txn, why counters.ID, line string) {
+func (t *Txns) read(r *http1.Reader, b []byte) (x control.Txn, why counters.ID, line string) {
 	one := func(name string) []byte {
 		v, many := r.Get(b, name)
 		if (many || len(v) == 0) && line == "" {
@@ -154,26 +154,26 @@
 	}
 	// The client counts from when it sent. After a standstill the txn may have lain unread for all of it: taken as
 	// new, it would be answered past its expiry.
-	x.Expiry = f.e.Now() + max(span-f.e.InputDelay(), 0)
+	x.Expiry = t.e.Now() + max(span-t.e.InputDelay(), 0)
 	if x.Customer, ok = customer(cookie); !ok {
 		return x, why, "cookie: key is 16 hexadecimal digits below 2^33"
 	}
-	if x.Product, ok = f.products[string(kind)]; !ok {
+	if x.Product, ok = t.products[string(kind)]; !ok {
 		return x, counters.BadProduct, "req-kind: unknown"
 	}
-	if f.kinds[x.Product].Keyed {
+	if t.kinds[x.Product].Keyed {
 		if one("idempotency-key"); line != "" { // without it a repeat could not be told from a new one
 			return
 		}
 	}
 	// The class decides the method: what backends would reject takes no units and counts against none of them.
-	if get := string(r.Method(b)) == "GET"; get != f.kinds[x.Product].Safe || get && len(r.Body(b)) > 0 {
+	if get := string(r.Method(b)) == "GET"; get != t.kinds[x.Product].Safe || get && len(r.Body(b)) > 0 {
 		return x, why, "req-kind: not by this method"
 	}
-	if x.Plan, ok = f.plans[string(plan)]; !ok {
+	if x.Plan, ok = t.plans[string(plan)]; !ok {
 		return x, counters.BadPlan, "x-plan: unknown"
 	}
-	if !f.quota(&x, quota) {
+	if !t.quota(&x, quota) {
 		return x, counters.BadQuota, "x-quota: units, spread and first"
 	}
 	if v, _ := r.Get(b, "req-retry"); len(v) > 0 {
@@ -223,7 +223,7 @@
 }
 
 // quota reads what a txn weighs and which front doors its customer has.
-func (f *Txns) quota(x *control.Txn, v []byte) bool {
+func (t *Txns) quota(x *control.Txn, v []byte) bool {
 	seen := 0
 	for len(v) > 0 {
 		var one []byte
@@ -235,20 +235,20 @@
 		switch string(name) {
 		case "units":
 			u, err := strconv.ParseFloat(string(figure), 64)
-			if err != nil || !(u > 0 && u <= f.units) || seen&1 != 0 {
+			if err != nil || !(u > 0 && u <= t.units) || seen&1 != 0 {
 				return false
 			}
 			x.Units = u
 			seen |= 1
 		case "spread", "first":
-			n, ok := http1.Number(figure, f.gateways)
+			n, ok := http1.Number(figure, t.gateways)
 			if !ok {
 				return false
 			}
 			if string(name) == "spread" && n >= 1 && seen&2 == 0 {
 				x.SetWidth = n
 				seen |= 2
-			} else if string(name) == "first" && n < f.gateways && seen&4 == 0 {
+			} else if string(name) == "first" && n < t.gateways && seen&4 == 0 {
 				x.SetFirst = control.GatewayID(n)
 				seen |= 4
 			} else {
@@ -260,8 +260,8 @@
 }
 
 // AppendTo writes what goes on to a backend: method, target, body, id and key as they came.
-func (f *Txns) AppendTo(b []byte, who, txn slots.Ref, _ control.BackendID, wait time.Duration) []byte {
-	c := f.Waits(who, txn)
+func (t *Txns) AppendTo(b []byte, who, txn slots.Ref, _ control.BackendID, wait time.Duration) []byte {
+	c := t.Waits(who, txn)
 	if c == nil || c.IsClosed() {
 		return b
 	}
--- a/internal/proxy/eventloop/listen.go
+++ b/internal/proxy/eventloop/listen.go
@@ -34,43 +34,43 @@
 	return e.hear(addr, accept).open()
 }
 
-func (a *ear) open() (err error) {
-	if a.Listener == nil {
-		a.Listener, err = (&net.ListenConfig{KeepAlive: -1}).Listen(noContext, "tcp", a.addr)
+func (e *ear) open() (err error) {
+	if e.Listener == nil {
+		e.Listener, err = (&net.ListenConfig{KeepAlive: -1}).Listen(noContext, "tcp", e.addr)
 	}
 	return err
 }
 
 // Accept is the poller's. When it asks for the next one, it has the last one among those that it watches.
-func (a *ear) Accept() (net.Conn, error) {
-	if a.last != nil {
-		if l, ok := a.last.Session().(*Link); ok {
+func (e *ear) Accept() (net.Conn, error) {
+	if e.last != nil {
+		if l, ok := e.last.Session().(*Link); ok {
 			l.added()
 		}
-		a.last = nil
+		e.last = nil
 	}
-	conn, err := a.Listener.Accept()
+	conn, err := e.Listener.Accept()
 	if err != nil {
-		if a.deaf.Load() {
-			<-a.over
+		if e.deaf.Load() {
+			<-e.over
 		}
 		return nil, err
 	}
-	c, err := a.e.numbers.adopt(conn)
+	c, err := e.e.numbers.adopt(conn)
 	if err != nil {
 		return nil, err
 	}
-	a.last = c
+	e.last = c
 	return c, nil
 }
 
 // Close is the poller's, at the end.
-func (a *ear) Close() error {
-	if a.closed.Swap(true) {
+func (e *ear) Close() error {
+	if e.closed.Swap(true) {
 		return nil
 	}
-	close(a.over)
-	return a.Listener.Close()
+	close(e.over)
+	return e.Listener.Close()
 }
 
 // StopListening takes no new connections from now on, anywhere: they are refused.
--- a/internal/proxy/gate/gate_test.go
+++ b/internal/proxy/gate/gate_test.go
@@ -20,32 +20,32 @@
 	sends  int
 }
 
-func (m *careless) Now(time.Duration)                                            {}
-func (m *careless) ClientLeft(control.TxnID)                                     {}
-func (m *careless) EndpointsChanged(bool, []control.Endpoint)                    {}
-func (m *careless) DatagramReceived(control.GatewayID, []byte)                   {}
-func (m *careless) ProbeEnded(control.BackendID, bool, time.Duration, []float64) {}
-func (m *careless) Woken(uint64)                                                 {}
-func (m *careless) TxnArrived(x control.Txn)                                     { m.send(x.ID) }
-func (m *careless) send(id control.TxnID) {
-	if m.sends++; m.sends <= 3 {
-		m.todo = append(m.todo, control.Decision{Action: control.Submit, Txn: id, Backend: 1})
+func (c *careless) Now(time.Duration)                                            {}
+func (c *careless) ClientLeft(control.TxnID)                                     {}
+func (c *careless) EndpointsChanged(bool, []control.Endpoint)                    {}
+func (c *careless) DatagramReceived(control.GatewayID, []byte)                   {}
+func (c *careless) ProbeEnded(control.BackendID, bool, time.Duration, []float64) {}
+func (c *careless) Woken(uint64)                                                 {}
+func (c *careless) TxnArrived(x control.Txn)                                     { c.send(x.ID) }
+func (c *careless) send(id control.TxnID) {
+	if c.sends++; c.sends <= 3 {
+		c.todo = append(c.todo, control.Decision{Action: control.Submit, Txn: id, Backend: 1})
 	}
 }
-func (m *careless) SubmissionEnded(id control.TxnID, _ int, _ control.BackendID, _ control.Ending, over bool, _ time.Duration, _ []float64) {
+func (c *careless) SubmissionEnded(id control.TxnID, _ int, _ control.BackendID, _ control.Ending, over bool, _ time.Duration, _ []float64) {
 	switch {
 	case over:
-	case m.refuse:
-		m.todo = append(m.todo, control.Decision{Action: control.Reject, Txn: id})
+	case c.refuse:
+		c.todo = append(c.todo, control.Decision{Action: control.Reject, Txn: id})
 	default:
-		m.send(id)
+		c.send(id)
 	}
 }
-func (m *careless) Next() (x control.Decision, ok bool) {
-	if len(m.todo) == 0 {
+func (c *careless) Next() (x control.Decision, ok bool) {
+	if len(c.todo) == 0 {
 		return x, false
 	}
-	x, m.todo = m.todo[0], m.todo[1:]
+	x, c.todo = c.todo[0], c.todo[1:]
 	return x, true
 }
 
--- a/internal/proxy/upstream/dialect.go
+++ b/internal/proxy/upstream/dialect.go
@@ -49,13 +49,13 @@
 func (*Reports) Wary() bool { return false }
 
 // Read tells whether it ever ran.
-func (d *Reports) Read(_ Carried, r *http1.Reader, b []byte) Verdict {
-	v := Verdict{Ending: control.Errored, Load: d.report(r, b)} // whatever else it says, it may have run
-	switch r.Status() {
+func (r *Reports) Read(_ Carried, reader *http1.Reader, b []byte) Verdict {
+	v := Verdict{Ending: control.Errored, Load: r.report(reader, b)} // whatever else it says, it may have run
+	switch reader.Status() {
 	case 200:
 		v.Ending = control.Succeeded
 	case 503, 504:
-		if word, _ := r.Get(b, "srv-declined"); string(word) == "1" {
+		if word, _ := reader.Get(b, "srv-declined"); string(word) == "1" {
 			v.Ending = control.Rejected
 		}
 	}
@@ -63,13 +63,13 @@
 }
 
 // report reads the load that an answer tells: names and numbers, in the order that the settings have.
-func (d *Reports) report(r *http1.Reader, b []byte) []float64 {
-	v, _ := r.Get(b, "srv-load")
+func (r *Reports) report(reader *http1.Reader, b []byte) []float64 {
+	v, _ := reader.Get(b, "srv-load")
 	if len(v) == 0 {
 		return nil
 	}
-	for i := range d.load {
-		d.load[i] = -1 // not told
+	for i := range r.load {
+		r.load[i] = -1 // not told
 	}
 	for len(v) > 0 {
 		one, rest, _ := bytes.Cut(v, []byte(","))
@@ -78,13 +78,13 @@
 		if !ok {
 			continue
 		}
-		for i, f := range d.fields {
+		for i, f := range r.fields {
 			if string(name) == f {
 				if x, err := strconv.ParseFloat(string(figure), 64); err == nil && x >= 0 {
-					d.load[i] = x
+					r.load[i] = x
 				}
 			}
 		}
 	}
-	return d.load
+	return r.load
 }
--- a/internal/proxy/upstream/orders_test.go
+++ b/internal/proxy/upstream/orders_test.go
@@ -60,22 +60,22 @@
 	return b
 }
 
-func (b *fixture) read(c net.Conn, nr int) {
+func (f *fixture) read(c net.Conn, nr int) {
 	p := make([]byte, 256<<10)
 	for {
-		b.mu.Lock()
-		for !b.reads {
-			b.more.Wait()
+		f.mu.Lock()
+		for !f.reads {
+			f.more.Wait()
 		}
-		b.mu.Unlock()
+		f.mu.Unlock()
 		n, err := c.Read(p)
-		b.mu.Lock()
-		b.saw[nr].Write(p[:n])
+		f.mu.Lock()
+		f.saw[nr].Write(p[:n])
 		if err != nil {
-			b.ended++
+			f.ended++
 		}
-		b.more.Broadcast()
-		b.mu.Unlock()
+		f.more.Broadcast()
+		f.mu.Unlock()
 		if err != nil {
 			c.Close()
 			return
@@ -84,19 +84,19 @@
 }
 
 // until waits for something that this backend sees.
-func (b *fixture) until(see func() bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (f *fixture) until(see func() bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	for !see() {
-		b.more.Wait()
+		f.more.Wait()
 	}
 }
 
-func (b *fixture) readsOn() {
-	b.mu.Lock()
-	b.reads = true
-	b.more.Broadcast()
-	b.mu.Unlock()
+func (f *fixture) readsOn() {
+	f.mu.Lock()
+	f.reads = true
+	f.more.Broadcast()
+	f.mu.Unlock()
 }
 
 // asker is a front with clients that each have an id and what they were told.
@@ -228,10 +228,10 @@
 }
 
 // newest is the connection that came last.
-func (b *fixture) newest() *net.TCPConn {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.conns[len(b.conns)-1]
+func (f *fixture) newest() *net.TCPConn {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.conns[len(f.conns)-1]
 }
 
 // settled tells whether the request has its end and nothing is out.
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -249,40 +249,40 @@
 type dialAlarm struct{ d *Dispatch }
 type partAlarm struct{ d *Dispatch }
 
-func (a *partAlarm) Live(ref uint32) bool {
-	s := a.d.subs.Get(slots.Ref(ref))
+func (p *partAlarm) Live(ref uint32) bool {
+	s := p.d.subs.Get(slots.Ref(ref))
 	return s != nil && s.wholeBy > 0
 }
 
-func (a *partAlarm) Due(ref uint32) {
-	s := a.d.subs.Get(slots.Ref(ref))
+func (p *partAlarm) Due(ref uint32) {
+	s := p.d.subs.Get(slots.Ref(ref))
 	switch {
-	case !a.Live(ref) || a.d.e.Now() < s.wholeBy:
-	case a.d.e.InputDelay() > 0 && !unfenced.unread: // this node stood still: the rest may lie unread
-		s.wholeBy = a.d.e.Now() + s.whole
-		a.d.e.At(s.wholeBy, a, ref)
+	case !p.Live(ref) || p.d.e.Now() < s.wholeBy:
+	case p.d.e.InputDelay() > 0 && !unfenced.unread: // this node stood still: the rest may lie unread
+		s.wholeBy = p.d.e.Now() + s.whole
+		p.d.e.At(s.wholeBy, p, ref)
 	default:
-		a.d.spoilt(slots.Ref(ref), s)
+		p.d.spoilt(slots.Ref(ref), s)
 	}
 }
 
-func (a *limitAlarm) Live(ref uint32) bool { return a.d.subs.Get(slots.Ref(ref)) != nil }
+func (l *limitAlarm) Live(ref uint32) bool { return l.d.subs.Get(slots.Ref(ref)) != nil }
 
-func (a *limitAlarm) Due(ref uint32) {
+func (l *limitAlarm) Due(ref uint32) {
 	// A slot's generations come round: an alarm of long ago may name the submission of now.
-	if s := a.d.subs.Get(slots.Ref(ref)); s != nil && a.d.e.Now() >= s.until {
-		a.d.giveUp(slots.Ref(ref), s, control.TimedOut, control.Unreachable)
+	if s := l.d.subs.Get(slots.Ref(ref)); s != nil && l.d.e.Now() >= s.until {
+		l.d.giveUp(slots.Ref(ref), s, control.TimedOut, control.Unreachable)
 	}
 }
 
-func (a *dialAlarm) Live(ref uint32) bool {
-	s := a.d.subs.Get(slots.Ref(ref))
+func (d *dialAlarm) Live(ref uint32) bool {
+	s := d.d.subs.Get(slots.Ref(ref))
 	return s != nil && s.conn != nil && s.conn.dialing
 }
 
-func (a *dialAlarm) Due(ref uint32) {
-	if s := a.d.subs.Get(slots.Ref(ref)); a.Live(ref) && a.d.e.Now() >= s.began+a.d.terms.Dial {
-		a.d.e.Count.Add(counters.DialsFailed)
-		a.d.giveUp(slots.Ref(ref), s, control.ConnectionLost, control.Unreachable)
+func (d *dialAlarm) Due(ref uint32) {
+	if s := d.d.subs.Get(slots.Ref(ref)); d.Live(ref) && d.d.e.Now() >= s.began+d.d.terms.Dial {
+		d.d.e.Count.Add(counters.DialsFailed)
+		d.d.giveUp(slots.Ref(ref), s, control.ConnectionLost, control.Unreachable)
 	}
 }
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -33,8 +33,8 @@
 // ConflictError tells that a key has another revision than a put named.
 type ConflictError struct{ Revision uint64 }
 
-func (e *ConflictError) Error() string {
-	return "the key has revision " + strconv.FormatUint(e.Revision, 10)
+func (c *ConflictError) Error() string {
+	return "the key has revision " + strconv.FormatUint(c.Revision, 10)
 }
 
 const (
@@ -69,8 +69,8 @@
 }
 
 // isDefinite tells whether an answer ends the call: else another node is asked.
-func (a *response) isDefinite() bool {
-	return a.status/100 != 5 && a.status != http.StatusTooManyRequests
+func (r *response) isDefinite() bool {
+	return r.status/100 != 5 && r.status != http.StatusTooManyRequests
 }
 
 // do brings a call to the nodes until one answers clearly or the context ends. It is for calls that may come twice.
@@ -131,18 +131,18 @@
 }
 
 // decode gives an answer's content, or its error.
-func (a *response) decode(into any) error {
-	switch a.status {
+func (r *response) decode(into any) error {
+	switch r.status {
 	case http.StatusOK:
 		if into == nil {
 			return nil
 		}
-		return json.Unmarshal(a.body, into)
+		return json.Unmarshal(r.body, into)
 	case http.StatusConflict:
 		return ErrHeld
 	case http.StatusPreconditionFailed:
 		var now struct{ Revision uint64 }
-		if err := json.Unmarshal(a.body, &now); err != nil {
+		if err := json.Unmarshal(r.body, &now); err != nil {
 			return err
 		}
 		return &ConflictError{now.Revision}
@@ -151,7 +151,7 @@
 	case http.StatusGone:
 		return ErrCompacted
 	}
-	return errors.Wrapf(ErrInvalid, "status %d: %s", a.status, strings.TrimSpace(string(a.body)))
+	return errors.Wrapf(ErrInvalid, "status %d: %s", r.status, strings.TrimSpace(string(r.body)))
 }
 
 // Next gives a number above all that were given under a name before.
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -20,20 +20,20 @@
 	respond  func(path, body string) (status int, text string)
 }
 
-func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	n.mu.Lock()
-	n.requests = append(n.requests, r.URL.RequestURI()+" "+string(body))
-	status, text := n.respond(r.URL.Path, string(body))
-	n.mu.Unlock()
+	f.mu.Lock()
+	f.requests = append(f.requests, r.URL.RequestURI()+" "+string(body))
+	status, text := f.respond(r.URL.Path, string(body))
+	f.mu.Unlock()
 	w.WriteHeader(status)
 	io.WriteString(w, text)
 }
 
-func (n *fakeNode) count(part string) (found int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, a := range n.requests {
+func (f *fakeNode) count(part string) (found int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, a := range f.requests {
 		if strings.Contains(a, part) {
 			found++
 		}
@@ -99,9 +99,9 @@
 	cancel context.CancelFunc
 }
 
-func (a lastResponse) RoundTrip(*http.Request) (*http.Response, error) {
-	a.cancel()
-	return &http.Response{StatusCode: a.status, Body: http.NoBody}, nil
+func (l lastResponse) RoundTrip(*http.Request) (*http.Response, error) {
+	l.cancel()
+	return &http.Response{StatusCode: l.status, Body: http.NoBody}, nil
 }
 
 // A session renews; once nobody answers, or the lock is lost, it ends by itself, before its time has run out.
