--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -76,8 +76,8 @@
 // noPeers is a coordination.Outside without any other node.
 type noPeers struct{ coordination.Env }
 
-func (noPeers) InputDelay() time.Duration    { return 0 }
-func (noPeers) HasQuorumContact() bool            { return true }
+func (noPeers) InputDelay() time.Duration        { return 0 }
+func (noPeers) HasQuorumContact() bool           { return true }
 func (noPeers) ScheduleAt(time.Duration, uint32) {}
 
 // coordinationOf folds the groups' logs to the service that answers applications' calls.
--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -21,10 +21,10 @@
 
 type jobs []*job
 
-func (j jobs) Len() int           { return len(j) }
+func (j jobs) Len() int               { return len(j) }
 func (j jobs) Less(i, count int) bool { return j[i].goal < j[count].goal }
 func (j jobs) Swap(i, count int)      { j[i], j[count] = j[count], j[i]; j[i].at, j[count].at = i, count }
-func (j *jobs) Push(x any)        { item := x.(*job); item.at = len(*j); *j = append(*j, item) }
+func (j *jobs) Push(x any)            { item := x.(*job); item.at = len(*j); *j = append(*j, item) }
 func (j *jobs) Pop() any {
 	old := *j
 	job := old[len(old)-1]
