--- a/internal/gateway/node/stage.go
+++ b/internal/gateway/node/stage.go
@@ -79,7 +79,7 @@
 
 // Deregister takes a backend's last word.
 func (n *Node) Deregister(id string, then func(ok bool, target string)) {
-	n.awaitAcknowledgement(permitAckDrain, then, func() registry.Ticket { return n.registry.Deregister(id, 0) })
+	n.awaitAcknowledgement(permitAckDrain, then, func() registry.Ticket { return n.registry.Deregister(id) })
 }
 
 func (n *Node) awaitAcknowledgement(r permission, then func(ok bool, target string), note func() registry.Ticket) {
--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -135,7 +135,7 @@
 	}
 	tr.updateNodes()
 	tr.drain(s, 1)
-	tr.registries[1].Deregister(s.ID, 9)
+	tr.registries[1].Deregister(s.ID)
 	tr.advance(time.Second)
 	must.Eq(t, Ready, tr.views[3][s.ID].Phase)
 	tr.partitioned = map[[2]Slot]bool{}
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -132,7 +132,7 @@
 	}
 	must.SliceEmpty(t, c.registry.activePeers)
 	must.True(t, c.registry.HasReady())
-	c.registry.Deregister("i-7", 2) // that is for all
+	c.registry.Deregister("i-7") // that is for all
 	c.collect(time.Hour)
 	must.SliceLen(t, 50, c.registry.activePeers)
 	c.registry.SetNodes([]Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}) // nobody is there any more
--- a/internal/gateway/registry/merge.go
+++ b/internal/gateway/registry/merge.go
@@ -1,164 +1,76 @@
 package registry
 
-import (
-	"cmp"
-	"slices"
-)
+import "time"
 
-// merge adds what a word says to what is known. It is the same in every order and repetition: the newest Seq
-// gives the facts, the highest fence the registrar; draining and leaving stay. A silence counts only at exactly
-// the newest Seq and fence: a later beat revives, and an older registrar does not undo a newer one. It tells
-// whether the backend was gone and lives again.
-func (r *Registry) merge(e *entry, w Record) (revived bool) {
-	was := e.phase()
-	quiet := w.Phase == Gone && !w.Left
-	seq, fence := max(e.record.Seq, w.Seq), max(e.record.FencingToken, w.FencingToken)
-	gone := e.timedOut && e.record.Seq == seq && e.record.FencingToken == fence || quiet && w.Seq == seq && w.FencingToken == fence
-	if w.Service != "" && (w.Seq > e.record.Seq || e.record.Service == "") {
-		r.mergeDetails(e, w)
-	}
-	if w.Seq > e.record.Seq {
+// slowStartTolerance is how far the end of a slow start may differ from what is known without counting as another: each heartbeat
+// gives what is left of it, a little differently.
+const slowStartTolerance = 500 * time.Millisecond
+
+// merge adds a record to what is known. The result is the same in every order and with every repetition: the newest Seq gives
+// what the backend says of itself, the highest fencing token its owner; departures stay. A time-out counts only at exactly the newest
+// Seq and token: a later heartbeat revives the backend, and a former owner can't undo what its successor knows. It tells
+// whether the backend was gone and is not any more.
+func (r *Registry) merge(e *entry, update Record) (revived bool) {
+	before := e.phase()
+	timeout := update.Phase == Gone && !update.Left
+	seq, token := max(e.record.Seq, update.Seq), max(e.record.FencingToken, update.FencingToken)
+	timedOut := e.timedOut && e.record.Seq == seq && e.record.FencingToken == token ||
+		timeout && update.Seq == seq && update.FencingToken == token
+	if update.Service != "" && (update.Seq > e.record.Seq || e.record.Service == "") {
+		r.mergeDetails(e, update)
+	}
+	if update.Seq > e.record.Seq {
 		e.lastSeenAt, e.directHeartbeat = r.now, false
 	}
-	if w.FencingToken > e.record.FencingToken || w.FencingToken == e.record.FencingToken && w.Owner > e.record.Owner {
-		r.setOwner(e, w.Owner, w.LostOwner)
+	if update.FencingToken > e.record.FencingToken ||
+		update.FencingToken == e.record.FencingToken && update.Owner > e.record.Owner { // two took it at once: any rule that all go by will do
+		r.setOwner(e, update.Owner, update.LostOwner)
 	}
-	e.record.Seq, e.record.FencingToken = seq, fence
-	e.record.Draining = e.record.Draining || w.Draining || w.Phase == Draining
-	e.record.Left = e.record.Left || w.Left
-	e.firstSeenAt = min(e.firstSeenAt, r.now-w.Age)
-	r.setTimedOut(e, was, gone)
+	e.record.Seq, e.record.FencingToken = seq, token
+	e.record.Draining = e.record.Draining || update.Draining || update.Phase == Draining
+	e.record.Left = e.record.Left || update.Left
+	e.firstSeenAt = min(e.firstSeenAt, r.now-update.Age)
+	r.setTimedOut(e, before, timedOut)
 	r.enqueueAddrChanges(e)
-	return was == Gone && e.phase() != Gone
+	return before == Gone && e.phase() != Gone
 }
 
 // mergeDetails takes what the backend says of itself.
-func (r *Registry) mergeDetails(e *entry, w Record) {
-	if e.record.Addr != w.Addr {
-		r.reindexAddr(e, w.Addr)
+func (r *Registry) mergeDetails(e *entry, update Record) {
+	if e.record.Addr != update.Addr {
+		r.reindexAddr(e, update.Addr)
 	}
-	e.record.Service, e.record.Zone, e.record.Generation, e.record.Capacity = w.Service, w.Zone, w.Generation, w.Capacity
-	// Each beat says it a little differently; only what matters counts.
-	if cold := r.now + w.SlowStartLeft; w.SlowStartLeft > 0 && max(cold-e.slowStartUntil, e.slowStartUntil-cold) > tickInterval {
-		e.slowStartUntil = cold
+	e.record.Service, e.record.Zone, e.record.Generation, e.record.Capacity = update.Service, update.Zone, update.Generation, update.Capacity
+	until := r.now + update.SlowStartLeft
+	if update.SlowStartLeft > 0 && max(until-e.slowStartUntil, e.slowStartUntil-until) > slowStartTolerance {
+		e.slowStartUntil = until
 	}
 }
 
-// setOwner notes who watches from now on.
-func (r *Registry) setOwner(e *entry, to, missed Slot) {
-	if e.record.Owner == r.localSlot && to != r.localSlot && r.unreachable(to) {
-		// Another node hears a registrar that this one does not: it is not to be taken from it again and again.
+// setOwner notes who watches the backend from now on, and from whom it was taken.
+func (r *Registry) setOwner(e *entry, owner, lostOwner Slot) {
+	if e.record.Owner == r.localSlot && owner != r.localSlot && r.unreachable(owner) {
+		// Another node reaches an owner that this one does not: the two must not take the backend from each other for ever.
 		e.noTakeoverUntil = r.now + takeoverHoldoffHeartbeats*r.config.HeartbeatInterval
 	}
-	e.record.Owner, e.record.LostOwner = to, missed
+	e.record.Owner, e.record.LostOwner = owner, lostOwner
 	e.ownerSince, e.lastSeenAt = r.now, r.now
 }
 
-// setTimedOut sets what a silence says and counts the gone.
-func (r *Registry) setTimedOut(e *entry, was Phase, gone bool) {
-	e.timedOut, e.suspected = gone, gone && e.suspected
-	switch is := e.phase(); {
-	case was != Gone && is == Gone:
+// setTimedOut sets whether the backend is timed out, and counts those that are gone. before is its phase until now.
+func (r *Registry) setTimedOut(e *entry, before Phase, timedOut bool) {
+	e.timedOut, e.suspected = timedOut, timedOut && e.suspected
+	switch after := e.phase(); {
+	case before != Gone && after == Gone:
 		r.goneCount++
 		e.goneAt = r.now
-	case was == Gone && is != Gone:
+	case before == Gone && after != Gone:
 		r.goneCount--
 	}
 }
 
-// expire marks one as gone by silence.
+// expire times a backend out.
 func (r *Registry) expire(e *entry) {
 	r.setTimedOut(e, e.phase(), true)
 	r.enqueueAddrChanges(e)
 }
-
-// reindexAddr files the entry under another address.
-func (r *Registry) reindexAddr(e *entry, addr string) {
-	r.unindexAddr(e)
-	if e.record.Addr = addr; addr == "" {
-		return
-	}
-	r.byAddr[addr] = append(r.byAddr[addr], e)
-}
-
-func (r *Registry) unindexAddr(e *entry) {
-	if e.record.Addr == "" {
-		return
-	}
-	rest := slices.DeleteFunc(r.byAddr[e.record.Addr], func(x *entry) bool { return x == e })
-	for _, x := range rest {
-		r.enqueueChange(x)
-	}
-	if len(rest) == 0 {
-		delete(r.byAddr, e.record.Addr)
-	} else {
-		r.byAddr[e.record.Addr] = rest
-	}
-}
-
-// enqueueAddrChanges has the views looked at of all that share the address.
-func (r *Registry) enqueueAddrChanges(e *entry) {
-	r.enqueueChange(e)
-	for _, x := range r.byAddr[e.record.Addr] {
-		r.enqueueChange(x)
-	}
-}
-
-func (r *Registry) enqueueChange(e *entry) {
-	if !e.changeQueued {
-		e.changeQueued = true
-		r.changedEntries = append(r.changedEntries, e)
-	}
-}
-
-// displaced tells that a younger one lives at the same address.
-func (r *Registry) displaced(e *entry) bool {
-	for _, x := range r.byAddr[e.record.Addr] {
-		if x != e && x.phase() != Gone && (x.firstSeenAt > e.firstSeenAt || x.firstSeenAt == e.firstSeenAt && x.record.ID > e.record.ID) {
-			return true
-		}
-	}
-	return false
-}
-
-func (r *Registry) visiblePhase(e *entry) Phase {
-	if e.record.Service == "" || r.displaced(e) {
-		return Gone
-	}
-	return e.phase()
-}
-
-// publish gives the view where it differs from the last shown.
-func (r *Registry) publish(e *entry) (Action, bool) {
-	w := r.recordOf(e)
-	w.Phase = r.visiblePhase(e)
-	same := w.Service == e.published.Service && w.Addr == e.published.Addr && w.Zone == e.published.Zone &&
-		w.Generation == e.published.Generation && w.Capacity == e.published.Capacity && w.Phase == e.published.Phase &&
-		e.slowStartUntil == e.publishedSlowStart
-	if same || !e.everPublished && w.Phase == Gone {
-		return nil, false
-	}
-	e.published, e.publishedSlowStart, e.everPublished = w, e.slowStartUntil, true
-	return Changed{Record: w, SlowStartUntil: e.slowStartUntil}, true
-}
-
-// pruneTombstones drops what has been gone for long, and the oldest where there are too many.
-func (r *Registry) pruneTombstones() {
-	var dead []*entry
-	for _, e := range r.sorted {
-		if e.phase() == Gone {
-			dead = append(dead, e)
-		}
-	}
-	slices.SortStableFunc(dead, func(x, y *entry) int { return cmp.Compare(x.goneAt, y.goneAt) })
-	over := max(len(dead)-maxTombstones, len(r.entries)-maxBackends+1)
-	for i, e := range dead {
-		if i >= over && r.now-e.goneAt < tombstoneTTL {
-			break
-		}
-		r.unindexAddr(e)
-		delete(r.entries, e.record.ID)
-		r.goneCount--
-	}
-	r.sorted = slices.DeleteFunc(r.sorted, func(e *entry) bool { return r.entries[e.record.ID] != e })
-}
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -314,7 +314,7 @@
 
 	// Copies at nodes that do not count are not enough.
 	mute(1)
-	ticket = tr.registries[0].Deregister(s.ID, 9)
+	ticket = tr.registries[0].Deregister(s.ID)
 	tr.deliverAll()
 	tr.advance(700 * ms)
 	must.MapNotContainsKey(t, tr.acks[0], ticket)
@@ -327,7 +327,7 @@
 	delete(tr.partitioned, [2]Slot{0, 3})
 	tr.advance(time.Second)
 	tr.requirePhase(s.ID, Gone)
-	ticket = tr.registries[0].Deregister(s.ID, 10)
+	ticket = tr.registries[0].Deregister(s.ID)
 	tr.deliverAll()
 	must.True(t, tr.acks[0][ticket].Confirmed)
 
@@ -476,7 +476,7 @@
 	tr.advance(600 * ms)
 	tr.requirePhase(old.ID, Gone)
 	tr.requirePhase(young.ID, Ready)
-	tr.registries[0].Deregister(young.ID, 9)
+	tr.registries[0].Deregister(young.ID)
 	tr.deliverAll()
 	tr.requirePhase(young.ID, Gone)
 	tr.requirePhase(old.ID, Gone)
@@ -486,7 +486,7 @@
 	tr := newFleet(t, 2, 0)
 	s := newBackend(1)
 	tr.heartbeat(s, 0)
-	tr.registries[1].Deregister(s.ID, 2)
+	tr.registries[1].Deregister(s.ID)
 	tr.deliverAll()
 	s.Seq = 7
 	tr.heartbeat(s, 0)
@@ -496,7 +496,7 @@
 	must.MapEmpty(t, tr.registries[0].entries)
 	must.MapEmpty(t, tr.registries[0].byAddr)
 	for i := range maxTombstones + 100 {
-		tr.registries[0].Deregister(fmt.Sprint(i), 1)
+		tr.registries[0].Deregister(fmt.Sprint(i))
 	}
 	tr.advance(time.Second)
 	must.Eq(t, maxTombstones, len(tr.registries[0].entries))
@@ -641,7 +641,7 @@
 	tr.requirePhase(died.ID, Gone)
 
 	tr.start(0)
-	tr.registries[0].Deregister(lives.ID, 0)
+	tr.registries[0].Deregister(lives.ID)
 	tr.registries[0].Restore(kept)
 	tr.deliverAll()
 	must.Eq(t, Gone, tr.registries[0].visiblePhase(tr.registries[0].entries[lives.ID]))
@@ -678,10 +678,12 @@
 // A node that came back has nothing of what its former life knew: a late word of that one, read after the new one was greeted, is
 // no copy. The end of a backend is acknowledged once the present life confirms it.
 func TestLateWordOfFormerLifeIsNoCopy(t *testing.T) {
-	defer func() { trustUnconfirmedPeers = false }()
 	for _, fault := range []bool{false, true} {
-		trustUnconfirmedPeers = fault
 		tr := newFleet(t, 2, 2)
+		knobs := TestingKnobs{TrustUnconfirmedPeers: fault}
+		for _, r := range tr.registries {
+			r.config.TestingKnobs = knobs
+		}
 		s := &backend{Record: Record{ID: "b", Service: "s", Addr: "10.0.0.1:80"}}
 		tr.heartbeat(s, 0)
 		late := s.Record
@@ -694,7 +696,7 @@
 		sent = append(sent, tr.takeMessages(0)...)
 		_, early := tr.acks[0][ticket]
 		must.Eq(t, fault, early)
-		tr.registries[1] = New(1, Config{HeartbeatInterval: heartbeatInterval, MinCopies: 2, Incarnation: 99}, tr.now)
+		tr.registries[1] = New(1, Config{HeartbeatInterval: heartbeatInterval, MinCopies: 2, Incarnation: 99, TestingKnobs: knobs}, tr.now)
 		tr.registries[1].SetNodes([]Node{{Slot: 0, HasDisk: true, Live: true}, {Slot: 1, HasDisk: true, Live: true}})
 		for _, m := range sent {
 			tr.registries[1].Receive(0, m)
