--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -7,29 +7,28 @@
 	"github.com/shoenig/test/must"
 )
 
-// Whichever hellos are lost, at the start of a link or when one of the nodes has changed, each knows the other as it is in the end, and says
-// no more. Guards against
-// an exchange that is made once a link: a node that lost power was never told by two of three members that they are there, and followed the
-// third into a standstill (incident mvk-anadolu 7).
+// Whichever hellos are lost, at the start of a link or when one of the nodes has changed, each knows the other as it is in the end, and sends
+// no more. Guards against an exchange that is made once a link: a node that lost power was never sent a hello by two of three members, and followed
+// the third until nothing went on (incident mvk-anadolu 7).
 func TestLostHelloIsRepeated(t *testing.T) {
 	const hellos = 5 // so many, of both sides, may be lost, each or not
 	for lost := range 1 << hellos {
 		now := time.Minute
 		node := New(Node{Addr: "node", Incarnation: 2}, Config{Seeds: []string{"disk"}}, now)
 		disk := New(Node{Addr: "disk", Disk: 7, Bootstrapped: true, Incarnation: 9}, Config{Seeds: []string{"disk"}}, now)
-		disk.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}}) // of its life before
+		disk.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}}) // of its former incarnation
 		drain(disk)
 		node.LinkUp("disk")
 		disk.LinkUp("node")
-		said, last := 0, time.Duration(0)
+		sent, last := 0, time.Duration(0)
 		carry := func(from, to *Roster) {
 			for _, a := range drain(from) {
 				if a.Kind != SendHello || a.Addr != to.self.Addr {
 					continue
 				}
 				h := from.HelloTo(to.self.Addr)
-				said, last = said+1, now
-				if said > hellos || lost>>(said-1)&1 == 0 {
+				sent, last = sent+1, now
+				if sent > hellos || lost>>(sent-1)&1 == 0 {
 					to.HandleHello(from.self.Addr, h)
 				}
 			}
@@ -37,12 +36,12 @@
 		changes := now + 10*time.Second
 		for end := now + 20*time.Second; now < end; now += refreshInterval {
 			if now == changes {
-				said = 0 // of these so many may be lost again
+				sent = 0 // of these so many may be lost again
 				disk.SetCluster(8, 3)
 			}
 			for _, c := range []*Roster{node, disk} {
 				c.Tick(now)
-				c.FrameReceived(map[*Roster]string{node: "disk", disk: "node"}[c]) // other things come
+				c.FrameReceived(map[*Roster]string{node: "disk", disk: "node"}[c]) // other frames come
 			}
 			carry(node, disk)
 			carry(disk, node)
@@ -50,39 +49,39 @@
 		must.True(t, node.Live("disk"), must.Sprintf("lost %05b", lost))
 		must.Eq(t, disk.self, node.peers["disk"].Node, must.Sprintf("lost %05b", lost))
 		must.Eq(t, node.self, disk.peers["node"].Node, must.Sprintf("lost %05b", lost))
-		must.LessEq(t, hellos+4, said)
-		must.Less(t, changes+(hellos+3)*helloInterval, last) // and nothing more is said
+		must.LessEq(t, hellos+4, sent)
+		must.Less(t, changes+(hellos+3)*helloInterval, last) // and nothing more is sent
 	}
 }
 
-// To a program that never says what it knows, as the version before, few are said again; and none to one that knows this life.
+// To a program that acknowledges no hellos, few are repeated; and none to one that has acknowledged this incarnation.
 func TestHelloRepeatsAreBounded(t *testing.T) {
 	me := Node{Addr: "disk", Disk: 7, Incarnation: 7, Bootstrapped: true}
-	for _, knows := range []uint64{0, me.fingerprint()} {
+	for _, acknowledged := range []uint64{0, me.fingerprint()} {
 		now := time.Minute
 		c := New(me, Config{Seeds: []string{"disk"}}, now)
-		c.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}, Acknowledged: knows})
+		c.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}, Acknowledged: acknowledged})
 		c.LinkUp("node")
-		said := count(drain(c), SendHello, "node")
-		must.Eq(t, 1, said)
+		sent := count(drain(c), SendHello, "node")
+		must.Eq(t, 1, sent)
 		for range 100 {
 			now += refreshInterval
 			c.Tick(now)
 			c.FrameReceived("node")
-			said += count(drain(c), SendHello, "node")
+			sent += count(drain(c), SendHello, "node")
 		}
-		must.Eq(t, map[uint64]int{0: 1 + maxHelloRepeats, me.fingerprint(): 1}[knows], said)
+		must.Eq(t, map[uint64]int{0: 1 + maxHelloRepeats, me.fingerprint(): 1}[acknowledged], sent)
 	}
 }
 
-// Whatever of a node others go by changes its stamp.
+// Whatever of a node others go by changes its fingerprint.
 func TestFingerprintsDiffer(t *testing.T) {
 	seen := map[uint64]Node{}
-	for life := range uint64(4) {
+	for incarnation := range uint64(4) {
 		for disk := range Disk(4) {
 			for cluster := range uint64(4) {
 				for flags := range 4 {
-					n := Node{Incarnation: life, Disk: disk, ClusterID: cluster, Bootstrapped: flags&1 > 0, Leaving: flags&2 > 0}
+					n := Node{Incarnation: incarnation, Disk: disk, ClusterID: cluster, Bootstrapped: flags&1 > 0, Leaving: flags&2 > 0}
 					other, twice := seen[n.fingerprint()]
 					must.False(t, twice, must.Sprint(n, other))
 					seen[n.fingerprint()] = n
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -6,55 +6,56 @@
 	"time"
 )
 
-// Heartbeats. Each node tells a few watchers that it lives: nodes with a disk, the first ones after its place on a ring. These
-// tell each other whom they hear, and all who follow them who lives. So a fleet of n nodes sends a few heartbeats a node and not
-// n, and all nodes go by the same word. What comes from a node itself, whatever it is, counts as well.
-
-// maxWatchers is how many watchers a node has: one may be lost and one cut off while the third still hears it.
-const maxWatchers = 3
+const (
+	// livenessTimeout is how long a node from which nothing comes is still taken for reachable: three heartbeats of 700 ms (package node) and
+	// 100 ms for their way.
+	livenessTimeout = 2200 * time.Millisecond
+	// stallThreshold is the step of the clock above which this process stood still.
+	stallThreshold = time.Second
+	// forgetAfter is how long after it was last heard a node is dropped, unless it is a seed or has a slot.
+	forgetAfter = 90 * time.Second
+	// refreshInterval is how often liveness, links and hellos are worked out anew, if nothing happens before.
+	refreshInterval = 200 * time.Millisecond
+	// maxWatchers is how many watchers a node has: one may be lost and one partitioned while the third is still sent its heartbeats.
+	maxWatchers = 3
+)
 
-// livenessReport is what another node with a disk last told.
+// livenessReport is what another node with a disk last sent: slots that it reaches itself, or that are live by what it was sent, a bit each.
 type livenessReport struct {
 	slots      []byte
 	receivedAt time.Duration
 }
 
-// The figures of FNV-1a.
-const (
-	fnvOffset = 0xcbf29ce484222325
-	fnvPrime  = 0x100000001b3
-)
-
-// ringPosition is where a node stands on the ring (FNV-1a, its bits spread: addresses differ in their last digits alone).
+// ringPosition is where a node stands on the ring: FNV-1a, its bits spread, as addresses differ in their last digits alone.
 func ringPosition(addr string) uint64 {
-	h := uint64(fnvOffset)
+	hash := uint64(fnvOffset)
 	for i := range len(addr) {
-		h = (h ^ uint64(addr[i])) * fnvPrime
+		hash = (hash ^ uint64(addr[i])) * fnvPrime
 	}
-	h ^= h >> 32
-	h *= 0x9e3779b97f4a7c15
-	return h ^ h>>29
+	hash ^= hash >> 32
+	hash *= 0x9e3779b97f4a7c15
+	return hash ^ hash>>29
 }
 
-// Watchers are the nodes to tell that this one lives. A node with a disk tells all others that have one; while none is known,
-// or nobody has a slot, all that are known are told.
-func (r *Roster) Watchers() (all []string) {
-	for a, d := range r.peers {
-		if d.introduced && d.Disk != 0 && (d.live || r.self.Disk != 0) {
-			all = append(all, a)
+// Watchers are the addresses to send heartbeats to. A node with a disk sends them to all others that have one; while none is known, or
+// nobody has a slot, each node sends them over all its links.
+func (r *Roster) Watchers() (addrs []string) {
+	for addr, p := range r.peers {
+		if p.introduced && p.Disk != 0 && (p.live || r.self.Disk != 0) {
+			addrs = append(addrs, addr)
 		}
 	}
-	slices.Sort(all)
-	if len(all) == 0 || len(r.slotHolders) == 0 { // the core is not there yet
-		all = r.Addrs()
-		return slices.DeleteFunc(all, func(a string) bool { return !r.peers[a].linkWanted })
+	slices.Sort(addrs)
+	if len(addrs) == 0 || len(r.slotHolders) == 0 {
+		addrs = r.Addrs()
+		return slices.DeleteFunc(addrs, func(addr string) bool { return !r.peers[addr].linkWanted })
 	}
-	if r.self.Disk != 0 || len(all) <= maxWatchers {
-		return all
+	if r.self.Disk != 0 || len(addrs) <= maxWatchers {
+		return addrs
 	}
-	me := ringPosition(r.self.Addr)
-	slices.SortFunc(all, func(a, b string) int {
-		if x, y := ringPosition(a)-me, ringPosition(b)-me; x != y { // the way round the ring
+	self := ringPosition(r.self.Addr)
+	slices.SortFunc(addrs, func(a, b string) int {
+		if x, y := ringPosition(a)-self, ringPosition(b)-self; x != y { // distances, once around the ring
 			if x < y {
 				return -1
 			}
@@ -62,10 +63,11 @@
 		}
 		return strings.Compare(a, b)
 	})
-	return all[:maxWatchers]
+	return addrs[:maxWatchers]
 }
 
-// Prefers tells which of two nodes, a or not, the one at an address turns to where both are as good: each node has an order of its own.
+// Prefers tells which of two nodes the one at an address turns to where both are as good: a or not. Each node has an order of its own,
+// so that they do not all turn to the same.
 func Prefers(from, a, b string) bool {
 	x, y := ringPosition(from+" "+a), ringPosition(from+" "+b)
 	return x < y || x == y && a < b
@@ -73,71 +75,103 @@
 
 func hasSlot(set []byte, s Slot) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
 
+// slotSet has a bit for each slot whose holder is in.
 func (r *Roster) slotSet(in func(addr string) bool) []byte {
 	set := make([]byte, (len(r.slotHolders)+7)/8)
-	for i, s := range r.slotHolders {
-		if in(s.Addr) {
+	for i, holder := range r.slotHolders {
+		if in(holder.Addr) {
 			set[i/8] |= 1 << (i % 8)
 		}
 	}
 	return set
 }
 
-// reachable tells whether anything came from a node of late.
+// reachable tells whether anything came from a node within livenessTimeout.
 func (r *Roster) reachable(addr string) bool {
-	d := r.peers[addr]
-	return addr == r.self.Addr || d != nil && d.introduced && r.now-d.receivedAt < livenessTimeout
+	p := r.peers[addr]
+	return addr == r.self.Addr || p != nil && p.introduced && r.now-p.receivedAt < livenessTimeout
 }
 
-// ReachableSlots are the slots that this node hears itself, a bit each: what nodes with a disk tell each other. It holds no hearsay,
-// else two nodes could keep a dead one alive between them.
+// ReachableSlots are the slots that this node reaches itself, a bit each: what nodes with a disk report to each other. It holds nothing
+// that others reported, else two nodes could keep a dead one alive between them.
 func (r *Roster) ReachableSlots() []byte { return r.slotSet(r.reachable) }
 
-// LiveSlots are the slots of the live nodes, a bit each: what nodes with a disk tell those who follow them.
+// LiveSlots are the slots of the live nodes, a bit each: what nodes with a disk report to their followers.
 func (r *Roster) LiveSlots() []byte {
 	return r.slotSet(func(addr string) bool { return r.reachable(addr) || r.reportedLive(r.Slot(addr)) })
 }
 
-// HandleLiveness takes the slots that another node hears, or that live where this one has no disk and follows it.
+// HandleLiveness takes the report of another node: its ReachableSlots, or its LiveSlots where this node follows it. A node without a
+// disk goes by one report at a time.
 func (r *Roster) HandleLiveness(from string, slots []byte) {
 	if r.self.Disk == 0 {
-		clear(r.livenessReports) // one word at a time: that of the node that is followed
+		clear(r.livenessReports)
 	}
 	r.livenessReports[from] = livenessReport{slots, r.now}
 	r.refresh()
 }
 
-// reportedLive tells whether a node that is heard hears a slot.
+// reportedLive tells whether a node that is reachable has reported a slot.
 func (r *Roster) reportedLive(s Slot) bool {
-	for from, o := range r.livenessReports {
-		if hasSlot(o.slots, s) && r.now-o.receivedAt < livenessTimeout && r.reachable(from) {
+	for from, report := range r.livenessReports {
+		if hasSlot(report.slots, s) && r.now-report.receivedAt < livenessTimeout && r.reachable(from) {
 			return true
 		}
 	}
 	return false
 }
 
-// LinkReport tells how a node's links are: what its operators ask first when it hears fewer nodes than others do.
-type LinkReport struct {
-	Wanted, Connected int
-	WithoutHello      []string // addresses of nodes whose link is up, and which have said no hello, in order
+// FrameReceived notes that anything came from a node.
+func (r *Roster) FrameReceived(addr string) {
+	if p := r.discover(addr); p != nil {
+		p.receivedAt = r.now
+		if !p.live {
+			r.refresh()
+		}
+	}
 }
 
-// Links reports on this node's links. A node without a disk goes by those that it has met alone: one that it has not can't feed it.
-func (r *Roster) Links() (linkReport LinkReport) {
-	for _, addr := range r.Addrs() {
+// refresh works out who is live, which links are wanted, which hellos are to be repeated, who is forgotten, and whether the core is to be
+// bootstrapped.
+func (r *Roster) refresh() {
+	r.refreshedAt = r.now
+	for _, addr := range r.Addrs() { // in order: the actions must not go by a map's
 		p := r.peers[addr]
-		if !p.linkWanted {
-			continue
+		connected := !p.linkWanted || p.linkUp && p.introduced
+		if live := connected && (r.reachable(addr) || r.reportedLive(r.Slot(addr))); live != p.live {
+			p.live, r.changed = live, true
 		}
-		linkReport.Wanted++
-		if !p.linkUp {
-			continue
+		r.updateLink(addr, p)
+		r.repeatHello(addr, p)
+		if r.Slot(addr) == NoSlot && !slices.Contains(r.seeds, addr) && r.now-max(p.receivedAt, p.discoveredAt) > forgetAfter {
+			r.forget(addr, p)
 		}
-		linkReport.Connected++
-		if !p.introduced {
-			linkReport.WithoutHello = append(linkReport.WithoutHello, addr)
+	}
+	r.bootstrap()
+}
+
+func (r *Roster) forget(addr string, p *peer) {
+	delete(r.peers, addr)
+	if p.linkWanted {
+		r.push(Action{Kind: Disconnect, Addr: addr})
+	}
+}
+
+// Live tells whether a node is live: see the package's comment.
+func (r *Roster) Live(addr string) bool {
+	p := r.peers[addr]
+	return addr == r.self.Addr || p != nil && p.live
+}
+
+// LiveDiskNodes are the live nodes with a disk: this one first if it has one, the others in the order of their addresses.
+func (r *Roster) LiveDiskNodes() (nodes []Node) {
+	if r.self.Disk != 0 {
+		nodes = append(nodes, r.self)
+	}
+	for _, addr := range r.Addrs() {
+		if p := r.peers[addr]; p.live && p.Disk != 0 {
+			nodes = append(nodes, p.Node)
 		}
 	}
-	return linkReport
+	return nodes
 }
--- a/internal/gateway/membership/liveness_test.go
+++ b/internal/gateway/membership/liveness_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Nodes in a zone without one with a disk all turned to the first by address: of six it sent twice the mean.
-func TestNodesTurnToDifferentOnes(t *testing.T) {
+// Guards against nodes in a zone without a disk that all turn to the first node by address: of six, it sent twice the mean.
+func TestNodesPreferDifferentOnes(t *testing.T) {
 	const nodes, disks = 600, 6
 	turned := map[string]int{}
 	for i := range nodes {
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -54,8 +54,8 @@
 	return n
 }
 
-// A link comes and goes on its own, and what the other node says comes on another: whatever the order between nodes,
-// and between a node's hellos and our link to it, the same nodes are live in the end.
+// A link comes and goes by itself, and the other node's hellos come on another: whatever the order between nodes, and between a node's
+// hellos and the link to it, the same nodes are live in the end.
 func TestEventOrdersConverge(t *testing.T) {
 	hello := func(a string, disk Disk, life uint64, known ...string) event {
 		return func(c *Roster) {
@@ -75,19 +75,19 @@
 		}
 		tries++
 		must.True(t, slices.Equal([]Node{{Addr: "me", Disk: 9}, {Name: "a", Addr: "a", Disk: 1, Incarnation: 1},
-			{Name: "b", Addr: "b", Disk: 3, Incarnation: 2}}, c.LiveDiskNodes())) // those that live
+			{Name: "b", Addr: "b", Disk: 3, Incarnation: 2}}, c.LiveDiskNodes())) // those that are live
 		must.True(t, slices.Equal([]string{"a", "b", "d", "x"}, c.Addrs()))
 		must.Eq(t, "1 1 1", fmt.Sprint(count(did, Connect, "x"), count(did, SendHello, "a"), count(did, SendHello, "b")))
 	})
 	must.Eq(t, 22680, tries)
 }
 
-// simNode is a node in a small world of nodes that say hello, found, die and come back.
+// simNode is a node in a small world of nodes that send hellos, bootstrap, stop and come back.
 type simNode struct {
 	*Roster
 	stopped  bool
 	linkUp   map[string]bool
-	founders []Founder // what its disk holds: the first word of a founding that it was told
+	founders []Founder // what its disk holds: those of the first bootstrap that it was sent
 }
 
 type world struct {
@@ -96,9 +96,9 @@
 	nodes          map[string]*simNode
 	names          []string
 	connected      func(a, b string) bool     // they reach each other now
-	dropsBootstrap func(from, to string) bool // a Found is lost
-	proposals      map[string]bool            // all lists of founders that were told
-	bootstrappers  []string                   // who began, in order
+	dropsBootstrap func(from, to string) bool // a Bootstrap is lost
+	proposals      map[string]bool            // all lists of founders that were sent
+	bootstrappers  []string                   // who chose founders, in order
 }
 
 func clusterIDOf(list []Founder) uint64 {
@@ -116,7 +116,7 @@
 	return w
 }
 
-// start begins a life of a node; its disk keeps what it took.
+// start begins an incarnation of a node; its disk keeps what it took.
 func (w *world) start(name string, disk Disk, first bool) *simNode {
 	a := w.nodes[name]
 	if a == nil {
@@ -216,9 +216,9 @@
 	return n
 }
 
-// Three nodes with disks and one without meet: the first seed begins the core, once, with all of them, and says it
-// again where the word was lost.
-func TestFirstSeedFounds(t *testing.T) {
+// Three nodes with disks and one without meet: the first seed bootstraps the core, once, with all of them, and sends it again where it was
+// lost.
+func TestFirstSeedBootstraps(t *testing.T) {
 	w := newWorld("abc", "a", "b", "c")
 	w.start("d", 0, true)
 	lost := 0
@@ -234,19 +234,19 @@
 	must.Eq(t, all, w.nodes["c"].founders)
 	must.SliceEmpty(t, w.nodes["d"].founders)
 	must.Eq(t, []string{"a"}, w.bootstrappers)
-	said := lost
-	w.until(20 * time.Second) // all have it: nothing is said again
-	must.Eq(t, said, lost)
+	sent := lost
+	w.until(20 * time.Second) // all have it: nothing is sent again
+	must.Eq(t, sent, lost)
 }
 
-// Whose turn it is: the next seed begins only where the one before was never there, is gone, or has lived before; and
-// nobody does where one that was met holds a state.
-func TestWhoseTurn(t *testing.T) {
+// The next seed bootstraps only where the one before was never there, is gone, or has run before; and nobody does where a node that was met
+// holds a state.
+func TestBootstrapTurns(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		seeds string
 		do    func(w *world)
-		by    string // who began
+		by    string // who chose founders
 		size  int    // of the list
 	}{
 		{"the first is never there", "abc", func(w *world) { w.stop("a") }, "b", 2},
@@ -303,10 +303,10 @@
 	}
 }
 
-// However three seeds and another node with a disk come to reach each other, whichever words of a founding are lost,
-// and whether or not the first seed dies on the way: no two systems have a majority; one has once all reach each other,
-// unless the first seed alone wrote its founding down and forgot whom to tell.
-func TestHalvesFoundOneSystem(t *testing.T) {
+// However three seeds and another node with a disk come to reach each other, whichever messages of a bootstrap are lost, and whether or not
+// the first seed stops on the way: no two clusters have a majority; one has once all reach each other, unless the first seed alone wrote
+// its founders down and stopped.
+func TestPartitionsBootstrapOneCluster(t *testing.T) {
 	const far = time.Hour
 	at := []time.Duration{0, 1600 * ms, 6 * time.Second, far} // when two of the seeds first reach each other
 	tries := 0
@@ -314,7 +314,7 @@
 		when := map[string]time.Duration{"ab": at[meet&3], "ac": at[meet>>2&3], "bc": at[meet>>4&3],
 			"ad": at[2], "bd": at[2], "cd": at[2]}
 		when[[]string{"ad", "bd", "cd"}[meet>>6]] = 0
-		for _, dies := range []time.Duration{far, 400 * ms, 3400 * ms} {
+		for _, stopsAt := range []time.Duration{far, 400 * ms, 3400 * ms} {
 			lossy := tries%2 > 0
 			w := newWorld("abc", "a", "b", "c", "d")
 			w.connected = func(a, b string) bool { return w.now >= min(when[min(a, b)+max(a, b)], 10*time.Second) }
@@ -322,22 +322,22 @@
 			alone := false
 			for w.now < 14*time.Second {
 				w.step()
-				must.LessEq(t, 1, w.majorities(), must.Sprintf("meet %o, dies %v: %v", meet, dies, w.bootstrappers))
-				if a := w.nodes["a"]; w.now == dies {
+				must.LessEq(t, 1, w.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, w.bootstrappers))
+				if a := w.nodes["a"]; w.now == stopsAt {
 					a.stopped = true
 					alone = a.founders != nil && w.majorities() == 0
-				} else if w.now == dies+800*ms {
+				} else if w.now == stopsAt+800*ms {
 					w.start("a", 1, false)
 				}
 			}
 			if tries++; !alone {
-				must.Eq(t, 1, w.majorities(), must.Sprintf("meet %o, dies %v: %v", meet, dies, w.bootstrappers))
+				must.Eq(t, 1, w.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, w.bootstrappers))
 			}
 		}
 	}
 }
 
-// A node that says nothing is not live, one that is not heard for long is forgotten, and a seed or one with a slot is not.
+// A node that sends nothing is not live, one that sends nothing for long is forgotten, and a seed or one with a slot is not.
 func TestLivenessTimeout(t *testing.T) {
 	c := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"s"}}, 0)
 	for _, a := range []string{"s", "x", "y"} {
@@ -366,7 +366,7 @@
 	c.FrameReceived("y")
 	must.True(t, c.Live("y")) // its link never ended
 	c.HandleHello("y", Hello{Node: Node{Name: "y", Incarnation: 2}})
-	must.Eq(t, 1, count(drain(c), LiveNodesChanged, "")) // another life of it, though it stays live
+	must.Eq(t, 1, count(drain(c), LiveNodesChanged, "")) // another incarnation of it, though it stays live
 	pass(livenessTimeout + forgetAfter + ms)
 	gone := drain(c)
 	must.Eq(t, 1, count(gone, Disconnect, "x"))
@@ -379,7 +379,7 @@
 	}
 	c.SetSeeds(many)
 	must.Len(t, maxNodes, c.Addrs())
-	c.HandleHello("x", Hello{Node: Node{Name: "x", Disk: 5}}) // a full table still takes word of those in it
+	c.HandleHello("x", Hello{Node: Node{Name: "x", Disk: 5}}) // a full table still takes hellos of those in it
 	d, _ := c.Node("x")
 	must.Eq(t, Disk(5), d.Disk)
 }
@@ -409,7 +409,7 @@
 		}
 		return all
 	}
-	feed := func(d time.Duration) { // those with a disk tell the others who lives
+	report := func(d time.Duration) { // those with a disk report to the others who is live
 		for end := w.now + d; w.now < end; {
 			w.step()
 			for _, n := range w.names {
@@ -428,19 +428,19 @@
 	}
 	w.until(3 * time.Second)
 	slots()
-	feed(10 * time.Second)
+	report(10 * time.Second)
 	must.Eq(t, "bcdefg", linked("a"))
 	for _, n := range []string{"d", "e", "f", "g"} {
 		must.Eq(t, "abc", linked(n))
-		must.True(t, w.nodes[n].Live("d")) // by the word of those with a disk
+		must.True(t, w.nodes[n].Live("d")) // by the reports of those with a disk
 		must.Eq(t, []string{"a", "b", "c"}, w.nodes[n].HelloTo("f").KnownAddrs)
 	}
 	w.nodes["a"].stopped = true // the one seed with a disk
 	w.start("h", 0, false)
-	feed(time.Second)
+	report(time.Second)
 	must.Eq(t, "abcde", linked("h")) // a is a seed: it may come back
 	slots()
-	feed(10 * time.Second)
+	report(10 * time.Second)
 	must.Eq(t, "abc", linked("h"))
 	must.Eq(t, "abc", linked("d"))
 	w.stop("b", "c")
@@ -449,8 +449,8 @@
 	must.Eq(t, "abce", linked("d"))
 }
 
-// A node that was frozen for seconds wakes with all that others sent unread: it must not hold them for lost before it has read
-// it. One left the node that it followed so, dropped the news that lay unread, and went by an old configuration for seconds.
+// A node that stood still for seconds goes on with all that others sent unread: it must not take them for lost before it has read it.
+// Guards against one that left its upstream so, dropped the entries that lay unread, and went by an old configuration for seconds.
 func TestStallIsNotATimeout(t *testing.T) {
 	c := New(Node{Addr: "me"}, Config{}, 0)
 	c.HandleHello("a", Hello{Node: Node{Name: "a", Disk: 1, Incarnation: 1}, Acknowledged: c.self.fingerprint()})
@@ -470,12 +470,12 @@
 	must.True(t, c.Live("a") && c.Live("b"))
 	c.Tick(22 * time.Second)
 	drain(c)
-	must.False(t, c.Live("a") || c.Live("b")) // 2.2 s of silence, of which 0.5 s came before
+	must.False(t, c.Live("a") || c.Live("b")) // nothing for 2.2 s, of which 0.5 s came before the stall
 }
 
-// The first seed is frozen before it begins the core, or was just cut off: it reads first what the others have said, and does not
-// go by nodes that it has not heard for a second. It would else begin a system of its own, which the others never join.
-func TestWhoWasAwayDoesNotBegin(t *testing.T) {
+// The first seed stalls before it bootstraps the core, or was just partitioned: it reads first what the others have sent, and does not go by
+// nodes that it has not heard for a second. Guards against a cluster of its own, which the others never join.
+func TestIsolatedSeedDoesNotBootstrap(t *testing.T) {
 	began := func(pause time.Duration, hears bool) bool {
 		c := New(Node{Addr: "a", Disk: 1, FirstStart: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: clusterIDOf}, 0)
 		for i, n := range []string{"b", "c"} {
@@ -497,14 +497,14 @@
 		return count(did, Bootstrap, "a") > 0
 	}
 	must.True(t, began(0, true))
-	must.False(t, began(6*time.Second, true)) // another has begun it
-	must.False(t, began(800*ms, false))       // nobody is heard since 1.2 s
+	must.False(t, began(6*time.Second, true)) // another has bootstrapped it
+	must.False(t, began(800*ms, false))       // nobody was heard for 1.2 s
 }
 
-// Two nodes with a disk that the second and third seed never met begin the core with the first one, which is cut off from these two as it
-// tells the word: three of five hold it. The other two seeds, which know of three disks, begin one of their own: two of three. Both systems
-// would take orders. So the word goes to the seeds first, and to the others once more than half of the seeds hold it.
-func TestSeedsHoldTheWordFirst(t *testing.T) {
+// Two nodes with a disk that the second and third seed never met bootstrap the core with the first one, which is partitioned from these two as it
+// sends the founders: three of five hold them. The other two seeds, which know of three disks, bootstrap one of their own: two of three. Both
+// clusters would take changes. So the founders go to the seeds first, and to the others once more than half of the seeds hold them.
+func TestSeedsHoldFoundersFirst(t *testing.T) {
 	for cut := 400 * ms; cut < 1600*ms; cut += 100 * ms {
 		w := newWorld("abc", "a", "b", "c", "d", "e")
 		w.connected = func(x, y string) bool {
@@ -524,8 +524,8 @@
 	}
 }
 
-// Hellos must not carry the square of a deployment: who has a slot is known by the core's order, so that a hello to a node with a disk
-// names those alone that have none yet, beside the nodes with a disk. A node that nobody has in the order is still made known.
+// Hellos must not carry the square of a deployment: slot holders are known from the core's log, so that a hello to a node with a disk names
+// those alone that have no slot yet, beside the nodes with a disk. A node without a slot is still made known.
 func TestHellosOmitSlotHolders(t *testing.T) {
 	c := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"disk"}, ClusterID: clusterIDOf}, 0)
 	var order []SlotHolder
@@ -543,8 +543,8 @@
 	must.Eq(t, []string{"disk", "disk-2"}, c.HelloTo("node-5").KnownAddrs)
 }
 
-// A node with a disk that starts knows hundreds of nodes by the order of slots. It leaves them to dial first, which they all do in that
-// moment, and answers; those that say nothing are dialed a little later, for they may not find their way. Guards against a member
+// A node with a disk that starts knows hundreds of nodes by their slots. It leaves them to dial first, which they all do in that
+// moment, and answers; those that send nothing are dialed a little later, for they may not find their way. Guards against a member
 // with no descriptors left right after a loss of power: its 300 dials came beside theirs.
 func TestSlotHoldersDialFirst(t *testing.T) {
 	c := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me"}, ClusterID: clusterIDOf}, 0)
