--- a/internal/gateway/transport/inbound.go
+++ b/internal/gateway/transport/inbound.go
@@ -1,5 +1,3 @@
-// What comes in: connections that others dialed, and those that this node dialed and offers.
-
 package transport
 
 import (
@@ -11,159 +9,162 @@
 	"time"
 
 	"github.com/go-faster/errors"
+)
 
-	"clovergap/internal/failpoint"
+const (
+	// maxFrameBytes bounds one frame. A stream with a longer one ends.
+	maxFrameBytes = 16 << 20
+	// acceptBackoff is how long no connection is accepted after an error: mostly descriptors ran out.
+	acceptBackoff = 10 * time.Millisecond
+	// readBufferBytes is small: a node may have hundreds of streams, with something on few of them.
+	readBufferBytes = 2 << 10
 )
 
-// incoming is a connection that frames come on.
+// errFrameTooLong ends a stream whose frame exceeds maxFrameBytes.
+var errFrameTooLong = errors.New("frame too long")
+
+// incoming is a connection that frames come on: another node dialed it, or this one, which offers its links.
 type incoming struct {
-	arrival uint64        // among all of them, by their beginning
+	arrival uint64        // counts all of them, by their beginning
 	ended   chan struct{} // closed when nothing more comes on it
 }
 
-// handshake is the first value on a stream.
-type handshake struct {
-	from        string // where the sender takes frames
-	incarnation uint64 // differs between two starts of the sender
-	streamSeq   uint64 // grows with each stream that the sender begins in its incarnation; 0: a program that sends none
-	offersLink  bool   // the sender takes frames on this connection as well, see OfferLinks
+// frameLimiter bounds what is read for one frame.
+type frameLimiter struct {
+	reader    io.Reader
+	remaining int // bytes; set anew for each frame
 }
 
-// stream tells which of a node's streams is the newer one: within a life by what the node says, else by the order in which their
-// connections came.
-type stream struct{ incarnation, seq, arrival uint64 }
-
-func (s stream) before(o stream) bool {
-	if s.incarnation == o.incarnation && s.seq > 0 && o.seq > 0 {
-		return s.seq < o.seq
+// Read reads up to what remains, and fails with errFrameTooLong where nothing does.
+func (f *frameLimiter) Read(p []byte) (int, error) {
+	if f.remaining <= 0 {
+		return 0, errFrameTooLong
 	}
-	return s.arrival < o.arrival
+	n, err := f.reader.Read(p[:min(len(p), f.remaining)])
+	f.remaining -= n
+	return n, err
 }
 
 func (m *Mesh[F]) accept() {
 	for {
-		c, err := m.listener.Accept()
+		conn, err := m.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // descriptors ran out
+			time.Sleep(acceptBackoff)
 			continue
 		}
 		m.mu.Lock()
 		if m.stopped {
-			c.Close()
+			conn.Close()
 		} else {
-			m.trackIncoming(c)
-			m.goroutines.Go(func() { m.readFrames(c, "") })
+			m.trackIncoming(conn)
+			m.goroutines.Go(func() { m.readFrames(conn, "") })
 		}
 		m.mu.Unlock()
 	}
 }
 
-// frameLimiter ends a stream whose frame is longer than any may be.
-type frameLimiter struct {
-	reader    io.Reader
-	remaining int
-}
-
-// trackIncoming gives a connection that frames may come on its place; the mesh is locked.
-func (m *Mesh[F]) trackIncoming(c net.Conn) *incoming {
+// trackIncoming takes a connection among those that frames come on. m.mu is held.
+func (m *Mesh[F]) trackIncoming(conn net.Conn) *incoming {
 	m.lastArrival++
 	in := &incoming{arrival: m.lastArrival, ended: make(chan struct{})}
-	m.incoming[c] = in
+	m.incoming[conn] = in
 	return in
 }
 
-// readFrames takes what comes on a connection until it ends. One that this node dialed bears the name of whom it leads to.
-func (m *Mesh[F]) readFrames(c net.Conn, dialed string) {
-	var o handshake
-	defer func() {
-		hidePowerLoss(c, cmp.Or(o.from, dialed))
-		c.Close()
-		m.mu.Lock()
-		m.untrackIncoming(o.from, c)
-		if m.inbound[o.from] == c {
-			delete(m.inbound, o.from)
-		}
-		m.mu.Unlock()
-	}()
-	b := &frameLimiter{reader: c, remaining: maxFrameBytes}
-	dec := gob.NewDecoder(bufio.NewReaderSize(b, 2<<10))
-	var w wireHandshake
-	err := dec.Decode(&w)
-	o = w.handshake()
-	if err != nil || dialed != "" && o.from != dialed {
-		return
+// untrackIncoming notes that nothing more comes on a connection, and notifies who writes to it. That its node offers links stays
+// known. m.mu is held.
+func (m *Mesh[F]) untrackIncoming(from string, conn net.Conn) {
+	close(m.incoming[conn].ended)
+	delete(m.incoming, conn)
+	if o := m.offers[from]; o != nil && o.conn == conn {
+		o.conn = nil
 	}
-	// What a link before this one still holds is of an earlier time, perhaps of an earlier life; and where its machine
-	// lost power, nothing else ever ends it. Which is the earlier one is told by the order in which they came: which is read
-	// first is chance.
-	m.mu.Lock()
-	this := stream{o.incarnation, o.streamSeq, m.incoming[c].arrival}
-	if this.before(m.newestStreams[o.from]) {
-		m.mu.Unlock()
+}
+
+// readFrames takes what comes on a connection until it ends. dialed is the node that this one dialed there; "": the other side dialed.
+func (m *Mesh[F]) readFrames(conn net.Conn, dialed string) {
+	var sender handshake
+	defer func() { m.endReading(conn, sender.from, dialed) }()
+	limiter := &frameLimiter{reader: conn, remaining: maxFrameBytes}
+	decoder := gob.NewDecoder(bufio.NewReaderSize(limiter, readBufferBytes))
+	var first wireHandshake
+	err := decoder.Decode(&first)
+	sender = first.handshake()
+	if err != nil || dialed != "" && sender.from != dialed || !m.adoptStream(conn, sender, dialed == "") {
 		return
 	}
-	m.newestStreams[o.from] = this
-	if old := m.inbound[o.from]; old != nil {
-		old.Close()
-	}
-	m.inbound[o.from] = c
-	if dialed == "" {
-		m.peerDialed(o, c)
-	}
-	m.mu.Unlock()
 	m.turn(func() {
-		if m.isNewestFrom(o.from, c) {
-			m.host.PeerConnected(o.from)
+		if m.isNewestFrom(sender.from, conn) {
+			m.host.PeerConnected(sender.from)
 		}
 	})
 	for {
 		f := new(F)
-		b.remaining = maxFrameBytes
-		if dec.Decode(f) != nil {
+		limiter.remaining = maxFrameBytes
+		if decoder.Decode(f) != nil {
 			return
 		}
 		m.turn(func() {
-			if m.isNewestFrom(o.from, c) {
-				m.host.FrameReceived(o.from, f)
+			if m.isNewestFrom(sender.from, conn) {
+				m.host.FrameReceived(sender.from, f)
 			}
 		})
 	}
 }
 
-// peerDialed: a node has dialed us, so that it can be reached. A dial to it that hangs since its machine was dark, or a pause, ends;
-// and a connection to an earlier life of it, which may look well for as long as nothing is sent.
-// Where it offers the link that it dialed, what this node has to say goes there from now on.
-func (m *Mesh[F]) peerDialed(o handshake, c net.Conn) {
-	anew := m.incarnations[o.from] != 0 && m.incarnations[o.from] != o.incarnation
-	m.incarnations[o.from] = o.incarnation
-	offered := m.recordOffer(o, c)
-	if l := m.links[o.from]; l != nil && l.abort != nil && (!l.connected || anew || offered) {
-		l.abort()
+// endReading closes a connection on which nothing more comes.
+func (m *Mesh[F]) endReading(conn net.Conn, from, dialed string) {
+	hidePowerLoss(conn, cmp.Or(from, dialed))
+	conn.Close()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.untrackIncoming(from, conn)
+	if m.inbound[from] == conn {
+		delete(m.inbound, from)
 	}
 }
 
-// isNewestFrom tells whether a node has dialed no other link since this one.
-func (m *Mesh[F]) isNewestFrom(from string, c net.Conn) bool {
+// adoptStream puts a stream in the place of its sender's former one, which ends; false if it is itself the former one. What that still
+// holds is of an earlier time, perhaps of an earlier incarnation; and where its machine lost power, nothing else ever ends it. Which
+// one is the former is told by the streams themselves: which is read first is chance.
+func (m *Mesh[F]) adoptStream(conn net.Conn, sender handshake, peerDialed bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.inbound[from] == c
+	s := stream{sender.incarnation, sender.streamSeq, m.incoming[conn].arrival}
+	if s.before(m.newestStreams[sender.from]) {
+		return false
+	}
+	m.newestStreams[sender.from] = s
+	if former := m.inbound[sender.from]; former != nil {
+		former.Close()
+	}
+	m.inbound[sender.from] = conn
+	if peerDialed {
+		m.peerDialed(sender, conn)
+	}
+	return true
 }
 
-// hidePowerLoss plays a machine without power in a debug build: nothing tells this side of the end of a connection, until it closes that
-// itself.
-func hidePowerLoss(c net.Conn, from string) {
-	if !failpoint.Dark(from) {
-		return
-	}
-	for b := make([]byte, 1); ; time.Sleep(partitionPollInterval) {
-		if _, err := c.Read(b); errors.Is(err, net.ErrClosed) {
-			return
-		}
+// peerDialed has this node's own link to one that has just dialed begin anew where it must. Who dials can be reached: a dial to it
+// that hangs, since its machine had no power, or a backoff, ends. So does a connection to an earlier incarnation, which may look well
+// for as long as nothing is sent. Where the peer offers the link that it dialed, what this node sends goes there from now on.
+// m.mu is held.
+func (m *Mesh[F]) peerDialed(sender handshake, conn net.Conn) {
+	known := m.incarnations[sender.from]
+	restarted := known != 0 && known != sender.incarnation
+	m.incarnations[sender.from] = sender.incarnation
+	offered := m.recordOffer(sender, conn)
+	if l := m.links[sender.from]; l != nil && l.abort != nil && (!l.connected || restarted || offered) {
+		l.abort()
 	}
 }
 
-// partitionPollInterval is how often a debug build looks whether a cut has healed.
-const partitionPollInterval = 5 * time.Millisecond
+// isNewestFrom tells whether a connection carries its sender's newest stream.
+func (m *Mesh[F]) isNewestFrom(from string, conn net.Conn) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.inbound[from] == conn
+}
--- a/internal/gateway/transport/mesh.go
+++ b/internal/gateway/transport/mesh.go
@@ -1,84 +1,64 @@
-// Package transport carries frames between the nodes of a deployment: gob streams over TCP that stay open, so that types travel
-// once. What is sent is lost when a link ends; whoever sends over it repeats what must arrive. Each node dials the
-// nodes that it wants to tell something; what others say comes on links that they dialed, or back on a link that this node
-// offers to them: see Offer.
 package transport
 
 import (
 	"context"
 	"net"
 	"sync"
-	"time"
 
 	"github.com/go-faster/errors"
 )
 
-// Bounds of a link.
-const (
-	dialTimeout      = 600 * time.Millisecond
-	writeTimeout     = 2 * time.Second
-	minRedialBackoff = 40 * time.Millisecond // doubled up to maxRedialBackoff: nodes that start together are up soon
-	maxRedialBackoff = 640 * time.Millisecond
-	offerGrace       = 300 * time.Millisecond // a node that offers its links is left so long to dial first
-	maxFrameBytes    = 16 << 20               // bytes of one frame
-)
-
-// Host is told what happens, each in a turn of its own.
+// Host is told what happens on the links, each event in a turn of its own.
 type Host[F any] interface {
-	PeerConnected(from string)       // a link of another node is up: what it sent on one before may be lost
-	FrameReceived(from string, f *F) // from: where the sender takes frames itself
-	LinkUp(to string)                // a link that was dialed is up; all before is lost
-	LinkDown(to string)              // it has ended
+	PeerConnected(from string)       // a node began a stream; what it sent on one before may be lost
+	FrameReceived(from string, f *F) // from is where the sender takes frames itself
+	LinkUp(to string)                // all that was sent before is lost
+	LinkDown(to string)              // the link has ended; it is dialed again while it is wanted
 }
 
-// Mesh are a node's links. Frames are of one type, gob-friendly.
+// Mesh is one node's end of its links to all others. Its methods may be called from any goroutine, except where they say otherwise.
 type Mesh[F any] struct {
-	addr          string
-	host          Host[F]
-	turn          func(func())
-	listener      net.Listener
-	mu            sync.Mutex
-	links         map[string]*link[F]
-	incoming      map[net.Conn]*incoming  // what frames come on
-	lastArrival   uint64                  // place of the last of them
-	inbound       map[string]net.Conn     // the newest link of each node
-	incarnations  map[string]uint64       // and its life
-	newestStreams map[string]stream       // and which one it is
-	streamSeq     uint64                  // of the last stream that this node began
-	offers        map[string]*offeredLink // links of other nodes that may be written to as well
-	incarnation   uint64
-	offersLinks   bool
-	stopped       bool
-	goroutines    sync.WaitGroup
+	addr        string
+	incarnation uint64
+	host        Host[F]
+	turn        func(func())
+	listener    net.Listener
+	offersLinks bool           // set before the first Connect
+	goroutines  sync.WaitGroup // all that Stop waits for
+
+	mu          sync.Mutex // guards what follows
+	stopped     bool
+	links       map[string]*link[F]     // wanted, by target
+	incoming    map[net.Conn]*incoming  // connections that frames come on
+	lastArrival uint64                  // of these, by their beginning
+	streamSeq   uint64                  // of the last stream that this node began
+	offers      map[string]*offeredLink // by who offers
+
+	// By sender, of its newest stream.
+	inbound       map[string]net.Conn
+	incarnations  map[string]uint64
+	newestStreams map[string]stream
 }
 
-// New listens at an inner address, which is this node's name among the links; life is another one at each start. turn runs
-// something as the one owner.
-func New[F any](me string, life uint64, host Host[F], turn func(func())) (*Mesh[F], error) {
-	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", me)
+// New listens at an inner address, by which this node is known to the others. incarnation differs between two starts of a node;
+// turn runs a function as the host's one owner, and returns when it has run. An error is that of the listener.
+func New[F any](addr string, incarnation uint64, host Host[F], turn func(func())) (*Mesh[F], error) {
+	listener, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "transport")
+		return nil, errors.Wrap(err, "listen for links of other nodes")
 	}
-	return &Mesh[F]{addr: me, host: host, turn: turn, listener: ln, links: map[string]*link[F]{}, incoming: map[net.Conn]*incoming{},
-		inbound: map[string]net.Conn{}, incarnations: map[string]uint64{}, newestStreams: map[string]stream{}, offers: map[string]*offeredLink{}, incarnation: life}, nil
+	return &Mesh[F]{addr: addr, incarnation: incarnation, host: host, turn: turn, listener: listener,
+		links: map[string]*link[F]{}, incoming: map[net.Conn]*incoming{}, offers: map[string]*offeredLink{},
+		inbound: map[string]net.Conn{}, incarnations: map[string]uint64{}, newestStreams: map[string]stream{}}, nil
 }
 
-// Start takes links of others.
+// Start accepts connections of other nodes from now on.
 func (m *Mesh[F]) Start() { m.goroutines.Go(m.accept) }
 
-// Addr is where frames come in.
+// Addr is the address that the mesh listens at.
 func (m *Mesh[F]) Addr() string { return m.listener.Addr().String() }
 
-func (f *frameLimiter) Read(p []byte) (int, error) {
-	if f.remaining <= 0 {
-		return 0, errors.New("frame too long")
-	}
-	n, err := f.reader.Read(p[:min(len(p), f.remaining)])
-	f.remaining -= n
-	return n, err
-}
-
-// Connect keeps a link to a node from now on.
+// Connect keeps a link to a node from now on. One to this node itself is passed over.
 func (m *Mesh[F]) Connect(to string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,7 +71,7 @@
 	m.goroutines.Go(func() { m.runWriter(ctx, l) })
 }
 
-// Disconnect keeps it no longer.
+// Disconnect keeps the link to a node no longer.
 func (m *Mesh[F]) Disconnect(to string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,7 +81,8 @@
 	}
 }
 
-// Send gives a frame to a node's link; it tells whether the frame is on its way. A full queue drops it.
+// Send queues a frame for a node. It tells whether there is a link to it, up or not, with room in its queue; else the frame is
+// dropped. Nobody changes the frame, or what it points to, from now on.
 func (m *Mesh[F]) Send(to string, f *F) bool {
 	m.mu.Lock()
 	l := m.links[to]
@@ -109,7 +90,8 @@
 	return l != nil && l.queue.put(f)
 }
 
-// Stop ends all links, and returns when nothing more is told. It is not for a turn.
+// Stop ends all links, and returns when the host is told nothing more. It is not called in a turn: it waits for those that are
+// under way.
 func (m *Mesh[F]) Stop() {
 	m.mu.Lock()
 	m.stopped = true
@@ -117,8 +99,8 @@
 	for _, l := range m.links {
 		l.stop()
 	}
-	for c := range m.incoming {
-		c.Close()
+	for conn := range m.incoming {
+		conn.Close()
 	}
 	m.mu.Unlock()
 	m.goroutines.Wait()
--- a/internal/gateway/transport/mesh_test.go
+++ b/internal/gateway/transport/mesh_test.go
@@ -31,14 +31,14 @@
 	Payload []byte
 }
 
-// testNode is one node: what it was told, in order.
+// testNode is one node, with its events in order.
 type testNode struct {
 	*Mesh[frame]
 	t           *testing.T
 	addr        string
 	turn        sync.Mutex
 	events      chan string
-	connections map[string]int // links of others, as told
+	connections map[string]int // by peer
 }
 
 func (t *testNode) PeerConnected(from string) { t.connections[from]++ }
@@ -52,10 +52,10 @@
 func (t *testNode) LinkUp(to string)   { t.events <- "up " + to }
 func (t *testNode) LinkDown(to string) { t.events <- "down " + to }
 
-// lastIncarnation numbers the starts.
+// lastIncarnation numbers the starts of nodes.
 var lastIncarnation atomic.Uint64
 
-// expect waits for the next word.
+// expect waits for the next event.
 func (t *testNode) expect(want string) {
 	t.t.Helper()
 	select {
@@ -90,15 +90,15 @@
 	}
 }
 
-// Three nodes: links come up by themselves, frames arrive in order, by who sent them; one that was ended is dialed
-// again, and hears nothing of before; nobody is told anything once it has stopped.
+// Three nodes: links come up by themselves, frames arrive in order, by who sent them; one that was ended is dialed again and receives nothing
+// of before; no node has an event once it has stopped.
 func TestLinks(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b, c := startNode(t, testAddr(1)), startNode(t, testAddr(2)), startNode(t, testAddr(3))
 	must.Eq(t, a.addr, a.Addr())
 	must.False(t, a.Send(b.addr, &frame{})) // nobody wants that link
 	for _, to := range []*testNode{a, b, c} {
-		a.Connect(to.addr) // its own is passed over
+		a.Connect(to.addr) // that to itself is passed over
 		a.Connect(to.addr)
 	}
 	first, second := <-a.events, <-a.events
@@ -117,7 +117,7 @@
 		c.expect(fmt.Sprintf("%s: %d", a.addr, nr))
 	}
 	_, err := New[frame](b.addr, 1, b, nil)
-	must.Error(t, err) // taken
+	must.Error(t, err) // the address is in use
 
 	b.Stop()
 	a.expect("down " + b.addr)
@@ -186,7 +186,7 @@
 	c, enc = dial()
 	must.NoError(t, enc.Encode(frame{Number: 5}))
 	a.expect("x: 5")
-	other, enc := dial() // another life of x: what the one before had to say is over
+	other, enc := dial() // another incarnation of x: what the former one sends is over
 	must.NoError(t, enc.Encode(frame{Number: 6}))
 	a.expect("x: 6")
 	ended(c)
@@ -205,14 +205,14 @@
 	ln, err := net.Listen("tcp", testAddr(3))
 	must.NoError(t, err)
 	defer ln.Close()
-	deaf := &testNode{addr: testAddr(3)}
-	a.Connect(deaf.addr)
-	a.expect("up " + deaf.addr)
+	stuck := &testNode{addr: testAddr(3)}
+	a.Connect(stuck.addr)
+	a.expect("up " + stuck.addr)
 	a.Connect(b.addr)
 	a.expect("up " + b.addr)
 	fat := &frame{Payload: make([]byte, 64<<10)}
 	sent := 0
-	for a.Send(deaf.addr, fat) {
+	for a.Send(stuck.addr, fat) {
 		sent++
 	}
 	must.Between(t, maxQueuedFrames, sent, 4*maxQueuedFrames)
@@ -220,28 +220,28 @@
 	for nr := range 100 {
 		b.expect(fmt.Sprintf("%s: %d", a.addr, nr))
 	}
-	a.expect("down " + deaf.addr)
+	a.expect("down " + stuck.addr)
 }
 
-// A link may look well though its node has started anew: where a machine lost power nothing ends it while nothing is sent.
-// The node's own word that it lives again, by a link with another life, ends it and has it dialed again at once.
-func TestAnotherLifeIsDialedAgain(t *testing.T) {
+// A link may look well though its node has started anew: where a machine lost power nothing ends it while nothing is sent. A stream of the node's
+// new incarnation ends it and has it dialed again at once.
+func TestAnotherIncarnationIsDialedAgain(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := startNode(t, testAddr(1)), startNode(t, testAddr(2))
 	a.Connect(b.addr)
 	a.expect("up " + b.addr)
-	said := func(life uint64) net.Conn {
+	begin := func(incarnation uint64) net.Conn {
 		c, err := net.Dial("tcp", a.addr)
 		must.NoError(t, err)
-		must.NoError(t, gob.NewEncoder(c).Encode(wireHandshake{From: b.addr, Life: life}))
+		must.NoError(t, gob.NewEncoder(c).Encode(wireHandshake{From: b.addr, Life: incarnation}))
 		return c
 	}
-	first := said(11)
+	first := begin(11)
 	defer first.Close()
-	for !a.knowsIncarnation(b.addr, 11) { // the same life says nothing of the link
+	for !a.knowsIncarnation(b.addr, 11) { // the same incarnation says nothing of the link
 		runtime.Gosched()
 	}
-	second := said(12)
+	second := begin(12)
 	defer second.Close()
 	a.expect("down " + b.addr)
 	a.expect("up " + b.addr)
@@ -255,9 +255,9 @@
 	return t.incarnations[from] == life
 }
 
-// A node that was killed and came back: the link of its former life is read last, as where the reader has no processor. It
-// neither takes the place of the new one nor is any frame of it taken.
-func TestFormerLifeReadLast(t *testing.T) {
+// A node that was killed and came back: the stream of its former incarnation is read last, as where the reader has no processor. It neither takes
+// the place of the new one nor is any frame of it taken.
+func TestFormerIncarnationReadLast(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a := startNode(t, testAddr(41))
 	from := testAddr(42)
@@ -266,29 +266,29 @@
 		must.NoError(t, err)
 		return c, gob.NewEncoder(c)
 	}
-	old, oldSays := dial()
-	now, says := dial()
-	must.NoError(t, says.Encode(wireHandshake{From: from, Life: 2}))
-	must.NoError(t, says.Encode(&frame{Number: 1}))
+	former, formerEncoder := dial()
+	current, encoder := dial()
+	must.NoError(t, encoder.Encode(wireHandshake{From: from, Life: 2}))
+	must.NoError(t, encoder.Encode(&frame{Number: 1}))
 	a.expect(from + ": 1")
-	oldSays.Encode(wireHandshake{From: from, Life: 1})
-	oldSays.Encode(&frame{Number: 9})
-	must.NoError(t, old.SetReadDeadline(time.Now().Add(testTimeout)))
-	_, err := old.Read(make([]byte, 1)) // it is ended
+	formerEncoder.Encode(wireHandshake{From: from, Life: 1})
+	formerEncoder.Encode(&frame{Number: 9})
+	must.NoError(t, former.SetReadDeadline(time.Now().Add(testTimeout)))
+	_, err := former.Read(make([]byte, 1)) // it is ended
 	must.Error(t, err)
 	must.False(t, errors.Is(err, os.ErrDeadlineExceeded))
-	must.NoError(t, says.Encode(&frame{Number: 2}))
+	must.NoError(t, encoder.Encode(&frame{Number: 2}))
 	a.expect(from + ": 2")
 	a.mu.Lock()
 	must.Eq(t, 2, a.incarnations[from])
 	a.mu.Unlock()
-	old.Close()
-	now.Close()
+	former.Close()
+	current.Close()
 	a.Stop()
 }
 
-// What must hold of links is noticed where it does not: a link that stays up though its connection has ended. One that has just ended, and
-// whose writer is on its way to say so, is none.
+// Check finds a link that stays up though its connection has ended. One that has just ended, and whose writer is on its way to take it down,
+// is none.
 func TestCheckFindsLinkWithoutConnection(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := startOfferedPair(t, 51)
@@ -304,7 +304,7 @@
 	b.mu.Lock()
 	conn := b.links[a.addr].conn
 	in := b.incoming[conn]
-	delete(b.incoming, conn) // as if its reading had ended, and nobody had been told
+	delete(b.incoming, conn) // as if its reading had ended and its writer had not been notified
 	b.mu.Unlock()
 	for range maxEndedChecks - 1 {
 		must.False(t, check())
--- a/internal/gateway/transport/offer.go
+++ b/internal/gateway/transport/offer.go
@@ -7,98 +7,92 @@
 	"time"
 )
 
-// Offered links. A node that hundreds of others dial would need two descriptors for each of them: the link that the other one
+// offerGrace is how long a node that offers its links is left to dial, before this one dials it.
+const offerGrace = 300 * time.Millisecond
+
+// Offered links. A node that hundreds of others dial would need two descriptors for each of them: the connection that the other one
 // dialed and its own. A node that offers its links takes frames on those that it dialed as well, so that the other side needs no
-// link of its own. Whoever offers links uses none that is offered to it: two such nodes would else give way to each other
+// connection of its own. Whoever offers links uses none that is offered to it: two such nodes would else give way to each other
 // without end. A node that does not know of offers dials as before.
 
-// offeredLink is a link that another node dialed and offers. Its end is its connection's: another link may have taken its place by then.
+// offeredLink is a connection that another node dialed and offers. It ends with that connection: another one may have taken its
+// place by then.
 type offeredLink struct {
-	conn  net.Conn        // nil: it is over, and none has come in its place
+	conn  net.Conn        // nil: it has ended, and none has come in its place
 	ended <-chan struct{} // closed when nothing more comes on it
 }
 
-// OfferLinks has others answer on the links that this node dials; it comes before the first Want.
+// OfferLinks has others answer on the connections that this node dials. It is called before the first Connect.
 func (m *Mesh[F]) OfferLinks() { m.offersLinks = true }
 
-// recordOffer notes that a node takes frames on a link that it dialed; the mesh is locked.
-func (m *Mesh[F]) recordOffer(o handshake, c net.Conn) bool {
-	if !o.offersLink || m.offersLinks {
-		delete(m.offers, o.from)
+// recordOffer notes whether a node that has dialed offers this connection. m.mu is held.
+func (m *Mesh[F]) recordOffer(sender handshake, conn net.Conn) bool {
+	if !sender.offersLink || m.offersLinks {
+		delete(m.offers, sender.from)
 		return false
 	}
-	if raw, ok := c.(syscall.Conn); ok {
-		if r, err := raw.SyscallConn(); err == nil {
-			setUserTimeout("", "", r)
+	if c, ok := conn.(syscall.Conn); ok {
+		if raw, err := c.SyscallConn(); err == nil {
+			setUserTimeout("", "", raw)
 		}
 	}
-	m.offers[o.from] = &offeredLink{c, m.incoming[c].ended}
+	m.offers[sender.from] = &offeredLink{conn, m.incoming[conn].ended}
 	return true
 }
 
-// untrackIncoming notes that nothing more comes on a connection, and tells whoever writes to it; the mesh is locked. That its node offers
-// links stays known.
-func (m *Mesh[F]) untrackIncoming(from string, c net.Conn) {
-	close(m.incoming[c].ended)
-	delete(m.incoming, c)
-	if b := m.offers[from]; b != nil && b.conn == c {
-		b.conn = nil
-	}
-}
-
-// offerOf finds the link that a node offers. known tells that it offers links, if there is one or not.
-func (m *Mesh[F]) offerOf(to string) (b offeredLink, known bool) {
+// offerOf gives the connection that a node offers. known tells whether it offers links at all: the connection may have ended.
+func (m *Mesh[F]) offerOf(from string) (offer offeredLink, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if o := m.offers[to]; o != nil {
+	if o := m.offers[from]; o != nil {
 		return *o, true
 	}
 	return offeredLink{}, false
 }
 
-// connect gives a connection to a node, and what tells of its end: the one that it offers, else one that is dialed. A node that has offered
-// links dials this one itself as soon as it can; abort ends the wait for that.
-func (m *Mesh[F]) connect(now context.Context, l *link[F], abort func()) (net.Conn, <-chan struct{}, error) {
+// connect gives a connection to a link's target, and a channel that is closed at its end: the one that the target offers, else one that is dialed. A
+// node that has offered links dials this one itself as soon as it can; abort ends the wait for that.
+func (m *Mesh[F]) connect(ctx context.Context, l *link[F], abort func()) (net.Conn, <-chan struct{}, error) {
 	m.setConnection(l, nil, abort)
-	b, known := m.offerOf(l.target)
-	if known && b.conn == nil {
+	offer, known := m.offerOf(l.target)
+	if known && offer.conn == nil {
 		select {
-		case <-now.Done():
+		case <-ctx.Done():
 		case <-time.After(offerGrace):
 		}
-		b, _ = m.offerOf(l.target)
+		offer, _ = m.offerOf(l.target)
 	}
-	if b.conn != nil {
-		return b.conn, b.ended, nil
+	if offer.conn != nil {
+		return offer.conn, offer.ended, nil
 	}
-	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
-	c, err := dial(now, &d, l.target)
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
+	conn, err := dial(ctx, &dialer, l.target)
 	if err != nil {
 		return nil, nil, err
 	}
-	return c, m.watchEnd(c, l.target), nil
+	return conn, m.watchEnd(conn, l.target), nil
 }
 
 // watchEnd reads what comes back on a connection that this node dialed: frames where it offers its links, else nothing but the end.
-func (m *Mesh[F]) watchEnd(c net.Conn, to string) <-chan struct{} {
+func (m *Mesh[F]) watchEnd(conn net.Conn, to string) <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.offersLinks {
 		ended := make(chan struct{})
-		go func() {
+		m.goroutines.Go(func() { // ends with the connection, which the link's writer closes
 			var b [1]byte
-			c.Read(b[:])
-			hidePowerLoss(c, to)
+			conn.Read(b[:])
+			hidePowerLoss(conn, to)
 			close(ended)
-		}()
+		})
 		return ended
 	}
-	in := m.trackIncoming(c)
+	in := m.trackIncoming(conn)
 	if m.stopped {
-		c.Close()
-		m.untrackIncoming("", c)
+		conn.Close()
+		m.untrackIncoming("", conn)
 	} else {
-		m.goroutines.Go(func() { m.readFrames(c, to) })
+		m.goroutines.Go(func() { m.readFrames(conn, to) })
 	}
 	return in.ended
 }
--- a/internal/gateway/transport/offer_test.go
+++ b/internal/gateway/transport/offer_test.go
@@ -39,7 +39,7 @@
 	return a, b
 }
 
-// exchange has two nodes say so many frames to each other, which both hear in order.
+// exchange has two nodes send so many frames to each other, which both receive in order.
 func exchange(a, b *testNode, frames int) {
 	a.sendFrames(b, 0, frames)
 	b.sendFrames(a, frames, 2*frames)
@@ -63,7 +63,7 @@
 		}
 		a.Connect(b.addr)
 		a.expect("up " + b.addr)
-		if first == "the other" { // it gives up its own link
+		if first == "the other" { // it gives up the connection that it dialed
 			b.expect("down " + a.addr)
 		} else {
 			b.awaitOffer(a.addr)
@@ -82,7 +82,7 @@
 	}
 }
 
-// The end of an offered link is told at both ends, and the next one serves both ways as well.
+// Both ends notice the end of an offered link, and the next one serves both ways as well.
 func TestOfferedLinkEnds(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := startOfferedPair(t, 23)
@@ -125,7 +125,7 @@
 	b.Stop()
 }
 
-// A queue keeps the order through its growth and while frames are taken, drops beyond its bound, and gives the memory of a burst back.
+// A queue keeps the order through its growth and while frames are taken, drops beyond its bound, and gives back the memory of a burst.
 func TestQueue(t *testing.T) {
 	q := newQueue[int]()
 	put, took := 0, 0
@@ -151,7 +151,7 @@
 		add(round%7 + 1)
 		take(min(put-took, round%5+1))
 	}
-	must.LessEq(t, 2*(put-took)+2, cap(q.frames)-1<<8) // free places are used again before new ones are made
+	must.LessEq(t, 2*(put-took)+2, cap(q.frames)-1<<8) // free capacity is used again before more is allocated
 	add(2 * maxQueuedFrames)
 	must.Eq(t, maxQueuedFrames, put-took)
 	must.Eq(t, 1, len(q.ready))
@@ -163,19 +163,19 @@
 	must.Positive(t, cap(q.frames))
 }
 
-// Whoever writes to an offered link is told when another takes its place, also where nothing is said over it and nothing else ends it: the
-// machine at its other end lost power, and its next life, or the same one over a new connection, offers again. Guards against members that
-// said no hello to nodes that came back (incident mvk-anadolu 7): such a node followed its only member into a standstill.
+// Who writes to an offered link notices when another takes its place, also where nothing is sent over it and nothing else ends it: the machine at
+// its other end lost power, and its next incarnation, or the same one over a new connection, offers again. Guards against members that sent
+// no hello to nodes that came back (incident mvk-anadolu 7): such a node followed its only member until nothing went on.
 func TestOfferedLinkIsReplaced(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	for _, later := range []wireHandshake{{Life: 11, Nr: 2}, {Life: 12, Nr: 1}} {
-		for _, spoken := range []bool{false, true} {
+		for _, hasSent := range []bool{false, true} {
 			b, from := startNode(t, testAddr(27)), testAddr(28)
-			offer := func(life, nr uint64) (net.Conn, *gob.Decoder) {
+			offer := func(incarnation, seq uint64) (net.Conn, *gob.Decoder) {
 				c, err := net.Dial("tcp", b.addr)
 				must.NoError(t, err)
 				must.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
-				must.NoError(t, gob.NewEncoder(c).Encode(wireHandshake{From: from, Life: life, Nr: nr, Both: true}))
+				must.NoError(t, gob.NewEncoder(c).Encode(wireHandshake{From: from, Life: incarnation, Nr: seq, Both: true}))
 				return c, gob.NewDecoder(c)
 			}
 			reads := func(dec *gob.Decoder, nr int) {
@@ -190,17 +190,17 @@
 			b.awaitOffer(from)
 			b.Connect(from)
 			b.expect("up " + from)
-			if spoken {
+			if hasSent {
 				must.True(t, b.Send(from, &frame{Number: 1}))
 				reads(dec, 1)
 			}
-			now, dec := offer(later.Life, later.Nr)
+			current, dec := offer(later.Life, later.Nr)
 			b.expect("down " + from)
 			b.expect("up " + from)
 			must.True(t, b.Send(from, &frame{Number: 2}))
 			reads(dec, 2)
 			former.Close()
-			now.Close()
+			current.Close()
 			b.Stop()
 		}
 	}
--- a/internal/gateway/transport/partition_test.go
+++ b/internal/gateway/transport/partition_test.go
@@ -13,7 +13,7 @@
 	"clovergap/internal/failpoint"
 )
 
-// A way that is cut carries nothing, the other way goes on; what was said into the cut arrives when it heals, and a dial into one
+// A direction that is partitioned carries nothing, the other goes on; what was sent into the partition arrives when it heals, and a dial into one
 // comes through then.
 func TestOneWayPartition(t *testing.T) {
 	defer goleak.VerifyNone(t)
@@ -32,7 +32,7 @@
 	a.expect("up " + b.addr)
 	b.Connect(a.addr)
 	b.expect("up " + a.addr)
-	order("cut", b) // one process: nothing that anyone says gets there
+	order("cut", b) // one process: nothing that any node sends gets there
 	order("cut", c)
 	a.Connect(c.addr)
 	a.sendFrames(b, 0, 3)
--- a/internal/gateway/transport/queue.go
+++ b/internal/gateway/transport/queue.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// maxQueuedFrames is how many frames may wait for one link; more are dropped.
+// maxQueuedFrames bounds the frames that wait for one link; more are dropped.
 const maxQueuedFrames = 4096
 
-// keptCapacity is how many places an empty queue keeps: the memory of a burst is given back.
+// keptCapacity is the capacity in frames that an empty queue keeps: the memory of a burst is given back.
 const keptCapacity = 64
 
-// queue holds the frames that wait for one link, in order. It grows with its use: a node may have hundreds of links, with something
+// queue holds the frames that wait for one link, in order. It grows with its use: a node may have hundreds of links, with frames
 // waiting on few of them.
 type queue[F any] struct {
 	mu     sync.Mutex
@@ -26,7 +26,7 @@
 	if len(q.frames)-q.head >= maxQueuedFrames {
 		return false
 	}
-	if q.head > 0 && len(q.frames) == cap(q.frames) { // places that are free again before new ones
+	if q.head > 0 && len(q.frames) == cap(q.frames) { // use the capacity that take has freed before allocating more
 		n := copy(q.frames, q.frames[q.head:])
 		clear(q.frames[n:])
 		q.frames, q.head = q.frames[:n], 0
@@ -55,7 +55,7 @@
 	return f
 }
 
-// signal lets whoever waits on ready look again.
+// signal lets the writer that waits on ready look again.
 func (q *queue[F]) signal() {
 	select {
 	case q.ready <- struct{}{}:
