--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -7,12 +7,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// partition cuts two nodes from each other, both ways.
+// partition loses what two nodes send each other.
 func (f *fleet) partition(a, b Slot) {
 	f.partitioned[[2]Slot{a, b}], f.partitioned[[2]Slot{b, a}] = true, true
 }
 
-// drain has a backend say at a node that it leaves, and gives the answer, if there is one at once.
+// drain has a backend call a node that it is draining, and gives the answer, if there is one at once.
 func (f *fleet) drain(s *backend, at Slot) (a Acknowledge, answered bool) {
 	s.Seq, s.Phase = s.Seq+1, Draining
 	ticket := f.registries[at].Heartbeat(s.Record)
@@ -21,78 +21,78 @@
 	return a, answered
 }
 
-// An end is acknowledged on the copies that may be lost and one more, however few nodes are heard: in the first moments of a cut a
-// node without a disk heard its feeder alone, and a node with a disk only those who follow it, and "all that are heard have it" was
-// taken for enough. Where too few are heard the answer is unclear at once, so that the backend turns to the next node.
+// A departure is confirmed on the copies that may be lost and one more, however few nodes are in reach: in the first moments of a partition a
+// node without a disk reached its upstream alone, and a node with a disk only its followers, and "all in reach have it" was taken for enough.
+// Where too few are in reach the call fails at once, so that the backend turns to the next node.
 func TestDepartureNeedsMinCopies(t *testing.T) {
 	for _, at := range []Slot{0, 3} {
-		tr := newFleet(t, 5, 3)
+		f := newFleet(t, 5, 3)
 		s := newBackend(1)
-		tr.heartbeat(s, 1)
-		tr.advance(time.Second)
-		for _, cutOff := range []Slot{at, 0} { // the node itself, and the one that node 3 follows
+		f.heartbeat(s, 1)
+		f.advance(time.Second)
+		for _, isolated := range []Slot{at, 0} { // the node itself, and the one that node 3 follows
 			for _, o := range []Slot{1, 2} {
-				tr.partition(cutOff, o)
+				f.partition(isolated, o)
 			}
 		}
-		tr.updateNodes()
-		a, answered := tr.drain(s, at)
+		f.updateNodes()
+		a, answered := f.drain(s, at)
 		must.True(t, answered, must.Sprint("at ", at))
 		must.False(t, a.Confirmed, must.Sprint("at ", at))
-		tr.partitioned = map[[2]Slot]bool{}
-		tr.updateNodes()
-		a, answered = tr.drain(s, at)
+		f.partitioned = map[[2]Slot]bool{}
+		f.updateNodes()
+		a, answered = f.drain(s, at)
 		must.True(t, answered && a.Confirmed, must.Sprint("at ", at))
-		tr.requirePhase(s.ID, Draining)
+		f.requirePhase(s.ID, Draining)
 	}
 }
 
-// A node with a disk whose other half is heard no more than by its followers waits for none of them in vain: one other disk of two
-// that is heard and silent leaves the end unclear, and one that confirms is enough.
+// One other disk of two that is in reach and acknowledges nothing leaves the departure unconfirmed; one that acknowledges it is enough, and
+// followers are not waited for in vain.
 func TestDepartureWaitsForAnotherDisk(t *testing.T) {
-	tr := newFleet(t, 4, 3)
+	f := newFleet(t, 4, 3)
 	s := newBackend(1)
-	tr.heartbeat(s, 0)
-	tr.advance(time.Second)
-	tr.partition(0, 2)
-	tr.updateNodes()
-	tr.partition(0, 1) // and that nobody has noticed
-	_, answered := tr.drain(s, 0)
+	f.heartbeat(s, 0)
+	f.advance(time.Second)
+	f.partition(0, 2)
+	f.updateNodes()
+	f.partition(0, 1) // which nobody has noticed
+	_, answered := f.drain(s, 0)
 	must.False(t, answered)
-	tr.advance(minCopiesTimeout)
-	for ticket, a := range tr.acks[0] {
-		must.True(t, !a.Confirmed || ticket < tr.registries[0].lastTicket)
+	f.advance(minCopiesTimeout)
+	for ticket, a := range f.acks[0] {
+		must.True(t, !a.Confirmed || ticket < f.registries[0].lastTicket)
 	}
-	delete(tr.partitioned, [2]Slot{0, 1})
-	delete(tr.partitioned, [2]Slot{1, 0})
-	tr.advance(time.Second)
-	a, answered := tr.drain(s, 0)
+	delete(f.partitioned, [2]Slot{0, 1})
+	delete(f.partitioned, [2]Slot{1, 0})
+	f.advance(time.Second)
+	a, answered := f.drain(s, 0)
 	must.True(t, answered && a.Confirmed)
 }
 
-// The word of an end may come first in a beat that is passed on, when what else the node is told waits for its confirmations. It goes
-// on from there as any other does: once it was known the word itself told nothing new, and those who follow never had it.
+// A departure may come first in a relayed heartbeat, while the updates to this node wait for its acknowledgements. It is sent on as any other is.
+// Guards against followers that never had it: by the time its update came, it was no news.
 func TestDepartureInRelayedHeartbeatIsBroadcast(t *testing.T) {
 	for registrar := range Slot(3) {
-		tr := newFleet(t, 6, 3)
+		f := newFleet(t, 6, 3)
 		s := newBackend(1)
-		tr.heartbeat(s, 0)
-		tr.heartbeat(s, s.target)
-		tr.advance(time.Second)
+		f.heartbeat(s, 0)
+		f.heartbeat(s, s.target)
+		f.advance(time.Second)
 		w := s.Record
 		w.Seq, w.Phase, w.Draining, w.Owner, w.LostOwner = s.Seq+1, Draining, true, NoSlot, NoSlot
-		tr.registries[registrar].Receive(5, Message{Heartbeats: []Record{w}})
-		tr.deliverAll()
-		tr.requirePhase(s.ID, Draining)
+		f.registries[registrar].Receive(5, Message{Heartbeats: []Record{w}})
+		f.deliverAll()
+		f.requirePhase(s.ID, Draining)
 	}
 }
 
-// Two nodes with a disk that are cut from each other alone both have word of a majority by the third, and both are followed. What one
-// is told of an end reaches the other by the third, whoever is told first: also what was under way when the cut was noticed.
+// Two nodes with a disk that are partitioned from each other alone both reach a majority by the third, and both have followers. A departure that one
+// has reaches the other by the third, whoever has it first: also one that was in flight when the partition was noticed.
 func TestDeparturesGoAroundAPartition(t *testing.T) {
 	for at := range Slot(6) {
 		for _, noticed := range []bool{true, false} {
-			for i := range 6 { // kept by one or another
+			for i := range 6 { // owned by one or another
 				requireDrainAroundPartition(t, newBackend(i), at, noticed)
 			}
 		}
@@ -100,47 +100,48 @@
 }
 
 func requireDrainAroundPartition(t *testing.T, s *backend, at Slot, noticed bool) {
-	tr := newFleet(t, 6, 3)
-	tr.heartbeat(s, 2)
-	tr.advance(time.Second)
-	tr.partition(0, 1)
+	t.Helper()
+	f := newFleet(t, 6, 3)
+	f.heartbeat(s, 2)
+	f.advance(time.Second)
+	f.partition(0, 1)
 	if at == 5 { // which follows 0, and reaches 2 besides
-		tr.partition(5, 1)
+		f.partition(5, 1)
 	}
 	if noticed {
-		tr.updateNodes()
+		f.updateNodes()
 	}
-	tr.drain(s, at)
+	f.drain(s, at)
 	if !noticed {
-		tr.advance(600 * ms)
-		tr.updateNodes()
+		f.advance(600 * ms)
+		f.updateNodes()
 	}
-	tr.advance(100 * ms)
-	tr.requirePhase(s.ID, Draining)
-	before := tr.messages
-	tr.advance(5 * heartbeatInterval / 2)
-	must.LessEq(t, before+60, tr.messages, must.Sprint("it goes round for good, at ", at))
+	f.advance(100 * ms)
+	f.requirePhase(s.ID, Draining)
+	before := f.messages
+	f.advance(5 * heartbeatInterval / 2)
+	must.LessEq(t, before+60, f.messages, must.Sprint("it is sent around for ever, at ", at))
 }
 
-// Who follows anew is told of ends too, though a backend that has left is none of those that there are: it would go on being sent
-// requests for as long as the whole list may take.
+// A new follower is sent departures too, though a backend that has deregistered is none of those that there are. Guards against requests that
+// go there for as long as the full sync takes.
 func TestNewFollowerReceivesDepartures(t *testing.T) {
-	tr := newFleet(t, 4, 3)
+	f := newFleet(t, 4, 3)
 	s := newBackend(1)
-	tr.heartbeat(s, 1)
-	tr.advance(time.Second)
-	tr.partition(3, 0) // its feeder: it hears nobody for a while
+	f.heartbeat(s, 1)
+	f.advance(time.Second)
+	f.partition(3, 0) // its upstream: it reaches nobody for a while
 	for o := range Slot(2) {
-		tr.partition(3, o+1)
+		f.partition(3, o+1)
 	}
-	tr.updateNodes()
-	tr.drain(s, 1)
-	tr.registries[1].Deregister(s.ID)
-	tr.advance(time.Second)
-	must.Eq(t, Ready, tr.views[3][s.ID].Phase)
-	tr.partitioned = map[[2]Slot]bool{}
-	tr.partition(3, 0)
-	tr.updateNodes()
-	tr.advance(100 * ms)
-	must.Eq(t, Gone, tr.views[3][s.ID].Phase)
+	f.updateNodes()
+	f.drain(s, 1)
+	f.registries[1].Deregister(s.ID)
+	f.advance(time.Second)
+	must.Eq(t, Ready, f.views[3][s.ID].Phase)
+	f.partitioned = map[[2]Slot]bool{}
+	f.partition(3, 0)
+	f.updateNodes()
+	f.advance(100 * ms)
+	must.Eq(t, Gone, f.views[3][s.ID].Phase)
 }
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -38,7 +38,7 @@
 	return c
 }
 
-// collect takes what is to be sent, each confirmed after a while, and gives the words in it.
+// collect takes what is to be sent, each acknowledged after a while, and counts the updates in it.
 func (f *followerCrowd) collect(after time.Duration) (sent int) {
 	for a, ok := f.registry.Next(); ok; a, ok = f.registry.Next() {
 		if m, is := a.(Send); is && m.Message.Seq != 0 {
@@ -51,7 +51,7 @@
 	return sent
 }
 
-// runUntil goes on to a time; confirmations come when they are due.
+// runUntil goes on to a time; acknowledgements come when they are due.
 func (f *followerCrowd) runUntil(t time.Duration, after time.Duration) {
 	for now := f.registry.now; now <= t; now += 10 * time.Millisecond {
 		f.registry.Tick(now)
@@ -68,13 +68,13 @@
 	}
 }
 
-// A node that all begin to follow at once told all of them everything together. With little processor time each then got its share so
-// late that it gave up, and asked another node, for all of it again: at 300 nodes nothing else was done any more, and nothing was
+// Guards against a node that all begin to follow at once and that syncs all of them together. With little processor time each got its part so
+// late that it gave up and asked another node, for all of it again: at 300 nodes nothing else was done any more, and nothing was
 // served for half a minute.
-func TestTransfersAreBounded(t *testing.T) {
+func TestFullSyncsAreBounded(t *testing.T) {
 	const backends, followers = 1000, 100
 	c := newFollowerCrowd(backends, followers)
-	must.LessEq(t, maxFullSyncs*maxInFlight*maxUpdatesPerMessage, c.collect(time.Hour)) // nobody confirms
+	must.LessEq(t, maxFullSyncs*maxInFlight*maxUpdatesPerMessage, c.collect(time.Hour)) // nobody acknowledges
 	c = newFollowerCrowd(backends, followers)
 	c.runUntil(4*time.Second, 10*time.Millisecond)
 	for s := range followers {
@@ -83,8 +83,8 @@
 	}
 }
 
-// What is confirmed late is not said again and again: that made a busy node busier.
-func TestLateConfirmationsCostLittle(t *testing.T) {
+// What is acknowledged late is not sent again and again: that made a busy node busier.
+func TestLateAcksCostLittle(t *testing.T) {
 	const backends, followers = 1000, 100
 	c := newFollowerCrowd(backends, followers)
 	sent := func() (n int) {
@@ -100,15 +100,15 @@
 	must.LessEq(t, 2*backends*followers, sent()) // it was 3.7 times as much when it went again each 300 ms
 }
 
-// A transfer ends with the node that it goes to: the next one's begins.
-func TestTransfersGoOn(t *testing.T) {
+// A full sync ends with the node that it goes to: the next one's begins.
+func TestFullSyncsGoOn(t *testing.T) {
 	c := newFollowerCrowd(1000, 2*maxFullSyncs)
 	c.collect(time.Hour)
 	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
 	for s := range 2 * maxFullSyncs {
 		nodes = append(nodes, Node{Slot: Slot(s + 1), Live: s >= maxFullSyncs, Follows: s >= maxFullSyncs})
 	}
-	c.registry.SetNodes(nodes) // those that were told first are lost
+	c.registry.SetNodes(nodes) // those that were synced first are lost
 	c.unacked = nil
 	c.runUntil(4*time.Second, 10*time.Millisecond)
 	for s := maxFullSyncs; s < 2*maxFullSyncs; s++ {
@@ -116,9 +116,9 @@
 	}
 }
 
-// A turn looks at the nodes that it concerns: where nothing is to be told, at none. It looked at all of them three times, whatever it was
-// for, so that a beat cost with three hundred nodes three times what it did with a hundred.
-func TestNothingToTellCostsNothing(t *testing.T) {
+// An input costs a look at the peers that it concerns: at none, where nothing is to be sent. Guards against a look at all of them, by which a
+// heartbeat cost with three hundred nodes three times what it did with a hundred.
+func TestIdlePeersCostNothing(t *testing.T) {
 	c := newFollowerCrowd(100, 50)
 	c.collect(time.Hour)
 	must.SliceNotEmpty(t, c.registry.activePeers)
@@ -140,8 +140,8 @@
 	must.False(t, New(0, Config{}, 0).HasReady())
 }
 
-// What a node needs to serve comes first: the backends of its own zone, to all that wait, before the next one is told all there is, and
-// within the same bound. Guards against hundreds of nodes that wait for the last of hundreds of backends on thin links after the loss of all.
+// What a node needs to serve comes first: the backends of its own zone, to all that wait, before the next full sync, and within the same
+// bound. Guards against hundreds of nodes that wait for the last of hundreds of backends on thin links after the loss of all.
 func TestFullSyncSendsOwnZoneFirst(t *testing.T) {
 	const zones, backends, followers = 6, 600, 4 * maxFullSyncs
 	c := &followerCrowd{registry: New(0, Config{HeartbeatInterval: time.Minute, MinCopies: 1, Incarnation: 1}, 0), records: map[Slot]int{}, fullSyncs: map[Slot]bool{}}
@@ -157,7 +157,7 @@
 		nodes = append(nodes, Node{Slot: Slot(s + 1), Zone: zone(s), Live: true, Follows: true})
 	}
 	c.registry.SetNodes(nodes)
-	near, told := map[Slot]map[string]bool{}, map[Slot]map[string]bool{}
+	inZone, sent := map[Slot]map[string]bool{}, map[Slot]map[string]bool{}
 	for now := time.Duration(0); now < 8*time.Second; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
 		for a, ok := c.registry.Next(); ok; a, ok = c.registry.Next() {
@@ -165,13 +165,13 @@
 			if !is || m.Message.Seq == 0 {
 				continue
 			}
-			if near[m.Target] == nil {
-				near[m.Target], told[m.Target] = map[string]bool{}, map[string]bool{}
+			if inZone[m.Target] == nil {
+				inZone[m.Target], sent[m.Target] = map[string]bool{}, map[string]bool{}
 			}
 			for _, w := range m.Message.Updates {
-				told[m.Target][w.ID] = true
+				sent[m.Target][w.ID] = true
 				if w.Zone == nodes[m.Target].Zone {
-					near[m.Target][w.ID] = true
+					inZone[m.Target][w.ID] = true
 				}
 			}
 			if m.Message.FullSync {
@@ -180,9 +180,9 @@
 			c.unacked = append(c.unacked, pendingAck{now, m.Target, m.Message.Seq})
 		}
 		if len(c.fullSyncs) > maxFullSyncs { // the first ones had nobody before them
-			must.MapLen(t, followers, near)
-			for s := range near {
-				must.MapLen(t, backends/zones, near[s], must.Sprintf("node %d at %v", s, now))
+			must.MapLen(t, followers, inZone)
+			for s := range inZone {
+				must.MapLen(t, backends/zones, inZone[s], must.Sprintf("node %d at %v", s, now))
 			}
 		}
 		for _, d := range c.unacked {
@@ -191,6 +191,6 @@
 		c.unacked = nil
 	}
 	for s := range followers {
-		must.MapLen(t, backends, told[Slot(s+1)])
+		must.MapLen(t, backends, sent[Slot(s+1)])
 	}
 }
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -14,27 +14,27 @@
 	heartbeatInterval = 1500 * ms
 )
 
-// fleet is a few nodes and the datagrams between them, on one clock.
+// fleet is a few nodes and the messages between them, on one clock.
 type fleet struct {
 	t           *testing.T
 	now         time.Duration
 	registries  map[Slot]*Registry
 	live        map[Slot]bool
 	partitioned map[[2]Slot]bool
-	disks       int // nodes from 0 that count
+	disks       int // nodes from 0 that have a disk
 	messages    int
 	acks        map[Slot]map[Ticket]Acknowledge
 	views       map[Slot]map[string]Record
 }
 
 func newFleet(t *testing.T, n, firm int) *fleet {
-	tr := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: firm,
+	f := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: firm,
 		acks: map[Slot]map[Ticket]Acknowledge{}, views: map[Slot]map[string]Record{}}
 	for s := range Slot(n) {
-		tr.start(s)
+		f.start(s)
 	}
-	tr.updateNodes()
-	return tr
+	f.updateNodes()
+	return f
 }
 
 func (f *fleet) start(s Slot) {
@@ -46,8 +46,8 @@
 	f.acks[s], f.views[s], f.live[s] = map[Ticket]Acknowledge{}, map[string]Record{}, true
 }
 
-// updateNodes tells each node which others it hears, and who follows whom: nodes without a disk the first one with a disk that
-// they reach.
+// updateNodes gives each node the others, live if it reaches them, and who follows whom: nodes without a disk follow the first one
+// with a disk that they reach, both ways.
 func (f *fleet) updateNodes() {
 	reach := func(a, b Slot) bool { return f.live[b] && !f.partitioned[[2]Slot{a, b}] }
 	follows := func(s Slot) Slot {
@@ -69,7 +69,7 @@
 	f.deliverAll()
 }
 
-// deliverAll carries datagrams until there is none; cut and dead nodes get none.
+// deliverAll delivers messages until there is none; what is sent into a partition or to a stopped node is lost.
 func (f *fleet) deliverAll() {
 	for again := true; again; {
 		again = false
@@ -107,7 +107,7 @@
 	}
 }
 
-// backend beats where it is told to.
+// backend sends its heartbeats where the last answer named a node.
 type backend struct {
 	Record
 	target Slot
@@ -138,12 +138,12 @@
 	}
 }
 
-// knownRecords is all that must be alike at nodes that have heard the same.
+// knownRecords is all that must be alike at nodes that have received the same.
 func knownRecords(b *Registry) map[string]Record {
 	m := map[string]Record{}
 	for id, e := range b.entries {
 		w := b.recordOf(e)
-		w.SlowStartLeft, w.LostOwner, w.Seq = 0, NoSlot, 0 // beats do not travel
+		w.SlowStartLeft, w.LostOwner, w.Seq = 0, NoSlot, 0 // heartbeats do not travel
 		m[id] = w
 	}
 	return m
@@ -168,33 +168,33 @@
 	go1(nil, all)
 }
 
-func TestAllOrdersOfWordsEndAlike(t *testing.T) {
+func TestUpdateOrdersConverge(t *testing.T) {
 	w := newBackend(1).Record
-	say := func(f func(*Record)) Record {
+	update := func(set func(*Record)) Record {
 		x := w
 		x.Owner, x.LostOwner = NoSlot, NoSlot
-		f(&x)
+		set(&x)
 		return x
 	}
 	for _, words := range [][]Record{
-		{ // one changes hands while its old registrar finds it silent, and it beats on
-			say(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 1, 1, 3 }),
-			say(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase = 4, 1, 3, Gone }),
-			say(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 4, 2, 5 }),
-			say(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 4, 2, 4 }),
-			say(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Capacity = 5, 2, 5, 7 }),
+		{ // the owner changes while the former one times the backend out, and its heartbeats go on
+			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 1, 1, 3 }),
+			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase = 4, 1, 3, Gone }),
+			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 4, 2, 5 }),
+			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 4, 2, 4 }),
+			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Capacity = 5, 2, 5, 7 }),
 		},
-		{ // draining, silent, beating late, leaving
-			say(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 1, 1, 3 }),
-			say(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase, x.Draining = 2, 1, 3, Draining, true }),
-			say(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 3, 1, 3 }),
-			say(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase = 3, 1, 3, Gone }),
+		{ // draining, timed out, a late heartbeat, deregistered
+			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 1, 1, 3 }),
+			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase, x.Draining = 2, 1, 3, Draining, true }),
+			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 3, 1, 3 }),
+			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase = 3, 1, 3, Gone }),
 			{ID: w.ID, Owner: NoSlot, LostOwner: NoSlot, Phase: Gone, Left: true},
 		},
 		{ // two at one address
-			say(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Age = 9, 1, 3, 9*time.Second }),
-			say(func(x *Record) { x.ID, x.Service, x.Seq, x.FencingToken, x.Owner = "i-9", "other", 1, 1, 4 }),
-			say(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Age, x.Draining = 9, 1, 3, 9*time.Second, true }),
+			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Age = 9, 1, 3, 9*time.Second }),
+			update(func(x *Record) { x.ID, x.Service, x.Seq, x.FencingToken, x.Owner = "i-9", "other", 1, 1, 4 }),
+			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Age, x.Draining = 9, 1, 3, 9*time.Second, true }),
 		},
 	} {
 		var first map[string]Record
@@ -213,307 +213,306 @@
 	}
 }
 
-func TestAllOrdersOfCallsEndAlike(t *testing.T) {
-	// Calls of one backend at three nodes, in every order and with the nodes cut from each other meanwhile
-	// or not.
+func TestCallOrdersConverge(t *testing.T) {
+	// Calls of one backend at three nodes, in every order, and with the nodes partitioned meanwhile or not.
 	for _, cut := range []bool{false, true} {
 		permutations(4, func(order []int) {
-			tr := newFleet(t, 3, 0)
+			f := newFleet(t, 3, 0)
 			if cut {
 				for _, p := range [][2]Slot{{0, 1}, {1, 0}, {0, 2}, {2, 0}} {
-					tr.partitioned[p] = true
+					f.partitioned[p] = true
 				}
-				tr.updateNodes()
+				f.updateNodes()
 			}
 			for _, i := range order {
 				w := newBackend(1).Record
 				switch i {
 				case 0:
 					w.Seq = 1
-					tr.registries[0].Heartbeat(w)
+					f.registries[0].Heartbeat(w)
 				case 1:
 					w.Seq, w.Capacity = 2, 6
-					tr.registries[1].Heartbeat(w)
+					f.registries[1].Heartbeat(w)
 				case 2:
 					w.Seq, w.Phase = 3, Draining
-					tr.registries[2].Heartbeat(w)
+					f.registries[2].Heartbeat(w)
 				case 3:
 					w.Seq = 4
-					tr.registries[0].Heartbeat(w)
+					f.registries[0].Heartbeat(w)
 				}
-				tr.deliverAll()
+				f.deliverAll()
 			}
-			tr.partitioned = map[[2]Slot]bool{}
-			tr.updateNodes()
-			tr.advance(time.Second)
-			tr.requirePhase("i-1", Draining)
-			must.Eq(t, knownRecords(tr.registries[0])["i-1"], knownRecords(tr.registries[1])["i-1"], must.Sprint(cut, order))
+			f.partitioned = map[[2]Slot]bool{}
+			f.updateNodes()
+			f.advance(time.Second)
+			f.requirePhase("i-1", Draining)
+			must.Eq(t, knownRecords(f.registries[0])["i-1"], knownRecords(f.registries[1])["i-1"], must.Sprint(cut, order))
 		})
 	}
 }
 
-func TestBeatsAreSteeredAndDoNotTravel(t *testing.T) {
-	tr := newFleet(t, 4, 0)
+func TestHeartbeatsGoToOwnersAndNoFurther(t *testing.T) {
+	f := newFleet(t, 4, 0)
 	var all []*backend
 	for i := range 20 {
 		all = append(all, newBackend(i))
-		must.True(t, tr.heartbeat(all[i], 0).Confirmed)
+		must.True(t, f.heartbeat(all[i], 0).Confirmed)
 	}
-	tr.advance(200 * ms)
+	f.advance(200 * ms)
 	for _, s := range all {
-		tr.requirePhase(s.ID, Ready)
-		must.Eq(t, s.target, tr.registries[0].entries[s.ID].record.Owner)
+		f.requirePhase(s.ID, Ready)
+		must.Eq(t, s.target, f.registries[0].entries[s.ID].record.Owner)
 	}
 	kept := map[Slot]int{}
 	for _, s := range all {
 		kept[s.target]++
-		tr.heartbeat(s, s.target)
+		f.heartbeat(s, s.target)
 	}
 	must.MapLen(t, 4, kept)
-	tr.advance(200 * ms)
-	tr.messages = 0
+	f.advance(200 * ms)
+	f.messages = 0
 	for range 8 {
 		for _, s := range all {
-			must.True(t, tr.heartbeat(s, s.target).Confirmed)
+			must.True(t, f.heartbeat(s, s.target).Confirmed)
 		}
-		tr.advance(heartbeatInterval)
+		f.advance(heartbeatInterval)
 	}
-	must.Eq(t, 0, tr.messages)
-	// Without beats all are gone at all nodes, and one that beats again is back.
-	tr.advance(4 * heartbeatInterval)
+	must.Eq(t, 0, f.messages)
+	// Without heartbeats all are gone at all nodes, and one that sends them again is back.
+	f.advance(4 * heartbeatInterval)
 	for _, s := range all {
-		tr.requirePhase(s.ID, Gone)
+		f.requirePhase(s.ID, Gone)
 	}
-	tr.heartbeat(all[3], 2)
-	tr.advance(100 * ms)
-	tr.requirePhase(all[3].ID, Ready)
+	f.heartbeat(all[3], 2)
+	f.advance(100 * ms)
+	f.requirePhase(all[3].ID, Ready)
 }
 
-func TestDrainIsAcknowledgedWhenOthersKnow(t *testing.T) {
-	tr := newFleet(t, 4, 2)
+func TestDrainIsConfirmedByCopies(t *testing.T) {
+	f := newFleet(t, 4, 2)
 	s := newBackend(1)
-	tr.heartbeat(s, 0)
-	tr.advance(time.Second)
+	f.heartbeat(s, 0)
+	f.advance(time.Second)
 	s.Phase = Draining
-	must.True(t, tr.heartbeat(s, 0).Confirmed)
-	tr.requirePhase(s.ID, Draining)
-	must.Eq(t, 0, tr.registries[0].Status().PendingCalls)
+	must.True(t, f.heartbeat(s, 0).Confirmed)
+	f.requirePhase(s.ID, Draining)
+	must.Eq(t, 0, f.registries[0].Status().PendingCalls)
 
-	// Node 3 has not been missed yet but hears nothing: enough is enough after a while.
-	mute := func(o Slot) { tr.partitioned[[2]Slot{0, o}] = true }
-	mute(3)
+	// Node 3 still counts as live but receives nothing: MinCopies suffice after allCopiesTimeout.
+	loseTo := func(o Slot) { f.partitioned[[2]Slot{0, o}] = true }
+	loseTo(3)
 	s = newBackend(2)
-	tr.heartbeat(s, 0)
+	f.heartbeat(s, 0)
 	s.Phase = Draining
-	must.False(t, tr.heartbeat(s, 0).Confirmed)
-	ticket := tr.registries[0].lastTicket
-	tr.advance(400 * ms)
-	must.MapNotContainsKey(t, tr.acks[0], ticket)
-	tr.advance(100 * ms)
-	must.True(t, tr.acks[0][ticket].Confirmed)
-
-	// Copies at nodes that do not count are not enough.
-	mute(1)
-	ticket = tr.registries[0].Deregister(s.ID)
-	tr.deliverAll()
-	tr.advance(700 * ms)
-	must.MapNotContainsKey(t, tr.acks[0], ticket)
-	tr.advance(100 * ms)
-	must.MapContainsKey(t, tr.acks[0], ticket)
-	must.False(t, tr.acks[0][ticket].Confirmed)
-
-	// Node 1 hears again: the word is still on its way, and the next call finds it told.
-	delete(tr.partitioned, [2]Slot{0, 1})
-	delete(tr.partitioned, [2]Slot{0, 3})
-	tr.advance(time.Second)
-	tr.requirePhase(s.ID, Gone)
-	ticket = tr.registries[0].Deregister(s.ID)
-	tr.deliverAll()
-	must.True(t, tr.acks[0][ticket].Confirmed)
-
-	// A node that hears nobody acknowledges no end, but a node that is alone may.
+	must.False(t, f.heartbeat(s, 0).Confirmed)
+	ticket := f.registries[0].lastTicket
+	f.advance(400 * ms)
+	must.MapNotContainsKey(t, f.acks[0], ticket)
+	f.advance(100 * ms)
+	must.True(t, f.acks[0][ticket].Confirmed)
+
+	// Copies at nodes without a disk are not enough.
+	loseTo(1)
+	ticket = f.registries[0].Deregister(s.ID)
+	f.deliverAll()
+	f.advance(700 * ms)
+	must.MapNotContainsKey(t, f.acks[0], ticket)
+	f.advance(100 * ms)
+	must.MapContainsKey(t, f.acks[0], ticket)
+	must.False(t, f.acks[0][ticket].Confirmed)
+
+	// Node 1 receives again: the departure is still on its way, and the next call finds it acknowledged.
+	delete(f.partitioned, [2]Slot{0, 1})
+	delete(f.partitioned, [2]Slot{0, 3})
+	f.advance(time.Second)
+	f.requirePhase(s.ID, Gone)
+	ticket = f.registries[0].Deregister(s.ID)
+	f.deliverAll()
+	must.True(t, f.acks[0][ticket].Confirmed)
+
+	// A node that reaches nobody confirms no departure, but the only node there is may.
 	for o := range Slot(3) {
-		mute(o + 1)
+		loseTo(o + 1)
 	}
-	tr.updateNodes()
+	f.updateNodes()
 	s = newBackend(3)
-	must.True(t, tr.heartbeat(s, 0).Confirmed)
+	must.True(t, f.heartbeat(s, 0).Confirmed)
 	s.Phase = Draining
-	must.False(t, tr.heartbeat(s, 0).Confirmed)
-	tr = newFleet(t, 1, 0)
-	must.True(t, tr.heartbeat(s, 0).Confirmed)
+	must.False(t, f.heartbeat(s, 0).Confirmed)
+	f = newFleet(t, 1, 0)
+	must.True(t, f.heartbeat(s, 0).Confirmed)
 }
 
-func TestRegistrarLostIsNotItsBackends(t *testing.T) {
-	tr := newFleet(t, 4, 0)
+func TestLossOfOwnerKeepsItsBackends(t *testing.T) {
+	f := newFleet(t, 4, 0)
 	var all []*backend
 	for i := range 30 {
 		all = append(all, newBackend(i))
-		tr.heartbeat(all[i], 0)
-		tr.heartbeat(all[i], all[i].target)
+		f.heartbeat(all[i], 0)
+		f.heartbeat(all[i], all[i].target)
 	}
-	tr.advance(time.Second)
+	f.advance(time.Second)
 	dead := all[0].target
-	var orphans, dumb []*backend
+	var orphans, stopped []*backend
 	for _, s := range all {
 		if s.target == dead {
 			orphans = append(orphans, s)
 		}
 	}
 	must.Greater(t, 1, len(orphans))
-	dumb, orphans = orphans[:1], orphans[1:]
+	stopped, orphans = orphans[:1], orphans[1:]
 	others := all[:0:0]
 	for _, s := range all {
 		if s.target != dead {
 			others = append(others, s)
 		}
 	}
-	tr.live[dead] = false
+	f.live[dead] = false
 	next := (dead + 1) % 4
 	for i := range 7 {
 		for _, s := range others {
-			tr.heartbeat(s, s.target)
+			f.heartbeat(s, s.target)
 		}
 		for _, s := range orphans {
 			if i == 0 || s.target == dead {
-				tr.heartbeat(s, next) // its beat failed: it turns to the next node
+				f.heartbeat(s, next) // its heartbeat failed: it turns to the next node
 			} else {
-				tr.heartbeat(s, s.target)
+				f.heartbeat(s, s.target)
 			}
 		}
 		if i == 1 {
-			tr.updateNodes() // only now the nodes miss it
+			f.updateNodes() // only now do the nodes notice
 		}
 		for _, s := range all {
-			if i < 4 || s != dumb[0] {
-				tr.requirePhase(s.ID, Ready)
+			if i < 4 || s != stopped[0] {
+				f.requirePhase(s.ID, Ready)
 			}
 		}
-		tr.advance(heartbeatInterval)
+		f.advance(heartbeatInterval)
 	}
-	tr.requirePhase(dumb[0].ID, Gone) // it went together with its registrar
+	f.requirePhase(stopped[0].ID, Gone) // it ended together with its owner
 	for _, s := range orphans {
 		must.NotEq(t, dead, s.target)
-		must.Eq(t, s.target, tr.registries[next].entries[s.ID].record.Owner)
-	}
-	// The registrar comes back and knows nothing: it is told the whole registry, ends too.
-	tr.start(dead)
-	tr.updateNodes()
-	tr.advance(time.Second)
-	must.Eq(t, knownRecords(tr.registries[next]), knownRecords(tr.registries[dead]))
-	must.Eq(t, 29, len(tr.registries[dead].Backends()))
+		must.Eq(t, s.target, f.registries[next].entries[s.ID].record.Owner)
+	}
+	// The owner comes back and knows nothing: it is sent the whole registry, departures too.
+	f.start(dead)
+	f.updateNodes()
+	f.advance(time.Second)
+	must.Eq(t, knownRecords(f.registries[next]), knownRecords(f.registries[dead]))
+	must.Eq(t, 29, len(f.registries[dead].Backends()))
 }
 
 func TestIsolatedNodeExpiresOnlyDirectBackends(t *testing.T) {
-	tr := newFleet(t, 5, 0)
+	f := newFleet(t, 5, 0)
 	var all []*backend
 	for i := range 20 {
 		all = append(all, newBackend(i))
-		tr.heartbeat(all[i], 1)
+		f.heartbeat(all[i], 1)
 	}
-	tr.advance(100 * ms)
+	f.advance(100 * ms)
 	for o := range Slot(4) {
-		tr.partitioned[[2]Slot{0, o + 1}], tr.partitioned[[2]Slot{o + 1, 0}] = true, true
+		f.partitioned[[2]Slot{0, o + 1}], f.partitioned[[2]Slot{o + 1, 0}] = true, true
 	}
-	tr.updateNodes()
+	f.updateNodes()
 	for range 10 {
 		for _, s := range all {
 			at := s.target
 			if at == 0 {
 				at = 2 // its zone does not reach node 0 any more
 			}
-			tr.heartbeat(s, at)
+			f.heartbeat(s, at)
 		}
-		tr.advance(heartbeatInterval)
+		f.advance(heartbeatInterval)
 	}
-	must.SliceLen(t, 20, tr.registries[0].Backends())
-	tr.partitioned = map[[2]Slot]bool{}
-	tr.updateNodes()
-	tr.advance(time.Second)
+	must.SliceLen(t, 20, f.registries[0].Backends())
+	f.partitioned = map[[2]Slot]bool{}
+	f.updateNodes()
+	f.advance(time.Second)
 	for _, s := range all {
-		tr.requirePhase(s.ID, Ready)
+		f.requirePhase(s.ID, Ready)
 	}
 }
 
 func TestStallIsNotATimeout(t *testing.T) {
-	tr := newFleet(t, 2, 0)
+	f := newFleet(t, 2, 0)
 	s := newBackend(1)
-	tr.heartbeat(s, 0)
-	tr.heartbeat(s, s.target)
-	b := tr.registries[s.target]
-	b.Tick(tr.now + 20*time.Second)
-	tr.deliverAll()
-	tr.requirePhase(s.ID, Ready)
+	f.heartbeat(s, 0)
+	f.heartbeat(s, s.target)
+	b := f.registries[s.target]
+	b.Tick(f.now + 20*time.Second)
+	f.deliverAll()
+	f.requirePhase(s.ID, Ready)
 	for range 20 {
-		tr.now += 200 * ms
-		b.Tick(tr.now + 20*time.Second)
+		f.now += 200 * ms
+		b.Tick(f.now + 20*time.Second)
 	}
-	tr.deliverAll()
-	tr.requirePhase(s.ID, Ready)
+	f.deliverAll()
+	f.requirePhase(s.ID, Ready)
 	for range 5 {
-		tr.now += 200 * ms
-		b.Tick(tr.now + 20*time.Second)
+		f.now += 200 * ms
+		b.Tick(f.now + 20*time.Second)
 	}
-	tr.deliverAll()
-	tr.requirePhase(s.ID, Gone)
+	f.deliverAll()
+	f.requirePhase(s.ID, Gone)
 }
 
 func TestAddressUsedAgain(t *testing.T) {
-	tr := newFleet(t, 3, 0)
+	f := newFleet(t, 3, 0)
 	old := newBackend(1)
-	tr.heartbeat(old, 0)
-	tr.advance(2 * time.Second)
+	f.heartbeat(old, 0)
+	f.advance(2 * time.Second)
 	young := newBackend(2)
 	young.Addr, young.Service = old.Addr, "other"
-	tr.heartbeat(young, 1)
-	tr.advance(600 * ms)
-	tr.requirePhase(old.ID, Gone)
-	tr.requirePhase(young.ID, Ready)
-	must.SliceLen(t, 1, tr.registries[2].Backends())
-	// A late call of the old one changes nothing for long, and the young one's end does not bring it back.
+	f.heartbeat(young, 1)
+	f.advance(600 * ms)
+	f.requirePhase(old.ID, Gone)
+	f.requirePhase(young.ID, Ready)
+	must.SliceLen(t, 1, f.registries[2].Backends())
+	// A late call of the old one changes nothing for long, and the departure of the young one does not bring it back.
 	old.Seq += 5
-	tr.heartbeat(old, 2)
-	tr.advance(600 * ms)
-	tr.requirePhase(old.ID, Gone)
-	tr.requirePhase(young.ID, Ready)
-	tr.registries[0].Deregister(young.ID)
-	tr.deliverAll()
-	tr.requirePhase(young.ID, Gone)
-	tr.requirePhase(old.ID, Gone)
+	f.heartbeat(old, 2)
+	f.advance(600 * ms)
+	f.requirePhase(old.ID, Gone)
+	f.requirePhase(young.ID, Ready)
+	f.registries[0].Deregister(young.ID)
+	f.deliverAll()
+	f.requirePhase(young.ID, Gone)
+	f.requirePhase(old.ID, Gone)
 }
 
 func TestTombstonesEnd(t *testing.T) {
-	tr := newFleet(t, 2, 0)
+	f := newFleet(t, 2, 0)
 	s := newBackend(1)
-	tr.heartbeat(s, 0)
-	tr.registries[1].Deregister(s.ID)
-	tr.deliverAll()
+	f.heartbeat(s, 0)
+	f.registries[1].Deregister(s.ID)
+	f.deliverAll()
 	s.Seq = 7
-	tr.heartbeat(s, 0)
-	tr.requirePhase(s.ID, Gone)
-	tr.advance(tombstoneTTL + time.Second)
-	must.Eq(t, Status{}, tr.registries[0].Status())
-	must.MapEmpty(t, tr.registries[0].entries)
-	must.MapEmpty(t, tr.registries[0].byAddr)
+	f.heartbeat(s, 0)
+	f.requirePhase(s.ID, Gone)
+	f.advance(tombstoneTTL + time.Second)
+	must.Eq(t, Status{}, f.registries[0].Status())
+	must.MapEmpty(t, f.registries[0].entries)
+	must.MapEmpty(t, f.registries[0].byAddr)
 	for i := range maxTombstones + 100 {
-		tr.registries[0].Deregister(fmt.Sprint(i))
+		f.registries[0].Deregister(fmt.Sprint(i))
 	}
-	tr.advance(time.Second)
-	must.Eq(t, maxTombstones, len(tr.registries[0].entries))
+	f.advance(time.Second)
+	must.Eq(t, maxTombstones, len(f.registries[0].entries))
 }
 
 func TestNodesConvergeAfterFaults(t *testing.T) {
 	for seed := range int64(200) {
 		r := rand.New(rand.NewSource(seed))
 		n := 3 + r.Intn(9)
-		tr, all, crashed := newFleet(t, n, r.Intn(4)), []*backend{}, map[string]bool{}
+		f, all, crashed := newFleet(t, n, r.Intn(4)), []*backend{}, map[string]bool{}
 		for i := range 12 {
 			all = append(all, newBackend(i))
 		}
 		beats := func() {
 			for _, s := range all {
 				for tries := 0; tries < n && !crashed[s.ID]; tries++ {
-					if tr.live[s.target] && tr.heartbeat(s, s.target).Confirmed {
+					if f.live[s.target] && f.heartbeat(s, s.target).Confirmed {
 						break
 					}
 					s.target = Slot(r.Intn(n))
@@ -521,193 +520,194 @@
 			}
 		}
 		back := func(d Slot) {
-			tr.start(d)
-			for o, b := range tr.registries {
-				if o != d && tr.live[o] {
-					b.SyncPeer(d) // it may have been back before anybody missed it
+			f.start(d)
+			for o, b := range f.registries {
+				if o != d && f.live[o] {
+					b.SyncPeer(d) // it may have been back before its liveness timed out
 				}
 			}
-			tr.updateNodes()
+			f.updateNodes()
 		}
 		for range 25 {
 			x, y, s := Slot(r.Intn(n)), Slot(r.Intn(n)), all[r.Intn(len(all))]
 			switch r.Intn(7) {
 			case 0:
-				tr.live[x] = false
+				f.live[x] = false
 			case 1:
 				back(x)
 			case 2:
-				tr.partitioned[[2]Slot{x, y}], tr.partitioned[[2]Slot{y, x}] = x != y, x != y
+				f.partitioned[[2]Slot{x, y}], f.partitioned[[2]Slot{y, x}] = x != y, x != y
 			case 3:
-				tr.partitioned = map[[2]Slot]bool{}
+				f.partitioned = map[[2]Slot]bool{}
 			case 4:
 				s.Phase = Draining
 			case 5:
 				crashed[s.ID] = true
 			case 6:
-				tr.registries[x].AddressTaken(s.ID)
+				f.registries[x].AddressTaken(s.ID)
 			}
-			for range 2 { // trouble is noticed before the next beats, after, or not at all
+			for range 2 { // faults are noticed before the next heartbeats, after, or not at all
 				if r.Intn(2) == 0 {
-					tr.updateNodes()
+					f.updateNodes()
 				}
 				beats()
-				tr.advance(time.Duration(r.Intn(1000)) * ms)
+				f.advance(time.Duration(r.Intn(1000)) * ms)
 			}
 		}
-		tr.partitioned = map[[2]Slot]bool{}
+		f.partitioned = map[[2]Slot]bool{}
 		for d := range Slot(n) {
-			if !tr.live[d] {
+			if !f.live[d] {
 				back(d)
 			}
 		}
-		tr.updateNodes()
+		f.updateNodes()
 		for i := range 12 {
 			if i == 9 {
-				tr.messages = 0
+				f.messages = 0
 			}
 			beats()
-			tr.advance(heartbeatInterval)
+			f.advance(heartbeatInterval)
 		}
 		for _, s := range all {
 			want := s.Phase
 			if crashed[s.ID] {
 				want = Gone
 			}
-			tr.requirePhase(s.ID, want)
+			f.requirePhase(s.ID, want)
 		}
-		must.Eq(t, 0, tr.messages, must.Sprint("in calm, seed ", seed))
+		must.Eq(t, 0, f.messages, must.Sprint("in calm, seed ", seed))
 	}
 }
 
 // What goes over a link must not grow with the nodes: a release of many backends, and a node that comes back in the middle of
-// it, cost a node without a disk one word a change from the one that it follows, and its registry once. On thin links, words
-// of all to all held up requests and broke DRAIN.
+// it, cost a node without a disk one update a change from its upstream, and the registry once. Guards against messages of all to all, which
+// held up requests on thin links and broke the rule DRAIN.
 func TestMessagesGrowLinearlyWithNodes(t *testing.T) {
 	for _, n := range []int{12, 48, 96} {
-		tr := newFleet(t, n, 3)
+		f := newFleet(t, n, 3)
 		for i := range 60 {
-			tr.heartbeat(newBackend(i), Slot(i%n))
+			f.heartbeat(newBackend(i), Slot(i%n))
 		}
-		tr.advance(time.Second)
+		f.advance(time.Second)
 		for s := range Slot(n) {
-			must.Len(t, 60, tr.registries[s].Backends())
+			must.Len(t, 60, f.registries[s].Backends())
 		}
-		tr.messages = 0
+		f.messages = 0
 		for i := range 60 {
 			s := newBackend(i)
 			s.Seq, s.Phase = 9, Draining
-			must.True(t, tr.heartbeat(s, Slot(i%n)).Confirmed, must.Sprint("known by those with a disk, it is acknowledged at once"))
+			must.True(t, f.heartbeat(s, Slot(i%n)).Confirmed, must.Sprint("known by those with a disk, it is acknowledged at once"))
 		}
-		must.LessEq(t, 60*(2*n+20), tr.messages, must.Sprint(n, " nodes")) // a word and its confirmation each
-		tr.advance(time.Second)
-		tr.messages = 0
-		tr.start(Slot(n - 1))
+		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes")) // an update and its acknowledgement each
+		f.advance(time.Second)
+		f.messages = 0
+		f.start(Slot(n - 1))
 		for s := range Slot(n - 1) {
-			tr.registries[s].SyncPeer(Slot(n - 1))
+			f.registries[s].SyncPeer(Slot(n - 1))
 		}
-		tr.updateNodes()
-		tr.advance(time.Second)
-		must.LessEq(t, 12, tr.messages)
-		must.Len(t, 60, tr.registries[Slot(n-1)].Backends())
+		f.updateNodes()
+		f.advance(time.Second)
+		must.LessEq(t, 12, f.messages)
+		must.Len(t, 60, f.registries[Slot(n-1)].Backends())
 	}
 }
 
-// After the loss of all nodes one that remembers spares the others a wait for the beats. What it remembers wrongly goes:
-// a backend that says nothing is gone after three beats, one that left meanwhile stays gone where that is known.
+// After the loss of all nodes one that kept its registry on disk spares the others a wait for heartbeats. What it has wrongly goes: a
+// backend that sends none is gone after three intervals, one that deregistered meanwhile stays gone where that is known.
 func TestRestore(t *testing.T) {
-	tr := newFleet(t, 3, 1)
+	f := newFleet(t, 3, 1)
 	lives, died := newBackend(1), newBackend(2)
 	for _, s := range []*backend{lives, died} {
-		tr.heartbeat(s, 0)
-		tr.heartbeat(s, s.target)
+		f.heartbeat(s, 0)
+		f.heartbeat(s, s.target)
 	}
-	tr.advance(time.Second)
-	kept := tr.registries[0].Backends()
+	f.advance(time.Second)
+	kept := f.registries[0].Backends()
 	must.Len(t, 2, kept)
 	for s := range Slot(3) {
-		tr.start(s)
+		f.start(s)
 	}
-	tr.registries[0].Restore(kept)
-	tr.updateNodes()
-	tr.advance(200 * ms)
-	tr.requirePhase(lives.ID, Ready)
-	tr.requirePhase(died.ID, Ready)
+	f.registries[0].Restore(kept)
+	f.updateNodes()
+	f.advance(200 * ms)
+	f.requirePhase(lives.ID, Ready)
+	f.requirePhase(died.ID, Ready)
 	for range 6 {
-		tr.heartbeat(lives, lives.target)
-		tr.advance(heartbeatInterval)
+		f.heartbeat(lives, lives.target)
+		f.advance(heartbeatInterval)
 	}
-	tr.requirePhase(lives.ID, Ready)
-	tr.requirePhase(died.ID, Gone)
+	f.requirePhase(lives.ID, Ready)
+	f.requirePhase(died.ID, Gone)
 
-	tr.start(0)
-	tr.registries[0].Deregister(lives.ID)
-	tr.registries[0].Restore(kept)
-	tr.deliverAll()
-	must.Eq(t, Gone, tr.registries[0].visiblePhase(tr.registries[0].entries[lives.ID]))
+	f.start(0)
+	f.registries[0].Deregister(lives.ID)
+	f.registries[0].Restore(kept)
+	f.deliverAll()
+	must.Eq(t, Gone, f.registries[0].visiblePhase(f.registries[0].entries[lives.ID]))
 }
 
-// The only node with a disk comes back knowing nothing: those who follow it tell what it did not name. What lives is kept again
-// without a wait for its beat, what died meanwhile goes after three beats at all nodes, though no beat ever names it again.
+// The only node with a disk comes back knowing nothing: its followers send it what its full sync left out. A backend that lives has an
+// owner again without a wait for its heartbeat; one that died meanwhile is gone after three intervals at all nodes, though no heartbeat ever
+// names it again.
 func TestFollowersReportMissingBackends(t *testing.T) {
-	tr := newFleet(t, 4, 1)
+	f := newFleet(t, 4, 1)
 	lives, died := newBackend(1), newBackend(2)
 	for _, s := range []*backend{lives, died} {
-		tr.heartbeat(s, 3)
-		must.Eq(t, Slot(0), s.target) // nodes with a disk keep
-		tr.heartbeat(s, 0)
+		f.heartbeat(s, 3)
+		must.Eq(t, Slot(0), s.target) // nodes with a disk own backends
+		f.heartbeat(s, 0)
 	}
-	tr.advance(time.Second)
-	tr.start(0)
+	f.advance(time.Second)
+	f.start(0)
 	for s := range Slot(3) {
-		tr.registries[s+1].SyncPeer(0)
+		f.registries[s+1].SyncPeer(0)
 	}
-	tr.updateNodes()
-	must.Len(t, 0, tr.registries[0].Backends())
-	tr.advance(fullSyncGrace + time.Second)
-	must.Len(t, 2, tr.registries[0].Backends())
-	must.Len(t, 2, tr.registries[2].Backends())
+	f.updateNodes()
+	must.Len(t, 0, f.registries[0].Backends())
+	f.advance(fullSyncGrace + time.Second)
+	must.Len(t, 2, f.registries[0].Backends())
+	must.Len(t, 2, f.registries[2].Backends())
 	for range 6 {
-		tr.heartbeat(lives, 0)
-		tr.advance(heartbeatInterval)
+		f.heartbeat(lives, 0)
+		f.advance(heartbeatInterval)
 	}
-	tr.requirePhase(lives.ID, Ready)
-	tr.requirePhase(died.ID, Gone)
+	f.requirePhase(lives.ID, Ready)
+	f.requirePhase(died.ID, Gone)
 }
 
-// A node that came back has nothing of what its former life knew: a late word of that one, read after the new one was greeted, is
-// no copy. The end of a backend is acknowledged once the present life confirms it.
-func TestLateWordOfFormerLifeIsNoCopy(t *testing.T) {
+// A node that came back has nothing of what its former incarnation knew: a late message of that one, read after the new one was synced, is
+// no copy. The departure of a backend is confirmed once the present incarnation acknowledges it.
+func TestLateMessageOfFormerIncarnationIsNoCopy(t *testing.T) {
 	for _, fault := range []bool{false, true} {
-		tr := newFleet(t, 2, 2)
+		f := newFleet(t, 2, 2)
 		knobs := TestingKnobs{TrustUnconfirmedPeers: fault}
-		for _, r := range tr.registries {
+		for _, r := range f.registries {
 			r.config.TestingKnobs = knobs
 		}
 		s := &backend{Record: Record{ID: "b", Service: "s", Addr: "10.0.0.1:80"}}
-		tr.heartbeat(s, 0)
+		f.heartbeat(s, 0)
 		late := s.Record
 		late.Phase, late.Draining, late.Seq, late.Owner, late.LostOwner = Draining, true, s.Seq+1, NoSlot, NoSlot
-		tr.registries[0].SyncPeer(1) // the link to its new life is up, the datagrams of the former one lies unread
-		sent := tr.takeMessages(0)
-		tr.registries[0].Receive(1, Message{Seq: 7, Updates: []Record{late}})
+		f.registries[0].SyncPeer(1) // the link to its new incarnation is up, a message of the former one lies unread
+		sent := f.takeMessages(0)
+		f.registries[0].Receive(1, Message{Seq: 7, Updates: []Record{late}})
 		s.Phase, s.Seq = Draining, s.Seq+1
-		ticket := tr.registries[0].Heartbeat(s.Record)
-		sent = append(sent, tr.takeMessages(0)...)
-		_, early := tr.acks[0][ticket]
+		ticket := f.registries[0].Heartbeat(s.Record)
+		sent = append(sent, f.takeMessages(0)...)
+		_, early := f.acks[0][ticket]
 		must.Eq(t, fault, early)
-		tr.registries[1] = New(1, Config{HeartbeatInterval: heartbeatInterval, MinCopies: 2, Incarnation: 99, TestingKnobs: knobs}, tr.now)
-		tr.registries[1].SetNodes([]Node{{Slot: 0, HasDisk: true, Live: true}, {Slot: 1, HasDisk: true, Live: true}})
+		f.registries[1] = New(1, Config{HeartbeatInterval: heartbeatInterval, MinCopies: 2, Incarnation: 99, TestingKnobs: knobs}, f.now)
+		f.registries[1].SetNodes([]Node{{Slot: 0, HasDisk: true, Live: true}, {Slot: 1, HasDisk: true, Live: true}})
 		for _, m := range sent {
-			tr.registries[1].Receive(0, m)
+			f.registries[1].Receive(0, m)
 		}
-		tr.deliverAll()
-		must.True(t, tr.acks[0][ticket].Confirmed)
-		must.Eq(t, Draining, tr.registries[1].entries["b"].phase())
+		f.deliverAll()
+		must.True(t, f.acks[0][ticket].Confirmed)
+		must.Eq(t, Draining, f.registries[1].entries["b"].phase())
 	}
 }
 
-// takeMessages gives what a node sends, and carries it nowhere.
+// takeMessages gives what a node sends, and delivers nothing.
 func (f *fleet) takeMessages(s Slot) (sent []Message) {
 	for a, ok := f.registries[s].Next(); ok; a, ok = f.registries[s].Next() {
 		switch a := a.(type) {
