--- a/control/recorded_test.go
+++ b/control/recorded_test.go
@@ -175,14 +175,14 @@
 func playFrontDoors(seed int64, load float64, change func(Settings)) string {
 	type event struct {
 		at       time.Duration
-		door     int
+		instance     int
 		decision Decision
 		nr       int
 		from     GatewayID // of a message
 		sent     time.Duration
 	}
 	chance, rec := rand.New(rand.NewSource(seed)), newRecorder()
-	var doors []*Controller
+	var instances []*Controller
 	now := time.Second
 	for i := range 3 {
 		s := recordedSettings(i)
@@ -191,12 +191,12 @@
 		if err != nil {
 			return err.Error()
 		}
-		doors = append(doors, d)
+		instances = append(instances, d)
 	}
 	list := func(id int, state BackendState, started time.Duration) Endpoint {
 		return Endpoint{ID: BackendID(id), Zone: ZoneID(id % 2), Pod: PodID(id % 4), State: state, Capacity: 4, Started: started}
 	}
-	for _, d := range doors {
+	for _, d := range instances {
 		var all []Endpoint
 		for id := 1; id <= 8; id++ {
 			all = append(all, list(id, Ready, 0))
@@ -213,7 +213,7 @@
 		now += 5 * time.Millisecond
 		if step%1000 == 999 {
 			id := 1 + chance.Intn(8)
-			for _, d := range doors {
+			for _, d := range instances {
 				switch chance.Intn(3) {
 				case 0:
 					d.EndpointsChanged(false, []Endpoint{list(id, Draining, 0)})
@@ -226,11 +226,11 @@
 		}
 		rest := queue[:0]
 		for _, e := range queue {
-			if e.at > now || e.door == 1 && still(step) {
+			if e.at > now || e.instance == 1 && still(step) {
 				rest = append(rest, e)
 				continue
 			}
-			d, x := doors[e.door], e.decision
+			d, x := instances[e.instance], e.decision
 			d.Now(now)
 			switch x.Action {
 			case SendDatagram:
@@ -239,7 +239,7 @@
 				d.ProbeEnded(x.Backend, chance.Intn(5) > 0, 3*time.Millisecond, []float64{float64(held[x.Backend])})
 			case Submit:
 				held[x.Backend]--
-				who := [2]int{e.door, int(x.Txn)}
+				who := [2]int{e.instance, int(x.Txn)}
 				how, took := Succeeded, e.at-e.sent
 				switch {
 				case x.Backend == 3 && now > 15*time.Second && now < 22*time.Second:
@@ -259,7 +259,7 @@
 			}
 		}
 		queue = rest
-		for i, d := range doors {
+		for i, d := range instances {
 			if i == 1 && still(step) {
 				continue
 			}
@@ -285,13 +285,13 @@
 					if x.Backend == 7 {
 						took *= 6
 					}
-					queue = append(queue, event{at: now + min(took, 3*time.Second), door: i, decision: x, nr: tries[who], sent: now})
+					queue = append(queue, event{at: now + min(took, 3*time.Second), instance: i, decision: x, nr: tries[who], sent: now})
 					tries[who]++
 				case Probe:
-					queue = append(queue, event{at: now + 3*time.Millisecond, door: i, decision: x})
+					queue = append(queue, event{at: now + 3*time.Millisecond, instance: i, decision: x})
 				case SendDatagram:
 					if chance.Intn(15) > 0 {
-						queue = append(queue, event{at: now + 4*time.Millisecond, door: int(x.Peer), decision: x, from: GatewayID(i)})
+						queue = append(queue, event{at: now + 4*time.Millisecond, instance: int(x.Peer), decision: x, from: GatewayID(i)})
 					}
 				case Reject, Fail:
 					delete(open, who)
