--- a/cmd/clovergap/serve.go
+++ b/cmd/clovergap/serve.go
@@ -17,6 +17,7 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
+	"clovergap/control/loadbalancer"
 	"clovergap/internal/failpoint"
 	"clovergap/internal/frontdoor/config"
 	"clovergap/internal/frontdoor/discovery"
@@ -137,7 +138,7 @@
 // build puts the stages together and starts them.
 func build(c *config.Config, log *zap.Logger, past *past, o operator.Leases) (*front, error) {
 	f := &front{conf: c, log: log, past: past, e: eventloop.New(c.Listen, c.Sockets, http1.MostRaw, c.MemoryMB<<20/ringShare)}
-	node, err := control.New(c.Seed, c.Settings, f.e.Now())
+	node, err := loadbalancer.New(c.Seed, c.Settings, f.e.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -268,7 +269,7 @@
 
 // usable tells what is wrong with a configuration that reads well, and which backends it knows.
 func usable(c *config.Config) (discovery.List, error) {
-	if _, err := control.New(c.Seed, c.Settings, 0); err != nil {
+	if _, err := loadbalancer.New(c.Seed, c.Settings, 0); err != nil {
 		return discovery.List{}, err
 	}
 	known, err := discovery.Read(c.Known, c.Zones, func(time.Time) time.Duration { return 0 })
--- a/control/control_test.go
+++ b/control/loadbalancer/control_test.go
@@ -1,24 +1,27 @@
-package control
+package loadbalancer
 
 import (
 	"fmt"
 	"time"
+
+	"clovergap/control"
+	"clovergap/control/quota"
 )
 
 func Example_endings() {
 	s := newWarmScenario()
 	c := ownedBy(0)
-	for id, e := range []Ending{Succeeded, Errored, Rejected, TimedOut, Unreachable, ConnectionLost} {
+	for id, e := range []control.Ending{control.Succeeded, control.Errored, control.Rejected, control.TimedOut, control.Unreachable, control.ConnectionLost} {
 		fmt.Println("#", id, "inquiry-like, then ending", e)
-		s.txn(TxnID(id), c, 0, 0)
-		s.ended(TxnID(id), e)
-		if s.controller.txns[TxnID(id)] != nil {
-			s.ended(TxnID(id), e)
+		s.txn(control.TxnID(id), c, 0, 0)
+		s.ended(control.TxnID(id), e)
+		if s.controller.txns[control.TxnID(id)] != nil {
+			s.ended(control.TxnID(id), e)
 		}
-		if s.controller.txns[TxnID(id)] != nil {
-			s.ended(TxnID(id), e)
+		if s.controller.txns[control.TxnID(id)] != nil {
+			s.ended(control.TxnID(id), e)
 		}
-		s.controller.ClientLeft(TxnID(id)) // an id no longer held is passed over
+		s.controller.ClientLeft(control.TxnID(id)) // an id no longer held is passed over
 		s.pull()
 	}
 	// Output:
@@ -56,7 +59,7 @@
 	s.txn(1, ownedBy(0), 2, 0)
 	s.advance(11997)
 	s.advance(11998)
-	s.controller.SubmissionEnded(1, 0, 1, TimedOut, false, 0, nil) // its own outcome comes after the answer
+	s.controller.SubmissionEnded(1, 0, 1, control.TimedOut, false, 0, nil) // its own outcome comes after the answer
 	s.advance(12100)
 	fmt.Println(len(s.controller.txns), "held")
 	// Output:
@@ -70,12 +73,12 @@
 	s := newWarmScenario()
 	fmt.Println("# proved not to have run: again elsewhere, then declined")
 	s.txn(1, ownedBy(0), 2, 0)
-	s.ended(1, Unreachable)
-	s.ended(1, Rejected)
-	s.ended(1, Rejected)
+	s.ended(1, control.Unreachable)
+	s.ended(1, control.Rejected)
+	s.ended(1, control.Rejected)
 	fmt.Println("# may have run: voided at once")
 	s.txn(2, ownedBy(0), 2, 0)
-	s.ended(2, Errored)
+	s.ended(2, control.Errored)
 	// Output:
 	// # proved not to have run: again elsewhere, then declined
 	// 10000 submit 1 to 1
@@ -91,17 +94,17 @@
 	s := newWarmScenario()
 	fmt.Println("# repeats stay in the pod of the first that may have run")
 	s.txn(1, ownedBy(0), 1, 0)
-	s.ended(1, ConnectionLost)
-	s.ended(1, ConnectionLost)
+	s.ended(1, control.ConnectionLost)
+	s.ended(1, control.ConnectionLost)
 	fmt.Println("# and inside the window: with the time over it is voided")
 	s.txn(2, ownedBy(0), 1, 0)
 	s.controller.products[1].repeatWindow = 0
-	s.ended(2, ConnectionLost)
+	s.ended(2, control.ConnectionLost)
 	fmt.Println("# where all backends know repeats, it may be declined")
 	s.txn(3, ownedBy(0), 3, 0)
-	s.ended(3, ConnectionLost)
-	s.ended(3, ConnectionLost)
-	s.ended(3, ConnectionLost)
+	s.ended(3, control.ConnectionLost)
+	s.ended(3, control.ConnectionLost)
+	s.ended(3, control.ConnectionLost)
 	// Output:
 	// # repeats stay in the pod of the first that may have run
 	// 10000 submit 1 to 1, 446
@@ -119,9 +122,9 @@
 
 func Example_draining() {
 	s := newWarmScenario()
-	s.list(false, Endpoint{ID: 1, State: Draining}, Endpoint{ID: 2, State: Gone})
-	for id := TxnID(1); id < 5; id++ {
-		s.txn(id, ownedBy(0)+CustomerID(id), 0, 0)
+	s.list(false, control.Endpoint{ID: 1, State: control.Draining}, control.Endpoint{ID: 2, State: control.Gone})
+	for id := control.TxnID(1); id < 5; id++ {
+		s.txn(id, ownedBy(0)+control.CustomerID(id), 0, 0)
 	}
 	s.list(true) // an empty list: nothing is ready
 	s.txn(9, ownedBy(0), 0, 0)
@@ -135,16 +138,16 @@
 }
 
 // sends counts what goes to a backend while txns of one product come every 10 ms for a span.
-func (s *scenario) sends(id BackendID, from, to int) (n int) {
+func (s *scenario) sends(id control.BackendID, from, to int) (n int) {
 	for at := from; at < to; at += 10 {
 		s.controller.Now(time.Millisecond * time.Duration(at))
-		s.controller.TxnArrived(Txn{ID: TxnID(at), Customer: CustomerID(at), SetWidth: 3, Units: 1, Expiry: s.controller.now + time.Second})
+		s.controller.TxnArrived(control.Txn{ID: control.TxnID(at), Customer: control.CustomerID(at), SetWidth: 3, Units: 1, Expiry: s.controller.now + time.Second})
 		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
-			if x.Action == Submit && x.Backend == id {
+			if x.Action == control.Submit && x.Backend == id {
 				n++
 			}
-			if x.Action == Submit {
-				s.controller.SubmissionEnded(x.Txn, 0, x.Backend, Succeeded, true, 10*time.Millisecond, nil)
+			if x.Action == control.Submit {
+				s.controller.SubmissionEnded(x.Txn, 0, x.Backend, control.Succeeded, true, 10*time.Millisecond, nil)
 			}
 		}
 	}
@@ -153,14 +156,14 @@
 
 func Example_coldBudget() {
 	s := newWarmScenario()
-	s.list(false, Endpoint{ID: 1, State: Ready, Started: 9900 * time.Millisecond})
+	s.list(false, control.Endpoint{ID: 1, State: control.Ready, Started: 9900 * time.Millisecond})
 	fmt.Println("beside warm ones, second by second:")
 	for at := 10000; at < 14000; at += 1000 {
 		fmt.Println(" cold", s.sends(1, at, at+1000))
 	}
 	s = newScenario(settings(0), 0)
 	s.advance(20000)
-	s.list(true, Endpoint{ID: 1, State: Ready, Started: 19900 * time.Millisecond})
+	s.list(true, control.Endpoint{ID: 1, State: control.Ready, Started: 19900 * time.Millisecond})
 	fmt.Println("alone, with nothing warm to judge by:")
 	for at := 20000; at < 23000; at += 1000 {
 		fmt.Println(" cold", s.sends(1, at, at+1000))
@@ -180,17 +183,17 @@
 func Example_ceilingAcrossRestart() {
 	s := newScenario(settings(0), 0)
 	s.quiet = true
-	s.list(true, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Ready})
+	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
 	s.advance(10000)
 	s.controller.capacity = 100
 	c := ownedBy(0)
 	fmt.Println("# the owner's pool and its part, two thirds of the ceiling, then nothing but their refill")
-	for id := TxnID(1); id <= 16; id++ {
+	for id := control.TxnID(1); id <= 16; id++ {
 		s.txn(id, c, 0, 1)
 	}
 	s = newScenario(settings(0), 10000)
 	s.quiet = true
-	s.list(true, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Ready})
+	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
 	fmt.Println("# the next life starts with an empty part")
 	s.txn(1, c, 0, 1)
 	s.advance(10200)
@@ -215,18 +218,18 @@
 
 func Example_ownerRestart() {
 	s := newScenario(settings(0), 5000)
-	s.list(true, Endpoint{ID: 1, State: Ready})
+	s.list(true, control.Endpoint{ID: 1, State: control.Ready})
 	fmt.Println("# an owner's bucket starts empty and refills at the rate: a txn waits for its unit")
 	s.txn(1, ownedBy(0), 0, 0)
 	s.advance(5100)
 	s.advance(5120)
 	fmt.Println("# a message of the peer's old life is dropped after its new one is known")
 	c := ownedBy(0)
-	s.receive(1, &Message{Epoch: 7, Seq: 5, Deltas: []Delta{{Customer: c, SetWidth: 3}}})
+	s.receive(1, &quota.Message{Epoch: 7, Seq: 5, Deltas: []quota.Delta{{Customer: c, SetWidth: 3}}})
 	s.advance(5200)
-	s.receive(1, &Message{Epoch: 8, Seq: 1, Deltas: []Delta{{Customer: c, SetWidth: 3}}})
+	s.receive(1, &quota.Message{Epoch: 8, Seq: 1, Deltas: []quota.Delta{{Customer: c, SetWidth: 3}}})
 	s.advance(5300)
-	s.receive(1, &Message{Epoch: 7, Seq: 6, Deltas: []Delta{{Customer: c, Units: 9, SetWidth: 3}}})
+	s.receive(1, &quota.Message{Epoch: 7, Seq: 6, Deltas: []quota.Delta{{Customer: c, Units: 9, SetWidth: 3}}})
 	s.advance(5400)
 	// Output:
 	// # an owner's bucket starts empty and refills at the rate: a txn waits for its unit
@@ -240,8 +243,8 @@
 	s := newScenario(settings(0), 0)
 	s.advance(10000)
 	c := ownedBy(0)
-	first := &Message{Epoch: 7, Seq: 1, Deltas: []Delta{{Customer: c, Units: 3, SetWidth: 3}}}
-	second := &Message{Epoch: 7, Seq: 2, Deltas: []Delta{{Customer: c, Units: 5, SetWidth: 3}}}
+	first := &quota.Message{Epoch: 7, Seq: 1, Deltas: []quota.Delta{{Customer: c, Units: 3, SetWidth: 3}}}
+	second := &quota.Message{Epoch: 7, Seq: 2, Deltas: []quota.Delta{{Customer: c, Units: 5, SetWidth: 3}}}
 	fmt.Println("# out of order and twice, each applied once")
 	s.receive(1, second)
 	s.controller.sweptAt = 20 * time.Second // no refill of the trace by periodic work
@@ -267,16 +270,16 @@
 	s.quiet, s.controller.capacity = false, 5
 	c := ownedBy(1)
 	fmt.Println("# new: one txn after the other from the allowance, asking the owner")
-	for id := TxnID(1); id < 9; id++ {
+	for id := control.TxnID(1); id < 9; id++ {
 		s.txn(id, c, 0, 0)
 	}
 	s.advance(10050)
 	fmt.Println("# lost: the delta goes again under its sequence")
 	s.advance(10200)
 	fmt.Println("# the snapshot acknowledges the first two: four units are left, two of them used since")
-	snap := func(version uint64, left float64) *Message {
-		return &Message{Epoch: 9, Version: version, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3,
-			Snapshots: []Snapshot{{Customer: c, Level: left, Reporters: 1}}}
+	snap := func(version uint64, left float64) *quota.Message {
+		return &quota.Message{Epoch: 9, Version: version, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3,
+			Snapshots: []quota.Snapshot{{Customer: c, Level: left, Reporters: 1}}}
 	}
 	s.receive(1, snap(5, 4))
 	s.txn(11, c, 0, 0)
@@ -321,19 +324,19 @@
 	s := newWarmScenario()
 	c := ownedBy(0)
 	fmt.Println("# product 0 fails at one backend: passed over for it, still taken for product 3")
-	first := BackendID(0)
-	for id := TxnID(1); id < 13; id++ {
-		p := ProductID(id % 2 * 3)
-		s.controller.TxnArrived(Txn{ID: id, Customer: c, Product: p, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
+	first := control.BackendID(0)
+	for id := control.TxnID(1); id < 13; id++ {
+		p := control.ProductID(id % 2 * 3)
+		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Product: p, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
 		x, _ := s.controller.Next()
-		for s.controller.txns[id] != nil && x.Action == Submit {
-			e := Succeeded
+		for s.controller.txns[id] != nil && x.Action == control.Submit {
+			e := control.Succeeded
 			if p == 0 && (first == 0 || x.Backend == first) {
-				first, e = x.Backend, Errored
+				first, e = x.Backend, control.Errored
 			}
-			fmt.Printf("product %d at %d: %v\n", p, x.Backend, map[Ending]string{Succeeded: "settled", Errored: "error"}[e])
+			fmt.Printf("product %d at %d: %v\n", p, x.Backend, map[control.Ending]string{control.Succeeded: "settled", control.Errored: "error"}[e])
 			t := s.controller.txns[id]
-			s.controller.SubmissionEnded(id, t.submissions-1, x.Backend, e, e == Succeeded, 10*time.Millisecond, nil)
+			s.controller.SubmissionEnded(id, t.submissions-1, x.Backend, e, e == control.Succeeded, 10*time.Millisecond, nil)
 			x, _ = s.controller.Next()
 		}
 	}
@@ -358,11 +361,11 @@
 func Example_fullBackend() {
 	s := newWarmScenario()
 	room := s.controller.capacity
-	for id := TxnID(1); id < 40; id++ {
-		s.controller.TxnArrived(Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
+	for id := control.TxnID(1); id < 40; id++ {
+		s.controller.TxnArrived(control.Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
 		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
-			if x.Action == Submit {
-				s.controller.SubmissionEnded(x.Txn, s.controller.txns[x.Txn].submissions-1, x.Backend, Rejected, false, time.Millisecond, nil)
+			if x.Action == control.Submit {
+				s.controller.SubmissionEnded(x.Txn, s.controller.txns[x.Txn].submissions-1, x.Backend, control.Rejected, false, time.Millisecond, nil)
 			}
 		}
 		s.controller.Now(s.controller.now + 10*time.Millisecond)
@@ -375,8 +378,8 @@
 func Example_repeatsGiveWay() {
 	s := newWarmScenario()
 	s.controller.capacity = 0.4
-	take := func(id TxnID, repeat bool) {
-		s.controller.TxnArrived(Txn{ID: id, Customer: CustomerID(id), Retry: repeat, Units: 1, SetWidth: 1,
+	take := func(id control.TxnID, repeat bool) {
+		s.controller.TxnArrived(control.Txn{ID: id, Customer: control.CustomerID(id), Retry: repeat, Units: 1, SetWidth: 1,
 			Expiry: s.controller.now + time.Second})
 		s.pull()
 	}
@@ -385,7 +388,7 @@
 	take(2, false)
 	take(3, true)
 	s.advance(10100)
-	s.ended(1, Succeeded)
+	s.ended(1, control.Succeeded)
 	s.advance(10500)
 	// Output:
 	// # room for one: the first try waits, the repeat is declined at once with advice
@@ -415,7 +418,7 @@
 // The view is good for 150 ms, the wait for a backend is longer: what covered the txn must still do so.
 func Example_keptWhileWaiting() {
 	s := newScenario(settings(0), 0)
-	s.list(true, Endpoint{ID: 1, State: Ready})
+	s.list(true, control.Endpoint{ID: 1, State: control.Ready})
 	s.advance(10000)
 	c := ownedBy(1)
 	s.controller.plans[0].Burst = 2 // tight: a view is good for an answer's time only
@@ -423,14 +426,14 @@
 	s.txn(1, ownedBy(0), 0, 0)
 	s.quiet = true
 	s.txn(2, c, 0, 0)
-	s.receive(1, &Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
+	s.receive(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
 	kept := func() float64 {
 		state, _ := s.controller.quota.State(c)
 		return state.Reserved
 	}
 	fmt.Println("kept:", kept(), "- what others may spend of the view is less by that")
 	s.advance(10170)
-	s.ended(1, Succeeded)
+	s.ended(1, control.Succeeded)
 	s.advance(10180)
 	fmt.Println("kept:", kept())
 	// Output:
@@ -444,9 +447,9 @@
 func Example_repeatInTime() {
 	s := newWarmScenario()
 	c := ownedBy(0)
-	again := func(id TxnID, left time.Duration) {
+	again := func(id control.TxnID, left time.Duration) {
 		s.drain(c, 5) // of 20: under what a late repeat must leave
-		s.controller.TxnArrived(Txn{ID: id, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + left})
+		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + left})
 		s.pull()
 	}
 	fmt.Println("# no first try was seen: it may be late and leaves the low bucket alone")
@@ -458,7 +461,7 @@
 	again(4, 1400*time.Millisecond)
 	fmt.Println("# late answers still earn something: it is a late repeat again")
 	s.controller.products[0].lateValue = 0.2
-	for c++; OwnerOf(c, 0, 3, 3) != 0; c++ { // another customer: of the first one's five units one is spent
+	for c++; quota.OwnerOf(c, 0, 3, 3) != 0; c++ { // another customer: of the first one's five units one is spent
 	}
 	again(5, 1400*time.Millisecond)
 	// Output:
@@ -477,12 +480,12 @@
 	s := newWarmScenario()
 	c := ownedBy(1)
 	fmt.Println("# the allowance is spent, then grows at the rate while no gateway is heard")
-	for id := TxnID(1); id < 200; id++ {
-		s.controller.TxnArrived(Txn{ID: id, Customer: c, Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
+	for id := control.TxnID(1); id < 200; id++ {
+		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
 		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
-			if x.Action == Submit {
+			if x.Action == control.Submit {
 				fmt.Printf("%d ", s.controller.now.Milliseconds())
-				s.controller.SubmissionEnded(x.Txn, 0, x.Backend, Succeeded, true, 10*time.Millisecond, nil)
+				s.controller.SubmissionEnded(x.Txn, 0, x.Backend, control.Succeeded, true, 10*time.Millisecond, nil)
 			}
 		}
 		s.controller.Now(s.controller.now + 10*time.Millisecond)
@@ -497,11 +500,11 @@
 	s.controller.capacity, s.controller.products[2].value = 0.4, 5
 	c := ownedBy(0)
 	fmt.Println("# no room: of two that wait, what is worth most for its time goes first")
-	for id, p := range []ProductID{0, 0, 2} {
-		s.txn(TxnID(id), c, p, 0)
+	for id, p := range []control.ProductID{0, 0, 2} {
+		s.txn(control.TxnID(id), c, p, 0)
 	}
 	s.advance(10100)
-	s.ended(0, Succeeded)
+	s.ended(0, control.Succeeded)
 	// Output:
 	// # no room: of two that wait, what is worth most for its time goes first
 	// 10000 submit 0 to 1, 446
@@ -512,15 +515,15 @@
 func Example_silentBackendIsTried() {
 	s := newScenario(settings(0), 0)
 	s.quiet = true
-	s.list(true, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Ready})
+	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
 	s.advance(10000)
 	b := s.controller.backends[1]
 	b.unanswered, b.unansweredSince, b.sentAt = 2, 10*time.Second, 10*time.Second
 	s.controller.examinedAt = time.Minute
 	for at := 10400; at < 11200; at += 400 {
 		s.advance(at)
-		for _, p := range []ProductID{2, 0} {
-			t := &txn{Txn: Txn{Product: p}}
+		for _, p := range []control.ProductID{2, 0} {
+			t := &txn{Txn: control.Txn{Product: p}}
 			fmt.Println(at, "product", p, "passes it over:", s.controller.unresponsive(b, t))
 		}
 	}
@@ -533,24 +536,24 @@
 
 func Example_oddInputs() {
 	s := newWarmScenario()
-	take := func(x Txn) {
+	take := func(x control.Txn) {
 		s.controller.TxnArrived(x)
 		s.pull()
 	}
 	now := s.controller.now
 	fmt.Println("# expiry over, product and plan that the settings don't name, odd sets, no units")
-	take(Txn{ID: 1, Units: 1, Expiry: now - time.Second})
-	take(Txn{ID: 2, Product: 9, Expiry: now + time.Second})
-	take(Txn{ID: 3, Plan: -4, Expiry: now + time.Second})
-	take(Txn{ID: 4, Customer: ownedBy(0), SetWidth: -3, SetFirst: -9, Expiry: now + time.Second})
-	take(Txn{ID: 5, Customer: 77, SetWidth: 1 << 40, SetFirst: 1 << 40, Units: -5, Expiry: now + time.Second})
-	s.controller.SubmissionEnded(99, 0, 1, Succeeded, true, 0, nil)
-	s.controller.SubmissionEnded(4, 7, 55, Succeeded, true, 0, []float64{1, 2, 3, 4})
+	take(control.Txn{ID: 1, Units: 1, Expiry: now - time.Second})
+	take(control.Txn{ID: 2, Product: 9, Expiry: now + time.Second})
+	take(control.Txn{ID: 3, Plan: -4, Expiry: now + time.Second})
+	take(control.Txn{ID: 4, Customer: ownedBy(0), SetWidth: -3, SetFirst: -9, Expiry: now + time.Second})
+	take(control.Txn{ID: 5, Customer: 77, SetWidth: 1 << 40, SetFirst: 1 << 40, Units: -5, Expiry: now + time.Second})
+	s.controller.SubmissionEnded(99, 0, 1, control.Succeeded, true, 0, nil)
+	s.controller.SubmissionEnded(4, 7, 55, control.Succeeded, true, 0, []float64{1, 2, 3, 4})
 	s.controller.ProbeEnded(55, true, 0, nil)
 	s.controller.DatagramReceived(99, nil)
 	s.controller.DatagramReceived(0, []byte("from myself"))
 	s.pull()
-	_, err := New(1, Settings{}, 0)
+	_, err := New(1, control.Settings{}, 0)
 	fmt.Println(err)
 	// Output:
 	// # expiry over, product and plan that the settings don't name, odd sets, no units
@@ -567,7 +570,7 @@
 	c := ownedBy(0)
 	fmt.Println("# four units of twenty left: not for a repeat, at once, but for a first try")
 	s.drain(c, 4)
-	s.controller.TxnArrived(Txn{ID: 1, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
+	s.controller.TxnArrived(control.Txn{ID: 1, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
 	s.pull()
 	s.txn(2, c, 0, 0)
 	// Output:
@@ -611,13 +614,13 @@
 	s.controller.Now(s.controller.now + 200*time.Millisecond)
 	s.controller.Now(s.controller.now + 200*time.Millisecond)
 	s.controller.saturatedAt = s.controller.now
-	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, TimedOut))
+	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
 	fmt.Println("time-out at a backend that has answered nothing since: room as before:", s.controller.capacity == before)
 	b.unansweredSince = s.controller.now
-	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, TimedOut))
+	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
 	fmt.Println("it answered others meanwhile: room taken away:", s.controller.capacity < before)
 	before, s.controller.saturatedAt = s.controller.capacity, s.controller.now-pressureTTL
-	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, TimedOut))
+	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
 	fmt.Println("nothing lacked room lately: late answers are the work's own, room as before:", s.controller.capacity == before)
 	// Output:
 	// 10000 submit 1 to 1, 446
@@ -628,7 +631,7 @@
 
 func Example_wideSets() {
 	s := newScenario(settings(0), 0)
-	s.list(true, Endpoint{ID: 1, State: Ready})
+	s.list(true, control.Endpoint{ID: 1, State: control.Ready})
 	s.advance(10000)
 	s.controller.capacity = 3
 	c := ownedBy(1)
@@ -636,13 +639,13 @@
 	fmt.Println("# new, but an allowance for each would be too much: the owner is asked, and says two")
 	s.txn(1, c, 0, 0)
 	s.advance(10030)
-	s.receive(1, &Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
+	s.receive(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
 	fmt.Println("# it says none: declined, with the time until there is one")
 	s.quiet = true
 	s.advance(11000)
 	s.quiet = false
 	s.txn(2, c, 0, 0)
-	s.receive(1, &Message{Epoch: 9, Version: 2, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3, Snapshots: []Snapshot{{Customer: c, Reporters: 2}}})
+	s.receive(1, &quota.Message{Epoch: 9, Version: 2, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3, Snapshots: []quota.Snapshot{{Customer: c, Reporters: 2}}})
 	s.advance(11150)
 	fmt.Println("# no answer in time: the allowance is there for that")
 	s.quiet = true
@@ -657,8 +660,8 @@
 	s.advance(14000)
 	s.quiet = false
 	s.controller.sweptAt = time.Minute
-	for g := GatewayID(1); g < 3; g++ {
-		s.receive(g, &Message{Epoch: 9, Seq: 1, Deltas: []Delta{{Customer: c, UnitsWanted: 1, SetWidth: 3}}})
+	for g := control.GatewayID(1); g < 3; g++ {
+		s.receive(g, &quota.Message{Epoch: 9, Seq: 1, Deltas: []quota.Delta{{Customer: c, UnitsWanted: 1, SetWidth: 3}}})
 	}
 	// Output:
 	// # new, but an allowance for each would be too much: the owner is asked, and says two
@@ -686,9 +689,9 @@
 	b := s.controller.txns[1].current
 	b.unanswered = 3
 	s.controller.Now(12 * time.Second) // no turn for two seconds
-	s.controller.SubmissionEnded(1, 0, b.ID, TimedOut, true, 272*time.Millisecond, nil)
-	for id := TxnID(2); id < 10; id++ {
-		s.controller.TxnArrived(Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
+	s.controller.SubmissionEnded(1, 0, b.ID, control.TimedOut, true, 272*time.Millisecond, nil)
+	for id := control.TxnID(2); id < 10; id++ {
+		s.controller.TxnArrived(control.Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
 	}
 	fmt.Println("# of eight txns that came over two seconds the last two are still in their SLA time")
 	s.pull()
@@ -711,8 +714,8 @@
 	c := ownedBy(0)
 	for _, age := range []time.Duration{0, 60 * time.Second} {
 		s := newScenario(settings(0), 5000)
-		for g := GatewayID(1); g < 3; g++ {
-			s.controller.DatagramReceived(g, (&Message{Epoch: 7, Age: age, Seq: 1}).Encode())
+		for g := control.GatewayID(1); g < 3; g++ {
+			s.controller.DatagramReceived(g, (&quota.Message{Epoch: 7, Age: age, Seq: 1}).Encode())
 		}
 		s.controller.quota.Account(c, 0, 0, 3)
 		state, _ := s.controller.quota.State(c)
@@ -726,9 +729,9 @@
 func Example_sights() {
 	s := newWarmScenario()
 	b := s.controller.backends[2]
-	m := &Message{Epoch: 7}
+	m := &quota.Message{Epoch: 7}
 	for i := 0; i < 4; i++ {
-		m.Observations = append(m.Observations, Observation{BackendHash: b.hash & ObservationHashMask, Ratio: ObservedFailed}, Observation{BackendHash: 5, Ratio: 9})
+		m.Observations = append(m.Observations, quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Ratio: quota.ObservedFailed}, quota.Observation{BackendHash: 5, Ratio: 9})
 	}
 	s.receive(1, m)
 	fmt.Println("told of failures: passed over for that product", b.failures[0].excludedUntil > s.controller.now, "and no other", b.failures[1].excludedUntil > s.controller.now)
@@ -743,18 +746,18 @@
 	s := newWarmScenario()
 	mine, other := ownedBy(0), ownedBy(1)
 	for i := 4; i < 500; i++ {
-		s.list(false, Endpoint{ID: BackendID(i - 1)}, Endpoint{ID: BackendID(i), State: Ready})
+		s.list(false, control.Endpoint{ID: control.BackendID(i - 1)}, control.Endpoint{ID: control.BackendID(i), State: control.Ready})
 	}
 	fmt.Println("backends", len(s.controller.ordered), len(s.controller.backends), len(s.controller.byHash))
 	s.controller.plans[0].Rate = 2
 	s.txn(1, mine, 0, 0)
-	s.ended(1, Succeeded)
+	s.ended(1, control.Succeeded)
 	s.txn(2, other, 0, 0)
-	s.ended(2, Succeeded)
+	s.ended(2, control.Succeeded)
 	for i := 1; i <= 3; i++ { // a peer goes on using what is quiet here
 		s.advance(10000 + 4000*i)
-		s.receive(1, &Message{Epoch: 7, AckEpoch: s.controller.quota.Epoch(), AckHigh: 9, AckMask: 1<<32 - 1, Seq: uint64(i),
-			Deltas: []Delta{{Customer: mine, Units: 15, SetWidth: 3}}})
+		s.receive(1, &quota.Message{Epoch: 7, AckEpoch: s.controller.quota.Epoch(), AckHigh: 9, AckMask: 1<<32 - 1, Seq: uint64(i),
+			Deltas: []quota.Delta{{Customer: mine, Units: 15, SetWidth: 3}}})
 	}
 	state, _ := s.controller.quota.State(mine)
 	fmt.Printf("left %.0f, customers %d\n", state.Level, s.controller.quota.Customers())
@@ -774,7 +777,7 @@
 	s := newWarmScenario()
 	b := s.controller.backends[1]
 	tell := func(held float64) {
-		s.controller.SubmissionEnded(0, 0, 1, Succeeded, true, 0, []float64{held})
+		s.controller.SubmissionEnded(0, 0, 1, control.Succeeded, true, 0, []float64{held})
 		fmt.Printf("told %g: load %.1f\n", held, s.controller.loadOf(b))
 	}
 	s.controller.survey()
@@ -796,26 +799,26 @@
 // Reports are late: what looks a little fuller keeps its customers, only one that overflows loses them.
 func Example_reportedLoads() {
 	s := newScenario(settings(0), 0)
-	for id := BackendID(1); id <= 20; id++ {
-		s.list(false, Endpoint{ID: id, State: Ready})
+	for id := control.BackendID(1); id <= 20; id++ {
+		s.list(false, control.Endpoint{ID: id, State: control.Ready})
 	}
 	s.quiet = true
 	s.advance(10000)
 	s.controller.capacity = 50
 	c := ownedBy(0)
-	first := func(id TxnID) *backend {
+	first := func(id control.TxnID) *backend {
 		s.txn(id, c, 0, 0)
 		return s.controller.txns[id].current
 	}
 	b := first(1)
-	s.ended(1, Succeeded)
+	s.ended(1, control.Succeeded)
 	for i, held := range []float64{4, 40} {
 		for _, x := range s.controller.ordered {
 			x.inFlightElsewhere, x.loadReportedAt = 1, s.controller.now
 		}
 		b.inFlightElsewhere = held
-		fmt.Printf("it holds %.0f, the others 1: first again: %v\n", held, first(TxnID(i+2)) == b)
-		s.ended(TxnID(i+2), Succeeded)
+		fmt.Printf("it holds %.0f, the others 1: first again: %v\n", held, first(control.TxnID(i+2)) == b)
+		s.ended(control.TxnID(i+2), control.Succeeded)
 	}
 	// Output:
 	// 10000 submit 1 to 14, 446
--- a/control/scene_test.go
+++ b/control/loadbalancer/scene_test.go
@@ -1,21 +1,24 @@
-package control
+package loadbalancer
 
 import (
 	"fmt"
 	"time"
+
+	"clovergap/control"
+	"clovergap/control/quota"
 )
 
 // A scene drives one gateway and prints its decisions. Times are in milliseconds.
 type scenario struct {
 	controller *Controller
-	datagrams  []*Message
+	datagrams  []*quota.Message
 	quiet      bool // print no datagram
 }
 
 // Products of a scene: 0 inquiry-like, 1 referenced in its pod, 2 once-only, 3 referenced everywhere.
 // Plans: 0 ten units a second and burst 20; 1 the same with a ceiling of 20 a second and 40 at once.
-func settings(me int) Settings {
-	s := Settings{"me": fmt.Sprint(me), "gateways": "3", "zone": "0", "limits.probes": "true",
+func settings(me int) control.Settings {
+	s := control.Settings{"me": fmt.Sprint(me), "gateways": "3", "zone": "0", "limits.probes": "true",
 		"limits.peers": "true", "limits.cancel": "true", "limits.advice": "true",
 		"limits.longest_advice": "2000000", "limits.max_submissions": "3", "report.how": "answers",
 		"report.fields": "inflight", "rules.warm_by": "10000000", "rules.fall_window": "1000000",
@@ -38,7 +41,7 @@
 	return s
 }
 
-func newScenario(s Settings, at int) *scenario {
+func newScenario(s control.Settings, at int) *scenario {
 	d, err := New(1, s, time.Millisecond*time.Duration(at))
 	if err != nil {
 		fmt.Println(err)
@@ -49,7 +52,7 @@
 // newWarmScenario gives a scene at 10 s with three warm backends: 1 and 2 in pod 0, 3 in pod 1.
 func newWarmScenario() *scenario {
 	s := newScenario(settings(0), 0)
-	s.list(true, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Ready}, Endpoint{ID: 3, Pod: 1, State: Ready})
+	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready}, control.Endpoint{ID: 3, Pod: 1, State: control.Ready})
 	s.quiet, s.controller.capacity = true, 3
 	s.advance(10000)
 	return s
@@ -64,40 +67,40 @@
 	}
 }
 
-func (s *scenario) list(whole bool, l ...Endpoint) { s.controller.EndpointsChanged(whole, l) }
+func (s *scenario) list(whole bool, l ...control.Endpoint) { s.controller.EndpointsChanged(whole, l) }
 
 // txn takes a txn of one unit in, from the customer, with two seconds until its expiry.
-func (s *scenario) txn(id TxnID, c CustomerID, p ProductID, pl PlanID) {
-	s.controller.TxnArrived(Txn{ID: id, Customer: c, Product: p, Plan: pl, Units: 1, SetWidth: 3,
+func (s *scenario) txn(id control.TxnID, c control.CustomerID, p control.ProductID, pl control.PlanID) {
+	s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Product: p, Plan: pl, Units: 1, SetWidth: 3,
 		Expiry: s.controller.now + 2*time.Second})
 	s.pull()
 }
 
 // ended ends the present submission of a txn.
-func (s *scenario) ended(id TxnID, e Ending) {
+func (s *scenario) ended(id control.TxnID, e control.Ending) {
 	t := s.controller.txns[id]
-	s.controller.SubmissionEnded(id, t.submissions-1, t.current.ID, e, e == Succeeded, s.controller.now-t.sentAt, nil)
+	s.controller.SubmissionEnded(id, t.submissions-1, t.current.ID, e, e == control.Succeeded, s.controller.now-t.sentAt, nil)
 	s.pull()
 }
 
 // ownedBy finds a customer of the whole set that the gateway owns.
-func ownedBy(g GatewayID) CustomerID {
-	for c := CustomerID(1); ; c++ {
-		if OwnerOf(c, 0, 3, 3) == g {
+func ownedBy(g control.GatewayID) control.CustomerID {
+	for c := control.CustomerID(1); ; c++ {
+		if quota.OwnerOf(c, 0, 3, 3) == g {
 			return c
 		}
 	}
 }
 
 // drain leaves so many units in a bucket of plan 0 that is owned here and holds as many or more.
-func (s *scenario) drain(c CustomerID, left float64) {
+func (s *scenario) drain(c control.CustomerID, left float64) {
 	s.controller.quota.Account(c, 0, 0, 3)
 	state, _ := s.controller.quota.State(c)
 	s.controller.quota.Consume(c, state.Level-left)
 }
 
 // receive delivers a message from a peer.
-func (s *scenario) receive(from GatewayID, m *Message) {
+func (s *scenario) receive(from control.GatewayID, m *quota.Message) {
 	s.controller.DatagramReceived(from, m.Encode())
 	s.pull()
 }
@@ -112,25 +115,25 @@
 	}
 }
 
-func (s *scenario) format(x Decision) string {
+func (s *scenario) format(x control.Decision) string {
 	t := fmt.Sprintf("%5d ", s.controller.now.Milliseconds())
 	limit := ""
 	if x.After > 0 {
 		limit = fmt.Sprintf(", %d", x.After.Milliseconds())
 	}
 	switch x.Action {
-	case Submit:
+	case control.Submit:
 		return fmt.Sprintf("%ssubmit %d to %d%s\n", t, x.Txn, x.Backend, limit)
-	case Reject:
+	case control.Reject:
 		return fmt.Sprintf("%sdecline %d%s\n", t, x.Txn, limit)
-	case Fail:
+	case control.Fail:
 		return fmt.Sprintf("%svoid %d\n", t, x.Txn)
-	case Cancel:
+	case control.Cancel:
 		return fmt.Sprintf("%srecall %d/%d\n", t, x.Txn, x.Attempt)
-	case Probe:
+	case control.Probe:
 		return fmt.Sprintf("%sprobe %d\n", t, x.Backend)
-	case SendDatagram:
-		m, err := DecodeMessage(x.Payload)
+	case control.SendDatagram:
+		m, err := quota.DecodeMessage(x.Payload)
 		if err != nil {
 			return t + err.Error() + "\n"
 		}
--- a/control/control.go
+++ b/control/loadbalancer/txn.go
@@ -1,53 +1,49 @@
-// Package control decides for one gateway: which txns pass, to which backend, and what its peers are told.
-//
-// How it is called: the host sets the clock with Now, tells what happened by the input calls (TxnArrived,
-// SubmissionEnded and so on), which only update what is known, and then pulls decisions with Next one by one
-// until there is none. The interface (ids, Txn, Listing, Decision, Settings) is in types.go, bookkeeping in
-// state.go, the peer messages in peer.go, the due queue in internal/timerqueue; why: docs/design.md.
-package control
+package loadbalancer
 
 import (
-	"sort"
 	"time"
-)
-
-// Tuned values. Shares are of 1.
-const (
-	busyInterval        = 20 * time.Millisecond  // periodic work while something waits
-	surveyInterval      = 100 * time.Millisecond // and while nothing does
-	stallThreshold      = 250 * time.Millisecond // without a turn: this gateway stood still
-	firstAttemptShare   = 0.9                    // of the time left to the SLA time: a submission's limit; a repeat takes as long again
-	firstAttemptFactor  = 4                      // and such a limit is set only above this times the usual answer time
-	retryCreditPerTxn   = 0.2                    // further submissions earned by a txn
-	maxRetryCredit      = 30.0
-	pressureTTL         = 300 * time.Millisecond
-	backendTimeoutShare = 0.35                   // of the SLA time: longest wait for a backend
-	networkMargin       = 40 * time.Millisecond  // margin for the way to a backend
-	responseTimeout     = 100 * time.Millisecond // of an answer that has begun
 
-	maxSpareUtilization, spareCalmTime = 0.4, 3 * time.Second // use of room, and calm, at which what pays may go on
+	"clovergap/control"
+	"clovergap/control/quota"
 )
 
-// New starts an instance: nothing is known but the settings.
-func New(seed int64, s Settings, now time.Duration) (*Controller, error) {
-	d, p := newController(seed, s, now)
-	d.retryCredit, d.saturatedAt, d.capacity = maxRetryCredit/3, -pressureTTL, initialCapacity/float64(max(d.gateways, 1))
-	d.probeCredit, d.capacityGain = maxProbeCredit, initialCapacityGain
-	return d, p.err
+// txn is one that this gateway holds.
+type txn struct {
+	control.Txn
+	arrived, slaAt time.Duration
+	queued         bool // in the waiting line
+	giveUpAt       time.Duration
+	consumed       bool // units taken
+	overQuota      bool // let in beyond the quota
+	late           bool // a repeat whose SLA time is over, or may be
+	reserved       bool // its units are kept while it waits for a backend
+	ended          bool
+	reason         control.Reason // what it last lacked
+	submissions    int            // submissions so far
+	current        *backend
+	sentAt         time.Duration
+	mayHaveRun     bool
+	firstRanAt     time.Duration // send of the first submission that may have run
+	ranZone        control.ZoneID
+	ranPod         control.PodID
+	previous       *backend
 }
 
-// Now sets the clock.
-func (c *Controller) Now(now time.Duration) {
-	// A gateway that stood still for longer than its periodic work allows finds time-outs, silence and old views
-	// of its own making: they are held against nobody. What came meanwhile has waited already, see backdateArrivals.
-	if c.now > c.startedAt && now-c.now > stallThreshold {
-		c.pausedFrom, c.pausedUntil = c.now, now
-		for _, b := range c.ordered {
-			b.unansweredSince = now
-		}
+// TxnArrived takes a client's txn in.
+func (c *Controller) TxnArrived(x control.Txn) {
+	if c.txns[x.ID] != nil {
+		return
 	}
-	c.now = max(c.now, now)
-	c.quota.Now(now)
+	x.Units = max(x.Units, 0)
+	t := &txn{Txn: x, arrived: c.now}
+	if x.Product < 0 || int(x.Product) >= len(c.products) || x.Plan < 0 || int(x.Plan) >= len(c.plans) {
+		t.Product, t.Plan, t.slaAt = 0, 0, c.now // a kind that the settings don't name: declined for want of time
+	} else {
+		c.setDeadlines(t)
+	}
+	c.txns[x.ID] = t
+	c.timers.Add(x.Expiry-2*time.Millisecond, x.ID) // rule 1: every expiry is watched
+	c.undecided = append(c.undecided, t)
 }
 
 // setDeadlines works out when a txn's SLA time is over. Clients count it from their first try, and their patience: a
@@ -82,55 +78,6 @@
 	c.pausedFrom = c.pausedUntil
 }
 
-// ---- Decisions
-
-// Next gives the next thing to do now, or false when there is none.
-func (c *Controller) Next() (Decision, bool) {
-	if c.pausedFrom < c.pausedUntil {
-		c.backdateArrivals()
-	}
-	for {
-		if len(c.decisions) > 0 {
-			x := c.decisions[0]
-			c.decisions = c.decisions[1:]
-			return x, true
-		}
-		if c.recheck {
-			c.recheck = false
-			if len(c.waiting) > 0 {
-				for _, t := range c.waiting {
-					t.queued = false
-				}
-				c.undecided, c.waiting = append(c.waiting, c.undecided...), nil
-				if c.underPressure() { // what is worth most for the time it takes goes first, the older before
-					sort.SliceStable(c.undecided, func(i, j int) bool { return c.valueRate(c.undecided[i]) > c.valueRate(c.undecided[j]) })
-				}
-			}
-		}
-		if len(c.undecided) > 0 {
-			t := c.undecided[0]
-			c.undecided = c.undecided[1:]
-			c.decide(t)
-			continue
-		}
-		if id, ok := c.timers.Take(c.now); ok {
-			if t := c.txns[id]; t != nil {
-				c.expire(t)
-			}
-			continue
-		}
-		if c.now-c.sweptAt >= c.workInterval() {
-			c.sweptAt = c.now
-			c.sweep()
-			continue
-		}
-		if to, payload, ok := c.quota.NextDatagram(); ok {
-			return Decision{Action: SendDatagram, Peer: to, Payload: payload}, true
-		}
-		return c.wake()
-	}
-}
-
 // decide settles what happens to a txn that has no submission out.
 func (c *Controller) decide(t *txn) {
 	if t.ended || t.current != nil || t.queued {
@@ -138,7 +85,7 @@
 	}
 	if t.submissions > 0 && (t.submissions >= c.maxSubmissions || c.retryCredit < 1 || c.underPressure() && t.mayHaveRun) ||
 		c.now+min(c.usualLatency(t), c.products[t.Product].slaTime/4)/2 >= t.slaAt {
-		t.reason = ReasonNoTime
+		t.reason = control.ReasonNoTime
 		c.finish(t, c.maxAdvice)
 		return
 	}
@@ -150,10 +97,10 @@
 	if !t.consumed && !t.overQuota && !t.reserved {
 		verdict, until, lack := c.quota.CheckAccount(a, c.quotaRequest(t))
 		switch t.reason = lack; verdict {
-		case Pending:
+		case quota.Pending:
 			c.enqueue(t, until)
 			return
-		case Exceeded:
+		case quota.Exceeded:
 			if !c.mayUseSpare(a, t) {
 				c.finish(t, until)
 				return
@@ -161,7 +108,7 @@
 			t.overQuota = true
 		}
 	}
-	t.reason = ReasonNoBackend
+	t.reason = control.ReasonNoBackend
 	var b *backend
 	if !c.saturated || t.mayHaveRun {
 		b = c.pick(t)
@@ -184,6 +131,11 @@
 	c.submit(t, a, b)
 }
 
+// quotaRequest is what a txn asks of the quota.
+func (c *Controller) quotaRequest(t *txn) quota.Request {
+	return quota.Request{Units: t.Units, Arrived: t.arrived, SLA: c.products[t.Product].slaTime, Late: t.late}
+}
+
 // valueRate is a txn's value for the time it takes. Plans count alike: none is let go for its price.
 func (c *Controller) valueRate(t *txn) float64 {
 	return c.products[t.Product].value * max(t.Units, 1) / max(c.usualLatency(t).Seconds(), 0.001)
@@ -191,7 +143,7 @@
 
 // mayUseSpare tells whether a txn beyond its quota may go on: an exception for plans that pay for it and are not
 // charged, only while the backends clearly have room and nothing inside a quota lacked any lately.
-func (c *Controller) mayUseSpare(a *Account, t *txn) bool {
+func (c *Controller) mayUseSpare(a *quota.Account, t *txn) bool {
 	p := &c.plans[a.Plan()]
 	return p.overValue > 0 && p.overCost <= 0 && p.MaxInFlight == 0 && p.HardRate <= 0 && !t.late &&
 		c.utilization < maxSpareUtilization && c.now-c.saturatedAt > spareCalmTime
@@ -213,7 +165,7 @@
 
 // expire gives up a txn whose due time has come.
 func (c *Controller) expire(t *txn) {
-	if t.queued && c.now < t.Expiry-2*time.Millisecond && c.now >= t.giveUpAt && (t.reason == ReasonNoUnits || t.reason == ReasonNoSnapshot) {
+	if t.queued && c.now < t.Expiry-2*time.Millisecond && c.now >= t.giveUpAt && (t.reason == control.ReasonNoUnits || t.reason == control.ReasonNoSnapshot) {
 		t.queued = false // decided a last time: without an answer of the owner it may have the allowance
 		c.undecided = append(c.undecided, t)
 		return
@@ -234,9 +186,9 @@
 	c.givenUp[t.reason]++
 	p := c.products[t.Product]
 	again := p.effect == "inquiry-like" || p.effect == "referenced" && p.repeatScope == "all"
-	x := Decision{Action: Fail, Txn: t.ID, Reason: t.reason}
+	x := control.Decision{Action: control.Fail, Txn: t.ID, Reason: t.reason}
 	if again || !t.mayHaveRun && t.current == nil {
-		x.Action = Reject
+		x.Action = control.Reject
 		if c.adviceAllowed {
 			x.After = max(0, min(advice, c.maxAdvice))
 		}
@@ -244,7 +196,7 @@
 	c.decisions = append(c.decisions, x)
 	if t.current != nil {
 		if c.cancelAllowed {
-			c.decisions = append(c.decisions, Decision{Action: Cancel, Txn: t.ID, Attempt: t.submissions - 1})
+			c.decisions = append(c.decisions, control.Decision{Action: control.Cancel, Txn: t.ID, Attempt: t.submissions - 1})
 		}
 		return // its outcome still comes
 	}
@@ -263,7 +215,7 @@
 }
 
 // submit is the one gate that every send passes; every rule is asked again here.
-func (c *Controller) submit(t *txn, a *Account, b *backend) {
+func (c *Controller) submit(t *txn, a *quota.Account, b *backend) {
 	if t.ended || t.current != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-2*time.Millisecond || !c.allowed(b, t) {
 		c.finish(t, 0)
 		return
@@ -295,7 +247,7 @@
 	c.quota.SubmissionSent(a)
 	t.submissions++
 	t.current, t.previous, t.sentAt = b, b, c.now
-	x := Decision{Action: Submit, Txn: t.ID, Backend: b.ID, ResponseTimeout: responseTimeout}
+	x := control.Decision{Action: control.Submit, Txn: t.ID, Backend: b.ID, ResponseTimeout: responseTimeout}
 	p := c.products[t.Product]
 	if p.effect != "once-only" {
 		x.After = t.slaAt - c.now - 4*time.Millisecond // an answer past the SLA time is hardly worth the work
@@ -306,22 +258,53 @@
 	c.decisions = append(c.decisions, x)
 }
 
-// ---- Periodic work
+// SubmissionEnded takes the one outcome of a submission.
+func (c *Controller) SubmissionEnded(id control.TxnID, nr int, at control.BackendID, e control.Ending, over bool, took time.Duration,
+	load []float64) {
+	t, b := c.txns[id], c.backends[at]
+	if b != nil {
+		c.recordOutcome(t, b, e, took, load)
+	}
+	if t == nil || nr != t.submissions-1 || t.current == nil {
+		return
+	}
+	t.current.inFlight--
+	t.current = nil
+	c.quota.SubmissionEnded(t.Customer)
+	if !e.ProvesNotRun() && !t.mayHaveRun {
+		t.mayHaveRun, t.firstRanAt = true, t.sentAt
+		if b != nil {
+			t.ranZone, t.ranPod = b.Zone, b.Pod
+		}
+	}
+	c.recheck, c.saturated = true, false
+	if over || t.ended {
+		c.forget(t)
+		return
+	}
+	c.undecided = append(c.undecided, t)
+}
 
-// workInterval is the time from one periodic work to the next.
-func (c *Controller) workInterval() time.Duration {
-	if len(c.waiting) > 0 || c.quota.HasPending() {
-		return busyInterval
+// ClientLeft is told when nobody waits for this txn any more.
+func (c *Controller) ClientLeft(id control.TxnID) {
+	if t := c.txns[id]; t != nil {
+		c.forget(t)
 	}
-	return surveyInterval
 }
 
-// sweep is all work that comes by the clock.
-func (c *Controller) sweep() {
-	c.recheck, c.saturated = true, false
-	if c.now-c.examinedAt >= surveyInterval {
-		c.examinedAt = c.now
-		c.examineBackends()
+func (c *Controller) forget(t *txn) {
+	t.ended = true
+	c.release(t)
+	if t.current != nil { // the outcome is still to come and counts for the backend
+		return
+	}
+	delete(c.txns, t.ID)
+}
+
+// release lets go of the units kept for a txn.
+func (c *Controller) release(t *txn) {
+	if t.reserved {
+		c.quota.Release(t.Customer, t.Units)
 	}
-	c.quota.Sweep()
+	t.reserved = false
 }
--- a/control/bench_test.go
+++ b/control/quota/bench_test.go
@@ -1,10 +1,12 @@
-package control
+package quota
 
 import (
 	"testing"
 	"time"
 
 	"github.com/shoenig/test/must"
+
+	"clovergap/control"
 )
 
 // benchmarkMessage is a message as full as a busy peer sends it: five deltas, eight snapshots, three observations.
@@ -12,10 +14,10 @@
 	m := &Message{Epoch: 0x9f3a6c01, Interval: 200 * time.Millisecond, Age: 90 * time.Second, Seq: 4711, Version: 9182, AckEpoch: 0x71b2c3d5, AckHigh: 4699,
 		AckMask: 0xffffffff}
 	for i := range 5 {
-		m.Deltas = append(m.Deltas, Delta{Customer: CustomerID(1<<20 + 97*i), Plan: 3, Units: 2.5, InFlight: i, Transfer: -1.5, SetFirst: 2, UnitsWanted: 0.5, SetWidth: 6})
+		m.Deltas = append(m.Deltas, Delta{Customer: control.CustomerID(1<<20 + 97*i), Plan: 3, Units: 2.5, InFlight: i, Transfer: -1.5, SetFirst: 2, UnitsWanted: 0.5, SetWidth: 6})
 	}
 	for i := range 8 {
-		m.Snapshots = append(m.Snapshots, Snapshot{Customer: CustomerID(1<<20 + 131*i), Level: 17.25, Reporters: 3, InFlightElsewhere: 2, Grant: 1.5})
+		m.Snapshots = append(m.Snapshots, Snapshot{Customer: control.CustomerID(1<<20 + 131*i), Level: 17.25, Reporters: 3, InFlightElsewhere: 2, Grant: 1.5})
 	}
 	for i := range 3 {
 		m.Observations = append(m.Observations, Observation{BackendHash: uint64(0xabc + i), Product: 5, Congestion: 2, Ratio: 1.25})
@@ -46,8 +48,8 @@
 func BenchmarkDatagramExchange(b *testing.B) {
 	const customers = 8
 	reporter, owner := NewLimiter(1, 0, 2, 0, gatewayTerms), NewLimiter(2, 1, 2, 0, gatewayTerms)
-	owned := make([]CustomerID, 0, customers)
-	for c := CustomerID(1); len(owned) < customers; c++ {
+	owned := make([]control.CustomerID, 0, customers)
+	for c := control.CustomerID(1); len(owned) < customers; c++ {
 		if OwnerOf(c, 0, 2, 2) == 1 {
 			owned = append(owned, c)
 			reporter.SetLimit(c, 1000, 1000)
--- a/control/bound_test.go
+++ b/control/quota/bound_test.go
@@ -1,4 +1,4 @@
-package control
+package quota
 
 import (
 	"fmt"
@@ -7,6 +7,8 @@
 	"time"
 
 	"github.com/shoenig/test/must"
+
+	"clovergap/control"
 )
 
 // partitionStorm is a cut with all gateways pressed without end: each spends whatever is covered, at once. Gateways [0, k) after the
@@ -29,7 +31,7 @@
 }
 
 // isolated tells whether a gateway is on the other side than the owner.
-func (p *partitionStorm) isolated(g GatewayID) bool {
+func (p *partitionStorm) isolated(g control.GatewayID) bool {
 	n := len(p.limiters)
 	return (int(g)-int(p.owner())-1+n)%n < p.k
 }
@@ -39,18 +41,18 @@
 	p.split = off
 	for i := range p.limiters {
 		for j := range p.limiters {
-			if a, b := GatewayID(i), GatewayID(j); p.isolated(a) != p.isolated(b) {
-				p.partitioned[[2]GatewayID{a, b}] = off && (p.isolated(b) && p.in || p.isolated(a) && p.out)
+			if a, b := control.GatewayID(i), control.GatewayID(j); p.isolated(a) != p.isolated(b) {
+				p.partitioned[[2]control.GatewayID{a, b}] = off && (p.isolated(b) && p.in || p.isolated(a) && p.out)
 			}
 		}
 	}
 }
 
 // notify tells one gateway who is in reach.
-func (p *partitionStorm) notify(g GatewayID, split bool) {
+func (p *partitionStorm) notify(g control.GatewayID, split bool) {
 	live := make([]bool, len(p.limiters))
 	for i := range live {
-		live[i] = !split || p.isolated(g) == p.isolated(GatewayID(i))
+		live[i] = !split || p.isolated(g) == p.isolated(control.GatewayID(i))
 	}
 	if p.limiters[g] != nil {
 		p.limiters[g].SetReachable(live)
@@ -115,7 +117,7 @@
 			}
 			add(at+wait+time.Duration(g), func() { // found only if it is still so
 				if p.split == off {
-					p.notify(GatewayID(g), off)
+					p.notify(control.GatewayID(g), off)
 				}
 			})
 		}
@@ -163,9 +165,9 @@
 				s.step, s.pressed = 10*time.Millisecond, true
 				for life := range int64(10) {
 					s.advance(300*time.Millisecond, nil)
-					var gone []GatewayID
+					var gone []control.GatewayID
 					for i := range s.limiters {
-						g := GatewayID(i)
+						g := control.GatewayID(i)
 						if who == 2 && s.rng.Intn(2) == 0 || who < 2 && (g == s.owner()) == (who == 0) {
 							gone, s.limiters[i] = append(gone, g), nil
 						}
@@ -193,11 +195,11 @@
 			for n := 3; n <= 8; n++ {
 				q := NewLimiter(int64(n)+100, 0, 1, s.now, gatewayTerms)
 				q.SetLimit(watched, l[0], l[1])
-				q.Grow(GatewayID(n-1), n)
+				q.Grow(control.GatewayID(n-1), n)
 				s.limiters = append(s.limiters, q)
 				for _, i := range s.rng.Perm(n - 1) {
 					s.advance(time.Duration(s.rng.Int63n(int64(time.Second)/int64(n))), nil)
-					s.limiters[i].Grow(GatewayID(i), n)
+					s.limiters[i].Grow(control.GatewayID(i), n)
 				}
 			}
 			s.advance(5*time.Second, nil)
@@ -226,7 +228,7 @@
 	c.limiters[g] = NewLimiter(99, g, 12, c.now, gatewayTerms)
 	c.limiters[g].SetLimit(watched, 100, 100)
 	for i := range c.limiters {
-		if GatewayID(i) != g { // what they may spend on no word is used up
+		if control.GatewayID(i) != g { // what they may spend on no word is used up
 			a := c.limiters[i].accounts[watched]
 			a.allowance, a.allowanceAt = 0, c.now+time.Minute
 		}
--- a/control/quotastate.go
+++ b/control/quota/limiter.go
@@ -1,34 +1,15 @@
-package control
+package quota
 
 import (
+	"maps"
 	"math/rand"
 	"slices"
 	"time"
 
+	"clovergap/control"
 	"clovergap/internal/invariant"
 )
 
-// The quota's terms and state. What is decided is in quota.go, one customer's account in account.go, what peers are told in
-// quotapeer.go, the form of the messages in peer.go.
-
-// Outcome is what the quota says of a wish.
-type Outcome int
-
-// What a quota may say to a request.
-const (
-	Allowed  Outcome = iota
-	Pending          // ask again when something was heard, and at the time given
-	Exceeded         // no; it may be worth coming again after the time given
-)
-
-// Request is what one txn or request asks of its customer's quota.
-type Request struct {
-	Units   float64
-	Arrived time.Duration // a time of the clock
-	SLA     time.Duration // within it the answer is worth most: a part of it may be waited for units
-	Late    bool          // a repeat that comes late: it leaves low buckets to others
-}
-
 // Config are what users of a Quota set differently.
 type Config struct {
 	MinInterval        time.Duration // packing delay at the least: two messages to a peer are so far apart
@@ -57,7 +38,7 @@
 type Limiter struct {
 	now, startedAt, ownersSince time.Duration // since: the owners were last worked out anew
 	pausedUntil                 time.Duration // when this gateway last stood still until
-	self                        GatewayID
+	self                        control.GatewayID
 	gateways, reachable         int
 	reachableBefore             int           // before it last rose,
 	reachableAt                 time.Duration // at this time
@@ -65,9 +46,9 @@
 	epoch                       uint32 // of this life
 	plans                       Plans
 
-	accounts map[CustomerID]*Account
+	accounts map[control.CustomerID]*Account
 	ordered  []*Account // in order of their coming
-	removed  map[CustomerID]time.Duration
+	removed  map[control.CustomerID]time.Duration
 
 	peers        []*peer
 	pending      []*peer       // with something due
@@ -85,7 +66,7 @@
 
 // NewLimiter starts the part of gateway me of so many. The seed makes its epoch: no two lives should have the
 // same. Limits are told by SetLimit; each customer's owner is hashed over all gateways.
-func NewLimiter(seed int64, me GatewayID, gateways int, now time.Duration, t Config) *Limiter {
+func NewLimiter(seed int64, me control.GatewayID, gateways int, now time.Duration, t Config) *Limiter {
 	invariant.That(me >= 0 && int(me) < gateways, "a gateway is one of those there are")
 	invariant.That(t.MinInterval > 0 && t.SnapshotTTL > 0 && t.DatagramsPerSecond > 0, "terms of a quota are set")
 	q := newLimiter(rand.New(rand.NewSource(seed)).Uint32()|1, me, gateways, now, t)
@@ -96,24 +77,24 @@
 // Plans is what a limiter needs of a front door, whose customers have the limits of their plans.
 type Plans struct {
 	PeersEnabled bool                               // false: nothing is sent to peers
-	Limit        func(PlanID) *Limit                // of a plan; nil for one that there is not
+	Limit        func(control.PlanID) *Limit        // of a plan; nil for one that there is not
 	Observations func() (last []Observation, n int) // of backends, to go along with messages, and how many there were in all
 	Observed     func([]Observation)                // takes those of a peer
 }
 
 // NewPlanLimiter is NewLimiter for a front door: limits are not set by SetLimit but are those of a customer's plan.
-func NewPlanLimiter(epoch uint32, me GatewayID, gateways int, now time.Duration, t Config, plans Plans) *Limiter {
+func NewPlanLimiter(epoch uint32, me control.GatewayID, gateways int, now time.Duration, t Config, plans Plans) *Limiter {
 	q := newLimiter(epoch, me, gateways, now, t)
 	q.plans = plans
 	return q
 }
 
-func newLimiter(epoch uint32, me GatewayID, gateways int, now time.Duration, t Config) *Limiter {
+func newLimiter(epoch uint32, me control.GatewayID, gateways int, now time.Duration, t Config) *Limiter {
 	q := &Limiter{now: now, startedAt: now, ownersSince: now, self: me, gateways: gateways, reachable: gateways, config: t,
-		epoch: epoch, interval: t.MinInterval, maxDatagrams: max(1, datagramShare*t.DatagramsPerSecond), accounts: map[CustomerID]*Account{},
-		removed: map[CustomerID]time.Duration{}}
+		epoch: epoch, interval: t.MinInterval, maxDatagrams: max(1, datagramShare*t.DatagramsPerSecond), accounts: map[control.CustomerID]*Account{},
+		removed: map[control.CustomerID]time.Duration{}}
 	for i := 0; i < gateways; i++ {
-		q.peers = append(q.peers, &peer{id: GatewayID(i)})
+		q.peers = append(q.peers, &peer{id: control.GatewayID(i)})
 	}
 	return q
 }
@@ -129,7 +110,7 @@
 // SetLimit says what a customer may use from now on: units a second, and units at once. A customer is at most
 // 1<<34. A lower burst cuts the level, a higher one fills at the rate. With a rate of nought or below it is
 // not metered.
-func (l *Limiter) SetLimit(c CustomerID, rate, burst float64) {
+func (l *Limiter) SetLimit(c control.CustomerID, rate, burst float64) {
 	invariant.That(l.plans.Limit == nil && c <= 1<<34, "a limit is of a customer that messages can name")
 	a := l.accounts[c]
 	if rate <= 0 {
@@ -197,14 +178,14 @@
 // customer has too little for a moment. What the old owner had lent here is void. Only an old owner that does
 // not learn of the new one, because it is cut off, goes on beside it; so gateways should be added when all
 // are in touch.
-func (l *Limiter) Grow(me GatewayID, gateways int) {
+func (l *Limiter) Grow(me control.GatewayID, gateways int) {
 	invariant.That(gateways >= l.gateways && int(me) < gateways, "gateways get more")
 	was := l.self
 	if me == was && gateways == l.gateways {
 		return
 	}
 	for i := len(l.peers); i < gateways; i++ {
-		l.peers = append(l.peers, &peer{id: GatewayID(i)})
+		l.peers = append(l.peers, &peer{id: control.GatewayID(i)})
 	}
 	if me != was {
 		l.epoch += 2 // to the peers it is one that has just started
@@ -255,53 +236,53 @@
 	return units
 }
 
-// Check tells whether a customer's quota covers a wish: now, perhaps until a time of the clock, or not,
-// and then after how long there may be some. A customer without a limit is not metered. What passes is to be
-// told by Spend, or by Keep while it waits for something else. What waits is asked for again when DatagramReceived
-// brings news and at the time given, with Arrived as it was.
-//
-// By parts, what all gateways spend together in a window is bounded, whoever is cut off from whom, and whoever starts again:
-// rate x Window + burst from buckets, and what the rule leaves beyond it, a part of that for each gateway (allowanceNow). What
-// covers a wish at another gateway than the owner is either lent or that gateway's part. docs/gateway.md has why it holds.
-//
-// Otherwise the terms are Gateway's: a gateway alone spends its share of the burst at once, and then the rate over those
-// gateways that it does not know to be lost. Over all gateways that may be twice the quota and more.
-func (l *Limiter) Check(c CustomerID, w Request) (Outcome, time.Duration) {
-	a := l.accounts[c]
-	if a == nil {
-		return Allowed, 0
+// learnAge learns whether the fleet is as young as this gateway: then nobody can have spent before, and buckets
+// are full. One older gateway is enough to know better: this one has restarted, its buckets start empty.
+func (l *Limiter) learnAge(p *peer, age time.Duration) {
+	if age > l.now-l.startedAt+startSkew {
+		l.olderPeers++
+	} else if p.receivedAt == 0 {
+		l.youngPeers++
 	}
-	a.usedAt = l.now
-	verdict, at, _ := l.check(a, w)
-	if verdict != Pending { // nothing is lent for what does not wait any more; another that waits asks for itself
-		a.unitsWanted = 0
+	if l.config.InitialFill <= 0 || l.olderPeers > 0 || l.freshCluster || l.now-l.startedAt > startSkew ||
+		l.youngPeers < min(minYoungPeers, l.gateways-1) {
+		return
 	}
-	return verdict, at
-}
-
-// Reserve keeps units that are covered for one that waits for something else; Unkeep lets go of them.
-func (l *Limiter) Reserve(c CustomerID, units float64) {
-	if a := l.accounts[c]; a != nil {
-		l.reserve(a, units)
+	for _, a := range l.ordered {
+		if a.owner == l.self {
+			a.level += l.initialFill(a) // capped at the next refill
+		}
 	}
+	l.freshCluster = true
 }
 
-func (l *Limiter) reserve(a *Account, units float64) {
-	a.reserved, a.reservations = a.reserved+units, a.reservations+1
-}
-
-// Release lets go of kept units.
-func (l *Limiter) Release(c CustomerID, units float64) {
-	if a := l.accounts[c]; a != nil {
-		a.reserved, a.reservations = max(0, a.reserved-units), a.reservations-1
+// Sweep does the work that comes by the clock, once a second: it drops what is idle and works out how often
+// peers may write. Limits set by SetLimit stay.
+func (l *Limiter) Sweep() {
+	if l.now-l.sweptAt < time.Second {
+		return
 	}
-}
-
-// Consume takes units, once, for what goes on its way now.
-func (l *Limiter) Consume(c CustomerID, units float64) {
-	if a := l.accounts[c]; a != nil {
-		l.consume(a, units)
+	// The gap between messages to here follows what comes in: a customer whose many gateways all write to
+	// its owner is told of less often, all others at once.
+	in := float64(l.received) / (l.now - l.sweptAt).Seconds()
+	l.interval = min(max(l.config.MinInterval, time.Duration(float64(l.interval)*max(in/l.maxDatagrams, intervalDecay))), maxInterval)
+	if in > l.maxDatagrams {
+		l.interval = max(l.interval, time.Duration(float64(l.senders)/l.maxDatagrams*float64(time.Second)))
+	}
+	l.received, l.senders = 0, 0
+	kept := l.ordered[:0]
+	for _, a := range l.ordered {
+		full := a.owner != l.self || a.level+a.limit.Rate*(l.now-a.levelAt).Seconds() >= a.limit.Burst &&
+			(a.limit.HardRate <= 0 || l.hardShareNow(a) >= l.hardShareCap(a))
+		if l.plans.Limit != nil && l.now-a.usedAt > idleAfter && full && !a.dirty && a.inFlight == 0 && a.reservations == 0 &&
+			a.unacked <= 0 {
+			delete(l.accounts, a.id)
+			continue
+		}
+		kept = append(kept, a)
 	}
+	l.ordered, l.sweptAt = kept, l.now
+	maps.DeleteFunc(l.removed, func(_ control.CustomerID, at time.Duration) bool { return l.now-at > removedTTL })
 }
 
 // NextDeadline is the time of the clock at which Datagrams or Sweep may have something to do.
@@ -334,13 +315,13 @@
 
 // AccountState is what is kept of a customer, for those who look for causes.
 type AccountState struct {
-	Owner    GatewayID
+	Owner    control.GatewayID
 	Level    float64 // units: the bucket's, or those of the owner's last snapshot
 	Reserved float64 // units
 }
 
 // State gives what is kept of a customer; false if nothing is.
-func (l *Limiter) State(c CustomerID) (AccountState, bool) {
+func (l *Limiter) State(c control.CustomerID) (AccountState, bool) {
 	a := l.accounts[c]
 	if a == nil {
 		return AccountState{}, false
--- a/control/plans_test.go
+++ b/control/quota/plans_test.go
@@ -1,8 +1,10 @@
-package control
+package quota
 
 import (
 	"fmt"
 	"time"
+
+	"clovergap/control"
 )
 
 // planScenario is a limiter of a front door among three whose one plan has ten units a second, a burst of 20, and a hard limit of 20 a
@@ -15,7 +17,7 @@
 func newPlanScenario() *planScenario {
 	plan := &Limit{Rate: 10, Burst: 20, HardRate: 20, HardBurst: 20}
 	s := &planScenario{Limiter: NewPlanLimiter(1, 0, 3, 0, Config{MinInterval: 10 * time.Millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 100,
-		InitialFill: 1, MaxUnits: 1}, Plans{PeersEnabled: true, Limit: func(PlanID) *Limit { return plan }})}
+		InitialFill: 1, MaxUnits: 1}, Plans{PeersEnabled: true, Limit: func(control.PlanID) *Limit { return plan }})}
 	s.advance(10 * time.Second)
 	return s
 }
@@ -38,7 +40,7 @@
 	}
 }
 
-func (s *planScenario) receive(from GatewayID, m *Message) {
+func (s *planScenario) receive(from control.GatewayID, m *Message) {
 	s.DatagramReceived(from, m.Encode())
 	s.pull()
 }
@@ -56,8 +58,8 @@
 }
 
 // ownedAmongThree finds a customer of the whole set that the gateway owns.
-func ownedAmongThree(g GatewayID) CustomerID {
-	for c := CustomerID(1); ; c++ {
+func ownedAmongThree(g control.GatewayID) control.CustomerID {
+	for c := control.CustomerID(1); ; c++ {
 		if OwnerOf(c, 0, 3, 3) == g {
 			return c
 		}
--- a/control/quota_test.go
+++ b/control/quota/quota_test.go
@@ -1,4 +1,4 @@
-package control
+package quota
 
 import (
 	"math/rand"
@@ -6,6 +6,8 @@
 	"time"
 
 	"github.com/shoenig/test/must"
+
+	"clovergap/control"
 )
 
 // cluster is some Quotas under the gateway's terms and the messages between them, which the test carries by
@@ -17,17 +19,17 @@
 	datagrams   []datagram
 	rng         *rand.Rand
 	lossRate    float64 // share of messages lost, and as many come twice or late
-	partitioned map[[2]GatewayID]bool
+	partitioned map[[2]control.GatewayID]bool
 	consumed    []time.Duration // units of the customer watched, over all
 }
 
 type datagram struct {
-	from, to  GatewayID
+	from, to  control.GatewayID
 	arrivesAt time.Duration
 	bytes     []byte
 }
 
-const watched, step = CustomerID(7), 2 * time.Millisecond
+const watched, step = control.CustomerID(7), 2 * time.Millisecond
 
 var gatewayTerms = Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 200, Strict: true,
 	OwnershipDelay: time.Second, Window: 5 * time.Second, Excess: 0.1, Margin: 20}
@@ -37,37 +39,41 @@
 }
 
 func newClusterOf(t *testing.T, n int, rate, burst float64, terms Config) *cluster {
-	c := &cluster{t: t, rng: rand.New(rand.NewSource(3)), partitioned: map[[2]GatewayID]bool{}}
+	c := &cluster{t: t, rng: rand.New(rand.NewSource(3)), partitioned: map[[2]control.GatewayID]bool{}}
 	for i := 0; i < n; i++ {
-		c.limiters = append(c.limiters, NewLimiter(int64(i), GatewayID(i), n, 0, terms))
+		c.limiters = append(c.limiters, NewLimiter(int64(i), control.GatewayID(i), n, 0, terms))
 		c.limiters[i].SetLimit(watched, rate, burst)
 	}
 	return c
 }
 
-func (c *cluster) owner() GatewayID { return OwnerOf(watched, 0, len(c.limiters), len(c.limiters)) }
+func (c *cluster) owner() control.GatewayID {
+	return OwnerOf(watched, 0, len(c.limiters), len(c.limiters))
+}
 
 // other is a gateway that is not the owner.
-func (c *cluster) other() GatewayID { return (c.owner() + 1) % GatewayID(len(c.limiters)) }
+func (c *cluster) other() control.GatewayID {
+	return (c.owner() + 1) % control.GatewayID(len(c.limiters))
+}
 
 // isolate cuts one gateway off from the rest, or joins it again.
-func (c *cluster) isolate(g GatewayID, off bool) {
+func (c *cluster) isolate(g control.GatewayID, off bool) {
 	for i := range c.limiters {
-		c.partitioned[[2]GatewayID{g, GatewayID(i)}], c.partitioned[[2]GatewayID{GatewayID(i), g}] = off, off
+		c.partitioned[[2]control.GatewayID{g, control.GatewayID(i)}], c.partitioned[[2]control.GatewayID{control.GatewayID(i), g}] = off, off
 	}
 }
 
 // setReachable tells a gateway that it is in touch with all on its side: those in off are alone, each by itself.
-func (c *cluster) setReachable(g GatewayID, off func(GatewayID) bool) {
+func (c *cluster) setReachable(g control.GatewayID, off func(control.GatewayID) bool) {
 	live := make([]bool, len(c.limiters))
 	for i := range live {
-		live[i] = !off(g) && !off(GatewayID(i))
+		live[i] = !off(g) && !off(control.GatewayID(i))
 	}
 	c.limiters[g].SetReachable(live)
 }
 
 // run goes on for a while in which each gateway is asked for so many units a second.
-func (c *cluster) run(d time.Duration, each float64, who ...GatewayID) (passed int) {
+func (c *cluster) run(d time.Duration, each float64, who ...control.GatewayID) (passed int) {
 	for end := c.now + d; c.now < end; {
 		c.now += step
 		for i, q := range c.limiters {
@@ -75,7 +81,7 @@
 				continue
 			}
 			q.Now(c.now)
-			if len(who) > 0 && GatewayID(i) != who[0] || c.rng.Float64() > each*step.Seconds() {
+			if len(who) > 0 && control.GatewayID(i) != who[0] || c.rng.Float64() > each*step.Seconds() {
 				continue
 			}
 			if v, _ := q.Check(watched, Request{Units: 1, Arrived: c.now, SLA: 400 * time.Millisecond}); v == Allowed {
@@ -105,8 +111,8 @@
 		}
 		q.Sweep()
 		for to, b, ok := q.NextDatagram(); ok; to, b, ok = q.NextDatagram() {
-			m := datagram{GatewayID(i), to, c.now + step, b}
-			if c.partitioned[[2]GatewayID{m.from, to}] || c.rng.Float64() < c.lossRate {
+			m := datagram{control.GatewayID(i), to, c.now + step, b}
+			if c.partitioned[[2]control.GatewayID{m.from, to}] || c.rng.Float64() < c.lossRate {
 				continue
 			}
 			c.datagrams = append(c.datagrams, m)
@@ -167,14 +173,14 @@
 	c.isolate(c.owner(), true)
 	c.run(500*time.Millisecond, 60)
 	for i := range c.limiters {
-		c.setReachable(GatewayID(i), func(g GatewayID) bool { return g == c.owner() })
+		c.setReachable(control.GatewayID(i), func(g control.GatewayID) bool { return g == c.owner() })
 	}
 	c.run(20*time.Second, 60)
 	one := c.run(10*time.Second, 60, c.other())
 	must.Between(t, 10*40/3-15, one, 10*40/3+15, must.Sprint("its part of the rate, alone"))
 	c.isolate(c.owner(), false)
 	for i := range c.limiters {
-		c.setReachable(GatewayID(i), func(GatewayID) bool { return false })
+		c.setReachable(control.GatewayID(i), func(control.GatewayID) bool { return false })
 	}
 	c.run(10*time.Second, 60)
 	c.mustBeBounded(40, 60)
@@ -190,12 +196,12 @@
 	c.run(4*time.Second, 0)
 	for n := 3; n <= 8; n++ {
 		c.run(time.Second, 80)
-		q := NewLimiter(int64(n), GatewayID(n-1), n, c.now, gatewayTerms)
+		q := NewLimiter(int64(n), control.GatewayID(n-1), n, c.now, gatewayTerms)
 		q.SetLimit(watched, 40, 60)
 		c.limiters = append(c.limiters, q)
 		for _, i := range c.rng.Perm(n - 1) {
 			c.run(100*time.Millisecond, 80)
-			c.limiters[i].Grow(GatewayID(i), n)
+			c.limiters[i].Grow(control.GatewayID(i), n)
 		}
 	}
 	c.run(5*time.Second, 80)
@@ -215,7 +221,7 @@
 	must.Between(t, 14, own.accounts[watched].level, 16)
 
 	// A customer whose limit is known at the spender only: not taken, not acknowledged, taken when it is known.
-	late := CustomerID(0)
+	late := control.CustomerID(0)
 	for late = 1; OwnerOf(late, 0, 2, 2) != c.owner() || late == watched; late++ {
 	}
 	other.SetLimit(late, 10, 10)
@@ -245,7 +251,7 @@
 	c := newCluster(t, 4, 40, 60)
 	c.isolate(c.other(), true)
 	must.LessEq(t, 60/4+10, c.run(time.Second, 500, c.other()))
-	c.setReachable(c.other(), func(g GatewayID) bool { return g != c.other() })
+	c.setReachable(c.other(), func(g control.GatewayID) bool { return g != c.other() })
 	must.LessEq(t, 110, c.run(10*time.Second, 500, c.other()))
 	must.Greater(t, 80, len(c.consumed))
 }
@@ -266,9 +272,9 @@
 	for seed := int64(0); seed < 3; seed++ {
 		c := newCluster(t, n, rate, burst)
 		c.rng, c.lossRate = rand.New(rand.NewSource(seed)), 0.05
-		off := map[GatewayID]bool{}
+		off := map[control.GatewayID]bool{}
 		for life := seed*100 + 50; life < seed*100+70; life++ {
-			g := GatewayID(c.rng.Intn(n))
+			g := control.GatewayID(c.rng.Intn(n))
 			if c.rng.Intn(2) == 0 {
 				g = c.owner()
 			}
@@ -284,7 +290,7 @@
 			}
 			c.run(600*time.Millisecond, 8*rate/n)
 			for g := range c.limiters {
-				c.setReachable(GatewayID(g), func(g GatewayID) bool { return off[g] })
+				c.setReachable(control.GatewayID(g), func(g control.GatewayID) bool { return off[g] })
 			}
 			c.run(time.Duration(c.rng.Intn(3000))*time.Millisecond, 8*rate/n)
 		}
@@ -294,7 +300,7 @@
 
 // waitingRequest is a wish that the quota has not settled yet.
 type waitingRequest struct {
-	at GatewayID
+	at control.GatewayID
 	w  Request
 }
 
@@ -308,7 +314,7 @@
 			q.Now(c.now)
 		}
 		if c.rng.Float64() < all*step.Seconds() {
-			waits = append(waits, waitingRequest{GatewayID(c.rng.Intn(len(c.limiters))), Request{Units: 1, Arrived: c.now, SLA: sla}})
+			waits = append(waits, waitingRequest{control.GatewayID(c.rng.Intn(len(c.limiters))), Request{Units: 1, Arrived: c.now, SLA: sla}})
 		}
 		rest := waits[:0]
 		for _, x := range waits {
--- a/control/versions_test.go
+++ b/control/quota/versions_test.go
@@ -1,4 +1,4 @@
-package control
+package quota
 
 import (
 	"encoding/hex"
--- a/internal/frontdoor/simwire/wire.go
+++ b/internal/frontdoor/simwire/wire.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"clovergap/control"
+	"clovergap/control/loadbalancer"
 	"clovergap/internal/frontdoor/config"
 )
 
@@ -83,7 +84,7 @@
 
 // Host runs the instances of one process, each as if alone.
 type Host struct {
-	nodes map[uint16]*control.Controller
+	nodes map[uint16]*loadbalancer.Controller
 	heard map[uint16]bool
 	order []uint16
 	out   []byte
@@ -92,7 +93,7 @@
 
 // Serve answers frames until the input ends.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
-	h.nodes = map[uint16]*control.Controller{}
+	h.nodes = map[uint16]*loadbalancer.Controller{}
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	for {
 		var head [16]byte
@@ -193,7 +194,7 @@
 	}
 }
 
-func (h *Host) decode(f *cursor, who uint16, now time.Duration) func(d *control.Controller) {
+func (h *Host) decode(f *cursor, who uint16, now time.Duration) func(d *loadbalancer.Controller) {
 	switch f.code {
 	case inStart:
 		seed := int64(f.u64())
@@ -201,13 +202,13 @@
 		if f.err != nil {
 			return nil
 		}
-		d, err := control.New(seed, config.Lines(env), now)
+		d, err := loadbalancer.New(seed, config.Lines(env), now)
 		if err != nil {
 			h.crash(who, err.Error())
 			return nil
 		}
 		h.nodes[who] = d
-		return func(*control.Controller) {}
+		return func(*loadbalancer.Controller) {}
 	case inStop:
 		delete(h.nodes, who)
 	case inList:
@@ -226,7 +227,7 @@
 		if how == 0 {
 			return nil
 		}
-		return func(d *control.Controller) { d.EndpointsChanged(how != 2, list) }
+		return func(d *loadbalancer.Controller) { d.EndpointsChanged(how != 2, list) }
 	case inTxn:
 		t := control.Txn{ID: control.TxnID(f.u32()), Expiry: f.span()}
 		t.SetWidth, t.Units = int(f.f32()), f.f32()
@@ -234,7 +235,7 @@
 		t.Retry = f.u8()&2 != 0
 		t.Plan = control.PlanID(f.u32())
 		t.SetFirst, t.Customer = control.GatewayID(f.f32()), control.CustomerID(f.u64())
-		return func(d *control.Controller) { d.TxnArrived(t) }
+		return func(d *loadbalancer.Controller) { d.TxnArrived(t) }
 	case inOpened:
 		f.take(16)
 	case inEnded:
@@ -247,22 +248,22 @@
 			ending = control.ConnectionLost
 		}
 		b, load := f.backend(), f.load()
-		return func(d *control.Controller) { d.SubmissionEnded(id, nr, b, ending, over, took, load) }
+		return func(d *loadbalancer.Controller) { d.SubmissionEnded(id, nr, b, ending, over, took, load) }
 	case inGone:
 		id := control.TxnID(f.u32())
-		return func(d *control.Controller) { d.ClientLeft(id) }
+		return func(d *loadbalancer.Controller) { d.ClientLeft(id) }
 	case inWoken:
 		token := f.u64()
-		return func(d *control.Controller) { d.Woken(token) }
+		return func(d *loadbalancer.Controller) { d.Woken(token) }
 	case inProbed:
 		took := micros(uint64(f.u32()))
 		good := f.u8() == 0
 		b, load := f.backend(), f.load()
-		return func(d *control.Controller) { d.ProbeEnded(b, good, took, load) }
+		return func(d *loadbalancer.Controller) { d.ProbeEnded(b, good, took, load) }
 	case inPeer:
 		from := control.GatewayID(f.u32())
 		payload := f.take(int(f.u16()))
-		return func(d *control.Controller) { d.DatagramReceived(from, payload) }
+		return func(d *loadbalancer.Controller) { d.DatagramReceived(from, payload) }
 	case inCount:
 		f.take(17)
 	}
--- a/internal/gateway/admission/bench_test.go
+++ b/internal/gateway/admission/bench_test.go
@@ -8,6 +8,7 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/control"
+	"clovergap/control/quota"
 	"clovergap/internal/gateway/routing"
 )
 
@@ -28,7 +29,7 @@
 	config.Tenants = append(config.Tenants, routing.ConfigTenant{Name: "t", ApiKeys: []string{"key"}, RatePerS: 1e9, Burst: 1e9})
 	table := routing.NewTable(config)
 
-	quota := control.NewLimiter(1, 0, 1, 0, control.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 100, InitialFill: 1})
+	quota := quota.NewLimiter(1, 0, 1, 0, quota.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 100, InitialFill: 1})
 	quota.SetLimit(1, 1e9, 1e9)
 	d := New(1, Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: 2}, quota, 0)
 	d.SetRoute(1, Route{LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, MaxAttempts: 2, Targets: []Target{{1, 1}}})
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -7,11 +7,12 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/control"
+	"clovergap/control/quota"
 )
 
 // unlimited is a quota that limits nobody.
-func unlimited() *control.Limiter {
-	return control.NewLimiter(1, 0, 1, 0, control.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
+func unlimited() *quota.Limiter {
+	return quota.NewLimiter(1, 0, 1, 0, quota.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
 		DatagramsPerSecond: 100})
 }
 
@@ -260,7 +261,7 @@
 // A request beyond its quota is refused at once, with the time after which there is some.
 func TestQuota(t *testing.T) {
 	d := newHarness(idempotentRoute, 3)
-	d.limiter.(*control.Limiter).SetLimit(7, 1, 2)
+	d.limiter.(*quota.Limiter).SetLimit(7, 1, 2)
 	d.advance(d.now + 5*time.Second)
 	for id := control.TxnID(1); id <= 3; id++ {
 		d.TxnArrived(control.Txn{ID: id, Product: 1, Customer: 7, Units: 1, Expiry: d.now + time.Minute})
@@ -290,7 +291,7 @@
 	must.Greater(t, 0, recalls)
 }
 
-var _ Limiter = (*control.Limiter)(nil)
+var _ Limiter = (*quota.Limiter)(nil)
 
 // Ids come round: what was asked for at a time for a request that is long gone does nothing to the one that has its id now.
 func TestExpiryOfFormerLife(t *testing.T) {
--- a/internal/gateway/admission/recorded_test.go
+++ b/internal/gateway/admission/recorded_test.go
@@ -11,6 +11,7 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/control"
+	"clovergap/control/quota"
 )
 
 // playRecorded plays three nodes, two services of which one has a second version, backends that come, go, fail and are
@@ -28,7 +29,7 @@
 	var all []*Controller
 	now := time.Second
 	for i := range nodes {
-		quota := control.NewLimiter(seed+int64(i), control.GatewayID(i), nodes, now, control.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
+		quota := quota.NewLimiter(seed+int64(i), control.GatewayID(i), nodes, now, quota.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
 			DatagramsPerSecond: 200, Strict: true, OwnershipDelay: time.Second, Window: 5 * time.Second, Excess: 0.1, Margin: 20})
 		for c := control.CustomerID(1); c <= 6; c++ {
 			quota.SetLimit(c, float64(c)*10, float64(c)*20)
--- a/internal/gateway/admission/requests.go
+++ b/internal/gateway/admission/requests.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"clovergap/control"
+	"clovergap/control/quota"
 	"clovergap/internal/gateway/balancer"
 	"clovergap/internal/invariant"
 )
@@ -85,10 +86,10 @@
 	}
 	if t.Customer != 0 && !t.consumed && !t.reserved {
 		switch v, until := c.limiter.Check(t.Customer, c.quotaRequest(t)); v {
-		case control.Exceeded:
+		case quota.Exceeded:
 			c.finish(t, ReasonNoUnits, until)
 			return
-		case control.Pending:
+		case quota.Pending:
 			if until = min(until, t.targetAt); until <= c.now {
 				c.finish(t, ReasonNoUnits, busyInterval)
 				return
@@ -102,8 +103,8 @@
 	c.enqueue(t)
 }
 
-func (c *Controller) quotaRequest(t *txn) control.Request {
-	return control.Request{Units: t.Units, Arrived: t.arrived, Late: t.Retry,
+func (c *Controller) quotaRequest(t *txn) quota.Request {
+	return quota.Request{Units: t.Units, Arrived: t.arrived, Late: t.Retry,
 		SLA: time.Duration(quotaTargetShare * float64(t.targetAt-t.arrived))}
 }
 
--- a/internal/gateway/admission/types.go
+++ b/internal/gateway/admission/types.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"clovergap/control"
+	"clovergap/control/quota"
 	"clovergap/internal/gateway/balancer"
 )
 
@@ -14,7 +15,7 @@
 // not metered. Whoever makes it tells it of limits and nodes.
 type Limiter interface {
 	Now(now time.Duration)
-	Check(c control.CustomerID, w control.Request) (control.Outcome, time.Duration)
+	Check(c control.CustomerID, w quota.Request) (quota.Outcome, time.Duration)
 	Reserve(c control.CustomerID, units float64)
 	Release(c control.CustomerID, units float64)
 	Consume(c control.CustomerID, units float64)
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -13,6 +13,7 @@
 	"github.com/phuslu/log"
 
 	"clovergap/control"
+	"clovergap/control/quota"
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/membership"
@@ -74,7 +75,7 @@
 	registryDirty     bool // since it was last kept on disk
 	pendingHeartbeats map[registry.Ticket]pendingHeartbeat
 
-	quota      *control.Limiter
+	quota      *quota.Limiter
 	admission  *admission.Controller
 	gate       *gate.Gate
 	rollouts   rolloutHost
@@ -182,7 +183,7 @@
 
 // buildDataPath makes the way of requests and of calls.
 func (n *Node) buildDataPath(b Environment) error {
-	n.quota = control.NewLimiter(n.seed, 0, 1, n.loop.Now(), control.Config{MinInterval: 50 * time.Millisecond,
+	n.quota = quota.NewLimiter(n.seed, 0, 1, n.loop.Now(), quota.Config{MinInterval: 50 * time.Millisecond,
 		SnapshotTTL: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MaxUnits: 1, Strict: true, InitialFill: coldStartQuotaShare, OwnershipDelay: newOwnerDelay,
 		Window: n.settings.Bounds.QuotaWindow, Excess: n.settings.Bounds.QuotaExcess, Margin: float64(n.settings.Bounds.QuotaMargin)})
 	n.openRollouts()
--- a/internal/lab/capacity/state.go
+++ b/internal/lab/capacity/state.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"clovergap/control"
+	"clovergap/control/quota"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/routing"
@@ -62,7 +63,7 @@
 		{"table", "route", []int{100, 400, 1700}, func(n int) func() any { return table(simulation.Wide{Routes: n}) }},
 		{"quota, limits alone", "tenant", []int{100, 1000, 10000, 31000}, func(n int) func() any {
 			return func() any {
-				q := control.NewLimiter(1, 0, 720, 0, control.Config{MinInterval: 50 * time.Millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 400,
+				q := quota.NewLimiter(1, 0, 720, 0, quota.Config{MinInterval: 50 * time.Millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 400,
 					MaxUnits: 1, Strict: true, InitialFill: 0.5})
 				for i := range n {
 					q.SetLimit(control.CustomerID(i+1), 50, 50)
--- a/internal/lab/emulator/frontdoor.go
+++ b/internal/lab/emulator/frontdoor.go
@@ -7,6 +7,7 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
+	"clovergap/control/loadbalancer"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/gate"
 	"clovergap/internal/proxy/slots"
@@ -49,7 +50,7 @@
 func module(d *node) decider {
 	w := d.w
 	seed := int64(w.s.Seed)<<20 ^ int64(d.nr)<<8 ^ int64(d.life)
-	m, err := control.New(seed, settings(w.s, d.nr, d.zone), w.now)
+	m, err := loadbalancer.New(seed, settings(w.s, d.nr, d.zone), w.now)
 	if err != nil {
 		panic(err) // probed before the run
 	}
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"clovergap/control"
+	"clovergap/control/loadbalancer"
 	"clovergap/internal/lab/netfault"
 	"clovergap/internal/lab/sharedcounter"
 	"clovergap/internal/lab/spec"
@@ -85,7 +86,7 @@
 	if w.s.Policy != "module" {
 		return nil
 	}
-	_, err := control.New(1, settings(w.s, 0, 0), origin)
+	_, err := loadbalancer.New(1, settings(w.s, 0, 0), origin)
 	return err
 }
 
--- a/internal/proxy/upstream/orders_test.go
+++ b/internal/proxy/upstream/orders_test.go
@@ -16,6 +16,7 @@
 	"go.uber.org/zap"
 
 	"clovergap/control"
+	"clovergap/control/quota"
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/eventloop"
@@ -186,7 +187,7 @@
 func newScenario(t *testing.T, e *eventloop.Engine, dialect Dialect, body, tries int) *scenario { // as many backends as tries
 	s := &scenario{t: t, e: e, hands: &hands{now: time.Hour}, w: &watcher{}, rung: make(chan bool, 1),
 		a: &asker{told: map[slots.Ref][]string{}, gone: map[slots.Ref]bool{}, body: make([]byte, body)}}
-	quota := control.NewLimiter(1, 0, 1, time.Hour, control.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
+	quota := quota.NewLimiter(1, 0, 1, time.Hour, quota.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
 		DatagramsPerSecond: 100})
 	o := admission.New(1, admission.Config{RetryRatio: 1, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: 1}, quota, time.Hour)
 	o.SetRoute(1, admission.Route{Effectful: true, LatencyTarget: time.Minute, MaxAttempts: tries, Targets: []admission.Target{{Service: 1, Weight: 1}}})
