--- a/control/loadbalancer/pick.go
+++ b/control/loadbalancer/pick.go
@@ -47,7 +47,7 @@
 		if b.load+1 > enough {
 			continue
 		}
-		h := control.Hash64(uint64(t.Customer)*0x9e3779b97f4a7c15^b.hash) >> 2
+		h := control.Hash64(uint64(t.Customer)*control.GoldenRatio64^b.hash) >> 2
 		if b.Zone == c.zone { // crossing zones has a price
 			h |= 1 << 63
 			if b.warmth < 1 && b.tokensLapse { // one send, and only now: it would be lost on a lower rank
--- a/control/quota/account.go
+++ b/control/quota/account.go
@@ -6,85 +6,99 @@
 	"clovergap/control"
 )
 
-// Account is one customer here: the bucket if this gateway owns it, the view if not.
+// Account is what this gateway keeps of one customer: the bucket if it owns it, the owner's snapshot if not.
 type Account struct {
-	id                  control.CustomerID
-	limit               *Limit
-	planID              control.PlanID
-	owner               control.GatewayID
-	setFirst            control.GatewayID // of the set
-	setWidth            int
-	placed              bool
-	usedAt              time.Duration
-	inFlight            int     // submissions out from here
-	reserved            float64 // units of txns that are covered and wait for a backend
-	reservations        int     // and how many these are
-	level               float64 // owner: remaining; other: the snapshot's remaining
-	levelAt             time.Duration
-	hasSnapshot         bool // a snapshot has come
-	version             uint64
-	reports             []*report
-	exhausted           bool // exhaustion told
-	unreported          float64
-	unacked             float64
-	dirty               bool
-	reportedAt          time.Duration // last part of a delta
-	requestedAt         time.Duration // oldest ask without an answer
-	reporters           int
-	inFlightElsewhere   int
-	hardShare           float64 // ceiling's part left
-	hardShareAt         time.Duration
-	inSet               bool
-	hardWanted          float64 // of the ceiling, to ask the owner for
-	unitsWanted         float64 // units that a txn waits for
-	allowance           float64 // by parts: units that it may spend without the owner's word
-	allowanceAt         time.Duration
-	allowanceUsed       float64       // spent so, and not known to be covered or lost
-	allowanceUnreported float64       // of unsent
-	usedIsolated        bool          // spent of its part alone, and not all of that is acknowledged
-	ackedSince          time.Duration // the owner has heard of it since then at the least
-	allowanceAcked      float64       // acknowledged: the owner's next figures tell whether they were covered
-	granted             float64       // units that the owner holds for this gateway
+	id     control.CustomerID
+	limit  *Limit
+	planID control.PlanID
+	usedAt time.Duration // when a request last asked for units
+
+	owner    control.GatewayID
+	placed   bool              // the set is known
+	setFirst control.GatewayID // the set's first gateway,
+	setWidth int               // and how many there are
+	inSet    bool              // this gateway is one of them
+
+	level   float64       // owner: units in the bucket; otherwise: units in the snapshot
+	levelAt time.Duration // owner: of the last refill; otherwise: when the snapshot came
+
+	// Of requests here.
+	inFlight     int     // submissions
+	reserved     float64 // units that are allowed and wait for something else
+	reservations int     // how many these are
+
+	// Owner.
+	reports   []*report
+	exhausted bool // the recent reporters were told that no unit is left
+
+	// Not the owner: the snapshot.
+	hasSnapshot       bool
+	version           uint64 // of the snapshot
+	reporters         int    // recent ones, this gateway included
+	inFlightElsewhere int    // submissions of other gateways
+
+	// Not the owner: reports.
+	unreported  float64       // units consumed and not in a delta yet
+	unacked     float64       // units in deltas that are not acknowledged
+	dirty       bool          // queued for a delta
+	reportedAt  time.Duration // when it was last part of one
+	requestedAt time.Duration // since when a snapshot is waited for; 0: none is
+	ackedSince  time.Duration // sending time of the latest delta that the owner acknowledged
+	unitsWanted float64       // units that a pending request needs
+
+	// Hard limit.
+	hardShare   float64 // units left of this gateway's part, the owner's pool included
+	hardShareAt time.Duration
+	hardWanted  float64 // units to ask the owner's pool for
+
+	// Strict mode, not the owner.
+	granted             float64 // units that the owner has set aside for this gateway
 	grantedAt           time.Duration
-	grantUsed           float64 // spent or let go, and not yet told
+	grantUsed           float64 // units of grants consumed or expired, and not reported yet
+	allowance           float64 // units that may be consumed without the owner's knowledge
+	allowanceAt         time.Duration
+	allowanceUsed       float64 // units of it consumed, of which it is not known yet whether the bucket had them
+	allowanceUnreported float64 // units of it among unreported
+	allowanceAcked      float64 // units of it that the owner acknowledged: its next snapshot shows whether the bucket had them
+	usedIsolated        bool    // units were consumed while isolated, and not all of them are acknowledged
 }
 
+// report is what an owner knows of one gateway's use of a customer.
 type report struct {
 	from          control.GatewayID
-	snapshotLevel float64 // told last
 	receivedAt    time.Duration
-	inFlight      int
-	hardWanted    float64 // of the ceiling
-	unitsWanted   float64 // units that a txn waits for
-	granted       float64 // told that it may spend them, and not yet reported; by parts: lent
+	snapshotLevel float64 // units, in the last snapshot to it
+	inFlight      int     // submissions; in strict mode units, see reportedInFlight
+	unitsWanted   float64 // units that a pending request there needs
+	hardWanted    float64 // units that it asks of the pool of the hard limit
+	granted       float64 // units set aside for it; not in strict mode: units that its snapshot shows and nobody else's should
 	grantedAt     time.Duration
-	withheld      float64 // of the rate: kept for it while it is silent
+	withheld      float64 // units of the refill kept for it while it is silent
 }
 
 // account finds or makes the account of a customer.
-func (l *Limiter) account(id control.CustomerID, pl control.PlanID) *Account {
+func (l *Limiter) account(id control.CustomerID, plan control.PlanID) *Account {
 	a := l.accounts[id]
 	if a == nil {
-		a = &Account{id: id, planID: pl, owner: l.self, reporters: 1, usedAt: l.now, allowanceAt: l.now}
+		a = &Account{id: id, planID: plan, owner: l.self, reporters: 1, usedAt: l.now, allowanceAt: l.now, hardShareAt: l.startedAt}
 		if l.plans.Limit != nil {
-			a.limit = l.plans.Limit(pl)
+			a.limit = l.plans.Limit(plan)
 			a.level, a.levelAt = l.initialLevel(a), l.now
 		}
-		a.hardShare, a.hardShareAt = 0, l.startedAt
 		l.accounts[id] = a
 		l.ordered = append(l.ordered, a)
 	}
 	return a
 }
 
-// assignOwner works out the owner: rendezvous hashing over the customer's set, the same at every gateway.
-func (l *Limiter) assignOwner(a *Account, setFirst control.GatewayID, width int) {
+// assignOwner sets an account's set of gateways and works out its owner. Numbers that make no sense are brought into range.
+func (l *Limiter) assignOwner(a *Account, first control.GatewayID, width int) {
 	width = min(max(width, 1), l.gateways)
-	first := control.GatewayID(max(int(setFirst), 0) % l.gateways)
+	first = control.GatewayID(max(int(first), 0) % l.gateways)
 	if a.placed && a.setFirst == first && a.setWidth == width {
 		return
 	}
-	if a.placed { // a peer had told another set: what this one had of a ceiling by it is void
+	if a.placed { // a peer had named another set: the part of a hard limit by that one is void
 		a.hardShare, a.hardShareAt = 0, l.now
 	}
 	a.placed, a.setFirst, a.setWidth, a.reporters = true, first, width, width
@@ -95,19 +109,20 @@
 	}
 }
 
-// OwnerOf is the gateway of the set with the highest hash for the customer: the same at every gateway.
+// OwnerOf is the gateway that owns a customer's bucket: the one of the set with the highest hash (rendezvous hashing), the same at every
+// gateway.
 func OwnerOf(c control.CustomerID, first control.GatewayID, width, gateways int) (owner control.GatewayID) {
-	best := uint64(0)
-	for i := 0; i < width; i++ {
+	highest := uint64(0)
+	for i := range width {
 		g := control.GatewayID((int(first) + i) % gateways)
-		if h := control.Hash64(uint64(c)*0x9e3779b97f4a7c15 + uint64(g)); h >= best {
-			best, owner = h, g
+		if h := control.Hash64(uint64(c)*control.GoldenRatio64 + uint64(g)); h >= highest {
+			highest, owner = h, g
 		}
 	}
 	return owner
 }
 
-// initialLevel is what a bucket that was empty when this gateway started holds by now.
+// initialLevel is what a bucket that was empty when its owner was assigned holds by now.
 func (l *Limiter) initialLevel(a *Account) float64 {
 	level := a.limit.Rate * max(0, l.now-l.ownersSince-l.config.OwnershipDelay).Seconds()
 	if l.freshCluster && l.olderPeers == 0 {
@@ -116,37 +131,33 @@
 	return min(a.limit.Burst, level)
 }
 
-// initialFill is what a bucket begins with in a fleet that is all new.
+// initialFill is what a bucket begins with in a new cluster.
 func (l *Limiter) initialFill(a *Account) float64 {
-	start := l.config.InitialFill * a.limit.Burst
+	fill := l.config.InitialFill * a.limit.Burst
 	if l.config.Strict {
-		start = min(start, a.limit.Rate*maxInitialFill.Seconds())
+		fill = min(fill, a.limit.Rate*maxInitialFill.Seconds())
 	}
-	return start
+	return fill
 }
 
-// addInFlight counts submissions out.
+// addInFlight counts submissions of this gateway; the owner learns of them where they are bounded.
 func (l *Limiter) addInFlight(a *Account, n int) {
 	a.inFlight += n
-	l.inFlightChanged(a)
-}
-
-func (l *Limiter) inFlightChanged(a *Account) {
 	if a.limit.MaxInFlight > 0 {
 		l.scheduleReport(a)
 	}
 }
 
-// InFlightElsewhere is how many submissions other gateways have out for a customer, as far as told.
+// inFlightElsewhere counts the submissions of other gateways, as far as reported.
 func (l *Limiter) inFlightElsewhere(a *Account) int {
 	if a.owner == l.self {
-		_, out, _ := l.recentReporters(a, nil)
-		return out
+		_, inFlight, _ := l.recentReporters(a, nil)
+		return inFlight
 	}
 	return a.inFlightElsewhere
 }
 
-// report finds or makes what a gateway reported of a customer.
+// report finds or makes what a gateway reported.
 func (a *Account) report(from control.GatewayID) *report {
 	for _, r := range a.reports {
 		if r.from == from {
@@ -158,20 +169,21 @@
 	return r
 }
 
-// recentReporters counts the gateways that reported lately, and, but for one of them, their submissions out and
-// the units they have just been told of.
-func (l *Limiter) recentReporters(a *Account, but *peer) (n, out int, told float64) {
+// recentReporters counts the recent reporters, all included, and of those except one their submissions in flight and the units that
+// their last snapshots have promised them.
+func (l *Limiter) recentReporters(a *Account, except *peer) (n, inFlight int, promised float64) {
 	for _, r := range a.reports {
-		if l.now-r.receivedAt < reporterTTL {
-			n++
-			if but != nil && r.from == but.id {
-				continue
-			}
-			out += r.inFlight
-			if !l.config.Strict && l.now-r.grantedAt < l.answerTimeout(a) {
-				told += r.granted
-			}
+		if l.now-r.receivedAt >= reporterTTL {
+			continue
+		}
+		n++
+		if except != nil && r.from == except.id {
+			continue
+		}
+		inFlight += r.inFlight
+		if !l.config.Strict && l.now-r.grantedAt < l.answerTimeout(a) {
+			promised += r.granted
 		}
 	}
-	return n, out, told
+	return n, inFlight, promised
 }
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -6,181 +6,219 @@
 	"clovergap/control"
 )
 
-// Outcome is what the quota says of a wish.
+// Outcome is the answer to a request for units.
 type Outcome int
 
-// What a quota may say to a request.
+// The answers to a request for units.
 const (
-	Allowed  Outcome = iota
-	Pending          // ask again when something was heard, and at the time given
-	Exceeded         // no; it may be worth coming again after the time given
+	// Allowed: the units are there; Consume or Reserve takes them.
+	Allowed Outcome = iota
+	// Pending: ask again when DatagramReceived reports news, and at the time given.
+	Pending
+	// Exceeded: not covered; it may be worth coming again after the duration given.
+	Exceeded
 )
 
-// Request is what one txn or request asks of its customer's quota.
+// Request asks for units of a customer's quota.
 type Request struct {
 	Units   float64
-	Arrived time.Duration // a time of the clock
-	SLA     time.Duration // within it the answer is worth most: a part of it may be waited for units
-	Late    bool          // a repeat that comes late: it leaves low buckets to others
-}
-
-// Check tells whether a customer's quota covers a wish: now, perhaps until a time of the clock, or not,
-// and then after how long there may be some. A customer without a limit is not metered. What passes is to be
-// told by Spend, or by Keep while it waits for something else. What waits is asked for again when DatagramReceived
-// brings news and at the time given, with Arrived as it was.
-//
-// By parts, what all gateways spend together in a window is bounded, whoever is cut off from whom, and whoever starts again:
-// rate x Window + burst from buckets, and what the rule leaves beyond it, a part of that for each gateway (allowanceNow). What
-// covers a wish at another gateway than the owner is either lent or that gateway's part. docs/gateway.md has why it holds.
-//
-// Otherwise the terms are Gateway's: a gateway alone spends its share of the burst at once, and then the rate over those
-// gateways that it does not know to be lost. Over all gateways that may be twice the quota and more.
-func (l *Limiter) Check(c control.CustomerID, w Request) (Outcome, time.Duration) {
+	Arrived time.Duration // time of the clock; the same each time that the request is checked
+	SLA     time.Duration // the time in which an answer has its full value: a share of it may be spent waiting
+	Late    bool          // a client's retry that comes late: it leaves a low bucket to others
+}
+
+// Check tells whether a customer's quota covers a request. A customer without a limit is not metered. With Pending comes the time of
+// the clock until which to wait at most, with Exceeded the duration after which there may be units. It takes nothing: Consume, or Reserve
+// for a request that waits for something else, does.
+func (l *Limiter) Check(c control.CustomerID, r Request) (Outcome, time.Duration) {
 	a := l.accounts[c]
 	if a == nil {
 		return Allowed, 0
 	}
 	a.usedAt = l.now
-	verdict, at, _ := l.check(a, w)
-	if verdict != Pending { // nothing is lent for what does not wait any more; another that waits asks for itself
+	outcome, at, _ := l.check(a, r)
+	if outcome != Pending { // nothing is granted for what does not wait any more; another request that waits asks for itself
 		a.unitsWanted = 0
 	}
-	return verdict, at
+	return outcome, at
 }
 
-// check tells whether the quota covers a txn now, may cover it soon, or does not; and what it lacks if not.
-func (l *Limiter) check(a *Account, w Request) (Outcome, time.Duration, control.Reason) {
-	last := w.Arrived + time.Duration(unitTimeoutShare*float64(w.SLA))
-	if ok, until := l.checkHardLimit(a, w); !ok {
-		if until < last {
-			return Pending, last, control.ReasonHardLimit
+// check is Check, with what was lacking if the request is not allowed.
+func (l *Limiter) check(a *Account, r Request) (Outcome, time.Duration, control.Reason) {
+	latest := r.Arrived + time.Duration(unitTimeoutShare*float64(r.SLA))
+	if allowed, at := l.checkHardLimit(a, r); !allowed {
+		if at < latest {
+			return Pending, latest, control.ReasonHardLimit
 		}
-		return Exceeded, until - l.now, control.ReasonHardLimit
+		return Exceeded, at - l.now, control.ReasonHardLimit
 	}
 	if a.limit.MaxInFlight > 0 && a.inFlight+a.reservations+l.inFlightElsewhere(a) >= a.limit.MaxInFlight {
-		if a.owner != l.self && l.now-a.levelAt > l.answerTimeout(a) {
-			l.requestSnapshot(a) // what others had out is long ended, but nobody tells a gateway that keeps still
-		}
-		if l.now < last {
-			return Pending, last, control.ReasonNoSlot
-		}
-		return Exceeded, 0, control.ReasonNoSlot
+		return l.checkSlots(a, latest)
 	}
 	if a.limit.Rate <= 0 {
 		return Allowed, 0, control.ReasonNoUnits
 	}
 	if a.owner == l.self {
-		l.refill(a)
-		left := a.level - l.outstandingGrants(a)
-		if left-a.reserved >= l.required(a, w) {
-			return Allowed, 0, control.ReasonNoUnits
-		}
-		due := time.Duration((l.required(a, w) - left) / a.limit.Rate * float64(time.Second))
-		if l.now+due < last && !w.Late {
-			return Pending, last, control.ReasonNoUnits
-		}
-		return Exceeded, due, control.ReasonNoUnits
+		outcome, at := l.checkBucket(a, r, latest)
+		return outcome, at, control.ReasonNoUnits
 	}
-	verdict, at := l.checkSnapshot(a, w)
-	return verdict, at, control.ReasonNoSnapshot
+	outcome, at := l.checkSnapshot(a, r)
+	return outcome, at, control.ReasonNoSnapshot
 }
 
-// required is what must be left for a txn: a client's repeat, which mostly comes late, leaves a low bucket to
-// first tries.
-func (l *Limiter) required(a *Account, w Request) float64 {
-	if w.Late {
-		return w.Units + retryReserveShare*a.limit.Burst
+// checkSlots answers where as many submissions of the customer are in flight as may be.
+func (l *Limiter) checkSlots(a *Account, latest time.Duration) (Outcome, time.Duration, control.Reason) {
+	if a.owner != l.self && l.now-a.levelAt > l.answerTimeout(a) {
+		l.requestSnapshot(a) // what others had in flight ended long ago, but nobody tells a gateway that sends nothing
 	}
-	return w.Units
+	if l.now < latest {
+		return Pending, latest, control.ReasonNoSlot
+	}
+	return Exceeded, 0, control.ReasonNoSlot
 }
 
-// checkSnapshot decides for a customer that another gateway owns.
-func (l *Limiter) checkSnapshot(a *Account, w Request) (Outcome, time.Duration) {
-	share, bare := a.burstShare(w.Units), true
-	if l.config.Strict && l.currentGrant(a)-a.reserved >= w.Units {
+// checkBucket decides by a bucket that is owned here.
+func (l *Limiter) checkBucket(a *Account, r Request, latest time.Duration) (Outcome, time.Duration) {
+	l.refill(a)
+	left := a.level - l.outstandingGrants(a)
+	if left-a.reserved >= l.required(a, r) {
 		return Allowed, 0
-	} else if l.config.Strict {
-		bare = l.allowanceNow(a)-a.reserved >= w.Units
 	}
-	pending := a.unacked + a.unreported + a.reserved
-	age := l.now - a.levelAt
-	until := l.answerDeadline(a, w)
-	most, life := a.limit.Burst, l.config.SnapshotTTL
+	after := time.Duration((l.required(a, r) - left) / a.limit.Rate * float64(time.Second))
+	if l.now+after < latest && !r.Late {
+		return Pending, latest
+	}
+	return Exceeded, after
+}
+
+// required is what a level must hold for a request. A client's retry, which mostly comes late, leaves a low bucket to first attempts.
+func (l *Limiter) required(a *Account, r Request) float64 {
+	if r.Late {
+		return r.Units + retryReserveShare*a.limit.Burst
+	}
+	return r.Units
+}
+
+// remoteView is what a gateway knows, for one request, of a bucket that it does not own.
+type remoteView struct {
+	age      time.Duration // of the snapshot
+	fresh    bool          // the snapshot may be used
+	tight    bool          // one such request from each reporter would be more than is left
+	pending  float64       // units consumed or reserved here that the snapshot doesn't know of
+	share    float64       // units that may be so
+	allowed  bool          // in strict mode: the allowance covers the request
+	deadline time.Duration // until then a request waits for the owner's answer
+}
+
+func (l *Limiter) viewOf(a *Account, r Request) remoteView {
+	v := remoteView{
+		age: l.now - a.levelAt, pending: a.unacked + a.unreported + a.reserved,
+		share: a.burstShare(r.Units), allowed: true, deadline: l.answerDeadline(a, r),
+	}
+	if l.config.Strict {
+		v.allowed = l.allowanceNow(a)-a.reserved >= r.Units
+	}
+	left, ttl := a.limit.Burst, l.config.SnapshotTTL
 	if a.hasSnapshot {
-		most = min(most, max(a.level, 0))
+		left = min(left, max(a.level, 0))
 	}
-	// Where one such txn for each gateway is more than is left, a view is good only for the txns that wait for
-	// it: with a set of a hundred gateways each would else spend its allowance on a used-up bucket.
-	tight := w.Units*float64(a.reporters) > most
-	if tight {
-		life = l.answerTimeout(a)
+	// A tight snapshot is good only for the requests that wait for it: with a set of a hundred gateways each would else consume its
+	// share of a used-up bucket.
+	if v.tight = r.Units*float64(a.reporters) > left; v.tight {
+		ttl = l.answerTimeout(a)
 	}
-	fresh := a.hasSnapshot && age < life
-	if fresh && bare && a.level-pending >= l.required(a, w) && pending+w.Units <= share {
+	v.fresh = a.hasSnapshot && v.age < ttl
+	return v
+}
+
+// checkSnapshot decides for a customer whose bucket another gateway owns.
+func (l *Limiter) checkSnapshot(a *Account, r Request) (Outcome, time.Duration) {
+	if l.config.Strict && l.currentGrant(a)-a.reserved >= r.Units {
 		return Allowed, 0
 	}
-	if !fresh {
-		l.requestSnapshot(a)
-		// While the owner is silent the allowance grows at the rate, shared by the recent reporters but for those
-		// found lost: the survivors of a lost zone then serve the whole quota between them.
-		silent := l.ownerUnresponsive(a)
-		if silent && l.config.Strict {
-			if bare {
-				return Allowed, 0
-			}
-			return Exceeded, time.Duration(w.Units / a.limit.Rate * float64(l.gateways) * float64(time.Second))
-		}
-		if silent {
-			share += a.limit.Rate / float64(l.reachableReporters(a)) * (l.now - a.requestedAt).Seconds()
-		}
-		// An owner that answers is asked first if its last word, with this gateway's part of the refill since,
-		// does not cover the txn: else many gateways would each spend an allowance a second on a used-up bucket.
-		left := a.level + a.limit.Rate*age.Seconds()/float64(max(a.reporters, 1)) - pending
-		enough := !a.hasSnapshot || left >= l.required(a, w)
-		// Asked in good time and not answered: the allowance is there for that.
-		unanswered := l.now >= until && a.requestedAt > 0 && a.requestedAt < until && !w.Late
-		if bare && pending+w.Units <= share && (silent || !tight && enough || unanswered && enough) {
-			return Allowed, 0
+	v := l.viewOf(a, r)
+	if v.fresh && v.allowed && a.level-v.pending >= l.required(a, r) && v.pending+r.Units <= v.share {
+		return Allowed, 0
+	}
+	if !v.fresh {
+		if outcome, at, decided := l.checkStale(a, r, v); decided {
+			return outcome, at
 		}
 	}
-	more := (!bare || age > l.answerTimeout(a)) && a.level+a.limit.Rate*age.Seconds()-pending >= w.Units
-	if l.now < until && (!fresh || more || pending+w.Units > share) {
+	// The owner may have more by now than the snapshot says.
+	more := (!v.allowed || v.age > l.answerTimeout(a)) && a.level+a.limit.Rate*v.age.Seconds()-v.pending >= r.Units
+	if l.now < v.deadline && (!v.fresh || more || v.pending+r.Units > v.share) {
 		l.requestSnapshot(a)
-		a.unitsWanted = max(a.unitsWanted, w.Units)
-		return Pending, until
+		a.unitsWanted = max(a.unitsWanted, r.Units)
+		return Pending, v.deadline
 	}
-	return Exceeded, time.Duration((l.required(a, w) - max(0, a.level-pending)) / a.limit.Rate * float64(time.Second))
+	return Exceeded, time.Duration((l.required(a, r) - max(0, a.level-v.pending)) / a.limit.Rate * float64(time.Second))
 }
 
-// burstShare is the floored split cap: the burst divided by the recent reporters, one txn's units at least.
-func (a *Account) burstShare(units float64) float64 {
-	most := a.limit.Burst
-	if a.hasSnapshot {
-		most = min(most, lowBucketSplit*max(a.level, 0))
+// checkStale asks the owner for a snapshot, and decides without one where it can.
+func (l *Limiter) checkStale(a *Account, r Request, v remoteView) (outcome Outcome, at time.Duration, decided bool) {
+	l.requestSnapshot(a)
+	unresponsive := l.ownerUnresponsive(a)
+	if unresponsive && l.config.Strict {
+		if v.allowed {
+			return Allowed, 0, true
+		}
+		return Exceeded, time.Duration(r.Units / a.limit.Rate * float64(l.gateways) * float64(time.Second)), true
+	}
+	// While the owner is unresponsive the share grows at the rate, divided by the recent reporters without those that are lost: so the
+	// survivors of a lost zone serve the whole quota between them.
+	share := v.share
+	if unresponsive {
+		share += a.limit.Rate / float64(l.reachableReporters(a)) * (l.now - a.requestedAt).Seconds()
+	}
+	if v.allowed && v.pending+r.Units <= share && (unresponsive || l.staleCovers(a, r, v)) {
+		return Allowed, 0, true
 	}
-	return max(most/float64(max(a.reporters, 1)), units)
+	return Pending, 0, false
 }
 
-// ownerUnresponsive tells that an owner was asked and that nothing was heard of it for as long as a healthy one takes.
-func (l *Limiter) ownerUnresponsive(a *Account) bool {
-	return l.now-max(a.requestedAt, l.peers[a.owner].receivedAt, l.pausedUntil) > ownerAttempts*l.answerTimeout(a)
+// staleCovers tells whether an old snapshot, with this gateway's part of the refill since, covers a request, although the owner answers: else
+// many gateways would each consume a share every second of a used-up bucket. A tight one does so only once the owner was asked in good time and has not
+// answered.
+func (l *Limiter) staleCovers(a *Account, r Request, v remoteView) bool {
+	left := a.level + a.limit.Rate*v.age.Seconds()/float64(max(a.reporters, 1)) - v.pending
+	if a.hasSnapshot && left < l.required(a, r) {
+		return false
+	}
+	unanswered := l.now >= v.deadline && a.requestedAt > 0 && a.requestedAt < v.deadline && !r.Late
+	return !v.tight || unanswered
 }
 
-// answerDeadline is the time until which a txn waits for the owner's word.
-func (l *Limiter) answerDeadline(a *Account, w Request) time.Duration {
-	return w.Arrived + min(ownerAttempts*l.answerTimeout(a), time.Duration(snapshotTimeoutShare*float64(w.SLA)))
+// burstShare is what may be consumed against a snapshot before it is acknowledged: the burst, or twice a low level, divided by
+// the recent reporters, but one request's units at the least.
+func (a *Account) burstShare(units float64) float64 {
+	left := a.limit.Burst
+	if a.hasSnapshot {
+		left = min(left, lowBucketSplit*max(a.level, 0))
+	}
+	return max(left/float64(max(a.reporters, 1)), units)
 }
 
-// answerTimeout is the time within which an owner that is well answers.
+// answerTimeout is the time within which a healthy owner answers.
 func (l *Limiter) answerTimeout(a *Account) time.Duration {
 	return snapshotTimeout + l.interval + l.peers[a.owner].interval
 }
 
-// reachableReporters counts the gateways that share a silent owner's rate. One that was written to and has not been
-// heard since is lost; of the others a wide set's gateways hear little, and that is no sign.
+// answerDeadline is the time until which a request waits for the owner's answer.
+func (l *Limiter) answerDeadline(a *Account, r Request) time.Duration {
+	return r.Arrived + min(ownerAttempts*l.answerTimeout(a), time.Duration(snapshotTimeoutShare*float64(r.SLA)))
+}
+
+// ownerUnresponsive tells whether an owner was asked and nothing came from it for as long as a healthy one takes.
+func (l *Limiter) ownerUnresponsive(a *Account) bool {
+	return l.now-max(a.requestedAt, l.peers[a.owner].receivedAt, l.pausedUntil) > ownerAttempts*l.answerTimeout(a)
+}
+
+// reachableReporters counts the gateways that share an unresponsive owner's rate. One that owes an acknowledgement for long is lost. From
+// the others of a wide set nothing may come for long either, which proves nothing.
 func (l *Limiter) reachableReporters(a *Account) int {
 	n := a.reporters
-	for i := 0; i < a.setWidth; i++ {
+	for i := range a.setWidth {
 		p := l.peers[(int(a.setFirst)+i)%l.gateways]
 		if len(p.unacked) > 0 && l.now-max(p.unackedSince, p.receivedAt, l.pausedUntil) > peerLostAfter {
 			n--
--- a/control/quota/consume.go
+++ b/control/quota/consume.go
@@ -1,10 +1,8 @@
 package quota
 
-import (
-	"clovergap/control"
-)
+import "clovergap/control"
 
-// Reserve keeps units that are covered for one that waits for something else; Unkeep lets go of them.
+// Reserve keeps units that Check allowed for a request that still waits for something else. Release ends that.
 func (l *Limiter) Reserve(c control.CustomerID, units float64) {
 	if a := l.accounts[c]; a != nil {
 		l.reserve(a, units)
@@ -12,24 +10,25 @@
 }
 
 func (l *Limiter) reserve(a *Account, units float64) {
-	a.reserved, a.reservations = a.reserved+units, a.reservations+1
+	a.reserved += units
+	a.reservations++
 }
 
-// Release lets go of kept units.
+// Release gives up a reservation, whether its units are consumed next or not.
 func (l *Limiter) Release(c control.CustomerID, units float64) {
 	if a := l.accounts[c]; a != nil {
-		a.reserved, a.reservations = max(0, a.reserved-units), a.reservations-1
+		a.reserved = max(0, a.reserved-units)
+		a.reservations--
 	}
 }
 
-// Consume takes units, once, for what goes on its way now.
+// Consume takes units that Check allowed, once, as the request is sent on.
 func (l *Limiter) Consume(c control.CustomerID, units float64) {
 	if a := l.accounts[c]; a != nil {
 		l.consume(a, units)
 	}
 }
 
-// consume draws units from the bucket, the view and the ceiling's part.
 func (l *Limiter) consume(a *Account, units float64) {
 	if a.limit.HardRate > 0 {
 		a.hardShare -= units
@@ -49,35 +48,40 @@
 	l.scheduleReport(a)
 }
 
-// consumeRemote takes units of what is lent or, where that is not enough, of what may be spent on no word.
+// consumeRemote takes units of a grant or, where that doesn't hold as many, of the allowance.
 func (l *Limiter) consumeRemote(a *Account, units float64) {
 	if l.currentGrant(a) >= units {
 		a.granted, a.grantUsed = a.granted-units, a.grantUsed+units
 		return
 	}
 	l.allowanceNow(a)
-	if a.allowance -= units; l.isolatedFrom(a) >= l.now {
+	a.allowance -= units
+	if l.isolatedFrom(a) >= l.now {
 		a.allowanceUsed, a.allowanceUnreported = a.allowanceUsed+units, a.allowanceUnreported+units
 	} else {
 		a.usedIsolated = true
 	}
 }
 
-// draw takes units from an owned bucket; what is not there was beyond the quota and takes nothing.
+// draw takes units from an owned bucket. What it doesn't hold was beyond the quota and takes nothing; in strict mode it is paid back, but
+// old use not for long. Recent reporters that believe there are units get a snapshot at once when there are none any more.
 func (l *Limiter) draw(a *Account, units float64) {
 	least := 0.0
-	if l.config.Strict { // spent without its word: paid back, but old use not for long
+	if l.config.Strict {
 		least = -a.limit.Rate * maxDebt.Seconds()
 	}
 	a.level = max(least, a.level-units)
 	if a.level >= 1 {
 		a.exhausted = false
-	} else if !a.exhausted { // exhaustion is told to recent reporters at once
-		a.exhausted = true
-		for _, r := range a.reports {
-			if l.now-r.receivedAt < reporterTTL && r.snapshotLevel >= 1 {
-				l.scheduleSnapshot(l.peers[r.from], a.id)
-			}
+		return
+	}
+	if a.exhausted {
+		return
+	}
+	a.exhausted = true
+	for _, r := range a.reports {
+		if l.now-r.receivedAt < reporterTTL && r.snapshotLevel >= 1 {
+			l.scheduleSnapshot(l.peers[r.from], a.id)
 		}
 	}
 }
--- a/control/quota/decode.go
+++ b/control/quota/decode.go
@@ -2,42 +2,94 @@
 
 import (
 	"encoding/binary"
-	"errors"
 	"time"
 
+	"github.com/go-faster/errors"
+
 	"clovergap/control"
 )
 
-func DecodeMessage(b []byte) (*Message, error) {
-	r := &reader{buffer: b}
-	if r.octet() != 2 {
-		return nil, errors.New("unknown form")
+// Errors of DecodeMessage.
+var (
+	// ErrMessageVersion: the datagram has another format than this program reads.
+	ErrMessageVersion = errors.New("unknown version of a datagram")
+	// ErrMalformed: the datagram ends early, has bytes left over, or holds a number out of range.
+	ErrMalformed = errors.New("malformed datagram")
+)
+
+// DecodeMessage reads a datagram.
+func DecodeMessage(payload []byte) (*Message, error) {
+	r := &reader{buffer: payload}
+	if r.octet() != messageVersion {
+		return nil, ErrMessageVersion
+	}
+	m := &Message{
+		Epoch:    r.fixed32(),
+		Interval: time.Duration(r.boundedUvarint(maxIntervalMillis)) * time.Millisecond,
+		Age:      time.Duration(r.octet()) * time.Second,
+		Seq:      r.boundedUvarint(maxSeq),
 	}
-	m := &Message{Epoch: r.fixed32(), Interval: time.Duration(r.boundedUvarint(1<<14)) * time.Millisecond,
-		Age: time.Duration(r.octet()) * time.Second, Seq: r.boundedUvarint(maxSeq)}
 	for n := r.octet(); n > 0 && !r.failed; n-- {
-		m.Deltas = append(m.Deltas, Delta{control.CustomerID(r.boundedUvarint(1 << 34)), control.PlanID(r.boundedUvarint(1 << 16)), r.sixteenths(),
-			int(r.boundedUvarint(1 << 20)), r.signedSixteenths(), control.GatewayID(r.boundedUvarint(1 << 20)), r.sixteenths(), int(r.boundedUvarint(1 << 20))})
+		m.Deltas = append(m.Deltas, r.delta())
 	}
-	m.Version, m.AckEpoch, m.AckHigh, m.AckMask = r.boundedUvarint(maxSeq), r.fixed32(), r.boundedUvarint(maxSeq), uint64(r.fixed32())
+	m.Version = r.boundedUvarint(maxSeq)
+	m.AckEpoch = r.fixed32()
+	m.AckHigh = r.boundedUvarint(maxSeq)
+	m.AckMask = uint64(r.fixed32())
 	for n := r.octet(); n > 0 && !r.failed; n-- {
-		m.Snapshots = append(m.Snapshots, Snapshot{control.CustomerID(r.boundedUvarint(1 << 34)), r.sixteenths(),
-			int(r.boundedUvarint(1 << 20)), int(r.boundedUvarint(1 << 20)), r.sixteenths()})
+		m.Snapshots = append(m.Snapshots, r.snapshot())
 	}
 	for n := r.octet(); n > 0 && !r.failed; n-- {
 		m.Observations = append(m.Observations, r.observation())
 	}
 	if r.failed || len(r.buffer) != 0 {
-		return nil, errors.New("cut short or too long")
+		return nil, ErrMalformed
 	}
 	return m, nil
 }
 
+// reader reads the fields of a datagram in their order. After a failure what it gives means nothing.
 type reader struct {
 	buffer []byte
 	failed bool
 }
 
+func (r *reader) delta() Delta {
+	return Delta{
+		Customer:    control.CustomerID(r.boundedUvarint(maxCustomer)),
+		Plan:        control.PlanID(r.boundedUvarint(maxPlan)),
+		Units:       r.sixteenths(),
+		InFlight:    r.count(),
+		Transfer:    r.signedSixteenths(),
+		SetFirst:    control.GatewayID(r.count()),
+		UnitsWanted: r.sixteenths(),
+		SetWidth:    r.count(),
+	}
+}
+
+func (r *reader) snapshot() Snapshot {
+	return Snapshot{
+		Customer:          control.CustomerID(r.boundedUvarint(maxCustomer)),
+		Level:             r.sixteenths(),
+		Reporters:         r.count(),
+		InFlightElsewhere: r.count(),
+		Grant:             r.sixteenths(),
+	}
+}
+
+// observation reads a ratio in eighths up to 253, and the two marks above.
+func (r *reader) observation() Observation {
+	o := Observation{BackendHash: uint64(r.octet()) | uint64(r.octet())<<8 | uint64(r.octet())<<16}
+	v := r.octet()
+	o.Product, o.Congestion = control.ProductID(v>>2), Congestion(v&3)
+	if v = r.octet(); v < 254 {
+		o.Ratio = float64(v) / 8
+	} else {
+		o.Ratio = float64(v - 256)
+	}
+	return o
+}
+
 // boundedUvarint reads a number that must not be over a bound.
 func (r *reader) boundedUvarint(most uint64) uint64 {
 	v, n := binary.Uvarint(r.buffer)
@@ -49,13 +101,14 @@
 	return v
 }
 
-// sixteenths reads sixteenths.
-func (r *reader) sixteenths() float64 { return float64(r.boundedUvarint(1<<20)) / 16 }
+func (r *reader) count() int { return int(r.boundedUvarint(maxCount)) }
+
+func (r *reader) sixteenths() float64 { return float64(r.boundedUvarint(maxCount)) / 16 }
 
-// signedSixteenths reads sixteenths that may be below nought.
+// signedSixteenths reads sixteenths that may be below 0.
 func (r *reader) signedSixteenths() float64 {
 	v, n := binary.Varint(r.buffer)
-	if n <= 0 || v > 1<<20 || v < -1<<20 {
+	if n <= 0 || v > maxCount || v < -maxCount {
 		r.failed = true
 		return 0
 	}
@@ -82,16 +135,3 @@
 	r.buffer = r.buffer[1:]
 	return int(v)
 }
-
-// observation reads one; eighths up to 253, and the marks above.
-func (r *reader) observation() Observation {
-	s := Observation{BackendHash: uint64(r.octet()) | uint64(r.octet())<<8 | uint64(r.octet())<<16}
-	v := r.octet()
-	s.Product, s.Congestion = control.ProductID(v>>2), Congestion(v&3)
-	if v = r.octet(); v < 254 {
-		s.Ratio = float64(v) / 8
-	} else {
-		s.Ratio = float64(v - 256)
-	}
-	return s
-}
--- a/control/quota/grant.go
+++ b/control/quota/grant.go
@@ -1,10 +1,8 @@
 package quota
 
-import (
-	"math"
-)
+import "math"
 
-// grantUnits sets units aside for a gateway whose txns wait: nobody else has them till it tells what became of it.
+// grantUnits sets units aside for a gateway whose requests wait for them: nobody else has them until it reports what became of them.
 func (l *Limiter) grantUnits(a *Account, r *report, left float64) (units float64) {
 	if r.unitsWanted > 0 && left >= r.unitsWanted {
 		units = max(r.unitsWanted, math.Floor(left/grantDivisor/float64(l.gateways)))
@@ -13,21 +11,22 @@
 	return units
 }
 
-// outstandingGrants is what is lent of an owned bucket, and may have been spent. A gateway that is silent for a window more has
-// spent it before that, or let go of it.
+// outstandingGrants is what is granted of an owned bucket and may still be consumed, or was consumed within the window. A gateway that is
+// silent for longer has consumed its grant before that, or let it expire.
 func (l *Limiter) outstandingGrants(a *Account) (units float64) {
-	if l.config.Strict {
-		for _, r := range a.reports {
-			if l.now-r.grantedAt >= grantMaxAge {
-				r.granted = 0
-			}
-			units += r.granted
+	if !l.config.Strict {
+		return 0
+	}
+	for _, r := range a.reports {
+		if l.now-r.grantedAt >= grantMaxAge {
+			r.granted = 0
 		}
+		units += r.granted
 	}
 	return units
 }
 
-// currentGrant is what this gateway has of what the owner lent it. What is not used soon it lets go.
+// currentGrant is what is left of this gateway's grant. What is not consumed soon expires, and is reported as used.
 func (l *Limiter) currentGrant(a *Account) float64 {
 	if l.now-a.grantedAt >= grantTTL {
 		a.granted, a.grantUsed = 0, a.grantUsed+a.granted
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -10,160 +10,187 @@
 	"clovergap/internal/invariant"
 )
 
-// Config are what users of a Quota set differently.
+// Config is what the two programs set differently. MinInterval, SnapshotTTL and DatagramsPerSecond must be above 0.
 type Config struct {
-	MinInterval        time.Duration // packing delay at the least: two messages to a peer are so far apart
-	SnapshotTTL        time.Duration // an owner's word is good for so long
-	DatagramsPerSecond float64       // messages a second that a gateway is able to take in
-	InitialFill        float64       // of the burst: what buckets begin with in a fleet that is all new
-	Strict             bool          // a gateway alone has its part of the rate, and no more: see Covered
-	// By parts: the rule allows rate x Window + burst, that times Excess more, and Margin units, in any Window.
-	Window         time.Duration
-	Excess, Margin float64
-	OwnershipDelay time.Duration // a bucket newly owned, by a start or by Grow, stays empty for so long
-	MaxUnits       float64       // the units of the largest txn
+	// MinInterval is the least time between two datagrams to one peer.
+	MinInterval time.Duration
+	// SnapshotTTL is how long an owner's snapshot may be used.
+	SnapshotTTL time.Duration
+	// DatagramsPerSecond is how many datagrams this gateway is able to take in.
+	DatagramsPerSecond float64
+	// InitialFill is the share of the burst that buckets begin with in a new cluster; 0: they begin empty.
+	InitialFill float64
+	// MaxUnits are the units of the largest request: a part of a hard limit holds as many.
+	MaxUnits float64
+
+	// Strict bounds what all gateways consume together, whatever is partitioned; see the package comment.
+	Strict bool
+	// Window, Excess and Margin state that bound: (1 + Excess) x (rate x Window + burst) + Margin units in any Window.
+	Window time.Duration
+	Excess float64 // a share
+	Margin float64 // units
+	// OwnershipDelay is how long a bucket stays empty after its ownership changed, by a start or by Grow.
+	OwnershipDelay time.Duration
 }
 
 // Limit is what a customer may use.
 type Limit struct {
-	Rate, Burst         float64 // units a second, units
-	MaxInFlight         int
-	HardRate, HardBurst float64
+	Rate        float64 // units a second; 0: not metered, but for the rest
+	Burst       float64 // units
+	MaxInFlight int     // submissions in flight over all gateways; 0: no bound
+	HardRate    float64 // units a second that are never exceeded; 0: no hard limit
+	HardBurst   float64 // units, the same
+}
+
+// Plans is what a limiter needs of a front door, whose customers have the limits of their plans.
+type Plans struct {
+	// PeersEnabled is false where nothing may be sent to peers.
+	PeersEnabled bool
+	// Limit gives the limits of a plan, nil for one that does not exist.
+	Limit func(control.PlanID) *Limit
+	// Observations gives the last observations of backends, which go along with datagrams, and how many there were in all.
+	Observations func() (last []Observation, count int)
+	// Observed takes those of a peer.
+	Observed func([]Observation)
 }
 
-// Limiter is one front door's part in metering all customers: the buckets it owns, its views of the others',
-// and the messages about them. Like Node it does nothing by itself: the host sets the clock with Now, tells
-// what happened, and pulls what is to be sent with Datagrams at the time that Next gives. Times are of the host's
-// clock.
+// Limiter is one gateway's part in metering all customers: the buckets that it owns, its snapshots of the others, and the messages
+// about them. It is not safe for concurrent use. All times are of the host's clock.
 type Limiter struct {
-	now, startedAt, ownersSince time.Duration // since: the owners were last worked out anew
-	pausedUntil                 time.Duration // when this gateway last stood still until
-	self                        control.GatewayID
-	gateways, reachable         int
-	reachableBefore             int           // before it last rose,
-	reachableAt                 time.Duration // at this time
-	config                      Config
-	epoch                       uint32 // of this life
-	plans                       Plans
+	config Config
+	plans  Plans // Limit nil: limits are set by SetLimit
+
+	now         time.Duration
+	startedAt   time.Duration
+	pausedUntil time.Duration // end of the last time in which this process stood still
+	ownersSince time.Duration // when owners were last assigned anew
+	sweptAt     time.Duration
+
+	self     control.GatewayID
+	gateways int
+	epoch    uint32
+
+	reachable       int           // gateways in touch with this one, itself included, as the host says
+	reachableBefore int           // before that last rose
+	reachableAt     time.Duration // when it last rose
+
+	olderPeers   int  // seen that were started before this gateway
+	youngPeers   int  // seen that were started with it
+	freshCluster bool // no gateway is older
 
 	accounts map[control.CustomerID]*Account
-	ordered  []*Account // in order of their coming
+	ordered  []*Account // the same, in order of their creation
 	removed  map[control.CustomerID]time.Duration
 
-	peers        []*peer
-	pending      []*peer       // with something due
-	interval     time.Duration // between messages to here, as peers are told
-	maxDatagrams float64       // messages a second taken in at most
-	received     int           // messages since the last tick
-	senders      int           // and the peers they came from
-	sweptAt      time.Duration
+	peers        []*peer       // by gateway; the own place is unused
+	pending      []*peer       // with something to send
+	version      uint64        // of the last message with snapshots
+	interval     time.Duration // between datagrams to here, as peers are asked to keep
+	maxDatagrams float64       // a second, from all peers
+	received     int           // datagrams since the last sweep
+	senders      int           // peers that they came from
 	badDatagrams int
-	version      uint64
-	olderPeers   int  // heard of
-	youngPeers   int  // started about when this gateway did
-	freshCluster bool // the whole fleet
 }
 
-// NewLimiter starts the part of gateway me of so many. The seed makes its epoch: no two lives should have the
-// same. Limits are told by SetLimit; each customer's owner is hashed over all gateways.
-func NewLimiter(seed int64, me control.GatewayID, gateways int, now time.Duration, t Config) *Limiter {
-	invariant.That(me >= 0 && int(me) < gateways, "a gateway is one of those there are")
-	invariant.That(t.MinInterval > 0 && t.SnapshotTTL > 0 && t.DatagramsPerSecond > 0, "terms of a quota are set")
-	q := newLimiter(rand.New(rand.NewSource(seed)).Uint32()|1, me, gateways, now, t)
-	q.plans.PeersEnabled, q.sweptAt = true, now
-	return q
+// NewLimiter starts the part of gateway self of so many. The seed makes its epoch: no two lives may have the same. Limits are set by
+// SetLimit, and each customer's set is all gateways.
+func NewLimiter(seed int64, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
+	invariant.That(self >= 0 && int(self) < gateways, "a gateway is one of those there are")
+	invariant.That(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0, "a quota is configured")
+	l := newLimiter(rand.New(rand.NewSource(seed)).Uint32()|1, self, gateways, now, config)
+	l.plans.PeersEnabled, l.sweptAt = true, now
+	return l
 }
 
-// Plans is what a limiter needs of a front door, whose customers have the limits of their plans.
-type Plans struct {
-	PeersEnabled bool                               // false: nothing is sent to peers
-	Limit        func(control.PlanID) *Limit        // of a plan; nil for one that there is not
-	Observations func() (last []Observation, n int) // of backends, to go along with messages, and how many there were in all
-	Observed     func([]Observation)                // takes those of a peer
+// NewPlanLimiter starts the part of a front door: customers have the limits of their plans, and the set that each txn names. The epoch
+// must not be 0.
+func NewPlanLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config, plans Plans) *Limiter {
+	l := newLimiter(epoch, self, gateways, now, config)
+	l.plans = plans
+	return l
 }
 
-// NewPlanLimiter is NewLimiter for a front door: limits are not set by SetLimit but are those of a customer's plan.
-func NewPlanLimiter(epoch uint32, me control.GatewayID, gateways int, now time.Duration, t Config, plans Plans) *Limiter {
-	q := newLimiter(epoch, me, gateways, now, t)
-	q.plans = plans
-	return q
-}
-
-func newLimiter(epoch uint32, me control.GatewayID, gateways int, now time.Duration, t Config) *Limiter {
-	q := &Limiter{now: now, startedAt: now, ownersSince: now, self: me, gateways: gateways, reachable: gateways, config: t,
-		epoch: epoch, interval: t.MinInterval, maxDatagrams: max(1, datagramShare*t.DatagramsPerSecond), accounts: map[control.CustomerID]*Account{},
-		removed: map[control.CustomerID]time.Duration{}}
-	for i := 0; i < gateways; i++ {
-		q.peers = append(q.peers, &peer{id: control.GatewayID(i)})
+func newLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
+	l := &Limiter{
+		config: config, epoch: epoch, self: self, gateways: gateways, reachable: gateways,
+		now: now, startedAt: now, ownersSince: now,
+		interval: config.MinInterval, maxDatagrams: max(1, datagramShare*config.DatagramsPerSecond),
+		accounts: map[control.CustomerID]*Account{},
+		removed:  map[control.CustomerID]time.Duration{},
+	}
+	for i := range gateways {
+		l.peers = append(l.peers, &peer{id: control.GatewayID(i)})
 	}
-	return q
+	return l
 }
 
-// Now sets the clock.
-func (l *Limiter) Now(t time.Duration) {
-	if l.now > l.startedAt && t-l.now > stallThreshold {
-		l.pausedUntil = t // it stood still: silence is held against nobody
+// Now sets the clock, which never goes back.
+func (l *Limiter) Now(now time.Duration) {
+	if l.now > l.startedAt && now-l.now > stallThreshold {
+		l.pausedUntil = now
 	}
-	l.now = max(l.now, t)
+	l.now = max(l.now, now)
 }
 
-// SetLimit says what a customer may use from now on: units a second, and units at once. A customer is at most
-// 1<<34. A lower burst cuts the level, a higher one fills at the rate. With a rate of nought or below it is
-// not metered.
+// SetLimit sets a customer's rate, in units a second, and burst, in units. A lower burst cuts the level at once, a higher one fills at
+// the rate. A rate of 0 or below ends the metering of this customer. Numbers of customers go up to 1<<34.
 func (l *Limiter) SetLimit(c control.CustomerID, rate, burst float64) {
 	invariant.That(l.plans.Limit == nil && c <= 1<<34, "a limit is of a customer that messages can name")
 	a := l.accounts[c]
-	if rate <= 0 {
-		if a != nil {
-			l.detach(a)
-			delete(l.accounts, c)
-			l.ordered = slices.DeleteFunc(l.ordered, func(o *Account) bool { return o == a })
-		}
-		l.removed[c] = l.now
-		return
-	}
-	if a == nil {
+	switch {
+	case rate <= 0:
+		l.removeLimit(c)
+	case a == nil:
 		delete(l.removed, c)
 		a = l.account(c, 0)
 		a.limit = &Limit{Rate: rate, Burst: burst}
 		a.level, a.levelAt = l.initialLevel(a), max(l.now, l.ownersSince+l.config.OwnershipDelay)
 		l.assignOwner(a, 0, l.gateways)
-		return
+	default:
+		if a.owner == l.self {
+			l.refill(a)
+		}
+		a.limit.Rate, a.limit.Burst = rate, burst
+		a.level = min(a.level, burst)
 	}
-	if a.owner == l.self {
-		l.refill(a)
+}
+
+func (l *Limiter) removeLimit(c control.CustomerID) {
+	if a := l.accounts[c]; a != nil {
+		l.detach(a)
+		delete(l.accounts, c)
+		l.ordered = slices.DeleteFunc(l.ordered, func(o *Account) bool { return o == a })
 	}
-	a.limit.Rate, a.limit.Burst = rate, burst
-	a.level = min(a.level, burst)
+	l.removed[c] = l.now
 }
 
-// SetReachable says which gateways are in touch with this one, by number. Under firm terms the buckets owned here fill by so
-// much less as others are out of reach, who have their parts alone; and a little longer than that, since those may
-// learn later that they are not alone any more. Until it is told, all are in reach.
+// SetReachable says which gateways are in touch with this one, by number; until it is called, all are. In strict mode the buckets owned
+// here fill by so much less as others are out of reach, since those consume their parts alone, and for reachabilityLag longer, since they may
+// learn later that they are not isolated any more.
 func (l *Limiter) SetReachable(live []bool) {
 	for _, a := range l.ordered {
 		if a.owner == l.self {
 			l.refill(a)
 		}
 	}
-	n := 0
+	count := 0
 	for i, p := range l.peers {
 		switch {
 		case i == int(l.self) || i >= len(live) || live[i]:
 			p.unreachableSince = 0
-			n++
+			count++
 		case p.unreachableSince == 0:
 			p.unreachableSince = max(l.now, 1)
 		}
 	}
-	if n > l.reachable {
+	if count > l.reachable {
 		l.reachableBefore, l.reachableAt = l.reachableNow(), l.now
 	}
-	l.reachable = n
+	l.reachable = count
 }
 
-// reachableNow is how many gateways count as in touch. An owner that has just started has nothing saved, and believes what
-// it is told.
+// reachableNow counts the gateways whose parts of the rate go into the buckets. An owner that has just started has withheld nothing, and
+// believes its host at once.
 func (l *Limiter) reachableNow() int {
 	if l.now-l.reachableAt < reachabilityLag && l.reachableAt-l.startedAt > grantMaxAge {
 		return min(l.reachable, l.reachableBefore)
@@ -171,73 +198,76 @@
 	return l.reachable
 }
 
-// Grow says that there are more gateways, or that this one is another of them. Owners are hashed anew over
-// all. What is no longer owned here becomes a view that is not known. What is newly owned starts empty, and
-// stays so for the fence: that stands for all use before, and nobody spends a bucket twice. Units that the
-// old owner has not acknowledged are told to the new one: if the old one had them, they count twice, and a
-// customer has too little for a moment. What the old owner had lent here is void. Only an old owner that does
-// not learn of the new one, because it is cut off, goes on beside it; so gateways should be added when all
-// are in touch.
-func (l *Limiter) Grow(me control.GatewayID, gateways int) {
-	invariant.That(gateways >= l.gateways && int(me) < gateways, "gateways get more")
-	was := l.self
-	if me == was && gateways == l.gateways {
+// Grow says that there are more gateways, or that this one has another number among them. Owners are hashed anew. A bucket that is owned
+// here from now on stays empty for Config.OwnershipDelay: that stands for everything consumed before, so that nobody spends it twice. Units that the
+// old owner has not acknowledged are reported to the new one; if the old one had applied them, they count twice, and the customer has too
+// little for a moment. Grants of the old owner are void. Only an old owner that is partitioned off goes on beside the new one, so gateways are to be added
+// while all are in touch.
+func (l *Limiter) Grow(self control.GatewayID, gateways int) {
+	invariant.That(gateways >= l.gateways && int(self) < gateways, "gateways get more")
+	before := l.self
+	if self == before && gateways == l.gateways {
 		return
 	}
 	for i := len(l.peers); i < gateways; i++ {
 		l.peers = append(l.peers, &peer{id: control.GatewayID(i)})
 	}
-	if me != was {
-		l.epoch += 2 // to the peers it is one that has just started
+	if self != before {
+		l.epoch += 2 // to the peers it is a gateway that has just started
 	}
-	all, fence := l.reachable == l.gateways, l.config.OwnershipDelay
-	if l.gateways == 1 && int(me) < gateways-1 {
-		fence = 0 // it has started again in a place that others know: they ask no other owner
+	allReachable, delay := l.reachable == l.gateways, l.config.OwnershipDelay
+	if l.gateways == 1 && int(self) < gateways-1 {
+		delay = 0 // it has started again under a number that the others know: they ask no other owner
 	}
-	l.self, l.gateways, l.ownersSince = me, gateways, l.now+fence-l.config.OwnershipDelay
-	if l.reachable = min(l.reachable, gateways); all {
+	l.self, l.gateways, l.ownersSince = self, gateways, l.now+delay-l.config.OwnershipDelay
+	if l.reachable = min(l.reachable, gateways); allReachable {
 		l.reachable = gateways
 	}
 	for _, a := range l.ordered {
-		owner := OwnerOf(a.id, 0, gateways, gateways)
-		a.setWidth, a.reporters = gateways, gateways
-		if owner == a.owner && me == was {
-			continue
-		}
-		if a.owner != was {
-			a.unreported, a.unacked = a.unreported+l.detach(a), 0
-		}
-		a.owner, a.level, a.levelAt, a.hasSnapshot, a.version, a.requestedAt, a.reports = owner, 0, l.now, false, 0, 0, nil
-		a.granted, a.grantUsed, a.allowanceAcked, a.ackedSince = 0, 0, 0, 0
-		if owner == me {
-			a.levelAt, a.unreported, a.allowanceUnreported, a.allowanceUsed = l.now+fence, 0, 0, 0
-		} else if a.unreported > 0 {
-			l.scheduleReport(a)
-		}
+		l.reassign(a, before, delay)
+	}
+}
+
+// reassign assigns an account's owner after Grow; before is the own number until then.
+func (l *Limiter) reassign(a *Account, before control.GatewayID, delay time.Duration) {
+	owner := OwnerOf(a.id, 0, l.gateways, l.gateways)
+	a.setWidth, a.reporters = l.gateways, l.gateways
+	if owner == a.owner && l.self == before {
+		return
+	}
+	if a.owner != before {
+		a.unreported, a.unacked = a.unreported+l.detach(a), 0
+	}
+	a.owner, a.level, a.levelAt, a.reports = owner, 0, l.now, nil
+	a.hasSnapshot, a.version, a.requestedAt = false, 0, 0
+	a.granted, a.grantUsed, a.allowanceAcked, a.ackedSince = 0, 0, 0, 0
+	if owner == l.self {
+		a.levelAt, a.unreported, a.allowanceUnreported, a.allowanceUsed = l.now+delay, 0, 0, 0
+	} else if a.unreported > 0 {
+		l.scheduleReport(a)
 	}
 }
 
-// detach takes all of an account out of what waits to be sent to its owner, and gives the unacknowledged
-// units.
+// detach takes an account out of everything that waits to be sent to its owner or acknowledged by it, and gives the unacknowledged units.
 func (l *Limiter) detach(a *Account) (units float64) {
 	p := l.peers[a.owner]
 	p.dirty = slices.DeleteFunc(p.dirty, func(o *Account) bool { return o == a })
 	a.dirty = false
-	for _, f := range p.unacked {
-		f.deltas = slices.DeleteFunc(slices.Clone(f.deltas), func(item Delta) bool {
-			if item.Customer == a.id {
-				units += item.Units
-				a.allowanceUnreported += f.allowance[a.id]
+	for _, u := range p.unacked {
+		u.deltas = slices.DeleteFunc(slices.Clone(u.deltas), func(d Delta) bool {
+			if d.Customer == a.id {
+				units += d.Units
+				a.allowanceUnreported += u.allowance[a.id]
 			}
-			return item.Customer == a.id
+			return d.Customer == a.id
 		})
 	}
-	p.unacked = slices.DeleteFunc(p.unacked, func(f *unackedDelta) bool { return len(f.deltas) == 0 })
+	p.unacked = slices.DeleteFunc(p.unacked, func(u *unackedDelta) bool { return len(u.deltas) == 0 })
 	return units
 }
 
-// learnAge learns whether the fleet is as young as this gateway: then nobody can have spent before, and buckets
-// are full. One older gateway is enough to know better: this one has restarted, its buckets start empty.
+// learnAge finds out whether the whole cluster was started with this gateway: then nobody can have consumed anything before, and buckets
+// begin with their initial fill. One older peer is proof of the contrary: this gateway has restarted, and its buckets begin empty.
 func (l *Limiter) learnAge(p *peer, age time.Duration) {
 	if age > l.now-l.startedAt+startSkew {
 		l.olderPeers++
@@ -256,20 +286,30 @@
 	l.freshCluster = true
 }
 
-// Sweep does the work that comes by the clock, once a second: it drops what is idle and works out how often
-// peers may write. Limits set by SetLimit stay.
+// Sweep does the periodic work, once a second; other calls do nothing.
 func (l *Limiter) Sweep() {
 	if l.now-l.sweptAt < time.Second {
 		return
 	}
-	// The gap between messages to here follows what comes in: a customer whose many gateways all write to
-	// its owner is told of less often, all others at once.
-	in := float64(l.received) / (l.now - l.sweptAt).Seconds()
-	l.interval = min(max(l.config.MinInterval, time.Duration(float64(l.interval)*max(in/l.maxDatagrams, intervalDecay))), maxInterval)
-	if in > l.maxDatagrams {
+	l.adjustInterval()
+	l.dropIdle()
+	l.sweptAt = l.now
+	maps.DeleteFunc(l.removed, func(_ control.CustomerID, at time.Duration) bool { return l.now-at > removedTTL })
+}
+
+// adjustInterval lets the interval that peers are asked to keep follow the load: a gateway that owns a customer of many gateways gets
+// fewer datagrams of each of them.
+func (l *Limiter) adjustInterval() {
+	rate := float64(l.received) / (l.now - l.sweptAt).Seconds()
+	l.interval = min(max(l.config.MinInterval, time.Duration(float64(l.interval)*max(rate/l.maxDatagrams, intervalDecay))), maxInterval)
+	if rate > l.maxDatagrams {
 		l.interval = max(l.interval, time.Duration(float64(l.senders)/l.maxDatagrams*float64(time.Second)))
 	}
 	l.received, l.senders = 0, 0
+}
+
+// dropIdle drops the accounts that a new one would equal. Those with a limit of their own (SetLimit) stay.
+func (l *Limiter) dropIdle() {
 	kept := l.ordered[:0]
 	for _, a := range l.ordered {
 		full := a.owner != l.self || a.level+a.limit.Rate*(l.now-a.levelAt).Seconds() >= a.limit.Burst &&
@@ -281,17 +321,16 @@
 		}
 		kept = append(kept, a)
 	}
-	l.ordered, l.sweptAt = kept, l.now
-	maps.DeleteFunc(l.removed, func(_ control.CustomerID, at time.Duration) bool { return l.now-at > removedTTL })
+	l.ordered = kept
 }
 
-// NextDeadline is the time of the clock at which Datagrams or Sweep may have something to do.
+// NextDeadline is the time at which NextDatagram or Sweep may have something to do, now at the earliest.
 func (l *Limiter) NextDeadline() time.Duration {
 	next := l.sweptAt + time.Second
 	for _, p := range l.pending {
 		at := next
 		if len(p.unacked) > 0 {
-			at = p.unacked[0].sentAt + (resendAfter+p.interval)<<p.unacked[0].resends + 1
+			at = p.resendAt() + 1
 		}
 		if len(p.dirty) > 0 || p.ackPending {
 			at = l.now
@@ -304,19 +343,22 @@
 	return max(next, l.now)
 }
 
-// Epoch is the number of this limiter's life, which its messages bear and peers acknowledge.
+// Epoch is the number of this life of the limiter; messages carry it, and peers acknowledge it.
 func (l *Limiter) Epoch() uint32 { return l.epoch }
 
-// HasPending tells whether something is due to a peer.
+// HasPending tells whether there is something to send to a peer, now or later.
 func (l *Limiter) HasPending() bool { return len(l.pending) > 0 }
 
-// Customers counts those of which something is kept.
+// Customers counts the customers of which an account is kept.
 func (l *Limiter) Customers() int { return len(l.accounts) }
 
-// AccountState is what is kept of a customer, for those who look for causes.
+// BadDatagrams counts the datagrams that were malformed or from no peer, and the deltas that could not be applied.
+func (l *Limiter) BadDatagrams() int { return l.badDatagrams }
+
+// AccountState is a part of an account, for diagnosis.
 type AccountState struct {
 	Owner    control.GatewayID
-	Level    float64 // units: the bucket's, or those of the owner's last snapshot
+	Level    float64 // units: in the bucket, or in the owner's last snapshot
 	Reserved float64 // units
 }
 
@@ -328,6 +370,3 @@
 	}
 	return AccountState{Owner: a.owner, Level: a.level, Reserved: a.reserved}, true
 }
-
-// BadDatagrams counts the messages, and parts of such, that were not taken.
-func (l *Limiter) BadDatagrams() int { return l.badDatagrams }
--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -1,11 +1,9 @@
 package quota
 
-import (
-	"clovergap/control"
-)
+import "clovergap/control"
 
-// DatagramReceived takes a peer's message and tells whether it may change what is covered. What does not decode is
-// dropped and counted.
+// DatagramReceived takes a peer's datagram, and tells whether it may change what is covered: then pending requests are to be checked again.
+// A datagram that is malformed, or from no peer, is dropped and counted; one of a former epoch is dropped.
 func (l *Limiter) DatagramReceived(from control.GatewayID, payload []byte) (news bool) {
 	m, err := DecodeMessage(payload)
 	if err != nil || from < 0 || int(from) >= len(l.peers) || from == l.self {
@@ -25,145 +23,185 @@
 	if m.Seq > 0 {
 		l.applyDeltas(p, m)
 	}
-	if m.AckEpoch == l.epoch {
+	forThisEpoch := m.AckEpoch == l.epoch
+	if forThisEpoch {
+		l.removeAcknowledged(p, m)
 		l.applySnapshots(p, m)
 	}
 	if l.plans.Observed != nil {
 		l.plans.Observed(m.Observations)
 	}
-	return m.Seq > 0 || m.AckEpoch == l.epoch
+	return m.Seq > 0 || forThisEpoch
 }
 
-// acceptsDeltas tells whether a delta may be taken: here it is known that its customers are metered, and owned here.
-// One that comes too early or too late is neither applied nor acknowledged, in no part of it: it comes again.
+// beginPeerEpoch notes that a peer has started again; false: the epoch is of a former life. What was reported to the former life is dropped: the new
+// one's buckets begin empty, which stands for all use before.
+func (l *Limiter) beginPeerEpoch(p *peer, epoch uint32) bool {
+	if p.isRetired(epoch) {
+		return false
+	}
+	if p.epoch != 0 {
+		l.dropReported(p)
+	}
+	for _, a := range l.ordered {
+		for _, r := range a.reports {
+			if r.from == p.id {
+				r.withheld = 0 // nobody reports what its former life consumed of it
+			}
+		}
+	}
+	p.beginEpoch(epoch)
+	return true
+}
+
+// dropReported forgets what was exchanged with a peer about the accounts that it owns.
+func (l *Limiter) dropReported(p *peer) {
+	for _, u := range p.unacked {
+		for _, d := range u.deltas {
+			if a := l.accounts[d.Customer]; a != nil {
+				a.unacked -= d.Units
+				a.allowanceUsed = max(0, a.allowanceUsed-u.allowance[a.id])
+			}
+		}
+	}
+	p.unacked = nil
+	for _, a := range l.ordered {
+		if a.owner == p.id {
+			a.hasSnapshot, a.version, a.requestedAt = false, 0, 0
+			a.granted, a.grantUsed, a.ackedSince = 0, 0, 0
+		}
+	}
+}
+
+// acceptsDeltas tells whether a message's deltas may be applied. Where limits are set by SetLimit, a delta may come before this gateway knows
+// its customer, or that it owns it. Then no part of the message is applied or acknowledged, and the peer sends it again.
 func (l *Limiter) acceptsDeltas(m *Message) bool {
 	if l.plans.Limit != nil {
 		return true
 	}
-	for _, delta := range m.Deltas {
-		a := l.accounts[delta.Customer]
-		if _, gone := l.removed[delta.Customer]; a == nil && !gone || a != nil && a.owner != l.self {
+	for _, d := range m.Deltas {
+		a := l.accounts[d.Customer]
+		if _, removed := l.removed[d.Customer]; a == nil && !removed || a != nil && a.owner != l.self {
 			return false
 		}
 	}
 	return true
 }
 
-// applyDeltas applies a delta once and marks its accounts for an answer.
+// applyDeltas applies a message's deltas, once, and queues a snapshot of each account as the answer.
 func (l *Limiter) applyDeltas(p *peer, m *Message) {
 	if !l.acceptsDeltas(m) {
 		l.badDatagrams++
 		return
 	}
-	fresh := p.recordApplied(m.Seq)
+	first := p.recordApplied(m.Seq)
 	p.ackPending = true
 	l.schedulePeer(p)
-	for _, delta := range m.Deltas {
-		if l.plans.Limit == nil && l.accounts[delta.Customer] == nil {
-			continue // not metered any more
-		}
-		if l.plans.Limit != nil && l.plans.Limit(delta.Plan) == nil {
-			l.badDatagrams++
-			continue
-		}
-		a := l.account(delta.Customer, delta.Plan)
-		if !a.placed { // a txn's own word goes before a peer's
-			l.assignOwner(a, delta.SetFirst, delta.SetWidth)
+	for _, d := range m.Deltas {
+		if a := l.accountOf(d); a != nil {
+			l.applyDelta(p, m, a, d, first)
+			l.scheduleSnapshot(p, a.id)
 		}
-		if a.owner != l.self {
-			l.badDatagrams++
-			continue
-		}
-		l.refill(a)
-		r := a.report(p.id)
-		if r.receivedAt = l.now; m.Seq == p.appliedHigh {
-			r.inFlight, r.unitsWanted = delta.InFlight, delta.UnitsWanted
-			l.releaseWithheld(a, r, r.withheld-float64(delta.InFlight)) // what it has yet to tell of may have been spent of its part
-		}
-		if l.config.Strict && fresh {
-			r.granted = max(0, r.granted-max(delta.Transfer, 0))
-		} else if !l.config.Strict {
-			r.granted = max(0, r.granted-delta.Units)
-		}
-		if fresh {
-			l.releaseWithheld(a, r, delta.Units-max(delta.Transfer, 0))
-			l.draw(a, delta.Units)
-		}
-		if fresh && m.AckEpoch == l.epoch && a.inSet && a.limit.HardRate > 0 {
-			r.hardWanted = max(-delta.Transfer, 0)
-		}
-		l.scheduleSnapshot(p, a.id)
 	}
 }
 
-// applySnapshots settles acknowledged deltas, then takes the owner's figures if they are not older than held.
-func (l *Limiter) applySnapshots(p *peer, m *Message) {
+// accountOf finds or makes the owned account that a delta is for; nil if there is none.
+func (l *Limiter) accountOf(d Delta) *Account {
+	if l.plans.Limit == nil && l.accounts[d.Customer] == nil {
+		return nil // not metered any more
+	}
+	if l.plans.Limit != nil && l.plans.Limit(d.Plan) == nil {
+		l.badDatagrams++
+		return nil
+	}
+	a := l.account(d.Customer, d.Plan)
+	if !a.placed { // what a txn here says goes before a peer's word
+		l.assignOwner(a, d.SetFirst, d.SetWidth)
+	}
+	if a.owner != l.self {
+		l.badDatagrams++
+		return nil
+	}
+	return a
+}
+
+// applyDelta applies one delta. Units count only the first time that it comes; what it says of the present only if no later one has come.
+func (l *Limiter) applyDelta(p *peer, m *Message, a *Account, d Delta, first bool) {
+	l.refill(a)
+	r := a.report(p.id)
+	r.receivedAt = l.now
+	if m.Seq == p.appliedHigh {
+		r.inFlight, r.unitsWanted = d.InFlight, d.UnitsWanted
+		l.releaseWithheld(a, r, r.withheld-float64(d.InFlight)) // what it has yet to report may have been of the withheld part
+	}
+	switch {
+	case !l.config.Strict:
+		r.granted = max(0, r.granted-d.Units)
+	case first:
+		r.granted = max(0, r.granted-max(d.Transfer, 0))
+	}
+	if !first {
+		return
+	}
+	l.releaseWithheld(a, r, d.Units-max(d.Transfer, 0))
+	l.draw(a, d.Units)
+	if m.AckEpoch == l.epoch && a.inSet && a.limit.HardRate > 0 {
+		r.hardWanted = max(-d.Transfer, 0)
+	}
+}
+
+// removeAcknowledged takes the deltas that a message acknowledges off the unacknowledged ones, and their units off the level.
+func (l *Limiter) removeAcknowledged(p *peer, m *Message) {
 	kept := p.unacked[:0]
-	for _, f := range p.unacked {
-		if !m.acknowledges(f.seq) {
-			kept = append(kept, f)
+	for _, u := range p.unacked {
+		if !m.acknowledges(u.seq) {
+			kept = append(kept, u)
 			continue
 		}
-		for _, delta := range f.deltas {
-			if a := l.accounts[delta.Customer]; a != nil {
-				a.unacked -= delta.Units
-				a.level -= delta.Units
-				a.allowanceAcked += f.allowance[a.id]
-				a.ackedSince = max(a.ackedSince, f.firstSentAt)
+		for _, d := range u.deltas {
+			if a := l.accounts[d.Customer]; a != nil {
+				a.unacked -= d.Units
+				a.level -= d.Units
+				a.allowanceAcked += u.allowance[a.id]
+				a.ackedSince = max(a.ackedSince, u.firstSentAt)
 			}
 		}
 	}
 	p.unacked = kept
-	once := m.Version > p.grantVersion
+}
+
+// applySnapshots takes a message's grants, once, and its levels unless later ones have come.
+func (l *Limiter) applySnapshots(p *peer, m *Message) {
+	takeGrants := m.Version > p.grantVersion
 	p.grantVersion = max(p.grantVersion, m.Version)
-	for _, snapshot := range m.Snapshots {
-		a := l.accounts[snapshot.Customer]
-		if once && a != nil && a.owner == p.id && a.limit.HardRate > 0 && a.inSet {
-			a.hardShare = min(l.hardShareCap(a), l.hardShareNow(a)+snapshot.Grant)
+	for _, s := range m.Snapshots {
+		a := l.accounts[s.Customer]
+		if a == nil || a.owner != p.id {
+			continue
 		}
-		if once && a != nil && a.owner == p.id && l.config.Strict {
-			if l.currentGrant(a); l.now-l.pausedUntil > l.answerTimeout(a) && snapshot.Grant > 0 { // else it may be of long ago
-				a.granted, a.grantedAt = a.granted+snapshot.Grant, l.now
-			}
-			l.confirmAllowance(a, snapshot.Level)
+		if takeGrants {
+			l.takeGrant(a, s)
 		}
-		if a == nil || a.owner != p.id || m.Version < a.version && a.hasSnapshot {
+		if m.Version < a.version && a.hasSnapshot {
 			continue
 		}
-		a.level, a.levelAt, a.hasSnapshot, a.version = snapshot.Level, l.now, true, m.Version
-		a.reporters, a.inFlightElsewhere, a.requestedAt = max(snapshot.Reporters, 1), snapshot.InFlightElsewhere, 0
+		a.level, a.levelAt, a.hasSnapshot, a.version = s.Level, l.now, true, m.Version
+		a.reporters, a.inFlightElsewhere, a.requestedAt = max(s.Reporters, 1), s.InFlightElsewhere, 0
 	}
 }
 
-// beginPeerEpoch notes that a peer has started again; a message of a life that is over is dropped.
-// What was reported to the old life is dropped: the new bucket starts empty, which stands for all use before.
-func (l *Limiter) beginPeerEpoch(p *peer, epoch uint32) bool {
-	if p.isRetired(epoch) {
-		return false
+// takeGrant adds what a snapshot grants: a part of the hard limit; in strict mode, units. After a standstill of this process the message may be old,
+// and units that it grants have expired.
+func (l *Limiter) takeGrant(a *Account, s Snapshot) {
+	if a.limit.HardRate > 0 && a.inSet {
+		a.hardShare = min(l.hardShareCap(a), l.hardShareNow(a)+s.Grant)
 	}
-	if p.epoch != 0 {
-		for _, f := range p.unacked {
-			for _, delta := range f.deltas {
-				if a := l.accounts[delta.Customer]; a != nil {
-					a.unacked -= delta.Units
-					a.allowanceUsed = max(0, a.allowanceUsed-f.allowance[a.id])
-				}
-			}
-		}
-		p.unacked = nil
-		for _, a := range l.ordered {
-			if a.owner == p.id {
-				a.hasSnapshot, a.requestedAt, a.version, a.granted, a.grantUsed, a.ackedSince = false, 0, 0, 0, 0, 0
-			}
-		}
+	if !l.config.Strict {
+		return
 	}
-	for _, a := range l.ordered {
-		for _, r := range a.reports {
-			if r.from == p.id {
-				r.withheld = 0 // nobody tells what its former life spent of it
-			}
-		}
+	l.currentGrant(a)
+	if l.now-l.pausedUntil > l.answerTimeout(a) && s.Grant > 0 {
+		a.granted, a.grantedAt = a.granted+s.Grant, l.now
 	}
-	p.beginEpoch(epoch)
-	return true
+	l.confirmAllowance(a, s.Level)
 }
--- a/control/quota/refill.go
+++ b/control/quota/refill.go
@@ -1,8 +1,6 @@
 package quota
 
-import (
-	"time"
-)
+import "time"
 
 // refill brings an owned bucket up to now.
 func (l *Limiter) refill(a *Account) {
@@ -12,37 +10,40 @@
 	}
 }
 
-// refillAmount is what an owned bucket gets in a time. By parts: gateways out of reach spend theirs alone. One that
-// has reported and is silent may do so too: its part is kept, and comes when it is heard, less its spending.
-// Kept until the host must have found it lost; if it was not, it had nothing to report.
+// refillAmount is what an owned bucket gets in a time: the rate; in strict mode, the parts of the gateways in touch. A gateway out of
+// reach consumes its part alone. One that reported and has fallen silent may do so too: its part is withheld until it is heard of, and then
+// released, less what it has consumed. After reporterLostAfter the host has found it lost; if not, it had nothing to report.
 func (l *Limiter) refillAmount(a *Account, in time.Duration) float64 {
 	if !l.config.Strict {
 		return a.limit.Rate * in.Seconds()
 	}
-	part, reach := a.limit.Rate*in.Seconds()/float64(l.gateways), l.reachableNow()
+	part, reachable := a.limit.Rate*in.Seconds()/float64(l.gateways), l.reachableNow()
 	for _, r := range a.reports {
-		late := l.now - max(r.receivedAt, l.pausedUntil)
-		switch lost := l.peers[r.from].unreachableSince > 0; {
-		case lost && late <= reporterQuietAfter && r.inFlight == 0: // its own word goes before the host's
-			reach++
-		case lost || (r.inFlight > 0 || late > reporterQuietAfter) && late < reporterLostAfter && l.withholdsEarly(a):
-			if r.withheld += part; !lost {
-				reach--
-			}
-		case late >= reporterLostAfter:
+		silentFor := l.now - max(r.receivedAt, l.pausedUntil)
+		lost := l.peers[r.from].unreachableSince > 0
+		mayBeIsolated := (r.inFlight > 0 || silentFor > reporterQuietAfter) && silentFor < reporterLostAfter && l.withholdsEarly(a)
+		switch {
+		case lost && silentFor <= reporterQuietAfter && r.inFlight == 0: // its own message is newer than the host's finding
+			reachable++
+		case lost: // not counted as reachable
+			r.withheld += part
+		case mayBeIsolated:
+			r.withheld += part
+			reachable--
+		case silentFor >= reporterLostAfter:
 			l.releaseWithheld(a, r, r.withheld)
 		}
 	}
-	return part * float64(max(1, reach))
+	return part * float64(max(1, reachable))
 }
 
-// withholdsEarly tells whether parts of the rate are kept for gateways that have just fallen silent. Of a small quota they come to
-// nothing in that time, and to keep them would only delay it.
+// withholdsEarly tells whether parts of the rate are withheld for gateways that have just fallen silent. Of a small rate they come to nothing in
+// that time, and to withhold them would only delay the customer.
 func (l *Limiter) withholdsEarly(a *Account) bool {
 	return a.limit.Rate >= minWithholdRate*float64(l.gateways)
 }
 
-// releaseWithheld puts of a reporter's part of the rate into the bucket.
+// releaseWithheld puts units that were withheld for a reporter into the bucket.
 func (l *Limiter) releaseWithheld(a *Account, r *report, units float64) {
 	if units = min(units, r.withheld); units > 0 {
 		a.level, r.withheld = min(a.limit.Burst, a.level+units), r.withheld-units
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -1,10 +1,9 @@
 package quota
 
-import (
-	"clovergap/control"
-)
+import "clovergap/control"
 
-// requestSnapshot makes the account part of the next delta, with nought if need be, unless a question is on its way.
+// requestSnapshot reports an account to its owner, with 0 units if need be, since the owner answers each report with a snapshot. While a report
+// is under way it does nothing.
 func (l *Limiter) requestSnapshot(a *Account) {
 	if a.requestedAt == 0 {
 		a.requestedAt = l.now
@@ -14,6 +13,7 @@
 	l.scheduleReport(a)
 }
 
+// scheduleReport queues an account for the next delta to its owner.
 func (l *Limiter) scheduleReport(a *Account) {
 	if !a.dirty && a.owner != l.self {
 		a.dirty = true
@@ -23,7 +23,7 @@
 	}
 }
 
-// scheduleSnapshot queues an account for the next snapshot to the peer.
+// scheduleSnapshot queues a customer for the next snapshots to a peer.
 func (l *Limiter) scheduleSnapshot(p *peer, id control.CustomerID) {
 	p.ackPending = true
 	l.schedulePeer(p)
@@ -36,7 +36,6 @@
 	}
 }
 
-// schedulePeer notes that something is due to a peer.
 func (l *Limiter) schedulePeer(p *peer) {
 	if !p.pending && l.plans.PeersEnabled {
 		p.pending = true
@@ -44,11 +43,12 @@
 	}
 }
 
-// NextDatagram gives what is due to a peer now: one packed message, deltas and answers together.
+// NextDatagram gives the next datagram that is to be sent now, and to whom; false when there is none. Peers take turns in the order in
+// which something to send came up.
 func (l *Limiter) NextDatagram() (to control.GatewayID, payload []byte, ok bool) {
-	posted := l.pending
+	queue := l.pending
 	l.pending = l.pending[:0]
-	for i, p := range posted {
+	for i, p := range queue {
 		p.pending = len(p.dirty) > 0 || p.ackPending || len(p.unacked) > 0
 		if !p.pending {
 			continue
@@ -57,60 +57,70 @@
 		if l.now-p.sentAt < max(p.interval, l.config.MinInterval) && p.sentAt > 0 {
 			continue
 		}
-		m := &Message{Epoch: l.epoch, Interval: l.interval, Age: l.now - l.startedAt,
-			AckEpoch: p.epoch, AckHigh: p.appliedHigh, AckMask: p.appliedMask}
-		if len(p.unacked) > 0 && l.now-p.unacked[0].sentAt > (resendAfter+p.interval)<<p.unacked[0].resends {
-			f := p.unacked[0] // again under its sequence
-			f.sentAt, f.resends = l.now, min(f.resends+1, maxResendDoublings)
-			p.unacked = append(p.unacked[1:], f)
-			m.Seq, m.Deltas = f.seq, l.refreshDeltas(f.deltas)
-		} else if len(p.dirty) > 0 {
-			l.packDeltas(p, m)
-		}
+		m := l.newMessage(p)
 		if m.Seq == 0 && !p.ackPending {
 			continue
 		}
-		l.pending = append(l.pending, posted[i+1:]...)
+		l.pending = append(l.pending, queue[i+1:]...)
 		return p.id, l.finishMessage(p, m), true
 	}
 	return 0, nil, false
 }
 
-// packDeltas moves unreported use into a new parcel, oldest first, so that none starves.
+// newMessage begins a message with the deltas that are to be sent: old ones again, under their sequence, or new ones.
+func (l *Limiter) newMessage(p *peer) *Message {
+	m := &Message{Epoch: l.epoch, Interval: l.interval, Age: l.now - l.startedAt,
+		AckEpoch: p.epoch, AckHigh: p.appliedHigh, AckMask: p.appliedMask}
+	switch {
+	case len(p.unacked) > 0 && l.now > p.resendAt():
+		oldest := p.unacked[0]
+		oldest.sentAt, oldest.resends = l.now, min(oldest.resends+1, maxResendDoublings)
+		p.unacked = append(p.unacked[1:], oldest)
+		m.Seq, m.Deltas = oldest.seq, l.refreshDeltas(oldest.deltas)
+	case len(p.dirty) > 0:
+		l.packDeltas(p, m)
+	}
+	return m
+}
+
+// packDeltas moves what is to be reported into the message, oldest first so that no account starves, as far as there is room.
 func (l *Limiter) packDeltas(p *peer, m *Message) {
 	p.lastSeq++
 	m.Seq = p.lastSeq
-	bare := map[control.CustomerID]float64{}
+	allowance := map[control.CustomerID]float64{}
 	for room := m.remaining() * deltaEighths / 8; len(p.dirty) > 0 && room >= maxDeltaBytes; {
 		a := p.dirty[0]
 		p.dirty = p.dirty[1:]
 		a.dirty = false
-		m.Deltas = append(m.Deltas, Delta{a.id, a.planID, a.unreported, l.reportedInFlight(a, a.unreported), l.takeTransfer(a), a.setFirst, a.unitsWanted,
-			a.setWidth})
+		d := Delta{
+			Customer: a.id, Plan: a.planID, Units: a.unreported, InFlight: l.reportedInFlight(a, a.unreported), Transfer: l.takeTransfer(a),
+			SetFirst: a.setFirst, UnitsWanted: a.unitsWanted, SetWidth: a.setWidth,
+		}
+		m.Deltas = append(m.Deltas, d)
 		if a.allowanceUnreported > 0 {
-			bare[a.id] = a.allowanceUnreported
+			allowance[a.id] = a.allowanceUnreported
 		}
 		a.unacked += a.unreported
 		a.unreported, a.unitsWanted, a.reportedAt, a.allowanceUnreported = 0, 0, l.now, 0
-		room -= len(m.Deltas[len(m.Deltas)-1].append(nil))
+		room -= len(d.append(nil))
 	}
 	if len(p.unacked) == 0 {
 		p.unackedSince = l.now
 	}
-	p.unacked = append(p.unacked, &unackedDelta{seq: m.Seq, sentAt: l.now, firstSentAt: l.now, deltas: m.Deltas, allowance: bare})
+	p.unacked = append(p.unacked, &unackedDelta{seq: m.Seq, sentAt: l.now, firstSentAt: l.now, deltas: m.Deltas, allowance: allowance})
 }
 
-// refreshDeltas brings up to date, in lines that go again, what else is to be told of.
-func (l *Limiter) refreshDeltas(lines []Delta) []Delta {
-	for i := range lines {
-		if a := l.accounts[lines[i].Customer]; l.config.Strict && a != nil {
-			lines[i].InFlight = l.reportedInFlight(a, lines[i].Units)
+// refreshDeltas brings up to date what deltas that are sent again say beside their units.
+func (l *Limiter) refreshDeltas(deltas []Delta) []Delta {
+	for i := range deltas {
+		if a := l.accounts[deltas[i].Customer]; l.config.Strict && a != nil {
+			deltas[i].InFlight = l.reportedInFlight(a, deltas[i].Units)
 		}
 	}
-	return lines
+	return deltas
 }
 
-// finishMessage adds to a message what goes along anyway, answers and more, and gives its bytes.
+// finishMessage adds what goes along with any message, and encodes it.
 func (l *Limiter) finishMessage(p *peer, m *Message) []byte {
 	l.packSnapshots(p, m)
 	l.attachObservations(p, m)
@@ -119,36 +129,47 @@
 	return m.Encode()
 }
 
+// packSnapshots adds the snapshots that a peer is to get, as far as there is room.
 func (l *Limiter) packSnapshots(p *peer, m *Message) {
 	l.version++
 	m.Version = l.version
 	for room := m.remaining(); len(p.snapshotQueue) > 0 && room >= maxSnapshotBytes; {
-		a := l.accounts[p.snapshotQueue[0]]
-		delete(p.snapshotQueued, p.snapshotQueue[0])
+		id := p.snapshotQueue[0]
+		delete(p.snapshotQueued, id)
 		p.snapshotQueue = p.snapshotQueue[1:]
+		a := l.accounts[id]
 		if a == nil || a.owner != l.self {
 			continue
 		}
-		l.refill(a)
-		sharers, out, told := l.recentReporters(a, p)
-		r := a.report(p.id)
-		left, given := max(0, a.level-told-a.reserved-l.outstandingGrants(a)), 0.0
-		if r.snapshotLevel = left; l.config.Strict {
-			given = l.grantUnits(a, r, left)
-		} else {
-			r.granted, r.grantedAt = 0, l.now
-			if left >= r.unitsWanted {
-				r.granted = r.unitsWanted
-			}
-			given = l.grantHardShare(a, r)
+		s := l.snapshotFor(p, a)
+		m.Snapshots = append(m.Snapshots, s)
+		room -= len(s.append(nil))
+	}
+}
+
+// snapshotFor makes the snapshot of an owned account for one reporter: what is left without what others have been promised, and what is
+// granted to it.
+func (l *Limiter) snapshotFor(p *peer, a *Account) Snapshot {
+	l.refill(a)
+	others, inFlight, promised := l.recentReporters(a, p)
+	r := a.report(p.id)
+	left := max(0, a.level-promised-a.reserved-l.outstandingGrants(a))
+	r.snapshotLevel = left
+	var grant float64
+	if l.config.Strict {
+		grant = l.grantUnits(a, r, left)
+	} else {
+		r.granted, r.grantedAt = 0, l.now
+		if left >= r.unitsWanted {
+			r.granted = r.unitsWanted
 		}
-		r.unitsWanted = 0
-		m.Snapshots = append(m.Snapshots, Snapshot{a.id, left, sharers + 1, out + a.inFlight, given})
-		room -= len(m.Snapshots[len(m.Snapshots)-1].append(nil))
+		grant = l.grantHardShare(a, r)
 	}
+	r.unitsWanted = 0
+	return Snapshot{Customer: a.id, Level: left, Reporters: others + 1, InFlightElsewhere: inFlight + a.inFlight, Grant: grant}
 }
 
-// attachObservations adds to a message, if there is room, how the host's last submissions went.
+// attachObservations adds the host's last observations, all of the new ones or, where there is no room, none.
 func (l *Limiter) attachObservations(p *peer, m *Message) {
 	if l.plans.Observations == nil {
 		return
