--- a/control/decision.go
+++ b/control/decision.go
@@ -1,48 +1,63 @@
 package control
 
-import (
-	"time"
-)
+import "time"
 
 // Action is what a decision asks of the host.
 type Action int
 
-// What the module may decide.
+// What may be decided.
 const (
-	Submit       Action = iota // pass Txn to Backend, give up after Limit (0: at expiry)
-	Reject                     // end Txn; the client may safely come again, best after Limit
-	Fail                       // end Txn; it may have run
-	Cancel                     // call off submission Nr of Txn
-	Probe                      // check Backend
-	SendDatagram               // send Payload to Peer
-	Wake                       // call Woken after Limit
-	Log                        // a line for the log, in Text
+	// Submit sends Txn to Backend, and gives up after After (0: at its expiry).
+	Submit Action = iota
+	// Reject answers Txn: it has not run and never will, and the client may come again, best after After (0: no advice).
+	Reject
+	// Fail answers Txn: it may have run.
+	Fail
+	// Cancel cancels submission Attempt of Txn.
+	Cancel
+	// Probe checks the health of Backend.
+	Probe
+	// SendDatagram sends Payload to Peer.
+	SendDatagram
+	// Wake calls Woken after After.
+	Wake
+	// Log writes Text to the log.
+	Log
 )
 
-// Decision is one thing to do now.
+// Decision is one thing to do now. Which fields count is told at the actions.
 type Decision struct {
 	Action          Action
 	Txn             TxnID
-	Attempt         int
+	Attempt         int // from 0
 	Backend         BackendID
 	After           time.Duration
-	ResponseTimeout time.Duration // an answer that has begun and is not whole by then is spoilt
+	ResponseTimeout time.Duration // of Submit: how long an answer that has begun may take to be complete
 	Peer            GatewayID
 	Payload         []byte
 	Text            string
-	Reason          Reason // of Decline and Void: what was lacking
-	Token           uint64
+	Reason          Reason // of Reject and Fail
+	Token           uint64 // of Wake: given back with Woken
 }
 
-// Reason is what a txn had too little of.
+// Reason is what a txn had too little of when it was given up. The order is that of the counters (internal/proxy/counters).
 type Reason int
 
+// What a txn may lack.
 const (
+	// ReasonNoTime: an answer would come too late.
 	ReasonNoTime Reason = iota
+	// ReasonNoUnits: the quota is used up.
 	ReasonNoUnits
+	// ReasonNoSnapshot: the quota's owner says so, or does not answer.
 	ReasonNoSnapshot
+	// ReasonNoSlot: as many submissions of the customer are in flight as may be.
 	ReasonNoSlot
+	// ReasonHardLimit: the customer's hard limit is reached.
 	ReasonHardLimit
+	// ReasonNoBackend: no backend is ready, or has room.
 	ReasonNoBackend
+
+	// ReasonCount is the number of reasons.
 	ReasonCount
 )
--- a/control/loadbalancer/backend.go
+++ b/control/loadbalancer/backend.go
@@ -9,64 +9,70 @@
 	"clovergap/control/quota"
 )
 
-// backend is what is known of one.
+// backend is what is known of one backend.
 type backend struct {
 	control.Endpoint
-	hash              uint64  // for rankings
-	warmth            float64 // share of its capacity that it surely has
-	inFlight          int
-	inFlightElsewhere float64       // what other gateways keep there, by reports
-	loadReportedAt    time.Duration // by the last one
-	slowdown          float64       // answer time against the usual, smoothed
-	failureShare      float64       // share of failing submissions, smoothed
-	failureSamples    float64       // weight of what fails was made of
-	unansweredSince   time.Duration
-	unanswered        int // sends since the last answer
-	rejectingUntil    time.Duration
-	failures          []productFailures // by product
-	load              float64           // at the last choice
-	rejections        int               // full answers in a row
-	ejected           bool
-	passedProbes      int // good probes in a row while aside
-	probing           bool
-	nextProbeAt       time.Duration
-	backoff           time.Duration
-	slowStartFrom     time.Duration
-	warmUpTokens      float64 // tokens of the cold budget
-	warmUpTokensAt    time.Duration
-	tokensLapse       bool // the cold budget is under one send in its window
-	sentAt            time.Duration
+	hash   uint64  // for rankings and observations
+	warmth float64 // share of its capacity that it has for sure, at the last survey
+	load   float64 // at the last choice
+
+	// Submissions.
+	inFlight        int
+	sentAt          time.Duration // of the last one
+	unanswered      int           // since the last answer
+	unansweredSince time.Duration // since when it owes one
+	rejections      int           // in a row
+	rejectingUntil  time.Duration
+
+	// Load reports.
+	inFlightElsewhere float64 // submissions of other front doors, smoothed
+	loadReportedAt    time.Duration
+
+	// Quality.
+	slowdown       float64 // answer time over the usual one, smoothed
+	failureShare   float64 // share of lost submissions, smoothed
+	failureSamples float64 // weight of what that is made of
+	failures       []productFailures
+
+	// Ejection.
+	ejected       bool
+	passedProbes  int // in a row, while ejected
+	probing       bool
+	nextProbeAt   time.Duration
+	backoff       time.Duration
+	slowStartFrom time.Duration // when it was last readmitted; 0: never
+
+	// Warming up.
+	warmUpTokens   float64
+	warmUpTokensAt time.Duration
+	tokensLapse    bool // the budget is under one submission in its window: what is not used in time is lost
 }
 
-// productFailures is how a backend does with one product.
+// productFailures is how submissions of one product fail, at one backend or at all.
 type productFailures struct {
-	share, samples         float64
-	excludedUntil, backoff time.Duration // passed over
+	share         float64 // smoothed
+	samples       float64 // answers that it is made of
+	excludedUntil time.Duration
+	backoff       time.Duration
+}
+
+// newBackend makes a backend of which nothing is known.
+func (c *Controller) newBackend(e control.Endpoint) *backend {
+	return &backend{Endpoint: e, hash: control.Hash64(uint64(e.ID)), slowdown: 1, failures: make([]productFailures, len(c.products))}
 }
 
-// EndpointsChanged takes news of the backends; a whole list replaces the old one.
-func (c *Controller) EndpointsChanged(whole bool, list []control.Endpoint) {
-	if whole {
+// EndpointsChanged takes changes of the backend list; a complete one replaces it.
+func (c *Controller) EndpointsChanged(complete bool, list []control.Endpoint) {
+	if complete {
 		for _, b := range c.ordered {
 			b.State = control.Gone
 		}
 	}
-	for _, l := range list {
-		b := c.backends[l.ID]
-		if b == nil {
-			b = &backend{Endpoint: l, hash: control.Hash64(uint64(l.ID)), slowdown: 1, failures: make([]productFailures, len(c.products))}
-			c.backends[l.ID] = b
-			c.ordered = append(c.ordered, b)
-			c.byHash[b.hash&quota.ObservationHashMask] = b
-			sort.Slice(c.ordered, func(i, j int) bool { return c.ordered[i].ID < c.ordered[j].ID })
-		}
-		if l.Started > b.Started { // a new process: what was known of the old one is void
-			*b = backend{Endpoint: l, hash: b.hash, slowdown: 1, inFlight: b.inFlight,
-				failures: make([]productFailures, len(c.products))}
-		}
-		b.Endpoint = l
+	for _, e := range list {
+		c.setEndpoint(e)
 	}
-	c.ordered = slices.DeleteFunc(c.ordered, func(b *backend) bool { // what is out there keeps its own hold of it
+	// A submission that is in flight keeps its own pointer to its backend.
+	c.ordered = slices.DeleteFunc(c.ordered, func(b *backend) bool {
 		if b.State == control.Gone {
 			delete(c.backends, b.ID)
 			delete(c.byHash, b.hash&quota.ObservationHashMask)
@@ -76,66 +82,90 @@
 	c.recheck, c.saturated, c.available = true, false, c.available[:0]
 }
 
-// share of its capacity that a backend surely has by now.
-func (c *Controller) warmthOf(b *backend) float64 {
-	if b.Started <= 0 || c.warmUpTime <= 0 || c.now-b.Started >= c.warmUpTime {
-		return 1
+func (c *Controller) setEndpoint(e control.Endpoint) {
+	b := c.backends[e.ID]
+	if b == nil {
+		b = c.newBackend(e)
+		c.backends[e.ID] = b
+		c.ordered = append(c.ordered, b)
+		c.byHash[b.hash&quota.ObservationHashMask] = b
+		sort.Slice(c.ordered, func(i, j int) bool { return c.ordered[i].ID < c.ordered[j].ID })
 	}
-	age := max(0, float64(c.now-b.Started)/float64(c.warmUpTime))
-	return c.initialWarmth + (1-c.initialWarmth)*age
+	if e.Started > b.Started { // a new process: what is known is of the former one
+		inFlight := b.inFlight
+		*b = *c.newBackend(e)
+		b.inFlight = inFlight
+	}
+	b.Endpoint = e
 }
 
-// survey brings up to now what every choice goes by, once for all choices of a short while.
+// survey brings up to date what every choice goes by; one survey is good for all choices of a short time.
 func (c *Controller) survey() {
 	if c.now-c.surveyedAt < surveyInterval && len(c.available) > 0 {
 		return
 	}
 	c.surveyedAt, c.available = c.now, c.available[:0]
-	n, slow := 0.0, c.slowdowns[:0]
+	warm, slowdowns := 0.0, c.slowdowns[:0]
 	for _, b := range c.ordered {
 		if b.State != control.Ready {
 			continue
 		}
 		b.warmth = c.warmthOf(b)
 		c.available = append(c.available, b)
-		if !b.ejected {
-			slow = append(slow, b.slowdown)
-			if b.warmth >= 1 {
-				n++
-			}
+		if b.ejected {
+			continue
+		}
+		slowdowns = append(slowdowns, b.slowdown)
+		if b.warmth >= 1 {
+			warm++
 		}
 	}
-	// The median answer time against the usual: when all are slow alike, none is at fault.
-	c.slowdowns, c.medianSlowdown, c.warmRate = slow, max(median(slow), 0.1), c.completionRateNow()/max(n, 1)
+	// When all are slow alike, none is at fault: backends are compared with the median.
+	c.slowdowns, c.medianSlowdown = slowdowns, max(median(slowdowns), minSlowdown)
+	c.warmRate = c.completionRateNow() / max(warm, 1)
 }
 
-// median is the median of some figures, 1 if there are none.
-func median(s []float64) float64 {
-	if len(s) == 0 {
+// warmthOf is the share of its capacity that a backend has for sure by now: it grows evenly from its start.
+func (c *Controller) warmthOf(b *backend) float64 {
+	if b.Started <= 0 || c.warmUpTime <= 0 || c.now-b.Started >= c.warmUpTime {
 		return 1
 	}
-	sort.Float64s(s)
-	return s[len(s)/2]
+	age := max(0, float64(c.now-b.Started)/float64(c.warmUpTime))
+	return c.initialWarmth + (1-c.initialWarmth)*age
+}
+
+// median sorts figures and gives the middle one, 1 if there are none.
+func median(figures []float64) float64 {
+	if len(figures) == 0 {
+		return 1
+	}
+	sort.Float64s(figures)
+	return figures[len(figures)/2]
 }
 
-// readLoad takes a load report: what others keep there. More than all gateways may have out can't be true.
+// readLoad takes a load report. One above what all front doors may have in flight can't be true.
 func (c *Controller) readLoad(b *backend, load []float64) {
-	if held, ok := inFlightOf(c.loadFields, load); ok && held <= maxCapacity*float64(c.gateways) {
-		b.inFlightElsewhere, b.loadReportedAt = b.inFlightElsewhere+loadSmoothing*(max(0, held-float64(b.inFlight))-b.inFlightElsewhere), c.now
+	reported, ok := reportedInFlight(c.loadFields, load)
+	if !ok || reported > maxCapacity*float64(c.gateways) {
+		return
 	}
+	elsewhere := max(0, reported-float64(b.inFlight))
+	b.inFlightElsewhere += loadSmoothing * (elsewhere - b.inFlightElsewhere)
+	b.loadReportedAt = c.now
 }
 
-// inFlightOf reads from a load report how many txns a backend holds: in hand, or waiting and in service.
-func inFlightOf(fields []string, load []float64) (held float64, ok bool) {
-	v := map[string]float64{}
+// reportedInFlight reads from a load report how many txns a backend holds: it says so, or how many are queued and how many are in service by
+// their rate and time.
+func reportedInFlight(fields []string, load []float64) (n float64, ok bool) {
+	values := map[string]float64{}
 	for i, f := range fields {
 		if i < len(load) && load[i] >= 0 && load[i] < 1e6 {
-			v[f] = load[i]
+			values[f] = load[i]
 		}
 	}
-	if held, ok = v["inflight"]; ok {
-		return held, true
+	if n, ok = values["inflight"]; ok {
+		return n, true
 	}
-	rate, ok := v["per_s"]
-	return v["queue"] + rate*v["service_ms"]/1000, ok
+	rate, ok := values["per_s"]
+	return values["queue"] + rate*values["service_ms"]/1000, ok
 }
--- a/control/loadbalancer/capacity.go
+++ b/control/loadbalancer/capacity.go
@@ -7,7 +7,7 @@
 	"clovergap/control/quota"
 )
 
-// congestionOf tells whether an answer says that the fleet is crowded, that it is not, or neither.
+// congestionOf tells whether an answer, or a time-out, shows that the fleet is congested, that it is not, or neither.
 func (c *Controller) congestionOf(t *txn, b *backend, e control.Ending) quota.Congestion {
 	if t.current == nil || e != control.Succeeded && e != control.TimedOut {
 		return quota.CongestionUnknown
@@ -17,25 +17,28 @@
 	if e == control.Succeeded && c.now-t.sentAt < late {
 		return quota.NotCongested
 	}
-	if b.warmth < 1 || b.slowdown > slowOutlierRatio*c.medianSlowdown || e == control.TimedOut && b.unansweredSince <= t.sentAt {
-		// A time-out at a backend that has answered nothing since is silence, not crowding.
-		return quota.CongestionUnknown // one backend's trouble: its own room is smaller by that, the fleet's is not
+	// What is one backend's fault makes its own capacity smaller, not the fleet's. A time-out at a backend that has answered nothing since is
+	// unresponsiveness, not congestion.
+	unresponsive := e == control.TimedOut && b.unansweredSince <= t.sentAt
+	if b.warmth < 1 || b.slowdown > slowOutlierRatio*c.medianSlowdown || unresponsive {
+		return quota.CongestionUnknown
 	}
 	return quota.Congested
 }
 
-// adjustCapacity learns how much this gateway may have out, by its own answers and those that peers tell of: late
-// ones take room away, prompt ones give it back while it is in use. It holds against overload, a slow fleet
-// and lost backends alike; it may hurt when a product's work is by itself near its SLA time.
+// adjustCapacity learns how much this front door may have in flight, from its own submissions and from those that peers tell of: late ones take
+// capacity away, prompt ones give it back while it is in use. That holds against overload, a slow fleet and lost backends alike; it may do harm
+// where the work of a product takes nearly its SLA time by itself.
 func (c *Controller) adjustCapacity(seen quota.Congestion) {
 	if seen == quota.NotCongested && c.underPressure() {
 		c.capacity = min(maxCapacity, c.capacity*(1+c.capacityGain))
 	}
-	// With room to spare the lateness is not of this gateway's making; and an exponential work time has late
-	// answers of its own, which would wear the room down while nothing wears it up.
+	// With capacity to spare the lateness is not of this front door's making. And exponential work times have late answers of their own,
+	// which would wear the capacity down while nothing brings it up.
 	if seen == quota.Congested && c.utilization >= minUtilization && c.underPressure() {
 		c.capacity, c.capacityGain = max(minCapacity/float64(c.gateways), c.capacity*(1-capacityLoss)), capacityGain
 	}
 }
 
+// underPressure tells whether capacity ran out a short time ago.
 func (c *Controller) underPressure() bool { return c.now-c.saturatedAt < pressureTTL }
--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -11,109 +11,140 @@
 	"clovergap/internal/timerqueue"
 )
 
-// Controller is the decision module of one gateway.
+// Controller decides for one front door. It is not safe for concurrent use. All times are of the host's clock.
 type Controller struct {
-	quota                        *quota.Limiter
-	now, startedAt, sweptAt      time.Duration
-	rng                          *rand.Rand
-	gateways                     int
-	zone                         control.ZoneID
-	products                     []product
-	plans                        []plan
-	probesAllowed                bool
-	cancelAllowed, adviceAllowed bool
-	maxAdvice                    time.Duration
-	maxSubmissions               int
-	loadByProbe                  bool
-	loadFields                   []string
-	warmUpTime, fallWindow       time.Duration
-	initialWarmth, fallMultiple  float64
-
-	txns             map[control.TxnID]*txn
-	timers           timerqueue.Queue[control.TxnID]
-	undecided        []*txn
-	waiting          []*txn // waiting for units, a view, a slot or a backend
-	recheck          bool
-	decisions        []control.Decision
-	backends         map[control.BackendID]*backend
-	ordered          []*backend      // in order of id
-	latency          map[int]float64 // usual answer time by product and units, in seconds
-	retryCredit      float64
-	probeCredit      float64 // probes that may go out to learn of load
-	wakeAt           time.Duration
-	pausedFrom       time.Duration // when this gateway stood still last
-	pausedUntil      time.Duration
-	capacity         float64       // submissions out at a usual backend, at most
-	saturatedAt      time.Duration // when room last ran out
-	givenUp          reasonCounts
-	loggedAt         time.Duration
-	surveyedAt       time.Duration
-	available        []*backend // ready ones
-	candidates       []*backend
-	slowdowns        []float64
-	medianSlowdown   float64
-	warmRate         float64 // sends a second to a warm backend
-	saturated        bool
-	meanWork         float64           // mean usual time of the txns sent, in seconds
-	fleetFailures    []productFailures // failing shares of the fleet
-	examinedAt       time.Duration
-	capacityGain     float64 // share that a prompt answer adds to the room
-	lostShare        float64 // share of submissions, everywhere
-	completionRate   float64 // settled a second at warm backends, smoothed
+	// Settings.
+	gateways       int // front doors, this one included
+	zone           control.ZoneID
+	products       []product
+	plans          []plan
+	maxSubmissions int           // of one txn
+	maxAdvice      time.Duration // longest time after which a client is advised to come again
+	probesAllowed  bool
+	cancelAllowed  bool
+	adviceAllowed  bool
+	loadByProbe    bool // load reports come with probes, not with answers
+	loadFields     []string
+	warmUpTime     time.Duration // of a backend that has started
+	initialWarmth  float64       // share of its capacity that such a backend begins with
+	fallWindow     time.Duration // more than fallMultiple times what a warm backend gets in it
+	fallMultiple   float64       // pushes over a backend that is warming up
+
+	// Time.
+	now         time.Duration
+	startedAt   time.Duration
+	sweptAt     time.Duration
+	wakeAt      time.Duration
+	pausedFrom  time.Duration // this process last stood still from then
+	pausedUntil time.Duration // to then
+
+	quota *quota.Limiter
+	rng   *rand.Rand
+
+	// Txns.
+	txns        map[control.TxnID]*txn
+	timers      timerqueue.Queue[control.TxnID] // expiries, and ends of waiting
+	undecided   []*txn                          // to be decided next
+	waiting     []*txn                          // for units, a snapshot, a slot or a backend
+	recheck     bool                            // what waits is to be decided again
+	decisions   []control.Decision              // made and not yet taken by Next
+	retryCredit float64
+	givenUp     reasonCounts // since the last summary
+	loggedAt    time.Duration
+
+	// Backends.
+	backends       map[control.BackendID]*backend
+	ordered        []*backend // the same, by id
+	byHash         map[uint64]*backend
+	available      []*backend // the ready ones at the last survey
+	surveyedAt     time.Duration
+	examinedAt     time.Duration
+	probeCredit    float64
+	candidates     []*backend // space for pick
+	slowdowns      []float64  // space for survey
+	medianSlowdown float64
+
+	// What is known of all backends.
+	latency          map[int]float64 // usual answer time by kind of work, in seconds
+	meanWork         float64         // mean usual answer time of the txns that were sent, in seconds
+	fleetFailures    []productFailures
+	lostShare        float64 // share of submissions that were lost
+	completionRate   float64 // answers a second of warm backends, smoothed
 	completionRateAt time.Duration
+	warmRate         float64             // the same of one warm backend
 	observations     []quota.Observation // how the last submissions went
 	observationCount int
-	byHash           map[uint64]*backend
-	utilization      float64 // share of the room in use
-}
 
-// New starts an instance: nothing is known but the settings.
-func New(seed int64, s control.Settings, now time.Duration) (*Controller, error) {
-	d, p := newController(seed, s, now)
-	d.retryCredit, d.saturatedAt, d.capacity = maxRetryCredit/3, -pressureTTL, initialCapacity/float64(max(d.gateways, 1))
-	d.probeCredit, d.capacityGain = maxProbeCredit, initialCapacityGain
-	return d, p.err
+	// Capacity.
+	capacity     float64
+	capacityGain float64
+	utilization  float64       // share of the capacity in use
+	saturated    bool          // no backend has room until something changes
+	saturatedAt  time.Duration // when that was last so
 }
 
-// newController makes an instance that knows its settings and nothing else.
-func newController(seed int64, s control.Settings, now time.Duration) (*Controller, *settingsReader) {
-	p := &settingsReader{settings: s}
-	me := control.GatewayID(p.count("me", 1<<20))
-	d := &Controller{now: now, startedAt: now, sweptAt: now, rng: rand.New(rand.NewSource(seed)),
-		gateways: p.count("gateways", 1<<20), zone: control.ZoneID(p.count("zone", 1<<16)), probesAllowed: p.boolean("limits.probes"),
-		cancelAllowed: p.boolean("limits.cancel"), adviceAllowed: p.boolean("limits.advice"),
-		maxAdvice: p.duration("limits.longest_advice"), maxSubmissions: p.count("limits.max_submissions", 1<<16),
-		loadByProbe: p.text("report.how") == "probe", warmUpTime: p.duration("rules.warm_by"),
-		fallWindow: p.duration("rules.fall_window"), initialWarmth: p.number("rules.cold_from"),
-		fallMultiple: p.number("rules.fall_multiple"), txns: map[control.TxnID]*txn{}, backends: map[control.BackendID]*backend{},
-		byHash: map[uint64]*backend{}, latency: map[int]float64{}}
-	d.loadFields = (&settingsReader{settings: control.Settings{"f": s["report.fields"]}}).list("f")
-	d.products, d.plans = p.products(), p.plans()
-	if len(d.products) == 0 || len(d.plans) == 0 {
-		p.fail("products.count and plans.count", "must be one at the least")
-	}
-	d.fleetFailures = make([]productFailures, len(d.products))
-	if d.gateways < 1 || int(me) >= d.gateways {
-		p.fail("me", "must be under the number of gateways, which is one at the least")
-	}
-	d.quota = quota.NewPlanLimiter(d.rng.Uint32()|1, me, d.gateways, now, quota.Config{MinInterval: minInterval, SnapshotTTL: snapshotTTL,
-		DatagramsPerSecond: p.number("quota.mail_per_s"), InitialFill: 1, MaxUnits: p.number("quota.most_units")},
-		quota.Plans{PeersEnabled: p.boolean("limits.peers"), Limit: d.planLimit, Observations: d.lastObservations, Observed: d.takeObservations})
-	return d, p
+// New makes a controller that knows its settings and nothing else. An error names the first setting that is missing or wrong.
+func New(seed int64, s control.Settings, now time.Duration) (*Controller, error) {
+	r := &settingsReader{settings: s}
+	self := control.GatewayID(r.count("me", 1<<20))
+	c := &Controller{
+		now: now, startedAt: now, sweptAt: now,
+		rng:            rand.New(rand.NewSource(seed)),
+		gateways:       r.count("gateways", 1<<20),
+		zone:           control.ZoneID(r.count("zone", 1<<16)),
+		probesAllowed:  r.boolean("limits.probes"),
+		cancelAllowed:  r.boolean("limits.cancel"),
+		adviceAllowed:  r.boolean("limits.advice"),
+		maxAdvice:      r.duration("limits.longest_advice"),
+		maxSubmissions: r.count("limits.max_submissions", 1<<16),
+		loadByProbe:    r.text("report.how") == "probe",
+		loadFields:     r.list("report.fields"),
+		warmUpTime:     r.duration("rules.warm_by"),
+		fallWindow:     r.duration("rules.fall_window"),
+		initialWarmth:  r.number("rules.cold_from"),
+		fallMultiple:   r.number("rules.fall_multiple"),
+		products:       r.products(),
+		plans:          r.plans(),
+		txns:           map[control.TxnID]*txn{},
+		backends:       map[control.BackendID]*backend{},
+		byHash:         map[uint64]*backend{},
+		latency:        map[int]float64{},
+		retryCredit:    maxRetryCredit / 3,
+		probeCredit:    maxProbeCredit,
+		capacityGain:   initialCapacityGain,
+		saturatedAt:    -pressureTTL,
+	}
+	c.capacity = initialCapacity / float64(max(c.gateways, 1))
+	c.fleetFailures = make([]productFailures, len(c.products))
+	if len(c.products) == 0 || len(c.plans) == 0 {
+		r.fail("products.count and plans.count", "must be one at the least")
+	}
+	if c.gateways < 1 || int(self) >= c.gateways {
+		r.fail("me", "must be under the number of gateways, which is one at the least")
+	}
+	config := quota.Config{
+		MinInterval: minInterval, SnapshotTTL: snapshotTTL, InitialFill: 1,
+		DatagramsPerSecond: r.number("quota.mail_per_s"), MaxUnits: r.number("quota.most_units"),
+	}
+	plans := quota.Plans{
+		PeersEnabled: r.boolean("limits.peers"), Limit: c.planLimit,
+		Observations: c.lastObservations, Observed: c.takeObservations,
+	}
+	c.quota = quota.NewPlanLimiter(c.rng.Uint32()|1, self, c.gateways, now, config, plans)
+	return c, r.err
 }
 
 // planLimit gives the limits of a plan, nil for one that the settings don't name.
-func (c *Controller) planLimit(pl control.PlanID) *quota.Limit {
-	if pl < 0 || int(pl) >= len(c.plans) {
+func (c *Controller) planLimit(id control.PlanID) *quota.Limit {
+	if id < 0 || int(id) >= len(c.plans) {
 		return nil
 	}
-	return &c.plans[pl].Limit
+	return &c.plans[id].Limit
 }
 
-// Now sets the clock.
+// Now sets the clock, which never goes back. After a standstill of this process time-outs, silence and old snapshots are of its own making, and
+// are held against nobody. What arrived meanwhile has waited already, see backdateArrivals.
 func (c *Controller) Now(now time.Duration) {
-	// A gateway that stood still for longer than its periodic work allows finds time-outs, silence and old views
-	// of its own making: they are held against nobody. What came meanwhile has waited already, see backdateArrivals.
 	if c.now > c.startedAt && now-c.now > stallThreshold {
 		c.pausedFrom, c.pausedUntil = c.now, now
 		for _, b := range c.ordered {
@@ -124,28 +155,20 @@
 	c.quota.Now(now)
 }
 
-// Next gives the next thing to do now, or false when there is none.
+// Next gives the next decision, or false when there is none now: made ones, then txns, timers, periodic work, datagrams, the next wake-up.
 func (c *Controller) Next() (control.Decision, bool) {
 	if c.pausedFrom < c.pausedUntil {
 		c.backdateArrivals()
 	}
 	for {
 		if len(c.decisions) > 0 {
-			x := c.decisions[0]
+			d := c.decisions[0]
 			c.decisions = c.decisions[1:]
-			return x, true
+			return d, true
 		}
 		if c.recheck {
 			c.recheck = false
-			if len(c.waiting) > 0 {
-				for _, t := range c.waiting {
-					t.queued = false
-				}
-				c.undecided, c.waiting = append(c.waiting, c.undecided...), nil
-				if c.underPressure() { // what is worth most for the time it takes goes first, the older before
-					sort.SliceStable(c.undecided, func(i, j int) bool { return c.valueRate(c.undecided[i]) > c.valueRate(c.undecided[j]) })
-				}
-			}
+			c.requeueWaiting()
 		}
 		if len(c.undecided) > 0 {
 			t := c.undecided[0]
@@ -159,7 +182,7 @@
 			}
 			continue
 		}
-		if c.now-c.sweptAt >= c.workInterval() {
+		if c.now-c.sweptAt >= c.sweepInterval() {
 			c.sweptAt = c.now
 			c.sweep()
 			continue
@@ -171,15 +194,30 @@
 	}
 }
 
-// workInterval is the time from one periodic work to the next.
-func (c *Controller) workInterval() time.Duration {
+// requeueWaiting puts what waits before what is undecided. Under pressure what is worth most for the time it takes goes first, of the same
+// worth the older.
+func (c *Controller) requeueWaiting() {
+	if len(c.waiting) == 0 {
+		return
+	}
+	for _, t := range c.waiting {
+		t.queued = false
+	}
+	c.undecided, c.waiting = append(c.waiting, c.undecided...), nil
+	if c.underPressure() {
+		sort.SliceStable(c.undecided, func(i, j int) bool { return c.valueRate(c.undecided[i]) > c.valueRate(c.undecided[j]) })
+	}
+}
+
+// sweepInterval is the time from one sweep to the next.
+func (c *Controller) sweepInterval() time.Duration {
 	if len(c.waiting) > 0 || c.quota.HasPending() {
 		return busyInterval
 	}
 	return surveyInterval
 }
 
-// sweep is all work that comes by the clock.
+// sweep does the periodic work.
 func (c *Controller) sweep() {
 	c.recheck, c.saturated = true, false
 	if c.now-c.examinedAt >= surveyInterval {
@@ -189,13 +227,13 @@
 	c.quota.Sweep()
 }
 
-// wake asks for the one periodic timer and, if something is due before it, for that time.
+// wake asks to be woken for the next sweep or timer, unless that was asked before.
 func (c *Controller) wake() (control.Decision, bool) {
-	next := c.sweptAt + c.workInterval()
+	next := c.sweptAt + c.sweepInterval()
 	if at, ok := c.timers.Next(); ok {
 		next = min(next, at)
 	}
-	next = max(next, c.now+time.Millisecond)
+	next = max(next, c.now+minWake)
 	if c.wakeAt > c.now && c.wakeAt <= next {
 		return control.Decision{}, false
 	}
@@ -203,25 +241,25 @@
 	return control.Decision{Action: control.Wake, After: c.wakeAt - c.now}, true
 }
 
-// Woken is called when a wake-up that was asked for has come.
+// Woken is called when a wake-up that was asked for has come. Next finds what is due by the clock.
 func (c *Controller) Woken(uint64) {}
 
-// DatagramReceived takes a peer message. What does not decode is dropped and counted.
+// DatagramReceived takes a peer's datagram.
 func (c *Controller) DatagramReceived(from control.GatewayID, payload []byte) {
 	if c.quota.DatagramReceived(from, payload) {
 		c.recheck = true
 	}
 }
 
-// logSummary writes the line for the log.
-func (c *Controller) logSummary(aside int) {
+// logSummary writes the summary for the log.
+func (c *Controller) logSummary(ejected int) {
 	c.decisions = append(c.decisions, control.Decision{Action: control.Log, Text: fmt.Sprintf("given up for want of%s; room %.2f, "+
-		"%d of %d backends aside, %d txns wait, %d bad messages", c.givenUp.text(), c.capacity, aside, len(c.available),
+		"%d of %d backends aside, %d txns wait, %d bad messages", c.givenUp.text(), c.capacity, ejected, len(c.available),
 		len(c.waiting), c.quota.BadDatagrams())})
 	c.givenUp, c.loggedAt = reasonCounts{}, c.now
 }
 
-// reasonCounts counts txns given up by what they lacked.
+// reasonCounts counts txns by what they lacked when they were given up.
 type reasonCounts [control.ReasonCount]int
 
 func (r reasonCounts) text() (s string) {
--- a/control/loadbalancer/ejection.go
+++ b/control/loadbalancer/ejection.go
@@ -6,48 +6,57 @@
 	"clovergap/control"
 )
 
-// examineBackends judges the backends.
+// examineBackends ejects and readmits backends, and sends a probe where one is due.
 func (c *Controller) examineBackends() {
 	c.survey()
-	aside := 0
-	var turn *backend // whose load is asked next
+	ejected := 0
 	for _, b := range c.available {
 		if b.ejected {
-			aside++
+			ejected++
 		}
 	}
+	var next *backend // to be probed
 	for _, b := range c.available {
-		if b.ejected {
+		switch {
+		case b.ejected:
 			if c.readmit(b) {
-				aside--
+				ejected--
 			}
-		} else if unheard := b.unanswered >= 2 && c.now-b.unansweredSince > unresponsiveEjectionTime; unheard ||
-			float64(aside+1) <= maxEjectedShare*float64(len(c.available)) &&
-				(b.failureSamples >= 2 && b.failureShare > failureThreshold && b.failureShare > failureOutlierFactor*c.lostShare || b.slowdown > slowEjectionRatio*c.medianSlowdown) {
-			// One that owes answers is passed over anyhow, so there is no bound on how many of these are set
-			// aside: only from there a way leads back, by probes or trial, whatever products come.
-			b.ejected, b.passedProbes = true, 0
-			b.backoff = min(max(minEjectionTime, 2*b.backoff), maxEjectionTime)
-			b.nextProbeAt = c.now + b.backoff
-			aside++
+		case c.shouldEject(b, ejected):
+			c.eject(b)
+			ejected++
 		}
-		if (c.loadByProbe || b.ejected && c.probesAllowed) && !b.probing && c.now >= b.nextProbeAt && (turn == nil ||
-			b.ejected && !turn.ejected || b.ejected == turn.ejected && b.nextProbeAt < turn.nextProbeAt) {
-			turn = b
+		if c.mayProbe(b) && (next == nil || probeFirst(b, next)) {
+			next = b
 		}
 	}
-	c.probeCredit = min(maxProbeCredit, c.probeCredit+idleProbeCredit)
-	if turn != nil && c.probeCredit >= 1 { // txns pay for most probes: many gateways ask no more than few
-		c.probeCredit--
-		turn.probing, turn.nextProbeAt = true, c.now+minEjectionTime
-		c.decisions = append(c.decisions, control.Decision{Action: control.Probe, Backend: turn.ID})
-	}
+	c.sendProbe(next)
 	if c.now-c.loggedAt >= logInterval {
-		c.logSummary(aside)
+		c.logSummary(ejected)
+	}
+}
+
+// shouldEject tells whether a backend is to be ejected, where so many are already. There is no bound on the unresponsive ones, which are passed over
+// anyhow: only from an ejection a way leads back, by probes or by trial, whatever txns come.
+func (c *Controller) shouldEject(b *backend, ejected int) bool {
+	if b.unanswered >= 2 && c.now-b.unansweredSince > unresponsiveEjectionTime {
+		return true
+	}
+	if float64(ejected+1) > maxEjectedShare*float64(len(c.available)) {
+		return false
 	}
+	failing := b.failureSamples >= 2 && b.failureShare > failureThreshold && b.failureShare > failureOutlierFactor*c.lostShare
+	return failing || b.slowdown > slowEjectionRatio*c.medianSlowdown
+}
+
+// eject passes over a backend, twice as long each time.
+func (c *Controller) eject(b *backend) {
+	b.ejected, b.passedProbes = true, 0
+	b.backoff = min(max(minEjectionTime, 2*b.backoff), maxEjectionTime)
+	b.nextProbeAt = c.now + b.backoff
 }
 
-// readmit probes a backend that is aside and lets it return, warming, after good answers.
+// readmit ends an ejection after successful probes or, where there are none, after its time. The backend comes back with a slow start.
 func (c *Controller) readmit(b *backend) bool {
 	if !c.probesAllowed && c.now < b.nextProbeAt ||
 		c.probesAllowed && (b.passedProbes < probesToReturn || c.now < b.nextProbeAt-b.backoff+minEjectionTime) {
@@ -58,15 +67,39 @@
 	return true
 }
 
-// ProbeEnded takes the answer to a probe.
-func (c *Controller) ProbeEnded(at control.BackendID, good bool, took time.Duration, load []float64) {
+// mayProbe tells whether a backend may be probed now: an ejected one, or any where load reports come with probes.
+func (c *Controller) mayProbe(b *backend) bool {
+	return (c.loadByProbe || b.ejected && c.probesAllowed) && !b.probing && c.now >= b.nextProbeAt
+}
+
+// probeFirst tells whether b is to be probed before another: ejected ones first, then by when the probe was due.
+func probeFirst(b, other *backend) bool {
+	if b.ejected != other.ejected {
+		return b.ejected
+	}
+	return b.nextProbeAt < other.nextProbeAt
+}
+
+// sendProbe probes a backend, if there is one, at the cost of a probe credit. Txns earn most of these: so many front doors probe no more than few.
+func (c *Controller) sendProbe(b *backend) {
+	c.probeCredit = min(maxProbeCredit, c.probeCredit+idleProbeCredit)
+	if b == nil || c.probeCredit < 1 {
+		return
+	}
+	c.probeCredit--
+	b.probing, b.nextProbeAt = true, c.now+minEjectionTime
+	c.decisions = append(c.decisions, control.Decision{Action: control.Probe, Backend: b.ID})
+}
+
+// ProbeEnded takes the outcome of a probe, with a load report if there is one.
+func (c *Controller) ProbeEnded(at control.BackendID, passed bool, _ time.Duration, load []float64) {
 	b := c.backends[at]
 	if b == nil {
 		return
 	}
 	b.probing = false
 	c.readLoad(b, load)
-	if !good {
+	if !passed {
 		b.passedProbes = 0
 		b.failureShare += smoothing * (1 - b.failureShare)
 		return
--- a/control/loadbalancer/outcome.go
+++ b/control/loadbalancer/outcome.go
@@ -7,10 +7,9 @@
 	"clovergap/control/quota"
 )
 
-// recordOutcome updates what is known of a backend by an outcome.
+// recordOutcome learns from how a submission ended. The txn is nil if it has been answered and forgotten.
 func (c *Controller) recordOutcome(t *txn, b *backend, e control.Ending, took time.Duration, load []float64) {
-	answered := e == control.Succeeded || e == control.Errored || e == control.Rejected
-	if answered {
+	if e == control.Succeeded || e == control.Errored || e == control.Rejected {
 		b.unanswered, b.unansweredSince = 0, 0
 		if b.inFlight > 1 {
 			b.unanswered, b.unansweredSince = b.inFlight-1, c.now
@@ -18,112 +17,116 @@
 		c.readLoad(b, load)
 	}
 	if t == nil || t.sentAt < c.pausedUntil && (e == control.Succeeded || e == control.TimedOut) {
-		return // how long it took is this gateway's own doing
+		return // how long it took is this process's own doing
 	}
-	s := quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Product: t.Product, Congestion: c.congestionOf(t, b, e)}
-	c.adjustCapacity(s.Congestion)
+	o := quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Product: t.Product, Congestion: c.congestionOf(t, b, e)}
+	c.adjustCapacity(o.Congestion)
 	switch e {
 	case control.Unreachable, control.ConnectionLost:
-		s.Ratio = quota.ObservedLost
+		o.Ratio = quota.ObservedLost
 	case control.Errored:
-		s.Ratio = quota.ObservedFailed
+		o.Ratio = quota.ObservedFailed
 	case control.TimedOut:
-		if s.Ratio = float64(c.now-t.sentAt) / float64(c.usualLatency(t)); s.Ratio >= 3 {
-			s.Ratio = quota.ObservedLost
+		if o.Ratio = float64(c.now-t.sentAt) / float64(c.usualLatency(t)); o.Ratio >= lostLatencyRatio {
+			o.Ratio = quota.ObservedLost
 		}
 	case control.Rejected:
-		// A full backend is left alone for twice as long each time in a row. It says nothing of the others:
-		// were it to take room from all, one that is always full would starve the fleet.
-		b.rejectingUntil = c.now + rejectionBackoff<<min(b.rejections, maxRejectionDoublings)
-		b.rejections++
+		c.recordRejection(b)
 		return
 	case control.Succeeded:
 		b.rejections = 0
-		s.Ratio = c.recordLatency(t, took)
+		o.Ratio = c.recordLatency(t, took)
 		c.countCompletion(b)
 	case control.Canceled, control.NotSent:
 		return
 	}
-	c.applyObservation(b, s)
-	c.observations = append(c.observations, s) // told to peers with messages that go anyway
+	c.applyObservation(b, o)
+	c.observations = append(c.observations, o)
 	c.observations = c.observations[max(0, len(c.observations)-observationsPerMessage):]
 	c.observationCount++
 }
 
-// recordLatency learns the usual answer time and gives an answer's time against it.
+// recordRejection leaves a backend that rejected a submission alone, twice as long each time in a row. It says nothing of the others: were it
+// to take capacity from all, one that always rejects would starve the fleet.
+func (c *Controller) recordRejection(b *backend) {
+	b.rejectingUntil = c.now + rejectionBackoff<<min(b.rejections, maxRejectionDoublings)
+	b.rejections++
+}
+
+// recordLatency learns the usual answer time from an answer, and gives the answer's ratio to it.
 func (c *Controller) recordLatency(t *txn, took time.Duration) float64 {
 	kind := c.workKind(t)
 	usual, ok := c.latency[kind]
 	if !ok {
 		usual = took.Seconds()
 	}
-	step := smoothing / 2 * (min(took.Seconds(), maxLatencyFactor*usual) - usual)
+	step := latencySmoothing * (min(took.Seconds(), maxLatencyFactor*usual) - usual)
 	if step > 0 && c.underPressure() {
-		step = 0 // under pressure answers hold waiting, which is no part of the usual time
+		step = 0 // under pressure answers wait in queues, which is no part of the usual time
 	}
 	c.latency[kind] = usual + step
-	return min(took.Seconds()/max(usual, 0.0005), maxLatencyRatio)
-}
-
-// recordLoss counts a submission as lost or not.
-func (c *Controller) recordLoss(b *backend, bad float64) {
-	b.failureSamples = b.failureSamples*(1-smoothing) + 1
-	b.failureShare += max(smoothing, 1/b.failureSamples) * (bad - b.failureShare)
-	c.lostShare += smoothing / 5 * (bad - c.lostShare)
+	return min(took.Seconds()/max(usual, minLatencySeconds), maxLatencyRatio)
 }
 
-// applyObservation takes how one submission went at a backend, from here or from a peer. Among hundreds of gateways
-// each sees any one backend every ten seconds or so, too seldom to find slow, failing and dead ones alone.
-// A peer's word weighs as one answer: it can't open a backend, and what is passed over by it is bounded and
-// tried again like all else. Covers slow, failing and lost backends; a slow peer may mislead.
-func (c *Controller) applyObservation(b *backend, s quota.Observation) {
-	switch s.Ratio {
+// applyObservation learns from how one submission went, from here or from a peer. A peer's observation weighs as one answer, and can't bring an ejected
+// backend back; what is ejected by it is bounded, and tried again like all else. It finds slow, failing and lost backends; a peer that is
+// slow itself may mislead.
+func (c *Controller) applyObservation(b *backend, o quota.Observation) {
+	switch o.Ratio {
 	case quota.ObservedLost:
 		c.recordLoss(b, 1)
 		return
 	case quota.ObservedFailed:
-		c.recordProductResult(s.Product, b, 1)
+		c.recordProductResult(o.Product, b, 1)
 	default:
-		c.recordProductResult(s.Product, b, 0)
-		if b.ejected && s.Ratio < slowEjectionRatio {
-			b.passedProbes++ // a peer's txn was answered there: as good as a probe
+		c.recordProductResult(o.Product, b, 0)
+		if b.ejected && o.Ratio < slowEjectionRatio {
+			b.passedProbes++ // as good as a probe
 		}
-		b.slowdown += smoothing * (s.Ratio - b.slowdown)
+		b.slowdown += smoothing * (o.Ratio - b.slowdown)
 	}
 	c.recordLoss(b, 0)
 }
 
-// recordProductResult learns whether a backend fails one product: it is then passed over for that product alone, twice as
-// long each time, and tried again by that product's own txns. When the product fails everywhere alike, no
-// backend is at fault. Covers fast errors of whole backends as well as a broken function of one.
-func (c *Controller) recordProductResult(p control.ProductID, b *backend, bad float64) {
-	f, all := &b.failures[p], &c.fleetFailures[p]
+// recordLoss counts a submission as lost (1) or not (0).
+func (c *Controller) recordLoss(b *backend, lost float64) {
+	b.failureSamples = b.failureSamples*(1-smoothing) + 1
+	b.failureShare += max(smoothing, 1/b.failureSamples) * (lost - b.failureShare)
+	c.lostShare += fleetSmoothing * (lost - c.lostShare)
+}
+
+// recordProductResult learns whether a backend fails one product (failed is 1 or 0). A backend that does is excluded for that product alone, twice
+// as long each time, and tried again by that product's own txns. When a product fails everywhere alike, no backend is at fault. It finds
+// backends that answer errors fast as well as a function that is broken at one of them.
+func (c *Controller) recordProductResult(p control.ProductID, b *backend, failed float64) {
+	f, fleet := &b.failures[p], &c.fleetFailures[p]
 	f.samples = min(f.samples+1, maxFailureSamples)
-	f.share += (bad - f.share) / f.samples
-	all.share += smoothing / 5 * (bad - all.share)
-	if f.excludedUntil > c.now {
-		if bad > 0 {
+	f.share += (failed - f.share) / f.samples
+	fleet.share += fleetSmoothing * (failed - fleet.share)
+	switch {
+	case f.excludedUntil > c.now:
+		if failed > 0 {
 			f.excludedUntil = c.now + f.backoff // others still find it failing
 		}
-	} else if f.share > failureThreshold && f.samples >= 2 && f.share > failureOutlierFactor*all.share {
+	case f.share > failureThreshold && f.samples >= 2 && f.share > failureOutlierFactor*fleet.share:
 		f.backoff = min(max(minEjectionTime, 2*f.backoff), maxEjectionTime)
 		f.excludedUntil, f.share = c.now+f.backoff, retryFailureShare*failureThreshold
-	} else if f.share < failureThreshold/4 {
+	case f.share < failureThreshold/4:
 		f.backoff = 0
 	}
 }
 
-// lastObservations are how the last submissions went, and how many there were in all.
+// lastObservations gives how the last submissions went, and how many there were in all.
 func (c *Controller) lastObservations() ([]quota.Observation, int) {
 	return c.observations, c.observationCount
 }
 
-// takeObservations takes what a peer tells of backends.
-func (c *Controller) takeObservations(sights []quota.Observation) {
-	for _, s := range sights {
-		if b := c.byHash[s.BackendHash]; b != nil && int(s.Product) < len(c.products) {
-			c.applyObservation(b, s)
-			c.adjustCapacity(s.Congestion)
+// takeObservations takes those of a peer. Backends that the own list does not name are unknown.
+func (c *Controller) takeObservations(observations []quota.Observation) {
+	for _, o := range observations {
+		if b := c.byHash[o.BackendHash]; b != nil && int(o.Product) < len(c.products) {
+			c.applyObservation(b, o)
+			c.adjustCapacity(o.Congestion)
 		}
 	}
 }
--- a/control/loadbalancer/pick.go
+++ b/control/loadbalancer/pick.go
@@ -7,55 +7,67 @@
 	"clovergap/control"
 )
 
-// pick takes the first backend in the customer's ranking that does not have enough: its own zone first.
+// supply sums up the backends that a txn may go to.
+type supply struct {
+	any        bool
+	inFlight   float64 // from here
+	capacity   float64 // for submissions from here
+	candidates []*backend
+	load       float64 // of the candidates
+}
+
+// pick chooses the backend for a txn: the first in its customer's ranking that has room. nil: none has.
 func (c *Controller) pick(t *txn) *backend {
 	c.survey()
-	can := c.candidates[:0]
-	mean, out, roomAll, some := 0.0, 0.0, 0.0, false
-	capped := c.plans[t.Plan].MaxInFlight > 0 // a slot is scarce: it is not kept long at a slow one
+	s := c.supplyFor(t)
+	c.candidates = s.candidates
+	c.utilization = s.inFlight / max(s.capacity, 1)
+	if !s.any {
+		return c.pickLeastBad(t)
+	}
+	if len(s.candidates) == 0 || s.inFlight+1 > max(1, s.capacity+burstAllowance*math.Sqrt(s.capacity)) {
+		c.saturated = c.saturated || !t.mayHaveRun
+		return nil
+	}
+	return c.firstInRanking(t, s)
+}
+
+// supplyFor finds the backends that a txn may go to, and of those the candidates, which have room.
+func (c *Controller) supplyFor(t *txn) supply {
+	s := supply{candidates: c.candidates[:0]}
 	for _, b := range c.available {
-		if b.ejected || b == t.previous || b.rejectingUntil > c.now || c.excludedFor(b, t) ||
-			c.unresponsive(b, t) || !c.allowed(b, t) || capped && b.slowdown > cappedSlowRatio*c.medianSlowdown {
+		if !c.eligible(b, t) {
 			continue
 		}
-		w := b.warmth * c.slowStartShare(b)
-		room := c.capacity * w * min(1, c.medianSlowdown/max(b.slowdown, 0.1))
-		out, roomAll, some = out+float64(b.inFlight), roomAll+room, true
-		if w < 1 && c.rng.Float64() > w || float64(b.inFlight+1) > max(1, 1.5*room) {
-			continue // a fresh one is passed over by chance; a full one has enough
+		share := b.warmth * c.slowStartShare(b)
+		capacity := c.capacity * share * min(1, c.medianSlowdown/max(b.slowdown, minSlowdown))
+		s.any, s.inFlight, s.capacity = true, s.inFlight+float64(b.inFlight), s.capacity+capacity
+		// One that is warming up, or has just been readmitted, is passed over by chance.
+		if share < 1 && c.rng.Float64() > share || float64(b.inFlight+1) > max(1, maxBackendFactor*capacity) {
+			continue
 		}
-		can = append(can, b)
+		s.candidates = append(s.candidates, b)
 		b.load = c.loadOf(b)
-		mean += b.load
-	}
-	c.candidates = can
-	c.utilization = out / max(roomAll, 1)
-	if !some {
-		return c.pickLeastBad(t)
-	}
-	if len(can) == 0 || out+1 > max(1, roomAll+burstAllowance*math.Sqrt(roomAll)) {
-		c.saturated = c.saturated || !t.mayHaveRun
-		return nil // all have enough
+		s.load += b.load
 	}
-	enough := maxLoadFactor*mean/float64(len(can)) + 1
+	return s
+}
+
+// firstInRanking chooses the candidate with the highest hash among those of the own zone, since crossing zones has a price, then among the others.
+// Those that have far more than the mean load are passed over; if all have, it is the least loaded.
+func (c *Controller) firstInRanking(t *txn, s supply) *backend {
+	enough := maxLoadFactor*s.load/float64(len(s.candidates)) + 1
 	var first, least *backend
 	var highest uint64
-	for _, b := range can {
+	for _, b := range s.candidates {
 		if least == nil || b.load < least.load {
 			least = b
 		}
 		if b.load+1 > enough {
 			continue
 		}
-		h := control.Hash64(uint64(t.Customer)*control.GoldenRatio64^b.hash) >> 2
-		if b.Zone == c.zone { // crossing zones has a price
-			h |= 1 << 63
-			if b.warmth < 1 && b.tokensLapse { // one send, and only now: it would be lost on a lower rank
-				h |= 1 << 62
-			}
-		}
-		if h >= highest {
-			first, highest = b, h
+		if rank := c.rankOf(b, t); rank >= highest {
+			first, highest = b, rank
 		}
 	}
 	if first == nil {
@@ -64,7 +76,20 @@
 	return first
 }
 
-// pickLeastBad: when none is good, the least failing and loaded that the rules allow.
+// rankOf is a backend's rank for a customer. In the own zone a backend whose warm-up token would lapse goes before all: on a lower rank it would not be
+// used in time.
+func (c *Controller) rankOf(b *backend, t *txn) uint64 {
+	rank := control.Hash64(uint64(t.Customer)*control.GoldenRatio64^b.hash) >> 2
+	if b.Zone == c.zone {
+		rank |= 1 << 63
+		if b.warmth < 1 && b.tokensLapse {
+			rank |= 1 << 62
+		}
+	}
+	return rank
+}
+
+// pickLeastBad chooses, when no backend is good for a txn, the least failing and loaded one that the rules allow.
 func (c *Controller) pickLeastBad(t *txn) (best *backend) {
 	for _, b := range c.available {
 		if c.allowed(b, t) && float64(b.inFlight+1) <= max(1, c.capacity) &&
@@ -75,25 +100,34 @@
 	return best
 }
 
-// allowed keeps rules 2, 3 and 4 for every send.
+// eligible tells whether a backend is good for a txn, whether it has room or not.
+func (c *Controller) eligible(b *backend, t *txn) bool {
+	if b.ejected || b == t.previous || b.rejectingUntil > c.now || c.excludedFor(b, t) || c.unresponsive(b, t) || !c.allowed(b, t) {
+		return false
+	}
+	// Where a plan bounds submissions in flight, a slot is not kept long at a slow backend.
+	return c.plans[t.Plan].MaxInFlight <= 0 || b.slowdown <= cappedSlowRatio*c.medianSlowdown
+}
+
+// allowed keeps rules 2, 3 and 4.
 func (c *Controller) allowed(b *backend, t *txn) bool {
 	if b.State != control.Ready {
 		return false
 	}
 	if t.mayHaveRun {
 		p := c.products[t.Product]
-		if !c.repeatable(t) || p.effect == "referenced" &&
-			(p.repeatScope == "zone" && b.Zone != t.ranZone || p.repeatScope == "pod" && b.Pod != t.ranPod) {
+		if !c.repeatable(t) || p.effect == referenced &&
+			(p.repeatScope == scopeZone && b.Zone != t.ranZone || p.repeatScope == scopePod && b.Pod != t.ranPod) {
 			return false
 		}
 	}
-	return b.warmth >= 1 || c.warmUpTokens(b) >= 1
+	return b.warmth >= 1 || c.warmUpTokensNow(b) >= 1
 }
 
-// excludedFor tells whether a backend is passed over for a txn. A once-only txn can't go again after an error, so
-// it keeps away while any product fails there, and leaves it to the others to find out.
+// excludedFor tells whether a backend is excluded for a txn's product. A once-only txn can't go again after an error, so it keeps away while any
+// product fails there, and leaves it to the others to find out.
 func (c *Controller) excludedFor(b *backend, t *txn) bool {
-	if c.products[t.Product].effect == "once-only" {
+	if c.products[t.Product].effect == onceOnly {
 		for p, f := range b.failures {
 			if control.ProductID(p) != t.Product && (f.excludedUntil > c.now || f.share > failureThreshold/2) {
 				return true
@@ -103,43 +137,46 @@
 	return b.failures[t.Product].excludedUntil > c.now
 }
 
-// unresponsive tells that a backend owes answers for longer than such txns take. Now and then an inquiry-like txn
-// tries it all the same: else one that owes too little to be set aside would never be heard again.
+// unresponsive tells whether a backend owes answers for longer than such txns take. Now and then an inquiry-like txn tries it all the same: else one
+// that owes too little to be ejected would never answer again.
 func (c *Controller) unresponsive(b *backend, t *txn) bool {
 	if b.unanswered < 2 {
 		return false
 	}
-	trial := c.now-b.sentAt > trialInterval && c.products[t.Product].effect == "inquiry-like"
-	most := max(minUnresponsiveTime, time.Duration(unresponsiveFactor*float64(c.usualLatency(t))))
-	return !trial && c.now-b.unansweredSince > most
+	trial := c.now-b.sentAt > trialInterval && c.products[t.Product].effect == inquiryLike
+	timeout := max(minUnresponsiveTime, time.Duration(unresponsiveFactor*float64(c.usualLatency(t))))
+	return !trial && c.now-b.unansweredSince > timeout
 }
 
-// loadOf is what a backend holds, counted in usual txns of a warm backend.
+// loadOf is what a backend has in flight, in usual txns of a warm backend. A load report counts ever less as it grows old: else a backend that once
+// reported a high load, and is therefore not chosen, would never report anything else.
 func (c *Controller) loadOf(b *backend) float64 {
-	others := b.inFlightElsewhere * max(0, 1-float64(c.now-b.loadReportedAt)/float64(loadReportTTL)) // an old report says ever less
-	return (float64(b.inFlight) + others) * max(b.slowdown/c.medianSlowdown, 0.5) / b.warmth
+	elsewhere := b.inFlightElsewhere * max(0, 1-float64(c.now-b.loadReportedAt)/float64(loadReportTTL))
+	return (float64(b.inFlight) + elsewhere) * max(b.slowdown/c.medianSlowdown, minLoadSlowdown) / b.warmth
 }
 
+// slowStartShare is the share that a backend gets after an ejection.
 func (c *Controller) slowStartShare(b *backend) float64 {
 	if b.slowStartFrom == 0 || c.now-b.slowStartFrom > slowStart {
 		return 1
 	}
-	return 0.2 + 0.8*float64(c.now-b.slowStartFrom)/float64(slowStart)
+	return minSlowStartShare + (1-minSlowStartShare)*float64(c.now-b.slowStartFrom)/float64(slowStart)
 }
 
-// warmUpTokens is the budget of sends to a cold backend: in each fall window, this gateway's own send rate to a
-// warm backend times the cold one's capacity share. All gateways doing so stay under what a warm one bears.
-func (c *Controller) warmUpTokens(b *backend) float64 {
+// warmUpTokensNow brings the budget of submissions to a backend that is warming up to now: in each fall window, this front door's rate to
+// a warm backend times the share of its capacity that this one has. So all front doors together stay under what it bears.
+func (c *Controller) warmUpTokensNow(b *backend) float64 {
 	floor := warmUpBudgetShare / float64(c.gateways) / c.slowestLatency()
 	rate := b.warmth * max(c.warmRate, floor) * c.fallMultiple * warmUpBudgetShare
-	if b.warmUpTokensAt == 0 { // starts anywhere between two sends: many gateways together keep the rate at once
+	if b.warmUpTokensAt == 0 { // begins anywhere between two tokens, so that many front doors keep the rate together from the start
 		b.warmUpTokens, b.warmUpTokensAt = c.rng.Float64(), c.now
 	}
 	b.warmUpTokens, b.warmUpTokensAt = b.warmUpTokens+rate*(c.now-b.warmUpTokensAt).Seconds(), c.now
 	most := rate * c.fallWindow.Seconds() / 2
-	if b.tokensLapse = most < 1; !b.tokensLapse {
+	b.tokensLapse = most < 1
+	if !b.tokensLapse {
 		b.warmUpTokens = min(b.warmUpTokens, most)
-	} else if b.warmUpTokens > 1+most { // not used in time: what hundreds of gateways save up could come at once
+	} else if b.warmUpTokens > 1+most { // not used in time: what hundreds of front doors saved up could come at once
 		b.warmUpTokens -= math.Floor(b.warmUpTokens - most)
 	}
 	return b.warmUpTokens
--- a/control/loadbalancer/settings.go
+++ b/control/loadbalancer/settings.go
@@ -10,6 +10,44 @@
 	"clovergap/control/quota"
 )
 
+// effect says what it means that a txn runs twice.
+type effect string
+
+const (
+	inquiryLike effect = "inquiry-like" // nothing: it may be sent again at any time
+	referenced  effect = "referenced"   // the backends drop it, within a window and a scope
+	onceOnly    effect = "once-only"    // it counts twice
+)
+
+// scope says which backends drop a referenced txn that they have seen.
+type scope string
+
+const (
+	scopeAll  scope = "all"
+	scopeZone scope = "zone" // those of the zone in which it ran first
+	scopePod  scope = "pod"  // those of the pod in which it ran first
+)
+
+// product is a kind of txn.
+type product struct {
+	effect         effect
+	repeatScope    scope         // of referenced ones
+	repeatWindow   time.Duration // of referenced ones, from the first submission that may have run
+	slaTime        time.Duration // an answer within it has its full value
+	value          float64       // of an answer, for each unit
+	lateValue      float64       // of a late one
+	clientTimeout  time.Duration // how long a client waits in all, over all its attempts
+	attemptTimeout time.Duration // and in one, as first attempts have shown; 0: not known
+}
+
+// plan is the terms of a customer.
+type plan struct {
+	quota.Limit
+	price     float64
+	overValue float64 // of an answer beyond the quota
+	overCost  float64 // what the customer is charged for it
+}
+
 // settingsReader reads settings and keeps the first complaint.
 type settingsReader struct {
 	settings control.Settings
@@ -47,12 +85,14 @@
 	return v
 }
 
+// duration reads microseconds.
 func (s *settingsReader) duration(name string) time.Duration {
 	return time.Duration(s.number(name) * float64(time.Microsecond))
 }
 
 func (s *settingsReader) boolean(name string) bool { return s.text(name) == "true" }
 
+// list reads names with commas between them; one that is missing is empty.
 func (s *settingsReader) list(name string) []string {
 	if s.settings[name] == "" {
 		return nil
@@ -60,37 +100,37 @@
 	return strings.Split(s.settings[name], ",")
 }
 
-// product, plan: a kind of txn and a kind of customer, as the settings have them.
-type product struct {
-	slaTime, repeatWindow time.Duration
-	clientTimeout         time.Duration // how long a client waits in all, over all its tries
-	attemptTimeout        time.Duration // and how long in one, as first tries show
-	value, lateValue      float64
-	effect, repeatScope   string
-}
-
-type plan struct {
-	quota.Limit
-	price, overValue, overCost float64
-}
-
 func (s *settingsReader) products() (all []product) {
-	for i := 0; i < s.count("products.count", 255); i++ {
+	for i := range s.count("products.count", 255) {
 		at := fmt.Sprintf("products.%d.", i)
-		all = append(all, product{slaTime: s.duration(at + "sla_time"), effect: s.text(at + "effect"),
-			repeatScope: s.text(at + "repeat_scope"), repeatWindow: s.duration(at + "repeat_window"),
-			value: s.number(at + "value"), lateValue: s.number(at + "late_value"), clientTimeout: s.duration(at + "expiry")})
+		all = append(all, product{
+			slaTime:       s.duration(at + "sla_time"),
+			effect:        effect(s.text(at + "effect")),
+			repeatScope:   scope(s.text(at + "repeat_scope")),
+			repeatWindow:  s.duration(at + "repeat_window"),
+			value:         s.number(at + "value"),
+			lateValue:     s.number(at + "late_value"),
+			clientTimeout: s.duration(at + "expiry"),
+		})
 	}
 	return all
 }
 
 func (s *settingsReader) plans() (all []plan) {
-	for i := 0; i < s.count("plans.count", 1<<16); i++ {
+	for i := range s.count("plans.count", 1<<16) {
 		at := fmt.Sprintf("plans.%d.", i)
-		all = append(all, plan{quota.Limit{Rate: s.number(at + "rate"), Burst: s.number(at + "burst"),
-			MaxInFlight: s.count(at+"open_cap", 1<<20), HardRate: s.number(at + "ceiling_rate"),
-			HardBurst: s.number(at + "ceiling_burst")},
-			s.number(at + "price"), s.number(at + "over_value"), s.number(at + "over_cost")})
+		all = append(all, plan{
+			Limit: quota.Limit{
+				Rate:        s.number(at + "rate"),
+				Burst:       s.number(at + "burst"),
+				MaxInFlight: s.count(at+"open_cap", 1<<20),
+				HardRate:    s.number(at + "ceiling_rate"),
+				HardBurst:   s.number(at + "ceiling_burst"),
+			},
+			price:     s.number(at + "price"),
+			overValue: s.number(at + "over_value"),
+			overCost:  s.number(at + "over_cost"),
+		})
 	}
 	return all
 }
--- a/control/loadbalancer/tuning.go
+++ b/control/loadbalancer/tuning.go
@@ -1,62 +1,155 @@
 package loadbalancer
 
-import (
-	"time"
+import "time"
+
+// Values without another source were tuned on the simulated score; shares are of 1.
+
+// Periodic work.
+const (
+	// busyInterval between two sweeps while something waits, surveyInterval while nothing does.
+	busyInterval   = 20 * time.Millisecond
+	surveyInterval = 100 * time.Millisecond
+	// stallThreshold without a call of Now means that this process stood still.
+	stallThreshold = 250 * time.Millisecond
+	// minWake is the least time from a decision to a wake-up.
+	minWake = time.Millisecond
+	// logInterval between two summaries for the log.
+	logInterval = 5 * time.Second
+)
+
+// The quota.
+const (
+	// minInterval between two datagrams to one peer.
+	minInterval = 10 * time.Millisecond
+	// snapshotTTL is how long an owner's snapshot may be used.
+	snapshotTTL = 1000 * time.Millisecond
+	// Beyond its quota a txn may pass, if its plan pays for it, while less than maxSpareUtilization of the capacity is in use and none
+	// was lacking for spareCalmTime.
+	maxSpareUtilization = 0.4
+	spareCalmTime       = 3 * time.Second
 )
 
-// Tuned values. Shares are of 1.
+// Times of a txn.
 const (
-	busyInterval        = 20 * time.Millisecond  // periodic work while something waits
-	surveyInterval      = 100 * time.Millisecond // and while nothing does
-	stallThreshold      = 250 * time.Millisecond // without a turn: this gateway stood still
-	firstAttemptShare   = 0.9                    // of the time left to the SLA time: a submission's limit; a repeat takes as long again
-	firstAttemptFactor  = 4                      // and such a limit is set only above this times the usual answer time
-	retryCreditPerTxn   = 0.2                    // further submissions earned by a txn
-	maxRetryCredit      = 30.0
-	pressureTTL         = 300 * time.Millisecond
-	backendTimeoutShare = 0.35                    // of the SLA time: longest wait for a backend
-	networkMargin       = 40 * time.Millisecond   // margin for the way to a backend
-	responseTimeout     = 100 * time.Millisecond  // of an answer that has begun
-	minInterval         = 10 * time.Millisecond   // packing delay at the least
-	snapshotTTL         = 1000 * time.Millisecond // a snapshot older than this is stale
-
-	maxSpareUtilization, spareCalmTime = 0.4, 3 * time.Second // use of room, and calm, at which what pays may go on
+	// expiryMargin before a txn's expiry it is answered here.
+	expiryMargin = 2 * time.Millisecond
+	// slaMargin before the end of the SLA time a submission is given up: a later answer is hardly worth the work.
+	slaMargin = 4 * time.Millisecond
+	// networkMargin is allowed for the way to a backend.
+	networkMargin = 40 * time.Millisecond
+	// responseTimeout is how long an answer that has begun may take to be complete.
+	responseTimeout = 100 * time.Millisecond
+	// backendTimeoutShare of the SLA time is the longest wait for a backend.
+	backendTimeoutShare = 0.35
+	// firstAttemptShare of the time that is left is given to a first submission, so that a retry has time, but only if that is more
+	// than firstAttemptFactor times the usual answer time.
+	firstAttemptShare  = 0.9
+	firstAttemptFactor = 4
+	// retryCreditPerTxn retries are earned by a txn, and maxRetryCredit saved up at the most.
+	retryCreditPerTxn = 0.2
+	maxRetryCredit    = 30.0
 )
 
-// Tuned values. Shares are of 1.
+// What is learned of answer times and failures.
 const (
-	unknownLatencyDivisor    = 8                      // of the SLA time: a txn's usual time until one is known
-	smoothing                = 0.1                    // weight of a new sample
-	loadSmoothing            = 0.5                    // and of a load report
-	observationsPerMessage   = 5                      // last answers told to a peer
-	maxLoadFactor            = 8.0                    // times the mean load, and one more: a backend with that has enough; reports are late
-	maxFailureSamples        = 5.0                    // answers that such a share is made of
-	retryFailureShare        = 0.95                   // of failureThreshold, after a pause: one more failure, and it is passed over again
-	slowEjectionRatio        = 4.0                    // times the fleet's median answer time sets a backend aside
-	trialInterval            = 700 * time.Millisecond // a silent backend gets one inquiry-like txn
+	// smoothing is the weight of a new sample of a backend.
+	smoothing = 0.1
+	// fleetSmoothing and latencySmoothing are those of a sample of all backends, and of the usual answer time of a kind of work.
+	fleetSmoothing   = smoothing / 5
+	latencySmoothing = smoothing / 2
+	// loadSmoothing is the weight of a load report.
+	loadSmoothing = 0.5
+	// loadReportTTL is how long a load report counts, ever less.
+	loadReportTTL = 4 * time.Second
+	// unknownLatencyDivisor: the SLA time over it is a txn's usual answer time while none is known.
+	unknownLatencyDivisor = 8
+	// maxLatencyFactor times the usual an answer counts at most in the usual time, maxLatencyRatio times in a backend's slowdown.
+	maxLatencyFactor = 5.0
+	maxLatencyRatio  = 20.0
+	// minLatencySeconds bounds the usual time that an answer is compared with.
+	minLatencySeconds = 0.0005
+	// lostLatencyRatio times the usual without an answer, a time-out counts as a lost submission.
+	lostLatencyRatio = 3
+	// minSlowdown bounds slowdowns that are divided by.
+	minSlowdown = 0.1
+	// rateWindow, in seconds, is the time over which the rate of answers is smoothed.
+	rateWindow = 3.0
+	// observationsPerMessage are the last submissions that peers are told of.
+	observationsPerMessage = 5
+)
+
+// Exclusion and ejection of backends.
+const (
+	// failureThreshold of failing submissions, if it is also more than failureOutlierFactor times the share of all backends, excludes or
+	// ejects a backend.
+	failureThreshold     = 0.35
+	failureOutlierFactor = 2.0
+	// maxFailureSamples is the number of answers that a product's failing share is made of.
+	maxFailureSamples = 5.0
+	// retryFailureShare of failureThreshold is what such a share begins with after an exclusion: one more failure excludes it again.
+	retryFailureShare = 0.95
+	// slowEjectionRatio times the median slowdown ejects a backend.
+	slowEjectionRatio = 4.0
+	// maxEjectedShare of the backends may be ejected for failing or for slowness.
+	maxEjectedShare = 0.5
+	// minEjectionTime is the first ejection or exclusion; each further one lasts twice as long, up to maxEjectionTime.
+	minEjectionTime = 500 * time.Millisecond
+	maxEjectionTime = 8 * time.Second
+	// rejectionBackoff is the pause of a backend that rejected a submission, doubled with each in a row.
+	rejectionBackoff      = 100 * time.Millisecond
+	maxRejectionDoublings = 5
+	// A backend that owes two answers or more is unresponsive after unresponsiveFactor times the usual answer time, minUnresponsiveTime at
+	// the least, without any answer; after unresponsiveEjectionTime it is ejected. An inquiry-like txn tries it each trialInterval.
+	unresponsiveFactor       = 4.0
+	minUnresponsiveTime      = 200 * time.Millisecond
 	unresponsiveEjectionTime = 1600 * time.Millisecond
-	maxEjectedShare          = 0.5 // share of the backends that may be aside for being slow or failing
-	probesToReturn           = 2
-	slowStart                = 4 * time.Second // after its return a backend is passed over by chance
-	rateWindow               = 3.0             // seconds over which the rate of sends to a backend is smoothed
-	warmUpBudgetShare        = 0.5             // of the cold budget
-	initialCapacity          = 4.0             // submissions out at a usual backend to begin with, from all gateways
-	burstAllowance           = 1.0             // times the root of the room: txns come unevenly, the more so the fewer
-	minUtilization           = 0.6             // share of the room in use that makes late answers count
-	idleProbeCredit          = 0.05            // of a probe, each look around
-	initialCapacityGain      = 0.01            // instead of capacityGain until room was taken away once: the first room is a guess
-	cappedSlowRatio          = 1.3             // times the median: no place for txns whose plan caps what is open
-	slowOutlierRatio         = 1.7             // times the median: such a backend's lateness is its own
-	logInterval              = 5 * time.Second
-	loadReportTTL            = 4 * time.Second // a load report's life
-
-	unresponsiveFactor, minUnresponsiveTime = 4.0, 200 * time.Millisecond // times the usual answer time without any answer passes over
-	capacityGain, capacityLoss              = 0.002, 0.025                // shares by a prompt and a late answer
-	maxLatencyFactor, maxLatencyRatio       = 5.0, 20.0                   // times the usual: an answer counts as no more
-	lateSLAShare, maxLateSLAShare           = 0.4, 0.9                    // of the SLA time: a later answer is a sign of crowding
-	failureThreshold, failureOutlierFactor  = 0.35, 2.0                   // of failing submissions, and this times the share everywhere
-	rejectionBackoff, maxRejectionDoublings = 100 * time.Millisecond, 5   // doubled each time in a row
-	minEjectionTime, maxEjectionTime        = 500 * time.Millisecond, 8 * time.Second
-	probeCreditPerTxn, maxProbeCredit       = 0.2, 10.0 // such probes earned by a txn
-	minCapacity, maxCapacity                = 1.0, 40.0 // the least from all gateways
+	trialInterval            = 700 * time.Millisecond
+	// probesToReturn successful probes in a row end an ejection.
+	probesToReturn = 2
+	// probeCreditPerTxn and idleProbeCredit probes are earned by a txn and by each examination of the backends, maxProbeCredit saved up.
+	probeCreditPerTxn = 0.2
+	idleProbeCredit   = 0.05
+	maxProbeCredit    = 10.0
+	// slowStart is how long a backend's share grows after an ejection, from minSlowStartShare.
+	slowStart         = 4 * time.Second
+	minSlowStartShare = 0.2
+	// warmUpBudgetShare of the submissions that would push over a backend that is warming up are sent by all front doors together.
+	warmUpBudgetShare = 0.5
+)
+
+// Capacity.
+const (
+	// initialCapacity is what all front doors together begin with, submissions in flight at one backend; then between minCapacity and
+	// maxCapacity.
+	initialCapacity = 4.0
+	minCapacity     = 1.0
+	maxCapacity     = 40.0
+	// capacityGain is added by a prompt answer, capacityLoss taken away by a late one. Until the first loss it is initialCapacityGain: the initial
+	// capacity is a guess.
+	capacityGain        = 0.002
+	capacityLoss        = 0.025
+	initialCapacityGain = 0.01
+	// minUtilization of the capacity must be in use for a late answer to count.
+	minUtilization = 0.6
+	// An answer is late after lateSLAShare of the SLA time and the usual answer time, after maxLateSLAShare at the latest.
+	lateSLAShare    = 0.4
+	maxLateSLAShare = 0.9
+	// slowOutlierRatio times the median slowdown: such a backend's lateness is its own.
+	slowOutlierRatio = 1.7
+	// pressureTTL is how long a lack of capacity counts as pressure.
+	pressureTTL = 300 * time.Millisecond
+)
+
+// Choice of a backend.
+const (
+	// maxBackendFactor times its capacity is in flight at one backend.
+	maxBackendFactor = 1.5
+	// burstAllowance times the square root of the whole capacity is in flight beyond it: txns come unevenly, the more so the fewer.
+	burstAllowance = 1.0
+	// maxLoadFactor times the mean load, and one more, is enough for a backend. It is large because load reports are late.
+	maxLoadFactor = 8.0
+	// minLoadSlowdown bounds by how much a fast backend's load counts as less.
+	minLoadSlowdown = 0.5
+	// cappedSlowRatio times the median slowdown: no place for a txn whose plan bounds submissions in flight.
+	cappedSlowRatio = 1.3
 )
--- a/control/loadbalancer/txn.go
+++ b/control/loadbalancer/txn.go
@@ -7,29 +7,41 @@
 	"clovergap/control/quota"
 )
 
-// txn is one that this gateway holds.
+// txn is a txn that this front door holds, until it is answered and its last submission has ended.
 type txn struct {
 	control.Txn
-	arrived, slaAt time.Duration
-	queued         bool // in the waiting line
-	giveUpAt       time.Duration
-	consumed       bool // units taken
-	overQuota      bool // let in beyond the quota
-	late           bool // a repeat whose SLA time is over, or may be
-	reserved       bool // its units are kept while it waits for a backend
-	ended          bool
-	reason         control.Reason // what it last lacked
-	submissions    int            // submissions so far
-	current        *backend
-	sentAt         time.Duration
-	mayHaveRun     bool
-	firstRanAt     time.Duration // send of the first submission that may have run
-	ranZone        control.ZoneID
-	ranPod         control.PodID
-	previous       *backend
+	arrived time.Duration
+	slaAt   time.Duration // end of the SLA time
+	late    bool          // a client's retry whose SLA time is over, or may be
+	ended   bool          // answered, or its client is gone
+
+	// Waiting.
+	queued   bool // in Controller.waiting
+	giveUpAt time.Duration
+	reason   control.Reason // what it last lacked
+
+	// Quota: none or one of these.
+	reserved  bool // its units are reserved while it waits for a backend
+	consumed  bool // its units are taken
+	overQuota bool // let in beyond the quota
+
+	// Submissions.
+	submissions int
+	current     *backend // where one is in flight
+	previous    *backend // where the last one was
+	sentAt      time.Duration
+
+	// What is known of its running.
+	mayHaveRun bool
+	firstRanAt time.Duration // when the first submission that may have run was sent
+	ranZone    control.ZoneID
+	ranPod     control.PodID
 }
 
-// TxnArrived takes a client's txn in.
+// awaitsQuota tells whether the quota still has to let it pass.
+func (t *txn) awaitsQuota() bool { return !t.consumed && !t.overQuota && !t.reserved }
+
+// TxnArrived takes a client's txn.
 func (c *Controller) TxnArrived(x control.Txn) {
 	if c.txns[x.ID] != nil {
 		return
@@ -37,19 +49,18 @@
 	x.Units = max(x.Units, 0)
 	t := &txn{Txn: x, arrived: c.now}
 	if x.Product < 0 || int(x.Product) >= len(c.products) || x.Plan < 0 || int(x.Plan) >= len(c.plans) {
-		t.Product, t.Plan, t.slaAt = 0, 0, c.now // a kind that the settings don't name: declined for want of time
+		t.Product, t.Plan, t.slaAt = 0, 0, c.now // the settings don't name it: rejected for want of time
 	} else {
 		c.setDeadlines(t)
 	}
 	c.txns[x.ID] = t
-	c.timers.Add(x.Expiry-2*time.Millisecond, x.ID) // rule 1: every expiry is watched
+	c.timers.Add(x.Expiry-expiryMargin, x.ID) // rule 1: every expiry is watched
 	c.undecided = append(c.undecided, t)
 }
 
-// setDeadlines works out when a txn's SLA time is over. Clients count it from their first try, and their patience: a
-// try's expiry is what is left of it, unless a try may take less, as first tries show. A repeat with time
-// left is as good as a first try; one of which nothing is known, or that still earns something when late, is
-// late: it leaves low buckets and scarce room to the others.
+// setDeadlines works out when a txn's SLA time is over. Clients count that from their first attempt, and their time-out as well: an attempt's expiry is
+// what is left of it, or less if an attempt may take less, which first attempts show. A retry with time left is as good as a first attempt. One of which
+// that is not known, or that still has some value when late, is late: it leaves low buckets and scarce capacity to the others.
 func (c *Controller) setDeadlines(t *txn) {
 	p := &c.products[t.Product]
 	left := t.Expiry - c.now
@@ -58,15 +69,16 @@
 		p.attemptTimeout = min(max(p.attemptTimeout, left), p.clientTimeout)
 		return
 	}
-	gone := p.clientTimeout - left
-	t.late = p.attemptTimeout <= 0 || left >= p.attemptTimeout-networkMargin && gone > networkMargin || gone >= p.slaTime && p.lateValue > 0
-	if !t.late && gone > 0 {
-		t.slaAt = min(t.slaAt, c.now+p.slaTime-gone)
+	elapsed := p.clientTimeout - left
+	unknown := p.attemptTimeout <= 0 || left >= p.attemptTimeout-networkMargin && elapsed > networkMargin
+	t.late = unknown || elapsed >= p.slaTime && p.lateValue > 0
+	if !t.late && elapsed > 0 {
+		t.slaAt = min(t.slaAt, c.now+p.slaTime-elapsed)
 	}
 }
 
-// backdateArrivals spreads the txns that came while this gateway stood still over that time: those whose SLA time is
-// over by then are declined at once and take no units.
+// backdateArrivals spreads the txns that arrived during a standstill evenly over it: those whose SLA time is over by then are rejected at once and take
+// no units.
 func (c *Controller) backdateArrivals() {
 	n := len(c.undecided)
 	for i, t := range c.undecided {
@@ -78,13 +90,12 @@
 	c.pausedFrom = c.pausedUntil
 }
 
-// decide settles what happens to a txn that has no submission out.
+// decide decides about a txn that has no submission in flight: it is sent, waits, or is answered.
 func (c *Controller) decide(t *txn) {
 	if t.ended || t.current != nil || t.queued {
 		return
 	}
-	if t.submissions > 0 && (t.submissions >= c.maxSubmissions || c.retryCredit < 1 || c.underPressure() && t.mayHaveRun) ||
-		c.now+min(c.usualLatency(t), c.products[t.Product].slaTime/4)/2 >= t.slaAt {
+	if !c.hasTime(t) {
 		t.reason = control.ReasonNoTime
 		c.finish(t, c.maxAdvice)
 		return
@@ -94,62 +105,75 @@
 		return
 	}
 	a := c.quota.Account(t.Customer, t.Plan, t.SetFirst, t.SetWidth)
-	if !t.consumed && !t.overQuota && !t.reserved {
-		verdict, until, lack := c.quota.CheckAccount(a, c.quotaRequest(t))
-		switch t.reason = lack; verdict {
-		case quota.Pending:
-			c.enqueue(t, until)
-			return
-		case quota.Exceeded:
-			if !c.mayUseSpare(a, t) {
-				c.finish(t, until)
-				return
-			}
-			t.overQuota = true
-		}
+	if t.awaitsQuota() && !c.passQuota(t, a) {
+		return
 	}
 	t.reason = control.ReasonNoBackend
 	var b *backend
 	if !c.saturated || t.mayHaveRun {
 		b = c.pick(t)
 	}
-	if t.late && t.submissions == 0 && (b == nil || c.underPressure()) {
-		// What room there is belongs to first tries: a repeat is late by now, or soon.
-		c.finish(t, c.maxAdvice)
-		return
+	switch {
+	case t.late && t.submissions == 0 && (b == nil || c.underPressure()):
+		c.finish(t, c.maxAdvice) // what capacity there is belongs to first attempts
+	case b == nil:
+		c.awaitBackend(t, a)
+	default:
+		c.submit(t, a, b)
 	}
-	if b == nil {
-		c.saturatedAt = c.now
-		if !t.consumed && !t.overQuota && !t.reserved {
-			// What covers it is kept for it: a view that ages while it waits for a backend would decline it.
-			t.reserved = true
-			c.quota.ReserveAccount(a, t.Units)
+}
+
+// hasTime tells whether an answer may still come in time, and whether a txn that was sent before may be sent again.
+func (c *Controller) hasTime(t *txn) bool {
+	if t.submissions > 0 && (t.submissions >= c.maxSubmissions || c.retryCredit < 1 || c.underPressure() && t.mayHaveRun) {
+		return false
+	}
+	return c.now+min(c.usualLatency(t), c.products[t.Product].slaTime/4)/2 < t.slaAt
+}
+
+// passQuota asks the quota for a txn's units. A txn that may not go on is queued or answered.
+func (c *Controller) passQuota(t *txn, a *quota.Account) bool {
+	request := quota.Request{Units: t.Units, Arrived: t.arrived, SLA: c.products[t.Product].slaTime, Late: t.late}
+	outcome, at, reason := c.quota.CheckAccount(a, request)
+	t.reason = reason
+	switch outcome {
+	case quota.Pending:
+		c.enqueue(t, at)
+		return false
+	case quota.Exceeded:
+		if !c.mayUseSpare(a, t) {
+			c.finish(t, at)
+			return false
 		}
-		c.enqueue(t, t.arrived+time.Duration(backendTimeoutShare*float64(c.products[t.Product].slaTime)))
-		return
+		t.overQuota = true
 	}
-	c.submit(t, a, b)
+	return true
 }
 
-// quotaRequest is what a txn asks of the quota.
-func (c *Controller) quotaRequest(t *txn) quota.Request {
-	return quota.Request{Units: t.Units, Arrived: t.arrived, SLA: c.products[t.Product].slaTime, Late: t.late}
+// awaitBackend lets a txn wait for a backend. Its units are reserved: a snapshot that grows old while it waits would not cover it any more.
+func (c *Controller) awaitBackend(t *txn, a *quota.Account) {
+	c.saturatedAt = c.now
+	if t.awaitsQuota() {
+		t.reserved = true
+		c.quota.ReserveAccount(a, t.Units)
+	}
+	c.enqueue(t, t.arrived+time.Duration(backendTimeoutShare*float64(c.products[t.Product].slaTime)))
 }
 
-// valueRate is a txn's value for the time it takes. Plans count alike: none is let go for its price.
+// valueRate is a txn's value over the time that it takes. Plans count alike: none is passed over for its price.
 func (c *Controller) valueRate(t *txn) float64 {
 	return c.products[t.Product].value * max(t.Units, 1) / max(c.usualLatency(t).Seconds(), 0.001)
 }
 
-// mayUseSpare tells whether a txn beyond its quota may go on: an exception for plans that pay for it and are not
-// charged, only while the backends clearly have room and nothing inside a quota lacked any lately.
+// mayUseSpare tells whether a txn beyond its quota may pass all the same: an exception for plans that gain by it and are not charged, only while the
+// backends clearly have capacity and nothing within a quota lacked any lately.
 func (c *Controller) mayUseSpare(a *quota.Account, t *txn) bool {
 	p := &c.plans[a.Plan()]
 	return p.overValue > 0 && p.overCost <= 0 && p.MaxInFlight == 0 && p.HardRate <= 0 && !t.late &&
 		c.utilization < maxSpareUtilization && c.now-c.saturatedAt > spareCalmTime
 }
 
-// enqueue puts a txn in the waiting line until a time at which it is given up.
+// enqueue lets a txn wait until a time at which it is given up.
 func (c *Controller) enqueue(t *txn, until time.Duration) {
 	if until <= c.now {
 		c.finish(t, 0)
@@ -163,21 +187,23 @@
 	c.waiting = append(c.waiting, t)
 }
 
-// expire gives up a txn whose due time has come.
+// expire gives up a txn at its expiry, or when it has waited for too long. One that waits for units is decided a last time: if the owner has not
+// answered it may pass by the burst share.
 func (c *Controller) expire(t *txn) {
-	if t.queued && c.now < t.Expiry-2*time.Millisecond && c.now >= t.giveUpAt && (t.reason == control.ReasonNoUnits || t.reason == control.ReasonNoSnapshot) {
-		t.queued = false // decided a last time: without an answer of the owner it may have the allowance
+	expired := c.now >= t.Expiry-expiryMargin
+	if t.queued && !expired && c.now >= t.giveUpAt && (t.reason == control.ReasonNoUnits || t.reason == control.ReasonNoSnapshot) {
+		t.queued = false
 		c.undecided = append(c.undecided, t)
 		return
 	}
-	if c.now < t.Expiry-2*time.Millisecond && (t.current != nil || !t.queued || c.now < t.giveUpAt) {
+	if !expired && (t.current != nil || !t.queued || c.now < t.giveUpAt) {
 		return
 	}
 	c.finish(t, 0)
 }
 
-// finish is the one place where a txn gets its final answer (rules 1 and 2), at once.
-// A decline promises that a repeat is safe: only if nothing ran, or the product bears repeats everywhere.
+// finish is the one place where a txn gets its final answer, at once (rules 1 and 2). A rejection promises that a retry is safe: only if nothing may
+// have run, or where the product bears it everywhere.
 func (c *Controller) finish(t *txn, advice time.Duration) {
 	if t.ended {
 		return
@@ -185,87 +211,104 @@
 	t.ended = true
 	c.givenUp[t.reason]++
 	p := c.products[t.Product]
-	again := p.effect == "inquiry-like" || p.effect == "referenced" && p.repeatScope == "all"
-	x := control.Decision{Action: control.Fail, Txn: t.ID, Reason: t.reason}
-	if again || !t.mayHaveRun && t.current == nil {
-		x.Action = control.Reject
+	retryable := p.effect == inquiryLike || p.effect == referenced && p.repeatScope == scopeAll
+	d := control.Decision{Action: control.Fail, Txn: t.ID, Reason: t.reason}
+	if retryable || !t.mayHaveRun && t.current == nil {
+		d.Action = control.Reject
 		if c.adviceAllowed {
-			x.After = max(0, min(advice, c.maxAdvice))
+			d.After = max(0, min(advice, c.maxAdvice))
 		}
 	}
-	c.decisions = append(c.decisions, x)
-	if t.current != nil {
-		if c.cancelAllowed {
-			c.decisions = append(c.decisions, control.Decision{Action: control.Cancel, Txn: t.ID, Attempt: t.submissions - 1})
-		}
-		return // its outcome still comes
+	c.decisions = append(c.decisions, d)
+	if t.current != nil && c.cancelAllowed {
+		c.decisions = append(c.decisions, control.Decision{Action: control.Cancel, Txn: t.ID, Attempt: t.submissions - 1})
+	}
+	if t.current == nil { // otherwise the submission's outcome is still to come
+		c.forget(t)
 	}
-	c.forget(t)
 }
 
-// repeatable tells whether a txn that may have run may go out again now (rule 2).
+// repeatable tells whether a txn that may have run may be sent again now (rule 2).
 func (c *Controller) repeatable(t *txn) bool {
 	switch p := c.products[t.Product]; p.effect {
-	case "inquiry-like":
+	case inquiryLike:
 		return true
-	case "referenced":
+	case referenced:
 		return c.now+networkMargin < t.firstRanAt+p.repeatWindow
 	}
 	return false
 }
 
-// submit is the one gate that every send passes; every rule is asked again here.
+// submit sends a txn to a backend. It is the one place that does, and asks for every rule again.
 func (c *Controller) submit(t *txn, a *quota.Account, b *backend) {
-	if t.ended || t.current != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-2*time.Millisecond || !c.allowed(b, t) {
+	if t.ended || t.current != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-expiryMargin || !c.allowed(b, t) {
 		c.finish(t, 0)
 		return
 	}
 	if t.submissions == 0 {
-		c.release(t)
-		if !t.overQuota {
-			t.consumed = true
-			c.quota.ConsumeAccount(a, t.Units)
-		}
-		c.retryCredit = min(maxRetryCredit, c.retryCredit+retryCreditPerTxn)
-		c.probeCredit = min(maxProbeCredit, c.probeCredit+probeCreditPerTxn)
+		c.payFirst(t, a)
 	} else {
 		c.retryCredit--
 	}
+	c.countSubmission(t, b)
+	c.quota.SubmissionSent(a)
+	t.submissions++
+	t.current, t.previous, t.sentAt = b, b, c.now
+	c.decisions = append(c.decisions, control.Decision{
+		Action: control.Submit, Txn: t.ID, Backend: b.ID, After: c.submissionTimeout(t), ResponseTimeout: responseTimeout,
+	})
+}
+
+// payFirst takes a txn's units with its first submission, which earns retries and probes.
+func (c *Controller) payFirst(t *txn, a *quota.Account) {
+	c.release(t)
+	if !t.overQuota {
+		t.consumed = true
+		c.quota.ConsumeAccount(a, t.Units)
+	}
+	c.retryCredit = min(maxRetryCredit, c.retryCredit+retryCreditPerTxn)
+	c.probeCredit = min(maxProbeCredit, c.probeCredit+probeCreditPerTxn)
+}
+
+// countSubmission notes a submission at its backend.
+func (c *Controller) countSubmission(t *txn, b *backend) {
 	if b.warmth < 1 {
-		b.warmUpTokens -= c.workWeight(t) // may go below nought: a big txn is paid off before the next
+		b.warmUpTokens -= c.workWeight(t) // may go below 0: a large txn is paid off before the next
 	}
 	if c.meanWork <= 0 {
 		c.meanWork = c.usualLatency(t).Seconds()
 	}
-	c.meanWork += smoothing / 5 * (c.usualLatency(t).Seconds() - c.meanWork)
+	c.meanWork += fleetSmoothing * (c.usualLatency(t).Seconds() - c.meanWork)
 	b.sentAt = c.now
 	if b.unanswered == 0 {
 		b.unansweredSince = c.now
 	}
 	b.unanswered++
 	b.inFlight++
-	c.quota.SubmissionSent(a)
-	t.submissions++
-	t.current, t.previous, t.sentAt = b, b, c.now
-	x := control.Decision{Action: control.Submit, Txn: t.ID, Backend: b.ID, ResponseTimeout: responseTimeout}
-	p := c.products[t.Product]
-	if p.effect != "once-only" {
-		x.After = t.slaAt - c.now - 4*time.Millisecond // an answer past the SLA time is hardly worth the work
-		if t.submissions == 1 && !c.underPressure() && firstAttemptFactor*c.usualLatency(t) < time.Duration(firstAttemptShare*float64(x.After)) {
-			x.After = time.Duration(firstAttemptShare * float64(x.After))
-		}
-	}
-	c.decisions = append(c.decisions, x)
 }
 
-// SubmissionEnded takes the one outcome of a submission.
-func (c *Controller) SubmissionEnded(id control.TxnID, nr int, at control.BackendID, e control.Ending, over bool, took time.Duration,
+// submissionTimeout is when a submission is given up: by the end of the SLA time, a first one earlier if there is time for a retry. 0 leaves it until the
+// expiry: of a once-only txn, which has no retry, a late answer is better than none.
+func (c *Controller) submissionTimeout(t *txn) time.Duration {
+	if c.products[t.Product].effect == onceOnly {
+		return 0
+	}
+	timeout := t.slaAt - c.now - slaMargin
+	first := time.Duration(firstAttemptShare * float64(timeout))
+	if t.submissions == 1 && !c.underPressure() && firstAttemptFactor*c.usualLatency(t) < first {
+		return first
+	}
+	return timeout
+}
+
+// SubmissionEnded takes the one outcome of a submission; attempts count from 0. answered: the client has an answer, or is gone.
+func (c *Controller) SubmissionEnded(id control.TxnID, attempt int, at control.BackendID, e control.Ending, answered bool, took time.Duration,
 	load []float64) {
 	t, b := c.txns[id], c.backends[at]
 	if b != nil {
 		c.recordOutcome(t, b, e, took, load)
 	}
-	if t == nil || nr != t.submissions-1 || t.current == nil {
+	if t == nil || attempt != t.submissions-1 || t.current == nil {
 		return
 	}
 	t.current.inFlight--
@@ -278,30 +321,30 @@
 		}
 	}
 	c.recheck, c.saturated = true, false
-	if over || t.ended {
+	if answered || t.ended {
 		c.forget(t)
 		return
 	}
 	c.undecided = append(c.undecided, t)
 }
 
-// ClientLeft is told when nobody waits for this txn any more.
+// ClientLeft is called when nobody waits for a txn any more.
 func (c *Controller) ClientLeft(id control.TxnID) {
 	if t := c.txns[id]; t != nil {
 		c.forget(t)
 	}
 }
 
+// forget drops a txn, unless a submission is in flight, whose outcome still counts for its backend.
 func (c *Controller) forget(t *txn) {
 	t.ended = true
 	c.release(t)
-	if t.current != nil { // the outcome is still to come and counts for the backend
-		return
+	if t.current == nil {
+		delete(c.txns, t.ID)
 	}
-	delete(c.txns, t.ID)
 }
 
-// release lets go of the units kept for a txn.
+// release gives up a txn's reservation.
 func (c *Controller) release(t *txn) {
 	if t.reserved {
 		c.quota.Release(t.Customer, t.Units)
