--- a/internal/gateway/node/log.go
+++ b/internal/gateway/node/log.go
@@ -3,70 +3,134 @@
 import (
 	"fmt"
 	"os"
+	"slices"
 	"strings"
+	"sync"
+	"time"
 
+	"github.com/lesismal/nbio/logging"
 	"github.com/phuslu/log"
 	"go.uber.org/zap"
 )
 
-// part is a part of a node in the log: a fixed prefix of its messages.
-type part string
+// Log lines are JSON objects on standard error, one an event: time, level, node, part, fields, message. A message is constant, so
+// that it can be searched for; what varies is in the fields. A field has one name everywhere:
+//
+//	part       the part of the node that the line is about: a logPart
+//	term       of the replicated log, of the configuration or of a group
+//	index      of an entry of that log
+//	version    of the configuration
+//	member     a member of the replicated log, by its ID
+//	leader, peer, backend address   of another node among nodes
+//	slot, slots  a node's number in the order of slots; how many there are
+//	group      of coordination
+//	service, rollout  a service's name, and the number of its roll-out
+//	status     of a control call
+//	reason     why, in words
+//	error      what went wrong
+
+// logPart names a part of a node: the field "part" of each line.
+type logPart string
 
 const (
-	nodePart     part = "node: "
-	corePart     part = "core: "
-	registryPart part = "registry: "
-	streamPart   part = "feed: "
-	gatePart     part = "gate: "
-	rolloutPart  part = "rollout: "
-	groupPart    part = "group: "
+	nodePart     logPart = "node"     // the process, its links and its readiness
+	corePart     logPart = "core"     // the configuration's replicated log, and the disk
+	registryPart logPart = "registry" // the backends
+	streamPart   logPart = "stream"   // the log stream to nodes without a disk, both ends
+	gatePart     logPart = "gate"     // requests
+	rolloutPart  logPart = "rollout"
+	groupPart    logPart = "group"  // coordination
+	pollerPart   logPart = "poller" // the library that polls sockets
 )
 
-// newLogger writes to standard error, a line an event.
+// newLogger writes to standard error, a line an event. Times are of the day, in the machine's zone.
 func newLogger(name string) *log.Logger {
 	return &log.Logger{Level: log.InfoLevel, TimeFormat: "15:04:05.000", Context: log.NewContext(nil).Str("node", name).Value(),
 		Writer: &log.IOWriter{Writer: os.Stderr}}
 }
 
-// gateLog take what the control module logs.
+// logInfo begins a line on what happened in a part. The caller adds fields and ends it with Msg.
+func (n *Node) logInfo(p logPart) *log.Entry { return n.log.Info().Str("part", string(p)) }
+
+// logWarn begins a line on what went wrong in a part. The caller adds fields and ends it with Msg.
+func (n *Node) logWarn(p logPart) *log.Entry { return n.log.Warn().Str("part", string(p)) }
+
+// gateLog takes the control module's lines into the node's log.
 type gateLog struct{ node *Node }
 
-// Info logs a message of the control module.
-func (g gateLog) Info(text string, _ ...zap.Field) { g.node.say(gatePart, "%s", text) }
+// Info logs a line of the control module.
+func (g gateLog) Info(text string, _ ...zap.Field) {
+	g.node.logInfo(gatePart).Str("summary", text).Msg("requests")
+}
+
+// pollerLog takes the lines of the library that polls sockets into the process's log. It may be called outside of a node's turns.
+type pollerLog struct{ log *log.Logger }
+
+// setPollerLog is once a process: the library has one logger for all its engines.
+var setPollerLog sync.Once
+
+func logPoller(l *log.Logger) {
+	setPollerLog.Do(func() { logging.SetLogger(pollerLog{l}) })
+}
+
+// Debug drops the library's own diagnostics.
+func (pollerLog) Debug(string, ...any) {}
+
+// Info logs the library's start and end.
+func (p pollerLog) Info(format string, args ...any) { p.write(p.log.Info(), format, args) }
 
-// say logs what happened in a part.
-func (n *Node) say(p part, format string, args ...any) {
-	n.log.Info().Msg(string(p) + fmt.Sprintf(format, args...))
+// Warn logs what the library warns of.
+func (p pollerLog) Warn(format string, args ...any) { p.write(p.log.Warn(), format, args) }
+
+// Error logs what failed in the library.
+func (p pollerLog) Error(format string, args ...any) { p.write(p.log.Error(), format, args) }
+
+func (pollerLog) write(e *log.Entry, format string, args []any) {
+	e.Str("part", string(pollerPart)).Str("detail", strings.TrimSpace(fmt.Sprintf(format, args...))).Msg("poller reported")
+}
+
+// say is logInfo with a message that varies: it goes once all callers use fields.
+func (n *Node) say(p logPart, format string, args ...any) {
+	n.logInfo(p).Msg(fmt.Sprintf(format, args...))
+}
+
+// warn is logWarn with a message that varies: it goes once all callers use fields.
+func (n *Node) warn(p logPart, format string, args ...any) {
+	n.logWarn(p).Msg(fmt.Sprintf(format, args...))
 }
 
-// warn logs what went wrong in a part.
-func (n *Node) warn(p part, format string, args ...any) {
-	n.log.Warn().Msg(string(p) + fmt.Sprintf(format, args...))
+// stateLogInterval is how often changes of state are looked for.
+const stateLogInterval = time.Second
+
+// loggedState is what was last logged of what operators ask first: which nodes are reachable, and whether clients are wanted here.
+type loggedState struct {
+	checkedAt time.Duration
+	reachable int
+	unmet     []string // addresses of nodes that a link leads to and that have sent no hello
+	notReady  []string // reasons
 }
 
-// logStateChanges logs what changed of what operators ask first: who is heard, and whether clients are wanted here.
+// logStateChanges logs what has changed of it, and checks the links, each stateLogInterval.
 func (n *Node) logStateChanges() {
-	n.stateLoggedAt = n.loop.Now()
+	last := &n.logged
+	if n.loop.Now()-last.checkedAt < stateLogInterval {
+		return
+	}
+	last.checkedAt = n.loop.Now()
 	n.links.Check()
-	links := n.roster.Links()
-	unmet := strings.Join(links.WithoutHello, ", ")
-	if n.reachable != n.loggedReachable || unmet != n.loggedUnmet {
-		n.loggedReachable, n.loggedUnmet = n.reachable, unmet
-		n.say(nodePart, "hears %d of %d nodes; %d of %d links are up%s", n.reachable, n.slotCount, links.Connected, links.Wanted, unmetSuffix(unmet))
+	if links := n.roster.Links(); n.reachable != last.reachable || !slices.Equal(links.WithoutHello, last.unmet) {
+		last.reachable, last.unmet = n.reachable, links.WithoutHello
+		n.logInfo(nodePart).Int("reachable", n.reachable).Int("slots", n.slotCount).Int("links_up", links.Connected).
+			Int("links_wanted", links.Wanted).Strs("links_without_hello", links.WithoutHello).Msg("reachable nodes changed")
 	}
-	if why := strings.Join(n.unreadyReasons(), ", "); why != n.loggedUnready {
-		if n.loggedUnready = why; why == "" {
-			n.say(nodePart, "is ready")
-		} else {
-			n.say(nodePart, "is not ready: %s", why)
-		}
+	reasons := n.unreadyReasons()
+	if slices.Equal(reasons, last.notReady) {
+		return
 	}
-}
-
-// unmetSuffix tells of nodes that a link leads to and that have said no hello.
-func unmetSuffix(unmet string) string {
-	if unmet == "" {
-		return ""
+	last.notReady = reasons
+	if len(reasons) == 0 {
+		n.logInfo(nodePart).Msg("ready")
+	} else {
+		n.logInfo(nodePart).Strs("reasons", reasons).Msg("not ready")
 	}
-	return ", without a hello of " + unmet
 }
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -107,11 +107,8 @@
 	slotRequestedAt time.Duration
 	heartbeatAt     time.Duration
 	slotCount       int
-	reachable       int    // nodes in reach
-	loggedReachable int    // and as last logged
-	loggedUnmet     string // nodes that said no hello, as last logged
-	stateLoggedAt   time.Duration
-	loggedUnready   string // why clients were last not wanted, as logged
+	reachable       int // nodes in reach
+	logged          loggedState
 	shuttingDown    bool
 }
 
@@ -125,8 +122,9 @@
 	if memory <= 0 {
 		memory = 256
 	}
-	s := newSockets(fds, memory)
-	return assemble(&Node{settings: sheet, sockets: s, log: newLogger(sheet.NodeName)}, s)
+	s, logger := newSockets(fds, memory), newLogger(sheet.NodeName)
+	logPoller(logger)
+	return assemble(&Node{settings: sheet, sockets: s, log: logger}, s)
 }
 
 // NewWithEnvironment puts a node together over what it is given to stand on; Begin begins it.
@@ -281,9 +279,7 @@
 		h.groups.maintain()
 		h.core.saveRegistry()
 	}
-	if now-h.stateLoggedAt >= time.Second {
-		h.logStateChanges()
-	}
+	h.logStateChanges()
 }
 
 // customerID names a tenant for the quota: the same at every node. Messages carry 34 bits of it.
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -285,8 +285,8 @@
 
 func (l *lines) Write(b []byte) (int, error) {
 	text := b
-	if i := bytes.Index(b, []byte(`"message":`)); i >= 0 { // what comes before is the wall clock's
-		text = b[i+len(`"message":`):]
+	if i := bytes.Index(b, []byte(`"part":`)); i >= 0 { // what comes before is the wall clock's
+		text = b[i:]
 	}
 	l.w.say("%-8s %s", l.name, bytes.TrimRight(text, "}\n"))
 	return len(b), nil
