--- a/internal/gateway/node/authority.go
+++ b/internal/gateway/node/authority.go
@@ -154,6 +154,12 @@
 	}
 }
 
+// fault is a defect that tests put in, to see that they find it.
+type fault uint8
+
+// noFault is none.
+const noFault fault = 0
+
 // Defences that tests take out; planted is what new nodes go without.
 const (
 	grantAllPermissions fault = 100 + iota // all have all rights
--- a/internal/gateway/node/call_chunks.go
+++ b/internal/gateway/node/call_chunks.go
@@ -8,230 +8,264 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Large calls between nodes. A call or an answer that takes more than a window goes in chunks, as states and entries do: 16 KB in flight on
-// a link, acknowledged by how much of it is had, so that heartbeats and small frames go between them. A chunk names what it is of by kind,
-// sum and size, so that the same call, sent again a while later, goes on where its first try broke off.
-//
-// Nothing of a call is acted on before all of it has come. So a call that ends before its last chunk was sent was taken by nobody, and
-// its caller is told so at once.
-
 // Bounds of large calls.
 const (
-	maxChunkedBody = maxControlBodyBytes + 64<<10 // bytes of one
-	maxTransfers   = 16                           // that wait for one node, those under way included
-	maxAssemblies  = 4                            // nodes whose large calls are put together at one time
-	assemblyTTL    = 10 * time.Second             // for the same call to go on
+	// maxChunkedBody is the most bytes that the body of one call or reply may have.
+	maxChunkedBody = maxControlBodyBytes + 64<<10
+	// maxTransfers bounds the large calls and replies that are queued for one node, the one under way included.
+	maxTransfers = 16
+	// maxAssemblies bounds the nodes whose large calls are put together at one time.
+	maxAssemblies = 4
+	// assemblyTTL is how long what has come of a large call is kept for the same call to go on.
+	assemblyTTL = 10 * time.Second
 )
 
-// CallChunk is a chunk of the body of a call or an answer, which come without it, or tells how much of that is had.
+// CallChunk is a chunk of the body of a call or a reply, whose header comes without its body, or tells how much of that body the
+// receiver has.
 type CallChunk struct {
 	Call  *Call
 	Reply *Reply
 	Chunk *replication.Chunk
-	Had   *replication.Chunk
+	Had   *replication.Chunk // acknowledges all before its offset
 }
 
-// sameMessage tells whether two are of one call or answer.
-func (c *CallChunk) sameMessage(o *CallChunk) bool {
-	if c.Call != nil && o.Call != nil {
-		return c.Call.Asker == o.Call.Asker && c.Call.Nr == o.Call.Nr
+// sameMessage tells whether two are of one call or reply.
+func (c *CallChunk) sameMessage(other *CallChunk) bool {
+	if c.Call != nil && other.Call != nil {
+		return c.Call.Asker == other.Call.Asker && c.Call.Nr == other.Call.Nr
 	}
-	return c.Reply != nil && o.Reply != nil && c.Reply.Asker == o.Reply.Asker && c.Reply.Nr == o.Reply.Nr
+	return c.Reply != nil && other.Reply != nil && c.Reply.Asker == other.Reply.Asker && c.Reply.Nr == other.Reply.Nr
 }
 
-// transfer is a large call or answer on its way to a node.
+// wellFormed tells whether a chunk is of a call or of a reply, within the bounds.
+func (c *CallChunk) wellFormed() bool {
+	return c.Chunk != nil && c.Chunk.Size <= maxChunkedBody && (c.Call == nil) != (c.Reply == nil)
+}
+
+// transfer is a large call or reply on its way to a node.
 type transfer struct {
 	header        CallChunk // without a chunk
-	sequence      uint32
+	sequence      uint32    // of the call, if it is this node's
 	deadline      time.Duration
 	outgoing      replication.BlobSender
-	lastChunkSent bool // the last chunk was sent: the other one may have all of it
+	lastChunkSent bool // the receiver may have all of it
+}
+
+// ofCall tells whether it carries this node's call of a number.
+func (t *transfer) ofCall(sequence uint32) bool {
+	return t.sequence == sequence && t.header.Call != nil
 }
 
-// assembly is what one node has sent of a large call or answer.
+// assembly is what one node has sent of a large call or reply.
 type assembly struct {
 	incoming   replication.BlobReceiver
-	receivedAt time.Duration
-	call       CallChunk         // the last call that was whole
-	bodyID     replication.Chunk // and its body, kept so that the same again need not come again
-	body       []byte
+	receivedAt time.Duration     // the last chunk
+	call       CallChunk         // the last call that was complete
+	bodyID     replication.Chunk // names its body
+	body       []byte            // kept so that the same again need not come again
 }
 
-// chunkedCalls are the large calls and answers of a node.
+// chunkedCalls carries large calls and replies between nodes. One that takes more than a window goes in chunks, as states and entries
+// do: 16 KB in flight on a link, acknowledged by how much of it has come, so that heartbeats and small frames go between them. A
+// chunk names its body by kind, checksum and size, so that the same call, sent again a while later, goes on where its first attempt broke off.
+//
+// Nothing of a call is acted on before all of it has come. So a call that ends before its last chunk was sent was taken by nobody, and
+// its caller is told so at once.
 type chunkedCalls struct {
-	supportedBy map[string]bool // whose programs take chunks of calls
+	router      *callRouter
+	supportedBy map[string]bool // nodes whose programs take chunks of calls
 	outgoing    map[string][]*transfer
 	incoming    map[string]*assembly
 }
 
-func newChunkedCalls() chunkedCalls {
-	return chunkedCalls{map[string]bool{}, map[string][]*transfer{}, map[string]*assembly{}}
+func newChunkedCalls(router *callRouter) chunkedCalls {
+	return chunkedCalls{router, map[string]bool{}, map[string][]*transfer{}, map[string]*assembly{}}
 }
 
-// sendCall sends a call, nr of this node's own; false if it can't be on its way.
-func (n *Node) sendCall(to string, nr uint32, c *Call, until time.Duration) bool {
-	if len(c.Body) <= streamConfig.MaxInflightBytes || !n.chunked.supportedBy[to] {
-		n.links.Send(to, &Frame{Call: c})
+// inOneFrame tells whether a body goes to a node as it is.
+func (c *chunkedCalls) inOneFrame(to string, body []byte) bool {
+	return len(body) <= streamConfig.MaxInflightBytes || !c.supportedBy[to]
+}
+
+// sendCall sends a call, by its number here; false if it can't be on its way.
+func (c *chunkedCalls) sendCall(to string, sequence uint32, call *Call, deadline time.Duration) bool {
+	if c.inOneFrame(to, call.Body) {
+		c.router.env.sendFrame(to, &Frame{Call: call})
 		return true
 	}
-	head := *c
-	head.Body = nil
-	return n.enqueueTransfer(to, &transfer{header: CallChunk{Call: &head}, sequence: nr, deadline: until,
-		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(c.Kind), 0, c.Body)}})
+	header := *call
+	header.Body = nil
+	return c.enqueue(to, &transfer{header: CallChunk{Call: &header}, sequence: sequence, deadline: deadline,
+		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(call.Kind), 0, call.Body)}})
 }
 
-// sendReply sends an answer. One that can't be sent is as one that was lost: the asker's time ends its call.
-func (n *Node) sendReply(to string, r *Reply) {
-	if len(r.Body) <= streamConfig.MaxInflightBytes || !n.chunked.supportedBy[to] {
-		n.links.Send(to, &Frame{Reply: r})
+// sendReply sends a reply. One that can't be sent is as one that was lost: the requester's deadline ends its call.
+func (c *chunkedCalls) sendReply(to string, reply *Reply) {
+	if c.inOneFrame(to, reply.Body) {
+		c.router.env.sendFrame(to, &Frame{Reply: reply})
 		return
 	}
-	head := *r
-	head.Body = nil
-	n.enqueueTransfer(to, &transfer{header: CallChunk{Reply: &head}, deadline: n.loop.Now() + callTimeout,
-		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(r.Status), 1, r.Body)}})
+	header := *reply
+	header.Body = nil
+	c.enqueue(to, &transfer{header: CallChunk{Reply: &header}, deadline: c.router.env.now() + callTimeout,
+		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(reply.Status), 1, reply.Body)}})
 }
 
-func (n *Node) enqueueTransfer(to string, t *transfer) bool {
-	if len(n.chunked.outgoing[to]) >= maxTransfers {
+func (c *chunkedCalls) enqueue(to string, t *transfer) bool {
+	if len(c.outgoing[to]) >= maxTransfers {
 		return false
 	}
-	n.chunked.outgoing[to] = append(n.chunked.outgoing[to], t)
-	n.sendChunks(to)
+	c.outgoing[to] = append(c.outgoing[to], t)
+	c.sendChunks(to)
 	return true
 }
 
 // sendChunks sends a node what may be in flight to it: of one transfer after the other.
-func (n *Node) sendChunks(to string) {
-	now, queue := n.loop.Now(), n.chunked.outgoing[to]
+func (c *chunkedCalls) sendChunks(to string) {
+	now, queue := c.router.env.now(), c.outgoing[to]
 	for len(queue) > 0 && (queue[0].outgoing.Complete() || now >= queue[0].deadline) {
 		queue = queue[1:]
 	}
 	if len(queue) == 0 {
-		delete(n.chunked.outgoing, to)
+		delete(c.outgoing, to)
 		return
 	}
-	n.chunked.outgoing[to] = queue
+	c.outgoing[to] = queue
 	t := queue[0]
-	for c := t.outgoing.NextChunk(&streamConfig, now); c != nil; c = t.outgoing.NextChunk(&streamConfig, now) {
-		part := t.header
-		part.Chunk = c
-		t.lastChunkSent = t.lastChunkSent || c.Offset+uint64(len(c.Data)) == c.Size
-		n.links.Send(to, &Frame{Part: &part})
+	for chunk := t.outgoing.NextChunk(&streamConfig, now); chunk != nil; chunk = t.outgoing.NextChunk(&streamConfig, now) {
+		message := t.header
+		message.Chunk = chunk
+		t.lastChunkSent = t.lastChunkSent || chunk.Offset+uint64(len(chunk.Data)) == chunk.Size
+		c.router.env.sendFrame(to, &Frame{Part: &message})
 	}
 }
 
-// receiveChunk takes a chunk, or how much of one's own another node has.
-func (n *Node) receiveChunk(from string, p *CallChunk) {
+// receive takes a chunk, or how much another node has of what is being sent to it.
+func (c *chunkedCalls) receive(from string, m *CallChunk) {
 	switch {
-	case p.Had != nil:
-		if queue := n.chunked.outgoing[from]; len(queue) > 0 && queue[0].header.sameMessage(p) {
-			queue[0].outgoing.Ack(p.Had, n.loop.Now())
-			n.sendChunks(from)
-		}
-	case p.Chunk == nil || p.Chunk.Size > maxChunkedBody || (p.Call == nil) == (p.Reply == nil):
-	case p.Reply != nil && (p.Reply.Asker != n.incarnation || n.pendingCalls[p.Reply.Nr] == nil):
-		n.acknowledgeChunk(from, p, nil) // nobody waits for it
-	case p.Reply != nil:
-		if whole := n.assembleChunk(from, p); whole != nil {
-			r := *p.Reply
-			r.Body = whole
-			delete(n.chunked.incoming, from)
-			n.receiveReply(from, &r)
-		}
+	case m.Had != nil:
+		c.receiveAck(from, m)
+	case !m.wellFormed():
+	case m.Reply != nil:
+		c.receiveReplyChunk(from, m)
 	default:
-		n.receiveCallChunk(from, p)
+		c.receiveCallChunk(from, m)
+	}
+}
+
+func (c *chunkedCalls) receiveAck(from string, m *CallChunk) {
+	if queue := c.outgoing[from]; len(queue) > 0 && queue[0].header.sameMessage(m) {
+		queue[0].outgoing.Ack(m.Had, c.router.env.now())
+		c.sendChunks(from)
+	}
+}
+
+// receiveReplyChunk takes a chunk of a reply. Nobody waits for it if its call has ended.
+func (c *chunkedCalls) receiveReplyChunk(from string, m *CallChunk) {
+	if !c.router.awaits(m.Reply) {
+		c.acknowledge(from, m, nil)
+		return
+	}
+	body := c.assemble(from, m)
+	if body == nil {
+		return
 	}
+	reply := *m.Reply
+	reply.Body = body
+	delete(c.incoming, from)
+	c.router.receiveReply(from, &reply)
 }
 
-// receiveCallChunk takes a chunk of a call. Of one whose body has come before, nothing but the first chunk needs to.
-func (n *Node) receiveCallChunk(from string, p *CallChunk) {
-	a := n.assemblyFrom(from)
-	switch again := a.body != nil && a.bodyID.SameBlob(p.Chunk); {
-	case again && a.call.sameMessage(p):
-		n.acknowledgeChunk(from, p, nil) // it is under way
+// receiveCallChunk takes a chunk of a call. Where the same body has come before, nothing but the first chunk needs to.
+func (c *chunkedCalls) receiveCallChunk(from string, m *CallChunk) {
+	a := c.assemblyFrom(from)
+	switch known := a.body != nil && a.bodyID.SameBlob(m.Chunk); {
+	case known && a.call.sameMessage(m): // it is under way
+		c.acknowledge(from, m, nil)
 		return
-	case again:
-		n.acknowledgeChunk(from, p, nil)
+	case known:
+		c.acknowledge(from, m, nil)
 	default:
-		whole := n.assembleChunk(from, p)
-		if whole == nil {
+		body := c.assemble(from, m)
+		if body == nil {
 			return
 		}
-		a.body, a.bodyID = whole, *p.Chunk
+		a.body, a.bodyID = body, *m.Chunk
 		a.bodyID.Data = nil
 	}
-	a.call = CallChunk{Call: p.Call}
-	c := *p.Call
-	c.Body = a.body
-	n.receiveCall(from, &c)
+	a.call = CallChunk{Call: m.Call}
+	call := *m.Call
+	call.Body = a.body
+	c.router.receiveCall(from, &call)
 }
 
-// assembleChunk puts a chunk to what has come before; it gives the whole once it is.
-func (n *Node) assembleChunk(from string, p *CallChunk) []byte {
-	whole, part := n.assemblyFrom(from).incoming.Receive(p.Chunk)
-	if whole != nil || part != nil {
-		n.acknowledgeChunk(from, p, part)
+// assemble adds a chunk to what has come before, and gives the body once it is complete.
+func (c *chunkedCalls) assemble(from string, m *CallChunk) []byte {
+	body, received := c.assemblyFrom(from).incoming.Receive(m.Chunk)
+	if body != nil || received != nil {
+		c.acknowledge(from, m, received)
 	}
-	return whole
+	return body
 }
 
-// acknowledgeChunk tells a node how much is had of what a chunk is of: nil means all.
-func (n *Node) acknowledgeChunk(to string, p *CallChunk, had *replication.Chunk) {
-	if had == nil {
-		id := *p.Chunk
-		id.Offset, id.Data = id.Size, nil
-		had = &id
+// acknowledge tells a node how much has come of what a chunk is of: nil means all.
+func (c *chunkedCalls) acknowledge(to string, m *CallChunk, received *replication.Chunk) {
+	if received == nil {
+		all := *m.Chunk
+		all.Offset, all.Data = all.Size, nil
+		received = &all
 	}
-	n.links.Send(to, &Frame{Part: &CallChunk{Call: p.Call, Reply: p.Reply, Had: had}})
+	c.router.env.sendFrame(to, &Frame{Part: &CallChunk{Call: m.Call, Reply: m.Reply, Had: received}})
 }
 
-// assemblyFrom is where what a node sends is put together. Where others have all places, the one that has been still longest gives way: it
-// begins anew.
-func (n *Node) assemblyFrom(from string) *assembly {
-	a := n.chunked.incoming[from]
+// assemblyFrom is where what a node sends is put together. Where others have all places, the one that has been idle for longest gives
+// way: it begins anew.
+func (c *chunkedCalls) assemblyFrom(from string) *assembly {
+	a := c.incoming[from]
 	if a == nil {
-		if len(n.chunked.incoming) >= maxAssemblies {
-			oldest := ""
-			for _, addr := range slices.Sorted(maps.Keys(n.chunked.incoming)) {
-				if oldest == "" || n.chunked.incoming[addr].receivedAt < n.chunked.incoming[oldest].receivedAt {
-					oldest = addr
-				}
-			}
-			delete(n.chunked.incoming, oldest)
+		if len(c.incoming) >= maxAssemblies {
+			delete(c.incoming, c.idlest())
 		}
 		a = &assembly{}
-		n.chunked.incoming[from] = a
+		c.incoming[from] = a
 	}
-	a.receivedAt = n.loop.Now()
+	a.receivedAt = c.router.env.now()
 	return a
 }
 
-// mayBeReceived tells whether the node that a call was sent to may have all of it.
-func (n *Node) mayBeReceived(c *pendingCall, nr uint32) bool {
-	if c.sentTo == "" {
-		return false
+// idlest is the node whose last chunk came the longest ago.
+func (c *chunkedCalls) idlest() (oldest string) {
+	for _, addr := range slices.Sorted(maps.Keys(c.incoming)) {
+		if oldest == "" || c.incoming[addr].receivedAt < c.incoming[oldest].receivedAt {
+			oldest = addr
+		}
 	}
-	for _, t := range n.chunked.outgoing[c.sentTo] {
-		if t.sequence == nr && t.header.Call != nil {
+	return oldest
+}
+
+// mayBeReceived tells whether a node that a call was sent to may have all of it.
+func (c *chunkedCalls) mayBeReceived(to string, sequence uint32) bool {
+	for _, t := range c.outgoing[to] {
+		if t.ofCall(sequence) {
 			return t.lastChunkSent
 		}
 	}
 	return true
 }
 
-// cancelTransfer takes a call off its way.
-func (n *Node) cancelTransfer(to string, nr uint32) {
-	queue := slices.DeleteFunc(n.chunked.outgoing[to], func(t *transfer) bool { return t.sequence == nr && t.header.Call != nil })
-	if n.chunked.outgoing[to] = queue; len(queue) == 0 {
-		delete(n.chunked.outgoing, to)
+// cancelCall stops sending a call.
+func (c *chunkedCalls) cancelCall(to string, sequence uint32) {
+	queue := slices.DeleteFunc(c.outgoing[to], func(t *transfer) bool { return t.ofCall(sequence) })
+	if c.outgoing[to] = queue; len(queue) == 0 {
+		delete(c.outgoing, to)
 	}
 }
 
-// tickTransfers sends again what was lost, and forgets what nobody goes on with.
-func (n *Node) tickTransfers() {
-	for _, to := range slices.Sorted(maps.Keys(n.chunked.outgoing)) {
-		n.sendChunks(to)
+// tick sends again what was lost, and forgets what nobody goes on with.
+func (c *chunkedCalls) tick() {
+	for _, to := range slices.Sorted(maps.Keys(c.outgoing)) {
+		c.sendChunks(to)
 	}
-	maps.DeleteFunc(n.chunked.incoming, func(_ string, a *assembly) bool { return n.loop.Now()-a.receivedAt >= assemblyTTL })
+	now := c.router.env.now()
+	maps.DeleteFunc(c.incoming, func(_ string, a *assembly) bool { return now-a.receivedAt >= assemblyTTL })
 }
--- a/internal/gateway/node/call_chunks_test.go
+++ b/internal/gateway/node/call_chunks_test.go
@@ -38,15 +38,15 @@
 	address string
 }
 
-func (l *linkEnd) Send(to string, f *Frame) bool {
-	l.link.queued[to] = append(l.link.queued[to], f)
+func (e *linkEnd) Send(to string, f *Frame) bool {
+	e.link.queued[to] = append(e.link.queued[to], f)
 	n := 0
-	for _, f := range l.link.queued[to] {
+	for _, f := range e.link.queued[to] {
 		if f.Part != nil && f.Part.Chunk != nil {
 			n += len(f.Part.Chunk.Data)
 		}
 	}
-	l.link.maxInFlight = max(l.link.maxInFlight, n)
+	e.link.maxInFlight = max(e.link.maxInFlight, n)
 	return true
 }
 
@@ -60,50 +60,50 @@
 		h := newLearner(t, "10.0.0.8:7110")
 		h.loop, h.links, h.incarnation, h.upstream = withoutAlarms{w.clock}, &linkEnd{link: w, address: x.me}, x.life, ""
 		h.settings.Bounds = settings.Bounds{InTouch: time.Hour}
-		h.pendingCalls, h.chunked, h.startedAt = map[uint32]*pendingCall{}, newChunkedCalls(), w.clock.now
+		h.calls, h.startedAt = newCallRouter(h, h.incarnation), w.clock.now
 		h.groups, h.coordination = &groupHost{node: h}, coordination.New((*coordinationEnv)(h), coordination.Config{})
-		h.chunked.supportedBy = map[string]bool{senderAddr: true, receiverAddr: true}
+		h.calls.chunks.supportedBy = map[string]bool{senderAddr: true, receiverAddr: true}
 		*x.h = h
 	}
 	return w
 }
 
 // deliver brings one frame, or loses it; false: there was none.
-func (c *callLink) deliver(to string, lose bool) bool {
-	if len(c.queued[to]) == 0 {
+func (w *callLink) deliver(to string, lose bool) bool {
+	if len(w.queued[to]) == 0 {
 		return false
 	}
-	f := c.queued[to][0]
-	c.queued[to] = c.queued[to][1:]
+	f := w.queued[to][0]
+	w.queued[to] = w.queued[to][1:]
 	switch {
 	case lose:
 		return true
 	case f.Part != nil && f.Part.Chunk != nil:
-		c.chunkBytes += len(f.Part.Chunk.Data)
+		w.chunkBytes += len(f.Part.Chunk.Data)
 	}
 	if to == receiverAddr {
-		c.receiver.receiveChunk(senderAddr, f.Part)
+		w.receiver.calls.chunks.receive(senderAddr, f.Part)
 	} else {
-		c.sender.receiveChunk(receiverAddr, f.Part)
+		w.sender.calls.chunks.receive(receiverAddr, f.Part)
 	}
 	return true
 }
 
 // forward has a call of a begin that goes to b.
-func (c *callLink) forward(body []byte, then func(int, []byte)) uint32 {
-	c.sender.lastCallID++
-	nr, until := c.sender.lastCallID, c.clock.now+callTimeout
-	c.sender.pendingCalls[nr] = &pendingCall{kind: statemachine.KindReplaceConfig, body: body, deadline: until, sentTo: receiverAddr, recipients: []string{receiverAddr}, done: then}
-	must.True(c.t, c.sender.sendCall(receiverAddr, nr, &Call{Asker: c.sender.incarnation, Nr: nr, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}, until))
+func (w *callLink) forward(body []byte, then func(int, []byte)) uint32 {
+	w.sender.calls.lastSequence++
+	nr, until := w.sender.calls.lastSequence, w.clock.now+callTimeout
+	w.sender.calls.pending[nr] = &pendingCall{kind: statemachine.KindReplaceConfig, body: body, deadline: until, sentTo: receiverAddr, recipients: []string{receiverAddr}, done: then}
+	must.True(w.t, w.sender.calls.chunks.sendCall(receiverAddr, nr, &Call{Asker: w.sender.incarnation, Nr: nr, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}, until))
 	return nr
 }
 
-func (c *callLink) run(steps int, lose func(i int) bool) {
+func (w *callLink) run(steps int, lose func(i int) bool) {
 	for i := range steps {
-		if !c.deliver(receiverAddr, lose(i)) && !c.deliver(senderAddr, lose(i)) {
-			c.clock.now += tickInterval
-			c.sender.tickTransfers()
-			c.receiver.tickTransfers()
+		if !w.deliver(receiverAddr, lose(i)) && !w.deliver(senderAddr, lose(i)) {
+			w.clock.now += tickInterval
+			w.sender.calls.chunks.tick()
+			w.receiver.calls.chunks.tick()
 		}
 	}
 }
@@ -120,19 +120,19 @@
 		w := newCallLink(t)
 		var answer []byte
 		w.forward(body, func(status int, b []byte) { answer = b })
-		for _, c := range w.sender.chunked.outgoing[receiverAddr] {
+		for _, c := range w.sender.calls.chunks.outgoing[receiverAddr] {
 			c.deadline = neverAge
 		}
-		w.sender.pendingCalls[1].deadline = neverAge
+		w.sender.calls.pending[1].deadline = neverAge
 		lose := func(i int) bool { return every > 0 && i%every == 0 }
-		for i := 0; i < 20000 && len(w.receiver.pendingCalls) == 0; i++ {
+		for i := 0; i < 20000 && len(w.receiver.calls.pending) == 0; i++ {
 			w.run(1, func(int) bool { return lose(i) })
 		}
-		must.MapLen(t, 1, w.receiver.pendingCalls)
-		must.True(t, bytes.Equal(body, w.receiver.pendingCalls[1].body))
+		must.MapLen(t, 1, w.receiver.calls.pending)
+		must.True(t, bytes.Equal(body, w.receiver.calls.pending[1].body))
 		must.LessEq(t, streamConfig.MaxInflightBytes, w.maxInFlight)
-		w.receiver.finishCall(1, 200, body)
-		for _, c := range w.receiver.chunked.outgoing[senderAddr] {
+		w.receiver.calls.end(1, 200, body)
+		for _, c := range w.receiver.calls.chunks.outgoing[senderAddr] {
 			c.deadline = neverAge
 		}
 		for i := 0; i < 20000 && answer == nil; i++ {
@@ -141,8 +141,8 @@
 		must.True(t, bytes.Equal(body, answer))
 		must.LessEq(t, streamConfig.MaxInflightBytes, w.maxInFlight)
 		w.run(200, loseNone)
-		must.MapEmpty(t, w.sender.chunked.outgoing)
-		must.MapEmpty(t, w.receiver.chunked.outgoing)
+		must.MapEmpty(t, w.sender.calls.chunks.outgoing)
+		must.MapEmpty(t, w.receiver.calls.chunks.outgoing)
 	}
 }
 
@@ -155,28 +155,28 @@
 	nr := w.forward(body, then)
 	w.run(100, loseNone) // some 50 chunks
 	w.clock.now += callTimeout
-	w.sender.finishCall(nr, 503, nil)
+	w.sender.calls.end(nr, 503, nil)
 	must.Eq(t, 503, status)
-	must.MapEmpty(t, w.sender.chunked.outgoing)
+	must.MapEmpty(t, w.sender.calls.chunks.outgoing)
 	w.queued = map[string][]*Frame{}
 	before := w.chunkBytes
 	must.Greater(t, 300<<10, before)
 	nr = w.forward(body, then)
 	w.run(400, loseNone)
-	must.MapLen(t, 1, w.receiver.pendingCalls)
+	must.MapLen(t, 1, w.receiver.calls.pending)
 	must.Less(t, len(body)-before+3*streamConfig.MaxInflightBytes, w.chunkBytes-before)
 	w.sender.LinkDown(receiverAddr)
-	w.sender.finishCall(nr, 503, nil)
+	w.sender.calls.end(nr, 503, nil)
 	must.Eq(t, controlapi.Unclear, status)
 
 	w = newCallLink(t)
 	nr = w.forward(body, then)
 	w.run(100, loseNone)
 	w.sender.LinkDown(receiverAddr) // the link ends midway
-	must.False(t, w.sender.pendingCalls[nr].ambiguous)
-	must.Eq(t, "", w.sender.pendingCalls[nr].sentTo)
-	must.MapEmpty(t, w.sender.chunked.outgoing)
-	w.sender.finishCall(nr, 503, nil)
+	must.False(t, w.sender.calls.pending[nr].ambiguous)
+	must.Eq(t, "", w.sender.calls.pending[nr].sentTo)
+	must.MapEmpty(t, w.sender.calls.chunks.outgoing)
+	w.sender.calls.end(nr, 503, nil)
 	must.Eq(t, 503, status)
 }
 
@@ -187,22 +187,22 @@
 		return &CallChunk{Call: &Call{Asker: 1, Nr: 1, Kind: statemachine.KindReplaceConfig},
 			Chunk: &replication.Chunk{Index: 1, Size: size, Data: make([]byte, 8<<10)}}
 	}
-	w.receiver.receiveChunk(senderAddr, chunk(maxChunkedBody+1))
-	must.MapEmpty(t, w.receiver.chunked.incoming)
+	w.receiver.calls.chunks.receive(senderAddr, chunk(maxChunkedBody+1))
+	must.MapEmpty(t, w.receiver.calls.chunks.incoming)
 	for i := range 20 {
 		w.clock.now++
-		w.receiver.receiveChunk(string(rune('a'+i)), chunk(1<<20))
-		must.LessEq(t, maxAssemblies, len(w.receiver.chunked.incoming))
+		w.receiver.calls.chunks.receive(string(rune('a'+i)), chunk(1<<20))
+		must.LessEq(t, maxAssemblies, len(w.receiver.calls.chunks.incoming))
 	}
 	w.clock.now += assemblyTTL
-	w.receiver.tickTransfers()
-	must.MapEmpty(t, w.receiver.chunked.incoming)
+	w.receiver.calls.chunks.tick()
+	must.MapEmpty(t, w.receiver.calls.chunks.incoming)
 	for range maxTransfers {
-		must.True(t, w.sender.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, neverAge))
+		must.True(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, neverAge))
 	}
-	must.False(t, w.sender.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, neverAge))
-	w.sender.chunked.supportedBy[receiverAddr] = false // a program of the version before
+	must.False(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, neverAge))
+	w.sender.calls.chunks.supportedBy[receiverAddr] = false // a program of the version before
 	w.queued = map[string][]*Frame{}
-	w.sender.sendCall(receiverAddr, 2, &Call{Nr: 2, Body: filler(1 << 20)}, neverAge)
+	w.sender.calls.chunks.sendCall(receiverAddr, 2, &Call{Nr: 2, Body: filler(1 << 20)}, neverAge)
 	must.Eq(t, 1<<20/20*20, len(w.queued[receiverAddr][0].Call.Body))
 }
--- a/internal/gateway/node/call_replies_test.go
+++ b/internal/gateway/node/call_replies_test.go
@@ -15,17 +15,17 @@
 )
 
 // inTurn is something done, or looked at, in a node's turn.
-func (t *testCluster) inTurn(i int, do func(h *Node)) {
-	t.running[i].loop.Turn(func() { do(t.running[i]) })
+func (d *testCluster) inTurn(i int, do func(h *Node)) {
+	d.running[i].loop.Turn(func() { do(d.running[i]) })
 }
 
 // awaitLeader is the number of the node that leads.
-func (t *testCluster) awaitLeader() (leader int) {
-	t.t.Helper()
+func (d *testCluster) awaitLeader() (leader int) {
+	d.t.Helper()
 	leader = -1
-	t.eventually("a leader", func() bool {
-		for i := range t.running {
-			t.inTurn(i, func(h *Node) {
+	d.eventually("a leader", func() bool {
+		for i := range d.running {
+			d.inTurn(i, func(h *Node) {
 				if h.core != nil && h.core.replica.IsLeader() {
 					leader = i
 				}
@@ -37,11 +37,11 @@
 }
 
 // pause holds nodes in a turn each until they are told to go on.
-func (t *testCluster) pause(which ...int) (goOn func()) {
+func (d *testCluster) pause(which ...int) (goOn func()) {
 	end := make(chan bool)
 	for _, i := range which {
 		standing := make(chan bool)
-		go t.running[i].loop.Turn(func() {
+		go d.running[i].loop.Turn(func() {
 			close(standing)
 			<-end
 		})
@@ -49,7 +49,7 @@
 	}
 	var once sync.Once
 	goOn = func() { once.Do(func() { close(end) }) }
-	t.t.Cleanup(goOn) // a test that fails must end all the same
+	d.t.Cleanup(goOn) // a test that fails must end all the same
 	return goOn
 }
 
@@ -68,12 +68,12 @@
 			if h.upstream != d.running[leader].peerAddr {
 				h.requestStream(d.running[leader].peerAddr)
 			}
-			is = hasSlot(h) && len(h.pendingCalls) == 0
+			is = hasSlot(h) && len(h.calls.pending) == 0
 		})
 		return is
 	})
 	before, led := uint32(0), true
-	d.inTurn(leader, func(h *Node) { before = h.lastCallID })
+	d.inTurn(leader, func(h *Node) { before = h.calls.lastSequence })
 	leads := func() bool { // on a machine that is busy it may be lost meanwhile: then this shows nothing
 		d.inTurn(leader, func(h *Node) { led = led && h.core.replica.IsLeader() })
 		return led
@@ -81,10 +81,10 @@
 	goOn := d.pause((leader+1)%3, (leader+2)%3) // nothing is acknowledged now
 	d.inTurn(3, func(h *Node) {
 		h.callLeader(statemachine.KindReplaceConfig, []byte(configBody(8, 7)), 0, func(int, []byte) {})
-		nr = h.lastCallID
+		nr = h.calls.lastSequence
 	})
 	d.eventually("the call at the leader", func() bool {
-		d.inTurn(leader, func(h *Node) { is = h.lastCallID > before })
+		d.inTurn(leader, func(h *Node) { is = h.calls.lastSequence > before })
 		return is || !leads()
 	})
 	d.kill(3)
@@ -94,7 +94,7 @@
 		return is || !leads()
 	})
 	d.inTurn(3, func(h *Node) {
-		h.lastCallID = nr - 1
+		h.calls.lastSequence = nr - 1
 		h.callLeader(statemachine.KindReplaceConfig, []byte(configBody(9, 8)), maxHops, func(status int, _ []byte) { answer <- status }) // goes nowhere
 	})
 	goOn()
@@ -125,17 +125,17 @@
 func TestRepliesInAllOrders(t *testing.T) {
 	d := startCluster(t, 1)
 	h := d.running[0]
-	misled := func(f fault) (n int) {
-		h.fault = f
-		defer func() { h.fault = noFault }()
+	misled := func(knobs callTestingKnobs) (n int) {
+		h.calls.knobs = knobs
+		defer func() { h.calls.knobs = callTestingKnobs{} }()
 		permutations(7, func(order []int) {
 			got := [2][]string{}
 			for i := range got {
-				h.lastCallID++
-				h.pendingCalls[h.lastCallID] = &pendingCall{kind: ReadConfig, deadline: h.loop.Now() + callTimeout, recipients: []string{"x:1", "y:1"}[:i+1], sentTo: "xy"[i:i+1] + ":1",
+				h.calls.lastSequence++
+				h.calls.pending[h.calls.lastSequence] = &pendingCall{kind: ReadConfig, deadline: h.loop.Now() + callTimeout, recipients: []string{"x:1", "y:1"}[:i+1], sentTo: "xy"[i:i+1] + ":1",
 					done: func(status int, body []byte) { got[i] = append(got[i], fmt.Sprint(status, string(body))) }}
 			}
-			a, b := h.lastCallID-1, h.lastCallID
+			a, b := h.calls.lastSequence-1, h.calls.lastSequence
 			all := []struct {
 				from string
 				Reply
@@ -148,13 +148,13 @@
 			if !slices.Equal(got[0], []string{"200a"}) || !slices.Equal(got[1], []string{"412b"}) {
 				n++
 			}
-			clear(h.pendingCalls)
+			clear(h.calls.pending)
 		})
 		return n
 	}
 	d.inTurn(0, func(h *Node) {
 		h.startedAt = h.loop.Now() // one that has just begun waits for whoever leads, later it would end calls at once
-		must.Eq(t, 0, misled(noFault))
-		must.Positive(t, misled(matchBySequenceOnly))
+		must.Eq(t, 0, misled(callTestingKnobs{}))
+		must.Positive(t, misled(callTestingKnobs{matchBySequenceOnly: true}))
 	})
 }
--- a/internal/gateway/node/call_router.go
+++ b/internal/gateway/node/call_router.go
@@ -1,291 +1,275 @@
 package node
 
 import (
+	"maps"
 	"slices"
 	"time"
 
-	"github.com/go-faster/errors"
-
 	"clovergap/internal/gateway/controlapi"
-	"clovergap/internal/gateway/membership"
-	"clovergap/internal/gateway/replication"
-	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
+	"clovergap/internal/proxy/eventloop"
 )
 
 const (
-	callTimeout       = 900 * time.Millisecond // a caller of control waits a second
-	callRetryInterval = 120 * time.Millisecond // while nobody leads, or who led is gone
-	maxHops           = 3
-	maxPendingCalls   = 256
+	// callTimeout bounds a call at each node that it passes through: clients of the control API give up on a node after a second.
+	callTimeout = 900 * time.Millisecond
+	// callRetryInterval is how long a call waits for another attempt while nobody is known to lead, or the leader is lost.
+	callRetryInterval = 120 * time.Millisecond
+	// maxHops is how many times a call is passed on between nodes.
+	maxHops = 3
+	// maxPendingCalls bounds the calls that wait at a node for their end.
+	maxPendingCalls = 256
 )
 
-// fault is a defect that tests put in, to see that they find it.
-type fault uint8
+// handledHere stands for an address where a call is proposed by this node itself.
+const handledHere = "here"
 
-const (
-	noFault             fault = iota
-	matchBySequenceOnly       // an answer belongs to whatever call bears its number
-)
+// callRouter takes each control call to the leader of the configuration's log, and its answer back. A call ends exactly once,
+// within callTimeout. A reply is matched by the requester's incarnation and its sequence number, and has to come from a node that
+// the call was sent to. It is called in turns of the node.
+type callRouter struct {
+	env          callEnv
+	incarnation  uint64 // of this node; sequence numbers begin anew in each
+	pending      map[uint32]*pendingCall
+	lastSequence uint32
+	chunks       chunkedCalls
+	knobs        callTestingKnobs
+}
+
+// callEnv is what a callRouter needs of its node.
+type callEnv interface {
+	now() time.Duration
+	schedule(at time.Duration, to eventloop.Alarm, sequence uint32)
+	sendFrame(to string, f *Frame) bool
+	// mayTakeCalls tells whether this node's contact with a majority is recent enough for a call to be worth its wait.
+	mayTakeCalls() bool
+	isLeader() bool
+	// forwardTarget is the node to pass calls on to: the leader, or the node that this one follows; "" if there is none.
+	forwardTarget() string
+	// propose settles a call in this node's log.
+	propose(p changeProposal)
+	// noQuorumAt notes that a node has said that it has no contact with a majority.
+	noQuorumAt(addr string)
+}
+
+// callTestingKnobs are defects that tests put in, to see that they find them.
+type callTestingKnobs struct {
+	matchBySequenceOnly bool // a reply belongs to whichever call bears its sequence number
+}
 
-// pendingCall is one that waits for whoever leads.
+// callDone is told once how a call has ended.
+type callDone func(status int, body []byte)
+
+// pendingCall is a call that has not ended yet.
 type pendingCall struct {
 	kind       statemachine.Kind
 	body       []byte
-	hops       int
+	hops       int // that it has taken to this node
 	deadline   time.Duration
-	retryAt    time.Duration // when it goes again, if it is not on its way or another leads by then
-	sentTo     string        // to whom it is on its way
-	recipients []string      // to whom it ever was
-	ambiguous  bool          // one that had it is gone or left without an answer: it may have been taken
-	done       func(status int, body []byte)
+	retryAt    time.Duration // the next attempt, unless one is in flight to who is known to lead by then
+	sentTo     string        // where an attempt is in flight; handledHere: in this node's log; "": nowhere
+	recipients []string      // of all attempts
+	ambiguous  bool          // an attempt was lost on its way or left without an answer: the call may have been taken
+	done       callDone
+}
+
+// isRead tells whether the call changes nothing.
+func (p *pendingCall) isRead() bool { return p.kind == ReadConfig || p.kind == ReadRollouts }
+
+func newCallRouter(env callEnv, incarnation uint64) *callRouter {
+	c := &callRouter{env: env, incarnation: incarnation, pending: map[uint32]*pendingCall{}}
+	c.chunks = newChunkedCalls(c)
+	return c
 }
 
-// callLeader brings a control call to whoever leads and tells how it ended: within callTimeout in any case, so that the caller
-// is not held for what another node may know.
-func (n *Node) callLeader(kind statemachine.Kind, body []byte, hops int, then func(status int, body []byte)) {
-	if len(n.pendingCalls) >= maxPendingCalls {
-		then(503, []byte("too many calls wait"))
+// callLeader takes a call to the leader. It ends within callTimeout whatever happens, since its caller is not to wait for what
+// another node may know.
+func (c *callRouter) callLeader(kind statemachine.Kind, body []byte, hops int, done callDone) {
+	if len(c.pending) >= maxPendingCalls {
+		done(statusUnavailable, errTooManyCalls.body())
 		return
 	}
-	n.lastCallID++ // of 32 bits, as the timer's are: no call lives long enough to meet its number again
-	n.pendingCalls[n.lastCallID] = &pendingCall{kind: kind, body: body, hops: hops, deadline: n.loop.Now() + callTimeout, done: then}
-	n.forwardCall(n.lastCallID)
-	n.loop.At(n.loop.Now()+callTimeout, (*callTimer)(n), n.lastCallID)
+	c.lastSequence++ // 32 bits, as many as an alarm's: no call lives until its number comes again
+	sequence, now := c.lastSequence, c.env.now()
+	c.pending[sequence] = &pendingCall{kind: kind, body: body, hops: hops, deadline: now + callTimeout, done: done}
+	c.attempt(sequence)
+	c.env.schedule(now+callTimeout, (*callTimer)(c), sequence)
 }
 
-// forwardCall sends a call on, or settles it here.
-func (n *Node) forwardCall(nr uint32) {
-	c := n.pendingCalls[nr]
-	c.ambiguous = c.ambiguous || n.mayBeReceived(c, nr)
-	if !n.permitted(permitCalls) {
-		n.rejectCall(nr)
+// attempt passes a call on, or proposes it here where this node leads.
+func (c *callRouter) attempt(sequence uint32) {
+	call := c.pending[sequence]
+	call.ambiguous = call.ambiguous || c.mayBeReceived(call, sequence)
+	if !c.env.mayTakeCalls() {
+		c.reject(sequence)
 		return
 	}
-	if n.isLeader() {
-		n.cancelTransfer(c.sentTo, nr)
-		c.retryAt, c.sentTo = c.deadline, "here"
-		n.proposeCall(nr, false)
+	if c.env.isLeader() {
+		c.chunks.cancelCall(call.sentTo, sequence)
+		call.retryAt, call.sentTo = call.deadline, handledHere
+		c.propose(sequence)
 		return
 	}
-	to := n.forwardTarget()
-	if to == "" || c.hops >= maxHops {
-		c.retryAt = n.loop.Now() + callRetryInterval
-		n.loop.At(c.retryAt, (*callTimer)(n), nr)
+	target := c.env.forwardTarget()
+	if target == "" || call.hops >= maxHops {
+		c.retryLater(sequence)
 		return
 	}
-	was := c.sentTo
-	c.retryAt, c.sentTo = n.loop.Now()+callRetryInterval, to
-	n.loop.At(c.retryAt, (*callTimer)(n), nr)
-	if !slices.Contains(c.recipients, to) {
-		c.recipients = append(c.recipients, to)
-	}
-	n.cancelTransfer(was, nr)
-	if !n.sendCall(to, nr, &Call{Asker: n.incarnation, Nr: nr, Kind: c.kind, Body: c.body, Hops: c.hops + 1}, c.deadline) {
-		c.sentTo = "" // too many go there
-	}
+	c.forward(sequence, target)
 }
 
-// proposeCall puts a call into the log, whose verdict holds. What this node refuses before it refuses by its own state: only once a round
-// has told that it leads still, and that this state is as new as anything acknowledged.
-func (n *Node) proposeCall(nr uint32, confirmed bool) {
-	c := n.pendingCalls[nr]
-	if c == nil || c.sentTo != "here" {
-		return
+// forward sends a call to another node. It is looked at again after callRetryInterval: another may lead by then.
+func (c *callRouter) forward(sequence uint32, target string) {
+	call := c.pending[sequence]
+	previous := call.sentTo
+	call.sentTo = target
+	c.retryLater(sequence)
+	if !slices.Contains(call.recipients, target) {
+		call.recipients = append(call.recipients, target)
 	}
-	body, err := n.prepareEntry(c.kind, c.body)
-	if c.kind == statemachine.KindBootstrapGroups {
-		body = n.core.groupFounders()
-	}
-	refusal := 400
-	if err == nil {
-		err = n.checkServiceable(c.kind, body)
-	}
-	if err == nil {
-		if err = n.checkSize(c.kind, body); err != nil {
-			refusal = 413
-		}
-	}
-	switch {
-	case err == nil:
-		n.core.propose(c.kind, body, func(status int, body []byte) {
-			n.completeCall(nr, status, n.answerBody(c.kind, c.body, status, body))
-		})
-	case confirmed:
-		n.completeCall(nr, refusal, []byte(err.Error()))
-	default:
-		n.core.propose(ReadConfig, nil, func(status int, body []byte) {
-			if status != 200 {
-				n.completeCall(nr, status, body)
-				return
-			}
-			n.proposeCall(nr, true)
-		})
+	c.chunks.cancelCall(previous, sequence)
+	passed := &Call{Asker: c.incarnation, Nr: sequence, Kind: call.kind, Body: call.body, Hops: call.hops + 1}
+	if !c.chunks.sendCall(target, sequence, passed, call.deadline) {
+		call.sentTo = "" // too many are on their way there
 	}
 }
 
-// noQuorumText tells a caller to go elsewhere: nothing was taken at this try.
-const noQuorumText = "no majority is in contact here, another node may know more"
+// retryLater has a call looked at again after callRetryInterval.
+func (c *callRouter) retryLater(sequence uint32) {
+	call := c.pending[sequence]
+	call.retryAt = c.env.now() + callRetryInterval
+	c.env.schedule(call.retryAt, (*callTimer)(c), sequence)
+}
 
-// rejectCall ends a call here: while this node has no word of a majority, waiting is worth nothing.
-func (n *Node) rejectCall(nr uint32) {
-	text := noQuorumText
-	if c := n.pendingCalls[nr]; c.ambiguous || n.mayBeReceived(c, nr) { // who has it may take it yet
-		text = replication.OutcomeUnknown.String()
+// propose settles a call in this node's log.
+func (c *callRouter) propose(sequence uint32) {
+	call := c.pending[sequence]
+	wanted := func() bool {
+		call := c.pending[sequence]
+		return call != nil && call.sentTo == handledHere
 	}
-	n.finishCall(nr, 503, []byte(text))
+	done := func(status int, body []byte) { c.complete(sequence, status, body) }
+	c.env.propose(changeProposal{call.kind, call.body, wanted, done})
 }
 
-// forwardTarget is the node to pass a call on to: the leader where it is known, else the node that this one follows.
-func (n *Node) forwardTarget() string {
-	if n.core != nil {
-		if m, _, ok := n.core.replica.Leader(); ok && m.ID != n.core.self.ID {
-			return m.Addr
-		}
-		return ""
-	}
-	if n.roster.Live(n.upstream) {
-		return n.upstream
+// reject ends a call at a node without contact with a majority, where waiting is worth nothing.
+func (c *callRouter) reject(sequence uint32) {
+	cause := errNoQuorum
+	if call := c.pending[sequence]; call.ambiguous || c.mayBeReceived(call, sequence) {
+		cause = errOutcomeUnknown // who has it may take it yet
 	}
-	return ""
+	c.end(sequence, statusUnavailable, cause.body())
 }
 
-// leaderChanged tells whether another leads, as far as is known here, than the node that a call was passed on to.
-func (n *Node) leaderChanged(than string) bool {
-	if n.isLeader() {
+// leaderChanged tells whether a call is to be sent to another node than the one where it is.
+func (c *callRouter) leaderChanged(from string) bool {
+	if c.env.isLeader() {
 		return true
 	}
-	to := n.forwardTarget()
-	return to != "" && to != than
+	target := c.env.forwardTarget()
+	return target != "" && target != from
 }
 
 // receiveCall takes a call that another node passed on.
-func (n *Node) receiveCall(from string, c *Call) {
-	n.callLeader(c.Kind, c.Body, c.Hops, func(status int, body []byte) {
-		n.sendReply(from, &Reply{c.Asker, c.Nr, status, body})
+func (c *callRouter) receiveCall(from string, passed *Call) {
+	c.callLeader(passed.Kind, passed.Body, passed.Hops, func(status int, body []byte) {
+		c.chunks.sendReply(from, &Reply{passed.Asker, passed.Nr, status, body})
 	})
 }
 
-// receiveReply takes the answer to a call that was passed on. It is known by the life that asked and the number within it, and comes
-// from a node that was asked: one to a former life, or to a call that has ended, does nothing. A node that was asked before
-// the one that has the call now may still settle it, but not send it round again.
-func (n *Node) receiveReply(from string, r *Reply) {
-	c := n.pendingCalls[r.Nr]
-	switch {
-	case c == nil:
-	case r.Asker != n.incarnation && n.fault != matchBySequenceOnly:
-	case !slices.Contains(c.recipients, from) && n.fault != matchBySequenceOnly:
-	case r.Status/100 == 5 && from != c.sentTo && n.fault != matchBySequenceOnly:
-	default:
-		n.completeCall(r.Nr, r.Status, r.Body)
+// receiveReply takes the reply to a call that was passed on. One to a former incarnation, to a call that has ended or from a node
+// that was never asked is dropped. A node that was asked before the present one may still settle the call, but not send it
+// round again.
+func (c *callRouter) receiveReply(from string, reply *Reply) {
+	call := c.pending[reply.Nr]
+	if call == nil {
+		return
+	}
+	foreign := reply.Asker != c.incarnation || !slices.Contains(call.recipients, from)
+	superseded := reply.Status/100 == 5 && from != call.sentTo
+	if (foreign || superseded) && !c.knobs.matchBySequenceOnly {
+		return
 	}
+	c.complete(reply.Nr, reply.Status, reply.Body)
 }
 
-// completeCall ends a call. Nobody leading is no end while there is time: who did may just have gone.
-func (n *Node) completeCall(nr uint32, status int, body []byte) {
-	c := n.pendingCalls[nr]
-	if c == nil {
+// complete takes the result of an attempt. It ends the call, unless nobody leads and there is time for another one: the
+// former leader may just be lost.
+func (c *callRouter) complete(sequence uint32, status int, body []byte) {
+	call := c.pending[sequence]
+	if call == nil {
 		return
 	}
-	if status == 503 && string(body) == noQuorumText && c.sentTo == n.upstream && n.core == nil { // one that has word may be there
-		n.upstreamReports[n.upstream] = upstreamReport{n.loop.Now(), neverAge, 0, 0}
-		n.checkUpstream()
+	if status == statusUnavailable && errNoQuorum.is(body) {
+		c.env.noQuorumAt(call.sentTo)
 	}
-	n.cancelTransfer(c.sentTo, nr)
-	if status == 503 && n.loop.Now()+callRetryInterval < c.deadline {
-		c.sentTo, c.retryAt = "", n.loop.Now()+callRetryInterval
-		n.loop.At(c.retryAt, (*callTimer)(n), nr)
+	c.chunks.cancelCall(call.sentTo, sequence)
+	if status == statusUnavailable && c.env.now()+callRetryInterval < call.deadline {
+		call.sentTo = ""
+		c.retryLater(sequence)
 		return
 	}
-	c.sentTo, c.ambiguous = "", c.ambiguous || status == controlapi.Unclear
-	n.finishCall(nr, status, body)
+	call.sentTo, call.ambiguous = "", call.ambiguous || status == controlapi.Unclear
+	c.end(sequence, status, body)
 }
 
-// finishCall ends a call. A change that another node had before may have been taken there, whatever the last one knows of no leader.
-func (n *Node) finishCall(nr uint32, status int, body []byte) {
-	c := n.pendingCalls[nr]
-	delete(n.pendingCalls, nr)
-	if reads := c.kind == ReadConfig || c.kind == ReadRollouts; status/100 == 5 {
-		if status = 503; !reads && (c.ambiguous || n.mayBeReceived(c, nr)) {
+// end ends a call. A change that another node has had may have been taken there, whatever the last attempt came to.
+func (c *callRouter) end(sequence uint32, status int, body []byte) {
+	call := c.pending[sequence]
+	delete(c.pending, sequence)
+	if status/100 == 5 {
+		status = statusUnavailable
+		if !call.isRead() && (call.ambiguous || c.mayBeReceived(call, sequence)) {
 			status = controlapi.Unclear
 		}
 	}
-	n.cancelTransfer(c.sentTo, nr)
-	c.done(status, body)
+	c.chunks.cancelCall(call.sentTo, sequence)
+	call.done(status, body)
 }
 
-// callTimer brings a call's due times.
-type callTimer Node
-
-func (c *callTimer) Live(nr uint32) bool { return c.pendingCalls[nr] != nil }
+// awaits tells whether a call of this incarnation waits for a reply.
+func (c *callRouter) awaits(reply *Reply) bool {
+	return reply.Asker == c.incarnation && c.pending[reply.Nr] != nil
+}
 
-func (c *callTimer) Due(nr uint32) {
-	h, pendingCall := (*Node)(c), c.pendingCalls[nr]
-	switch now := h.loop.Now(); {
-	case pendingCall == nil:
-	case now >= pendingCall.deadline:
-		h.finishCall(nr, 503, []byte("no clear answer in time"))
-	case !h.permitted(permitCalls):
-		h.rejectCall(nr)
-	case now < pendingCall.retryAt:
-	case pendingCall.sentTo != "" && !h.leaderChanged(pendingCall.sentTo): // its answer is still to come
-		pendingCall.retryAt = now + callRetryInterval
-		h.loop.At(pendingCall.retryAt, c, nr)
-	default: // one that stands still or is cut off never answers: another leads by now
-		h.forwardCall(nr)
-	}
+// mayBeReceived tells whether the node that a call is in flight to may have all of it.
+func (c *callRouter) mayBeReceived(call *pendingCall, sequence uint32) bool {
+	return call.sentTo != "" && c.chunks.mayBeReceived(call.sentTo, sequence)
 }
 
-// requestSlot asks for a slot while this node has none.
-func (n *Node) requestSlot() {
-	if n.slot() != membership.NoSlot || n.loop.Now()-n.slotRequestedAt < time.Second || !n.permitted(permitRequestSlot) {
-		return
-	}
-	n.slotRequestedAt = n.loop.Now()
-	entry := statemachine.AssignSlotEntry(membership.SlotHolder{Name: n.settings.NodeName, Addr: n.peerAddr, Control: n.settings.Bind.Control,
-		Zone: n.settings.Zone})
-	n.callLeader(statemachine.KindAssignSlot, entry[1:], 0, func(status int, body []byte) {
-		if status != 200 {
-			n.say(nodePart, "no slot yet: %s", body)
+// linkDown takes that the link to a node has ended. What was sent there may have been taken: the same again is answered as the first was.
+func (c *callRouter) linkDown(addr string) {
+	for _, sequence := range slices.Sorted(maps.Keys(c.pending)) {
+		call := c.pending[sequence]
+		if call.sentTo != addr {
+			continue
 		}
-	})
+		call.ambiguous = call.ambiguous || c.mayBeReceived(call, sequence)
+		c.chunks.cancelCall(addr, sequence)
+		call.sentTo = ""
+		c.retryLater(sequence)
+	}
 }
 
-// diskCopiesPerState is how many times the largest state the file holds at the most, and a little: see logstore.
-const diskCopiesPerState = 10
+// callTimer is the alarm of the calls: of each one's deadline and next attempt.
+type callTimer callRouter
 
-// checkServiceable tells whether a configuration that would be taken has a route that can't be served. Whoever leads decides it, as it decides
-// what is too large.
-func (n *Node) checkServiceable(k statemachine.Kind, body []byte) error {
-	if k != statemachine.KindReplaceConfig && k != statemachine.KindAmendConfig {
-		return nil
-	}
-	err := routing.CheckDeadlines(body)
-	if err == nil {
-		return nil
-	}
-	if v, _ := n.machine.Decide(k, body); v != routing.Taken {
-		return nil // its answer is another
-	}
-	return err
-}
+// Live tells whether a call has not ended yet.
+func (c *callTimer) Live(sequence uint32) bool { return c.pending[sequence] != nil }
 
-// checkSize tells whether a configuration that would be taken grows beyond what the disk is for. Whoever leads decides it, before
-// anything is proposed: what is in the log is applied everywhere, whatever a node's disk. An amendment counts in full, whatever it
-// takes away.
-func (n *Node) checkSize(k statemachine.Kind, body []byte) error {
-	size, most := len(body), maxControlBodyBytes
-	if d := n.settings.Limits.DiskMB; d > 0 {
-		most = min(most, d<<20/diskCopiesPerState)
-	}
-	if k == statemachine.KindAmendConfig {
-		size += len(n.machine.Configs.Body())
-	}
-	if k != statemachine.KindReplaceConfig && k != statemachine.KindAmendConfig || size <= most {
-		return nil
-	}
-	if v, _ := n.machine.Decide(k, body); v != routing.Taken {
-		return nil // its answer is another
+// Due ends a call that is over its deadline or can't be settled, and makes the next attempt at one that nobody has, or that is at a node that leads no longer.
+func (c *callTimer) Due(sequence uint32) {
+	r, call := (*callRouter)(c), c.pending[sequence]
+	switch now := r.env.now(); {
+	case call == nil:
+	case now >= call.deadline:
+		r.end(sequence, statusUnavailable, errCallTimeout.body())
+	case !r.env.mayTakeCalls():
+		r.reject(sequence)
+	case now < call.retryAt:
+	case call.sentTo != "" && !r.leaderChanged(call.sentTo): // its reply is still to come
+		r.retryLater(sequence)
+	default: // a node that is paused or partitioned never replies: another one leads by now
+		r.attempt(sequence)
 	}
-	return errors.Errorf("configuration of %d bytes, at most %d fit", size, most)
 }
--- a/internal/gateway/node/call_router_test.go
+++ b/internal/gateway/node/call_router_test.go
@@ -36,8 +36,8 @@
 	h, answer := d.running[(leader+1)%3], make(chan int, 1)
 	h.loop.Turn(func() {
 		h.callLeader(ReadConfig, nil, 0, func(status int, _ []byte) { answer <- status })
-		must.Eq(t, d.running[leader].peerAddr, h.pendingCalls[h.lastCallID].sentTo)
-		h.pendingCalls[h.lastCallID].deadline = h.loop.Now() + testTimeout
+		must.Eq(t, d.running[leader].peerAddr, h.calls.pending[h.calls.lastSequence].sentTo)
+		h.calls.pending[h.calls.lastSequence].deadline = h.loop.Now() + testTimeout
 	})
 	must.Eq(t, 200, <-answer)
 }
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -100,9 +100,7 @@
 	incomingBlob replication.BlobReceiver // from the node that is followed
 	coordination *coordination.Service
 
-	pendingCalls    map[uint32]*pendingCall
-	chunked         chunkedCalls
-	lastCallID      uint32
+	calls           *callRouter
 	fault           fault // tests put one in
 	slotRequestedAt time.Duration
 	heartbeatAt     time.Duration
@@ -138,7 +136,7 @@
 	h.loop, h.counters = b, b.Counters()
 	h.machine, h.table, h.upstreamReports, h.learners = statemachine.New(), routing.NewTable(nil), map[string]upstreamReport{}, map[string]*learner{}
 	h.learnerClocks = map[string]clockEcho{}
-	h.pendingCalls, h.chunked, h.pendingHeartbeats, h.catalog = map[uint32]*pendingCall{}, newChunkedCalls(), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
+	h.calls, h.pendingHeartbeats, h.catalog = newCallRouter(h, h.incarnation), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
 	h.fault = plantedFault
 	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Config{Address: h.peerAddr, Incarnation: h.incarnation, HistoryRetention: h.settings.Bounds.WatchHistory})
 	h.groups = &groupHost{node: h}
@@ -270,7 +268,7 @@
 	if h.streamDeferred {
 		h.streamToLearners()
 	}
-	h.tickTransfers()
+	h.calls.chunks.tick()
 	h.checkUpstream()
 	h.requestSlot()
 	h.tickRollouts()
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -1,10 +1,8 @@
 package node
 
 import (
-	"maps"
 	"net"
 	"net/netip"
-	"slices"
 	"strconv"
 
 	"clovergap/control"
@@ -34,7 +32,7 @@
 	switch {
 	case f.Hello != nil:
 		n.roster.HandleHello(from, *f.Hello)
-		n.chunked.supportedBy[from] = f.Hello.Parts
+		n.calls.chunks.supportedBy[from] = f.Hello.Parts
 		n.resendBootstrap(from, f.Hello.Door)
 	case f.Ping != nil:
 		n.upstreamReports[from] = upstreamReport{n.loop.Now(), f.Ping.Stale, f.Ping.Index, f.Ping.View}
@@ -67,11 +65,11 @@
 	case f.Feed != nil:
 		n.receiveStream(from, f.Feed)
 	case f.Call != nil:
-		n.receiveCall(from, f.Call)
+		n.calls.receiveCall(from, f.Call)
 	case f.Reply != nil:
-		n.receiveReply(from, f.Reply)
+		n.calls.receiveReply(from, f.Reply)
 	case f.Part != nil:
-		n.receiveChunk(from, f.Part)
+		n.calls.chunks.receive(from, f.Part)
 	case f.Rollout != nil:
 		n.receiveRolloutMessage(from, f.Rollout)
 	case f.Coordination != nil:
@@ -116,14 +114,7 @@
 	delete(n.learners, to)
 	delete(n.learnerClocks, to)
 	n.coordination.PeerDisconnected(to)
-	for _, nr := range slices.Sorted(maps.Keys(n.pendingCalls)) {
-		if c := n.pendingCalls[nr]; c.sentTo == to { // it may have been taken: the same again is answered as the first was
-			c.ambiguous = c.ambiguous || n.mayBeReceived(c, nr)
-			n.cancelTransfer(to, nr)
-			c.sentTo, c.retryAt = "", n.loop.Now()+callRetryInterval
-			n.loop.At(c.retryAt, (*callTimer)(n), nr)
-		}
-	}
+	n.calls.linkDown(to)
 }
 
 // resendBootstrap hands the founding to a founder that missed it: who began it may have died before the word reached the others.
--- /dev/null
+++ b/internal/gateway/node/slot_request.go
@@ -0,0 +1,26 @@
+package node
+
+import (
+	"time"
+
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/statemachine"
+)
+
+// slotRequestInterval is how often a node without a slot asks for one.
+const slotRequestInterval = time.Second
+
+// requestSlot asks the leader for a slot while this node has none.
+func (n *Node) requestSlot() {
+	if n.slot() != membership.NoSlot || n.now()-n.slotRequestedAt < slotRequestInterval || !n.permitted(permitRequestSlot) {
+		return
+	}
+	n.slotRequestedAt = n.now()
+	entry := statemachine.AssignSlotEntry(membership.SlotHolder{Name: n.settings.NodeName, Addr: n.peerAddr, Control: n.settings.Bind.Control,
+		Zone: n.settings.Zone})
+	n.callLeader(statemachine.KindAssignSlot, entry[1:], 0, func(status int, body []byte) {
+		if status != statusOK {
+			n.logInfo(nodePart).Int("status", status).Str("reason", string(body)).Msg("no slot yet")
+		}
+	})
+}
