--- a/internal/gateway/node/call_chunks_test.go
+++ b/internal/gateway/node/call_chunks_test.go
@@ -61,7 +61,7 @@
 		h.loop, h.links, h.incarnation, h.upstream = withoutAlarms{w.clock}, &linkEnd{link: w, address: x.me}, x.life, ""
 		h.settings.Bounds = settings.Bounds{InTouch: time.Hour}
 		h.calls, h.startedAt = newCallRouter(h, h.incarnation), w.clock.now
-		h.groups, h.coordination = &groupHost{node: h}, coordination.New((*coordinationEnv)(h), coordination.Config{})
+		h.groups, h.coordination = &groupHost{env: h}, coordination.New((*coordinationEnv)(h), coordination.Config{})
 		h.calls.chunks.supportedBy = map[string]bool{senderAddr: true, receiverAddr: true}
 		*x.h = h
 	}
--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -15,11 +15,11 @@
 	n.coordination.Submit(c, then)
 }
 
-// receiveCoordination takes what another node's coordination says.
+// receiveCoordination takes a message of another node's coordination service.
 func (n *Node) receiveCoordination(from string, bytes []byte) {
 	m, err := coordination.DecodeMessage(bytes)
 	if err != nil {
-		n.warn(groupPart, "call from %s can't be read: %v", from, err)
+		n.logWarn(groupPart).Str("peer", from).Err(err).Msg("coordination message unreadable")
 		return
 	}
 	n.loop.Refresh()
@@ -29,27 +29,32 @@
 // coordinationEnv is what a coordination.Service needs of its node.
 type coordinationEnv Node
 
+// Send sends a message to another node; false: it is not on its way.
 func (c *coordinationEnv) Send(to string, m *coordination.Message) bool {
 	return c.links.Send(to, &Frame{Coordination: m.Encode()})
 }
 
+// ScheduleAt has the service's Due called at a time.
 func (c *coordinationEnv) ScheduleAt(at time.Duration, number uint32) {
 	c.loop.At(at, c.coordination, number)
 }
 
+// InputDelay is how long what is read now may have lain unread.
 func (c *coordinationEnv) InputDelay() time.Duration { return c.loop.InputDelay() }
 
+// HasQuorumContact tells whether calls are worth their wait here.
 func (c *coordinationEnv) HasQuorumContact() bool { return (*Node)(c).permitted(permitCalls) }
 
-// groupsApplication hands a service the groups, and logs that they are led no longer; the host logs who leads.
+// groupsApplication is the coordination service as the application of the groups. It logs the end of a group's leadership; the host
+// logs its beginning.
 type groupsApplication struct {
 	*coordination.Service
 	node *Node
 }
 
-// LeadershipLost tells that it does no longer.
+// LeadershipLost tells that this node leads a group no longer.
 func (g groupsApplication) LeadershipLost(id groups.ID, term uint64) {
-	g.node.say(groupPart, "%d is led here no longer, view %d", id, term)
+	g.node.logInfo(groupPart).Int("group", int(id)).Uint64("term", term).Msg("lost group leadership")
 	g.Service.LeadershipLost(id, term)
 }
 
@@ -60,31 +65,36 @@
 	status := n.coordination.Status()
 	list := controlapi.GroupList{Node: n.settings.NodeName, Calls: callCounts(&status)}
 	for id := range groups.ID(groups.Count) {
-		g := controlapi.GroupStatus{Group: int(id)}
-		if leader, ok := n.groups.Leader(id); ok {
-			g.Leader = leader
-			if node, known := n.roster.Node(leader); known {
-				g.Control = node.Control
-			}
+		list.Groups = append(list.Groups, n.groupStatus(id, &status))
+	}
+	return list
+}
+
+// groupStatus is how a group stands, as this node knows it.
+func (n *Node) groupStatus(id groups.ID, service *coordination.ServiceStatus) controlapi.GroupStatus {
+	g := controlapi.GroupStatus{Group: int(id)}
+	if leader, ok := n.groups.Leader(id); ok {
+		g.Leader = leader
+		if node, known := n.roster.Node(leader); known {
+			g.Control = node.Control
 		}
-		if replica, ok := n.GroupStatus(id); ok {
-			g.View, g.Synced = replica.Term, replica.SyncedIndex
-			for _, m := range replica.Members {
-				g.Members = append(g.Members, n.memberAddr(m))
-			}
+	}
+	if replica, ok := n.GroupStatus(id); ok {
+		g.View, g.Synced = replica.Term, replica.SyncedIndex
+		for _, m := range replica.Members {
+			g.Members = append(g.Members, n.memberAddr(m))
 		}
-		for _, held := range status.Groups {
-			if held.ID == id {
-				g.Leads, g.Locks, g.Numbers, g.Keys = held.IsLeader, held.Locks, held.Numbers, held.Keys
-				g.KeyBytes, g.HistoryBytes = held.KeyBytes, held.HistoryBytes
-			}
+	}
+	for _, state := range service.Groups {
+		if state.ID == id {
+			g.Leads, g.Locks, g.Numbers, g.Keys = state.IsLeader, state.Locks, state.Numbers, state.Keys
+			g.KeyBytes, g.HistoryBytes = state.KeyBytes, state.HistoryBytes
 		}
-		list.Groups = append(list.Groups, g)
 	}
-	return list
+	return g
 }
 
-// callCounts words what a service did and holds.
+// callCounts is what a service has done, and what waits in it.
 func callCounts(s *coordination.ServiceStatus) controlapi.CallCounts {
 	c := controlapi.CallCounts{Calls: map[string]uint64{}, Answers: map[string]uint64{}, PassedOn: s.Counters.Forwarded, Late: s.Counters.LateRequests,
 		LeadsGained: s.Counters.LeadershipsGained, LeadsLost: s.Counters.LeadershipsLost, Pending: s.Pending, Watchers: s.Watchers, Parked: s.ParkedWatches}
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -62,7 +62,7 @@
 		disk: &diskQueue{node: n, disk: disk, onSynced: c.writeSynced}}
 	c.replica = replication.New(c.self, kept, replication.DefaultConfig(), n.seed, n.loop.Now())
 	n.core = c
-	n.groups.open(disk.GroupLogs())
+	n.groups.open(n, disk.GroupLogs())
 	return nil
 }
 
--- a/internal/gateway/node/group_host.go
+++ b/internal/gateway/node/group_host.go
@@ -1,125 +1,88 @@
 package node
 
 import (
-	"bytes"
 	"maps"
 	"slices"
 	"time"
 
+	"github.com/phuslu/log"
+
 	"clovergap/internal/gateway/groups"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/replication"
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/gateway/statemachine"
 )
 
-const (
-	maxGuesses            = 3
-	maxGroupFrameBytes    = 64 << 10         // bytes of messages of the groups in one frame
-	minCompactBytes       = 64 << 10         // bytes of entries that go into a snapshot at the least,
-	maxCompactBytes       = 512 << 10        // and at the most: eight groups and the configuration share a disk of 64 MB
-	foundingWait          = 3 * time.Second  // the groups begin with the members that there are
-	foundingRetryInterval = time.Second      // and the wish for them goes again
-	coordinationContract  = "coord"          // the contract of deployments whose applications call for coordination
-	leaderHintTTL         = 10 * time.Second // what another node said of who leads is forgotten after that
-)
+// maxGroupFrameBytes bounds the groups' messages in one frame.
+const maxGroupFrameBytes = 64 << 10
 
 // newGroupApplication makes what the groups order, at a node with a disk. Nil: there are no groups.
-var newGroupApplication = func(h *Node) groups.Application { return groupsApplication{h.coordination, h} }
+var newGroupApplication = func(n *Node) groups.Application { return groupsApplication{n.coordination, n} }
 
-// groupHost runs this node's part in the coordination groups.
+// groupHost runs this node's part in the coordination groups: a replica of each at a node with a disk, and everywhere what is known of
+// who leads them. It is a groups.Host. It is called in turns of the node.
 type groupHost struct {
-	node           *Node
-	app            groups.Application
-	replicas       [groups.Count]*groupReplica // nil without a disk
-	founded        bool                        // the founding is known here, or a disk holds a state
-	leaderHints    [groups.Count]leaderHint
-	outbox         map[string][]groupMessage // by address, of this turn
-	requestedAt    time.Duration             // when a call first wanted groups that have not begun
-	foundingSentAt time.Duration             // when the wish last went out
-	maintainedAt   time.Duration
-	balancer       leadBalancer
-}
-
-// leaderHint is what another node said of who leads a group.
-type leaderHint struct {
-	addr       string
-	receivedAt time.Duration
-}
-
-// groupReplica is this node's part in one group.
-type groupReplica struct {
-	replicaHost
-	host          *groupHost
-	id            groups.ID
-	machine       groups.StateMachine
-	pending       map[uint64]groupRequest // by token
-	lastToken     uint64
-	logBytes      int // bytes of entries since the last snapshot
-	snapshotBytes int // bytes of that
-	lastApplied   appliedEntry
-	leadTerm      uint64 // led, as the application knows it; 0: not
-	leadSince     time.Duration
-	leaderTerm    uint64 // the last one whose leader was known
-	leader        replication.MemberID
-}
-
-// appliedEntry is the result of an entry, and of no other that ever stood at its index.
-type appliedEntry struct {
-	index         uint64
-	entry, result []byte
-}
-
-// groupRequest is a proposal or a read that waits for its end.
-type groupRequest struct {
-	entry      []byte
-	onProposed func(groups.Outcome, []byte)
-	onRead     func(ok bool)
-}
+	env      groupEnv
+	app      groups.Application          // nil without a disk
+	replicas [groups.Count]*groupReplica // nil without a disk
+	outbox   map[string][]groupMessage   // by address, of this turn
+	founded  bool                        // the founding is known here, or a disk holds a state
+	founding groupFounding               // until then
+	leads    leadBalancer                // at a node with a disk
+	hints    [groups.Count]leaderHint    // at a node without
+}
+
+// groupEnv is what a groupHost needs of its node.
+type groupEnv interface {
+	now() time.Duration
+	sendFrame(to string, f *Frame) bool
+	// mayTakeCalls tells whether this node's contact with a majority is recent enough for a call to be worth its wait.
+	mayTakeCalls() bool
+	// isLeader tells whether this node leads the configuration's log.
+	isLeader() bool
+	callLeader(kind statemachine.Kind, body []byte, hops int, done callDone)
+	// coordinationIsContract tells whether the deployment's contracts name coordination.
+	coordinationIsContract() bool
+	// coreFounded tells whether the configuration's log has begun.
+	coreFounded() bool
+	// coreMembers are the members of the configuration's log.
+	coreMembers() []replication.Member
+	// reachableDisks are the nodes with a disk that this one reaches, itself among them.
+	reachableDisks() []replication.ReachableNode
+	// diskStalledFor is how long the disk has had a write under way.
+	diskStalledFor() time.Duration
+	// toleratedLosses is how many nodes may be lost at one time.
+	toleratedLosses() int
+	// memberAddr is where a member's node says that it is.
+	memberAddr(m replication.Member) string
+	// membershipRoster is what this node knows of the others.
+	membershipRoster() *membership.Roster
+	// announceLeaders has the nodes that follow this one told at once who leads.
+	announceLeaders()
+	logInfo(p logPart) *log.Entry
+	logWarn(p logPart) *log.Entry
+}
+
+var _ groups.Host = (*groupHost)(nil)
 
 // open makes the replicas from what the disk holds.
-func (g *groupHost) open(kept map[replication.LogID]replication.PersistentState) {
+func (g *groupHost) open(node *Node, stored map[replication.LogID]replication.PersistentState) {
 	if newGroupApplication == nil {
 		return
 	}
-	g.app, g.outbox = newGroupApplication(g.node), map[string][]groupMessage{}
-	g.balancer = leadBalancer{penalties: map[replication.MemberID]leadPenalty{}}
-	core := g.node.core
+	g.app, g.outbox = newGroupApplication(node), map[string][]groupMessage{}
+	g.leads = newLeadBalancer()
 	for i := range g.replicas {
-		id := groups.ID(i)
-		k := kept[logID(id)]
-		k.ID = core.self.ID
-		g.founded = g.founded || k.ClusterID != 0
-		r := &groupReplica{host: g, id: id, machine: g.app.StateMachine(id), pending: map[uint64]groupRequest{}, snapshotBytes: len(k.Snapshot.State)}
-		r.replicaHost = replicaHost{node: g.node, self: core.self, logID: logID(id), disk: core.disk, owner: r, ready: true}
-		r.replica = replication.New(r.self, k, replication.GroupConfig(r.logID), g.node.seed+int64(i)+1, g.node.loop.Now())
-		g.replicas[i] = r
+		state := stored[logID(groups.ID(i))]
+		g.founded = g.founded || state.ClusterID != 0
+		g.replicas[i] = newGroupReplica(node, g, groups.ID(i), state)
 	}
 }
 
-// participates tells whether this node takes part in the groups.
+// participates tells whether this node has replicas of the groups, and they are founded.
 func (g *groupHost) participates() bool { return g.app != nil && g.founded }
 
-// found begins the groups, where the configuration's log says with which disks.
-func (g *groupHost) found(founders []membership.Founder) {
-	if len(founders) == 0 || g.founded && g.app == nil {
-		return
-	}
-	g.founded = true
-	members := founderMembers(founders)
-	if g.app == nil || !slices.ContainsFunc(members, func(m replication.Member) bool { return m.ID == g.node.core.self.ID }) {
-		return
-	}
-	for _, r := range g.replicas {
-		if r.replica.Bootstrapped() {
-			continue
-		}
-		if err := r.advance().Bootstrap(members); err != nil {
-			g.node.warn(groupPart, "founding of group %d: %v", r.id, err)
-		}
-	}
-}
-
-// handleReady carries out what the replicas ask for, and what the application asks for when it is told.
+// handleReady carries out what the replicas ask for, and what the application asks for when it is notified.
 func (g *groupHost) handleReady() {
 	if g.app == nil {
 		return
@@ -138,123 +101,101 @@
 	g.flushOutbox()
 }
 
-// flushOutbox gives each peer what the groups have for it, together.
+// flushOutbox sends each peer what the groups have for it, together.
 func (g *groupHost) flushOutbox() {
 	if len(g.outbox) == 0 {
 		return
 	}
 	for _, addr := range slices.Sorted(maps.Keys(g.outbox)) {
-		f := &GroupMessages{From: g.node.core.self.ID}
+		frame := &GroupMessages{From: g.self()}
 		for i := range g.outbox[addr] {
 			line := &g.outbox[addr][i]
-			if len(f.Lines) > 0 && len(f.Lines)+line.message.Size() > maxGroupFrameBytes {
-				g.node.links.Send(addr, &Frame{Groups: f})
-				f = &GroupMessages{From: f.From}
+			if len(frame.Lines) > 0 && len(frame.Lines)+line.message.Size() > maxGroupFrameBytes {
+				g.env.sendFrame(addr, &Frame{Groups: frame})
+				frame = &GroupMessages{From: frame.From}
 			}
-			f.append(line)
+			frame.append(line)
 		}
-		g.node.links.Send(addr, &Frame{Groups: f})
+		g.env.sendFrame(addr, &Frame{Groups: frame})
 	}
 	clear(g.outbox)
 }
 
-// receive takes what another node's groups say.
-func (g *groupHost) receive(f *GroupMessages) {
+// self is this node's member ID, alike in all groups.
+func (g *groupHost) self() replication.MemberID { return g.replicas[0].self.ID }
+
+// receive takes the messages of another node's groups.
+func (g *groupHost) receive(frame *GroupMessages) {
 	if g.app == nil {
 		return
 	}
 	g.founded = true
-	err := f.forEach(func(line *groupMessage) {
+	err := frame.forEach(func(line *groupMessage) {
 		r := g.replicas[line.group]
 		if line.message.Kind == replication.MsgTimeoutNow && r.disk.stalledFor() > minStallTimeout {
-			return // who can't sync can't lead
+			return // a member whose disk is stalled can't lead
 		}
-		r.advance().Step(f.From, line.message)
+		r.advance().Step(frame.From, line.message)
 	})
 	if err != nil {
-		g.node.warn(groupPart, "message of %d can't be read: %v", f.From, err)
+		g.env.logWarn(groupPart).Uint64("member", uint64(frame.From)).Err(err).Msg("group messages unreadable")
 	}
 }
 
-// linkDown tells that a link to a node broke.
+// linkDown takes that a link to a node has ended: a leader there may be lost.
 func (g *groupHost) linkDown(addr string) {
 	if !g.participates() {
 		return
 	}
 	for _, r := range g.replicas {
-		if m, _, ok := r.replica.Leader(); ok && m.ID != r.self.ID && g.node.memberAddr(m) == addr {
+		if m, _, ok := r.replica.Leader(); ok && m.ID != r.self.ID && g.env.memberAddr(m) == addr {
 			r.advance().ReportUnreachable(m.ID)
 		}
 	}
 }
 
-func (g *groupReplica) sendMessage(to replication.Member, m replication.Message) {
-	if addr := g.node.memberAddr(to); addr != "" {
-		g.host.outbox[addr] = append(g.host.outbox[addr], groupMessage{g.id, m})
+// Propose puts an entry into the log of a group that this node leads.
+func (g *groupHost) Propose(id groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
+	if !g.requestGroups() {
+		then(groups.NotProposed, nil)
+		return
 	}
+	r := g.replicas[id]
+	r.advance().Propose(r.await(groupRequest{entry: entry, onProposed: then}), entry)
 }
 
-func (g *groupReplica) restoreState(index uint64, state []byte) {
-	if err := g.machine.Restore(state); err != nil {
-		g.node.warn(groupPart, "state of group %d at %d can't be read: %v", g.id, index, err)
+// ReadIndex confirms that this node leads a group, and has all that was committed.
+func (g *groupHost) ReadIndex(id groups.ID, then func(ok bool)) {
+	if !g.requestGroups() {
+		then(false)
+		return
 	}
-	g.logBytes, g.snapshotBytes = 0, len(state)
+	r := g.replicas[id]
+	r.advance().Read(r.await(groupRequest{onRead: then}))
 }
 
-// applyCommitted applies an entry, and puts the log into a snapshot once it has as many bytes as that, so that writing snapshots costs no
-// more than writing entries: alike at all members.
-func (g *groupReplica) applyCommitted(e replication.Entry) {
-	g.lastApplied = appliedEntry{}
-	if e.Kind == replication.EntryNormal {
-		g.lastApplied = appliedEntry{e.Index, e.Data, g.machine.Apply(e.Index, e.Data)}
+// Leadership tells whether this node leads a group, in which term and since when.
+func (g *groupHost) Leadership(id groups.ID) (term uint64, since time.Duration, ok bool) {
+	if !g.requestGroups() {
+		return 0, 0, false
 	}
-	g.logBytes += e.Size()
-	if g.logBytes >= min(max(minCompactBytes, g.snapshotBytes), maxCompactBytes) {
-		state := g.machine.Snapshot()
-		g.logBytes, g.snapshotBytes = 0, len(state)
-		g.replica.Compact(e.Index, state)
+	r := g.replicas[id]
+	if term, leads := r.advance().LeaderTerm(); !leads || term != r.leadTerm {
+		return 0, 0, false
 	}
+	return r.leadTerm, r.leadSince, true
 }
 
-func (g *groupReplica) completeProposal(o replication.Outcome) {
-	c, ok := g.pending[o.Token]
-	delete(g.pending, o.Token)
-	switch {
-	case !ok:
-	case c.onRead != nil:
-		c.onRead(o.Status == replication.OutcomeCommitted)
-	case o.Status == replication.OutcomeCommitted:
-		if g.lastApplied.index != o.Index || !bytes.Equal(g.lastApplied.entry, c.entry) {
-			invariant.That(false, "a proposal ends by its own entry")
-			c.onProposed(groups.Ambiguous, nil)
-			return
-		}
-		c.onProposed(groups.Applied, g.lastApplied.result)
-	case o.Status == replication.OutcomeUnknown:
-		c.onProposed(groups.Ambiguous, nil)
-	default:
-		c.onProposed(groups.NotProposed, nil)
-	}
-}
+// Now is the node's steady time.
+func (g *groupHost) Now() time.Duration { return g.env.now() }
 
-// notifyLeadership tells the application, and who follows this node, who leads.
-func (g *groupReplica) notifyLeadership() {
-	view, leads := g.replica.LeaderTerm()
-	if g.leadTerm != 0 && (!leads || view != g.leadTerm) {
-		lost := g.leadTerm
-		g.leadTerm = 0
-		g.host.app.LeadershipLost(g.id, lost)
-	}
-	if leads && g.leadTerm == 0 {
-		g.leadTerm, g.leadSince = view, g.node.loop.Now()
-		g.host.balancer.penalizeFormerLeader(g, g.leader, g.leadSince)
-		g.host.app.LeadershipGained(g.id, view)
-	}
-	if m, view, ok := g.replica.Leader(); ok && view != g.leaderTerm {
-		g.leaderTerm, g.leader = view, m.ID
-		g.node.heartbeatAt = 0 // who follows passes calls on by it
-		if m.ID == g.self.ID {
-			g.node.say(groupPart, "leads group %d in view %d", g.id, view)
-		}
+// GroupStatus is how a group's replica here stands; false: there is none.
+func (n *Node) GroupStatus(id groups.ID) (replication.Status, bool) {
+	if !n.groups.participates() {
+		return replication.Status{}, false
 	}
+	return n.groups.replicas[id].replica.Status(), true
 }
+
+// Groups runs the coordination groups at this node: see groups.Host.
+func (n *Node) Groups() groups.Host { return n.groups }
--- a/internal/gateway/node/host_env.go
+++ b/internal/gateway/node/host_env.go
@@ -1,14 +1,20 @@
 package node
 
 import (
+	"slices"
 	"time"
 
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/proxy/eventloop"
 )
 
-// What the router of calls asks of its node.
-var _ callEnv = (*Node)(nil)
+// What the hosts of calls and groups ask of their node.
+var (
+	_ callEnv  = (*Node)(nil)
+	_ groupEnv = (*Node)(nil)
+)
 
 // now is the node's steady time.
 func (n *Node) now() time.Duration { return n.loop.Now() }
@@ -47,3 +53,22 @@
 		n.checkUpstream()
 	}
 }
+
+// membershipRoster is what this node knows of the others.
+func (n *Node) membershipRoster() *membership.Roster { return n.roster }
+
+func (n *Node) coordinationIsContract() bool {
+	return slices.Contains(n.settings.Contracts, coordinationContract)
+}
+
+func (n *Node) coreFounded() bool { return n.core.replica.Bootstrapped() }
+
+// coreMembers are the members of the configuration's log.
+func (n *Node) coreMembers() []replication.Member { return n.core.replica.Members() }
+
+func (n *Node) diskStalledFor() time.Duration { return n.core.disk.stalledFor() }
+
+func (n *Node) toleratedLosses() int { return n.settings.Tolerance.Machines }
+
+// announceLeaders has the nodes that follow this one told at the next tick who leads: they pass calls on by it.
+func (n *Node) announceLeaders() { n.heartbeatAt = 0 }
--- a/internal/gateway/node/lead_balancer.go
+++ b/internal/gateway/node/lead_balancer.go
@@ -8,22 +8,31 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Where groups are led: spread over the members, and away from those in trouble.
 const (
+	// groupMaintenanceInterval is how often the groups' members and leaders are looked at.
 	groupMaintenanceInterval = 300 * time.Millisecond
-	minLeadTime              = time.Second            // a leader stays for so long before it hands over for the spread
-	minStallTimeout          = 300 * time.Millisecond // a disk that has a write under way for so long stalls,
-	maxStallTimeout          = 10 * time.Second       // twice as long each time that the lead was handed over for it: all may be as slow
-	stallResetAfter          = 30 * time.Second       // and as at first after so long
-	minLeadPenalty           = 5 * time.Second        // who lost the lead to trouble is not given it back for so long,
-	maxLeadPenalty           = time.Minute            // twice as long each time
+	// minLeadTime is how long a leader stays before it hands over to the member that ought to lead.
+	minLeadTime = time.Second
+
+	// minStallTimeout is how long a disk's write may take before the node hands over what it leads. It doubles each time, since all
+	// disks may be as slow,
+	minStallTimeout = 300 * time.Millisecond
+	// up to maxStallTimeout,
+	maxStallTimeout = 10 * time.Second
+	// and is the least one again after stallResetAfter.
+	stallResetAfter = 30 * time.Second
+
+	// minLeadPenalty is how long a member that lost the lead is not given it back. It doubles each time, up to maxLeadPenalty.
+	minLeadPenalty = 5 * time.Second
+	maxLeadPenalty = time.Minute
 )
 
-// leadBalancer is what a node knows of members that lost the lead.
+// leadBalancer decides where groups are led: spread over the members, and away from those that lost the lead, or whose disk is stalled.
 type leadBalancer struct {
 	penalties    map[replication.MemberID]leadPenalty
-	stallTimeout time.Duration // how long a write takes now before the leads are handed over; 0: minStallTimeout
-	handedOverAt time.Duration // when they were
+	stallTimeout time.Duration // now; 0: minStallTimeout
+	handedOverAt time.Duration // for a stalled disk
+	maintainedAt time.Duration
 }
 
 // leadPenalty keeps the lead from a member.
@@ -32,94 +41,110 @@
 	duration time.Duration
 }
 
-// penalizeFormerLeader notes that this node leads a group after another one: one that ought to lead it and does no longer is in trouble.
-func (l *leadBalancer) penalizeFormerLeader(r *groupReplica, before replication.MemberID, now time.Duration) {
-	ought := r.host.assignedLeaders(func(replication.Member) bool { return true })[r.id]
-	if ought == r.self.ID || ought != before {
-		return
-	}
-	t := l.penalties[ought]
+func newLeadBalancer() leadBalancer {
+	return leadBalancer{penalties: map[replication.MemberID]leadPenalty{}}
+}
+
+// penalize keeps the lead from a member for a while. One that has a penalty keeps it as it is.
+func (l *leadBalancer) penalize(member replication.MemberID, now time.Duration) {
+	p := l.penalties[member]
 	switch {
-	case now < t.until:
+	case now < p.until:
 		return
-	case t.duration == 0 || now-t.until > maxLeadPenalty:
-		t.duration = minLeadPenalty
+	case p.duration == 0 || now-p.until > maxLeadPenalty:
+		p.duration = minLeadPenalty
 	default:
-		t.duration = min(2*t.duration, maxLeadPenalty)
+		p.duration = min(2*p.duration, maxLeadPenalty)
 	}
-	t.until = now + t.duration
-	l.penalties[ought] = t
+	p.until = now + p.duration
+	l.penalties[member] = p
 }
 
-// assignedLeaders is which member ought to lead each group, of those that may.
-func (g *groupHost) assignedLeaders(may func(replication.Member) bool) (to [groups.Count]replication.MemberID) {
-	var disks []uint64
-	for _, m := range g.node.core.replica.Members() {
-		if may(m) {
-			disks = append(disks, uint64(m.ID))
-		}
-	}
-	for id, disk := range groups.PreferredLeaders(disks) {
-		to[id] = replication.MemberID(disk)
+// penalized tells whether a member is not to lead now.
+func (l *leadBalancer) penalized(member replication.MemberID, now time.Duration) bool {
+	return l.penalties[member].until > now
+}
+
+// isStalled tells whether a write has taken so long that the node is to hand over what it leads.
+func (l *leadBalancer) isStalled(writing, now time.Duration) bool {
+	if l.stallTimeout == 0 || now-l.handedOverAt > stallResetAfter {
+		l.stallTimeout = minStallTimeout
 	}
-	return to
+	return writing > l.stallTimeout
 }
 
-// maintain has the groups follow the configuration's members, and their leads spread.
+// handedOver notes that the node has handed over for a stalled disk.
+func (l *leadBalancer) handedOver(now time.Duration) {
+	l.stallTimeout, l.handedOverAt = min(2*l.stallTimeout, maxStallTimeout), now
+}
+
+// maintain has the groups follow the configuration's members, and their leaders spread.
 func (g *groupHost) maintain() {
-	if !g.participates() || !g.node.core.replica.Bootstrapped() {
+	if !g.participates() || !g.env.coreFounded() {
 		return
 	}
-	g.yieldOnStall()
-	now := g.node.loop.Now()
-	if now-g.maintainedAt < groupMaintenanceInterval {
+	g.handOverOnStall()
+	now := g.env.now()
+	if now-g.leads.maintainedAt < groupMaintenanceInterval {
 		return
 	}
-	g.maintainedAt = now
-	var reach []replication.ReachableNode
-	for _, r := range g.node.reachableDisks() {
-		if containsMember(g.node.core.replica.Members(), r.ID) {
-			reach = append(reach, r)
+	g.leads.maintainedAt = now
+	members, reachable := g.env.coreMembers(), g.env.reachableDisks()
+	reachable = slices.DeleteFunc(reachable, func(d replication.ReachableNode) bool { return !containsMember(members, d.ID) })
+	assigned := g.assignedLeaders(func(m replication.Member) bool {
+		i := slices.IndexFunc(reachable, func(d replication.ReachableNode) bool { return d.ID == m.ID })
+		return i >= 0 && !reachable[i].Draining && !g.leads.penalized(m.ID, now)
+	})
+	for i, r := range g.replicas {
+		r.advance().ReconcileMembers(reachable, g.env.toleratedLosses())
+		to := assigned[i]
+		if r.leadTerm != 0 && to != 0 && to != r.self.ID && now-r.leadSince > minLeadTime && r.replica.CanTransferTo(to) {
+			r.replica.TransferLeadershipTo(to)
 		}
 	}
-	there := func(m replication.Member) bool {
-		for _, r := range reach {
-			if r.ID == m.ID {
-				return !r.Draining && g.balancer.penalties[m.ID].until <= now
-			}
+}
+
+// assignedLeaders is which member ought to lead each group, of those that may.
+func (g *groupHost) assignedLeaders(may func(replication.Member) bool) (leaders [groups.Count]replication.MemberID) {
+	var disks []uint64
+	for _, m := range g.env.coreMembers() {
+		if may(m) {
+			disks = append(disks, uint64(m.ID))
 		}
-		return false
 	}
-	assigned := g.assignedLeaders(there)
-	for i, r := range g.replicas {
-		r.advance().ReconcileMembers(reach, g.node.settings.Tolerance.Machines)
-		if to := assigned[i]; r.leadTerm != 0 && to != 0 && to != r.self.ID && now-r.leadSince > minLeadTime && r.replica.CanTransferTo(to) {
-			r.replica.TransferLeadershipTo(to)
-		}
+	for id, disk := range groups.PreferredLeaders(disks) {
+		leaders[id] = replication.MemberID(disk)
 	}
+	return leaders
 }
 
-// yieldOnStall hands over what this node leads while its disk stalls.
-func (g *groupHost) yieldOnStall() {
-	b, now := &g.balancer, g.node.loop.Now()
-	if b.stallTimeout == 0 || now-b.handedOverAt > stallResetAfter {
-		b.stallTimeout = minStallTimeout
+// penalizeFormerLeader notes that this node leads a group after another one: where that one ought to lead it, it has lost the lead.
+func (g *groupHost) penalizeFormerLeader(r *groupReplica) {
+	assigned := g.assignedLeaders(func(replication.Member) bool { return true })[r.id]
+	if assigned != r.self.ID && assigned == r.leader {
+		g.leads.penalize(assigned, r.leadSince)
 	}
-	if g.node.core.disk.stalledFor() > b.stallTimeout && slices.ContainsFunc(g.replicas[:], func(r *groupReplica) bool { return r.replica.IsLeader() }) {
-		b.stallTimeout, b.handedOverAt = min(2*b.stallTimeout, maxStallTimeout), now
+}
+
+// handOverOnStall hands over what this node leads while its disk is stalled.
+func (g *groupHost) handOverOnStall() {
+	now := g.env.now()
+	leads := func(r *groupReplica) bool { return r.replica.IsLeader() }
+	if g.leads.isStalled(g.env.diskStalledFor(), now) && slices.ContainsFunc(g.replicas[:], leads) {
+		g.leads.handedOver(now)
 		g.transferLeadership()
 	}
 }
 
-// transferLeadership gives each group that this node leads to the one that ought to lead it without this one.
+// transferLeadership gives each group that this node leads to the member that ought to lead it without this one.
 func (g *groupHost) transferLeadership() {
 	if !g.participates() {
 		return
 	}
-	assigned := g.assignedLeaders(func(m replication.Member) bool { return m.ID != g.node.core.self.ID && g.node.roster.Live(m.Addr) })
+	assigned := g.assignedLeaders(func(m replication.Member) bool { return m.ID != g.self() && g.env.membershipRoster().Live(m.Addr) })
 	for i, r := range g.replicas {
-		if p := r.advance(); p.IsLeader() {
-			p.TransferLeadershipTo(assigned[i])
+		if r.advance().IsLeader() {
+			r.replica.TransferLeadershipTo(assigned[i])
 		}
 	}
 }
@@ -131,16 +156,28 @@
 	}
 	g.transferLeadership()
 	for _, r := range g.replicas {
-		if r.replica.IsLeader() && len(r.replica.Members()) > 1 || !r.replica.IsLeader() && r.replica.Bootstrapped() && r.replica.ReplicatedElsewhere() < r.replica.CommitIndex() {
+		if r.replica.IsLeader() {
+			if len(r.replica.Members()) > 1 {
+				return false
+			}
+			continue
+		}
+		if r.replica.Bootstrapped() && r.replica.ReplicatedElsewhere() < r.replica.CommitIndex() {
 			return false
 		}
 	}
 	return true
 }
 
-func containsMember(list []replication.Member, id replication.MemberID) bool {
-	for _, m := range list {
-		if m.ID == id {
+// TransferGroup has a group that this node leads led by the member at an address; false: it does not lead it, or that one could not at once.
+func (n *Node) TransferGroup(id groups.ID, addr string) bool {
+	if !n.groups.participates() {
+		return false
+	}
+	r := n.groups.replicas[id]
+	for _, m := range r.advance().Members() {
+		if n.memberAddr(m) == addr && r.replica.CanTransferTo(m.ID) {
+			r.replica.TransferLeadershipTo(m.ID)
 			return true
 		}
 	}
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -139,7 +139,7 @@
 	h.calls, h.pendingHeartbeats, h.catalog = newCallRouter(h, h.incarnation), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
 	h.fault = plantedFault
 	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Config{Address: h.peerAddr, Incarnation: h.incarnation, HistoryRetention: h.settings.Bounds.WatchHistory})
-	h.groups = &groupHost{node: h}
+	h.groups = &groupHost{env: h}
 	h.coordination.SetHost(h.groups)
 	if h.sockets != nil {
 		h.sockets.node = h
--- a/internal/gateway/node/oldstate_test.go
+++ b/internal/gateway/node/oldstate_test.go
@@ -21,7 +21,7 @@
 		h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out, machine: statemachine.New(),
 			learners: map[string]*learner{}, learnerClocks: map[string]clockEcho{}, startedAt: clock.now, appliedIndex: 5}
 		h.roster = membership.New(membership.Node{Name: "a", Addr: addr, Disk: 1}, membership.Config{}, clock.now)
-		h.groups = &groupHost{node: h}
+		h.groups = &groupHost{env: h}
 		kept := replication.PersistentState{ID: 1, ClusterID: 1, Term: 1, Commit: 5,
 			Snapshot: replication.Snapshot{Index: 5, View: 1, Members: members, State: state}}
 		h.core = &core{liveness: map[string]livenessState{}, replicaHost: replicaHost{node: h, self: members[0],
