--- a/internal/gateway/node/call_chunks_test.go
+++ b/internal/gateway/node/call_chunks_test.go
@@ -38,15 +38,15 @@
 	address string
 }
 
-func (e *linkEnd) Send(to string, f *Frame) bool {
-	e.link.queued[to] = append(e.link.queued[to], f)
+func (l *linkEnd) Send(to string, f *Frame) bool {
+	l.link.queued[to] = append(l.link.queued[to], f)
 	n := 0
-	for _, f := range e.link.queued[to] {
+	for _, f := range l.link.queued[to] {
 		if f.Part != nil && f.Part.Chunk != nil {
 			n += len(f.Part.Chunk.Data)
 		}
 	}
-	e.link.maxInFlight = max(e.link.maxInFlight, n)
+	l.link.maxInFlight = max(l.link.maxInFlight, n)
 	return true
 }
 
@@ -69,41 +69,41 @@
 }
 
 // deliver brings one frame, or loses it; false: there was none.
-func (w *callLink) deliver(to string, lose bool) bool {
-	if len(w.queued[to]) == 0 {
+func (c *callLink) deliver(to string, lose bool) bool {
+	if len(c.queued[to]) == 0 {
 		return false
 	}
-	f := w.queued[to][0]
-	w.queued[to] = w.queued[to][1:]
+	f := c.queued[to][0]
+	c.queued[to] = c.queued[to][1:]
 	switch {
 	case lose:
 		return true
 	case f.Part != nil && f.Part.Chunk != nil:
-		w.chunkBytes += len(f.Part.Chunk.Data)
+		c.chunkBytes += len(f.Part.Chunk.Data)
 	}
 	if to == receiverAddr {
-		w.receiver.calls.chunks.receive(senderAddr, f.Part)
+		c.receiver.calls.chunks.receive(senderAddr, f.Part)
 	} else {
-		w.sender.calls.chunks.receive(receiverAddr, f.Part)
+		c.sender.calls.chunks.receive(receiverAddr, f.Part)
 	}
 	return true
 }
 
 // forward has a call of a begin that goes to b.
-func (w *callLink) forward(body []byte, then func(int, []byte)) uint32 {
-	w.sender.calls.lastSequence++
-	nr, until := w.sender.calls.lastSequence, w.clock.now+callTimeout
-	w.sender.calls.pending[nr] = &pendingCall{kind: statemachine.KindReplaceConfig, body: body, deadline: until, sentTo: receiverAddr, recipients: []string{receiverAddr}, done: then}
-	must.True(w.t, w.sender.calls.chunks.sendCall(receiverAddr, nr, &Call{Asker: w.sender.incarnation, Nr: nr, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}, until))
+func (c *callLink) forward(body []byte, then func(int, []byte)) uint32 {
+	c.sender.calls.lastSequence++
+	nr, until := c.sender.calls.lastSequence, c.clock.now+callTimeout
+	c.sender.calls.pending[nr] = &pendingCall{kind: statemachine.KindReplaceConfig, body: body, deadline: until, sentTo: receiverAddr, recipients: []string{receiverAddr}, done: then}
+	must.True(c.t, c.sender.calls.chunks.sendCall(receiverAddr, nr, &Call{Asker: c.sender.incarnation, Nr: nr, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}, until))
 	return nr
 }
 
-func (w *callLink) run(steps int, lose func(i int) bool) {
+func (c *callLink) run(steps int, lose func(i int) bool) {
 	for i := range steps {
-		if !w.deliver(receiverAddr, lose(i)) && !w.deliver(senderAddr, lose(i)) {
-			w.clock.now += tickInterval
-			w.sender.calls.chunks.tick()
-			w.receiver.calls.chunks.tick()
+		if !c.deliver(receiverAddr, lose(i)) && !c.deliver(senderAddr, lose(i)) {
+			c.clock.now += tickInterval
+			c.sender.calls.chunks.tick()
+			c.receiver.calls.chunks.tick()
 		}
 	}
 }
--- a/internal/gateway/node/call_replies_test.go
+++ b/internal/gateway/node/call_replies_test.go
@@ -15,17 +15,17 @@
 )
 
 // inTurn is something done, or looked at, in a node's turn.
-func (d *testCluster) inTurn(i int, do func(h *Node)) {
-	d.running[i].loop.Turn(func() { do(d.running[i]) })
+func (t *testCluster) inTurn(i int, do func(h *Node)) {
+	t.running[i].loop.Turn(func() { do(t.running[i]) })
 }
 
 // awaitLeader is the number of the node that leads.
-func (d *testCluster) awaitLeader() (leader int) {
-	d.t.Helper()
+func (t *testCluster) awaitLeader() (leader int) {
+	t.t.Helper()
 	leader = -1
-	d.eventually("a leader", func() bool {
-		for i := range d.running {
-			d.inTurn(i, func(h *Node) {
+	t.eventually("a leader", func() bool {
+		for i := range t.running {
+			t.inTurn(i, func(h *Node) {
 				if h.core != nil && h.core.replica.IsLeader() {
 					leader = i
 				}
@@ -37,11 +37,11 @@
 }
 
 // pause holds nodes in a turn each until they are told to go on.
-func (d *testCluster) pause(which ...int) (goOn func()) {
+func (t *testCluster) pause(which ...int) (goOn func()) {
 	end := make(chan bool)
 	for _, i := range which {
 		standing := make(chan bool)
-		go d.running[i].loop.Turn(func() {
+		go t.running[i].loop.Turn(func() {
 			close(standing)
 			<-end
 		})
@@ -49,7 +49,7 @@
 	}
 	var once sync.Once
 	goOn = func() { once.Do(func() { close(end) }) }
-	d.t.Cleanup(goOn) // a test that fails must end all the same
+	t.t.Cleanup(goOn) // a test that fails must end all the same
 	return goOn
 }
 
--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -10,25 +10,27 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// catalog numbers what the parts know by number: names are the edge's.
+// minConnsPerNode are how many connections to a backend each node may have in any case, where the backend's bound is split over the nodes.
+const minConnsPerNode = 4
+
+// catalog numbers what admission and the balancer know by number. Names are the configuration's and the backends'; a number once given to
+// a name stays this incarnation's.
 type catalog struct {
-	productIDs      map[routing.RouteKey]control.ProductID
+	productIDs      map[routing.RouteKey]control.ProductID // of the routes in force
 	routesByProduct map[control.ProductID]*routing.Route
+	lastProduct     control.ProductID
 	services        map[string]control.ServiceID
+	serviceNames    []string // by number
 	zones           map[string]control.ZoneID
 	backendNames    map[control.BackendID]string
-	serviceNames    []string // services by number
-	lastProduct     control.ProductID
 }
 
-// minConnsPerNode of a backend are this node's in any case, where its bound is split over the nodes.
-const minConnsPerNode = 4
-
 func newCatalog() catalog {
 	return catalog{productIDs: map[routing.RouteKey]control.ProductID{}, routesByProduct: map[control.ProductID]*routing.Route{},
 		services: map[string]control.ServiceID{}, zones: map[string]control.ZoneID{}, backendNames: map[control.BackendID]string{}}
 }
 
+// zoneID is the number of a zone; a new one is given to a new name.
 func (c *catalog) zoneID(name string) control.ZoneID {
 	if _, ok := c.zones[name]; !ok {
 		c.zones[name] = control.ZoneID(len(c.zones))
@@ -36,6 +38,7 @@
 	return c.zones[name]
 }
 
+// serviceID is the number of a service; a new one is given to a new name.
 func (c *catalog) serviceID(name string) control.ServiceID {
 	if _, ok := c.services[name]; !ok {
 		c.services[name] = control.ServiceID(len(c.services))
@@ -44,91 +47,112 @@
 	return c.services[name]
 }
 
-// backend names one by its id, alike at every node.
+// backendIDOf is the number of a backend: a hash of its id, alike at every node.
 func backendIDOf(id string) control.BackendID {
-	f := fnv.New64a()
-	f.Write([]byte(id))
-	return control.BackendID(f.Sum64())
+	sum := fnv.New64a()
+	sum.Write([]byte(id))
+	return control.BackendID(sum.Sum64())
 }
 
-// installConfiguration puts a new table in force, whole, in this turn.
+// installConfiguration has all parts go by the newest configuration, in this turn.
 func (n *Node) installConfiguration() {
 	config := n.machine.Configs.Config()
 	if config == nil {
 		return
 	}
-	old := n.table
+	previous := n.table
 	n.table = routing.NewTable(config)
-	kept := map[routing.RouteKey]control.ProductID{}
-	for _, r := range n.table.Routes() {
-		id, ok := n.catalog.productIDs[r.Key]
-		if !ok {
+	n.installRoutes()
+	n.installTenants(previous)
+	l := n.table.Limits()
+	n.frontend.SetBounds(ingress.Bounds(ingress.Limits{Head: l.MostHeader, Body: l.MostBody, HeadIn: l.HeaderTimeout, Idle: l.IdleTimeout}))
+}
+
+// installRoutes gives admission the routes of the table, and takes those away that it has no longer.
+func (n *Node) installRoutes() {
+	installed := map[routing.RouteKey]control.ProductID{}
+	for _, route := range n.table.Routes() {
+		id, known := n.catalog.productIDs[route.Key]
+		if !known {
 			n.catalog.lastProduct++
 			id = n.catalog.lastProduct
-			c := admission.Route{Effectful: r.Effectful, LatencyTarget: r.Target, Deadline: r.Deadline, MaxAttempts: r.MaxTries,
-				Priority: r.Priority}
-			for _, t := range r.Targets {
-				c.Targets = append(c.Targets, admission.Target{Service: n.catalog.serviceID(t.Service), Weight: t.Weight})
-			}
-			n.admission.SetRoute(id, c)
+			n.admission.SetRoute(id, n.admissionRoute(route))
 		}
-		kept[r.Key], n.catalog.routesByProduct[id] = id, r
+		installed[route.Key], n.catalog.routesByProduct[id] = id, route
 	}
 	for key, id := range n.catalog.productIDs {
-		if _, ok := kept[key]; !ok {
-			if old := n.catalog.routesByProduct[id]; old != nil {
-				if now, ok := n.table.Route([]byte(old.Host), []byte(old.Prefix)); ok {
-					n.admission.LowerMaxAttempts(id, now.MaxTries)
-				}
-			}
-			n.admission.RemoveRoute(id)
-			delete(n.catalog.routesByProduct, id)
+		if _, ok := installed[key]; !ok {
+			n.removeRoute(id)
 		}
 	}
-	n.catalog.productIDs = kept
-	had := map[string]bool{}
-	for _, t := range n.table.Tenants() {
-		had[t.Name] = true
-		n.quota.SetLimit(customerID(t.Name), t.Rate, t.Burst)
+	n.catalog.productIDs = installed
+}
+
+// admissionRoute is a route as admission knows it.
+func (n *Node) admissionRoute(route *routing.Route) admission.Route {
+	r := admission.Route{Effectful: route.Effectful, LatencyTarget: route.Target, Deadline: route.Deadline, MaxAttempts: route.MaxTries,
+		Priority: route.Priority}
+	for _, target := range route.Targets {
+		r.Targets = append(r.Targets, admission.Target{Service: n.catalog.serviceID(target.Service), Weight: target.Weight})
 	}
-	for _, t := range old.Tenants() {
-		if !had[t.Name] {
-			n.quota.SetLimit(customerID(t.Name), 0, 0)
+	return r
+}
+
+// removeRoute takes a route away. Its requests under way are attempted no more often than the route in its place allows.
+func (n *Node) removeRoute(id control.ProductID) {
+	if old := n.catalog.routesByProduct[id]; old != nil {
+		if successor, ok := n.table.Route([]byte(old.Host), []byte(old.Prefix)); ok {
+			n.admission.LowerMaxAttempts(id, successor.MaxTries)
 		}
 	}
-	l := n.table.Limits()
-	n.frontend.SetBounds(ingress.Bounds(ingress.Limits{Head: l.MostHeader, Body: l.MostBody, HeadIn: l.HeaderTimeout, Idle: l.IdleTimeout}))
+	n.admission.RemoveRoute(id)
+	delete(n.catalog.routesByProduct, id)
 }
 
-// Admit tells what a request is: its route, its tenant, or why it may not go on.
-func (n *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
-	sure := n.permitted(permitRefuse)
-	r, ok := n.table.Route(host, path)
-	if !ok {
-		if !sure {
-			return a, ingress.UnknownYet
+// installTenants gives the quota the limits of the table's tenants, and takes those of the table before away.
+func (n *Node) installTenants(previous *routing.Table) {
+	present := map[string]bool{}
+	for _, tenant := range n.table.Tenants() {
+		present[tenant.Name] = true
+		n.quota.SetLimit(customerID(tenant.Name), tenant.Rate, tenant.Burst)
+	}
+	for _, tenant := range previous.Tenants() {
+		if !present[tenant.Name] {
+			n.quota.SetLimit(customerID(tenant.Name), 0, 0)
 		}
+	}
+}
+
+// Admit tells what a request is: its route, its tenant, or why it may not go on. A node whose knowledge is too old to refuse by it says that
+// it does not know yet.
+func (n *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
+	current := n.permitted(permitRefuse)
+	route, ok := n.table.Route(host, path)
+	switch {
+	case !ok && !current:
+		return a, ingress.UnknownYet
+	case !ok:
 		return a, ingress.NoRoute
 	}
-	a = ingress.Admission{Product: n.catalog.productIDs[r.Key], Deadline: r.Deadline, Once: r.Effectful}
-	if r.Public || !n.table.HasTenants() {
+	a = ingress.Admission{Product: n.catalog.productIDs[route.Key], Deadline: route.Deadline, Once: route.Effectful}
+	if route.Public || !n.table.HasTenants() {
 		return a, ingress.None
 	}
-	t, ok := n.table.Tenant(key)
-	if !ok {
-		if !sure {
-			return a, ingress.UnknownYet
-		}
+	tenant, ok := n.table.Tenant(key)
+	switch {
+	case !ok && !current:
+		return a, ingress.UnknownYet
+	case !ok:
 		return a, ingress.NoKey
 	}
-	a.Tenant, a.Rank = t.Name, t.Priority
-	if a.Metered = t.Rate > 0; a.Metered {
-		a.Customer = customerID(t.Name)
+	a.Tenant, a.Rank = tenant.Name, tenant.Priority
+	if a.Metered = tenant.Rate > 0; a.Metered {
+		a.Customer = customerID(tenant.Name)
 	}
 	return a, ingress.None
 }
 
-// BackendName is a backend's id in its own words.
+// BackendName is the id that a backend goes by in its own calls.
 func (n *Node) BackendName(id control.BackendID) string { return n.catalog.backendNames[id] }
 
 // Gone is told when another backend answered at this one's address.
@@ -138,7 +162,7 @@
 	}
 }
 
-// updateListing takes news of a backend to those who go by it.
+// updateListing takes a change of a backend to the connections and to the balancer.
 func (n *Node) updateListing(c registry.Changed) {
 	id := backendIDOf(c.Record.ID)
 	state := control.Ready
@@ -154,7 +178,7 @@
 		n.dispatcher.SetMaxConns(id, max(minConnsPerNode, s.MaxConns/max(n.slotCount, 1)))
 	}
 	n.gate.Listed(false, []control.Endpoint{{ID: id, Zone: n.catalog.zoneID(c.Record.Zone), State: state,
-		Capacity: float64(max(c.Record.Capacity, 1)), Service: n.poolOf(c.Record), WarmingUntil: c.SlowStartUntil}})
+		Capacity: float64(max(c.Record.Capacity, 1)), Service: n.catalog.serviceID(n.rollouts.serviceOf(c.Record)), WarmingUntil: c.SlowStartUntil}})
 	if state == control.Gone {
 		delete(n.catalog.backendNames, id)
 	}
--- a/internal/gateway/node/change_proposal.go
+++ b/internal/gateway/node/change_proposal.go
@@ -52,7 +52,7 @@
 	case statemachine.KindBootstrapGroups:
 		return n.core.groupFounders(), nil
 	case statemachine.KindRollout:
-		return n.prepareEntry(kind, body)
+		return n.rollouts.prepareEntry(body, n.checkKnown)
 	case statemachine.KindReplaceConfig, statemachine.KindAmendConfig:
 		return body, n.checkConfiguration(kind, body)
 	}
--- a/internal/gateway/node/feed.go
+++ b/internal/gateway/node/feed.go
@@ -31,7 +31,7 @@
 	n.appliedIndex, n.machine = index, s
 	n.roster.SetSlots(s.Slots())
 	n.installConfiguration()
-	n.applyRollouts()
+	n.rollouts.applyState()
 	n.groups.found(s.Founders())
 	for _, addr := range n.learnerAddrs() {
 		n.streamTo(addr)
@@ -52,7 +52,7 @@
 		}
 		n.groups.found(n.machine.Founders())
 		n.slotsChanged = n.slotsChanged || len(n.machine.Slots()) != slots
-		n.applyRollouts()
+		n.rollouts.applyState()
 	}
 	if n.core != nil {
 		if n.streamDeferred = len(data) > 0 && statemachine.Kind(data[0]) == statemachine.KindAssignSlot; !n.streamDeferred {
--- a/internal/gateway/node/group_host_test.go
+++ b/internal/gateway/node/group_host_test.go
@@ -15,17 +15,17 @@
 // listMachine is a state machine that keeps all entries, in their order.
 type listMachine struct{ entries []string }
 
-func (m *listMachine) Apply(_ uint64, entry []byte) []byte {
-	m.entries = append(m.entries, string(entry))
-	return fmt.Append(nil, len(m.entries))
+func (l *listMachine) Apply(_ uint64, entry []byte) []byte {
+	l.entries = append(l.entries, string(entry))
+	return fmt.Append(nil, len(l.entries))
 }
 
-func (m *listMachine) Snapshot() []byte { return []byte(strings.Join(m.entries, "\n")) }
+func (l *listMachine) Snapshot() []byte { return []byte(strings.Join(l.entries, "\n")) }
 
-func (m *listMachine) Restore(state []byte) error {
-	m.entries = nil
+func (l *listMachine) Restore(state []byte) error {
+	l.entries = nil
 	if len(state) > 0 {
-		m.entries = strings.Split(string(state), "\n")
+		l.entries = strings.Split(string(state), "\n")
 	}
 	return nil
 }
@@ -63,10 +63,10 @@
 }
 
 // groupLeader waits for the node that leads a group.
-func (d *testCluster) groupLeader(id groups.ID) (leader int) {
-	d.t.Helper()
-	d.eventually(fmt.Sprint("group ", id, " is led"), func() bool {
-		for i, h := range d.running {
+func (t *testCluster) groupLeader(id groups.ID) (leader int) {
+	t.t.Helper()
+	t.eventually(fmt.Sprint("group ", id, " is led"), func() bool {
+		for i, h := range t.running {
 			led := false
 			h.loop.Turn(func() { _, _, led = h.groups.Leadership(id) })
 			if led {
@@ -81,11 +81,11 @@
 
 // proposeEntry puts an entry into a group by whoever leads it, until it is applied; unclear ones are told. A leader that hands over proposes
 // nothing for a moment.
-func (d *testCluster) proposeEntry(id groups.ID, entry string) (unclear int) {
-	d.t.Helper()
-	d.eventually(fmt.Sprint("group ", id, " takes an entry"), func() bool {
+func (t *testCluster) proposeEntry(id groups.ID, entry string) (unclear int) {
+	t.t.Helper()
+	t.eventually(fmt.Sprint("group ", id, " takes an entry"), func() bool {
 		outcome := make(chan groups.Outcome, 1)
-		h := d.running[d.groupLeader(id)]
+		h := t.running[t.groupLeader(id)]
 		h.loop.Turn(func() { h.groups.Propose(id, []byte(entry), func(o groups.Outcome, _ []byte) { outcome <- o }) })
 		o := <-outcome
 		if o == groups.Ambiguous {
@@ -97,8 +97,8 @@
 }
 
 // groupEntries are a group's at a node.
-func (d *testCluster) groupEntries(i int, id groups.ID) (all []string) {
-	h := d.running[i]
+func (t *testCluster) groupEntries(i int, id groups.ID) (all []string) {
+	h := t.running[i]
 	h.loop.Turn(func() { all = append(all, h.groups.app.(*listApplication).machines[id].entries...) })
 	return all
 }
--- a/internal/gateway/node/host_env.go
+++ b/internal/gateway/node/host_env.go
@@ -1,19 +1,26 @@
 package node
 
 import (
+	"math"
 	"slices"
 	"time"
 
+	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/proxy/eventloop"
 )
 
-// What the hosts of calls and groups ask of their node.
+// What the hosts of calls, groups and roll-outs ask of their node: callEnv, groupEnv, rolloutPeers and rolloutBackends.
+
 var (
-	_ callEnv  = (*Node)(nil)
-	_ groupEnv = (*Node)(nil)
+	_ callEnv         = (*Node)(nil)
+	_ groupEnv        = (*Node)(nil)
+	_ rolloutPeers    = (*Node)(nil)
+	_ rolloutBackends = (*Node)(nil)
 )
 
 // now is the node's steady time.
@@ -72,3 +79,90 @@
 
 // announceLeaders has the nodes that follow this one told at the next tick who leads: they pass calls on by it.
 func (n *Node) announceLeaders() { n.heartbeatAt = 0 }
+
+func (n *Node) rolloutState() *rollout.State { return n.machine.Rollouts }
+
+// isCurrent tells whether what this node knows is recent enough to refuse requests by it.
+func (n *Node) isCurrent() bool { return n.permitted(permitRefuse) }
+
+func (n *Node) isMember() bool { return n.core != nil }
+
+// ledTerm is the term of the configuration's log in which this node leads.
+func (n *Node) ledTerm() (term uint64, leads bool) {
+	if !n.isLeader() {
+		return 0, false
+	}
+	_, term, _ = n.core.replica.Leader()
+	return term, true
+}
+
+func (n *Node) clusterSize() int { return n.slotCount }
+
+func (n *Node) readRollouts(done callDone) { n.callLeader(ReadRollouts, nil, 0, done) }
+
+// proposeRollout puts a decision of the coordinator into the log that this node leads.
+func (n *Node) proposeRollout(e rollout.Entry) {
+	e.At = time.Now().UnixMilli()
+	n.core.propose(statemachine.KindRollout, e.Encode(), func(status int, body []byte) {
+		if status != statusOK {
+			n.logInfo(rolloutPart).Str("service", e.Service).Uint64("rollout", uint64(e.Number)).Str("verb", string(e.Verb)).
+				Int("status", status).Str("reason", string(body)).Msg("decision not taken")
+		}
+	})
+}
+
+// sendTowardsLeader sends a report to the leader, or to the node that this one follows, unless that is where it came from.
+func (n *Node) sendTowardsLeader(report *RolloutMessage, from string) {
+	if to := n.forwardTarget(); to != "" && to != from {
+		n.sendFrame(to, &Frame{Rollout: report})
+	}
+}
+
+func (n *Node) sendToMembers(lap *RolloutMessage) {
+	f := &Frame{Rollout: lap}
+	for _, m := range n.coreMembers() {
+		if addr := n.memberAddr(m); addr != "" && addr != n.peerAddr {
+			n.sendFrame(addr, f)
+		}
+	}
+}
+
+func (n *Node) sendToFollowers(lap *RolloutMessage, except string) {
+	f := &Frame{Rollout: lap}
+	for addr := range n.learners {
+		if addr != except {
+			n.sendFrame(addr, f)
+		}
+	}
+}
+
+// serviceRecords are the registrations of a service; false: this node has no registry yet.
+func (n *Node) serviceRecords(service string) ([]registry.Record, bool) {
+	if n.registry == nil {
+		return nil, false
+	}
+	other := func(r registry.Record) bool { return r.Service != service }
+	return slices.DeleteFunc(n.registry.Backends(), other), true
+}
+
+func (n *Node) tickRegistry() {
+	if n.registry != nil {
+		n.registry.Tick(n.now())
+	}
+}
+
+func (n *Node) setRollout(service string, open admission.CanaryAccess) {
+	primary := n.catalog.serviceID(service)
+	n.admission.SetRollout(primary, n.catalog.serviceID(secondaryService(service)), open)
+}
+
+// busyEverywhere is how many requests a service has at a time on all nodes, as far as this node's own tell.
+func (n *Node) busyEverywhere(service string) int {
+	return int(math.Ceil(n.admission.PeakConcurrency(n.catalog.serviceID(service)) * float64(max(n.slotCount, 1))))
+}
+
+// isConfigured tells whether the configuration has a service; true while there is no configuration.
+func (n *Node) isConfigured(service string) bool {
+	_, known := n.table.Service(service)
+	return known || n.table.Version() == 0
+}
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -77,7 +77,7 @@
 	quota      *control.Limiter
 	admission  *admission.Controller
 	gate       *gate.Gate
-	rollouts   rolloutHost
+	rollouts   *rolloutHost
 	dispatcher Dispatcher
 	frontend   Frontend
 
@@ -181,7 +181,7 @@
 	n.quota = control.NewLimiter(n.seed, 0, 1, n.loop.Now(), control.Config{MinInterval: 50 * time.Millisecond,
 		SnapshotTTL: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MaxUnits: 1, Strict: true, InitialFill: coldStartQuotaShare, OwnershipDelay: newOwnerDelay,
 		Window: n.settings.Bounds.QuotaWindow, Excess: n.settings.Bounds.QuotaExcess, Margin: float64(n.settings.Bounds.QuotaMargin)})
-	n.openRollouts()
+	n.rollouts = newRolloutHost(n, n, n.settings.Zone, n.incarnation)
 	n.admission = admission.New(n.seed, admission.Config{Zone: n.catalog.zoneID(n.settings.Zone),
 		RetryRatio: n.settings.Bounds.RetryRatio, RetryWindow: n.settings.Bounds.RetryWindow,
 		RetryAllowance: n.settings.Bounds.RetryExtra, Nodes: 1}, n.quota, n.loop.Now())
@@ -271,7 +271,7 @@
 	h.calls.chunks.tick()
 	h.checkUpstream()
 	h.requestSlot()
-	h.tickRollouts()
+	h.rollouts.tick()
 	h.groups.requestFounding()
 	if h.core != nil {
 		h.groups.maintain()
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -71,7 +71,7 @@
 	case f.Part != nil:
 		n.calls.chunks.receive(from, f.Part)
 	case f.Rollout != nil:
-		n.receiveRolloutMessage(from, f.Rollout)
+		n.rollouts.receive(from, f.Rollout)
 	case f.Coordination != nil:
 		n.receiveCoordination(from, f.Coordination)
 	}
--- a/internal/gateway/node/rollout_calls.go
+++ b/internal/gateway/node/rollout_calls.go
@@ -5,17 +5,19 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/proxy/invariant"
 )
 
-// Rollout brings an operator's order to whoever leads, as a change of the configuration goes. What is wrong in itself, or
-// is known here to have been taken, needs no leader; a dry run goes by what is known here alone.
+// Rollout takes an operator's order to the leader, as a change of the configuration goes. What is wrong in itself, or is known here to
+// have been taken, needs no leader; a dry run goes by what is known here alone.
 func (n *Node) Rollout(e *rollout.Entry, dry bool, then func(status int, body []byte)) {
 	if e.At = time.Now().UnixMilli(); e.Mark == "" { // the same call may go out twice from here
 		e.Mark = fmt.Sprintf("%016x", rand.Uint64())
@@ -25,17 +27,13 @@
 			then(responseOf(routing.Invalid, err))
 			return
 		}
-		told := e.Room
-		e.Room = n.rolloutCapacity(e.Order)
-		e.Room.New, e.Room.Busy = max(told.New, e.Room.New), cmp.Or(told.Busy, e.Room.Busy)
+		given := e.Room
+		e.Room = n.rollouts.capacityOf(e.Order)
+		e.Room.New, e.Room.Busy = max(given.New, e.Room.New), cmp.Or(given.Busy, e.Room.Busy)
 	}
 	body := e.Encode()
 	if dry {
-		if v, err := n.machine.Decide(statemachine.KindRollout, body); v != routing.Taken {
-			then(responseOf(v, err))
-			return
-		}
-		then(200, marshalAnswer(n.dryRunAnswer(e)))
+		n.dryRun(e, body, then)
 		return
 	}
 	if v, err, final := n.machine.DecideFinal(statemachine.KindRollout, body); final {
@@ -46,53 +44,47 @@
 	n.callLeader(statemachine.KindRollout, body, 0, then)
 }
 
+// dryRun answers what an order would do, and changes nothing.
+func (n *Node) dryRun(e *rollout.Entry, body []byte, then callDone) {
+	if v, err := n.machine.Decide(statemachine.KindRollout, body); v != routing.Taken {
+		then(responseOf(v, err))
+		return
+	}
+	then(statusOK, marshalAnswer(n.dryRunAnswer(e)))
+}
+
 // checkKnown tells what an order names that this node does not know. Zones are those of nodes.
-func (n *Node) checkKnown(o *rollout.Spec) error {
+func (n *Node) checkKnown(spec *rollout.Spec) error {
 	service := func(name string) bool { _, ok := n.table.Service(name); return ok }
 	route := func(name string) bool {
-		for _, r := range n.table.Routes() {
-			if r.Name == name {
-				return true
-			}
-		}
-		return false
+		return slices.ContainsFunc(n.table.Routes(), func(r *routing.Route) bool { return r.Name == name })
 	}
 	tenant := func(name string) bool {
-		for _, t := range n.table.Tenants() {
-			if t.Name == name {
-				return true
-			}
-		}
-		return false
+		return slices.ContainsFunc(n.table.Tenants(), func(t *routing.Tenant) bool { return t.Name == name })
 	}
 	zone := func(name string) bool {
-		for _, s := range n.roster.SlotHolders() {
-			if s.Zone == name {
-				return true
-			}
-		}
-		return name == n.settings.Zone
+		return name == n.settings.Zone ||
+			slices.ContainsFunc(n.roster.SlotHolders(), func(s membership.SlotHolder) bool { return s.Zone == name })
 	}
-	return o.CheckReferences(service, route, tenant, zone)
+	return spec.CheckReferences(service, route, tenant, zone)
 }
 
 // dryRunAnswer counts the known keys that each step of an order would have on the new version.
 func (n *Node) dryRunAnswer(e *rollout.Entry) controlapi.RolloutAnswer {
 	var users [][]byte
 	if config := n.machine.Configs.Config(); config != nil {
-		for _, t := range config.Tenants {
-			for _, key := range t.ApiKeys {
+		for _, tenant := range config.Tenants {
+			for _, key := range tenant.ApiKeys {
 				users = append(users, []byte(key))
 			}
 		}
 	}
 	number := n.machine.Rollouts.Last + 1
 	return controlapi.RolloutAnswer{Service: e.Service, Number: uint64(number), Phase: "dry", Rev: e.Rev, Steps: len(e.Order.Steps),
-		Users: ptr(len(users)), Moved: e.Order.CountMoved(number, users),
-		Room: &controlapi.RolloutRoom{Old: e.Room.Old, New: e.Room.New, Busy: e.Room.Busy}}
+		Users: ptr(len(users)), Moved: e.Order.CountMoved(number, users), Room: capacityAnswer(e.Room)}
 }
 
-// marshalAnswer words an answer.
+// marshalAnswer is an answer in JSON.
 func marshalAnswer(v any) []byte {
 	b, err := json.Marshal(v)
 	invariant.That(err == nil, "an answer can be worded")
@@ -100,28 +92,31 @@
 }
 
 // answerBody gives the answer to a call that was taken, where it has one.
-func (n *Node) answerBody(k statemachine.Kind, body []byte, status int, answer []byte) []byte {
-	if k != statemachine.KindRollout || status != 200 {
+func (n *Node) answerBody(kind statemachine.Kind, body []byte, status int, answer []byte) []byte {
+	if kind != statemachine.KindRollout || status != statusOK {
 		return answer
 	}
 	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return answer
 	}
-	r := n.machine.Rollouts.Run(e.Service)
-	if r == nil {
+	run := n.machine.Rollouts.Run(e.Service)
+	if run == nil {
 		return answer
 	}
-	return marshalAnswer(controlapi.RolloutAnswer{Service: e.Service, Number: uint64(r.Number), Rev: r.Rev, Phase: string(r.Phase),
-		Step: r.Step, Steps: len(r.Order.Steps), Share: r.Share(),
-		Room: &controlapi.RolloutRoom{Old: r.Room.Old, New: r.Room.New, Busy: r.Room.Busy}})
+	return marshalAnswer(controlapi.RolloutAnswer{Service: e.Service, Number: uint64(run.Number), Rev: run.Rev, Phase: string(run.Phase),
+		Step: run.Step, Steps: len(run.Order.Steps), Share: run.Share(), Room: capacityAnswer(run.Room)})
 }
 
-// Rollouts asks whoever leads, who has the counts; where nobody can be asked, it is this node's own knowledge.
+func capacityAnswer(c rollout.Capacity) *controlapi.RolloutRoom {
+	return &controlapi.RolloutRoom{Old: c.Old, New: c.New, Busy: c.Busy}
+}
+
+// Rollouts asks the leader, which has the counts; where it can't be asked, this node answers by its own knowledge.
 func (n *Node) Rollouts(then func(status int, body []byte)) {
-	n.callLeader(ReadRollouts, nil, 0, func(status int, body []byte) {
-		if status != 200 {
-			status, body = 200, n.rolloutStatusBody()
+	n.readRollouts(func(status int, body []byte) {
+		if status != statusOK {
+			status, body = statusOK, n.rolloutStatusBody()
 		}
 		then(status, body)
 	})
@@ -129,45 +124,53 @@
 
 // rolloutStatusBody is how roll-outs stand, as this node knows it.
 func (n *Node) rolloutStatusBody() []byte {
-	x, s := &n.rollouts, n.machine.Rollouts
-	all := controlapi.RolloutStatus{Node: n.settings.NodeName, Rev: s.Rev, Leads: x.coordinator != nil || n.isLeader(),
-		Rollouts: []controlapi.RolloutRun{}}
-	for i := range s.Runs() {
-		r := &s.Runs()[i]
-		run := controlapi.RolloutRun{Service: r.Order.Service, Number: uint64(r.Number), Rev: r.Rev, Phase: string(r.Phase),
-			Step: r.Step, Steps: len(r.Order.Steps), Share: r.Share(), Old: r.Order.Old, New: r.Order.New, Held: r.Held,
-			Here: x.local.Share(r.Order.Service)}
-		if x.coordinator != nil && r.Phase == rollout.Running {
-			var c rollout.Counts
-			c, run.Doubt = x.coordinator.Counts(r.Order.Service)
-			run.Counts = ptr(rolloutCounts(&c))
-		}
-		all.Rollouts = append(all.Rollouts, run)
+	state := n.machine.Rollouts
+	all := controlapi.RolloutStatus{Node: n.settings.NodeName, Rev: state.Rev,
+		Leads: n.rollouts.coordinator != nil || n.isLeader(), Rollouts: []controlapi.RolloutRun{}}
+	for i := range state.Runs() {
+		all.Rollouts = append(all.Rollouts, n.rollouts.statusOf(&state.Runs()[i]))
 	}
 	return marshalAnswer(all)
 }
 
+// statusOf is how a roll-out stands, with what the coordinator has counted if it is here.
+func (r *rolloutHost) statusOf(run *rollout.Run) controlapi.RolloutRun {
+	service := run.Order.Service
+	status := controlapi.RolloutRun{Service: service, Number: uint64(run.Number), Rev: run.Rev, Phase: string(run.Phase),
+		Step: run.Step, Steps: len(run.Order.Steps), Share: run.Share(), Old: run.Order.Old, New: run.Order.New, Held: run.Held,
+		Here: r.local.Share(service)}
+	if r.coordinator != nil && run.Phase == rollout.Running {
+		var counts rollout.Counts
+		counts, status.Doubt = r.coordinator.Counts(service)
+		status.Counts = ptr(rolloutCounts(&counts))
+	}
+	return status
+}
+
 // RolloutHistory is what became of a service's roll-outs, as this node knows it.
 func (n *Node) RolloutHistory(service string) controlapi.RolloutHistory {
 	all := controlapi.RolloutHistory{Service: service, Rollouts: []controlapi.RolloutPast{}}
-	add := func(r *rollout.Run) {
-		if r == nil || r.Order.Service != service {
-			return
-		}
-		past := controlapi.RolloutPast{Number: uint64(r.Number), Old: r.Order.Old, New: r.Order.New, Phase: string(r.Phase)}
-		for _, p := range r.History {
-			past.Lines = append(past.Lines, controlapi.RolloutLine{Verb: string(p.Verb), Step: p.Step, Share: p.Share, By: p.By,
-				At: p.At, Why: p.Why, Counts: rolloutCounts(&p.Counts)})
+	ended := n.machine.Rollouts.Ended()
+	for i := range ended {
+		if ended[i].Order.Service == service {
+			all.Rollouts = append(all.Rollouts, rolloutPast(&ended[i]))
 		}
-		all.Rollouts = append(all.Rollouts, past)
 	}
-	for i := range n.machine.Rollouts.Ended() {
-		add(&n.machine.Rollouts.Ended()[i])
+	if run := n.machine.Rollouts.Run(service); run != nil {
+		all.Rollouts = append(all.Rollouts, rolloutPast(run))
 	}
-	add(n.machine.Rollouts.Run(service))
 	return all
 }
 
+func rolloutPast(run *rollout.Run) controlapi.RolloutPast {
+	past := controlapi.RolloutPast{Number: uint64(run.Number), Old: run.Order.Old, New: run.Order.New, Phase: string(run.Phase)}
+	for _, e := range run.History {
+		past.Lines = append(past.Lines, controlapi.RolloutLine{Verb: string(e.Verb), Step: e.Step, Share: e.Share, By: e.By,
+			At: e.At, Why: e.Why, Counts: rolloutCounts(&e.Counts)})
+	}
+	return past
+}
+
 func rolloutCounts(c *rollout.Counts) controlapi.RolloutCounts {
 	side := func(s rollout.Side) controlapi.RolloutSide {
 		return controlapi.RolloutSide{Reads: rolloutTally(&c[s][rollout.Read]), Writes: rolloutTally(&c[s][rollout.Write])}
--- a/internal/gateway/node/rollout_host.go
+++ b/internal/gateway/node/rollout_host.go
@@ -1,440 +1,280 @@
 package node
 
 import (
-	"cmp"
 	"encoding/json"
-	"hash/fnv"
-	"math"
-	"slices"
-	"strconv"
 	"time"
 
-	"clovergap/control"
+	"github.com/phuslu/log"
+
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/routing"
-	"clovergap/internal/gateway/statemachine"
-	"clovergap/internal/proxy/gate"
-	"clovergap/internal/proxy/slots"
 )
 
-// Roll-outs: the rollout decides, this file carries for it. A version that is not the main one is a service of its own to the
-// office, and which of the two is the main one follows from the phase. While there is no roll-out nothing is asked, timed or sent.
-
-// Bounds of what a node reports, so that the reports of 96 nodes are under half of a link of 2 Mbit/s at whoever leads.
-// What does not go out is stood for by the next one: reports are sums.
-const (
-	reportBytesPerSecond = 1 << 10 // bytes a second
-	reportBurstBytes     = 2 << 10
-	reportOverheadBytes  = 400      // bytes of one beside the evidence, about
-	maxEvidenceBytes     = 64 << 10 // of evidence
-	maxQueuedReports     = 64       // that wait
+// backendsRefreshInterval is how often the coordinator is told which backends there are.
+const backendsRefreshInterval = time.Second
 
-	backendsRefreshInterval = time.Second // the duty is told of them so often
-)
+// LocalRollbackMessage is logged where a node sends its users back to the old version by its own findings, without a verdict for all nodes.
+const LocalRollbackMessage = "rolled back on this node alone"
 
-// rolloutHost is what a node goes by.
+// rolloutHost runs roll-outs at a node: package rollout decides, this carries for it. It owns the node's part (local: which side a
+// user is on, and what requests come to), and at the leader the coordinator, which judges for all nodes. While there is no
+// roll-out it asks, times and sends nothing. It is called in turns of the node.
 type rolloutHost struct {
-	local               *rollout.Node
-	coordinator         *rollout.Coordinator // nil: another node has it
-	coordinatorTerm     uint64
-	backendsRefreshedAt time.Duration     // at the backends, for the duty
-	appliedRevision     uint64            // of the state, as last folded
-	loggedRevisions     map[string]uint64 // of each service's, as last logged
-	admissionStates     map[string]admissionState
-	caughtUp            bool // in this life the roll-outs were known here as whoever leads knows them
-	catchUpRequestedAt  time.Duration
-	queuedReports       []rollout.Report // the newest of each service, to go out
-	reportBudget        float64          // bytes that may
-	reportBudgetAt      time.Duration
-	answerStatus        int // status of the answer whose end is being told; 0: there is none
-}
-
-// admissionState is what admission last was told of a service.
-type admissionState struct {
-	number rollout.Number
-	phase  rollout.Phase
-	open   admission.CanaryAccess
-	final  bool // finished, and the node knows that there is no later one
-}
-
-func (n *Node) openRollouts() {
-	n.rollouts = rolloutHost{local: rollout.NewNode(n.settings.Zone, n.incarnation, n.loop.Now()), loggedRevisions: map[string]uint64{},
-		admissionStates: map[string]admissionState{}, catchUpRequestedAt: -time.Second}
-}
-
-// applyRollouts takes the state after an entry or a snapshot.
-func (n *Node) applyRollouts() {
-	x, s := &n.rollouts, n.machine.Rollouts
-	if s.Rev == x.appliedRevision {
-		return
-	}
-	x.appliedRevision = s.Rev
-	x.local.Tick(n.loop.Now())
-	x.local.ApplyState(s)
-	if x.coordinator != nil {
-		x.coordinator.Tick(n.loop.Now())
-		x.coordinator.ApplyState(s)
-	}
-	for i := range s.Runs() {
-		r := &s.Runs()[i]
-		if x.loggedRevisions[r.Order.Service] != r.Rev {
-			x.loggedRevisions[r.Order.Service] = r.Rev
-			last := r.History[len(r.History)-1]
-			n.say(rolloutPart, "%s %d: %s by %s: %s, step %d of %d, %s of the users%s", r.Order.Service, r.Number, last.Verb,
-				cmp.Or(last.By, "nobody named"), r.Phase, r.Step, len(r.Order.Steps), formatShare(r.Share()), reasonSuffix(last.Why))
-		}
-	}
-	n.updateRolloutAdmission()
-}
-
-func reasonSuffix(why string) string {
-	if why == "" {
-		return ""
-	}
-	return ": " + why
+	peers     rolloutPeers
+	backends  rolloutBackends
+	local     *rollout.Node
+	reports   reportQueue
+	admission admissionStates
+
+	coordinator         *rollout.Coordinator // nil: another node leads
+	coordinatorTerm     uint64               // of the log, in which this node leads: the coordinator's fencing token
+	backendsRefreshedAt time.Duration
+
+	appliedRevision    uint64            // of the state
+	loggedRevisions    map[string]uint64 // of each service's
+	caughtUp           bool              // in this incarnation the state here was as new as the leader's
+	catchUpRequestedAt time.Duration
+	answerStatus       int // of the response whose outcome is being passed on; 0: there is none
 }
 
-// formatShare words a share in 1/10000.
-func formatShare(share int) string {
-	return strconv.FormatFloat(float64(share)/100, 'f', -1, 64) + " %"
+// rolloutPeers is what a rolloutHost needs of the log and of the other nodes.
+type rolloutPeers interface {
+	now() time.Duration
+	rolloutState() *rollout.State
+	// isCurrent tells whether what this node knows is recent enough to refuse requests by it.
+	isCurrent() bool
+	isMember() bool
+	ledTerm() (term uint64, leads bool)
+	slot() membership.Slot
+	clusterSize() int
+	readRollouts(done callDone)
+	proposeRollout(e rollout.Entry)
+	// sendTowardsLeader sends a report to the leader, or to the node that this one follows, unless that is where it came from.
+	sendTowardsLeader(report *RolloutMessage, from string)
+	sendToMembers(lap *RolloutMessage)
+	sendToFollowers(lap *RolloutMessage, except string)
+	logInfo(p logPart) *log.Entry
+	logWarn(p logPart) *log.Entry
 }
 
-// secondaryService names the version of a service that is not the main one; no configuration can.
-func secondaryService(service string) string { return service + "\x00" }
-
-// poolOf is where a backend is listed: until a roll-out is finished the main version is all but the new one, from
-// then on all but the old one.
-func (n *Node) poolOf(w registry.Record) control.ServiceID {
-	if r := n.machine.Rollouts.Run(w.Service); r != nil {
-		if pool := n.rollouts.local.BackendSide(w.Service, w.Generation); (pool == rollout.Canary) != (r.Phase == rollout.Finished) {
-			return n.catalog.serviceID(secondaryService(w.Service))
-		}
-	}
-	return n.catalog.serviceID(w.Service)
+// rolloutBackends is what a rolloutHost needs of those that choose a backend for a request.
+type rolloutBackends interface {
+	// serviceRecords are the registrations of a service; known is false as long as this node has no registry.
+	serviceRecords(service string) (records []registry.Record, known bool)
+	// tickRegistry brings the registry's clock up to this turn.
+	tickRegistry()
+	updateListing(c registry.Changed)
+	setRollout(service string, open admission.CanaryAccess)
+	// busyEverywhere is how many requests a service has at a time on all nodes, as far as this node's own tell.
+	busyEverywhere(service string) int
+	// isConfigured tells whether the configuration has a service; true while there is no configuration.
+	isConfigured(service string) bool
 }
 
-// updateRolloutAdmission tells the office who may go where, as far as that has changed.
-func (n *Node) updateRolloutAdmission() {
-	x := &n.rollouts
-	for i := range n.machine.Rollouts.Runs() {
-		r := &n.machine.Rollouts.Runs()[i]
-		name := r.Order.Service
-		ended := r.Phase == rollout.Finished
-		now := admissionState{r.Number, r.Phase, admission.CanaryShared, ended && x.local.EverConnected()}
-		switch {
-		case ended:
-			now.open = admission.CanaryFallback
-		case x.local.CanaryBarred(name):
-			now.open = admission.CanaryClosed
-		}
-		was, had := x.admissionStates[name]
-		if was == now {
-			continue
-		}
-		x.admissionStates[name] = now
-		main, under := n.catalog.serviceID(name), n.catalog.serviceID(secondaryService(name))
-		if !had || was.number != now.number || was.final != now.final || (was.phase == rollout.Finished) != ended {
-			n.admission.SetRollout(main, under, admission.CanaryClosed)
-			n.relistBackends(name, main)
-		}
-		n.admission.SetRollout(main, under, now.open)
-	}
+func newRolloutHost(peers rolloutPeers, backends rolloutBackends, zone string, incarnation uint64) *rolloutHost {
+	return &rolloutHost{peers: peers, backends: backends, local: rollout.NewNode(zone, incarnation, peers.now()),
+		admission: admissionStates{}, loggedRevisions: map[string]uint64{}, catchUpRequestedAt: -time.Second}
 }
 
-// relistBackends lists the backends of a service by their versions: those of the main one first, so that it is never without.
-func (n *Node) relistBackends(service string, main control.ServiceID) {
-	if n.registry == nil {
+// applyState takes the state after an entry or a snapshot.
+func (r *rolloutHost) applyState() {
+	state := r.peers.rolloutState()
+	if state.Rev == r.appliedRevision {
 		return
 	}
-	n.registry.Tick(n.loop.Now())
-	words := slices.DeleteFunc(n.registry.Backends(), func(w registry.Record) bool { return w.Service != service })
-	for _, first := range []bool{true, false} {
-		for _, w := range words {
-			if (n.poolOf(w) == main) == first {
-				c := registry.Changed{Record: w}
-				if w.ColdLeft > 0 {
-					c.SlowStartUntil = n.loop.Now() + w.ColdLeft
-				}
-				n.updateListing(c)
-			}
-		}
+	r.appliedRevision = state.Rev
+	now := r.peers.now()
+	r.local.Tick(now)
+	r.local.ApplyState(state)
+	if r.coordinator != nil {
+		r.coordinator.Tick(now)
+		r.coordinator.ApplyState(state)
 	}
-}
-
-// ---- The path of a request
-
-// requestSides answers the office.
-type requestSides Node
-
-// Assign tells where a request begins, by its user.
-func (r *requestSides) Assign(id control.TxnID, kind control.ProductID, service control.ServiceID) admission.Assignment {
-	h := (*Node)(r)
-	name := h.catalog.serviceNames[service]
-	user, tenant := h.frontend.User(h.gate.Asker(slots.Ref(id)), slots.Ref(id))
-	in := rollout.Scope{Tenant: tenant, Zone: h.settings.Zone}
-	if route := h.catalog.routesByProduct[kind]; route != nil {
-		in.Route = route.Name
-	}
-	b := admission.Assignment{Number: h.rollouts.local.RunningNumber(name)}
-	b.Side, b.Counts = h.rollouts.local.ChooseSide(name, user, in)
-	if b.Counts {
-		f := fnv.New32a()
-		f.Write([]byte(tenant))
-		b.Tenant = f.Sum32()
-	}
-	return b
-}
-
-// SubmissionEnded passes on how a request that counts has ended.
-func (r *requestSides) SubmissionEnded(e admission.Comparison) {
-	x := &(*Node)(r).rollouts
-	end := rollout.Outcome{Side: e.Side, Route: uint32(e.Kind), Tenant: e.Tenant, Backend: uint64(e.Backend),
-		Cause: causeOf(e.Ending, x.answerStatus), Latency: e.Took, WarmingUp: e.WarmingUp}
-	if e.Effectful {
-		end.Kind = rollout.Write
+	for i := range state.Runs() {
+		r.logProgress(&state.Runs()[i])
 	}
-	x.local.RecordOutcome(r.catalog.serviceNames[e.Service], e.Number, end)
+	r.updateAdmission()
 }
 
-// causeOf is the table from endings, and the status of the answer where there was one, to causes.
-func causeOf(e control.Ending, status int) rollout.Cause {
-	switch {
-	case e == control.Succeeded:
-		return rollout.Success
-	case e == control.Rejected:
-		return rollout.Rejected
-	case e != control.Errored:
-		return rollout.NoResponse
-	case status >= 500:
-		return rollout.ServerError
-	case status >= 400: // the service's own word
-		return rollout.Success
-	}
-	return rollout.InvalidResponse
-}
-
-// outcomeTap notes the status of an answer on its way to the gate, for the time of the call.
-type outcomeTap struct {
-	*gate.Gate
-	node *Node
-}
-
-func (o *outcomeTap) Ended(txn slots.Ref, nr int, at control.BackendID, outcome gate.Outcome) {
-	if x := &o.node.rollouts; x.local.HasRollouts() && outcome.Answer != nil {
-		x.answerStatus = outcome.Answer.Status()
+// logProgress logs what has become of a roll-out, once for each of its revisions.
+func (r *rolloutHost) logProgress(run *rollout.Run) {
+	if r.loggedRevisions[run.Order.Service] == run.Rev {
+		return
 	}
-	o.Gate.Ended(txn, nr, at, outcome)
-	o.node.rollouts.answerStatus = 0
+	r.loggedRevisions[run.Order.Service] = run.Rev
+	last := run.History[len(run.History)-1]
+	r.peers.logInfo(rolloutPart).Str("service", run.Order.Service).Uint64("rollout", uint64(run.Number)).
+		Str("verb", string(last.Verb)).Str("by", last.By).Str("phase", string(run.Phase)).Int("step", run.Step).
+		Int("steps", len(run.Order.Steps)).Int("share", run.Share()).Str("reason", last.Why).Msg("roll-out changed")
 }
 
-// ---- Reports and the duty
-
-// tickRollouts is the part of the one timer.
-func (n *Node) tickRollouts() {
-	x := &n.rollouts
-	if !x.local.HasRollouts() {
+// tick is the part of the node's periodic timer.
+func (r *rolloutHost) tick() {
+	if !r.local.HasRollouts() {
 		return
 	}
-	now := n.loop.Now()
-	fresh := n.permitted(permitRefuse)
-	if fresh && !x.caughtUp && now-x.catchUpRequestedAt >= time.Second {
-		x.catchUpRequestedAt = now
-		n.callLeader(ReadRollouts, nil, 0, n.receiveCatchUp)
+	now, current := r.peers.now(), r.peers.isCurrent()
+	if current && !r.caughtUp && now-r.catchUpRequestedAt >= time.Second {
+		r.catchUpRequestedAt = now
+		r.peers.readRollouts(r.receiveCatchUp)
 	}
-	x.local.SetConnected(fresh && x.caughtUp)
-	x.local.Tick(now)
-	for a, ok := x.local.Next(); ok; a, ok = x.local.Next() {
-		switch a := a.(type) {
+	r.local.SetConnected(current && r.caughtUp)
+	r.local.Tick(now)
+	for action, ok := r.local.Next(); ok; action, ok = r.local.Next() {
+		switch action := action.(type) {
 		case rollout.SendReport:
-			n.queueReport(a.Report)
+			r.report(action.Report)
 		case rollout.LocalRollback:
-			n.warn(rolloutPart, "%s %d: this node pulls back for itself: %s", a.Service, a.Number, a.Reason)
+			r.peers.logWarn(rolloutPart).Str("service", action.Service).Uint64("rollout", uint64(action.Number)).
+				Str("reason", action.Reason).Msg(LocalRollbackMessage)
 		}
 	}
-	n.sendReports()
-	n.runRolloutCoordinator()
-	n.updateRolloutAdmission()
+	for _, report := range r.reports.take(now) {
+		r.peers.sendTowardsLeader(&RolloutMessage{Seat: r.peers.slot(), Hops: 1, Report: &report}, "")
+	}
+	r.runCoordinator()
+	r.updateAdmission()
 }
 
-// receiveCatchUp: what whoever leads knew when it was asked; this node's own may be of before its last life.
-func (n *Node) receiveCatchUp(status int, body []byte) {
+// receiveCatchUp takes what the leader knew when it was asked: this node's own state may be of before its restart.
+func (r *rolloutHost) receiveCatchUp(status int, body []byte) {
 	var there controlapi.RolloutStatus
-	if status == 200 && json.Unmarshal(body, &there) == nil && n.machine.Rollouts.Rev >= there.Rev {
-		n.rollouts.caughtUp = true
+	if status == statusOK && json.Unmarshal(body, &there) == nil && r.peers.rolloutState().Rev >= there.Rev {
+		r.caughtUp = true
 	}
 }
 
-// queueReport lays one out to be sent in place of the one before it.
-func (n *Node) queueReport(r rollout.Report) {
-	x := &n.rollouts
-	if x.coordinator != nil {
-		n.receiveReport(&RolloutMessage{Seat: n.slot(), Report: &r})
+// report has the coordinator take a report of this node.
+func (r *rolloutHost) report(report rollout.Report) {
+	if r.coordinator != nil {
+		r.receiveReport(&RolloutMessage{Seat: r.peers.slot(), Report: &report})
 		return
 	}
-	for i := range x.queuedReports {
-		if x.queuedReports[i].Service == r.Service {
-			x.queuedReports[i] = r
-			return
-		}
-	}
-	if len(x.queuedReports) < maxQueuedReports {
-		x.queuedReports = append(x.queuedReports, r)
-	}
+	r.reports.add(report)
 }
 
-func (n *Node) sendReports() {
-	x, now := &n.rollouts, n.loop.Now()
-	x.reportBudget = min(x.reportBudget+reportBytesPerSecond*(now-x.reportBudgetAt).Seconds(), reportBurstBytes)
-	x.reportBudgetAt = now
-	for len(x.queuedReports) > 0 && x.reportBudget > 0 {
-		r := x.queuedReports[0]
-		x.queuedReports = x.queuedReports[1:]
-		x.reportBudget -= float64(reportOverheadBytes + len(r.Evidence))
-		if to := n.forwardTarget(); to != "" {
-			n.links.Send(to, &Frame{Rollout: &RolloutMessage{Seat: n.slot(), Hops: 1, Report: &r}})
-		}
-	}
-}
-
-// receiveRolloutMessage takes a report, or the word of a lap, or passes it on.
-func (n *Node) receiveRolloutMessage(from string, w *RolloutMessage) {
+// receive takes a report or the beginning of a lap, or passes it on.
+func (r *rolloutHost) receive(from string, m *RolloutMessage) {
 	switch {
-	case w.Lap != nil:
-		n.rollouts.local.Tick(n.loop.Now())
-		n.rollouts.local.HandleLap(*w.Lap)
-		if n.core != nil {
-			n.sendToFollowers(from, &Frame{Rollout: w})
-		}
-	case w.Report == nil || len(w.Report.Evidence) > maxEvidenceBytes:
-	case n.rollouts.coordinator != nil:
-		n.receiveReport(w)
-	case w.Hops < maxHops && n.core != nil:
-		if to := n.forwardTarget(); to != "" && to != from {
-			n.links.Send(to, &Frame{Rollout: &RolloutMessage{Seat: w.Seat, Hops: w.Hops + 1, Report: w.Report}})
+	case m.Lap != nil:
+		r.local.Tick(r.peers.now())
+		r.local.HandleLap(*m.Lap)
+		if r.peers.isMember() {
+			r.peers.sendToFollowers(m, from)
 		}
+	case m.Report == nil || len(m.Report.Evidence) > maxEvidenceBytes:
+	case r.coordinator != nil:
+		r.receiveReport(m)
+	case m.Hops < maxHops && r.peers.isMember():
+		r.peers.sendTowardsLeader(&RolloutMessage{Seat: m.Seat, Hops: m.Hops + 1, Report: m.Report}, from)
 	}
 }
 
-func (n *Node) sendToFollowers(but string, f *Frame) {
-	for addr := range n.learners {
-		if addr != but {
-			n.links.Send(addr, f)
-		}
-	}
-}
-
-func (n *Node) receiveReport(w *RolloutMessage) {
-	if w.Seat == membership.NoSlot {
+// receiveReport hands a report to this node's coordinator.
+func (r *rolloutHost) receiveReport(m *RolloutMessage) {
+	if m.Seat == membership.NoSlot {
 		return
 	}
-	n.rollouts.coordinator.Tick(n.loop.Now())
-	if err := n.rollouts.coordinator.HandleReport(rollout.NodeID(w.Seat), *w.Report); err != nil {
-		n.say(rolloutPart, "node %d: %v", w.Seat, err)
+	r.coordinator.Tick(r.peers.now())
+	if err := r.coordinator.HandleReport(rollout.NodeID(m.Seat), *m.Report); err != nil {
+		r.peers.logInfo(rolloutPart).Int("slot", int(m.Seat)).Err(err).Msg("report not readable")
 	}
 }
 
-// runRolloutCoordinator judges for all while this node leads: the fence is the number of its view.
-func (n *Node) runRolloutCoordinator() {
-	x, now := &n.rollouts, n.loop.Now()
-	if !n.isLeader() {
-		x.coordinator = nil
+// runCoordinator judges for all nodes while this one leads.
+func (r *rolloutHost) runCoordinator() {
+	term, leads := r.peers.ledTerm()
+	if !leads {
+		r.coordinator = nil
 		return
 	}
-	if _, view, _ := n.core.replica.Leader(); x.coordinator == nil || x.coordinatorTerm != view {
-		x.coordinator, x.coordinatorTerm = rollout.NewCoordinator(view, now), view
-		x.coordinator.ApplyState(n.machine.Rollouts)
-		x.backendsRefreshedAt = now - backendsRefreshInterval
+	now := r.peers.now()
+	if r.coordinator == nil || r.coordinatorTerm != term {
+		r.coordinator, r.coordinatorTerm = rollout.NewCoordinator(term, now), term
+		r.coordinator.ApplyState(r.peers.rolloutState())
+		r.backendsRefreshedAt = now - backendsRefreshInterval
 	}
-	if now-x.backendsRefreshedAt >= backendsRefreshInterval {
-		x.backendsRefreshedAt = now
-		x.coordinator.SetNodeCount(n.slotCount)
-		n.updateCoordinatorBackends()
+	if now-r.backendsRefreshedAt >= backendsRefreshInterval {
+		r.backendsRefreshedAt = now
+		r.coordinator.SetNodeCount(r.peers.clusterSize())
+		r.refreshBackends()
 	}
-	x.coordinator.Tick(now)
-	for a, ok := x.coordinator.Next(); ok; a, ok = x.coordinator.Next() {
-		switch a := a.(type) {
+	r.coordinator.Tick(now)
+	for action, ok := r.coordinator.Next(); ok; action, ok = r.coordinator.Next() {
+		switch action := action.(type) {
 		case rollout.Propose:
-			e := a.Entry
-			e.At = time.Now().UnixMilli()
-			n.core.propose(statemachine.KindRollout, e.Encode(), func(status int, body []byte) {
-				if status != 200 {
-					n.say(rolloutPart, "%s %d: %s not taken: %s", e.Service, e.Number, e.Verb, body)
-				}
-			})
+			r.peers.proposeRollout(action.Entry)
 		case rollout.BroadcastLap:
-			l := a.Lap
-			x.local.HandleLap(l)
-			f := &Frame{Rollout: &RolloutMessage{Lap: &l}}
-			for _, m := range n.core.replica.Members() {
-				if addr := n.memberAddr(m); addr != "" && addr != n.peerAddr {
-					n.links.Send(addr, f)
-				}
-			}
-			n.sendToFollowers("", f)
+			r.broadcastLap(action.Lap)
 		}
 	}
 }
 
-// updateCoordinatorBackends tells the duty whether there is an old version to go back to, and a service at all.
-func (n *Node) updateCoordinatorBackends() {
-	for i := range n.machine.Rollouts.Runs() {
-		r := &n.machine.Rollouts.Runs()[i]
-		if r.Phase != rollout.Running {
+// broadcastLap has all nodes gather evidence afresh.
+func (r *rolloutHost) broadcastLap(lap rollout.Lap) {
+	r.local.HandleLap(lap)
+	m := &RolloutMessage{Lap: &lap}
+	r.peers.sendToMembers(m)
+	r.peers.sendToFollowers(m, "")
+}
+
+// refreshBackends tells the coordinator whether there is a version to go back to, and a service at all.
+func (r *rolloutHost) refreshBackends() {
+	for i := range r.peers.rolloutState().Runs() {
+		run := &r.peers.rolloutState().Runs()[i]
+		if run.Phase != rollout.Running {
 			continue
 		}
-		old := -1
-		if room := n.rolloutCapacity(&r.Order); room.Old+room.New > 0 {
-			old = room.Old
+		baseline := -1 // not known
+		if capacity := r.capacityOf(&run.Order); capacity.Old+capacity.New > 0 {
+			baseline = capacity.Old
 		}
-		_, known := n.table.Service(r.Order.Service)
-		n.rollouts.coordinator.SetBaselineBackends(r.Order.Service, old, known || n.table.Version() == 0)
+		r.coordinator.SetBaselineBackends(run.Order.Service, baseline, r.backends.isConfigured(run.Order.Service))
 	}
 }
 
-// rolloutCapacity is how many requests the ready backends of each version take at a time, and how many there are at the busiest, as
-// far as this node's own tell.
-func (n *Node) rolloutCapacity(o *rollout.Spec) (m rollout.Capacity) {
-	if n.registry == nil {
-		return m
+// capacityOf is how many requests the ready backends of each version take at a time, and how many there are at the busiest, as far as
+// this node's own tell.
+func (r *rolloutHost) capacityOf(spec *rollout.Spec) (c rollout.Capacity) {
+	records, known := r.backends.serviceRecords(spec.Service)
+	if !known {
+		return c
 	}
-	for _, w := range n.registry.Backends() {
+	for _, record := range records {
 		switch {
-		case w.Service != o.Service || w.Phase != registry.Ready:
-		case w.Generation == o.New:
-			m.New += max(w.Capacity, 1)
+		case record.Phase != registry.Ready:
+		case record.Generation == spec.New:
+			c.New += max(record.Capacity, 1)
 		default:
-			m.Old += max(w.Capacity, 1)
+			c.Old += max(record.Capacity, 1)
 		}
 	}
-	m.Busy = int(math.Ceil(n.admission.PeakConcurrency(n.catalog.serviceID(o.Service)) * float64(max(n.slotCount, 1))))
-	return m
+	c.Busy = r.backends.busyEverywhere(spec.Service)
+	return c
 }
 
-// prepareEntry is an operator's entry as whoever leads puts it into the log: with what the duty has counted until now. An order that
+// prepareEntry is an operator's entry as the leader puts it into the log: with what the coordinator has counted until now. An order that
 // would be taken, but names what is not in the configuration, is refused here, since another node may not know the newest.
-func (n *Node) prepareEntry(k statemachine.Kind, body []byte) ([]byte, error) {
-	if k != statemachine.KindRollout {
-		return body, nil
-	}
+func (r *rolloutHost) prepareEntry(body []byte, checkKnown func(*rollout.Spec) error) ([]byte, error) {
 	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return nil, err
 	}
-	if e.Order != nil { // whoever took the call may know of fewer backends
-		here := n.rolloutCapacity(e.Order)
+	if e.Order != nil { // the node that took the call may know of fewer backends
+		here := r.capacityOf(e.Order)
 		e.Room.Old, e.Room.New = max(e.Room.Old, here.Old), max(e.Room.New, here.New)
 	}
-	if v, _ := n.machine.Rollouts.Decide(e); v == routing.Taken && e.Order != nil {
-		if err := n.checkKnown(e.Order); err != nil {
+	if v, _ := r.peers.rolloutState().Decide(e); v == routing.Taken && e.Order != nil {
+		if err := checkKnown(e.Order); err != nil {
 			return nil, err
 		}
 	}
-	if n.rollouts.coordinator != nil {
-		e.Counts, _ = n.rollouts.coordinator.Counts(e.Service)
+	if r.coordinator != nil {
+		e.Counts, _ = r.coordinator.Counts(e.Service)
 	}
 	return e.Encode(), nil
 }
--- a/internal/lab/faultrig/rollout.go
+++ b/internal/lab/faultrig/rollout.go
@@ -11,6 +11,7 @@
 	"sync"
 	"time"
 
+	"clovergap/internal/gateway/node"
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/history"
 	"clovergap/internal/lab/gatewaystandin"
@@ -358,7 +359,7 @@
 		return (t - r.from).Seconds()
 	}
 	for _, d := range r.t.Nodes {
-		if text, err := os.ReadFile(d.Log()); err == nil && strings.Contains(string(text), "pulls back for itself") {
+		if text, err := os.ReadFile(d.Log()); err == nil && strings.Contains(string(text), node.LocalRollbackMessage) {
 			x.Alone++
 		}
 	}
