--- a/internal/gateway/coordination/call.go
+++ b/internal/gateway/coordination/call.go
@@ -6,44 +6,57 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// Operation is what a call asks for. The numbers are on the wire between nodes and in the log.
+// Operation is what a call asks for. The numbers are sent between nodes and stored in the log; they must not change.
 type Operation uint8
 
-// The operations.
+// The operations, with their paths in api/control.yaml.
 const (
-	LockAcquire Operation = 1 // takes a lock, or lengthens the time of its holder
-	LockRenew   Operation = 2 // lengthens the time of a lock's holder
-	LockRelease Operation = 3 // gives a lock back
-	NumberNext  Operation = 4 // the next number of a name
-	KeyPut      Operation = 5 // puts a key's value
-	KeyRead     Operation = 6
-	KeyWatch    Operation = 7 // waits for puts in a group of keys
-	LockRead    Operation = 8 // who holds a lock, for operators
-	LockList    Operation = 9 // the locks of a group that are held, for operators
+	LockAcquire Operation = 1 // Locks.Begin: takes a lock, or extends the lease of its holder
+	LockRenew   Operation = 2 // Locks.Heartbeat: extends the lease of a lock's holder
+	LockRelease Operation = 3 // Locks.Finish: gives a lock back
+	NumberNext  Operation = 4 // numbers: the next number of a name
+	KeyPut      Operation = 5 // Cells.Replace: puts a key's value
+	KeyRead     Operation = 6 // Cells.Read: a key's value and revision
+	KeyWatch    Operation = 7 // watch: waits for puts in a key group
+	LockRead    Operation = 8 // Locks.Read: who holds a lock, for operators
+	LockList    Operation = 9 // Locks.List: the locks of a group, for operators
 )
 
+// operationNames are the names in the counters of Groups.List, which operators' tools read.
+var operationNames = [...]string{
+	0:           "?",
+	LockAcquire: "lock begin",
+	LockRenew:   "lock heartbeat",
+	LockRelease: "lock finish",
+	NumberNext:  "number",
+	KeyPut:      "key replace",
+	KeyRead:     "key read",
+	KeyWatch:    "key watch",
+	LockRead:    "lock read",
+	LockList:    "lock list",
+}
+
+// String is the operation's name in the control API.
 func (o Operation) String() string {
-	names := [...]string{"?", "lock begin", "lock heartbeat", "lock finish", "number", "key replace", "key read", "key watch",
-		"lock read", "lock list"}
-	if int(o) < len(names) {
-		return names[o]
+	if int(o) < len(operationNames) {
+		return operationNames[o]
 	}
-	return names[0]
+	return operationNames[0]
 }
 
-// Call is one call of an application. Which fields count is the operation's affair.
+// Call is one call of an application. Only the fields of its operation are sent and stored.
 type Call struct {
 	Operation        Operation
-	Name             string // of the lock, the counter, the key, or of the group of keys
-	Holder           string
-	FencingToken     uint64
-	TTL              time.Duration
-	Value            string
-	Conditional      bool          // a put is bound to Expected
-	ExpectedRevision uint64        // the revision that the key must have; 0: it must never have been put
-	AfterRevision    uint64        // the revision after which a watch begins, 0: only the present revision is asked for
-	Timeout          time.Duration // of a watch
-	Group            groups.ID     // of a LockList
+	Name             string        // of the lock, the counter, the key, or of the key group with its dot
+	Holder           string        // of a lock
+	FencingToken     uint64        // that the holder was given; of LockRenew and LockRelease
+	TTL              time.Duration // the lease; of LockAcquire and LockRenew
+	Value            string        // of KeyPut
+	Conditional      bool          // of KeyPut: ExpectedRevision must be the key's revision
+	ExpectedRevision uint64        // 0: the key must never have been put
+	AfterRevision    uint64        // of KeyWatch: events above it; 0: only the current revision is asked for
+	Timeout          time.Duration // of KeyWatch
+	Group            groups.ID     // of LockList
 }
 
 // GroupID is the group that orders the call.
@@ -57,35 +70,56 @@
 	return groups.GroupOf(c.Name)
 }
 
-// Status tells how a call ended.
+// isReadOnly tells whether a call changes nothing, so that giving it up is never ambiguous.
+func (c *Call) isReadOnly() bool {
+	switch c.Operation {
+	case KeyRead, KeyWatch, LockRead, LockList:
+		return true
+	}
+	return false
+}
+
+// Status tells how a call ended. The numbers are sent between nodes; they must not change.
 type Status uint8
 
-// The statuses. Full and Unavailable promise that the call has not taken effect and never will; so does Conflict.
+// The statuses, with what they promise. Package controlapi maps them to HTTP status codes.
 const (
-	StatusOK           Status = iota
-	StatusLockHeld            // another may hold the lock
-	StatusLockLost            // the lock is not, or no longer, that holder's
-	StatusConflict            // the key has another revision
-	StatusNotFound            // the key has no value
-	StatusCompacted           // the watch begins before what is kept of the history
-	StatusLimitReached        // a bound is reached
-	StatusUnavailable         // nobody could be asked
-	StatusAmbiguous           // it may have taken effect, or may still
+	StatusOK           Status = iota // the call was done
+	StatusLockHeld                   // another caller may hold the lock
+	StatusLockLost                   // the lock is not, or no longer, held by this holder
+	StatusConflict                   // the key has another revision; no effect, now or later
+	StatusNotFound                   // the key has no value
+	StatusCompacted                  // the watch begins before the history that is kept
+	StatusLimitReached               // a table is full; no effect, now or later
+	StatusUnavailable                // no leader could be asked; no effect, now or later
+	StatusAmbiguous                  // the call may have taken effect, or may still do so
 )
 
-func (s Status) String() string {
-	return [...]string{"ok", "held", "lost", "conflict", "not found", "compacted", "full", "unavailable", "unclear"}[s]
+// statusNames are the error texts of the control API.
+var statusNames = [...]string{
+	StatusOK:           "ok",
+	StatusLockHeld:     "held",
+	StatusLockLost:     "lost",
+	StatusConflict:     "conflict",
+	StatusNotFound:     "not found",
+	StatusCompacted:    "compacted",
+	StatusLimitReached: "full",
+	StatusUnavailable:  "unavailable",
+	StatusAmbiguous:    "unclear",
 }
 
-// Result is the answer to a call.
+// String is the status's name in the control API.
+func (s Status) String() string { return statusNames[s] }
+
+// Result is the answer to a call. Which fields are set depends on the operation.
 type Result struct {
 	Status       Status
-	FencingToken uint64
-	Number       uint64
-	Revision     uint64
-	Value        string
-	Events       []Event
-	Locks        []LockInfo
+	FencingToken uint64     // of LockAcquire
+	Number       uint64     // of NumberNext
+	Revision     uint64     // of the key; of KeyWatch: where the next watch begins
+	Value        string     // of KeyRead
+	Events       []Event    // of KeyWatch, by rising revision
+	Locks        []LockInfo // of LockRead and LockList, by name
 }
 
 // Event is one put of a key.
@@ -95,30 +129,16 @@
 	Revision uint64
 }
 
-// LockInfo is a lock that is held, as operators see it.
+// LockInfo is a held lock as operators see it.
 type LockInfo struct {
 	Name         string
 	Holder       string
 	FencingToken uint64
-	TimeLeft     time.Duration // until its time has run out
+	TimeLeft     time.Duration // until its lease expires, in log time
 }
 
-// Bounds of what callers may send, and of what is kept. Sizes are of one group.
-const (
-	MaxNameBytes    = 256 // bytes of a name or of a holder
-	MaxValueBytes   = 4 << 10
-	MaxTTL          = 10 * time.Minute
-	MaxWatchTimeout = 30 * time.Second
-
-	maxLocks              = 4096
-	maxNumbers            = 4096
-	maxKeyBytes           = 2 << 20 // of keys and their values
-	maxHistoryBytes       = 2 << 20 // bytes of history, beyond which it is shorter than it should be
-	maxRememberedPuts     = 16384   // that are known again when they are repeated, the newest
-	maxEventBytesInResult = 128 << 10
-)
-
-// CallID tells calls that are passed on from each other: the life of the node that took the call, and its number there.
+// CallID identifies a call that is forwarded, the same in all its attempts: the incarnation of the node that took it, and its sequence
+// number there.
 type CallID struct {
 	Incarnation uint64
 	Sequence    uint32
--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -13,16 +13,17 @@
 
 const ms = time.Millisecond
 
-// testHistory is short, so that days reach its end.
+// testHistory is a short history retention, so that days reach its end.
 const testHistory = 4 * time.Second
 
-// cluster is nodes over groups that are right by themselves: one log a group, in which an entry is or is not. What may go wrong is
-// who believes to lead it, what a leader knows of its proposals, messages between nodes, clocks, standstills and restarts.
+// cluster is nodes over a faultless model of the replicated groups: one log each, in which an entry is or is not. What may go wrong is who
+// believes to lead a group, what a leader knows of its proposals, messages between nodes, clocks, stopped processes and restarts.
 type cluster struct {
 	rng   *rand.Rand
 	now   time.Duration
 	queue eventQueue
 	nodes []*node
+	knobs coordination.TestingKnobs
 	logs  [groups.Count]groupLog
 }
 
@@ -33,7 +34,7 @@
 	term    uint64
 }
 
-// event is something that happens at a time; among those of one time the first comes first.
+// event is an action at a time. Events of the same time happen in the order in which they were scheduled.
 type event struct {
 	time     time.Duration
 	sequence int
@@ -58,13 +59,13 @@
 	return last
 }
 
-// after has something happen after a while.
-func (c *cluster) after(wait time.Duration, do func()) {
+// after schedules an action.
+func (c *cluster) after(wait time.Duration, action func()) {
 	c.queue.lastSequence++
-	heap.Push(&c.queue, event{c.now + max(wait, 0), c.queue.lastSequence, do})
+	heap.Push(&c.queue, event{c.now + max(wait, 0), c.queue.lastSequence, action})
 }
 
-// runUntil goes on until a time.
+// runUntil lets all events up to a time happen.
 func (c *cluster) runUntil(until time.Duration) {
 	for len(c.queue.events) > 0 && c.queue.events[0].time <= until {
 		e := heap.Pop(&c.queue).(event)
@@ -79,7 +80,7 @@
 	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
 }
 
-// node is one, and what it stands on. It is a groups.Host and a coordination.Outside.
+// node is a node with its service. It is the service's groups.Host and coordination.Env.
 type node struct {
 	cluster      *cluster
 	index        int
@@ -88,35 +89,35 @@
 	service      *coordination.Service
 	states       [groups.Count]groups.StateMachine
 	applied      [groups.Count]int
-	leaderTerm   [groups.Count]uint64 // the term it believes to lead in
+	leaderTerm   [groups.Count]uint64 // the term in which it believes to lead; 0: none
 	leaderSince  [groups.Count]time.Duration
-	knownLeader  [groups.Count]string // who leads, as far as it has heard
+	knownLeader  [groups.Count]string // addresses
 	proposals    [groups.Count][]*proposal
 	committed    map[*byte]*proposal // and not yet applied here
 	frozen       bool
-	inputDelay   time.Duration // how long what is taken now may have waited
-	backlog      []func()
-	isolated     bool                     // it has no word of a majority
-	delayedUntil map[string]time.Duration // what is sent to a node is held up until then
+	inputDelay   time.Duration
+	backlog      []func()                 // turns that wait while it is frozen
+	isolated     bool                     // it has no quorum contact
+	delayedUntil map[string]time.Duration // messages to a node arrive then at the earliest
 	brokenLinks  map[string]bool
-	lastArrival  map[string]time.Duration // when what was sent there last arrives
+	lastArrival  map[string]time.Duration // of the newest message to a node, since links keep order
 }
 
 type proposal struct {
-	entry    []byte // nil of a read
+	entry    []byte // nil: a read
 	term     uint64
 	ended    bool
 	callback func(groups.Outcome, []byte)
 }
 
-func nodeAddress(nr int) string { return fmt.Sprintf("node-%d", nr) }
+func nodeAddress(index int) string { return fmt.Sprintf("node-%d", index) }
 
-func newCluster(seed uint64, nodes int) *cluster {
-	c := &cluster{rng: rand.New(rand.NewPCG(seed, 7))}
-	for nr := range nodes {
-		c.nodes = append(c.nodes, &node{cluster: c, index: nr, delayedUntil: map[string]time.Duration{}, brokenLinks: map[string]bool{},
+func newCluster(seed uint64, nodes int, knobs coordination.TestingKnobs) *cluster {
+	c := &cluster{knobs: knobs, rng: rand.New(rand.NewPCG(seed, 7))}
+	for index := range nodes {
+		c.nodes = append(c.nodes, &node{cluster: c, index: index, delayedUntil: map[string]time.Duration{}, brokenLinks: map[string]bool{},
 			lastArrival: map[string]time.Duration{}})
-		c.nodes[nr].start()
+		c.nodes[index].start()
 	}
 	for id := range groups.ID(groups.Count) {
 		c.makeLeader(id, c.nodes[int(id)%nodes])
@@ -125,11 +126,16 @@
 	return c
 }
 
-// start begins a life of a node, with what the logs hold.
+// start begins an incarnation of a node, which applies the logs from the start.
 func (n *node) start() {
 	n.incarnation = n.cluster.rng.Uint64() | 1
 	n.startedAt = n.cluster.now - n.cluster.randomDuration(0, time.Hour)
-	n.service = coordination.New(n, coordination.Config{Address: nodeAddress(n.index), Incarnation: n.incarnation, HistoryRetention: testHistory})
+	n.service = coordination.New(n, coordination.Config{
+		Address:          nodeAddress(n.index),
+		Incarnation:      n.incarnation,
+		HistoryRetention: testHistory,
+		TestingKnobs:     n.cluster.knobs,
+	})
 	n.service.SetHost(n)
 	n.frozen, n.backlog, n.isolated, n.committed = false, nil, false, map[*byte]*proposal{}
 	for id := range groups.ID(groups.Count) {
@@ -138,7 +144,7 @@
 	}
 }
 
-// restart ends a life and begins another: what waited in it is gone.
+// restart ends the node's incarnation, with all that was pending in it, and begins another one.
 func (n *node) restart() {
 	for id := range groups.ID(groups.Count) {
 		if n.cluster.logs[id].leader == n {
@@ -156,44 +162,45 @@
 	}
 }
 
-// runTurn has something happen at a node, once it does not stand still. What belongs to a former life is let go.
-func (n *node) runTurn(do func()) {
+// runTurn runs a turn of the node, as soon as it is not frozen.
+func (n *node) runTurn(turn func()) {
 	if n.frozen {
-		n.backlog = append(n.backlog, do)
+		n.backlog = append(n.backlog, turn)
 		return
 	}
-	do()
+	turn()
 	n.service.NotifyWatchers()
 }
 
-// runAfter is a turn after a while, in this life.
-func (n *node) runAfter(wait time.Duration, do func()) {
-	life := n.incarnation
+// runAfter schedules a turn, which is left out if the node has been restarted by then.
+func (n *node) runAfter(wait time.Duration, turn func()) {
+	incarnation := n.incarnation
 	n.cluster.after(wait, func() {
-		if n.incarnation == life {
-			n.runTurn(do)
+		if n.incarnation == incarnation {
+			n.runTurn(turn)
 		}
 	})
 }
 
+// freeze stops the node's process for a while.
 func (n *node) freeze(span time.Duration) {
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.frozen = true
 	n.cluster.after(span, func() {
-		if n.incarnation != life {
+		if n.incarnation != incarnation {
 			return
 		}
 		n.frozen, n.inputDelay = false, span
 		n.cluster.after(20*ms, func() { n.inputDelay = 0 })
-		all := n.backlog
+		backlog := n.backlog
 		n.backlog = nil
-		for _, do := range all {
-			n.runTurn(do)
+		for _, turn := range backlog {
+			n.runTurn(turn)
 		}
 	})
 }
 
-// spreadLeaders tells nodes now and then who leads, and lets them apply what is committed.
+// spreadLeaders notifies nodes from time to time of who leads, and lets them apply what is committed.
 func (c *cluster) spreadLeaders() {
 	for _, n := range c.nodes {
 		n.runAfter(c.randomDuration(0, 100*ms), func() {
@@ -232,7 +239,7 @@
 	}
 }
 
-// completeProposal tells of the end of a proposal, where it is this node's.
+// completeProposal ends the proposal of an entry, if it is this node's.
 func (n *node) completeProposal(entry []byte, o groups.Outcome, result []byte) {
 	if p := n.committed[&entry[0]]; p != nil {
 		delete(n.committed, &entry[0])
@@ -240,15 +247,15 @@
 	}
 }
 
-// makeLeader makes a node the leader of a group. Of what the one before it had proposed, a first part is committed, as chance has it; that one learns of
-// it all later.
+// makeLeader makes a node the leader of a group. Of what the leader before it had proposed, a random first part is committed; that node
+// learns later that it no longer leads.
 func (c *cluster) makeLeader(id groups.ID, n *node) {
 	l := &c.logs[id]
 	if l.leader == n || n.frozen {
 		return
 	}
 	if old := l.leader; old != nil {
-		term, life, survive := l.term, old.incarnation, c.rng.IntN(2) == 0
+		term, incarnation, survive := l.term, old.incarnation, c.rng.IntN(2) == 0
 		for _, p := range old.proposals[id] {
 			if p.term != term || p.ended || p.entry == nil {
 				continue
@@ -258,7 +265,7 @@
 			}
 		}
 		c.after(c.randomDuration(0, 900*ms), func() {
-			if old.incarnation == life {
+			if old.incarnation == incarnation {
 				old.runTurn(func() { old.loseLeadership(id, term) })
 			}
 		})
@@ -273,7 +280,7 @@
 	})
 }
 
-// loseLeadership ends a lead: what was proposed and has not ended is unclear.
+// loseLeadership ends the node's leadership: proposals that have not ended are ambiguous.
 func (n *node) loseLeadership(id groups.ID, term uint64) {
 	if n.leaderTerm[id] != term || term == 0 {
 		return
@@ -290,7 +297,7 @@
 	n.service.LeadershipLost(id, term)
 }
 
-// Propose and the others are groups.Host.
+// Propose and the methods up to Now are groups.Host.
 func (n *node) Propose(id groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
 	if n.leaderTerm[id] == 0 {
 		then(groups.NotProposed, nil)
@@ -301,7 +308,7 @@
 	n.cluster.after(n.cluster.randomDuration(2*ms, 12*ms), func() { n.commit(id) })
 }
 
-// commit commits the first proposal that is not, of a leader that is one.
+// commit commits the node's first open proposal, if the node leads in that proposal's term.
 func (n *node) commit(id groups.ID) {
 	l := &n.cluster.logs[id]
 	for _, p := range n.proposals[id] {
@@ -349,7 +356,7 @@
 func (n *node) HintLeader(id groups.ID, address string) { n.knownLeader[id] = address }
 func (n *node) Now() time.Duration                      { return n.cluster.now - n.startedAt }
 
-// Send and the others are coordination.Outside.
+// Send and the methods after it are coordination.Env.
 func (n *node) Send(to string, m *coordination.Message) bool {
 	if n.brokenLinks[to] {
 		return false
@@ -357,23 +364,23 @@
 	peer := n.cluster.nodes[slices.IndexFunc(n.cluster.nodes, func(x *node) bool { return nodeAddress(x.index) == to })]
 	arrives := max(n.cluster.now+n.cluster.randomDuration(ms/2, 3*ms), n.delayedUntil[to], n.lastArrival[to])
 	n.lastArrival[to] = arrives
-	life, from := peer.incarnation, nodeAddress(n.index)
-	read, err := coordination.DecodeMessage(m.Encode())
+	incarnation, from := peer.incarnation, nodeAddress(n.index)
+	decoded, err := coordination.DecodeMessage(m.Encode())
 	if err != nil {
 		panic(err)
 	}
 	n.cluster.after(arrives-n.cluster.now, func() {
-		if peer.incarnation == life {
-			peer.runTurn(func() { peer.service.Receive(from, read) })
+		if peer.incarnation == incarnation {
+			peer.runTurn(func() { peer.service.Receive(from, decoded) })
 		}
 	})
 	return true
 }
 
-func (n *node) ScheduleAt(at time.Duration, number uint32) {
+func (n *node) ScheduleAt(at time.Duration, sequence uint32) {
 	n.runAfter(at-n.Now(), func() {
-		if n.service.Live(number) {
-			n.service.Due(number)
+		if n.service.Live(sequence) {
+			n.service.Due(sequence)
 		}
 	})
 }
--- a/internal/gateway/coordination/codec.go
+++ b/internal/gateway/coordination/codec.go
@@ -7,30 +7,37 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrTruncated is told of bytes that end too early.
-var ErrTruncated = errors.New("entry ends too early")
+// Errors of decoding entries, snapshots and messages.
+var (
+	// ErrTruncated tells of bytes that end too early.
+	ErrTruncated = errors.New("coordination: data ends too early")
+	// ErrUnknownVersion tells of data that another version of the program wrote, in a form that this one does not know.
+	ErrUnknownVersion = errors.New("coordination: unknown version of data")
+)
 
-// encoder appends values. All that is kept is written by it, so that the same state gives the same bytes at each member.
+// encoder appends values to bytes: integers as varints, strings with their length. The same values always give the same bytes, which
+// State.Snapshot needs.
 type encoder struct{ bytes []byte }
 
 func (e *encoder) uint(v uint64) { e.bytes = binary.AppendUvarint(e.bytes, v) }
+
 func (e *encoder) string(s string) {
 	e.uint(uint64(len(s)))
 	e.bytes = append(e.bytes, s...)
 }
 
-// duration is kept in microseconds, rounded down.
+// duration is written in microseconds, rounded down; negative ones as 0.
 func (e *encoder) duration(d time.Duration) { e.uint(uint64(max(d, 0) / time.Microsecond)) }
 
-func (e *encoder) bool(is bool) {
-	if is {
+func (e *encoder) bool(v bool) {
+	if v {
 		e.uint(1)
 		return
 	}
 	e.uint(0)
 }
 
-// decoder reads what an encoder wrote. The first failure sticks; what is read after it is empty.
+// decoder reads what an encoder wrote. The first error is kept; all values read after it are zero.
 type decoder struct {
 	bytes []byte
 	err   error
@@ -50,22 +57,18 @@
 }
 
 func (d *decoder) string() string {
-	n := d.uint()
-	if d.err == nil && n > uint64(len(d.bytes)) {
-		d.err = ErrTruncated
-	}
-	if d.err != nil {
-		return ""
-	}
+	n := d.count()
 	s := string(d.bytes[:n])
 	d.bytes = d.bytes[n:]
 	return s
 }
 
 func (d *decoder) duration() time.Duration { return time.Duration(d.uint()) * time.Microsecond }
-func (d *decoder) bool() bool              { return d.uint() != 0 }
 
-// count reads how many records follow; each takes a byte at the least.
+func (d *decoder) bool() bool { return d.uint() != 0 }
+
+// count reads how many records, or bytes of a string, follow. Each takes at least a byte, so a count beyond what is left is an error:
+// damaged data can't make the reader allocate more than its own size.
 func (d *decoder) count() int {
 	n := d.uint()
 	if d.err == nil && n > uint64(len(d.bytes)) {
--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -14,12 +14,12 @@
 	*cluster
 	callers     *callers.Callers
 	history     []*callhistory.Record
-	faultsEnded bool // faults are over
+	faultsEnded bool
 }
 
-// newDay draws one.
-func newDay(seed uint64) *day {
-	d := &day{cluster: newCluster(seed, 5)}
+// newDay draws a day from a seed. knobs take defences away at all nodes.
+func newDay(seed uint64, knobs coordination.TestingKnobs) *day {
+	d := &day{cluster: newCluster(seed, 5, knobs)}
 	d.callers = callers.Start(d, d.rng, callers.Config{Lockers: 6, MaxWatcherPause: testHistory, LongTTLs: true})
 	d.after(300*ms, d.injectFault)
 	return d
@@ -29,22 +29,22 @@
 func (d *day) Now() time.Duration                  { return d.now }
 func (d *day) After(wait time.Duration, do func()) { d.after(wait, do) }
 
-// play plays a day, and what is asked at its end; it returns what broke.
-func (d *day) play(span time.Duration) (broken []callhistory.Violation) {
+// play plays a day and the audit at its end, and returns the violations.
+func (d *day) play(span time.Duration) (violations []callhistory.Violation) {
 	d.runUntil(span)
 	d.faultsEnded = true
 	d.callers.Stop()
 	d.runUntil(span + 25*time.Second)
 	d.callers.Audit()
 	d.runUntil(span + 35*time.Second)
-	broken = callhistory.Check(d.history, callhistory.Config{HistoryRetention: testHistory})
+	violations = callhistory.Check(d.history, callhistory.Config{HistoryRetention: testHistory})
 	for _, m := range d.callers.Unanswered() {
-		broken = append(broken, callhistory.Violation{Rule: callhistory.RuleLost, Text: m})
+		violations = append(violations, callhistory.Violation{Rule: callhistory.RuleLost, Text: m})
 	}
-	return broken
+	return violations
 }
 
-// injectFault makes trouble, and then some more.
+// injectFault draws a fault, and schedules the next one.
 func (d *day) injectFault() {
 	if d.faultsEnded {
 		return
@@ -58,7 +58,7 @@
 	switch d.rng.IntN(7) {
 	case 0:
 		d.makeLeader(id, d.nodes[d.rng.IntN(len(d.nodes))])
-	case 1: // a leader stands still, another leads meanwhile
+	case 1: // a leader is stopped, another one is elected meanwhile
 		n.freeze(d.randomDuration(100*ms, 4*time.Second))
 		d.after(d.randomDuration(0, 400*ms), func() {
 			for id := range groups.ID(groups.Count) {
@@ -69,7 +69,7 @@
 		})
 	case 2:
 		n.restart()
-	case 3: // what is sent to a node is held up
+	case 3: // messages to a node are delayed
 		late := []string{to, nodeAddress(d.logs[id].leader.index)}[d.rng.IntN(2)]
 		n = d.nodes[d.rng.IntN(len(d.nodes))]
 		n.delayedUntil[late] = d.now + d.randomDuration(100*ms, 3*time.Second)
@@ -88,42 +88,42 @@
 	d.after(d.randomDuration(50*ms, 1500*ms), d.injectFault)
 }
 
-// call sends a call to a node and notes what came of it. then is told once: with a record that has ended, or with one that has not.
-func (d *day) Call(caller string, c coordination.Call, then func(*callhistory.Record)) {
+// Call sends a call to a node and records its end. done is called once: with a record that has ended, or with one that the caller gave up.
+func (d *day) Call(caller string, c coordination.Call, done func(*callhistory.Record)) {
 	r := &callhistory.Record{Caller: caller, Call: c, Sent: d.now, Ended: callhistory.Never}
 	d.history = append(d.history, r)
-	told := false
-	tell := func() {
-		if !told {
-			told = true
-			then(r)
+	isDone := false
+	end := func() {
+		if !isDone {
+			isDone = true
+			done(r)
 		}
 	}
 	n := d.nodes[d.rng.IntN(len(d.nodes))]
-	life := n.incarnation
+	incarnation := n.incarnation
 	d.after(d.randomDuration(ms/2, 2*ms), func() {
-		if n.incarnation != life {
-			tell()
+		if n.incarnation != incarnation {
+			end()
 			return
 		}
 		n.runTurn(func() {
-			n.service.Submit(c, func(a coordination.Result) {
+			n.service.Submit(c, func(result coordination.Result) {
 				d.after(d.randomDuration(ms/2, 2*ms), func() {
-					if told || n.incarnation != life || d.rng.IntN(50) == 0 && !d.faultsEnded { // the connection is reset
-						tell()
+					if isDone || n.incarnation != incarnation || d.rng.IntN(50) == 0 && !d.faultsEnded { // the connection is reset
+						end()
 						return
 					}
-					r.Result, r.Ended = a, d.now
-					if a.Status == coordination.StatusAmbiguous {
+					r.Result, r.Ended = result, d.now
+					if result.Status == coordination.StatusAmbiguous {
 						r.Ended = callhistory.Never
 					}
-					tell()
+					end()
 				})
 			})
 		})
 	})
-	d.after(time.Second+c.Timeout, tell)
+	d.after(time.Second+c.Timeout, end)
 	if d.rng.IntN(15) == 0 && !d.faultsEnded { // the connection is reset while the call is under way
-		d.after(d.randomDuration(0, 60*ms), tell)
+		d.after(d.randomDuration(0, 60*ms), end)
 	}
 }
--- a/internal/gateway/coordination/entry.go
+++ b/internal/gateway/coordination/entry.go
@@ -1,60 +1,80 @@
 package coordination
 
-import "time"
+import (
+	"time"
 
-// entryVersion begins each entry and each state.
-const entryVersion = 1
+	"github.com/go-faster/errors"
+)
 
-// entry is a call in a group's log: what it is, when whoever led took it in by the log clock, and which call it is.
+// formatVersion begins each log entry and each snapshot. Data with another one gives ErrUnknownVersion.
+const formatVersion = 1
+
+// entry is a call in a group's log.
 type entry struct {
 	call    Call
-	logTime time.Duration
-	callID  CallID
+	logTime time.Duration // when the leader took the call in
+	callID  CallID        // stored for LockAcquire alone, whose copies must be recognized
 }
 
-// encode words an entry for the log.
 func (e *entry) encode() []byte {
-	var item encoder
-	item.uint(entryVersion)
-	item.duration(e.logTime)
-	item.bool(e.call.Operation == LockAcquire)
-	if e.call.Operation == LockAcquire {
-		encodeCallID(&item, e.callID)
+	var enc encoder
+	enc.uint(formatVersion)
+	enc.duration(e.logTime)
+	hasCallID := e.call.Operation == LockAcquire
+	enc.bool(hasCallID)
+	if hasCallID {
+		encodeCallID(&enc, e.callID)
 	}
-	e.call.encode(&item)
-	return item.bytes
+	e.call.encode(&enc)
+	return enc.bytes
 }
 
-// decodeEntry reads an entry of the log.
-func decodeEntry(b []byte) (x entry, err error) {
-	d := decoder{bytes: b}
-	if d.uint() != entryVersion {
-		return x, ErrUnknownVersion
+func decodeEntry(b []byte) (e entry, err error) {
+	dec := decoder{bytes: b}
+	if version := dec.uint(); dec.err == nil && version != formatVersion {
+		return e, errors.Wrapf(ErrUnknownVersion, "log entry of version %d", version)
+	}
+	e.logTime = dec.duration()
+	if dec.bool() {
+		e.callID = decodeCallID(&dec)
 	}
-	x.logTime = d.duration()
-	if d.bool() {
-		x.callID = decodeCallID(&d)
+	e.call.decode(&dec)
+	if dec.err != nil {
+		return e, errors.Wrap(dec.err, "log entry")
 	}
-	x.call.decode(&d)
-	return x, d.err
+	return e, nil
 }
 
-// encodeResult words what an entry led to, for whoever proposed it.
-func encodeResult(a Result) []byte {
-	var e encoder
-	e.uint(uint64(a.Status))
-	e.uint(a.FencingToken)
-	e.uint(a.Number)
-	e.uint(a.Revision)
-	return e.bytes
+// encodeResult writes the result of an entry for the node that proposed it. Entries have no events, values or locks.
+func encodeResult(r Result) []byte {
+	var enc encoder
+	enc.uint(uint64(r.Status))
+	enc.uint(r.FencingToken)
+	enc.uint(r.Number)
+	enc.uint(r.Revision)
+	return enc.bytes
 }
 
-func decodeResult(b []byte) (a Result, err error) {
-	d := decoder{bytes: b}
-	a.Status = Status(d.uint())
-	a.FencingToken, a.Number, a.Revision = d.uint(), d.uint(), d.uint()
-	if d.err == nil && a.Status > StatusAmbiguous {
-		return a, ErrUnknownVersion
+func decodeResult(b []byte) (r Result, err error) {
+	dec := decoder{bytes: b}
+	r.Status = Status(dec.uint())
+	r.FencingToken = dec.uint()
+	r.Number = dec.uint()
+	r.Revision = dec.uint()
+	if dec.err != nil {
+		return r, errors.Wrap(dec.err, "result")
 	}
-	return a, d.err
+	if r.Status > StatusAmbiguous {
+		return r, errors.Wrapf(ErrUnknownVersion, "result with status %d", r.Status)
+	}
+	return r, nil
+}
+
+func encodeCallID(enc *encoder, id CallID) {
+	enc.uint(id.Incarnation)
+	enc.uint(uint64(id.Sequence))
+}
+
+func decodeCallID(dec *decoder) CallID {
+	return CallID{Incarnation: dec.uint(), Sequence: uint32(dec.uint())}
 }
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -14,14 +14,14 @@
 	"clovergap/internal/proxy/invariant"
 )
 
-// The explorer plays all orders of a few calls on one lock by two callers, each of whose calls may be given up, be passed on twice, and
-// arrive late; time goes on in steps, and another node may come to lead.
+// The explorer plays all orders of a few calls on one lock by two callers. Each call may be given up, be forwarded twice and arrive late;
+// time goes on in steps, and another node may come to lead.
 
 const (
 	exploreLock        = "l0"
 	exploreTTL         = 1200 * ms
 	exploreStep        = 500 * ms
-	exploreCallTimeout = 800 * ms // a call counts
+	exploreCallTimeout = 800 * ms
 	exploreDepth       = 10
 	exploreMaxCalls    = 5
 	exploreMaxSteps    = 3
@@ -30,8 +30,8 @@
 // exploreState is where the exploration stands.
 type exploreState struct {
 	now           time.Duration
-	logTime       time.Duration // the log clock
-	snapshot      string        // a snapshot
+	logTime       time.Duration // of the leader
+	snapshot      string        // of the group's state
 	callers       [2]exploreCaller
 	calls         [exploreMaxCalls]exploreCall
 	callCount     int
@@ -42,7 +42,7 @@
 
 // exploreCaller is a caller of the lock.
 type exploreCaller struct {
-	awaitedCall  int // for the answer to that call, from 1; 0: none
+	awaitedCall  int // the number of the call whose answer it waits for, from 1; 0: none
 	hasLock      bool
 	expiresAt    time.Duration
 	fencingToken uint64
@@ -55,19 +55,20 @@
 	fencingToken uint64
 	sent         time.Duration
 	inFlight     int  // copies
-	acknowledged bool // with 200
-	released     bool // a Begin whose lock was given back since, and that was answered
+	acknowledged bool // it was answered with success
+	released     bool // an acquire that was acknowledged and whose lock was released since
 }
 
-// explorer is a leader that is put wherever the exploration stands.
+// explorer is a leader that is put into whatever state the exploration has reached. It is a groups.Host and a coordination.Env.
 type explorer struct {
 	t           *testing.T
+	knobs       coordination.TestingKnobs
 	now         time.Duration
 	incarnation uint64
 	response    *coordination.ForwardResponse
 	state       groups.StateMachine
 	depth       int
-	seen        map[exploreState]int // the least depth at which a place was met
+	seen        map[exploreState]int // the least depth at which a state was met
 	violation   string
 	path        []string
 }
@@ -86,51 +87,68 @@
 func (e *explorer) InputDelay() time.Duration                          { return 0 }
 func (e *explorer) Send(_ string, m *coordination.Message) bool        { e.response = m.Response; return true }
 
+func (e *explorer) newService() *coordination.Service {
+	config := coordination.Config{Address: "leader", Incarnation: e.incarnation, HistoryRetention: testHistory, TestingKnobs: e.knobs}
+	s := coordination.New(e, config)
+	s.SetHost(e)
+	return s
+}
+
+// newRequest is a call as another node forwards it.
+func (e *explorer) newRequest(c *exploreCall, number int) *coordination.ForwardRequest {
+	return &coordination.ForwardRequest{
+		OriginIncarnation: 7,
+		Sequence:          uint32(number) + 1,
+		TargetIncarnation: e.incarnation,
+		Deadline:          c.sent + exploreCallTimeout,
+		Call: coordination.Call{Operation: c.operation, Name: exploreLock, Holder: fmt.Sprint("h", c.caller),
+			FencingToken: c.fencingToken, TTL: exploreTTL},
+	}
+}
+
 // deliver brings a copy of a call to the leader.
-func (e *explorer) deliver(p exploreState, nr int) exploreState {
-	c := &p.calls[nr]
+func (e *explorer) deliver(p exploreState, number int) exploreState {
+	c := &p.calls[number]
 	c.inFlight--
-	s := coordination.New(e, coordination.Config{Address: "leader", Incarnation: e.incarnation, HistoryRetention: testHistory})
-	s.SetHost(e)
+	s := e.newService()
 	id := groups.GroupOf(exploreLock)
 	e.state, e.now, e.response = s.StateMachine(id), p.now, nil
 	must.NoError(e.t, e.state.Restore([]byte(p.snapshot)))
 	s.BecomeLeaderAt(id, p.logTime)
 	held := e.state.(*coordination.State).HeldLocks()
-	s.Receive("node", &coordination.Message{Request: &coordination.ForwardRequest{OriginIncarnation: 7, Sequence: uint32(nr) + 1, TargetIncarnation: e.incarnation, Deadline: c.sent + exploreCallTimeout,
-		Call: coordination.Call{Operation: c.operation, Name: exploreLock, Holder: fmt.Sprint("h", c.caller), FencingToken: c.fencingToken, TTL: exploreTTL}}})
+	s.Receive("node", &coordination.Message{Request: e.newRequest(c, number)})
 	before := p.snapshot
 	p.snapshot = string(e.state.Snapshot())
 	if p.now > c.sent+exploreCallTimeout && !bytes.Equal([]byte(before), []byte(p.snapshot)) {
-		e.report("a copy that came %v after its call did something", p.now-c.sent)
+		e.report("a copy that came %v after its call had an effect", p.now-c.sent)
 	}
-	good := e.response.Outcome == coordination.AttemptDone && e.response.Result.Status == coordination.StatusOK
-	if good && c.operation == coordination.LockAcquire && c.released && held != e.state.(*coordination.State).HeldLocks() {
-		e.report("a copy of a call that was answered and given back took the lock")
+	succeeded := e.response.Outcome == coordination.AttemptDone && e.response.Result.Status == coordination.StatusOK
+	if succeeded && c.operation == coordination.LockAcquire && c.released && held != e.state.(*coordination.State).HeldLocks() {
+		e.report("a copy of an acquire took the lock that was released since")
 	}
-	if who := &p.callers[c.caller]; who.awaitedCall == nr+1 {
-		who.awaitedCall = 0
-		if good {
-			e.applySuccess(&p, c, who)
+	if caller := &p.callers[c.caller]; caller.awaitedCall == number+1 {
+		caller.awaitedCall = 0
+		if succeeded {
+			e.applySuccess(&p, c, caller)
 		}
 	}
 	return p
 }
 
-// applySuccess is what a good answer means to its caller.
-func (e *explorer) applySuccess(p *exploreState, c *exploreCall, who *exploreCaller) {
+// applySuccess is what a successful answer means to its caller.
+func (e *explorer) applySuccess(p *exploreState, c *exploreCall, caller *exploreCaller) {
 	c.acknowledged = true
 	switch c.operation {
 	case coordination.LockAcquire:
-		if who.hasLock && p.now <= who.expiresAt {
-			who.expiresAt = max(who.expiresAt, c.sent+exploreTTL)
+		if caller.hasLock && p.now <= caller.expiresAt {
+			caller.expiresAt = max(caller.expiresAt, c.sent+exploreTTL)
 		} else {
-			who.hasLock, who.expiresAt = true, c.sent+exploreTTL
+			caller.hasLock, caller.expiresAt = true, c.sent+exploreTTL
 		}
-		who.fencingToken = e.response.Result.FencingToken
+		caller.fencingToken = e.response.Result.FencingToken
 	case coordination.LockRenew:
-		if who.hasLock && p.now <= who.expiresAt {
-			who.expiresAt = max(who.expiresAt, c.sent+exploreTTL)
+		if caller.hasLock && p.now <= caller.expiresAt {
+			caller.expiresAt = max(caller.expiresAt, c.sent+exploreTTL)
 		}
 	case coordination.LockRelease:
 		for i := range p.calls[:p.callCount] {
@@ -147,7 +165,7 @@
 	}
 }
 
-// visit goes on from a place in all ways.
+// visit takes all steps from a state.
 func (e *explorer) visit(p exploreState, depth int) {
 	if met, ok := e.seen[p]; e.violation != "" || ok && met <= depth {
 		return
@@ -172,23 +190,23 @@
 			step("%d gives up", []any{i}, next)
 			continue
 		}
-		for _, what := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
-			if next, ok := p.send(i, what); ok {
-				step("%d sends %v", []any{i, what}, next)
+		for _, operation := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
+			if next, ok := p.send(i, operation); ok {
+				step("%d sends %v", []any{i, operation}, next)
 			}
 		}
 	}
-	for nr := range p.calls[:p.callCount] {
-		if p.calls[nr].inFlight == 0 {
+	for number := range p.calls[:p.callCount] {
+		if p.calls[number].inFlight == 0 {
 			continue
 		}
-		e.path = append(e.path, fmt.Sprintf("call %d arrives", nr))
-		e.visit(e.deliver(p, nr), depth+1)
+		e.path = append(e.path, fmt.Sprintf("call %d arrives", number))
+		e.visit(e.deliver(p, number), depth+1)
 		e.path = e.path[:len(e.path)-1]
-		if next := p; p.duplicates == 0 && p.calls[nr].inFlight == 1 {
+		if next := p; p.duplicates == 0 && p.calls[number].inFlight == 1 {
 			next.duplicates++
-			next.calls[nr].inFlight++
-			step("call %d is passed on twice", []any{nr}, next)
+			next.calls[number].inFlight++
+			step("call %d is forwarded twice", []any{number}, next)
 		}
 	}
 	if next := p; p.steps < exploreMaxSteps {
@@ -197,63 +215,61 @@
 		next.logTime += exploreStep
 		step("time", nil, next)
 	}
-	if next := p; p.leaderChanges == 0 { // the new leader's clock begins at the newest entry
+	if next := p; p.leaderChanges == 0 { // the new leader's log time begins at the newest entry
 		next.leaderChanges++
-		next.logTime = newLeaderLogTime(e.t, p.snapshot)
+		next.logTime = e.newLeaderLogTime(p.snapshot)
 		step("another leads", nil, next)
 	}
 }
 
-// newLeaderLogTime is the log clock of a state, with which a new leader begins.
-func newLeaderLogTime(t *testing.T, state string) time.Duration {
-	x := &explorer{incarnation: 1}
-	s := coordination.New(x, coordination.Config{Incarnation: 1, HistoryRetention: testHistory})
-	s.SetHost(x)
+// newLeaderLogTime is the log time with which a new leader begins that was given a snapshot.
+func (e *explorer) newLeaderLogTime(snapshot string) time.Duration {
+	other := &explorer{t: e.t, knobs: e.knobs, incarnation: 1}
+	s := other.newService()
 	id := groups.GroupOf(exploreLock)
-	must.NoError(t, s.StateMachine(id).Restore([]byte(state)))
+	must.NoError(e.t, s.StateMachine(id).Restore([]byte(snapshot)))
 	s.LeadershipGained(id, 1)
 	return s.LogTime(id)
 }
 
-func (e exploreState) send(caller int, what coordination.Operation) (exploreState, bool) {
-	who := &e.callers[caller]
-	if e.callCount == exploreMaxCalls || what != coordination.LockAcquire && !who.hasLock {
+// send has a caller send a call. False: it can't.
+func (e exploreState) send(number int, operation coordination.Operation) (exploreState, bool) {
+	caller := &e.callers[number]
+	if e.callCount == exploreMaxCalls || operation != coordination.LockAcquire && !caller.hasLock {
 		return e, false
 	}
-	e.calls[e.callCount] = exploreCall{caller: caller, operation: what, fencingToken: who.fencingToken, sent: e.now, inFlight: 1}
+	e.calls[e.callCount] = exploreCall{caller: number, operation: operation, fencingToken: caller.fencingToken, sent: e.now, inFlight: 1}
 	e.callCount++
-	who.awaitedCall = e.callCount
-	if what == coordination.LockRelease {
-		who.hasLock, who.expiresAt = false, 0
+	caller.awaitedCall = e.callCount
+	if operation == coordination.LockRelease {
+		caller.hasLock, caller.expiresAt = false, 0
 	}
 	return e, true
 }
 
-func explore(t *testing.T, depth int) *explorer {
-	x := &explorer{t: t, incarnation: 1, depth: depth, seen: map[exploreState]int{}}
+func explore(t *testing.T, depth int, knobs coordination.TestingKnobs) *explorer {
+	x := &explorer{t: t, knobs: knobs, incarnation: 1, depth: depth, seen: map[exploreState]int{}}
 	x.visit(exploreState{now: time.Minute, snapshot: string(coordination.NewState(testHistory).Snapshot())}, 0)
 	return x
 }
 
-// In no order do two callers hold the lock, does a late copy count, or take a lock that was given back.
+// In no order do two callers hold the lock, does a late copy have an effect, or does a copy take a lock that was released.
 func TestExploreLock(t *testing.T) {
 	began, depth := time.Now(), exploreDepth
-	if invariant.Debug { // under the race detector each place takes ten times as long
+	if invariant.Debug { // under the race detector each state takes ten times as long
 		depth -= 2
 	}
-	x := explore(t, depth)
+	x := explore(t, depth, coordination.TestingKnobs{})
 	must.Eq(t, "", x.violation)
-	t.Logf("%d places in %v", len(x.seen), time.Since(began).Round(time.Millisecond))
+	t.Logf("%d states in %v", len(x.seen), time.Since(began).Round(time.Millisecond))
 }
 
-// The explorer notices the defences that are about orders and that days notice only by chance.
+// The explorer notices each defence that is taken away and that days notice only by chance.
 func TestExploreNoticesFaults(t *testing.T) {
-	defer coordination.Plant(coordination.Sound)
-	for _, name := range coordination.FaultsOfOrders {
-		coordination.Plant(coordination.Faults[name])
+	for name, knobs := range faultsOfOrders {
 		began := time.Now()
-		x := explore(t, exploreDepth)
-		t.Logf("%s: %d places, %v: %s", name, len(x.seen), time.Since(began).Round(time.Millisecond), x.violation)
+		x := explore(t, exploreDepth, knobs)
+		t.Logf("%s: %d states, %v: %s", name, len(x.seen), time.Since(began).Round(time.Millisecond), x.violation)
 		test.NotEq(t, "", x.violation, test.Sprint(name))
 	}
 }
--- a/internal/gateway/coordination/faultdays_test.go
+++ b/internal/gateway/coordination/faultdays_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"os"
-	"slices"
 	"strconv"
 	"testing"
 	"time"
@@ -16,7 +15,7 @@
 
 const daySpan = 25 * time.Second
 
-// Days of all troubles at once break no rule, and at their end all is there. COORDINATION_DAYS plays so many.
+// Days of all faults at once break no rule, and at their end every call is answered. COORDINATION_DAYS sets the number of days.
 func TestDays(t *testing.T) {
 	days := uint64(60)
 	if invariant.Debug {
@@ -27,7 +26,7 @@
 	}
 	calls := 0
 	for seed := range days {
-		d := newDay(seed)
+		d := newDay(seed, coordination.TestingKnobs{})
 		for _, v := range d.play(daySpan) {
 			t.Errorf("seed %d: %v", seed, v)
 		}
@@ -46,18 +45,13 @@
 	t.Logf("%d days, %d calls", days, calls)
 }
 
-// The days notice each defence that is taken out; the explorer notices those that are about rare orders.
+// The days notice each defence that is taken away; TestExploreNoticesFaults has those that are about rare orders.
 func TestDaysNoticeFaults(t *testing.T) {
-	defer coordination.Plant(coordination.Sound)
-	for name, f := range coordination.Faults {
-		if slices.Contains(coordination.FaultsOfOrders, name) {
-			continue
-		}
-		coordination.Plant(f)
+	for name, knobs := range faultsOfDays() {
 		began, found := time.Now(), ""
 		seed := uint64(0)
 		for ; seed < 60 && found == ""; seed++ {
-			if broken := newDay(seed).play(daySpan); len(broken) > 0 {
+			if broken := newDay(seed, knobs).play(daySpan); len(broken) > 0 {
 				found = broken[0].String()
 			}
 		}
--- a/internal/gateway/coordination/golden_test.go
+++ b/internal/gateway/coordination/golden_test.go
@@ -89,21 +89,21 @@
 // goldenLog are entries in the order of a log: those that change the state in each way.
 func goldenLog() []entry {
 	at := func(seconds int) time.Duration { return time.Duration(seconds) * time.Second }
-	life := uint64(1<<63 + 5)
+	incarnation := uint64(1<<63 + 5)
 	lock := func(name, holder string) Call {
 		return Call{Operation: LockAcquire, Name: name, Holder: holder, TTL: 10 * time.Second}
 	}
 	put := func(key, value string) Call { return Call{Operation: KeyPut, Name: key, Value: value} }
 	return []entry{
-		{lock("l1", "worker-1"), at(1), CallID{life, 1}},
-		{lock("l2", "worker-2"), at(1), CallID{life, 2}},
-		{lock("l1", "worker-2"), at(2), CallID{life, 3}},
-		{lock("l1", "worker-1"), at(3), CallID{life, 4}},
+		{lock("l1", "worker-1"), at(1), CallID{incarnation, 1}},
+		{lock("l2", "worker-2"), at(1), CallID{incarnation, 2}},
+		{lock("l1", "worker-2"), at(2), CallID{incarnation, 3}},
+		{lock("l1", "worker-1"), at(3), CallID{incarnation, 4}},
 		{Call{Operation: LockRenew, Name: "l1", Holder: "worker-1", FencingToken: 1, TTL: 30 * time.Second}, at(4), CallID{}},
 		{Call{Operation: LockRenew, Name: "l1", Holder: "worker-1", FencingToken: 7, TTL: 30 * time.Second}, at(4), CallID{}},
 		{Call{Operation: LockRelease, Name: "l2", Holder: "worker-2", FencingToken: 2}, at(4), CallID{}},
-		{lock("l2", "worker-2"), at(5), CallID{life, 2}},
-		{lock("l3", "worker-3"), at(5), CallID{life, 5}},
+		{lock("l2", "worker-2"), at(5), CallID{incarnation, 2}},
+		{lock("l3", "worker-3"), at(5), CallID{incarnation, 5}},
 		{Call{Operation: NumberNext, Name: "orders"}, at(5), CallID{}},
 		{Call{Operation: NumberNext, Name: "orders"}, at(5), CallID{}},
 		{Call{Operation: NumberNext, Name: "invoices"}, at(5), CallID{}},
@@ -189,7 +189,7 @@
 	must.Eq(t, b, got.Snapshot())
 }
 
-// An entry, a message and a state of a version that is not known are told from such as are torn.
+// Callers can tell data of an unknown version from truncated data.
 func TestUnknownVersion(t *testing.T) {
 	_, err := decodeEntry([]byte{2})
 	must.ErrorIs(t, err, ErrUnknownVersion)
--- a/internal/gateway/coordination/keys.go
+++ b/internal/gateway/coordination/keys.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"cmp"
 	"crypto/sha256"
 	"slices"
 	"time"
@@ -8,21 +9,21 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// keyTable is the keys of a group, by groups of keys.
+// keyTable is the keys of a group, by key group.
 type keyTable struct {
 	groups       map[string]*keyGroup
-	bytes        int // of names and values
-	historyBytes int // bytes of history
+	bytes        int // of all keys: names and values, with eventOverhead for each
+	historyBytes int // of all events
 	putRevisions map[putDigest]uint64
-	putOrder     []putDigest // of puts, the oldest first
+	putOrder     []putDigest // the keys of putRevisions, the oldest put first
 }
 
 // keyGroup is the keys that share one count of revisions.
 type keyGroup struct {
-	revision          uint64 // the newest
-	compactedRevision uint64 // the newest that is no longer in the history
+	revision          uint64 // of the newest put
+	compactedRevision uint64 // of the newest event that is no longer in the history
 	keys              map[string]keyValue
-	events            []storedEvent
+	events            []storedEvent // the history, by rising revision
 }
 
 type keyValue struct {
@@ -32,15 +33,15 @@
 
 type storedEvent struct {
 	Event
-	recordedAt time.Duration
+	recordedAt time.Duration // log time
 }
 
-// eventOverhead is what an event takes beside its texts.
+// eventOverhead is the bytes that an event or a key takes beside its strings.
 const eventOverhead = 64
 
 func (s *storedEvent) size() int { return eventOverhead + len(s.Name) + len(s.Value) }
 
-// putDigest names a put of a value to a key.
+// putDigest identifies a put by its key and value: 128 bits of SHA-256.
 type putDigest [16]byte
 
 func newPutDigest(key, value string) (d putDigest) {
@@ -53,80 +54,87 @@
 	return keyTable{groups: map[string]*keyGroup{}, putRevisions: map[putDigest]uint64{}}
 }
 
-// put puts a value. A put that is repeated gets its first revision: this is looked up before the revision is compared, which the
-// first one has changed.
+// put puts a value. A put that is repeated gets the revision of the first one. This is looked up before the expected revision is
+// compared, since the first one has changed the key's revision.
 func (s *State) put(c *Call) Result {
 	name := groups.KeyGroup(c.Name)
 	g := s.keys.groups[name]
 	if g == nil {
 		g = &keyGroup{keys: map[string]keyValue{}}
 	}
-	now, exists := g.keys[c.Name]
-	digest := newPutDigest(c.Name, c.Value)
-	conflicts := c.Conditional && c.ExpectedRevision != now.revision && s.fault != anyRevision
-	if s.fault == revisionFirst && conflicts {
-		return Result{Status: StatusConflict, Revision: now.revision}
+	current, exists := g.keys[c.Name]
+	conflicts := c.Conditional && c.ExpectedRevision != current.revision && !s.knobs.IgnoreExpectedRevision
+	if s.knobs.CompareRevisionFirst && conflicts {
+		return Result{Status: StatusConflict, Revision: current.revision}
 	}
-	if first, repeated := s.keys.putRevisions[digest]; repeated && s.fault != putsAgain {
+	digest := newPutDigest(c.Name, c.Value)
+	if first, repeated := s.keys.putRevisions[digest]; repeated && !s.knobs.RepeatPuts {
 		return Result{Revision: first}
 	}
-	if exists && now.value == c.Value && s.fault != putsAgain {
-		return Result{Revision: now.revision}
+	// The digest of the key's present value may have been dropped.
+	if exists && current.value == c.Value && !s.knobs.RepeatPuts {
+		return Result{Revision: current.revision}
 	}
 	if conflicts {
-		if s.fault == groupRevision {
+		if s.knobs.ConflictShowsGroupRevision {
 			return Result{Status: StatusConflict, Revision: g.revision}
 		}
-		return Result{Status: StatusConflict, Revision: now.revision}
+		return Result{Status: StatusConflict, Revision: current.revision}
 	}
-	added := len(c.Value) - len(now.value)
+	addedBytes := len(c.Value) - len(current.value)
 	if !exists {
-		added += len(c.Name) + eventOverhead
+		addedBytes += len(c.Name) + eventOverhead
 	}
-	if s.keys.bytes+added > maxKeyBytes {
+	if s.keys.bytes+addedBytes > maxKeyBytes {
 		return Result{Status: StatusLimitReached}
 	}
-	s.keys.bytes += added
+	s.keys.bytes += addedBytes
 	s.keys.groups[name] = g
 	g.revision++
-	g.keys[c.Name] = keyValue{c.Value, g.revision}
-	s.rememberPut(digest, g.revision)
-	s.appendEvent(g, Event{c.Name, c.Value, g.revision})
+	g.keys[c.Name] = keyValue{value: c.Value, revision: g.revision}
+	s.keys.rememberPut(digest, g.revision)
+	s.appendEvent(g, Event{Name: c.Name, Value: c.Value, Revision: g.revision})
 	s.onKeyGroupChanged(name)
 	return Result{Revision: g.revision}
 }
 
-// rememberPut keeps a put's revision, for when it is repeated.
-func (s *State) rememberPut(d putDigest, revision uint64) {
-	k := &s.keys
+// rememberPut keeps a put's revision for when the put is repeated, and forgets the oldest one if there are too many.
+func (k *keyTable) rememberPut(d putDigest, revision uint64) {
 	if len(k.putOrder) >= maxRememberedPuts {
 		delete(k.putRevisions, k.putOrder[0])
 		k.putOrder = slices.Delete(k.putOrder, 0, 1)
 	}
-	k.putOrder, k.putRevisions[d] = append(k.putOrder, d), revision
+	k.putOrder = append(k.putOrder, d)
+	k.putRevisions[d] = revision
 }
 
-// appendEvent adds an event to the history, and drops what is older than a watch may ask for. A watch that was answered at the end of
-// history with events of its beginning may resume after any of these, so twice as much is kept.
+// appendEvent adds an event to the history of a key group and compacts the history.
 func (s *State) appendEvent(g *keyGroup, e Event) {
-	stored := storedEvent{e, s.logTime}
-	g.events, s.keys.historyBytes = append(g.events, stored), s.keys.historyBytes+stored.size()
-	keep := 2*s.historyRetention + time.Second
-	if s.fault == shortHistory {
-		keep = s.historyRetention / 8
-	}
-	gone := 0
-	for ; gone < len(g.events)-1; gone++ {
-		if s.logTime-g.events[gone].recordedAt <= keep && s.keys.historyBytes <= maxHistoryBytes {
+	stored := storedEvent{Event: e, recordedAt: s.logTime}
+	g.events = append(g.events, stored)
+	s.keys.historyBytes += stored.size()
+	s.compactHistory(g)
+}
+
+// compactHistory drops events that no watch may ask for any more. The newest event always stays.
+func (s *State) compactHistory(g *keyGroup) {
+	// A watch's result may begin with events that are historyRetention old, and the watch may resume from any of them for that long.
+	retention := 2*s.historyRetention + time.Second
+	if s.knobs.ShortHistory {
+		retention = s.historyRetention / 8
+	}
+	dropped := 0
+	for ; dropped < len(g.events)-1; dropped++ {
+		e := &g.events[dropped]
+		if s.logTime-e.recordedAt <= retention && s.keys.historyBytes <= maxHistoryBytes {
 			break
 		}
-		s.keys.historyBytes -= g.events[gone].size()
-		g.compactedRevision = g.events[gone].Revision
+		s.keys.historyBytes -= e.size()
+		g.compactedRevision = e.Revision
 	}
-	g.events = slices.Delete(g.events, 0, gone)
+	g.events = slices.Delete(g.events, 0, dropped)
 }
 
-// readKey gives a key's value.
 func (s *State) readKey(name string) Result {
 	if g := s.keys.groups[groups.KeyGroup(name)]; g != nil {
 		if v, ok := g.keys[name]; ok {
@@ -136,7 +144,7 @@
 	return Result{Status: StatusNotFound}
 }
 
-// keyGroupRevision is the newest of a group of keys.
+// keyGroupRevision is the revision of a key group's newest put, 0 without one.
 func (s *State) keyGroupRevision(keyGroup string) uint64 {
 	if g := s.keys.groups[keyGroup]; g != nil {
 		return g.revision
@@ -144,7 +152,7 @@
 	return 0
 }
 
-// eventsAfter gives the puts in a group of keys above a revision, as many as an answer may hold.
+// eventsAfter gives the events of a key group above a revision, as many as a result may hold, and the revision to resume from.
 func (s *State) eventsAfter(keyGroup string, revision uint64) Result {
 	g := s.keys.groups[keyGroup]
 	if g == nil {
@@ -153,23 +161,21 @@
 	if revision < g.compactedRevision {
 		return Result{Status: StatusCompacted}
 	}
-	a := Result{Revision: max(g.revision, revision)}
-	first, _ := slices.BinarySearchFunc(g.events, revision+1, func(e storedEvent, r uint64) int {
-		if e.Revision < r {
-			return -1
-		}
-		return int(min(e.Revision-r, 1))
+	result := Result{Revision: max(g.revision, revision)}
+	first, _ := slices.BinarySearchFunc(g.events, revision+1, func(e storedEvent, wanted uint64) int {
+		return cmp.Compare(e.Revision, wanted)
 	})
-	if s.fault == lastEventOnly {
+	if s.knobs.LastEventOnly {
 		first = max(first, len(g.events)-1)
 	}
 	size := 0
-	for _, e := range g.events[first:] {
-		if size += e.size(); size > maxEventBytesInResult && len(a.Events) > 0 {
-			a.Revision = a.Events[len(a.Events)-1].Revision
+	for i := first; i < len(g.events); i++ {
+		size += g.events[i].size()
+		if size > maxEventBytesInResult && len(result.Events) > 0 {
+			result.Revision = result.Events[len(result.Events)-1].Revision
 			break
 		}
-		a.Events = append(a.Events, e.Event)
+		result.Events = append(result.Events, g.events[i].Event)
 	}
-	return a
+	return result
 }
--- a/internal/gateway/coordination/service.go
+++ b/internal/gateway/coordination/service.go
@@ -6,41 +6,31 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// Times of a call. A caller turns elsewhere after a second of silence.
-const (
-	callTimeout    = 800 * time.Millisecond // in which a call is answered, whatever the answer
-	retryInterval  = 40 * time.Millisecond  // while nobody is known to lead
-	attemptTimeout = 250 * time.Millisecond // with a node that says nothing
-	maxAttempts    = 30
-
-	maxInputDelay = 200 * time.Millisecond // that a call may have lain unread
-
-	maxPendingCalls  = 4096  // calls that wait for an answer here
-	maxParkedWatches = 8192  // watches of all nodes that wait here, where their group is led
-	maxWatchers      = 16384 // watches of callers that wait here
-)
-
 // Env is what a service needs of its node.
 type Env interface {
-	// Send gives a message to another node; false: it is not on its way. It may be lost.
+	// Send gives a message to a link to another node. False: there is no link, and the message will never arrive. True promises
+	// nothing: it may be lost or be late.
 	Send(to string, m *Message) bool
-	// ScheduleAt has Due called with the number at a time, if Live says then that it is still of interest.
-	ScheduleAt(at time.Duration, number uint32)
-	// InputDelay is how long what is taken now may have lain unread, since this node stood still.
+	// ScheduleAt has Service.Due called with the sequence number at a time of groups.Host.Now, if Service.Live says then that the
+	// number is still of interest.
+	ScheduleAt(at time.Duration, sequence uint32)
+	// InputDelay is how long the input of this turn may have been unread, since the process was stopped.
 	InputDelay() time.Duration
-	// HasQuorumContact tells whether this node has word of a majority. Without it calls end at once, so that callers turn elsewhere.
+	// HasQuorumContact tells whether this node had recent contact with a majority. Without it calls end at once, so that callers turn
+	// to another node.
 	HasQuorumContact() bool
 }
 
-// Config are a service's settings.
+// Config is what a service is made with.
 type Config struct {
-	Address          string // this node's, among nodes
-	Incarnation      uint64 // of this node: another one after each start
-	HistoryRetention time.Duration
+	Address          string        // of this node, among nodes
+	Incarnation      uint64        // of this node's process
+	HistoryRetention time.Duration // for which a watch may resume; the setting bounds.history
+	TestingKnobs     TestingKnobs  // tests alone set it
 }
 
-// Service takes calls at a node, passes them on, and decides those of the groups that the node leads. All methods are called in turns
-// of the node.
+// Service takes calls at a node, forwards them to the leaders of their groups, and serves those of the groups that this node leads. It
+// implements groups.Application and eventloop.Alarm. All methods are called in turns of the node: by one goroutine at a time.
 type Service struct {
 	host             groups.Host
 	env              Env
@@ -49,119 +39,49 @@
 	lastSequence     uint32
 	pending          map[uint32]*pendingCall
 	parkedWatches    map[uint32]*parkedWatch
-	parkedByKeyGroup map[string]map[uint32]*parkedWatch // the same by group of keys
+	parkedByKeyGroup map[string]map[uint32]*parkedWatch // the same watches
 	sharedWatches    map[watchKey]*sharedWatch
-	watcherCount     int // callers that wait in these
-	remoteClocks     map[string]remoteClock
-	changedKeyGroups []string // groups of keys that were put since the last Flush
+	watcherCount     int                    // in all shared watches
+	remoteClocks     map[string]remoteClock // by address
+	changedKeyGroups []string               // put since the last NotifyWatchers, those with parked watches
 	counters         Counters
-	fault            fault
-	numbers          map[string]uint64 // numbersInMemory's
 }
 
-// hostedGroup is a group at a node with a disk.
-type hostedGroup struct {
-	state         *State
-	isLeader      bool
-	anchorLogTime time.Duration // what the log clock showed at the least
-	anchoredAt    time.Duration // and when that was, by this node's clock
-}
-
-// anchorClock notes that the log clock showed what the newest entry was stamped with, some time before now. So a follower that comes to lead
-// knows how the clock went on since. It never keeps a time of its own that is ahead: another leader may have stamped entries by a clock
-// that was behind, and whatever holds by these must not end early. Who leads goes on by its own.
-func (h *hostedGroup) anchorClock(now time.Duration) {
-	if !h.isLeader && (h.state.fault != ownClock || h.state.logTime > h.anchorLogTime+now-h.anchoredAt) {
-		h.anchorLogTime, h.anchoredAt = h.state.logTime, now
+// New makes a node's service. SetHost must be called before anything else.
+func New(env Env, config Config) *Service {
+	return &Service{
+		env:              env,
+		config:           config,
+		pending:          map[uint32]*pendingCall{},
+		parkedWatches:    map[uint32]*parkedWatch{},
+		parkedByKeyGroup: map[string]map[uint32]*parkedWatch{},
+		sharedWatches:    map[watchKey]*sharedWatch{},
+		remoteClocks:     map[string]remoteClock{},
 	}
 }
 
-// remoteClock is what is known of another node's steady clock: it is at least at, ahead of this node's by so much.
-type remoteClock struct {
-	incarnation uint64
-	offset      time.Duration
-}
-
-// New makes a node's service; the host is set by Over before anything is called.
-func New(outside Env, terms Config) *Service {
-	return &Service{env: outside, config: terms, pending: map[uint32]*pendingCall{}, parkedWatches: map[uint32]*parkedWatch{},
-		parkedByKeyGroup: map[string]map[uint32]*parkedWatch{}, sharedWatches: map[watchKey]*sharedWatch{}, remoteClocks: map[string]remoteClock{},
-		fault: planted, numbers: map[string]uint64{}}
-}
-
-// SetHost says which groups it stands on.
+// SetHost sets the groups that the service stands on. It is apart from New since the host is made with the service.
 func (s *Service) SetHost(host groups.Host) { s.host = host }
 
-// StateMachine makes a group's state.
-func (s *Service) StateMachine(id groups.ID) groups.StateMachine {
-	state := NewState(s.config.HistoryRetention)
-	state.onKeyGroupChanged = func(keyGroup string) {
-		if s.parkedByKeyGroup[keyGroup] != nil {
-			s.changedKeyGroups = append(s.changedKeyGroups, keyGroup)
-		}
-	}
-	g := &s.hosted[id]
-	g.state, g.anchorLogTime, g.anchoredAt = state, 0, s.host.Now()
-	state.onLogTimeAdvanced = func() { g.anchorClock(s.host.Now()) }
-	return state
-}
-
-// LeadershipGained begins to lead a group.
-func (s *Service) LeadershipGained(id groups.ID, _ uint64) {
-	g := &s.hosted[id]
-	g.isLeader = true
-	if s.fault == forgetsHolds {
-		g.anchorLogTime += MaxTTL
-	}
-	s.counters.LeadershipsGained++
-}
-
-// LeadershipLost ends leading a group: the watches that wait here are sent to whoever leads now.
-func (s *Service) LeadershipLost(id groups.ID, _ uint64) {
-	g := &s.hosted[id]
-	g.isLeader = false
-	g.anchorClock(s.host.Now()) // others may have stamped entries before this was known
-	s.counters.LeadershipsLost++
-	for _, w := range s.parkedIn(id) {
-		s.unpark(w)
-		w.reply(AttemptRejected, Result{})
-	}
-}
-
-// logTime is the log clock of a group that this node leads.
-func (s *Service) logTime(id groups.ID) time.Duration {
-	g := &s.hosted[id]
-	return max(g.state.logTime, g.anchorLogTime+s.host.Now()-g.anchoredAt)
-}
-
-// isLeader tells whether this node leads a group, as far as it knows.
-func (s *Service) isLeader(id groups.ID) bool {
-	if s.hosted[id].state == nil || !s.hosted[id].isLeader {
-		return false
-	}
-	_, _, ok := s.host.Leadership(id)
-	return ok
-}
-
-// Submit takes an application's call. then is called once, within the caller's second, or a watch's wait and a second.
-func (s *Service) Submit(c Call, then func(Result)) {
+// Submit takes an application's call. done is called once: within callTimeout, or a watch's timeout and callTimeout.
+func (s *Service) Submit(c Call, done func(Result)) {
 	s.counters.Calls[c.Operation]++
-	answered := func(a Result) {
-		s.counters.Results[a.Status]++
-		then(a)
+	counted := func(r Result) {
+		s.counters.Results[r.Status]++
+		done(r)
 	}
-	if s.env.InputDelay() > maxInputDelay && s.fault != lateCopies {
-		answered(Result{Status: StatusUnavailable}) // its caller has turned elsewhere, and may be past what it asks for
+	if s.env.InputDelay() > maxInputDelay && !s.config.TestingKnobs.IgnoreDeadlines {
+		counted(Result{Status: StatusUnavailable}) // the caller has turned to another node, and may have gone on
 		return
 	}
 	if c.Operation == KeyWatch {
-		s.startWatch(&c, answered)
+		s.startWatch(&c, counted)
 		return
 	}
-	s.startCall(&c, callTimeout, answered)
+	s.startCall(&c, callTimeout, counted)
 }
 
-// Receive takes another service's message.
+// Receive takes a message of another node's service.
 func (s *Service) Receive(from string, m *Message) {
 	switch {
 	case m.Request != nil:
@@ -171,44 +91,22 @@
 	}
 }
 
-// handleForwardRequest takes a call that another node passed on. The clock is read first: what lay unread while this node stood still is too late.
-func (s *Service) handleForwardRequest(from string, a *ForwardRequest) {
-	reply := func(o AttemptOutcome, answer Result) {
-		r := &ForwardResponse{OriginIncarnation: a.OriginIncarnation, Sequence: a.Sequence, Attempt: a.Attempt, Outcome: o, Result: answer, ResponderIncarnation: s.config.Incarnation, ResponderClock: s.host.Now()}
-		if o == AttemptRejected {
-			r.LeaderHint, _ = s.host.Leader(a.Call.GroupID())
-		}
-		s.env.Send(from, &Message{Response: r})
-	}
-	switch {
-	case s.fault == lateCopies:
-	case a.TargetIncarnation != s.config.Incarnation:
-		reply(AttemptDeadlineInvalid, Result{})
-		return
-	case s.host.Now() > a.Deadline:
-		s.counters.LateRequests++
-		reply(AttemptDeadlineInvalid, Result{})
-		return
-	}
-	s.serveAsLeader(&a.Call, CallID{a.OriginIncarnation, a.Sequence}, reply)
-}
-
-// Live tells whether a number's time is still of interest.
-func (s *Service) Live(number uint32) bool {
-	return s.pending[number] != nil || s.parkedWatches[number] != nil
+// Live tells whether a sequence number's timer is still of interest.
+func (s *Service) Live(sequence uint32) bool {
+	return s.pending[sequence] != nil || s.parkedWatches[sequence] != nil
 }
 
-// Due brings a number's time.
-func (s *Service) Due(number uint32) {
-	if p := s.pending[number]; p != nil {
+// Due is called when a sequence number's timer has run out.
+func (s *Service) Due(sequence uint32) {
+	if p := s.pending[sequence]; p != nil {
 		s.handleCallTimer(p)
 	}
-	if w := s.parkedWatches[number]; w != nil {
+	if w := s.parkedWatches[sequence]; w != nil {
 		s.handleWatchTimer(w)
 	}
 }
 
-// nextSequence is a number for something that has a time. It has 32 bits: nothing lives long enough to meet its number again.
+// nextSequence numbers a call or a parked watch. With 32 bits none lives long enough to meet its number again.
 func (s *Service) nextSequence() uint32 {
 	s.lastSequence++
 	return s.lastSequence
--- a/internal/gateway/coordination/snapshot.go
+++ b/internal/gateway/coordination/snapshot.go
@@ -3,154 +3,171 @@
 import (
 	"maps"
 	"slices"
+
+	"github.com/go-faster/errors"
 )
 
-// Snapshot is the whole state. The order of all that it holds is fixed: members that applied the same entries write the same bytes.
+// Snapshot is the complete state. Everything in it is written in a fixed order, so that members which applied the same entries write
+// the same bytes.
 func (s *State) Snapshot() []byte {
-	var e encoder
-	e.uint(entryVersion)
-	e.duration(s.logTime)
-	fence := s.lastFencingToken
-	if s.fault == forgetsFence {
-		fence = 0
-	}
-	e.uint(fence)
-	s.encodeLocks(&e)
-	e.uint(uint64(len(s.numbers)))
-	for _, name := range slices.Sorted(maps.Keys(s.numbers)) {
-		e.string(name)
-		e.uint(s.numbers[name])
-	}
-	s.encodeKeys(&e)
-	return e.bytes
+	var enc encoder
+	enc.uint(formatVersion)
+	enc.duration(s.logTime)
+	lastFencingToken := s.lastFencingToken
+	if s.knobs.SnapshotWithoutFencingToken {
+		lastFencingToken = 0
+	}
+	enc.uint(lastFencingToken)
+	s.encodeLocks(&enc)
+	s.encodeNumbers(&enc)
+	s.encodeKeys(&enc)
+	return enc.bytes
+}
+
+// Restore replaces the complete state by a snapshot; an empty one is the state that a group starts with. On an error, ErrTruncated or
+// ErrUnknownVersion, the state is as it was.
+func (s *State) Restore(snapshot []byte) error {
+	restored := newContents()
+	if len(snapshot) > 0 {
+		if err := restored.decode(snapshot); err != nil {
+			return errors.Wrap(err, "snapshot")
+		}
+	}
+	s.contents = restored
+	s.onLogTimeAdvanced()
+	for name := range s.keys.groups {
+		s.onKeyGroupChanged(name)
+	}
+	return nil
 }
 
-func (s *State) encodeLocks(e *encoder) {
-	e.uint(uint64(len(s.locks)))
-	for _, name := range slices.Sorted(maps.Keys(s.locks)) {
-		l := s.locks[name]
-		e.string(name)
-		e.string(l.holder)
-		e.uint(l.fencingToken)
-		e.duration(l.expiresAt)
-		encodeCallID(e, l.callID)
-		e.duration(l.lastAcquireAt)
-		e.bool(l.reacquired)
-	}
-	e.uint(uint64(len(s.retiredCalls)))
-	for _, r := range s.retiredCalls {
-		encodeCallID(e, r.callID)
-		e.duration(r.retiredAt)
+func (c *contents) encodeLocks(enc *encoder) {
+	enc.uint(uint64(len(c.locks)))
+	for _, name := range slices.Sorted(maps.Keys(c.locks)) {
+		l := c.locks[name]
+		enc.string(name)
+		enc.string(l.holder)
+		enc.uint(l.fencingToken)
+		enc.duration(l.expiresAt)
+		encodeCallID(enc, l.callID)
+		enc.duration(l.lastAcquireAt)
+		enc.bool(l.reacquired)
+	}
+	enc.uint(uint64(len(c.retiredCalls)))
+	for _, r := range c.retiredCalls {
+		encodeCallID(enc, r.callID)
+		enc.duration(r.retiredAt)
 	}
 }
 
-func encodeCallID(e *encoder, id CallID) {
-	e.uint(id.Incarnation)
-	e.uint(uint64(id.Sequence))
+func (c *contents) encodeNumbers(enc *encoder) {
+	enc.uint(uint64(len(c.numbers)))
+	for _, name := range slices.Sorted(maps.Keys(c.numbers)) {
+		enc.string(name)
+		enc.uint(c.numbers[name])
+	}
 }
 
-func (s *State) encodeKeys(e *encoder) {
-	e.uint(uint64(len(s.keys.groups)))
+func (s *State) encodeKeys(enc *encoder) {
+	enc.uint(uint64(len(s.keys.groups)))
 	for _, name := range slices.Sorted(maps.Keys(s.keys.groups)) {
-		g := s.keys.groups[name]
-		e.string(name)
-		e.uint(g.revision)
-		e.uint(g.compactedRevision)
-		e.uint(uint64(len(g.keys)))
-		for _, key := range slices.Sorted(maps.Keys(g.keys)) {
-			e.string(key)
-			e.string(g.keys[key].value)
-			e.uint(g.keys[key].revision)
-		}
-		events := g.events
-		if s.fault == forgetsHistory {
-			events = nil
-		}
-		e.uint(uint64(len(events)))
-		for _, x := range events {
-			e.string(x.Name)
-			e.string(x.Value)
-			e.uint(x.Revision)
-			e.duration(x.recordedAt)
-		}
+		enc.string(name)
+		s.keys.groups[name].encode(enc, s.knobs.SnapshotWithoutHistory)
 	}
-	order := s.keys.putOrder
-	if s.fault == forgetsPuts {
-		order = nil
+	putOrder := s.keys.putOrder
+	if s.knobs.SnapshotWithoutPuts {
+		putOrder = nil
 	}
-	e.uint(uint64(len(order)))
-	for _, d := range order {
-		e.bytes = append(e.bytes, d[:]...)
-		e.uint(s.keys.putRevisions[d])
+	enc.uint(uint64(len(putOrder)))
+	for _, digest := range putOrder {
+		enc.bytes = append(enc.bytes, digest[:]...)
+		enc.uint(s.keys.putRevisions[digest])
 	}
 }
 
-// Restore takes the place of the whole state; empty means the one that a group starts with. If it fails the state is as before.
-func (s *State) Restore(bytes []byte) error {
-	fresh := &State{historyRetention: s.historyRetention, fault: s.fault, onKeyGroupChanged: s.onKeyGroupChanged, onLogTimeAdvanced: s.onLogTimeAdvanced}
-	fresh.reset()
-	if len(bytes) > 0 {
-		d := decoder{bytes: bytes}
-		if d.uint() != entryVersion {
-			return ErrUnknownVersion
-		}
-		fresh.decode(&d)
-		if d.err != nil {
-			return d.err
-		}
+func (k *keyGroup) encode(enc *encoder, withoutHistory bool) {
+	enc.uint(k.revision)
+	enc.uint(k.compactedRevision)
+	enc.uint(uint64(len(k.keys)))
+	for _, key := range slices.Sorted(maps.Keys(k.keys)) {
+		enc.string(key)
+		enc.string(k.keys[key].value)
+		enc.uint(k.keys[key].revision)
+	}
+	events := k.events
+	if withoutHistory {
+		events = nil
+	}
+	enc.uint(uint64(len(events)))
+	for i := range events {
+		events[i].Event.encode(enc)
+		enc.duration(events[i].recordedAt)
 	}
-	*s = *fresh
-	s.onLogTimeAdvanced()
-	for name := range s.keys.groups {
-		s.onKeyGroupChanged(name)
-	}
-	return nil
 }
 
-func (s *State) decode(d *decoder) {
-	s.logTime = d.duration()
-	s.lastFencingToken = d.uint()
-	for range d.count() {
-		name := d.string()
-		s.locks[name] = &lockState{holder: d.string(), fencingToken: d.uint(), expiresAt: d.duration(), callID: decodeCallID(d), lastAcquireAt: d.duration(), reacquired: d.bool()}
-	}
-	for range d.count() {
-		s.retiredCalls = append(s.retiredCalls, retiredCall{decodeCallID(d), d.duration()})
+func (c *contents) decode(snapshot []byte) error {
+	dec := decoder{bytes: snapshot}
+	if version := dec.uint(); dec.err == nil && version != formatVersion {
+		return errors.Wrapf(ErrUnknownVersion, "version %d", version)
+	}
+	c.logTime = dec.duration()
+	c.lastFencingToken = dec.uint()
+	c.decodeLocks(&dec)
+	for range dec.count() {
+		name := dec.string()
+		c.numbers[name] = dec.uint()
+	}
+	c.keys.decode(&dec)
+	return dec.err
+}
+
+func (c *contents) decodeLocks(dec *decoder) {
+	for range dec.count() {
+		name := dec.string()
+		c.locks[name] = &lockState{
+			holder:        dec.string(),
+			fencingToken:  dec.uint(),
+			expiresAt:     dec.duration(),
+			callID:        decodeCallID(dec),
+			lastAcquireAt: dec.duration(),
+			reacquired:    dec.bool(),
+		}
 	}
-	for range d.count() {
-		name := d.string()
-		s.numbers[name] = d.uint()
+	for range dec.count() {
+		c.retiredCalls = append(c.retiredCalls, retiredCall{callID: decodeCallID(dec), retiredAt: dec.duration()})
 	}
-	for range d.count() {
-		name := d.string()
-		s.keys.groups[name] = s.decodeKeyGroup(d)
+}
+
+func (k *keyTable) decode(dec *decoder) {
+	for range dec.count() {
+		name := dec.string()
+		k.groups[name] = k.decodeGroup(dec)
 	}
-	for range d.count() {
+	for range dec.count() {
 		var digest putDigest
-		if d.err != nil || len(d.bytes) < len(digest) {
-			d.err = ErrTruncated
+		if dec.err != nil || len(dec.bytes) < len(digest) {
+			dec.err = ErrTruncated
 			return
 		}
-		d.bytes = d.bytes[copy(digest[:], d.bytes):]
-		s.keys.putOrder = append(s.keys.putOrder, digest)
-		s.keys.putRevisions[digest] = d.uint()
+		dec.bytes = dec.bytes[copy(digest[:], dec.bytes):]
+		k.putOrder = append(k.putOrder, digest)
+		k.putRevisions[digest] = dec.uint()
 	}
 }
 
-func decodeCallID(d *decoder) CallID { return CallID{d.uint(), uint32(d.uint())} }
-
-func (s *State) decodeKeyGroup(d *decoder) *keyGroup {
-	g := &keyGroup{revision: d.uint(), compactedRevision: d.uint(), keys: map[string]keyValue{}}
-	for range d.count() {
-		key := d.string()
-		v := keyValue{value: d.string(), revision: d.uint()}
+// decodeGroup reads a key group and adds its size to the table's.
+func (k *keyTable) decodeGroup(dec *decoder) *keyGroup {
+	g := &keyGroup{revision: dec.uint(), compactedRevision: dec.uint(), keys: map[string]keyValue{}}
+	for range dec.count() {
+		key := dec.string()
+		v := keyValue{value: dec.string(), revision: dec.uint()}
 		g.keys[key] = v
-		s.keys.bytes += len(key) + len(v.value) + eventOverhead
+		k.bytes += len(key) + len(v.value) + eventOverhead
 	}
-	for range d.count() {
-		x := storedEvent{Event{Name: d.string(), Value: d.string(), Revision: d.uint()}, d.duration()}
-		g.events = append(g.events, x)
-		s.keys.historyBytes += x.size()
+	for range dec.count() {
+		e := storedEvent{Event: decodeEvent(dec), recordedAt: dec.duration()}
+		g.events = append(g.events, e)
+		k.historyBytes += e.size()
 	}
 	return g
 }
--- a/internal/gateway/coordination/state.go
+++ b/internal/gateway/coordination/state.go
@@ -1,71 +1,71 @@
 package coordination
 
-import (
-	"time"
+import "time"
 
-	"github.com/go-faster/errors"
-)
-
-// ErrUnknownVersion is told of an entry or a state that a newer version wrote.
-var ErrUnknownVersion = errors.New("written by another version")
-
-// roundingSlack is added to each hold: entries keep times in whole microseconds.
-const roundingSlack = time.Millisecond
-
-// State is what a group's log folds to: locks, numbers and keys. It is a groups.StateMachine.
+// State is the state machine of a group: its locks, numbers and keys. It implements groups.StateMachine. What it holds depends on the
+// applied entries alone.
 type State struct {
-	logTime           time.Duration // the log clock, at the newest entry
-	historyRetention  time.Duration // how long events are kept at the least
-	lastFencingToken  uint64        // the last one given, over all locks of the group
-	locks             map[string]*lockState
-	retiredCalls      []retiredCall
-	numbers           map[string]uint64
-	keys              keyTable
-	fault             fault
-	onKeyGroupChanged func(keyGroup string) // told of each put
-	onLogTimeAdvanced func()                // told when the clock may have gone on
+	contents
+	historyRetention  time.Duration // how long a watch may take to resume
+	knobs             TestingKnobs
+	onKeyGroupChanged func(keyGroup string) // called after each put, and for each key group of a restored snapshot
+	onLogTimeAdvanced func()                // called with each entry and restored snapshot
 }
 
-// NewState is the state that a group starts with. A watch may resume for as long as history.
-func NewState(history time.Duration) *State {
-	s := &State{historyRetention: history, fault: planted, onKeyGroupChanged: func(string) {}, onLogTimeAdvanced: func() {}}
-	s.reset()
-	return s
+// contents is the part of the state that snapshots hold.
+type contents struct {
+	logTime          time.Duration // the newest entry's
+	lastFencingToken uint64        // over all locks of the group
+	locks            map[string]*lockState
+	retiredCalls     []retiredCall // the oldest first
+	numbers          map[string]uint64
+	keys             keyTable
 }
 
-func (s *State) reset() {
-	s.logTime, s.lastFencingToken = 0, 0
-	s.locks, s.retiredCalls, s.numbers, s.keys = map[string]*lockState{}, nil, map[string]uint64{}, newKeyTable()
+func newContents() contents {
+	return contents{locks: map[string]*lockState{}, numbers: map[string]uint64{}, keys: newKeyTable()}
+}
+
+// NewState is the state that a group starts with. A watch may resume from any revision that it was given within historyRetention.
+func NewState(historyRetention time.Duration) *State {
+	return &State{
+		contents:          newContents(),
+		historyRetention:  historyRetention,
+		onKeyGroupChanged: func(string) {},
+		onLogTimeAdvanced: func() {},
+	}
 }
 
-// Apply takes the next entry of the log. One that can't be read changes nothing.
+// Apply applies the next entry of the log and gives its encoded result. An entry that can't be decoded changes nothing, and its result
+// is StatusAmbiguous: a newer version of the program may know what it does.
 func (s *State) Apply(_ uint64, bytes []byte) []byte {
-	x, err := decodeEntry(bytes)
+	e, err := decodeEntry(bytes)
 	if err != nil {
 		return encodeResult(Result{Status: StatusAmbiguous})
 	}
-	s.logTime = max(s.logTime, x.logTime)
+	// A new leader may have stamped entries by a clock that was behind. Log time never goes back.
+	s.logTime = max(s.logTime, e.logTime)
 	s.onLogTimeAdvanced()
-	return encodeResult(s.apply(&x))
+	return encodeResult(s.apply(&e))
 }
 
-func (s *State) apply(x *entry) Result {
-	switch x.call.Operation {
+func (s *State) apply(e *entry) Result {
+	switch e.call.Operation {
 	case LockAcquire:
-		return s.acquire(x)
+		return s.acquire(e)
 	case LockRenew:
-		return s.renew(&x.call)
+		return s.renew(&e.call)
 	case LockRelease:
-		return s.release(&x.call)
+		return s.release(&e.call)
 	case NumberNext:
-		return s.nextNumber(x.call.Name)
+		return s.nextNumber(e.call.Name)
 	case KeyPut:
-		return s.put(&x.call)
+		return s.put(&e.call)
 	}
 	return Result{Status: StatusAmbiguous}
 }
 
-// nextNumber gives the next number of a name.
+// nextNumber gives the next number of a name, from 1.
 func (s *State) nextNumber(name string) Result {
 	if _, known := s.numbers[name]; !known && len(s.numbers) >= maxNumbers {
 		return Result{Status: StatusLimitReached}
--- a/internal/gateway/coordination/state_test.go
+++ b/internal/gateway/coordination/state_test.go
@@ -11,10 +11,10 @@
 )
 
 // drawEntry draws an entry of a few names, some time after the one before.
-func drawEntry(t *rapid.T, at *time.Duration, nr uint32) []byte {
+func drawEntry(t *rapid.T, at *time.Duration, sequence uint32) []byte {
 	*at += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 	draw := func(what string, most int) string { return fmt.Sprint(what, rapid.IntRange(0, most).Draw(t, what)) }
-	x := entry{logTime: *at, callID: CallID{Incarnation: 5, Sequence: nr - uint32(rapid.IntRange(0, 1).Draw(t, "copy"))}}
+	x := entry{logTime: *at, callID: CallID{Incarnation: 5, Sequence: sequence - uint32(rapid.IntRange(0, 1).Draw(t, "copy"))}}
 	x.call = Call{Operation: Operation(rapid.IntRange(int(LockAcquire), int(KeyPut)).Draw(t, "operation")), Name: draw("n", 2),
 		Holder: draw("h", 2), FencingToken: uint64(rapid.IntRange(0, 4).Draw(t, "fence")), Value: draw("v", 30),
 		TTL: time.Duration(rapid.IntRange(1, 5000).Draw(t, "hold")) * time.Millisecond, Conditional: rapid.Bool().Draw(t, "bound"),
@@ -22,17 +22,17 @@
 	return x.encode()
 }
 
-// A member that is given the state goes on as one that applied all entries: the same results, the same bytes.
+// A member that restores a snapshot goes on like one that applied all entries: the same results, the same bytes.
 func TestRestoredStateContinues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(time.Second), NewState(time.Second)
 		var at time.Duration
-		for nr := range uint32(rapid.IntRange(1, 60).Draw(t, "entries")) {
+		for index := range uint32(rapid.IntRange(1, 60).Draw(t, "entries")) {
 			if rapid.IntRange(0, 9).Draw(t, "restores") == 0 {
 				must.NoError(t, b.Restore(a.Snapshot()))
 			}
-			x := drawEntry(t, &at, nr)
-			must.Eq(t, a.Apply(uint64(nr), x), b.Apply(uint64(nr), x))
+			x := drawEntry(t, &at, index)
+			must.Eq(t, a.Apply(uint64(index), x), b.Apply(uint64(index), x))
 		}
 		must.Eq(t, a.Snapshot(), b.Snapshot())
 		must.Eq(t, a.keys.bytes, b.keys.bytes)
@@ -40,13 +40,13 @@
 	})
 }
 
-// Bytes that are no entry or no state change nothing and end nothing.
+// Bytes that are no entry, or no snapshot, change nothing.
 func TestCorruptBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(time.Second)
 		var at time.Duration
-		for nr := range uint32(10) {
-			s.Apply(uint64(nr), drawEntry(t, &at, nr))
+		for index := range uint32(10) {
+			s.Apply(uint64(index), drawEntry(t, &at, index))
 		}
 		before := s.Snapshot()
 		s.Apply(11, rapid.SliceOf(rapid.Byte()).Draw(t, "entry"))
@@ -57,7 +57,7 @@
 	})
 }
 
-// What is kept is bounded, and what is over a bound is told as not done.
+// All tables are bounded. What exceeds a bound is rejected with StatusLimitReached.
 func TestBounds(t *testing.T) {
 	s := NewState(time.Second)
 	apply := func(c Call, at time.Duration) Result {
@@ -70,7 +70,7 @@
 		a := apply(Call{Operation: LockAcquire, Name: fmt.Sprint("l", i), Holder: "h", TTL: time.Second}, time.Duration(i)*time.Microsecond)
 		must.Eq(t, i == maxLocks, a.Status == StatusLimitReached)
 	}
-	// Locks whose time has run out make room.
+	// Locks whose lease has expired make room.
 	must.Eq(t, StatusOK, apply(Call{Operation: LockAcquire, Name: "l", Holder: "h", TTL: time.Second}, time.Minute).Status)
 	for i := range maxNumbers + 1 {
 		must.Eq(t, i == maxNumbers, apply(Call{Operation: NumberNext, Name: fmt.Sprint("n", i)}, time.Minute).Status == StatusLimitReached)
@@ -90,7 +90,7 @@
 	must.MapLen(t, maxRememberedPuts, s.keys.putRevisions)
 }
 
-// The value that a key has is known as put however many puts came since, and its first revision is given though the key has another.
+// A repeated put gets its first revision, though the key has another one by then.
 func TestRepeatedPut(t *testing.T) {
 	s := NewState(time.Second)
 	put := func(value string, expected uint64) Result {
--- a/internal/gateway/coordination/status.go
+++ b/internal/gateway/coordination/status.go
@@ -2,23 +2,23 @@
 
 import "clovergap/internal/gateway/groups"
 
-// Counters are what a service did since its start.
+// Counters count what a service did since its start.
 type Counters struct {
 	Calls             [LockList + 1]uint64        // taken from callers, by operation
 	Results           [StatusAmbiguous + 1]uint64 // given to callers, by status
-	Forwarded         uint64                      // sent to another node, tries included
-	LateRequests      uint64                      // came from another node too late to count
-	LeadershipsGained uint64                      // leads of groups
+	Forwarded         uint64                      // attempts sent to another node
+	LateRequests      uint64                      // forwarded calls of other nodes that came after their deadline
+	LeadershipsGained uint64
 	LeadershipsLost   uint64
 }
 
 // ServiceStatus is what a service holds now.
 type ServiceStatus struct {
 	Counters      Counters
-	Pending       int // calls that wait for an answer
-	Watchers      int // watches of callers that wait
-	ParkedWatches int // watches of all nodes that wait where their group is led
-	Groups        []GroupStatus
+	Pending       int           // calls that were taken here and have not ended
+	Watchers      int           // callers of this node that wait in shared watches
+	ParkedWatches int           // watches of all nodes that wait here, at the leader of their group
+	Groups        []GroupStatus // those whose state this node has
 }
 
 // GroupStatus is a group at a node that has its state.
@@ -29,23 +29,36 @@
 	Numbers      int
 	Keys         int
 	KeyBytes     int
-	HistoryBytes int // bytes of history
+	HistoryBytes int
 }
 
 // Status tells what the service holds.
 func (s *Service) Status() ServiceStatus {
-	all := ServiceStatus{Counters: s.counters, Pending: len(s.pending), Watchers: s.watcherCount, ParkedWatches: len(s.parkedWatches)}
-	for id := range s.hosted {
-		state := s.hosted[id].state
-		if state == nil {
-			continue
-		}
-		g := GroupStatus{ID: groups.ID(id), IsLeader: s.isLeader(groups.ID(id)), Locks: len(state.locks), Numbers: len(state.numbers),
-			KeyBytes: state.keys.bytes, HistoryBytes: state.keys.historyBytes}
-		for _, k := range state.keys.groups {
-			g.Keys += len(k.keys)
+	status := ServiceStatus{
+		Counters:      s.counters,
+		Pending:       len(s.pending),
+		Watchers:      s.watcherCount,
+		ParkedWatches: len(s.parkedWatches),
+	}
+	for id := range groups.ID(groups.Count) {
+		if state := s.hosted[id].state; state != nil {
+			status.Groups = append(status.Groups, state.status(id, s.isLeader(id)))
 		}
-		all.Groups = append(all.Groups, g)
 	}
-	return all
+	return status
+}
+
+func (s *State) status(id groups.ID, isLeader bool) GroupStatus {
+	status := GroupStatus{
+		ID:           id,
+		IsLeader:     isLeader,
+		Locks:        len(s.locks),
+		Numbers:      len(s.numbers),
+		KeyBytes:     s.keys.bytes,
+		HistoryBytes: s.keys.historyBytes,
+	}
+	for _, g := range s.keys.groups {
+		status.Keys += len(g.keys)
+	}
+	return status
 }
--- a/internal/gateway/coordination/testing_knobs.go
+++ b/internal/gateway/coordination/testing_knobs.go
@@ -1,33 +1,39 @@
 package coordination
 
-// fault is a defence that tests take out, to see that they find what it guards against.
-type fault uint8
+// TestingKnobs each take one defence away, so that tests can show that they notice its absence. All are off in production: nothing but
+// tests sets Config.TestingKnobs.
+type TestingKnobs struct {
+	// Locks.
+	ReuseFencingToken     bool // the next holder of a lock gets the fencing token of the one before
+	AcceptAnyFencingToken bool // renew and release count whatever their fencing token
+	RenewExpiredLease     bool // a renew after the lease's end extends it
+	RenewShortensLease    bool // a renew with a shorter TTL shortens the lease
+	AcceptStaleRelease    bool // a late release frees a lock that its holder acquired again
+	AcceptRetiredCall     bool // a late copy of an acquire takes a lock that was released
 
-const (
-	sound            fault = iota
-	sameFence              // the next holder of a lock gets the fence of the one before
-	anyFence               // a heartbeat or a finish counts whatever its fence
-	lateHeartbeat          // a heartbeat after the time lengthens it
-	shorterHold            // a heartbeat with a shorter hold shortens the time
-	finishAfterBegin       // a late finish frees a lock that its holder asked for again
-	copiesBegin            // a late copy of a call takes a lock that was given back
-	lateCopies             // a copy of a call counts however late it is
-	forgetsHolds           // a new leader's clock begins beyond all holds
-	ownClock               // a node that led goes on by its own clock whatever others stamped since
-	anyRevision            // a put counts whatever the key's revision
-	revisionFirst          // a put that is repeated is compared like a new one
-	putsAgain              // a put that is repeated is a new one
-	groupRevision          // a conflict names the group's revision
-	readsAlone             // a read asks no majority
-	watchesAlone           // a watch's answer asks no majority
-	lastEventOnly          // a watch gives the newest event alone
-	shortHistory           // the history is too short
-	numbersInMemory        // numbers are counted by whoever leads
-	promisesWrongly        // an unclear end is told as one that did nothing
-	forgetsPuts            // the state that members are given lacks which puts there were
-	forgetsFence           // and the last fence
-	forgetsHistory         // and the history, without saying so
-)
+	// Time and forwarding.
+	IgnoreDeadlines              bool // a forwarded call counts however late it is
+	SkipLeasesOnElection         bool // a new leader's log time begins beyond all leases
+	KeepOwnLogTime               bool // a former leader's log time goes on, whatever other leaders stamped since
+	ReportAmbiguousAsUnavailable bool // a call that may have taken effect ends as one that had none
 
-// planted is what new states and services go without.
-var planted = sound
+	// Keys.
+	IgnoreExpectedRevision     bool // a conditional put counts whatever the key's revision
+	CompareRevisionFirst       bool // a repeated put is compared like a new one
+	RepeatPuts                 bool // a repeated put is a new one
+	ConflictShowsGroupRevision bool // a conflict shows the key group's revision
+
+	// Reads.
+	ReadWithoutQuorum  bool // a read does not confirm the leadership
+	WatchWithoutQuorum bool // nor does a watch without events
+	LastEventOnly      bool // a watch gives the newest event alone
+	ShortHistory       bool // the history is compacted too early
+
+	// Snapshots.
+	SnapshotWithoutPuts         bool // lacks the digests of puts
+	SnapshotWithoutFencingToken bool // lacks the last fencing token
+	SnapshotWithoutHistory      bool // lacks the events, without a compacted revision that says so
+
+	// NextNumber, if set, gives numbers in place of the log. incarnation is the node's.
+	NextNumber func(incarnation uint64, name string) uint64
+}
