--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeNode answers by what it is asked.
+// fakeNode answers each request with what respond gives, and records the requests.
 type fakeNode struct {
 	mu       sync.Mutex
 	requests []string
@@ -33,31 +33,33 @@
 func (f *fakeNode) count(part string) (found int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, a := range f.requests {
-		if strings.Contains(a, part) {
+	for _, r := range f.requests {
+		if strings.Contains(r, part) {
 			found++
 		}
 	}
 	return found
 }
 
-func newFakeNode(t *testing.T, say func(path, body string) (int, string)) (*fakeNode, *Client) {
-	n := &fakeNode{respond: say}
-	srv := httptest.NewServer(n)
-	t.Cleanup(srv.Close)
-	c, err := New(strings.TrimPrefix(srv.URL, "http://"))
+func newFakeNode(t *testing.T, respond func(path, body string) (int, string)) (*fakeNode, *Client) {
+	t.Helper()
+	n := &fakeNode{respond: respond}
+	server := httptest.NewServer(n)
+	t.Cleanup(server.Close)
+	c, err := New(strings.TrimPrefix(server.URL, "http://"))
 	must.NoError(t, err)
 	t.Cleanup(c.Close)
 	return n, c
 }
 
 func contextWithTimeout(t *testing.T, d time.Duration) context.Context {
-	ctx, stop := context.WithTimeout(t.Context(), d)
-	t.Cleanup(stop)
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), d)
+	t.Cleanup(cancel)
 	return ctx
 }
 
-// Each answer is the error that says what it promises.
+// Each status code is the error that tells what the gateway promises.
 func TestErrors(t *testing.T) {
 	for status, want := range map[int]error{404: ErrNotFound, 410: ErrCompacted, 409: ErrHeld, 400: ErrInvalid} {
 		_, c := newFakeNode(t, func(string, string) (int, string) { return status, "" })
@@ -71,7 +73,7 @@
 	must.Eq(t, 7, conflict.Revision)
 }
 
-// A call without a clear answer is sent again, the same; if time runs out, only what surely did nothing is told so.
+// A call without a definite response is sent again, the same. When the context ends, only a call that surely had no effect is ErrUnavailable.
 func TestRetry(t *testing.T) {
 	tries := 0
 	n, c := newFakeNode(t, func(string, string) (int, string) {
@@ -86,14 +88,14 @@
 	must.Eq(t, 3, n.count(`{"value":"v","topic":3}`))
 	for status, want := range map[int]error{503: ErrUnavailable, 429: ErrUnavailable, 504: ErrUnclear} {
 		_, c := newFakeNode(t, nil)
-		ctx, stop := context.WithCancel(t.Context())
-		c.http.Transport = lastResponse{status, stop}
+		ctx, cancel := context.WithCancel(t.Context())
+		c.http.Transport = lastResponse{status, cancel}
 		_, err := c.Next(ctx, "n")
 		must.ErrorIs(t, err, want)
 	}
 }
 
-// lastResponse gives a whole answer, after which the caller's time is over.
+// lastResponse gives a complete response, and cancels the caller's context with it.
 type lastResponse struct {
 	status int
 	cancel context.CancelFunc
@@ -104,30 +106,30 @@
 	return &http.Response{StatusCode: l.status, Body: http.NoBody}, nil
 }
 
-// A session renews; once nobody answers, or the lock is lost, it ends by itself, before its time has run out.
+// A session renews its lease. Once no node answers, or one says that the lock is lost, it ends by itself before the lease does.
 func TestSession(t *testing.T) {
-	for name, renewal := range map[string]int{"nobody answers": 503, "lost": 409} {
-		beats := 0
+	for name, status := range map[string]int{"nobody answers": 503, "lost": 409} {
+		renewals := 0
 		_, c := newFakeNode(t, func(path, _ string) (int, string) {
 			if strings.Contains(path, "Begin") {
 				return 200, `{"fence":5}`
 			}
-			if beats++; beats > 2 {
-				return renewal, ""
+			if renewals++; renewals > 2 {
+				return status, ""
 			}
 			return 200, "{}"
 		})
-		hold, began := 300*time.Millisecond, time.Now()
-		s, err := c.Lock(contextWithTimeout(t, time.Minute), "l", "me", hold)
+		ttl, start := 300*time.Millisecond, time.Now()
+		s, err := c.Lock(contextWithTimeout(t, time.Minute), "l", "me", ttl)
 		must.NoError(t, err)
 		must.Eq(t, 5, s.Fence())
 		<-s.Context().Done()
 		must.ErrorIs(t, context.Cause(s.Context()), ErrLost, must.Sprint(name))
-		must.Greater(t, 2*hold/renewalsPerTTL, time.Since(began))
+		must.Greater(t, 2*ttl/renewalsPerTTL, time.Since(start))
 	}
 }
 
-// What is given back asks for no more time.
+// A finished session renews no more, and tells why it ended.
 func TestFinish(t *testing.T) {
 	n, c := newFakeNode(t, func(path, _ string) (int, string) {
 		if strings.Contains(path, "Begin") {
@@ -138,16 +140,16 @@
 	s, err := c.Lock(contextWithTimeout(t, time.Minute), "l", "me", time.Minute)
 	must.NoError(t, err)
 	must.NoError(t, s.Finish(contextWithTimeout(t, time.Minute)))
-	must.Error(t, s.Context().Err())
+	must.ErrorIs(t, context.Cause(s.Context()), ErrFinished)
 	must.Eq(t, 1, n.count(`/api/Locks.Finish/l {"holder":"me","fence":5}`))
 	must.Eq(t, 0, n.count("Heartbeat"))
 }
 
-// A lock that was given so late that its time has run out is not held.
+// A lock that was granted so late that its lease has expired is not held.
 func TestLateLock(t *testing.T) {
 	late := make(chan struct{})
 	_, c := newFakeNode(t, func(string, string) (int, string) {
-		<-late // longer than the hold
+		<-late // longer than the lease
 		return 200, `{"fence":5}`
 	})
 	t.Cleanup(func() { close(late) })
--- /dev/null
+++ b/pkg/coordination/doc.go
@@ -0,0 +1,27 @@
+// Package coordination is the Go client of the gateway's coordination calls: locks with leases, elections, numbers, small keys and
+// watches.
+//
+//	client, err := coordination.New("10.0.0.1:7003", "10.0.0.2:7003")
+//	lock, err := client.Lock(ctx, "jobs/cleanup", hostname, 10*time.Second)
+//	defer lock.Finish(ctx)
+//	work(lock.Context(), lock.Fence())
+//
+// # Terms
+//
+//   - Lease: the time for which a lock is held. A Session renews it, and ends by itself before the lock becomes free for others.
+//   - Fence, the fencing token: a number above those of all former holders. What is written under the lock carries it, so that the
+//     store that it is written to can reject a former holder.
+//   - Key group: the keys with the same name up to the first dot, with the dot. Revisions count the puts in a key group, and a watch
+//     is of a key group.
+//
+// # Guarantees
+//
+// Each call is sent to one node after the other until one answers, or the context ends. A node has one second for it. Calls may
+// therefore arrive twice; the gateway recognizes copies, so they take effect once. Put a value only once to a key: the same value
+// again is taken for the same put.
+//
+// Errors can be told apart by errors.Is and errors.As. ErrHeld, ErrNotFound, ErrUnavailable and ConflictError promise that the call had
+// no effect and never will. ErrUnclear means that it may have had one, or still may.
+//
+// A Client may be used by several goroutines at once.
+package coordination
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -11,8 +11,15 @@
 	"github.com/go-faster/errors"
 )
 
-// Session is a lock that is held. It asks for more time by itself, and ends by itself when its time has run out: it gives up in time, by
-// this machine's steady clock, before another can get the lock. Work under the lock goes by Context, and what it writes carries Fence.
+const (
+	// renewalsPerTTL is how often a session renews within its lease, so that two renewals may fail.
+	renewalsPerTTL = 3
+	// expiryMarginDivisor: a session ends this part of its lease (one twentieth) early, so that what is under way can end in time.
+	expiryMarginDivisor = 20
+)
+
+// Session is a lock that is held. It renews its lease by itself. It ends by itself when the lease expires: by this machine's monotonic
+// clock, before another holder can get the lock. Work under the lock should stop with Context, and what it writes should carry Fence.
 type Session struct {
 	client       *Client
 	name         string
@@ -21,105 +28,113 @@
 	fencingToken uint64
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
-	renewals     sync.WaitGroup
-	mu           sync.Mutex
-	expiresAt    time.Time
-	timer        *time.Timer
+	renewals     sync.WaitGroup // the goroutine of renewPeriodically
+
+	mu     sync.Mutex
+	expiry *time.Timer // ends the session
 }
 
-// renewalsPerTTL is how often a session asks for more time within its hold.
-const renewalsPerTTL = 3
+// acquireBody, renewBody and releaseBody are LockBegin, LockHeartbeat and LockFinish of api/control.yaml.
+type acquireBody struct {
+	TTL    string `json:"hold"`
+	Holder string `json:"holder"`
+}
 
-// expiryMarginDivisor of a hold is left for what is under way when a session ends.
-const expiryMarginDivisor = 20 // one in so many
+type renewBody struct {
+	Holder       string `json:"holder"`
+	FencingToken uint64 `json:"fence"`
+	TTL          string `json:"hold"`
+}
+
+type releaseBody struct {
+	Holder       string `json:"holder"`
+	FencingToken uint64 `json:"fence"`
+}
 
-// Lock takes a lock, if it is free: ErrHeld else. The time counts from before the call is sent.
+// Lock acquires a lock if it is free, and fails with ErrHeld if not. hold is the lease; it counts from before the call is sent. The session
+// ends with ctx too; Finish ends it at once.
 func (c *Client) Lock(ctx context.Context, name, holder string, hold time.Duration) (*Session, error) {
-	until := time.Now().Add(hold)
-	tries, stop := context.WithDeadline(ctx, until)
-	defer stop()
-	var got struct{ Fence uint64 }
-	body := map[string]string{"holder": holder, "hold": formatMilliseconds(hold)}
-	if err := c.do(tries, http.MethodPost, "/api/Locks.Begin/"+url.PathEscape(name), body, 0, &got); err != nil {
+	expiresAt := time.Now().Add(hold)
+	attempts, cancel := context.WithDeadline(ctx, expiresAt)
+	defer cancel()
+	var granted struct {
+		FencingToken uint64 `json:"fence"`
+	}
+	body := acquireBody{Holder: holder, TTL: formatMilliseconds(hold)}
+	if err := c.do(attempts, request{method: http.MethodPost, path: lockPath("Begin", name), body: body}, &granted); err != nil {
 		return nil, err
 	}
-	s := &Session{client: c, name: name, holder: holder, ttl: hold, fencingToken: got.Fence}
+	s := &Session{client: c, name: name, holder: holder, ttl: hold, fencingToken: granted.FencingToken}
 	s.ctx, s.cancel = context.WithCancelCause(ctx)
-	if !s.extend(until) {
+	if !s.extend(expiresAt) {
 		s.cancel(ErrLost)
 		return nil, ErrUnclear
 	}
-	s.renewals.Go(s.renew)
+	s.renewals.Go(s.renewPeriodically)
 	return s, nil
 }
 
+func lockPath(operation, name string) string {
+	return "/api/Locks." + operation + "/" + url.PathEscape(name)
+}
+
 func formatMilliseconds(d time.Duration) string {
 	return strconv.FormatInt(d.Milliseconds(), 10) + "ms"
 }
 
-// Fence is above that of every holder before.
+// Fence is the fencing token: above that of every holder before.
 func (s *Session) Fence() uint64 { return s.fencingToken }
 
-// Context ends when the lock is lost, or given back; context.Cause tells which.
+// Context ends when the session does. context.Cause tells why: ErrLost, ErrFinished, or the cause of the context given to Lock.
 func (s *Session) Context() context.Context { return s.ctx }
 
-// extend sets the end; false: the time has run out already.
-func (s *Session) extend(until time.Time) bool {
+// extend sets when the lease expires. False: the session has ended, or would at once.
+func (s *Session) extend(expiresAt time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := time.Until(until.Add(-s.ttl / expiryMarginDivisor))
-	if left <= 0 || s.ctx.Err() != nil {
+	timeLeft := time.Until(expiresAt.Add(-s.ttl / expiryMarginDivisor))
+	if timeLeft <= 0 || s.ctx.Err() != nil {
 		return false
 	}
-	if s.timer != nil && !s.timer.Stop() {
-		return false // it has ended meanwhile
+	if s.expiry != nil && !s.expiry.Stop() {
+		return false // the lease has expired meanwhile
 	}
-	s.expiresAt = until
-	s.timer = time.AfterFunc(left, func() { s.cancel(ErrLost) })
+	s.expiry = time.AfterFunc(timeLeft, func() { s.cancel(ErrLost) })
 	return true
 }
 
-// renew asks for more time again and again. A good answer that comes after the time has run out counts for nothing.
-func (s *Session) renew() {
-	pause := time.NewTicker(s.ttl / renewalsPerTTL)
-	defer pause.Stop()
+// renewPeriodically renews the lease until the session ends. Failed renewals are repeated; the lease's end is what ends the session then.
+func (s *Session) renewPeriodically() {
+	ticker := time.NewTicker(s.ttl / renewalsPerTTL)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
-		case <-pause.C:
+		case <-ticker.C:
 		}
-		until := time.Now().Add(s.ttl)
-		body := struct {
-			Holder string `json:"holder"`
-			Fence  uint64 `json:"fence"`
-			Hold   string `json:"hold"`
-		}{s.holder, s.fencingToken, formatMilliseconds(s.ttl)}
-		err := s.client.do(s.ctx, http.MethodPost, "/api/Locks.Heartbeat/"+url.PathEscape(s.name), body, 0, nil)
-		switch {
-		case errors.Is(err, ErrHeld):
-			s.cancel(ErrLost)
-			return
-		case err == nil && !s.extend(until):
+		expiresAt := time.Now().Add(s.ttl) // from before the call is sent
+		err := s.renew()
+		isLost := errors.Is(err, ErrHeld) || err == nil && !s.extend(expiresAt)
+		if isLost {
 			s.cancel(ErrLost)
 			return
 		}
 	}
 }
 
-// ErrFinished is why the context of a lock that was given back ended.
-var ErrFinished = errors.New("the lock was given back")
+func (s *Session) renew() error {
+	body := renewBody{Holder: s.holder, FencingToken: s.fencingToken, TTL: formatMilliseconds(s.ttl)}
+	return s.client.do(s.ctx, request{method: http.MethodPost, path: lockPath("Heartbeat", s.name), body: body}, nil)
+}
 
-// Finish ends the session and gives the lock back, so that another can have it at once.
+// Finish ends the session and releases the lock, so that another holder can have it at once.
 func (s *Session) Finish(ctx context.Context) error {
 	s.cancel(ErrFinished)
 	s.renewals.Wait()
 	s.mu.Lock()
-	s.timer.Stop()
+	s.expiry.Stop()
 	s.mu.Unlock()
-	body := struct {
-		Holder string `json:"holder"`
-		Fence  uint64 `json:"fence"`
-	}{s.holder, s.fencingToken}
-	return s.client.do(ctx, http.MethodPost, "/api/Locks.Finish/"+url.PathEscape(s.name), body, 0, nil)
+	body := releaseBody{Holder: s.holder, FencingToken: s.fencingToken}
+	return s.client.do(ctx, request{method: http.MethodPost, path: lockPath("Finish", s.name), body: body}, nil)
 }
