--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -1,6 +1,3 @@
-// Package callers is stand-ins of the applications that call for locks, numbers, keys and watches: they die holding, sleep beyond their
-// time, give up, ask again and send again. What they saw is checked by callhistory. They run in whatever time and over whatever system
-// they are given.
 package callers
 
 import (
@@ -12,248 +9,116 @@
 	"clovergap/internal/lab/callhistory"
 )
 
-// World is the time and the system that callers live in.
+// World is the clock and the system that callers use.
 type World interface {
 	Now() time.Duration
-	After(wait time.Duration, do func())
-	// Call sends a call to some node. then is told once what came of it: a record that has ended, or one that has not and is given up.
-	Call(caller string, c coordination.Call, then func(*callhistory.Record))
+	After(wait time.Duration, action func())
+	// Call sends a call to some node. done is called once: with a record that has ended, or with one that the caller has given up.
+	Call(caller string, c coordination.Call, done func(*callhistory.Record))
 }
 
-// Config say how callers behave.
+// Config says how callers behave.
 type Config struct {
 	Lockers         int
-	MaxWatcherPause time.Duration // how long watchers sleep at the most
-	LongTTLs        bool          // some locks are held for up to ten seconds
-}
-
-// Callers are some callers of each kind, on few names so that they meet.
-type Callers struct {
-	world      World
-	rng        *rand.Rand
-	config     Config
-	lastValue  int
-	stopping   bool
-	unanswered []string
+	MaxWatcherPause time.Duration // between two watches of a watcher that falls behind now and then
+	LongTTLs        bool          // some leases are up to ten seconds long
 }
 
+// How many callers of each kind there are beside the lockers, and how many names they share.
 const (
+	numberCallers = 3
+	editors       = 4
+	watchers      = 3
+
 	lockCount     = 2
 	counterCount  = 2
 	keyGroupCount = 2
-	keysPerGroup  = 3 // of a group
+	keysPerGroup  = 3
 )
 
-// Start has callers begin.
-func Start(w World, rng *rand.Rand, t Config) *Callers {
-	d := &Callers{world: w, rng: rng, config: t}
-	for i := range t.Lockers {
-		(&locker{callers: d, name: fmt.Sprintf("a%d", i)}).acquire()
-	}
-	for i := range 3 {
-		d.requestNumbers(fmt.Sprintf("c%d", i), fmt.Sprintf("n%d", i%counterCount))
-	}
-	for i := range 4 {
-		(&editor{callers: d, name: fmt.Sprintf("e%d", i)}).readAndPut()
-	}
-	for i := range 3 {
-		(&watcher{callers: d, name: fmt.Sprintf("w%d", i), keyGroup: fmt.Sprintf("g%d.", i%keyGroupCount)}).watch()
-	}
-	return d
+func lockName(i int) string     { return fmt.Sprintf("l%d", i) }
+func counterName(i int) string  { return fmt.Sprintf("n%d", i) }
+func keyGroupName(i int) string { return fmt.Sprintf("g%d.", i) }
+func keyName(group, key int) string {
+	return fmt.Sprintf("%s%d", keyGroupName(group), key)
 }
 
-// Stop has them end what they are at, and begin nothing more.
-func (c *Callers) Stop() { c.stopping = true }
-
-// Unanswered is what the audit got no answer to.
-func (c *Callers) Unanswered() []string { return c.unanswered }
-
-// Names are those that callers use, by group.
+// Names are a lock's, a counter's and key groups' of those that callers use, by which a test finds their replicated groups.
 func Names() []string { return []string{"l0", "l1", "n0", "g0.", "g1."} }
 
-// randomDuration draws a time.
-func (c *Callers) randomDuration(from, to time.Duration) time.Duration {
-	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
-}
-
-// shouldRetry tells whether a call is worth sending again.
-func shouldRetry(r *callhistory.Record) bool {
-	return !r.IsDefinite() || r.Result.Status == coordination.StatusUnavailable || r.Result.Status == coordination.StatusLimitReached
+// Callers are some callers of each kind.
+type Callers struct {
+	world      World
+	rng        *rand.Rand
+	config     Config
+	lastValue  int // of a put: each one has its own value
+	stopping   bool
+	unanswered []string
 }
 
-// requestNumbers asks for numbers.
-func (c *Callers) requestNumbers(caller, name string) {
-	if c.stopping {
-		return
+// Start makes callers and has them begin.
+func Start(w World, rng *rand.Rand, config Config) *Callers {
+	c := &Callers{world: w, rng: rng, config: config}
+	for i := range config.Lockers {
+		(&locker{callers: c, name: fmt.Sprintf("a%d", i)}).acquire()
 	}
-	c.world.Call(caller, coordination.Call{Operation: coordination.NumberNext, Name: name}, func(*callhistory.Record) {
-		c.world.After(c.randomDuration(0, 100*time.Millisecond), func() { c.requestNumbers(caller, name) })
-	})
-}
-
-// locker is a caller that takes locks: it holds them for an instant or for long, dies holding, sleeps beyond its time, asks again.
-type locker struct {
-	callers      *Callers
-	name         string
-	lock         string
-	fencingToken uint64
-	ttl          time.Duration
-	expiresAt    time.Duration
-}
-
-func (l *locker) acquire() {
-	if l.callers.stopping {
-		return
+	for i := range numberCallers {
+		c.requestNumbers(fmt.Sprintf("c%d", i), counterName(i%counterCount))
 	}
-	if l.lock == "" || l.callers.rng.IntN(3) > 0 {
-		l.lock = fmt.Sprintf("l%d", l.callers.rng.IntN(2))
+	for i := range editors {
+		(&editor{callers: c, name: fmt.Sprintf("e%d", i)}).readAndPut()
 	}
-	l.ttl = l.callers.randomDuration(300*time.Millisecond, 2500*time.Millisecond)
-	if l.callers.config.LongTTLs && l.callers.rng.IntN(6) == 0 {
-		l.ttl *= 4
+	for i := range watchers {
+		(&watcher{callers: c, name: fmt.Sprintf("w%d", i), keyGroup: keyGroupName(i % keyGroupCount)}).watch()
 	}
-	sent := l.callers.world.Now()
-	l.callers.world.Call(l.name, coordination.Call{Operation: coordination.LockAcquire, Name: l.lock, Holder: l.name, TTL: l.ttl},
-		func(r *callhistory.Record) {
-			if !r.Succeeded() {
-				l.callers.world.After(l.callers.randomDuration(10*time.Millisecond, 200*time.Millisecond), l.acquire)
-				return
-			}
-			l.fencingToken, l.expiresAt = r.Result.FencingToken, sent+l.ttl
-			l.keepLock(l.callers.rng.IntN(6))
-		})
+	return c
 }
 
-// keepLock goes on holding, for so many heartbeats.
-func (l *locker) keepLock(beats int) {
-	switch x := l.callers.rng.IntN(20); {
-	case x == 0: // dies, and comes back by its name
-		l.callers.world.After(l.callers.randomDuration(0, 3*time.Second), l.acquire)
-		return
-	case x == 1: // sleeps
-		l.callers.world.After(l.ttl+l.callers.randomDuration(0, 500*time.Millisecond), func() { l.renew(0) })
-		return
-	case beats == 0 || l.callers.stopping:
-		l.callers.world.After(l.callers.randomDuration(0, 100*time.Millisecond), func() { l.release(l.callers.rng.IntN(3)) })
-		return
-	}
-	l.callers.world.After(l.ttl/3, func() { l.renew(beats - 1) })
-}
+// Stop has them end what they have begun, and begin nothing more.
+func (c *Callers) Stop() { c.stopping = true }
 
-func (l *locker) renew(left int) {
-	sent, hold := l.callers.world.Now(), l.ttl
-	if l.callers.rng.IntN(5) == 0 {
-		hold /= 4
+// Audit makes a call on each name. It is for when no fault is left and every lease has expired: each call must be answered, see Unanswered.
+func (c *Callers) Audit() {
+	for i := range counterCount {
+		c.auditCall(coordination.Call{Operation: coordination.NumberNext, Name: counterName(i)})
 	}
-	c := coordination.Call{Operation: coordination.LockRenew, Name: l.lock, Holder: l.name, FencingToken: l.fencingToken, TTL: hold}
-	l.callers.world.Call(l.name, c, func(r *callhistory.Record) {
-		switch {
-		case r.Succeeded() && r.Ended <= l.expiresAt:
-			l.expiresAt = max(l.expiresAt, sent+hold)
-			l.keepLock(left)
-		case shouldRetry(r) && l.callers.world.Now() < l.expiresAt:
-			l.renew(left)
-		default:
-			l.acquire()
+	for i := range lockCount {
+		c.auditCall(coordination.Call{Operation: coordination.LockAcquire, Name: lockName(i), Holder: "audit", TTL: time.Second})
+	}
+	for i := range keyGroupCount {
+		c.auditCall(coordination.Call{Operation: coordination.KeyWatch, Name: keyGroupName(i)})
+		for k := range keysPerGroup {
+			c.auditCall(coordination.Call{Operation: coordination.KeyRead, Name: keyName(i, k)})
 		}
-	})
+	}
 }
 
-// release gives the lock back, and asks so often again; without an answer it goes on all the same.
-func (l *locker) release(tries int) {
-	c := coordination.Call{Operation: coordination.LockRelease, Name: l.lock, Holder: l.name, FencingToken: l.fencingToken}
-	l.callers.world.Call(l.name, c, func(r *callhistory.Record) {
-		if shouldRetry(r) && tries > 0 {
-			l.release(tries - 1)
-			return
+func (c *Callers) auditCall(call coordination.Call) {
+	c.world.Call("audit", call, func(r *callhistory.Record) {
+		if !r.IsDefinite() || r.Result.Status != coordination.StatusOK && r.Result.Status != coordination.StatusNotFound {
+			c.unanswered = append(c.unanswered, fmt.Sprintf("the audit got no answer: %v", r))
 		}
-		l.acquire()
 	})
 }
 
-// editor reads and puts keys.
-type editor struct {
-	callers *Callers
-	name    string
-}
-
-func (e *editor) readAndPut() {
-	if e.callers.stopping {
-		return
-	}
-	key := fmt.Sprintf("g%d.%d", e.callers.rng.IntN(2), e.callers.rng.IntN(3))
-	e.callers.world.Call(e.name, coordination.Call{Operation: coordination.KeyRead, Name: key}, func(r *callhistory.Record) {
-		if shouldRetry(r) || e.callers.rng.IntN(4) == 0 {
-			e.callers.world.After(e.callers.randomDuration(0, 100*time.Millisecond), e.readAndPut)
-			return
-		}
-		bound := e.callers.rng.IntN(3) > 0
-		e.callers.lastValue++
-		c := coordination.Call{Operation: coordination.KeyPut, Name: key, Value: fmt.Sprintf("v%d", e.callers.lastValue), Conditional: bound,
-			ExpectedRevision: r.Result.Revision}
-		e.put(c, 1+e.callers.rng.IntN(4))
-	})
-}
+// Unanswered describes the calls of the audit that got no answer.
+func (c *Callers) Unanswered() []string { return c.unanswered }
 
-// put puts a value, again and again for some tries without a clear answer.
-func (e *editor) put(c coordination.Call, tries int) {
-	e.callers.world.Call(e.name, c, func(r *callhistory.Record) {
-		if shouldRetry(r) && tries > 0 {
-			e.callers.world.After(e.callers.randomDuration(0, 600*time.Millisecond), func() { e.put(c, tries-1) })
-			return
-		}
-		e.callers.world.After(e.callers.randomDuration(0, 60*time.Millisecond), e.readAndPut)
-	})
+func (c *Callers) randomDuration(from, to time.Duration) time.Duration {
+	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
 }
 
-// watcher watches a group of keys, sometimes from a revision that it had before.
-type watcher struct {
-	callers       *Callers
-	name          string
-	keyGroup      string
-	afterRevision uint64
+// shouldRetry tells whether a call is worth sending again.
+func shouldRetry(r *callhistory.Record) bool {
+	return !r.IsDefinite() || r.Result.Status == coordination.StatusUnavailable || r.Result.Status == coordination.StatusLimitReached
 }
 
-func (w *watcher) watch() {
-	if w.callers.stopping {
+// requestNumbers asks for one number after the other.
+func (c *Callers) requestNumbers(caller, name string) {
+	if c.stopping {
 		return
 	}
-	wait := []time.Duration{0, 300 * time.Millisecond, 2 * time.Second}[w.callers.rng.IntN(3)]
-	c := coordination.Call{Operation: coordination.KeyWatch, Name: w.keyGroup, AfterRevision: w.afterRevision, Timeout: wait}
-	w.callers.world.Call(w.name, c, func(r *callhistory.Record) {
-		switch {
-		case r.Succeeded():
-			w.afterRevision = r.Result.Revision
-		case r.IsDefinite() && r.Result.Status == coordination.StatusCompacted:
-			w.afterRevision = 0
-		}
-		pause := w.callers.randomDuration(0, 30*time.Millisecond)
-		if w.callers.rng.IntN(15) == 0 {
-			pause = w.callers.randomDuration(0, w.callers.config.MaxWatcherPause)
-		}
-		w.callers.world.After(pause, w.watch)
+	c.world.Call(caller, coordination.Call{Operation: coordination.NumberNext, Name: name}, func(*callhistory.Record) {
+		c.world.After(c.randomDuration(0, 100*time.Millisecond), func() { c.requestNumbers(caller, name) })
 	})
 }
-
-// Audit asks for all once more, when all is calm and every lock's time has run out: each must be answered.
-func (c *Callers) Audit() {
-	ask := func(call coordination.Call) {
-		c.world.Call("audit", call, func(r *callhistory.Record) {
-			if !r.IsDefinite() || r.Result.Status != coordination.StatusOK && r.Result.Status != coordination.StatusNotFound {
-				c.unanswered = append(c.unanswered, fmt.Sprintf("the audit got no answer: %v", r))
-			}
-		})
-	}
-	for i := range counterCount {
-		ask(coordination.Call{Operation: coordination.NumberNext, Name: fmt.Sprintf("n%d", i)})
-	}
-	for i := range lockCount {
-		ask(coordination.Call{Operation: coordination.LockAcquire, Name: fmt.Sprintf("l%d", i), Holder: "audit", TTL: time.Second})
-	}
-	for i := range keyGroupCount {
-		ask(coordination.Call{Operation: coordination.KeyWatch, Name: fmt.Sprintf("g%d.", i)})
-		for k := range keysPerGroup {
-			ask(coordination.Call{Operation: coordination.KeyRead, Name: fmt.Sprintf("g%d.%d", i, k)})
-		}
-	}
-}
--- /dev/null
+++ b/internal/lab/callers/keys.go
@@ -0,0 +1,77 @@
+package callers
+
+import (
+	"fmt"
+	"time"
+
+	"clovergap/internal/gateway/coordination"
+	"clovergap/internal/lab/callhistory"
+)
+
+// editor is a caller that reads and puts keys, two times of three under the condition that the key has not changed since.
+type editor struct {
+	callers *Callers
+	name    string
+}
+
+func (e *editor) readAndPut() {
+	c := e.callers
+	if c.stopping {
+		return
+	}
+	group := c.rng.IntN(keyGroupCount)
+	key := keyName(group, c.rng.IntN(keysPerGroup))
+	c.world.Call(e.name, coordination.Call{Operation: coordination.KeyRead, Name: key}, func(r *callhistory.Record) {
+		if shouldRetry(r) || c.rng.IntN(4) == 0 {
+			c.world.After(c.randomDuration(0, 100*time.Millisecond), e.readAndPut)
+			return
+		}
+		conditional := c.rng.IntN(3) > 0
+		c.lastValue++
+		call := coordination.Call{Operation: coordination.KeyPut, Name: key, Value: fmt.Sprintf("v%d", c.lastValue),
+			Conditional: conditional, ExpectedRevision: r.Result.Revision}
+		e.put(call, 1+c.rng.IntN(4))
+	})
+}
+
+// put puts a value, with so many retries.
+func (e *editor) put(call coordination.Call, retries int) {
+	c := e.callers
+	c.world.Call(e.name, call, func(r *callhistory.Record) {
+		if shouldRetry(r) && retries > 0 {
+			c.world.After(c.randomDuration(0, 600*time.Millisecond), func() { e.put(call, retries-1) })
+			return
+		}
+		c.world.After(c.randomDuration(0, 60*time.Millisecond), e.readAndPut)
+	})
+}
+
+// watcher is a caller that watches a key group, each time from the revision that it was given last.
+type watcher struct {
+	callers       *Callers
+	name          string
+	keyGroup      string
+	afterRevision uint64
+}
+
+func (w *watcher) watch() {
+	c := w.callers
+	if c.stopping {
+		return
+	}
+	timeout := []time.Duration{0, 300 * time.Millisecond, 2 * time.Second}[c.rng.IntN(3)]
+	call := coordination.Call{Operation: coordination.KeyWatch, Name: w.keyGroup, AfterRevision: w.afterRevision, Timeout: timeout}
+	c.world.Call(w.name, call, func(r *callhistory.Record) {
+		switch {
+		case r.Succeeded():
+			w.afterRevision = r.Result.Revision
+		case r.IsDefinite() && r.Result.Status == coordination.StatusCompacted:
+			w.afterRevision = 0
+		}
+		pause := c.randomDuration(0, 30*time.Millisecond)
+		if c.rng.IntN(15) == 0 {
+			pause = c.randomDuration(0, c.config.MaxWatcherPause)
+		}
+		c.world.After(pause, w.watch)
+	})
+}
--- /dev/null
+++ b/internal/lab/callers/locker.go
@@ -0,0 +1,94 @@
+package callers
+
+import (
+	"time"
+
+	"clovergap/internal/gateway/coordination"
+	"clovergap/internal/lab/callhistory"
+)
+
+// locker is a caller that holds locks, for an instant or for several renewals. Sometimes it crashes with the lock, is stopped beyond its
+// lease, or acquires a lock that it held before.
+type locker struct {
+	callers      *Callers
+	name         string
+	lock         string
+	fencingToken uint64
+	ttl          time.Duration
+	expiresAt    time.Duration // of the lease, by the caller's own clock
+}
+
+func (l *locker) acquire() {
+	c := l.callers
+	if c.stopping {
+		return
+	}
+	if l.lock == "" || c.rng.IntN(3) > 0 {
+		l.lock = lockName(c.rng.IntN(lockCount))
+	}
+	l.ttl = c.randomDuration(300*time.Millisecond, 2500*time.Millisecond)
+	if c.config.LongTTLs && c.rng.IntN(6) == 0 {
+		l.ttl *= 4
+	}
+	sent := c.world.Now()
+	call := coordination.Call{Operation: coordination.LockAcquire, Name: l.lock, Holder: l.name, TTL: l.ttl}
+	c.world.Call(l.name, call, func(r *callhistory.Record) {
+		if !r.Succeeded() {
+			c.world.After(c.randomDuration(10*time.Millisecond, 200*time.Millisecond), l.acquire)
+			return
+		}
+		l.fencingToken = r.Result.FencingToken
+		l.expiresAt = sent + l.ttl
+		l.keepLock(c.rng.IntN(6))
+	})
+}
+
+// keepLock goes on holding the lock, for so many renewals.
+func (l *locker) keepLock(renewals int) {
+	c := l.callers
+	draw := c.rng.IntN(20)
+	switch {
+	case draw == 0: // crashes, and comes back by the same name
+		c.world.After(c.randomDuration(0, 3*time.Second), l.acquire)
+	case draw == 1: // is stopped beyond its lease, and renews all the same
+		c.world.After(l.ttl+c.randomDuration(0, 500*time.Millisecond), func() { l.renew(0) })
+	case renewals == 0 || c.stopping:
+		c.world.After(c.randomDuration(0, 100*time.Millisecond), func() { l.release(c.rng.IntN(3)) })
+	default:
+		c.world.After(l.ttl/3, func() { l.renew(renewals - 1) })
+	}
+}
+
+// renew extends the lease, sometimes with a shorter one, and goes on holding the lock for so many further renewals.
+func (l *locker) renew(renewals int) {
+	c := l.callers
+	sent, ttl := c.world.Now(), l.ttl
+	if c.rng.IntN(5) == 0 {
+		ttl /= 4
+	}
+	call := coordination.Call{Operation: coordination.LockRenew, Name: l.lock, Holder: l.name, FencingToken: l.fencingToken, TTL: ttl}
+	c.world.Call(l.name, call, func(r *callhistory.Record) {
+		switch {
+		case r.Succeeded() && r.Ended <= l.expiresAt:
+			l.expiresAt = max(l.expiresAt, sent+ttl)
+			l.keepLock(renewals)
+		case shouldRetry(r) && c.world.Now() < l.expiresAt:
+			l.renew(renewals)
+		default:
+			l.acquire()
+		}
+	})
+}
+
+// release gives the lock back, with so many retries. Without an answer the caller goes on all the same.
+func (l *locker) release(retries int) {
+	c := l.callers
+	call := coordination.Call{Operation: coordination.LockRelease, Name: l.lock, Holder: l.name, FencingToken: l.fencingToken}
+	c.world.Call(l.name, call, func(r *callhistory.Record) {
+		if shouldRetry(r) && retries > 0 {
+			l.release(retries - 1)
+			return
+		}
+		l.acquire()
+	})
+}
