--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -11,54 +11,55 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// historyBuilder writes a history down, one call after the other unless it is told else.
+// historyBuilder builds a history of calls, one after the other.
 type historyBuilder struct {
 	records []*Record
 	now     time.Duration
 }
 
-func (h *historyBuilder) add(c coordination.Call, a coordination.Result) *Record {
-	r := &Record{Caller: "a", Call: c, Sent: h.now, Ended: h.now + 1, Result: a}
+func (h *historyBuilder) add(call coordination.Call, result coordination.Result) *Record {
+	r := &Record{Caller: "a", Call: call, Sent: h.now, Ended: h.now + 1, Result: result}
 	h.now += 2
 	h.records = append(h.records, r)
 	return r
 }
 
-func (h *historyBuilder) acquire(holder string, fence uint64, hold time.Duration) *Record {
-	return h.add(coordination.Call{Operation: coordination.LockAcquire, Name: "l", Holder: holder, TTL: hold}, coordination.Result{FencingToken: fence})
+func (h *historyBuilder) acquire(holder string, token uint64, ttl time.Duration) *Record {
+	return h.add(coordination.Call{Operation: coordination.LockAcquire, Name: "l", Holder: holder, TTL: ttl}, coordination.Result{FencingToken: token})
 }
 
-func (h *historyBuilder) release(holder string, fence uint64) *Record {
-	return h.add(coordination.Call{Operation: coordination.LockRelease, Name: "l", Holder: holder, FencingToken: fence}, coordination.Result{})
+func (h *historyBuilder) release(holder string, token uint64) *Record {
+	return h.add(coordination.Call{Operation: coordination.LockRelease, Name: "l", Holder: holder, FencingToken: token}, coordination.Result{})
 }
 
 func (h *historyBuilder) number(value uint64) *Record {
 	return h.add(coordination.Call{Operation: coordination.NumberNext, Name: "n"}, coordination.Result{Number: value})
 }
 
-func (h *historyBuilder) put(value string, expected uint64, a coordination.Result) *Record {
-	return h.add(coordination.Call{Operation: coordination.KeyPut, Name: "g.k", Value: value, Conditional: expected > 0, ExpectedRevision: expected}, a)
+func (h *historyBuilder) put(value string, expected uint64, result coordination.Result) *Record {
+	return h.add(coordination.Call{Operation: coordination.KeyPut, Name: "g.k", Value: value, Conditional: expected > 0, ExpectedRevision: expected}, result)
 }
 
 func (h *historyBuilder) read(value string, revision uint64) *Record {
 	return h.add(coordination.Call{Operation: coordination.KeyRead, Name: "g.k"}, coordination.Result{Value: value, Revision: revision})
 }
 
-func (h *historyBuilder) watch(after uint64, a coordination.Result) *Record {
-	return h.add(coordination.Call{Operation: coordination.KeyWatch, Name: "g.", AfterRevision: after}, a)
+func (h *historyBuilder) watch(after uint64, result coordination.Result) *Record {
+	return h.add(coordination.Call{Operation: coordination.KeyWatch, Name: "g.", AfterRevision: after}, result)
 }
 
 func revision(r uint64) coordination.Result { return coordination.Result{Revision: r} }
 
-func events(revision uint64, all ...uint64) (a coordination.Result) {
-	for _, r := range all {
-		a.Events = append(a.Events, coordination.Event{Name: "g.k", Value: fmt.Sprint("v", r), Revision: r})
+// events is the result of a watch with events of these revisions.
+func events(revision uint64, revisions ...uint64) (result coordination.Result) {
+	for _, r := range revisions {
+		result.Events = append(result.Events, coordination.Event{Name: "g.k", Value: fmt.Sprint("v", r), Revision: r})
 	}
-	a.Revision = revision
-	return a
+	result.Revision = revision
+	return result
 }
 
-// Each rule is found broken where it is, and only that.
+// Each rule is found broken where it is; a history without faults breaks none.
 func TestRules(t *testing.T) {
 	conflict := coordination.Result{Status: coordination.StatusConflict, Revision: 1}
 	for name, x := range map[string]struct {
@@ -116,7 +117,7 @@
 		"nobody put it":  {RuleMixed, func(b *historyBuilder) { b.read("x", 1) }},
 		"two revisions":  {RuleMixed, func(b *historyBuilder) { b.put("v1", 0, revision(1)); b.read("v1", 2) }},
 		"no put gave it": {RuleMixed, func(b *historyBuilder) { b.put("v2", 0, revision(2)); b.put("v3", 7, conflict) }},
-		"turned away": {RuleRefused, func(b *historyBuilder) {
+		"rejected put is shown": {RuleRefused, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 3, conflict)
 			b.watch(1, events(2, 2))
@@ -146,8 +147,8 @@
 	}
 }
 
-// A history that a right system gives, whatever order its calls overlap in, breaks nothing and is linearizable; with one answer changed,
-// the linearizability checker says so.
+// A history of a faultless system, whatever order its calls overlap in, breaks no rule and is linearizable; with one answer changed, it is
+// not linearizable.
 func TestLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, last, value := &historyBuilder{}, uint64(0), ""
--- a/internal/lab/callhistory/linearizable.go
+++ b/internal/lab/callhistory/linearizable.go
@@ -10,122 +10,143 @@
 
 // modelCall is a call on one name, for the linearizability checker.
 type modelCall struct {
-	operation coordination.Operation
-	status    coordination.Status
-	bound     bool
-	expected  uint64
-	result    uint64 // revision or number
-	value     string
+	operation   coordination.Operation
+	status      coordination.Status
+	conditional bool
+	expected    uint64 // revision, of a conditional put
+	result      uint64 // revision or number
+	value       string
 }
 
 // modelState is a key or a counter.
 type modelState struct {
-	value    string
-	revision uint64
+	value string
+	last  uint64 // revision or number; 0: none yet
 }
 
-// callModel is a key or a counter that does one call at a time.
+// callModel is a key or a counter that does one call at a time. Revisions are a key group's, so those of one key have gaps.
 var callModel = porcupine.Model{
 	Init: func() any { return modelState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		now, x := state.(modelState), input.(modelCall)
+		current, call := state.(modelState), input.(modelCall)
 		switch {
-		case x.operation == coordination.NumberNext:
-			return x.result > now.revision, modelState{revision: x.result}
-		case x.operation == coordination.KeyPut && x.status == coordination.StatusOK:
-			return x.result > now.revision && (!x.bound || x.expected == now.revision), modelState{x.value, x.result}
-		case x.operation == coordination.KeyPut:
-			return x.result == now.revision && x.expected != now.revision, state
+		case call.operation == coordination.NumberNext:
+			return call.result > current.last, modelState{last: call.result}
+		case call.operation == coordination.KeyPut && call.status == coordination.StatusOK:
+			isExpected := !call.conditional || call.expected == current.last
+			return call.result > current.last && isExpected, modelState{value: call.value, last: call.result}
+		case call.operation == coordination.KeyPut: // a conflict
+			return call.result == current.last && call.expected != current.last, state
 		}
-		return x.result == now.revision && x.value == now.value, state
+		return call.result == current.last && call.value == current.value, state
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Linearizable checks that the calls on each counter and key could have been done one at a time, each between its sending and its end.
-// Names that take longer than so long are named as not decided.
-func Linearizable(all []*Record, most time.Duration) (broken []Violation, undecided []string) {
-	c := newChecker(all, Config{})
+// Linearizable checks that the calls on each counter and each key could have been done one at a time, each between its sending and its end.
+// The check of a name ends after timeout; undecided has the names whose check did.
+func Linearizable(history []*Record, timeout time.Duration) (violations []Violation, undecided []string) {
+	c := newChecker(history, Config{})
 	c.collectPuts()
-	for _, name := range sortedNames(c.recordsByName[coordination.KeyWatch]) {
-		for _, r := range c.recordsByName[coordination.KeyWatch][name] {
-			for _, e := range r.Result.Events {
-				c.recordObserved(r, e.Name, e.Value, e.Revision)
-			}
-		}
-	}
+	c.observeWatches()
 	check := func(name string, calls []porcupine.Operation) {
-		switch porcupine.CheckOperationsTimeout(callModel, calls, most) {
+		switch porcupine.CheckOperationsTimeout(callModel, calls, timeout) {
 		case porcupine.Illegal:
-			broken = append(broken, Violation{RuleOrder, name + ": no order of its calls gives these answers"})
+			violations = append(violations, Violation{Rule: RuleOrder, Text: name + ": no order of its calls gives these answers"})
 		case porcupine.Unknown:
 			undecided = append(undecided, name)
 		}
 	}
-	for _, name := range sortedNames(c.recordsByName[coordination.NumberNext]) {
-		var calls []porcupine.Operation
-		for _, r := range c.recordsByName[coordination.NumberNext][name] {
-			if r.Succeeded() {
-				calls = append(calls, newOperation(r.Sent, r.Ended, modelCall{operation: coordination.NumberNext, result: r.Result.Number}))
-			}
-		}
-		check(name, calls)
-	}
-	byKey := map[string][]*put{}
-	for _, name := range sortedNames(c.puts) {
-		byKey[c.puts[name].key] = append(byKey[c.puts[name].key], c.puts[name])
+	numbers := c.recordsByName[coordination.NumberNext]
+	for _, name := range sortedNames(numbers) {
+		check(name, numberOperations(numbers[name]))
 	}
+	byKey := c.putsByKey()
 	for _, key := range sortedNames(byKey) {
 		check(key, c.keyOperations(key, byKey[key]))
 	}
-	return broken, undecided
+	return violations, undecided
+}
+
+func newOperation(sent, ended time.Duration, call modelCall) porcupine.Operation {
+	return porcupine.Operation{Input: call, Call: int64(sent), Return: int64(ended)}
+}
+
+func numberOperations(records []*Record) (operations []porcupine.Operation) {
+	for _, r := range succeeded(records) {
+		call := modelCall{operation: coordination.NumberNext, result: r.Result.Number}
+		operations = append(operations, newOperation(r.Sent, r.Ended, call))
+	}
+	return operations
 }
 
-func newOperation(sent, ended time.Duration, s modelCall) porcupine.Operation {
-	return porcupine.Operation{Input: s, Call: int64(sent), Return: int64(ended)}
+// keyOperations are a key's puts, each once however often it was sent, its conflicts and its reads.
+func (c *checker) keyOperations(key string, puts []*put) []porcupine.Operation {
+	reads := c.readOperations(key) // first: they show more puts that got no answer
+	operations, known, firstUnknown := putOperations(puts)
+	operations = append(operations, conflictOperations(puts, known, firstUnknown)...)
+	return append(operations, reads...)
 }
 
-// keyOperations are a key's puts, once each however often they were sent, its refusals and its reads. Reads show further puts that got no clear
-// answer; a refusal may show the revision of one whose value nobody saw.
-func (c *checker) keyOperations(key string, puts []*put) (calls []porcupine.Operation) {
-	var reads []*Record
+// readOperations are a key's reads. What they show is noted in the puts.
+func (c *checker) readOperations(key string) (operations []porcupine.Operation) {
 	for _, r := range c.recordsByName[coordination.KeyRead][key] {
+		isNotFound := r.IsDefinite() && r.Result.Status == coordination.StatusNotFound
+		if !r.Succeeded() && !isNotFound {
+			continue
+		}
 		if r.Succeeded() {
 			c.recordObserved(r, key, r.Result.Value, r.Result.Revision)
-			reads = append(reads, r)
-		} else if r.IsDefinite() && r.Result.Status == coordination.StatusNotFound {
-			reads = append(reads, r)
 		}
+		call := modelCall{operation: coordination.KeyRead, result: r.Result.Revision, value: r.Result.Value}
+		operations = append(operations, newOperation(r.Sent, r.Ended, call))
 	}
-	known, unseen := map[uint64]bool{}, Never
+	return operations
+}
+
+// putOperations are the puts whose revision is known, the set of these revisions, and when the first ambiguous put without a known revision
+// was sent: Never without one.
+func putOperations(puts []*put) (operations []porcupine.Operation, known map[uint64]bool, firstUnknown time.Duration) {
+	known, firstUnknown = map[uint64]bool{}, Never
 	for _, p := range puts {
+		revision := p.revision()
+		if revision == 0 {
+			if p.ambiguous {
+				firstUnknown = min(firstUnknown, p.firstSent.Sent)
+			}
+			continue
+		}
+		known[revision] = true
 		ended := Never
 		if p.firstSuccess != nil {
 			ended = p.firstSuccess.Ended
 		}
-		if at := p.revision(); at > 0 {
-			known[at] = true
-			calls = append(calls, newOperation(p.firstSent.Sent, ended, modelCall{operation: coordination.KeyPut, bound: p.firstSent.Call.Conditional, expected: p.firstSent.Call.ExpectedRevision,
-				result: at, value: p.value}))
-		} else if p.ambiguous {
-			unseen = min(unseen, p.firstSent.Sent)
-		}
+		first := &p.firstSent.Call
+		call := modelCall{operation: coordination.KeyPut, conditional: first.Conditional, expected: first.ExpectedRevision, result: revision,
+			value: p.value}
+		operations = append(operations, newOperation(p.firstSent.Sent, ended, call))
 	}
+	return operations, known, firstUnknown
+}
+
+// conflictOperations are the puts that ended with a conflict. A conflict may show the revision of an ambiguous put whose value was never
+// seen; such a put is added.
+func conflictOperations(puts []*put, known map[uint64]bool, firstUnknown time.Duration) (operations []porcupine.Operation) {
 	for _, p := range puts {
 		for _, r := range p.rejections {
 			if r.Result.Status != coordination.StatusConflict {
 				continue
 			}
-			if at := r.Result.Revision; at > 0 && !known[at] {
-				known[at] = true
-				calls = append(calls, newOperation(unseen, Never, modelCall{operation: coordination.KeyPut, result: at}))
+			revision := r.Result.Revision
+			if revision > 0 && !known[revision] {
+				known[revision] = true
+				unseen := modelCall{operation: coordination.KeyPut, result: revision}
+				operations = append(operations, newOperation(firstUnknown, Never, unseen))
 			}
-			calls = append(calls, newOperation(r.Sent, r.Ended, modelCall{operation: coordination.KeyPut, status: coordination.StatusConflict,
-				expected: r.Call.ExpectedRevision, result: r.Result.Revision}))
+			call := modelCall{operation: coordination.KeyPut, status: coordination.StatusConflict, expected: r.Call.ExpectedRevision,
+				result: revision}
+			operations = append(operations, newOperation(r.Sent, r.Ended, call))
 		}
 	}
-	for _, r := range reads {
-		calls = append(calls, newOperation(r.Sent, r.Ended, modelCall{operation: coordination.KeyRead, result: r.Result.Revision, value: r.Result.Value}))
-	}
-	return calls
+	return operations
 }
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -8,7 +8,7 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// tenure is a span in which a caller regards itself as a lock's holder.
+// tenure is a span in which a caller takes itself for a lock's holder.
 type tenure struct {
 	holder     string
 	start, end time.Duration
@@ -16,91 +16,95 @@
 
 // checkLocks checks ONE.
 func (c *checker) checkLocks() {
-	names := map[string][]*Record{}
+	byName := map[string][]*Record{}
 	for _, o := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
-		for name, all := range c.recordsByName[o] {
-			names[name] = append(names[name], all...)
+		for name, records := range c.recordsByName[o] {
+			byName[name] = append(byName[name], records...)
 		}
 	}
-	for _, name := range sortedNames(names) {
-		all := names[name]
-		slices.SortStableFunc(all, func(a, b *Record) int { return cmp.Compare(a.Sent, b.Sent) })
-		c.checkFencingTokens(name, all)
-		c.checkOverlaps(name, tenures(all))
+	for _, name := range sortedNames(byName) {
+		records := byName[name]
+		slices.SortStableFunc(records, func(a, b *Record) int { return cmp.Compare(a.Sent, b.Sent) })
+		c.checkFencingTokens(name, records)
+		c.checkOverlaps(name, tenures(records))
 	}
 }
 
-// checkFencingTokens checks that fences rise over holders.
-func (c *checker) checkFencingTokens(name string, all []*Record) {
-	var given []*Record
-	for _, r := range all {
+// checkFencingTokens checks that fencing tokens rise from holder to holder.
+func (c *checker) checkFencingTokens(name string, records []*Record) {
+	var granted []*Record
+	for _, r := range records {
 		if r.Call.Operation == coordination.LockAcquire && r.Succeeded() {
-			given = append(given, r)
+			granted = append(granted, r)
 		}
 	}
-	for _, r := range given {
-		for _, x := range given {
+	for _, r := range granted {
+		for _, other := range granted {
 			switch {
-			case x.Call.Holder == r.Call.Holder:
-			case x.Result.FencingToken == r.Result.FencingToken && x.Sent < r.Sent:
-				c.report(RuleOne, "%s: two holders got fence %d: %v and %v", name, r.Result.FencingToken, x, r)
-			case x.endedBefore(r) && x.Result.FencingToken > r.Result.FencingToken:
-				c.report(RuleOne, "%s: a fence not above one given before: %v after %v", name, r, x)
+			case other.Call.Holder == r.Call.Holder:
+			case other.Result.FencingToken == r.Result.FencingToken && other.Sent < r.Sent:
+				c.report(RuleOne, "%s: two holders got fence %d: %v and %v", name, r.Result.FencingToken, other, r)
+			case other.endedBefore(r) && other.Result.FencingToken > r.Result.FencingToken:
+				c.report(RuleOne, "%s: a fence not above one given before: %v after %v", name, r, other)
 			}
 		}
 	}
 }
 
-// tenures are the spans in which each holder counts itself one: from a good answer until the time after the last good call was sent, or
-// until it gave the lock back.
-func tenures(all []*Record) (spans []tenure) {
+// tenures are the spans in which each holder takes itself for one: from a successful answer until the lease, counted from the sending of the
+// last successful call, expires, or until it sends a release.
+func tenures(records []*Record) (ended []tenure) {
 	open := map[string]*tenure{}
-	for _, r := range all {
-		h := r.Call.Holder
-		now := open[h]
+	for _, r := range records {
+		holder := r.Call.Holder
+		current := open[holder]
 		switch r.Call.Operation {
 		case coordination.LockRelease:
-			if now != nil {
-				now.end = min(now.end, r.Sent)
-				spans = append(spans, *now)
-				delete(open, h)
+			if current != nil {
+				current.end = min(current.end, r.Sent)
+				ended = append(ended, *current)
+				delete(open, holder)
 			}
 		case coordination.LockAcquire:
 			if !r.Succeeded() {
 				continue
 			}
-			if now != nil && r.Ended <= now.end { // it asks again, and goes on holding
-				now.end = max(now.end, r.Sent+r.Call.TTL)
+			if current != nil && r.Ended <= current.end { // it acquires again while it holds the lock
+				current.end = max(current.end, r.Sent+r.Call.TTL)
 				continue
 			}
-			if now != nil {
-				spans = append(spans, *now)
+			if current != nil {
+				ended = append(ended, *current)
 			}
-			open[h] = &tenure{h, r.Ended, r.Sent + r.Call.TTL}
+			open[holder] = &tenure{holder: holder, start: r.Ended, end: r.Sent + r.Call.TTL}
 		case coordination.LockRenew:
-			switch {
-			case now == nil || !r.IsDefinite():
-			case r.Result.Status == coordination.StatusLockLost:
-				now.end = min(now.end, r.Ended)
-			case r.Succeeded() && r.Ended <= now.end:
-				now.end = max(now.end, r.Sent+r.Call.TTL)
-			}
+			current.renew(r)
 		}
 	}
-	for _, h := range sortedNames(open) {
-		spans = append(spans, *open[h])
+	for _, holder := range sortedNames(open) {
+		ended = append(ended, *open[holder])
+	}
+	return ended
+}
+
+// renew takes a renewal's answer. It may be called without a tenure.
+func (t *tenure) renew(r *Record) {
+	switch {
+	case t == nil || !r.IsDefinite():
+	case r.Result.Status == coordination.StatusLockLost:
+		t.end = min(t.end, r.Ended)
+	case r.Succeeded() && r.Ended <= t.end:
+		t.end = max(t.end, r.Sent+r.Call.TTL)
 	}
-	return spans
 }
 
-// checkOverlaps checks that no two holders count themselves one at the same moment.
+// checkOverlaps checks that no two holders take themselves for one at the same moment.
 func (c *checker) checkOverlaps(name string, spans []tenure) {
 	slices.SortFunc(spans, func(a, b tenure) int { return cmp.Compare(a.start, b.start) })
 	for i, a := range spans {
 		for _, b := range spans[i+1:] {
 			if a.holder != b.holder && b.start < a.end && a.start < b.end {
-				c.report(RuleOne, "%s: %s holds it from %v to %v, %s from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start,
-					b.end)
+				c.report(RuleOne, "%s: %s holds it from %v to %v, %s from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start, b.end)
 			}
 		}
 	}
