--- /dev/null
+++ b/internal/lab/callhistory/linearizable.go
@@ -0,0 +1,152 @@
+package callhistory
+
+import (
+	"time"
+
+	"github.com/anishathalye/porcupine"
+
+	"clovergap/internal/gateway/coordination"
+)
+
+// modelCall is a call on one name, for the linearizability checker.
+type modelCall struct {
+	operation   coordination.Operation
+	status      coordination.Status
+	conditional bool
+	expected    uint64 // revision, of a conditional put
+	result      uint64 // revision or number
+	value       string
+}
+
+// modelState is a key or a counter.
+type modelState struct {
+	value string
+	last  uint64 // revision or number; 0: none yet
+}
+
+// callModel is a key or a counter that does one call at a time. Revisions are a key group's, so those of one key have gaps.
+var callModel = porcupine.Model{
+	Init: func() any { return modelState{} },
+	Step: func(state, input, _ any) (bool, any) {
+		current, call := state.(modelState), input.(modelCall)
+		switch {
+		case call.operation == coordination.NumberNext:
+			return call.result > current.last, modelState{last: call.result}
+		case call.operation == coordination.KeyPut && call.status == coordination.StatusOK:
+			isExpected := !call.conditional || call.expected == current.last
+			return call.result > current.last && isExpected, modelState{value: call.value, last: call.result}
+		case call.operation == coordination.KeyPut: // a conflict
+			return call.result == current.last && call.expected != current.last, state
+		}
+		return call.result == current.last && call.value == current.value, state
+	},
+	Equal: func(a, b any) bool { return a == b },
+}
+
+// Linearizable checks that the calls on each counter and each key could have been done one at a time, each between its sending and its end.
+// The check of a name ends after timeout; undecided has the names whose check did.
+func Linearizable(history []*Record, timeout time.Duration) (violations []Violation, undecided []string) {
+	c := newChecker(history, Config{})
+	c.collectPuts()
+	c.observeWatches()
+	check := func(name string, calls []porcupine.Operation) {
+		switch porcupine.CheckOperationsTimeout(callModel, calls, timeout) {
+		case porcupine.Illegal:
+			violations = append(violations, Violation{Rule: RuleOrder, Text: name + ": no order of its calls gives these answers"})
+		case porcupine.Unknown:
+			undecided = append(undecided, name)
+		}
+	}
+	numbers := c.recordsByName[coordination.NumberNext]
+	for _, name := range sortedNames(numbers) {
+		check(name, numberOperations(numbers[name]))
+	}
+	byKey := c.putsByKey()
+	for _, key := range sortedNames(byKey) {
+		check(key, c.keyOperations(key, byKey[key]))
+	}
+	return violations, undecided
+}
+
+func newOperation(sent, ended time.Duration, call modelCall) porcupine.Operation {
+	return porcupine.Operation{Input: call, Call: int64(sent), Return: int64(ended)}
+}
+
+func numberOperations(records []*Record) (operations []porcupine.Operation) {
+	for _, r := range succeeded(records) {
+		call := modelCall{operation: coordination.NumberNext, result: r.Result.Number}
+		operations = append(operations, newOperation(r.Sent, r.Ended, call))
+	}
+	return operations
+}
+
+// keyOperations are a key's puts, each once however often it was sent, its conflicts and its reads.
+func (c *checker) keyOperations(key string, puts []*put) []porcupine.Operation {
+	reads := c.readOperations(key) // first: they show more puts that got no answer
+	operations, known, firstUnknown := putOperations(puts)
+	operations = append(operations, conflictOperations(puts, known, firstUnknown)...)
+	return append(operations, reads...)
+}
+
+// readOperations are a key's reads. What they show is noted in the puts.
+func (c *checker) readOperations(key string) (operations []porcupine.Operation) {
+	for _, r := range c.recordsByName[coordination.KeyRead][key] {
+		isNotFound := r.IsDefinite() && r.Result.Status == coordination.StatusNotFound
+		if !r.Succeeded() && !isNotFound {
+			continue
+		}
+		if r.Succeeded() {
+			c.recordObserved(r, key, r.Result.Value, r.Result.Revision)
+		}
+		call := modelCall{operation: coordination.KeyRead, result: r.Result.Revision, value: r.Result.Value}
+		operations = append(operations, newOperation(r.Sent, r.Ended, call))
+	}
+	return operations
+}
+
+// putOperations are the puts whose revision is known, the set of these revisions, and when the first ambiguous put without a known revision
+// was sent: Never without one.
+func putOperations(puts []*put) (operations []porcupine.Operation, known map[uint64]bool, firstUnknown time.Duration) {
+	known, firstUnknown = map[uint64]bool{}, Never
+	for _, p := range puts {
+		revision := p.revision()
+		if revision == 0 {
+			if p.ambiguous {
+				firstUnknown = min(firstUnknown, p.firstSent.Sent)
+			}
+			continue
+		}
+		known[revision] = true
+		ended := Never
+		if p.firstSuccess != nil {
+			ended = p.firstSuccess.Ended
+		}
+		first := &p.firstSent.Call
+		call := modelCall{operation: coordination.KeyPut, conditional: first.Conditional, expected: first.ExpectedRevision, result: revision,
+			value: p.value}
+		operations = append(operations, newOperation(p.firstSent.Sent, ended, call))
+	}
+	return operations, known, firstUnknown
+}
+
+// conflictOperations are the puts that ended with a conflict. A conflict may show the revision of an ambiguous put whose value was never
+// seen; such a put is added.
+func conflictOperations(puts []*put, known map[uint64]bool, firstUnknown time.Duration) (operations []porcupine.Operation) {
+	for _, p := range puts {
+		for _, r := range p.rejections {
+			if r.Result.Status != coordination.StatusConflict {
+				continue
+			}
+			revision := r.Result.Revision
+			if revision > 0 && !known[revision] {
+				known[revision] = true
+				unseen := modelCall{operation: coordination.KeyPut, result: revision}
+				operations = append(operations, newOperation(firstUnknown, Never, unseen))
+			}
+			call := modelCall{operation: coordination.KeyPut, status: coordination.StatusConflict, expected: r.Call.ExpectedRevision,
+				result: revision}
+			operations = append(operations, newOperation(r.Sent, r.Ended, call))
+		}
+	}
+	return operations
+}
