--- /dev/null
+++ b/internal/gateway/coordination/watch_parked.go
@@ -0,0 +1,113 @@
+package coordination
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"clovergap/internal/gateway/groups"
+)
+
+// parkedWatch is a watch of any node that waits for a put, at the leader of its group.
+type parkedWatch struct {
+	sequence      uint32
+	group         groups.ID
+	keyGroup      string
+	afterRevision uint64
+	deadline      time.Duration
+	reply         replyFunc
+}
+
+// serveWatch answers a watch as soon as there are events, or its timeout has passed. Events need no majority: they are committed. That
+// there are none does, and so does the current revision.
+func (s *Service) serveWatch(group groups.ID, c *Call, reply replyFunc) {
+	state := s.hosted[group].state
+	if c.AfterRevision == 0 {
+		s.readLinearizable(group, s.config.TestingKnobs.WatchWithoutQuorum, reply, func() Result {
+			return Result{Revision: state.keyGroupRevision(c.Name)}
+		})
+		return
+	}
+	if result := state.eventsAfter(c.Name, c.AfterRevision); result.endsWatch() {
+		reply(AttemptDone, result)
+		return
+	}
+	w := &parkedWatch{
+		sequence:      s.nextSequence(),
+		group:         group,
+		keyGroup:      c.Name,
+		afterRevision: c.AfterRevision,
+		deadline:      s.host.Now() + c.Timeout,
+		reply:         reply,
+	}
+	if c.Timeout <= 0 || len(s.parkedWatches) >= maxParkedWatches {
+		s.expireWatch(w)
+		return
+	}
+	s.park(w)
+}
+
+// endsWatch tells whether a watch need not wait any longer.
+func (r *Result) endsWatch() bool { return r.Status != StatusOK || len(r.Events) > 0 }
+
+func (s *Service) park(w *parkedWatch) {
+	s.parkedWatches[w.sequence] = w
+	if s.parkedByKeyGroup[w.keyGroup] == nil {
+		s.parkedByKeyGroup[w.keyGroup] = map[uint32]*parkedWatch{}
+	}
+	s.parkedByKeyGroup[w.keyGroup][w.sequence] = w
+	s.env.ScheduleAt(w.deadline, w.sequence)
+}
+
+func (s *Service) unpark(w *parkedWatch) {
+	delete(s.parkedWatches, w.sequence)
+	delete(s.parkedByKeyGroup[w.keyGroup], w.sequence)
+	if len(s.parkedByKeyGroup[w.keyGroup]) == 0 {
+		delete(s.parkedByKeyGroup, w.keyGroup)
+	}
+}
+
+// parkedIn are the parked watches of a group, by sequence number.
+func (s *Service) parkedIn(id groups.ID) (list []*parkedWatch) {
+	for _, sequence := range sortedKeys(s.parkedWatches) {
+		if w := s.parkedWatches[sequence]; w.group == id {
+			list = append(list, w)
+		}
+	}
+	return list
+}
+
+func (s *Service) handleWatchTimer(w *parkedWatch) {
+	if s.host.Now() < w.deadline {
+		return
+	}
+	s.unpark(w)
+	s.expireWatch(w)
+}
+
+// expireWatch answers a watch whose timeout has passed, after a majority has confirmed that there are no events that it lacks.
+func (s *Service) expireWatch(w *parkedWatch) {
+	s.readLinearizable(w.group, s.config.TestingKnobs.WatchWithoutQuorum, w.reply, func() Result {
+		return s.hosted[w.group].state.eventsAfter(w.keyGroup, w.afterRevision)
+	})
+}
+
+// NotifyWatchers answers the parked watches of key groups that were put. The node calls it at the end of each turn, so that one answer holds
+// all events of the turn.
+func (s *Service) NotifyWatchers() {
+	for len(s.changedKeyGroups) > 0 {
+		keyGroup := s.changedKeyGroups[0]
+		s.changedKeyGroups = s.changedKeyGroups[1:]
+		for _, sequence := range sortedKeys(s.parkedByKeyGroup[keyGroup]) {
+			w := s.parkedWatches[sequence]
+			if result := s.hosted[w.group].state.eventsAfter(keyGroup, w.afterRevision); result.endsWatch() {
+				s.unpark(w)
+				w.reply(AttemptDone, result)
+			}
+		}
+	}
+	s.changedKeyGroups = nil
+}
+
+// sortedKeys gives a map's keys in order, so that the same input leads to the same output in the same order.
+func sortedKeys[V any](m map[uint32]V) []uint32 { return slices.Sorted(maps.Keys(m)) }
--- a/internal/gateway/node/group_replica.go
+++ b/internal/gateway/node/group_replica.go
@@ -6,7 +6,7 @@
 
 	"clovergap/internal/gateway/groups"
 	"clovergap/internal/gateway/replication"
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/invariant"
 )
 
 const (
--- a/internal/gateway/node/rollout_calls.go
+++ b/internal/gateway/node/rollout_calls.go
@@ -13,7 +13,7 @@
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/invariant"
 )
 
 // Rollout takes an operator's order to the leader, as a change of the configuration goes. What is wrong in itself, or is known here to
