--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -78,7 +78,7 @@
 	quota      *quota.Limiter
 	admission  *admission.Controller
 	gate       *gate.Gate
-	rollouts   rolloutHost
+	rollouts   *rolloutHost
 	dispatcher Dispatcher
 	frontend   Frontend
 
@@ -101,18 +101,13 @@
 	incomingBlob replication.BlobReceiver // from the node that is followed
 	coordination *coordination.Service
 
-	pendingCalls    map[uint32]*pendingCall
-	chunked         chunkedCalls
-	lastCallID      uint32
+	calls           *callRouter
 	fault           fault // tests put one in
 	slotRequestedAt time.Duration
 	heartbeatAt     time.Duration
 	slotCount       int
-	reachable       int    // nodes in reach
-	loggedReachable int    // and as last logged
-	loggedUnmet     string // nodes that said no hello, as last logged
-	stateLoggedAt   time.Duration
-	loggedUnready   string // why clients were last not wanted, as logged
+	reachable       int // nodes in reach
+	logged          loggedState
 	shuttingDown    bool
 }
 
@@ -126,8 +121,9 @@
 	if memory <= 0 {
 		memory = 256
 	}
-	s := newSockets(fds, memory)
-	return assemble(&Node{settings: sheet, sockets: s, log: newLogger(sheet.NodeName)}, s)
+	s, logger := newSockets(fds, memory), newLogger(sheet.NodeName)
+	logPoller(logger)
+	return assemble(&Node{settings: sheet, sockets: s, log: logger}, s)
 }
 
 // NewWithEnvironment puts a node together over what it is given to stand on; Begin begins it.
@@ -141,10 +137,10 @@
 	h.loop, h.counters = b, b.Counters()
 	h.machine, h.table, h.upstreamReports, h.learners = statemachine.New(), routing.NewTable(nil), map[string]upstreamReport{}, map[string]*learner{}
 	h.learnerClocks = map[string]clockEcho{}
-	h.pendingCalls, h.chunked, h.pendingHeartbeats, h.catalog = map[uint32]*pendingCall{}, newChunkedCalls(), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
+	h.calls, h.pendingHeartbeats, h.catalog = newCallRouter(h, h.incarnation), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
 	h.fault = plantedFault
 	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Config{Address: h.peerAddr, Incarnation: h.incarnation, HistoryRetention: h.settings.Bounds.WatchHistory})
-	h.groups = &groupHost{node: h}
+	h.groups = &groupHost{env: h}
 	h.coordination.SetHost(h.groups)
 	if h.sockets != nil {
 		h.sockets.node = h
@@ -186,7 +182,7 @@
 	n.quota = quota.NewLimiter(n.seed, 0, 1, n.loop.Now(), quota.Config{MinInterval: 50 * time.Millisecond,
 		SnapshotTTL: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MaxUnits: 1, Strict: true, InitialFill: coldStartQuotaShare, OwnershipDelay: newOwnerDelay,
 		Window: n.settings.Bounds.QuotaWindow, Excess: n.settings.Bounds.QuotaExcess, Margin: float64(n.settings.Bounds.QuotaMargin)})
-	n.openRollouts()
+	n.rollouts = newRolloutHost(n, n, n.settings.Zone, n.incarnation)
 	n.admission = admission.New(n.seed, admission.Config{Zone: n.catalog.zoneID(n.settings.Zone),
 		RetryRatio: n.settings.Bounds.RetryRatio, RetryWindow: n.settings.Bounds.RetryWindow,
 		RetryAllowance: n.settings.Bounds.RetryExtra, Nodes: 1}, n.quota, n.loop.Now())
@@ -273,18 +269,16 @@
 	if h.streamDeferred {
 		h.streamToLearners()
 	}
-	h.tickTransfers()
+	h.calls.chunks.tick()
 	h.checkUpstream()
 	h.requestSlot()
-	h.tickRollouts()
+	h.rollouts.tick()
 	h.groups.requestFounding()
 	if h.core != nil {
 		h.groups.maintain()
 		h.core.saveRegistry()
 	}
-	if now-h.stateLoggedAt >= time.Second {
-		h.logStateChanges()
-	}
+	h.logStateChanges()
 }
 
 // customerID names a tenant for the quota: the same at every node. Messages carry 34 bits of it.
