--- a/internal/gateway/admission/canary.go
+++ b/internal/gateway/admission/canary.go
@@ -8,105 +8,105 @@
 	"clovergap/internal/gateway/rollout"
 )
 
-// Two versions of a service are two deployments, each with its own line, room and usual times, and one budget of further
-// tries. Calls name the main one alone; which requests go to the other is said by Open and, of each user, by Sides.
+// During a roll-out a service has two versions, each with its own queue, balancer and usual answer times, and one retry budget. Routes name
+// the stable one. Which requests go to the canary is said by CanaryAccess and, for each user, by the Assigner.
 
-// CanaryAccess is who may go to the version that is not the main one.
+// CanaryAccess says who may go to a canary.
 type CanaryAccess uint8
 
-// Who may go to a side.
+// Who may go to a canary.
 const (
-	CanaryClosed   CanaryAccess = iota // nobody, whatever becomes of the main one
-	CanaryFallback                     // who finds nobody ready at the main one
-	CanaryShared                       // whom Sides sends there
+	CanaryClosed   CanaryAccess = iota // nobody, whatever becomes of the stable version
+	CanaryFallback                     // requests for which the stable version has no backend
+	CanaryShared                       // requests that the Assigner sends there
 )
 
-// Assigner decides on which side of a roll-out a request begins, and hears how the first submissions of those ended that
-// the versions are compared by.
+// Assigner decides at which version a request begins, and learns how the first submissions ended by which the versions are compared.
 type Assigner interface {
 	Assign(id control.TxnID, kind control.ProductID, service control.ServiceID) Assignment
-	SubmissionEnded(e Comparison)
+	SubmissionEnded(c Comparison)
 }
 
-// Assignment is where a request begins.
+// Assignment is where a request begins. The zero value: at the stable version, and it does not count.
 type Assignment struct {
 	Number rollout.Number
 	Side   rollout.Side
-	Counts bool // it is one that the versions are compared by
+	Counts bool // the versions are compared by its first submission
 	Tenant uint32
 }
 
+// mayUseCanary tells whether a request that began there may be sent to the canary.
+func (a Assignment) mayUseCanary() bool { return rollout.MayAttempt(a.Side, rollout.Canary) }
+
 // Comparison is the end of a first submission that counts.
 type Comparison struct {
 	Assignment
-	Service   control.ServiceID
+	Service   control.ServiceID // the stable version
 	Kind      control.ProductID
 	Effectful bool
 	Backend   control.BackendID
 	Ending    control.Ending
 	Took      time.Duration
-	WarmingUp bool
+	WarmingUp bool // the time says nothing of the version: the backend is warming up, or this process stood still
 }
 
-// SetAssigner says who decides on sides. Without any roll-out it is never asked.
-func (c *Controller) SetAssigner(s Assigner) { c.assigner = s }
+// SetAssigner sets who assigns requests to versions. Without a roll-out it is not asked.
+func (c *Controller) SetAssigner(a Assigner) { c.assigner = a }
 
-// SetRollout puts another version beside a service, known by a number of its own, and says who may go there. What
-// waits there and may not any more moves to the main one's line; what was sent ends as it will.
-func (c *Controller) SetRollout(service, under control.ServiceID, open CanaryAccess) {
-	m, u := c.service(service), c.service(under)
-	if u.stable == nil {
-		u.stable, m.canary, u.budget = m, u, m.budget
+// SetRollout puts a canary, which has a number of its own, beside a service, and says who may go there. Requests that wait there and may not any
+// more move to the stable version; submissions in flight end there.
+func (c *Controller) SetRollout(stable, canary control.ServiceID, access CanaryAccess) {
+	s, other := c.service(stable), c.service(canary)
+	if other.stable == nil {
+		other.stable, s.canary, other.budget = s, other, s.budget
 	}
-	if m.canaryAccess = open; open == CanaryShared {
+	if s.canaryAccess = access; access == CanaryShared {
 		return
 	}
-	for _, t := range u.queue {
+	for _, t := range other.queue {
 		t.queued = false
 		c.undecided = append(c.undecided, t)
 	}
-	u.queue = nil
+	other.queue = nil
 }
 
-// chooseVersion settles where a txn goes next: its first submission by its user, a further one to the main version; to the
-// other only from there, or where all may, and the main one has nobody for it.
+// chooseVersion settles where a request goes next: its first submission where its user is assigned, a retry to the stable version. Where that has no
+// backend, all go to the canary if it is the fallback, otherwise only retries of requests that began there.
 func (c *Controller) chooseVersion(t *txn) {
-	m := t.service
-	if m.stable != nil {
-		m = m.stable
-	}
-	u, to := m.canary, m
-	if u == nil {
+	stable := t.service.stableVersion()
+	canary := stable.canary
+	if canary == nil {
 		return
 	}
-	switch none := !m.balancer.HasBackend(t.balancerRequest()) && u.balancer.HasBackend(t.balancerRequest()); {
-	case m.canaryAccess == CanaryClosed:
-	case m.canaryAccess == CanaryFallback:
-		if none {
-			to = u
+	to := stable
+	onlyCanary := !stable.balancer.HasBackend(t.balancerRequest()) && canary.balancer.HasBackend(t.balancerRequest())
+	switch {
+	case stable.canaryAccess == CanaryClosed:
+	case stable.canaryAccess == CanaryFallback:
+		if onlyCanary {
+			to = canary
 		}
 	case t.submissions > 0:
-		if none && rollout.MayAttempt(t.assignment.Side, rollout.Canary) {
-			to = u
+		if onlyCanary && t.assignment.mayUseCanary() {
+			to = canary
 		}
 	case !t.versionChosen:
-		t.assignment = c.assigner.Assign(t.ID, t.Product, m.id)
-		if t.assignment.Side == rollout.Canary && u.balancer.Ready() > 0 {
-			to = u
-		} else if t.assignment.Side == rollout.Canary { // all of the new version are gone: that is no verdict
-			t.assignment = Assignment{}
+		t.assignment = c.assigner.Assign(t.ID, t.Product, stable.id)
+		if t.assignment.Side == rollout.Canary && canary.balancer.Ready() > 0 {
+			to = canary
 		}
-	case t.service == u:
-		to = u
+	case t.service == canary:
+		to = canary
 	}
 	t.versionChosen = true
-	if to == m && t.submissions == 0 && t.assignment.Side == rollout.Canary {
-		t.assignment = Assignment{}
+	if to == stable && t.submissions == 0 && t.assignment.Side == rollout.Canary {
+		t.assignment = Assignment{} // no backend of the canary is ready: that is no finding about the version
 	}
-	c.move(t, to)
+	c.moveTo(t, to)
 }
 
-func (c *Controller) move(t *txn, to *service) {
+// moveTo changes the version that a request is counted at.
+func (c *Controller) moveTo(t *txn, to *service) {
 	if t.service != to {
 		t.service.txnCount--
 		to.txnCount++
@@ -114,88 +114,33 @@
 	}
 }
 
-// fallBackToStable moves a txn that has waited in vain for the other version to the main one, where it goes at once or not
-// at all: the one that is being tried out may be short of room, the main one is not to be.
+// fallBackToStable moves a first submission that has waited in vain in a canary's queue to the stable version, where it goes at once or not
+// at all: the canary may be short of capacity, the stable version is not to be. false: it can't.
 func (c *Controller) fallBackToStable(t *txn) bool {
-	m := t.service.stable
-	if m == nil || t.submissions > 0 || m.balancer.Ready() == 0 {
+	stable := t.service.stable
+	if stable == nil || t.submissions > 0 || stable.balancer.Ready() == 0 {
 		return false
 	}
-	t.service.queue = slices.DeleteFunc(t.service.queue, func(x *txn) bool { return x == t })
+	t.service.queue = slices.DeleteFunc(t.service.queue, func(other *txn) bool { return other == t })
 	t.queued, t.assignment = false, Assignment{}
-	c.move(t, m)
+	c.moveTo(t, stable)
 	c.enqueue(t)
 	return true
 }
 
-// mayUseVersion tells whether a txn may be sent to the version that its deployment is: asked again with each send.
-func (t *txn) mayUseVersion() bool {
-	m := t.service.stable
-	return m == nil || m.canaryAccess == CanaryFallback || m.canaryAccess == CanaryShared && rollout.MayAttempt(t.assignment.Side, rollout.Canary)
-}
-
-// reportComparison tells of the end of a first submission. What ended by this node's own doing says nothing; one that was
-// called off since its backend was silent is the backend's.
-func (c *Controller) reportComparison(t *txn, how control.Ending, took time.Duration) {
-	own := t.sentAt < c.pausedUntil
-	if t.canceled || how == control.Canceled && t.clientLeft && t.route.LatencyTarget > 0 && took >= t.route.LatencyTarget {
-		how = control.TimedOut // its client waited for as long as an answer has its full worth
-	}
-	if how == control.Canceled || how == control.NotSent || own && how == control.TimedOut {
-		return
+// reportComparison reports the end of a first submission that counts. What ended by this node's own doing says nothing of a version. A
+// submission that was canceled because its backend was dead, or whose client left after the target, timed out.
+func (c *Controller) reportComparison(t *txn, e control.Ending, took time.Duration) {
+	selfInflicted := t.sentAt < c.pausedUntil
+	target := t.route.LatencyTarget
+	if t.canceled || e == control.Canceled && t.clientLeft && target > 0 && took >= target {
+		e = control.TimedOut
 	}
-	m := t.service
-	if m.stable != nil {
-		m = m.stable
-	}
-	c.assigner.SubmissionEnded(Comparison{Assignment: t.assignment, Service: m.id, Kind: t.Product, Effectful: t.route.Effectful, Backend: t.backend, Ending: how,
-		Took: took, WarmingUp: own || t.service.balancer.WarmingUp(c.now, t.backend)})
-}
-
-// readyBackends counts the backends of a service that may get something, of both versions.
-func (s *service) readyBackends() int {
-	n := s.balancer.Ready()
-	if s.canary != nil && s.canaryAccess != CanaryClosed {
-		n += s.canary.balancer.Ready()
-	}
-	return n
-}
-
-// concurrency is how many requests a service has under way from this node, on average over spans of some seconds: the most that any of
-// them had, of late.
-type concurrency struct {
-	busyTime time.Duration // that ended requests took, in this span
-	since    time.Duration
-	peaks    [2]float64 // in the present period and the one before
-	period   time.Duration
-}
-
-const (
-	concurrencySpan   = 10 * time.Second
-	concurrencyPeriod = 30 * time.Minute
-)
-
-func (c *concurrency) advance(now time.Duration) {
-	if now-c.since < concurrencySpan {
+	if e == control.Canceled || e == control.NotSent || selfInflicted && e == control.TimedOut {
 		return
 	}
-	if nr := now / concurrencyPeriod; nr != c.period {
-		c.peaks[1] = 0
-		if nr == c.period+1 {
-			c.peaks[1] = c.peaks[0]
-		}
-		c.peaks[0], c.period = 0, nr
-	}
-	c.peaks[0] = max(c.peaks[0], float64(c.busyTime)/float64(now-c.since))
-	c.busyTime, c.since = 0, now
-}
-
-// PeakConcurrency is how many requests a service had under way from this node at its busiest of late, of both versions; 0: not known.
-func (c *Controller) PeakConcurrency(service control.ServiceID) float64 {
-	h := c.service(service)
-	most := max(h.concurrency.peaks[0], h.concurrency.peaks[1])
-	if h.canary != nil {
-		most += max(h.canary.concurrency.peaks[0], h.canary.concurrency.peaks[1])
-	}
-	return most
+	c.assigner.SubmissionEnded(Comparison{
+		Assignment: t.assignment, Service: t.service.stableVersion().id, Kind: t.Product, Effectful: t.route.Effectful, Backend: t.backend,
+		Ending: e, Took: took, WarmingUp: selfInflicted || t.service.balancer.WarmingUp(c.now, t.backend),
+	})
 }
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -82,7 +82,7 @@
 		unrun := k.ending == control.Rejected || k.ending == control.Unreachable || k.ending == control.NotSent
 		must.Eq(t, !unrun, e.mayHaveRun)
 		if k.begun || k.ending == control.Succeeded {
-			must.Eq(t, answered, e.answer)
+			must.Eq(t, clientHasIt, e.answer)
 			must.False(t, e.retryable)
 		} else {
 			must.Eq(t, unrun, e.answer == rejected) // a refusal is a promise that it has not run
@@ -98,7 +98,7 @@
 			d.endLast(k.ending, k.begun || k.ending == control.Succeeded)
 			x := d.last()
 			switch {
-			case e.answer == answered:
+			case e.answer == clientHasIt:
 				must.Len(t, 1, d.decided)
 			case e.retryable && (call.MaxAttempts == 2 || !e.arrived) && k.ending != control.TimedOut:
 				must.Eq(t, control.Submit, x.Action)
@@ -200,7 +200,7 @@
 	must.Len(t, 1, d.decided)
 	d.advance(from + 1500*time.Millisecond)
 	must.Eq(t, []control.Action{control.Submit, control.Fail, control.Cancel}, d.verbs())
-	must.Eq(t, ReasonNoTime, d.decided[1].Reason)
+	must.Eq(t, control.ReasonNoTime, d.decided[1].Reason)
 	must.MapLen(t, 1, d.txns) // its end is still to come
 	d.SubmissionEnded(1, 0, 1, control.Canceled, true, 1500*time.Millisecond, nil)
 	must.MapEmpty(t, d.txns)
@@ -268,7 +268,7 @@
 		d.pull()
 	}
 	must.Eq(t, []control.Action{control.Submit, control.Submit, control.Reject}, d.verbs())
-	must.Eq(t, ReasonNoUnits, d.last().Reason)
+	must.Eq(t, control.ReasonNoUnits, d.last().Reason)
 	must.Between(t, 500*time.Millisecond, d.last().After, 1001*time.Millisecond)
 }
 
--- a/internal/gateway/admission/queue.go
+++ b/internal/gateway/admission/queue.go
@@ -1,42 +1,44 @@
-// The queue of a service: requests that wait for a backend, and in which order they are taken.
-
 package admission
 
 import (
 	"slices"
 	"time"
 
+	"clovergap/control"
 	"clovergap/internal/gateway/balancer"
 )
 
-// enqueue puts a txn in the line of its service. All pass through it, so that no lower one overtakes.
+// enqueue puts a request into the queue of its service. Every request passes through it, so that none overtakes one of higher priority.
 func (c *Controller) enqueue(t *txn) {
-	h := t.service
-	if len(h.queue) >= maxQueue {
-		c.finish(t, ReasonNoBackend, c.retryAfter(h))
+	s := t.service
+	if len(s.queue) >= maxQueue {
+		c.finish(t, control.ReasonNoBackend, c.retryAfter(s))
 		return
 	}
 	if t.Customer != 0 && !t.consumed && !t.reserved {
-		// What covers it is kept for it: else a view that ages while it waits would refuse it.
+		// A snapshot of the quota that grows old while it waits would not cover it any more.
 		t.reserved = true
 		c.limiter.Reserve(t.Customer, t.Units)
 	}
-	at, _ := slices.BinarySearchFunc(h.queue, t, compareQueued)
-	h.queue = slices.Insert(h.queue, at, t)
-	t.queued, h.recheck = true, true
-	aim := t.targetAt - t.arrived
-	until := t.arrived + time.Duration(queueTimeShare*float64(aim)) - clientTravelTime
-	if t.submissions > 0 {
-		left := t.targetAt - c.now
-		if left <= 0 {
-			left = t.deadline - c.now
-		}
-		until = c.now + time.Duration(retryQueueTimeShare*float64(left))
+	at, _ := slices.BinarySearchFunc(s.queue, t, compareQueued)
+	s.queue = slices.Insert(s.queue, at, t)
+	t.queued, s.recheck = true, true
+	c.setGiveUp(t, max(c.queueDeadline(t), c.now+minWake))
+}
+
+// queueDeadline is until when a request waits for a backend.
+func (c *Controller) queueDeadline(t *txn) time.Duration {
+	if t.submissions == 0 {
+		return t.arrived + time.Duration(queueTimeShare*float64(t.targetAt-t.arrived)) - clientTravelTime
+	}
+	left := t.targetAt - c.now
+	if left <= 0 {
+		left = t.deadline - c.now
 	}
-	c.setGiveUp(t, max(until, c.now+time.Millisecond))
+	return c.now + time.Duration(retryQueueTimeShare*float64(left))
 }
 
-// compareQueued orders those who wait: by priority, one that was sent before first, then by arrival.
+// compareQueued is the order of a queue: by priority, then those that were sent before, then by arrival.
 func compareQueued(a, b *txn) int {
 	switch {
 	case a.rank != b.rank:
@@ -49,38 +51,45 @@
 	return -1
 }
 
-// sendQueued sends the first of a line for whom there is a backend; false when nobody may go now.
+// sendQueued takes one request out of a queue: it is sent, or answered if no backend is left for it. false: nothing can be done now.
 func (c *Controller) sendQueued() bool {
-	for _, h := range c.services {
-		if !h.recheck {
+	for _, s := range c.services {
+		if !s.recheck {
 			continue
 		}
-		stuck, effectful := 0, false
-		for i, t := range h.queue {
-			if t.route.Effectful && effectful && len(t.attempted) == 0 || stuck >= maxBlocked {
-				continue
-			}
-			id, a := h.balancer.Pick(c.now, t.balancerRequest())
-			if a == balancer.Saturated || a == balancer.NoBackend && len(t.attempted) == 0 {
-				// Nor is there anything for those behind, unless this one is choosier.
-				if !t.route.Effectful && len(t.attempted) == 0 {
-					break
-				}
-				stuck, effectful = stuck+1, effectful || t.route.Effectful && len(t.attempted) == 0
-				continue
-			}
-			if a == balancer.NoBackend {
-				h.queue = slices.Delete(h.queue, i, i+1)
-				t.queued = false
-				c.finish(t, ReasonNoBackend, c.retryAfter(h))
-				return true
-			}
-			h.queue = slices.Delete(h.queue, i, i+1)
-			t.queued = false
-			c.submit(t, id)
+		if c.sendFirst(s) {
 			return true
 		}
-		h.recheck = false
+		s.recheck = false
+	}
+	return false
+}
+
+// sendFirst looks for the first request of a queue for which the balancer has a backend, or never will have one. Where there is none for an idempotent
+// first submission, there is none for those behind it. An effectful one, or a retry, is choosier: those behind it may still go.
+func (c *Controller) sendFirst(s *service) bool {
+	blocked, effectfulBlocked := 0, false
+	for i, t := range s.queue {
+		first := len(t.attempted) == 0
+		if t.route.Effectful && effectfulBlocked && first || blocked >= maxBlocked {
+			continue
+		}
+		backend, result := s.balancer.Pick(c.now, t.balancerRequest())
+		if result == balancer.Saturated || result == balancer.NoBackend && first {
+			if !t.route.Effectful && first {
+				return false
+			}
+			blocked, effectfulBlocked = blocked+1, effectfulBlocked || t.route.Effectful && first
+			continue
+		}
+		s.queue = slices.Delete(s.queue, i, i+1)
+		t.queued = false
+		if result == balancer.NoBackend {
+			c.finish(t, control.ReasonNoBackend, c.retryAfter(s))
+		} else {
+			c.submit(t, backend)
+		}
+		return true
 	}
 	return false
 }
--- a/internal/gateway/admission/service.go
+++ b/internal/gateway/admission/service.go
@@ -1,7 +1,6 @@
 package admission
 
 import (
-	"fmt"
 	"slices"
 	"time"
 
@@ -9,152 +8,161 @@
 	"clovergap/internal/gateway/balancer"
 )
 
-// Services, advice and periodic work.
+// service is one version of a service.
+type service struct {
+	id          control.ServiceID
+	balancer    *balancer.Balancer
+	budget      *budget // shared by both versions
+	queue       []*txn  // waiting for a backend, by compareQueued
+	recheck     bool    // something has changed for the queue
+	txnCount    int     // requests that are here for it
+	concurrency concurrency
 
-// service finds or makes what is known of a service.
+	stable       *service // of a canary: the version beside it
+	canary       *service // of a stable version: the one beside it, if there is one
+	canaryAccess CanaryAccess
+}
+
+// service finds or makes a service.
 func (c *Controller) service(id control.ServiceID) *service {
-	at, ok := slices.BinarySearchFunc(c.services, id, func(h *service, id control.ServiceID) int {
-		return int(h.id) - int(id)
+	at, ok := slices.BinarySearchFunc(c.services, id, func(s *service, id control.ServiceID) int {
+		return int(s.id) - int(id)
 	})
 	if !ok {
-		h := &service{id: id, balancer: balancer.New(c.rng, c.config.Zone, c.config.Nodes)}
-		h.balancer.SetZoneIndex(c.zoneIndex, c.zoneNodes)
-		h.budget = &budget{window: c.config.RetryWindow, updatedAt: c.now,
-			part: int64(c.now / (c.config.RetryWindow / budgetParts))}
-		c.services = slices.Insert(c.services, at, h)
+		s := &service{id: id, balancer: c.newBalancer(), budget: newBudget(c.config.RetryWindow, c.now)}
+		c.services = slices.Insert(c.services, at, s)
 	}
 	return c.services[at]
 }
 
-// advanceBudget brings the budget of a service up to now.
-func (c *Controller) advanceBudget(h *service) {
-	h.budget.advance(c.now, dripShare*c.config.RetryAllowance/float64(c.config.Nodes))
-}
-
-// retryTokens is how many further tries the budget of a service allows now.
-func (c *Controller) retryTokens(h *service) float64 {
-	c.advanceBudget(h)
-	return h.budget.available()
+// readyBackends counts the ready backends of a service, those of a canary that is open included.
+func (s *service) readyBackends() int {
+	n := s.balancer.Ready()
+	if s.canary != nil && s.canaryAccess != CanaryClosed {
+		n += s.canary.balancer.Ready()
+	}
+	return n
 }
 
-// chooseService chooses a service by the weights; one without a ready backend only if all are without.
-func (c *Controller) chooseService(route *Route) *service {
-	for _, any := range []bool{false, true} {
-		sum := 0
-		for _, t := range route.Targets {
-			if any || c.service(t.Service).readyBackends() > 0 {
-				sum += max(t.Weight, 0)
-			}
-		}
-		if sum == 0 {
-			continue
-		}
-		n := int(route.nextWeightPoint() * float64(sum))
-		for _, t := range route.Targets {
-			h := c.service(t.Service)
-			if !any && h.readyBackends() == 0 {
-				continue
-			}
-			if n -= max(t.Weight, 0); n < 0 {
-				return h
-			}
-		}
+// stableVersion is the stable one of a service's versions.
+func (s *service) stableVersion() *service {
+	if s.stable != nil {
+		return s.stable
 	}
-	return nil
+	return s
 }
 
-// retryAfter is when to come back: once those in line are through, by what this node has out and how long it
-// takes. A part of it is chance, so that they don't come back together.
-func (c *Controller) retryAfter(h *service) time.Duration {
-	if h == nil || h.balancer.Ready() == 0 {
-		return time.Duration(float64(noBackendRetryAfter) * (0.7 + 0.6*c.rng.Float64()))
+// EndpointsChanged takes changes of the backend list; a complete one replaces it.
+func (c *Controller) EndpointsChanged(complete bool, list []control.Endpoint) {
+	if complete {
+		c.removeUnlisted(list)
 	}
-	usual := 100 * time.Millisecond
-	if len(h.queue) > 0 {
-		usual = c.usualLatency(h.queue[0])
+	for _, e := range list {
+		c.setEndpoint(e)
 	}
-	wait := float64(usual) * float64(len(h.queue)+1) / max(h.balancer.Capacity(), 1)
-	return min(maxRetryAfter, time.Duration(wait*(0.7+0.6*c.rng.Float64()))+20*time.Millisecond)
 }
 
-// workInterval is the time from one periodic work to the next.
-func (c *Controller) workInterval() time.Duration {
-	if len(c.awaitingUnits) > 0 {
-		return busyInterval
+// removeUnlisted removes the backends that a complete list does not name, or names at another service.
+func (c *Controller) removeUnlisted(list []control.Endpoint) {
+	listed := map[control.BackendID]control.ServiceID{}
+	for _, e := range list {
+		listed[e.ID] = e.Service
 	}
-	for _, h := range c.services {
-		if len(h.queue) > 0 {
-			return busyInterval
+	for id, s := range c.serviceOf {
+		if at, ok := listed[id]; !ok || at != s.id {
+			s.balancer.SetEndpoint(c.now, control.Endpoint{ID: id, State: control.Gone})
+			delete(c.serviceOf, id)
+			s.recheck = true
 		}
 	}
-	if len(c.txns) > 0 {
-		return inFlightInterval
-	}
-	return sweepInterval
 }
 
-// periodicWork is all that comes by the clock.
-func (c *Controller) periodicWork() {
-	c.recheckUnits = len(c.awaitingUnits) > 0
-	for _, h := range c.services {
-		h.recheck = len(h.queue) > 0 // pauses of backends may be over
+// setEndpoint takes one line of the backend list. A backend is never at two services.
+func (c *Controller) setEndpoint(e control.Endpoint) {
+	s := c.serviceOf[e.ID]
+	if s != nil && s.id != e.Service && e.State != control.Gone {
+		s.balancer.SetEndpoint(c.now, control.Endpoint{ID: e.ID, State: control.Gone})
+		s = nil
 	}
-	if c.now-c.sweptAt >= sweepInterval {
-		c.sweptAt = c.now
-		for _, h := range c.services {
-			h.concurrency.advance(c.now)
+	if s == nil {
+		if e.State == control.Gone {
+			return
 		}
-		c.services = slices.DeleteFunc(c.services, func(h *service) bool {
-			return h.txnCount == 0 && h.balancer.Empty() && h.stable == nil && h.canary == nil && !c.hasRoute(h)
-		})
+		s = c.service(e.Service)
+		c.serviceOf[e.ID] = s
 	}
-	if c.now-c.loggedAt >= logInterval && c.counts != (counts{}) {
-		c.decisions = append(c.decisions, control.Decision{Action: control.Log, Text: c.counts.text(c)})
-		c.counts, c.loggedAt = counts{}, c.now
+	s.balancer.SetEndpoint(c.now, e)
+	s.recheck = true
+	if e.State == control.Gone {
+		delete(c.serviceOf, e.ID)
 	}
 }
 
-// hasRoute tells whether a call goes to a service.
-func (c *Controller) hasRoute(h *service) bool {
-	for _, route := range c.routes {
-		if slices.ContainsFunc(route.Targets, func(t Target) bool { return t.Service == h.id }) {
-			return true
-		}
-	}
-	return false
+// advanceBudget brings the retry budget of a service up to now.
+func (c *Controller) advanceBudget(s *service) {
+	s.budget.advance(c.now, dripShare*c.config.RetryAllowance/float64(c.config.Nodes))
 }
 
-// wake asks for the time of the next work or due txn.
-func (c *Controller) wake() (control.Decision, bool) {
-	next := min(c.workedAt+c.workInterval(), max(c.limiter.NextDeadline(), c.now+minDatagramInterval))
-	if at, ok := c.timers.Next(); ok {
-		next = min(next, at)
+// retryTokens is how many retries the budget of a service allows now.
+func (c *Controller) retryTokens(s *service) float64 {
+	c.advanceBudget(s)
+	return s.budget.available()
+}
+
+// retryAfter advises a rejected client when to come again: once those in the queue are through, by the capacity of this node and the usual
+// answer time. The service may be nil.
+func (c *Controller) retryAfter(s *service) time.Duration {
+	if s == nil || s.balancer.Ready() == 0 {
+		return time.Duration(float64(noBackendRetryAfter) * (minRetryJitter + retryJitter*c.rng.Float64()))
 	}
-	next = max(next, c.now+time.Millisecond)
-	if c.wakeAt > c.now && c.wakeAt <= next {
-		return control.Decision{}, false
+	usual := unknownQueueLatency
+	if len(s.queue) > 0 {
+		usual = c.usualLatency(s.queue[0])
 	}
-	c.wakeAt = next
-	return control.Decision{Action: control.Wake, After: next - c.now}, true
+	wait := float64(usual) * float64(len(s.queue)+1) / max(s.balancer.Capacity(), 1)
+	return min(maxRetryAfter, time.Duration(wait*(minRetryJitter+retryJitter*c.rng.Float64()))+minRetryAfter)
+}
+
+const (
+	// concurrencySpan is the time over which the requests in flight are averaged.
+	concurrencySpan = 10 * time.Second
+	// concurrencyPeriod: peaks are of the present period and the one before.
+	concurrencyPeriod = 30 * time.Minute
+)
+
+// concurrency is how many requests a service had in flight from this node: the highest averages over concurrencySpan.
+type concurrency struct {
+	since    time.Duration // beginning of the present span
+	busyTime time.Duration // that the requests ended in it took
+	period   time.Duration // number of the present period
+	peaks    [2]float64    // of the present period and the one before
 }
 
-// counts are for the line in the log.
-type counts struct {
-	arrived, retried    int
-	clientsLeft         int // clients that went away before their answer
-	clientsLeftInFlight int // of these, with a request at a backend
-	ranOn               int // of these, requests that may be repeated and were there for over half a second more
-	endings             [control.NotSent + 1]int
-	reasons             [ReasonNoBackend + 1]int
+// advance ends the span if it is over.
+func (c *concurrency) advance(now time.Duration) {
+	if now-c.since < concurrencySpan {
+		return
+	}
+	if period := now / concurrencyPeriod; period != c.period {
+		c.peaks[1] = 0
+		if period == c.period+1 {
+			c.peaks[1] = c.peaks[0]
+		}
+		c.peaks[0], c.period = 0, period
+	}
+	c.peaks[0] = max(c.peaks[0], float64(c.busyTime)/float64(now-c.since))
+	c.busyTime, c.since = 0, now
 }
 
-func (c *counts) text(o *Controller) string {
-	line, out := 0, 0
-	for _, h := range o.services {
-		line, out = line+len(h.queue), out+h.balancer.InFlight()
+func (c *concurrency) peak() float64 { return max(c.peaks[0], c.peaks[1]) }
+
+// PeakConcurrency is how many requests a service had in flight from this node, on average over ten seconds, at its busiest of the last half hour
+// or hour, over both versions; 0: not known.
+func (c *Controller) PeakConcurrency(id control.ServiceID) float64 {
+	s := c.service(id)
+	peak := s.concurrency.peak()
+	if s.canary != nil {
+		peak += s.canary.concurrency.peak()
 	}
-	return fmt.Sprintf("%d taken, %d sent again, %d turned away, %d failed, given up for want of time %d, "+
-		"units %d, backends %d; %d wait, %d out; %d clients left, %d with a request at a backend, %d ran on", c.arrived, c.retried, c.endings[control.Rejected],
-		c.endings[control.Errored]+c.endings[control.TimedOut]+c.endings[control.Unreachable]+c.endings[control.ConnectionLost],
-		c.reasons[ReasonNoTime], c.reasons[ReasonNoUnits], c.reasons[ReasonNoBackend], line, out, c.clientsLeft, c.clientsLeftInFlight, c.ranOn)
+	return peak
 }
