--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -1,5 +1,3 @@
-// What the balancer learns of a backend from what becomes of requests: answer times, load, failures.
-
 package balancer
 
 import (
@@ -9,24 +7,22 @@
 	"clovergap/internal/invariant"
 )
 
-// ---- What happens
-
-// Sent is told when a request went to a backend.
-func (b *Balancer) Sent(now time.Duration, id control.BackendID, w Request) {
+// Sent counts a request that was sent to a backend.
+func (b *Balancer) Sent(now time.Duration, id control.BackendID, r Request) {
 	backend := b.known[id]
 	invariant.That(backend != nil && backend.State == control.Ready, "only a ready backend gets a request")
 	if backend == nil {
 		return
 	}
-	side, stride := b.locality(backend.Zone), b.stride(now, backend, w)
-	backend.pass = max(backend.pass, b.virtualTime[side]-2*stride)
-	b.virtualTime[side] = max(b.virtualTime[side], backend.pass)
+	i, stride := b.locality(backend.Zone), b.stride(now, backend, r)
+	backend.pass = max(backend.pass, b.virtualTime[i]-maxLag*stride)
+	b.virtualTime[i] = max(b.virtualTime[i], backend.pass)
 	backend.pass += stride
 	if backend.unanswered == 0 {
 		backend.unansweredSince, backend.expectedLatency = now, 0
 	}
-	if u, ok := b.UsualLatency(w.Kind); ok {
-		backend.expectedLatency = max(backend.expectedLatency, u)
+	if usual, ok := b.UsualLatency(r.Kind); ok {
+		backend.expectedLatency = max(backend.expectedLatency, usual)
 	}
 	if backend.unanswered == 1 {
 		backend.secondUnansweredAt = now
@@ -43,69 +39,73 @@
 	Ending        control.Ending
 	Kind          control.ProductID
 	Took          time.Duration
-	LatencyTarget time.Duration // an answer later than this loses half of its worth
-	SelfInflicted bool          // how long it took is this node's own doing
-	ClientLeft    bool          // its client had left: if it was called off, then for that
+	LatencyTarget time.Duration // in it an answer has its full value; 0: there is none
+	SelfInflicted bool          // this process stood still: how long it took is its own doing
+	ClientLeft    bool          // its client has left: if it was canceled, then for that
 }
 
 // Ended takes the one end of a request that was sent.
-func (b *Balancer) Ended(now time.Duration, id control.BackendID, e Outcome) {
+func (b *Balancer) Ended(now time.Duration, id control.BackendID, o Outcome) {
 	backend := b.known[id]
 	invariant.That(backend != nil && backend.inFlight > 0, "what ends at a backend was sent there")
 	if backend == nil || backend.inFlight == 0 {
 		return
 	}
 	dead := b.Dead(now, id)
-	backend.inFlight--
-	b.inFlight--
-	if backend.State == control.Gone && backend.inFlight == 0 {
-		delete(b.known, id)
-	}
-	switch e.Ending {
-	case control.Succeeded, control.Errored, control.Rejected:
-		backend.unanswered, backend.unansweredSince, backend.secondUnansweredAt, b.answeredAt = backend.inFlight, now, now, now
-	default:
-		if backend.inFlight == 0 {
-			backend.unanswered = 0
-		}
-	}
-	bad := 0.0
-	switch e.Ending {
+	b.countEnded(now, backend, o.Ending)
+	switch o.Ending {
 	case control.Canceled:
-		// Where clients leave early nothing runs into its time any more: one that was silent for long when its client left has
-		// failed all the same.
-		silent := e.ClientLeft && !e.SelfInflicted && e.Took > max(minUnresponsiveTime, backend.expectedTime(unresponsiveFactor))
-		if !dead && !silent {
-			return
+		if dead || silentTooLong(backend, o) {
+			b.recordResult(now, backend, 1, o.Ending)
 		}
-		bad = 1
 	case control.NotSent:
 		backend.rejectingUntil = max(backend.rejectingUntil, now+notSentBackoff)
-		return
 	case control.Rejected:
 		b.recordRejection(now, backend)
-		return
 	case control.Succeeded:
 		backend.rejections = 0
 		b.rejectionShare -= serviceSmoothing * b.rejectionShare
-		b.recordAnswer(now, backend, e)
+		b.recordAnswer(now, backend, o)
+		b.recordResult(now, backend, 0, o.Ending)
 	case control.TimedOut:
-		if e.SelfInflicted {
-			return
+		if !o.SelfInflicted {
+			b.recordValueLoss(now, backend, lateCost)
+			b.recordResult(now, backend, 1, o.Ending)
 		}
-		b.recordValueLoss(now, backend, lateCost)
-		bad = 1
 	default:
-		bad = 1
+		b.recordResult(now, backend, 1, o.Ending)
+	}
+}
+
+// countEnded takes a request out of what is in flight, and what the backend owes.
+func (b *Balancer) countEnded(now time.Duration, backend *backendState, e control.Ending) {
+	backend.inFlight--
+	b.inFlight--
+	if backend.State == control.Gone && backend.inFlight == 0 {
+		delete(b.known, backend.ID)
+	}
+	switch e {
+	case control.Succeeded, control.Errored, control.Rejected:
+		backend.unanswered, backend.unansweredSince, backend.secondUnansweredAt = backend.inFlight, now, now
+		b.answeredAt = now
+	default:
+		if backend.inFlight == 0 {
+			backend.unanswered = 0
+		}
 	}
-	b.recordResult(now, backend, bad, e.Ending)
 }
 
-// recordRejection: a backend turned one away. It is left alone, twice as long each time in a row. It says nothing of the
-// others, unless many are turned away.
-func (b *Balancer) recordRejection(now time.Duration, backend *backend) {
+// silentTooLong tells whether a backend was silent for long when a request was canceled because its client had left. Where clients leave early
+// nothing times out any more: it has failed all the same.
+func silentTooLong(backend *backendState, o Outcome) bool {
+	return o.ClientLeft && !o.SelfInflicted && o.Took > backend.unresponsiveTime()
+}
+
+// recordRejection leaves a backend that rejected a request alone, twice as long each time in a row. It says nothing of the others, unless many
+// requests are rejected.
+func (b *Balancer) recordRejection(now time.Duration, backend *backendState) {
 	pause := rejectionBackoff << min(backend.rejections, maxRejectionDoublings)
-	backend.rejectingUntil = now + time.Duration(float64(pause)*(0.75+b.rng.Float64()/2))
+	backend.rejectingUntil = now + time.Duration(float64(pause)*(minRejectionJitter+b.rng.Float64()*rejectionJitter))
 	backend.rejections++
 	b.rejectionShare += serviceSmoothing * (1 - b.rejectionShare)
 	if b.rejectionShare > rejectionThreshold {
@@ -117,26 +117,32 @@
 }
 
 // recordAnswer learns from an answer's time.
-func (b *Balancer) recordAnswer(now time.Duration, backend *backend, e Outcome) {
-	if e.SelfInflicted {
+func (b *Balancer) recordAnswer(now time.Duration, backend *backendState, o Outcome) {
+	if o.SelfInflicted {
 		return
 	}
-	took := max(e.Took.Seconds(), 0.0005)
-	usual, ok := b.latency[e.Kind]
+	took := max(o.Took.Seconds(), minLatencySeconds)
+	usual, ok := b.latency[o.Kind]
 	if !ok {
 		usual = took
 	}
 	took = min(took, maxLatencyFactor*usual)
-	b.latency[e.Kind] = usual + latencySmoothing*(took-usual)
+	b.latency[o.Kind] = usual + latencySmoothing*(took-usual)
 	backend.answers++
-	backend.slowdown += max(slowdownSmoothing, 1/float64(backend.answers+4)) * (took/usual - backend.slowdown)
-	late := e.LatencyTarget > 0 && float64(e.Took) > lateTargetShare*float64(e.LatencyTarget)
-	pain := 0.0
+	backend.slowdown += max(slowdownSmoothing, 1/float64(backend.answers+initialAnswers)) * (took/usual - backend.slowdown)
+	late := o.LatencyTarget > 0 && float64(o.Took) > lateTargetShare*float64(o.LatencyTarget)
+	loss := 0.0
 	if late {
-		pain = lateCost
+		loss = lateCost
 	}
-	b.recordValueLoss(now, backend, pain)
-	used := float64(b.inFlight+1) >= minUtilization*b.capacity || now-b.saturatedAt < 300*time.Millisecond
+	b.recordValueLoss(now, backend, loss)
+	b.adjustCapacity(now, backend, late)
+}
+
+// adjustCapacity learns from an answer how much may be in flight, while the capacity is in use. The lateness of a backend that is warming up, or is slow by
+// itself, says nothing of it.
+func (b *Balancer) adjustCapacity(now time.Duration, backend *backendState, late bool) {
+	used := float64(b.inFlight+1) >= minUtilization*b.capacity || now-b.saturatedAt < pressureTTL
 	switch {
 	case !late && used:
 		b.capacity += capacityGain * (b.capacity + 1)
@@ -146,41 +152,30 @@
 	b.boundCapacity()
 }
 
-func (b *Balancer) recordValueLoss(now time.Duration, backend *backend, pain float64) {
-	side := b.locality(backend.Zone)
-	if side == 1 {
-		b.remoteAnswerAt = now
-	}
-	b.valueLoss[side] += valueLossSmoothing * (pain - b.valueLoss[side])
-}
-
-// recordResult sets a failing backend aside for a while. Where all fail alike, no backend is at fault.
-func (b *Balancer) recordResult(now time.Duration, backend *backend, fail float64, how control.Ending) {
+// recordResult counts an ending as failed (1) or not (0), and ejects a failing backend for a time. Where all fail alike, no backend is at fault. One that takes
+// no connection is ejected at once. A request that was in flight before the ejection says nothing new.
+func (b *Balancer) recordResult(now time.Duration, backend *backendState, failed float64, e control.Ending) {
 	backend.endings++
-	backend.failureShare += max(failureSmoothing, 1/float64(backend.endings+1)) * (fail - backend.failureShare)
-	b.failureShare += serviceSmoothing * (fail - b.failureShare)
-	if fail == 0 {
-		if backend.suspect {
-			backend.suspect, backend.slowStartFrom, backend.failureShare = false, now, min(backend.failureShare, failureThreshold/2)
-		} else if backend.failureShare < effectfulFailureThreshold/2 {
-			backend.backoff = 0
-		}
+	backend.failureShare += max(failureSmoothing, 1/float64(backend.endings+1)) * (failed - backend.failureShare)
+	b.failureShare += serviceSmoothing * (failed - b.failureShare)
+	if failed == 0 {
+		backend.recordSuccess(now)
 		return
 	}
-	// What takes no connection is left at once. A request out from before the pause says nothing new.
-	if backend.ejectedUntil > now || how != control.Unreachable && !backend.suspect &&
-		(backend.failureShare < failureThreshold || backend.failureShare < failureOutlierFactor*b.failureShare) {
+	failing := backend.failureShare >= failureThreshold && backend.failureShare >= failureOutlierFactor*b.failureShare
+	if backend.ejectedUntil > now || e != control.Unreachable && !backend.suspect && !failing {
 		return
 	}
 	backend.backoff = min(max(minEjectionTime, 2*backend.backoff), maxEjectionTime)
-	backend.ejectedUntil = now + time.Duration(float64(backend.backoff)*(0.8+0.4*b.rng.Float64()))
+	backend.ejectedUntil = now + time.Duration(float64(backend.backoff)*(minEjectionJitter+ejectionJitter*b.rng.Float64()))
 	backend.suspect = true
 }
 
-// Resumed is told that this node stood still until now. Silence and time-outs of that time are of its own making.
-func (b *Balancer) Resumed(now time.Duration) {
-	for _, backend := range b.ordered {
-		backend.unansweredSince, backend.secondUnansweredAt = now, now
+// recordSuccess clears the suspicion of a backend, which then has a slow start, or in time the length of its next ejection.
+func (s *backendState) recordSuccess(now time.Duration) {
+	if s.suspect {
+		s.suspect, s.slowStartFrom, s.failureShare = false, now, min(s.failureShare, failureThreshold/2)
+	} else if s.failureShare < effectfulFailureThreshold/2 {
+		s.backoff = 0
 	}
-	b.answeredAt = now
 }
