--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -40,7 +40,7 @@
 }
 
 // slots is how many requests a backend works on at a time.
-func (s *backendState) slots() float64 { return max(s.Capacity, 1) }
+func (b *backendState) slots() float64 { return max(b.Capacity, 1) }
 
 // The two places that a backend may be in, as indices.
 const (
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -55,7 +55,7 @@
 	b.countEnded(now, backend, o.Ending)
 	switch o.Ending {
 	case control.Canceled:
-		if dead || silentTooLong(backend, o) {
+		if dead || unresponsiveWhenCanceled(backend, o) {
 			b.recordResult(now, backend, 1, o.Ending)
 		}
 	case control.NotSent:
@@ -95,9 +95,9 @@
 	}
 }
 
-// silentTooLong tells whether a backend was silent for long when a request was canceled because its client had left. Where clients leave early
+// unresponsiveWhenCanceled tells whether a backend was silent for long when a request was canceled because its client had left. Where clients leave early
 // nothing times out any more: it has failed all the same.
-func silentTooLong(backend *backendState, o Outcome) bool {
+func unresponsiveWhenCanceled(backend *backendState, o Outcome) bool {
 	return o.ClientLeft && !o.SelfInflicted && o.Took > backend.unresponsiveTime()
 }
 
@@ -172,10 +172,10 @@
 }
 
 // recordSuccess clears the suspicion of a backend, which then has a slow start, or in time the length of its next ejection.
-func (s *backendState) recordSuccess(now time.Duration) {
-	if s.suspect {
-		s.suspect, s.slowStartFrom, s.failureShare = false, now, min(s.failureShare, failureThreshold/2)
-	} else if s.failureShare < effectfulFailureThreshold/2 {
-		s.backoff = 0
+func (b *backendState) recordSuccess(now time.Duration) {
+	if b.suspect {
+		b.suspect, b.slowStartFrom, b.failureShare = false, now, min(b.failureShare, failureThreshold/2)
+	} else if b.failureShare < effectfulFailureThreshold/2 {
+		b.backoff = 0
 	}
 }
--- a/internal/gateway/balancer/silence.go
+++ b/internal/gateway/balancer/silence.go
@@ -22,13 +22,13 @@
 }
 
 // unresponsiveTime is after how long a backend that owes several answers is unresponsive.
-func (s *backendState) unresponsiveTime() time.Duration {
-	return max(minUnresponsiveTime, s.expectedTime(unresponsiveFactor))
+func (b *backendState) unresponsiveTime() time.Duration {
+	return max(minUnresponsiveTime, b.expectedTime(unresponsiveFactor))
 }
 
 // expectedTime is a number of times the usual answer time of what a backend owes, at its speed.
-func (s *backendState) expectedTime(factor float64) time.Duration {
-	return time.Duration(factor * max(1, min(s.slowdown, maxSlowdown)) * float64(s.expectedLatency))
+func (b *backendState) expectedTime(factor float64) time.Duration {
+	return time.Duration(factor * max(1, min(b.slowdown, maxSlowdown)) * float64(b.expectedLatency))
 }
 
 // Dead tells whether what is in flight at a backend is not worth waiting for: it owes several answers for long, or one where it is suspect or gone,
