--- a/internal/gateway/rollout/coordinator.go
+++ b/internal/gateway/rollout/coordinator.go
@@ -8,31 +8,24 @@
 const (
 	lapInterval   = 30 * time.Second
 	proposalRetry = time.Second // an entry that did not come back through the log is proposed anew
-	maxReports    = 512         // reports kept of one step
+	maxReports    = 512         // kept of one step: the newest of each incarnation of a node
+	coordinatorBy = "duty"      // the coordinator's name in histories
 )
 
 // NodeID is a node's slot.
 type NodeID int
 
-// Propose is an entry for the log, to be put there by this node or not at all.
-type Propose struct{ Entry Entry }
-
-// BroadcastLap goes to all nodes, this one too; it may be lost.
-type BroadcastLap struct{ Lap Lap }
-
-func (Propose) action()      {}
-func (BroadcastLap) action() {}
-
-// Coordinator is the one node's part that judges for all. It may be taken over at any time by another with a higher
-// fence: what it needs comes with the next reports.
+// Coordinator is the part on the core's leader that decides for all nodes. It may be taken over at any time by another with a higher
+// fencing token: what it needs comes with the next reports.
 type Coordinator struct {
-	now       time.Duration
-	fence     uint64
-	nodeCount int // that there are
-	active    map[string]*activeRollout
-	actions   []Action
+	actionQueue
+	now          time.Duration
+	fencingToken uint64
+	nodeCount    int
+	active       map[string]*activeRollout // by service
 }
 
+// activeRollout is a roll-out that runs, in its present step.
 type activeRollout struct {
 	Run
 	stepStart        time.Duration
@@ -40,12 +33,14 @@
 	lapStart         time.Duration
 	proposedAt       time.Duration
 	reports          map[nodeIncarnation]*receivedReport
-	changed          bool
-	baselineBackends int // backends of the old version that are ready; -1: not known
-	unconfigured     bool
+	changed          bool // reports have come since it was last evaluated
+	baselineBackends int  // that are ready; unknownBackends: not known
+	unconfigured     bool // the service is not in the configuration any more
 	doubt            float64
 }
 
+const unknownBackends = -1
+
 type nodeIncarnation struct {
 	node        NodeID
 	incarnation uint64
@@ -53,194 +48,176 @@
 
 type receivedReport struct {
 	Report
-	*found
+	found *findings
 }
 
-// NewCoordinator makes one. The fence must be above that of whoever had the duty before.
-func NewCoordinator(fence uint64, now time.Duration) *Coordinator {
-	return &Coordinator{now: now, fence: fence, active: map[string]*activeRollout{}}
+// NewCoordinator makes one. The fencing token must be above that of every coordinator before.
+func NewCoordinator(fencingToken uint64, now time.Duration) *Coordinator {
+	return &Coordinator{now: now, fencingToken: fencingToken, active: map[string]*activeRollout{}}
 }
 
 // ApplyState takes the state after an entry or a snapshot.
 func (c *Coordinator) ApplyState(s *State) {
 	for i := range s.Runs() {
-		r := &s.Runs()[i]
-		t := c.active[r.Order.Service]
+		run := &s.Runs()[i]
+		service := run.Order.Service
+		former := c.active[service]
 		switch {
-		case r.Phase != Running:
-			delete(c.active, r.Order.Service)
-		case t == nil || t.Number != r.Number || t.Step != r.Step:
-			n := &activeRollout{Run: *r, stepStart: c.now, lap: 1, lapStart: c.now, proposedAt: -proposalRetry, reports: map[nodeIncarnation]*receivedReport{}, baselineBackends: -1}
-			if t != nil && t.Number == r.Number {
-				n.lap, n.lapStart, n.baselineBackends, n.unconfigured = t.lap, t.lapStart, t.baselineBackends, t.unconfigured
-			}
-			c.active[r.Order.Service] = n
+		case run.Phase != Running:
+			delete(c.active, service)
+		case former == nil || former.Number != run.Number || former.Step != run.Step:
+			c.active[service] = c.newActive(run, former)
 		default:
-			t.Run = *r
+			former.Run = *run
 		}
 	}
-	for name := range c.active {
-		if s.Run(name) == nil {
-			delete(c.active, name)
+	for service := range c.active {
+		if s.Run(service) == nil {
+			delete(c.active, service)
 		}
 	}
 }
 
-// HandleReport takes a report.
+// newActive begins a step; laps go on over the steps of one roll-out.
+func (c *Coordinator) newActive(run *Run, former *activeRollout) *activeRollout {
+	a := &activeRollout{Run: *run, stepStart: c.now, lap: 1, lapStart: c.now, proposedAt: -proposalRetry,
+		reports: map[nodeIncarnation]*receivedReport{}, baselineBackends: unknownBackends}
+	if former != nil && former.Number == run.Number {
+		a.lap, a.lapStart, a.baselineBackends, a.unconfigured = former.lap, former.lapStart, former.baselineBackends, former.unconfigured
+	}
+	return a
+}
+
+// HandleReport takes a report. One on another step, or older than what its node has reported, changes nothing; one that can't be
+// read is an error.
 func (c *Coordinator) HandleReport(from NodeID, r Report) error {
-	t := c.active[r.Service]
-	if t == nil || t.Number != r.Number || t.Step != r.Step {
+	a := c.active[r.Service]
+	if a == nil || a.Number != r.Number || a.Step != r.Step {
 		return nil
 	}
 	key := nodeIncarnation{from, r.Life}
-	if h := t.reports[key]; h != nil && h.Seq >= r.Seq || h == nil && len(t.reports) >= maxReports {
+	if newest := a.reports[key]; newest != nil && newest.Seq >= r.Seq || newest == nil && len(a.reports) >= maxReports {
 		return nil
 	}
-	f, err := r.findings()
+	f, err := r.findings(from)
 	if err != nil {
 		return err
 	}
-	if r.Lap > t.lap { // of whoever had the duty before
-		t.lap, t.lapStart = r.Lap, c.now
+	if r.Lap > a.lap { // an earlier coordinator's
+		a.lap, a.lapStart = r.Lap, c.now
 	}
-	f.node = from
-	t.reports[key], t.changed = &receivedReport{r, f}, true
+	a.reports[key], a.changed = &receivedReport{r, f}, true
 	return nil
 }
 
-// SetNodeCount says how many there are: where there are others, none is believed alone.
+// SetNodeCount says how many nodes there are: where there are others, one alone is not believed.
 func (c *Coordinator) SetNodeCount(n int) { c.nodeCount = n }
 
-// SetBaselineBackends says how many backends of the old version are ready, and whether the configuration still has the
+// SetBaselineBackends says how many backends of the baseline are ready (-1: not known), and whether the configuration still has the
 // service.
-func (c *Coordinator) SetBaselineBackends(service string, old int, known bool) {
-	if t := c.active[service]; t != nil {
-		t.baselineBackends, t.unconfigured = old, !known
+func (c *Coordinator) SetBaselineBackends(service string, ready int, configured bool) {
+	if a := c.active[service]; a != nil {
+		a.baselineBackends, a.unconfigured = ready, !configured
 	}
 }
 
-// Counts are the sums of all nodes in the present step of a service, and the doubt: from 1 on there is no next
-// step by itself.
+// Counts are the sums of all nodes in the present step of a service, and the doubt: from 1 on the coordinator does not go on to the next
+// step.
 func (c *Coordinator) Counts(service string) (counts Counts, doubt float64) {
-	t := c.active[service]
-	if t == nil {
+	a := c.active[service]
+	if a == nil {
 		return counts, 0
 	}
-	return t.counts(), t.doubt
+	return a.counts(), a.doubt
 }
 
-func (a *activeRollout) counts() (c Counts) {
-	for _, h := range a.reports {
-		c.Add(&h.Report.Counts)
+func (a *activeRollout) counts() (sum Counts) {
+	for _, r := range a.reports {
+		sum.Add(&r.Report.Counts)
 	}
-	return c
+	return sum
 }
 
-// Tick sets the clock.
+// Tick sets the clock, begins laps, and proposes what the reports ask for.
 func (c *Coordinator) Tick(now time.Duration) {
 	c.now = max(c.now, now)
-	for _, name := range sortedKeys(c.active) {
-		t := c.active[name]
-		if c.now-t.lapStart >= lapInterval {
-			t.lap, t.lapStart = t.lap+1, c.now
-			c.actions = append(c.actions, BroadcastLap{Lap{name, t.Number, t.lap}})
+	for _, service := range sortedKeys(c.active) {
+		a := c.active[service]
+		if c.now-a.lapStart >= lapInterval {
+			a.lap, a.lapStart = a.lap+1, c.now
+			c.push(BroadcastLap{Lap{service, a.Number, a.lap}})
 		}
-		if t.unconfigured {
-			c.propose(t, Rollback, t.Step, "the service is not in the configuration any more")
+		if a.unconfigured {
+			c.propose(a, Rollback, a.Step, "the service is not in the configuration any more")
 		}
-		if t.changed {
-			t.changed = false
-			c.evaluate(t)
+		if a.changed {
+			a.changed = false
+			c.evaluate(a)
 		}
-		c.advanceIfDue(t)
+		c.maybeAdvance(a)
 	}
 }
 
-// evaluate looks at what all nodes found.
-func (c *Coordinator) evaluate(t *activeRollout) {
-	var list []*found
-	alone, spoke := map[NodeID]bool{}, map[NodeID]bool{}
-	for key, h := range t.reports {
-		spoke[key.node] = true
-		if h.Lap != t.lap { // what it found since a lap of its own
-			f := *h.found
-			e := *f.evidence
-			e.total[1], f.evidence = logWealth{}, &e
-			e.perBackend = map[uint64]*[windowCount]logWealth{}
-			for b, v := range h.perBackend {
-				e.perBackend[b] = &[windowCount]logWealth{v[0], {}}
-			}
-			list = append(list, &f)
-		} else {
-			list = append(list, h.found)
+// collect gives the findings of all reports; those of another lap count for the step's window alone.
+func (a *activeRollout) collect() (list []*findings, reporting, rolledBack map[NodeID]bool) {
+	reporting, rolledBack = map[NodeID]bool{}, map[NodeID]bool{}
+	for key, r := range a.reports {
+		reporting[key.node] = true
+		if r.Alone {
+			rolledBack[key.node] = true
 		}
-		if h.Alone {
-			alone[key.node] = true
-		}
-	}
-	score, doubt := evaluate(list, t.Step, t.lap, FleetFalsePositiveRate)
-	t.doubt = doubt
-	if len(alone) > 0 { // for a step by itself that is enough to wait
-		t.doubt = max(doubt, 1)
-	}
-	if (score < 1 || len(spoke) == 1 && c.nodeCount > 1) && len(alone) < 2 {
-		return
-	}
-	counts := t.counts()
-	if t.baselineBackends == 0 {
-		if !t.Held {
-			c.propose(t, Pause, t.Step, "failing, but no backend of the old version is left: "+describeCounts(&counts))
+		f := r.found
+		if r.Lap != a.lap {
+			other := *f
+			other.evidence = f.evidence.withoutWindow(lapWindow)
+			f = &other
 		}
-		return
+		list = append(list, f)
 	}
-	c.propose(t, Rollback, t.Step, describeCounts(&counts))
+	return list, reporting, rolledBack
 }
 
-// advanceIfDue goes on by itself where the order says so.
-func (c *Coordinator) advanceIfDue(t *activeRollout) {
-	s := t.Order.Steps[t.Step-1]
-	if t.Order.Advance != "time" || t.Held || t.Step == len(t.Order.Steps) || t.doubt >= 1 || t.unconfigured ||
-		c.now-t.stepStart < time.Duration(s.MinTime) {
+// evaluate looks at what all nodes found.
+func (c *Coordinator) evaluate(a *activeRollout) {
+	list, reporting, rolledBack := a.collect()
+	score, doubt := evaluate(list, a.Step, a.lap, FleetFalsePositiveRate)
+	a.doubt = doubt
+	if len(rolledBack) > 0 { // enough to hold off the next step
+		a.doubt = max(doubt, 1)
+	}
+	oneOfMany := len(reporting) == 1 && c.nodeCount > 1
+	if (score < 1 || oneOfMany) && len(rolledBack) < 2 {
 		return
 	}
-	counts := t.counts()
-	if seen := int(counts[Canary][Read].Ends + counts[Canary][Write].Ends); seen >= s.Requests {
-		c.propose(t, Advance, t.Step+1, fmt.Sprintf("%d requests of the new version in order", seen))
+	counts := a.counts()
+	switch {
+	case a.baselineBackends != 0:
+		c.propose(a, Rollback, a.Step, counts.describe())
+	case !a.Held:
+		c.propose(a, Pause, a.Step, "failing, but no backend of the old version is left: "+counts.describe())
 	}
 }
 
-func (c *Coordinator) propose(t *activeRollout, v Verb, step int, why string) {
-	t.changed = true
-	if c.now-t.proposedAt < proposalRetry {
+// maybeAdvance goes on to the next step where the spec lets the coordinator do it.
+func (c *Coordinator) maybeAdvance(a *activeRollout) {
+	step := a.Order.Steps[a.Step-1]
+	if a.Order.Advance != AdvanceByTime || a.Held || a.Step == len(a.Order.Steps) || a.doubt >= 1 || a.unconfigured ||
+		c.now-a.stepStart < step.minTime() {
 		return
 	}
-	t.proposedAt = c.now
-	c.actions = append(c.actions, Propose{Entry{Verb: v, Service: t.Order.Service, By: "duty", Why: why,
-		Number: t.Number, Step: step, Fence: c.fence, Counts: t.counts()}})
-}
-
-// describeCounts words what was counted.
-func describeCounts(c *Counts) string {
-	s := ""
-	for k, name := range []string{"reads", "writes"} {
-		n, o := &c[Canary][k], &c[Baseline][k]
-		if n.Ends == 0 {
-			continue
-		}
-		s += fmt.Sprintf("%s: new %d of %d failed, old %d of %d; nine in ten within %v, %v. ", name, failures(n), n.Ends,
-			failures(o), o.Ends, n.Quantile(0.9).Round(time.Millisecond), o.Quantile(0.9).Round(time.Millisecond))
+	counts := a.counts()
+	if seen := int(counts[Canary][Read].Ends + counts[Canary][Write].Ends); seen >= step.Requests {
+		c.propose(a, Advance, a.Step+1, fmt.Sprintf("%d requests of the new version in order", seen))
 	}
-	return s[:max(len(s)-1, 0)]
 }
 
-func failures(t *Tally) uint32 { return t.By[ServerError] + t.By[NoResponse] + t.By[InvalidResponse] }
-
-// Next gives the next thing to do now, or false when there is none.
-func (c *Coordinator) Next() (Action, bool) {
-	if len(c.actions) == 0 {
-		return nil, false
+// propose puts an entry forward, and again where it does not come back through the log.
+func (c *Coordinator) propose(a *activeRollout, verb Verb, step int, why string) {
+	a.changed = true
+	if c.now-a.proposedAt < proposalRetry {
+		return
 	}
-	a := c.actions[0]
-	c.actions = c.actions[1:]
-	return a, true
+	a.proposedAt = c.now
+	c.push(Propose{Entry{Verb: verb, Service: a.Order.Service, By: coordinatorBy, Why: why, Number: a.Number, Step: step,
+		Fence: c.fencingToken, Counts: a.counts()}})
 }
--- /dev/null
+++ b/internal/gateway/rollout/entry.go
@@ -0,0 +1,80 @@
+package rollout
+
+import (
+	"github.com/go-faster/errors"
+
+	"clovergap/internal/gateway/logentry"
+)
+
+// Verb is what an entry does.
+type Verb string
+
+// An operator may use all, the coordinator Advance and Rollback, and Pause where there is no baseline to go back to. The texts are
+// stored, and those of the operators' calls.
+const (
+	Start    Verb = "start"
+	Advance  Verb = "step"
+	Pause    Verb = "hold"
+	Rollback Verb = "pull-back"
+	Finish   Verb = "finish"
+)
+
+// Entry is an operator's command or the coordinator's verdict, as the replicated log has it. An operator's names the revision that it builds on,
+// so that of two at once one wins; the coordinator's names the step that was evaluated, under its fencing token. Gob stores it by
+// these names.
+type Entry struct {
+	Verb    Verb
+	Service string
+	Mark    string // the call's ID: the same call again is answered as the first was
+	By      string // author, for the history
+	At      int64  // milliseconds since 1970, for the history alone
+	Why     string
+	Rev     uint64 // operators: revision of the service's newest roll-out, 0 if there was none. Pause and Rollback don't need it
+	Number  Number // all but Start
+	Step    int    // Advance: the step to go to, from 1. The coordinator: the step evaluated, or to go to
+	Fence   uint64 // the coordinator's fencing token, 1 or more. 0: an operator
+	Order   *Spec
+	Room    Capacity // Start: as the node that took the call knew it
+	Counts  Counts   // of the step so far, as the coordinator has them
+}
+
+// maxTextBytes bounds each text of an entry.
+const maxTextBytes = 512
+
+// What an entry may be refused for by itself.
+var (
+	ErrTextTooLong = errors.Errorf("a text is longer than %d bytes", maxTextBytes)
+	ErrNoSpec      = errors.New("order: missing, or of another service")
+)
+
+// byCoordinator reports whether the coordinator has made an entry.
+func (e *Entry) byCoordinator() bool { return e.Fence != 0 }
+
+// Encode gives an entry's form in the log.
+func (e *Entry) Encode() []byte { return logentry.Encode(e) }
+
+// DecodeEntry reads what Encode wrote.
+func DecodeEntry(b []byte) (*Entry, error) {
+	e := new(Entry)
+	return e, logentry.Decode(b, e, "entry of a roll-out")
+}
+
+// Validate checks an entry by itself, whatever the state: the error is one of the above or a FieldError.
+func (e *Entry) Validate() error {
+	for _, text := range []string{e.Service, e.By, e.Why, e.Mark} {
+		if len(text) > maxTextBytes {
+			return ErrTextTooLong
+		}
+	}
+	switch e.Verb {
+	case Start:
+		if e.Order == nil || e.Order.Service != e.Service || e.byCoordinator() {
+			return ErrNoSpec
+		}
+		spec := *e.Order
+		return spec.Normalize()
+	case Advance, Pause, Rollback, Finish:
+		return nil
+	}
+	return fieldError("verb", "no %q", e.Verb)
+}
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -4,272 +4,223 @@
 	"maps"
 	"slices"
 	"time"
-
-	"github.com/go-faster/errors"
 )
 
-// Report is all that one life of a node found of the present step: sums, not what came since the last one. The
-// newest by Seq stands for all before it, so it does not matter which are lost, doubled or late, and whoever
-// takes the duty over has all with the next round.
-type Report struct {
-	Service  string
-	Number   Number
-	Step     int
-	Lap      int
-	Life     uint64 // of the node, by chance
-	Seq      uint64 // rises within the life
-	Zone     string
-	Alone    bool // it has pulled back for itself
-	Backs    int  // backends of the new version that it saw at work
-	Counts   Counts
-	Evidence []byte
-}
-
-// Lap is the duty's word that evidence is gathered afresh: a version that fails after ten good minutes must not
-// have their credit.
-type Lap struct {
-	Service string
-	Number  Number
-	Lap     int
-}
-
-// Action is what the host is to do: Tell or Lowered.
-type Action interface{ action() }
-
-// SendReport goes to the node with the duty; it may be lost.
-type SendReport struct{ Report Report }
-
-// LocalRollback is for the log: this node has pulled back for itself.
-type LocalRollback struct {
-	Service string
-	Number  Number
-	Reason  string
-}
-
-func (SendReport) action()    {}
-func (LocalRollback) action() {}
-
 // reportInterval is how often a node reports while something changes.
 const reportInterval = time.Second
 
-// Node is what one node goes by.
+// Node is one node's part: it gives each request its side, counts outcomes and reports them.
 type Node struct {
+	actionQueue
 	now           time.Duration
 	zone          string
 	incarnation   uint64
-	everConnected bool // in this life it has been in touch with the core
+	everConnected bool // to the core, in this incarnation
 	disconnected  bool
-	rollouts      map[string]*localRollout
-	actions       []Action
+	rollouts      map[string]*localRollout // by service
 }
 
 // localRollout is a node's view of one roll-out.
 type localRollout struct {
 	Run
 	salt       uint64
-	rolledBack bool // this node has pulled back for itself: for the rest of this life
-	counter    *stepCounter
+	rolledBack bool         // this node has rolled back for itself: for the rest of this incarnation
+	counter    *stepCounter // nil unless the roll-out runs
 	lap        int
-	seq        uint64
+	seq        uint64 // of the last report
 	reportedAt time.Duration
-	unreported bool // an unsent change is there
-	urgent     bool // it goes out without waiting
+	unreported bool // something has changed since
+	urgent     bool // it is reported without waiting
 }
 
-// NewNode makes one. Life differs between lives of a node.
-func NewNode(zone string, life uint64, now time.Duration) *Node {
-	return &Node{now: now, zone: zone, incarnation: life, disconnected: true, rollouts: map[string]*localRollout{}}
+// NewNode makes one. Each start of a node has another incarnation.
+func NewNode(zone string, incarnation uint64, now time.Duration) *Node {
+	return &Node{now: now, zone: zone, incarnation: incarnation, disconnected: true, rollouts: map[string]*localRollout{}}
 }
 
 // ApplyState takes the state after an entry or a snapshot.
 func (n *Node) ApplyState(s *State) {
 	for i := range s.Runs() {
-		r := &s.Runs()[i]
-		x := n.rollouts[r.Order.Service]
-		if x == nil || x.Number != r.Number {
-			x = &localRollout{salt: hashSalt(r.Order.Service, r.Number)}
-			n.rollouts[r.Order.Service] = x
+		run := &s.Runs()[i]
+		local := n.rollouts[run.Order.Service]
+		if local == nil || local.Number != run.Number {
+			local = &localRollout{salt: hashSalt(run.Order.Service, run.Number)}
+			n.rollouts[run.Order.Service] = local
 		}
-		again := x.counter == nil || x.Step != r.Step
-		x.Run = *r
+		newStep := local.counter == nil || local.Step != run.Step
+		local.Run = *run
 		switch {
-		case r.Phase != Running:
-			x.counter = nil
-		case again:
-			x.resetCounter(n.now)
-			x.reportedAt, x.lap = n.now, max(x.lap, 1)
+		case run.Phase != Running:
+			local.counter = nil
+		case newStep:
+			local.resetCounter(n.now)
+			local.reportedAt, local.lap = n.now, max(local.lap, 1)
 		}
 	}
-	for name := range n.rollouts {
-		if s.Run(name) == nil {
-			delete(n.rollouts, name)
+	for service := range n.rollouts {
+		if s.Run(service) == nil {
+			delete(n.rollouts, service)
 		}
 	}
 }
 
-// resetCounter begins counts and evidence; usual times stay.
+// resetCounter begins counts and evidence; usual latencies stay.
 func (l *localRollout) resetCounter(now time.Duration) {
-	was := l.counter
+	former := l.counter
 	l.counter = newStepCounter(l.Order.Failing, now)
-	if was != nil {
-		l.counter.latencyByRoute = was.latencyByRoute
+	if former != nil {
+		l.counter.latencyByRoute = former.latencyByRoute
 	}
 }
 
-// SetConnected says whether this node has fresh word of the core. Until it once had, it sends nobody to a new version
-// that may have been pulled back meanwhile. What it finds while cut off is for its own judgement only, and is
-// dropped at its return: else a cut would look like a failing version to the fleet.
-func (n *Node) SetConnected(fresh bool) {
-	if fresh && n.disconnected {
-		for _, x := range n.rollouts {
-			if x.counter != nil {
-				sums := x.counter.counts
-				x.resetCounter(n.now)
-				x.counter.counts = sums
+// SetConnected says whether this node has contact with the core. Until it once had, it sends nobody to a canary that may have been
+// rolled back meanwhile. What it finds while disconnected is for its own rollback only, and is dropped when it is connected
+// again: else a partition would look like a failing version to the fleet.
+func (n *Node) SetConnected(connected bool) {
+	if connected && n.disconnected {
+		for _, local := range n.rollouts {
+			if local.counter != nil {
+				counts := local.counter.counts
+				local.resetCounter(n.now)
+				local.counter.counts = counts
 			}
 		}
 	}
-	n.disconnected, n.everConnected = !fresh, n.everConnected || fresh
+	n.disconnected, n.everConnected = !connected, n.everConnected || connected
 }
 
-// HandleLap takes the duty's word; a number that was had or passed changes nothing.
-func (n *Node) HandleLap(l Lap) {
-	if x := n.rollouts[l.Service]; x != nil && x.Number == l.Number && l.Lap > x.lap {
-		x.lap = l.Lap
-		if x.counter != nil {
-			x.counter.closeSpan(n.now)
-			x.counter.evidence.resetWindow(1)
-		}
+// HandleLap takes a coordinator's lap; one that came already or is passed changes nothing.
+func (n *Node) HandleLap(lap Lap) {
+	local := n.rollouts[lap.Service]
+	if local == nil || local.Number != lap.Number || lap.Lap <= local.lap {
+		return
+	}
+	local.lap = lap.Lap
+	if local.counter != nil {
+		local.counter.closeSpan(n.now)
+		local.counter.evidence.resetWindow(lapWindow)
 	}
 }
 
-// EverConnected tells whether Touch was ever given fresh word: pools may be others from then on.
+// EverConnected reports whether this incarnation was ever connected to the core: the sides of backends may be others from then on.
 func (n *Node) EverConnected() bool { return n.everConnected }
 
-// HasRollouts tells whether there is anything to ask this node for. Without a roll-out there is not.
+// HasRollouts reports whether there is anything to ask this node for.
 func (n *Node) HasRollouts() bool { return len(n.rollouts) > 0 }
 
-// BackendSide is the side of a backend, by the generation in its beats: what is not the new version is the old one. Once a
-// roll-out is finished, what is not the old version is the new one: a third one may come without another roll-out. But a node
-// that was in no touch yet may not know of another, which tries that one, or has pulled it back.
+// BackendSide is the side of a backend, by the generation in its heartbeats: what is not the canary is the baseline. Once a roll-out
+// is finished, what is not the baseline is the canary: a third version may come without another roll-out. But a node that was never
+// connected may not know of another roll-out, which tries that version or has rolled it back.
 func (n *Node) BackendSide(service, generation string) Side {
-	x := n.rollouts[service]
+	local := n.rollouts[service]
 	switch {
-	case x == nil:
+	case local == nil:
 		return Baseline
-	case x.Phase == Finished && n.everConnected && generation != x.Order.Old, generation == x.Order.New:
+	case local.Phase == Finished && n.everConnected && generation != local.Order.Old, generation == local.Order.New:
 		return Canary
 	}
 	return Baseline
 }
 
-// Share is what this node sends to the new version now, in 1/10000 of the users that the order is about.
+// Share is what this node sends to the canary now, in basis points of the users whom the roll-out concerns.
 func (n *Node) Share(service string) int {
-	if x := n.rollouts[service]; x != nil && !x.rolledBack && (n.everConnected || x.Phase == Finished) {
-		return x.Run.Share()
+	if local := n.rollouts[service]; local != nil && !local.rolledBack && (n.everConnected || local.Phase == Finished) {
+		return local.Run.Share()
 	}
 	return 0
 }
 
-// CanaryBarred tells that the new version gets no request at all, neither first nor further tries.
+// CanaryBarred reports that the canary gets no attempt at all, neither first nor later ones.
 func (n *Node) CanaryBarred(service string) bool {
-	x := n.rollouts[service]
-	return x != nil && (x.Phase == RolledBack || x.rolledBack || !n.everConnected && x.Phase == Running)
+	local := n.rollouts[service]
+	return local != nil && (local.Phase == RolledBack || local.rolledBack || !n.everConnected && local.Phase == Running)
 }
 
 // ChooseSide tells where a request begins, and whether it is one that the versions are compared by. The user is nil
-// where there is neither mark nor key: such requests stay on the old side.
-func (n *Node) ChooseSide(service string, user []byte, in Scope) (side Side, counts bool) {
-	x := n.rollouts[service]
+// where the request names none: such requests stay on the baseline.
+func (n *Node) ChooseSide(service string, user []byte, in Scope) (side Side, compared bool) {
+	local := n.rollouts[service]
 	switch share := n.Share(service); {
-	case x == nil || x.Phase == RolledBack:
+	case local == nil || local.Phase == RolledBack:
 		return Baseline, false
-	case x.Phase == Finished:
+	case local.Phase == Finished:
 		return Canary, false
-	case len(user) == 0 || !x.Order.Limits.matches(in):
+	case len(user) == 0 || !local.Order.Limits.matches(in):
 		return Baseline, false
-	case userPosition(x.salt, user) < share:
+	case userPosition(local.salt, user) < share:
 		return Canary, true
 	default:
 		return Baseline, share > 0
 	}
 }
 
-// RecordOutcome takes the end of a first submission that counts, by the number of the roll-out under which it began.
-func (n *Node) RecordOutcome(service string, number Number, e Outcome) {
-	if x := n.rollouts[service]; x != nil && x.Number == number && x.counter != nil && e.Cause < causeCount && e.Backend != 0 {
-		x.counter.record(e)
-		x.unreported = true
+// RecordOutcome takes the outcome of a request that is compared, with the number of the roll-out under which it began.
+func (n *Node) RecordOutcome(service string, number Number, o Outcome) {
+	if local := n.rollouts[service]; local != nil && local.Number == number && local.counter != nil && o.Cause < causeCount && o.Backend != 0 {
+		local.counter.record(o)
+		local.unreported = true
 	}
 }
 
-// RunningNumber is the roll-out of a service that a request begins under, for Ended; 0 if none runs.
+// RunningNumber is the roll-out of a service that a request begins under, for RecordOutcome; 0 if none runs.
 func (n *Node) RunningNumber(service string) Number {
-	if x := n.rollouts[service]; x != nil && x.counter != nil {
-		return x.Number
+	if local := n.rollouts[service]; local != nil && local.counter != nil {
+		return local.Number
 	}
 	return 0
 }
 
-// Tick sets the clock and weighs the spans that are over.
+// NextDeadline is when Tick has something to do; false while no roll-out runs.
+func (n *Node) NextDeadline() (at time.Duration, ok bool) {
+	for _, local := range n.rollouts {
+		if local.counter != nil && (!ok || local.counter.spanEnd() < at) {
+			at, ok = local.counter.spanEnd(), true
+		}
+	}
+	return at, ok
+}
+
+// Tick sets the clock, weighs the spans that have ended, rolls back where this node alone is sure, and reports.
 func (n *Node) Tick(now time.Duration) {
 	n.now = max(n.now, now)
 	if at, ok := n.NextDeadline(); !ok || n.now < at {
 		return
 	}
-	for _, name := range sortedKeys(n.rollouts) {
-		x := n.rollouts[name]
-		c := x.counter
-		if c == nil || n.now < c.spanEnd() {
+	for _, service := range sortedKeys(n.rollouts) {
+		local := n.rollouts[service]
+		if local.counter == nil || n.now < local.counter.spanEnd() {
 			continue
 		}
-		c.closeSpan(n.now)
-		if c.changed && !x.rolledBack {
-			c.changed = false
-			f := []*found{{evidence: &c.evidence, zone: n.zone, canaryBackends: len(c.canaryBackends)}}
-			score, doubt := evaluate(f, x.Step, x.lap, NodeFalsePositiveRate)
-			if x.urgent = doubt >= 1; score >= 1 {
-				x.rolledBack, x.unreported, x.urgent = true, true, true
-				n.actions = append(n.actions, LocalRollback{name, x.Number, describeCounts(&c.counts)})
-			}
+		local.counter.closeSpan(n.now)
+		if local.counter.changed && !local.rolledBack {
+			n.evaluate(local)
 		}
-		if x.unreported && !n.disconnected && (n.now-x.reportedAt >= reportInterval || x.urgent) {
-			x.unreported, x.reportedAt = false, n.now
-			x.seq++
-			n.actions = append(n.actions, SendReport{Report{Service: name, Number: x.Number, Step: x.Step, Lap: x.lap,
-				Life: n.incarnation, Seq: x.seq, Zone: n.zone, Alone: x.rolledBack, Backs: len(c.canaryBackends), Counts: c.counts,
-				Evidence: c.evidence.encode()}})
+		if local.unreported && !n.disconnected && (n.now-local.reportedAt >= reportInterval || local.urgent) {
+			n.push(SendReport{n.report(local)})
 		}
 	}
 }
 
-// Next gives the next thing to do now, or false when there is none.
-func (n *Node) Next() (Action, bool) {
-	if len(n.actions) == 0 {
-		return nil, false
+// evaluate looks at what this node alone has found.
+func (n *Node) evaluate(local *localRollout) {
+	c := local.counter
+	c.changed = false
+	own := []*findings{{evidence: &c.evidence, zone: n.zone, canaryBackends: len(c.canaryBackends)}}
+	score, doubt := evaluate(own, local.Step, local.lap, NodeFalsePositiveRate)
+	local.urgent = doubt >= 1
+	if score >= 1 {
+		local.rolledBack, local.unreported, local.urgent = true, true, true
+		n.push(LocalRollback{local.Order.Service, local.Number, c.counts.describe()})
 	}
-	a := n.actions[0]
-	n.actions = n.actions[1:]
-	return a, true
 }
 
-func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
-
-// NextDeadline is when Now has something to weigh; false while no roll-out runs.
-func (n *Node) NextDeadline() (at time.Duration, ok bool) {
-	for _, x := range n.rollouts {
-		if x.counter != nil && (!ok || x.counter.spanEnd() < at) {
-			at, ok = x.counter.spanEnd(), true
-		}
-	}
-	return at, ok
+// report is the next one on a roll-out.
+func (n *Node) report(local *localRollout) Report {
+	c := local.counter
+	local.unreported, local.reportedAt = false, n.now
+	local.seq++
+	return Report{Service: local.Order.Service, Number: local.Number, Step: local.Step, Lap: local.lap, Life: n.incarnation, Seq: local.seq,
+		Zone: n.zone, Alone: local.rolledBack, Backs: len(c.canaryBackends), Counts: c.counts, Evidence: c.evidence.encode()}
 }
 
-// findings reads a report.
-func (r *Report) findings() (*found, error) {
-	e, err := decodeEvidence(r.Evidence)
-	if err != nil {
-		return nil, errors.Wrapf(err, "report on %s", r.Service)
-	}
-	return &found{evidence: e, zone: r.Zone, canaryBackends: r.Backs}, nil
-}
+func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// A good version under the sites' usual troubles: 1,000 roll-outs in four steps.
+// A good version under the sites' usual faults: 1,000 roll-outs in four steps.
 func TestGoodVersionStays(t *testing.T) {
 	t.Parallel()
 	const plays = 1000
@@ -174,7 +174,7 @@
 		})
 	}
 	all.Wait()
-	t.Logf("%d of %d pulled back, by %d nodes alone; %d at the last step; %d bytes of evidence a node and second",
+	t.Logf("%d of %d rolled back, by %d nodes alone; %d at the last step; %d bytes of evidence a node and second",
 		wrong, plays, alone, finished, bytes/plays/45/6)
 	must.LessEq(t, plays/100, wrong) // the stated share
 	must.GreaterEq(t, plays*8/10, finished)
@@ -186,7 +186,7 @@
 	from := time.Duration(5+w.rng.Intn(30)) * time.Second
 	in := func(now, long time.Duration) bool { return now >= from && now < from+long }
 	bad := uint64(1 + w.rng.Intn(baselineCount+canaryCount))
-	sick := w.rng.Intn(3)
+	unhealthy := w.rng.Intn(3)
 	switch w.rng.Intn(5) {
 	case 0:
 		w.commonFactors = func(now time.Duration) (float64, float64) {
@@ -211,7 +211,7 @@
 		}
 	case 3: // the zone's nodes reach the others badly, on both sides
 		w.fault = func(now time.Duration, _ *Outcome, zone, _ int) (float64, float64) {
-			if zone == sick && in(now, 5*time.Second) {
+			if zone == unhealthy && in(now, 5*time.Second) {
 				return 0.3, 1.5
 			}
 			return 0, 1
@@ -219,7 +219,7 @@
 	}
 }
 
-// What fails is pulled back; the table is that of the note.
+// What fails is rolled back; the table is that of docs/rollouts.md.
 func TestFailingVersionsAreRolledBack(t *testing.T) {
 	t.Parallel()
 	type fault = func(now time.Duration, e *Outcome, zone, tenant int) (float64, float64)
@@ -236,7 +236,7 @@
 	eighth := func(_ time.Duration, _ *Outcome, _, tenant int) bool { return tenant == 3 }
 	cold := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.WarmingUp }
 	later := func(now time.Duration, _ *Outcome, _, _ int) bool { return now > 10*time.Minute }
-	any := func(time.Duration, *Outcome, int, int) bool { return true }
+	everything := func(time.Duration, *Outcome, int, int) bool { return true }
 	writes := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.Kind == Write }
 	for _, c := range []struct {
 		name  string
@@ -250,14 +250,14 @@
 		{"all writes, one in five", 5000, 350, always(.2, 1, writes), 5 * time.Second},
 		{"all writes, one in five", 9000, 350, always(.2, 1, writes), 15 * time.Second},
 		{"all writes, one in five", 1000, 3500, always(.2, 1, writes), 3 * time.Second},
-		{"everything, wrong bytes", 100, 350, always(1, 1, any), 6 * time.Second},
-		{"everything, wrong bytes", 5000, 350, always(1, 1, any), 3 * time.Second},
-		{"one in 200", 2500, 3500, always(.005, 1, any), 90 * time.Second},
-		{"one in 50", 2500, 350, always(.02, 1, any), 40 * time.Second},
+		{"everything, wrong bytes", 100, 350, always(1, 1, everything), 6 * time.Second},
+		{"everything, wrong bytes", 5000, 350, always(1, 1, everything), 3 * time.Second},
+		{"one in 200", 2500, 3500, always(.005, 1, everything), 90 * time.Second},
+		{"one in 50", 2500, 350, always(.02, 1, everything), 40 * time.Second},
 		{"one tenant of eight, half", 1000, 350, always(.5, 1, eighth), 25 * time.Second},
 		{"one zone of three, one in five", 1000, 350, always(.2, 1, third), 15 * time.Second},
-		{"twice as slow", 1000, 350, always(0, 2, any), 45 * time.Second},
-		{"three times as slow", 1000, 350, always(0, 3, any), 15 * time.Second},
+		{"twice as slow", 1000, 350, always(0, 2, everything), 45 * time.Second},
+		{"three times as slow", 1000, 350, always(0, 3, everything), 15 * time.Second},
 		{"only when cold, one in five", 1000, 350, always(.2, 1, cold), 8 * time.Second},
 		{"after ten minutes, one in five", 1000, 60, always(.2, 1, later), 60 * time.Second},
 	} {
@@ -292,12 +292,12 @@
 }
 
 // Reports that are lost, doubled and reordered in every way come to the same sums, each counted once; a node that
-// starts anew is another life; whoever takes the duty over has all with one more of each.
+// starts anew is another incarnation; a new coordinator has all with one more of each.
 func TestAllOrdersOfReports(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(1, 2, 400, testSpec(5000))
 	w.lostOfSeven = 7
-	var told []Report
+	var reports []Report
 	for range 3 {
 		for range 4 {
 			w.now += tick
@@ -307,30 +307,30 @@
 				}
 				d.Tick(w.now)
 				for a, ok := d.Next(); ok; a, ok = d.Next() {
-					told = append(told, a.(SendReport).Report)
+					reports = append(reports, a.(SendReport).Report)
 				}
 			}
 		}
 	}
-	must.Eq(t, 6, len(told))
+	must.Eq(t, 6, len(reports))
 	var b bytes.Buffer
-	must.NoError(t, gob.NewEncoder(&b).Encode(told[5]))
+	must.NoError(t, gob.NewEncoder(&b).Encode(reports[5]))
 	must.Less(t, 4096, b.Len())
 	var want Counts
-	want.Add(&told[4].Counts)
-	want.Add(&told[5].Counts)
+	want.Add(&reports[4].Counts)
+	want.Add(&reports[5].Counts)
 	must.Eq(t, uint32(480*2), want[0][0].Ends+want[0][1].Ends+want[1][0].Ends+want[1][1].Ends)
 	var each func(left, done []int)
 	each = func(left, done []int) {
 		d := NewCoordinator(2, w.now)
 		d.ApplyState(w.state)
 		for _, i := range append(done, done...) {
-			must.NoError(t, d.HandleReport(NodeID(i%2), told[i]))
+			must.NoError(t, d.HandleReport(NodeID(i%2), reports[i]))
 		}
 		if slices.Contains(done, 4) && slices.Contains(done, 5) {
 			got, _ := d.Counts("libro")
 			must.Eq(t, want, got)
-			old := told[4]
+			old := reports[4]
 			old.Number++
 			must.NoError(t, d.HandleReport(0, old))
 			got, _ = d.Counts("libro")
@@ -342,14 +342,14 @@
 		}
 	}
 	each([]int{0, 1, 2, 3, 4, 5}, nil)
-	broken := told[5]
+	broken := reports[5]
 	broken.Evidence = broken.Evidence[:len(broken.Evidence)-1]
 	d := NewCoordinator(2, 0)
 	d.ApplyState(w.state)
 	must.Error(t, d.HandleReport(1, broken))
 }
 
-// One sick node is never a verdict: neither while it is the first whose report has come, nor by several lives of it.
+// One unhealthy node never rolls back: neither while it is the first whose report has come, nor by several incarnations of it.
 func TestOneNodeDoesNotRollBack(t *testing.T) {
 	s := NewState()
 	e := startEntry(testSpec(5000), 0, "")
@@ -359,8 +359,8 @@
 	d.SetNodeCount(12)
 	d.ApplyState(s)
 	now := time.Duration(0)
-	sick := func(id NodeID, life uint64) (pulled bool) {
-		node := NewNode("a", life, now)
+	reports := func(id NodeID, incarnation uint64) (rolledBack bool) {
+		node := NewNode("a", incarnation, now)
 		node.ApplyState(s)
 		node.SetConnected(true)
 		for end := now + 3*time.Second; now < end; now += tick {
@@ -376,12 +376,12 @@
 			d.Tick(now)
 			for a, ok := d.Next(); ok; a, ok = d.Next() {
 				p, is := a.(Propose)
-				pulled = pulled || is && p.Entry.Verb == Rollback
+				rolledBack = rolledBack || is && p.Entry.Verb == Rollback
 			}
 		}
-		return pulled
+		return rolledBack
 	}
-	must.False(t, sick(3, 1))
-	must.False(t, sick(3, 2))
-	must.True(t, sick(4, 3)) // and a second node is one
+	must.False(t, reports(3, 1))
+	must.False(t, reports(3, 2))
+	must.True(t, reports(4, 3)) // but two do
 }
--- a/internal/gateway/rollout/spec.go
+++ b/internal/gateway/rollout/spec.go
@@ -1,21 +1,14 @@
-// Package rollout shifts a share of a service's users onto a new version of it, and pulls them back when that
-// version fails. A node asks it for the side of each request and tells it how each ended; the node with the duty
-// sums what all nodes found and judges; orders and verdicts are entries of the core's ordered log. It does no
-// I/O: inputs only update what is known, the host pulls with Next. See docs/rollouts.md.
 package rollout
 
 import (
-	"encoding/binary"
 	"fmt"
-	"math/bits"
 	"slices"
-
-	"github.com/go-faster/errors"
+	"time"
 
 	"clovergap/internal/gateway/logentry"
 )
 
-// FullShare is all users: shares are in 1/10000.
+// FullShare is all users: shares are in basis points, 1/10000.
 const FullShare = 10000
 
 // Number names a roll-out: no two have the same. 0 is none.
@@ -24,22 +17,28 @@
 // Duration is a time that JSON writes with its unit.
 type Duration = logentry.Duration
 
-// Spec is an order: which version takes over from which, and how.
+// Spec is an operator's order: which version takes over from which, and how. Versions are the generations in the backends' heartbeats.
 type Spec struct {
 	Service string          `json:"service" validate:"required,max=128"`
-	Old     string          `json:"old" validate:"required,max=128"`             // generation in the backends' beats
-	New     string          `json:"new" validate:"required,max=128,nefield=Old"` // generation
+	Old     string          `json:"old" validate:"required,max=128"`             // the baseline's generation
+	New     string          `json:"new" validate:"required,max=128,nefield=Old"` // the canary's generation
 	Steps   []Step          `json:"steps" validate:"required,max=16,dive"`
 	Limits  Limits          `json:"limits"`
 	Failing FailureCriteria `json:"failing"`
-	Advance string          `json:"advance" validate:"oneof=time word"` // who goes on to the next step
+	Advance string          `json:"advance" validate:"oneof=time word"` // AdvanceByTime or AdvanceByCommand
 }
 
+// Who goes on to the next step, as Spec.Advance says it.
+const (
+	AdvanceByTime    = "time" // the coordinator, once the step's least time and requests are there
+	AdvanceByCommand = "word" // an operator; the default
+)
+
 // Step is a share of users, and what must pass before the next one.
 type Step struct {
-	Share    int      `json:"share" validate:"min=1,max=9000"`    // in 1/10000; a tenth stays to compare with
+	Share    int      `json:"share" validate:"min=1,max=9000"`    // in basis points; a tenth stays to compare with
 	MinTime  Duration `json:"min_time" validate:"min=1000000000"` // a second or more
-	Requests int      `json:"requests" validate:"min=0"`          // on the new side, over all nodes
+	Requests int      `json:"requests" validate:"min=0"`          // on the canary, over all nodes
 }
 
 // Limits bind a roll-out to some of the traffic; an empty list binds nothing. Zones are the nodes'.
@@ -49,161 +48,125 @@
 	Zones   []string `json:"zones" validate:"max=32,dive,required"`
 }
 
-// FailureCriteria tells what counts, always against the old version in the same span. What is left out has the value
-// of Usual.
+// Scope is where a request belongs. Empty: to none.
+type Scope struct{ Tenant, Route, Zone string }
+
+// matches reports whether a request of a scope is among the traffic that the limits name.
+func (l *Limits) matches(s Scope) bool {
+	allows := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
+	return allows(l.Tenants, s.Tenant) && allows(l.Routes, s.Route) && allows(l.Zones, s.Zone)
+}
+
+// FailureCriteria say what counts as a failure, always against the baseline in the same span. What is left out has the value of
+// DefaultFailureCriteria.
 type FailureCriteria struct {
-	Causes   []string `json:"causes" validate:"required,dive,oneof=5xx none wrong full"`
-	Extra    int      `json:"extra" validate:"min=0,max=5000"`       // so many more failing, in 1/10000, are borne
-	Quantile int      `json:"quantile" validate:"min=5000,max=9900"` // in 1/10000, of the old version's times
-	Slower   int      `json:"slower" validate:"min=100,max=1000"`    // so many hundredths of it are borne
+	Causes   []string `json:"causes" validate:"required,dive,oneof=5xx none wrong full"` // names of a Cause
+	Extra    int      `json:"extra" validate:"min=0,max=5000"`                           // additional failures that are tolerated, in basis points
+	Quantile int      `json:"quantile" validate:"min=5000,max=9900"`                     // of the baseline's latencies, in basis points
+	Slower   int      `json:"slower" validate:"min=100,max=1000"`                        // so many hundredths of that latency are tolerated
 }
 
-// DefaultFailureCriteria is what failing means where an order does not say.
+// DefaultFailureCriteria are in force where a Spec says nothing.
 func DefaultFailureCriteria() FailureCriteria {
 	return FailureCriteria{Causes: []string{"5xx", "none", "wrong"}, Extra: 10, Quantile: 9500, Slower: 130}
 }
 
-// Capacity is a service's backends, in requests at a time: those of the old version, of the new one, and how many
-// are used at the busiest (0: not known, then seven tenths of all).
-type Capacity struct{ Old, New, Busy int }
+// FieldError tells which field of a Spec or an Entry is refused, by its name in JSON, and why.
+type FieldError struct {
+	Field  string // such as "steps[1].share"
+	Reason string
+}
+
+// Error gives the field and the reason.
+func (f *FieldError) Error() string { return f.Field + ": " + f.Reason }
 
-// spareFactor is what must be free beyond the busiest: a quarter.
-const spareFactor = 1.25
+func fieldError(field, format string, args ...any) error {
+	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
+}
 
-// Normalize fills in what is left out and tells what is wrong, by the name of the field.
+// Normalize fills in the defaults and checks the spec by itself. Its errors begin with the name of the field.
 func (s *Spec) Normalize() error {
-	u, f := DefaultFailureCriteria(), &s.Failing
-	if len(f.Causes) == 0 {
-		f.Causes, f.Extra = u.Causes, max(f.Extra, u.Extra)
-	}
-	if f.Quantile == 0 {
-		f.Quantile = u.Quantile
-	}
-	if f.Slower == 0 {
-		f.Slower = u.Slower
-	}
-	if s.Advance == "" {
-		s.Advance = "word"
-	}
+	s.setDefaults()
 	if err := logentry.Validate(s); err != nil {
 		return err
 	}
 	for i := 1; i < len(s.Steps); i++ {
 		if s.Steps[i].Share <= s.Steps[i-1].Share {
-			return errors.Errorf("steps[%d].share: %d is not above the step before", i, s.Steps[i].Share)
+			return fieldError(fmt.Sprintf("steps[%d].share", i), "%d is not above the step before", s.Steps[i].Share)
 		}
 	}
 	return nil
 }
 
-// CheckCapacity tells whether there is room: the old version can take all back at any moment, the new one bears its
+func (s *Spec) setDefaults() {
+	defaults, criteria := DefaultFailureCriteria(), &s.Failing
+	if len(criteria.Causes) == 0 {
+		criteria.Causes, criteria.Extra = defaults.Causes, max(criteria.Extra, defaults.Extra)
+	}
+	if criteria.Quantile == 0 {
+		criteria.Quantile = defaults.Quantile
+	}
+	if criteria.Slower == 0 {
+		criteria.Slower = defaults.Slower
+	}
+	if s.Advance == "" {
+		s.Advance = AdvanceByCommand
+	}
+}
+
+// Capacity is that of a service's backends, in concurrent requests: of the baseline, of the canary, and how many are in use at the
+// busiest (0: not known, then defaultUtilization of all).
+type Capacity struct{ Old, New, Busy int }
+
+const (
+	spareFactor        = 1.25 // capacity over the busiest use that must be there
+	defaultUtilization = 0.7  // of all capacity, where the busiest use isn't known
+)
+
+// CheckCapacity tells whether there is capacity: the baseline can take all users back at any moment, the canary bears its
 // largest share.
-func (s *Spec) CheckCapacity(m Capacity) error {
+func (s *Spec) CheckCapacity(c Capacity) error {
 	switch {
-	case m.Old <= 0:
-		return errors.Errorf("old: %s has room for none", s.Old)
-	case m.New <= 0:
-		return errors.Errorf("new: %s has room for none", s.New)
+	case c.Old <= 0:
+		return fieldError("old", "%s has room for none", s.Old)
+	case c.New <= 0:
+		return fieldError("new", "%s has room for none", s.New)
 	}
-	busy := float64(m.Busy)
-	if m.Busy <= 0 {
-		busy = 0.7 * float64(m.Old+m.New)
+	busy := float64(c.Busy)
+	if c.Busy <= 0 {
+		busy = defaultUtilization * float64(c.Old+c.New)
 	}
-	if need := busy * spareFactor; float64(m.Old) < need {
-		return errors.Errorf("old: %s has room for %d at a time, %.0f must stay to take all users back",
-			s.Old, m.Old, need)
+	if need := busy * spareFactor; float64(c.Old) < need {
+		return fieldError("old", "%s has room for %d at a time, %.0f must stay to take all users back", s.Old, c.Old, need)
 	}
 	last := len(s.Steps) - 1
-	if need := busy * spareFactor * float64(s.Steps[last].Share) / FullShare; float64(m.New) < need {
-		return errors.Errorf("steps[%d].share: %s has room for %d at a time, %.0f are needed", last, s.New, m.New, need)
+	if need := busy * spareFactor * float64(s.Steps[last].Share) / FullShare; float64(c.New) < need {
+		return fieldError(fmt.Sprintf("steps[%d].share", last), "%s has room for %d at a time, %.0f are needed", s.New, c.New, need)
 	}
 	return nil
 }
 
-// CheckReferences tells whether the configuration in force has what an order names.
+// CheckReferences tells whether the configuration in force has what a spec names.
 func (s *Spec) CheckReferences(service, route, tenant, zone func(string) bool) error {
 	if !service(s.Service) {
-		return errors.Errorf("service: no %q in the configuration", s.Service)
+		return fieldError("service", "no %q in the configuration", s.Service)
 	}
-	for _, l := range []struct {
-		field string
-		names []string
-		has   func(string) bool
+	for _, list := range []struct {
+		field  string
+		names  []string
+		exists func(string) bool
 	}{{"routes", s.Limits.Routes, route}, {"tenants", s.Limits.Tenants, tenant}, {"zones", s.Limits.Zones, zone}} {
-		if i := slices.IndexFunc(l.names, func(n string) bool { return !l.has(n) }); i >= 0 {
-			return errors.Errorf("limits.%s[%d]: no %q in the configuration", l.field, i, l.names[i])
+		if i := slices.IndexFunc(list.names, func(name string) bool { return !list.exists(name) }); i >= 0 {
+			return fieldError(fmt.Sprintf("limits.%s[%d]", list.field, i), "no %q in the configuration", list.names[i])
 		}
 	}
 	return nil
 }
 
-// Scope is where a request belongs. Empty: to none.
-type Scope struct{ Tenant, Route, Zone string }
-
-func (l *Limits) matches(s Scope) bool {
-	in := func(list []string, one string) bool { return len(list) == 0 || slices.Contains(list, one) }
-	return in(l.Tenants, s.Tenant) && in(l.Routes, s.Route) && in(l.Zones, s.Zone)
-}
-
-// Side is a version of a service.
-type Side uint8
-
-// Old is also the side of all that no order is about.
-const (
-	Baseline Side = iota
-	Canary
-)
-
-func (s Side) String() string { return [...]string{"old", "new"}[s] }
-
-// MayAttempt tells whether a request that began on one side may go, or go again, to another: never from old to new.
-func MayAttempt(began, to Side) bool { return to == Baseline || began == Canary }
-
-const fnvOffset, fnvPrime = 14695981039346656037, 1099511628211
-
-func fnv1a[T string | []byte](h uint64, b T) uint64 {
-	for i := range len(b) {
-		h = (h ^ uint64(b[i])) * fnvPrime
-	}
-	return h
-}
-
-// hashSalt makes every roll-out begin with other users.
-func hashSalt(service string, n Number) uint64 {
-	var b [8]byte
-	binary.LittleEndian.PutUint64(b[:], uint64(n))
-	return fnv1a(fnv1a(fnvOffset, service), b[:])
-}
-
-// mixBits spreads all bits over all: the hash alone leaves its upper bits alike for texts that end alike. Murmur3's
-// finalizer (Appleby).
-func mixBits(h uint64) uint64 {
-	h = (h ^ h>>33) * 0xff51afd7ed558ccd
-	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
-	return h ^ h>>33
-}
-
-// userPosition of a user among all, 0 to Whole-1. It does not depend on shares, so whoever is on the new side stays
-// there while they grow; and it is the same at every node.
-func userPosition(salt uint64, user []byte) int {
-	hi, _ := bits.Mul64(mixBits(fnv1a(salt, user)), FullShare)
-	return int(hi)
-}
-
-// CountMoved counts how many of some users each step of an order would move: for a dry run, where users are few.
-func (s *Spec) CountMoved(n Number, users [][]byte) []int {
-	counts, count := make([]int, len(s.Steps)), hashSalt(s.Service, n)
-	for _, u := range users {
-		p := userPosition(count, u)
-		for i := range s.Steps {
-			if p < s.Steps[i].Share {
-				counts[i]++
-			}
-		}
-	}
-	return counts
-}
+// minTime is how long a step takes at the least.
+func (s Step) minTime() time.Duration { return time.Duration(s.MinTime) }
 
+// String gives the service, both versions and the number of steps.
 func (s *Spec) String() string {
 	return fmt.Sprintf("%s from %s to %s in %d steps", s.Service, s.Old, s.New, len(s.Steps))
 }
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"github.com/go-faster/errors"
 	"github.com/shoenig/test/must"
 
 	"clovergap/internal/gateway/logentry"
@@ -68,7 +69,7 @@
 			must.InDelta(t, p*users, float64(got), 5*math.Sqrt(users*p*(1-p))+5)
 		}
 	}
-	a, b := NewNode("a", 1, 0), NewNode("b", 2, 0) // no word between them
+	a, b := NewNode("a", 1, 0), NewNode("b", 2, 0) // that don't know of each other
 	s := NewState()
 	on := make([]bool, users)
 	for step := range shares {
@@ -97,7 +98,29 @@
 	must.True(t, MayAttempt(Canary, Baseline) && MayAttempt(Canary, Canary) && MayAttempt(Baseline, Baseline) && !MayAttempt(Baseline, Canary))
 }
 
-// All orders of seven entries of two operators and two nodes with the duty: a state that ends never runs again,
+// Guards against errors that a caller can tell apart by their text alone.
+func TestErrorsAreTyped(t *testing.T) {
+	spec := testSpec(500, 100)
+	var field *FieldError
+	must.True(t, errors.As(spec.Normalize(), &field))
+	must.Eq(t, FieldError{Field: "steps[1].share", Reason: "100 is not above the step before"}, *field)
+	s := NewState()
+	verdict, err := s.Decide(&Entry{Verb: Advance, Service: "libro", Number: 1})
+	must.True(t, verdict == routing.Conflict && errors.As(err, &field) && field.Field == "service")
+	must.ErrorIs(t, (&Entry{Verb: Start, Service: "libro"}).Validate(), ErrNoSpec)
+	must.ErrorIs(t, (&Entry{Verb: Pause, Why: strings.Repeat("x", maxTextBytes+1)}).Validate(), ErrTextTooLong)
+	c := NewCoordinator(1, 0)
+	must.NoError(t, apply(s, startEntry(testSpec(100), 0, "")))
+	c.ApplyState(s)
+	for _, broken := range []struct {
+		evidence []byte
+		want     error
+	}{{[]byte{1}, ErrMalformedEvidence}, {[]byte{255, 0}, ErrMalformedEvidence}, {[]byte{0, 0, 1}, ErrTruncatedEvidence}} {
+		must.ErrorIs(t, c.HandleReport(1, Report{Service: "libro", Number: 1, Step: 1, Evidence: broken.evidence}), broken.want)
+	}
+}
+
+// All orders of seven entries of two operators and two coordinators: a state that ends never runs again,
 // what is taken is taken by all alike, an old verdict never hits the next roll-out.
 func TestAllOrdersOfEntries(t *testing.T) {
 	t.Parallel()
@@ -204,7 +227,7 @@
 	must.NoError(t, err)
 	user := []byte("someone")
 	late := NewNode("a", 1, 0)
-	late.ApplyState(s) // of its disk: it may have been pulled back since
+	late.ApplyState(s) // of its disk: it may have been rolled back since
 	must.True(t, late.Share("libro") == 0 && late.CanaryBarred("libro"))
 	late.SetConnected(true)
 	must.Eq(t, 9000, late.Share("libro"))
@@ -230,7 +253,7 @@
 	must.Eq(t, Baseline, late.BackendSide("libro", "v1.5"))
 	done := NewState()
 	must.NoError(t, apply(done, startEntry(testSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Rev: 1}))
-	for i, want := range []Side{Baseline, Canary} { // a third version, which another roll-out may have pulled back
+	for i, want := range []Side{Baseline, Canary} { // a third version, which another roll-out may have rolled back
 		ended := NewNode("a", 1, 0)
 		ended.ApplyState(done)
 		ended.SetConnected(i == 1)
@@ -252,33 +275,33 @@
 	return nil
 }
 
-// Marks of calls that were taken are known again, also by who starts from an older program's snapshot; once they are forgotten,
-// nobody is told that his call lost a race.
+// IDs of calls that were taken are known again, also after an earlier program's snapshot; once they are forgotten, no call is answered that
+// it lost a race.
 func TestCallIDsAreForgottenByNumber(t *testing.T) {
 	t.Parallel()
 	for _, old := range []bool{false, true} {
 		s := NewState()
 		s.Apply(startEntry(testSpec(100), 0, "first"))
-		hold := func(i int) *Entry {
+		pause := func(i int) *Entry {
 			return &Entry{Verb: Pause, Service: "libro", Number: 1, Mark: fmt.Sprint("m", i)}
 		}
 		for i := range 300 {
-			s.Apply(hold(i))
+			s.Apply(pause(i))
 		}
 		if old {
-			k := s.kept
-			for i := 300 - maxStoredMarks; i < 300; i++ {
-				k.Marks = append(k.Marks, hold(i).Mark)
+			k := s.stored()
+			for i := 300 - maxStoredCalls; i < 300; i++ {
+				k.Marks = append(k.Marks, pause(i).Mark)
 			}
 			var err error
 			s, err = Restore(logentry.Encode(k))
 			must.NoError(t, err)
 		} else {
-			s.appliedCalls, _ = logentry.DecodeDedupWindow(s.appliedCalls.Bytes(), 18*maxStoredMarks)
+			s.appliedCalls, _ = logentry.DecodeDedupWindow(s.appliedCalls.Bytes(), 18*maxStoredCalls)
 		}
 		for range 2 {
 			for i := 300 - 200; i < 300; i++ {
-				v, _ := s.Decide(hold(i))
+				v, _ := s.Decide(pause(i))
 				must.Eq(t, routing.Already, v)
 			}
 			v, err := s.Decide(startEntry(testSpec(100), 0, "first"))
