--- /dev/null
+++ b/internal/gateway/rollout/versions_test.go
@@ -0,0 +1,201 @@
+package rollout
+
+import (
+	"bytes"
+	"encoding/gob"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"clovergap/internal/gateway/logentry"
+)
+
+// testdata/before.* is what the version of 2 December 2026 (dd5a45a, before its names were changed) stored and sent: an operator's order, a
+// verdict with all its fields, a snapshot with an earlier roll-out and one that is paused, the same with the list of calls that still earlier
+// programs had, a report and a lap.
+
+func pastBytes(t *testing.T, name string) []byte {
+	t.Helper()
+	b, err := os.ReadFile("testdata/before." + name)
+	must.NoError(t, err)
+	return b
+}
+
+func pastSpec() *Spec {
+	return &Spec{Service: "libro", Old: "v1", New: "v2",
+		Steps:   []Step{{Share: 100, MinTime: Duration(time.Minute), Requests: 500}, {Share: 2500, MinTime: Duration(2 * time.Minute)}},
+		Limits:  Limits{Tenants: []string{"huka"}, Routes: []string{"r1"}, Zones: []string{"a", "b"}},
+		Failing: FailureCriteria{Causes: []string{"5xx", "full"}, Extra: 11, Quantile: 9400, Slower: 140}, Advance: AdvanceByTime}
+}
+
+func pastOrder() *Entry {
+	return &Entry{Verb: Start, Service: "libro", Mark: "call-1", By: "ana", At: 1764692000123, Why: "new release", Order: pastSpec(),
+		Room: Capacity{Old: 40, New: 30, Busy: 20}}
+}
+
+func pastVerdict() *Entry {
+	e := &Entry{Verb: Rollback, Service: "libro", Mark: "m", By: "duty", At: 5, Why: "writes: new 3 of 9 failed", Rev: 7, Number: 1, Step: 1, Fence: 9}
+	for side := range e.Counts {
+		for kind := range e.Counts[side] {
+			tally := &e.Counts[side][kind]
+			tally.Ends = uint32(10*side + kind + 1)
+			for i := range tally.By {
+				tally.By[i] = uint32(100*side + 10*kind + i)
+			}
+			for i := range tally.Times {
+				tally.Times[i] = uint32(1000*side + 100*kind + i)
+			}
+		}
+	}
+	return e
+}
+
+// Guards against a name that gob goes by and that is changed: the entries of a log that the version before wrote would lose a field.
+func TestEntriesOfTheVersionBefore(t *testing.T) {
+	for name, want := range map[string]*Entry{"entry": pastOrder(), "verdict": pastVerdict()} {
+		e, err := DecodeEntry(pastBytes(t, name))
+		must.NoError(t, err)
+		must.Eq(t, want, e)
+	}
+}
+
+// Guards against a snapshot of the version before that is read with a field less.
+func TestSnapshotsOfTheVersionBefore(t *testing.T) {
+	for _, name := range []string{"snapshot", "marks"} {
+		s, err := Restore(pastBytes(t, name))
+		must.NoError(t, err)
+		must.True(t, s.Last == 2 && s.Rev == 5 && s.fencingToken == 9, must.Sprint(name))
+		for _, id := range []string{"call-1", "call-2", "call-3", "call-4"} {
+			must.True(t, s.CallApplied(id), must.Sprint(name, id))
+		}
+		must.False(t, s.CallApplied("call-5"))
+		must.SliceLen(t, 1, s.Ended())
+		ended := s.Ended()[0]
+		must.Eq(t, *pastSpec(), ended.Order)
+		must.True(t, ended.Phase == RolledBack && ended.Held && ended.Number == 1)
+		must.Eq(t, HistoryEntry{Verb: Rollback, Step: 1, By: "duty", At: 5, Why: "writes: new 3 of 9 failed", Counts: pastVerdict().Counts}, ended.History[2])
+		r := s.Run("libro")
+		must.True(t, r.Number == 2 && r.Rev == 5 && r.Phase == Running && r.Step == 1 && r.Held && r.Order.New == "v3")
+		must.Eq(t, Capacity{Old: 40, New: 30, Busy: 20}, r.Room)
+	}
+}
+
+// Guards against reports of nodes of the version before that are read with a field less, while both versions run.
+func TestReportsOfTheVersionBefore(t *testing.T) {
+	var r Report
+	must.NoError(t, logentry.Decode(pastBytes(t, "report"), &r, "report"))
+	evidence := r.Evidence
+	r.Evidence = nil
+	must.Eq(t, Report{Service: "libro", Number: 2, Step: 1, Lap: 3, Life: 1 << 60, Seq: 12, Zone: "a", Alone: true, Backs: 5, Counts: pastVerdict().Counts}, r)
+	e, err := decodeEvidence(evidence)
+	must.NoError(t, err)
+	for window := range windowCount {
+		for test := range testCount {
+			for i := range ratioCount {
+				must.Eq(t, float64(window+1)*(float64(test)-3.5+float64(i)/64), e.total[window][test][i])
+				must.Eq(t, float64(test)/2, e.perBackend[77][window][test][i])
+			}
+		}
+	}
+	must.Eq(t, evidence, e.encode())
+	var lap Lap
+	must.NoError(t, logentry.Decode(pastBytes(t, "lap"), &lap, "lap"))
+	must.Eq(t, Lap{Service: "libro", Number: 2, Lap: 4}, lap)
+}
+
+// The types of the version before, as far as gob goes by them.
+type (
+	oldTally struct {
+		Ends  uint32
+		By    [5]uint32
+		Times [26]uint32
+	}
+	oldRollout struct {
+		Service, Old, New string
+		Steps             []struct {
+			Share    int
+			MinTime  int64
+			Requests int
+		}
+		Limits  struct{ Tenants, Routes, Zones []string }
+		Failing struct {
+			Causes                  []string
+			Extra, Quantile, Slower int
+		}
+		Advance string
+	}
+	oldRoom  struct{ Old, New, Busy int }
+	oldEntry struct {
+		Verb, Service, Mark, By string
+		At                      int64
+		Why                     string
+		Rev, Number             uint64
+		Step                    int
+		Fence                   uint64
+		Order                   *oldRollout
+		Room                    oldRoom
+		Counts                  [2][2]oldTally
+	}
+	oldRun struct {
+		Number, Rev uint64
+		Order       oldRollout
+		Room        oldRoom
+		Phase       string
+		Step        int
+		Held        bool
+		History     []struct {
+			Verb        string
+			Step, Share int
+			By          string
+			At          int64
+			Why         string
+			Counts      [2][2]oldTally
+		}
+	}
+	oldState struct {
+		Runs, Ended      []oldRun
+		Last, Rev, Fence uint64
+		Marks            []string
+		Window           []byte
+	}
+	oldReport struct {
+		Service   string
+		Number    uint64
+		Step, Lap int
+		Life, Seq uint64
+		Zone      string
+		Alone     bool
+		Backs     int
+		Counts    [2][2]oldTally
+		Evidence  []byte
+	}
+	oldLap struct {
+		Service string
+		Number  uint64
+		Lap     int
+	}
+)
+
+// sameAsBefore checks that the version before reads in what this one writes just what it reads in what it wrote itself.
+func sameAsBefore[T any](t *testing.T, name string, written []byte) {
+	t.Helper()
+	var want, got T
+	must.NoError(t, gob.NewDecoder(bytes.NewReader(pastBytes(t, name))).Decode(&want))
+	must.NoError(t, gob.NewDecoder(bytes.NewReader(written)).Decode(&got))
+	must.Eq(t, want, got)
+}
+
+// Guards against a field that the version before would not find, while both versions run or after the way back to it.
+func TestVersionBeforeReadsThisOne(t *testing.T) {
+	sameAsBefore[oldEntry](t, "entry", pastOrder().Encode())
+	sameAsBefore[oldEntry](t, "verdict", pastVerdict().Encode())
+	s, err := Restore(pastBytes(t, "snapshot"))
+	must.NoError(t, err)
+	sameAsBefore[oldState](t, "snapshot", s.Snapshot())
+	var r Report
+	must.NoError(t, logentry.Decode(pastBytes(t, "report"), &r, "report"))
+	sameAsBefore[oldReport](t, "report", logentry.Encode(r))
+	sameAsBefore[oldLap](t, "lap", logentry.Encode(Lap{Service: "libro", Number: 2, Lap: 4}))
+}
