--- a/internal/gateway/groups/groups.go
+++ b/internal/gateway/groups/groups.go
@@ -1,7 +1,3 @@
-// Package groups is the contract between the replicated groups and the coordination calls that they order. A group is one
-// replicated log and what it folds to; each name belongs to one group, which orders all calls on it.
-//
-// Everything here is called within a turn of the node: by one goroutine at a time. Nothing blocks.
 package groups
 
 import (
@@ -33,16 +29,16 @@
 	return key
 }
 
-// StateMachine is what a group's log folds to. It does no I/O and reads no clock: the same entries give the same state and the
+// StateMachine is what a group's log is applied to. It does no I/O and reads no clock: the same entries give the same state and the
 // same results at each member.
 type StateMachine interface {
-	// Apply takes the next entry and gives its result, which goes to whoever proposed it. Indexes rise, with gaps: the log has
+	// Apply applies the next entry and gives its result, which goes to whoever proposed it. Indexes rise, with gaps: the log has
 	// entries of its own between. An entry that can't be read changes nothing.
 	Apply(index uint64, entry []byte) (result []byte)
-	// Snapshot is the whole state, the same bytes at each member for the same entries.
+	// Snapshot is the complete state, the same bytes at each member for the same entries.
 	Snapshot() []byte
-	// Restore takes the place of the whole state. Empty means the state that a group starts with. It may come at any time:
-	// a member that was away is given the state in the place of the entries.
+	// Restore replaces the complete state. Empty means the state that a group starts with. It may come at any time: a member that was
+	// away is sent a snapshot in the place of the entries.
 	Restore(state []byte) error
 }
 
@@ -56,40 +52,40 @@
 	Ambiguous                  // may have been committed, or may still be
 )
 
+// String words an outcome.
 func (o Outcome) String() string { return [...]string{"applied", "not proposed", "unclear"}[o] }
 
 // Host runs the groups at a node.
 type Host interface {
-	// Propose puts an entry into a group's log, where this node leads it. The entry must not be changed afterwards. then is
-	// called once, in a turn, maybe before Propose returns. It is bounded in entries and bytes that wait, beyond which the
-	// outcome is NotProposed; it has no bound in time: who waits for it gives up by itself, and takes it for Unclear then.
-	Propose(group ID, entry []byte, then func(outcome Outcome, result []byte))
-	// ReadIndex calls then once all entries that were committed before it was asked are applied here, and a majority confirmed
-	// after it was asked that this node still led. False: this node does not lead, or lost the lead meanwhile. then may be
-	// called before Read returns. A leader that stood still finds out by it before it answers.
-	ReadIndex(group ID, then func(ok bool))
-	// Leadership tells whether this node leads a group: in which term, and since when by this node's steady clock. It does so once
-	// an entry of its own term is committed and applied, so that all that earlier leaders acknowledged is applied too. It
-	// is true of the past alone: another may lead by now, which Propose and Read find out.
+	// Propose appends an entry to a group's log, where this node leads it. The entry must not be changed afterwards. done is called
+	// once, in a turn, maybe before Propose returns. Proposals are bounded in number and bytes, beyond which the outcome is
+	// NotProposed. They are not bounded in time: a caller gives up by itself, and takes the outcome for Ambiguous then.
+	Propose(group ID, entry []byte, done func(outcome Outcome, result []byte))
+	// ReadIndex calls done once all entries that were committed before the call are applied here, and a majority confirmed after the
+	// call that this node still led: a leader that stood still finds out by it before it answers. False: this node does not lead, or
+	// lost the lead meanwhile. done may be called before ReadIndex returns.
+	ReadIndex(group ID, done func(ok bool))
+	// Leadership tells whether this node leads a group: in which term, and since when by this node's steady clock. It does so once an
+	// entry of its own term is committed and applied, so that all that earlier leaders acknowledged is applied too. It is true of the
+	// past alone: another may lead by now, which Propose and ReadIndex find out.
 	Leadership(group ID) (term uint64, since time.Duration, ok bool)
-	// Leader is the address among nodes of the one who leads a group, as far as is known here; false: not known.
+	// Leader is the address among nodes of a group's leader, as far as is known here; false: not known.
 	Leader(group ID) (address string, ok bool)
-	// LeaderCandidates are the addresses to be asked for a group, the likeliest first, this node's own among them where it has a
-	// disk; three at the most.
+	// LeaderCandidates are the addresses to ask for a group, the likeliest first, this node's own among them where it has a disk; three
+	// at the most.
 	LeaderCandidates(group ID) []string
-	// HintLeader notes that another node said who leads a group: in a reply to a call that was passed on.
+	// HintLeader notes that another node named a group's leader, in its reply to a call that was forwarded to it.
 	HintLeader(group ID, address string)
-	// Now is this node's steady time.
+	// Now is this node's steady clock.
 	Now() time.Duration
 }
 
-// Application is told by the host at a node with a disk, each time in a turn. All calls on one group come in the order of its
-// log.
+// Application is what the groups order. Its methods are called by the host at a node with a disk, each in a turn.
 type Application interface {
-	// StateMachine is a group's, asked for once, before anything else is told of the group.
+	// StateMachine is a group's. It is called once for each, before anything else that concerns the group.
 	StateMachine(group ID) StateMachine
-	// LeadershipGained tells that this node leads a group now, in the sense of Host.Leading.
+	// LeadershipGained says that this node leads a group now, in the sense of Host.Leadership.
 	LeadershipGained(group ID, term uint64)
-	// LeadershipLost tells that it does no longer. What was proposed and not ended is told Unclear before it.
+	// LeadershipLost says that it does no longer. Proposals that had not ended have ended as Ambiguous before.
 	LeadershipLost(group ID, term uint64)
 }
--- a/internal/gateway/groups/groups_test.go
+++ b/internal/gateway/groups/groups_test.go
@@ -29,20 +29,20 @@
 		for i := range n {
 			disks = append(disks, uint64(i+1)*7919)
 		}
-		to := PreferredLeaders(disks)
-		has := map[uint64]int{}
-		for _, disk := range to {
-			has[disk]++
-			must.LessEq(t, (Count+n-1)/n, has[disk])
+		leaders := PreferredLeaders(disks)
+		led := map[uint64]int{}
+		for _, disk := range leaders {
+			led[disk]++
+			must.LessEq(t, (Count+n-1)/n, led[disk])
 		}
 		slices.Reverse(disks)
-		must.Eq(t, to, PreferredLeaders(disks))
+		must.Eq(t, leaders, PreferredLeaders(disks))
 		if n < 3 {
 			continue
 		}
-		left, moved := PreferredLeaders(disks[1:]), 0
-		for id := range to {
-			if to[id] != disks[0] && to[id] != left[id] {
+		remaining, moved := PreferredLeaders(disks[1:]), 0
+		for id := range leaders {
+			if leaders[id] != disks[0] && leaders[id] != remaining[id] {
 				moved++
 			}
 		}
@@ -50,3 +50,12 @@
 	}
 	must.Eq(t, [Count]uint64{}, PreferredLeaders(nil))
 }
+
+// Nodes of two versions spread the leaders alike: these are what dd5a45a gives.
+func TestPreferredLeadersAreStable(t *testing.T) {
+	const a, b, c = 347707248338, 363783961311, 774665722114
+	must.Eq(t, [Count]uint64{b, a, c, a, b, a, c, b}, PreferredLeaders([]uint64{a, b, c}))
+	must.Eq(t, []uint64{a, c, b}, RankDisks(3, []uint64{a, b, c}))
+	must.Eq(t, [Count]uint64{5, 2, 3, 1, 1, 4, 2, 5}, PreferredLeaders([]uint64{1, 2, 3, 4, 5}))
+	must.Eq(t, []uint64{1, 5, 4, 3, 2}, RankDisks(3, []uint64{1, 2, 3, 4, 5}))
+}
