--- a/internal/gateway/settings/settings_test.go
+++ b/internal/gateway/settings/settings_test.go
@@ -1,11 +1,15 @@
 package settings
 
 import (
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/go-faster/errors"
 	"github.com/shoenig/test/must"
+	"go.uber.org/multierr"
 )
 
 const example = `
@@ -79,37 +83,76 @@
 	must.Eq(t, 7.5, s.Bounds.QuotaMargin)
 }
 
+// Each field that is wrong is named as the file names it, by the text and by the FieldError; all of them at once.
 func TestErrorsNameFieldsAsTheFileDoes(t *testing.T) {
-	for _, c := range []struct{ old, new, path string }{
-		{"memory_mb: 284", "memory_mb: -4", "limits.memory_mb:"},
-		{"memory_mb: 284", "memory_mb: many", "limits.memory_mb:"},
-		{"machines: 1", "machines: -1", "tolerates.machines:"},
-		{`ip: "10.1.0.37"`, `ip: "node"`, "ip:"},
-		{`zone: "patio-mosquera"`, ``, "zone:"},
-		{`beat_interval: "1500ms"`, `beat_interval: "1500"`, "beat_interval:"},
-		{`beat_interval: "1500ms"`, ``, "beat_interval:"},
-		{"- 7575", "- 7000", "inner_port_range:"},
-		{"- 7575", "- 75750", "inner_port_range[1]:"},
-		{`readiness: "10.1.0.37:8384"`, ``, "bind.readiness:"},
-		{`"10.2.0.8:8381"`, `"10.2.0.8"`, "seed_addrs[1]:"},
-		{"drain=2s", "drain=soon", "bounds.drain:"},
-		{"drain=2s", "drain", "bounds:"},
-		{"retry_extra=40", "retry_extra=-4", "bounds.retry_extra:"},
-		{"retry_extra=40", "retry_extra=many", "bounds.retry_extra:"},
-		{"limits:", "limits: {", "not YAML"},
+	for _, c := range []struct{ old, new, field string }{
+		{"memory_mb: 284", "memory_mb: -4", "limits.memory_mb"},
+		{"memory_mb: 284", "memory_mb: many", "limits.memory_mb"},
+		{"machines: 1", "machines: -1", "tolerates.machines"},
+		{`ip: "10.1.0.37"`, `ip: "node"`, "ip"},
+		{`zone: "patio-mosquera"`, ``, "zone"},
+		{`beat_interval: "1500ms"`, `beat_interval: "1500"`, "beat_interval"},
+		{`beat_interval: "1500ms"`, `beat_interval: "0s"`, "beat_interval"},
+		{`beat_interval: "1500ms"`, ``, "beat_interval"},
+		{"- 7575", "- 7000", "inner_port_range"},
+		{"- 7575", "- 75750", "inner_port_range[1]"},
+		{`readiness: "10.1.0.37:8384"`, ``, "bind.readiness"},
+		{`"10.2.0.8:8381"`, `"10.2.0.8"`, "seed_addrs[1]"},
+		{"drain=2s", "drain=soon", "bounds.drain"},
+		{"drain=2s", "drain=NaNs", "bounds.drain"},
+		{"drain=2s", "drain", "bounds"},
+		{"strict_revoke=true", "strict_revoke=1", "bounds.strict_revoke"},
+		{"retry_extra=40", "retry_extra=-4", "bounds.retry_extra"},
+		{"retry_extra=40", "retry_extra=many", "bounds.retry_extra"},
 	} {
 		_, err := Parse([]byte(strings.Replace(example, c.old, c.new, 1)))
-		must.ErrorContains(t, err, c.path)
-		t.Log(err)
+		must.SliceLen(t, 1, multierr.Errors(err), must.Sprint(c.new, ": ", err))
+		must.StrHasPrefix(t, c.field+": ", err.Error())
+		var wrong *FieldError
+		must.True(t, errors.As(err, &wrong))
+		must.Eq(t, c.field, wrong.Field)
 	}
-	_, err := Parse(nil)
-	must.Error(t, err)
 	both := strings.NewReplacer("memory_mb: 284", "memory_mb: -4", "drain=2s", "drain=x").Replace(example)
-	_, err = Parse([]byte(both))
+	_, err := Parse([]byte(both))
+	must.SliceLen(t, 2, multierr.Errors(err))
 	must.ErrorContains(t, err, "limits.memory_mb")
 	must.ErrorContains(t, err, "bounds.drain")
 }
 
+// A text that is no settings file at all, and a file that is not there, are told apart from wrong fields.
+func TestUnreadableFile(t *testing.T) {
+	_, err := Parse([]byte(strings.Replace(example, "limits:", "limits: {", 1)))
+	must.ErrorIs(t, err, ErrNotYAML)
+	must.StrHasPrefix(t, "not YAML: ", err.Error())
+	_, err = Parse(nil)
+	must.ErrorIs(t, err, ErrEmpty)
+
+	path := filepath.Join(t.TempDir(), "settings.yaml")
+	_, err = Load(path)
+	must.ErrorIs(t, err, os.ErrNotExist)
+	must.NoError(t, os.WriteFile(path, []byte(strings.Replace(example, "machines: 1", "machines: -1", 1)), 0o600))
+	_, err = Load(path)
+	must.Eq(t, "settings "+path+": tolerates.machines: -1 is not at least 0", err.Error())
+}
+
+// Every bound is read by the name that the platform has for it, and what the file does not name has the platform's usual value.
+func TestBounds(t *testing.T) {
+	const s, ms = time.Second, time.Millisecond
+	must.Eq(t, Bounds{SeedStale: 3 * s, AddrReuse: 2 * s, InTouch: 3 * s, AckWithin: 5 * s, CatchUp: 4 * s, BackendDrain: 2500 * ms,
+		ShutdownGrace: 6 * s, LossSlack: 200 * ms, ApplyWithin: 2500 * ms, RevertSlack: 250 * ms, MaxStretch: 8 * s, RevokeWithin: 5 * s,
+		RetryRatio: 0.2, RetryWindow: 10 * s, RetryExtra: 64, QuotaWindow: 5 * s, QuotaExcess: 0.1, QuotaMargin: 20, Recovery: 15 * s,
+		WatchHistory: 20 * s, LockRelease: 1500 * ms}, DefaultBounds())
+	var b Bounds
+	must.NoError(t, b.parse([]string{"seed_stale=1s", "addr_reuse=2s", "in_touch=3s", "ack_within=4s", "catch_up=5s", "drain=6s", "grace=7s",
+		"loss_slack=8ms", "apply_within=9s", "revert_slack=10ms", "max_stretch=11s", "strict_revoke=true", "revoke_within=12s",
+		"retry_ratio=0.13", "retry_window=14s", "retry_extra=15.5", "quota_window=16s", "quota_excess=0.17", "quota_margin=18",
+		"recovery=19s", "history=20s", " release = 2.1s "}))
+	must.Eq(t, Bounds{SeedStale: 1 * s, AddrReuse: 2 * s, InTouch: 3 * s, AckWithin: 4 * s, CatchUp: 5 * s, BackendDrain: 6 * s,
+		ShutdownGrace: 7 * s, LossSlack: 8 * ms, ApplyWithin: 9 * s, RevertSlack: 10 * ms, MaxStretch: 11 * s, StrictRevoke: true,
+		RevokeWithin: 12 * s, RetryRatio: 0.13, RetryWindow: 14 * s, RetryExtra: 15.5, QuotaWindow: 16 * s, QuotaExcess: 0.17,
+		QuotaMargin: 18, Recovery: 19 * s, WatchHistory: 20 * s, LockRelease: 2100 * ms}, b)
+}
+
 func TestRestartRequired(t *testing.T) {
 	a, err := Parse([]byte(example))
 	must.NoError(t, err)
