--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -5,7 +5,6 @@
 	"encoding/binary"
 	"fmt"
 
-	"github.com/go-faster/errors"
 	"go.etcd.io/bbolt"
 
 	"clovergap/internal/gateway/replication"
@@ -14,74 +13,167 @@
 // maxLogs bounds the logs of a file.
 const maxLogs = replication.LogID(64)
 
-// logBuckets are those of one log. A group's snapshot has a bucket of its own, so that it is not written again with each head;
-// the configuration's stands beside its head, as it always did.
-type logBuckets struct {
-	head, snapshot *bbolt.Bucket
-	entries        *bbolt.Bucket // by index: 8 bytes, the highest byte first
-}
+// Keys in the buckets of a log.
+var (
+	headKey      = []byte("head")
+	snapshotKey  = []byte("snap")
+	softStateKey = []byte("note") // beside the head of the configuration's log
+)
 
-// bucketNames are those of a log's head, snapshot and entries.
-func bucketNames(id replication.LogID) [3][]byte {
+// bucketNames are the names of one log's buckets.
+type bucketNames struct{ head, snapshot, entries []byte }
+
+// namesOf are those of a log. A group's snapshot has a bucket of its own, so that it is not written again with each head; the
+// configuration's stands beside its head, as in the first version.
+func namesOf(id replication.LogID) bucketNames {
 	if id == replication.ConfigurationLog {
-		return [3][]byte{[]byte("book"), []byte("book"), []byte("log")}
+		return bucketNames{head: []byte("book"), snapshot: []byte("book"), entries: []byte("log")}
 	}
 	name := func(what string) []byte { return fmt.Appendf(nil, "group %02d %s", id, what) }
-	return [3][]byte{name("head"), name("snapshot"), name("log")}
+	return bucketNames{head: name("head"), snapshot: name("snapshot"), entries: name("log")}
 }
 
-// lookupBuckets are a log's as they are: nil where there are none.
+// logBuckets are the buckets of one log in a transaction; nil where there is none.
+type logBuckets struct {
+	id       replication.LogID
+	names    bucketNames
+	head     *bbolt.Bucket
+	snapshot *bbolt.Bucket
+	entries  *bbolt.Bucket // by index: 8 bytes, the highest byte first
+}
+
+// lookupBuckets gives a log's buckets as they are.
 func lookupBuckets(tx *bbolt.Tx, id replication.LogID) logBuckets {
-	names := bucketNames(id)
-	return logBuckets{tx.Bucket(names[0]), tx.Bucket(names[1]), tx.Bucket(names[2])}
+	return bucketsNamed(tx, id, namesOf(id))
+}
+
+func bucketsNamed(tx *bbolt.Tx, id replication.LogID, names bucketNames) logBuckets {
+	return logBuckets{id: id, names: names, head: tx.Bucket(names.head), snapshot: tx.Bucket(names.snapshot),
+		entries: tx.Bucket(names.entries)}
 }
 
 // createBuckets makes what is missing of a log's buckets.
 func createBuckets(tx *bbolt.Tx, id replication.LogID) (logBuckets, error) {
-	for _, name := range bucketNames(id) {
+	names := namesOf(id)
+	for _, name := range [][]byte{names.head, names.snapshot, names.entries} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-			return logBuckets{}, err
+			return logBuckets{}, logError("create bucket", id, name, err)
 		}
 	}
-	return lookupBuckets(tx, id), nil
+	return bucketsNamed(tx, id, names), nil
 }
 
 // missing tells whether nothing of the log is there.
 func (l logBuckets) missing() bool { return l.head == nil && l.snapshot == nil && l.entries == nil }
 
-// readLog reads a log. me is the disk's id, where the head of this log may not differ; 0: whichever it is.
-func readLog(l logBuckets, me replication.MemberID) (k replication.PersistentState, err error) {
-	if l.head == nil || l.snapshot == nil || l.entries == nil {
-		return k, errors.New("a bucket is missing")
+// missingBucket is the name of a bucket that is not there, nil if all are.
+func (l logBuckets) missingBucket() []byte {
+	switch {
+	case l.head == nil:
+		return l.names.head
+	case l.snapshot == nil:
+		return l.names.snapshot
+	case l.entries == nil:
+		return l.names.entries
+	}
+	return nil
+}
+
+// readHead reads the head.
+func (l logBuckets) readHead() (h storedHead, err error) {
+	if err = decodeGob(l.head.Get(headKey), &h); err != nil {
+		return h, logError("read head", l.id, l.names.head, err)
+	}
+	return h, nil
+}
+
+// readLog reads a log and checks that it holds together. disk is the member ID under which it must have been written; 0: any.
+func (l logBuckets) readLog(disk replication.MemberID) (state replication.PersistentState, err error) {
+	if name := l.missingBucket(); name != nil {
+		return state, logError("read", l.id, name, ErrBucketMissing)
+	}
+	head, err := l.readHead()
+	if err != nil {
+		return state, err
+	}
+	if disk != 0 && head.Me != disk {
+		return state, logError("read head", l.id, l.names.head, ErrForeignDisk)
+	}
+	state = head.state()
+	if state.Snapshot, err = l.readSnapshot(); err != nil {
+		return state, err
 	}
-	var h storedHead
-	if err := decodeGob(l.head.Get(headKey), &h); err != nil {
-		return k, errors.Wrap(err, "head")
+	if state.Entries, err = l.readEntries(); err != nil {
+		return state, err
 	}
-	if me != 0 && h.Me != me {
-		return k, errors.Errorf("kept by disk %d, this is %d", h.Me, me)
+	if err = state.Validate(); err != nil {
+		return state, logError("check", l.id, l.names.entries, err)
 	}
-	k = replication.PersistentState{ID: h.Me, ClusterID: h.House, Term: h.Promise, Vote: h.For, Commit: h.Delivered}
-	if v := l.snapshot.Get(snapshotKey); v != nil {
-		if err := decodeGob(v, &k.Snapshot); err != nil {
-			return k, errors.Wrap(err, "snapshot")
+	return state, nil
+}
+
+// readSnapshot reads the snapshot; a log that was never founded has none.
+func (l logBuckets) readSnapshot() (replication.Snapshot, error) {
+	value := l.snapshot.Get(snapshotKey)
+	if value == nil {
+		return replication.Snapshot{}, nil
+	}
+	var stored storedSnapshot
+	if err := decodeGob(value, &stored); err != nil {
+		return replication.Snapshot{}, logError("read snapshot", l.id, l.names.snapshot, err)
+	}
+	return stored.snapshot(), nil
+}
+
+// readEntries reads all entries in the order of their indexes.
+func (l logBuckets) readEntries() (entries []replication.Entry, err error) {
+	err = l.entries.ForEach(func(key, value []byte) error {
+		var stored storedEntry
+		if err := decodeGob(value, &stored); err != nil {
+			return logError(fmt.Sprintf("read entry %x", key), l.id, l.names.entries, err)
+		}
+		entries = append(entries, stored.entry())
+		return nil
+	})
+	return entries, err
+}
+
+// write does what a write asks for, but for the head.
+func (l logBuckets) write(w *replication.Write) error {
+	if w.Snapshot != nil {
+		if err := putGob(l.snapshot, snapshotKey, storeSnapshot(w.Snapshot)); err != nil {
+			return logError("write snapshot", l.id, l.names.snapshot, err)
 		}
 	}
-	if err := l.entries.ForEach(func(key, v []byte) error {
-		var e replication.Entry
-		if err := decodeGob(v, &e); err != nil {
-			return errors.Wrapf(err, "entry %x", key)
+	// By their keys, and never by a cursor that goes on: in bbolt 1.5 one that deletes its way through several pages and is
+	// then sent to the end goes round for ever over pages that hold nothing any more.
+	for _, key := range l.obsoleteKeys(w) {
+		if err := l.entries.Delete(key); err != nil {
+			return logError(fmt.Sprintf("delete entry %x", key), l.id, l.names.entries, err)
 		}
-		k.Entries = append(k.Entries, e)
+	}
+	if w.FirstIndex == 0 {
 		return nil
-	}); err != nil {
-		return k, err
 	}
-	return k, k.Validate()
+	for i := range w.Entries {
+		e := &w.Entries[i]
+		if err := putGob(l.entries, indexKey(e.Index), storeEntry(e)); err != nil {
+			return logError(fmt.Sprintf("write entry %d", e.Index), l.id, l.names.entries, err)
+		}
+	}
+	return nil
+}
+
+// writeHead writes the head.
+func (l logBuckets) writeHead(h storedHead) error {
+	if err := putGob(l.head, headKey, h); err != nil {
+		return logError("write head", l.id, l.names.head, err)
+	}
+	return nil
 }
 
-// obsoleteKeys are the keys of the entries that a write takes away.
-func (l logBuckets) obsoleteKeys(w replication.Write) (keys [][]byte) {
+// obsoleteKeys are the keys of the entries that a write removes: those that its snapshot covers, and those from its first index on.
+func (l logBuckets) obsoleteKeys(w *replication.Write) (keys [][]byte) {
 	c := l.entries.Cursor()
 	if w.Snapshot != nil {
 		for key, _ := c.First(); key != nil && binary.BigEndian.Uint64(key) <= w.Snapshot.Index; key, _ = c.Next() {
@@ -89,11 +181,11 @@
 		}
 	}
 	if w.FirstIndex > 0 {
-		from := w.FirstIndex
+		first := w.FirstIndex
 		if w.Snapshot != nil {
-			from = max(from, w.Snapshot.Index+1)
+			first = max(first, w.Snapshot.Index+1)
 		}
-		for key, _ := c.Seek(indexKey(from)); key != nil; key, _ = c.Next() {
+		for key, _ := c.Seek(indexKey(first)); key != nil; key, _ = c.Next() {
 			keys = append(keys, bytes.Clone(key))
 		}
 	}
--- a/internal/gateway/logstore/logs_test.go
+++ b/internal/gateway/logstore/logs_test.go
@@ -16,13 +16,13 @@
 // touches no other.
 func TestManyLogs(t *testing.T) {
 	dir := t.TempDir()
-	b, k, err := Open(dir)
+	store, state, err := Open(dir)
 	must.NoError(t, err)
 	want := map[replication.LogID]replication.PersistentState{}
 	for id := range replication.LogID(4) {
-		want[id] = replication.PersistentState{ID: k.ID}
+		want[id] = replication.PersistentState{ID: state.ID}
 	}
-	members := []replication.Member{{ID: k.ID, Addr: "a"}}
+	members := []replication.Member{{ID: state.ID, Addr: "a"}}
 	found := func(id replication.LogID) replication.LogWrite {
 		return replication.LogWrite{Log: id, Write: replication.Write{ClusterID: 5 + uint64(id), Term: 1, Commit: 1, FirstIndex: 2,
 			Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: members}}}
@@ -44,48 +44,48 @@
 			Entries: []replication.Entry{entry(4, 1, "h")}}}},
 		{found(2)},
 	} {
-		must.NoError(t, b.Write(batch))
+		must.NoError(t, store.Write(batch))
 		for _, w := range batch {
 			kept := want[w.Log]
 			kept.Apply(w.Write)
 			want[w.Log] = kept
 		}
-		must.NoError(t, b.Close())
-		b, k, err = Open(dir)
+		must.NoError(t, store.Close())
+		store, state, err = Open(dir)
 		must.NoError(t, err)
-		must.Eq(t, want[0], k)
-		for id, group := range b.GroupLogs() {
+		must.Eq(t, want[0], state)
+		for id, group := range store.GroupLogs() {
 			if len(want[id].Entries) == 0 {
 				group.Entries = want[id].Entries
 			}
 			must.Eq(t, want[id], group)
 		}
 	}
-	must.MapLen(t, 3, b.GroupLogs())
-	must.NoError(t, b.Close())
+	must.MapLen(t, 3, store.GroupLogs())
+	must.NoError(t, store.Close())
 }
 
 // A transaction that fails, or whose process ends in it, leaves nothing of any log: the groups' writes of a turn are there together
 // or not at all.
 func TestWriteIsAtomicAcrossLogs(t *testing.T) {
 	dir := t.TempDir()
-	b, k, err := Open(dir)
+	store, state, err := Open(dir)
 	must.NoError(t, err)
 	first := replication.Write{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
-		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.ID, Addr: "a"}}}}
-	must.NoError(t, b.Write([]replication.LogWrite{{Log: 0, Write: first}, {Log: 1, Write: first}}))
+		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: state.ID, Addr: "a"}}}}
+	must.NoError(t, store.Write([]replication.LogWrite{{Log: 0, Write: first}, {Log: 1, Write: first}}))
 	tooLong := first
 	tooLong.Snapshot, tooLong.Entries = nil, []replication.Entry{{Index: 2, View: 1, Data: make([]byte, 4<<20)}}
-	b.file.MaxSize = 1 << 20
+	store.file.MaxSize = 1 << 20
 	small := tooLong
 	small.Entries = []replication.Entry{entry(2, 1, "small")}
-	must.Error(t, b.Write([]replication.LogWrite{{Log: 0, Write: small}, {Log: 1, Write: tooLong}}))
-	must.NoError(t, b.Close())
-	b, k, err = Open(dir)
+	must.Error(t, store.Write([]replication.LogWrite{{Log: 0, Write: small}, {Log: 1, Write: tooLong}}))
+	must.NoError(t, store.Close())
+	store, state, err = Open(dir)
 	must.NoError(t, err)
-	must.Len(t, 0, k.Entries)
-	must.Len(t, 0, b.GroupLogs()[1].Entries)
-	must.NoError(t, b.Close())
+	must.Len(t, 0, state.Entries)
+	must.Len(t, 0, store.GroupLogs()[1].Entries)
+	must.NoError(t, store.Close())
 }
 
 // Eight groups whose snapshots take each other's place, each of so many bytes, with entries between them, and a configuration beside
@@ -94,19 +94,19 @@
 	const groups = 8
 	for _, state := range []int{64 << 10, 1 << 20} {
 		dir := t.TempDir()
-		b, k, err := Open(dir)
+		store, kept, err := Open(dir)
 		must.NoError(t, err)
-		b.file.NoSync = true // what is looked at is the size
-		members := []replication.Member{{ID: k.ID, Addr: "a"}}
+		store.file.NoSync = true // what is looked at is the size
+		members := []replication.Member{{ID: kept.ID, Addr: "a"}}
 		for index := uint64(1); index <= 12; index += 2 {
 			for log := replication.LogID(0); log <= groups; log++ {
 				w := replication.Write{ClusterID: 1 + uint64(log), Term: 1, Commit: index, FirstIndex: index + 1,
 					Snapshot: &replication.Snapshot{Index: index, View: 1, Members: members, State: make([]byte, state)},
 					Entries:  []replication.Entry{{Index: index + 1, View: 1, Data: make([]byte, state/2)}}}
-				must.NoError(t, b.Write([]replication.LogWrite{{Log: log, Write: w}}))
+				must.NoError(t, store.Write([]replication.LogWrite{{Log: log, Write: w}}))
 			}
 		}
-		must.NoError(t, b.Close())
+		must.NoError(t, store.Close())
 		info, err := os.Stat(filepath.Join(dir, FileName))
 		must.NoError(t, err)
 		t.Logf("%d logs of %d KB and half as much of entries: a file of %d KB", groups+1, state>>10, info.Size()>>10)
--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -16,25 +16,25 @@
 // a snapshot in their place. It tells the size of the file.
 func fillWithStates(t *testing.T, state, times, compact int) int64 {
 	dir := t.TempDir()
-	b, k, err := Open(dir)
+	store, kept, err := Open(dir)
 	must.NoError(t, err)
 	rng := rand.New(rand.NewPCG(1, 2))
-	me := []replication.Member{{ID: k.ID, Addr: "a"}}
-	must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2,
+	me := []replication.Member{{ID: kept.ID, Addr: "a"}}
+	must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2,
 		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: me}}}))
 	held := 0
 	for i := range times {
 		index := uint64(i + 2)
 		data := make([]byte, state-state/10+rng.IntN(state/5))
-		must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 1, Term: 1, Commit: index, FirstIndex: index,
+		must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 1, Term: 1, Commit: index, FirstIndex: index,
 			Entries: []replication.Entry{{Index: index, View: 1, Data: data}}}}))
 		if held += len(data); held >= compact {
 			held = 0
-			must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 1, Term: 1, Commit: index,
+			must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 1, Term: 1, Commit: index,
 				Snapshot: &replication.Snapshot{Index: index, View: 1, Members: me, State: data}}}))
 		}
 	}
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Close())
 	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
 	return info.Size()
@@ -66,16 +66,16 @@
 	}
 	const times, seed = 64, 1 // the worst of twelve seeds
 	dir := t.TempDir()
-	b, k, err := Open(dir)
+	store, kept, err := Open(dir)
 	must.NoError(t, err)
 	rng := rand.New(rand.NewPCG(3, seed))
-	me := []replication.Member{{ID: k.ID, Addr: "a"}}
+	me := []replication.Member{{ID: kept.ID, Addr: "a"}}
 	view, at := uint64(1), uint64(1)
 	apply := func(w replication.Write) {
 		w.ClusterID, w.Term = 1, view
-		must.NoError(t, b.WriteConfigurationLog([]replication.Write{w}))
-		k.Apply(w)
-		must.NoError(t, k.Validate())
+		must.NoError(t, writeConfiguration(store, []replication.Write{w}))
+		kept.Apply(w)
+		must.NoError(t, kept.Validate())
 	}
 	entry := func(index uint64) replication.Entry {
 		return replication.Entry{Index: index, View: view, Data: make([]byte, state-rng.IntN(state/20))}
@@ -106,7 +106,7 @@
 		}
 		at += 2
 	}
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Close())
 	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
 	t.Logf("%d of %d KB: %d KB", times, state>>10, info.Size()>>10)
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -17,10 +17,19 @@
 	return replication.Entry{Index: index, View: view, Data: []byte(data)}
 }
 
+// writeConfiguration writes to the configuration's log.
+func writeConfiguration(s *Store, writes []replication.Write) error {
+	var all []replication.LogWrite
+	for _, w := range writes {
+		all = append(all, replication.LogWrite{Log: replication.ConfigurationLog, Write: w})
+	}
+	return s.Write(all)
+}
+
 // The file does what Kept.Apply does, also after it was closed.
 func TestReopen(t *testing.T) {
 	dir := t.TempDir()
-	b, want, err := Open(dir)
+	store, want, err := Open(dir)
 	must.NoError(t, err)
 	must.NotEq(t, 0, want.ID)
 	members := []replication.Member{{ID: want.ID, Addr: "10.0.0.1:1"}, {ID: 7, Addr: "10.0.0.2:1"}}
@@ -36,29 +45,29 @@
 		{{ClusterID: 5, Term: 9, Vote: 8, Commit: 30, FirstIndex: 31, // another's snapshot
 			Snapshot: &replication.Snapshot{Index: 30, View: 8, Members: members, State: []byte("z")}}},
 	} {
-		must.NoError(t, b.WriteConfigurationLog(batch))
+		must.NoError(t, writeConfiguration(store, batch))
 		for _, w := range batch {
 			want.Apply(w)
 		}
-		must.NoError(t, b.Close())
+		must.NoError(t, store.Close())
 		var got replication.PersistentState
-		b, got, err = Open(dir)
+		store, got, err = Open(dir)
 		must.NoError(t, err)
 		if len(want.Entries) == 0 {
 			want.Entries = nil
 		}
 		must.Eq(t, want, got)
 	}
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Close())
 }
 
 func TestSizeIsBounded(t *testing.T) {
 	dir := t.TempDir()
-	b, _, err := Open(dir)
+	store, _, err := Open(dir)
 	must.NoError(t, err)
 	list, index := []replication.Member{{ID: 1}}, uint64(1)
 	for range 30 {
-		must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 5, Term: 1, Commit: index,
+		must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 5, Term: 1, Commit: index,
 			Snapshot: &replication.Snapshot{Index: index, View: 1, Members: list, State: make([]byte, 100_000)}}}))
 		for range 20 {
 			w := replication.Write{ClusterID: 5, Term: 1, Commit: index, FirstIndex: index + 1}
@@ -66,10 +75,10 @@
 				index++
 				w.Entries = append(w.Entries, entry(index, 1, string(make([]byte, 1000))))
 			}
-			must.NoError(t, b.WriteConfigurationLog([]replication.Write{w}))
+			must.NoError(t, writeConfiguration(store, []replication.Write{w}))
 		}
 	}
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Close())
 	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
 	t.Log(info.Size())
@@ -80,12 +89,12 @@
 func TestCorruptFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, FileName)
-	b, old, err := Open(dir)
+	store, old, err := Open(dir)
 	must.NoError(t, err)
-	must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
+	must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
 		Entries:  []replication.Entry{entry(2, 1, "a")},
 		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: 1}}, State: make([]byte, 9000)}}}))
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Close())
 	whole, err := os.ReadFile(path)
 	must.NoError(t, err)
 	bad := 0
@@ -109,40 +118,40 @@
 	must.Positive(t, bad)
 	try(whole[:100])
 	must.NoError(t, Wipe(dir))
-	b, k, err := Open(dir)
+	store, state, err := Open(dir)
 	must.NoError(t, err)
-	must.NotEq(t, old.ID, k.ID)
-	must.Eq(t, 0, k.Term)
-	must.NoError(t, b.Close())
+	must.NotEq(t, old.ID, state.ID)
+	must.Eq(t, 0, state.Term)
+	must.NoError(t, store.Close())
 }
 
 // A note stands beside the log: the newest alone, through a start, and an empty file has none.
 func TestSoftState(t *testing.T) {
 	dir := t.TempDir()
-	b, _, err := Open(dir)
+	store, _, err := Open(dir)
 	must.NoError(t, err)
-	must.Nil(t, b.SoftState())
-	must.NoError(t, b.SaveSoftState([]byte("one")))
-	must.NoError(t, b.SaveSoftState([]byte("two")))
-	must.NoError(t, b.Close())
-	b, _, err = Open(dir)
+	must.Nil(t, store.SoftState())
+	must.NoError(t, store.SaveSoftState([]byte("one")))
+	must.NoError(t, store.SaveSoftState([]byte("two")))
+	must.NoError(t, store.Close())
+	store, _, err = Open(dir)
 	must.NoError(t, err)
-	must.Eq(t, "two", string(b.SoftState()))
-	must.NoError(t, b.Close())
+	must.Eq(t, "two", string(store.SoftState()))
+	must.NoError(t, store.Close())
 }
 
 // A follower that was behind when the log was put into a snapshot deletes all its entries, over several pages, and goes on with a
 // later one in the same step. It used to go round for ever.
 func TestSnapshotAndLaterEntriesInOneWrite(t *testing.T) {
 	for _, together := range []bool{true, false} {
-		b, k, err := Open(t.TempDir())
+		store, state, err := Open(t.TempDir())
 		must.NoError(t, err)
-		snap := replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.ID, Addr: "a"}}}
+		snap := replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: state.ID, Addr: "a"}}}
 		first := replication.Write{Seq: 1, ClusterID: 1, Term: 1, Commit: 1, Snapshot: &snap, FirstIndex: 2}
 		for i := uint64(2); i <= 400; i++ {
 			first.Entries = append(first.Entries, entry(i, 1, "some data of a change"))
 		}
-		must.NoError(t, b.WriteConfigurationLog([]replication.Write{first}))
+		must.NoError(t, writeConfiguration(store, []replication.Write{first}))
 		snap.Index = 400
 		later := []replication.Write{{Seq: 2, ClusterID: 1, Term: 1, Commit: 400, Snapshot: &snap, FirstIndex: 401,
 			Entries: []replication.Entry{entry(401, 1, "more")}}}
@@ -150,54 +159,48 @@
 			later = []replication.Write{{Seq: 2, ClusterID: 1, Term: 1, Commit: 400, Snapshot: &snap},
 				{Seq: 3, ClusterID: 1, Term: 1, Commit: 400, FirstIndex: 401, Entries: later[0].Entries}}
 		}
-		must.NoError(t, b.WriteConfigurationLog(later))
-		must.NoError(t, b.Close())
-		b, k, err = Open(filepath.Dir(b.path))
+		must.NoError(t, writeConfiguration(store, later))
+		must.NoError(t, store.Close())
+		store, state, err = Open(filepath.Dir(store.path))
 		must.NoError(t, err)
-		must.Eq(t, 400, k.Snapshot.Index)
-		must.Len(t, 1, k.Entries)
-		must.NoError(t, b.Close())
+		must.Eq(t, 400, state.Snapshot.Index)
+		must.Len(t, 1, state.Entries)
+		must.NoError(t, store.Close())
 	}
 }
 
-// The first start on a full disk: a store without a file, which ended the process. It has an id, confirms nothing, and is as any other
-// once the disk takes writes again, whatever an earlier try left behind. Other troubles still end the process, and touch nothing.
+// The first start on a full disk: a store without a file, which ended the process. It has an ID, confirms nothing, and is as any other
+// once the disk takes writes again, whatever an earlier attempt left behind. Other faults still end the process, and touch nothing.
 func TestDiskFullAtFirstStart(t *testing.T) {
-	defer func() { openFile = os.OpenFile }()
-	refuse := func(why error) {
-		openFile = func(name string, _ int, _ os.FileMode) (*os.File, error) {
-			return nil, &os.PathError{Op: "open", Path: name, Err: why}
-		}
-	}
 	dir := t.TempDir()
-	refuse(unix.EACCES)
-	_, _, err := Open(dir)
+	fs := &faultyFilesystem{fail: map[string]error{"open": unix.EACCES}}
+	_, _, err := open(dir, fs)
 	must.ErrorIs(t, err, unix.EACCES)
 
-	refuse(unix.ENOSPC)
-	b, k, err := Open(dir)
+	fs.fail["open"] = unix.ENOSPC
+	store, state, err := open(dir, fs)
 	must.NoError(t, err)
-	must.False(t, b.Created())
-	must.Positive(t, k.ID)
-	must.Nil(t, b.SoftState())
+	must.False(t, store.Created())
+	must.Positive(t, state.ID)
+	must.Nil(t, store.SoftState())
 	write := []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2, Entries: []replication.Entry{entry(2, 1, "a")},
-		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.ID}}}}}
-	must.ErrorIs(t, b.WriteConfigurationLog(write), unix.ENOSPC)
-	must.ErrorIs(t, b.SaveSoftState([]byte("one")), unix.ENOSPC)
+		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: state.ID}}}}}
+	must.ErrorIs(t, writeConfiguration(store, write), unix.ENOSPC)
+	must.ErrorIs(t, store.SaveSoftState([]byte("one")), unix.ENOSPC)
 	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), make([]byte, 5000), 0o600)) // as much as there was room for
-	must.ErrorIs(t, b.WriteConfigurationLog(write), unix.ENOSPC)
+	must.ErrorIs(t, writeConfiguration(store, write), unix.ENOSPC)
 
-	openFile = os.OpenFile
-	must.NoError(t, b.WriteConfigurationLog(write))
-	must.True(t, b.Created())
-	must.NoError(t, b.Close())
-	b, back, err := Open(dir)
+	delete(fs.fail, "open")
+	must.NoError(t, writeConfiguration(store, write))
+	must.True(t, store.Created())
+	must.NoError(t, store.Close())
+	store, back, err := Open(dir)
 	must.NoError(t, err)
-	must.Eq(t, k.ID, back.ID)
+	must.Eq(t, state.ID, back.ID)
 	must.Len(t, 1, back.Entries)
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Close())
 
-	refuse(unix.ENOSPC) // one that holds a state is opened without a write, or not at all
-	_, _, err = Open(dir)
+	fs.fail["open"] = unix.ENOSPC // one that holds a state is opened without a write, or not at all
+	_, _, err = open(dir, fs)
 	must.ErrorIs(t, err, unix.ENOSPC)
 }
--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -125,9 +125,9 @@
 
 // A disk that the version before has written is read whole, and its state folds to what it told when it was written.
 func TestFileOfTheVersionBefore(t *testing.T) {
-	b, kept, err := Open(pastFile(t))
+	store, kept, err := Open(pastFile(t))
 	must.NoError(t, err)
-	defer b.Close()
+	defer store.Close()
 	must.Eq(t, 0x90d0564f83, kept.ID)
 	must.Eq(t, 64, kept.Snapshot.Index)
 	must.SliceLen(t, 3, kept.Snapshot.Members)
@@ -145,7 +145,7 @@
 	must.SliceLen(t, 1, machine.Rollouts.Runs())
 	must.Eq(t, "s", machine.Rollouts.Runs()[0].Order.Service)
 	var records []registry.Record
-	must.NoError(t, gob.NewDecoder(bytes.NewReader(b.SoftState())).Decode(&records))
+	must.NoError(t, gob.NewDecoder(bytes.NewReader(store.SoftState())).Decode(&records))
 	must.SliceLen(t, 9, records)
 	must.Eq(t, "i-0", records[0].ID)
 }
@@ -165,7 +165,7 @@
 	now, _, err := Open(to)
 	must.NoError(t, err)
 	now.memberID = kept.ID
-	must.NoError(t, now.WriteConfigurationLog([]replication.Write{{ClusterID: kept.ClusterID, Term: kept.Term, Vote: kept.Vote, Commit: kept.Commit,
+	must.NoError(t, writeConfiguration(now, []replication.Write{{ClusterID: kept.ClusterID, Term: kept.Term, Vote: kept.Vote, Commit: kept.Commit,
 		Snapshot: &kept.Snapshot, FirstIndex: kept.Snapshot.Index + 1, Entries: kept.Entries}}))
 	var b bytes.Buffer
 	must.NoError(t, gob.NewEncoder(&b).Encode(records))
--- a/internal/gateway/node/members_test.go
+++ b/internal/gateway/node/members_test.go
@@ -117,7 +117,7 @@
 	must.NoError(t.t, p.Bootstrap(append(others, replication.Member{ID: kept.ID, Addr: t.peerAddr(i)})))
 	for a, ok := p.Next(); ok; a, ok = p.Next() {
 		if w, is := a.(replication.Write); is {
-			must.NoError(t.t, book.WriteConfigurationLog([]replication.Write{w}))
+			must.NoError(t.t, book.Write([]replication.LogWrite{{Log: replication.ConfigurationLog, Write: w}}))
 			p.Synced(w.Seq)
 		}
 	}
