--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -101,18 +101,13 @@
 	incomingBlob replication.BlobReceiver // from the node that is followed
 	coordination *coordination.Service
 
-	pendingCalls    map[uint32]*pendingCall
-	chunked         chunkedCalls
-	lastCallID      uint32
+	calls           *callRouter
 	fault           fault // tests put one in
 	slotRequestedAt time.Duration
 	heartbeatAt     time.Duration
 	slotCount       int
-	reachable       int    // nodes in reach
-	loggedReachable int    // and as last logged
-	loggedUnmet     string // nodes that said no hello, as last logged
-	stateLoggedAt   time.Duration
-	loggedUnready   string // why clients were last not wanted, as logged
+	reachable       int // nodes in reach
+	logged          loggedState
 	shuttingDown    bool
 }
 
@@ -126,8 +121,9 @@
 	if memory <= 0 {
 		memory = 256
 	}
-	s := newSockets(fds, memory)
-	return assemble(&Node{settings: sheet, sockets: s, log: newLogger(sheet.NodeName)}, s)
+	s, logger := newSockets(fds, memory), newLogger(sheet.NodeName)
+	logPoller(logger)
+	return assemble(&Node{settings: sheet, sockets: s, log: logger}, s)
 }
 
 // NewWithEnvironment puts a node together over what it is given to stand on; Begin begins it.
@@ -141,10 +137,10 @@
 	h.loop, h.counters = b, b.Counters()
 	h.machine, h.table, h.upstreamReports, h.learners = statemachine.New(), routing.NewTable(nil), map[string]upstreamReport{}, map[string]*learner{}
 	h.learnerClocks = map[string]clockEcho{}
-	h.pendingCalls, h.chunked, h.pendingHeartbeats, h.catalog = map[uint32]*pendingCall{}, newChunkedCalls(), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
+	h.calls, h.pendingHeartbeats, h.catalog = newCallRouter(h, h.incarnation), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
 	h.fault = plantedFault
 	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Config{Address: h.peerAddr, Incarnation: h.incarnation, HistoryRetention: h.settings.Bounds.WatchHistory})
-	h.groups = &groupHost{node: h}
+	h.groups = &groupHost{env: h}
 	h.coordination.SetHost(h.groups)
 	if h.sockets != nil {
 		h.sockets.node = h
@@ -273,7 +269,7 @@
 	if h.streamDeferred {
 		h.streamToLearners()
 	}
-	h.tickTransfers()
+	h.calls.chunks.tick()
 	h.checkUpstream()
 	h.requestSlot()
 	h.tickRollouts()
@@ -282,9 +278,7 @@
 		h.groups.maintain()
 		h.core.saveRegistry()
 	}
-	if now-h.stateLoggedAt >= time.Second {
-		h.logStateChanges()
-	}
+	h.logStateChanges()
 }
 
 // customerID names a tenant for the quota: the same at every node. Messages carry 34 bits of it.
