--- a/internal/gateway/logstore/doc.go
+++ b/internal/gateway/logstore/doc.go
@@ -26,9 +26,10 @@
 // # Versions
 //
 // Values are gob, which goes by the names of fields. The stored forms with these names are in stored.go and nowhere else; other versions
-// read them, so they don't change.
+// read them, so they don't change. The file had another name in earlier versions: see FileName.
 //
 // # What it must not do
 //
-// It decides nothing: replication says what is written and in which order. It never repairs a file that is corrupt, and removes one only by Wipe.
+// It decides nothing: replication says what is written and in which order. It never chooses between two files that both hold a state,
+// never repairs one that is corrupt, and removes one only by Wipe.
 package logstore
--- a/internal/gateway/logstore/errors.go
+++ b/internal/gateway/logstore/errors.go
@@ -56,6 +56,36 @@
 // Unwrap gives the cause.
 func (c *CorruptError) Unwrap() error { return c.Err }
 
+// ConflictError is a folder with two files, of the present name and of the former one, that both hold a state. Which of them is the
+// newer can't be told for sure, and a disk that goes on from the older one has forgotten what it voted for and acknowledged. An operator
+// is to remove one of them; nothing was touched.
+type ConflictError struct {
+	Current FileSummary // under FileName
+	Former  FileSummary // under the name of earlier versions
+}
+
+// FileSummary is what an operator needs to know of one of two files.
+type FileSummary struct {
+	Path   string
+	ID     replication.MemberID
+	Term   uint64
+	Commit uint64 // of the configuration's log
+	Err    error  // why it can't be read, nil if it can
+}
+
+// Error names both files and what tells them apart.
+func (c *ConflictError) Error() string {
+	return fmt.Sprintf("log store: two files hold a state, remove the older one: %v; %v", c.Current, c.Former)
+}
+
+// String words a summary for an error.
+func (f FileSummary) String() string {
+	if f.Err != nil {
+		return fmt.Sprintf("%s (%v)", f.Path, f.Err)
+	}
+	return fmt.Sprintf("%s (member %x, term %d, commit index %d)", f.Path, uint64(f.ID), f.Term, f.Commit)
+}
+
 // LogError is an operation on one log of a file that failed.
 type LogError struct {
 	Operation string // what was being done, such as "read snapshot"
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -55,7 +55,7 @@
 	must.NoError(t, err)
 	content, err := io.ReadAll(z)
 	must.NoError(t, err)
-	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), content, 0o600))
+	must.NoError(t, os.WriteFile(filepath.Join(dir, formerFileName), content, 0o600))
 	return dir
 }
 
@@ -345,11 +345,12 @@
 	Entries []pastEntry
 }
 
-// asRecorded reads a file as dd5a45a does.
+// asRecorded reads a file as dd5a45a does, once it has its former name again.
 func asRecorded(t *testing.T, dir string) (file recordedFile) {
 	t.Helper()
 	decode := func(b []byte, v any) { must.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(v)) }
-	db, err := bbolt.Open(filepath.Join(dir, FileName), 0o600, &bbolt.Options{ReadOnly: true})
+	must.NoError(t, os.Rename(filepath.Join(dir, "replicas.db"), filepath.Join(dir, "promptbook.db")))
+	db, err := bbolt.Open(filepath.Join(dir, "promptbook.db"), 0o600, &bbolt.Options{ReadOnly: true})
 	must.NoError(t, err)
 	defer db.Close()
 	log := func(tx *bbolt.Tx, head, snap, entries string) (log recordedBuckets) {
--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"crypto/rand"
 	"encoding/binary"
-	"path/filepath"
 
 	"github.com/go-faster/errors"
 	"go.etcd.io/bbolt"
@@ -23,6 +22,8 @@
 	memberID   replication.MemberID
 	file       *bbolt.DB // nil until there is a file: see Created
 	groupLogs  map[replication.LogID]replication.PersistentState
+	twoNames   bool  // the file was found under both of its names
+	renameErr  error // see RenameError
 }
 
 // Open opens the file in a folder, reads all of it, and gives the configuration's log. Where there is none it makes one, with a new
@@ -31,12 +32,12 @@
 // ID.
 //
 // The error is a CorruptError if what the file holds can't be read: the disk is to be taken for lost then, see Wipe. After any other
-// error (a FileError) nothing was touched.
+// error (a FileError, a ConflictError) nothing was touched.
 func Open(dir string) (*Store, replication.PersistentState, error) { return open(dir, osFilesystem{}) }
 
 func open(dir string, fs filesystem) (*Store, replication.PersistentState, error) {
-	s := &Store{dir: dir, path: filepath.Join(dir, FileName), filesystem: fs}
-	found, err := readFile(s.path)
+	s := &Store{dir: dir, filesystem: fs}
+	found, err := s.find()
 	if err != nil {
 		return nil, replication.PersistentState{}, err
 	}
@@ -53,6 +54,7 @@
 		}
 		return s, found.configuration, nil
 	}
+	s.renameErr = s.adoptName()
 	return s, found.configuration, nil
 }
 
@@ -71,6 +73,10 @@
 // Created tells whether there is a file; false on a disk that is too full to make one.
 func (s *Store) Created() bool { return s.file != nil }
 
+// RenameError tells why the file may have the name of earlier versions still; nil if it has its present one for good. It is used all the
+// same, and the next Open tries again.
+func (s *Store) RenameError() error { return s.renameErr }
+
 // GroupLogs are the logs beside the configuration's that the file held when it was opened.
 func (s *Store) GroupLogs() map[replication.LogID]replication.PersistentState { return s.groupLogs }
 
--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -30,7 +30,7 @@
 	must.NoError(t, err)
 	b, err := io.ReadAll(z)
 	must.NoError(t, err)
-	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), b, 0o600))
+	must.NoError(t, os.WriteFile(filepath.Join(dir, formerFileName), b, 0o600))
 	return dir
 }
 
@@ -98,9 +98,10 @@
 	}
 )
 
-// asBefore reads a file as the version before does.
+// asBefore reads a file as the version before does, once it has its former name again: see "Two versions side by side" in docs/state.md.
 func asBefore(t *testing.T, dir string) (all pastAll) {
 	decode := func(b []byte, v any) { must.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(v)) }
+	must.NoError(t, os.Rename(filepath.Join(dir, "replicas.db"), filepath.Join(dir, "promptbook.db")))
 	db, err := bbolt.Open(filepath.Join(dir, "promptbook.db"), 0o600, &bbolt.Options{ReadOnly: true})
 	must.NoError(t, err)
 	defer db.Close()
--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -163,6 +163,9 @@
 	if !book.Created() {
 		s.node.warn(corePart, "disk is full at its first start: has no vote until it takes writes")
 	}
+	if err := book.RenameError(); err != nil {
+		s.node.warn(corePart, "disk's file keeps its former name: %v", err)
+	}
 	s.disk = &diskWriter{node: s.node, store: book, writes: make(chan diskBatch, 1)}
 	go s.disk.run()
 	return s.disk, kept, nil
