--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -76,7 +76,7 @@
 	if leader, ok := n.groups.Leader(id); ok {
 		g.Leader = leader
 		if node, known := n.roster.Node(leader); known {
-			g.Control = node.Control
+			g.Control = node.ControlAddr
 		}
 	}
 	if replica, ok := n.GroupStatus(id); ok {
