--- a/internal/gateway/node/group_leaders.go
+++ b/internal/gateway/node/group_leaders.go
@@ -41,7 +41,7 @@
 	var disks []uint64
 	addrOf := map[uint64]string{}
 	for _, d := range g.env.membershipRoster().LiveDiskNodes() {
-		if d.Founded && !d.Leaving {
+		if d.Bootstrapped && !d.Leaving {
 			disks, addrOf[uint64(d.Disk)] = append(disks, uint64(d.Disk)), d.Addr
 		}
 	}
--- a/internal/gateway/node/rollout_admission.go
+++ b/internal/gateway/node/rollout_admission.go
@@ -85,8 +85,8 @@
 				continue
 			}
 			c := registry.Changed{Record: record}
-			if record.ColdLeft > 0 {
-				c.SlowStartUntil = r.peers.now() + record.ColdLeft
+			if record.SlowStartLeft > 0 {
+				c.SlowStartUntil = r.peers.now() + record.SlowStartLeft
 			}
 			r.backends.updateListing(c)
 		}
