--- a/internal/gateway/admission/canary.go
+++ b/internal/gateway/admission/canary.go
@@ -9,15 +9,15 @@
 )
 
 // During a roll-out a service has two versions, each with its own queue, balancer and usual answer times, and one retry budget. Routes name
-// the stable one. Which requests go to the canary is said by CanaryAccess and, for each user, by the Assigner.
+// the baseline one. Which requests go to the canary is said by CanaryAccess and, for each user, by the Assigner.
 
 // CanaryAccess says who may go to a canary.
 type CanaryAccess uint8
 
 // Who may go to a canary.
 const (
-	CanaryClosed   CanaryAccess = iota // nobody, whatever becomes of the stable version
-	CanaryFallback                     // requests for which the stable version has no backend
+	CanaryClosed   CanaryAccess = iota // nobody, whatever becomes of the baseline version
+	CanaryFallback                     // requests for which the baseline version has no backend
 	CanaryShared                       // requests that the Assigner sends there
 )
 
@@ -27,7 +27,7 @@
 	SubmissionEnded(c Comparison)
 }
 
-// Assignment is where a request begins. The zero value: at the stable version, and it does not count.
+// Assignment is where a request begins. The zero value: at the baseline version, and it does not count.
 type Assignment struct {
 	Number rollout.Number
 	Side   rollout.Side
@@ -41,7 +41,7 @@
 // Comparison is the end of a first submission that counts.
 type Comparison struct {
 	Assignment
-	Service   control.ServiceID // the stable version
+	Service   control.ServiceID // the baseline version
 	Kind      control.ProductID
 	Effectful bool
 	Backend   control.BackendID
@@ -54,11 +54,11 @@
 func (c *Controller) SetAssigner(a Assigner) { c.assigner = a }
 
 // SetRollout puts a canary, which has a number of its own, beside a service, and says who may go there. Requests that wait there and may not any
-// more move to the stable version; submissions in flight end there.
-func (c *Controller) SetRollout(stable, canary control.ServiceID, access CanaryAccess) {
-	s, other := c.service(stable), c.service(canary)
-	if other.stable == nil {
-		other.stable, s.canary, other.budget = s, other, s.budget
+// more move to the baseline version; submissions in flight end there.
+func (c *Controller) SetRollout(baseline, canary control.ServiceID, access CanaryAccess) {
+	s, other := c.service(baseline), c.service(canary)
+	if other.baseline == nil {
+		other.baseline, s.canary, other.budget = s, other, s.budget
 	}
 	if s.canaryAccess = access; access == CanaryShared {
 		return
@@ -70,19 +70,19 @@
 	other.queue = nil
 }
 
-// chooseVersion settles where a request goes next: its first submission where its user is assigned, a retry to the stable version. Where that has no
+// chooseVersion settles where a request goes next: its first submission where its user is assigned, a retry to the baseline version. Where that has no
 // backend, all go to the canary if it is the fallback, otherwise only retries of requests that began there.
 func (c *Controller) chooseVersion(t *txn) {
-	stable := t.service.stableVersion()
-	canary := stable.canary
+	baseline := t.service.baselineVersion()
+	canary := baseline.canary
 	if canary == nil {
 		return
 	}
-	to := stable
-	onlyCanary := !stable.balancer.HasBackend(t.balancerRequest()) && canary.balancer.HasBackend(t.balancerRequest())
+	to := baseline
+	onlyCanary := !baseline.balancer.HasBackend(t.balancerRequest()) && canary.balancer.HasBackend(t.balancerRequest())
 	switch {
-	case stable.canaryAccess == CanaryClosed:
-	case stable.canaryAccess == CanaryFallback:
+	case baseline.canaryAccess == CanaryClosed:
+	case baseline.canaryAccess == CanaryFallback:
 		if onlyCanary {
 			to = canary
 		}
@@ -91,7 +91,7 @@
 			to = canary
 		}
 	case !t.versionChosen:
-		t.assignment = c.assigner.Assign(t.ID, t.Product, stable.id)
+		t.assignment = c.assigner.Assign(t.ID, t.Product, baseline.id)
 		if t.assignment.Side == rollout.Canary && canary.balancer.Ready() > 0 {
 			to = canary
 		}
@@ -99,7 +99,7 @@
 		to = canary
 	}
 	t.versionChosen = true
-	if to == stable && t.submissions == 0 && t.assignment.Side == rollout.Canary {
+	if to == baseline && t.submissions == 0 && t.assignment.Side == rollout.Canary {
 		t.assignment = Assignment{} // no backend of the canary is ready: that is no finding about the version
 	}
 	c.moveTo(t, to)
@@ -114,16 +114,16 @@
 	}
 }
 
-// fallBackToStable moves a first submission that has waited in vain in a canary's queue to the stable version, where it goes at once or not
-// at all: the canary may be short of capacity, the stable version is not to be. false: it can't.
-func (c *Controller) fallBackToStable(t *txn) bool {
-	stable := t.service.stable
-	if stable == nil || t.submissions > 0 || stable.balancer.Ready() == 0 {
+// fallBackToBaseline moves a first submission that has waited in vain in a canary's queue to the baseline version, where it goes at once or not
+// at all: the canary may be short of capacity, the baseline version is not to be. false: it can't.
+func (c *Controller) fallBackToBaseline(t *txn) bool {
+	baseline := t.service.baseline
+	if baseline == nil || t.submissions > 0 || baseline.balancer.Ready() == 0 {
 		return false
 	}
 	t.service.queue = slices.DeleteFunc(t.service.queue, func(other *txn) bool { return other == t })
 	t.queued, t.assignment = false, Assignment{}
-	c.moveTo(t, stable)
+	c.moveTo(t, baseline)
 	c.enqueue(t)
 	return true
 }
@@ -140,7 +140,7 @@
 		return
 	}
 	c.assigner.SubmissionEnded(Comparison{
-		Assignment: t.assignment, Service: t.service.stableVersion().id, Kind: t.Product, Effectful: t.route.Effectful, Backend: t.backend,
+		Assignment: t.assignment, Service: t.service.baselineVersion().id, Kind: t.Product, Effectful: t.route.Effectful, Backend: t.backend,
 		Ending: e, Took: took, WarmingUp: selfInflicted || t.service.balancer.WarmingUp(c.now, t.backend),
 	})
 }
--- a/internal/gateway/admission/doc.go
+++ b/internal/gateway/admission/doc.go
@@ -16,7 +16,7 @@
 //   - effectful: a request that may run once only. Others are idempotent.
 //   - target: the time in which an answer has its full value; deadline: the time by which a request is answered.
 //   - dead backend: one that owes answers for so long that a submission there is canceled in favour of another backend.
-//   - stable, canary: the two versions of a service during a roll-out. Each has its queue and balancer; they share one retry budget.
+//   - baseline, canary: the two versions of a service during a roll-out. Each has its queue and balancer; they share one retry budget.
 //
 // # Guarantees
 //
--- a/internal/gateway/admission/service.go
+++ b/internal/gateway/admission/service.go
@@ -18,8 +18,8 @@
 	txnCount    int     // requests that are here for it
 	concurrency concurrency
 
-	stable       *service // of a canary: the version beside it
-	canary       *service // of a stable version: the one beside it, if there is one
+	baseline       *service // of a canary: the version beside it
+	canary       *service // of a baseline version: the one beside it, if there is one
 	canaryAccess CanaryAccess
 }
 
@@ -44,10 +44,10 @@
 	return n
 }
 
-// stableVersion is the stable one of a service's versions.
-func (s *service) stableVersion() *service {
-	if s.stable != nil {
-		return s.stable
+// baselineVersion is the baseline one of a service's versions.
+func (s *service) baselineVersion() *service {
+	if s.baseline != nil {
+		return s.baseline
 	}
 	return s
 }
--- a/internal/gateway/admission/timer.go
+++ b/internal/gateway/admission/timer.go
@@ -57,11 +57,11 @@
 }
 
 // giveUp ends a wait. A request that waits for units is decided a last time, since the owner of its quota has not answered; one in the queue of a
-// canary goes to the stable version.
+// canary goes to the baseline version.
 func (c *Controller) giveUp(t *txn) {
 	switch {
 	case t.ended || t.inFlight || c.now < t.giveUpAt:
-	case t.queued && c.fallBackToStable(t):
+	case t.queued && c.fallBackToBaseline(t):
 	case t.queued:
 		c.finish(t, control.ReasonNoBackend, c.retryAfter(t.service))
 	case t.awaitsUnits:
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -60,8 +60,8 @@
 
 // mayUseVersion tells whether it may be sent to the version of its service: asked again with each submission.
 func (t *txn) mayUseVersion() bool {
-	stable := t.service.stable
-	return stable == nil || stable.canaryAccess == CanaryFallback || stable.canaryAccess == CanaryShared && t.assignment.mayUseCanary()
+	baseline := t.service.baseline
+	return baseline == nil || baseline.canaryAccess == CanaryFallback || baseline.canaryAccess == CanaryShared && t.assignment.mayUseCanary()
 }
 
 // TxnArrived takes a client's request. Its Product is the route's number, its Customer the tenant whose quota it needs (0: none), its Plan
@@ -101,7 +101,7 @@
 		}
 		t.service.txnCount++
 	}
-	if t.service.canary != nil || t.service.stable != nil {
+	if t.service.canary != nil || t.service.baseline != nil {
 		c.chooseVersion(t)
 	}
 	switch {
--- a/internal/gateway/balancer/pick.go
+++ b/internal/gateway/balancer/pick.go
@@ -65,7 +65,7 @@
 // search is the outcome of a search for the backends that are due first, by ownZone and otherZones.
 type search struct {
 	first [2]*backendState
-	dueAt [2]float64
+	score [2]float64
 	any   bool // there is a backend that the request may go to
 	busy  bool // there is a good one that has enough in flight
 }
@@ -90,8 +90,8 @@
 		}
 		stride, i := b.stride(now, backend, r), b.locality(backend.Zone)
 		due := max(backend.pass, b.virtualTime[i]-maxLag*stride) + stride*(float64(backend.inFlight)+b.rng.Float64()/4)
-		if s.first[i] == nil || due < s.dueAt[i] {
-			s.first[i], s.dueAt[i] = backend, due
+		if s.first[i] == nil || due < s.score[i] {
+			s.first[i], s.score[i] = backend, due
 		}
 	}
 	return s
