--- a/internal/gateway/admission/service.go
+++ b/internal/gateway/admission/service.go
@@ -18,7 +18,7 @@
 	txnCount    int     // requests that are here for it
 	concurrency concurrency
 
-	baseline       *service // of a canary: the version beside it
+	baseline     *service // of a canary: the version beside it
 	canary       *service // of a baseline version: the one beside it, if there is one
 	canaryAccess CanaryAccess
 }
