--- a/control/decision.go
+++ b/control/decision.go
@@ -1,6 +1,10 @@
 package control
 
-import "time"
+import (
+	"strconv"
+	"strings"
+	"time"
+)
 
 // Action is what a decision asks of the host.
 type Action int
@@ -21,7 +25,7 @@
 	SendDatagram
 	// Wake calls Woken after After.
 	Wake
-	// Log writes Text to the log.
+	// Log writes Entry to the log.
 	Log
 )
 
@@ -35,7 +39,7 @@
 	ResponseTimeout time.Duration // of Submit: how long an answer that has begun may take to be complete
 	Peer            GatewayID
 	Payload         []byte
-	Text            string
+	Entry           *LogEntry
 	Reason          Reason // of Reject and Fail
 	Token           uint64 // of Wake: given back with Woken
 }
@@ -61,3 +65,28 @@
 	// ReasonCount is the number of reasons.
 	ReasonCount
 )
+
+// LogEntry is a line for the log: a message that is always the same, and figures under names that are.
+type LogEntry struct {
+	Message string
+	Fields  []LogField
+}
+
+// LogField is a figure of a LogEntry. Names are in snake_case.
+type LogField struct {
+	Name  string
+	Value float64
+}
+
+// Count is a LogField of a whole number.
+func Count(name string, n int) LogField { return LogField{Name: name, Value: float64(n)} }
+
+// String gives the entry in one line: the message, then name=value.
+func (e *LogEntry) String() string {
+	var b strings.Builder
+	b.WriteString(e.Message)
+	for _, f := range e.Fields {
+		b.WriteString(" " + f.Name + "=" + strconv.FormatFloat(f.Value, 'g', -1, 64))
+	}
+	return b.String()
+}
--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -1,7 +1,6 @@
 package loadbalancer
 
 import (
-	"fmt"
 	"math/rand"
 	"sort"
 	"time"
@@ -253,18 +252,22 @@
 
 // logSummary writes the summary for the log.
 func (c *Controller) logSummary(ejected int) {
-	c.decisions = append(c.decisions, control.Decision{Action: control.Log, Text: fmt.Sprintf("given up for want of%s; room %.2f, "+
-		"%d of %d backends aside, %d txns wait, %d bad messages", c.givenUp.text(), c.capacity, ejected, len(c.available),
-		len(c.waiting), c.quota.BadDatagrams())})
+	var fields []control.LogField
+	for reason, name := range reasonNames {
+		fields = append(fields, control.Count(name, c.givenUp[reason]))
+	}
+	fields = append(fields, control.LogField{Name: "capacity", Value: c.capacity}, control.Count("ejected", ejected),
+		control.Count("backends", len(c.available)), control.Count("waiting", len(c.waiting)),
+		control.Count("bad_datagrams", c.quota.BadDatagrams()))
+	c.decisions = append(c.decisions, control.Decision{Action: control.Log, Entry: &control.LogEntry{Message: "txns given up", Fields: fields}})
 	c.givenUp, c.loggedAt = reasonCounts{}, c.now
 }
 
 // reasonCounts counts txns by what they lacked when they were given up.
 type reasonCounts [control.ReasonCount]int
 
-func (r reasonCounts) text() (s string) {
-	for i, name := range []string{"time", "units", "a view", "slots", "ceiling", "backends"} {
-		s += fmt.Sprintf(" %s %d", name, r[i])
-	}
-	return s
+// reasonNames are the names of the counts in the log.
+var reasonNames = [control.ReasonCount]string{
+	control.ReasonNoTime: "no_time", control.ReasonNoUnits: "no_units", control.ReasonNoSnapshot: "no_snapshot",
+	control.ReasonNoSlot: "no_slot", control.ReasonHardLimit: "hard_limit", control.ReasonNoBackend: "no_backend",
 }
--- a/internal/frontdoor/simwire/wire.go
+++ b/internal/frontdoor/simwire/wire.go
@@ -309,7 +309,7 @@
 	case control.Wake:
 		h.say(who, outWake, le.AppendUint64(le.AppendUint32(nil, span), x.Token))
 	case control.Log:
-		h.say(who, outNote, text(x.Text))
+		h.say(who, outNote, text(x.Entry.String()))
 	}
 }
 
--- a/internal/gateway/admission/counts.go
+++ b/internal/gateway/admission/counts.go
@@ -1,10 +1,6 @@
 package admission
 
-import (
-	"fmt"
-
-	"clovergap/control"
-)
+import "clovergap/control"
 
 // counts are what happened since the last summary for the log.
 type counts struct {
@@ -33,12 +29,13 @@
 		queued, inFlight = queued+len(s.queue), inFlight+s.balancer.InFlight()
 	}
 	n := &c.counts
-	text := fmt.Sprintf("%d taken, %d sent again, %d turned away, %d failed, given up for want of time %d, "+
-		"units %d, backends %d; %d wait, %d out; %d clients left, %d with a request at a backend, %d ran on",
-		n.arrived, n.retried, n.endings[control.Rejected],
-		n.endings[control.Errored]+n.endings[control.TimedOut]+n.endings[control.Unreachable]+n.endings[control.ConnectionLost],
-		n.reasons[control.ReasonNoTime], n.reasons[control.ReasonNoUnits], n.reasons[control.ReasonNoBackend],
-		queued, inFlight, n.clientsLeft, n.clientsLeftInFlight, n.ranOn)
-	c.decisions = append(c.decisions, control.Decision{Action: control.Log, Text: text})
+	failed := n.endings[control.Errored] + n.endings[control.TimedOut] + n.endings[control.Unreachable] + n.endings[control.ConnectionLost]
+	c.decisions = append(c.decisions, control.Decision{Action: control.Log, Entry: &control.LogEntry{Message: "requests", Fields: []control.LogField{
+		control.Count("arrived", n.arrived), control.Count("retried", n.retried), control.Count("rejected_by_backend", n.endings[control.Rejected]),
+		control.Count("failed", failed), control.Count("no_time", n.reasons[control.ReasonNoTime]),
+		control.Count("no_units", n.reasons[control.ReasonNoUnits]), control.Count("no_backend", n.reasons[control.ReasonNoBackend]),
+		control.Count("queued", queued), control.Count("in_flight", inFlight), control.Count("clients_left", n.clientsLeft),
+		control.Count("clients_left_in_flight", n.clientsLeftInFlight), control.Count("ran_on", n.ranOn),
+	}}})
 	c.counts, c.loggedAt = counts{}, c.now
 }
--- a/internal/gateway/node/log.go
+++ b/internal/gateway/node/log.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"os"
 	"slices"
 	"strings"
@@ -59,8 +60,12 @@
 type gateLog struct{ node *Node }
 
 // Info logs a line of the control module.
-func (g gateLog) Info(text string, _ ...zap.Field) {
-	g.node.logInfo(gatePart).Str("summary", text).Msg("requests")
+func (g gateLog) Info(message string, fields ...zap.Field) {
+	line := g.node.logInfo(gatePart)
+	for _, f := range fields { // figures, see gate.Log
+		line.Float64(f.Key, math.Float64frombits(uint64(f.Integer)))
+	}
+	line.Msg(message)
 }
 
 // pollerLog takes the lines of the library that polls sockets into the process's log. It may be called outside of a node's turns.
--- a/internal/proxy/gate/gate.go
+++ b/internal/proxy/gate/gate.go
@@ -16,7 +16,7 @@
 )
 
 // Module is what decides: inputs only update what it knows, and Next gives what is to be done now, one by
-// one, until there is nothing. *control.Gateway is one.
+// one, until there is nothing: *loadbalancer.Controller or *admission.Controller.
 type Module interface {
 	Now(time.Duration)
 	TxnArrived(control.Txn)
@@ -159,9 +159,9 @@
 	ran      bool // one of them may have run
 }
 
-// Log takes the module's notes; *zap.Logger is one.
+// Log takes the module's lines; *zap.Logger is one. The fields are all made by zap.Float64.
 type Log interface {
-	Info(text string, fields ...zap.Field)
+	Info(message string, fields ...zap.Field)
 }
 
 // Gate is the module with what it drives.
@@ -472,6 +472,10 @@
 		g.wake++
 		g.clock.Wake(g.clock.Now()+x.After, g.wake)
 	case control.Log:
-		g.log.Info(x.Text)
+		fields := make([]zap.Field, 0, len(x.Entry.Fields))
+		for _, f := range x.Entry.Fields {
+			fields = append(fields, zap.Float64(f.Name, f.Value))
+		}
+		g.log.Info(x.Entry.Message, fields...)
 	}
 }
--- a/internal/proxy/gate/gate_test.go
+++ b/internal/proxy/gate/gate_test.go
@@ -102,3 +102,23 @@
 		}
 	}
 }
+
+// lines keeps what was logged.
+type lines struct {
+	messages []string
+	fields   []zap.Field
+}
+
+func (l *lines) Info(message string, fields ...zap.Field) {
+	l.messages, l.fields = append(l.messages, message), append(l.fields, fields...)
+}
+
+// A module's line reaches the log as a message that is always the same and a field for each figure.
+func TestModuleLogsMessageAndFields(t *testing.T) {
+	module := &careless{todo: []control.Decision{{Action: control.Log, Entry: &control.LogEntry{Message: "requests",
+		Fields: []control.LogField{control.Count("arrived", 7), {Name: "capacity", Value: 2.5}}}}}}
+	log := &lines{}
+	New(module, &wire{}, 10, &counters.Set{}, log).Pull()
+	must.Eq(t, []string{"requests"}, log.messages)
+	must.Eq(t, []zap.Field{zap.Float64("arrived", 7), zap.Float64("capacity", 2.5)}, log.fields)
+}
