--- a/internal/gateway/node/calls.go
+++ b/internal/gateway/node/calls.go
@@ -8,6 +8,7 @@
 
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
@@ -20,14 +21,6 @@
 	maxPendingCalls   = 256
 )
 
-// fault is a defect that tests put in, to see that they find it.
-type fault uint8
-
-const (
-	noFault             fault = iota
-	matchBySequenceOnly       // an answer belongs to whatever call bears its number
-)
-
 // pendingCall is one that waits for whoever leads.
 type pendingCall struct {
 	kind       statemachine.Kind
@@ -58,7 +51,7 @@
 func (n *Node) forwardCall(nr uint32) {
 	c := n.pendingCalls[nr]
 	c.ambiguous = c.ambiguous || n.mayBeReceived(c, nr)
-	if !n.permitted(permitCalls) {
+	if !n.permitted(quorumcontact.TakeCalls) {
 		n.rejectCall(nr)
 		return
 	}
@@ -173,9 +166,9 @@
 	c := n.pendingCalls[r.Nr]
 	switch {
 	case c == nil:
-	case r.Asker != n.incarnation && n.fault != matchBySequenceOnly:
-	case !slices.Contains(c.recipients, from) && n.fault != matchBySequenceOnly:
-	case r.Status/100 == 5 && from != c.sentTo && n.fault != matchBySequenceOnly:
+	case r.Asker != n.incarnation && !n.knobs.MatchCallsBySequenceOnly:
+	case !slices.Contains(c.recipients, from) && !n.knobs.MatchCallsBySequenceOnly:
+	case r.Status/100 == 5 && from != c.sentTo && !n.knobs.MatchCallsBySequenceOnly:
 	default:
 		n.completeCall(r.Nr, r.Status, r.Body)
 	}
@@ -188,7 +181,7 @@
 		return
 	}
 	if status == 503 && string(body) == noQuorumText && c.sentTo == n.upstream && n.core == nil { // one that has word may be there
-		n.upstreamReports[n.upstream] = upstreamReport{n.loop.Now(), neverAge, 0, 0}
+		n.upstreamReports[n.upstream] = upstreamReport{n.loop.Now(), quorumcontact.UnknownAge, 0, 0}
 		n.checkUpstream()
 	}
 	n.cancelTransfer(c.sentTo, nr)
@@ -225,7 +218,7 @@
 	case pendingCall == nil:
 	case now >= pendingCall.deadline:
 		h.finishCall(nr, 503, []byte("no clear answer in time"))
-	case !h.permitted(permitCalls):
+	case !h.permitted(quorumcontact.TakeCalls):
 		h.rejectCall(nr)
 	case now < pendingCall.retryAt:
 	case pendingCall.sentTo != "" && !h.leaderChanged(pendingCall.sentTo): // its answer is still to come
@@ -238,7 +231,7 @@
 
 // requestSlot asks for a slot while this node has none.
 func (n *Node) requestSlot() {
-	if n.slot() != membership.NoSlot || n.loop.Now()-n.slotRequestedAt < time.Second || !n.permitted(permitRequestSlot) {
+	if n.slot() != membership.NoSlot || n.loop.Now()-n.slotRequestedAt < time.Second || !n.permitted(quorumcontact.RequestSlot) {
 		return
 	}
 	n.slotRequestedAt = n.loop.Now()
--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -6,6 +6,7 @@
 	"clovergap/control"
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/ingress"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/routing"
 )
@@ -102,7 +103,7 @@
 
 // Admit tells what a request is: its route, its tenant, or why it may not go on.
 func (n *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
-	sure := n.permitted(permitRefuse)
+	sure := n.permitted(quorumcontact.Refuse)
 	r, ok := n.table.Route(host, path)
 	if !ok {
 		if !sure {
--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -6,6 +6,7 @@
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/groups"
+	"clovergap/internal/gateway/quorumcontact"
 )
 
 // Coordinate takes an application's call. The clock is read first: what lies unread in a socket may have been sent after this turn
@@ -39,7 +40,9 @@
 
 func (c *coordinationEnv) InputDelay() time.Duration { return c.loop.InputDelay() }
 
-func (c *coordinationEnv) HasQuorumContact() bool { return (*Node)(c).permitted(permitCalls) }
+func (c *coordinationEnv) HasQuorumContact() bool {
+	return (*Node)(c).permitted(quorumcontact.TakeCalls)
+}
 
 // groupsApplication hands a service the groups, and logs that they are led no longer; the host logs who leads.
 type groupsApplication struct {
--- a/internal/gateway/node/cut_test.go
+++ b/internal/gateway/node/cut_test.go
@@ -11,7 +11,6 @@
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/ingress"
 	"clovergap/internal/gateway/registry"
-	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/settings"
 )
 
@@ -89,9 +88,9 @@
 	return all
 }
 
-// plantFault has a node go without a defence from now on, in a turn.
-func (t *testCluster) plantFault(h *Node, f fault) {
-	h.fault = f
+// setKnobs has a node go without a defence from now on, in a turn.
+func (t *testCluster) setKnobs(h *Node, knobs TestingKnobs) {
+	h.knobs = knobs
 	h.registry.SetConfig(registry.Config{HeartbeatInterval: h.settings.HeartbeatInterval, MinCopies: h.minDrainCopies()})
 }
 
@@ -109,11 +108,11 @@
 		leads bool
 		way   string
 		until time.Duration
-		fault fault
+		knobs TestingKnobs
 	}{
-		{true, "both", 20 * time.Second, noFault},
-		{true, "in", 0, noFault}, {true, "out", 0, noFault}, {false, "both", 0, noFault}, {false, "out", 0, noFault},
-		{true, "both", 0, grantAllPermissions}, {true, "both", 0, ackDrainAlone},
+		{true, "both", 20 * time.Second, TestingKnobs{}},
+		{true, "in", 0, TestingKnobs{}}, {true, "out", 0, TestingKnobs{}}, {false, "both", 0, TestingKnobs{}}, {false, "out", 0, TestingKnobs{}},
+		{true, "both", 0, grantAll}, {true, "both", 0, ackDrainAlone},
 	} {
 		l := d.awaitLeader()
 		at, other := l, (l+1)%3
@@ -125,7 +124,7 @@
 		d.running[3].loop.Turn(func() { d.running[3].requestStream(h.peerAddr) })
 		d.eventually("the node without a disk follows", func() bool { s := d.status(3); return s.Feeder == h.peerAddr })
 		d.partition(at, x.way)
-		h.loop.Turn(func() { d.plantFault(h, x.fault) })
+		h.loop.Turn(func() { d.setKnobs(h, x.knobs) })
 		next := last + 10
 		d.callUntilClear(other, 200, "POST", "/api/Config.Replace", configBody(next, last))
 		last = next
@@ -138,15 +137,15 @@
 			return long
 		})
 		slices.Sort(broken)
-		switch broken = slices.Compact(broken); x.fault {
-		case noFault:
+		switch broken = slices.Compact(broken); x.knobs {
+		case TestingKnobs{}:
 			must.SliceEmpty(t, broken, must.Sprint(x, broken))
-		case grantAllPermissions: // ends are held by their copies too
+		case grantAll: // ends are held by their copies too
 			must.Eq(t, []string{"denies for sure", "did not end a call at once", "is ready"}, broken)
 		case ackDrainAlone: // once its follower has it, which takes more than this turn
 			must.Eq(t, []string{"acknowledged an end", "did not end a call at once"}, broken)
 		}
-		h.loop.Turn(func() { d.plantFault(h, noFault) })
+		h.loop.Turn(func() { d.setKnobs(h, TestingKnobs{}) })
 		if x.until > 0 {
 			d.checkReturn(at)
 		}
@@ -163,7 +162,7 @@
 	cut := t.running[at].peerAddr
 	t.eventually("all others to count as gone", func() (gone bool) {
 		t.inTurn(3, func(h *Node) {
-			if h.fault = trustStaleUpstream; h.upstream != cut {
+			if h.knobs.TrustStaleUpstream = true; h.upstream != cut {
 				h.requestStream(cut)
 			}
 			h.streamRequestedAt = h.loop.Now() // it stays meanwhile
@@ -172,52 +171,10 @@
 		return gone
 	})
 	t.inTurn(3, func(h *Node) {
-		for _, f := range []fault{trustStaleUpstream, noFault} {
-			h.fault, h.streamRequestedAt, h.pausedUntil = f, 1, 0
+		for _, trusts := range []bool{true, false} {
+			h.knobs.TrustStaleUpstream, h.streamRequestedAt, h.pausedUntil = trusts, 1, 0
 			h.checkUpstream()
-			must.Eq(t.t, f == noFault, h.upstream != cut)
+			must.Eq(t.t, !trusts, h.upstream != cut)
 		}
 	})
 }
-
-// fixedClock is a clock that stands.
-type fixedClock struct {
-	EventLoop
-	now time.Duration
-}
-
-func (f fixedClock) Now() time.Duration { return f.now }
-
-// In all orders of words from feeders: a node's own is never newer than the newest that it was told, counted from when it asked;
-// none of an older view is taken after a newer one's, none that is of more than it has, none that another life asked for.
-func TestWordsInAllOrders(t *testing.T) {
-	const now = 100 * time.Second
-	own, other := replication.NewClock(7), replication.NewClock(8)
-	type told struct {
-		asked, age  time.Duration
-		view, index uint64
-		by          replication.Clock
-	}
-	all := []told{{now - 3*time.Second, time.Second, 5, 9, own}, {now - 2*time.Second, 500 * time.Millisecond, 6, 9, own},
-		{now - time.Second, 100 * time.Millisecond, 5, 9, own}, {now - time.Second, 0, 7, 10, own}, {now - time.Second, 0, 6, 9, other}}
-	play := func(f fault) (wrong int) {
-		var orders func(left []told, h Node)
-		orders = func(left []told, h Node) {
-			for i, w := range left {
-				c := h
-				before := c.streamContact
-				c.updateContact(w.age, w.view, w.by.Stamp(w.asked), w.index)
-				moved := c.streamContact.appliedAsOf > before.appliedAsOf
-				if moved && (c.streamContact.appliedAsOf > w.asked-w.age || w.view < before.term || w.index > 9 || w.by == other) {
-					wrong++
-				}
-				orders(append(slices.Clone(left[:i]), left[i+1:]...), c)
-			}
-		}
-		orders(all, Node{loop: fixedClock{now: now}, clock: own, appliedIndex: 9, streamContact: streamContact{appliedAsOf: -neverAge}, fault: f})
-		return wrong
-	}
-	must.Eq(t, 0, play(noFault))
-	must.Greater(t, 0, play(acceptOlderTerms))
-	must.Greater(t, 0, play(countFromReceipt))
-}
--- a/internal/gateway/node/export_test.go
+++ b/internal/gateway/node/export_test.go
@@ -1,14 +1,23 @@
 package node
 
-// PlantFault lets the nodes that are made from now on go without a defence.
-func PlantFault(f fault) { plantedFault = f }
+import "clovergap/internal/gateway/quorumcontact"
 
-// Faults are the defences that a simulated day must miss, by name.
-var Faults = map[string]fault{"all have all rights": grantAllPermissions, "word counts from when it came": countFromReceipt,
-	"an end is acknowledged alone": ackDrainAlone, "ready and sure with old word": readyWithoutContact, "an order waits in vain": queueWithoutContact}
+var (
+	grantAll      = TestingKnobs{Contact: quorumcontact.TestingKnobs{GrantAll: true}}
+	ackDrainAlone = TestingKnobs{Contact: quorumcontact.TestingKnobs{AckDrainWithoutContact: true}, AckDrainWithoutCopies: true}
+)
 
-// TrustLeaderAlone is a defence that takes a cut one way to be missed.
-const TrustLeaderAlone = trustLeaderAlone
+// SetKnobs lets the nodes that are made from now on go without a defence.
+func SetKnobs(knobs TestingKnobs) { newNodeKnobs = knobs }
 
-// NoFault is none of them.
-const NoFault = noFault
+// MissedDefences are those that a simulated day must miss, by name.
+var MissedDefences = map[string]TestingKnobs{
+	"all have all rights":           grantAll,
+	"word counts from when it came": {Contact: quorumcontact.TestingKnobs{CountFromReceipt: true}},
+	"an end is acknowledged alone":  ackDrainAlone,
+	"ready and sure with old word":  {Contact: quorumcontact.TestingKnobs{ServeWithoutContact: true}},
+	"an order waits in vain":        {Contact: quorumcontact.TestingKnobs{QueueWithoutContact: true}},
+}
+
+// TrustLeaderAlone takes out a defence that takes a partition one way to be missed.
+var TrustLeaderAlone = TestingKnobs{Contact: quorumcontact.TestingKnobs{TrustLeaderAlone: true}}
--- a/internal/gateway/node/feed.go
+++ b/internal/gateway/node/feed.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
@@ -13,14 +14,13 @@
 
 const (
 	heartbeatInterval   = 700 * time.Millisecond
-	minStreamRetry      = 500 * time.Millisecond // an unanswered wish to follow goes again, to another node if there is one
-	maxStreamRetry      = 2 * time.Second        // twice as late each time: a long answer takes its time on a thin link
-	busyUpstreamTimeout = 5 * time.Second        // and as long where the other one says something else: it has much to do, and another has as much
-	reportTTL           = 3 * time.Second        // what a node said of its knowledge is forgotten after that
-	pauseThreshold      = time.Second            // a longer pause between two ticks is this node's own
-	pauseGrace          = 300 * time.Millisecond // after one, what others sent meanwhile is read before one of them is left
-	neverAge            = 24 * time.Hour
-	unansweredAge       = 2 * neverAge // the word of a node that did not answer
+	minStreamRetry      = 500 * time.Millisecond       // an unanswered wish to follow goes again, to another node if there is one
+	maxStreamRetry      = 2 * time.Second              // twice as late each time: a long answer takes its time on a thin link
+	busyUpstreamTimeout = 5 * time.Second              // and as long where the other one says something else: it has much to do, and another has as much
+	reportTTL           = 3 * time.Second              // what a node said of its knowledge is forgotten after that
+	pauseThreshold      = time.Second                  // a longer pause between two ticks is this node's own
+	pauseGrace          = 300 * time.Millisecond       // after one, what others sent meanwhile is read before one of them is left
+	unansweredAge       = 2 * quorumcontact.UnknownAge // the word of a node that did not answer
 )
 
 // installState starts from a state.
@@ -82,7 +82,7 @@
 	}
 	if !n.core.replica.Bootstrapped() {
 		if !f.Ends { // it asks another at once; without a word it would stay, since this node says other things
-			n.links.Send(from, &Frame{Feed: &StreamData{Stale: neverAge}})
+			n.links.Send(from, &Frame{Feed: &StreamData{Stale: quorumcontact.UnknownAge}})
 		}
 		return
 	}
@@ -119,7 +119,7 @@
 
 // withContact puts this node's word of the core into what a follower is sent.
 func (n *Node) withContact(to string, f *StreamData) *StreamData {
-	_, view, _ := n.quorumContact()
+	_, view, _ := n.contact.Contact(n.loop.Now())
 	f.Stale, f.View, f.Echo, f.Index = n.contactAge(), view, n.learnerClocks[to].clock, n.core.replica.CommitIndex()
 	return f
 }
@@ -142,8 +142,8 @@
 		n.upstreamReports[from] = upstreamReport{n.streamReceivedAt, unansweredAge, 0, 0}
 		return
 	}
-	if f.View > 0 && f.View < n.streamContact.term && n.fault != acceptOlderTerms { // what it has was had before that view began
-		n.upstreamReports[from] = upstreamReport{n.streamReceivedAt, neverAge, f.After, f.View}
+	if f.View > 0 && n.contact.IsStaleTerm(f.View) { // what it has was had before that view began
+		n.upstreamReports[from] = upstreamReport{n.streamReceivedAt, quorumcontact.UnknownAge, f.After, f.View}
 		return
 	}
 	if w := n.upstreamReports[from]; w.receivedAt == 0 || n.loop.Now()-w.receivedAt > heartbeatInterval {
@@ -154,7 +154,7 @@
 	}
 	if f.Chunk != nil { // so that what follows comes
 		defer func() {
-			n.links.Send(from, &Frame{Follow: &StreamRequest{After: n.appliedIndex, Clock: n.clock.Stamp(n.loop.Now()), Chunks: true}})
+			n.links.Send(from, &Frame{Follow: &StreamRequest{After: n.appliedIndex, Clock: n.contact.Stamp(n.loop.Now()), Chunks: true}})
 		}()
 	}
 	if f.State != nil && f.After > n.appliedIndex {
@@ -179,7 +179,7 @@
 		n.requestStream(from)
 		return
 	}
-	n.updateContact(f.Stale, f.View, f.Echo, f.Index)
+	n.contact.Learn(quorumcontact.Report{Age: f.Stale, Term: f.View, Echo: f.Echo, Index: f.Index}, n.appliedIndex, n.loop.Now())
 }
 
 // requestStream asks a node with a disk for the entries from here on.
@@ -192,7 +192,7 @@
 		}
 	}
 	n.upstream, n.streamRequestedAt = addr, n.loop.Now()
-	n.links.Send(addr, &Frame{Follow: &StreamRequest{After: n.appliedIndex, Anew: anew, Clock: n.clock.Stamp(n.loop.Now()), Had: n.incomingBlob.Received(),
+	n.links.Send(addr, &Frame{Follow: &StreamRequest{After: n.appliedIndex, Anew: anew, Clock: n.contact.Stamp(n.loop.Now()), Had: n.incomingBlob.Received(),
 		Chunks: true}})
 }
 
@@ -205,7 +205,7 @@
 	if n.core != nil {
 		return
 	}
-	now, feedStale := n.loop.Now(), permissions[permitStream].member(n.settings.Bounds)
+	now, feedStale := n.loop.Now(), n.contact.StreamMaxAge()
 	if n.upstream != "" && now-n.streamRequestedAt < max(n.streamRetryDelay, minStreamRetry) || now-n.pausedUntil < pauseGrace && n.pausedUntil > 0 {
 		return
 	}
@@ -232,7 +232,7 @@
 	disks := n.roster.LiveDiskNodes()
 	// Who lives is told by the node that is followed: without one nobody seems to, and one that is cut off tells that all others
 	// are gone, while they are but a link away.
-	if len(disks) == 0 || n.upstreamAge(n.upstream) >= feedStale && n.fault != trustStaleUpstream {
+	if len(disks) == 0 || n.upstreamAge(n.upstream) >= feedStale && !n.knobs.TrustStaleUpstream {
 		disks = n.roster.LinkedDiskNodes()
 	}
 	for _, d := range disks {
@@ -244,7 +244,7 @@
 			switch stale = n.upstreamAge(d.Addr); {
 			case w.contactAge == unansweredAge:
 				stale = unansweredAge
-			case w.term == 0 || w.term >= n.streamContact.term: // while nobody leads, all are as good; one of an older view is not
+			case w.term == 0 || w.term >= n.contact.ReportedTerm(): // while nobody leads, all are as good; one of an older view is not
 				stale = min(stale, feedStale).Truncate(feedStale)
 			}
 		}
@@ -275,8 +275,8 @@
 // own (see authority.go). One whose view is older than what is known here has nothing new.
 func (n *Node) upstreamAge(addr string) time.Duration {
 	w, ok := n.upstreamReports[addr]
-	if !ok || w.term > 0 && w.term < n.streamContact.term && n.fault != acceptOlderTerms {
-		return neverAge
+	if !ok || w.term > 0 && n.contact.IsStaleTerm(w.term) {
+		return quorumcontact.UnknownAge
 	}
 	return w.contactAge + max(0, n.loop.Now()-w.receivedAt-heartbeatInterval)
 }
--- a/internal/gateway/node/follower.go
+++ b/internal/gateway/node/follower.go
@@ -85,8 +85,9 @@
 // stateMayBeStale tells whether the state may be long out of date: this member has just come back, and knows of no leader yet. Who was sent it
 // would be sent the newest after it; it asks again, or another. Where nobody leads for long it is better than nothing.
 func (n *Node) stateMayBeStale() bool {
-	_, _, word := n.quorumContact()
-	return !word && n.loop.Now()-n.startedAt < staleStateGrace
+	now := n.loop.Now()
+	_, _, known := n.contact.Contact(now)
+	return !known && n.contact.Uptime(now) < staleStateGrace
 }
 
 // beginBlob begins with a blob, from where the follower has it.
@@ -151,7 +152,7 @@
 	}
 	all, had := n.incomingBlob.Receive(f.Chunk)
 	if all == nil {
-		n.links.Send(from, &Frame{Follow: &StreamRequest{After: n.appliedIndex, Clock: n.clock.Stamp(n.loop.Now()), Had: had, Chunks: true}})
+		n.links.Send(from, &Frame{Follow: &StreamRequest{After: n.appliedIndex, Clock: n.contact.Stamp(n.loop.Now()), Had: had, Chunks: true}})
 		return false
 	}
 	if !f.Log {
--- a/internal/gateway/node/grouplead.go
+++ b/internal/gateway/node/grouplead.go
@@ -6,6 +6,7 @@
 
 	"clovergap/internal/gateway/groups"
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/statemachine"
 )
@@ -95,7 +96,7 @@
 // requestFounding has the groups founded, where that is wanted: by the deployment's contracts, or by a call that came.
 func (g *groupHost) requestFounding() {
 	now := g.node.loop.Now()
-	if newGroupApplication == nil || g.founded || now-g.foundingSentAt < foundingRetryInterval || !g.node.permitted(permitCalls) {
+	if newGroupApplication == nil || g.founded || now-g.foundingSentAt < foundingRetryInterval || !g.node.permitted(quorumcontact.TakeCalls) {
 		return
 	}
 	if g.requestedAt == 0 {
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -32,13 +32,13 @@
 			}
 		}
 	}
-	_, view, _ := n.quorumContact()
+	_, view, _ := n.contact.Contact(n.loop.Now())
 	p := Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, View: view}
 	if n.core != nil {
 		p.Lives = n.roster.ReachableSlots()
 	} else if n.upstream != "" {
 		told[n.upstream] = true
-		n.links.Send(n.upstream, &Frame{Ping: &Heartbeat{Stale: p.Stale, Index: p.Index, View: p.View, Clock: n.clock.Stamp(n.loop.Now())}})
+		n.links.Send(n.upstream, &Frame{Ping: &Heartbeat{Stale: p.Stale, Index: p.Index, View: p.View, Clock: n.contact.Stamp(n.loop.Now())}})
 	}
 	f, toDisk := &Frame{Ping: &p}, &Frame{Ping: &Heartbeat{Lives: p.Lives}}
 	for _, addr := range n.roster.Watchers() {
@@ -55,7 +55,7 @@
 
 // learnerHeartbeat is what a follower is told.
 func (n *Node) learnerHeartbeat(addr string) *Heartbeat {
-	_, view, _ := n.quorumContact()
+	_, view, _ := n.contact.Contact(n.loop.Now())
 	return &Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, Lives: n.roster.LiveSlots(), View: view, Echo: n.learnerClocks[addr].clock,
 		Leaders: n.groups.leaderSlots()}
 }
--- a/internal/gateway/node/heartbeat_test.go
+++ b/internal/gateway/node/heartbeat_test.go
@@ -45,6 +45,7 @@
 	me := replication.Member{ID: 1, Addr: "10.0.0.1:7110"}
 	h.core = &core{liveness: map[string]livenessState{}, replicaHost: replicaHost{node: h, self: me,
 		replica: replication.New(me, replication.PersistentState{ID: 1}, replication.DefaultConfig(), 1, clock.now)}}
+	h.contact = h.newContact()
 	slots := []membership.SlotHolder{{Addr: me.Addr}}
 	for i, a := range []string{b, c} {
 		h.roster.HandleHello(a, membership.Hello{Door: membership.Node{Addr: a, Disk: membership.Disk(i + 2), Life: 1, Founded: true}})
--- a/internal/gateway/node/links_test.go
+++ b/internal/gateway/node/links_test.go
@@ -64,6 +64,7 @@
 	h := newLearner(t, "10.0.0.1:7110")
 	h.learnerClocks, h.appliedIndex = map[string]clockEcho{}, last()
 	h.core = &core{replicaHost: replicaHost{node: h, replica: p}}
+	h.contact = h.newContact()
 	h.loop.(*manualClock).now = now
 	has := func(to *frameRecorder) (all []string) {
 		for _, f := range to.frames {
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -16,6 +16,7 @@
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/routing"
@@ -62,6 +63,7 @@
 	datagrams    Datagrams
 	roster       *membership.Roster
 	core         *core // nil without a disk
+	contact      *quorumcontact.Tracker
 	groups       *groupHost
 	machine      *statemachine.Machine
 	appliedIndex uint64
@@ -91,10 +93,7 @@
 	streamRetryDelay  time.Duration
 	lastTickAt        time.Duration
 	pausedUntil       time.Duration // when this node last stood still until
-	clock             replication.Clock
-	streamContact     streamContact // without a disk: its word of the core
 	learnerClocks     map[string]clockEcho
-	startedAt         time.Duration
 
 	learners     map[string]*learner
 	incomingBlob replication.BlobReceiver // from the node that is followed
@@ -103,7 +102,7 @@
 	pendingCalls    map[uint32]*pendingCall
 	chunked         chunkedCalls
 	lastCallID      uint32
-	fault           fault // tests put one in
+	knobs           TestingKnobs
 	slotRequestedAt time.Duration
 	heartbeatAt     time.Duration
 	slotCount       int
@@ -141,7 +140,7 @@
 	h.machine, h.table, h.upstreamReports, h.learners = statemachine.New(), routing.NewTable(nil), map[string]upstreamReport{}, map[string]*learner{}
 	h.learnerClocks = map[string]clockEcho{}
 	h.pendingCalls, h.chunked, h.pendingHeartbeats, h.catalog = map[uint32]*pendingCall{}, newChunkedCalls(), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
-	h.fault = plantedFault
+	h.knobs = newNodeKnobs
 	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Config{Address: h.peerAddr, Incarnation: h.incarnation, HistoryRetention: h.settings.Bounds.WatchHistory})
 	h.groups = &groupHost{node: h}
 	h.coordination.SetHost(h.groups)
@@ -176,7 +175,7 @@
 	}
 	n.roster = membership.New(me, membership.Config{Seeds: n.peerAddrs(n.settings.SeedAddrs), ToleratedLosses: n.settings.Tolerance.Machines,
 		ClusterID: func(f []membership.Founder) uint64 { return replication.ClusterIDOf(founderMembers(f)) }}, n.loop.Now())
-	n.streamContact.appliedAsOf, n.startedAt, n.clock = -neverAge, n.loop.Now(), replication.NewClock(n.incarnation)
+	n.contact = n.newContact()
 	return nil
 }
 
--- a/internal/gateway/node/parted_test.go
+++ b/internal/gateway/node/parted_test.go
@@ -21,12 +21,12 @@
 			{Kind: "node-stall", At: span(3), For: span(3), Share: 0.3, Pick: seed*8 + 3},
 			{Kind: "node-stall", At: span(12), For: span(2), Share: 0.3, Pick: seed*8 + 5}}})
 	}
-	defer node.PlantFault(node.NoFault)
+	defer node.SetKnobs(node.TestingKnobs{})
 	for seed := range uint64(2) {
 		must.SliceEmpty(t, play(seed+1).Broken)
 	}
-	for name, f := range node.Faults {
-		node.PlantFault(f)
+	for name, knobs := range node.MissedDefences {
+		node.SetKnobs(knobs)
 		found, began := "", time.Now()
 		for seed := uint64(1); seed <= 8 && found == ""; seed++ {
 			if r := play(seed); len(r.Broken) > 0 {
@@ -50,11 +50,11 @@
 		}
 		return simulation.Play(&simulation.Day{Site: simulation.Site{Nodes: 12, Disks: 3}, Seed: seed, For: 24 * time.Second, Faults: faults})
 	}
-	defer node.PlantFault(node.NoFault)
+	defer node.SetKnobs(node.TestingKnobs{})
 	for seed := range uint64(6) {
 		must.SliceEmpty(t, play(seed+1).Broken, must.Sprint("seed ", seed+1))
 	}
-	node.PlantFault(node.TrustLeaderAlone)
+	node.SetKnobs(node.TrustLeaderAlone)
 	found := map[string]int{}
 	for seed := range uint64(6) {
 		for _, b := range play(seed + 1).Broken {
--- a/internal/gateway/node/parts_test.go
+++ b/internal/gateway/node/parts_test.go
@@ -60,7 +60,7 @@
 		h := newLearner(t, "10.0.0.8:7110")
 		h.loop, h.links, h.incarnation, h.upstream = withoutAlarms{w.clock}, &linkEnd{link: w, address: x.me}, x.life, ""
 		h.settings.Bounds = settings.Bounds{InTouch: time.Hour}
-		h.pendingCalls, h.chunked, h.startedAt = map[uint32]*pendingCall{}, newChunkedCalls(), w.clock.now
+		h.pendingCalls, h.chunked, h.contact = map[uint32]*pendingCall{}, newChunkedCalls(), h.newContact()
 		h.groups, h.coordination = &groupHost{node: h}, coordination.New((*coordinationEnv)(h), coordination.Config{})
 		h.chunked.supportedBy = map[string]bool{senderAddr: true, receiverAddr: true}
 		*x.h = h
@@ -110,6 +110,9 @@
 
 func filler(size int) []byte { return bytes.Repeat([]byte("0123456789abcdefghi\n"), size/20) }
 
+// farFuture is a deadline that no test meets.
+const farFuture = 24 * time.Hour
+
 func loseNone(int) bool { return false }
 
 // A call of 1 MB was one frame: on a link of 2 Mbit/s all heartbeats waited behind it for 4 s. Its parts have 16 KB in flight, whichever of
@@ -121,9 +124,9 @@
 		var answer []byte
 		w.forward(body, func(status int, b []byte) { answer = b })
 		for _, c := range w.sender.chunked.outgoing[receiverAddr] {
-			c.deadline = neverAge
+			c.deadline = farFuture
 		}
-		w.sender.pendingCalls[1].deadline = neverAge
+		w.sender.pendingCalls[1].deadline = farFuture
 		lose := func(i int) bool { return every > 0 && i%every == 0 }
 		for i := 0; i < 20000 && len(w.receiver.pendingCalls) == 0; i++ {
 			w.run(1, func(int) bool { return lose(i) })
@@ -133,7 +136,7 @@
 		must.LessEq(t, streamConfig.MaxInflightBytes, w.maxInFlight)
 		w.receiver.finishCall(1, 200, body)
 		for _, c := range w.receiver.chunked.outgoing[senderAddr] {
-			c.deadline = neverAge
+			c.deadline = farFuture
 		}
 		for i := 0; i < 20000 && answer == nil; i++ {
 			w.run(1, func(int) bool { return lose(i) })
@@ -198,11 +201,11 @@
 	w.receiver.tickTransfers()
 	must.MapEmpty(t, w.receiver.chunked.incoming)
 	for range maxTransfers {
-		must.True(t, w.sender.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, neverAge))
+		must.True(t, w.sender.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, farFuture))
 	}
-	must.False(t, w.sender.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, neverAge))
+	must.False(t, w.sender.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, farFuture))
 	w.sender.chunked.supportedBy[receiverAddr] = false // a program of the version before
 	w.queued = map[string][]*Frame{}
-	w.sender.sendCall(receiverAddr, 2, &Call{Nr: 2, Body: filler(1 << 20)}, neverAge)
+	w.sender.sendCall(receiverAddr, 2, &Call{Nr: 2, Body: filler(1 << 20)}, farFuture)
 	must.Eq(t, 1<<20/20*20, len(w.queued[receiverAddr][0].Call.Body))
 }
--- a/internal/gateway/node/patience_test.go
+++ b/internal/gateway/node/patience_test.go
@@ -7,6 +7,8 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
+	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/settings"
 )
 
@@ -25,9 +27,9 @@
 		for _, a := range []string{first, other} {
 			h.roster.FrameReceived(a)
 			h.upstreamContactAt = now
-			h.upstreamReports[a] = upstreamReport{now, neverAge + time.Duration(i)*heartbeatInterval, 0, 0} // it has just started and knows of no leader
+			h.upstreamReports[a] = upstreamReport{now, quorumcontact.UnknownAge + time.Duration(i)*heartbeatInterval, 0, 0} // it has just started and knows of no leader
 		}
-		h.upstreamReports[other] = upstreamReport{now, neverAge - 10*time.Second, 0, 0} // this one did a while ago
+		h.upstreamReports[other] = upstreamReport{now, quorumcontact.UnknownAge - 10*time.Second, 0, 0} // this one did a while ago
 		h.streamReceivedAt = now
 		h.checkUpstream()
 		must.Eq(t, first, h.upstream)
@@ -77,13 +79,14 @@
 
 // newLearner is a node without a disk that follows one of these.
 func newLearner(t *testing.T, disks ...string) *Node {
-	h := &Node{settings: &settings.Settings{NodeName: "node"}, log: newLogger("node"), loop: &manualClock{now: time.Minute}, links: discardingLinks{}, upstreamReports: map[string]upstreamReport{},
+	h := &Node{settings: &settings.Settings{NodeName: "node"}, log: newLogger("node"), table: routing.NewTable(nil), loop: &manualClock{now: time.Minute}, links: discardingLinks{}, upstreamReports: map[string]upstreamReport{},
 		learners: map[string]*learner{}}
 	h.roster = membership.New(membership.Node{Name: "node", Addr: "10.0.0.9:7110"}, membership.Config{}, h.loop.Now())
 	for i, a := range disks {
 		h.roster.HandleHello(a, membership.Hello{Door: membership.Node{Name: a, Addr: a, Disk: membership.Disk(i + 1), Life: 1, Founded: true}})
 		h.roster.LinkUp(a)
 	}
+	h.contact = h.newContact()
 	h.checkUpstream()
 	must.NotEq(t, "", h.upstream)
 	return h
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -9,6 +9,7 @@
 
 	"clovergap/control"
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
 )
@@ -42,7 +43,8 @@
 			n.roster.HandleLiveness(from, f.Ping.Lives)
 		}
 		if from == n.upstream {
-			n.updateContact(f.Ping.Stale, f.Ping.View, f.Ping.Echo, f.Ping.Index)
+			n.contact.Learn(quorumcontact.Report{Age: f.Ping.Stale, Term: f.Ping.View, Echo: f.Ping.Echo, Index: f.Ping.Index}, n.appliedIndex,
+				n.loop.Now())
 			n.groups.learnLeaders(f.Ping.Leaders)
 		}
 		if f.Ping.Clock != 0 && n.isLearner(from) {
@@ -267,7 +269,7 @@
 
 // minDrainCopies is at how many nodes with a disk the end of a backend is to be before it is acknowledged.
 func (n *Node) minDrainCopies() int {
-	if n.fault == ackDrainAlone {
+	if n.knobs.AckDrainWithoutCopies {
 		return 0
 	}
 	return n.settings.Tolerance.Machines + 1
--- a/internal/gateway/node/replies_test.go
+++ b/internal/gateway/node/replies_test.go
@@ -125,9 +125,9 @@
 func TestRepliesInAllOrders(t *testing.T) {
 	d := startCluster(t, 1)
 	h := d.running[0]
-	misled := func(f fault) (n int) {
-		h.fault = f
-		defer func() { h.fault = noFault }()
+	misled := func(knobs TestingKnobs) (n int) {
+		h.knobs = knobs
+		defer func() { h.knobs = TestingKnobs{} }()
 		permutations(7, func(order []int) {
 			got := [2][]string{}
 			for i := range got {
@@ -153,8 +153,8 @@
 		return n
 	}
 	d.inTurn(0, func(h *Node) {
-		h.startedAt = h.loop.Now() // one that has just begun waits for whoever leads, later it would end calls at once
-		must.Eq(t, 0, misled(noFault))
-		must.Positive(t, misled(matchBySequenceOnly))
+		h.contact = h.newContact() // one that has just begun waits for whoever leads, later it would end calls at once
+		must.Eq(t, 0, misled(TestingKnobs{}))
+		must.Positive(t, misled(TestingKnobs{MatchCallsBySequenceOnly: true}))
 	})
 }
--- a/internal/gateway/node/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -13,6 +13,7 @@
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/routing"
@@ -240,7 +241,7 @@
 		return
 	}
 	now := n.loop.Now()
-	fresh := n.permitted(permitRefuse)
+	fresh := n.permitted(quorumcontact.Refuse)
 	if fresh && !x.caughtUp && now-x.catchUpRequestedAt >= time.Second {
 		x.catchUpRequestedAt = now
 		n.callLeader(ReadRollouts, nil, 0, n.receiveCatchUp)
--- a/internal/gateway/node/stage.go
+++ b/internal/gateway/node/stage.go
@@ -7,6 +7,7 @@
 
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/routing"
@@ -25,7 +26,7 @@
 	}
 	say(n.shuttingDown, "it is told to end")
 	say(n.table.Version() == 0, "no configuration")
-	say(!n.hasContactFor(permitReady), "not heard of the core of late")
+	say(!n.contact.SufficesFor(quorumcontact.ServeClients, n.loop.Now()), "not heard of the core of late")
 	say(n.registry == nil, "no slot")
 	say(n.registry != nil && !n.registry.HasReady(), "no backend is ready")
 	return why
@@ -49,7 +50,7 @@
 // Change brings a change to whoever leads, unless what is known here settles it for every later state: that it was taken, or that
 // it is wrong in itself. A node that is behind refuses nothing by its own state.
 func (n *Node) Change(kind statemachine.Kind, body []byte, then func(status int, body []byte)) {
-	if v, err, final := n.machine.DecideFinal(kind, body); final && (v != routing.Invalid || n.permitted(permitRefuse)) {
+	if v, err, final := n.machine.DecideFinal(kind, body); final && (v != routing.Invalid || n.permitted(quorumcontact.Refuse)) {
 		then(responseOf(v, err))
 		return
 	}
@@ -63,37 +64,37 @@
 
 // pendingHeartbeat is a backend's call that waits for its acknowledgement, and what that takes of this node.
 type pendingHeartbeat struct {
-	permission permission
+	permission quorumcontact.Permission
 	answer     func(ok bool, target string)
 }
 
 // Heartbeat takes what a backend says of itself; before this node has a slot another one may take it. Without word of a majority it is
 // noted here, and left for another node to acknowledge, which can tell the others.
 func (n *Node) Heartbeat(w registry.Record, then func(ok bool, target string)) {
-	r := permitAckHeartbeat
+	p := quorumcontact.AcknowledgeBackend
 	if w.Phase == registry.Draining {
-		r = permitAckDrain
+		p = quorumcontact.AcknowledgeDrain
 	}
-	n.awaitAcknowledgement(r, then, func() registry.Ticket { return n.registry.Heartbeat(w) })
+	n.awaitAcknowledgement(p, then, func() registry.Ticket { return n.registry.Heartbeat(w) })
 }
 
 // Deregister takes a backend's last word.
 func (n *Node) Deregister(id string, then func(ok bool, target string)) {
-	n.awaitAcknowledgement(permitAckDrain, then, func() registry.Ticket { return n.registry.Deregister(id, 0) })
+	n.awaitAcknowledgement(quorumcontact.AcknowledgeDrain, then, func() registry.Ticket { return n.registry.Deregister(id, 0) })
 }
 
-func (n *Node) awaitAcknowledgement(r permission, then func(ok bool, target string), note func() registry.Ticket) {
+func (n *Node) awaitAcknowledgement(p quorumcontact.Permission, then func(ok bool, target string), note func() registry.Ticket) {
 	if n.registry == nil {
 		then(false, "")
 		return
 	}
 	n.registry.Tick(n.loop.Now())
 	ticket := note()
-	if !n.permitted(r) {
+	if !n.permitted(p) {
 		then(false, "")
 		return
 	}
-	n.pendingHeartbeats[ticket] = pendingHeartbeat{r, then}
+	n.pendingHeartbeats[ticket] = pendingHeartbeat{p, then}
 }
 
 // Status is for operators: what this node knows now, asking no other.
@@ -106,7 +107,7 @@
 	if me := n.slot(); me != membership.NoSlot {
 		s.Slot = ptr(int(me))
 	}
-	if stale := n.contactAge(); stale < maxKnownAge {
+	if stale := n.contactAge(); stale < quorumcontact.MaxKnownAge {
 		s.StaleMs = ptr(stale.Milliseconds())
 	}
 	if n.core != nil {
@@ -128,9 +129,6 @@
 	return n.contactAge(), n.table.Version()
 }
 
-// maxKnownAge is below what stale says where no word of the core ever came.
-const maxKnownAge = neverAge / 2
-
 func ptr[T any](v T) *T { return &v }
 
 // statusNodes is all nodes known here: those with a slot in the order of slots, then the others.
--- /dev/null
+++ b/internal/gateway/node/testingknobs.go
@@ -0,0 +1,17 @@
+package node
+
+import "clovergap/internal/gateway/quorumcontact"
+
+// TestingKnobs each take out one defence of a node, so that tests can see that it is needed. The zero value is what runs in service.
+type TestingKnobs struct {
+	Contact quorumcontact.TestingKnobs
+	// AckDrainWithoutCopies acknowledges the drain of a backend on however few copies there are.
+	AckDrainWithoutCopies bool
+	// TrustStaleUpstream has a node without a disk believe its upstream on who lives, however old the upstream's contact is.
+	TrustStaleUpstream bool
+	// MatchCallsBySequenceOnly gives a reply to whatever call bears its number.
+	MatchCallsBySequenceOnly bool
+}
+
+// newNodeKnobs are those of nodes that are made from now on.
+var newNodeKnobs TestingKnobs
