--- /dev/null
+++ b/internal/gateway/node/apply.go
@@ -0,0 +1,121 @@
+package node
+
+import (
+	"time"
+
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/statemachine"
+)
+
+// installState begins with a state of the configuration log. One that is older than what is applied here is passed over: a node never
+// goes back within an incarnation.
+func (n *Node) installState(index uint64, s *statemachine.Machine) {
+	if index < n.appliedIndex {
+		return
+	}
+	n.appliedIndex, n.machine = index, s
+	n.roster.SetSlots(s.Slots())
+	n.installConfiguration()
+	n.applyRollouts()
+	n.groups.found(s.Founders())
+	n.logSender.streamToAll()
+}
+
+// applyEntry applies the next entry of the configuration log. Empty data is the log's own.
+func (n *Node) applyEntry(index uint64, data []byte) (v routing.Verdict, err error) {
+	n.appliedIndex = index
+	if len(data) > 0 {
+		before, slots := n.machine.Configs.Version(), len(n.machine.Slots())
+		if v, err = n.machine.Apply(data); err != nil && v != routing.Conflict {
+			n.say(corePart, "entry %d changes nothing: %v", index, err)
+		}
+		if n.machine.Configs.Version() != before {
+			n.say(corePart, "configuration %d is in force", n.machine.Configs.Version())
+			n.installConfiguration()
+		}
+		n.groups.found(n.machine.Founders())
+		n.slotsChanged = n.slotsChanged || len(n.machine.Slots()) != slots
+		n.applyRollouts()
+	}
+	n.logSender.entryApplied(len(data) > 0 && statemachine.Kind(data[0]) == statemachine.KindAssignSlot)
+	return v, err
+}
+
+// openLogStream makes both ends of the log stream, of which a node uses one: a member sends, a node without a disk receives.
+func (n *Node) openLogStream() {
+	n.contact = n.newContact()
+	n.logSender = newLogSender((*streamHost)(n), nil, n.contact)
+	if n.core != nil {
+		n.logSender.log = n.core.replica
+	}
+	n.logReceiver = &logReceiver{host: (*streamHost)(n), roster: n.roster, contact: n.contact, knobs: &n.knobs, member: n.core != nil,
+		addr: n.peerAddr, zone: n.settings.Zone, reports: map[string]upstreamReport{}}
+}
+
+// receiveStreamRequest takes the request of a node without a disk, and sends what it lacks.
+func (n *Node) receiveStreamRequest(from string, r *StreamRequest) {
+	switch n.logSender.receiveRequest(from, r) {
+	case requestIgnored:
+		return
+	case learnerLeft:
+		n.updateRegistryLearner(from)
+		return
+	case learnerJoined:
+		n.updateRegistryLearner(from)
+		n.heartbeatAt = 0 // it waits to hear which nodes live
+	case learnerRestarted:
+		n.syncRegistryTo(from)
+	case learnerContinues:
+	}
+	n.logSender.respond(from)
+}
+
+// updateRegistryLearner tells the registry whether a node has its entries from this one.
+func (n *Node) updateRegistryLearner(addr string) {
+	if s := n.roster.Slot(addr); s != membership.NoSlot && n.registry != nil {
+		n.registry.Tick(n.loop.Now())
+		n.registry.SetFollower(registry.Slot(s), n.logSender.isLearner(addr))
+	}
+}
+
+// streamHost is what the ends of the log stream need of their node.
+type streamHost Node
+
+var (
+	_ logSenderHost   = (*streamHost)(nil)
+	_ logReceiverHost = (*streamHost)(nil)
+)
+
+// Now is the time of this turn.
+func (s *streamHost) Now() time.Duration { return s.loop.Now() }
+
+// AppliedIndex is that of the last entry applied here.
+func (s *streamHost) AppliedIndex() uint64 { return s.appliedIndex }
+
+// SendStreamData sends to a learner.
+func (s *streamHost) SendStreamData(to string, d *StreamData) { s.links.Send(to, &Frame{Feed: d}) }
+
+// SendStreamRequest sends to a member.
+func (s *streamHost) SendStreamRequest(to string, r *StreamRequest) {
+	s.links.Send(to, &Frame{Follow: r})
+}
+
+// InstallState begins with a state that came.
+func (s *streamHost) InstallState(index uint64, m *statemachine.Machine) {
+	(*Node)(s).installState(index, m)
+}
+
+// ApplyEntry applies the next entry.
+func (s *streamHost) ApplyEntry(index uint64, data []byte) { (*Node)(s).applyEntry(index, data) }
+
+// UpstreamChanged logs which member the stream is requested from.
+func (s *streamHost) UpstreamChanged(addr string) {
+	(*Node)(s).say(streamPart, "follows %s after %d", addr, s.appliedIndex)
+}
+
+// StreamUnreadable logs data that can't be decoded.
+func (s *streamHost) StreamUnreadable(after uint64, err error) {
+	(*Node)(s).warn(streamPart, "data after %d can't be read: %v", after, err)
+}
--- a/internal/gateway/node/calls.go
+++ b/internal/gateway/node/calls.go
@@ -137,8 +137,8 @@
 		}
 		return ""
 	}
-	if n.roster.Live(n.upstream) {
-		return n.upstream
+	if n.roster.Live(n.logReceiver.upstream) {
+		return n.logReceiver.upstream
 	}
 	return ""
 }
@@ -180,9 +180,8 @@
 	if c == nil {
 		return
 	}
-	if status == 503 && string(body) == noQuorumText && c.sentTo == n.upstream && n.core == nil { // one that has word may be there
-		n.upstreamReports[n.upstream] = upstreamReport{n.loop.Now(), quorumcontact.UnknownAge, 0, 0}
-		n.checkUpstream()
+	if status == 503 && string(body) == noQuorumText && n.core == nil && n.logReceiver.isUpstream(c.sentTo) {
+		n.logReceiver.upstreamLacksQuorum()
 	}
 	n.cancelTransfer(c.sentTo, nr)
 	if status == 503 && n.loop.Now()+callRetryInterval < c.deadline {
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/replication"
 )
 
@@ -11,6 +12,9 @@
 // several times a second, so the slots go with one of these. A heartbeat by itself goes where the log has nothing to say, and to a
 // program that has not shown yet that it knows the other way.
 
+// heartbeatInterval is the time between two heartbeats to the same node.
+const heartbeatInterval = 700 * time.Millisecond
+
 // livenessMaxDelay is how long the slots that are heard wait for a message of the log: two of a leader's heartbeats.
 const livenessMaxDelay = 300 * time.Millisecond
 
@@ -25,9 +29,9 @@
 func (n *Node) sendHeartbeats(news bool) {
 	told := map[string]bool{}
 	if n.core != nil {
-		for _, addr := range n.learnerAddrs() {
+		for _, addr := range n.logSender.addrs() {
 			told[addr] = true
-			if news || n.loop.Now()-n.learnerClocks[addr].receivedAt > 3*heartbeatInterval/2 {
+			if _, askedAt := n.logSender.clockOf(addr); news || n.loop.Now()-askedAt > 3*heartbeatInterval/2 {
 				n.links.Send(addr, &Frame{Ping: n.learnerHeartbeat(addr)})
 			}
 		}
@@ -36,9 +40,9 @@
 	p := Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, View: view}
 	if n.core != nil {
 		p.Lives = n.roster.ReachableSlots()
-	} else if n.upstream != "" {
-		told[n.upstream] = true
-		n.links.Send(n.upstream, &Frame{Ping: &Heartbeat{Stale: p.Stale, Index: p.Index, View: p.View, Clock: n.contact.Stamp(n.loop.Now())}})
+	} else if upstream := n.logReceiver.upstream; upstream != "" {
+		told[upstream] = true
+		n.links.Send(upstream, &Frame{Ping: &Heartbeat{Stale: p.Stale, Index: p.Index, View: p.View, Clock: n.contact.Stamp(n.loop.Now())}})
 	}
 	f, toDisk := &Frame{Ping: &p}, &Frame{Ping: &Heartbeat{Lives: p.Lives}}
 	for _, addr := range n.roster.Watchers() {
@@ -55,11 +59,29 @@
 
 // learnerHeartbeat is what a follower is told.
 func (n *Node) learnerHeartbeat(addr string) *Heartbeat {
-	_, view, _ := n.contact.Contact(n.loop.Now())
-	return &Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, Lives: n.roster.LiveSlots(), View: view, Echo: n.learnerClocks[addr].clock,
+	_, term, _ := n.contact.Contact(n.loop.Now())
+	clock, _ := n.logSender.clockOf(addr)
+	return &Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, Lives: n.roster.LiveSlots(), View: term, Echo: clock,
 		Leaders: n.groups.leaderSlots()}
 }
 
+// receiveHeartbeat takes another node's heartbeat. A learner that asks for one is answered at once.
+func (n *Node) receiveHeartbeat(from string, h *Heartbeat) {
+	n.logReceiver.receiveReport(from, h.Stale, h.Index, h.View)
+	upstream := n.logReceiver.isUpstream(from)
+	if h.Lives != nil && (n.core != nil || upstream) {
+		n.roster.HandleLiveness(from, h.Lives)
+	}
+	if upstream {
+		n.contact.Learn(quorumcontact.Report{Age: h.Stale, Term: h.View, Echo: h.Echo, Index: h.Index}, n.appliedIndex, n.loop.Now())
+		n.groups.learnLeaders(h.Leaders)
+	}
+	if h.Clock != 0 && n.logSender.isLearner(from) {
+		n.logSender.receiveClock(from, h.Clock)
+		n.links.Send(from, &Frame{Ping: n.learnerHeartbeat(from)})
+	}
+}
+
 // deferLiveness has the slots that this node hears go with the next message of the log to another one. True: a heartbeat is not needed
 // beside, unless no message goes soon.
 func (n *Node) deferLiveness(addr string, news bool) bool {
--- a/internal/gateway/node/heartbeat_test.go
+++ b/internal/gateway/node/heartbeat_test.go
@@ -39,13 +39,12 @@
 func TestHeartbeatsWithTheLog(t *testing.T) {
 	const b, c = "10.0.0.2:7110", "10.0.0.3:7110"
 	clock, out := &manualClock{now: time.Minute}, &recordingLinks{frames: map[string][]*Frame{}}
-	h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out, upstreamReports: map[string]upstreamReport{},
-		learners: map[string]*learner{}}
+	h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out}
 	h.roster = membership.New(membership.Node{Name: "a", Addr: "10.0.0.1:7110", Disk: 1}, membership.Config{}, clock.now)
 	me := replication.Member{ID: 1, Addr: "10.0.0.1:7110"}
 	h.core = &core{liveness: map[string]livenessState{}, replicaHost: replicaHost{node: h, self: me,
 		replica: replication.New(me, replication.PersistentState{ID: 1}, replication.DefaultConfig(), 1, clock.now)}}
-	h.contact = h.newContact()
+	h.openLogStream()
 	slots := []membership.SlotHolder{{Addr: me.Addr}}
 	for i, a := range []string{b, c} {
 		h.roster.HandleHello(a, membership.Hello{Door: membership.Node{Addr: a, Disk: membership.Disk(i + 2), Life: 1, Founded: true}})
--- a/internal/gateway/node/links_test.go
+++ b/internal/gateway/node/links_test.go
@@ -62,9 +62,9 @@
 	p.Propose(1, []byte("one"))
 	p.Propose(2, []byte("two"))
 	h := newLearner(t, "10.0.0.1:7110")
-	h.learnerClocks, h.appliedIndex = map[string]clockEcho{}, last()
+	h.appliedIndex = last()
 	h.core = &core{replicaHost: replicaHost{node: h, replica: p}}
-	h.contact = h.newContact()
+	h.openLogStream()
 	h.loop.(*manualClock).now = now
 	has := func(to *frameRecorder) (all []string) {
 		for _, f := range to.frames {
--- a/internal/gateway/node/patience_test.go
+++ b/internal/gateway/node/logstream_receiver_test.go
@@ -18,7 +18,7 @@
 func TestNobodyLeads(t *testing.T) {
 	h := newLearner(t, "10.0.0.1:7110", "10.0.0.2:7110")
 	now := h.loop.Now()
-	first := h.upstream
+	first := h.logReceiver.upstream
 	other := map[string]string{"10.0.0.1:7110": "10.0.0.2:7110", "10.0.0.2:7110": "10.0.0.1:7110"}[first]
 	for i := range 40 {
 		now += tickInterval
@@ -26,42 +26,42 @@
 		h.roster.Tick(now)
 		for _, a := range []string{first, other} {
 			h.roster.FrameReceived(a)
-			h.upstreamContactAt = now
-			h.upstreamReports[a] = upstreamReport{now, quorumcontact.UnknownAge + time.Duration(i)*heartbeatInterval, 0, 0} // it has just started and knows of no leader
+			h.logReceiver.heardAt = now
+			h.logReceiver.reports[a] = upstreamReport{now, quorumcontact.UnknownAge + time.Duration(i)*heartbeatInterval, 0, 0} // it has just started and knows of no leader
 		}
-		h.upstreamReports[other] = upstreamReport{now, quorumcontact.UnknownAge - 10*time.Second, 0, 0} // this one did a while ago
-		h.streamReceivedAt = now
-		h.checkUpstream()
-		must.Eq(t, first, h.upstream)
+		h.logReceiver.reports[other] = upstreamReport{now, quorumcontact.UnknownAge - 10*time.Second, 0, 0} // this one did a while ago
+		h.logReceiver.answeredAt = now
+		h.logReceiver.check()
+		must.Eq(t, first, h.logReceiver.upstream)
 	}
 	// One that knows of a leader is changed over to.
-	h.upstreamReports[other] = upstreamReport{now, 0, 0, 0}
+	h.logReceiver.reports[other] = upstreamReport{now, 0, 0, 0}
 	h.loop.(*manualClock).now = now + minStreamRetry
 	h.roster.Tick(now + minStreamRetry)
-	h.checkUpstream()
-	must.Eq(t, other, h.upstream)
+	h.logReceiver.check()
+	must.Eq(t, other, h.logReceiver.upstream)
 }
 
 // A node that says something, but not yet what was asked, has much to do: it is waited for, and not for ever.
 func TestBusyFeederIsWaitedFor(t *testing.T) {
 	h := newLearner(t, "10.0.0.1:7110", "10.0.0.2:7110")
-	first, asked := h.upstream, h.streamRequestedAt
-	h.streamReceivedAt = asked - 1
+	first, asked := h.logReceiver.upstream, h.logReceiver.requestedAt
+	h.logReceiver.answeredAt = asked - 1
 	for now := asked; now <= asked+busyUpstreamTimeout+maxStreamRetry; now += tickInterval {
 		h.loop.(*manualClock).now = now
 		h.roster.Tick(now)
 		for _, d := range h.roster.Addrs() {
 			h.roster.FrameReceived(d)
 		}
-		h.upstreamContactAt = now
-		h.upstreamReports[first] = upstreamReport{now, 0, 0, 0}
-		h.checkUpstream()
+		h.logReceiver.heardAt = now
+		h.logReceiver.reports[first] = upstreamReport{now, 0, 0, 0}
+		h.logReceiver.check()
 		if now-asked < busyUpstreamTimeout {
-			must.Eq(t, first, h.upstream)
-			must.Eq(t, asked, h.streamRequestedAt) // nor asked again
+			must.Eq(t, first, h.logReceiver.upstream)
+			must.Eq(t, asked, h.logReceiver.requestedAt) // nor asked again
 		}
 	}
-	must.NotEq(t, asked, h.streamRequestedAt)
+	must.NotEq(t, asked, h.logReceiver.requestedAt)
 }
 
 // manualClock is a node's time that a test sets.
@@ -79,15 +79,15 @@
 
 // newLearner is a node without a disk that follows one of these.
 func newLearner(t *testing.T, disks ...string) *Node {
-	h := &Node{settings: &settings.Settings{NodeName: "node"}, log: newLogger("node"), table: routing.NewTable(nil), loop: &manualClock{now: time.Minute}, links: discardingLinks{}, upstreamReports: map[string]upstreamReport{},
-		learners: map[string]*learner{}}
-	h.roster = membership.New(membership.Node{Name: "node", Addr: "10.0.0.9:7110"}, membership.Config{}, h.loop.Now())
+	h := &Node{settings: &settings.Settings{NodeName: "node"}, log: newLogger("node"), table: routing.NewTable(nil),
+		loop: &manualClock{now: time.Minute}, links: discardingLinks{}, peerAddr: "10.0.0.9:7110"}
+	h.roster = membership.New(membership.Node{Name: "node", Addr: h.peerAddr}, membership.Config{}, h.loop.Now())
 	for i, a := range disks {
 		h.roster.HandleHello(a, membership.Hello{Door: membership.Node{Name: a, Addr: a, Disk: membership.Disk(i + 1), Life: 1, Founded: true}})
 		h.roster.LinkUp(a)
 	}
-	h.contact = h.newContact()
-	h.checkUpstream()
-	must.NotEq(t, "", h.upstream)
+	h.openLogStream()
+	h.logReceiver.check()
+	must.NotEq(t, "", h.logReceiver.upstream)
 	return h
 }
--- a/internal/gateway/node/oldstate_test.go
+++ b/internal/gateway/node/logstream_sender_test.go
@@ -19,14 +19,14 @@
 	made := func(state []byte, members ...replication.Member) (*Node, *recordingLinks, func(time.Duration) int) {
 		clock, out := &manualClock{now: time.Minute}, &recordingLinks{frames: map[string][]*Frame{}}
 		h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out, machine: statemachine.New(),
-			learners: map[string]*learner{}, learnerClocks: map[string]clockEcho{}, appliedIndex: 5}
+			appliedIndex: 5}
 		h.roster = membership.New(membership.Node{Name: "a", Addr: addr, Disk: 1}, membership.Config{}, clock.now)
 		h.groups = &groupHost{node: h}
 		kept := replication.PersistentState{ID: 1, ClusterID: 1, Term: 1, Commit: 5,
 			Snapshot: replication.Snapshot{Index: 5, View: 1, Members: members, State: state}}
 		h.core = &core{liveness: map[string]livenessState{}, replicaHost: replicaHost{node: h, self: members[0],
 			replica: replication.New(members[0], kept, replication.DefaultConfig(), 1, clock.now)}}
-		h.contact = h.newContact()
+		h.openLogStream()
 		return h, out, func(at time.Duration) (bytes int) { // that a follower is sent which asks then
 			clock.now = time.Minute + at
 			delete(out.frames, asker)
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -68,8 +68,9 @@
 	machine      *statemachine.Machine
 	appliedIndex uint64
 
-	streamDeferred bool // followers have yet to be told what was applied last: slots
-	slotsChanged   bool // and the roster the order of slots
+	logSender    *logSender
+	logReceiver  *logReceiver
+	slotsChanged bool // the roster has yet to be told the order of slots
 
 	registry          *registry.Registry // nil until there is a slot
 	registryTimerSeq  uint32
@@ -83,20 +84,8 @@
 	dispatcher Dispatcher
 	frontend   Frontend
 
-	table             *routing.Table
-	catalog           catalog
-	upstreamReports   map[string]upstreamReport // by address
-	upstream          string
-	streamRequestedAt time.Duration
-	streamReceivedAt  time.Duration
-	upstreamContactAt time.Duration // when anything came from the feeder
-	streamRetryDelay  time.Duration
-	lastTickAt        time.Duration
-	pausedUntil       time.Duration // when this node last stood still until
-	learnerClocks     map[string]clockEcho
-
-	learners     map[string]*learner
-	incomingBlob replication.BlobReceiver // from the node that is followed
+	table        *routing.Table
+	catalog      catalog
 	coordination *coordination.Service
 
 	pendingCalls    map[uint32]*pendingCall
@@ -137,8 +126,7 @@
 	h.seed, h.incarnation = b.Identity()
 	h.peerAddr = net.JoinHostPort(h.settings.IPAddress, strconv.Itoa(h.settings.InnerPorts[0]))
 	h.loop, h.counters = b, b.Counters()
-	h.machine, h.table, h.upstreamReports, h.learners = statemachine.New(), routing.NewTable(nil), map[string]upstreamReport{}, map[string]*learner{}
-	h.learnerClocks = map[string]clockEcho{}
+	h.machine, h.table = statemachine.New(), routing.NewTable(nil)
 	h.pendingCalls, h.chunked, h.pendingHeartbeats, h.catalog = map[uint32]*pendingCall{}, newChunkedCalls(), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
 	h.knobs = newNodeKnobs
 	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Config{Address: h.peerAddr, Incarnation: h.incarnation, HistoryRetention: h.settings.Bounds.WatchHistory})
@@ -175,7 +163,7 @@
 	}
 	n.roster = membership.New(me, membership.Config{Seeds: n.peerAddrs(n.settings.SeedAddrs), ToleratedLosses: n.settings.Tolerance.Machines,
 		ClusterID: func(f []membership.Founder) uint64 { return replication.ClusterIDOf(founderMembers(f)) }}, n.loop.Now())
-	n.contact = n.newContact()
+	n.openLogStream()
 	return nil
 }
 
@@ -257,10 +245,7 @@
 	h := (*Node)(t)
 	now := h.loop.Now()
 	h.loop.At(now+tickInterval, t, 0)
-	if h.lastTickAt > 0 && now-h.lastTickAt > pauseThreshold {
-		h.pausedUntil = now
-	}
-	h.lastTickAt = now
+	h.logReceiver.tick(now)
 	if now-h.heartbeatAt >= heartbeatInterval {
 		news := h.heartbeatAt == 0
 		h.heartbeatAt = now
@@ -268,11 +253,9 @@
 	} else {
 		h.sendOverdueLiveness()
 	}
-	if h.streamDeferred {
-		h.streamToLearners()
-	}
+	h.logSender.tick()
 	h.tickTransfers()
-	h.checkUpstream()
+	h.logReceiver.check()
 	h.requestSlot()
 	h.tickRollouts()
 	h.groups.requestFounding()
--- a/internal/gateway/node/parts_test.go
+++ b/internal/gateway/node/parts_test.go
@@ -58,9 +58,10 @@
 		life uint64
 	}{{&w.sender, senderAddr, 11}, {&w.receiver, receiverAddr, 12}} {
 		h := newLearner(t, "10.0.0.8:7110")
-		h.loop, h.links, h.incarnation, h.upstream = withoutAlarms{w.clock}, &linkEnd{link: w, address: x.me}, x.life, ""
+		h.loop, h.links, h.incarnation = withoutAlarms{w.clock}, &linkEnd{link: w, address: x.me}, x.life
 		h.settings.Bounds = settings.Bounds{InTouch: time.Hour}
-		h.pendingCalls, h.chunked, h.contact = map[uint32]*pendingCall{}, newChunkedCalls(), h.newContact()
+		h.pendingCalls, h.chunked = map[uint32]*pendingCall{}, newChunkedCalls()
+		h.openLogStream() // it has no upstream yet
 		h.groups, h.coordination = &groupHost{node: h}, coordination.New((*coordinationEnv)(h), coordination.Config{})
 		h.chunked.supportedBy = map[string]bool{senderAddr: true, receiverAddr: true}
 		*x.h = h
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -9,7 +9,6 @@
 
 	"clovergap/control"
 	"clovergap/internal/gateway/membership"
-	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
 )
@@ -20,37 +19,21 @@
 // without a new one it would say nothing, and for two seconds nothing would tell of that.
 func (n *Node) PeerConnected(from string) {
 	n.core.resetLiveness(from)
-	if from == n.upstream {
-		n.requestStream(from)
-	}
+	n.logReceiver.linkReset(from)
 }
 
 // FrameReceived takes a frame from another node.
 func (n *Node) FrameReceived(from string, f *Frame) {
 	n.roster.Tick(n.loop.Now())
 	n.roster.FrameReceived(from)
-	if from == n.upstream {
-		n.upstreamContactAt = n.loop.Now()
-	}
+	n.logReceiver.frameReceived(from)
 	switch {
 	case f.Hello != nil:
 		n.roster.HandleHello(from, *f.Hello)
 		n.chunked.supportedBy[from] = f.Hello.Parts
 		n.resendBootstrap(from, f.Hello.Door)
 	case f.Ping != nil:
-		n.upstreamReports[from] = upstreamReport{n.loop.Now(), f.Ping.Stale, f.Ping.Index, f.Ping.View}
-		if f.Ping.Lives != nil && (n.core != nil || from == n.upstream) {
-			n.roster.HandleLiveness(from, f.Ping.Lives)
-		}
-		if from == n.upstream {
-			n.contact.Learn(quorumcontact.Report{Age: f.Ping.Stale, Term: f.Ping.View, Echo: f.Ping.Echo, Index: f.Ping.Index}, n.appliedIndex,
-				n.loop.Now())
-			n.groups.learnLeaders(f.Ping.Leaders)
-		}
-		if f.Ping.Clock != 0 && n.isLearner(from) {
-			n.learnerClocks[from] = clockEcho{f.Ping.Clock, n.loop.Now()}
-			n.links.Send(from, &Frame{Ping: n.learnerHeartbeat(from)})
-		}
+		n.receiveHeartbeat(from, f.Ping)
 	case f.Found != nil:
 		n.bootstrap(f.Found)
 	case f.Core != nil && n.core != nil:
@@ -67,7 +50,7 @@
 	case f.Follow != nil:
 		n.receiveStreamRequest(from, f.Follow)
 	case f.Feed != nil:
-		n.receiveStream(from, f.Feed)
+		n.logReceiver.receive(from, f.Feed)
 	case f.Call != nil:
 		n.receiveCall(from, f.Call)
 	case f.Reply != nil:
@@ -88,11 +71,9 @@
 	if d, ok := n.roster.Node(to); ok {
 		n.resendBootstrap(to, d)
 	}
-	n.resumeStream(to)
+	n.logSender.resume(to)
 	n.syncRegistryTo(to) // it may have started anew
-	if to == n.upstream {
-		n.requestStream(to) // so that the wish to follow it may have been lost with the link before
-	}
+	n.logReceiver.linkReset(to)
 }
 
 // syncRegistryTo tells a node of the backends.
@@ -103,20 +84,13 @@
 	}
 }
 
-// isLearner tells whether a node gets its news from this one.
-func (n *Node) isLearner(addr string) bool {
-	_, ok := n.learners[addr]
-	return ok
-}
-
 // LinkDown is told when the link to another node ended.
 func (n *Node) LinkDown(to string) {
 	n.roster.Tick(n.loop.Now())
 	n.roster.LinkDown(to)
 	n.core.resetLiveness(to)
 	n.groups.linkDown(to)
-	delete(n.learners, to)
-	delete(n.learnerClocks, to)
+	n.logSender.remove(to)
 	n.coordination.PeerDisconnected(to)
 	for _, nr := range slices.Sorted(maps.Keys(n.pendingCalls)) {
 		if c := n.pendingCalls[nr]; c.sentTo == to { // it may have been taken: the same again is answered as the first was
@@ -214,7 +188,7 @@
 
 // updateNodes tells the parts that go by nodes which there are, and which live.
 func (n *Node) updateNodes() {
-	n.checkUpstream()
+	n.logReceiver.check()
 	me := n.slot()
 	if me == membership.NoSlot {
 		return
@@ -255,7 +229,7 @@
 		}
 		d, _ := n.roster.Node(s.Addr)
 		nodes = append(nodes, registry.Node{Slot: registry.Slot(i), ControlAddr: s.Control, Zone: s.Zone,
-			Live: live[i], HasDisk: d.Disk != 0, Follows: n.isLearner(s.Addr)})
+			Live: live[i], HasDisk: d.Disk != 0, Follows: n.logSender.isLearner(s.Addr)})
 	}
 	if n.core != nil && reach != n.reachable {
 		n.heartbeatAt = 0 // who follows goes by this node's word of who lives: an owner in its first second by a third of the rate
--- a/internal/gateway/node/replies_test.go
+++ b/internal/gateway/node/replies_test.go
@@ -60,13 +60,13 @@
 	d.callUntilClear(3, 200, "POST", "/api/Config.Replace", configBody(7, 0))
 	leader, is, answer, nr := 0, false, make(chan int, 1), uint32(0)
 	hasSlot := func(h *Node) bool {
-		return h.slot() != membership.NoSlot && h.upstream == d.running[leader].peerAddr && h.streamReceivedAt >= h.streamRequestedAt
+		return h.slot() != membership.NoSlot && h.logReceiver.upstream == d.running[leader].peerAddr && h.logReceiver.answeredAt >= h.logReceiver.requestedAt
 	}
 	d.eventually("to follow the leader", func() bool {
 		leader = d.awaitLeader()
 		d.inTurn(3, func(h *Node) {
-			if h.upstream != d.running[leader].peerAddr {
-				h.requestStream(d.running[leader].peerAddr)
+			if h.logReceiver.upstream != d.running[leader].peerAddr {
+				h.logReceiver.request(d.running[leader].peerAddr)
 			}
 			is = hasSlot(h) && len(h.pendingCalls) == 0
 		})
@@ -153,7 +153,7 @@
 		return n
 	}
 	d.inTurn(0, func(h *Node) {
-		h.contact = h.newContact() // one that has just begun waits for whoever leads, later it would end calls at once
+		h.openLogStream() // one that has just begun waits for whoever leads, later it would end calls at once
 		must.Eq(t, 0, misled(TestingKnobs{}))
 		must.Positive(t, misled(TestingKnobs{MatchCallsBySequenceOnly: true}))
 	})
--- a/internal/gateway/node/rollout.go
+++ b/internal/gateway/node/rollout.go
@@ -321,7 +321,7 @@
 }
 
 func (n *Node) sendToFollowers(but string, f *Frame) {
-	for addr := range n.learners {
+	for addr := range n.logSender.learners {
 		if addr != but {
 			n.links.Send(addr, f)
 		}
