--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -88,18 +88,13 @@
 	catalog      catalog
 	coordination *coordination.Service
 
-	pendingCalls    map[uint32]*pendingCall
-	chunked         chunkedCalls
-	lastCallID      uint32
+	calls           *callRouter
 	knobs           TestingKnobs
 	slotRequestedAt time.Duration
 	heartbeatAt     time.Duration
 	slotCount       int
-	reachable       int    // nodes in reach
-	loggedReachable int    // and as last logged
-	loggedUnmet     string // nodes that said no hello, as last logged
-	stateLoggedAt   time.Duration
-	loggedUnready   string // why clients were last not wanted, as logged
+	reachable       int // nodes in reach
+	logged          loggedState
 	shuttingDown    bool
 }
 
@@ -113,8 +108,9 @@
 	if memory <= 0 {
 		memory = 256
 	}
-	s := newSockets(fds, memory)
-	return assemble(&Node{settings: sheet, sockets: s, log: newLogger(sheet.NodeName)}, s)
+	s, logger := newSockets(fds, memory), newLogger(sheet.NodeName)
+	logPoller(logger)
+	return assemble(&Node{settings: sheet, sockets: s, log: logger}, s)
 }
 
 // NewWithEnvironment puts a node together over what it is given to stand on; Begin begins it.
@@ -127,10 +123,10 @@
 	h.peerAddr = net.JoinHostPort(h.settings.IPAddress, strconv.Itoa(h.settings.InnerPorts[0]))
 	h.loop, h.counters = b, b.Counters()
 	h.machine, h.table = statemachine.New(), routing.NewTable(nil)
-	h.pendingCalls, h.chunked, h.pendingHeartbeats, h.catalog = map[uint32]*pendingCall{}, newChunkedCalls(), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
+	h.calls, h.pendingHeartbeats, h.catalog = newCallRouter(h, h.incarnation), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
 	h.knobs = newNodeKnobs
 	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Config{Address: h.peerAddr, Incarnation: h.incarnation, HistoryRetention: h.settings.Bounds.WatchHistory})
-	h.groups = &groupHost{node: h}
+	h.groups = &groupHost{env: h}
 	h.coordination.SetHost(h.groups)
 	if h.sockets != nil {
 		h.sockets.node = h
@@ -254,7 +250,7 @@
 		h.sendOverdueLiveness()
 	}
 	h.logSender.tick()
-	h.tickTransfers()
+	h.calls.chunks.tick()
 	h.logReceiver.check()
 	h.requestSlot()
 	h.tickRollouts()
@@ -263,9 +259,7 @@
 		h.groups.maintain()
 		h.core.saveRegistry()
 	}
-	if now-h.stateLoggedAt >= time.Second {
-		h.logStateChanges()
-	}
+	h.logStateChanges()
 }
 
 // customerID names a tenant for the quota: the same at every node. Messages carry 34 bits of it.
--- a/internal/gateway/node/testingknobs.go
+++ b/internal/gateway/node/testingknobs.go
@@ -9,8 +9,6 @@
 	AckDrainWithoutCopies bool
 	// TrustStaleUpstream has a node without a disk believe its upstream on who lives, however old the upstream's contact is.
 	TrustStaleUpstream bool
-	// MatchCallsBySequenceOnly gives a reply to whatever call bears its number.
-	MatchCallsBySequenceOnly bool
 }
 
 // newNodeKnobs are those of nodes that are made from now on.
