--- a/internal/gateway/node/apply.go
+++ b/internal/gateway/node/apply.go
@@ -29,10 +29,10 @@
 	if len(data) > 0 {
 		before, slots := n.machine.Configs.Version(), len(n.machine.Slots())
 		if v, err = n.machine.Apply(data); err != nil && v != routing.Conflict {
-			n.say(corePart, "entry %d changes nothing: %v", index, err)
+			n.logInfo(corePart).Uint64("index", index).Err(err).Msg("entry changes nothing")
 		}
 		if n.machine.Configs.Version() != before {
-			n.say(corePart, "configuration %d is in force", n.machine.Configs.Version())
+			n.logInfo(corePart).Uint64("version", n.machine.Configs.Version()).Msg("configuration applied")
 			n.installConfiguration()
 		}
 		n.groups.found(n.machine.Founders())
@@ -112,10 +112,10 @@
 
 // UpstreamChanged logs which member the stream is requested from.
 func (s *streamHost) UpstreamChanged(addr string) {
-	(*Node)(s).say(streamPart, "follows %s after %d", addr, s.appliedIndex)
+	(*Node)(s).logInfo(streamPart).Str("peer", addr).Uint64("index", s.appliedIndex).Msg("upstream chosen")
 }
 
 // StreamUnreadable logs data that can't be decoded.
 func (s *streamHost) StreamUnreadable(after uint64, err error) {
-	(*Node)(s).warn(streamPart, "data after %d can't be read: %v", after, err)
+	(*Node)(s).logWarn(streamPart).Uint64("index", after).Err(err).Msg("stream data unreadable")
 }
--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/base.go
@@ -151,7 +151,7 @@
 	dir := s.node.settings.DataDir
 	book, kept, err := logstore.Open(dir)
 	if torn := (*logstore.CorruptError)(nil); errors.As(err, &torn) {
-		s.node.warn(corePart, "disk can't be read, begins empty: %v", err)
+		s.node.logWarn(corePart).Err(err).Msg("disk unreadable, begins empty")
 		if err = logstore.Wipe(dir); err != nil {
 			return nil, kept, err
 		}
@@ -161,7 +161,7 @@
 		return nil, kept, err
 	}
 	if !book.Created() {
-		s.node.warn(corePart, "disk is full at its first start: has no vote until it takes writes")
+		s.node.logWarn(corePart).Msg("disk full at its first start, no vote until it takes writes")
 	}
 	s.disk = &diskWriter{node: s.node, store: book, writes: make(chan diskBatch, 1)}
 	go s.disk.run()
@@ -197,12 +197,12 @@
 			if err == nil {
 				break
 			}
-			d.node.loop.Turn(func() { d.node.warn(corePart, "write failed, goes again: %v", err) })
+			d.node.loop.Turn(func() { d.node.logWarn(corePart).Err(err).Msg("disk write failed, retrying") })
 			time.Sleep(wait)
 		}
 		if b.softState != nil {
 			if err := d.store.SaveSoftState(b.softState); err != nil {
-				d.node.loop.Turn(func() { d.node.warn(corePart, "registry not kept: %v", err) })
+				d.node.loop.Turn(func() { d.node.logWarn(registryPart).Err(err).Msg("registry not saved") })
 			}
 		}
 		d.node.loop.Turn(b.done)
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -80,13 +80,13 @@
 	c.advance()
 	c.checkMembers()
 	c.handleActions()
-	if m, view, ok := c.replica.Leader(); ok && view != c.leaderTerm {
-		c.leaderTerm = view
-		c.node.heartbeatAt = 0 // who follows waits for the word that somebody leads
+	if m, term, ok := c.replica.Leader(); ok && term != c.leaderTerm {
+		c.leaderTerm = term
+		c.node.heartbeatAt = 0 // learners wait to hear that somebody leads
 		if m.ID == c.self.ID {
-			c.node.say(corePart, "leads view %d", view)
+			c.node.logInfo(corePart).Uint64("term", term).Msg("became leader")
 		} else {
-			c.node.say(corePart, "view %d is led by %s", view, m.Addr)
+			c.node.logInfo(corePart).Uint64("term", term).Str("leader", m.Addr).Msg("leader changed")
 		}
 	}
 	c.node.roster.SetCluster(membership.Disk(c.self.ID), c.replica.ClusterID())
@@ -112,11 +112,11 @@
 
 // loadRegistry gives the registry what was kept of it.
 func (c *core) loadRegistry() {
-	var words []registry.Record
-	if noted := c.disk.disk.SoftState(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&words) == nil {
+	var records []registry.Record
+	if noted := c.disk.disk.SoftState(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&records) == nil {
 		c.node.registry.Tick(c.node.loop.Now())
-		c.node.registry.Restore(words)
-		c.node.say(registryPart, "remembers %d backends", len(words))
+		c.node.registry.Restore(records)
+		c.node.logInfo(registryPart).Int("backends", len(records)).Msg("registry restored")
 	}
 }
 
@@ -125,7 +125,7 @@
 	if len(state) > 0 {
 		var err error
 		if s, err = statemachine.Restore(state); err != nil {
-			c.node.warn(corePart, "state of %d can't be read: %v", index, err)
+			c.node.logWarn(corePart).Uint64("index", index).Err(err).Msg("state unreadable")
 			return
 		}
 	}
--- a/internal/gateway/node/leave.go
+++ b/internal/gateway/node/leave.go
@@ -25,7 +25,7 @@
 func (n *Node) BeginShutdown() {
 	n.shuttingDown = true
 	n.roster.AnnounceShutdown()
-	n.say(nodePart, "ends, %d requests held", n.gate.Held())
+	n.logInfo(nodePart).Int("in_flight", n.gate.Held()).Msg("shutdown begins")
 	if n.core != nil {
 		n.core.replica.Tick(n.loop.Now())
 		n.core.replica.TransferLeadership()
@@ -68,7 +68,7 @@
 	for over := false; !over && time.Since(began) < grace-shutdownMargin; time.Sleep(shutdownPollInterval) {
 		n.loop.Turn(func() { over = n.ContinueShutdown(time.Since(began)) })
 	}
-	n.loop.Turn(func() { n.say(nodePart, "ended, %d requests held", n.gate.Held()) })
+	n.loop.Turn(func() { n.logInfo(nodePart).Int("in_flight", n.gate.Held()).Msg("shutdown complete") })
 	time.Sleep(shutdownLinger)
 }
 
@@ -77,16 +77,16 @@
 	s, err := settings.Load(path)
 	n.loop.Turn(func() {
 		if err != nil {
-			n.warn(nodePart, "settings not taken, the old ones stand: %v", err)
+			n.logWarn(nodePart).Err(err).Msg("settings rejected, the former ones stay")
 			return
 		}
 		if fixed := n.settings.RestartRequired(s); len(fixed) > 0 {
-			n.warn(nodePart, "settings that wait for a restart: %v", fixed)
+			n.logWarn(nodePart).Strs("settings", fixed).Msg("settings need a restart")
 		}
 		n.roster.Tick(n.loop.Now())
 		n.roster.SetSeeds(n.peerAddrs(s.SeedAddrs)) // nodes that the settings name now are said hello to
 		n.settings.SeedAddrs, n.settings.Bounds, n.settings.Tolerance = s.SeedAddrs, s.Bounds, s.Tolerance
-		n.say(nodePart, "settings taken")
+		n.logInfo(nodePart).Msg("settings reloaded")
 	})
 }
 
@@ -95,7 +95,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	n.loop.Turn(func() {
-		n.say(nodePart, "counters: %s; heap %d KB of %d, held %d, clients %d, must holds broken %d", n.counters.Text(),
-			m.HeapAlloc>>10, m.Sys>>10, n.gate.Held(), n.frontend.Clients(), invariant.Broken())
+		n.logInfo(nodePart).Str("counters", n.counters.Text()).Uint64("heap_kb", m.HeapAlloc>>10).Uint64("memory_kb", m.Sys>>10).
+			Int("in_flight", n.gate.Held()).Int("clients", n.frontend.Clients()).Uint64("invariants_broken", invariant.Broken()).Msg("counters")
 	})
 }
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -208,7 +208,7 @@
 		return err
 	}
 	n.sockets.mesh.Start()
-	n.say(nodePart, "serves at %s, control at %s, disk %v", n.settings.Bind.Front, n.settings.Bind.Control, n.core != nil)
+	n.logInfo(nodePart).Str("front", n.settings.Bind.Front).Str("control", n.settings.Bind.Control).Bool("disk", n.core != nil).Msg("serving")
 	return nil
 }
 
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -117,7 +117,7 @@
 		}
 	}
 	if len(founders) > 1 && c.replica.DiscardBootstrap() {
-		c.node.say(corePart, "the founding of %d nodes that this disk holds alone is laid aside", len(founders))
+		c.node.logInfo(corePart).Int("members", len(founders)).Msg("bootstrap discarded, no other founder has it")
 	}
 }
 
@@ -127,10 +127,10 @@
 		return
 	}
 	if err := n.core.replica.Bootstrap(members); err != nil {
-		n.say(corePart, "founding passed over: %v", err)
+		n.logInfo(corePart).Err(err).Msg("bootstrap ignored")
 		return
 	}
-	n.say(corePart, "founded by %d nodes", len(members))
+	n.logInfo(corePart).Int("members", len(members)).Msg("bootstrapped")
 }
 
 // handleRosterActions carries out what the roster asks for.
@@ -188,7 +188,7 @@
 	if n.registry == nil {
 		n.registry = registry.New(registry.Slot(me), registry.Config{HeartbeatInterval: n.settings.HeartbeatInterval,
 			MinCopies: n.minDrainCopies(), Incarnation: uint32(n.incarnation)}, n.loop.Now())
-		n.say(nodePart, "has slot %d of %d", me, len(order))
+		n.logInfo(nodePart).Int("slot", int(me)).Int("slots", len(order)).Msg("slot assigned")
 		if n.core != nil {
 			n.core.loadRegistry()
 		}
