--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -6,6 +6,7 @@
 	"clovergap/control"
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/ingress"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/routing"
 )
@@ -126,7 +127,7 @@
 // Admit tells what a request is: its route, its tenant, or why it may not go on. A node whose knowledge is too old to refuse by it says that
 // it does not know yet.
 func (n *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
-	current := n.permitted(permitRefuse)
+	current := n.permitted(quorumcontact.Refuse)
 	route, ok := n.table.Route(host, path)
 	switch {
 	case !ok && !current:
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -17,36 +17,21 @@
 // without a new one it would say nothing, and for two seconds nothing would tell of that.
 func (n *Node) PeerConnected(from string) {
 	n.core.resetLiveness(from)
-	if from == n.upstream {
-		n.requestStream(from)
-	}
+	n.logReceiver.linkReset(from)
 }
 
 // FrameReceived takes a frame from another node.
 func (n *Node) FrameReceived(from string, f *Frame) {
 	n.roster.Tick(n.loop.Now())
 	n.roster.FrameReceived(from)
-	if from == n.upstream {
-		n.upstreamContactAt = n.loop.Now()
-	}
+	n.logReceiver.frameReceived(from)
 	switch {
 	case f.Hello != nil:
 		n.roster.HandleHello(from, *f.Hello)
 		n.calls.chunks.supportedBy[from] = f.Hello.Parts
 		n.resendBootstrap(from, f.Hello.Door)
 	case f.Ping != nil:
-		n.upstreamReports[from] = upstreamReport{n.loop.Now(), f.Ping.Stale, f.Ping.Index, f.Ping.View}
-		if f.Ping.Lives != nil && (n.core != nil || from == n.upstream) {
-			n.roster.HandleLiveness(from, f.Ping.Lives)
-		}
-		if from == n.upstream {
-			n.updateContact(f.Ping.Stale, f.Ping.View, f.Ping.Echo, f.Ping.Index)
-			n.groups.learnLeaders(f.Ping.Leaders)
-		}
-		if f.Ping.Clock != 0 && n.isLearner(from) {
-			n.learnerClocks[from] = clockEcho{f.Ping.Clock, n.loop.Now()}
-			n.links.Send(from, &Frame{Ping: n.learnerHeartbeat(from)})
-		}
+		n.receiveHeartbeat(from, f.Ping)
 	case f.Found != nil:
 		n.bootstrap(f.Found)
 	case f.Core != nil && n.core != nil:
@@ -63,7 +48,7 @@
 	case f.Follow != nil:
 		n.receiveStreamRequest(from, f.Follow)
 	case f.Feed != nil:
-		n.receiveStream(from, f.Feed)
+		n.logReceiver.receive(from, f.Feed)
 	case f.Call != nil:
 		n.calls.receiveCall(from, f.Call)
 	case f.Reply != nil:
@@ -84,11 +69,9 @@
 	if d, ok := n.roster.Node(to); ok {
 		n.resendBootstrap(to, d)
 	}
-	n.resumeStream(to)
+	n.logSender.resume(to)
 	n.syncRegistryTo(to) // it may have started anew
-	if to == n.upstream {
-		n.requestStream(to) // so that the wish to follow it may have been lost with the link before
-	}
+	n.logReceiver.linkReset(to)
 }
 
 // syncRegistryTo tells a node of the backends.
@@ -99,20 +82,13 @@
 	}
 }
 
-// isLearner tells whether a node gets its news from this one.
-func (n *Node) isLearner(addr string) bool {
-	_, ok := n.learners[addr]
-	return ok
-}
-
 // LinkDown is told when the link to another node ended.
 func (n *Node) LinkDown(to string) {
 	n.roster.Tick(n.loop.Now())
 	n.roster.LinkDown(to)
 	n.core.resetLiveness(to)
 	n.groups.linkDown(to)
-	delete(n.learners, to)
-	delete(n.learnerClocks, to)
+	n.logSender.remove(to)
 	n.coordination.PeerDisconnected(to)
 	n.calls.linkDown(to)
 }
@@ -141,7 +117,7 @@
 		}
 	}
 	if len(founders) > 1 && c.replica.DiscardBootstrap() {
-		c.node.say(corePart, "the founding of %d nodes that this disk holds alone is laid aside", len(founders))
+		c.node.logInfo(corePart).Int("members", len(founders)).Msg("bootstrap discarded, no other founder has it")
 	}
 }
 
@@ -151,10 +127,10 @@
 		return
 	}
 	if err := n.core.replica.Bootstrap(members); err != nil {
-		n.say(corePart, "founding passed over: %v", err)
+		n.logInfo(corePart).Err(err).Msg("bootstrap ignored")
 		return
 	}
-	n.say(corePart, "founded by %d nodes", len(members))
+	n.logInfo(corePart).Int("members", len(members)).Msg("bootstrapped")
 }
 
 // handleRosterActions carries out what the roster asks for.
@@ -203,7 +179,7 @@
 
 // updateNodes tells the parts that go by nodes which there are, and which live.
 func (n *Node) updateNodes() {
-	n.checkUpstream()
+	n.logReceiver.check()
 	me := n.slot()
 	if me == membership.NoSlot {
 		return
@@ -212,7 +188,7 @@
 	if n.registry == nil {
 		n.registry = registry.New(registry.Slot(me), registry.Config{HeartbeatInterval: n.settings.HeartbeatInterval,
 			MinCopies: n.minDrainCopies(), Incarnation: uint32(n.incarnation)}, n.loop.Now())
-		n.say(nodePart, "has slot %d of %d", me, len(order))
+		n.logInfo(nodePart).Int("slot", int(me)).Int("slots", len(order)).Msg("slot assigned")
 		if n.core != nil {
 			n.core.loadRegistry()
 		}
@@ -244,7 +220,7 @@
 		}
 		d, _ := n.roster.Node(s.Addr)
 		nodes = append(nodes, registry.Node{Slot: registry.Slot(i), ControlAddr: s.Control, Zone: s.Zone,
-			Live: live[i], HasDisk: d.Disk != 0, Follows: n.isLearner(s.Addr)})
+			Live: live[i], HasDisk: d.Disk != 0, Follows: n.logSender.isLearner(s.Addr)})
 	}
 	if n.core != nil && reach != n.reachable {
 		n.heartbeatAt = 0 // who follows goes by this node's word of who lives: an owner in its first second by a third of the rate
@@ -258,7 +234,7 @@
 
 // minDrainCopies is at how many nodes with a disk the end of a backend is to be before it is acknowledged.
 func (n *Node) minDrainCopies() int {
-	if n.fault == ackDrainAlone {
+	if n.knobs.AckDrainWithoutCopies {
 		return 0
 	}
 	return n.settings.Tolerance.Machines + 1
--- a/internal/gateway/node/slot_request.go
+++ b/internal/gateway/node/slot_request.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/statemachine"
 )
 
@@ -12,7 +13,7 @@
 
 // requestSlot asks the leader for a slot while this node has none.
 func (n *Node) requestSlot() {
-	if n.slot() != membership.NoSlot || n.now()-n.slotRequestedAt < slotRequestInterval || !n.permitted(permitRequestSlot) {
+	if n.slot() != membership.NoSlot || n.now()-n.slotRequestedAt < slotRequestInterval || !n.permitted(quorumcontact.RequestSlot) {
 		return
 	}
 	n.slotRequestedAt = n.now()
