--- a/internal/gateway/node/apply.go
+++ b/internal/gateway/node/apply.go
@@ -20,7 +20,7 @@
 	n.installConfiguration()
 	n.rollouts.applyState()
 	n.groups.found(s.Founders())
-	n.logSender.streamToAll()
+	n.streamSender.streamToAll()
 }
 
 // applyEntry applies the next entry of the configuration log. Empty data is the log's own.
@@ -39,24 +39,24 @@
 		n.slotsChanged = n.slotsChanged || len(n.machine.Slots()) != slots
 		n.rollouts.applyState()
 	}
-	n.logSender.entryApplied(len(data) > 0 && statemachine.Kind(data[0]) == statemachine.KindAssignSlot)
+	n.streamSender.entryApplied(len(data) > 0 && statemachine.Kind(data[0]) == statemachine.KindAssignSlot)
 	return v, err
 }
 
 // openLogStream makes both ends of the log stream, of which a node uses one: a member sends, a node without a disk receives.
 func (n *Node) openLogStream() {
 	n.contact = n.newContact()
-	n.logSender = newLogSender((*streamHost)(n), nil, n.contact)
+	n.streamSender = newStreamSender((*streamHost)(n), nil, n.contact)
 	if n.core != nil {
-		n.logSender.log = n.core.replica
+		n.streamSender.log = n.core.replica
 	}
-	n.logReceiver = &logReceiver{host: (*streamHost)(n), roster: n.roster, contact: n.contact, knobs: &n.knobs, member: n.core != nil,
+	n.streamReceiver = &streamReceiver{host: (*streamHost)(n), roster: n.roster, contact: n.contact, knobs: &n.knobs, member: n.core != nil,
 		addr: n.peerAddr, zone: n.settings.Zone, reports: map[string]upstreamReport{}}
 }
 
 // receiveStreamRequest takes the request of a node without a disk, and sends what it lacks.
 func (n *Node) receiveStreamRequest(from string, r *StreamRequest) {
-	switch n.logSender.receiveRequest(from, r) {
+	switch n.streamSender.receiveRequest(from, r) {
 	case requestIgnored:
 		return
 	case learnerLeft:
@@ -69,14 +69,14 @@
 		n.syncRegistryTo(from)
 	case learnerContinues:
 	}
-	n.logSender.respond(from)
+	n.streamSender.respond(from)
 }
 
 // updateRegistryLearner tells the registry whether a node has its entries from this one.
 func (n *Node) updateRegistryLearner(addr string) {
 	if s := n.roster.Slot(addr); s != membership.NoSlot && n.registry != nil {
 		n.registry.Tick(n.loop.Now())
-		n.registry.SetFollower(registry.Slot(s), n.logSender.isLearner(addr))
+		n.registry.SetFollower(registry.Slot(s), n.streamSender.isLearner(addr))
 	}
 }
 
@@ -84,8 +84,8 @@
 type streamHost Node
 
 var (
-	_ logSenderHost   = (*streamHost)(nil)
-	_ logReceiverHost = (*streamHost)(nil)
+	_ streamSenderHost   = (*streamHost)(nil)
+	_ streamReceiverHost = (*streamHost)(nil)
 )
 
 // Now is the time of this turn.
--- a/internal/gateway/node/call_replies_test.go
+++ b/internal/gateway/node/call_replies_test.go
@@ -60,13 +60,13 @@
 	d.callUntilClear(3, 200, "POST", "/api/Config.Replace", configBody(7, 0))
 	leader, is, answer, nr := 0, false, make(chan int, 1), uint32(0)
 	hasSlot := func(h *Node) bool {
-		return h.slot() != membership.NoSlot && h.logReceiver.upstream == d.running[leader].peerAddr && h.logReceiver.answeredAt >= h.logReceiver.requestedAt
+		return h.slot() != membership.NoSlot && h.streamReceiver.upstream == d.running[leader].peerAddr && h.streamReceiver.answeredAt >= h.streamReceiver.requestedAt
 	}
 	d.eventually("to follow the leader", func() bool {
 		leader = d.awaitLeader()
 		d.inTurn(3, func(h *Node) {
-			if h.logReceiver.upstream != d.running[leader].peerAddr {
-				h.logReceiver.request(d.running[leader].peerAddr)
+			if h.streamReceiver.upstream != d.running[leader].peerAddr {
+				h.streamReceiver.request(d.running[leader].peerAddr)
 			}
 			is = hasSlot(h) && len(h.calls.pending) == 0
 		})
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -44,7 +44,7 @@
 type appliedChange struct {
 	index   uint64
 	entry   []byte
-	verdict routing.Verdict
+	outcome routing.Verdict
 	err     error
 }
 
@@ -196,9 +196,9 @@
 		v := c.lastApplied
 		if v.index != o.Index || !bytes.Equal(v.entry, w.entry) {
 			invariant.That(false, "a proposal ends by its own entry")
-			v = appliedChange{verdict: routing.Unclear}
+			v = appliedChange{outcome: routing.Unclear}
 		}
-		w.done(responseOf(v.verdict, v.err))
+		w.done(responseOf(v.outcome, v.err))
 	}
 }
 
--- a/internal/gateway/node/cut_test.go
+++ b/internal/gateway/node/cut_test.go
@@ -121,7 +121,7 @@
 		}
 		h := d.running[at]
 		d.eventually("to be in contact", func() (is bool) { h.loop.Turn(func() { is = h.contactAge() < time.Second }); return is })
-		d.running[3].loop.Turn(func() { d.running[3].logReceiver.request(h.peerAddr) })
+		d.running[3].loop.Turn(func() { d.running[3].streamReceiver.request(h.peerAddr) })
 		d.eventually("the node without a disk follows", func() bool { s := d.status(3); return s.Feeder == h.peerAddr })
 		d.partition(at, x.way)
 		h.loop.Turn(func() { d.setKnobs(h, x.knobs) })
@@ -162,19 +162,19 @@
 	cut := t.running[at].peerAddr
 	t.eventually("all others to count as gone", func() (gone bool) {
 		t.inTurn(3, func(h *Node) {
-			if h.knobs.TrustStaleUpstream = true; h.logReceiver.upstream != cut {
-				h.logReceiver.request(cut)
+			if h.knobs.TrustStaleUpstream = true; h.streamReceiver.upstream != cut {
+				h.streamReceiver.request(cut)
 			}
-			h.logReceiver.requestedAt = h.loop.Now() // it stays meanwhile
-			gone = len(h.roster.LiveDiskNodes()) == 1 && h.logReceiver.reportedAge(cut) > h.settings.Bounds.PartitionedAge()
+			h.streamReceiver.requestedAt = h.loop.Now() // it stays meanwhile
+			gone = len(h.roster.LiveDiskNodes()) == 1 && h.streamReceiver.reportedAge(cut) > h.settings.Bounds.PartitionedAge()
 		})
 		return gone
 	})
 	t.inTurn(3, func(h *Node) {
 		for _, trusts := range []bool{true, false} {
-			h.knobs.TrustStaleUpstream, h.logReceiver.requestedAt, h.logReceiver.pausedUntil = trusts, 1, 0
-			h.logReceiver.check()
-			must.Eq(t.t, !trusts, h.logReceiver.upstream != cut)
+			h.knobs.TrustStaleUpstream, h.streamReceiver.requestedAt, h.streamReceiver.pausedUntil = trusts, 1, 0
+			h.streamReceiver.check()
+			must.Eq(t.t, !trusts, h.streamReceiver.upstream != cut)
 		}
 	})
 }
--- a/internal/gateway/node/export_test.go
+++ b/internal/gateway/node/export_test.go
@@ -19,5 +19,5 @@
 	"an order waits in vain":        {Contact: quorumcontact.TestingKnobs{QueueWithoutContact: true}},
 }
 
-// TrustLeaderAlone takes out a defence that takes a partition one way to be missed.
-var TrustLeaderAlone = TestingKnobs{Contact: quorumcontact.TestingKnobs{TrustLeaderAlone: true}}
+// TrustHeardLeader takes out a defence that takes a partition one way to be missed.
+var TrustHeardLeader = TestingKnobs{Contact: quorumcontact.TestingKnobs{TrustHeardLeader: true}}
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -29,9 +29,9 @@
 func (n *Node) sendHeartbeats(news bool) {
 	told := map[string]bool{}
 	if n.core != nil {
-		for _, addr := range n.logSender.addrs() {
+		for _, addr := range n.streamSender.addrs() {
 			told[addr] = true
-			if _, askedAt := n.logSender.clockOf(addr); news || n.loop.Now()-askedAt > 3*heartbeatInterval/2 {
+			if _, askedAt := n.streamSender.clockOf(addr); news || n.loop.Now()-askedAt > 3*heartbeatInterval/2 {
 				n.links.Send(addr, &Frame{Ping: n.learnerHeartbeat(addr)})
 			}
 		}
@@ -40,7 +40,7 @@
 	p := Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, View: view}
 	if n.core != nil {
 		p.Lives = n.roster.ReachableSlots()
-	} else if upstream := n.logReceiver.upstream; upstream != "" {
+	} else if upstream := n.streamReceiver.upstream; upstream != "" {
 		told[upstream] = true
 		n.links.Send(upstream, &Frame{Ping: &Heartbeat{Stale: p.Stale, Index: p.Index, View: p.View, Clock: n.contact.Stamp(n.loop.Now())}})
 	}
@@ -60,15 +60,15 @@
 // learnerHeartbeat is what a follower is told.
 func (n *Node) learnerHeartbeat(addr string) *Heartbeat {
 	_, term, _ := n.contact.Contact(n.loop.Now())
-	clock, _ := n.logSender.clockOf(addr)
+	clock, _ := n.streamSender.clockOf(addr)
 	return &Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, Lives: n.roster.LiveSlots(), View: term, Echo: clock,
 		Leaders: n.groups.leaderSlots()}
 }
 
 // receiveHeartbeat takes another node's heartbeat. A learner that asks for one is answered at once.
 func (n *Node) receiveHeartbeat(from string, h *Heartbeat) {
-	n.logReceiver.receiveReport(from, h.Stale, h.Index, h.View)
-	upstream := n.logReceiver.isUpstream(from)
+	n.streamReceiver.receiveReport(from, h.Stale, h.Index, h.View)
+	upstream := n.streamReceiver.isUpstream(from)
 	if h.Lives != nil && (n.core != nil || upstream) {
 		n.roster.HandleLiveness(from, h.Lives)
 	}
@@ -76,8 +76,8 @@
 		n.contact.Learn(quorumcontact.Report{Age: h.Stale, Term: h.View, Echo: h.Echo, Index: h.Index}, n.appliedIndex, n.loop.Now())
 		n.groups.learnLeaders(h.Leaders)
 	}
-	if h.Clock != 0 && n.logSender.isLearner(from) {
-		n.logSender.receiveClock(from, h.Clock)
+	if h.Clock != 0 && n.streamSender.isLearner(from) {
+		n.streamSender.receiveClock(from, h.Clock)
 		n.links.Send(from, &Frame{Ping: n.learnerHeartbeat(from)})
 	}
 }
--- a/internal/gateway/node/host_env.go
+++ b/internal/gateway/node/host_env.go
@@ -48,7 +48,7 @@
 		}
 		return ""
 	}
-	if upstream := n.logReceiver.upstream; n.roster.Live(upstream) {
+	if upstream := n.streamReceiver.upstream; n.roster.Live(upstream) {
 		return upstream
 	}
 	return ""
@@ -56,8 +56,8 @@
 
 // noQuorumAt has a node that follows one without contact with a majority look for another: one that has may be there.
 func (n *Node) noQuorumAt(addr string) {
-	if n.core == nil && n.logReceiver.isUpstream(addr) {
-		n.logReceiver.upstreamLacksQuorum()
+	if n.core == nil && n.streamReceiver.isUpstream(addr) {
+		n.streamReceiver.upstreamLacksQuorum()
 	}
 }
 
@@ -129,7 +129,7 @@
 
 func (n *Node) sendToFollowers(lap *RolloutMessage, except string) {
 	f := &Frame{Rollout: lap}
-	for addr := range n.logSender.learners {
+	for addr := range n.streamSender.learners {
 		if addr != except {
 			n.sendFrame(addr, f)
 		}
--- a/internal/gateway/node/logstream_receiver_test.go
+++ b/internal/gateway/node/logstream_receiver_test.go
@@ -18,7 +18,7 @@
 func TestNobodyLeads(t *testing.T) {
 	h := newLearner(t, "10.0.0.1:7110", "10.0.0.2:7110")
 	now := h.loop.Now()
-	first := h.logReceiver.upstream
+	first := h.streamReceiver.upstream
 	other := map[string]string{"10.0.0.1:7110": "10.0.0.2:7110", "10.0.0.2:7110": "10.0.0.1:7110"}[first]
 	for i := range 40 {
 		now += tickInterval
@@ -26,42 +26,42 @@
 		h.roster.Tick(now)
 		for _, a := range []string{first, other} {
 			h.roster.FrameReceived(a)
-			h.logReceiver.heardAt = now
-			h.logReceiver.reports[a] = upstreamReport{now, quorumcontact.UnknownAge + time.Duration(i)*heartbeatInterval, 0, 0} // it has just started and knows of no leader
+			h.streamReceiver.lastFrameAt = now
+			h.streamReceiver.reports[a] = upstreamReport{now, quorumcontact.UnknownAge + time.Duration(i)*heartbeatInterval, 0, 0} // it has just started and knows of no leader
 		}
-		h.logReceiver.reports[other] = upstreamReport{now, quorumcontact.UnknownAge - 10*time.Second, 0, 0} // this one did a while ago
-		h.logReceiver.answeredAt = now
-		h.logReceiver.check()
-		must.Eq(t, first, h.logReceiver.upstream)
+		h.streamReceiver.reports[other] = upstreamReport{now, quorumcontact.UnknownAge - 10*time.Second, 0, 0} // this one did a while ago
+		h.streamReceiver.answeredAt = now
+		h.streamReceiver.check()
+		must.Eq(t, first, h.streamReceiver.upstream)
 	}
 	// One that knows of a leader is changed over to.
-	h.logReceiver.reports[other] = upstreamReport{now, 0, 0, 0}
+	h.streamReceiver.reports[other] = upstreamReport{now, 0, 0, 0}
 	h.loop.(*manualClock).now = now + minStreamRetry
 	h.roster.Tick(now + minStreamRetry)
-	h.logReceiver.check()
-	must.Eq(t, other, h.logReceiver.upstream)
+	h.streamReceiver.check()
+	must.Eq(t, other, h.streamReceiver.upstream)
 }
 
 // A node that says something, but not yet what was asked, has much to do: it is waited for, and not for ever.
 func TestBusyFeederIsWaitedFor(t *testing.T) {
 	h := newLearner(t, "10.0.0.1:7110", "10.0.0.2:7110")
-	first, asked := h.logReceiver.upstream, h.logReceiver.requestedAt
-	h.logReceiver.answeredAt = asked - 1
+	first, asked := h.streamReceiver.upstream, h.streamReceiver.requestedAt
+	h.streamReceiver.answeredAt = asked - 1
 	for now := asked; now <= asked+busyUpstreamTimeout+maxStreamRetry; now += tickInterval {
 		h.loop.(*manualClock).now = now
 		h.roster.Tick(now)
 		for _, d := range h.roster.Addrs() {
 			h.roster.FrameReceived(d)
 		}
-		h.logReceiver.heardAt = now
-		h.logReceiver.reports[first] = upstreamReport{now, 0, 0, 0}
-		h.logReceiver.check()
+		h.streamReceiver.lastFrameAt = now
+		h.streamReceiver.reports[first] = upstreamReport{now, 0, 0, 0}
+		h.streamReceiver.check()
 		if now-asked < busyUpstreamTimeout {
-			must.Eq(t, first, h.logReceiver.upstream)
-			must.Eq(t, asked, h.logReceiver.requestedAt) // nor asked again
+			must.Eq(t, first, h.streamReceiver.upstream)
+			must.Eq(t, asked, h.streamReceiver.requestedAt) // nor asked again
 		}
 	}
-	must.NotEq(t, asked, h.logReceiver.requestedAt)
+	must.NotEq(t, asked, h.streamReceiver.requestedAt)
 }
 
 // manualClock is a node's time that a test sets.
@@ -87,7 +87,7 @@
 		h.roster.LinkUp(a)
 	}
 	h.openLogStream()
-	h.logReceiver.check()
-	must.NotEq(t, "", h.logReceiver.upstream)
+	h.streamReceiver.check()
+	must.NotEq(t, "", h.streamReceiver.upstream)
 	return h
 }
--- a/internal/gateway/node/logstream_sender.go
+++ b/internal/gateway/node/logstream_sender.go
@@ -24,19 +24,19 @@
 // streamConfig bounds what is in flight to a learner, as to a member.
 var streamConfig = replication.DefaultConfig()
 
-// logSender streams the configuration log from a member to its learners: the nodes without a disk that have asked this one. It owns where
+// streamSender streams the configuration log from a member to its learners: the nodes without a disk that have asked this one. It owns where
 // each of them stands. A learner stays until it ends the stream or its link goes down, however long it is silent: one that was paused
 // does not know that it was missed, and would wait for entries that nobody sends.
-type logSender struct {
-	host     logSenderHost
+type streamSender struct {
+	host     streamSenderHost
 	log      streamSource // nil at a node without a disk, which has no learners
 	contact  *quorumcontact.Tracker
 	learners map[string]*learner // by address
 	deferred bool                // learners have yet to be sent what was applied last
 }
 
-// logSenderHost is what a logSender needs of its node.
-type logSenderHost interface {
+// streamSenderHost is what a streamSender needs of its node.
+type streamSenderHost interface {
 	Now() time.Duration
 	AppliedIndex() uint64
 	SendStreamData(to string, d *StreamData)
@@ -75,36 +75,36 @@
 	learnerLeft
 )
 
-func newLogSender(host logSenderHost, log streamSource, contact *quorumcontact.Tracker) *logSender {
-	return &logSender{host: host, log: log, contact: contact, learners: map[string]*learner{}}
+func newStreamSender(host streamSenderHost, log streamSource, contact *quorumcontact.Tracker) *streamSender {
+	return &streamSender{host: host, log: log, contact: contact, learners: map[string]*learner{}}
 }
 
 // isLearner tells whether a node has its entries from this one.
-func (s *logSender) isLearner(addr string) bool {
+func (s *streamSender) isLearner(addr string) bool {
 	_, ok := s.learners[addr]
 	return ok
 }
 
 // addrs are the learners in the order of their addresses: the order of what is sent must not depend on a map's.
-func (s *logSender) addrs() []string { return slices.Sorted(maps.Keys(s.learners)) }
+func (s *streamSender) addrs() []string { return slices.Sorted(maps.Keys(s.learners)) }
 
 // remove forgets a learner whose link went down.
-func (s *logSender) remove(addr string) { delete(s.learners, addr) }
+func (s *streamSender) remove(addr string) { delete(s.learners, addr) }
 
 // receiveClock notes a learner's newest clock.
-func (s *logSender) receiveClock(addr string, clock uint32) {
+func (s *streamSender) receiveClock(addr string, clock uint32) {
 	l := s.learners[addr]
 	l.clock, l.clockReceivedAt = clock, s.host.Now()
 }
 
 // clockOf is a learner's newest clock, and when it came.
-func (s *logSender) clockOf(addr string) (clock uint32, receivedAt time.Duration) {
+func (s *streamSender) clockOf(addr string) (clock uint32, receivedAt time.Duration) {
 	l := s.learners[addr]
 	return l.clock, l.clockReceivedAt
 }
 
 // receiveRequest takes where a learner stands. What it is owed then goes out with respond.
-func (s *logSender) receiveRequest(from string, r *StreamRequest) learnerChange {
+func (s *streamSender) receiveRequest(from string, r *StreamRequest) learnerChange {
 	if s.log == nil {
 		return requestIgnored
 	}
@@ -147,7 +147,7 @@
 }
 
 // respond sends a learner what it lacks after its last request, or else that there is nothing newer.
-func (s *logSender) respond(to string) {
+func (s *streamSender) respond(to string) {
 	if s.learners[to].requestedIndex < s.host.AppliedIndex() {
 		s.streamTo(to)
 	} else {
@@ -157,7 +157,7 @@
 
 // resume sends a learner what it requested over a link that has just come up: what was sent since may have been lost with the link
 // before, or had no link to go on.
-func (s *logSender) resume(addr string) {
+func (s *streamSender) resume(addr string) {
 	l := s.learners[addr]
 	if l == nil {
 		return
@@ -168,7 +168,7 @@
 
 // entryApplied streams an entry that was just applied. Assigned slots wait for the next tick: at the first start each node asks for one,
 // and each would go to all learners by itself.
-func (s *logSender) entryApplied(assignsSlot bool) {
+func (s *streamSender) entryApplied(assignsSlot bool) {
 	if s.log == nil {
 		return
 	}
@@ -178,7 +178,7 @@
 }
 
 // tick streams what was deferred.
-func (s *logSender) tick() {
+func (s *streamSender) tick() {
 	if s.deferred {
 		s.deferred = false
 		s.streamToAll()
@@ -186,7 +186,7 @@
 }
 
 // streamToAll sends all learners what they lack.
-func (s *logSender) streamToAll() {
+func (s *streamSender) streamToAll() {
 	for _, addr := range s.addrs() {
 		s.streamTo(addr)
 	}
@@ -194,7 +194,7 @@
 
 // streamTo sends a learner what it lacks: entries as long as the log has them, else a state and what follows it. What is larger than
 // streamConfig's window goes in chunks, which the learner acknowledges with its requests.
-func (s *logSender) streamTo(addr string) {
+func (s *streamSender) streamTo(addr string) {
 	l := s.learners[addr]
 	for l.outgoing.Blob == nil && l.sentIndex < s.host.AppliedIndex() {
 		entries, ok := s.log.EntriesAfter(l.sentIndex, s.host.AppliedIndex())
@@ -214,7 +214,7 @@
 }
 
 // sendState begins with a state. False: there is none to send now, and the learner asks again.
-func (s *logSender) sendState(addr string, l *learner) bool {
+func (s *streamSender) sendState(addr string, l *learner) bool {
 	blob := s.log.BlobToSend(l.sentIndex+1, s.statesInFlight(l))
 	if blob == nil {
 		return false
@@ -237,7 +237,7 @@
 }
 
 // sendEntries sends entries, the first of which follows what the learner was sent.
-func (s *logSender) sendEntries(addr string, l *learner, entries []replication.Entry) {
+func (s *streamSender) sendEntries(addr string, l *learner, entries []replication.Entry) {
 	var data [][]byte
 	size, after := 0, l.sentIndex
 	for _, e := range entries {
@@ -267,14 +267,14 @@
 // stateMayBeStale tells whether the state may be long out of date: this member has just come back, and knows of no leader yet. A learner
 // that was sent it would be sent the newest after it; instead it asks again, or another. Where nobody leads for long an old state is
 // better than none.
-func (s *logSender) stateMayBeStale() bool {
+func (s *streamSender) stateMayBeStale() bool {
 	now := s.host.Now()
 	_, _, known := s.contact.Contact(now)
 	return !known && s.contact.Uptime(now) < staleStateGrace
 }
 
 // statesInFlight are the states that other learners are being sent.
-func (s *logSender) statesInFlight(except *learner) (all []*replication.Blob) {
+func (s *streamSender) statesInFlight(except *learner) (all []*replication.Blob) {
 	for _, addr := range s.addrs() {
 		if l := s.learners[addr]; l != except && l.outgoing.Blob != nil && !l.sendsEntries {
 			all = append(all, l.outgoing.Blob)
@@ -292,7 +292,7 @@
 }
 
 // send gives a learner data with this node's contact.
-func (s *logSender) send(to string, d *StreamData) {
+func (s *streamSender) send(to string, d *StreamData) {
 	now := s.host.Now()
 	_, term, _ := s.contact.Contact(now)
 	d.Stale, d.View, d.Index = s.contact.Age(now), term, s.log.CommitIndex()
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -42,9 +42,9 @@
 	// maxDatagramsPerSecond is how many datagrams a second a node takes: the owner of a tenant with a fifth of all requests is asked by each node for
 	// nearly each of them. Beyond seven tenths of it nodes are told to write less often, and their requests wait longer than they may.
 	maxDatagramsPerSecond = 2000
-	// coldStartQuotaShare of the burst is in buckets after the loss of all nodes: what was spent before it is not known any more,
+	// initialQuotaShare of the burst is in buckets after the loss of all nodes: what was spent before it is not known any more,
 	// and half a burst more in five seconds is under what the rule on quotas leaves (rate x 5 + burst, a tenth more).
-	coldStartQuotaShare = 0.5
+	initialQuotaShare = 0.5
 	// newOwnerDelay is how long a bucket stays empty at a new owner, where slots are added: the old one goes on until it knows.
 	newOwnerDelay = time.Second
 )
@@ -69,9 +69,9 @@
 	machine      *statemachine.Machine
 	appliedIndex uint64
 
-	logSender    *logSender
-	logReceiver  *logReceiver
-	slotsChanged bool // the roster has yet to be told the order of slots
+	streamSender   *streamSender
+	streamReceiver *streamReceiver
+	slotsChanged   bool // the roster has yet to be told the order of slots
 
 	registry          *registry.Registry // nil until there is a slot
 	registryTimerSeq  uint32
@@ -167,7 +167,7 @@
 // buildDataPath makes the way of requests and of calls.
 func (n *Node) buildDataPath(b Environment) error {
 	n.quota = quota.NewLimiter(n.seed, 0, 1, n.loop.Now(), quota.Config{MinInterval: 50 * time.Millisecond,
-		SnapshotTTL: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MaxUnits: 1, Strict: true, InitialFill: coldStartQuotaShare, OwnershipDelay: newOwnerDelay,
+		SnapshotTTL: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MaxUnits: 1, Strict: true, InitialFill: initialQuotaShare, OwnershipDelay: newOwnerDelay,
 		Window: n.settings.Bounds.QuotaWindow, Excess: n.settings.Bounds.QuotaExcess, Margin: float64(n.settings.Bounds.QuotaMargin)})
 	n.rollouts = newRolloutHost(n, n, n.settings.Zone, n.incarnation)
 	n.admission = admission.New(n.seed, admission.Config{Zone: n.catalog.zoneID(n.settings.Zone),
@@ -242,7 +242,7 @@
 	h := (*Node)(t)
 	now := h.loop.Now()
 	h.loop.At(now+tickInterval, t, 0)
-	h.logReceiver.tick(now)
+	h.streamReceiver.tick(now)
 	if now-h.heartbeatAt >= heartbeatInterval {
 		news := h.heartbeatAt == 0
 		h.heartbeatAt = now
@@ -250,9 +250,9 @@
 	} else {
 		h.sendOverdueLiveness()
 	}
-	h.logSender.tick()
+	h.streamSender.tick()
 	h.calls.chunks.tick()
-	h.logReceiver.check()
+	h.streamReceiver.check()
 	h.requestSlot()
 	h.rollouts.tick()
 	h.groups.requestFounding()
--- a/internal/gateway/node/parted_test.go
+++ b/internal/gateway/node/parted_test.go
@@ -54,7 +54,7 @@
 	for seed := range uint64(6) {
 		must.SliceEmpty(t, play(seed+1).Broken, must.Sprint("seed ", seed+1))
 	}
-	node.SetKnobs(node.TrustLeaderAlone)
+	node.SetKnobs(node.TrustHeardLeader)
 	found := map[string]int{}
 	for seed := range uint64(6) {
 		for _, b := range play(seed + 1).Broken {
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -17,14 +17,14 @@
 // without a new one it would say nothing, and for two seconds nothing would tell of that.
 func (n *Node) PeerConnected(from string) {
 	n.core.resetLiveness(from)
-	n.logReceiver.linkReset(from)
+	n.streamReceiver.linkReset(from)
 }
 
 // FrameReceived takes a frame from another node.
 func (n *Node) FrameReceived(from string, f *Frame) {
 	n.roster.Tick(n.loop.Now())
 	n.roster.FrameReceived(from)
-	n.logReceiver.frameReceived(from)
+	n.streamReceiver.frameReceived(from)
 	switch {
 	case f.Hello != nil:
 		n.roster.HandleHello(from, *f.Hello)
@@ -48,7 +48,7 @@
 	case f.Follow != nil:
 		n.receiveStreamRequest(from, f.Follow)
 	case f.Feed != nil:
-		n.logReceiver.receive(from, f.Feed)
+		n.streamReceiver.receive(from, f.Feed)
 	case f.Call != nil:
 		n.calls.receiveCall(from, f.Call)
 	case f.Reply != nil:
@@ -69,9 +69,9 @@
 	if d, ok := n.roster.Node(to); ok {
 		n.resendBootstrap(to, d)
 	}
-	n.logSender.resume(to)
+	n.streamSender.resume(to)
 	n.syncRegistryTo(to) // it may have started anew
-	n.logReceiver.linkReset(to)
+	n.streamReceiver.linkReset(to)
 }
 
 // syncRegistryTo tells a node of the backends.
@@ -88,7 +88,7 @@
 	n.roster.LinkDown(to)
 	n.core.resetLiveness(to)
 	n.groups.linkDown(to)
-	n.logSender.remove(to)
+	n.streamSender.remove(to)
 	n.coordination.PeerDisconnected(to)
 	n.calls.linkDown(to)
 }
@@ -179,7 +179,7 @@
 
 // updateNodes tells the parts that go by nodes which there are, and which live.
 func (n *Node) updateNodes() {
-	n.logReceiver.check()
+	n.streamReceiver.check()
 	me := n.slot()
 	if me == membership.NoSlot {
 		return
@@ -220,7 +220,7 @@
 		}
 		d, _ := n.roster.Node(s.Addr)
 		nodes = append(nodes, registry.Node{Slot: registry.Slot(i), ControlAddr: s.Control, Zone: s.Zone,
-			Live: live[i], HasDisk: d.Disk != 0, Follows: n.logSender.isLearner(s.Addr)})
+			Live: live[i], HasDisk: d.Disk != 0, Follows: n.streamSender.isLearner(s.Addr)})
 	}
 	if n.core != nil && reach != n.reachable {
 		n.heartbeatAt = 0 // who follows goes by this node's word of who lives: an owner in its first second by a third of the rate
--- a/internal/gateway/node/stage.go
+++ b/internal/gateway/node/stage.go
@@ -101,7 +101,7 @@
 func (n *Node) Status() controlapi.NodeStatus {
 	why := n.unreadyReasons()
 	s := controlapi.NodeStatus{Node: n.settings.NodeName, Address: n.peerAddr, Zone: n.settings.Zone, Ready: len(why) == 0,
-		Unready: why, Generation: n.table.Version(), Applied: n.appliedIndex, Feeder: n.logReceiver.upstream, Held: n.gate.Held(),
+		Unready: why, Generation: n.table.Version(), Applied: n.appliedIndex, Feeder: n.streamReceiver.upstream, Held: n.gate.Held(),
 		Clients: n.frontend.Clients(), Counters: n.counters.Text(), Nodes: n.statusNodes(),
 		Backends: []controlapi.StatusBackend{}}
 	if me := n.slot(); me != membership.NoSlot {
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -41,7 +41,7 @@
 	AckDrainWithoutContact bool
 	ServeWithoutContact    bool // clients are wanted, and refused, whatever the age
 	QueueWithoutContact    bool // a call waits where nobody can take it
-	TrustLeaderAlone       bool // a member goes by that it hears a leader, whether or not the leader hears it
+	TrustHeardLeader       bool // a member goes by that it hears a leader, whether or not the leader hears it
 }
 
 // Tracker knows one node's contact. All methods are for the owner of the node's turn, and take the time as an argument.
@@ -82,7 +82,7 @@
 // this incarnation.
 func (t *Tracker) Contact(now time.Duration) (age time.Duration, term uint64, ok bool) {
 	if r := t.config.Replica; r != nil {
-		if _, term, ok := r.Leader(); ok && t.config.Knobs.TrustLeaderAlone {
+		if _, term, ok := r.Leader(); ok && t.config.Knobs.TrustHeardLeader {
 			return 0, term, true
 		}
 		return r.QuorumContact(now)
@@ -136,16 +136,16 @@
 }
 
 // grants tells whether a permission is granted without its defence.
-func (k *TestingKnobs) grants(p Permission) bool {
+func (t *TestingKnobs) grants(p Permission) bool {
 	switch p {
 	case AcknowledgeDrain:
-		return k.AckDrainWithoutContact || k.GrantAll
+		return t.AckDrainWithoutContact || t.GrantAll
 	case TakeCalls:
-		return k.QueueWithoutContact || k.GrantAll
+		return t.QueueWithoutContact || t.GrantAll
 	case ServeClients, Refuse:
-		return k.ServeWithoutContact || k.GrantAll
+		return t.ServeWithoutContact || t.GrantAll
 	}
-	return k.GrantAll
+	return t.GrantAll
 }
 
 // Report is what an upstream says of its own contact.
--- a/internal/gateway/quorumcontact/tracker_test.go
+++ b/internal/gateway/quorumcontact/tracker_test.go
@@ -117,7 +117,7 @@
 	every := []Permission{ServeClients, Refuse, TakeCalls, StreamLog, AcknowledgeBackend, AcknowledgeDrain, RequestSlot}
 	must.SliceEmpty(t, granted(TestingKnobs{}))
 	must.Eq(t, every, granted(TestingKnobs{GrantAll: true}))
-	must.Eq(t, every, granted(TestingKnobs{TrustLeaderAlone: true}))
+	must.Eq(t, every, granted(TestingKnobs{TrustHeardLeader: true}))
 	must.Eq(t, []Permission{AcknowledgeDrain}, granted(TestingKnobs{AckDrainWithoutContact: true}))
 	must.Eq(t, []Permission{ServeClients, Refuse}, granted(TestingKnobs{ServeWithoutContact: true}))
 	must.Eq(t, []Permission{TakeCalls}, granted(TestingKnobs{QueueWithoutContact: true}))
