--- /dev/null
+++ b/internal/gateway/node/bootstrap.go
@@ -0,0 +1,54 @@
+package node
+
+import (
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/replication"
+)
+
+// resendBootstrap hands the founding to a founder that missed it: who began it may have died before the word reached the others.
+func (n *Node) resendBootstrap(addr string, d membership.Node) {
+	if n.core == nil || d.Founded || d.Disk == 0 {
+		return
+	}
+	founders := n.core.replica.BootstrapMembers()
+	for _, m := range founders {
+		if m.ID == replication.MemberID(d.Disk) && n.roster.MayBootstrap(n.core.replica.ClusterID(), addr) {
+			n.links.Send(addr, &Frame{Found: founders})
+		}
+	}
+}
+
+// abandonLoneBootstrap empties a disk that holds the word of a founding and nothing else, where another disk lies at the place of each other
+// founder: what that founding ever took is gone with those, and this one, waiting for them, would keep all from beginning anew.
+func (c *core) abandonLoneBootstrap() {
+	founders := c.replica.BootstrapMembers()
+	for _, m := range founders {
+		if d, ok := c.node.roster.Node(m.Addr); m.ID != c.self.ID && (!ok || !c.node.roster.Live(m.Addr) || d.Disk == 0 || d.Founded ||
+			replication.MemberID(d.Disk) == m.ID || c.node.memberAddr(replication.Member{ID: m.ID}) != "") {
+			return
+		}
+	}
+	if len(founders) > 1 && c.replica.DiscardBootstrap() {
+		c.node.logInfo(corePart).Int("members", len(founders)).Msg("bootstrap discarded, no other founder has it")
+	}
+}
+
+// bootstrap begins the core, if this node's disk is empty.
+func (n *Node) bootstrap(members []replication.Member) {
+	if n.core == nil {
+		return
+	}
+	if err := n.core.replica.Bootstrap(members); err != nil {
+		n.logInfo(corePart).Err(err).Msg("bootstrap ignored")
+		return
+	}
+	n.logInfo(corePart).Int("members", len(members)).Msg("bootstrapped")
+}
+
+// founderMembers are the founders as members of the log.
+func founderMembers(founders []membership.Founder) (members []replication.Member) {
+	for _, f := range founders {
+		members = append(members, replication.Member{ID: replication.MemberID(f.Disk), Addr: f.Addr})
+	}
+	return members
+}
--- /dev/null
+++ b/internal/gateway/node/configuration.go
@@ -0,0 +1,74 @@
+package node
+
+import (
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/quorumcontact"
+	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/statemachine"
+)
+
+// installState begins with a state of the configuration log. One that is older than what is applied here is passed over: a node never
+// goes back within an incarnation.
+func (n *Node) installState(index uint64, s *statemachine.Machine) {
+	if index < n.appliedIndex {
+		return
+	}
+	n.appliedIndex, n.machine = index, s
+	n.roster.SetSlots(s.Slots())
+	n.installConfiguration()
+	n.rollouts.applyState()
+	n.groups.found(s.Founders())
+	n.streamSender.streamToAll()
+}
+
+// applyEntry applies the next entry of the configuration log. Empty data is the log's own.
+func (n *Node) applyEntry(index uint64, data []byte) (v routing.Verdict, err error) {
+	n.appliedIndex = index
+	if len(data) > 0 {
+		before, slots := n.machine.Configs.Version(), len(n.machine.Slots())
+		if v, err = n.machine.Apply(data); err != nil && v != routing.Conflict {
+			n.logInfo(corePart).Uint64("index", index).Err(err).Msg("entry changes nothing")
+		}
+		if n.machine.Configs.Version() != before {
+			n.logInfo(corePart).Uint64("version", n.machine.Configs.Version()).Msg("configuration applied")
+			n.installConfiguration()
+		}
+		n.groups.found(n.machine.Founders())
+		n.slotsChanged = n.slotsChanged || len(n.machine.Slots()) != slots
+		n.rollouts.applyState()
+	}
+	n.streamSender.entryApplied(len(data) > 0 && statemachine.Kind(data[0]) == statemachine.KindAssignSlot)
+	return v, err
+}
+
+// Change brings a change to whoever leads, unless what is known here settles it for every later state: that it was taken, or that
+// it is wrong in itself. A node that is behind refuses nothing by its own state.
+func (n *Node) Change(kind statemachine.Kind, body []byte, then func(status int, body []byte)) {
+	if v, err, final := n.machine.DecideFinal(kind, body); final && (v != routing.Invalid || n.permitted(quorumcontact.Refuse)) {
+		then(responseOf(v, err))
+		return
+	}
+	n.callLeader(kind, body, 0, then)
+}
+
+// ReadConfiguration reads the newest configuration.
+func (n *Node) ReadConfiguration(then func(status int, body []byte)) {
+	n.callLeader(ReadConfig, nil, 0, then)
+}
+
+// responseOf is the table from verdicts on changes to answers.
+func responseOf(v routing.Verdict, err error) (int, []byte) {
+	text := ""
+	if err != nil {
+		text = err.Error()
+	}
+	switch v {
+	case routing.Taken, routing.Already:
+		return 200, nil
+	case routing.Conflict:
+		return 412, []byte(text)
+	case routing.Unclear:
+		return controlapi.Unclear, []byte(text)
+	}
+	return 400, []byte(text)
+}
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -2,12 +2,10 @@
 
 import (
 	"bytes"
-	"encoding/gob"
 	"time"
 
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/membership"
-	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
@@ -98,28 +96,6 @@
 	}
 }
 
-// saveRegistry has the registry kept beside the log, where it changed, now and then.
-func (c *core) saveRegistry() {
-	now := c.node.loop.Now()
-	if !c.node.registryDirty || now-c.softStateSavedAt < softStateInterval || c.node.registry == nil {
-		return
-	}
-	c.node.registryDirty, c.softStateSavedAt = false, now
-	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(c.node.registry.Backends()) // of texts and numbers: it can't fail
-	c.disk.softState = b.Bytes()
-}
-
-// loadRegistry gives the registry what was kept of it.
-func (c *core) loadRegistry() {
-	var records []registry.Record
-	if noted := c.disk.disk.SoftState(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&records) == nil {
-		c.node.registry.Tick(c.node.loop.Now())
-		c.node.registry.Restore(records)
-		c.node.logInfo(registryPart).Int("backends", len(records)).Msg("registry restored")
-	}
-}
-
 func (c *core) restoreState(index uint64, state []byte) {
 	s := statemachine.New()
 	if len(state) > 0 {
@@ -201,20 +177,3 @@
 		w.done(responseOf(v.outcome, v.err))
 	}
 }
-
-// responseOf is the table from verdicts on changes to answers.
-func responseOf(v routing.Verdict, err error) (int, []byte) {
-	text := ""
-	if err != nil {
-		text = err.Error()
-	}
-	switch v {
-	case routing.Taken, routing.Already:
-		return 200, nil
-	case routing.Conflict:
-		return 412, []byte(text)
-	case routing.Unclear:
-		return controlapi.Unclear, []byte(text)
-	}
-	return 400, []byte(text)
-}
--- a/internal/gateway/node/apply.go
+++ b/internal/gateway/node/logstream.go
@@ -3,46 +3,9 @@
 import (
 	"time"
 
-	"clovergap/internal/gateway/membership"
-	"clovergap/internal/gateway/registry"
-	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
 )
 
-// installState begins with a state of the configuration log. One that is older than what is applied here is passed over: a node never
-// goes back within an incarnation.
-func (n *Node) installState(index uint64, s *statemachine.Machine) {
-	if index < n.appliedIndex {
-		return
-	}
-	n.appliedIndex, n.machine = index, s
-	n.roster.SetSlots(s.Slots())
-	n.installConfiguration()
-	n.rollouts.applyState()
-	n.groups.found(s.Founders())
-	n.streamSender.streamToAll()
-}
-
-// applyEntry applies the next entry of the configuration log. Empty data is the log's own.
-func (n *Node) applyEntry(index uint64, data []byte) (v routing.Verdict, err error) {
-	n.appliedIndex = index
-	if len(data) > 0 {
-		before, slots := n.machine.Configs.Version(), len(n.machine.Slots())
-		if v, err = n.machine.Apply(data); err != nil && v != routing.Conflict {
-			n.logInfo(corePart).Uint64("index", index).Err(err).Msg("entry changes nothing")
-		}
-		if n.machine.Configs.Version() != before {
-			n.logInfo(corePart).Uint64("version", n.machine.Configs.Version()).Msg("configuration applied")
-			n.installConfiguration()
-		}
-		n.groups.found(n.machine.Founders())
-		n.slotsChanged = n.slotsChanged || len(n.machine.Slots()) != slots
-		n.rollouts.applyState()
-	}
-	n.streamSender.entryApplied(len(data) > 0 && statemachine.Kind(data[0]) == statemachine.KindAssignSlot)
-	return v, err
-}
-
 // openLogStream makes both ends of the log stream, of which a node uses one: a member sends, a node without a disk receives.
 func (n *Node) openLogStream() {
 	n.contact = n.newContact()
@@ -72,14 +35,6 @@
 	n.streamSender.respond(from)
 }
 
-// updateRegistryLearner tells the registry whether a node has its entries from this one.
-func (n *Node) updateRegistryLearner(addr string) {
-	if s := n.roster.Slot(addr); s != membership.NoSlot && n.registry != nil {
-		n.registry.Tick(n.loop.Now())
-		n.registry.SetFollower(registry.Slot(s), n.streamSender.isLearner(addr))
-	}
-}
-
 // streamHost is what the ends of the log stream need of their node.
 type streamHost Node
 
