--- a/internal/gateway/node/node_test.go
+++ b/internal/gateway/node/node_test.go
@@ -89,6 +89,7 @@
 	core := h.core
 	h.loop.Turn(func() {
 		h.core = nil
+		h.openLogStream() // without a replica
 		h.loop.OnTurnEnd(func() {})
 	})
 	h.sockets.mesh.Stop()
