--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -43,7 +43,7 @@
 func (c *coordinationEnv) InputDelay() time.Duration { return c.loop.InputDelay() }
 
 // HasQuorumContact tells whether calls are worth their wait here.
-func (c *coordinationEnv) HasQuorumContact() bool { return (*Node)(c).permitted(permitCalls) }
+func (c *coordinationEnv) HasQuorumContact() bool { return (*Node)(c).mayTakeCalls() }
 
 // groupsApplication is the coordination service as the application of the groups. It logs the end of a group's leadership; the host
 // logs its beginning.
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -17,6 +17,7 @@
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/routing"
@@ -41,9 +42,9 @@
 	// maxDatagramsPerSecond is how many datagrams a second a node takes: the owner of a tenant with a fifth of all requests is asked by each node for
 	// nearly each of them. Beyond seven tenths of it nodes are told to write less often, and their requests wait longer than they may.
 	maxDatagramsPerSecond = 2000
-	// coldStartQuotaShare of the burst is in buckets after the loss of all nodes: what was spent before it is not known any more,
+	// initialQuotaShare of the burst is in buckets after the loss of all nodes: what was spent before it is not known any more,
 	// and half a burst more in five seconds is under what the rule on quotas leaves (rate x 5 + burst, a tenth more).
-	coldStartQuotaShare = 0.5
+	initialQuotaShare = 0.5
 	// newOwnerDelay is how long a bucket stays empty at a new owner, where slots are added: the old one goes on until it knows.
 	newOwnerDelay = time.Second
 )
@@ -63,12 +64,14 @@
 	datagrams    Datagrams
 	roster       *membership.Roster
 	core         *core // nil without a disk
+	contact      *quorumcontact.Tracker
 	groups       *groupHost
 	machine      *statemachine.Machine
 	appliedIndex uint64
 
-	streamDeferred bool // followers have yet to be told what was applied last: slots
-	slotsChanged   bool // and the roster the order of slots
+	streamSender   *streamSender
+	streamReceiver *streamReceiver
+	slotsChanged   bool // the roster has yet to be told the order of slots
 
 	registry          *registry.Registry // nil until there is a slot
 	registryTimerSeq  uint32
@@ -82,27 +85,12 @@
 	dispatcher Dispatcher
 	frontend   Frontend
 
-	table             *routing.Table
-	catalog           catalog
-	upstreamReports   map[string]upstreamReport // by address
-	upstream          string
-	streamRequestedAt time.Duration
-	streamReceivedAt  time.Duration
-	upstreamContactAt time.Duration // when anything came from the feeder
-	streamRetryDelay  time.Duration
-	lastTickAt        time.Duration
-	pausedUntil       time.Duration // when this node last stood still until
-	clock             replication.Clock
-	streamContact     streamContact // without a disk: its word of the core
-	learnerClocks     map[string]clockEcho
-	startedAt         time.Duration
-
-	learners     map[string]*learner
-	incomingBlob replication.BlobReceiver // from the node that is followed
+	table        *routing.Table
+	catalog      catalog
 	coordination *coordination.Service
 
 	calls           *callRouter
-	fault           fault // tests put one in
+	knobs           TestingKnobs
 	slotRequestedAt time.Duration
 	heartbeatAt     time.Duration
 	slotCount       int
@@ -135,10 +123,9 @@
 	h.seed, h.incarnation = b.Identity()
 	h.peerAddr = net.JoinHostPort(h.settings.IPAddress, strconv.Itoa(h.settings.InnerPorts[0]))
 	h.loop, h.counters = b, b.Counters()
-	h.machine, h.table, h.upstreamReports, h.learners = statemachine.New(), routing.NewTable(nil), map[string]upstreamReport{}, map[string]*learner{}
-	h.learnerClocks = map[string]clockEcho{}
+	h.machine, h.table = statemachine.New(), routing.NewTable(nil)
 	h.calls, h.pendingHeartbeats, h.catalog = newCallRouter(h, h.incarnation), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
-	h.fault = plantedFault
+	h.knobs = newNodeKnobs
 	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Config{Address: h.peerAddr, Incarnation: h.incarnation, HistoryRetention: h.settings.Bounds.WatchHistory})
 	h.groups = &groupHost{env: h}
 	h.coordination.SetHost(h.groups)
@@ -173,14 +160,14 @@
 	}
 	n.roster = membership.New(me, membership.Config{Seeds: n.peerAddrs(n.settings.SeedAddrs), ToleratedLosses: n.settings.Tolerance.Machines,
 		ClusterID: func(f []membership.Founder) uint64 { return replication.ClusterIDOf(founderMembers(f)) }}, n.loop.Now())
-	n.streamContact.appliedAsOf, n.startedAt, n.clock = -neverAge, n.loop.Now(), replication.NewClock(n.incarnation)
+	n.openLogStream()
 	return nil
 }
 
 // buildDataPath makes the way of requests and of calls.
 func (n *Node) buildDataPath(b Environment) error {
 	n.quota = quota.NewLimiter(n.seed, 0, 1, n.loop.Now(), quota.Config{MinInterval: 50 * time.Millisecond,
-		SnapshotTTL: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MaxUnits: 1, Strict: true, InitialFill: coldStartQuotaShare, OwnershipDelay: newOwnerDelay,
+		SnapshotTTL: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MaxUnits: 1, Strict: true, InitialFill: initialQuotaShare, OwnershipDelay: newOwnerDelay,
 		Window: n.settings.Bounds.QuotaWindow, Excess: n.settings.Bounds.QuotaExcess, Margin: float64(n.settings.Bounds.QuotaMargin)})
 	n.rollouts = newRolloutHost(n, n, n.settings.Zone, n.incarnation)
 	n.admission = admission.New(n.seed, admission.Config{Zone: n.catalog.zoneID(n.settings.Zone),
@@ -222,7 +209,7 @@
 		return err
 	}
 	n.sockets.mesh.Start()
-	n.say(nodePart, "serves at %s, control at %s, disk %v", n.settings.Bind.Front, n.settings.Bind.Control, n.core != nil)
+	n.logInfo(nodePart).Str("front", n.settings.Bind.Front).Str("control", n.settings.Bind.Control).Bool("disk", n.core != nil).Msg("serving")
 	return nil
 }
 
@@ -255,10 +242,7 @@
 	h := (*Node)(t)
 	now := h.loop.Now()
 	h.loop.At(now+tickInterval, t, 0)
-	if h.lastTickAt > 0 && now-h.lastTickAt > pauseThreshold {
-		h.pausedUntil = now
-	}
-	h.lastTickAt = now
+	h.streamReceiver.tick(now)
 	if now-h.heartbeatAt >= heartbeatInterval {
 		news := h.heartbeatAt == 0
 		h.heartbeatAt = now
@@ -266,11 +250,9 @@
 	} else {
 		h.sendOverdueLiveness()
 	}
-	if h.streamDeferred {
-		h.streamToLearners()
-	}
+	h.streamSender.tick()
 	h.calls.chunks.tick()
-	h.checkUpstream()
+	h.streamReceiver.check()
 	h.requestSlot()
 	h.rollouts.tick()
 	h.groups.requestFounding()
