--- a/internal/gateway/coordination/faults_test.go
+++ b/internal/gateway/coordination/faults_test.go
@@ -5,33 +5,33 @@
 // faultsOfDays are the defences, taken away one at a time, that TestDaysNoticeFaults must notice.
 func faultsOfDays() map[string]coordination.TestingKnobs {
 	return map[string]coordination.TestingKnobs{
-		"the next holder gets the same fence":   {ReuseFencingToken: true},
-		"a heartbeat counts after the time":     {RenewExpiredLease: true},
-		"a shorter hold shortens the time":      {RenewShortensLease: true},
-		"a leader keeps a clock of its own":     {KeepOwnLogTime: true},
-		"a put counts whatever the revision":    {IgnoreExpectedRevision: true},
-		"a repeated put is compared first":      {CompareRevisionFirst: true},
-		"a repeated put is a new one":           {RepeatPuts: true},
-		"a conflict names the group's revision": {ConflictShowsGroupRevision: true},
-		"a read asks no majority":               {ReadWithoutQuorum: true},
-		"a watch asks no majority":              {WatchWithoutQuorum: true},
-		"a watch gives the last event alone":    {LastEventOnly: true},
-		"the history is too short":              {ShortHistory: true},
-		"numbers are counted in memory":         {NextNumber: countInMemory()},
-		"an unclear end is told as refused":     {ReportAmbiguousAsUnavailable: true},
-		"a snapshot lacks the puts":             {SnapshotWithoutPuts: true},
-		"a snapshot lacks the fence":            {SnapshotWithoutFencingToken: true},
-		"a snapshot lacks the history":          {SnapshotWithoutHistory: true},
+		"the next holder gets the same fencing token": {ReuseFencingToken: true},
+		"an expired lease is renewed":                 {RenewExpiredLease: true},
+		"a renewal shortens the lease":                {RenewShortensLease: true},
+		"a former leader keeps its own log time":      {KeepOwnLogTime: true},
+		"a put ignores the expected revision":         {IgnoreExpectedRevision: true},
+		"a repeated put is compared like a new one":   {CompareRevisionFirst: true},
+		"a repeated put is a new one":                 {RepeatPuts: true},
+		"a conflict shows the key group's revision":   {ConflictShowsGroupRevision: true},
+		"a read asks no quorum":                       {ReadWithoutQuorum: true},
+		"a watch asks no quorum":                      {WatchWithoutQuorum: true},
+		"a watch gives the last event alone":          {LastEventOnly: true},
+		"the history is too short":                    {ShortHistory: true},
+		"numbers are counted in memory":               {NextNumber: countInMemory()},
+		"an ambiguous end is reported as unavailable": {ReportAmbiguousAsUnavailable: true},
+		"a snapshot lacks the puts":                   {SnapshotWithoutPuts: true},
+		"a snapshot lacks the fencing token":          {SnapshotWithoutFencingToken: true},
+		"a snapshot lacks the history":                {SnapshotWithoutHistory: true},
 	}
 }
 
 // faultsOfOrders are those that TestExploreNoticesFaults must notice: they show in rare orders of a few calls.
 var faultsOfOrders = map[string]coordination.TestingKnobs{
-	"any fence counts":                             {AcceptAnyFencingToken: true},
-	"a late finish frees a lock asked for again":   {AcceptStaleRelease: true},
-	"a late copy takes a lock that was given back": {AcceptRetiredCall: true},
-	"a copy counts however late":                   {IgnoreDeadlines: true},
-	"a new leader forgets holds":                   {SkipLeasesOnElection: true},
+	"any fencing token counts":                         {AcceptAnyFencingToken: true},
+	"a stale release frees a lock that was reacquired": {AcceptStaleRelease: true},
+	"a late copy takes a lock that was released":       {AcceptRetiredCall: true},
+	"a copy counts after its deadline":                 {IgnoreDeadlines: true},
+	"a new leader skips all leases":                    {SkipLeasesOnElection: true},
 }
 
 // countInMemory counts numbers at each node by itself; a restarted node begins anew.
--- a/internal/gateway/coordination/golden_test.go
+++ b/internal/gateway/coordination/golden_test.go
@@ -55,14 +55,35 @@
 func goldenMessages() map[string]Message {
 	all := map[string]Message{}
 	for name, c := range goldenCalls() {
-		all["ask "+name] = Message{Request: &ForwardRequest{OriginIncarnation: 1<<63 + 5, Sequence: 1<<31 + 7, Attempt: 29, TargetIncarnation: 1<<62 + 3, Deadline: 77*time.Hour + 9*time.Microsecond, Call: c}}
+		all["ask "+name] = Message{Request: &ForwardRequest{
+			OriginIncarnation: 1<<63 + 5,
+			Sequence:          1<<31 + 7,
+			Attempt:           29,
+			TargetIncarnation: 1<<62 + 3,
+			Deadline:          77*time.Hour + 9*time.Microsecond,
+			Call:              c,
+		}}
 	}
-	answer := Result{Status: StatusLockHeld, FencingToken: 301, Number: 302, Revision: 303, Value: "v\x00",
+	result := Result{Status: StatusLockHeld, FencingToken: 301, Number: 302, Revision: 303, Value: "v\x00",
 		Events: []Event{{"g.a", "x", 302}, {"g.b", "", 303}},
 		Locks:  []LockInfo{{"l1", "worker-1", 300, 1500 * time.Microsecond}, {"l2", "worker-2", 301, time.Hour}}}
-	for name, o := range map[string]AttemptOutcome{"0 done": AttemptDone, "1 refused": AttemptRejected, "2 uncertain": AttemptAmbiguous, "3 undated": AttemptDeadlineInvalid} {
-		all["reply "+name] = Message{Response: &ForwardResponse{OriginIncarnation: 1<<63 + 5, Sequence: 1<<31 + 7, Attempt: 29, Outcome: o, LeaderHint: "10.0.0.1:7001", ResponderIncarnation: 1<<62 + 3,
-			ResponderClock: 5 * time.Hour, Result: answer}}
+	outcomes := map[string]AttemptOutcome{
+		"0 done":      AttemptDone,
+		"1 refused":   AttemptRejected,
+		"2 uncertain": AttemptAmbiguous,
+		"3 undated":   AttemptDeadlineInvalid,
+	}
+	for name, o := range outcomes {
+		all["reply "+name] = Message{Response: &ForwardResponse{
+			OriginIncarnation:    1<<63 + 5,
+			Sequence:             1<<31 + 7,
+			Attempt:              29,
+			Outcome:              o,
+			LeaderHint:           "10.0.0.1:7001",
+			ResponderIncarnation: 1<<62 + 3,
+			ResponderClock:       5 * time.Hour,
+			Result:               result,
+		}}
 	}
 	for i, s := range goldenStatuses() {
 		all[fmt.Sprint("reply with status ", i)] = Message{Response: &ForwardResponse{Result: Result{Status: s}}}
@@ -72,7 +93,8 @@
 
 // goldenStatuses are the statuses by the numbers that are sent and stored.
 func goldenStatuses() []Status {
-	return []Status{StatusOK, StatusLockHeld, StatusLockLost, StatusConflict, StatusNotFound, StatusCompacted, StatusLimitReached, StatusUnavailable, StatusAmbiguous}
+	return []Status{StatusOK, StatusLockHeld, StatusLockLost, StatusConflict, StatusNotFound, StatusCompacted, StatusLimitReached,
+		StatusUnavailable, StatusAmbiguous}
 }
 
 func TestRecordedMessages(t *testing.T) {
@@ -123,7 +145,12 @@
 	files, results, want := recorded(t, "entries"), recorded(t, "results"), goldenLog()
 	must.MapLen(t, len(want), files)
 	must.MapLen(t, len(want), results)
-	statuses := []Status{StatusOK, StatusOK, StatusLockHeld, StatusOK, StatusOK, StatusLockLost, StatusOK, StatusAmbiguous, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusConflict, StatusOK, StatusOK, StatusAmbiguous}
+	statuses := []Status{
+		StatusOK, StatusOK, StatusLockHeld, StatusOK, StatusOK,
+		StatusLockLost, StatusOK, StatusAmbiguous, StatusOK, StatusOK,
+		StatusOK, StatusOK, StatusOK, StatusOK, StatusOK,
+		StatusOK, StatusConflict, StatusOK, StatusOK, StatusAmbiguous,
+	}
 	s := NewState(4 * time.Second)
 	for i, x := range want {
 		name := fmt.Sprint(i)
@@ -155,7 +182,8 @@
 	s := NewState(4 * time.Second)
 	s.logTime, s.lastFencingToken = 77*time.Hour+9*time.Microsecond, 1<<40
 	s.locks = map[string]*lockState{
-		"l1": {holder: "worker-1", fencingToken: 300, expiresAt: 78 * time.Hour, callID: CallID{1<<63 + 5, 1<<31 + 7}, lastAcquireAt: 76 * time.Hour, reacquired: true},
+		"l1": {holder: "worker-1", fencingToken: 300, expiresAt: 78 * time.Hour, callID: CallID{1<<63 + 5, 1<<31 + 7},
+			lastAcquireAt: 76 * time.Hour, reacquired: true},
 		"l2": {holder: "worker-2", fencingToken: 301, expiresAt: 79 * time.Hour, callID: CallID{6, 8}, lastAcquireAt: 77 * time.Hour},
 	}
 	s.retiredCalls = []retiredCall{{CallID{9, 10}, 75 * time.Hour}, {CallID{1<<63 + 11, 12}, 76 * time.Hour}}
--- a/internal/gateway/coordination/keys.go
+++ b/internal/gateway/coordination/keys.go
@@ -54,33 +54,18 @@
 	return keyTable{groups: map[string]*keyGroup{}, putRevisions: map[putDigest]uint64{}}
 }
 
-// put puts a value. A put that is repeated gets the revision of the first one. This is looked up before the expected revision is
-// compared, since the first one has changed the key's revision.
+// put puts a value.
 func (s *State) put(c *Call) Result {
 	name := groups.KeyGroup(c.Name)
 	g := s.keys.groups[name]
 	if g == nil {
 		g = &keyGroup{keys: map[string]keyValue{}}
 	}
-	current, exists := g.keys[c.Name]
-	conflicts := c.Conditional && c.ExpectedRevision != current.revision && !s.knobs.IgnoreExpectedRevision
-	if s.knobs.CompareRevisionFirst && conflicts {
-		return Result{Status: StatusConflict, Revision: current.revision}
-	}
 	digest := newPutDigest(c.Name, c.Value)
-	if first, repeated := s.keys.putRevisions[digest]; repeated && !s.knobs.RepeatPuts {
-		return Result{Revision: first}
-	}
-	// The digest of the key's present value may have been dropped.
-	if exists && current.value == c.Value && !s.knobs.RepeatPuts {
-		return Result{Revision: current.revision}
-	}
-	if conflicts {
-		if s.knobs.ConflictShowsGroupRevision {
-			return Result{Status: StatusConflict, Revision: g.revision}
-		}
-		return Result{Status: StatusConflict, Revision: current.revision}
+	if result, ended := s.answerWithoutPut(c, g, digest); ended {
+		return result
 	}
+	current, exists := g.keys[c.Name]
 	addedBytes := len(c.Value) - len(current.value)
 	if !exists {
 		addedBytes += len(c.Name) + eventOverhead
@@ -98,6 +83,30 @@
 	return Result{Revision: g.revision}
 }
 
+// answerWithoutPut ends a put that is a copy of an earlier one, or that conflicts. A copy gets the revision of the first put. It is looked for
+// before the expected revision is compared, since the first put has changed the key's revision.
+func (s *State) answerWithoutPut(c *Call, g *keyGroup, digest putDigest) (result Result, ended bool) {
+	current, exists := g.keys[c.Name]
+	conflict := Result{Status: StatusConflict, Revision: current.revision}
+	if s.knobs.ConflictShowsGroupRevision {
+		conflict.Revision = g.revision
+	}
+	conflicts := c.Conditional && c.ExpectedRevision != current.revision && !s.knobs.IgnoreExpectedRevision
+	if conflicts && s.knobs.CompareRevisionFirst {
+		return conflict, true
+	}
+	if !s.knobs.RepeatPuts {
+		if first, repeated := s.keys.putRevisions[digest]; repeated {
+			return Result{Revision: first}, true
+		}
+		// The digest of the put that gave the key its present value may have been dropped.
+		if exists && current.value == c.Value {
+			return Result{Revision: current.revision}, true
+		}
+	}
+	return conflict, conflicts
+}
+
 // rememberPut keeps a put's revision for when the put is repeated, and forgets the oldest one if there are too many.
 func (k *keyTable) rememberPut(d putDigest, revision uint64) {
 	if len(k.putOrder) >= maxRememberedPuts {
--- a/internal/gateway/coordination/watch_parked.go
+++ b/internal/gateway/coordination/watch_parked.go
@@ -92,8 +92,8 @@
 	})
 }
 
-// NotifyWatchers answers the parked watches of key groups that were put. The node calls it at the end of each turn, so that one answer holds
-// all events of the turn.
+// NotifyWatchers answers the parked watches of key groups that were put. The node calls it at the end of each turn, so that one answer
+// holds all events of the turn.
 func (s *Service) NotifyWatchers() {
 	for len(s.changedKeyGroups) > 0 {
 		keyGroup := s.changedKeyGroups[0]
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -81,14 +81,14 @@
 	}
 	ambiguous := false
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
-		response, err := c.attempt(ctx, r, body)
-		if err == nil && response.isDefinite() {
-			if err = response.error(); err != nil || into == nil {
+		answer, err := c.attempt(ctx, r, body)
+		if err == nil && answer.isDefinite() {
+			if err = answer.error(); err != nil || into == nil {
 				return err
 			}
-			return response.decode(into)
+			return answer.decode(into)
 		}
-		ambiguous = ambiguous || err != nil || !response.hadNoEffect()
+		ambiguous = ambiguous || err != nil || !answer.hadNoEffect()
 		if !sleep(ctx, backoff) {
 			if ambiguous && r.method != http.MethodGet {
 				return ErrUnclear
