--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -30,7 +30,7 @@
 	must.NoError(t, err)
 	b, err := io.ReadAll(z)
 	must.NoError(t, err)
-	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), b, 0o600))
+	must.NoError(t, os.WriteFile(filepath.Join(dir, formerFileName), b, 0o600))
 	return dir
 }
 
@@ -98,9 +98,10 @@
 	}
 )
 
-// asBefore reads a file as the version before does.
+// asBefore reads a file as the version before does, once it has its former name again: see "Two versions side by side" in docs/state.md.
 func asBefore(t *testing.T, dir string) (all pastAll) {
 	decode := func(b []byte, v any) { must.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(v)) }
+	must.NoError(t, os.Rename(filepath.Join(dir, "replicas.db"), filepath.Join(dir, "promptbook.db")))
 	db, err := bbolt.Open(filepath.Join(dir, "promptbook.db"), 0o600, &bbolt.Options{ReadOnly: true})
 	must.NoError(t, err)
 	defer db.Close()
@@ -125,9 +126,9 @@
 
 // A disk that the version before has written is read whole, and its state folds to what it told when it was written.
 func TestFileOfTheVersionBefore(t *testing.T) {
-	b, kept, err := Open(pastFile(t))
+	store, kept, err := Open(pastFile(t))
 	must.NoError(t, err)
-	defer b.Close()
+	defer store.Close()
 	must.Eq(t, 0x90d0564f83, kept.ID)
 	must.Eq(t, 64, kept.Snapshot.Index)
 	must.SliceLen(t, 3, kept.Snapshot.Members)
@@ -144,8 +145,8 @@
 	must.SliceLen(t, 3, machine.Slots())
 	must.SliceLen(t, 1, machine.Rollouts.Runs())
 	must.Eq(t, "s", machine.Rollouts.Runs()[0].Order.Service)
-	var records []registry.Record
-	must.NoError(t, gob.NewDecoder(bytes.NewReader(b.SoftState())).Decode(&records))
+	var records []registry.WireRecord
+	must.NoError(t, gob.NewDecoder(bytes.NewReader(store.SoftState())).Decode(&records))
 	must.SliceLen(t, 9, records)
 	must.Eq(t, "i-0", records[0].ID)
 }
@@ -157,7 +158,7 @@
 	must.NoError(t, err)
 	note := past.SoftState()
 	must.NoError(t, past.Close())
-	var records []registry.Record
+	var records []registry.WireRecord
 	must.NoError(t, gob.NewDecoder(bytes.NewReader(note)).Decode(&records))
 	machine, err := statemachine.Restore(kept.Snapshot.State)
 	must.NoError(t, err)
@@ -165,7 +166,7 @@
 	now, _, err := Open(to)
 	must.NoError(t, err)
 	now.memberID = kept.ID
-	must.NoError(t, now.WriteConfigurationLog([]replication.Write{{ClusterID: kept.ClusterID, Term: kept.Term, Vote: kept.Vote, Commit: kept.Commit,
+	must.NoError(t, writeConfiguration(now, []replication.Write{{ClusterID: kept.ClusterID, Term: kept.Term, Vote: kept.Vote, Commit: kept.Commit,
 		Snapshot: &kept.Snapshot, FirstIndex: kept.Snapshot.Index + 1, Entries: kept.Entries}}))
 	var b bytes.Buffer
 	must.NoError(t, gob.NewEncoder(&b).Encode(records))
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -1,10 +1,8 @@
 package node
 
 import (
-	"maps"
 	"net"
 	"net/netip"
-	"slices"
 	"strconv"
 
 	"clovergap/control"
@@ -33,9 +31,10 @@
 	}
 	switch {
 	case f.Hello != nil:
-		n.roster.HandleHello(from, *f.Hello)
-		n.chunked.supportedBy[from] = f.Hello.Parts
-		n.resendBootstrap(from, f.Hello.Door)
+		hello := f.Hello.Hello()
+		n.roster.HandleHello(from, hello)
+		n.calls.chunks.supportedBy[from] = hello.ChunkedCalls
+		n.resendBootstrap(from, hello.Node)
 	case f.Ping != nil:
 		n.upstreamReports[from] = upstreamReport{n.loop.Now(), f.Ping.Stale, f.Ping.Index, f.Ping.View}
 		if f.Ping.Lives != nil && (n.core != nil || from == n.upstream) {
@@ -60,20 +59,20 @@
 	case f.Board != nil && n.registry != nil:
 		if s := n.roster.Slot(from); s != membership.NoSlot {
 			n.registry.Tick(n.loop.Now())
-			n.registry.Receive(registry.Slot(s), *f.Board)
+			n.registry.Receive(registry.Slot(s), f.Board.Message())
 		}
 	case f.Follow != nil:
 		n.receiveStreamRequest(from, f.Follow)
 	case f.Feed != nil:
 		n.receiveStream(from, f.Feed)
 	case f.Call != nil:
-		n.receiveCall(from, f.Call)
+		n.calls.receiveCall(from, f.Call)
 	case f.Reply != nil:
-		n.receiveReply(from, f.Reply)
+		n.calls.receiveReply(from, f.Reply)
 	case f.Part != nil:
-		n.receiveChunk(from, f.Part)
+		n.calls.chunks.receive(from, f.Part)
 	case f.Rollout != nil:
-		n.receiveRolloutMessage(from, f.Rollout)
+		n.rollouts.receive(from, f.Rollout)
 	case f.Coordination != nil:
 		n.receiveCoordination(from, f.Coordination)
 	}
@@ -116,19 +115,12 @@
 	delete(n.learners, to)
 	delete(n.learnerClocks, to)
 	n.coordination.PeerDisconnected(to)
-	for _, nr := range slices.Sorted(maps.Keys(n.pendingCalls)) {
-		if c := n.pendingCalls[nr]; c.sentTo == to { // it may have been taken: the same again is answered as the first was
-			c.ambiguous = c.ambiguous || n.mayBeReceived(c, nr)
-			n.cancelTransfer(to, nr)
-			c.sentTo, c.retryAt = "", n.loop.Now()+callRetryInterval
-			n.loop.At(c.retryAt, (*callTimer)(n), nr)
-		}
-	}
+	n.calls.linkDown(to)
 }
 
 // resendBootstrap hands the founding to a founder that missed it: who began it may have died before the word reached the others.
 func (n *Node) resendBootstrap(addr string, d membership.Node) {
-	if n.core == nil || d.Founded || d.Disk == 0 {
+	if n.core == nil || d.Bootstrapped || d.Disk == 0 {
 		return
 	}
 	founders := n.core.replica.BootstrapMembers()
@@ -144,7 +136,7 @@
 func (c *core) abandonLoneBootstrap() {
 	founders := c.replica.BootstrapMembers()
 	for _, m := range founders {
-		if d, ok := c.node.roster.Node(m.Addr); m.ID != c.self.ID && (!ok || !c.node.roster.Live(m.Addr) || d.Disk == 0 || d.Founded ||
+		if d, ok := c.node.roster.Node(m.Addr); m.ID != c.self.ID && (!ok || !c.node.roster.Live(m.Addr) || d.Disk == 0 || d.Bootstrapped ||
 			replication.MemberID(d.Disk) == m.ID || c.node.memberAddr(replication.Member{ID: m.ID}) != "") {
 			return
 		}
@@ -185,8 +177,8 @@
 			n.links.Disconnect(a.Addr)
 		case membership.SendHello:
 			hello := n.roster.HelloTo(a.Addr)
-			hello.Parts = true
-			n.links.Send(a.Addr, &Frame{Hello: &hello})
+			hello.ChunkedCalls = true
+			n.links.Send(a.Addr, &Frame{Hello: hello.Wire()})
 		case membership.Bootstrap:
 			members := founderMembers(a.Founders)
 			if a.Addr == n.peerAddr {
@@ -307,8 +299,7 @@
 		switch a := a.(type) {
 		case registry.Send:
 			if s, ok := n.roster.SlotHolderAt(membership.Slot(a.Target)); ok {
-				m := a.Message
-				n.links.Send(s.Addr, &Frame{Board: &m})
+				n.links.Send(s.Addr, &Frame{Board: a.Message.Wire()})
 			}
 		case registry.Changed:
 			n.registryDirty = true
