--- a/internal/gateway/coordination/call.go
+++ b/internal/gateway/coordination/call.go
@@ -70,7 +70,7 @@
 	return groups.GroupOf(c.Name)
 }
 
-// isReadOnly tells whether a call changes nothing, so that giving it up is never ambiguous.
+// isReadOnly reports whether a call changes nothing, so that giving it up is never ambiguous.
 func (c *Call) isReadOnly() bool {
 	switch c.Operation {
 	case KeyRead, KeyWatch, LockRead, LockList:
@@ -79,7 +79,7 @@
 	return false
 }
 
-// Status tells how a call ended. The numbers are sent between nodes; they must not change.
+// Status is how a call ended. The numbers are sent between nodes; they must not change.
 type Status uint8
 
 // The statuses, with what they promise. Package controlapi maps them to HTTP status codes.
--- a/internal/gateway/coordination/codec.go
+++ b/internal/gateway/coordination/codec.go
@@ -9,9 +9,9 @@
 
 // Errors of decoding entries, snapshots and messages.
 var (
-	// ErrTruncated tells of bytes that end too early.
+	// ErrTruncated is returned for data that ends too early.
 	ErrTruncated = errors.New("coordination: data ends too early")
-	// ErrUnknownVersion tells of data that another version of the program wrote, in a form that this one does not know.
+	// ErrUnknownVersion is returned for data that another version of the program wrote, in a form that this one does not know.
 	ErrUnknownVersion = errors.New("coordination: unknown version of data")
 )
 
--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -17,7 +17,7 @@
 	faultsEnded bool
 }
 
-// newDay draws a day from a seed. knobs take defences away at all nodes.
+// newDay draws a day from a seed. knobs remove defences at all nodes.
 func newDay(seed uint64, knobs coordination.TestingKnobs) *day {
 	d := &day{cluster: newCluster(seed, 5, knobs)}
 	d.callers = callers.Start(d, d.rng, callers.Config{Lockers: 6, MaxWatcherPause: testHistory, LongTTLs: true})
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -264,7 +264,7 @@
 	t.Logf("%d states in %v", len(x.seen), time.Since(began).Round(time.Millisecond))
 }
 
-// The explorer notices each defence that is taken away and that days notice only by chance.
+// The explorer notices the removal of each defence that days notice only by chance.
 func TestExploreNoticesFaults(t *testing.T) {
 	for name, knobs := range faultsOfOrders {
 		began := time.Now()
--- a/internal/gateway/coordination/faultdays_test.go
+++ b/internal/gateway/coordination/faultdays_test.go
@@ -45,7 +45,7 @@
 	t.Logf("%d days, %d calls", days, calls)
 }
 
-// The days notice each defence that is taken away; TestExploreNoticesFaults has those that are about rare orders.
+// The days notice the removal of each defence; TestExploreNoticesFaults has those that are about rare orders.
 func TestDaysNoticeFaults(t *testing.T) {
 	for name, knobs := range faultsOfDays() {
 		began, found := time.Now(), ""
--- a/internal/gateway/coordination/faults_test.go
+++ b/internal/gateway/coordination/faults_test.go
@@ -2,7 +2,7 @@
 
 import "clovergap/internal/gateway/coordination"
 
-// faultsOfDays are the defences, taken away one at a time, that TestDaysNoticeFaults must notice.
+// faultsOfDays are the defences, removed one at a time, whose absence TestDaysNoticeFaults must notice.
 func faultsOfDays() map[string]coordination.TestingKnobs {
 	return map[string]coordination.TestingKnobs{
 		"the next holder gets the same fencing token": {ReuseFencingToken: true},
@@ -25,7 +25,7 @@
 	}
 }
 
-// faultsOfOrders are those that TestExploreNoticesFaults must notice: they show in rare orders of a few calls.
+// faultsOfOrders are those whose absence TestExploreNoticesFaults must notice: they show in rare orders of a few calls.
 var faultsOfOrders = map[string]coordination.TestingKnobs{
 	"any fencing token counts":                         {AcceptAnyFencingToken: true},
 	"a stale release frees a lock that was reacquired": {AcceptStaleRelease: true},
--- a/internal/gateway/coordination/forward.go
+++ b/internal/gateway/coordination/forward.go
@@ -31,7 +31,7 @@
 	return attempt
 }
 
-// closeAttempt notes that an attempt had no effect and never will.
+// closeAttempt records that an attempt had no effect and never will.
 func (p *pendingCall) closeAttempt(attempt uint8) { p.openAttempts &^= 1 << attempt }
 
 // remoteClock is what is known of another node's monotonic clock.
@@ -219,7 +219,7 @@
 	}
 }
 
-// targetIsStale tells whether another node than the newest attempt's target is known to lead by now.
+// targetIsStale reports whether another node than the newest attempt's target is known to lead by now.
 func (s *Service) targetIsStale(p *pendingCall) bool {
 	if p.target == "" {
 		return false
--- a/internal/gateway/coordination/leader.go
+++ b/internal/gateway/coordination/leader.go
@@ -76,7 +76,7 @@
 	return max(g.state.logTime, g.anchorLogTime+s.host.Now()-g.anchoredAt)
 }
 
-// isLeader tells whether this node leads a group, as far as it knows. Another one may lead by now.
+// isLeader reports whether this node leads a group, as far as it knows. Another one may lead by now.
 func (s *Service) isLeader(id groups.ID) bool {
 	if s.hosted[id].state == nil || !s.hosted[id].isLeader {
 		return false
--- a/internal/gateway/coordination/limits.go
+++ b/internal/gateway/coordination/limits.go
@@ -59,7 +59,7 @@
 	// retiredCallRetention is longer than any copy of a call can be on its way: at most maxInputDelay and callTimeout.
 	retiredCallRetention = 4 * time.Second
 	// staleReleaseWindow is also longer than that. A release that comes within it after the holder acquired the lock again may have
-	// been sent before: the holder keeps its fencing token, so nothing tells the two apart. Such a release frees nothing, and the
+	// been sent before: the holder keeps its fencing token, so nothing distinguishes the two. Such a release frees nothing, and the
 	// lock is free when its lease expires; to free it under a holder that goes on would be worse.
 	staleReleaseWindow = 1200 * time.Millisecond
 )
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -23,7 +23,7 @@
 	retiredAt time.Duration // log time
 }
 
-// isFree tells whether no caller may hold a lock; l is nil for one without state.
+// isFree reports whether no caller may hold a lock; l is nil for one without state.
 func (s *State) isFree(l *lockState) bool { return l == nil || s.logTime >= l.expiresAt }
 
 // acquire gives a lock to a holder if it is free, or extends the holder's lease.
@@ -102,12 +102,12 @@
 	return Result{}
 }
 
-// mayBeStaleRelease tells whether a release may have been sent before its holder acquired the lock again, see staleReleaseWindow.
+// mayBeStaleRelease reports whether a release may have been sent before its holder acquired the lock again, see staleReleaseWindow.
 func (s *State) mayBeStaleRelease(l *lockState) bool {
 	return l.reacquired && s.logTime-l.lastAcquireAt < staleReleaseWindow && !s.isFree(l) && !s.knobs.AcceptStaleRelease
 }
 
-// isLeaseHolder tells whether a call comes from a lock's holder and is about its present lease.
+// isLeaseHolder reports whether a call comes from a lock's holder and is about its present lease.
 func (s *State) isLeaseHolder(l *lockState, c *Call) bool {
 	return l.holder == c.Holder && (l.fencingToken == c.FencingToken || s.knobs.AcceptAnyFencingToken)
 }
@@ -125,14 +125,14 @@
 	return !s.knobs.AcceptRetiredCall && slices.ContainsFunc(s.retiredCalls, func(r retiredCall) bool { return r.callID == id })
 }
 
-// removeExpiredLocks forgets locks whose lease has expired, and tells whether there were any.
+// removeExpiredLocks forgets locks whose lease has expired, and reports whether there were any.
 func (s *State) removeExpiredLocks() bool {
 	before := len(s.locks)
 	maps.DeleteFunc(s.locks, func(_ string, l *lockState) bool { return s.isFree(l) })
 	return len(s.locks) < before
 }
 
-// isLockedByOther tells whether a lock is held by another holder at a log time, which may be ahead of the newest entry's.
+// isLockedByOther reports whether a lock is held by another holder at a log time, which may be ahead of the newest entry's.
 func (s *State) isLockedByOther(name, holder string, at time.Duration) bool {
 	l := s.locks[name]
 	return l != nil && l.holder != holder && max(at, s.logTime) < l.expiresAt
--- a/internal/gateway/coordination/message.go
+++ b/internal/gateway/coordination/message.go
@@ -32,7 +32,7 @@
 	Result               Result        // with AttemptDone
 }
 
-// AttemptOutcome tells how one attempt ended. The numbers are sent between nodes; they must not change.
+// AttemptOutcome is how one attempt ended. The numbers are sent between nodes; they must not change.
 type AttemptOutcome uint8
 
 // The outcomes of an attempt.
--- a/internal/gateway/coordination/service.go
+++ b/internal/gateway/coordination/service.go
@@ -16,7 +16,7 @@
 	ScheduleAt(at time.Duration, sequence uint32)
 	// InputDelay is how long the input of this turn may have been unread, since the process was stopped.
 	InputDelay() time.Duration
-	// HasQuorumContact tells whether this node had recent contact with a majority. Without it calls end at once, so that callers turn
+	// HasQuorumContact reports whether this node had recent contact with a majority. Without it calls end at once, so that callers turn
 	// to another node.
 	HasQuorumContact() bool
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// Live tells whether a sequence number's timer is still of interest.
+// Live reports whether a sequence number's timer is still of interest.
 func (s *Service) Live(sequence uint32) bool {
 	return s.pending[sequence] != nil || s.parkedWatches[sequence] != nil
 }
--- a/internal/gateway/coordination/status.go
+++ b/internal/gateway/coordination/status.go
@@ -32,7 +32,7 @@
 	HistoryBytes int
 }
 
-// Status tells what the service holds.
+// Status is what the service holds, and its counters.
 func (s *Service) Status() ServiceStatus {
 	status := ServiceStatus{
 		Counters:      s.counters,
--- a/internal/gateway/coordination/testing_knobs.go
+++ b/internal/gateway/coordination/testing_knobs.go
@@ -1,6 +1,6 @@
 package coordination
 
-// TestingKnobs each take one defence away, so that tests can show that they notice its absence. All are off in production: nothing but
+// TestingKnobs each remove one defence, so that tests can show that they notice its absence. All are off in production: nothing but
 // tests sets Config.TestingKnobs.
 type TestingKnobs struct {
 	// Locks.
--- a/internal/gateway/coordination/watch_parked.go
+++ b/internal/gateway/coordination/watch_parked.go
@@ -47,7 +47,7 @@
 	s.park(w)
 }
 
-// endsWatch tells whether a watch need not wait any longer.
+// endsWatch reports whether a watch need not wait any longer.
 func (r *Result) endsWatch() bool { return r.Status != StatusOK || len(r.Events) > 0 }
 
 func (s *Service) park(w *parkedWatch) {
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -108,7 +108,7 @@
 	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
 }
 
-// shouldRetry tells whether a call is worth sending again.
+// shouldRetry reports whether a caller sends a call again.
 func shouldRetry(r *callhistory.Record) bool {
 	return !r.IsDefinite() || r.Result.Status == coordination.StatusUnavailable || r.Result.Status == coordination.StatusLimitReached
 }
--- a/internal/lab/callhistory/history.go
+++ b/internal/lab/callhistory/history.go
@@ -19,15 +19,15 @@
 	Result coordination.Result
 }
 
-// IsDefinite tells whether the call got an answer that says what became of it.
+// IsDefinite reports whether the call got an answer that says what became of it.
 func (r *Record) IsDefinite() bool {
 	return r.Ended != Never && r.Result.Status != coordination.StatusAmbiguous
 }
 
-// Succeeded tells whether the call was done.
+// Succeeded reports whether the call was done.
 func (r *Record) Succeeded() bool { return r.IsDefinite() && r.Result.Status == coordination.StatusOK }
 
-// endedBefore tells whether the call had ended when another one was sent.
+// endedBefore reports whether the call had ended when another one was sent.
 func (r *Record) endedBefore(other *Record) bool { return r.Ended != Never && r.Ended < other.Sent }
 
 // String describes the call in a violation's text.
--- a/internal/lab/callhistory/keys.go
+++ b/internal/lab/callhistory/keys.go
@@ -8,7 +8,7 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// checkKeys checks ORDER, STALE, MIXED and REFUSED of keys. What watches and reads show is collected first, since it may tell the revision
+// checkKeys checks ORDER, STALE, MIXED and REFUSED of keys. What watches and reads show is collected first, since it may show the revision
 // of a put without an answer.
 func (c *checker) checkKeys() {
 	c.collectPuts()
--- a/internal/lab/callhistory/puts.go
+++ b/internal/lab/callhistory/puts.go
@@ -79,7 +79,7 @@
 	return byKey
 }
 
-// observeWatches notes the puts that watches showed.
+// observeWatches records the puts that watches showed.
 func (c *checker) observeWatches() {
 	byGroup := c.recordsByName[coordination.KeyWatch]
 	for _, group := range sortedNames(byGroup) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// recordObserved notes that a call showed a value with a revision, and checks that it may: MIXED and REFUSED.
+// recordObserved records that a call showed a value with a revision, and checks that it may: MIXED and REFUSED.
 func (c *checker) recordObserved(by *Record, key, value string, revision uint64) {
 	p := c.puts[putKey(key, value)]
 	if p == nil {
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -57,12 +57,12 @@
 	body   []byte
 }
 
-// isDefinite tells whether a response ends the call. Otherwise another node is asked.
+// isDefinite reports whether a response ends the call. Otherwise another node is asked.
 func (r *response) isDefinite() bool {
 	return r.status/100 != 5 && r.status != http.StatusTooManyRequests
 }
 
-// hadNoEffect tells whether a node promised that the attempt did nothing and never will.
+// hadNoEffect reports whether a node promised that the attempt did nothing and never will.
 func (r *response) hadNoEffect() bool {
 	return r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests
 }
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -59,7 +59,7 @@
 	return ctx
 }
 
-// Each status code is the error that tells what the gateway promises.
+// Each status code is the error that stands for the gateway's promise.
 func TestErrors(t *testing.T) {
 	for status, want := range map[int]error{404: ErrNotFound, 410: ErrCompacted, 409: ErrHeld, 400: ErrInvalid} {
 		_, c := newFakeNode(t, func(string, string) (int, string) { return status, "" })
@@ -129,7 +129,7 @@
 	}
 }
 
-// A finished session renews no more, and tells why it ended.
+// A finished session renews no more, and its context has the cause.
 func TestFinish(t *testing.T) {
 	n, c := newFakeNode(t, func(path, _ string) (int, string) {
 		if strings.Contains(path, "Begin") {
--- a/pkg/coordination/doc.go
+++ b/pkg/coordination/doc.go
@@ -1,11 +1,6 @@
 // Package coordination is the Go client of the gateway's coordination calls: locks with leases, elections, numbers, small keys and
 // watches.
 //
-//	client, err := coordination.New("10.0.0.1:7003", "10.0.0.2:7003")
-//	lock, err := client.Lock(ctx, "jobs/cleanup", hostname, 10*time.Second)
-//	defer lock.Finish(ctx)
-//	work(lock.Context(), lock.Fence())
-//
 // # Terms
 //
 //   - Lease: the time for which a lock is held. A Session renews it, and ends by itself before the lock becomes free for others.
@@ -20,7 +15,7 @@
 // therefore arrive twice; the gateway recognizes copies, so they take effect once. Put a value only once to a key: the same value
 // again is taken for the same put.
 //
-// Errors can be told apart by errors.Is and errors.As. ErrHeld, ErrNotFound, ErrUnavailable and ConflictError promise that the call had
+// Errors are distinguished by errors.Is and errors.As. ErrHeld, ErrNotFound, ErrUnavailable and ConflictError promise that the call had
 // no effect and never will. ErrUnclear means that it may have had one, or still may.
 //
 // A Client may be used by several goroutines at once.
--- a/pkg/coordination/errors.go
+++ b/pkg/coordination/errors.go
@@ -12,7 +12,7 @@
 var (
 	// ErrHeld is returned by Lock while another holder may hold the lock.
 	ErrHeld = errors.New("another may hold the lock")
-	// ErrLost is the cause with which a Session's context ends when its lease has expired, or a node said so.
+	// ErrLost is the cause with which a Session's context ends when its lease has expired, or a node reported it lost.
 	ErrLost = errors.New("the lock is lost")
 	// ErrFinished is the cause with which a Session's context ends after Finish.
 	ErrFinished = errors.New("the lock was given back")
@@ -21,15 +21,15 @@
 	// ErrCompacted is returned by Watch for a revision below the history that is kept. The caller reads the keys anew, and watches from
 	// the current revision on.
 	ErrCompacted = errors.New("the history does not reach back so far")
-	// ErrInvalid tells that the call itself is wrong: too long a name, a lease of no time. The wrapping error has the node's reason.
+	// ErrInvalid means that the call itself is wrong: too long a name, a lease of no time. The wrapping error has the node's reason.
 	ErrInvalid = errors.New("the call is wrong")
-	// ErrUnavailable tells that no node could serve the call until the context ended. It had no effect.
+	// ErrUnavailable means that no node could serve the call until the context ended. It had no effect.
 	ErrUnavailable = errors.New("no node could take the call; nothing was done")
-	// ErrUnclear tells that the call may have taken effect, or may still do so.
+	// ErrUnclear means that the call may have taken effect, or may still do so.
 	ErrUnclear = errors.New("the call may have taken effect, or may still")
 )
 
-// ConflictError tells that a key has another revision than a put expected. It had no effect.
+// ConflictError means that a key has another revision than a put expected. It had no effect.
 type ConflictError struct {
 	Revision uint64 // that the key has; 0: it was never put
 }
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -85,7 +85,7 @@
 // Fence is the fencing token: above that of every holder before.
 func (s *Session) Fence() uint64 { return s.fencingToken }
 
-// Context ends when the session does. context.Cause tells why: ErrLost, ErrFinished, or the cause of the context given to Lock.
+// Context ends when the session does. context.Cause gives the reason: ErrLost, ErrFinished, or the cause of the context given to Lock.
 func (s *Session) Context() context.Context { return s.ctx }
 
 // extend sets when the lease expires. False: the session has ended, or would at once.
