--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -57,12 +57,12 @@
 	body   []byte
 }
 
-// isDefinite tells whether a response ends the call. Otherwise another node is asked.
+// isDefinite reports whether a response ends the call. Otherwise another node is asked.
 func (r *response) isDefinite() bool {
 	return r.status/100 != 5 && r.status != http.StatusTooManyRequests
 }
 
-// hadNoEffect tells whether a node promised that the attempt did nothing and never will.
+// hadNoEffect reports whether a node promised that the attempt did nothing and never will.
 func (r *response) hadNoEffect() bool {
 	return r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests
 }
@@ -81,14 +81,14 @@
 	}
 	ambiguous := false
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
-		response, err := c.attempt(ctx, r, body)
-		if err == nil && response.isDefinite() {
-			if err = response.error(); err != nil || into == nil {
+		answer, err := c.attempt(ctx, r, body)
+		if err == nil && answer.isDefinite() {
+			if err = answer.error(); err != nil || into == nil {
 				return err
 			}
-			return response.decode(into)
+			return answer.decode(into)
 		}
-		ambiguous = ambiguous || err != nil || !response.hadNoEffect()
+		ambiguous = ambiguous || err != nil || !answer.hadNoEffect()
 		if !sleep(ctx, backoff) {
 			if ambiguous && r.method != http.MethodGet {
 				return ErrUnclear
