--- a/internal/gateway/node/backend_registry.go
+++ b/internal/gateway/node/backend_registry.go
@@ -3,48 +3,75 @@
 import (
 	"bytes"
 	"encoding/gob"
+	"time"
 
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 )
 
-// pendingHeartbeat is a backend's call that waits for its acknowledgement, and what that takes of this node.
+// softStateInterval is the least time between two writes of the registry beside the log. It is a help after the loss of all nodes, and
+// nothing rests on it.
+const softStateInterval = 500 * time.Millisecond
+
+// registryHost is what a node keeps for its registry of backends.
+type registryHost struct {
+	timerSeq uint32
+	unsaved  bool // it changed since it was last saved
+	savedAt  time.Duration
+	pending  map[registry.Ticket]pendingHeartbeat
+}
+
+// pendingHeartbeat is a backend's call that waits for its acknowledgement.
 type pendingHeartbeat struct {
-	permission quorumcontact.Permission
-	answer     func(ok bool, target string)
+	permission quorumcontact.Permission // required when the call is acknowledged
+	done       func(ok bool, ownerAddr string)
 }
 
-// Heartbeat takes what a backend says of itself; before this node has a slot another one may take it. Without word of a majority it is
-// noted here, and left for another node to acknowledge, which can tell the others.
-func (n *Node) Heartbeat(w registry.Record, then func(ok bool, target string)) {
+// Heartbeat takes a backend's heartbeat. done is called in this turn or a later one: ok is an acknowledgement, else another node may give
+// it; ownerAddr is where the backend's next heartbeats are best sent, "" anywhere. Without contact with a majority the heartbeat is
+// recorded here, and left to another node to acknowledge, which can spread it.
+func (n *Node) Heartbeat(r registry.Record, done func(ok bool, ownerAddr string)) {
 	p := quorumcontact.AcknowledgeBackend
-	if w.Phase == registry.Draining {
+	if r.Phase == registry.Draining {
 		p = quorumcontact.AcknowledgeDrain
 	}
-	n.awaitAcknowledgement(p, then, func() registry.Ticket { return n.registry.Heartbeat(w) })
+	n.awaitAcknowledgement(p, done, func() registry.Ticket { return n.registry.Heartbeat(r) })
 }
 
-// Deregister takes a backend's last word.
-func (n *Node) Deregister(id string, then func(ok bool, target string)) {
-	n.awaitAcknowledgement(quorumcontact.AcknowledgeDrain, then, func() registry.Ticket { return n.registry.Deregister(id, 0) })
+// Deregister takes the end of a backend. done is as for Heartbeat.
+func (n *Node) Deregister(id string, done func(ok bool, ownerAddr string)) {
+	n.awaitAcknowledgement(quorumcontact.AcknowledgeDrain, done, func() registry.Ticket { return n.registry.Deregister(id, 0) })
 }
 
-func (n *Node) awaitAcknowledgement(p quorumcontact.Permission, then func(ok bool, target string), note func() registry.Ticket) {
-	if n.registry == nil {
-		then(false, "")
+// awaitAcknowledgement hands a call to the registry, and calls done when the registry acknowledges it, if the permission holds both now
+// and then.
+func (n *Node) awaitAcknowledgement(p quorumcontact.Permission, done func(ok bool, ownerAddr string), submit func() registry.Ticket) {
+	if n.registry == nil { // before the node has a slot
+		done(false, "")
 		return
 	}
 	n.registry.Tick(n.loop.Now())
-	ticket := note()
+	ticket := submit()
 	if !n.permitted(p) {
-		then(false, "")
+		done(false, "")
 		return
 	}
-	n.pendingHeartbeats[ticket] = pendingHeartbeat{p, then}
+	n.registryHost.pending[ticket] = pendingHeartbeat{p, done}
 }
 
-// minDrainCopies is at how many nodes with a disk the end of a backend is to be before it is acknowledged.
+// openRegistry begins the registry, once this node has one of so many slots.
+func (n *Node) openRegistry(self membership.Slot, slots int) {
+	n.registry = registry.New(registry.Slot(self), registry.Config{HeartbeatInterval: n.settings.HeartbeatInterval,
+		MinCopies: n.minDrainCopies(), Incarnation: uint32(n.incarnation)}, n.loop.Now())
+	n.logInfo(nodePart).Int("slot", int(self)).Int("slots", slots).Msg("slot assigned")
+	if n.core != nil {
+		n.restoreRegistry()
+	}
+}
+
+// minDrainCopies is the number of nodes with a disk that must have the end of a backend before it is acknowledged: one survives the
+// losses that are tolerated.
 func (n *Node) minDrainCopies() int {
 	if n.knobs.AckDrainWithoutCopies {
 		return 0
@@ -52,7 +79,7 @@
 	return n.settings.Tolerance.Machines + 1
 }
 
-// syncRegistryTo tells a node of the backends.
+// syncRegistryTo sends a node all backends.
 func (n *Node) syncRegistryTo(addr string) {
 	if s := n.roster.Slot(addr); s != membership.NoSlot && n.registry != nil {
 		n.registry.Tick(n.loop.Now())
@@ -68,29 +95,53 @@
 	}
 }
 
-// saveRegistry has the registry kept beside the log, where it changed, now and then.
-func (c *core) saveRegistry() {
-	now := c.node.loop.Now()
-	if !c.node.registryDirty || now-c.softStateSavedAt < softStateInterval || c.node.registry == nil {
+// receiveRegistry takes another node's message.
+func (n *Node) receiveRegistry(from string, m *registry.Message) {
+	if s := n.roster.Slot(from); s != membership.NoSlot {
+		n.registry.Tick(n.loop.Now())
+		n.registry.Receive(registry.Slot(s), *m)
+	}
+}
+
+// saveRegistry has the registry stored beside the log, if it changed, each softStateInterval.
+func (n *Node) saveRegistry() {
+	now, host := n.loop.Now(), &n.registryHost
+	if !host.unsaved || now-host.savedAt < softStateInterval || n.registry == nil {
 		return
 	}
-	c.node.registryDirty, c.softStateSavedAt = false, now
-	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(c.node.registry.Backends()) // of texts and numbers: it can't fail
-	c.disk.softState = b.Bytes()
+	host.unsaved, host.savedAt = false, now
+	n.core.disk.softState = encodeBackends(n.registry.Backends())
 }
 
-// loadRegistry gives the registry what was kept of it.
-func (c *core) loadRegistry() {
-	var records []registry.Record
-	if noted := c.disk.disk.SoftState(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&records) == nil {
-		c.node.registry.Tick(c.node.loop.Now())
-		c.node.registry.Restore(records)
-		c.node.logInfo(registryPart).Int("backends", len(records)).Msg("registry restored")
+// restoreRegistry gives the registry what was stored of it.
+func (n *Node) restoreRegistry() {
+	stored := n.core.disk.disk.SoftState()
+	if stored == nil {
+		return
+	}
+	records, err := decodeBackends(stored)
+	if err != nil {
+		return // it is of another program's form: backends send heartbeats anyway
 	}
+	n.registry.Tick(n.loop.Now())
+	n.registry.Restore(records)
+	n.logInfo(registryPart).Int("backends", len(records)).Msg("registry restored")
+}
+
+// encodeBackends is the stored form of the backends.
+func encodeBackends(records []registry.Record) []byte {
+	var b bytes.Buffer
+	gob.NewEncoder(&b).Encode(records) // of texts and numbers: it can't fail
+	return b.Bytes()
 }
 
-// handleRegistryActions carries out what the registry asks for.
+// decodeBackends reads the stored form.
+func decodeBackends(stored []byte) (records []registry.Record, err error) {
+	err = gob.NewDecoder(bytes.NewReader(stored)).Decode(&records)
+	return records, err
+}
+
+// handleRegistryActions carries out what the registry decided.
 func (n *Node) handleRegistryActions() {
 	if n.registry == nil {
 		return
@@ -108,22 +159,25 @@
 				n.links.Send(s.Addr, &Frame{Board: &m})
 			}
 		case registry.Changed:
-			n.registryDirty = true
+			n.registryHost.unsaved = true
 			n.updateListing(a)
 		case registry.Acknowledge:
-			if then, ok := n.pendingHeartbeats[a.Ticket]; ok {
-				delete(n.pendingHeartbeats, a.Ticket)
-				then.answer(a.Confirmed && n.permitted(then.permission), a.OwnerAddr)
+			if call, ok := n.registryHost.pending[a.Ticket]; ok {
+				delete(n.registryHost.pending, a.Ticket)
+				call.done(a.Confirmed && n.permitted(call.permission), a.OwnerAddr)
 			}
 		case registry.Wake:
-			n.registryTimerSeq++
-			n.loop.At(a.Deadline, (*registryTimer)(n), n.registryTimerSeq)
+			n.registryHost.timerSeq++
+			n.loop.At(a.Deadline, (*registryTimer)(n), n.registryHost.timerSeq)
 		}
 	}
 }
 
-// registryTimer brings the registry's due time; the pull at the end of the turn does the rest.
+// registryTimer is the registry's due time; the end of the turn does the rest.
 type registryTimer Node
 
-func (r *registryTimer) Live(nr uint32) bool { return nr == r.registryTimerSeq }
-func (r *registryTimer) Due(uint32)          {}
+// Live tells whether no later time took this one's place.
+func (r *registryTimer) Live(seq uint32) bool { return seq == r.registryHost.timerSeq }
+
+// Due does nothing: the turn's end asks the registry.
+func (r *registryTimer) Due(uint32) {}
--- a/internal/gateway/node/bootstrap.go
+++ b/internal/gateway/node/bootstrap.go
@@ -5,7 +5,7 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// resendBootstrap hands the founding to a founder that missed it: who began it may have died before the word reached the others.
+// resendBootstrap sends the bootstrap to a founder that missed it: the node that began it may have died before it reached all of them.
 func (n *Node) resendBootstrap(addr string, d membership.Node) {
 	if n.core == nil || d.Founded || d.Disk == 0 {
 		return
@@ -18,8 +18,8 @@
 	}
 }
 
-// abandonLoneBootstrap empties a disk that holds the word of a founding and nothing else, where another disk lies at the place of each other
-// founder: what that founding ever took is gone with those, and this one, waiting for them, would keep all from beginning anew.
+// abandonLoneBootstrap empties a disk that holds a bootstrap and nothing else, if each other founder's disk was replaced: whatever that
+// bootstrap took is lost with them, and this member, waiting for them, would keep all nodes from a new bootstrap.
 func (c *core) abandonLoneBootstrap() {
 	founders := c.replica.BootstrapMembers()
 	for _, m := range founders {
@@ -33,7 +33,7 @@
 	}
 }
 
-// bootstrap begins the core, if this node's disk is empty.
+// bootstrap makes this node a member of a new log, if its disk is empty.
 func (n *Node) bootstrap(members []replication.Member) {
 	if n.core == nil {
 		return
--- a/internal/gateway/node/cluster.go
+++ b/internal/gateway/node/cluster.go
@@ -10,7 +10,7 @@
 	"clovergap/internal/gateway/registry"
 )
 
-// handleRosterActions carries out what the roster asks for.
+// handleRosterActions carries out what the roster decided.
 func (n *Node) handleRosterActions() {
 	n.roster.Tick(n.loop.Now())
 	if n.slotsChanged { // once for all that came in this turn
@@ -47,64 +47,79 @@
 // slot is this node's, or NoSlot.
 func (n *Node) slot() membership.Slot { return n.roster.Slot(n.peerAddr) }
 
-// updateNodes tells the parts that go by nodes which there are, and which live.
+// updateNodes tells the parts that depend on the other nodes which there are, and which live.
 func (n *Node) updateNodes() {
 	n.streamReceiver.check()
-	me := n.slot()
-	if me == membership.NoSlot {
+	self, holders := n.slot(), n.roster.SlotHolders()
+	if self == membership.NoSlot {
 		return
 	}
-	order := n.roster.SlotHolders()
 	if n.registry == nil {
-		n.registry = registry.New(registry.Slot(me), registry.Config{HeartbeatInterval: n.settings.HeartbeatInterval,
-			MinCopies: n.minDrainCopies(), Incarnation: uint32(n.incarnation)}, n.loop.Now())
-		n.logInfo(nodePart).Int("slot", int(me)).Int("slots", len(order)).Msg("slot assigned")
-		if n.core != nil {
-			n.core.loadRegistry()
-		}
+		n.openRegistry(self, len(holders))
 	}
-	if len(order) != n.slotCount {
-		n.slotCount = len(order)
-		if n.sockets != nil {
-			n.sockets.reserveLinkFDs(len(order))
-		}
-		addrs := make([]netip.AddrPort, len(order))
-		for i, s := range order {
-			addrs[i] = n.datagramAddr(s.Addr)
-		}
-		n.datagrams.SetPeers(addrs, int(me))
-		n.quota.Grow(control.GatewayID(me), len(order))
-		n.admission.SetNodes(len(order))
+	if len(holders) != n.slotCount {
+		n.resizeCluster(self, holders)
 	}
-	nodes := make([]registry.Node, 0, len(order))
-	reach, place, places, live := 0, 0, 0, make([]bool, len(order))
-	for i, s := range order {
-		if s.Zone == n.settings.Zone {
-			if i == int(me) {
-				place = places
-			}
-			places++
-		}
+	live := make([]bool, len(holders))
+	reachable := 0
+	for i, s := range holders {
 		if live[i] = n.roster.Live(s.Addr); live[i] {
-			reach++
+			reachable++
 		}
-		d, _ := n.roster.Node(s.Addr)
-		nodes = append(nodes, registry.Node{Slot: registry.Slot(i), ControlAddr: s.Control, Zone: s.Zone,
-			Live: live[i], HasDisk: d.Disk != 0, Follows: n.streamSender.isLearner(s.Addr)})
 	}
-	if n.core != nil && reach != n.reachable {
-		n.heartbeatAt = 0 // who follows goes by this node's word of who lives: an owner in its first second by a third of the rate
+	if n.core != nil && reachable != n.reachable {
+		n.heartbeatAt = 0 // learners know from this node which nodes live: in its first second an owner of quotas grants a third of the rate by it
 	}
-	n.reachable = reach
+	n.reachable = reachable
 	n.quota.SetReachable(live)
-	n.admission.SetZoneIndex(place, places)
+	n.admission.SetZoneIndex(n.zoneIndex(self, holders))
 	n.registry.Tick(n.loop.Now())
-	n.registry.SetNodes(nodes)
+	n.registry.SetNodes(n.registryNodes(holders, live))
+}
+
+// resizeCluster tells the parts that depend on the number of slots.
+func (n *Node) resizeCluster(self membership.Slot, holders []membership.SlotHolder) {
+	n.slotCount = len(holders)
+	if n.sockets != nil {
+		n.sockets.reserveLinkFDs(len(holders))
+	}
+	addrs := make([]netip.AddrPort, len(holders))
+	for i, s := range holders {
+		addrs[i] = n.datagramAddr(s.Addr)
+	}
+	n.datagrams.SetPeers(addrs, int(self))
+	n.quota.Grow(control.GatewayID(self), len(holders))
+	n.admission.SetNodes(len(holders))
+}
+
+// zoneIndex is this node's place among the nodes of its zone, and their number.
+func (n *Node) zoneIndex(self membership.Slot, holders []membership.SlotHolder) (index, count int) {
+	for i, s := range holders {
+		if s.Zone != n.settings.Zone {
+			continue
+		}
+		if i == int(self) {
+			index = count
+		}
+		count++
+	}
+	return index, count
+}
+
+// registryNodes are the nodes as the registry knows them.
+func (n *Node) registryNodes(holders []membership.SlotHolder, live []bool) []registry.Node {
+	nodes := make([]registry.Node, 0, len(holders))
+	for i, s := range holders {
+		known, _ := n.roster.Node(s.Addr)
+		nodes = append(nodes, registry.Node{Slot: registry.Slot(i), ControlAddr: s.Control, Zone: s.Zone, Live: live[i],
+			HasDisk: known.Disk != 0, Follows: n.streamSender.isLearner(s.Addr)})
+	}
+	return nodes
 }
 
 // datagramAddr is where a node takes datagrams: the port after that of its links.
-func (n *Node) datagramAddr(inner string) netip.AddrPort {
-	host, _, _ := net.SplitHostPort(inner)
+func (n *Node) datagramAddr(peerAddr string) netip.AddrPort {
+	host, _, _ := net.SplitHostPort(peerAddr)
 	a, err := netip.ParseAddr(host)
 	if err != nil {
 		return netip.AddrPort{}
@@ -112,12 +127,12 @@
 	return netip.AddrPortFrom(a, uint16(n.settings.InnerPorts[0]+1))
 }
 
-// peerAddrs is where the nodes at some control addresses take links: the ports of a deployment are alike.
-func (n *Node) peerAddrs(controls []string) (inners []string) {
+// peerAddrs are where the nodes at some control addresses take links: the ports of a deployment are alike.
+func (n *Node) peerAddrs(controls []string) (addrs []string) {
 	for _, c := range controls {
 		if host, _, err := net.SplitHostPort(c); err == nil {
-			inners = append(inners, net.JoinHostPort(host, strconv.Itoa(n.settings.InnerPorts[0])))
+			addrs = append(addrs, net.JoinHostPort(host, strconv.Itoa(n.settings.InnerPorts[0])))
 		}
 	}
-	return inners
+	return addrs
 }
--- a/internal/gateway/node/configuration.go
+++ b/internal/gateway/node/configuration.go
@@ -56,7 +56,7 @@
 	n.callLeader(ReadConfig, nil, 0, then)
 }
 
-// responseOf is the table from verdicts on changes to answers.
+// responseOf is the answer to a change with an outcome.
 func responseOf(v routing.Verdict, err error) (int, []byte) {
 	text := ""
 	if err != nil {
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	compactEntries      = 64        // committed entries after which the log is put into a snapshot
-	compactBytes        = 256 << 10 // or so many bytes of them: alike at all members, whose snapshots are the same
+	// compactEntries and compactBytes are what is committed before the log goes into a snapshot, whichever comes first. They are alike at
+	// all members, whose snapshots are the same.
+	compactEntries = 64
+	compactBytes   = 256 << 10
+	// memberCheckInterval is how often the members are compared with the disks in reach.
 	memberCheckInterval = 300 * time.Millisecond
-	softStateInterval   = 500 * time.Millisecond
 )
 
-// core is this node's part in the log that orders configurations: none without a disk.
+// core is this node's part in the replicated log that orders configurations. A node without a disk has none.
 type core struct {
 	replicaHost
-	softStateSavedAt time.Duration       // when the registry last was, beside the log
-	proposals        map[uint64]proposal // by token
+	proposals        map[uint64]proposal // that wait for their outcome, by token
 	lastToken        uint64
-	lastApplied      appliedChange // of the last entry applied
+	lastApplied      appliedChange
 	membersCheckedAt time.Duration
 	leaderTerm       uint64                   // the last one whose leader was known
 	liveness         map[string]livenessState // by address
 }
 
-// proposal is a call that the log settles.
+// proposal is a call that waits for the log.
 type proposal struct {
 	kind  statemachine.Kind
 	entry []byte // nil of a read
 	done  func(status int, body []byte)
 }
 
-// appliedChange is on an entry, and on no other that ever stood at its index.
+// appliedChange is the outcome of the entry applied last, and of no other that ever stood at its index.
 type appliedChange struct {
 	index   uint64
 	entry   []byte
@@ -46,7 +47,7 @@
 	err     error
 }
 
-// openCore begins with what the disk holds.
+// openCore opens the disk, and the replicas of the log and of the groups with what it holds.
 func (n *Node) openCore(b Environment) error {
 	if n.settings.DataDir == "" {
 		return nil
@@ -64,16 +65,16 @@
 	return nil
 }
 
-// writeSynced tells a replica what is on disk.
-func (c *core) writeSynced(log replication.LogID, nr uint64) {
+// writeSynced tells the replica of a log that a write of it is on disk.
+func (c *core) writeSynced(log replication.LogID, seq uint64) {
 	r := &c.replicaHost
 	if log != replication.ConfigurationLog {
 		r = &c.node.groups.replicas[log-1].replicaHost
 	}
-	r.advance().Synced(nr)
+	r.advance().Synced(seq)
 }
 
-// handleReady carries out what the log asks for.
+// handleReady carries out what the replica decided, and notices a new leader.
 func (c *core) handleReady() {
 	c.advance()
 	c.checkMembers()
@@ -90,12 +91,14 @@
 	c.node.roster.SetCluster(membership.Disk(c.self.ID), c.replica.ClusterID())
 }
 
+// sendMessage sends to another member.
 func (c *core) sendMessage(to replication.Member, m replication.Message) {
 	if addr := c.node.memberAddr(to); addr != "" {
 		c.node.links.Send(addr, &Frame{Core: c.coreMessage(addr, m)})
 	}
 }
 
+// restoreState begins with a snapshot. One that can't be read is of a newer program: this node stays behind until it runs that.
 func (c *core) restoreState(index uint64, state []byte) {
 	s := statemachine.New()
 	if len(state) > 0 {
@@ -108,6 +111,7 @@
 	c.node.installState(index, s)
 }
 
+// applyCommitted applies an entry, and compacts the log.
 func (c *core) applyCommitted(e replication.Entry) {
 	var data []byte
 	if e.Kind == replication.EntryNormal {
@@ -120,7 +124,8 @@
 	}
 }
 
-// checkMembers tells the log which disks are reached: it lets new ones in, in the place of lost ones (replica/members.go).
+// checkMembers tells the replica which nodes with a disk are in reach, each memberCheckInterval. A leader adds them as members, in the
+// place of lost ones.
 func (c *core) checkMembers() {
 	now := c.node.loop.Now()
 	if now-c.membersCheckedAt < memberCheckInterval {
@@ -132,7 +137,7 @@
 	c.abandonLoneBootstrap()
 }
 
-// reachableDisks are the nodes with a disk that this one reaches, itself among them.
+// reachableDisks are the nodes with a disk in reach, this one among them.
 func (n *Node) reachableDisks() (reach []replication.ReachableNode) {
 	for _, d := range n.roster.LiveDiskNodes() {
 		reach = append(reach, replication.ReachableNode{Member: replication.Member{ID: replication.MemberID(d.Disk), Addr: d.Addr}, Draining: d.Leaving})
@@ -140,40 +145,40 @@
 	return reach
 }
 
-// propose puts a change into the log, or reads; then is told how it ended.
-func (c *core) propose(kind statemachine.Kind, body []byte, then func(status int, body []byte)) {
+// propose puts a change into the log, or reads once a majority confirmed that this node leads; done gets the outcome.
+func (c *core) propose(kind statemachine.Kind, body []byte, done func(status int, body []byte)) {
 	c.lastToken++
 	c.replica.Tick(c.node.loop.Now())
 	if kind == ReadConfig || kind == ReadRollouts {
-		c.proposals[c.lastToken] = proposal{kind, nil, then}
+		c.proposals[c.lastToken] = proposal{kind, nil, done}
 		c.replica.Read(c.lastToken)
 		return
 	}
 	entry := statemachine.EncodeEntry(kind, body)
-	c.proposals[c.lastToken] = proposal{kind, entry, then}
+	c.proposals[c.lastToken] = proposal{kind, entry, done}
 	c.replica.Propose(c.lastToken, entry)
 }
 
-// completeProposal answers a call whose place in the log is known.
+// completeProposal ends a call whose outcome is known.
 func (c *core) completeProposal(o replication.Outcome) {
-	w, ok := c.proposals[o.Token]
+	p, ok := c.proposals[o.Token]
 	delete(c.proposals, o.Token)
 	switch {
 	case !ok:
 	case o.Status == replication.OutcomeUnknown:
-		w.done(controlapi.Unclear, []byte(o.Status.String()))
+		p.done(controlapi.Unclear, []byte(o.Status.String()))
 	case o.Status != replication.OutcomeCommitted:
-		w.done(503, []byte(o.Status.String()))
-	case w.kind == ReadConfig:
-		w.done(200, c.node.machine.Configs.Body())
-	case w.kind == ReadRollouts:
-		w.done(200, c.node.rolloutStatusBody())
+		p.done(503, []byte(o.Status.String()))
+	case p.kind == ReadConfig:
+		p.done(200, c.node.machine.Configs.Body())
+	case p.kind == ReadRollouts:
+		p.done(200, c.node.rolloutStatusBody())
 	default:
-		v := c.lastApplied
-		if v.index != o.Index || !bytes.Equal(v.entry, w.entry) {
+		applied := c.lastApplied
+		if applied.index != o.Index || !bytes.Equal(applied.entry, p.entry) {
 			invariant.That(false, "a proposal ends by its own entry")
-			v = appliedChange{outcome: routing.Unclear}
+			applied = appliedChange{outcome: routing.Unclear}
 		}
-		w.done(responseOf(v.outcome, v.err))
+		p.done(responseOf(applied.outcome, applied.err))
 	}
 }
--- a/internal/gateway/node/environment.go
+++ b/internal/gateway/node/environment.go
@@ -14,73 +14,94 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// Environment is what a node stands on. New gives it sockets, a clock and a disk; a simulation gives it simulated ones. No part of a
-// node knows the difference.
+// Environment is everything outside of a node: time, links, disk, clients and backends. New gives a node sockets, a clock and a disk; a
+// simulation gives it simulated ones, and no part of the node knows the difference.
 type Environment interface {
 	EventLoop
-	// Identity are what differs between two lives: the seed of all chance, and the life's name.
-	Identity() (seed int64, life uint64)
+	// Identity differs between two incarnations of a node: the seed of all chance, and the incarnation's number.
+	Identity() (seed int64, incarnation uint64)
+	// Counters are counted on by all parts.
 	Counters() *counters.Set
-	// Links to other nodes tell the host what comes, each in a turn.
+	// Links to other nodes call the host for what comes, each time in a turn.
 	Links(host transport.Host[Frame]) (Links, error)
-	// Disk is called for a node with one, and gives what it holds.
+	// Disk is called once, at a node that has one; it gives what the disk holds of the configuration's log.
 	Disk() (Disk, replication.PersistentState, error)
-	// DataPath is the way of requests and of datagrams, once the gate is there.
-	DataPath(h *Node, g *gate.Gate) (DataPath, error)
+	// DataPath is called once, when the gate is there.
+	DataPath(n *Node, g *gate.Gate) (DataPath, error)
 }
 
-// EventLoop is a node's time. Whatever happens takes its turn; at the end of each the parts are pulled.
+// EventLoop is a node's time and order: everything runs in a turn, one at a time, and at the end of each turn the node hands out what its
+// parts decided.
 type EventLoop interface {
+	// Now is the steady time of the turn. It stands within a turn.
 	Now() time.Duration
-	Refresh()                  // brings Now up to the time within a turn
-	InputDelay() time.Duration // how long what is read now may have lain unread
+	// Refresh brings Now up to the time within a turn.
+	Refresh()
+	// InputDelay is how long the input that is read in this turn may have lain unread, because the process was paused.
+	InputDelay() time.Duration
+	// At has an alarm called in a turn of its own, at a time or soon after, if the alarm still wants it by then.
 	At(at time.Duration, to eventloop.Alarm, ref uint32)
+	// Turn runs something in a turn, for callers that are in none.
 	Turn(func())
+	// OnTurnEnd sets what runs at the end of each turn.
 	OnTurnEnd(func())
 }
 
-// Links carry frames to other nodes; what is sent may be lost.
+// Links carry frames to other nodes. What is sent may be lost, never doubled or changed; between two nodes it keeps its order as long as
+// the link stands.
 type Links interface {
+	// Connect keeps a link to a node from now on, Disconnect keeps it no longer.
 	Connect(to string)
 	Disconnect(to string)
+	// Send tells whether the frame is on its way. It may be lost all the same.
 	Send(to string, f *Frame) bool
-	Check() // each second: asserts what must hold of them
+	// Check asserts the invariants of the links; it is called each second.
+	Check()
 }
 
-// Disk keeps what the core must not forget. Writes go on apart from the turns, one at a time; done is called in a turn, once
-// all of them are synced. A note that can't be kept is let go.
+// Disk keeps what a member must not forget.
 type Disk interface {
-	Write(writes []replication.LogWrite, note []byte, done func())
+	// Write stores in the background, one call at a time. done is called in a turn, once all writes are synced; a write that fails is
+	// repeated until then. softState is stored after them if it is not nil, and is dropped if that fails.
+	Write(writes []replication.LogWrite, softState []byte, done func())
+	// SoftState is the last one stored, nil if there is none.
 	SoftState() []byte
-	GroupLogs() map[replication.LogID]replication.PersistentState // what it held of the coordination groups
+	// GroupLogs are what the disk held of the coordination groups when it was opened.
+	GroupLogs() map[replication.LogID]replication.PersistentState
 }
 
-// DataPath is what carries requests and datagrams.
+// DataPath is what carries requests, and the datagrams of the quota.
 type DataPath struct {
 	Dispatcher Dispatcher
 	Datagrams  Datagrams
 	Frontend   Frontend
 }
 
-// Dispatcher lead to backends.
+// Dispatcher sends requests to backends.
 type Dispatcher interface {
 	gate.Sender
+	// SetBackend tells where a backend is, when it started, and whether requests may go there.
 	SetBackend(id control.BackendID, addr string, started time.Duration, ready bool)
+	// SetMaxConns bounds the connections to a backend.
 	SetMaxConns(id control.BackendID, conns int)
 }
 
-// Datagrams are datagrams between slots.
+// Datagrams carry the quota's datagrams between nodes.
 type Datagrams interface {
 	gate.Teller
-	SetPeers(addrs []netip.AddrPort, me int)
+	// SetPeers gives the addresses by slot, and this node's slot.
+	SetPeers(addrs []netip.AddrPort, self int)
 }
 
 // Frontend is where clients come in.
 type Frontend interface {
+	// SetBounds sets the bounds of requests that come from now on.
 	SetBounds(downstream.Bounds)
+	// Clients is the number of connections.
 	Clients() int
-	Drain()         // connections close between requests
-	StopListening() // and none is taken
-	// User names whoever a request is of, and its tenant: see ingress.Handler.
+	// Drain closes connections between requests, StopListening takes none any more.
+	Drain()
+	StopListening()
+	// User is who sent a request, and its tenant: see ingress.Handler.
 	User(who, txn slots.Ref) (user []byte, tenant string)
 }
--- a/internal/gateway/node/frame_recorded_test.go
+++ b/internal/gateway/node/frame_recorded_test.go
@@ -353,19 +353,17 @@
 	}
 }
 
-// testdata/dd5a45a.registry is the registry as core.saveRegistry wrote it beside the log at commit dd5a45a.
+// testdata/dd5a45a.registry is the registry as it was stored beside the log at commit dd5a45a.
 func TestRegistryOnDiskOfDD5A45A(t *testing.T) {
 	kept, err := os.ReadFile("testdata/dd5a45a.registry")
 	must.NoError(t, err)
 	want := []registry.Record{wireRecordSet("one"), wireRecordSet("two")}
-	var got []registry.Record
-	must.NoError(t, gob.NewDecoder(bytes.NewReader(kept)).Decode(&got))
+	got, err := decodeBackends(kept)
+	must.NoError(t, err)
 	must.Eq(t, want, got)
-	var b bytes.Buffer
-	must.NoError(t, gob.NewEncoder(&b).Encode(got))
 	var before, after []wireRecord
 	must.NoError(t, gob.NewDecoder(bytes.NewReader(kept)).Decode(&before))
-	must.NoError(t, gob.NewDecoder(&b).Decode(&after))
+	must.NoError(t, gob.NewDecoder(bytes.NewReader(encodeBackends(got))).Decode(&after))
 	must.Eq(t, before, after)
 	set := map[string]bool{}
 	setFields("", reflect.ValueOf(before), set)
--- a/internal/gateway/node/links.go
+++ b/internal/gateway/node/links.go
@@ -1,20 +1,20 @@
 package node
 
 import (
-	"clovergap/internal/gateway/membership"
-	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/transport"
 )
 
-// Came, Heard, Up and Down are the links': each in a turn.
+// A node is the transport.Host of its links; each of its methods is called in a turn.
+var _ transport.Host[Frame] = (*Node)(nil)
 
-// PeerConnected is told when another node has dialed this one. It may be the node that it follows, which dialed it anew. It may have given up a link before and with it the wish to follow:
-// without a new one it would say nothing, and for two seconds nothing would tell of that.
+// PeerConnected is called when another node has dialed this one. If that is the upstream, it may have given up its link before, and with it
+// this node's request: it would send nothing, and for two seconds nothing would show that.
 func (n *Node) PeerConnected(from string) {
 	n.core.resetLiveness(from)
 	n.streamReceiver.linkReset(from)
 }
 
-// FrameReceived takes a frame from another node.
+// FrameReceived hands a frame to the part that it is for. Those for a part that this node does not have are dropped.
 func (n *Node) FrameReceived(from string, f *Frame) {
 	n.roster.Tick(n.loop.Now())
 	n.roster.FrameReceived(from)
@@ -35,10 +35,7 @@
 	case f.Groups != nil && n.core != nil:
 		n.groups.receive(f.Groups)
 	case f.Board != nil && n.registry != nil:
-		if s := n.roster.Slot(from); s != membership.NoSlot {
-			n.registry.Tick(n.loop.Now())
-			n.registry.Receive(registry.Slot(s), *f.Board)
-		}
+		n.receiveRegistry(from, f.Board)
 	case f.Follow != nil:
 		n.receiveStreamRequest(from, f.Follow)
 	case f.Feed != nil:
@@ -56,7 +53,7 @@
 	}
 }
 
-// LinkUp is told when the link to another node stands.
+// LinkUp is called when the link to another node stands.
 func (n *Node) LinkUp(to string) {
 	n.roster.Tick(n.loop.Now())
 	n.roster.LinkUp(to)
@@ -64,11 +61,11 @@
 		n.resendBootstrap(to, d)
 	}
 	n.streamSender.resume(to)
-	n.syncRegistryTo(to) // it may have started anew
-	n.streamReceiver.linkReset(to)
+	n.syncRegistryTo(to)           // it may have restarted
+	n.streamReceiver.linkReset(to) // the request may have been lost with the link before
 }
 
-// LinkDown is told when the link to another node ended.
+// LinkDown is called when the link to another node has ended.
 func (n *Node) LinkDown(to string) {
 	n.roster.Tick(n.loop.Now())
 	n.roster.LinkDown(to)
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -1,6 +1,3 @@
-// Package node is one node of the gateway: its parts put together. All that happens takes its turn under one lock;
-// at the end of a turn the parts are pulled for what they decided. What the parts decide is theirs: this package only
-// carries between them, the sockets and the disk.
 package node
 
 import (
@@ -30,171 +27,188 @@
 
 // Shares and bounds of a node.
 const (
-	maxConnBufferBytes   = 256 << 10 // bytes that a connection may have waiting
-	maxControlBodyBytes  = 4 << 20   // bytes of a control call
-	inboundMemoryDivisor = 4         // of the memory holds what comes in
-	clientFDDivisor      = 2         // of the descriptors are clients'
-	maxControlConns      = 512       // connections of control
-	maxInFlight          = 4096      // requests at a time
-	dialTimeout          = 700 * time.Millisecond
-	unackedTimeout       = 3 * time.Second // of bytes that nobody acknowledges
-	tickInterval         = 100 * time.Millisecond
-	// maxDatagramsPerSecond is how many datagrams a second a node takes: the owner of a tenant with a fifth of all requests is asked by each node for
-	// nearly each of them. Beyond seven tenths of it nodes are told to write less often, and their requests wait longer than they may.
+	// defaultMaxFDs and defaultMemoryMB stand for limits that the settings leave out.
+	defaultMaxFDs   = 1024
+	defaultMemoryMB = 256
+
+	maxConnBufferBytes   = 256 << 10 // bytes that wait on one connection
+	maxControlBodyBytes  = 4 << 20   // bytes of a control call's body
+	inboundMemoryDivisor = 4         // of the memory limit, for input that is not yet parsed
+	clientFDDivisor      = 2         // of the descriptors, for clients
+	maxControlConns      = 512
+	maxReadinessConns    = 64
+	maxInFlight          = 4096 // requests
+
+	dialTimeout    = 700 * time.Millisecond // to a backend
+	unackedTimeout = 3 * time.Second        // a connection whose peer acknowledges no byte for so long is closed
+	tickInterval   = 100 * time.Millisecond
+
+	// maxDatagramsPerSecond is what a node takes: the owner of a tenant with a fifth of all requests is asked by each node for nearly each of
+	// them. Beyond seven tenths of it nodes are asked to write less often, and their requests wait longer than they may.
 	maxDatagramsPerSecond = 2000
-	// initialQuotaShare of the burst is in buckets after the loss of all nodes: what was spent before it is not known any more,
-	// and half a burst more in five seconds is under what the rule on quotas leaves (rate x 5 + burst, a tenth more).
+	// minQuotaInterval is the least time between two datagrams of the quota to the same node.
+	minQuotaInterval = 50 * time.Millisecond
+	// quotaSnapshotTTL is how long what an owner reported of a bucket counts.
+	quotaSnapshotTTL = time.Second
+	// initialQuotaShare of the burst is in buckets after the loss of all nodes: what was spent before is not known any more, and half a burst
+	// more in five seconds is under what the rule on quotas leaves (rate x 5 + burst, a tenth more).
 	initialQuotaShare = 0.5
 	// newOwnerDelay is how long a bucket stays empty at a new owner, where slots are added: the old one goes on until it knows.
 	newOwnerDelay = time.Second
 )
 
-// Node is one node.
+// Node is one node: the parts that it wires together, and what belongs to no part alone. All methods but those that say otherwise are called
+// in a turn.
 type Node struct {
 	settings    *settings.Settings
 	log         *log.Logger
 	seed        int64
 	incarnation uint64
 	peerAddr    string // where it takes links; its name among nodes
+	knobs       TestingKnobs
 
-	loop         EventLoop
-	sockets      *sockets // nil in a simulation
-	counters     *counters.Set
-	links        Links
-	datagrams    Datagrams
-	roster       *membership.Roster
-	core         *core // nil without a disk
-	contact      *quorumcontact.Tracker
-	groups       *groupHost
-	machine      *statemachine.Machine
-	appliedIndex uint64
+	loop     EventLoop
+	sockets  *sockets // nil in a simulation
+	counters *counters.Set
+	links    Links
 
+	// The configuration log, and what is applied of it.
+	core           *core // nil without a disk
+	contact        *quorumcontact.Tracker
 	streamSender   *streamSender
 	streamReceiver *streamReceiver
-	slotsChanged   bool // the roster has yet to be told the order of slots
+	machine        *statemachine.Machine
+	appliedIndex   uint64
+	table          *routing.Table // of the configuration in force
+	catalog        catalog
+
+	// Other nodes.
+	roster          *membership.Roster
+	slotsChanged    bool // the roster has yet to be told the slots
+	slotRequestedAt time.Duration
+	slotCount       int
+	reachable       int           // nodes with a slot that live
+	heartbeatAt     time.Duration // when heartbeats last went out; 0: they are due at the next tick
+	calls           *callRouter
+
+	// Coordination.
+	groups       *groupHost
+	coordination *coordination.Service
 
-	registry          *registry.Registry // nil until there is a slot
-	registryTimerSeq  uint32
-	registryDirty     bool // since it was last kept on disk
-	pendingHeartbeats map[registry.Ticket]pendingHeartbeat
+	// Backends.
+	registry     *registry.Registry // nil until there is a slot
+	registryHost registryHost
 
+	// Requests.
 	quota      *quota.Limiter
 	admission  *admission.Controller
 	gate       *gate.Gate
 	rollouts   *rolloutHost
 	dispatcher Dispatcher
+	datagrams  Datagrams
 	frontend   Frontend
 
-	table        *routing.Table
-	catalog      catalog
-	coordination *coordination.Service
-
-	calls           *callRouter
-	knobs           TestingKnobs
-	slotRequestedAt time.Duration
-	heartbeatAt     time.Duration
-	slotCount       int
-	reachable       int // nodes in reach
-	logged          loggedState
-	shuttingDown    bool
+	logged       loggedState
+	shuttingDown bool
 }
 
-// New puts a node together; Start begins it.
-func New(sheet *settings.Settings) (*Node, error) {
-	fds := sheet.Limits.MaxFDs
-	if fds <= 0 {
-		fds = 1024
+// New makes a node on sockets, a clock and a disk; Start begins it.
+func New(settings *settings.Settings) (*Node, error) {
+	maxFDs, memory := settings.Limits.MaxFDs, settings.Limits.MemoryMB
+	if maxFDs <= 0 {
+		maxFDs = defaultMaxFDs
 	}
-	memory := sheet.Limits.MemoryMB
 	if memory <= 0 {
-		memory = 256
+		memory = defaultMemoryMB
 	}
-	s, logger := newSockets(fds, memory), newLogger(sheet.NodeName)
+	s, logger := newSockets(maxFDs, memory), newLogger(settings.NodeName)
 	logPoller(logger)
-	return assemble(&Node{settings: sheet, sockets: s, log: logger}, s)
+	return assemble(&Node{settings: settings, sockets: s, log: logger}, s)
 }
 
-// NewWithEnvironment puts a node together over what it is given to stand on; Begin begins it.
-func NewWithEnvironment(sheet *settings.Settings, b Environment, log *log.Logger) (*Node, error) {
-	return assemble(&Node{settings: sheet, log: log}, b)
+// NewWithEnvironment makes a node in an environment; StartTimers begins it.
+func NewWithEnvironment(settings *settings.Settings, env Environment, log *log.Logger) (*Node, error) {
+	return assemble(&Node{settings: settings, log: log}, env)
 }
 
-func assemble(h *Node, b Environment) (*Node, error) {
-	h.seed, h.incarnation = b.Identity()
-	h.peerAddr = net.JoinHostPort(h.settings.IPAddress, strconv.Itoa(h.settings.InnerPorts[0]))
-	h.loop, h.counters = b, b.Counters()
-	h.machine, h.table = statemachine.New(), routing.NewTable(nil)
-	h.calls, h.pendingHeartbeats, h.catalog = newCallRouter(h, h.incarnation), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
-	h.knobs = newNodeKnobs
-	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Config{Address: h.peerAddr, Incarnation: h.incarnation, HistoryRetention: h.settings.Bounds.WatchHistory})
-	h.groups = &groupHost{env: h}
-	h.coordination.SetHost(h.groups)
-	if h.sockets != nil {
-		h.sockets.node = h
+// assemble makes the parts, those first that others need.
+func assemble(n *Node, env Environment) (*Node, error) {
+	n.seed, n.incarnation = env.Identity()
+	n.peerAddr = net.JoinHostPort(n.settings.IPAddress, strconv.Itoa(n.settings.InnerPorts[0]))
+	n.loop, n.counters, n.knobs = env, env.Counters(), newNodeKnobs
+	n.machine, n.table = statemachine.New(), routing.NewTable(nil)
+	n.calls, n.catalog = newCallRouter(n, n.incarnation), newCatalog()
+	n.registryHost.pending = map[registry.Ticket]pendingHeartbeat{}
+	n.coordination = coordination.New((*coordinationEnv)(n), coordination.Config{Address: n.peerAddr, Incarnation: n.incarnation,
+		HistoryRetention: n.settings.Bounds.WatchHistory})
+	n.groups = &groupHost{env: n}
+	n.coordination.SetHost(n.groups)
+	if n.sockets != nil {
+		n.sockets.node = n
 	}
-	if err := h.buildCluster(b); err != nil {
+	if err := n.buildCluster(env); err != nil {
 		return nil, err
 	}
-	if err := h.buildDataPath(b); err != nil {
+	if err := n.buildDataPath(env); err != nil {
 		return nil, err
 	}
-	h.loop.OnTurnEnd(h.handleReady)
-	return h, nil
+	n.loop.OnTurnEnd(n.handleReady)
+	return n, nil
 }
 
-// buildCluster makes what nodes know of each other.
-func (n *Node) buildCluster(b Environment) (err error) {
-	if n.links, err = b.Links(n); err != nil {
+// buildCluster makes the links, the core, the roster and the log stream.
+func (n *Node) buildCluster(env Environment) (err error) {
+	if n.links, err = env.Links(n); err != nil {
 		return err
 	}
-	n.loop.Turn(func() { // the core may have something to say at once: it is pulled once all is there
-		err = n.openCore(b)
-	})
+	n.loop.Turn(func() { err = n.openCore(env) }) // what the core decides is carried out once all parts are there
 	if err != nil {
 		return errors.Wrap(err, "core")
 	}
-	me := membership.Node{Name: n.settings.NodeName, Addr: n.peerAddr, Control: n.settings.Bind.Control, Zone: n.settings.Zone,
+	self := membership.Node{Name: n.settings.NodeName, Addr: n.peerAddr, Control: n.settings.Bind.Control, Zone: n.settings.Zone,
 		First: n.settings.FirstBoot, Life: n.incarnation}
 	if n.core != nil {
-		me.Disk, me.Founded, me.House = membership.Disk(n.core.self.ID), n.core.replica.Bootstrapped(), n.core.replica.ClusterID()
+		self.Disk, self.Founded, self.House = membership.Disk(n.core.self.ID), n.core.replica.Bootstrapped(), n.core.replica.ClusterID()
 	}
-	n.roster = membership.New(me, membership.Config{Seeds: n.peerAddrs(n.settings.SeedAddrs), ToleratedLosses: n.settings.Tolerance.Machines,
-		ClusterID: func(f []membership.Founder) uint64 { return replication.ClusterIDOf(founderMembers(f)) }}, n.loop.Now())
+	clusterID := func(f []membership.Founder) uint64 { return replication.ClusterIDOf(founderMembers(f)) }
+	n.roster = membership.New(self, membership.Config{Seeds: n.peerAddrs(n.settings.SeedAddrs),
+		ToleratedLosses: n.settings.Tolerance.Machines, ClusterID: clusterID}, n.loop.Now())
 	n.openLogStream()
 	return nil
 }
 
-// buildDataPath makes the way of requests and of calls.
-func (n *Node) buildDataPath(b Environment) error {
-	n.quota = quota.NewLimiter(n.seed, 0, 1, n.loop.Now(), quota.Config{MinInterval: 50 * time.Millisecond,
-		SnapshotTTL: time.Second, DatagramsPerSecond: maxDatagramsPerSecond, MaxUnits: 1, Strict: true, InitialFill: initialQuotaShare, OwnershipDelay: newOwnerDelay,
-		Window: n.settings.Bounds.QuotaWindow, Excess: n.settings.Bounds.QuotaExcess, Margin: float64(n.settings.Bounds.QuotaMargin)})
+// buildDataPath makes what requests go through.
+func (n *Node) buildDataPath(env Environment) error {
+	bounds := &n.settings.Bounds
+	n.quota = quota.NewLimiter(n.seed, 0, 1, n.loop.Now(), quota.Config{MinInterval: minQuotaInterval, SnapshotTTL: quotaSnapshotTTL,
+		DatagramsPerSecond: maxDatagramsPerSecond, MaxUnits: 1, Strict: true, InitialFill: initialQuotaShare, OwnershipDelay: newOwnerDelay,
+		Window: bounds.QuotaWindow, Excess: bounds.QuotaExcess, Margin: float64(bounds.QuotaMargin)})
 	n.rollouts = newRolloutHost(n, n, n.settings.Zone, n.incarnation)
-	n.admission = admission.New(n.seed, admission.Config{Zone: n.catalog.zoneID(n.settings.Zone),
-		RetryRatio: n.settings.Bounds.RetryRatio, RetryWindow: n.settings.Bounds.RetryWindow,
-		RetryAllowance: n.settings.Bounds.RetryExtra, Nodes: 1}, n.quota, n.loop.Now())
+	n.admission = admission.New(n.seed, admission.Config{Zone: n.catalog.zoneID(n.settings.Zone), RetryRatio: bounds.RetryRatio,
+		RetryWindow: bounds.RetryWindow, RetryAllowance: bounds.RetryExtra, Nodes: 1}, n.quota, n.loop.Now())
 	n.admission.SetAssigner((*requestSides)(n))
-	k := &gateClock{EventLoop: n.loop}
-	n.gate = gate.New(n.admission, k, maxInFlight, n.counters, gateLog{n})
-	k.timer = n.gate
-	p, err := b.DataPath(n, n.gate)
+	clock := &gateClock{EventLoop: n.loop}
+	n.gate = gate.New(n.admission, clock, maxInFlight, n.counters, gateLog{n})
+	clock.timer = n.gate
+	path, err := env.DataPath(n, n.gate)
 	if err != nil {
 		return err
 	}
-	n.dispatcher, n.datagrams, n.frontend = p.Dispatcher, p.Datagrams, p.Frontend
+	n.dispatcher, n.datagrams, n.frontend = path.Dispatcher, path.Datagrams, path.Frontend
 	n.gate.Through(n.dispatcher, n.datagrams)
 	return nil
 }
 
-// gateClock gives the gate the engine's time; the module's next due time is an entry among all others.
+// gateClock gives the gate the time of the event loop, and a timer for its next deadline.
 type gateClock struct {
 	EventLoop
 	timer eventloop.Alarm
 }
 
-func (g *gateClock) Wake(at time.Duration, nr uint32) { g.At(at, g.timer, nr) }
+// Wake sets the timer.
+func (g *gateClock) Wake(at time.Duration, seq uint32) { g.At(at, g.timer, seq) }
 
-// Start begins to listen and to say hello.
+// Start listens, and connects to other nodes. It is not for a turn.
 func (n *Node) Start() error {
 	if err := n.sockets.Start(); err != nil {
 		return err
@@ -213,57 +227,13 @@
 	return nil
 }
 
-// StartTimers begins the periodic work, in a turn.
+// StartTimers begins the periodic work.
 func (n *Node) StartTimers() { n.loop.At(n.loop.Now()+tickInterval, (*tickTimer)(n), 0) }
 
-// ReceiveDatagram takes a peer's datagram to the quota, by the module.
+// ReceiveDatagram takes a datagram of another node's quota.
 func (n *Node) ReceiveDatagram(from control.GatewayID, payload []byte) { n.gate.Heard(from, payload) }
 
-// handleReady carries out what the parts decided: the log first, since all else goes by it.
-func (n *Node) handleReady() {
-	if n.core != nil {
-		n.core.handleReady()
-		n.groups.handleReady()
-		n.coordination.NotifyWatchers()
-		n.groups.handleReady() // what watches that were told of puts ask for next
-		n.core.disk.flush()
-	}
-	n.handleRosterActions()
-	n.handleRegistryActions()
-	n.gate.Pull()
-}
-
-// tickTimer is the one periodic timer.
-type tickTimer Node
-
-func (t *tickTimer) Live(uint32) bool { return true }
-
-func (t *tickTimer) Due(uint32) {
-	h := (*Node)(t)
-	now := h.loop.Now()
-	h.loop.At(now+tickInterval, t, 0)
-	h.streamReceiver.tick(now)
-	if now-h.heartbeatAt >= heartbeatInterval {
-		news := h.heartbeatAt == 0
-		h.heartbeatAt = now
-		h.sendHeartbeats(news)
-	} else {
-		h.sendOverdueLiveness()
-	}
-	h.streamSender.tick()
-	h.calls.chunks.tick()
-	h.streamReceiver.check()
-	h.requestSlot()
-	h.rollouts.tick()
-	h.groups.requestFounding()
-	if h.core != nil {
-		h.groups.maintain()
-		h.core.saveRegistry()
-	}
-	h.logStateChanges()
-}
-
-// customerID names a tenant for the quota: the same at every node. Messages carry 34 bits of it.
+// customerID is a tenant in the quota: the same at every node. Datagrams carry 34 bits of it.
 func customerID(tenant string) control.CustomerID {
 	f := fnv.New32a()
 	f.Write([]byte(tenant))
--- a/internal/gateway/node/sockets.go
+++ b/internal/gateway/node/sockets.go
@@ -103,7 +103,7 @@
 	form := ingress.New(s.frontend, s.Engine, g, h)
 	s.control = downstream.New(s.Engine, maxControlConns, downstream.Bounds{Body: maxControlBodyBytes}, func() bool { return s.frontend.Evict() })
 	s.control.Serves(controlapi.New(s.control, h))
-	s.readiness = downstream.New(s.Engine, 64, downstream.Bounds{}, func() bool { return s.frontend.Evict() })
+	s.readiness = downstream.New(s.Engine, maxReadinessConns, downstream.Bounds{}, func() bool { return s.frontend.Evict() })
 	s.readiness.Serves(controlapi.New(s.readiness, h))
 	datagram := h.datagramAddr(h.peerAddr)
 	if s.peers, err = peers.New(s.Engine, datagram.String(), []netip.AddrPort{datagram}, 0, h.ReceiveDatagram); err != nil {
