--- a/internal/gateway/node/backend_registry.go
+++ b/internal/gateway/node/backend_registry.go
@@ -96,10 +96,10 @@
 }
 
 // receiveRegistry takes another node's message.
-func (n *Node) receiveRegistry(from string, m *registry.Message) {
+func (n *Node) receiveRegistry(from string, m *registry.WireMessage) {
 	if s := n.roster.Slot(from); s != membership.NoSlot {
 		n.registry.Tick(n.loop.Now())
-		n.registry.Receive(registry.Slot(s), *m)
+		n.registry.Receive(registry.Slot(s), m.Message())
 	}
 }
 
@@ -131,14 +131,17 @@
 // encodeBackends is the stored form of the backends.
 func encodeBackends(records []registry.Record) []byte {
 	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(records) // of texts and numbers: it can't fail
+	gob.NewEncoder(&b).Encode(registry.ToWire(records)) // of texts and numbers: it can't fail
 	return b.Bytes()
 }
 
 // decodeBackends reads the stored form.
-func decodeBackends(stored []byte) (records []registry.Record, err error) {
-	err = gob.NewDecoder(bytes.NewReader(stored)).Decode(&records)
-	return records, err
+func decodeBackends(stored []byte) ([]registry.Record, error) {
+	var records []registry.WireRecord
+	if err := gob.NewDecoder(bytes.NewReader(stored)).Decode(&records); err != nil {
+		return nil, err
+	}
+	return registry.FromWire(records), nil
 }
 
 // handleRegistryActions carries out what the registry decided.
@@ -155,8 +158,7 @@
 		switch a := a.(type) {
 		case registry.Send:
 			if s, ok := n.roster.SlotHolderAt(membership.Slot(a.Target)); ok {
-				m := a.Message
-				n.links.Send(s.Addr, &Frame{Board: &m})
+				n.links.Send(s.Addr, &Frame{Board: a.Message.Wire()})
 			}
 		case registry.Changed:
 			n.registryHost.unsaved = true
--- a/internal/gateway/node/bootstrap.go
+++ b/internal/gateway/node/bootstrap.go
@@ -7,7 +7,7 @@
 
 // resendBootstrap sends the bootstrap to a founder that missed it: the node that began it may have died before it reached all of them.
 func (n *Node) resendBootstrap(addr string, d membership.Node) {
-	if n.core == nil || d.Founded || d.Disk == 0 {
+	if n.core == nil || d.Bootstrapped || d.Disk == 0 {
 		return
 	}
 	founders := n.core.replica.BootstrapMembers()
@@ -23,7 +23,7 @@
 func (c *core) abandonLoneBootstrap() {
 	founders := c.replica.BootstrapMembers()
 	for _, m := range founders {
-		if d, ok := c.node.roster.Node(m.Addr); m.ID != c.self.ID && (!ok || !c.node.roster.Live(m.Addr) || d.Disk == 0 || d.Founded ||
+		if d, ok := c.node.roster.Node(m.Addr); m.ID != c.self.ID && (!ok || !c.node.roster.Live(m.Addr) || d.Disk == 0 || d.Bootstrapped ||
 			replication.MemberID(d.Disk) == m.ID || c.node.memberAddr(replication.Member{ID: m.ID}) != "") {
 			return
 		}
--- a/internal/gateway/node/cluster.go
+++ b/internal/gateway/node/cluster.go
@@ -29,8 +29,8 @@
 			n.links.Disconnect(a.Addr)
 		case membership.SendHello:
 			hello := n.roster.HelloTo(a.Addr)
-			hello.Parts = true
-			n.links.Send(a.Addr, &Frame{Hello: &hello})
+			hello.ChunkedCalls = true
+			n.links.Send(a.Addr, &Frame{Hello: hello.Wire()})
 		case membership.Bootstrap:
 			members := founderMembers(a.Founders)
 			if a.Addr == n.peerAddr {
--- a/internal/gateway/node/links.go
+++ b/internal/gateway/node/links.go
@@ -21,9 +21,10 @@
 	n.streamReceiver.frameReceived(from)
 	switch {
 	case f.Hello != nil:
-		n.roster.HandleHello(from, *f.Hello)
-		n.calls.chunks.supportedBy[from] = f.Hello.Parts
-		n.resendBootstrap(from, f.Hello.Door)
+		hello := f.Hello.Hello()
+		n.roster.HandleHello(from, hello)
+		n.calls.chunks.supportedBy[from] = hello.ChunkedCalls
+		n.resendBootstrap(from, hello.Node)
 	case f.Ping != nil:
 		n.receiveHeartbeat(from, f.Ping)
 	case f.Found != nil:
--- a/internal/gateway/node/logstream_receiver.go
+++ b/internal/gateway/node/logstream_receiver.go
@@ -257,7 +257,7 @@
 func (s *streamReceiver) choose(now time.Duration) (best string) {
 	least := time.Duration(math.MaxInt64)
 	for _, m := range s.candidates() {
-		if !m.Founded || m.Addr == s.addr {
+		if !m.Bootstrapped || m.Addr == s.addr {
 			continue
 		}
 		age := s.rank(m.Addr, now)
--- a/internal/gateway/node/logstream_receiver_test.go
+++ b/internal/gateway/node/logstream_receiver_test.go
@@ -83,7 +83,7 @@
 		loop: &manualClock{now: time.Minute}, links: discardingLinks{}, peerAddr: "10.0.0.9:7110"}
 	h.roster = membership.New(membership.Node{Name: "node", Addr: h.peerAddr}, membership.Config{}, h.loop.Now())
 	for i, a := range disks {
-		h.roster.HandleHello(a, membership.Hello{Door: membership.Node{Name: a, Addr: a, Disk: membership.Disk(i + 1), Life: 1, Founded: true}})
+		h.roster.HandleHello(a, membership.Hello{Node: membership.Node{Name: a, Addr: a, Disk: membership.Disk(i + 1), Incarnation: 1, Bootstrapped: true}})
 		h.roster.LinkUp(a)
 	}
 	h.openLogStream()
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -165,10 +165,10 @@
 	if err != nil {
 		return errors.Wrap(err, "core")
 	}
-	self := membership.Node{Name: n.settings.NodeName, Addr: n.peerAddr, Control: n.settings.Bind.Control, Zone: n.settings.Zone,
-		First: n.settings.FirstBoot, Life: n.incarnation}
+	self := membership.Node{Name: n.settings.NodeName, Addr: n.peerAddr, ControlAddr: n.settings.Bind.Control, Zone: n.settings.Zone,
+		FirstStart: n.settings.FirstBoot, Incarnation: n.incarnation}
 	if n.core != nil {
-		self.Disk, self.Founded, self.House = membership.Disk(n.core.self.ID), n.core.replica.Bootstrapped(), n.core.replica.ClusterID()
+		self.Disk, self.Bootstrapped, self.ClusterID = membership.Disk(n.core.self.ID), n.core.replica.Bootstrapped(), n.core.replica.ClusterID()
 	}
 	clusterID := func(f []membership.Founder) uint64 { return replication.ClusterIDOf(founderMembers(f)) }
 	n.roster = membership.New(self, membership.Config{Seeds: n.peerAddrs(n.settings.SeedAddrs),
--- a/internal/gateway/node/sockets.go
+++ b/internal/gateway/node/sockets.go
@@ -90,6 +90,9 @@
 	if !book.Created() {
 		s.node.logWarn(corePart).Msg("disk full at its first start, no vote until it takes writes")
 	}
+	if err := book.RenameError(); err != nil {
+		s.node.logWarn(corePart).Err(err).Msg("disk file keeps its former name")
+	}
 	s.disk = &diskWriter{node: s.node, store: book, writes: make(chan diskBatch, 1)}
 	go s.disk.run()
 	return s.disk, kept, nil
