--- a/internal/gateway/node/parts_test.go
+++ b/internal/gateway/node/call_chunks_test.go
@@ -58,11 +58,12 @@
 		life uint64
 	}{{&w.sender, senderAddr, 11}, {&w.receiver, receiverAddr, 12}} {
 		h := newLearner(t, "10.0.0.8:7110")
-		h.loop, h.links, h.incarnation, h.upstream = withoutAlarms{w.clock}, &linkEnd{link: w, address: x.me}, x.life, ""
+		h.loop, h.links, h.incarnation = withoutAlarms{w.clock}, &linkEnd{link: w, address: x.me}, x.life
 		h.settings.Bounds = settings.Bounds{InTouch: time.Hour}
-		h.pendingCalls, h.chunked, h.startedAt = map[uint32]*pendingCall{}, newChunkedCalls(), w.clock.now
-		h.groups, h.coordination = &groupHost{node: h}, coordination.New((*coordinationEnv)(h), coordination.Config{})
-		h.chunked.supportedBy = map[string]bool{senderAddr: true, receiverAddr: true}
+		h.calls = newCallRouter(h, h.incarnation)
+		h.openLogStream() // it has no upstream yet
+		h.groups, h.coordination = &groupHost{env: h}, coordination.New((*coordinationEnv)(h), coordination.Config{})
+		h.calls.chunks.supportedBy = map[string]bool{senderAddr: true, receiverAddr: true}
 		*x.h = h
 	}
 	return w
@@ -82,19 +83,19 @@
 		c.chunkBytes += len(f.Part.Chunk.Data)
 	}
 	if to == receiverAddr {
-		c.receiver.receiveChunk(senderAddr, f.Part)
+		c.receiver.calls.chunks.receive(senderAddr, f.Part)
 	} else {
-		c.sender.receiveChunk(receiverAddr, f.Part)
+		c.sender.calls.chunks.receive(receiverAddr, f.Part)
 	}
 	return true
 }
 
 // forward has a call of a begin that goes to b.
 func (c *callLink) forward(body []byte, then func(int, []byte)) uint32 {
-	c.sender.lastCallID++
-	nr, until := c.sender.lastCallID, c.clock.now+callTimeout
-	c.sender.pendingCalls[nr] = &pendingCall{kind: statemachine.KindReplaceConfig, body: body, deadline: until, sentTo: receiverAddr, recipients: []string{receiverAddr}, done: then}
-	must.True(c.t, c.sender.sendCall(receiverAddr, nr, &Call{Asker: c.sender.incarnation, Nr: nr, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}, until))
+	c.sender.calls.lastSequence++
+	nr, until := c.sender.calls.lastSequence, c.clock.now+callTimeout
+	c.sender.calls.pending[nr] = &pendingCall{kind: statemachine.KindReplaceConfig, body: body, deadline: until, sentTo: receiverAddr, recipients: []string{receiverAddr}, done: then}
+	must.True(c.t, c.sender.calls.chunks.sendCall(receiverAddr, nr, &Call{Asker: c.sender.incarnation, Nr: nr, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}, until))
 	return nr
 }
 
@@ -102,14 +103,17 @@
 	for i := range steps {
 		if !c.deliver(receiverAddr, lose(i)) && !c.deliver(senderAddr, lose(i)) {
 			c.clock.now += tickInterval
-			c.sender.tickTransfers()
-			c.receiver.tickTransfers()
+			c.sender.calls.chunks.tick()
+			c.receiver.calls.chunks.tick()
 		}
 	}
 }
 
 func filler(size int) []byte { return bytes.Repeat([]byte("0123456789abcdefghi\n"), size/20) }
 
+// farFuture is a deadline that no test meets.
+const farFuture = 24 * time.Hour
+
 func loseNone(int) bool { return false }
 
 // A call of 1 MB was one frame: on a link of 2 Mbit/s all heartbeats waited behind it for 4 s. Its parts have 16 KB in flight, whichever of
@@ -120,20 +124,20 @@
 		w := newCallLink(t)
 		var answer []byte
 		w.forward(body, func(status int, b []byte) { answer = b })
-		for _, c := range w.sender.chunked.outgoing[receiverAddr] {
-			c.deadline = neverAge
+		for _, c := range w.sender.calls.chunks.outgoing[receiverAddr] {
+			c.deadline = farFuture
 		}
-		w.sender.pendingCalls[1].deadline = neverAge
+		w.sender.calls.pending[1].deadline = farFuture
 		lose := func(i int) bool { return every > 0 && i%every == 0 }
-		for i := 0; i < 20000 && len(w.receiver.pendingCalls) == 0; i++ {
+		for i := 0; i < 20000 && len(w.receiver.calls.pending) == 0; i++ {
 			w.run(1, func(int) bool { return lose(i) })
 		}
-		must.MapLen(t, 1, w.receiver.pendingCalls)
-		must.True(t, bytes.Equal(body, w.receiver.pendingCalls[1].body))
+		must.MapLen(t, 1, w.receiver.calls.pending)
+		must.True(t, bytes.Equal(body, w.receiver.calls.pending[1].body))
 		must.LessEq(t, streamConfig.MaxInflightBytes, w.maxInFlight)
-		w.receiver.finishCall(1, 200, body)
-		for _, c := range w.receiver.chunked.outgoing[senderAddr] {
-			c.deadline = neverAge
+		w.receiver.calls.end(1, 200, body)
+		for _, c := range w.receiver.calls.chunks.outgoing[senderAddr] {
+			c.deadline = farFuture
 		}
 		for i := 0; i < 20000 && answer == nil; i++ {
 			w.run(1, func(int) bool { return lose(i) })
@@ -141,8 +145,8 @@
 		must.True(t, bytes.Equal(body, answer))
 		must.LessEq(t, streamConfig.MaxInflightBytes, w.maxInFlight)
 		w.run(200, loseNone)
-		must.MapEmpty(t, w.sender.chunked.outgoing)
-		must.MapEmpty(t, w.receiver.chunked.outgoing)
+		must.MapEmpty(t, w.sender.calls.chunks.outgoing)
+		must.MapEmpty(t, w.receiver.calls.chunks.outgoing)
 	}
 }
 
@@ -155,28 +159,28 @@
 	nr := w.forward(body, then)
 	w.run(100, loseNone) // some 50 chunks
 	w.clock.now += callTimeout
-	w.sender.finishCall(nr, 503, nil)
+	w.sender.calls.end(nr, 503, nil)
 	must.Eq(t, 503, status)
-	must.MapEmpty(t, w.sender.chunked.outgoing)
+	must.MapEmpty(t, w.sender.calls.chunks.outgoing)
 	w.queued = map[string][]*Frame{}
 	before := w.chunkBytes
 	must.Greater(t, 300<<10, before)
 	nr = w.forward(body, then)
 	w.run(400, loseNone)
-	must.MapLen(t, 1, w.receiver.pendingCalls)
+	must.MapLen(t, 1, w.receiver.calls.pending)
 	must.Less(t, len(body)-before+3*streamConfig.MaxInflightBytes, w.chunkBytes-before)
 	w.sender.LinkDown(receiverAddr)
-	w.sender.finishCall(nr, 503, nil)
+	w.sender.calls.end(nr, 503, nil)
 	must.Eq(t, controlapi.Unclear, status)
 
 	w = newCallLink(t)
 	nr = w.forward(body, then)
 	w.run(100, loseNone)
 	w.sender.LinkDown(receiverAddr) // the link ends midway
-	must.False(t, w.sender.pendingCalls[nr].ambiguous)
-	must.Eq(t, "", w.sender.pendingCalls[nr].sentTo)
-	must.MapEmpty(t, w.sender.chunked.outgoing)
-	w.sender.finishCall(nr, 503, nil)
+	must.False(t, w.sender.calls.pending[nr].ambiguous)
+	must.Eq(t, "", w.sender.calls.pending[nr].sentTo)
+	must.MapEmpty(t, w.sender.calls.chunks.outgoing)
+	w.sender.calls.end(nr, 503, nil)
 	must.Eq(t, 503, status)
 }
 
@@ -187,22 +191,22 @@
 		return &CallChunk{Call: &Call{Asker: 1, Nr: 1, Kind: statemachine.KindReplaceConfig},
 			Chunk: &replication.Chunk{Index: 1, Size: size, Data: make([]byte, 8<<10)}}
 	}
-	w.receiver.receiveChunk(senderAddr, chunk(maxChunkedBody+1))
-	must.MapEmpty(t, w.receiver.chunked.incoming)
+	w.receiver.calls.chunks.receive(senderAddr, chunk(maxChunkedBody+1))
+	must.MapEmpty(t, w.receiver.calls.chunks.incoming)
 	for i := range 20 {
 		w.clock.now++
-		w.receiver.receiveChunk(string(rune('a'+i)), chunk(1<<20))
-		must.LessEq(t, maxAssemblies, len(w.receiver.chunked.incoming))
+		w.receiver.calls.chunks.receive(string(rune('a'+i)), chunk(1<<20))
+		must.LessEq(t, maxAssemblies, len(w.receiver.calls.chunks.incoming))
 	}
 	w.clock.now += assemblyTTL
-	w.receiver.tickTransfers()
-	must.MapEmpty(t, w.receiver.chunked.incoming)
+	w.receiver.calls.chunks.tick()
+	must.MapEmpty(t, w.receiver.calls.chunks.incoming)
 	for range maxTransfers {
-		must.True(t, w.sender.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, neverAge))
+		must.True(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, farFuture))
 	}
-	must.False(t, w.sender.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, neverAge))
-	w.sender.chunked.supportedBy[receiverAddr] = false // a program of the version before
+	must.False(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, farFuture))
+	w.sender.calls.chunks.supportedBy[receiverAddr] = false // a program of the version before
 	w.queued = map[string][]*Frame{}
-	w.sender.sendCall(receiverAddr, 2, &Call{Nr: 2, Body: filler(1 << 20)}, neverAge)
+	w.sender.calls.chunks.sendCall(receiverAddr, 2, &Call{Nr: 2, Body: filler(1 << 20)}, farFuture)
 	must.Eq(t, 1<<20/20*20, len(w.queued[receiverAddr][0].Call.Body))
 }
--- /dev/null
+++ b/internal/gateway/node/rollout_host.go
@@ -0,0 +1,280 @@
+package node
+
+import (
+	"encoding/json"
+	"time"
+
+	"github.com/phuslu/log"
+
+	"clovergap/internal/gateway/admission"
+	"clovergap/internal/gateway/controlapi"
+	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/registry"
+	"clovergap/internal/gateway/rollout"
+	"clovergap/internal/gateway/routing"
+)
+
+// backendsRefreshInterval is how often the coordinator is told which backends there are.
+const backendsRefreshInterval = time.Second
+
+// LocalRollbackMessage is logged where a node sends its users back to the old version by its own findings, without a verdict for all nodes.
+const LocalRollbackMessage = "rolled back on this node alone"
+
+// rolloutHost runs roll-outs at a node: package rollout decides, this carries for it. It owns the node's part (local: which side a
+// user is on, and what requests come to), and at the leader the coordinator, which judges for all nodes. While there is no
+// roll-out it asks, times and sends nothing. It is called in turns of the node.
+type rolloutHost struct {
+	peers     rolloutPeers
+	backends  rolloutBackends
+	local     *rollout.Node
+	reports   reportQueue
+	admission admissionStates
+
+	coordinator         *rollout.Coordinator // nil: another node leads
+	coordinatorTerm     uint64               // of the log, in which this node leads: the coordinator's fencing token
+	backendsRefreshedAt time.Duration
+
+	appliedRevision    uint64            // of the state
+	loggedRevisions    map[string]uint64 // of each service's
+	caughtUp           bool              // in this incarnation the state here was as new as the leader's
+	catchUpRequestedAt time.Duration
+	answerStatus       int // of the response whose outcome is being passed on; 0: there is none
+}
+
+// rolloutPeers is what a rolloutHost needs of the log and of the other nodes.
+type rolloutPeers interface {
+	now() time.Duration
+	rolloutState() *rollout.State
+	// isCurrent tells whether what this node knows is recent enough to refuse requests by it.
+	isCurrent() bool
+	isMember() bool
+	ledTerm() (term uint64, leads bool)
+	slot() membership.Slot
+	clusterSize() int
+	readRollouts(done callDone)
+	proposeRollout(e rollout.Entry)
+	// sendTowardsLeader sends a report to the leader, or to the node that this one follows, unless that is where it came from.
+	sendTowardsLeader(report *RolloutMessage, from string)
+	sendToMembers(lap *RolloutMessage)
+	sendToFollowers(lap *RolloutMessage, except string)
+	logInfo(p logPart) *log.Entry
+	logWarn(p logPart) *log.Entry
+}
+
+// rolloutBackends is what a rolloutHost needs of those that choose a backend for a request.
+type rolloutBackends interface {
+	// serviceRecords are the registrations of a service; known is false as long as this node has no registry.
+	serviceRecords(service string) (records []registry.Record, known bool)
+	// tickRegistry brings the registry's clock up to this turn.
+	tickRegistry()
+	updateListing(c registry.Changed)
+	setRollout(service string, open admission.CanaryAccess)
+	// busyEverywhere is how many requests a service has at a time on all nodes, as far as this node's own tell.
+	busyEverywhere(service string) int
+	// isConfigured tells whether the configuration has a service; true while there is no configuration.
+	isConfigured(service string) bool
+}
+
+func newRolloutHost(peers rolloutPeers, backends rolloutBackends, zone string, incarnation uint64) *rolloutHost {
+	return &rolloutHost{peers: peers, backends: backends, local: rollout.NewNode(zone, incarnation, peers.now()),
+		admission: admissionStates{}, loggedRevisions: map[string]uint64{}, catchUpRequestedAt: -time.Second}
+}
+
+// applyState takes the state after an entry or a snapshot.
+func (r *rolloutHost) applyState() {
+	state := r.peers.rolloutState()
+	if state.Rev == r.appliedRevision {
+		return
+	}
+	r.appliedRevision = state.Rev
+	now := r.peers.now()
+	r.local.Tick(now)
+	r.local.ApplyState(state)
+	if r.coordinator != nil {
+		r.coordinator.Tick(now)
+		r.coordinator.ApplyState(state)
+	}
+	for i := range state.Runs() {
+		r.logProgress(&state.Runs()[i])
+	}
+	r.updateAdmission()
+}
+
+// logProgress logs what has become of a roll-out, once for each of its revisions.
+func (r *rolloutHost) logProgress(run *rollout.Run) {
+	if r.loggedRevisions[run.Order.Service] == run.Rev {
+		return
+	}
+	r.loggedRevisions[run.Order.Service] = run.Rev
+	last := run.History[len(run.History)-1]
+	r.peers.logInfo(rolloutPart).Str("service", run.Order.Service).Uint64("rollout", uint64(run.Number)).
+		Str("verb", string(last.Verb)).Str("by", last.By).Str("phase", string(run.Phase)).Int("step", run.Step).
+		Int("steps", len(run.Order.Steps)).Int("share", run.Share()).Str("reason", last.Why).Msg("roll-out changed")
+}
+
+// tick is the part of the node's periodic timer.
+func (r *rolloutHost) tick() {
+	if !r.local.HasRollouts() {
+		return
+	}
+	now, current := r.peers.now(), r.peers.isCurrent()
+	if current && !r.caughtUp && now-r.catchUpRequestedAt >= time.Second {
+		r.catchUpRequestedAt = now
+		r.peers.readRollouts(r.receiveCatchUp)
+	}
+	r.local.SetConnected(current && r.caughtUp)
+	r.local.Tick(now)
+	for action, ok := r.local.Next(); ok; action, ok = r.local.Next() {
+		switch action := action.(type) {
+		case rollout.SendReport:
+			r.report(action.Report)
+		case rollout.LocalRollback:
+			r.peers.logWarn(rolloutPart).Str("service", action.Service).Uint64("rollout", uint64(action.Number)).
+				Str("reason", action.Reason).Msg(LocalRollbackMessage)
+		}
+	}
+	for _, report := range r.reports.take(now) {
+		r.peers.sendTowardsLeader(&RolloutMessage{Seat: r.peers.slot(), Hops: 1, Report: &report}, "")
+	}
+	r.runCoordinator()
+	r.updateAdmission()
+}
+
+// receiveCatchUp takes what the leader knew when it was asked: this node's own state may be of before its restart.
+func (r *rolloutHost) receiveCatchUp(status int, body []byte) {
+	var there controlapi.RolloutStatus
+	if status == statusOK && json.Unmarshal(body, &there) == nil && r.peers.rolloutState().Rev >= there.Rev {
+		r.caughtUp = true
+	}
+}
+
+// report has the coordinator take a report of this node.
+func (r *rolloutHost) report(report rollout.Report) {
+	if r.coordinator != nil {
+		r.receiveReport(&RolloutMessage{Seat: r.peers.slot(), Report: &report})
+		return
+	}
+	r.reports.add(report)
+}
+
+// receive takes a report or the beginning of a lap, or passes it on.
+func (r *rolloutHost) receive(from string, m *RolloutMessage) {
+	switch {
+	case m.Lap != nil:
+		r.local.Tick(r.peers.now())
+		r.local.HandleLap(*m.Lap)
+		if r.peers.isMember() {
+			r.peers.sendToFollowers(m, from)
+		}
+	case m.Report == nil || len(m.Report.Evidence) > maxEvidenceBytes:
+	case r.coordinator != nil:
+		r.receiveReport(m)
+	case m.Hops < maxHops && r.peers.isMember():
+		r.peers.sendTowardsLeader(&RolloutMessage{Seat: m.Seat, Hops: m.Hops + 1, Report: m.Report}, from)
+	}
+}
+
+// receiveReport hands a report to this node's coordinator.
+func (r *rolloutHost) receiveReport(m *RolloutMessage) {
+	if m.Seat == membership.NoSlot {
+		return
+	}
+	r.coordinator.Tick(r.peers.now())
+	if err := r.coordinator.HandleReport(rollout.NodeID(m.Seat), *m.Report); err != nil {
+		r.peers.logInfo(rolloutPart).Int("slot", int(m.Seat)).Err(err).Msg("report not readable")
+	}
+}
+
+// runCoordinator judges for all nodes while this one leads.
+func (r *rolloutHost) runCoordinator() {
+	term, leads := r.peers.ledTerm()
+	if !leads {
+		r.coordinator = nil
+		return
+	}
+	now := r.peers.now()
+	if r.coordinator == nil || r.coordinatorTerm != term {
+		r.coordinator, r.coordinatorTerm = rollout.NewCoordinator(term, now), term
+		r.coordinator.ApplyState(r.peers.rolloutState())
+		r.backendsRefreshedAt = now - backendsRefreshInterval
+	}
+	if now-r.backendsRefreshedAt >= backendsRefreshInterval {
+		r.backendsRefreshedAt = now
+		r.coordinator.SetNodeCount(r.peers.clusterSize())
+		r.refreshBackends()
+	}
+	r.coordinator.Tick(now)
+	for action, ok := r.coordinator.Next(); ok; action, ok = r.coordinator.Next() {
+		switch action := action.(type) {
+		case rollout.Propose:
+			r.peers.proposeRollout(action.Entry)
+		case rollout.BroadcastLap:
+			r.broadcastLap(action.Lap)
+		}
+	}
+}
+
+// broadcastLap has all nodes gather evidence afresh.
+func (r *rolloutHost) broadcastLap(lap rollout.Lap) {
+	r.local.HandleLap(lap)
+	m := &RolloutMessage{Lap: &lap}
+	r.peers.sendToMembers(m)
+	r.peers.sendToFollowers(m, "")
+}
+
+// refreshBackends tells the coordinator whether there is a version to go back to, and a service at all.
+func (r *rolloutHost) refreshBackends() {
+	for i := range r.peers.rolloutState().Runs() {
+		run := &r.peers.rolloutState().Runs()[i]
+		if run.Phase != rollout.Running {
+			continue
+		}
+		baseline := -1 // not known
+		if capacity := r.capacityOf(&run.Order); capacity.Old+capacity.New > 0 {
+			baseline = capacity.Old
+		}
+		r.coordinator.SetBaselineBackends(run.Order.Service, baseline, r.backends.isConfigured(run.Order.Service))
+	}
+}
+
+// capacityOf is how many requests the ready backends of each version take at a time, and how many there are at the busiest, as far as
+// this node's own tell.
+func (r *rolloutHost) capacityOf(spec *rollout.Spec) (c rollout.Capacity) {
+	records, known := r.backends.serviceRecords(spec.Service)
+	if !known {
+		return c
+	}
+	for _, record := range records {
+		switch {
+		case record.Phase != registry.Ready:
+		case record.Generation == spec.New:
+			c.New += max(record.Capacity, 1)
+		default:
+			c.Old += max(record.Capacity, 1)
+		}
+	}
+	c.Busy = r.backends.busyEverywhere(spec.Service)
+	return c
+}
+
+// prepareEntry is an operator's entry as the leader puts it into the log: with what the coordinator has counted until now. An order that
+// would be taken, but names what is not in the configuration, is refused here, since another node may not know the newest.
+func (r *rolloutHost) prepareEntry(body []byte, checkKnown func(*rollout.Spec) error) ([]byte, error) {
+	e, err := rollout.DecodeEntry(body)
+	if err != nil {
+		return nil, err
+	}
+	if e.Order != nil { // the node that took the call may know of fewer backends
+		here := r.capacityOf(e.Order)
+		e.Room.Old, e.Room.New = max(e.Room.Old, here.Old), max(e.Room.New, here.New)
+	}
+	if v, _ := r.peers.rolloutState().Decide(e); v == routing.Taken && e.Order != nil {
+		if err := checkKnown(e.Order); err != nil {
+			return nil, err
+		}
+	}
+	if r.coordinator != nil {
+		e.Counts, _ = r.coordinator.Counts(e.Service)
+	}
+	return e.Encode(), nil
+}
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/invariant"
 )
 
 // stallThreshold is the step of the clock above which this process stood still: the host ticks every scanInterval at the latest.
--- a/internal/gateway/transport/invariants.go
+++ b/internal/gateway/transport/invariants.go
@@ -1,6 +1,6 @@
 package transport
 
-import "clovergap/internal/proxy/invariant"
+import "clovergap/internal/invariant"
 
 // maxEndedChecks is how many checks in a row may find that the connection of a link has ended, while the link's writer is still on its way
 // to take it down.
