--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -63,16 +63,18 @@
 	}
 	k = replication.PersistentState{ID: h.Me, ClusterID: h.House, Term: h.Promise, Vote: h.For, Commit: h.Delivered}
 	if v := l.snapshot.Get(snapshotKey); v != nil {
-		if err := decodeGob(v, &k.Snapshot); err != nil {
+		var stored replication.WireSnapshot
+		if err := decodeGob(v, &stored); err != nil {
 			return k, errors.Wrap(err, "snapshot")
 		}
+		k.Snapshot = stored.Snapshot()
 	}
 	if err := l.entries.ForEach(func(key, v []byte) error {
-		var e replication.Entry
-		if err := decodeGob(v, &e); err != nil {
+		var stored replication.WireEntry
+		if err := decodeGob(v, &stored); err != nil {
 			return errors.Wrapf(err, "entry %x", key)
 		}
-		k.Entries = append(k.Entries, e)
+		k.Entries = append(k.Entries, stored.Entry())
 		return nil
 	}); err != nil {
 		return k, err
--- a/internal/gateway/logstore/groups_test.go
+++ b/internal/gateway/logstore/groups_test.go
@@ -25,7 +25,7 @@
 	members := []replication.Member{{ID: k.ID, Addr: "a"}}
 	found := func(id replication.LogID) replication.LogWrite {
 		return replication.LogWrite{Log: id, Write: replication.Write{ClusterID: 5 + uint64(id), Term: 1, Commit: 1, FirstIndex: 2,
-			Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: members}}}
+			Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members}}}
 	}
 	adds := func(id replication.LogID, from, view uint64, data ...string) replication.LogWrite {
 		w := replication.Write{ClusterID: 5 + uint64(id), Term: view, Commit: 1, FirstIndex: from}
@@ -40,7 +40,7 @@
 		{adds(1, 2, 1, "a", "b"), adds(0, 2, 1, "c"), adds(3, 2, 1, "d", "e", "f")},
 		{adds(3, 3, 2, "g")},
 		{{Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3,
-			Snapshot: &replication.Snapshot{Index: 2, View: 1, Members: members, State: []byte("a")}}}, {Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3, FirstIndex: 4,
+			Snapshot: &replication.Snapshot{Index: 2, Term: 1, Members: members, State: []byte("a")}}}, {Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3, FirstIndex: 4,
 			Entries: []replication.Entry{entry(4, 1, "h")}}}},
 		{found(2)},
 	} {
@@ -72,10 +72,10 @@
 	b, k, err := Open(dir)
 	must.NoError(t, err)
 	first := replication.Write{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
-		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.ID, Addr: "a"}}}}
+		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: k.ID, Addr: "a"}}}}
 	must.NoError(t, b.Write([]replication.LogWrite{{Log: 0, Write: first}, {Log: 1, Write: first}}))
 	tooLong := first
-	tooLong.Snapshot, tooLong.Entries = nil, []replication.Entry{{Index: 2, View: 1, Data: make([]byte, 4<<20)}}
+	tooLong.Snapshot, tooLong.Entries = nil, []replication.Entry{{Index: 2, Term: 1, Data: make([]byte, 4<<20)}}
 	b.file.MaxSize = 1 << 20
 	small := tooLong
 	small.Entries = []replication.Entry{entry(2, 1, "small")}
@@ -101,8 +101,8 @@
 		for index := uint64(1); index <= 12; index += 2 {
 			for log := replication.LogID(0); log <= groups; log++ {
 				w := replication.Write{ClusterID: 1 + uint64(log), Term: 1, Commit: index, FirstIndex: index + 1,
-					Snapshot: &replication.Snapshot{Index: index, View: 1, Members: members, State: make([]byte, state)},
-					Entries:  []replication.Entry{{Index: index + 1, View: 1, Data: make([]byte, state/2)}}}
+					Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: members, State: make([]byte, state)},
+					Entries:  []replication.Entry{{Index: index + 1, Term: 1, Data: make([]byte, state/2)}}}
 				must.NoError(t, b.Write([]replication.LogWrite{{Log: log, Write: w}}))
 			}
 		}
@@ -121,7 +121,7 @@
 	members := []replication.Member{{ID: k.ID, Addr: "a"}}
 	for log := replication.LogID(1); log <= 8; log++ {
 		must.NoError(b, store.Write([]replication.LogWrite{{Log: log, Write: replication.Write{ClusterID: 1, Term: 1, Commit: 1,
-			FirstIndex: 2, Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: members, State: make([]byte, 64<<10)}}}}))
+			FirstIndex: 2, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members, State: make([]byte, 64<<10)}}}}))
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -134,7 +134,7 @@
 	for b.Loop() {
 		index := uint64(2 + n/8)
 		must.NoError(b, store.Write([]replication.LogWrite{{Log: replication.LogID(1 + n%8), Write: replication.Write{ClusterID: 1, Term: 1,
-			Commit: index - 1, FirstIndex: index, Entries: []replication.Entry{{Index: index, View: 1, Data: make([]byte, 100)}}}}}))
+			Commit: index - 1, FirstIndex: index, Entries: []replication.Entry{{Index: index, Term: 1, Data: make([]byte, 100)}}}}}))
 		n++
 	}
 	b.ReportMetric(float64(spent()-began)/float64(n)/1e3, "cpu-us/op")
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -134,12 +134,12 @@
 		must.Eq(t, recordedLeader.ID, kept.Vote)
 		must.Eq(t, 78, kept.Commit)
 		must.Eq(t, 64, kept.Snapshot.Index)
-		must.Eq(t, 11, kept.Snapshot.View)
+		must.Eq(t, 11, kept.Snapshot.Term)
 		must.Eq(t, replaced, kept.Snapshot.Members)
 		must.Len(t, 17, kept.Entries)
 		for i, e := range kept.Entries {
 			must.Eq(t, 65+uint64(i), e.Index)
-			must.Eq(t, 11, e.View)
+			must.Eq(t, 11, e.Term)
 			if e.Index != 77 {
 				must.Eq(t, replication.EntryNormal, e.Kind)
 				must.SliceEmpty(t, e.Members)
@@ -178,13 +178,13 @@
 		must.Eq(t, want, got, must.Sprint("log ", id))
 		if id == 2 {
 			must.Eq(t, 56, log.Snapshot.Index)
-			must.Eq(t, 5, log.Snapshot.View)
+			must.Eq(t, 5, log.Snapshot.Term)
 			must.Eq(t, replaced, log.Snapshot.Members)
 			must.Len(t, 75110, log.Snapshot.State)
 			continue
 		}
 		must.Eq(t, 1, log.Snapshot.Index)
-		must.Eq(t, 1, log.Snapshot.View)
+		must.Eq(t, 1, log.Snapshot.Term)
 		must.Eq(t, founders, log.Snapshot.Members)
 		must.SliceEmpty(t, log.Snapshot.State)
 	}
--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -21,17 +21,17 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	me := []replication.Member{{ID: k.ID, Addr: "a"}}
 	must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2,
-		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: me}}}))
+		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: me}}}))
 	held := 0
 	for i := range times {
 		index := uint64(i + 2)
 		data := make([]byte, state-state/10+rng.IntN(state/5))
 		must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 1, Term: 1, Commit: index, FirstIndex: index,
-			Entries: []replication.Entry{{Index: index, View: 1, Data: data}}}}))
+			Entries: []replication.Entry{{Index: index, Term: 1, Data: data}}}}))
 		if held += len(data); held >= compact {
 			held = 0
 			must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 1, Term: 1, Commit: index,
-				Snapshot: &replication.Snapshot{Index: index, View: 1, Members: me, State: data}}}))
+				Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: me, State: data}}}))
 		}
 	}
 	must.NoError(t, b.Close())
@@ -78,10 +78,10 @@
 		must.NoError(t, k.Validate())
 	}
 	entry := func(index uint64) replication.Entry {
-		return replication.Entry{Index: index, View: view, Data: make([]byte, state-rng.IntN(state/20))}
+		return replication.Entry{Index: index, Term: view, Data: make([]byte, state-rng.IntN(state/20))}
 	}
 	snap := func(index uint64) *replication.Snapshot {
-		return &replication.Snapshot{Index: index, View: view, Members: me, State: make([]byte, state+state/100)}
+		return &replication.Snapshot{Index: index, Term: view, Members: me, State: make([]byte, state+state/100)}
 	}
 	apply(replication.Write{Snapshot: snap(1), Commit: 1})
 	for range times {
--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -289,7 +289,7 @@
 
 func writeLog(log logBuckets, w replication.Write) error {
 	if w.Snapshot != nil {
-		if err := putGob(log.snapshot, snapshotKey, w.Snapshot); err != nil {
+		if err := putGob(log.snapshot, snapshotKey, w.Snapshot.Wire()); err != nil {
 			return err
 		}
 	}
@@ -304,7 +304,7 @@
 		if w.FirstIndex == 0 {
 			break
 		}
-		if err := putGob(log.entries, indexKey(e.Index), e); err != nil {
+		if err := putGob(log.entries, indexKey(e.Index), e.Wire()); err != nil {
 			return err
 		}
 	}
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -14,7 +14,7 @@
 )
 
 func entry(index, view uint64, data string) replication.Entry {
-	return replication.Entry{Index: index, View: view, Data: []byte(data)}
+	return replication.Entry{Index: index, Term: view, Data: []byte(data)}
 }
 
 // The file does what Kept.Apply does, also after it was closed.
@@ -25,16 +25,16 @@
 	must.NotEq(t, 0, want.ID)
 	members := []replication.Member{{ID: want.ID, Addr: "10.0.0.1:1"}, {ID: 7, Addr: "10.0.0.2:1"}}
 	for _, batch := range [][]replication.Write{
-		{{ClusterID: 5, Term: 1, Commit: 1, Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: members}, FirstIndex: 2}},
+		{{ClusterID: 5, Term: 1, Commit: 1, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members}, FirstIndex: 2}},
 		{{ClusterID: 5, Term: 2, Vote: 7, Commit: 1, FirstIndex: 2,
 			Entries: []replication.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}},
 			{ClusterID: 5, Term: 3, Vote: 7, Commit: 2}},
 		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 3, FirstIndex: 4, // trimmed
 			Entries: []replication.Entry{entry(4, 3, "d"), entry(5, 3, "e")}}},
 		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 4,
-			Snapshot: &replication.Snapshot{Index: 4, View: 3, Members: members, State: []byte("abd")}}},
+			Snapshot: &replication.Snapshot{Index: 4, Term: 3, Members: members, State: []byte("abd")}}},
 		{{ClusterID: 5, Term: 9, Vote: 8, Commit: 30, FirstIndex: 31, // another's snapshot
-			Snapshot: &replication.Snapshot{Index: 30, View: 8, Members: members, State: []byte("z")}}},
+			Snapshot: &replication.Snapshot{Index: 30, Term: 8, Members: members, State: []byte("z")}}},
 	} {
 		must.NoError(t, b.WriteConfigurationLog(batch))
 		for _, w := range batch {
@@ -59,7 +59,7 @@
 	list, index := []replication.Member{{ID: 1}}, uint64(1)
 	for range 30 {
 		must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 5, Term: 1, Commit: index,
-			Snapshot: &replication.Snapshot{Index: index, View: 1, Members: list, State: make([]byte, 100_000)}}}))
+			Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: list, State: make([]byte, 100_000)}}}))
 		for range 20 {
 			w := replication.Write{ClusterID: 5, Term: 1, Commit: index, FirstIndex: index + 1}
 			for range 5 {
@@ -84,7 +84,7 @@
 	must.NoError(t, err)
 	must.NoError(t, b.WriteConfigurationLog([]replication.Write{{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
 		Entries:  []replication.Entry{entry(2, 1, "a")},
-		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: 1}}, State: make([]byte, 9000)}}}))
+		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: 1}}, State: make([]byte, 9000)}}}))
 	must.NoError(t, b.Close())
 	whole, err := os.ReadFile(path)
 	must.NoError(t, err)
@@ -137,7 +137,7 @@
 	for _, together := range []bool{true, false} {
 		b, k, err := Open(t.TempDir())
 		must.NoError(t, err)
-		snap := replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.ID, Addr: "a"}}}
+		snap := replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: k.ID, Addr: "a"}}}
 		first := replication.Write{Seq: 1, ClusterID: 1, Term: 1, Commit: 1, Snapshot: &snap, FirstIndex: 2}
 		for i := uint64(2); i <= 400; i++ {
 			first.Entries = append(first.Entries, entry(i, 1, "some data of a change"))
@@ -181,7 +181,7 @@
 	must.Positive(t, k.ID)
 	must.Nil(t, b.SoftState())
 	write := []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2, Entries: []replication.Entry{entry(2, 1, "a")},
-		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: k.ID}}}}}
+		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: k.ID}}}}}
 	must.ErrorIs(t, b.WriteConfigurationLog(write), unix.ENOSPC)
 	must.ErrorIs(t, b.SaveSoftState([]byte("one")), unix.ENOSPC)
 	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), make([]byte, 5000), 0o600)) // as much as there was room for
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -79,7 +79,7 @@
 // CoreMessage is a message between members of the core.
 type CoreMessage struct {
 	From    replication.MemberID
-	Message replication.Message
+	Message replication.WireMessage
 	Hears   []byte // at times: the slots that the sender hears, in the place of a Ping between nodes with a disk
 }
 
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -76,7 +76,7 @@
 
 // coreMessage is a message of the log to another member, with the slots that this one hears if they wait.
 func (c *core) coreMessage(addr string, m replication.Message) *CoreMessage {
-	line := &CoreMessage{From: c.self.ID, Message: m}
+	line := &CoreMessage{From: c.self.ID, Message: m.Wire()}
 	if x := c.liveness[addr]; x.pendingSince > 0 {
 		x.pendingSince = 0
 		c.liveness[addr] = x
--- a/internal/gateway/node/oldstate_test.go
+++ b/internal/gateway/node/oldstate_test.go
@@ -23,7 +23,7 @@
 		h.roster = membership.New(membership.Node{Name: "a", Addr: addr, Disk: 1}, membership.Config{}, clock.now)
 		h.groups = &groupHost{node: h}
 		kept := replication.PersistentState{ID: 1, ClusterID: 1, Term: 1, Commit: 5,
-			Snapshot: replication.Snapshot{Index: 5, View: 1, Members: members, State: state}}
+			Snapshot: replication.Snapshot{Index: 5, Term: 1, Members: members, State: state}}
 		h.core = &core{liveness: map[string]livenessState{}, replicaHost: replicaHost{node: h, self: members[0],
 			replica: replication.New(members[0], kept, replication.DefaultConfig(), 1, clock.now)}}
 		return h, out, func(at time.Duration) (bytes int) { // that a follower is sent which asks then
--- a/internal/gateway/node/peers.go
+++ b/internal/gateway/node/peers.go
@@ -54,7 +54,7 @@
 	case f.Core != nil && n.core != nil:
 		n.core.receiveLiveness(from, f.Core)
 		n.core.replica.Tick(n.loop.Now())
-		n.core.replica.Step(f.Core.From, f.Core.Message)
+		n.core.replica.Step(f.Core.From, f.Core.Message.Message())
 	case f.Groups != nil && n.core != nil:
 		n.groups.receive(f.Groups)
 	case f.Board != nil && n.registry != nil:
--- a/internal/gateway/node/wire_test.go
+++ b/internal/gateway/node/wire_test.go
@@ -178,11 +178,11 @@
 
 func wireMessageSet() replication.Message {
 	members := []replication.Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}}
-	return replication.Message{Kind: replication.MsgAppend, House: 41, To: 22, View: 12, Index: 15, At: 11, Delivered: 14, Round: 13, Elsewhere: 16,
-		No: true, Entries: []replication.Entry{{Index: 17, View: 12, Kind: replication.EntryNormal, Data: []byte("change")},
-			{Index: 18, View: 10, Kind: replication.EntryConfigChange, Members: members}},
-		Snap:  &replication.Snapshot{Index: 9, View: 8, Members: members, State: []byte("state")},
-		Chunk: wireChunkSet(50, "chunk of the log"), Chunks: true, Clock: 1234567890, Echo: 987654321, Contact: -2}
+	return replication.Message{Kind: replication.MsgAppend, ClusterID: 41, Recipient: 22, Term: 12, Index: 15, LogTerm: 11, Commit: 14, Seq: 13, ReplicatedElsewhere: 16,
+		Rejected: true, Entries: []replication.Entry{{Index: 17, Term: 12, Kind: replication.EntryNormal, Data: []byte("change")},
+			{Index: 18, Term: 10, Kind: replication.EntryConfigChange, Members: members}},
+		Snapshot: &replication.Snapshot{Index: 9, Term: 8, Members: members, State: []byte("state")},
+		Chunk:    wireChunkSet(50, "chunk of the log"), AcceptsChunks: true, Clock: 1234567890, EchoedClock: 987654321, ContactAgeMillis: -2}
 }
 
 func wireChunkSet(from uint64, data string) *replication.Chunk {
@@ -212,13 +212,14 @@
 
 // wireGroupLines are the messages of two groups. Their compact form leaves out Clock, Echo and Contact.
 func wireGroupLines() []groupMessage {
-	first, last := wireMessageSet(), replication.Message{Kind: replication.MsgAppendAck, House: 42, To: 23, View: 3, Index: 4, Contact: -1}
-	first.Clock, first.Echo, first.Contact = 0, 0, -1
+	first, last := wireMessageSet(), replication.Message{Kind: replication.MsgAppendAck, ClusterID: 42, Recipient: 23, Term: 3, Index: 4, ContactAgeMillis: -1}
+	first.Clock, first.EchoedClock, first.ContactAgeMillis = 0, 0, -1
 	return []groupMessage{{group: 1, message: first}, {group: groups.Count - 1, message: last}}
 }
 
 // wireFrames are the frames of the stream, as the program has them.
 func wireFrames() []*Frame {
+	message := wireMessageSet()
 	report := &rollout.Report{Service: "service", Number: 3, Step: 1, Lap: 2, Life: 9, Seq: 4, Zone: "zone", Alone: true, Backs: 5,
 		Evidence: []byte("evidence")}
 	report.Counts[1][0] = rollout.Tally{Ends: 15, By: [5]uint32{1, 2, 3, 4, 5}, Times: [rollout.LatencyBuckets]uint32{3: 7, 25: 1}}
@@ -236,7 +237,7 @@
 		{Ping: &Heartbeat{Stale: 150 * time.Millisecond, Index: 6, Lives: []byte{7}, View: 2, Clock: 1234567890, Echo: 987654321,
 			Leaders: []membership.Slot{2, 1}}},
 		{Found: []replication.Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}}},
-		{Core: &CoreMessage{From: 21, Message: wireMessageSet(), Hears: []byte{5}}},
+		{Core: &CoreMessage{From: 21, Message: message.Wire(), Hears: []byte{5}}},
 		{Board: &registry.Message{Nr: 8, Words: []registry.Record{wireRecordSet("word")}, Beats: []registry.Record{wireRecordSet("beat")},
 			Doubts: []registry.Record{wireRecordSet("doubt")}, Acks: []uint64{1, 2}, All: true, Unreached: []registry.Slot{3, 4}}},
 		{Follow: &StreamRequest{After: 6, Anew: true, Ends: true, Clock: 5, Had: wireChunkSet(60, "had"), Chunks: true}},
--- a/internal/gateway/replication/blob.go
+++ b/internal/gateway/replication/blob.go
@@ -6,15 +6,6 @@
 	"time"
 )
 
-// Chunk is a part of a blob: of a snapshot's state, or of what else is too large for one message. Index, View, Sum and Size
-// tell its blob from any other: what was had before a redial or under another sender counts for whoever sends the same.
-type Chunk struct {
-	Index, View uint64 // the snapshot's, or the entry's
-	Sum, Size   uint64 // of the whole
-	Offset      uint64 // where Data begins; in an acknowledgement: all before is had
-	Data        []byte
-}
-
 // SameBlob tells whether two are parts of the same.
 func (c *Chunk) SameBlob(o *Chunk) bool {
 	return c.Index == o.Index && c.View == o.View && c.Sum == o.Sum && c.Size == o.Size
@@ -150,8 +141,8 @@
 
 // latestSnapshotBlob is the newest snapshot's state.
 func (r *Replica) latestSnapshotBlob() *Blob {
-	if r.snapshotBlob == nil || r.snapshotBlob.id.Index != r.snapshot.Index || r.snapshotBlob.id.View != r.snapshot.View {
-		r.snapshotBlob = NewBlob(r.snapshot.Index, r.snapshot.View, r.snapshot.State)
+	if r.snapshotBlob == nil || r.snapshotBlob.id.Index != r.snapshot.Index || r.snapshotBlob.id.View != r.snapshot.Term {
+		r.snapshotBlob = NewBlob(r.snapshot.Index, r.snapshot.Term, r.snapshot.State)
 	}
 	return r.snapshotBlob
 }
@@ -183,7 +174,7 @@
 		if r.now-snapshotRetransmitFactor*r.config.RetransmitTimeout >= w.snapshotSentAt {
 			s := r.snapshot
 			w.snapshotSentAt, w.nextIndex, w.inflightBase = r.now, s.Index+1, s.Index
-			r.sendAppend(w, Message{Index: s.Index, At: s.View, Snap: &s})
+			r.sendAppend(w, Message{Index: s.Index, LogTerm: s.Term, Snapshot: &s})
 		}
 		return
 	}
@@ -208,7 +199,7 @@
 	}
 	snap.State = nil
 	w.transferSnapshot, w.transfer, w.nextIndex, w.inflightBase = &snap, BlobSender{Blob: b}, snap.Index+1, snap.Index
-	w.transferPrev = logPosition{snap.View, snap.Index}
+	w.transferPrev = logPosition{snap.Term, snap.Index}
 	r.sendChunks(w)
 }
 
@@ -223,11 +214,11 @@
 		return
 	}
 	for c := w.transfer.NextChunk(&r.config, r.now); c != nil; c = w.transfer.NextChunk(&r.config, r.now) {
-		m := Message{Kind: MsgAppendChunk, Index: c.Index, At: c.View, Snap: w.transferSnapshot, Chunk: c}
+		m := Message{Kind: MsgAppendChunk, Index: c.Index, LogTerm: c.View, Snapshot: w.transferSnapshot, Chunk: c}
 		if w.transferSnapshot == nil {
 			e := *w.transferEntry
 			e.Data = nil
-			m.Index, m.At, m.Entries = w.transferPrev.index, w.transferPrev.term, []Entry{e}
+			m.Index, m.LogTerm, m.Entries = w.transferPrev.index, w.transferPrev.term, []Entry{e}
 		}
 		r.sendAppend(w, m)
 	}
@@ -235,26 +226,26 @@
 
 // onChunk takes a part of what a leader sends; all of it is as if it had come in one message.
 func (r *Replica) onChunk(from MemberID, m Message) {
-	c, first := m.Chunk, r.clusterID == 0 || m.House != r.clusterID && r.onlyBootstrapped()
-	if c == nil || m.Snap == nil && len(m.Entries) != 1 || !first && !r.followLeader(from, m) {
+	c, first := m.Chunk, r.clusterID == 0 || m.ClusterID != r.clusterID && r.onlyBootstrapped()
+	if c == nil || m.Snapshot == nil && len(m.Entries) != 1 || !first && !r.followLeader(from, m) {
 		return
 	}
 	m.Kind, m.Chunk = MsgAppend, nil
-	had := !r.needsSnapshot(m.Snap)
-	if m.Snap == nil {
+	had := !r.needsSnapshot(m.Snapshot)
+	if m.Snapshot == nil {
 		prev, known := r.termAt(m.Index)
 		v, ok := r.termAt(c.Index)
 		if had = ok && v == c.View; had {
-			m.Index, m.At = c.Index, c.View
+			m.Index, m.LogTerm = c.Index, c.View
 		}
-		had = had || c.Index <= r.commitIndex || m.Index > r.commitIndex && (!known || prev != m.At)
+		had = had || c.Index <= r.commitIndex || m.Index > r.commitIndex && (!known || prev != m.LogTerm)
 	}
-	if first && m.Snap == nil {
+	if first && m.Snapshot == nil {
 		r.joinCluster(from, m) // which asks for the state
 		return
 	}
 	if had && !first { // or what comes before it is not
-		m.Snap, m.Entries = nil, nil
+		m.Snapshot, m.Entries = nil, nil
 		r.onAppend(from, m)
 		return
 	}
@@ -266,15 +257,15 @@
 			r.ackedReadSeq = r.readSeq
 		}
 		if part != nil {
-			r.send(from, Message{Kind: MsgChunkAck, House: m.House, View: m.View, Round: m.Round, Chunk: part, Chunks: true,
-				Clock: r.clock.Stamp(r.now), Echo: r.leaderClock})
+			r.send(from, Message{Kind: MsgChunkAck, ClusterID: m.ClusterID, Term: m.Term, Seq: m.Seq, Chunk: part, AcceptsChunks: true,
+				Clock: r.clock.Stamp(r.now), EchoedClock: r.leaderClock})
 		}
 		return
 	}
-	if m.Snap != nil {
-		s := *m.Snap
+	if m.Snapshot != nil {
+		s := *m.Snapshot
 		s.State = whole
-		m.Snap = &s
+		m.Snapshot = &s
 	} else {
 		e := m.Entries[0]
 		e.Data = whole
@@ -336,7 +327,7 @@
 	left := max(r.config.TrailingBytes, len(r.snapshot.State))
 	for i := len(r.trailing) - 1; i >= 0; i-- {
 		if left -= r.trailing[i].size(); left < 0 || len(r.trailing)-i > maxTrailingEntries {
-			r.trailing, r.trailingTerm = slices.Clone(r.trailing[i+1:]), r.trailing[i].View
+			r.trailing, r.trailingTerm = slices.Clone(r.trailing[i+1:]), r.trailing[i].Term
 			return
 		}
 	}
--- a/internal/gateway/replication/codec.go
+++ b/internal/gateway/replication/codec.go
@@ -35,17 +35,17 @@
 	}
 	numbers := []struct {
 		bit, value uint64
-	}{{hasIndex, m.Index}, {hasLogTerm, m.At}, {hasCommit, m.Delivered}, {hasSeq, m.Round}, {hasReplicatedElsewhere, m.Elsewhere}}
+	}{{hasIndex, m.Index}, {hasLogTerm, m.LogTerm}, {hasCommit, m.Commit}, {hasSeq, m.Seq}, {hasReplicatedElsewhere, m.ReplicatedElsewhere}}
 	for _, n := range numbers {
 		set(n.bit, n.value != 0)
 	}
-	set(isRejection, m.No)
+	set(isRejection, m.Rejected)
 	set(hasEntries, len(m.Entries) > 0)
-	set(hasSnapshot, m.Snap != nil)
+	set(hasSnapshot, m.Snapshot != nil)
 	set(hasChunk, m.Chunk != nil)
-	set(acceptsChunks, m.Chunks)
+	set(acceptsChunks, m.AcceptsChunks)
 	b = append(b, byte(m.Kind))
-	for _, n := range []uint64{mask, m.House, uint64(m.To), m.View} {
+	for _, n := range []uint64{mask, m.ClusterID, uint64(m.Recipient), m.Term} {
 		b = binary.AppendUvarint(b, n)
 	}
 	for _, n := range numbers {
@@ -59,8 +59,8 @@
 			b = appendEntry(b, &m.Entries[i])
 		}
 	}
-	if s := m.Snap; s != nil {
-		b = binary.AppendUvarint(binary.AppendUvarint(b, s.Index), s.View)
+	if s := m.Snapshot; s != nil {
+		b = binary.AppendUvarint(binary.AppendUvarint(b, s.Index), s.Term)
 		b = appendBytes(appendMembers(b, s.Members), s.State)
 	}
 	if c := m.Chunk; c != nil {
@@ -73,7 +73,7 @@
 }
 
 func appendEntry(b []byte, e *Entry) []byte {
-	b = append(binary.AppendUvarint(binary.AppendUvarint(b, e.Index), e.View), byte(e.Kind))
+	b = append(binary.AppendUvarint(binary.AppendUvarint(b, e.Index), e.Term), byte(e.Kind))
 	return appendMembers(appendBytes(b, e.Data), e.Members)
 }
 
@@ -97,23 +97,23 @@
 	r := messageReader{rest: b}
 	m.Kind = MessageKind(r.byte())
 	mask := r.uvarint()
-	m.House, m.To, m.View, m.Contact = r.uvarint(), MemberID(r.uvarint()), r.uvarint(), -1
+	m.ClusterID, m.Recipient, m.Term, m.ContactAgeMillis = r.uvarint(), MemberID(r.uvarint()), r.uvarint(), -1
 	for _, n := range []struct {
 		bit uint64
 		to  *uint64
-	}{{hasIndex, &m.Index}, {hasLogTerm, &m.At}, {hasCommit, &m.Delivered}, {hasSeq, &m.Round}, {hasReplicatedElsewhere, &m.Elsewhere}} {
+	}{{hasIndex, &m.Index}, {hasLogTerm, &m.LogTerm}, {hasCommit, &m.Commit}, {hasSeq, &m.Seq}, {hasReplicatedElsewhere, &m.ReplicatedElsewhere}} {
 		if mask&n.bit != 0 {
 			*n.to = r.uvarint()
 		}
 	}
-	m.No, m.Chunks = mask&isRejection != 0, mask&acceptsChunks != 0
+	m.Rejected, m.AcceptsChunks = mask&isRejection != 0, mask&acceptsChunks != 0
 	if mask&hasEntries != 0 {
 		for range r.count() {
-			m.Entries = append(m.Entries, Entry{Index: r.uvarint(), View: r.uvarint(), Kind: EntryKind(r.byte()), Data: r.bytes(), Members: r.members()})
+			m.Entries = append(m.Entries, Entry{Index: r.uvarint(), Term: r.uvarint(), Kind: EntryKind(r.byte()), Data: r.bytes(), Members: r.members()})
 		}
 	}
 	if mask&hasSnapshot != 0 {
-		m.Snap = &Snapshot{Index: r.uvarint(), View: r.uvarint(), Members: r.members(), State: r.bytes()}
+		m.Snapshot = &Snapshot{Index: r.uvarint(), Term: r.uvarint(), Members: r.members(), State: r.bytes()}
 	}
 	if mask&hasChunk != 0 {
 		m.Chunk = &Chunk{Index: r.uvarint(), View: r.uvarint(), Sum: r.uvarint(), Size: r.uvarint(), Offset: r.uvarint(), Data: r.bytes()}
--- a/internal/gateway/replication/codec_bench_test.go
+++ b/internal/gateway/replication/codec_bench_test.go
@@ -10,14 +10,14 @@
 func benchMessages() map[string]Message {
 	members := []Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}, {ID: 23, Addr: "10.0.0.3:7110"}}
 	data := bytes.Repeat([]byte("entry"), 50)
-	head := Message{Kind: MsgAppend, House: 41, To: 22, View: 2, Index: 500, At: 2, Delivered: 499, Round: 9, Contact: -1}
+	head := Message{Kind: MsgAppend, ClusterID: 41, Recipient: 22, Term: 2, Index: 500, LogTerm: 2, Commit: 499, Seq: 9, ContactAgeMillis: -1}
 	heartbeat, entries, snapshot := head, head, head
 	for i := range uint64(16) {
-		entries.Entries = append(entries.Entries, Entry{Index: 501 + i, View: 2, Kind: EntryNormal, Data: data})
+		entries.Entries = append(entries.Entries, Entry{Index: 501 + i, Term: 2, Kind: EntryNormal, Data: data})
 	}
-	entries.Entries = append(entries.Entries, Entry{Index: 517, View: 2, Kind: EntryConfigChange, Members: members})
-	snapshot.Snap = &Snapshot{Index: 500, View: 2, Members: members, State: bytes.Repeat(data, 32)}
-	ack := Message{Kind: MsgAppendAck, House: 41, To: 21, View: 2, Index: 500, Round: 9, Chunks: true, Contact: -1}
+	entries.Entries = append(entries.Entries, Entry{Index: 517, Term: 2, Kind: EntryConfigChange, Members: members})
+	snapshot.Snapshot = &Snapshot{Index: 500, Term: 2, Members: members, State: bytes.Repeat(data, 32)}
+	ack := Message{Kind: MsgAppendAck, ClusterID: 41, Recipient: 21, Term: 2, Index: 500, Seq: 9, AcceptsChunks: true, ContactAgeMillis: -1}
 	return map[string]Message{"heartbeat": heartbeat, "entries": entries, "snapshot": snapshot, "ack": ack}
 }
 
@@ -55,11 +55,13 @@
 	for name, message := range benchMessages() {
 		b.Run(name, func(b *testing.B) {
 			var stream bytes.Buffer
+			var wire WireMessage // a part of the frame, which is allocated in any case
 			encoder := gob.NewEncoder(&stream)
 			b.ReportAllocs()
 			for b.Loop() {
 				stream.Reset()
-				if err := encoder.Encode(&message); err != nil {
+				wire = message.Wire()
+				if err := encoder.Encode(&wire); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -72,16 +74,19 @@
 	for name, message := range benchMessages() {
 		b.Run(name, func(b *testing.B) {
 			var stream bytes.Buffer
+			var wire WireMessage
 			encoder, decoder := gob.NewEncoder(&stream), gob.NewDecoder(&stream)
 			b.ReportAllocs()
 			for b.Loop() {
-				var got Message
-				if err := encoder.Encode(&message); err != nil {
+				var got WireMessage
+				wire = message.Wire()
+				if err := encoder.Encode(&wire); err != nil {
 					b.Fatal(err)
 				}
 				if err := decoder.Decode(&got); err != nil {
 					b.Fatal(err)
 				}
+				_ = got.Message()
 			}
 		})
 	}
@@ -105,7 +110,7 @@
 
 // BenchmarkGobSnapshot is a snapshot as the disk has it.
 func BenchmarkGobSnapshot(b *testing.B) {
-	snapshot := benchMessages()["snapshot"].Snap
+	snapshot := benchMessages()["snapshot"].Snapshot
 	b.ReportAllocs()
 	for b.Loop() {
 		var stream bytes.Buffer
@@ -118,3 +123,15 @@
 		}
 	}
 }
+
+func BenchmarkWireMessage(b *testing.B) {
+	for name, message := range benchMessages() {
+		b.Run(name, func(b *testing.B) {
+			b.ReportAllocs()
+			for b.Loop() {
+				wire := message.Wire()
+				_ = wire.Message()
+			}
+		})
+	}
+}
--- a/internal/gateway/replication/config.go
+++ b/internal/gateway/replication/config.go
@@ -35,8 +35,8 @@
 	for i := range m.Entries {
 		n += m.Entries[i].size()
 	}
-	if m.Snap != nil {
-		n += len(m.Snap.State)
+	if m.Snapshot != nil {
+		n += len(m.Snapshot.State)
 	}
 	if m.Chunk != nil {
 		n += len(m.Chunk.Data)
--- a/internal/gateway/replication/contact.go
+++ b/internal/gateway/replication/contact.go
@@ -68,7 +68,7 @@
 // recordResponseClock notes that a member followed this view when the clock that it gives back was told. A node of the version before
 // tells none: then it is when its answer came.
 func (r *Replica) recordResponseClock(w *progress, m Message) {
-	at, ok := r.clock.SentAt(m.Echo, r.now)
+	at, ok := r.clock.SentAt(m.EchoedClock, r.now)
 	if m.Clock == 0 || r.fault == contactByReceipt {
 		at, ok = r.now, true
 	}
@@ -100,23 +100,23 @@
 
 // attachContact puts the leader's word into what it sends.
 func (r *Replica) attachContact(w *progress, m *Message) {
-	if m.Contact = -1; !r.reportsContact() {
+	if m.ContactAgeMillis = -1; !r.reportsContact() {
 		return
 	}
 	r.updateQuorumContact()
-	m.Clock, m.Echo, m.Contact = r.clock.Stamp(r.now), w.lastClock, -1
+	m.Clock, m.EchoedClock, m.ContactAgeMillis = r.clock.Stamp(r.now), w.lastClock, -1
 	if age, _, ok := r.QuorumContact(r.now); ok {
-		m.Contact = int64((age + time.Millisecond - 1) / time.Millisecond)
+		m.ContactAgeMillis = int64((age + time.Millisecond - 1) / time.Millisecond)
 	}
 }
 
 // receiveContact takes the leader's word, once all that it had committed is committed here.
 func (r *Replica) receiveContact(m Message) {
-	at, ok := r.clock.SentAt(m.Echo, r.now)
+	at, ok := r.clock.SentAt(m.EchoedClock, r.now)
 	if m.Clock == 0 || r.fault == followByReceipt {
 		at, ok = r.now, true
 	}
-	if ok && m.Contact >= 0 && (r.commitIndex >= m.Delivered || r.fault == contactAhead) {
-		r.advanceContact(at-time.Duration(m.Contact)*time.Millisecond, m.View)
+	if ok && m.ContactAgeMillis >= 0 && (r.commitIndex >= m.Commit || r.fault == contactAhead) {
+		r.advanceContact(at-time.Duration(m.ContactAgeMillis)*time.Millisecond, m.Term)
 	}
 }
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -8,10 +8,10 @@
 
 // Step takes a message from a member, or from one who may become one.
 func (r *Replica) Step(from MemberID, m Message) {
-	if m.To != r.self.ID && r.fault != countWiped || from == r.self.ID {
+	if m.Recipient != r.self.ID && r.fault != countWiped || from == r.self.ID {
 		return
 	}
-	if r.clusterID == 0 || m.House != r.clusterID && r.onlyBootstrapped() {
+	if r.clusterID == 0 || m.ClusterID != r.clusterID && r.onlyBootstrapped() {
 		if m.Kind == MsgAppendChunk {
 			r.onChunk(from, m)
 		} else if m.Kind == MsgAppend || r.clusterID == 0 && r.fault == countWiped && m.Kind == MsgRequestVote {
@@ -19,10 +19,10 @@
 		}
 		return
 	}
-	if m.House != r.clusterID {
+	if m.ClusterID != r.clusterID {
 		return
 	}
-	r.maxSeenTerm = max(r.maxSeenTerm, m.View)
+	r.maxSeenTerm = max(r.maxSeenTerm, m.Term)
 	switch m.Kind {
 	case MsgAppend:
 		r.onAppend(from, m)
@@ -32,26 +32,26 @@
 		r.onAppendResponse(from, m)
 	case MsgStaleTerm:
 		// One who knows a newer view takes nothing from this one any more.
-		if r.role == roleLeader && m.View > r.term && r.peers[from] != nil && from != r.learner {
+		if r.role == roleLeader && m.Term > r.term && r.peers[from] != nil && from != r.learner {
 			r.stepDown()
 		}
 		// Two that ask for one view at once keep each other from it: the lower id asks again, and the other one answers it.
-		if r.role == roleCandidate && m.No && m.View == r.term && r.self.ID < from && r.fault != asksInTurn {
+		if r.role == roleCandidate && m.Rejected && m.Term == r.term && r.self.ID < from && r.fault != asksInTurn {
 			r.startElection(true)
 		}
 	case MsgPreVote:
 		lost := r.role != roleLeader && r.now-r.leaderContactAt >= r.config.ElectionTimeout
-		r.send(from, Message{Kind: MsgPreVoteResponse, View: r.term, Round: m.Round, No: !lost})
+		r.send(from, Message{Kind: MsgPreVoteResponse, Term: r.term, Seq: m.Seq, Rejected: !lost})
 	case MsgPreVoteResponse:
-		if r.role == rolePreCandidate && m.Round == r.preVoteSeq && !m.No {
+		if r.role == rolePreCandidate && m.Seq == r.preVoteSeq && !m.Rejected {
 			r.preVotes[from] = true
 			r.startElection(false)
 		}
 	case MsgRequestVote:
 		r.onRequestVote(from, m)
 	case MsgVoteGranted:
-		if r.role == roleCandidate && m.View == r.term {
-			r.votes[from] = logPosition{m.At, m.Index}
+		if r.role == roleCandidate && m.Term == r.term {
+			r.votes[from] = logPosition{m.LogTerm, m.Index}
 			r.tallyVotes()
 		}
 	case MsgFetchLog:
@@ -59,7 +59,7 @@
 	case MsgLogTail:
 		r.onLogTail(m)
 	case MsgTimeoutNow:
-		if m.View == r.term && r.leaderID == from && r.role == roleFollower && r.isMember(r.self.ID) {
+		if m.Term == r.term && r.leaderID == from && r.role == roleFollower && r.isMember(r.self.ID) {
 			r.startElection(true)
 		}
 	}
@@ -68,12 +68,12 @@
 // joinCluster is for an empty disk, or one that holds a founding alone: it has nothing to say to anyone but a leader that gives it the
 // state. A leader of another founding has the promises of that one's majority.
 func (r *Replica) joinCluster(from MemberID, m Message) {
-	if m.Kind == MsgAppend && m.Snap == nil {
-		r.send(from, Message{Kind: MsgAppendReject, House: m.House, View: m.View, Round: m.Round, Chunks: true})
+	if m.Kind == MsgAppend && m.Snapshot == nil {
+		r.send(from, Message{Kind: MsgAppendReject, ClusterID: m.ClusterID, Term: m.Term, Seq: m.Seq, AcceptsChunks: true})
 		return
 	}
 	r.reset()
-	r.clusterID = m.House
+	r.clusterID = m.ClusterID
 	r.Step(from, m)
 }
 
@@ -147,7 +147,7 @@
 	r.preVoteSeq++
 	r.preVotes = map[MemberID]bool{r.self.ID: true}
 	for _, m := range r.otherMembers() {
-		r.sendTo(m, Message{Kind: MsgPreVote, View: r.term, Round: r.preVoteSeq})
+		r.sendTo(m, Message{Kind: MsgPreVote, Term: r.term, Seq: r.preVoteSeq})
 	}
 	r.startElection(false)
 }
@@ -178,16 +178,16 @@
 
 // onRequestVote promises to take nothing from older views.
 func (r *Replica) onRequestVote(from MemberID, m Message) {
-	if m.View < r.term || m.View == r.term && r.votedFor != from && r.fault != promiseTwo {
-		r.send(from, Message{Kind: MsgStaleTerm, View: r.term, No: r.role == roleCandidate})
+	if m.Term < r.term || m.Term == r.term && r.votedFor != from && r.fault != promiseTwo {
+		r.send(from, Message{Kind: MsgStaleTerm, Term: r.term, Rejected: r.role == roleCandidate})
 		return
 	}
-	if m.View > r.term || r.fault == promiseTwo {
-		r.enterTerm(m.View, from)
+	if m.Term > r.term || r.fault == promiseTwo {
+		r.enterTerm(m.Term, from)
 		r.leaderContactAt, r.sawLeader = r.now, true // whoever asked gets its time
 		r.resetElectionDeadline()
 	}
-	r.replyAfterSync(pendingReply{kind: MsgVoteGranted, term: m.View, recipient: from})
+	r.replyAfterSync(pendingReply{kind: MsgVoteGranted, term: m.Term, recipient: from})
 }
 
 // gather looks whether the promises suffice and this log is the newest among them.
@@ -198,7 +198,7 @@
 	for _, m := range r.otherMembers() {
 		if _, ok := r.voteRequests[m.ID]; !ok {
 			r.voteRequests[m.ID] = m
-			r.sendTo(m, Message{Kind: MsgRequestVote, View: r.term})
+			r.sendTo(m, Message{Kind: MsgRequestVote, Term: r.term})
 		}
 	}
 	promised := func(id MemberID) bool { _, ok := r.votes[id]; return ok }
@@ -214,7 +214,7 @@
 	if newest != r.self.ID && r.fault != notNewest {
 		if r.fetchingLogFrom != newest {
 			r.fetchingLogFrom = newest
-			r.send(newest, Message{Kind: MsgFetchLog, View: r.term, Index: r.commitIndex})
+			r.send(newest, Message{Kind: MsgFetchLog, Term: r.term, Index: r.commitIndex})
 		}
 		return
 	}
@@ -228,18 +228,18 @@
 
 // fetched gives the log to the one who was promised the view.
 func (r *Replica) onFetchLog(from MemberID, m Message) {
-	if m.View != r.term || r.votedFor != from || r.role != roleFollower || r.leaderID != 0 {
+	if m.Term != r.term || r.votedFor != from || r.role != roleFollower || r.leaderID != 0 {
 		return
 	}
-	a := Message{Kind: MsgLogTail, View: r.term, Index: m.Index}
+	a := Message{Kind: MsgLogTail, Term: r.term, Index: m.Index}
 	if m.Index < r.snapshot.Index {
 		s := r.snapshot
-		a.Snap, a.Index = &s, s.Index
+		a.Snapshot, a.Index = &s, s.Index
 	}
 	a.Entries = r.entriesFrom(a.Index + 1)
 	size := 0
-	if a.Snap != nil {
-		size = len(a.Snap.State)
+	if a.Snapshot != nil {
+		size = len(a.Snapshot.State)
 	}
 	for i := range a.Entries {
 		size += a.Entries[i].size()
@@ -255,20 +255,20 @@
 
 // script takes a newer log.
 func (r *Replica) onLogTail(m Message) {
-	if r.role != roleCandidate || m.View != r.term {
+	if r.role != roleCandidate || m.Term != r.term {
 		return
 	}
 	var at logPosition
 	if n := len(m.Entries); n > 0 {
-		at = logPosition{m.Entries[n-1].View, m.Entries[n-1].Index}
-	} else if m.Snap != nil {
-		at = logPosition{m.Snap.View, m.Snap.Index}
+		at = logPosition{m.Entries[n-1].Term, m.Entries[n-1].Index}
+	} else if m.Snapshot != nil {
+		at = logPosition{m.Snapshot.Term, m.Snapshot.Index}
 	}
-	if !at.newerThan(r.lastPosition()) || m.Snap == nil && m.Index > r.commitIndex {
+	if !at.newerThan(r.lastPosition()) || m.Snapshot == nil && m.Index > r.commitIndex {
 		return
 	}
-	if r.needsSnapshot(m.Snap) {
-		r.installSnapshot(*m.Snap)
+	if r.needsSnapshot(m.Snapshot) {
+		r.installSnapshot(*m.Snapshot)
 	}
 	r.appendAfter(m.Index, m.Entries)
 	r.tallyVotes()
@@ -276,16 +276,16 @@
 
 // followLeader takes what each of a leader's messages tells. False: it is of an older view.
 func (r *Replica) followLeader(from MemberID, m Message) bool {
-	if m.View < r.term && r.fault != takeOld {
-		r.send(from, Message{Kind: MsgStaleTerm, View: r.term})
+	if m.Term < r.term && r.fault != takeOld {
+		r.send(from, Message{Kind: MsgStaleTerm, Term: r.term})
 		return false
 	}
-	if m.View > r.term || r.votedFor != from && r.fault != takeOld {
-		r.enterTerm(m.View, from)
+	if m.Term > r.term || r.votedFor != from && r.fault != takeOld {
+		r.enterTerm(m.Term, from)
 	}
 	invariant.That(r.role != roleLeader, "a view has one leader")
 	r.role, r.leaderID, r.leaderContactAt, r.sawLeader, r.failedElections = roleFollower, from, r.now, true, 0
-	r.readSeq = max(r.readSeq, m.Round)
+	r.readSeq = max(r.readSeq, m.Seq)
 	if r.leaderClock == 0 || int32(m.Clock-r.leaderClock) > 0 {
 		r.leaderClock = m.Clock
 	}
@@ -297,24 +297,24 @@
 	if !r.followLeader(from, m) {
 		return
 	}
-	if len(m.Entries) == 0 && m.Snap == nil {
-		r.replicatedElsewhere = m.Elsewhere
+	if len(m.Entries) == 0 && m.Snapshot == nil {
+		r.replicatedElsewhere = m.ReplicatedElsewhere
 	}
-	if r.needsSnapshot(m.Snap) {
-		r.installSnapshot(*m.Snap)
+	if r.needsSnapshot(m.Snapshot) {
+		r.installSnapshot(*m.Snapshot)
 	}
-	if v, ok := r.termAt(m.Index); m.Index > r.commitIndex && (!ok || v != m.At && r.fault != unmatched) {
+	if v, ok := r.termAt(m.Index); m.Index > r.commitIndex && (!ok || v != m.LogTerm && r.fault != unmatched) {
 		r.resetElectionDeadline()
-		r.send(from, Message{Kind: MsgAppendReject, View: m.View, Index: r.commitIndex, Round: r.readSeq,
-			Clock: r.clock.Stamp(r.now), Echo: r.leaderClock, Chunks: true})
+		r.send(from, Message{Kind: MsgAppendReject, Term: m.Term, Index: r.commitIndex, Seq: r.readSeq,
+			Clock: r.clock.Stamp(r.now), EchoedClock: r.leaderClock, AcceptsChunks: true})
 		return
 	}
 	r.appendAfter(m.Index, m.Entries)
 	r.resetElectionDeadline() // the list may be another now
 	r.matchIndex = max(r.matchIndex, m.Index+uint64(len(m.Entries)))
-	r.commitTo(max(r.commitIndex, min(m.Delivered, r.matchIndex)))
+	r.commitTo(max(r.commitIndex, min(m.Commit, r.matchIndex)))
 	r.receiveContact(m)
-	if r.matchIndex <= r.syncedIndex || r.readSeq > r.ackedReadSeq || len(m.Entries) == 0 && m.Snap == nil {
+	if r.matchIndex <= r.syncedIndex || r.readSeq > r.ackedReadSeq || len(m.Entries) == 0 && m.Snapshot == nil {
 		r.sendAck()
 	}
 	if r.matchIndex > r.syncedIndex {
@@ -329,8 +329,8 @@
 		upto = r.matchIndex
 	}
 	r.ackedReadSeq = r.readSeq
-	r.send(r.leaderID, Message{Kind: MsgAppendAck, View: r.term, Index: upto, Round: r.readSeq, Clock: r.clock.Stamp(r.now), Echo: r.leaderClock,
-		Chunks: true})
+	r.send(r.leaderID, Message{Kind: MsgAppendAck, Term: r.term, Index: upto, Seq: r.readSeq, Clock: r.clock.Stamp(r.now), EchoedClock: r.leaderClock,
+		AcceptsChunks: true})
 }
 
 // stepDown stops leading.
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -141,7 +141,7 @@
 			c.fail("two lead view %d", s.ledTerm)
 		}
 		for _, e := range c.committed {
-			if v, ok := s.replica.termAt(e.Index); e.Index > s.replica.snapshot.Index && (!ok || v != e.View) {
+			if v, ok := s.replica.termAt(e.Index); e.Index > s.replica.snapshot.Index && (!ok || v != e.Term) {
 				c.fail("member %d leads view %d without the delivered entry %d", s.replica.self.ID, s.replica.term, e.Index)
 			}
 		}
@@ -149,7 +149,7 @@
 }
 
 func sameEntry(a, b Entry) bool {
-	return a.Index == b.Index && a.View == b.View && a.Kind == b.Kind && string(a.Data) == string(b.Data)
+	return a.Index == b.Index && a.Term == b.Term && a.Kind == b.Kind && string(a.Data) == string(b.Data)
 }
 
 func hasEntry(k PersistentState, e Entry) bool {
@@ -160,7 +160,7 @@
 func (c *cluster) checkCommit(i int, e Entry) {
 	if n := e.Index - 2; n < uint64(len(c.committed)) {
 		if !sameEntry(c.committed[n], e) {
-			c.fail("entry %d of view %d was delivered, and then one of view %d", e.Index, c.committed[n].View, e.View)
+			c.fail("entry %d of view %d was delivered, and then one of view %d", e.Index, c.committed[n].Term, e.Term)
 		}
 		return
 	}
@@ -201,7 +201,7 @@
 	}
 	for _, s := range c.members {
 		is := func(m Member) bool { return m.ID == s.disk.ID }
-		have, base := s.disk.Snapshot.Index+uint64(len(s.disk.Entries)), c.configBases[logPosition{e.View, e.Index}]
+		have, base := s.disk.Snapshot.Index+uint64(len(s.disk.Entries)), c.configBases[logPosition{e.Term, e.Index}]
 		if slices.ContainsFunc(e.Members, is) && !slices.ContainsFunc(was, is) && !s.down && have < base {
 			c.fail("list %d is in force, and its new member %d has %d of %d", e.Index, s.disk.ID, have, base)
 		}
@@ -263,7 +263,7 @@
 	c.inflight = slices.DeleteFunc(slices.Clone(c.inflight), func(f inflightMessage) bool {
 		to := slices.IndexFunc(c.members, func(s *simMember) bool { return s.disk.ID == f.sent.Recipient.ID })
 		k := f.sent.Message.Kind
-		return to < 0 || f.sent.Message.View < c.members[to].disk.Term && k != MsgAppend && k != MsgRequestVote
+		return to < 0 || f.sent.Message.Term < c.members[to].disk.Term && k != MsgAppend && k != MsgRequestVote
 	})
 }
 
@@ -273,7 +273,7 @@
 		key := string(m.key(nil, c.judgesContact))
 		if !slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.key(nil, c.judgesContact)) == key }) {
 			k := m.sent.Message
-			what := fmt.Sprintf("%d>%d kind %d view %d index %d", m.from, m.sent.Recipient.ID, k.Kind, k.View, k.Index)
+			what := fmt.Sprintf("%d>%d kind %d view %d index %d", m.from, m.sent.Recipient.ID, k.Kind, k.Term, k.Index)
 			do(what, func(w *cluster) { w.deliver(n) })
 			if k.Chunk != nil && c.budget.duplicates > 0 {
 				do(what+" and will again", func(w *cluster) {
@@ -402,22 +402,22 @@
 func appendEntries(b []byte, all []Entry) []byte {
 	b = appendUvarints(b, uint64(len(all)))
 	for _, e := range all {
-		b = append(appendUvarints(b, e.Index, e.View, uint64(e.Kind), uint64(len(e.Data))), e.Data...)
+		b = append(appendUvarints(b, e.Index, e.Term, uint64(e.Kind), uint64(len(e.Data))), e.Data...)
 	}
 	return b
 }
 
 func (i inflightMessage) key(b []byte, timed bool) []byte {
 	m := i.sent.Message
-	b = appendUvarints(b, uint64(i.from), uint64(m.To), uint64(m.Kind), m.View, m.Index, m.At, m.Delivered, m.Round)
-	if m.Snap != nil {
-		b = append(append(b, 's'), m.Snap.State...)
+	b = appendUvarints(b, uint64(i.from), uint64(m.Recipient), uint64(m.Kind), m.Term, m.Index, m.LogTerm, m.Commit, m.Seq)
+	if m.Snapshot != nil {
+		b = append(append(b, 's'), m.Snapshot.State...)
 	}
 	if m.Chunk != nil {
 		b = m.Chunk.key(b)
 	}
 	if timed {
-		b = appendUvarints(b, uint64(m.Clock), uint64(m.Echo), uint64(m.Contact))
+		b = appendUvarints(b, uint64(m.Clock), uint64(m.EchoedClock), uint64(m.ContactAgeMillis))
 	}
 	return appendEntries(b, m.Entries)
 }
@@ -666,7 +666,7 @@
 		w.deliverFromTo(0, 1)
 		w.deliverFromTo(1, 0)
 		w.electAmong(0, 2)
-		w.members[1].replica.Step(1, Message{Kind: MsgRequestVote, House: w.members[1].replica.clusterID, To: 2, View: 4})
+		w.members[1].replica.Step(1, Message{Kind: MsgRequestVote, ClusterID: w.members[1].replica.clusterID, Recipient: 2, Term: 4})
 		w.drainActions(1)
 		return w
 	}, []fault{countOld}},
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -98,7 +98,7 @@
 			if slices.ContainsFunc(w.inflight[:n], func(o inflightMessage) bool { return string(o.key(nil, false)) == key }) {
 				continue
 			}
-			what := fmt.Sprintf("log %d: %d>%d kind %d view %d index %d", log, m.from, m.sent.Recipient.ID, m.sent.Message.Kind, m.sent.Message.View, m.sent.Message.Index)
+			what := fmt.Sprintf("log %d: %d>%d kind %d view %d index %d", log, m.from, m.sent.Recipient.ID, m.sent.Message.Kind, m.sent.Message.Term, m.sent.Message.Index)
 			do(what, func(s *sharedDisk) { s.logs[log].deliver(n) })
 			if s.budget.misrouted > 0 {
 				do(what+" at the next log", func(s *sharedDisk) { s.budget.misrouted--; s.misroute(log, n) })
--- a/internal/gateway/replication/leader.go
+++ b/internal/gateway/replication/leader.go
@@ -41,7 +41,7 @@
 
 // add puts a new entry of this view into the log and has it pushed.
 func (r *Replica) appendToOwnTerm(e Entry) uint64 {
-	e.Index, e.View = r.lastIndex()+1, r.term
+	e.Index, e.Term = r.lastIndex()+1, r.term
 	r.appendEntry(e)
 	r.markUnwritten(e.Index)
 	if e.Kind == EntryConfigChange {
@@ -100,7 +100,7 @@
 		if r.needsChunks(len(entries[0].Data)) && (w.acceptsChunks || !w.responded) {
 			if e := entries[0]; w.responded {
 				v, _ := r.termAt(e.Index - 1)
-				w.transferEntry, w.transferSnapshot, w.transferPrev, w.transfer = &e, nil, logPosition{v, e.Index - 1}, BlobSender{Blob: NewBlob(e.Index, e.View, e.Data)}
+				w.transferEntry, w.transferSnapshot, w.transferPrev, w.transfer = &e, nil, logPosition{v, e.Index - 1}, BlobSender{Blob: NewBlob(e.Index, e.Term, e.Data)}
 				r.sendChunks(w)
 			}
 			return
@@ -121,7 +121,7 @@
 			return
 		}
 		v, _ := r.termAt(w.nextIndex - 1)
-		m := Message{Index: w.nextIndex - 1, At: v, Entries: entries}
+		m := Message{Index: w.nextIndex - 1, LogTerm: v, Entries: entries}
 		w.nextIndex += uint64(len(entries))
 		r.sendAppend(w, m)
 	}
@@ -143,7 +143,7 @@
 	if m.Kind == 0 {
 		m.Kind = MsgAppend
 	}
-	m.View, m.Delivered, m.Round = r.term, r.commitIndex, r.readSeq
+	m.Term, m.Commit, m.Seq = r.term, r.commitIndex, r.readSeq
 	r.attachContact(w, &m)
 	r.sendTo(w.Member, m)
 }
@@ -177,11 +177,11 @@
 		prev, v, ok = w.transferPrev.index, w.transferPrev.term, true
 	}
 	if !ok {
-		prev, v = r.snapshot.Index, r.snapshot.View
+		prev, v = r.snapshot.Index, r.snapshot.Term
 	}
-	m := Message{Index: prev, At: v}
+	m := Message{Index: prev, LogTerm: v}
 	if r.isDraining(w.ID) { // only one that leaves goes by it
-		m.Elsewhere = r.replicatedWithout(w.ID)
+		m.ReplicatedElsewhere = r.replicatedWithout(w.ID)
 	}
 	r.sendAppend(w, m)
 	if w.transfer.Blob != nil {
@@ -217,12 +217,12 @@
 // answered takes a member's answer to what the leader sends.
 func (r *Replica) onAppendResponse(from MemberID, m Message) {
 	w := r.peers[from]
-	if r.role != roleLeader || m.View != r.term && r.fault != countLate || w == nil {
+	if r.role != roleLeader || m.Term != r.term && r.fault != countLate || w == nil {
 		return
 	}
-	w.lastResponseAt, w.readSeq = r.now, max(w.readSeq, m.Round)
+	w.lastResponseAt, w.readSeq = r.now, max(w.readSeq, m.Seq)
 	r.recordResponseClock(w, m)
-	w.responded, w.acceptsChunks = true, m.Chunks
+	w.responded, w.acceptsChunks = true, m.AcceptsChunks
 	if m.Kind == MsgChunkAck {
 		w.transfer.Ack(m.Chunk, r.now)
 		r.replicateTo(w)
@@ -361,7 +361,7 @@
 	}
 	for _, w := range r.sortedPeers() {
 		if w.matchIndex == r.lastIndex() && r.eligibleTransferee(w) {
-			r.sendTo(w.Member, Message{Kind: MsgTimeoutNow, View: r.term})
+			r.sendTo(w.Member, Message{Kind: MsgTimeoutNow, Term: r.term})
 			return
 		}
 	}
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -80,15 +80,15 @@
 func (r *Replica) termAt(index uint64) (uint64, bool) {
 	switch {
 	case index == r.snapshot.Index:
-		return r.snapshot.View, true
+		return r.snapshot.Term, true
 	case index+1 < r.FirstIndex() || index > r.lastIndex():
 		return 0, false
 	case index+1 == r.FirstIndex():
 		return r.trailingTerm, true
 	case index < r.snapshot.Index:
-		return r.trailing[index-r.FirstIndex()].View, true
+		return r.trailing[index-r.FirstIndex()].Term, true
 	}
-	return r.log[index-r.snapshot.Index-1].View, true
+	return r.log[index-r.snapshot.Index-1].Term, true
 }
 
 // entriesFrom is a copy of the log from an index on.
@@ -141,7 +141,7 @@
 			continue
 		}
 		if v, ok := r.termAt(e.Index); ok {
-			if v == e.View || r.fault == noTruncate {
+			if v == e.Term || r.fault == noTruncate {
 				continue
 			}
 			r.truncateFrom(e.Index)
@@ -171,7 +171,7 @@
 		return false
 	}
 	v, ok := r.termAt(s.Index)
-	return !ok || v != s.View
+	return !ok || v != s.Term
 }
 
 // deliver hands over all up to an index.
@@ -287,7 +287,7 @@
 	case MsgVoteGranted:
 		if r.votedFor == w.recipient {
 			e := r.lastPosition()
-			r.send(w.recipient, Message{Kind: MsgVoteGranted, View: r.term, Index: e.index, At: e.term})
+			r.send(w.recipient, Message{Kind: MsgVoteGranted, Term: r.term, Index: e.index, LogTerm: e.term})
 		}
 	case MsgRequestVote:
 		if r.role == roleCandidate && r.votedFor == r.self.ID {
@@ -319,9 +319,9 @@
 }
 
 func (r *Replica) sendTo(to Member, m Message) {
-	m.To = to.ID
-	if m.House == 0 {
-		m.House = r.clusterID
+	m.Recipient = to.ID
+	if m.ClusterID == 0 {
+		m.ClusterID = r.clusterID
 	}
 	r.actions = append(r.actions, Send{to, m})
 }
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -300,7 +300,7 @@
 	}
 	w.deliverAll()
 	if last = w.members[2].replica; promised {
-		last.Step(8, Message{Kind: MsgRequestVote, House: last.clusterID, To: last.self.ID, View: 2})
+		last.Step(8, Message{Kind: MsgRequestVote, ClusterID: last.clusterID, Recipient: last.self.ID, Term: 2})
 		w.drainActions(2)
 		w.deliverAll()
 	}
--- a/internal/gateway/replication/message.go
+++ b/internal/gateway/replication/message.go
@@ -31,7 +31,7 @@
 
 // Entry is one place in the log.
 type Entry struct {
-	Index, View uint64
+	Index, Term uint64
 	Kind        EntryKind
 	Data        []byte   // of a Change; never changed once proposed
 	Members     []Member // of a EntryConfigChange: the whole new list
@@ -39,7 +39,7 @@
 
 // Snapshot is the host's state after an index, in the place of the log up to there.
 type Snapshot struct {
-	Index, View uint64
+	Index, Term uint64
 	Members     []Member
 	State       []byte // empty means the state that a system starts with
 }
@@ -68,12 +68,12 @@
 	case p.Commit < p.Snapshot.Index || p.Commit > last:
 		return errors.Errorf("delivered up to %d, kept are %d to %d", p.Commit, p.Snapshot.Index, last)
 	}
-	view := p.Snapshot.View
+	view := p.Snapshot.Term
 	for i, e := range p.Entries {
-		if e.Index != p.Snapshot.Index+1+uint64(i) || e.View < view || e.View > p.Term {
-			return errors.Errorf("entry %d of view %d stands in place %d", e.Index, e.View, p.Snapshot.Index+1+uint64(i))
+		if e.Index != p.Snapshot.Index+1+uint64(i) || e.Term < view || e.Term > p.Term {
+			return errors.Errorf("entry %d of view %d stands in place %d", e.Index, e.Term, p.Snapshot.Index+1+uint64(i))
 		}
-		view = e.View
+		view = e.Term
 	}
 	return nil
 }
@@ -140,22 +140,22 @@
 
 // Message is what members say. One lost, doubled or late does no harm.
 type Message struct {
-	Kind      MessageKind
-	House     uint64
-	To        MemberID // who moved in at the same address since must not take it
-	View      uint64
-	Index, At uint64
-	Delivered uint64
-	Round     uint64
-	Elsewhere uint64 // of a heartbeat to one that leaves: see Elsewhere
-	No        bool
-	Entries   []Entry
-	Snap      *Snapshot
-	Chunk     *Chunk
-	Chunks    bool // in acks and rejects: the sender takes chunks
-
-	Clock, Echo uint32 // of Append, Ack and Reject: the sender's, and the newest heard from the other in this view
-	Contact     int64  // of Append: how old its majority's contact is, in ms; below nought while there was none
+	Kind                MessageKind
+	ClusterID           uint64
+	Recipient           MemberID // who moved in at the same address since must not take it
+	Term                uint64
+	Index, LogTerm      uint64
+	Commit              uint64
+	Seq                 uint64
+	ReplicatedElsewhere uint64 // of a heartbeat to one that leaves: see Elsewhere
+	Rejected            bool
+	Entries             []Entry
+	Snapshot            *Snapshot
+	Chunk               *Chunk
+	AcceptsChunks       bool // in acks and rejects: the sender takes chunks
+
+	Clock, EchoedClock uint32 // of Append, Ack and Reject: the sender's, and the newest heard from the other in this view
+	ContactAgeMillis   int64  // of Append: how old its majority's contact is, in ms; below nought while there was none
 }
 
 // Action is what the host is to do: Send, Write, Commit, Restore, Outcome or Wake.
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -228,7 +228,7 @@
 		return errors.New("there is something on disk already")
 	}
 	r.clusterID, r.term, r.maxSeenTerm = clusterID, 1, 1
-	r.snapshot = Snapshot{Index: 1, View: 1, Members: members}
+	r.snapshot = Snapshot{Index: 1, Term: 1, Members: members}
 	r.memberConfigs = []memberConfig{{1, members}}
 	r.commitIndex, r.unwrittenSnapshot = 1, true
 	r.markUnwritten(2)
@@ -331,12 +331,12 @@
 		return
 	}
 	view, _ := r.termAt(index)
-	gone, before := r.log[:index-r.snapshot.Index], r.snapshot.View
+	gone, before := r.log[:index-r.snapshot.Index], r.snapshot.Term
 	r.log = slices.Clone(r.log[index-r.snapshot.Index:])
 	for len(r.memberConfigs) > 1 && r.memberConfigs[1].index <= index {
 		r.memberConfigs = r.memberConfigs[1:]
 	}
-	r.snapshot = Snapshot{Index: index, View: view, Members: r.memberConfigs[0].members, State: state}
+	r.snapshot = Snapshot{Index: index, Term: view, Members: r.memberConfigs[0].members, State: state}
 	r.retainTrailing(gone, before)
 	r.unwrittenSnapshot = true
 	r.markUnwritten(0)
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -174,7 +174,7 @@
 	d.index, d.state = e.Index, string(sum[:8])
 	if n := e.Index - 2; n < uint64(len(w.committed)) {
 		if !sameEntry(w.committed[n], e) {
-			w.fail("entry %d is of view %d, and at node %d of view %d", e.Index, w.committed[n].View, i, e.View)
+			w.fail("entry %d is of view %d, and at node %d of view %d", e.Index, w.committed[n].Term, i, e.Term)
 		}
 	} else {
 		w.committed, w.states = append(w.committed, e), append(w.states, d.state)
@@ -243,8 +243,8 @@
 
 // payloadBytes is how many bytes of state and data a message has.
 func payloadBytes(m Message) (n int) {
-	if m.Snap != nil {
-		n += len(m.Snap.State)
+	if m.Snapshot != nil {
+		n += len(m.Snapshot.State)
 	}
 	if m.Chunk != nil {
 		n += len(m.Chunk.Data)
--- /dev/null
+++ b/internal/gateway/replication/wire.go
@@ -0,0 +1,105 @@
+package replication
+
+// The forms in which gob sends messages of the configuration log between nodes of two versions. Gob matches fields by their
+// names, so these keep the names that the first version had. Nothing but the two conversions below reads or writes their fields.
+//
+// Messages of the coordination groups go in the compact form of codec.go, which has no names and needs no conversion.
+
+// Chunk is a part of a Blob as it travels, or, without Data, an acknowledgement of all bytes before Offset. Index, View, Sum and
+// Size identify the blob: what a receiver has of it counts for whoever sends the same blob, also after a new connection.
+type Chunk struct {
+	Index, View uint64 // log index and term of the snapshot or entry
+	Sum, Size   uint64 // CRC-64 (ECMA) and length in bytes of the blob
+	Offset      uint64 // bytes: where Data begins
+	Data        []byte
+}
+
+// WireEntry is an Entry as gob sends it.
+type WireEntry struct {
+	Index, View uint64
+	Kind        EntryKind
+	Data        []byte
+	Members     []Member
+}
+
+// WireSnapshot is a Snapshot as gob sends it.
+type WireSnapshot struct {
+	Index, View uint64
+	Members     []Member
+	State       []byte
+}
+
+// WireMessage is a Message as gob sends it.
+type WireMessage struct {
+	Kind        MessageKind
+	House       uint64
+	To          MemberID
+	View        uint64
+	Index, At   uint64
+	Delivered   uint64
+	Round       uint64
+	Elsewhere   uint64
+	No          bool
+	Entries     []WireEntry
+	Snap        *WireSnapshot
+	Chunk       *Chunk
+	Chunks      bool
+	Clock, Echo uint32
+	Contact     int64
+}
+
+// Wire converts a message into the form that gob sends. Data of entries and snapshots is shared, not copied.
+func (m *Message) Wire() WireMessage {
+	wire := WireMessage{Kind: m.Kind, House: m.ClusterID, To: m.Recipient, View: m.Term, Index: m.Index, At: m.LogTerm, Delivered: m.Commit,
+		Round: m.Seq, Elsewhere: m.ReplicatedElsewhere, No: m.Rejected, Chunk: m.Chunk, Chunks: m.AcceptsChunks, Clock: m.Clock, Echo: m.EchoedClock,
+		Contact: m.ContactAgeMillis}
+	if len(m.Entries) > 0 {
+		wire.Entries = make([]WireEntry, len(m.Entries))
+		for i, e := range m.Entries {
+			wire.Entries[i] = e.Wire()
+		}
+	}
+	if s := m.Snapshot; s != nil {
+		snapshot := s.Wire()
+		wire.Snap = &snapshot
+	}
+	return wire
+}
+
+// Message converts what gob received. Data of entries and snapshots is shared, not copied.
+func (w *WireMessage) Message() Message {
+	m := Message{Kind: w.Kind, ClusterID: w.House, Recipient: w.To, Term: w.View, Index: w.Index, LogTerm: w.At, Commit: w.Delivered,
+		Seq: w.Round, ReplicatedElsewhere: w.Elsewhere, Rejected: w.No, Chunk: w.Chunk, AcceptsChunks: w.Chunks, Clock: w.Clock, EchoedClock: w.Echo,
+		ContactAgeMillis: w.Contact}
+	if len(w.Entries) > 0 {
+		m.Entries = make([]Entry, len(w.Entries))
+		for i, e := range w.Entries {
+			m.Entries[i] = e.Entry()
+		}
+	}
+	if s := w.Snap; s != nil {
+		snapshot := s.Snapshot()
+		m.Snapshot = &snapshot
+	}
+	return m
+}
+
+// Wire converts an entry into the form that gob sends.
+func (e Entry) Wire() WireEntry {
+	return WireEntry{Index: e.Index, View: e.Term, Kind: e.Kind, Data: e.Data, Members: e.Members}
+}
+
+// Entry converts what gob received.
+func (w WireEntry) Entry() Entry {
+	return Entry{Index: w.Index, Term: w.View, Kind: w.Kind, Data: w.Data, Members: w.Members}
+}
+
+// Wire converts a snapshot into the form that gob sends.
+func (s Snapshot) Wire() WireSnapshot {
+	return WireSnapshot{Index: s.Index, View: s.Term, Members: s.Members, State: s.State}
+}
+
+// Snapshot converts what gob received.
+func (w WireSnapshot) Snapshot() Snapshot {
+	return Snapshot{Index: w.Index, Term: w.View, Members: w.Members, State: w.State}
+}
--- /dev/null
+++ b/internal/gateway/replication/wire_test.go
@@ -0,0 +1,56 @@
+package replication
+
+import (
+	"reflect"
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+// setFields sets every field of a struct, and of those in it, to a value that differs from all others.
+func setFields(t *testing.T, v reflect.Value, next *uint64) {
+	t.Helper()
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			setFields(t, v.Field(i), next)
+		}
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		setFields(t, v.Elem(), next)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			setFields(t, v.Index(i), next)
+		}
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.String:
+		v.SetString("text")
+	case reflect.Int64:
+		v.SetInt(int64(*next))
+	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
+		v.SetUint(*next)
+	default:
+		t.Fatalf("no value for a %v", v.Kind())
+	}
+	*next++
+}
+
+// No field is lost or swapped on the way through the form that gob sends: one that is new must be converted too.
+func TestWireFormHasAllFields(t *testing.T) {
+	var message Message
+	next := uint64(1)
+	setFields(t, reflect.ValueOf(&message).Elem(), &next)
+	must.Less(t, 256, next) // a kind has a byte
+	wire := message.Wire()
+	must.Eq(t, message, wire.Message())
+
+	var sent WireMessage
+	setFields(t, reflect.ValueOf(&sent).Elem(), new(uint64))
+	received := sent.Message()
+	must.Eq(t, sent, received.Wire())
+
+	must.Eq(t, reflect.TypeFor[WireMessage]().NumField(), reflect.TypeFor[Message]().NumField())
+	must.Eq(t, Message{}, (&WireMessage{}).Message())
+}
--- a/internal/lab/simulation/owned_test.go
+++ b/internal/lab/simulation/owned_test.go
@@ -25,8 +25,8 @@
 // A frame that its sender changes while it waits for its link is told.
 func TestOwnersAreWatched(t *testing.T) {
 	w := newWorld(&Day{Site: Site{Nodes: 3, Disks: 3}.Usual(), Seed: 1, owners: true})
-	entries := []replication.Entry{{Index: 1, Data: []byte("a")}, {Index: 2, Data: []byte("b")}}
-	look := w.owned("node-0", &node.Frame{Core: &node.CoreMessage{Message: replication.Message{Entries: entries}}})
+	entries := []replication.WireEntry{{Index: 1, Data: []byte("a")}, {Index: 2, Data: []byte("b")}}
+	look := w.owned("node-0", &node.Frame{Core: &node.CoreMessage{Message: replication.WireMessage{Entries: entries}}})
 	look()
 	must.SliceEmpty(t, w.broken)
 	entries[1].Data = []byte("c") // as a log does that cuts its end off and grows again in place
