--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -55,7 +55,7 @@
 	must.NoError(t, err)
 	content, err := io.ReadAll(z)
 	must.NoError(t, err)
-	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), content, 0o600))
+	must.NoError(t, os.WriteFile(filepath.Join(dir, formerFileName), content, 0o600))
 	return dir
 }
 
@@ -261,13 +261,13 @@
 	store, _, err := Open(recordedFolder(t, recordedFirst))
 	must.NoError(t, err)
 	defer store.Close()
-	var records []registry.Record
+	var records []registry.WireRecord
 	must.NoError(t, gob.NewDecoder(bytes.NewReader(store.SoftState())).Decode(&records))
-	record := func(id, addr, version string, owner registry.Slot, age time.Duration) registry.Record {
-		return registry.Record{ID: id, Service: "s", Addr: addr, Zone: "z", Generation: version, Capacity: 100, Phase: registry.Ready,
+	record := func(id, addr, version string, owner registry.Slot, age time.Duration) registry.WireRecord {
+		return registry.WireRecord{ID: id, Service: "s", Addr: addr, Zone: "z", Generation: version, Capacity: 100, Phase: registry.Ready,
 			Seq: 1, Age: age, Keeper: owner, Fence: 1, Missed: -1}
 	}
-	must.Eq(t, []registry.Record{record("v1-0", "127.0.0.1:37969", "v1", 2, 71911585), record("v1-1", "127.0.0.1:39631", "v1", 0, 72106723),
+	must.Eq(t, []registry.WireRecord{record("v1-0", "127.0.0.1:37969", "v1", 2, 71911585), record("v1-1", "127.0.0.1:39631", "v1", 0, 72106723),
 		record("v2-2", "127.0.0.1:38577", "v2", 3, 71444197)}, records)
 }
 
@@ -345,11 +345,12 @@
 	Entries []pastEntry
 }
 
-// asRecorded reads a file as dd5a45a does.
+// asRecorded reads a file as dd5a45a does, once it has its former name again.
 func asRecorded(t *testing.T, dir string) (file recordedFile) {
 	t.Helper()
 	decode := func(b []byte, v any) { must.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(v)) }
-	db, err := bbolt.Open(filepath.Join(dir, FileName), 0o600, &bbolt.Options{ReadOnly: true})
+	must.NoError(t, os.Rename(filepath.Join(dir, "replicas.db"), filepath.Join(dir, "promptbook.db")))
+	db, err := bbolt.Open(filepath.Join(dir, "promptbook.db"), 0o600, &bbolt.Options{ReadOnly: true})
 	must.NoError(t, err)
 	defer db.Close()
 	log := func(tx *bbolt.Tx, head, snap, entries string) (log recordedBuckets) {
@@ -385,7 +386,7 @@
 		from, to := recordedFolder(t, name), t.TempDir()
 		recorded, kept, err := Open(from)
 		must.NoError(t, err)
-		var records []registry.Record
+		var records []registry.WireRecord
 		must.NoError(t, gob.NewDecoder(bytes.NewReader(recorded.SoftState())).Decode(&records))
 		must.NoError(t, recorded.Close())
 		machine, err := statemachine.Restore(kept.Snapshot.State)
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -11,7 +11,7 @@
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/invariant"
 )
 
 const (
@@ -62,7 +62,7 @@
 		disk: &diskQueue{node: n, disk: disk, onSynced: c.writeSynced}}
 	c.replica = replication.New(c.self, kept, replication.DefaultConfig(), n.seed, n.loop.Now())
 	n.core = c
-	n.groups.open(disk.GroupLogs())
+	n.groups.open(n, disk.GroupLogs())
 	return nil
 }
 
@@ -106,16 +106,16 @@
 	}
 	c.node.registryDirty, c.softStateSavedAt = false, now
 	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(c.node.registry.Backends()) // of texts and numbers: it can't fail
+	gob.NewEncoder(&b).Encode(registry.ToWire(c.node.registry.Backends())) // of texts and numbers: it can't fail
 	c.disk.softState = b.Bytes()
 }
 
 // loadRegistry gives the registry what was kept of it.
 func (c *core) loadRegistry() {
-	var words []registry.Record
+	var words []registry.WireRecord
 	if noted := c.disk.disk.SoftState(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&words) == nil {
 		c.node.registry.Tick(c.node.loop.Now())
-		c.node.registry.Restore(words)
+		c.node.registry.Restore(registry.FromWire(words))
 		c.node.say(registryPart, "remembers %d backends", len(words))
 	}
 }
--- a/internal/gateway/replication/bootstrap.go
+++ b/internal/gateway/replication/bootstrap.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-faster/errors"
 
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/invariant"
 )
 
 // The first member list of a cluster, and disks that hold nothing else.
--- a/internal/gateway/replication/durability.go
+++ b/internal/gateway/replication/durability.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/invariant"
 )
 
 // What is on disk, what is being written, and the messages that must not be sent before a write is synced. Nothing here waits:
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -1,6 +1,6 @@
 package replication
 
-import "clovergap/internal/proxy/invariant"
+import "clovergap/internal/invariant"
 
 const (
 	// startupTimeoutDivisor shortens the first election time-out of a process that has heard of no leader yet: after a loss of
--- a/internal/gateway/replication/follower.go
+++ b/internal/gateway/replication/follower.go
@@ -1,6 +1,6 @@
 package replication
 
-import "clovergap/internal/proxy/invariant"
+import "clovergap/internal/invariant"
 
 // What a member does with a leader's appends. Chunks of them are in snapshot.go.
 
--- a/internal/gateway/replication/leader.go
+++ b/internal/gateway/replication/leader.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/invariant"
 )
 
 // becomeLeader begins the term with a no-op: nothing of earlier terms counts as committed before an entry of this one is.
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/invariant"
 )
 
 // maxTrailingEntries bounds the compacted entries that stay in memory, beside Config.TrailingBytes: small entries cost more than
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/invariant"
 )
 
 // never is a deadline that does not come.
--- a/internal/gateway/replication/wire.go
+++ b/internal/gateway/replication/wire.go
@@ -62,13 +62,12 @@
 		Contact: m.ContactAgeMillis}
 	if len(m.Entries) > 0 {
 		wire.Entries = make([]WireEntry, len(m.Entries))
-		for i, e := range m.Entries {
-			wire.Entries[i] = e.Wire()
+		for i := range m.Entries {
+			wire.Entries[i] = m.Entries[i].wire()
 		}
 	}
-	if s := m.Snapshot; s != nil {
-		snapshot := s.Wire()
-		wire.Snap = &snapshot
+	if m.Snapshot != nil {
+		wire.Snap = m.Snapshot.wire()
 	}
 	return wire
 }
@@ -80,33 +79,28 @@
 		ContactAgeMillis: w.Contact}
 	if len(w.Entries) > 0 {
 		m.Entries = make([]Entry, len(w.Entries))
-		for i, e := range w.Entries {
-			m.Entries[i] = e.Entry()
+		for i := range w.Entries {
+			m.Entries[i] = w.Entries[i].entry()
 		}
 	}
-	if s := w.Snap; s != nil {
-		snapshot := s.Snapshot()
-		m.Snapshot = &snapshot
+	if w.Snap != nil {
+		m.Snapshot = w.Snap.snapshot()
 	}
 	return m
 }
 
-// Wire converts an entry into the form that gob sends.
-func (e Entry) Wire() WireEntry {
+func (e *Entry) wire() WireEntry {
 	return WireEntry{Index: e.Index, View: e.Term, Kind: e.Kind, Data: e.Data, Members: e.Members}
 }
 
-// Entry converts what gob received.
-func (w WireEntry) Entry() Entry {
+func (w *WireEntry) entry() Entry {
 	return Entry{Index: w.Index, Term: w.View, Kind: w.Kind, Data: w.Data, Members: w.Members}
 }
 
-// Wire converts a snapshot into the form that gob sends.
-func (s Snapshot) Wire() WireSnapshot {
-	return WireSnapshot{Index: s.Index, View: s.Term, Members: s.Members, State: s.State}
+func (s *Snapshot) wire() *WireSnapshot {
+	return &WireSnapshot{Index: s.Index, View: s.Term, Members: s.Members, State: s.State}
 }
 
-// Snapshot converts what gob received.
-func (w WireSnapshot) Snapshot() Snapshot {
-	return Snapshot{Index: w.Index, Term: w.View, Members: w.Members, State: w.State}
+func (w *WireSnapshot) snapshot() *Snapshot {
+	return &Snapshot{Index: w.Index, Term: w.View, Members: w.Members, State: w.State}
 }
