--- a/internal/gateway/coordination/doc.go
+++ b/internal/gateway/coordination/doc.go
@@ -30,7 +30,7 @@
 //   - Numbers under a name, fencing tokens and revisions rise. Reads and watches are linearizable.
 //   - Each call ends within callTimeout, a watch within its own timeout besides. StatusConflict, StatusLimitReached and
 //     StatusUnavailable mean that the call had no effect and never will; StatusAmbiguous that it may have had one, or still may.
-//   - A copy of a call that arrives late, from a slow link or a process that was stopped, has no effect.
+//   - A forwarded call that arrives after its deadline, from a slow link or at a process that was stopped, has no effect.
 //   - The same state has the same snapshot bytes at each member, and entries, snapshots and messages are read as long as their
 //     version is known (ErrUnknownVersion).
 //
--- a/internal/gateway/coordination/limits.go
+++ b/internal/gateway/coordination/limits.go
@@ -14,8 +14,7 @@
 	MaxWatchTimeout = 30 * time.Second
 )
 
-// What the state of one group holds. A full state is about 5 MB, so that eight of them fit on a disk of 64 MB
-// (docs/coordination.md, "Snapshots and size").
+// What the state of one group holds. docs/coordination.md, "Snapshots and size", has what the disk leaves to each group.
 const (
 	maxLocks    = 4096
 	maxNumbers  = 4096
--- a/pkg/coordination/doc.go
+++ b/pkg/coordination/doc.go
@@ -12,11 +12,11 @@
 // # Guarantees
 //
 // Each call is sent to one node after the other until one answers, or the context ends. A node has one second for it. Calls may
-// therefore arrive twice; the gateway recognizes copies, so they take effect once. Put a value only once to a key: the same value
-// again is taken for the same put.
+// therefore arrive twice, which is harmless: a lock's holder may ask again, a number is skipped, and a put is recognized by its key and
+// value. Put a value only once to a key: the same value again is taken for the same put.
 //
-// Errors are distinguished by errors.Is and errors.As. ErrHeld, ErrNotFound, ErrUnavailable and ConflictError promise that the call had
-// no effect and never will. ErrUnclear means that it may have had one, or still may.
+// Errors are distinguished by errors.Is and errors.As. ErrUnavailable promises that the call had no effect and never
+// will. ErrUnclear means that it may have had one, or still may.
 //
 // A Client may be used by several goroutines at once.
 package coordination
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// renewalsPerTTL is how often a session renews within its lease, so that two renewals may fail.
+	// renewalsPerTTL is how often a session renews within its lease, so that one renewal may fail.
 	renewalsPerTTL = 3
 	// expiryMarginDivisor: a session ends this part of its lease (one twentieth) early, so that what is under way can end in time.
 	expiryMarginDivisor = 20
