--- a/internal/architecture/words_test.go
+++ b/internal/architecture/words_test.go
@@ -28,7 +28,7 @@
 var frontDoor = regexp.MustCompile(`(?i)front[ _-]?$`)
 
 // kept are names that stay, since other programs and older versions of this one read them: the file of the log, the fields and
-// types that gob sends or keeps on disk, the settings that the platform sends, and a name in recorded frames.
+// types that gob sends or keeps on disk, the settings that the platform sends, and names in recorded frames and disks.
 var kept = []string{"promptbook.db", "mailPerS", "mail_per_s", "ZooKeeper", "`House`", `Name: "door-0"`, `"bills": 2`}
 
 // keptFields are the fields of such types. They may stand as they are, as whole identifiers, in Go files.
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -11,7 +11,7 @@
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/invariant"
 )
 
 const (
@@ -62,7 +62,7 @@
 		disk: &diskQueue{node: n, disk: disk, onSynced: c.writeSynced}}
 	c.replica = replication.New(c.self, kept, replication.DefaultConfig(), n.seed, n.loop.Now())
 	n.core = c
-	n.groups.open(disk.GroupLogs())
+	n.groups.open(n, disk.GroupLogs())
 	return nil
 }
 
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -6,7 +6,7 @@
 
 	"clovergap/internal/gateway/logentry"
 	"clovergap/internal/gateway/routing"
-	"clovergap/internal/proxy/invariant"
+	"clovergap/internal/invariant"
 )
 
 // Phase of a roll-out.
