--- a/cmd/clovergap/main.go
+++ b/cmd/clovergap/main.go
@@ -50,7 +50,7 @@
 	root := &cobra.Command{Use: "clovergap", Short: "Meters many customers' use of one shared service", SilenceUsage: true, SilenceErrors: true,
 		Long: "clovergap meters many customers' use of one shared service. SIGHUP reads the configuration again, SIGUSR1 logs the\n" +
 			"counters, SIGTERM ends in order. Exit codes: 0 good, 1 failed, 2 usage.",
-		Args: func(c *cobra.Command, args []string) error {
+		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
 				return usageError{fmt.Errorf("unknown command %q", args[0])}
 			}
@@ -74,7 +74,7 @@
 		files(&cobra.Command{Use: "check", Short: "Tell what is wrong with a configuration (as config check)", Args: none, RunE: examine}),
 		&cobra.Command{Use: "version", Short: "Tell the version", Args: none, Run: func(*cobra.Command, []string) { tellVersion() }})
 	conf := &cobra.Command{Use: "config", Short: "Check, print or explain configurations", Args: none,
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(*cobra.Command, []string) error {
 			return usageError{errors.New("wants check, print or example")}
 		}}
 	conf.AddCommand(
--- a/cmd/gateway/gateway_test.go
+++ b/cmd/gateway/gateway_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"github.com/go-faster/errors"
 	"github.com/shoenig/test/must"
 
 	"clovergap/internal/gateway/controlapi"
@@ -116,8 +117,8 @@
 			must.NoError(t, err)
 			continue
 		}
-		f, ok := err.(*failure)
-		must.True(t, ok)
+		var f *failure
+		must.True(t, errors.As(err, &f))
 		must.Eq(t, c.kind, f.kind, must.Sprint(c.answer))
 		must.Eq(t, c.open, strings.Contains(f.Error(), maybe), must.Sprint(c.answer))
 		if strings.Contains(c.answer, "detail") {
--- a/internal/frontdoor/discovery/list_test.go
+++ b/internal/frontdoor/discovery/list_test.go
@@ -38,5 +38,5 @@
 
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"10.1.0.18:8443","state":"Ready"}]}`))
-	f.Fuzz(func(t *testing.T, text []byte) { Read(text, []string{"a"}, clock) })
+	f.Fuzz(func(_ *testing.T, text []byte) { Read(text, []string{"a"}, clock) })
 }
--- a/internal/lab/gatewaystandin/rules.go
+++ b/internal/lab/gatewaystandin/rules.go
@@ -67,7 +67,7 @@
 	bad = append(bad, Twice(h)...)
 	bad = append(bad, Quotas(h)...)
 	bad = append(bad, budgets(h, t)...)
-	bad = append(bad, drains(h, t, c, slack)...)
+	bad = append(bad, drains(h, c, slack)...)
 	bad = append(bad, reads(h, t)...)
 	bad = append(bad, acks(t, c, h)...)
 	bad = append(bad, backwards(h, t, c, slack)...)
@@ -76,7 +76,7 @@
 }
 
 // drains: nothing reaches a backend by a node in touch more than the drain after any node, in touch or not, acknowledged that it leaves.
-func drains(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Broken) {
+func drains(h []history.Event, c *calm, slack time.Duration) (bad []history.Broken) {
 	ask, told := map[string]history.Event{}, map[string]time.Duration{}
 	for _, e := range h {
 		switch e.Kind {
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -156,14 +156,14 @@
 	if !want.Effectful && m.p != nil && m.stalled > 0 { // a node that does not read is left earlier
 		gives = max(left/3, min(left, time.Second))
 	}
-	w.after(gives, func() { c.unheard(t, true) })
+	w.after(gives, func() { c.unheard(t) })
 	w.after(w.way(want.Zone, m.zone), func() {
 		if m.dark || t.over {
 			return
 		}
 		p := m.p
 		if p == nil || p.upstreams.deaf {
-			w.after(w.way(m.zone, want.Zone), func() { c.unheard(t, false) })
+			w.after(w.way(m.zone, want.Zone), func() { c.unheard(t) })
 			return
 		}
 		came := w.now
@@ -177,7 +177,7 @@
 }
 
 // unheard: no answer came, the client closes the connection.
-func (c *clients) unheard(t *try, waited bool) {
+func (c *clients) unheard(t *try) {
 	if t.over {
 		return
 	}
@@ -218,7 +218,7 @@
 	for _, nr := range sortedKeys(p.upstreams.tries) {
 		t := p.upstreams.tries[nr]
 		t.p = nil
-		c.w.after(c.w.way(p.m.zone, t.want.Zone), func() { c.unheard(t, false) })
+		c.w.after(c.w.way(p.m.zone, t.want.Zone), func() { c.unheard(t) })
 	}
 }
 
--- a/internal/lab/simulation/measure.go
+++ b/internal/lab/simulation/measure.go
@@ -178,7 +178,7 @@
 		}
 		number := func() uint64 { w.operator.top++; return w.operator.top }
 		c := gatewaystandin.Draft(draw, number, w.operator.known, v.Config)[0]
-		w.operator.propose(c, func(status int, clear bool) {
+		w.operator.propose(c, func(status int, _ bool) {
 			if done = true; status == 200 {
 				version = c.Config.Generation
 			}
--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -125,7 +125,7 @@
 // open sends the first configuration until it is taken, then changes it as long as it may.
 func (o *operator) open(then func()) {
 	first := o.w.day.Wide.first()
-	o.propose(gatewaystandin.Change{Path: gatewaystandin.ReplacePath, Body: first, Version: gatewaystandin.Version{Config: first}}, func(status int, clear bool) {
+	o.propose(gatewaystandin.Change{Path: gatewaystandin.ReplacePath, Body: first, Version: gatewaystandin.Version{Config: first}}, func(status int, _ bool) {
 		if status != 200 {
 			o.w.after(100*time.Millisecond, func() { o.open(then) })
 			return
@@ -218,7 +218,7 @@
 // read asks for the newest configuration; nil if none came in time.
 func (o *operator) read(then func(*routing.Config)) {
 	began := o.w.now
-	o.ask("", nil, func(status int, text []byte, clear bool) {
+	o.ask("", nil, func(status int, text []byte, _ bool) {
 		then(o.readBack(began, status, text))
 	})
 }
--- a/internal/lab/simulation/planted.go
+++ b/internal/lab/simulation/planted.go
@@ -42,7 +42,7 @@
 	p.w.every(cutEach, func() bool {
 		for _, nr := range sortedKeys(p.upstreams.tries) {
 			t := p.upstreams.tries[nr]
-			p.w.after(p.w.way(p.m.zone, t.want.Zone), func() { p.w.clients.unheard(t, false) })
+			p.w.after(p.w.way(p.m.zone, t.want.Zone), func() { p.w.clients.unheard(t) })
 		}
 		return !p.over
 	})
--- a/internal/lab/simulation/resets.go
+++ b/internal/lab/simulation/resets.go
@@ -54,6 +54,6 @@
 	})
 	for _, nr := range sortedKeys(p.upstreams.tries) {
 		t := p.upstreams.tries[nr]
-		w.after(w.way(m.zone, t.want.Zone), func() { w.clients.unheard(t, false) })
+		w.after(w.way(m.zone, t.want.Zone), func() { w.clients.unheard(t) })
 	}
 }
--- a/internal/lab/standin/backend.go
+++ b/internal/lab/standin/backend.go
@@ -360,7 +360,7 @@
 		r.w.WriteHeader(http.StatusInternalServerError)
 	case r.Chance(r.mode.Half), r.Chance(r.mode.Stall), r.Chance(r.mode.Spoilt):
 		r.log.Add(history.Event{Who: r.ID, Kind: Spoils, Txn: r.task.ID})
-		r.spoil(r.w, r.r, r.mode, body)
+		r.spoil(r.w, r.mode, body)
 	default:
 		r.answer(r.w, r.r, body, rest)
 	}
@@ -406,7 +406,7 @@
 }
 
 // spoil writes an answer that is none.
-func (b *Backend) spoil(w http.ResponseWriter, r *http.Request, m *Mode, body string) {
+func (b *Backend) spoil(w http.ResponseWriter, m *Mode, body string) {
 	c, ok := hijack(w)
 	if !ok {
 		return
--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -231,8 +231,8 @@
 
 // Open sends at a rate, whatever becomes of what was sent before: a slow answer delays no other request, and time
 // counts from when each was meant to go, so that nothing is omitted where the front door is slow.
-func (c *Clients) Open(ctx context.Context, for_ time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, for_)
+func (c *Clients) Open(ctx context.Context, duration time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	Pace(ctx, func() float64 {
 		c.mu.Lock()
@@ -262,9 +262,9 @@
 }
 
 // Closed keeps so many requests under way, each client sending its next when it has its answer.
-func (c *Clients) Closed(ctx context.Context, clients int, for_ time.Duration) {
+func (c *Clients) Closed(ctx context.Context, clients int, duration time.Duration) {
 	var wg sync.WaitGroup
-	end := time.Now().Add(for_)
+	end := time.Now().Add(duration)
 	for i := 0; i < clients; i++ {
 		wg.Add(1)
 		go func() {
--- a/internal/lab/standin/process.go
+++ b/internal/lab/standin/process.go
@@ -184,7 +184,7 @@
 			if p.Meant() {
 				return nil // killed in its start, as a fault may
 			}
-			return fmt.Errorf("%s ended before it was up: %v %s", p.Name, p.ended, strings.Join(p.said, "; "))
+			return fmt.Errorf("%s ended before it was up: %s %s", p.Name, fmt.Sprint(p.ended), strings.Join(p.said, "; "))
 		case <-ctx.Done():
 			return fmt.Errorf("%s was not up within %s", p.Name, most)
 		case <-time.After(10 * time.Millisecond):
--- a/internal/lab/standin/proxy.go
+++ b/internal/lab/standin/proxy.go
@@ -7,6 +7,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/go-faster/errors"
+
 	"clovergap/internal/history"
 )
 
@@ -273,12 +275,12 @@
 	}()
 	for x := range line {
 		open := p.way.pass(d, len(x.b), x.came, p.quit)
-		if !open || len(x.b) > 0 && write(to, x.b) != nil || x.err != nil && x.err != io.EOF {
+		if !open || len(x.b) > 0 && write(to, x.b) != nil || x.err != nil && !errors.Is(x.err, io.EOF) {
 			reset(to)
 			reset(from)
 			return
 		}
-		if x.err == io.EOF {
+		if errors.Is(x.err, io.EOF) {
 			if half, ok := to.(*net.TCPConn); ok {
 				half.CloseWrite()
 			}
--- a/internal/proxy/downstream/server.go
+++ b/internal/proxy/downstream/server.go
@@ -5,6 +5,8 @@
 import (
 	"time"
 
+	"github.com/go-faster/errors"
+
 	"clovergap/internal/proxy/answer"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/eventloop"
@@ -438,12 +440,12 @@
 // Doubtful rejects a message whose end can't be told, and with it all that follows.
 func (c *Client) Doubtful(err error) {
 	c.last = true
-	switch err {
-	case http1.ErrHead:
+	switch {
+	case errors.Is(err, http1.ErrHead):
 		c.Reject(431, counters.HeadTooLarge, "head too large")
-	case http1.ErrBody:
+	case errors.Is(err, http1.ErrBody):
 		c.Reject(413, counters.TooLarge, "body too large")
-	case http1.ErrFraming:
+	case errors.Is(err, http1.ErrFraming):
 		c.Reject(400, counters.BadFraming, "doubtful framing")
 	default:
 		c.Reject(400, counters.BadRequest, "malformed request")
--- a/internal/proxy/http1/http1.go
+++ b/internal/proxy/http1/http1.go
@@ -183,7 +183,7 @@
 func MayStart(b []byte) bool {
 	r := Requests()
 	_, err := r.head(b)
-	return err != ErrMalformed
+	return !errors.Is(err, ErrMalformed)
 }
 
 func (r *Reader) version(v []byte) bool {
--- a/internal/proxy/http1/http1_test.go
+++ b/internal/proxy/http1/http1_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/go-faster/errors"
 )
 
 // pieces shows a reader the bytes as they come, so many at a time, and tells what came of it.
@@ -194,7 +196,7 @@
 		if err == nil && err2 == nil && whole && (!whole2 || !bytes.Equal(r.Body(b), body) || rest != len(text)-size) {
 			t.Fatalf("whole %q and %d left, in parts %q and %d left", r.Body(b), len(text)-size, body, rest)
 		}
-		if (err == ErrFraming || err == ErrBody) && err2 == nil && whole2 {
+		if (errors.Is(err, ErrFraming) || errors.Is(err, ErrBody)) && err2 == nil && whole2 {
 			t.Fatalf("%v, and none in parts", err)
 		}
 	})
