--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -4,33 +4,32 @@
 	"maps"
 	"slices"
 	"time"
-
-	"clovergap/internal/invariant"
 )
 
+// Times and bounds of what a node observes and reports.
 const (
-	linkEvidenceDelay   = 500 * time.Millisecond // what a link may have done, until it is told
-	localEjectionTime   = 10 * time.Second       // a node's own hold, doubled each time
-	maxLocalDoublings   = 3                      // so often
-	reportNow           = 1
-	reportDelay         = 200 * time.Millisecond // of news of a key
-	slowReportDelay     = time.Second            // of what is no news yet
-	reportRepeat        = 2 * time.Second        // while pieces count
-	maxObservations     = 32                     // files of one report
-	probeInterval       = time.Second
+	linkEvidenceDelay   = 500 * time.Millisecond // evidence that a link may have made is counted after it
+	reportNow           = 1 * time.Nanosecond    // at the next turn
+	reportDelay         = 200 * time.Millisecond // of new evidence on a key
+	slowReportDelay     = time.Second            // of totals, and of failures that count by rate
+	reportRepeat        = 2 * time.Second        // while evidence counts
+	maxObservations     = 32                     // of one report
+	probeInterval       = time.Second            // between probes of a backend
 	noneAvailableRepeat = 5 * time.Second
-	limitedPerSecond    = 10 // a second, of all nodes
-	gapFactor           = 8  // the usual gap between answers of a zone
-	minGap              = 300 * time.Millisecond
-	maxGap              = 3 * time.Second
-	gapSmoothing        = 0.05
-	maxOtherResets      = 2 // other backends that reset at once: it was not theirs
+	limitedPerSecond    = 10 // requests to a backend with limited access, of all nodes together
+	maxOtherResets      = 2  // so many other backends that reset at once: it was not theirs
+)
+
+// A node's own ejections, before there is a verdict.
+const (
+	localEjectionTime = 10 * time.Second // doubled with each repetition
+	maxLocalDoublings = 3
 )
 
-// doubtRate is the share from which a backend is in doubt, and a node tells of it.
+// doubtRate is the failure rate from which a backend is in doubt, and a node reports it.
 var doubtRate = [modeCount]float64{0.05, 0.3}
 
-// Node is one node's part: a witness, and bound by verdicts.
+// Node is one node's part: it observes backends, reports to the coordinator, and gives each backend the access that ejections leave it.
 type Node struct {
 	actionQueue
 	now          time.Duration
@@ -43,357 +42,181 @@
 	backends     map[InstanceID]*backend
 	services     map[string]*service  // by service
 	zonePaths    map[string]*zonePath // by zone
-	active       map[Key]*keyState    // all with anything to look at
-	delayed      []delayedEvidence    // not told yet
-	resets       []observedReset      // of the last moment
-	dirty        []*service           // whose binds may have changed
+	active       map[Key]*keyState    // keys with anything to look at
+	delayed      []delayedEvidence    // not counted yet
+	resets       []observedReset      // of late
+	changed      []*service           // whose access may have changed
 }
 
+// backend is what a node has of a backend.
 type backend struct {
 	Backend
 	service      *service
 	keys         [modeCount]keyState
-	lastAnswerAt time.Duration // last answer that came here
+	lastAnswerAt time.Duration // to this node
 	probedAt     time.Duration
 }
 
+// service is what a node has of a service.
 type service struct {
 	name            string
-	backends        []*backend // ready ones, by id
+	backends        []*backend // ready ones, by ID
 	windows         [modeCount]slidingWindow
-	doubtUntil      time.Duration // until when this node doubts itself
-	dirty           bool
-	noneAvailableAt time.Duration // last line on that; 0: somebody is in service
-}
-
-// keyState is what this node has of a key.
-type keyState struct {
-	key           Key
-	backend       *backend
-	revision      uint64
-	revisionSince time.Duration // when the rev came here
-	window        slidingWindow
-	evidence      []evidenceItem
-	Totals
-	reportedTotals Totals        // as last told
-	delayedCount   int           // pieces that are held back
-	ejectedUntil   time.Duration // of this node's own hold
-	localEjections int
-	access         Access
-	local          bool
-	reportWithin   time.Duration // longest it may wait to be told; 0: nothing to tell
-	reportedAt     time.Duration
-}
-
-type evidenceItem struct {
-	kind       EvidenceKind
-	observedAt time.Duration
-	timeout    time.Duration
-}
-
-// delayedEvidence is a piece that a link may have made.
-type delayedEvidence struct {
-	evidenceItem
-	state    *keyState
-	revision uint64
-	sentAt   time.Duration
-}
-
-type observedReset struct {
-	id         InstanceID
-	observedAt time.Duration
-}
-
-// zonePath is whether the backends of a zone are heard.
-type zonePath struct {
-	lastAnswerAt time.Duration // answer
-	usualGap     float64       // gap between two, in seconds
-	steadySince  time.Duration // since when no gap was long
+	doubtUntil      time.Duration // this node doubts its own observations until then
+	changed         bool          // it is in Node.changed
+	noneAvailableAt time.Duration // when NoneAvailable was last pushed; 0: some backend takes writes
 }
 
-func (z *zonePath) tolerance() time.Duration {
-	return min(max(time.Duration(gapFactor*z.usualGap*float64(time.Second)), minGap), maxGap)
-}
-
-func (z *zonePath) observeAnswer(now time.Duration) {
-	if now-z.lastAnswerAt > z.tolerance() {
-		z.steadySince = now
-	}
-	z.usualGap += gapSmoothing * (min(now-z.lastAnswerAt, maxGap).Seconds() - z.usualGap)
-	z.lastAnswerAt = now
-}
-
-// intact tells that answers kept coming from a time on, so often that a cut as long as half of it would show.
-func (z *zonePath) intact(from, now time.Duration) bool {
-	return z != nil && z.steadySince <= from && z.lastAnswerAt > from && now-z.lastAnswerAt <= z.tolerance() && z.tolerance() <= max((now-from)/2, minGap)
-}
-
-// NewNode makes one. Life differs between lives of a node.
-func NewNode(zone string, lifeNr uint64, now time.Duration) *Node {
-	return &Node{now: now, zone: zone, incarnation: lifeNr, nodeCount: 1, disconnected: true, state: NewState(), backends: map[InstanceID]*backend{},
+// NewNode makes one. Each start of a node has another incarnation.
+func NewNode(zone string, incarnation uint64, now time.Duration) *Node {
+	return &Node{now: now, zone: zone, incarnation: incarnation, nodeCount: 1, disconnected: true, state: NewState(), backends: map[InstanceID]*backend{},
 		services: map[string]*service{}, zonePaths: map[string]*zonePath{}, active: map[Key]*keyState{}}
 }
 
-// SetNodeCount says how many share the backends.
+// SetNodeCount says how many nodes share the backends.
 func (n *Node) SetNodeCount(count int) { n.nodeCount = max(count, 1) }
 
 // ApplyState takes the state after an entry, or after a snapshot without one; the host changes it in the same turn only.
 func (n *Node) ApplyState(s *State, e *Entry) {
 	n.state = s
 	if e != nil && e.Verb != SetSettings && e.Verb != Forget {
-		if l := n.backends[e.Key.ID]; l != nil {
-			n.applyKey(l, e.Key.Mode)
+		if instance := n.backends[e.Key.ID]; instance != nil {
+			n.applyKey(instance, e.Key.Mode)
 		}
 	} else {
-		for _, l := range n.backends {
-			n.applyKey(l, Strict)
-			n.applyKey(l, Patient)
+		for _, instance := range n.backends {
+			n.applyKey(instance, Strict)
+			n.applyKey(instance, Patient)
 		}
 	}
 	if !s.Enabled() {
 		n.delayed, n.resets = nil, nil
-		for _, f := range n.active {
-			n.resetKey(f, f.revision)
+		for _, state := range n.active {
+			n.resetKey(state, state.revision)
 		}
 	}
 	n.updateAccess()
 }
 
-func (n *Node) applyKey(l *backend, m Mode) {
-	f := &l.keys[m]
-	if rev := n.state.revision(f.key); rev != f.revision {
-		n.resetKey(f, rev)
+func (n *Node) applyKey(instance *backend, m Mode) {
+	state := &instance.keys[m]
+	if rev := n.state.revision(state.key); rev != state.revision {
+		n.resetKey(state, rev)
 	}
-	n.markDirty(l.service)
+	n.queueService(instance.service)
 }
 
-// markDirty has a service's binds looked at.
-func (n *Node) markDirty(h *service) {
-	if !h.dirty {
-		h.dirty = true
-		n.dirty = append(n.dirty, h)
-	}
-}
-
-// resetKey: what was seen under another rev says nothing any more.
-func (n *Node) resetKey(f *keyState, rev uint64) {
-	*f = keyState{key: f.key, backend: f.backend, revision: rev, revisionSince: n.now, localEjections: f.localEjections, access: f.access, local: f.local}
-	n.active[f.key] = f
-}
-
-// SetConnected says whether this node hears the core. What it found of links while it did not is dropped at its return.
-func (n *Node) SetConnected(fresh bool) {
-	if fresh && n.disconnected {
+// SetConnected says whether this node has contact with the core. What it found of links while it had none is dropped when it has again.
+func (n *Node) SetConnected(connected bool) {
+	if connected && n.disconnected {
 		n.delayed = nil
-		for _, f := range n.active {
-			f.delayedCount = 0
-			f.evidence = slices.DeleteFunc(f.evidence, func(p evidenceItem) bool { return weights[p.kind][f.key.Mode] == Partial })
+		for _, state := range n.active {
+			state.delayedCount = 0
+			state.evidence = slices.DeleteFunc(state.evidence, func(item evidenceItem) bool { return weights[item.kind][state.key.Mode] == Partial })
 		}
 	}
-	n.disconnected = !fresh
+	n.disconnected = !connected
 }
 
-// SetBackend takes what the registry tells of a backend.
-func (n *Node) SetBackend(x Backend) {
-	l := n.backends[x.ID]
-	if l == nil {
-		if x.Phase != Ready {
+// SetBackend takes a backend's state from the registry.
+func (n *Node) SetBackend(b Backend) {
+	instance := n.backends[b.ID]
+	if instance == nil {
+		if b.Phase != Ready {
 			return
 		}
-		h := n.services[x.Service]
-		if h == nil {
-			h = &service{name: x.Service}
-			n.services[x.Service] = h
-		}
-		l = &backend{service: h, lastAnswerAt: n.now}
-		for m := range l.keys {
-			f := &l.keys[m]
-			f.key, f.backend = Key{x.ID, Mode(m)}, l
-			n.resetKey(f, n.state.revision(f.key))
-		}
-		n.backends[x.ID] = l
+		instance = n.addBackend(b)
 	}
-	l.Backend = x
-	h := l.service
-	n.markDirty(h)
-	at, had := slices.BinarySearchFunc(h.backends, x.ID, func(l *backend, id InstanceID) int {
-		return Key{ID: l.ID}.compare(Key{ID: id})
+	instance.Backend = b
+	svc := instance.service
+	n.queueService(svc)
+	at, listed := slices.BinarySearchFunc(svc.backends, b.ID, func(o *backend, id InstanceID) int {
+		return Key{ID: o.ID}.compare(Key{ID: id})
 	})
-	if is := x.Phase == Ready; is && !had {
-		h.backends = slices.Insert(h.backends, at, l)
-	} else if !is && had {
-		h.backends = slices.Delete(h.backends, at, at+1)
+	if ready := b.Phase == Ready; ready && !listed {
+		svc.backends = slices.Insert(svc.backends, at, instance)
+	} else if !ready && listed {
+		svc.backends = slices.Delete(svc.backends, at, at+1)
 	}
-	if x.Phase != Ready { // it gets nothing new, and what is told of it now is not about the service
-		delete(n.backends, x.ID)
-		for m := range l.keys {
-			n.setAccess(&l.keys[m], Open, false) // one that comes back begins so
-			delete(n.active, l.keys[m].key)
-		}
-		if len(h.backends) == 0 {
-			delete(n.services, h.name)
-		}
+	if b.Phase != Ready { // it gets nothing new, and what is seen of it now is not about the service
+		n.removeBackend(instance)
 	}
 	n.updateAccess()
 }
 
-// ModeFor is how a route's requests judge and are bound.
-func (n *Node) ModeFor(route string, effectful bool) Mode {
-	if !n.state.Enabled() {
-		return Unwatched
-	}
-	return n.state.Settings().ModeFor(route, effectful)
-}
-
-// Revision is kept with a submission, for its end.
-func (n *Node) Revision(k Key) uint64 { return n.state.revision(k) }
-
-// RecordAttempt takes the one end of a submission that was sent at a time under a rev.
-func (n *Node) RecordAttempt(k Key, rev uint64, sent time.Duration, seen AttemptEnd) {
-	l := n.backends[k.ID]
-	kind := seen.Evidence()
-	if l == nil || !n.state.Enabled() {
-		return
-	}
-	if seen.pathWorked() {
-		l.lastAnswerAt = n.now
-		p := n.zonePaths[l.Zone]
-		if p == nil {
-			p = &zonePath{lastAnswerAt: n.now, steadySince: n.now, usualGap: maxGap.Seconds() / gapFactor}
-			n.zonePaths[l.Zone] = p
-		}
-		p.observeAnswer(n.now)
+// addBackend begins to observe a backend.
+func (n *Node) addBackend(b Backend) *backend {
+	svc := n.services[b.Service]
+	if svc == nil {
+		svc = &service{name: b.Service}
+		n.services[b.Service] = svc
 	}
-	if kind == ConnectionReset {
-		n.resets = append(n.resets, observedReset{k.ID, n.now})
+	instance := &backend{service: svc, lastAnswerAt: n.now}
+	for m := range instance.keys {
+		state := &instance.keys[m]
+		state.key, state.backend = Key{b.ID, Mode(m)}, instance
+		n.resetKey(state, n.state.revision(state.key))
 	}
-	n.record(l, k, rev, kind, sent)
-}
-
-// RecordEvidence takes what is no end of a submission: Stray and Second, by the rev under which the connection's last was sent.
-func (n *Node) RecordEvidence(k Key, rev uint64, kind EvidenceKind) {
-	if l := n.backends[k.ID]; l != nil && n.state.Enabled() {
-		n.record(l, k, rev, kind, n.now)
-	}
-}
-
-func (n *Node) record(l *backend, k Key, rev uint64, kind EvidenceKind, sent time.Duration) {
-	if k.Mode >= modeCount || kind == NoEvidence {
-		return
-	}
-	f := &l.keys[k.Mode]
-	if f.revision != rev {
-		return
-	}
-	switch {
-	case kind == CleanAnswer:
-		w := f.window.slotAt(n.now)
-		w.Clean++
-		w.LatencyMillis += uint32((n.now - sent).Milliseconds())
-		l.service.windows[k.Mode].slotAt(n.now).Clean++
-		f.Clean++
-		if s := &l.keys[Strict]; k.Mode == Patient && s.revision > 0 {
-			s.Reads++
-		}
-	case weights[kind][k.Mode] == Ignored:
-	case kind == LostAnswer || kind == ConnectionReset: // a link may have done that
-		if k.Mode == Strict && n.mayEjectLocally(l) {
-			f.delayedCount++
-		}
-		n.delayed = append(n.delayed, delayedEvidence{evidenceItem{kind, n.now, n.now - sent}, f, rev, sent})
-		n.active[k] = f
-		n.markDirty(l.service)
-	default:
-		n.countEvidence(f, evidenceItem{kind, n.now, 0})
-	}
-	n.updateAccess()
+	n.backends[b.ID] = instance
+	return instance
 }
 
-// countEvidence takes what only the backend can have done, or what was held back long enough.
-func (n *Node) countEvidence(f *keyState, p evidenceItem) {
-	m := f.key.Mode
-	if weights[p.kind][m] != Partial { // those have a rule of their own
-		f.window.slotAt(n.now).Failing++
-		f.backend.service.windows[m].slotAt(n.now).Failing++
-		f.Failing++
+// removeBackend ends it; one that comes back begins open.
+func (n *Node) removeBackend(instance *backend) {
+	delete(n.backends, instance.ID)
+	for m := range instance.keys {
+		n.setAccess(&instance.keys[m], Open, false)
+		delete(n.active, instance.keys[m].key)
 	}
-	n.active[f.key] = f
-	if weights[p.kind][m] == ByRate {
-		if f.window.sum(n.now).failureRate() >= doubtRate[m] {
-			f.scheduleReport(slowReportDelay)
-		}
-		return
-	}
-	if f.evidence = append(f.evidence, p); len(f.evidence) > maxEvidence {
-		f.evidence = f.evidence[1:]
-	}
-	f.scheduleReport(reportDelay)
-	if m == Strict && n.mayEjectLocally(f.backend) {
-		f.ejectedUntil = n.now + localEjectionTime<<min(f.localEjections, maxLocalDoublings)
-		f.localEjections++
-	}
-	n.markDirty(f.backend.service)
-}
-
-// scheduleReport wants the file told within a time.
-func (k *keyState) scheduleReport(in time.Duration) {
-	if k.reportWithin == 0 || in < k.reportWithin {
-		k.reportWithin = in
+	if len(instance.service.backends) == 0 {
+		delete(n.services, instance.service.name)
 	}
 }
 
-// mayEjectLocally bounds what a node holds off by itself: one that sees more than half fail doubts itself.
-func (n *Node) mayEjectLocally(l *backend) bool {
-	h, count := l.service, 0
-	for _, o := range h.backends {
-		if f := &o.keys[Strict]; o != l && f.locallyEjected(n.now) {
-			count++
-		}
-	}
-	if count+1 > max(1, len(h.backends)/2) {
-		h.doubtUntil = n.now + windowDuration
-		return false
+// ModeFor is the mode of a route's requests.
+func (n *Node) ModeFor(route string, effectful bool) Mode {
+	if !n.state.Enabled() {
+		return Unwatched
 	}
-	return true
+	return n.state.Settings().ModeFor(route, effectful)
 }
 
-func (k *keyState) locallyEjected(now time.Duration) bool {
-	return k.delayedCount > 0 || k.ejectedUntil > now
-}
+// Revision of a key is kept with an attempt, for its end.
+func (n *Node) Revision(k Key) uint64 { return n.state.revision(k) }
 
-// HandleProbe takes the answer to a probe: which life answered, "" if none did, and whether it is well.
-func (n *Node) HandleProbe(id, by InstanceID, well bool) {
-	l := n.backends[id]
-	if l == nil || !n.state.Enabled() {
+// HandleProbe takes the answer to a probe: which instance answered, "" if none did, and whether it is healthy.
+func (n *Node) HandleProbe(id, by InstanceID, healthy bool) {
+	instance := n.backends[id]
+	if instance == nil || !n.state.Enabled() {
 		return
 	}
-	l.lastAnswerAt = n.now
-	for m := range l.keys {
-		f := &l.keys[m]
+	instance.lastAnswerAt = n.now
+	for m := range instance.keys {
+		state := &instance.keys[m]
 		switch {
 		case by != "" && by != id:
-			n.countEvidence(f, evidenceItem{WrongInstance, n.now, 0})
-		case well && by == id:
-			f.Probes++
+			n.countEvidence(state, evidenceItem{WrongInstance, n.now, 0})
+		case healthy && by == id:
+			state.Probes++
 		default:
-			f.Probes = 0
+			state.Probes = 0
 		}
 	}
 	n.updateAccess()
 }
 
-// HandleRequest takes the duty's question.
-func (n *Node) HandleRequest(a ReportRequest) {
-	for _, k := range a.Keys {
-		if l := n.backends[k.ID]; l != nil && k.Mode < modeCount {
-			l.keys[k.Mode].reportWithin = reportNow
-			n.active[k] = &l.keys[k.Mode]
+// HandleRequest takes the coordinator's question.
+func (n *Node) HandleRequest(r ReportRequest) {
+	for _, k := range r.Keys {
+		if instance := n.backends[k.ID]; instance != nil && k.Mode < modeCount {
+			instance.keys[k.Mode].reportWithin = reportNow
+			n.active[k] = &instance.keys[k.Mode]
 		}
 	}
-	n.report(a.Keys)
+	n.report(r.Keys)
 }
 
-// Tick sets the clock.
+// Tick sets the clock, and reports what is due.
 func (n *Node) Tick(now time.Duration) {
 	n.now = max(n.now, now)
 	n.releaseDelayed()
@@ -401,9 +224,9 @@
 	for _, k := range keys {
 		n.maintain(n.active[k])
 	}
-	for _, h := range n.services {
-		if h.noneAvailableAt > 0 && n.now-h.noneAvailableAt >= noneAvailableRepeat {
-			n.markDirty(h)
+	for _, svc := range n.services {
+		if svc.noneAvailableAt > 0 && n.now-svc.noneAvailableAt >= noneAvailableRepeat {
+			n.queueService(svc)
 		}
 	}
 	n.probeIdle()
@@ -411,189 +234,57 @@
 	n.report(keys)
 }
 
-// releaseDelayed tells of what was held back, or drops it as a link's or this node's own.
-func (n *Node) releaseDelayed() {
-	due := 0
-	for _, x := range n.delayed {
-		if n.now-x.observedAt < linkEvidenceDelay {
-			break
-		}
-		due++
-		f := x.state
-		if f.revision != x.revision || n.backends[f.key.ID] != f.backend {
-			continue
-		}
-		f.delayedCount = max(f.delayedCount-1, 0)
-		n.markDirty(f.backend.service)
-		others := map[InstanceID]bool{}
-		for _, r := range n.resets {
-			if x.kind == ConnectionReset && r.id != f.key.ID && (r.observedAt-x.observedAt).Abs() <= linkEvidenceDelay {
-				others[r.id] = true
-			}
-		}
-		// A cut makes no resets, and what it broke shows at several backends at once.
-		if !n.disconnected && len(others) < maxOtherResets && (x.kind == ConnectionReset || n.zonePaths[f.backend.Zone].intact(x.sentAt, n.now)) {
-			n.countEvidence(f, x.evidenceItem)
-		}
-	}
-	n.delayed = n.delayed[due:]
-	n.resets = slices.DeleteFunc(n.resets, func(r observedReset) bool { return n.now-r.observedAt > 3*linkEvidenceDelay })
-}
-
-// maintain tends a file that is not at rest.
-func (n *Node) maintain(f *keyState) {
-	f.evidence = slices.DeleteFunc(f.evidence, func(p evidenceItem) bool { return n.now-p.observedAt > evidenceTTL })
-	if f.ejectedUntil > 0 && f.ejectedUntil <= n.now {
-		f.ejectedUntil = 0
-		n.markDirty(f.backend.service)
-	}
-	c := n.state.Ejection(f.key)
-	way := c != nil && c.Step != InService && n.state.Enabled()
-	if way {
-		if f.Totals != f.reportedTotals {
-			f.scheduleReport(slowReportDelay)
-		}
-		if rest := ejectionTime(n.state, c); f.backend.Owned && c.Step <= ReadsOnly && c.Step.next(f.key.Mode) != InService && n.now-f.revisionSince >= rest {
-			n.probe(f.backend)
-		}
-	} else if len(f.evidence) == 0 && f.delayedCount == 0 && f.ejectedUntil == 0 && f.reportWithin == 0 {
-		delete(n.active, f.key)
-	}
-	if len(f.evidence) > 0 && n.now-f.reportedAt >= reportRepeat {
-		f.scheduleReport(reportNow)
+func (n *Node) probe(instance *backend) {
+	if n.now-instance.probedAt >= probeInterval {
+		instance.probedAt = n.now
+		n.push(Probe{instance.ID})
 	}
 }
 
-func (n *Node) probe(l *backend) {
-	if n.now-l.probedAt >= probeInterval {
-		l.probedAt = n.now
-		n.push(Probe{l.ID})
-	}
-}
-
-// probeIdle has those in service probed that this node keeps and has not heard, where the settings say so.
+// probeIdle has the backends in service probed that this node owns and that have answered nothing for a while, where the settings say so.
 func (n *Node) probeIdle() {
 	after := time.Duration(n.state.Settings().ProbeIdleAfter)
 	if after == 0 || !n.state.Enabled() {
 		return
 	}
-	for _, h := range n.services {
-		for _, l := range h.backends {
-			if l.Owned && n.now-max(l.lastAnswerAt, l.probedAt) >= after {
-				n.probe(l)
+	for _, svc := range n.services {
+		for _, instance := range svc.backends {
+			if instance.Owned && n.now-max(instance.lastAnswerAt, instance.probedAt) >= after {
+				n.probe(instance)
 			}
 		}
 	}
 }
 
-// report tells what is due.
+// report sends the observations of some keys that are due.
 func (n *Node) report(keys []Key) {
 	if n.disconnected || !n.state.Enabled() {
 		return
 	}
-	var files []Observation
+	var observations []Observation
 	doubt := false
 	for _, k := range keys {
-		f := n.active[k]
-		if f == nil || f.reportWithin == 0 || n.now-f.reportedAt < f.reportWithin && f.reportedAt > 0 {
+		state := n.active[k]
+		if state == nil || state.reportWithin == 0 || n.now-state.reportedAt < state.reportWithin && state.reportedAt > 0 {
 			continue
 		}
-		h := f.backend.service
-		x := Observation{Key: k, Rev: f.revision, Window: f.window.sum(n.now), ServiceWindow: h.windows[k.Mode].sum(n.now),
-			Totals: f.Totals}
-		if k.Mode == Strict && (len(f.evidence) > 0 || f.reportWithin == reportNow) {
-			x.Slots, x.SlotAge = f.window.completedSlots(n.now), n.now%slotDuration
+		svc := state.backend.service
+		observation := Observation{Key: k, Rev: state.revision, Window: state.window.sum(n.now), ServiceWindow: svc.windows[k.Mode].sum(n.now),
+			Totals: state.Totals}
+		if k.Mode == Strict && (len(state.evidence) > 0 || state.reportWithin == reportNow) {
+			observation.Slots, observation.SlotAge = state.window.completedSlots(n.now), n.now%slotDuration
 		}
-		f.reportWithin, f.reportedAt, f.reportedTotals = 0, n.now, f.Totals
-		for _, p := range f.evidence {
-			x.Evidence = append(x.Evidence, Evidence{p.kind, n.now - p.observedAt, p.timeout})
+		state.reportWithin, state.reportedAt, state.reportedTotals = 0, n.now, state.Totals
+		for _, item := range state.evidence {
+			observation.Evidence = append(observation.Evidence, Evidence{item.kind, n.now - item.observedAt, item.timeout})
 		}
-		doubt = doubt || h.doubtUntil > n.now
-		if files = append(files, x); len(files) == maxObservations {
-			break // the rest with the next turn
+		doubt = doubt || svc.doubtUntil > n.now
+		if observations = append(observations, observation); len(observations) == maxObservations {
+			break // the others with the next turn
 		}
 	}
-	if len(files) > 0 {
+	if len(observations) > 0 {
 		n.seq++
-		n.push(SendReport{Report{n.zone, n.incarnation, n.seq, doubt, files}})
-	}
-}
-
-// updateAccess tells the host what changed in what backends get.
-func (n *Node) updateAccess() {
-	for _, h := range n.dirty {
-		h.dirty = false
-		n.updatePatient(h)
-		n.updateStrict(h)
-	}
-	n.dirty = n.dirty[:0]
-}
-
-func (n *Node) accessOf(k Key) Access {
-	if c := n.state.Ejection(k); c != nil && n.state.Enabled() {
-		return c.access()
-	}
-	return Open
-}
-
-// updatePatient keeps the least sick in service down to the floor.
-func (n *Node) updatePatient(h *service) {
-	var out []*Ejection
-	for _, l := range h.backends {
-		if k := l.keys[Patient].key; n.accessOf(k) != Open {
-			out = append(out, n.state.Ejection(k))
-		}
-	}
-	slices.SortFunc(out, func(a, b *Ejection) int {
-		switch { // the least sick first
-		case a.Step != b.Step:
-			return int(b.Step) - int(a.Step)
-		case a.Score != b.Score:
-			return a.Score - b.Score
-		}
-		return a.compare(b.Key)
-	})
-	short := max(0, n.state.Settings().minInService(len(h.backends))-(len(h.backends)-len(out)))
-	invariant.That(short <= len(out), "a floor is not above all")
-	kept := map[InstanceID]bool{}
-	for _, c := range out[:short] {
-		kept[c.ID] = true
-	}
-	for _, l := range h.backends {
-		if f := &l.keys[Patient]; kept[l.ID] {
-			n.setAccess(f, Open, false)
-		} else {
-			n.setAccess(f, n.accessOf(f.key), false)
-		}
-	}
-}
-
-// updateStrict has no floor: a write is better refused than lost.
-func (n *Node) updateStrict(h *service) {
-	some := false
-	for _, l := range h.backends {
-		f := &l.keys[Strict]
-		b := n.accessOf(f.key)
-		own := b != Closed && n.state.Enabled() && f.locallyEjected(n.now)
-		if own {
-			b = Closed
-		}
-		some = some || b != Closed
-		n.setAccess(f, b, own)
-	}
-	switch {
-	case some || len(h.backends) == 0:
-		h.noneAvailableAt = 0
-	case h.noneAvailableAt == 0 || n.now-h.noneAvailableAt >= noneAvailableRepeat:
-		h.noneAvailableAt = n.now
-		n.push(NoneAvailable{h.name, Strict, len(h.backends)})
-	}
-}
-
-func (n *Node) setAccess(f *keyState, b Access, own bool) {
-	if f.access == b && f.local == own {
-		return
+		n.push(SendReport{Report{n.zone, n.incarnation, n.seq, doubt, observations}})
 	}
-	f.access, f.local = b, own
-	n.push(SetAccess{f.key, b, time.Duration(n.nodeCount) * time.Second / limitedPerSecond, own})
 }
--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -175,7 +175,7 @@
 	t.Parallel()
 	for witness, want := range []int{0, 1} {
 		s, k := on(), Key{"i-1", Strict}
-		for _, e := range []Entry{{Verb: Eject, Service: "libro", Witnesses: []Slot{0}, SufficientAlone: 1, ReadyBackends: 3}, {Verb: StepUp},
+		for _, e := range []Entry{{Verb: Eject, Service: "libro", Witnesses: []Slot{0}, Sufficient: 1, ReadyBackends: 3}, {Verb: StepUp},
 			{Verb: StepUp}} {
 			e.Key, e.Revision, e.FencingToken = k, s.revision(k), 1
 			_, err := s.Apply(&e)
@@ -423,7 +423,7 @@
 	s := on()
 	convict := func(i int, who ...Slot) (routing.Verdict, error) {
 		k := Key{InstanceID(fmt.Sprintf("i-%04d", i)), Strict}
-		return s.Apply(&Entry{Verb: Eject, Key: k, Service: fmt.Sprint("s-", i%9), Witnesses: who, SufficientAlone: 1, ReadyBackends: 16, FencingToken: 1,
+		return s.Apply(&Entry{Verb: Eject, Key: k, Service: fmt.Sprint("s-", i%9), Witnesses: who, Sufficient: 1, ReadyBackends: 16, FencingToken: 1,
 			Revision: s.revision(k), Reason: strings.Repeat("x", maxTextBytes)})
 	}
 	for i := range 9 { // by one service two, by all four
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -1,130 +1,30 @@
 package outlier
 
 import (
-	"math"
 	"slices"
 
-	"github.com/go-faster/errors"
-
 	"clovergap/internal/gateway/logentry"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/invariant"
 )
 
-// Verb is what an entry does.
-type Verb string
-
-// Set and Clear are operators', the others the duty's.
-const (
-	SetSettings Verb = "set"     // settings
-	Eject       Verb = "convict" // shut, or shut again
-	StepUp      Verb = "parole"  // one step back
-	Readmit     Verb = "acquit"  // the last one
-	Clear       Verb = "clear"   // free at once, and what was seen before says nothing
-	Forget      Verb = "forget"  // lives that are gone
-)
-
-// Step is where a case is.
-type Step uint8
-
-// A strict case goes from Out by Reads and Writes to Free, a patient one from Out by Reads.
-const (
-	Ejected Step = iota
-	ReadsOnly
-	LimitedWrites
-	InService
-)
-
-var stepNames = [...]string{"out", "reads", "writes", "free"}
-
-func (s Step) String() string { return stepNames[s] }
-
-// next is the step after, by manner.
-func (s Step) next(m Mode) Step {
-	if s == ReadsOnly && m == Patient {
-		return InService
-	}
-	return min(s+1, InService)
-}
-
-// access is what a case lets through in its own manner.
-func (e *Ejection) access() Access {
-	switch {
-	case e.Step == InService:
-		return Open
-	case e.Step == LimitedWrites || e.Step == ReadsOnly && e.Mode == Patient:
-		return Limited
-	}
-	return Closed
-}
-
-// Entry is an order or a verdict, as the ordered log has it. Rev names what it builds on: of two at once one wins, and
-// a late one hits nothing newer.
-type Entry struct {
-	Verb         Verb
-	CallID       string // operators: names the call; the same again is answered as the first was
-	Author       string // who, for the history
-	UnixMilli    int64  // milliseconds since 1970, for the history alone
-	Reason       string
-	Revision     uint64 // of the case, 0 if there is none; of the settings for Set
-	FencingToken uint64 // the duty: 1 or more. 0: an operator
-
-	Key             Key
-	Service         string
-	Witnesses       []Slot // Convict: those whose word alone would do first
-	SufficientAlone int    // Convict: so many they are
-	ReadyBackends   int    // Convict: ready ones of the service
-	Score           int    // Convict: failing share, in 1/1000
-	GoneInstances   []InstanceID
-	Settings        *Settings
-}
-
-// Ejection is what became of a key that was ever convicted.
-type Ejection struct {
-	Key
-	Service     string
-	Step        Step
-	Rev         uint64 // rises with each change of it
-	Repeats     int    // convictions but the first
-	SoleWitness Slot   // on whose word alone it is out; NoSlot: on more, or not out
-	Score       int
-	Reason      string
-}
-
-// HistoryEntry is one line of the history.
-type HistoryEntry struct {
-	Verb      Verb
-	Key       Key
-	Step      Step
-	Author    string
-	UnixMilli int64
-	Reason    string
-	Witnesses []Slot
-}
-
-// Trust is what is held against a witness.
-type Trust struct {
-	Witness Slot
-	Refuted int    // verdicts of its own that nobody else bore out
-	Rev     uint64 // at the last of them
-}
-
 // Bounds of the state.
 const (
 	maxEjections      = 1024
-	maxHistory        = 256
+	maxHistory        = 256 // entries
 	maxCallIDs        = 256
 	maxTextBytes      = 256
 	maxTrust          = 1024
 	maxRepeats        = 16
 	maxNamedWitnesses = 8
-	forgiveAfter      = 24 // entries, some five verdicts with their ways back, after which half of it is forgiven
+	forgiveAfter      = 24 // entries, some five ejections with their ways back, after which half of the refutations is forgiven
 )
 
-// State is folded from the ordered log: all nodes come to the same.
+// State is what the replicated log's entries come to: the same at all nodes.
 type State struct{ snapshot }
 
+// snapshot is the state as it is stored. Gob goes by these names.
 type snapshot struct {
 	Settings         Settings
 	SettingsRevision uint64
@@ -139,7 +39,7 @@
 // NewState is that before the first entry.
 func NewState() *State { return &State{snapshot{Settings: DefaultSettings()}} }
 
-// Enabled tells whether anything is judged, reported or bound.
+// Enabled reports whether anything is observed, reported or ejected.
 func (s *State) Enabled() bool { return s.snapshot.Settings.Enabled }
 
 // Settings are those in force; not to be changed.
@@ -151,7 +51,7 @@
 // History is the history, oldest first; not to be changed.
 func (s *State) History() []HistoryEntry { return s.snapshot.History }
 
-// Ejection of a key, nil if it was never convicted; not to be changed.
+// Ejection of a key, nil if it was never ejected; not to be changed.
 func (s *State) Ejection(k Key) *Ejection {
 	if i, ok := s.find(k); ok {
 		return &s.snapshot.Ejections[i]
@@ -159,7 +59,7 @@
 	return nil
 }
 
-// Rev under which a key's evidence is gathered now.
+// revision under which a key's evidence is gathered now; 0 if it was never ejected.
 func (s *State) revision(k Key) uint64 {
 	if c := s.Ejection(k); c != nil {
 		return c.Rev
@@ -171,145 +71,14 @@
 	return slices.BinarySearchFunc(s.snapshot.Ejections, k, func(c Ejection, k Key) int { return c.compare(k) })
 }
 
-// Encode encodes an entry for the log.
-func (e *Entry) Encode() []byte { return logentry.Encode(e) }
-
-// DecodeEntry decodes one.
-func DecodeEntry(b []byte) (*Entry, error) {
-	e := new(Entry)
-	return e, logentry.Decode(b, e, "entry of outlier")
-}
-
-func conflict(f string, a ...any) (routing.Verdict, error) {
-	return routing.Conflict, errors.Errorf(f, a...)
-}
-
-// Decide tells what would become of an entry now, and changes nothing.
-func (s *State) Decide(e *Entry) (routing.Verdict, error) {
-	if e.CallID != "" && slices.Contains(s.CallIDs, e.CallID) {
-		return routing.Already, nil
-	}
-	for _, t := range []string{e.CallID, e.Author, e.Reason, e.Service, string(e.Key.ID)} {
-		if len(t) > maxTextBytes {
-			return routing.Invalid, errors.Errorf("a text is longer than %d bytes", maxTextBytes)
-		}
-	}
-	c := s.Ejection(e.Key)
-	rev := s.revision(e.Key)
-	if e.Verb == SetSettings {
-		rev = s.SettingsRevision
-	}
-	byDuty := e.Verb != SetSettings && e.Verb != Clear
-	switch {
-	case byDuty != (e.FencingToken > 0):
-		return routing.Invalid, errors.Errorf("fence: %d is not that of who may %s", e.FencingToken, e.Verb)
-	case byDuty && e.FencingToken < s.FencingToken:
-		return conflict("fence: is %d, but %d was seen", e.FencingToken, s.FencingToken)
-	case e.Verb == Forget:
-		if len(e.GoneInstances) == 0 || len(e.GoneInstances) > maxEjections {
-			return routing.Invalid, errors.New("gone: names no life, or too many")
-		}
-		return routing.Taken, nil
-	case e.Revision != rev:
-		return conflict("rev: is %d, but %d is current", e.Revision, rev)
-	case e.Verb == SetSettings:
-		if e.Settings == nil {
-			return routing.Invalid, errors.New("settings: missing")
-		}
-		x := *e.Settings
-		if err := x.Normalize(); err != nil {
-			return routing.Invalid, err
-		}
-		return routing.Taken, nil
-	case e.Verb == Eject:
-		return s.decideEject(e, c)
-	case c == nil:
-		return conflict("key: %s was never convicted as %s", e.Key.ID, e.Key.Mode)
-	case e.Verb == Clear:
-		return routing.Taken, nil
-	case e.Verb == StepUp && c.Step != InService && c.Step.next(c.Mode) != InService,
-		e.Verb == Readmit && c.Step != InService && c.Step.next(c.Mode) == InService:
-		return routing.Taken, nil
-	case e.Verb == StepUp || e.Verb == Readmit:
-		return conflict("verb: no %s from %s", e.Verb, c.Step)
-	}
-	return routing.Invalid, errors.Errorf("verb: no %q", e.Verb)
-}
-
-func (s *State) decideEject(e *Entry, c *Ejection) (routing.Verdict, error) {
-	switch {
-	case e.Key.ID == "" || e.Key.Mode >= modeCount || e.Service == "" || e.ReadyBackends < 1:
-		return routing.Invalid, errors.New("key: names no backend of a service")
-	case len(e.Witnesses) == 0 || len(e.Witnesses) > maxNamedWitnesses:
-		return routing.Invalid, errors.New("witnesses: none, or too many")
-	case !s.Enabled():
-		return conflict("settings: nothing is judged")
-	case c != nil && c.Step == Ejected:
-		return conflict("key: %s is out as %s", e.Key.ID, e.Key.Mode)
-	case c == nil && len(s.snapshot.Ejections) >= maxEjections && s.oldestInService() < 0:
-		return conflict("key: %d cases are kept, and none of them is free", maxEjections)
-	}
-	if _, ok := s.soleWitness(e); !ok {
-		return conflict("witnesses: not two that are trusted, and no one may have more out alone")
-	}
-	return routing.Taken, nil
-}
-
-// soleWitness tells on whose word alone a verdict is, or that it is on several: a refuted witness weighs half of one each time.
-// What one alone may have out is the bound on a node that lies.
-func (s *State) soleWitness(e *Entry) (alone Slot, ok bool) {
-	weight := 0.0
-	for _, w := range e.Witnesses {
-		weight += math.Pow(0.5, float64(s.refutations(w)))
-	}
-	if weight >= 2 {
-		return membership.NoSlot, true
-	}
-	for _, w := range e.Witnesses[:min(max(e.SufficientAlone, 0), len(e.Witnesses))] {
-		ofService, ofAll := 0, 0
-		for i := range s.snapshot.Ejections {
-			if o := &s.snapshot.Ejections[i]; o.SoleWitness == w && o.Key != e.Key {
-				ofAll++
-				if o.Service == e.Service && o.Mode == e.Key.Mode {
-					ofService++
-				}
-			}
-		}
-		if mayService, mayAll := s.snapshot.Settings.soleWitnessLimits(e.ReadyBackends, s.refutations(w)); ofService < mayService && ofAll < mayAll {
-			return w, true
-		}
-	}
-	return membership.NoSlot, false
-}
-
-func (s *State) refutations(w Slot) int {
-	for _, t := range s.snapshot.Trust {
-		if t.Witness == w {
-			return t.Refuted >> min((s.Revision-t.Rev)/forgiveAfter, 62)
-		}
-	}
-	return 0
-}
-
-// refute notes that what one witness alone had out came back, and nobody else had seen anything.
+// refute notes that what was ejected on one witness alone came back, and no other node had seen anything.
 func (s *State) refute(w Slot) {
 	n := s.refutations(w) + 1
 	s.snapshot.Trust = slices.DeleteFunc(s.snapshot.Trust, func(t Trust) bool { return t.Witness == w })
 	s.snapshot.Trust = logentry.KeepLast(append(s.snapshot.Trust, Trust{w, n, s.Revision}), maxTrust)
 }
 
-// oldestInService is the case to drop where there is no room; -1: none.
-func (s *State) oldestInService() int {
-	least := -1
-	for i := range s.snapshot.Ejections {
-		if c := &s.snapshot.Ejections[i]; c.Step == InService && (least < 0 || c.Rev < s.snapshot.Ejections[least].Rev) {
-			least = i
-		}
-	}
-	return least
-}
-
-// Apply carries an entry out, as Decide tells it.
+// Apply carries an entry out if Decide takes it, and gives Decide's verdict.
 func (s *State) Apply(e *Entry) (routing.Verdict, error) {
 	if v, err := s.Decide(e); v != routing.Taken {
 		return v, err
@@ -348,6 +117,7 @@
 	return routing.Taken, nil
 }
 
+// eject begins an ejection, in the place of the oldest that is over where there are too many.
 func (s *State) eject(e *Entry) {
 	alone, _ := s.soleWitness(e)
 	i, had := s.find(e.Key)
@@ -364,10 +134,10 @@
 	c.Repeats = min(c.Repeats+1, maxRepeats)
 }
 
-// Snapshot is the whole state as bytes.
+// Snapshot encodes the state.
 func (s *State) Snapshot() []byte { return logentry.Encode(s.snapshot) }
 
-// Restore reads one; nothing at all is the state before the first entry.
+// Restore decodes one; nothing at all is the state before the first entry.
 func Restore(b []byte) (*State, error) {
 	s := NewState()
 	if len(b) == 0 {
