--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -2,12 +2,10 @@
 
 import (
 	"bytes"
-	"encoding/gob"
 	"time"
 
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/membership"
-	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
@@ -44,7 +42,7 @@
 type appliedChange struct {
 	index   uint64
 	entry   []byte
-	verdict routing.Verdict
+	outcome routing.Verdict
 	err     error
 }
 
@@ -80,13 +78,13 @@
 	c.advance()
 	c.checkMembers()
 	c.handleActions()
-	if m, view, ok := c.replica.Leader(); ok && view != c.leaderTerm {
-		c.leaderTerm = view
-		c.node.heartbeatAt = 0 // who follows waits for the word that somebody leads
+	if m, term, ok := c.replica.Leader(); ok && term != c.leaderTerm {
+		c.leaderTerm = term
+		c.node.heartbeatAt = 0 // learners wait to hear that somebody leads
 		if m.ID == c.self.ID {
-			c.node.say(corePart, "leads view %d", view)
+			c.node.logInfo(corePart).Uint64("term", term).Msg("became leader")
 		} else {
-			c.node.say(corePart, "view %d is led by %s", view, m.Addr)
+			c.node.logInfo(corePart).Uint64("term", term).Str("leader", m.Addr).Msg("leader changed")
 		}
 	}
 	c.node.roster.SetCluster(membership.Disk(c.self.ID), c.replica.ClusterID())
@@ -98,34 +96,12 @@
 	}
 }
 
-// saveRegistry has the registry kept beside the log, where it changed, now and then.
-func (c *core) saveRegistry() {
-	now := c.node.loop.Now()
-	if !c.node.registryDirty || now-c.softStateSavedAt < softStateInterval || c.node.registry == nil {
-		return
-	}
-	c.node.registryDirty, c.softStateSavedAt = false, now
-	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(c.node.registry.Backends()) // of texts and numbers: it can't fail
-	c.disk.softState = b.Bytes()
-}
-
-// loadRegistry gives the registry what was kept of it.
-func (c *core) loadRegistry() {
-	var words []registry.Record
-	if noted := c.disk.disk.SoftState(); noted != nil && gob.NewDecoder(bytes.NewReader(noted)).Decode(&words) == nil {
-		c.node.registry.Tick(c.node.loop.Now())
-		c.node.registry.Restore(words)
-		c.node.say(registryPart, "remembers %d backends", len(words))
-	}
-}
-
 func (c *core) restoreState(index uint64, state []byte) {
 	s := statemachine.New()
 	if len(state) > 0 {
 		var err error
 		if s, err = statemachine.Restore(state); err != nil {
-			c.node.warn(corePart, "state of %d can't be read: %v", index, err)
+			c.node.logWarn(corePart).Uint64("index", index).Err(err).Msg("state unreadable")
 			return
 		}
 	}
@@ -196,25 +172,8 @@
 		v := c.lastApplied
 		if v.index != o.Index || !bytes.Equal(v.entry, w.entry) {
 			invariant.That(false, "a proposal ends by its own entry")
-			v = appliedChange{verdict: routing.Unclear}
+			v = appliedChange{outcome: routing.Unclear}
 		}
-		w.done(responseOf(v.verdict, v.err))
-	}
-}
-
-// responseOf is the table from verdicts on changes to answers.
-func responseOf(v routing.Verdict, err error) (int, []byte) {
-	text := ""
-	if err != nil {
-		text = err.Error()
-	}
-	switch v {
-	case routing.Taken, routing.Already:
-		return 200, nil
-	case routing.Conflict:
-		return 412, []byte(text)
-	case routing.Unclear:
-		return controlapi.Unclear, []byte(text)
+		w.done(responseOf(v.outcome, v.err))
 	}
-	return 400, []byte(text)
 }
--- a/internal/gateway/node/log.go
+++ b/internal/gateway/node/log.go
@@ -14,20 +14,19 @@
 )
 
 // Log lines are JSON objects on standard error, one an event: time, level, node, part, fields, message. A message is constant, so
-// that it can be searched for; what varies is in the fields. A field has one name everywhere:
+// that it can be searched for; what varies is in the fields. A thing has one name in all lines, and log_test.go has the list:
 //
-//	part       the part of the node that the line is about: a logPart
-//	term       of the replicated log, of the configuration or of a group
-//	index      of an entry of that log
-//	version    of the configuration
-//	member     a member of the replicated log, by its ID
-//	leader, peer, backend address   of another node among nodes
-//	slot, slots  a node's number in the order of slots; how many there are
-//	group      of coordination
-//	service, rollout  a service's name, and the number of its roll-out
-//	status     of a control call
-//	reason     why, in words
-//	error      what went wrong
+//	part                  the part of the node that the line is about: a logPart
+//	term, index           of the replicated log, the configuration's or a group's
+//	version               of the configuration
+//	member, members       of the replicated log: an ID; how many there are
+//	leader, peer          the address of another node among nodes
+//	slot, slots           a node's number in the order of slots; how many there are
+//	group                 of coordination, from 0
+//	service, rollout      a service's name; the number of its roll-out
+//	status                of a control call, as in HTTP
+//	reason, reasons       why, in words
+//	error                 what went wrong
 
 // logPart names a part of a node: the field "part" of each line.
 type logPart string
@@ -89,16 +88,6 @@
 	e.Str("part", string(pollerPart)).Str("detail", strings.TrimSpace(fmt.Sprintf(format, args...))).Msg("poller reported")
 }
 
-// say is logInfo with a message that varies: it goes once all callers use fields.
-func (n *Node) say(p logPart, format string, args ...any) {
-	n.logInfo(p).Msg(fmt.Sprintf(format, args...))
-}
-
-// warn is logWarn with a message that varies: it goes once all callers use fields.
-func (n *Node) warn(p logPart, format string, args ...any) {
-	n.logWarn(p).Msg(fmt.Sprintf(format, args...))
-}
-
 // stateLogInterval is how often changes of state are looked for.
 const stateLogInterval = time.Second
 
--- a/internal/gateway/node/base.go
+++ b/internal/gateway/node/sockets.go
@@ -3,11 +3,9 @@
 import (
 	"math/rand/v2"
 	"net/netip"
-	"time"
 
 	"github.com/go-faster/errors"
 
-	"clovergap/control"
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/ingress"
 	"clovergap/internal/gateway/logstore"
@@ -23,77 +21,6 @@
 	"clovergap/internal/proxy/upstream"
 )
 
-// Environment is what a node stands on. New gives it sockets, a clock and a disk; a simulation gives it simulated ones. No part of a
-// node knows the difference.
-type Environment interface {
-	EventLoop
-	// Identity are what differs between two lives: the seed of all chance, and the life's name.
-	Identity() (seed int64, life uint64)
-	Counters() *counters.Set
-	// Links to other nodes tell the host what comes, each in a turn.
-	Links(host transport.Host[Frame]) (Links, error)
-	// Disk is called for a node with one, and gives what it holds.
-	Disk() (Disk, replication.PersistentState, error)
-	// DataPath is the way of requests and of datagrams, once the gate is there.
-	DataPath(h *Node, g *gate.Gate) (DataPath, error)
-}
-
-// EventLoop is a node's time. Whatever happens takes its turn; at the end of each the parts are pulled.
-type EventLoop interface {
-	Now() time.Duration
-	Refresh()                  // brings Now up to the time within a turn
-	InputDelay() time.Duration // how long what is read now may have lain unread
-	At(at time.Duration, to eventloop.Alarm, ref uint32)
-	Turn(func())
-	OnTurnEnd(func())
-}
-
-// Links carry frames to other nodes; what is sent may be lost.
-type Links interface {
-	Connect(to string)
-	Disconnect(to string)
-	Send(to string, f *Frame) bool
-	Check() // each second: asserts what must hold of them
-}
-
-// Disk keeps what the core must not forget. Writes go on apart from the turns, one at a time; done is called in a turn, once
-// all of them are synced. A note that can't be kept is let go.
-type Disk interface {
-	Write(writes []replication.LogWrite, note []byte, done func())
-	SoftState() []byte
-	GroupLogs() map[replication.LogID]replication.PersistentState // what it held of the coordination groups
-}
-
-// DataPath is what carries requests and datagrams.
-type DataPath struct {
-	Dispatcher Dispatcher
-	Datagrams  Datagrams
-	Frontend   Frontend
-}
-
-// Dispatcher lead to backends.
-type Dispatcher interface {
-	gate.Sender
-	SetBackend(id control.BackendID, addr string, started time.Duration, ready bool)
-	SetMaxConns(id control.BackendID, conns int)
-}
-
-// Datagrams are datagrams between slots.
-type Datagrams interface {
-	gate.Teller
-	SetPeers(addrs []netip.AddrPort, me int)
-}
-
-// Frontend is where clients come in.
-type Frontend interface {
-	SetBounds(downstream.Bounds)
-	Clients() int
-	Drain()         // connections close between requests
-	StopListening() // and none is taken
-	// User names whoever a request is of, and its tenant: see ingress.Handler.
-	User(who, txn slots.Ref) (user []byte, tenant string)
-}
-
 // sockets are the real base.
 type sockets struct {
 	*eventloop.Engine
@@ -151,7 +78,7 @@
 	dir := s.node.settings.DataDir
 	book, kept, err := logstore.Open(dir)
 	if torn := (*logstore.CorruptError)(nil); errors.As(err, &torn) {
-		s.node.warn(corePart, "disk can't be read, begins empty: %v", err)
+		s.node.logWarn(corePart).Err(err).Msg("disk unreadable, begins empty")
 		if err = logstore.Wipe(dir); err != nil {
 			return nil, kept, err
 		}
@@ -161,57 +88,16 @@
 		return nil, kept, err
 	}
 	if !book.Created() {
-		s.node.warn(corePart, "disk is full at its first start: has no vote until it takes writes")
+		s.node.logWarn(corePart).Msg("disk full at its first start, no vote until it takes writes")
 	}
 	if err := book.RenameError(); err != nil {
-		s.node.warn(corePart, "disk's file keeps its former name: %v", err)
+		s.node.logWarn(corePart).Err(err).Msg("disk file keeps its former name")
 	}
 	s.disk = &diskWriter{node: s.node, store: book, writes: make(chan diskBatch, 1)}
 	go s.disk.run()
 	return s.disk, kept, nil
 }
 
-// diskWriter is a real one, with a goroutine of its own: a slow disk must hold up nothing else.
-type diskWriter struct {
-	node   *Node
-	store  *logstore.Store
-	writes chan diskBatch
-}
-
-// diskBatch is what goes to the disk at once.
-type diskBatch struct {
-	writes    []replication.LogWrite
-	softState []byte
-	done      func()
-}
-
-func (d *diskWriter) Write(writes []replication.LogWrite, note []byte, done func()) {
-	d.writes <- diskBatch{writes, note, done}
-}
-func (d *diskWriter) SoftState() []byte { return d.store.SoftState() }
-func (d *diskWriter) GroupLogs() map[replication.LogID]replication.PersistentState {
-	return d.store.GroupLogs()
-}
-
-func (d *diskWriter) run() {
-	for b := range d.writes {
-		for wait := 20 * time.Millisecond; ; wait = min(2*wait, time.Second) {
-			err := d.store.Write(b.writes)
-			if err == nil {
-				break
-			}
-			d.node.loop.Turn(func() { d.node.warn(corePart, "write failed, goes again: %v", err) })
-			time.Sleep(wait)
-		}
-		if b.softState != nil {
-			if err := d.store.SaveSoftState(b.softState); err != nil {
-				d.node.loop.Turn(func() { d.node.warn(corePart, "registry not kept: %v", err) })
-			}
-		}
-		d.node.loop.Turn(b.done)
-	}
-}
-
 func (s *sockets) DataPath(h *Node, g *gate.Gate) (p DataPath, err error) {
 	s.dispatcher = upstream.New(s.Engine, &outcomeTap{g, h}, ingress.Terms(h, dialTimeout), func() bool { return s.frontend.Evict() })
 	bounds := ingress.Bounds(ingress.Limits{Head: routing.DefaultMostHeader, Body: routing.DefaultMostBody,
