--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -130,7 +130,7 @@
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
-			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ParseComments|parser.SkipObjectResolution)
 			if err != nil {
 				return err
 			}
--- a/internal/architecture/names_test.go
+++ b/internal/architecture/names_test.go
@@ -209,3 +209,59 @@
 	must.Eq(t, []string{"b"}, dropped([]string{"a", "b"}, []string{"c", "a"}))
 	must.Eq(t, []string{"a", "b"}, listLines("# why\n a\n\nb\n"))
 }
+
+// wrongReceivers gives the receivers of a file that don't begin with the first letter of their type.
+func wrongReceivers(file *ast.File) (wrong []string) {
+	for _, d := range file.Decls {
+		f, ok := d.(*ast.FuncDecl)
+		if !ok || f.Recv == nil || len(f.Recv.List[0].Names) == 0 {
+			continue
+		}
+		if name, of := f.Recv.List[0].Names[0].Name, receiverType(f); name != "_" && !strings.EqualFold(name[:1], of[:1]) {
+			wrong = append(wrong, name+" of "+of+"."+f.Name.Name)
+		}
+	}
+	return wrong
+}
+
+// strayComments gives the functions of a file whose doc comment begins with another name than theirs, as after a rename.
+func strayComments(file *ast.File) (stray []string) {
+	for _, d := range file.Decls {
+		f, ok := d.(*ast.FuncDecl)
+		if !ok || f.Doc == nil || f.Name.Name == "init" || strings.HasPrefix(f.Doc.List[0].Text, "//go:") {
+			continue
+		}
+		words := strings.Fields(f.Doc.Text())
+		if len(words) > 0 && strings.TrimRight(words[0], ":,") != f.Name.Name {
+			stray = append(stray, f.Name.Name+": "+words[0])
+		}
+	}
+	return stray
+}
+
+// Guards against receivers that are left from a type's former name, in the whole tree, and against doc comments that are left from a
+// function's, in the packages that are whole.
+func TestReceiversAndCommentsFollowTheirNames(t *testing.T) {
+	whole := readList(t, wholePackagesList)
+	for _, s := range sources(t) {
+		if ast.IsGenerated(s.file) {
+			continue
+		}
+		must.Eq(t, []string(nil), wrongReceivers(s.file), must.Sprint(s.pkg))
+		if slices.Contains(whole, s.pkg) {
+			must.Eq(t, []string(nil), strayComments(s.file), must.Sprint(s.pkg))
+		}
+	}
+	planted := `package p
+// Goes away.
+func (h *Node) Stop() {}
+// Start: begins.
+func (n *Node) Start() {}
+func (*Node) Wait() {}
+//go:noinline
+func f() {}`
+	file, err := parser.ParseFile(token.NewFileSet(), "p.go", planted, parser.ParseComments)
+	must.NoError(t, err)
+	must.Eq(t, []string{"h of Node.Stop"}, wrongReceivers(file))
+	must.Eq(t, []string{"Stop: Goes"}, strayComments(file))
+}
