--- a/internal/architecture/oncall_test.go
+++ b/internal/architecture/oncall_test.go
@@ -14,27 +14,54 @@
 	"github.com/shoenig/test/must"
 )
 
+// loggingPackages are the folders whose messages docs/on-call.md explains.
+var loggingPackages = []string{"cmd/gateway", "internal/gateway", "internal/proxy"}
+
+// message is a constant text that is logged.
+type message struct {
+	text    string
+	warning bool // of warning or above, or of a level that isn't known
+}
+
 // belowWarning are the methods that begin a log line of a lower level.
 var belowWarning = []string{"Trace", "Debug", "Info", "logInfo"}
 
-// warningMessages gives the constant messages that a file logs with a level of warning or above: the text of Msg at the end of a chain
-// that doesn't begin a line of a lower level.
-func warningMessages(file *ast.File) (messages []string) {
+// messagesOf gives the messages that a file logs: the text of Msg at the end of a chain of calls, a literal or one of the constants.
+func messagesOf(file *ast.File, constants map[string]string) (messages []message) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
-		if !ok || len(call.Args) != 1 || !isMethod(call, "Msg") || startsBelowWarning(call) {
+		if !ok || len(call.Args) != 1 || !isMethod(call, "Msg") {
 			return true
 		}
 		text := "not a constant"
-		if literal, ok := call.Args[0].(*ast.BasicLit); ok {
-			text, _ = strconv.Unquote(literal.Value)
+		switch arg := call.Args[0].(type) {
+		case *ast.BasicLit:
+			text, _ = strconv.Unquote(arg.Value)
+		case *ast.Ident:
+			if constants[arg.Name] != "" {
+				text = constants[arg.Name]
+			}
 		}
-		messages = append(messages, text)
+		messages = append(messages, message{text, !startsBelowWarning(call)})
 		return true
 	})
 	return messages
 }
 
+// stringConstants gives the file's constants that are one string.
+func stringConstants(file *ast.File) map[string]string {
+	all := map[string]string{}
+	ast.Inspect(file, func(n ast.Node) bool {
+		if spec, ok := n.(*ast.ValueSpec); ok && len(spec.Names) == 1 && len(spec.Values) == 1 {
+			if literal, ok := spec.Values[0].(*ast.BasicLit); ok && literal.Kind == token.STRING {
+				all[spec.Names[0].Name], _ = strconv.Unquote(literal.Value)
+			}
+		}
+		return true
+	})
+	return all
+}
+
 func isMethod(call *ast.CallExpr, names ...string) bool {
 	s, ok := call.Fun.(*ast.SelectorExpr)
 	return ok && slices.Contains(names, s.Sel.Name)
@@ -89,6 +116,40 @@
 	return string(page)
 }
 
+// rowsOf gives what the first column of a section's table has in backquotes.
+func rowsOf(section string) (all []string) {
+	for _, line := range strings.Split(section, "\n") {
+		if cell, _, found := strings.Cut(strings.TrimPrefix(line, "| "), " | "); found && strings.HasPrefix(line, "| `") {
+			all = append(all, quotedIn(cell)...)
+		}
+	}
+	return all
+}
+
+// Guards against a message that who is on call finds nowhere, against rows for messages that are gone, and against a warning among the
+// others.
+func TestOnCallExplainsEachMessage(t *testing.T) {
+	var warnings, others []string
+	for _, s := range sources(t) {
+		if !slices.ContainsFunc(loggingPackages, func(p string) bool { return s.pkg == p || strings.HasPrefix(s.pkg, p+"/") }) {
+			continue
+		}
+		for _, m := range messagesOf(s.file, stringConstants(s.file)) {
+			if m.warning {
+				warnings = append(warnings, m.text)
+			} else {
+				others = append(others, m.text)
+			}
+		}
+	}
+	for heading, logged := range map[string][]string{"### Messages of warning and above": warnings, "### Other messages": others} {
+		slices.Sort(logged)
+		explained := rowsOf(section(t, onCallPage(t), heading))
+		slices.Sort(explained)
+		must.Eq(t, slices.Compact(logged), explained, must.Sprint(heading))
+	}
+}
+
 // Guards against a counter that who is on call finds nowhere, and against names of counters that are gone.
 func TestOnCallExplainsEachCounter(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, "internal/proxy/counters/counters.go"), nil, 0)
@@ -112,12 +173,13 @@
 }
 
 // Guards against a search that finds no message: planted ones are found.
-func TestPlantedWarningsAreFound(t *testing.T) {
+func TestPlantedMessagesAreFound(t *testing.T) {
 	planted := `package p
+const lostMessage = "lost"
 func f() {
 	log.Warn().Str("part", "core").Err(err).Msg("write failed")
 	h.log.Info().Msg("started")
-	h.logWarn(core).Int("n", 1).Msg("lost")
+	h.logWarn(core).Int("n", 1).Msg(lostMessage)
 	h.logInfo(core).Int("n", 1).Msg("found")
 	log.Warn().Msg("made of " + parts)
 	entry.Str("detail", text).Msg("reported")
@@ -125,6 +187,8 @@
 }`
 	file, err := parser.ParseFile(token.NewFileSet(), "p.go", planted, 0)
 	must.NoError(t, err)
-	must.Eq(t, []string{"write failed", "lost", "not a constant", "reported"}, warningMessages(file))
+	must.Eq(t, []message{{"write failed", true}, {"started", false}, {"lost", true}, {"found", false}, {"not a constant", true}, {"reported", true}},
+		messagesOf(file, stringConstants(file)))
 	must.Eq(t, "\none\n### b\ntwo\n", section(t, "# x\n## a\n\none\n### b\ntwo\n## c\nthree", "## a"))
+	must.Eq(t, []string{"a", "b"}, rowsOf("| x | y |\n| --- | --- |\n| `a`, `b` | `c` |\n"))
 }
