--- a/internal/gateway/membership/hello.go
+++ b/internal/gateway/membership/hello.go
@@ -101,7 +101,7 @@
 	r.updateLink(from, p)
 	switch {
 	case clusterExisted && !r.clusterExists():
-		r.helloAll() // the peer held a bootstrap that nobody joined, and dropped it: who was sent word of it must not wait for it
+		r.helloAll() // the peer held a bootstrap that nobody joined, and dropped it: who heard of it by this node must not wait for it
 	case clusterExisted != r.clusterExists():
 		r.notifySeeds()
 	}
@@ -125,8 +125,8 @@
 	}
 }
 
-// introduceToDiskless sends hellos, which name the nodes with a disk, to the nodes without one that are linked: who dialed this one as a seed waits for
-// such a name.
+// introduceToDiskless sends hellos, which name the nodes with a disk, to the nodes without one that are linked: who dialed this one as a
+// seed waits for such a name.
 func (r *Roster) introduceToDiskless() {
 	for _, addr := range r.Addrs() {
 		if p := r.peers[addr]; p.linkUp && p.Disk == 0 {
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -131,8 +131,8 @@
 	return NoSlot
 }
 
-// SlotHolderAt is the node that has a slot, if any has.
-func (r *Roster) SlotHolderAt(s Slot) (SlotHolder, bool) {
+// AtSlot is the node that has a slot, if any has.
+func (r *Roster) AtSlot(s Slot) (SlotHolder, bool) {
 	if s < 0 || int(s) >= len(r.slotHolders) {
 		return SlotHolder{}, false
 	}
--- a/internal/gateway/registry/departure.go
+++ b/internal/gateway/registry/departure.go
@@ -15,7 +15,7 @@
 	callTimeout = 950 * time.Millisecond
 )
 
-// pendingCall is a call with a departure, held until other nodes have it: this one may be killed the moment it answers.
+// pendingCall is a call with a departure, pending until other nodes have it: this one may be killed the moment it answers.
 //
 // A departure is confirmed on Config.MinCopies copies at nodes with a disk, one more than may be lost, whoever answers and however few
 // nodes are in reach: copies that are merely all in reach prove nothing in the first moments of a partition. Copies are what a
--- a/internal/gateway/registry/dissemination.go
+++ b/internal/gateway/registry/dissemination.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// batchDelay is how long a change that nobody waits for is held back, so that several go in one message.
+	// batchDelay is how long a change that nobody waits for is delayed, so that several go in one message.
 	batchDelay = 50 * time.Millisecond
-	// maxUpdatesPerMessage bounds the records of one message: some 10 KB, so that a message holds up a thin link for no long time.
+	// maxUpdatesPerMessage bounds the records of one message: a few KB, so that a thin link is free for other frames soon.
 	maxUpdatesPerMessage = 64
 )
 
--- a/internal/gateway/registry/doc.go
+++ b/internal/gateway/registry/doc.go
@@ -32,10 +32,10 @@
 //     than may be lost at once, and as a rule once each node has it that this one informs. Copies that are merely all in
 //     reach prove nothing in the first moments of a partition: where fewer than MinCopies disks are in reach, the call fails at
 //     once and the backend turns to another node. See pendingCall.
-//   - What counts as a copy is a peer's word in its present incarnation: a late message of a former one, which lost its
-//     memory, is none.
-//   - A backend is taken for gone after missedHeartbeats intervals without a heartbeat, by its owner alone. Such a
-//     time-out holds only for exactly the call and the fencing token that the owner knew: a later heartbeat revives the backend
+//   - Only what a peer acknowledged or sent in its present incarnation proves a copy: a late message of a former one, whose memory
+//     is lost, is none.
+//   - A backend is timed out after missedHeartbeats intervals without a heartbeat, by its owner alone. (A node that sees another
+//     backend answer at its address takes it for gone by itself, until the owner or the next heartbeat decides.) Such a time-out counts only for exactly the call and the fencing token that the owner knew: a later heartbeat revives the backend
 //     everywhere, and a former owner that missed the change can't time out what its successor watches. That is what the token
 //     guards.
 //   - When an owner is lost, its backends stay as they are for 2.5 heartbeat intervals. Then the next node in the order of hashing
--- a/internal/gateway/registry/entry.go
+++ b/internal/gateway/registry/entry.go
@@ -26,7 +26,7 @@
 	goneAt          time.Duration
 	firstSeenAt     time.Duration // by any node
 	slowStartUntil  time.Duration
-	lastSeenAt      time.Duration // last news of a heartbeat, or since when this node knows its owner
+	lastSeenAt      time.Duration // last heartbeat that this node knows of, or since when this node knows its owner
 	ownerSince      time.Duration // since when the owner is known as such; also when the owner was last sent a suspicion or the record
 	syncedAt        time.Duration // when the upstream last sent an update of it
 	lastHeartbeatAt time.Duration // last heartbeat that came here, from the backend or relayed
--- a/internal/gateway/registry/fullsync.go
+++ b/internal/gateway/registry/fullsync.go
@@ -25,8 +25,8 @@
 
 // SyncPeer syncs a node that is connected anew, or follows anew. A follower gets all backends that are not gone. Nodes with a disk
 // send each other the backends that they own, those that the other should own, those whose owner is lost and that fall to the sender, and
-// all departures: together they send one the whole registry. A node without a disk sends a node with one the departures of backends that are not gone; more of
-// what it knows follows where the other turns out not to have it (reportMissing).
+// all departures: together they send one the complete registry. A node without a disk sends a node with one the departures of backends that
+// are not gone; more of what it knows follows where the other turns out not to have it (reportMissing).
 func (r *Registry) SyncPeer(s Slot) {
 	p := r.peers[s]
 	if p == nil {
@@ -115,7 +115,7 @@
 	return e.phase() != Gone || e.departure() > notDeparting && r.now-e.goneAt < departureRetention
 }
 
-// trackFullSync notes that a node begins a full sync to this one, and that one goes on.
+// trackFullSync follows the full sync that another node sends to this one.
 func (r *Registry) trackFullSync(from Slot, m *Message) {
 	if m.FullSync {
 		r.syncSource, r.syncStartedAt, r.reportMissingAt = from, r.now, r.now+fullSyncGrace
--- a/internal/gateway/registry/peer.go
+++ b/internal/gateway/registry/peer.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// handleAck notes which departures a peer has by its own word.
+// handleAck records which departures a peer has acknowledged.
 func (r *Registry) handleAck(p *peer, seq uint64) {
 	for i, f := range p.inFlight {
 		if f.seq != seq {
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -71,7 +71,7 @@
 	}
 	// A sender that names a departure has it, if it has acknowledged anything in its present incarnation: a late message of the former
 	// one is no copy.
-	if d := update.departure(); d > notDeparting && (p.confirmed || r.config.TestingKnobs.TrustUnconfirmedPeers) {
+	if d := update.departure(); d > notDeparting && (p.confirmed || r.config.TestingKnobs.trustUnconfirmedPeers()) {
 		e.recordNotified(p.node.Slot, d)
 	}
 	if r.reclaimOwnership(e, p, &update, &before) {
@@ -82,7 +82,7 @@
 
 // forwardUpdate sends on what an update changed.
 func (r *Registry) forwardUpdate(e *entry, from *peer, update *Record, before *priorState) {
-	// A backend that this node alone suspected is news to the others when its owner says that it is gone.
+	// A backend that this node alone suspected is a change to the others when its owner says that it is gone.
 	urgent := e.phase() != before.phase || e.departure() > before.departure || before.suspected && update.Phase == Gone
 	changed := urgent || e.record.changed(&before.record)
 	switch {
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -14,14 +14,7 @@
 	HeartbeatInterval time.Duration // between two heartbeats of a backend
 	MinCopies         int           // nodes with a disk that must have a departure before it is confirmed: tolerated losses + 1
 	Incarnation       uint32        // differs between two runs of this node, so that acknowledgements to a former one match nothing
-	TestingKnobs      TestingKnobs
-}
-
-// TestingKnobs take defences out, for tests that show what these are for. All are false in service.
-type TestingKnobs struct {
-	// TrustUnconfirmedPeers counts a departure in any message as a copy at its sender, also in one that the sender's former
-	// incarnation may have sent.
-	TrustUnconfirmedPeers bool
+	TestingKnobs      TestingKnobs  // empty in a release build
 }
 
 // Registry is one node's list of backends. It is not safe for concurrent use.
--- a/internal/gateway/transport/inbound.go
+++ b/internal/gateway/transport/inbound.go
@@ -129,7 +129,7 @@
 
 // adoptStream puts a stream in the place of its sender's former one, which ends; false if it is itself the former one. What that still
 // holds is of an earlier time, perhaps of an earlier incarnation; and where its machine lost power, nothing else ever ends it. Which
-// one is the former is told by the streams themselves: which is read first is chance.
+// one is the former is decided by the handshakes: which is read first is chance.
 func (m *Mesh[F]) adoptStream(conn net.Conn, sender handshake, peerDialed bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gateway/transport/mesh.go
+++ b/internal/gateway/transport/mesh.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Host is told what happens on the links, each event in a turn of its own.
+// Host is notified of what happens on the links, each event in a turn of its own.
 type Host[F any] interface {
 	PeerConnected(from string)       // a node began a stream; what it sent on one before may be lost
 	FrameReceived(from string, f *F) // from is where the sender takes frames itself
@@ -90,7 +90,7 @@
 	return l != nil && l.queue.put(f)
 }
 
-// Stop ends all links, and returns when the host is told nothing more. It is not called in a turn: it waits for those that are
+// Stop ends all links, and returns when the host is notified of nothing more. It is not called in a turn: it waits for those that are
 // under way.
 func (m *Mesh[F]) Stop() {
 	m.mu.Lock()
--- a/internal/gateway/transport/offer.go
+++ b/internal/gateway/transport/offer.go
@@ -50,8 +50,8 @@
 	return offeredLink{}, false
 }
 
-// connect gives a connection to a link's target, and a channel that is closed at its end: the one that the target offers, else one that is dialed. A
-// node that has offered links dials this one itself as soon as it can; abort ends the wait for that.
+// connect gives a connection to a link's target, and a channel that is closed at its end: the one that the target offers, else one that
+// is dialed. A node that has offered links dials this one itself as soon as it can; abort ends the wait for that.
 func (m *Mesh[F]) connect(ctx context.Context, l *link[F], abort func()) (net.Conn, <-chan struct{}, error) {
 	m.setConnection(l, nil, abort)
 	offer, known := m.offerOf(l.target)
