--- a/control/decision.go
+++ b/control/decision.go
@@ -82,10 +82,10 @@
 func Count(name string, n int) LogField { return LogField{Name: name, Value: float64(n)} }
 
 // String gives the entry in one line: the message, then name=value.
-func (e *LogEntry) String() string {
+func (l *LogEntry) String() string {
 	var b strings.Builder
-	b.WriteString(e.Message)
-	for _, f := range e.Fields {
+	b.WriteString(l.Message)
+	for _, f := range l.Fields {
 		b.WriteString(" " + f.Name + "=" + strconv.FormatFloat(f.Value, 'g', -1, 64))
 	}
 	return b.String()
