--- a/internal/gateway/logentry/dedupwindow.go
+++ b/internal/gateway/logentry/dedupwindow.go
@@ -9,10 +9,12 @@
 	"clovergap/internal/invariant"
 )
 
-// Digest stands for a request's bytes. 128 bits: that any two of 2^32 meet by chance takes 2^63 systems.
+// Digest stands for a request's bytes. It is a SHA-256 cut to 128 bits: among 2^32 requests two are equal by chance with a
+// probability of 2^-65.
 type Digest [16]byte
 
-// DigestOf is that of some parts in their order; all but the last are of a fixed length.
+// DigestOf is the digest of some parts in their order. All but the last must have a fixed length, so that no other parts give the
+// same bytes.
 func DigestOf(parts ...[]byte) Digest {
 	h := sha256.New()
 	for _, p := range parts {
@@ -21,16 +23,20 @@
 	return Digest(h.Sum(nil)[:len(Digest{})])
 }
 
-// DedupWindowBytes lets a Window know the last 4,400 requests at least, and 6,700 where their numbers follow one another.
+// DedupWindowBytes is the size of a window that knows at least the last 4,400 requests, and the last 6,700 if their numbers are
+// consecutive.
 const DedupWindowBytes = 112 << 10
 
-// DedupWindow is a deduplication window: which requests were carried out of late, so that one that is sent again is known. It is bounded
-// in the bytes that it takes when it is written; what it had to forget it says by a number: of a request at or below its
-// horizon that it does not know, nobody can tell whether it was carried out. Members that add the same come to the same.
+// ErrCorruptWindow is what DecodeDedupWindow's errors wrap.
+var ErrCorruptWindow = errors.New("corrupt deduplication window")
+
+// DedupWindow knows which requests were applied recently, so that one that is sent again is recognized. It is bounded by the bytes
+// of its encoding and forgets the oldest requests. What it may have forgotten it tells by the horizon: whether a request that it
+// does not know was applied at a number up to there, nobody can tell. Windows to which the same was added are equal.
 type DedupWindow struct {
 	maxBytes int
-	bytes    int
-	requests []request // oldest first; their numbers rise
+	bytes    int       // of the requests' encoding
+	requests []request // oldest first, with rising numbers
 	digests  map[Digest]struct{}
 	horizon  uint64
 }
@@ -40,21 +46,21 @@
 	digest Digest
 }
 
-// NewDedupWindow is an empty one of so many bytes.
-func NewDedupWindow(most int) *DedupWindow {
-	return &DedupWindow{maxBytes: most, digests: map[Digest]struct{}{}}
+// NewDedupWindow returns an empty window of at most so many bytes.
+func NewDedupWindow(maxBytes int) *DedupWindow {
+	return &DedupWindow{maxBytes: maxBytes, digests: map[Digest]struct{}{}}
 }
 
-// Has tells whether a request was carried out and is not forgotten.
+// Has tells whether a request was applied and is not forgotten.
 func (d *DedupWindow) Has(digest Digest) bool {
 	_, ok := d.digests[digest]
 	return ok
 }
 
-// Horizon is the highest number that may have been forgotten; 0 if none was.
+// Horizon is the highest number of a request that may have been forgotten; 0 if none was.
 func (d *DedupWindow) Horizon() uint64 { return d.horizon }
 
-// newest is the number of the last one.
+// newest is the number of the last request, or the horizon if none is known.
 func (d *DedupWindow) newest() uint64 {
 	if len(d.requests) == 0 {
 		return d.horizon
@@ -62,57 +68,66 @@
 	return d.requests[len(d.requests)-1].number
 }
 
-// Add notes that a request was carried out; its number is above all before it.
-func (d *DedupWindow) Add(nr uint64, digest Digest) {
-	invariant.That(nr > d.newest(), "numbers of what was carried out rise")
-	d.bytes += encodedSize(nr - d.newest())
-	d.requests, d.digests[digest] = append(d.requests, request{nr, digest}), struct{}{}
+// Add notes that a request was applied, under a number above all before it.
+func (d *DedupWindow) Add(number uint64, digest Digest) {
+	invariant.That(number > d.newest(), "numbers of applied requests rise")
+	d.bytes += encodedSize(number - d.newest())
+	d.requests = append(d.requests, request{number, digest})
+	d.digests[digest] = struct{}{}
 	for d.bytes > d.maxBytes {
 		d.dropOldest()
 	}
 }
 
-// dropOldest lets the oldest go.
 func (d *DedupWindow) dropOldest() {
-	old := d.requests[0]
-	d.bytes -= encodedSize(old.number - d.horizon)
-	delete(d.digests, old.digest)
-	d.requests, d.horizon = d.requests[1:], old.number
+	oldest := d.requests[0]
+	d.bytes -= encodedSize(oldest.number - d.horizon)
+	delete(d.digests, oldest.digest)
+	d.requests, d.horizon = d.requests[1:], oldest.number
 }
 
-// encodedSize is what one takes when written, by how far its number lies above the one before.
-func encodedSize(above uint64) int { return len(binary.AppendUvarint(nil, above)) + len(Digest{}) }
+// encodedSize is the size of a request whose number is so much above the one before.
+func encodedSize(difference uint64) int {
+	return len(binary.AppendUvarint(nil, difference)) + len(Digest{})
+}
 
-// Bytes writes it.
+// Bytes encodes the window: the horizon, then for each request the difference of its number to the one before, as varints, and its
+// digest.
 func (d *DedupWindow) Bytes() []byte {
-	before := d.horizon
-	b := binary.AppendUvarint(make([]byte, 0, d.bytes+binary.MaxVarintLen64), before)
-	for _, c := range d.requests {
-		b = append(binary.AppendUvarint(b, c.number-before), c.digest[:]...)
-		before = c.number
+	previous := d.horizon
+	b := binary.AppendUvarint(make([]byte, 0, d.bytes+binary.MaxVarintLen64), previous)
+	for _, r := range d.requests {
+		b = append(binary.AppendUvarint(b, r.number-previous), r.digest[:]...)
+		previous = r.number
 	}
 	return b
 }
 
 // DecodeDedupWindow reads what Bytes wrote.
-func DecodeDedupWindow(b []byte, most int) (*DedupWindow, error) {
-	w := NewDedupWindow(most)
-	n := 0
-	if w.horizon, n = binary.Uvarint(b); n <= 0 {
-		return nil, errors.New("window: no horizon")
+func DecodeDedupWindow(b []byte, maxBytes int) (*DedupWindow, error) {
+	d := NewDedupWindow(maxBytes)
+	horizon, size := binary.Uvarint(b)
+	if size <= 0 {
+		return nil, errors.Wrap(ErrCorruptWindow, "no horizon")
 	}
-	for b = b[n:]; len(b) > 0; b = b[n+len(Digest{}):] {
-		above, k := binary.Uvarint(b)
-		if n = k; k <= 0 || above == 0 || len(b) < k+len(Digest{}) {
-			return nil, errors.New("window: cut off, or numbers that don't rise")
+	d.horizon = horizon
+	for b = b[size:]; len(b) > 0; {
+		difference, size := binary.Uvarint(b)
+		if size <= 0 || len(b) < size+len(Digest{}) {
+			return nil, errors.Wrap(ErrCorruptWindow, "truncated")
+		}
+		if difference == 0 {
+			return nil, errors.Wrap(ErrCorruptWindow, "numbers that don't rise")
 		}
-		w.Add(w.newest()+above, Digest(b[k:k+len(Digest{})]))
+		d.Add(d.newest()+difference, Digest(b[size:size+len(Digest{})]))
+		b = b[size+len(Digest{}):]
 	}
-	return w, nil
+	return d, nil
 }
 
-// SetHorizon says that a number and all below it may have been forgotten, as who took over from a program that did not say.
-func (d *DedupWindow) SetHorizon(nr uint64) {
-	invariant.That(len(d.requests) == 0 && d.horizon == 0, "it is said at the start")
-	d.horizon = nr
+// SetHorizon makes a new window one that may have forgotten all requests up to a number: its state comes from a version that had
+// no window.
+func (d *DedupWindow) SetHorizon(number uint64) {
+	invariant.That(len(d.requests) == 0 && d.horizon == 0, "only a new window is given a horizon")
+	d.horizon = number
 }
