--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -1,64 +1,28 @@
-// Package statemachine is the state that the core's ordered log tells: the configuration in force, what was taken, who has which
-// slot, and which roll-outs there are. Every node folds it from the same entries, so that all come to the same. It is free of I/O.
 package statemachine
 
 import (
-	"bytes"
-	"encoding/gob"
-
 	"github.com/go-faster/errors"
 
+	"clovergap/internal/gateway/logentry"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/routing"
 )
 
-// Kind is what an entry changes; its first byte in the log.
-type Kind byte
-
-// The kinds of entries.
-const (
-	KindReplaceConfig   Kind = 'r' // the whole configuration
-	KindAmendConfig     Kind = 'a' // named items of it
-	KindAssignSlot      Kind = 's' // a node asks for a slot
-	KindRollout         Kind = 'u' // an rollout.Entry: an order to a roll-out, or a verdict on one
-	KindBootstrapGroups Kind = 'f' // the coordination groups begin, with the disks that it names
-)
-
-// maxSlots bounds the order of slots.
-const maxSlots = 1024
-
-// Machine is the state.
+// Machine is the state. It is for one goroutine at a time.
 type Machine struct {
 	Configs  *routing.Register
 	Rollouts *rollout.State
-	slots    []membership.SlotHolder
-	founders []membership.Founder // of the coordination groups
+	slots    []membership.SlotHolder // by slot
+	founders []membership.Founder    // of the coordination groups
 }
 
-// New is the state before the first entry.
+// New returns the state before the first entry.
 func New() *Machine { return &Machine{Configs: routing.NewRegister(), Rollouts: rollout.NewState()} }
 
-// Gob numbers types in the order in which a process first uses them, and the numbers are part of its bytes. A snapshot's types come first
-// here, so that equal states give equal bytes in all processes of a version: who is sent a snapshot in chunks goes on with another
-// sender's.
-func init() { New().Snapshot() }
-
-// EncodeEntry words a change for the log.
-func EncodeEntry(k Kind, body []byte) []byte { return append([]byte{byte(k)}, body...) }
-
-// AssignSlotEntry words a node's wish for a slot.
-func AssignSlotEntry(d membership.SlotHolder) []byte {
-	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(d) // of texts alone: it can't fail
-	return EncodeEntry(KindAssignSlot, b.Bytes())
-}
-
-// Slots is the order of slots.
-func (m *Machine) Slots() []membership.SlotHolder { return m.slots }
-
-func configKind(k Kind) (routing.Kind, bool) {
-	switch k {
+// configKind is a kind of this log as routing.Register knows it, and false for a kind that is not the register's.
+func configKind(kind Kind) (routing.Kind, bool) {
+	switch kind {
 	case KindReplaceConfig:
 		return routing.Replace, true
 	case KindAmendConfig:
@@ -67,41 +31,43 @@
 	return 0, false
 }
 
-// Decide tells what would become of a change now.
-func (m *Machine) Decide(k Kind, body []byte) (routing.Verdict, error) {
-	if k == KindRollout {
-		return m.rollout(body, m.Rollouts.Decide)
+// Decide returns the verdict that Apply would give now. Kinds that are decided by Apply alone are taken.
+func (m *Machine) Decide(kind Kind, body []byte) (routing.Verdict, error) {
+	if kind == KindRollout {
+		return withRolloutEntry(body, m.Rollouts.Decide)
 	}
-	kind, ok := configKind(k)
-	if !ok {
-		return routing.Taken, nil
+	if config, ok := configKind(kind); ok {
+		return m.Configs.Decide(config, body)
 	}
-	return m.Configs.Decide(kind, body)
+	return routing.Taken, nil
 }
 
-// DecideFinal is as Decide, and tells besides whether the verdict is the same in every later state: what a node that is behind may
-// answer by.
-func (m *Machine) DecideFinal(k Kind, body []byte) (v routing.Verdict, err error, final bool) {
-	if kind, ok := configKind(k); ok {
-		return m.Configs.Final(kind, body)
+// DecideFinal is Decide, and tells besides whether the verdict is the same in every later state: then a node may answer by it
+// though its state is old.
+func (m *Machine) DecideFinal(kind Kind, body []byte) (v routing.Verdict, err error, final bool) {
+	if config, ok := configKind(kind); ok {
+		return m.Configs.Final(config, body)
 	}
-	if k != KindRollout {
+	if kind != KindRollout {
 		return routing.Taken, nil, false
 	}
-	v, err = m.rollout(body, func(e *rollout.Entry) (routing.Verdict, error) {
-		if m.Rollouts.CallApplied(e.Mark) {
-			return routing.Already, nil
-		}
-		if wrong := e.Validate(); wrong != nil {
-			return routing.Invalid, wrong
-		}
-		return routing.Taken, nil
-	})
+	v, err = withRolloutEntry(body, m.decideRolloutFinal)
 	return v, err, v != routing.Taken
 }
 
-// rollout reads an entry on roll-outs and hands it on.
-func (m *Machine) rollout(body []byte, to func(*rollout.Entry) (routing.Verdict, error)) (routing.Verdict, error) {
+// decideRolloutFinal gives the verdicts on a roll-out's entry that no later entry changes.
+func (m *Machine) decideRolloutFinal(e *rollout.Entry) (routing.Verdict, error) {
+	if m.Rollouts.CallApplied(e.Mark) {
+		return routing.Already, nil
+	}
+	if err := e.Validate(); err != nil {
+		return routing.Invalid, err
+	}
+	return routing.Taken, nil
+}
+
+// withRolloutEntry hands on a roll-out's entry if it can be read.
+func withRolloutEntry(body []byte, to func(*rollout.Entry) (routing.Verdict, error)) (routing.Verdict, error) {
 	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return routing.Invalid, err
@@ -109,68 +75,49 @@
 	return to(e)
 }
 
-// Apply takes an entry. What it can't read changes nothing: an entry of a newer program must not stop an older one.
+// Apply changes the state by an entry. One that can't be read, or is of an unknown kind, changes nothing.
 func (m *Machine) Apply(entry []byte) (routing.Verdict, error) {
 	if len(entry) == 0 {
-		return routing.Invalid, errors.New("empty entry")
+		return routing.Invalid, ErrEmptyEntry
 	}
-	k, body := Kind(entry[0]), entry[1:]
-	if kind, ok := configKind(k); ok {
-		return m.Configs.Apply(kind, body)
+	kind, body := Kind(entry[0]), entry[1:]
+	if config, ok := configKind(kind); ok {
+		return m.Configs.Apply(config, body)
 	}
-	if k == KindRollout {
-		return m.rollout(body, m.Rollouts.Apply)
-	}
-	if k == KindBootstrapGroups {
+	switch kind {
+	case KindRollout:
+		return withRolloutEntry(body, m.Rollouts.Apply)
+	case KindBootstrapGroups:
 		return m.bootstrapGroups(body)
+	case KindAssignSlot:
+		return m.assignSlot(body)
 	}
-	if k != KindAssignSlot {
-		return routing.Invalid, errors.Errorf("entry of unknown kind %q", k)
-	}
-	var d membership.SlotHolder
-	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&d); err != nil {
-		return routing.Invalid, errors.Wrap(err, "slot")
-	}
-	for i, o := range m.slots {
-		if o.Addr == d.Addr {
-			m.slots[i] = d
-			return routing.Already, nil
-		}
-	}
-	if len(m.slots) >= maxSlots {
-		return routing.Invalid, errors.New("no slot is left")
-	}
-	m.slots = append(m.slots, d)
-	return routing.Taken, nil
+	return routing.Invalid, &UnknownKindError{kind}
 }
 
-type storedState struct {
-	Bills    []byte
-	Seats    []membership.SlotHolder
-	Rollouts []byte               // not in snapshots of older programs
-	Founders []membership.Founder // nor this
-}
-
-// Snapshot is the whole state.
+// Snapshot encodes the complete state.
 func (m *Machine) Snapshot() []byte {
-	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(storedState{m.Configs.Snapshot(), m.slots, m.Rollouts.Snapshot(), m.founders}) // of bytes and texts: it can't fail
-	return b.Bytes()
+	return logentry.Encode(storedState{
+		Bills:    m.Configs.Snapshot(),
+		Seats:    storeSlots(m.slots),
+		Rollouts: m.Rollouts.Snapshot(),
+		Founders: storeFounders(m.founders),
+	})
 }
 
-// Restore reads one.
-func Restore(b []byte) (*Machine, error) {
-	var k storedState
-	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(&k); err != nil {
-		return nil, errors.Wrap(err, "snapshot")
+// Restore returns the state that a snapshot encodes.
+func Restore(snapshot []byte) (*Machine, error) {
+	var stored storedState
+	if err := logentry.Decode(snapshot, &stored, "snapshot"); err != nil {
+		return nil, err
 	}
-	configs, err := routing.Restore(k.Bills)
+	configs, err := routing.Restore(stored.Bills)
 	if err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
-	rollouts, err := rollout.Restore(k.Rollouts)
+	rollouts, err := rollout.Restore(stored.Rollouts)
 	if err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
-	return &Machine{configs, rollouts, k.Seats, k.Founders}, nil
+	return &Machine{Configs: configs, Rollouts: rollouts, slots: slotHolders(stored.Seats), founders: foundersOf(stored.Founders)}, nil
 }
