--- a/internal/gateway/node/host_env.go
+++ b/internal/gateway/node/host_env.go
@@ -7,6 +7,7 @@
 
 	"clovergap/internal/gateway/admission"
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/rollout"
@@ -33,7 +34,7 @@
 func (n *Node) sendFrame(to string, f *Frame) bool { return n.links.Send(to, f) }
 
 // mayTakeCalls tells whether this node's contact with a majority is recent enough for a call to be worth its wait.
-func (n *Node) mayTakeCalls() bool { return n.permitted(permitCalls) }
+func (n *Node) mayTakeCalls() bool { return n.permitted(quorumcontact.TakeCalls) }
 
 func (n *Node) callLeader(kind statemachine.Kind, body []byte, hops int, done callDone) {
 	n.calls.callLeader(kind, body, hops, done)
@@ -47,17 +48,16 @@
 		}
 		return ""
 	}
-	if n.roster.Live(n.upstream) {
-		return n.upstream
+	if upstream := n.streamReceiver.upstream; n.roster.Live(upstream) {
+		return upstream
 	}
 	return ""
 }
 
 // noQuorumAt has a node that follows one without contact with a majority look for another: one that has may be there.
 func (n *Node) noQuorumAt(addr string) {
-	if addr == n.upstream && n.core == nil {
-		n.upstreamReports[n.upstream] = upstreamReport{n.now(), neverAge, 0, 0}
-		n.checkUpstream()
+	if n.core == nil && n.streamReceiver.isUpstream(addr) {
+		n.streamReceiver.upstreamLacksQuorum()
 	}
 }
 
@@ -83,7 +83,7 @@
 func (n *Node) rolloutState() *rollout.State { return n.machine.Rollouts }
 
 // isCurrent tells whether what this node knows is recent enough to refuse requests by it.
-func (n *Node) isCurrent() bool { return n.permitted(permitRefuse) }
+func (n *Node) isCurrent() bool { return n.permitted(quorumcontact.Refuse) }
 
 func (n *Node) isMember() bool { return n.core != nil }
 
@@ -129,7 +129,7 @@
 
 func (n *Node) sendToFollowers(lap *RolloutMessage, except string) {
 	f := &Frame{Rollout: lap}
-	for addr := range n.learners {
+	for addr := range n.streamSender.learners {
 		if addr != except {
 			n.sendFrame(addr, f)
 		}
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// renewalsPerTTL is how often a session renews within its lease, so that two renewals may fail.
+	// renewalsPerTTL is how often a session renews within its lease, so that one renewal may fail.
 	renewalsPerTTL = 3
 	// expiryMarginDivisor: a session ends this part of its lease (one twentieth) early, so that what is under way can end in time.
 	expiryMarginDivisor = 20
@@ -85,7 +85,7 @@
 // Fence is the fencing token: above that of every holder before.
 func (s *Session) Fence() uint64 { return s.fencingToken }
 
-// Context ends when the session does. context.Cause tells why: ErrLost, ErrFinished, or the cause of the context given to Lock.
+// Context ends when the session does. context.Cause gives the reason: ErrLost, ErrFinished, or the cause of the context given to Lock.
 func (s *Session) Context() context.Context { return s.ctx }
 
 // extend sets when the lease expires. False: the session has ended, or would at once.
