--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -89,14 +89,14 @@
 	catalog      catalog
 	coordination *coordination.Service
 
-	calls           *callRouter
-	knobs           TestingKnobs
-	slotRequestedAt time.Duration
-	heartbeatAt     time.Duration
-	slotCount       int
-	reachable       int // nodes in reach
-	logged          loggedState
-	shuttingDown    bool
+	calls        *callRouter
+	knobs        TestingKnobs
+	slotRequest  slotRequester
+	heartbeatAt  time.Duration
+	slotCount    int
+	reachable    int // nodes in reach
+	logged       loggedState
+	shuttingDown bool
 }
 
 // New puts a node together; Start begins it.
@@ -127,7 +127,7 @@
 	h.calls, h.pendingHeartbeats, h.catalog = newCallRouter(h, h.incarnation), map[registry.Ticket]pendingHeartbeat{}, newCatalog()
 	h.knobs = newNodeKnobs
 	h.coordination = coordination.New((*coordinationEnv)(h), coordination.Config{Address: h.peerAddr, Incarnation: h.incarnation, HistoryRetention: h.settings.Bounds.WatchHistory})
-	h.groups = &groupHost{env: h}
+	h.groups, h.slotRequest = &groupHost{env: h}, slotRequester{node: h}
 	h.coordination.SetHost(h.groups)
 	if h.sockets != nil {
 		h.sockets.node = h
@@ -253,7 +253,7 @@
 	h.streamSender.tick()
 	h.calls.chunks.tick()
 	h.streamReceiver.check()
-	h.requestSlot()
+	h.slotRequest.tick()
 	h.rollouts.tick()
 	h.groups.requestFounding()
 	if h.core != nil {
--- a/internal/gateway/node/slot_request.go
+++ b/internal/gateway/node/slot_request.go
@@ -11,12 +11,19 @@
 // slotRequestInterval is how often a node without a slot asks for one.
 const slotRequestInterval = time.Second
 
-// requestSlot asks the leader for a slot while this node has none.
-func (n *Node) requestSlot() {
-	if n.slot() != membership.NoSlot || n.now()-n.slotRequestedAt < slotRequestInterval || !n.permitted(quorumcontact.RequestSlot) {
+// slotRequester asks the leader for a slot while its node has none.
+type slotRequester struct {
+	node        *Node
+	requestedAt time.Duration
+}
+
+// tick is the part of the node's periodic timer.
+func (s *slotRequester) tick() {
+	n := s.node
+	if n.slot() != membership.NoSlot || n.now()-s.requestedAt < slotRequestInterval || !n.permitted(quorumcontact.RequestSlot) {
 		return
 	}
-	n.slotRequestedAt = n.now()
+	s.requestedAt = n.now()
 	entry := statemachine.AssignSlotEntry(membership.SlotHolder{Name: n.settings.NodeName, Addr: n.peerAddr, Control: n.settings.Bind.Control,
 		Zone: n.settings.Zone})
 	n.callLeader(statemachine.KindAssignSlot, entry[1:], 0, func(status int, body []byte) {
