--- a/internal/gateway/node/call_chunks.go
+++ b/internal/gateway/node/call_chunks.go
@@ -20,8 +20,8 @@
 	assemblyTTL = 10 * time.Second
 )
 
-// CallChunk is a chunk of the body of a call or a reply, whose header comes without its body, or tells how much of that body the
-// receiver has.
+// CallChunk is a chunk of the body of a call or a reply, whose header comes without its body, or acknowledges how much of that
+// body has been received.
 type CallChunk struct {
 	Call  *Call
 	Reply *Reply
@@ -29,7 +29,7 @@
 	Had   *replication.Chunk // acknowledges all before its offset
 }
 
-// sameMessage tells whether two are of one call or reply.
+// sameMessage reports whether two are of one call or reply.
 func (c *CallChunk) sameMessage(other *CallChunk) bool {
 	if c.Call != nil && other.Call != nil {
 		return c.Call.Asker == other.Call.Asker && c.Call.Nr == other.Call.Nr
@@ -37,7 +37,7 @@
 	return c.Reply != nil && other.Reply != nil && c.Reply.Asker == other.Reply.Asker && c.Reply.Nr == other.Reply.Nr
 }
 
-// wellFormed tells whether a chunk is of a call or of a reply, within the bounds.
+// wellFormed reports whether a chunk is of a call or of a reply, within the bounds.
 func (c *CallChunk) wellFormed() bool {
 	return c.Chunk != nil && c.Chunk.Size <= maxChunkedBody && (c.Call == nil) != (c.Reply == nil)
 }
@@ -51,7 +51,7 @@
 	lastChunkSent bool // the receiver may have all of it
 }
 
-// ofCall tells whether it carries this node's call of a number.
+// ofCall reports whether it carries this node's call of a number.
 func (t *transfer) ofCall(sequence uint32) bool {
 	return t.sequence == sequence && t.header.Call != nil
 }
@@ -70,7 +70,7 @@
 // chunk names its body by kind, checksum and size, so that the same call, sent again a while later, goes on where its first attempt broke off.
 //
 // Nothing of a call is acted on before all of it has come. So a call that ends before its last chunk was sent was taken by nobody, and
-// its caller is told so at once.
+// its caller learns so at once.
 type chunkedCalls struct {
 	router      *callRouter
 	supportedBy map[string]bool // nodes whose programs take chunks of calls
@@ -82,7 +82,7 @@
 	return chunkedCalls{router, map[string]bool{}, map[string][]*transfer{}, map[string]*assembly{}}
 }
 
-// inOneFrame tells whether a body goes to a node as it is.
+// inOneFrame reports whether a body goes to a node as it is.
 func (c *chunkedCalls) inOneFrame(to string, body []byte) bool {
 	return len(body) <= streamConfig.MaxInflightBytes || !c.supportedBy[to]
 }
@@ -160,7 +160,7 @@
 	}
 }
 
-// receiveReplyChunk takes a chunk of a reply. Nobody waits for it if its call has ended.
+// receiveReplyChunk takes a chunk of a reply. One whose call has ended is acknowledged and dropped.
 func (c *chunkedCalls) receiveReplyChunk(from string, m *CallChunk) {
 	if !c.router.awaits(m.Reply) {
 		c.acknowledge(from, m, nil)
@@ -208,7 +208,7 @@
 	return body
 }
 
-// acknowledge tells a node how much has come of what a chunk is of: nil means all.
+// acknowledge acknowledges what has been received of the body that a chunk is of: nil means all of it.
 func (c *chunkedCalls) acknowledge(to string, m *CallChunk, received *replication.Chunk) {
 	if received == nil {
 		all := *m.Chunk
@@ -218,8 +218,8 @@
 	c.router.env.sendFrame(to, &Frame{Part: &CallChunk{Call: m.Call, Reply: m.Reply, Had: received}})
 }
 
-// assemblyFrom is where what a node sends is put together. Where others have all places, the one that has been idle for longest gives
-// way: it begins anew.
+// assemblyFrom is where the body that a node sends is assembled. Where there are maxAssemblies of other nodes, the one that has been idle for
+// longest is dropped, and its node sends from the beginning.
 func (c *chunkedCalls) assemblyFrom(from string) *assembly {
 	a := c.incoming[from]
 	if a == nil {
@@ -243,7 +243,7 @@
 	return oldest
 }
 
-// mayBeReceived tells whether a node that a call was sent to may have all of it.
+// mayBeReceived reports whether a node that a call was sent to may have all of it.
 func (c *chunkedCalls) mayBeReceived(to string, sequence uint32) bool {
 	for _, t := range c.outgoing[to] {
 		if t.ofCall(sequence) {
--- a/internal/gateway/node/call_errors.go
+++ b/internal/gateway/node/call_errors.go
@@ -12,11 +12,11 @@
 	statusInvalid     = 400 // the change is wrong, whatever is current
 	statusConflict    = 412 // another version is current
 	statusTooLarge    = 413
-	statusUnavailable = 503 // not settled; another node may
+	statusUnavailable = 503 // no result here; another node may have one
 )
 
-// callError is why a control call was not settled. The set is closed. Its text is the body of the reply: callers read it, and nodes know
-// the kind by it, those of other versions too.
+// callError is why a control call has no result. The set is closed. Its text is the body of the reply: callers read it, and nodes, those of
+// other versions too, know the kind by it.
 type callError string
 
 const (
@@ -33,7 +33,7 @@
 
 func (c callError) body() []byte { return []byte(c) }
 
-// is tells whether a reply's body is of this kind.
+// is reports whether a reply's body carries this error.
 func (c callError) is(body []byte) bool { return string(body) == string(c) }
 
 // sizeError is that a configuration is larger than the control API or the leader's disk can bear.
--- a/internal/gateway/node/call_router.go
+++ b/internal/gateway/node/call_router.go
@@ -13,11 +13,11 @@
 const (
 	// callTimeout bounds a call at each node that it passes through: clients of the control API give up on a node after a second.
 	callTimeout = 900 * time.Millisecond
-	// callRetryInterval is how long a call waits for another attempt while nobody is known to lead, or the leader is lost.
+	// callRetryInterval is the time between two attempts while no leader is known, or after the leader is lost.
 	callRetryInterval = 120 * time.Millisecond
 	// maxHops is how many times a call is passed on between nodes.
 	maxHops = 3
-	// maxPendingCalls bounds the calls that wait at a node for their end.
+	// maxPendingCalls bounds the calls that are pending at a node.
 	maxPendingCalls = 256
 )
 
@@ -41,14 +41,14 @@
 	now() time.Duration
 	schedule(at time.Duration, to eventloop.Alarm, sequence uint32)
 	sendFrame(to string, f *Frame) bool
-	// mayTakeCalls tells whether this node's contact with a majority is recent enough for a call to be worth its wait.
+	// mayTakeCalls reports whether this node's contact with a majority is recent enough to take calls.
 	mayTakeCalls() bool
 	isLeader() bool
 	// forwardTarget is the node to pass calls on to: the leader, or the node that this one follows; "" if there is none.
 	forwardTarget() string
 	// propose settles a call in this node's log.
 	propose(p changeProposal)
-	// noQuorumAt notes that a node has said that it has no contact with a majority.
+	// noQuorumAt is called when a node replies that it has no contact with a majority.
 	noQuorumAt(addr string)
 }
 
@@ -57,7 +57,7 @@
 	matchBySequenceOnly bool // a reply belongs to whichever call bears its sequence number
 }
 
-// callDone is told once how a call has ended.
+// callDone takes the result of a call, once.
 type callDone func(status int, body []byte)
 
 // pendingCall is a call that has not ended yet.
@@ -73,7 +73,7 @@
 	done       callDone
 }
 
-// isRead tells whether the call changes nothing.
+// isRead reports whether the call changes nothing.
 func (p *pendingCall) isRead() bool { return p.kind == ReadConfig || p.kind == ReadRollouts }
 
 func newCallRouter(env callEnv, incarnation uint64) *callRouter {
@@ -82,14 +82,14 @@
 	return c
 }
 
-// callLeader takes a call to the leader. It ends within callTimeout whatever happens, since its caller is not to wait for what
-// another node may know.
+// callLeader takes a call to the leader. It ends within callTimeout whatever happens: the caller can then turn to
+// another node.
 func (c *callRouter) callLeader(kind statemachine.Kind, body []byte, hops int, done callDone) {
 	if len(c.pending) >= maxPendingCalls {
 		done(statusUnavailable, errTooManyCalls.body())
 		return
 	}
-	c.lastSequence++ // 32 bits, as many as an alarm's: no call lives until its number comes again
+	c.lastSequence++ // 32 bits, as many as an alarm's: every call ends long before its number comes again
 	sequence, now := c.lastSequence, c.env.now()
 	c.pending[sequence] = &pendingCall{kind: kind, body: body, hops: hops, deadline: now + callTimeout, done: done}
 	c.attempt(sequence)
@@ -152,7 +152,7 @@
 	c.env.propose(changeProposal{call.kind, call.body, wanted, done})
 }
 
-// reject ends a call at a node without contact with a majority, where waiting is worth nothing.
+// reject ends a call at a node without contact with a majority: no attempt can succeed there.
 func (c *callRouter) reject(sequence uint32) {
 	cause := errNoQuorum
 	if call := c.pending[sequence]; call.ambiguous || c.mayBeReceived(call, sequence) {
@@ -161,7 +161,7 @@
 	c.end(sequence, statusUnavailable, cause.body())
 }
 
-// leaderChanged tells whether a call is to be sent to another node than the one where it is.
+// leaderChanged reports whether a call is to be sent to another node than the one where it is.
 func (c *callRouter) leaderChanged(from string) bool {
 	if c.env.isLeader() {
 		return true
@@ -178,8 +178,8 @@
 }
 
 // receiveReply takes the reply to a call that was passed on. One to a former incarnation, to a call that has ended or from a node
-// that was never asked is dropped. A node that was asked before the present one may still settle the call, but not send it
-// round again.
+// that the call was never sent to is dropped. An earlier recipient may still end the call by a result, but its failure starts no
+// further attempt.
 func (c *callRouter) receiveReply(from string, reply *Reply) {
 	call := c.pending[reply.Nr]
 	if call == nil {
@@ -227,17 +227,17 @@
 	call.done(status, body)
 }
 
-// awaits tells whether a call of this incarnation waits for a reply.
+// awaits reports whether a call of this incarnation is pending for a reply.
 func (c *callRouter) awaits(reply *Reply) bool {
 	return reply.Asker == c.incarnation && c.pending[reply.Nr] != nil
 }
 
-// mayBeReceived tells whether the node that a call is in flight to may have all of it.
+// mayBeReceived reports whether the node that a call is in flight to may have all of it.
 func (c *callRouter) mayBeReceived(call *pendingCall, sequence uint32) bool {
 	return call.sentTo != "" && c.chunks.mayBeReceived(call.sentTo, sequence)
 }
 
-// linkDown takes that the link to a node has ended. What was sent there may have been taken: the same again is answered as the first was.
+// linkDown handles the loss of the link to a node. A call that was sent there may have been taken: a repetition gets the same answer.
 func (c *callRouter) linkDown(addr string) {
 	for _, sequence := range slices.Sorted(maps.Keys(c.pending)) {
 		call := c.pending[sequence]
@@ -254,10 +254,11 @@
 // callTimer is the alarm of the calls: of each one's deadline and next attempt.
 type callTimer callRouter
 
-// Live tells whether a call has not ended yet.
+// Live reports whether a call has not ended yet.
 func (c *callTimer) Live(sequence uint32) bool { return c.pending[sequence] != nil }
 
-// Due ends a call that is over its deadline or can't be settled, and makes the next attempt at one that nobody has, or that is at a node that leads no longer.
+// Due ends a call whose deadline has passed or that can't succeed here, and makes the next attempt at one that no node has, or that was sent
+// to a node that is no longer the leader.
 func (c *callTimer) Due(sequence uint32) {
 	r, call := (*callRouter)(c), c.pending[sequence]
 	switch now := r.env.now(); {
--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -69,7 +69,7 @@
 	n.frontend.SetBounds(ingress.Bounds(ingress.Limits{Head: l.MostHeader, Body: l.MostBody, HeadIn: l.HeaderTimeout, Idle: l.IdleTimeout}))
 }
 
-// installRoutes gives admission the routes of the table, and takes those away that it has no longer.
+// installRoutes updates admission to the routes of the table.
 func (n *Node) installRoutes() {
 	installed := map[routing.RouteKey]control.ProductID{}
 	for _, route := range n.table.Routes() {
@@ -99,7 +99,7 @@
 	return r
 }
 
-// removeRoute takes a route away. Its requests under way are attempted no more often than the route in its place allows.
+// removeRoute removes a route. Its requests in flight are attempted no more often than its successor allows.
 func (n *Node) removeRoute(id control.ProductID) {
 	if old := n.catalog.routesByProduct[id]; old != nil {
 		if successor, ok := n.table.Route([]byte(old.Host), []byte(old.Prefix)); ok {
@@ -110,7 +110,7 @@
 	delete(n.catalog.routesByProduct, id)
 }
 
-// installTenants gives the quota the limits of the table's tenants, and takes those of the table before away.
+// installTenants updates the quota to the limits of the table's tenants.
 func (n *Node) installTenants(previous *routing.Table) {
 	present := map[string]bool{}
 	for _, tenant := range n.table.Tenants() {
@@ -124,8 +124,8 @@
 	}
 }
 
-// Admit tells what a request is: its route, its tenant, or why it may not go on. A node whose knowledge is too old to refuse by it says that
-// it does not know yet.
+// Admit finds the route and the tenant of a request, or the reason to refuse it. A node without recent quorum contact refuses nothing by its own
+// configuration: the reason is then that it does not know yet.
 func (n *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
 	current := n.permitted(quorumcontact.Refuse)
 	route, ok := n.table.Route(host, path)
@@ -156,7 +156,7 @@
 // BackendName is the id that a backend goes by in its own calls.
 func (n *Node) BackendName(id control.BackendID) string { return n.catalog.backendNames[id] }
 
-// Gone is told when another backend answered at this one's address.
+// Gone is called when another backend answered at this one's address.
 func (n *Node) Gone(id control.BackendID) {
 	if n.registry != nil {
 		n.registry.AddressTaken(n.catalog.backendNames[id])
--- a/internal/gateway/node/change_proposal.go
+++ b/internal/gateway/node/change_proposal.go
@@ -7,10 +7,10 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// maxStateCopies is how many times the largest state the disk's file holds at the most, and a little: see logstore.
+// diskCopiesPerState is how many copies of the largest state the disk's file has room for, rounded up: see logstore.
 const diskCopiesPerState = 10
 
-// changeProposal is a control call that this node settles as the leader.
+// changeProposal is a control call that this node handles as the leader.
 type changeProposal struct {
 	kind   statemachine.Kind
 	body   []byte
@@ -18,11 +18,11 @@
 	done   callDone
 }
 
-// propose puts a call into the log, whose verdict holds. What this node refuses before, it refuses by its own state: only once a read
-// round has confirmed that it leads still, and that this state is as new as anything acknowledged.
+// propose appends a call to the log, which decides on it. What this node refuses before, it refuses by its own state: only after a linearizable
+// read has confirmed that it is still the leader, and that its state has all that was acknowledged.
 func (n *Node) propose(p changeProposal) { n.proposeOrRefuse(p, false) }
 
-// proposeOrRefuse proposes a call that this node doesn't refuse. confirmed: a read round has ended since it came.
+// proposeOrRefuse proposes a call that this node doesn't refuse. confirmed: a linearizable read has succeeded since it came.
 func (n *Node) proposeOrRefuse(p changeProposal, confirmed bool) {
 	if !p.wanted() {
 		return
@@ -67,7 +67,7 @@
 	return statusInvalid
 }
 
-// checkConfiguration tells why a configuration that would be taken can't be served. The leader decides it, before anything is proposed:
+// checkConfiguration is the error of a configuration that would be taken and can't be served. The leader decides it, before anything is proposed:
 // what is in the log is applied everywhere, whatever a node's disk.
 func (n *Node) checkConfiguration(kind statemachine.Kind, body []byte) error {
 	err := routing.CheckDeadlines(body)
@@ -83,7 +83,7 @@
 	return err
 }
 
-// checkSize tells whether a configuration grows beyond what the disk is for. An amendment counts in full, whatever it takes away.
+// checkSize reports whether a configuration grows beyond what the disk is for. An amendment counts in full, whatever it removes.
 func (n *Node) checkSize(kind statemachine.Kind, body []byte) error {
 	size, limit := len(body), maxControlBodyBytes
 	if disk := n.settings.Limits.DiskMB; disk > 0 {
--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -9,7 +9,7 @@
 )
 
 // Coordinate takes an application's call. The clock is read first: what lies unread in a socket may have been sent after this turn
-// began, if the process stood still, and a lock's time must not count from before its caller asked for it.
+// began, if the process stood still, and a lock's time must not count from before its request.
 func (n *Node) Coordinate(c coordination.Call, then func(coordination.Result)) {
 	n.loop.Refresh()
 	n.coordination.Submit(c, then)
@@ -34,7 +34,7 @@
 	return c.links.Send(to, &Frame{Coordination: m.Encode()})
 }
 
-// ScheduleAt has the service's Due called at a time.
+// ScheduleAt schedules a timer of the service.
 func (c *coordinationEnv) ScheduleAt(at time.Duration, number uint32) {
 	c.loop.At(at, c.coordination, number)
 }
@@ -42,7 +42,7 @@
 // InputDelay is how long what is read now may have lain unread.
 func (c *coordinationEnv) InputDelay() time.Duration { return c.loop.InputDelay() }
 
-// HasQuorumContact tells whether calls are worth their wait here.
+// HasQuorumContact reports whether this node can take calls.
 func (c *coordinationEnv) HasQuorumContact() bool { return (*Node)(c).mayTakeCalls() }
 
 // groupsApplication is the coordination service as the application of the groups. It logs the end of a group's leadership; the host
@@ -52,7 +52,7 @@
 	node *Node
 }
 
-// LeadershipLost tells that this node leads a group no longer.
+// LeadershipLost logs that this node leads a group no longer, and notifies the service.
 func (g groupsApplication) LeadershipLost(id groups.ID, term uint64) {
 	g.node.logInfo(groupPart).Int("group", int(id)).Uint64("term", term).Msg("lost group leadership")
 	g.Service.LeadershipLost(id, term)
@@ -94,7 +94,7 @@
 	return g
 }
 
-// callCounts is what a service has done, and what waits in it.
+// callCounts is what a service has done, and what is pending in it.
 func callCounts(s *coordination.ServiceStatus) controlapi.CallCounts {
 	c := controlapi.CallCounts{Calls: map[string]uint64{}, Answers: map[string]uint64{}, PassedOn: s.Counters.Forwarded, Late: s.Counters.LateRequests,
 		LeadsGained: s.Counters.LeadershipsGained, LeadsLost: s.Counters.LeadershipsLost, Pending: s.Pending, Watchers: s.Watchers, Parked: s.ParkedWatches}
--- a/internal/gateway/node/group_founding.go
+++ b/internal/gateway/node/group_founding.go
@@ -11,7 +11,7 @@
 const (
 	// coordinationContract is the contract of deployments whose applications call for coordination.
 	coordinationContract = "coord"
-	// foundingGrace is how long the founding waits for all disks in reach to be members of the configuration's log; then the groups
+	// foundingGrace is how long the founding is put off until all reachable disks are members of the configuration's log; then the groups
 	// begin with the members that there are.
 	foundingGrace = 3 * time.Second
 	// foundingRetryInterval is how often the founding is requested.
@@ -24,7 +24,7 @@
 	requestedAt time.Duration // last
 }
 
-// requestGroups tells whether this node takes part in the groups. Where they are not founded, it wants them from now on.
+// requestGroups reports whether this node takes part in the groups. Where they are not founded, it wants them from now on.
 func (g *groupHost) requestGroups() bool {
 	if !g.founded && g.founding.wantedAt == 0 {
 		g.founding.wantedAt = max(g.env.now(), 1)
@@ -55,7 +55,7 @@
 	})
 }
 
-// membersComplete tells whether all disks in reach are members of the configuration's log, or were waited for.
+// membersComplete reports whether all disks in reach are members of the configuration's log, or foundingGrace is over.
 func (g *groupHost) membersComplete() bool {
 	if g.env.now()-g.founding.wantedAt > foundingGrace {
 		return true
--- a/internal/gateway/node/group_host.go
+++ b/internal/gateway/node/group_host.go
@@ -26,7 +26,7 @@
 	app      groups.Application          // nil without a disk
 	replicas [groups.Count]*groupReplica // nil without a disk
 	outbox   map[string][]groupMessage   // by address, of this turn
-	founded  bool                        // the founding is known here, or a disk holds a state
+	founded  bool                        // the founding is known here, or the disk has a state
 	founding groupFounding               // until then
 	leads    leadBalancer                // at a node with a disk
 	hints    [groups.Count]leaderHint    // at a node without
@@ -36,14 +36,14 @@
 type groupEnv interface {
 	now() time.Duration
 	sendFrame(to string, f *Frame) bool
-	// mayTakeCalls tells whether this node's contact with a majority is recent enough for a call to be worth its wait.
+	// mayTakeCalls reports whether this node's contact with a majority is recent enough to take calls.
 	mayTakeCalls() bool
-	// isLeader tells whether this node leads the configuration's log.
+	// isLeader reports whether this node leads the configuration's log.
 	isLeader() bool
 	callLeader(kind statemachine.Kind, body []byte, hops int, done callDone)
-	// coordinationIsContract tells whether the deployment's contracts name coordination.
+	// coordinationIsContract reports whether the deployment's contracts name coordination.
 	coordinationIsContract() bool
-	// coreFounded tells whether the configuration's log has begun.
+	// coreFounded reports whether the configuration's log has begun.
 	coreFounded() bool
 	// coreMembers are the members of the configuration's log.
 	coreMembers() []replication.Member
@@ -57,7 +57,7 @@
 	memberAddr(m replication.Member) string
 	// membershipRoster is what this node knows of the others.
 	membershipRoster() *membership.Roster
-	// announceLeaders has the nodes that follow this one told at once who leads.
+	// announceLeaders has the learners of this node notified at the next tick of the groups' leaders.
 	announceLeaders()
 	logInfo(p logPart) *log.Entry
 	logWarn(p logPart) *log.Entry
@@ -65,7 +65,7 @@
 
 var _ groups.Host = (*groupHost)(nil)
 
-// open makes the replicas from what the disk holds.
+// open makes the replicas from what is on disk.
 func (g *groupHost) open(node *Node, stored map[replication.LogID]replication.PersistentState) {
 	if newGroupApplication == nil {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-// participates tells whether this node has replicas of the groups, and they are founded.
+// participates reports whether this node has replicas of the groups, and they are founded.
 func (g *groupHost) participates() bool { return g.app != nil && g.founded }
 
 // handleReady carries out what the replicas ask for, and what the application asks for when it is notified.
@@ -174,7 +174,7 @@
 	r.advance().Read(r.await(groupRequest{onRead: then}))
 }
 
-// Leadership tells whether this node leads a group, in which term and since when.
+// Leadership reports whether this node leads a group, in which term and since when.
 func (g *groupHost) Leadership(id groups.ID) (term uint64, since time.Duration, ok bool) {
 	if !g.requestGroups() {
 		return 0, 0, false
--- a/internal/gateway/node/group_leaders.go
+++ b/internal/gateway/node/group_leaders.go
@@ -11,11 +11,11 @@
 const (
 	// maxGuesses bounds the nodes that a call of a group is sent to.
 	maxGuesses = 3
-	// leaderHintTTL is how long another node's word of who leads a group counts.
+	// leaderHintTTL is how long a hint from another node on a group's leader counts.
 	leaderHintTTL = 10 * time.Second
 )
 
-// leaderHint is what another node said of who leads a group.
+// leaderHint is a group's leader, as another node knows it.
 type leaderHint struct {
 	addr       string
 	receivedAt time.Duration
@@ -32,7 +32,7 @@
 	return hint.addr, hint.addr != "" && g.env.now()-hint.receivedAt < leaderHintTTL
 }
 
-// LeaderCandidates are the nodes to be asked for a group, the likeliest leader first.
+// LeaderCandidates are the nodes to send a call of a group to, the likeliest leader first.
 func (g *groupHost) LeaderCandidates(id groups.ID) (addrs []string) {
 	g.requestGroups()
 	if addr, ok := g.Leader(id); ok {
@@ -54,7 +54,7 @@
 	return addrs
 }
 
-// HintLeader notes another node's word of who leads a group.
+// HintLeader takes a hint from another node on a group's leader.
 func (g *groupHost) HintLeader(id groups.ID, address string) {
 	g.hints[id] = leaderHint{address, g.env.now()}
 }
--- a/internal/gateway/node/group_replica.go
+++ b/internal/gateway/node/group_replica.go
@@ -12,7 +12,7 @@
 const (
 	// minCompactBytes of entries go into a snapshot at the least.
 	minCompactBytes = 64 << 10
-	// maxCompactBytes of entries wait for a snapshot at the most: eight groups and the configuration share a disk of 64 MB.
+	// maxCompactBytes of entries at the most go into one snapshot: eight groups and the configuration share a disk of 64 MB.
 	maxCompactBytes = 512 << 10
 )
 
@@ -39,14 +39,14 @@
 	entry, result []byte
 }
 
-// groupRequest is a proposal or a read that waits for its end.
+// groupRequest is a pending proposal or read.
 type groupRequest struct {
 	entry      []byte
 	onProposed func(groups.Outcome, []byte)
 	onRead     func(ok bool)
 }
 
-// newGroupReplica makes a group's replica from what the disk holds of it.
+// newGroupReplica makes a group's replica from what is on disk.
 func newGroupReplica(node *Node, host *groupHost, id groups.ID, stored replication.PersistentState) *groupReplica {
 	core := node.core
 	stored.ID = core.self.ID
@@ -57,7 +57,7 @@
 	return r
 }
 
-// await has a request wait for the outcome of its token.
+// await makes a request pending, until the outcome of its token.
 func (g *groupReplica) await(request groupRequest) (token uint64) {
 	g.lastToken++
 	g.pending[g.lastToken] = request
@@ -122,7 +122,7 @@
 	return groups.NotProposed, nil
 }
 
-// notifyLeadership tells the application that this node leads the group or does no longer, and the nodes that follow this one who does.
+// notifyLeadership notifies the application that this node has become the group's leader or is no longer, and the learners of a new leader.
 func (g *groupReplica) notifyLeadership() {
 	term, leads := g.replica.LeaderTerm()
 	if g.leadTerm != 0 && (!leads || term != g.leadTerm) {
--- a/internal/gateway/node/host_env.go
+++ b/internal/gateway/node/host_env.go
@@ -33,7 +33,7 @@
 
 func (n *Node) sendFrame(to string, f *Frame) bool { return n.links.Send(to, f) }
 
-// mayTakeCalls tells whether this node's contact with a majority is recent enough for a call to be worth its wait.
+// mayTakeCalls reports whether this node's contact with a majority is recent enough to take calls.
 func (n *Node) mayTakeCalls() bool { return n.permitted(quorumcontact.TakeCalls) }
 
 func (n *Node) callLeader(kind statemachine.Kind, body []byte, hops int, done callDone) {
@@ -77,12 +77,12 @@
 
 func (n *Node) toleratedLosses() int { return n.settings.Tolerance.Machines }
 
-// announceLeaders has the nodes that follow this one told at the next tick who leads: they pass calls on by it.
+// announceLeaders has the learners notified of the leaders at the next tick: they forward calls by it.
 func (n *Node) announceLeaders() { n.heartbeatAt = 0 }
 
 func (n *Node) rolloutState() *rollout.State { return n.machine.Rollouts }
 
-// isCurrent tells whether what this node knows is recent enough to refuse requests by it.
+// isCurrent reports whether what this node knows is recent enough to refuse requests by it.
 func (n *Node) isCurrent() bool { return n.permitted(quorumcontact.Refuse) }
 
 func (n *Node) isMember() bool { return n.core != nil }
@@ -156,12 +156,12 @@
 	n.admission.SetRollout(primary, n.catalog.serviceID(secondaryService(service)), open)
 }
 
-// busyEverywhere is how many requests a service has at a time on all nodes, as far as this node's own tell.
+// busyEverywhere is how many requests a service has at a time on all nodes, as extrapolated from this node's own.
 func (n *Node) busyEverywhere(service string) int {
 	return int(math.Ceil(n.admission.PeakConcurrency(n.catalog.serviceID(service)) * float64(max(n.slotCount, 1))))
 }
 
-// isConfigured tells whether the configuration has a service; true while there is no configuration.
+// isConfigured reports whether the configuration has a service; true while there is no configuration.
 func (n *Node) isConfigured(service string) bool {
 	_, known := n.table.Service(service)
 	return known || n.table.Version() == 0
--- a/internal/gateway/node/lead_balancer.go
+++ b/internal/gateway/node/lead_balancer.go
@@ -27,7 +27,7 @@
 	maxLeadPenalty = time.Minute
 )
 
-// leadBalancer decides where groups are led: spread over the members, and away from those that lost the lead, or whose disk is stalled.
+// leadBalancer decides which member leads a group: evenly over the members, but none that has lost the lead of late, or whose disk is stalled.
 type leadBalancer struct {
 	penalties    map[replication.MemberID]leadPenalty
 	stallTimeout time.Duration // now; 0: minStallTimeout
@@ -60,12 +60,12 @@
 	l.penalties[member] = p
 }
 
-// penalized tells whether a member is not to lead now.
+// penalized reports whether a member is not to lead now.
 func (l *leadBalancer) penalized(member replication.MemberID, now time.Duration) bool {
 	return l.penalties[member].until > now
 }
 
-// isStalled tells whether a write has taken so long that the node is to hand over what it leads.
+// isStalled reports whether a write has taken so long that the node is to hand over what it leads.
 func (l *leadBalancer) isStalled(writing, now time.Duration) bool {
 	if l.stallTimeout == 0 || now-l.handedOverAt > stallResetAfter {
 		l.stallTimeout = minStallTimeout
@@ -73,12 +73,12 @@
 	return writing > l.stallTimeout
 }
 
-// handedOver notes that the node has handed over for a stalled disk.
+// handedOver records a leadership transfer for a stalled disk.
 func (l *leadBalancer) handedOver(now time.Duration) {
 	l.stallTimeout, l.handedOverAt = min(2*l.stallTimeout, maxStallTimeout), now
 }
 
-// maintain has the groups follow the configuration's members, and their leaders spread.
+// maintain has the groups follow the configuration's members, and has them led evenly by these.
 func (g *groupHost) maintain() {
 	if !g.participates() || !g.env.coreFounded() {
 		return
@@ -118,7 +118,7 @@
 	return leaders
 }
 
-// penalizeFormerLeader notes that this node leads a group after another one: where that one ought to lead it, it has lost the lead.
+// penalizeFormerLeader penalizes the member that led a group before this one, if it is the one assigned: it has lost the lead by a fault.
 func (g *groupHost) penalizeFormerLeader(r *groupReplica) {
 	assigned := g.assignedLeaders(func(replication.Member) bool { return true })[r.id]
 	if assigned != r.self.ID && assigned == r.leader {
@@ -149,7 +149,7 @@
 	}
 }
 
-// replicatedElsewhere tells whether the others have what this member has of each group.
+// replicatedElsewhere reports whether the others have what this member has of each group.
 func (g *groupHost) replicatedElsewhere() bool {
 	if !g.participates() {
 		return true
--- a/internal/gateway/node/rollout_admission.go
+++ b/internal/gateway/node/rollout_admission.go
@@ -13,7 +13,7 @@
 
 // A version that is not the main one is a service of its own to admission, and which of the two is the main one follows from the phase.
 
-// admissionStates are what admission was last told of each service's roll-out.
+// admissionStates are the last update that admission was given of each service's roll-out.
 type admissionStates map[string]admissionState
 
 type admissionState struct {
@@ -23,7 +23,7 @@
 	final  bool // finished, and the node knows that there is no later one
 }
 
-// relists tells whether the backends of a service are to be listed anew, since its main version is another one now, or may be.
+// relists reports whether the backends of a service are to be listed anew, since its main version is another one now, or may be.
 func (a admissionState) relists(before admissionState, known bool) bool {
 	return !known || before.number != a.number || before.final != a.final ||
 		(before.phase == rollout.Finished) != (a.phase == rollout.Finished)
@@ -33,7 +33,7 @@
 func secondaryService(service string) string { return service + "\x00" }
 
 // serviceOf is the service that a backend is listed for: until a roll-out is finished the main version is all but the new one, from then
-// on all but the old one.
+// on all but the baseline.
 func (r *rolloutHost) serviceOf(record registry.Record) string {
 	if run := r.peers.rolloutState().Run(record.Service); run != nil {
 		side := r.local.BackendSide(record.Service, record.Generation)
@@ -44,7 +44,7 @@
 	return record.Service
 }
 
-// updateAdmission tells admission which users may go to which version, as far as that has changed.
+// updateAdmission updates admission on which users may go to which version, where that has changed.
 func (r *rolloutHost) updateAdmission() {
 	for i := range r.peers.rolloutState().Runs() {
 		run := &r.peers.rolloutState().Runs()[i]
@@ -93,10 +93,10 @@
 	}
 }
 
-// requestSides tells admission on which side of a roll-out a request is, and the roll-out how it ended.
+// requestSides assigns requests to a side of a roll-out, and records how they ended.
 type requestSides Node
 
-// Assign tells where a request begins, by its user.
+// Assign is the side on which a request begins, by its user.
 func (r *requestSides) Assign(id control.TxnID, kind control.ProductID, service control.ServiceID) admission.Assignment {
 	n := (*Node)(r)
 	name := n.catalog.serviceNames[service]
@@ -142,7 +142,7 @@
 	return rollout.InvalidResponse
 }
 
-// outcomeTap notes the status of a response on its way to the gate, for the time of the call.
+// outcomeTap records the status of a response on its way to the gate, for the time of the call.
 type outcomeTap struct {
 	*gate.Gate
 	node *Node
--- a/internal/gateway/node/rollout_calls.go
+++ b/internal/gateway/node/rollout_calls.go
@@ -17,7 +17,7 @@
 )
 
 // Rollout takes an operator's order to the leader, as a change of the configuration goes. What is wrong in itself, or is known here to
-// have been taken, needs no leader; a dry run goes by what is known here alone.
+// have been taken, needs no leader; a dry run goes by the state of this node.
 func (n *Node) Rollout(e *rollout.Entry, dry bool, then func(status int, body []byte)) {
 	if e.At = time.Now().UnixMilli(); e.Mark == "" { // the same call may go out twice from here
 		e.Mark = fmt.Sprintf("%016x", rand.Uint64())
@@ -53,7 +53,7 @@
 	then(statusOK, marshalAnswer(n.dryRunAnswer(e)))
 }
 
-// checkKnown tells what an order names that this node does not know. Zones are those of nodes.
+// checkKnown is the error of an order that names what this node does not know. Zones are those of nodes.
 func (n *Node) checkKnown(spec *rollout.Spec) error {
 	service := func(name string) bool { _, ok := n.table.Service(name); return ok }
 	route := func(name string) bool {
@@ -112,7 +112,7 @@
 	return &controlapi.RolloutRoom{Old: c.Old, New: c.New, Busy: c.Busy}
 }
 
-// Rollouts asks the leader, which has the counts; where it can't be asked, this node answers by its own knowledge.
+// Rollouts reads the status from the leader, which has the counts; without one, this node answers by its own state.
 func (n *Node) Rollouts(then func(status int, body []byte)) {
 	n.readRollouts(func(status int, body []byte) {
 		if status != statusOK {
--- a/internal/gateway/node/rollout_host.go
+++ b/internal/gateway/node/rollout_host.go
@@ -14,10 +14,10 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// backendsRefreshInterval is how often the coordinator is told which backends there are.
+// backendsRefreshInterval is how often the coordinator gets the capacity of the backends.
 const backendsRefreshInterval = time.Second
 
-// LocalRollbackMessage is logged where a node sends its users back to the old version by its own findings, without a verdict for all nodes.
+// LocalRollbackMessage is logged where a node sends its users back to the baseline by its own findings, without a decision for all nodes.
 const LocalRollbackMessage = "rolled back on this node alone"
 
 // rolloutHost runs roll-outs at a node: package rollout decides, this carries for it. It owns the node's part (local: which side a
@@ -45,7 +45,7 @@
 type rolloutPeers interface {
 	now() time.Duration
 	rolloutState() *rollout.State
-	// isCurrent tells whether what this node knows is recent enough to refuse requests by it.
+	// isCurrent reports whether what this node knows is recent enough to refuse requests by it.
 	isCurrent() bool
 	isMember() bool
 	ledTerm() (term uint64, leads bool)
@@ -69,9 +69,9 @@
 	tickRegistry()
 	updateListing(c registry.Changed)
 	setRollout(service string, open admission.CanaryAccess)
-	// busyEverywhere is how many requests a service has at a time on all nodes, as far as this node's own tell.
+	// busyEverywhere is how many requests a service has at a time on all nodes, as extrapolated from this node's own.
 	busyEverywhere(service string) int
-	// isConfigured tells whether the configuration has a service; true while there is no configuration.
+	// isConfigured reports whether the configuration has a service; true while there is no configuration.
 	isConfigured(service string) bool
 }
 
@@ -140,7 +140,7 @@
 	r.updateAdmission()
 }
 
-// receiveCatchUp takes what the leader knew when it was asked: this node's own state may be of before its restart.
+// receiveCatchUp takes the leader's state at the time of the request: this node's own may be from before its restart.
 func (r *rolloutHost) receiveCatchUp(status int, body []byte) {
 	var there controlapi.RolloutStatus
 	if status == statusOK && json.Unmarshal(body, &there) == nil && r.peers.rolloutState().Rev >= there.Rev {
@@ -222,7 +222,7 @@
 	r.peers.sendToFollowers(m, "")
 }
 
-// refreshBackends tells the coordinator whether there is a version to go back to, and a service at all.
+// refreshBackends updates the coordinator on whether there is a version to go back to, and a service at all.
 func (r *rolloutHost) refreshBackends() {
 	for i := range r.peers.rolloutState().Runs() {
 		run := &r.peers.rolloutState().Runs()[i]
@@ -237,8 +237,8 @@
 	}
 }
 
-// capacityOf is how many requests the ready backends of each version take at a time, and how many there are at the busiest, as far as
-// this node's own tell.
+// capacityOf is how many requests the ready backends of each version take at a time, and how many there are at the busiest, as
+// extrapolated from this node's own.
 func (r *rolloutHost) capacityOf(spec *rollout.Spec) (c rollout.Capacity) {
 	records, known := r.backends.serviceRecords(spec.Service)
 	if !known {
--- a/internal/gateway/node/rollout_reports.go
+++ b/internal/gateway/node/rollout_reports.go
@@ -15,18 +15,18 @@
 	reportOverheadBytes = 400
 	// maxEvidenceBytes bounds the evidence of a report that is taken.
 	maxEvidenceBytes = 64 << 10
-	// maxQueuedReports bounds the reports that wait, one a service.
+	// maxQueuedReports bounds the queued reports, one a service.
 	maxQueuedReports = 64
 )
 
-// reportQueue has the newest report of each service that waits to go to the leader, and the budget of bytes for them.
+// reportQueue has the newest report of each service that is still to go to the leader, and the budget of bytes for them.
 type reportQueue struct {
 	queued   []rollout.Report
 	budget   float64 // bytes that may go now
 	budgetAt time.Duration
 }
 
-// add queues a report in place of the service's one before it.
+// add queues a report, and drops the service's earlier one.
 func (r *reportQueue) add(report rollout.Report) {
 	for i := range r.queued {
 		if r.queued[i].Service == report.Service {
