--- a/internal/gateway/node/configuration.go
+++ b/internal/gateway/node/configuration.go
@@ -41,19 +41,19 @@
 	return v, err
 }
 
-// Change brings a change to whoever leads, unless what is known here settles it for every later state: that it was taken, or that
-// it is wrong in itself. A node that is behind refuses nothing by its own state.
-func (n *Node) Change(kind statemachine.Kind, body []byte, then func(status int, body []byte)) {
+// Change has the leader take a change, unless the outcome is known here for every later state: that the change was taken, or that it is
+// invalid in itself. A node whose knowledge is too old refuses nothing by its own state. done gets an HTTP status, see controlapi.Node.
+func (n *Node) Change(kind statemachine.Kind, body []byte, done func(status int, body []byte)) {
 	if v, err, final := n.machine.DecideFinal(kind, body); final && (v != routing.Invalid || n.permitted(quorumcontact.Refuse)) {
-		then(responseOf(v, err))
+		done(responseOf(v, err))
 		return
 	}
-	n.callLeader(kind, body, 0, then)
+	n.callLeader(kind, body, 0, done)
 }
 
-// ReadConfiguration reads the newest configuration.
-func (n *Node) ReadConfiguration(then func(status int, body []byte)) {
-	n.callLeader(ReadConfig, nil, 0, then)
+// ReadConfiguration asks the leader for the newest configuration.
+func (n *Node) ReadConfiguration(done func(status int, body []byte)) {
+	n.callLeader(ReadConfig, nil, 0, done)
 }
 
 // responseOf is the answer to a change with an outcome.
--- a/internal/gateway/node/disk_queue.go
+++ b/internal/gateway/node/disk_queue.go
@@ -7,22 +7,22 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// logID is the log of a group.
+// logID is the log of a coordination group.
 func logID(id groups.ID) replication.LogID { return replication.LogID(id) + 1 }
 
-// diskQueue has the disk keep what the replicas of a node write: one transaction and sync at a time, for all that came since
-// the last one.
+// diskQueue gathers what the replicas of a node write, and gives it to the disk: one transaction and one sync for everything that came while
+// the last one was under way.
 type diskQueue struct {
 	replication.WriteQueue
 	node           *Node
 	disk           Disk
-	softState      []byte // to be kept beside the logs; nil: nothing
+	softState      []byte // to be stored beside the logs; nil: nothing new
 	writing        bool
-	writeStartedAt time.Duration // the write under way did
-	onSynced       func(log replication.LogID, nr uint64)
+	writeStartedAt time.Duration // of the write under way
+	onSynced       func(log replication.LogID, seq uint64)
 }
 
-// flush gives the disk what is due. Apart from the turns: a slow disk must hold up nothing else.
+// flush gives the disk what is queued, unless a write is under way.
 func (d *diskQueue) flush() {
 	if d.writing {
 		return
@@ -41,7 +41,7 @@
 	d.softState = nil
 }
 
-// stalledFor is for how long the disk has had a write under way.
+// stalledFor is how long the disk has had a write under way; 0: there is none.
 func (d *diskQueue) stalledFor() time.Duration {
 	if !d.writing {
 		return 0
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -7,49 +7,49 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Heartbeats between nodes. What comes from a node, whatever it is, tells that it lives; a heartbeat tells more: to those who follow
-// how old this node's word of the core is, to other members which slots this one hears. Between a leader and a member the log has words
-// several times a second, so the slots go with one of these. A heartbeat by itself goes where the log has nothing to say, and to a
-// program that has not shown yet that it knows the other way.
+// Heartbeats between nodes. Any frame of a node shows that it lives; a heartbeat says more: to a learner the contact of its upstream, to
+// other members the slots that this one receives frames from (its liveness report). Between a leader and a member the log has messages
+// several times a second, so the report goes with one of these (piggybacked). A heartbeat of its own goes where the log has no message for
+// a while, and to a program that has not shown yet that it knows the other way.
 
 // heartbeatInterval is the time between two heartbeats to the same node.
 const heartbeatInterval = 700 * time.Millisecond
 
-// livenessMaxDelay is how long the slots that are heard wait for a message of the log: two of a leader's heartbeats.
+// livenessMaxDelay is how long a liveness report waits for a message of the log: two of a leader's heartbeats.
 const livenessMaxDelay = 300 * time.Millisecond
 
-// livenessState is what a node with a disk knows of telling another one the slots that it hears by messages of the log.
+// livenessState is how liveness reports go to another node with a disk.
 type livenessState struct {
-	piggybacks   bool          // the other one's program does so too
-	pendingSince time.Duration // since when the slots wait for a message; 0: they don't
+	piggybacks   bool          // its program sends and takes them with messages of the log
+	pendingSince time.Duration // since when a report waits for a message; 0: none does
 }
 
-// sendHeartbeats tells the watchers that this node lives, and those who follow it who does. A follower asks, with its clock, and is answered at
-// once; unasked it is told what is new, and at times.
-func (n *Node) sendHeartbeats(news bool) {
-	told := map[string]bool{}
+// sendHeartbeats sends heartbeats to the watchers of this node, its learners and its upstream. A learner sends its clock with its own and is
+// answered at once, so that it gets one from here only where it has not asked for a while; urgent: all get one now.
+func (n *Node) sendHeartbeats(urgent bool) {
+	sent := map[string]bool{}
 	if n.core != nil {
 		for _, addr := range n.streamSender.addrs() {
-			told[addr] = true
-			if _, askedAt := n.streamSender.clockOf(addr); news || n.loop.Now()-askedAt > 3*heartbeatInterval/2 {
+			sent[addr] = true
+			if _, askedAt := n.streamSender.clockOf(addr); urgent || n.loop.Now()-askedAt > 3*heartbeatInterval/2 {
 				n.links.Send(addr, &Frame{Ping: n.learnerHeartbeat(addr)})
 			}
 		}
 	}
-	_, view, _ := n.contact.Contact(n.loop.Now())
-	p := Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, View: view}
+	_, term, _ := n.contact.Contact(n.loop.Now())
+	p := Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, View: term}
 	if n.core != nil {
 		p.Lives = n.roster.ReachableSlots()
 	} else if upstream := n.streamReceiver.upstream; upstream != "" {
-		told[upstream] = true
+		sent[upstream] = true
 		n.links.Send(upstream, &Frame{Ping: &Heartbeat{Stale: p.Stale, Index: p.Index, View: p.View, Clock: n.contact.Stamp(n.loop.Now())}})
 	}
 	f, toDisk := &Frame{Ping: &p}, &Frame{Ping: &Heartbeat{Lives: p.Lives}}
 	for _, addr := range n.roster.Watchers() {
 		node, met := n.roster.Node(addr)
 		switch {
-		case told[addr] || n.core != nil && n.deferLiveness(addr, news):
-		case n.core != nil && met && node.Disk != 0: // it has its own word of the core
+		case sent[addr] || n.core != nil && n.deferLiveness(addr, urgent):
+		case n.core != nil && met && node.Disk != 0: // it has a contact of its own
 			n.links.Send(addr, toDisk)
 		default:
 			n.links.Send(addr, f)
@@ -57,7 +57,7 @@
 	}
 }
 
-// learnerHeartbeat is what a follower is told.
+// learnerHeartbeat is the heartbeat for a learner.
 func (n *Node) learnerHeartbeat(addr string) *Heartbeat {
 	_, term, _ := n.contact.Contact(n.loop.Now())
 	clock, _ := n.streamSender.clockOf(addr)
@@ -82,57 +82,56 @@
 	}
 }
 
-// deferLiveness has the slots that this node hears go with the next message of the log to another one. True: a heartbeat is not needed
-// beside, unless no message goes soon.
-func (n *Node) deferLiveness(addr string, news bool) bool {
-	x := n.core.liveness[addr]
-	if news { // at once
-		x.pendingSince = 0
-		n.core.liveness[addr] = x
+// deferLiveness has the next message of the log to a node carry the liveness report. True: no heartbeat is needed now.
+func (n *Node) deferLiveness(addr string, urgent bool) bool {
+	state := n.core.liveness[addr]
+	if urgent {
+		state.pendingSince = 0
+		n.core.liveness[addr] = state
 		return false
 	}
-	x.pendingSince = n.loop.Now()
-	n.core.liveness[addr] = x
-	return x.piggybacks
+	state.pendingSince = n.loop.Now()
+	n.core.liveness[addr] = state
+	return state.piggybacks
 }
 
-// coreMessage is a message of the log to another member, with the slots that this one hears if they wait.
+// coreMessage is a message of the log to another member, with the liveness report if one waits.
 func (c *core) coreMessage(addr string, m replication.Message) *CoreMessage {
-	line := &CoreMessage{From: c.self.ID, Message: m}
-	if x := c.liveness[addr]; x.pendingSince > 0 {
-		x.pendingSince = 0
-		c.liveness[addr] = x
-		line.Hears = c.node.roster.ReachableSlots()
+	message := &CoreMessage{From: c.self.ID, Message: m}
+	if state := c.liveness[addr]; state.pendingSince > 0 {
+		state.pendingSince = 0
+		c.liveness[addr] = state
+		message.Hears = c.node.roster.ReachableSlots()
 	}
-	return line
+	return message
 }
 
-// receiveLiveness takes what came with a message of the log.
-func (c *core) receiveLiveness(from string, line *CoreMessage) {
-	if line.Hears == nil {
+// receiveLiveness takes the liveness report that came with a message of the log, if there is one.
+func (c *core) receiveLiveness(from string, m *CoreMessage) {
+	if m.Hears == nil {
 		return
 	}
-	x := c.liveness[from]
-	x.piggybacks = true
-	c.liveness[from] = x
-	c.node.roster.HandleLiveness(from, line.Hears)
+	state := c.liveness[from]
+	state.piggybacks = true
+	c.liveness[from] = state
+	c.node.roster.HandleLiveness(from, m.Hears)
 }
 
-// resetLiveness: a link to or from a node begins or has ended; its program may be another one.
+// resetLiveness forgets what is known of a node's program: a link to or from it begins or has ended, and it may run another one.
 func (c *core) resetLiveness(addr string) {
 	if c != nil {
 		delete(c.liveness, addr)
 	}
 }
 
-// sendOverdueLiveness sends heartbeats where slots waited for a message of the log in vain.
+// sendOverdueLiveness sends heartbeats where a liveness report waited for a message of the log in vain.
 func (n *Node) sendOverdueLiveness() {
 	if n.core == nil {
 		return
 	}
 	now := n.loop.Now()
 	for _, addr := range n.roster.Watchers() {
-		if x := n.core.liveness[addr]; x.piggybacks && x.pendingSince > 0 && now-x.pendingSince >= livenessMaxDelay {
+		if state := n.core.liveness[addr]; state.piggybacks && state.pendingSince > 0 && now-state.pendingSince >= livenessMaxDelay {
 			n.core.liveness[addr] = livenessState{}
 			n.links.Send(addr, &Frame{Ping: &Heartbeat{Lives: n.roster.ReachableSlots()}})
 		}
--- a/internal/gateway/node/replica_host.go
+++ b/internal/gateway/node/replica_host.go
@@ -4,7 +4,7 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// replicaHost carries between one of this node's replicas, its timer, the disk and whoever goes by its log.
+// replicaHost runs one of this node's replicas: it keeps its timer, queues its writes, and hands its owner what it decided.
 type replicaHost struct {
 	node     *Node
 	self     replication.Member
@@ -13,10 +13,10 @@
 	disk     *diskQueue
 	owner    replicaOwner
 	timerSeq uint32
-	ready    bool // something came since it was last pulled
+	ready    bool // it may have decided something since handleActions
 }
 
-// replicaOwner takes what a replica decides for its host: replication.Send, Restore, Commit and Outcome.
+// replicaOwner applies a replica's log: it takes replication.Send, Restore, Commit and Outcome.
 type replicaOwner interface {
 	sendMessage(to replication.Member, m replication.Message)
 	restoreState(index uint64, state []byte)
@@ -24,7 +24,7 @@
 	completeProposal(o replication.Outcome)
 }
 
-// handleActions carries out what the replica asks for.
+// handleActions carries out what the replica decided.
 func (r *replicaHost) handleActions() {
 	r.ready = false
 	for {
@@ -50,14 +50,14 @@
 	}
 }
 
-// advance tells the replica the time, and has it pulled at the end of the turn.
+// advance tells the replica the time. What it decides is handled at the end of the turn.
 func (r *replicaHost) advance() *replication.Replica {
 	r.ready = true
 	r.replica.Tick(r.node.loop.Now())
 	return r.replica
 }
 
-// addr of a member: where its node says that it is, since a view may name an older place.
+// memberAddr is where a member's node says that it is; the list of members may name an older address.
 func (n *Node) memberAddr(m replication.Member) string {
 	if d, ok := n.roster.Node(m.Addr); ok && replication.MemberID(d.Disk) == m.ID {
 		return m.Addr
@@ -70,8 +70,11 @@
 	return m.Addr
 }
 
-// replicaTimer brings a replica's own due time; the pull at the end of the turn does the rest.
+// replicaTimer is a replica's next deadline.
 type replicaTimer replicaHost
 
-func (r *replicaTimer) Live(nr uint32) bool { return nr == r.timerSeq }
-func (r *replicaTimer) Due(uint32)          { (*replicaHost)(r).advance() }
+// Live tells whether no later deadline took this one's place.
+func (r *replicaTimer) Live(seq uint32) bool { return seq == r.timerSeq }
+
+// Due advances the replica.
+func (r *replicaTimer) Due(uint32) { (*replicaHost)(r).advance() }
--- a/internal/gateway/node/shutdown.go
+++ b/internal/gateway/node/shutdown.go
@@ -1,27 +1,24 @@
 package node
 
 import (
-	"runtime"
 	"time"
-
-	"clovergap/internal/gateway/settings"
-	"clovergap/internal/invariant"
 )
 
-// Life of a node that is told to end: it says that it is not ready, and goes on taking clients until the platform has
-// asked twice and the last connection that it passed on has come; then connections close between requests, then new ones are
-// refused. What was taken is answered, within the grace. A member of the core hands over what it leads, and stays within the grace
-// until all that it knows as committed is on a majority's disks without its own: who is lost next must not take the last copy along.
+// A graceful shutdown. The node says that it is not ready, and goes on taking clients until the platform has asked twice and the last
+// connection that it passed on has come; then connections close between requests, and then new ones are refused. Requests that were taken
+// are answered, within the grace. A member hands over what it leads, and stays within the grace until everything that it knows as committed
+// is on a majority's disks without its own: a node that is lost next must not take the last copy along.
 const (
-	drainDelay           = 2300 * time.Millisecond
-	stopListeningDelay   = 2700 * time.Millisecond
-	shutdownMargin       = 400 * time.Millisecond
+	drainDelay         = 2300 * time.Millisecond // after the beginning, connections close between requests
+	stopListeningDelay = 2700 * time.Millisecond // after the beginning, connections are refused
+	shutdownMargin     = 400 * time.Millisecond  // before the end of the grace, the node stops waiting
+	shutdownLinger     = 150 * time.Millisecond  // for frames that other nodes still request
+	defaultGrace       = 6 * time.Second         // where the settings name none
+
 	shutdownPollInterval = 20 * time.Millisecond
-	shutdownLinger       = 150 * time.Millisecond // for what others still want of a node that ends
-	defaultGrace         = 6 * time.Second
 )
 
-// BeginShutdown begins the end of a node, in a turn: it says that it is not ready, and hands over what it leads.
+// BeginShutdown says that the node is not ready, and hands over what it leads.
 func (n *Node) BeginShutdown() {
 	n.shuttingDown = true
 	n.roster.AnnounceShutdown()
@@ -33,9 +30,9 @@
 	}
 }
 
-// ContinueShutdown goes on with it so long after it began, in a turn, and tells whether all is done.
+// ContinueShutdown does what is due so long after BeginShutdown, and tells whether all is done.
 func (n *Node) ContinueShutdown(since time.Duration) bool {
-	kept := n.core == nil || n.core.replicatedElsewhere() && n.groups.replicatedElsewhere()
+	replicated := n.core == nil || n.core.replicatedElsewhere() && n.groups.replicatedElsewhere()
 	if since < drainDelay {
 		return false
 	}
@@ -44,10 +41,11 @@
 		return false
 	}
 	n.frontend.StopListening()
-	return kept && n.gate.Held() == 0 && n.frontend.Clients() == 0
+	return replicated && n.gate.Held() == 0 && n.frontend.Clients() == 0
 }
 
-// replicatedElsewhere tells whether the others have what this member has; one that leads still, or again, hands over.
+// replicatedElsewhere tells whether a majority without this member has what it knows as committed. If it leads still, or again, it hands
+// over.
 func (c *core) replicatedElsewhere() bool {
 	c.replica.Tick(c.node.loop.Now())
 	if c.replica.IsLeader() {
@@ -57,7 +55,7 @@
 	return !c.replica.Bootstrapped() || c.replica.ReplicatedElsewhere() >= c.replica.CommitIndex()
 }
 
-// Shutdown ends a node in order.
+// Shutdown ends the node, and returns when it is done or the grace is over. It is not for a turn.
 func (n *Node) Shutdown() {
 	began := time.Now()
 	grace := n.settings.Bounds.ShutdownGrace
@@ -71,31 +69,3 @@
 	n.loop.Turn(func() { n.logInfo(nodePart).Int("in_flight", n.gate.Held()).Msg("shutdown complete") })
 	time.Sleep(shutdownLinger)
 }
-
-// Reload reads the settings again. A file that can't be read or is wrong changes nothing; what can't move waits for a restart.
-func (n *Node) Reload(path string) {
-	s, err := settings.Load(path)
-	n.loop.Turn(func() {
-		if err != nil {
-			n.logWarn(nodePart).Err(err).Msg("settings rejected, the former ones stay")
-			return
-		}
-		if fixed := n.settings.RestartRequired(s); len(fixed) > 0 {
-			n.logWarn(nodePart).Strs("settings", fixed).Msg("settings need a restart")
-		}
-		n.roster.Tick(n.loop.Now())
-		n.roster.SetSeeds(n.peerAddrs(s.SeedAddrs)) // nodes that the settings name now are said hello to
-		n.settings.SeedAddrs, n.settings.Bounds, n.settings.Tolerance = s.SeedAddrs, s.Bounds, s.Tolerance
-		n.logInfo(nodePart).Msg("settings reloaded")
-	})
-}
-
-// LogCounters writes the counters to the log.
-func (n *Node) LogCounters() {
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	n.loop.Turn(func() {
-		n.logInfo(nodePart).Str("counters", n.counters.Text()).Uint64("heap_kb", m.HeapAlloc>>10).Uint64("memory_kb", m.Sys>>10).
-			Int("in_flight", n.gate.Held()).Int("clients", n.frontend.Clients()).Uint64("invariants_broken", invariant.Broken()).Msg("counters")
-	})
-}
--- a/internal/gateway/node/sockets.go
+++ b/internal/gateway/node/sockets.go
@@ -11,6 +11,7 @@
 	"clovergap/internal/gateway/logstore"
 	"clovergap/internal/gateway/replication"
 	"clovergap/internal/gateway/routing"
+	"clovergap/internal/gateway/settings"
 	"clovergap/internal/gateway/transport"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
@@ -21,7 +22,7 @@
 	"clovergap/internal/proxy/upstream"
 )
 
-// sockets are the real base.
+// sockets are the Environment of a node in service: an event loop over sockets, links over TCP, and a disk.
 type sockets struct {
 	*eventloop.Engine
 	node        *Node
@@ -44,27 +45,31 @@
 	return s
 }
 
+// Identity is drawn by chance at each start.
 func (s *sockets) Identity() (int64, uint64) { return s.seed, s.incarnation }
-func (s *sockets) Counters() *counters.Set   { return s.Engine.Count }
 
+// Counters are the event loop's.
+func (s *sockets) Counters() *counters.Set { return s.Engine.Count }
+
+// Links listens for other nodes. A node without a disk offers its links, since all of these have one to each node with a disk.
 func (s *sockets) Links(host transport.Host[Frame]) (_ Links, err error) {
 	if s.mesh, err = transport.New[Frame](s.node.peerAddr, s.incarnation, host, s.Turn); err != nil {
 		return nil, err
 	}
-	if s.node.settings.DataDir == "" { // all of these link to all that have a disk
+	if s.node.settings.DataDir == "" {
 		s.mesh.OfferLinks()
 	}
 	return s.mesh, nil
 }
 
-// Descriptors that links between nodes are left. A node with a disk has a link to each of the others, the rest have few.
+// Descriptors that are reserved for links between nodes. A node with a disk has a link to each of the others, the rest have few.
 const (
 	minLinkFDs          = 200
 	spareLinkFDs        = 100 // for links that are dialed anew before their former ones have ended
-	minServingFDDivisor = 4   // of all are for requests and calls in any case
+	minServingFDDivisor = 4   // of all descriptors, for requests and calls in any case
 )
 
-// reserveLinkFDs leaves descriptors for the links of a deployment of so many nodes.
+// reserveLinkFDs reserves descriptors for the links of a deployment of so many nodes.
 func (s *sockets) reserveLinkFDs(nodes int) {
 	links := minLinkFDs
 	if s.disk != nil {
@@ -73,61 +78,68 @@
 	s.Engine.Descriptors(max(s.maxFDs-links, s.maxFDs/minServingFDDivisor))
 }
 
-// Disk reads the disk. One that can't be read counts as lost: it is emptied, and let in anew by the others.
+// Disk opens the disk. One that can't be read counts as lost: it is emptied, and the other members add this node again.
 func (s *sockets) Disk() (Disk, replication.PersistentState, error) {
 	dir := s.node.settings.DataDir
-	book, kept, err := logstore.Open(dir)
+	store, kept, err := logstore.Open(dir)
 	if torn := (*logstore.CorruptError)(nil); errors.As(err, &torn) {
 		s.node.logWarn(corePart).Err(err).Msg("disk unreadable, begins empty")
 		if err = logstore.Wipe(dir); err != nil {
 			return nil, kept, err
 		}
-		book, kept, err = logstore.Open(dir)
+		store, kept, err = logstore.Open(dir)
 	}
 	if err != nil {
 		return nil, kept, err
 	}
-	if !book.Created() {
+	if !store.Created() {
 		s.node.logWarn(corePart).Msg("disk full at its first start, no vote until it takes writes")
 	}
-	if err := book.RenameError(); err != nil {
+	if err := store.RenameError(); err != nil {
 		s.node.logWarn(corePart).Err(err).Msg("disk file keeps its former name")
 	}
-	s.disk = &diskWriter{node: s.node, store: book, writes: make(chan diskBatch, 1)}
+	s.disk = &diskWriter{node: s.node, store: store, writes: make(chan diskBatch, 1)}
 	go s.disk.run()
 	return s.disk, kept, nil
 }
 
-func (s *sockets) DataPath(h *Node, g *gate.Gate) (p DataPath, err error) {
-	s.dispatcher = upstream.New(s.Engine, &outcomeTap{g, h}, ingress.Terms(h, dialTimeout), func() bool { return s.frontend.Evict() })
+// DataPath makes what requests, calls and datagrams go through, and listens for them.
+func (s *sockets) DataPath(n *Node, g *gate.Gate) (path DataPath, err error) {
+	s.dispatcher = upstream.New(s.Engine, &outcomeTap{g, n}, ingress.Terms(n, dialTimeout), func() bool { return s.frontend.Evict() })
 	bounds := ingress.Bounds(ingress.Limits{Head: routing.DefaultMostHeader, Body: routing.DefaultMostBody,
 		HeadIn: routing.DefaultHeaderTimeout, Idle: routing.DefaultIdleTimeout})
 	s.frontend = downstream.New(s.Engine, max(1, (s.maxFDs-minLinkFDs)/clientFDDivisor), bounds, func() bool { return s.dispatcher.Evict(nil) })
-	form := ingress.New(s.frontend, s.Engine, g, h)
+	handler := ingress.New(s.frontend, s.Engine, g, n)
 	s.control = downstream.New(s.Engine, maxControlConns, downstream.Bounds{Body: maxControlBodyBytes}, func() bool { return s.frontend.Evict() })
-	s.control.Serves(controlapi.New(s.control, h))
+	s.control.Serves(controlapi.New(s.control, n))
 	s.readiness = downstream.New(s.Engine, maxReadinessConns, downstream.Bounds{}, func() bool { return s.frontend.Evict() })
-	s.readiness.Serves(controlapi.New(s.readiness, h))
-	datagram := h.datagramAddr(h.peerAddr)
-	if s.peers, err = peers.New(s.Engine, datagram.String(), []netip.AddrPort{datagram}, 0, h.ReceiveDatagram); err != nil {
-		return p, err
+	s.readiness.Serves(controlapi.New(s.readiness, n))
+	self := n.datagramAddr(n.peerAddr)
+	if s.peers, err = peers.New(s.Engine, self.String(), []netip.AddrPort{self}, 0, n.ReceiveDatagram); err != nil {
+		return path, err
 	}
 	s.Short(func() {
 		if !s.dispatcher.Evict(nil) {
 			s.frontend.Evict()
 		}
 	})
+	return DataPath{s.dispatcher, s.peers, frontendServer{s.frontend, handler, s.Engine}}, s.listen(&n.settings.Bind)
+}
+
+// listen takes connections at the addresses that the settings name.
+func (s *sockets) listen(bind *settings.Bind) error {
 	for _, l := range []struct {
-		addr string
-		to   func(*eventloop.Link)
-	}{{h.settings.Bind.Front, s.frontend.Accept}, {h.settings.Bind.Readiness, s.readiness.Accept}, {h.settings.Bind.Control, s.control.Accept}} {
-		if l.addr != "" {
-			if err := s.Listen(l.addr, l.to); err != nil {
-				return p, err
-			}
+		addr   string
+		accept func(*eventloop.Link)
+	}{{bind.Front, s.frontend.Accept}, {bind.Readiness, s.readiness.Accept}, {bind.Control, s.control.Accept}} {
+		if l.addr == "" {
+			continue
+		}
+		if err := s.Listen(l.addr, l.accept); err != nil {
+			return err
 		}
 	}
-	return DataPath{s.dispatcher, s.peers, frontendServer{s.frontend, form, s.Engine}}, nil
+	return nil
 }
 
 // frontendServer is where clients come in, all of the node's listening with it.
@@ -137,6 +149,8 @@
 	loop    *eventloop.Engine
 }
 
+// User is who sent a request, and its tenant.
 func (f frontendServer) User(who, txn slots.Ref) ([]byte, string) { return f.handler.User(who, txn) }
 
+// StopListening closes all listeners of the process.
 func (f frontendServer) StopListening() { f.loop.StopListening() }
--- a/internal/gateway/node/status.go
+++ b/internal/gateway/node/status.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"runtime"
 	"strconv"
 	"time"
 
@@ -10,9 +11,10 @@
 	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
+	"clovergap/internal/invariant"
 )
 
-// Status is for operators: what this node knows now, asking no other.
+// Status is what this node knows now, for operators; it asks no other node.
 func (n *Node) Status() controlapi.NodeStatus {
 	why := n.unreadyReasons()
 	s := controlapi.NodeStatus{Node: n.settings.NodeName, Address: n.peerAddr, Zone: n.settings.Zone, Ready: len(why) == 0,
@@ -39,14 +41,15 @@
 	return s
 }
 
-// Staleness is how old this node's word of a majority is, and the generation of the configuration that it goes by.
+// Staleness is the age of this node's contact with a majority, and the version of the configuration that it routes by.
 func (n *Node) Staleness() (age time.Duration, generation uint64) {
 	return n.contactAge(), n.table.Version()
 }
 
+// ptr is for fields that may be absent.
 func ptr[T any](v T) *T { return &v }
 
-// statusNodes is all nodes known here: those with a slot in the order of slots, then the others.
+// statusNodes are all nodes known here: those with a slot in the order of slots, then the others.
 func (n *Node) statusNodes() []controlapi.StatusNode {
 	var all []controlapi.StatusNode
 	seen := map[string]bool{}
@@ -75,7 +78,7 @@
 	return all
 }
 
-// coreStatus is this node's part in the core.
+// coreStatus is this node's replica of the configuration log.
 func (n *Node) coreStatus() *controlapi.StatusCore {
 	c := n.core.replica.Status()
 	s := &controlapi.StatusCore{Me: formatMemberID(c.Self.ID), Role: c.Role, View: c.Term, Leader: c.Leader.Addr,
@@ -92,9 +95,10 @@
 	return s
 }
 
-// formatMemberID words a member's id: it has 40 bits.
+// formatMemberID writes the 40 bits of a member's ID.
 func formatMemberID(id replication.MemberID) string { return fmt.Sprintf("%010x", uint64(id)) }
 
+// backendStatus is a backend for operators.
 func backendStatus(w registry.Record) controlapi.StatusBackend {
 	b := controlapi.StatusBackend{Id: w.ID, Target: w.Service, Address: w.Addr, Zone: w.Zone, Generation: w.Generation,
 		Capacity: w.Capacity, Phase: w.Phase.String(), Registrar: int(w.Owner), Fence: w.FencingToken, CallSeq: w.Seq}
@@ -103,3 +107,13 @@
 	}
 	return b
 }
+
+// LogCounters writes the counters to the log. It is not for a turn.
+func (n *Node) LogCounters() {
+	var m runtime.MemStats
+	runtime.ReadMemStats(&m)
+	n.loop.Turn(func() {
+		n.logInfo(nodePart).Str("counters", n.counters.Text()).Uint64("heap_kb", m.HeapAlloc>>10).Uint64("memory_kb", m.Sys>>10).
+			Int("in_flight", n.gate.Held()).Int("clients", n.frontend.Clients()).Uint64("invariants_broken", invariant.Broken()).Msg("counters")
+	})
+}
