--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -1,8 +1,6 @@
 package node
 
 import (
-	"time"
-
 	"clovergap/internal/gateway/groups"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
@@ -11,26 +9,29 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// Frame is what nodes say to each other on their links: one of its fields is set. Fields that are nil cost nothing.
+// Frame is what nodes send each other on their links: one of its fields is set, and those that are nil cost nothing on the wire.
+//
+// Links carry frames as gob, which goes by the names of fields. So the names here, and in the types named Wire, are those of the versions
+// before: a node of either version reads the other's frames. testdata holds recorded ones.
 type Frame struct {
 	Hello  *membership.WireHello
-	Ping   *Heartbeat
-	Found  []replication.Member // who begins the core
+	Ping   *WireHeartbeat
+	Found  []replication.Member // the founders of a new log
 	Core   *CoreMessage
 	Board  *registry.WireMessage
-	Follow *StreamRequest
-	Feed   *StreamData
+	Follow *WireStreamRequest
+	Feed   *WireStreamData
 	Call   *Call
 	Reply  *Reply
 
-	Rollout *RolloutMessage // while one runs
-	Part    *CallChunk      // of a large call or answer, to a program that takes it
+	Rollout *RolloutMessage // while a roll-out runs
+	Part    *CallChunk      // of a large call or reply, to a program that takes these
 
 	Coordination []byte         // a coordination.Message
 	Groups       *GroupMessages // once there are coordination groups
 }
 
-// Kind names what a frame carries.
+// Kind names what a frame carries, for figures on the traffic between nodes.
 func (f *Frame) Kind() string {
 	switch {
 	case f.Hello != nil, f.Found != nil:
@@ -55,20 +56,8 @@
 	return "others"
 }
 
-// Heartbeat tells that the sender lives, and how old its knowledge of the core is: the latter not from one node with a disk to another.
-type Heartbeat struct {
-	Stale time.Duration // all acknowledged so long ago has been applied (see authority.go); over an hour: not known
-	Index uint64        // of the last entry that it applied
-	Lives []byte        // slots, a bit each: see roster.Told; nil from a node without a disk
-	View  uint64        // that its word is of; 0: a node of the version before
-	Clock uint32        // the sender's, to the node that it follows, which answers at once
-	Echo  uint32        // the newest that it heard of the receiver's
-
-	Leaders []membership.Slot // of the coordination groups, to those who follow; nil: there are none
-}
-
-// RolloutMessage is one of its fields: a report on its way to whoever leads, with the slot of the node that it is of, or the word
-// that evidence is gathered afresh, on its way to all nodes.
+// RolloutMessage is a report on its way to the leader, with the slot of the node that it is of, or the start of a lap, in which evidence is
+// gathered afresh, on its way to all nodes.
 type RolloutMessage struct {
 	Seat   membership.Slot
 	Hops   int
@@ -76,17 +65,17 @@
 	Lap    *rollout.Lap
 }
 
-// CoreMessage is a message between members of the core.
+// CoreMessage is a message between members of the configuration log.
 type CoreMessage struct {
 	From    replication.MemberID
 	Message replication.Message
-	Hears   []byte // at times: the slots that the sender hears, in the place of a Ping between nodes with a disk
+	Hears   []byte // at times: the sender's liveness report, see heartbeat.go
 }
 
-// GroupMessages are messages between members of the coordination groups: all that a node has for another one at the end of a turn.
+// GroupMessages are all messages of the coordination groups that a node has for another one at the end of a turn.
 type GroupMessages struct {
 	From  replication.MemberID
-	Lines []byte // each a group, and a message in its compact form: see replication.AppendMessage
+	Lines []byte // for each message its group, a byte, and its compact form: see replication.AppendMessage
 }
 
 // groupMessage is a message of one group.
@@ -95,67 +84,42 @@
 	message replication.Message
 }
 
-// append adds a line.
-func (g *GroupMessages) append(l *groupMessage) {
-	g.Lines = replication.AppendMessage(append(g.Lines, byte(l.group)), &l.message)
+// append adds a message.
+func (g *GroupMessages) append(m *groupMessage) {
+	g.Lines = replication.AppendMessage(append(g.Lines, byte(m.group)), &m.message)
 }
 
-// forEach gives the lines in their order, until one can't be read.
-func (g *GroupMessages) forEach(do func(l *groupMessage)) error {
+// forEach gives the messages in their order, until one can't be read. Those of groups that this program does not know are passed over.
+func (g *GroupMessages) forEach(do func(m *groupMessage)) error {
 	for rest := g.Lines; len(rest) > 0; {
-		l := groupMessage{group: groups.ID(rest[0])}
+		m := groupMessage{group: groups.ID(rest[0])}
 		var err error
-		if l.message, rest, err = replication.DecodeMessage(rest[1:]); err != nil {
+		if m.message, rest, err = replication.DecodeMessage(rest[1:]); err != nil {
 			return err
 		}
-		if l.group < groups.Count {
-			do(&l)
+		if m.group < groups.Count {
+			do(&m)
 		}
 	}
 	return nil
 }
 
-// StreamRequest asks a node with a disk for the entries after an index, and for those to come, and for its registry.
-type StreamRequest struct {
-	After uint64
-	Anew  bool // the sender did not follow it before
-	Ends  bool // and it does no longer
-	Clock uint32
-
-	Had    *replication.Chunk // what it has of what was not whole yet
-	Chunks bool               // its program takes chunks
-}
-
-// StreamData carries entries in order. With State, they begin after Index, which that state holds all of.
-type StreamData struct {
-	After   uint64 // the first entry is the one after this
-	State   []byte
-	Entries [][]byte      // data of changes; empty ones are of the core's own
-	Stale   time.Duration // as in Ping, with View and Echo
-	View    uint64
-	Echo    uint32
-	Index   uint64 // that the word is of: the sender may be about to send more
-
-	Chunk *replication.Chunk // a part of State, or with Log of Entries by gob, which are too large for one frame
-	Log   bool
-}
-
-// Call is a control call that is passed on to whoever leads.
+// Call is a control call that is forwarded to the leader.
 type Call struct {
-	Asker uint64 // the life of the node that passes it on: Nr begins anew in each
+	Asker uint64 // the incarnation of the node that forwards it: Nr begins anew in each
 	Nr    uint32
-	Kind  statemachine.Kind // or Read
+	Kind  statemachine.Kind // or ReadConfig, or ReadRollouts
 	Body  []byte
 	Hops  int
 }
 
-// Read asks for the newest configuration, ReadRollouts for the roll-outs.
+// ReadConfig reads the newest configuration, ReadRollouts the roll-outs. They are kinds of calls, never of entries.
 const (
 	ReadConfig   statemachine.Kind = 'g'
 	ReadRollouts statemachine.Kind = 'h'
 )
 
-// Reply ends the call of that Asker and Nr. Status is as for the caller: 200, 400, 412, 413 or 503.
+// Reply ends the call of that Asker and Nr. Status is as for the caller: 200, 400, 412, 413, 503, or controlapi.Unclear.
 type Reply struct {
 	Asker  uint64
 	Nr     uint32
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -32,19 +32,18 @@
 		for _, addr := range n.streamSender.addrs() {
 			sent[addr] = true
 			if _, askedAt := n.streamSender.clockOf(addr); urgent || n.loop.Now()-askedAt > 3*heartbeatInterval/2 {
-				n.links.Send(addr, &Frame{Ping: n.learnerHeartbeat(addr)})
+				n.links.Send(addr, heartbeatFrame(n.learnerHeartbeat(addr)))
 			}
 		}
 	}
-	_, term, _ := n.contact.Contact(n.loop.Now())
-	p := Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, View: term}
+	h := heartbeat{contact: n.contactReport()}
 	if n.core != nil {
-		p.Lives = n.roster.ReachableSlots()
+		h.liveSlots = n.roster.ReachableSlots()
 	} else if upstream := n.streamReceiver.upstream; upstream != "" {
 		sent[upstream] = true
-		n.links.Send(upstream, &Frame{Ping: &Heartbeat{Stale: p.Stale, Index: p.Index, View: p.View, Clock: n.contact.Stamp(n.loop.Now())}})
+		n.links.Send(upstream, heartbeatFrame(&heartbeat{contact: h.contact, clock: n.contact.Stamp(n.loop.Now())}))
 	}
-	f, toDisk := &Frame{Ping: &p}, &Frame{Ping: &Heartbeat{Lives: p.Lives}}
+	full, toDisk := heartbeatFrame(&h), heartbeatFrame(&heartbeat{liveSlots: h.liveSlots})
 	for _, addr := range n.roster.Watchers() {
 		node, met := n.roster.Node(addr)
 		switch {
@@ -52,33 +51,41 @@
 		case n.core != nil && met && node.Disk != 0: // it has a contact of its own
 			n.links.Send(addr, toDisk)
 		default:
-			n.links.Send(addr, f)
+			n.links.Send(addr, full)
 		}
 	}
 }
 
 // learnerHeartbeat is the heartbeat for a learner.
-func (n *Node) learnerHeartbeat(addr string) *Heartbeat {
+func (n *Node) learnerHeartbeat(addr string) *heartbeat {
+	h := &heartbeat{contact: n.contactReport(), liveSlots: n.roster.LiveSlots(), leaders: n.groups.leaderSlots()}
+	h.contact.Echo, _ = n.streamSender.clockOf(addr)
+	return h
+}
+
+// contactReport is this node's contact for others.
+func (n *Node) contactReport() quorumcontact.Report {
 	_, term, _ := n.contact.Contact(n.loop.Now())
-	clock, _ := n.streamSender.clockOf(addr)
-	return &Heartbeat{Stale: n.contactAge(), Index: n.appliedIndex, Lives: n.roster.LiveSlots(), View: term, Echo: clock,
-		Leaders: n.groups.leaderSlots()}
+	return quorumcontact.Report{Age: n.contactAge(), Term: term, Index: n.appliedIndex}
 }
 
+// heartbeatFrame carries a heartbeat.
+func heartbeatFrame(h *heartbeat) *Frame { return &Frame{Ping: h.wire()} }
+
 // receiveHeartbeat takes another node's heartbeat. A learner that asks for one is answered at once.
-func (n *Node) receiveHeartbeat(from string, h *Heartbeat) {
-	n.streamReceiver.receiveReport(from, h.Stale, h.Index, h.View)
+func (n *Node) receiveHeartbeat(from string, h *heartbeat) {
+	n.streamReceiver.receiveReport(from, h.contact)
 	upstream := n.streamReceiver.isUpstream(from)
-	if h.Lives != nil && (n.core != nil || upstream) {
-		n.roster.HandleLiveness(from, h.Lives)
+	if h.liveSlots != nil && (n.core != nil || upstream) {
+		n.roster.HandleLiveness(from, h.liveSlots)
 	}
 	if upstream {
-		n.contact.Learn(quorumcontact.Report{Age: h.Stale, Term: h.View, Echo: h.Echo, Index: h.Index}, n.appliedIndex, n.loop.Now())
-		n.groups.learnLeaders(h.Leaders)
+		n.contact.Learn(h.contact, n.appliedIndex, n.loop.Now())
+		n.groups.learnLeaders(h.leaders)
 	}
-	if h.Clock != 0 && n.streamSender.isLearner(from) {
-		n.streamSender.receiveClock(from, h.Clock)
-		n.links.Send(from, &Frame{Ping: n.learnerHeartbeat(from)})
+	if h.clock != 0 && n.streamSender.isLearner(from) {
+		n.streamSender.receiveClock(from, h.clock)
+		n.links.Send(from, heartbeatFrame(n.learnerHeartbeat(from)))
 	}
 }
 
@@ -133,7 +140,7 @@
 	for _, addr := range n.roster.Watchers() {
 		if state := n.core.liveness[addr]; state.piggybacks && state.pendingSince > 0 && now-state.pendingSince >= livenessMaxDelay {
 			n.core.liveness[addr] = livenessState{}
-			n.links.Send(addr, &Frame{Ping: &Heartbeat{Lives: n.roster.ReachableSlots()}})
+			n.links.Send(addr, heartbeatFrame(&heartbeat{liveSlots: n.roster.ReachableSlots()}))
 		}
 	}
 }
--- a/internal/gateway/node/link_descriptors_test.go
+++ b/internal/gateway/node/link_descriptors_test.go
@@ -80,12 +80,12 @@
 	}
 	early, late, again := &frameRecorder{}, &frameRecorder{}, &frameRecorder{}
 	h.links = early
-	h.receiveStreamRequest("10.0.0.1:7110", &StreamRequest{After: 0, Chunks: true})
+	h.receiveStreamRequest("10.0.0.1:7110", &streamRequest{after: 0, acceptsChunks: true})
 	must.Eq(t, []string{"one", "two"}, has(early))
 	h.links = late
 	h.LinkUp("10.0.0.1:7110")
 	must.Eq(t, []string{"one", "two"}, has(late))
-	h.receiveStreamRequest("10.0.0.1:7110", &StreamRequest{After: h.appliedIndex, Chunks: true})
+	h.receiveStreamRequest("10.0.0.1:7110", &streamRequest{after: h.appliedIndex, acceptsChunks: true})
 	h.links = again
 	h.LinkUp("10.0.0.1:7110")
 	must.SliceEmpty(t, has(again)) // it has all
--- a/internal/gateway/node/links.go
+++ b/internal/gateway/node/links.go
@@ -26,7 +26,7 @@
 		n.calls.chunks.supportedBy[from] = hello.ChunkedCalls
 		n.resendBootstrap(from, hello.Node)
 	case f.Ping != nil:
-		n.receiveHeartbeat(from, f.Ping)
+		n.receiveHeartbeat(from, f.Ping.heartbeat())
 	case f.Found != nil:
 		n.bootstrap(f.Found)
 	case f.Core != nil && n.core != nil:
@@ -38,9 +38,9 @@
 	case f.Board != nil && n.registry != nil:
 		n.receiveRegistry(from, f.Board)
 	case f.Follow != nil:
-		n.receiveStreamRequest(from, f.Follow)
+		n.receiveStreamRequest(from, f.Follow.request())
 	case f.Feed != nil:
-		n.streamReceiver.receive(from, f.Feed)
+		n.streamReceiver.receive(from, f.Feed.data())
 	case f.Call != nil:
 		n.calls.receiveCall(from, f.Call)
 	case f.Reply != nil:
--- a/internal/gateway/node/logstream.go
+++ b/internal/gateway/node/logstream.go
@@ -18,7 +18,7 @@
 }
 
 // receiveStreamRequest takes the request of a node without a disk, and sends what it lacks.
-func (n *Node) receiveStreamRequest(from string, r *StreamRequest) {
+func (n *Node) receiveStreamRequest(from string, r *streamRequest) {
 	switch n.streamSender.receiveRequest(from, r) {
 	case requestIgnored:
 		return
@@ -50,11 +50,13 @@
 func (s *streamHost) AppliedIndex() uint64 { return s.appliedIndex }
 
 // SendStreamData sends to a learner.
-func (s *streamHost) SendStreamData(to string, d *StreamData) { s.links.Send(to, &Frame{Feed: d}) }
+func (s *streamHost) SendStreamData(to string, d *streamData) {
+	s.links.Send(to, &Frame{Feed: d.wire()})
+}
 
 // SendStreamRequest sends to a member.
-func (s *streamHost) SendStreamRequest(to string, r *StreamRequest) {
-	s.links.Send(to, &Frame{Follow: r})
+func (s *streamHost) SendStreamRequest(to string, r *streamRequest) {
+	s.links.Send(to, &Frame{Follow: r.wire()})
 }
 
 // InstallState begins with a state that came.
--- a/internal/gateway/node/logstream_receiver.go
+++ b/internal/gateway/node/logstream_receiver.go
@@ -59,7 +59,7 @@
 type streamReceiverHost interface {
 	Now() time.Duration
 	AppliedIndex() uint64
-	SendStreamRequest(to string, r *StreamRequest)
+	SendStreamRequest(to string, r *streamRequest)
 	InstallState(index uint64, machine *statemachine.Machine)
 	ApplyEntry(index uint64, data []byte)
 	UpstreamChanged(addr string)
@@ -92,8 +92,8 @@
 }
 
 // receiveReport takes what a member's heartbeat reports of its contact.
-func (s *streamReceiver) receiveReport(from string, contactAge time.Duration, index, term uint64) {
-	s.reports[from] = upstreamReport{s.host.Now(), contactAge, index, term}
+func (s *streamReceiver) receiveReport(from string, r quorumcontact.Report) {
+	s.reports[from] = upstreamReport{s.host.Now(), r.Age, r.Index, r.Term}
 }
 
 // linkReset asks the upstream again: its link is new, and a request may have been lost with the one before.
@@ -110,7 +110,7 @@
 }
 
 // receive takes data from the upstream. Entries that are applied already are passed over; after a gap the request goes again.
-func (s *streamReceiver) receive(from string, d *StreamData) {
+func (s *streamReceiver) receive(from string, d *streamData) {
 	if s.member || !s.isUpstream(from) {
 		return
 	}
@@ -118,70 +118,71 @@
 	if !s.acceptReport(from, d) || !s.assemble(from, d) {
 		return
 	}
-	if d.Chunk != nil { // so that what follows the blob comes
+	if d.chunk != nil { // so that what follows the blob comes
 		defer func() {
-			s.host.SendStreamRequest(from, &StreamRequest{After: s.host.AppliedIndex(), Clock: s.contact.Stamp(s.host.Now()), Chunks: true})
+			s.host.SendStreamRequest(from, &streamRequest{after: s.host.AppliedIndex(), clock: s.contact.Stamp(s.host.Now()), acceptsChunks: true})
 		}()
 	}
 	if !s.apply(d) {
 		return
 	}
-	if d.After > s.host.AppliedIndex() {
+	if d.after > s.host.AppliedIndex() {
 		s.request(from)
 		return
 	}
-	s.contact.Learn(quorumcontact.Report{Age: d.Stale, Term: d.View, Echo: d.Echo, Index: d.Index}, s.host.AppliedIndex(), s.host.Now())
+	s.contact.Learn(d.contact, s.host.AppliedIndex(), s.host.Now())
 }
 
 // acceptReport notes what data reports of its sender's contact. False: the data is of no use.
-func (s *streamReceiver) acceptReport(from string, d *StreamData) bool {
-	empty := d.After == 0 && d.State == nil && d.Chunk == nil && len(d.Entries) == 0
+func (s *streamReceiver) acceptReport(from string, d *streamData) bool {
+	empty := d.after == 0 && d.state == nil && d.chunk == nil && len(d.entries) == 0
 	if empty && s.host.AppliedIndex() > 0 { // the upstream is back with an empty disk
 		s.reports[from] = upstreamReport{s.answeredAt, unansweredAge, 0, 0}
 		return false
 	}
-	if d.View > 0 && s.contact.IsStaleTerm(d.View) { // what it has was received here before that term began
-		s.reports[from] = upstreamReport{s.answeredAt, unknownAge, d.After, d.View}
+	if d.contact.Term > 0 && s.contact.IsStaleTerm(d.contact.Term) { // what it has was received here before that term began
+		s.reports[from] = upstreamReport{s.answeredAt, unknownAge, d.after, d.contact.Term}
 		return false
 	}
 	if last := s.reports[from]; last.receivedAt == 0 || s.host.Now()-last.receivedAt > heartbeatInterval {
-		s.reports[from] = upstreamReport{s.answeredAt, d.Stale, d.After, d.View}
+		s.reports[from] = upstreamReport{s.answeredAt, d.contact.Age, d.after, d.contact.Term}
 	}
 	return true
 }
 
 // assemble takes a chunk, and acknowledges what is had of its blob. The last chunk makes of the data what one message would have brought;
 // until then (false) nothing of it is applied.
-func (s *streamReceiver) assemble(from string, d *StreamData) bool {
-	if d.Chunk == nil {
+func (s *streamReceiver) assemble(from string, d *streamData) bool {
+	if d.chunk == nil {
 		return true
 	}
-	blob, had := s.incoming.Receive(d.Chunk)
+	blob, had := s.incoming.Receive(d.chunk)
 	if blob == nil {
-		s.host.SendStreamRequest(from, &StreamRequest{After: s.host.AppliedIndex(), Clock: s.contact.Stamp(s.host.Now()), Had: had, Chunks: true})
+		s.host.SendStreamRequest(from, &streamRequest{after: s.host.AppliedIndex(), clock: s.contact.Stamp(s.host.Now()), receivedChunk: had,
+			acceptsChunks: true})
 		return false
 	}
-	if !d.Log {
-		d.State = blob
-	} else if err := gob.NewDecoder(bytes.NewReader(blob)).Decode(&d.Entries); err != nil {
-		s.host.StreamUnreadable(d.After, err)
+	if !d.chunkEntries {
+		d.state = blob
+	} else if err := gob.NewDecoder(bytes.NewReader(blob)).Decode(&d.entries); err != nil {
+		s.host.StreamUnreadable(d.after, err)
 		return false
 	}
 	return true
 }
 
 // apply installs the state and applies the entries. False: the state can't be read, or entries are missing, which were requested.
-func (s *streamReceiver) apply(d *StreamData) bool {
-	if d.State != nil && d.After > s.host.AppliedIndex() {
-		machine, err := statemachine.Restore(d.State)
+func (s *streamReceiver) apply(d *streamData) bool {
+	if d.state != nil && d.after > s.host.AppliedIndex() {
+		machine, err := statemachine.Restore(d.state)
 		if err != nil {
-			s.host.StreamUnreadable(d.After, err)
+			s.host.StreamUnreadable(d.after, err)
 			return false
 		}
-		s.host.InstallState(d.After, machine)
+		s.host.InstallState(d.after, machine)
 	}
-	for i, data := range d.Entries {
-		switch index, applied := d.After+1+uint64(i), s.host.AppliedIndex(); {
+	for i, data := range d.entries {
+		switch index, applied := d.after+1+uint64(i), s.host.AppliedIndex(); {
 		case index <= applied:
 		case index == applied+1:
 			s.host.ApplyEntry(index, data)
@@ -195,16 +196,16 @@
 
 // request asks a member for the entries after the last one that is applied here, and makes it the upstream.
 func (s *streamReceiver) request(addr string) {
-	anew := !s.isUpstream(addr)
-	if anew {
+	begins := !s.isUpstream(addr)
+	if begins {
 		s.host.UpstreamChanged(addr)
 		if s.upstream != "" {
-			s.host.SendStreamRequest(s.upstream, &StreamRequest{Ends: true})
+			s.host.SendStreamRequest(s.upstream, &streamRequest{ends: true})
 		}
 	}
 	s.upstream, s.requestedAt = addr, s.host.Now()
-	s.host.SendStreamRequest(addr, &StreamRequest{After: s.host.AppliedIndex(), Anew: anew, Clock: s.contact.Stamp(s.host.Now()),
-		Had: s.incoming.Received(), Chunks: true})
+	s.host.SendStreamRequest(addr, &streamRequest{after: s.host.AppliedIndex(), begins: begins, clock: s.contact.Stamp(s.host.Now()),
+		receivedChunk: s.incoming.Received(), acceptsChunks: true})
 }
 
 // tick notices a pause of this process.
--- a/internal/gateway/node/logstream_sender.go
+++ b/internal/gateway/node/logstream_sender.go
@@ -39,7 +39,7 @@
 type streamSenderHost interface {
 	Now() time.Duration
 	AppliedIndex() uint64
-	SendStreamData(to string, d *StreamData)
+	SendStreamData(to string, d *streamData)
 }
 
 // streamSource is the part of a replica that a stream is made from; *replication.Replica implements it.
@@ -104,17 +104,17 @@
 }
 
 // receiveRequest takes where a learner stands. What it is owed then goes out with respond.
-func (s *streamSender) receiveRequest(from string, r *StreamRequest) learnerChange {
+func (s *streamSender) receiveRequest(from string, r *streamRequest) learnerChange {
 	if s.log == nil {
 		return requestIgnored
 	}
 	if !s.log.Bootstrapped() {
-		if !r.Ends { // told so, it asks another member at once; else it would stay, since this node does send it other frames
-			s.host.SendStreamData(from, &StreamData{Stale: quorumcontact.UnknownAge})
+		if !r.ends { // told so, it asks another member at once; else it would stay, since this node does send it other frames
+			s.host.SendStreamData(from, &streamData{contact: quorumcontact.Report{Age: quorumcontact.UnknownAge}})
 		}
 		return requestIgnored
 	}
-	if r.Ends {
+	if r.ends {
 		s.remove(from)
 		return learnerLeft
 	}
@@ -122,27 +122,27 @@
 	switch known := s.isLearner(from); {
 	case !known:
 		change = learnerJoined
-	case r.Anew:
+	case r.begins:
 		change = learnerRestarted
 	}
 	if change != learnerContinues {
 		s.learners[from] = &learner{}
 	}
 	s.learners[from].receiveRequest(r, s.host.Now())
-	s.receiveClock(from, r.Clock)
+	s.receiveClock(from, r.clock)
 	return change
 }
 
 // receiveRequest takes what a learner has.
-func (l *learner) receiveRequest(r *StreamRequest, now time.Duration) {
-	l.acceptsChunks, l.receivedChunk, l.requestedIndex = r.Chunks, r.Had, r.After
+func (l *learner) receiveRequest(r *streamRequest, now time.Duration) {
+	l.acceptsChunks, l.receivedChunk, l.requestedIndex = r.acceptsChunks, r.receivedChunk, r.after
 	switch {
 	case l.outgoing.Blob == nil:
-		l.sentIndex = r.After
-	case r.After >= l.outgoingLastIndex:
-		l.outgoing, l.sentIndex = replication.BlobSender{}, r.After
+		l.sentIndex = r.after
+	case r.after >= l.outgoingLastIndex:
+		l.outgoing, l.sentIndex = replication.BlobSender{}, r.after
 	default:
-		l.outgoing.Ack(r.Had, now)
+		l.outgoing.Ack(r.receivedChunk, now)
 	}
 }
 
@@ -151,7 +151,7 @@
 	if s.learners[to].requestedIndex < s.host.AppliedIndex() {
 		s.streamTo(to)
 	} else {
-		s.send(to, &StreamData{After: s.host.AppliedIndex()})
+		s.send(to, &streamData{after: s.host.AppliedIndex()})
 	}
 }
 
@@ -209,7 +209,7 @@
 	}
 	now := s.host.Now()
 	for c := l.outgoing.NextChunk(&streamConfig, now); c != nil; c = l.outgoing.NextChunk(&streamConfig, now) {
-		s.send(addr, &StreamData{After: c.Index, Chunk: c, Log: l.sendsEntries})
+		s.send(addr, &streamData{after: c.Index, chunk: c, chunkEntries: l.sendsEntries})
 	}
 }
 
@@ -225,7 +225,7 @@
 	}
 	if !l.acceptsChunks || len(state) <= streamConfig.MaxInflightBytes {
 		l.sentIndex = blob.Index()
-		s.send(addr, &StreamData{After: blob.Index(), State: state})
+		s.send(addr, &streamData{after: blob.Index(), state: state})
 		return true
 	}
 	if s.stateMayBeStale() {
@@ -248,7 +248,7 @@
 	}
 	l.sentIndex += uint64(len(data))
 	if !l.acceptsChunks || size <= streamConfig.MaxInflightBytes {
-		s.send(addr, &StreamData{After: after, Entries: data})
+		s.send(addr, &streamData{after: after, entries: data})
 		return
 	}
 	var b bytes.Buffer
@@ -292,10 +292,10 @@
 }
 
 // send gives a learner data with this node's contact.
-func (s *streamSender) send(to string, d *StreamData) {
+func (s *streamSender) send(to string, d *streamData) {
 	now := s.host.Now()
 	_, term, _ := s.contact.Contact(now)
-	d.Stale, d.View, d.Index = s.contact.Age(now), term, s.log.CommitIndex()
-	d.Echo, _ = s.clockOf(to)
+	clock, _ := s.clockOf(to)
+	d.contact = quorumcontact.Report{Age: s.contact.Age(now), Term: term, Echo: clock, Index: s.log.CommitIndex()}
 	s.host.SendStreamData(to, d)
 }
--- a/internal/gateway/node/logstream_sender_test.go
+++ b/internal/gateway/node/logstream_sender_test.go
@@ -30,7 +30,7 @@
 		return h, out, func(at time.Duration) (bytes int) { // that a follower is sent which asks then
 			clock.now = time.Minute + at
 			delete(out.frames, asker)
-			h.receiveStreamRequest(asker, &StreamRequest{Chunks: true})
+			h.receiveStreamRequest(asker, &streamRequest{acceptsChunks: true})
 			for _, f := range out.frames[asker] {
 				if f.Feed != nil && f.Feed.Chunk != nil {
 					bytes += len(f.Feed.Chunk.Data)
