--- a/internal/gateway/node/backend_registry.go
+++ b/internal/gateway/node/backend_registry.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// updateRegistryLearner tells the registry whether a node has its entries from this one.
+// updateRegistryLearner notifies the registry whether a node has its entries from this one.
 func (n *Node) updateRegistryLearner(addr string) {
 	if s := n.roster.Slot(addr); s != membership.NoSlot && n.registry != nil {
 		n.registry.Tick(n.loop.Now())
@@ -178,7 +178,7 @@
 // registryTimer is the registry's due time; the end of the turn does the rest.
 type registryTimer Node
 
-// Live tells whether no later time took this one's place.
+// Live reports whether no later time took this one's place.
 func (r *registryTimer) Live(seq uint32) bool { return seq == r.registryHost.timerSeq }
 
 // Due does nothing: the turn's end asks the registry.
--- a/internal/gateway/node/cluster.go
+++ b/internal/gateway/node/cluster.go
@@ -47,7 +47,7 @@
 // slot is this node's, or NoSlot.
 func (n *Node) slot() membership.Slot { return n.roster.Slot(n.peerAddr) }
 
-// updateNodes tells the parts that depend on the other nodes which there are, and which live.
+// updateNodes gives the parts that depend on the other nodes which there are, and which live.
 func (n *Node) updateNodes() {
 	n.streamReceiver.check()
 	self, holders := n.slot(), n.roster.SlotHolders()
@@ -68,7 +68,7 @@
 		}
 	}
 	if n.core != nil && reachable != n.reachable {
-		n.heartbeatAt = 0 // learners know from this node which nodes live: in its first second an owner of quotas grants a third of the rate by it
+		n.heartbeatAt = 0 // learners know from here which nodes live; by it an owner grants a third of the rate in its first second
 	}
 	n.reachable = reachable
 	n.quota.SetReachable(live)
@@ -77,7 +77,7 @@
 	n.registry.SetNodes(n.registryNodes(holders, live))
 }
 
-// resizeCluster tells the parts that depend on the number of slots.
+// resizeCluster gives the parts that depend on it the number of slots.
 func (n *Node) resizeCluster(self membership.Slot, holders []membership.SlotHolder) {
 	n.slotCount = len(holders)
 	if n.sockets != nil {
--- a/internal/gateway/node/contact.go
+++ b/internal/gateway/node/contact.go
@@ -15,12 +15,12 @@
 	return quorumcontact.New(config)
 }
 
-// permitted tells whether this node has a permission now.
+// permitted reports whether this node has a permission now.
 func (n *Node) permitted(p quorumcontact.Permission) bool {
 	return n.contact.Permits(p, n.table.Version() > 0, n.loop.Now())
 }
 
-// isLeader tells whether this node leads the configuration log.
+// isLeader reports whether this node leads the configuration log.
 func (n *Node) isLeader() bool { return n.contact.IsLeader(n.loop.Now()) }
 
 // contactAge is how old this node's knowledge of the configuration log is at the most; quorumcontact.UnknownAge without contact.
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// writeSynced tells the replica of a log that a write of it is on disk.
+// writeSynced notifies the replica of a log that a write of it is on disk.
 func (c *core) writeSynced(log replication.LogID, seq uint64) {
 	r := &c.replicaHost
 	if log != replication.ConfigurationLog {
@@ -81,7 +81,7 @@
 	c.handleActions()
 	if m, term, ok := c.replica.Leader(); ok && term != c.leaderTerm {
 		c.leaderTerm = term
-		c.node.heartbeatAt = 0 // learners wait to hear that somebody leads
+		c.node.heartbeatAt = 0 // learners wait for a contact by the new leader
 		if m.ID == c.self.ID {
 			c.node.logInfo(corePart).Uint64("term", term).Msg("became leader")
 		} else {
@@ -124,7 +124,7 @@
 	}
 }
 
-// checkMembers tells the replica which nodes with a disk are in reach, each memberCheckInterval. A leader adds them as members, in the
+// checkMembers notifies the replica which nodes with a disk are in reach, each memberCheckInterval. A leader adds them as members, in the
 // place of lost ones.
 func (c *core) checkMembers() {
 	now := c.node.loop.Now()
--- a/internal/gateway/node/environment.go
+++ b/internal/gateway/node/environment.go
@@ -53,7 +53,7 @@
 	// Connect keeps a link to a node from now on, Disconnect keeps it no longer.
 	Connect(to string)
 	Disconnect(to string)
-	// Send tells whether the frame is on its way. It may be lost all the same.
+	// Send reports whether the frame is on its way. It may be lost all the same.
 	Send(to string, f *Frame) bool
 	// Check asserts the invariants of the links; it is called each second.
 	Check()
@@ -80,7 +80,7 @@
 // Dispatcher sends requests to backends.
 type Dispatcher interface {
 	gate.Sender
-	// SetBackend tells where a backend is, when it started, and whether requests may go there.
+	// SetBackend sets where a backend is, when it started, and whether requests may go there.
 	SetBackend(id control.BackendID, addr string, started time.Duration, ready bool)
 	// SetMaxConns bounds the connections to a backend.
 	SetMaxConns(id control.BackendID, conns int)
--- a/internal/gateway/node/heartbeat_test.go
+++ b/internal/gateway/node/heartbeat_test.go
@@ -11,7 +11,7 @@
 	"clovergap/internal/gateway/settings"
 )
 
-// recordingLinks keeps what a node sends.
+// recordingLinks record what a node sends, by receiver.
 type recordingLinks struct {
 	discardingLinks
 	frames map[string][]*Frame
@@ -22,7 +22,7 @@
 	return true
 }
 
-// takeHeartbeats are how many heartbeats went to a node since this was asked last.
+// takeHeartbeats is how many heartbeats went to a node since the last call for it.
 func (r *recordingLinks) takeHeartbeats(to string) (n int) {
 	for _, f := range r.frames[to] {
 		if f.Ping != nil {
@@ -33,9 +33,9 @@
 	return n
 }
 
-// Members told each other whom they hear by heartbeats of their own, beside words of the log each 150 ms, with an age that nobody with a
-// disk goes by: 9 in 100 of a node's bytes in calm. They go with the log now; where the log says nothing for a while, the other program does
-// not know that way, or there is news, they go by themselves, since a slot that nobody tells of counts as lost after 2.2 s.
+// Members sent liveness reports by heartbeats of their own, beside messages of the log each 150 ms, with an age that no member goes by: 9 in
+// 100 of a node's bytes in calm. The reports go with the log now. Where the log has no message for a while, the other program does not know
+// that way, or a change is urgent, they go by themselves, since a slot that no node reports counts as lost after 2.2 s.
 func TestHeartbeatsWithTheLog(t *testing.T) {
 	const b, c = "10.0.0.2:7110", "10.0.0.3:7110"
 	clock, out := &manualClock{now: time.Minute}, &recordingLinks{frames: map[string][]*Frame{}}
@@ -56,7 +56,7 @@
 		h.sendHeartbeats(news)
 		return [2]int{out.takeHeartbeats(b), out.takeHeartbeats(c)}
 	}
-	must.Eq(t, [2]int{1, 1}, ping(false)) // which way the others know is not known
+	must.Eq(t, [2]int{1, 1}, ping(false)) // what the others' programs know is not known
 	must.Eq(t, []byte{7}, h.core.coreMessage(b, replication.Message{}).Hears)
 	must.Nil(t, h.core.coreMessage(b, replication.Message{}).Hears) // once
 	h.core.receiveLiveness(b, &CoreMessage{Hears: []byte{7}})
@@ -67,7 +67,7 @@
 	h.sendOverdueLiveness()
 	must.Eq(t, 0, out.takeHeartbeats(b))
 	clock.now++
-	h.sendOverdueLiveness() // the log says nothing
+	h.sendOverdueLiveness() // the log has no message
 	must.Eq(t, 1, out.takeHeartbeats(b))
 	must.Nil(t, h.core.coreMessage(b, replication.Message{}).Hears)
 
--- a/internal/gateway/node/large_config_test.go
+++ b/internal/gateway/node/large_config_test.go
@@ -15,7 +15,7 @@
 	"clovergap/internal/gateway/logstore"
 )
 
-// largeConfig is a configuration of about so many bytes: its tenants make it up.
+// largeConfig is a configuration of about so many bytes, mostly tenants.
 func largeConfig(generation, parent, bytes int) string {
 	b := configBody(generation, parent)
 	var t strings.Builder
@@ -32,8 +32,8 @@
 	return usual
 }
 
-// A member that is away for many whole configurations is level soon after it is back, also the node without a disk; the file
-// of none grows with their number; one that is too large for the disk is refused before it is taken, with the bound.
+// A member that is away for many large configurations has the newest soon after it is back, and so has a learner; no file grows with their
+// number; a configuration that is too large for the disk is refused before it is taken, with the bound.
 func TestAwayForManyLargeConfigurations(t *testing.T) {
 	const replace = "/api/Config.Replace"
 	size, times := envInt("CONFIG_BYTES", 200<<10), envInt("CONFIG_CHANGES", 8)
--- a/internal/gateway/node/logstream.go
+++ b/internal/gateway/node/logstream.go
@@ -27,7 +27,7 @@
 		return
 	case learnerJoined:
 		n.updateRegistryLearner(from)
-		n.heartbeatAt = 0 // it waits to hear which nodes live
+		n.heartbeatAt = 0 // it does not know yet which nodes live
 	case learnerRestarted:
 		n.syncRegistryTo(from)
 	case learnerContinues:
--- a/internal/gateway/node/logstream_receiver.go
+++ b/internal/gateway/node/logstream_receiver.go
@@ -81,7 +81,7 @@
 	term       uint64
 }
 
-// isUpstream tells whether this node has its entries from another one.
+// isUpstream reports whether this node has its entries from another one.
 func (s *streamReceiver) isUpstream(addr string) bool { return addr == s.upstream }
 
 // frameReceived notes that a node sent something.
@@ -96,14 +96,14 @@
 	s.reports[from] = upstreamReport{s.host.Now(), r.Age, r.Index, r.Term}
 }
 
-// linkReset asks the upstream again: its link is new, and a request may have been lost with the one before.
+// linkReset requests the stream again from the upstream: its link is new, and a request may have been lost with the one before.
 func (s *streamReceiver) linkReset(addr string) {
 	if s.isUpstream(addr) {
 		s.request(addr)
 	}
 }
 
-// upstreamLacksQuorum notes that the upstream has no contact with a majority, as its answer to a call told: another member may have.
+// upstreamLacksQuorum notes that the upstream has no contact with a majority, as its reply to a call shows: another member may have.
 func (s *streamReceiver) upstreamLacksQuorum() {
 	s.reports[s.upstream] = upstreamReport{s.host.Now(), unknownAge, 0, 0}
 	s.check()
@@ -242,7 +242,7 @@
 	}
 }
 
-// mustWait tells whether it is too early to look for another upstream: an answer may be on its way, or lie unread after a pause, or come
+// mustWait reports whether it is too early to look for another upstream: an answer may be on its way, or lie unread after a pause, or come
 // from a member that is busy.
 func (s *streamReceiver) mustWait(now time.Duration) bool {
 	if s.upstream != "" && now-s.requestedAt < max(s.retryDelay, minStreamRetry) || s.pausedUntil > 0 && now-s.pausedUntil < processPauseGrace {
@@ -275,9 +275,9 @@
 	return best
 }
 
-// candidates are the members that may be asked: those that live, as the upstream tells. Without an upstream nobody seems to live, and
-// one that is partitioned tells that all others are gone, while they are but a link away: then those count that this node has a link
-// to. After a pause of both sides none may have sent anything, and none has a reason to while the links stand.
+// candidates are the members that may be chosen: those that live, as the upstream reports. Without an upstream none seems to live, and
+// one that is partitioned reports all others as gone, while they are but a link away: then those count that this node has a link to.
+// After a pause of both sides no member may have sent anything, and none has a reason to while the links stand.
 func (s *streamReceiver) candidates() []membership.Node {
 	live := s.roster.LiveDiskNodes()
 	if len(live) == 0 || s.reportedAge(s.upstream) >= s.contact.StreamMaxAge() && !s.knobs.TrustStaleUpstream {
@@ -286,7 +286,7 @@
 	return live
 }
 
-// rank is the age by which a member is chosen. While nobody leads all members' contact grows older alike: they count as equal, unless one
+// rank is the age by which a member is chosen. While there is no leader all members' contact grows older alike: they count as equal, unless one
 // is of an older term, so that learners don't change over to whichever is younger at the moment.
 func (s *streamReceiver) rank(addr string, now time.Duration) time.Duration {
 	report, ok := s.reports[addr]
--- a/internal/gateway/node/logstream_receiver_test.go
+++ b/internal/gateway/node/logstream_receiver_test.go
@@ -12,9 +12,9 @@
 	"clovergap/internal/gateway/settings"
 )
 
-// While nobody leads, the word of each node with a disk is old, and a little older at one than at the other. A follower changed over to
-// whichever was younger at the moment, again and again, and was told all the backends by each: with two hundred that did so,
-// the nodes with a disk had no time left to agree on who leads.
+// While there is no leader, the contact of each member is old, and a little older at one than at the other. A learner changed over to
+// whichever was younger at the moment, again and again, and each sent it all backends: with two hundred that did so, the members had no
+// time left to elect a leader.
 func TestNobodyLeads(t *testing.T) {
 	h := newLearner(t, "10.0.0.1:7110", "10.0.0.2:7110")
 	now := h.loop.Now()
@@ -34,7 +34,7 @@
 		h.streamReceiver.check()
 		must.Eq(t, first, h.streamReceiver.upstream)
 	}
-	// One that knows of a leader is changed over to.
+	// A member that knows of a leader is changed over to.
 	h.streamReceiver.reports[other] = upstreamReport{now, 0, 0, 0}
 	h.loop.(*manualClock).now = now + minStreamRetry
 	h.roster.Tick(now + minStreamRetry)
@@ -42,7 +42,7 @@
 	must.Eq(t, other, h.streamReceiver.upstream)
 }
 
-// A node that says something, but not yet what was asked, has much to do: it is waited for, and not for ever.
+// An upstream that sends other frames but no answer is busy: it is waited for, but not for ever.
 func TestBusyFeederIsWaitedFor(t *testing.T) {
 	h := newLearner(t, "10.0.0.1:7110", "10.0.0.2:7110")
 	first, asked := h.streamReceiver.upstream, h.streamReceiver.requestedAt
@@ -64,7 +64,7 @@
 	must.NotEq(t, asked, h.streamReceiver.requestedAt)
 }
 
-// manualClock is a node's time that a test sets.
+// manualClock is an event loop whose time a test sets.
 type manualClock struct {
 	EventLoop
 	now time.Duration
@@ -72,12 +72,12 @@
 
 func (m *manualClock) Now() time.Duration { return m.now }
 
-// discardingLinks takes what a node sends.
+// discardingLinks drop what a node sends.
 type discardingLinks struct{ Links }
 
 func (discardingLinks) Send(string, *Frame) bool { return true }
 
-// newLearner is a node without a disk that follows one of these.
+// newLearner is a node without a disk whose upstream is one of these members.
 func newLearner(t *testing.T, disks ...string) *Node {
 	h := &Node{settings: &settings.Settings{NodeName: "node"}, log: newLogger("node"), table: routing.NewTable(nil),
 		loop: &manualClock{now: time.Minute}, links: discardingLinks{}, peerAddr: "10.0.0.9:7110"}
--- a/internal/gateway/node/logstream_sender.go
+++ b/internal/gateway/node/logstream_sender.go
@@ -26,7 +26,7 @@
 
 // streamSender streams the configuration log from a member to its learners: the nodes without a disk that have asked this one. It owns where
 // each of them stands. A learner stays until it ends the stream or its link goes down, however long it is silent: one that was paused
-// does not know that it was missed, and would wait for entries that nobody sends.
+// does not know that it was missed, and would wait for entries that no member sends.
 type streamSender struct {
 	host     streamSenderHost
 	log      streamSource // nil at a node without a disk, which has no learners
@@ -64,7 +64,7 @@
 	clockReceivedAt   time.Duration
 }
 
-// learnerChange tells what a request changed.
+// learnerChange is what a request changed.
 type learnerChange uint8
 
 const (
@@ -79,7 +79,7 @@
 	return &streamSender{host: host, log: log, contact: contact, learners: map[string]*learner{}}
 }
 
-// isLearner tells whether a node has its entries from this one.
+// isLearner reports whether a node has its entries from this one.
 func (s *streamSender) isLearner(addr string) bool {
 	_, ok := s.learners[addr]
 	return ok
@@ -109,7 +109,7 @@
 		return requestIgnored
 	}
 	if !s.log.Bootstrapped() {
-		if !r.ends { // told so, it asks another member at once; else it would stay, since this node does send it other frames
+		if !r.ends { // it then chooses another member at once; else it would wait, since this node does send it other frames
 			s.host.SendStreamData(from, &streamData{contact: quorumcontact.Report{Age: quorumcontact.UnknownAge}})
 		}
 		return requestIgnored
@@ -264,9 +264,9 @@
 	}
 }
 
-// stateMayBeStale tells whether the state may be long out of date: this member has just come back, and knows of no leader yet. A learner
-// that was sent it would be sent the newest after it; instead it asks again, or another. Where nobody leads for long an old state is
-// better than none.
+// stateMayBeStale reports whether the state may be long out of date: this member has just come back, and knows of no leader yet. A learner
+// would get it, and then the newest one after it; instead it requests again, or from another member. Where there is no leader for long an
+// old state is better than none.
 func (s *streamSender) stateMayBeStale() bool {
 	now := s.host.Now()
 	_, _, known := s.contact.Contact(now)
--- a/internal/gateway/node/logstream_sender_test.go
+++ b/internal/gateway/node/logstream_sender_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -12,8 +13,8 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// A member that was away for long came back and sent whoever picked it as a feeder the whole state that its disk held, 4 s for a MB on
-// 2 Mbit/s, and then the newest. It keeps a large state back until it has word of a majority, or has waited in vain for one.
+// A member that was away for long came back and sent the state of its disk to each learner that chose it, 4 s for a MB on 2 Mbit/s, and then
+// the newest one. It keeps a large state back until it has contact with a majority, or has waited in vain for it.
 func TestOldStateIsKeptBack(t *testing.T) {
 	const asker, addr = "10.0.0.9:7110", "10.0.0.1:7110"
 	made := func(state []byte, members ...replication.Member) (*Node, *recordingLinks, func(time.Duration) int) {
@@ -27,7 +28,7 @@
 		h.core = &core{liveness: map[string]livenessState{}, replicaHost: replicaHost{node: h, self: members[0],
 			replica: replication.New(members[0], kept, replication.DefaultConfig(), 1, clock.now)}}
 		h.openLogStream()
-		return h, out, func(at time.Duration) (bytes int) { // that a follower is sent which asks then
+		return h, out, func(at time.Duration) (bytes int) { // that a learner gets which requests then
 			clock.now = time.Minute + at
 			delete(out.frames, asker)
 			h.receiveStreamRequest(asker, &streamRequest{acceptsChunks: true})
@@ -61,3 +62,68 @@
 	}
 	must.Eq(t, streamConfig.MaxInflightBytes, asks(staleStateGrace-tickInterval))
 }
+
+// frameRecorder records what a node sends.
+type frameRecorder struct {
+	Links
+	frames []*Frame
+}
+
+func (f *frameRecorder) Send(_ string, frame *Frame) bool {
+	f.frames = append(f.frames, frame)
+	return true
+}
+
+// What a learner requested is sent again when the link to it comes up: its request may come before this node's own link is there, and what
+// was sent then is lost. Guards against learners that go from one member to the next, half a second at each, after the loss of all.
+func TestFollowerIsFedWhenItsLinkComesUp(t *testing.T) {
+	now, me := time.Minute, replication.Member{ID: 5, Addr: "10.0.0.9:7110"}
+	p := replication.New(me, replication.PersistentState{ID: me.ID}, replication.DefaultConfig(), 1, now)
+	must.NoError(t, p.Bootstrap([]replication.Member{me}))
+	last := func() uint64 {
+		for a, ok := p.Next(); ok; a, ok = p.Next() {
+			if w, is := a.(replication.Write); is {
+				p.Synced(w.Seq)
+			}
+		}
+		return p.CommitIndex()
+	}
+	for last(); !p.IsLeader(); last() {
+		now += 100 * time.Millisecond
+		p.Tick(now)
+	}
+	p.Propose(1, []byte("one"))
+	p.Propose(2, []byte("two"))
+	h := newLearner(t, "10.0.0.1:7110")
+	h.appliedIndex = last()
+	h.core = &core{replicaHost: replicaHost{node: h, replica: p}}
+	h.openLogStream()
+	h.loop.(*manualClock).now = now
+	has := func(to *frameRecorder) (all []string) {
+		for _, f := range to.frames {
+			if f.Feed != nil {
+				for _, e := range f.Feed.Entries {
+					if len(e) > 0 {
+						all = append(all, string(e))
+					}
+				}
+			}
+		}
+		return all
+	}
+	early, late, again := &frameRecorder{}, &frameRecorder{}, &frameRecorder{}
+	h.links = early
+	h.receiveStreamRequest("10.0.0.1:7110", &streamRequest{after: 0, acceptsChunks: true})
+	must.Eq(t, []string{"one", "two"}, has(early))
+	h.links = late
+	h.LinkUp("10.0.0.1:7110")
+	must.Eq(t, []string{"one", "two"}, has(late))
+	h.receiveStreamRequest("10.0.0.1:7110", &streamRequest{after: h.appliedIndex, acceptsChunks: true})
+	h.links = again
+	h.LinkUp("10.0.0.1:7110")
+	must.SliceEmpty(t, has(again)) // it has all
+	must.True(t, slices.ContainsFunc(again.frames, func(f *Frame) bool { return f.Feed != nil && f.Feed.After == h.appliedIndex }))
+	h.links = &frameRecorder{}
+	h.LinkUp("10.0.0.2:7110") // one that does not follow
+	must.SliceEmpty(t, h.links.(*frameRecorder).frames)
+}
--- a/internal/gateway/node/member_replacement_test.go
+++ b/internal/gateway/node/member_replacement_test.go
@@ -13,8 +13,8 @@
 	"clovergap/internal/gateway/settings"
 )
 
-// replacementTimeout is well over the 4 s after which a new machine, and the one that it takes the place of, must not count as lost any more on the
-// small sites: processors are shared here. The bound itself is held in simulated time, in internal/lab/simulation.
+// replacementTimeout is well over the 4 s after which a new machine, and the one that it replaces, must not count as lost any more on the
+// small sites: processors are shared here. The bound itself is tested in simulated time, in internal/lab/simulation.
 const replacementTimeout = 12 * time.Second
 
 // addNode starts one more node with an empty disk of its own, after the first start of all.
@@ -29,7 +29,7 @@
 	return i
 }
 
-// awaitLeaderStatus is the node that leads.
+// awaitLeaderStatus waits for a node whose status says that it leads.
 func (t *testCluster) awaitLeaderStatus() (who int) {
 	t.t.Helper()
 	t.eventually("one leads", func() bool {
@@ -44,7 +44,7 @@
 	return who
 }
 
-// hasReplaced tells whether a node knows of three members, in the end, of which one is in and another out.
+// hasReplaced reports whether a node knows three committed members, of which one is in and another out.
 func (t *testCluster) hasReplaced(at, in, out int) bool {
 	has := map[string]bool{}
 	s := t.status(at).Core
@@ -58,7 +58,7 @@
 	return fmt.Sprint(t.settings[i].IPAddress, ":", t.settings[i].InnerPorts[0])
 }
 
-// within tells whether something came to be before the time was over.
+// within reports whether something holds before the time is over.
 func (t *testCluster) within(most time.Duration, is func() bool) (took time.Duration, ok bool) {
 	began := time.Now()
 	tick := time.NewTicker(10 * time.Millisecond)
@@ -71,7 +71,7 @@
 	return most, false
 }
 
-// startThreeMembers founds three nodes with disks, all of them members, and a configuration.
+// startThreeMembers starts three nodes with disks, all of them members, with a configuration.
 func startThreeMembers(t *testing.T) *testCluster {
 	d := startCluster(t, 3)
 	d.eventuallyAll("three members", func(s controlapi.NodeStatus) bool {
@@ -81,9 +81,9 @@
 	return d
 }
 
-// A machine with a disk is lost for good and another one, with an empty disk and an address of its own, comes in its place. A little
-// later one more is lost: with one loss at a time that must be borne. Three members of which one was replaced made four, of which the
-// lost one counted for a minute: the second loss left two of four, and no order was taken.
+// A machine with a disk is lost for good, and another one with an empty disk and an address of its own replaces it. A little later one more is
+// lost: one loss at a time must be tolerated. Three members of which one was replaced made four, of which the lost one counted for a
+// minute: the second loss left two of four, and no change was taken.
 func TestSecondLossAfterReplacement(t *testing.T) {
 	d := startThreeMembers(t)
 	gone := (d.awaitLeaderStatus() + 1) % 3
@@ -108,7 +108,7 @@
 	must.True(t, ok, must.Sprint("no order is taken after one more loss"))
 }
 
-// writeLoneBootstrap puts the word of a founding on a node's disk that was for nodes which never had it.
+// writeLoneBootstrap writes a bootstrap to a node's disk whose other founders never had it.
 func (t *testCluster) writeLoneBootstrap(i int, others ...replication.Member) {
 	t.t.Helper()
 	book, kept, err := logstore.Open(t.settings[i].DataDir)
@@ -124,7 +124,7 @@
 	must.NoError(t.t, book.Close())
 }
 
-// awaitThreeMembers waits until all nodes that live have the same three members.
+// awaitThreeMembers waits until all running nodes have the same three members.
 func (t *testCluster) awaitThreeMembers() {
 	t.t.Helper()
 	t.eventuallyAll("three members", func(s controlapi.NodeStatus) bool {
@@ -132,8 +132,8 @@
 	})
 }
 
-// A start with one disk out of reach for longer than is waited for: two begin the core, and the third is a member a moment after it
-// appears. Until then the loss of one of the two stops the core.
+// A first start with one disk out of reach for longer than it is waited for: two bootstrap the log, and the third is a member a moment after
+// it appears. Until then the loss of one of the two stops the log.
 func TestThirdDiskComesLate(t *testing.T) {
 	for late := range 3 {
 		d := newCluster(t, 3)
@@ -153,8 +153,8 @@
 	}
 }
 
-// The first seed began the core and was killed before the others had the word. They begin it without the first seed; it is back with a
-// disk that holds a founding that nobody joined, and stayed out for ever.
+// The first seed bootstrapped the log and was killed before the others had it. They bootstrap without the first seed; it is back with a disk
+// that holds a bootstrap which no other node joined, and stayed out for ever.
 func TestLoneFounderJoinsTheOthers(t *testing.T) {
 	d := newCluster(t, 3)
 	d.start(1)
@@ -170,7 +170,7 @@
 	d.eventuallyAll("the configuration", func(s controlapi.NodeStatus) bool { return s.Generation == 1 })
 }
 
-// The same where the others have lost their disks before they had the word: nobody began anything, since one that they met held a state.
+// The same where the others lost their disks before they had it: none bootstrapped, since a node that they met had a state.
 func TestLoneFoundingWhoseOthersAreEmpty(t *testing.T) {
 	d := newCluster(t, 3)
 	d.writeLoneBootstrap(0, replication.Member{ID: 5, Addr: d.peerAddr(1)}, replication.Member{ID: 6, Addr: d.peerAddr(2)})
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -84,7 +84,7 @@
 
 	// Other nodes.
 	roster          *membership.Roster
-	slotsChanged    bool // the roster has yet to be told the slots
+	slotsChanged    bool // the roster has yet to get the slots
 	slotRequestedAt time.Duration
 	slotCount       int
 	reachable       int           // nodes with a slot that live
--- a/internal/gateway/node/node_test.go
+++ b/internal/gateway/node/node_test.go
@@ -23,7 +23,7 @@
 // testTimeout bounds every wait of these tests; none of them depends on how long anything takes within it.
 const testTimeout = 60 * time.Second
 
-// testCluster are several of a deployment in this process, each at an address of its own on the loopback.
+// testCluster is several nodes of a deployment in this process, each at an address of its own on the loopback.
 type testCluster struct {
 	t        *testing.T
 	http     *http.Client
@@ -40,7 +40,7 @@
 	return d
 }
 
-// newCluster has their settings, and starts none.
+// newCluster makes the settings, and starts no node.
 func newCluster(t *testing.T, n int) *testCluster {
 	d := &testCluster{t: t, running: map[int]*Node{}, http: &http.Client{Timeout: testTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -63,7 +63,7 @@
 	return d
 }
 
-// stop kills all.
+// stop kills all nodes, and waits for the ends of their goroutines.
 func (t *testCluster) stop() {
 	for i := range t.settings {
 		t.kill(i)
@@ -79,7 +79,7 @@
 	t.running[i] = h
 }
 
-// kill ends a node as a killed process ends, but for the writes that are under way.
+// kill ends a node as a killed process ends, except that a write under way is completed.
 func (t *testCluster) kill(i int) {
 	h := t.running[i]
 	if h == nil {
@@ -114,7 +114,7 @@
 	t.settings[i].FirstBoot = false
 }
 
-// eventually waits for what is to come.
+// eventually waits until something holds.
 func (t *testCluster) eventually(what string, is func() bool) {
 	t.t.Helper()
 	tick := time.NewTicker(10 * time.Millisecond)
@@ -138,7 +138,7 @@
 	return a.StatusCode, string(text)
 }
 
-// callUntilClear calls until the answer is a clear one, as an operator does, which is to have that status.
+// callUntilClear repeats a call, as an operator does, until its outcome is known, and checks the status.
 func (t *testCluster) callUntilClear(i, want int, method, path, body string) (text string) {
 	t.t.Helper()
 	status := 0
@@ -158,7 +158,7 @@
 	return s
 }
 
-// eventuallyAll waits until every node that lives says so of itself.
+// eventuallyAll waits until the status of each running node shows something.
 func (t *testCluster) eventuallyAll(what string, is func(s controlapi.NodeStatus) bool) {
 	t.t.Helper()
 	for i := range t.running {
@@ -176,8 +176,8 @@
 	return fmt.Sprintf(`{"target":"s","address":"127.0.0.1:9","zone":"z","capacity":1,"phase":%q,"call_seq":%d}`, phase, seq)
 }
 
-// A life of four nodes, three with a disk: they found, all get a slot, changes are taken through any of them and
-// followed by all; one that is killed comes back with what its disk holds, one that lost its disk is let in again.
+// Four nodes, three with a disk: they bootstrap, all get a slot, changes are taken through any of them and applied by all; a node that is
+// killed comes back with what its disk holds, and one that lost its disk is added again.
 func TestNode(t *testing.T) {
 	const replace, read = "/api/Config.Replace", "/api/Config.Read"
 	d := startCluster(t, 4)
--- a/internal/gateway/node/partition_days_test.go
+++ b/internal/gateway/node/partition_days_test.go
@@ -11,8 +11,8 @@
 	"clovergap/internal/lab/spec"
 )
 
-// Each defence of a node without word of a majority is missed by a simulated day, in which a core node is cut off for twenty seconds
-// while nodes without a disk stand still. See simulation.TestPartedForTwentySeconds, where all hold.
+// Each defence of a node without contact with a majority is missed by a simulated day, in which a member is partitioned for twenty seconds
+// while learners are paused. See simulation.TestPartedForTwentySeconds, where all hold.
 func TestPartitionedNodesNeedTheirDefences(t *testing.T) {
 	play := func(seed uint64) *simulation.Result {
 		span := func(s float64) spec.Span { return spec.Span(s * float64(time.Second)) }
@@ -38,9 +38,9 @@
 	}
 }
 
-// A core node that hears the leader and is heard by no other node with a disk is told of no end, and those who follow it are told by
-// nobody else: had it gone by that it hears a leader, they would send requests to backends that said long ago that they leave. It
-// was so on the drawn day 22 of the auctions: see docs/incidents/rau-subastas-22.md.
+// A member that receives from the leader, while no other member receives from it, learns of no drain, and its learners learn it from no other
+// node: had it gone by that it knows a leader, they would send requests to backends that have drained long ago. It was so on the drawn
+// day 22 of the auctions: see docs/incidents/rau-subastas-22.md.
 func TestDrainsWhileOneIsNotHeard(t *testing.T) {
 	play := func(seed uint64) *simulation.Result {
 		span := func(s float64) spec.Span { return spec.Span(s * float64(time.Second)) }
--- a/internal/gateway/node/partition_test.go
+++ b/internal/gateway/node/partition_test.go
@@ -14,7 +14,7 @@
 	"clovergap/internal/gateway/settings"
 )
 
-// partitionedLinks is a node's links to the others with what it says to some lost, as long as it is set: it is read and set in turns.
+// partitionedLinks lose what a node sends to some others, as long as drops is set. It is read and set in turns.
 type partitionedLinks struct {
 	Links
 	drops func(addr string) bool
@@ -27,7 +27,7 @@
 	return p.Links.Send(to, f)
 }
 
-// partition cuts one node off from the others with a disk: what it says, what they say, or both; an empty way joins them again.
+// partition cuts one node off from the other nodes with a disk: what it sends ("out"), what they send ("in"), or "both"; "" heals it.
 func (t *testCluster) partition(i int, way string) {
 	for o, h := range t.running {
 		h.loop.Turn(func() {
@@ -53,7 +53,7 @@
 	return slices.ContainsFunc(t.settings[:3], func(s *settings.Settings) bool { return s.IPAddress+":17560" == addr })
 }
 
-// violations is what a node that is cut off does and must not.
+// violations are what a partitioned node does and must not.
 func (t *testCluster) violations(i, last int) (all []string) {
 	h, b := t.running[i], t.settings[i].Bounds
 	bad := func(is bool, what string) {
@@ -88,15 +88,15 @@
 	return all
 }
 
-// setKnobs has a node go without a defence from now on, in a turn.
+// setKnobs takes out defences of a node from now on, in a turn.
 func (t *testCluster) setKnobs(h *Node, knobs TestingKnobs) {
 	h.knobs = knobs
 	h.registry.SetConfig(registry.Config{HeartbeatInterval: h.settings.HeartbeatInterval, MinCopies: h.minDrainCopies()})
 }
 
-// On four real nodes, one with a disk is cut off from the others that have one: who leads, both ways, for twenty seconds; then who
-// leads or another, one way or the other. The others go on, and so does the node that followed it; it does nothing that takes a
-// majority, and comes back. Without its defences it is found out.
+// On four real nodes, one with a disk is partitioned from the others that have one: the leader, both ways, for twenty seconds; then the
+// leader or another one, one way or the other. The others go on, and so does the learner that it had; it does nothing that requires a
+// majority, and comes back. Without its defences the violations show.
 func TestCutOffNode(t *testing.T) {
 	d := startCluster(t, 4)
 	d.eventuallyAll("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
@@ -156,8 +156,8 @@
 	}
 }
 
-// checkReturn: a node without a disk that follows a node that is cut off hears from it that all others are gone. It goes to one of
-// these all the same, by the links that it has; as long as it went by that word, it stayed for as long as the cut lasted.
+// checkReturn checks that a learner leaves an upstream that is partitioned and reports all others as gone: it goes to one of these by the
+// links that it has. As long as it believed the report, it stayed for as long as the partition lasted.
 func (t *testCluster) checkReturn(at int) {
 	cut := t.running[at].peerAddr
 	t.eventually("all others to count as gone", func() (gone bool) {
--- a/internal/gateway/node/readiness.go
+++ b/internal/gateway/node/readiness.go
@@ -4,7 +4,7 @@
 	"clovergap/internal/gateway/quorumcontact"
 )
 
-// Ready tells whether clients may come.
+// Ready reports whether clients may come.
 func (n *Node) Ready() bool { return len(n.unreadyReasons()) == 0 }
 
 // unreadyReasons are why clients may not come, for operators; none: they may.
--- a/internal/gateway/node/replica_host.go
+++ b/internal/gateway/node/replica_host.go
@@ -50,14 +50,14 @@
 	}
 }
 
-// advance tells the replica the time. What it decides is handled at the end of the turn.
+// advance gives the replica the time. What it decides is handled at the end of the turn.
 func (r *replicaHost) advance() *replication.Replica {
 	r.ready = true
 	r.replica.Tick(r.node.loop.Now())
 	return r.replica
 }
 
-// memberAddr is where a member's node says that it is; the list of members may name an older address.
+// memberAddr is the present address of a member's node; the list of members may name an older one.
 func (n *Node) memberAddr(m replication.Member) string {
 	if d, ok := n.roster.Node(m.Addr); ok && replication.MemberID(d.Disk) == m.ID {
 		return m.Addr
@@ -73,7 +73,7 @@
 // replicaTimer is a replica's next deadline.
 type replicaTimer replicaHost
 
-// Live tells whether no later deadline took this one's place.
+// Live reports whether no later deadline took this one's place.
 func (r *replicaTimer) Live(seq uint32) bool { return seq == r.timerSeq }
 
 // Due advances the replica.
--- a/internal/gateway/node/shutdown.go
+++ b/internal/gateway/node/shutdown.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// ContinueShutdown does what is due so long after BeginShutdown, and tells whether all is done.
+// ContinueShutdown does what is due so long after BeginShutdown, and reports whether all is done.
 func (n *Node) ContinueShutdown(since time.Duration) bool {
 	replicated := n.core == nil || n.core.replicatedElsewhere() && n.groups.replicatedElsewhere()
 	if since < drainDelay {
@@ -44,7 +44,7 @@
 	return replicated && n.gate.Held() == 0 && n.frontend.Clients() == 0
 }
 
-// replicatedElsewhere tells whether a majority without this member has what it knows as committed. If it leads still, or again, it hands
+// replicatedElsewhere reports whether a majority without this member has what it knows as committed. If it leads still, or again, it hands
 // over.
 func (c *core) replicatedElsewhere() bool {
 	c.replica.Tick(c.node.loop.Now())
--- a/internal/gateway/node/testingknobs.go
+++ b/internal/gateway/node/testingknobs.go
@@ -7,7 +7,7 @@
 	Contact quorumcontact.TestingKnobs
 	// AckDrainWithoutCopies acknowledges the drain of a backend on however few copies there are.
 	AckDrainWithoutCopies bool
-	// TrustStaleUpstream has a node without a disk believe its upstream on who lives, however old the upstream's contact is.
+	// TrustStaleUpstream has a node without a disk believe its upstream on which nodes live, however old the upstream's contact is.
 	TrustStaleUpstream bool
 }
 
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -68,7 +68,7 @@
 	return &Tracker{config: config, clock: replication.NewClock(config.Incarnation), stream: contact{appliedAsOf: never}}
 }
 
-// IsLeader tells whether this node leads the configuration log. The replica's clock runs first: a leader that was paused does not know
+// IsLeader reports whether this node leads the configuration log. The replica's clock runs first: a leader that was paused does not know
 // that it was missed.
 func (t *Tracker) IsLeader(now time.Duration) bool {
 	if t.config.Replica == nil {
@@ -117,12 +117,12 @@
 	return FollowerPartitioned
 }
 
-// Permits tells whether the node has a permission now; configured: a configuration is in force here.
+// Permits reports whether the node has a permission now; configured: a configuration is in force here.
 func (t *Tracker) Permits(p Permission, configured bool, now time.Duration) bool {
 	return (configured || !rules[p].needsConfig) && t.SufficesFor(p, now)
 }
 
-// SufficesFor tells whether the contact suffices for a permission, whatever the configuration.
+// SufficesFor reports whether the contact suffices for a permission, whatever the configuration.
 func (t *Tracker) SufficesFor(p Permission, now time.Duration) bool {
 	if t.config.Knobs.grants(p) {
 		return true
@@ -135,7 +135,7 @@
 	return r.states&t.State(maxAge(t.config.Bounds), now) != 0
 }
 
-// grants tells whether a permission is granted without its defence.
+// grants reports whether a permission is granted without its defence.
 func (t *TestingKnobs) grants(p Permission) bool {
 	switch p {
 	case AcknowledgeDrain:
@@ -173,7 +173,7 @@
 	}
 }
 
-// IsStaleTerm tells whether a term is older than the newest that an upstream reported: its sender has missed a change of leaders.
+// IsStaleTerm reports whether a term is older than the newest that an upstream reported: its sender has missed a change of leaders.
 func (t *Tracker) IsStaleTerm(term uint64) bool {
 	return term < t.stream.term && !t.config.Knobs.AcceptOlderTerms
 }
