--- a/internal/gateway/logstore/errors_test.go
+++ b/internal/gateway/logstore/errors_test.go
@@ -40,7 +40,7 @@
 		store, state, err := Open(dir)
 		must.NoError(t, err)
 		must.NoError(t, store.Write([]replication.LogWrite{{Log: group, Write: replication.Write{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
-			Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: state.ID}}},
+			Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: state.ID}}},
 			Entries:  []replication.Entry{entry(2, 1, "a"), entry(3, 1, "b")}}}}))
 		must.NoError(t, store.file.Update(c.spoil))
 		must.NoError(t, store.Close())
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -68,7 +68,7 @@
 // CoreMessage is a message between members of the configuration log.
 type CoreMessage struct {
 	From    replication.MemberID
-	Message replication.Message
+	Message replication.WireMessage
 	Hears   []byte // at times: the sender's liveness report, see heartbeat.go
 }
 
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -104,7 +104,7 @@
 
 // coreMessage is a message of the log to another member, with the liveness report if one waits.
 func (c *core) coreMessage(addr string, m replication.Message) *CoreMessage {
-	message := &CoreMessage{From: c.self.ID, Message: m}
+	message := &CoreMessage{From: c.self.ID, Message: m.Wire()}
 	if state := c.liveness[addr]; state.pendingSince > 0 {
 		state.pendingSince = 0
 		c.liveness[addr] = state
