--- a/internal/gateway/registry/doc.go
+++ b/internal/gateway/registry/doc.go
@@ -10,7 +10,7 @@
 //     over the live nodes with a disk, in the backend's own zone where one lives there (ownerFor); without a live disk, over
 //     all live nodes. Each answer to a heartbeat names the owner's control address, so that backends turn to it by themselves.
 //   - Fencing token: counts a backend's changes of owner; 0 means that it has none yet.
-//   - Departure: that a backend is draining, or has deregistered. Both are final: neither is ever taken back.
+//   - Departure: that a backend is draining, or has deregistered. Neither is taken back as long as the backend is remembered.
 //   - Follower: a node without a disk, which takes its updates from one node with a disk, its upstream.
 //   - Full sync: everything that a node sends to one that begins to follow it.
 //   - Suspicion: a node's observation that another backend answers at a backend's address (HTTP 421), on its way to the owner.
@@ -18,7 +18,8 @@
 // # How updates travel
 //
 // Heartbeats do not travel, changes alone do: the owner sends them to the other nodes with a disk, and each of these to its
-// followers. Nodes without a disk send each other nothing, so that what goes over one link does not grow with their number.
+// followers. As long as a node with a disk lives, nodes without one send each other nothing, so that what goes over one link does not grow
+// with their number.
 // Messages carry a sequence number, are acknowledged, resent with a growing interval, and limited to maxInFlight a peer;
 // a peer that acknowledges nothing is probed alone, and synced anew once it answers.
 //
@@ -31,7 +32,8 @@
 //   - A departure is confirmed (Acknowledge with Confirmed) only once Config.MinCopies nodes with a disk have it, one more
 //     than may be lost at once, and as a rule once each node has it that this one informs. Copies that are merely all in
 //     reach prove nothing in the first moments of a partition: where fewer than MinCopies disks are in reach, the call fails at
-//     once and the backend turns to another node. See pendingCall.
+//     once and the backend turns to another node. Where no disk is known at all, all nodes count; the only node there is
+//     confirms by itself. See pendingCall.
 //   - Only what a peer acknowledged or sent in its present incarnation proves a copy: a late message of a former one, whose memory
 //     is lost, is none.
 //   - A backend is timed out after missedHeartbeats intervals without a heartbeat, by its owner alone. (A node that sees another
--- a/internal/gateway/transport/doc.go
+++ b/internal/gateway/transport/doc.go
@@ -12,7 +12,7 @@
 // # Guarantees
 //
 //   - A link is dialed until it is up or no longer wanted, with a backoff between minRedialBackoff and maxRedialBackoff; a
-//     handshake of its target ends a pause or a dial that hangs at once.
+//     handshake of its target ends a backoff or a dial that hangs at once.
 //   - Frames of one link arrive in the order of Send, at most once, and only from the newest stream of their sender: a
 //     connection of a former incarnation that is read late, or that a power loss left open, delivers nothing any more.
 //   - Nothing is delivered for sure. What was sent before LinkUp, or waits when a link ends, is lost; a link's queue holds
