--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -126,8 +126,9 @@
 }
 
 // readEntries reads all entries in the order of their indexes.
-func (l logBuckets) readEntries() (entries []replication.Entry, err error) {
-	err = l.entries.ForEach(func(key, value []byte) error {
+func (l logBuckets) readEntries() ([]replication.Entry, error) {
+	var entries []replication.Entry
+	err := l.entries.ForEach(func(key, value []byte) error {
 		var stored storedEntry
 		if err := decodeGob(value, &stored); err != nil {
 			return logError(fmt.Sprintf("read entry %x", key), l.id, l.names.entries, err)
--- a/internal/gateway/logstore/file.go
+++ b/internal/gateway/logstore/file.go
@@ -124,42 +124,53 @@
 	return errA == nil && errB == nil && bytes.Equal(bytesA, bytesB)
 }
 
-// readFile reads all that a file holds. It is opened for reading only: opening one that is broken for writing can end the whole process.
-// The error is a CorruptError where the content is to blame.
-func readFile(path string) (c contents, err error) {
-	switch info, err := os.Stat(path); {
-	case errors.Is(err, os.ErrNotExist):
-		return c, nil
-	case err != nil:
-		return c, fileError("look for", path, err)
-	case info.Size() == 0: // a process ended before its first write
-		return c, nil
+// readFile reads all that a file holds; one that is not there, or has no bytes, holds nothing. The error is a CorruptError where the
+// content is to blame.
+func readFile(path string) (contents, error) {
+	info, err := os.Stat(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return contents{}, nil
 	}
+	if err != nil {
+		return contents{}, fileError("look for", path, err)
+	}
+	if info.Size() == 0 { // a process ended before its first write
+		return contents{}, nil
+	}
+	c, err := openAndRead(path)
+	if errors.Is(err, os.ErrPermission) || errors.Is(err, berrors.ErrTimeout) {
+		return contents{}, fileError("open", path, err)
+	}
+	if err != nil {
+		return contents{}, &CorruptError{Path: path, Err: err}
+	}
+	return c, nil
+}
+
+// openAndRead opens a file for reading only, since opening one that is broken for writing can end the whole process, and reads it.
+func openAndRead(path string) (contents, error) {
+	var c contents
 	var file *os.File
-	err = recoverFault(func() error {
-		db, err := bbolt.Open(path, fileMode, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout,
-			OpenFile: func(name string, flag int, mode os.FileMode) (_ *os.File, err error) {
-				file, err = os.OpenFile(name, flag, mode)
-				return file, err
-			}})
+	options := &bbolt.Options{ReadOnly: true, Timeout: lockTimeout}
+	options.OpenFile = func(name string, flag int, mode os.FileMode) (*os.File, error) {
+		opened, err := os.OpenFile(name, flag, mode)
+		file = opened
+		return opened, err
+	}
+	err := recoverFault(func() error {
+		db, err := bbolt.Open(path, fileMode, options)
 		if err != nil {
 			return err
 		}
 		c, err = readContents(db)
 		return errors.Join(err, db.Close())
 	})
-	if err == nil {
-		return c, nil
-	}
-	if file != nil {
+	if err != nil && file != nil {
 		// A panic leaves it open, mapped and locked; the lock would last as long as the mapping.
 		_ = unix.Flock(int(file.Fd()), unix.LOCK_UN)
 		file.Close()
 	}
-	if errors.Is(err, os.ErrPermission) || errors.Is(err, berrors.ErrTimeout) {
-		return contents{}, fileError("open", path, err)
-	}
-	return contents{}, &CorruptError{Path: path, Err: err}
+	return c, err
 }
 
 // readContents reads all logs.
