--- a/internal/gateway/logstore/file_test.go
+++ b/internal/gateway/logstore/file_test.go
@@ -33,7 +33,7 @@
 // foundingWrite is the first one of a cluster with one member.
 func foundingWrite(id replication.MemberID) replication.Write {
 	return replication.Write{ClusterID: 5, Term: 1, Vote: id, Commit: 1, FirstIndex: 2,
-		Snapshot: &replication.Snapshot{Index: 1, View: 1, Members: []replication.Member{{ID: id, Addr: "a"}}}}
+		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: id, Addr: "a"}}}}
 }
 
 // names are those of the files in a folder.
--- a/internal/gateway/logstore/stored.go
+++ b/internal/gateway/logstore/stored.go
@@ -53,19 +53,19 @@
 }
 
 func storeSnapshot(s *replication.Snapshot) storedSnapshot {
-	return storedSnapshot{Index: s.Index, View: s.View, Members: storeMembers(s.Members), State: s.State}
+	return storedSnapshot{Index: s.Index, View: s.Term, Members: storeMembers(s.Members), State: s.State}
 }
 
 func (s storedSnapshot) snapshot() replication.Snapshot {
-	return replication.Snapshot{Index: s.Index, View: s.View, Members: membersOf(s.Members), State: s.State}
+	return replication.Snapshot{Index: s.Index, Term: s.View, Members: membersOf(s.Members), State: s.State}
 }
 
 func storeEntry(e *replication.Entry) storedEntry {
-	return storedEntry{Index: e.Index, View: e.View, Kind: e.Kind, Data: e.Data, Members: storeMembers(e.Members)}
+	return storedEntry{Index: e.Index, View: e.Term, Kind: e.Kind, Data: e.Data, Members: storeMembers(e.Members)}
 }
 
 func (s storedEntry) entry() replication.Entry {
-	return replication.Entry{Index: s.Index, View: s.View, Kind: s.Kind, Data: s.Data, Members: membersOf(s.Members)}
+	return replication.Entry{Index: s.Index, Term: s.View, Kind: s.Kind, Data: s.Data, Members: membersOf(s.Members)}
 }
 
 // storeMembers gives nil for none: most entries have no members.
--- a/internal/gateway/node/call_chunks_test.go
+++ b/internal/gateway/node/call_chunks_test.go
@@ -38,15 +38,15 @@
 	address string
 }
 
-func (e *linkEnd) Send(to string, f *Frame) bool {
-	e.link.queued[to] = append(e.link.queued[to], f)
+func (l *linkEnd) Send(to string, f *Frame) bool {
+	l.link.queued[to] = append(l.link.queued[to], f)
 	n := 0
-	for _, f := range e.link.queued[to] {
+	for _, f := range l.link.queued[to] {
 		if f.Part != nil && f.Part.Chunk != nil {
 			n += len(f.Part.Chunk.Data)
 		}
 	}
-	e.link.maxInFlight = max(e.link.maxInFlight, n)
+	l.link.maxInFlight = max(l.link.maxInFlight, n)
 	return true
 }
 
@@ -58,9 +58,10 @@
 		life uint64
 	}{{&w.sender, senderAddr, 11}, {&w.receiver, receiverAddr, 12}} {
 		h := newLearner(t, "10.0.0.8:7110")
-		h.loop, h.links, h.incarnation, h.upstream = withoutAlarms{w.clock}, &linkEnd{link: w, address: x.me}, x.life, ""
+		h.loop, h.links, h.incarnation = withoutAlarms{w.clock}, &linkEnd{link: w, address: x.me}, x.life
 		h.settings.Bounds = settings.Bounds{InTouch: time.Hour}
-		h.calls, h.startedAt = newCallRouter(h, h.incarnation), w.clock.now
+		h.calls = newCallRouter(h, h.incarnation)
+		h.openLogStream() // it has no upstream yet
 		h.groups, h.coordination = &groupHost{env: h}, coordination.New((*coordinationEnv)(h), coordination.Config{})
 		h.calls.chunks.supportedBy = map[string]bool{senderAddr: true, receiverAddr: true}
 		*x.h = h
@@ -69,47 +70,50 @@
 }
 
 // deliver brings one frame, or loses it; false: there was none.
-func (w *callLink) deliver(to string, lose bool) bool {
-	if len(w.queued[to]) == 0 {
+func (c *callLink) deliver(to string, lose bool) bool {
+	if len(c.queued[to]) == 0 {
 		return false
 	}
-	f := w.queued[to][0]
-	w.queued[to] = w.queued[to][1:]
+	f := c.queued[to][0]
+	c.queued[to] = c.queued[to][1:]
 	switch {
 	case lose:
 		return true
 	case f.Part != nil && f.Part.Chunk != nil:
-		w.chunkBytes += len(f.Part.Chunk.Data)
+		c.chunkBytes += len(f.Part.Chunk.Data)
 	}
 	if to == receiverAddr {
-		w.receiver.calls.chunks.receive(senderAddr, f.Part)
+		c.receiver.calls.chunks.receive(senderAddr, f.Part)
 	} else {
-		w.sender.calls.chunks.receive(receiverAddr, f.Part)
+		c.sender.calls.chunks.receive(receiverAddr, f.Part)
 	}
 	return true
 }
 
 // forward has a call of a begin that goes to b.
-func (w *callLink) forward(body []byte, then func(int, []byte)) uint32 {
-	w.sender.calls.lastSequence++
-	nr, until := w.sender.calls.lastSequence, w.clock.now+callTimeout
-	w.sender.calls.pending[nr] = &pendingCall{kind: statemachine.KindReplaceConfig, body: body, deadline: until, sentTo: receiverAddr, recipients: []string{receiverAddr}, done: then}
-	must.True(w.t, w.sender.calls.chunks.sendCall(receiverAddr, nr, &Call{Asker: w.sender.incarnation, Nr: nr, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}, until))
+func (c *callLink) forward(body []byte, then func(int, []byte)) uint32 {
+	c.sender.calls.lastSequence++
+	nr, until := c.sender.calls.lastSequence, c.clock.now+callTimeout
+	c.sender.calls.pending[nr] = &pendingCall{kind: statemachine.KindReplaceConfig, body: body, deadline: until, sentTo: receiverAddr, recipients: []string{receiverAddr}, done: then}
+	must.True(c.t, c.sender.calls.chunks.sendCall(receiverAddr, nr, &Call{Asker: c.sender.incarnation, Nr: nr, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}, until))
 	return nr
 }
 
-func (w *callLink) run(steps int, lose func(i int) bool) {
+func (c *callLink) run(steps int, lose func(i int) bool) {
 	for i := range steps {
-		if !w.deliver(receiverAddr, lose(i)) && !w.deliver(senderAddr, lose(i)) {
-			w.clock.now += tickInterval
-			w.sender.calls.chunks.tick()
-			w.receiver.calls.chunks.tick()
+		if !c.deliver(receiverAddr, lose(i)) && !c.deliver(senderAddr, lose(i)) {
+			c.clock.now += tickInterval
+			c.sender.calls.chunks.tick()
+			c.receiver.calls.chunks.tick()
 		}
 	}
 }
 
 func filler(size int) []byte { return bytes.Repeat([]byte("0123456789abcdefghi\n"), size/20) }
 
+// farFuture is a deadline that no test meets.
+const farFuture = 24 * time.Hour
+
 func loseNone(int) bool { return false }
 
 // A call of 1 MB was one frame: on a link of 2 Mbit/s all heartbeats waited behind it for 4 s. Its parts have 16 KB in flight, whichever of
@@ -121,9 +125,9 @@
 		var answer []byte
 		w.forward(body, func(status int, b []byte) { answer = b })
 		for _, c := range w.sender.calls.chunks.outgoing[receiverAddr] {
-			c.deadline = neverAge
+			c.deadline = farFuture
 		}
-		w.sender.calls.pending[1].deadline = neverAge
+		w.sender.calls.pending[1].deadline = farFuture
 		lose := func(i int) bool { return every > 0 && i%every == 0 }
 		for i := 0; i < 20000 && len(w.receiver.calls.pending) == 0; i++ {
 			w.run(1, func(int) bool { return lose(i) })
@@ -133,7 +137,7 @@
 		must.LessEq(t, streamConfig.MaxInflightBytes, w.maxInFlight)
 		w.receiver.calls.end(1, 200, body)
 		for _, c := range w.receiver.calls.chunks.outgoing[senderAddr] {
-			c.deadline = neverAge
+			c.deadline = farFuture
 		}
 		for i := 0; i < 20000 && answer == nil; i++ {
 			w.run(1, func(int) bool { return lose(i) })
@@ -198,11 +202,11 @@
 	w.receiver.calls.chunks.tick()
 	must.MapEmpty(t, w.receiver.calls.chunks.incoming)
 	for range maxTransfers {
-		must.True(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, neverAge))
+		must.True(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, farFuture))
 	}
-	must.False(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, neverAge))
+	must.False(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, farFuture))
 	w.sender.calls.chunks.supportedBy[receiverAddr] = false // a program of the version before
 	w.queued = map[string][]*Frame{}
-	w.sender.calls.chunks.sendCall(receiverAddr, 2, &Call{Nr: 2, Body: filler(1 << 20)}, neverAge)
+	w.sender.calls.chunks.sendCall(receiverAddr, 2, &Call{Nr: 2, Body: filler(1 << 20)}, farFuture)
 	must.Eq(t, 1<<20/20*20, len(w.queued[receiverAddr][0].Call.Body))
 }
--- a/internal/gateway/node/call_replies_test.go
+++ b/internal/gateway/node/call_replies_test.go
@@ -15,17 +15,17 @@
 )
 
 // inTurn is something done, or looked at, in a node's turn.
-func (d *testCluster) inTurn(i int, do func(h *Node)) {
-	d.running[i].loop.Turn(func() { do(d.running[i]) })
+func (t *testCluster) inTurn(i int, do func(h *Node)) {
+	t.running[i].loop.Turn(func() { do(t.running[i]) })
 }
 
 // awaitLeader is the number of the node that leads.
-func (d *testCluster) awaitLeader() (leader int) {
-	d.t.Helper()
+func (t *testCluster) awaitLeader() (leader int) {
+	t.t.Helper()
 	leader = -1
-	d.eventually("a leader", func() bool {
-		for i := range d.running {
-			d.inTurn(i, func(h *Node) {
+	t.eventually("a leader", func() bool {
+		for i := range t.running {
+			t.inTurn(i, func(h *Node) {
 				if h.core != nil && h.core.replica.IsLeader() {
 					leader = i
 				}
@@ -37,11 +37,11 @@
 }
 
 // pause holds nodes in a turn each until they are told to go on.
-func (d *testCluster) pause(which ...int) (goOn func()) {
+func (t *testCluster) pause(which ...int) (goOn func()) {
 	end := make(chan bool)
 	for _, i := range which {
 		standing := make(chan bool)
-		go d.running[i].loop.Turn(func() {
+		go t.running[i].loop.Turn(func() {
 			close(standing)
 			<-end
 		})
@@ -49,7 +49,7 @@
 	}
 	var once sync.Once
 	goOn = func() { once.Do(func() { close(end) }) }
-	d.t.Cleanup(goOn) // a test that fails must end all the same
+	t.t.Cleanup(goOn) // a test that fails must end all the same
 	return goOn
 }
 
@@ -60,13 +60,13 @@
 	d.callUntilClear(3, 200, "POST", "/api/Config.Replace", configBody(7, 0))
 	leader, is, answer, nr := 0, false, make(chan int, 1), uint32(0)
 	hasSlot := func(h *Node) bool {
-		return h.slot() != membership.NoSlot && h.upstream == d.running[leader].peerAddr && h.streamReceivedAt >= h.streamRequestedAt
+		return h.slot() != membership.NoSlot && h.streamReceiver.upstream == d.running[leader].peerAddr && h.streamReceiver.answeredAt >= h.streamReceiver.requestedAt
 	}
 	d.eventually("to follow the leader", func() bool {
 		leader = d.awaitLeader()
 		d.inTurn(3, func(h *Node) {
-			if h.upstream != d.running[leader].peerAddr {
-				h.requestStream(d.running[leader].peerAddr)
+			if h.streamReceiver.upstream != d.running[leader].peerAddr {
+				h.streamReceiver.request(d.running[leader].peerAddr)
 			}
 			is = hasSlot(h) && len(h.calls.pending) == 0
 		})
@@ -153,7 +153,7 @@
 		return n
 	}
 	d.inTurn(0, func(h *Node) {
-		h.startedAt = h.loop.Now() // one that has just begun waits for whoever leads, later it would end calls at once
+		h.openLogStream() // one that has just begun waits for whoever leads, later it would end calls at once
 		must.Eq(t, 0, misled(callTestingKnobs{}))
 		must.Positive(t, misled(callTestingKnobs{matchBySequenceOnly: true}))
 	})
--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -43,7 +43,7 @@
 func (c *coordinationEnv) InputDelay() time.Duration { return c.loop.InputDelay() }
 
 // HasQuorumContact tells whether calls are worth their wait here.
-func (c *coordinationEnv) HasQuorumContact() bool { return (*Node)(c).permitted(permitCalls) }
+func (c *coordinationEnv) HasQuorumContact() bool { return (*Node)(c).mayTakeCalls() }
 
 // groupsApplication is the coordination service as the application of the groups. It logs the end of a group's leadership; the host
 // logs its beginning.
@@ -76,7 +76,7 @@
 	if leader, ok := n.groups.Leader(id); ok {
 		g.Leader = leader
 		if node, known := n.roster.Node(leader); known {
-			g.Control = node.Control
+			g.Control = node.ControlAddr
 		}
 	}
 	if replica, ok := n.GroupStatus(id); ok {
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -13,11 +13,11 @@
 
 // Frame is what nodes say to each other on their links: one of its fields is set. Fields that are nil cost nothing.
 type Frame struct {
-	Hello  *membership.Hello
+	Hello  *membership.WireHello
 	Ping   *Heartbeat
 	Found  []replication.Member // who begins the core
 	Core   *CoreMessage
-	Board  *registry.Message
+	Board  *registry.WireMessage
 	Follow *StreamRequest
 	Feed   *StreamData
 	Call   *Call
@@ -79,7 +79,7 @@
 // CoreMessage is a message between members of the core.
 type CoreMessage struct {
 	From    replication.MemberID
-	Message replication.Message
+	Message replication.WireMessage
 	Hears   []byte // at times: the slots that the sender hears, in the place of a Ping between nodes with a disk
 }
 
--- a/internal/gateway/node/patience_test.go
+++ b/internal/gateway/node/logstream_receiver_test.go
@@ -7,6 +7,8 @@
 	"github.com/shoenig/test/must"
 
 	"clovergap/internal/gateway/membership"
+	"clovergap/internal/gateway/quorumcontact"
+	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/settings"
 )
 
@@ -16,7 +18,7 @@
 func TestNobodyLeads(t *testing.T) {
 	h := newLearner(t, "10.0.0.1:7110", "10.0.0.2:7110")
 	now := h.loop.Now()
-	first := h.upstream
+	first := h.streamReceiver.upstream
 	other := map[string]string{"10.0.0.1:7110": "10.0.0.2:7110", "10.0.0.2:7110": "10.0.0.1:7110"}[first]
 	for i := range 40 {
 		now += tickInterval
@@ -24,42 +26,42 @@
 		h.roster.Tick(now)
 		for _, a := range []string{first, other} {
 			h.roster.FrameReceived(a)
-			h.upstreamContactAt = now
-			h.upstreamReports[a] = upstreamReport{now, neverAge + time.Duration(i)*heartbeatInterval, 0, 0} // it has just started and knows of no leader
+			h.streamReceiver.lastFrameAt = now
+			h.streamReceiver.reports[a] = upstreamReport{now, quorumcontact.UnknownAge + time.Duration(i)*heartbeatInterval, 0, 0} // it has just started and knows of no leader
 		}
-		h.upstreamReports[other] = upstreamReport{now, neverAge - 10*time.Second, 0, 0} // this one did a while ago
-		h.streamReceivedAt = now
-		h.checkUpstream()
-		must.Eq(t, first, h.upstream)
+		h.streamReceiver.reports[other] = upstreamReport{now, quorumcontact.UnknownAge - 10*time.Second, 0, 0} // this one did a while ago
+		h.streamReceiver.answeredAt = now
+		h.streamReceiver.check()
+		must.Eq(t, first, h.streamReceiver.upstream)
 	}
 	// One that knows of a leader is changed over to.
-	h.upstreamReports[other] = upstreamReport{now, 0, 0, 0}
+	h.streamReceiver.reports[other] = upstreamReport{now, 0, 0, 0}
 	h.loop.(*manualClock).now = now + minStreamRetry
 	h.roster.Tick(now + minStreamRetry)
-	h.checkUpstream()
-	must.Eq(t, other, h.upstream)
+	h.streamReceiver.check()
+	must.Eq(t, other, h.streamReceiver.upstream)
 }
 
 // A node that says something, but not yet what was asked, has much to do: it is waited for, and not for ever.
 func TestBusyFeederIsWaitedFor(t *testing.T) {
 	h := newLearner(t, "10.0.0.1:7110", "10.0.0.2:7110")
-	first, asked := h.upstream, h.streamRequestedAt
-	h.streamReceivedAt = asked - 1
+	first, asked := h.streamReceiver.upstream, h.streamReceiver.requestedAt
+	h.streamReceiver.answeredAt = asked - 1
 	for now := asked; now <= asked+busyUpstreamTimeout+maxStreamRetry; now += tickInterval {
 		h.loop.(*manualClock).now = now
 		h.roster.Tick(now)
 		for _, d := range h.roster.Addrs() {
 			h.roster.FrameReceived(d)
 		}
-		h.upstreamContactAt = now
-		h.upstreamReports[first] = upstreamReport{now, 0, 0, 0}
-		h.checkUpstream()
+		h.streamReceiver.lastFrameAt = now
+		h.streamReceiver.reports[first] = upstreamReport{now, 0, 0, 0}
+		h.streamReceiver.check()
 		if now-asked < busyUpstreamTimeout {
-			must.Eq(t, first, h.upstream)
-			must.Eq(t, asked, h.streamRequestedAt) // nor asked again
+			must.Eq(t, first, h.streamReceiver.upstream)
+			must.Eq(t, asked, h.streamReceiver.requestedAt) // nor asked again
 		}
 	}
-	must.NotEq(t, asked, h.streamRequestedAt)
+	must.NotEq(t, asked, h.streamReceiver.requestedAt)
 }
 
 // manualClock is a node's time that a test sets.
@@ -77,14 +79,15 @@
 
 // newLearner is a node without a disk that follows one of these.
 func newLearner(t *testing.T, disks ...string) *Node {
-	h := &Node{settings: &settings.Settings{NodeName: "node"}, log: newLogger("node"), loop: &manualClock{now: time.Minute}, links: discardingLinks{}, upstreamReports: map[string]upstreamReport{},
-		learners: map[string]*learner{}}
-	h.roster = membership.New(membership.Node{Name: "node", Addr: "10.0.0.9:7110"}, membership.Config{}, h.loop.Now())
+	h := &Node{settings: &settings.Settings{NodeName: "node"}, log: newLogger("node"), table: routing.NewTable(nil),
+		loop: &manualClock{now: time.Minute}, links: discardingLinks{}, peerAddr: "10.0.0.9:7110"}
+	h.roster = membership.New(membership.Node{Name: "node", Addr: h.peerAddr}, membership.Config{}, h.loop.Now())
 	for i, a := range disks {
-		h.roster.HandleHello(a, membership.Hello{Door: membership.Node{Name: a, Addr: a, Disk: membership.Disk(i + 1), Life: 1, Founded: true}})
+		h.roster.HandleHello(a, membership.Hello{Node: membership.Node{Name: a, Addr: a, Disk: membership.Disk(i + 1), Incarnation: 1, Bootstrapped: true}})
 		h.roster.LinkUp(a)
 	}
-	h.checkUpstream()
-	must.NotEq(t, "", h.upstream)
+	h.openLogStream()
+	h.streamReceiver.check()
+	must.NotEq(t, "", h.streamReceiver.upstream)
 	return h
 }
