--- a/internal/gateway/ingress/handler.go
+++ b/internal/gateway/ingress/handler.go
@@ -286,7 +286,7 @@
 // Decline says that a request has not run and never will, and when it is best to come again.
 func (h *Handler) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
 	status := 503
-	if why == gate.LackUnits {
+	if why == control.ReasonNoUnits {
 		status = 429
 	}
 	h.end(who, txn, status, after)
@@ -295,7 +295,7 @@
 // Void makes no such promise.
 func (h *Handler) Void(who, txn slots.Ref, why control.Reason) {
 	status := 502
-	if c := h.in.Waits(who, txn); why == gate.LackTime || c != nil && visitOf(c).expiry <= h.clock.Now() {
+	if c := h.in.Waits(who, txn); why == control.ReasonNoTime || c != nil && visitOf(c).expiry <= h.clock.Now() {
 		status = 504
 	}
 	h.end(who, txn, status, 0)
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -49,7 +49,7 @@
 
 func (f *fakeModule) SubmissionEnded(id control.TxnID, _ int, _ control.BackendID, e control.Ending, over bool,
 	_ time.Duration, _ []float64) {
-	d := control.Decision{Action: control.Fail, Txn: id, Reason: gate.LackBackend}
+	d := control.Decision{Action: control.Fail, Txn: id, Reason: control.ReasonNoBackend}
 	if e == control.Rejected || e == control.Unreachable || e == control.NotSent {
 		d.Action = control.Reject
 	}
@@ -247,11 +247,11 @@
 		c.send(x.text)
 		c.hears("HTTP/1.1 " + x.line)
 	}
-	st.e.Turn(func() { st.module.lacking = gate.LackUnits })
+	st.e.Turn(func() { st.module.lacking = control.ReasonNoUnits })
 	c := st.client()
 	c.send(good)
 	c.hears("HTTP/1.1 429 Too Many Requests", "Retry-After: 1.500", "X-Attempt-Id: r")
-	st.e.Turn(func() { st.module.lacking = gate.LackBackend })
+	st.e.Turn(func() { st.module.lacking = control.ReasonNoBackend })
 	c.send(good)
 	c.hears("HTTP/1.1 503 Service Unavailable", "Retry-After: 1.500")
 	st.e.Turn(func() { st.node.unknown = true })
--- a/internal/lab/emulator/policies.go
+++ b/internal/lab/emulator/policies.go
@@ -68,9 +68,9 @@
 	t.over = true
 	product := s.d.w.s.Products[t.x.Product]
 	if product.Judged().Safe() || !t.ran && !t.out {
-		s.d.Decline(t.who, ref, 0, gate.LackBackend)
+		s.d.Decline(t.who, ref, 0, control.ReasonNoBackend)
 	} else {
-		s.d.Void(t.who, ref, gate.LackBackend)
+		s.d.Void(t.who, ref, control.ReasonNoBackend)
 	}
 }
 
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -308,7 +308,7 @@
 
 func (u *upstreams) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
 	status := 503
-	if why == gate.LackUnits {
+	if why == control.ReasonNoUnits {
 		status = 429
 	}
 	if t := u.of(who, txn); t != nil {
@@ -322,7 +322,7 @@
 		return
 	}
 	status := 502
-	if why == gate.LackTime || t.expiry <= u.p.Now() {
+	if why == control.ReasonNoTime || t.expiry <= u.p.Now() {
 		status = 504
 	}
 	u.answered(t, status, 0)
--- a/internal/proxy/gate/gate.go
+++ b/internal/proxy/gate/gate.go
@@ -30,16 +30,6 @@
 	Next() (control.Decision, bool)
 }
 
-// What a txn lacked, in the module's order and that of the counters.
-const (
-	LackTime control.Reason = iota
-	LackUnits
-	LackView
-	LackSlot
-	LackCeiling
-	LackBackend
-)
-
 // Front is where txns come from. It knows a txn by its own number for who waits and by the gate's for the txn,
 // so that a late word finds nobody else.
 type Front interface {
@@ -330,9 +320,9 @@
 	case t.flows && t.message(ref).spent(): // whatever the module would do, it can't go again
 		over, t.answered = true, true
 		if ran(o.Ending) {
-			g.void(ref, t, LackBackend)
+			g.void(ref, t, control.ReasonNoBackend)
 		} else {
-			g.decline(ref, t, 0, LackBackend)
+			g.decline(ref, t, 0, control.ReasonNoBackend)
 		}
 	}
 	g.node.Now(g.clock.Now())
