--- a/control/quota/bench_test.go
+++ b/control/quota/bench_test.go
@@ -47,7 +47,7 @@
 // One exchange of the quota as the gateway uses it: use is reported to the owner, which answers with a snapshot.
 func BenchmarkDatagramExchange(b *testing.B) {
 	const customers = 8
-	reporter, owner := NewLimiter(1, 0, 2, 0, gatewayTerms), NewLimiter(2, 1, 2, 0, gatewayTerms)
+	reporter, owner := NewLimiter(1, 0, 2, 0, gatewayConfig), NewLimiter(2, 1, 2, 0, gatewayConfig)
 	owned := make([]control.CustomerID, 0, customers)
 	for c := control.CustomerID(1); len(owned) < customers; c++ {
 		if OwnerOf(c, 0, 2, 2) == 1 {
--- a/control/quota/recorded_test.go
+++ b/control/quota/recorded_test.go
@@ -139,9 +139,9 @@
 }
 
 func TestQuotaDecidesAsRecorded(t *testing.T) {
-	even := gatewayTerms
+	even := gatewayConfig
 	even.Strict, even.InitialFill = false, 0.5
-	young := gatewayTerms
+	young := gatewayConfig
 	young.InitialFill, young.MinInterval = 1, 20*time.Millisecond
 	for _, tc := range []struct {
 		name  string
@@ -149,8 +149,8 @@
 		seed  int64
 		want  string
 	}{
-		{"by parts", gatewayTerms, 1, "141726 99c9d93c34a0c060"},
-		{"by parts, another seed", gatewayTerms, 2, "141732 c11524532d6d5d36"},
+		{"by parts", gatewayConfig, 1, "141726 99c9d93c34a0c060"},
+		{"by parts, another seed", gatewayConfig, 2, "141732 c11524532d6d5d36"},
 		{"by parts, all new", young, 3, "196913 bbf527c8f9084487"},
 		{"by share", even, 4, "141642 03abd78779a639e1"},
 	} {
