--- a/control/loadbalancer/control_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -31,27 +31,27 @@
 	// 10000 submit 1 to 1, 446
 	// 10000 submit 1 to 3, 496
 	// 10000 submit 1 to 2, 496
-	// 10000 decline 1, 2000
+	// 10000 reject 1, 2000
 	// # 2 inquiry-like, then ending 2
 	// 10000 submit 2 to 3, 446
 	// 10000 submit 2 to 2, 496
 	// 10000 submit 2 to 1, 496
-	// 10000 decline 2, 2000
+	// 10000 reject 2, 2000
 	// # 3 inquiry-like, then ending 3
 	// 10000 submit 3 to 1, 446
 	// 10000 submit 3 to 1, 496
 	// 10000 submit 3 to 1, 496
-	// 10000 decline 3, 2000
+	// 10000 reject 3, 2000
 	// # 4 inquiry-like, then ending 4
 	// 10000 submit 4 to 1, 446
 	// 10000 submit 4 to 2, 496
 	// 10000 submit 4 to 3, 496
-	// 10000 decline 4, 2000
+	// 10000 reject 4, 2000
 	// # 5 inquiry-like, then ending 5
 	// 10000 submit 5 to 1, 446
 	// 10000 submit 5 to 1, 496
 	// 10000 submit 5 to 1, 496
-	// 10000 decline 5, 2000
+	// 10000 reject 5, 2000
 }
 
 func Example_expiry() {
@@ -64,60 +64,60 @@
 	fmt.Println(len(s.controller.txns), "held")
 	// Output:
 	// 10000 submit 1 to 1
-	// 11998 void 1
-	// 11998 recall 1/0
+	// 11998 fail 1
+	// 11998 cancel 1/0
 	// 0 held
 }
 
 func Example_onceOnly() {
 	s := newWarmScenario()
-	fmt.Println("# proved not to have run: again elsewhere, then declined")
+	fmt.Println("# proved not to have run: again elsewhere, then rejected")
 	s.txn(1, ownedBy(0), 2, 0)
 	s.ended(1, control.Unreachable)
 	s.ended(1, control.Rejected)
 	s.ended(1, control.Rejected)
-	fmt.Println("# may have run: voided at once")
+	fmt.Println("# may have run: failed at once")
 	s.txn(2, ownedBy(0), 2, 0)
 	s.ended(2, control.Errored)
 	// Output:
-	// # proved not to have run: again elsewhere, then declined
+	// # proved not to have run: again elsewhere, then rejected
 	// 10000 submit 1 to 1
 	// 10000 submit 1 to 3
 	// 10000 submit 1 to 1
-	// 10000 decline 1, 2000
-	// # may have run: voided at once
+	// 10000 reject 1, 2000
+	// # may have run: failed at once
 	// 10000 submit 2 to 2
-	// 10000 void 2
+	// 10000 fail 2
 }
 
 func Example_referenced() {
 	s := newWarmScenario()
-	fmt.Println("# repeats stay in the pod of the first that may have run")
+	fmt.Println("# retries stay in the pod of the first that may have run")
 	s.txn(1, ownedBy(0), 1, 0)
 	s.ended(1, control.ConnectionLost)
 	s.ended(1, control.ConnectionLost)
-	fmt.Println("# and inside the window: with the time over it is voided")
+	fmt.Println("# and inside the window: with the time over it is failed")
 	s.txn(2, ownedBy(0), 1, 0)
 	s.controller.products[1].repeatWindow = 0
 	s.ended(2, control.ConnectionLost)
-	fmt.Println("# where all backends know repeats, it may be declined")
+	fmt.Println("# where all backends know retries, it may be rejected")
 	s.txn(3, ownedBy(0), 3, 0)
 	s.ended(3, control.ConnectionLost)
 	s.ended(3, control.ConnectionLost)
 	s.ended(3, control.ConnectionLost)
 	// Output:
-	// # repeats stay in the pod of the first that may have run
+	// # retries stay in the pod of the first that may have run
 	// 10000 submit 1 to 1, 446
 	// 10000 submit 1 to 2, 496
 	// 10000 submit 1 to 1, 496
-	// # and inside the window: with the time over it is voided
+	// # and inside the window: with the time over it is failed
 	// 10000 submit 2 to 1, 446
-	// 10000 void 2
-	// # where all backends know repeats, it may be declined
+	// 10000 fail 2
+	// # where all backends know retries, it may be rejected
 	// 10000 submit 3 to 1, 446
 	// 10000 submit 3 to 3, 496
 	// 10000 submit 3 to 1, 496
-	// 10000 decline 3, 2000
+	// 10000 reject 3, 2000
 }
 
 func Example_draining() {
@@ -134,7 +134,7 @@
 	// 10000 submit 2 to 3, 446
 	// 10000 submit 3 to 3, 446
 	// 10000 submit 4 to 3, 446
-	// 10200 decline 9
+	// 10200 reject 9
 }
 
 // sends counts what goes to a backend while txns of one product come every 10 ms for a span.
@@ -154,51 +154,51 @@
 	return n
 }
 
-func Example_coldBudget() {
+func Example_warmUpBudget() {
 	s := newWarmScenario()
 	s.list(false, control.Endpoint{ID: 1, State: control.Ready, Started: 9900 * time.Millisecond})
-	fmt.Println("beside warm ones, second by second:")
+	fmt.Println("beside warm backends, second by second:")
 	for at := 10000; at < 14000; at += 1000 {
-		fmt.Println(" cold", s.sends(1, at, at+1000))
+		fmt.Println(" warming up", s.sends(1, at, at+1000))
 	}
 	s = newScenario(settings(0), 0)
 	s.advance(20000)
 	s.list(true, control.Endpoint{ID: 1, State: control.Ready, Started: 19900 * time.Millisecond})
 	fmt.Println("alone, with nothing warm to judge by:")
 	for at := 20000; at < 23000; at += 1000 {
-		fmt.Println(" cold", s.sends(1, at, at+1000))
+		fmt.Println(" warming up", s.sends(1, at, at+1000))
 	}
 	// Output:
-	// beside warm ones, second by second:
-	//  cold 4
-	//  cold 8
-	//  cold 9
-	//  cold 13
+	// beside warm backends, second by second:
+	//  warming up 4
+	//  warming up 8
+	//  warming up 9
+	//  warming up 13
 	// alone, with nothing warm to judge by:
-	//  cold 1
-	//  cold 3
-	//  cold 6
+	//  warming up 1
+	//  warming up 3
+	//  warming up 6
 }
 
-func Example_ceilingAcrossRestart() {
+func Example_hardLimitAcrossRestart() {
 	s := newScenario(settings(0), 0)
 	s.quiet = true
 	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
 	s.advance(10000)
 	s.controller.capacity = 100
 	c := ownedBy(0)
-	fmt.Println("# the owner's pool and its part, two thirds of the ceiling, then nothing but their refill")
+	fmt.Println("# the owner's pool and its part, two thirds of the hard limit, then nothing but their refill")
 	for id := control.TxnID(1); id <= 16; id++ {
 		s.txn(id, c, 0, 1)
 	}
 	s = newScenario(settings(0), 10000)
 	s.quiet = true
 	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
-	fmt.Println("# the next life starts with an empty part")
+	fmt.Println("# the next epoch starts with an empty part")
 	s.txn(1, c, 0, 1)
 	s.advance(10200)
 	// Output:
-	// # the owner's pool and its part, two thirds of the ceiling, then nothing but their refill
+	// # the owner's pool and its part, two thirds of the hard limit, then nothing but their refill
 	// 10000 submit 1 to 1, 446
 	// 10000 submit 2 to 1, 446
 	// 10000 submit 3 to 1, 446
@@ -212,7 +212,7 @@
 	// 10000 submit 11 to 1, 446
 	// 10000 submit 12 to 1, 446
 	// 10000 submit 13 to 1, 446
-	// # the next life starts with an empty part
+	// # the next epoch starts with an empty part
 	// 10100 submit 1 to 1, 356
 }
 
@@ -223,7 +223,7 @@
 	s.txn(1, ownedBy(0), 0, 0)
 	s.advance(5100)
 	s.advance(5120)
-	fmt.Println("# a message of the peer's old life is dropped after its new one is known")
+	fmt.Println("# a message of the peer's former epoch is dropped after its new one is known")
 	c := ownedBy(0)
 	s.receive(1, &quota.Message{Epoch: 7, Seq: 5, Deltas: []quota.Delta{{Customer: c, SetWidth: 3}}})
 	s.advance(5200)
@@ -234,9 +234,9 @@
 	// Output:
 	// # an owner's bucket starts empty and refills at the rate: a txn waits for its unit
 	//  5100 submit 1 to 1, 356
-	// # a message of the peer's old life is dropped after its new one is known
-	//  5120 tell 1: snapshot left 0.1875 sharers 2 ack 5
-	//  5200 tell 1: snapshot left 1 sharers 2 ack 1
+	// # a message of the peer's former epoch is dropped after its new one is known
+	//  5120 datagram to 1: snapshot left 0.1875 sharers 2 ack 5
+	//  5200 datagram to 1: snapshot left 1 sharers 2 ack 1
 }
 
 func Example_deltas() {
@@ -258,18 +258,18 @@
 	fmt.Println(s.controller.quota.BadDatagrams())
 	// Output:
 	// # out of order and twice, each applied once
-	// 10000 tell 1: snapshot left 15 sharers 2 ack 2
-	// 10100 tell 1: snapshot left 13 sharers 2 ack 2
-	// 10200 tell 1: snapshot left 14 sharers 2 ack 2
+	// 10000 datagram to 1: snapshot left 15 sharers 2 ack 2
+	// 10100 datagram to 1: snapshot left 13 sharers 2 ack 2
+	// 10200 datagram to 1: snapshot left 14 sharers 2 ack 2
 	// # what does not decode is dropped and counted
 	// 1
 }
 
-func Example_views() {
+func Example_snapshots() {
 	s := newWarmScenario()
 	s.quiet, s.controller.capacity = false, 5
 	c := ownedBy(1)
-	fmt.Println("# new: one txn after the other from the allowance, asking the owner")
+	fmt.Println("# new: one txn after the other from the burst share, asking the owner")
 	for id := control.TxnID(1); id < 9; id++ {
 		s.txn(id, c, 0, 0)
 	}
@@ -288,36 +288,36 @@
 	s.txn(12, c, 0, 0)
 	s.txn(13, c, 0, 0)
 	s.advance(10500)
-	fmt.Println("# stale: the allowance alone, and it asks afresh")
+	fmt.Println("# stale: the burst share alone, and it asks afresh")
 	s.advance(11900)
 	s.txn(14, c, 0, 0)
 	// Output:
-	// # new: one txn after the other from the allowance, asking the owner
+	// # new: one txn after the other from the burst share, asking the owner
 	// 10000 submit 1 to 2, 446
-	// 10000 tell 1: delta 1 used 1
+	// 10000 datagram to 1: delta 1 used 1
 	// 10000 submit 2 to 2, 446
 	// 10000 submit 3 to 2, 446
 	// 10000 submit 4 to 2, 446
 	// 10000 submit 5 to 2, 446
 	// 10000 submit 6 to 2, 446
-	// 10050 tell 1: delta 2 used 5
+	// 10050 datagram to 1: delta 2 used 5
 	// # lost: the delta goes again under its sequence
-	// 10150 tell 1: delta 1 used 1
-	// 10200 decline 7, 100
-	// 10200 decline 8, 100
-	// 10200 tell 1: delta 2 used 5
+	// 10150 datagram to 1: delta 1 used 1
+	// 10200 reject 7, 100
+	// 10200 reject 8, 100
+	// 10200 datagram to 1: delta 2 used 5
 	// # the snapshot acknowledges the first two: four units are left, two of them used since
 	// 10200 submit 11 to 2, 446
 	// # an older snapshot that comes late brings nothing back
 	// 10200 submit 12 to 3, 446
 	// 10200 submit 13 to 3, 446
-	// 10250 tell 1: delta 3 used 3
-	// 10400 tell 1: delta 3 used 3
-	// # stale: the allowance alone, and it asks afresh
-	// 10650 tell 1: delta 3 used 3
-	// 11150 tell 1: delta 3 used 3
+	// 10250 datagram to 1: delta 3 used 3
+	// 10400 datagram to 1: delta 3 used 3
+	// # stale: the burst share alone, and it asks afresh
+	// 10650 datagram to 1: delta 3 used 3
+	// 11150 datagram to 1: delta 3 used 3
 	// 11900 submit 14 to 1, 446
-	// 11900 tell 1: delta 4 used 1
+	// 11900 datagram to 1: delta 4 used 1
 }
 
 func Example_oneProductFails() {
@@ -358,7 +358,7 @@
 	// product 0 at 3: settled
 }
 
-func Example_fullBackend() {
+func Example_rejectingBackend() {
 	s := newWarmScenario()
 	room := s.controller.capacity
 	for id := control.TxnID(1); id < 40; id++ {
@@ -370,12 +370,12 @@
 		}
 		s.controller.Now(s.controller.now + 10*time.Millisecond)
 	}
-	fmt.Println("room as before:", s.controller.capacity == room, "- pause of backend 1 grew:", s.controller.backends[1].rejections > 1)
+	fmt.Println("capacity as before:", s.controller.capacity == room, "- backoff of backend 1 grew:", s.controller.backends[1].rejections > 1)
 	// Output:
-	// room as before: true - pause of backend 1 grew: true
+	// capacity as before: true - backoff of backend 1 grew: true
 }
 
-func Example_repeatsGiveWay() {
+func Example_retriesGiveWay() {
 	s := newWarmScenario()
 	s.controller.capacity = 0.4
 	take := func(id control.TxnID, repeat bool) {
@@ -383,7 +383,7 @@
 			Expiry: s.controller.now + time.Second})
 		s.pull()
 	}
-	fmt.Println("# room for one: the first try waits, the repeat is declined at once with advice")
+	fmt.Println("# capacity for one: the first attempt waits, the retry is rejected at once with advice")
 	take(1, false)
 	take(2, false)
 	take(3, true)
@@ -391,10 +391,10 @@
 	s.ended(1, control.Succeeded)
 	s.advance(10500)
 	// Output:
-	// # room for one: the first try waits, the repeat is declined at once with advice
+	// # capacity for one: the first attempt waits, the retry is rejected at once with advice
 	// 10000 submit 1 to 3, 446
 	// 10000 submit 2 to 2, 446
-	// 10000 decline 3, 2000
+	// 10000 reject 3, 2000
 }
 
 func Example_beyondQuotaThatPays() {
@@ -403,20 +403,20 @@
 	c := ownedBy(0)
 	s.drain(c, 0)
 	s.controller.plans[0].Rate = 1
-	fmt.Println("# no units, room to spare, nothing charged: goes on, and takes no units")
+	fmt.Println("# no units, capacity to spare, nothing charged: goes on, and takes no units")
 	s.txn(1, c, 0, 0)
-	fmt.Println("# something lacked room lately: declined, with advice when units are due")
+	fmt.Println("# something lacked capacity lately: rejected, with advice when units are due")
 	s.controller.saturatedAt = s.controller.now
 	s.txn(2, c, 0, 0)
 	// Output:
-	// # no units, room to spare, nothing charged: goes on, and takes no units
+	// # no units, capacity to spare, nothing charged: goes on, and takes no units
 	// 10000 submit 1 to 1, 446
-	// # something lacked room lately: declined, with advice when units are due
-	// 10000 decline 2, 1000
+	// # something lacked capacity lately: rejected, with advice when units are due
+	// 10000 reject 2, 1000
 }
 
 // The view is good for 150 ms, the wait for a backend is longer: what covered the txn must still do so.
-func Example_keptWhileWaiting() {
+func Example_reservedWhileWaiting() {
 	s := newScenario(settings(0), 0)
 	s.list(true, control.Endpoint{ID: 1, State: control.Ready})
 	s.advance(10000)
@@ -431,20 +431,20 @@
 		state, _ := s.controller.quota.State(c)
 		return state.Reserved
 	}
-	fmt.Println("kept:", kept(), "- what others may spend of the view is less by that")
+	fmt.Println("reserved:", kept(), "- what others may consume of the snapshot is less by that")
 	s.advance(10170)
 	s.ended(1, control.Succeeded)
 	s.advance(10180)
-	fmt.Println("kept:", kept())
+	fmt.Println("reserved:", kept())
 	// Output:
 	// 10000 submit 1 to 1, 446
-	// kept: 1 - what others may spend of the view is less by that
+	// reserved: 1 - what others may consume of the snapshot is less by that
 	// 10170 submit 2 to 1, 326
-	// kept: 0
+	// reserved: 0
 }
 
-// A client's patience counts from its first try, so a repeat's expiry tells how long ago that was.
-func Example_repeatInTime() {
+// A client's patience counts from its first attempt, so a retry's expiry tells how long ago that was.
+func Example_retryInTime() {
 	s := newWarmScenario()
 	c := ownedBy(0)
 	again := func(id control.TxnID, left time.Duration) {
@@ -452,34 +452,34 @@
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + left})
 		s.pull()
 	}
-	fmt.Println("# no first try was seen: it may be late and leaves the low bucket alone")
+	fmt.Println("# no first attempt was seen: it may be late and leaves the low bucket alone")
 	again(1, 1900*time.Millisecond)
 	s.txn(2, ownedBy(0), 0, 0)
-	fmt.Println("# 100 ms gone: like a first try, with that much less time")
+	fmt.Println("# 100 ms gone: like a first attempt, with that much less time")
 	again(3, 1900*time.Millisecond)
-	fmt.Println("# 600 ms gone, the SLA time is over: declined at once")
+	fmt.Println("# 600 ms gone, the SLA time is over: rejected at once")
 	again(4, 1400*time.Millisecond)
-	fmt.Println("# late answers still earn something: it is a late repeat again")
+	fmt.Println("# late answers still earn something: it is a late retry again")
 	s.controller.products[0].lateValue = 0.2
 	for c++; quota.OwnerOf(c, 0, 3, 3) != 0; c++ { // another customer: of the first one's five units one is spent
 	}
 	again(5, 1400*time.Millisecond)
 	// Output:
-	// # no first try was seen: it may be late and leaves the low bucket alone
-	// 10000 decline 1, 600
+	// # no first attempt was seen: it may be late and leaves the low bucket alone
+	// 10000 reject 1, 600
 	// 10000 submit 2 to 1, 446
-	// # 100 ms gone: like a first try, with that much less time
+	// # 100 ms gone: like a first attempt, with that much less time
 	// 10000 submit 3 to 1, 356
-	// # 600 ms gone, the SLA time is over: declined at once
-	// 10000 decline 4, 2000
-	// # late answers still earn something: it is a late repeat again
-	// 10000 decline 5, 600
+	// # 600 ms gone, the SLA time is over: rejected at once
+	// 10000 reject 4, 2000
+	// # late answers still earn something: it is a late retry again
+	// 10000 reject 5, 600
 }
 
-func Example_silentOwner() {
+func Example_unresponsiveOwner() {
 	s := newWarmScenario()
 	c := ownedBy(1)
-	fmt.Println("# the allowance is spent, then grows at the rate while no gateway is heard")
+	fmt.Println("# the burst share is spent, then grows at the rate while no datagram comes")
 	for id := control.TxnID(1); id < 200; id++ {
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
 		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
@@ -491,28 +491,28 @@
 		s.controller.Now(s.controller.now + 10*time.Millisecond)
 	}
 	// Output:
-	// # the allowance is spent, then grows at the rate while no gateway is heard
+	// # the burst share is spent, then grows at the rate while no datagram comes
 	// 10000 10010 10020 10030 10040 10050 10230 10400 10700 11000 11300 11510 11510 11510 11670 11870
 }
 
-func Example_worthUnderPressure() {
+func Example_valueUnderPressure() {
 	s := newWarmScenario()
 	s.controller.capacity, s.controller.products[2].value = 0.4, 5
 	c := ownedBy(0)
-	fmt.Println("# no room: of two that wait, what is worth most for its time goes first")
+	fmt.Println("# no capacity: of two that wait, what has the highest value for its time goes first")
 	for id, p := range []control.ProductID{0, 0, 2} {
 		s.txn(control.TxnID(id), c, p, 0)
 	}
 	s.advance(10100)
 	s.ended(0, control.Succeeded)
 	// Output:
-	// # no room: of two that wait, what is worth most for its time goes first
+	// # no capacity: of two that wait, what has the highest value for its time goes first
 	// 10000 submit 0 to 1, 446
 	// 10000 submit 1 to 3, 446
 	// 10100 submit 2 to 1
 }
 
-func Example_silentBackendIsTried() {
+func Example_unresponsiveBackendIsTried() {
 	s := newScenario(settings(0), 0)
 	s.quiet = true
 	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
@@ -557,34 +557,34 @@
 	fmt.Println(err)
 	// Output:
 	// # expiry over, product and plan that the settings don't name, odd sets, no units
-	// 10000 decline 1, 2000
-	// 10000 decline 2, 2000
-	// 10000 decline 3, 2000
+	// 10000 reject 1, 2000
+	// 10000 reject 2, 2000
+	// 10000 reject 3, 2000
 	// 10000 submit 4 to 1, 446
 	// 10000 submit 5 to 2, 446
 	// setting me: missing
 }
 
-func Example_repeatsLeaveALowBucket() {
+func Example_retriesLeaveALowBucket() {
 	s := newWarmScenario()
 	c := ownedBy(0)
-	fmt.Println("# four units of twenty left: not for a repeat, at once, but for a first try")
+	fmt.Println("# four units of twenty left: not for a retry, at once, but for a first attempt")
 	s.drain(c, 4)
 	s.controller.TxnArrived(control.Txn{ID: 1, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
 	s.pull()
 	s.txn(2, c, 0, 0)
 	// Output:
-	// # four units of twenty left: not for a repeat, at once, but for a first try
-	// 10000 decline 1, 700
+	// # four units of twenty left: not for a retry, at once, but for a first attempt
+	// 10000 reject 1, 700
 	// 10000 submit 2 to 1, 446
 }
 
-func Example_silentBackendsAreSetAside() {
+func Example_unresponsiveBackendsAreEjected() {
 	s := newWarmScenario()
 	for _, b := range s.controller.ordered {
 		b.unanswered, b.unansweredSince, b.sentAt = 2, s.controller.now, s.controller.now
 	}
-	fmt.Println("# none has answered for a while: all are set aside and probed")
+	fmt.Println("# none has answered for a while: all are ejected and probed")
 	s.advance(11700)
 	s.advance(12300)
 	for _, b := range s.controller.ordered {
@@ -597,7 +597,7 @@
 	s.advance(13400)
 	fmt.Println("back:", !s.controller.ordered[0].ejected)
 	// Output:
-	// # none has answered for a while: all are set aside and probed
+	// # none has answered for a while: all are ejected and probed
 	// 12200 probe 1
 	// 12300 probe 2
 	// 12400 probe 3
@@ -606,7 +606,7 @@
 	// back: true
 }
 
-func Example_roomAndSilence() {
+func Example_capacityAndTimeOuts() {
 	s := newWarmScenario()
 	s.txn(1, ownedBy(0), 0, 0)
 	b, before := s.controller.txns[1].current, s.controller.capacity
@@ -615,18 +615,18 @@
 	s.controller.Now(s.controller.now + 200*time.Millisecond)
 	s.controller.saturatedAt = s.controller.now
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
-	fmt.Println("time-out at a backend that has answered nothing since: room as before:", s.controller.capacity == before)
+	fmt.Println("time-out at a backend that has answered nothing since: capacity as before:", s.controller.capacity == before)
 	b.unansweredSince = s.controller.now
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
-	fmt.Println("it answered others meanwhile: room taken away:", s.controller.capacity < before)
+	fmt.Println("it answered others meanwhile: capacity taken away:", s.controller.capacity < before)
 	before, s.controller.saturatedAt = s.controller.capacity, s.controller.now-pressureTTL
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
-	fmt.Println("nothing lacked room lately: late answers are the work's own, room as before:", s.controller.capacity == before)
+	fmt.Println("nothing lacked capacity lately: late answers are the work's own, capacity as before:", s.controller.capacity == before)
 	// Output:
 	// 10000 submit 1 to 1, 446
-	// time-out at a backend that has answered nothing since: room as before: true
-	// it answered others meanwhile: room taken away: true
-	// nothing lacked room lately: late answers are the work's own, room as before: true
+	// time-out at a backend that has answered nothing since: capacity as before: true
+	// it answered others meanwhile: capacity taken away: true
+	// nothing lacked capacity lately: late answers are the work's own, capacity as before: true
 }
 
 func Example_wideSets() {
@@ -636,24 +636,24 @@
 	s.controller.capacity = 3
 	c := ownedBy(1)
 	s.controller.plans[0].Burst = 2 // less than a unit for each gateway of the set
-	fmt.Println("# new, but an allowance for each would be too much: the owner is asked, and says two")
+	fmt.Println("# new, but a burst share for each would be too much: the owner is asked, and has two")
 	s.txn(1, c, 0, 0)
 	s.advance(10030)
 	s.receive(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
-	fmt.Println("# it says none: declined, with the time until there is one")
+	fmt.Println("# it has none: rejected, with the time until there is one")
 	s.quiet = true
 	s.advance(11000)
 	s.quiet = false
 	s.txn(2, c, 0, 0)
 	s.receive(1, &quota.Message{Epoch: 9, Version: 2, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3, Snapshots: []quota.Snapshot{{Customer: c, Reporters: 2}}})
 	s.advance(11150)
-	fmt.Println("# no answer in time: the allowance is there for that")
+	fmt.Println("# no answer in time: the burst share is there for that")
 	s.quiet = true
 	s.advance(13000)
 	s.quiet = false
 	s.txn(3, c, 0, 0)
 	s.advance(13140)
-	fmt.Println("# an owner tells one asker of the units it has just told another of only once")
+	fmt.Println("# an owner shows units that it has just shown one asker to no other")
 	c = ownedBy(0)
 	s.controller.plans[0].Burst = 1
 	s.quiet = true
@@ -664,26 +664,26 @@
 		s.receive(g, &quota.Message{Epoch: 9, Seq: 1, Deltas: []quota.Delta{{Customer: c, UnitsWanted: 1, SetWidth: 3}}})
 	}
 	// Output:
-	// # new, but an allowance for each would be too much: the owner is asked, and says two
-	// 10000 tell 1: delta 1 used 0
+	// # new, but a burst share for each would be too much: the owner is asked, and has two
+	// 10000 datagram to 1: delta 1 used 0
 	// 10030 submit 1 to 1, 419
-	// 10030 tell 1: delta 2 used 1
-	// # it says none: declined, with the time until there is one
-	// 11000 tell 1: delta 3 used 0
-	// 11000 decline 2, 100
-	// 11150 tell 1: delta 3 used 0
-	// # no answer in time: the allowance is there for that
-	// 12000 decline 1
-	// 12000 recall 1/0
-	// 13000 tell 1: delta 4 used 0
-	// 13140 tell 1: delta 5 used 0
-	// # an owner tells one asker of the units it has just told another of only once
+	// 10030 datagram to 1: delta 2 used 1
+	// # it has none: rejected, with the time until there is one
+	// 11000 datagram to 1: delta 3 used 0
+	// 11000 reject 2, 100
+	// 11150 datagram to 1: delta 3 used 0
+	// # no answer in time: the burst share is there for that
+	// 12000 reject 1
+	// 12000 cancel 1/0
+	// 13000 datagram to 1: delta 4 used 0
+	// 13140 datagram to 1: delta 5 used 0
+	// # an owner shows units that it has just shown one asker to no other
 	// 13240 submit 3 to 1, 256
 	// 13790 probe 1
-	// 14000 tell 2: snapshot left 1 sharers 3 ack 1
+	// 14000 datagram to 2: snapshot left 1 sharers 3 ack 1
 }
 
-func Example_standingStill() {
+func Example_processPause() {
 	s := newWarmScenario()
 	s.txn(1, ownedBy(0), 0, 0)
 	b := s.controller.txns[1].current
@@ -695,22 +695,22 @@
 	}
 	fmt.Println("# of eight txns that came over two seconds the last two are still in their SLA time")
 	s.pull()
-	fmt.Println("held against the backend:", b.failureShare, "- silent for", s.controller.now-b.unansweredSince)
+	fmt.Println("held against the backend:", b.failureShare, "- unresponsive for", s.controller.now-b.unansweredSince)
 	// Output:
 	// 10000 submit 1 to 1, 446
 	// # of eight txns that came over two seconds the last two are still in their SLA time
-	// 12000 decline 2, 2000
-	// 12000 decline 3, 2000
-	// 12000 decline 4, 2000
-	// 12000 decline 5, 2000
-	// 12000 decline 6, 2000
-	// 12000 decline 7, 2000
+	// 12000 reject 2, 2000
+	// 12000 reject 3, 2000
+	// 12000 reject 4, 2000
+	// 12000 reject 5, 2000
+	// 12000 reject 6, 2000
+	// 12000 reject 7, 2000
 	// 12000 submit 8 to 1, 121
 	// 12000 submit 9 to 1, 333
-	// held against the backend: 0 - silent for 0s
+	// held against the backend: 0 - unresponsive for 0s
 }
 
-func Example_newFleet() {
+func Example_newCluster() {
 	c := ownedBy(0)
 	for _, age := range []time.Duration{0, 60 * time.Second} {
 		s := newScenario(settings(0), 5000)
@@ -719,14 +719,14 @@
 		}
 		s.controller.quota.Account(c, 0, 0, 3)
 		state, _ := s.controller.quota.State(c)
-		fmt.Println("peers up for", age, "- a bucket starts with", state.Level)
+		fmt.Println("peers started since", age, "- a bucket starts with", state.Level)
 	}
 	// Output:
-	// peers up for 0s - a bucket starts with 20
-	// peers up for 1m0s - a bucket starts with 0
+	// peers started since 0s - a bucket starts with 20
+	// peers started since 1m0s - a bucket starts with 0
 }
 
-func Example_sights() {
+func Example_observations() {
 	s := newWarmScenario()
 	b := s.controller.backends[2]
 	m := &quota.Message{Epoch: 7}
@@ -734,10 +734,10 @@
 		m.Observations = append(m.Observations, quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Ratio: quota.ObservedFailed}, quota.Observation{BackendHash: 5, Ratio: 9})
 	}
 	s.receive(1, m)
-	fmt.Println("told of failures: passed over for that product", b.failures[0].excludedUntil > s.controller.now, "and no other", b.failures[1].excludedUntil > s.controller.now)
+	fmt.Println("observed failures: excluded for that product", b.failures[0].excludedUntil > s.controller.now, "and no other", b.failures[1].excludedUntil > s.controller.now)
 	fmt.Println("a backend that its own list does not name stays unknown:", len(s.controller.backends))
 	// Output:
-	// told of failures: passed over for that product true and no other false
+	// observed failures: excluded for that product true and no other false
 	// a backend that its own list does not name stays unknown: 3
 }
 
@@ -773,12 +773,12 @@
 
 // A load report that can't be true is not taken, and an old one counts ever less: a backend that told of a crowd
 // once, and is therefore not chosen, would else never tell of anything again.
-func Example_reports() {
+func Example_loadReports() {
 	s := newWarmScenario()
 	b := s.controller.backends[1]
 	tell := func(held float64) {
 		s.controller.SubmissionEnded(0, 0, 1, control.Succeeded, true, 0, []float64{held})
-		fmt.Printf("told %g: load %.1f\n", held, s.controller.loadOf(b))
+		fmt.Printf("reported %g: load %.1f\n", held, s.controller.loadOf(b))
 	}
 	s.controller.survey()
 	tell(1e5)
@@ -788,8 +788,8 @@
 		fmt.Printf("%d: load %.1f\n", t, s.controller.loadOf(b))
 	}
 	// Output:
-	// told 100000: load 0.0
-	// told 20: load 10.0
+	// reported 100000: load 0.0
+	// reported 20: load 10.0
 	// 11000: load 7.5
 	// 12000: load 5.0
 	// 13000: load 2.5
--- a/control/loadbalancer/scene_test.go
+++ b/control/loadbalancer/scenario_test.go
@@ -8,15 +8,15 @@
 	"clovergap/control/quota"
 )
 
-// A scene drives one gateway and prints its decisions. Times are in milliseconds.
+// scenario drives one controller and prints its decisions. Times are in milliseconds.
 type scenario struct {
 	controller *Controller
 	datagrams  []*quota.Message
-	quiet      bool // print no datagram
+	quiet      bool // datagrams are not printed
 }
 
-// Products of a scene: 0 inquiry-like, 1 referenced in its pod, 2 once-only, 3 referenced everywhere.
-// Plans: 0 ten units a second and burst 20; 1 the same with a ceiling of 20 a second and 40 at once.
+// settings have these products: 0 inquiry-like, 1 referenced in its pod, 2 once-only, 3 referenced everywhere.
+// Plans: 0 ten units a second and burst 20; 1 the same with a hard limit of 20 a second and at once.
 func settings(me int) control.Settings {
 	s := control.Settings{"me": fmt.Sprint(me), "gateways": "3", "zone": "0", "limits.probes": "true",
 		"limits.peers": "true", "limits.cancel": "true", "limits.advice": "true",
@@ -49,7 +49,7 @@
 	return &scenario{controller: d}
 }
 
-// newWarmScenario gives a scene at 10 s with three warm backends: 1 and 2 in pod 0, 3 in pod 1.
+// newWarmScenario is at 10 s and has three warm backends: 1 and 2 in pod 0, 3 in pod 1.
 func newWarmScenario() *scenario {
 	s := newScenario(settings(0), 0)
 	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready}, control.Endpoint{ID: 3, Pod: 1, State: control.Ready})
@@ -59,7 +59,7 @@
 }
 
 // advance moves the clock and prints what is decided by then.
-// It goes there in turns, as a host does: a gateway without a turn has stood still.
+// It does so in steps, as a host does: a process without a call has stood still.
 func (s *scenario) advance(t int) {
 	for to := time.Millisecond * time.Duration(t); s.controller.now < to; {
 		s.controller.Now(min(to, s.controller.now+50*time.Millisecond))
@@ -125,11 +125,11 @@
 	case control.Submit:
 		return fmt.Sprintf("%ssubmit %d to %d%s\n", t, x.Txn, x.Backend, limit)
 	case control.Reject:
-		return fmt.Sprintf("%sdecline %d%s\n", t, x.Txn, limit)
+		return fmt.Sprintf("%sreject %d%s\n", t, x.Txn, limit)
 	case control.Fail:
-		return fmt.Sprintf("%svoid %d\n", t, x.Txn)
+		return fmt.Sprintf("%sfail %d\n", t, x.Txn)
 	case control.Cancel:
-		return fmt.Sprintf("%srecall %d/%d\n", t, x.Txn, x.Attempt)
+		return fmt.Sprintf("%scancel %d/%d\n", t, x.Txn, x.Attempt)
 	case control.Probe:
 		return fmt.Sprintf("%sprobe %d\n", t, x.Backend)
 	case control.SendDatagram:
@@ -141,7 +141,7 @@
 		if s.quiet {
 			return ""
 		}
-		text := fmt.Sprintf("%stell %d:", t, x.Peer)
+		text := fmt.Sprintf("%sdatagram to %d:", t, x.Peer)
 		for _, l := range m.Deltas {
 			text += fmt.Sprintf(" delta %d used %g", m.Seq, l.Units)
 		}
--- a/control/quota/bound_test.go
+++ b/control/quota/bound_test.go
@@ -18,7 +18,7 @@
 	isolatedCount               int
 	rate, burst                 float64
 	partitionedNow              bool
-	blockInbound, blockOutbound     bool // whether datagrams to the isolated side are lost, and those from it
+	blockInbound, blockOutbound bool // whether datagrams to the isolated side are lost, and those from it
 	underPressure               bool
 	detectionTime, recoveryTime time.Duration // until the gateways find it, and its end, at the latest
 	step                        time.Duration
