--- a/internal/gateway/admission/attempts_test.go
+++ b/internal/gateway/admission/attempts_test.go
@@ -9,29 +9,29 @@
 	"clovergap/control"
 )
 
-// attemptsStep is one thing that may happen to a try that is held.
+// attemptsStep is one thing that may happen to a request.
 type attemptsStep int
 
 const (
-	stepRan         attemptsStep = iota // its submission fails after it may have run
-	stepTurnedAway                      // 421 or X-Not-Run
-	stepUnreachable                     // nothing of it was sent
-	stepReset                           // the connection broke after a byte of it was written
-	stepSilent                          // the backend is silent until it is taken for dead
-	stepFrozen                          // this node stands still for a second
-	stepLowered                         // a configuration lowers the route's max_tries to one
-	stepCrowded                         // all backends turn requests away for a while, so that it waits in line
-	stepsOfTries
+	stepRan            attemptsStep = iota // its submission fails after it may have run
+	stepRejected                           // 421 or X-Not-Run
+	stepUnreachable                        // nothing of it was sent
+	stepConnectionLost                     // the connection broke after a byte of it was written
+	stepUnresponsive                       // the backend is silent until it counts as dead
+	stepProcessPause                       // this node stands still for a second
+	stepLowered                            // a configuration lowers the route's max_tries to one
+	stepAllRejecting                       // all backends reject requests for a while, so that it waits in the queue
+	stepCount
 )
 
-// Whatever the order of the ends of its submissions, of standstills and of a configuration that lowers max_tries, a try runs on no
-// more backends than its route allows: at the most as many as when it came, and no further one once one is allowed and it ran.
+// Whatever the order of the ends of its submissions, of standstills and of a configuration that lowers max_tries, a request runs on no
+// more backends than its route allows: at the most as many as when it came, and no retry once one is allowed and it ran.
 // Before LowerMaxAttempts a request under way went on by the bound that it had come with.
 func TestTriesInAllOrders(t *testing.T) {
 	const depth = 4
 	walks := 1
 	for range depth {
-		walks *= int(stepsOfTries)
+		walks *= int(stepCount)
 	}
 	for _, most := range []int{1, 2, 3} {
 		again := 0
@@ -41,15 +41,15 @@
 			d := newHarness(call, 6)
 			ran, bound := map[control.BackendID]bool{}, most
 			d.arrive(1)
-			for step, rest := 0, walk; step < depth && d.txns[1] != nil; step, rest = step+1, rest/int(stepsOfTries) {
-				what := attemptsStep(rest % int(stepsOfTries))
+			for step, rest := 0, walk; step < depth && d.txns[1] != nil; step, rest = step+1, rest/int(stepCount) {
+				what := attemptsStep(rest % int(stepCount))
 				if what == stepLowered && bound == most {
 					bound = max(len(ran), 1)
 					if x := d.txns[1]; x.inFlight && !ran[x.backend] && len(ran) > 0 { // on its way already
 						bound++
 					}
 				}
-				d.play(what, ran)
+				d.playStep(what, ran)
 				must.LessEq(t, bound, len(ran), must.Sprintf("most %d, walk %o", most, walk))
 			}
 			if len(ran) > 1 {
@@ -60,21 +60,21 @@
 	}
 }
 
-// play lets one step happen, and notes what a backend may have run by it.
-func (h *harness) play(step attemptsStep, ran map[control.BackendID]bool) {
+// playStep lets one step happen, and notes what a backend may have run by it.
+func (h *harness) playStep(step attemptsStep, ran map[control.BackendID]bool) {
 	out := h.txns[1].inFlight
 	at := h.txns[1].backend
 	switch step {
 	case stepLowered:
 		h.LowerMaxAttempts(1, 1)
-	case stepFrozen:
+	case stepProcessPause:
 		h.now += time.Second
 		h.Now(h.now)
-	case stepCrowded:
+	case stepAllRejecting:
 		h.list(control.Draining, 1, 6)
 		h.pull()
 		h.list(control.Ready, 1, 6)
-	case stepSilent:
+	case stepUnresponsive:
 		if out {
 			ran[at] = true
 			h.advance(h.now + 700*time.Millisecond)
@@ -83,8 +83,8 @@
 			}
 		}
 	default:
-		if how := map[attemptsStep]control.Ending{stepRan: control.Errored, stepTurnedAway: control.Rejected,
-			stepUnreachable: control.Unreachable, stepReset: control.ConnectionLost}[step]; out {
+		if how := map[attemptsStep]control.Ending{stepRan: control.Errored, stepRejected: control.Rejected,
+			stepUnreachable: control.Unreachable, stepConnectionLost: control.ConnectionLost}[step]; out {
 			switch {
 			case consequenceOf(how, false, false).mayHaveRun:
 				ran[at] = true
@@ -97,7 +97,7 @@
 	h.pull()
 }
 
-// One that waits in line for another backend is not sent there once its route allows one alone; debug builds took it for a send
+// One that waits in the queue for another backend is not sent there once its route allows one alone; debug builds took it for a send
 // that may not be.
 func TestTriesAreLoweredInLine(t *testing.T) {
 	d := newHarness(idempotentRoute, 2)
@@ -107,7 +107,7 @@
 	for id := control.TxnID(2); d.services[0].balancer.InFlight() < 2; id++ {
 		d.arrive(id)
 	}
-	for id := control.TxnID(2); id < 20; id++ { // the other one turns all away, and is left alone for a while
+	for id := control.TxnID(2); id < 20; id++ { // the other one rejects all, and is left alone for a while
 		if x := d.txns[id]; x != nil && x.inFlight && x.backend == other {
 			d.SubmissionEnded(id, x.submissions-1, other, control.Rejected, false, time.Millisecond, nil)
 		}
--- a/internal/gateway/admission/client_left_test.go
+++ b/internal/gateway/admission/client_left_test.go
@@ -9,8 +9,8 @@
 	"clovergap/control"
 )
 
-// recalls counts the submissions that are called off.
-func (h *harness) recalls() (n int) {
+// cancellations counts the submissions that are canceled.
+func (h *harness) cancellations() (n int) {
 	for _, x := range h.decided {
 		if x.Action == control.Cancel {
 			n++
@@ -19,13 +19,13 @@
 	return n
 }
 
-// A request that may be repeated is called off at its backend when its client leaves, whenever that is: before it is sent, while it is
-// out, while it is out a second time, after its backend has been found silent. One that may run once is left to its end. Nothing is
+// An idempotent request is canceled at its backend when its client leaves, whenever that is: before it is sent, while it is
+// out, while it is out a second time, after its backend has been found silent. An effectful one is left to its end. Nothing is
 // sent for a client that has left. Guards against backends that work on for nobody (incident mvk-anadolu 7).
 func TestClientLeft(t *testing.T) {
 	t.Run("while it is out", leftWhileOut)
 	t.Run("after another try", leftAfterRetry)
-	t.Run("in line", leftWhileQueued)
+	t.Run("in the queue", leftWhileQueued)
 }
 
 func leftWhileOut(t *testing.T) {
@@ -43,7 +43,7 @@
 				d.SubmissionEnded(1, 0, d.decided[0].Backend, how, true, 50*time.Millisecond, nil)
 			}
 			seen := len(d.decided)
-			d.ClientLeft(1) // told twice
+			d.ClientLeft(1) // called twice
 			d.advance(d.now + 12*time.Second)
 			must.Len(t, seen, d.decided)
 			must.MapEmpty(t, d.txns)
@@ -52,7 +52,7 @@
 	}
 }
 
-// It is called off once, by its second submission as by its first, and not if that is called off already.
+// It is canceled once, by its second submission as by its first, and not if that is canceled already.
 func leftAfterRetry(t *testing.T) {
 	d := newHarness(idempotentRoute, 2)
 	d.arrive(1)
@@ -63,19 +63,19 @@
 	must.Eq(t, control.Decision{Action: control.Cancel, Txn: 1, Attempt: 1}, d.last())
 	d.ClientLeft(1)
 	d.pull()
-	must.Eq(t, 1, d.recalls())
+	must.Eq(t, 1, d.cancellations())
 
 	d = newHarness(idempotentRoute, 2)
 	d.arrive(1)
 	d.arrive(2)
-	for d.recalls() == 0 && d.now < 40*time.Second { // both are silent
+	for d.cancellations() == 0 && d.now < 40*time.Second { // both are silent
 		d.advance(d.now + 100*time.Millisecond)
 	}
-	if n := d.recalls(); n > 0 {
+	if n := d.cancellations(); n > 0 {
 		left := d.last().Txn
 		d.ClientLeft(left)
 		d.pull()
-		must.Eq(t, n, d.recalls())
+		must.Eq(t, n, d.cancellations())
 	}
 }
 
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -16,12 +16,12 @@
 		DatagramsPerSecond: 100})
 }
 
-// harness is one office with a hand-driven host.
+// harness is one controller with a hand-driven host.
 type harness struct {
 	*Controller
 	t       *testing.T // where it is set
 	now     time.Duration
-	decided []control.Decision // but wake-ups and notes
+	decided []control.Decision // but wake-ups and lines for the log
 }
 
 func newHarness(call Route, backends int) *harness { return newSeededHarness(1, call, backends) }
@@ -42,7 +42,7 @@
 	}
 }
 
-// advance goes there in turns, as a host does that is woken.
+// advance goes there in steps, as a host does that is woken.
 func (h *harness) advance(t time.Duration) {
 	for h.now < t {
 		h.now = min(h.now+10*time.Millisecond, t)
@@ -85,10 +85,10 @@
 			must.Eq(t, clientHasIt, e.answer)
 			must.False(t, e.retryable)
 		} else {
-			must.Eq(t, unrun, e.answer == rejected) // a refusal is a promise that it has not run
+			must.Eq(t, unrun, e.answer == rejected) // Reject promises that it has not run
 			must.Eq(t, unrun || !k.effectful, e.retryable)
 		}
-		// And so does the office, with the last try left and with none.
+		// And so does the controller, with the last attempt left and with none.
 		call := map[bool]Route{false: idempotentRoute, true: effectfulRoute}[k.effectful]
 		for call.MaxAttempts = 1; call.MaxAttempts <= 2; call.MaxAttempts++ {
 			d := newHarness(call, 3)
@@ -115,7 +115,7 @@
 	}
 }
 
-// However many are turned away, what goes out again in any window keeps to the rule, and a new start has
+// However many are rejected, what goes out again in any window keeps to the rule, and a new start has
 // nothing.
 func TestBudget(t *testing.T) {
 	const nodes, window = 4, 10 * time.Second
@@ -155,7 +155,7 @@
 	must.Greater(t, 100, all) // and it is of use
 }
 
-// A storm of sheds ends in refusals once the budget is used up, whatever the seed: how many are sent at all before the backends are left alone
+// A storm of rejections ends in rejected requests once the budget is used up, whatever the seed: how many are sent at all before the backends are left alone
 // goes by chance. Every send is counted, also of requests that waited for a backend first.
 func TestStorm(t *testing.T) {
 	const seeds = 12
@@ -199,21 +199,21 @@
 	d.advance(from + 1490*time.Millisecond)
 	must.Len(t, 1, d.decided)
 	d.advance(from + 1500*time.Millisecond)
-	must.Eq(t, []control.Action{control.Submit, control.Fail, control.Cancel}, d.verbs())
+	must.Eq(t, []control.Action{control.Submit, control.Fail, control.Cancel}, d.actions())
 	must.Eq(t, control.ReasonNoTime, d.decided[1].Reason)
 	must.MapLen(t, 1, d.txns) // its end is still to come
 	d.SubmissionEnded(1, 0, 1, control.Canceled, true, 1500*time.Millisecond, nil)
 	must.MapEmpty(t, d.txns)
 }
 
-func (h *harness) verbs() (all []control.Action) {
+func (h *harness) actions() (all []control.Action) {
 	for _, x := range h.decided {
 		all = append(all, x.Action)
 	}
 	return all
 }
 
-// After a standstill nothing is sent whose time is over.
+// After a standstill of the process nothing is sent whose time is over.
 func TestStandstill(t *testing.T) {
 	d := newHarness(idempotentRoute, 1)
 	d.TxnArrived(control.Txn{ID: 1, Product: 1, Expiry: d.now + 1500*time.Millisecond})
@@ -222,7 +222,7 @@
 	d.TxnArrived(control.Txn{ID: 3, Product: 1, Expiry: d.now + 60*time.Second})
 	d.now += 2 * time.Second
 	d.pull()
-	must.Eq(t, []control.Action{control.Reject, control.Reject, control.Submit}, d.verbs())
+	must.Eq(t, []control.Action{control.Reject, control.Reject, control.Submit}, d.actions())
 	must.Eq(t, d.now, d.pausedUntil)
 }
 
@@ -258,7 +258,7 @@
 	must.MapLen(t, d.services[0].balancer.InFlight(), d.txns)
 }
 
-// A request beyond its quota is refused at once, with the time after which there is some.
+// A request beyond its quota is rejected at once, with the time after which there is some.
 func TestQuota(t *testing.T) {
 	d := newHarness(idempotentRoute, 3)
 	d.limiter.(*quota.Limiter).SetLimit(7, 1, 2)
@@ -267,7 +267,7 @@
 		d.TxnArrived(control.Txn{ID: id, Product: 1, Customer: 7, Units: 1, Expiry: d.now + time.Minute})
 		d.pull()
 	}
-	must.Eq(t, []control.Action{control.Submit, control.Submit, control.Reject}, d.verbs())
+	must.Eq(t, []control.Action{control.Submit, control.Submit, control.Reject}, d.actions())
 	must.Eq(t, control.ReasonNoUnits, d.last().Reason)
 	must.Between(t, 500*time.Millisecond, d.last().After, 1001*time.Millisecond)
 }
@@ -293,7 +293,7 @@
 
 var _ Limiter = (*quota.Limiter)(nil)
 
-// Ids come round: what was asked for at a time for a request that is long gone does nothing to the one that has its id now.
+// Numbers come round: a timer of a request that is long gone does nothing to the one that has its number now.
 func TestExpiryOfFormerLife(t *testing.T) {
 	d := newHarness(Route{Effectful: true, LatencyTarget: time.Second, MaxAttempts: 1}, 1)
 	d.arrive(7) // expires in 10 s
--- a/internal/gateway/admission/recorded_test.go
+++ b/internal/gateway/admission/recorded_test.go
@@ -97,7 +97,7 @@
 				// Taken at once below.
 			case control.Submit:
 				if e.nr != tries[who]-1 {
-					continue // called off meanwhile
+					continue // canceled meanwhile
 				}
 				held[x.Backend]--
 				how, took := control.Succeeded, now-e.sent
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -10,90 +10,90 @@
 	"clovergap/control"
 )
 
-// fixture is a cast with backends 1 to 6, 1 to 3 of them in this zone, that answer in their own time.
+// fixture is a balancer with backends 1 to 6, 1 to 3 of them in this zone, that answer in their own time.
 type fixture struct {
 	*Balancer
-	now   time.Duration
-	got   map[control.BackendID]int
-	takes map[control.BackendID]time.Duration // not 100 ms
-	fails map[control.BackendID]control.Ending
+	now         time.Duration
+	chosen      map[control.BackendID]int
+	answerTimes map[control.BackendID]time.Duration // not 100 ms
+	endings     map[control.BackendID]control.Ending
 }
 
 func newFixture(seed int64) *fixture {
 	s := &fixture{Balancer: New(rand.New(rand.NewSource(seed)), 0, 3), now: time.Second,
-		got: map[control.BackendID]int{}, takes: map[control.BackendID]time.Duration{},
-		fails: map[control.BackendID]control.Ending{}}
+		chosen: map[control.BackendID]int{}, answerTimes: map[control.BackendID]time.Duration{},
+		endings: map[control.BackendID]control.Ending{}}
 	for i := range 6 {
-		s.SetEndpoint(0, s.line(control.BackendID(i+1), control.Ready))
+		s.SetEndpoint(0, s.endpoint(control.BackendID(i+1), control.Ready))
 	}
 	return s
 }
 
-func (f *fixture) line(id control.BackendID, state control.BackendState) control.Endpoint {
+func (f *fixture) endpoint(id control.BackendID, state control.BackendState) control.Endpoint {
 	return control.Endpoint{ID: id, Zone: control.ZoneID((id - 1) / 3), State: state, Capacity: 4}
 }
 
 // play sends so many, one each 20 ms, each ended before the next: what each backend has out is no guide here.
 func (f *fixture) play(n int, w Request) {
-	clear(f.got)
+	clear(f.chosen)
 	for range n {
 		f.now += 20 * time.Millisecond
 		id, a := f.Pick(f.now, w)
 		if a != Chosen {
 			continue
 		}
-		f.got[id]++
+		f.chosen[id]++
 		f.Sent(f.now, id, w)
 		took := 100 * time.Millisecond
-		if t := f.takes[id]; t > 0 {
+		if t := f.answerTimes[id]; t > 0 {
 			took = t
 		}
-		f.Ended(f.now, id, Outcome{Ending: f.fails[id], Took: took, LatencyTarget: 400 * time.Millisecond})
+		f.Ended(f.now, id, Outcome{Ending: f.endings[id], Took: took, LatencyTarget: 400 * time.Millisecond})
 	}
 }
 
-func (f *fixture) elsewhere() int { return f.got[4] + f.got[5] + f.got[6] }
+func (f *fixture) inOtherZone() int { return f.chosen[4] + f.chosen[5] + f.chosen[6] }
 
 func TestZone(t *testing.T) {
 	s := newFixture(1)
 	s.play(300, Request{})
-	must.Zero(t, s.elsewhere())
+	must.Zero(t, s.inOtherZone())
 	// Somewhat slower is no reason to leave, late is.
 	for i := range 3 {
-		s.takes[control.BackendID(i+1)] = 200 * time.Millisecond
+		s.answerTimes[control.BackendID(i+1)] = 200 * time.Millisecond
 	}
 	s.play(300, Request{})
-	must.Zero(t, s.elsewhere())
+	must.Zero(t, s.inOtherZone())
 	for i := range 3 {
-		s.takes[control.BackendID(i+1)] = 500 * time.Millisecond
+		s.answerTimes[control.BackendID(i+1)] = 500 * time.Millisecond
 	}
 	s.play(300, Request{})
-	must.Greater(t, 50, s.elsewhere())
-	// And so is a zone that turns all away, or fails. When it is well again, they come back.
+	must.Greater(t, 50, s.inOtherZone())
+	// And so is a zone that rejects all, or fails. When it is well again, they come back.
 	for _, e := range []control.Ending{control.Rejected, control.Unreachable} {
 		s = newFixture(1)
-		s.fails[1], s.fails[2], s.fails[3] = e, e, e
+		s.endings[1], s.endings[2], s.endings[3] = e, e, e
 		s.play(300, Request{})
-		must.Greater(t, 200, s.elsewhere())
-		clear(s.fails)
+		must.Greater(t, 200, s.inOtherZone())
+		clear(s.endings)
 		s.play(600, Request{})
 		s.play(100, Request{})
-		must.Less(t, 10, s.elsewhere())
+		must.Less(t, 10, s.inOtherZone())
 	}
 }
 
-// Sends go by a power of the speed, so that fewer come late by a slow backend alone, and nodes of one age and knowledge don't move in step.
+// Requests go by a power of the speed, so that fewer come late by a slow backend alone, and nodes of one age and knowledge don't move in step.
 func TestParts(t *testing.T) {
 	first := map[control.BackendID]int{}
 	for seed := range int64(12) {
 		s := newFixture(seed)
 		id, _ := s.Pick(s.now, Request{})
 		first[id]++
-		s.takes[1], s.takes[2], s.takes[3] = 60*time.Millisecond, 100*time.Millisecond, 140*time.Millisecond
+		s.answerTimes[1], s.answerTimes[2], s.answerTimes[3] = 60*time.Millisecond, 100*time.Millisecond, 140*time.Millisecond
 		s.play(600, Request{})
 		s.play(600, Request{})
-		must.Between(t, 1.9, float64(s.got[1])/float64(s.got[2]), 2.7) // (100/60)^1.6 is 2.26
-		must.Between(t, 1.5, float64(s.got[2])/float64(s.got[3]), 2.1)
+		must.Between(t, 1.9, float64(s.chosen[1])/float64(s.chosen[2]), 2.7) // (100/60)^1.6 is 2.26
+		must.Between(t, 1.5, float64(s.chosen[2])/float64(s.chosen[3]), 2.1)
 	}
 	must.MapLen(t, 3, first)
 }
@@ -101,38 +101,38 @@
 func TestAside(t *testing.T) {
 	s := newFixture(1)
 	s.play(60, Request{})
-	s.fails[2] = control.ConnectionLost
+	s.endings[2] = control.ConnectionLost
 	s.play(300, Request{}) // six seconds
-	must.Between(t, 2, s.got[2], 15)
+	must.Between(t, 2, s.chosen[2], 15)
 	s.play(300, Request{Effectful: true})
-	must.Less(t, 3, s.got[2])
-	delete(s.fails, 2)
+	must.Less(t, 3, s.chosen[2])
+	delete(s.endings, 2)
 	s.play(600, Request{})
 	s.play(300, Request{})
-	must.Greater(t, 60, s.got[2])
+	must.Greater(t, 60, s.chosen[2])
 	// Where all fail alike, all are still tried.
 	for i := range 6 {
-		s.fails[control.BackendID(i+1)] = control.Errored
+		s.endings[control.BackendID(i+1)] = control.Errored
 	}
 	s.play(300, Request{})
-	must.MapLen(t, 6, s.got)
-	for _, n := range s.got {
+	must.MapLen(t, 6, s.chosen)
+	for _, n := range s.chosen {
 		must.Greater(t, 5, n)
 	}
 }
 
 func TestColdAndDraining(t *testing.T) {
 	s := newFixture(1)
-	cold := s.line(7, control.Ready)
+	cold := s.endpoint(7, control.Ready)
 	cold.Zone, cold.WarmingUntil = 0, s.now+6*time.Second
 	s.SetEndpoint(s.now, cold)
-	s.SetEndpoint(s.now, s.line(1, control.Draining))
+	s.SetEndpoint(s.now, s.endpoint(1, control.Draining))
 	s.play(300, Request{})
-	must.Between(t, 10, s.got[7], 50)
-	must.Zero(t, s.got[1])
+	must.Between(t, 10, s.chosen[7], 50)
+	must.Zero(t, s.chosen[1])
 	s.play(200, Request{})
 	s.play(300, Request{})
-	must.Greater(t, 85, s.got[7])
+	must.Greater(t, 85, s.chosen[7])
 }
 
 // One that owes answers for long gets few, and is dead once others have answered.
@@ -156,8 +156,8 @@
 	must.False(t, s.Dead(s.now, 1))
 }
 
-// Without homes a node of a large fleet sent to each backend once in a while: it learnt nothing of them and opened a connection
-// for two requests of three. Homes are spread evenly without a word, most goes there, and what they have no room for,
+// Without a subset a node of a large fleet sent to each backend once in a while: it learnt nothing of them and opened a connection
+// for two requests of three. Subsets are spread evenly without a message, most goes there, and what they have no capacity for,
 // or all when they are gone, goes to the others.
 func TestHomes(t *testing.T) {
 	const nodes, backends = 24, 56
@@ -168,8 +168,8 @@
 		for i := range backends {
 			c.SetEndpoint(0, control.Endpoint{ID: control.BackendID(i + 1), Capacity: 4, State: control.Ready})
 		}
-		s := &fixture{Balancer: c, now: time.Second, got: map[control.BackendID]int{}}
-		s.play(300, Request{}) // its pace is known
+		s := &fixture{Balancer: c, now: time.Second, chosen: map[control.BackendID]int{}}
+		s.play(300, Request{}) // its rate is known
 		own := map[control.BackendID]bool{}
 		for _, b := range c.ordered {
 			if own[b.ID] = !b.outsideSubset; !b.outsideSubset {
@@ -178,7 +178,7 @@
 		}
 		s.play(400, Request{})
 		at := 0
-		for id, n := range s.got {
+		for id, n := range s.chosen {
 			if own[id] {
 				at += n
 			}
@@ -201,7 +201,7 @@
 		}
 		s.play(50, Request{})
 		total := 0
-		for _, n := range s.got {
+		for _, n := range s.chosen {
 			total += n
 		}
 		must.Eq(t, 50, total)
@@ -212,9 +212,9 @@
 	must.MapLen(t, backends, homes)
 }
 
-// A node of a very large fleet sends little: it has few homes then, each of which it sends to before the connection would have been closed
-// as idle, and more as soon as it sends more. Guards against twelve homes for three requests a second, where nearly each of the first
-// requests opened a connection. All backends have alike many nodes at any pace, and few homes leave the others a little.
+// A node of a very large fleet sends little: it has a small subset then, to each backend of which it sends before the connection would have been closed
+// as idle, and more as soon as it sends more. Guards against a subset of twelve for three requests a second, where nearly each of the first
+// requests opened a connection. All backends have about as many nodes at any rate, and small subsets leave the others a little.
 func TestHomesGoByPace(t *testing.T) {
 	const nodes, backends = 50, 42
 	homes := map[control.BackendID]int{}
@@ -224,7 +224,7 @@
 		for i := range backends {
 			c.SetEndpoint(0, control.Endpoint{ID: control.BackendID(i + 1), Capacity: 4, State: control.Ready})
 		}
-		s := &fixture{Balancer: c, now: time.Second, got: map[control.BackendID]int{}}
+		s := &fixture{Balancer: c, now: time.Second, chosen: map[control.BackendID]int{}}
 		count := func() (n int) {
 			for _, b := range c.ordered {
 				if !b.outsideSubset {
@@ -238,16 +238,16 @@
 			s.play(0, Request{})
 			for range n {
 				s.now += gap - 20*time.Millisecond
-				before := s.got
-				s.got = map[control.BackendID]int{}
+				before := s.chosen
+				s.chosen = map[control.BackendID]int{}
 				s.play(1, Request{})
-				for id := range s.got {
+				for id := range s.chosen {
 					if !c.known[id].outsideSubset {
 						homes++
 					}
 					before[id]++
 				}
-				s.got = before
+				s.chosen = before
 			}
 			return homes
 		}
@@ -255,7 +255,7 @@
 		must.Between(t, 6, count(), 8)
 		at := play(200, 300*time.Millisecond)
 		must.Between(t, 180, at, 199)
-		must.Greater(t, 12, len(s.got)) // of 42, in a minute
+		must.Greater(t, 12, len(s.chosen)) // of 42, in a minute
 		for _, b := range c.ordered {
 			if !b.outsideSubset {
 				homes[b.ID]++
@@ -276,8 +276,8 @@
 	must.MapLen(t, backends, homes)
 }
 
-// A backend that is silent is set aside although every client leaves it before its time is up; one whose clients leave soon is not. Guards
-// against learning nothing of a backend whose requests are called off.
+// A backend that is silent is ejected although every client leaves it before its time is up; one whose clients leave soon is not. Guards
+// against learning nothing of a backend whose requests are canceled.
 func TestSilenceWhereClientsLeave(t *testing.T) {
 	for _, after := range []time.Duration{150 * time.Millisecond, 500 * time.Millisecond} {
 		s := newFixture(1)
@@ -289,9 +289,9 @@
 		}
 		s.play(60, Request{})
 		if after > 4*100*time.Millisecond {
-			must.Zero(t, s.got[1])
+			must.Zero(t, s.chosen[1])
 		} else {
-			must.Positive(t, s.got[1])
+			must.Positive(t, s.chosen[1])
 		}
 	}
 }
