--- a/control/loadbalancer/doc.go
+++ b/control/loadbalancer/doc.go
@@ -3,10 +3,10 @@
 //
 // # The idea
 //
-// A txn that its customer's quota covers (package quota) goes to the first backend in the customer's ranking that has room: backends are
+// A txn that its customer's quota covers (package quota) goes to the first backend in the customer's ranking that has capacity: backends are
 // ranked by a hash of customer and backend, those of the own zone first, so that a customer's txns meet the same few backends. How much
 // a backend may have in flight from here (capacity) is learned from answers: late ones take some away, prompt ones give some back. Among
-// hundreds of front doors each sends to any one backend too seldom to learn of it alone, so each tells the others how its last
+// hundreds of front doors each sends to any one backend too seldom to learn of it alone, so each reports to the others how its last
 // submissions went (observations), with datagrams that are sent anyway.
 //
 // # Terms
--- a/control/loadbalancer/pick.go
+++ b/control/loadbalancer/pick.go
@@ -16,7 +16,7 @@
 	load       float64 // of the candidates
 }
 
-// pick chooses the backend for a txn: the first in its customer's ranking that has room. nil: none has.
+// pick chooses the backend for a txn: the first in its customer's ranking that has capacity. nil: none has.
 func (c *Controller) pick(t *txn) *backend {
 	c.survey()
 	s := c.supplyFor(t)
@@ -32,7 +32,7 @@
 	return c.firstInRanking(t, s)
 }
 
-// supplyFor finds the backends that a txn may go to, and of those the candidates, which have room.
+// supplyFor finds the backends that a txn may go to, and of those the candidates, which have capacity.
 func (c *Controller) supplyFor(t *txn) supply {
 	s := supply{candidates: c.candidates[:0]}
 	for _, b := range c.available {
@@ -100,7 +100,7 @@
 	return best
 }
 
-// eligible tells whether a backend is good for a txn, whether it has room or not.
+// eligible tells whether a backend is good for a txn, whether it has capacity or not.
 func (c *Controller) eligible(b *backend, t *txn) bool {
 	if b.ejected || b == t.previous || b.rejectingUntil > c.now || c.excludedFor(b, t) || c.unresponsive(b, t) || !c.allowed(b, t) {
 		return false
--- a/control/loadbalancer/tuning.go
+++ b/control/loadbalancer/tuning.go
@@ -74,7 +74,7 @@
 	minSlowdown = 0.1
 	// rateWindow, in seconds, is the time over which the rate of answers is smoothed.
 	rateWindow = 3.0
-	// observationsPerMessage are the last submissions that peers are told of.
+	// observationsPerMessage are the last submissions that go to peers.
 	observationsPerMessage = 5
 )
 
--- a/control/quota/account.go
+++ b/control/quota/account.go
@@ -29,7 +29,7 @@
 
 	// Owner.
 	reports   []*report
-	exhausted bool // the recent reporters were told that no unit is left
+	exhausted bool // the recent reporters were sent snapshots without a unit
 
 	// Not the owner: the snapshot.
 	hasSnapshot       bool
--- a/control/quota/allowance.go
+++ b/control/quota/allowance.go
@@ -7,7 +7,7 @@
 
 // allowanceNow brings the allowance of a customer up to now and gives it: what this gateway may consume without the owner's knowledge, whether it has
 // a snapshot or not. It is the gateway's part of what the bound leaves beyond rate x Window + burst, some at once and the rest over a
-// window. It begins empty in each life, and a partition does not renew it. What the owner acknowledges with units left comes back
+// window. It begins empty in each epoch, and a partition does not renew it. What the owner acknowledges with units left comes back
 // (confirmAllowance). While isolated (isolatedFrom) the gateway's part of the rate is added, with no more saved up than before.
 func (l *Limiter) allowanceNow(a *Account) float64 {
 	n := float64(l.gateways)
--- a/control/quota/doc.go
+++ b/control/quota/doc.go
@@ -18,10 +18,10 @@
 //   - burst share: what a gateway may consume against a snapshot before it is acknowledged: an equal part of the burst or of a low level.
 //   - grant: units that the owner sets aside for one gateway whose requests wait for them.
 //   - allowance: units that a gateway may consume without the owner's knowledge (strict mode).
-//   - withheld: a silent reporter's part of the refill, which the owner keeps out of the bucket until that reporter is heard of or known
+//   - withheld: a silent reporter's part of the refill, which the owner keeps out of the bucket until that reporter is reached or known
 //     to be lost (strict mode).
 //   - hard limit: a second rate and burst, split over the gateways so that no sum of parts exceeds it, whatever is lost or restarts.
-//   - epoch: a number of one life of a gateway's process. Acknowledgements and grants for another epoch are void.
+//   - epoch: a number of one run of a gateway's process. Acknowledgements and grants for another epoch are void.
 //   - set: the gateways, numbered setFirst to setFirst+setWidth-1 around, that may see a customer's requests.
 //
 // # Guarantees
--- a/control/quota/hardlimit.go
+++ b/control/quota/hardlimit.go
@@ -7,7 +7,7 @@
 
 // checkHardLimit tells whether this gateway's part of the hard limit covers a request, and otherwise when to ask again. A share of the limit
 // is split evenly over the set, so that each gateway has some when partitioned; the rest is the owner's pool, of which those ask
-// whose requests come unevenly. Parts and pool begin empty in each life, and rates and bursts add up to the whole limit, whoever
+// whose requests come unevenly. Parts and pool begin empty in each epoch, and rates and bursts add up to the whole limit, whoever
 // restarts.
 func (l *Limiter) checkHardLimit(a *Account, r Request) (allowed bool, at time.Duration) {
 	if a.limit.HardRate <= 0 {
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -92,7 +92,7 @@
 	badDatagrams int
 }
 
-// NewLimiter starts the part of gateway self of so many. The seed makes its epoch: no two lives may have the same. Limits are set by
+// NewLimiter starts the part of gateway self of so many. The seed makes its epoch: no two runs may have the same. Limits are set by
 // SetLimit, and each customer's set is all gateways.
 func NewLimiter(seed int64, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
 	invariant.That(self >= 0 && int(self) < gateways, "a gateway is one of those there are")
@@ -343,7 +343,7 @@
 	return max(next, l.now)
 }
 
-// Epoch is the number of this life of the limiter; messages carry it, and peers acknowledge it.
+// Epoch is the number of this run of the limiter; messages carry it, and peers acknowledge it.
 func (l *Limiter) Epoch() uint32 { return l.epoch }
 
 // HasPending tells whether there is something to send to a peer, now or later.
--- a/control/quota/peer.go
+++ b/control/quota/peer.go
@@ -50,10 +50,10 @@
 	allowance   map[control.CustomerID]float64 // units of the deltas that were taken from the allowance
 }
 
-// isRetired tells whether an epoch is of a life that has ended.
+// isRetired tells whether an epoch has ended.
 func (p *peer) isRetired(epoch uint32) bool { return slices.Contains(p.retiredEpochs, epoch) }
 
-// beginEpoch starts the peer's next life. Its sequences and versions begin anew.
+// beginEpoch starts the peer's next epoch. Its sequences and versions begin anew.
 func (p *peer) beginEpoch(epoch uint32) {
 	if p.epoch != 0 {
 		p.retiredEpochs = append(p.retiredEpochs, p.epoch)
--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -34,7 +34,7 @@
 	return m.Seq > 0 || forThisEpoch
 }
 
-// beginPeerEpoch notes that a peer has started again; false: the epoch is of a former life. What was reported to the former life is dropped: the new
+// beginPeerEpoch notes that a peer has started again; false: that epoch has ended. What was reported to the former epoch is dropped: the new
 // one's buckets begin empty, which stands for all use before.
 func (l *Limiter) beginPeerEpoch(p *peer, epoch uint32) bool {
 	if p.isRetired(epoch) {
@@ -46,7 +46,7 @@
 	for _, a := range l.ordered {
 		for _, r := range a.reports {
 			if r.from == p.id {
-				r.withheld = 0 // nobody reports what its former life consumed of it
+				r.withheld = 0 // nobody reports what was consumed of it before
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 		return nil
 	}
 	a := l.account(d.Customer, d.Plan)
-	if !a.placed { // what a txn here says goes before a peer's word
+	if !a.placed { // what a txn here says goes before what a peer says
 		l.assignOwner(a, d.SetFirst, d.SetWidth)
 	}
 	if a.owner != l.self {
--- a/control/quota/refill.go
+++ b/control/quota/refill.go
@@ -11,7 +11,7 @@
 }
 
 // refillAmount is what an owned bucket gets in a time: the rate; in strict mode, the parts of the gateways in touch. A gateway out of
-// reach consumes its part alone. One that reported and has fallen silent may do so too: its part is withheld until it is heard of, and then
+// reach consumes its part alone. One that reported and has fallen silent may do so too: its part is withheld until a message of it comes, and then
 // released, less what it has consumed. After reporterLostAfter the host has found it lost; if not, it had nothing to report.
 func (l *Limiter) refillAmount(a *Account, in time.Duration) float64 {
 	if !l.config.Strict {
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -73,7 +73,7 @@
 
 	valueLoss      [2]float64 // of answers, by ownZone and otherZones
 	remoteAnswerAt time.Duration
-	crossZoneShare float64 // of requests that leave the zone though it has room
+	crossZoneShare float64 // of requests that leave the zone though it has capacity
 	crossZoneAt    time.Duration
 }
 
--- a/internal/gateway/balancer/zones.go
+++ b/internal/gateway/balancer/zones.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// crossZoneShareNow is the share of requests that leave this zone though it has room. It grows while answers from here lose more of their value
+// crossZoneShareNow is the share of requests that leave this zone though it has capacity. It grows while answers from here lose more of their value
 // than those from elsewhere, by more than the way between zones costs. It changes slowly, so that nodes don't rush together to where it is
 // quiet.
 func (b *Balancer) crossZoneShareNow(now time.Duration) float64 {
@@ -21,7 +21,7 @@
 	return b.crossZoneShare
 }
 
-// otherZonesBetter tells whether a request may leave a zone that has no room. Where the others are as crowded, each would only take the place of
+// otherZonesBetter tells whether a request may leave a zone that has no capacity. Where the others are as crowded, each would only take the place of
 // another.
 func (b *Balancer) otherZonesBetter() bool {
 	return b.valueLoss[otherZones] < crowdedValueLoss || b.valueLoss[otherZones]+crossZoneCost < b.valueLoss[ownZone]
