--- a/internal/proxy/downstream/txn.go
+++ b/internal/proxy/downstream/txn.go
@@ -146,7 +146,7 @@
 	kind, plan, wait := one("req-kind"), one("x-plan"), one("req-deadline")
 	cookie, quota := one("cookie"), one("x-quota")
 	if line != "" {
-		return
+		return x, why, line
 	}
 	span, ok := waits(wait)
 	if !ok {
@@ -163,7 +163,7 @@
 	}
 	if t.kinds[x.Product].Keyed {
 		if one("idempotency-key"); line != "" { // without it a repeat could not be told from a new one
-			return
+			return x, why, line
 		}
 	}
 	// The class decides the method: what backends would reject takes no units and counts against none of them.
