--- a/internal/gateway/logentry/dedupwindow.go
+++ b/internal/gateway/logentry/dedupwindow.go
@@ -9,7 +9,7 @@
 	"clovergap/internal/invariant"
 )
 
-// Digest stands for a request's bytes. It is a SHA-256 cut to 128 bits: among 2^32 requests two are equal by chance with a
+// Digest stands for a request's bytes. It is a SHA-256 truncated to 128 bits: among 2^32 requests two are equal by chance with a
 // probability of 2^-65.
 type Digest [16]byte
 
@@ -31,8 +31,8 @@
 var ErrCorruptWindow = errors.New("corrupt deduplication window")
 
 // DedupWindow knows which requests were applied recently, so that one that is sent again is recognized. It is bounded by the bytes
-// of its encoding and forgets the oldest requests. What it may have forgotten it tells by the horizon: whether a request that it
-// does not know was applied at a number up to there, nobody can tell. Windows to which the same was added are equal.
+// of its encoding and forgets the oldest requests. The horizon bounds what it may have forgotten: whether a request that it
+// does not know was applied under a number up to there is not known. Windows to which the same was added are equal.
 type DedupWindow struct {
 	maxBytes int
 	bytes    int       // of the requests' encoding
@@ -51,7 +51,7 @@
 	return &DedupWindow{maxBytes: maxBytes, digests: map[Digest]struct{}{}}
 }
 
-// Has tells whether a request was applied and is not forgotten.
+// Has reports whether a request was applied and is not forgotten.
 func (d *DedupWindow) Has(digest Digest) bool {
 	_, ok := d.digests[digest]
 	return ok
@@ -68,7 +68,7 @@
 	return d.requests[len(d.requests)-1].number
 }
 
-// Add notes that a request was applied, under a number above all before it.
+// Add records that a request was applied, under a number above all before it.
 func (d *DedupWindow) Add(number uint64, digest Digest) {
 	invariant.That(number > d.newest(), "numbers of applied requests rise")
 	d.bytes += encodedSize(number - d.newest())
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -182,7 +182,7 @@
 func (t *Tracker) ReportedTerm() uint64 { return t.stream.term }
 
 // Stamp is this node's clock for others, who give it back in a Report.
-func (t *Tracker) Stamp(now time.Duration) uint32 { return t.clock.Stamp(now) }
+func (t *Tracker) Stamp(now time.Duration) uint32 { return t.clock.Timestamp(now) }
 
 // Uptime is how long ago this incarnation began.
 func (t *Tracker) Uptime(now time.Duration) time.Duration { return now - t.config.StartedAt }
--- a/internal/gateway/quorumcontact/tracker_test.go
+++ b/internal/gateway/quorumcontact/tracker_test.go
@@ -53,7 +53,7 @@
 			for i, w := range left {
 				c := t
 				before := c.stream
-				c.Learn(Report{Age: w.age, Term: w.term, Echo: w.by.Stamp(w.asked), Index: w.index}, 9, now)
+				c.Learn(Report{Age: w.age, Term: w.term, Echo: w.by.Timestamp(w.asked), Index: w.index}, 9, now)
 				moved := c.stream.appliedAsOf > before.appliedAsOf
 				if moved && (c.stream.appliedAsOf > w.asked-w.age || w.term < before.term || w.index > 9 || w.by == other) {
 					wrong++
--- a/internal/gateway/replication/action.go
+++ b/internal/gateway/replication/action.go
@@ -14,7 +14,7 @@
 // Commit hands over the next committed entry. EntryNoOp and EntryConfigChange are handed over too: Index has no gaps.
 type Commit struct{ Entry Entry }
 
-// Restore replaces the host's state; Commit continues after its Index. It comes first if the disk held a snapshot, and later if
+// Restore replaces the host's state; Commit continues after its Index. It comes first if the disk had a snapshot, and later if
 // the leader had compacted what this member lacks.
 type Restore struct {
 	Index uint64
@@ -29,7 +29,7 @@
 	Leader Member // with OutcomeNotLeader
 }
 
-// OutcomeStatus tells how a proposal or a read ended.
+// OutcomeStatus is how a proposal or a read ended.
 type OutcomeStatus uint8
 
 // The statuses. All but OutcomeCommitted and OutcomeUnknown guarantee that a proposal was not taken and never will be.
--- a/internal/gateway/replication/blob.go
+++ b/internal/gateway/replication/blob.go
@@ -69,7 +69,7 @@
 	b.acked, b.sent, b.progressAt = received.Offset, max(b.sent, received.Offset), now
 }
 
-// Complete tells whether the receiver has all of the blob.
+// Complete reports whether the receiver has all of the blob.
 func (b *BlobSender) Complete() bool { return b.acked == b.Blob.id.size }
 
 // NextChunk returns the next chunk to send; nil if config.MaxInflightBytes are in flight, or all is. What was not acknowledged
--- a/internal/gateway/replication/bootstrap.go
+++ b/internal/gateway/replication/bootstrap.go
@@ -11,7 +11,7 @@
 	"clovergap/internal/invariant"
 )
 
-// The first member list of a cluster, and disks that hold nothing else.
+// The first member list of a cluster, and disks that have nothing else.
 
 // What the errors of Bootstrap wrap.
 var (
@@ -43,7 +43,7 @@
 	r.log.snapshot = Snapshot{Index: 1, Term: 1, Members: members}
 	r.memberConfigs = []memberConfig{{1, members}}
 	r.commitIndex, r.unwrittenSnapshot = 1, true
-	r.markUnwritten(2)
+	r.requireWrite(2)
 	r.resetElectionDeadline()
 	return nil
 }
@@ -74,10 +74,10 @@
 	return members
 }
 
-// Bootstrapped tells whether there is anything on this disk but the member ID.
+// Bootstrapped reports whether there is anything on this disk but the member ID.
 func (r *Replica) Bootstrapped() bool { return r.clusterID != 0 }
 
-// BootstrapMembers is the first member list while the log holds nothing else; nil otherwise. A member on it with an empty disk
+// BootstrapMembers is the first member list while the log has nothing else; nil otherwise. A member on it with an empty disk
 // has missed it, and any other may pass it on.
 func (r *Replica) BootstrapMembers() []Member {
 	if r.clusterID == 0 || r.log.snapshot.Index != 1 {
@@ -94,14 +94,14 @@
 	return r.clusterID
 }
 
-// onlyBootstrapped tells whether this disk holds a bootstrap and nothing else: it has voted for nobody and has acknowledged no
-// entry. Its cluster loses nothing if it leaves: an empty disk that is given the same list is worth as much.
+// onlyBootstrapped reports whether this disk has a bootstrap and nothing else: it has voted for nobody and has acknowledged no
+// entry. Its cluster loses nothing without it: an empty disk that is given the same list can do as much.
 func (r *Replica) onlyBootstrapped() bool {
-	return r.clusterID != 0 && r.log.snapshot.Index == 1 && len(r.log.entries) == 0 && (r.term == 1 || r.mutated(leaveAfterVote))
+	return r.clusterID != 0 && r.log.snapshot.Index == 1 && len(r.log.entries) == 0 && (r.term == 1 || r.mutated(joinOtherAfterVote))
 }
 
-// stepOutsideCluster is Step for an empty disk, or one that was bootstrapped for another cluster and holds nothing else. It takes
-// messages from a leader alone: a leader has a majority's votes, so its cluster exists.
+// stepOutsideCluster is Step for an empty disk, or one that was bootstrapped for another cluster and has nothing else. It takes
+// messages only from a leader: a leader has a majority's votes, so its cluster exists.
 func (r *Replica) stepOutsideCluster(from MemberID, m Message) {
 	switch {
 	case m.Kind == MsgAppendChunk:
@@ -122,15 +122,15 @@
 	r.Step(from, m)
 }
 
-// DiscardBootstrap empties a disk that holds a bootstrap alone, if the other members of that are gone for good. It returns false
-// if the disk holds more.
+// DiscardBootstrap empties a disk that has only a bootstrap, if the other members of that are gone for good. It returns false
+// if the disk has more.
 func (r *Replica) DiscardBootstrap() bool {
 	if !r.onlyBootstrapped() {
 		return false
 	}
 	r.reset()
 	r.unwrittenSnapshot = true
-	r.markUnwritten(1)
+	r.requireWrite(1)
 	return true
 }
 
--- a/internal/gateway/replication/codec.go
+++ b/internal/gateway/replication/codec.go
@@ -117,7 +117,7 @@
 	m.Rejected, m.AcceptsChunks = mask&isRejection != 0, mask&acceptsChunks != 0
 	if mask&hasEntries != 0 {
 		for range r.count() {
-			m.Entries = append(m.Entries, Entry{Index: r.uvarint(), Term: r.uvarint(), Kind: EntryKind(r.byte()), Data: r.bytes(), Members: r.members()})
+			m.Entries = append(m.Entries, r.entry())
 		}
 	}
 	if mask&hasSnapshot != 0 {
@@ -182,6 +182,10 @@
 	return data
 }
 
+func (m *messageReader) entry() Entry {
+	return Entry{Index: m.uvarint(), Term: m.uvarint(), Kind: EntryKind(m.byte()), Data: m.bytes(), Members: m.members()}
+}
+
 func (m *messageReader) members() (members []Member) {
 	for range m.count() {
 		members = append(members, Member{ID: MemberID(m.uvarint()), Addr: string(m.bytes())})
--- a/internal/gateway/replication/codec_test.go
+++ b/internal/gateway/replication/codec_test.go
@@ -20,7 +20,7 @@
 	{},
 }
 
-// A message comes out as it went in, and what follows it is left; cut short anywhere it is an error.
+// A message is decoded as it was encoded, and what follows it is left; truncated anywhere it is an error.
 func TestMessagesInCompactForm(t *testing.T) {
 	for _, m := range codecMessages {
 		m.ContactAgeMillis = -1
--- a/internal/gateway/replication/config.go
+++ b/internal/gateway/replication/config.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// LogID tells the logs on one disk apart.
+// LogID distinguishes the logs on one disk.
 type LogID uint8
 
 // ConfigurationLog is the log that orders configurations. The logs of the coordination groups have the numbers from 1 on.
 const ConfigurationLog LogID = 0
 
-// Config holds the times and bounds of a replica. The defaults given are DefaultConfig's; GroupConfig's, where they differ, follow
+// Config has the times and bounds of a replica. The defaults given are DefaultConfig's; GroupConfig's, where they differ, follow
 // in parentheses.
 type Config struct {
 	// TestingKnobs plants faults for tests. It is an empty type in a release build.
@@ -30,7 +30,7 @@
 	// does not hear. Default: 1 s (500 ms).
 	QuorumTimeout time.Duration
 
-	// CommitNotifyDelay is how long a leader waits at most before it sends a new commit index. Default: 20 ms (100 ms: only the
+	// CommitNotifyDelay is the longest time before a leader sends a new commit index. Default: 20 ms (100 ms: only the
 	// leader answers by what is committed).
 	CommitNotifyDelay time.Duration
 
@@ -41,7 +41,7 @@
 	// LearnerTimeout is when a learner that does not answer is dropped. Default: 3 s.
 	LearnerTimeout time.Duration
 
-	// MaxPending bounds the proposals, and likewise the reads, that wait for their Outcome. Default: 1024.
+	// MaxPending bounds the proposals, and likewise the reads, without an Outcome. Default: 1024.
 	MaxPending int
 
 	// MaxUncommittedBytes bounds the entries that are not committed; one entry is always taken. 0: not bounded. Default: 8 MiB
@@ -87,7 +87,7 @@
 	}
 }
 
-// GroupConfig is for the log of a coordination group. Calls wait while a group has no leader, so elections start sooner than for
+// GroupConfig is for the log of a coordination group. Calls are delayed while a group has no leader, so elections start sooner than for
 // the configuration's log. The machines have 0.4 of a core and disks of up to 5 ms a sync: three heartbeats may be missed.
 func GroupConfig(log LogID) Config {
 	config := DefaultConfig()
--- a/internal/gateway/replication/contact.go
+++ b/internal/gateway/replication/contact.go
@@ -3,13 +3,13 @@
 import "time"
 
 // Quorum contact: how stale a member's state is at the most, like the closed timestamp of a bounded-staleness read. All that was
-// acknowledged before that time is committed here. No read or write depends on it; it tells a host what its state is worth.
+// acknowledged before that time is committed here. No read or write depends on it; it is how a host knows whether its state is good enough.
 //
 // Messages between a leader and the others carry their sender's clock, and echo the newest clock that was received from the other
 // in this term. A member that echoes the leader's clock followed no newer term when that clock was sent. So when a majority has
 // echoed it, no other leader had acknowledged anything by then, and what this leader had acknowledged is committed at it. The
 // leader sends the age of that time. A follower adds the time since it sent the clock that comes back with it, and not the time
-// since the message came: what was long on its way, or waited while a process was suspended, is as old as that. Clocks start at
+// since the message came: what was long on its way, or waited while a process was suspended, counts as that stale. Clocks start at
 // a number that differs between incarnations of a process, so that echoes of an earlier one match nothing.
 
 // contactState is the newest time at which a majority is known to have been in contact, by the leader of a term.
@@ -20,9 +20,9 @@
 
 const noContact = -never
 
-// maxStampAge bounds the age of an echo that is accepted: older ones bring nothing new, and those of another incarnation are
+// maxTimestampAge bounds the age of an echo that is accepted: older ones bring nothing new, and those of another incarnation are
 // almost certainly older, or in the future.
-const maxStampAge = 8 * time.Second
+const maxTimestampAge = 8 * time.Second
 
 // Clock is a monotonic clock in milliseconds, rounded down, that starts at a random number and wraps after 49 days.
 type Clock struct{ origin uint32 }
@@ -33,22 +33,22 @@
 	return Clock{uint32(incarnation * goldenRatio >> 32)}
 }
 
-// Stamp is a time by this clock; never 0.
-func (c Clock) Stamp(now time.Duration) uint32 {
-	stamp := c.origin + uint32(now/time.Millisecond)
-	if stamp == 0 {
-		stamp--
+// Timestamp is a time by this clock; never 0.
+func (c Clock) Timestamp(now time.Duration) uint32 {
+	timestamp := c.origin + uint32(now/time.Millisecond)
+	if timestamp == 0 {
+		timestamp--
 	}
-	return stamp
+	return timestamp
 }
 
-// SentAt is the earliest time at which a stamp was made, and false if it is not this clock's or too old.
-func (c Clock) SentAt(stamp uint32, now time.Duration) (time.Duration, bool) {
-	age := (time.Duration(c.Stamp(now)-stamp) + 1) * time.Millisecond
-	return now - age, stamp != 0 && age <= maxStampAge
+// SentAt is the earliest time that a timestamp can be of, and false if it is not this clock's or too long ago.
+func (c Clock) SentAt(timestamp uint32, now time.Duration) (time.Duration, bool) {
+	age := (time.Duration(c.Timestamp(now)-timestamp) + 1) * time.Millisecond
+	return now - age, timestamp != 0 && age <= maxTimestampAge
 }
 
-// reportsContact tells whether this log has quorum contact: what a node may do depends on the configuration's log alone.
+// reportsContact reports whether this log has quorum contact: what a node may do depends only on the configuration's log.
 func (r *Replica) reportsContact() bool { return r.config.LogID == ConfigurationLog }
 
 // QuorumContact returns how long ago a majority was in contact at the latest, as far as is known here, and the newest term in
@@ -68,7 +68,7 @@
 	}
 }
 
-// recordResponseClock notes that a member followed this term when the clock that it echoes was sent. A member of the first
+// recordResponseClock records that a member followed this term when the clock that it echoes was sent. A member of the first
 // version sends no clock: it counts from when its answer came.
 func (r *Replica) recordResponseClock(peer *progress, m Message) {
 	sentAt, ok := r.clock.SentAt(m.EchoedClock, r.now)
@@ -108,7 +108,7 @@
 		return
 	}
 	r.updateQuorumContact()
-	m.Clock, m.EchoedClock = r.clock.Stamp(r.now), peer.lastClock
+	m.Clock, m.EchoedClock = r.clock.Timestamp(r.now), peer.lastClock
 	if age, _, ok := r.QuorumContact(r.now); ok {
 		m.ContactAgeMillis = int64((age + time.Millisecond - 1) / time.Millisecond) // rounded up
 	}
--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -8,11 +8,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// What is held against a member's word of contact, by an observer who sees all: what was acknowledged so long ago is
-// committed here, and no view newer than the one that it names was led by then. A member that stands still says nothing; what
-// it says when it wakes is judged by the time that it is.
+// Quorum contact is checked by an observer who sees all: what was acknowledged so long ago must be committed at the member, and no term
+// newer than the one that it names may have had a leader by then. A member that is suspended reports nothing; what it reports when it
+// goes on is checked by the time that it is then.
 
-// tick tells a member the time before anything else.
+// tick advances a member's time before anything else.
 func (c *cluster) tick(i int) {
 	if c.judgesContact {
 		c.members[i].replica.Tick(c.now)
@@ -30,13 +30,13 @@
 		}
 		for n, at := range c.committedAt {
 			if e := c.committed[n]; at < c.now-age && e.Index > s.replica.commitIndex {
-				c.fail("member %d is in contact since %v in view %d, and lacks %d of %v", s.disk.ID, c.now-age, view, e.Index, at)
+				c.fail("member %d is in contact since %v in term %d, and lacks %d of %v", s.disk.ID, c.now-age, view, e.Index, at)
 			}
 		}
 	}
 }
 
-// withClock lets time pass by steps, and by nothing else: nobody asks for a view before an hour of silence.
+// withClock lets time pass by steps, and by nothing else: no election time-out comes before an hour.
 func withClock(w *cluster) *cluster {
 	for _, s := range w.members {
 		s.replica.config.ElectionTimeout = time.Hour
@@ -51,7 +51,7 @@
 }
 
 var contactScenarios = []scenario{
-	{"an old leader, and answers that come late", func(planted mutation) *cluster {
+	{"a former leader, and answers that come late", func(planted mutation) *cluster {
 		w := withClock(newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1, ticks: 2}))
 		w.heartbeat(0)
 		w.deliverAmong([]int{0}, []int{1, 2})
@@ -62,7 +62,7 @@
 		w.inflight = append(w.inflight, late...)
 		return w
 	}, []mutation{contactByAck, contactWhileLead}},
-	{"a follower, and word that comes late", func(planted mutation) *cluster {
+	{"a follower, and appends that come late", func(planted mutation) *cluster {
 		w := withClock(newCluster(3, 0, planted, stepBudget{proposals: 1, ticks: 2}))
 		w.heartbeat(0)
 		late := w.inflight
@@ -97,7 +97,7 @@
 		w.now += time.Second
 		return w
 	}, []mutation{contactAhead}},
-	{"a cut, a new view, a change", func(planted mutation) *cluster {
+	{"a partition, a new term, a proposal", func(planted mutation) *cluster {
 		return withClock(newCluster(3, 0, planted, stepBudget{elections: 1, proposals: 1, heartbeats: 1, ticks: 2}))
 	}, nil},
 }
@@ -135,7 +135,7 @@
 	}
 	for v, at := range w.ledSince {
 		if v > view && at < since {
-			w.fail("node %d is in contact since %v by view %d, and %d was led at %v", i, since, view, v, at)
+			w.fail("node %d is in contact since %v by term %d, and %d was led at %v", i, since, view, v, at)
 		}
 	}
 }
@@ -172,8 +172,8 @@
 	return walkWithFaults(t, seed, planted, (*walk).pauseAndPartition, 30*time.Second)
 }
 
-// Nobody says that its word is newer than it is, whoever stands still or is not heard; ten calm seconds later all
-// have word of a majority again, within a few heartbeats.
+// No member reports newer contact than it has, whoever is suspended or partitioned; after ten seconds without faults all are in contact
+// with a majority again, within a few heartbeats.
 func TestContactOnWalks(t *testing.T) {
 	for seed := range int64(maxStates(10_000) / 250) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/gateway/replication/doc.go
+++ b/internal/gateway/replication/doc.go
@@ -14,8 +14,8 @@
 //
 // A host must do the following, and may rely on the guarantees only if it does:
 //
-//   - write each Write atomically, in the order of Seq, and call Synced once it is synced. What a member acknowledges to others
-//     waits for that call inside the package; the host need not hold back any message.
+//   - write each Write atomically, in the order of Seq, and call Synced once it is synced. The package itself delays what a member
+//     acknowledges to others until then; the host may send every message at once.
 //   - pass Tick the present time before anything that happened meanwhile, also after the process was suspended.
 //   - give the PersistentState that results from all synced writes to New after a restart, and a new MemberID to an empty disk.
 //   - treat Data, State and Members as immutable: they are shared with messages and writes that are still under way.
@@ -28,12 +28,12 @@
 //	append               the leader's message with entries, or without any as a heartbeat
 //	match index          up to which index a member's synced log is known to equal the leader's
 //	commit index         up to which index entries are known to be on the disks of a majority
-//	snapshot             the host's state up to an index, in the place of the log up to there
+//	snapshot             the host's state up to an index, which replaces the log up to there
 //	trailing log         compacted entries that are still in memory, for members that lack only a little
 //	joint configuration  two member lists of which both majorities are needed, while the newer one is not committed
 //	learner              a node that receives the log and does not count; it becomes a member once it has caught up
 //	leadership transfer  the leader asks a member that has all entries to start an election at once (TimeoutNow)
-//	read sequence        the number of a heartbeat round which confirms that a leader still leads (Raft's ReadIndex)
+//	read sequence        the number of a broadcast of heartbeats which confirms that a leader still leads (Raft's ReadIndex)
 //	quorum contact       how long ago a majority was in contact with the leader: how stale this member's state can be
 //	cluster ID           identifies one bootstrap of one log; messages of another cluster are ignored
 //	bootstrap            writing the first member list on empty disks, as term 1 and index 1
@@ -45,8 +45,8 @@
 //   - At most one Outcome for each proposal and read. OutcomeCommitted means the entry was committed at Index;
 //     OutcomeNotLeader, OutcomeNoLeader and OutcomeBusy mean that it was not taken and never will be; OutcomeUnknown means that
 //     it may have been, or may still be, committed.
-//   - A read that ends with OutcomeCommitted sees everything that was acknowledged before it was asked for.
-//   - Safety depends on disks alone. Time decides only when an election starts, what is retransmitted, and which members the
+//   - A read that ends with OutcomeCommitted sees everything that was acknowledged before it was requested.
+//   - Safety depends only on disks. Time decides only when an election starts, what is retransmitted, and which members the
 //     leader considers lost.
 //
 // # Where it differs from Raft, and why
@@ -56,16 +56,16 @@
 //     lead, which is quicker with three members of which one lags. Where that log is too large for one message its owner starts
 //     an election itself.
 //   - A candidate syncs its own vote before it asks for others: a member whose disk hangs does not disturb the cluster.
-//   - Two candidates of one term would each wait for another time-out. The one with the lower ID starts the next term at once.
+//   - Two candidates of one term would each need another time-out. The one with the lower ID starts the next term at once.
 //   - A member is a disk, not a node: an empty disk draws a new ID, so that a lost disk's votes and acknowledgements can't be
-//     mistaken for those of the empty one in its place.
+//     mistaken for those of the empty one that replaces it.
 //   - A joint configuration is one entry. The new list takes effect when it is appended, with the majorities of both lists, and
-//     alone once it is committed. So one change replaces a member by another, with no moment at which fewer may be lost.
+//     by itself once it is committed. So one change replaces a member by another, with no moment at which fewer may be lost.
 //   - The leader changes the member list itself, by which disks its host reaches (ReconcileMembers).
 //   - An acknowledgement of a read sequence needs no disk, so reads are not slowed by writes.
 //   - Snapshots and large entries go in acknowledged chunks, at most Config.MaxInflightBytes at a time, so that heartbeats are
 //     not stuck behind them; a transfer continues under a new leader or connection where it stopped.
-//   - There are no leader leases. QuorumContact tells a host how stale its state may be; no read or write depends on it.
+//   - There are no leader leases. QuorumContact is how stale a host's state may be; no read or write depends on it.
 //
 // # Compatibility
 //
--- a/internal/gateway/replication/durability.go
+++ b/internal/gateway/replication/durability.go
@@ -6,7 +6,7 @@
 	"clovergap/internal/invariant"
 )
 
-// What is on disk, what is being written, and the messages that must not be sent before a write is synced. Nothing here waits:
+// What is on disk, what is being written, and the messages that must not be sent before a write is synced. Nothing here blocks:
 // the replica goes on while the host writes.
 
 // unsyncedWrite is a write that the host has been given: once it is synced the log up to lastIndex is on disk.
@@ -20,9 +20,9 @@
 	recipient MemberID
 }
 
-// markUnwritten notes that the disk lacks something: the entries from an index on if that is not 0, else only term, vote, commit
+// requireWrite records that the disk lacks something: the entries from an index on if that is not 0, else only term, vote, commit
 // index or snapshot.
-func (r *Replica) markUnwritten(from uint64) {
+func (r *Replica) requireWrite(from uint64) {
 	r.unwritten = true
 	if from > 0 && (r.unwrittenFrom == 0 || from < r.unwrittenFrom) {
 		r.unwrittenFrom = from
@@ -49,7 +49,7 @@
 	return w
 }
 
-// Synced tells that the write of this Seq and all before it are on disk.
+// Synced reports that the write of this Seq and all before it are on disk.
 func (r *Replica) Synced(seq uint64) {
 	invariant.That(seq < r.nextWriteSeq, "only writes that were handed out are synced")
 	r.syncedWriteSeq = max(r.syncedWriteSeq, seq)
@@ -68,8 +68,8 @@
 	}
 }
 
-// invalidateSynced notes that the disk does not hold this log beyond an index, also once writes that are under way are synced:
-// they hold entries that were removed since.
+// invalidateSynced records that the disk does not have this log beyond an index, also once writes that are under way are synced:
+// they have entries that were removed since.
 func (r *Replica) invalidateSynced(index uint64) {
 	r.syncedIndex = min(r.syncedIndex, index)
 	for i := range r.unsyncedWrites {
@@ -77,7 +77,7 @@
 	}
 }
 
-// replyAfterSync sends a reply once all that the replica now holds is on disk: a vote or an acknowledgement that power takes back
+// replyAfterSync sends a reply once all that the replica now has is on disk: a vote or an acknowledgement that power takes back
 // would let two leaders be elected, or lose a committed entry.
 func (r *Replica) replyAfterSync(reply pendingReply) {
 	reply.writeSeq = r.nextWriteSeq
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -3,16 +3,16 @@
 import "clovergap/internal/invariant"
 
 const (
-	// startupTimeoutDivisor shortens the first election time-out of a process that has heard of no leader yet: after a loss of
-	// power everywhere there is none to wait for. Where there is one, the pre-vote keeps it.
+	// startupTimeoutDivisor shortens the first election time-out of a process that knows of no leader yet: after a loss of
+	// power everywhere there is none. Where there is one, the pre-vote keeps it.
 	startupTimeoutDivisor = 3
 
 	// maxElectionBackoff bounds the election time-out in multiples of Config.ElectionTimeout. Each election without a leader
 	// doubles it: where every sync takes longer than the time-out, candidates would otherwise depose each other for ever.
 	maxElectionBackoff = 4
 
-	// voteWaitFactor is how many times as long as its own disk took a candidate waits for votes: others' disks may be busier.
-	voteWaitFactor = 3
+	// voteTimeoutFactor is how many times as long as its own disk took a candidate allows for votes: others' disks may be busier.
+	voteTimeoutFactor = 3
 )
 
 // resetElectionDeadline starts the election time-out anew. Only members start elections.
@@ -31,7 +31,7 @@
 	r.electionDeadline = r.now + timeout + r.random(jitter)
 }
 
-// ReportUnreachable tells that the connection to a member broke. If that is the leader, this member starts a pre-vote soon, as do
+// ReportUnreachable reports that the connection to a member broke. If that is the leader, this member starts a pre-vote soon, as do
 // the others whose connections broke; those that still hear the leader reject it.
 func (r *Replica) ReportUnreachable(id MemberID) {
 	if r.role != roleFollower || r.leaderID != id || r.electionDeadline == never {
@@ -51,10 +51,10 @@
 	r.maxSeenTerm = max(r.maxSeenTerm, term)
 	r.role, r.leaderID = roleFollower, 0
 	r.matchIndex, r.readSeq, r.ackedReadSeq, r.leaderClock = 0, 0, 0, 0
-	r.markUnwritten(0)
+	r.requireWrite(0)
 }
 
-// startPreVote asks the others whether they have lost the leader too. Without it, a member that was cut off alone would raise the
+// startPreVote asks the others whether they have lost the leader too. Without it, a partitioned member would raise the
 // term in vain, and depose the leader when it comes back.
 func (r *Replica) startPreVote() {
 	r.resetElectionDeadline()
@@ -88,7 +88,7 @@
 	}
 }
 
-// startElection raises the term and votes for this member. The others are asked once that vote is on disk: one that can't sync
+// startElection raises the term and votes for this member. The others are requested to once that vote is on disk: one that can't sync
 // could not lead, and had better not depose the leader.
 func (r *Replica) startElection() {
 	r.enterTerm(max(r.term, r.maxSeenTerm)+1, r.self.ID)
@@ -103,11 +103,11 @@
 // awaitVotes puts the next election off until the others have had time to sync their votes: one that starts while they write
 // makes those votes worthless.
 func (r *Replica) awaitVotes() {
-	if r.electionDeadline == never || r.mutated(waitAfterTie) {
+	if r.electionDeadline == never || r.mutated(skipTieBreak) {
 		return
 	}
 	ownSync := r.now - r.electionStartedAt
-	wait := min(voteWaitFactor*ownSync, maxElectionBackoff*r.config.ElectionTimeout)
+	wait := min(voteTimeoutFactor*ownSync, maxElectionBackoff*r.config.ElectionTimeout)
 	r.electionDeadline = max(r.electionDeadline, r.now+wait)
 }
 
@@ -142,7 +142,7 @@
 	if !r.hasQuorum(voted) && !(r.mutated(electByMinority) && 2*len(r.votes) >= len(r.Members())-1) {
 		return
 	}
-	if newest := r.newestVoter(); newest != r.self.ID && !r.mutated(leadWithOldLog) {
+	if newest := r.newestVoter(); newest != r.self.ID && !r.mutated(leadWithoutNewestLog) {
 		if r.fetchingLogFrom != newest {
 			r.fetchingLogFrom = newest
 			r.send(newest, Message{Kind: MsgFetchLog, Term: r.term, Index: r.commitIndex})
@@ -157,7 +157,7 @@
 	r.becomeLeader()
 }
 
-// requestVotes asks the members that have not been asked in this term. A log that was fetched may have brought new ones.
+// requestVotes sends a request to the members that were not sent one in this term. A log that was fetched may have brought new ones.
 func (r *Replica) requestVotes() {
 	for _, m := range r.otherMembers() {
 		if _, asked := r.voteRequests[m.ID]; !asked {
@@ -228,7 +228,7 @@
 	}
 	// Two candidates of one term keep each other from a majority. The lower ID starts another election, and the other one votes
 	// for it.
-	if r.role == roleCandidate && m.Rejected && m.Term == r.term && r.self.ID < from && !r.mutated(waitAfterTie) {
+	if r.role == roleCandidate && m.Rejected && m.Term == r.term && r.self.ID < from && !r.mutated(skipTieBreak) {
 		r.startElection()
 	}
 }
--- a/internal/gateway/replication/entry.go
+++ b/internal/gateway/replication/entry.go
@@ -10,7 +10,7 @@
 	Addr string // host:port; no two members of a list share one
 }
 
-// EntryKind tells what an entry is for. Its numbers are on disk and on the wire.
+// EntryKind is what an entry is for. Its numbers are on disk and on the wire.
 type EntryKind uint8
 
 // The kinds of entries.
@@ -47,7 +47,7 @@
 	return bytes
 }
 
-// Snapshot is the host's state up to an index, in the place of the log up to there.
+// Snapshot is the host's state up to an index. It replaces the log up to there.
 type Snapshot struct {
 	Index, Term uint64 // of the last entry that State includes
 	Members     []Member
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -19,7 +19,7 @@
 	members        []*simMember
 	inflight       []inflightMessage
 	committed      []Entry           // as delivered first, from index 2 on
-	wipedDisks     []PersistentState // wiped disks: what they held was acknowledged in good faith
+	wipedDisks     []PersistentState // wiped disks: what they had was acknowledged in good faith
 	budget         stepBudget
 	mutation       mutation
 	config         Config
@@ -37,7 +37,7 @@
 	replica *Replica
 	disk    PersistentState
 	writes  []Write // not synced
-	ledTerm uint64  // the newest view it was seen to lead
+	ledTerm uint64  // the newest term it was seen to lead
 	down    bool    // for good, or until it is started
 }
 
@@ -64,7 +64,7 @@
 var timelessConfig = Config{ElectionTimeout: 1, ElectionJitter: 1, QuorumTimeout: time.Hour, LearnerTimeout: time.Hour, MaxPending: 9, MaxMessageBytes: 1, CommitNotifyDelay: time.Hour,
 	HeartbeatInterval: time.Hour, RetransmitTimeout: 1}
 
-// newCluster has so many members in view 2, and others beside them with empty disks.
+// newCluster has so many members in term 2, and others beside them with empty disks.
 func newCluster(members, beside int, planted mutation, left stepBudget) *cluster {
 	return newClusterOf(ConfigurationLog, members, beside, planted, left)
 }
@@ -84,7 +84,7 @@
 	w.currentMembers = list
 	for i := range list {
 		if w.members[i].replica.Bootstrap(list) != nil {
-			panic("not founded")
+			panic("not bootstrapped")
 		}
 		w.drainActions(i)
 	}
@@ -136,11 +136,11 @@
 	if s.replica.role == roleLeader && s.replica.term > s.ledTerm {
 		s.ledTerm = s.replica.term
 		if slices.ContainsFunc(c.members, func(o *simMember) bool { return o != s && o.ledTerm == s.ledTerm }) {
-			c.fail("two lead view %d", s.ledTerm)
+			c.fail("two lead term %d", s.ledTerm)
 		}
 		for _, e := range c.committed {
 			if v, ok := s.replica.log.termAt(e.Index); e.Index > s.replica.log.snapshot.Index && (!ok || v != e.Term) {
-				c.fail("member %d leads view %d without the delivered entry %d", s.replica.self.ID, s.replica.term, e.Index)
+				c.fail("member %d leads term %d without the committed entry %d", s.replica.self.ID, s.replica.term, e.Index)
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 func (c *cluster) checkCommit(i int, e Entry) {
 	if n := e.Index - 2; n < uint64(len(c.committed)) {
 		if !sameEntry(c.committed[n], e) {
-			c.fail("entry %d of view %d was delivered, and then one of view %d", e.Index, c.committed[n].Term, e.Term)
+			c.fail("entry %d of term %d was committed, and then one of term %d", e.Index, c.committed[n].Term, e.Term)
 		}
 		return
 	}
@@ -191,7 +191,7 @@
 }
 
 // checkMembers: once a list is in force as many more may go as its size says, whoever they are. So who is new on it has what the leader
-// knew to be committed when it made it, and it is no shorter than what it was founded with.
+// knew to be committed when it made it, and it is no shorter than the first one.
 func (c *cluster) checkMembers(e Entry) {
 	was := c.currentMembers
 	if c.currentMembers = e.Members; len(e.Members) < len(was) {
@@ -256,7 +256,7 @@
 	}
 }
 
-// dropStale takes away what can't do anything any more: answers to who has gone on to a newer view, on disk.
+// dropStale removes what can't do anything any more: answers to a member that has gone on to a newer term, on disk.
 func (c *cluster) dropStale() {
 	c.inflight = slices.DeleteFunc(slices.Clone(c.inflight), func(f inflightMessage) bool {
 		to := slices.IndexFunc(c.members, func(s *simMember) bool { return s.disk.ID == f.sent.Recipient.ID })
@@ -271,7 +271,7 @@
 		key := string(m.key(nil, c.judgesContact))
 		if !slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.key(nil, c.judgesContact)) == key }) {
 			k := m.sent.Message
-			what := fmt.Sprintf("%d>%d kind %d view %d index %d", m.from, m.sent.Recipient.ID, k.Kind, k.Term, k.Index)
+			what := fmt.Sprintf("%d>%d kind %d term %d index %d", m.from, m.sent.Recipient.ID, k.Kind, k.Term, k.Index)
 			do(what, func(w *cluster) { w.deliver(n) })
 			if k.Chunk != nil && c.budget.duplicates > 0 {
 				do(what+" and will again", func(w *cluster) {
@@ -306,7 +306,7 @@
 			do(fmt.Sprintf("%d loses its disk", id), func(w *cluster) { w.budget.wipes--; w.wipeDisk(i) })
 		}
 		if c.budget.elections > 0 && s.replica.role != roleLeader && s.replica.isMember(id) {
-			do(fmt.Sprintf("%d asks", id), func(w *cluster) { w.budget.elections--; w.members[i].replica.startElection(); w.drainActions(i) })
+			do(fmt.Sprintf("%d starts an election", id), func(w *cluster) { w.budget.elections--; w.members[i].replica.startElection(); w.drainActions(i) })
 		}
 		if c.budget.proposals > 0 && s.replica.role == roleLeader {
 			do(fmt.Sprintf("%d proposes", id), func(w *cluster) {
@@ -319,7 +319,7 @@
 			do(fmt.Sprintf("%d compacts", id), func(w *cluster) { w.budget.compactions--; w.compact(i) })
 		}
 		if c.budget.heartbeats > 0 && s.replica.role == roleLeader {
-			do(fmt.Sprintf("%d beats", id), func(w *cluster) { w.budget.heartbeats--; w.heartbeat(i) })
+			do(fmt.Sprintf("%d sends heartbeats", id), func(w *cluster) { w.budget.heartbeats--; w.heartbeat(i) })
 		}
 	}
 	if c.budget.ticks > 0 {
@@ -327,7 +327,7 @@
 	}
 }
 
-// takeDown takes a member away with what it has on disk.
+// takeDown ends a member; its disk keeps what it has.
 func (c *cluster) takeDown(i int) { c.members[i].down, c.members[i].writes = true, nil }
 
 // nextReplacements are the replacements that a leader could begin: any that is there for any member that is lost.
@@ -346,7 +346,7 @@
 	}
 }
 
-// replaceMember has a member lost and another take its place, as all know that reach each other.
+// replaceMember has a member lost and another replace it, as all know that reach each other.
 func (c *cluster) replaceMember(out, in int) *cluster {
 	c.takeDown(out)
 	c.members[0].replica.AddMember(c.members[in].replica.self, c.members[out].disk.ID)
@@ -417,7 +417,7 @@
 	return append(appendUvarints(b, c.Index, c.View, c.Sum, c.Size, c.Offset), c.Data...)
 }
 
-// key tells stages apart that may go on differently.
+// key distinguishes states that may go on differently.
 func (c *cluster) key() uint64 {
 	var b []byte
 	for _, s := range c.members {
@@ -468,7 +468,7 @@
 
 var seed = maphash.MakeSeed()
 
-// explore takes all steps in all orders, breadth first, until so many stages were seen.
+// explore takes all steps in all orders, breadth first, until so many states were seen.
 func explore(w *cluster, most int) (seen int, wrong string) {
 	known := map[uint64]bool{w.key(): true}
 	for line := []*cluster{w}; len(line) > 0 && len(known) < most; {
@@ -505,7 +505,7 @@
 	return len(known), wrong
 }
 
-// electAmong lets a member ask and only some others promise; what else was said is lost.
+// electAmong has a member start an election in which only some others vote; all other messages are lost.
 func (c *cluster) electAmong(i int, with ...int) {
 	c.members[i].replica.startElection()
 	c.drainActions(i)
@@ -529,10 +529,10 @@
 	}
 }
 
-// deliverFromTo lets all that one said to another come through; what others said is lost.
+// deliverFromTo delivers all messages of one member to another; the others are lost.
 func (c *cluster) deliverFromTo(from, to int) { c.deliverAmong([]int{from}, []int{to}) }
 
-// deliverAmong lets all that some said to others come through; the rest is lost.
+// deliverAmong delivers all messages of some members to some others; the rest is lost.
 func (c *cluster) deliverAmong(from, to []int) {
 	in := func(which []int, id MemberID) bool {
 		return slices.ContainsFunc(which, func(i int) bool { return c.members[i].disk.ID == id })
@@ -577,14 +577,13 @@
 	c.compact(0)
 	c.compact(1)
 	c.syncAll(0, 1)
-	for _, s := range c.members { // as after a restart: what is not in the snapshot alone is not at hand
+	for _, s := range c.members { // as after a restart: only what is not in the snapshot is in memory
 		s.replica.log.trailing = nil
 	}
 	return c
 }
 
-// The scenes: what has been, before all orders of what may come are tried, and the faults that this must
-// show.
+// A scenario is what has happened before all orders of what may come are explored, and the mutations that this must find.
 type scenario struct {
 	name      string
 	make      func(mutation) *cluster
@@ -592,17 +591,17 @@
 }
 
 var scenarios = []scenario{
-	{"a change, a new view, a loss of power", func(planted mutation) *cluster {
+	{"a proposal, an election, a loss of power", func(planted mutation) *cluster {
 		return newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1}).propose()
-	}, []mutation{ackUnsynced, forgetVotes, voteBeforeSync, electByMinority, leadWithOldLog}},
-	{"an old leader's lines come late", func(planted mutation) *cluster {
+	}, []mutation{ackUnsynced, forgetVotes, voteBeforeSync, electByMinority, leadWithoutNewestLog}},
+	{"a former leader's appends come late", func(planted mutation) *cluster {
 		w := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
 		late := w.inflight
 		w.electAmong(1, 2)
 		w.inflight = append(w.inflight, late...)
 		return w
 	}, []mutation{acceptStaleTerm}},
-	{"two views at once", func(planted mutation) *cluster {
+	{"two elections at once", func(planted mutation) *cluster {
 		return newCluster(3, 0, planted, stepBudget{elections: 2, proposals: 1})
 	}, []mutation{ackUnsynced}},
 	{"a lost disk", func(planted mutation) *cluster {
@@ -623,7 +622,7 @@
 	}, []mutation{singleMajority}},
 	{"a member to be", func(planted mutation) *cluster {
 		w := newCluster(3, 1, planted, stepBudget{elections: 1})
-		w.members[0].replica.config.MaxMessageBytes = 1 << 10 // it is told more at once than was delivered
+		w.members[0].replica.config.MaxMessageBytes = 1 << 10 // it is sent more at once than was committed
 		w.members[0].replica.AddMember(w.members[3].replica.self, 0)
 		w.drainActions(0)
 		w.propose().syncAll(0)
@@ -634,7 +633,7 @@
 		}
 		return w
 	}, []mutation{countLearner}},
-	{"two ask for one view", func(planted mutation) *cluster {
+	{"two candidates of one term", func(planted mutation) *cluster {
 		w := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1})
 		for _, i := range []int{1, 2} {
 			w.members[i].replica.startElection()
@@ -643,13 +642,13 @@
 		}
 		return w
 	}, []mutation{voteTwice}},
-	{"what only the old leader has", func(planted mutation) *cluster {
+	{"what only the former leader has", func(planted mutation) *cluster {
 		w := newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1, heartbeats: 1}).propose()
 		w.sync(0)
 		w.electAmong(1, 2)
 		return w
 	}, []mutation{skipTruncation}},
-	{"an old view's entry", func(planted mutation) *cluster {
+	{"an earlier term's entry", func(planted mutation) *cluster {
 		w := newCluster(3, 0, planted, stepBudget{elections: 1}).propose()
 		w.sync(0)
 		w.electAmong(1, 2)
@@ -660,14 +659,14 @@
 		w.members[1].replica.Step(1, Message{Kind: MsgRequestVote, ClusterID: w.members[1].replica.clusterID, Recipient: 2, Term: 4})
 		w.drainActions(1)
 		return w
-	}, []mutation{commitOldTerms}},
-	{"a change behind an entry of another view", func(planted mutation) *cluster {
+	}, []mutation{commitEarlierTerms}},
+	{"a proposal behind an entry of another term", func(planted mutation) *cluster {
 		w := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
 		w.sync(0)
 		w.electAmong(1, 2)
 		return w
 	}, []mutation{skipLogMatching}},
-	{"a confirmation comes two views late", func(planted mutation) *cluster {
+	{"an acknowledgement comes two terms late", func(planted mutation) *cluster {
 		w := newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1, heartbeats: 1}).propose().propose()
 		w.deliverFromTo(0, 1)
 		w.syncAll(1)
@@ -699,14 +698,14 @@
 		w.heartbeat(0)
 		w.deliverFromTo(0, 2)
 		w.deliverFromTo(2, 0)
-		w.deliver(0) // one chunk is had, another of the old leader's is on its way
+		w.deliver(0) // one chunk is had, another of the former leader's is on its way
 		late := w.inflight
 		w.commitOnTwo("d")
 		w.electAmong(1, 0)
 		w.inflight = append(w.inflight, late...)
 		return w
 	}, []mutation{mixChunks}},
-	{"a large change in chunks, and another in its place", func(planted mutation) *cluster {
+	{"a large entry in chunks, and another that replaces it", func(planted mutation) *cluster {
 		w := newCluster(3, 0, planted, stepBudget{heartbeats: 1, crashes: 1}).inChunks()
 		w.members[0].replica.Propose(1, []byte("xyz"))
 		w.drainActions(0)
@@ -721,7 +720,7 @@
 		w.inflight = append(w.inflight, late...)
 		return w
 	}, []mutation{mixChunks}},
-	{"five: a change, a new view, a loss of power", func(planted mutation) *cluster {
+	{"five: a proposal, an election, a loss of power", func(planted mutation) *cluster {
 		w := newCluster(5, 0, planted, stepBudget{crashes: 1}).propose()
 		w.syncAll(0)
 		late := slices.DeleteFunc(slices.Clone(w.inflight), func(m inflightMessage) bool { return m.sent.Recipient.ID != w.members[2].disk.ID })
@@ -746,7 +745,7 @@
 		w.drainActions(3)
 		w.syncAll(3)
 		return w
-	}, []mutation{leadWithOldLog, electByMinority}},
+	}, []mutation{leadWithoutNewestLog, electByMinority}},
 	{"five: what only two have", func(planted mutation) *cluster {
 		w := newCluster(5, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
 		w.sync(0)
@@ -769,14 +768,14 @@
 		w.takeDown(2)
 		return w
 	}, []mutation{promoteEarly}},
-	{"who was replaced is back and asks", func(planted mutation) *cluster {
+	{"a replaced member is back and starts an election", func(planted mutation) *cluster {
 		w := newCluster(3, 1, planted, stepBudget{elections: 2, restarts: 1, proposals: 1}).replaceMember(2, 3)
 		w.propose()
 		w.deliverFromTo(0, 3)
 		w.syncAll(0, 3)
 		return w
 	}, []mutation{ackUnsynced}},
-	{"the members before ask while one takes another's place", func(planted mutation) *cluster {
+	{"the previous members start an election while one is replaced", func(planted mutation) *cluster {
 		w := newCluster(3, 1, planted, stepBudget{elections: 1, restarts: 1})
 		w.takeDown(2)
 		w.members[0].replica.AddMember(w.members[3].replica.self, 3)
@@ -797,7 +796,7 @@
 		w.members[0].replica.dropLearner()
 		return w
 	}, []mutation{promoteEarly}},
-	{"a lost disk at a member's address while another is away", func(planted mutation) *cluster {
+	{"a lost disk at a member's address while another is down", func(planted mutation) *cluster {
 		w := newCluster(3, 1, planted, stepBudget{elections: 1, restarts: 1, replacements: 1})
 		w.takeDown(2)
 		w.propose().deliverAll()
@@ -811,7 +810,7 @@
 		w.takeDown(3)
 		return w
 	}, []mutation{promoteEarly}},
-	{"five: the lost one asks as another takes its place, and one more is lost", func(planted mutation) *cluster {
+	{"five: the lost one starts an election as another replaces it, and one more is lost", func(planted mutation) *cluster {
 		w := newCluster(5, 1, planted, stepBudget{losses: 1})
 		w.takeDown(4)
 		w.members[0].replica.AddMember(w.members[5].replica.self, 5)
@@ -833,7 +832,7 @@
 	}, []mutation{singleMajority}},
 }
 
-// maxStates is how many stages are looked at from each scene, unless REPLICATION_STAGES says otherwise.
+// maxStates is how many states are seen of each scenario, unless REPLICATION_STAGES says otherwise.
 func maxStates(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("REPLICATION_STAGES")); err == nil {
 		return n
--- a/internal/gateway/replication/follower.go
+++ b/internal/gateway/replication/follower.go
@@ -4,7 +4,7 @@
 
 // What a member does with a leader's appends. Chunks of them are in snapshot.go.
 
-// followLeader takes over what every message of a leader tells. It returns false if the message is of an earlier term.
+// followLeader takes over what every message of a leader has. It returns false if the message is of an earlier term.
 func (r *Replica) followLeader(from MemberID, m Message) bool {
 	if m.Term < r.term && !r.mutated(acceptStaleTerm) {
 		r.send(from, Message{Kind: MsgStaleTerm, Term: r.term})
@@ -37,7 +37,7 @@
 	if m.Index > r.commitIndex && !r.matchesPrevious(m) {
 		r.resetElectionDeadline()
 		r.send(from, Message{Kind: MsgAppendReject, Term: m.Term, Index: r.commitIndex, Seq: r.readSeq,
-			Clock: r.clock.Stamp(r.now), EchoedClock: r.leaderClock, AcceptsChunks: true})
+			Clock: r.clock.Timestamp(r.now), EchoedClock: r.leaderClock, AcceptsChunks: true})
 		return
 	}
 	r.appendAfter(m.Index, m.Entries)
@@ -53,7 +53,7 @@
 	}
 }
 
-// matchesPrevious tells whether the entry before those of an append is in the log.
+// matchesPrevious reports whether the entry before those of an append is in the log.
 func (r *Replica) matchesPrevious(m Message) bool {
 	term, known := r.log.termAt(m.Index)
 	return known && (term == m.LogTerm || r.mutated(skipLogMatching))
@@ -67,5 +67,5 @@
 	}
 	r.ackedReadSeq = r.readSeq
 	r.send(r.leaderID, Message{Kind: MsgAppendAck, Term: r.term, Index: index, Seq: r.readSeq,
-		Clock: r.clock.Stamp(r.now), EchoedClock: r.leaderClock, AcceptsChunks: true})
+		Clock: r.clock.Timestamp(r.now), EchoedClock: r.leaderClock, AcceptsChunks: true})
 }
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -13,7 +13,7 @@
 )
 
 // sharedDisk is several logs over the same disks, a cluster each: whatever a member writes goes through one WriteQueue, and a
-// transaction of several logs is on disk whole or not at all. Messages of one log may reach another.
+// transaction of several logs is on disk completely or not at all. Messages of one log may reach another.
 type sharedDisk struct {
 	logs      []*cluster
 	queues    []WriteQueue
@@ -60,21 +60,21 @@
 	}
 }
 
-// finishWrite has a member's transaction on disk; told: and the replicas hear so.
-func (s *sharedDisk) finishWrite(i int, told bool) {
+// finishWrite has a member's transaction on disk, and calls Synced if it is notified.
+func (s *sharedDisk) finishWrite(i int, notified bool) {
 	batch := s.writing[i]
 	s.writing[i] = nil
 	for _, w := range batch {
 		s.logs[w.Log].members[i].disk.Apply(w.Write)
 	}
 	for _, w := range batch {
-		if told {
+		if notified {
 			c := s.logs[w.Log]
 			c.members[i].replica.Synced(w.Write.Seq)
 			c.drainActions(i)
 		}
 	}
-	if told && s.mutation == syncOtherLog {
+	if notified && s.mutation == syncOtherLog {
 		for log, w := range s.queues[i].pending {
 			s.logs[log].members[i].replica.Synced(w.Seq)
 			s.logs[log].drainActions(i)
@@ -82,7 +82,7 @@
 	}
 }
 
-// restart has a member begin anew with what its disk holds.
+// restart has a member begin anew with what its disk has.
 func (s *sharedDisk) restart(i int) {
 	s.queues[i], s.writing[i] = WriteQueue{knobs: knobsFor(s.mutation)}, nil
 	for _, w := range s.logs {
@@ -98,7 +98,7 @@
 			if slices.ContainsFunc(w.inflight[:n], func(o inflightMessage) bool { return string(o.key(nil, false)) == key }) {
 				continue
 			}
-			what := fmt.Sprintf("log %d: %d>%d kind %d view %d index %d", log, m.from, m.sent.Recipient.ID, m.sent.Message.Kind, m.sent.Message.Term, m.sent.Message.Index)
+			what := fmt.Sprintf("log %d: %d>%d kind %d term %d index %d", log, m.from, m.sent.Recipient.ID, m.sent.Message.Kind, m.sent.Message.Term, m.sent.Message.Index)
 			do(what, func(s *sharedDisk) { s.logs[log].deliver(n) })
 			if s.budget.misrouted > 0 {
 				do(what+" at the next log", func(s *sharedDisk) { s.budget.misrouted--; s.misroute(log, n) })
@@ -122,7 +122,7 @@
 		for log, w := range s.logs {
 			p := w.members[i].replica
 			if s.budget.elections > 0 && p.role != roleLeader {
-				do(fmt.Sprintf("log %d: %d asks", log, i+1), func(s *sharedDisk) {
+				do(fmt.Sprintf("log %d: %d starts an election", log, i+1), func(s *sharedDisk) {
 					s.budget.elections--
 					s.logs[log].members[i].replica.startElection()
 					s.logs[log].drainActions(i)
@@ -167,7 +167,7 @@
 	return &c
 }
 
-// key tells apart what may go on differently.
+// key distinguishes what may go on differently.
 func (s *sharedDisk) key() uint64 {
 	b := fmt.Append(nil, s.budget)
 	write := func(w *Write) {
@@ -239,7 +239,7 @@
 	s.gather()
 }
 
-// deliver lets all that one member said to another in a log come through.
+// deliver delivers all messages of one member to another in a log.
 func (s *sharedDisk) deliver(log int, from, to MemberID) {
 	w := s.logs[log]
 	for n := 0; n < len(w.inflight); {
@@ -253,7 +253,7 @@
 }
 
 // sharedScenarios are changes in two logs with a loss of power between the syncs of their writes, a change of leaders in one of them meanwhile,
-// writes that wait for one another, and messages that reach the wrong log.
+// writes that queue behind one another, and messages that reach the wrong log.
 var sharedScenarios = []sharedScenario{
 	{"changes and power", func(*sharedDisk) {}, sharedBudget{proposals: 2, crashes: 1}},
 	{"a vote and power", func(s *sharedDisk) {
@@ -267,8 +267,8 @@
 		s.propose(0)
 		s.deliver(0, 1, 2)
 	}, sharedBudget{elections: 1, proposals: 1, crashes: 1}},
-	{"writes that wait", func(s *sharedDisk) {
-		for range 3 { // the first is being written, two wait
+	{"writes that queue", func(s *sharedDisk) {
+		for range 3 { // the first is being written, two are pending
 			s.propose(0)
 		}
 		s.propose(1)
@@ -281,8 +281,8 @@
 	}, sharedBudget{elections: 1, misrouted: 2}},
 }
 
-// Whatever order messages, syncs and losses of power come in, each of the logs on a disk keeps what the explorer asks of one alone. GROUP_STATES
-// sets how many states of each scene are seen.
+// Whatever order messages, syncs and losses of power come in, each of the logs on a disk keeps what the explorer checks for one. GROUP_STATES
+// sets how many states of each scenario are seen.
 func TestAllOrdersOverOneDisk(t *testing.T) {
 	most := 10_000
 	if n, err := strconv.Atoi(os.Getenv("GROUP_STATES")); err == nil {
@@ -332,7 +332,7 @@
 	must.Nil(t, q.Take())
 }
 
-// The lead goes to the member that is named, within a few round trips; to another one where that one is not heard.
+// Leadership goes to the member that is named, within a few round trips; to another one where that one does not respond.
 func TestLeadershipTransferToNamedMember(t *testing.T) {
 	w := faultlessWalk(t)
 	for range 4 {
@@ -355,8 +355,8 @@
 	must.Eq(t, "", w.violation)
 }
 
-// A member whose link to the leader broke asks at once, and disturbs nobody where the others hear it still; where the leader is gone
-// another leads long before members lose their patience.
+// A member whose connection to the leader broke starts a pre-vote at once, and disturbs nobody where the others hear from it still; where the
+// leader is gone another leads long before the election time-out.
 func TestUnreachableLeaderStartsElectionAtOnce(t *testing.T) {
 	w := faultlessWalk(t)
 	l := w.leader()
--- a/internal/gateway/replication/leader.go
+++ b/internal/gateway/replication/leader.go
@@ -70,7 +70,7 @@
 func (r *Replica) appendToOwnTerm(e Entry) uint64 {
 	e.Index, e.Term = r.log.lastIndex()+1, r.term
 	r.appendEntry(e)
-	r.markUnwritten(e.Index)
+	r.requireWrite(e.Index)
 	if e.Kind == EntryConfigChange {
 		r.trackMembers()
 	}
@@ -78,7 +78,7 @@
 	return e.Index
 }
 
-// replicateAll sends every member what it lacks, and starts a read sequence if reads wait for one.
+// replicateAll sends every member what it lacks, and starts a read sequence if there are reads for one.
 func (r *Replica) replicateAll() {
 	if r.role != roleLeader {
 		return
@@ -151,7 +151,7 @@
 	r.sendTo(peer.Member, m)
 }
 
-// broadcastHeartbeat tells all that the leader leads, and what is committed.
+// broadcastHeartbeat sends all a heartbeat, with the commit index.
 func (r *Replica) broadcastHeartbeat() {
 	for _, peer := range r.sortedPeers() {
 		r.sendHeartbeat(peer)
@@ -256,7 +256,7 @@
 		r.commitTo(index)
 		r.heartbeatAt = min(r.heartbeatAt, r.now+r.config.CommitNotifyDelay)
 		if joint && r.membersCommitted() {
-			r.leaveJointConfiguration()
+			r.exitJointConfiguration()
 		}
 	}
 	r.finishReads()
@@ -266,7 +266,7 @@
 // is committed only with one of this term behind it: a later leader may not know it, though a majority has it (Raft, 5.4.2).
 func (r *Replica) committableIndex() uint64 {
 	for index := r.log.lastIndex(); index > r.commitIndex; index-- {
-		if term, _ := r.log.termAt(index); term != r.term && !r.mutated(commitOldTerms) {
+		if term, _ := r.log.termAt(index); term != r.term && !r.mutated(commitEarlierTerms) {
 			break
 		}
 		if r.hasQuorum(func(id MemberID) bool { return r.memberSynced(id, index) }) {
@@ -276,7 +276,7 @@
 	return r.commitIndex
 }
 
-// memberSynced tells whether a member is known to have the log up to an index on disk.
+// memberSynced reports whether a member is known to have the log up to an index on disk.
 func (r *Replica) memberSynced(id MemberID, index uint64) bool {
 	if id == r.self.ID {
 		return r.syncedIndex >= index || r.mutated(ackUnsynced)
@@ -287,8 +287,8 @@
 	return r.peers[id] != nil && r.peers[id].matchIndex >= index
 }
 
-// leaveJointConfiguration goes on with the new list alone. Members that are not on it are told so once, by the commit index.
-func (r *Replica) leaveJointConfiguration() {
+// exitJointConfiguration goes on with only the new list. Members that are not on it learn so by one more commit index.
+func (r *Replica) exitJointConfiguration() {
 	r.broadcastHeartbeat()
 	r.trackMembers()
 	if !r.isMember(r.self.ID) {
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -50,7 +50,7 @@
 	return e.at(index).Term, true
 }
 
-// matches tells whether the log has an entry of this index and term.
+// matches reports whether the log has an entry of this index and term.
 func (e *entryLog) matches(index, term uint64) bool {
 	own, known := e.termAt(index)
 	return known && own == term
@@ -82,7 +82,7 @@
 
 // truncateFrom removes all entries from an index on.
 func (e *entryLog) truncateFrom(index uint64) {
-	// A copy: the old array may be part of a message or a write that is under way.
+	// A copy: the previous array may be part of a message or a write that is under way.
 	e.entries = slices.Clone(e.entries[:index-e.snapshot.Index-1])
 }
 
@@ -123,7 +123,7 @@
 		r.memberConfigs = r.memberConfigs[:len(r.memberConfigs)-1]
 	}
 	r.invalidateSynced(index - 1)
-	r.markUnwritten(index)
+	r.requireWrite(index)
 }
 
 // appendAfter makes the log as a newer one, given that one's entries after an index up to which both are equal. Entries are only
@@ -144,7 +144,7 @@
 			}
 			r.truncateFrom(e.Index)
 		}
-		r.markUnwritten(e.Index)
+		r.requireWrite(e.Index)
 		for _, e := range entries[i:] {
 			r.appendEntry(e)
 		}
@@ -164,9 +164,9 @@
 			r.finish(token, e.Index, OutcomeCommitted)
 		}
 		if e.Kind == EntryConfigChange {
-			// The commit index goes to disk: after a restart this member needs the majority of the new list alone, also where
+			// The commit index goes to disk: after a restart this member needs only the majority of the new list, also where
 			// the members that knew so are gone.
-			r.markUnwritten(0)
+			r.requireWrite(0)
 		}
 	}
 }
@@ -183,7 +183,7 @@
 	term, _ := r.log.termAt(index)
 	r.log.compact(Snapshot{Index: index, Term: term, Members: r.memberConfigs[0].members, State: state}, r.config.TrailingBytes)
 	r.unwrittenSnapshot = true
-	r.markUnwritten(0)
+	r.requireWrite(0)
 }
 
 // FirstIndex is the index of the oldest entry that EntriesAfter can return.
--- a/internal/gateway/replication/membership.go
+++ b/internal/gateway/replication/membership.go
@@ -11,7 +11,7 @@
 //
 //   - A disk that is no member receives the log as a learner first. Once it has what is committed, it replaces the member at its
 //     address, whose disk is gone, or the member that was lost longest; if none is lost, it is added. While a member has been lost
-//     only for a moment it may be restarting: the learner is held back until that is known.
+//     only for a moment it may be restarting: the learner is delayed until that is known.
 //   - A lost member that no learner replaces is removed if otherwise fewer than `tolerates` further members could be lost, and only
 //     if 2*tolerates+1 remain: a majority of so many are tolerates+1 copies of whatever is acknowledged.
 //
@@ -28,10 +28,10 @@
 	// drainedLongAgo dates the loss of a member that drains: longer than that of any other, and than both of the above.
 	drainedLongAgo = 365 * 24 * time.Hour
 
-	// maxMissedHeartbeats is how many heartbeats a member may leave unanswered before it counts as lost since its last answer.
+	// maxMissedHeartbeats is how many heartbeats a member may miss before it counts as lost since its last answer.
 	maxMissedHeartbeats = 3
 
-	// maxLearnerTimeouts is how many times Config.LearnerTimeout a learner may make no progress while others wait.
+	// maxLearnerTimeouts is how many times Config.LearnerTimeout a learner may make no progress while there are others.
 	maxLearnerTimeouts = 3
 
 	// maxMembers bounds a list.
@@ -45,11 +45,11 @@
 }
 
 // ReconcileMembers takes which disks the host reaches, this one among them, and, at the leader, makes the next change of members
-// that is due for as many further losses as are tolerated. It is to be called every few hundred milliseconds, at followers too: so
+// that is needed for as many further losses as are tolerated. It is to be called every few hundred milliseconds, at followers too: so
 // a new leader knows who is lost, and since when.
 func (r *Replica) ReconcileMembers(reachable []ReachableNode, tolerates int) {
 	r.trackReachability(reachable)
-	if r.role != roleLeader || r.lostSince[r.self.ID] != 0 { // a leader that drains leaves this to its successor
+	if r.role != roleLeader || r.lostSince[r.self.ID] != 0 { // the successor of a leader that drains does this
 		return
 	}
 	r.updateAddresses(reachable)
@@ -99,7 +99,7 @@
 	return candidates
 }
 
-// learnerFailed tells whether the learner is gone, or makes no progress while others wait.
+// learnerFailed reports whether the learner is gone, or makes no progress while there are others.
 func (r *Replica) learnerFailed(candidates []Member) bool {
 	if r.learner == 0 {
 		return false
@@ -109,7 +109,7 @@
 	return !reached || stalled && len(candidates) > 1
 }
 
-// trackReachability notes since when members are lost.
+// trackReachability records since when members are lost.
 func (r *Replica) trackReachability(reachable []ReachableNode) {
 	now := max(r.now, 1) // 0 is no entry
 	for id := range r.lostSince {
@@ -136,7 +136,7 @@
 	}
 }
 
-// isDraining tells whether a member has announced that it shuts down.
+// isDraining reports whether a member has announced that it shuts down.
 func (r *Replica) isDraining(id MemberID) bool { return r.lostSince[id] < r.now-drainedLongAgo/2 }
 
 // unreachableSince is the earlier of when a host found a member lost, and its last answer to the leader. A host takes seconds to
@@ -186,17 +186,17 @@
 		r.AddMember(learner, atAddress)
 	case lost != 0 && r.now-since >= replaceLostAfter:
 		r.AddMember(learner, lost)
-	case r.holdsBack(learner, lost, tolerates):
+	case r.delaysLearner(learner, lost, tolerates):
 		r.startLearner(learner, nil)
 	default:
 		r.AddMember(learner, 0)
 	}
 }
 
-// holdsBack tells whether a learner waits for a member to be found lost or restarted. With a longer list than needed it would need
-// one more for each majority. A machine without power looks reachable until it has missed heartbeats: so all must have answered
-// since the learner came.
-func (r *Replica) holdsBack(learner Member, lost MemberID, tolerates int) bool {
+// delaysLearner reports whether a learner is delayed, while a list that is long enough without it has a member that may be lost or
+// restarting: it might have to replace that one. A machine without power looks reachable until it has missed heartbeats, so all
+// must have responded since the learner came.
+func (r *Replica) delaysLearner(learner Member, lost MemberID, tolerates int) bool {
 	if len(r.Members()) <= 2*tolerates || r.mutated(replaceAtOnce) {
 		return false
 	}
@@ -239,14 +239,14 @@
 	return lost
 }
 
-// canReconfigure tells whether the list may be changed: one change at a time, and only after an entry of this term is committed.
+// canReconfigure reports whether the list may be changed: one change at a time, and only after an entry of this term is committed.
 // Before that an earlier leader's list that is not known here could be in effect, whose majorities need not meet this one's.
 func (r *Replica) canReconfigure() bool {
 	return r.membersCommitted() && r.commitIndex >= r.termStartIndex
 }
 
-// AddMember has the leader send its log to a learner and, once that has it on disk, make it a member: in the place of the member
-// at its address, or else of the member `replaces`, or without replacing one (0). One at a time. It is to be called again until
+// AddMember has the leader send its log to a learner and, once that has it on disk, make it a member: it replaces the member
+// at its address, or else the member `replaces`, or none (0). One at a time. It is to be called again until
 // Members has it. It returns false if this member does not lead or is occupied with another learner.
 func (r *Replica) AddMember(learner Member, replaces MemberID) bool {
 	if r.isMember(learner.ID) {
@@ -263,8 +263,8 @@
 	return true
 }
 
-// startLearner starts to send the log to a learner, or continues. The list takes effect once the learner has caught up; nil holds
-// it back.
+// startLearner starts to send the log to a learner, or continues. The list takes effect once the learner has caught up; nil delays
+// it.
 func (r *Replica) startLearner(learner Member, members []Member) bool {
 	if r.role != roleLeader || learner.ID == 0 || r.learner != 0 && r.learner != learner.ID {
 		return false
@@ -281,7 +281,7 @@
 	return true
 }
 
-// promoteLearner makes the learner a member if it has caught up and is not held back. One that lacked committed entries would
+// promoteLearner makes the learner a member if it has caught up and is not delayed. One that lacked committed entries would
 // count for a majority that does not have them.
 func (r *Replica) promoteLearner() {
 	peer := r.peers[r.learner]
@@ -319,8 +319,8 @@
 }
 
 // ReplicatedElsewhere is up to which index a majority of the members without this one has on disk what is known here to be
-// committed. A member that shuts down waits until that reaches CommitIndex: else a loss right after it could lose an acknowledged
-// entry of which it held one of the copies.
+// committed. A member that shuts down stays until that reaches CommitIndex: else a loss right after it could lose an acknowledged
+// entry of which it had one of the copies.
 func (r *Replica) ReplicatedElsewhere() uint64 {
 	switch {
 	case r.role == roleLeader:
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// reconcileMembers does what hosts do: each member tells its log which nodes it reaches.
+// reconcileMembers does what hosts do: each member reports to its replica which nodes it reaches.
 func (w *walk) reconcileMembers(tolerates int) {
 	for i, d := range w.nodes {
 		if d.replica != nil && (w.faultless || w.rng.Intn(4) > 0) {
@@ -45,8 +45,8 @@
 	w.nodes[i].incarnation++
 }
 
-// missingTolerance is the must-hold of a settled moment: so many may be lost next, whoever they are. Those that are left must be a majority of
-// the list, and what was acknowledged must be on more disks of theirs than may go. It tells what does not hold.
+// missingTolerance is the invariant of a moment without changes under way: so many may be lost next, whoever they are. Those that are left must be a majority of
+// the list, and what was acknowledged must be on more disks of theirs than may go. It returns what is violated.
 func (w *walk) missingTolerance(tolerates int) string {
 	l := w.leader()
 	if l < 0 {
@@ -65,12 +65,12 @@
 		}
 	}
 	if n := len(p.Members()); !p.membersCommitted() || up-tolerates < majoritySize(n) || n <= 2*tolerates || had <= tolerates {
-		return fmt.Sprintf("%d members, of which %d are up with the state, %d with the last acknowledged; settled %v", n, up, had, p.membersCommitted())
+		return fmt.Sprintf("%d members, of which %d are up with the state, %d with the last acknowledged; committed %v", n, up, had, p.membersCommitted())
 	}
 	return ""
 }
 
-// requireProgress: a change is taken soon. A leader that is lost takes up to two views' patience.
+// requireProgress wants a proposal committed soon. Where the leader is lost that takes up to two elections.
 func (w *walk) requireProgress() {
 	done := w.acknowledged
 	for end := w.now + 5*time.Second; w.acknowledged == done && w.violation == "" && w.now < end; {
@@ -81,7 +81,7 @@
 	}
 }
 
-// replacements is a walk in rounds: as many members as may be lost at once are, and are replaced in one of the ways that machines are;
+// replacements is a walk in several passes: as many members as may be lost at once are, and are replaced in one of the ways that machines are;
 // catch_up later as many more may go, and go.
 func replacements(t *testing.T, seed int64, planted mutation) *walk {
 	tolerates := 1 + int(seed%2)
@@ -138,7 +138,7 @@
 	return append(up, l)[w.rng.Intn(len(up)+1)]
 }
 
-// replace loses a member, and starts what comes in its place.
+// replace loses a member, and starts what replaces it.
 func (w *walk) replace() {
 	i := w.pickMember()
 	if w.violation != "" {
@@ -165,12 +165,12 @@
 		w.stop(i)
 		pass(900)
 		w.startEmpty(i)
-	case 4: // it comes back after it was replaced, with what it held
+	case 4: // it comes back after it was replaced, with what it had
 		w.stop(i)
 		w.join()
 		pass(6000)
 		w.start(i)
-	case 5: // it only starts again, and a newcomer is there: nobody loses its place
+	case 5: // it only starts again, and a newcomer is there: no member is replaced
 		was := w.nodes[i].disk.ID
 		w.stop(i)
 		w.join()
@@ -190,7 +190,7 @@
 	}
 }
 
-// shutDownGracefully ends a node as one that is told to: it goes once the others have what it has.
+// shutDownGracefully ends a node as one that drains: it goes once the others have what it has.
 func (w *walk) shutDownGracefully(i int) {
 	d := w.nodes[i]
 	d.draining = true
@@ -213,8 +213,8 @@
 	forEachSeed(t, func(t *testing.T, seed int64) { must.Eq(t, "", replacements(t, seed, noMutation).violation) })
 }
 
-// drainWithSlowDisk has a member drain while the disk of the third one hangs, so that the one that drains holds one of two copies of an
-// acknowledged entry. It tells whether that might go at once, and once the disk works again.
+// drainWithSlowDisk has a member drain while the disk of the third one hangs, so that the one that drains has one of two copies of an
+// acknowledged entry. It returns whether that might go at once, and once the disk works again.
 func drainWithSlowDisk(t *testing.T, planted mutation) (atOnce, later bool) {
 	t.Helper()
 	w := bootstrappedBy(t, 3, 3, 1, planted)
@@ -258,7 +258,7 @@
 	must.Eq(t, out.CommitIndex(), out.ReplicatedElsewhere())
 }
 
-// A disk that was moved to another address keeps its place: the list is told, by both majorities, and it goes on as a member.
+// A disk that was moved to another address stays a member: the list is changed, by both majorities.
 func TestDiskAtAnotherAddress(t *testing.T) {
 	w := bootstrappedBy(t, 3, 3, 1, noMutation)
 	w.faultless = true
@@ -273,14 +273,14 @@
 	list := w.nodes[w.leader()].replica.Members()
 	must.Len(t, 3, list)
 	must.True(t, slices.Contains(list, Member{id, "node3"}))
-	w.startEmpty(i) // and another moves in where it was: it is a fourth, not the old one
+	w.startEmpty(i) // and another moves in where it was: it is a fourth, not the former one
 	w.runUntil(w.now + time.Second)
 	must.Len(t, 4, w.nodes[w.leader()].replica.Members())
 	must.Eq(t, "", w.violation)
 }
 
-// twoClusters are two foundings that a leader each has: three members, the last of which holds the word of the first founding and maybe more,
-// and two of another.
+// twoClusters are two clusters: one of three members, of which only the last is up, with a bootstrap and perhaps a vote, and one of two with
+// a leader.
 func twoClusters(planted mutation, promised bool) (w *cluster, last, other *Replica) {
 	w = newCluster(5, 0, planted, stepBudget{})
 	list := []Member{w.members[3].replica.self, w.members[4].replica.self}
@@ -292,7 +292,7 @@
 		w.members[i].disk = PersistentState{ID: w.members[i].disk.ID}
 		w.start(i)
 		if w.members[i].replica.Bootstrap(l) != nil {
-			panic("not founded")
+			panic("not bootstrapped")
 		}
 		w.drainActions(i)
 	}
@@ -314,8 +314,8 @@
 	return w, last, other
 }
 
-// A disk that holds a founding that nobody joined stayed out for ever. It joins another founding once a leader of that one gives it the
-// state, as an empty disk would; and never if it has promised a view: the founding may have taken orders that rest on it.
+// A disk with only the bootstrap of a cluster that nobody joined stayed out for ever. It joins another cluster once a leader of that one
+// sends it the state, as an empty disk would; and never if it has voted: the first cluster may have committed entries by that vote.
 func TestBootstrappedOnlyDiskJoinsAnotherCluster(t *testing.T) {
 	_, last, other := twoClusters(noMutation, false)
 	must.Eq(t, other.clusterID, last.clusterID)
@@ -326,7 +326,7 @@
 	must.Eq(t, 2, last.term)
 }
 
-// Where the others of its founding are gone for good it can be laid aside, on disk as well, and be handed another word.
+// Where the other members of a bootstrap are gone for good it can be discarded, on disk as well, and the disk be bootstrapped anew.
 func TestBootstrapIsDiscarded(t *testing.T) {
 	w, _, _ := twoClusters(noMutation, true)
 	must.False(t, w.members[2].replica.DiscardBootstrap())
@@ -345,8 +345,8 @@
 	must.NoError(t, p.Bootstrap([]Member{p.self}))
 }
 
-// loseAfterCatchUp loses a member, which hosts find out 2.9 s after it was last heard, lets a successor come at once, and loses the
-// leader 4 s after that. It tells what was wrong.
+// loseAfterCatchUp loses a member, which hosts find out 2.9 s after its last response, lets a successor come at once, and loses the
+// leader 4 s after that. It returns what was wrong.
 func loseAfterCatchUp(t *testing.T, planted mutation) string {
 	t.Helper()
 	w := bootstrappedBy(t, 3, 3, 1, planted)
--- a/internal/gateway/replication/message.go
+++ b/internal/gateway/replication/message.go
@@ -1,26 +1,26 @@
 package replication
 
-// MessageKind tells what a message is. Its numbers are on the wire.
+// MessageKind is what a message is for. Its numbers are on the wire.
 type MessageKind uint8
 
 // The kinds of messages, with the fields that each of them uses beside ClusterID, Recipient and Term.
 const (
-	// MsgAppend is the leader's: Entries, perhaps none, follow the entry of Index and LogTerm; or Snapshot holds all up to there.
+	// MsgAppend is the leader's: Entries, perhaps none, follow the entry of Index and LogTerm; or Snapshot has all up to there.
 	MsgAppend MessageKind = iota + 1
-	// MsgAppendAck tells that the log up to Index is as the leader's and synced, and acknowledges Seq.
+	// MsgAppendAck reports that the log up to Index is as the leader's and synced, and acknowledges Seq.
 	MsgAppendAck
-	// MsgAppendReject tells that there is no entry of that Index and LogTerm. Index is the sender's commit index.
+	// MsgAppendReject reports that there is no entry of that Index and LogTerm. Index is the sender's commit index.
 	MsgAppendReject
 	// MsgStaleTerm answers a message of a term that the sender does not follow any more. Term is the sender's; Rejected: the
 	// sender is a candidate itself.
 	MsgStaleTerm
-	// MsgPreVote asks whether the receiver has lost the leader too. Seq tells attempts apart.
+	// MsgPreVote asks whether the receiver has lost the leader too. Seq distinguishes attempts.
 	MsgPreVote
 	// MsgPreVoteResponse answers it. Rejected: the receiver has a leader.
 	MsgPreVoteResponse
 	// MsgRequestVote asks for a vote in Term.
 	MsgRequestVote
-	// MsgVoteGranted tells that the vote is on disk. The sender's last entry is of Index and LogTerm.
+	// MsgVoteGranted reports that the vote is on disk. The sender's last entry is of Index and LogTerm.
 	MsgVoteGranted
 	// MsgFetchLog is a candidate's request for the log after Index, which it has committed.
 	MsgFetchLog
@@ -31,7 +31,7 @@
 	// MsgAppendChunk is as MsgAppend, but Chunk is a part of the state that Snapshot lacks, or of the data that the one of
 	// Entries lacks.
 	MsgAppendChunk
-	// MsgChunkAck tells that all bytes of Chunk's blob before its Offset are in memory, and acknowledges Seq.
+	// MsgChunkAck reports that all bytes of Chunk's blob before its Offset are in memory, and acknowledges Seq.
 	MsgChunkAck
 )
 
@@ -53,7 +53,7 @@
 	// ReplicatedElsewhere goes to a member that drains, with heartbeats: see Replica.ReplicatedElsewhere.
 	ReplicatedElsewhere uint64
 
-	// AcceptsChunks tells in acknowledgements and rejections that the sender's version takes chunks.
+	// AcceptsChunks reports in acknowledgements and rejections that the sender's version takes chunks.
 	AcceptsChunks bool
 
 	// Clock is the sender's time, and EchoedClock the newest one that it received from the other in this term; in messages
--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -16,45 +16,45 @@
 
 func (m mutation) String() string {
 	return [...]string{
-		noMutation:        "none",
-		ackUnsynced:       "entries that are not on disk are acknowledged",
-		countWipedDisk:    "a member with a wiped disk counts",
-		acceptStaleTerm:   "a former leader's appends are accepted",
-		forgetVotes:       "votes are not put on disk",
-		skipTruncation:    "conflicting entries are kept",
-		commitOldTerms:    "entries of earlier terms are committed by counting",
-		singleMajority:    "one majority is enough for a change of members",
-		skipReadSeq:       "a read without a confirmed sequence",
-		voteBeforeSync:    "a vote is sent before it is on disk",
-		voteTwice:         "two votes in a term",
-		electByMinority:   "one vote too few",
-		leadWithOldLog:    "not the newest log leads",
-		skipLogMatching:   "appended behind an entry of another term",
-		countLearner:      "a learner counts",
-		countStaleAcks:    "an acknowledgement of an earlier term counts",
-		keepProposals:     "a proposal ends twice",
-		readBeforeNoOp:    "a read before the term's first entry is committed",
-		leaveAfterVote:    "a cluster is left after a vote",
-		waitAfterTie:      "two candidates of a term both wait",
-		shareClusterID:    "all logs have one cluster ID",
-		loseMergedWrite:   "a write that waits is forgotten",
-		syncOtherLog:      "synced with another log's write",
-		mixChunks:         "chunks of two blobs are joined",
-		skipChunks:        "a missing chunk is passed over",
-		installPartial:    "a snapshot is installed before it is complete",
-		abandonTransfer:   "a newer snapshot replaces the one under transfer",
-		contactByAck:      "contact by an answer's receipt",
-		contactByAppend:   "contact by an append's receipt",
-		contactBeforeNoOp: "contact before the term's first entry is committed",
-		contactWhileLead:  "contact while it leads",
-		contactAhead:      "contact ahead of the log",
-		neverReplace:      "nobody is replaced",
-		promoteEarly:      "a learner counts before it has the state",
-		replaceAtOnce:     "a member that restarts is replaced",
-		shrinkBelowFloor:  "too few members stay",
-		keepDeadLearner:   "a dead learner blocks the next",
-		drainEarly:        "a member that drains does not wait",
-		lostWhenDetected:  "lost from when it is detected",
+		noMutation:           "none",
+		ackUnsynced:          "entries that are not on disk are acknowledged",
+		countWipedDisk:       "a member with a wiped disk counts",
+		acceptStaleTerm:      "a former leader's appends are accepted",
+		forgetVotes:          "votes are not put on disk",
+		skipTruncation:       "conflicting entries are kept",
+		commitEarlierTerms:   "entries of earlier terms are committed by counting",
+		singleMajority:       "one majority is enough for a change of members",
+		skipReadSeq:          "a read without a confirmed sequence",
+		voteBeforeSync:       "a vote is sent before it is on disk",
+		voteTwice:            "two votes in a term",
+		electByMinority:      "one vote too few",
+		leadWithoutNewestLog: "not the newest log leads",
+		skipLogMatching:      "appended behind an entry of another term",
+		countLearner:         "a learner counts",
+		countStaleAcks:       "an acknowledgement of an earlier term counts",
+		keepProposals:        "a proposal ends twice",
+		readBeforeNoOp:       "a read before the term's first entry is committed",
+		joinOtherAfterVote:   "a cluster is left after a vote",
+		skipTieBreak:         "two candidates of a term both need another time-out",
+		shareClusterID:       "all logs have one cluster ID",
+		loseMergedWrite:      "a pending write is forgotten",
+		syncOtherLog:         "synced with another log's write",
+		mixChunks:            "chunks of two blobs are joined",
+		skipChunks:           "a missing chunk is passed over",
+		installPartial:       "a snapshot is installed before it is complete",
+		abandonTransfer:      "a newer snapshot replaces the one under transfer",
+		contactByAck:         "contact by an answer's receipt",
+		contactByAppend:      "contact by an append's receipt",
+		contactBeforeNoOp:    "contact before the term's first entry is committed",
+		contactWhileLead:     "contact while it leads",
+		contactAhead:         "contact ahead of the log",
+		neverReplace:         "nobody is replaced",
+		promoteEarly:         "a learner counts before it has the state",
+		replaceAtOnce:        "a member that restarts is replaced",
+		shrinkBelowFloor:     "too few members stay",
+		keepDeadLearner:      "a dead learner blocks the next",
+		drainEarly:           "a member that drains goes too early",
+		lostWhenDetected:     "lost from when it is detected",
 	}[m]
 }
 
@@ -140,7 +140,7 @@
 
 // The vote for a candidate of the first cluster is forgotten.
 func TestBootstrappedOnlyDiskFindsMutation(t *testing.T) {
-	w, last, other := twoClusters(leaveAfterVote, true)
+	w, last, other := twoClusters(joinOtherAfterVote, true)
 	must.Eq(t, other.clusterID, last.clusterID)
 	must.Eq(t, w.members[2].disk.ClusterID, last.clusterID)
 }
@@ -152,8 +152,8 @@
 func TestTwoMembersElectLeaderSoonFindsMutation(t *testing.T) {
 	for _, sync := range syncTimes {
 		worst, _ := slowestElection(t, sync, noMutation)
-		mutated, mean := slowestElection(t, sync, waitAfterTie)
-		t.Logf("syncs of %v, %v: a leader after %v in the mean, %v at worst", sync, waitAfterTie, mean, mutated)
+		mutated, mean := slowestElection(t, sync, skipTieBreak)
+		t.Logf("syncs of %v, %v: a leader after %v in the mean, %v at worst", sync, skipTieBreak, mean, mutated)
 		if sync >= 150*time.Millisecond {
 			must.Greater(t, worst, mutated)
 		}
--- a/internal/gateway/replication/progress.go
+++ b/internal/gateway/replication/progress.go
@@ -74,7 +74,7 @@
 	return peers
 }
 
-// recentlyActive tells whether a member counts for the leader's quorum.
+// recentlyActive reports whether a member counts for the leader's quorum.
 func (r *Replica) recentlyActive(peer *progress) bool {
 	return r.now-peer.lastResponseAt <= r.config.QuorumTimeout
 }
--- a/internal/gateway/replication/quorum.go
+++ b/internal/gateway/replication/quorum.go
@@ -14,13 +14,13 @@
 // Members is the list that is in effect; nil before a bootstrap.
 func (r *Replica) Members() []Member { return r.latestConfig().members }
 
-// membersCommitted tells whether the list in effect is known to be committed. While it is not, the configuration is a joint one.
+// membersCommitted reports whether the list in effect is known to be committed. While it is not, the configuration is a joint one.
 func (r *Replica) membersCommitted() bool { return r.latestConfig().index <= r.commitIndex }
 
 // previousMembers is the other list of a joint configuration. There is always one before a list that is not committed.
 func (r *Replica) previousMembers() []Member { return r.memberConfigs[len(r.memberConfigs)-2].members }
 
-// hasQuorum tells whether a condition holds for a majority of the members, and of those before them in a joint configuration.
+// hasQuorum reports whether a condition is true for a majority of the members, and of those before them in a joint configuration.
 func (r *Replica) hasQuorum(holds func(MemberID) bool) bool {
 	if !hasMajority(r.Members(), holds) {
 		return false
--- a/internal/gateway/replication/read.go
+++ b/internal/gateway/replication/read.go
@@ -9,7 +9,7 @@
 // before. Heartbeats carry a sequence number, which members acknowledge at once. One sequence serves all reads that came before
 // it, and the next one starts when it is confirmed.
 
-// pendingRead is a read that waits for a read sequence.
+// pendingRead is a read that a read sequence must confirm.
 type pendingRead struct{ token, readSeq uint64 }
 
 // Read asks up to which index the host's state must be to include all that was acknowledged before: see Outcome.
@@ -22,7 +22,7 @@
 	r.replicationPending = true
 }
 
-// startReadSeq starts the next read sequence if reads wait for it.
+// startReadSeq starts the next read sequence if there are reads for it.
 func (r *Replica) startReadSeq() bool {
 	if n := len(r.reads); n == 0 || r.reads[n-1].readSeq <= r.readSeq {
 		return false
@@ -31,7 +31,7 @@
 	return true
 }
 
-// broadcastReadSeq sends a new read sequence. With ReadMinimalQuorum it goes to a bare majority, those that were heard last; where
+// broadcastReadSeq sends a new read sequence. With ReadMinimalQuorum it goes to a bare majority, those that responded last; where
 // one of them does not answer, the next heartbeat to all makes up for it.
 func (r *Replica) broadcastReadSeq() {
 	if !r.config.ReadMinimalQuorum || !r.membersCommitted() {
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -57,20 +57,20 @@
 	matchIndex          uint64       // the log is as the leader's up to here
 	readSeq             uint64       // the newest received from the leader; as leader, the newest sent
 	ackedReadSeq        uint64       // the newest acknowledged to the leader
-	replicatedElsewhere uint64       // as the leader last told: see ReplicatedElsewhere
+	replicatedElsewhere uint64       // as the leader last sent it: see ReplicatedElsewhere
 	incoming            BlobReceiver // from the leader
 
 	// Elections: see election.go.
-	sawLeader         bool // since the start, a leader or a candidate was heard of
-	failedElections   int  // since a leader was last heard
+	sawLeader         bool // since the start, of any term
+	failedElections   int  // since the last contact with a leader
 	electionStartedAt time.Duration
 	electionDeadline  time.Duration
 	announcedDeadline time.Duration            // the last Wake
 	maxSeenTerm       uint64                   // in any message of this cluster
-	preVoteSeq        uint64                   // tells attempts apart
+	preVoteSeq        uint64                   // distinguishes attempts
 	preVotes          map[MemberID]bool        // members that have lost the leader
 	votes             map[MemberID]logPosition // with each voter's last position
-	voteRequests      map[MemberID]Member      // members that were asked
+	voteRequests      map[MemberID]Member      // members that were sent a request
 	fetchingLogFrom   MemberID
 
 	// Contact with a majority: see contact.go.
@@ -92,7 +92,7 @@
 	// Changes of members: see membership.go.
 	lostSince          map[MemberID]time.Duration // members that the host does not reach; also at followers
 	learner            MemberID                   // 0: none
-	learnerConfig      memberConfig               // the list once the learner has caught up; without members: it is held back
+	learnerConfig      memberConfig               // the list once the learner has caught up; without members: it is delayed
 	learnerSince       time.Duration
 	learnerProgressAt  time.Duration // its disk last had something new
 	lastDroppedLearner MemberID
@@ -100,7 +100,7 @@
 	actions []Action // to be handed out by Next
 }
 
-// New returns a replica that continues from what a disk held. Times are the host's, counted from any start; the seed decides
+// New returns a replica that continues from what a disk has. Times are the host's, counted from any start; the seed decides
 // random delays.
 func New(self Member, state PersistentState, config Config, seed int64, now time.Duration) *Replica {
 	invariant.That(self.ID != 0 && self.ID == state.ID, "a disk keeps its member ID")
@@ -138,7 +138,7 @@
 	return r
 }
 
-// Tick tells the time. After the process was suspended it comes before the messages that arrived meanwhile, so that a leader that
+// Tick advances the time. After the process was suspended it comes before the messages that arrived meanwhile, so that a leader that
 // has lost its quorum steps down before it answers anything.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = max(r.now, now)
@@ -205,7 +205,7 @@
 	r.proposals[index] = token
 }
 
-// admitRequest tells why a proposal or a read can't be taken while so many are pending; OutcomeCommitted if it can.
+// admitRequest returns why a proposal or a read can't be taken while so many are pending; OutcomeCommitted if it can.
 func (r *Replica) admitRequest(pending int) OutcomeStatus {
 	switch _, _, known := r.Leader(); {
 	case r.role != roleLeader && known:
--- a/internal/gateway/replication/snapshot.go
+++ b/internal/gateway/replication/snapshot.go
@@ -13,7 +13,7 @@
 	maxOutdatedBlobs = 2
 )
 
-// needsChunks tells whether so many bytes go in chunks.
+// needsChunks reports whether so many bytes go in chunks.
 func (r *Replica) needsChunks(bytes int) bool {
 	return r.config.MaxInflightBytes > 0 && bytes > r.config.MaxInflightBytes
 }
@@ -29,7 +29,7 @@
 
 // BlobToSend returns the snapshot for a receiver that lacks the entries from an index on, given the blobs on their way to others:
 // one of those if the log continues after it, else the latest. It returns nil if as many older ones are kept as may be: the
-// receiver waits.
+// receiver must retry later.
 func (r *Replica) BlobToSend(nextIndex uint64, inTransfer []*Blob) *Blob {
 	outdated := 0
 	for i, b := range inTransfer {
@@ -110,7 +110,7 @@
 	}
 	t := &peer.transfer
 	if t.snapshot == nil && t.sender.acked == 0 && peer.nextIndex < r.log.firstIndex() {
-		// The entry was compacted and the member has nothing of it: the snapshot holds that and more.
+		// The entry was compacted and the member has nothing of it: the snapshot has that and more.
 		peer.transfer = transfer{}
 		r.sendSnapshot(peer)
 		return
@@ -157,7 +157,7 @@
 	r.onAppend(from, m)
 }
 
-// wantsChunk tells whether a chunk is of something that this member lacks and could append now. If the member has the entry, the
+// wantsChunk reports whether a chunk is of something that this member lacks and could append now. If the member has the entry, the
 // message is made one that names it, so that the leader learns so.
 func (r *Replica) wantsChunk(m *Message, c *Chunk) bool {
 	if m.Snapshot != nil {
@@ -181,7 +181,7 @@
 		return
 	}
 	r.send(from, Message{Kind: MsgChunkAck, ClusterID: m.ClusterID, Term: m.Term, Seq: m.Seq, Chunk: received, AcceptsChunks: true,
-		Clock: r.clock.Stamp(r.now), EchoedClock: r.leaderClock})
+		Clock: r.clock.Timestamp(r.now), EchoedClock: r.leaderClock})
 }
 
 // fillIn puts into an append what came in chunks.
@@ -197,7 +197,7 @@
 	m.Entries = []Entry{e}
 }
 
-// needsSnapshot tells whether a snapshot is ahead of what this member has.
+// needsSnapshot reports whether a snapshot is ahead of what this member has.
 func (r *Replica) needsSnapshot(s *Snapshot) bool {
 	return s != nil && s.Index > r.commitIndex && !r.log.matches(s.Index, s.Term)
 }
@@ -212,6 +212,6 @@
 	r.commitIndex = s.Index
 	r.invalidateSynced(0)
 	r.unwrittenSnapshot = true
-	r.markUnwritten(s.Index + 1)
+	r.requireWrite(s.Index + 1)
 	r.actions = append(r.actions, Restore{s.Index, s.State})
 }
--- a/internal/gateway/replication/snapshot_test.go
+++ b/internal/gateway/replication/snapshot_test.go
@@ -8,7 +8,7 @@
 )
 
 // rejoin lets the third member, which lacks twenty changes, hear again, while a change is proposed and all is compacted for each
-// message that reaches it. It tells what it was sent until it was level, or after so many messages.
+// message that reaches it. It returns what it was sent until it was level, or after so many messages.
 func rejoin(w *cluster, most int) (bytes, restores int, level bool) {
 	w.heartbeat(0)
 	for n := 0; n < most; n++ {
@@ -50,7 +50,7 @@
 }
 
 // Changes that go on while a member is sent a snapshot neither replace it nor make it go anew: it is sent once, and the changes
-// after it follow. Without that, each compaction made the next snapshot whole: with one a message, it was never level.
+// after it follow. Without that, each compaction had the next snapshot sent from its begin: with one a message, it was never level.
 func TestSnapshotInTransferIsKept(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
 	w := newCluster(3, 0, noMutation, stepBudget{}).inChunks().commitOnTwo(state...)
@@ -61,13 +61,13 @@
 	must.LessEq(t, len(state)+2*40, bytes) // the snapshot once, a change at most twice
 }
 
-// Who has the newest log and can't send it in a message asks for the next view itself: a large tail would hold up the link for
-// as long as it takes, and one with an old log never leads.
+// A voter whose newer log is too large for a message starts an election itself: a large tail would delay everything on the link, and a
+// candidate without the newest log never leads.
 func TestMemberWithLargeTailStartsElection(t *testing.T) {
 	w := newCluster(3, 0, noMutation, stepBudget{}).inChunks().commitOnTwo("a", "b", "c")
 	w.members[2].replica.startElection()
 	w.drainActions(2)
-	for range 2 { // the promise, then the wish for its log
+	for range 2 { // the vote, then the request for its log
 		w.syncAll(2)
 		w.deliverAmong([]int{2}, []int{1})
 		w.syncAll(1)
@@ -84,7 +84,7 @@
 	must.Eq(t, w.members[1].replica.log.lastIndex(), w.members[2].replica.syncedIndex)
 }
 
-// What is kept for members is bounded: as many bytes as a new snapshot would be, one pinned snapshot for all, and one more.
+// What is kept for members is bounded: as many bytes as a new snapshot would be, one snapshot in transfer for all, and one more.
 func TestTrailingLogIsBounded(t *testing.T) {
 	w := newCluster(3, 0, noMutation, stepBudget{}).inChunks()
 	p := w.members[0].replica
@@ -102,7 +102,7 @@
 		must.LessEq(t, 100<<10, size)
 	}
 	must.Greater(t, 64, len(p.log.trailing))
-	_, known := p.log.termAt(p.FirstIndex() - 1) // else who lacks just what is kept was refused each message, until it was compacted away
+	_, known := p.log.termAt(p.FirstIndex() - 1) // else who lacks just what is kept was rejected each time, until it was compacted
 	must.True(t, known)
 	old := func(i uint64) *Blob { return NewBlob(i, 1, []byte{1}) }
 	a, b := old(p.FirstIndex()), old(p.FirstIndex()+1)
--- a/internal/gateway/replication/state.go
+++ b/internal/gateway/replication/state.go
@@ -6,7 +6,7 @@
 	"github.com/go-faster/errors"
 )
 
-// PersistentState is what a member's disk holds of one log. The zero value with an ID is an empty disk.
+// PersistentState is what a member's disk has of one log. The zero value with an ID is an empty disk.
 type PersistentState struct {
 	ID        MemberID
 	ClusterID uint64   // 0 on an empty disk
@@ -20,7 +20,7 @@
 // ErrInvalidState is the cause of what Validate returns.
 var ErrInvalidState = errors.New("invalid persistent state")
 
-// Validate returns an error that wraps ErrInvalidState if a disk holds what no sequence of writes leaves there.
+// Validate returns an error that wraps ErrInvalidState if a disk has what no sequence of writes results in.
 func (p *PersistentState) Validate() error {
 	last := p.Snapshot.Index + uint64(len(p.Entries))
 	switch {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Write is an Action: the host puts it on disk and syncs it as a whole, in the order of Seq, and then calls Synced(Seq). If that
-// fails the host tries again or ends the process: a later write must not reach the disk without it.
+// Write is an Action: the host puts it on disk and syncs it atomically, in the order of Seq, and then calls Synced(Seq). If that
+// fails the host retries or ends the process: a later write must not reach the disk without it.
 type Write struct {
 	Seq        uint64
 	ClusterID  uint64
--- a/internal/gateway/replication/status.go
+++ b/internal/gateway/replication/status.go
@@ -56,12 +56,12 @@
 	return Member{}, r.term, false
 }
 
-// IsLeader tells whether this member leads and was recently in contact with a majority. That it leads at this very moment only a
-// Read tells for sure.
+// IsLeader reports whether this member leads and was recently in contact with a majority. That it leads at this very moment only a
+// Read confirms.
 func (r *Replica) IsLeader() bool { return r.role == roleLeader }
 
 // LeaderTerm returns the present term, and whether this member leads it with an entry of it committed: then all that was
-// acknowledged in earlier terms is committed here. That it leads at this very moment only a Read tells for sure.
+// acknowledged in earlier terms is committed here. That it leads at this very moment only a Read confirms.
 func (r *Replica) LeaderTerm() (term uint64, leads bool) {
 	return r.term, r.role == roleLeader && r.commitIndex >= r.termStartIndex
 }
--- a/internal/gateway/replication/testingknobs_debug.go
+++ b/internal/gateway/replication/testingknobs_debug.go
@@ -7,5 +7,5 @@
 
 func (t TestingKnobs) has(m mutation) bool { return t.mutation == m }
 
-// any tells whether any fault is planted.
+// any reports whether any fault is planted.
 func (t TestingKnobs) any() bool { return t.mutation != noMutation }
--- a/internal/gateway/replication/transfer.go
+++ b/internal/gateway/replication/transfer.go
@@ -1,6 +1,6 @@
 package replication
 
-// Leadership transfer: the leader refuses proposals until a member has its whole log, and asks that one to start an election at
+// Leadership transfer: the leader refuses proposals until a member has its complete log, and asks that one to start an election at
 // once, without a pre-vote.
 
 // TransferLeadership has another member lead, as soon as one has all entries. Proposals are refused meanwhile; without a new
@@ -18,7 +18,7 @@
 	r.TransferLeadership()
 }
 
-// CanTransferTo tells whether this member leads and another could take over at once, as far as is known here.
+// CanTransferTo reports whether this member leads and another could take over at once, as far as is known here.
 func (r *Replica) CanTransferTo(id MemberID) bool {
 	peer := r.peers[id]
 	return r.role == roleLeader && peer != nil && r.canReconfigure() && r.isMember(id) && r.recentlyActive(peer) &&
@@ -38,7 +38,7 @@
 	}
 }
 
-// eligibleTransferee tells whether a member may be asked to lead: the preferred one alone, if that answers.
+// eligibleTransferee reports whether a member may lead: only the preferred one, if that answers.
 func (r *Replica) eligibleTransferee(peer *progress) bool {
 	if !r.recentlyActive(peer) || !r.isMember(peer.ID) {
 		return false
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// walk is a run of nodes under chance: delays, losses, doubles, cuts, crashes, power, lost disks, changes
+// walk is a run of nodes under chance: delays, losses, duplicates, partitions, crashes, power, lost disks, changes
 // of members.
 type walk struct {
 	t              *testing.T
@@ -25,7 +25,7 @@
 	states         []string          // the host's state after each of them
 	acked          uint64            // the newest index that was acknowledged
 	reads          map[uint64]uint64 // what was acknowledged when a read came
-	finished       map[uint64]bool   // proposals whose end was told
+	finished       map[uint64]bool   // proposals with an Outcome
 	partitioned    map[[2]int]bool   // one way
 	token          uint64
 	nextID         MemberID
@@ -39,7 +39,7 @@
 	violation      string
 
 	acks     []acknowledgement        // by time
-	ledSince map[uint64]time.Duration // since when a view was led
+	ledSince map[uint64]time.Duration // since when a term was led
 }
 
 type simNode struct {
@@ -51,7 +51,7 @@
 	index          uint64
 	state          string
 	writeDoneAt    time.Duration   // the last write is synced then
-	diskBeforeLast PersistentState // the disk before the last write of this life, with all before it
+	diskBeforeLast PersistentState // the disk before the last write of this incarnation, with all before it
 	lastWrite      Write
 	pausedUntil    time.Duration // the process stands still until then
 	draining       bool
@@ -132,12 +132,12 @@
 			since, read := w.reads[a.Token]
 			switch {
 			case !read && w.finished[a.Token]:
-				w.fail("node %d tells a second end of proposal %d: %v", i, a.Token, a.Status)
+				w.fail("node %d gives a second outcome of proposal %d: %v", i, a.Token, a.Status)
 			case a.Status == OutcomeCommitted && !read && string(w.committed[a.Index-2].Data) != string(proposalData(a.Token)):
-				w.fail("node %d tells that proposal %d is at %d, where another is", i, a.Token, a.Index)
+				w.fail("node %d has proposal %d at %d, where another is", i, a.Token, a.Index)
 			case a.Status != OutcomeCommitted:
 			case read && a.Index < since:
-				w.fail("a read told %d, acknowledged was %d", a.Index, since)
+				w.fail("a read gave %d, acknowledged was %d", a.Index, since)
 			case !read:
 				w.acked = max(w.acked, a.Index)
 				w.acks = append(w.acks, acknowledgement{w.now, a.Index})
@@ -156,10 +156,10 @@
 	w.checkContact(i)
 }
 
-// checkDeposed: a leader that lacks what was acknowledged must be one of an old view.
+// checkDeposed: a leader that lacks what was acknowledged must be one of an earlier term.
 func (w *walk) checkDeposed(i int) {
 	if !slices.ContainsFunc(w.nodes, func(o *simNode) bool { return o.disk.Term > w.nodes[i].replica.term }) {
-		w.fail("node %d leads the newest view without %d", i, w.acked)
+		w.fail("node %d leads the newest term without %d", i, w.acked)
 	}
 }
 
@@ -172,7 +172,7 @@
 	d.index, d.state = e.Index, string(sum[:8])
 	if n := e.Index - 2; n < uint64(len(w.committed)) {
 		if !sameEntry(w.committed[n], e) {
-			w.fail("entry %d is of view %d, and at node %d of view %d", e.Index, w.committed[n].Term, i, e.Term)
+			w.fail("entry %d is of term %d, and at node %d of term %d", e.Index, w.committed[n].Term, i, e.Term)
 		}
 	} else {
 		w.committed, w.states = append(w.committed, e), append(w.states, d.state)
@@ -225,13 +225,13 @@
 		d.diskBeforeLast = two
 		two.Apply(a)
 		if fmt.Sprint(one) != fmt.Sprint(two) || one.Validate() != nil {
-			w.fail("node %d: two writes in one make %v of the disk, apart %v", i, one, two)
+			w.fail("node %d: two writes in one make %v of the disk, one by one %v", i, one, two)
 		}
 	}
 	d.lastWrite = a
 }
 
-// proposalData is a change that tells its token; one in eight is long.
+// proposalData is data that has its token; one in eight is long.
 func proposalData(token uint64) []byte {
 	if token%8 == 0 {
 		return fmt.Appendf(nil, "%011d", token)
@@ -263,7 +263,7 @@
 	return found
 }
 
-// membersInSync tells whether all members have the newest list on disk: a disk may be lost again.
+// membersInSync reports whether all members have the newest list on disk: a disk may be lost again.
 func (w *walk) membersInSync() bool {
 	l := w.leader()
 	if l < 0 || !w.nodes[l].replica.canReconfigure() {
@@ -330,7 +330,7 @@
 		link := [2]int{i, w.rng.Intn(len(w.nodes))}
 		w.partitioned[link] = true
 		w.after(w.randomDelay(4000), func() { delete(w.partitioned, link) })
-	case 6: // cut off whole
+	case 6: // cut off from all
 		for o := range w.nodes {
 			w.partitioned[[2]int{i, o}], w.partitioned[[2]int{o, i}] = true, true
 		}
@@ -372,7 +372,7 @@
 	w.now = t
 }
 
-// bootstrapped sets up nodes, three of which found.
+// bootstrapped sets up nodes, of which three are the first members.
 func bootstrapped(t *testing.T, nodes int, seed int64, planted mutation) *walk {
 	return bootstrappedBy(t, nodes, 3, seed, planted)
 }
@@ -408,7 +408,7 @@
 	return walkWithFaults(t, seed, planted, (*walk).injectFault, 40*time.Second)
 }
 
-// walkWithFaults is a walk on three to five nodes with trouble until a time, and ten calm seconds after it.
+// walkWithFaults is a walk on three to five nodes with faults until a time, and ten seconds without after it.
 func walkWithFaults(t *testing.T, seed int64, planted mutation, trouble func(*walk), until time.Duration) *walk {
 	return bootstrapped(t, 3+int(seed%3), seed, planted).runWithFaults(trouble, until)
 }
@@ -418,7 +418,7 @@
 	return bootstrappedWith(t, GroupConfig(1), 3+int(seed%3), 3, seed, planted).runWithFaults((*walk).injectFault, 40*time.Second)
 }
 
-// runWithFaults goes on with trouble until a time, and ten calm seconds after it.
+// runWithFaults goes on with faults until a time, and ten seconds without after it.
 func (w *walk) runWithFaults(trouble func(*walk), until time.Duration) *walk {
 	w.reconcileMembers(1)
 	w.proposeSome()
@@ -430,7 +430,7 @@
 	return w
 }
 
-// forEachSeed plays so many walks as are asked for.
+// forEachSeed plays as many walks as REPLICATION_WALKS says.
 func forEachSeed(t *testing.T, play func(t *testing.T, seed int64)) {
 	walks := 40
 	if n, err := strconv.Atoi(os.Getenv("REPLICATION_WALKS")); err == nil {
@@ -448,7 +448,7 @@
 // on.
 func TestWalks(t *testing.T) { requireRecovery(t, faultWalk) }
 
-// The same under a group's terms: quick changes of leaders, rounds of reads that ask a bare majority.
+// The same with a group's config: quick elections, read sequences that go to a bare majority.
 func TestWalksOfGroups(t *testing.T) { requireRecovery(t, groupFaultWalk) }
 
 func requireRecovery(t *testing.T, play func(*testing.T, int64, mutation) *walk) {
@@ -467,7 +467,7 @@
 	})
 }
 
-// A leader that is heard and hears nobody stops within Silence, refuses, and lets another lead.
+// A leader whose messages arrive, and to whom none do, steps down within QuorumTimeout, refuses proposals, and lets another lead.
 func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
 	w := faultlessWalk(t)
 	l := w.leader()
@@ -482,8 +482,8 @@
 	must.NotEq(t, l, w.leader())
 }
 
-// Where each sync takes longer than the patience with which a view is first asked for, one is led all the same: who asks in
-// vain gives the next try longer. Without it nobody led for as long as a machine's disk was that slow.
+// Where each sync takes longer than the first election time-out there is a leader all the same: each election in vain doubles the time-out.
+// Without that nobody led for as long as a machine's disk was that slow.
 func TestSlowDisksStillLead(t *testing.T) {
 	for seed := range int64(20) {
 		w := bootstrapped(t, 3, seed, noMutation)
@@ -500,8 +500,7 @@
 	}
 }
 
-// A member that was cut off comes back without a new view; one that leaves hands over within a few round
-// trips.
+// A member that was partitioned comes back without a new term; a leader that drains transfers its leadership within a few round trips.
 func TestPreVoteAndLeadershipTransfer(t *testing.T) {
 	w := faultlessWalk(t)
 	l := w.leader()
@@ -529,8 +528,8 @@
 	return w
 }
 
-// Whoever began the core may die before the word reached the others: any founder hands it on while nothing else is known to be
-// delivered, and an empty disk takes it as if it were the first.
+// A node may die after its bootstrap, before the others had the list: any of its members passes it on while nothing else is known to be
+// committed, and an empty disk takes it as if it were the first.
 func TestBootstrapIsPassedOn(t *testing.T) {
 	list := []Member{{1, "a"}, {2, "b"}, {3, "c"}}
 	at := func(id MemberID, k PersistentState) *Replica {
@@ -584,7 +583,7 @@
 var syncTimes = []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond}
 
 // Two members that start at the same time both become candidates of a term where a vote takes its time, and keep each other from a
-// majority: once each had to wait for a longer time-out, up to seconds. Now the one with the lower ID starts the next term at once.
+// majority: once each needed a longer time-out, up to seconds. Now the one with the lower ID starts the next term at once.
 func TestTwoMembersElectLeaderSoon(t *testing.T) {
 	for _, sync := range syncTimes {
 		worst, mean := slowestElection(t, sync, noMutation)
--- a/internal/gateway/replication/wire.go
+++ b/internal/gateway/replication/wire.go
@@ -18,7 +18,7 @@
 	return blobID{index: c.Index, term: c.View, checksum: c.Sum, size: c.Size}
 }
 
-// SameBlob tells whether two chunks are of the same blob.
+// SameBlob reports whether two chunks are of the same blob.
 func (c *Chunk) SameBlob(other *Chunk) bool { return c.blob() == other.blob() }
 
 // WireEntry is an Entry as gob sends it.
@@ -57,9 +57,23 @@
 
 // Wire converts a message into the form that gob sends. Data of entries and snapshots is shared, not copied.
 func (m *Message) Wire() WireMessage {
-	wire := WireMessage{Kind: m.Kind, House: m.ClusterID, To: m.Recipient, View: m.Term, Index: m.Index, At: m.LogTerm, Delivered: m.Commit,
-		Round: m.Seq, Elsewhere: m.ReplicatedElsewhere, No: m.Rejected, Chunk: m.Chunk, Chunks: m.AcceptsChunks, Clock: m.Clock, Echo: m.EchoedClock,
-		Contact: m.ContactAgeMillis}
+	wire := WireMessage{
+		Kind:      m.Kind,
+		House:     m.ClusterID,
+		To:        m.Recipient,
+		View:      m.Term,
+		Index:     m.Index,
+		At:        m.LogTerm,
+		Delivered: m.Commit,
+		Round:     m.Seq,
+		Elsewhere: m.ReplicatedElsewhere,
+		No:        m.Rejected,
+		Chunk:     m.Chunk,
+		Chunks:    m.AcceptsChunks,
+		Clock:     m.Clock,
+		Echo:      m.EchoedClock,
+		Contact:   m.ContactAgeMillis,
+	}
 	if len(m.Entries) > 0 {
 		wire.Entries = make([]WireEntry, len(m.Entries))
 		for i := range m.Entries {
@@ -74,9 +88,23 @@
 
 // Message converts what gob received. Data of entries and snapshots is shared, not copied.
 func (w *WireMessage) Message() Message {
-	m := Message{Kind: w.Kind, ClusterID: w.House, Recipient: w.To, Term: w.View, Index: w.Index, LogTerm: w.At, Commit: w.Delivered,
-		Seq: w.Round, ReplicatedElsewhere: w.Elsewhere, Rejected: w.No, Chunk: w.Chunk, AcceptsChunks: w.Chunks, Clock: w.Clock, EchoedClock: w.Echo,
-		ContactAgeMillis: w.Contact}
+	m := Message{
+		Kind:                w.Kind,
+		ClusterID:           w.House,
+		Recipient:           w.To,
+		Term:                w.View,
+		Index:               w.Index,
+		LogTerm:             w.At,
+		Commit:              w.Delivered,
+		Seq:                 w.Round,
+		ReplicatedElsewhere: w.Elsewhere,
+		Rejected:            w.No,
+		Chunk:               w.Chunk,
+		AcceptsChunks:       w.Chunks,
+		Clock:               w.Clock,
+		EchoedClock:         w.Echo,
+		ContactAgeMillis:    w.Contact,
+	}
 	if len(w.Entries) > 0 {
 		m.Entries = make([]Entry, len(w.Entries))
 		for i := range w.Entries {
--- a/internal/gateway/replication/writequeue.go
+++ b/internal/gateway/replication/writequeue.go
@@ -1,12 +1,12 @@
 package replication
 
-// maxBatchBytes bounds the groups' writes in one transaction, beside the configuration's: it is what a configuration waits for at
-// the most. One write always goes.
+// maxBatchBytes bounds the groups' writes in one transaction, beside the configuration's: it is the longest delay of a
+// configuration. One write always goes.
 const maxBatchBytes = 256 << 10
 
-// WriteQueue holds the writes of a node's replicas while its one disk is busy, and decides what goes into one transaction. Writes
+// WriteQueue has the writes of a node's replicas while its one disk is busy, and decides what goes into one transaction. Writes
 // of one log are merged, so that a disk that hangs has no more to write than the state of each log. The host writes a transaction
-// as a whole and tells each replica once it is synced. The zero value is empty.
+// atomically and calls Synced of each replica. The zero value is empty.
 type WriteQueue struct {
 	knobs     TestingKnobs
 	pending   map[LogID]*Write
@@ -25,7 +25,7 @@
 }
 
 // Take returns the next transaction and removes it: the configuration's write always, and the groups' in turn, up to
-// maxBatchBytes. It returns nil if nothing waits.
+// maxBatchBytes. It returns nil if nothing is pending.
 func (w *WriteQueue) Take() (batch []LogWrite) {
 	if len(w.pending) == 0 {
 		return nil
@@ -49,7 +49,7 @@
 	return batch
 }
 
-// groupsInTurn are the groups whose writes wait, from nextGroup on.
+// groupsInTurn are the groups with pending writes, from nextGroup on.
 func (w *WriteQueue) groupsInTurn() (groups []LogID) {
 	last := ConfigurationLog
 	for log := range w.pending {
--- a/internal/gateway/statemachine/doc.go
+++ b/internal/gateway/statemachine/doc.go
@@ -2,7 +2,7 @@
 // were taken, which node has which slot, the roll-outs, and the disks that the coordination groups began with.
 //
 // Every node applies the same entries in the same order, members from their own log and others from a member's stream, and so comes
-// to the same state. For that to hold the package does no I/O and reads no clock, draws no random numbers, and depends on nothing
+// to the same state. For that the package does no I/O and reads no clock, draws no random numbers, and depends on nothing
 // but the entries: whatever an entry needs to know besides is a part of it.
 //
 // # Entries
--- a/internal/gateway/statemachine/errors.go
+++ b/internal/gateway/statemachine/errors.go
@@ -16,4 +16,5 @@
 // UnknownKindError is returned for an entry of a kind that this version does not know.
 type UnknownKindError struct{ Kind Kind }
 
-func (e *UnknownKindError) Error() string { return fmt.Sprintf("entry of unknown kind %q", e.Kind) }
+// Error names the kind by its character.
+func (u *UnknownKindError) Error() string { return fmt.Sprintf("entry of unknown kind %q", u.Kind) }
--- a/internal/gateway/statemachine/groups.go
+++ b/internal/gateway/statemachine/groups.go
@@ -9,7 +9,7 @@
 // Founders are the disks that the coordination groups began with; nil if they have not begun.
 func (m *Machine) Founders() []membership.Founder { return m.founders }
 
-// bootstrapGroups takes the first such entry alone: groups that began twice, on other disks, would know nothing of each other.
+// bootstrapGroups takes only the first such entry: groups that began twice, on other disks, would know nothing of each other.
 func (m *Machine) bootstrapGroups(body []byte) (routing.Verdict, error) {
 	var stored []storedFounder
 	if err := logentry.Decode(body, &stored, "groups"); err != nil {
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -31,7 +31,7 @@
 	return 0, false
 }
 
-// Decide returns the verdict that Apply would give now. Kinds that are decided by Apply alone are taken.
+// Decide returns the verdict that Apply would give now. Kinds that only Apply decides are taken.
 func (m *Machine) Decide(kind Kind, body []byte) (routing.Verdict, error) {
 	if kind == KindRollout {
 		return withRolloutEntry(body, m.Rollouts.Decide)
@@ -42,8 +42,8 @@
 	return routing.Taken, nil
 }
 
-// DecideFinal is Decide, and tells besides whether the verdict is the same in every later state: then a node may answer by it
-// though its state is old.
+// DecideFinal is Decide, and reports besides whether the verdict is the same in every later state: then a node may answer by it
+// though its state is stale.
 func (m *Machine) DecideFinal(kind Kind, body []byte) (v routing.Verdict, err error, final bool) {
 	if config, ok := configKind(kind); ok {
 		return m.Configs.Final(config, body)
--- a/internal/gateway/statemachine/slots.go
+++ b/internal/gateway/statemachine/slots.go
@@ -18,7 +18,7 @@
 	if err := logentry.Decode(body, &stored, "slot"); err != nil {
 		return routing.Invalid, err
 	}
-	holder := stored.holder()
+	holder := stored.slotHolder()
 	for i, other := range m.slots {
 		if other.Addr == holder.Addr {
 			m.slots[i] = holder
--- a/internal/gateway/statemachine/stored.go
+++ b/internal/gateway/statemachine/stored.go
@@ -26,11 +26,11 @@
 	return storedSlot{Name: holder.Name, Addr: holder.Addr, Control: holder.Control, Zone: holder.Zone}
 }
 
-func (s storedSlot) holder() membership.SlotHolder {
+func (s storedSlot) slotHolder() membership.SlotHolder {
 	return membership.SlotHolder{Name: s.Name, Addr: s.Addr, Control: s.Control, Zone: s.Zone}
 }
 
-// storeSlots gives nil for none, as do the others: gob leaves both out, but a state that was restored must equal its original.
+// storeSlots gives nil for none, as do the others: gob omits both, but a restored state must equal its original.
 func storeSlots(holders []membership.SlotHolder) (stored []storedSlot) {
 	for _, holder := range holders {
 		stored = append(stored, storeSlot(holder))
@@ -40,7 +40,7 @@
 
 func slotHolders(stored []storedSlot) (holders []membership.SlotHolder) {
 	for _, slot := range stored {
-		holders = append(holders, slot.holder())
+		holders = append(holders, slot.slotHolder())
 	}
 	return holders
 }
