--- a/internal/gateway/node/turn.go
+++ b/internal/gateway/node/turn.go
@@ -36,7 +36,7 @@
 	n.streamSender.tick()
 	n.calls.chunks.tick()
 	n.streamReceiver.check()
-	n.requestSlot()
+	n.slotRequest.tick()
 	n.rollouts.tick()
 	n.groups.requestFounding()
 	if n.core != nil {
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -119,5 +119,5 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
-	return &Machine{Configs: configs, Rollouts: rollouts, slots: slotHolders(stored.Seats), founders: foundersOf(stored.Founders)}, nil
+	return &Machine{Configs: configs, Rollouts: rollouts, slots: slotsOf(stored.Seats), founders: foundersOf(stored.Founders)}, nil
 }
--- a/internal/gateway/statemachine/stored.go
+++ b/internal/gateway/statemachine/stored.go
@@ -26,7 +26,7 @@
 	return storedSlot{Name: holder.Name, Addr: holder.Addr, Control: holder.Control, Zone: holder.Zone}
 }
 
-func (s storedSlot) slotHolder() membership.SlotHolder {
+func (s storedSlot) slot() membership.SlotHolder {
 	return membership.SlotHolder{Name: s.Name, Addr: s.Addr, Control: s.Control, Zone: s.Zone}
 }
 
@@ -38,9 +38,9 @@
 	return stored
 }
 
-func slotHolders(stored []storedSlot) (holders []membership.SlotHolder) {
-	for _, slot := range stored {
-		holders = append(holders, slot.slotHolder())
+func slotsOf(stored []storedSlot) (holders []membership.SlotHolder) {
+	for _, s := range stored {
+		holders = append(holders, s.slot())
 	}
 	return holders
 }
