--- a/internal/gateway/statemachine/stored.go
+++ b/internal/gateway/statemachine/stored.go
@@ -26,11 +26,11 @@
 	return storedSlot{Name: holder.Name, Addr: holder.Addr, Control: holder.Control, Zone: holder.Zone}
 }
 
-func (s storedSlot) holder() membership.SlotHolder {
+func (s storedSlot) slot() membership.SlotHolder {
 	return membership.SlotHolder{Name: s.Name, Addr: s.Addr, Control: s.Control, Zone: s.Zone}
 }
 
-// storeSlots gives nil for none, as do the others: gob leaves both out, but a state that was restored must equal its original.
+// storeSlots gives nil for none, as do the others: gob omits both, but a restored state must equal its original.
 func storeSlots(holders []membership.SlotHolder) (stored []storedSlot) {
 	for _, holder := range holders {
 		stored = append(stored, storeSlot(holder))
@@ -38,9 +38,9 @@
 	return stored
 }
 
-func slotHolders(stored []storedSlot) (holders []membership.SlotHolder) {
-	for _, slot := range stored {
-		holders = append(holders, slot.holder())
+func slotsOf(stored []storedSlot) (holders []membership.SlotHolder) {
+	for _, s := range stored {
+		holders = append(holders, s.slot())
 	}
 	return holders
 }
