--- a/internal/gateway/logstore/file_test.go
+++ b/internal/gateway/logstore/filename_test.go
@@ -66,6 +66,7 @@
 	must.NoError(t, err)
 	must.NoError(t, s.RenameError())
 	must.Eq(t, []string{"sync file", "rename", "sync folder"}, fs.steps)
+	must.Eq(t, filepath.Join(dir, FileName), s.path) // what errors name from now on
 	must.Eq(t, want, got)
 	must.Eq(t, []string{FileName}, names(t, dir))
 	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{entry(3, 2, "b")}}
--- a/internal/gateway/logstore/logs_test.go
+++ b/internal/gateway/logstore/logs_test.go
@@ -27,10 +27,10 @@
 		return replication.LogWrite{Log: id, Write: replication.Write{ClusterID: 5 + uint64(id), Term: 1, Commit: 1, FirstIndex: 2,
 			Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members}}}
 	}
-	adds := func(id replication.LogID, from, view uint64, data ...string) replication.LogWrite {
-		w := replication.Write{ClusterID: 5 + uint64(id), Term: view, Commit: 1, FirstIndex: from}
+	adds := func(id replication.LogID, from, term uint64, data ...string) replication.LogWrite {
+		w := replication.Write{ClusterID: 5 + uint64(id), Term: term, Commit: 1, FirstIndex: from}
 		for i, text := range data {
-			w.Entries = append(w.Entries, entry(from+uint64(i), view, text))
+			w.Entries = append(w.Entries, entry(from+uint64(i), term, text))
 		}
 		return replication.LogWrite{Log: id, Write: w}
 	}
@@ -92,33 +92,33 @@
 // them: the file stays under so many of all that is kept. One write goes at a time, as a WriteQueue has it.
 func TestSizeOfManyLogs(t *testing.T) {
 	const groups = 8
-	for _, state := range []int{64 << 10, 1 << 20} {
+	for _, stateBytes := range []int{64 << 10, 1 << 20} {
 		dir := t.TempDir()
-		store, kept, err := Open(dir)
+		store, state, err := Open(dir)
 		must.NoError(t, err)
 		store.file.NoSync = true // what is looked at is the size
-		members := []replication.Member{{ID: kept.ID, Addr: "a"}}
+		members := []replication.Member{{ID: state.ID, Addr: "a"}}
 		for index := uint64(1); index <= 12; index += 2 {
 			for log := replication.LogID(0); log <= groups; log++ {
 				w := replication.Write{ClusterID: 1 + uint64(log), Term: 1, Commit: index, FirstIndex: index + 1,
-					Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: members, State: make([]byte, state)},
-					Entries:  []replication.Entry{{Index: index + 1, Term: 1, Data: make([]byte, state/2)}}}
+					Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: members, State: make([]byte, stateBytes)},
+					Entries:  []replication.Entry{{Index: index + 1, Term: 1, Data: make([]byte, stateBytes/2)}}}
 				must.NoError(t, store.Write([]replication.LogWrite{{Log: log, Write: w}}))
 			}
 		}
 		must.NoError(t, store.Close())
 		info, err := os.Stat(filepath.Join(dir, FileName))
 		must.NoError(t, err)
-		t.Logf("%d logs of %d KB and half as much of entries: a file of %d KB", groups+1, state>>10, info.Size()>>10)
-		must.LessEq(t, int64((groups+1)*state*3/2*5/4+6*state+256<<10), info.Size())
+		t.Logf("%d logs of %d KB and half as much of entries: a file of %d KB", groups+1, stateBytes>>10, info.Size()>>10)
+		must.LessEq(t, int64((groups+1)*stateBytes*3/2*5/4+6*stateBytes+256<<10), info.Size())
 	}
 }
 
 // What one write of an entry to one of eight groups costs the process, with its sync: processor time of the thread.
 func BenchmarkGroupWrite(b *testing.B) {
-	store, k, err := Open(b.TempDir())
+	store, state, err := Open(b.TempDir())
 	must.NoError(b, err)
-	members := []replication.Member{{ID: k.ID, Addr: "a"}}
+	members := []replication.Member{{ID: state.ID, Addr: "a"}}
 	for log := replication.LogID(1); log <= 8; log++ {
 		must.NoError(b, store.Write([]replication.LogWrite{{Log: log, Write: replication.Write{ClusterID: 1, Term: 1, Commit: 1,
 			FirstIndex: 2, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members, State: make([]byte, 64<<10)}}}}))
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -107,11 +107,11 @@
 }
 
 // machineOf folds the configuration's log.
-func machineOf(t *testing.T, kept replication.PersistentState) *statemachine.Machine {
+func machineOf(t *testing.T, state replication.PersistentState) *statemachine.Machine {
 	t.Helper()
-	machine, err := statemachine.Restore(kept.Snapshot.State)
+	machine, err := statemachine.Restore(state.Snapshot.State)
 	must.NoError(t, err)
-	for _, e := range kept.Entries {
+	for _, e := range state.Entries {
 		if e.Kind == replication.EntryNormal {
 			_, err := machine.Apply(e.Data)
 			must.NoError(t, err)
@@ -126,18 +126,18 @@
 	replaced := []replication.Member{recordedLeader, recordedLost, recordedHeir}
 	for name, member := range map[string]replication.Member{recordedFirst: recordedLeader, recordedSecond: recordedNext,
 		recordedThird: recordedHeir} {
-		store, kept, err := Open(recordedFolder(t, name))
+		store, state, err := Open(recordedFolder(t, name))
 		must.NoError(t, err)
-		must.Eq(t, member.ID, kept.ID)
-		must.Eq(t, 619735245, kept.ClusterID)
-		must.Eq(t, 11, kept.Term)
-		must.Eq(t, recordedLeader.ID, kept.Vote)
-		must.Eq(t, 78, kept.Commit)
-		must.Eq(t, 64, kept.Snapshot.Index)
-		must.Eq(t, 11, kept.Snapshot.Term)
-		must.Eq(t, replaced, kept.Snapshot.Members)
-		must.Len(t, 17, kept.Entries)
-		for i, e := range kept.Entries {
+		must.Eq(t, member.ID, state.ID)
+		must.Eq(t, 619735245, state.ClusterID)
+		must.Eq(t, 11, state.Term)
+		must.Eq(t, recordedLeader.ID, state.Vote)
+		must.Eq(t, 78, state.Commit)
+		must.Eq(t, 64, state.Snapshot.Index)
+		must.Eq(t, 11, state.Snapshot.Term)
+		must.Eq(t, replaced, state.Snapshot.Members)
+		must.Len(t, 17, state.Entries)
+		for i, e := range state.Entries {
 			must.Eq(t, 65+uint64(i), e.Index)
 			must.Eq(t, 11, e.Term)
 			if e.Index != 77 {
@@ -202,13 +202,13 @@
 // The configuration's log folds to the configuration, slots, members of the groups and roll-out that were acknowledged.
 func TestRecordedConfiguration(t *testing.T) {
 	for _, name := range []string{recordedFirst, recordedSecond, recordedThird} {
-		store, kept, err := Open(recordedFolder(t, name))
+		store, state, err := Open(recordedFolder(t, name))
 		must.NoError(t, err)
 		must.NoError(t, store.Close())
-		before, err := statemachine.Restore(kept.Snapshot.State)
+		before, err := statemachine.Restore(state.Snapshot.State)
 		must.NoError(t, err)
 		must.Eq(t, 53, before.Configs.Version())
-		machine := machineOf(t, kept)
+		machine := machineOf(t, state)
 		must.Eq(t, 67, machine.Configs.Version())
 		must.Eq(t, `{"generation":67,"parent_version":66,"services":[{"name":"s"},{"name":"t2"},{"name":"t3"},{"name":"t4"},{"name":"t5"},`+
 			`{"name":"t6"},{"name":"t7"},{"name":"t8"},{"name":"t9"},{"name":"t0"},{"name":"t1"}],"vhosts":[{"hostname":"h.example",
@@ -384,20 +384,20 @@
 func TestRecordedFileForItsVersion(t *testing.T) {
 	for _, name := range []string{recordedFirst, recordedSecond, recordedThird} {
 		from, to := recordedFolder(t, name), t.TempDir()
-		recorded, kept, err := Open(from)
+		recorded, state, err := Open(from)
 		must.NoError(t, err)
 		var records []registry.WireRecord
 		must.NoError(t, gob.NewDecoder(bytes.NewReader(recorded.SoftState())).Decode(&records))
 		must.NoError(t, recorded.Close())
-		machine, err := statemachine.Restore(kept.Snapshot.State)
+		machine, err := statemachine.Restore(state.Snapshot.State)
 		must.NoError(t, err)
-		kept.Snapshot.State = machine.Snapshot()
+		state.Snapshot.State = machine.Snapshot()
 
 		again, _, err := Open(to)
 		must.NoError(t, err)
-		again.memberID = kept.ID
+		again.memberID = state.ID
 		logs := recorded.GroupLogs()
-		logs[replication.ConfigurationLog] = kept
+		logs[replication.ConfigurationLog] = state
 		for id, log := range logs {
 			must.NoError(t, again.Write([]replication.LogWrite{{Log: id, Write: replication.Write{ClusterID: log.ClusterID, Term: log.Term,
 				Vote: log.Vote, Commit: log.Commit, Snapshot: &log.Snapshot, FirstIndex: log.Snapshot.Index + 1, Entries: log.Entries}}}))
--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -14,24 +14,24 @@
 
 // fillWithStates replaces a state of about so many bytes so often, as the log has it: an entry is written, and once entries have so many bytes
 // a snapshot in their place. It tells the size of the file.
-func fillWithStates(t *testing.T, state, times, compact int) int64 {
+func fillWithStates(t *testing.T, stateBytes, times, compact int) int64 {
 	dir := t.TempDir()
-	store, kept, err := Open(dir)
+	store, state, err := Open(dir)
 	must.NoError(t, err)
 	rng := rand.New(rand.NewPCG(1, 2))
-	me := []replication.Member{{ID: kept.ID, Addr: "a"}}
+	members := []replication.Member{{ID: state.ID, Addr: "a"}}
 	must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2,
-		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: me}}}))
+		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members}}}))
 	held := 0
 	for i := range times {
 		index := uint64(i + 2)
-		data := make([]byte, state-state/10+rng.IntN(state/5))
+		data := make([]byte, stateBytes-stateBytes/10+rng.IntN(stateBytes/5))
 		must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 1, Term: 1, Commit: index, FirstIndex: index,
 			Entries: []replication.Entry{{Index: index, Term: 1, Data: data}}}}))
 		if held += len(data); held >= compact {
 			held = 0
 			must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 1, Term: 1, Commit: index,
-				Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: me, State: data}}}))
+				Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: members, State: data}}}))
 		}
 	}
 	must.NoError(t, store.Close())
@@ -47,10 +47,10 @@
 	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_TIMES")); err == nil {
 		times = n
 	}
-	for _, state := range []int{250 << 10, 1 << 20, 4 << 20} {
-		size := fillWithStates(t, state, times, 256<<10)
-		t.Logf("%d of %d KB: %d KB", times, state>>10, size>>10)
-		must.LessEq(t, int64(8*state+1<<20), size)
+	for _, stateBytes := range []int{250 << 10, 1 << 20, 4 << 20} {
+		size := fillWithStates(t, stateBytes, times, 256<<10)
+		t.Logf("%d of %d KB: %d KB", times, stateBytes>>10, size>>10)
+		must.LessEq(t, int64(8*stateBytes+1<<20), size)
 	}
 	must.Greater(t, int64(15<<20), fillWithStates(t, 1<<20, 20, 64<<20)) // the defence out
 }
@@ -60,28 +60,28 @@
 // after a disk that hung; a snapshot from elsewhere in the place of all. The file stays below ten configurations (node.diskCopies). Played at
 // a quarter of that size; LOGSTORE_STATE plays it larger.
 func TestSmallDiskHoldsWholeConfigurations(t *testing.T) {
-	state := 850_000
+	stateBytes := 850_000
 	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_STATE")); err == nil {
-		state = n
+		stateBytes = n
 	}
 	const times, seed = 64, 1 // the worst of twelve seeds
 	dir := t.TempDir()
-	store, kept, err := Open(dir)
+	store, state, err := Open(dir)
 	must.NoError(t, err)
 	rng := rand.New(rand.NewPCG(3, seed))
-	me := []replication.Member{{ID: kept.ID, Addr: "a"}}
-	view, at := uint64(1), uint64(1)
+	members := []replication.Member{{ID: state.ID, Addr: "a"}}
+	term, at := uint64(1), uint64(1)
 	apply := func(w replication.Write) {
-		w.ClusterID, w.Term = 1, view
+		w.ClusterID, w.Term = 1, term
 		must.NoError(t, writeConfiguration(store, []replication.Write{w}))
-		kept.Apply(w)
-		must.NoError(t, kept.Validate())
+		state.Apply(w)
+		must.NoError(t, state.Validate())
 	}
 	entry := func(index uint64) replication.Entry {
-		return replication.Entry{Index: index, Term: view, Data: make([]byte, state-rng.IntN(state/20))}
+		return replication.Entry{Index: index, Term: term, Data: make([]byte, stateBytes-rng.IntN(stateBytes/20))}
 	}
 	snap := func(index uint64) *replication.Snapshot {
-		return &replication.Snapshot{Index: index, Term: view, Members: me, State: make([]byte, state+state/100)}
+		return &replication.Snapshot{Index: index, Term: term, Members: members, State: make([]byte, stateBytes+stateBytes/100)}
 	}
 	apply(replication.Write{Snapshot: snap(1), Commit: 1})
 	for range times {
@@ -93,7 +93,7 @@
 			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
 		case 1: // another leader's in their place
 			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
-			view++
+			term++
 			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{entry(at + 1), entry(at + 2)}})
 			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
 		case 2: // after a disk that hung
@@ -109,6 +109,6 @@
 	must.NoError(t, store.Close())
 	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
-	t.Logf("%d of %d KB: %d KB", times, state>>10, info.Size()>>10)
-	must.LessEq(t, int64(10*state), info.Size())
+	t.Logf("%d of %d KB: %d KB", times, stateBytes>>10, info.Size()>>10)
+	must.LessEq(t, int64(10*stateBytes), info.Size())
 }
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -13,8 +13,8 @@
 	"clovergap/internal/gateway/replication"
 )
 
-func entry(index, view uint64, data string) replication.Entry {
-	return replication.Entry{Index: index, Term: view, Data: []byte(data)}
+func entry(index, term uint64, data string) replication.Entry {
+	return replication.Entry{Index: index, Term: term, Data: []byte(data)}
 }
 
 // writeConfiguration writes to the configuration's log.
--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -126,16 +126,16 @@
 
 // A disk that the version before has written is read whole, and its state folds to what it told when it was written.
 func TestFileOfTheVersionBefore(t *testing.T) {
-	store, kept, err := Open(pastFile(t))
+	store, state, err := Open(pastFile(t))
 	must.NoError(t, err)
 	defer store.Close()
-	must.Eq(t, 0x90d0564f83, kept.ID)
-	must.Eq(t, 64, kept.Snapshot.Index)
-	must.SliceLen(t, 3, kept.Snapshot.Members)
-	must.Eq(t, 77, kept.Snapshot.Index+uint64(len(kept.Entries)))
-	machine, err := statemachine.Restore(kept.Snapshot.State)
+	must.Eq(t, 0x90d0564f83, state.ID)
+	must.Eq(t, 64, state.Snapshot.Index)
+	must.SliceLen(t, 3, state.Snapshot.Members)
+	must.Eq(t, 77, state.Snapshot.Index+uint64(len(state.Entries)))
+	machine, err := statemachine.Restore(state.Snapshot.State)
 	must.NoError(t, err)
-	for _, e := range kept.Entries {
+	for _, e := range state.Entries {
 		if e.Kind == replication.EntryNormal {
 			_, err := machine.Apply(e.Data)
 			must.NoError(t, err)
@@ -154,20 +154,20 @@
 // A disk that this version writes is read by the version before: the same content is the same by its types.
 func TestFileForTheVersionBefore(t *testing.T) {
 	from, to := pastFile(t), t.TempDir()
-	past, kept, err := Open(from)
+	past, state, err := Open(from)
 	must.NoError(t, err)
 	note := past.SoftState()
 	must.NoError(t, past.Close())
 	var records []registry.WireRecord
 	must.NoError(t, gob.NewDecoder(bytes.NewReader(note)).Decode(&records))
-	machine, err := statemachine.Restore(kept.Snapshot.State)
+	machine, err := statemachine.Restore(state.Snapshot.State)
 	must.NoError(t, err)
-	kept.Snapshot.State = machine.Snapshot()
+	state.Snapshot.State = machine.Snapshot()
 	now, _, err := Open(to)
 	must.NoError(t, err)
-	now.memberID = kept.ID
-	must.NoError(t, writeConfiguration(now, []replication.Write{{ClusterID: kept.ClusterID, Term: kept.Term, Vote: kept.Vote, Commit: kept.Commit,
-		Snapshot: &kept.Snapshot, FirstIndex: kept.Snapshot.Index + 1, Entries: kept.Entries}}))
+	now.memberID = state.ID
+	must.NoError(t, writeConfiguration(now, []replication.Write{{ClusterID: state.ClusterID, Term: state.Term, Vote: state.Vote, Commit: state.Commit,
+		Snapshot: &state.Snapshot, FirstIndex: state.Snapshot.Index + 1, Entries: state.Entries}}))
 	var b bytes.Buffer
 	must.NoError(t, gob.NewEncoder(&b).Encode(records))
 	must.NoError(t, now.SaveSoftState(b.Bytes()))
