--- a/internal/gateway/node/bootstrap.go
+++ b/internal/gateway/node/bootstrap.go
@@ -23,16 +23,23 @@
 func (c *core) abandonLoneBootstrap() {
 	founders := c.replica.BootstrapMembers()
 	for _, m := range founders {
-		if d, ok := c.node.roster.Node(m.Addr); m.ID != c.self.ID && (!ok || !c.node.roster.Live(m.Addr) || d.Disk == 0 || d.Bootstrapped ||
-			replication.MemberID(d.Disk) == m.ID || c.node.memberAddr(replication.Member{ID: m.ID}) != "") {
+		if m.ID != c.self.ID && !c.isReplaced(m) {
 			return
 		}
 	}
 	if len(founders) > 1 && c.replica.DiscardBootstrap() {
-		c.node.logInfo(corePart).Int("members", len(founders)).Msg("bootstrap discarded, no other founder has it")
+		c.env.logInfo(corePart).Int("members", len(founders)).Msg("bootstrap discarded, no other founder has it")
 	}
 }
 
+// isReplaced reports whether a node with another, empty disk lives at a founder's address, and the founder's disk is at no other node.
+func (c *core) isReplaced(founder replication.Member) bool {
+	roster := c.env.membershipRoster()
+	present, ok := roster.Node(founder.Addr)
+	return ok && roster.Live(founder.Addr) && present.Disk != 0 && !present.Bootstrapped && replication.MemberID(present.Disk) != founder.ID &&
+		c.env.memberAddr(replication.Member{ID: founder.ID}) == ""
+}
+
 // bootstrap makes this node a member of a new log, if its disk is empty.
 func (n *Node) bootstrap(members []replication.Member) {
 	if n.core == nil {
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -4,6 +4,8 @@
 	"bytes"
 	"time"
 
+	"github.com/phuslu/log"
+
 	"clovergap/internal/gateway/controlapi"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/replication"
@@ -21,9 +23,10 @@
 	memberCheckInterval = 300 * time.Millisecond
 )
 
-// core is this node's part in the replicated log that orders configurations. A node without a disk has none.
+// core hosts this node's replica of the log that orders configurations. A node without a disk has none.
 type core struct {
 	replicaHost
+	env              coreEnv
 	proposals        map[uint64]proposal // that wait for their outcome, by token
 	lastToken        uint64
 	lastApplied      appliedChange
@@ -32,6 +35,33 @@
 	liveness         map[string]livenessState // by address
 }
 
+// coreEnv is what a core needs of its node.
+type coreEnv interface {
+	replicaEnv
+	sendFrame(to string, f *Frame) bool
+	// memberAddr is the present address of a member's node.
+	memberAddr(m replication.Member) string
+	membershipRoster() *membership.Roster
+	// reachableDisks are the nodes with a disk in reach, this one among them.
+	reachableDisks() []replication.ReachableNode
+	// toleratedLosses is how many nodes may be lost at one time.
+	toleratedLosses() int
+	// announceLeaders has learners notified at the next tick that there is a leader.
+	announceLeaders()
+	installState(index uint64, s *statemachine.Machine)
+	applyEntry(index uint64, data []byte) (routing.Verdict, error)
+	// snapshot is the state at the last entry applied.
+	snapshot() []byte
+	// readResult is the body of the answer to a read.
+	readResult(kind statemachine.Kind) []byte
+	// groupReplicaHost is the host of the replica of a coordination group.
+	groupReplicaHost(log replication.LogID) *replicaHost
+	logInfo(p logPart) *log.Entry
+	logWarn(p logPart) *log.Entry
+}
+
+var _ coreEnv = (*Node)(nil)
+
 // proposal is a call that waits for the log.
 type proposal struct {
 	kind  statemachine.Kind
@@ -48,30 +78,36 @@
 }
 
 // openCore opens the disk, and the replicas of the log and of the groups with what it holds.
-func (n *Node) openCore(b Environment) error {
+func (n *Node) openCore(env Environment) error {
 	if n.settings.DataDir == "" {
 		return nil
 	}
-	disk, kept, err := b.Disk()
+	disk, stored, err := env.Disk()
 	if err != nil {
 		return err
 	}
-	c := &core{proposals: map[uint64]proposal{}, liveness: map[string]livenessState{}}
-	c.replicaHost = replicaHost{node: n, self: replication.Member{ID: kept.ID, Addr: n.peerAddr}, owner: c,
-		disk: &diskQueue{node: n, disk: disk, onSynced: c.writeSynced}}
-	c.replica = replication.New(c.self, kept, replication.DefaultConfig(), n.seed, n.loop.Now())
+	c := newCore(n, replication.Member{ID: stored.ID, Addr: n.peerAddr})
+	c.disk = &diskQueue{clock: n, disk: disk, onSynced: c.writeSynced}
+	c.replica = replication.New(c.self, stored, replication.DefaultConfig(), n.seed, n.now())
 	n.core = c
 	n.groups.open(n, disk.GroupLogs())
 	return nil
 }
 
+// newCore makes a core whose replica and disk are still to be set.
+func newCore(env coreEnv, self replication.Member) *core {
+	c := &core{env: env, proposals: map[uint64]proposal{}, liveness: map[string]livenessState{}}
+	c.replicaHost = replicaHost{env: env, self: self, owner: c}
+	return c
+}
+
 // writeSynced notifies the replica of a log that a write of it is on disk.
 func (c *core) writeSynced(log replication.LogID, seq uint64) {
-	r := &c.replicaHost
+	host := &c.replicaHost
 	if log != replication.ConfigurationLog {
-		r = &c.node.groups.replicas[log-1].replicaHost
+		host = c.env.groupReplicaHost(log)
 	}
-	r.advance().Synced(seq)
+	host.advance().Synced(seq)
 }
 
 // handleReady carries out what the replica decided, and notices a new leader.
@@ -81,20 +117,20 @@
 	c.handleActions()
 	if m, term, ok := c.replica.Leader(); ok && term != c.leaderTerm {
 		c.leaderTerm = term
-		c.node.heartbeatAt = 0 // learners wait for a contact by the new leader
+		c.env.announceLeaders()
 		if m.ID == c.self.ID {
-			c.node.logInfo(corePart).Uint64("term", term).Msg("became leader")
+			c.env.logInfo(corePart).Uint64("term", term).Msg("became leader")
 		} else {
-			c.node.logInfo(corePart).Uint64("term", term).Str("leader", m.Addr).Msg("leader changed")
+			c.env.logInfo(corePart).Uint64("term", term).Str("leader", m.Addr).Msg("leader changed")
 		}
 	}
-	c.node.roster.SetCluster(membership.Disk(c.self.ID), c.replica.ClusterID())
+	c.env.membershipRoster().SetCluster(membership.Disk(c.self.ID), c.replica.ClusterID())
 }
 
 // sendMessage sends to another member.
 func (c *core) sendMessage(to replication.Member, m replication.Message) {
-	if addr := c.node.memberAddr(to); addr != "" {
-		c.node.links.Send(addr, &Frame{Core: c.coreMessage(addr, m)})
+	if addr := c.env.memberAddr(to); addr != "" {
+		c.env.sendFrame(addr, &Frame{Core: c.coreMessage(addr, m)})
 	}
 }
 
@@ -104,11 +140,11 @@
 	if len(state) > 0 {
 		var err error
 		if s, err = statemachine.Restore(state); err != nil {
-			c.node.logWarn(corePart).Uint64("index", index).Err(err).Msg("state unreadable")
+			c.env.logWarn(corePart).Uint64("index", index).Err(err).Msg("state unreadable")
 			return
 		}
 	}
-	c.node.installState(index, s)
+	c.env.installState(index, s)
 }
 
 // applyCommitted applies an entry, and compacts the log.
@@ -117,27 +153,26 @@
 	if e.Kind == replication.EntryNormal {
 		data = e.Data
 	}
-	v, err := c.node.applyEntry(e.Index, data)
+	v, err := c.env.applyEntry(e.Index, data)
 	c.lastApplied = appliedChange{e.Index, data, v, err}
 	if e.Index%compactEntries == 0 || c.replica.UncompactedBytes(e.Index) >= compactBytes {
-		c.replica.Compact(e.Index, c.node.machine.Snapshot())
+		c.replica.Compact(e.Index, c.env.snapshot())
 	}
 }
 
 // checkMembers notifies the replica which nodes with a disk are in reach, each memberCheckInterval. A leader adds them as members, in the
 // place of lost ones.
 func (c *core) checkMembers() {
-	now := c.node.loop.Now()
+	now := c.env.now()
 	if now-c.membersCheckedAt < memberCheckInterval {
 		return
 	}
 	c.membersCheckedAt = now
-	reach := c.node.reachableDisks()
-	c.replica.ReconcileMembers(reach, c.node.settings.Tolerance.Machines)
+	c.replica.ReconcileMembers(c.env.reachableDisks(), c.env.toleratedLosses())
 	c.abandonLoneBootstrap()
 }
 
-// reachableDisks are the nodes with a disk in reach, this one among them.
+// reachableDisks are the nodes with a disk in reach.
 func (n *Node) reachableDisks() (reach []replication.ReachableNode) {
 	for _, d := range n.roster.LiveDiskNodes() {
 		reach = append(reach, replication.ReachableNode{Member: replication.Member{ID: replication.MemberID(d.Disk), Addr: d.Addr}, Draining: d.Leaving})
@@ -148,8 +183,8 @@
 // propose puts a change into the log, or reads once a majority confirmed that this node leads; done gets the outcome.
 func (c *core) propose(kind statemachine.Kind, body []byte, done func(status int, body []byte)) {
 	c.lastToken++
-	c.replica.Tick(c.node.loop.Now())
-	if kind == ReadConfig || kind == ReadRollouts {
+	c.replica.Tick(c.env.now())
+	if isRead(kind) {
 		c.proposals[c.lastToken] = proposal{kind, nil, done}
 		c.replica.Read(c.lastToken)
 		return
@@ -168,11 +203,9 @@
 	case o.Status == replication.OutcomeUnknown:
 		p.done(controlapi.Unclear, []byte(o.Status.String()))
 	case o.Status != replication.OutcomeCommitted:
-		p.done(503, []byte(o.Status.String()))
-	case p.kind == ReadConfig:
-		p.done(200, c.node.machine.Configs.Body())
-	case p.kind == ReadRollouts:
-		p.done(200, c.node.rolloutStatusBody())
+		p.done(statusUnavailable, []byte(o.Status.String()))
+	case isRead(p.kind):
+		p.done(statusOK, c.env.readResult(p.kind))
 	default:
 		applied := c.lastApplied
 		if applied.index != o.Index || !bytes.Equal(applied.entry, p.entry) {
@@ -182,3 +215,22 @@
 		p.done(responseOf(applied.outcome, applied.err))
 	}
 }
+
+// isRead reports whether a call reads, and puts nothing into the log.
+func isRead(kind statemachine.Kind) bool { return kind == ReadConfig || kind == ReadRollouts }
+
+// readResult is what a confirmed leader answers to a read.
+func (n *Node) readResult(kind statemachine.Kind) []byte {
+	if kind == ReadRollouts {
+		return n.rolloutStatusBody()
+	}
+	return n.machine.Configs.Body()
+}
+
+// snapshot is the state at the last entry applied.
+func (n *Node) snapshot() []byte { return n.machine.Snapshot() }
+
+// groupReplicaHost is the host of the replica of the group whose log that is.
+func (n *Node) groupReplicaHost(log replication.LogID) *replicaHost {
+	return &n.groups.replicas[log-1].replicaHost
+}
--- a/internal/gateway/node/disk_queue.go
+++ b/internal/gateway/node/disk_queue.go
@@ -14,7 +14,7 @@
 // the last one was under way.
 type diskQueue struct {
 	replication.WriteQueue
-	node           *Node
+	clock          nowClock
 	disk           Disk
 	softState      []byte // to be stored beside the logs; nil: nothing new
 	writing        bool
@@ -22,6 +22,9 @@
 	onSynced       func(log replication.LogID, seq uint64)
 }
 
+// nowClock is the time of the turn.
+type nowClock interface{ now() time.Duration }
+
 // flush gives the disk what is queued, unless a write is under way.
 func (d *diskQueue) flush() {
 	if d.writing {
@@ -31,7 +34,7 @@
 	if len(batch) == 0 && d.softState == nil {
 		return
 	}
-	d.writing, d.writeStartedAt = true, d.node.loop.Now()
+	d.writing, d.writeStartedAt = true, d.clock.now()
 	d.disk.Write(batch, d.softState, func() {
 		d.writing = false
 		for _, w := range batch {
@@ -46,5 +49,5 @@
 	if !d.writing {
 		return 0
 	}
-	return d.node.loop.Now() - d.writeStartedAt
+	return d.clock.now() - d.writeStartedAt
 }
--- a/internal/gateway/node/group_replica.go
+++ b/internal/gateway/node/group_replica.go
@@ -52,7 +52,7 @@
 	stored.ID = core.self.ID
 	r := &groupReplica{host: host, id: id, machine: host.app.StateMachine(id), pending: map[uint64]groupRequest{},
 		snapshotBytes: len(stored.Snapshot.State)}
-	r.replicaHost = replicaHost{node: node, self: core.self, logID: logID(id), disk: core.disk, owner: r, ready: true}
+	r.replicaHost = replicaHost{env: node, self: core.self, logID: logID(id), disk: core.disk, owner: r, ready: true}
 	r.replica = replication.New(r.self, stored, replication.GroupConfig(r.logID), node.seed+int64(id)+1, node.now())
 	return r
 }
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -108,7 +108,7 @@
 	if state := c.liveness[addr]; state.pendingSince > 0 {
 		state.pendingSince = 0
 		c.liveness[addr] = state
-		message.Hears = c.node.roster.ReachableSlots()
+		message.Hears = c.env.membershipRoster().ReachableSlots()
 	}
 	return message
 }
@@ -121,7 +121,7 @@
 	state := c.liveness[from]
 	state.piggybacks = true
 	c.liveness[from] = state
-	c.node.roster.HandleLiveness(from, m.Hears)
+	c.env.membershipRoster().HandleLiveness(from, m.Hears)
 }
 
 // resetLiveness forgets what is known of a node's program: a link to or from it begins or has ended, and it may run another one.
--- a/internal/gateway/node/heartbeat_test.go
+++ b/internal/gateway/node/heartbeat_test.go
@@ -42,8 +42,8 @@
 	h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out}
 	h.roster = membership.New(membership.Node{Name: "a", Addr: "10.0.0.1:7110", Disk: 1}, membership.Config{}, clock.now)
 	me := replication.Member{ID: 1, Addr: "10.0.0.1:7110"}
-	h.core = &core{liveness: map[string]livenessState{}, replicaHost: replicaHost{node: h, self: me,
-		replica: replication.New(me, replication.PersistentState{ID: 1}, replication.DefaultConfig(), 1, clock.now)}}
+	h.core = newCore(h, me)
+	h.core.replica = replication.New(me, replication.PersistentState{ID: 1}, replication.DefaultConfig(), 1, clock.now)
 	h.openLogStream()
 	slots := []membership.SlotHolder{{Addr: me.Addr}}
 	for i, a := range []string{b, c} {
--- a/internal/gateway/node/logstream_sender_test.go
+++ b/internal/gateway/node/logstream_sender_test.go
@@ -25,8 +25,8 @@
 		h.groups = &groupHost{env: h}
 		kept := replication.PersistentState{ID: 1, ClusterID: 1, Term: 1, Commit: 5,
 			Snapshot: replication.Snapshot{Index: 5, Term: 1, Members: members, State: state}}
-		h.core = &core{liveness: map[string]livenessState{}, replicaHost: replicaHost{node: h, self: members[0],
-			replica: replication.New(members[0], kept, replication.DefaultConfig(), 1, clock.now)}}
+		h.core = newCore(h, members[0])
+		h.core.replica = replication.New(members[0], kept, replication.DefaultConfig(), 1, clock.now)
 		h.openLogStream()
 		return h, out, func(at time.Duration) (bytes int) { // that a learner gets which requests then
 			clock.now = time.Minute + at
@@ -96,7 +96,8 @@
 	p.Propose(2, []byte("two"))
 	h := newLearner(t, "10.0.0.1:7110")
 	h.appliedIndex = last()
-	h.core = &core{replicaHost: replicaHost{node: h, replica: p}}
+	h.core = newCore(h, me)
+	h.core.replica = p
 	h.openLogStream()
 	h.loop.(*manualClock).now = now
 	has := func(to *frameRecorder) (all []string) {
--- a/internal/gateway/node/replica_host.go
+++ b/internal/gateway/node/replica_host.go
@@ -1,12 +1,15 @@
 package node
 
 import (
+	"time"
+
 	"clovergap/internal/gateway/replication"
+	"clovergap/internal/proxy/eventloop"
 )
 
 // replicaHost runs one of this node's replicas: it keeps its timer, queues its writes, and hands its owner what it decided.
 type replicaHost struct {
-	node     *Node
+	env      replicaEnv
 	self     replication.Member
 	replica  *replication.Replica
 	logID    replication.LogID
@@ -16,6 +19,12 @@
 	ready    bool // it may have decided something since handleActions
 }
 
+// replicaEnv is what a replica's host needs of its node: the time, and timers.
+type replicaEnv interface {
+	now() time.Duration
+	schedule(at time.Duration, to eventloop.Alarm, ref uint32)
+}
+
 // replicaOwner applies a replica's log: it takes replication.Send, Restore, Commit and Outcome.
 type replicaOwner interface {
 	sendMessage(to replication.Member, m replication.Message)
@@ -45,7 +54,7 @@
 			r.owner.completeProposal(a)
 		case replication.Wake:
 			r.timerSeq++
-			r.node.loop.At(a.Deadline, (*replicaTimer)(r), r.timerSeq)
+			r.env.schedule(a.Deadline, (*replicaTimer)(r), r.timerSeq)
 		}
 	}
 }
@@ -53,7 +62,7 @@
 // advance gives the replica the time. What it decides is handled at the end of the turn.
 func (r *replicaHost) advance() *replication.Replica {
 	r.ready = true
-	r.replica.Tick(r.node.loop.Now())
+	r.replica.Tick(r.env.now())
 	return r.replica
 }
 
--- a/internal/gateway/node/shutdown.go
+++ b/internal/gateway/node/shutdown.go
@@ -47,7 +47,7 @@
 // replicatedElsewhere reports whether a majority without this member has what it knows as committed. If it leads still, or again, it hands
 // over.
 func (c *core) replicatedElsewhere() bool {
-	c.replica.Tick(c.node.loop.Now())
+	c.replica.Tick(c.env.now())
 	if c.replica.IsLeader() {
 		c.replica.TransferLeadership()
 		return len(c.replica.Members()) == 1
