--- a/internal/gateway/node/heartbeat_test.go
+++ b/internal/gateway/node/heartbeat_test.go
@@ -39,41 +39,41 @@
 func TestHeartbeatsWithTheLog(t *testing.T) {
 	const b, c = "10.0.0.2:7110", "10.0.0.3:7110"
 	clock, out := &manualClock{now: time.Minute}, &recordingLinks{frames: map[string][]*Frame{}}
-	h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out}
-	h.roster = membership.New(membership.Node{Name: "a", Addr: "10.0.0.1:7110", Disk: 1}, membership.Config{}, clock.now)
+	n := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out}
+	n.roster = membership.New(membership.Node{Name: "a", Addr: "10.0.0.1:7110", Disk: 1}, membership.Config{}, clock.now)
 	me := replication.Member{ID: 1, Addr: "10.0.0.1:7110"}
-	h.core = newCore(h, me)
-	h.core.replica = replication.New(me, replication.PersistentState{ID: 1}, replication.DefaultConfig(), 1, clock.now)
-	h.openLogStream()
+	n.core = newCore(n, me)
+	n.core.replica = replication.New(me, replication.PersistentState{ID: 1}, replication.DefaultConfig(), 1, clock.now)
+	n.openLogStream()
 	slots := []membership.SlotHolder{{Addr: me.Addr}}
 	for i, a := range []string{b, c} {
-		h.roster.HandleHello(a, membership.Hello{Node: membership.Node{Addr: a, Disk: membership.Disk(i + 2), Incarnation: 1, Bootstrapped: true}})
-		h.roster.LinkUp(a)
+		n.roster.HandleHello(a, membership.Hello{Node: membership.Node{Addr: a, Disk: membership.Disk(i + 2), Incarnation: 1, Bootstrapped: true}})
+		n.roster.LinkUp(a)
 		slots = append(slots, membership.SlotHolder{Addr: a})
 	}
-	h.roster.SetSlots(slots)
+	n.roster.SetSlots(slots)
 	ping := func(news bool) [2]int {
-		h.sendHeartbeats(news)
+		n.sendHeartbeats(news)
 		return [2]int{out.takeHeartbeats(b), out.takeHeartbeats(c)}
 	}
 	must.Eq(t, [2]int{1, 1}, ping(false)) // what the others' programs know is not known
-	must.Eq(t, []byte{7}, h.core.coreMessage(b, replication.Message{}).Hears)
-	must.Nil(t, h.core.coreMessage(b, replication.Message{}).Hears) // once
-	h.core.receiveLiveness(b, &CoreMessage{Hears: []byte{7}})
+	must.Eq(t, []byte{7}, n.core.coreMessage(b, replication.Message{}).Hears)
+	must.Nil(t, n.core.coreMessage(b, replication.Message{}).Hears) // once
+	n.core.receiveLiveness(b, &CoreMessage{Hears: []byte{7}})
 	must.Eq(t, [2]int{0, 1}, ping(false))
-	must.Eq(t, []byte{7}, h.core.coreMessage(b, replication.Message{}).Hears)
+	must.Eq(t, []byte{7}, n.core.coreMessage(b, replication.Message{}).Hears)
 	must.Eq(t, [2]int{0, 1}, ping(false))
 	clock.now += livenessMaxDelay - 1
-	h.sendOverdueLiveness()
+	n.sendOverdueLiveness()
 	must.Eq(t, 0, out.takeHeartbeats(b))
 	clock.now++
-	h.sendOverdueLiveness() // the log has no message
+	n.sendOverdueLiveness() // the log has no message
 	must.Eq(t, 1, out.takeHeartbeats(b))
-	must.Nil(t, h.core.coreMessage(b, replication.Message{}).Hears)
+	must.Nil(t, n.core.coreMessage(b, replication.Message{}).Hears)
 
-	h.core.receiveLiveness(b, &CoreMessage{Hears: []byte{7}})
+	n.core.receiveLiveness(b, &CoreMessage{Hears: []byte{7}})
 	must.Eq(t, [2]int{1, 1}, ping(true))
 	must.Eq(t, [2]int{0, 1}, ping(false))
-	h.PeerConnected(b) // perhaps another program
+	n.PeerConnected(b) // perhaps another program
 	must.Eq(t, [2]int{1, 1}, ping(false))
 }
--- a/internal/gateway/node/logstream_sender_test.go
+++ b/internal/gateway/node/logstream_sender_test.go
@@ -19,19 +19,19 @@
 	const asker, addr = "10.0.0.9:7110", "10.0.0.1:7110"
 	made := func(state []byte, members ...replication.Member) (*Node, *recordingLinks, func(time.Duration) int) {
 		clock, out := &manualClock{now: time.Minute}, &recordingLinks{frames: map[string][]*Frame{}}
-		h := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out, machine: statemachine.New(),
+		n := &Node{settings: &settings.Settings{NodeName: "a"}, log: newLogger("a"), loop: clock, links: out, machine: statemachine.New(),
 			appliedIndex: 5}
-		h.roster = membership.New(membership.Node{Name: "a", Addr: addr, Disk: 1}, membership.Config{}, clock.now)
-		h.groups = &groupHost{env: h}
+		n.roster = membership.New(membership.Node{Name: "a", Addr: addr, Disk: 1}, membership.Config{}, clock.now)
+		n.groups = &groupHost{env: n}
 		kept := replication.PersistentState{ID: 1, ClusterID: 1, Term: 1, Commit: 5,
 			Snapshot: replication.Snapshot{Index: 5, Term: 1, Members: members, State: state}}
-		h.core = newCore(h, members[0])
-		h.core.replica = replication.New(members[0], kept, replication.DefaultConfig(), 1, clock.now)
-		h.openLogStream()
-		return h, out, func(at time.Duration) (bytes int) { // that a learner gets which requests then
+		n.core = newCore(n, members[0])
+		n.core.replica = replication.New(members[0], kept, replication.DefaultConfig(), 1, clock.now)
+		n.openLogStream()
+		return n, out, func(at time.Duration) (bytes int) { // that a learner gets which requests then
 			clock.now = time.Minute + at
 			delete(out.frames, asker)
-			h.receiveStreamRequest(asker, &streamRequest{acceptsChunks: true})
+			n.receiveStreamRequest(asker, &streamRequest{acceptsChunks: true})
 			for _, f := range out.frames[asker] {
 				if f.Feed != nil && f.Feed.Chunk != nil {
 					bytes += len(f.Feed.Chunk.Data)
@@ -50,13 +50,13 @@
 	_, _, asks = made(make([]byte, 1000), all...) // what is small goes at once
 	must.Eq(t, 1000, asks(0))
 
-	h, _, asks := made(make([]byte, 1<<20), all[0]) // it is a majority by itself
+	n, _, asks := made(make([]byte, 1<<20), all[0]) // it is a majority by itself
 	must.Eq(t, 0, asks(0))
 	for at := time.Duration(0); at < staleStateGrace-tickInterval; at += tickInterval {
-		h.core.replica.Tick(time.Minute + at)
-		for a, ok := h.core.replica.Next(); ok; a, ok = h.core.replica.Next() {
+		n.core.replica.Tick(time.Minute + at)
+		for a, ok := n.core.replica.Next(); ok; a, ok = n.core.replica.Next() {
 			if w, ok := a.(replication.Write); ok {
-				h.core.replica.Synced(w.Seq)
+				n.core.replica.Synced(w.Seq)
 			}
 		}
 	}
@@ -94,12 +94,12 @@
 	}
 	p.Propose(1, []byte("one"))
 	p.Propose(2, []byte("two"))
-	h := newLearner(t, "10.0.0.1:7110")
-	h.appliedIndex = last()
-	h.core = newCore(h, me)
-	h.core.replica = p
-	h.openLogStream()
-	h.loop.(*manualClock).now = now
+	n := newLearner(t, "10.0.0.1:7110")
+	n.appliedIndex = last()
+	n.core = newCore(n, me)
+	n.core.replica = p
+	n.openLogStream()
+	n.loop.(*manualClock).now = now
 	has := func(to *frameRecorder) (all []string) {
 		for _, f := range to.frames {
 			if f.Feed != nil {
@@ -113,18 +113,18 @@
 		return all
 	}
 	early, late, again := &frameRecorder{}, &frameRecorder{}, &frameRecorder{}
-	h.links = early
-	h.receiveStreamRequest("10.0.0.1:7110", &streamRequest{after: 0, acceptsChunks: true})
+	n.links = early
+	n.receiveStreamRequest("10.0.0.1:7110", &streamRequest{after: 0, acceptsChunks: true})
 	must.Eq(t, []string{"one", "two"}, has(early))
-	h.links = late
-	h.LinkUp("10.0.0.1:7110")
+	n.links = late
+	n.LinkUp("10.0.0.1:7110")
 	must.Eq(t, []string{"one", "two"}, has(late))
-	h.receiveStreamRequest("10.0.0.1:7110", &streamRequest{after: h.appliedIndex, acceptsChunks: true})
-	h.links = again
-	h.LinkUp("10.0.0.1:7110")
+	n.receiveStreamRequest("10.0.0.1:7110", &streamRequest{after: n.appliedIndex, acceptsChunks: true})
+	n.links = again
+	n.LinkUp("10.0.0.1:7110")
 	must.SliceEmpty(t, has(again)) // it has all
-	must.True(t, slices.ContainsFunc(again.frames, func(f *Frame) bool { return f.Feed != nil && f.Feed.After == h.appliedIndex }))
-	h.links = &frameRecorder{}
-	h.LinkUp("10.0.0.2:7110") // one that does not follow
-	must.SliceEmpty(t, h.links.(*frameRecorder).frames)
+	must.True(t, slices.ContainsFunc(again.frames, func(f *Frame) bool { return f.Feed != nil && f.Feed.After == n.appliedIndex }))
+	n.links = &frameRecorder{}
+	n.LinkUp("10.0.0.2:7110") // one that does not follow
+	must.SliceEmpty(t, n.links.(*frameRecorder).frames)
 }
--- a/internal/gateway/node/partition_test.go
+++ b/internal/gateway/node/partition_test.go
@@ -29,15 +29,15 @@
 
 // partition cuts one node off from the other nodes with a disk: what it sends ("out"), what they send ("in"), or "both"; "" heals it.
 func (t *testCluster) partition(i int, way string) {
-	for o, h := range t.running {
-		h.loop.Turn(func() {
-			c, ok := h.links.(*partitionedLinks)
+	for o, n := range t.running {
+		n.loop.Turn(func() {
+			c, ok := n.links.(*partitionedLinks)
 			if !ok {
-				c = &partitionedLinks{Links: h.links}
-				h.links = c
+				c = &partitionedLinks{Links: n.links}
+				n.links = c
 			}
 			switch {
-			case way == "" || h.core == nil:
+			case way == "" || n.core == nil:
 				c.drops = nil
 			case o == i && way != "in":
 				c.drops = func(addr string) bool { return t.isDiskNode(addr) }
@@ -55,14 +55,14 @@
 
 // violations are what a partitioned node does and must not.
 func (t *testCluster) violations(i, last int) (all []string) {
-	h, b := t.running[i], t.settings[i].Bounds
+	n, b := t.running[i], t.settings[i].Bounds
 	bad := func(is bool, what string) {
 		if is {
 			all = append(all, what)
 		}
 	}
-	h.loop.Turn(func() {
-		at := h.contactAge()
+	n.loop.Turn(func() {
+		at := n.contactAge()
 		ended := map[string]bool{}
 		say := func(what string) func(int, []byte) {
 			return func(status int, _ []byte) {
@@ -70,9 +70,9 @@
 				bad(status/100 != 5, what)
 			}
 		}
-		h.Change('r', []byte(configBody(last+1000, last-1)), say("refused or took an order"))
-		h.ReadConfiguration(say("told a read"))
-		h.Deregister(fmt.Sprint("nobody-", last), func(ok bool, _ string) {
+		n.Change('r', []byte(configBody(last+1000, last-1)), say("refused or took an order"))
+		n.ReadConfiguration(say("told a read"))
+		n.Deregister(fmt.Sprint("nobody-", last), func(ok bool, _ string) {
 			ended["end"] = true
 			bad(ok, "acknowledged an end")
 		})
@@ -80,8 +80,8 @@
 			bad(len(ended) < 3, "did not end a call at once")
 		}
 		if at > b.ReadyMaxAge() {
-			bad(h.Ready(), "is ready")
-			_, no := h.Admit([]byte("nowhere"), []byte("/"), nil)
+			bad(n.Ready(), "is ready")
+			_, no := n.Admit([]byte("nowhere"), []byte("/"), nil)
 			bad(no == ingress.NoRoute, "denies for sure")
 		}
 	})
@@ -89,9 +89,9 @@
 }
 
 // setKnobs takes out defences of a node from now on, in a turn.
-func (t *testCluster) setKnobs(h *Node, knobs TestingKnobs) {
-	h.knobs = knobs
-	h.registry.SetConfig(registry.Config{HeartbeatInterval: h.settings.HeartbeatInterval, MinCopies: h.minDrainCopies()})
+func (t *testCluster) setKnobs(n *Node, knobs TestingKnobs) {
+	n.knobs = knobs
+	n.registry.SetConfig(registry.Config{HeartbeatInterval: n.settings.HeartbeatInterval, MinCopies: n.minDrainCopies()})
 }
 
 // On four real nodes, one with a disk is partitioned from the others that have one: the leader, both ways, for twenty seconds; then the
@@ -119,12 +119,12 @@
 		if !x.leads {
 			at, other = (l+1)%3, l
 		}
-		h := d.running[at]
-		d.eventually("to be in contact", func() (is bool) { h.loop.Turn(func() { is = h.contactAge() < time.Second }); return is })
-		d.running[3].loop.Turn(func() { d.running[3].streamReceiver.request(h.peerAddr) })
-		d.eventually("the node without a disk follows", func() bool { s := d.status(3); return s.Feeder == h.peerAddr })
+		n := d.running[at]
+		d.eventually("to be in contact", func() (is bool) { n.loop.Turn(func() { is = n.contactAge() < time.Second }); return is })
+		d.running[3].loop.Turn(func() { d.running[3].streamReceiver.request(n.peerAddr) })
+		d.eventually("the node without a disk follows", func() bool { s := d.status(3); return s.Feeder == n.peerAddr })
 		d.partition(at, x.way)
-		h.loop.Turn(func() { d.setKnobs(h, x.knobs) })
+		n.loop.Turn(func() { d.setKnobs(n, x.knobs) })
 		next := last + 10
 		d.callUntilClear(other, 200, "POST", "/api/Config.Replace", configBody(next, last))
 		last = next
@@ -133,7 +133,7 @@
 		d.eventually("it is cut off for long", func() bool {
 			broken = append(broken, d.violations(at, last)...)
 			long := false
-			h.loop.Turn(func() { long = h.contactAge() > max(x.until, d.settings[at].Bounds.ReadyMaxAge()+time.Second/2) })
+			n.loop.Turn(func() { long = n.contactAge() > max(x.until, d.settings[at].Bounds.ReadyMaxAge()+time.Second/2) })
 			return long
 		})
 		slices.Sort(broken)
@@ -145,7 +145,7 @@
 		case ackDrainAlone: // once its follower has it, which takes more than this turn
 			must.Eq(t, []string{"acknowledged an end", "did not end a call at once"}, broken)
 		}
-		h.loop.Turn(func() { d.setKnobs(h, TestingKnobs{}) })
+		n.loop.Turn(func() { d.setKnobs(n, TestingKnobs{}) })
 		if x.until > 0 {
 			d.checkReturn(at)
 		}
@@ -161,20 +161,20 @@
 func (t *testCluster) checkReturn(at int) {
 	cut := t.running[at].peerAddr
 	t.eventually("all others to count as gone", func() (gone bool) {
-		t.inTurn(3, func(h *Node) {
-			if h.knobs.TrustStaleUpstream = true; h.streamReceiver.upstream != cut {
-				h.streamReceiver.request(cut)
+		t.inTurn(3, func(n *Node) {
+			if n.knobs.TrustStaleUpstream = true; n.streamReceiver.upstream != cut {
+				n.streamReceiver.request(cut)
 			}
-			h.streamReceiver.requestedAt = h.loop.Now() // it stays meanwhile
-			gone = len(h.roster.LiveDiskNodes()) == 1 && h.streamReceiver.reportedAge(cut) > h.settings.Bounds.PartitionedAge()
+			n.streamReceiver.requestedAt = n.loop.Now() // it stays meanwhile
+			gone = len(n.roster.LiveDiskNodes()) == 1 && n.streamReceiver.reportedAge(cut) > n.settings.Bounds.PartitionedAge()
 		})
 		return gone
 	})
-	t.inTurn(3, func(h *Node) {
+	t.inTurn(3, func(n *Node) {
 		for _, trusts := range []bool{true, false} {
-			h.knobs.TrustStaleUpstream, h.streamReceiver.requestedAt, h.streamReceiver.pausedUntil = trusts, 1, 0
-			h.streamReceiver.check()
-			must.Eq(t.t, !trusts, h.streamReceiver.upstream != cut)
+			n.knobs.TrustStaleUpstream, n.streamReceiver.requestedAt, n.streamReceiver.pausedUntil = trusts, 1, 0
+			n.streamReceiver.check()
+			must.Eq(t.t, !trusts, n.streamReceiver.upstream != cut)
 		}
 	})
 }
