--- a/internal/gateway/node/call_chunks_test.go
+++ b/internal/gateway/node/call_chunks_test.go
@@ -60,7 +60,7 @@
 		h := newLearner(t, "10.0.0.8:7110")
 		h.loop, h.links, h.incarnation = withoutAlarms{w.clock}, &linkEnd{link: w, address: x.me}, x.life
 		h.settings.Bounds = settings.Bounds{InTouch: time.Hour}
-		h.calls = newCallRouter(h, h.incarnation)
+		h.calls = newCallRouter(h, h.incarnation, &h.knobs)
 		h.openLogStream() // it has no upstream yet
 		h.groups, h.coordination = &groupHost{env: h}, coordination.New((*coordinationEnv)(h), coordination.Config{})
 		h.calls.chunks.supportedBy = map[string]bool{senderAddr: true, receiverAddr: true}
--- a/internal/gateway/node/call_replies_test.go
+++ b/internal/gateway/node/call_replies_test.go
@@ -125,9 +125,9 @@
 func TestRepliesInAllOrders(t *testing.T) {
 	d := startCluster(t, 1)
 	h := d.running[0]
-	misled := func(knobs callTestingKnobs) (n int) {
-		h.calls.knobs = knobs
-		defer func() { h.calls.knobs = callTestingKnobs{} }()
+	misled := func(knobs TestingKnobs) (n int) {
+		h.knobs = knobs
+		defer func() { h.knobs = TestingKnobs{} }()
 		permutations(7, func(order []int) {
 			got := [2][]string{}
 			for i := range got {
@@ -154,7 +154,7 @@
 	}
 	d.inTurn(0, func(h *Node) {
 		h.openLogStream() // one that has just begun waits for whoever leads, later it would end calls at once
-		must.Eq(t, 0, misled(callTestingKnobs{}))
-		must.Positive(t, misled(callTestingKnobs{matchBySequenceOnly: true}))
+		must.Eq(t, 0, misled(TestingKnobs{}))
+		must.Positive(t, misled(TestingKnobs{MatchRepliesBySequence: true}))
 	})
 }
--- a/internal/gateway/node/call_router.go
+++ b/internal/gateway/node/call_router.go
@@ -33,7 +33,7 @@
 	pending      map[uint32]*pendingCall
 	lastSequence uint32
 	chunks       chunkedCalls
-	knobs        callTestingKnobs
+	knobs        *TestingKnobs
 }
 
 // callEnv is what a callRouter needs of its node.
@@ -46,17 +46,12 @@
 	isLeader() bool
 	// forwardTarget is the node to pass calls on to: the leader, or the node that this one follows; "" if there is none.
 	forwardTarget() string
-	// propose settles a call in this node's log.
+	// propose appends a call to this node's log, or refuses it.
 	propose(p changeProposal)
 	// noQuorumAt is called when a node replies that it has no contact with a majority.
 	noQuorumAt(addr string)
 }
 
-// callTestingKnobs are defects that tests put in, to see that they find them.
-type callTestingKnobs struct {
-	matchBySequenceOnly bool // a reply belongs to whichever call bears its sequence number
-}
-
 // callDone takes the result of a call, once.
 type callDone func(status int, body []byte)
 
@@ -66,7 +61,7 @@
 	body       []byte
 	hops       int // that it has taken to this node
 	deadline   time.Duration
-	retryAt    time.Duration // the next attempt, unless one is in flight to who is known to lead by then
+	retryAt    time.Duration // the next attempt, unless one is in flight to the node that is known to lead then
 	sentTo     string        // where an attempt is in flight; handledHere: in this node's log; "": nowhere
 	recipients []string      // of all attempts
 	ambiguous  bool          // an attempt was lost on its way or left without an answer: the call may have been taken
@@ -76,8 +71,8 @@
 // isRead reports whether the call changes nothing.
 func (p *pendingCall) isRead() bool { return p.kind == ReadConfig || p.kind == ReadRollouts }
 
-func newCallRouter(env callEnv, incarnation uint64) *callRouter {
-	c := &callRouter{env: env, incarnation: incarnation, pending: map[uint32]*pendingCall{}}
+func newCallRouter(env callEnv, incarnation uint64, knobs *TestingKnobs) *callRouter {
+	c := &callRouter{env: env, incarnation: incarnation, knobs: knobs, pending: map[uint32]*pendingCall{}}
 	c.chunks = newChunkedCalls(c)
 	return c
 }
@@ -141,7 +136,7 @@
 	c.env.schedule(call.retryAt, (*callTimer)(c), sequence)
 }
 
-// propose settles a call in this node's log.
+// propose appends a call to this node's log, or refuses it.
 func (c *callRouter) propose(sequence uint32) {
 	call := c.pending[sequence]
 	wanted := func() bool {
@@ -187,7 +182,7 @@
 	}
 	foreign := reply.Asker != c.incarnation || !slices.Contains(call.recipients, from)
 	superseded := reply.Status/100 == 5 && from != call.sentTo
-	if (foreign || superseded) && !c.knobs.matchBySequenceOnly {
+	if (foreign || superseded) && !c.knobs.MatchRepliesBySequence {
 		return
 	}
 	c.complete(reply.Nr, reply.Status, reply.Body)
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -137,7 +137,7 @@
 	n.peerAddr = net.JoinHostPort(n.settings.IPAddress, strconv.Itoa(n.settings.InnerPorts[0]))
 	n.loop, n.counters, n.knobs = env, env.Counters(), newNodeKnobs
 	n.machine, n.table = statemachine.New(), routing.NewTable(nil)
-	n.calls, n.catalog = newCallRouter(n, n.incarnation), newCatalog()
+	n.calls, n.catalog = newCallRouter(n, n.incarnation, &n.knobs), newCatalog()
 	n.registryHost.pending = map[registry.Ticket]pendingHeartbeat{}
 	n.coordination = coordination.New((*coordinationEnv)(n), coordination.Config{Address: n.peerAddr, Incarnation: n.incarnation,
 		HistoryRetention: n.settings.Bounds.WatchHistory})
--- a/internal/gateway/node/testingknobs.go
+++ b/internal/gateway/node/testingknobs.go
@@ -9,6 +9,8 @@
 	AckDrainWithoutCopies bool
 	// TrustStaleUpstream has a node without a disk believe its upstream on who lives, however old the upstream's contact is.
 	TrustStaleUpstream bool
+	// MatchRepliesBySequence has a reply end whichever call bears its sequence number, whoever sent it and to which incarnation.
+	MatchRepliesBySequence bool
 }
 
 // newNodeKnobs are those of nodes that are made from now on.
