--- a/internal/gateway/node/host_env.go
+++ b/internal/gateway/node/host_env.go
@@ -27,15 +27,18 @@
 // now is the node's steady time.
 func (n *Node) now() time.Duration { return n.loop.Now() }
 
+// schedule has a timer called at a time, with a number.
 func (n *Node) schedule(at time.Duration, to eventloop.Alarm, number uint32) {
 	n.loop.At(at, to, number)
 }
 
+// sendFrame sends to another node; false: the frame was dropped at once. It may be lost in any case.
 func (n *Node) sendFrame(to string, f *Frame) bool { return n.links.Send(to, f) }
 
 // mayTakeCalls reports whether this node's contact with a majority is recent enough to take calls.
 func (n *Node) mayTakeCalls() bool { return n.permitted(quorumcontact.TakeCalls) }
 
+// callLeader takes a call to the leader of the configuration log: see callRouter.
 func (n *Node) callLeader(kind statemachine.Kind, body []byte, hops int, done callDone) {
 	n.calls.callLeader(kind, body, hops, done)
 }
@@ -64,27 +67,33 @@
 // membershipRoster is what this node knows of the others.
 func (n *Node) membershipRoster() *membership.Roster { return n.roster }
 
+// coordinationIsContract reports whether the deployment's contracts name coordination.
 func (n *Node) coordinationIsContract() bool {
 	return slices.Contains(n.settings.Contracts, coordinationContract)
 }
 
+// coreFounded reports whether the configuration log has begun.
 func (n *Node) coreFounded() bool { return n.core.replica.Bootstrapped() }
 
 // coreMembers are the members of the configuration's log.
 func (n *Node) coreMembers() []replication.Member { return n.core.replica.Members() }
 
+// diskStalledFor is how long the disk has had a write in flight.
 func (n *Node) diskStalledFor() time.Duration { return n.core.disk.stalledFor() }
 
+// toleratedLosses is how many machines may be lost at one time.
 func (n *Node) toleratedLosses() int { return n.settings.Tolerance.Machines }
 
 // announceLeaders has the learners notified of the leaders at the next tick: they forward calls by it.
 func (n *Node) announceLeaders() { n.heartbeatAt = 0 }
 
+// rolloutState is the state of all roll-outs, as far as entries are applied here.
 func (n *Node) rolloutState() *rollout.State { return n.machine.Rollouts }
 
 // isCurrent reports whether what this node knows is recent enough to refuse requests by it.
 func (n *Node) isCurrent() bool { return n.permitted(quorumcontact.Refuse) }
 
+// isMember reports whether this node has a disk, and with it a replica of the configuration log.
 func (n *Node) isMember() bool { return n.core != nil }
 
 // ledTerm is the term of the configuration's log in which this node leads.
@@ -96,8 +105,10 @@
 	return term, true
 }
 
+// clusterSize is the number of slots.
 func (n *Node) clusterSize() int { return n.slotCount }
 
+// readRollouts reads the status of all roll-outs from the leader.
 func (n *Node) readRollouts(done callDone) { n.callLeader(ReadRollouts, nil, 0, done) }
 
 // proposeRollout puts a decision of the coordinator into the log that this node leads.
@@ -118,6 +129,7 @@
 	}
 }
 
+// sendToMembers sends the beginning of a lap to the other members of the configuration log.
 func (n *Node) sendToMembers(lap *RolloutMessage) {
 	f := &Frame{Rollout: lap}
 	for _, m := range n.coreMembers() {
@@ -127,7 +139,8 @@
 	}
 }
 
-func (n *Node) sendToFollowers(lap *RolloutMessage, except string) {
+// sendToLearners sends the beginning of a lap to the learners of this node, but to the one that it came from.
+func (n *Node) sendToLearners(lap *RolloutMessage, except string) {
 	f := &Frame{Rollout: lap}
 	for addr := range n.streamSender.learners {
 		if addr != except {
@@ -145,12 +158,14 @@
 	return slices.DeleteFunc(n.registry.Backends(), other), true
 }
 
+// tickRegistry brings the registry's clock up to this turn.
 func (n *Node) tickRegistry() {
 	if n.registry != nil {
 		n.registry.Tick(n.now())
 	}
 }
 
+// setRollout updates admission on who may go to the version beside a service.
 func (n *Node) setRollout(service string, open admission.CanaryAccess) {
 	primary := n.catalog.serviceID(service)
 	n.admission.SetRollout(primary, n.catalog.serviceID(secondaryService(service)), open)
--- a/internal/gateway/node/rollout_host.go
+++ b/internal/gateway/node/rollout_host.go
@@ -56,7 +56,7 @@
 	// sendTowardsLeader sends a report to the leader, or to the node that this one follows, unless that is where it came from.
 	sendTowardsLeader(report *RolloutMessage, from string)
 	sendToMembers(lap *RolloutMessage)
-	sendToFollowers(lap *RolloutMessage, except string)
+	sendToLearners(lap *RolloutMessage, except string)
 	logInfo(p logPart) *log.Entry
 	logWarn(p logPart) *log.Entry
 }
@@ -164,7 +164,7 @@
 		r.local.Tick(r.peers.now())
 		r.local.HandleLap(*m.Lap)
 		if r.peers.isMember() {
-			r.peers.sendToFollowers(m, from)
+			r.peers.sendToLearners(m, from)
 		}
 	case m.Report == nil || len(m.Report.Evidence) > maxEvidenceBytes:
 	case r.coordinator != nil:
@@ -219,7 +219,7 @@
 	r.local.HandleLap(lap)
 	m := &RolloutMessage{Lap: &lap}
 	r.peers.sendToMembers(m)
-	r.peers.sendToFollowers(m, "")
+	r.peers.sendToLearners(m, "")
 }
 
 // refreshBackends updates the coordinator on whether there is a version to go back to, and a service at all.
