--- a/internal/gateway/node/call_chunks_test.go
+++ b/internal/gateway/node/call_chunks_test.go
@@ -15,23 +15,24 @@
 	"clovergap/internal/proxy/eventloop"
 )
 
-// callLink are two nodes without a disk whose frames a test carries. The second waits for a leader with every call that it gets.
+// callLink is two nodes without a disk whose frames a test carries. Calls stay pending at the receiver: it knows of no leader.
 type callLink struct {
 	t                *testing.T
 	clock            *manualClock
 	sender, receiver *Node
 	queued           map[string][]*Frame // by receiver
-	chunkBytes       int                 // bytes of chunks
-	maxInFlight      int                 // in flight
+	chunkBytes       int                 // that were delivered
+	maxInFlight      int                 // bytes of chunks that were queued at one time
 }
 
 const senderAddr, receiverAddr = "10.0.0.1:7110", "10.0.0.2:7110"
 
-// withoutAlarms is a clock without alarms.
+// withoutAlarms is a clock whose alarms never come.
 type withoutAlarms struct{ *manualClock }
 
 func (withoutAlarms) At(time.Duration, eventloop.Alarm, uint32) {}
 
+// linkEnd is one node's end of the link.
 type linkEnd struct {
 	discardingLinks
 	link    *callLink
@@ -90,15 +91,18 @@
 	return true
 }
 
-// forward has a call of a begin that goes to b.
+// forward begins a call at the sender that goes to the receiver.
 func (c *callLink) forward(body []byte, then func(int, []byte)) uint32 {
 	c.sender.calls.lastSequence++
-	nr, until := c.sender.calls.lastSequence, c.clock.now+callTimeout
-	c.sender.calls.pending[nr] = &pendingCall{kind: statemachine.KindReplaceConfig, body: body, deadline: until, sentTo: receiverAddr, recipients: []string{receiverAddr}, done: then}
-	must.True(c.t, c.sender.calls.chunks.sendCall(receiverAddr, nr, &Call{Asker: c.sender.incarnation, Nr: nr, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}, until))
-	return nr
+	sequence, deadline := c.sender.calls.lastSequence, c.clock.now+callTimeout
+	c.sender.calls.pending[sequence] = &pendingCall{kind: statemachine.KindReplaceConfig, body: body, deadline: deadline, sentTo: receiverAddr,
+		recipients: []string{receiverAddr}, done: then}
+	call := &Call{Asker: c.sender.incarnation, Nr: sequence, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}
+	must.True(c.t, c.sender.calls.chunks.sendCall(receiverAddr, sequence, call, deadline))
+	return sequence
 }
 
+// run delivers so many frames; where there is none, time goes on.
 func (c *callLink) run(steps int, lose func(i int) bool) {
 	for i := range steps {
 		if !c.deliver(receiverAddr, lose(i)) && !c.deliver(senderAddr, lose(i)) {
@@ -116,8 +120,8 @@
 
 func loseNone(int) bool { return false }
 
-// A call of 1 MB was one frame: on a link of 2 Mbit/s all heartbeats waited behind it for 4 s. Its parts have 16 KB in flight, whichever of
-// them are lost, and it comes whole and once; so does its answer.
+// A call of 1 MB was one frame: on a link of 2 Mbit/s all heartbeats waited behind it for 4 s. Its chunks have 16 KB in flight, whichever of
+// them are lost, and it comes complete and once; so does its reply.
 func TestLargeCallGoesInChunks(t *testing.T) {
 	body := filler(1 << 20)
 	for _, every := range []int{0, 3, 7, 50} {
@@ -150,8 +154,8 @@
 	}
 }
 
-// A call that ends while parts of it are still to be sent was taken by nobody: it ends at once and clearly, and the same again goes on
-// from where it was. Once the last part was sent the other node may have it, and whoever asked is told that it is not known.
+// A call that ends while chunks of it are still to be sent was taken by no node: it ends at once and unambiguously, and a repetition goes on
+// from where it was. Once the last chunk was sent the other node may have it, and the result is that this is not known.
 func TestLargeCallInterrupted(t *testing.T) {
 	body := filler(1 << 20)
 	w, status := newCallLink(t), 0
@@ -184,7 +188,7 @@
 	must.Eq(t, 503, status)
 }
 
-// What is put together is bounded: four nodes at one time, each what a control call may have, and nothing that nobody goes on with.
+// What is assembled is bounded: four nodes at one time, each as much as a control call may have, and nothing for longer than assemblyTTL.
 func TestLargeCallsAreBounded(t *testing.T) {
 	w := newCallLink(t)
 	chunk := func(size uint64) *CallChunk {
@@ -205,7 +209,7 @@
 		must.True(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, farFuture))
 	}
 	must.False(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, farFuture))
-	w.sender.calls.chunks.supportedBy[receiverAddr] = false // a program of the version before
+	w.sender.calls.chunks.supportedBy[receiverAddr] = false // a node of the version before
 	w.queued = map[string][]*Frame{}
 	w.sender.calls.chunks.sendCall(receiverAddr, 2, &Call{Nr: 2, Body: filler(1 << 20)}, farFuture)
 	must.Eq(t, 1<<20/20*20, len(w.queued[receiverAddr][0].Call.Body))
--- a/internal/gateway/node/call_replies_test.go
+++ b/internal/gateway/node/call_replies_test.go
@@ -14,12 +14,12 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// inTurn is something done, or looked at, in a node's turn.
+// inTurn does something in a node's turn.
 func (t *testCluster) inTurn(i int, do func(h *Node)) {
 	t.running[i].loop.Turn(func() { do(t.running[i]) })
 }
 
-// awaitLeader is the number of the node that leads.
+// awaitLeader gives the number of the node that leads.
 func (t *testCluster) awaitLeader() (leader int) {
 	t.t.Helper()
 	leader = -1
@@ -36,7 +36,7 @@
 	return leader
 }
 
-// pause holds nodes in a turn each until they are told to go on.
+// pause stops nodes in a turn each until goOn is called.
 func (t *testCluster) pause(which ...int) (goOn func()) {
 	end := make(chan bool)
 	for _, i := range which {
@@ -53,8 +53,8 @@
 	return goOn
 }
 
-// A node that is killed and back before its call was answered numbers its calls anew: the answer to its former life's call must
-// not end the one of this life that bears the same number, which never left the node.
+// A node that is killed and back before its call was answered numbers its calls anew: the reply to its former incarnation's call must
+// not end the one of this incarnation that has the same number, which never left the node.
 func TestReplyToFormerIncarnation(t *testing.T) {
 	d := startCluster(t, 4)
 	d.callUntilClear(3, 200, "POST", "/api/Config.Replace", configBody(7, 0))
@@ -74,7 +74,7 @@
 	})
 	before, led := uint32(0), true
 	d.inTurn(leader, func(h *Node) { before = h.calls.lastSequence })
-	leads := func() bool { // on a machine that is busy it may be lost meanwhile: then this shows nothing
+	leads := func() bool { // on a busy machine the lead may be lost meanwhile: then this shows nothing
 		d.inTurn(leader, func(h *Node) { led = led && h.core.replica.IsLeader() })
 		return led
 	}
@@ -89,7 +89,7 @@
 	})
 	d.kill(3)
 	d.start(3)
-	d.eventually("the next life to be fed", func() bool {
+	d.eventually("the next incarnation to receive the log", func() bool {
 		d.inTurn(3, func(h *Node) { is = hasSlot(h) })
 		return is || !leads()
 	})
@@ -100,11 +100,11 @@
 	goOn()
 	must.Eq(t, 503, <-answer)
 	if leads() {
-		d.eventuallyAll("the former life's change", func(s controlapi.NodeStatus) bool { return s.Generation == 8 })
+		d.eventuallyAll("the former incarnation's change", func(s controlapi.NodeStatus) bool { return s.Generation == 8 })
 	}
 }
 
-// permutations calls do with all orders of n messages.
+// permutations calls do with each order of n messages.
 func permutations(n int, do func(order []int)) {
 	var step func(order []int)
 	step = func(order []int) {
@@ -120,8 +120,8 @@
 	step(nil)
 }
 
-// Answers come in all orders, twice, from a former life, from a node that was never asked, and late from one that was asked
-// before another: each call ends once, with its own answer.
+// Replies come in all orders, twice, from a former incarnation, from a node that the call was never sent to, and late from one that it was sent
+// to before another: each call ends once, with its own reply.
 func TestRepliesInAllOrders(t *testing.T) {
 	d := startCluster(t, 1)
 	h := d.running[0]
@@ -132,7 +132,8 @@
 			got := [2][]string{}
 			for i := range got {
 				h.calls.lastSequence++
-				h.calls.pending[h.calls.lastSequence] = &pendingCall{kind: ReadConfig, deadline: h.loop.Now() + callTimeout, recipients: []string{"x:1", "y:1"}[:i+1], sentTo: "xy"[i:i+1] + ":1",
+				h.calls.pending[h.calls.lastSequence] = &pendingCall{kind: ReadConfig, deadline: h.loop.Now() + callTimeout,
+					recipients: []string{"x:1", "y:1"}[:i+1], sentTo: "xy"[i:i+1] + ":1",
 					done: func(status int, body []byte) { got[i] = append(got[i], fmt.Sprint(status, string(body))) }}
 			}
 			a, b := h.calls.lastSequence-1, h.calls.lastSequence
@@ -153,7 +154,7 @@
 		return n
 	}
 	d.inTurn(0, func(h *Node) {
-		h.openLogStream() // one that has just begun waits for whoever leads, later it would end calls at once
+		h.openLogStream() // a node that has just begun keeps calls pending, later it would end them at once
 		must.Eq(t, 0, misled(TestingKnobs{}))
 		must.Positive(t, misled(TestingKnobs{MatchRepliesBySequence: true}))
 	})
--- a/internal/gateway/node/call_router_test.go
+++ b/internal/gateway/node/call_router_test.go
@@ -6,11 +6,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A call that is on its way to a leader which stands still goes to the one that leads next, once that is known here: it does not
-// wait for an answer that never comes.
+// A call that is in flight to a paused leader goes to its successor, once that is known here: the reply of the first never comes.
 func TestCallFollowsTheLeader(t *testing.T) {
 	d := newCluster(t, 3)
-	for i := range d.settings { // a node whose word is older than half of this ends calls at once: on a busy machine a view takes long
+	for i := range d.settings { // a node whose contact is older than half of this ends calls at once: on a busy machine an election takes long
 		d.settings[i].Bounds.InTouch = 2 * testTimeout
 		d.start(i)
 	}
--- a/internal/gateway/node/change_repeat_test.go
+++ b/internal/gateway/node/change_repeat_test.go
@@ -45,7 +45,7 @@
 	again()
 }
 
-// Eight orders at once on one version, each through a node of its own: one is taken. The same order through eight: all are told so.
+// Eight changes at once on one version, each through a node of its own: one is taken. The same change through eight: it is confirmed to all.
 func TestEightConcurrentChanges(t *testing.T) {
 	d := startCluster(t, 8)
 	d.callUntilClear(0, 200, "POST", replaceConfigPath, configBody(1, 0))
@@ -54,7 +54,7 @@
 		var all sync.WaitGroup
 		var answers [8]int
 		for i := range answers {
-			all.Go(func() { // until it is settled: an answer that is not clear may be of one that was taken
+			all.Go(func() { // until its outcome is clear: an ambiguous answer may be of one that was taken
 				for end := time.Now().Add(testTimeout); answers[i] != 200 && answers[i] != 412 && time.Now().Before(end); {
 					answers[i], _ = d.call(i, "POST", replaceConfigPath, body(i))
 				}
--- a/internal/gateway/node/group_host_test.go
+++ b/internal/gateway/node/group_host_test.go
@@ -55,14 +55,14 @@
 	}
 }
 
-// useListApplication has all nodes of a test run lists.
+// useListApplication has all nodes of a test order lists.
 func useListApplication(t *testing.T) {
 	before := newGroupApplication
 	newGroupApplication = func(*Node) groups.Application { return &listApplication{} }
 	t.Cleanup(func() { newGroupApplication = before })
 }
 
-// groupLeader waits for the node that leads a group.
+// groupLeader gives the node that leads a group, once there is one.
 func (t *testCluster) groupLeader(id groups.ID) (leader int) {
 	t.t.Helper()
 	t.eventually(fmt.Sprint("group ", id, " is led"), func() bool {
@@ -79,8 +79,8 @@
 	return leader
 }
 
-// proposeEntry puts an entry into a group by whoever leads it, until it is applied; unclear ones are told. A leader that hands over proposes
-// nothing for a moment.
+// proposeEntry proposes an entry to the leader of a group until it is applied, and counts the ambiguous outcomes. A leader that hands over
+// proposes nothing for a moment.
 func (t *testCluster) proposeEntry(id groups.ID, entry string) (unclear int) {
 	t.t.Helper()
 	t.eventually(fmt.Sprint("group ", id, " takes an entry"), func() bool {
@@ -96,14 +96,14 @@
 	return unclear
 }
 
-// groupEntries are a group's at a node.
+// groupEntries are the entries of a group that a node has applied.
 func (t *testCluster) groupEntries(i int, id groups.ID) (all []string) {
 	h := t.running[i]
 	h.loop.Turn(func() { all = append(all, h.groups.app.(*listApplication).machines[id].entries...) })
 	return all
 }
 
-// Groups are founded where the contracts name coordination, spread over the disks, keep one order at all nodes, go on under another
+// Groups are founded where the contracts name coordination, led evenly by the disks, keep one order at all nodes, go on under another
 // leader when one is killed, and have all that was applied after a start of all.
 func TestGroupsOrderAndOutlastTheirLeaders(t *testing.T) {
 	useListApplication(t)
@@ -139,7 +139,7 @@
 		add(id, 3)
 	}
 	d.start(first)
-	// An entry whose end was unclear was put in again: it may stand twice, one behind the other, and no other one does.
+	// An entry with an ambiguous outcome was proposed again: it may stand twice, one behind the other, and no other one does.
 	alike := func() bool {
 		for i := range 3 {
 			twice := 0
--- a/internal/gateway/node/rollout_host_test.go
+++ b/internal/gateway/node/rollout_host_test.go
@@ -16,7 +16,7 @@
 	"clovergap/internal/gateway/rollout"
 )
 
-// startBackend answers for a version, and beats once: the interval is long.
+// startBackend starts a backend of a version, which sends one heartbeat: the interval is long.
 func (t *testCluster) startBackend(id, version string, fails *atomic.Bool) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
@@ -62,7 +62,7 @@
 	return r
 }
 
-// localShare is a node's own share, and whether it has made sure of what it knows in this life.
+// localShare is a node's own share, and whether it has caught up with the leader in this incarnation.
 func (t *testCluster) localShare(i int) (share int, touched bool) {
 	h := t.running[i]
 	h.loop.Turn(func() { share, touched = h.rollouts.local.Share("s"), h.rollouts.caughtUp })
@@ -76,9 +76,9 @@
 	}
 }
 
-// A roll-out's life: a user's side is the same at every node and by count the one that the dry run told; it stays when the
-// share grows; a failing version is pulled back by the duty and gets nothing any more; a node that starts again sends nobody
-// there before it has asked; a service that the configuration loses is pulled back too.
+// A roll-out from start to end: a user's side is the same at every node and by count the one of the dry run; it stays when the
+// share grows; a failing version is rolled back by the coordinator and gets no request any more; a node that starts again sends nobody
+// there before it has caught up; a service that the configuration loses is rolled back too.
 func TestRollout(t *testing.T) {
 	const start, word = "/api/Rollout.Start", `{"number":%d,"rev":%d,"step":%d,"mark":"again as the first"}`
 	const order = `{"service":"s","old":"v1","new":"v2","steps":[{"share":5000,"min_time":"1s"},{"share":9000,"min_time":"1s"}],
@@ -201,7 +201,7 @@
 		return s.StaleMs != nil && *s.StaleMs > d.settings[3].Bounds.AuthoritativeMaxAge().Milliseconds()
 	})
 	d.awaitShare(5000)
-	// What was taken already is answered all the same: a caller whose first answer came too late must not wait for ever.
+	// A repetition of what was taken is answered all the same: its first answer may have come too late.
 	must.StrContains(t, d.callUntilClear(3, 200, "POST", start, fmt.Sprintf(back, 0, "back", "")), `"phase":"running"`)
 	good.Store(true)
 	d.eventually("each node's own judgement", func() bool {
@@ -227,13 +227,13 @@
 			lead = i
 		}
 	}
-	d.kill(lead) // the duty goes to another
+	d.kill(lead) // the coordinator is another node then
 	d.callUntilClear(3, 200, "POST", "/api/Config.Replace", config(2, 1, "t"))
 	d.eventually("the end of it", func() bool { return d.rolloutStatus(3).Phase == string(rollout.RolledBack) })
 	must.StrContains(t, d.callUntilClear(3, 200, "GET", "/api/Rollout.History/s", ""), "not in the configuration")
 }
 
-// What ends is told apart: only what the service could have said better counts against a version.
+// Only endings that are the service's own fault count against a version.
 func TestCauses(t *testing.T) {
 	for _, x := range []struct {
 		how    control.Ending
