--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -70,9 +70,9 @@
 
 func (f *fakeNode) Rollout(e *rollout.Entry, dry bool, then func(int, []byte)) {
 	status, text := f.status, []byte(f.body)
-	what := fmt.Sprintf("%s %q %d %d %d %s %s %s %v", e.Verb, e.Service, e.Rev, e.Number, e.Step, e.Mark, e.By, e.Why, dry)
-	if e.Order != nil {
-		what += fmt.Sprint(" ", e.Order)
+	what := fmt.Sprintf("%s %q %d %d %d %s %s %s %v", e.Verb, e.Service, e.Revision, e.Number, e.Step, e.CallID, e.Author, e.Reason, dry)
+	if e.Spec != nil {
+		what += fmt.Sprint(" ", e.Spec)
 	}
 	f.do(what, func() { then(status, text) })
 }
--- a/internal/gateway/controlapi/rollouts.go
+++ b/internal/gateway/controlapi/rollouts.go
@@ -82,7 +82,7 @@
 		if err := strict(&c); err != nil {
 			return nil, false, err
 		}
-		return &rollout.Entry{Verb: verb, Service: service, Mark: c.Mark, By: c.By, Why: c.Why, Rev: c.Rev,
+		return &rollout.Entry{Verb: verb, Service: service, CallID: c.Mark, Author: c.By, Reason: c.Why, Revision: c.Rev,
 			Number: rollout.Number(c.Number), Step: c.Step}, false, nil
 	}
 	var o RolloutOrder
@@ -96,6 +96,6 @@
 	if err := order.Normalize(); err != nil {
 		return nil, false, err
 	}
-	return &rollout.Entry{Verb: verb, Service: o.Service, Mark: o.Mark, By: o.By, Why: o.Why, Rev: o.Rev, Order: order,
-		Room: rollout.Capacity{New: max(o.NewRoom, 0), Busy: max(o.Busy, 0)}}, o.DryRun, nil
+	return &rollout.Entry{Verb: verb, Service: o.Service, CallID: o.Mark, Author: o.By, Reason: o.Why, Revision: o.Rev, Spec: order,
+		Capacity: rollout.Capacity{Canary: max(o.NewRoom, 0), Busy: max(o.Busy, 0)}}, o.DryRun, nil
 }
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -235,14 +235,14 @@
 		must.SliceEmpty(t, machine.Rollouts.Ended())
 		run := machine.Rollouts.Runs()[0]
 		must.Eq(t, 1, run.Number)
-		must.Eq(t, 2, run.Rev)
+		must.Eq(t, 2, run.Revision)
 		must.Eq(t, rollout.Running, run.Phase)
 		must.Eq(t, 2, run.Step)
-		must.False(t, run.Held)
-		must.Eq(t, rollout.Capacity{Old: 200, New: 100, Busy: 50}, run.Room)
+		must.False(t, run.Paused)
+		must.Eq(t, rollout.Capacity{Baseline: 200, Canary: 100, Busy: 50}, run.Capacity)
 		must.Eq(t, rollout.Spec{Service: "s", Old: "v1", New: "v2", Advance: "word",
-			Failing: run.Order.Failing, Steps: []rollout.Step{{Share: 5000, MinTime: rollout.Duration(time.Second)}, {Share: 9000, MinTime: rollout.Duration(time.Second)}}}, run.Order)
-		must.Eq(t, "{[5xx none wrong] 10 9500 130}", fmt.Sprint(run.Order.Failing))
+			Failing: run.Spec.Failing, Steps: []rollout.Step{{Share: 5000, MinTime: rollout.Duration(time.Second)}, {Share: 9000, MinTime: rollout.Duration(time.Second)}}}, run.Spec)
+		must.Eq(t, "{[5xx none wrong] 10 9500 130}", fmt.Sprint(run.Spec.Failing))
 		must.SliceLen(t, 2, run.History)
 		must.Eq(t, "start 1 5000 ana 1796229222189", pastText(run.History[0]))
 		must.Eq(t, "step 1 9000  1796229222438", pastText(run.History[1]))
@@ -253,7 +253,7 @@
 }
 
 func pastText(p rollout.HistoryEntry) string {
-	return fmt.Sprint(p.Verb, " ", p.Step, " ", p.Share, " ", p.By, " ", p.At)
+	return fmt.Sprint(p.Verb, " ", p.Step, " ", p.Share, " ", p.Author, " ", p.UnixMilli)
 }
 
 // The note beside the log has the backends that were known.
--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -144,7 +144,7 @@
 	must.Eq(t, 77, machine.Configs.Version())
 	must.SliceLen(t, 3, machine.Slots())
 	must.SliceLen(t, 1, machine.Rollouts.Runs())
-	must.Eq(t, "s", machine.Rollouts.Runs()[0].Order.Service)
+	must.Eq(t, "s", machine.Rollouts.Runs()[0].Spec.Service)
 	var records []registry.WireRecord
 	must.NoError(t, gob.NewDecoder(bytes.NewReader(store.SoftState())).Decode(&records))
 	must.SliceLen(t, 9, records)
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -61,7 +61,7 @@
 type RolloutMessage struct {
 	Seat   membership.Slot
 	Hops   int
-	Report *rollout.Report
+	Report *rollout.WireReport
 	Lap    *rollout.Lap
 }
 
--- a/internal/gateway/node/frame_recorded_test.go
+++ b/internal/gateway/node/frame_recorded_test.go
@@ -220,10 +220,10 @@
 // wireFrames are the frames of the stream, as the program has them.
 func wireFrames() []*Frame {
 	message := wireMessageSet()
-	report := &rollout.Report{Service: "service", Number: 3, Step: 1, Lap: 2, Life: 9, Seq: 4, Zone: "zone", Alone: true, Backs: 5,
+	report := &rollout.Report{Service: "service", Number: 3, Step: 1, Lap: 2, Incarnation: 9, Seq: 4, Zone: "zone", RolledBack: true, CanaryBackends: 5,
 		Evidence: []byte("evidence")}
-	report.Counts[1][0] = rollout.Tally{Ends: 15, By: [5]uint32{1, 2, 3, 4, 5}, Times: [rollout.LatencyBuckets]uint32{3: 7, 25: 1}}
-	report.Counts[0][1] = rollout.Tally{Ends: 16, By: [5]uint32{4: 16}}
+	report.Counts[1][0] = rollout.Tally{Outcomes: 15, ByCause: [5]uint32{1, 2, 3, 4, 5}, Latencies: [rollout.LatencyBuckets]uint32{3: 7, 25: 1}}
+	report.Counts[0][1] = rollout.Tally{Outcomes: 16, ByCause: [5]uint32{4: 16}}
 	call := &Call{Asker: 31, Nr: 2, Kind: 'r', Body: []byte("call"), Hops: 1}
 	reply := &Reply{Asker: 32, Nr: 3, Status: 412, Body: []byte("reply")}
 	lines := &GroupMessages{From: 24}
@@ -245,7 +245,7 @@
 			Echo: 3, Index: 7, Chunk: wireChunkSet(70, "chunk"), Log: true}},
 		{Call: call},
 		{Reply: reply},
-		{Rollout: &RolloutMessage{Seat: 2, Hops: 1, Report: report}},
+		{Rollout: &RolloutMessage{Seat: 2, Hops: 1, Report: report.Wire()}},
 		{Rollout: &RolloutMessage{Lap: &rollout.Lap{Service: "service", Number: 3, Lap: 2}}},
 		{Part: &CallChunk{Call: call, Chunk: wireChunkSet(80, "part")}},
 		{Part: &CallChunk{Reply: reply, Had: wireChunkSet(90, "had of the part")}},
--- a/internal/gateway/node/frame_versions_test.go
+++ b/internal/gateway/node/frame_versions_test.go
@@ -163,8 +163,8 @@
 		ColdLeft: time.Second, Seq: 5, Drained: true, Final: true, Age: 2 * time.Second, Keeper: 1, Fence: 3, Missed: 2}
 	chunk := &replication.Chunk{Index: 7, View: 2, Sum: 11, Size: 12, Offset: 4, Data: []byte("chunk")}
 	members := []replication.Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}}
-	report := &rollout.Report{Service: "s", Number: 3, Step: 1, Lap: 2, Life: 9, Seq: 4, Zone: "z", Alone: true, Backs: 2, Evidence: []byte("e")}
-	report.Counts[1][0] = rollout.Tally{Ends: 5, By: [5]uint32{1, 2, 3, 4, 5}, Times: [rollout.LatencyBuckets]uint32{3: 7, 25: 1}}
+	report := &rollout.Report{Service: "s", Number: 3, Step: 1, Lap: 2, Incarnation: 9, Seq: 4, Zone: "z", RolledBack: true, CanaryBackends: 2, Evidence: []byte("e")}
+	report.Counts[1][0] = rollout.Tally{Outcomes: 5, ByCause: [5]uint32{1, 2, 3, 4, 5}, Latencies: [rollout.LatencyBuckets]uint32{3: 7, 25: 1}}
 	return []*Frame{
 		{Hello: &membership.WireHello{Door: membership.WireNode{Name: "door-0", Addr: "10.0.0.1:7110", Control: "10.0.0.1:7000", Zone: "z", Disk: 21,
 			First: true, Life: 31, Founded: true, Leaving: true, House: 41}, Known: []string{"10.0.0.2:7110"}, Begun: true}},
@@ -182,7 +182,7 @@
 			Echo: 3, Index: 7, Chunk: chunk, Log: true}},
 		{Call: &Call{Asker: 31, Nr: 2, Kind: 'r', Body: []byte("{}"), Hops: 1}},
 		{Reply: &Reply{Asker: 31, Nr: 2, Status: 412, Body: []byte("conflict")}},
-		{Rollout: &RolloutMessage{Seat: 2, Hops: 1, Report: report}},
+		{Rollout: &RolloutMessage{Seat: 2, Hops: 1, Report: report.Wire()}},
 		{Rollout: &RolloutMessage{Lap: &rollout.Lap{Service: "s", Number: 3, Lap: 2}}},
 	}
 }
--- a/internal/gateway/node/host_env.go
+++ b/internal/gateway/node/host_env.go
@@ -102,7 +102,7 @@
 
 // proposeRollout puts a decision of the coordinator into the log that this node leads.
 func (n *Node) proposeRollout(e rollout.Entry) {
-	e.At = time.Now().UnixMilli()
+	e.UnixMilli = time.Now().UnixMilli()
 	n.core.propose(statemachine.KindRollout, e.Encode(), func(status int, body []byte) {
 		if status != statusOK {
 			n.logInfo(rolloutPart).Str("service", e.Service).Uint64("rollout", uint64(e.Number)).Str("verb", string(e.Verb)).
--- a/internal/gateway/node/rollout_admission.go
+++ b/internal/gateway/node/rollout_admission.go
@@ -48,7 +48,7 @@
 func (r *rolloutHost) updateAdmission() {
 	for i := range r.peers.rolloutState().Runs() {
 		run := &r.peers.rolloutState().Runs()[i]
-		service, state := run.Order.Service, r.admissionOf(run)
+		service, state := run.Spec.Service, r.admissionOf(run)
 		before, known := r.admission[service]
 		if before == state {
 			continue
@@ -69,7 +69,7 @@
 	switch {
 	case finished:
 		state.open = admission.CanaryFallback
-	case r.local.CanaryBarred(run.Order.Service):
+	case r.local.CanaryBarred(run.Spec.Service):
 		state.open = admission.CanaryClosed
 	}
 	return state
--- a/internal/gateway/node/rollout_calls.go
+++ b/internal/gateway/node/rollout_calls.go
@@ -19,17 +19,17 @@
 // Rollout takes an operator's order to the leader, as a change of the configuration goes. What is wrong in itself, or is known here to
 // have been taken, needs no leader; a dry run goes by the state of this node.
 func (n *Node) Rollout(e *rollout.Entry, dry bool, then func(status int, body []byte)) {
-	if e.At = time.Now().UnixMilli(); e.Mark == "" { // the same call may go out twice from here
-		e.Mark = fmt.Sprintf("%016x", rand.Uint64())
+	if e.UnixMilli = time.Now().UnixMilli(); e.CallID == "" { // the same call may go out twice from here
+		e.CallID = fmt.Sprintf("%016x", rand.Uint64())
 	}
 	if e.Verb == rollout.Start {
-		if err := n.checkKnown(e.Order); err != nil && dry {
+		if err := n.checkKnown(e.Spec); err != nil && dry {
 			then(responseOf(routing.Invalid, err))
 			return
 		}
-		given := e.Room
-		e.Room = n.rollouts.capacityOf(e.Order)
-		e.Room.New, e.Room.Busy = max(given.New, e.Room.New), cmp.Or(given.Busy, e.Room.Busy)
+		given := e.Capacity
+		e.Capacity = n.rollouts.capacityOf(e.Spec)
+		e.Capacity.Canary, e.Capacity.Busy = max(given.Canary, e.Capacity.Canary), cmp.Or(given.Busy, e.Capacity.Busy)
 	}
 	body := e.Encode()
 	if dry {
@@ -80,8 +80,8 @@
 		}
 	}
 	number := n.machine.Rollouts.Last + 1
-	return controlapi.RolloutAnswer{Service: e.Service, Number: uint64(number), Phase: "dry", Rev: e.Rev, Steps: len(e.Order.Steps),
-		Users: ptr(len(users)), Moved: e.Order.CountMoved(number, users), Room: capacityAnswer(e.Room)}
+	return controlapi.RolloutAnswer{Service: e.Service, Number: uint64(number), Phase: "dry", Rev: e.Revision, Steps: len(e.Spec.Steps),
+		Users: ptr(len(users)), Moved: e.Spec.CountMoved(number, users), Room: capacityAnswer(e.Capacity)}
 }
 
 // marshalAnswer is an answer in JSON.
@@ -104,12 +104,12 @@
 	if run == nil {
 		return answer
 	}
-	return marshalAnswer(controlapi.RolloutAnswer{Service: e.Service, Number: uint64(run.Number), Rev: run.Rev, Phase: string(run.Phase),
-		Step: run.Step, Steps: len(run.Order.Steps), Share: run.Share(), Room: capacityAnswer(run.Room)})
+	return marshalAnswer(controlapi.RolloutAnswer{Service: e.Service, Number: uint64(run.Number), Rev: run.Revision, Phase: string(run.Phase),
+		Step: run.Step, Steps: len(run.Spec.Steps), Share: run.Share(), Room: capacityAnswer(run.Capacity)})
 }
 
 func capacityAnswer(c rollout.Capacity) *controlapi.RolloutRoom {
-	return &controlapi.RolloutRoom{Old: c.Old, New: c.New, Busy: c.Busy}
+	return &controlapi.RolloutRoom{Old: c.Baseline, New: c.Canary, Busy: c.Busy}
 }
 
 // Rollouts reads the status from the leader, which has the counts; without one, this node answers by its own state.
@@ -135,9 +135,9 @@
 
 // statusOf is how a roll-out stands, with what the coordinator has counted if it is here.
 func (r *rolloutHost) statusOf(run *rollout.Run) controlapi.RolloutRun {
-	service := run.Order.Service
-	status := controlapi.RolloutRun{Service: service, Number: uint64(run.Number), Rev: run.Rev, Phase: string(run.Phase),
-		Step: run.Step, Steps: len(run.Order.Steps), Share: run.Share(), Old: run.Order.Old, New: run.Order.New, Held: run.Held,
+	service := run.Spec.Service
+	status := controlapi.RolloutRun{Service: service, Number: uint64(run.Number), Rev: run.Revision, Phase: string(run.Phase),
+		Step: run.Step, Steps: len(run.Spec.Steps), Share: run.Share(), Old: run.Spec.Old, New: run.Spec.New, Held: run.Paused,
 		Here: r.local.Share(service)}
 	if r.coordinator != nil && run.Phase == rollout.Running {
 		var counts rollout.Counts
@@ -152,7 +152,7 @@
 	all := controlapi.RolloutHistory{Service: service, Rollouts: []controlapi.RolloutPast{}}
 	ended := n.machine.Rollouts.Ended()
 	for i := range ended {
-		if ended[i].Order.Service == service {
+		if ended[i].Spec.Service == service {
 			all.Rollouts = append(all.Rollouts, rolloutPast(&ended[i]))
 		}
 	}
@@ -163,10 +163,10 @@
 }
 
 func rolloutPast(run *rollout.Run) controlapi.RolloutPast {
-	past := controlapi.RolloutPast{Number: uint64(run.Number), Old: run.Order.Old, New: run.Order.New, Phase: string(run.Phase)}
+	past := controlapi.RolloutPast{Number: uint64(run.Number), Old: run.Spec.Old, New: run.Spec.New, Phase: string(run.Phase)}
 	for _, e := range run.History {
-		past.Lines = append(past.Lines, controlapi.RolloutLine{Verb: string(e.Verb), Step: e.Step, Share: e.Share, By: e.By,
-			At: e.At, Why: e.Why, Counts: rolloutCounts(&e.Counts)})
+		past.Lines = append(past.Lines, controlapi.RolloutLine{Verb: string(e.Verb), Step: e.Step, Share: e.Share, By: e.Author,
+			At: e.UnixMilli, Why: e.Reason, Counts: rolloutCounts(&e.Counts)})
 	}
 	return past
 }
@@ -179,7 +179,7 @@
 }
 
 func rolloutTally(t *rollout.Tally) controlapi.RolloutTally {
-	return controlapi.RolloutTally{Ends: int(t.Ends), Failed: int(t.By[rollout.ServerError]), None: int(t.By[rollout.NoResponse]),
-		Wrong: int(t.By[rollout.InvalidResponse]), Full: int(t.By[rollout.Rejected]), HalfMs: t.Quantile(0.5).Milliseconds(),
+	return controlapi.RolloutTally{Ends: int(t.Outcomes), Failed: int(t.ByCause[rollout.ServerError]), None: int(t.ByCause[rollout.NoResponse]),
+		Wrong: int(t.ByCause[rollout.InvalidResponse]), Full: int(t.ByCause[rollout.Rejected]), HalfMs: t.Quantile(0.5).Milliseconds(),
 		TenthMs: t.Quantile(0.9).Milliseconds()}
 }
--- a/internal/gateway/node/rollout_host.go
+++ b/internal/gateway/node/rollout_host.go
@@ -102,14 +102,14 @@
 
 // logProgress logs what has become of a roll-out, once for each of its revisions.
 func (r *rolloutHost) logProgress(run *rollout.Run) {
-	if r.loggedRevisions[run.Order.Service] == run.Rev {
+	if r.loggedRevisions[run.Spec.Service] == run.Revision {
 		return
 	}
-	r.loggedRevisions[run.Order.Service] = run.Rev
+	r.loggedRevisions[run.Spec.Service] = run.Revision
 	last := run.History[len(run.History)-1]
-	r.peers.logInfo(rolloutPart).Str("service", run.Order.Service).Uint64("rollout", uint64(run.Number)).
-		Str("verb", string(last.Verb)).Str("by", last.By).Str("phase", string(run.Phase)).Int("step", run.Step).
-		Int("steps", len(run.Order.Steps)).Int("share", run.Share()).Str("reason", last.Why).Msg("roll-out changed")
+	r.peers.logInfo(rolloutPart).Str("service", run.Spec.Service).Uint64("rollout", uint64(run.Number)).
+		Str("verb", string(last.Verb)).Str("by", last.Author).Str("phase", string(run.Phase)).Int("step", run.Step).
+		Int("steps", len(run.Spec.Steps)).Int("share", run.Share()).Str("reason", last.Reason).Msg("roll-out changed")
 }
 
 // tick is the part of the node's periodic timer.
@@ -134,7 +134,7 @@
 		}
 	}
 	for _, report := range r.reports.take(now) {
-		r.peers.sendTowardsLeader(&RolloutMessage{Seat: r.peers.slot(), Hops: 1, Report: &report}, "")
+		r.peers.sendTowardsLeader(&RolloutMessage{Seat: r.peers.slot(), Hops: 1, Report: report.Wire()}, "")
 	}
 	r.runCoordinator()
 	r.updateAdmission()
@@ -151,7 +151,7 @@
 // report has the coordinator take a report of this node.
 func (r *rolloutHost) report(report rollout.Report) {
 	if r.coordinator != nil {
-		r.receiveReport(&RolloutMessage{Seat: r.peers.slot(), Report: &report})
+		r.receiveReport(&RolloutMessage{Seat: r.peers.slot(), Report: report.Wire()})
 		return
 	}
 	r.reports.add(report)
@@ -180,7 +180,7 @@
 		return
 	}
 	r.coordinator.Tick(r.peers.now())
-	if err := r.coordinator.HandleReport(rollout.NodeID(m.Seat), *m.Report); err != nil {
+	if err := r.coordinator.HandleReport(rollout.NodeID(m.Seat), m.Report.Report()); err != nil {
 		r.peers.logInfo(rolloutPart).Int("slot", int(m.Seat)).Err(err).Msg("report not readable")
 	}
 }
@@ -230,10 +230,10 @@
 			continue
 		}
 		baseline := -1 // not known
-		if capacity := r.capacityOf(&run.Order); capacity.Old+capacity.New > 0 {
-			baseline = capacity.Old
+		if capacity := r.capacityOf(&run.Spec); capacity.Baseline+capacity.Canary > 0 {
+			baseline = capacity.Baseline
 		}
-		r.coordinator.SetBaselineBackends(run.Order.Service, baseline, r.backends.isConfigured(run.Order.Service))
+		r.coordinator.SetBaselineBackends(run.Spec.Service, baseline, r.backends.isConfigured(run.Spec.Service))
 	}
 }
 
@@ -248,9 +248,9 @@
 		switch {
 		case record.Phase != registry.Ready:
 		case record.Generation == spec.New:
-			c.New += max(record.Capacity, 1)
+			c.Canary += max(record.Capacity, 1)
 		default:
-			c.Old += max(record.Capacity, 1)
+			c.Baseline += max(record.Capacity, 1)
 		}
 	}
 	c.Busy = r.backends.busyEverywhere(spec.Service)
@@ -264,12 +264,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if e.Order != nil { // the node that took the call may know of fewer backends
-		here := r.capacityOf(e.Order)
-		e.Room.Old, e.Room.New = max(e.Room.Old, here.Old), max(e.Room.New, here.New)
+	if e.Spec != nil { // the node that took the call may know of fewer backends
+		here := r.capacityOf(e.Spec)
+		e.Capacity.Baseline, e.Capacity.Canary = max(e.Capacity.Baseline, here.Baseline), max(e.Capacity.Canary, here.Canary)
 	}
-	if v, _ := r.peers.rolloutState().Decide(e); v == routing.Taken && e.Order != nil {
-		if err := checkKnown(e.Order); err != nil {
+	if v, _ := r.peers.rolloutState().Decide(e); v == routing.Taken && e.Spec != nil {
+		if err := checkKnown(e.Spec); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/gateway/rollout/coordinator.go
+++ b/internal/gateway/rollout/coordinator.go
@@ -60,7 +60,7 @@
 func (c *Coordinator) ApplyState(s *State) {
 	for i := range s.Runs() {
 		run := &s.Runs()[i]
-		service := run.Order.Service
+		service := run.Spec.Service
 		former := c.active[service]
 		switch {
 		case run.Phase != Running:
@@ -95,7 +95,7 @@
 	if a == nil || a.Number != r.Number || a.Step != r.Step {
 		return nil
 	}
-	key := nodeIncarnation{from, r.Life}
+	key := nodeIncarnation{from, r.Incarnation}
 	if newest := a.reports[key]; newest != nil && newest.Seq >= r.Seq || newest == nil && len(a.reports) >= maxReports {
 		return nil
 	}
@@ -163,7 +163,7 @@
 	reporting, rolledBack = map[NodeID]bool{}, map[NodeID]bool{}
 	for key, r := range a.reports {
 		reporting[key.node] = true
-		if r.Alone {
+		if r.RolledBack {
 			rolledBack[key.node] = true
 		}
 		f := r.found
@@ -193,20 +193,20 @@
 	switch {
 	case a.baselineBackends != 0:
 		c.propose(a, Rollback, a.Step, counts.describe())
-	case !a.Held:
+	case !a.Paused:
 		c.propose(a, Pause, a.Step, "failing, but no backend of the old version is left: "+counts.describe())
 	}
 }
 
 // maybeAdvance goes on to the next step where the spec lets the coordinator do it.
 func (c *Coordinator) maybeAdvance(a *activeRollout) {
-	step := a.Order.Steps[a.Step-1]
-	if a.Order.Advance != AdvanceByTime || a.Held || a.Step == len(a.Order.Steps) || a.doubt >= 1 || a.unconfigured ||
+	step := a.Spec.Steps[a.Step-1]
+	if a.Spec.Advance != AdvanceByTime || a.Paused || a.Step == len(a.Spec.Steps) || a.doubt >= 1 || a.unconfigured ||
 		c.now-a.stepStart < step.minTime() {
 		return
 	}
 	counts := a.counts()
-	if seen := int(counts[Canary][Read].Ends + counts[Canary][Write].Ends); seen >= step.Requests {
+	if seen := int(counts[Canary][Read].Outcomes + counts[Canary][Write].Outcomes); seen >= step.Requests {
 		c.propose(a, Advance, a.Step+1, fmt.Sprintf("%d requests of the new version in order", seen))
 	}
 }
@@ -218,6 +218,6 @@
 		return
 	}
 	a.proposedAt = c.now
-	c.push(Propose{Entry{Verb: verb, Service: a.Order.Service, By: coordinatorBy, Why: why, Number: a.Number, Step: step,
-		Fence: c.fencingToken, Counts: a.counts()}})
+	c.push(Propose{Entry{Verb: verb, Service: a.Spec.Service, Author: coordinatorBy, Reason: why, Number: a.Number, Step: step,
+		FencingToken: c.fencingToken, Counts: a.counts()}})
 }
--- a/internal/gateway/rollout/decide.go
+++ b/internal/gateway/rollout/decide.go
@@ -25,13 +25,13 @@
 // mayBeForgotten reports whether a call that is not known may have been taken.
 func (s *State) mayBeForgotten(e *Entry) bool {
 	horizon := s.appliedCalls.Horizon()
-	if e.Mark == "" || horizon == 0 || s.Run(e.Service) == nil {
+	if e.CallID == "" || horizon == 0 || s.Run(e.Service) == nil {
 		return false
 	}
 	if e.Verb == Pause || e.Verb == Rollback { // they name no revision
 		return e.Number <= s.Last
 	}
-	return e.Rev < horizon
+	return e.Revision < horizon
 }
 
 func conflict(field, format string, args ...any) (routing.Verdict, error) {
@@ -39,7 +39,7 @@
 }
 
 func (s *State) decide(e *Entry) (routing.Verdict, error) {
-	if s.CallApplied(e.Mark) {
+	if s.CallApplied(e.CallID) {
 		return routing.Already, nil
 	}
 	if err := e.Validate(); err != nil {
@@ -57,43 +57,43 @@
 		return conflict("number", "is %d, but %d is the newest", e.Number, r.Number)
 	case r.Phase != Running:
 		return conflict("number", "roll-out %d is %s", r.Number, r.Phase)
-	case !e.byCoordinator() && e.Rev != r.Rev && !inTime:
-		return conflict("rev", "is %d, but %d is current", e.Rev, r.Rev)
-	case e.byCoordinator() && e.Fence < s.fencingToken:
-		return conflict("fence", "is %d, but %d was seen", e.Fence, s.fencingToken)
+	case !e.byCoordinator() && e.Revision != r.Revision && !inTime:
+		return conflict("rev", "is %d, but %d is current", e.Revision, r.Revision)
+	case e.byCoordinator() && e.FencingToken < s.fencingToken:
+		return conflict("fence", "is %d, but %d was seen", e.FencingToken, s.fencingToken)
 	}
 	switch e.Verb {
 	case Advance:
 		return decideAdvance(e, r)
 	case Finish:
-		if r.Step < len(r.Order.Steps) || e.byCoordinator() {
-			return conflict("step", "%d of %d is current, only an operator finishes the last", r.Step, len(r.Order.Steps))
+		if r.Step < len(r.Spec.Steps) || e.byCoordinator() {
+			return conflict("step", "%d of %d is current, only an operator finishes the last", r.Step, len(r.Spec.Steps))
 		}
 	}
 	return routing.Taken, nil
 }
 
 func decideAdvance(e *Entry, r *Run) (routing.Verdict, error) {
-	if e.Step != r.Step+1 || e.Step > len(r.Order.Steps) {
-		return conflict("step", "is %d, %d of %d is current", e.Step, r.Step, len(r.Order.Steps))
+	if e.Step != r.Step+1 || e.Step > len(r.Spec.Steps) {
+		return conflict("step", "is %d, %d of %d is current", e.Step, r.Step, len(r.Spec.Steps))
 	}
-	if e.byCoordinator() && (r.Held || r.Order.Advance != AdvanceByTime) {
+	if e.byCoordinator() && (r.Paused || r.Spec.Advance != AdvanceByTime) {
 		return conflict("step", "it waits for an operator's command")
 	}
 	return routing.Taken, nil
 }
 
 func (s *State) decideStart(e *Entry, r *Run) (routing.Verdict, error) {
-	spec := *e.Order
+	spec := *e.Spec
 	if err := spec.Normalize(); err != nil { // Validate has passed: only the defaults are wanted here
 		return routing.Invalid, err
 	}
 	current := uint64(0)
 	if r != nil {
-		current = r.Rev
+		current = r.Revision
 	}
-	if e.Rev != current {
-		return conflict("rev", "is %d, but %d is current", e.Rev, current)
+	if e.Revision != current {
+		return conflict("rev", "is %d, but %d is current", e.Revision, current)
 	}
 	if r != nil && r.Phase == Running {
 		return conflict("service", "roll-out %d of %q runs", r.Number, e.Service)
@@ -101,7 +101,7 @@
 	if r == nil && len(s.runs) >= maxServices {
 		return routing.Invalid, fieldError("service", "%d have roll-outs, no more are kept", maxServices)
 	}
-	if err := spec.CheckCapacity(e.Room); err != nil {
+	if err := spec.CheckCapacity(e.Capacity); err != nil {
 		return routing.Invalid, err
 	}
 	return routing.Taken, nil
--- a/internal/gateway/rollout/doc.go
+++ b/internal/gateway/rollout/doc.go
@@ -41,8 +41,7 @@
 //
 // # Stored and sent names
 //
-// Gob stores Entry and the snapshot (stored.go: Run, HistoryEntry, Spec with its parts, Capacity, Counts) in the log and sends Report and Lap
-// between nodes. It goes by the names of fields, and other versions read them; so these fields keep the names that they were given first:
-// Mark is a call's ID, By an author, At a time in milliseconds, Fence a fencing token, Room the capacity, Held paused, Life an incarnation of a
-// node, Alone a node that has rolled back for itself, Backs a number of backends.
+// Gob stores entries and snapshots in the log and sends reports between nodes. It goes by the names of fields, and other versions read them:
+// stored.go has these forms with the names that they were given first, and the functions between them and the types that the code uses. Lap is sent,
+// and Spec stored, as it is.
 package rollout
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -42,10 +42,10 @@
 func (n *Node) ApplyState(s *State) {
 	for i := range s.Runs() {
 		run := &s.Runs()[i]
-		local := n.rollouts[run.Order.Service]
+		local := n.rollouts[run.Spec.Service]
 		if local == nil || local.Number != run.Number {
-			local = &localRollout{salt: hashSalt(run.Order.Service, run.Number)}
-			n.rollouts[run.Order.Service] = local
+			local = &localRollout{salt: hashSalt(run.Spec.Service, run.Number)}
+			n.rollouts[run.Spec.Service] = local
 		}
 		newStep := local.counter == nil || local.Step != run.Step
 		local.Run = *run
@@ -67,7 +67,7 @@
 // resetCounter begins counts and evidence; usual latencies stay.
 func (l *localRollout) resetCounter(now time.Duration) {
 	former := l.counter
-	l.counter = newStepCounter(l.Order.Failing, now)
+	l.counter = newStepCounter(l.Spec.Failing, now)
 	if former != nil {
 		l.counter.latencyByRoute = former.latencyByRoute
 	}
@@ -116,7 +116,7 @@
 	switch {
 	case local == nil:
 		return Baseline
-	case local.Phase == Finished && n.everConnected && generation != local.Order.Old, generation == local.Order.New:
+	case local.Phase == Finished && n.everConnected && generation != local.Spec.Old, generation == local.Spec.New:
 		return Canary
 	}
 	return Baseline
@@ -145,7 +145,7 @@
 		return Baseline, false
 	case local.Phase == Finished:
 		return Canary, false
-	case len(user) == 0 || !local.Order.Limits.matches(in):
+	case len(user) == 0 || !local.Spec.Limits.matches(in):
 		return Baseline, false
 	case userPosition(local.salt, user) < share:
 		return Canary, true
@@ -210,7 +210,7 @@
 	local.urgent = doubt >= 1
 	if score >= 1 {
 		local.rolledBack, local.unreported, local.urgent = true, true, true
-		n.push(LocalRollback{local.Order.Service, local.Number, c.counts.describe()})
+		n.push(LocalRollback{local.Spec.Service, local.Number, c.counts.describe()})
 	}
 }
 
@@ -219,8 +219,8 @@
 	c := local.counter
 	local.unreported, local.reportedAt = false, n.now
 	local.seq++
-	return Report{Service: local.Order.Service, Number: local.Number, Step: local.Step, Lap: local.lap, Life: n.incarnation, Seq: local.seq,
-		Zone: n.zone, Alone: local.rolledBack, Backs: len(c.canaryBackends), Counts: c.counts, Evidence: c.evidence.encode()}
+	return Report{Service: local.Spec.Service, Number: local.Number, Step: local.Step, Lap: local.lap, Incarnation: n.incarnation, Seq: local.seq,
+		Zone: n.zone, RolledBack: local.rolledBack, CanaryBackends: len(c.canaryBackends), Counts: c.counts, Evidence: c.evidence.encode()}
 }
 
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/gateway/rollout/outcome.go
+++ b/internal/gateway/rollout/outcome.go
@@ -48,9 +48,9 @@
 
 // Tally counts the outcomes of one side, of one kind of request.
 type Tally struct {
-	Ends  uint32
-	By    [causeCount]uint32     // by Cause
-	Times [LatencyBuckets]uint32 // answers of backends that are not warming up
+	Outcomes  uint32
+	ByCause   [causeCount]uint32     // by Cause
+	Latencies [LatencyBuckets]uint32 // answers of backends that are not warming up
 }
 
 // Counts are of one step, by Side and Kind.
@@ -66,35 +66,35 @@
 }
 
 func (t *Tally) add(other *Tally) {
-	t.Ends += other.Ends
-	for i := range t.By {
-		t.By[i] += other.By[i]
+	t.Outcomes += other.Outcomes
+	for i := range t.ByCause {
+		t.ByCause[i] += other.ByCause[i]
 	}
-	for i := range t.Times {
-		t.Times[i] += other.Times[i]
+	for i := range t.Latencies {
+		t.Latencies[i] += other.Latencies[i]
 	}
 }
 
 // record counts one outcome.
 func (t *Tally) record(cause Cause) {
-	t.Ends++
-	t.By[cause]++
+	t.Outcomes++
+	t.ByCause[cause]++
 }
 
 // recordLatency counts an answer by its latency.
 func (t *Tally) recordLatency(latency time.Duration) {
 	bucket := int(math.Ceil(2 * math.Log2(latency.Seconds()*1000)))
-	t.Times[min(max(bucket, 0), LatencyBuckets-1)]++
+	t.Latencies[min(max(bucket, 0), LatencyBuckets-1)]++
 }
 
 // Quantile is the upper bound of the latency that a part of the answers (0 to 1) had; 0 without any.
 func (t *Tally) Quantile(part float64) time.Duration {
 	total := uint32(0)
-	for _, n := range t.Times {
+	for _, n := range t.Latencies {
 		total += n
 	}
 	left := part * float64(total)
-	for i, n := range t.Times {
+	for i, n := range t.Latencies {
 		if left -= float64(n); n > 0 && left <= 0 {
 			return time.Duration(math.Pow(2, float64(i)/2) * float64(time.Millisecond))
 		}
@@ -104,7 +104,7 @@
 
 // failures are the outcomes that are the version's fault, whatever the criteria.
 func (t *Tally) failures() uint32 {
-	return t.By[ServerError] + t.By[NoResponse] + t.By[InvalidResponse]
+	return t.ByCause[ServerError] + t.ByCause[NoResponse] + t.ByCause[InvalidResponse]
 }
 
 // describe gives the counts in words, for the history of a roll-out.
@@ -112,11 +112,11 @@
 	text := ""
 	for kind, name := range []string{"reads", "writes"} {
 		canary, baseline := &c[Canary][kind], &c[Baseline][kind]
-		if canary.Ends == 0 {
+		if canary.Outcomes == 0 {
 			continue
 		}
-		text += fmt.Sprintf("%s: new %d of %d failed, old %d of %d; nine in ten within %v, %v. ", name, canary.failures(), canary.Ends,
-			baseline.failures(), baseline.Ends, canary.Quantile(0.9).Round(time.Millisecond), baseline.Quantile(0.9).Round(time.Millisecond))
+		text += fmt.Sprintf("%s: new %d of %d failed, old %d of %d; nine in ten within %v, %v. ", name, canary.failures(), canary.Outcomes,
+			baseline.failures(), baseline.Outcomes, canary.Quantile(0.9).Round(time.Millisecond), baseline.Quantile(0.9).Round(time.Millisecond))
 	}
 	return text[:max(len(text)-1, 0)]
 }
--- a/internal/gateway/rollout/report.go
+++ b/internal/gateway/rollout/report.go
@@ -4,19 +4,19 @@
 
 // Report is all that one incarnation of a node found of the present step: sums, not what came since the last report. The newest by Seq
 // stands for all before it, so it does not matter which are lost, doubled or late, and a new coordinator has all with
-// the next round. Gob sends it between nodes by these names.
+// the next round. WireReport is what goes over links.
 type Report struct {
-	Service  string
-	Number   Number
-	Step     int
-	Lap      int
-	Life     uint64 // the node's incarnation, drawn at random
-	Seq      uint64 // rises within the incarnation
-	Zone     string
-	Alone    bool // the node has rolled back for itself
-	Backs    int  // backends of the canary that it saw at work
-	Counts   Counts
-	Evidence []byte
+	Service        string
+	Number         Number
+	Step           int
+	Lap            int
+	Incarnation    uint64 // the node's incarnation, drawn at random
+	Seq            uint64 // rises within the incarnation
+	Zone           string
+	RolledBack     bool // the node has rolled back for itself
+	CanaryBackends int  // backends of the canary that it saw at work
+	Counts         Counts
+	Evidence       []byte
 }
 
 // Lap is the coordinator's notice that evidence is gathered afresh: a version that fails after ten good minutes must not
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "report on %s", r.Service)
 	}
-	return &findings{evidence: e, node: from, zone: r.Zone, canaryBackends: r.Backs}, nil
+	return &findings{evidence: e, node: from, zone: r.Zone, canaryBackends: r.CanaryBackends}, nil
 }
 
 // Action is what the host is to do: a Node's are SendReport and LocalRollback, a Coordinator's Propose and BroadcastLap.
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -46,7 +46,7 @@
 	w.commonFactors = func(time.Duration) (float64, float64) { return 1, 1 }
 	w.fault = func(time.Duration, *Outcome, int, int) (float64, float64) { return 0, 1 }
 	e := startEntry(o, 0, "")
-	e.Room.New = 1000
+	e.Capacity.Canary = 1000
 	if _, err := w.state.Apply(e); err != nil {
 		panic(err)
 	}
@@ -106,7 +106,7 @@
 				panic(err)
 			}
 			if a.Entry.Verb == Rollback {
-				s.rollbackReason = a.Entry.Why
+				s.rollbackReason = a.Entry.Reason
 			}
 			s.applyState()
 		}
@@ -319,7 +319,7 @@
 	var want Counts
 	want.Add(&reports[4].Counts)
 	want.Add(&reports[5].Counts)
-	must.Eq(t, uint32(480*2), want[0][0].Ends+want[0][1].Ends+want[1][0].Ends+want[1][1].Ends)
+	must.Eq(t, uint32(480*2), want[0][0].Outcomes+want[0][1].Outcomes+want[1][0].Outcomes+want[1][1].Outcomes)
 	var each func(left, done []int)
 	each = func(left, done []int) {
 		d := NewCoordinator(2, w.now)
--- a/internal/gateway/rollout/spec.go
+++ b/internal/gateway/rollout/spec.go
@@ -116,7 +116,7 @@
 
 // Capacity is that of a service's backends, in concurrent requests: of the baseline, of the canary, and how many are in use at the
 // busiest (0: not known, then defaultUtilization of all).
-type Capacity struct{ Old, New, Busy int }
+type Capacity struct{ Baseline, Canary, Busy int }
 
 const (
 	spareFactor        = 1.25 // capacity over the busiest use that must be there
@@ -127,21 +127,21 @@
 // largest share.
 func (s *Spec) CheckCapacity(c Capacity) error {
 	switch {
-	case c.Old <= 0:
+	case c.Baseline <= 0:
 		return fieldError("old", "%s has room for none", s.Old)
-	case c.New <= 0:
+	case c.Canary <= 0:
 		return fieldError("new", "%s has room for none", s.New)
 	}
 	busy := float64(c.Busy)
 	if c.Busy <= 0 {
-		busy = defaultUtilization * float64(c.Old+c.New)
+		busy = defaultUtilization * float64(c.Baseline+c.Canary)
 	}
-	if need := busy * spareFactor; float64(c.Old) < need {
-		return fieldError("old", "%s has room for %d at a time, %.0f must stay to take all users back", s.Old, c.Old, need)
+	if need := busy * spareFactor; float64(c.Baseline) < need {
+		return fieldError("old", "%s has room for %d at a time, %.0f must stay to take all users back", s.Old, c.Baseline, need)
 	}
 	last := len(s.Steps) - 1
-	if need := busy * spareFactor * float64(s.Steps[last].Share) / FullShare; float64(c.New) < need {
-		return fieldError(fmt.Sprintf("steps[%d].share", last), "%s has room for %d at a time, %.0f are needed", s.New, c.New, need)
+	if need := busy * spareFactor * float64(s.Steps[last].Share) / FullShare; float64(c.Canary) < need {
+		return fieldError(fmt.Sprintf("steps[%d].share", last), "%s has room for %d at a time, %.0f are needed", s.New, c.Canary, need)
 	}
 	return nil
 }
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -21,32 +21,32 @@
 
 // HistoryEntry is what one entry did to a roll-out. Counts are those of the step that it ends, as the coordinator last had them.
 type HistoryEntry struct {
-	Verb   Verb
-	Step   int
-	Share  int
-	By     string
-	At     int64 // milliseconds since 1970
-	Why    string
-	Counts Counts
+	Verb      Verb
+	Step      int
+	Share     int
+	Author    string
+	UnixMilli int64 // milliseconds since 1970
+	Reason    string
+	Counts    Counts
 }
 
 // Run is a roll-out and what became of it.
 type Run struct {
-	Number  Number
-	Rev     uint64 // rises with each change of it
-	Order   Spec
-	Room    Capacity
-	Phase   Phase
-	Step    int  // from 1
-	Held    bool // paused: the coordinator doesn't go on to the next step
-	History []HistoryEntry
+	Number   Number
+	Revision uint64 // rises with each change of it
+	Spec     Spec
+	Capacity Capacity
+	Phase    Phase
+	Step     int  // from 1
+	Paused   bool // paused: the coordinator doesn't go on to the next step
+	History  []HistoryEntry
 }
 
 // Share is of the users whom the roll-out concerns, in basis points.
 func (r *Run) Share() int {
 	switch r.Phase {
 	case Running:
-		return r.Order.Steps[r.Step-1].Share
+		return r.Spec.Steps[r.Step-1].Share
 	case Finished:
 		return FullShare
 	}
@@ -94,7 +94,7 @@
 
 func (s *State) find(service string) (int, bool) {
 	return slices.BinarySearchFunc(s.runs, service, func(r Run, name string) int {
-		return strings.Compare(r.Order.Service, name)
+		return strings.Compare(r.Spec.Service, name)
 	})
 }
 
@@ -104,35 +104,35 @@
 		return v, err
 	}
 	s.Rev++
-	if e.Mark != "" {
-		s.appliedCalls.Add(s.Rev, callDigest(e.Mark))
+	if e.CallID != "" {
+		s.appliedCalls.Add(s.Rev, callDigest(e.CallID))
 	}
-	s.fencingToken = max(s.fencingToken, e.Fence)
+	s.fencingToken = max(s.fencingToken, e.FencingToken)
 	if e.Verb == Start {
 		s.startRun(e)
 	}
 	r := s.Run(e.Service)
-	r.Rev = s.Rev
+	r.Revision = s.Rev
 	step := r.Step
 	switch e.Verb {
 	case Advance:
-		r.Step, r.Held = e.Step, r.Held && e.byCoordinator()
+		r.Step, r.Paused = e.Step, r.Paused && e.byCoordinator()
 	case Pause:
-		r.Held = true
+		r.Paused = true
 	case Rollback:
 		r.Phase = RolledBack
 	case Finish:
 		r.Phase = Finished
 	}
-	r.addHistory(HistoryEntry{Verb: e.Verb, Step: step, Share: r.Share(), By: e.By, At: e.At, Why: e.Why, Counts: e.Counts})
+	r.addHistory(HistoryEntry{Verb: e.Verb, Step: step, Share: r.Share(), Author: e.Author, UnixMilli: e.UnixMilli, Reason: e.Reason, Counts: e.Counts})
 	return routing.Taken, nil
 }
 
 // startRun puts a new roll-out in the place of the service's former one.
 func (s *State) startRun(e *Entry) {
 	s.Last++
-	r := Run{Number: s.Last, Order: *e.Order, Room: e.Room, Phase: Running, Step: 1}
-	err := r.Order.Normalize()
+	r := Run{Number: s.Last, Spec: *e.Spec, Capacity: e.Capacity, Phase: Running, Step: 1}
+	err := r.Spec.Normalize()
 	invariant.That(err == nil, "an order that was taken is sound")
 	i, exists := s.find(e.Service)
 	if !exists {
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -24,7 +24,7 @@
 }
 
 func startEntry(o *Spec, rev uint64, mark string) *Entry {
-	return &Entry{Verb: Start, Service: o.Service, Rev: rev, Mark: mark, By: "ana", Order: o, Room: Capacity{100, 100, 60}}
+	return &Entry{Verb: Start, Service: o.Service, Revision: rev, CallID: mark, Author: "ana", Spec: o, Capacity: Capacity{100, 100, 60}}
 }
 
 func TestSpecErrorsNameTheirField(t *testing.T) {
@@ -33,7 +33,7 @@
 		"steps":[{"share":100,"min_time":"10s"},{"share":2500,"min_time":"60000ms","requests":500}]}`), &r))
 	must.NoError(t, r.Normalize())
 	must.Eq(t, DefaultFailureCriteria(), r.Failing)
-	must.NoError(t, r.CheckCapacity(Capacity{Old: 24, New: 8, Busy: 19}))
+	must.NoError(t, r.CheckCapacity(Capacity{Baseline: 24, Canary: 8, Busy: 19}))
 	for want, spoil := range map[string]func(*Spec){
 		"new":               func(r *Spec) { r.New = "v1" },
 		"steps[1].share":    func(r *Spec) { r.Steps[1].Share = 100 },
@@ -49,8 +49,8 @@
 		must.Error(t, err, must.Sprint(want))
 		must.StrContains(t, err.Error(), want)
 	}
-	must.ErrorContains(t, r.CheckCapacity(Capacity{Old: 24, New: 8, Busy: 20}), "old: v1 has room for 24")
-	must.ErrorContains(t, r.CheckCapacity(Capacity{Old: 90, New: 8, Busy: 40}), "steps[1].share: v2")
+	must.ErrorContains(t, r.CheckCapacity(Capacity{Baseline: 24, Canary: 8, Busy: 20}), "old: v1 has room for 24")
+	must.ErrorContains(t, r.CheckCapacity(Capacity{Baseline: 90, Canary: 8, Busy: 40}), "steps[1].share: v2")
 	all, none := func(string) bool { return true }, func(string) bool { return false }
 	r.Limits.Tenants = []string{"huka"}
 	must.ErrorContains(t, r.CheckReferences(all, all, none, all), "limits.tenants[0]")
@@ -73,10 +73,10 @@
 	s := NewState()
 	on := make([]bool, users)
 	for step := range shares {
-		e := &Entry{Verb: Advance, Service: "libro", Number: 1, Step: step + 1, Fence: 1}
+		e := &Entry{Verb: Advance, Service: "libro", Number: 1, Step: step + 1, FencingToken: 1}
 		if step == 0 {
 			e = startEntry(testSpec(shares...), 0, "")
-			e.Room.New = 1000
+			e.Capacity.Canary = 1000
 		}
 		v, err := s.Apply(e)
 		must.Eq(t, routing.Taken, v, must.Sprint(err))
@@ -108,7 +108,7 @@
 	verdict, err := s.Decide(&Entry{Verb: Advance, Service: "libro", Number: 1})
 	must.True(t, verdict == routing.Conflict && errors.As(err, &field) && field.Field == "service")
 	must.ErrorIs(t, (&Entry{Verb: Start, Service: "libro"}).Validate(), ErrNoSpec)
-	must.ErrorIs(t, (&Entry{Verb: Pause, Why: strings.Repeat("x", maxTextBytes+1)}).Validate(), ErrTextTooLong)
+	must.ErrorIs(t, (&Entry{Verb: Pause, Reason: strings.Repeat("x", maxTextBytes+1)}).Validate(), ErrTextTooLong)
 	c := NewCoordinator(1, 0)
 	must.NoError(t, apply(s, startEntry(testSpec(100), 0, "")))
 	c.ApplyState(s)
@@ -129,10 +129,10 @@
 	entries := []*Entry{
 		startEntry(testSpec(100, 500), 0, "ana-1"),
 		startEntry(next, 0, "ben-1"),
-		{Verb: Advance, Service: "libro", Number: 1, Step: 2, Fence: 2},
-		{Verb: Rollback, Service: "libro", Number: 1, Step: 1, Fence: 1},
-		{Verb: Rollback, Service: "libro", Number: 1, Step: 2, Fence: 2},
-		{Verb: Pause, Service: "libro", Number: 1, Rev: 1, Mark: "ben-2"},
+		{Verb: Advance, Service: "libro", Number: 1, Step: 2, FencingToken: 2},
+		{Verb: Rollback, Service: "libro", Number: 1, Step: 1, FencingToken: 1},
+		{Verb: Rollback, Service: "libro", Number: 1, Step: 2, FencingToken: 2},
+		{Verb: Pause, Service: "libro", Number: 1, Revision: 1, CallID: "ben-2"},
 		startEntry(next, 2, "ben-3"),
 	}
 	var each func(left []int, done []int)
@@ -158,20 +158,20 @@
 			if v != routing.Taken {
 				continue
 			}
-			marks[e.Mark]++
+			marks[e.CallID]++
 			r := s.Run("libro")
-			must.False(t, e.Mark != "" && marks[e.Mark] > 1)
-			must.False(t, e.Fence != 0 && e.Fence < fence)
-			fence = max(fence, e.Fence)
+			must.False(t, e.CallID != "" && marks[e.CallID] > 1)
+			must.False(t, e.FencingToken != 0 && e.FencingToken < fence)
+			fence = max(fence, e.FencingToken)
 			must.False(t, ended[r.Number] || e.Verb == Start && before.Phase == Running)
 			must.True(t, e.Verb == Start || e.Number == r.Number)
-			must.False(t, e.Verb == Advance && before.Held)
+			must.False(t, e.Verb == Advance && before.Paused)
 			ended[r.Number] = r.Phase != Running
 		}
 		must.Eq(t, 1, marks["ana-1"]+marks["ben-1"]) // one of two wins
 		for mark, n := range marks {
 			if mark != "" && n > 0 { // the same again
-				v, err := s.Apply(&Entry{Verb: Rollback, Service: "libro", Mark: mark})
+				v, err := s.Apply(&Entry{Verb: Rollback, Service: "libro", CallID: mark})
 				must.True(t, v == routing.Already && err == nil)
 			}
 		}
@@ -185,14 +185,14 @@
 	for i := range 60 {
 		rev := uint64(0)
 		if r := s.Run("libro"); r != nil {
-			rev = r.Rev
+			rev = r.Revision
 		}
 		v, err := s.Apply(startEntry(testSpec(100), rev, fmt.Sprint(i)))
 		must.Eq(t, routing.Taken, v, must.Sprint(err))
 		r := s.Run("libro")
 		for range 60 {
-			e := &Entry{Verb: Pause, Service: "libro", Number: r.Number, Step: 1, Fence: 1, Why: strings.Repeat("x", 200)}
-			e.Counts[Canary][Write].Ends = 7
+			e := &Entry{Verb: Pause, Service: "libro", Number: r.Number, Step: 1, FencingToken: 1, Reason: strings.Repeat("x", 200)}
+			e.Counts[Canary][Write].Outcomes = 7
 			if i == 0 {
 				read, unread := DecodeEntry(e.Encode())
 				must.NoError(t, unread)
@@ -202,7 +202,7 @@
 			_, err = s.Apply(e)
 			must.NoError(t, err)
 		}
-		_, err = s.Apply(&Entry{Verb: Rollback, Service: "libro", Number: r.Number, Rev: r.Rev})
+		_, err = s.Apply(&Entry{Verb: Rollback, Service: "libro", Number: r.Number, Revision: r.Revision})
 		must.NoError(t, err)
 	}
 	must.Eq(t, maxEnded, len(s.Ended()))
@@ -219,10 +219,10 @@
 func TestPartitionedNodeOnlyLowersShare(t *testing.T) {
 	s := NewState()
 	e := startEntry(testSpec(9000), 0, "")
-	e.Room.New = 10
+	e.Capacity.Canary = 10
 	_, err := s.Apply(e)
 	must.ErrorContains(t, err, "steps[0].share") // no room for so many
-	e.Room.New = 1000
+	e.Capacity.Canary = 1000
 	_, err = s.Apply(e)
 	must.NoError(t, err)
 	user := []byte("someone")
@@ -252,7 +252,7 @@
 	must.Eq(t, 0, late.Share("libro"))
 	must.Eq(t, Baseline, late.BackendSide("libro", "v1.5"))
 	done := NewState()
-	must.NoError(t, apply(done, startEntry(testSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Rev: 1}))
+	must.NoError(t, apply(done, startEntry(testSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Revision: 1}))
 	for i, want := range []Side{Baseline, Canary} { // a third version, which another roll-out may have rolled back
 		ended := NewNode("a", 1, 0)
 		ended.ApplyState(done)
@@ -266,7 +266,7 @@
 func apply(s *State, all ...*Entry) error {
 	for _, e := range all {
 		if e.Verb == Start {
-			e.Room.New = 1000
+			e.Capacity.Canary = 1000
 		}
 		if _, err := s.Apply(e); err != nil {
 			return err
@@ -283,7 +283,7 @@
 		s := NewState()
 		s.Apply(startEntry(testSpec(100), 0, "first"))
 		pause := func(i int) *Entry {
-			return &Entry{Verb: Pause, Service: "libro", Number: 1, Mark: fmt.Sprint("m", i)}
+			return &Entry{Verb: Pause, Service: "libro", Number: 1, CallID: fmt.Sprint("m", i)}
 		}
 		for i := range 300 {
 			s.Apply(pause(i))
@@ -291,7 +291,7 @@
 		if old {
 			k := s.stored()
 			for i := 300 - maxStoredCalls; i < 300; i++ {
-				k.Marks = append(k.Marks, pause(i).Mark)
+				k.Marks = append(k.Marks, pause(i).CallID)
 			}
 			var err error
 			s, err = Restore(logentry.Encode(k))
@@ -307,7 +307,7 @@
 			v, err := s.Decide(startEntry(testSpec(100), 0, "first"))
 			must.Eq(t, routing.Unclear, v)
 			must.Error(t, err)
-			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Rev, "second")) // its rev stands: it never was
+			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Revision, "second")) // its rev stands: it never was
 			must.Eq(t, routing.Conflict, v)
 			other := testSpec(100)
 			other.Service = "other"
--- a/internal/gateway/rollout/stored.go
+++ b/internal/gateway/rollout/stored.go
@@ -2,23 +2,162 @@
 
 import "clovergap/internal/gateway/logentry"
 
-// storedState is the state as a snapshot has it. Gob goes by these names, and all versions read them.
-type storedState struct {
-	Runs  []Run
-	Ended []Run
-	Last  Number
-	Rev   uint64
-	Fence uint64   // fencing token
-	Marks []string // IDs of the last maxStoredCalls calls, in snapshots of programs before there was a Window
+// The forms in which gob stores entries and snapshots, and sends reports. Gob goes by the names of fields, and other versions read what
+// this one writes, so these names stay as they are, whatever the types that the code uses call them. Spec and its parts are
+// stored as they are: their names are those of operators' orders.
+type (
+	storedEntry struct {
+		Verb    Verb
+		Service string
+		Mark    string // CallID
+		By      string // Author
+		At      int64  // UnixMilli
+		Why     string // Reason
+		Rev     uint64 // Revision
+		Number  Number
+		Step    int
+		Fence   uint64 // FencingToken
+		Order   *Spec
+		Room    storedCapacity
+		Counts  storedCounts
+	}
+	storedState struct {
+		Runs  []storedRun
+		Ended []storedRun
+		Last  Number
+		Rev   uint64   // revision
+		Fence uint64   // fencing token
+		Marks []string // IDs of the last maxStoredCalls calls, in snapshots of programs before there was a Window
 
-	Window []byte // logentry.DedupWindow of the calls' IDs, by the revision that each made
+		Window []byte // logentry.DedupWindow of the calls' IDs, by the revision that each made
+	}
+	storedRun struct {
+		Number  Number
+		Rev     uint64 // Revision
+		Order   Spec
+		Room    storedCapacity
+		Phase   Phase
+		Step    int
+		Held    bool // Paused
+		History []storedHistory
+	}
+	storedHistory struct {
+		Verb   Verb
+		Step   int
+		Share  int
+		By     string // Author
+		At     int64  // UnixMilli
+		Why    string // Reason
+		Counts storedCounts
+	}
+	storedCapacity struct{ Old, New, Busy int } // Baseline, Canary, Busy
+	storedCounts   [2][2]storedTally
+	storedTally    struct {
+		Ends  uint32                 // Outcomes
+		By    [causeCount]uint32     // ByCause
+		Times [LatencyBuckets]uint32 // Latencies
+	}
+)
+
+// WireReport is a Report as gob sends it.
+type WireReport struct {
+	Service  string
+	Number   Number
+	Step     int
+	Lap      int
+	Life     uint64 // Incarnation
+	Seq      uint64
+	Zone     string
+	Alone    bool // RolledBack
+	Backs    int  // CanaryBackends
+	Counts   storedCounts
+	Evidence []byte
 }
 
 const maxStoredCalls = 256
 
+func storeCounts(c *Counts) (stored storedCounts) {
+	for side := range c {
+		for kind := range c[side] {
+			t := &c[side][kind]
+			stored[side][kind] = storedTally{Ends: t.Outcomes, By: t.ByCause, Times: t.Latencies}
+		}
+	}
+	return stored
+}
+
+func (s *storedCounts) counts() (c Counts) {
+	for side := range s {
+		for kind := range s[side] {
+			t := &s[side][kind]
+			c[side][kind] = Tally{Outcomes: t.Ends, ByCause: t.By, Latencies: t.Times}
+		}
+	}
+	return c
+}
+
+func storeCapacity(c Capacity) storedCapacity { return storedCapacity{c.Baseline, c.Canary, c.Busy} }
+
+func (s storedCapacity) capacity() Capacity { return Capacity{s.Old, s.New, s.Busy} }
+
+// Encode gives an entry's form in the log.
+func (e *Entry) Encode() []byte {
+	return logentry.Encode(storedEntry{Verb: e.Verb, Service: e.Service, Mark: e.CallID, By: e.Author, At: e.UnixMilli, Why: e.Reason, Rev: e.Revision,
+		Number: e.Number, Step: e.Step, Fence: e.FencingToken, Order: e.Spec, Room: storeCapacity(e.Capacity), Counts: storeCounts(&e.Counts)})
+}
+
+// DecodeEntry reads what Encode wrote.
+func DecodeEntry(b []byte) (*Entry, error) {
+	var s storedEntry
+	err := logentry.Decode(b, &s, "entry of a roll-out")
+	return &Entry{Verb: s.Verb, Service: s.Service, CallID: s.Mark, Author: s.By, UnixMilli: s.At, Reason: s.Why, Revision: s.Rev,
+		Number: s.Number, Step: s.Step, FencingToken: s.Fence, Spec: s.Order, Capacity: s.Room.capacity(), Counts: s.Counts.counts()}, err
+}
+
+// Wire gives a report as it is sent.
+func (r *Report) Wire() *WireReport {
+	return &WireReport{Service: r.Service, Number: r.Number, Step: r.Step, Lap: r.Lap, Life: r.Incarnation, Seq: r.Seq, Zone: r.Zone,
+		Alone: r.RolledBack, Backs: r.CanaryBackends, Counts: storeCounts(&r.Counts), Evidence: r.Evidence}
+}
+
+// Report gives a report that was sent.
+func (w *WireReport) Report() Report {
+	return Report{Service: w.Service, Number: w.Number, Step: w.Step, Lap: w.Lap, Incarnation: w.Life, Seq: w.Seq, Zone: w.Zone,
+		RolledBack: w.Alone, CanaryBackends: w.Backs, Counts: w.Counts.counts(), Evidence: w.Evidence}
+}
+
+// storeRuns gives nil for none, as the others do: gob leaves both out, but a state that was restored must equal its original.
+func storeRuns(runs []Run) (stored []storedRun) {
+	for i := range runs {
+		r := &runs[i]
+		s := storedRun{Number: r.Number, Rev: r.Revision, Order: r.Spec, Room: storeCapacity(r.Capacity), Phase: r.Phase, Step: r.Step, Held: r.Paused}
+		for j := range r.History {
+			h := &r.History[j]
+			s.History = append(s.History, storedHistory{Verb: h.Verb, Step: h.Step, Share: h.Share, By: h.Author, At: h.UnixMilli, Why: h.Reason,
+				Counts: storeCounts(&h.Counts)})
+		}
+		stored = append(stored, s)
+	}
+	return stored
+}
+
+func runsOf(stored []storedRun) (runs []Run) {
+	for i := range stored {
+		s := &stored[i]
+		r := Run{Number: s.Number, Revision: s.Rev, Spec: s.Order, Capacity: s.Room.capacity(), Phase: s.Phase, Step: s.Step, Paused: s.Held}
+		for j := range s.History {
+			h := &s.History[j]
+			r.History = append(r.History, HistoryEntry{Verb: h.Verb, Step: h.Step, Share: h.Share, Author: h.By, UnixMilli: h.At, Reason: h.Why,
+				Counts: h.Counts.counts()})
+		}
+		runs = append(runs, r)
+	}
+	return runs
+}
+
 // stored gives the state's stored form, but for the window of calls.
 func (s *State) stored() storedState {
-	return storedState{Runs: s.runs, Ended: s.ended, Last: s.Last, Rev: s.Rev, Fence: s.fencingToken}
+	return storedState{Runs: storeRuns(s.runs), Ended: storeRuns(s.ended), Last: s.Last, Rev: s.Rev, Fence: s.fencingToken}
 }
 
 // Snapshot encodes the state. Equal states give equal bytes in all processes of a version.
@@ -38,7 +177,7 @@
 	if err := logentry.Decode(b, &stored, "snapshot of roll-outs"); err != nil {
 		return s, err
 	}
-	s.runs, s.ended, s.Last, s.Rev, s.fencingToken = stored.Runs, stored.Ended, stored.Last, stored.Rev, stored.Fence
+	s.runs, s.ended, s.Last, s.Rev, s.fencingToken = runsOf(stored.Runs), runsOf(stored.Ended), stored.Last, stored.Rev, stored.Fence
 	if stored.Window == nil {
 		s.addStoredCalls(stored.Marks)
 		return s, nil
--- a/internal/gateway/rollout/versions_test.go
+++ b/internal/gateway/rollout/versions_test.go
@@ -31,21 +31,21 @@
 }
 
 func pastOrder() *Entry {
-	return &Entry{Verb: Start, Service: "libro", Mark: "call-1", By: "ana", At: 1764692000123, Why: "new release", Order: pastSpec(),
-		Room: Capacity{Old: 40, New: 30, Busy: 20}}
+	return &Entry{Verb: Start, Service: "libro", CallID: "call-1", Author: "ana", UnixMilli: 1764692000123, Reason: "new release", Spec: pastSpec(),
+		Capacity: Capacity{Baseline: 40, Canary: 30, Busy: 20}}
 }
 
 func pastVerdict() *Entry {
-	e := &Entry{Verb: Rollback, Service: "libro", Mark: "m", By: "duty", At: 5, Why: "writes: new 3 of 9 failed", Rev: 7, Number: 1, Step: 1, Fence: 9}
+	e := &Entry{Verb: Rollback, Service: "libro", CallID: "m", Author: "duty", UnixMilli: 5, Reason: "writes: new 3 of 9 failed", Revision: 7, Number: 1, Step: 1, FencingToken: 9}
 	for side := range e.Counts {
 		for kind := range e.Counts[side] {
 			tally := &e.Counts[side][kind]
-			tally.Ends = uint32(10*side + kind + 1)
-			for i := range tally.By {
-				tally.By[i] = uint32(100*side + 10*kind + i)
+			tally.Outcomes = uint32(10*side + kind + 1)
+			for i := range tally.ByCause {
+				tally.ByCause[i] = uint32(100*side + 10*kind + i)
 			}
-			for i := range tally.Times {
-				tally.Times[i] = uint32(1000*side + 100*kind + i)
+			for i := range tally.Latencies {
+				tally.Latencies[i] = uint32(1000*side + 100*kind + i)
 			}
 		}
 	}
@@ -73,22 +73,23 @@
 		must.False(t, s.CallApplied("call-5"))
 		must.SliceLen(t, 1, s.Ended())
 		ended := s.Ended()[0]
-		must.Eq(t, *pastSpec(), ended.Order)
-		must.True(t, ended.Phase == RolledBack && ended.Held && ended.Number == 1)
-		must.Eq(t, HistoryEntry{Verb: Rollback, Step: 1, By: "duty", At: 5, Why: "writes: new 3 of 9 failed", Counts: pastVerdict().Counts}, ended.History[2])
+		must.Eq(t, *pastSpec(), ended.Spec)
+		must.True(t, ended.Phase == RolledBack && ended.Paused && ended.Number == 1)
+		must.Eq(t, HistoryEntry{Verb: Rollback, Step: 1, Author: "duty", UnixMilli: 5, Reason: "writes: new 3 of 9 failed", Counts: pastVerdict().Counts}, ended.History[2])
 		r := s.Run("libro")
-		must.True(t, r.Number == 2 && r.Rev == 5 && r.Phase == Running && r.Step == 1 && r.Held && r.Order.New == "v3")
-		must.Eq(t, Capacity{Old: 40, New: 30, Busy: 20}, r.Room)
+		must.True(t, r.Number == 2 && r.Revision == 5 && r.Phase == Running && r.Step == 1 && r.Paused && r.Spec.New == "v3")
+		must.Eq(t, Capacity{Baseline: 40, Canary: 30, Busy: 20}, r.Capacity)
 	}
 }
 
 // Guards against reports of nodes of the version before that are read with a field less, while both versions run.
 func TestReportsOfTheVersionBefore(t *testing.T) {
-	var r Report
-	must.NoError(t, logentry.Decode(pastBytes(t, "report"), &r, "report"))
+	var wire WireReport
+	must.NoError(t, logentry.Decode(pastBytes(t, "report"), &wire, "report"))
+	r := wire.Report()
 	evidence := r.Evidence
 	r.Evidence = nil
-	must.Eq(t, Report{Service: "libro", Number: 2, Step: 1, Lap: 3, Life: 1 << 60, Seq: 12, Zone: "a", Alone: true, Backs: 5, Counts: pastVerdict().Counts}, r)
+	must.Eq(t, Report{Service: "libro", Number: 2, Step: 1, Lap: 3, Incarnation: 1 << 60, Seq: 12, Zone: "a", RolledBack: true, CanaryBackends: 5, Counts: pastVerdict().Counts}, r)
 	e, err := decodeEvidence(evidence)
 	must.NoError(t, err)
 	for window := range windowCount {
@@ -194,8 +195,9 @@
 	s, err := Restore(pastBytes(t, "snapshot"))
 	must.NoError(t, err)
 	sameAsBefore[oldState](t, "snapshot", s.Snapshot())
-	var r Report
-	must.NoError(t, logentry.Decode(pastBytes(t, "report"), &r, "report"))
-	sameAsBefore[oldReport](t, "report", logentry.Encode(r))
+	var wire WireReport
+	must.NoError(t, logentry.Decode(pastBytes(t, "report"), &wire, "report"))
+	r := wire.Report()
+	sameAsBefore[oldReport](t, "report", logentry.Encode(r.Wire()))
 	sameAsBefore[oldLap](t, "lap", logentry.Encode(Lap{Service: "libro", Number: 2, Lap: 4}))
 }
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -57,7 +57,7 @@
 
 // decideRolloutFinal gives the verdicts on a roll-out's entry that no later entry changes.
 func (m *Machine) decideRolloutFinal(e *rollout.Entry) (routing.Verdict, error) {
-	if m.Rollouts.CallApplied(e.Mark) {
+	if m.Rollouts.CallApplied(e.CallID) {
 		return routing.Already, nil
 	}
 	if err := e.Validate(); err != nil {
--- a/internal/gateway/statemachine/machine_test.go
+++ b/internal/gateway/statemachine/machine_test.go
@@ -31,17 +31,17 @@
 		EncodeEntry(KindReplaceConfig, config(3, 0)), AssignSlotEntry(again), EncodeEntry('z', []byte("of a newer program")), nil, EncodeEntry(KindAssignSlot, []byte("no slot")),
 		EncodeEntry(KindAmendConfig, []byte(`{"generation":5,"parent_version":3,"upserts":{"services":[{"name":"t"}]}}`)),
 		EncodeEntry(KindReplaceConfig, []byte("{")), AssignSlotEntry(slotHolder("c")), EncodeEntry(KindReplaceConfig, config(9, 5)),
-		rolloutEntry(rollout.Entry{Verb: rollout.Start, Mark: "m", Order: testRollout}),
-		rolloutEntry(rollout.Entry{Verb: rollout.Start, Mark: "m", Order: testRollout}),
-		rolloutEntry(rollout.Entry{Verb: rollout.Advance, Number: 1, Step: 2, Fence: 5}), EncodeEntry(KindRollout, []byte("{")),
-		rolloutEntry(rollout.Entry{Verb: rollout.Rollback, Number: 1, Step: 1, Fence: 5, Why: "bad"})}
+		rolloutEntry(rollout.Entry{Verb: rollout.Start, CallID: "m", Spec: testRollout}),
+		rolloutEntry(rollout.Entry{Verb: rollout.Start, CallID: "m", Spec: testRollout}),
+		rolloutEntry(rollout.Entry{Verb: rollout.Advance, Number: 1, Step: 2, FencingToken: 5}), EncodeEntry(KindRollout, []byte("{")),
+		rolloutEntry(rollout.Entry{Verb: rollout.Rollback, Number: 1, Step: 1, FencingToken: 5, Reason: "bad"})}
 }
 
 var testRollout = &rollout.Spec{Service: "s", Old: "v1", New: "v2", Steps: []rollout.Step{{Share: 100,
 	MinTime: rollout.Duration(time.Second)}}}
 
 func rolloutEntry(e rollout.Entry) []byte {
-	e.Service, e.Room = "s", rollout.Capacity{Old: 9, New: 9, Busy: 5}
+	e.Service, e.Capacity = "s", rollout.Capacity{Baseline: 9, Canary: 9, Busy: 5}
 	return EncodeEntry(KindRollout, e.Encode())
 }
 
@@ -105,7 +105,7 @@
 	must.NoError(t, err)
 	must.Eq(t, whole.Configs.Snapshot(), s.Configs.Snapshot())
 	must.False(t, s.Rollouts.HasRollouts())
-	v, _ := s.Apply(rolloutEntry(rollout.Entry{Verb: rollout.Start, Order: testRollout}))
+	v, _ := s.Apply(rolloutEntry(rollout.Entry{Verb: rollout.Start, Spec: testRollout}))
 	must.Eq(t, routing.Taken, v)
 	for _, bad := range [][]byte{nil, []byte("x"), snaps[3][:len(snaps[3])/2]} {
 		_, err := Restore(bad)
--- a/internal/gateway/statemachine/process_test.go
+++ b/internal/gateway/statemachine/process_test.go
@@ -34,8 +34,8 @@
 		gob.NewEncoder(io.Discard).Encode(membership.WireHello{})
 		fallthrough
 	case "roll-outs":
-		gob.NewEncoder(io.Discard).Encode(rollout.Report{})
-		gob.NewEncoder(io.Discard).Encode(rollout.Run{})
+		gob.NewEncoder(io.Discard).Encode(rollout.WireReport{})
+		(&rollout.Entry{Spec: &rollout.Spec{}}).Encode()
 		fallthrough
 	default:
 		fmt.Print(fold())
