--- a/internal/architecture/names_test.go
+++ b/internal/architecture/names_test.go
@@ -158,7 +158,9 @@
 		must.True(t, seen[folder], must.Sprintf("%s: no package is at %s", wholePackagesList, folder))
 	}
 	for _, e := range exceptions {
-		must.True(t, used[e], must.Sprintf("%s: %s %s stands nowhere any more", nameExceptionsList, e.folder, e.name))
+		if !used[e] {
+			t.Errorf("%s: %s %s stands nowhere any more", nameExceptionsList, e.folder, e.name)
+		}
 	}
 }
 
