--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -82,7 +82,7 @@
 	saturatedAt  time.Duration // when that was last so
 }
 
-// New makes a controller that knows its settings and nothing else. An error names the first setting that is missing or wrong.
+// New makes a controller that knows its settings and nothing else. The error is a *SettingError, of the first setting that is missing or wrong.
 func New(seed int64, s control.Settings, now time.Duration) (*Controller, error) {
 	r := &settingsReader{settings: s}
 	self := control.GatewayID(r.count("me", 1<<20))
--- a/control/loadbalancer/settings.go
+++ b/control/loadbalancer/settings.go
@@ -48,15 +48,23 @@
 	overCost  float64 // what the customer is charged for it
 }
 
-// settingsReader reads settings and keeps the first complaint.
+// SettingError says what is wrong with a setting.
+type SettingError struct {
+	Name    string // of the setting, or of several that go together
+	Problem string
+}
+
+func (e *SettingError) Error() string { return fmt.Sprintf("setting %s: %s", e.Name, e.Problem) }
+
+// settingsReader reads settings and keeps the first error.
 type settingsReader struct {
 	settings control.Settings
-	err      error
+	err      error // nil or a *SettingError
 }
 
-func (s *settingsReader) fail(name, why string) {
+func (s *settingsReader) fail(name, problem string) {
 	if s.err == nil {
-		s.err = fmt.Errorf("setting %s: %s", name, why)
+		s.err = &SettingError{Name: name, Problem: problem}
 	}
 }
 
