--- a/control/quota/versions_test.go
+++ b/control/quota/versions_test.go
@@ -58,3 +58,24 @@
 		})
 	}
 }
+
+// A caller can tell a datagram of another version from a malformed one.
+func TestErrorsOfDatagrams(t *testing.T) {
+	whole := (&Message{Epoch: 1, Seq: 1, Deltas: []Delta{{Customer: 1, Units: 1}}}).Encode()
+	for _, tc := range []struct {
+		name    string
+		payload []byte
+		want    error
+	}{
+		{"empty", nil, ErrMessageVersion},
+		{"another version", append([]byte{messageVersion + 1}, whole[1:]...), ErrMessageVersion},
+		{"cut short", whole[:len(whole)-1], ErrMalformed},
+		{"too long", append(whole[:len(whole):len(whole)], 0), ErrMalformed},
+		{"out of range", (&Message{Epoch: 1, Seq: 1, Deltas: []Delta{{Customer: maxCustomer + 1}}}).Encode(), ErrMalformed},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			_, err := DecodeMessage(tc.payload)
+			must.ErrorIs(t, err, tc.want)
+		})
+	}
+}
