--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -83,13 +83,13 @@
 	catalog        catalog
 
 	// Other nodes.
-	roster          *membership.Roster
-	slotsChanged    bool // the roster has yet to be told the slots
-	slotRequestedAt time.Duration
-	slotCount       int
-	reachable       int           // nodes with a slot that live
-	heartbeatAt     time.Duration // when heartbeats last went out; 0: they are due at the next tick
-	calls           *callRouter
+	roster       *membership.Roster
+	slotsChanged bool // the roster has yet to get the slots
+	slotRequest  slotRequester
+	slotCount    int
+	reachable    int           // nodes with a slot that live
+	heartbeatAt  time.Duration // when heartbeats last went out; 0: they are due at the next tick
+	calls        *callRouter
 
 	// Coordination.
 	groups       *groupHost
@@ -141,7 +141,7 @@
 	n.registryHost.pending = map[registry.Ticket]pendingHeartbeat{}
 	n.coordination = coordination.New((*coordinationEnv)(n), coordination.Config{Address: n.peerAddr, Incarnation: n.incarnation,
 		HistoryRetention: n.settings.Bounds.WatchHistory})
-	n.groups = &groupHost{env: n}
+	n.groups, n.slotRequest = &groupHost{env: n}, slotRequester{node: n}
 	n.coordination.SetHost(n.groups)
 	if n.sockets != nil {
 		n.sockets.node = n
