--- a/control/loadbalancer/settings.go
+++ b/control/loadbalancer/settings.go
@@ -54,7 +54,7 @@
 	Problem string
 }
 
-func (e *SettingError) Error() string { return fmt.Sprintf("setting %s: %s", e.Name, e.Problem) }
+func (s *SettingError) Error() string { return fmt.Sprintf("setting %s: %s", s.Name, s.Problem) }
 
 // settingsReader reads settings and keeps the first error.
 type settingsReader struct {
