--- a/cmd/gateway/change.go
+++ b/cmd/gateway/change.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	if c.Parent != nil {
-		if body, err = onTop(body, *c.Parent); err != nil {
+		if body, err = withParent(body, *c.Parent); err != nil {
 			return errors.Wrap(err, c.File)
 		}
 	}
@@ -64,10 +64,10 @@
 	}
 	_ = json.Unmarshal(body, &said) // it was taken: the node could read it
 	if c.JSON {
-		told := map[string]any{"generation": said.Generation, "node": a.node, "tries": a.tries}
+		told := map[string]any{"generation": said.Generation, "node": a.node, "tries": a.attempts}
 		return json.NewEncoder(out).Encode(told)
 	}
-	_, err = fmt.Fprintf(out, "version %d is taken (%s, tries %d)\n", said.Generation, a.node, a.tries)
+	_, err = fmt.Fprintf(out, "version %d is taken (%s, tries %d)\n", said.Generation, a.node, a.attempts)
 	return err
 }
 
@@ -82,9 +82,9 @@
 	return os.ReadFile(name)
 }
 
-// onTop sets parent_version in an object and leaves all other bytes as they are: the same file and version
+// withParent sets parent_version in an object and leaves all other bytes as they are: the same file and version
 // always give the same bytes.
-func onTop(body []byte, parent uint64) ([]byte, error) {
+func withParent(body []byte, parent uint64) ([]byte, error) {
 	const field = "parent_version"
 	if !json.Valid(body) {
 		return nil, errors.New("not JSON")
--- a/cmd/gateway/check.go
+++ b/cmd/gateway/check.go
@@ -24,7 +24,7 @@
 // run reads the files as a node would, offline.
 func (c *checkCmd) run(out io.Writer) error {
 	if c.Settings == "" && c.Config == "" {
-		return wrongly("name a file with --settings or --config")
+		return usageErrorf("name a file with --settings or --config")
 	}
 	if c.Settings != "" {
 		s, err := settings.Load(c.Settings)
--- a/cmd/gateway/coordination.go
+++ b/cmd/gateway/coordination.go
@@ -17,11 +17,11 @@
 
 // locksCmd is `gateway locks`.
 type locksCmd struct {
-	List   *locksListCmd   `arg:"subcommand:list" help:"list the locks that are held"`
-	Holder *locksHolderCmd `arg:"subcommand:holder" help:"tell who holds a lock"`
+	List  *locksListCmd  `arg:"subcommand:list" help:"list the locks that are held"`
+	Owner *locksOwnerCmd `arg:"subcommand:holder" help:"tell who holds a lock"`
 }
 
-func (*locksCmd) run(io.Writer) error { return wrongly("give list or holder") }
+func (*locksCmd) run(io.Writer) error { return usageErrorf("give list or holder") }
 
 func (*locksCmd) examples() string {
 	return `  gateway locks list
@@ -60,7 +60,7 @@
 		if err != nil {
 			return err
 		}
-		return print(out, text)
+		return printJSON(out, text)
 	}
 	t := newTable(out, "LOCK", "HOLDER", "FENCE", "LEFT")
 	for _, l := range all {
@@ -69,12 +69,12 @@
 	return t.Flush()
 }
 
-type locksHolderCmd struct {
+type locksOwnerCmd struct {
 	caller
 	Name string `arg:"positional,required" placeholder:"LOCK"`
 }
 
-func (l *locksHolderCmd) run(out io.Writer) error {
+func (l *locksOwnerCmd) run(out io.Writer) error {
 	list, _, err := readAs[controlapi.LockList](l.call("/api/Locks.Read/"+url.PathEscape(l.Name), nil))
 	if err != nil {
 		return err
@@ -89,7 +89,7 @@
 	Watch *keysWatchCmd `arg:"subcommand:watch" help:"print the puts in a group of keys as they come"`
 }
 
-func (*keysCmd) run(io.Writer) error { return wrongly("give get, put or watch") }
+func (*keysCmd) run(io.Writer) error { return usageErrorf("give get, put or watch") }
 
 func (*keysCmd) examples() string {
 	return `  gateway keys get feature.colour
@@ -108,7 +108,7 @@
 		return err
 	}
 	if k.JSON {
-		return print(out, raw)
+		return printJSON(out, raw)
 	}
 	t := newTable(out, "KEY", "REVISION", "VALUE")
 	t.row(k.Key, v.Revision, v.Value)
@@ -132,9 +132,9 @@
 		return err
 	}
 	if k.JSON {
-		return print(out, raw)
+		return printJSON(out, raw)
 	}
-	_, err = fmt.Fprintln(out, plain(k.Key), "has revision", v.Revision)
+	_, err = fmt.Fprintln(out, printable(k.Key), "has revision", v.Revision)
 	return err
 }
 
@@ -145,13 +145,13 @@
 	Group string `arg:"positional,required" placeholder:"GROUP." help:"the keys' name up to the first dot, with the dot"`
 }
 
-// watchWait is how long a watch waits at a node; a node that says nothing is left after a second.
-const watchWait = 500 * time.Millisecond
+// watchTimeout is how long a watch waits at a node; a node that says nothing is left after a second.
+const watchTimeout = 500 * time.Millisecond
 
 func (k *keysWatchCmd) run(out io.Writer) error {
 	after := k.After
 	for seen := 0; ; {
-		path := fmt.Sprintf("/api/watch/%s?after=%d&wait_ms=%d", url.PathEscape(k.Group), after, watchWait.Milliseconds())
+		path := fmt.Sprintf("/api/watch/%s?after=%d&wait_ms=%d", url.PathEscape(k.Group), after, watchTimeout.Milliseconds())
 		all, _, err := readAs[controlapi.KeyEvents](k.call(path, nil))
 		if err != nil {
 			return err
@@ -162,10 +162,10 @@
 				if err != nil {
 					return err
 				}
-				if err := print(out, text); err != nil {
+				if err := printJSON(out, text); err != nil {
 					return err
 				}
-			} else if _, err := fmt.Fprintln(out, e.Revision, plain(e.Name), plain(e.Value)); err != nil {
+			} else if _, err := fmt.Fprintln(out, e.Revision, printable(e.Name), printable(e.Value)); err != nil {
 				return err
 			}
 			if seen++; k.Count > 0 && seen == k.Count {
@@ -174,19 +174,19 @@
 		}
 		after = all.Revision
 		if after == 0 { // a group without a put has no revision to wait after
-			time.Sleep(watchWait)
+			time.Sleep(watchTimeout)
 		}
 	}
 }
 
 // groupsCmd is `gateway groups`.
 type groupsCmd struct {
-	List   *groupsListCmd   `arg:"subcommand:list" help:"list the groups, as the asked node knows them"`
-	Leader *groupsLeaderCmd `arg:"subcommand:leader" help:"tell who leads the group of a name"`
-	Move   *groupsMoveCmd   `arg:"subcommand:move" help:"have another member lead a group"`
+	List     *groupsListCmd     `arg:"subcommand:list" help:"list the groups, as the asked node knows them"`
+	Leader   *groupsLeaderCmd   `arg:"subcommand:leader" help:"tell who leads the group of a name"`
+	Transfer *groupsTransferCmd `arg:"subcommand:move" help:"have another member lead a group"`
 }
 
-func (*groupsCmd) run(io.Writer) error { return wrongly("give list, leader or move") }
+func (*groupsCmd) run(io.Writer) error { return usageErrorf("give list, leader or move") }
 
 func (*groupsCmd) examples() string {
 	return `  gateway groups list
@@ -202,7 +202,7 @@
 		return err
 	}
 	if g.JSON {
-		return print(out, raw)
+		return printJSON(out, raw)
 	}
 	t := newTable(out, "GROUP", "LEADER", "VIEW", "SYNCED", "MEMBERS", "LOCKS", "NUMBERS", "KEYS", "BYTES")
 	for _, groupStatus := range list.Groups {
@@ -241,33 +241,33 @@
 	return errors.Errorf("%s knows nothing of group %d", list.Node, id)
 }
 
-type groupsMoveCmd struct {
+type groupsTransferCmd struct {
 	caller
-	Group int    `arg:"positional,required" placeholder:"GROUP"`
-	To    string `arg:"positional,required" placeholder:"ADDR" help:"inner address of a member: see groups list --json"`
+	Group  int    `arg:"positional,required" placeholder:"GROUP"`
+	Target string `arg:"positional,required" placeholder:"ADDR" help:"inner address of a member: see groups list --json"`
 }
 
 // run asks the node that leads the group, which alone can hand it over.
-func (g *groupsMoveCmd) run(out io.Writer) error {
+func (g *groupsTransferCmd) run(out io.Writer) error {
 	list, _, err := g.groups()
 	if err != nil {
 		return err
 	}
 	at := slices.IndexFunc(list.Groups, func(groupStatus controlapi.GroupStatus) bool { return groupStatus.Group == g.Group })
 	if at < 0 {
-		return wrongly("there is no group %d", g.Group)
+		return usageErrorf("there is no group %d", g.Group)
 	}
 	leader := list.Groups[at]
 	if leader.Control == "" {
 		return errors.Errorf("%s does not know who leads group %d", list.Node, g.Group)
 	}
-	body, err := json.Marshal(controlapi.GroupMove{To: g.To})
+	body, err := json.Marshal(controlapi.GroupMove{To: g.Target})
 	if err != nil {
 		return err
 	}
-	if _, err = g.ask([]string{leader.Control}, 1, "/api/Groups.Move/"+strconv.Itoa(g.Group), body); err != nil {
+	if _, err = g.callNodes([]string{leader.Control}, 1, "/api/Groups.Move/"+strconv.Itoa(g.Group), body); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintln(out, "asked", plain(g.To), "to lead group", g.Group)
+	_, err = fmt.Fprintln(out, "asked", printable(g.Target), "to lead group", g.Group)
 	return err
 }
--- a/cmd/gateway/gateway_test.go
+++ b/cmd/gateway/gateway_test.go
@@ -30,7 +30,7 @@
 	bodies  []string
 }
 
-func (s *stubNode) came() []string {
+func (s *stubNode) received() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bodies
@@ -58,7 +58,7 @@
 	}
 }
 
-func serve(t *testing.T, answers ...string) (*stubNode, string) {
+func serveAnswers(t *testing.T, answers ...string) (*stubNode, string) {
 	s := &stubNode{t: t, answers: answers}
 	srv := httptest.NewServer(s)
 	srv.Config.ErrorLog = nil
@@ -73,15 +73,15 @@
 }
 
 func TestCallMovesOnAndSendsTheSame(t *testing.T) {
-	a, at := serve(t, "close", "503 busy", "429")
-	b, bt := serve(t, "500", "408", "200")
+	a, at := serveAnswers(t, "close", "503 busy", "429")
+	b, bt := serveAnswers(t, "500", "408", "200")
 	var pauses []time.Duration
-	c := caller{Control: at + ", " + bt, Tries: 10, sleep: func(d time.Duration) { pauses = append(pauses, d) }}
+	c := caller{Control: at + ", " + bt, Attempts: 10, sleep: func(d time.Duration) { pauses = append(pauses, d) }}
 	got, err := c.call("/api/Config.Replace", []byte(config))
 	must.NoError(t, err)
-	must.Eq(t, 6, got.tries)
+	must.Eq(t, 6, got.attempts)
 	must.Eq(t, bt, got.node)
-	for _, body := range append(a.came(), b.came()...) {
+	for _, body := range append(a.received(), b.received()...) {
 		must.Eq(t, config, body)
 	}
 	must.SliceLen(t, 5, pauses)
@@ -92,34 +92,34 @@
 func TestCallEnds(t *testing.T) {
 	for _, c := range []struct {
 		answer string
-		kind   kind
+		kind   failureKind
 		tries  int
 		open   bool
 	}{
 		{`412 {"error":"conflict","place":"parent_version","detail":"is 5, but 6 is current"}`, conflict, 1, false},
 		{"400", invalid, 1, false},
 		{"413", tooLarge, 1, false},
-		{"404", unknown, 3, false},
-		{"429", busy, 4, false},
-		{"503", unclear, 4, true},
-		{"503;429", busy, 4, true}, // the first try may have been taken
+		{"404", notFound, 3, false},
+		{"429", overloaded, 4, false},
+		{"503", ambiguous, 4, true},
+		{"503;429", overloaded, 4, true}, // the first try may have been taken
 		{"close;412", conflict, 2, false},
-		{"204", taken, 1, false},
-		{"302 elsewhere", astray, 4, true},
-		{"close", silent, 4, true},
+		{"204", succeeded, 1, false},
+		{"302 elsewhere", malformed, 4, true},
+		{"close", noResponse, 4, true},
 	} {
-		s, at := serve(t, strings.Split(c.answer, ";")...)
-		call := caller{Control: at, Tries: 4, sleep: func(time.Duration) {}}
+		s, at := serveAnswers(t, strings.Split(c.answer, ";")...)
+		call := caller{Control: at, Attempts: 4, sleep: func(time.Duration) {}}
 		_, err := call.call("/api/Config.Replace", []byte(config))
-		must.SliceLen(t, c.tries, s.came(), must.Sprint(c.answer))
-		if c.kind == taken {
+		must.SliceLen(t, c.tries, s.received(), must.Sprint(c.answer))
+		if c.kind == succeeded {
 			must.NoError(t, err)
 			continue
 		}
-		f, ok := err.(*failure)
+		f, ok := err.(*callError)
 		must.True(t, ok)
 		must.Eq(t, c.kind, f.kind, must.Sprint(c.answer))
-		must.Eq(t, c.open, strings.Contains(f.Error(), maybe), must.Sprint(c.answer))
+		must.Eq(t, c.open, strings.Contains(f.Error(), mayHaveBeenApplied), must.Sprint(c.answer))
 		if strings.Contains(c.answer, "detail") {
 			must.StrContains(t, f.Error(), "at parent_version: is 5, but 6 is current")
 		}
@@ -127,14 +127,14 @@
 }
 
 func TestCallFollowsTwice(t *testing.T) {
-	end, et := serve(t, "200")
-	_, second := serve(t, "307 http://"+et+"/api/Config.Amend")
-	_, first := serve(t, "307 http://"+second+"/api/Config.Amend")
-	_, zeroth := serve(t, "307 http://"+first+"/api/Config.Amend")
-	c := caller{Control: first, Tries: 1}
+	end, et := serveAnswers(t, "200")
+	_, second := serveAnswers(t, "307 http://"+et+"/api/Config.Amend")
+	_, first := serveAnswers(t, "307 http://"+second+"/api/Config.Amend")
+	_, zeroth := serveAnswers(t, "307 http://"+first+"/api/Config.Amend")
+	c := caller{Control: first, Attempts: 1}
 	_, err := c.call("/api/Config.Amend", []byte(config))
 	must.NoError(t, err)
-	must.Eq(t, []string{config}, end.came())
+	must.Eq(t, []string{config}, end.received())
 	c.Control = zeroth
 	_, err = c.call("/api/Config.Amend", []byte(config))
 	must.Error(t, err)
@@ -143,13 +143,13 @@
 func TestApply(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.json")
 	must.NoError(t, os.WriteFile(file, []byte(config), 0o600))
-	s, at := serve(t, "200", "412")
+	s, at := serveAnswers(t, "200", "412")
 	code, out, _ := invoke("apply", "--control", at, "--parent", "6", file)
-	must.Eq(t, good, code)
+	must.Eq(t, exitOK, code)
 	must.StrHasPrefix(t, "version 7 is taken", out)
-	must.Eq(t, strings.Replace(config, `"parent_version":5`, `"parent_version":6`, 1), s.came()[0])
+	must.Eq(t, strings.Replace(config, `"parent_version":5`, `"parent_version":6`, 1), s.received()[0])
 	code, _, complaint := invoke("apply", "--control", at, file)
-	must.Eq(t, failed, code)
+	must.Eq(t, exitFailed, code)
 	must.StrContains(t, complaint, "Another version is current")
 
 	for body, want := range map[string]string{
@@ -158,11 +158,11 @@
 		`{"a":{"parent_version":1}}`:   `{"parent_version":9,"a":{"parent_version":1}}`,
 		`{"a":1,"Parent_Version": 3 }`: `{"a":1,"Parent_Version": 9 }`,
 	} {
-		got, err := onTop([]byte(body), 9)
+		got, err := withParent([]byte(body), 9)
 		must.NoError(t, err)
 		must.Eq(t, want, string(got))
 	}
-	_, err := onTop([]byte(`[]`), 9)
+	_, err := withParent([]byte(`[]`), 9)
 	must.Error(t, err)
 }
 
@@ -171,16 +171,16 @@
 	for _, args := range [][]string{{}, {"dance"}, {"apply"}, {"read"}, {"check"}, {"read", "--control", "nowhere"},
 		{"read", "--control", "127.0.0.1:1", "--tries", "0"}, {"serve", "--settings", ""}} {
 		code, out, _ := invoke(args...)
-		must.Eq(t, calledWrong, code, must.Sprint(args))
+		must.Eq(t, exitUsage, code, must.Sprint(args))
 		must.Eq(t, "", out)
 	}
 	code, out, _ := invoke("apply", "--help")
-	must.Eq(t, good, code)
+	must.Eq(t, exitOK, code)
 	must.StrContains(t, out, "Examples:")
 }
 
 func TestConfigTables(t *testing.T) {
-	_, at := serve(t, "200 "+config)
+	_, at := serveAnswers(t, "200 "+config)
 	_, out, _ := invoke("tenants", "--control", at)
 	must.Eq(t, "NAME  PRIORITY  A SECOND  BURST  KEYS\nhuka  0         47        0      2b9w..., a...\n", out)
 	_, out, _ = invoke("tenants", "--control", at, "--json")
@@ -192,9 +192,9 @@
 	_, out, _ = invoke("read", "--control", at, "--json")
 	must.Eq(t, config+"\n", out)
 
-	_, none := serve(t, "200")
+	_, none := serveAnswers(t, "200")
 	code, _, complaint := invoke("read", "--control", none)
-	must.Eq(t, failed, code)
+	must.Eq(t, exitFailed, code)
 	must.StrContains(t, complaint, "no configuration")
 }
 
@@ -202,12 +202,12 @@
 	slot := 1
 	with := controlapi.NodeStatus{Node: "b", Core: &controlapi.StatusCore{Role: "leading", View: 3, Leader: "b:1",
 		Members: []controlapi.StatusMember{{Id: "01", Address: "b:1", Live: true}}, First: 5, Last: 9}}
-	_, bt := serve(t, "200 "+marshal(t, with))
+	_, bt := serveAnswers(t, "200 "+marshal(t, with))
 	without := controlapi.NodeStatus{Node: "a", Zone: "z", Unready: []string{"no slot"},
 		Nodes: []controlapi.StatusNode{{Name: "a", Address: "a:1", Live: true},
 			{Name: "b\x1b[2J", Address: "b:1", Control: bt, Slot: &slot, Disk: true}},
 		Backends: []controlapi.StatusBackend{{Id: "i-1", Target: "s"}, {Id: "i-2", Target: "t"}}}
-	_, at := serve(t, "200 "+marshal(t, without))
+	_, at := serveAnswers(t, "200 "+marshal(t, without))
 
 	_, out, _ := invoke("status", "--control", at)
 	must.StrContains(t, out, "no: no slot")
--- a/cmd/gateway/kinds.go
+++ b/cmd/gateway/kinds.go
@@ -7,63 +7,63 @@
 	"github.com/go-faster/errors"
 )
 
-// kind is why a call to a node was not done: a closed list.
-type kind uint8
+// failureKind is why a call to a node was not done: a closed list.
+type failureKind uint8
 
 const (
-	taken    kind = iota
-	invalid       // the call itself is wrong
-	conflict      // another version is current
-	tooLarge      // more than a node takes
-	unknown       // the node does not know this call
-	busy          // this try was not taken, and it may be asked again
-	unclear       // the node could not tell
-	astray        // an answer that no node gives
-	silent        // no answer came
+	succeeded  failureKind = iota
+	invalid                // the call itself is wrong
+	conflict               // another version is current
+	tooLarge               // more than a node takes
+	notFound               // the node does not know this call
+	overloaded             // this try was not taken, and it may be asked again
+	ambiguous              // the node could not tell
+	malformed              // an answer that no node gives
+	noResponse             // no answer came
 )
 
-// kinds words each kind, for people.
-var kinds = [...]struct{ name, sentence string }{
-	taken:    {"taken", "Done."},
-	invalid:  {"invalid", "The node refuses it as invalid; nothing was changed."},
-	conflict: {"conflict", "Another version is current; nothing was changed. Read it, change that, send again."},
-	tooLarge: {"too_large", "It is larger than a node takes; nothing was changed."},
-	unknown:  {"unknown", "It is not there, or the node does not know this call."},
-	busy:     {"busy", "The nodes are busy. Try again later."},
-	unclear:  {"unclear", "No node could settle it now."},
-	astray:   {"astray", "No node answers like this: is it the control address of a gateway?"},
-	silent:   {"silent", "No node answers."},
+// failureTexts words each kind, for people.
+var failureTexts = [...]struct{ name, sentence string }{
+	succeeded:  {"taken", "Done."},
+	invalid:    {"invalid", "The node refuses it as invalid; nothing was changed."},
+	conflict:   {"conflict", "Another version is current; nothing was changed. Read it, change that, send again."},
+	tooLarge:   {"too_large", "It is larger than a node takes; nothing was changed."},
+	notFound:   {"unknown", "It is not there, or the node does not know this call."},
+	overloaded: {"busy", "The nodes are busy. Try again later."},
+	ambiguous:  {"unclear", "No node could settle it now."},
+	malformed:  {"astray", "No node answers like this: is it the control address of a gateway?"},
+	noResponse: {"silent", "No node answers."},
 }
 
-// maybe is added for a change that got no clear answer.
-const maybe = "It may have been taken, or may still be: the same command again tells, and does no harm."
+// mayHaveBeenApplied is added for a change that got no clear answer.
+const mayHaveBeenApplied = "It may have been taken, or may still be: the same command again tells, and does no harm."
 
-// byStatus is the table from HTTP status to kind; what it does not name, kindOf settles by its first digit.
-var byStatus = map[int]kind{
+// byStatus is the table from HTTP status to kind; what it does not name, failureKindOf settles by its first digit.
+var byStatus = map[int]failureKind{
 	400: invalid, 422: invalid,
 	409: conflict, 412: conflict,
 	413: tooLarge,
-	404: unknown, 405: unknown,
-	408: busy, 429: busy,
+	404: notFound, 405: notFound,
+	408: overloaded, 429: overloaded,
 }
 
-func kindOf(status int) kind {
+func failureKindOf(status int) failureKind {
 	if k, ok := byStatus[status]; ok {
 		return k
 	}
 	switch status / 100 {
 	case 2:
-		return taken
+		return succeeded
 	case 4:
 		return invalid
 	case 5:
-		return unclear
+		return ambiguous
 	}
-	return astray
+	return malformed
 }
 
-// triesOf is after how many answers of a status the call is given up; 0: it goes on while there are tries.
-func triesOf(status int) int {
+// maxRejections is after how many answers of a status the call is given up; 0: it goes on while there are tries.
+func maxRejections(status int) int {
 	switch {
 	case status == 408 || status == 429:
 		return 0
@@ -75,42 +75,42 @@
 	return 0
 }
 
-// failure is a call that was not done.
-type failure struct {
-	kind   kind
-	status int    // 0: no answer
-	node   string // whom it was said by
-	place  string // where in the body
-	detail string
-	tries  int
-	doubt  bool // a change that may yet be in force
+// callError is a call that was not done.
+type callError struct {
+	kind      failureKind
+	status    int    // 0: no answer
+	node      string // whom it was said by
+	path      string // where in the body
+	detail    string
+	attempts  int
+	ambiguous bool // a change that may yet be in force
 }
 
-func (f *failure) Error() string {
+func (f *callError) Error() string {
 	var b strings.Builder
-	b.WriteString(kinds[f.kind].sentence)
-	if f.doubt {
-		b.WriteString(" " + maybe)
+	b.WriteString(failureTexts[f.kind].sentence)
+	if f.ambiguous {
+		b.WriteString(" " + mayHaveBeenApplied)
 	}
-	fmt.Fprintf(&b, " (%s", kinds[f.kind].name)
+	fmt.Fprintf(&b, " (%s", failureTexts[f.kind].name)
 	if f.status != 0 {
 		fmt.Fprintf(&b, ", status %d", f.status)
 	}
-	fmt.Fprintf(&b, ", %s, tries %d", f.node, f.tries)
-	if f.place != "" {
-		fmt.Fprintf(&b, ", at %s", plain(f.place))
+	fmt.Fprintf(&b, ", %s, tries %d", f.node, f.attempts)
+	if f.path != "" {
+		fmt.Fprintf(&b, ", at %s", printable(f.path))
 	}
 	if f.detail != "" {
-		fmt.Fprintf(&b, ": %s", plain(f.detail))
+		fmt.Fprintf(&b, ": %s", printable(f.detail))
 	}
 	return b.String() + ")"
 }
 
-// doubts tells whether a change may be in force after an answer of this kind, given whether that was so before.
+// leavesAmbiguous tells whether a change may be in force after an answer of this kind, given whether that was so before.
 // What is refused for good was not taken at an earlier try either: the same bytes would be answered as taken.
-func (k kind) doubts(before bool) bool {
+func (k failureKind) leavesAmbiguous(before bool) bool {
 	switch k {
-	case unclear, astray, silent:
+	case ambiguous, malformed, noResponse:
 		return true
 	case invalid, conflict, tooLarge:
 		return false
@@ -118,7 +118,7 @@
 	return before
 }
 
-// misuse is an error of whoever called the program.
-type misuse struct{ error }
+// usageError is an error of whoever called the program.
+type usageError struct{ error }
 
-func wrongly(format string, args ...any) error { return misuse{errors.Errorf(format, args...)} }
+func usageErrorf(format string, args ...any) error { return usageError{errors.Errorf(format, args...)} }
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -53,9 +53,9 @@
   gateway apply --parent 7 config.json
   gateway COMMAND --help`
 
-func (args) Version() string { return built() }
+func (args) Version() string { return buildInfo() }
 
-func built() string {
+func buildInfo() string {
 	build := "release"
 	if invariant.Debug {
 		build = "debug"
@@ -66,7 +66,7 @@
 type versionCmd struct{}
 
 func (versionCmd) run(out io.Writer) error {
-	_, err := fmt.Fprintln(out, built(), runtime.Version())
+	_, err := fmt.Fprintln(out, buildInfo(), runtime.Version())
 	return err
 }
 
@@ -75,9 +75,9 @@
 
 // Exit codes.
 const (
-	good        = 0
-	failed      = 1
-	calledWrong = 2
+	exitOK     = 0
+	exitFailed = 1
+	exitUsage  = 2
 )
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -88,7 +88,7 @@
 	p, err := arg.NewParser(arg.Config{Program: "gateway"}, &a)
 	if err != nil {
 		fmt.Fprintln(complain, "gateway:", err)
-		return calledWrong
+		return exitUsage
 	}
 	switch err = p.Parse(arguments); {
 	case errors.Is(err, arg.ErrHelp):
@@ -103,27 +103,27 @@
 		if text != "" {
 			fmt.Fprintln(out, "\nExamples:\n"+text)
 		}
-		return good
+		return exitOK
 	case errors.Is(err, arg.ErrVersion):
 		fmt.Fprintln(out, a.Version())
-		return good
+		return exitOK
 	case err != nil || p.Subcommand() == nil:
 		p.WriteUsageForSubcommand(complain, p.SubcommandNames()...)
 		if err == nil {
 			err = errors.New("no command given")
 		}
 		fmt.Fprintln(complain, "gateway:", err)
-		return calledWrong
+		return exitUsage
 	}
 	err = p.Subcommand().(command).run(out)
 	if err == nil {
-		return good
+		return exitOK
 	}
 	fmt.Fprintln(complain, "gateway:", err)
-	if errors.As(err, &misuse{}) {
-		return calledWrong
+	if errors.As(err, &usageError{}) {
+		return exitUsage
 	}
-	return failed
+	return exitFailed
 }
 
 type serveCmd struct {
@@ -144,7 +144,7 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	signal.Ignore(syscall.SIGPIPE)
 	if s.Settings == "" {
-		return wrongly("no settings file: %s is not set", settings.PathEnv)
+		return usageErrorf("no settings file: %s is not set", settings.PathEnv)
 	}
 	sheet, err := settings.Load(s.Settings)
 	if err != nil {
--- a/cmd/gateway/rollout.go
+++ b/cmd/gateway/rollout.go
@@ -18,9 +18,9 @@
 
 type rolloutCmd struct {
 	Start    *rolloutStartCmd    `arg:"subcommand:start" help:"start to shift users onto a new version, by an order"`
-	Step     *rolloutStepCmd     `arg:"subcommand:step" help:"go on to the next step"`
-	Hold     *rolloutHoldCmd     `arg:"subcommand:hold" help:"keep the present step until the next command"`
-	PullBack *rolloutPullBackCmd `arg:"subcommand:pull-back" help:"bring all users back to the old version"`
+	Advance  *rolloutAdvanceCmd  `arg:"subcommand:step" help:"go on to the next step"`
+	Pause    *rolloutPauseCmd    `arg:"subcommand:hold" help:"keep the present step until the next command"`
+	Rollback *rolloutRollbackCmd `arg:"subcommand:pull-back" help:"bring all users back to the old version"`
 	Finish   *rolloutFinishCmd   `arg:"subcommand:finish" help:"shift all users onto the new version, after the last step"`
 	Status   *rolloutStatusCmd   `arg:"subcommand:status" help:"tell how roll-outs stand"`
 	History  *rolloutHistoryCmd  `arg:"subcommand:history" help:"tell what became of a service's roll-outs"`
@@ -36,36 +36,36 @@
 }
 
 func (*rolloutCmd) run(io.Writer) error {
-	return wrongly("rollout: no command given: start, step, hold, pull-back, finish, status or history")
+	return usageErrorf("rollout: no command given: start, step, hold, pull-back, finish, status or history")
 }
 
-// signed is what every order of an operator bears.
-type signed struct {
-	By   string  `arg:"--by,env:USER" placeholder:"NAME" help:"who orders it, for the history"`
-	Why  string  `arg:"--why" placeholder:"TEXT" help:"for the history"`
-	Mark string  `arg:"--mark" placeholder:"TEXT" help:"names the order: the same again is answered as the first was"`
-	Rev  *uint64 `arg:"--rev" placeholder:"N" help:"build on this rev instead of the current one"`
+// commandMeta is what every order of an operator bears.
+type commandMeta struct {
+	Author    string  `arg:"--by,env:USER" placeholder:"NAME" help:"who orders it, for the history"`
+	Reason    string  `arg:"--why" placeholder:"TEXT" help:"for the history"`
+	CommandID string  `arg:"--mark" placeholder:"TEXT" help:"names the order: the same again is answered as the first was"`
+	Rev       *uint64 `arg:"--rev" placeholder:"N" help:"build on this rev instead of the current one"`
 	caller
 }
 
-// textMost is the most that nodes take of a text.
-const textMost = 512
+// maxTextBytes is the most that nodes take of a text.
+const maxTextBytes = 512
 
-func (s *signed) check() error {
-	for _, f := range []struct{ name, text string }{{"--by", s.By}, {"--why", s.Why}, {"--mark", s.Mark}} {
-		if len(f.text) > textMost {
-			return wrongly("%s: longer than %d bytes", f.name, textMost)
+func (s *commandMeta) check() error {
+	for _, f := range []struct{ name, text string }{{"--by", s.Author}, {"--why", s.Reason}, {"--mark", s.CommandID}} {
+		if len(f.text) > maxTextBytes {
+			return usageErrorf("%s: longer than %d bytes", f.name, maxTextBytes)
 		}
 	}
-	if s.Mark == "" {
-		s.Mark = fmt.Sprintf("%016x", rand.Uint64())
+	if s.CommandID == "" {
+		s.CommandID = fmt.Sprintf("%016x", rand.Uint64())
 	}
 	_, err := s.nodes()
 	return err
 }
 
-// now is the newest roll-out of a service, nil if there was none.
-func (c *caller) now(service string) (*controlapi.RolloutRun, error) {
+// newestRollout is the newest roll-out of a service, nil if there was none.
+func (c *caller) newestRollout(service string) (*controlapi.RolloutRun, error) {
 	all, _, err := c.rollouts()
 	if err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 }
 
 // order sends one and tells how the roll-out stands then.
-func (s *signed) order(out io.Writer, path string, body any) error {
+func (s *commandMeta) order(out io.Writer, path string, body any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -94,11 +94,11 @@
 		return err
 	}
 	if s.JSON {
-		return print(out, raw)
+		return printJSON(out, raw)
 	}
 	if r.Users == nil {
-		_, err = fmt.Fprintf(out, "%s %d: %s, step %d of %d, %s of the users, rev %d (%s, tries %d)\n", plain(r.Service), r.Number,
-			plain(r.Phase), r.Step, r.Steps, percent(r.Share), r.Rev, a.node, a.tries)
+		_, err = fmt.Fprintf(out, "%s %d: %s, step %d of %d, %s of the users, rev %d (%s, tries %d)\n", printable(r.Service), r.Number,
+			printable(r.Phase), r.Step, r.Steps, percent(r.Share), r.Rev, a.node, a.attempts)
 		return err
 	}
 	w := newTable(out, "STEP", "KEYS", "OF")
@@ -119,11 +119,11 @@
 func percent(share int) string { return strconv.FormatFloat(float64(share)/100, 'f', -1, 64) + " %" }
 
 type rolloutStartCmd struct {
-	Order string `arg:"--order,required" placeholder:"FILE" help:"the order, JSON; - is standard input"`
-	Busy  int    `arg:"--busy" placeholder:"N" help:"requests at a time at the busiest, over all nodes"`
-	Room  int    `arg:"--new-room" placeholder:"N" help:"requests at a time that the new version will take, where it is not there yet"`
-	Dry   bool   `arg:"--dry-run" help:"change nothing, tell the users and the room of each step"`
-	signed
+	Order        string `arg:"--order,required" placeholder:"FILE" help:"the order, JSON; - is standard input"`
+	PeakInFlight int    `arg:"--busy" placeholder:"N" help:"requests at a time at the busiest, over all nodes"`
+	NewCapacity  int    `arg:"--new-room" placeholder:"N" help:"requests at a time that the new version will take, where it is not there yet"`
+	DryRun       bool   `arg:"--dry-run" help:"change nothing, tell the users and the room of each step"`
+	commandMeta
 }
 
 func (*rolloutStartCmd) examples() string {
@@ -134,8 +134,8 @@
 }
 
 func (r *rolloutStartCmd) run(out io.Writer) error {
-	if r.Busy < 0 || r.Room < 0 {
-		return wrongly("--busy, --new-room: %d, %d: below 0", r.Busy, r.Room)
+	if r.PeakInFlight < 0 || r.NewCapacity < 0 {
+		return usageErrorf("--busy, --new-room: %d, %d: below 0", r.PeakInFlight, r.NewCapacity)
 	}
 	if err := r.check(); err != nil {
 		return err
@@ -153,7 +153,7 @@
 	if r.Rev != nil {
 		o.Rev = *r.Rev
 	} else if o.Rev == 0 {
-		rolloutRun, err := r.now(o.Service)
+		rolloutRun, err := r.newestRollout(o.Service)
 		if err != nil {
 			return err
 		}
@@ -161,8 +161,8 @@
 			o.Rev = rolloutRun.Rev
 		}
 	}
-	o.Mark, o.By, o.Why = cmp.Or(o.Mark, r.Mark), cmp.Or(r.By, o.By), cmp.Or(r.Why, o.Why)
-	o.Busy, o.NewRoom, o.DryRun = cmp.Or(r.Busy, o.Busy), cmp.Or(r.Room, o.NewRoom), o.DryRun || r.Dry
+	o.Mark, o.By, o.Why = cmp.Or(o.Mark, r.CommandID), cmp.Or(r.Author, o.By), cmp.Or(r.Reason, o.Why)
+	o.Busy, o.NewRoom, o.DryRun = cmp.Or(r.PeakInFlight, o.Busy), cmp.Or(r.NewCapacity, o.NewRoom), o.DryRun || r.DryRun
 	return r.order(out, "/api/Rollout.Start", o)
 }
 
@@ -170,7 +170,7 @@
 type commandArgs struct {
 	Service string  `arg:"positional,required" help:"the service's name"`
 	Number  *uint64 `arg:"--number" placeholder:"N" help:"this roll-out and no other; left out: the newest"`
-	signed
+	commandMeta
 }
 
 // send sends an order to the newest roll-out of a service, or to the one that is named.
@@ -178,9 +178,9 @@
 	if err := c.check(); err != nil {
 		return err
 	}
-	w := controlapi.RolloutCommand{Mark: c.Mark, By: c.By, Why: c.Why, Step: step}
+	w := controlapi.RolloutCommand{Mark: c.CommandID, By: c.Author, Why: c.Reason, Step: step}
 	if c.Number == nil || c.Rev == nil || step < 0 {
-		r, err := c.now(c.Service)
+		r, err := c.newestRollout(c.Service)
 		switch {
 		case err != nil:
 			return err
@@ -201,23 +201,23 @@
 	return c.order(out, "/api/Rollout."+call+"/"+url.PathEscape(c.Service), w)
 }
 
-type rolloutStepCmd struct {
+type rolloutAdvanceCmd struct {
 	commandArgs
 	Step int `arg:"--step" placeholder:"N" help:"the step to go to, from 1; left out: the next"`
 }
 
-type rolloutHoldCmd struct{ commandArgs }
-type rolloutPullBackCmd struct{ commandArgs }
+type rolloutPauseCmd struct{ commandArgs }
+type rolloutRollbackCmd struct{ commandArgs }
 type rolloutFinishCmd struct{ commandArgs }
 
-func (r *rolloutStepCmd) run(out io.Writer) error {
+func (r *rolloutAdvanceCmd) run(out io.Writer) error {
 	if r.Step < 0 {
-		return wrongly("--step: %d is not at least 1", r.Step)
+		return usageErrorf("--step: %d is not at least 1", r.Step)
 	}
 	return r.send(out, "Step", cmp.Or(r.Step, -1))
 }
-func (r *rolloutHoldCmd) run(out io.Writer) error     { return r.send(out, "Hold", 0) }
-func (r *rolloutPullBackCmd) run(out io.Writer) error { return r.send(out, "PullBack", 0) }
+func (r *rolloutPauseCmd) run(out io.Writer) error    { return r.send(out, "Hold", 0) }
+func (r *rolloutRollbackCmd) run(out io.Writer) error { return r.send(out, "PullBack", 0) }
 func (r *rolloutFinishCmd) run(out io.Writer) error   { return r.send(out, "Finish", 0) }
 
 type rolloutStatusCmd struct{ caller }
@@ -233,7 +233,7 @@
 		return err
 	}
 	if r.JSON {
-		return print(out, raw)
+		return printJSON(out, raw)
 	}
 	w := newTable(out, "SERVICE", "NUMBER", "OLD", "NEW", "PHASE", "STEP", "SHARE", "THERE", "HELD", "DOUBT", "NEW FAILED", "OLD FAILED")
 	for _, rolloutRun := range s.Rollouts {
@@ -242,13 +242,13 @@
 			now, was = failedOf(&rolloutRun.Counts.New), failedOf(&rolloutRun.Counts.Old)
 		}
 		w.row(rolloutRun.Service, rolloutRun.Number, rolloutRun.Old, rolloutRun.New, rolloutRun.Phase, fmt.Sprintf("%d of %d", rolloutRun.Step, rolloutRun.Steps), percent(rolloutRun.Share), percent(rolloutRun.Here),
-			yes(rolloutRun.Held), strconv.FormatFloat(rolloutRun.Doubt, 'g', 2, 64), now, was)
+			yesNo(rolloutRun.Held), strconv.FormatFloat(rolloutRun.Doubt, 'g', 2, 64), now, was)
 	}
 	if err = w.Flush(); err != nil {
 		return err
 	}
 	if !s.Leads {
-		_, err = fmt.Fprintf(out, "nobody who leads could be asked: this is what %s knows\n", plain(s.Node))
+		_, err = fmt.Fprintf(out, "nobody who leads could be asked: this is what %s knows\n", printable(s.Node))
 	}
 	return err
 }
@@ -270,7 +270,7 @@
 		return err
 	}
 	if r.JSON {
-		return print(out, raw)
+		return printJSON(out, raw)
 	}
 	w := newTable(out, "NUMBER", "AT", "ORDER", "STEP", "THEN", "BY", "NEW FAILED", "OLD FAILED", "WHY")
 	for _, rolloutPast := range past.Rollouts {
--- a/cmd/gateway/rollout_test.go
+++ b/cmd/gateway/rollout_test.go
@@ -32,36 +32,36 @@
 		sent    string // last
 		out     string // part of what is said
 	}{
-		{"start --mark m --by ana --busy 7 --new-room 9 --order " + file, []string{"200 " + runs, "200 " + after}, good,
+		{"start --mark m --by ana --busy 7 --new-room 9 --order " + file, []string{"200 " + runs, "200 " + after}, exitOK,
 			`{"busy":7,"new_room":9,"by":"ana","mark":"m","new":"v2","old":"v1","rev":9,"service":"libro","steps":[{"min_time":"60s","share":150},
 {"min_time":"60s","share":5000}]}`, "libro 3: running, step 2 of 2, 50 % of the users, rev 10"},
-		{"start --dry-run --mark m --by ana --rev 9 --order " + file, []string{"200 " + dry}, good, "", "2     21    40\nit would be 4; room: old 200"},
-		{"start --order " + bad, []string{"200"}, failed, "", "servise"},
-		{"start --order " + file + " --busy -1", []string{"200"}, calledWrong, "", "--busy"},
-		{"start", []string{"200"}, calledWrong, "", "FILE is required"},
-		{"step libro --mark m --by ana --why x", []string{"200 " + runs, "200 " + after}, good,
+		{"start --dry-run --mark m --by ana --rev 9 --order " + file, []string{"200 " + dry}, exitOK, "", "2     21    40\nit would be 4; room: old 200"},
+		{"start --order " + bad, []string{"200"}, exitFailed, "", "servise"},
+		{"start --order " + file + " --busy -1", []string{"200"}, exitUsage, "", "--busy"},
+		{"start", []string{"200"}, exitUsage, "", "FILE is required"},
+		{"step libro --mark m --by ana --why x", []string{"200 " + runs, "200 " + after}, exitOK,
 			`{"number":3,"rev":9,"step":2,"mark":"m","by":"ana","why":"x"}`, "step 2 of 2"},
-		{"step libro --step 7 --number 2 --rev 4 --mark m --by ana", []string{"412"}, failed,
+		{"step libro --step 7 --number 2 --rev 4 --mark m --by ana", []string{"412"}, exitFailed,
 			`{"number":2,"rev":4,"step":7,"mark":"m","by":"ana"}`, "Another version is current"},
-		{"step libro --step -3", []string{"200"}, calledWrong, "", "--step"},
-		{"pull-back libro --mark m --by ana", []string{"200 " + runs, "200 " + after}, good,
+		{"step libro --step -3", []string{"200"}, exitUsage, "", "--step"},
+		{"pull-back libro --mark m --by ana", []string{"200 " + runs, "200 " + after}, exitOK,
 			`{"number":3,"rev":9,"mark":"m","by":"ana"}`, "libro 3"},
-		{"finish other", []string{"200 " + runs}, failed, "", `no roll-out of "other"`},
-		{"hold libro --why " + strings.Repeat("x", 513), []string{"200"}, calledWrong, "", "--why: longer"},
-		{"status", []string{"200 " + runs}, good, "",
+		{"finish other", []string{"200 " + runs}, exitFailed, "", `no roll-out of "other"`},
+		{"hold libro --why " + strings.Repeat("x", 513), []string{"200"}, exitUsage, "", "--why: longer"},
+		{"status", []string{"200 " + runs}, exitOK, "",
 			"libro    3       v1   v2   running  1 of 2  1.5 %  0 %    no    0.5    2 of 6      2 of 99"},
 		{"history libro", []string{`200 {"service":"libro","rollouts":[{"number":3,"lines":[{"verb":"start","share":150,"by":"ana","at":1000}]}]}`},
-			good, "", "3       1970-01-01 00:00:01  start  0     1.5 %  ana  0 of 0      0 of 0"},
-		{"status --tries 0", []string{"200"}, calledWrong, "", "--tries"},
-		{"dance", []string{"200"}, calledWrong, "", "dance"},
+			exitOK, "", "3       1970-01-01 00:00:01  start  0     1.5 %  ana  0 of 0      0 of 0"},
+		{"status --tries 0", []string{"200"}, exitUsage, "", "--tries"},
+		{"dance", []string{"200"}, exitUsage, "", "dance"},
 	} {
-		s, at := serve(t, x.answers...)
+		s, at := serveAnswers(t, x.answers...)
 		t.Setenv("CLOVERGAP_CONTROL", at)
 		code, out, complaint := invoke(append([]string{"rollout"}, strings.Fields(x.args)...)...)
 		must.Eq(t, x.code, code, must.Sprint(x.args, out, complaint))
 		must.StrContains(t, out+complaint, x.out)
 		if x.sent != "" {
-			must.EqJSON(t, x.sent, s.came()[len(s.came())-1])
+			must.EqJSON(t, x.sent, s.received()[len(s.received())-1])
 		}
 	}
 }
--- a/cmd/gateway/state.go
+++ b/cmd/gateway/state.go
@@ -19,8 +19,8 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// keyShown is how much of a tenant's key is printed.
-const keyShown = 4
+// visibleKeyChars is how much of a tenant's key is printed.
+const visibleKeyChars = 4
 
 // table writes aligned columns.
 type table struct{ *tabwriter.Writer }
@@ -34,15 +34,15 @@
 func (t table) row(cells ...any) {
 	texts := make([]string, len(cells))
 	for i, c := range cells {
-		if texts[i] = plain(fmt.Sprint(c)); texts[i] == "" {
+		if texts[i] = printable(fmt.Sprint(c)); texts[i] == "" {
 			texts[i] = "-"
 		}
 	}
 	fmt.Fprintln(t, strings.Join(texts, "\t"))
 }
 
-// plain keeps a text from moving the cursor: names come from afar.
-func plain(s string) string {
+// printable keeps a text from moving the cursor: names come from afar.
+func printable(s string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsPrint(r) {
 			return r
@@ -51,21 +51,21 @@
 	}, s)
 }
 
-func yes(is bool) string {
+func yesNo(is bool) string {
 	if is {
 		return "yes"
 	}
 	return "no"
 }
 
-func number[N int | int64](n *N) string {
+func optionalNumber[N int | int64](n *N) string {
 	if n == nil {
 		return ""
 	}
 	return strconv.FormatInt(int64(*n), 10)
 }
 
-func stale(ms *int64) string {
+func optionalAge(ms *int64) string {
 	if ms == nil {
 		return "never"
 	}
@@ -75,13 +75,13 @@
 // ago words an age.
 func ago(ms *int64) string {
 	if ms == nil {
-		return stale(ms)
+		return optionalAge(ms)
 	}
-	return stale(ms) + " ago"
+	return optionalAge(ms) + " ago"
 }
 
-// print writes JSON as it is, with an end of line.
-func print(out io.Writer, text []byte) error {
+// printJSON writes JSON as it is, with an end of line.
+func printJSON(out io.Writer, text []byte) error {
 	_, err := out.Write(append(bytes.TrimRight(text, "\n"), '\n'))
 	return err
 }
@@ -92,21 +92,21 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return c.statusOf(nodes, c.Tries)
+	return c.statusOf(nodes, c.Attempts)
 }
 
 func (c *caller) statusOf(nodes []string, tries int) (*controlapi.NodeStatus, []byte, error) {
-	return readAs[controlapi.NodeStatus](c.ask(nodes, tries, "/api/Node.Status", nil))
+	return readAs[controlapi.NodeStatus](c.callNodes(nodes, tries, "/api/Node.Status", nil))
 }
 
 // readAs reads an answer; raw is it as it came.
-func readAs[T any](a answer, err error) (t *T, raw []byte, _ error) {
+func readAs[T any](a response, err error) (t *T, raw []byte, _ error) {
 	if err != nil {
 		return nil, nil, err
 	}
 	t = new(T)
 	if err := json.Unmarshal(a.body, t); err != nil {
-		return nil, nil, a.astray(err)
+		return nil, nil, a.malformedError(err)
 	}
 	return t, a.body, nil
 }
@@ -122,7 +122,7 @@
 	}
 	b = new(routing.Config)
 	if err := json.Unmarshal(a.body, b); err != nil {
-		return nil, nil, a.astray(err)
+		return nil, nil, a.malformedError(err)
 	}
 	return b, a.body, nil
 }
@@ -140,14 +140,14 @@
 		return err
 	}
 	if r.JSON {
-		return print(out, raw)
+		return printJSON(out, raw)
 	}
 	t := routing.NewTable(b)
 	l := t.Limits()
 	w := newTable(out, "VERSION", "PARENT", "HOSTS", "ROUTES", "SERVICES", "TENANTS", "HEAD", "BODY", "HEAD IN",
 		"IDLE")
 	w.row(b.Generation, b.ParentVersion, len(b.Vhosts), len(t.Routes()), len(b.Services), len(b.Tenants),
-		l.MostHeader, l.MostBody, l.HeaderTimeout, l.IdleTimeout)
+		l.MaxHeaderBytes, l.MaxBodyBytes, l.HeaderTimeout, l.IdleTimeout)
 	return w.Flush()
 }
 
@@ -164,7 +164,7 @@
 		return err
 	}
 	if r.JSON {
-		return print(out, section(raw, "vhosts"))
+		return printJSON(out, section(raw, "vhosts"))
 	}
 	w := newTable(out, "NAME", "HOST", "PREFIX", "VARIANT", "TARGETS", "DEADLINE", "AIM", "TRIES", "PRIORITY",
 		"PUBLIC")
@@ -181,8 +181,8 @@
 				to = append(to, t.Service)
 			}
 		}
-		w.row(route.Name, route.Host, route.Prefix, variant, strings.Join(to, ", "), route.Deadline, route.Target, route.MaxTries,
-			route.Priority, yes(route.Public))
+		w.row(route.Name, route.Host, route.Prefix, variant, strings.Join(to, ", "), route.Deadline, route.LatencyTarget, route.MaxAttempts,
+			route.Priority, yesNo(route.Public))
 	}
 	return w.Flush()
 }
@@ -218,7 +218,7 @@
 	if !t.Keys {
 		for i := range b.Tenants {
 			for j, k := range b.Tenants[i].ApiKeys {
-				b.Tenants[i].ApiKeys[j] = hidden(k)
+				b.Tenants[i].ApiKeys[j] = redact(k)
 			}
 		}
 	}
@@ -239,9 +239,9 @@
 	return w.Flush()
 }
 
-// hidden is what may be seen of a key; of a short one, less.
-func hidden(key string) string {
-	n := min(keyShown, len(key)/2)
+// redact is what may be seen of a key; of a short one, less.
+func redact(key string) string {
+	n := min(visibleKeyChars, len(key)/2)
 	for n > 0 && !utf8.RuneStart(key[n]) {
 		n--
 	}
@@ -265,11 +265,11 @@
 	}
 	if !n.Ask {
 		if n.JSON {
-			return print(out, section(raw, "nodes"))
+			return printJSON(out, section(raw, "nodes"))
 		}
 		w := newTable(out, "NAME", "ZONE", "ADDRESS", "CONTROL", "SLOT", "DISK", "LIVE")
 		for _, d := range s.Nodes {
-			w.row(d.Name, d.Zone, d.Address, d.Control, number(d.Slot), yes(d.Disk), yes(d.Live))
+			w.row(d.Name, d.Zone, d.Address, d.Control, optionalNumber(d.Slot), yesNo(d.Disk), yesNo(d.Live))
 		}
 		return w.Flush()
 	}
@@ -286,7 +286,7 @@
 			if o.Core != nil {
 				role = o.Core.Role
 			}
-			w.row(o.Node, o.Zone, o.Generation, o.Applied, stale(o.StaleMs), yes(o.Ready), role, o.Held,
+			w.row(o.Node, o.Zone, o.Generation, o.Applied, optionalAge(o.StaleMs), yesNo(o.Ready), role, o.Held,
 				o.Clients, strings.Join(o.Unready, ", "))
 		}
 	}
@@ -375,7 +375,7 @@
 	}
 	w := newTable(out, "NODE", "ROLE", "VIEW", "LEADER", "SETTLED", "LOG", "SYNCED", "BEHIND", "WAITING",
 		"LEARNER")
-	w.row(s.Node, k.Role, k.View, k.Leader, yes(k.Settled), fmt.Sprintf("%d to %d", k.First, k.Last), k.Synced,
+	w.row(s.Node, k.Role, k.View, k.Leader, yesNo(k.Settled), fmt.Sprintf("%d to %d", k.First, k.Last), k.Synced,
 		k.Behind, k.Waiting, k.Learner)
 	if err := w.Flush(); err != nil {
 		return err
@@ -389,7 +389,7 @@
 				name = d.Name
 			}
 		}
-		w.row(m.Id, name, m.Address, yes(m.Live), yes(m.Address == k.Leader))
+		w.row(m.Id, name, m.Address, yesNo(m.Live), yesNo(m.Address == k.Leader))
 	}
 	return w.Flush()
 }
@@ -407,7 +407,7 @@
 		return err
 	}
 	if s.JSON {
-		return print(out, raw)
+		return printJSON(out, raw)
 	}
 	live := 0
 	for _, d := range nodeStatus.Nodes {
@@ -416,7 +416,7 @@
 		}
 	}
 	w := newTable(out, "node", nodeStatus.Node+" in "+nodeStatus.Zone)
-	w.row("slot", number(nodeStatus.Slot))
+	w.row("slot", optionalNumber(nodeStatus.Slot))
 	if nodeStatus.Ready {
 		w.row("ready", "yes")
 	} else {
@@ -430,7 +430,7 @@
 	}
 	if k := nodeStatus.Core; k != nil {
 		w.row("core", fmt.Sprintf("%s, view %d of %d members, leader %s", k.Role, k.View, len(k.Members),
-			orNone(k.Leader)))
+			orUnknown(k.Leader)))
 	}
 	w.row("nodes", fmt.Sprintf("%d, %d live", len(nodeStatus.Nodes), live))
 	if b := nodeStatus.Registry; b != nil {
@@ -443,7 +443,7 @@
 	return w.Flush()
 }
 
-func orNone(s string) string {
+func orUnknown(s string) string {
 	if s == "" {
 		return "not known"
 	}
--- a/internal/gateway/controlapi/coordination.go
+++ b/internal/gateway/controlapi/coordination.go
@@ -34,15 +34,15 @@
 	pathMoveGroup = "/api/Groups.Move/"
 )
 
-// pathCall is a path that is followed by a name.
-type pathCall struct {
+// coordinationCall is a path that is followed by a name.
+type coordinationCall struct {
 	prefix    string
 	method    string
 	operation coordination.Operation
 }
 
-// pathCalls are the applications' calls.
-var pathCalls = []pathCall{
+// coordinationCalls are the applications' calls.
+var coordinationCalls = []coordinationCall{
 	{"/api/Locks.Begin/", "POST", coordination.LockAcquire},
 	{"/api/Locks.Heartbeat/", "POST", coordination.LockRenew},
 	{"/api/Locks.Finish/", "POST", coordination.LockRelease},
@@ -54,13 +54,13 @@
 	{"/api/watch/", "GET", coordination.KeyWatch},
 }
 
-// coordinate takes an application's call; false: the path is another's.
-func (h *Handler) coordinate(c *downstream.Client, method, target string, body []byte) bool {
+// handleCoordination takes an application's call; false: the path is another's.
+func (h *Handler) handleCoordination(c *downstream.Client, method, target string, body []byte) bool {
 	path, query, _ := strings.Cut(target, "?")
-	if h.groups(c, method, path, body) {
+	if h.handleGroups(c, method, path, body) {
 		return true
 	}
-	for _, p := range pathCalls {
+	for _, p := range coordinationCalls {
 		text, ok := strings.CutPrefix(path, p.prefix)
 		if !ok {
 			continue
@@ -69,20 +69,20 @@
 			c.Reject(405, counters.NoSuchMethod, p.method+" only")
 			return true
 		}
-		call, err := readCall(p.operation, text, query, body)
-		t := h.hold(c)
+		call, err := parseCall(p.operation, text, query, body)
+		t := h.deferAnswer(c)
 		if err != nil {
-			h.end(t, 400, []byte(err.Error()))
+			h.respond(t, 400, []byte(err.Error()))
 			return true
 		}
-		h.node.Coordinate(call, func(a coordination.Result) { h.coordinated(t, call.Operation, &a) })
+		h.node.Coordinate(call, func(a coordination.Result) { h.respondCoordination(t, call.Operation, &a) })
 		return true
 	}
 	return false
 }
 
-// readCall reads a call from its path, its query and its body.
-func readCall(o coordination.Operation, text, query string, body []byte) (call coordination.Call, err error) {
+// parseCall reads a call from its path, its query and its body.
+func parseCall(o coordination.Operation, text, query string, body []byte) (call coordination.Call, err error) {
 	call.Operation = o
 	if call.Name, err = url.PathUnescape(text); err != nil || call.Name == "" || len(call.Name) > coordination.MaxNameBytes {
 		return call, errors.New("no name in the path, or too long a one")
@@ -90,35 +90,35 @@
 	switch o {
 	case coordination.LockAcquire:
 		var b LockBegin
-		err = readBody(body, &b)
+		err = parseBody(body, &b)
 		call.Holder = b.Holder
-		call.TTL, err = holdOf(b.Hold, err)
+		call.TTL, err = parseTTL(b.Hold, err)
 	case coordination.LockRenew:
 		var b LockHeartbeat
-		err = readBody(body, &b)
+		err = parseBody(body, &b)
 		call.Holder, call.FencingToken = b.Holder, b.Fence
-		call.TTL, err = holdOf(b.Hold, err)
+		call.TTL, err = parseTTL(b.Hold, err)
 	case coordination.LockRelease:
 		var b LockFinish
-		err = readBody(body, &b)
+		err = parseBody(body, &b)
 		call.Holder, call.FencingToken = b.Holder, b.Fence
 	case coordination.KeyPut:
 		var b KeyReplace
-		err = readBody(body, &b)
+		err = parseBody(body, &b)
 		call.Value = b.Value
 		if b.Topic != nil {
 			call.Conditional, call.ExpectedRevision = true, *b.Topic
 		}
 	case coordination.KeyWatch:
-		call.AfterRevision, call.Timeout, err = readWatch(query)
+		call.AfterRevision, call.Timeout, err = parseWatch(query)
 	case coordination.LockList:
-		call.Group, err = readGroup(call.Name)
+		call.Group, err = parseGroup(call.Name)
 	}
 	return call, err
 }
 
-// groups takes a call on groups; false: the path is another's.
-func (h *Handler) groups(c *downstream.Client, method, path string, body []byte) bool {
+// handleGroups takes a call on groups; false: the path is another's.
+func (h *Handler) handleGroups(c *downstream.Client, method, path string, body []byte) bool {
 	text, move := strings.CutPrefix(path, pathMoveGroup)
 	switch {
 	case !move && path != pathGroups:
@@ -127,32 +127,32 @@
 		c.Reject(405, counters.NoSuchMethod, "GET to list, POST to move")
 		return true
 	}
-	t := h.hold(c)
+	t := h.deferAnswer(c)
 	if !move {
 		list, err := json.Marshal(h.node.GroupList())
 		if err != nil {
 			list = []byte(err.Error())
 		}
-		h.end(t, 200, list)
+		h.respond(t, 200, list)
 		return true
 	}
 	var to GroupMove
-	id, err := readGroup(text)
+	id, err := parseGroup(text)
 	if err == nil {
-		err = readBody(body, &to)
+		err = parseBody(body, &to)
 	}
 	switch {
 	case err != nil:
-		h.end(t, 400, []byte(err.Error()))
+		h.respond(t, 400, []byte(err.Error()))
 	case !h.node.TransferGroup(id, to.To):
-		h.end(t, 409, []byte("this node does not lead the group, or the other one could not lead it at once"))
+		h.respond(t, 409, []byte("this node does not lead the group, or the other one could not lead it at once"))
 	default:
-		h.end(t, 200, []byte("{}"))
+		h.respond(t, 200, []byte("{}"))
 	}
 	return true
 }
 
-func readGroup(text string) (groups.ID, error) {
+func parseGroup(text string) (groups.ID, error) {
 	id, err := strconv.ParseUint(text, 10, 8)
 	if err != nil || id >= groups.Count {
 		return 0, errors.Errorf("groups are numbered from 0 to %d", groups.Count-1)
@@ -160,22 +160,22 @@
 	return groups.ID(id), nil
 }
 
-func readBody(body []byte, into any) error {
+func parseBody(body []byte, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
 		return errors.Wrap(err, "body")
 	}
-	if err := valid.Struct(into); err != nil {
+	if err := validate.Struct(into); err != nil {
 		return errors.Wrap(err, "body")
 	}
 	return nil
 }
 
-// holdOf reads how long a lock is held.
-func holdOf(text string, err error) (time.Duration, error) {
+// parseTTL reads how long a lock is held.
+func parseTTL(text string, err error) (time.Duration, error) {
 	if err != nil {
 		return 0, err
 	}
-	hold, err := routing.ParseSpan(text)
+	hold, err := routing.ParseDuration(text)
 	if err != nil {
 		return 0, errors.Wrap(err, "hold")
 	}
@@ -185,8 +185,8 @@
 	return hold, nil
 }
 
-// readWatch reads where a watch begins, and how long it waits.
-func readWatch(query string) (after uint64, wait time.Duration, err error) {
+// parseWatch reads where a watch begins, and how long it waits.
+func parseWatch(query string) (after uint64, wait time.Duration, err error) {
 	values, err := url.ParseQuery(query)
 	if err != nil {
 		return 0, 0, errors.Wrap(err, "query")
@@ -219,24 +219,24 @@
 	coordination.StatusAmbiguous:    504,
 }
 
-// coordinated answers a call that was held.
-func (h *Handler) coordinated(t downstream.Ticket, o coordination.Operation, a *coordination.Result) {
+// respondCoordination answers a call that was held.
+func (h *Handler) respondCoordination(t downstream.Ticket, o coordination.Operation, a *coordination.Result) {
 	code := statusCodes[a.Status]
 	after := time.Duration(0)
 	if a.Status == coordination.StatusUnavailable || a.Status == coordination.StatusLimitReached {
-		after = busyAdvice
+		after = retryAfterUnavailable
 	}
-	text, err := json.Marshal(answerBody(o, a))
+	text, err := json.Marshal(resultBody(o, a))
 	if err != nil {
 		code, text = 500, nil
 	}
-	h.in.Answer(t, func(b []byte, last bool) []byte {
+	h.server.Answer(t, func(b []byte, last bool) []byte {
 		return answer.Whole(b, code, "application/json", text, after, last)
 	})
 }
 
-// answerBody words an answer.
-func answerBody(o coordination.Operation, a *coordination.Result) any {
+// resultBody words an answer.
+func resultBody(o coordination.Operation, a *coordination.Result) any {
 	switch {
 	case a.Status == coordination.StatusConflict:
 		return KeyRevision{Revision: a.Revision}
--- a/internal/gateway/controlapi/coordination_test.go
+++ b/internal/gateway/controlapi/coordination_test.go
@@ -58,14 +58,14 @@
 		{"POST /api/numbers/n2", `{}`, `number "n2" "" 0 0s "" false 0 0 0s`,
 			coordination.Result{Status: coordination.StatusAmbiguous}, 504, refused(coordination.StatusAmbiguous)},
 	} {
-		st := open(t)
+		st := openFixture(t)
 		c, r := st.dial()
-		st.set(func(h *fakeNode) { h.answer = w.answer })
+		st.inTurn(func(h *fakeNode) { h.answer = w.answer })
 		send(c, w.call, w.body)
-		a, text := st.hears(r)
+		a, text := st.readResponse(r)
 		must.Eq(t, w.status, a.StatusCode, must.Sprint(w.call))
 		must.Eq(t, w.text, text)
-		must.Eq(t, []string{w.asked}, st.set(func(*fakeNode) {}))
+		must.Eq(t, []string{w.asked}, st.inTurn(func(*fakeNode) {}))
 	}
 }
 
@@ -83,27 +83,27 @@
 		"GET /api/Cells.Read/%zz":      {""},
 	} {
 		for _, body := range bodies {
-			st := open(t)
+			st := openFixture(t)
 			c, r := st.dial()
 			send(c, call, body)
-			a, _ := st.hears(r)
+			a, _ := st.readResponse(r)
 			must.Eq(t, 400, a.StatusCode, must.Sprint(call, " ", body))
-			must.Len(t, 0, st.set(func(*fakeNode) {}))
+			must.Len(t, 0, st.inTurn(func(*fakeNode) {}))
 		}
 	}
-	st := open(t)
+	st := openFixture(t)
 	c, r := st.dial()
 	send(c, "GET /api/numbers/n", "")
-	a, _ := st.hears(r)
+	a, _ := st.readResponse(r)
 	must.Eq(t, 405, a.StatusCode)
 }
 
 // The groups are listed, and moved by the node that leads.
 func TestGroups(t *testing.T) {
-	st := open(t)
+	st := openFixture(t)
 	c, r := st.dial()
 	send(c, "GET /api/Groups.List", "")
-	a, text := st.hears(r)
+	a, text := st.readResponse(r)
 	must.Eq(t, 200, a.StatusCode)
 	must.StrContains(t, text, `"leader":"x:1"`)
 	for _, x := range []struct {
@@ -117,11 +117,11 @@
 		{"POST /api/Groups.Move/1", `{}`, true, 400},
 		{"GET /api/Groups.Move/1", "", true, 405},
 	} {
-		st := open(t)
+		st := openFixture(t)
 		c, r := st.dial()
-		st.set(func(h *fakeNode) { h.ok = x.ok })
+		st.inTurn(func(h *fakeNode) { h.ok = x.ok })
 		send(c, x.call, x.body)
-		a, _ := st.hears(r)
+		a, _ := st.readResponse(r)
 		must.Eq(t, x.status, a.StatusCode, must.Sprint(x.call))
 	}
 }
--- a/internal/gateway/controlapi/handler.go
+++ b/internal/gateway/controlapi/handler.go
@@ -35,30 +35,30 @@
 
 // Paths of the calls; the last two are followed by a backend's id.
 const (
-	pathReady     = "/api/ready"
-	pathReplace   = "/api/Config.Replace"
-	pathAmend     = "/api/Config.Amend"
-	pathRead      = "/api/Config.Read"
-	pathStatus    = "/api/Node.Status"
-	pathHeartbeat = "/api/Backends.Heartbeat/"
-	pathLeave     = "/api/Backends.Leave/"
+	pathReady      = "/api/ready"
+	pathReplace    = "/api/Config.Replace"
+	pathAmend      = "/api/Config.Amend"
+	pathRead       = "/api/Config.Read"
+	pathStatus     = "/api/Node.Status"
+	pathHeartbeat  = "/api/Backends.Heartbeat/"
+	pathDeregister = "/api/Backends.Leave/"
 )
 
-// Unclear is the status, among nodes and their parts, of a change that may have been taken or may still be. A caller gets 503.
-const Unclear = 504
+// StatusAmbiguous is the status, among nodes and their parts, of a change that may have been taken or may still be. A caller gets 503.
+const StatusAmbiguous = 504
 
 // longest id of a backend, in bytes.
-const longestID = 128
+const maxBackendIDBytes = 128
 
-// busyAdvice is when a caller may come back that found nobody to settle its call.
-const busyAdvice = 200 * time.Millisecond
+// retryAfterUnavailable is when a caller may come back that found nobody to settle its call.
+const retryAfterUnavailable = 200 * time.Millisecond
 
-var valid = validator.New(validator.WithRequiredStructEnabled())
+var validate = validator.New(validator.WithRequiredStructEnabled())
 
 // Handler answers the calls of backends and operators, and the platform's question whether this node is ready.
 type Handler struct {
-	in   *downstream.Server
-	node Node
+	server *downstream.Server
+	node   Node
 }
 
 // New makes one; in is the connections that it answers on.
@@ -71,12 +71,12 @@
 func (h *Handler) Take(c *downstream.Client) {
 	r, b := c.Request()
 	target, method := string(r.Target(b)), string(r.Method(b))
-	if h.coordinate(c, method, target, r.Body(b)) {
+	if h.handleCoordination(c, method, target, r.Body(b)) {
 		return
 	}
 	path, _, _ := strings.Cut(target, "?")
 	if call, ok := strings.CutPrefix(path, pathRollout); ok {
-		h.rollout(c, method, call, r.Body(b))
+		h.handleRollout(c, method, call, r.Body(b))
 		return
 	}
 	want := "POST"
@@ -84,14 +84,14 @@
 		want = "GET"
 	}
 	id, beat := strings.CutPrefix(path, pathHeartbeat)
-	gone, leave := strings.CutPrefix(path, pathLeave)
+	gone, leave := strings.CutPrefix(path, pathDeregister)
 	switch {
 	case path != pathReady && path != pathReplace && path != pathAmend && path != pathRead && path != pathStatus && !beat && !leave:
 		c.Reject(404, counters.NoSuchPath, "no such call")
 	case method != want:
 		c.Reject(405, counters.NoSuchMethod, want+" only")
 	case path == pathReady:
-		h.ready(c)
+		h.respondReady(c)
 	case path == pathStatus:
 		text, err := json.Marshal(h.node.Status())
 		if err != nil {
@@ -99,35 +99,35 @@
 		}
 		c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, 200, "application/json", text, 0, last) })
 	case path == pathRead:
-		t := h.hold(c)
-		h.node.ReadConfiguration(func(status int, body []byte) { h.end(t, status, body) })
+		t := h.deferAnswer(c)
+		h.node.ReadConfiguration(func(status int, body []byte) { h.respond(t, status, body) })
 	case beat:
-		h.beat(c, id, r.Body(b))
+		h.heartbeat(c, id, r.Body(b))
 	case leave:
-		if gone == "" || len(gone) > longestID {
+		if gone == "" || len(gone) > maxBackendIDBytes {
 			c.Reject(400, counters.BadID, "no id in the path")
 			return
 		}
-		t := h.hold(c)
-		h.node.Deregister(gone, func(ok bool, target string) { h.acknowledge(t, ok, target) })
+		t := h.deferAnswer(c)
+		h.node.Deregister(gone, func(ok bool, target string) { h.respondAcknowledged(t, ok, target) })
 	default:
 		kind := statemachine.KindReplaceConfig
 		if path == pathAmend {
 			kind = statemachine.KindAmendConfig
 		}
 		body := bytes.Clone(r.Body(b))
-		t := h.hold(c)
-		h.node.Change(kind, body, func(status int, text []byte) { h.end(t, status, text) })
+		t := h.deferAnswer(c)
+		h.node.Change(kind, body, func(status int, text []byte) { h.respond(t, status, text) })
 	}
 }
 
-func (h *Handler) hold(c *downstream.Client) downstream.Ticket {
+func (h *Handler) deferAnswer(c *downstream.Client) downstream.Ticket {
 	t := c.Ticket()
 	c.Hold(0, "")
 	return t
 }
 
-func (h *Handler) ready(c *downstream.Client) {
+func (h *Handler) respondReady(c *downstream.Client) {
 	status := 503
 	if h.node.Ready() {
 		status = 200
@@ -135,25 +135,25 @@
 	c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, status, "", nil, 0, last) })
 }
 
-// end answers a call that was held. What is no configuration is worded as a refusal.
-func (h *Handler) end(t downstream.Ticket, status int, body []byte) {
+// respond answers a call that was held. What is no configuration is worded as a refusal.
+func (h *Handler) respond(t downstream.Ticket, status int, body []byte) {
 	if status != 200 {
-		body, _ = json.Marshal(Refusal{Error: kindOf(status), Detail: string(body)})
+		body, _ = json.Marshal(Refusal{Error: errorKind(status), Detail: string(body)})
 	}
 	after := time.Duration(0)
-	if status == Unclear {
+	if status == StatusAmbiguous {
 		status = 503
 	}
 	if status == 503 {
-		after = busyAdvice
+		after = retryAfterUnavailable
 	}
-	h.in.Answer(t, func(b []byte, last bool) []byte {
+	h.server.Answer(t, func(b []byte, last bool) []byte {
 		return answer.Whole(b, status, "application/json", body, after, last)
 	})
 }
 
-// kindOf is the closed list of what may be wrong with a call.
-func kindOf(status int) string {
+// errorKind is the closed list of what may be wrong with a call.
+func errorKind(status int) string {
 	switch status {
 	case 400:
 		return "invalid"
@@ -163,38 +163,38 @@
 		return "too_large"
 	case 503:
 		return "unavailable"
-	case Unclear:
+	case StatusAmbiguous:
 		return "unclear"
 	}
 	return "failed"
 }
 
-// beat takes what a backend says of itself.
-func (h *Handler) beat(c *downstream.Client, id string, body []byte) {
-	w, err := readBeat(id, body)
+// heartbeat takes what a backend says of itself.
+func (h *Handler) heartbeat(c *downstream.Client, id string, body []byte) {
+	w, err := parseHeartbeat(id, body)
 	if err != nil {
 		c.Reject(400, counters.BadRequest, err.Error())
 		return
 	}
-	t := h.hold(c)
-	h.node.Heartbeat(w, func(ok bool, target string) { h.acknowledge(t, ok, target) })
+	t := h.deferAnswer(c)
+	h.node.Heartbeat(w, func(ok bool, target string) { h.respondAcknowledged(t, ok, target) })
 }
 
-func readBeat(id string, body []byte) (registry.Record, error) {
+func parseHeartbeat(id string, body []byte) (registry.Record, error) {
 	var b Heartbeat
-	if id == "" || len(id) > longestID {
+	if id == "" || len(id) > maxBackendIDBytes {
 		return registry.Record{}, errors.New("no id in the path")
 	}
 	if err := json.Unmarshal(body, &b); err != nil {
 		return registry.Record{}, errors.Wrap(err, "beat")
 	}
-	if err := valid.Struct(b); err != nil {
+	if err := validate.Struct(b); err != nil {
 		return registry.Record{}, errors.Wrap(err, "beat")
 	}
 	cold := time.Duration(0)
 	if b.ColdLeft != "" {
 		var err error
-		if cold, err = routing.ParseSpan(b.ColdLeft); err != nil {
+		if cold, err = routing.ParseDuration(b.ColdLeft); err != nil {
 			return registry.Record{}, errors.Wrap(err, "cold_left")
 		}
 	}
@@ -206,12 +206,12 @@
 		Capacity: b.Capacity, Phase: phase, SlowStartLeft: cold, Seq: b.CallSeq}, nil
 }
 
-// acknowledge answers a backend's call.
-func (h *Handler) acknowledge(t downstream.Ticket, ok bool, target string) {
+// respondAcknowledged answers a backend's call.
+func (h *Handler) respondAcknowledged(t downstream.Ticket, ok bool, target string) {
 	if !ok {
-		h.end(t, 503, []byte("too few nodes have heard it"))
+		h.respond(t, 503, []byte("too few nodes have heard it"))
 		return
 	}
 	body, _ := json.Marshal(HeartbeatAnswer{BeatTarget: target})
-	h.end(t, 200, body)
+	h.respond(t, 200, body)
 }
--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -23,27 +23,27 @@
 	"clovergap/internal/proxy/eventloop"
 )
 
-// patience bounds every wait of these tests; none of them depends on how long anything takes within it.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of these tests; none of them depends on how long anything takes within it.
+const testTimeout = 20 * time.Second
 
 // fakeNode answers as told, at once or when let.
 type fakeNode struct {
-	ready  bool
-	status int
-	body   string
-	ok     bool
-	target string
-	asked  []string
-	later  bool
-	held   []func()
-	came   chan bool
-	answer coordination.Result
+	ready        bool
+	status       int
+	body         string
+	ok           bool
+	target       string
+	asked        []string
+	deferAnswers bool
+	deferred     []func()
+	came         chan bool
+	answer       coordination.Result
 }
 
 func (f *fakeNode) do(what string, then func()) {
 	f.asked = append(f.asked, what)
-	if f.later {
-		f.held = append(f.held, then)
+	if f.deferAnswers {
+		f.deferred = append(f.deferred, then)
 		f.came <- true
 	} else {
 		then()
@@ -100,25 +100,25 @@
 
 // fixture is the form on sockets, before a deployment.
 type fixture struct {
-	t *testing.T
-	e *eventloop.Engine
-	h *fakeNode
+	t      *testing.T
+	engine *eventloop.Engine
+	node   *fakeNode
 }
 
-func open(t *testing.T) *fixture {
+func openFixture(t *testing.T) *fixture {
 	st := &fixture{t, eventloop.New("", 1024, 256<<10, 16<<20), &fakeNode{}}
-	in := downstream.New(st.e, 100, downstream.Bounds{Body: 64 << 10}, func() bool { return false })
-	in.Serves(New(in, st.h))
-	must.NoError(t, st.e.Listen("127.0.0.1:0", in.Accept))
-	must.NoError(t, st.e.Start())
-	t.Cleanup(st.e.Stop)
+	in := downstream.New(st.engine, 100, downstream.Bounds{Body: 64 << 10}, func() bool { return false })
+	in.Serves(New(in, st.node))
+	must.NoError(t, st.engine.Listen("127.0.0.1:0", in.Accept))
+	must.NoError(t, st.engine.Start())
+	t.Cleanup(st.engine.Stop)
 	return st
 }
 
 func (f *fixture) dial() (net.Conn, *bufio.Reader) {
-	c, err := net.Dial("tcp", f.e.AddrOf(0))
+	c, err := net.Dial("tcp", f.engine.AddrOf(0))
 	must.NoError(f.t, err)
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	f.t.Cleanup(func() { c.Close() })
 	return c, bufio.NewReader(c)
 }
@@ -127,8 +127,8 @@
 	fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", call, len(body), body)
 }
 
-// hears reads the next answer.
-func (f *fixture) hears(r *bufio.Reader) (*http.Response, string) {
+// readResponse reads the next answer.
+func (f *fixture) readResponse(r *bufio.Reader) (*http.Response, string) {
 	f.t.Helper()
 	a, err := http.ReadResponse(r, nil)
 	must.NoError(f.t, err)
@@ -137,24 +137,24 @@
 	return a, string(body)
 }
 
-// set changes the deployment in a turn, and gives what it was asked since the last time.
-func (f *fixture) set(call func(h *fakeNode)) (asked []string) {
-	f.e.Turn(func() {
-		asked, f.h.asked = f.h.asked, nil
-		call(f.h)
+// inTurn changes the deployment in a turn, and gives what it was asked since the last time.
+func (f *fixture) inTurn(call func(h *fakeNode)) (asked []string) {
+	f.engine.Turn(func() {
+		asked, f.node.asked = f.node.asked, nil
+		call(f.node)
 	})
 	return asked
 }
 
-const beat = `{"target":"s","address":"10.0.0.9:80","zone":"z","generation":"v1","capacity":3,"phase":"draining",
+const heartbeatBody = `{"target":"s","address":"10.0.0.9:80","zone":"z","generation":"v1","capacity":3,"phase":"draining",
 "cold_left":"1.5s","call_seq":4,"more":[1]}`
 
-const order = `{"service":"s","old":"v1","new":"v2","steps":[{"share":100,"min_time":"60s"}],"rev":4,"mark":"m","by":"ana",
+const orderBody = `{"service":"s","old":"v1","new":"v2","steps":[{"share":100,"min_time":"60s"}],"rev":4,"mark":"m","by":"ana",
 "why":"late","dry_run":true}`
 
 // Every call on one connection: what the deployment is asked, and how its word is answered.
 func TestCalls(t *testing.T) {
-	st := open(t)
+	st := openFixture(t)
 	c, r := st.dial()
 	const few = `{"detail":"too few nodes have heard it","error":"unavailable"}`
 	const replace, amend, read = "POST /api/Config.Replace", "POST /api/Config.Amend", "GET /api/Config.Read"
@@ -178,30 +178,30 @@
 		{replace, `{}`, fakeNode{status: 503, body: "no"}, `change r {}`, 503, `{"detail":"no","error":"unavailable"}`},
 		{read, "", fakeNode{status: 200, body: `{"generation":7}`}, "newest", 200, `{"generation":7}`},
 		{read, "", fakeNode{status: 503}, "newest", 503, `{"error":"unavailable"}`},
-		{beats, beat, fakeNode{ok: true, target: "10.0.0.1:1"}, heard, 200, `{"beat_target":"10.0.0.1:1"}`},
+		{beats, heartbeatBody, fakeNode{ok: true, target: "10.0.0.1:1"}, heard, 200, `{"beat_target":"10.0.0.1:1"}`},
 		{beats, `{"target":"s","address":"a:1","phase":"ready"}`, fakeNode{ok: true}, least, 200, `{}`},
-		{beats, beat, fakeNode{}, heard, 503, few},
+		{beats, heartbeatBody, fakeNode{}, heard, 503, few},
 		{leave, "", fakeNode{ok: true}, "leave i-1", 200, `{}`},
 		{leave, "{}", fakeNode{}, "leave i-1", 503, few},
 		{"GET /api/Node.Status", "", fakeNode{}, "", 200, string(status)},
-		{"POST /api/Rollout.Start", order, fakeNode{status: 200, body: `{"number":1}`},
+		{"POST /api/Rollout.Start", orderBody, fakeNode{status: 200, body: `{"number":1}`},
 			`start "s" 4 0 0 m ana late true s from v1 to v2 in 1 steps`, 200, `{"number":1}`},
 		{"POST /api/Rollout.Step/s", `{"number":3,"rev":4,"step":2,"by":"ana"}`, fakeNode{status: 412, body: "no"},
 			`step "s" 4 3 2  ana  false`, 412, `{"detail":"no","error":"conflict"}`},
 		{"POST /api/Rollout.PullBack/a%2Fb", `{"number":3}`, fakeNode{status: 200, body: "{}"}, `pull-back "a/b" 0 3 0    false`, 200, "{}"},
 		{"POST /api/Rollout.Hold/s", `{"nummer":3}`, fakeNode{}, "", 400,
 			`{"detail":"body: json: unknown field \"nummer\"","error":"invalid"}`},
-		{"POST /api/Rollout.Start", strings.Replace(order, "100", "9001", 1), fakeNode{}, "", 400,
+		{"POST /api/Rollout.Start", strings.Replace(orderBody, "100", "9001", 1), fakeNode{}, "", 400,
 			`{"detail":"steps[0].share: 9001 breaks max 9000","error":"invalid"}`},
 		{"GET /api/Rollout.Status", "", fakeNode{status: 200, body: `{}`}, "rollouts", 200, `{}`},
 		{"GET /api/Rollout.History/s", "", fakeNode{}, "", 200, `{"service":"s","rollouts":[]}`},
 	} {
 		what := must.Sprint(x.call, " ", x.status)
-		st.set(func(h *fakeNode) { *h = x.node })
+		st.inTurn(func(h *fakeNode) { *h = x.node })
 		send(c, x.call, x.body)
-		a, body := st.hears(r)
+		a, body := st.readResponse(r)
 		must.Eq(t, x.status, a.StatusCode, what)
-		must.Eq(t, x.asked, strings.Join(st.set(func(*fakeNode) {}), ";"), what)
+		must.Eq(t, x.asked, strings.Join(st.inTurn(func(*fakeNode) {}), ";"), what)
 		if x.answer == "" {
 			must.Eq(t, "", body, what)
 			continue
@@ -214,47 +214,47 @@
 
 // What is no call, or not as it should be, never gets to the deployment, and the connection goes on.
 func TestRefusals(t *testing.T) {
-	st := open(t)
+	st := openFixture(t)
 	c, r := st.dial()
-	long := strings.Repeat("i", longestID+1)
+	long := strings.Repeat("i", maxBackendIDBytes+1)
 	refused := func(status int, body string, calls ...string) {
 		t.Helper()
 		for _, call := range calls {
 			send(c, call, body)
-			a, _ := st.hears(r)
+			a, _ := st.readResponse(r)
 			must.Eq(t, status, a.StatusCode, must.Sprint(call, " ", body))
 			must.False(t, a.Close)
 		}
 	}
-	refused(404, beat, "GET /", "GET /api/Ready", "POST /api/Config.Replace/", "POST /api/Backends.Heartbeat")
-	refused(404, order, "POST /api/Rollout.Start/s", "POST /api/Rollout.Stop/s", "POST /api/Rollout.Hold/", "GET /api/Rollout.Status/s",
+	refused(404, heartbeatBody, "GET /", "GET /api/Ready", "POST /api/Config.Replace/", "POST /api/Backends.Heartbeat")
+	refused(404, orderBody, "POST /api/Rollout.Start/s", "POST /api/Rollout.Stop/s", "POST /api/Rollout.Hold/", "GET /api/Rollout.Status/s",
 		"GET /api/Rollout.")
-	refused(405, order, "GET /api/Rollout.Start", "POST /api/Rollout.Status", "GET /api/Rollout.PullBack/s")
+	refused(405, orderBody, "GET /api/Rollout.Start", "POST /api/Rollout.Status", "GET /api/Rollout.PullBack/s")
 	refused(405, "{}", "POST /api/ready", "GET /api/Config.Replace", "PUT /api/Config.Amend", "POST /api/Config.Read",
 		"GET /api/Backends.Leave/i-1", "DELETE /api/Node.Status")
-	refused(400, beat, "POST /api/Backends.Heartbeat/", "POST /api/Backends.Heartbeat/"+long,
+	refused(400, heartbeatBody, "POST /api/Backends.Heartbeat/", "POST /api/Backends.Heartbeat/"+long,
 		"POST /api/Backends.Leave/", "POST /api/Backends.Leave/"+long)
 	for _, x := range [][2]string{{`"s"`, `""`}, {"draining", "gone"}, {"10.0.0.9:80", ""}, {"1.5s", "1.5"}, {":4", ":-4"},
-		{beat, ""}, {beat[60:], ""}} {
-		refused(400, strings.Replace(beat, x[0], x[1], 1), "POST /api/Backends.Heartbeat/i-1")
+		{heartbeatBody, ""}, {heartbeatBody[60:], ""}} {
+		refused(400, strings.Replace(heartbeatBody, x[0], x[1], 1), "POST /api/Backends.Heartbeat/i-1")
 	}
-	must.SliceEmpty(t, st.set(func(*fakeNode) {}))
+	must.SliceEmpty(t, st.inTurn(func(*fakeNode) {}))
 	send(c, "POST /api/Config.Replace", strings.Repeat(" ", 65<<10))
-	a, _ := st.hears(r)
+	a, _ := st.readResponse(r)
 	must.Eq(t, 413, a.StatusCode)
 	must.True(t, a.Close)
 }
 
 // Answers may come late and in any order; one whose caller has left goes to nobody, least of all to who came next.
 func TestLateAnswers(t *testing.T) {
-	st := open(t)
-	st.set(func(h *fakeNode) { h.later, h.status, h.body = true, 200, "first" })
+	st := openFixture(t)
+	st.inTurn(func(h *fakeNode) { h.deferAnswers, h.status, h.body = true, 200, "first" })
 	came := make(chan bool, 9)
-	st.set(func(h *fakeNode) { h.came = came })
+	st.inTurn(func(h *fakeNode) { h.came = came })
 	asked := func() {
 		select {
 		case <-came:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the node was never asked")
 		}
 	}
@@ -263,31 +263,31 @@
 	send(one, "GET /api/ready", "") // waits behind it
 	asked()
 	two, r2 := st.dial()
-	st.set(func(h *fakeNode) { h.body = "second" })
+	st.inTurn(func(h *fakeNode) { h.body = "second" })
 	send(two, "POST /api/Config.Replace", "{}")
 	asked()
 	gone, _ := st.dial()
 	send(gone, "POST /api/Backends.Leave/i-1", "")
 	asked()
 	gone.Close()
-	st.set(func(h *fakeNode) {
+	st.inTurn(func(h *fakeNode) {
 		h.ready = true
-		h.held[1]()
-		h.held[2]()
+		h.deferred[1]()
+		h.deferred[2]()
 	})
-	_, body := st.hears(r2)
+	_, body := st.readResponse(r2)
 	must.Eq(t, "second", body)
-	st.set(func(h *fakeNode) { h.held[0]() })
-	_, body = st.hears(r1)
+	st.inTurn(func(h *fakeNode) { h.deferred[0]() })
+	_, body = st.readResponse(r1)
 	must.Eq(t, "first", body)
-	a, _ := st.hears(r1)
+	a, _ := st.readResponse(r1)
 	must.Eq(t, 200, a.StatusCode)
-	st.e.Turn(func() {
-		st.h.held[1]() // said twice: nobody hears it
-		must.Positive(t, st.e.Count[counters.Unheard])
+	st.engine.Turn(func() {
+		st.node.deferred[1]() // said twice: nobody hears it
+		must.Positive(t, st.engine.Count[counters.Unheard])
 	})
 	send(two, "GET /api/ready", "")
-	a, body = st.hears(r2)
+	a, body = st.readResponse(r2)
 	must.Eq(t, 200, a.StatusCode)
 	must.Eq(t, "", body)
 }
--- a/internal/gateway/controlapi/rollouts.go
+++ b/internal/gateway/controlapi/rollouts.go
@@ -31,8 +31,8 @@
 var rolloutVerbs = map[string]rollout.Verb{"Start": rollout.Start, "Step": rollout.Advance, "Hold": rollout.Pause,
 	"PullBack": rollout.Rollback, "Finish": rollout.Finish}
 
-// rollout takes a call on roll-outs.
-func (h *Handler) rollout(c *downstream.Client, method, call string, body []byte) {
+// handleRollout takes a call on roll-outs.
+func (h *Handler) handleRollout(c *downstream.Client, method, call string, body []byte) {
 	name, text, _ := strings.Cut(call, "/")
 	verb, changes := rolloutVerbs[name]
 	service, err := url.PathUnescape(text)
@@ -47,8 +47,8 @@
 	case method != want:
 		c.Reject(405, counters.NoSuchMethod, want+" only")
 	case name == "Status":
-		t := h.hold(c)
-		h.node.Rollouts(func(status int, body []byte) { h.end(t, status, body) })
+		t := h.deferAnswer(c)
+		h.node.Rollouts(func(status int, body []byte) { h.respond(t, status, body) })
 	case name == "History":
 		text, err := json.Marshal(h.node.RolloutHistory(service))
 		if err != nil {
@@ -56,19 +56,19 @@
 		}
 		c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, 200, "application/json", text, 0, last) })
 	default:
-		e, dry, err := readRollout(verb, service, body)
-		t := h.hold(c)
+		e, dry, err := parseRollout(verb, service, body)
+		t := h.deferAnswer(c)
 		if err != nil {
-			h.end(t, 400, []byte(err.Error()))
+			h.respond(t, 400, []byte(err.Error()))
 			return
 		}
-		h.node.Rollout(e, dry, func(status int, body []byte) { h.end(t, status, body) })
+		h.node.Rollout(e, dry, func(status int, body []byte) { h.respond(t, status, body) })
 	}
 }
 
-// readRollout reads an operator's call. A field that is not known is refused: an order that means something else than it
+// parseRollout reads an operator's call. A field that is not known is refused: an order that means something else than it
 // says must not run.
-func readRollout(verb rollout.Verb, service string, body []byte) (e *rollout.Entry, dry bool, err error) {
+func parseRollout(verb rollout.Verb, service string, body []byte) (e *rollout.Entry, dry bool, err error) {
 	strict := func(into any) error {
 		d := json.NewDecoder(bytes.NewReader(body))
 		d.DisallowUnknownFields()
--- a/internal/gateway/ingress/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -8,18 +8,18 @@
 	"clovergap/internal/proxy/upstream"
 )
 
-// idleShare and idleLess are what of a backend's word on idle connections is used: what is written to one
+// idleTimeoutFactor and idleTimeoutMargin are what of a backend's word on idle connections is used: what is written to one
 // that is just being closed may be lost, and nobody knows then whether it ran.
 const (
-	idleShare = 0.8
-	idleLess  = 100 * time.Millisecond
+	idleTimeoutFactor = 0.8
+	idleTimeoutMargin = 100 * time.Millisecond
 )
 
 // Dialect is what the gateway's backends mean by their answers.
-type Dialect struct{ lookups Lookups }
+type Dialect struct{ catalog Catalog }
 
 // NewDialect makes it. deployment is told of a backend that another has replaced, and nothing else.
-func NewDialect(lookups Lookups) *Dialect { return &Dialect{lookups} }
+func NewDialect(lookups Catalog) *Dialect { return &Dialect{lookups} }
 
 // Wary is true: a backend may begin as soon as anything of a request has reached it.
 func (*Dialect) Wary() bool { return true }
@@ -38,7 +38,7 @@
 	switch s := r.Status(); {
 	case s == 421:
 		v.Ending, v.Closes = control.Rejected, true
-		d.lookups.Gone(x.At)
+		d.catalog.BackendReplaced(x.At)
 	case notRun != nil:
 		v.Ending = control.Rejected
 	case s < 300:
@@ -54,8 +54,8 @@
 		v.Final = x.Once
 	}
 	if idle, _ := r.Get(b, "keep-alive"); idle != nil {
-		if most, ok := span(idle); ok {
-			v.Idle = time.Duration(idleShare*float64(most)) - idleLess
+		if most, ok := keepAliveTimeout(idle); ok {
+			v.Idle = time.Duration(idleTimeoutFactor*float64(most)) - idleTimeoutMargin
 			v.Closes = v.Closes || v.Idle <= 0
 		}
 	}
--- a/internal/gateway/ingress/flow.go
+++ b/internal/gateway/ingress/flow.go
@@ -9,11 +9,11 @@
 // Bodies beyond Buffer pass through as they come: a part at a time, and no more than the other side takes.
 // The rest waits in the sender's socket.
 
-// partMost is about what one part holds.
-const partMost = 64 << 10
+// maxPartBytes is about what one part holds.
+const maxPartBytes = 64 << 10
 
-// mark is room for a chunk's length before it.
-const mark = "00000000\r\n"
+// chunkSizePlaceholder is room for a chunk's length before it.
+const chunkSizePlaceholder = "00000000\r\n"
 
 // More is called when more of a request's body has come, or its client is ready for more of the answer.
 func (h *Handler) More(c *downstream.Client) {
@@ -24,44 +24,44 @@
 
 // Flows tells whether a request's body is passed on as it comes.
 func (h *Handler) Flows(who, txn slots.Ref) bool {
-	c := h.in.Waits(who, txn)
+	c := h.server.Waits(who, txn)
 	return c != nil && c.Flows()
 }
 
 // Spent tells whether some of it has gone.
 func (h *Handler) Spent(who, txn slots.Ref) bool {
-	c := h.in.Waits(who, txn)
-	return c != nil && c.Flows() && visitOf(c).spent
+	c := h.server.Waits(who, txn)
+	return c != nil && c.Flows() && stateOf(c).bodySent
 }
 
 // Part adds what has come of such a body, as it goes on.
 func (h *Handler) Part(b []byte, who, txn slots.Ref) (out []byte, whole, ok bool) {
-	c := h.in.Waits(who, txn)
+	c := h.server.Waits(who, txn)
 	if c == nil || c.IsClosed() || !c.Flows() {
 		return b, false, false
 	}
-	v := visitOf(c)
+	v := stateOf(c)
 	r, _ := c.Request()
 	_, _, chunked := r.Framed()
 	from := len(b)
 	if chunked {
-		b = append(b, mark...)
+		b = append(b, chunkSizePlaceholder...)
 	}
-	begin, err := len(b), v.wrong
+	begin, err := len(b), v.bodyErr
 	for err == nil {
 		b, whole, err = c.Part(b)
-		if whole || len(b)-begin >= partMost || !c.Resume() {
+		if whole || len(b)-begin >= maxPartBytes || !c.Resume() {
 			break
 		}
 	}
 	if err != nil {
-		v.wrong = err
+		v.bodyErr = err
 		return b[:from], false, false
 	}
 	n := len(b) - begin
-	v.spent = v.spent || n > 0 || whole
+	v.bodySent = v.bodySent || n > 0 || whole
 	if chunked {
-		b = chunk(b, from, n)
+		b = closeChunk(b, from, n)
 		if whole {
 			b = append(b, "0\r\n\r\n"...)
 		}
@@ -69,9 +69,9 @@
 	return b, whole, !c.IsClosed()
 }
 
-// chunk fills the mark in that stands before the last n bytes; nothing makes no chunk, which would be the
+// closeChunk fills the mark in that stands before the last n bytes; nothing makes no chunk, which would be the
 // last.
-func chunk(b []byte, from, n int) []byte {
+func closeChunk(b []byte, from, n int) []byte {
 	if n == 0 {
 		return b[:from]
 	}
@@ -83,13 +83,13 @@
 
 // Begin passes the head of a long answer on.
 func (h *Handler) Begin(who, txn slots.Ref, o gate.Outcome) bool {
-	c := h.in.Holds(who, txn)
+	c := h.server.Holds(who, txn)
 	if c == nil {
 		return false
 	}
-	v := visitOf(c)
+	v := stateOf(c)
 	r, _ := c.Request()
-	if _, _, v.chunks = o.Answer.Framed(); v.chunks && r.Old() {
+	if _, _, v.chunkedResponse = o.Answer.Framed(); v.chunkedResponse && r.Old() {
 		return false
 	}
 	c.Begin(func(b []byte, last bool) []byte { return appendHead(b, o.Answer, o.Bytes, false, last) })
@@ -98,7 +98,7 @@
 
 // Room is how many bytes of such an answer its client is ready for.
 func (h *Handler) Room(who, txn slots.Ref) int {
-	c := h.in.Waits(who, txn)
+	c := h.server.Waits(who, txn)
 	if c == nil || c.IsClosed() {
 		return -1
 	}
@@ -107,25 +107,25 @@
 
 // Pass passes a part of it on.
 func (h *Handler) Pass(who, txn slots.Ref, part []byte) {
-	c := h.in.Waits(who, txn)
+	c := h.server.Waits(who, txn)
 	if c == nil {
 		return
 	}
-	if visitOf(c).chunks {
-		h.part = chunk(append(append(h.part[:0], mark...), part...), 0, len(part))
-		part = h.part
+	if stateOf(c).chunkedResponse {
+		h.chunkBuffer = closeChunk(append(append(h.chunkBuffer[:0], chunkSizePlaceholder...), part...), 0, len(part))
+		part = h.chunkBuffer
 	}
 	c.Pass(part)
 }
 
 // End ends it, or breaks off what is not whole.
 func (h *Handler) End(who, txn slots.Ref, whole bool) {
-	c := h.in.Waits(who, txn)
+	c := h.server.Waits(who, txn)
 	if c == nil {
 		return
 	}
 	var last []byte
-	if visitOf(c).chunks {
+	if stateOf(c).chunkedResponse {
 		last = []byte("0\r\n\r\n")
 	}
 	c.End(whole, last)
--- a/internal/gateway/ingress/flow_test.go
+++ b/internal/gateway/ingress/flow_test.go
@@ -19,31 +19,31 @@
 	"clovergap/internal/proxy/counters"
 )
 
-// long is a body that no node holds, different at each place.
-func long(n int) []byte {
+// randomBody is a body that no node holds, different at each place.
+func randomBody(n int) []byte {
 	b := make([]byte, n)
 	rand.NewChaCha8([32]byte{1}).Read(b)
 	return b
 }
 
-// stall is a backend that hands over its connections as they are.
-func (f *fixture) stall() (next func() (*bufio.Reader, *net.TCPConn)) {
+// listenRaw is a backend that hands over its connections as they are.
+func (f *fixture) listenRaw() (next func() (*bufio.Reader, *net.TCPConn)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(f.t, err)
 	f.t.Cleanup(func() { l.Close() })
-	f.e.Turn(func() { f.d.SetBackend(7, l.Addr().String(), 1, true) })
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	f.engine.Turn(func() { f.dispatch.SetBackend(7, l.Addr().String(), 1, true) })
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	return func() (*bufio.Reader, *net.TCPConn) {
 		c, err := l.Accept()
 		must.NoError(f.t, err)
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		f.t.Cleanup(func() { c.Close() })
 		return bufio.NewReader(c), c.(*net.TCPConn)
 	}
 }
 
-// inChunks cuts a body into chunks of uneven sizes.
-func inChunks(body []byte) []byte {
+// chunkedBody cuts a body into chunks of uneven sizes.
+func chunkedBody(body []byte) []byte {
 	var b bytes.Buffer
 	for i := 1; len(body) > 0; i++ {
 		n := min(len(body), i*i*7%70000+1)
@@ -54,8 +54,8 @@
 	return b.Bytes()
 }
 
-// others lets all that can go on do so for a while. Nothing rests on how far they come.
-func others() {
+// yieldToOthers lets all that can go on do so for a while. Nothing rests on how far they come.
+func yieldToOthers() {
 	for range 5000 {
 		runtime.Gosched()
 	}
@@ -64,15 +64,15 @@
 // Long bodies, by length and in chunks, come through whole both ways, one after the other on one
 // connection, though either side is slow; the memory that they take is bounded.
 func TestLongBodies(t *testing.T) {
-	st := open(t)
-	next := st.stall()
-	body := long(3 << 20)
+	st := openFixture(t)
+	next := st.listenRaw()
+	body := randomBody(3 << 20)
 	c := st.client()
 	for i, chunked := range []bool{false, true, false, true} {
 		head := fmt.Sprintf("Content-Length: %d\r\n", len(body))
 		sent := body
 		if chunked {
-			head, sent = "Transfer-Encoding: chunked\r\n", inChunks(body)
+			head, sent = "Transfer-Encoding: chunked\r\n", chunkedBody(body)
 		}
 		id := fmt.Sprint("b", i)
 		go c.send(request("POST", "/once/", id, head) + string(sent))
@@ -81,7 +81,7 @@
 		must.NoError(t, err)
 		must.Eq(t, "huka", q.Header.Get("X-Tenant"))
 		must.Eq(t, chunked, q.ContentLength < 0)
-		others() // all rings fill
+		yieldToOthers() // all rings fill
 		got, err := io.ReadAll(q.Body)
 		must.NoError(t, err)
 		must.True(t, bytes.Equal(body, got))
@@ -95,10 +95,10 @@
 				conn.Close() // before its reader has begun
 			}
 		}()
-		a, err := http.ReadResponse(c.r, &http.Request{Method: "POST"})
+		a, err := http.ReadResponse(c.reader, &http.Request{Method: "POST"})
 		must.NoError(t, err)
 		must.Eq(t, "s", a.Header.Get("X-Backend-Seal"))
-		others()
+		yieldToOthers()
 		got, err = io.ReadAll(a.Body)
 		must.NoError(t, err)
 		must.True(t, bytes.Equal(body, got))
@@ -112,13 +112,13 @@
 
 // A reader that stops holds up its own connection only, and what waits for it stays with the backend.
 func TestSlowReader(t *testing.T) {
-	st := open(t)
-	next := st.stall()
+	st := openFixture(t)
+	next := st.listenRaw()
 	slow, quick := st.client(), st.client()
 	slow.send(request("GET", "/pure/", "s", ""))
 	r, conn := next()
 	http.ReadRequest(r)
-	body := long(24 << 20)
+	body := randomBody(24 << 20)
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: s\r\nX-Backend-Seal: s\r\nContent-Length: %d\r\n\r\n", len(body))
 	went := make(chan error)
 	go func() {
@@ -130,15 +130,15 @@
 		r, other := next()
 		_, err := http.ReadRequest(r)
 		must.NoError(t, err)
-		io.WriteString(other, served(fmt.Sprint("q", i), "Connection: close\r\n", "quick"))
-		must.Eq(t, "quick", quick.hears("HTTP/1.1 200 Fine"))
+		io.WriteString(other, okResponse(fmt.Sprint("q", i), "Connection: close\r\n", "quick"))
+		must.Eq(t, "quick", quick.expectResponse("HTTP/1.1 200 Fine"))
 	}
 	select {
 	case <-went:
 		t.Fatal("an answer was taken that nobody reads")
 	default:
 	}
-	a, err := http.ReadResponse(slow.r, nil)
+	a, err := http.ReadResponse(slow.reader, nil)
 	must.NoError(t, err)
 	got, err := io.ReadAll(a.Body)
 	must.NoError(t, err)
@@ -148,13 +148,13 @@
 
 // What is cut short never looks whole, and a body of which some has gone does not go again.
 func TestCutShort(t *testing.T) {
-	st := open(t)
-	next := st.stall()
-	body := long(1 << 20)
+	st := openFixture(t)
+	next := st.listenRaw()
+	body := randomBody(1 << 20)
 	for _, head := range []string{"Content-Length: 1048576\r\n", "Transfer-Encoding: chunked\r\n"} {
 		sent := body
 		if strings.HasPrefix(head, "Transfer") {
-			sent = inChunks(body)
+			sent = chunkedBody(body)
 		}
 		c := st.client()
 		c.send(request("GET", "/pure/", "c", ""))
@@ -162,7 +162,7 @@
 		http.ReadRequest(r) // a close with unread bytes would reset the connection
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: c\r\nX-Backend-Seal: s\r\n%s\r\n%s", head, sent[:len(sent)-50])
 		conn.Close()
-		a, err := http.ReadResponse(c.r, nil)
+		a, err := http.ReadResponse(c.reader, nil)
 		must.NoError(t, err)
 		_, err = io.ReadAll(a.Body)
 		must.ErrorIs(t, err, io.ErrUnexpectedEOF)
@@ -180,8 +180,8 @@
 	} {
 		c := st.client()
 		c.send(request("PUT", "/pure/", "d", "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n"))
-		c.hears("HTTP/1.1 100 Continue")
-		c.send(string(inChunks(body)[:1<<19]))
+		c.expectResponse("HTTP/1.1 100 Continue")
+		c.send(string(chunkedBody(body)[:1<<19]))
 		r, conn := next()
 		q, err := http.ReadRequest(r)
 		must.NoError(t, err)
@@ -191,9 +191,9 @@
 			// the present chunk is filled up first, so that what follows stands where a chunk's mark should
 			c.send(strings.Repeat("x", 70000) + "\r\n" + x.rest)
 		}
-		c.hears("HTTP/1.1 "+x.line, "Connection: close")
+		c.expectResponse("HTTP/1.1 "+x.line, "Connection: close")
 	}
-	st.e.Turn(func() { must.Eq(t, 0, st.g.Held()) })
+	st.engine.Turn(func() { must.Eq(t, 0, st.gate.Held()) })
 	c := st.client()
 	c.send(request("PUT", "/pure/", "e", "Content-Length: 1000000\r\n") + string(body[:500000]))
 	r, _ := next()
@@ -208,9 +208,9 @@
 // Once an answer has begun, only its own end or the end of the time ends it: it is not called off for a
 // better one, and what is given up is cut.
 func TestBegun(t *testing.T) {
-	st := open(t)
-	next := st.stall()
-	body := long(1 << 20)
+	st := openFixture(t)
+	next := st.listenRaw()
+	body := randomBody(1 << 20)
 	begin := func(id string) (c *client, conn *net.TCPConn, a *http.Response) {
 		c = st.client()
 		c.send(request("GET", "/pure/", id, ""))
@@ -218,13 +218,13 @@
 		http.ReadRequest(r)
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Backend-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id,
 			len(body), body[:1000])
-		a, err := http.ReadResponse(c.r, nil)
+		a, err := http.ReadResponse(c.reader, nil)
 		must.NoError(t, err)
 		return c, conn, a
 	}
 	for _, verb := range []control.Action{control.Cancel, control.Fail} {
 		_, conn, a := begin("g")
-		st.e.Turn(func() {
+		st.engine.Turn(func() {
 			d := control.Decision{Action: verb}
 			for d.Txn = range st.module.expiry {
 			}
@@ -243,32 +243,32 @@
 		_, err = conn.Read(make([]byte, 1))
 		must.Error(t, err)
 	}
-	st.e.Turn(func() { must.Eq(t, 0, st.g.Held()) })
+	st.engine.Turn(func() { must.Eq(t, 0, st.gate.Held()) })
 	must.Eq(t, 1, st.count(counters.CutShort))
 }
 
 // A backend that answers before it has read a long body, keeps the connection and reads on gets nothing there but bytes of that body: the
 // connection carries no other request. Guards against a request that is taken for the rest of another one's body.
 func TestAnsweredBeforeItsBody(t *testing.T) {
-	st := open(t)
-	next := st.stall()
-	body := long(3 << 20)
+	st := openFixture(t)
+	next := st.listenRaw()
+	body := randomBody(3 << 20)
 	c := st.client()
 	c.send(request("POST", "/once/", "early", fmt.Sprintf("Content-Length: %d\r\n", len(body))))
 	go c.Write(body[:len(body)/3]) // the rest of it is still to come
 	r, conn := next()
 	_, err := http.ReadRequest(r)
 	must.NoError(t, err)
-	io.WriteString(conn, served("early", "", "soon"))
-	must.Eq(t, "soon", c.hears("HTTP/1.1 200 Fine"))
+	io.WriteString(conn, okResponse("early", "", "soon"))
+	must.Eq(t, "soon", c.expectResponse("HTTP/1.1 200 Fine"))
 	other := st.client()
 	other.send(request("GET", "/pure/", "other", ""))
 	fresh, second := next() // on a connection of its own
 	q, err := http.ReadRequest(fresh)
 	must.NoError(t, err)
 	must.Eq(t, "other", q.Header.Get("X-Attempt-Id"))
-	io.WriteString(second, served("other", "Connection: close\r\n", "quick"))
-	must.Eq(t, "quick", other.hears("HTTP/1.1 200 Fine"))
+	io.WriteString(second, okResponse("other", "Connection: close\r\n", "quick"))
+	must.Eq(t, "quick", other.expectResponse("HTTP/1.1 200 Fine"))
 	rest, _ := io.ReadAll(r) // to the connection's end, be it a reset
 	must.True(t, bytes.HasPrefix(body, rest))
 	must.Less(t, len(body), len(rest))
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -22,8 +22,8 @@
 	"clovergap/internal/proxy/upstream"
 )
 
-// patience bounds every wait of these tests; none of them depends on how long anything takes within it.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of these tests; none of them depends on how long anything takes within it.
+const testTimeout = 20 * time.Second
 
 // module is the least module there may be: each request goes to the one backend; what never ran is declined,
 // what may have is voided.
@@ -82,78 +82,78 @@
 	gone    []control.BackendID
 }
 
-func (f *fakeNode) Admit(host, path, key []byte) (Admission, Refusal) {
+func (f *fakeNode) Admit(host, path, key []byte) (Admission, Rejection) {
 	switch kind, _, _ := strings.Cut(strings.TrimPrefix(string(path), "/"), "/"); {
 	case f.unknown:
-		return Admission{}, UnknownYet
+		return Admission{}, ConfigurationPending
 	case string(host) != "lots.example" || kind != "pure" && kind != "once" && kind != "open":
 		return Admission{}, NoRoute
 	case kind == "open":
-		return Admission{Deadline: 20 * time.Second}, None
+		return Admission{Deadline: 20 * time.Second}, NotRejected
 	case string(key) != "k1":
-		return Admission{}, NoKey
+		return Admission{}, InvalidKey
 	default:
-		return Admission{Tenant: "huka", Once: kind == "once", Deadline: 20 * time.Second}, None
+		return Admission{Tenant: "huka", AtMostOnce: kind == "once", Deadline: 20 * time.Second}, NotRejected
 	}
 }
 func (f *fakeNode) BackendName(control.BackendID) string { return "i-7" }
-func (f *fakeNode) Gone(at control.BackendID)            { f.gone = append(f.gone, at) }
+func (f *fakeNode) BackendReplaced(at control.BackendID) { f.gone = append(f.gone, at) }
 
 // fixture is a node's data path between a client and a backend that answers as told.
 type fixture struct {
-	t      *testing.T
-	e      *eventloop.Engine
-	in     *downstream.Server
-	d      *upstream.Dispatch
-	g      *gate.Gate
-	module *fakeModule
-	node   *fakeNode
-	b      *standin.Script
+	t        *testing.T
+	engine   *eventloop.Engine
+	server   *downstream.Server
+	dispatch *upstream.Dispatch
+	gate     *gate.Gate
+	module   *fakeModule
+	node     *fakeNode
+	backend  *standin.Script
 }
 
-func open(t *testing.T) *fixture {
-	st := &fixture{t: t, e: eventloop.New("", 1024, 512<<10, 64<<20), node: &fakeNode{},
+func openFixture(t *testing.T) *fixture {
+	st := &fixture{t: t, engine: eventloop.New("", 1024, 512<<10, 64<<20), node: &fakeNode{},
 		module: &fakeModule{expiry: map[control.TxnID]time.Duration{}}}
-	k := &clock{Engine: st.e}
-	st.g = gate.New(st.module, k, 1000, st.e.Count, zap.NewNop())
-	k.due = st.g
-	st.d = upstream.New(st.e, st.g, Terms(st.node, time.Second), func() bool { return false })
-	st.in = downstream.New(st.e, 500, Bounds(Limits{16 << 10, 4 << 20, 5 * time.Second, 15 * time.Second}),
+	k := &clock{Engine: st.engine}
+	st.gate = gate.New(st.module, k, 1000, st.engine.Count, zap.NewNop())
+	k.due = st.gate
+	st.dispatch = upstream.New(st.engine, st.gate, UpstreamConfig(st.node, time.Second), func() bool { return false })
+	st.server = downstream.New(st.engine, 500, Bounds(Limits{16 << 10, 4 << 20, 5 * time.Second, 15 * time.Second}),
 		func() bool { return false })
-	f := New(st.in, st.e, st.g, st.node)
+	f := New(st.server, st.engine, st.gate, st.node)
 	must.True(t, f != nil)
-	st.g.Through(st.d, nil)
-	st.e.OnTurnEnd(st.g.Pull)
-	must.NoError(t, st.e.Listen("127.0.0.1:0", st.in.Accept))
+	st.gate.Through(st.dispatch, nil)
+	st.engine.OnTurnEnd(st.gate.Pull)
+	must.NoError(t, st.engine.Listen("127.0.0.1:0", st.server.Accept))
 	var err error
-	st.b, err = standin.NewScript()
+	st.backend, err = standin.NewScript()
 	must.NoError(t, err)
-	must.NoError(t, st.e.Start())
-	st.e.Turn(func() { st.d.SetBackend(7, st.b.Addr(), 0, true) })
-	t.Cleanup(func() { st.e.Stop(); st.b.Close() })
+	must.NoError(t, st.engine.Start())
+	st.engine.Turn(func() { st.dispatch.SetBackend(7, st.backend.Addr(), 0, true) })
+	t.Cleanup(func() { st.engine.Stop(); st.backend.Close() })
 	return st
 }
 
 type client struct {
 	t *testing.T
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 func (f *fixture) client() *client {
-	c, err := net.Dial("tcp", f.e.AddrOf(0))
+	c, err := net.Dial("tcp", f.engine.AddrOf(0))
 	must.NoError(f.t, err)
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	f.t.Cleanup(func() { c.Close() })
 	return &client{f.t, c, bufio.NewReader(c)}
 }
 
 func (c *client) send(text string) { io.WriteString(c, text) }
 
-// hears checks an answer's first line, the headers that are named, and its body.
-func (c *client) hears(line string, headers ...string) string {
+// expectResponse checks an answer's first line, the headers that are named, and its body.
+func (c *client) expectResponse(line string, headers ...string) string {
 	c.t.Helper()
-	head, body, err := standin.ReadMessage(c.r)
+	head, body, err := standin.ReadMessage(c.reader)
 	must.NoError(c.t, err)
 	first, rest, _ := strings.Cut(head, "\r\n")
 	must.Eq(c.t, line, first)
@@ -167,14 +167,14 @@
 	return body
 }
 
-func (c *client) ended() {
+func (c *client) expectEOF() {
 	c.t.Helper()
-	_, err := c.r.ReadByte()
+	_, err := c.reader.ReadByte()
 	must.ErrorIs(c.t, err, io.EOF)
 }
 
 func (f *fixture) count(id counters.ID) (n uint64) {
-	f.e.Turn(func() { n = f.e.Count[id] })
+	f.engine.Turn(func() { n = f.engine.Count[id] })
 	return n
 }
 
@@ -183,20 +183,20 @@
 		"\r\nAuthorization: Token k1\r\n" + more + "\r\n"
 }
 
-func served(id, more, body string) string {
+func okResponse(id, more, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 Fine\r\nX-Attempt-Id: %s\r\nX-Backend-Seal: s1\r\n%sContent-Length: %d\r\n\r\n%s",
 		id, more, len(body), body)
 }
 
 // What goes on is what came, but for what concerns one connection and what the gateway says itself.
 func TestPassedOn(t *testing.T) {
-	st := open(t)
+	st := openFixture(t)
 	c := st.client()
 	c.send(request("PATCH", "/pure/a?b=c&d", "a1", "Connection: X-Attempt-Id, x-hop, keep-alive\r\nX-Hop: 1\r\n"+
 		"X-Tenant: liar\r\nX-Expect-Backend: i-0\r\nX-Deadline-Ms: 1500\r\nTE: trailers\r\nX-Other: kept\r\n"+
 		"Transfer-Encoding: chunked\r\n") +
 		"3\r\nabc\r\n2;x\r\nde\r\n0\r\nT: u\r\n\r\n")
-	x := st.b.Next()
+	x := st.backend.Next()
 	left := 0
 	var lines []string
 	for _, l := range strings.Split(strings.TrimSpace(x.Head), "\r\n") {
@@ -208,26 +208,26 @@
 		"X-Expect-Backend: i-7", "X-Tenant: huka", "Content-Length: 5"}, lines)
 	must.Eq(t, "abcde", x.Body)
 	must.Between(t, 1000, left, 1500)
-	x.Answer(served("a1", "Connection: X-Backend-Seal, x-hop\r\nX-Hop: 2\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n", "body"))
-	must.Eq(t, "body", c.hears("HTTP/1.1 200 Fine", "X-Attempt-Id: a1", "X-Backend-Seal: s1", "Set-Cookie: a",
+	x.Answer(okResponse("a1", "Connection: X-Backend-Seal, x-hop\r\nX-Hop: 2\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n", "body"))
+	must.Eq(t, "body", c.expectResponse("HTTP/1.1 200 Fine", "X-Attempt-Id: a1", "X-Backend-Seal: s1", "Set-Cookie: a",
 		"Set-Cookie: b", "!X-Hop", "!Connection"))
 	c.send(request("HEAD", "/open/", "a2", "") + request("GET", "/open/", "a3", "Connection: close\r\n"))
-	x = st.b.Next()
+	x = st.backend.Next()
 	must.StrNotContains(t, x.Head, "Tenant")
 	x.Answer("HTTP/1.1 200 OK\r\nX-Attempt-Id: a2\r\nX-Backend-Seal: s\r\nContent-Length: 9\r\n\r\n")
-	line, _ := c.r.ReadString('\n')
+	line, _ := c.reader.ReadString('\n')
 	must.Eq(t, "HTTP/1.1 200 OK\r\n", line)
 	for line != "\r\n" {
-		line, _ = c.r.ReadString('\n')
+		line, _ = c.reader.ReadString('\n')
 	}
-	st.b.Next().Answer(served("a3", "", "third"))
-	must.Eq(t, "third", c.hears("HTTP/1.1 200 Fine", "Connection: close"))
-	c.ended()
+	st.backend.Next().Answer(okResponse("a3", "", "third"))
+	must.Eq(t, "third", c.expectResponse("HTTP/1.1 200 Fine", "Connection: close"))
+	c.expectEOF()
 }
 
 // Not knowing is not "no", and what can't be a request is told so at once.
 func TestRefused(t *testing.T) {
-	st := open(t)
+	st := openFixture(t)
 	good := request("GET", "/pure/", "r", "")
 	swap := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	for _, x := range []struct{ text, line string }{
@@ -245,24 +245,24 @@
 	} {
 		c := st.client()
 		c.send(x.text)
-		c.hears("HTTP/1.1 " + x.line)
+		c.expectResponse("HTTP/1.1 " + x.line)
 	}
-	st.e.Turn(func() { st.module.lacking = gate.LackUnits })
+	st.engine.Turn(func() { st.module.lacking = gate.LackUnits })
 	c := st.client()
 	c.send(good)
-	c.hears("HTTP/1.1 429 Too Many Requests", "Retry-After: 1.500", "X-Attempt-Id: r")
-	st.e.Turn(func() { st.module.lacking = gate.LackBackend })
+	c.expectResponse("HTTP/1.1 429 Too Many Requests", "Retry-After: 1.500", "X-Attempt-Id: r")
+	st.engine.Turn(func() { st.module.lacking = gate.LackBackend })
 	c.send(good)
-	c.hears("HTTP/1.1 503 Service Unavailable", "Retry-After: 1.500")
-	st.e.Turn(func() { st.node.unknown = true })
+	c.expectResponse("HTTP/1.1 503 Service Unavailable", "Retry-After: 1.500")
+	st.engine.Turn(func() { st.node.unknown = true })
 	c.send(good)
-	c.hears("HTTP/1.1 503 Service Unavailable", "Retry-After: 0.300")
+	c.expectResponse("HTTP/1.1 503 Service Unavailable", "Retry-After: 0.300")
 	must.Eq(t, 0, st.count(counters.Dials))
 }
 
 // Each way that a submission may end, and what its client is told.
 func TestEnds(t *testing.T) {
-	st := open(t)
+	st := openFixture(t)
 	says := func(status, more string) func(*standin.Call) {
 		return func(x *standin.Call) {
 			x.Answer("HTTP/1.1 " + status + "\r\nX-Attempt-Id: e\r\n" + more + "Content-Length: 2\r\n\r\nno")
@@ -287,7 +287,7 @@
 		{"encoded", says("200 OK", "X-Backend-Seal: s\r\nContent-Encoding: gzip\r\n"), bad, bad, counters.EndErrored},
 		{"no id", func(x *standin.Call) { x.Answer("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n") },
 			bad, bad, counters.EndBroken},
-		{"cut", func(x *standin.Call) { x.Answer(served("e", "", "some")[:80]); x.C.Close() },
+		{"cut", func(x *standin.Call) { x.Answer(okResponse("e", "", "some")[:80]); x.C.Close() },
 			bad, bad, counters.EndBroken},
 		{"reset", func(x *standin.Call) { x.C.(*net.TCPConn).SetLinger(0); x.C.Close() },
 			bad, bad, counters.EndBroken},
@@ -296,8 +296,8 @@
 		for path, line := range map[string]string{"/pure/": x.pure, "/once/": x.once} {
 			c, before := st.client(), st.count(x.ending)
 			c.send(request("POST", path, "e", ""))
-			x.says(st.b.Next())
-			c.hears("HTTP/1.1 " + line)
+			x.says(st.backend.Next())
+			c.expectResponse("HTTP/1.1 " + line)
 			must.Eq(t, before+1, st.count(x.ending), must.Sprint(x.what, path))
 		}
 	}
@@ -307,7 +307,7 @@
 // A failure bears a backend's seal only where it is that backend's, with the status that it gave: what the gateway answers itself
 // bears none, whatever the backend had begun to say.
 func TestOwnFailuresBearNoSeal(t *testing.T) {
-	st := open(t)
+	st := openFixture(t)
 	for _, status := range []string{"200 OK", "204 Empty", "302 Away", "403 No", "408 Slow", "421 Wrong", "429 Full", "500 Oops", "502 Bad",
 		"503 Full", "504 Late"} {
 		for name, more := range map[string]string{"": "", "not run": "X-Not-Run: 1\r\n", "encoded": "Content-Encoding: gzip\r\n"} {
@@ -315,7 +315,7 @@
 				for _, path := range []string{"/pure/", "/once/"} {
 					c := st.client()
 					c.send(request("POST", path, "e", ""))
-					x := st.b.Next()
+					x := st.backend.Next()
 					text := "HTTP/1.1 " + status + "\r\nX-Attempt-Id: e\r\nX-Backend-Seal: s\r\n" + more + "Content-Length: 2\r\n\r\nno"
 					if status == "204 Empty" {
 						text = strings.Replace(text, "Content-Length: 2\r\n\r\nno", "\r\n", 1)
@@ -326,7 +326,7 @@
 					} else {
 						x.Answer(text)
 					}
-					head, _, err := standin.ReadMessage(c.r)
+					head, _, err := standin.ReadMessage(c.reader)
 					must.NoError(t, err)
 					line, _, _ := strings.Cut(strings.TrimPrefix(head, "HTTP/1.1 "), "\r\n")
 					if strings.Contains(head, "X-Backend-Seal:") {
@@ -343,13 +343,13 @@
 
 // An answer with another id is passed over and the right one awaited; one too many ends its connection.
 func TestAnotherID(t *testing.T) {
-	st := open(t)
+	st := openFixture(t)
 	c := st.client()
 	c.send(request("POST", "/once/", "x1", ""))
-	x := st.b.Next()
-	x.Answer(served("x0", "", "not yours") + served("x1", "", "yours") + served("x2", "", "nobody's"))
-	must.Eq(t, "yours", c.hears("HTTP/1.1 200 Fine"))
-	x.C.SetReadDeadline(time.Now().Add(patience))
+	x := st.backend.Next()
+	x.Answer(okResponse("x0", "", "not yours") + okResponse("x1", "", "yours") + okResponse("x2", "", "nobody's"))
+	must.Eq(t, "yours", c.expectResponse("HTTP/1.1 200 Fine"))
+	x.C.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err := x.C.Read(make([]byte, 1))
 	must.Error(t, err)
 	must.Eq(t, 1, st.count(counters.OtherAnswer))
@@ -359,29 +359,29 @@
 func TestConnections(t *testing.T) {
 	v := NewDialect(nil)
 	for text, want := range map[string]time.Duration{"timeout=5, max=9": 3900 * time.Millisecond, "max=9": 0} {
-		d, ok := span([]byte(text))
+		d, ok := keepAliveTimeout([]byte(text))
 		if ok {
-			d = time.Duration(idleShare*float64(d)) - idleLess
+			d = time.Duration(idleTimeoutFactor*float64(d)) - idleTimeoutMargin
 		}
 		must.Eq(t, want, d)
 	}
 	must.True(t, v.Wary())
-	st := open(t)
-	st.e.Turn(func() { st.d.SetMaxConns(7, 1) })
+	st := openFixture(t)
+	st.engine.Turn(func() { st.dispatch.SetMaxConns(7, 1) })
 	c, other := st.client(), st.client()
 	c.send(request("GET", "/pure/", "m1", ""))
-	x := st.b.Next()
+	x := st.backend.Next()
 	other.send(request("GET", "/pure/", "m2", ""))
-	other.hears("HTTP/1.1 503 Service Unavailable")
-	x.Answer(served("m1", "", "a"))
-	c.hears("HTTP/1.1 200 Fine")
+	other.expectResponse("HTTP/1.1 503 Service Unavailable")
+	x.Answer(okResponse("m1", "", "a"))
+	c.expectResponse("HTTP/1.1 200 Fine")
 	c.send(request("GET", "/pure/", "m3", "")) // at once: it has not rested, and no other may be opened
-	st.b.Next().Answer(served("m3", "Keep-Alive: timeout=0\r\n", "b"))
-	c.hears("HTTP/1.1 200 Fine")
+	st.backend.Next().Answer(okResponse("m3", "Keep-Alive: timeout=0\r\n", "b"))
+	c.expectResponse("HTTP/1.1 200 Fine")
 	must.Eq(t, 1, st.count(counters.Dials))
 	c.send(request("GET", "/pure/", "m4", ""))
-	st.b.Next().Answer(served("m4", "", "b"))
-	c.hears("HTTP/1.1 200 Fine")
+	st.backend.Next().Answer(okResponse("m4", "", "b"))
+	c.expectResponse("HTTP/1.1 200 Fine")
 	must.Eq(t, 2, st.count(counters.Dials))
 }
 
@@ -410,7 +410,7 @@
 	dial := func() *client {
 		c, err := net.Dial("tcp", e.AddrOf(1))
 		must.NoError(t, err)
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		return &client{t, c, bufio.NewReader(c)}
 	}
 	say := func(k downstream.Ticket, status int) (ok bool) {
@@ -426,17 +426,17 @@
 	go c.send(fmt.Sprintf("POST /api HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	first := <-f.tickets
 	must.True(t, say(first, 200))
-	c.hears("HTTP/1.1 200 A")
+	c.expectResponse("HTTP/1.1 200 A")
 	must.False(t, say(first, 201))
 	c.send("GET /api HTTP/1.1\r\n\r\n")
 	second := <-f.tickets
 	must.False(t, say(first, 201))
 	must.True(t, say(second, 202))
-	c.hears("HTTP/1.1 202 A")
+	c.expectResponse("HTTP/1.1 202 A")
 	c.send("GET /api HTTP/1.1\r\n\r\n")
 	third := <-f.tickets
 	c.Close()
-	for in, end := 1, time.Now().Add(patience); in > 0 && time.Now().Before(end); {
+	for in, end := 1, time.Now().Add(testTimeout); in > 0 && time.Now().Before(end); {
 		e.Turn(func() { in = f.in.Clients() })
 	}
 	must.False(t, say(third, 200))
--- a/internal/gateway/ingress/words.go
+++ b/internal/gateway/ingress/words.go
@@ -10,8 +10,8 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// hop tells whether a header concerns one connection only, or is written anew here.
-func hop(name []byte) bool {
+// isHopByHop tells whether a header concerns one connection only, or is written anew here.
+func isHopByHop(name []byte) bool {
 	switch len(name) {
 	case 2:
 		return http1.Same(name, "te")
@@ -35,40 +35,40 @@
 	return false
 }
 
-// ours tells whether a request's header is the gateway's own to set, whatever a client says.
-func ours(name []byte) bool {
+// isGatewayHeader tells whether a request's header is the gateway's own to set, whatever a client says.
+func isGatewayHeader(name []byte) bool {
 	return http1.Same(name, "x-tenant") || http1.Same(name, "x-expect-backend") || http1.Same(name, "x-deadline-ms") ||
 		http1.Same(name, "host") || http1.Same(name, "authorization")
 }
 
-// kept tells whether a header goes on though Connection may name it: nobody may take it away from a message.
-func kept(name []byte) bool {
+// isProtected tells whether a header goes on though Connection may name it: nobody may take it away from a message.
+func isProtected(name []byte) bool {
 	return http1.Same(name, "x-attempt-id") || http1.Same(name, "x-backend-seal")
 }
 
-// named tells whether Connection names a header.
-type named struct {
-	r *http1.Reader
-	b []byte
-	n bool // it names any
+// connectionOptions tells whether Connection names a header.
+type connectionOptions struct {
+	head    *http1.Reader
+	message []byte
+	any     bool // it names any
 }
 
-func names(r *http1.Reader, b []byte) named {
-	x := named{r: r, b: b}
+func connectionOptionsOf(r *http1.Reader, b []byte) connectionOptions {
+	x := connectionOptions{head: r, message: b}
 	r.Each(b, func(name, value []byte) {
 		if len(name) == 10 && http1.Same(name, "connection") &&
 			!http1.Same(value, "keep-alive") && !http1.Same(value, "close") {
-			x.n = true
+			x.any = true
 		}
 	})
 	return x
 }
 
-func (n *named) has(name []byte) (found bool) {
-	if !n.n {
+func (n *connectionOptions) names(name []byte) (found bool) {
+	if !n.any {
 		return false
 	}
-	n.r.Each(n.b, func(data, value []byte) {
+	n.head.Each(n.message, func(data, value []byte) {
 		if len(data) == 10 && http1.Same(data, "connection") {
 			found = found || http1.Names(value, name)
 		}
@@ -79,26 +79,26 @@
 // AppendTo writes what goes on to a backend: method, target, body and end-to-end headers as they came, with
 // the backend's id, the tenant and what is left of the time.
 func (h *Handler) AppendTo(b []byte, who, txn slots.Ref, at control.BackendID, wait time.Duration) []byte {
-	c := h.in.Waits(who, txn)
+	c := h.server.Waits(who, txn)
 	if c == nil || c.IsClosed() {
 		return b
 	}
-	to := h.lookups.BackendName(at)
+	to := h.catalog.BackendName(at)
 	if to == "" {
 		return b
 	}
 	r, m := c.Request()
-	v := visitOf(c)
-	if v.spent { // what has gone of its body can't go again
+	v := stateOf(c)
+	if v.bodySent { // what has gone of its body can't go again
 		return b
 	}
 	b = append(append(b, r.Method(m)...), ' ')
 	b = append(append(b, r.Target(m)...), " HTTP/1.1\r\n"...)
 	host, _ := r.Get(m, "host")
 	b = http1.AppendHeader(b, "Host", host)
-	x := names(r, m)
+	x := connectionOptionsOf(r, m)
 	r.Each(m, func(name, value []byte) {
-		if !hop(name) && !ours(name) && (kept(name) || !x.has(name)) {
+		if !isHopByHop(name) && !isGatewayHeader(name) && (isProtected(name) || !x.names(name)) {
 			b = append(append(b, name...), ": "...)
 			b = append(append(b, value...), '\r', '\n')
 		}
@@ -112,7 +112,7 @@
 	var body []byte
 	if !c.Flows() { // chunks are put together by now
 		body = r.Body(m)
-		length, given, chunked = len(body), given || chunked || wants(r.Method(m)), false
+		length, given, chunked = len(body), given || chunked || alwaysSendsLength(r.Method(m)), false
 	}
 	b = appendFraming(b, length, given, chunked)
 	return append(append(b, "\r\n"...), body...)
@@ -128,8 +128,8 @@
 	return b
 }
 
-// wants tells whether a method's requests say how long they are though there is no body.
-func wants(method []byte) bool {
+// alwaysSendsLength tells whether a method's requests say how long they are though there is no body.
+func alwaysSendsLength(method []byte) bool {
 	return string(method) == "POST" || string(method) == "PUT" || string(method) == "PATCH"
 }
 
@@ -139,9 +139,9 @@
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.Status()), 10)
 	b = append(append(append(b, ' '), r.Reason(m)...), '\r', '\n')
-	x := names(r, m)
+	x := connectionOptionsOf(r, m)
 	r.Each(m, func(name, value []byte) {
-		if !hop(name) && (kept(name) || !x.has(name)) {
+		if !isHopByHop(name) && (isProtected(name) || !x.names(name)) {
 			b = append(append(b, name...), ": "...)
 			b = append(append(b, value...), '\r', '\n')
 		}
@@ -164,8 +164,8 @@
 	return append(b, "\r\n"...)
 }
 
-// span reads the whole seconds of a Keep-Alive header; false: it gives none.
-func span(v []byte) (time.Duration, bool) {
+// keepAliveTimeout reads the whole seconds of a Keep-Alive header; false: it gives none.
+func keepAliveTimeout(v []byte) (time.Duration, bool) {
 	for len(v) > 0 {
 		var one []byte
 		one, v, _ = bytes.Cut(v, []byte(","))
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -217,7 +217,7 @@
 		for version := 2; version <= 67; version++ { // what was acknowledged is known when it is sent again
 			verdict, _ := machine.Decide(statemachine.KindAmendConfig, fmt.Appendf(nil, `{"generation":%d,"parent_version":%d,"upserts":{"services":[{"name":"t%d"}]}}`,
 				version, version-1, version%10))
-			must.Eq(t, routing.Already, verdict, must.Sprint(version))
+			must.Eq(t, routing.Duplicate, verdict, must.Sprint(version))
 		}
 		var slots []membership.SlotHolder
 		for _, node := range []int{1, 3, 2, 0, 4} {
--- a/internal/gateway/node/call_chunks_test.go
+++ b/internal/gateway/node/call_chunks_test.go
@@ -171,7 +171,7 @@
 	must.Less(t, len(body)-before+3*streamConfig.MaxInflightBytes, w.chunkBytes-before)
 	w.sender.LinkDown(receiverAddr)
 	w.sender.calls.end(nr, 503, nil)
-	must.Eq(t, controlapi.Unclear, status)
+	must.Eq(t, controlapi.StatusAmbiguous, status)
 
 	w = newCallLink(t)
 	nr = w.forward(body, then)
--- a/internal/gateway/node/call_router.go
+++ b/internal/gateway/node/call_router.go
@@ -209,7 +209,7 @@
 		c.retryLater(sequence)
 		return
 	}
-	call.sentTo, call.ambiguous = "", call.ambiguous || status == controlapi.Unclear
+	call.sentTo, call.ambiguous = "", call.ambiguous || status == controlapi.StatusAmbiguous
 	c.end(sequence, status, body)
 }
 
@@ -220,7 +220,7 @@
 	if status/100 == 5 {
 		status = statusUnavailable
 		if !call.isRead() && (call.ambiguous || c.mayBeReceived(call, sequence)) {
-			status = controlapi.Unclear
+			status = controlapi.StatusAmbiguous
 		}
 	}
 	c.chunks.cancelCall(call.sentTo, sequence)
--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -66,7 +66,7 @@
 	n.installRoutes()
 	n.installTenants(previous)
 	l := n.table.Limits()
-	n.frontend.SetBounds(ingress.Bounds(ingress.Limits{Head: l.MostHeader, Body: l.MostBody, HeadIn: l.HeaderTimeout, Idle: l.IdleTimeout}))
+	n.frontend.SetBounds(ingress.Bounds(ingress.Limits{MaxHeadBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, HeadTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}))
 }
 
 // installRoutes gives admission the routes of the table, and takes those away that it has no longer.
@@ -91,7 +91,7 @@
 
 // admissionRoute is a route as admission knows it.
 func (n *Node) admissionRoute(route *routing.Route) admission.Route {
-	r := admission.Route{Effectful: route.Effectful, LatencyTarget: route.Target, Deadline: route.Deadline, MaxAttempts: route.MaxTries,
+	r := admission.Route{Effectful: route.Effectful, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline, MaxAttempts: route.MaxAttempts,
 		Priority: route.Priority}
 	for _, target := range route.Targets {
 		r.Targets = append(r.Targets, admission.Target{Service: n.catalog.serviceID(target.Service), Weight: target.Weight})
@@ -103,7 +103,7 @@
 func (n *Node) removeRoute(id control.ProductID) {
 	if old := n.catalog.routesByProduct[id]; old != nil {
 		if successor, ok := n.table.Route([]byte(old.Host), []byte(old.Prefix)); ok {
-			n.admission.LowerMaxAttempts(id, successor.MaxTries)
+			n.admission.LowerMaxAttempts(id, successor.MaxAttempts)
 		}
 	}
 	n.admission.RemoveRoute(id)
@@ -126,38 +126,38 @@
 
 // Admit tells what a request is: its route, its tenant, or why it may not go on. A node whose knowledge is too old to refuse by it says that
 // it does not know yet.
-func (n *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Refusal) {
+func (n *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Rejection) {
 	current := n.permitted(quorumcontact.Refuse)
 	route, ok := n.table.Route(host, path)
 	switch {
 	case !ok && !current:
-		return a, ingress.UnknownYet
+		return a, ingress.ConfigurationPending
 	case !ok:
 		return a, ingress.NoRoute
 	}
-	a = ingress.Admission{Product: n.catalog.productIDs[route.Key], Deadline: route.Deadline, Once: route.Effectful}
+	a = ingress.Admission{Product: n.catalog.productIDs[route.Key], Deadline: route.Deadline, AtMostOnce: route.Effectful}
 	if route.Public || !n.table.HasTenants() {
-		return a, ingress.None
+		return a, ingress.NotRejected
 	}
 	tenant, ok := n.table.Tenant(key)
 	switch {
 	case !ok && !current:
-		return a, ingress.UnknownYet
+		return a, ingress.ConfigurationPending
 	case !ok:
-		return a, ingress.NoKey
+		return a, ingress.InvalidKey
 	}
-	a.Tenant, a.Rank = tenant.Name, tenant.Priority
+	a.Tenant, a.Priority = tenant.Name, tenant.Priority
 	if a.Metered = tenant.Rate > 0; a.Metered {
 		a.Customer = customerID(tenant.Name)
 	}
-	return a, ingress.None
+	return a, ingress.NotRejected
 }
 
 // BackendName is the id that a backend goes by in its own calls.
 func (n *Node) BackendName(id control.BackendID) string { return n.catalog.backendNames[id] }
 
-// Gone is told when another backend answered at this one's address.
-func (n *Node) Gone(id control.BackendID) {
+// BackendReplaced is told when another backend answered at this one's address.
+func (n *Node) BackendReplaced(id control.BackendID) {
 	if n.registry != nil {
 		n.registry.AddressTaken(n.catalog.backendNames[id])
 	}
--- a/internal/gateway/node/change_proposal.go
+++ b/internal/gateway/node/change_proposal.go
@@ -77,7 +77,7 @@
 	if err == nil {
 		return nil
 	}
-	if verdict, _ := n.machine.Decide(kind, body); verdict != routing.Taken {
+	if verdict, _ := n.machine.Decide(kind, body); verdict != routing.Accepted {
 		return nil // its answer is another
 	}
 	return err
--- a/internal/gateway/node/configuration.go
+++ b/internal/gateway/node/configuration.go
@@ -22,7 +22,7 @@
 }
 
 // applyEntry applies the next entry of the configuration log. Empty data is the log's own.
-func (n *Node) applyEntry(index uint64, data []byte) (v routing.Verdict, err error) {
+func (n *Node) applyEntry(index uint64, data []byte) (v routing.Result, err error) {
 	n.appliedIndex = index
 	if len(data) > 0 {
 		before, slots := n.machine.Configs.Version(), len(n.machine.Slots())
@@ -57,18 +57,18 @@
 }
 
 // responseOf is the answer to a change with an outcome.
-func responseOf(v routing.Verdict, err error) (int, []byte) {
+func responseOf(v routing.Result, err error) (int, []byte) {
 	text := ""
 	if err != nil {
 		text = err.Error()
 	}
 	switch v {
-	case routing.Taken, routing.Already:
+	case routing.Accepted, routing.Duplicate:
 		return 200, nil
 	case routing.Conflict:
 		return 412, []byte(text)
-	case routing.Unclear:
-		return controlapi.Unclear, []byte(text)
+	case routing.Ambiguous:
+		return controlapi.StatusAmbiguous, []byte(text)
 	}
 	return 400, []byte(text)
 }
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -43,7 +43,7 @@
 type appliedChange struct {
 	index   uint64
 	entry   []byte
-	outcome routing.Verdict
+	outcome routing.Result
 	err     error
 }
 
@@ -166,7 +166,7 @@
 	switch {
 	case !ok:
 	case o.Status == replication.OutcomeUnknown:
-		p.done(controlapi.Unclear, []byte(o.Status.String()))
+		p.done(controlapi.StatusAmbiguous, []byte(o.Status.String()))
 	case o.Status != replication.OutcomeCommitted:
 		p.done(503, []byte(o.Status.String()))
 	case p.kind == ReadConfig:
@@ -177,7 +177,7 @@
 		applied := c.lastApplied
 		if applied.index != o.Index || !bytes.Equal(applied.entry, p.entry) {
 			invariant.That(false, "a proposal ends by its own entry")
-			applied = appliedChange{outcome: routing.Unclear}
+			applied = appliedChange{outcome: routing.Ambiguous}
 		}
 		p.done(responseOf(applied.outcome, applied.err))
 	}
--- a/internal/gateway/node/rollout_calls.go
+++ b/internal/gateway/node/rollout_calls.go
@@ -46,7 +46,7 @@
 
 // dryRun answers what an order would do, and changes nothing.
 func (n *Node) dryRun(e *rollout.Entry, body []byte, then callDone) {
-	if v, err := n.machine.Decide(statemachine.KindRollout, body); v != routing.Taken {
+	if v, err := n.machine.Decide(statemachine.KindRollout, body); v != routing.Accepted {
 		then(responseOf(v, err))
 		return
 	}
--- a/internal/gateway/node/rollout_host.go
+++ b/internal/gateway/node/rollout_host.go
@@ -268,7 +268,7 @@
 		here := r.capacityOf(e.Order)
 		e.Room.Old, e.Room.New = max(e.Room.Old, here.Old), max(e.Room.New, here.New)
 	}
-	if v, _ := r.peers.rolloutState().Decide(e); v == routing.Taken && e.Order != nil {
+	if v, _ := r.peers.rolloutState().Decide(e); v == routing.Accepted && e.Order != nil {
 		if err := checkKnown(e.Order); err != nil {
 			return nil, err
 		}
--- a/internal/gateway/node/sockets.go
+++ b/internal/gateway/node/sockets.go
@@ -99,9 +99,9 @@
 }
 
 func (s *sockets) DataPath(h *Node, g *gate.Gate) (p DataPath, err error) {
-	s.dispatcher = upstream.New(s.Engine, &outcomeTap{g, h}, ingress.Terms(h, dialTimeout), func() bool { return s.frontend.Evict() })
-	bounds := ingress.Bounds(ingress.Limits{Head: routing.DefaultMostHeader, Body: routing.DefaultMostBody,
-		HeadIn: routing.DefaultHeaderTimeout, Idle: routing.DefaultIdleTimeout})
+	s.dispatcher = upstream.New(s.Engine, &outcomeTap{g, h}, ingress.UpstreamConfig(h, dialTimeout), func() bool { return s.frontend.Evict() })
+	bounds := ingress.Bounds(ingress.Limits{MaxHeadBytes: routing.DefaultMaxHeaderBytes, MaxBodyBytes: routing.DefaultMaxBodyBytes,
+		HeadTimeout: routing.DefaultHeaderTimeout, IdleTimeout: routing.DefaultIdleTimeout})
 	s.frontend = downstream.New(s.Engine, max(1, (s.maxFDs-minLinkFDs)/clientFDDivisor), bounds, func() bool { return s.dispatcher.Evict(nil) })
 	form := ingress.New(s.frontend, s.Engine, g, h)
 	s.control = downstream.New(s.Engine, maxControlConns, downstream.Bounds{Body: maxControlBodyBytes}, func() bool { return s.frontend.Evict() })
--- a/internal/gateway/outlier/duty.go
+++ b/internal/gateway/outlier/duty.go
@@ -417,7 +417,7 @@
 // propose puts an entry forward if the state would take it now, and again where it does not come back.
 func (c *Coordinator) propose(e Entry, said *time.Duration) bool {
 	e.Author, e.FencingToken = "duty", c.fencingToken
-	if v, _ := c.state.Decide(&e); v != routing.Taken {
+	if v, _ := c.state.Decide(&e); v != routing.Accepted {
 		return false
 	}
 	if c.now-*said >= retryInterval {
--- a/internal/gateway/outlier/orders_test.go
+++ b/internal/gateway/outlier/orders_test.go
@@ -63,7 +63,7 @@
 		phase, cleared, gone := Ready, false, false
 		var log []Entry
 		var snaps [][]byte
-		take := func(e Entry) routing.Verdict {
+		take := func(e Entry) routing.Result {
 			was := s.Ejection(k)
 			had := was != nil
 			var before Ejection
@@ -71,8 +71,8 @@
 				before = *was
 			}
 			v, err := s.Apply(&e)
-			must.Eq(t, v == routing.Taken, err == nil)
-			if v != routing.Taken {
+			must.Eq(t, v == routing.Accepted, err == nil)
+			if v != routing.Accepted {
 				return v
 			}
 			if log = append(log, e); plays%10 == 9 {
@@ -111,7 +111,7 @@
 				duty.HandleReport(0, said(2, 0, "i-1"))
 			case 2: // a verdict of the first view's that was long on its way
 				v := take(Entry{Verb: Eject, Key: k, Service: "libro", Witnesses: []Slot{0, 1}, ReadyBackends: 3, FencingToken: 1})
-				must.False(t, s.FencingToken > 1 && v == routing.Taken)
+				must.False(t, s.FencingToken > 1 && v == routing.Accepted)
 			case 3: // another has the duty; nodes tell it all again
 				fence++
 				duty = NewCoordinator(fence, now)
@@ -404,7 +404,7 @@
 	s := NewState()
 	must.False(t, s.Enabled())
 	x := &Settings{Enabled: true, Routes: []Route{{"r-a", "off"}, {"r-b", "patient"}}}
-	for i, want := range []routing.Verdict{routing.Taken, routing.Already, routing.Conflict} { // again, and by another
+	for i, want := range []routing.Result{routing.Accepted, routing.Duplicate, routing.Conflict} { // again, and by another
 		e := &Entry{Verb: SetSettings, Settings: x, CallID: []string{"ana-1", "ana-1", "ben-1"}[i]}
 		read, err := DecodeEntry(e.Encode())
 		must.NoError(t, err)
@@ -421,7 +421,7 @@
 func TestStateIsBounded(t *testing.T) {
 	t.Parallel()
 	s := on()
-	convict := func(i int, who ...Slot) (routing.Verdict, error) {
+	convict := func(i int, who ...Slot) (routing.Result, error) {
 		k := Key{InstanceID(fmt.Sprintf("i-%04d", i)), Strict}
 		return s.Apply(&Entry{Verb: Eject, Key: k, Service: fmt.Sprint("s-", i%9), Witnesses: who, SufficientAlone: 1, ReadyBackends: 16, FencingToken: 1,
 			Revision: s.revision(k), Reason: strings.Repeat("x", maxTextBytes)})
--- a/internal/gateway/outlier/sim_test.go
+++ b/internal/gateway/outlier/sim_test.go
@@ -198,7 +198,7 @@
 // append puts an entry into the log, if the state takes it; each node has it a little later, in order.
 func (w *world) append(e Entry) {
 	was := w.state.Ejection(e.Key)
-	if v, _ := w.state.Apply(&e); v != routing.Taken {
+	if v, _ := w.state.Apply(&e); v != routing.Accepted {
 		return
 	}
 	w.log, w.logAt = append(w.log, e), append(w.logAt, w.now)
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -180,14 +180,14 @@
 	return e, logentry.Decode(b, e, "entry of outlier")
 }
 
-func conflict(f string, a ...any) (routing.Verdict, error) {
+func conflict(f string, a ...any) (routing.Result, error) {
 	return routing.Conflict, errors.Errorf(f, a...)
 }
 
 // Decide tells what would become of an entry now, and changes nothing.
-func (s *State) Decide(e *Entry) (routing.Verdict, error) {
+func (s *State) Decide(e *Entry) (routing.Result, error) {
 	if e.CallID != "" && slices.Contains(s.CallIDs, e.CallID) {
-		return routing.Already, nil
+		return routing.Duplicate, nil
 	}
 	for _, t := range []string{e.CallID, e.Author, e.Reason, e.Service, string(e.Key.ID)} {
 		if len(t) > maxTextBytes {
@@ -209,7 +209,7 @@
 		if len(e.GoneInstances) == 0 || len(e.GoneInstances) > maxEjections {
 			return routing.Invalid, errors.New("gone: names no life, or too many")
 		}
-		return routing.Taken, nil
+		return routing.Accepted, nil
 	case e.Revision != rev:
 		return conflict("rev: is %d, but %d is current", e.Revision, rev)
 	case e.Verb == SetSettings:
@@ -220,23 +220,23 @@
 		if err := x.Normalize(); err != nil {
 			return routing.Invalid, err
 		}
-		return routing.Taken, nil
+		return routing.Accepted, nil
 	case e.Verb == Eject:
 		return s.decideEject(e, c)
 	case c == nil:
 		return conflict("key: %s was never convicted as %s", e.Key.ID, e.Key.Mode)
 	case e.Verb == Clear:
-		return routing.Taken, nil
+		return routing.Accepted, nil
 	case e.Verb == StepUp && c.Step != InService && c.Step.next(c.Mode) != InService,
 		e.Verb == Readmit && c.Step != InService && c.Step.next(c.Mode) == InService:
-		return routing.Taken, nil
+		return routing.Accepted, nil
 	case e.Verb == StepUp || e.Verb == Readmit:
 		return conflict("verb: no %s from %s", e.Verb, c.Step)
 	}
 	return routing.Invalid, errors.Errorf("verb: no %q", e.Verb)
 }
 
-func (s *State) decideEject(e *Entry, c *Ejection) (routing.Verdict, error) {
+func (s *State) decideEject(e *Entry, c *Ejection) (routing.Result, error) {
 	switch {
 	case e.Key.ID == "" || e.Key.Mode >= modeCount || e.Service == "" || e.ReadyBackends < 1:
 		return routing.Invalid, errors.New("key: names no backend of a service")
@@ -252,7 +252,7 @@
 	if _, ok := s.soleWitness(e); !ok {
 		return conflict("witnesses: not two that are trusted, and no one may have more out alone")
 	}
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
 
 // soleWitness tells on whose word alone a verdict is, or that it is on several: a refuted witness weighs half of one each time.
@@ -310,8 +310,8 @@
 }
 
 // Apply carries an entry out, as Decide tells it.
-func (s *State) Apply(e *Entry) (routing.Verdict, error) {
-	if v, err := s.Decide(e); v != routing.Taken {
+func (s *State) Apply(e *Entry) (routing.Result, error) {
+	if v, err := s.Decide(e); v != routing.Accepted {
 		return v, err
 	}
 	s.Revision++
@@ -345,7 +345,7 @@
 		}
 	}
 	s.snapshot.History = logentry.KeepLast(append(s.snapshot.History, HistoryEntry{e.Verb, e.Key, step, e.Author, e.UnixMilli, e.Reason, e.Witnesses}), maxHistory)
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
 
 func (s *State) eject(e *Entry) {
--- a/internal/gateway/rollout/decide.go
+++ b/internal/gateway/rollout/decide.go
@@ -9,10 +9,10 @@
 
 // Decide tells what would become of an entry now, and changes nothing. The error says why it isn't taken. A call that seems to have lost a
 // race may be one that was taken so long ago that its ID is forgotten: that is Unclear.
-func (s *State) Decide(e *Entry) (routing.Verdict, error) {
+func (s *State) Decide(e *Entry) (routing.Result, error) {
 	v, err := s.decide(e)
 	if v == routing.Conflict && s.mayBeForgotten(e) {
-		return routing.Unclear, errors.Wrap(err, "not known any more what was taken")
+		return routing.Ambiguous, errors.Wrap(err, "not known any more what was taken")
 	}
 	return v, err
 }
@@ -34,13 +34,13 @@
 	return e.Rev < horizon
 }
 
-func conflict(field, format string, args ...any) (routing.Verdict, error) {
+func conflict(field, format string, args ...any) (routing.Result, error) {
 	return routing.Conflict, fieldError(field, format, args...)
 }
 
-func (s *State) decide(e *Entry) (routing.Verdict, error) {
+func (s *State) decide(e *Entry) (routing.Result, error) {
 	if s.CallApplied(e.Mark) {
-		return routing.Already, nil
+		return routing.Duplicate, nil
 	}
 	if err := e.Validate(); err != nil {
 		return routing.Invalid, err
@@ -70,20 +70,20 @@
 			return conflict("step", "%d of %d is current, only an operator finishes the last", r.Step, len(r.Order.Steps))
 		}
 	}
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
 
-func decideAdvance(e *Entry, r *Run) (routing.Verdict, error) {
+func decideAdvance(e *Entry, r *Run) (routing.Result, error) {
 	if e.Step != r.Step+1 || e.Step > len(r.Order.Steps) {
 		return conflict("step", "is %d, %d of %d is current", e.Step, r.Step, len(r.Order.Steps))
 	}
 	if e.byCoordinator() && (r.Held || r.Order.Advance != AdvanceByTime) {
 		return conflict("step", "it waits for an operator's command")
 	}
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
 
-func (s *State) decideStart(e *Entry, r *Run) (routing.Verdict, error) {
+func (s *State) decideStart(e *Entry, r *Run) (routing.Result, error) {
 	spec := *e.Order
 	if err := spec.Normalize(); err != nil { // Validate has passed: only the defaults are wanted here
 		return routing.Invalid, err
@@ -104,5 +104,5 @@
 	if err := spec.CheckCapacity(e.Room); err != nil {
 		return routing.Invalid, err
 	}
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -99,8 +99,8 @@
 }
 
 // Apply carries an entry out if Decide takes it, and gives Decide's verdict.
-func (s *State) Apply(e *Entry) (routing.Verdict, error) {
-	if v, err := s.Decide(e); v != routing.Taken {
+func (s *State) Apply(e *Entry) (routing.Result, error) {
+	if v, err := s.Decide(e); v != routing.Accepted {
 		return v, err
 	}
 	s.Rev++
@@ -125,7 +125,7 @@
 		r.Phase = Finished
 	}
 	r.addHistory(HistoryEntry{Verb: e.Verb, Step: step, Share: r.Share(), By: e.By, At: e.At, Why: e.Why, Counts: e.Counts})
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
 
 // startRun puts a new roll-out in the place of the service's former one.
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -79,7 +79,7 @@
 			e.Room.New = 1000
 		}
 		v, err := s.Apply(e)
-		must.Eq(t, routing.Taken, v, must.Sprint(err))
+		must.Eq(t, routing.Accepted, v, must.Sprint(err))
 		for _, d := range []*Node{a, b} {
 			d.ApplyState(s)
 			d.SetConnected(true)
@@ -154,8 +154,8 @@
 				before = *was
 			}
 			v, err := s.Apply(e)
-			must.Eq(t, v == routing.Taken || v == routing.Already, err == nil)
-			if v != routing.Taken {
+			must.Eq(t, v == routing.Accepted || v == routing.Duplicate, err == nil)
+			if v != routing.Accepted {
 				continue
 			}
 			marks[e.Mark]++
@@ -172,7 +172,7 @@
 		for mark, n := range marks {
 			if mark != "" && n > 0 { // the same again
 				v, err := s.Apply(&Entry{Verb: Rollback, Service: "libro", Mark: mark})
-				must.True(t, v == routing.Already && err == nil)
+				must.True(t, v == routing.Duplicate && err == nil)
 			}
 		}
 	}
@@ -188,7 +188,7 @@
 			rev = r.Rev
 		}
 		v, err := s.Apply(startEntry(testSpec(100), rev, fmt.Sprint(i)))
-		must.Eq(t, routing.Taken, v, must.Sprint(err))
+		must.Eq(t, routing.Accepted, v, must.Sprint(err))
 		r := s.Run("libro")
 		for range 60 {
 			e := &Entry{Verb: Pause, Service: "libro", Number: r.Number, Step: 1, Fence: 1, Why: strings.Repeat("x", 200)}
@@ -302,17 +302,17 @@
 		for range 2 {
 			for i := 300 - 200; i < 300; i++ {
 				v, _ := s.Decide(pause(i))
-				must.Eq(t, routing.Already, v)
+				must.Eq(t, routing.Duplicate, v)
 			}
 			v, err := s.Decide(startEntry(testSpec(100), 0, "first"))
-			must.Eq(t, routing.Unclear, v)
+			must.Eq(t, routing.Ambiguous, v)
 			must.Error(t, err)
 			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Rev, "second")) // its rev stands: it never was
 			must.Eq(t, routing.Conflict, v)
 			other := testSpec(100)
 			other.Service = "other"
 			v, _ = s.Decide(startEntry(other, 0, "third"))
-			must.Eq(t, routing.Taken, v)
+			must.Eq(t, routing.Accepted, v)
 			s, err = Restore(s.Snapshot())
 			must.NoError(t, err)
 		}
--- a/internal/gateway/routing/deadlines.go
+++ b/internal/gateway/routing/deadlines.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// changed are the routes that a change brings, whole or by amendment.
-type changed struct {
+// changedRoutes are the routes that a change brings, whole or by amendment.
+type changedRoutes struct {
 	Vhosts  []ConfigHost `json:"vhosts"`
 	Upserts struct {
 		Vhosts []ConfigHost `json:"vhosts"`
@@ -16,26 +16,26 @@
 // CheckDeadlines refuses a change that brings a route whose deadline is 0: each of its requests would be over before it began. Whoever leads
 // asks before it proposes the change. What the log holds is applied whatever it says: the version before took such routes.
 func CheckDeadlines(body []byte) error {
-	var c changed
+	var c changedRoutes
 	if json.Unmarshal(body, &c) != nil {
 		return nil // refused for that
 	}
-	if err := deadlinesOf(c.Vhosts, ""); err != nil {
+	if err := checkHostDeadlines(c.Vhosts, ""); err != nil {
 		return err
 	}
-	return deadlinesOf(c.Upserts.Vhosts, "upserts.")
+	return checkHostDeadlines(c.Upserts.Vhosts, "upserts.")
 }
 
-func deadlinesOf(hosts []ConfigHost, prefix string) error {
+func checkHostDeadlines(hosts []ConfigHost, prefix string) error {
 	for i := range hosts {
 		for j := range hosts[i].PathList {
 			r := &hosts[i].PathList[j]
 			if r.Deadline == nil {
 				continue
 			}
-			if d, err := ParseSpan(*r.Deadline); err == nil && d <= 0 {
+			if d, err := ParseDuration(*r.Deadline); err == nil && d <= 0 {
 				place := prefix + "vhosts[" + strconv.Itoa(i) + "].path_list[" + strconv.Itoa(j) + "].deadline"
-				return fault(place, "must be above 0")
+				return fieldError(place, "must be above 0")
 			}
 		}
 	}
--- a/internal/gateway/routing/merge.go
+++ b/internal/gateway/routing/merge.go
@@ -23,7 +23,7 @@
 		return nil, errors.New("not an object")
 	}
 	var s object
-	parts(raw, 0, func(name string, from, to int) { s = append(s, entry{name, raw[from:to:to]}) })
+	forEachValue(raw, 0, func(name string, from, to int) { s = append(s, entry{name, raw[from:to:to]}) })
 	return s, nil
 }
 
@@ -75,11 +75,11 @@
 		return nil
 	}
 	var items []item
-	parts(raw, 0, func(_ string, from, to int) {
+	forEachValue(raw, 0, func(_ string, from, to int) {
 		it := item{raw: raw[from:to:to]}
-		parts(raw, from, func(name string, from, to int) {
+		forEachValue(raw, from, func(name string, from, to int) {
 			if strings.EqualFold(name, key) {
-				it.name = textOf(raw[from:to])
+				it.name = unquote(raw[from:to])
 			}
 		})
 		if key == "hostname" {
--- a/internal/gateway/routing/model_test.go
+++ b/internal/gateway/routing/model_test.go
@@ -53,7 +53,7 @@
 	if r := m.cached[key]; r != nil {
 		return r
 	}
-	r := &Register{taken: logentry.NewDedupWindow(modelWindow * 17), defect: m.defect}
+	r := &Register{accepted: logentry.NewDedupWindow(modelWindow * 17), defect: m.defect}
 	for i, o := range log {
 		r.Apply(modelOrders[o].kind, []byte(modelOrders[o].body))
 		if int8(i)+1 == from {
@@ -77,19 +77,19 @@
 }
 
 // told judges an answer to an order.
-func (m *model) told(w *world, o int, v Verdict) {
+func (m *model) told(w *world, o int, v Result) {
 	version, taken := truth(w.log)
 	place, d := slices.Index(taken, o), modelOrders[o]
 	switch {
-	case (v == Taken || v == Already) && place < 0:
+	case (v == Accepted || v == Duplicate) && place < 0:
 		m.broken = "confirmed, and not taken"
-	case v != Taken && v != Already && place >= len(taken)-modelWindow && place >= 0:
+	case v != Accepted && v != Duplicate && place >= len(taken)-modelWindow && place >= 0:
 		m.broken = "taken a moment ago, and not confirmed"
 	case (v == Conflict || v == Invalid) && place >= 0:
 		m.broken = "taken, and refused"
 	case (v == Conflict || v == Invalid) && d.parent == version && d.generation > version:
 		m.broken = "valid on the newest state, and refused"
-	case v == Unclear && (len(taken) <= modelWindow || d.generation > modelOrders[taken[len(taken)-modelWindow-1]].generation):
+	case v == Ambiguous && (len(taken) <= modelWindow || d.generation > modelOrders[taken[len(taken)-modelWindow-1]].generation):
 		m.broken = "left unclear, and nothing so old is forgotten"
 	case v == Conflict || v == Invalid:
 		w.refused[o] = w.refused[o] || d.parent <= version
@@ -124,7 +124,7 @@
 			o := int(w.pending[0])
 			v, _ := m.folded(w.log, w.from[modelNodes]).Decide(modelOrders[o].kind, []byte(modelOrders[o].body))
 			w.log, w.pending = w.log+w.pending[:1], w.pending[1:]
-			if v == Taken && w.refused[o] {
+			if v == Accepted && w.refused[o] {
 				m.broken = "refused, and taken"
 			}
 			m.told(w, o, v)
--- a/internal/gateway/routing/read.go
+++ b/internal/gateway/routing/read.go
@@ -17,83 +17,83 @@
 // operator").
 const latencySlack = time.Minute
 
-// Fault tells why a body was not taken, and where in it.
-type Fault struct {
-	Place string // such as vhosts[0].path_list[2].variant; empty where it is the whole body
-	What  string // in words
+// FieldError tells why a body was not taken, and where in it.
+type FieldError struct {
+	Path   string // such as vhosts[0].path_list[2].variant; empty where it is the whole body
+	Reason string // in words
 }
 
-func (f *Fault) Error() string {
-	if f.Place == "" {
-		return f.What
+func (f *FieldError) Error() string {
+	if f.Path == "" {
+		return f.Reason
 	}
-	return f.Place + ": " + f.What
+	return f.Path + ": " + f.Reason
 }
 
-func fault(place, format string, args ...any) error {
-	return &Fault{Place: place, What: errors.Errorf(format, args...).Error()}
+func fieldError(place, format string, args ...any) error {
+	return &FieldError{Path: place, Reason: errors.Errorf(format, args...).Error()}
 }
 
-// ReadConfig reads and checks a whole configuration as Config.Replace carries it. Its errors are *Fault. That
+// ReadConfig reads and checks a whole configuration as Config.Replace carries it. Its errors are *FieldError. That
 // its generation is above the current one is for the Register to say.
 func ReadConfig(body []byte) (*Config, error) {
 	b := new(Config)
 	if err := read(body, b); err != nil {
 		return nil, err
 	}
-	return b, inspect(b)
+	return b, validate(b)
 }
 
 // ReadAmendment reads a change as Config.Amend carries it, and checks its items each by itself. Its errors
-// are *Fault.
+// are *FieldError.
 func ReadAmendment(body []byte) (*Amendment, error) {
 	a := new(Amendment)
 	if err := read(body, a); err != nil {
 		return nil, err
 	}
-	return a, inspect(a)
+	return a, validate(a)
 }
 
 // read fills into from one JSON object and nothing after it.
 func read(body []byte, into any) error {
 	if !utf8.Valid(body) {
-		return fault("", "the body is not UTF-8")
+		return fieldError("", "the body is not UTF-8")
 	}
 	start := skipSpace(body, 0)
 	if start == len(body) || body[start] != '{' {
-		return fault("", "the body is not a JSON object")
+		return fieldError("", "the body is not a JSON object")
 	}
 	err := json.Unmarshal(body, into)
 	var wrong *json.UnmarshalTypeError
 	if err != nil && !errors.As(err, &wrong) {
-		return fault("", "%s", err)
+		return fieldError("", "%s", err)
 	}
 	// The body is valid JSON.
-	if bad := survey(body, start, 1, func() string { return "" }); bad != nil {
+	if bad := checkStructure(body, start, 1, func() string { return "" }); bad != nil {
 		return bad
 	}
 	if wrong != nil {
-		place := placeAt(body, start, int(wrong.Offset), "")
-		return fault(place, "a %s cannot be a %s", wrong.Value, wrong.Type)
+		place := pathAt(body, start, int(wrong.Offset), "")
+		return fieldError(place, "a %s cannot be a %s", wrong.Value, wrong.Type)
 	}
 	return nil
 }
 
-// inspect checks what was read by its tags and by the rules below.
-func inspect(v any) error {
-	err := checker().Struct(v)
+// validate checks what was read by its tags and by the rules below.
+func validate(v any) error {
+	err := validatorOnce().Struct(v)
 	if err == nil {
 		return nil
 	}
 	var bad validator.ValidationErrors
 	if !errors.As(err, &bad) || len(bad) == 0 {
-		return fault("", "%s", err)
+		return fieldError("", "%s", err)
 	}
 	_, place, _ := strings.Cut(bad[0].Namespace(), ".")
-	return fault(place, "%s", inText(bad[0]))
+	return fieldError(place, "%s", describe(bad[0]))
 }
 
-func inText(e validator.FieldError) string {
+func describe(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
 		return "missing"
@@ -115,14 +115,14 @@
 	return "breaks the rule " + e.Tag()
 }
 
-var checker = sync.OnceValue(func() *validator.Validate {
+var validatorOnce = sync.OnceValue(func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 		return name
 	})
 	if err := v.RegisterValidation("span", func(fl validator.FieldLevel) bool {
-		_, err := ParseSpan(fl.Field().String())
+		_, err := ParseDuration(fl.Field().String())
 		return err == nil
 	}); err != nil {
 		panic(err) // only an empty tag or function is refused
@@ -146,8 +146,8 @@
 	if r.Deadline == nil || r.TargetLatency == nil {
 		return
 	}
-	deadline, err1 := ParseSpan(*r.Deadline)
-	target, err2 := ParseSpan(*r.TargetLatency)
+	deadline, err1 := ParseDuration(*r.Deadline)
+	target, err2 := ParseDuration(*r.TargetLatency)
 	if err1 == nil && err2 == nil && target-deadline >= latencySlack {
 		sl.ReportError(r.TargetLatency, "target_latency", "TargetLatency", "latency", "")
 	}
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -20,19 +20,19 @@
 	Amend
 )
 
-// Verdict is what becomes of a call.
-type Verdict int
+// Result is what becomes of a call.
+type Result int
 
 // The verdicts, with the answers that they stand for.
 const (
-	Taken    Verdict = iota // 200: in force now
-	Already                 // 200: these bytes were taken before
+	Accepted  Result = iota // 200: in force now
+	Duplicate               // 200: these bytes were taken before
 	Conflict                // 412: another version is current
 	Invalid                 // 400
-	Unclear                 // 503: it may have been taken so long ago that this is forgotten
+	Ambiguous               // 503: it may have been taken so long ago that this is forgotten
 )
 
-func (v Verdict) String() string {
+func (v Result) String() string {
 	return [...]string{"taken", "already", "conflict", "invalid", "unclear"}[v]
 }
 
@@ -41,14 +41,14 @@
 // Register is the configuration in force, folded from the ordered log of calls: members that apply the same
 // calls in the same order come to the same. It is not safe for use by several at once.
 type Register struct {
-	version uint64
-	body    []byte
-	config  *Config
-	taken   *logentry.DedupWindow // by version
+	version  uint64
+	body     []byte
+	config   *Config
+	accepted *logentry.DedupWindow // by version
 
 	// The last call judged since the register changed: a node decides a call and then applies it.
-	judged  logentry.Digest
-	outcome *outcome
+	decidedDigest logentry.Digest
+	decided       *decision
 
 	defect defect
 }
@@ -63,67 +63,67 @@
 	refuseStale        // a refusal by this state counts as one by every state
 )
 
-type outcome struct {
-	verdict Verdict
-	err     error
-	final   bool   // it will be so in every later state
-	body    []byte // these only where taken
-	config  *Config
+type decision struct {
+	result Result
+	err    error
+	final  bool   // it will be so in every later state
+	body   []byte // these only where taken
+	config *Config
 }
 
 // NewRegister returns a register in which no configuration is in force.
 func NewRegister() *Register {
-	return &Register{taken: logentry.NewDedupWindow(logentry.DedupWindowBytes)}
+	return &Register{accepted: logentry.NewDedupWindow(logentry.DedupWindowBytes)}
 }
 
 // Decide tells what would become of a call now, and changes nothing. The error is nil where it would be
-// taken or was before, else a *Fault.
-func (r *Register) Decide(k Kind, body []byte) (Verdict, error) {
-	o := r.judge(digestOf(k, body), k, body)
-	return o.verdict, o.err
+// taken or was before, else a *FieldError.
+func (r *Register) Decide(k Kind, body []byte) (Result, error) {
+	o := r.decide(digestOf(k, body), k, body)
+	return o.result, o.err
 }
 
 // Final is as Decide, and tells besides whether the verdict is the same in every later state: a node that is behind may
 // answer by that, and by nothing else.
-func (r *Register) Final(k Kind, body []byte) (v Verdict, err error, final bool) {
-	o := r.judge(digestOf(k, body), k, body)
-	return o.verdict, o.err, o.final || r.defect == refuseStale && o.verdict != Taken
+func (r *Register) Final(k Kind, body []byte) (v Result, err error, final bool) {
+	o := r.decide(digestOf(k, body), k, body)
+	return o.result, o.err, o.final || r.defect == refuseStale && o.result != Accepted
 }
 
 // Apply carries out a call, as Decide tells it. The body is copied.
-func (r *Register) Apply(k Kind, body []byte) (Verdict, error) {
+func (r *Register) Apply(k Kind, body []byte) (Result, error) {
 	d := digestOf(k, body)
-	o := r.judge(d, k, body)
-	if o.verdict != Taken {
-		return o.verdict, o.err
+	o := r.decide(d, k, body)
+	if o.result != Accepted {
+		return o.result, o.err
 	}
 	invariant.That(o.config.Generation > r.version, "versions of the configuration go up")
 	r.version, r.body, r.config = o.config.Generation, o.body, o.config
-	r.taken.Add(r.version, d)
-	r.outcome = nil
-	return Taken, nil
+	r.accepted.Add(r.version, d)
+	r.decided = nil
+	return Accepted, nil
 }
 
-func (r *Register) judge(d logentry.Digest, k Kind, body []byte) *outcome {
-	if r.outcome == nil || r.judged != d {
-		o := r.weigh(d, k, body)
-		r.judged, r.outcome = d, &o
+func (r *Register) decide(d logentry.Digest, k Kind, body []byte) *decision {
+	if r.decided == nil || r.decidedDigest != d {
+		o := r.evaluate(d, k, body)
+		r.decidedDigest, r.decided = d, &o
 	}
-	return r.outcome
+	return r.decided
 }
 
-func (r *Register) weigh(d logentry.Digest, k Kind, body []byte) outcome {
+func (r *Register) evaluate(d logentry.Digest, k Kind, body []byte) decision {
 	// The digest covers the generation that the body names.
-	if r.taken.Has(d) {
-		return outcome{verdict: Already, final: true}
+	if r.accepted.Has(d) {
+		return decision{result: Duplicate, final: true}
 	}
 	// One at or below the horizon may have been taken and is not read any further: a later program may refuse more.
-	if horizon := r.taken.Horizon(); horizon > 0 && r.defect != noHorizon {
+	if horizon := r.accepted.Horizon(); horizon > 0 && r.defect != noHorizon {
 		var of struct{ Generation uint64 }
 		if json.Unmarshal(body, &of); of.Generation > 0 && of.Generation <= horizon {
-			err := fault("generation", "is %d, and of %d and below it is not known any more what was taken: read what is in force",
+			err := fieldError("generation", "is %d, and of %d and below it is not known any more what was taken: read what is in force",
 				of.Generation, horizon)
-			return outcome{verdict: Unclear, err: err, final: true}
+			return decision{result: Ambiguous, err: err, final: true}
 		}
 	}
 	var generation, parent uint64
@@ -139,24 +139,24 @@
 		a := new(Amendment)
 		if err = read(body, a); err == nil {
 			generation, parent = a.Generation, a.ParentVersion
-			err = inspect(a)
+			err = validate(a)
 		}
 	default:
-		err = fault("", "no such call")
+		err = fieldError("", "no such call")
 	}
 	if err != nil {
-		return outcome{verdict: Invalid, err: err, final: true}
+		return decision{result: Invalid, err: err, final: true}
 	}
 	if parent != r.version {
-		err = fault("parent_version", "is %d, but %d is current", parent, r.version)
-		return outcome{verdict: Conflict, err: err}
+		err = fieldError("parent_version", "is %d, but %d is current", parent, r.version)
+		return decision{result: Conflict, err: err}
 	}
 	if generation == 0 {
-		return outcome{verdict: Invalid, err: fault("generation", "missing"), final: true}
+		return decision{result: Invalid, err: fieldError("generation", "missing"), final: true}
 	}
 	if generation <= parent {
-		err = fault("generation", "is %d, not above %d", generation, parent)
-		return outcome{verdict: Invalid, err: err, final: true}
+		err = fieldError("generation", "is %d, not above %d", generation, parent)
+		return decision{result: Invalid, err: err, final: true}
 	}
 	whole := slices.Clone(body)
 	if k == Amend {
@@ -165,14 +165,14 @@
 			err = json.Unmarshal(whole, config)
 		}
 		if err != nil {
-			return outcome{verdict: Invalid, err: fault("", "what results can't be read: %s", err)}
+			return decision{result: Invalid, err: fieldError("", "what results can't be read: %s", err)}
 		}
 		invariant.That(config.Generation == generation, "what results has the change's generation")
 	}
-	if err := inspect(config); err != nil {
-		return outcome{verdict: Invalid, err: err, final: k == Replace}
+	if err := validate(config); err != nil {
+		return decision{result: Invalid, err: err, final: k == Replace}
 	}
-	return outcome{verdict: Taken, body: whole, config: config}
+	return decision{result: Accepted, body: whole, config: config}
 }
 
 // Version is the generation in force, 0 if there is none.
@@ -199,11 +199,11 @@
 	Digest  [sha256.Size]byte
 }
 
-const takenMost = 256
+const legacyAcceptedCount = 256
 
 // Snapshot gives the whole register as bytes, by gob. Equal registers give equal bytes within a program.
 func (r *Register) Snapshot() []byte {
-	s := snapshot{Body: r.body, Window: r.taken.Bytes()}
+	s := snapshot{Body: r.body, Window: r.accepted.Bytes()}
 	if r.defect == notKept {
 		s.Window = nil
 	}
@@ -219,16 +219,16 @@
 	if err := logentry.Decode(b, &s, "read snapshot of the configuration"); err != nil {
 		return nil, err
 	}
-	r := &Register{taken: logentry.NewDedupWindow(window)}
-	if len(s.Taken) == takenMost {
-		r.taken.SetHorizon(s.Taken[0].Version - 1)
+	r := &Register{accepted: logentry.NewDedupWindow(window)}
+	if len(s.Taken) == legacyAcceptedCount {
+		r.accepted.SetHorizon(s.Taken[0].Version - 1)
 	}
 	for _, t := range s.Taken {
-		r.taken.Add(t.Version, logentry.Digest(t.Digest[:len(logentry.Digest{})]))
+		r.accepted.Add(t.Version, logentry.Digest(t.Digest[:len(logentry.Digest{})]))
 	}
 	if s.Window != nil {
 		var err error
-		if r.taken, err = logentry.DecodeDedupWindow(s.Window, window); err != nil {
+		if r.accepted, err = logentry.DecodeDedupWindow(s.Window, window); err != nil {
 			return nil, errors.Wrap(err, "read snapshot of the configuration")
 		}
 	}
--- a/internal/gateway/routing/routing_test.go
+++ b/internal/gateway/routing/routing_test.go
@@ -32,7 +32,7 @@
 	r := NewRegister()
 	v, err := r.Apply(Replace, []byte(whole))
 	must.NoError(t, err)
-	must.Eq(t, Taken, v)
+	must.Eq(t, Accepted, v)
 	return r
 }
 
@@ -40,7 +40,7 @@
 	t.Helper()
 	v, err := r.Apply(Amend, []byte(change))
 	must.NoError(t, err)
-	must.Eq(t, Taken, v)
+	must.Eq(t, Accepted, v)
 }
 
 func TestRefusalsNameTheirPlace(t *testing.T) {
@@ -74,9 +74,9 @@
 		r := NewRegister()
 		v, err := r.Apply(Replace, []byte(body))
 		must.Eq(t, Invalid, v, must.Sprint(c.now))
-		var f *Fault
+		var f *FieldError
 		must.True(t, errors.As(err, &f))
-		must.Eq(t, c.place, f.Place, must.Sprint(err))
+		must.Eq(t, c.place, f.Path, must.Sprint(err))
 		must.Eq(t, 0, r.Version())
 	}
 	for _, body := range []string{"", "null", "[]", "{}", whole + whole, "\xff" + whole} {
@@ -94,12 +94,12 @@
 		"0ms": 0, "1500ms": 1500 * time.Millisecond,
 		"2.5s": 2500 * time.Millisecond, "0.25ms": 250 * time.Microsecond,
 	} {
-		d, err := ParseSpan(text)
+		d, err := ParseDuration(text)
 		must.NoError(t, err)
 		must.Eq(t, want, d)
 	}
 	for _, text := range strings.Split(",s,ms,1,1m,1us,1h,-1s,+1s,.5s,1.s,1 s,1s1s,1e3s", ",") {
-		_, err := ParseSpan(text)
+		_, err := ParseDuration(text)
 		must.Error(t, err, must.Sprint(text))
 	}
 }
@@ -119,10 +119,10 @@
 		must.NotEq(t, whole, body)
 		v, err := NewRegister().Decide(Replace, []byte(body))
 		must.NoError(t, err)
-		must.Eq(t, Taken, v)
+		must.Eq(t, Accepted, v)
 	}
 	v, _ := NewRegister().Decide(Replace, []byte(` {"generation":1} `))
-	must.Eq(t, Taken, v)
+	must.Eq(t, Accepted, v)
 }
 
 func TestAmend(t *testing.T) {
@@ -156,7 +156,7 @@
 	must.Eq(t, 11, r.Version())
 	table := NewTable(r.Config())
 	must.Eq(t, 2, len(table.Routes()))
-	must.Eq(t, 5, table.Limits().MostBody)
+	must.Eq(t, 5, table.Limits().MaxBodyBytes)
 	must.Eq(t, DefaultIdleTimeout, table.Limits().IdleTimeout)
 	amend(t, r, `{"generation":12,"parent_version":11,"removals":{"vhosts":["B"],"tenants":["huka"]}}`)
 	must.Eq(t, 1, len(r.Config().Vhosts))
@@ -168,37 +168,37 @@
 	next := func(generation, parent int) []byte {
 		return []byte(fmt.Sprintf(`{"generation":%d,"parent_version":%d}`, generation, parent))
 	}
-	verdict := func(k Kind, body []byte) Verdict {
+	verdict := func(k Kind, body []byte) Result {
 		decided, err1 := r.Decide(k, body)
 		applied, err2 := r.Apply(k, body)
 		must.Eq(t, decided, applied)
 		must.Eq(t, err1 == nil, err2 == nil)
 		return applied
 	}
-	must.Eq(t, Already, verdict(Replace, []byte(whole)))
+	must.Eq(t, Duplicate, verdict(Replace, []byte(whole)))
 	must.Eq(t, Invalid, verdict(Replace, next(7, 7)))
 	must.Eq(t, Conflict, verdict(Replace, next(9, 5)))
-	must.Eq(t, Taken, verdict(Amend, next(9, 7)))
-	must.Eq(t, Conflict, verdict(Amend, next(11, 7)))    // lost the race
-	must.Eq(t, Conflict, verdict(Replace, next(9, 7)))   // the same bytes of another call
-	must.Eq(t, Already, verdict(Amend, next(9, 7)))      // sent again
-	must.Eq(t, Already, verdict(Replace, []byte(whole))) // sent again late
+	must.Eq(t, Accepted, verdict(Amend, next(9, 7)))
+	must.Eq(t, Conflict, verdict(Amend, next(11, 7)))      // lost the race
+	must.Eq(t, Conflict, verdict(Replace, next(9, 7)))     // the same bytes of another call
+	must.Eq(t, Duplicate, verdict(Amend, next(9, 7)))      // sent again
+	must.Eq(t, Duplicate, verdict(Replace, []byte(whole))) // sent again late
 	must.Eq(t, 9, r.Version())
 	for g := 10; g < 5010; g++ {
-		must.Eq(t, Taken, verdict(Replace, next(g, g-1)))
+		must.Eq(t, Accepted, verdict(Replace, next(g, g-1)))
 	}
-	must.Eq(t, Already, verdict(Replace, []byte(whole)))
+	must.Eq(t, Duplicate, verdict(Replace, []byte(whole)))
 	for g := 5010; g < 8010; g++ {
-		must.Eq(t, Taken, verdict(Replace, next(g, g-1)))
+		must.Eq(t, Accepted, verdict(Replace, next(g, g-1)))
 	}
-	must.LessEq(t, 8010-4096, r.taken.Horizon())
-	must.LessEq(t, logentry.DedupWindowBytes+10, len(r.taken.Bytes()))
-	must.Eq(t, Unclear, verdict(Replace, []byte(whole))) // forgotten
-	must.Eq(t, Unclear, verdict(Replace, []byte(`{"generation":8,"vhosts":3}`)))
+	must.LessEq(t, 8010-4096, r.accepted.Horizon())
+	must.LessEq(t, logentry.DedupWindowBytes+10, len(r.accepted.Bytes()))
+	must.Eq(t, Ambiguous, verdict(Replace, []byte(whole))) // forgotten
+	must.Eq(t, Ambiguous, verdict(Replace, []byte(`{"generation":8,"vhosts":3}`)))
 	must.Eq(t, Invalid, verdict(Replace, []byte("{")))
-	horizon := int(r.taken.Horizon())
-	must.Eq(t, Unclear, verdict(Replace, next(horizon, horizon-1)))
-	must.Eq(t, Already, verdict(Replace, next(horizon+1, horizon)))
+	horizon := int(r.accepted.Horizon())
+	must.Eq(t, Ambiguous, verdict(Replace, next(horizon, horizon-1)))
+	must.Eq(t, Duplicate, verdict(Replace, next(horizon+1, horizon)))
 	must.Eq(t, Conflict, verdict(Amend, next(horizon+1, horizon)))
 	must.Eq(t, Conflict, verdict(Replace, next(8010, horizon)))
 }
@@ -233,10 +233,10 @@
 	body := func(v int) []byte { return []byte(fmt.Sprintf(`{"generation":%d,"parent_version":%d}`, v, v-1)) }
 	for _, x := range []struct {
 		versions int
-		before   Verdict // of one that is not among them
-	}{{200, Conflict}, {300, Unclear}} {
+		before   Result // of one that is not among them
+	}{{200, Conflict}, {300, Ambiguous}} {
 		old := snapshot{Body: body(x.versions)}
-		for v := max(1, x.versions-takenMost+1); v <= x.versions; v++ {
+		for v := max(1, x.versions-legacyAcceptedCount+1); v <= x.versions; v++ {
 			old.Taken = append(old.Taken, taken{uint64(v), sha256.Sum256(append([]byte{byte(Replace)}, body(v)...))})
 		}
 		r, err := Restore(logentry.Encode(old))
@@ -244,7 +244,7 @@
 		for range 2 {
 			for _, c := range old.Taken {
 				v, _ := r.Decide(Replace, body(int(c.Version)))
-				must.Eq(t, Already, v)
+				must.Eq(t, Duplicate, v)
 			}
 			v, _ := r.Decide(Amend, body(9))
 			must.Eq(t, x.before, v)
@@ -252,7 +252,7 @@
 			must.NoError(t, err)
 		}
 		v, _ := r.Apply(Replace, body(x.versions+1))
-		must.Eq(t, Taken, v)
+		must.Eq(t, Accepted, v)
 	}
 }
 
@@ -281,7 +281,7 @@
 	must.Eq(t, Tenant{Name: "huka", Priority: 1, Rate: 47, Burst: 4}, *tenant)
 	_, ok = table.Tenant(nil)
 	must.False(t, ok)
-	must.Eq(t, Limits{16384, DefaultMostBody, DefaultHeaderTimeout, 2500 * time.Millisecond}, table.Limits())
+	must.Eq(t, Limits{16384, DefaultMaxBodyBytes, DefaultHeaderTimeout, 2500 * time.Millisecond}, table.Limits())
 	s, _ := table.Service("wuno")
 	must.Eq(t, Service{Name: "wuno", HealthPath: "/health"}, *s)
 
@@ -298,7 +298,7 @@
 	}
 	must.Positive(t, now[0].Targets[0].Weight)
 	must.Eq(t, Route{Name: "r-b", Host: "ficu.example", Prefix: "/lo/pu/", Effectful: true, Key: now[1].Key,
-		Deadline: DefaultDeadline, Target: DefaultDeadline, MaxTries: DefaultMaxTries,
+		Deadline: DefaultDeadline, LatencyTarget: DefaultDeadline, MaxAttempts: DefaultMaxAttempts,
 		Targets: []Target{{"huvo", 1}}}, *now[1])
 	_, ok = NewTable(nil).Route(host, path)
 	must.False(t, ok)
--- a/internal/gateway/routing/scan.go
+++ b/internal/gateway/routing/scan.go
@@ -11,8 +11,8 @@
 
 // The functions here take JSON that is known to be valid, and hand out parts of it without copies.
 
-// mostDepth bounds how deep a body nests; a configuration has six levels.
-const mostDepth = 64
+// maxDepth bounds how deep a body nests; a configuration has six levels.
+const maxDepth = 64
 
 func skipSpace(b []byte, i int) int {
 	for i < len(b) && (b[i] == ' ' || b[i] == '\n' || b[i] == '\t' || b[i] == '\r') {
@@ -21,7 +21,7 @@
 	return i
 }
 
-func skipText(b []byte, i int) int {
+func skipString(b []byte, i int) int {
 	for i++; i < len(b) && b[i] != '"'; i++ {
 		if b[i] == '\\' {
 			i++
@@ -35,7 +35,7 @@
 	for depth := 0; i < len(b); {
 		switch b[i] {
 		case '"':
-			i = skipText(b, i)
+			i = skipString(b, i)
 		case '{', '[':
 			depth++
 			i++
@@ -57,9 +57,9 @@
 	return i
 }
 
-// parts calls each for the values of the object or list that begins at i, in their order: with the name, or
+// forEachValue calls each for the values of the object or list that begins at i, in their order: with the name, or
 // "" in a list, and with the value's bounds.
-func parts(b []byte, i int, each func(name string, from, to int)) {
+func forEachValue(b []byte, i int, each func(name string, from, to int)) {
 	if i = skipSpace(b, i); i == len(b) || b[i] != '{' && b[i] != '[' {
 		return
 	}
@@ -67,8 +67,8 @@
 	for i = skipSpace(b, i+1); i < len(b) && b[i] != '}' && b[i] != ']'; {
 		name := ""
 		if named {
-			end := skipText(b, i)
-			name = textOf(b[i:end])
+			end := skipString(b, i)
+			name = unquote(b[i:end])
 			i = skipSpace(b, skipSpace(b, end)+1)
 		}
 		from := i
@@ -80,8 +80,8 @@
 	}
 }
 
-// textOf reads a text between its quotes; what is no text is empty.
-func textOf(raw []byte) string {
+// unquote reads a text between its quotes; what is no text is empty.
+func unquote(raw []byte) string {
 	if len(raw) < 2 || raw[0] != '"' {
 		return ""
 	}
@@ -93,8 +93,8 @@
 	return text
 }
 
-// fold makes names equal that encoding/json takes for the same field.
-func fold(name string) string {
+// foldName makes names equal that encoding/json takes for the same field.
+func foldName(name string) string {
 	for i := range len(name) {
 		if name[i] >= utf8.RuneSelf {
 			return strings.ToLower(strings.ToUpper(name)) // some letters have two lower forms
@@ -103,7 +103,7 @@
 	return strings.ToLower(name)
 }
 
-func within(place, name string, index int) string {
+func joinPath(place, name string, index int) string {
 	switch {
 	case name == "":
 		return place + "[" + strconv.Itoa(index) + "]"
@@ -113,40 +113,40 @@
 	return place + "." + name
 }
 
-// survey refuses what nests too deep, and objects that name a field twice: which of the two counts would
+// checkStructure refuses what nests too deep, and objects that name a field twice: which of the two counts would
 // depend on the reader. The value begins at i; place is called only for a fault.
-func survey(b []byte, i, depth int, place func() string) error {
-	if depth > mostDepth {
-		return fault("", "nests more than %d deep", mostDepth)
+func checkStructure(b []byte, i, depth int, place func() string) error {
+	if depth > maxDepth {
+		return fieldError("", "nests more than %d deep", maxDepth)
 	}
 	var bad error
 	var names []string
 	index := 0
-	parts(b, i, func(name string, from, _ int) {
+	forEachValue(b, i, func(name string, from, _ int) {
 		if b[i] == '{' {
-			names = append(names, fold(name))
+			names = append(names, foldName(name))
 		}
 		at := index
 		index++
 		if bad == nil && (b[from] == '{' || b[from] == '[') {
-			bad = survey(b, from, depth+1, func() string { return within(place(), name, at) })
+			bad = checkStructure(b, from, depth+1, func() string { return joinPath(place(), name, at) })
 		}
 	})
 	slices.Sort(names)
 	for k := 1; k < len(names) && bad == nil; k++ {
 		if names[k] == names[k-1] {
-			bad = fault(within(place(), names[k], 0), "named twice")
+			bad = fieldError(joinPath(place(), names[k], 0), "named twice")
 		}
 	}
 	return bad
 }
 
-// placeAt names the innermost value in the one at i that a reader was at when it had read offset bytes.
-func placeAt(b []byte, i, offset int, place string) string {
+// pathAt names the innermost value in the one at i that a reader was at when it had read offset bytes.
+func pathAt(b []byte, i, offset int, place string) string {
 	found, index := place, 0
-	parts(b, i, func(name string, from, _ int) {
+	forEachValue(b, i, func(name string, from, _ int) {
 		if from < offset {
-			found = placeAt(b, from, offset, within(place, name, index))
+			found = pathAt(b, from, offset, joinPath(place, name, index))
 		}
 		index++
 	})
--- a/internal/gateway/routing/span.go
+++ b/internal/gateway/routing/span.go
@@ -7,15 +7,15 @@
 	"github.com/go-faster/errors"
 )
 
-// ParseSpan reads a time as bodies and settings write it: a number followed by ms or s, such as "1500ms" or
+// ParseDuration reads a time as bodies and settings write it: a number followed by ms or s, such as "1500ms" or
 // "2.5s". Signs, spaces, other units and lengths beyond 292 years are errors.
-func ParseSpan(text string) (time.Duration, error) {
+func ParseDuration(text string) (time.Duration, error) {
 	number, _ := strings.CutSuffix(text, "s")
 	if len(number) < len(text) {
 		number = strings.TrimSuffix(number, "m")
 	}
 	before, after, point := strings.Cut(number, ".")
-	if len(number) == len(text) || !digits(before) || point && !digits(after) {
+	if len(number) == len(text) || !isDigits(before) || point && !isDigits(after) {
 		return 0, errors.Errorf("%q is not a number followed by ms or s", text)
 	}
 	d, err := time.ParseDuration(text)
@@ -25,16 +25,16 @@
 	return d, nil
 }
 
-func digits(text string) bool {
+func isDigits(text string) bool {
 	return text != "" && strings.Trim(text, "0123456789") == ""
 }
 
-// span reads a text that has been checked; what is left out or 0 is the default.
-func span(text *string, otherwise time.Duration) time.Duration {
+// durationOr reads a text that has been checked; what is left out or 0 is the default.
+func durationOr(text *string, otherwise time.Duration) time.Duration {
 	if text == nil {
 		return otherwise
 	}
-	d, err := ParseSpan(*text)
+	d, err := ParseDuration(*text)
 	if err != nil || d == 0 {
 		return otherwise
 	}
--- a/internal/gateway/routing/table.go
+++ b/internal/gateway/routing/table.go
@@ -14,17 +14,17 @@
 
 // What holds where a configuration leaves it out or gives 0. The limits are those of PROTOCOL.md's example.
 const (
-	DefaultDeadline      = 30 * time.Second
-	DefaultMaxTries      = 2
-	DefaultHealthPath    = "/health"
-	DefaultMostHeader    = 16 << 10
-	DefaultMostBody      = 64 << 20
-	DefaultHeaderTimeout = 3 * time.Second
-	DefaultIdleTimeout   = 15 * time.Second
+	DefaultDeadline       = 30 * time.Second
+	DefaultMaxAttempts    = 2
+	DefaultHealthPath     = "/health"
+	DefaultMaxHeaderBytes = 16 << 10
+	DefaultMaxBodyBytes   = 64 << 20
+	DefaultHeaderTimeout  = 3 * time.Second
+	DefaultIdleTimeout    = 15 * time.Second
 )
 
-// mostHost bounds a host name that is looked up, in bytes; DNS allows 253.
-const mostHost = 256
+// maxHostBytes bounds a host name that is looked up, in bytes; DNS allows 253.
+const maxHostBytes = 256
 
 // RouteKey is equal for routes that are equal in all, in whichever table: what was learnt of one holds for
 // the other.
@@ -32,17 +32,17 @@
 
 // Route is a route as nodes use it.
 type Route struct {
-	Key       RouteKey
-	Name      string
-	Host      string // in lower case
-	Prefix    string
-	Effectful bool          // at most one run for each try of a client
-	Deadline  time.Duration // the longest time that a request is held
-	Target    time.Duration // an answer within it earns its full worth; the deadline where it is left out
-	Priority  int           // 0 is highest
-	MaxTries  int           // backends that one request may be sent to, 1 or more
-	Public    bool          // carries no key
-	Targets   []Target      // one or more, weights above 0 whose sum fits 32 bits
+	Key           RouteKey
+	Name          string
+	Host          string // in lower case
+	Prefix        string
+	Effectful     bool          // at most one run for each try of a client
+	Deadline      time.Duration // the longest time that a request is held
+	LatencyTarget time.Duration // an answer within it earns its full worth; the deadline where it is left out
+	Priority      int           // 0 is highest
+	MaxAttempts   int           // backends that one request may be sent to, 1 or more
+	Public        bool          // carries no key
+	Targets       []Target      // one or more, weights above 0 whose sum fits 32 bits
 }
 
 // Target is a service that may answer a route, and its part of the sum of weights.
@@ -70,10 +70,10 @@
 
 // Limits bound what a client may send and how long it may take. All are above 0.
 type Limits struct {
-	MostHeader    int // bytes
-	MostBody      int // bytes
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes int // bytes
+	MaxBodyBytes   int // bytes
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Table is what a node routes by. It never changes, so that many may read it at once; what it hands out is
@@ -154,19 +154,19 @@
 	r := &Route{
 		Name: b.Name, Host: host, Prefix: b.PathPrefix,
 		Effectful: b.Variant != Pure,
-		Deadline:  span(b.Deadline, DefaultDeadline),
-		Priority:  b.Priority, MaxTries: b.MaxTries, Public: b.Public,
+		Deadline:  durationOr(b.Deadline, DefaultDeadline),
+		Priority:  b.Priority, MaxAttempts: b.MaxTries, Public: b.Public,
 	}
-	r.Target = span(b.TargetLatency, r.Deadline)
-	if r.MaxTries <= 0 {
-		r.MaxTries = DefaultMaxTries
+	r.LatencyTarget = durationOr(b.TargetLatency, r.Deadline)
+	if r.MaxAttempts <= 0 {
+		r.MaxAttempts = DefaultMaxAttempts
 	}
 	for _, t := range b.WeightedTargets {
 		if t.Weight > 0 {
 			r.Targets = append(r.Targets, Target{t.Target, t.Weight})
 		}
 	}
-	halve(r.Targets)
+	scaleWeights(r.Targets)
 	if len(r.Targets) == 0 {
 		r.Targets = []Target{{b.Target, 1}}
 	}
@@ -176,8 +176,8 @@
 	return r
 }
 
-// halve makes weights small enough to be added up without wrapping around.
-func halve(weights []Target) {
+// scaleWeights makes weights small enough to be added up without wrapping around.
+func scaleWeights(weights []Target) {
 	for {
 		sum := 0.0
 		for _, t := range weights {
@@ -197,15 +197,15 @@
 		b = new(ConfigLimits)
 	}
 	l := Limits{
-		MostHeader: b.MaxHeaderBytes, MostBody: b.MaxBodyBytes,
-		HeaderTimeout: span(b.HeaderTimeout, DefaultHeaderTimeout),
-		IdleTimeout:   span(b.IdleTimeout, DefaultIdleTimeout),
+		MaxHeaderBytes: b.MaxHeaderBytes, MaxBodyBytes: b.MaxBodyBytes,
+		HeaderTimeout: durationOr(b.HeaderTimeout, DefaultHeaderTimeout),
+		IdleTimeout:   durationOr(b.IdleTimeout, DefaultIdleTimeout),
 	}
-	if l.MostHeader <= 0 {
-		l.MostHeader = DefaultMostHeader
+	if l.MaxHeaderBytes <= 0 {
+		l.MaxHeaderBytes = DefaultMaxHeaderBytes
 	}
-	if l.MostBody <= 0 {
-		l.MostBody = DefaultMostBody
+	if l.MaxBodyBytes <= 0 {
+		l.MaxBodyBytes = DefaultMaxBodyBytes
 	}
 	return l
 }
@@ -217,7 +217,7 @@
 	if i := bytes.LastIndexByte(hostname, ':'); i >= 0 && bytes.IndexByte(hostname[i:], ']') < 0 {
 		hostname = hostname[:i]
 	}
-	var room [mostHost]byte
+	var room [maxHostBytes]byte
 	if len(hostname) > len(room) {
 		return nil, false
 	}
--- a/internal/gateway/statemachine/groups.go
+++ b/internal/gateway/statemachine/groups.go
@@ -21,7 +21,7 @@
 func (m *Machine) Founders() []membership.Founder { return m.founders }
 
 // bootstrapGroups takes the first founding, and no other: the groups of two would know nothing of each other.
-func (m *Machine) bootstrapGroups(body []byte) (routing.Verdict, error) {
+func (m *Machine) bootstrapGroups(body []byte) (routing.Result, error) {
 	var founders []membership.Founder
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&founders); err != nil {
 		return routing.Invalid, errors.Wrap(err, "groups")
@@ -30,8 +30,8 @@
 		return routing.Invalid, errors.New("groups without a disk")
 	}
 	if len(m.founders) > 0 {
-		return routing.Already, nil
+		return routing.Duplicate, nil
 	}
 	m.founders = founders
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -68,40 +68,40 @@
 }
 
 // Decide tells what would become of a change now.
-func (m *Machine) Decide(k Kind, body []byte) (routing.Verdict, error) {
+func (m *Machine) Decide(k Kind, body []byte) (routing.Result, error) {
 	if k == KindRollout {
 		return m.rollout(body, m.Rollouts.Decide)
 	}
 	kind, ok := configKind(k)
 	if !ok {
-		return routing.Taken, nil
+		return routing.Accepted, nil
 	}
 	return m.Configs.Decide(kind, body)
 }
 
 // DecideFinal is as Decide, and tells besides whether the verdict is the same in every later state: what a node that is behind may
 // answer by.
-func (m *Machine) DecideFinal(k Kind, body []byte) (v routing.Verdict, err error, final bool) {
+func (m *Machine) DecideFinal(k Kind, body []byte) (v routing.Result, err error, final bool) {
 	if kind, ok := configKind(k); ok {
 		return m.Configs.Final(kind, body)
 	}
 	if k != KindRollout {
-		return routing.Taken, nil, false
+		return routing.Accepted, nil, false
 	}
-	v, err = m.rollout(body, func(e *rollout.Entry) (routing.Verdict, error) {
+	v, err = m.rollout(body, func(e *rollout.Entry) (routing.Result, error) {
 		if m.Rollouts.CallApplied(e.Mark) {
-			return routing.Already, nil
+			return routing.Duplicate, nil
 		}
 		if wrong := e.Validate(); wrong != nil {
 			return routing.Invalid, wrong
 		}
-		return routing.Taken, nil
+		return routing.Accepted, nil
 	})
-	return v, err, v != routing.Taken
+	return v, err, v != routing.Accepted
 }
 
 // rollout reads an entry on roll-outs and hands it on.
-func (m *Machine) rollout(body []byte, to func(*rollout.Entry) (routing.Verdict, error)) (routing.Verdict, error) {
+func (m *Machine) rollout(body []byte, to func(*rollout.Entry) (routing.Result, error)) (routing.Result, error) {
 	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return routing.Invalid, err
@@ -110,7 +110,7 @@
 }
 
 // Apply takes an entry. What it can't read changes nothing: an entry of a newer program must not stop an older one.
-func (m *Machine) Apply(entry []byte) (routing.Verdict, error) {
+func (m *Machine) Apply(entry []byte) (routing.Result, error) {
 	if len(entry) == 0 {
 		return routing.Invalid, errors.New("empty entry")
 	}
@@ -134,14 +134,14 @@
 	for i, o := range m.slots {
 		if o.Addr == d.Addr {
 			m.slots[i] = d
-			return routing.Already, nil
+			return routing.Duplicate, nil
 		}
 	}
 	if len(m.slots) >= maxSlots {
 		return routing.Invalid, errors.New("no slot is left")
 	}
 	m.slots = append(m.slots, d)
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
 
 type storedState struct {
--- a/internal/gateway/statemachine/machine_test.go
+++ b/internal/gateway/statemachine/machine_test.go
@@ -48,8 +48,8 @@
 // Every entry has its verdict; slots are given in order, and a node that asks again keeps its own under its new name.
 func TestEntries(t *testing.T) {
 	s := New()
-	taken, already, conflict, invalid := routing.Taken, routing.Already, routing.Conflict, routing.Invalid
-	for i, want := range []routing.Verdict{taken, taken, taken, conflict, already, already, invalid, invalid, invalid,
+	taken, already, conflict, invalid := routing.Accepted, routing.Duplicate, routing.Conflict, routing.Invalid
+	for i, want := range []routing.Result{taken, taken, taken, conflict, already, already, invalid, invalid, invalid,
 		taken, invalid, taken, taken, taken, already, conflict, invalid, taken} {
 		e, before := allEntryKinds()[i], s.Snapshot()
 		if len(e) > 0 && e[0] != byte(KindAssignSlot) && e[0] != 'z' { // told before as it comes
@@ -94,7 +94,7 @@
 		must.Eq(t, whole.Snapshot(), s.Snapshot(), must.Sprint(i))
 		must.Eq(t, whole.Slots(), s.Slots())
 		v, _ := s.Decide(KindReplaceConfig, config(3, 0)) // what was taken is known by its bytes
-		must.Eq(t, routing.Already, v)
+		must.Eq(t, routing.Duplicate, v)
 	}
 	var older bytes.Buffer // the snapshot of a program that knew no roll-outs
 	must.NoError(t, gob.NewEncoder(&older).Encode(struct {
@@ -106,7 +106,7 @@
 	must.Eq(t, whole.Configs.Snapshot(), s.Configs.Snapshot())
 	must.False(t, s.Rollouts.HasRollouts())
 	v, _ := s.Apply(rolloutEntry(rollout.Entry{Verb: rollout.Start, Order: testRollout}))
-	must.Eq(t, routing.Taken, v)
+	must.Eq(t, routing.Accepted, v)
 	for _, bad := range [][]byte{nil, []byte("x"), snaps[3][:len(snaps[3])/2]} {
 		_, err := Restore(bad)
 		must.Error(t, err)
--- a/internal/lab/capacity/state.go
+++ b/internal/lab/capacity/state.go
@@ -46,7 +46,7 @@
 		body := text(wide)
 		return func() any {
 			s := statemachine.New()
-			if v, err := s.Apply(statemachine.EncodeEntry(statemachine.KindReplaceConfig, body)); v != routing.Taken {
+			if v, err := s.Apply(statemachine.EncodeEntry(statemachine.KindReplaceConfig, body)); v != routing.Accepted {
 				panic(fmt.Sprint(v, err))
 			}
 			return s
@@ -128,7 +128,7 @@
 	body := simulation.FirstText(wide)
 	s := statemachine.New()
 	began := time.Now()
-	if v, err := s.Apply(statemachine.EncodeEntry(statemachine.KindReplaceConfig, body)); v != routing.Taken {
+	if v, err := s.Apply(statemachine.EncodeEntry(statemachine.KindReplaceConfig, body)); v != routing.Accepted {
 		return fmt.Errorf("the target's configuration is not taken: %v %w", v, err)
 	}
 	applied := time.Since(began)
--- a/internal/lab/simulation/backends.go
+++ b/internal/lab/simulation/backends.go
@@ -295,7 +295,7 @@
 		switch {
 		case resets || silent || s.over:
 		case fails:
-			s.answer(control.Errored, s.try.adm.Once)
+			s.answer(control.Errored, s.try.adm.AtMostOnce)
 		default:
 			s.answer(control.Succeeded, false)
 		}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -245,10 +245,10 @@
 	case ingress.NoRoute:
 		u.answered(t, 404, 0)
 		return
-	case ingress.NoKey:
+	case ingress.InvalidKey:
 		u.answered(t, 401, 0)
 		return
-	case ingress.UnknownYet:
+	case ingress.ConfigurationPending:
 		u.answered(t, 503, soon)
 		return
 	}
@@ -257,7 +257,7 @@
 		wait = a.Deadline
 	}
 	t.expiry = p.Now() + max(wait-unread, 0)
-	txn := control.Txn{Customer: a.Customer, Product: a.Product, Plan: control.PlanID(a.Rank), Expiry: t.expiry, SetWidth: 1}
+	txn := control.Txn{Customer: a.Customer, Product: a.Product, Plan: control.PlanID(a.Priority), Expiry: t.expiry, SetWidth: 1}
 	if a.Metered {
 		txn.Units = 1
 	}
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -207,7 +207,7 @@
 		if !s.over {
 			x.p.turn(func() {
 				if !s.over {
-					x.p.h.Gone(s.to)
+					x.p.h.BackendReplaced(s.to)
 					s.line = nil
 					s.end(control.Rejected, false)
 				}
