--- a/cmd/gateway/caller.go
+++ b/cmd/gateway/caller.go
@@ -62,8 +62,8 @@
 }
 
 // malformedError is the failure of an answer that can't be read.
-func (a *response) malformedError(err error) *callError {
-	return &callError{kind: malformed, status: a.status, node: a.node, attempts: a.attempts, detail: err.Error()}
+func (r *response) malformedError(err error) *callError {
+	return &callError{kind: malformed, status: r.status, node: r.node, attempts: r.attempts, detail: err.Error()}
 }
 
 // call brings a call to the nodes until one settles it. The bytes are the same at each try: a change that was
@@ -164,10 +164,10 @@
 	timeout time.Duration
 }
 
-func (h *activityReader) Read(b []byte) (int, error) {
-	n, err := h.body.Read(b)
+func (a *activityReader) Read(b []byte) (int, error) {
+	n, err := a.body.Read(b)
 	if n > 0 {
-		h.timer.Reset(h.timeout)
+		a.timer.Reset(a.timeout)
 	}
 	return n, err
 }
--- a/internal/gateway/node/backend_registry.go
+++ b/internal/gateway/node/backend_registry.go
@@ -41,7 +41,7 @@
 
 // Deregister takes the end of a backend. done is as for Heartbeat.
 func (n *Node) Deregister(id string, done func(ok bool, ownerAddr string)) {
-	n.awaitAcknowledgement(quorumcontact.AcknowledgeDrain, done, func() registry.Ticket { return n.registry.Deregister(id, 0) })
+	n.awaitAcknowledgement(quorumcontact.AcknowledgeDrain, done, func() registry.Ticket { return n.registry.Deregister(id) })
 }
 
 // awaitAcknowledgement hands a call to the registry, and calls done when the registry acknowledges it, if the permission holds both now
@@ -87,7 +87,7 @@
 	}
 }
 
-// updateRegistryLearner tells the registry whether a node has its entries from this one.
+// updateRegistryLearner notifies the registry whether a node has its entries from this one.
 func (n *Node) updateRegistryLearner(addr string) {
 	if s := n.roster.Slot(addr); s != membership.NoSlot && n.registry != nil {
 		n.registry.Tick(n.loop.Now())
@@ -157,7 +157,7 @@
 		}
 		switch a := a.(type) {
 		case registry.Send:
-			if s, ok := n.roster.SlotHolderAt(membership.Slot(a.Target)); ok {
+			if s, ok := n.roster.AtSlot(membership.Slot(a.Target)); ok {
 				n.links.Send(s.Addr, &Frame{Board: a.Message.Wire()})
 			}
 		case registry.Changed:
@@ -178,7 +178,7 @@
 // registryTimer is the registry's due time; the end of the turn does the rest.
 type registryTimer Node
 
-// Live tells whether no later time took this one's place.
+// Live reports whether no later time took this one's place.
 func (r *registryTimer) Live(seq uint32) bool { return seq == r.registryHost.timerSeq }
 
 // Due does nothing: the turn's end asks the registry.
--- a/internal/gateway/node/partition_test.go
+++ b/internal/gateway/node/partition_test.go
@@ -14,7 +14,7 @@
 	"clovergap/internal/gateway/settings"
 )
 
-// partitionedLinks is a node's links to the others with what it says to some lost, as long as it is set: it is read and set in turns.
+// partitionedLinks lose what a node sends to some others, as long as drops is set. It is read and set in turns.
 type partitionedLinks struct {
 	Links
 	drops func(addr string) bool
@@ -27,17 +27,17 @@
 	return p.Links.Send(to, f)
 }
 
-// partition cuts one node off from the others with a disk: what it says, what they say, or both; an empty way joins them again.
+// partition cuts one node off from the other nodes with a disk: what it sends ("out"), what they send ("in"), or "both"; "" heals it.
 func (t *testCluster) partition(i int, way string) {
-	for o, h := range t.running {
-		h.loop.Turn(func() {
-			c, ok := h.links.(*partitionedLinks)
+	for o, n := range t.running {
+		n.loop.Turn(func() {
+			c, ok := n.links.(*partitionedLinks)
 			if !ok {
-				c = &partitionedLinks{Links: h.links}
-				h.links = c
+				c = &partitionedLinks{Links: n.links}
+				n.links = c
 			}
 			switch {
-			case way == "" || h.core == nil:
+			case way == "" || n.core == nil:
 				c.drops = nil
 			case o == i && way != "in":
 				c.drops = func(addr string) bool { return t.isDiskNode(addr) }
@@ -53,16 +53,16 @@
 	return slices.ContainsFunc(t.settings[:3], func(s *settings.Settings) bool { return s.IPAddress+":17560" == addr })
 }
 
-// violations is what a node that is cut off does and must not.
+// violations are what a partitioned node does and must not.
 func (t *testCluster) violations(i, last int) (all []string) {
-	h, b := t.running[i], t.settings[i].Bounds
+	n, b := t.running[i], t.settings[i].Bounds
 	bad := func(is bool, what string) {
 		if is {
 			all = append(all, what)
 		}
 	}
-	h.loop.Turn(func() {
-		at := h.contactAge()
+	n.loop.Turn(func() {
+		at := n.contactAge()
 		ended := map[string]bool{}
 		say := func(what string) func(int, []byte) {
 			return func(status int, _ []byte) {
@@ -70,9 +70,9 @@
 				bad(status/100 != 5, what)
 			}
 		}
-		h.Change('r', []byte(configBody(last+1000, last-1)), say("refused or took an order"))
-		h.ReadConfiguration(say("told a read"))
-		h.Deregister(fmt.Sprint("nobody-", last), func(ok bool, _ string) {
+		n.Change('r', []byte(configBody(last+1000, last-1)), say("refused or took an order"))
+		n.ReadConfiguration(say("told a read"))
+		n.Deregister(fmt.Sprint("nobody-", last), func(ok bool, _ string) {
 			ended["end"] = true
 			bad(ok, "acknowledged an end")
 		})
@@ -80,23 +80,23 @@
 			bad(len(ended) < 3, "did not end a call at once")
 		}
 		if at > b.ReadyMaxAge() {
-			bad(h.Ready(), "is ready")
-			_, no := h.Admit([]byte("nowhere"), []byte("/"), nil)
+			bad(n.Ready(), "is ready")
+			_, no := n.Admit([]byte("nowhere"), []byte("/"), nil)
 			bad(no == ingress.NoRoute, "denies for sure")
 		}
 	})
 	return all
 }
 
-// setKnobs has a node go without a defence from now on, in a turn.
-func (t *testCluster) setKnobs(h *Node, knobs TestingKnobs) {
-	h.knobs = knobs
-	h.registry.SetConfig(registry.Config{HeartbeatInterval: h.settings.HeartbeatInterval, MinCopies: h.minDrainCopies()})
+// setKnobs takes out defences of a node from now on, in a turn.
+func (t *testCluster) setKnobs(n *Node, knobs TestingKnobs) {
+	n.knobs = knobs
+	n.registry.SetConfig(registry.Config{HeartbeatInterval: n.settings.HeartbeatInterval, MinCopies: n.minDrainCopies()})
 }
 
-// On four real nodes, one with a disk is cut off from the others that have one: who leads, both ways, for twenty seconds; then who
-// leads or another, one way or the other. The others go on, and so does the node that followed it; it does nothing that takes a
-// majority, and comes back. Without its defences it is found out.
+// On four real nodes, one with a disk is partitioned from the others that have one: the leader, both ways, for twenty seconds; then the
+// leader or another one, one way or the other. The others go on, and so does the learner that it had; it does nothing that requires a
+// majority, and comes back. Without its defences the violations show.
 func TestCutOffNode(t *testing.T) {
 	d := startCluster(t, 4)
 	d.eventuallyAll("four slots", func(s controlapi.NodeStatus) bool { return s.Slot != nil && len(s.Nodes) == 4 })
@@ -119,12 +119,12 @@
 		if !x.leads {
 			at, other = (l+1)%3, l
 		}
-		h := d.running[at]
-		d.eventually("to be in contact", func() (is bool) { h.loop.Turn(func() { is = h.contactAge() < time.Second }); return is })
-		d.running[3].loop.Turn(func() { d.running[3].streamReceiver.request(h.peerAddr) })
-		d.eventually("the node without a disk follows", func() bool { s := d.status(3); return s.Feeder == h.peerAddr })
+		n := d.running[at]
+		d.eventually("to be in contact", func() (is bool) { n.loop.Turn(func() { is = n.contactAge() < time.Second }); return is })
+		d.running[3].loop.Turn(func() { d.running[3].streamReceiver.request(n.peerAddr) })
+		d.eventually("the node without a disk follows", func() bool { s := d.status(3); return s.Feeder == n.peerAddr })
 		d.partition(at, x.way)
-		h.loop.Turn(func() { d.setKnobs(h, x.knobs) })
+		n.loop.Turn(func() { d.setKnobs(n, x.knobs) })
 		next := last + 10
 		d.callUntilClear(other, 200, "POST", "/api/Config.Replace", configBody(next, last))
 		last = next
@@ -133,7 +133,7 @@
 		d.eventually("it is cut off for long", func() bool {
 			broken = append(broken, d.violations(at, last)...)
 			long := false
-			h.loop.Turn(func() { long = h.contactAge() > max(x.until, d.settings[at].Bounds.ReadyMaxAge()+time.Second/2) })
+			n.loop.Turn(func() { long = n.contactAge() > max(x.until, d.settings[at].Bounds.ReadyMaxAge()+time.Second/2) })
 			return long
 		})
 		slices.Sort(broken)
@@ -145,7 +145,7 @@
 		case ackDrainAlone: // once its follower has it, which takes more than this turn
 			must.Eq(t, []string{"acknowledged an end", "did not end a call at once"}, broken)
 		}
-		h.loop.Turn(func() { d.setKnobs(h, TestingKnobs{}) })
+		n.loop.Turn(func() { d.setKnobs(n, TestingKnobs{}) })
 		if x.until > 0 {
 			d.checkReturn(at)
 		}
@@ -156,25 +156,25 @@
 	}
 }
 
-// checkReturn: a node without a disk that follows a node that is cut off hears from it that all others are gone. It goes to one of
-// these all the same, by the links that it has; as long as it went by that word, it stayed for as long as the cut lasted.
+// checkReturn checks that a learner leaves an upstream that is partitioned and reports all others as gone: it goes to one of these by the
+// links that it has. As long as it believed the report, it stayed for as long as the partition lasted.
 func (t *testCluster) checkReturn(at int) {
 	cut := t.running[at].peerAddr
 	t.eventually("all others to count as gone", func() (gone bool) {
-		t.inTurn(3, func(h *Node) {
-			if h.knobs.TrustStaleUpstream = true; h.streamReceiver.upstream != cut {
-				h.streamReceiver.request(cut)
+		t.inTurn(3, func(n *Node) {
+			if n.knobs.TrustStaleUpstream = true; n.streamReceiver.upstream != cut {
+				n.streamReceiver.request(cut)
 			}
-			h.streamReceiver.requestedAt = h.loop.Now() // it stays meanwhile
-			gone = len(h.roster.LiveDiskNodes()) == 1 && h.streamReceiver.reportedAge(cut) > h.settings.Bounds.PartitionedAge()
+			n.streamReceiver.requestedAt = n.loop.Now() // it stays meanwhile
+			gone = len(n.roster.LiveDiskNodes()) == 1 && n.streamReceiver.reportedAge(cut) > n.settings.Bounds.PartitionedAge()
 		})
 		return gone
 	})
-	t.inTurn(3, func(h *Node) {
+	t.inTurn(3, func(n *Node) {
 		for _, trusts := range []bool{true, false} {
-			h.knobs.TrustStaleUpstream, h.streamReceiver.requestedAt, h.streamReceiver.pausedUntil = trusts, 1, 0
-			h.streamReceiver.check()
-			must.Eq(t.t, !trusts, h.streamReceiver.upstream != cut)
+			n.knobs.TrustStaleUpstream, n.streamReceiver.requestedAt, n.streamReceiver.pausedUntil = trusts, 1, 0
+			n.streamReceiver.check()
+			must.Eq(t.t, !trusts, n.streamReceiver.upstream != cut)
 		}
 	})
 }
