--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -22,38 +22,38 @@
 	return s
 }
 
-func (s *planScenario) advance(to time.Duration) {
-	for s.now < to {
-		s.Now(min(to, s.now+50*time.Millisecond))
-		s.Sweep()
-		s.pull()
+func (p *planScenario) advance(to time.Duration) {
+	for p.now < to {
+		p.Now(min(to, p.now+50*time.Millisecond))
+		p.Sweep()
+		p.pull()
 	}
 }
 
-func (s *planScenario) pull() {
-	for _, payload, ok := s.NextDatagram(); ok; _, payload, ok = s.NextDatagram() {
+func (p *planScenario) pull() {
+	for _, payload, ok := p.NextDatagram(); ok; _, payload, ok = p.NextDatagram() {
 		m, err := DecodeMessage(payload)
 		if err != nil {
 			fmt.Println(err)
 		}
-		s.datagrams = append(s.datagrams, m)
+		p.datagrams = append(p.datagrams, m)
 	}
 }
 
-func (s *planScenario) receive(from control.GatewayID, m *Message) {
-	s.DatagramReceived(from, m.Encode())
-	s.pull()
+func (p *planScenario) receive(from control.GatewayID, m *Message) {
+	p.DatagramReceived(from, m.Encode())
+	p.pull()
 }
 
-func (s *planScenario) last() *Message { return s.datagrams[len(s.datagrams)-1] }
+func (p *planScenario) last() *Message { return p.datagrams[len(p.datagrams)-1] }
 
 // ask asks for a unit, and takes it if it is covered.
-func (s *planScenario) ask(a *Account) Outcome {
-	outcome, _, _ := s.CheckAccount(a, Request{Units: 1, Arrived: s.now, SLA: 500 * time.Millisecond})
+func (p *planScenario) ask(a *Account) Outcome {
+	outcome, _, _ := p.CheckAccount(a, Request{Units: 1, Arrived: p.now, SLA: 500 * time.Millisecond})
 	if outcome == Allowed {
-		s.ConsumeAccount(a, 1)
+		p.ConsumeAccount(a, 1)
 	}
-	s.pull()
+	p.pull()
 	return outcome
 }
 
