--- a/control/loadbalancer/recorded_test.go
+++ b/control/loadbalancer/recorded_test.go
@@ -25,14 +25,14 @@
 
 func newDecisionRecorder() *decisionRecorder { return &decisionRecorder{Hash64: fnv.New64a()} }
 
-func (r *decisionRecorder) add(figures ...int64) {
-	r.count++
+func (d *decisionRecorder) add(figures ...int64) {
+	d.count++
 	for _, v := range figures {
-		r.Write(binary.LittleEndian.AppendUint64(nil, uint64(v)))
+		d.Write(binary.LittleEndian.AppendUint64(nil, uint64(v)))
 	}
 }
 
-func (r *decisionRecorder) sum() string { return fmt.Sprintf("%d %016x", r.count, r.Sum64()) }
+func (d *decisionRecorder) sum() string { return fmt.Sprintf("%d %016x", d.count, d.Sum64()) }
 
 // recordedSettings are a scene's, with an open cap, a ceiling and plans that pay for what is beyond the quota.
 func recordedSettings(me int) control.Settings {
--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -108,14 +108,14 @@
 }
 
 // addFile adds what a file declares and imports.
-func (r *tree) addFile(folder string, file *ast.File) {
-	names := r.packages[folder]
+func (t *tree) addFile(folder string, file *ast.File) {
+	names := t.packages[folder]
 	if names == nil {
 		names = map[string]bool{}
-		r.packages[folder] = names
+		t.packages[folder] = names
 	}
 	for _, imported := range importsOf(file) {
-		r.imported[imported] = true
+		t.imported[imported] = true
 	}
 	for _, d := range file.Decls {
 		switch d := d.(type) {
@@ -184,24 +184,24 @@
 
 // has tells whether what a page names is there. Paths are from the root or from one of the folders below; a file alone may lie
 // anywhere. Identifiers are a declared name, or one after its package or type.
-func (r *tree) has(name string) bool {
+func (t *tree) has(name string) bool {
 	name = strings.TrimSuffix(name, "/")
 	for _, folder := range []string{"", "internal", "internal/gateway", "internal/proxy", "internal/frontdoor", "internal/lab"} {
-		if r.paths[path.Join(folder, name)] {
+		if t.paths[path.Join(folder, name)] {
 			return true
 		}
 	}
-	if r.imported[name] {
+	if t.imported[name] {
 		return true
 	}
 	if fileEnding.MatchString(name) {
-		return !strings.Contains(name, "/") && r.anyFile(name)
+		return !strings.Contains(name, "/") && t.anyFile(name)
 	}
-	return goName.MatchString(name) && r.declares(name)
+	return goName.MatchString(name) && t.declares(name)
 }
 
-func (r *tree) anyFile(base string) bool {
-	for p := range r.paths {
+func (t *tree) anyFile(base string) bool {
+	for p := range t.paths {
 		if path.Base(p) == base {
 			return true
 		}
@@ -210,9 +210,9 @@
 }
 
 // declares tells whether a name, Type.Member, package.Name or package.Type.Member is declared.
-func (r *tree) declares(name string) bool {
+func (t *tree) declares(name string) bool {
 	first, rest, qualified := strings.Cut(name, ".")
-	for folder, names := range r.packages {
+	for folder, names := range t.packages {
 		if names[name] || qualified && path.Base(folder) == first && names[rest] {
 			return true
 		}
@@ -222,10 +222,10 @@
 
 // missing gives what a page names in backquotes and isn't there. What has a blank in it, or is no name of a path or of Go, is a
 // command, a message or a sign and isn't looked for.
-func (r *tree) missing(page string) (all []string) {
+func (t *tree) missing(page string) (all []string) {
 	for _, m := range backquoted.FindAllStringSubmatch(page, -1) {
 		name := strings.TrimSuffix(m[1], "()")
-		if (pathName.MatchString(name) || goName.MatchString(name)) && !r.has(name) && !slices.Contains(all, name) {
+		if (pathName.MatchString(name) || goName.MatchString(name)) && !t.has(name) && !slices.Contains(all, name) {
 			all = append(all, name)
 		}
 	}
--- a/internal/gateway/node/sockets.go
+++ b/internal/gateway/node/sockets.go
@@ -105,9 +105,9 @@
 
 // DataPath makes what requests, calls and datagrams go through, and listens for them.
 func (s *sockets) DataPath(n *Node, g *gate.Gate) (path DataPath, err error) {
-	s.dispatcher = upstream.New(s.Engine, &outcomeTap{g, n}, ingress.Terms(n, dialTimeout), func() bool { return s.frontend.Evict() })
-	bounds := ingress.Bounds(ingress.Limits{Head: routing.DefaultMostHeader, Body: routing.DefaultMostBody,
-		HeadIn: routing.DefaultHeaderTimeout, Idle: routing.DefaultIdleTimeout})
+	s.dispatcher = upstream.New(s.Engine, &outcomeTap{g, n}, ingress.UpstreamConfig(n, dialTimeout), func() bool { return s.frontend.Evict() })
+	bounds := ingress.Bounds(ingress.Limits{MaxHeadBytes: routing.DefaultMaxHeaderBytes, MaxBodyBytes: routing.DefaultMaxBodyBytes,
+		HeadTimeout: routing.DefaultHeaderTimeout, IdleTimeout: routing.DefaultIdleTimeout})
 	s.frontend = downstream.New(s.Engine, max(1, (s.maxFDs-minLinkFDs)/clientFDDivisor), bounds, func() bool { return s.dispatcher.Evict(nil) })
 	handler := ingress.New(s.frontend, s.Engine, g, n)
 	s.control = downstream.New(s.Engine, maxControlConns, downstream.Bounds{Body: maxControlBodyBytes}, func() bool { return s.frontend.Evict() })
--- a/internal/gateway/quorumcontact/tracker_test.go
+++ b/internal/gateway/quorumcontact/tracker_test.go
@@ -26,13 +26,13 @@
 	contact  bool
 }
 
-func (r *fakeReplica) Tick(now time.Duration) { r.tickedAt = now }
-func (r *fakeReplica) IsLeader() bool         { return r.leads }
-func (r *fakeReplica) Leader() (replication.Member, uint64, bool) {
-	return replication.Member{}, 4, r.leader
+func (f *fakeReplica) Tick(now time.Duration) { f.tickedAt = now }
+func (f *fakeReplica) IsLeader() bool         { return f.leads }
+func (f *fakeReplica) Leader() (replication.Member, uint64, bool) {
+	return replication.Member{}, 4, f.leader
 }
-func (r *fakeReplica) QuorumContact(time.Duration) (time.Duration, uint64, bool) {
-	return r.age, 3, r.contact
+func (f *fakeReplica) QuorumContact(time.Duration) (time.Duration, uint64, bool) {
+	return f.age, 3, f.contact
 }
 
 // In all orders of reports from upstreams: a node's contact is never newer than the newest that was reported, counted from when the node
--- a/internal/gateway/statemachine/groups.go
+++ b/internal/gateway/statemachine/groups.go
@@ -10,7 +10,7 @@
 func (m *Machine) Founders() []membership.Founder { return m.founders }
 
 // bootstrapGroups takes only the first such entry: groups that began twice, on other disks, would know nothing of each other.
-func (m *Machine) bootstrapGroups(body []byte) (routing.Verdict, error) {
+func (m *Machine) bootstrapGroups(body []byte) (routing.Result, error) {
 	var stored []storedFounder
 	if err := logentry.Decode(body, &stored, "groups"); err != nil {
 		return routing.Invalid, err
@@ -19,8 +19,8 @@
 		return routing.Invalid, ErrNoGroupDisks
 	}
 	if len(m.founders) > 0 {
-		return routing.Already, nil
+		return routing.Duplicate, nil
 	}
 	m.founders = foundersOf(stored)
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
