--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -72,14 +72,14 @@
 }
 
 // addTextsOf adds the texts and the fields' tags of a Go file, and their parts.
-func (r *tree) addTextsOf(file *ast.File) {
+func (t *tree) addTextsOf(file *ast.File) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		if _, ok := n.(*ast.ImportSpec); ok {
 			return false
 		}
 		if text, ok := n.(*ast.BasicLit); ok && text.Kind == token.STRING {
 			for _, part := range strings.FieldsFunc(text.Value, func(c rune) bool { return strings.ContainsRune("`\"/,:=", c) }) {
-				r.words[strings.TrimSpace(part)] = true
+				t.words[strings.TrimSpace(part)] = true
 			}
 		}
 		return true
@@ -87,11 +87,11 @@
 }
 
 // addFieldsOf adds the names of a file's fields: those of wire and stored forms are what gob writes.
-func (r *tree) addFieldsOf(file *ast.File) {
+func (t *tree) addFieldsOf(file *ast.File) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		if field, ok := n.(*ast.Field); ok {
 			for _, name := range field.Names {
-				r.words[name.Name] = true
+				t.words[name.Name] = true
 			}
 		}
 		return true
@@ -99,11 +99,11 @@
 }
 
 // addWordsOf adds the keys and texts of a TOML or YAML file.
-func (r *tree) addWordsOf(t *testing.T, name string) {
+func (t *tree) addWordsOf(tb *testing.T, name string) {
 	content, err := os.ReadFile(filepath.Join(root, name))
-	must.NoError(t, err)
+	must.NoError(tb, err)
 	for _, word := range strings.FieldsFunc(string(content), func(c rune) bool { return strings.ContainsRune("\"'/,:=#[]{}() \n", c) }) {
-		r.words[word] = true
+		t.words[word] = true
 	}
 }
 
@@ -242,26 +242,26 @@
 
 // isSaid tells whether a name is a word that programs read or write: itself, a flag, a setting after its section, the beginning or end
 // of several (with the dash where they differ), or a file of recorded data. A single letter is a sign of the page's own.
-func (r *tree) isSaid(name string) bool {
+func (t *tree) isSaid(name string) bool {
 	name = strings.TrimSuffix(name, "/")
 	if strings.HasSuffix(name, ".go") {
 		return false
 	}
-	if len(name) == 1 || slices.Contains(elsewhere, name) || r.words[name] || r.words[strings.TrimPrefix(name, "--")] {
+	if len(name) == 1 || slices.Contains(elsewhere, name) || t.words[name] || t.words[strings.TrimPrefix(name, "--")] {
 		return true
 	}
-	if section, key, ok := strings.Cut(name, "."); ok && name == strings.ToLower(name) && r.words[section] && r.words[key] {
+	if section, key, ok := strings.Cut(name, "."); ok && name == strings.ToLower(name) && t.words[section] && t.words[key] {
 		return true
 	}
-	if r.paths[path.Join("docs/capacity", name)] {
+	if t.paths[path.Join("docs/capacity", name)] {
 		return true
 	}
-	for imported := range r.imported {
+	for imported := range t.imported {
 		if path.Base(imported) == name {
 			return true
 		}
 	}
-	for word := range r.words {
+	for word := range t.words {
 		if strings.HasSuffix(name, "-") && strings.HasPrefix(word, name) || strings.HasPrefix(name, "-") && strings.HasSuffix(word, name) {
 			return true
 		}
@@ -270,8 +270,8 @@
 }
 
 // unknown is as missing, without the words that programs read or write.
-func (r *tree) unknown(page string) []string {
-	unknown := slices.DeleteFunc(r.missing(page), r.isSaid)
+func (t *tree) unknown(page string) []string {
+	unknown := slices.DeleteFunc(t.missing(page), t.isSaid)
 	if len(unknown) == 0 {
 		return nil
 	}
@@ -345,17 +345,17 @@
 }
 
 // brokenLinks gives the links of a page that lead to no page, or to none of its headings.
-func (r *tree) brokenLinks(t *testing.T, name, page string) (broken []string) {
-	t.Helper()
+func (t *tree) brokenLinks(tb *testing.T, name, page string) (broken []string) {
+	tb.Helper()
 	for _, m := range pageLink.FindAllStringSubmatch(page, -1) {
 		target, content := path.Join(path.Dir(name), m[1]), page
-		if m[1] != "" && !r.paths[target] {
+		if m[1] != "" && !t.paths[target] {
 			broken = append(broken, m[1])
 			continue
 		}
 		if m[1] != "" && strings.HasSuffix(target, ".md") {
 			text, err := os.ReadFile(filepath.Join(root, target))
-			must.NoError(t, err)
+			must.NoError(tb, err)
 			content = string(text)
 		}
 		if !anchors(content)[m[2]] {
