--- a/internal/gateway/node/call_chunks.go
+++ b/internal/gateway/node/call_chunks.go
@@ -20,31 +20,31 @@
 	assemblyTTL = 10 * time.Second
 )
 
-// CallChunk is a chunk of the body of a call or a reply, whose header comes without its body, or acknowledges how much of that
+// callChunk is a chunk of the body of a call or a reply, whose header comes without its body, or acknowledges how much of that
 // body has been received.
-type CallChunk struct {
-	Call  *Call
-	Reply *Reply
-	Chunk *replication.Chunk
-	Had   *replication.Chunk // acknowledges all before its offset
+type callChunk struct {
+	call     *forwardedCall
+	reply    *callReply
+	chunk    *replication.Chunk
+	received *replication.Chunk // acknowledges all before its offset
 }
 
 // sameMessage reports whether two are of one call or reply.
-func (c *CallChunk) sameMessage(other *CallChunk) bool {
-	if c.Call != nil && other.Call != nil {
-		return c.Call.Asker == other.Call.Asker && c.Call.Nr == other.Call.Nr
+func (c *callChunk) sameMessage(other *callChunk) bool {
+	if c.call != nil && other.call != nil {
+		return c.call.id == other.call.id
 	}
-	return c.Reply != nil && other.Reply != nil && c.Reply.Asker == other.Reply.Asker && c.Reply.Nr == other.Reply.Nr
+	return c.reply != nil && other.reply != nil && c.reply.id == other.reply.id
 }
 
 // wellFormed reports whether a chunk is of a call or of a reply, within the bounds.
-func (c *CallChunk) wellFormed() bool {
-	return c.Chunk != nil && c.Chunk.Size <= maxChunkedBody && (c.Call == nil) != (c.Reply == nil)
+func (c *callChunk) wellFormed() bool {
+	return c.chunk != nil && c.chunk.Size <= maxChunkedBody && (c.call == nil) != (c.reply == nil)
 }
 
 // transfer is a large call or reply on its way to a node.
 type transfer struct {
-	header        CallChunk // without a chunk
+	header        callChunk // without a chunk
 	sequence      uint32    // of the call, if it is this node's
 	deadline      time.Duration
 	outgoing      replication.BlobSender
@@ -53,14 +53,14 @@
 
 // ofCall reports whether it carries this node's call of a number.
 func (t *transfer) ofCall(sequence uint32) bool {
-	return t.sequence == sequence && t.header.Call != nil
+	return t.sequence == sequence && t.header.call != nil
 }
 
 // assembly is what one node has sent of a large call or reply.
 type assembly struct {
 	incoming   replication.BlobReceiver
 	receivedAt time.Duration     // the last chunk
-	call       CallChunk         // the last call that was complete
+	call       callChunk         // the last call that was complete
 	bodyID     replication.Chunk // names its body
 	body       []byte            // kept so that the same again need not come again
 }
@@ -88,27 +88,27 @@
 }
 
 // sendCall sends a call, by its number here; false if it can't be on its way.
-func (c *chunkedCalls) sendCall(to string, sequence uint32, call *Call, deadline time.Duration) bool {
-	if c.inOneFrame(to, call.Body) {
-		c.router.env.sendFrame(to, &Frame{Call: call})
+func (c *chunkedCalls) sendCall(to string, sequence uint32, call *forwardedCall, deadline time.Duration) bool {
+	if c.inOneFrame(to, call.body) {
+		c.router.env.sendFrame(to, &Frame{Call: call.wire()})
 		return true
 	}
 	header := *call
-	header.Body = nil
-	return c.enqueue(to, &transfer{header: CallChunk{Call: &header}, sequence: sequence, deadline: deadline,
-		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(call.Kind), 0, call.Body)}})
+	header.body = nil
+	return c.enqueue(to, &transfer{header: callChunk{call: &header}, sequence: sequence, deadline: deadline,
+		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(call.kind), 0, call.body)}})
 }
 
 // sendReply sends a reply. One that can't be sent is as one that was lost: the requester's deadline ends its call.
-func (c *chunkedCalls) sendReply(to string, reply *Reply) {
-	if c.inOneFrame(to, reply.Body) {
-		c.router.env.sendFrame(to, &Frame{Reply: reply})
+func (c *chunkedCalls) sendReply(to string, reply *callReply) {
+	if c.inOneFrame(to, reply.body) {
+		c.router.env.sendFrame(to, &Frame{Reply: reply.wire()})
 		return
 	}
 	header := *reply
-	header.Body = nil
-	c.enqueue(to, &transfer{header: CallChunk{Reply: &header}, deadline: c.router.env.now() + callTimeout,
-		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(reply.Status), 1, reply.Body)}})
+	header.body = nil
+	c.enqueue(to, &transfer{header: callChunk{reply: &header}, deadline: c.router.env.now() + callTimeout,
+		outgoing: replication.BlobSender{Blob: replication.NewBlob(uint64(reply.status), 1, reply.body)}})
 }
 
 func (c *chunkedCalls) enqueue(to string, t *transfer) bool {
@@ -134,35 +134,35 @@
 	t := queue[0]
 	for chunk := t.outgoing.NextChunk(&streamConfig, now); chunk != nil; chunk = t.outgoing.NextChunk(&streamConfig, now) {
 		message := t.header
-		message.Chunk = chunk
+		message.chunk = chunk
 		t.lastChunkSent = t.lastChunkSent || chunk.Offset+uint64(len(chunk.Data)) == chunk.Size
-		c.router.env.sendFrame(to, &Frame{Part: &message})
+		c.router.env.sendFrame(to, &Frame{Part: message.wire()})
 	}
 }
 
 // receive takes a chunk, or how much another node has of what is being sent to it.
-func (c *chunkedCalls) receive(from string, m *CallChunk) {
+func (c *chunkedCalls) receive(from string, m *callChunk) {
 	switch {
-	case m.Had != nil:
+	case m.received != nil:
 		c.receiveAck(from, m)
 	case !m.wellFormed():
-	case m.Reply != nil:
+	case m.reply != nil:
 		c.receiveReplyChunk(from, m)
 	default:
 		c.receiveCallChunk(from, m)
 	}
 }
 
-func (c *chunkedCalls) receiveAck(from string, m *CallChunk) {
+func (c *chunkedCalls) receiveAck(from string, m *callChunk) {
 	if queue := c.outgoing[from]; len(queue) > 0 && queue[0].header.sameMessage(m) {
-		queue[0].outgoing.Ack(m.Had, c.router.env.now())
+		queue[0].outgoing.Ack(m.received, c.router.env.now())
 		c.sendChunks(from)
 	}
 }
 
 // receiveReplyChunk takes a chunk of a reply. One whose call has ended is acknowledged and dropped.
-func (c *chunkedCalls) receiveReplyChunk(from string, m *CallChunk) {
-	if !c.router.awaits(m.Reply) {
+func (c *chunkedCalls) receiveReplyChunk(from string, m *callChunk) {
+	if !c.router.awaits(m.reply) {
 		c.acknowledge(from, m, nil)
 		return
 	}
@@ -170,16 +170,16 @@
 	if body == nil {
 		return
 	}
-	reply := *m.Reply
-	reply.Body = body
+	reply := *m.reply
+	reply.body = body
 	delete(c.incoming, from)
 	c.router.receiveReply(from, &reply)
 }
 
 // receiveCallChunk takes a chunk of a call. Where the same body has come before, nothing but the first chunk needs to.
-func (c *chunkedCalls) receiveCallChunk(from string, m *CallChunk) {
+func (c *chunkedCalls) receiveCallChunk(from string, m *callChunk) {
 	a := c.assemblyFrom(from)
-	switch known := a.body != nil && a.bodyID.SameBlob(m.Chunk); {
+	switch known := a.body != nil && a.bodyID.SameBlob(m.chunk); {
 	case known && a.call.sameMessage(m): // it is under way
 		c.acknowledge(from, m, nil)
 		return
@@ -190,18 +190,18 @@
 		if body == nil {
 			return
 		}
-		a.body, a.bodyID = body, *m.Chunk
+		a.body, a.bodyID = body, *m.chunk
 		a.bodyID.Data = nil
 	}
-	a.call = CallChunk{Call: m.Call}
-	call := *m.Call
-	call.Body = a.body
+	a.call = callChunk{call: m.call}
+	call := *m.call
+	call.body = a.body
 	c.router.receiveCall(from, &call)
 }
 
 // assemble adds a chunk to what has come before, and gives the body once it is complete.
-func (c *chunkedCalls) assemble(from string, m *CallChunk) []byte {
-	body, received := c.assemblyFrom(from).incoming.Receive(m.Chunk)
+func (c *chunkedCalls) assemble(from string, m *callChunk) []byte {
+	body, received := c.assemblyFrom(from).incoming.Receive(m.chunk)
 	if body != nil || received != nil {
 		c.acknowledge(from, m, received)
 	}
@@ -209,13 +209,13 @@
 }
 
 // acknowledge acknowledges what has been received of the body that a chunk is of: nil means all of it.
-func (c *chunkedCalls) acknowledge(to string, m *CallChunk, received *replication.Chunk) {
+func (c *chunkedCalls) acknowledge(to string, m *callChunk, received *replication.Chunk) {
 	if received == nil {
-		all := *m.Chunk
+		all := *m.chunk
 		all.Offset, all.Data = all.Size, nil
 		received = &all
 	}
-	c.router.env.sendFrame(to, &Frame{Part: &CallChunk{Call: m.Call, Reply: m.Reply, Had: received}})
+	c.router.env.sendFrame(to, &Frame{Part: (&callChunk{call: m.call, reply: m.reply, received: received}).wire()})
 }
 
 // assemblyFrom is where the body that a node sends is assembled. Where there are maxAssemblies of other nodes, the one that has been idle for
--- a/internal/gateway/node/call_chunks_test.go
+++ b/internal/gateway/node/call_chunks_test.go
@@ -84,9 +84,9 @@
 		c.chunkBytes += len(f.Part.Chunk.Data)
 	}
 	if to == receiverAddr {
-		c.receiver.calls.chunks.receive(senderAddr, f.Part)
+		c.receiver.calls.chunks.receive(senderAddr, f.Part.chunk())
 	} else {
-		c.sender.calls.chunks.receive(receiverAddr, f.Part)
+		c.sender.calls.chunks.receive(receiverAddr, f.Part.chunk())
 	}
 	return true
 }
@@ -97,7 +97,7 @@
 	sequence, deadline := c.sender.calls.lastSequence, c.clock.now+callTimeout
 	c.sender.calls.pending[sequence] = &pendingCall{kind: statemachine.KindReplaceConfig, body: body, deadline: deadline, sentTo: receiverAddr,
 		recipients: []string{receiverAddr}, done: then}
-	call := &Call{Asker: c.sender.incarnation, Nr: sequence, Kind: statemachine.KindReplaceConfig, Body: body, Hops: 1}
+	call := &forwardedCall{id: callID{c.sender.incarnation, sequence}, kind: statemachine.KindReplaceConfig, body: body, hops: 1}
 	must.True(c.t, c.sender.calls.chunks.sendCall(receiverAddr, sequence, call, deadline))
 	return sequence
 }
@@ -191,9 +191,9 @@
 // What is assembled is bounded: four nodes at one time, each as much as a control call may have, and nothing for longer than assemblyTTL.
 func TestLargeCallsAreBounded(t *testing.T) {
 	w := newCallLink(t)
-	chunk := func(size uint64) *CallChunk {
-		return &CallChunk{Call: &Call{Asker: 1, Nr: 1, Kind: statemachine.KindReplaceConfig},
-			Chunk: &replication.Chunk{Index: 1, Size: size, Data: make([]byte, 8<<10)}}
+	chunk := func(size uint64) *callChunk {
+		return &callChunk{call: &forwardedCall{id: callID{1, 1}, kind: statemachine.KindReplaceConfig},
+			chunk: &replication.Chunk{Index: 1, Size: size, Data: make([]byte, 8<<10)}}
 	}
 	w.receiver.calls.chunks.receive(senderAddr, chunk(maxChunkedBody+1))
 	must.MapEmpty(t, w.receiver.calls.chunks.incoming)
@@ -206,11 +206,11 @@
 	w.receiver.calls.chunks.tick()
 	must.MapEmpty(t, w.receiver.calls.chunks.incoming)
 	for range maxTransfers {
-		must.True(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, farFuture))
+		must.True(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &forwardedCall{body: filler(1 << 20)}, farFuture))
 	}
-	must.False(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &Call{Body: filler(1 << 20)}, farFuture))
+	must.False(t, w.sender.calls.chunks.sendCall(receiverAddr, 1, &forwardedCall{body: filler(1 << 20)}, farFuture))
 	w.sender.calls.chunks.supportedBy[receiverAddr] = false // a node of the version before
 	w.queued = map[string][]*Frame{}
-	w.sender.calls.chunks.sendCall(receiverAddr, 2, &Call{Nr: 2, Body: filler(1 << 20)}, farFuture)
+	w.sender.calls.chunks.sendCall(receiverAddr, 2, &forwardedCall{id: callID{sequence: 2}, body: filler(1 << 20)}, farFuture)
 	must.Eq(t, 1<<20/20*20, len(w.queued[receiverAddr][0].Call.Body))
 }
--- a/internal/gateway/node/call_replies_test.go
+++ b/internal/gateway/node/call_replies_test.go
@@ -139,12 +139,12 @@
 			a, b := h.calls.lastSequence-1, h.calls.lastSequence
 			all := []struct {
 				from string
-				Reply
-			}{{"x:1", Reply{h.incarnation, a, 200, []byte("a")}}, {"x:1", Reply{h.incarnation, a, 200, []byte("a")}},
-				{"y:1", Reply{h.incarnation, b, 412, []byte("b")}}, {"x:1", Reply{h.incarnation, b, 503, []byte(replication.OutcomeUnknown.String())}},
-				{"x:1", Reply{h.incarnation + 1, b, 200, nil}}, {"z:1", Reply{h.incarnation, b, 200, nil}}, {"y:1", Reply{h.incarnation, b + 1, 200, nil}}}
+				WireReply
+			}{{"x:1", WireReply{h.incarnation, a, 200, []byte("a")}}, {"x:1", WireReply{h.incarnation, a, 200, []byte("a")}},
+				{"y:1", WireReply{h.incarnation, b, 412, []byte("b")}}, {"x:1", WireReply{h.incarnation, b, 503, []byte(replication.OutcomeUnknown.String())}},
+				{"x:1", WireReply{h.incarnation + 1, b, 200, nil}}, {"z:1", WireReply{h.incarnation, b, 200, nil}}, {"y:1", WireReply{h.incarnation, b + 1, 200, nil}}}
 			for _, i := range order {
-				h.FrameReceived(all[i].from, &Frame{Reply: &all[i].Reply})
+				h.FrameReceived(all[i].from, &Frame{Reply: &all[i].WireReply})
 			}
 			if !slices.Equal(got[0], []string{"200a"}) || !slices.Equal(got[1], []string{"412b"}) {
 				n++
--- a/internal/gateway/node/call_router.go
+++ b/internal/gateway/node/call_router.go
@@ -52,6 +52,27 @@
 	noQuorumAt(addr string)
 }
 
+// callID names a call between two nodes. Sequence numbers begin anew in each incarnation of the requester.
+type callID struct {
+	incarnation uint64
+	sequence    uint32
+}
+
+// forwardedCall is a control call on its way to the leader.
+type forwardedCall struct {
+	id   callID
+	kind statemachine.Kind // of an entry, or ReadConfig or ReadRollouts
+	body []byte
+	hops int // with the one that it is on
+}
+
+// callReply ends the call of its ID. The status is as for the caller, or controlapi.Unclear.
+type callReply struct {
+	id     callID
+	status int
+	body   []byte
+}
+
 // callDone takes the result of a call, once.
 type callDone func(status int, body []byte)
 
@@ -123,7 +144,7 @@
 		call.recipients = append(call.recipients, target)
 	}
 	c.chunks.cancelCall(previous, sequence)
-	passed := &Call{Asker: c.incarnation, Nr: sequence, Kind: call.kind, Body: call.body, Hops: call.hops + 1}
+	passed := &forwardedCall{id: callID{c.incarnation, sequence}, kind: call.kind, body: call.body, hops: call.hops + 1}
 	if !c.chunks.sendCall(target, sequence, passed, call.deadline) {
 		call.sentTo = "" // too many are on their way there
 	}
@@ -166,26 +187,26 @@
 }
 
 // receiveCall takes a call that another node passed on.
-func (c *callRouter) receiveCall(from string, passed *Call) {
-	c.callLeader(passed.Kind, passed.Body, passed.Hops, func(status int, body []byte) {
-		c.chunks.sendReply(from, &Reply{passed.Asker, passed.Nr, status, body})
+func (c *callRouter) receiveCall(from string, passed *forwardedCall) {
+	c.callLeader(passed.kind, passed.body, passed.hops, func(status int, body []byte) {
+		c.chunks.sendReply(from, &callReply{passed.id, status, body})
 	})
 }
 
 // receiveReply takes the reply to a call that was passed on. One to a former incarnation, to a call that has ended or from a node
 // that the call was never sent to is dropped. An earlier recipient may still end the call by a result, but its failure starts no
 // further attempt.
-func (c *callRouter) receiveReply(from string, reply *Reply) {
-	call := c.pending[reply.Nr]
+func (c *callRouter) receiveReply(from string, reply *callReply) {
+	call := c.pending[reply.id.sequence]
 	if call == nil {
 		return
 	}
-	foreign := reply.Asker != c.incarnation || !slices.Contains(call.recipients, from)
-	superseded := reply.Status/100 == 5 && from != call.sentTo
+	foreign := reply.id.incarnation != c.incarnation || !slices.Contains(call.recipients, from)
+	superseded := reply.status/100 == 5 && from != call.sentTo
 	if (foreign || superseded) && !c.knobs.MatchRepliesBySequence {
 		return
 	}
-	c.complete(reply.Nr, reply.Status, reply.Body)
+	c.complete(reply.id.sequence, reply.status, reply.body)
 }
 
 // complete takes the result of an attempt. It ends the call, unless nobody leads and there is time for another one: the
@@ -223,8 +244,8 @@
 }
 
 // awaits reports whether a call of this incarnation is pending for a reply.
-func (c *callRouter) awaits(reply *Reply) bool {
-	return reply.Asker == c.incarnation && c.pending[reply.Nr] != nil
+func (c *callRouter) awaits(reply *callReply) bool {
+	return reply.id.incarnation == c.incarnation && c.pending[reply.id.sequence] != nil
 }
 
 // mayBeReceived reports whether the node that a call is in flight to may have all of it.
--- a/internal/gateway/node/frame.go
+++ b/internal/gateway/node/frame.go
@@ -5,7 +5,6 @@
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/registry"
 	"clovergap/internal/gateway/replication"
-	"clovergap/internal/gateway/rollout"
 	"clovergap/internal/gateway/statemachine"
 )
 
@@ -21,11 +20,11 @@
 	Board  *registry.WireMessage
 	Follow *WireStreamRequest
 	Feed   *WireStreamData
-	Call   *Call
-	Reply  *Reply
+	Call   *WireCall
+	Reply  *WireReply
 
-	Rollout *RolloutMessage // while a roll-out runs
-	Part    *CallChunk      // of a large call or reply, to a program that takes these
+	Rollout *WireRolloutMessage // while a roll-out runs
+	Part    *WireCallChunk      // of a large call or reply, to a program that takes these
 
 	Coordination []byte         // a coordination.Message
 	Groups       *GroupMessages // once there are coordination groups
@@ -56,15 +55,6 @@
 	return "others"
 }
 
-// RolloutMessage is a report on its way to the leader, with the slot of the node that it is of, or the start of a lap, in which evidence is
-// gathered afresh, on its way to all nodes.
-type RolloutMessage struct {
-	Seat   membership.Slot
-	Hops   int
-	Report *rollout.Report
-	Lap    *rollout.Lap
-}
-
 // CoreMessage is a message between members of the configuration log.
 type CoreMessage struct {
 	From    replication.MemberID
@@ -104,25 +94,8 @@
 	return nil
 }
 
-// Call is a control call that is forwarded to the leader.
-type Call struct {
-	Asker uint64 // the incarnation of the node that forwards it: Nr begins anew in each
-	Nr    uint32
-	Kind  statemachine.Kind // or ReadConfig, or ReadRollouts
-	Body  []byte
-	Hops  int
-}
-
 // ReadConfig reads the newest configuration, ReadRollouts the roll-outs. They are kinds of calls, never of entries.
 const (
 	ReadConfig   statemachine.Kind = 'g'
 	ReadRollouts statemachine.Kind = 'h'
 )
-
-// Reply ends the call of that Asker and Nr. Status is as for the caller: 200, 400, 412, 413, 503, or controlapi.Unclear.
-type Reply struct {
-	Asker  uint64
-	Nr     uint32
-	Status int
-	Body   []byte
-}
--- a/internal/gateway/node/frame_recorded_test.go
+++ b/internal/gateway/node/frame_recorded_test.go
@@ -224,8 +224,8 @@
 		Evidence: []byte("evidence")}
 	report.Counts[1][0] = rollout.Tally{Ends: 15, By: [5]uint32{1, 2, 3, 4, 5}, Times: [rollout.LatencyBuckets]uint32{3: 7, 25: 1}}
 	report.Counts[0][1] = rollout.Tally{Ends: 16, By: [5]uint32{4: 16}}
-	call := &Call{Asker: 31, Nr: 2, Kind: 'r', Body: []byte("call"), Hops: 1}
-	reply := &Reply{Asker: 32, Nr: 3, Status: 412, Body: []byte("reply")}
+	call := &WireCall{Asker: 31, Nr: 2, Kind: 'r', Body: []byte("call"), Hops: 1}
+	reply := &WireReply{Asker: 32, Nr: 3, Status: 412, Body: []byte("reply")}
 	lines := &GroupMessages{From: 24}
 	for _, l := range wireGroupLines() {
 		lines.append(&l)
@@ -245,10 +245,10 @@
 			Echo: 3, Index: 7, Chunk: wireChunkSet(70, "chunk"), Log: true}},
 		{Call: call},
 		{Reply: reply},
-		{Rollout: &RolloutMessage{Seat: 2, Hops: 1, Report: report}},
-		{Rollout: &RolloutMessage{Lap: &rollout.Lap{Service: "service", Number: 3, Lap: 2}}},
-		{Part: &CallChunk{Call: call, Chunk: wireChunkSet(80, "part")}},
-		{Part: &CallChunk{Reply: reply, Had: wireChunkSet(90, "had of the part")}},
+		{Rollout: &WireRolloutMessage{Seat: 2, Hops: 1, Report: report}},
+		{Rollout: &WireRolloutMessage{Lap: &rollout.Lap{Service: "service", Number: 3, Lap: 2}}},
+		{Part: &WireCallChunk{Call: call, Chunk: wireChunkSet(80, "part")}},
+		{Part: &WireCallChunk{Reply: reply, Had: wireChunkSet(90, "had of the part")}},
 		{Groups: lines},
 	}
 	for _, m := range wireCoordination() {
--- a/internal/gateway/node/frame_versions_test.go
+++ b/internal/gateway/node/frame_versions_test.go
@@ -180,10 +180,10 @@
 		{Follow: &WireStreamRequest{After: 6, Anew: true, Ends: true, Clock: 5, Had: chunk, Chunks: true}},
 		{Feed: &WireStreamData{After: 6, State: []byte("state"), Entries: [][]byte{[]byte("rbody"), []byte("s")}, Stale: 20 * time.Millisecond, View: 2,
 			Echo: 3, Index: 7, Chunk: chunk, Log: true}},
-		{Call: &Call{Asker: 31, Nr: 2, Kind: 'r', Body: []byte("{}"), Hops: 1}},
-		{Reply: &Reply{Asker: 31, Nr: 2, Status: 412, Body: []byte("conflict")}},
-		{Rollout: &RolloutMessage{Seat: 2, Hops: 1, Report: report}},
-		{Rollout: &RolloutMessage{Lap: &rollout.Lap{Service: "s", Number: 3, Lap: 2}}},
+		{Call: &WireCall{Asker: 31, Nr: 2, Kind: 'r', Body: []byte("{}"), Hops: 1}},
+		{Reply: &WireReply{Asker: 31, Nr: 2, Status: 412, Body: []byte("conflict")}},
+		{Rollout: &WireRolloutMessage{Seat: 2, Hops: 1, Report: report}},
+		{Rollout: &WireRolloutMessage{Lap: &rollout.Lap{Service: "s", Number: 3, Lap: 2}}},
 	}
 }
 
@@ -301,7 +301,7 @@
 		must.Eq(t, a, b)
 	}
 	must.ErrorIs(t, old.Decode(&pastFrame{}), io.EOF)
-	f := &Frame{Part: &CallChunk{Call: &Call{Nr: 1}, Chunk: &replication.Chunk{Size: 1}}}
+	f := &Frame{Part: &WireCallChunk{Call: &WireCall{Nr: 1}, Chunk: &replication.Chunk{Size: 1}}}
 	must.True(t, m.Send(to, f))
 	var empty pastFrame
 	must.NoError(t, now.Decode(&empty))
--- a/internal/gateway/node/host_env.go
+++ b/internal/gateway/node/host_env.go
@@ -123,15 +123,15 @@
 }
 
 // sendTowardsLeader sends a report to the leader, or to the node that this one follows, unless that is where it came from.
-func (n *Node) sendTowardsLeader(report *RolloutMessage, from string) {
+func (n *Node) sendTowardsLeader(report *rolloutMessage, from string) {
 	if to := n.forwardTarget(); to != "" && to != from {
-		n.sendFrame(to, &Frame{Rollout: report})
+		n.sendFrame(to, &Frame{Rollout: report.wire()})
 	}
 }
 
 // sendToMembers sends the beginning of a lap to the other members of the configuration log.
-func (n *Node) sendToMembers(lap *RolloutMessage) {
-	f := &Frame{Rollout: lap}
+func (n *Node) sendToMembers(lap *rolloutMessage) {
+	f := &Frame{Rollout: lap.wire()}
 	for _, m := range n.coreMembers() {
 		if addr := n.memberAddr(m); addr != "" && addr != n.peerAddr {
 			n.sendFrame(addr, f)
@@ -140,8 +140,8 @@
 }
 
 // sendToLearners sends the beginning of a lap to the learners of this node, but to the one that it came from.
-func (n *Node) sendToLearners(lap *RolloutMessage, except string) {
-	f := &Frame{Rollout: lap}
+func (n *Node) sendToLearners(lap *rolloutMessage, except string) {
+	f := &Frame{Rollout: lap.wire()}
 	for addr := range n.streamSender.learners {
 		if addr != except {
 			n.sendFrame(addr, f)
--- a/internal/gateway/node/links.go
+++ b/internal/gateway/node/links.go
@@ -42,13 +42,13 @@
 	case f.Feed != nil:
 		n.streamReceiver.receive(from, f.Feed.data())
 	case f.Call != nil:
-		n.calls.receiveCall(from, f.Call)
+		n.calls.receiveCall(from, f.Call.call())
 	case f.Reply != nil:
-		n.calls.receiveReply(from, f.Reply)
+		n.calls.receiveReply(from, f.Reply.reply())
 	case f.Part != nil:
-		n.calls.chunks.receive(from, f.Part)
+		n.calls.chunks.receive(from, f.Part.chunk())
 	case f.Rollout != nil:
-		n.rollouts.receive(from, f.Rollout)
+		n.rollouts.receive(from, f.Rollout.message())
 	case f.Coordination != nil:
 		n.receiveCoordination(from, f.Coordination)
 	}
--- a/internal/gateway/node/rollout_host.go
+++ b/internal/gateway/node/rollout_host.go
@@ -41,6 +41,15 @@
 	answerStatus       int // of the response whose outcome is being passed on; 0: there is none
 }
 
+// rolloutMessage is a report on its way to the leader, with the slot of the node that it is of, or the start of a lap, in which evidence is
+// gathered afresh, on its way to all nodes.
+type rolloutMessage struct {
+	slot   membership.Slot
+	hops   int
+	report *rollout.Report
+	lap    *rollout.Lap
+}
+
 // rolloutPeers is what a rolloutHost needs of the log and of the other nodes.
 type rolloutPeers interface {
 	now() time.Duration
@@ -54,9 +63,9 @@
 	readRollouts(done callDone)
 	proposeRollout(e rollout.Entry)
 	// sendTowardsLeader sends a report to the leader, or to the node that this one follows, unless that is where it came from.
-	sendTowardsLeader(report *RolloutMessage, from string)
-	sendToMembers(lap *RolloutMessage)
-	sendToLearners(lap *RolloutMessage, except string)
+	sendTowardsLeader(report *rolloutMessage, from string)
+	sendToMembers(lap *rolloutMessage)
+	sendToLearners(lap *rolloutMessage, except string)
 	logInfo(p logPart) *log.Entry
 	logWarn(p logPart) *log.Entry
 }
@@ -134,7 +143,7 @@
 		}
 	}
 	for _, report := range r.reports.take(now) {
-		r.peers.sendTowardsLeader(&RolloutMessage{Seat: r.peers.slot(), Hops: 1, Report: &report}, "")
+		r.peers.sendTowardsLeader(&rolloutMessage{slot: r.peers.slot(), hops: 1, report: &report}, "")
 	}
 	r.runCoordinator()
 	r.updateAdmission()
@@ -151,37 +160,37 @@
 // report has the coordinator take a report of this node.
 func (r *rolloutHost) report(report rollout.Report) {
 	if r.coordinator != nil {
-		r.receiveReport(&RolloutMessage{Seat: r.peers.slot(), Report: &report})
+		r.receiveReport(&rolloutMessage{slot: r.peers.slot(), report: &report})
 		return
 	}
 	r.reports.add(report)
 }
 
 // receive takes a report or the beginning of a lap, or passes it on.
-func (r *rolloutHost) receive(from string, m *RolloutMessage) {
+func (r *rolloutHost) receive(from string, m *rolloutMessage) {
 	switch {
-	case m.Lap != nil:
+	case m.lap != nil:
 		r.local.Tick(r.peers.now())
-		r.local.HandleLap(*m.Lap)
+		r.local.HandleLap(*m.lap)
 		if r.peers.isMember() {
 			r.peers.sendToLearners(m, from)
 		}
-	case m.Report == nil || len(m.Report.Evidence) > maxEvidenceBytes:
+	case m.report == nil || len(m.report.Evidence) > maxEvidenceBytes:
 	case r.coordinator != nil:
 		r.receiveReport(m)
-	case m.Hops < maxHops && r.peers.isMember():
-		r.peers.sendTowardsLeader(&RolloutMessage{Seat: m.Seat, Hops: m.Hops + 1, Report: m.Report}, from)
+	case m.hops < maxHops && r.peers.isMember():
+		r.peers.sendTowardsLeader(&rolloutMessage{slot: m.slot, hops: m.hops + 1, report: m.report}, from)
 	}
 }
 
 // receiveReport hands a report to this node's coordinator.
-func (r *rolloutHost) receiveReport(m *RolloutMessage) {
-	if m.Seat == membership.NoSlot {
+func (r *rolloutHost) receiveReport(m *rolloutMessage) {
+	if m.slot == membership.NoSlot {
 		return
 	}
 	r.coordinator.Tick(r.peers.now())
-	if err := r.coordinator.HandleReport(rollout.NodeID(m.Seat), *m.Report); err != nil {
-		r.peers.logInfo(rolloutPart).Int("slot", int(m.Seat)).Err(err).Msg("report not readable")
+	if err := r.coordinator.HandleReport(rollout.NodeID(m.slot), *m.report); err != nil {
+		r.peers.logInfo(rolloutPart).Int("slot", int(m.slot)).Err(err).Msg("report not readable")
 	}
 }
 
@@ -217,7 +226,7 @@
 // broadcastLap has all nodes gather evidence afresh.
 func (r *rolloutHost) broadcastLap(lap rollout.Lap) {
 	r.local.HandleLap(lap)
-	m := &RolloutMessage{Lap: &lap}
+	m := &rolloutMessage{lap: &lap}
 	r.peers.sendToMembers(m)
 	r.peers.sendToLearners(m, "")
 }
--- a/internal/gateway/node/wire.go
+++ b/internal/gateway/node/wire.go
@@ -6,6 +6,8 @@
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/quorumcontact"
 	"clovergap/internal/gateway/replication"
+	"clovergap/internal/gateway/rollout"
+	"clovergap/internal/gateway/statemachine"
 )
 
 // heartbeat shows that its sender lives, and reports its contact: the latter not from one node with a disk to another.
@@ -107,3 +109,88 @@
 	return &streamData{after: w.After, state: w.State, entries: w.Entries,
 		contact: quorumcontact.Report{Age: w.Stale, Term: w.View, Echo: w.Echo, Index: w.Index}, chunk: w.Chunk, chunkEntries: w.Log}
 }
+
+// WireCall is a forwardedCall on a link.
+type WireCall struct {
+	Asker uint64 // the requester's incarnation
+	Nr    uint32 // the call's sequence number in it
+	Kind  statemachine.Kind
+	Body  []byte
+	Hops  int
+}
+
+// wire is the call as it is sent.
+func (f *forwardedCall) wire() *WireCall {
+	if f == nil {
+		return nil
+	}
+	return &WireCall{Asker: f.id.incarnation, Nr: f.id.sequence, Kind: f.kind, Body: f.body, Hops: f.hops}
+}
+
+// call is what was received.
+func (w *WireCall) call() *forwardedCall {
+	if w == nil {
+		return nil
+	}
+	return &forwardedCall{id: callID{w.Asker, w.Nr}, kind: w.Kind, body: w.Body, hops: w.Hops}
+}
+
+// WireReply is a callReply on a link.
+type WireReply struct {
+	Asker  uint64 // as in WireCall
+	Nr     uint32
+	Status int
+	Body   []byte
+}
+
+// wire is the reply as it is sent.
+func (c *callReply) wire() *WireReply {
+	if c == nil {
+		return nil
+	}
+	return &WireReply{Asker: c.id.incarnation, Nr: c.id.sequence, Status: c.status, Body: c.body}
+}
+
+// reply is what was received.
+func (w *WireReply) reply() *callReply {
+	if w == nil {
+		return nil
+	}
+	return &callReply{id: callID{w.Asker, w.Nr}, status: w.Status, body: w.Body}
+}
+
+// WireCallChunk is a callChunk on a link.
+type WireCallChunk struct {
+	Call  *WireCall
+	Reply *WireReply
+	Chunk *replication.Chunk
+	Had   *replication.Chunk
+}
+
+// wire is the chunk as it is sent.
+func (c *callChunk) wire() *WireCallChunk {
+	return &WireCallChunk{Call: c.call.wire(), Reply: c.reply.wire(), Chunk: c.chunk, Had: c.received}
+}
+
+// chunk is what was received.
+func (w *WireCallChunk) chunk() *callChunk {
+	return &callChunk{call: w.Call.call(), reply: w.Reply.reply(), chunk: w.Chunk, received: w.Had}
+}
+
+// WireRolloutMessage is a rolloutMessage on a link.
+type WireRolloutMessage struct {
+	Seat   membership.Slot
+	Hops   int
+	Report *rollout.Report
+	Lap    *rollout.Lap
+}
+
+// wire is the message as it is sent.
+func (r *rolloutMessage) wire() *WireRolloutMessage {
+	return &WireRolloutMessage{Seat: r.slot, Hops: r.hops, Report: r.report, Lap: r.lap}
+}
+
+// message is what was received.
+func (w *WireRolloutMessage) message() *rolloutMessage {
+	return &rolloutMessage{slot: w.Seat, hops: w.Hops, report: w.Report, lap: w.Lap}
+}
