--- a/internal/gateway/node/doc.go
+++ b/internal/gateway/node/doc.go
@@ -38,8 +38,10 @@
 //   - What a replica acknowledges is on disk before its acknowledgement is sent.
 //   - The applied index never goes back within an incarnation.
 //   - A slow disk holds up neither requests nor heartbeats: it is written in the background.
-//   - The same inputs at the same times give the same outputs: chance comes from a seed, and no order of messages depends on a map's, so that
-//     whole nodes run in simulated time over another Environment.
+//   - Decisions take time and chance from the Environment alone, so that whole nodes run in simulated time. The wall clock and the mark that
+//     a roll-out's order gets (Rollout, proposeRollout) are for its history and for repetitions, and decide nothing.
+//   - Messages to several nodes go out in the order of their addresses, except a roll-out's lap to learners (sendToLearners): that goes in
+//     the order of a map.
 //
 // # What it must not do
 //
