--- a/internal/gateway/node/logstream_pair_test.go
+++ b/internal/gateway/node/logstream_pair_test.go
@@ -97,28 +97,28 @@
 }
 
 // append has the member apply entries.
-func (p *streamPair) append(entries, size int) {
+func (s *streamPair) append(entries, size int) {
 	for range entries {
-		p.member.applied = append(p.member.applied, fmt.Sprintf("%0*d", size, len(p.member.applied)))
-		p.sender.entryApplied(false)
+		s.member.applied = append(s.member.applied, fmt.Sprintf("%0*d", size, len(s.member.applied)))
+		s.sender.entryApplied(false)
 	}
 }
 
 // deliver carries what is under way until nothing is, except what is lost.
-func (p *streamPair) deliver(lost func() bool) {
-	for len(p.toMember) > 0 || len(p.toLearner) > 0 {
-		if len(p.toMember) > 0 {
-			r := p.toMember[0]
-			p.toMember = p.toMember[1:]
-			if !lost() && p.sender.receiveRequest("learner", r) != requestIgnored && p.sender.isLearner("learner") {
-				p.sender.respond("learner")
+func (s *streamPair) deliver(lost func() bool) {
+	for len(s.toMember) > 0 || len(s.toLearner) > 0 {
+		if len(s.toMember) > 0 {
+			r := s.toMember[0]
+			s.toMember = s.toMember[1:]
+			if !lost() && s.sender.receiveRequest("learner", r) != requestIgnored && s.sender.isLearner("learner") {
+				s.sender.respond("learner")
 			}
 		}
-		if len(p.toLearner) > 0 {
-			d := p.toLearner[0]
-			p.toLearner = p.toLearner[1:]
+		if len(s.toLearner) > 0 {
+			d := s.toLearner[0]
+			s.toLearner = s.toLearner[1:]
 			if !lost() {
-				p.receiver.receive("member", d)
+				s.receiver.receive("member", d)
 			}
 		}
 	}
--- a/internal/gateway/statemachine/machine_test.go
+++ b/internal/gateway/statemachine/machine_test.go
@@ -31,25 +31,25 @@
 		EncodeEntry(KindReplaceConfig, config(3, 0)), AssignSlotEntry(again), EncodeEntry('z', []byte("of a newer program")), nil, EncodeEntry(KindAssignSlot, []byte("no slot")),
 		EncodeEntry(KindAmendConfig, []byte(`{"generation":5,"parent_version":3,"upserts":{"services":[{"name":"t"}]}}`)),
 		EncodeEntry(KindReplaceConfig, []byte("{")), AssignSlotEntry(slotHolder("c")), EncodeEntry(KindReplaceConfig, config(9, 5)),
-		rolloutEntry(rollout.Entry{Verb: rollout.Start, Mark: "m", Order: testRollout}),
-		rolloutEntry(rollout.Entry{Verb: rollout.Start, Mark: "m", Order: testRollout}),
-		rolloutEntry(rollout.Entry{Verb: rollout.Advance, Number: 1, Step: 2, Fence: 5}), EncodeEntry(KindRollout, []byte("{")),
-		rolloutEntry(rollout.Entry{Verb: rollout.Rollback, Number: 1, Step: 1, Fence: 5, Why: "bad"})}
+		rolloutEntry(rollout.Entry{Verb: rollout.Start, CallID: "m", Spec: testRollout}),
+		rolloutEntry(rollout.Entry{Verb: rollout.Start, CallID: "m", Spec: testRollout}),
+		rolloutEntry(rollout.Entry{Verb: rollout.Advance, Number: 1, Step: 2, FencingToken: 5}), EncodeEntry(KindRollout, []byte("{")),
+		rolloutEntry(rollout.Entry{Verb: rollout.Rollback, Number: 1, Step: 1, FencingToken: 5, Reason: "bad"})}
 }
 
 var testRollout = &rollout.Spec{Service: "s", Old: "v1", New: "v2", Steps: []rollout.Step{{Share: 100,
 	MinTime: rollout.Duration(time.Second)}}}
 
 func rolloutEntry(e rollout.Entry) []byte {
-	e.Service, e.Room = "s", rollout.Capacity{Old: 9, New: 9, Busy: 5}
+	e.Service, e.Capacity = "s", rollout.Capacity{Baseline: 9, Canary: 9, Busy: 5}
 	return EncodeEntry(KindRollout, e.Encode())
 }
 
 // Every entry has its verdict; slots are given in order, and a node that asks again keeps its own under its new name.
 func TestEntries(t *testing.T) {
 	s := New()
-	taken, already, conflict, invalid := routing.Taken, routing.Already, routing.Conflict, routing.Invalid
-	for i, want := range []routing.Verdict{taken, taken, taken, conflict, already, already, invalid, invalid, invalid,
+	taken, already, conflict, invalid := routing.Accepted, routing.Duplicate, routing.Conflict, routing.Invalid
+	for i, want := range []routing.Result{taken, taken, taken, conflict, already, already, invalid, invalid, invalid,
 		taken, invalid, taken, taken, taken, already, conflict, invalid, taken} {
 		e, before := allEntryKinds()[i], s.Snapshot()
 		if len(e) > 0 && e[0] != byte(KindAssignSlot) && e[0] != 'z' { // told before as it comes
@@ -94,7 +94,7 @@
 		must.Eq(t, whole.Snapshot(), s.Snapshot(), must.Sprint(i))
 		must.Eq(t, whole.Slots(), s.Slots())
 		v, _ := s.Decide(KindReplaceConfig, config(3, 0)) // what was taken is known by its bytes
-		must.Eq(t, routing.Already, v)
+		must.Eq(t, routing.Duplicate, v)
 	}
 	var older bytes.Buffer // the snapshot of a program that knew no roll-outs
 	must.NoError(t, gob.NewEncoder(&older).Encode(struct {
@@ -105,8 +105,8 @@
 	must.NoError(t, err)
 	must.Eq(t, whole.Configs.Snapshot(), s.Configs.Snapshot())
 	must.False(t, s.Rollouts.HasRollouts())
-	v, _ := s.Apply(rolloutEntry(rollout.Entry{Verb: rollout.Start, Order: testRollout}))
-	must.Eq(t, routing.Taken, v)
+	v, _ := s.Apply(rolloutEntry(rollout.Entry{Verb: rollout.Start, Spec: testRollout}))
+	must.Eq(t, routing.Accepted, v)
 	for _, bad := range [][]byte{nil, []byte("x"), snaps[3][:len(snaps[3])/2]} {
 		_, err := Restore(bad)
 		must.Error(t, err)
