--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -31,8 +31,8 @@
 	lastToken        uint64
 	lastApplied      appliedChange
 	membersCheckedAt time.Duration
-	leaderTerm       uint64                   // the last one whose leader was known
-	liveness         map[string]livenessState // by address
+	leaderTerm       uint64 // the last one whose leader was known
+	liveness         livenessReports
 }
 
 // coreEnv is what a core needs of its node.
@@ -96,7 +96,7 @@
 
 // newCore makes a core whose replica and disk are still to be set.
 func newCore(env coreEnv, self replication.Member) *core {
-	c := &core{env: env, proposals: map[uint64]proposal{}, liveness: map[string]livenessState{}}
+	c := &core{env: env, proposals: map[uint64]proposal{}, liveness: livenessReports{}}
 	c.replicaHost = replicaHost{env: env, self: self, owner: c}
 	return c
 }
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -15,15 +15,6 @@
 // heartbeatInterval is the time between two heartbeats to the same node.
 const heartbeatInterval = 700 * time.Millisecond
 
-// livenessMaxDelay is how long a liveness report waits for a message of the log: two of a leader's heartbeats.
-const livenessMaxDelay = 300 * time.Millisecond
-
-// livenessState is how liveness reports go to another node with a disk.
-type livenessState struct {
-	piggybacks   bool          // its program sends and takes them with messages of the log
-	pendingSince time.Duration // since when a report waits for a message; 0: none does
-}
-
 // sendHeartbeats sends heartbeats to the watchers of this node, its learners and its upstream. A learner sends its clock with its own and is
 // answered at once, so that it gets one from here only where it has not asked for a while; urgent: all get one now.
 func (n *Node) sendHeartbeats(urgent bool) {
@@ -91,23 +82,17 @@
 
 // deferLiveness has the next message of the log to a node carry the liveness report. True: no heartbeat is needed now.
 func (n *Node) deferLiveness(addr string, urgent bool) bool {
-	state := n.core.liveness[addr]
 	if urgent {
-		state.pendingSince = 0
-		n.core.liveness[addr] = state
+		n.core.liveness.cancel(addr)
 		return false
 	}
-	state.pendingSince = n.loop.Now()
-	n.core.liveness[addr] = state
-	return state.piggybacks
+	return n.core.liveness.deferReport(addr, n.loop.Now())
 }
 
-// coreMessage is a message of the log to another member, with the liveness report if one waits.
+// coreMessage is a message of the log to another member, with the liveness report if one is pending.
 func (c *core) coreMessage(addr string, m replication.Message) *CoreMessage {
 	message := &CoreMessage{From: c.self.ID, Message: m.Wire()}
-	if state := c.liveness[addr]; state.pendingSince > 0 {
-		state.pendingSince = 0
-		c.liveness[addr] = state
+	if c.liveness.take(addr) {
 		message.Hears = c.env.membershipRoster().ReachableSlots()
 	}
 	return message
@@ -118,16 +103,14 @@
 	if m.Hears == nil {
 		return
 	}
-	state := c.liveness[from]
-	state.piggybacks = true
-	c.liveness[from] = state
+	c.liveness.received(from)
 	c.env.membershipRoster().HandleLiveness(from, m.Hears)
 }
 
-// resetLiveness forgets what is known of a node's program: a link to or from it begins or has ended, and it may run another one.
+// resetLiveness is for the beginning and the end of a link to or from a node: it may run another program.
 func (c *core) resetLiveness(addr string) {
 	if c != nil {
-		delete(c.liveness, addr)
+		c.liveness.reset(addr)
 	}
 }
 
@@ -138,8 +121,7 @@
 	}
 	now := n.loop.Now()
 	for _, addr := range n.roster.Watchers() {
-		if state := n.core.liveness[addr]; state.piggybacks && state.pendingSince > 0 && now-state.pendingSince >= livenessMaxDelay {
-			n.core.liveness[addr] = livenessState{}
+		if n.core.liveness.takeOverdue(addr, now) {
 			n.links.Send(addr, heartbeatFrame(&heartbeat{liveSlots: n.roster.ReachableSlots()}))
 		}
 	}
