--- a/internal/gateway/replication/doc.go
+++ b/internal/gateway/replication/doc.go
@@ -52,15 +52,14 @@
 // # Where it differs from Raft, and why
 //
 //   - A vote does not depend on the candidate's log. It carries the voter's last position, and the candidate fetches the newest
-//     log among a majority before it leads, as in Viewstamped Replication. So whoever first notices that the leader is lost can
-//     lead, which is quicker with three members of which one lags. Where that log is too large for one message its owner starts
-//     an election itself.
+//     log among a majority before it leads, as in Viewstamped Replication. So any member can
+//     lead, also one that lags. Where that log is too large for one message its owner starts an election itself.
 //   - A candidate syncs its own vote before it asks for others: a member whose disk hangs does not disturb the cluster.
 //   - Two candidates of one term would each need another time-out. The one with the lower ID starts the next term at once.
 //   - A member is a disk, not a node: an empty disk draws a new ID, so that a lost disk's votes and acknowledgements can't be
 //     mistaken for those of the empty one that replaces it.
 //   - A joint configuration is one entry. The new list takes effect when it is appended, with the majorities of both lists, and
-//     by itself once it is committed. So one change replaces a member by another, with no moment at which fewer may be lost.
+//     by itself once it is committed. So one change replaces a member by another, without a longer or shorter list in between.
 //   - The leader changes the member list itself, by which disks its host reaches (ReconcileMembers).
 //   - An acknowledgement of a read sequence needs no disk, so reads are not slowed by writes.
 //   - Snapshots and large entries go in acknowledged chunks, at most Config.MaxInflightBytes at a time, so that heartbeats are
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -367,8 +367,8 @@
 }
 
 func (c *cluster) clone() *cluster {
-	cluster := *c
-	cluster.members = nil
+	copied := *c
+	copied.members = nil
 	for _, s := range c.members {
 		o, p := *s, *s.replica
 		p.log.entries, p.memberConfigs, p.unsyncedWrites = slices.Clone(p.log.entries), slices.Clone(p.memberConfigs), slices.Clone(p.unsyncedWrites)
@@ -381,13 +381,13 @@
 		p.proposals, p.preVotes = maps.Clone(p.proposals), maps.Clone(p.preVotes)
 		p.votes, p.voteRequests, p.lostSince = maps.Clone(p.votes), maps.Clone(p.voteRequests), maps.Clone(p.lostSince)
 		o.replica = &p
-		cluster.members = append(cluster.members, &o)
+		copied.members = append(copied.members, &o)
 	}
-	cluster.inflight, cluster.committed, cluster.committedAt = slices.Clip(c.inflight), slices.Clip(c.committed), slices.Clip(c.committedAt)
-	for _, s := range cluster.members {
+	copied.inflight, copied.committed, copied.committedAt = slices.Clip(c.inflight), slices.Clip(c.committed), slices.Clip(c.committedAt)
+	for _, s := range copied.members {
 		s.writes = slices.Clip(s.writes)
 	}
-	return &cluster
+	return &copied
 }
 
 func appendEntries(b []byte, all []Entry) []byte {
