--- a/internal/gateway/node/backend_registry.go
+++ b/internal/gateway/node/backend_registry.go
@@ -41,7 +41,7 @@
 
 // Deregister takes the end of a backend. done is as for Heartbeat.
 func (n *Node) Deregister(id string, done func(ok bool, ownerAddr string)) {
-	n.awaitAcknowledgement(quorumcontact.AcknowledgeDrain, done, func() registry.Ticket { return n.registry.Deregister(id, 0) })
+	n.awaitAcknowledgement(quorumcontact.AcknowledgeDrain, done, func() registry.Ticket { return n.registry.Deregister(id) })
 }
 
 // awaitAcknowledgement hands a call to the registry, and calls done when the registry acknowledges it, if the permission holds both now
@@ -157,7 +157,7 @@
 		}
 		switch a := a.(type) {
 		case registry.Send:
-			if s, ok := n.roster.SlotHolderAt(membership.Slot(a.Target)); ok {
+			if s, ok := n.roster.AtSlot(membership.Slot(a.Target)); ok {
 				n.links.Send(s.Addr, &Frame{Board: a.Message.Wire()})
 			}
 		case registry.Changed:
--- a/internal/gateway/node/change_repeat_test.go
+++ b/internal/gateway/node/change_repeat_test.go
@@ -45,7 +45,7 @@
 	again()
 }
 
-// Eight orders at once on one version, each through a node of its own: one is taken. The same order through eight: all are told so.
+// Eight changes at once on one version, each through a node of its own: one is taken. The same change through eight: it is confirmed to all.
 func TestEightConcurrentChanges(t *testing.T) {
 	d := startCluster(t, 8)
 	d.callUntilClear(0, 200, "POST", replaceConfigPath, configBody(1, 0))
@@ -54,7 +54,7 @@
 		var all sync.WaitGroup
 		var answers [8]int
 		for i := range answers {
-			all.Go(func() { // until it is settled: an answer that is not clear may be of one that was taken
+			all.Go(func() { // until its outcome is clear: an ambiguous answer may be of one that was taken
 				for end := time.Now().Add(testTimeout); answers[i] != 200 && answers[i] != 412 && time.Now().Before(end); {
 					answers[i], _ = d.call(i, "POST", replaceConfigPath, body(i))
 				}
@@ -92,7 +92,7 @@
 	d.startBackend("v2-0", "v2", &fails)
 	d.eventuallyAll("the backends", func(s controlapi.NodeStatus) bool { return len(s.Backends) == 2 && s.Generation == 7 })
 	entry := func(rev uint64, mark string) *rollout.Entry {
-		return &rollout.Entry{Verb: rollout.Start, Service: "s", Mark: mark, Rev: rev, Room: rollout.Capacity{Busy: 9}, Order: &rollout.Spec{
+		return &rollout.Entry{Verb: rollout.Start, Service: "s", CallID: mark, Revision: rev, Capacity: rollout.Capacity{Busy: 9}, Spec: &rollout.Spec{
 			Service: "s", Old: "v1", New: "v2", Steps: []rollout.Step{{Share: 100, MinTime: rollout.Duration(time.Second)}}}}
 	}
 	behind := func(do func(h *Node, then func(int, []byte))) (status int) {
