--- a/cmd/gateway/coordination.go
+++ b/cmd/gateway/coordination.go
@@ -204,7 +204,7 @@
 	if g.JSON {
 		return print(out, raw)
 	}
-	t := newTable(out, "GROUP", "LEADER", "VIEW", "SYNCED", "MEMBERS", "LOCKS", "NUMBERS", "KEYS", "BYTES")
+	t := newTable(out, "GROUP", "LEADER", "TERM", "SYNCED", "MEMBERS", "LOCKS", "NUMBERS", "KEYS", "BYTES")
 	for _, groupStatus := range list.Groups {
 		t.row(groupStatus.Group, groupStatus.Leader, groupStatus.View, groupStatus.Synced, len(groupStatus.Members), groupStatus.Locks, groupStatus.Numbers, groupStatus.Keys, groupStatus.KeyBytes+groupStatus.HistoryBytes)
 	}
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -34,7 +34,7 @@
 	Status   *statusCmd   `arg:"subcommand:status" help:"tell how things stand at a node"`
 	Nodes    *nodesCmd    `arg:"subcommand:nodes" help:"list the nodes"`
 	Backends *backendsCmd `arg:"subcommand:backends" help:"list the backends"`
-	Core     *coreCmd     `arg:"subcommand:core" help:"show the replicated log: members, view, leader, how far it is synced"`
+	Core     *coreCmd     `arg:"subcommand:core" help:"show the replicated log: members, term, leader, how far it is synced"`
 	Rollout  *rolloutCmd  `arg:"subcommand:rollout" help:"shift a share of users onto a new version of a service"`
 	Locks    *locksCmd    `arg:"subcommand:locks" help:"list the locks of applications, or tell who holds one"`
 	Keys     *keysCmd     `arg:"subcommand:keys" help:"read, put and watch the small keys of applications"`
--- a/cmd/gateway/rollout.go
+++ b/cmd/gateway/rollout.go
@@ -235,7 +235,7 @@
 	if r.JSON {
 		return print(out, raw)
 	}
-	w := newTable(out, "SERVICE", "NUMBER", "OLD", "NEW", "PHASE", "STEP", "SHARE", "THERE", "HELD", "DOUBT", "NEW FAILED", "OLD FAILED")
+	w := newTable(out, "SERVICE", "NUMBER", "OLD", "NEW", "PHASE", "STEP", "SHARE", "SHARE HERE", "PAUSED", "DOUBT", "NEW FAILED", "OLD FAILED")
 	for _, rolloutRun := range s.Rollouts {
 		now, was := "", ""
 		if rolloutRun.Counts != nil {
--- a/cmd/gateway/rollout_test.go
+++ b/cmd/gateway/rollout_test.go
@@ -49,7 +49,7 @@
 		{"finish other", []string{"200 " + runs}, failed, "", `no roll-out of "other"`},
 		{"hold libro --why " + strings.Repeat("x", 513), []string{"200"}, calledWrong, "", "--why: longer"},
 		{"status", []string{"200 " + runs}, good, "",
-			"libro    3       v1   v2   running  1 of 2  1.5 %  0 %    no    0.5    2 of 6      2 of 99"},
+			"libro    3       v1   v2   running  1 of 2  1.5 %  0 %         no      0.5    2 of 6      2 of 99"},
 		{"history libro", []string{`200 {"service":"libro","rollouts":[{"number":3,"lines":[{"verb":"start","share":150,"by":"ana","at":1000}]}]}`},
 			good, "", "3       1970-01-01 00:00:01  start  0     1.5 %  ana  0 of 0      0 of 0"},
 		{"status --tries 0", []string{"200"}, calledWrong, "", "--tries"},
--- a/cmd/gateway/state.go
+++ b/cmd/gateway/state.go
@@ -277,7 +277,7 @@
 	if n.JSON {
 		return json.NewEncoder(out).Encode(states)
 	}
-	w := newTable(out, "NAME", "ZONE", "VERSION", "APPLIED", "STALE", "READY", "CORE", "HELD", "CLIENTS", "WHY NOT")
+	w := newTable(out, "NAME", "ZONE", "VERSION", "APPLIED", "STALE", "READY", "CORE", "IN FLIGHT", "CLIENTS", "WHY NOT")
 	for i, d := range s.Nodes {
 		if o := states[i]; o == nil {
 			w.row(d.Name, d.Zone, "", "", "", "", "", "", "", "no answer")
@@ -336,7 +336,7 @@
 	if b.JSON {
 		return json.NewEncoder(out).Encode(some)
 	}
-	w := newTable(out, "ID", "SERVICE", "ADDRESS", "ZONE", "SOFTWARE", "CAPACITY", "PHASE", "COLD", "REGISTRAR",
+	w := newTable(out, "ID", "SERVICE", "ADDRESS", "ZONE", "SOFTWARE", "CAPACITY", "PHASE", "SLOW START", "OWNER",
 		"SEQ")
 	for _, item := range some {
 		w.row(item.Id, item.Target, item.Address, item.Zone, item.Generation, item.Capacity, item.Phase, item.ColdLeft, item.Registrar, item.CallSeq)
@@ -347,7 +347,7 @@
 type coreCmd struct{ caller }
 
 func (*coreCmd) examples() string {
-	return `  gateway core    its view, leader, members, log; asked of a node with a disk`
+	return `  gateway core    its term, leader, members, log; asked of a node with a disk`
 }
 
 func (c *coreCmd) run(out io.Writer) error {
@@ -373,7 +373,7 @@
 	if c.JSON {
 		return json.NewEncoder(out).Encode(k)
 	}
-	w := newTable(out, "NODE", "ROLE", "VIEW", "LEADER", "SETTLED", "LOG", "SYNCED", "BEHIND", "WAITING",
+	w := newTable(out, "NODE", "ROLE", "TERM", "LEADER", "MEMBERS COMMITTED", "LOG", "SYNCED", "UNCOMMITTED", "PENDING",
 		"LEARNER")
 	w.row(s.Node, k.Role, k.View, k.Leader, yes(k.Settled), fmt.Sprintf("%d to %d", k.First, k.Last), k.Synced,
 		k.Behind, k.Waiting, k.Learner)
@@ -424,20 +424,20 @@
 	}
 	w.row("configuration", nodeStatus.Generation)
 	w.row("log applied", nodeStatus.Applied)
-	w.row("last heard of the core", ago(nodeStatus.StaleMs))
+	w.row("quorum contact", ago(nodeStatus.StaleMs))
 	if nodeStatus.Feeder != "" {
 		w.row("follows", nodeStatus.Feeder)
 	}
 	if k := nodeStatus.Core; k != nil {
-		w.row("core", fmt.Sprintf("%s, view %d of %d members, leader %s", k.Role, k.View, len(k.Members),
+		w.row("core", fmt.Sprintf("%s, term %d, %d members, leader %s", k.Role, k.View, len(k.Members),
 			orNone(k.Leader)))
 	}
 	w.row("nodes", fmt.Sprintf("%d, %d live", len(nodeStatus.Nodes), live))
 	if b := nodeStatus.Registry; b != nil {
-		w.row("backends", fmt.Sprintf("%d ready, %d draining, %d gone, %d kept here, %d unwatched", b.Ready,
+		w.row("backends", fmt.Sprintf("%d ready, %d draining, %d gone, %d owned here, %d unwatched", b.Ready,
 			b.Draining, b.Gone, b.Kept, b.Unwatched))
 	}
-	w.row("requests held", nodeStatus.Held)
+	w.row("requests in flight", nodeStatus.Held)
 	w.row("clients", nodeStatus.Clients)
 	w.row("counters", nodeStatus.Counters)
 	return w.Flush()
