--- a/control/quota/grant.go
+++ b/control/quota/grant.go
@@ -3,7 +3,7 @@
 import "math"
 
 // grantUnits sets units aside for a gateway whose requests wait for them: nobody else has them until it reports what became of them.
-func (l *Limiter) grantUnits(a *Account, r *report, left float64) (units float64) {
+func (l *Limiter) grantUnits(r *report, left float64) (units float64) {
 	if r.unitsWanted > 0 && left >= r.unitsWanted {
 		units = max(r.unitsWanted, math.Floor(left/grantDivisor/float64(l.gateways)))
 		r.granted, r.grantedAt = r.granted+units, l.now
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -157,7 +157,7 @@
 	r.snapshotLevel = left
 	var grant float64
 	if l.config.Strict {
-		grant = l.grantUnits(a, r, left)
+		grant = l.grantUnits(r, left)
 	} else {
 		r.granted, r.grantedAt = 0, l.now
 		if left >= r.unitsWanted {
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -91,7 +91,7 @@
 func (b *Balancer) SetNodes(n int) { b.nodes = max(n, 1) }
 
 // SetEndpoint takes one line of the backend list. A backend that drains or is gone gets nothing from now on.
-func (b *Balancer) SetEndpoint(now time.Duration, e control.Endpoint) {
+func (b *Balancer) SetEndpoint(_ time.Duration, e control.Endpoint) {
 	backend := b.known[e.ID]
 	if backend == nil {
 		if e.State == control.Gone {
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -289,7 +289,7 @@
 			w.stop("a", "b")
 			w.start("c", 9, false)
 		}, "", 0},
-		{"one seed, and it is alone", "a", func(w *world) { w.connected = func(a, b string) bool { return false } }, "a", 1},
+		{"one seed, and it is alone", "a", func(w *world) { w.connected = func(_, _ string) bool { return false } }, "a", 1},
 		{"all seeds are the same", "bbb", func(*world) {}, "b", 3},
 	} {
 		w := newWorld(c.seeds, "a", "b", "c")
--- a/internal/gateway/node/call_chunks_test.go
+++ b/internal/gateway/node/call_chunks_test.go
@@ -127,7 +127,7 @@
 	for _, every := range []int{0, 3, 7, 50} {
 		w := newCallLink(t)
 		var answer []byte
-		w.forward(body, func(status int, b []byte) { answer = b })
+		w.forward(body, func(_ int, b []byte) { answer = b })
 		for _, c := range w.sender.calls.chunks.outgoing[receiverAddr] {
 			c.deadline = farFuture
 		}
--- a/internal/gateway/node/frame_recorded_test.go
+++ b/internal/gateway/node/frame_recorded_test.go
@@ -285,7 +285,7 @@
 	must.Eq(t, wireCoordination(), messages)
 	must.True(t, reflect.DeepEqual(wireGroupLines(), lines))
 	unset := map[string]bool{}
-	unsetFields(reflect.TypeFor[Frame](), wireFrames(), unset)
+	unsetFields(wireFrames(), unset)
 	must.MapEmpty(t, unset)
 }
 
--- a/internal/gateway/node/frame_versions_test.go
+++ b/internal/gateway/node/frame_versions_test.go
@@ -221,7 +221,7 @@
 		got := <-x.frames
 		must.Eq(t, want, got)
 	}
-	unsetFields(reflect.TypeFor[Frame](), pastFrames(), unset)
+	unsetFields(pastFrames(), unset)
 	var names []string
 	for name := range unset {
 		names = append(names, name)
@@ -231,7 +231,7 @@
 }
 
 // unsetFields finds the fields that no frame sets.
-func unsetFields(of reflect.Type, frames []*Frame, unset map[string]bool) {
+func unsetFields(frames []*Frame, unset map[string]bool) {
 	set := map[string]bool{}
 	var look func(path string, v reflect.Value)
 	look = func(path string, v reflect.Value) {
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"github.com/go-faster/errors"
 	"github.com/shoenig/test/must"
 )
 
@@ -68,8 +69,8 @@
 	}
 	_, c := newFakeNode(t, func(string, string) (int, string) { return 412, `{"revision":7}` })
 	_, err := c.PutAt(contextWithTimeout(t, time.Minute), "g.k", "v", 3)
-	conflict, ok := err.(*ConflictError)
-	must.True(t, ok)
+	var conflict *ConflictError
+	must.True(t, errors.As(err, &conflict))
 	must.Eq(t, 7, conflict.Revision)
 }
 
