--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -49,7 +49,7 @@
 	// announceLeaders has learners notified at the next tick that there is a leader.
 	announceLeaders()
 	installState(index uint64, s *statemachine.Machine)
-	applyEntry(index uint64, data []byte) (routing.Verdict, error)
+	applyEntry(index uint64, data []byte) (routing.Result, error)
 	// snapshot is the state at the last entry applied.
 	snapshot() []byte
 	// readResult is the body of the answer to a read.
@@ -73,7 +73,7 @@
 type appliedChange struct {
 	index   uint64
 	entry   []byte
-	outcome routing.Verdict
+	outcome routing.Result
 	err     error
 }
 
@@ -201,7 +201,7 @@
 	switch {
 	case !ok:
 	case o.Status == replication.OutcomeUnknown:
-		p.done(controlapi.Unclear, []byte(o.Status.String()))
+		p.done(controlapi.StatusAmbiguous, []byte(o.Status.String()))
 	case o.Status != replication.OutcomeCommitted:
 		p.done(statusUnavailable, []byte(o.Status.String()))
 	case isRead(p.kind):
@@ -210,7 +210,7 @@
 		applied := c.lastApplied
 		if applied.index != o.Index || !bytes.Equal(applied.entry, p.entry) {
 			invariant.That(false, "a proposal ends by its own entry")
-			applied = appliedChange{outcome: routing.Unclear}
+			applied = appliedChange{outcome: routing.Ambiguous}
 		}
 		p.done(responseOf(applied.outcome, applied.err))
 	}
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -32,42 +32,42 @@
 }
 
 // Decide returns the verdict that Apply would give now. Kinds that only Apply decides are taken.
-func (m *Machine) Decide(kind Kind, body []byte) (routing.Verdict, error) {
+func (m *Machine) Decide(kind Kind, body []byte) (routing.Result, error) {
 	if kind == KindRollout {
 		return withRolloutEntry(body, m.Rollouts.Decide)
 	}
 	if config, ok := configKind(kind); ok {
 		return m.Configs.Decide(config, body)
 	}
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
 
 // DecideFinal is Decide, and reports besides whether the verdict is the same in every later state: then a node may answer by it
 // though its state is stale.
-func (m *Machine) DecideFinal(kind Kind, body []byte) (v routing.Verdict, err error, final bool) {
+func (m *Machine) DecideFinal(kind Kind, body []byte) (v routing.Result, err error, final bool) {
 	if config, ok := configKind(kind); ok {
 		return m.Configs.Final(config, body)
 	}
 	if kind != KindRollout {
-		return routing.Taken, nil, false
+		return routing.Accepted, nil, false
 	}
 	v, err = withRolloutEntry(body, m.decideRolloutFinal)
-	return v, err, v != routing.Taken
+	return v, err, v != routing.Accepted
 }
 
 // decideRolloutFinal gives the verdicts on a roll-out's entry that no later entry changes.
-func (m *Machine) decideRolloutFinal(e *rollout.Entry) (routing.Verdict, error) {
+func (m *Machine) decideRolloutFinal(e *rollout.Entry) (routing.Result, error) {
 	if m.Rollouts.CallApplied(e.CallID) {
-		return routing.Already, nil
+		return routing.Duplicate, nil
 	}
 	if err := e.Validate(); err != nil {
 		return routing.Invalid, err
 	}
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
 
 // withRolloutEntry hands on a roll-out's entry if it can be read.
-func withRolloutEntry(body []byte, to func(*rollout.Entry) (routing.Verdict, error)) (routing.Verdict, error) {
+func withRolloutEntry(body []byte, to func(*rollout.Entry) (routing.Result, error)) (routing.Result, error) {
 	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return routing.Invalid, err
@@ -76,7 +76,7 @@
 }
 
 // Apply changes the state by an entry. One that can't be read, or is of an unknown kind, changes nothing.
-func (m *Machine) Apply(entry []byte) (routing.Verdict, error) {
+func (m *Machine) Apply(entry []byte) (routing.Result, error) {
 	if len(entry) == 0 {
 		return routing.Invalid, ErrEmptyEntry
 	}
