--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -39,9 +39,9 @@
 				sent = 0 // of these so many may be lost again
 				disk.SetCluster(8, 3)
 			}
-			for _, c := range []*Roster{node, disk} {
-				c.Tick(now)
-				c.FrameReceived(map[*Roster]string{node: "disk", disk: "node"}[c]) // other frames come
+			for _, r := range []*Roster{node, disk} {
+				r.Tick(now)
+				r.FrameReceived(map[*Roster]string{node: "disk", disk: "node"}[r]) // other frames come
 			}
 			carry(node, disk)
 			carry(disk, node)
@@ -59,16 +59,16 @@
 	me := Node{Addr: "disk", Disk: 7, Incarnation: 7, Bootstrapped: true}
 	for _, acknowledged := range []uint64{0, me.fingerprint()} {
 		now := time.Minute
-		c := New(me, Config{Seeds: []string{"disk"}}, now)
-		c.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}, Acknowledged: acknowledged})
-		c.LinkUp("node")
-		sent := count(drain(c), SendHello, "node")
+		r := New(me, Config{Seeds: []string{"disk"}}, now)
+		r.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}, Acknowledged: acknowledged})
+		r.LinkUp("node")
+		sent := count(drain(r), SendHello, "node")
 		must.Eq(t, 1, sent)
 		for range 100 {
 			now += refreshInterval
-			c.Tick(now)
-			c.FrameReceived("node")
-			sent += count(drain(c), SendHello, "node")
+			r.Tick(now)
+			r.FrameReceived("node")
+			sent += count(drain(r), SendHello, "node")
 		}
 		must.Eq(t, map[uint64]int{0: 1 + maxHelloRepeats, me.fingerprint(): 1}[acknowledged], sent)
 	}
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -38,8 +38,8 @@
 	step()
 }
 
-func drain(c *Roster) (all []Action) {
-	for a, ok := c.Next(); ok; a, ok = c.Next() {
+func drain(r *Roster) (all []Action) {
+	for a, ok := r.Next(); ok; a, ok = r.Next() {
 		all = append(all, a)
 	}
 	return all
@@ -58,25 +58,25 @@
 // hellos and the link to it, the same nodes are live in the end.
 func TestEventOrdersConverge(t *testing.T) {
 	hello := func(a string, disk Disk, life uint64, known ...string) event {
-		return func(c *Roster) {
-			c.HandleHello(a, Hello{Node: Node{Name: a, Addr: "elsewhere", Disk: disk, Incarnation: life}, KnownAddrs: known})
+		return func(r *Roster) {
+			r.HandleHello(a, Hello{Node: Node{Name: a, Addr: "elsewhere", Disk: disk, Incarnation: life}, KnownAddrs: known})
 		}
 	}
-	up := func(a string) event { return func(c *Roster) { c.LinkUp(a) } }
-	down := func(a string) event { return func(c *Roster) { c.LinkDown(a) } }
+	up := func(a string) event { return func(r *Roster) { r.LinkUp(a) } }
+	down := func(a string) event { return func(r *Roster) { r.LinkDown(a) } }
 	tries := 0
 	interleave([][]event{{hello("a", 1, 1, "b", "x"), up("a")}, {down("b"), up("b")},
 		{hello("b", 2, 1), hello("b", 3, 2)}, {up("d"), down("d")}, {hello("d", 4, 1)}}, func(order []event) {
-		c := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me", "a", "b", "d"}, ToleratedLosses: 1}, 0)
+		r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me", "a", "b", "d"}, ToleratedLosses: 1}, 0)
 		var did []Action
 		for _, e := range order {
-			e(c)
-			did = append(did, drain(c)...)
+			e(r)
+			did = append(did, drain(r)...)
 		}
 		tries++
 		must.True(t, slices.Equal([]Node{{Addr: "me", Disk: 9}, {Name: "a", Addr: "a", Disk: 1, Incarnation: 1},
-			{Name: "b", Addr: "b", Disk: 3, Incarnation: 2}}, c.LiveDiskNodes())) // those that are live
-		must.True(t, slices.Equal([]string{"a", "b", "d", "x"}, c.Addrs()))
+			{Name: "b", Addr: "b", Disk: 3, Incarnation: 2}}, r.LiveDiskNodes())) // those that are live
+		must.True(t, slices.Equal([]string{"a", "b", "d", "x"}, r.Addrs()))
 		must.Eq(t, "1 1 1", fmt.Sprint(count(did, Connect, "x"), count(did, SendHello, "a"), count(did, SendHello, "b")))
 	})
 	must.Eq(t, 22680, tries)
@@ -339,48 +339,48 @@
 
 // A node that sends nothing is not live, one that sends nothing for long is forgotten, and a seed or one with a slot is not.
 func TestLivenessTimeout(t *testing.T) {
-	c := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"s"}}, 0)
+	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"s"}}, 0)
 	for _, a := range []string{"s", "x", "y"} {
-		c.HandleHello(a, Hello{Node: Node{Name: a, Incarnation: 1}, Acknowledged: c.self.fingerprint()})
-		c.LinkUp(a)
+		r.HandleHello(a, Hello{Node: Node{Name: a, Incarnation: 1}, Acknowledged: r.self.fingerprint()})
+		r.LinkUp(a)
 	}
-	c.SetSlots([]SlotHolder{{Addr: "me"}, {Addr: "y"}})
-	must.Eq(t, 1, count(drain(c), LiveNodesChanged, ""))
-	must.Eq(t, Slot(1), c.Slot("y"))
-	must.Eq(t, NoSlot, c.Slot("x"))
+	r.SetSlots([]SlotHolder{{Addr: "me"}, {Addr: "y"}})
+	must.Eq(t, 1, count(drain(r), LiveNodesChanged, ""))
+	must.Eq(t, Slot(1), r.Slot("y"))
+	must.Eq(t, NoSlot, r.Slot("x"))
 	for at := time.Duration(0); at < livenessTimeout; at += 100 * ms {
-		c.Tick(at)
-		c.FrameReceived("x")
-		must.SliceEmpty(t, drain(c))
+		r.Tick(at)
+		r.FrameReceived("x")
+		must.SliceEmpty(t, drain(r))
 	}
-	c.Tick(livenessTimeout)
-	must.Eq(t, 1, count(drain(c), LiveNodesChanged, "")) // s and y have gone, at once
+	r.Tick(livenessTimeout)
+	must.Eq(t, 1, count(drain(r), LiveNodesChanged, "")) // s and y have gone, at once
 	pass := func(until time.Duration) {
-		for at := c.now; at < until; at += 500 * ms {
-			c.Tick(at)
+		for at := r.now; at < until; at += 500 * ms {
+			r.Tick(at)
 		}
-		c.Tick(until)
-	}
-	must.True(t, c.Live("x"))
-	must.False(t, c.Live("y"))
-	c.FrameReceived("y")
-	must.True(t, c.Live("y")) // its link never ended
-	c.HandleHello("y", Hello{Node: Node{Name: "y", Incarnation: 2}})
-	must.Eq(t, 1, count(drain(c), LiveNodesChanged, "")) // another incarnation of it, though it stays live
+		r.Tick(until)
+	}
+	must.True(t, r.Live("x"))
+	must.False(t, r.Live("y"))
+	r.FrameReceived("y")
+	must.True(t, r.Live("y")) // its link never ended
+	r.HandleHello("y", Hello{Node: Node{Name: "y", Incarnation: 2}})
+	must.Eq(t, 1, count(drain(r), LiveNodesChanged, "")) // another incarnation of it, though it stays live
 	pass(livenessTimeout + forgetAfter + ms)
-	gone := drain(c)
+	gone := drain(r)
 	must.Eq(t, 1, count(gone, Disconnect, "x"))
-	must.Eq(t, []string{"s", "y"}, c.Addrs())
-	c.FrameReceived("x")
-	must.Eq(t, 1, count(drain(c), Connect, "x"))
+	must.Eq(t, []string{"s", "y"}, r.Addrs())
+	r.FrameReceived("x")
+	must.Eq(t, 1, count(drain(r), Connect, "x"))
 	var many []string
 	for i := range 2 * maxNodes {
 		many = append(many, fmt.Sprint("z", i))
 	}
-	c.SetSeeds(many)
-	must.Len(t, maxNodes, c.Addrs())
-	c.HandleHello("x", Hello{Node: Node{Name: "x", Disk: 5}}) // a full table still takes hellos of those in it
-	d, _ := c.Node("x")
+	r.SetSeeds(many)
+	must.Len(t, maxNodes, r.Addrs())
+	r.HandleHello("x", Hello{Node: Node{Name: "x", Disk: 5}}) // a full table still takes hellos of those in it
+	d, _ := r.Node("x")
 	must.Eq(t, Disk(5), d.Disk)
 }
 
@@ -452,46 +452,46 @@
 // A node that stood still for seconds goes on with all that others sent unread: it must not take them for lost before it has read it.
 // Guards against one that left its upstream so, dropped the entries that lay unread, and went by an old configuration for seconds.
 func TestStallIsNotATimeout(t *testing.T) {
-	c := New(Node{Addr: "me"}, Config{}, 0)
-	c.HandleHello("a", Hello{Node: Node{Name: "a", Disk: 1, Incarnation: 1}, Acknowledged: c.self.fingerprint()})
-	c.LinkUp("a")
-	c.SetSlots([]SlotHolder{{Addr: "me"}, {Addr: "a"}, {Addr: "b"}})
-	c.HandleLiveness("a", []byte{7})
-	must.True(t, c.Live("a") && c.Live("b"))
-	c.Tick(500 * ms)
-	drain(c)
-	c.Tick(20 * time.Second)
-	must.SliceEmpty(t, drain(c))
-	must.True(t, c.Live("a") && c.Live("b"))
+	r := New(Node{Addr: "me"}, Config{}, 0)
+	r.HandleHello("a", Hello{Node: Node{Name: "a", Disk: 1, Incarnation: 1}, Acknowledged: r.self.fingerprint()})
+	r.LinkUp("a")
+	r.SetSlots([]SlotHolder{{Addr: "me"}, {Addr: "a"}, {Addr: "b"}})
+	r.HandleLiveness("a", []byte{7})
+	must.True(t, r.Live("a") && r.Live("b"))
+	r.Tick(500 * ms)
+	drain(r)
+	r.Tick(20 * time.Second)
+	must.SliceEmpty(t, drain(r))
+	must.True(t, r.Live("a") && r.Live("b"))
 	for at := 20 * time.Second; at < 21900*ms; at += 500 * ms {
-		c.Tick(at)
-		drain(c)
+		r.Tick(at)
+		drain(r)
 	}
-	must.True(t, c.Live("a") && c.Live("b"))
-	c.Tick(22 * time.Second)
-	drain(c)
-	must.False(t, c.Live("a") || c.Live("b")) // nothing for 2.2 s, of which 0.5 s came before the stall
+	must.True(t, r.Live("a") && r.Live("b"))
+	r.Tick(22 * time.Second)
+	drain(r)
+	must.False(t, r.Live("a") || r.Live("b")) // nothing for 2.2 s, of which 0.5 s came before the stall
 }
 
 // The first seed stalls before it bootstraps the core, or was just partitioned: it reads first what the others have sent, and does not go by
 // nodes that it has not heard for a second. Guards against a cluster of its own, which the others never join.
 func TestIsolatedSeedDoesNotBootstrap(t *testing.T) {
 	began := func(pause time.Duration, hears bool) bool {
-		c := New(Node{Addr: "a", Disk: 1, FirstStart: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: clusterIDOf}, 0)
+		r := New(Node{Addr: "a", Disk: 1, FirstStart: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: clusterIDOf}, 0)
 		for i, n := range []string{"b", "c"} {
-			c.HandleHello(n, Hello{Node: Node{Name: n, Disk: Disk(i + 2), FirstStart: true, Incarnation: 1}})
-			c.LinkUp(n)
+			r.HandleHello(n, Hello{Node: Node{Name: n, Disk: Disk(i + 2), FirstStart: true, Incarnation: 1}})
+			r.LinkUp(n)
 		}
-		drain(c)
-		for c.now < 400*ms {
-			c.Tick(c.now + 100*ms)
+		drain(r)
+		for r.now < 400*ms {
+			r.Tick(r.now + 100*ms)
 		}
-		c.Tick(c.now + pause)
-		did := drain(c)
-		for end := c.now + time.Second; c.now < end; did = append(did, drain(c)...) {
-			if c.Tick(c.now + 100*ms); hears {
-				c.FrameReceived("b")
-				c.HandleHello("c", Hello{Node: Node{Name: "c", Disk: 3, FirstStart: true, Incarnation: 1, Bootstrapped: pause > 0}})
+		r.Tick(r.now + pause)
+		did := drain(r)
+		for end := r.now + time.Second; r.now < end; did = append(did, drain(r)...) {
+			if r.Tick(r.now + 100*ms); hears {
+				r.FrameReceived("b")
+				r.HandleHello("c", Hello{Node: Node{Name: "c", Disk: 3, FirstStart: true, Incarnation: 1, Bootstrapped: pause > 0}})
 			}
 		}
 		return count(did, Bootstrap, "a") > 0
@@ -527,44 +527,44 @@
 // Hellos must not carry the square of a deployment: slot holders are known from the core's log, so that a hello to a node with a disk names
 // those alone that have no slot yet, beside the nodes with a disk. A node without a slot is still made known.
 func TestHellosOmitSlotHolders(t *testing.T) {
-	c := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"disk"}, ClusterID: clusterIDOf}, 0)
+	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"disk"}, ClusterID: clusterIDOf}, 0)
 	var order []SlotHolder
 	for i := range 300 {
 		addr := fmt.Sprint("node-", i)
-		c.HandleHello(addr, Hello{Node: Node{Name: addr, Addr: addr}})
+		r.HandleHello(addr, Hello{Node: Node{Name: addr, Addr: addr}})
 		order = append(order, SlotHolder{Name: addr, Addr: addr})
 	}
 	for _, d := range []string{"disk", "disk-2"} {
-		c.HandleHello(d, Hello{Node: Node{Addr: d, Disk: Disk(len(d))}})
+		r.HandleHello(d, Hello{Node: Node{Addr: d, Disk: Disk(len(d))}})
 	}
-	must.Len(t, 301, c.HelloTo("disk").KnownAddrs)
-	c.SetSlots(order[:299])
-	must.Eq(t, []string{"disk-2", "node-299"}, c.HelloTo("disk").KnownAddrs)
-	must.Eq(t, []string{"disk", "disk-2"}, c.HelloTo("node-5").KnownAddrs)
+	must.Len(t, 301, r.HelloTo("disk").KnownAddrs)
+	r.SetSlots(order[:299])
+	must.Eq(t, []string{"disk-2", "node-299"}, r.HelloTo("disk").KnownAddrs)
+	must.Eq(t, []string{"disk", "disk-2"}, r.HelloTo("node-5").KnownAddrs)
 }
 
 // A node with a disk that starts knows hundreds of nodes by their slots. It leaves them to dial first, which they all do in that
 // moment, and answers; those that send nothing are dialed a little later, for they may not find their way. Guards against a member
 // with no descriptors left right after a loss of power: its 300 dials came beside theirs.
 func TestSlotHoldersDialFirst(t *testing.T) {
-	c := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me"}, ClusterID: clusterIDOf}, 0)
+	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me"}, ClusterID: clusterIDOf}, 0)
 	var order []SlotHolder
 	for i := range 300 {
 		addr := fmt.Sprint("node-", i)
 		order = append(order, SlotHolder{Name: addr, Addr: addr})
 	}
-	c.SetSlots(order)
-	c.Tick(300 * ms)
-	must.Eq(t, 0, count(drain(c), Connect, "node-7"))
-	c.FrameReceived("node-7")
-	c.HandleHello("node-8", Hello{Node: Node{Addr: "node-8"}})
-	all := drain(c)
+	r.SetSlots(order)
+	r.Tick(300 * ms)
+	must.Eq(t, 0, count(drain(r), Connect, "node-7"))
+	r.FrameReceived("node-7")
+	r.HandleHello("node-8", Hello{Node: Node{Addr: "node-8"}})
+	all := drain(r)
 	must.Eq(t, 1, count(all, Connect, "node-7"))
 	must.Eq(t, 1, count(all, Connect, "node-8"))
 	must.Eq(t, 0, count(all, Connect, "node-9"))
 	for at := 400 * ms; at <= passiveDialDelay+refreshInterval; at += refreshInterval {
-		c.Tick(at)
-		all = append(all, drain(c)...)
+		r.Tick(at)
+		all = append(all, drain(r)...)
 	}
 	must.Eq(t, 1, count(all, Connect, "node-9"))
 	must.Eq(t, 1, count(all, Connect, "node-7"))
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -22,17 +22,21 @@
 	seq uint64
 }
 
-func newFollowerCrowd(backends, followers int) *followerCrowd {
+// oneZone has all backends and followers in one zone.
+func oneZone(int) string { return "" }
+
+// newFollowerCrowd is a node with some backends and followers, each in the zone of its number.
+func newFollowerCrowd(backends, followers int, zone func(i int) string) *followerCrowd {
 	c := &followerCrowd{registry: New(0, Config{HeartbeatInterval: time.Minute, MinCopies: 1, Incarnation: 1}, 0), records: map[Slot]int{}, fullSyncs: map[Slot]bool{}}
-	c.registry.SetNodes([]Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}})
+	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
+	c.registry.SetNodes(nodes)
 	for i := range backends {
-		c.registry.Heartbeat(Record{ID: fmt.Sprint("i-", i), Service: "s", Addr: fmt.Sprint("b:", i), Capacity: 1, Phase: Ready, Seq: 1})
+		c.registry.Heartbeat(Record{ID: fmt.Sprint("i-", i), Service: "s", Addr: fmt.Sprint("b:", i), Zone: zone(i), Capacity: 1, Phase: Ready, Seq: 1})
 	}
 	for _, ok := c.registry.Next(); ok; _, ok = c.registry.Next() {
 	}
-	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
 	for s := range followers {
-		nodes = append(nodes, Node{Slot: Slot(s + 1), Live: true, Follows: true})
+		nodes = append(nodes, Node{Slot: Slot(s + 1), Zone: zone(s), Live: true, Follows: true})
 	}
 	c.registry.SetNodes(nodes)
 	return c
@@ -73,9 +77,9 @@
 // served for half a minute.
 func TestFullSyncsAreBounded(t *testing.T) {
 	const backends, followers = 1000, 100
-	c := newFollowerCrowd(backends, followers)
+	c := newFollowerCrowd(backends, followers, oneZone)
 	must.LessEq(t, maxFullSyncs*maxInFlight*maxUpdatesPerMessage, c.collect(time.Hour)) // nobody acknowledges
-	c = newFollowerCrowd(backends, followers)
+	c = newFollowerCrowd(backends, followers, oneZone)
 	c.runUntil(4*time.Second, 10*time.Millisecond)
 	for s := range followers {
 		must.True(t, c.fullSyncs[Slot(s+1)])
@@ -86,7 +90,7 @@
 // What is acknowledged late is not sent again and again: that made a busy node busier.
 func TestLateAcksCostLittle(t *testing.T) {
 	const backends, followers = 1000, 100
-	c := newFollowerCrowd(backends, followers)
+	c := newFollowerCrowd(backends, followers, oneZone)
 	sent := func() (n int) {
 		for _, x := range c.records {
 			n += x
@@ -102,7 +106,7 @@
 
 // A full sync ends with the node that it goes to: the next one's begins.
 func TestFullSyncsGoOn(t *testing.T) {
-	c := newFollowerCrowd(1000, 2*maxFullSyncs)
+	c := newFollowerCrowd(1000, 2*maxFullSyncs, oneZone)
 	c.collect(time.Hour)
 	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
 	for s := range 2 * maxFullSyncs {
@@ -119,7 +123,7 @@
 // An input costs a look at the peers that it concerns: at none, where nothing is to be sent. Guards against a look at all of them, by which a
 // heartbeat cost with three hundred nodes three times what it did with a hundred.
 func TestIdlePeersCostNothing(t *testing.T) {
-	c := newFollowerCrowd(100, 50)
+	c := newFollowerCrowd(100, 50, oneZone)
 	c.collect(time.Hour)
 	must.SliceNotEmpty(t, c.registry.activePeers)
 	for range 20 {
@@ -144,19 +148,8 @@
 // bound. Guards against hundreds of nodes that wait for the last of hundreds of backends on thin links after the loss of all.
 func TestFullSyncSendsOwnZoneFirst(t *testing.T) {
 	const zones, backends, followers = 6, 600, 4 * maxFullSyncs
-	c := &followerCrowd{registry: New(0, Config{HeartbeatInterval: time.Minute, MinCopies: 1, Incarnation: 1}, 0), records: map[Slot]int{}, fullSyncs: map[Slot]bool{}}
-	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
-	c.registry.SetNodes(nodes)
 	zone := func(i int) string { return fmt.Sprint("zone-", i%zones) }
-	for i := range backends {
-		c.registry.Heartbeat(Record{ID: fmt.Sprint("i-", i), Service: "s", Addr: fmt.Sprint("b:", i), Zone: zone(i), Capacity: 1, Phase: Ready, Seq: 1})
-	}
-	for _, ok := c.registry.Next(); ok; _, ok = c.registry.Next() {
-	}
-	for s := range followers {
-		nodes = append(nodes, Node{Slot: Slot(s + 1), Zone: zone(s), Live: true, Follows: true})
-	}
-	c.registry.SetNodes(nodes)
+	c := newFollowerCrowd(backends, followers, zone)
 	inZone, sent := map[Slot]map[string]bool{}, map[Slot]map[string]bool{}
 	for now := time.Duration(0); now < 8*time.Second; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
@@ -170,7 +163,7 @@
 			}
 			for _, w := range m.Message.Updates {
 				sent[m.Target][w.ID] = true
-				if w.Zone == nodes[m.Target].Zone {
+				if w.Zone == zone(int(m.Target)-1) {
 					inZone[m.Target][w.ID] = true
 				}
 			}
