--- a/internal/gateway/node/wire.go
+++ b/internal/gateway/node/wire.go
@@ -181,16 +181,24 @@
 type WireRolloutMessage struct {
 	Seat   membership.Slot
 	Hops   int
-	Report *rollout.Report
+	Report *rollout.WireReport
 	Lap    *rollout.Lap
 }
 
 // wire is the message as it is sent.
 func (r *rolloutMessage) wire() *WireRolloutMessage {
-	return &WireRolloutMessage{Seat: r.slot, Hops: r.hops, Report: r.report, Lap: r.lap}
+	w := &WireRolloutMessage{Seat: r.slot, Hops: r.hops, Lap: r.lap}
+	if r.report != nil {
+		w.Report = r.report.Wire()
+	}
+	return w
 }
 
 // message is what was received.
 func (w *WireRolloutMessage) message() *rolloutMessage {
-	return &rolloutMessage{slot: w.Seat, hops: w.Hops, report: w.Report, lap: w.Lap}
+	r := &rolloutMessage{slot: w.Seat, hops: w.Hops, lap: w.Lap}
+	if w.Report != nil {
+		r.report = new(w.Report.Report())
+	}
+	return r
 }
