--- a/cmd/gateway/kinds.go
+++ b/cmd/gateway/kinds.go
@@ -86,30 +86,30 @@
 	ambiguous bool // a change that may yet be in force
 }
 
-func (f *callError) Error() string {
+func (c *callError) Error() string {
 	var b strings.Builder
-	b.WriteString(failureTexts[f.kind].sentence)
-	if f.ambiguous {
+	b.WriteString(failureTexts[c.kind].sentence)
+	if c.ambiguous {
 		b.WriteString(" " + mayHaveBeenApplied)
 	}
-	fmt.Fprintf(&b, " (%s", failureTexts[f.kind].name)
-	if f.status != 0 {
-		fmt.Fprintf(&b, ", status %d", f.status)
+	fmt.Fprintf(&b, " (%s", failureTexts[c.kind].name)
+	if c.status != 0 {
+		fmt.Fprintf(&b, ", status %d", c.status)
 	}
-	fmt.Fprintf(&b, ", %s, tries %d", f.node, f.attempts)
-	if f.path != "" {
-		fmt.Fprintf(&b, ", at %s", printable(f.path))
+	fmt.Fprintf(&b, ", %s, tries %d", c.node, c.attempts)
+	if c.path != "" {
+		fmt.Fprintf(&b, ", at %s", printable(c.path))
 	}
-	if f.detail != "" {
-		fmt.Fprintf(&b, ": %s", printable(f.detail))
+	if c.detail != "" {
+		fmt.Fprintf(&b, ": %s", printable(c.detail))
 	}
 	return b.String() + ")"
 }
 
 // leavesAmbiguous tells whether a change may be in force after an answer of this kind, given whether that was so before.
 // What is refused for good was not taken at an earlier try either: the same bytes would be answered as taken.
-func (k failureKind) leavesAmbiguous(before bool) bool {
-	switch k {
+func (f failureKind) leavesAmbiguous(before bool) bool {
+	switch f {
 	case ambiguous, malformed, noResponse:
 		return true
 	case invalid, conflict, tooLarge:
--- a/cmd/gateway/rollout.go
+++ b/cmd/gateway/rollout.go
@@ -51,16 +51,16 @@
 // maxTextBytes is the most that nodes take of a text.
 const maxTextBytes = 512
 
-func (s *commandMeta) check() error {
-	for _, f := range []struct{ name, text string }{{"--by", s.Author}, {"--why", s.Reason}, {"--mark", s.CommandID}} {
+func (c *commandMeta) check() error {
+	for _, f := range []struct{ name, text string }{{"--by", c.Author}, {"--why", c.Reason}, {"--mark", c.CommandID}} {
 		if len(f.text) > maxTextBytes {
 			return usageErrorf("%s: longer than %d bytes", f.name, maxTextBytes)
 		}
 	}
-	if s.CommandID == "" {
-		s.CommandID = fmt.Sprintf("%016x", rand.Uint64())
+	if c.CommandID == "" {
+		c.CommandID = fmt.Sprintf("%016x", rand.Uint64())
 	}
-	_, err := s.nodes()
+	_, err := c.nodes()
 	return err
 }
 
@@ -83,17 +83,17 @@
 }
 
 // order sends one and tells how the roll-out stands then.
-func (s *commandMeta) order(out io.Writer, path string, body any) error {
+func (c *commandMeta) order(out io.Writer, path string, body any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	a, err := s.call(path, text)
+	a, err := c.call(path, text)
 	r, raw, err := readAs[controlapi.RolloutAnswer](a, err)
 	if err != nil {
 		return err
 	}
-	if s.JSON {
+	if c.JSON {
 		return printJSON(out, raw)
 	}
 	if r.Users == nil {
--- a/internal/gateway/ingress/words.go
+++ b/internal/gateway/ingress/words.go
@@ -64,11 +64,11 @@
 	return x
 }
 
-func (n *connectionOptions) names(name []byte) (found bool) {
-	if !n.any {
+func (c *connectionOptions) names(name []byte) (found bool) {
+	if !c.any {
 		return false
 	}
-	n.head.Each(n.message, func(data, value []byte) {
+	c.head.Each(c.message, func(data, value []byte) {
 		if len(data) == 10 && http1.Same(data, "connection") {
 			found = found || http1.Names(value, name)
 		}
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -32,8 +32,8 @@
 	Ambiguous               // 503: it may have been taken so long ago that this is forgotten
 )
 
-func (v Result) String() string {
-	return [...]string{"taken", "already", "conflict", "invalid", "unclear"}[v]
+func (r Result) String() string {
+	return [...]string{"taken", "already", "conflict", "invalid", "unclear"}[r]
 }
 
 func digestOf(k Kind, body []byte) logentry.Digest { return logentry.DigestOf([]byte{byte(k)}, body) }
