--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -57,7 +57,7 @@
 
 // decideRolloutFinal gives the verdicts on a roll-out's entry that no later entry changes.
 func (m *Machine) decideRolloutFinal(e *rollout.Entry) (routing.Result, error) {
-	if m.Rollouts.CallApplied(e.Mark) {
+	if m.Rollouts.CallApplied(e.CallID) {
 		return routing.Duplicate, nil
 	}
 	if err := e.Validate(); err != nil {
