--- a/internal/gateway/ingress/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -1,6 +1,7 @@
 package ingress
 
 import (
+	"bytes"
 	"time"
 
 	"clovergap/control"
@@ -8,56 +9,84 @@
 	"clovergap/internal/proxy/upstream"
 )
 
-// idleTimeoutFactor and idleTimeoutMargin are what of a backend's word on idle connections is used: what is written to one
-// that is just being closed may be lost, and nobody knows then whether it ran.
+// A connection to a backend is kept idle for a part of what its Keep-Alive header grants: a request that is written
+// to one just being closed may be lost, and nobody knows then whether it ran.
 const (
 	idleTimeoutFactor = 0.8
 	idleTimeoutMargin = 100 * time.Millisecond
 )
 
-// Dialect is what the gateway's backends mean by their answers.
+// maxKeepAliveSeconds bounds the timeout of a Keep-Alive header.
+const maxKeepAliveSeconds = 1 << 20
+
+// Dialect interprets the responses of the gateway's backends.
 type Dialect struct{ catalog Catalog }
 
-// NewDialect makes it. deployment is told of a backend that another has replaced, and nothing else.
-func NewDialect(lookups Catalog) *Dialect { return &Dialect{lookups} }
+// NewDialect makes it. Of the catalog only BackendReplaced is called.
+func NewDialect(catalog Catalog) *Dialect { return &Dialect{catalog} }
 
-// Wary is true: a backend may begin as soon as anything of a request has reached it.
+// Wary is true: a backend may begin as soon as any byte of a request has reached it.
 func (*Dialect) Wary() bool { return true }
 
-// Read tells what an answer means. Only X-Not-Run and 421 prove that the request never ran.
-func (d *Dialect) Read(x upstream.Carried, r *http1.Reader, b []byte) upstream.Verdict {
-	id, many := r.Get(b, "x-attempt-id")
-	if len(id) == 0 || many {
-		return upstream.Verdict{Ending: control.ConnectionLost} // no backend's answer
+// Read tells what a response proves. Only X-Not-Run and 421 prove that the request did not run.
+func (d *Dialect) Read(carried upstream.Carried, head *http1.Reader, message []byte) upstream.Verdict {
+	id, repeated := head.Get(message, "x-attempt-id")
+	if len(id) == 0 || repeated {
+		return upstream.Verdict{Ending: control.ConnectionLost} // no backend answers like this
 	}
-	if string(id) != x.ID {
+	if string(id) != carried.ID {
 		return upstream.Verdict{Other: true}
 	}
+	v := d.interpret(carried, head, message)
+	if value, _ := head.Get(message, "keep-alive"); value != nil {
+		if timeout, ok := keepAliveTimeout(value); ok {
+			v.Idle = time.Duration(idleTimeoutFactor*float64(timeout)) - idleTimeoutMargin
+			v.Closes = v.Closes || v.Idle <= 0
+		}
+	}
+	return v
+}
+
+// interpret tells what the status and the headers of the request's own response prove.
+func (d *Dialect) interpret(carried upstream.Carried, head *http1.Reader, message []byte) upstream.Verdict {
 	v := upstream.Verdict{Ending: control.Errored}
-	notRun, _ := r.Get(b, "x-not-run")
-	switch s := r.Status(); {
-	case s == 421:
+	notRun, _ := head.Get(message, "x-not-run")
+	switch status := head.Status(); {
+	case status == 421:
 		v.Ending, v.Closes = control.Rejected, true
-		d.catalog.BackendReplaced(x.At)
+		d.catalog.BackendReplaced(carried.At)
 	case notRun != nil:
 		v.Ending = control.Rejected
-	case s < 300:
-		seal, _ := r.Get(b, "x-backend-seal")
-		form, _ := r.Get(b, "content-encoding")
-		if len(seal) > 0 && (len(form) == 0 || http1.Same(form, "identity")) {
+	case status < 300:
+		if isSealed(head, message) {
 			v.Ending = control.Succeeded
 		}
-	case s == 408 || s == 429 || s == 503: // a promise that the backend does not keep: it may have run
-	case s < 500:
-		v.Ending = control.Succeeded // the service's own word, whatever it is
+	case status == 408 || status == 429 || status == 503: // without X-Not-Run: the request may have run
+	case status < 500:
+		v.Ending = control.Succeeded // the service's own response, whatever it says
 	default:
-		v.Final = x.Once
+		v.Final = carried.Once
 	}
-	if idle, _ := r.Get(b, "keep-alive"); idle != nil {
-		if most, ok := keepAliveTimeout(idle); ok {
-			v.Idle = time.Duration(idleTimeoutFactor*float64(most)) - idleTimeoutMargin
-			v.Closes = v.Closes || v.Idle <= 0
+	return v
+}
+
+// isSealed tells whether a backend vouches for a response whose body nobody has recoded.
+func isSealed(head *http1.Reader, message []byte) bool {
+	seal, _ := head.Get(message, "x-backend-seal")
+	encoding, _ := head.Get(message, "content-encoding")
+	return len(seal) > 0 && (len(encoding) == 0 || http1.Same(encoding, "identity"))
+}
+
+// keepAliveTimeout reads the seconds of a Keep-Alive header's timeout; false: it has none.
+func keepAliveTimeout(value []byte) (time.Duration, bool) {
+	for len(value) > 0 {
+		var parameter []byte
+		parameter, value, _ = bytes.Cut(value, []byte(","))
+		name, number, _ := bytes.Cut(bytes.TrimSpace(parameter), []byte("="))
+		if http1.Same(bytes.TrimSpace(name), "timeout") {
+			seconds, ok := http1.Number(bytes.TrimSpace(number), maxKeepAliveSeconds)
+			return time.Duration(seconds) * time.Second, ok
 		}
 	}
-	return v
+	return 0, false
 }
--- /dev/null
+++ b/internal/gateway/ingress/forward.go
@@ -0,0 +1,76 @@
+package ingress
+
+import (
+	"strconv"
+	"time"
+
+	"clovergap/control"
+	"clovergap/internal/proxy/http1"
+	"clovergap/internal/proxy/slots"
+)
+
+// AppendTo writes the request that goes to a backend: method, target, body and end-to-end headers as they came, with
+// the backend's ID, the tenant and the time that is left. It adds nothing once the client has left, the backend is
+// not known any more, or some of a streamed body was forwarded before.
+func (h *Handler) AppendTo(b []byte, who, txn slots.Ref, at control.BackendID, timeLeft time.Duration) []byte {
+	c := h.server.Waits(who, txn)
+	if c == nil || c.IsClosed() {
+		return b
+	}
+	backend := h.catalog.BackendName(at)
+	if backend == "" {
+		return b
+	}
+	head, message := c.Request()
+	state := stateOf(c)
+	if state.bodySent {
+		return b
+	}
+	b = append(append(b, head.Method(message)...), ' ')
+	b = append(append(b, head.Target(message)...), " HTTP/1.1\r\n"...)
+	host, _ := head.Get(message, "host")
+	b = http1.AppendHeader(b, "Host", host)
+	b = appendEndToEnd(b, head, message, isGatewayHeader)
+	b = append(append(append(b, "X-Expect-Backend: "...), backend...), '\r', '\n')
+	if state.Tenant != "" {
+		b = append(append(append(b, "X-Tenant: "...), state.Tenant...), '\r', '\n')
+	}
+	b = http1.AppendNumber(b, "X-Deadline-Ms", max(int(timeLeft/time.Millisecond), 1))
+	length, known, chunked := head.Framed()
+	var body []byte
+	if !c.Flows() { // the chunks of a body that came in chunks were joined
+		body = head.Body(message)
+		length, known, chunked = len(body), known || chunked || alwaysSendsLength(head.Method(message)), false
+	}
+	b = appendFraming(b, length, known, chunked)
+	return append(append(b, "\r\n"...), body...)
+}
+
+// alwaysSendsLength tells whether a method's requests say their length though they have no body (RFC 9110, 8.6).
+func alwaysSendsLength(method []byte) bool {
+	return string(method) == "POST" || string(method) == "PUT" || string(method) == "PATCH"
+}
+
+// appendHead writes the head of the response that goes to a client: status and end-to-end headers as they came from
+// the backend. toHEAD: it answers a HEAD; last: no request follows on the connection.
+func appendHead(b []byte, head *http1.Reader, message []byte, toHEAD, last bool) []byte {
+	b = append(b, "HTTP/1.1 "...)
+	b = strconv.AppendInt(b, int64(head.Status()), 10)
+	b = append(append(append(b, ' '), head.Reason(message)...), '\r', '\n')
+	b = appendEndToEnd(b, head, message, noHeader)
+	switch length, known, chunked := head.Framed(); {
+	case head.Status() == 204:
+	case toHEAD || head.Status() == 304: // the length is that of a body which does not come
+		if declared, _ := head.Get(message, "content-length"); len(declared) > 0 {
+			b = http1.AppendHeader(b, "Content-Length", declared)
+		}
+	case head.Done():
+		b = http1.AppendNumber(b, "Content-Length", len(head.Body(message)))
+	default:
+		b = appendFraming(b, length, known, chunked)
+	}
+	if last {
+		b = append(b, "Connection: close\r\n"...)
+	}
+	return append(b, "\r\n"...)
+}
--- a/internal/gateway/ingress/handler.go
+++ b/internal/gateway/ingress/handler.go
@@ -1,44 +1,39 @@
-// Package ingress is what the gateway's clients and backends say, each in HTTP/1.1: requests in, told apart
-// by host, path and key, answers out, and in between what a backend is handed and what its answer means.
 package ingress
 
 import (
-	"bytes"
 	"time"
 
 	"clovergap/control"
 	"clovergap/internal/proxy/answer"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
-	"clovergap/internal/proxy/gate"
 	"clovergap/internal/proxy/http1"
 	"clovergap/internal/proxy/slots"
-	"clovergap/internal/proxy/upstream"
 )
 
 // Admission is what the configuration says of a request.
 type Admission struct {
 	Product    control.ProductID
 	Customer   control.CustomerID
-	Tenant     string // told to the backend; "": none
+	Tenant     string // sent to the backend; "": none
 	Priority   int    // of its tenant, 0 is highest: it goes before the route's
 	Metered    bool   // it draws on the customer's quota
-	AtMostOnce bool   // it may run at most once
+	AtMostOnce bool   // it may run at most once: not idempotent
 	Deadline   time.Duration
 }
 
 // Rejection is why a request is not admitted.
 type Rejection int
 
-// Why a request goes to no service.
+// Why a request goes to no backend.
 const (
 	NotRejected          Rejection = iota
-	NoRoute                        // no route of that host begins that path
-	InvalidKey                     // the route needs a key, and this is none that is known
-	ConfigurationPending           // a configuration that is not here yet might allow it
+	NoRoute                        // 404: no route of that host begins that path
+	InvalidKey                     // 401: the route needs a key, and this one is not known
+	ConfigurationPending           // 503: a configuration that has not come here yet might allow it
 )
 
-// Catalog is what a node knows of configurations and backends. All of it is called in a turn, and must not
+// Catalog is what a node knows of configurations and backends. Its methods are called in a turn, and must not
 // block.
 type Catalog interface {
 	// Admit looks a request up. host is in lower case and without a port, path without the query; key is nil
@@ -46,7 +41,7 @@
 	Admit(host, path, key []byte) (Admission, Rejection)
 	// BackendName is the id that a backend goes by; "" if it is not known any more: then nothing is sent to it.
 	BackendName(at control.BackendID) string
-	// BackendReplaced: at a backend's address another one has answered.
+	// BackendReplaced is called when another backend answered at this one's address.
 	BackendReplaced(at control.BackendID)
 }
 
@@ -56,259 +51,139 @@
 	InputDelay() time.Duration
 }
 
-// Handler is the form of the gateway's requests, and the gate's front for them.
-type Handler struct {
-	server      *downstream.Server
-	clock       Clock
-	gate        Gate
-	catalog     Catalog
-	hostBuffer  []byte // the present request's, put into lower case
-	chunkBuffer []byte
-	userBuffer  []byte // scratch, see User
-}
-
-// requestState is what is known of the request that a connection has.
-type requestState struct {
-	Admission
-	expiry          time.Duration
-	bodySent        bool  // some of a body that is passed on as it comes has gone
-	bodyErr         error // with what came of that body
-	chunkedResponse bool  // its answer goes out in chunks
-}
-
-// Gate takes requests, and hears of clients that leave and of what has come or gone of a long body.
+// Gate takes requests, and is notified of clients that leave and of progress of a streamed body.
 type Gate interface {
 	downstream.Gate
 	More(txn slots.Ref)
 }
 
-func stateOf(c *downstream.Client) *requestState {
-	if c == nil {
-		return nil
-	}
-	return c.Note.(*requestState)
-}
-
-// Bounds of what has no other.
-const (
-	maxAttemptIDBytes   = 128
-	maxClientDeadline   = time.Hour
-	retryAfterUnready   = 300 * time.Millisecond // advice of a node that does not know yet, or holds as many as it may
-	responseReadTimeout = 10 * time.Second       // an answer
-	bodyTimeoutFactor   = 10                     // a body may take so many times as long as a head
-)
-
-// BodyBufferBytes is how many bytes of a body a node holds; what is longer is passed on as it comes, up to the
-// limits.
-const BodyBufferBytes = 256 << 10
-
-// Bounds of backends' answers, and the life of their idle connections where they don't tell.
-const (
-	maxResponseHeadBytes = 16 << 10
-	maxResponseBodyBytes = 64 << 20
-	defaultIdleTimeout   = 4 * time.Second
-)
-
-// UpstreamConfig gives what submissions go by.
-func UpstreamConfig(lookups Catalog, dial time.Duration) upstream.Terms {
-	return upstream.Terms{Dialect: NewDialect(lookups), Idle: defaultIdleTimeout, Dial: dial, Head: maxResponseHeadBytes, Body: maxResponseBodyBytes,
-		Buffer: BodyBufferBytes}
-}
+// Handler admits clients' requests and is the gate's front for them.
+type Handler struct {
+	server  *downstream.Server
+	clock   Clock
+	gate    Gate
+	catalog Catalog
 
-// New makes the form for an intake.
-func New(in *downstream.Server, clock Clock, g Gate, lookups Catalog) *Handler {
-	f := &Handler{server: in, clock: clock, gate: g, catalog: lookups}
-	in.Serves(f)
-	return f
+	// Scratch buffers, each valid until its next use: they spare an allocation a request.
+	hostBuffer  []byte // see canonicalHost
+	chunkBuffer []byte // see Pass
+	userBuffer  []byte // see User
 }
 
-// Limits are the configuration's word on what clients may send, and how long they may take. Nought: the
-// usual.
-type Limits struct {
-	MaxHeadBytes, MaxBodyBytes int // bytes
-	HeadTimeout, IdleTimeout   time.Duration
+// requestState is what is known of the request in flight on a client's connection.
+type requestState struct {
+	Admission
+	expiry          time.Duration // in the turn's time
+	bodySent        bool          // some of a streamed body was forwarded
+	bodyErr         error         // why a streamed body can't be read on
+	chunkedResponse bool          // the response goes out in chunks
 }
 
-// Bounds gives an intake's bounds that follow from such limits.
-func Bounds(l Limits) downstream.Bounds {
-	return downstream.Bounds{Head: l.MaxHeadBytes, Body: l.MaxBodyBytes, Buffer: BodyBufferBytes, HeadIn: l.HeadTimeout, WholeIn: bodyTimeoutFactor * l.HeadTimeout,
-		ReadIn: responseReadTimeout, Idle: l.IdleTimeout}
+// New makes the handler of a server's requests, and registers it there.
+func New(server *downstream.Server, clock Clock, gate Gate, catalog Catalog) *Handler {
+	h := &Handler{server: server, clock: clock, gate: gate, catalog: catalog}
+	server.Serves(h)
+	return h
 }
 
-// Take admits a request, or refuses it right here.
+// Take admits a request, or rejects it. It is called once the request is complete, or its head is where the body is
+// streamed.
 func (h *Handler) Take(c *downstream.Client) {
-	r, b := c.Request()
 	// Bytes behind a message that no message begins with show that its length was wrong.
 	if rest := c.Rest(); len(rest) > 0 && !http1.MayStart(rest) {
 		c.Doubtful(http1.ErrFraming)
 		return
 	}
-	target := r.Target(b)
-	id, ids := r.Get(b, "x-attempt-id")
-	host, hosts := r.Get(b, "host")
-	key, keyed, keys := h.apiKey(r, b)
-	wait, ok := h.clientDeadline(r, b)
-	switch {
-	case target[0] != '/':
-		c.Reject(400, counters.BadRequest, "a path is needed")
+	r, problem := parseRequest(c)
+	if problem.text != "" {
+		c.Reject(400, problem.counter, problem.text)
 		return
-	case hosts || len(host) == 0:
-		c.Reject(400, counters.BadRequest, "host: one is needed")
-		return
-	case ids || len(id) == 0 || len(id) > maxAttemptIDBytes:
-		c.Reject(400, counters.BadID, "x-attempt-id: one is needed")
-		return
-	case keys:
-		c.Reject(400, counters.BadRequest, "authorization: more than one")
+	}
+	admission, why := h.catalog.Admit(h.canonicalHost(r.host), r.path, r.key)
+	if why != NotRejected {
+		h.rejectFor(c, r.id, why)
 		return
-	case !ok:
-		c.Reject(400, counters.BadRequest, "x-deadline-ms: one number of milliseconds")
+	}
+	txn := h.begin(c, admission, r.deadline)
+	ref, ok := h.gate.Take(txn, h, c.Who())
+	if !ok {
+		h.reject(c, r.id, 503, counters.Declined, retryAfterUnready)
 		return
 	}
-	if !keyed {
-		key = nil
+	c.Hold(ref, string(r.id))
+}
+
+// begin sets the connection's state for an admitted request, and gives the transaction that the gate decides on.
+// deadline is the client's; 0: it gave none.
+func (h *Handler) begin(c *downstream.Client, a Admission, deadline time.Duration) control.Txn {
+	if deadline == 0 || a.Deadline > 0 && a.Deadline < deadline {
+		deadline = a.Deadline
+	}
+	state, _ := c.Note.(*requestState)
+	if state == nil {
+		state = &requestState{}
+		c.Note = state
 	}
-	path, _, _ := bytes.Cut(target, []byte("?"))
-	a, why := h.catalog.Admit(h.canonicalHost(host), path, key)
+	// The client counts from when it sent. After a standstill the request may have lain unread for all of it.
+	expiry := h.clock.Now() + max(deadline-h.clock.InputDelay(), 0)
+	*state = requestState{Admission: a, expiry: expiry}
+	txn := control.Txn{Customer: a.Customer, Product: a.Product, Plan: control.PlanID(a.Priority), Expiry: expiry, SetWidth: 1}
+	if a.Metered {
+		txn.Units = 1
+	}
+	return txn
+}
+
+// rejectFor answers a request that the catalog does not admit.
+func (h *Handler) rejectFor(c *downstream.Client, id []byte, why Rejection) {
 	switch why {
 	case NoRoute:
 		h.reject(c, id, 404, counters.NoSuchPath, 0)
-		return
 	case InvalidKey:
 		h.reject(c, id, 401, counters.NoSuchKey, 0)
-		return
 	case ConfigurationPending:
 		h.reject(c, id, 503, counters.UnknownYet, retryAfterUnready)
-		return
-	}
-	v, _ := c.Note.(*requestState)
-	if v == nil {
-		v = &requestState{}
-		c.Note = v
-	}
-	if *v = (requestState{Admission: a}); wait == 0 || a.Deadline > 0 && a.Deadline < wait {
-		wait = a.Deadline
-	}
-	// The client counts from when it sent. After a standstill the request may have lain unread for all of it.
-	v.expiry = h.clock.Now() + max(wait-h.clock.InputDelay(), 0)
-	x := control.Txn{Customer: a.Customer, Product: a.Product, Plan: control.PlanID(a.Priority), Expiry: v.expiry, SetWidth: 1}
-	if a.Metered {
-		x.Units = 1
-	}
-	ref, ok := h.gate.Take(x, h, c.Who())
-	if !ok {
-		h.reject(c, id, 503, counters.Declined, retryAfterUnready)
-		return
 	}
-	c.Hold(ref, string(id))
 }
 
-// apiKey reads a key: `Token KEY`. What else a client may say of itself is no key.
-func (h *Handler) apiKey(r *http1.Reader, b []byte) (key []byte, ok, many bool) {
-	v, many := r.Get(b, "authorization")
-	const form = "token "
-	if len(v) <= len(form) || !http1.Same(v[:len(form)], form) {
-		return nil, false, many
-	}
-	return bytes.TrimLeft(v[len(form):], " "), true, many
+// reject answers without a body. after is the Retry-After; 0: none.
+func (h *Handler) reject(c *downstream.Client, id []byte, status int, why counters.ID, after time.Duration) {
+	h.server.Count(why)
+	c.Answer(func(b []byte, last bool) []byte { return answer.Refuse(b, status, "X-Attempt-Id", id, after, last) })
 }
 
-// User names whoever a request is of, for a share of users, and its tenant: the client's mark together with its key, where
-// it has one, else the key; nil where there is neither. It is good until the next call.
+// User names the user that a request comes from, for a roll-out's share of users, and its tenant: the client's mark together
+// with its key, where it has one, else the key; nil where there is neither. It is valid until the next call.
 func (h *Handler) User(who, txn slots.Ref) (user []byte, tenant string) {
 	c := h.server.Waits(who, txn)
 	if c == nil || c.IsClosed() {
 		return nil, ""
 	}
-	r, b := c.Request()
-	key, _, _ := h.apiKey(r, b)
-	mark, many := r.Get(b, "x-client-mark")
-	if h.userBuffer = append(h.userBuffer[:0], key...); len(mark) > 0 && !many {
+	head, message := c.Request()
+	key, _ := apiKey(head, message)
+	mark, repeated := head.Get(message, "x-client-mark")
+	if h.userBuffer = append(h.userBuffer[:0], key...); len(mark) > 0 && !repeated {
 		h.userBuffer = append(append(h.userBuffer, 0), mark...)
 	}
 	return h.userBuffer, stateOf(c).Tenant
 }
 
-// clientDeadline reads how long the client waits; 0: it does not say.
-func (h *Handler) clientDeadline(r *http1.Reader, b []byte) (time.Duration, bool) {
-	v, many := r.Get(b, "x-deadline-ms")
-	if v == nil {
-		return 0, true
-	}
-	whole, _, _ := bytes.Cut(v, []byte("."))
-	n, ok := http1.Number(whole, int(maxClientDeadline/time.Millisecond))
-	return max(time.Duration(n)*time.Millisecond, 1), ok && !many
-}
-
-// canonicalHost gives a host in lower case, without its port.
-func (h *Handler) canonicalHost(host []byte) []byte {
-	if i := bytes.LastIndexByte(host, ':'); i >= 0 && bytes.IndexByte(host[i:], ']') < 0 {
-		host = host[:i]
-	}
-	for i, c := range host {
-		if c >= 'A' && c <= 'Z' {
-			h.hostBuffer = append(append(h.hostBuffer[:0], host[:i]...), bytes.ToLower(host[i:])...)
-			return h.hostBuffer
-		}
-	}
-	return host
-}
-
-// reject answers without a body what goes no further.
-func (h *Handler) reject(c *downstream.Client, id []byte, status int, why counters.ID, after time.Duration) {
-	h.server.Count(why)
-	c.Answer(func(b []byte, last bool) []byte { return answer.Refuse(b, status, "X-Attempt-Id", id, after, last) })
-}
-
-// Left is told when the client of a request has gone away.
+// Left is called when the client of a request has left.
 func (h *Handler) Left(txn slots.Ref) { h.gate.Left(txn) }
 
-// ID names a request by its client's id, while the client waits.
+// ID is a request's X-Attempt-Id, while its client waits.
 func (h *Handler) ID(who, txn slots.Ref) string { return h.server.ID(who, txn) }
 
-// Once tells whether a request may run at most once; one whose client has gone goes nowhere any more.
+// Once tells whether a request may run at most once. It is true once the client has left: nothing is sent then any more.
 func (h *Handler) Once(who, txn slots.Ref) bool {
 	c := h.server.Waits(who, txn)
 	return c == nil || stateOf(c).AtMostOnce
 }
 
-// Settle passes a backend's answer on.
-func (h *Handler) Settle(who, txn slots.Ref, o gate.Outcome) {
-	if c := h.server.Holds(who, txn); c != nil {
-		r, m := c.Request()
-		head := string(r.Method(m)) == "HEAD"
-		c.Answer(func(b []byte, last bool) []byte {
-			return append(appendHead(b, o.Answer, o.Bytes, head, last), o.Body...)
-		})
-	}
-}
-
-// Decline says that a request has not run and never will, and when it is best to come again.
-func (h *Handler) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
-	status := 503
-	if why == control.ReasonNoUnits {
-		status = 429
-	}
-	h.finish(who, txn, status, after)
-}
-
-// Void makes no such promise.
-func (h *Handler) Void(who, txn slots.Ref, why control.Reason) {
-	status := 502
-	if c := h.server.Waits(who, txn); why == control.ReasonNoTime || c != nil && stateOf(c).expiry <= h.clock.Now() {
-		status = 504
-	}
-	h.finish(who, txn, status, 0)
-}
-
-func (h *Handler) finish(who, txn slots.Ref, status int, after time.Duration) {
-	c := h.server.Holds(who, txn)
-	switch v := stateOf(c); {
-	case c == nil:
-	case v.bodyErr != nil:
-		c.Doubtful(v.bodyErr)
-	default:
-		id := []byte(h.server.ID(who, txn))
-		c.Answer(func(b []byte, last bool) []byte { return answer.Refuse(b, status, "X-Attempt-Id", id, after, last) })
+// stateOf is the state of a connection's request; nil without a connection.
+func stateOf(c *downstream.Client) *requestState {
+	if c == nil {
+		return nil
 	}
+	return c.Note.(*requestState)
 }
--- a/internal/gateway/ingress/headers.go
+++ b/internal/gateway/ingress/headers.go
@@ -1,16 +1,11 @@
 package ingress
 
 import (
-	"bytes"
-	"strconv"
-	"time"
-
-	"clovergap/control"
 	"clovergap/internal/proxy/http1"
-	"clovergap/internal/proxy/slots"
 )
 
-// isHopByHop tells whether a header concerns one connection only, or is written anew here.
+// isHopByHop tells whether a header concerns one connection only, or is written anew by appendFraming. The length
+// comes first: most headers need no comparison.
 func isHopByHop(name []byte) bool {
 	switch len(name) {
 	case 2:
@@ -35,145 +30,74 @@
 	return false
 }
 
-// isGatewayHeader tells whether a request's header is the gateway's own to set, whatever a client says.
+// isGatewayHeader tells whether a header of a request is the gateway's own to set, whatever a client says.
 func isGatewayHeader(name []byte) bool {
 	return http1.Same(name, "x-tenant") || http1.Same(name, "x-expect-backend") || http1.Same(name, "x-deadline-ms") ||
 		http1.Same(name, "host") || http1.Same(name, "authorization")
 }
 
-// isProtected tells whether a header goes on though Connection may name it: nobody may take it away from a message.
+// isProtected tells whether a header is forwarded even where Connection names it: without it the attempt can't be
+// told from another.
 func isProtected(name []byte) bool {
 	return http1.Same(name, "x-attempt-id") || http1.Same(name, "x-backend-seal")
 }
 
-// connectionOptions tells whether Connection names a header.
+// connectionOptions are the headers that a message's Connection header names, which are then hop-by-hop too.
 type connectionOptions struct {
 	head    *http1.Reader
 	message []byte
-	any     bool // it names any
+	any     bool // false spares a search for each header
 }
 
-func connectionOptionsOf(r *http1.Reader, b []byte) connectionOptions {
-	x := connectionOptions{head: r, message: b}
-	r.Each(b, func(name, value []byte) {
-		if len(name) == 10 && http1.Same(name, "connection") &&
-			!http1.Same(value, "keep-alive") && !http1.Same(value, "close") {
-			x.any = true
+func connectionOptionsOf(head *http1.Reader, message []byte) connectionOptions {
+	options := connectionOptions{head: head, message: message}
+	head.Each(message, func(name, value []byte) {
+		if isConnection(name) && !http1.Same(value, "keep-alive") && !http1.Same(value, "close") {
+			options.any = true
 		}
 	})
-	return x
+	return options
 }
 
-func (c *connectionOptions) names(name []byte) (found bool) {
+// names tells whether Connection names a header.
+func (c *connectionOptions) names(header []byte) (found bool) {
 	if !c.any {
 		return false
 	}
-	c.head.Each(c.message, func(data, value []byte) {
-		if len(data) == 10 && http1.Same(data, "connection") {
-			found = found || http1.Names(value, name)
+	c.head.Each(c.message, func(name, value []byte) {
+		if isConnection(name) {
+			found = found || http1.Names(value, header)
 		}
 	})
 	return found
 }
 
-// AppendTo writes what goes on to a backend: method, target, body and end-to-end headers as they came, with
-// the backend's id, the tenant and what is left of the time.
-func (h *Handler) AppendTo(b []byte, who, txn slots.Ref, at control.BackendID, wait time.Duration) []byte {
-	c := h.server.Waits(who, txn)
-	if c == nil || c.IsClosed() {
-		return b
-	}
-	to := h.catalog.BackendName(at)
-	if to == "" {
-		return b
-	}
-	r, m := c.Request()
-	v := stateOf(c)
-	if v.bodySent { // what has gone of its body can't go again
-		return b
-	}
-	b = append(append(b, r.Method(m)...), ' ')
-	b = append(append(b, r.Target(m)...), " HTTP/1.1\r\n"...)
-	host, _ := r.Get(m, "host")
-	b = http1.AppendHeader(b, "Host", host)
-	x := connectionOptionsOf(r, m)
-	r.Each(m, func(name, value []byte) {
-		if !isHopByHop(name) && !isGatewayHeader(name) && (isProtected(name) || !x.names(name)) {
+func isConnection(name []byte) bool {
+	return len(name) == len("connection") && http1.Same(name, "connection")
+}
+
+// appendEndToEnd adds the headers of a message that are neither hop-by-hop nor dropped, as they came.
+func appendEndToEnd(b []byte, head *http1.Reader, message []byte, drop func(name []byte) bool) []byte {
+	options := connectionOptionsOf(head, message)
+	head.Each(message, func(name, value []byte) {
+		if !isHopByHop(name) && !drop(name) && (isProtected(name) || !options.names(name)) {
 			b = append(append(b, name...), ": "...)
 			b = append(append(b, value...), '\r', '\n')
 		}
 	})
-	b = append(append(append(b, "X-Expect-Backend: "...), to...), '\r', '\n')
-	if v.Tenant != "" {
-		b = append(append(append(b, "X-Tenant: "...), v.Tenant...), '\r', '\n')
-	}
-	b = http1.AppendNumber(b, "X-Deadline-Ms", max(int(wait/time.Millisecond), 1))
-	length, given, chunked := r.Framed()
-	var body []byte
-	if !c.Flows() { // chunks are put together by now
-		body = r.Body(m)
-		length, given, chunked = len(body), given || chunked || alwaysSendsLength(r.Method(m)), false
-	}
-	b = appendFraming(b, length, given, chunked)
-	return append(append(b, "\r\n"...), body...)
+	return b
 }
 
-func appendFraming(b []byte, length int, given, chunked bool) []byte {
+// noHeader drops none.
+func noHeader([]byte) bool { return false }
+
+// appendFraming adds the header that says where a body ends. known: a length is written though the body may be empty.
+func appendFraming(b []byte, length int, known, chunked bool) []byte {
 	switch {
 	case chunked:
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
-	case given:
+	case known:
 		b = http1.AppendNumber(b, "Content-Length", length)
 	}
 	return b
 }
-
-// alwaysSendsLength tells whether a method's requests say how long they are though there is no body.
-func alwaysSendsLength(method []byte) bool {
-	return string(method) == "POST" || string(method) == "PUT" || string(method) == "PATCH"
-}
-
-// appendHead passes an answer's head on: status and end-to-end headers as they came. head: it answers a
-// HEAD.
-func appendHead(b []byte, r *http1.Reader, m []byte, head, last bool) []byte {
-	b = append(b, "HTTP/1.1 "...)
-	b = strconv.AppendInt(b, int64(r.Status()), 10)
-	b = append(append(append(b, ' '), r.Reason(m)...), '\r', '\n')
-	x := connectionOptionsOf(r, m)
-	r.Each(m, func(name, value []byte) {
-		if !isHopByHop(name) && (isProtected(name) || !x.names(name)) {
-			b = append(append(b, name...), ": "...)
-			b = append(append(b, value...), '\r', '\n')
-		}
-	})
-	told, _ := r.Get(m, "content-length")
-	switch length, given, chunked := r.Framed(); {
-	case r.Status() == 204:
-	case head || r.Status() == 304: // the length is that of a body which does not come
-		if len(told) > 0 {
-			b = http1.AppendHeader(b, "Content-Length", told)
-		}
-	case r.Done():
-		b = http1.AppendNumber(b, "Content-Length", len(r.Body(m)))
-	default:
-		b = appendFraming(b, length, given, chunked)
-	}
-	if last {
-		b = append(b, "Connection: close\r\n"...)
-	}
-	return append(b, "\r\n"...)
-}
-
-// keepAliveTimeout reads the whole seconds of a Keep-Alive header; false: it gives none.
-func keepAliveTimeout(v []byte) (time.Duration, bool) {
-	for len(v) > 0 {
-		var one []byte
-		one, v, _ = bytes.Cut(v, []byte(","))
-		name, figure, _ := bytes.Cut(bytes.TrimSpace(one), []byte("="))
-		if http1.Same(bytes.TrimSpace(name), "timeout") {
-			n, ok := http1.Number(bytes.TrimSpace(figure), 1<<20)
-			return time.Duration(n) * time.Second, ok
-		}
-	}
-	return 0, false
-}
--- /dev/null
+++ b/internal/gateway/ingress/outcome.go
@@ -0,0 +1,53 @@
+package ingress
+
+import (
+	"time"
+
+	"clovergap/control"
+	"clovergap/internal/proxy/answer"
+	"clovergap/internal/proxy/gate"
+	"clovergap/internal/proxy/slots"
+)
+
+// Settle sends a client the response of a backend, which is complete.
+func (h *Handler) Settle(who, txn slots.Ref, o gate.Outcome) {
+	if c := h.server.Holds(who, txn); c != nil {
+		head, message := c.Request()
+		toHEAD := string(head.Method(message)) == "HEAD"
+		c.Answer(func(b []byte, last bool) []byte {
+			return append(appendHead(b, o.Answer, o.Bytes, toHEAD, last), o.Body...)
+		})
+	}
+}
+
+// Decline answers that a request has not run and never will: 429 where the customer's quota is used up, else 503. after
+// is the Retry-After; 0: none.
+func (h *Handler) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
+	status := 503
+	if why == control.ReasonNoUnits {
+		status = 429
+	}
+	h.finish(who, txn, status, after)
+}
+
+// Void answers that a request failed and may have run: 504 where its time is over, else 502.
+func (h *Handler) Void(who, txn slots.Ref, why control.Reason) {
+	status := 502
+	if c := h.server.Waits(who, txn); why == control.ReasonNoTime || c != nil && stateOf(c).expiry <= h.clock.Now() {
+		status = 504
+	}
+	h.finish(who, txn, status, 0)
+}
+
+// finish answers without a body. Where the request's own body was wrong, that is the client's fault and goes first.
+func (h *Handler) finish(who, txn slots.Ref, status int, after time.Duration) {
+	c := h.server.Holds(who, txn)
+	switch state := stateOf(c); {
+	case c == nil:
+	case state.bodyErr != nil:
+		c.Doubtful(state.bodyErr)
+	default:
+		id := []byte(h.server.ID(who, txn))
+		c.Answer(func(b []byte, last bool) []byte { return answer.Refuse(b, status, "X-Attempt-Id", id, after, last) })
+	}
+}
--- a/internal/gateway/ingress/streaming.go
+++ b/internal/gateway/ingress/streaming.go
@@ -6,97 +6,99 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// Bodies beyond Buffer pass through as they come: a part at a time, and no more than the other side takes.
-// The rest waits in the sender's socket.
-
-// maxPartBytes is about what one part holds.
+// maxPartBytes is about how many bytes of a streamed body are read at a time.
 const maxPartBytes = 64 << 10
 
-// chunkSizePlaceholder is room for a chunk's length before it.
-const chunkSizePlaceholder = "00000000\r\n"
+// Chunked transfer coding (RFC 9112, 7.1).
+const (
+	chunkSizeDigits      = 8
+	chunkSizePlaceholder = "00000000\r\n" // stands before a chunk's data until its size is known
+	lastChunk            = "0\r\n\r\n"
+)
 
-// More is called when more of a request's body has come, or its client is ready for more of the answer.
+// More is called when more of a streamed request body has come, or its client is ready for more of the response.
 func (h *Handler) More(c *downstream.Client) {
 	if txn := c.Txn(); txn != 0 {
 		h.gate.More(txn)
 	}
 }
 
-// Flows tells whether a request's body is passed on as it comes.
+// Flows tells whether a request's body is streamed.
 func (h *Handler) Flows(who, txn slots.Ref) bool {
 	c := h.server.Waits(who, txn)
 	return c != nil && c.Flows()
 }
 
-// Spent tells whether some of it has gone.
+// Spent tells whether some of a streamed body was forwarded: the request can't be sent again.
 func (h *Handler) Spent(who, txn slots.Ref) bool {
 	c := h.server.Waits(who, txn)
 	return c != nil && c.Flows() && stateOf(c).bodySent
 }
 
-// Part adds what has come of such a body, as it goes on.
-func (h *Handler) Part(b []byte, who, txn slots.Ref) (out []byte, whole, ok bool) {
+// Part adds what has come of such a body to b, in the request's own framing. complete: its end is among it. Not ok: the
+// body can't be read on, or its client has left, and no more will come.
+func (h *Handler) Part(b []byte, who, txn slots.Ref) (out []byte, complete, ok bool) {
 	c := h.server.Waits(who, txn)
 	if c == nil || c.IsClosed() || !c.Flows() {
 		return b, false, false
 	}
-	v := stateOf(c)
-	r, _ := c.Request()
-	_, _, chunked := r.Framed()
-	from := len(b)
+	state := stateOf(c)
+	head, _ := c.Request()
+	_, _, chunked := head.Framed()
+	start := len(b)
 	if chunked {
 		b = append(b, chunkSizePlaceholder...)
 	}
-	begin, err := len(b), v.bodyErr
+	dataStart, err := len(b), state.bodyErr
 	for err == nil {
-		b, whole, err = c.Part(b)
-		if whole || len(b)-begin >= maxPartBytes || !c.Resume() {
+		b, complete, err = c.Part(b)
+		if complete || len(b)-dataStart >= maxPartBytes || !c.Resume() {
 			break
 		}
 	}
 	if err != nil {
-		v.bodyErr = err
-		return b[:from], false, false
+		state.bodyErr = err
+		return b[:start], false, false
 	}
-	n := len(b) - begin
-	v.bodySent = v.bodySent || n > 0 || whole
+	n := len(b) - dataStart
+	state.bodySent = state.bodySent || n > 0 || complete
 	if chunked {
-		b = closeChunk(b, from, n)
-		if whole {
-			b = append(b, "0\r\n\r\n"...)
+		b = closeChunk(b, start, n)
+		if complete {
+			b = append(b, lastChunk...)
 		}
 	}
-	return b, whole, !c.IsClosed()
+	return b, complete, !c.IsClosed()
 }
 
-// closeChunk fills the mark in that stands before the last n bytes; nothing makes no chunk, which would be the
-// last.
-func closeChunk(b []byte, from, n int) []byte {
+// closeChunk writes the size of a chunk over the placeholder at start, before its n bytes of data. A chunk without data
+// is taken out: it would be the last one.
+func closeChunk(b []byte, start, n int) []byte {
 	if n == 0 {
-		return b[:from]
+		return b[:start]
 	}
-	for i := from + 7; i >= from; i, n = i-1, n>>4 {
+	for i := start + chunkSizeDigits - 1; i >= start; i, n = i-1, n>>4 {
 		b[i] = "0123456789abcdef"[n&15]
 	}
 	return append(b, "\r\n"...)
 }
 
-// Begin passes the head of a long answer on.
+// Begin writes the head of a streamed response. false: the client has left, or speaks HTTP/1.0 and can't read chunks.
 func (h *Handler) Begin(who, txn slots.Ref, o gate.Outcome) bool {
 	c := h.server.Holds(who, txn)
 	if c == nil {
 		return false
 	}
-	v := stateOf(c)
-	r, _ := c.Request()
-	if _, _, v.chunkedResponse = o.Answer.Framed(); v.chunkedResponse && r.Old() {
+	state := stateOf(c)
+	head, _ := c.Request()
+	if _, _, state.chunkedResponse = o.Answer.Framed(); state.chunkedResponse && head.Old() {
 		return false
 	}
 	c.Begin(func(b []byte, last bool) []byte { return appendHead(b, o.Answer, o.Bytes, false, last) })
 	return !c.IsClosed()
 }
 
-// Room is how many bytes of such an answer its client is ready for.
+// Room is how many bytes of a streamed response its client is ready for; below 0: the client has left.
 func (h *Handler) Room(who, txn slots.Ref) int {
 	c := h.server.Waits(who, txn)
 	if c == nil || c.IsClosed() {
@@ -105,7 +107,7 @@
 	return max(c.Room(), 0)
 }
 
-// Pass passes a part of it on.
+// Pass writes a part of it.
 func (h *Handler) Pass(who, txn slots.Ref, part []byte) {
 	c := h.server.Waits(who, txn)
 	if c == nil {
@@ -118,15 +120,15 @@
 	c.Pass(part)
 }
 
-// End ends it, or breaks off what is not whole.
-func (h *Handler) End(who, txn slots.Ref, whole bool) {
+// End ends it. One that is not complete is broken off, so that it does not look complete.
+func (h *Handler) End(who, txn slots.Ref, complete bool) {
 	c := h.server.Waits(who, txn)
 	if c == nil {
 		return
 	}
 	var last []byte
 	if stateOf(c).chunkedResponse {
-		last = []byte("0\r\n\r\n")
+		last = []byte(lastChunk)
 	}
-	c.End(whole, last)
+	c.End(complete, last)
 }
