--- a/internal/gateway/controlapi/coordination.go
+++ b/internal/gateway/controlapi/coordination.go
@@ -12,7 +12,6 @@
 	"clovergap/internal/gateway/coordination"
 	"clovergap/internal/gateway/groups"
 	"clovergap/internal/gateway/routing"
-	"clovergap/internal/proxy/answer"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
 )
@@ -28,13 +27,7 @@
 	TransferGroup(id groups.ID, address string) bool
 }
 
-// Paths of the calls on groups; a move's is followed by the group's number.
-const (
-	pathGroups    = "/api/Groups.List"
-	pathMoveGroup = "/api/Groups.Move/"
-)
-
-// coordinationCall is a path that is followed by a name.
+// coordinationCall is a path that is followed by a name, and the operation that it stands for.
 type coordinationCall struct {
 	prefix    string
 	method    string
@@ -55,111 +48,79 @@
 }
 
 // handleCoordination takes an application's call; false: the path is another's.
-func (h *Handler) handleCoordination(c *downstream.Client, method, target string, body []byte) bool {
-	path, query, _ := strings.Cut(target, "?")
-	if h.handleGroups(c, method, path, body) {
-		return true
-	}
-	for _, p := range coordinationCalls {
-		text, ok := strings.CutPrefix(path, p.prefix)
+func (h *Handler) handleCoordination(c *downstream.Client, request call) bool {
+	for _, known := range coordinationCalls {
+		name, ok := strings.CutPrefix(request.path, known.prefix)
 		if !ok {
 			continue
 		}
-		if method != p.method {
-			c.Reject(405, counters.NoSuchMethod, p.method+" only")
+		if request.method != known.method {
+			c.Reject(405, counters.NoSuchMethod, known.method+" only")
 			return true
 		}
-		call, err := parseCall(p.operation, text, query, body)
-		t := h.deferAnswer(c)
+		operation, err := parseCall(known.operation, name, request.query, request.body)
+		ticket := deferAnswer(c)
 		if err != nil {
-			h.respond(t, 400, []byte(err.Error()))
+			h.respondInvalid(ticket, err)
 			return true
 		}
-		h.node.Coordinate(call, func(a coordination.Result) { h.respondCoordination(t, call.Operation, &a) })
+		h.node.Coordinate(operation, func(r coordination.Result) { h.respondCoordination(ticket, known.operation, &r) })
 		return true
 	}
 	return false
 }
 
-// parseCall reads a call from its path, its query and its body.
-func parseCall(o coordination.Operation, text, query string, body []byte) (call coordination.Call, err error) {
-	call.Operation = o
-	if call.Name, err = url.PathUnescape(text); err != nil || call.Name == "" || len(call.Name) > coordination.MaxNameBytes {
-		return call, errors.New("no name in the path, or too long a one")
+// parseCall reads an application's call from its path, its query and its body. name is as in the path.
+func parseCall(operation coordination.Operation, name, query string, body []byte) (coordination.Call, error) {
+	c := coordination.Call{Operation: operation}
+	var err error
+	if c.Name, err = url.PathUnescape(name); err != nil || c.Name == "" || len(c.Name) > coordination.MaxNameBytes {
+		return c, errors.New("no name in the path, or too long a one")
 	}
-	switch o {
-	case coordination.LockAcquire:
-		var b LockBegin
-		err = parseBody(body, &b)
-		call.Holder = b.Holder
-		call.TTL, err = parseTTL(b.Hold, err)
-	case coordination.LockRenew:
-		var b LockHeartbeat
-		err = parseBody(body, &b)
-		call.Holder, call.FencingToken = b.Holder, b.Fence
-		call.TTL, err = parseTTL(b.Hold, err)
-	case coordination.LockRelease:
-		var b LockFinish
-		err = parseBody(body, &b)
-		call.Holder, call.FencingToken = b.Holder, b.Fence
+	switch operation {
+	case coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease:
+		err = parseLockBody(&c, body)
 	case coordination.KeyPut:
-		var b KeyReplace
-		err = parseBody(body, &b)
-		call.Value = b.Value
-		if b.Topic != nil {
-			call.Conditional, call.ExpectedRevision = true, *b.Topic
+		var put KeyReplace
+		err = parseBody(body, &put)
+		c.Value = put.Value
+		if put.Topic != nil {
+			c.Conditional, c.ExpectedRevision = true, *put.Topic
 		}
 	case coordination.KeyWatch:
-		call.AfterRevision, call.Timeout, err = parseWatch(query)
+		c.AfterRevision, c.Timeout, err = parseWatch(query)
 	case coordination.LockList:
-		call.Group, err = parseGroup(call.Name)
+		c.Group, err = parseGroup(c.Name)
 	}
-	return call, err
+	return c, err
 }
 
-// handleGroups takes a call on groups; false: the path is another's.
-func (h *Handler) handleGroups(c *downstream.Client, method, path string, body []byte) bool {
-	text, move := strings.CutPrefix(path, pathMoveGroup)
-	switch {
-	case !move && path != pathGroups:
-		return false
-	case move != (method == "POST") || !move && method != "GET":
-		c.Reject(405, counters.NoSuchMethod, "GET to list, POST to move")
-		return true
-	}
-	t := h.deferAnswer(c)
-	if !move {
-		list, err := json.Marshal(h.node.GroupList())
-		if err != nil {
-			list = []byte(err.Error())
-		}
-		h.respond(t, 200, list)
-		return true
-	}
-	var to GroupMove
-	id, err := parseGroup(text)
-	if err == nil {
-		err = parseBody(body, &to)
-	}
-	switch {
-	case err != nil:
-		h.respond(t, 400, []byte(err.Error()))
-	case !h.node.TransferGroup(id, to.To):
-		h.respond(t, 409, []byte("this node does not lead the group, or the other one could not lead it at once"))
-	default:
-		h.respond(t, 200, []byte("{}"))
+// parseLockBody reads the body of a call that acquires, renews or releases a lock.
+func parseLockBody(c *coordination.Call, body []byte) error {
+	var err error
+	ttl := ""
+	switch c.Operation {
+	case coordination.LockAcquire:
+		var acquire LockBegin
+		err = parseBody(body, &acquire)
+		c.Holder, ttl = acquire.Holder, acquire.Hold
+	case coordination.LockRenew:
+		var renew LockHeartbeat
+		err = parseBody(body, &renew)
+		c.Holder, c.FencingToken, ttl = renew.Holder, renew.Fence, renew.Hold
+	case coordination.LockRelease:
+		var release LockFinish
+		err = parseBody(body, &release)
+		c.Holder, c.FencingToken = release.Holder, release.Fence
 	}
-	return true
-}
-
-func parseGroup(text string) (groups.ID, error) {
-	id, err := strconv.ParseUint(text, 10, 8)
-	if err != nil || id >= groups.Count {
-		return 0, errors.Errorf("groups are numbered from 0 to %d", groups.Count-1)
+	if err != nil || c.Operation == coordination.LockRelease {
+		return err
 	}
-	return groups.ID(id), nil
+	c.TTL, err = parseTTL(ttl)
+	return err
 }
 
+// parseBody reads a body into a generated type and checks its tags.
 func parseBody(body []byte, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
 		return errors.Wrap(err, "body")
@@ -170,23 +131,20 @@
 	return nil
 }
 
-// parseTTL reads how long a lock is held.
-func parseTTL(text string, err error) (time.Duration, error) {
-	if err != nil {
-		return 0, err
-	}
-	hold, err := routing.ParseDuration(text)
+// parseTTL reads how long a lock is held; more than 0, at most coordination.MaxTTL.
+func parseTTL(text string) (time.Duration, error) {
+	ttl, err := routing.ParseDuration(text)
 	if err != nil {
 		return 0, errors.Wrap(err, "hold")
 	}
-	if hold <= 0 || hold > coordination.MaxTTL {
+	if ttl <= 0 || ttl > coordination.MaxTTL {
 		return 0, errors.Errorf("hold: more than 0 s, at most %v", coordination.MaxTTL)
 	}
-	return hold, nil
+	return ttl, nil
 }
 
-// parseWatch reads where a watch begins, and how long it waits.
-func parseWatch(query string) (after uint64, wait time.Duration, err error) {
+// parseWatch reads the revision that a watch begins after, and how long it waits, at most coordination.MaxWatchTimeout.
+func parseWatch(query string) (after uint64, timeout time.Duration, err error) {
 	values, err := url.ParseQuery(query)
 	if err != nil {
 		return 0, 0, errors.Wrap(err, "query")
@@ -201,9 +159,9 @@
 		if err != nil {
 			return 0, 0, errors.Wrap(err, "wait_ms")
 		}
-		wait = time.Duration(ms) * time.Millisecond
+		timeout = time.Duration(ms) * time.Millisecond
 	}
-	return after, min(wait, coordination.MaxWatchTimeout), nil
+	return after, min(timeout, coordination.MaxWatchTimeout), nil
 }
 
 // statusCodes are those that callers get. 412, 429 and 503 promise that nothing was done and never will be.
@@ -219,23 +177,21 @@
 	coordination.StatusAmbiguous:    504,
 }
 
-// respondCoordination answers a call that was held.
-func (h *Handler) respondCoordination(t downstream.Ticket, o coordination.Operation, a *coordination.Result) {
-	code := statusCodes[a.Status]
-	after := time.Duration(0)
-	if a.Status == coordination.StatusUnavailable || a.Status == coordination.StatusLimitReached {
-		after = retryAfterUnavailable
+// respondCoordination answers an application's call, which was deferred.
+func (h *Handler) respondCoordination(ticket downstream.Ticket, operation coordination.Operation, result *coordination.Result) {
+	retryAfter := time.Duration(0)
+	if result.Status == coordination.StatusUnavailable || result.Status == coordination.StatusLimitReached {
+		retryAfter = retryAfterUnavailable
 	}
-	text, err := json.Marshal(resultBody(o, a))
+	status := statusCodes[result.Status]
+	text, err := json.Marshal(resultBody(operation, result))
 	if err != nil {
-		code, text = 500, nil
+		status, text = 500, nil
 	}
-	h.server.Answer(t, func(b []byte, last bool) []byte {
-		return answer.Whole(b, code, "application/json", text, after, last)
-	})
+	h.respondJSON(ticket, status, text, retryAfter)
 }
 
-// resultBody words an answer.
+// resultBody gives the generated type of an answer.
 func resultBody(o coordination.Operation, a *coordination.Result) any {
 	switch {
 	case a.Status == coordination.StatusConflict:
--- a/internal/gateway/controlapi/handler.go
+++ b/internal/gateway/controlapi/handler.go
@@ -3,14 +3,13 @@
 import (
 	"bytes"
 	"encoding/json"
+	"net/http"
 	"strings"
 	"time"
 
-	"github.com/go-faster/errors"
 	"github.com/go-playground/validator/v10"
 
 	"clovergap/internal/gateway/registry"
-	"clovergap/internal/gateway/routing"
 	"clovergap/internal/gateway/statemachine"
 	"clovergap/internal/proxy/answer"
 	"clovergap/internal/proxy/counters"
@@ -20,20 +19,25 @@
 
 // Node is what stands behind the calls. Every then is called once, in a turn, sooner or later.
 type Node interface {
+	// Ready tells whether clients may be sent to this node.
 	Ready() bool
-	// Change brings a change to whoever leads: 200 taken, 400 invalid, 412 another version is current, 413 too large, 503 not
-	// now, Unclear.
+	// Change brings a change to the leader: 200 accepted, 400 invalid, 412 another version is current, 413 too large, 503 not
+	// now, StatusAmbiguous.
 	Change(kind statemachine.Kind, body []byte, then func(status int, body []byte))
-	// ReadConfiguration reads the newest configuration: 200 with it, 503 if it can't be told for sure now.
+	// ReadConfiguration reads the newest configuration: 200 with it, 503 if it can't be confirmed as the newest now.
 	ReadConfiguration(then func(status int, body []byte))
-	Heartbeat(w registry.Record, then func(ok bool, target string))
-	Deregister(id string, then func(ok bool, target string))
+	// Heartbeat takes a backend's heartbeat. acknowledged: enough nodes have a copy; target is where the next one is to go,
+	// "": wherever this one went.
+	Heartbeat(w registry.Record, then func(acknowledged bool, target string))
+	// Deregister takes a backend out of service. acknowledged and target are as with Heartbeat.
+	Deregister(id string, then func(acknowledged bool, target string))
+	// Status is this node's own view.
 	Status() NodeStatus
 	Rollouts
 	Coordination
 }
 
-// Paths of the calls; the last two are followed by a backend's id.
+// Paths of the calls; the last two are followed by a backend's ID.
 const (
 	pathReady      = "/api/ready"
 	pathReplace    = "/api/Config.Replace"
@@ -44,90 +48,87 @@
 	pathDeregister = "/api/Backends.Leave/"
 )
 
-// StatusAmbiguous is the status, among nodes and their parts, of a change that may have been taken or may still be. A caller gets 503.
-const StatusAmbiguous = 504
+// StatusAmbiguous is the status, among nodes and their parts, of a change that may have been applied or may still be. A
+// caller gets 503.
+const StatusAmbiguous = http.StatusGatewayTimeout
 
-// longest id of a backend, in bytes.
-const maxBackendIDBytes = 128
-
-// retryAfterUnavailable is when a caller may come back that found nobody to settle its call.
+// retryAfterUnavailable is the Retry-After of a call that no leader could commit.
 const retryAfterUnavailable = 200 * time.Millisecond
 
+// contentType of every answer that has a body.
+const contentType = "application/json"
+
+// validate checks the tags of the generated types.
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Handler answers the calls of backends and operators, and the platform's question whether this node is ready.
+// Handler answers the calls on the connections of one server.
 type Handler struct {
 	server *downstream.Server
 	node   Node
 }
 
-// New makes one; in is the connections that it answers on.
-func New(in *downstream.Server, h Node) *Handler { return &Handler{in, h} }
+// New makes the handler of a server's calls.
+func New(server *downstream.Server, node Node) *Handler { return &Handler{server, node} }
 
-// Left is never told: calls go on when their caller has left.
+// Left does nothing: a call goes on when its caller has left.
 func (h *Handler) Left(slots.Ref) {}
 
-// Take takes a whole call.
+// call is a caller's request.
+type call struct {
+	method string
+	path   string // without the query
+	query  string
+	body   []byte // the connection's: valid until Take returns
+}
+
+// Take takes a complete call.
 func (h *Handler) Take(c *downstream.Client) {
-	r, b := c.Request()
-	target, method := string(r.Target(b)), string(r.Method(b))
-	if h.handleCoordination(c, method, target, r.Body(b)) {
+	head, message := c.Request()
+	path, query, _ := strings.Cut(string(head.Target(message)), "?")
+	request := call{method: string(head.Method(message)), path: path, query: query, body: head.Body(message)}
+	if h.handleGroups(c, request) || h.handleCoordination(c, request) {
 		return
 	}
-	path, _, _ := strings.Cut(target, "?")
-	if call, ok := strings.CutPrefix(path, pathRollout); ok {
-		h.handleRollout(c, method, call, r.Body(b))
+	if name, ok := strings.CutPrefix(path, pathRollout); ok {
+		h.handleRollout(c, request, name)
 		return
 	}
-	want := "POST"
-	if path == pathReady || path == pathRead || path == pathStatus {
-		want = "GET"
-	}
-	id, beat := strings.CutPrefix(path, pathHeartbeat)
-	gone, leave := strings.CutPrefix(path, pathDeregister)
+	method, handle := route(path)
 	switch {
-	case path != pathReady && path != pathReplace && path != pathAmend && path != pathRead && path != pathStatus && !beat && !leave:
+	case handle == nil:
 		c.Reject(404, counters.NoSuchPath, "no such call")
-	case method != want:
-		c.Reject(405, counters.NoSuchMethod, want+" only")
-	case path == pathReady:
-		h.respondReady(c)
-	case path == pathStatus:
-		text, err := json.Marshal(h.node.Status())
-		if err != nil {
-			text = []byte(err.Error())
-		}
-		c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, 200, "application/json", text, 0, last) })
-	case path == pathRead:
-		t := h.deferAnswer(c)
-		h.node.ReadConfiguration(func(status int, body []byte) { h.respond(t, status, body) })
-	case beat:
-		h.heartbeat(c, id, r.Body(b))
-	case leave:
-		if gone == "" || len(gone) > maxBackendIDBytes {
-			c.Reject(400, counters.BadID, "no id in the path")
-			return
-		}
-		t := h.deferAnswer(c)
-		h.node.Deregister(gone, func(ok bool, target string) { h.respondAcknowledged(t, ok, target) })
+	case request.method != method:
+		c.Reject(405, counters.NoSuchMethod, method+" only")
 	default:
-		kind := statemachine.KindReplaceConfig
-		if path == pathAmend {
-			kind = statemachine.KindAmendConfig
-		}
-		body := bytes.Clone(r.Body(b))
-		t := h.deferAnswer(c)
-		h.node.Change(kind, body, func(status int, text []byte) { h.respond(t, status, text) })
+		handle(h, c, request)
 	}
 }
 
-func (h *Handler) deferAnswer(c *downstream.Client) downstream.Ticket {
-	t := c.Ticket()
-	c.Hold(0, "")
-	return t
+// handlerFunc answers a call whose path and method are right.
+type handlerFunc func(h *Handler, c *downstream.Client, request call)
+
+// route finds the call of a path, and its method; nil: there is none.
+func route(path string) (method string, handle handlerFunc) {
+	switch path {
+	case pathReady:
+		return http.MethodGet, (*Handler).answerReady
+	case pathStatus:
+		return http.MethodGet, (*Handler).answerStatus
+	case pathRead:
+		return http.MethodGet, (*Handler).readConfiguration
+	case pathReplace, pathAmend:
+		return http.MethodPost, (*Handler).change
+	}
+	switch {
+	case strings.HasPrefix(path, pathHeartbeat):
+		return http.MethodPost, (*Handler).heartbeat
+	case strings.HasPrefix(path, pathDeregister):
+		return http.MethodPost, (*Handler).deregister
+	}
+	return "", nil
 }
 
-func (h *Handler) respondReady(c *downstream.Client) {
+func (h *Handler) answerReady(c *downstream.Client, _ call) {
 	status := 503
 	if h.node.Ready() {
 		status = 200
@@ -135,24 +136,74 @@
 	c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, status, "", nil, 0, last) })
 }
 
-// respond answers a call that was held. What is no configuration is worded as a refusal.
-func (h *Handler) respond(t downstream.Ticket, status int, body []byte) {
+func (h *Handler) answerStatus(c *downstream.Client, _ call) { answerJSON(c, h.node.Status()) }
+
+func (h *Handler) readConfiguration(c *downstream.Client, _ call) {
+	ticket := deferAnswer(c)
+	h.node.ReadConfiguration(func(status int, body []byte) { h.respond(ticket, status, body) })
+}
+
+func (h *Handler) change(c *downstream.Client, request call) {
+	kind := statemachine.KindReplaceConfig
+	if request.path == pathAmend {
+		kind = statemachine.KindAmendConfig
+	}
+	body := bytes.Clone(request.body) // it is proposed in a later turn
+	ticket := deferAnswer(c)
+	h.node.Change(kind, body, func(status int, text []byte) { h.respond(ticket, status, text) })
+}
+
+// deferAnswer has a call wait for its answer, which the ticket then names. A caller that has left by then makes the
+// ticket void.
+func deferAnswer(c *downstream.Client) downstream.Ticket {
+	ticket := c.Ticket()
+	c.Hold(0, "")
+	return ticket
+}
+
+// respond answers a deferred call. With another status than 200, body is the reason in words.
+func (h *Handler) respond(ticket downstream.Ticket, status int, body []byte) {
 	if status != 200 {
-		body, _ = json.Marshal(Refusal{Error: errorKind(status), Detail: string(body)})
+		body, _ = json.Marshal(Refusal{Error: errorKind(status), Detail: string(body)}) // strings always have a form
 	}
-	after := time.Duration(0)
 	if status == StatusAmbiguous {
 		status = 503
 	}
+	retryAfter := time.Duration(0)
 	if status == 503 {
-		after = retryAfterUnavailable
+		retryAfter = retryAfterUnavailable
 	}
-	h.server.Answer(t, func(b []byte, last bool) []byte {
-		return answer.Whole(b, status, "application/json", body, after, last)
+	h.respondJSON(ticket, status, body, retryAfter)
+}
+
+// respondJSON answers a deferred call with a body as it is. retryAfter 0: no such header.
+func (h *Handler) respondJSON(ticket downstream.Ticket, status int, body []byte, retryAfter time.Duration) {
+	h.server.Answer(ticket, func(b []byte, last bool) []byte {
+		return answer.Whole(b, status, contentType, body, retryAfter, last)
 	})
 }
 
-// errorKind is the closed list of what may be wrong with a call.
+// respondInvalid answers a deferred call that is wrong in itself.
+func (h *Handler) respondInvalid(ticket downstream.Ticket, err error) {
+	h.respond(ticket, 400, []byte(err.Error()))
+}
+
+// answerJSON answers a call at once.
+func answerJSON(c *downstream.Client, value any) {
+	text := marshal(value)
+	c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, 200, contentType, text, 0, last) })
+}
+
+// marshal gives a value of a generated type as JSON. These always have a form; were one without, its error would be seen.
+func marshal(value any) []byte {
+	text, err := json.Marshal(value)
+	if err != nil {
+		return []byte(err.Error())
+	}
+	return text
+}
+
+// errorKind is the closed list of what may be wrong with a call, as Refusal.Error has it.
 func errorKind(status int) string {
 	switch status {
 	case 400:
@@ -168,50 +219,3 @@
 	}
 	return "failed"
 }
-
-// heartbeat takes what a backend says of itself.
-func (h *Handler) heartbeat(c *downstream.Client, id string, body []byte) {
-	w, err := parseHeartbeat(id, body)
-	if err != nil {
-		c.Reject(400, counters.BadRequest, err.Error())
-		return
-	}
-	t := h.deferAnswer(c)
-	h.node.Heartbeat(w, func(ok bool, target string) { h.respondAcknowledged(t, ok, target) })
-}
-
-func parseHeartbeat(id string, body []byte) (registry.Record, error) {
-	var b Heartbeat
-	if id == "" || len(id) > maxBackendIDBytes {
-		return registry.Record{}, errors.New("no id in the path")
-	}
-	if err := json.Unmarshal(body, &b); err != nil {
-		return registry.Record{}, errors.Wrap(err, "beat")
-	}
-	if err := validate.Struct(b); err != nil {
-		return registry.Record{}, errors.Wrap(err, "beat")
-	}
-	cold := time.Duration(0)
-	if b.ColdLeft != "" {
-		var err error
-		if cold, err = routing.ParseDuration(b.ColdLeft); err != nil {
-			return registry.Record{}, errors.Wrap(err, "cold_left")
-		}
-	}
-	phase := registry.Ready
-	if b.Phase == Draining {
-		phase = registry.Draining
-	}
-	return registry.Record{ID: id, Service: b.Target, Addr: b.Address, Zone: b.Zone, Generation: b.Generation,
-		Capacity: b.Capacity, Phase: phase, SlowStartLeft: cold, Seq: b.CallSeq}, nil
-}
-
-// respondAcknowledged answers a backend's call.
-func (h *Handler) respondAcknowledged(t downstream.Ticket, ok bool, target string) {
-	if !ok {
-		h.respond(t, 503, []byte("too few nodes have heard it"))
-		return
-	}
-	body, _ := json.Marshal(HeartbeatAnswer{BeatTarget: target})
-	h.respond(t, 200, body)
-}
--- a/internal/gateway/controlapi/rollouts.go
+++ b/internal/gateway/controlapi/rollouts.go
@@ -3,99 +3,141 @@
 import (
 	"bytes"
 	"encoding/json"
+	"net/http"
 	"net/url"
 	"strings"
 
 	"github.com/go-faster/errors"
 
 	"clovergap/internal/gateway/rollout"
-	"clovergap/internal/proxy/answer"
 	"clovergap/internal/proxy/counters"
 	"clovergap/internal/proxy/downstream"
 )
 
-// Rollouts is the part of a node that the calls on roll-outs need.
+// Rollouts is the part of a node that the calls on roll-outs need. Every then is called once, in a turn.
 type Rollouts interface {
-	// Rollout brings an order, or a command on a roll-out that runs, to whoever leads: 200 with a RolloutAnswer, else as Change.
-	// A dry run tells what it would be.
-	Rollout(e *rollout.Entry, dry bool, then func(status int, body []byte))
+	// Rollout brings an order, or a command on a running roll-out, to the leader: 200 with a RolloutAnswer, else as Change.
+	// A dry run changes nothing and answers what it would.
+	Rollout(e *rollout.Entry, dryRun bool, then func(status int, body []byte))
 	// Rollouts gives a RolloutStatus.
 	Rollouts(then func(status int, body []byte))
+	// RolloutHistory is what this node knows of a service's roll-outs.
 	RolloutHistory(service string) RolloutHistory
 }
 
-// pathRollout is followed by the call's name.
+// pathRollout is followed by the call's name, and that by a service's but for rolloutStart and rolloutStatus.
 const pathRollout = "/api/Rollout."
 
-// rolloutVerbs are the calls that change something.
-var rolloutVerbs = map[string]rollout.Verb{"Start": rollout.Start, "Step": rollout.Advance, "Hold": rollout.Pause,
-	"PullBack": rollout.Rollback, "Finish": rollout.Finish}
+// Names of the calls on roll-outs that are not commands on a running one.
+const (
+	rolloutStart   = "Start"
+	rolloutStatus  = "Status"
+	rolloutHistory = "History"
+)
+
+// rolloutVerbs are the calls that change something, by their names in the path.
+var rolloutVerbs = map[string]rollout.Verb{
+	rolloutStart: rollout.Start,
+	"Step":       rollout.Advance,
+	"Hold":       rollout.Pause,
+	"PullBack":   rollout.Rollback,
+	"Finish":     rollout.Finish,
+}
 
-// handleRollout takes a call on roll-outs.
-func (h *Handler) handleRollout(c *downstream.Client, method, call string, body []byte) {
-	name, text, _ := strings.Cut(call, "/")
+// handleRollout takes a call on roll-outs. rest is what follows pathRollout.
+func (h *Handler) handleRollout(c *downstream.Client, request call, rest string) {
+	name, escaped, _ := strings.Cut(rest, "/")
+	service, err := url.PathUnescape(escaped)
 	verb, changes := rolloutVerbs[name]
-	service, err := url.PathUnescape(text)
-	want := "GET"
+	method := http.MethodGet
 	if changes {
-		want = "POST"
+		method = http.MethodPost
 	}
-	alone := name == "Start" || name == "Status"
+	known := changes || name == rolloutStatus || name == rolloutHistory
+	withoutService := name == rolloutStart || name == rolloutStatus
 	switch {
-	case !changes && name != "Status" && name != "History" || alone != (text == "") || err != nil:
+	case !known || withoutService != (escaped == "") || err != nil:
 		c.Reject(404, counters.NoSuchPath, "no such call")
-	case method != want:
-		c.Reject(405, counters.NoSuchMethod, want+" only")
-	case name == "Status":
-		t := h.deferAnswer(c)
-		h.node.Rollouts(func(status int, body []byte) { h.respond(t, status, body) })
-	case name == "History":
-		text, err := json.Marshal(h.node.RolloutHistory(service))
-		if err != nil {
-			text = []byte(err.Error())
-		}
-		c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, 200, "application/json", text, 0, last) })
+	case request.method != method:
+		c.Reject(405, counters.NoSuchMethod, method+" only")
+	case name == rolloutStatus:
+		ticket := deferAnswer(c)
+		h.node.Rollouts(func(status int, body []byte) { h.respond(ticket, status, body) })
+	case name == rolloutHistory:
+		answerJSON(c, h.node.RolloutHistory(service))
 	default:
-		e, dry, err := parseRollout(verb, service, body)
-		t := h.deferAnswer(c)
-		if err != nil {
-			h.respond(t, 400, []byte(err.Error()))
-			return
-		}
-		h.node.Rollout(e, dry, func(status int, body []byte) { h.respond(t, status, body) })
+		h.changeRollout(c, verb, service, request.body)
 	}
 }
 
-// parseRollout reads an operator's call. A field that is not known is refused: an order that means something else than it
-// says must not run.
-func parseRollout(verb rollout.Verb, service string, body []byte) (e *rollout.Entry, dry bool, err error) {
-	strict := func(into any) error {
-		d := json.NewDecoder(bytes.NewReader(body))
-		d.DisallowUnknownFields()
-		if err := d.Decode(into); err != nil {
-			return errors.Wrap(err, "body")
-		}
-		return nil
+func (h *Handler) changeRollout(c *downstream.Client, verb rollout.Verb, service string, body []byte) {
+	ticket := deferAnswer(c)
+	var entry *rollout.Entry
+	var dryRun bool
+	var err error
+	if verb == rollout.Start {
+		entry, dryRun, err = parseRolloutOrder(body)
+	} else {
+		entry, err = parseRolloutCommand(verb, service, body)
 	}
-	if verb != rollout.Start {
-		var c RolloutCommand
-		if err := strict(&c); err != nil {
-			return nil, false, err
-		}
-		return &rollout.Entry{Verb: verb, Service: service, CallID: c.Mark, Author: c.By, Reason: c.Why, Revision: c.Rev,
-			Number: rollout.Number(c.Number), Step: c.Step}, false, nil
+	if err != nil {
+		h.respondInvalid(ticket, err)
+		return
+	}
+	h.node.Rollout(entry, dryRun, func(status int, body []byte) { h.respond(ticket, status, body) })
+}
+
+// parseRolloutCommand reads a command on a running roll-out.
+func parseRolloutCommand(verb rollout.Verb, service string, body []byte) (*rollout.Entry, error) {
+	var command RolloutCommand
+	if err := decodeStrictly(body, &command); err != nil {
+		return nil, err
 	}
-	var o RolloutOrder
-	if err := strict(&o); err != nil {
+	return &rollout.Entry{
+		Verb:     verb,
+		Service:  service,
+		CallID:   command.Mark,
+		Author:   command.By,
+		Reason:   command.Why,
+		Revision: command.Rev,
+		Number:   rollout.Number(command.Number),
+		Step:     command.Step,
+	}, nil
+}
+
+// parseRolloutOrder reads the order that starts a roll-out. The body is read twice: for the call's own fields, which are
+// checked to be known, and for the specification.
+func parseRolloutOrder(body []byte) (entry *rollout.Entry, dryRun bool, err error) {
+	var order RolloutOrder
+	if err := decodeStrictly(body, &order); err != nil {
 		return nil, false, err
 	}
-	order := new(rollout.Spec)
-	if err := json.Unmarshal(body, order); err != nil {
+	spec := new(rollout.Spec)
+	if err := json.Unmarshal(body, spec); err != nil {
 		return nil, false, errors.Wrap(err, "body")
 	}
-	if err := order.Normalize(); err != nil {
+	if err := spec.Normalize(); err != nil {
 		return nil, false, err
 	}
-	return &rollout.Entry{Verb: verb, Service: o.Service, CallID: o.Mark, Author: o.By, Reason: o.Why, Revision: o.Rev, Spec: order,
-		Capacity: rollout.Capacity{Canary: max(o.NewRoom, 0), Busy: max(o.Busy, 0)}}, o.DryRun, nil
+	return &rollout.Entry{
+		Verb:     rollout.Start,
+		Service:  order.Service,
+		CallID:   order.Mark,
+		Author:   order.By,
+		Reason:   order.Why,
+		Revision: order.Rev,
+		Spec:     spec,
+		Capacity: rollout.Capacity{Canary: max(order.NewRoom, 0), Busy: max(order.Busy, 0)},
+	}, order.DryRun, nil
+}
+
+// decodeStrictly reads an operator's call. A field that is not known is an error: an order that means something else than
+// it says must not run.
+func decodeStrictly(body []byte, into any) error {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return errors.Wrap(err, "body")
+	}
+	return nil
 }
