--- a/internal/gateway/controlapi/handler.go
+++ b/internal/gateway/controlapi/handler.go
@@ -133,7 +133,7 @@
 	if h.node.Ready() {
 		status = 200
 	}
-	c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, status, "", nil, 0, last) })
+	c.Answer(func(b []byte, last bool) []byte { return answer.WithBody(b, status, "", nil, 0, last) })
 }
 
 func (h *Handler) answerStatus(c *downstream.Client, _ call) { answerJSON(c, h.node.Status()) }
@@ -157,7 +157,7 @@
 // ticket void.
 func deferAnswer(c *downstream.Client) downstream.Ticket {
 	ticket := c.Ticket()
-	c.Hold(0, "")
+	c.AwaitAnswer(0, "")
 	return ticket
 }
 
@@ -179,7 +179,7 @@
 // respondJSON answers a deferred call with a body as it is. retryAfter 0: no such header.
 func (h *Handler) respondJSON(ticket downstream.Ticket, status int, body []byte, retryAfter time.Duration) {
 	h.server.Answer(ticket, func(b []byte, last bool) []byte {
-		return answer.Whole(b, status, contentType, body, retryAfter, last)
+		return answer.WithBody(b, status, contentType, body, retryAfter, last)
 	})
 }
 
@@ -191,7 +191,7 @@
 // answerJSON answers a call at once.
 func answerJSON(c *downstream.Client, value any) {
 	text := marshal(value)
-	c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, 200, contentType, text, 0, last) })
+	c.Answer(func(b []byte, last bool) []byte { return answer.WithBody(b, 200, contentType, text, 0, last) })
 }
 
 // marshal gives a value of a generated type as JSON. These always have a form; were one without, its error would be seen.
--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -108,7 +108,7 @@
 func openFixture(t *testing.T) *fixture {
 	st := &fixture{t, eventloop.New("", 1024, 256<<10, 16<<20), &fakeNode{}}
 	in := downstream.New(st.engine, 100, downstream.Bounds{Body: 64 << 10}, func() bool { return false })
-	in.Serves(New(in, st.node))
+	in.SetHandler(New(in, st.node))
 	must.NoError(t, st.engine.Listen("127.0.0.1:0", in.Accept))
 	must.NoError(t, st.engine.Start())
 	t.Cleanup(st.engine.Stop)
@@ -284,7 +284,7 @@
 	must.Eq(t, 200, a.StatusCode)
 	st.engine.Turn(func() {
 		st.node.deferred[1]() // said twice: nobody hears it
-		must.Positive(t, st.engine.Count[counters.Unheard])
+		must.Positive(t, st.engine.Count[counters.Undeliverable])
 	})
 	send(two, "GET /api/ready", "")
 	a, body = st.readResponse(r2)
--- a/internal/gateway/ingress/config.go
+++ b/internal/gateway/ingress/config.go
@@ -42,24 +42,24 @@
 // Bounds gives the bounds of a server of clients' connections under such limits.
 func Bounds(l Limits) downstream.Bounds {
 	return downstream.Bounds{
-		Head:    l.MaxHeadBytes,
-		Body:    l.MaxBodyBytes,
-		Buffer:  BodyBufferBytes,
-		HeadIn:  l.HeadTimeout,
-		WholeIn: bodyTimeoutFactor * l.HeadTimeout,
-		ReadIn:  responseReadTimeout,
-		Idle:    l.IdleTimeout,
+		Head:           l.MaxHeadBytes,
+		Body:           l.MaxBodyBytes,
+		Buffer:         BodyBufferBytes,
+		HeadTimeout:    l.HeadTimeout,
+		MessageTimeout: bodyTimeoutFactor * l.HeadTimeout,
+		AnswerTimeout:  responseReadTimeout,
+		IdleTimeout:    l.IdleTimeout,
 	}
 }
 
 // UpstreamConfig gives the configuration of the connections to backends. dial bounds how long one takes to open.
-func UpstreamConfig(catalog Catalog, dial time.Duration) upstream.Terms {
-	return upstream.Terms{
-		Dialect: NewDialect(catalog),
-		Idle:    defaultIdleTimeout,
-		Dial:    dial,
-		Head:    maxResponseHeadBytes,
-		Body:    maxResponseBodyBytes,
-		Buffer:  BodyBufferBytes,
+func UpstreamConfig(catalog Catalog, dial time.Duration) upstream.Config {
+	return upstream.Config{
+		Dialect:     NewDialect(catalog),
+		IdleTimeout: defaultIdleTimeout,
+		DialTimeout: dial,
+		Head:        maxResponseHeadBytes,
+		Body:        maxResponseBodyBytes,
+		Buffer:      BodyBufferBytes,
 	}
 }
--- a/internal/gateway/ingress/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -29,13 +29,13 @@
 func (*Dialect) Wary() bool { return true }
 
 // Read tells what a response proves. Only X-Not-Run and 421 prove that the request did not run.
-func (d *Dialect) Read(carried upstream.Carried, head *http1.Reader, message []byte) upstream.Verdict {
+func (d *Dialect) Read(carried upstream.Request, head *http1.Reader, message []byte) upstream.Meaning {
 	id, repeated := head.Get(message, "x-attempt-id")
 	if len(id) == 0 || repeated {
-		return upstream.Verdict{Ending: control.ConnectionLost} // no backend answers like this
+		return upstream.Meaning{Ending: control.ConnectionLost} // no backend answers like this
 	}
 	if string(id) != carried.ID {
-		return upstream.Verdict{Other: true}
+		return upstream.Meaning{Other: true}
 	}
 	v := d.interpret(carried, head, message)
 	if value, _ := head.Get(message, "keep-alive"); value != nil {
@@ -48,13 +48,13 @@
 }
 
 // interpret tells what the status and the headers of the request's own response prove.
-func (d *Dialect) interpret(carried upstream.Carried, head *http1.Reader, message []byte) upstream.Verdict {
-	v := upstream.Verdict{Ending: control.Errored}
+func (d *Dialect) interpret(carried upstream.Request, head *http1.Reader, message []byte) upstream.Meaning {
+	v := upstream.Meaning{Ending: control.Errored}
 	notRun, _ := head.Get(message, "x-not-run")
 	switch status := head.Status(); {
 	case status == 421:
 		v.Ending, v.Closes = control.Rejected, true
-		d.catalog.BackendReplaced(carried.At)
+		d.catalog.BackendReplaced(carried.Backend)
 	case notRun != nil:
 		v.Ending = control.Rejected
 	case status < 300:
--- a/internal/gateway/ingress/forward.go
+++ b/internal/gateway/ingress/forward.go
@@ -13,7 +13,7 @@
 // the backend's ID, the tenant and the time that is left. It adds nothing once the client has left, the backend is
 // not known any more, or some of a streamed body was forwarded before.
 func (h *Handler) AppendTo(b []byte, who, txn slots.Ref, at control.BackendID, timeLeft time.Duration) []byte {
-	c := h.server.Waits(who, txn)
+	c := h.server.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
 		return b
 	}
--- a/internal/gateway/ingress/handler.go
+++ b/internal/gateway/ingress/handler.go
@@ -82,7 +82,7 @@
 // New makes the handler of a server's requests, and registers it there.
 func New(server *downstream.Server, clock Clock, gate Gate, catalog Catalog) *Handler {
 	h := &Handler{server: server, clock: clock, gate: gate, catalog: catalog}
-	server.Serves(h)
+	server.SetHandler(h)
 	return h
 }
 
@@ -91,7 +91,7 @@
 func (h *Handler) Take(c *downstream.Client) {
 	// Bytes behind a message that no message begins with show that its length was wrong.
 	if rest := c.Rest(); len(rest) > 0 && !http1.MayStart(rest) {
-		c.Doubtful(http1.ErrFraming)
+		c.RejectUnreadable(http1.ErrFraming)
 		return
 	}
 	r, problem := parseRequest(c)
@@ -107,10 +107,10 @@
 	txn := h.begin(c, admission, r.deadline)
 	ref, ok := h.gate.Take(txn, h, c.Who())
 	if !ok {
-		h.reject(c, r.id, 503, counters.Declined, retryAfterUnready)
+		h.reject(c, r.id, 503, counters.Rejected, retryAfterUnready)
 		return
 	}
-	c.Hold(ref, string(r.id))
+	c.AwaitAnswer(ref, string(r.id))
 }
 
 // begin sets the connection's state for an admitted request, and gives the transaction that the gate decides on.
@@ -119,10 +119,10 @@
 	if deadline == 0 || a.Deadline > 0 && a.Deadline < deadline {
 		deadline = a.Deadline
 	}
-	state, _ := c.Note.(*requestState)
+	state, _ := c.UserData.(*requestState)
 	if state == nil {
 		state = &requestState{}
-		c.Note = state
+		c.UserData = state
 	}
 	// The client counts from when it sent. After a standstill the request may have lain unread for all of it.
 	expiry := h.clock.Now() + max(deadline-h.clock.InputDelay(), 0)
@@ -149,13 +149,13 @@
 // reject answers without a body. after is the Retry-After; 0: none.
 func (h *Handler) reject(c *downstream.Client, id []byte, status int, why counters.ID, after time.Duration) {
 	h.server.Count(why)
-	c.Answer(func(b []byte, last bool) []byte { return answer.Refuse(b, status, "X-Attempt-Id", id, after, last) })
+	c.Answer(func(b []byte, last bool) []byte { return answer.StatusOnly(b, status, "X-Attempt-Id", id, after, last) })
 }
 
 // User names the user that a request comes from, for a roll-out's share of users, and its tenant: the client's mark together
 // with its key, where it has one, else the key; nil where there is neither. It is valid until the next call.
 func (h *Handler) User(who, txn slots.Ref) (user []byte, tenant string) {
-	c := h.server.Waits(who, txn)
+	c := h.server.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
 		return nil, ""
 	}
@@ -176,7 +176,7 @@
 
 // Once tells whether a request may run at most once. It is true once the client has left: nothing is sent then any more.
 func (h *Handler) Once(who, txn slots.Ref) bool {
-	c := h.server.Waits(who, txn)
+	c := h.server.ClientOf(who, txn)
 	return c == nil || stateOf(c).AtMostOnce
 }
 
@@ -185,5 +185,5 @@
 	if c == nil {
 		return nil
 	}
-	return c.Note.(*requestState)
+	return c.UserData.(*requestState)
 }
--- a/internal/gateway/ingress/outcome.go
+++ b/internal/gateway/ingress/outcome.go
@@ -9,9 +9,9 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// Settle sends a client the response of a backend, which is complete.
-func (h *Handler) Settle(who, txn slots.Ref, o gate.Outcome) {
-	if c := h.server.Holds(who, txn); c != nil {
+// Complete sends a client the response of a backend, which is complete.
+func (h *Handler) Complete(who, txn slots.Ref, o gate.Outcome) {
+	if c := h.server.ClientToAnswer(who, txn); c != nil {
 		head, message := c.Request()
 		toHEAD := string(head.Method(message)) == "HEAD"
 		c.Answer(func(b []byte, last bool) []byte {
@@ -20,9 +20,9 @@
 	}
 }
 
-// Decline answers that a request has not run and never will: 429 where the customer's quota is used up, else 503. after
+// Reject answers that a request has not run and never will: 429 where the customer's quota is used up, else 503. after
 // is the Retry-After; 0: none.
-func (h *Handler) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
+func (h *Handler) Reject(who, txn slots.Ref, after time.Duration, why control.Reason) {
 	status := 503
 	if why == control.ReasonNoUnits {
 		status = 429
@@ -30,10 +30,10 @@
 	h.finish(who, txn, status, after)
 }
 
-// Void answers that a request failed and may have run: 504 where its time is over, else 502.
-func (h *Handler) Void(who, txn slots.Ref, why control.Reason) {
+// Fail answers that a request failed and may have run: 504 where its time is over, else 502.
+func (h *Handler) Fail(who, txn slots.Ref, why control.Reason) {
 	status := 502
-	if c := h.server.Waits(who, txn); why == control.ReasonNoTime || c != nil && stateOf(c).expiry <= h.clock.Now() {
+	if c := h.server.ClientOf(who, txn); why == control.ReasonNoTime || c != nil && stateOf(c).expiry <= h.clock.Now() {
 		status = 504
 	}
 	h.finish(who, txn, status, 0)
@@ -41,13 +41,13 @@
 
 // finish answers without a body. Where the request's own body was wrong, that is the client's fault and goes first.
 func (h *Handler) finish(who, txn slots.Ref, status int, after time.Duration) {
-	c := h.server.Holds(who, txn)
+	c := h.server.ClientToAnswer(who, txn)
 	switch state := stateOf(c); {
 	case c == nil:
 	case state.bodyErr != nil:
-		c.Doubtful(state.bodyErr)
+		c.RejectUnreadable(state.bodyErr)
 	default:
 		id := []byte(h.server.ID(who, txn))
-		c.Answer(func(b []byte, last bool) []byte { return answer.Refuse(b, status, "X-Attempt-Id", id, after, last) })
+		c.Answer(func(b []byte, last bool) []byte { return answer.StatusOnly(b, status, "X-Attempt-Id", id, after, last) })
 	}
 }
--- a/internal/gateway/ingress/streaming.go
+++ b/internal/gateway/ingress/streaming.go
@@ -25,20 +25,20 @@
 
 // Flows tells whether a request's body is streamed.
 func (h *Handler) Flows(who, txn slots.Ref) bool {
-	c := h.server.Waits(who, txn)
+	c := h.server.ClientOf(who, txn)
 	return c != nil && c.Flows()
 }
 
-// Spent tells whether some of a streamed body was forwarded: the request can't be sent again.
-func (h *Handler) Spent(who, txn slots.Ref) bool {
-	c := h.server.Waits(who, txn)
+// BodyConsumed tells whether some of a streamed body was forwarded: the request can't be sent again.
+func (h *Handler) BodyConsumed(who, txn slots.Ref) bool {
+	c := h.server.ClientOf(who, txn)
 	return c != nil && c.Flows() && stateOf(c).bodySent
 }
 
 // Part adds what has come of such a body to b, in the request's own framing. complete: its end is among it. Not ok: the
 // body can't be read on, or its client has left, and no more will come.
 func (h *Handler) Part(b []byte, who, txn slots.Ref) (out []byte, complete, ok bool) {
-	c := h.server.Waits(who, txn)
+	c := h.server.ClientOf(who, txn)
 	if c == nil || c.IsClosed() || !c.Flows() {
 		return b, false, false
 	}
@@ -85,31 +85,31 @@
 
 // Begin writes the head of a streamed response. false: the client has left, or speaks HTTP/1.0 and can't read chunks.
 func (h *Handler) Begin(who, txn slots.Ref, o gate.Outcome) bool {
-	c := h.server.Holds(who, txn)
+	c := h.server.ClientToAnswer(who, txn)
 	if c == nil {
 		return false
 	}
 	state := stateOf(c)
 	head, _ := c.Request()
-	if _, _, state.chunkedResponse = o.Answer.Framed(); state.chunkedResponse && head.Old() {
+	if _, _, state.chunkedResponse = o.Answer.Framed(); state.chunkedResponse && head.IsHTTP10() {
 		return false
 	}
 	c.Begin(func(b []byte, last bool) []byte { return appendHead(b, o.Answer, o.Bytes, false, last) })
 	return !c.IsClosed()
 }
 
-// Room is how many bytes of a streamed response its client is ready for; below 0: the client has left.
-func (h *Handler) Room(who, txn slots.Ref) int {
-	c := h.server.Waits(who, txn)
+// Writable is how many bytes of a streamed response its client is ready for; below 0: the client has left.
+func (h *Handler) Writable(who, txn slots.Ref) int {
+	c := h.server.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
 		return -1
 	}
-	return max(c.Room(), 0)
+	return max(c.Writable(), 0)
 }
 
 // Pass writes a part of it.
 func (h *Handler) Pass(who, txn slots.Ref, part []byte) {
-	c := h.server.Waits(who, txn)
+	c := h.server.ClientOf(who, txn)
 	if c == nil {
 		return
 	}
@@ -122,7 +122,7 @@
 
 // End ends it. One that is not complete is broken off, so that it does not look complete.
 func (h *Handler) End(who, txn slots.Ref, complete bool) {
-	c := h.server.Waits(who, txn)
+	c := h.server.ClientOf(who, txn)
 	if c == nil {
 		return
 	}
