--- a/cmd/clovergap/past.go
+++ b/cmd/clovergap/past.go
@@ -62,7 +62,7 @@
 	states  = map[control.BackendState]string{control.Ready: "Ready", control.Draining: "Terminating", control.Gone: "Gone"}
 	endings = map[control.Ending]string{control.Succeeded: "settled", control.Errored: "errored", control.Rejected: "full", control.TimedOut: "timed out",
 		control.Unreachable: "unreachable", control.ConnectionLost: "broken", control.Canceled: "called off", control.NotSent: "not sent"}
-	finals = map[control.Action]string{gate.Settled: "settled", control.Reject: "declined", control.Fail: "voided"}
+	finals = map[control.Action]string{gate.Answered: "settled", control.Reject: "declined", control.Fail: "voided"}
 )
 
 // Sent, Ended and Final are the steps of a txn, as the gate tells them. A txn is named by this front door's number for
--- a/cmd/clovergap/serve.go
+++ b/cmd/clovergap/serve.go
@@ -72,7 +72,7 @@
 // quiet is for a site without peers.
 type quiet struct{}
 
-func (quiet) Tell(control.GatewayID, []byte) {}
+func (quiet) SendDatagram(control.GatewayID, []byte) {}
 
 func serve(path, oper string) error {
 	o, err := operator.Load(oper)
@@ -137,7 +137,7 @@
 
 // build puts the stages together and starts them.
 func build(c *config.Config, log *zap.Logger, past *past, o operator.Leases) (*front, error) {
-	f := &front{conf: c, log: log, past: past, e: eventloop.New(c.Listen, c.Sockets, http1.MostRaw, c.MemoryMB<<20/ringShare)}
+	f := &front{conf: c, log: log, past: past, e: eventloop.New(c.Listen, c.Sockets, http1.MaxRaw, c.MemoryMB<<20/ringShare)}
 	node, err := loadbalancer.New(c.Seed, c.Settings, f.e.Now())
 	if err != nil {
 		return nil, err
@@ -149,24 +149,24 @@
 	k := &clock{Engine: f.e}
 	f.gate = gate.New(node, k, min(c.MostHeld, c.Sockets), f.e.Count, log)
 	k.due = f.gate
-	clients := max(1, f.e.Room()/clientShare)
-	f.dispatch = upstream.New(f.e, f.gate, upstream.Terms{Dialect: upstream.NewReports(c.Fields), Idle: c.ConnIdle,
-		Dial: c.DialLimit}, func() bool { return f.intake.Evict() })
+	clients := max(1, f.e.FreeConnections()/clientShare)
+	f.dispatch = upstream.New(f.e, f.gate, upstream.Config{Dialect: upstream.NewReports(c.Fields), IdleTimeout: c.ConnIdle,
+		DialTimeout: c.DialLimit}, func() bool { return f.intake.Evict() })
 	f.intake = downstream.New(f.e, clients, downstream.Bounds{}, func() bool { return f.dispatch.Evict(nil) })
 	downstream.NewTxns(f.intake, f.gate, txnTerms(c))
-	var tell gate.Teller = quiet{}
+	var tell gate.DatagramSender = quiet{}
 	if len(c.Peers) > 0 {
 		if f.peers, err = peers.New(f.e, c.PeerListen, c.Peers, c.Me, f.heard); err != nil {
 			return nil, err
 		}
 		tell = f.peers
 	}
-	f.gate.Through(f.dispatch, tell)
+	f.gate.SetTransport(f.dispatch, tell)
 	if past != nil && past.txns {
-		f.gate.Watched(past)
+		f.gate.SetWatcher(past)
 	}
-	f.e.Accepted(f.intake.Accept)
-	f.e.OnTurnEnd(f.gate.Pull)
+	f.e.OnAccept(f.intake.Accept)
+	f.e.OnTurnEnd(f.gate.RunDecisions)
 	if o.On {
 		if f.peers == nil {
 			return nil, errors.New("leases.on: the configuration names no peers")
@@ -175,13 +175,13 @@
 		if n, wrong := strconv.Atoi(c.Settings["zone"]); wrong == nil && n >= 0 && n < len(c.Zones) {
 			zone = c.Zones[n]
 		}
-		if f.leases, err = leasing.New(f.e, o, c.Me, len(c.Peers), uint32(c.Seed)^uint32(c.Seed>>32), c.Name, zone, f.peers.Tell, log, past.add); err != nil {
+		if f.leases, err = leasing.New(f.e, o, c.Me, len(c.Peers), uint32(c.Seed)^uint32(c.Seed>>32), c.Name, zone, f.peers.SendDatagram, log, past.add); err != nil {
 			return nil, err
 		}
 		f.peers.Frames(lease.Mark, f.leases.Heard)
-		f.e.OnTurnEnd(func() { f.gate.Pull(); f.leases.Pull() })
+		f.e.OnTurnEnd(func() { f.gate.RunDecisions(); f.leases.Pull() })
 	}
-	f.e.Short(func() {
+	f.e.OnOutOfDescriptors(func() {
 		if !f.dispatch.Evict(nil) {
 			f.intake.Evict()
 		}
@@ -211,7 +211,7 @@
 	if f.leases != nil {
 		f.leases.Seen(from)
 	}
-	f.gate.Heard(from, payload)
+	f.gate.DatagramReceived(from, payload)
 }
 
 // reload reads the configuration again, under load. A file that can't be read or is wrong changes nothing. What can
@@ -291,9 +291,9 @@
 		f.dispatch.SetBackend(e.ID, e.Addr, e.Started, e.State == control.Ready)
 	}
 	if l.Whole {
-		f.dispatch.Only(listed)
+		f.dispatch.SetBackends(listed)
 	}
-	f.gate.Listed(l.Whole, list)
+	f.gate.EndpointsChanged(l.Whole, list)
 }
 
 // end goes on for a moment, then closes connections between txns, and ends when all that was taken is answered.
@@ -306,7 +306,7 @@
 			f.intake.Drain()
 			if time.Since(began) > quietFor {
 				f.e.StopListening()
-				over = f.gate.Held() == 0 && f.intake.Clients() == 0
+				over = f.gate.InFlight() == 0 && f.intake.Clients() == 0
 			}
 		})
 	}
@@ -318,7 +318,7 @@
 	runtime.ReadMemStats(&m)
 	f.e.Turn(func() {
 		f.log.Info(title, zap.Uint64("allocations", m.Mallocs), zap.String("counters", f.e.Count.Text()), zap.Uint64("must holds broken", invariant.Broken()),
-			zap.Int("txns held", f.gate.Held()), zap.Int("clients", f.intake.Clients()),
+			zap.Int("txns held", f.gate.InFlight()), zap.Int("clients", f.intake.Clients()),
 			zap.Int("connections", f.e.Open()), zap.Int("backends", f.dispatch.Backends()))
 	})
 }
@@ -336,8 +336,8 @@
 }
 
 // txnTerms is what the configuration says of the txns that clients may send.
-func txnTerms(c *config.Config) downstream.TxnTerms {
-	terms := downstream.TxnTerms{Plans: c.Plans, Gateways: max(len(c.Peers), 1), MostUnits: c.MostUnits}
+func txnTerms(c *config.Config) downstream.TxnConfig {
+	terms := downstream.TxnConfig{Plans: c.Plans, Gateways: max(len(c.Peers), 1), MaxUnits: c.MostUnits}
 	for _, p := range c.Products {
 		terms.Products = append(terms.Products, downstream.Product{Name: p.Name, Keyed: p.Keyed, Safe: p.Safe})
 	}
--- a/cmd/clovergap/serve_test.go
+++ b/cmd/clovergap/serve_test.go
@@ -267,7 +267,7 @@
 		c.show()
 		var after counters.Set
 		st.f.e.Turn(func() { after = *st.f.e.Count })
-		for id := counters.EndSettled; id <= counters.BadAnswer; id++ {
+		for id := counters.EndAnswered; id <= counters.BadAnswer; id++ {
 			for ; before[id] < after[id]; before[id]++ {
 				fmt.Println("  ", counters.Name(id))
 			}
@@ -561,7 +561,7 @@
 	x := st.backends[0].Next()
 	fmt.Println("backend:", len(x.Body), x.Body == body)
 	x.Answer(standin.Served(strings.Repeat("a", 64<<10)))
-	st.counted(counters.Settled, 1)
+	st.counted(counters.Answered, 1)
 	c.show()
 	fmt.Println("# one byte more is no answer that can be read")
 	c.send(txn("m", "pay") + "\r\n")
@@ -585,12 +585,12 @@
 	c.Close()
 	st.counted(counters.TxnsLeft, 1)
 	x.Answer(standin.Served("for nobody"))
-	st.counted(counters.EndSettled, 1)
+	st.counted(counters.EndAnswered, 1)
 	st.until("nothing is held", func() (none bool) {
-		st.f.e.Turn(func() { none = st.f.gate.Held() == 0 && st.f.intake.Clients() == 0 })
+		st.f.e.Turn(func() { none = st.f.gate.InFlight() == 0 && st.f.intake.Clients() == 0 })
 		return none
 	})
-	fmt.Println("settled", st.count(counters.Settled), "clients closed", st.count(counters.ClientsClosed))
+	fmt.Println("settled", st.count(counters.Answered), "clients closed", st.count(counters.ClientsClosed))
 	// Output:
 	// settled 0 clients closed 1
 }
@@ -734,7 +734,7 @@
 	last := st.client()
 	last.show()
 	fmt.Println("refused", st.count(counters.ClientsRefused))
-	st.f.e.Turn(func() { fmt.Println("connections within bounds:", st.f.e.Room() >= 0) })
+	st.f.e.Turn(func() { fmt.Println("connections within bounds:", st.f.e.FreeConnections() >= 0) })
 	// Output:
 	// HTTP/1.1 200 OK up
 	// HTTP/1.1 200 OK, Connection: close up
@@ -771,7 +771,7 @@
 	busy.show()
 	<-ended
 	_, err := net.Dial("tcp", st.f.e.Addr())
-	fmt.Println("held", st.f.gate.Held(), "new ones refused:", errors.Is(err, syscall.ECONNREFUSED))
+	fmt.Println("held", st.f.gate.InFlight(), "new ones refused:", errors.Is(err, syscall.ECONNREFUSED))
 	st.close()
 	// Output:
 	// HTTP/1.1 200 OK up
--- a/internal/frontdoor/discovery/watch.go
+++ b/internal/frontdoor/discovery/watch.go
@@ -63,7 +63,7 @@
 	w.call++
 	w.r.Reset()
 	w.l = w.e.Dial(w.addr, dialLimit, w.up)
-	w.l.Own(w)
+	w.l.SetOwner(w)
 	w.e.At(w.e.Now()+dialLimit, w, w.call)
 }
 
@@ -125,10 +125,10 @@
 
 // Data reads an answer.
 func (w *Watch) Data() {
-	for w.l != nil && w.l.In.Len() > 0 {
-		b := w.l.In.Linear()
+	for w.l != nil && w.l.Input.Len() > 0 {
+		b := w.l.Input.Linear()
 		size, whole, err := w.r.Read(b)
-		if !whole && err == nil && w.l.In.Room() > 0 {
+		if !whole && err == nil && w.l.Input.Available() > 0 {
 			return
 		}
 		if err != nil || !whole || w.r.Status() != 200 {
@@ -141,7 +141,7 @@
 			return
 		}
 		closes := w.r.Closes
-		w.l.In.Drop(size)
+		w.l.Input.Drop(size)
 		w.r.Reset()
 		w.fails = 0
 		w.rev, w.known = list.Rev, true
--- a/internal/gateway/controlapi/coordination.go
+++ b/internal/gateway/controlapi/coordination.go
@@ -231,7 +231,7 @@
 		code, text = 500, nil
 	}
 	h.in.Answer(t, func(b []byte, last bool) []byte {
-		return answer.Whole(b, code, "application/json", text, after, last)
+		return answer.WithBody(b, code, "application/json", text, after, last)
 	})
 }
 
--- a/internal/gateway/controlapi/handler.go
+++ b/internal/gateway/controlapi/handler.go
@@ -97,7 +97,7 @@
 		if err != nil {
 			text = []byte(err.Error())
 		}
-		c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, 200, "application/json", text, 0, last) })
+		c.Answer(func(b []byte, last bool) []byte { return answer.WithBody(b, 200, "application/json", text, 0, last) })
 	case path == pathRead:
 		t := h.hold(c)
 		h.node.ReadConfiguration(func(status int, body []byte) { h.end(t, status, body) })
@@ -123,7 +123,7 @@
 
 func (h *Handler) hold(c *downstream.Client) downstream.Ticket {
 	t := c.Ticket()
-	c.Hold(0, "")
+	c.AwaitAnswer(0, "")
 	return t
 }
 
@@ -132,7 +132,7 @@
 	if h.node.Ready() {
 		status = 200
 	}
-	c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, status, "", nil, 0, last) })
+	c.Answer(func(b []byte, last bool) []byte { return answer.WithBody(b, status, "", nil, 0, last) })
 }
 
 // end answers a call that was held. What is no configuration is worded as a refusal.
@@ -148,7 +148,7 @@
 		after = busyAdvice
 	}
 	h.in.Answer(t, func(b []byte, last bool) []byte {
-		return answer.Whole(b, status, "application/json", body, after, last)
+		return answer.WithBody(b, status, "application/json", body, after, last)
 	})
 }
 
--- a/internal/gateway/controlapi/handler_test.go
+++ b/internal/gateway/controlapi/handler_test.go
@@ -108,7 +108,7 @@
 func open(t *testing.T) *fixture {
 	st := &fixture{t, eventloop.New("", 1024, 256<<10, 16<<20), &fakeNode{}}
 	in := downstream.New(st.e, 100, downstream.Bounds{Body: 64 << 10}, func() bool { return false })
-	in.Serves(New(in, st.h))
+	in.SetHandler(New(in, st.h))
 	must.NoError(t, st.e.Listen("127.0.0.1:0", in.Accept))
 	must.NoError(t, st.e.Start())
 	t.Cleanup(st.e.Stop)
@@ -284,7 +284,7 @@
 	must.Eq(t, 200, a.StatusCode)
 	st.e.Turn(func() {
 		st.h.held[1]() // said twice: nobody hears it
-		must.Positive(t, st.e.Count[counters.Unheard])
+		must.Positive(t, st.e.Count[counters.Undeliverable])
 	})
 	send(two, "GET /api/ready", "")
 	a, body = st.hears(r2)
--- a/internal/gateway/controlapi/rollouts.go
+++ b/internal/gateway/controlapi/rollouts.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			text = []byte(err.Error())
 		}
-		c.Answer(func(b []byte, last bool) []byte { return answer.Whole(b, 200, "application/json", text, 0, last) })
+		c.Answer(func(b []byte, last bool) []byte { return answer.WithBody(b, 200, "application/json", text, 0, last) })
 	default:
 		e, dry, err := readRollout(verb, service, body)
 		t := h.hold(c)
--- a/internal/gateway/ingress/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -25,20 +25,20 @@
 func (*Dialect) Wary() bool { return true }
 
 // Read tells what an answer means. Only X-Not-Run and 421 prove that the request never ran.
-func (d *Dialect) Read(x upstream.Carried, r *http1.Reader, b []byte) upstream.Verdict {
+func (d *Dialect) Read(x upstream.Request, r *http1.Reader, b []byte) upstream.Meaning {
 	id, many := r.Get(b, "x-attempt-id")
 	if len(id) == 0 || many {
-		return upstream.Verdict{Ending: control.ConnectionLost} // no backend's answer
+		return upstream.Meaning{Ending: control.ConnectionLost} // no backend's answer
 	}
 	if string(id) != x.ID {
-		return upstream.Verdict{Other: true}
+		return upstream.Meaning{Other: true}
 	}
-	v := upstream.Verdict{Ending: control.Errored}
+	v := upstream.Meaning{Ending: control.Errored}
 	notRun, _ := r.Get(b, "x-not-run")
 	switch s := r.Status(); {
 	case s == 421:
 		v.Ending, v.Closes = control.Rejected, true
-		d.lookups.Gone(x.At)
+		d.lookups.Gone(x.Backend)
 	case notRun != nil:
 		v.Ending = control.Rejected
 	case s < 300:
--- a/internal/gateway/ingress/flow.go
+++ b/internal/gateway/ingress/flow.go
@@ -24,19 +24,19 @@
 
 // Flows tells whether a request's body is passed on as it comes.
 func (h *Handler) Flows(who, txn slots.Ref) bool {
-	c := h.in.Waits(who, txn)
+	c := h.in.ClientOf(who, txn)
 	return c != nil && c.Flows()
 }
 
-// Spent tells whether some of it has gone.
-func (h *Handler) Spent(who, txn slots.Ref) bool {
-	c := h.in.Waits(who, txn)
+// BodyConsumed tells whether some of it has gone.
+func (h *Handler) BodyConsumed(who, txn slots.Ref) bool {
+	c := h.in.ClientOf(who, txn)
 	return c != nil && c.Flows() && visitOf(c).spent
 }
 
 // Part adds what has come of such a body, as it goes on.
 func (h *Handler) Part(b []byte, who, txn slots.Ref) (out []byte, whole, ok bool) {
-	c := h.in.Waits(who, txn)
+	c := h.in.ClientOf(who, txn)
 	if c == nil || c.IsClosed() || !c.Flows() {
 		return b, false, false
 	}
@@ -83,31 +83,31 @@
 
 // Begin passes the head of a long answer on.
 func (h *Handler) Begin(who, txn slots.Ref, o gate.Outcome) bool {
-	c := h.in.Holds(who, txn)
+	c := h.in.ClientToAnswer(who, txn)
 	if c == nil {
 		return false
 	}
 	v := visitOf(c)
 	r, _ := c.Request()
-	if _, _, v.chunks = o.Answer.Framed(); v.chunks && r.Old() {
+	if _, _, v.chunks = o.Answer.Framed(); v.chunks && r.IsHTTP10() {
 		return false
 	}
 	c.Begin(func(b []byte, last bool) []byte { return appendHead(b, o.Answer, o.Bytes, false, last) })
 	return !c.IsClosed()
 }
 
-// Room is how many bytes of such an answer its client is ready for.
-func (h *Handler) Room(who, txn slots.Ref) int {
-	c := h.in.Waits(who, txn)
+// Writable is how many bytes of such an answer its client is ready for.
+func (h *Handler) Writable(who, txn slots.Ref) int {
+	c := h.in.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
 		return -1
 	}
-	return max(c.Room(), 0)
+	return max(c.Writable(), 0)
 }
 
 // Pass passes a part of it on.
 func (h *Handler) Pass(who, txn slots.Ref, part []byte) {
-	c := h.in.Waits(who, txn)
+	c := h.in.ClientOf(who, txn)
 	if c == nil {
 		return
 	}
@@ -120,7 +120,7 @@
 
 // End ends it, or breaks off what is not whole.
 func (h *Handler) End(who, txn slots.Ref, whole bool) {
-	c := h.in.Waits(who, txn)
+	c := h.in.ClientOf(who, txn)
 	if c == nil {
 		return
 	}
--- a/internal/gateway/ingress/flow_test.go
+++ b/internal/gateway/ingress/flow_test.go
@@ -106,7 +106,7 @@
 			conn.Close()
 		}
 	}
-	must.Eq(t, 4, st.count(counters.Settled))
+	must.Eq(t, 4, st.count(counters.Answered))
 	must.Eq(t, 1, st.count(counters.ClientsOpened))
 }
 
@@ -167,7 +167,7 @@
 		_, err = io.ReadAll(a.Body)
 		must.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	}
-	must.Eq(t, 2, st.count(counters.CutShort))
+	must.Eq(t, 2, st.count(counters.Truncated))
 	for i, x := range []struct {
 		answer string // of the backend, before the body is whole
 		rest   string
@@ -193,7 +193,7 @@
 		}
 		c.hears("HTTP/1.1 "+x.line, "Connection: close")
 	}
-	st.e.Turn(func() { must.Eq(t, 0, st.g.Held()) })
+	st.e.Turn(func() { must.Eq(t, 0, st.g.InFlight()) })
 	c := st.client()
 	c.send(request("PUT", "/pure/", "e", "Content-Length: 1000000\r\n") + string(body[:500000]))
 	r, _ := next()
@@ -243,8 +243,8 @@
 		_, err = conn.Read(make([]byte, 1))
 		must.Error(t, err)
 	}
-	st.e.Turn(func() { must.Eq(t, 0, st.g.Held()) })
-	must.Eq(t, 1, st.count(counters.CutShort))
+	st.e.Turn(func() { must.Eq(t, 0, st.g.InFlight()) })
+	must.Eq(t, 1, st.count(counters.Truncated))
 }
 
 // A backend that answers before it has read a long body, keeps the connection and reads on gets nothing there but bytes of that body: the
--- a/internal/gateway/ingress/handler.go
+++ b/internal/gateway/ingress/handler.go
@@ -86,7 +86,7 @@
 	if c == nil {
 		return nil
 	}
-	return c.Note.(*visit)
+	return c.UserData.(*visit)
 }
 
 // Bounds of what has no other.
@@ -110,15 +110,15 @@
 )
 
 // Terms gives what submissions go by.
-func Terms(lookups Lookups, dial time.Duration) upstream.Terms {
-	return upstream.Terms{Dialect: NewDialect(lookups), Idle: idleUsual, Dial: dial, Head: answerHead, Body: answerBody,
+func Terms(lookups Lookups, dial time.Duration) upstream.Config {
+	return upstream.Config{Dialect: NewDialect(lookups), IdleTimeout: idleUsual, DialTimeout: dial, Head: answerHead, Body: answerBody,
 		Buffer: Buffer}
 }
 
 // New makes the form for an intake.
 func New(in *downstream.Server, clock Clock, g Gate, lookups Lookups) *Handler {
 	f := &Handler{in: in, clock: clock, gate: g, lookups: lookups}
-	in.Serves(f)
+	in.SetHandler(f)
 	return f
 }
 
@@ -131,8 +131,8 @@
 
 // Bounds gives an intake's bounds that follow from such limits.
 func Bounds(l Limits) downstream.Bounds {
-	return downstream.Bounds{Head: l.Head, Body: l.Body, Buffer: Buffer, HeadIn: l.HeadIn, WholeIn: wholeTimes * l.HeadIn,
-		ReadIn: readIn, Idle: l.Idle}
+	return downstream.Bounds{Head: l.Head, Body: l.Body, Buffer: Buffer, HeadTimeout: l.HeadIn, MessageTimeout: wholeTimes * l.HeadIn,
+		AnswerTimeout: readIn, IdleTimeout: l.Idle}
 }
 
 // Take admits a request, or refuses it right here.
@@ -140,7 +140,7 @@
 	r, b := c.Request()
 	// Bytes behind a message that no message begins with show that its length was wrong.
 	if rest := c.Rest(); len(rest) > 0 && !http1.MayStart(rest) {
-		c.Doubtful(http1.ErrFraming)
+		c.RejectUnreadable(http1.ErrFraming)
 		return
 	}
 	target := r.Target(b)
@@ -181,10 +181,10 @@
 		h.refuse(c, id, 503, counters.UnknownYet, soon)
 		return
 	}
-	v, _ := c.Note.(*visit)
+	v, _ := c.UserData.(*visit)
 	if v == nil {
 		v = &visit{}
-		c.Note = v
+		c.UserData = v
 	}
 	if *v = (visit{Admission: a}); wait == 0 || a.Deadline > 0 && a.Deadline < wait {
 		wait = a.Deadline
@@ -197,10 +197,10 @@
 	}
 	ref, ok := h.gate.Take(x, h, c.Who())
 	if !ok {
-		h.refuse(c, id, 503, counters.Declined, soon)
+		h.refuse(c, id, 503, counters.Rejected, soon)
 		return
 	}
-	c.Hold(ref, string(id))
+	c.AwaitAnswer(ref, string(id))
 }
 
 // key reads a key: `Token KEY`. What else a client may say of itself is no key.
@@ -216,7 +216,7 @@
 // User names whoever a request is of, for a share of users, and its tenant: the client's mark together with its key, where
 // it has one, else the key; nil where there is neither. It is good until the next call.
 func (h *Handler) User(who, txn slots.Ref) (user []byte, tenant string) {
-	c := h.in.Waits(who, txn)
+	c := h.in.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
 		return nil, ""
 	}
@@ -257,7 +257,7 @@
 // refuse answers without a body what goes no further.
 func (h *Handler) refuse(c *downstream.Client, id []byte, status int, why counters.ID, after time.Duration) {
 	h.in.Count(why)
-	c.Answer(func(b []byte, last bool) []byte { return answer.Refuse(b, status, "X-Attempt-Id", id, after, last) })
+	c.Answer(func(b []byte, last bool) []byte { return answer.StatusOnly(b, status, "X-Attempt-Id", id, after, last) })
 }
 
 // Left is told when the client of a request has gone away.
@@ -268,13 +268,13 @@
 
 // Once tells whether a request may run at most once; one whose client has gone goes nowhere any more.
 func (h *Handler) Once(who, txn slots.Ref) bool {
-	c := h.in.Waits(who, txn)
+	c := h.in.ClientOf(who, txn)
 	return c == nil || visitOf(c).Once
 }
 
-// Settle passes a backend's answer on.
-func (h *Handler) Settle(who, txn slots.Ref, o gate.Outcome) {
-	if c := h.in.Holds(who, txn); c != nil {
+// Complete passes a backend's answer on.
+func (h *Handler) Complete(who, txn slots.Ref, o gate.Outcome) {
+	if c := h.in.ClientToAnswer(who, txn); c != nil {
 		r, m := c.Request()
 		head := string(r.Method(m)) == "HEAD"
 		c.Answer(func(b []byte, last bool) []byte {
@@ -283,8 +283,8 @@
 	}
 }
 
-// Decline says that a request has not run and never will, and when it is best to come again.
-func (h *Handler) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
+// Reject says that a request has not run and never will, and when it is best to come again.
+func (h *Handler) Reject(who, txn slots.Ref, after time.Duration, why control.Reason) {
 	status := 503
 	if why == control.ReasonNoUnits {
 		status = 429
@@ -292,23 +292,23 @@
 	h.end(who, txn, status, after)
 }
 
-// Void makes no such promise.
-func (h *Handler) Void(who, txn slots.Ref, why control.Reason) {
+// Fail makes no such promise.
+func (h *Handler) Fail(who, txn slots.Ref, why control.Reason) {
 	status := 502
-	if c := h.in.Waits(who, txn); why == control.ReasonNoTime || c != nil && visitOf(c).expiry <= h.clock.Now() {
+	if c := h.in.ClientOf(who, txn); why == control.ReasonNoTime || c != nil && visitOf(c).expiry <= h.clock.Now() {
 		status = 504
 	}
 	h.end(who, txn, status, 0)
 }
 
 func (h *Handler) end(who, txn slots.Ref, status int, after time.Duration) {
-	c := h.in.Holds(who, txn)
+	c := h.in.ClientToAnswer(who, txn)
 	switch v := visitOf(c); {
 	case c == nil:
 	case v.wrong != nil:
-		c.Doubtful(v.wrong)
+		c.RejectUnreadable(v.wrong)
 	default:
 		id := []byte(h.in.ID(who, txn))
-		c.Answer(func(b []byte, last bool) []byte { return answer.Refuse(b, status, "X-Attempt-Id", id, after, last) })
+		c.Answer(func(b []byte, last bool) []byte { return answer.StatusOnly(b, status, "X-Attempt-Id", id, after, last) })
 	}
 }
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -122,8 +122,8 @@
 		func() bool { return false })
 	f := New(st.in, st.e, st.g, st.node)
 	must.True(t, f != nil)
-	st.g.Through(st.d, nil)
-	st.e.OnTurnEnd(st.g.Pull)
+	st.g.SetTransport(st.d, nil)
+	st.e.OnTurnEnd(st.g.RunDecisions)
 	must.NoError(t, st.e.Listen("127.0.0.1:0", st.in.Accept))
 	var err error
 	st.b, err = standin.NewScript()
@@ -278,7 +278,7 @@
 	}{
 		{"own failure", says("500 Oops", ""), "502 Bad Gateway", "500 Oops", counters.EndErrored},
 		{"own deadline", says("504 Late", ""), "502 Bad Gateway", "504 Late", counters.EndErrored},
-		{"own word", says("403 No", ""), "403 No", "403 No", counters.EndSettled},
+		{"own word", says("403 No", ""), "403 No", "403 No", counters.EndAnswered},
 		{"full", says("503 Full", "X-Not-Run: 1\r\n"), unavailable, unavailable, counters.EndFull},
 		{"busy", says("429 Full", "X-Not-Run: 1\r\n"), unavailable, unavailable, counters.EndFull},
 		{"another", says("421 Wrong", ""), unavailable, unavailable, counters.EndFull},
@@ -393,7 +393,7 @@
 
 func (l *later) Take(c *downstream.Client) {
 	t := c.Ticket()
-	c.Hold(0, "")
+	c.AwaitAnswer(0, "")
 	l.tickets <- t
 }
 func (l *later) Left(slots.Ref) {}
@@ -402,7 +402,7 @@
 	e := eventloop.New("", 256, 64<<10, 16<<20)
 	in := downstream.New(e, 10, downstream.Bounds{Body: 4 << 20}, func() bool { return false })
 	f := &later{in, make(chan downstream.Ticket, 10)}
-	in.Serves(f)
+	in.SetHandler(f)
 	must.NoError(t, e.Listen("127.0.0.1:0", (*eventloop.Link).CloseSoon))
 	must.NoError(t, e.Listen("127.0.0.1:0", in.Accept))
 	must.NoError(t, e.Start())
--- a/internal/gateway/ingress/words.go
+++ b/internal/gateway/ingress/words.go
@@ -79,7 +79,7 @@
 // AppendTo writes what goes on to a backend: method, target, body and end-to-end headers as they came, with
 // the backend's id, the tenant and what is left of the time.
 func (h *Handler) AppendTo(b []byte, who, txn slots.Ref, at control.BackendID, wait time.Duration) []byte {
-	c := h.in.Waits(who, txn)
+	c := h.in.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
 		return b
 	}
--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -178,7 +178,7 @@
 	if s, ok := n.table.Service(c.Record.Service); ok && s.MaxConns > 0 {
 		n.dispatcher.SetMaxConns(id, max(minConnsPerNode, s.MaxConns/max(n.slotCount, 1)))
 	}
-	n.gate.Listed(false, []control.Endpoint{{ID: id, Zone: n.catalog.zoneID(c.Record.Zone), State: state,
+	n.gate.EndpointsChanged(false, []control.Endpoint{{ID: id, Zone: n.catalog.zoneID(c.Record.Zone), State: state,
 		Capacity: float64(max(c.Record.Capacity, 1)), Service: n.catalog.serviceID(n.rollouts.serviceOf(c.Record)), WarmingUntil: c.SlowStartUntil}})
 	if state == control.Gone {
 		delete(n.catalog.backendNames, id)
--- a/internal/gateway/node/environment.go
+++ b/internal/gateway/node/environment.go
@@ -88,7 +88,7 @@
 
 // Datagrams carry the quota's datagrams between nodes.
 type Datagrams interface {
-	gate.Teller
+	gate.DatagramSender
 	// SetPeers gives the addresses by slot, and this node's slot.
 	SetPeers(addrs []netip.AddrPort, self int)
 }
--- a/internal/gateway/node/link_descriptors_test.go
+++ b/internal/gateway/node/link_descriptors_test.go
@@ -21,8 +21,8 @@
 		if c.disk {
 			s.disk = &diskWriter{}
 		}
-		whole := s.Room()
+		whole := s.FreeConnections()
 		s.reserveLinkFDs(c.nodes)
-		must.Eq(t, c.room, s.Room()+800-whole, must.Sprintf("%+v", c))
+		must.Eq(t, c.room, s.FreeConnections()+800-whole, must.Sprintf("%+v", c))
 	}
 }
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -195,7 +195,7 @@
 		return err
 	}
 	n.dispatcher, n.datagrams, n.frontend = path.Dispatcher, path.Datagrams, path.Frontend
-	n.gate.Through(n.dispatcher, n.datagrams)
+	n.gate.SetTransport(n.dispatcher, n.datagrams)
 	return nil
 }
 
@@ -231,7 +231,9 @@
 func (n *Node) StartTimers() { n.loop.At(n.loop.Now()+tickInterval, (*tickTimer)(n), 0) }
 
 // ReceiveDatagram takes a datagram of another node's quota.
-func (n *Node) ReceiveDatagram(from control.GatewayID, payload []byte) { n.gate.Heard(from, payload) }
+func (n *Node) ReceiveDatagram(from control.GatewayID, payload []byte) {
+	n.gate.DatagramReceived(from, payload)
+}
 
 // customerID is a tenant in the quota: the same at every node. Datagrams carry 34 bits of it.
 func customerID(tenant string) control.CustomerID {
--- a/internal/gateway/node/rollout_admission.go
+++ b/internal/gateway/node/rollout_admission.go
@@ -100,7 +100,7 @@
 func (r *requestSides) Assign(id control.TxnID, kind control.ProductID, service control.ServiceID) admission.Assignment {
 	n := (*Node)(r)
 	name := n.catalog.serviceNames[service]
-	user, tenant := n.frontend.User(n.gate.Asker(slots.Ref(id)), slots.Ref(id))
+	user, tenant := n.frontend.User(n.gate.Requester(slots.Ref(id)), slots.Ref(id))
 	scope := rollout.Scope{Tenant: tenant, Zone: n.settings.Zone}
 	if route := n.catalog.routesByProduct[kind]; route != nil {
 		scope.Route = route.Name
--- a/internal/gateway/node/shutdown.go
+++ b/internal/gateway/node/shutdown.go
@@ -22,7 +22,7 @@
 func (n *Node) BeginShutdown() {
 	n.shuttingDown = true
 	n.roster.AnnounceShutdown()
-	n.logInfo(nodePart).Int("in_flight", n.gate.Held()).Msg("shutdown begins")
+	n.logInfo(nodePart).Int("in_flight", n.gate.InFlight()).Msg("shutdown begins")
 	if n.core != nil {
 		n.core.replica.Tick(n.loop.Now())
 		n.core.replica.TransferLeadership()
@@ -41,7 +41,7 @@
 		return false
 	}
 	n.frontend.StopListening()
-	return replicated && n.gate.Held() == 0 && n.frontend.Clients() == 0
+	return replicated && n.gate.InFlight() == 0 && n.frontend.Clients() == 0
 }
 
 // replicatedElsewhere reports whether a majority without this member has what it knows as committed. If it leads still, or again, it hands
@@ -66,6 +66,6 @@
 	for over := false; !over && time.Since(began) < grace-shutdownMargin; time.Sleep(shutdownPollInterval) {
 		n.loop.Turn(func() { over = n.ContinueShutdown(time.Since(began)) })
 	}
-	n.loop.Turn(func() { n.logInfo(nodePart).Int("in_flight", n.gate.Held()).Msg("shutdown complete") })
+	n.loop.Turn(func() { n.logInfo(nodePart).Int("in_flight", n.gate.InFlight()).Msg("shutdown complete") })
 	time.Sleep(shutdownLinger)
 }
--- a/internal/gateway/node/sockets.go
+++ b/internal/gateway/node/sockets.go
@@ -41,7 +41,7 @@
 func newSockets(fds, memory int) *sockets {
 	s := &sockets{Engine: eventloop.New("", fds-minLinkFDs, maxConnBufferBytes, memory<<20/inboundMemoryDivisor), maxFDs: fds,
 		seed: int64(rand.Uint64() >> 1), incarnation: rand.Uint64()}
-	s.Engine.Silence(unackedTimeout)
+	s.Engine.SetUserTimeout(unackedTimeout)
 	return s
 }
 
@@ -75,7 +75,7 @@
 	if s.disk != nil {
 		links = max(links, nodes+spareLinkFDs)
 	}
-	s.Engine.Descriptors(max(s.maxFDs-links, s.maxFDs/minServingFDDivisor))
+	s.Engine.SetDescriptors(max(s.maxFDs-links, s.maxFDs/minServingFDDivisor))
 }
 
 // Disk opens the disk. One that can't be read counts as lost: it is emptied, and the other members add this node again.
@@ -111,14 +111,14 @@
 	s.frontend = downstream.New(s.Engine, max(1, (s.maxFDs-minLinkFDs)/clientFDDivisor), bounds, func() bool { return s.dispatcher.Evict(nil) })
 	handler := ingress.New(s.frontend, s.Engine, g, n)
 	s.control = downstream.New(s.Engine, maxControlConns, downstream.Bounds{Body: maxControlBodyBytes}, func() bool { return s.frontend.Evict() })
-	s.control.Serves(controlapi.New(s.control, n))
+	s.control.SetHandler(controlapi.New(s.control, n))
 	s.readiness = downstream.New(s.Engine, maxReadinessConns, downstream.Bounds{}, func() bool { return s.frontend.Evict() })
-	s.readiness.Serves(controlapi.New(s.readiness, n))
+	s.readiness.SetHandler(controlapi.New(s.readiness, n))
 	self := n.datagramAddr(n.peerAddr)
 	if s.peers, err = peers.New(s.Engine, self.String(), []netip.AddrPort{self}, 0, n.ReceiveDatagram); err != nil {
 		return path, err
 	}
-	s.Short(func() {
+	s.OnOutOfDescriptors(func() {
 		if !s.dispatcher.Evict(nil) {
 			s.frontend.Evict()
 		}
--- a/internal/gateway/node/status.go
+++ b/internal/gateway/node/status.go
@@ -18,7 +18,7 @@
 func (n *Node) Status() controlapi.NodeStatus {
 	why := n.unreadyReasons()
 	s := controlapi.NodeStatus{Node: n.settings.NodeName, Address: n.peerAddr, Zone: n.settings.Zone, Ready: len(why) == 0,
-		Unready: why, Generation: n.table.Version(), Applied: n.appliedIndex, Feeder: n.streamReceiver.upstream, Held: n.gate.Held(),
+		Unready: why, Generation: n.table.Version(), Applied: n.appliedIndex, Feeder: n.streamReceiver.upstream, Held: n.gate.InFlight(),
 		Clients: n.frontend.Clients(), Counters: n.counters.Text(), Nodes: n.statusNodes(),
 		Backends: []controlapi.StatusBackend{}}
 	if me := n.slot(); me != membership.NoSlot {
@@ -114,6 +114,6 @@
 	runtime.ReadMemStats(&m)
 	n.loop.Turn(func() {
 		n.logInfo(nodePart).Str("counters", n.counters.Text()).Uint64("heap_kb", m.HeapAlloc>>10).Uint64("memory_kb", m.Sys>>10).
-			Int("in_flight", n.gate.Held()).Int("clients", n.frontend.Clients()).Uint64("invariants_broken", invariant.Broken()).Msg("counters")
+			Int("in_flight", n.gate.InFlight()).Int("clients", n.frontend.Clients()).Uint64("invariants_broken", invariant.Broken()).Msg("counters")
 	})
 }
--- a/internal/gateway/node/turn.go
+++ b/internal/gateway/node/turn.go
@@ -11,7 +11,7 @@
 	}
 	n.handleRosterActions()
 	n.handleRegistryActions()
-	n.gate.Pull()
+	n.gate.RunDecisions()
 }
 
 // tickTimer is the one periodic timer of a node.
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -54,11 +54,11 @@
 	r.simple.Ended(ref, nr, at, o)
 }
 
-func (r *rogue) Listed(whole bool, list []control.Endpoint) {
+func (r *rogue) EndpointsChanged(whole bool, list []control.Endpoint) {
 	if r.kind == "drain" && !whole {
 		list = slices.DeleteFunc(slices.Clone(list), func(l control.Endpoint) bool { return l.State != control.Ready })
 	}
-	r.simple.Listed(whole, list)
+	r.simple.EndpointsChanged(whole, list)
 }
 
 func (r *rogue) choice(t *try) *backend {
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -200,7 +200,7 @@
 func (w *world) hear(c netfault.Copy) {
 	w.after(c.After, func() {
 		to := w.nodes[c.To]
-		to.turn(func() { to.brain.Heard(control.GatewayID(c.From), c.Payload) })
+		to.turn(func() { to.brain.DatagramReceived(control.GatewayID(c.From), c.Payload) })
 	})
 }
 
--- a/internal/lab/emulator/frontdoor.go
+++ b/internal/lab/emulator/frontdoor.go
@@ -18,11 +18,11 @@
 	Take(x control.Txn, front gate.Front, who slots.Ref) (slots.Ref, bool)
 	Left(ref slots.Ref)
 	Ended(ref slots.Ref, nr int, at control.BackendID, o gate.Outcome)
-	Listed(whole bool, list []control.Endpoint)
-	Heard(from control.GatewayID, payload []byte)
+	EndpointsChanged(whole bool, list []control.Endpoint)
+	DatagramReceived(from control.GatewayID, payload []byte)
 	Live(nr uint32) bool
 	Due(nr uint32)
-	Pull()
+	RunDecisions()
 }
 
 // held is a connection that rests.
@@ -55,7 +55,7 @@
 		panic(err) // probed before the run
 	}
 	g := gate.New(m, d, 1<<16, d.count, zap.NewNop())
-	g.Through(d, d)
+	g.SetTransport(d, d)
 	return g
 }
 
@@ -72,7 +72,7 @@
 			list = append(list, b.listing())
 		}
 	}
-	n.turn(func() { n.brain.Listed(true, list) })
+	n.turn(func() { n.brain.EndpointsChanged(true, list) })
 }
 
 // kill ends the process at once: what it holds is left to its clients.
@@ -109,7 +109,7 @@
 		return
 	}
 	do()
-	n.brain.Pull()
+	n.brain.RunDecisions()
 }
 
 // stall lets the process stand still for a while: what comes meanwhile waits.
@@ -144,7 +144,7 @@
 				n.told[l.ID] = n.w.now
 			}
 		}
-		n.brain.Listed(false, list)
+		n.brain.EndpointsChanged(false, list)
 	})
 }
 
@@ -167,8 +167,8 @@
 	})
 }
 
-// Tell sends a datagram: late, lost, or cut off.
-func (n *node) Tell(peer control.GatewayID, payload []byte) {
+// SendDatagram sends a datagram: late, lost, or cut off.
+func (n *node) SendDatagram(peer control.GatewayID, payload []byte) {
 	w := n.w
 	w.res.messages++
 	w.judge.said(n, payload)
@@ -189,18 +189,18 @@
 	return binary.LittleEndian.AppendUint32(b, uint32(who))
 }
 
-// Settle, Decline and Void are the final answers.
-func (n *node) Settle(who, _ slots.Ref, o gate.Outcome) {
+// Complete, Decline and Void are the final answers.
+func (n *node) Complete(who, _ slots.Ref, o gate.Outcome) {
 	n.w.clients.answer(n, who, control.Succeeded, 0, o.Body)
 }
 
-// Decline: trying again is harmless.
-func (n *node) Decline(who, _ slots.Ref, after time.Duration, _ control.Reason) {
+// Reject: trying again is harmless.
+func (n *node) Reject(who, _ slots.Ref, after time.Duration, _ control.Reason) {
 	n.w.clients.answer(n, who, control.Rejected, after, nil)
 }
 
-// Void makes no such promise.
-func (n *node) Void(who, _ slots.Ref, _ control.Reason) {
+// Fail makes no such promise.
+func (n *node) Fail(who, _ slots.Ref, _ control.Reason) {
 	n.w.clients.answer(n, who, control.Errored, 0, nil)
 }
 
--- a/internal/lab/emulator/policies.go
+++ b/internal/lab/emulator/policies.go
@@ -68,9 +68,9 @@
 	t.over = true
 	product := s.d.w.s.Products[t.x.Product]
 	if product.Judged().Safe() || !t.ran && !t.out {
-		s.d.Decline(t.who, ref, 0, control.ReasonNoBackend)
+		s.d.Reject(t.who, ref, 0, control.ReasonNoBackend)
 	} else {
-		s.d.Void(t.who, ref, control.ReasonNoBackend)
+		s.d.Fail(t.who, ref, control.ReasonNoBackend)
 	}
 }
 
@@ -144,7 +144,7 @@
 	case control.Succeeded:
 		if !t.over {
 			t.over = true
-			s.d.Settle(t.who, ref, o)
+			s.d.Complete(t.who, ref, o)
 		}
 	case control.Rejected, control.Unreachable, control.NotSent:
 		if s.seeing && t.nr < s.d.w.s.Limits.Submissions && !t.over {
@@ -161,7 +161,7 @@
 	}
 }
 
-func (s *simple) Listed(whole bool, list []control.Endpoint) {
+func (s *simple) EndpointsChanged(whole bool, list []control.Endpoint) {
 	if whole {
 		clear(s.state)
 		s.ready = s.ready[:0]
@@ -182,7 +182,7 @@
 	}
 }
 
-func (s *simple) Heard(control.GatewayID, []byte) {}
-func (s *simple) Live(uint32) bool                { return false }
-func (s *simple) Due(uint32)                      {}
-func (s *simple) Pull()                           {}
+func (s *simple) DatagramReceived(control.GatewayID, []byte) {}
+func (s *simple) Live(uint32) bool                           { return false }
+func (s *simple) Due(uint32)                                 {}
+func (s *simple) RunDecisions()                              {}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -293,7 +293,7 @@
 	return nil, ""
 }
 
-func (u *upstreams) Settle(who, txn slots.Ref, o gate.Outcome) {
+func (u *upstreams) Complete(who, txn slots.Ref, o gate.Outcome) {
 	t := u.of(who, txn)
 	switch {
 	case t == nil:
@@ -306,7 +306,7 @@
 	}
 }
 
-func (u *upstreams) Decline(who, txn slots.Ref, after time.Duration, why control.Reason) {
+func (u *upstreams) Reject(who, txn slots.Ref, after time.Duration, why control.Reason) {
 	status := 503
 	if why == control.ReasonNoUnits {
 		status = 429
@@ -316,7 +316,7 @@
 	}
 }
 
-func (u *upstreams) Void(who, txn slots.Ref, why control.Reason) {
+func (u *upstreams) Fail(who, txn slots.Ref, why control.Reason) {
 	t := u.of(who, txn)
 	if t == nil {
 		return
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -361,8 +361,8 @@
 	}
 }
 
-// Tell sends a datagram.
-func (d *datagrams) Tell(peer control.GatewayID, payload []byte) {
+// SendDatagram sends a datagram.
+func (d *datagrams) SendDatagram(peer control.GatewayID, payload []byte) {
 	p := d.p
 	if int(peer) >= len(d.all) || d.all[peer] == nil {
 		return
--- a/internal/proxy/answer/answer.go
+++ b/internal/proxy/answer/answer.go
@@ -7,8 +7,8 @@
 	"clovergap/internal/proxy/http1"
 )
 
-// Settle passes a backend's body on, unchanged.
-func Settle(b, body, kind []byte, last bool) []byte {
+// Success passes a backend's body on, unchanged.
+func Success(b, body, kind []byte, last bool) []byte {
 	b = http1.AppendStatus(b, 200)
 	if len(kind) > 0 {
 		b = http1.AppendHeader(b, "Content-Type", kind)
@@ -16,8 +16,8 @@
 	return append(end(b, len(body), last), body...)
 }
 
-// Decline says that coming again is harmless, best after some time (0: none is advised).
-func Decline(b []byte, after time.Duration, last bool) []byte {
+// Reject says that coming again is harmless, best after some time (0: none is advised).
+func Reject(b []byte, after time.Duration, last bool) []byte {
 	b = http1.AppendStatus(b, 429)
 	if after > 0 {
 		b = http1.AppendSeconds(b, "Retry-After", after)
@@ -25,12 +25,12 @@
 	return end(b, 0, last)
 }
 
-// Void makes no such promise: it may have run.
-func Void(b []byte, last bool) []byte { return end(http1.AppendStatus(b, 502), 0, last) }
+// Fail makes no such promise: it may have run.
+func Fail(b []byte, last bool) []byte { return end(http1.AppendStatus(b, 502), 0, last) }
 
-// Refuse gives a status alone, with the id that the request came with, best again after some time (0: none
+// StatusOnly gives a status alone, with the id that the request came with, best again after some time (0: none
 // is advised).
-func Refuse(b []byte, status int, name string, id []byte, after time.Duration, last bool) []byte {
+func StatusOnly(b []byte, status int, name string, id []byte, after time.Duration, last bool) []byte {
 	b = http1.AppendStatus(b, status)
 	b = http1.AppendHeader(b, name, id)
 	if after > 0 {
@@ -42,8 +42,8 @@
 	return end(b, 0, last)
 }
 
-// Whole gives a status and a body of a kind, best asked for again after some time (0: no advice).
-func Whole(b []byte, status int, kind string, body []byte, after time.Duration, last bool) []byte {
+// WithBody gives a status and a body of a kind, best asked for again after some time (0: no advice).
+func WithBody(b []byte, status int, kind string, body []byte, after time.Duration, last bool) []byte {
 	b = http1.AppendStatus(b, status)
 	if after > 0 {
 		b = http1.AppendSeconds(b, "Retry-After", after)
@@ -54,8 +54,8 @@
 	return append(end(b, len(body), last), body...)
 }
 
-// Bad tells in one line what is wrong with a request.
-func Bad(b []byte, status int, line string, last bool) []byte {
+// BadRequest tells in one line what is wrong with a request.
+func BadRequest(b []byte, status int, line string, last bool) []byte {
 	b = http1.AppendStatus(b, status)
 	if status == 405 {
 		b = append(b, "Allow: GET, POST\r\n"...)
--- a/internal/proxy/counters/counters.go
+++ b/internal/proxy/counters/counters.go
@@ -19,16 +19,16 @@
 	ClientsRefused
 	TxnsTaken
 	TxnsLeft
-	Settled
-	Declined
-	Voided
+	Answered
+	Rejected
+	Failed
 	GaveUpTime // for want of time, and so on, in the order of the module's reasons
 	GaveUpUnits
-	GaveUpView
+	GaveUpSnapshot
 	GaveUpSlots
-	GaveUpCeiling
+	GaveUpHardLimit
 	GaveUpBackends
-	Unheard // answers whose client had left
+	Undeliverable // answers whose client had left
 	BadRequest
 	BadPlan
 	BadProduct
@@ -46,7 +46,7 @@
 	Reused
 	Dials
 	DialsFailed
-	EndSettled
+	EndAnswered
 	EndErrored
 	EndFull
 	EndTimedOut
@@ -77,11 +77,11 @@
 	StepsStale
 	NoSuchKey
 	UnknownYet
-	CutShort
-	all
+	Truncated
+	count
 )
 
-var names = [all]string{"clients opened", "clients closed", "clients evicted", "clients stuck",
+var names = [count]string{"clients opened", "clients closed", "clients evicted", "clients stuck",
 	"clients idle", "clients refused", "txns taken", "txns left",
 	"settled", "declined", "voided", "gave up: time", "gave up: units", "gave up: view", "gave up: slots",
 	"gave up: ceiling", "gave up: backends", "answers unheard", "bad requests", "unknown plans", "unknown products",
@@ -97,7 +97,7 @@
 	"unknown keys", "not known yet", "answers cut short"}
 
 // Set is one front door's counters. One owner at a time counts.
-type Set [all]uint64
+type Set [count]uint64
 
 // Add counts one.
 func (s *Set) Add(id ID) { s[id]++ }
--- a/internal/proxy/downstream/flow.go
+++ b/internal/proxy/downstream/flow.go
@@ -5,45 +5,45 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// begins takes a message in parts that won't be held whole, once its head is there.
-func (c *Client) begins() bool {
-	size, headed := c.r.Headed()
-	if b := &c.in.bounds; !headed || b.Buffer <= 0 || c.in.streams == nil {
+// beginStreaming takes a message in parts that won't be held whole, once its head is there.
+func (c *Client) beginStreaming() bool {
+	size, headed := c.reader.Headed()
+	if b := &c.server.bounds; !headed || b.Buffer <= 0 || c.server.streams == nil {
 		return false
 	}
-	b := c.l.In.Linear()
-	if !c.asked {
-		c.asked = true
-		if v, _ := c.r.Get(b, "expect"); http1.Same(v, "100-continue") {
-			c.l.Send([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	b := c.link.Input.Linear()
+	if !c.continueSent {
+		c.continueSent = true
+		if v, _ := c.reader.Get(b, "expect"); http1.Same(v, "100-continue") {
+			c.link.Send([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 	}
-	length, _, chunked := c.r.Framed()
-	if length <= c.in.bounds.Buffer && (!chunked || c.r.Some() <= c.in.bounds.Buffer && !c.l.Full()) || c.l.IsClosed() {
+	length, _, chunked := c.reader.Framed()
+	if length <= c.server.bounds.Buffer && (!chunked || c.reader.Buffered() <= c.server.bounds.Buffer && !c.link.Full()) || c.link.IsClosed() {
 		return false
 	}
 	c.head = append(c.head[:0], b[:size]...)
-	c.r.Cut()
-	c.l.In.Drop(size)
-	c.l.In.Bound(streamRing)
-	c.l.In.Hold(true)
-	c.flows, c.busy, c.size, c.last = true, true, 0, c.r.Closes || c.in.draining || c.in.crowded()
-	c.in.handler.Take(c)
+	c.reader.StreamBody()
+	c.link.Input.Drop(size)
+	c.link.Input.Bound(streamRing)
+	c.link.Input.KeepMemory(true)
+	c.streaming, c.busy, c.size, c.last = true, true, 0, c.reader.Closes || c.server.draining || c.server.crowded()
+	c.server.handler.Take(c)
 	return true
 }
 
-// final makes the answer to a message whose body was not taken to its end the connection's last: nobody
+// closeIfBodyUnread makes the answer to a message whose body was not taken to its end the connection's last: nobody
 // knows where the next message would begin.
-func (c *Client) final() { c.last = c.last || c.flows && !c.r.Done() }
+func (c *Client) closeIfBodyUnread() { c.last = c.last || c.streaming && !c.reader.Done() }
 
-// unflow ends the taking in parts.
-func (c *Client) unflow() {
-	if !c.flows {
+// endStreaming ends the taking in parts.
+func (c *Client) endStreaming() {
+	if !c.streaming {
 		return
 	}
-	c.flows = false
-	c.l.In.Hold(false)
-	c.l.In.Bound(c.in.bounds.Raw)
+	c.streaming = false
+	c.link.Input.KeepMemory(false)
+	c.link.Input.Bound(c.server.bounds.Raw)
 	if cap(c.head) > leastHead {
 		c.head = nil
 	}
@@ -56,18 +56,18 @@
 func (c *Client) Txn() slots.Ref { return c.txn }
 
 // Flows tells whether the body is taken in parts.
-func (c *Client) Flows() bool { return c.flows }
+func (c *Client) Flows() bool { return c.streaming }
 
 // Part adds what has come of a body that is taken in parts. After an error nothing more of it can be told.
 func (c *Client) Part(b []byte) (out []byte, whole bool, err error) {
-	for !c.r.Done() && !c.l.IsClosed() {
-		if c.l.In.Len() == 0 {
+	for !c.reader.Done() && !c.link.IsClosed() {
+		if c.link.Input.Len() == 0 {
 			break
 		}
-		h := c.l.In.Head()
-		part, used, _, err := c.r.Part(h)
-		if err == nil && used == 0 && len(h) < c.l.In.Len() { // a chunk's mark across the ring's end
-			part, used, _, err = c.r.Part(c.l.In.Linear())
+		h := c.link.Input.Head()
+		part, used, _, err := c.reader.Part(h)
+		if err == nil && used == 0 && len(h) < c.link.Input.Len() { // a chunk's mark across the ring's end
+			part, used, _, err = c.reader.Part(c.link.Input.Linear())
 		}
 		if err != nil {
 			return b, false, err
@@ -76,33 +76,33 @@
 			break
 		}
 		b = append(b, part...)
-		c.l.In.Drop(used)
+		c.link.Input.Drop(used)
 	}
-	return b, c.r.Done(), nil
+	return b, c.reader.Done(), nil
 }
 
 // Resume reads on where the bytes that waited have filled their ring, after Part has taken some.
 func (c *Client) Resume() bool {
-	if !c.l.Full() || c.l.In.Room() == 0 {
+	if !c.link.Full() || c.link.Input.Available() == 0 {
 		return false
 	}
-	c.l.Resume()
+	c.link.Resume()
 	return true
 }
 
 // Begin writes what there is of an answer that comes in parts.
 func (c *Client) Begin(write func(b []byte, last bool) []byte) {
-	c.final()
-	c.in.scratch = write(c.in.scratch[:0], c.last)
+	c.closeIfBodyUnread()
+	c.server.scratch = write(c.server.scratch[:0], c.last)
 	c.answering = true
-	c.l.Send(c.in.scratch)
+	c.link.Send(c.server.scratch)
 }
 
-// Room is how many bytes more of such an answer its reader is ready for.
-func (c *Client) Room() int { return streamRing - c.l.Unwritten() }
+// Writable is how many bytes more of such an answer its reader is ready for.
+func (c *Client) Writable() int { return streamRing - c.link.Unwritten() }
 
 // Pass writes a part.
-func (c *Client) Pass(p []byte) { c.l.Send(p) }
+func (c *Client) Pass(p []byte) { c.link.Send(p) }
 
 // End writes the last part, or breaks the connection off where the answer is not whole: it must not look so.
 func (c *Client) End(whole bool, last []byte) {
@@ -111,5 +111,5 @@
 		c.close()
 		return
 	}
-	c.finish(append(c.in.scratch[:0], last...))
+	c.finish(append(c.server.scratch[:0], last...))
 }
--- a/internal/proxy/downstream/server_test.go
+++ b/internal/proxy/downstream/server_test.go
@@ -29,14 +29,14 @@
 // A node that stood still looks at its clients only after it has read what came meanwhile: half a request whose rest lies
 // unread is no client that keeps silent. Nobody waits: a due time of an hour ago is what a standstill leaves.
 func TestStandstillIsNotTheClients(t *testing.T) {
-	defer func() { unforgiving = false }()
+	defer func() { ignoreStall = false }()
 	for _, fault := range []bool{false, true} {
-		unforgiving = fault
+		ignoreStall = fault
 		e := eventloop.New("127.0.0.1:0", 256, 64<<10, 1<<20)
 		in := New(e, 10, Bounds{}, func() bool { return false })
-		in.Serves(greeter{})
+		in.SetHandler(greeter{})
 		begun := make(chan bool, 1)
-		e.Accepted(in.Accept)
+		e.OnAccept(in.Accept)
 		e.OnTurnEnd(func() {
 			in.clients.Each(func(_ slots.Ref, c *Client) {
 				if c.begun && len(begun) == 0 {
--- a/internal/proxy/downstream/txn.go
+++ b/internal/proxy/downstream/txn.go
@@ -27,15 +27,15 @@
 	kinds    []Product
 	plans    map[string]control.PlanID
 	gateways int
-	units    float64 // of a txn, at most
+	maxUnits float64 // of a txn, at most
 }
 
-// TxnTerms is what txns are held against.
-type TxnTerms struct {
-	Products  []Product
-	Plans     []string
-	Gateways  int     // that share the quotas
-	MostUnits float64 // of a txn
+// TxnConfig is what txns are held against.
+type TxnConfig struct {
+	Products []Product
+	Plans    []string
+	Gateways int     // that share the quotas
+	MaxUnits float64 // of a txn
 }
 
 // Product is a kind of txn.
@@ -46,9 +46,9 @@
 }
 
 // NewTxns has a server take txns, for a gate.
-func NewTxns(in *Server, g Gate, terms TxnTerms) *Txns {
+func NewTxns(in *Server, g Gate, terms TxnConfig) *Txns {
 	f := &Txns{Server: in, gate: g, products: map[string]control.ProductID{}, plans: map[string]control.PlanID{},
-		gateways: terms.Gateways, units: terms.MostUnits}
+		gateways: terms.Gateways, maxUnits: terms.MaxUnits}
 	for i, p := range terms.Products {
 		f.products[p.Name] = control.ProductID(i)
 		f.kinds = append(f.kinds, p)
@@ -56,7 +56,7 @@
 	for i, p := range terms.Plans {
 		f.plans[p] = control.PlanID(i)
 	}
-	in.Serves(f)
+	in.SetHandler(f)
 	return f
 }
 
@@ -74,7 +74,7 @@
 			c.Reject(405, counters.NoSuchMethod, "GET only")
 			return
 		}
-		t.e.Count.Add(counters.Ups)
+		t.engine.Count.Add(counters.Ups)
 		c.Answer(answer.Up)
 		return
 	case string(path) != "/api":
@@ -87,10 +87,10 @@
 	// Bytes behind a message that no message begins with show that its length was wrong: what went on would not be
 	// what the client meant.
 	if rest := c.Rest(); len(rest) > 0 && !http1.MayBegin(rest) {
-		c.Doubtful(http1.ErrFraming)
+		c.RejectUnreadable(http1.ErrFraming)
 		return
 	}
-	x, why, line := t.read(r, b)
+	x, why, line := t.parseTxn(r, b)
 	if line != "" {
 		c.Reject(400, why, line)
 		return
@@ -102,36 +102,36 @@
 	}
 	ref, ok := t.gate.Take(x, t, c.Who())
 	if !ok {
-		c.Answer(func(b []byte, last bool) []byte { return answer.Decline(b, 0, last) })
+		c.Answer(func(b []byte, last bool) []byte { return answer.Reject(b, 0, last) })
 		return
 	}
-	c.Hold(ref, c.id)
+	c.AwaitAnswer(ref, c.id)
 }
 
-// Settle gives the one answer to a txn, as Decline and Void do.
-func (t *Txns) Settle(who, txn slots.Ref, o gate.Outcome) {
-	if c := t.Holds(who, txn); c != nil {
+// Complete gives the one answer to a txn, as Decline and Void do.
+func (t *Txns) Complete(who, txn slots.Ref, o gate.Outcome) {
+	if c := t.ClientToAnswer(who, txn); c != nil {
 		kind, _ := o.Answer.Get(o.Bytes, "content-type")
-		c.Answer(func(b []byte, last bool) []byte { return answer.Settle(b, o.Body, kind, last) })
+		c.Answer(func(b []byte, last bool) []byte { return answer.Success(b, o.Body, kind, last) })
 	}
 }
 
-// Decline says that coming again is harmless.
-func (t *Txns) Decline(who, txn slots.Ref, after time.Duration, _ control.Reason) {
-	if c := t.Holds(who, txn); c != nil {
-		c.Answer(func(b []byte, last bool) []byte { return answer.Decline(b, after, last) })
+// Reject says that coming again is harmless.
+func (t *Txns) Reject(who, txn slots.Ref, after time.Duration, _ control.Reason) {
+	if c := t.ClientToAnswer(who, txn); c != nil {
+		c.Answer(func(b []byte, last bool) []byte { return answer.Reject(b, after, last) })
 	}
 }
 
-// Void makes no such promise.
-func (t *Txns) Void(who, txn slots.Ref, _ control.Reason) {
-	if c := t.Holds(who, txn); c != nil {
-		c.Answer(answer.Void)
+// Fail makes no such promise.
+func (t *Txns) Fail(who, txn slots.Ref, _ control.Reason) {
+	if c := t.ClientToAnswer(who, txn); c != nil {
+		c.Answer(answer.Fail)
 	}
 }
 
-// read makes a txn of a message's headers, or says in one line what is wrong with them.
-func (t *Txns) read(r *http1.Reader, b []byte) (x control.Txn, why counters.ID, line string) {
+// parseTxn makes a txn of a message's headers, or says in one line what is wrong with them.
+func (t *Txns) parseTxn(r *http1.Reader, b []byte) (x control.Txn, why counters.ID, line string) {
 	one := func(name string) []byte {
 		v, many := r.Get(b, name)
 		if (many || len(v) == 0) && line == "" {
@@ -148,14 +148,14 @@
 	if line != "" {
 		return x, why, line
 	}
-	span, ok := waits(wait)
+	span, ok := parseDeadline(wait)
 	if !ok {
 		return x, why, "req-deadline: a number and m or u"
 	}
 	// The client counts from when it sent. After a standstill the txn may have lain unread for all of it: taken as
 	// new, it would be answered past its expiry.
-	x.Expiry = t.e.Now() + max(span-t.e.InputDelay(), 0)
-	if x.Customer, ok = customer(cookie); !ok {
+	x.Expiry = t.engine.Now() + max(span-t.engine.InputDelay(), 0)
+	if x.Customer, ok = parseCustomer(cookie); !ok {
 		return x, why, "cookie: key is 16 hexadecimal digits below 2^33"
 	}
 	if x.Product, ok = t.products[string(kind)]; !ok {
@@ -173,7 +173,7 @@
 	if x.Plan, ok = t.plans[string(plan)]; !ok {
 		return x, counters.BadPlan, "x-plan: unknown"
 	}
-	if !t.quota(&x, quota) {
+	if !t.parseQuota(&x, quota) {
 		return x, counters.BadQuota, "x-quota: units, spread and first"
 	}
 	if v, _ := r.Get(b, "req-retry"); len(v) > 0 {
@@ -184,8 +184,8 @@
 	return x, why, ""
 }
 
-// waits reads a number followed by its unit.
-func waits(v []byte) (time.Duration, bool) {
+// parseDeadline reads a number followed by its unit.
+func parseDeadline(v []byte) (time.Duration, bool) {
 	unit := time.Duration(0)
 	switch v[len(v)-1] {
 	case 'm':
@@ -197,8 +197,8 @@
 	return min(time.Duration(n)*unit, time.Hour), ok && unit > 0 && n > 0
 }
 
-// customer reads the cookie that names one.
-func customer(cookie []byte) (control.CustomerID, bool) {
+// parseCustomer reads the cookie that names one.
+func parseCustomer(cookie []byte) (control.CustomerID, bool) {
 	found, id := false, 0
 	for len(cookie) > 0 {
 		var one []byte
@@ -222,8 +222,8 @@
 	return control.CustomerID(id), found && id < 1<<33
 }
 
-// quota reads what a txn weighs and which front doors its customer has.
-func (t *Txns) quota(x *control.Txn, v []byte) bool {
+// parseQuota reads what a txn weighs and which front doors its customer has.
+func (t *Txns) parseQuota(x *control.Txn, v []byte) bool {
 	seen := 0
 	for len(v) > 0 {
 		var one []byte
@@ -235,7 +235,7 @@
 		switch string(name) {
 		case "units":
 			u, err := strconv.ParseFloat(string(figure), 64)
-			if err != nil || !(u > 0 && u <= t.units) || seen&1 != 0 {
+			if err != nil || !(u > 0 && u <= t.maxUnits) || seen&1 != 0 {
 				return false
 			}
 			x.Units = u
@@ -261,7 +261,7 @@
 
 // AppendTo writes what goes on to a backend: method, target, body, id and key as they came.
 func (t *Txns) AppendTo(b []byte, who, txn slots.Ref, _ control.BackendID, wait time.Duration) []byte {
-	c := t.Waits(who, txn)
+	c := t.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
 		return b
 	}
--- a/internal/proxy/eventloop/dial.go
+++ b/internal/proxy/eventloop/dial.go
@@ -17,13 +17,13 @@
 // first four bytes of an address as Go keeps it, sixteen bytes, and so connects to 0.0.0.0.
 var dialer = net.Dialer{KeepAlive: -1}
 
-// Silence sets how long bytes that were sent on a dialed connection may stay without the other side's word
+// SetUserTimeout sets how long bytes that were sent on a dialed connection may stay without the other side's word
 // that they came, before the connection counts as broken: a machine without power, or behind a cut, says
 // nothing. 0: as the system has it.
-func (e *Engine) Silence(most time.Duration) { e.silence = most }
+func (e *Engine) SetUserTimeout(most time.Duration) { e.userTimeout = most }
 
-// silent sets that on a socket before it connects.
-func silent(most time.Duration) func(string, string, syscall.RawConn) error {
+// controlUserTimeout sets that on a socket before it connects.
+func controlUserTimeout(most time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var failed error
 		err := c.Control(func(fd uintptr) {
@@ -41,8 +41,8 @@
 	ctx, cancel := context.WithTimeout(noContext, limit)
 	l.cancel = cancel
 	d := dialer
-	if e.silence > 0 {
-		d.Control = silent(e.silence)
+	if e.userTimeout > 0 {
+		d.Control = controlUserTimeout(e.userTimeout)
 	}
 	go func() {
 		conn, err := d.DialContext(ctx, "tcp", addr)
@@ -56,7 +56,7 @@
 func (e *Engine) dialEnded(l *Link, conn net.Conn, err error, dialed func(ok bool)) {
 	var c *nbio.Conn
 	if err == nil {
-		c, err = e.numbers.adopt(conn)
+		c, err = e.descriptors.adopt(conn)
 	}
 	e.Turn(func() { e.dialed(l, c, err, dialed) })
 }
@@ -66,7 +66,7 @@
 		l.closed = true
 	}
 	if err == nil && !l.closed {
-		l.c, l.seen = c, e.numbers.let.Load()
+		l.conn, l.seen = c, e.descriptors.releases.Load()
 		c.SetSession(l)
 		if _, err = e.poll.AddConn(c); err != nil {
 			l.lost() // the poller tells of its end by itself
@@ -78,7 +78,7 @@
 	e.open--
 	if c != nil {
 		c.Close()
-		e.numbers.letGo(c.Hash(), true) // no batch ever knew it
+		e.descriptors.release(c.Hash(), true) // no batch ever knew it
 	}
 	if !l.closed {
 		l.closed = true
--- a/internal/proxy/eventloop/engine.go
+++ b/internal/proxy/eventloop/engine.go
@@ -23,69 +23,69 @@
 }
 
 type alarm struct {
-	to  Alarm
-	ref uint32
+	target Alarm
+	ref    uint32
 }
 
 // Engine runs the poller, the clock and the turns.
 type Engine struct {
-	mu      sync.Mutex
-	poll    *nbio.Engine
-	ears    []*ear // in the order of listening
-	born    time.Time
-	now     time.Duration
-	dues    timerqueue.Queue[alarm]
-	timer   int           // its descriptor
-	armed   time.Duration // 0: not
-	settled func()        // end of each turn: decisions are pulled
-	accept  func(*Link)
-	short   func() // descriptors ran out
-	silence time.Duration
-	open    int // connections, dials among them
-	most    int
-	bound   int
-	spare   int // bytes that all rings of what comes in may still grow by
-	inTurn  bool
-	polled  bool  // the poller's own turn: it closes nothing beside it
-	at      *Link // whose event that is
-	numbers numbers
-	stopped bool
-	stood   time.Duration // how long this front door last stood still
-	stoodAt time.Duration
-	Count   *counters.Set
+	mu               sync.Mutex
+	poll             *nbio.Engine
+	listeners        []*listener // in the order of listening
+	started          time.Time
+	now              time.Duration
+	alarms           timerqueue.Queue[alarm]
+	timer            int           // its descriptor
+	armed            time.Duration // 0: not
+	turnEnded        func()        // end of each turn: decisions are pulled
+	accept           func(*Link)
+	outOfDescriptors func() // descriptors ran out
+	userTimeout      time.Duration
+	open             int // connections, dials among them
+	maxConnections   int
+	maxRing          int
+	spare            int // bytes that all rings of what comes in may still grow by
+	inTurn           bool
+	polled           bool  // the poller's own turn: it closes nothing beside it
+	eventLink        *Link // whose event that is
+	descriptors      descriptorTable
+	stopped          bool
+	stallLength      time.Duration // how long this front door last stood still
+	stallEnd         time.Duration
+	Count            *counters.Set
 }
 
-// before is what the clock shows at the start: a backend may have started before this front door did.
-const before = time.Hour
+// clockStart is what the clock shows at the start: a backend may have started before this front door did.
+const clockStart = time.Hour
 
 // New makes an engine for at most so many descriptors, some of which are the program's own; a ring holds at
 // most bound bytes, and all that hold what comes in no more than spare beyond their least.
 func New(listen string, descriptors, bound, spare int) *Engine {
-	e := &Engine{born: time.Now(), now: before, most: descriptors - ownFiles, bound: bound, spare: spare,
-		Count: &counters.Set{}, settled: func() {}, accept: (*Link).CloseSoon, short: func() {},
-		numbers: numbers{held: map[int]uint64{}}}
+	e := &Engine{started: time.Now(), now: clockStart, maxConnections: descriptors - ownDescriptors, maxRing: bound, spare: spare,
+		Count: &counters.Set{}, turnEnded: func() {}, accept: (*Link).CloseSoon, outOfDescriptors: func() {},
+		descriptors: descriptorTable{released: map[int]uint64{}}}
 	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, max(descriptors, 1024)+1024)
 	next := 0 // the poller asks for its listeners once, in their order
 	e.poll = nbio.NewEngine(nbio.Config{Name: "clovergap", Network: "tcp", NPoller: 1, EpollMod: nbio.EPOLLET,
-		ReadBufferSize: 4 << 10, MaxWriteBufferSize: 2 * max(bound, chunk),
+		ReadBufferSize: 4 << 10, MaxWriteBufferSize: 2 * max(bound, writeChunk),
 		Listen: func(string, string) (net.Listener, error) {
-			a := e.ears[next]
+			a := e.listeners[next]
 			next++
 			return a, a.open()
 		}})
 	if listen != "" {
-		e.hear(listen, func(l *Link) { e.accept(l) })
+		e.addListener(listen, func(l *Link) { e.accept(l) })
 	}
 	e.poll.OnOpen(e.opened)
 	e.poll.OnRead(e.readable)
-	e.poll.OnClose(e.gone)
+	e.poll.OnClose(e.pollerClosed)
 	e.poll.OnWrittenSize(written)
 	e.poll.OnAcceptError(func(error) {
 		stopped := false
 		e.Turn(func() {
 			if stopped = e.stopped; !stopped {
 				e.Count.Add(counters.AcceptErrors)
-				e.short()
+				e.outOfDescriptors()
 			}
 		})
 		if stopped {
@@ -96,14 +96,14 @@
 	return e
 }
 
-// Accepted says who takes new clients.
-func (e *Engine) Accepted(f func(*Link)) { e.accept = f }
+// OnAccept says who takes new clients.
+func (e *Engine) OnAccept(f func(*Link)) { e.accept = f }
 
 // OnTurnEnd says who pulls decisions at the end of a turn.
-func (e *Engine) OnTurnEnd(f func()) { e.settled = f }
+func (e *Engine) OnTurnEnd(f func()) { e.turnEnded = f }
 
-// Short says who gives descriptors back when they run out.
-func (e *Engine) Short(f func()) { e.short = f }
+// OnOutOfDescriptors says who gives descriptors back when they run out.
+func (e *Engine) OnOutOfDescriptors(f func()) { e.outOfDescriptors = f }
 
 // Start begins to listen. It returns once the poller is at work: told to stop before that, it would miss the word.
 func (e *Engine) Start() (err error) {
@@ -137,7 +137,7 @@
 			syscall.Close(e.timer)
 		}
 		e.timer = 0
-		e.numbers.stop()
+		e.descriptors.stop()
 	})
 }
 
@@ -152,27 +152,27 @@
 	e.Count.Add(counters.Turns)
 	e.tick()
 	f()
-	e.settled()
-	e.arm()
+	e.turnEnded()
+	e.armTimer()
 	e.inTurn, e.polled = false, false
 }
 
 // tick brings the clock up to now. A due time long past says that this front door stood still: it was paused, or
 // got no CPU.
 func (e *Engine) tick() {
-	e.now = max(e.now, before+time.Since(e.born))
-	if at, ok := e.dues.Next(); ok && e.now-at > stoodLeast {
-		e.stood, e.stoodAt = e.now-at, e.now
+	e.now = max(e.now, clockStart+time.Since(e.started))
+	if at, ok := e.alarms.Next(); ok && e.now-at > minStall {
+		e.stallLength, e.stallEnd = e.now-at, e.now
 	}
 }
 
-// stoodLeast is more than the system's usual lateness; what is read within it after a standstill may have waited.
-const stoodLeast = 20 * time.Millisecond
+// minStall is more than the system's usual lateness; what is read within it after a standstill may have waited.
+const minStall = 20 * time.Millisecond
 
 // InputDelay is how long bytes that are read now may have lain in the socket, at the most that can be known.
 func (e *Engine) InputDelay() time.Duration {
-	if e.stood > 0 && e.now-e.stoodAt <= stoodLeast {
-		return e.stood
+	if e.stallLength > 0 && e.now-e.stallEnd <= minStall {
+		return e.stallLength
 	}
 	return 0
 }
@@ -182,41 +182,41 @@
 
 // Refresh brings the clock of this turn up to now. What is read from a socket in a turn may have been sent after the turn began, if
 // the process stood still between.
-func (e *Engine) Refresh() { e.now = max(e.now, before+time.Since(e.born)) }
+func (e *Engine) Refresh() { e.now = max(e.now, clockStart+time.Since(e.started)) }
 
 // AtUnix puts a Unix time on this clock; nought stands for what lies before it.
 func (e *Engine) AtUnix(at time.Time) time.Duration {
-	return max(0, before+at.Round(0).Sub(e.born.Round(0)))
+	return max(0, clockStart+at.Round(0).Sub(e.started.Round(0)))
 }
 
 // At asks to be told at a time.
-func (e *Engine) At(at time.Duration, to Alarm, ref uint32) { e.dues.Add(at, alarm{to, ref}) }
+func (e *Engine) At(at time.Duration, to Alarm, ref uint32) { e.alarms.Add(at, alarm{to, ref}) }
 
-// ring takes what is due.
-func (e *Engine) ring() {
+// runAlarms takes what is due.
+func (e *Engine) runAlarms() {
 	var times [8]byte
 	syscall.Read(e.timer, times[:])
 	e.armed = 0
 	for {
-		a, ok := e.dues.Take(e.now)
+		a, ok := e.alarms.Take(e.now)
 		if !ok {
 			return
 		}
-		a.to.Due(a.ref)
+		a.target.Due(a.ref)
 	}
 }
 
-// arm sets the one timer to the earliest due time that is still of interest: most submissions have long ended
+// armTimer sets the one timer to the earliest due time that is still of interest: most submissions have long ended
 // by their limit, and a turn for nothing costs as much as one for a txn.
-func (e *Engine) arm() {
+func (e *Engine) armTimer() {
 	for e.timer > 0 {
-		a, ok := e.dues.Peek()
+		a, ok := e.alarms.Peek()
 		if !ok {
 			return
 		}
-		at, _ := e.dues.Next()
-		if at > e.now && !a.to.Live(a.ref) {
-			e.dues.Take(at)
+		at, _ := e.alarms.Next()
+		if at > e.now && !a.target.Live(a.ref) {
+			e.alarms.Take(at)
 			continue
 		}
 		if at != e.armed {
@@ -227,11 +227,11 @@
 	}
 }
 
-// Room tells how many more connections may be opened.
-func (e *Engine) Room() int { return e.most - e.open }
+// FreeConnections tells how many more connections may be opened.
+func (e *Engine) FreeConnections() int { return e.maxConnections - e.open }
 
-// Descriptors changes how many there are, some of which are the program's own, for connections from now on. Those that are open stay.
-func (e *Engine) Descriptors(n int) { e.most = n - ownFiles }
+// SetDescriptors changes how many there are, some of which are the program's own, for connections from now on. Those that are open stay.
+func (e *Engine) SetDescriptors(n int) { e.maxConnections = n - ownDescriptors }
 
 // Open counts connections, dials among them.
 func (e *Engine) Open() int { return e.open }
@@ -240,4 +240,4 @@
 func (e *Engine) Addr() string { return e.AddrOf(0) }
 
 // AddrOf is one of the addresses listened on, in their order, as the system gave it.
-func (e *Engine) AddrOf(nr int) string { return e.ears[nr].Listener.Addr().String() }
+func (e *Engine) AddrOf(nr int) string { return e.listeners[nr].Listener.Addr().String() }
--- a/internal/proxy/eventloop/eventloop.go
+++ b/internal/proxy/eventloop/eventloop.go
@@ -18,10 +18,10 @@
 var noContext = context.Background()
 
 const (
-	ownFiles = 24 // listener, pollers, datagrams, standard files and some to spare
+	ownDescriptors = 24 // listener, pollers, datagrams, standard files and some to spare
 
-	leastRing = 1 << 10
-	chunk     = 64 << 10 // handed to the poller at once
+	minRing    = 1 << 10
+	writeChunk = 64 << 10 // handed to the poller at once
 )
 
 // Owner is told what happens on its connection.
@@ -33,15 +33,15 @@
 
 // Link is a connection: a ring a direction.
 type Link struct {
-	e     *Engine
-	c     *nbio.Conn
-	owner Owner
-	In    ringbuffer.Ring
-	out   ringbuffer.Ring
+	engine *Engine
+	conn   *nbio.Conn
+	owner  Owner
+	Input  ringbuffer.Ring
+	output ringbuffer.Ring
 
 	handed  atomic.Int64 // bytes given to the poller
 	written atomic.Int64 // of these, written to the socket
-	waits   atomic.Bool  // some are not yet
+	pending atomic.Bool  // some are not yet
 	trail   int          // a descriptor of its own for the socket, while it is to be read to its end; 0: none
 	over    bool         // the other side has ended, and what waits of its bytes is still to be taken
 	ended   bool         // the poller has closed its own
@@ -66,28 +66,28 @@
 )
 
 func (e *Engine) newLink() *Link {
-	return &Link{e: e, In: ringbuffer.New(leastRing, e.bound, &e.spare), out: ringbuffer.New(leastRing, 2*e.bound, nil)}
+	return &Link{engine: e, Input: ringbuffer.New(minRing, e.maxRing, &e.spare), output: ringbuffer.New(minRing, 2*e.maxRing, nil)}
 }
 
 // Bound changes how many bytes wait on it at the most: so many of what comes in, twice as many of what goes
 // out.
 func (l *Link) Bound(most int) {
-	l.In.Bound(most)
-	l.out.Bound(2 * most)
+	l.Input.Bound(most)
+	l.output.Bound(2 * most)
 }
 
 // Trail reads on to the end of what was sent though the other side has ended, as long as a stream of bytes
 // passes through: the poller closes at once, and what the ring had no room for would be lost. Trail(false)
 // tells whether the other side is still there.
 func (l *Link) Trail(on bool) bool {
-	l.In.Hold(on)
+	l.Input.KeepMemory(on)
 	if !on {
 		l.untrail()
 		return !l.ended && !l.closed
 	}
 	if fd, ok := l.copied(); ok && !l.closed {
 		l.trail, l.trailed = fd, true
-		l.e.open++
+		l.engine.open++
 	}
 	return true
 }
@@ -95,13 +95,13 @@
 // alive tells whether the poller has not closed its own yet. What it closed it tells of in a turn to come, and the descriptor
 // may be another connection's before that.
 func (l *Link) alive() bool {
-	_, err := l.c.Write(nil)
-	return err == nil || bareNumbers
+	_, err := l.conn.Write(nil)
+	return err == nil || skipAliveCheck
 }
 
 // copied gives a descriptor of its own for the socket. One that was alive after the copy was made was so before it.
 func (l *Link) copied() (fd int, ok bool) {
-	fd, err := unix.FcntlInt(uintptr(l.c.Hash()), unix.F_DUPFD_CLOEXEC, 0)
+	fd, err := unix.FcntlInt(uintptr(l.conn.Hash()), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return 0, false
 	}
@@ -114,9 +114,9 @@
 
 // raw does something with the socket, if it is still this connection's. In a turn of the poller nothing else closes it.
 func (l *Link) raw(do func(fd int)) {
-	if l.e.polled {
+	if l.engine.polled {
 		if l.alive() {
-			do(l.c.Hash())
+			do(l.conn.Hash())
 		}
 		return
 	}
@@ -126,21 +126,21 @@
 	}
 }
 
-// bareNumbers takes the defence out; only a test sets it.
-var bareNumbers bool
+// skipAliveCheck takes the defence out; only a test sets it.
+var skipAliveCheck bool
 
 func (l *Link) untrail() {
 	if l.trail > 0 {
 		syscall.Close(l.trail)
 		l.trail = 0
-		l.e.open--
+		l.engine.open--
 	}
 }
 
 // recv reads from the socket.
 func (l *Link) recv(p []byte) (int, error) {
 	if !l.ended {
-		n, err := l.c.Read(p)
+		n, err := l.conn.Read(p)
 		if l.trail == 0 || !errors.Is(err, net.ErrClosed) {
 			return n, err
 		}
@@ -153,8 +153,8 @@
 	return n, err
 }
 
-// Own says who is told of this connection.
-func (l *Link) Own(o Owner) { l.owner = o }
+// SetOwner says who is told of this connection.
+func (l *Link) SetOwner(o Owner) { l.owner = o }
 
 func (e *Engine) opened(c *nbio.Conn) {
 	if c.Session() != nil {
@@ -162,11 +162,11 @@
 	}
 	e.Turn(func() {
 		l := e.newLink()
-		l.c, l.seen = c, e.numbers.let.Load()
+		l.conn, l.seen = c, e.descriptors.releases.Load()
 		l.listing.Store(listing)
 		c.SetSession(l)
 		e.open++
-		e.came(c)(l)
+		e.acceptorOf(c)(l)
 	})
 }
 
@@ -176,7 +176,7 @@
 		e.turn(true, s.event)
 	case *watched:
 		e.turn(true, func() {
-			e.numbers.seen(&s.seen)
+			e.descriptors.seen(&s.seen)
 			s.readable()
 		})
 	}
@@ -184,29 +184,29 @@
 
 // event: something has come, or the end.
 func (l *Link) event() {
-	l.e.numbers.seen(&l.seen)
-	l.e.at = l
+	l.engine.descriptors.seen(&l.seen)
+	l.engine.eventLink = l
 	l.read()
-	l.e.at = nil
+	l.engine.eventLink = nil
 }
 
 // added: the poller watches it.
 func (l *Link) added() {
 	if !l.listing.CompareAndSwap(listing, listed) {
-		l.c.Close()
-		l.e.numbers.letGo(l.c.Hash(), false)
+		l.conn.Close()
+		l.engine.descriptors.release(l.conn.Hash(), false)
 	}
 }
 
 // shut closes the poller's connection. The link is closed by then, and its trail.
 func (l *Link) shut() {
 	switch {
-	case l.c == nil:
+	case l.conn == nil:
 	case l.listing.CompareAndSwap(listing, closedEarly):
 		l.raw(func(fd int) { syscall.Shutdown(fd, syscall.SHUT_RDWR) })
 	default:
-		l.c.Close()
-		l.e.numbers.letGo(l.c.Hash(), l.e.at == l && !l.trailed)
+		l.conn.Close()
+		l.engine.descriptors.release(l.conn.Hash(), l.engine.eventLink == l && !l.trailed)
 	}
 }
 
@@ -217,7 +217,7 @@
 func (l *Link) read() {
 	shown := 0
 	for got := false; !l.closed && l.dropped < dropMost; {
-		free := l.In.Free()
+		free := l.Input.Free()
 		if l.more = free == nil; l.more { // the ring's bound: the rest waits in the socket
 			l.show(got)
 			return
@@ -228,10 +228,10 @@
 				l.dropped += n
 				continue
 			}
-			l.In.Took(n)
-			if got = true; l.In.Len()-shown >= showEvery {
+			l.Input.Filled(n)
+			if got = true; l.Input.Len()-shown >= showEvery {
 				l.show(true) // a message that can't be taken is found out before it has filled the ring
-				shown = l.In.Len()
+				shown = l.Input.Len()
 			}
 			if n == len(free) {
 				continue
@@ -259,7 +259,7 @@
 // end: no more comes. What has come and is still to be taken along a trail is waited for, as if the ring
 // were full.
 func (l *Link) end() {
-	if l.trail > 0 && l.In.Len() > 0 && !l.closed {
+	if l.trail > 0 && l.Input.Len() > 0 && !l.closed {
 		l.more, l.over = true, true
 		return
 	}
@@ -285,13 +285,13 @@
 		return false
 	}
 	if l.Unwritten() == 0 { // the usual: nothing waits, and the ring is not needed
-		n := min(len(p), chunk)
+		n := min(len(p), writeChunk)
 		if !l.hand(p[:n]) {
 			return false
 		}
 		p = p[n:]
 	}
-	if !l.out.Append(p) {
+	if !l.output.Append(p) {
 		l.lost()
 		return false
 	}
@@ -305,7 +305,7 @@
 		return true
 	}
 	l.handed.Add(int64(len(p)))
-	if n, err := l.c.Write(p); err != nil || n < 0 {
+	if n, err := l.conn.Write(p); err != nil || n < 0 {
 		l.unsent = len(p)
 		l.handed.Add(-int64(len(p)))
 		l.lost()
@@ -316,11 +316,11 @@
 
 // pump hands bytes to the poller, a chunk at a time, so that its own queue never holds more than one.
 func (l *Link) pump() {
-	l.waits.Store(false)
-	for !l.closed && l.out.Len() > 0 && l.written.Load() == l.handed.Load() {
-		head := l.out.Head()
-		head = head[:min(len(head), chunk)]
-		l.out.Drop(len(head)) // before it is handed over: what an error keeps back is counted apart
+	l.pending.Store(false)
+	for !l.closed && l.output.Len() > 0 && l.written.Load() == l.handed.Load() {
+		head := l.output.Head()
+		head = head[:min(len(head), writeChunk)]
+		l.output.Drop(len(head)) // before it is handed over: what an error keeps back is counted apart
 		if !l.hand(head) {
 			return
 		}
@@ -329,10 +329,10 @@
 		return
 	}
 	if l.written.Load() != l.handed.Load() {
-		if l.waits.Store(true); l.written.Load() != l.handed.Load() {
+		if l.pending.Store(true); l.written.Load() != l.handed.Load() {
 			return
 		}
-		if !l.waits.CompareAndSwap(true, false) {
+		if !l.pending.CompareAndSwap(true, false) {
 			return // told by written
 		}
 		l.pump()
@@ -352,24 +352,26 @@
 	if l == nil {
 		return
 	}
-	if l.written.Add(int64(n)) == l.handed.Load() && l.waits.CompareAndSwap(true, false) {
-		go l.e.Turn(l.pump)
+	if l.written.Add(int64(n)) == l.handed.Load() && l.pending.CompareAndSwap(true, false) {
+		go l.engine.Turn(l.pump)
 	}
 }
 
 // Unwritten counts bytes given to Send that are not yet written to the socket: nought means the last byte is.
-func (l *Link) Unwritten() int { return l.out.Len() + l.unsent + int(l.handed.Load()-l.written.Load()) }
+func (l *Link) Unwritten() int {
+	return l.output.Len() + l.unsent + int(l.handed.Load()-l.written.Load())
+}
 
 // Written counts bytes that were written to the socket, ever. It stays once the link is closed.
 func (l *Link) Written() int64 { return l.written.Load() }
 
 // Clean tells whether an idle connection may carry a submission: open, with nothing come unasked.
 func (l *Link) Clean() bool {
-	if l.closed || l.closing || l.c == nil || l.In.Len() > 0 || l.Unwritten() > 0 || !l.alive() {
+	if l.closed || l.closing || l.conn == nil || l.Input.Len() > 0 || l.Unwritten() > 0 || !l.alive() {
 		return false
 	}
 	var b [1]byte
-	_, _, err := syscall.Recvfrom(l.c.Hash(), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	_, _, err := syscall.Recvfrom(l.conn.Hash(), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
@@ -379,7 +381,7 @@
 // Reset ends the connection at once and takes back what its other side has not yet: behind a cut, bytes that were given to the
 // socket wait there, and would arrive long after they were given up. Covers cuts and slow links; it costs nothing else.
 func (l *Link) Reset() {
-	if !l.closed && l.c != nil {
+	if !l.closed && l.conn != nil {
 		l.raw(func(fd int) {
 			syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 		})
@@ -394,8 +396,8 @@
 	}
 	l.closed = true
 	l.untrail()
-	l.In.Release()
-	l.out.Release()
+	l.Input.Release()
+	l.output.Release()
 	if l.cancel != nil {
 		l.cancel()
 	}
@@ -412,12 +414,12 @@
 		l.last()
 		return
 	}
-	l.e.At(l.e.now+unreadFor, l, 0)
+	l.engine.At(l.engine.now+unreadFor, l, 0)
 }
 
 // CloseSoon is for a connection that has just been accepted and is not wanted: whoever dials again at once is held up a
 // moment.
-func (l *Link) CloseSoon() { l.e.At(l.e.now+refuseIn, l, 0) }
+func (l *Link) CloseSoon() { l.engine.At(l.engine.now+refuseIn, l, 0) }
 
 const refuseIn = 50 * time.Millisecond
 
@@ -438,12 +440,12 @@
 	}
 	l.linger, l.owner, l.more = true, nil, false
 	l.raw(func(fd int) { syscall.Shutdown(fd, syscall.SHUT_WR) })
-	l.In.Drop(l.In.Len())
+	l.Input.Drop(l.Input.Len())
 	wait := lingerFor
-	if l.e.Room() < l.e.most/4 {
+	if l.engine.FreeConnections() < l.engine.maxConnections/4 {
 		wait = lingerShort
 	}
-	l.e.At(l.e.now+wait, l, 0)
+	l.engine.At(l.engine.now+wait, l, 0)
 	l.read()
 }
 
@@ -464,11 +466,11 @@
 	if l.owner != nil {
 		l.owner.Closed()
 	}
-	l.In.Release()
-	l.out.Release()
+	l.Input.Release()
+	l.output.Release()
 }
 
-func (e *Engine) gone(c *nbio.Conn, _ error) {
+func (e *Engine) pollerClosed(c *nbio.Conn, _ error) {
 	go e.Turn(func() { // apart: the poller would swallow a panic here
 		e.open--
 		invariant.That(e.open >= 0, "no more connections close than were opened")
--- a/internal/proxy/eventloop/eventloop_test.go
+++ b/internal/proxy/eventloop/eventloop_test.go
@@ -23,11 +23,11 @@
 			l.CloseSoon()
 		}
 	}
-	e.Accepted(take(0))
+	e.OnAccept(take(0))
 	must.NoError(t, e.Listen("127.0.0.1:0", take(1)))
 	must.NoError(t, e.Listen("127.0.0.2:0", take(2)))
 	must.Error(t, e.Listen(e.AddrOf(1), take(3)))
-	e.ears, e.poll.Addrs = e.ears[:3], e.poll.Addrs[:3]
+	e.listeners, e.poll.Addrs = e.listeners[:3], e.poll.Addrs[:3]
 	must.NoError(t, e.Start())
 	defer e.Stop()
 	for nr := range 3 {
@@ -36,15 +36,15 @@
 		defer c.Close()
 		must.Eq(t, nr, <-came)
 	}
-	e.Turn(func() { e.DeafenAt(1) })
+	e.Turn(func() { e.StopListeningAt(1) })
 	_, err := net.Dial("tcp", e.AddrOf(1))
 	must.ErrorIs(t, err, syscall.ECONNREFUSED)
-	e.Silence(3 * time.Second)
+	e.SetUserTimeout(3 * time.Second)
 	up := make(chan int)
 	e.Turn(func() {
 		var l *Link
 		l = e.Dial(e.AddrOf(2), time.Second, func(bool) {
-			ms, _ := unix.GetsockoptInt(l.c.Hash(), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+			ms, _ := unix.GetsockoptInt(l.conn.Hash(), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 			go func() { up <- ms }()
 		})
 	})
--- a/internal/proxy/eventloop/listen.go
+++ b/internal/proxy/eventloop/listen.go
@@ -7,23 +7,23 @@
 	"github.com/lesismal/nbio"
 )
 
-// ear is one address that is listened on. Once deaf it keeps its acceptor waiting until the end: the poller
+// listener is one address that is listened on. Once deaf it keeps its acceptor waiting until the end: the poller
 // would else ask it for connections without end.
-type ear struct {
+type listener struct {
 	net.Listener
-	e      *Engine
-	last   *nbio.Conn // the last one that was accepted
-	addr   string
-	accept func(*Link)
-	deaf   atomic.Bool
-	over   chan struct{}
-	closed atomic.Bool
+	engine  *Engine
+	last    *nbio.Conn // the last one that was accepted
+	addr    string
+	accept  func(*Link)
+	stopped atomic.Bool
+	over    chan struct{}
+	closed  atomic.Bool
 }
 
-// hear adds an address; its socket is opened by Listen, or when the engine starts.
-func (e *Engine) hear(addr string, accept func(*Link)) *ear {
-	a := &ear{e: e, addr: addr, accept: accept, over: make(chan struct{})}
-	e.ears = append(e.ears, a)
+// addListener adds an address; its socket is opened by Listen, or when the engine starts.
+func (e *Engine) addListener(addr string, accept func(*Link)) *listener {
+	a := &listener{engine: e, addr: addr, accept: accept, over: make(chan struct{})}
+	e.listeners = append(e.listeners, a)
 	e.poll.Addrs = append(e.poll.Addrs, addr)
 	return a
 }
@@ -31,70 +31,70 @@
 // Listen listens on one more address, whose connections go to accept, each in a turn. It is called before
 // Start, and fails as a socket does that can't be bound.
 func (e *Engine) Listen(addr string, accept func(*Link)) error {
-	return e.hear(addr, accept).open()
+	return e.addListener(addr, accept).open()
 }
 
-func (e *ear) open() (err error) {
-	if e.Listener == nil {
-		e.Listener, err = (&net.ListenConfig{KeepAlive: -1}).Listen(noContext, "tcp", e.addr)
+func (l *listener) open() (err error) {
+	if l.Listener == nil {
+		l.Listener, err = (&net.ListenConfig{KeepAlive: -1}).Listen(noContext, "tcp", l.addr)
 	}
 	return err
 }
 
 // Accept is the poller's. When it asks for the next one, it has the last one among those that it watches.
-func (e *ear) Accept() (net.Conn, error) {
-	if e.last != nil {
-		if l, ok := e.last.Session().(*Link); ok {
-			l.added()
+func (l *listener) Accept() (net.Conn, error) {
+	if l.last != nil {
+		if link, ok := l.last.Session().(*Link); ok {
+			link.added()
 		}
-		e.last = nil
+		l.last = nil
 	}
-	conn, err := e.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
-		if e.deaf.Load() {
-			<-e.over
+		if l.stopped.Load() {
+			<-l.over
 		}
 		return nil, err
 	}
-	c, err := e.e.numbers.adopt(conn)
+	c, err := l.engine.descriptors.adopt(conn)
 	if err != nil {
 		return nil, err
 	}
-	e.last = c
+	l.last = c
 	return c, nil
 }
 
 // Close is the poller's, at the end.
-func (e *ear) Close() error {
-	if e.closed.Swap(true) {
+func (l *listener) Close() error {
+	if l.closed.Swap(true) {
 		return nil
 	}
-	close(e.over)
-	return e.Listener.Close()
+	close(l.over)
+	return l.Listener.Close()
 }
 
 // StopListening takes no new connections from now on, anywhere: they are refused.
 func (e *Engine) StopListening() {
-	for nr := range e.ears {
-		e.DeafenAt(nr)
+	for nr := range e.listeners {
+		e.StopListeningAt(nr)
 	}
 }
 
-// DeafenAt does so at one of the addresses, in the order of listening.
-func (e *Engine) DeafenAt(nr int) {
-	if a := e.ears[nr]; !a.deaf.Swap(true) {
+// StopListeningAt does so at one of the addresses, in the order of listening.
+func (e *Engine) StopListeningAt(nr int) {
+	if a := e.listeners[nr]; !a.stopped.Swap(true) {
 		a.Listener.Close()
 	}
 }
 
-// came finds who takes a new connection: by its port, and by its address where two have the same port.
-func (e *Engine) came(c *nbio.Conn) func(*Link) {
-	if len(e.ears) == 1 {
-		return e.ears[0].accept
+// acceptorOf finds who takes a new connection: by its port, and by its address where two have the same port.
+func (e *Engine) acceptorOf(c *nbio.Conn) func(*Link) {
+	if len(e.listeners) == 1 {
+		return e.listeners[0].accept
 	}
 	at, _ := c.LocalAddr().(*net.TCPAddr)
-	var found *ear
-	for _, a := range e.ears {
+	var found *listener
+	for _, a := range e.listeners {
 		if its, _ := a.Listener.Addr().(*net.TCPAddr); at != nil && its != nil && its.Port == at.Port &&
 			(found == nil || its.IP.Equal(at.IP)) {
 			found = a
--- a/internal/proxy/eventloop/numbers_test.go
+++ b/internal/proxy/eventloop/numbers_test.go
@@ -20,13 +20,13 @@
 	closed bool
 }
 
-func (s *said) Data()   { s.came <- string(s.l.In.Linear()); s.l.In.Drop(s.l.In.Len()) }
+func (s *said) Data()   { s.came <- string(s.l.Input.Linear()); s.l.Input.Drop(s.l.Input.Len()) }
 func (s *said) Sent()   {}
 func (s *said) Closed() { s.closed = true }
 
 func own(l *Link) *said {
 	s := &said{l: l, came: make(chan string, 10)}
-	l.Own(s)
+	l.SetOwner(s)
 	return s
 }
 
@@ -50,7 +50,7 @@
 		reuseAtOnce = fault
 		e := New("127.0.0.1:0", 256, 64<<10, 1<<20)
 		links := make(chan *Link, 3)
-		e.Accepted(func(l *Link) { own(l); links <- l })
+		e.OnAccept(func(l *Link) { own(l); links <- l })
 		var hook atomic.Value
 		hook.Store(e.readable)
 		e.poll.OnRead(func(c *nbio.Conn) { hook.Load().(func(*nbio.Conn))(c) })
@@ -76,15 +76,15 @@
 		step, barrier, late := 0, make(chan bool, 1), make(chan *said, 2)
 		hook.Store(func(c *nbio.Conn) {
 			switch {
-			case c == l[0].c && step == 0:
+			case c == l[0].conn && step == 0:
 				step = 1
 				clients[1].Write([]byte("x")) // both in the next batch, in this order
 				clients[2].Close()
-			case c == l[0].c:
+			case c == l[0].conn:
 				barrier <- true
-			case c == l[1].c && step == 1:
+			case c == l[1].conn && step == 1:
 				step = 2
-				plugBelow(t, l[2].c.Hash())
+				plugBelow(t, l[2].conn.Hash())
 				e.Turn(func() { l[2].Close() })
 				peer.Write([]byte("hello"))
 				n := e.newLink()
@@ -94,7 +94,7 @@
 					late <- s
 					late <- s
 				})
-				must.Eq(t, fault, n.c.Hash() == l[2].c.Hash())
+				must.Eq(t, fault, n.conn.Hash() == l[2].conn.Hash())
 			}
 			e.readable(c)
 		})
@@ -120,10 +120,10 @@
 func TestDescriptorOfFormerLife(t *testing.T) {
 	e := New("127.0.0.1:0", 256, 64<<10, 1<<20)
 	links := make(chan *Link, 1)
-	e.Accepted(func(l *Link) { own(l); links <- l })
+	e.OnAccept(func(l *Link) { own(l); links <- l })
 	must.NoError(t, e.Start())
 	defer e.Stop()
-	defer func() { bareNumbers = false }()
+	defer func() { skipAliveCheck = false }()
 	acts := []struct {
 		act  func(l *Link)
 		hurt func(l *Link, pair [2]int) bool
@@ -145,7 +145,7 @@
 	for _, fault := range []bool{false, true} {
 		for nr, a := range acts {
 			for _, polled := range []bool{false, true} {
-				bareNumbers = fault
+				skipAliveCheck = fault
 				c, err := net.Dial("tcp", e.Addr())
 				must.NoError(t, err)
 				l := <-links
@@ -154,12 +154,12 @@
 				syscall.Write(pair[1], []byte("another's"))
 				e.Turn(func() {
 					e.polled = polled
-					l.c.Close() // as the poller does; its word waits for its turn
-					must.NoError(t, syscall.Dup3(pair[0], l.c.Hash(), 0))
+					l.conn.Close() // as the poller does; its word waits for its turn
+					must.NoError(t, syscall.Dup3(pair[0], l.conn.Hash(), 0))
 					a.act(l)
 					must.Eq(t, fault, a.hurt(l, pair), must.Sprint(nr, polled))
 					l.Close()
-					syscall.Close(l.c.Hash())
+					syscall.Close(l.conn.Hash())
 				})
 				for _, fd := range pair {
 					syscall.Close(fd)
@@ -175,7 +175,7 @@
 func TestClosedBeforeWatched(t *testing.T) {
 	e := New("127.0.0.1:0", 256, 64<<10, 1<<20)
 	links := make(chan *Link, 1)
-	e.Accepted(func(l *Link) { l.Close(); links <- l })
+	e.OnAccept(func(l *Link) { l.Close(); links <- l })
 	must.NoError(t, e.Start())
 	defer e.Stop()
 	var last *Link
--- a/internal/proxy/eventloop/watch.go
+++ b/internal/proxy/eventloop/watch.go
@@ -14,36 +14,38 @@
 // watched is a descriptor that is no connection, yet hangs on the poller: datagrams and the timer. Waiting for
 // them in goroutines of their own cost more CPU than all reads and writes of txns together.
 type watched struct {
-	fd       int
-	readable func() // in a turn; it takes all that has come
-	seen     uint64 // see numbers
+	descriptor int
+	readable   func() // in a turn; it takes all that has come
+	seen       uint64 // see numbers
 }
 
-// bare lends a descriptor to the poller, which asks for a connection of the standard library, keeps a copy of
+// descriptorConn lends a descriptor to the poller, which asks for a connection of the standard library, keeps a copy of
 // its descriptor and closes it.
-type bare struct {
+type descriptorConn struct {
 	net.Conn
-	fd int
+	descriptor int
 }
 
-func (b bare) SyscallConn() (syscall.RawConn, error) { return lent{b.fd}, nil }
-func (b bare) LocalAddr() net.Addr                   { return nil }
-func (b bare) RemoteAddr() net.Addr                  { return nil }
-func (b bare) Close() error                          { return syscall.Close(b.fd) }
+func (d descriptorConn) SyscallConn() (syscall.RawConn, error) {
+	return rawDescriptor{d.descriptor}, nil
+}
+func (d descriptorConn) LocalAddr() net.Addr  { return nil }
+func (d descriptorConn) RemoteAddr() net.Addr { return nil }
+func (d descriptorConn) Close() error         { return syscall.Close(d.descriptor) }
 
-type lent struct{ fd int }
+type rawDescriptor struct{ descriptor int }
 
-func (l lent) Control(f func(uintptr)) error  { f(uintptr(l.fd)); return nil }
-func (l lent) Read(func(uintptr) bool) error  { return syscall.EINVAL }
-func (l lent) Write(func(uintptr) bool) error { return syscall.EINVAL }
+func (r rawDescriptor) Control(f func(uintptr)) error  { f(uintptr(r.descriptor)); return nil }
+func (r rawDescriptor) Read(func(uintptr) bool) error  { return syscall.EINVAL }
+func (r rawDescriptor) Write(func(uintptr) bool) error { return syscall.EINVAL }
 
 // Watch hangs a descriptor on the poller, which is given away by it, and gives the one to use from now on.
 func (e *Engine) Watch(fd int, readable func()) (int, error) {
-	c, err := nbio.NBConn(bare{fd: fd})
+	c, err := nbio.NBConn(descriptorConn{descriptor: fd})
 	if err != nil {
 		return 0, err
 	}
-	c.SetSession(&watched{fd: c.Hash(), readable: readable})
+	c.SetSession(&watched{descriptor: c.Hash(), readable: readable})
 	e.open++ // as any other that the poller tells of when it ends
 	if _, err := e.poll.AddConn(c); err != nil {
 		return 0, err
@@ -57,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	e.timer, err = e.Watch(fd, e.ring)
+	e.timer, err = e.Watch(fd, e.runAlarms)
 	return err
 }
 
--- a/internal/proxy/gate/gate.go
+++ b/internal/proxy/gate/gate.go
@@ -33,12 +33,12 @@
 // Front is where txns come from. It knows a txn by its own number for who waits and by the gate's for the txn,
 // so that a late word finds nobody else.
 type Front interface {
-	// Settle gives what the backend answered, or a Final failure.
-	Settle(who, txn slots.Ref, o Outcome)
-	// Decline: it never ran and never will; the client may come again, best after some time (0: no advice).
-	Decline(who, txn slots.Ref, after time.Duration, why control.Reason)
-	// Void: it may have run.
-	Void(who, txn slots.Ref, why control.Reason)
+	// Complete gives what the backend answered, or a Final failure.
+	Complete(who, txn slots.Ref, o Outcome)
+	// Reject: it never ran and never will; the client may come again, best after some time (0: no advice).
+	Reject(who, txn slots.Ref, after time.Duration, why control.Reason)
+	// Fail: it may have run.
+	Fail(who, txn slots.Ref, why control.Reason)
 	// AppendTo writes what is passed on to a backend; nothing once the client has gone.
 	AppendTo(b []byte, who, txn slots.Ref, at control.BackendID, wait time.Duration) []byte
 }
@@ -48,14 +48,14 @@
 	Front
 	// Flows: Part gives its body, AppendTo the head alone.
 	Flows(who, txn slots.Ref) bool
-	// Spent: some of that body has gone, and the request can't go again.
-	Spent(who, txn slots.Ref) bool
+	// BodyConsumed: some of that body has gone, and the request can't go again.
+	BodyConsumed(who, txn slots.Ref) bool
 	// Part adds what has come of the body; when it is not ok, no more will.
 	Part(b []byte, who, txn slots.Ref) (out []byte, whole, ok bool)
 	// Begin takes the head of an answer; false: it can't be passed on in parts.
 	Begin(who, txn slots.Ref, o Outcome) bool
-	// Room is how many bytes of the answer are wanted now; below 0: nobody waits. Pass adds them.
-	Room(who, txn slots.Ref) int
+	// Writable is how many bytes of the answer are wanted now; below 0: nobody waits. Pass adds them.
+	Writable(who, txn slots.Ref) int
 	Pass(who, txn slots.Ref, part []byte)
 	// End ends the answer; one that is not whole must not look so.
 	End(who, txn slots.Ref, whole bool)
@@ -92,10 +92,10 @@
 	return ok && s.Flows(m.who, m.txn)
 }
 
-// spent tells whether some of such a body has gone.
-func (m Message) spent() bool {
+// bodyConsumed tells whether some of such a body has gone.
+func (m Message) bodyConsumed() bool {
 	s, ok := m.front.(Streamer)
-	return ok && s.Spent(m.who, m.txn)
+	return ok && s.BodyConsumed(m.who, m.txn)
 }
 
 // Part adds what has come of such a body. When it is not ok, the rest never comes.
@@ -110,13 +110,13 @@
 	Probe(at control.BackendID)
 }
 
-// Teller carries messages to peers.
-type Teller interface {
-	Tell(peer control.GatewayID, payload []byte)
+// DatagramSender carries messages to peers.
+type DatagramSender interface {
+	SendDatagram(peer control.GatewayID, payload []byte)
 }
 
-// Settled is what a watcher is told of a txn that a backend's answer ended; the module's verbs name the others.
-const Settled control.Action = -1
+// Answered is what a watcher is told of a txn that a backend's answer ended; the module's verbs name the others.
+const Answered control.Action = -1
 
 // Watcher is told of the steps of txns, where operators want a history of them. Without one nothing is done.
 type Watcher interface {
@@ -138,15 +138,15 @@
 
 // txn is one that this front door holds.
 type txn struct {
-	front    Front
-	who      slots.Ref
-	expiry   time.Duration
-	answered bool // or nobody waits any more
-	begun    bool // some of an answer has gone to the client
-	flows    bool // its body is passed on as it comes
-	nr       int  // submissions so far
-	out      bool
-	ran      bool // one of them may have run
+	front      Front
+	who        slots.Ref
+	expiry     time.Duration
+	answered   bool // or nobody waits any more
+	begun      bool // some of an answer has gone to the client
+	streams    bool // its body is passed on as it comes
+	attempts   int  // submissions so far
+	submitted  bool
+	mayHaveRun bool // one of them may have run
 }
 
 // Log takes the module's lines; *zap.Logger is one. The fields are all made by zap.Float64.
@@ -156,43 +156,43 @@
 
 // Gate is the module with what it drives.
 type Gate struct {
-	node  Module
-	clock Clock
-	txns  *slots.Table[txn]
-	send  Sender
-	tell  Teller
-	count *counters.Set
-	log   Log
-	wake  uint32 // number of the module's present due time
-	watch Watcher
+	module       Module
+	clock        Clock
+	txns         *slots.Table[txn]
+	sender       Sender
+	datagrams    DatagramSender
+	counters     *counters.Set
+	log          Log
+	wakeSequence uint32 // number of the module's present due time
+	watcher      Watcher
 }
 
 // New makes a gate for at most so many txns at a time.
 func New(node Module, clock Clock, most int, count *counters.Set, log Log) *Gate {
-	return &Gate{node: node, clock: clock, txns: slots.New[txn](most), count: count, log: log}
+	return &Gate{module: node, clock: clock, txns: slots.New[txn](most), counters: count, log: log}
 }
 
-// Through says what carries submissions and messages.
-func (g *Gate) Through(s Sender, t Teller) { g.send, g.tell = s, t }
+// SetTransport says what carries submissions and messages.
+func (g *Gate) SetTransport(s Sender, t DatagramSender) { g.sender, g.datagrams = s, t }
 
-// Watched says who is told of the steps of txns.
-func (g *Gate) Watched(w Watcher) { g.watch = w }
+// SetWatcher says who is told of the steps of txns.
+func (g *Gate) SetWatcher(w Watcher) { g.watcher = w }
 
 func (t *txn) message(ref slots.Ref) Message { return Message{t.front, t.who, ref} }
 
 // final tells of a final answer before it leaves.
 func (g *Gate) final(ref slots.Ref, t *txn, how control.Action) {
 	failpoint.At(failpoint.BeforeAnswer)
-	if g.watch != nil {
-		g.watch.Final(ref, t.message(ref).ID(), how)
+	if g.watcher != nil {
+		g.watcher.Final(ref, t.message(ref).ID(), how)
 	}
 }
 
-// Held counts txns that are not answered or still have a submission out.
-func (g *Gate) Held() int { return g.txns.Held() }
+// InFlight counts txns that are not answered or still have a submission out.
+func (g *Gate) InFlight() int { return g.txns.Len() }
 
-// Asker is who waits for a txn, by its front's own number; 0: it is not held.
-func (g *Gate) Asker(ref slots.Ref) slots.Ref {
+// Requester is who waits for a txn, by its front's own number; 0: it is not held.
+func (g *Gate) Requester(ref slots.Ref) slots.Ref {
 	if t := g.txns.Get(ref); t != nil {
 		return t.who
 	}
@@ -205,14 +205,14 @@
 func (g *Gate) Take(x control.Txn, front Front, who slots.Ref) (slots.Ref, bool) {
 	ref, t, ok := g.txns.Add()
 	if !ok {
-		g.count.Add(counters.TooMany)
+		g.counters.Add(counters.TooMany)
 		return 0, false
 	}
 	*t = txn{front: front, who: who, expiry: x.Expiry}
 	x.ID = control.TxnID(ref)
-	g.count.Add(counters.TxnsTaken)
-	g.node.Now(g.clock.Now())
-	g.node.TxnArrived(x)
+	g.counters.Add(counters.TxnsTaken)
+	g.module.Now(g.clock.Now())
+	g.module.TxnArrived(x)
 	return ref, true
 }
 
@@ -222,18 +222,18 @@
 	if t == nil || t.answered {
 		return
 	}
-	g.count.Add(counters.TxnsLeft)
+	g.counters.Add(counters.TxnsLeft)
 	t.answered = true
-	g.node.Now(g.clock.Now())
-	g.node.ClientLeft(control.TxnID(ref))
+	g.module.Now(g.clock.Now())
+	g.module.ClientLeft(control.TxnID(ref))
 	g.halt(ref, t)
 }
 
 // halt calls off what can't come to its end any more: an answer that nobody reads, a body that does not
 // come.
 func (g *Gate) halt(ref slots.Ref, t *txn) {
-	if (t.begun || t.flows) && t.out {
-		g.send.Recall(ref, t.nr-1)
+	if (t.begun || t.streams) && t.submitted {
+		g.sender.Recall(ref, t.attempts-1)
 		return
 	}
 	g.drop(ref, t)
@@ -241,10 +241,10 @@
 
 // More passes on that a front has more of a body, or room for more of an answer.
 func (g *Gate) More(ref slots.Ref) {
-	if t := g.txns.Get(ref); t == nil || !t.out {
+	if t := g.txns.Get(ref); t == nil || !t.submitted {
 		return
 	}
-	if s, ok := g.send.(interface{ More(txn slots.Ref) }); ok {
+	if s, ok := g.sender.(interface{ More(txn slots.Ref) }); ok {
 		s.More(ref)
 	}
 }
@@ -261,13 +261,13 @@
 	return t.begun
 }
 
-// Room is how many bytes of such an answer are wanted now; below 0: nobody waits any more.
-func (g *Gate) Room(ref slots.Ref) int {
+// Writable is how many bytes of such an answer are wanted now; below 0: nobody waits any more.
+func (g *Gate) Writable(ref slots.Ref) int {
 	t := g.txns.Get(ref)
 	if t == nil || t.answered || !t.begun {
 		return -1
 	}
-	return t.front.(Streamer).Room(t.who, ref)
+	return t.front.(Streamer).Writable(t.who, ref)
 }
 
 // Pass passes them on.
@@ -291,94 +291,94 @@
 // Ended takes the one outcome of a submission.
 func (g *Gate) Ended(ref slots.Ref, nr int, at control.BackendID, o Outcome) {
 	t := g.txns.Get(ref)
-	invariant.That(t != nil && t.out && t.nr == nr+1, "a submission ends once, while its txn is held")
-	if t == nil || !t.out || t.nr != nr+1 {
+	invariant.That(t != nil && t.submitted && t.attempts == nr+1, "a submission ends once, while its txn is held")
+	if t == nil || !t.submitted || t.attempts != nr+1 {
 		return
 	}
-	t.out, t.ran = false, t.ran || ran(o.Ending)
-	g.count.Add(counters.EndSettled + counters.ID(o.Ending))
-	if g.watch != nil {
-		g.watch.Ended(ref, nr, at, o.Ending)
+	t.submitted, t.mayHaveRun = false, t.mayHaveRun || mayHaveRun(o.Ending)
+	g.counters.Add(counters.EndAnswered + counters.ID(o.Ending))
+	if g.watcher != nil {
+		g.watcher.Ended(ref, nr, at, o.Ending)
 	}
 	over := t.answered
 	switch {
 	case t.answered:
 	case t.begun:
 		over, t.answered = true, true
-		g.final(ref, t, Settled)
+		g.final(ref, t, Answered)
 		if o.Answer != nil {
-			g.count.Add(counters.Settled)
+			g.counters.Add(counters.Answered)
 		} else {
-			g.count.Add(counters.CutShort)
+			g.counters.Add(counters.Truncated)
 		}
 		t.front.(Streamer).End(t.who, ref, o.Answer != nil)
 	case o.Ending == control.Succeeded || o.Final:
-		g.count.Add(counters.Settled)
+		g.counters.Add(counters.Answered)
 		over, t.answered = true, true
-		g.final(ref, t, Settled)
-		t.front.Settle(t.who, ref, o)
-	case t.flows && t.message(ref).spent(): // whatever the module would do, it can't go again
+		g.final(ref, t, Answered)
+		t.front.Complete(t.who, ref, o)
+	case t.streams && t.message(ref).bodyConsumed(): // whatever the module would do, it can't go again
 		over, t.answered = true, true
-		if ran(o.Ending) {
+		if mayHaveRun(o.Ending) {
 			g.void(ref, t, control.ReasonNoBackend)
 		} else {
 			g.decline(ref, t, 0, control.ReasonNoBackend)
 		}
 	}
-	g.node.Now(g.clock.Now())
-	g.node.SubmissionEnded(control.TxnID(ref), nr, at, o.Ending, over, o.Took, o.Load)
+	g.module.Now(g.clock.Now())
+	g.module.SubmissionEnded(control.TxnID(ref), nr, at, o.Ending, over, o.Took, o.Load)
 	g.drop(ref, t)
 }
 
-// unguarded lets through whatever the module decides; only a test sets it.
-var unguarded bool
+// allowSecondRun lets through whatever the module decides; only a test sets it.
+var allowSecondRun bool
 
-// ran tells whether a submission that ended so may have run.
-func ran(e control.Ending) bool {
+// mayHaveRun tells whether a submission that ended so may have run.
+func mayHaveRun(e control.Ending) bool {
 	return e != control.Rejected && e != control.Unreachable && e != control.NotSent
 }
 
 // decline and void give the one answer to a txn that no backend's answer ends.
 func (g *Gate) decline(ref slots.Ref, t *txn, after time.Duration, why control.Reason) {
 	g.final(ref, t, control.Reject)
-	g.count.Add(counters.GaveUpTime + counters.ID(why))
-	g.count.Add(counters.Declined)
-	t.front.Decline(t.who, ref, after, why)
+	g.counters.Add(counters.GaveUpTime + counters.ID(why))
+	g.counters.Add(counters.Rejected)
+	t.front.Reject(t.who, ref, after, why)
 }
 
 func (g *Gate) void(ref slots.Ref, t *txn, why control.Reason) {
 	g.final(ref, t, control.Fail)
-	g.count.Add(counters.GaveUpTime + counters.ID(why))
-	g.count.Add(counters.Voided)
-	t.front.Void(t.who, ref, why)
+	g.counters.Add(counters.GaveUpTime + counters.ID(why))
+	g.counters.Add(counters.Failed)
+	t.front.Fail(t.who, ref, why)
 }
 
-// Listed takes news of the backends.
-func (g *Gate) Listed(whole bool, list []control.Endpoint) {
-	g.node.Now(g.clock.Now())
-	g.node.EndpointsChanged(whole, list)
+// EndpointsChanged takes news of the backends.
+func (g *Gate) EndpointsChanged(whole bool, list []control.Endpoint) {
+	g.module.Now(g.clock.Now())
+	g.module.EndpointsChanged(whole, list)
 }
 
-// Heard takes a peer's message.
-func (g *Gate) Heard(from control.GatewayID, payload []byte) {
-	g.node.Now(g.clock.Now())
-	g.node.DatagramReceived(from, payload)
+// DatagramReceived takes a peer's message.
+func (g *Gate) DatagramReceived(from control.GatewayID, payload []byte) {
+	g.module.Now(g.clock.Now())
+	g.module.DatagramReceived(from, payload)
 }
 
 // Probed takes the answer to a probe.
 func (g *Gate) Probed(at control.BackendID, good bool, took time.Duration, load []float64) {
-	g.node.Now(g.clock.Now())
-	g.node.ProbeEnded(at, good, took, load)
+	g.module.Now(g.clock.Now())
+	g.module.ProbeEnded(at, good, took, load)
 }
 
 // Live reports whether a due time is the newest: the module asks anew whenever something is due earlier.
-func (g *Gate) Live(nr uint32) bool { return nr == g.wake }
+func (g *Gate) Live(nr uint32) bool { return nr == g.wakeSequence }
 
 // Due is called when the module's own due time has come; the pull at the end of the turn does the rest.
-func (g *Gate) Due(uint32) { g.node.Woken(0) }
+func (g *Gate) Due(uint32) { g.module.Woken(0) }
 
 func (g *Gate) drop(ref slots.Ref, t *txn) {
-	if t.answered && !t.out {
+	if t.answered && !t.submitted {
 		*t = txn{}
 		g.txns.Drop(ref)
 	}
@@ -386,11 +386,11 @@
 
 // ---- Decisions
 
-// Pull carries out decisions until there is none left.
-func (g *Gate) Pull() {
-	g.node.Now(g.clock.Now())
+// RunDecisions carries out decisions until there is none left.
+func (g *Gate) RunDecisions() {
+	g.module.Now(g.clock.Now())
 	for {
-		x, ok := g.node.Next()
+		x, ok := g.module.Next()
 		if !ok {
 			return
 		}
@@ -403,29 +403,29 @@
 	switch x.Action {
 	case control.Submit:
 		t := g.txns.Get(ref)
-		invariant.That(t != nil && !t.out && !t.answered, "a submission goes out alone, for a txn that waits")
-		if t == nil || t.out || t.answered {
+		invariant.That(t != nil && !t.submitted && !t.answered, "a submission goes out alone, for a txn that waits")
+		if t == nil || t.submitted || t.answered {
 			return
 		}
-		nr := t.nr
-		t.nr, t.out, t.flows = t.nr+1, true, t.message(ref).Flows()
+		nr := t.attempts
+		t.attempts, t.submitted, t.streams = t.attempts+1, true, t.message(ref).Flows()
 		// Whatever decides: what may run once and may have run passes no fence again.
-		again := t.ran && t.message(ref).Once() && !unguarded
+		again := t.mayHaveRun && t.message(ref).Once() && !allowSecondRun
 		invariant.That(!again, "what may run once is not sent after it may have run")
 		if again {
 			g.Ended(ref, nr, x.Backend, Outcome{Ending: control.NotSent})
 			return
 		}
-		g.count.Add(counters.Submissions)
+		g.counters.Add(counters.Submissions)
 		limit := t.expiry - g.clock.Now()
 		if x.After > 0 {
 			limit = min(limit, x.After)
 		}
 		failpoint.At(failpoint.BeforeSubmit)
-		if g.watch != nil {
-			g.watch.Sent(ref, t.message(ref).ID(), nr, x.Backend)
+		if g.watcher != nil {
+			g.watcher.Sent(ref, t.message(ref).ID(), nr, x.Backend)
 		}
-		g.send.Submit(ref, nr, t.message(ref), x.Backend, limit, x.ResponseTimeout)
+		g.sender.Submit(ref, nr, t.message(ref), x.Backend, limit, x.ResponseTimeout)
 		failpoint.At(failpoint.AfterSubmit)
 	case control.Reject, control.Fail:
 		t := g.txns.Get(ref)
@@ -435,13 +435,13 @@
 		}
 		t.answered = true
 		refused := x.Action == control.Reject
-		if refused && (t.ran || t.out) && t.message(ref).Once() && !unguarded {
+		if refused && (t.mayHaveRun || t.submitted) && t.message(ref).Once() && !allowSecondRun {
 			invariant.That(false, "what is refused has not run, and nothing of it is out")
 			refused = false
 		}
 		switch {
 		case t.begun:
-			g.count.Add(counters.CutShort)
+			g.counters.Add(counters.Truncated)
 			t.front.(Streamer).End(t.who, ref, false)
 		case refused:
 			g.decline(ref, t, x.After, x.Reason)
@@ -453,14 +453,14 @@
 		if t := g.txns.Get(ref); t != nil && t.begun && !t.answered {
 			return // its answer is on its way to the client already
 		}
-		g.send.Recall(ref, x.Attempt)
+		g.sender.Recall(ref, x.Attempt)
 	case control.Probe:
-		g.send.Probe(x.Backend)
+		g.sender.Probe(x.Backend)
 	case control.SendDatagram:
-		g.tell.Tell(x.Peer, x.Payload)
+		g.datagrams.SendDatagram(x.Peer, x.Payload)
 	case control.Wake:
-		g.wake++
-		g.clock.Wake(g.clock.Now()+x.After, g.wake)
+		g.wakeSequence++
+		g.clock.Wake(g.clock.Now()+x.After, g.wakeSequence)
 	case control.Log:
 		fields := make([]zap.Field, 0, len(x.Entry.Fields))
 		for _, f := range x.Entry.Fields {
--- a/internal/proxy/gate/gate_test.go
+++ b/internal/proxy/gate/gate_test.go
@@ -58,14 +58,14 @@
 func (w *wire) Submit(slots.Ref, int, Message, control.BackendID, time.Duration, time.Duration) {
 	w.sent++
 }
-func (w *wire) Recall(slots.Ref, int)                                     {}
-func (w *wire) Probe(control.BackendID)                                   {}
-func (w *wire) Settle(_, _ slots.Ref, _ Outcome)                          { w.told += "settled" }
-func (w *wire) Decline(_, _ slots.Ref, _ time.Duration, _ control.Reason) { w.told += "refused" }
-func (w *wire) Void(_, _ slots.Ref, _ control.Reason)                     { w.told += "void" }
-func (w *wire) Once(_, _ slots.Ref) bool                                  { return true }
-func (w *wire) Now() time.Duration                                        { return time.Hour }
-func (w *wire) Wake(time.Duration, uint32)                                {}
+func (w *wire) Recall(slots.Ref, int)                                    {}
+func (w *wire) Probe(control.BackendID)                                  {}
+func (w *wire) Complete(_, _ slots.Ref, _ Outcome)                       { w.told += "settled" }
+func (w *wire) Reject(_, _ slots.Ref, _ time.Duration, _ control.Reason) { w.told += "refused" }
+func (w *wire) Fail(_, _ slots.Ref, _ control.Reason)                    { w.told += "void" }
+func (w *wire) Once(_, _ slots.Ref) bool                                 { return true }
+func (w *wire) Now() time.Duration                                       { return time.Hour }
+func (w *wire) Wake(time.Duration, uint32)                               {}
 func (w *wire) AppendTo(b []byte, _, _ slots.Ref, _ control.BackendID, _ time.Duration) []byte {
 	return b
 }
@@ -77,20 +77,20 @@
 		defer func() { stopped = recover() != nil }()
 		w = &wire{}
 		g := New(&careless{refuse: refuse}, w, 10, &counters.Set{}, zap.NewNop())
-		g.Through(w, nil)
+		g.SetTransport(w, nil)
 		ref, _ := g.Take(control.Txn{Product: 1, Expiry: 2 * time.Hour}, w, 1)
-		g.Pull()
+		g.RunDecisions()
 		g.Ended(ref, 0, 1, Outcome{Ending: how})
-		g.Pull()
+		g.RunDecisions()
 		return w, false
 	}
 	for how := control.Errored; how <= control.NotSent; how++ {
 		for _, refuse := range []bool{false, true} {
-			unguarded = true
+			allowSecondRun = true
 			bare, _ := play(how, refuse)
-			unguarded = false
+			allowSecondRun = false
 			w, stopped := play(how, refuse)
-			wrong := ran(how)
+			wrong := mayHaveRun(how)
 			must.Eq(t, wrong && invariant.Debug, stopped)
 			if refuse {
 				must.Eq(t, "refused", bare.told) // found with the defence taken out
@@ -118,7 +118,7 @@
 	module := &careless{todo: []control.Decision{{Action: control.Log, Entry: &control.LogEntry{Message: "requests",
 		Fields: []control.LogField{control.Count("arrived", 7), {Name: "capacity", Value: 2.5}}}}}}
 	log := &lines{}
-	New(module, &wire{}, 10, &counters.Set{}, log).Pull()
+	New(module, &wire{}, 10, &counters.Set{}, log).RunDecisions()
 	must.Eq(t, []string{"requests"}, log.messages)
 	must.Eq(t, []zap.Field{zap.Float64("arrived", 7), zap.Float64("capacity", 2.5)}, log.fields)
 }
--- a/internal/proxy/http1/http1.go
+++ b/internal/proxy/http1/http1.go
@@ -17,47 +17,47 @@
 
 // Bounds of a message, where a Reader has none of its own.
 const (
-	MostHead   = 8 << 10
-	MostBody   = 64 << 10
-	mostMethod = 16
-	// leastHeader is what a header takes of a head's bound: so many may come.
-	leastHeader = 128
-	// MostRaw holds any message that is taken: chunked ones with a fair overhead.
-	MostRaw = MostHead + MostBody + 16<<10
+	MaxHead   = 8 << 10
+	MaxBody   = 64 << 10
+	maxMethod = 16
+	// minHeader is what a header takes of a head's bound: so many may come.
+	minHeader = 128
+	// MaxRaw holds any message that is taken: chunked ones with a fair overhead.
+	MaxRaw = MaxHead + MaxBody + 16<<10
 )
 
 // span is a stretch of the message's bytes.
-type span struct{ from, to int }
+type span struct{ start, end int }
 
-func (s span) of(b []byte) []byte { return b[s.from:s.to] }
+func (s span) of(b []byte) []byte { return b[s.start:s.end] }
 
 type header struct{ name, value span }
 
 // Reader reads one message at a time.
 type Reader struct {
 	response bool
-	mostHead int
-	mostBody int
+	maxHead  int
+	maxBody  int
 	// of the present message
-	state    int
-	seen     int  // bytes searched for a line's end
-	line     int  // where the present line of the head begins
-	started  bool // the first line is read
-	first    [3]span
-	minor    byte
-	headers  []header
-	status   int
-	chunked  bool
-	length   int
-	body     span
-	at       int // end of what is read of a chunked message
-	chunk    int // bytes left of the present chunk
-	inChunk  bool
-	trailing bool
-	given    bool // its length is told in the head
-	gone     int  // bytes of the body that Part gave
-	Closes   bool // the sender ends the connection after this message
-	Bodiless bool // set before a response is read: it answers a HEAD, and no body follows whatever its head says
+	state     int
+	seen      int  // bytes searched for a line's end
+	lineStart int  // where the present line of the head begins
+	started   bool // the first line is read
+	startLine [3]span
+	minor     byte
+	headers   []header
+	status    int
+	chunked   bool
+	length    int
+	body      span
+	offset    int // end of what is read of a chunked message
+	chunk     int // bytes left of the present chunk
+	inChunk   bool
+	trailing  bool
+	hasLength bool // its length is told in the head
+	streamed  int  // bytes of the body that Part gave
+	Closes    bool // the sender ends the connection after this message
+	Bodiless  bool // set before a response is read: it answers a HEAD, and no body follows whatever its head says
 }
 
 const (
@@ -67,17 +67,17 @@
 )
 
 // Requests makes a reader of requests.
-func Requests() Reader { return Reader{response: false, mostHead: MostHead, mostBody: MostBody} }
+func Requests() Reader { return Reader{response: false, maxHead: MaxHead, maxBody: MaxBody} }
 
 // Responses makes a reader of responses.
-func Responses() Reader { return Reader{response: true, mostHead: MostHead, mostBody: MostBody} }
+func Responses() Reader { return Reader{response: true, maxHead: MaxHead, maxBody: MaxBody} }
 
 // Bound sets how many bytes a head and a body may have, from the next head that is read on.
-func (r *Reader) Bound(head, body int) { r.mostHead, r.mostBody = head, body }
+func (r *Reader) Bound(head, body int) { r.maxHead, r.maxBody = head, body }
 
 // Reset makes ready for the next message.
 func (r *Reader) Reset() {
-	*r = Reader{response: r.response, mostHead: r.mostHead, mostBody: r.mostBody, headers: r.headers[:0]}
+	*r = Reader{response: r.response, maxHead: r.maxHead, maxBody: r.maxBody, headers: r.headers[:0]}
 }
 
 // Read looks at all bytes from the message's first on. It tells how many bytes the message takes, once whole.
@@ -89,21 +89,21 @@
 			return 0, false, err
 		}
 		r.body = span{end, end}
-		r.at, r.state = end, inBody
+		r.offset, r.state = end, inBody
 	}
 	if r.state == inBody {
 		if !r.chunked {
-			if len(b) < r.body.from+r.length {
+			if len(b) < r.body.start+r.length {
 				return 0, false, nil
 			}
-			r.body.to = r.body.from + r.length
-			r.at = r.body.to
+			r.body.end = r.body.start + r.length
+			r.offset = r.body.end
 		} else if whole, err := r.chunks(b); !whole || err != nil {
 			return 0, false, err
 		}
 		r.state = done
 	}
-	return r.at, true, nil
+	return r.offset, true, nil
 }
 
 // head parses the head line by line as it comes and gives its length once whole. What can't become a message is
@@ -115,33 +115,33 @@
 		i := bytes.IndexByte(b[r.seen:], '\n')
 		if i < 0 {
 			r.seen = len(b)
-			if !r.begins(b[r.line:]) {
+			if !r.begins(b[r.lineStart:]) {
 				return 0, ErrMalformed
 			}
-			if r.seen > r.mostHead {
+			if r.seen > r.maxHead {
 				return 0, ErrHead
 			}
 			return 0, nil
 		}
 		end := r.seen + i + 1
-		if end > r.mostHead {
+		if end > r.maxHead {
 			return 0, ErrHead
 		}
-		l := span{r.line, end - 2}
-		if l.to < l.from || b[l.to] != '\r' {
+		l := span{r.lineStart, end - 2}
+		if l.end < l.start || b[l.end] != '\r' {
 			return 0, ErrMalformed
 		}
-		r.seen, r.line = end, end
+		r.seen, r.lineStart = end, end
 		switch {
-		case l.from == l.to && r.started:
+		case l.start == l.end && r.started:
 			return end, r.framing(b)
-		case l.from == l.to && !r.response: // empty lines before a request are passed over
+		case l.start == l.end && !r.response: // empty lines before a request are passed over
 		case !r.started:
 			if r.response && !r.statusLine(b, l) || !r.response && !r.requestLine(b, l) {
 				return 0, ErrMalformed
 			}
 			r.started = true
-		case len(r.headers) >= r.mostHead/leastHeader:
+		case len(r.headers) >= r.maxHead/minHeader:
 			return 0, ErrHead
 		case !r.header(b, l):
 			return 0, ErrMalformed
@@ -161,9 +161,9 @@
 			return false
 		}
 	case i >= 0:
-		return i <= mostMethod && isToken(line[:i]) && clean(line)
+		return i <= maxMethod && isToken(line[:i]) && clean(line)
 	case len(line) > 0:
-		return len(line) <= mostMethod && isToken(line)
+		return len(line) <= maxMethod && isToken(line)
 	}
 	return clean(line)
 }
@@ -197,7 +197,7 @@
 func (r *Reader) requestLine(b []byte, l span) bool {
 	line := l.of(b)
 	i, j := bytes.IndexByte(line, ' '), bytes.LastIndexByte(line, ' ')
-	if i <= 0 || i > mostMethod || j <= i+1 || !r.version(line[j+1:]) || !isToken(line[:i]) {
+	if i <= 0 || i > maxMethod || j <= i+1 || !r.version(line[j+1:]) || !isToken(line[:i]) {
 		return false
 	}
 	for _, c := range line[i+1 : j] {
@@ -205,7 +205,7 @@
 			return false
 		}
 	}
-	r.first[0], r.first[1] = span{l.from, l.from + i}, span{l.from + i + 1, l.from + j}
+	r.startLine[0], r.startLine[1] = span{l.start, l.start + i}, span{l.start + i + 1, l.start + j}
 	return true
 }
 
@@ -215,7 +215,7 @@
 		return false
 	}
 	status, ok := Number(line[9:12], 999)
-	r.status, r.first[2] = status, span{l.from + min(13, len(line)), l.to}
+	r.status, r.startLine[2] = status, span{l.start + min(13, len(line)), l.end}
 	return ok && status >= 100
 }
 
@@ -225,12 +225,12 @@
 	if i <= 0 || !isToken(line[:i]) {
 		return false
 	}
-	h := header{span{l.from, l.from + i}, span{l.from + i + 1, l.to}}
-	for h.value.from < h.value.to && isBlank(b[h.value.from]) {
-		h.value.from++
+	h := header{span{l.start, l.start + i}, span{l.start + i + 1, l.end}}
+	for h.value.start < h.value.end && isBlank(b[h.value.start]) {
+		h.value.start++
 	}
-	for h.value.to > h.value.from && isBlank(b[h.value.to-1]) {
-		h.value.to--
+	for h.value.end > h.value.start && isBlank(b[h.value.end-1]) {
+		h.value.end--
 	}
 	if !clean(h.value.of(b)) {
 		return false
@@ -264,14 +264,14 @@
 		return ErrFraming
 	}
 	r.Closes = closes || r.minor == 0 && !keeps
-	r.given = lengths >= 0
+	r.hasLength = lengths >= 0
 	if r.response && (r.Bodiless || r.status < 200 || r.status == 204 || r.status == 304) {
 		r.chunked, lengths = false, 0
 	}
 	if r.response && !r.chunked && lengths < 0 {
 		return ErrFraming // ended by the connection's end: a cut answer could not be told from a whole one
 	}
-	if lengths > r.mostBody {
+	if lengths > r.maxBody {
 		return ErrBody
 	}
 	r.length = max(lengths, 0)
@@ -282,27 +282,27 @@
 func (r *Reader) chunks(b []byte) (bool, error) {
 	for {
 		if r.inChunk {
-			n := min(r.chunk, len(b)-r.at)
-			copy(b[r.body.to:], b[r.at:r.at+n])
-			r.at, r.body.to, r.chunk = r.at+n, r.body.to+n, r.chunk-n
-			if r.chunk > 0 || len(b) < r.at+2 {
+			n := min(r.chunk, len(b)-r.offset)
+			copy(b[r.body.end:], b[r.offset:r.offset+n])
+			r.offset, r.body.end, r.chunk = r.offset+n, r.body.end+n, r.chunk-n
+			if r.chunk > 0 || len(b) < r.offset+2 {
 				return false, nil
 			}
-			if b[r.at] != '\r' || b[r.at+1] != '\n' {
+			if b[r.offset] != '\r' || b[r.offset+1] != '\n' {
 				return false, ErrFraming
 			}
-			r.at, r.inChunk = r.at+2, false
+			r.offset, r.inChunk = r.offset+2, false
 		}
-		i := bytes.Index(b[r.at:], []byte("\r\n"))
+		i := bytes.Index(b[r.offset:], []byte("\r\n"))
 		if i < 0 {
-			if len(b)-r.at > 1024 {
+			if len(b)-r.offset > 1024 {
 				return false, ErrFraming
 			}
 			return false, nil
 		}
-		line := b[r.at : r.at+i]
+		line := b[r.offset : r.offset+i]
 		if r.trailing {
-			if r.at += i + 2; i == 0 {
+			if r.offset += i + 2; i == 0 {
 				return true, nil
 			}
 			continue
@@ -310,23 +310,23 @@
 		if j := bytes.IndexByte(line, ';'); j >= 0 {
 			line = line[:j]
 		}
-		n, ok := hex(bytes.TrimRight(line, " \t"), r.mostBody)
+		n, ok := hex(bytes.TrimRight(line, " \t"), r.maxBody)
 		if !ok {
 			return false, ErrFraming
 		}
-		if r.gone+r.body.to-r.body.from+n > r.mostBody {
+		if r.streamed+r.body.end-r.body.start+n > r.maxBody {
 			return false, ErrBody
 		}
-		r.at += i + 2
+		r.offset += i + 2
 		r.trailing, r.inChunk, r.chunk = n == 0, n > 0, n
 	}
 }
 
-// Cut makes ready to take the body in parts, once the head is whole: from the next call on, Part is shown
+// StreamBody makes ready to take the body in parts, once the head is whole: from the next call on, Part is shown
 // what comes behind the head, which may be forgotten but for its headers: these are found in a copy.
-func (r *Reader) Cut() {
-	r.at -= r.seen
-	r.body.from, r.body.to = 0, r.body.to-r.seen
+func (r *Reader) StreamBody() {
+	r.offset -= r.seen
+	r.body.start, r.body.end = 0, r.body.end-r.seen
 }
 
 // Part gives what of the body is there, and how many bytes it took: the next call is shown what comes
@@ -336,13 +336,13 @@
 		if whole, err = r.chunks(b); err != nil {
 			return nil, 0, false, err
 		}
-		part, used = r.body.of(b), r.at
+		part, used = r.body.of(b), r.offset
 	} else {
-		used = min(len(b), r.length-r.gone)
-		part, whole = b[:used], r.gone+used == r.length
+		used = min(len(b), r.length-r.streamed)
+		part, whole = b[:used], r.streamed+used == r.length
 	}
-	r.gone += len(part)
-	r.at, r.body = 0, span{}
+	r.streamed += len(part)
+	r.offset, r.body = 0, span{}
 	if whole {
 		r.state = done
 	}
@@ -352,17 +352,17 @@
 // Done tells that the whole message was read.
 func (r *Reader) Done() bool { return r.state == done }
 
-// Some is how much of the body has been put together and not given by Part.
-func (r *Reader) Some() int { return r.body.to - r.body.from }
+// Buffered is how much of the body has been put together and not given by Part.
+func (r *Reader) Buffered() int { return r.body.end - r.body.start }
 
-// Old tells that it is of a version that knows no chunks.
-func (r *Reader) Old() bool { return r.minor == 0 }
+// IsHTTP10 tells that it is of a version that knows no chunks.
+func (r *Reader) IsHTTP10() bool { return r.minor == 0 }
 
 // Status is a response's status.
 func (r *Reader) Status() int { return r.status }
 
 // Reason is a response's text for its status.
-func (r *Reader) Reason(b []byte) []byte { return r.first[2].of(b) }
+func (r *Reader) Reason(b []byte) []byte { return r.startLine[2].of(b) }
 
 // Headed tells whether the head is whole, and how many bytes it takes.
 func (r *Reader) Headed() (size int, whole bool) {
@@ -374,7 +374,7 @@
 
 // Framed tells how the body's end is told, once the head is whole: by chunks, by a length, or by neither:
 // then there is no body. A length is told as well for what has no body after all, an answer to HEAD.
-func (r *Reader) Framed() (length int, given, chunked bool) { return r.length, r.given, r.chunked }
+func (r *Reader) Framed() (length int, given, chunked bool) { return r.length, r.hasLength, r.chunked }
 
 // Each walks over all headers in order.
 func (r *Reader) Each(b []byte, f func(name, value []byte)) {
@@ -384,10 +384,10 @@
 }
 
 // Method is the method of a request that is whole; b, here and below, is what Read was shown.
-func (r *Reader) Method(b []byte) []byte { return r.first[0].of(b) }
+func (r *Reader) Method(b []byte) []byte { return r.startLine[0].of(b) }
 
 // Target is the target of a request that is whole.
-func (r *Reader) Target(b []byte) []byte { return r.first[1].of(b) }
+func (r *Reader) Target(b []byte) []byte { return r.startLine[1].of(b) }
 
 // Body is the body of a message that is whole.
 func (r *Reader) Body(b []byte) []byte { return r.body.of(b) }
@@ -395,7 +395,7 @@
 // Get gives a header's value; many tells that it came more than once. name is in lower case.
 func (r *Reader) Get(b []byte, name string) (value []byte, many bool) {
 	for _, h := range r.headers {
-		if h.name.to-h.name.from == len(name) && Same(h.name.of(b), name) {
+		if h.name.end-h.name.start == len(name) && Same(h.name.of(b), name) {
 			if value != nil {
 				return value, true
 			}
--- a/internal/proxy/http1/http1_test.go
+++ b/internal/proxy/http1/http1_test.go
@@ -147,7 +147,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r := Responses()
 		b := bytes.Clone(text)
-		if size, whole, _ := r.Read(b); whole && (size > len(b) || len(r.Body(b)) > MostBody) {
+		if size, whole, _ := r.Read(b); whole && (size > len(b) || len(r.Body(b)) > MaxBody) {
 			t.Fatal("more than there is")
 		}
 	})
@@ -167,7 +167,7 @@
 			}
 			if head, ok := r.Headed(); ok {
 				cut, b = true, b[head:]
-				r.Cut()
+				r.StreamBody()
 			}
 		}
 		if cut {
--- a/internal/proxy/peers/peers.go
+++ b/internal/proxy/peers/peers.go
@@ -12,26 +12,26 @@
 	"clovergap/internal/proxy/eventloop"
 )
 
-// longest datagram that a front door may send.
-const longest = 256
+// maxDatagram datagram that a front door may send.
+const maxDatagram = 256
 
 // Peers is this front door's socket and where the others are.
 type Peers struct {
-	e      *eventloop.Engine
-	fd     int
-	listen netip.AddrPort
-	addrs  []syscall.Sockaddr
-	ids    map[netip.AddrPort]control.GatewayID
-	heard  func(control.GatewayID, []byte)
-	mark   byte                            // the first one of frames
-	frames func(control.GatewayID, []byte) // nil: none are taken
-	buf    [2048]byte
+	engine      *eventloop.Engine
+	descriptor  int
+	listen      netip.AddrPort
+	addrs       []syscall.Sockaddr
+	ids         map[netip.AddrPort]control.GatewayID
+	received    func(control.GatewayID, []byte)
+	framePrefix byte                            // the first one of frames
+	frames      func(control.GatewayID, []byte) // nil: none are taken
+	buf         [2048]byte
 }
 
 // New makes one for the addresses in the order of the front doors' numbers; heard is told of what comes.
 func New(e *eventloop.Engine, listen string, addrs []netip.AddrPort, me int,
 	heard func(control.GatewayID, []byte)) (*Peers, error) {
-	p := &Peers{e: e, fd: -1, heard: heard}
+	p := &Peers{engine: e, descriptor: -1, received: heard}
 	p.SetPeers(addrs, me)
 	var err error
 	p.listen, err = netip.ParseAddrPort(listen)
@@ -40,7 +40,9 @@
 
 // Frames says who takes the datagrams that begin with a mark, which no message of the module's does. Where nobody takes them,
 // the module passes over them.
-func (p *Peers) Frames(mark byte, f func(control.GatewayID, []byte)) { p.mark, p.frames = mark, f }
+func (p *Peers) Frames(mark byte, f func(control.GatewayID, []byte)) {
+	p.framePrefix, p.frames = mark, f
+}
 
 // SetPeers says where the others are from now on.
 func (p *Peers) SetPeers(addrs []netip.AddrPort, me int) {
@@ -75,14 +77,14 @@
 	if e := raw.Control(func(x uintptr) { fd, err = syscall.Dup(int(x)) }); e != nil || err != nil {
 		return err
 	}
-	p.fd, err = p.e.Watch(fd, p.read)
+	p.descriptor, err = p.engine.Watch(fd, p.read)
 	return err
 }
 
 // read takes all that has come.
 func (p *Peers) read() {
 	for {
-		n, from, err := syscall.Recvfrom(p.fd, p.buf[:], syscall.MSG_DONTWAIT)
+		n, from, err := syscall.Recvfrom(p.descriptor, p.buf[:], syscall.MSG_DONTWAIT)
 		if err == syscall.ECONNREFUSED || err == syscall.EINTR {
 			continue // a datagram of ours came back: its receiver is down
 		}
@@ -96,34 +98,34 @@
 // take passes on what a known peer says; the rest is dropped and counted.
 func (p *Peers) take(from netip.AddrPort, payload []byte) {
 	id, ok := p.ids[from]
-	if !ok || len(payload) > longest {
-		p.e.Count.Add(counters.DatagramsBad)
+	if !ok || len(payload) > maxDatagram {
+		p.engine.Count.Add(counters.DatagramsBad)
 		return
 	}
-	if p.frames != nil && len(payload) > 0 && payload[0] == p.mark {
+	if p.frames != nil && len(payload) > 0 && payload[0] == p.framePrefix {
 		p.frames(id, payload)
 		return
 	}
-	p.e.Count.Add(counters.DatagramsTaken)
+	p.engine.Count.Add(counters.DatagramsTaken)
 	failpoint.At(failpoint.AfterHear)
-	p.heard(id, payload)
+	p.received(id, payload)
 }
 
-// Tell sends a message; one that can't be sent is lost as any may be.
-func (p *Peers) Tell(peer control.GatewayID, payload []byte) {
+// SendDatagram sends a message; one that can't be sent is lost as any may be.
+func (p *Peers) SendDatagram(peer control.GatewayID, payload []byte) {
 	failpoint.At(failpoint.BeforeTell)
-	if int(peer) >= len(p.addrs) || len(payload) > longest || p.fd < 0 ||
+	if int(peer) >= len(p.addrs) || len(payload) > maxDatagram || p.descriptor < 0 ||
 		failpoint.On && failpoint.Cut(addrPort(p.addrs[peer]).String()) ||
-		syscall.Sendto(p.fd, payload, syscall.MSG_DONTWAIT, p.addrs[peer]) != nil {
-		p.e.Count.Add(counters.DatagramsUnsent)
+		syscall.Sendto(p.descriptor, payload, syscall.MSG_DONTWAIT, p.addrs[peer]) != nil {
+		p.engine.Count.Add(counters.DatagramsUnsent)
 		return
 	}
-	p.e.Count.Add(counters.DatagramsSent)
+	p.engine.Count.Add(counters.DatagramsSent)
 }
 
 // Addr is where datagrams come in.
 func (p *Peers) Addr() netip.AddrPort {
-	a, _ := syscall.Getsockname(p.fd)
+	a, _ := syscall.Getsockname(p.descriptor)
 	return addrPort(a)
 }
 
--- a/internal/proxy/ringbuffer/ring_test.go
+++ b/internal/proxy/ringbuffer/ring_test.go
@@ -23,7 +23,7 @@
 			}
 		case 1:
 			n := copy(r.Free(), p)
-			r.Took(n)
+			r.Filled(n)
 			model = append(model, p[:n]...)
 		default:
 			n := min(len(p), len(model))
@@ -31,7 +31,7 @@
 			model = model[n:]
 		}
 		most = max(most, r.Len())
-		if rng.Intn(2) == 0 && !bytes.Equal(r.Linear(), model) || r.Len() != len(model) || r.Room() != 100-len(model) {
+		if rng.Intn(2) == 0 && !bytes.Equal(r.Linear(), model) || r.Len() != len(model) || r.Available() != 100-len(model) {
 			fmt.Println("not what was put in, at step", i)
 			return
 		}
--- a/internal/proxy/slots/slots.go
+++ b/internal/proxy/slots/slots.go
@@ -9,25 +9,25 @@
 
 // Table holds things of one kind, at most so many.
 type Table[T any] struct {
-	rows []*row[T] // a thing stays where it is while the table grows
-	free []uint16
-	most int
-	held int
+	rows     []*row[T] // a thing stays where it is while the table grows
+	free     []uint16
+	capacity int
+	used     int
 }
 
 type row[T any] struct {
-	gen  uint16
-	used bool
-	it   T
+	generation uint16
+	used       bool
+	value      T
 }
 
 // New makes a table for at most so many things.
-func New[T any](most int) *Table[T] { return &Table[T]{most: min(most, 1<<slotBits)} }
+func New[T any](most int) *Table[T] { return &Table[T]{capacity: min(most, 1<<slotBits)} }
 
 // Add takes a free slot; what the slot held before is found there again, to be used anew.
 func (t *Table[T]) Add() (Ref, *T, bool) {
 	if len(t.free) == 0 {
-		if len(t.rows) >= t.most {
+		if len(t.rows) >= t.capacity {
 			return 0, nil, false
 		}
 		t.rows = append(t.rows, &row[T]{})
@@ -36,21 +36,21 @@
 	slot := t.free[len(t.free)-1]
 	t.free = t.free[:len(t.free)-1]
 	r := t.rows[slot]
-	if r.gen++; r.gen == 0 {
-		r.gen = 1
+	if r.generation++; r.generation == 0 {
+		r.generation = 1
 	}
 	r.used = true
-	t.held++
-	return Ref(r.gen)<<slotBits | Ref(slot), &r.it, true
+	t.used++
+	return Ref(r.generation)<<slotBits | Ref(slot), &r.value, true
 }
 
 // Get finds what a ref names, or nil if that is gone.
 func (t *Table[T]) Get(ref Ref) *T {
 	slot := int(ref & (1<<slotBits - 1))
-	if slot >= len(t.rows) || !t.rows[slot].used || t.rows[slot].gen != uint16(ref>>slotBits) {
+	if slot >= len(t.rows) || !t.rows[slot].used || t.rows[slot].generation != uint16(ref>>slotBits) {
 		return nil
 	}
-	return &t.rows[slot].it
+	return &t.rows[slot].value
 }
 
 // Drop frees the slot; the ref names nothing from then on.
@@ -59,18 +59,18 @@
 		slot := uint16(ref)
 		t.rows[slot].used = false
 		t.free = append(t.free, slot)
-		t.held--
+		t.used--
 	}
 }
 
-// Held counts what is in the table.
-func (t *Table[T]) Held() int { return t.held }
+// Len counts what is in the table.
+func (t *Table[T]) Len() int { return t.used }
 
 // Each walks over all that is held, in order of slots.
 func (t *Table[T]) Each(f func(Ref, *T)) {
 	for i, r := range t.rows {
 		if r.used {
-			f(Ref(r.gen)<<slotBits|Ref(i), &r.it)
+			f(Ref(r.generation)<<slotBits|Ref(i), &r.value)
 		}
 	}
 }
--- a/internal/proxy/slots/slots_test.go
+++ b/internal/proxy/slots/slots_test.go
@@ -8,7 +8,7 @@
 	*p = "first"
 	b, _, _ := t.Add()
 	_, _, more := t.Add()
-	fmt.Println("a third:", more, "held", t.Held())
+	fmt.Println("a third:", more, "held", t.Len())
 	t.Drop(a)
 	t.Drop(a)
 	c, _, _ := t.Add()
--- a/internal/proxy/upstream/dialect.go
+++ b/internal/proxy/upstream/dialect.go
@@ -12,20 +12,20 @@
 // Dialect is what backends mean by their answers.
 type Dialect interface {
 	// Read tells what a whole answer means, to the request that its connection carries.
-	Read(x Carried, r *http1.Reader, b []byte) Verdict
+	Read(x Request, r *http1.Reader, b []byte) Meaning
 	// Wary tells that a request may have run as soon as any byte of it is written, not only when all are.
 	Wary() bool
 }
 
-// Carried is the request that a connection carries.
-type Carried struct {
-	ID   string // its client's, where the front knows one
-	Once bool   // it may run at most once
-	At   control.BackendID
+// Request is the request that a connection carries.
+type Request struct {
+	ID      string // its client's, where the front knows one
+	Once    bool   // it may run at most once
+	Backend control.BackendID
 }
 
-// Verdict is what a whole answer means.
-type Verdict struct {
+// Meaning is what a whole answer means.
+type Meaning struct {
 	Other  bool // it belongs to another request: it is passed over, and the right one awaited
 	Ending control.Ending
 	Final  bool // no success, yet the client is to have it as it is
@@ -49,8 +49,8 @@
 func (*Reports) Wary() bool { return false }
 
 // Read tells whether it ever ran.
-func (r *Reports) Read(_ Carried, reader *http1.Reader, b []byte) Verdict {
-	v := Verdict{Ending: control.Errored, Load: r.report(reader, b)} // whatever else it says, it may have run
+func (r *Reports) Read(_ Request, reader *http1.Reader, b []byte) Meaning {
+	v := Meaning{Ending: control.Errored, Load: r.report(reader, b)} // whatever else it says, it may have run
 	switch reader.Status() {
 	case 200:
 		v.Ending = control.Succeeded
--- a/internal/proxy/upstream/flow.go
+++ b/internal/proxy/upstream/flow.go
@@ -6,131 +6,131 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// flowMost is how much of a body that is passed on as it comes waits for the socket.
-const flowMost = 64 << 10
+// maxUnwritten is how much of a body that is passed on as it comes waits for the socket.
+const maxUnwritten = 64 << 10
 
 // More is called when a front has more of a request's body, or is ready for more of the answer.
 func (d *Dispatch) More(txn slots.Ref) {
-	s := d.subs.Get(d.byTxn[txn])
-	if s == nil || s.conn == nil || s.fence.conn == 0 {
+	s := d.submissions.Get(d.byTxn[txn])
+	if s == nil || s.conn == nil || s.transmission.conn == 0 {
 		return
 	}
 	c := s.conn
-	c.feed()
-	if s := d.subs.Get(c.sub); s != nil && s.conn == c && c.flows {
-		c.pass(c.sub, s)
+	c.sendBody()
+	if s := d.submissions.Get(c.sub); s != nil && s.conn == c && c.streaming {
+		c.forwardAnswer(c.sub, s)
 	}
 }
 
-// feed passes a request's body on, as much as has come and the backend takes.
-func (c *conn) feed() {
-	if c.feeding {
+// sendBody passes a request's body on, as much as has come and the backend takes.
+func (c *conn) sendBody() {
+	if c.sending {
 		return
 	}
-	c.feeding = true
-	defer func() { c.feeding = false }()
+	c.sending = true
+	defer func() { c.sending = false }()
 	for {
-		s := c.d.subs.Get(c.sub)
-		if s == nil || s.conn != c || !s.flows || s.fence.conn == 0 || c.l.IsClosed() || c.l.Unwritten() >= flowMost {
+		s := c.dispatch.submissions.Get(c.sub)
+		if s == nil || s.conn != c || !s.streaming || s.transmission.conn == 0 || c.link.IsClosed() || c.link.Unwritten() >= maxUnwritten {
 			return
 		}
-		b, whole, ok := s.message.Part(c.d.scratch[:0])
-		c.d.scratch = b[:0]
+		b, whole, ok := s.message.Part(c.dispatch.scratch[:0])
+		c.dispatch.scratch = b[:0]
 		if !ok { // the rest never comes
-			c.d.giveUp(c.sub, s, control.ConnectionLost, control.NotSent)
+			c.dispatch.giveUp(c.sub, s, control.ConnectionLost, control.NotSent)
 			return
 		}
-		if s.flows = !whole; len(b) == 0 {
+		if s.streaming = !whole; len(b) == 0 {
 			return
 		}
-		c.hand(s, b, whole)
+		c.send(s, b, whole)
 	}
 }
 
-// begins passes an answer on in parts that won't be held whole, once its head is there.
-func (c *conn) begins(ref slots.Ref, s *submission, b []byte) bool {
-	size, headed := c.r.Headed()
-	buffer := c.d.terms.Buffer
-	if !headed || buffer <= 0 || c.r.Status() < 200 {
+// beginStreaming passes an answer on in parts that won't be held whole, once its head is there.
+func (c *conn) beginStreaming(ref slots.Ref, s *submission, b []byte) bool {
+	size, headed := c.reader.Headed()
+	buffer := c.dispatch.config.Buffer
+	if !headed || buffer <= 0 || c.reader.Status() < 200 {
 		return false
 	}
-	if length, _, chunked := c.r.Framed(); length <= buffer && (!chunked || c.r.Some() <= buffer && !c.l.Full()) {
+	if length, _, chunked := c.reader.Framed(); length <= buffer && (!chunked || c.reader.Buffered() <= buffer && !c.link.Full()) {
 		return false
 	}
 	v := c.read(s, b)
 	switch {
 	case v.Other, v.Ending == control.ConnectionLost: // what belongs to nobody is not waited for to its end
-		c.d.spoilt(ref, s)
+		c.dispatch.badAnswer(ref, s)
 		return true
 	case v.Ending != control.Succeeded && !v.Final:
-		c.d.cut(s)
-		c.d.tell(ref, s, v.Ending)
+		c.dispatch.disconnect(s)
+		c.dispatch.end(ref, s, v.Ending)
 		return true
 	}
-	if !c.d.gate.Begun(s.txn, gate.Outcome{Ending: v.Ending, Load: v.Load, Final: v.Final, Answer: &c.r, Bytes: b}) {
-		c.d.giveUp(ref, s, control.ConnectionLost, control.Unreachable)
+	if !c.dispatch.gate.Begun(s.txn, gate.Outcome{Ending: v.Ending, Load: v.Load, Final: v.Final, Answer: &c.reader, Bytes: b}) {
+		c.dispatch.giveUp(ref, s, control.ConnectionLost, control.Unreachable)
 		return true
 	}
-	c.verdict, c.flows, s.wholeBy = v, true, 0
-	c.r.Cut()
-	c.l.In.Drop(size)
-	c.l.In.Bound(flowMost)
-	c.l.Trail(true)
-	if s := c.d.subs.Get(ref); s != nil && s.conn == c {
-		c.pass(ref, s)
+	c.meaning, c.streaming, s.answerDeadline = v, true, 0
+	c.reader.StreamBody()
+	c.link.Input.Drop(size)
+	c.link.Input.Bound(maxUnwritten)
+	c.link.Trail(true)
+	if s := c.dispatch.submissions.Get(ref); s != nil && s.conn == c {
+		c.forwardAnswer(ref, s)
 	}
 	return true
 }
 
-// pass passes an answer's body on, as much as has come and its reader takes: the rest waits in the socket.
-func (c *conn) pass(ref slots.Ref, s *submission) {
-	if c.passing {
+// forwardAnswer passes an answer's body on, as much as has come and its reader takes: the rest waits in the socket.
+func (c *conn) forwardAnswer(ref slots.Ref, s *submission) {
+	if c.forwarding {
 		return
 	}
-	c.passing = true
-	defer func() { c.passing = false }()
+	c.forwarding = true
+	defer func() { c.forwarding = false }()
 	for {
-		room := c.d.gate.Room(s.txn)
+		room := c.dispatch.gate.Writable(s.txn)
 		if room < 0 {
-			c.d.giveUp(ref, s, control.Canceled, control.NotSent)
+			c.dispatch.giveUp(ref, s, control.Canceled, control.NotSent)
 			return
 		}
-		h := c.l.In.Head()
+		h := c.link.Input.Head()
 		if room == 0 || len(h) == 0 && !c.refill() {
 			return
 		}
-		if s.conn != c || c.l.IsClosed() {
+		if s.conn != c || c.link.IsClosed() {
 			return
 		}
-		if h = c.l.In.Head(); len(h) == 0 {
+		if h = c.link.Input.Head(); len(h) == 0 {
 			return
 		}
-		part, used, whole, err := c.r.Part(h)
-		if err == nil && used == 0 && !whole && len(h) < c.l.In.Len() { // a chunk's mark across the ring's end
-			part, used, whole, err = c.r.Part(c.l.In.Linear())
+		part, used, whole, err := c.reader.Part(h)
+		if err == nil && used == 0 && !whole && len(h) < c.link.Input.Len() { // a chunk's mark across the ring's end
+			part, used, whole, err = c.reader.Part(c.link.Input.Linear())
 		}
 		if err != nil {
-			c.d.spoilt(ref, s)
+			c.dispatch.badAnswer(ref, s)
 			return
 		}
 		if len(part) > 0 {
-			c.d.gate.Pass(s.txn, part)
+			c.dispatch.gate.Pass(s.txn, part)
 		}
-		if s.conn != c || c.l.IsClosed() {
+		if s.conn != c || c.link.IsClosed() {
 			return
 		}
-		c.l.In.Drop(used)
+		c.link.Input.Drop(used)
 		if whole {
-			c.flows = false
-			c.l.In.Bound(c.d.terms.Raw)
-			c.r.Closes = !c.l.Trail(false) || c.r.Closes
-			v := c.verdict
-			c.over(ref, s, v, gate.Outcome{Ending: v.Ending, Load: v.Load, Final: v.Final, Answer: &c.r}, 0)
+			c.streaming = false
+			c.link.Input.Bound(c.dispatch.config.Raw)
+			c.reader.Closes = !c.link.Trail(false) || c.reader.Closes
+			v := c.meaning
+			c.over(ref, s, v, gate.Outcome{Ending: v.Ending, Load: v.Load, Final: v.Final, Answer: &c.reader}, 0)
 			return
 		}
 		if used == 0 && !c.refill() {
-			if s.conn == c && c.l.Over() { // what waits is not the rest of the answer
-				c.d.spoilt(ref, s)
+			if s.conn == c && c.link.Over() { // what waits is not the rest of the answer
+				c.dispatch.badAnswer(ref, s)
 			}
 			return
 		}
@@ -139,10 +139,10 @@
 
 // refill reads on where the ring was full.
 func (c *conn) refill() bool {
-	if !c.l.Full() || c.l.In.Room() == 0 {
+	if !c.link.Full() || c.link.Input.Available() == 0 {
 		return false
 	}
-	before := c.l.In.Len()
-	c.l.Resume()
-	return !c.l.IsClosed() && c.l.In.Len() > before
+	before := c.link.Input.Len()
+	c.link.Resume()
+	return !c.link.IsClosed() && c.link.Input.Len() > before
 }
--- a/internal/proxy/upstream/orders_test.go
+++ b/internal/proxy/upstream/orders_test.go
@@ -109,12 +109,12 @@
 }
 
 func (a *asker) say(txn slots.Ref, what string) { a.told[txn] = append(a.told[txn], what) }
-func (a *asker) Settle(_, txn slots.Ref, o gate.Outcome) {
+func (a *asker) Complete(_, txn slots.Ref, o gate.Outcome) {
 	a.say(txn, "answer "+string(o.Body))
 }
-func (a *asker) Decline(_, txn slots.Ref, _ time.Duration, _ control.Reason) { a.say(txn, "refused") }
-func (a *asker) Void(_, txn slots.Ref, _ control.Reason)                     { a.say(txn, "void") }
-func (a *asker) Once(_, _ slots.Ref) bool                                    { return true }
+func (a *asker) Reject(_, txn slots.Ref, _ time.Duration, _ control.Reason) { a.say(txn, "refused") }
+func (a *asker) Fail(_, txn slots.Ref, _ control.Reason)                    { a.say(txn, "void") }
+func (a *asker) Once(_, _ slots.Ref) bool                                   { return true }
 func (a *asker) ID(_, txn slots.Ref) string {
 	if a.same {
 		return "same"
@@ -135,15 +135,15 @@
 type echoes struct{ blind bool }
 
 func (echoes) Wary() bool { return true }
-func (e echoes) Read(x Carried, r *http1.Reader, b []byte) Verdict {
+func (e echoes) Read(x Request, r *http1.Reader, b []byte) Meaning {
 	id, _ := r.Get(b, "x-attempt-id")
 	if string(id) != x.ID && !e.blind {
-		return Verdict{Other: true}
+		return Meaning{Other: true}
 	}
 	if r.Status() == 421 {
-		return Verdict{Ending: control.Rejected, Closes: true}
+		return Meaning{Ending: control.Rejected, Closes: true}
 	}
-	return Verdict{Ending: control.Succeeded}
+	return Meaning{Ending: control.Succeeded}
 }
 
 // hands is the clock of the gate and the office, moved by the test alone.
@@ -192,20 +192,20 @@
 	o := admission.New(1, admission.Config{RetryRatio: 1, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: 1}, quota, time.Hour)
 	o.SetRoute(1, admission.Route{Effectful: true, LatencyTarget: time.Minute, MaxAttempts: tries, Targets: []admission.Target{{Service: 1, Weight: 1}}})
 	s.g = gate.New(o, s.hands, 100, &counters.Set{}, zap.NewNop())
-	s.g.Watched(s.w)
+	s.g.SetWatcher(s.w)
 	s.e.Turn(func() {
-		s.d = New(e, s.g, Terms{Dialect: dialect, Idle: time.Hour, Rest: 1, Dial: time.Minute}, func() bool { return false })
-		s.g.Through(s.d, nil)
+		s.d = New(e, s.g, Config{Dialect: dialect, IdleTimeout: time.Hour, MinIdle: 1, DialTimeout: time.Minute}, func() bool { return false })
+		s.g.SetTransport(s.d, nil)
 		for i := range s.at {
 			if s.at[i] = newFixture(t, body < 1<<20); i >= tries {
 				continue
 			}
 			id := control.BackendID(i + 1)
 			s.d.SetBackend(id, s.at[i].ln.Addr().String(), 0, true)
-			s.g.Listed(false, []control.Endpoint{{ID: id, State: control.Ready, Capacity: 4, Service: 1}})
+			s.g.EndpointsChanged(false, []control.Endpoint{{ID: id, State: control.Ready, Capacity: 4, Service: 1}})
 		}
 		s.hands.now += 30 * time.Second // tokens have come in
-		s.g.Pull()
+		s.g.RunDecisions()
 	})
 	return s
 }
@@ -213,7 +213,7 @@
 func (s *scenario) take() (txn slots.Ref) {
 	s.e.Turn(func() {
 		txn, _ = s.g.Take(control.Txn{Product: 1, Units: 1, SetWidth: 1, Expiry: s.hands.now + time.Hour}, s.a, 1)
-		s.g.Pull()
+		s.g.RunDecisions()
 	})
 	return txn
 }
@@ -237,7 +237,7 @@
 
 // settled tells whether the request has its end and nothing is out.
 func (s *scenario) settled() (is bool) {
-	s.e.Turn(func() { s.g.Pull(); is = s.g.Held() == 0 })
+	s.e.Turn(func() { s.g.RunDecisions(); is = s.g.InFlight() == 0 })
 	return is
 }
 
@@ -270,10 +270,10 @@
 	case 't': // its deadline
 		s.e.Turn(func() {
 			s.hands.now += 2 * time.Hour
-			s.g.Pull()
+			s.g.RunDecisions()
 		})
 	case 'l': // an alarm of a former life of the slot
-		s.e.Turn(func() { s.d.limits.Due(uint32(s.d.byTxn[txn])) })
+		s.e.Turn(func() { s.d.limitAlarms.Due(uint32(s.d.byTxn[txn])) })
 	case 'c':
 		s.e.Turn(func() {
 			s.a.gone[txn] = true
@@ -364,8 +364,8 @@
 	}
 	if !s.settled() { // its client is told, or has gone: what is out ends by its own limit
 		e.Turn(func() {
-			s.d.subs.Each(func(ref slots.Ref, x *submission) { s.d.giveUp(ref, x, control.TimedOut, control.Unreachable) })
-			s.g.Pull()
+			s.d.submissions.Each(func(ref slots.Ref, x *submission) { s.d.giveUp(ref, x, control.TimedOut, control.Unreachable) })
+			s.g.RunDecisions()
 		})
 	}
 	e.Turn(func() {
@@ -379,7 +379,7 @@
 
 // out tells whether a submission is.
 func (s *scenario) out() (is bool) {
-	s.e.Turn(func() { is = s.d.subs.Held() > 0 })
+	s.e.Turn(func() { is = s.d.submissions.Len() > 0 })
 	return is
 }
 
@@ -396,8 +396,8 @@
 			s.read()
 			s.e.Turn(func() {
 				over = true
-				s.d.subs.Each(func(_ slots.Ref, x *submission) {
-					if x.fence.conn == 0 || int(x.backend.id) != s.first+1 {
+				s.d.submissions.Each(func(_ slots.Ref, x *submission) {
+					if x.transmission.conn == 0 || int(x.backend.id) != s.first+1 {
 						over = false
 					}
 				})
@@ -446,8 +446,8 @@
 		dialect Dialect
 		body    int
 	}{
-		{"what passed the fence is taken for unsent", func(on bool) { unfenced.passed = on }, echoes{}, 0},
-		{"what is written in part is taken for unsent", func(on bool) { unfenced.first = on }, echoes{}, 12 << 20},
+		{"what passed the fence is taken for unsent", func(on bool) { disabledChecks.passed = on }, echoes{}, 0},
+		{"what is written in part is taken for unsent", func(on bool) { disabledChecks.first = on }, echoes{}, 12 << 20},
 		{"an answer of another id is taken", func(bool) {}, echoes{blind: true}, 0},
 	} {
 		f.set(true)
@@ -571,9 +571,9 @@
 	must.NoError(t, err)
 	must.Greater(t, n/2, answered)
 	t.Log(n, "streams,", answered, "answers")
-	unfenced.sameID = true
+	disabledChecks.sameID = true
 	n, _, err = streams(t, echoes{}, 2, 17)
-	unfenced.sameID = false
+	disabledChecks.sameID = false
 	must.Error(t, err)
 	t.Log("two callers of one id on one connection: found after", n, err)
 	n, _, err = streams(t, echoes{blind: true}, 2, 17)
@@ -583,9 +583,9 @@
 
 // A node that stood still reads what came meanwhile before it holds an answer for cut short.
 func TestStandstillIsNotTheBackends(t *testing.T) {
-	defer func() { unfenced.unread = false }()
+	defer func() { disabledChecks.unread = false }()
 	for _, fault := range []bool{false, true} {
-		unfenced.unread = fault
+		disabledChecks.unread = fault
 		e := eventloop.New("", 1024, 64<<10, 1<<30)
 		must.NoError(t, e.Start())
 		s := newScenario(t, e, echoes{}, 0, 1)
@@ -595,11 +595,11 @@
 		e.Turn(func() {
 			e.At(e.Now()-time.Hour, late(func() {
 				ref := s.d.byTxn[txn]
-				x := s.d.subs.Get(ref)
-				x.whole, x.wholeBy = time.Minute, e.Now()
+				x := s.d.submissions.Get(ref)
+				x.answerTimeout, x.answerDeadline = time.Minute, e.Now()
 				id := s.a.ID(0, txn)
 				s.at[s.first].newest().Write([]byte(answerTo(id, id)[30:])) // it can't be read before this turn is over
-				s.d.parts.Due(uint32(ref))
+				s.d.partAlarms.Due(uint32(ref))
 			}), 0)
 		})
 		for !s.settled() {
