--- a/internal/proxy/gate/gate.go
+++ b/internal/proxy/gate/gate.go
@@ -1,5 +1,3 @@
-// Package gate drives the decision module: inputs only update what it knows; at the end of a turn decisions are
-// pulled one by one and carried out. No protocol is known here: a second front would use the same gate.
 package gate
 
 import (
@@ -15,146 +13,79 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// Module is what decides: inputs only update what it knows, and Next gives what is to be done now, one by
-// one, until there is nothing: *loadbalancer.Controller or *admission.Controller.
+// Module makes the decisions: *loadbalancer.Controller or *admission.Controller. Inputs only update its state;
+// Next returns the decisions that follow from it, one by one, until there is none.
 type Module interface {
+	// Now sets the module's clock; it precedes every input.
 	Now(time.Duration)
 	TxnArrived(control.Txn)
 	ClientLeft(control.TxnID)
+	// SubmissionEnded reports the one outcome of an attempt; over: the txn has been answered.
 	SubmissionEnded(id control.TxnID, nr int, at control.BackendID, e control.Ending, over bool, took time.Duration,
 		load []float64)
+	// EndpointsChanged: the list is the complete one (whole) or has only what changed.
 	EndpointsChanged(whole bool, list []control.Endpoint)
 	DatagramReceived(from control.GatewayID, payload []byte)
 	ProbeEnded(at control.BackendID, good bool, took time.Duration, load []float64)
+	// Woken: the time that a Wake decision asked for has come.
 	Woken(uint64)
 	Next() (control.Decision, bool)
 }
 
-// Front is where txns come from. It knows a txn by its own number for who waits and by the gate's for the txn,
-// so that a late word finds nobody else.
-type Front interface {
-	// Complete gives what the backend answered, or a Final failure.
-	Complete(who, txn slots.Ref, o Outcome)
-	// Reject: it never ran and never will; the client may come again, best after some time (0: no advice).
-	Reject(who, txn slots.Ref, after time.Duration, why control.Reason)
-	// Fail: it may have run.
-	Fail(who, txn slots.Ref, why control.Reason)
-	// AppendTo writes what is passed on to a backend; nothing once the client has gone.
-	AppendTo(b []byte, who, txn slots.Ref, at control.BackendID, wait time.Duration) []byte
-}
-
-// Streamer is a front some of whose bodies are passed on as they come, both ways.
-type Streamer interface {
-	Front
-	// Flows: Part gives its body, AppendTo the head alone.
-	Flows(who, txn slots.Ref) bool
-	// BodyConsumed: some of that body has gone, and the request can't go again.
-	BodyConsumed(who, txn slots.Ref) bool
-	// Part adds what has come of the body; when it is not ok, no more will.
-	Part(b []byte, who, txn slots.Ref) (out []byte, whole, ok bool)
-	// Begin takes the head of an answer; false: it can't be passed on in parts.
-	Begin(who, txn slots.Ref, o Outcome) bool
-	// Writable is how many bytes of the answer are wanted now; below 0: nobody waits. Pass adds them.
-	Writable(who, txn slots.Ref) int
-	Pass(who, txn slots.Ref, part []byte)
-	// End ends the answer; one that is not whole must not look so.
-	End(who, txn slots.Ref, whole bool)
-}
-
-// Message is what is passed on to a backend. It gives nothing once its client has gone.
-type Message struct {
-	front    Front
-	who, txn slots.Ref
-}
-
-// AppendTo writes it as it goes on to a backend, which has so long for it.
-func (m Message) AppendTo(b []byte, at control.BackendID, wait time.Duration) []byte {
-	return m.front.AppendTo(b, m.who, m.txn, at, wait)
-}
-
-// ID is what its client calls it, while the client waits and where the front knows.
-func (m Message) ID() string {
-	if n, ok := m.front.(namer); ok {
-		return n.ID(m.who, m.txn)
-	}
-	return ""
-}
-
-// Once tells whether it may run at most once, where the front knows.
-func (m Message) Once() bool {
-	o, ok := m.front.(interface{ Once(who, txn slots.Ref) bool })
-	return ok && o.Once(m.who, m.txn)
-}
-
-// Flows tells whether its body is passed on as it comes.
-func (m Message) Flows() bool {
-	s, ok := m.front.(Streamer)
-	return ok && s.Flows(m.who, m.txn)
-}
-
-// bodyConsumed tells whether some of such a body has gone.
-func (m Message) bodyConsumed() bool {
-	s, ok := m.front.(Streamer)
-	return ok && s.BodyConsumed(m.who, m.txn)
-}
-
-// Part adds what has come of such a body. When it is not ok, the rest never comes.
-func (m Message) Part(b []byte) (out []byte, whole, ok bool) {
-	return m.front.(Streamer).Part(b, m.who, m.txn)
-}
-
-// Sender carries submissions and tells Ended, exactly once, how each went.
+// Sender carries attempts to backends, and reports the outcome of each to Gate.Ended exactly once.
 type Sender interface {
+	// Submit sends attempt nr of a txn. limit bounds it as a whole, whole the answer from its first byte on (0: not).
 	Submit(txn slots.Ref, nr int, m Message, to control.BackendID, limit, whole time.Duration)
+	// Recall cancels attempt nr if it is in flight.
 	Recall(txn slots.Ref, nr int)
 	Probe(at control.BackendID)
 }
 
-// DatagramSender carries messages to peers.
+// DatagramSender carries messages to peers; any may be lost.
 type DatagramSender interface {
 	SendDatagram(peer control.GatewayID, payload []byte)
 }
 
-// Answered is what a watcher is told of a txn that a backend's answer ended; the module's verbs name the others.
+// Answered is reported to a Watcher for a txn that a backend's answer ended. The others end by the module's Reject or Fail.
 const Answered control.Action = -1
 
-// Watcher is told of the steps of txns, where operators want a history of them. Without one nothing is done.
+// Watcher observes the steps of txns, for histories that operators ask for. It is optional.
 type Watcher interface {
 	Sent(txn slots.Ref, id string, nr int, to control.BackendID)
 	Ended(txn slots.Ref, nr int, at control.BackendID, how control.Ending)
 	Final(txn slots.Ref, id string, how control.Action)
 }
 
-// namer is a front that knows txns by their clients' ids.
+// namer is a front that knows the IDs that clients give to their requests.
 type namer interface {
 	ID(who, txn slots.Ref) string
 }
 
-// Clock is the turn's time and a place to hang due times.
+// Clock gives the time of the current turn, and calls Gate.Due with nr at the time given to Wake.
 type Clock interface {
 	Now() time.Duration
 	Wake(at time.Duration, nr uint32)
 }
 
-// txn is one that this front door holds.
+// txn is a request in flight.
 type txn struct {
 	front      Front
 	who        slots.Ref
 	expiry     time.Duration
-	answered   bool // or nobody waits any more
-	begun      bool // some of an answer has gone to the client
-	streams    bool // its body is passed on as it comes
-	attempts   int  // submissions so far
+	answered   bool // or its client has left
+	begun      bool // the head of a streamed answer has gone to the client
+	streams    bool // its body is streamed to the backend
+	attempts   int  // so far; the next one's number
 	submitted  bool
-	mayHaveRun bool // one of them may have run
+	mayHaveRun bool // an attempt may have had effect
 }
 
-// Log takes the module's lines; *zap.Logger is one. The fields are all made by zap.Float64.
+// Log takes the module's log entries; *zap.Logger implements it. All fields are made by zap.Float64.
 type Log interface {
 	Info(message string, fields ...zap.Field)
 }
 
-// Gate is the module with what it drives.
+// Gate connects the module with the fronts and the senders. It is used by the turn's owner alone.
 type Gate struct {
 	module       Module
 	clock        Clock
@@ -163,24 +94,25 @@
 	datagrams    DatagramSender
 	counters     *counters.Set
 	log          Log
-	wakeSequence uint32 // number of the module's present due time
+	wakeSequence uint32 // number of the newest Wake decision; earlier ones are stale
 	watcher      Watcher
 }
 
-// New makes a gate for at most so many txns at a time.
+// New makes a gate for at most so many txns in flight.
 func New(node Module, clock Clock, most int, count *counters.Set, log Log) *Gate {
 	return &Gate{module: node, clock: clock, txns: slots.New[txn](most), counters: count, log: log}
 }
 
-// SetTransport says what carries submissions and messages.
+// SetTransport sets what carries attempts and datagrams; it precedes the first input.
 func (g *Gate) SetTransport(s Sender, t DatagramSender) { g.sender, g.datagrams = s, t }
 
-// SetWatcher says who is told of the steps of txns.
+// SetWatcher sets who observes the steps of txns.
 func (g *Gate) SetWatcher(w Watcher) { g.watcher = w }
 
+// message is what is sent to a backend for it.
 func (t *txn) message(ref slots.Ref) Message { return Message{t.front, t.who, ref} }
 
-// final tells of a final answer before it leaves.
+// final reports to the watcher how a txn ends, before the answer leaves.
 func (g *Gate) final(ref slots.Ref, t *txn, how control.Action) {
 	failpoint.At(failpoint.BeforeAnswer)
 	if g.watcher != nil {
@@ -188,10 +120,10 @@
 	}
 }
 
-// InFlight counts txns that are not answered or still have a submission out.
+// InFlight counts txns that are not answered or still have an attempt out.
 func (g *Gate) InFlight() int { return g.txns.Len() }
 
-// Requester is who waits for a txn, by its front's own number; 0: it is not held.
+// Requester is the front's reference to the client that waits for a txn; 0: it is not in flight.
 func (g *Gate) Requester(ref slots.Ref) slots.Ref {
 	if t := g.txns.Get(ref); t != nil {
 		return t.who
@@ -199,9 +131,7 @@
 	return 0
 }
 
-// ---- Inputs
-
-// Take takes a txn in. Its id is given here; false means that as many as may be are held.
+// Take admits a txn to the decisions and gives it its ID. It returns false if as many as allowed are in flight.
 func (g *Gate) Take(x control.Txn, front Front, who slots.Ref) (slots.Ref, bool) {
 	ref, t, ok := g.txns.Add()
 	if !ok {
@@ -216,7 +146,7 @@
 	return ref, true
 }
 
-// Left is told when the client of a txn has gone away.
+// Left reports that the client of a txn has gone away.
 func (g *Gate) Left(ref slots.Ref) {
 	t := g.txns.Get(ref)
 	if t == nil || t.answered {
@@ -229,8 +159,8 @@
 	g.halt(ref, t)
 }
 
-// halt calls off what can't come to its end any more: an answer that nobody reads, a body that does not
-// come.
+// halt cancels a streamed attempt that can't complete any more: nobody reads the answer, or the rest of the body
+// never comes.
 func (g *Gate) halt(ref slots.Ref, t *txn) {
 	if (t.begun || t.streams) && t.submitted {
 		g.sender.Recall(ref, t.attempts-1)
@@ -239,7 +169,7 @@
 	g.drop(ref, t)
 }
 
-// More passes on that a front has more of a body, or room for more of an answer.
+// More reports that a front has more of a body, or takes more of an answer.
 func (g *Gate) More(ref slots.Ref) {
 	if t := g.txns.Get(ref); t == nil || !t.submitted {
 		return
@@ -249,8 +179,8 @@
 	}
 }
 
-// Begun takes the head of an answer that goes on in parts. False: nobody waits for it, or it can't be had
-// so.
+// Begun takes the head of an answer that is streamed. It returns false if nobody waits for it, or if the front
+// can't stream it.
 func (g *Gate) Begun(ref slots.Ref, o Outcome) bool {
 	t := g.txns.Get(ref)
 	if t == nil || t.answered {
@@ -261,7 +191,7 @@
 	return t.begun
 }
 
-// Writable is how many bytes of such an answer are wanted now; below 0: nobody waits any more.
+// Writable is how many bytes of a streamed answer the client takes now; below 0: nobody waits any more.
 func (g *Gate) Writable(ref slots.Ref) int {
 	t := g.txns.Get(ref)
 	if t == nil || t.answered || !t.begun {
@@ -270,25 +200,25 @@
 	return t.front.(Streamer).Writable(t.who, ref)
 }
 
-// Pass passes them on.
+// Pass gives a part of a streamed answer to the client.
 func (g *Gate) Pass(ref slots.Ref, part []byte) {
 	if t := g.txns.Get(ref); t != nil && !t.answered && t.begun {
 		t.front.(Streamer).Pass(t.who, ref, part)
 	}
 }
 
-// Outcome is how a submission ended. The answer is there during the call only.
+// Outcome is how an attempt ended. Answer, Bytes and Body are valid during the call only.
 type Outcome struct {
 	Ending control.Ending
 	Took   time.Duration
 	Load   []float64
-	Final  bool          // no success, yet to be passed on as it is: nothing better will come
-	Answer *http1.Reader // of a backend's whole answer, with the bytes that it read; nil: there is none
-	Bytes  []byte
+	Final  bool          // no success, yet it goes to the client as it is: another attempt would bring nothing better
+	Answer *http1.Reader // of a backend's complete answer; nil: there is none
+	Bytes  []byte        // what Answer has read
 	Body   []byte
 }
 
-// Ended takes the one outcome of a submission.
+// Ended takes the one outcome of an attempt.
 func (g *Gate) Ended(ref slots.Ref, nr int, at control.BackendID, o Outcome) {
 	t := g.txns.Get(ref)
 	invariant.That(t != nil && t.submitted && t.attempts == nr+1, "a submission ends once, while its txn is held")
@@ -317,12 +247,12 @@
 		over, t.answered = true, true
 		g.final(ref, t, Answered)
 		t.front.Complete(t.who, ref, o)
-	case t.streams && t.message(ref).bodyConsumed(): // whatever the module would do, it can't go again
+	case t.streams && t.message(ref).bodyConsumed(): // the body can't be sent again, so there is no retry
 		over, t.answered = true, true
 		if mayHaveRun(o.Ending) {
-			g.void(ref, t, control.ReasonNoBackend)
+			g.fail(ref, t, control.ReasonNoBackend)
 		} else {
-			g.decline(ref, t, 0, control.ReasonNoBackend)
+			g.reject(ref, t, 0, control.ReasonNoBackend)
 		}
 	}
 	g.module.Now(g.clock.Now())
@@ -330,30 +260,31 @@
 	g.drop(ref, t)
 }
 
-// allowSecondRun lets through whatever the module decides; only a test sets it.
+// allowSecondRun disables the check that what may run once is not sent again; only a test sets it.
 var allowSecondRun bool
 
-// mayHaveRun tells whether a submission that ended so may have run.
+// mayHaveRun tells whether an attempt with such an ending may have had effect.
 func mayHaveRun(e control.Ending) bool {
 	return e != control.Rejected && e != control.Unreachable && e != control.NotSent
 }
 
-// decline and void give the one answer to a txn that no backend's answer ends.
-func (g *Gate) decline(ref slots.Ref, t *txn, after time.Duration, why control.Reason) {
+// reject answers a txn that had no effect and will have none.
+func (g *Gate) reject(ref slots.Ref, t *txn, after time.Duration, why control.Reason) {
 	g.final(ref, t, control.Reject)
 	g.counters.Add(counters.GaveUpTime + counters.ID(why))
 	g.counters.Add(counters.Rejected)
 	t.front.Reject(t.who, ref, after, why)
 }
 
-func (g *Gate) void(ref slots.Ref, t *txn, why control.Reason) {
+// fail answers a txn that may have had effect.
+func (g *Gate) fail(ref slots.Ref, t *txn, why control.Reason) {
 	g.final(ref, t, control.Fail)
 	g.counters.Add(counters.GaveUpTime + counters.ID(why))
 	g.counters.Add(counters.Failed)
 	t.front.Fail(t.who, ref, why)
 }
 
-// EndpointsChanged takes news of the backends.
+// EndpointsChanged takes an update of the endpoint list.
 func (g *Gate) EndpointsChanged(whole bool, list []control.Endpoint) {
 	g.module.Now(g.clock.Now())
 	g.module.EndpointsChanged(whole, list)
@@ -365,18 +296,19 @@
 	g.module.DatagramReceived(from, payload)
 }
 
-// Probed takes the answer to a probe.
+// Probed takes the outcome of a health check.
 func (g *Gate) Probed(at control.BackendID, good bool, took time.Duration, load []float64) {
 	g.module.Now(g.clock.Now())
 	g.module.ProbeEnded(at, good, took, load)
 }
 
-// Live reports whether a due time is the newest: the module asks anew whenever something is due earlier.
+// Live reports whether an alarm is the newest: the module asks anew whenever something is due earlier.
 func (g *Gate) Live(nr uint32) bool { return nr == g.wakeSequence }
 
-// Due is called when the module's own due time has come; the pull at the end of the turn does the rest.
+// Due wakes the module; RunDecisions at the end of the turn does the rest.
 func (g *Gate) Due(uint32) { g.module.Woken(0) }
 
+// drop forgets a txn that is answered and has no attempt out.
 func (g *Gate) drop(ref slots.Ref, t *txn) {
 	if t.answered && !t.submitted {
 		*t = txn{}
@@ -384,9 +316,7 @@
 	}
 }
 
-// ---- Decisions
-
-// RunDecisions carries out decisions until there is none left.
+// RunDecisions carries out the module's decisions until there is none left. It ends every turn.
 func (g *Gate) RunDecisions() {
 	g.module.Now(g.clock.Now())
 	for {
@@ -398,74 +328,90 @@
 	}
 }
 
-func (g *Gate) carryOut(x control.Decision) {
-	ref := slots.Ref(x.Txn)
-	switch x.Action {
+// carryOut does what one decision asks for.
+func (g *Gate) carryOut(d control.Decision) {
+	ref := slots.Ref(d.Txn)
+	switch d.Action {
 	case control.Submit:
-		t := g.txns.Get(ref)
-		invariant.That(t != nil && !t.submitted && !t.answered, "a submission goes out alone, for a txn that waits")
-		if t == nil || t.submitted || t.answered {
-			return
-		}
-		nr := t.attempts
-		t.attempts, t.submitted, t.streams = t.attempts+1, true, t.message(ref).Flows()
-		// Whatever decides: what may run once and may have run passes no fence again.
-		again := t.mayHaveRun && t.message(ref).Once() && !allowSecondRun
-		invariant.That(!again, "what may run once is not sent after it may have run")
-		if again {
-			g.Ended(ref, nr, x.Backend, Outcome{Ending: control.NotSent})
-			return
-		}
-		g.counters.Add(counters.Submissions)
-		limit := t.expiry - g.clock.Now()
-		if x.After > 0 {
-			limit = min(limit, x.After)
-		}
-		failpoint.At(failpoint.BeforeSubmit)
-		if g.watcher != nil {
-			g.watcher.Sent(ref, t.message(ref).ID(), nr, x.Backend)
-		}
-		g.sender.Submit(ref, nr, t.message(ref), x.Backend, limit, x.ResponseTimeout)
-		failpoint.At(failpoint.AfterSubmit)
+		g.submit(ref, d)
 	case control.Reject, control.Fail:
-		t := g.txns.Get(ref)
-		invariant.That(t != nil && !t.answered, "a txn is answered once")
-		if t == nil || t.answered {
-			return
-		}
-		t.answered = true
-		refused := x.Action == control.Reject
-		if refused && (t.mayHaveRun || t.submitted) && t.message(ref).Once() && !allowSecondRun {
-			invariant.That(false, "what is refused has not run, and nothing of it is out")
-			refused = false
-		}
-		switch {
-		case t.begun:
-			g.counters.Add(counters.Truncated)
-			t.front.(Streamer).End(t.who, ref, false)
-		case refused:
-			g.decline(ref, t, x.After, x.Reason)
-		default:
-			g.void(ref, t, x.Reason)
-		}
-		g.halt(ref, t)
+		g.giveUp(ref, d)
 	case control.Cancel:
 		if t := g.txns.Get(ref); t != nil && t.begun && !t.answered {
 			return // its answer is on its way to the client already
 		}
-		g.sender.Recall(ref, x.Attempt)
+		g.sender.Recall(ref, d.Attempt)
 	case control.Probe:
-		g.sender.Probe(x.Backend)
+		g.sender.Probe(d.Backend)
 	case control.SendDatagram:
-		g.datagrams.SendDatagram(x.Peer, x.Payload)
+		g.datagrams.SendDatagram(d.Peer, d.Payload)
 	case control.Wake:
 		g.wakeSequence++
-		g.clock.Wake(g.clock.Now()+x.After, g.wakeSequence)
+		g.clock.Wake(g.clock.Now()+d.After, g.wakeSequence)
 	case control.Log:
-		fields := make([]zap.Field, 0, len(x.Entry.Fields))
-		for _, f := range x.Entry.Fields {
-			fields = append(fields, zap.Float64(f.Name, f.Value))
-		}
-		g.log.Info(x.Entry.Message, fields...)
+		g.logEntry(d.Entry)
+	}
+}
+
+// submit sends an attempt of a txn to a backend.
+func (g *Gate) submit(ref slots.Ref, d control.Decision) {
+	t := g.txns.Get(ref)
+	invariant.That(t != nil && !t.submitted && !t.answered, "a submission goes out alone, for a txn that waits")
+	if t == nil || t.submitted || t.answered {
+		return
+	}
+	attempt := t.attempts
+	t.attempts, t.submitted, t.streams = t.attempts+1, true, t.message(ref).Flows()
+	// The last check before the socket, whatever the module decided: what may run at most once and may have run is not sent again.
+	again := t.mayHaveRun && t.message(ref).Once() && !allowSecondRun
+	invariant.That(!again, "what may run once is not sent after it may have run")
+	if again {
+		g.Ended(ref, attempt, d.Backend, Outcome{Ending: control.NotSent})
+		return
+	}
+	g.counters.Add(counters.Submissions)
+	limit := t.expiry - g.clock.Now()
+	if d.After > 0 {
+		limit = min(limit, d.After)
+	}
+	failpoint.At(failpoint.BeforeSubmit)
+	if g.watcher != nil {
+		g.watcher.Sent(ref, t.message(ref).ID(), attempt, d.Backend)
+	}
+	g.sender.Submit(ref, attempt, t.message(ref), d.Backend, limit, d.ResponseTimeout)
+	failpoint.At(failpoint.AfterSubmit)
+}
+
+// giveUp answers a txn that no backend's answer ends, as the decision says: rejected or failed.
+func (g *Gate) giveUp(ref slots.Ref, d control.Decision) {
+	t := g.txns.Get(ref)
+	invariant.That(t != nil && !t.answered, "a txn is answered once")
+	if t == nil || t.answered {
+		return
+	}
+	t.answered = true
+	rejected := d.Action == control.Reject
+	if rejected && (t.mayHaveRun || t.submitted) && t.message(ref).Once() && !allowSecondRun {
+		invariant.That(false, "what is refused has not run, and nothing of it is out")
+		rejected = false
+	}
+	switch {
+	case t.begun:
+		g.counters.Add(counters.Truncated)
+		t.front.(Streamer).End(t.who, ref, false)
+	case rejected:
+		g.reject(ref, t, d.After, d.Reason)
+	default:
+		g.fail(ref, t, d.Reason)
+	}
+	g.halt(ref, t)
+}
+
+// logEntry logs an entry of the module's, all of whose fields are numbers.
+func (g *Gate) logEntry(entry *control.LogEntry) {
+	fields := make([]zap.Field, 0, len(entry.Fields))
+	for _, f := range entry.Fields {
+		fields = append(fields, zap.Float64(f.Name, f.Value))
 	}
+	g.log.Info(entry.Message, fields...)
 }
