--- a/internal/proxy/downstream/flow.go
+++ b/internal/proxy/downstream/streaming.go
@@ -5,7 +5,7 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// beginStreaming takes a message in parts that won't be held whole, once its head is there.
+// beginStreaming streams a request that is not to be buffered, once its head is complete.
 func (c *Client) beginStreaming() bool {
 	size, headed := c.reader.Headed()
 	if b := &c.server.bounds; !headed || b.Buffer <= 0 || c.server.streams == nil {
@@ -32,11 +32,11 @@
 	return true
 }
 
-// closeIfBodyUnread makes the answer to a message whose body was not taken to its end the connection's last: nobody
-// knows where the next message would begin.
+// closeIfBodyUnread makes an answer the connection's last if the request's body was not read to its end: where the next
+// request would begin is not known.
 func (c *Client) closeIfBodyUnread() { c.last = c.last || c.streaming && !c.reader.Done() }
 
-// endStreaming ends the taking in parts.
+// endStreaming returns to buffered requests.
 func (c *Client) endStreaming() {
 	if !c.streaming {
 		return
@@ -44,21 +44,21 @@
 	c.streaming = false
 	c.link.Input.KeepMemory(false)
 	c.link.Input.Bound(c.server.bounds.Raw)
-	if cap(c.head) > leastHead {
+	if cap(c.head) > maxKeptHead {
 		c.head = nil
 	}
 }
 
-// leastHead is what is kept of a head's memory between messages.
-const leastHead = 1 << 10
+// maxKeptHead is how many bytes of memory for a head are kept between requests.
+const maxKeptHead = 1 << 10
 
-// Txn is what the present message was held for.
+// Txn is what the present request waits for.
 func (c *Client) Txn() slots.Ref { return c.txn }
 
-// Flows tells whether the body is taken in parts.
+// Flows tells whether the body is streamed.
 func (c *Client) Flows() bool { return c.streaming }
 
-// Part adds what has come of a body that is taken in parts. After an error nothing more of it can be told.
+// Part appends what has come of a streamed body; whole: that was the last. After an error the rest can't be read.
 func (c *Client) Part(b []byte) (out []byte, whole bool, err error) {
 	for !c.reader.Done() && !c.link.IsClosed() {
 		if c.link.Input.Len() == 0 {
@@ -66,7 +66,7 @@
 		}
 		h := c.link.Input.Head()
 		part, used, _, err := c.reader.Part(h)
-		if err == nil && used == 0 && len(h) < c.link.Input.Len() { // a chunk's mark across the ring's end
+		if err == nil && used == 0 && len(h) < c.link.Input.Len() { // a chunk's size wraps in the ring
 			part, used, _, err = c.reader.Part(c.link.Input.Linear())
 		}
 		if err != nil {
@@ -81,7 +81,7 @@
 	return b, c.reader.Done(), nil
 }
 
-// Resume reads on where the bytes that waited have filled their ring, after Part has taken some.
+// Resume reads on from the socket if the ring was full, after Part has taken some.
 func (c *Client) Resume() bool {
 	if !c.link.Full() || c.link.Input.Available() == 0 {
 		return false
@@ -90,7 +90,7 @@
 	return true
 }
 
-// Begin writes what there is of an answer that comes in parts.
+// Begin writes the head of a streamed answer.
 func (c *Client) Begin(write func(b []byte, last bool) []byte) {
 	c.closeIfBodyUnread()
 	c.server.scratch = write(c.server.scratch[:0], c.last)
@@ -98,13 +98,14 @@
 	c.link.Send(c.server.scratch)
 }
 
-// Writable is how many bytes more of such an answer its reader is ready for.
+// Writable is how many bytes of a streamed answer may be written now.
 func (c *Client) Writable() int { return streamRing - c.link.Unwritten() }
 
-// Pass writes a part.
+// Pass writes a part of a streamed answer.
 func (c *Client) Pass(p []byte) { c.link.Send(p) }
 
-// End writes the last part, or breaks the connection off where the answer is not whole: it must not look so.
+// End writes the end of a streamed answer, or closes the connection if the answer is not complete, so that the client can
+// tell.
 func (c *Client) End(whole bool, last []byte) {
 	if !whole {
 		c.txn = 0
--- a/internal/proxy/downstream/txn.go
+++ b/internal/proxy/downstream/txn.go
@@ -13,13 +13,13 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// Gate takes txns and hears of clients that leave.
+// Gate takes txns, and is notified of clients that leave.
 type Gate interface {
 	Take(x control.Txn, front gate.Front, who slots.Ref) (slots.Ref, bool)
 	Left(txn slots.Ref)
 }
 
-// Txns is the form of txns that say all about themselves: product, plan, customer and quota.
+// Txns handles the front door's requests, whose headers say all about them: product, plan, customer and quota. It is a gate.Front.
 type Txns struct {
 	*Server
 	gate     Gate
@@ -27,14 +27,14 @@
 	kinds    []Product
 	plans    map[string]control.PlanID
 	gateways int
-	maxUnits float64 // of a txn, at most
+	maxUnits float64 // of a txn, at the most
 }
 
-// TxnConfig is what txns are held against.
+// TxnConfig is what txns are checked against.
 type TxnConfig struct {
 	Products []Product
 	Plans    []string
-	Gateways int     // that share the quotas
+	Gateways int     // number of gateways that share the quotas
 	MaxUnits float64 // of a txn
 }
 
@@ -45,7 +45,7 @@
 	Safe  bool // may run again
 }
 
-// NewTxns has a server take txns, for a gate.
+// NewTxns makes the handler of a server, for a gate.
 func NewTxns(in *Server, g Gate, terms TxnConfig) *Txns {
 	f := &Txns{Server: in, gate: g, products: map[string]control.ProductID{}, plans: map[string]control.PlanID{},
 		gateways: terms.Gateways, maxUnits: terms.MaxUnits}
@@ -60,10 +60,10 @@
 	return f
 }
 
-// Left is told when the client of a txn has gone away.
+// Left implements Handler.
 func (t *Txns) Left(txn slots.Ref) { t.gate.Left(txn) }
 
-// Take makes a txn of a whole message, or answers it right here.
+// Take implements Handler: it makes a txn of a request, or answers it at once.
 func (t *Txns) Take(c *Client) {
 	r, b := c.Request()
 	method, target := r.Method(b), r.Target(b)
@@ -84,8 +84,8 @@
 		c.Reject(405, counters.NoSuchMethod, "GET or POST")
 		return
 	}
-	// Bytes behind a message that no message begins with show that its length was wrong: what went on would not be
-	// what the client meant.
+	// If what follows can't begin a request, the length of this one was wrong: what went to a backend would not be what the
+	// client meant.
 	if rest := c.Rest(); len(rest) > 0 && !http1.MayBegin(rest) {
 		c.RejectUnreadable(http1.ErrFraming)
 		return
@@ -108,7 +108,7 @@
 	c.AwaitAnswer(ref, c.id)
 }
 
-// Complete gives the one answer to a txn, as Decline and Void do.
+// Complete implements gate.Front: the answer of a backend.
 func (t *Txns) Complete(who, txn slots.Ref, o gate.Outcome) {
 	if c := t.ClientToAnswer(who, txn); c != nil {
 		kind, _ := o.Answer.Get(o.Bytes, "content-type")
@@ -116,21 +116,21 @@
 	}
 }
 
-// Reject says that coming again is harmless.
+// Reject implements gate.Front: 429, a retry is harmless.
 func (t *Txns) Reject(who, txn slots.Ref, after time.Duration, _ control.Reason) {
 	if c := t.ClientToAnswer(who, txn); c != nil {
 		c.Answer(func(b []byte, last bool) []byte { return answer.Reject(b, after, last) })
 	}
 }
 
-// Fail makes no such promise.
+// Fail implements gate.Front: 502, the request may have had effect.
 func (t *Txns) Fail(who, txn slots.Ref, _ control.Reason) {
 	if c := t.ClientToAnswer(who, txn); c != nil {
 		c.Answer(answer.Fail)
 	}
 }
 
-// parseTxn makes a txn of a message's headers, or says in one line what is wrong with them.
+// parseTxn makes a txn of a request's headers, or returns a line that says what is wrong with them and the counter of that.
 func (t *Txns) parseTxn(r *http1.Reader, b []byte) (x control.Txn, why counters.ID, line string) {
 	one := func(name string) []byte {
 		v, many := r.Get(b, name)
@@ -148,13 +148,13 @@
 	if line != "" {
 		return x, why, line
 	}
-	span, ok := parseDeadline(wait)
+	timeout, ok := parseDeadline(wait)
 	if !ok {
 		return x, why, "req-deadline: a number and m or u"
 	}
-	// The client counts from when it sent. After a standstill the txn may have lain unread for all of it: taken as
-	// new, it would be answered past its expiry.
-	x.Expiry = t.engine.Now() + max(span-t.engine.InputDelay(), 0)
+	// The client counts from when it sent. After a stall of this process the request may have been unread for all of it: taken
+	// as new, it would be answered past its expiry.
+	x.Expiry = t.engine.Now() + max(timeout-t.engine.InputDelay(), 0)
 	if x.Customer, ok = parseCustomer(cookie); !ok {
 		return x, why, "cookie: key is 16 hexadecimal digits below 2^33"
 	}
@@ -162,12 +162,11 @@
 		return x, counters.BadProduct, "req-kind: unknown"
 	}
 	if t.kinds[x.Product].Keyed {
-		if one("idempotency-key"); line != "" { // without it a repeat could not be told from a new one
+		if one("idempotency-key"); line != "" { // without it a retry can't be told from a new request
 			return x, why, line
 		}
 	}
-	// The class decides the method: what backends would reject takes no units and counts against none of them.
-	if get := string(r.Method(b)) == "GET"; get != t.kinds[x.Product].Safe || get && len(r.Body(b)) > 0 {
+	if !t.methodAllowed(x.Product, r, b) {
 		return x, why, "req-kind: not by this method"
 	}
 	if x.Plan, ok = t.plans[string(plan)]; !ok {
@@ -176,15 +175,27 @@
 	if !t.parseQuota(&x, quota) {
 		return x, counters.BadQuota, "x-quota: units, spread and first"
 	}
-	if v, _ := r.Get(b, "req-retry"); len(v) > 0 {
-		if x.Retry = string(v) == "1"; !x.Retry && string(v) != "0" {
-			return x, why, "req-retry: 1"
-		}
+	if x.Retry, ok = parseRetry(r, b); !ok {
+		return x, why, "req-retry: 1"
 	}
 	return x, why, ""
 }
 
-// parseDeadline reads a number followed by its unit.
+// methodAllowed tells whether a request has the method of its product: what backends would reject takes no units, and counts
+// against no backend.
+func (t *Txns) methodAllowed(product control.ProductID, r *http1.Reader, b []byte) bool {
+	get := string(r.Method(b)) == "GET"
+	return get == t.kinds[product].Safe && !(get && len(r.Body(b)) > 0)
+}
+
+// parseRetry reads whether the client sends the request again: 1 or 0, or the header is missing.
+func parseRetry(r *http1.Reader, b []byte) (retry, ok bool) {
+	v, _ := r.Get(b, "req-retry")
+	retry = string(v) == "1"
+	return retry, retry || len(v) == 0 || string(v) == "0"
+}
+
+// parseDeadline reads a number followed by its unit, m (ms) or u (µs); it is capped at an hour.
 func parseDeadline(v []byte) (time.Duration, bool) {
 	unit := time.Duration(0)
 	switch v[len(v)-1] {
@@ -197,7 +208,7 @@
 	return min(time.Duration(n)*unit, time.Hour), ok && unit > 0 && n > 0
 }
 
-// parseCustomer reads the cookie that names one.
+// parseCustomer reads the cookie's key, which names the customer.
 func parseCustomer(cookie []byte) (control.CustomerID, bool) {
 	found, id := false, 0
 	for len(cookie) > 0 {
@@ -222,7 +233,7 @@
 	return control.CustomerID(id), found && id < 1<<33
 }
 
-// parseQuota reads what a txn weighs and which front doors its customer has.
+// parseQuota reads a txn's units, and the set of gateways that its customer may use.
 func (t *Txns) parseQuota(x *control.Txn, v []byte) bool {
 	seen := 0
 	for len(v) > 0 {
@@ -259,7 +270,7 @@
 	return seen == 7
 }
 
-// AppendTo writes what goes on to a backend: method, target, body, id and key as they came.
+// AppendTo implements gate.Front: method, target, body, ID and key go to the backend as they came.
 func (t *Txns) AppendTo(b []byte, who, txn slots.Ref, _ control.BackendID, wait time.Duration) []byte {
 	c := t.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
