--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -13,7 +13,7 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// conn is a connection to a backend; it carries one submission at a time.
+// conn is a connection to a backend; it carries one attempt at a time.
 type conn struct {
 	dispatch   *Dispatch
 	ref        slots.Ref
@@ -26,14 +26,14 @@
 	idleFor    time.Duration
 	sending    bool
 	forwarding bool
-	meaning    Meaning // of an answer that is passed on in parts
-	streaming  bool    // one is
-	last       string  // id of what it carried last
+	meaning    Meaning // of an answer that is streamed
+	streaming  bool    // an answer is streamed
+	last       string  // ID of the request that it carried last
 }
 
-// reuse takes the idle connection used last that has rested, unless any will do, and closes those that are
-// not fit to be used again. What has the id of the one before on a connection goes on another: a second copy of that
-// answer could not be told from its own, and two clients may have chosen alike.
+// reuse takes the most recently used connection that has been idle for Config.MinIdle (any: or for less), and closes those that
+// can't be used again. A request with the ID of the one before on a connection goes over another: a duplicate of the former
+// answer could not be told from its own, and two clients may have chosen the same ID.
 func (d *Dispatch) reuse(b *backend, any bool, id string) *conn {
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// defaultMinIdle is how long a connection stays idle after an answer: what a backend sends behind one, a second
-// copy or noise, shows itself by then. Come later, it would be taken for the next answer. It costs a
-// connection more now and then.
+// defaultMinIdle is how long a connection stays idle after an answer. What a backend sends after one, a duplicate or
+// garbage, usually arrives within that time; later it would be taken for the next answer. The price is an additional
+// connection now and then.
 const defaultMinIdle = 10 * time.Millisecond
 
-// dial opens a connection for a submission, or ends it when none may be opened.
+// dial opens a connection for an attempt; if none may be opened the attempt ends, and the result is false.
 func (d *Dispatch) dial(b *backend, ref slots.Ref, s *submission) bool {
 	if d.engine.FreeConnections() <= 0 && !d.Evict(b) && !d.freeDescriptor() {
 		d.end(ref, s, control.Unreachable)
@@ -78,6 +78,7 @@
 	return true
 }
 
+// up is called when the dial has ended.
 func (c *conn) up(ok bool) {
 	c.dialing = false
 	s := c.dispatch.submissions.Get(c.sub)
@@ -92,13 +93,13 @@
 	c.carry(c.sub, s)
 }
 
-// carry writes a submission.
+// carry writes an attempt's request.
 func (c *conn) carry(ref slots.Ref, s *submission) {
 	c.sub, s.conn = ref, c
 	invariant.That(s.backend.ready, "nothing is sent to one that drains or is gone")
 	left := s.deadline - c.dispatch.engine.Now()
 	c.dispatch.scratch = s.message.AppendTo(c.dispatch.scratch[:0], c.backend.id, left)
-	if len(c.dispatch.scratch) == 0 || left <= 0 { // its client has gone, or its time, before anything was written
+	if len(c.dispatch.scratch) == 0 || left <= 0 { // the client has left, or the deadline has passed, before anything was written
 		c.dispatch.giveUp(ref, s, control.ConnectionLost, control.NotSent)
 		return
 	}
@@ -109,14 +110,14 @@
 	}
 }
 
-// Sent: all that was handed over is in the socket.
+// Sent implements eventloop.Owner: all that was sent is in the socket.
 func (c *conn) Sent() {
 	if s := c.dispatch.submissions.Get(c.sub); s != nil && s.streaming {
 		c.sendBody()
 	}
 }
 
-// Closed: the backend ended it, or an error did.
+// Closed implements eventloop.Owner: the backend or an error ended the connection.
 func (c *conn) Closed() {
 	c.drop()
 	s := c.dispatch.submissions.Get(c.sub)
@@ -127,12 +128,13 @@
 	c.dispatch.giveUp(c.sub, s, control.ConnectionLost, control.Unreachable)
 }
 
+// close closes the connection and forgets it.
 func (c *conn) close() {
 	c.link.Close()
 	c.drop()
 }
 
-// drop forgets the connection; its slot may be another's from the next dial on.
+// drop forgets the connection; its slot may be reused by the next dial.
 func (c *conn) drop() {
 	invariant.That(c.dispatch.conns.Get(c.ref) == c, "a connection is dropped once")
 	for i, o := range c.backend.idle {
@@ -145,11 +147,11 @@
 	c.dispatch.conns.Drop(c.ref)
 }
 
-// Data reads an answer.
+// Data implements eventloop.Owner: it reads answers.
 func (c *conn) Data() {
 	ref := c.sub
 	s := c.dispatch.submissions.Get(ref)
-	if s == nil || s.conn != c { // bytes that nobody asked for
+	if s == nil || s.conn != c { // bytes without a request
 		c.dispatch.engine.Count.Add(counters.BadAnswer)
 		c.sub = 0
 		c.close()
@@ -187,16 +189,16 @@
 			c.dispatch.engine.Count.Add(counters.OtherAnswer)
 			s.answerDeadline = 0
 		}
-		bodiless := c.reader.Bodiless // an interim answer, or another's
+		bodiless := c.reader.Bodiless // an interim (1xx) answer, or another request's
 		c.link.Input.Drop(size)
 		c.reader.Reset()
 		c.reader.Bodiless = bodiless
 	}
 }
 
-// answered ends a submission by its answer and keeps the connection where it may carry another.
+// answered ends an attempt by its complete answer.
 func (c *conn) answered(ref slots.Ref, s *submission, v Meaning, b []byte, size int) {
-	if v.Ending == control.ConnectionLost { // it has the form of an answer, and is none
+	if v.Ending == control.ConnectionLost { // well-formed, yet not an answer to the request
 		c.dispatch.badAnswer(ref, s)
 		return
 	}
@@ -204,9 +206,9 @@
 	c.over(ref, s, v, o, size)
 }
 
-// over tells the outcome that an answer makes, and keeps the connection if nothing is left on it.
+// over reports the outcome of an answer, and pools the connection if nothing is left on it.
 func (c *conn) over(ref slots.Ref, s *submission, v Meaning, o gate.Outcome, size int) {
-	// else nobody would find it again
+	// With bytes left in either direction the next answer's begin would not be known.
 	keep := !c.reader.Closes && !v.Closes && c.link.Unwritten() == 0 && !s.streaming && c.link.Input.Len() == size
 	c.sub, c.last, s.conn = 0, s.id, nil
 	c.dispatch.ended(ref, s, o)
@@ -223,7 +225,7 @@
 	c.backend.idle = append(c.backend.idle, c)
 }
 
-// read asks what an answer means.
+// read asks the dialect what an answer means.
 func (c *conn) read(s *submission, b []byte) Meaning {
 	return c.dispatch.config.Dialect.Read(Request{s.id, s.message.Once(), c.backend.id}, &c.reader, b)
 }
--- a/internal/proxy/upstream/dialect.go
+++ b/internal/proxy/upstream/dialect.go
@@ -9,48 +9,48 @@
 	"clovergap/internal/proxy/http1"
 )
 
-// Dialect is what backends mean by their answers.
+// Dialect interprets backends' answers.
 type Dialect interface {
-	// Read tells what a whole answer means, to the request that its connection carries.
+	// Read interprets an answer to the request that its connection carries: a complete one, or the head of one that is streamed.
 	Read(x Request, r *http1.Reader, b []byte) Meaning
-	// Wary tells that a request may have run as soon as any byte of it is written, not only when all are.
+	// Wary tells that a request may have effect as soon as any byte of it is written; if false, only when all are.
 	Wary() bool
 }
 
 // Request is the request that a connection carries.
 type Request struct {
-	ID      string // its client's, where the front knows one
-	Once    bool   // it may run at most once
+	ID      string // that the client gave to it; empty if the front knows none
+	Once    bool   // it must take effect at most once
 	Backend control.BackendID
 }
 
-// Meaning is what a whole answer means.
+// Meaning is the interpretation of an answer.
 type Meaning struct {
-	Other  bool // it belongs to another request: it is passed over, and the right one awaited
+	Other  bool // it belongs to another request, and is skipped
 	Ending control.Ending
-	Final  bool // no success, yet the client is to have it as it is
+	Final  bool // no success, yet it goes to the client as it is
 	Load   []float64
-	Closes bool          // the connection is not used again, though the answer doesn't say so
-	Idle   time.Duration // how long it may stay idle; 0: as the terms have it
+	Closes bool          // the connection is not used again, even if the answer allows it
+	Idle   time.Duration // how long the connection may stay idle; 0: as configured
 }
 
-// Reports is the dialect of backends that tell their load with each answer.
+// Reports is the dialect of backends that report their load with each answer.
 type Reports struct {
 	fields []string
 	load   []float64
 }
 
-// NewReports makes it; fields are what a load report may name, in the order of the settings.
+// NewReports makes the dialect; fields are the names in a load report, in the order of the settings.
 func NewReports(fields []string) *Reports {
 	return &Reports{fields: fields, load: make([]float64, len(fields))}
 }
 
-// Wary is false: here a backend begins with a whole request only.
+// Wary is false: these backends start only on a complete request.
 func (*Reports) Wary() bool { return false }
 
-// Read tells whether it ever ran.
+// Read implements Dialect.
 func (r *Reports) Read(_ Request, reader *http1.Reader, b []byte) Meaning {
-	v := Meaning{Ending: control.Errored, Load: r.report(reader, b)} // whatever else it says, it may have run
+	v := Meaning{Ending: control.Errored, Load: r.report(reader, b)} // other statuses may come after some effect
 	switch reader.Status() {
 	case 200:
 		v.Ending = control.Succeeded
@@ -62,14 +62,14 @@
 	return v
 }
 
-// report reads the load that an answer tells: names and numbers, in the order that the settings have.
+// report parses the load in an answer's srv-load header: name=number, separated by commas.
 func (r *Reports) report(reader *http1.Reader, b []byte) []float64 {
 	v, _ := reader.Get(b, "srv-load")
 	if len(v) == 0 {
 		return nil
 	}
 	for i := range r.load {
-		r.load[i] = -1 // not told
+		r.load[i] = -1 // not reported
 	}
 	for len(v) > 0 {
 		one, rest, _ := bytes.Cut(v, []byte(","))
--- a/internal/proxy/upstream/fence.go
+++ b/internal/proxy/upstream/fence.go
@@ -7,22 +7,22 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// transmission is the one place where a request's bytes go to a socket, and the one that says whether it may have run. What has
-// passed may have run, from before its first byte is handed over. Only the end of the connection that it passed on takes
-// that back, and only if the socket never took what a backend begins with: its first byte, or, where backends wait for the
-// whole, its last. So nobody asks while the poller may still write.
+// transmission records what of an attempt was handed to a socket. It is the point of no return: conn.send is the only place that hands
+// over a request's bytes, and submission.mayRun the only one that tells whether the request may have had effect. From before its first
+// byte is handed over, it may have. Only after the connection is closed can that be excluded, and only if the socket never took what
+// a backend starts at: the first byte (Dialect.Wary), or else the last. So mayRun must not be called while the poller may write.
 type transmission struct {
-	conn          slots.Ref // that it passed on; 0: it has not
+	conn          slots.Ref // the connection that it went over; 0: nothing was handed over
 	link          *eventloop.Link
-	writtenBefore int64 // bytes of the connection that were in the socket before
-	sent          int   // handed over since
-	complete      bool  // the last of them was
+	writtenBefore int64 // bytes of the connection that the socket had taken before
+	sent          int   // bytes handed over since
+	complete      bool  // the last byte was handed over
 }
 
-// disabledChecks takes defences out; only tests set it.
+// disabledChecks disables protections; only tests set it.
 var disabledChecks struct{ passed, first, sameID, unread bool }
 
-// send gives bytes of a submission to its connection: whole says that no more will follow. An attempt passes on one connection.
+// send hands bytes of an attempt to its connection; whole: no more will follow. An attempt goes over one connection.
 func (c *conn) send(s *submission, b []byte, whole bool) bool {
 	f := &s.transmission
 	first := f.conn == 0 && c.link.Unwritten() == 0
@@ -39,7 +39,7 @@
 	return c.link.Send(b)
 }
 
-// mayRun is asked once the connection is over.
+// mayRun tells whether the request may have had effect. Its connection must be closed.
 func (s *submission) mayRun(wary bool) bool {
 	f := &s.transmission
 	if f.conn == 0 || disabledChecks.passed {
@@ -50,8 +50,8 @@
 	return !f.link.IsClosed() || wary && !disabledChecks.first && written > 0 || f.complete && written >= int64(f.sent)
 }
 
-// giveUp ends a submission that no answer ends: its connection is closed before anything is said of it, and before anything
-// else goes out for the txn.
+// giveUp ends an attempt without an answer: as ran if it may have had effect, else as unsent. The connection is closed before the outcome
+// is reported, and so before another attempt of the txn.
 func (d *Dispatch) giveUp(ref slots.Ref, s *submission, ran, unsent control.Ending) {
 	d.disconnect(s)
 	if s.mayRun(d.wary) {
--- a/internal/proxy/upstream/flow.go
+++ b/internal/proxy/upstream/streaming.go
@@ -6,10 +6,10 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// maxUnwritten is how much of a body that is passed on as it comes waits for the socket.
+// maxUnwritten bounds, in bytes, what of a streamed body waits for a socket.
 const maxUnwritten = 64 << 10
 
-// More is called when a front has more of a request's body, or is ready for more of the answer.
+// More reports that a front has more of a request's body, or takes more of the answer.
 func (d *Dispatch) More(txn slots.Ref) {
 	s := d.submissions.Get(d.byTxn[txn])
 	if s == nil || s.conn == nil || s.transmission.conn == 0 {
@@ -22,7 +22,7 @@
 	}
 }
 
-// sendBody passes a request's body on, as much as has come and the backend takes.
+// sendBody sends a streamed request's body, as much as has come and the backend takes.
 func (c *conn) sendBody() {
 	if c.sending {
 		return
@@ -47,7 +47,7 @@
 	}
 }
 
-// beginStreaming passes an answer on in parts that won't be held whole, once its head is there.
+// beginStreaming streams an answer that is not to be buffered, once its head is complete.
 func (c *conn) beginStreaming(ref slots.Ref, s *submission, b []byte) bool {
 	size, headed := c.reader.Headed()
 	buffer := c.dispatch.config.Buffer
@@ -59,7 +59,7 @@
 	}
 	v := c.read(s, b)
 	switch {
-	case v.Other, v.Ending == control.ConnectionLost: // what belongs to nobody is not waited for to its end
+	case v.Other, v.Ending == control.ConnectionLost: // its end is not waited for
 		c.dispatch.badAnswer(ref, s)
 		return true
 	case v.Ending != control.Succeeded && !v.Final:
@@ -82,62 +82,72 @@
 	return true
 }
 
-// forwardAnswer passes an answer's body on, as much as has come and its reader takes: the rest waits in the socket.
+// forwardAnswer passes a streamed answer's body on, as much as has come and the client takes. The rest waits in the socket.
 func (c *conn) forwardAnswer(ref slots.Ref, s *submission) {
 	if c.forwarding {
 		return
 	}
 	c.forwarding = true
 	defer func() { c.forwarding = false }()
-	for {
-		room := c.dispatch.gate.Writable(s.txn)
-		if room < 0 {
-			c.dispatch.giveUp(ref, s, control.Canceled, control.NotSent)
-			return
-		}
-		h := c.link.Input.Head()
-		if room == 0 || len(h) == 0 && !c.refill() {
-			return
-		}
-		if s.conn != c || c.link.IsClosed() {
-			return
-		}
-		if h = c.link.Input.Head(); len(h) == 0 {
-			return
-		}
-		part, used, whole, err := c.reader.Part(h)
-		if err == nil && used == 0 && !whole && len(h) < c.link.Input.Len() { // a chunk's mark across the ring's end
-			part, used, whole, err = c.reader.Part(c.link.Input.Linear())
-		}
-		if err != nil {
+	for c.forwardPart(ref, s) {
+	}
+}
+
+// forwardPart passes the next part on. It returns false when there is nothing more to do now, or the attempt has ended.
+func (c *conn) forwardPart(ref slots.Ref, s *submission) (more bool) {
+	writable := c.dispatch.gate.Writable(s.txn)
+	if writable < 0 {
+		c.dispatch.giveUp(ref, s, control.Canceled, control.NotSent)
+		return false
+	}
+	head := c.link.Input.Head()
+	if writable == 0 || len(head) == 0 && !c.refill() {
+		return false
+	}
+	if s.conn != c || c.link.IsClosed() {
+		return false
+	}
+	if head = c.link.Input.Head(); len(head) == 0 {
+		return false
+	}
+	part, used, whole, err := c.reader.Part(head)
+	if err == nil && used == 0 && !whole && len(head) < c.link.Input.Len() { // a chunk's size wraps in the ring
+		part, used, whole, err = c.reader.Part(c.link.Input.Linear())
+	}
+	if err != nil {
+		c.dispatch.badAnswer(ref, s)
+		return false
+	}
+	if len(part) > 0 {
+		c.dispatch.gate.Pass(s.txn, part)
+	}
+	if s.conn != c || c.link.IsClosed() {
+		return false
+	}
+	c.link.Input.Drop(used)
+	if whole {
+		c.endStreaming(ref, s)
+		return false
+	}
+	if used == 0 && !c.refill() {
+		if s.conn == c && c.link.Over() { // what is left is not the rest of the answer
 			c.dispatch.badAnswer(ref, s)
-			return
-		}
-		if len(part) > 0 {
-			c.dispatch.gate.Pass(s.txn, part)
-		}
-		if s.conn != c || c.link.IsClosed() {
-			return
-		}
-		c.link.Input.Drop(used)
-		if whole {
-			c.streaming = false
-			c.link.Input.Bound(c.dispatch.config.Raw)
-			c.reader.Closes = !c.link.Trail(false) || c.reader.Closes
-			v := c.meaning
-			c.over(ref, s, v, gate.Outcome{Ending: v.Ending, Load: v.Load, Final: v.Final, Answer: &c.reader}, 0)
-			return
-		}
-		if used == 0 && !c.refill() {
-			if s.conn == c && c.link.Over() { // what waits is not the rest of the answer
-				c.dispatch.badAnswer(ref, s)
-			}
-			return
 		}
+		return false
 	}
+	return true
+}
+
+// endStreaming ends an attempt whose answer has been passed on to its end.
+func (c *conn) endStreaming(ref slots.Ref, s *submission) {
+	c.streaming = false
+	c.link.Input.Bound(c.dispatch.config.Raw)
+	c.reader.Closes = !c.link.Trail(false) || c.reader.Closes
+	m := c.meaning
+	c.over(ref, s, m, gate.Outcome{Ending: m.Ending, Load: m.Load, Final: m.Final, Answer: &c.reader}, 0)
 }
 
-// refill reads on where the ring was full.
+// refill reads on from the socket if the ring was full. It returns false if nothing was added.
 func (c *conn) refill() bool {
 	if !c.link.Full() || c.link.Input.Available() == 0 {
 		return false
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -1,5 +1,3 @@
-// Package upstream carries submissions to backends over connections that are kept. It chooses nothing: which
-// backend, how long and whether again is the module's word.
 package upstream
 
 import (
@@ -13,41 +11,51 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// Gate is told how each submission ended.
+// Gate receives the outcome of each attempt, and streamed answers.
 type Gate interface {
+	// Ended takes the one outcome of an attempt; also of one whose answer was streamed.
 	Ended(txn slots.Ref, nr int, at control.BackendID, o gate.Outcome)
+	// Probed takes the outcome of a health check.
 	Probed(at control.BackendID, good bool, took time.Duration, load []float64)
-	// Of an answer that is passed on in parts: its head, how much is wanted, a part; Ended tells of its end as
-	// well.
+	// Begun takes the head of an answer that is streamed; false: nobody takes the rest.
 	Begun(txn slots.Ref, o gate.Outcome) bool
+	// Writable is how many bytes of a streamed answer may be passed now; below 0: nobody waits for them.
 	Writable(txn slots.Ref) int
+	// Pass takes the next bytes of a streamed answer.
 	Pass(txn slots.Ref, part []byte)
 }
 
-// backend is where one is and the idle connections to it, the last used at the end.
+// backend is a backend's address with the idle connections to it, the last used at the end.
 type backend struct {
 	id       control.BackendID
 	addr     string
 	started  time.Duration
-	ready    bool // takes new ones
+	ready    bool // takes new attempts
 	idle     []*conn
-	open     int // connections, idle ones among them
+	open     int // number of connections, idle ones included
 	maxConns int // of these; 0: as many as there may be
 }
 
-// Config are what a Dispatch goes by.
+// Config configures a Dispatch.
 type Config struct {
-	Dialect     Dialect
-	IdleTimeout time.Duration // after which a backend closes an idle connection, where its answers don't tell
-	MinIdle     time.Duration // 0: defaultMinIdle
-	DialTimeout time.Duration // limit of a dial
-	Head        int           // bounds of an answer; 0: http1's
-	Body        int
-	Buffer      int // of a body, beyond which it is passed on in parts; 0: none is
-	Raw         int // bytes of an answer that may wait; 0: the engine's
+	// Dialect interprets the backends' answers.
+	Dialect Dialect
+	// IdleTimeout is when backends close an idle connection, unless their answers tell (Meaning.Idle).
+	IdleTimeout time.Duration
+	// MinIdle is how long a connection rests after an answer; 0: defaultMinIdle.
+	MinIdle time.Duration
+	// DialTimeout bounds a dial.
+	DialTimeout time.Duration
+	// Head and Body bound an answer's head and body, in bytes; if Head is 0, they are http1.MaxHead and http1.MaxBody.
+	Head, Body int
+	// Buffer is the size of an answer's body, in bytes, beyond which it is streamed; 0: none is.
+	Buffer int
+	// Raw bounds the bytes of an answer that wait on a connection; 0: enough for Head and Buffer if Buffer is set, else the
+	// engine's bound.
+	Raw int
 }
 
-// submission is one that is out, or about to be.
+// submission is an attempt: one sending of a txn to a backend.
 type submission struct {
 	txn            slots.Ref
 	attempt        int
@@ -56,14 +64,14 @@
 	conn           *conn
 	started        time.Duration
 	deadline       time.Duration
-	answerTimeout  time.Duration // for an answer, from its first bytes
-	answerDeadline time.Duration // some of it has come, the rest must by then; 0: none has
+	answerTimeout  time.Duration // of an answer, from its first bytes; 0: none
+	answerDeadline time.Duration // when an answer that has begun must be complete; 0: none has begun
 	id             string
-	streaming      bool // more of its body is to come
+	streaming      bool // more of the request's body is to come
 	transmission   transmission
 }
 
-// Dispatch carries submissions.
+// Dispatch sends attempts to backends over pooled connections.
 type Dispatch struct {
 	engine         *eventloop.Engine
 	gate           Gate
@@ -80,11 +88,11 @@
 	freeDescriptor func() bool
 }
 
-// idleFraction of the time after which a backend closes an idle connection: an older one is not used again, since
-// what is written to it then may be lost.
+// idleFraction is the part of Config.IdleTimeout for which an idle connection is used again. The backend may close an older one at any
+// time, and what is written to it then may be lost.
 const idleFraction = 0.8
 
-// New makes one. freeDescriptor gives back a descriptor that another stage does not need.
+// New makes a dispatch. freeDescriptor closes a connection that another stage does not need; false: there is none.
 func New(e *eventloop.Engine, g Gate, t Config, makeRoom func() bool) *Dispatch {
 	d := &Dispatch{engine: e, gate: g, backends: map[control.BackendID]*backend{}, config: t, wary: t.Dialect.Wary(),
 		submissions: slots.New[submission](1 << 16), conns: slots.New[conn](1 << 16), byTxn: map[slots.Ref]slots.Ref{},
@@ -102,17 +110,17 @@
 	return d
 }
 
-// SetMaxConns bounds the connections to a backend that is known; 0 bounds nothing.
+// SetMaxConns bounds the connections to a known backend; 0: no bound.
 func (d *Dispatch) SetMaxConns(id control.BackendID, conns int) {
 	if b := d.backends[id]; b != nil {
 		b.maxConns = conns
 	}
 }
 
-// SetBackend says where a backend is, since when, and whether it takes anything new. Connections to where it was before, or to
-// the process before, are not used again: where a machine vanished they are open and silent. What is still being
-// connected to one that drains or is gone ends here, never sent. One that takes nothing new is forgotten: what is out
-// there keeps its own hold of it.
+// SetBackend sets a backend's address, when its process started, and whether it takes new attempts. Idle connections to its former
+// address or process are closed: if a machine vanished they stay open and never answer. Attempts that are still dialing a
+// backend that moved, drains or is gone end as not sent. A backend that takes nothing new is forgotten; attempts in flight keep
+// their reference to it.
 func (d *Dispatch) SetBackend(id control.BackendID, addr string, started time.Duration, ready bool) {
 	b := d.backends[id]
 	if b == nil {
@@ -133,10 +141,10 @@
 	}
 }
 
-// Backends counts those that take something new.
+// Backends counts the backends that take new attempts.
 func (d *Dispatch) Backends() int { return len(d.backends) }
 
-// SetBackends says which backends there are, where the whole list is known.
+// SetBackends removes the backends that a complete list doesn't have.
 func (d *Dispatch) SetBackends(listed map[control.BackendID]bool) {
 	for id, b := range d.backends {
 		if !listed[id] {
@@ -145,7 +153,7 @@
 	}
 }
 
-// disconnectBackend closes idle connections and ends what is still being connected.
+// disconnectBackend closes a backend's idle connections and ends the attempts that are still dialing.
 func (d *Dispatch) disconnectBackend(b *backend) {
 	for len(b.idle) > 0 {
 		b.idle[0].close()
@@ -157,11 +165,12 @@
 	})
 }
 
-// Submit sends a txn on. However it ends, Ended hears of it once.
+// Submit sends attempt nr of a txn. However it ends, Gate.Ended is called once. limit bounds the attempt, whole its answer from
+// the first byte on (0: not).
 func (d *Dispatch) Submit(txn slots.Ref, nr int, m gate.Message, to control.BackendID, limit, whole time.Duration) {
 	b := d.backends[to]
 	ref, s, ok := d.submissions.Add()
-	if b == nil || !b.ready || !ok { // the rule on drains holds here too, whatever asks
+	if b == nil || !b.ready || !ok { // nothing goes to a backend that drains, whatever the module decided
 		if ok {
 			d.submissions.Drop(ref)
 		}
@@ -189,7 +198,7 @@
 	}
 }
 
-// reuseAny takes a connection that has not rested where no more may be opened, rather than none at all.
+// reuseAny takes an idle connection regardless of Config.MinIdle when no more may be opened; without one the attempt ends.
 func (d *Dispatch) reuseAny(b *backend, ref slots.Ref, s *submission) {
 	c := d.reuse(b, true, s.message.ID())
 	if c == nil {
@@ -201,7 +210,7 @@
 	c.carry(ref, s)
 }
 
-// Recall calls a submission off: its connection ends.
+// Recall cancels an attempt and closes its connection.
 func (d *Dispatch) Recall(txn slots.Ref, nr int) {
 	ref := d.byTxn[txn]
 	if s := d.submissions.Get(ref); s != nil && s.attempt == nr {
@@ -209,17 +218,17 @@
 	}
 }
 
-// Probe is not called where probes are not allowed; where they are, no word of how they look has come yet.
+// Probe reports a failed health check at once: none is implemented here. It is not called unless health checks are allowed.
 func (d *Dispatch) Probe(at control.BackendID) { d.gate.Probed(at, false, 0, nil) }
 
-// disconnect closes the connection of a submission that is given up.
+// disconnect closes the connection of an attempt that is given up.
 func (d *Dispatch) disconnect(s *submission) {
 	c := s.conn
 	if c == nil {
 		return
 	}
 	s.conn = nil
-	if c.sub = 0; d.wary { // what was given up must not arrive later
+	if c.sub = 0; d.wary { // the backend must not receive the rest later
 		c.link.Reset()
 		c.drop()
 	} else {
@@ -227,12 +236,12 @@
 	}
 }
 
-// end says how a submission ended without an answer that is passed on.
+// end reports an ending without an answer.
 func (d *Dispatch) end(ref slots.Ref, s *submission, e control.Ending) {
 	d.ended(ref, s, gate.Outcome{Ending: e})
 }
 
-// ended hands the one outcome of a submission on.
+// ended forgets an attempt and reports its one outcome.
 func (d *Dispatch) ended(ref slots.Ref, s *submission, o gate.Outcome) {
 	x := *s
 	*s = submission{}
@@ -242,23 +251,28 @@
 	d.gate.Ended(x.txn, x.attempt, x.backend.id, o)
 }
 
-// limitAlarm and dialAlarm are told when a submission's time, or that of its dial, is up; partAlarm when an answer has
-// begun long ago and is not whole: a length that promises more than comes, a head that trickles. What waits for it would
-// else wait for its limit. A backend whose network is that slow is hurt.
+// limitAlarm ends an attempt at its deadline.
 type limitAlarm struct{ dispatch *Dispatch }
+
+// dialAlarm ends an attempt whose connection did not come up within Config.DialTimeout.
 type dialAlarm struct{ dispatch *Dispatch }
+
+// partAlarm ends an attempt whose answer began and was not complete in time: a length that promises more than comes, or a head that
+// trickles. Without it the client would wait until the attempt's deadline. A backend with a network that slow suffers from it.
 type partAlarm struct{ dispatch *Dispatch }
 
+// Live implements eventloop.Alarm.
 func (p *partAlarm) Live(ref uint32) bool {
 	s := p.dispatch.submissions.Get(slots.Ref(ref))
 	return s != nil && s.answerDeadline > 0
 }
 
+// Due implements eventloop.Alarm.
 func (p *partAlarm) Due(ref uint32) {
 	s := p.dispatch.submissions.Get(slots.Ref(ref))
 	switch {
 	case !p.Live(ref) || p.dispatch.engine.Now() < s.answerDeadline:
-	case p.dispatch.engine.InputDelay() > 0 && !disabledChecks.unread: // this node stood still: the rest may lie unread
+	case p.dispatch.engine.InputDelay() > 0 && !disabledChecks.unread: // this process stalled: the rest may be unread in the socket
 		s.answerDeadline = p.dispatch.engine.Now() + s.answerTimeout
 		p.dispatch.engine.At(s.answerDeadline, p, ref)
 	default:
@@ -266,20 +280,24 @@
 	}
 }
 
+// Live implements eventloop.Alarm.
 func (l *limitAlarm) Live(ref uint32) bool { return l.dispatch.submissions.Get(slots.Ref(ref)) != nil }
 
+// Due implements eventloop.Alarm.
 func (l *limitAlarm) Due(ref uint32) {
-	// A slot's generations come round: an alarm of long ago may name the submission of now.
+	// A slot's generations wrap around: an old alarm's reference may name a later attempt.
 	if s := l.dispatch.submissions.Get(slots.Ref(ref)); s != nil && l.dispatch.engine.Now() >= s.deadline {
 		l.dispatch.giveUp(slots.Ref(ref), s, control.TimedOut, control.Unreachable)
 	}
 }
 
+// Live implements eventloop.Alarm.
 func (d *dialAlarm) Live(ref uint32) bool {
 	s := d.dispatch.submissions.Get(slots.Ref(ref))
 	return s != nil && s.conn != nil && s.conn.dialing
 }
 
+// Due implements eventloop.Alarm.
 func (d *dialAlarm) Due(ref uint32) {
 	if s := d.dispatch.submissions.Get(slots.Ref(ref)); d.Live(ref) && d.dispatch.engine.Now() >= s.started+d.dispatch.config.DialTimeout {
 		d.dispatch.engine.Count.Add(counters.DialsFailed)
