--- a/internal/gateway/node/log_test.go
+++ b/internal/gateway/node/log_test.go
@@ -85,7 +85,7 @@
 				if !ok {
 					return true
 				}
-				if kind, ok := literal.Type.(*ast.SelectorExpr); !ok || kind.Sel.Name != "LogEntry" {
+				if kind, qualified := literal.Type.(*ast.SelectorExpr); !qualified || kind.Sel.Name != "LogEntry" {
 					return true
 				}
 				entries++
