--- a/internal/gateway/logentry/validate.go
+++ b/internal/gateway/logentry/validate.go
@@ -15,7 +15,7 @@
 	return v
 }()
 
-// Validate checks an order by its `validate` tags. The error names the first field that is wrong as its caller wrote it.
+// Validate checks an order by its `validate` tags. A FieldError names the first field that is wrong as its caller wrote it.
 func Validate(order any) error {
 	var all validator.ValidationErrors
 	err := validate.Struct(order)
@@ -25,5 +25,5 @@
 	first := all[0]
 	_, field, _ := strings.Cut(first.Namespace(), ".")
 	rule := strings.Trim(first.Tag()+" "+first.Param(), " ")
-	return errors.Errorf("%s: %v breaks %s", field, first.Value(), rule)
+	return FieldErrorf(field, "%v breaks %s", first.Value(), rule)
 }
--- a/internal/gateway/outlier/decide.go
+++ b/internal/gateway/outlier/decide.go
@@ -6,23 +6,28 @@
 
 	"github.com/go-faster/errors"
 
+	"clovergap/internal/gateway/logentry"
 	"clovergap/internal/gateway/membership"
 	"clovergap/internal/gateway/routing"
 )
 
+// ErrTextTooLong refuses an entry with a text of more than maxTextBytes.
+var ErrTextTooLong = errors.Errorf("a text is longer than %d bytes", maxTextBytes)
+
 // conflict refuses an entry that builds on another state than the present one.
-func conflict(f string, a ...any) (routing.Result, error) {
-	return routing.Conflict, errors.Errorf(f, a...)
+func conflict(field, format string, args ...any) (routing.Result, error) {
+	return routing.Conflict, logentry.FieldErrorf(field, format, args...)
 }
 
-// Decide tells what would become of an entry now, and changes nothing. The error says why it isn't taken.
+// Decide tells what would become of an entry now, and changes nothing. The error, a
+// logentry.FieldError or ErrTextTooLong, says why it isn't taken.
 func (s *State) Decide(e *Entry) (routing.Result, error) {
 	if e.CallID != "" && slices.Contains(s.CallIDs, e.CallID) {
 		return routing.Duplicate, nil
 	}
 	for _, t := range []string{e.CallID, e.Author, e.Reason, e.Service, string(e.Key.ID)} {
 		if len(t) > maxTextBytes {
-			return routing.Invalid, errors.Errorf("a text is longer than %d bytes", maxTextBytes)
+			return routing.Invalid, ErrTextTooLong
 		}
 	}
 	c := s.Ejection(e.Key)
@@ -33,19 +38,19 @@
 	byCoordinator := e.Verb != SetSettings && e.Verb != Clear
 	switch {
 	case byCoordinator != (e.FencingToken > 0):
-		return routing.Invalid, errors.Errorf("fence: %d is not that of who may %s", e.FencingToken, e.Verb)
+		return routing.Invalid, logentry.FieldErrorf("fence", "%d is not that of who may %s", e.FencingToken, e.Verb)
 	case byCoordinator && e.FencingToken < s.FencingToken:
-		return conflict("fence: is %d, but %d was seen", e.FencingToken, s.FencingToken)
+		return conflict("fence", "is %d, but %d was seen", e.FencingToken, s.FencingToken)
 	case e.Verb == Forget:
 		if len(e.GoneInstances) == 0 || len(e.GoneInstances) > maxEjections {
-			return routing.Invalid, errors.New("gone: names no life, or too many")
+			return routing.Invalid, logentry.FieldErrorf("gone", "names no instance, or too many")
 		}
 		return routing.Accepted, nil
 	case e.Revision != rev:
-		return conflict("rev: is %d, but %d is current", e.Revision, rev)
+		return conflict("rev", "is %d, but %d is current", e.Revision, rev)
 	case e.Verb == SetSettings:
 		if e.Settings == nil {
-			return routing.Invalid, errors.New("settings: missing")
+			return routing.Invalid, logentry.FieldErrorf("settings", "missing")
 		}
 		settings := *e.Settings
 		if err := settings.Normalize(); err != nil {
@@ -55,34 +60,34 @@
 	case e.Verb == Eject:
 		return s.decideEject(e, c)
 	case c == nil:
-		return conflict("key: %s was never convicted as %s", e.Key.ID, e.Key.Mode)
+		return conflict("key", "%s was never convicted as %s", e.Key.ID, e.Key.Mode)
 	case e.Verb == Clear:
 		return routing.Accepted, nil
 	case e.Verb == StepUp && c.Step != InService && c.Step.next(c.Mode) != InService,
 		e.Verb == Readmit && c.Step != InService && c.Step.next(c.Mode) == InService:
 		return routing.Accepted, nil
 	case e.Verb == StepUp || e.Verb == Readmit:
-		return conflict("verb: no %s from %s", e.Verb, c.Step)
+		return conflict("verb", "no %s from %s", e.Verb, c.Step)
 	}
-	return routing.Invalid, errors.Errorf("verb: no %q", e.Verb)
+	return routing.Invalid, logentry.FieldErrorf("verb", "no %q", e.Verb)
 }
 
 // decideEject decides on an entry that ejects.
 func (s *State) decideEject(e *Entry, c *Ejection) (routing.Result, error) {
 	switch {
 	case e.Key.ID == "" || e.Key.Mode >= modeCount || e.Service == "" || e.ReadyBackends < 1:
-		return routing.Invalid, errors.New("key: names no backend of a service")
+		return routing.Invalid, logentry.FieldErrorf("key", "names no backend of a service")
 	case len(e.Witnesses) == 0 || len(e.Witnesses) > maxNamedWitnesses:
-		return routing.Invalid, errors.New("witnesses: none, or too many")
+		return routing.Invalid, logentry.FieldErrorf("witnesses", "none, or too many")
 	case !s.Enabled():
-		return conflict("settings: nothing is judged")
+		return conflict("settings", "nothing is judged")
 	case c != nil && c.Step == Ejected:
-		return conflict("key: %s is out as %s", e.Key.ID, e.Key.Mode)
+		return conflict("key", "%s is out as %s", e.Key.ID, e.Key.Mode)
 	case c == nil && len(s.snapshot.Ejections) >= maxEjections && s.oldestInService() < 0:
-		return conflict("key: %d cases are kept, and none of them is free", maxEjections)
+		return conflict("key", "%d cases are kept, and none of them is free", maxEjections)
 	}
 	if _, ok := s.soleWitness(e); !ok {
-		return conflict("witnesses: not two that are trusted, and no one may have more out alone")
+		return conflict("witnesses", "not two that are trusted, and no one may have more out alone")
 	}
 	return routing.Accepted, nil
 }
--- a/internal/gateway/outlier/settings.go
+++ b/internal/gateway/outlier/settings.go
@@ -4,8 +4,6 @@
 	"cmp"
 	"time"
 
-	"github.com/go-faster/errors"
-
 	"clovergap/internal/gateway/logentry"
 )
 
@@ -32,7 +30,7 @@
 	return Settings{MinInService: 2, MinInServicePercent: 50, SoleWitnessPercent: 13, SoleWitnessMax: 4, BaseEjectionTime: logentry.Duration(5 * time.Second)}
 }
 
-// Normalize fills in the defaults and checks the settings. Its errors begin with the name of the field.
+// Normalize fills in the defaults and checks the settings. Its errors are FieldErrors of logentry.
 func (s *Settings) Normalize() error {
 	defaults := DefaultSettings()
 	s.MinInService = cmp.Or(s.MinInService, defaults.MinInService)
@@ -44,7 +42,7 @@
 		return err
 	}
 	if p := time.Duration(s.ProbeIdleAfter); p > 0 && p < time.Second {
-		return errors.Errorf("probe_silent: %v is below a second", p)
+		return logentry.FieldErrorf("probe_silent", "%v is below a second", p)
 	}
 	return nil
 }
--- a/internal/gateway/rollout/decide.go
+++ b/internal/gateway/rollout/decide.go
@@ -35,7 +35,7 @@
 }
 
 func conflict(field, format string, args ...any) (routing.Result, error) {
-	return routing.Conflict, fieldError(field, format, args...)
+	return routing.Conflict, logentry.FieldErrorf(field, format, args...)
 }
 
 func (s *State) decide(e *Entry) (routing.Result, error) {
@@ -99,7 +99,7 @@
 		return conflict("service", "roll-out %d of %q runs", r.Number, e.Service)
 	}
 	if r == nil && len(s.runs) >= maxServices {
-		return routing.Invalid, fieldError("service", "%d have roll-outs, no more are kept", maxServices)
+		return routing.Invalid, logentry.FieldErrorf("service", "%d have roll-outs, no more are kept", maxServices)
 	}
 	if err := spec.CheckCapacity(e.Capacity); err != nil {
 		return routing.Invalid, err
--- a/internal/gateway/rollout/entry.go
+++ b/internal/gateway/rollout/entry.go
@@ -1,6 +1,10 @@
 package rollout
 
-import "github.com/go-faster/errors"
+import (
+	"github.com/go-faster/errors"
+
+	"clovergap/internal/gateway/logentry"
+)
 
 // Verb is what an entry does.
 type Verb string
@@ -46,7 +50,7 @@
 // byCoordinator reports whether the coordinator has made an entry.
 func (e *Entry) byCoordinator() bool { return e.FencingToken != 0 }
 
-// Validate checks an entry by itself, whatever the state: the error is one of the above or a FieldError.
+// Validate checks an entry by itself, whatever the state: the error is one of the above or a logentry.FieldError.
 func (e *Entry) Validate() error {
 	for _, text := range []string{e.Service, e.Author, e.Reason, e.CallID} {
 		if len(text) > maxTextBytes {
@@ -63,5 +67,5 @@
 	case Advance, Pause, Rollback, Finish:
 		return nil
 	}
-	return fieldError("verb", "no %q", e.Verb)
+	return logentry.FieldErrorf("verb", "no %q", e.Verb)
 }
--- a/internal/gateway/rollout/spec.go
+++ b/internal/gateway/rollout/spec.go
@@ -71,20 +71,7 @@
 	return FailureCriteria{Causes: []string{"5xx", "none", "wrong"}, Extra: 10, Quantile: 9500, Slower: 130}
 }
 
-// FieldError tells which field of a Spec or an Entry is refused, by its name in JSON, and why.
-type FieldError struct {
-	Field  string // such as "steps[1].share"
-	Reason string
-}
-
-// Error gives the field and the reason.
-func (f *FieldError) Error() string { return f.Field + ": " + f.Reason }
-
-func fieldError(field, format string, args ...any) error {
-	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
-}
-
-// Normalize fills in the defaults and checks the spec by itself. Its errors begin with the name of the field.
+// Normalize fills in the defaults and checks the spec by itself. Its errors are FieldErrors of logentry.
 func (s *Spec) Normalize() error {
 	s.setDefaults()
 	if err := logentry.Validate(s); err != nil {
@@ -92,7 +79,7 @@
 	}
 	for i := 1; i < len(s.Steps); i++ {
 		if s.Steps[i].Share <= s.Steps[i-1].Share {
-			return fieldError(fmt.Sprintf("steps[%d].share", i), "%d is not above the step before", s.Steps[i].Share)
+			return logentry.FieldErrorf(fmt.Sprintf("steps[%d].share", i), "%d is not above the step before", s.Steps[i].Share)
 		}
 	}
 	return nil
@@ -128,20 +115,20 @@
 func (s *Spec) CheckCapacity(c Capacity) error {
 	switch {
 	case c.Baseline <= 0:
-		return fieldError("old", "%s has room for none", s.Old)
+		return logentry.FieldErrorf("old", "%s has room for none", s.Old)
 	case c.Canary <= 0:
-		return fieldError("new", "%s has room for none", s.New)
+		return logentry.FieldErrorf("new", "%s has room for none", s.New)
 	}
 	busy := float64(c.Busy)
 	if c.Busy <= 0 {
 		busy = defaultUtilization * float64(c.Baseline+c.Canary)
 	}
 	if need := busy * spareFactor; float64(c.Baseline) < need {
-		return fieldError("old", "%s has room for %d at a time, %.0f must stay to take all users back", s.Old, c.Baseline, need)
+		return logentry.FieldErrorf("old", "%s has room for %d at a time, %.0f must stay to take all users back", s.Old, c.Baseline, need)
 	}
 	last := len(s.Steps) - 1
 	if need := busy * spareFactor * float64(s.Steps[last].Share) / FullShare; float64(c.Canary) < need {
-		return fieldError(fmt.Sprintf("steps[%d].share", last), "%s has room for %d at a time, %.0f are needed", s.New, c.Canary, need)
+		return logentry.FieldErrorf(fmt.Sprintf("steps[%d].share", last), "%s has room for %d at a time, %.0f are needed", s.New, c.Canary, need)
 	}
 	return nil
 }
@@ -149,7 +136,7 @@
 // CheckReferences tells whether the configuration in force has what a spec names.
 func (s *Spec) CheckReferences(service, route, tenant, zone func(string) bool) error {
 	if !service(s.Service) {
-		return fieldError("service", "no %q in the configuration", s.Service)
+		return logentry.FieldErrorf("service", "no %q in the configuration", s.Service)
 	}
 	for _, list := range []struct {
 		field  string
@@ -157,7 +144,7 @@
 		exists func(string) bool
 	}{{"routes", s.Limits.Routes, route}, {"tenants", s.Limits.Tenants, tenant}, {"zones", s.Limits.Zones, zone}} {
 		if i := slices.IndexFunc(list.names, func(name string) bool { return !list.exists(name) }); i >= 0 {
-			return fieldError(fmt.Sprintf("limits.%s[%d]", list.field, i), "no %q in the configuration", list.names[i])
+			return logentry.FieldErrorf(fmt.Sprintf("limits.%s[%d]", list.field, i), "no %q in the configuration", list.names[i])
 		}
 	}
 	return nil
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -101,9 +101,9 @@
 // Guards against errors that a caller can tell apart by their text alone.
 func TestErrorsAreTyped(t *testing.T) {
 	spec := testSpec(500, 100)
-	var field *FieldError
+	var field *logentry.FieldError
 	must.True(t, errors.As(spec.Normalize(), &field))
-	must.Eq(t, FieldError{Field: "steps[1].share", Reason: "100 is not above the step before"}, *field)
+	must.Eq(t, logentry.FieldError{Field: "steps[1].share", Reason: "100 is not above the step before"}, *field)
 	s := NewState()
 	verdict, err := s.Decide(&Entry{Verb: Advance, Service: "libro", Number: 1})
 	must.True(t, verdict == routing.Conflict && errors.As(err, &field) && field.Field == "service")
