--- a/internal/gateway/logentry/fielderror_test.go
+++ b/internal/gateway/logentry/fielderror_test.go
@@ -7,18 +7,19 @@
 	"github.com/shoenig/test/must"
 )
 
+type (
+	testOrder struct {
+		Steps []testStep `json:"steps" validate:"dive"`
+	}
+	testStep struct {
+		Share int `json:"share" validate:"min=1"`
+	}
+)
+
 // Guards against a refusal whose field a caller could only tell by its text.
 func TestValidateNamesTheField(t *testing.T) {
-	order := struct {
-		Steps []struct {
-			Share int `json:"share" validate:"min=1"`
-		} `json:"steps" validate:"dive"`
-	}{}
-	must.NoError(t, Validate(&order))
-	order.Steps = make([]struct {
-		Share int `json:"share" validate:"min=1"`
-	}, 1)
-	err := errors.Wrap(Validate(&order), "order")
+	must.NoError(t, Validate(&testOrder{}))
+	err := errors.Wrap(Validate(&testOrder{Steps: []testStep{{}}}), "order")
 	var field *FieldError
 	must.True(t, errors.As(err, &field))
 	must.Eq(t, FieldError{Field: "steps[0].share", Reason: "0 breaks min 1"}, *field)
