--- a/internal/gateway/routing/model_test.go
+++ b/internal/gateway/routing/model_test.go
@@ -42,7 +42,7 @@
 
 // model plays all of it and judges by a register that forgets nothing.
 type model struct {
-	defect defect
+	knobs  TestingKnobs
 	cached map[string]*Register
 	broken string
 }
@@ -53,12 +53,12 @@
 	if r := m.cached[key]; r != nil {
 		return r
 	}
-	r := &Register{accepted: logentry.NewDedupWindow(modelWindow * 17), defect: m.defect}
+	r := &Register{accepted: logentry.NewDedupWindow(modelWindow * 17), knobs: m.knobs}
 	for i, o := range log {
 		r.Apply(modelOrders[o].kind, []byte(modelOrders[o].body))
 		if int8(i)+1 == from {
 			r, _ = restore(r.Snapshot(), modelWindow*17)
-			r.defect = m.defect
+			r.knobs = m.knobs
 		}
 	}
 	m.cached[key] = r
@@ -145,8 +145,8 @@
 }
 
 // explore goes through so many worlds, breadth first, until something is broken.
-func explore(f defect, most int) (seen int, broken string) {
-	m := &model{defect: f, cached: map[string]*Register{}}
+func explore(knobs TestingKnobs, most int) (seen int, broken string) {
+	m := &model{knobs: knobs, cached: map[string]*Register{}}
 	begin := world{}
 	for o, d := range modelOrders {
 		begin.left[o] = d.copies
@@ -168,13 +168,12 @@
 // Copies of orders come in all orders, through nodes that are behind, around leaders that are lost, before and after snapshots:
 // of two under one number one is taken, what was taken is confirmed or left unclear, and what was refused stays out.
 func TestOrdersInAllOrders(t *testing.T) {
-	seen, broken := explore(sound, 150_000)
+	seen, broken := explore(TestingKnobs{}, 150_000)
 	must.Eq(t, "", broken)
 	t.Log(seen, "worlds")
-	for f, want := range map[defect]string{noHorizon: "taken, and refused", notKept: "taken a moment ago, and not confirmed",
-		refuseStale: "valid on the newest state, and refused"} {
-		seen, broken := explore(f, 150_000)
+	for want, knobs := range withoutDefence {
+		seen, broken := explore(knobs, 150_000)
 		must.Eq(t, want, broken)
-		t.Log(f, "found after", seen, "worlds")
+		t.Logf("%q found after %d worlds", want, seen)
 	}
 }
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -1,12 +1,9 @@
 package routing
 
 import (
-	"crypto/sha256"
 	"encoding/json"
 	"slices"
 
-	"github.com/go-faster/errors"
-
 	"clovergap/internal/gateway/logentry"
 	"clovergap/internal/invariant"
 )
@@ -23,51 +20,43 @@
 // Result is what becomes of a call.
 type Result int
 
-// The verdicts, with the answers that they stand for.
+// The results, with the status that each stands for.
 const (
 	Accepted  Result = iota // 200: in force now
-	Duplicate               // 200: these bytes were taken before
+	Duplicate               // 200: these bytes were accepted before
 	Conflict                // 412: another version is current
 	Invalid                 // 400
-	Ambiguous               // 503: it may have been taken so long ago that this is forgotten
+	Ambiguous               // 503: it may have been accepted so long ago that its digest is dropped
 )
 
+// String gives the name of a result in the log.
 func (r Result) String() string {
 	return [...]string{"taken", "already", "conflict", "invalid", "unclear"}[r]
 }
 
 func digestOf(k Kind, body []byte) logentry.Digest { return logentry.DigestOf([]byte{byte(k)}, body) }
 
-// Register is the configuration in force, folded from the ordered log of calls: members that apply the same
-// calls in the same order come to the same. It is not safe for use by several at once.
+// Register is the configuration in force, folded from the replicated log of calls: members that apply the same calls in the
+// same order have equal registers. It is not safe for concurrent use.
 type Register struct {
 	version  uint64
 	body     []byte
 	config   *Config
 	accepted *logentry.DedupWindow // by version
 
-	// The last call judged since the register changed: a node decides a call and then applies it.
+	// The last call decided since the register changed: a node decides a call and then applies it.
 	decidedDigest logentry.Digest
 	decided       *decision
 
-	defect defect
+	knobs TestingKnobs
 }
 
-// defect is one that tests put in, to see that they find it.
-type defect uint8
-
-const (
-	sound       defect = iota
-	noHorizon          // what is forgotten is judged as what never was
-	notKept            // a snapshot has no window
-	refuseStale        // a refusal by this state counts as one by every state
-)
-
+// decision is what becomes of a call in the register's present state.
 type decision struct {
 	result Result
 	err    error
 	final  bool   // it will be so in every later state
-	body   []byte // these only where taken
+	body   []byte // these only where accepted
 	config *Config
 }
 
@@ -76,38 +65,38 @@
 	return &Register{accepted: logentry.NewDedupWindow(logentry.DedupWindowBytes)}
 }
 
-// Decide tells what would become of a call now, and changes nothing. The error is nil where it would be
-// taken or was before, else a *FieldError.
+// Decide tells what would become of a call now, and changes nothing. The error is nil where it would be accepted or was
+// before, else a *FieldError.
 func (r *Register) Decide(k Kind, body []byte) (Result, error) {
-	o := r.decide(digestOf(k, body), k, body)
-	return o.result, o.err
+	d := r.decide(digestOf(k, body), k, body)
+	return d.result, d.err
 }
 
-// Final is as Decide, and tells besides whether the verdict is the same in every later state: a node that is behind may
+// Final is as Decide, and tells besides whether the result is the same in every later state: a node that is behind may
 // answer by that, and by nothing else.
-func (r *Register) Final(k Kind, body []byte) (v Result, err error, final bool) {
-	o := r.decide(digestOf(k, body), k, body)
-	return o.result, o.err, o.final || r.defect == refuseStale && o.result != Accepted
+func (r *Register) Final(k Kind, body []byte) (result Result, err error, final bool) {
+	d := r.decide(digestOf(k, body), k, body)
+	return d.result, d.err, d.final || r.knobs.trustStaleRejections() && d.result != Accepted
 }
 
 // Apply carries out a call, as Decide tells it. The body is copied.
 func (r *Register) Apply(k Kind, body []byte) (Result, error) {
-	d := digestOf(k, body)
-	o := r.decide(d, k, body)
-	if o.result != Accepted {
-		return o.result, o.err
-	}
-	invariant.That(o.config.Generation > r.version, "versions of the configuration go up")
-	r.version, r.body, r.config = o.config.Generation, o.body, o.config
-	r.accepted.Add(r.version, d)
+	digest := digestOf(k, body)
+	d := r.decide(digest, k, body)
+	if d.result != Accepted {
+		return d.result, d.err
+	}
+	invariant.That(d.config.Generation > r.version, "versions of the configuration go up")
+	r.version, r.body, r.config = d.config.Generation, d.body, d.config
+	r.accepted.Add(r.version, digest)
 	r.decided = nil
 	return Accepted, nil
 }
 
-func (r *Register) decide(d logentry.Digest, k Kind, body []byte) *decision {
-	if r.decided == nil || r.decidedDigest != d {
-		o := r.evaluate(d, k, body)
-		r.decidedDigest, r.decided = d, &o
+func (r *Register) decide(digest logentry.Digest, k Kind, body []byte) *decision {
+	if r.decided == nil || r.decidedDigest != digest {
+		d := r.evaluate(digest, k, body)
+		r.decidedDigest, r.decided = digest, &d
 	}
 	return r.decided
 }
@@ -117,128 +106,102 @@
 	if r.accepted.Has(d) {
 		return decision{result: Duplicate, final: true}
 	}
-	// One at or below the horizon may have been taken and is not read any further: a later program may refuse more.
-	if horizon := r.accepted.Horizon(); horizon > 0 && r.defect != noHorizon {
-		var of struct{ Generation uint64 }
-		if json.Unmarshal(body, &of); of.Generation > 0 && of.Generation <= horizon {
-			err := fieldError("generation", "is %d, and of %d and below it is not known any more what was taken: read what is in force",
-				of.Generation, horizon)
-			return decision{result: Ambiguous, err: err, final: true}
-		}
-	}
-	var generation, parent uint64
-	var config *Config
-	var err error
-	switch k {
-	case Replace:
-		config = new(Config)
-		if err = read(body, config); err == nil {
-			generation, parent = config.Generation, config.ParentVersion
-		}
-	case Amend:
-		a := new(Amendment)
-		if err = read(body, a); err == nil {
-			generation, parent = a.Generation, a.ParentVersion
-			err = validate(a)
-		}
-	default:
-		err = fieldError("", "no such call")
+	if err := r.checkHorizon(body); err != nil {
+		return decision{result: Ambiguous, err: err, final: true}
 	}
+	c, err := readChange(k, body)
 	if err != nil {
 		return decision{result: Invalid, err: err, final: true}
 	}
-	if parent != r.version {
-		err = fieldError("parent_version", "is %d, but %d is current", parent, r.version)
-		return decision{result: Conflict, err: err}
+	if c.parent != r.version {
+		return decision{result: Conflict, err: fieldError("parent_version", "is %d, but %d is current", c.parent, r.version)}
 	}
-	if generation == 0 {
-		return decision{result: Invalid, err: fieldError("generation", "missing"), final: true}
-	}
-	if generation <= parent {
-		err = fieldError("generation", "is %d, not above %d", generation, parent)
+	if err := c.checkGeneration(); err != nil {
 		return decision{result: Invalid, err: err, final: true}
 	}
-	whole := slices.Clone(body)
+	complete, config := slices.Clone(body), c.config
 	if k == Amend {
-		if whole, err = merge(r.body, body); err == nil {
-			config = new(Config)
-			err = json.Unmarshal(whole, config)
-		}
-		if err != nil {
-			return decision{result: Invalid, err: fieldError("", "what results can't be read: %s", err)}
+		if complete, config, err = r.amended(body); err != nil {
+			return decision{result: Invalid, err: err}
 		}
-		invariant.That(config.Generation == generation, "what results has the change's generation")
+		invariant.That(config.Generation == c.generation, "what results has the change's generation")
 	}
 	if err := validate(config); err != nil {
 		return decision{result: Invalid, err: err, final: k == Replace}
 	}
-	return decision{result: Accepted, body: whole, config: config}
+	return decision{result: Accepted, body: complete, config: config}
 }
 
-// Version is the generation in force, 0 if there is none.
-func (r *Register) Version() uint64 { return r.version }
-
-// Body is the configuration in force, whole, for Config.Read: the bytes of a Replace as they came, or what
-// resulted from an Amend, under that call's generation and parent_version. Nil if there is none; not to be
-// changed.
-func (r *Register) Body() []byte { return r.body }
-
-// Config is the configuration in force as it was read, nil if there is none; not to be changed.
-func (r *Register) Config() *Config { return r.config }
-
-// snapshot is the register's state as it is stored and sent.
-type snapshot struct {
-	Body   []byte
-	Taken  []taken // of programs before there was a window: the last 256
-	Window []byte
+// checkHorizon refuses a call at or below the horizon of the window: it may have been accepted. It is not read any
+// further, since a later version may reject more.
+func (r *Register) checkHorizon(body []byte) error {
+	horizon := r.accepted.Horizon()
+	if horizon == 0 || r.knobs.ignoreHorizon() {
+		return nil
+	}
+	var call struct{ Generation uint64 }
+	if json.Unmarshal(body, &call); call.Generation == 0 || call.Generation > horizon {
+		return nil
+	}
+	return fieldError("generation", "is %d, and of %d and below it is not known any more what was taken: read what is in force",
+		call.Generation, horizon)
 }
 
-// taken is how such programs kept what was taken.
-type taken struct {
-	Version uint64
-	Digest  [sha256.Size]byte
+// change is what is read of a call by itself.
+type change struct {
+	generation uint64
+	parent     uint64
+	config     *Config // of a Replace; not validated yet
 }
 
-const legacyAcceptedCount = 256
-
-// Snapshot gives the whole register as bytes, by gob. Equal registers give equal bytes within a program.
-func (r *Register) Snapshot() []byte {
-	s := snapshot{Body: r.body, Window: r.accepted.Bytes()}
-	if r.defect == notKept {
-		s.Window = nil
+func readChange(k Kind, body []byte) (change, error) {
+	switch k {
+	case Replace:
+		config := new(Config)
+		if err := read(body, config); err != nil {
+			return change{}, err
+		}
+		return change{config.Generation, config.ParentVersion, config}, nil
+	case Amend:
+		a, err := ReadAmendment(body)
+		if err != nil {
+			return change{}, err
+		}
+		return change{a.Generation, a.ParentVersion, nil}, nil
 	}
-	return logentry.Encode(s)
+	return change{}, fieldError("", "no such call")
 }
 
-// Restore makes the register of a snapshot. What was taken once is not judged again: a later program may
-// refuse more, but must not lose what is in force.
-func Restore(b []byte) (*Register, error) { return restore(b, logentry.DedupWindowBytes) }
-
-func restore(b []byte, window int) (*Register, error) {
-	var s snapshot
-	if err := logentry.Decode(b, &s, "read snapshot of the configuration"); err != nil {
-		return nil, err
-	}
-	r := &Register{accepted: logentry.NewDedupWindow(window)}
-	if len(s.Taken) == legacyAcceptedCount {
-		r.accepted.SetHorizon(s.Taken[0].Version - 1)
-	}
-	for _, t := range s.Taken {
-		r.accepted.Add(t.Version, logentry.Digest(t.Digest[:len(logentry.Digest{})]))
-	}
-	if s.Window != nil {
-		var err error
-		if r.accepted, err = logentry.DecodeDedupWindow(s.Window, window); err != nil {
-			return nil, errors.Wrap(err, "read snapshot of the configuration")
-		}
+// checkGeneration tells whether a call names a version above the one that it builds on.
+func (c *change) checkGeneration() error {
+	switch {
+	case c.generation == 0:
+		return fieldError("generation", "missing")
+	case c.generation <= c.parent:
+		return fieldError("generation", "is %d, not above %d", c.generation, c.parent)
 	}
-	if len(s.Body) == 0 {
-		return r, nil
+	return nil
+}
+
+// amended gives the complete configuration that results from an Amend.
+func (r *Register) amended(body []byte) ([]byte, *Config, error) {
+	complete, err := merge(r.body, body)
+	if err != nil {
+		return nil, nil, fieldError("", "what results can't be read: %s", err)
 	}
-	r.config = new(Config)
-	if err := json.Unmarshal(s.Body, r.config); err != nil {
-		return nil, errors.Wrap(err, "read configuration of a snapshot")
+	config := new(Config)
+	if err := json.Unmarshal(complete, config); err != nil {
+		return nil, nil, fieldError("", "what results can't be read: %s", err)
 	}
-	r.version, r.body = r.config.Generation, s.Body
-	return r, nil
+	return complete, config, nil
 }
+
+// Version is the generation in force, 0 if there is none.
+func (r *Register) Version() uint64 { return r.version }
+
+// Body is the complete configuration in force, for Config.Read: the bytes of a Replace as they came, or what resulted from
+// an Amend, under that call's generation and parent_version. Nil if there is none; not to be changed.
+func (r *Register) Body() []byte { return r.body }
+
+// Config is the configuration in force as it was read, nil if there is none; not to be changed.
+func (r *Register) Config() *Config { return r.config }
--- /dev/null
+++ b/internal/gateway/routing/testingknobs_release.go
@@ -0,0 +1,10 @@
+//go:build !debug && !testingknobs
+
+package routing
+
+// TestingKnobs is empty in a release build: no defence can be taken out, and the compiler removes the branches.
+type TestingKnobs struct{}
+
+func (TestingKnobs) ignoreHorizon() bool        { return false }
+func (TestingKnobs) omitWindow() bool           { return false }
+func (TestingKnobs) trustStaleRejections() bool { return false }
--- /dev/null
+++ b/internal/gateway/routing/testingknobs_release_test.go
@@ -0,0 +1,6 @@
+//go:build !debug && !testingknobs
+
+package routing
+
+// withoutDefence is empty: a release build has all defences.
+var withoutDefence = map[string]TestingKnobs{}
