--- a/internal/gateway/routing/deadlines.go
+++ b/internal/gateway/routing/deadlines.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// changedRoutes are the routes that a change brings, whole or by amendment.
+// changedRoutes are the routes that a change brings, by Replace or Amend.
 type changedRoutes struct {
 	Vhosts  []ConfigHost `json:"vhosts"`
 	Upserts struct {
@@ -13,12 +13,13 @@
 	} `json:"upserts"`
 }
 
-// CheckDeadlines refuses a change that brings a route whose deadline is 0: each of its requests would be over before it began. Whoever leads
-// asks before it proposes the change. What the log holds is applied whatever it says: the version before took such routes.
+// CheckDeadlines rejects a change that brings a route whose deadline is 0: each of its requests would time out before it
+// began. The leader checks it before it proposes the change. What the log holds is applied all the same: earlier versions
+// accepted such routes.
 func CheckDeadlines(body []byte) error {
 	var c changedRoutes
 	if json.Unmarshal(body, &c) != nil {
-		return nil // refused for that
+		return nil // rejected where it is read
 	}
 	if err := checkHostDeadlines(c.Vhosts, ""); err != nil {
 		return err
@@ -34,8 +35,8 @@
 				continue
 			}
 			if d, err := ParseDuration(*r.Deadline); err == nil && d <= 0 {
-				place := prefix + "vhosts[" + strconv.Itoa(i) + "].path_list[" + strconv.Itoa(j) + "].deadline"
-				return fieldError(place, "must be above 0")
+				path := prefix + "vhosts[" + strconv.Itoa(i) + "].path_list[" + strconv.Itoa(j) + "].deadline"
+				return fieldError(path, "must be above 0")
 			}
 		}
 	}
--- a/internal/gateway/routing/merge.go
+++ b/internal/gateway/routing/merge.go
@@ -5,130 +5,26 @@
 	"encoding/json"
 	"slices"
 	"strings"
-
-	"github.com/go-faster/errors"
 )
 
-// A sheet is a JSON object whose values stay as they were written: unknown fields, the order of fields and
-// the form of numbers go through a change unharmed.
-type object []entry
-
-type entry struct {
-	name  string
-	value json.RawMessage
-}
-
-func readObject(raw []byte) (object, error) {
-	if i := skipSpace(raw, 0); i == len(raw) || raw[i] != '{' {
-		return nil, errors.New("not an object")
-	}
-	var s object
-	forEachValue(raw, 0, func(name string, from, to int) { s = append(s, entry{name, raw[from:to:to]}) })
-	return s, nil
-}
-
-// index finds a field as encoding/json would, so that what is read and what is kept never differ.
-func (o object) index(name string) int {
-	return slices.IndexFunc(o, func(e entry) bool { return strings.EqualFold(e.name, name) })
-}
-
-func (o object) get(name string) json.RawMessage {
-	if i := o.index(name); i >= 0 {
-		return o[i].value
-	}
-	return nil
-}
-
-func (o *object) set(name string, value json.RawMessage) {
-	if i := o.index(name); i >= 0 {
-		(*o)[i].value = value
-		return
-	}
-	*o = append(*o, entry{name, value})
-}
-
-func (o object) bytes() json.RawMessage {
-	var out bytes.Buffer
-	out.WriteByte('{')
-	for i, e := range o {
-		if i > 0 {
-			out.WriteByte(',')
-		}
-		name, _ := json.Marshal(e.name) // a string always has a form
-		out.Write(name)
-		out.WriteByte(':')
-		out.Write(e.value)
-	}
-	out.WriteByte('}')
-	return out.Bytes()
-}
-
-// An item of a list, as it is written, and the name that it goes by.
-type item struct {
-	name string
-	raw  json.RawMessage
-}
-
-// readItems reads a list of named items; what is no list, or is left out, holds none.
-func readItems(raw json.RawMessage, key string) []item {
-	if i := skipSpace(raw, 0); i == len(raw) || raw[i] != '[' {
-		return nil
-	}
-	var items []item
-	forEachValue(raw, 0, func(_ string, from, to int) {
-		it := item{raw: raw[from:to:to]}
-		forEachValue(raw, from, func(name string, from, to int) {
-			if strings.EqualFold(name, key) {
-				it.name = unquote(raw[from:to])
-			}
-		})
-		if key == "hostname" {
-			it.name = strings.ToLower(it.name)
-		}
-		items = append(items, it)
-	})
-	return items
-}
-
-func writeItems(items []item) json.RawMessage {
-	var out bytes.Buffer
-	out.WriteByte('[')
-	for i, it := range items {
-		if i > 0 {
-			out.WriteByte(',')
-		}
-		out.Write(it.raw)
-	}
-	out.WriteByte(']')
-	return out.Bytes()
-}
-
-// put adds it, or replaces the first of its name and drops the others.
-func put(items []item, it item) []item {
-	named := func(o item) bool { return o.name == it.name }
-	i := slices.IndexFunc(items, named)
-	if i < 0 {
-		return append(items, it)
-	}
-	items[i] = it
-	return append(items[:i+1], slices.DeleteFunc(items[i+1:], named)...)
-}
-
-func drop(items []item, names []string) []item {
-	return slices.DeleteFunc(items, func(it item) bool { return slices.Contains(names, it.name) })
-}
+// Names of fields, as readers compare them: without regard to case.
+const (
+	fieldHosts    = "vhosts"
+	fieldHostname = "hostname"
+	fieldRoutes   = "path_list"
+	fieldName     = "name"
+)
 
-// merge gives the whole configuration that results from a change upon base, laid out as it is put. Both
-// have been read before. Removals come first, so that one change can move a route to another host.
+// merge gives the complete configuration that results from a change upon base, laid out as a Replace is. Both have been
+// read before. Removals come first, so that one change can move a route to another host.
 //
-// Lists of items that this program does not know are changed by name as well; what upserts holds that is no
-// list replaces the field of its name. Other fields beside upserts and removals are the call's own and are
-// not taken over.
+// Lists of items that this version does not know are changed by name as well; what upserts holds that is no list replaces
+// the field of its name. Other fields beside upserts and removals are the call's own and are not taken over.
 func merge(base, change []byte) ([]byte, error) {
-	whole := object{}
+	config := object{}
 	if base != nil {
 		var err error
-		if whole, err = readObject(base); err != nil {
+		if config, err = readObject(base); err != nil {
 			return nil, err
 		}
 	}
@@ -140,78 +36,93 @@
 	upserts, _ := readObject(call.get("upserts"))
 	emptied := map[string]bool{}
 	for _, e := range removals {
-		var names []string
-		if json.Unmarshal(e.value, &names) != nil || len(names) == 0 {
-			continue
-		}
-		switch strings.ToLower(e.name) {
-		case "routes":
-			if hosts := whole.get("vhosts"); hosts != nil {
-				whole.set("vhosts", dropRoutes(hosts, names, emptied))
-			}
-		case "vhosts":
-			for i := range names {
-				names[i] = strings.ToLower(names[i])
-			}
-			if hosts := whole.get("vhosts"); hosts != nil {
-				whole.set("vhosts", writeItems(drop(readItems(hosts, "hostname"), names)))
-			}
-		default:
-			if list := bytes.TrimSpace(whole.get(e.name)); len(list) > 0 && list[0] == '[' {
-				whole.set(e.name, writeItems(drop(readItems(list, "name"), names)))
-			}
-		}
+		remove(&config, e, emptied)
 	}
 	for _, e := range upserts {
-		value := bytes.TrimSpace(e.value)
-		switch {
-		case bytes.Equal(value, []byte("null")):
-		case strings.EqualFold(e.name, "vhosts"):
-			hosts := readItems(whole.get("vhosts"), "hostname")
-			for _, it := range readItems(value, "hostname") {
-				hosts = putHost(hosts, it)
-			}
-			whole.set("vhosts", writeItems(hosts))
-		case value[0] == '[':
-			items := readItems(whole.get(e.name), "name")
-			for _, it := range readItems(value, "name") {
-				items = put(items, it)
-			}
-			whole.set(e.name, writeItems(items))
-		default:
-			whole.set(e.name, value)
-		}
+		upsert(&config, e)
 	}
-	if len(emptied) > 0 {
-		hosts := readItems(whole.get("vhosts"), "hostname")
-		hosts = slices.DeleteFunc(hosts, func(h item) bool { return emptied[h.name] && !hasRoutes(h.raw) })
-		whole.set("vhosts", writeItems(hosts))
-	}
-	whole.set("generation", call.get("generation"))
+	dropEmptied(&config, emptied)
+	config.set("generation", call.get("generation"))
 	parent := call.get("parent_version")
 	if parent == nil {
 		parent = json.RawMessage("0")
 	}
-	whole.set("parent_version", parent)
-	return whole.bytes(), nil
+	config.set("parent_version", parent)
+	return config.bytes(), nil
+}
+
+// remove carries out one list of names under removals. Hosts that it leaves without routes are noted in emptied.
+func remove(config *object, removal entry, emptied map[string]bool) {
+	var names []string
+	if json.Unmarshal(removal.value, &names) != nil || len(names) == 0 {
+		return
+	}
+	switch strings.ToLower(removal.name) {
+	case "routes":
+		if hosts := config.get(fieldHosts); hosts != nil {
+			config.set(fieldHosts, dropRoutes(hosts, names, emptied))
+		}
+	case fieldHosts:
+		for i := range names {
+			names[i] = strings.ToLower(names[i])
+		}
+		if hosts := config.get(fieldHosts); hosts != nil {
+			config.set(fieldHosts, writeItems(drop(readItems(hosts, fieldHostname), names)))
+		}
+	default:
+		if list := bytes.TrimSpace(config.get(removal.name)); len(list) > 0 && list[0] == '[' {
+			config.set(removal.name, writeItems(drop(readItems(list, fieldName), names)))
+		}
+	}
+}
+
+// upsert carries out one field of upserts.
+func upsert(config *object, e entry) {
+	value := bytes.TrimSpace(e.value)
+	switch {
+	case bytes.Equal(value, []byte("null")):
+	case strings.EqualFold(e.name, fieldHosts):
+		hosts := readItems(config.get(fieldHosts), fieldHostname)
+		for _, host := range readItems(value, fieldHostname) {
+			hosts = putHost(hosts, host)
+		}
+		config.set(fieldHosts, writeItems(hosts))
+	case value[0] == '[':
+		items := readItems(config.get(e.name), fieldName)
+		for _, it := range readItems(value, fieldName) {
+			items = put(items, it)
+		}
+		config.set(e.name, writeItems(items))
+	default:
+		config.set(e.name, value)
+	}
+}
+
+// dropEmptied takes out the hosts that removals left without routes, unless upserts gave them some. A host without routes
+// answers as one that is not there, and hosts that come and go would pile up.
+func dropEmptied(config *object, emptied map[string]bool) {
+	if len(emptied) == 0 {
+		return
+	}
+	hosts := readItems(config.get(fieldHosts), fieldHostname)
+	hosts = slices.DeleteFunc(hosts, func(h item) bool { return emptied[h.name] && !hasRoutes(h.raw) })
+	config.set(fieldHosts, writeItems(hosts))
 }
 
-// dropRoutes takes the named routes out of all hosts and notes the hosts that it left without any. Those go
-// in the end: a host without routes answers as one that is not there, and hosts that come and go would pile
-// up.
+// dropRoutes takes the named routes out of all hosts, and notes in emptied the hosts that it left without any.
 func dropRoutes(raw json.RawMessage, names []string, emptied map[string]bool) json.RawMessage {
-	hosts := readItems(raw, "hostname")
+	hosts := readItems(raw, fieldHostname)
 	for i := range hosts {
 		host, err := readObject(hosts[i].raw)
 		if err != nil {
 			continue
 		}
-		routes := readItems(host.get("path_list"), "name")
+		routes := readItems(host.get(fieldRoutes), fieldName)
 		before := len(routes)
 		if routes = drop(routes, names); len(routes) == before {
 			continue
 		}
-		host.set("path_list", writeItems(routes))
+		host.set(fieldRoutes, writeItems(routes))
 		hosts[i].raw = host.bytes()
 		if len(routes) == 0 {
 			emptied[hosts[i].name] = true
@@ -221,8 +132,8 @@
 }
 
 func hasRoutes(host json.RawMessage) bool {
-	s, err := readObject(host)
-	return err == nil && len(readItems(s.get("path_list"), "name")) > 0
+	fields, err := readObject(host)
+	return err == nil && len(readItems(fields.get(fieldRoutes), fieldName)) > 0
 }
 
 // putHost adds a host, or puts its routes among those of the host that is there.
@@ -231,23 +142,23 @@
 	if i < 0 {
 		return append(hosts, it)
 	}
-	was, err1 := readObject(hosts[i].raw)
-	now, err2 := readObject(it.raw)
+	current, err1 := readObject(hosts[i].raw)
+	added, err2 := readObject(it.raw)
 	if err1 != nil || err2 != nil {
 		hosts[i] = it
 		return hosts
 	}
-	for _, e := range now {
-		if !strings.EqualFold(e.name, "path_list") {
-			was.set(e.name, e.value)
+	for _, e := range added {
+		if !strings.EqualFold(e.name, fieldRoutes) {
+			current.set(e.name, e.value)
 			continue
 		}
-		routes := readItems(was.get(e.name), "name")
-		for _, r := range readItems(e.value, "name") {
+		routes := readItems(current.get(e.name), fieldName)
+		for _, r := range readItems(e.value, fieldName) {
 			routes = put(routes, r)
 		}
-		was.set(e.name, writeItems(routes))
+		current.set(e.name, writeItems(routes))
 	}
-	hosts[i].raw = was.bytes()
+	hosts[i].raw = current.bytes()
 	return hosts
 }
--- /dev/null
+++ b/internal/gateway/routing/object.go
@@ -0,0 +1,121 @@
+package routing
+
+import (
+	"bytes"
+	"encoding/json"
+	"slices"
+	"strings"
+
+	"github.com/go-faster/errors"
+)
+
+// object is a JSON object whose values stay as they were written: unknown fields, the order of fields and
+// the form of numbers go through a change unharmed.
+type object []entry
+
+// entry is a field of an object.
+type entry struct {
+	name  string
+	value json.RawMessage
+}
+
+func readObject(raw []byte) (object, error) {
+	if i := skipSpace(raw, 0); i == len(raw) || raw[i] != '{' {
+		return nil, errors.New("not an object")
+	}
+	var o object
+	forEachValue(raw, 0, func(name string, from, to int) { o = append(o, entry{name, raw[from:to:to]}) })
+	return o, nil
+}
+
+// index finds a field as encoding/json would, so that what is read and what is kept never differ.
+func (o object) index(name string) int {
+	return slices.IndexFunc(o, func(e entry) bool { return strings.EqualFold(e.name, name) })
+}
+
+func (o object) get(name string) json.RawMessage {
+	if i := o.index(name); i >= 0 {
+		return o[i].value
+	}
+	return nil
+}
+
+func (o *object) set(name string, value json.RawMessage) {
+	if i := o.index(name); i >= 0 {
+		(*o)[i].value = value
+		return
+	}
+	*o = append(*o, entry{name, value})
+}
+
+func (o object) bytes() json.RawMessage {
+	var out bytes.Buffer
+	out.WriteByte('{')
+	for i, e := range o {
+		if i > 0 {
+			out.WriteByte(',')
+		}
+		name, _ := json.Marshal(e.name) // a string always has a form in JSON
+		out.Write(name)
+		out.WriteByte(':')
+		out.Write(e.value)
+	}
+	out.WriteByte('}')
+	return out.Bytes()
+}
+
+// item is one of a list, as it is written, and the name that it goes by.
+type item struct {
+	name string
+	raw  json.RawMessage
+}
+
+// readItems reads a list of named items; what is no list, or is left out, holds none.
+func readItems(raw json.RawMessage, key string) []item {
+	if i := skipSpace(raw, 0); i == len(raw) || raw[i] != '[' {
+		return nil
+	}
+	var items []item
+	forEachValue(raw, 0, func(_ string, from, to int) {
+		it := item{raw: raw[from:to:to]}
+		forEachValue(raw, from, func(name string, from, to int) {
+			if strings.EqualFold(name, key) {
+				it.name = unquote(raw[from:to])
+			}
+		})
+		if key == fieldHostname {
+			it.name = strings.ToLower(it.name)
+		}
+		items = append(items, it)
+	})
+	return items
+}
+
+func writeItems(items []item) json.RawMessage {
+	var out bytes.Buffer
+	out.WriteByte('[')
+	for i, it := range items {
+		if i > 0 {
+			out.WriteByte(',')
+		}
+		out.Write(it.raw)
+	}
+	out.WriteByte(']')
+	return out.Bytes()
+}
+
+// put adds an item, or replaces the first of its name and drops the others.
+func put(items []item, it item) []item {
+	named := func(o item) bool { return o.name == it.name }
+	i := slices.IndexFunc(items, named)
+	if i < 0 {
+		return append(items, it)
+	}
+	items[i] = it
+	return append(items[:i+1], slices.DeleteFunc(items[i+1:], named)...)
+}
+
+// drop takes the items with these names out.
+func drop(items []item, names []string) []item {
+	return slices.DeleteFunc(items, func(it item) bool { return slices.Contains(names, it.name) })
+}
--- a/internal/gateway/routing/read.go
+++ b/internal/gateway/routing/read.go
@@ -17,12 +17,13 @@
 // operator").
 const latencySlack = time.Minute
 
-// FieldError tells why a body was not taken, and where in it.
+// FieldError is why a body was rejected, and where in it.
 type FieldError struct {
-	Path   string // such as vhosts[0].path_list[2].variant; empty where it is the whole body
+	Path   string // such as vhosts[0].path_list[2].variant; empty where it is the body itself
 	Reason string // in words
 }
 
+// Error gives the path and the reason.
 func (f *FieldError) Error() string {
 	if f.Path == "" {
 		return f.Reason
@@ -30,11 +31,11 @@
 	return f.Path + ": " + f.Reason
 }
 
-func fieldError(place, format string, args ...any) error {
-	return &FieldError{Path: place, Reason: errors.Errorf(format, args...).Error()}
+func fieldError(path, format string, args ...any) error {
+	return &FieldError{Path: path, Reason: errors.Errorf(format, args...).Error()}
 }
 
-// ReadConfig reads and checks a whole configuration as Config.Replace carries it. Its errors are *FieldError. That
+// ReadConfig reads and checks a complete configuration as Config.Repath carries it. Its errors are *FieldError. That
 // its generation is above the current one is for the Register to say.
 func ReadConfig(body []byte) (*Config, error) {
 	b := new(Config)
@@ -73,8 +74,8 @@
 		return bad
 	}
 	if wrong != nil {
-		place := pathAt(body, start, int(wrong.Offset), "")
-		return fieldError(place, "a %s cannot be a %s", wrong.Value, wrong.Type)
+		path := pathAt(body, start, int(wrong.Offset), "")
+		return fieldError(path, "a %s cannot be a %s", wrong.Value, wrong.Type)
 	}
 	return nil
 }
@@ -89,8 +90,8 @@
 	if !errors.As(err, &bad) || len(bad) == 0 {
 		return fieldError("", "%s", err)
 	}
-	_, place, _ := strings.Cut(bad[0].Namespace(), ".")
-	return fieldError(place, "%s", describe(bad[0]))
+	_, path, _ := strings.Cut(bad[0].Namespace(), ".")
+	return fieldError(path, "%s", describe(bad[0]))
 }
 
 func describe(e validator.FieldError) string {
@@ -135,7 +136,7 @@
 func checkRoute(sl validator.StructLevel) {
 	r := sl.Current().Interface().(ConfigRoute)
 	if len(r.WeightedTargets) > 0 {
-		sum := 0.0 // whole numbers could wrap around to 0
+		sum := 0.0 // integers could wrap around to 0
 		for _, t := range r.WeightedTargets {
 			sum += float64(t.Weight)
 		}
@@ -162,16 +163,16 @@
 	for i := range b.Vhosts {
 		for j := range b.Vhosts[i].PathList {
 			r := &b.Vhosts[i].PathList[j]
-			place := "vhosts[" + strconv.Itoa(i) + "].path_list[" + strconv.Itoa(j) + "]."
+			path := "vhosts[" + strconv.Itoa(i) + "].path_list[" + strconv.Itoa(j) + "]."
 			for k, t := range r.WeightedTargets {
 				if !known[t.Target] {
-					at := place + "weighted_targets[" + strconv.Itoa(k) + "].target"
+					at := path + "weighted_targets[" + strconv.Itoa(k) + "].target"
 					sl.ReportError(t.Target, at, "Target", "service", t.Target)
 				}
 			}
 			// A route without any target names no service at all, which is refused as an unknown one is.
 			if (r.Target != "" || len(r.WeightedTargets) == 0) && !known[r.Target] {
-				sl.ReportError(r.Target, place+"target", "Target", "service", r.Target)
+				sl.ReportError(r.Target, path+"target", "Target", "service", r.Target)
 			}
 		}
 	}
--- a/internal/gateway/routing/scan.go
+++ b/internal/gateway/routing/scan.go
@@ -9,7 +9,7 @@
 	"unicode/utf8"
 )
 
-// The functions here take JSON that is known to be valid, and hand out parts of it without copies.
+// The functions here take JSON that is known to be valid, and return parts of it without copies.
 
 // maxDepth bounds how deep a body nests; a configuration has six levels.
 const maxDepth = 64
@@ -30,7 +30,7 @@
 	return i + 1
 }
 
-// skipValue gives the place after the value that begins at i.
+// skipValue gives the offset after the value that begins at i.
 func skipValue(b []byte, i int) int {
 	for depth := 0; i < len(b); {
 		switch b[i] {
@@ -103,19 +103,19 @@
 	return strings.ToLower(name)
 }
 
-func joinPath(place, name string, index int) string {
+func joinPath(path, name string, index int) string {
 	switch {
 	case name == "":
-		return place + "[" + strconv.Itoa(index) + "]"
-	case place == "":
+		return path + "[" + strconv.Itoa(index) + "]"
+	case path == "":
 		return name
 	}
-	return place + "." + name
+	return path + "." + name
 }
 
 // checkStructure refuses what nests too deep, and objects that name a field twice: which of the two counts would
-// depend on the reader. The value begins at i; place is called only for a fault.
-func checkStructure(b []byte, i, depth int, place func() string) error {
+// depend on the reader. The value begins at i; path is called only for a fault.
+func checkStructure(b []byte, i, depth int, path func() string) error {
 	if depth > maxDepth {
 		return fieldError("", "nests more than %d deep", maxDepth)
 	}
@@ -129,24 +129,24 @@
 		at := index
 		index++
 		if bad == nil && (b[from] == '{' || b[from] == '[') {
-			bad = checkStructure(b, from, depth+1, func() string { return joinPath(place(), name, at) })
+			bad = checkStructure(b, from, depth+1, func() string { return joinPath(path(), name, at) })
 		}
 	})
 	slices.Sort(names)
 	for k := 1; k < len(names) && bad == nil; k++ {
 		if names[k] == names[k-1] {
-			bad = fieldError(joinPath(place(), names[k], 0), "named twice")
+			bad = fieldError(joinPath(path(), names[k], 0), "named twice")
 		}
 	}
 	return bad
 }
 
 // pathAt names the innermost value in the one at i that a reader was at when it had read offset bytes.
-func pathAt(b []byte, i, offset int, place string) string {
-	found, index := place, 0
+func pathAt(b []byte, i, offset int, path string) string {
+	found, index := path, 0
 	forEachValue(b, i, func(name string, from, _ int) {
 		if from < offset {
-			found = pathAt(b, from, offset, joinPath(place, name, index))
+			found = pathAt(b, from, offset, joinPath(path, name, index))
 		}
 		index++
 	})
--- a/internal/gateway/routing/table.go
+++ b/internal/gateway/routing/table.go
@@ -12,7 +12,7 @@
 	"clovergap/internal/invariant"
 )
 
-// What holds where a configuration leaves it out or gives 0. The limits are those of PROTOCOL.md's example.
+// Defaults of what a configuration leaves out or gives as 0. The limits are those of PROTOCOL.md's example.
 const (
 	DefaultDeadline       = 30 * time.Second
 	DefaultMaxAttempts    = 2
@@ -26,8 +26,8 @@
 // maxHostBytes bounds a host name that is looked up, in bytes; DNS allows 253.
 const maxHostBytes = 256
 
-// RouteKey is equal for routes that are equal in all, in whichever table: what was learnt of one holds for
-// the other.
+// RouteKey is equal for routes whose fields are all equal, in whichever table: statistics of one hold for the other. It
+// is kept in memory only.
 type RouteKey string
 
 // Route is a route as nodes use it.
@@ -36,16 +36,16 @@
 	Name          string
 	Host          string // in lower case
 	Prefix        string
-	Effectful     bool          // at most one run for each try of a client
+	Effectful     bool          // not idempotent: it may run once for each attempt of a client
 	Deadline      time.Duration // the longest time that a request is held
-	LatencyTarget time.Duration // an answer within it earns its full worth; the deadline where it is left out
+	LatencyTarget time.Duration // of a response, its latency objective; the deadline where it is left out
 	Priority      int           // 0 is highest
 	MaxAttempts   int           // backends that one request may be sent to, 1 or more
 	Public        bool          // carries no key
 	Targets       []Target      // one or more, weights above 0 whose sum fits 32 bits
 }
 
-// Target is a service that may answer a route, and its part of the sum of weights.
+// Target is a service that may answer a route, and its weight among the route's targets.
 type Target struct {
 	Service string
 	Weight  int
@@ -54,7 +54,7 @@
 // Tenant is a tenant as nodes use it.
 type Tenant struct {
 	Name     string
-	Priority int     // comes before the route's, 0 is highest
+	Priority int     // goes before the route's, 0 is highest
 	Rate     float64 // requests a second over all nodes, 0 = no limit
 	Burst    float64 // requests on top
 }
@@ -76,8 +76,7 @@
 	IdleTimeout    time.Duration
 }
 
-// Table is what a node routes by. It never changes, so that many may read it at once; what it hands out is
-// not to be changed.
+// Table is what a node routes by. It is immutable and safe for concurrent use; what it returns is not to be changed.
 type Table struct {
 	version  uint64
 	limits   Limits
@@ -97,78 +96,103 @@
 
 // NewTable builds the table of a checked configuration; of nil, one with no routes and the default limits.
 // Where two routes have the same host and prefix, or two tenants the same key, the first one counts.
-func NewTable(b *Config) *Table {
-	if b == nil {
-		b = new(Config)
+func NewTable(c *Config) *Table {
+	if c == nil {
+		c = new(Config)
 	}
 	t := &Table{
-		version:  b.Generation,
-		limits:   limitsOf(b.Limits),
-		hosts:    make(map[string]*host, len(b.Vhosts)),
+		version:  c.Generation,
+		limits:   limitsOf(c.Limits),
+		hosts:    make(map[string]*host, len(c.Vhosts)),
 		keys:     make(map[string]*Tenant),
-		services: make(map[string]*Service, len(b.Services)),
+		services: make(map[string]*Service, len(c.Services)),
 	}
-	for _, s := range b.Services {
-		if t.services[s.Name] == nil {
-			t.services[s.Name] = &Service{
-				Name: s.Name, HealthPath: cmp.Or(s.HealthPath, DefaultHealthPath),
-				MaxConns: max(s.MaxConns, 0), Protocol: s.Protocol, TLS: s.Tls,
-			}
-		}
+	for i := range c.Services {
+		t.addService(&c.Services[i])
 	}
-	for _, one := range b.Tenants {
-		tenant := &Tenant{
-			Name: one.Name, Priority: one.Priority, Rate: max(one.RatePerS, 0), Burst: max(one.Burst, 0),
-		}
-		t.tenants = append(t.tenants, tenant)
-		for _, key := range one.ApiKeys {
-			if t.keys[key] == nil {
-				t.keys[key] = tenant
-			}
+	for i := range c.Tenants {
+		t.addTenant(&c.Tenants[i])
+	}
+	for i := range c.Vhosts {
+		t.addHost(&c.Vhosts[i])
+	}
+	return t
+}
+
+func (t *Table) addService(c *ConfigService) {
+	if t.services[c.Name] != nil {
+		return
+	}
+	t.services[c.Name] = &Service{
+		Name:       c.Name,
+		HealthPath: cmp.Or(c.HealthPath, DefaultHealthPath),
+		MaxConns:   max(c.MaxConns, 0),
+		Protocol:   c.Protocol,
+		TLS:        c.Tls,
+	}
+}
+
+func (t *Table) addTenant(c *ConfigTenant) {
+	tenant := &Tenant{
+		Name:     c.Name,
+		Priority: c.Priority,
+		Rate:     max(c.RatePerS, 0),
+		Burst:    max(c.Burst, 0),
+	}
+	t.tenants = append(t.tenants, tenant)
+	for _, key := range c.ApiKeys {
+		if t.keys[key] == nil {
+			t.keys[key] = tenant
 		}
 	}
-	for i := range b.Vhosts {
-		name := strings.ToLower(b.Vhosts[i].Hostname)
-		h := t.hosts[name]
-		if h == nil {
-			h = &host{routes: make(map[string]*Route, len(b.Vhosts[i].PathList))}
-			t.hosts[name] = h
+}
+
+// addHost adds the routes of a host; a configuration may name one more than once.
+func (t *Table) addHost(c *ConfigHost) {
+	name := strings.ToLower(c.Hostname)
+	h := t.hosts[name]
+	if h == nil {
+		h = &host{routes: make(map[string]*Route, len(c.PathList))}
+		t.hosts[name] = h
+	}
+	for i := range c.PathList {
+		r := routeOf(name, &c.PathList[i])
+		if h.routes[r.Prefix] != nil {
+			continue
 		}
-		for j := range b.Vhosts[i].PathList {
-			r := routeOf(name, &b.Vhosts[i].PathList[j])
-			if h.routes[r.Prefix] != nil {
-				continue
-			}
-			h.routes[r.Prefix] = r
-			t.routes = append(t.routes, r)
-			if !slices.Contains(h.lengths, len(r.Prefix)) {
-				h.lengths = append(h.lengths, len(r.Prefix))
-			}
+		h.routes[r.Prefix] = r
+		t.routes = append(t.routes, r)
+		if !slices.Contains(h.lengths, len(r.Prefix)) {
+			h.lengths = append(h.lengths, len(r.Prefix))
 		}
-		slices.SortFunc(h.lengths, func(x, y int) int { return y - x })
 	}
-	return t
+	slices.SortFunc(h.lengths, func(x, y int) int { return y - x })
 }
 
-func routeOf(host string, b *ConfigRoute) *Route {
+// routeOf fills in what a configuration leaves out of a route.
+func routeOf(host string, c *ConfigRoute) *Route {
 	r := &Route{
-		Name: b.Name, Host: host, Prefix: b.PathPrefix,
-		Effectful: b.Variant != Pure,
-		Deadline:  durationOr(b.Deadline, DefaultDeadline),
-		Priority:  b.Priority, MaxAttempts: b.MaxTries, Public: b.Public,
+		Name:        c.Name,
+		Host:        host,
+		Prefix:      c.PathPrefix,
+		Effectful:   c.Variant != Pure,
+		Deadline:    durationOr(c.Deadline, DefaultDeadline),
+		Priority:    c.Priority,
+		MaxAttempts: c.MaxTries,
+		Public:      c.Public,
 	}
-	r.LatencyTarget = durationOr(b.TargetLatency, r.Deadline)
+	r.LatencyTarget = durationOr(c.TargetLatency, r.Deadline)
 	if r.MaxAttempts <= 0 {
 		r.MaxAttempts = DefaultMaxAttempts
 	}
-	for _, t := range b.WeightedTargets {
+	for _, t := range c.WeightedTargets {
 		if t.Weight > 0 {
 			r.Targets = append(r.Targets, Target{t.Target, t.Weight})
 		}
 	}
 	scaleWeights(r.Targets)
 	if len(r.Targets) == 0 {
-		r.Targets = []Target{{b.Target, 1}}
+		r.Targets = []Target{{c.Target, 1}}
 	}
 	key, err := json.Marshal(r) // it has no key yet
 	invariant.That(err == nil, "a route has a key")
@@ -176,7 +200,7 @@
 	return r
 }
 
-// scaleWeights makes weights small enough to be added up without wrapping around.
+// scaleWeights halves weights until their sum fits 32 bits; none becomes 0.
 func scaleWeights(weights []Target) {
 	for {
 		sum := 0.0
@@ -192,14 +216,16 @@
 	}
 }
 
-func limitsOf(b *ConfigLimits) Limits {
-	if b == nil {
-		b = new(ConfigLimits)
+// limitsOf fills in what a configuration leaves out of the limits.
+func limitsOf(c *ConfigLimits) Limits {
+	if c == nil {
+		c = new(ConfigLimits)
 	}
 	l := Limits{
-		MaxHeaderBytes: b.MaxHeaderBytes, MaxBodyBytes: b.MaxBodyBytes,
-		HeaderTimeout: durationOr(b.HeaderTimeout, DefaultHeaderTimeout),
-		IdleTimeout:   durationOr(b.IdleTimeout, DefaultIdleTimeout),
+		MaxHeaderBytes: c.MaxHeaderBytes,
+		MaxBodyBytes:   c.MaxBodyBytes,
+		HeaderTimeout:  durationOr(c.HeaderTimeout, DefaultHeaderTimeout),
+		IdleTimeout:    durationOr(c.IdleTimeout, DefaultIdleTimeout),
 	}
 	if l.MaxHeaderBytes <= 0 {
 		l.MaxHeaderBytes = DefaultMaxHeaderBytes
@@ -217,11 +243,11 @@
 	if i := bytes.LastIndexByte(hostname, ':'); i >= 0 && bytes.IndexByte(hostname[i:], ']') < 0 {
 		hostname = hostname[:i]
 	}
-	var room [maxHostBytes]byte
-	if len(hostname) > len(room) {
+	var buffer [maxHostBytes]byte // on the stack
+	if len(hostname) > len(buffer) {
 		return nil, false
 	}
-	lower := room[:len(hostname)]
+	lower := buffer[:len(hostname)]
 	for i, c := range hostname {
 		if 'A' <= c && c <= 'Z' {
 			c += 'a' - 'A'
