--- a/internal/gateway/node/call_chunks_test.go
+++ b/internal/gateway/node/call_chunks_test.go
@@ -127,7 +127,7 @@
 	for _, every := range []int{0, 3, 7, 50} {
 		w := newCallLink(t)
 		var answer []byte
-		w.forward(body, func(status int, b []byte) { answer = b })
+		w.forward(body, func(_ int, b []byte) { answer = b })
 		for _, c := range w.sender.calls.chunks.outgoing[receiverAddr] {
 			c.deadline = farFuture
 		}
@@ -175,7 +175,7 @@
 	must.Less(t, len(body)-before+3*streamConfig.MaxInflightBytes, w.chunkBytes-before)
 	w.sender.LinkDown(receiverAddr)
 	w.sender.calls.end(nr, 503, nil)
-	must.Eq(t, controlapi.Unclear, status)
+	must.Eq(t, controlapi.StatusAmbiguous, status)
 
 	w = newCallLink(t)
 	nr = w.forward(body, then)
--- a/internal/gateway/node/call_router.go
+++ b/internal/gateway/node/call_router.go
@@ -66,7 +66,7 @@
 	hops int // with the one that it is on
 }
 
-// callReply ends the call of its ID. The status is as for the caller, or controlapi.Unclear.
+// callReply ends the call of its ID. The status is as for the caller, or controlapi.StatusAmbiguous.
 type callReply struct {
 	id     callID
 	status int
@@ -225,7 +225,7 @@
 		c.retryLater(sequence)
 		return
 	}
-	call.sentTo, call.ambiguous = "", call.ambiguous || status == controlapi.Unclear
+	call.sentTo, call.ambiguous = "", call.ambiguous || status == controlapi.StatusAmbiguous
 	c.end(sequence, status, body)
 }
 
@@ -236,7 +236,7 @@
 	if status/100 == 5 {
 		status = statusUnavailable
 		if !call.isRead() && (call.ambiguous || c.mayBeReceived(call, sequence)) {
-			status = controlapi.Unclear
+			status = controlapi.StatusAmbiguous
 		}
 	}
 	c.chunks.cancelCall(call.sentTo, sequence)
--- a/internal/gateway/node/call_router_test.go
+++ b/internal/gateway/node/call_router_test.go
@@ -123,21 +123,21 @@
 		"no leader":     {kind: change, env: fakeCallEnv{contact: true}, status: 503, body: timeout, at: callTimeout},
 		"too many hops": {kind: change, env: toA, hops: maxHops, status: 503, body: timeout, at: callTimeout},
 		"a change without a reply": {kind: change, env: toA,
-			status: controlapi.Unclear, body: timeout, at: callTimeout, sent: []string{"a"}},
+			status: controlapi.StatusAmbiguous, body: timeout, at: callTimeout, sent: []string{"a"}},
 		"a read without a reply": {kind: read, env: toA,
 			status: 503, body: timeout, at: callTimeout, sent: []string{"a"}},
 		"contact lost after a change": {kind: change, env: toA,
 			then:   func(_ *callRouter, f *fakeCallEnv) { f.contact = false },
-			status: controlapi.Unclear, body: unknown, at: callRetryInterval, sent: []string{"a"}},
+			status: controlapi.StatusAmbiguous, body: unknown, at: callRetryInterval, sent: []string{"a"}},
 		"another leader": {kind: change, env: toA,
 			then:   func(_ *callRouter, f *fakeCallEnv) { f.target = "b" },
-			status: controlapi.Unclear, body: timeout, at: callTimeout, sent: []string{"a", "b"}},
+			status: controlapi.StatusAmbiguous, body: timeout, at: callTimeout, sent: []string{"a", "b"}},
 		"the link ends, no leader": {kind: change, env: toA,
 			then: func(c *callRouter, f *fakeCallEnv) {
 				f.target = ""
 				c.linkDown("a")
 			},
-			status: controlapi.Unclear, body: timeout, at: callTimeout, sent: []string{"a"}},
+			status: controlapi.StatusAmbiguous, body: timeout, at: callTimeout, sent: []string{"a"}},
 		"refused by the leader": {kind: change, env: toA,
 			then:   func(c *callRouter, _ *fakeCallEnv) { c.receiveReply("a", reply(412, "lost")) },
 			status: 412, body: "lost", sent: []string{"a"}},
@@ -153,8 +153,8 @@
 			then:   func(_ *callRouter, f *fakeCallEnv) { f.proposed[0].done(400, []byte("wrong")) },
 			status: 400, body: "wrong"},
 		"outcome not known here": {kind: change, env: atLeader,
-			then:   func(_ *callRouter, f *fakeCallEnv) { f.proposed[0].done(controlapi.Unclear, nil) },
-			status: controlapi.Unclear},
+			then:   func(_ *callRouter, f *fakeCallEnv) { f.proposed[0].done(controlapi.StatusAmbiguous, nil) },
+			status: controlapi.StatusAmbiguous},
 		"a read without an outcome here": {kind: read, env: atLeader, status: 503, body: timeout, at: callTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -31,8 +31,8 @@
 	lastToken        uint64
 	lastApplied      appliedChange
 	membersCheckedAt time.Duration
-	leaderTerm       uint64                   // the last one whose leader was known
-	liveness         map[string]livenessState // by address
+	leaderTerm       uint64 // the last one whose leader was known
+	liveness         livenessReports
 }
 
 // coreEnv is what a core needs of its node.
@@ -49,7 +49,7 @@
 	// announceLeaders has learners notified at the next tick that there is a leader.
 	announceLeaders()
 	installState(index uint64, s *statemachine.Machine)
-	applyEntry(index uint64, data []byte) (routing.Verdict, error)
+	applyEntry(index uint64, data []byte) (routing.Result, error)
 	// snapshot is the state at the last entry applied.
 	snapshot() []byte
 	// readResult is the body of the answer to a read.
@@ -73,7 +73,7 @@
 type appliedChange struct {
 	index   uint64
 	entry   []byte
-	outcome routing.Verdict
+	outcome routing.Result
 	err     error
 }
 
@@ -96,7 +96,7 @@
 
 // newCore makes a core whose replica and disk are still to be set.
 func newCore(env coreEnv, self replication.Member) *core {
-	c := &core{env: env, proposals: map[uint64]proposal{}, liveness: map[string]livenessState{}}
+	c := &core{env: env, proposals: map[uint64]proposal{}, liveness: livenessReports{}}
 	c.replicaHost = replicaHost{env: env, self: self, owner: c}
 	return c
 }
@@ -201,7 +201,7 @@
 	switch {
 	case !ok:
 	case o.Status == replication.OutcomeUnknown:
-		p.done(controlapi.Unclear, []byte(o.Status.String()))
+		p.done(controlapi.StatusAmbiguous, []byte(o.Status.String()))
 	case o.Status != replication.OutcomeCommitted:
 		p.done(statusUnavailable, []byte(o.Status.String()))
 	case isRead(p.kind):
@@ -210,7 +210,7 @@
 		applied := c.lastApplied
 		if applied.index != o.Index || !bytes.Equal(applied.entry, p.entry) {
 			invariant.That(false, "a proposal ends by its own entry")
-			applied = appliedChange{outcome: routing.Unclear}
+			applied = appliedChange{outcome: routing.Ambiguous}
 		}
 		p.done(responseOf(applied.outcome, applied.err))
 	}
--- a/internal/gateway/node/rollout_host.go
+++ b/internal/gateway/node/rollout_host.go
@@ -277,7 +277,7 @@
 		here := r.capacityOf(e.Spec)
 		e.Capacity.Baseline, e.Capacity.Canary = max(e.Capacity.Baseline, here.Baseline), max(e.Capacity.Canary, here.Canary)
 	}
-	if v, _ := r.peers.rolloutState().Decide(e); v == routing.Taken && e.Spec != nil {
+	if v, _ := r.peers.rolloutState().Decide(e); v == routing.Accepted && e.Spec != nil {
 		if err := checkKnown(e.Spec); err != nil {
 			return nil, err
 		}
--- a/internal/gateway/node/wire.go
+++ b/internal/gateway/node/wire.go
@@ -196,9 +196,10 @@
 
 // message is what was received.
 func (w *WireRolloutMessage) message() *rolloutMessage {
-	r := &rolloutMessage{slot: w.Seat, hops: w.Hops, lap: w.Lap}
+	m := &rolloutMessage{slot: w.Seat, hops: w.Hops, lap: w.Lap}
 	if w.Report != nil {
-		r.report = new(w.Report.Report())
+		report := w.Report.Report()
+		m.report = &report
 	}
-	return r
+	return m
 }
--- a/internal/gateway/outlier/decide.go
+++ b/internal/gateway/outlier/decide.go
@@ -11,14 +11,14 @@
 )
 
 // conflict refuses an entry that builds on another state than the present one.
-func conflict(f string, a ...any) (routing.Verdict, error) {
+func conflict(f string, a ...any) (routing.Result, error) {
 	return routing.Conflict, errors.Errorf(f, a...)
 }
 
 // Decide tells what would become of an entry now, and changes nothing. The error says why it isn't taken.
-func (s *State) Decide(e *Entry) (routing.Verdict, error) {
+func (s *State) Decide(e *Entry) (routing.Result, error) {
 	if e.CallID != "" && slices.Contains(s.CallIDs, e.CallID) {
-		return routing.Already, nil
+		return routing.Duplicate, nil
 	}
 	for _, t := range []string{e.CallID, e.Author, e.Reason, e.Service, string(e.Key.ID)} {
 		if len(t) > maxTextBytes {
@@ -40,7 +40,7 @@
 		if len(e.GoneInstances) == 0 || len(e.GoneInstances) > maxEjections {
 			return routing.Invalid, errors.New("gone: names no life, or too many")
 		}
-		return routing.Taken, nil
+		return routing.Accepted, nil
 	case e.Revision != rev:
 		return conflict("rev: is %d, but %d is current", e.Revision, rev)
 	case e.Verb == SetSettings:
@@ -51,16 +51,16 @@
 		if err := settings.Normalize(); err != nil {
 			return routing.Invalid, err
 		}
-		return routing.Taken, nil
+		return routing.Accepted, nil
 	case e.Verb == Eject:
 		return s.decideEject(e, c)
 	case c == nil:
 		return conflict("key: %s was never convicted as %s", e.Key.ID, e.Key.Mode)
 	case e.Verb == Clear:
-		return routing.Taken, nil
+		return routing.Accepted, nil
 	case e.Verb == StepUp && c.Step != InService && c.Step.next(c.Mode) != InService,
 		e.Verb == Readmit && c.Step != InService && c.Step.next(c.Mode) == InService:
-		return routing.Taken, nil
+		return routing.Accepted, nil
 	case e.Verb == StepUp || e.Verb == Readmit:
 		return conflict("verb: no %s from %s", e.Verb, c.Step)
 	}
@@ -68,7 +68,7 @@
 }
 
 // decideEject decides on an entry that ejects.
-func (s *State) decideEject(e *Entry, c *Ejection) (routing.Verdict, error) {
+func (s *State) decideEject(e *Entry, c *Ejection) (routing.Result, error) {
 	switch {
 	case e.Key.ID == "" || e.Key.Mode >= modeCount || e.Service == "" || e.ReadyBackends < 1:
 		return routing.Invalid, errors.New("key: names no backend of a service")
@@ -84,7 +84,7 @@
 	if _, ok := s.soleWitness(e); !ok {
 		return conflict("witnesses: not two that are trusted, and no one may have more out alone")
 	}
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
 
 // soleWitness tells on whose evidence alone an ejection is, or NoSlot where it is on several: a refuted witness weighs half of one each time.
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -79,8 +79,8 @@
 }
 
 // Apply carries an entry out if Decide takes it, and gives Decide's verdict.
-func (s *State) Apply(e *Entry) (routing.Verdict, error) {
-	if v, err := s.Decide(e); v != routing.Taken {
+func (s *State) Apply(e *Entry) (routing.Result, error) {
+	if v, err := s.Decide(e); v != routing.Accepted {
 		return v, err
 	}
 	s.Revision++
@@ -114,7 +114,7 @@
 		}
 	}
 	s.snapshot.History = logentry.KeepLast(append(s.snapshot.History, HistoryEntry{e.Verb, e.Key, step, e.Author, e.UnixMilli, e.Reason, e.Witnesses}), maxHistory)
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
 
 // eject begins an ejection, in the place of the oldest that is over where there are too many.
--- a/internal/gateway/statemachine/slots.go
+++ b/internal/gateway/statemachine/slots.go
@@ -13,7 +13,7 @@
 func (m *Machine) Slots() []membership.SlotHolder { return m.slots }
 
 // assignSlot gives a node the next slot. A node at an address that has one keeps that, and what is known of it is replaced.
-func (m *Machine) assignSlot(body []byte) (routing.Verdict, error) {
+func (m *Machine) assignSlot(body []byte) (routing.Result, error) {
 	var stored storedSlot
 	if err := logentry.Decode(body, &stored, "slot"); err != nil {
 		return routing.Invalid, err
@@ -22,12 +22,12 @@
 	for i, other := range m.slots {
 		if other.Addr == holder.Addr {
 			m.slots[i] = holder
-			return routing.Already, nil
+			return routing.Duplicate, nil
 		}
 	}
 	if len(m.slots) >= maxSlots {
 		return routing.Invalid, ErrNoSlotLeft
 	}
 	m.slots = append(m.slots, holder)
-	return routing.Taken, nil
+	return routing.Accepted, nil
 }
