--- a/internal/gateway/node/call_router.go
+++ b/internal/gateway/node/call_router.go
@@ -161,8 +161,8 @@
 func (c *callRouter) propose(sequence uint32) {
 	call := c.pending[sequence]
 	wanted := func() bool {
-		call := c.pending[sequence]
-		return call != nil && call.sentTo == handledHere
+		now := c.pending[sequence]
+		return now != nil && now.sentTo == handledHere
 	}
 	done := func(status int, body []byte) { c.complete(sequence, status, body) }
 	c.env.propose(changeProposal{call.kind, call.body, wanted, done})
--- a/internal/gateway/node/log_test.go
+++ b/internal/gateway/node/log_test.go
@@ -85,12 +85,12 @@
 				if !ok {
 					return true
 				}
-				if kind, ok := literal.Type.(*ast.SelectorExpr); !ok || kind.Sel.Name != "LogEntry" {
+				if kind, named := literal.Type.(*ast.SelectorExpr); !named || kind.Sel.Name != "LogEntry" {
 					return true
 				}
 				entries++
-				message, ok := literal.Elts[0].(*ast.KeyValueExpr).Value.(*ast.BasicLit)
-				must.True(t, ok && message.Kind == token.STRING, must.Sprint(files.Position(literal.Pos()), ": the message is no constant"))
+				message, constant := literal.Elts[0].(*ast.KeyValueExpr).Value.(*ast.BasicLit)
+				must.True(t, constant && message.Kind == token.STRING, must.Sprint(files.Position(literal.Pos()), ": the message is no constant"))
 				return true
 			})
 		}
