--- a/cmd/gateway/caller.go
+++ b/cmd/gateway/caller.go
@@ -16,24 +16,31 @@
 )
 
 const (
-	responseTimeout  = time.Second            // a node that says nothing for so long is left for the next
-	timeoutPerMiB    = time.Second            // on top, for each MiB that is sent
-	initialBackoff   = 100 * time.Millisecond // between two tries, doubled each time
-	maxBackoff       = 2 * time.Second
-	maxResponseBytes = 64 << 20 // bytes
-	maxRedirects     = 2        // redirects in one try
+	// responseTimeout is how long a node may send nothing, before the next one is tried.
+	responseTimeout = time.Second
+	// timeoutPerMiB is added to responseTimeout for each MiB that is sent.
+	timeoutPerMiB = time.Second
+	// initialBackoff is the pause after the first attempt; each further one is twice as long, up to maxBackoff.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	// maxResponseBytes bounds the body of a response.
+	maxResponseBytes = 64 << 20
+	// maxRedirects bounds the redirects that an attempt follows.
+	maxRedirects = 2
+	// maxDetailBytes bounds what is shown of a body that is not a gateway's.
+	maxDetailBytes = 200
 )
 
-// caller holds what all commands share that speak to nodes.
+// caller holds the arguments of all commands that call nodes, and calls them.
 type caller struct {
-	Control  string `arg:"--control,env:CLOVERGAP_CONTROL" placeholder:"ADDR[,ADDR...]" help:"nodes, tried in order"`
-	Attempts int    `arg:"--tries" placeholder:"N" default:"10" help:"how often a call goes out at most"`
+	Control  string `arg:"--control,env:CLOVERGAP_CONTROL" placeholder:"ADDR[,ADDR...]" help:"control addresses of nodes, tried in order"`
+	Attempts int    `arg:"--tries" placeholder:"N" default:"10" help:"attempts of a call, at most"`
 	JSON     bool   `arg:"--json" help:"print JSON"`
 
 	sleep func(time.Duration) // for tests; nil: time.Sleep
 }
 
-// nodes are the addresses to be tried.
+// nodes are the control addresses to be tried, in order. Its errors are usageErrors.
 func (c *caller) nodes() (all []string, err error) {
 	for _, a := range strings.Split(c.Control, ",") {
 		if a = strings.TrimSpace(a); a == "" {
@@ -53,7 +60,7 @@
 	return all, nil
 }
 
-// response is what a node said.
+// response is what a node answered, and how it was reached.
 type response struct {
 	status   int
 	body     []byte
@@ -61,13 +68,13 @@
 	attempts int
 }
 
-// malformedError is the failure of an answer that can't be read.
+// malformedError is the error of a response that can't be decoded.
 func (r *response) malformedError(err error) *callError {
 	return &callError{kind: malformed, status: r.status, node: r.node, attempts: r.attempts, detail: err.Error()}
 }
 
-// call brings a call to the nodes until one settles it. The bytes are the same at each try: a change that was
-// taken at a try without an answer is known again by them. Its error is misuse, or a *failure.
+// call sends a call to the nodes in turn until one answers it for good. The bytes are the same in each attempt: a change
+// that an unanswered attempt brought about is recognized by them. Its error is a usageError or a *callError.
 func (c *caller) call(path string, body []byte) (response, error) {
 	nodes, err := c.nodes()
 	if err != nil {
@@ -76,41 +83,42 @@
 	return c.callNodes(nodes, c.Attempts, path, body)
 }
 
-func (c *caller) callNodes(nodes []string, tries int, path string, body []byte) (response, error) {
+// callNodes is call with other nodes and another bound of attempts.
+func (c *caller) callNodes(nodes []string, maxAttempts int, path string, body []byte) (response, error) {
 	sleep := c.sleep
 	if sleep == nil {
 		sleep = time.Sleep
 	}
-	pause, refused, doubt := initialBackoff, 0, false
+	backoff, rejections, uncertain := initialBackoff, 0, false
 	for n := 1; ; n++ {
 		node := nodes[(n-1)%len(nodes)]
-		a, err := attempt(node, path, body)
-		if err == nil && a.status/100 == 2 {
-			a.node, a.attempts = node, n
-			return a, nil
+		r, err := attempt(node, path, body)
+		if err == nil && r.status/100 == 2 {
+			r.node, r.attempts = node, n
+			return r, nil
 		}
 		last := callError{kind: noResponse, node: node, attempts: n}
-		most := 0
+		limit := 0
 		if err != nil {
 			last.detail = err.Error()
 		} else {
-			last.status, last.kind, most = a.status, failureKindOf(a.status), maxRejections(a.status)
-			last.path, last.detail = errorDetail(a.body)
+			last.status, last.kind, limit = r.status, failureKindOf(r.status), maxRejections(r.status)
+			last.path, last.detail = errorDetail(r.body)
 		}
-		doubt = body != nil && last.kind.leavesAmbiguous(doubt)
-		last.ambiguous = doubt
-		if most > 0 {
-			refused++
+		uncertain = body != nil && last.kind.mayBeApplied(uncertain)
+		last.ambiguous = uncertain
+		if limit > 0 {
+			rejections++
 		}
-		if n >= tries || most > 0 && refused >= most {
+		if n >= maxAttempts || limit > 0 && rejections >= limit {
 			return response{}, &last
 		}
-		sleep(pause)
-		pause = min(2*pause, maxBackoff)
+		sleep(backoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// client opens a connection for each try, to the very address: what is kept open may be dead.
+// client opens a connection for each attempt: one that was kept open may be dead.
 var client = &http.Client{
 	Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 	CheckRedirect: func(r *http.Request, via []*http.Request) error {
@@ -121,49 +129,55 @@
 	},
 }
 
-// attempt is one try: GET without a body, else POST.
-func attempt(node, path string, body []byte) (a response, err error) {
+// attempt sends a call once: GET without a body, else POST.
+func attempt(node, path string, body []byte) (r response, err error) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	patience := responseTimeout + time.Duration(len(body)>>20)*timeoutPerMiB
-	quiet := time.AfterFunc(patience, func() { cancel(errors.Errorf("silent for %v", patience)) })
-	defer quiet.Stop()
-	method, send := http.MethodGet, io.Reader(nil)
-	if body != nil {
-		method, send = http.MethodPost, bytes.NewReader(body)
-	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, send)
-	if err != nil {
-		return a, err
-	}
-	if body != nil {
-		r.Header.Set("Content-Type", "application/json")
-	}
-	defer func() {
+	timeout := responseTimeout + time.Duration(len(body)>>20)*timeoutPerMiB
+	timer := time.AfterFunc(timeout, func() { cancel(errors.Errorf("no response for %v", timeout)) })
+	defer timer.Stop()
+	defer func() { // the cause says more than "context canceled"
 		if cause := context.Cause(ctx); err != nil && cause != nil {
 			err = cause
 		}
 	}()
-	res, err := client.Do(r)
+	request, err := newRequest(ctx, "http://"+node+path, body)
 	if err != nil {
-		return a, err
+		return r, err
+	}
+	answer, err := client.Do(request)
+	if err != nil {
+		return r, err
+	}
+	defer answer.Body.Close()
+	r.status = answer.StatusCode
+	r.body, err = io.ReadAll(io.LimitReader(&activityReader{answer.Body, timer, timeout}, maxResponseBytes+1))
+	if err == nil && len(r.body) > maxResponseBytes {
+		err = errors.Errorf("a response of over %d bytes", maxResponseBytes)
+	}
+	return r, err
+}
+
+func newRequest(ctx context.Context, address string, body []byte) (*http.Request, error) {
+	if body == nil {
+		return http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	}
-	defer res.Body.Close()
-	a.status = res.StatusCode
-	a.body, err = io.ReadAll(io.LimitReader(&activityReader{res.Body, quiet, patience}, maxResponseBytes+1))
-	if err == nil && len(a.body) > maxResponseBytes {
-		err = errors.Errorf("an answer of over %d bytes", maxResponseBytes)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, address, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
 	}
-	return a, err
+	request.Header.Set("Content-Type", "application/json")
+	return request, nil
 }
 
-// activityReader reads an answer, and winds the timer up again with all that comes.
+// activityReader reads a response, and restarts a timer while it comes.
 type activityReader struct {
 	body    io.Reader
 	timer   *time.Timer
 	timeout time.Duration
 }
 
+// Read reads on, and restarts the timer with each byte that comes.
 func (a *activityReader) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if n > 0 {
@@ -172,12 +186,23 @@
 	return n, err
 }
 
-// errorDetail reads what a refusal says, or what some other program may have said.
-func errorDetail(body []byte) (place, detail string) {
-	var r controlapi.Refusal
-	if json.Unmarshal(body, &r) == nil && r.Error != "" {
-		return r.Place, r.Detail
+// errorDetail reads the path and the reason of an error response, or the beginning of another program's.
+func errorDetail(body []byte) (path, detail string) {
+	var refusal controlapi.Refusal
+	if json.Unmarshal(body, &refusal) == nil && refusal.Error != "" {
+		return refusal.Place, refusal.Detail
+	}
+	return "", strings.TrimSpace(strings.ToValidUTF8(string(body[:min(len(body), maxDetailBytes)]), "?"))
+}
+
+// readAs decodes a response; raw is its body as it came.
+func readAs[T any](a response, err error) (t *T, raw []byte, _ error) {
+	if err != nil {
+		return nil, nil, err
+	}
+	t = new(T)
+	if err := json.Unmarshal(a.body, t); err != nil {
+		return nil, nil, a.malformedError(err)
 	}
-	const most = 200
-	return "", strings.TrimSpace(strings.ToValidUTF8(string(body[:min(len(body), most)]), "?"))
+	return t, a.body, nil
 }
--- a/cmd/gateway/callerror.go
+++ b/cmd/gateway/callerror.go
@@ -7,38 +7,38 @@
 	"github.com/go-faster/errors"
 )
 
-// failureKind is why a call to a node was not done: a closed list.
+// failureKind is why a call to a node failed: a closed list.
 type failureKind uint8
 
 const (
 	succeeded  failureKind = iota
 	invalid                // the call itself is wrong
 	conflict               // another version is current
-	tooLarge               // more than a node takes
+	tooLarge               // more than a node accepts
 	notFound               // the node does not know this call
-	overloaded             // this try was not taken, and it may be asked again
-	ambiguous              // the node could not tell
-	malformed              // an answer that no node gives
-	noResponse             // no answer came
+	overloaded             // this attempt was rejected, and the call may be retried
+	ambiguous              // the node does not know whether it was done
+	malformed              // a response that no node gives
+	noResponse             // no response came
 )
 
-// failureTexts words each kind, for people.
+// failureTexts give the name and a sentence for each kind.
 var failureTexts = [...]struct{ name, sentence string }{
-	succeeded:  {"taken", "Done."},
-	invalid:    {"invalid", "The node refuses it as invalid; nothing was changed."},
-	conflict:   {"conflict", "Another version is current; nothing was changed. Read it, change that, send again."},
-	tooLarge:   {"too_large", "It is larger than a node takes; nothing was changed."},
-	notFound:   {"unknown", "It is not there, or the node does not know this call."},
-	overloaded: {"busy", "The nodes are busy. Try again later."},
-	ambiguous:  {"unclear", "No node could settle it now."},
-	malformed:  {"astray", "No node answers like this: is it the control address of a gateway?"},
-	noResponse: {"silent", "No node answers."},
+	succeeded:  {"ok", "Done."},
+	invalid:    {"invalid", "The node rejects it as invalid; nothing was changed."},
+	conflict:   {"conflict", "Another version is current; nothing was changed. Read it, edit that, submit it again."},
+	tooLarge:   {"too_large", "It is larger than a node accepts; nothing was changed."},
+	notFound:   {"not_found", "There is no such thing, or the node does not know this call."},
+	overloaded: {"overloaded", "The nodes are overloaded. Retry later."},
+	ambiguous:  {"ambiguous", "No node could confirm it now."},
+	malformed:  {"unexpected_response", "No node responds like this: is it the control address of a gateway?"},
+	noResponse: {"no_response", "No node responds."},
 }
 
-// mayHaveBeenApplied is added for a change that got no clear answer.
-const mayHaveBeenApplied = "It may have been taken, or may still be: the same command again tells, and does no harm."
+// mayHaveBeenApplied is added to a change whose outcome is not known.
+const mayHaveBeenApplied = "It may have been applied, or may still be: repeat the same command, which is idempotent, to find out."
 
-// byStatus is the table from HTTP status to kind; what it does not name, failureKindOf settles by its first digit.
+// byStatus is the table from HTTP status to kind; failureKindOf decides on others by their first digit.
 var byStatus = map[int]failureKind{
 	400: invalid, 422: invalid,
 	409: conflict, 412: conflict,
@@ -62,7 +62,7 @@
 	return malformed
 }
 
-// maxRejections is after how many answers of a status the call is given up; 0: it goes on while there are tries.
+// maxRejections is after how many responses with statuses like this the call fails; 0: only after all attempts.
 func maxRejections(status int) int {
 	switch {
 	case status == 408 || status == 429:
@@ -70,22 +70,23 @@
 	case status == 400 || status == 409 || status == 412 || status == 413 || status == 422:
 		return 1
 	case status/100 == 4:
-		return 3
+		return 3 // another node may know the call
 	}
 	return 0
 }
 
-// callError is a call that was not done.
+// callError is a call that failed.
 type callError struct {
 	kind      failureKind
-	status    int    // 0: no answer
-	node      string // whom it was said by
-	path      string // where in the body
+	status    int    // 0: no response
+	node      string // that answered, or was tried
+	path      string // of the field that is wrong
 	detail    string
 	attempts  int
-	ambiguous bool // a change that may yet be in force
+	ambiguous bool // a change that may have been applied
 }
 
+// Error says what became of the call, and after it, in brackets, the details.
 func (c *callError) Error() string {
 	var b strings.Builder
 	b.WriteString(failureTexts[c.kind].sentence)
@@ -96,7 +97,7 @@
 	if c.status != 0 {
 		fmt.Fprintf(&b, ", status %d", c.status)
 	}
-	fmt.Fprintf(&b, ", %s, tries %d", c.node, c.attempts)
+	fmt.Fprintf(&b, ", %s, attempts %d", c.node, c.attempts)
 	if c.path != "" {
 		fmt.Fprintf(&b, ", at %s", printable(c.path))
 	}
@@ -106,9 +107,9 @@
 	return b.String() + ")"
 }
 
-// leavesAmbiguous tells whether a change may be in force after an answer of this kind, given whether that was so before.
-// What is refused for good was not taken at an earlier try either: the same bytes would be answered as taken.
-func (f failureKind) leavesAmbiguous(before bool) bool {
+// mayBeApplied tells whether a change may be in force after an answer of this kind, given whether that was so before.
+// What is rejected for good was not accepted by an earlier attempt either: the same bytes would be answered as accepted.
+func (f failureKind) mayBeApplied(before bool) bool {
 	switch f {
 	case ambiguous, malformed, noResponse:
 		return true
@@ -118,7 +119,7 @@
 	return before
 }
 
-// usageError is an error of whoever called the program.
+// usageError is an error in the command line.
 type usageError struct{ error }
 
 func usageErrorf(format string, args ...any) error { return usageError{errors.Errorf(format, args...)} }
--- a/cmd/gateway/change.go
+++ b/cmd/gateway/change.go
@@ -31,7 +31,7 @@
 func (a *amendCmd) run(out io.Writer) error { return a.change(out, "/api/Config.Amend") }
 
 func (*applyCmd) examples() string {
-	return `  gateway apply config.json                   put it in force, on top of the parent_version that it names
+	return `  gateway apply config.json                   put it in force, on top of its parent_version
   gateway apply --parent 7 config.json        the same, on top of version 7
   gateway read --json | jq '.parent_version=.generation|.generation+=1' | gateway apply -`
 }
@@ -41,7 +41,7 @@
   echo '{"generation":8,"removals":{"routes":["r-old"]}}' | gateway amend --parent 7 -`
 }
 
-// change sends a change until it is settled.
+// change submits a change until its outcome is known.
 func (c *changeArgs) change(out io.Writer, path string) error {
 	if _, err := c.nodes(); err != nil {
 		return err
@@ -59,15 +59,15 @@
 	if err != nil {
 		return err
 	}
-	var said struct {
+	var accepted struct {
 		Generation uint64 `json:"generation"`
 	}
-	_ = json.Unmarshal(body, &said) // it was taken: the node could read it
+	_ = json.Unmarshal(body, &accepted) // it was accepted: the node could read it
 	if c.JSON {
-		told := map[string]any{"generation": said.Generation, "node": a.node, "tries": a.attempts}
-		return json.NewEncoder(out).Encode(told)
+		summary := map[string]any{"generation": accepted.Generation, "node": a.node, "tries": a.attempts}
+		return json.NewEncoder(out).Encode(summary)
 	}
-	_, err = fmt.Fprintf(out, "version %d is taken (%s, tries %d)\n", said.Generation, a.node, a.attempts)
+	_, err = fmt.Fprintf(out, "version %d accepted (%s, attempts %d)\n", accepted.Generation, a.node, a.attempts)
 	return err
 }
 
--- a/cmd/gateway/check.go
+++ b/cmd/gateway/check.go
@@ -13,7 +13,7 @@
 
 type checkCmd struct {
 	Settings string `arg:"--settings" help:"a settings file, YAML"`
-	Config   string `arg:"--config" help:"a whole configuration, JSON"`
+	Config   string `arg:"--config" help:"a complete configuration, JSON"`
 }
 
 func (*checkCmd) examples() string {
@@ -31,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%s: fine, node %s in %s\n", c.Settings, s.NodeName, s.Zone)
+		fmt.Fprintf(out, "%s: valid, node %s in %s\n", c.Settings, s.NodeName, s.Zone)
 	}
 	if c.Config != "" {
 		text, err := os.ReadFile(c.Config)
@@ -43,7 +43,7 @@
 			return errors.Wrap(err, c.Config)
 		}
 		t := routing.NewTable(b)
-		fmt.Fprintf(out, "%s: fine, version %d, %d routes, %d tenants\n", c.Config, t.Version(), len(t.Routes()),
+		fmt.Fprintf(out, "%s: valid, version %d, %d routes, %d tenants\n", c.Config, t.Version(), len(t.Routes()),
 			len(t.Tenants()))
 	}
 	return nil
--- a/cmd/gateway/coordination.go
+++ b/cmd/gateway/coordination.go
@@ -17,8 +17,8 @@
 
 // locksCmd is `gateway locks`.
 type locksCmd struct {
-	List  *locksListCmd  `arg:"subcommand:list" help:"list the locks that are held"`
-	Owner *locksOwnerCmd `arg:"subcommand:holder" help:"tell who holds a lock"`
+	List  *locksListCmd  `arg:"subcommand:list" help:"list the locks that have an owner"`
+	Owner *locksOwnerCmd `arg:"subcommand:holder" help:"show the owner of a lock"`
 }
 
 func (*locksCmd) run(io.Writer) error { return usageErrorf("give list or holder") }
@@ -62,7 +62,7 @@
 		}
 		return printJSON(out, text)
 	}
-	t := newTable(out, "LOCK", "HOLDER", "FENCE", "LEFT")
+	t := newTable(out, "LOCK", "OWNER", "FENCING TOKEN", "TIME LEFT")
 	for _, l := range all {
 		t.row(l.Name, l.Holder, l.Fence, time.Duration(l.LeftMs)*time.Millisecond)
 	}
@@ -117,9 +117,9 @@
 
 type keysPutCmd struct {
 	caller
-	Revision *uint64 `arg:"--revision" placeholder:"N" help:"the revision that the key must have; 0: it was never put; left out: any"`
+	Revision *uint64 `arg:"--revision" placeholder:"N" help:"the revision that the key must have; 0: never put; omitted: any"`
 	Key      string  `arg:"positional,required" placeholder:"KEY"`
-	Value    string  `arg:"positional,required" placeholder:"VALUE" help:"one that the key never had: the same again is the same put again"`
+	Value    string  `arg:"positional,required" placeholder:"VALUE" help:"one that the key never had: a repeated put of the same value is idempotent"`
 }
 
 func (k *keysPutCmd) run(out io.Writer) error {
@@ -181,9 +181,9 @@
 
 // groupsCmd is `gateway groups`.
 type groupsCmd struct {
-	List     *groupsListCmd     `arg:"subcommand:list" help:"list the groups, as the asked node knows them"`
-	Leader   *groupsLeaderCmd   `arg:"subcommand:leader" help:"tell who leads the group of a name"`
-	Transfer *groupsTransferCmd `arg:"subcommand:move" help:"have another member lead a group"`
+	List     *groupsListCmd     `arg:"subcommand:list" help:"list the groups, as known to the node that answers"`
+	Leader   *groupsLeaderCmd   `arg:"subcommand:leader" help:"show the leader of a name's group"`
+	Transfer *groupsTransferCmd `arg:"subcommand:move" help:"transfer the leadership of a group to another member"`
 }
 
 func (*groupsCmd) run(io.Writer) error { return usageErrorf("give list, leader or move") }
@@ -204,7 +204,7 @@
 	if g.JSON {
 		return printJSON(out, raw)
 	}
-	t := newTable(out, "GROUP", "LEADER", "TERM", "SYNCED", "MEMBERS", "LOCKS", "NUMBERS", "KEYS", "BYTES")
+	t := newTable(out, "GROUP", "LEADER", "TERM", "SYNCED", "MEMBERS", "LOCKS", "COUNTERS", "KEYS", "BYTES")
 	for _, groupStatus := range list.Groups {
 		t.row(groupStatus.Group, groupStatus.Leader, groupStatus.View, groupStatus.Synced, len(groupStatus.Members), groupStatus.Locks, groupStatus.Numbers, groupStatus.Keys, groupStatus.KeyBytes+groupStatus.HistoryBytes)
 	}
@@ -238,7 +238,7 @@
 			return t.Flush()
 		}
 	}
-	return errors.Errorf("%s knows nothing of group %d", list.Node, id)
+	return errors.Errorf("%s has no status of group %d", list.Node, id)
 }
 
 type groupsTransferCmd struct {
@@ -259,7 +259,7 @@
 	}
 	leader := list.Groups[at]
 	if leader.Control == "" {
-		return errors.Errorf("%s does not know who leads group %d", list.Node, g.Group)
+		return errors.Errorf("%s knows no leader of group %d", list.Node, g.Group)
 	}
 	body, err := json.Marshal(controlapi.GroupMove{To: g.Target})
 	if err != nil {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -25,26 +25,27 @@
 
 type args struct {
 	Serve    *serveCmd    `arg:"subcommand:serve" help:"run a node with the settings file that CLOVERGAP_BOOT names"`
-	Check    *checkCmd    `arg:"subcommand:check" help:"tell what is wrong with a settings file or a configuration"`
-	Apply    *applyCmd    `arg:"subcommand:apply" help:"put a whole configuration in force"`
-	Amend    *amendCmd    `arg:"subcommand:amend" help:"change named items of the configuration"`
+	Check    *checkCmd    `arg:"subcommand:check" help:"check a settings file or a configuration, offline"`
+	Apply    *applyCmd    `arg:"subcommand:apply" help:"put a complete configuration in force"`
+	Amend    *amendCmd    `arg:"subcommand:amend" help:"upsert and remove named items of the configuration"`
 	Read     *readCmd     `arg:"subcommand:read" help:"read the newest configuration"`
 	Routes   *routesCmd   `arg:"subcommand:routes" help:"list its routes"`
-	Tenants  *tenantsCmd  `arg:"subcommand:tenants" help:"list its tenants, keys hidden"`
-	Status   *statusCmd   `arg:"subcommand:status" help:"tell how things stand at a node"`
+	Tenants  *tenantsCmd  `arg:"subcommand:tenants" help:"list its tenants, keys redacted"`
+	Status   *statusCmd   `arg:"subcommand:status" help:"show the status of a node"`
 	Nodes    *nodesCmd    `arg:"subcommand:nodes" help:"list the nodes"`
 	Backends *backendsCmd `arg:"subcommand:backends" help:"list the backends"`
 	Core     *coreCmd     `arg:"subcommand:core" help:"show the replicated log: members, term, leader, how far it is synced"`
 	Rollout  *rolloutCmd  `arg:"subcommand:rollout" help:"shift a share of users onto a new version of a service"`
-	Locks    *locksCmd    `arg:"subcommand:locks" help:"list the locks of applications, or tell who holds one"`
+	Locks    *locksCmd    `arg:"subcommand:locks" help:"list the locks of applications, or show the owner of one"`
 	Keys     *keysCmd     `arg:"subcommand:keys" help:"read, put and watch the small keys of applications"`
-	Groups   *groupsCmd   `arg:"subcommand:groups" help:"list the groups that order applications' calls, or move one's lead"`
-	About    *versionCmd  `arg:"subcommand:version" help:"tell which build this is"`
+	Groups   *groupsCmd   `arg:"subcommand:groups" help:"list the coordination groups, or transfer the leadership of one"`
+	About    *versionCmd  `arg:"subcommand:version" help:"print version and build"`
 }
 
+// Description is the head of the help.
 func (args) Description() string {
 	return "gateway is an API gateway: many nodes, one configuration.\n" +
-		"Exit codes: 0 good, 1 failed, 2 called wrongly."
+		"Exit codes: 0 success, 1 failure, 2 usage error."
 }
 
 const examples = `  CLOVERGAP_BOOT=/etc/clovergap/settings.yaml gateway serve
@@ -53,6 +54,7 @@
   gateway apply --parent 7 config.json
   gateway COMMAND --help`
 
+// Version is what --version prints.
 func (args) Version() string { return buildInfo() }
 
 func buildInfo() string {
--- a/cmd/gateway/rollout.go
+++ b/cmd/gateway/rollout.go
@@ -17,17 +17,17 @@
 )
 
 type rolloutCmd struct {
-	Start    *rolloutStartCmd    `arg:"subcommand:start" help:"start to shift users onto a new version, by an order"`
+	Start    *rolloutStartCmd    `arg:"subcommand:start" help:"start a roll-out: shift users onto a new version, step by step"`
 	Advance  *rolloutAdvanceCmd  `arg:"subcommand:step" help:"go on to the next step"`
-	Pause    *rolloutPauseCmd    `arg:"subcommand:hold" help:"keep the present step until the next command"`
-	Rollback *rolloutRollbackCmd `arg:"subcommand:pull-back" help:"bring all users back to the old version"`
+	Pause    *rolloutPauseCmd    `arg:"subcommand:hold" help:"pause at the present step until the next command"`
+	Rollback *rolloutRollbackCmd `arg:"subcommand:pull-back" help:"roll back: all users to the old version"`
 	Finish   *rolloutFinishCmd   `arg:"subcommand:finish" help:"shift all users onto the new version, after the last step"`
-	Status   *rolloutStatusCmd   `arg:"subcommand:status" help:"tell how roll-outs stand"`
-	History  *rolloutHistoryCmd  `arg:"subcommand:history" help:"tell what became of a service's roll-outs"`
+	Status   *rolloutStatusCmd   `arg:"subcommand:status" help:"show the status of roll-outs"`
+	History  *rolloutHistoryCmd  `arg:"subcommand:history" help:"show the history of a service's roll-outs"`
 }
 
 func (*rolloutCmd) examples() string {
-	return `  gateway rollout start --order order.json --dry-run   the users and the room of each step; changes nothing
+	return `  gateway rollout start --order order.json --dry-run   the users and the capacity of each step; changes nothing
   gateway rollout start --order order.json
   gateway rollout status
   gateway rollout step libro
@@ -41,10 +41,10 @@
 
 // commandMeta is what every order of an operator bears.
 type commandMeta struct {
-	Author    string  `arg:"--by,env:USER" placeholder:"NAME" help:"who orders it, for the history"`
+	Author    string  `arg:"--by,env:USER" placeholder:"NAME" help:"author, for the history"`
 	Reason    string  `arg:"--why" placeholder:"TEXT" help:"for the history"`
-	CommandID string  `arg:"--mark" placeholder:"TEXT" help:"names the order: the same again is answered as the first was"`
-	Rev       *uint64 `arg:"--rev" placeholder:"N" help:"build on this rev instead of the current one"`
+	CommandID string  `arg:"--mark" placeholder:"TEXT" help:"ID of the command: a repeated one gets the answer of the first"`
+	Rev       *uint64 `arg:"--rev" placeholder:"N" help:"build on this revision instead of the current one"`
 	caller
 }
 
@@ -97,7 +97,7 @@
 		return printJSON(out, raw)
 	}
 	if r.Users == nil {
-		_, err = fmt.Fprintf(out, "%s %d: %s, step %d of %d, %s of the users, rev %d (%s, tries %d)\n", printable(r.Service), r.Number,
+		_, err = fmt.Fprintf(out, "%s %d: %s, step %d of %d, %s of the users, rev %d (%s, attempts %d)\n", printable(r.Service), r.Number,
 			printable(r.Phase), r.Step, r.Steps, percent(r.Share), r.Rev, a.node, a.attempts)
 		return err
 	}
@@ -112,7 +112,7 @@
 	if r.Room.Busy > 0 {
 		busy = strconv.Itoa(r.Room.Busy)
 	}
-	_, err = fmt.Fprintf(out, "it would be %d; room: old %d, new %d, used at the busiest: %s\n", r.Number, r.Room.Old, r.Room.New, busy)
+	_, err = fmt.Fprintf(out, "it would be number %d; capacity: old %d, new %d, peak in flight: %s\n", r.Number, r.Room.Old, r.Room.New, busy)
 	return err
 }
 
@@ -120,9 +120,9 @@
 
 type rolloutStartCmd struct {
 	Order        string `arg:"--order,required" placeholder:"FILE" help:"the order, JSON; - is standard input"`
-	PeakInFlight int    `arg:"--busy" placeholder:"N" help:"requests at a time at the busiest, over all nodes"`
-	NewCapacity  int    `arg:"--new-room" placeholder:"N" help:"requests at a time that the new version will take, where it is not there yet"`
-	DryRun       bool   `arg:"--dry-run" help:"change nothing, tell the users and the room of each step"`
+	PeakInFlight int    `arg:"--busy" placeholder:"N" help:"peak of requests in flight, over all nodes"`
+	NewCapacity  int    `arg:"--new-room" placeholder:"N" help:"capacity of the new version, in concurrent requests, before its backends are registered"`
+	DryRun       bool   `arg:"--dry-run" help:"change nothing, show the users and the capacity of each step"`
 	commandMeta
 }
 
@@ -153,12 +153,12 @@
 	if r.Rev != nil {
 		o.Rev = *r.Rev
 	} else if o.Rev == 0 {
-		rolloutRun, err := r.newestRollout(o.Service)
+		run, err := r.newestRollout(o.Service)
 		if err != nil {
 			return err
 		}
-		if rolloutRun != nil {
-			o.Rev = rolloutRun.Rev
+		if run != nil {
+			o.Rev = run.Rev
 		}
 	}
 	o.Mark, o.By, o.Why = cmp.Or(o.Mark, r.CommandID), cmp.Or(r.Author, o.By), cmp.Or(r.Reason, o.Why)
@@ -169,7 +169,7 @@
 // commandArgs are alike for the orders to a roll-out that runs.
 type commandArgs struct {
 	Service string  `arg:"positional,required" help:"the service's name"`
-	Number  *uint64 `arg:"--number" placeholder:"N" help:"this roll-out and no other; left out: the newest"`
+	Number  *uint64 `arg:"--number" placeholder:"N" help:"this roll-out and no other; omitted: the newest"`
 	commandMeta
 }
 
@@ -203,7 +203,7 @@
 
 type rolloutAdvanceCmd struct {
 	commandArgs
-	Step int `arg:"--step" placeholder:"N" help:"the step to go to, from 1; left out: the next"`
+	Step int `arg:"--step" placeholder:"N" help:"the step to advance to, from 1; omitted: the next"`
 }
 
 type rolloutPauseCmd struct{ commandArgs }
@@ -236,19 +236,19 @@
 		return printJSON(out, raw)
 	}
 	w := newTable(out, "SERVICE", "NUMBER", "OLD", "NEW", "PHASE", "STEP", "SHARE", "SHARE HERE", "PAUSED", "DOUBT", "NEW FAILED", "OLD FAILED")
-	for _, rolloutRun := range s.Rollouts {
+	for _, run := range s.Rollouts {
 		now, was := "", ""
-		if rolloutRun.Counts != nil {
-			now, was = failedOf(&rolloutRun.Counts.New), failedOf(&rolloutRun.Counts.Old)
+		if run.Counts != nil {
+			now, was = failedOf(&run.Counts.New), failedOf(&run.Counts.Old)
 		}
-		w.row(rolloutRun.Service, rolloutRun.Number, rolloutRun.Old, rolloutRun.New, rolloutRun.Phase, fmt.Sprintf("%d of %d", rolloutRun.Step, rolloutRun.Steps), percent(rolloutRun.Share), percent(rolloutRun.Here),
-			yesNo(rolloutRun.Held), strconv.FormatFloat(rolloutRun.Doubt, 'g', 2, 64), now, was)
+		w.row(run.Service, run.Number, run.Old, run.New, run.Phase, fmt.Sprintf("%d of %d", run.Step, run.Steps), percent(run.Share), percent(run.Here),
+			yesNo(run.Held), strconv.FormatFloat(run.Doubt, 'g', 2, 64), now, was)
 	}
 	if err = w.Flush(); err != nil {
 		return err
 	}
 	if !s.Leads {
-		_, err = fmt.Fprintf(out, "nobody who leads could be asked: this is what %s knows\n", printable(s.Node))
+		_, err = fmt.Fprintf(out, "the leader could not be asked: this is what %s knows\n", printable(s.Node))
 	}
 	return err
 }
@@ -272,10 +272,10 @@
 	if r.JSON {
 		return printJSON(out, raw)
 	}
-	w := newTable(out, "NUMBER", "AT", "ORDER", "STEP", "THEN", "BY", "NEW FAILED", "OLD FAILED", "WHY")
-	for _, rolloutPast := range past.Rollouts {
-		for _, l := range rolloutPast.Lines {
-			w.row(rolloutPast.Number, time.UnixMilli(l.At).UTC().Format(time.DateTime), l.Verb, l.Step, percent(l.Share), l.By,
+	w := newTable(out, "NUMBER", "TIME", "COMMAND", "STEP", "SHARE", "AUTHOR", "NEW FAILED", "OLD FAILED", "REASON")
+	for _, past := range past.Rollouts {
+		for _, l := range past.Lines {
+			w.row(past.Number, time.UnixMilli(l.At).UTC().Format(time.DateTime), l.Verb, l.Step, percent(l.Share), l.By,
 				failedOf(&l.Counts.New), failedOf(&l.Counts.Old), l.Why)
 		}
 	}
--- a/internal/gateway/controlapi/backends.go
+++ b/internal/gateway/controlapi/backends.go
@@ -56,10 +56,10 @@
 		return registry.Record{}, err
 	}
 	var heartbeat Heartbeat
-	if err := json.Unmarshal(request.body, &heartbeat); err != nil {
+	if err = json.Unmarshal(request.body, &heartbeat); err != nil {
 		return registry.Record{}, errors.Wrap(err, "beat")
 	}
-	if err := validate.Struct(heartbeat); err != nil {
+	if err = validate.Struct(heartbeat); err != nil {
 		return registry.Record{}, errors.Wrap(err, "beat")
 	}
 	slowStartLeft := time.Duration(0)
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -116,7 +116,7 @@
 	if c.parent != r.version {
 		return decision{result: Conflict, err: fieldError("parent_version", "is %d, but %d is current", c.parent, r.version)}
 	}
-	if err := c.checkGeneration(); err != nil {
+	if err = c.checkGeneration(); err != nil {
 		return decision{result: Invalid, err: err, final: true}
 	}
 	complete, config := slices.Clone(body), c.config
@@ -126,7 +126,7 @@
 		}
 		invariant.That(config.Generation == c.generation, "what results has the change's generation")
 	}
-	if err := validate(config); err != nil {
+	if err = validate(config); err != nil {
 		return decision{result: Invalid, err: err, final: k == Replace}
 	}
 	return decision{result: Accepted, body: complete, config: config}
