--- a/internal/proxy/answer/answer.go
+++ b/internal/proxy/answer/answer.go
@@ -1,4 +1,5 @@
-// Package answer words the one answer that a client gets.
+// Package answer formats the answers that the proxy gives itself, and those of backends at the front door. Each function appends a complete
+// answer to b; last: the connection is closed after it.
 package answer
 
 import (
@@ -7,7 +8,7 @@
 	"clovergap/internal/proxy/http1"
 )
 
-// Success passes a backend's body on, unchanged.
+// Success is a 200 with a backend's body and its Content-Type (kind; empty: none).
 func Success(b, body, kind []byte, last bool) []byte {
 	b = http1.AppendStatus(b, 200)
 	if len(kind) > 0 {
@@ -16,7 +17,7 @@
 	return append(end(b, len(body), last), body...)
 }
 
-// Reject says that coming again is harmless, best after some time (0: none is advised).
+// Reject is a 429: the request had no effect, and a retry is harmless, best after some time (0: no advice).
 func Reject(b []byte, after time.Duration, last bool) []byte {
 	b = http1.AppendStatus(b, 429)
 	if after > 0 {
@@ -25,11 +26,10 @@
 	return end(b, 0, last)
 }
 
-// Fail makes no such promise: it may have run.
+// Fail is a 502: the request may have had effect.
 func Fail(b []byte, last bool) []byte { return end(http1.AppendStatus(b, 502), 0, last) }
 
-// StatusOnly gives a status alone, with the id that the request came with, best again after some time (0: none
-// is advised).
+// StatusOnly is a status without a body, with the request's ID in header name; a retry is best after some time (0: no advice).
 func StatusOnly(b []byte, status int, name string, id []byte, after time.Duration, last bool) []byte {
 	b = http1.AppendStatus(b, status)
 	b = http1.AppendHeader(b, name, id)
@@ -42,7 +42,7 @@
 	return end(b, 0, last)
 }
 
-// WithBody gives a status and a body of a kind, best asked for again after some time (0: no advice).
+// WithBody is a status with a body of a Content-Type (kind); a retry is best after some time (0: no advice).
 func WithBody(b []byte, status int, kind string, body []byte, after time.Duration, last bool) []byte {
 	b = http1.AppendStatus(b, status)
 	if after > 0 {
@@ -54,7 +54,7 @@
 	return append(end(b, len(body), last), body...)
 }
 
-// BadRequest tells in one line what is wrong with a request.
+// BadRequest is a status with a line of text that says what is wrong with the request.
 func BadRequest(b []byte, status int, line string, last bool) []byte {
 	b = http1.AppendStatus(b, status)
 	if status == 405 {
@@ -64,11 +64,12 @@
 	return append(append(end(b, len(line)+1, last), line...), '\n')
 }
 
-// Up tells that the front door takes txns.
+// Up is the front door's answer to a health check.
 func Up(b []byte, last bool) []byte {
 	return append(end(http1.AppendStatus(b, 200), 3, last), "up\n"...)
 }
 
+// end appends the last headers and the empty line.
 func end(b []byte, length int, last bool) []byte {
 	b = http1.AppendNumber(b, "Content-Length", length)
 	if last {
--- a/internal/proxy/counters/counters.go
+++ b/internal/proxy/counters/counters.go
@@ -1,4 +1,5 @@
-// Package counters counts what a front door takes in, sends and answers.
+// Package counters counts what a front door or a node takes in, sends and answers. The names that it shows are those of earlier
+// releases, since dashboards and docs/on-call.md have them; the identifiers are the current terms.
 package counters
 
 import (
@@ -6,10 +7,11 @@
 	"strings"
 )
 
-// ID names one counter.
+// ID identifies a counter.
 type ID int
 
-// What is counted.
+// The counters. GaveUpTime and what follows it are in the order of control.Reason, EndAnswered and what follows it in the order of
+// control.Ending: the gate adds one of these to the first. docs/on-call.md explains each.
 const (
 	ClientsOpened ID = iota
 	ClientsClosed
@@ -22,7 +24,7 @@
 	Answered
 	Rejected
 	Failed
-	GaveUpTime // for want of time, and so on, in the order of the module's reasons
+	GaveUpTime // the first of control.Reason
 	GaveUpUnits
 	GaveUpSnapshot
 	GaveUpSlots
@@ -46,7 +48,7 @@
 	Reused
 	Dials
 	DialsFailed
-	EndAnswered
+	EndAnswered // the first of control.Ending
 	EndErrored
 	EndFull
 	EndTimedOut
@@ -68,7 +70,7 @@
 	DatagramsUnsent
 	AcceptErrors
 	Turns
-	FramesSent // of leases
+	FramesSent // the front door's lease frames
 	FramesTaken
 	FramesUnsent
 	Grants
@@ -78,9 +80,10 @@
 	NoSuchKey
 	UnknownYet
 	Truncated
-	count
+	count // number of counters
 )
 
+// names are shown; their order is the counters'.
 var names = [count]string{"clients opened", "clients closed", "clients evicted", "clients stuck",
 	"clients idle", "clients refused", "txns taken", "txns left",
 	"settled", "declined", "voided", "gave up: time", "gave up: units", "gave up: view", "gave up: slots",
@@ -96,13 +99,13 @@
 	"lease frames sent", "lease frames taken", "lease frames unsent", "leases granted", "leases over", "steps under leases", "stale steps refused",
 	"unknown keys", "not known yet", "answers cut short"}
 
-// Set is one front door's counters. One owner at a time counts.
+// Set is the counters of a process. It is used in turns alone.
 type Set [count]uint64
 
-// Add counts one.
+// Add increments a counter.
 func (s *Set) Add(id ID) { s[id]++ }
 
-// Text lists all that are not nought.
+// Text lists all counters that are not 0.
 func (s *Set) Text() string {
 	var b strings.Builder
 	for id, n := range s {
@@ -113,5 +116,5 @@
 	return strings.TrimSuffix(b.String(), ", ")
 }
 
-// Name is a counter's.
+// Name is the name that is shown for a counter.
 func Name(id ID) string { return names[id] }
--- a/internal/proxy/eventloop/dial.go
+++ b/internal/proxy/eventloop/dial.go
@@ -13,16 +13,15 @@
 	"clovergap/internal/proxy/counters"
 )
 
-// dialer opens connections for the poller. The poller's own asynchronous dial can't be used: it takes the
-// first four bytes of an address as Go keeps it, sixteen bytes, and so connects to 0.0.0.0.
+// dialer opens connections for the poller. nbio's own asynchronous dial can't be used: it takes the first four of the
+// sixteen bytes that Go has for an IPv4 address, and so connects to 0.0.0.0.
 var dialer = net.Dialer{KeepAlive: -1}
 
-// SetUserTimeout sets how long bytes that were sent on a dialed connection may stay without the other side's word
-// that they came, before the connection counts as broken: a machine without power, or behind a cut, says
-// nothing. 0: as the system has it.
+// SetUserTimeout sets how long bytes sent on a dialed connection may stay unacknowledged before the connection counts as
+// broken (TCP_USER_TIMEOUT): a machine without power, or behind a partition, acknowledges nothing. 0: the system's default.
 func (e *Engine) SetUserTimeout(most time.Duration) { e.userTimeout = most }
 
-// controlUserTimeout sets that on a socket before it connects.
+// controlUserTimeout sets TCP_USER_TIMEOUT on a socket before it connects.
 func controlUserTimeout(most time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var failed error
@@ -33,7 +32,7 @@
 	}
 }
 
-// Dial opens a connection and tells whether it came up; one that is closed meanwhile tells nothing.
+// Dial opens a connection, and calls dialed in a turn with whether it came up; not if it is closed before.
 func (e *Engine) Dial(addr string, limit time.Duration, dialed func(ok bool)) *Link {
 	l := e.newLink()
 	e.Count.Add(counters.Dials)
@@ -52,7 +51,7 @@
 	return l
 }
 
-// dialEnded hands a connection that came up to the poller.
+// dialEnded takes the result of a dial, in the dial's goroutine.
 func (e *Engine) dialEnded(l *Link, conn net.Conn, err error, dialed func(ok bool)) {
 	var c *nbio.Conn
 	if err == nil {
@@ -61,6 +60,7 @@
 	e.Turn(func() { e.dialed(l, c, err, dialed) })
 }
 
+// dialed gives a connection that came up to the poller.
 func (e *Engine) dialed(l *Link, c *nbio.Conn, err error, dialed func(ok bool)) {
 	if e.stopped {
 		l.closed = true
@@ -69,7 +69,7 @@
 		l.conn, l.seen = c, e.descriptors.releases.Load()
 		c.SetSession(l)
 		if _, err = e.poll.AddConn(c); err != nil {
-			l.lost() // the poller tells of its end by itself
+			l.lost() // the poller reports its end
 			return
 		}
 		dialed(true)
@@ -78,7 +78,7 @@
 	e.open--
 	if c != nil {
 		c.Close()
-		e.descriptors.release(c.Hash(), true) // no batch ever knew it
+		e.descriptors.release(c.Hash(), true) // no batch has events of it
 	}
 	if !l.closed {
 		l.closed = true
--- a/internal/proxy/eventloop/engine.go
+++ b/internal/proxy/eventloop/engine.go
@@ -1,5 +1,3 @@
-// Package eventloop puts the poller's connections behind rings and gives the front door its one owner at a time:
-// whatever happens (bytes, a dial, a due time, a signal) takes its turn under one lock.
 package eventloop
 
 import (
@@ -16,18 +14,21 @@
 	"clovergap/internal/timerqueue"
 )
 
-// Alarm is told when a due time of its own has come, if it is still of interest by then.
+// Alarm is called when a time given to Engine.At has come.
 type Alarm interface {
+	// Due is called at the time, in a turn, with the reference given to At. It may be stale by then.
 	Due(ref uint32)
+	// Live tells whether the time is still of interest. If not, no turn is made for it alone.
 	Live(ref uint32) bool
 }
 
+// alarm is an entry of the timer queue.
 type alarm struct {
 	target Alarm
 	ref    uint32
 }
 
-// Engine runs the poller, the clock and the turns.
+// Engine runs the poller, the clock and the turns. Unless stated otherwise its methods are called in a turn, or before Start.
 type Engine struct {
 	mu               sync.Mutex
 	poll             *nbio.Engine
@@ -35,37 +36,37 @@
 	started          time.Time
 	now              time.Duration
 	alarms           timerqueue.Queue[alarm]
-	timer            int           // its descriptor
-	armed            time.Duration // 0: not
-	turnEnded        func()        // end of each turn: decisions are pulled
+	timer            int           // descriptor of the one timer; 0: none
+	armed            time.Duration // when the timer expires; 0: not armed
+	turnEnded        func()        // called at the end of each turn
 	accept           func(*Link)
-	outOfDescriptors func() // descriptors ran out
+	outOfDescriptors func() // called when descriptors have run out
 	userTimeout      time.Duration
-	open             int // connections, dials among them
+	open             int // number of connections, dials included
 	maxConnections   int
 	maxRing          int
-	spare            int // bytes that all rings of what comes in may still grow by
+	spare            int // bytes by which all input rings may still grow
 	inTurn           bool
-	polled           bool  // the poller's own turn: it closes nothing beside it
-	eventLink        *Link // whose event that is
+	polled           bool  // the turn is the poller's, which closes no connection meanwhile
+	eventLink        *Link // the connection whose event is processed
 	descriptors      descriptorTable
 	stopped          bool
-	stallLength      time.Duration // how long this front door last stood still
+	stallLength      time.Duration // of the last stall of this process
 	stallEnd         time.Duration
 	Count            *counters.Set
 }
 
-// clockStart is what the clock shows at the start: a backend may have started before this front door did.
+// clockStart is the clock's time at the start. It is above 0, since times before the start occur: when a backend started.
 const clockStart = time.Hour
 
-// New makes an engine for at most so many descriptors, some of which are the program's own; a ring holds at
-// most bound bytes, and all that hold what comes in no more than spare beyond their least.
+// New makes an engine for at most so many descriptors, ownDescriptors of which are the program's own. A ring holds at
+// most bound bytes, and all input rings together at most spare bytes beyond their minimal sizes.
 func New(listen string, descriptors, bound, spare int) *Engine {
 	e := &Engine{started: time.Now(), now: clockStart, maxConnections: descriptors - ownDescriptors, maxRing: bound, spare: spare,
 		Count: &counters.Set{}, turnEnded: func() {}, accept: (*Link).CloseSoon, outOfDescriptors: func() {},
 		descriptors: descriptorTable{released: map[int]uint64{}}}
 	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, max(descriptors, 1024)+1024)
-	next := 0 // the poller asks for its listeners once, in their order
+	next := 0 // the poller asks for its listeners once each, in order
 	e.poll = nbio.NewEngine(nbio.Config{Name: "clovergap", Network: "tcp", NPoller: 1, EpollMod: nbio.EPOLLET,
 		ReadBufferSize: 4 << 10, MaxWriteBufferSize: 2 * max(bound, writeChunk),
 		Listen: func(string, string) (net.Listener, error) {
@@ -89,23 +90,23 @@
 			}
 		})
 		if stopped {
-			runtime.Goexit() // an acceptor that began after Stop has missed the poller's word, and would try for ever
+			runtime.Goexit() // an acceptor that began after Stop does not notice it, and would retry for ever
 		}
-		time.Sleep(10 * time.Millisecond) // the acceptor would spin
+		time.Sleep(10 * time.Millisecond) // else the acceptor spins
 	})
 	return e
 }
 
-// OnAccept says who takes new clients.
+// OnAccept sets what takes the connections of the address given to New.
 func (e *Engine) OnAccept(f func(*Link)) { e.accept = f }
 
-// OnTurnEnd says who pulls decisions at the end of a turn.
+// OnTurnEnd sets what is called at the end of each turn.
 func (e *Engine) OnTurnEnd(f func()) { e.turnEnded = f }
 
-// OnOutOfDescriptors says who gives descriptors back when they run out.
+// OnOutOfDescriptors sets what closes connections when descriptors have run out.
 func (e *Engine) OnOutOfDescriptors(f func()) { e.outOfDescriptors = f }
 
-// Start begins to listen. It returns once the poller is at work: told to stop before that, it would miss the word.
+// Start begins to listen. It returns once the poller runs: it would not notice a Stop before that.
 func (e *Engine) Start() (err error) {
 	if err = e.poll.Start(); err != nil {
 		return err
@@ -122,18 +123,22 @@
 	return err
 }
 
-// began is closed by the first due time.
+// began is closed by the first alarm.
 type began chan struct{}
 
+// Live implements Alarm.
 func (began) Live(uint32) bool { return true }
-func (b began) Due(uint32)     { close(b) }
 
-// Stop ends listening and all connections. The poller waits for those that it knows, so none may come up later.
+// Due implements Alarm.
+func (b began) Due(uint32) { close(b) }
+
+// Stop ends listening and all connections. It is called outside of turns. The poller waits for the connections that it knows, so
+// no dial may complete later.
 func (e *Engine) Stop() {
 	e.Turn(func() { e.stopped = true })
 	e.poll.Stop()
 	e.Turn(func() {
-		if e.timer > 0 { // the poller closes connections alone
+		if e.timer > 0 { // the poller closes connections only
 			syscall.Close(e.timer)
 		}
 		e.timer = 0
@@ -141,9 +146,10 @@
 	})
 }
 
-// Turn runs something as the one owner and pulls decisions after it.
+// Turn runs f under the lock, and what OnTurnEnd set after it. It is called outside of turns.
 func (e *Engine) Turn(f func()) { e.turn(false, f) }
 
+// turn is a Turn; polled: in the poller's goroutine.
 func (e *Engine) turn(polled bool, f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -157,8 +163,7 @@
 	e.inTurn, e.polled = false, false
 }
 
-// tick brings the clock up to now. A due time long past says that this front door stood still: it was paused, or
-// got no CPU.
+// tick advances the clock. An alarm that is long overdue shows a stall: this process was paused or got no CPU.
 func (e *Engine) tick() {
 	e.now = max(e.now, clockStart+time.Since(e.started))
 	if at, ok := e.alarms.Next(); ok && e.now-at > minStall {
@@ -166,10 +171,11 @@
 	}
 }
 
-// minStall is more than the system's usual lateness; what is read within it after a standstill may have waited.
+// minStall is how late an alarm must be to count as a stall: more than the system's usual lateness. What is read within the
+// same time after a stall may have waited.
 const minStall = 20 * time.Millisecond
 
-// InputDelay is how long bytes that are read now may have lain in the socket, at the most that can be known.
+// InputDelay is how long bytes that are read now may have waited in the socket because of a stall, at the most.
 func (e *Engine) InputDelay() time.Duration {
 	if e.stallLength > 0 && e.now-e.stallEnd <= minStall {
 		return e.stallLength
@@ -180,19 +186,19 @@
 // Now is the clock of this turn.
 func (e *Engine) Now() time.Duration { return e.now }
 
-// Refresh brings the clock of this turn up to now. What is read from a socket in a turn may have been sent after the turn began, if
-// the process stood still between.
+// Refresh advances the clock within a turn. What is read from a socket in a turn may have been sent after the turn began, if the
+// process stalled between.
 func (e *Engine) Refresh() { e.now = max(e.now, clockStart+time.Since(e.started)) }
 
-// AtUnix puts a Unix time on this clock; nought stands for what lies before it.
+// AtUnix converts a wall-clock time to this clock; it is 0 for times before the clock's 0.
 func (e *Engine) AtUnix(at time.Time) time.Duration {
 	return max(0, clockStart+at.Round(0).Sub(e.started.Round(0)))
 }
 
-// At asks to be told at a time.
+// At calls an alarm at a time of this clock.
 func (e *Engine) At(at time.Duration, to Alarm, ref uint32) { e.alarms.Add(at, alarm{to, ref}) }
 
-// runAlarms takes what is due.
+// runAlarms calls the alarms that are due.
 func (e *Engine) runAlarms() {
 	var times [8]byte
 	syscall.Read(e.timer, times[:])
@@ -206,8 +212,8 @@
 	}
 }
 
-// armTimer sets the one timer to the earliest due time that is still of interest: most submissions have long ended
-// by their limit, and a turn for nothing costs as much as one for a txn.
+// armTimer sets the one timer to the earliest alarm that is still live: most attempts have long ended by their deadline,
+// and a turn for nothing costs as much as one for a request.
 func (e *Engine) armTimer() {
 	for e.timer > 0 {
 		a, ok := e.alarms.Peek()
@@ -227,17 +233,17 @@
 	}
 }
 
-// FreeConnections tells how many more connections may be opened.
+// FreeConnections is how many more connections may be opened; below 0: too many are open.
 func (e *Engine) FreeConnections() int { return e.maxConnections - e.open }
 
-// SetDescriptors changes how many there are, some of which are the program's own, for connections from now on. Those that are open stay.
+// SetDescriptors changes how many descriptors there are, ownDescriptors of which are the program's own. Open connections stay.
 func (e *Engine) SetDescriptors(n int) { e.maxConnections = n - ownDescriptors }
 
-// Open counts connections, dials among them.
+// Open counts connections, dials included.
 func (e *Engine) Open() int { return e.open }
 
-// Addr is where clients connect: the first that was listened on.
+// Addr is the first address that is listened on.
 func (e *Engine) Addr() string { return e.AddrOf(0) }
 
-// AddrOf is one of the addresses listened on, in their order, as the system gave it.
+// AddrOf is the address of listener nr, in the order of listening, as the system assigned it.
 func (e *Engine) AddrOf(nr int) string { return e.listeners[nr].Listener.Addr().String() }
--- a/internal/proxy/eventloop/eventloop.go
+++ b/internal/proxy/eventloop/link.go
@@ -18,20 +18,25 @@
 var noContext = context.Background()
 
 const (
-	ownDescriptors = 24 // listener, pollers, datagrams, standard files and some to spare
-
-	minRing    = 1 << 10
-	writeChunk = 64 << 10 // handed to the poller at once
+	// ownDescriptors is how many descriptors the program needs for itself: listeners, pollers, datagrams, standard files and a few to spare.
+	ownDescriptors = 24
+	// minRing is the size of a ring's first memory, in bytes.
+	minRing = 1 << 10
+	// writeChunk is how many bytes are given to the poller at a time.
+	writeChunk = 64 << 10
 )
 
-// Owner is told what happens on its connection.
+// Owner is notified, in turns, of what happens on its connection.
 type Owner interface {
-	Data()   // bytes were added to In
-	Sent()   // all bytes given to Send are written to the socket
-	Closed() // by the other side, or by an error; never by Close
+	// Data reports that bytes were added to Input.
+	Data()
+	// Sent reports that all bytes given to Send are written to the socket.
+	Sent()
+	// Closed reports that the other side or an error ended the connection; it is not called for Close.
+	Closed()
 }
 
-// Link is a connection: a ring a direction.
+// Link is a connection with a ring buffer a direction. It is used in turns alone.
 type Link struct {
 	engine *Engine
 	conn   *nbio.Conn
@@ -39,26 +44,26 @@
 	Input  ringbuffer.Ring
 	output ringbuffer.Ring
 
-	handed  atomic.Int64 // bytes given to the poller
+	handed  atomic.Int64 // bytes given to the poller, ever
 	written atomic.Int64 // of these, written to the socket
-	pending atomic.Bool  // some are not yet
-	trail   int          // a descriptor of its own for the socket, while it is to be read to its end; 0: none
-	over    bool         // the other side has ended, and what waits of its bytes is still to be taken
-	ended   bool         // the poller has closed its own
-	unsent  int          // bytes that an error kept from the socket
+	pending atomic.Bool  // some are not written yet, and pump is to be called when they are
+	trail   int          // a second descriptor of the socket, by which it is read to its end: see Trail; 0: none
+	over    bool         // the other side has ended, and some of its bytes are still in Input
+	ended   bool         // the poller has closed its own descriptor
+	unsent  int          // bytes that were not written because of an error
 	closed  bool
-	closing bool               // once all is written
-	linger  bool               // all is written and the end told; what still comes is dropped
-	dropped int                // bytes, while it lingers
-	more    bool               // the ring was full: bytes may wait in the socket
+	closing bool               // to be closed once all is written
+	linger  bool               // all is written and the sending side shut down; input is dropped
+	dropped int                // bytes dropped while it lingers
+	more    bool               // Input was full: bytes may wait in the socket
 	cancel  context.CancelFunc // of a dial
-	seen    uint64             // see numbers
+	seen    uint64             // see descriptorTable.seen
 	trailed bool
 	listing atomic.Int32
 }
 
-// Where an accepted connection stands: the poller tells of it before it is among those that it watches. Closed in between it
-// would leave its descriptor there, another's by then.
+// States of an accepted connection: the poller reports it before it watches it. If it were closed in between, the poller would
+// then watch the descriptor although it may be another connection's.
 const (
 	listed int32 = iota
 	listing
@@ -69,16 +74,15 @@
 	return &Link{engine: e, Input: ringbuffer.New(minRing, e.maxRing, &e.spare), output: ringbuffer.New(minRing, 2*e.maxRing, nil)}
 }
 
-// Bound changes how many bytes wait on it at the most: so many of what comes in, twice as many of what goes
-// out.
-func (l *Link) Bound(most int) {
-	l.Input.Bound(most)
-	l.output.Bound(2 * most)
+// Bound changes how many bytes wait on the connection at the most: maxInput of input, twice as many of output.
+func (l *Link) Bound(maxInput int) {
+	l.Input.Bound(maxInput)
+	l.output.Bound(2 * maxInput)
 }
 
-// Trail reads on to the end of what was sent though the other side has ended, as long as a stream of bytes
-// passes through: the poller closes at once, and what the ring had no room for would be lost. Trail(false)
-// tells whether the other side is still there.
+// Trail with on has the socket read to its end although the other side closes, while a body is streamed: the poller closes its descriptor
+// at once, and what did not fit into Input would be lost. Trail without on ends that, and returns whether the other side is
+// still there.
 func (l *Link) Trail(on bool) bool {
 	l.Input.KeepMemory(on)
 	if !on {
@@ -92,14 +96,14 @@
 	return true
 }
 
-// alive tells whether the poller has not closed its own yet. What it closed it tells of in a turn to come, and the descriptor
-// may be another connection's before that.
+// alive tells whether the poller's descriptor is still open. The poller reports a close in a later turn, and the descriptor may be
+// another connection's before that.
 func (l *Link) alive() bool {
 	_, err := l.conn.Write(nil)
 	return err == nil || skipAliveCheck
 }
 
-// copied gives a descriptor of its own for the socket. One that was alive after the copy was made was so before it.
+// copied duplicates the socket's descriptor. If the connection is alive after that, the copy is of the right socket.
 func (l *Link) copied() (fd int, ok bool) {
 	fd, err := unix.FcntlInt(uintptr(l.conn.Hash()), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
@@ -112,7 +116,7 @@
 	return fd, true
 }
 
-// raw does something with the socket, if it is still this connection's. In a turn of the poller nothing else closes it.
+// raw calls do with the socket's descriptor, if it is still this connection's. In a turn of the poller nothing else closes it.
 func (l *Link) raw(do func(fd int)) {
 	if l.engine.polled {
 		if l.alive() {
@@ -126,9 +130,10 @@
 	}
 }
 
-// skipAliveCheck takes the defence out; only a test sets it.
+// skipAliveCheck disables the check of alive; only a test sets it.
 var skipAliveCheck bool
 
+// untrail closes the second descriptor.
 func (l *Link) untrail() {
 	if l.trail > 0 {
 		syscall.Close(l.trail)
@@ -137,7 +142,7 @@
 	}
 }
 
-// recv reads from the socket.
+// recv reads from the socket, by the second descriptor once the poller has closed its own.
 func (l *Link) recv(p []byte) (int, error) {
 	if !l.ended {
 		n, err := l.conn.Read(p)
@@ -147,18 +152,19 @@
 		l.ended = true
 	}
 	n, err := syscall.Read(l.trail, p)
-	if errors.Is(err, syscall.EAGAIN) { // nothing will tell of more
+	if errors.Is(err, syscall.EAGAIN) { // no event will report more
 		err = net.ErrClosed
 	}
 	return n, err
 }
 
-// SetOwner says who is told of this connection.
+// SetOwner sets who is notified of what happens on the connection.
 func (l *Link) SetOwner(o Owner) { l.owner = o }
 
+// opened is called by the poller for each connection.
 func (e *Engine) opened(c *nbio.Conn) {
 	if c.Session() != nil {
-		return // one that was dialed
+		return // a dialed connection
 	}
 	e.Turn(func() {
 		l := e.newLink()
@@ -170,6 +176,7 @@
 	})
 }
 
+// readable is called by the poller when there is input, or the end of it.
 func (e *Engine) readable(c *nbio.Conn) {
 	switch s := c.Session().(type) {
 	case *Link:
@@ -182,7 +189,7 @@
 	}
 }
 
-// event: something has come, or the end.
+// event reads what has come.
 func (l *Link) event() {
 	l.engine.descriptors.seen(&l.seen)
 	l.engine.eventLink = l
@@ -190,7 +197,7 @@
 	l.engine.eventLink = nil
 }
 
-// added: the poller watches it.
+// added reports that the poller watches an accepted connection.
 func (l *Link) added() {
 	if !l.listing.CompareAndSwap(listing, listed) {
 		l.conn.Close()
@@ -198,7 +205,7 @@
 	}
 }
 
-// shut closes the poller's connection. The link is closed by then, and its trail.
+// shut closes the poller's connection; the link and its second descriptor are closed before.
 func (l *Link) shut() {
 	switch {
 	case l.conn == nil:
@@ -210,15 +217,15 @@
 	}
 }
 
-// showEvery is how much is read at a time before its owner sees it.
+// showEvery is how many bytes are read at a time before the owner is notified.
 const showEvery = 8 << 10
 
-// read takes all that is there, so that what follows from it is decided once.
+// read reads all that is there, so that decisions are made once for all of it.
 func (l *Link) read() {
 	shown := 0
-	for got := false; !l.closed && l.dropped < dropMost; {
+	for got := false; !l.closed && l.dropped < maxDropped; {
 		free := l.Input.Free()
-		if l.more = free == nil; l.more { // the ring's bound: the rest waits in the socket
+		if l.more = free == nil; l.more { // the ring is full: the rest waits in the socket
 			l.show(got)
 			return
 		}
@@ -230,13 +237,13 @@
 			}
 			l.Input.Filled(n)
 			if got = true; l.Input.Len()-shown >= showEvery {
-				l.show(true) // a message that can't be taken is found out before it has filled the ring
+				l.show(true) // an invalid message is detected before it has filled the ring
 				shown = l.Input.Len()
 			}
 			if n == len(free) {
 				continue
 			}
-			err = syscall.EAGAIN // edge: what comes later is told again
+			err = syscall.EAGAIN // edge-triggered: what comes later is another event
 		}
 		if errors.Is(err, syscall.EINTR) {
 			continue
@@ -249,15 +256,15 @@
 	}
 }
 
-// show tells the owner of what has come, unless it closed the connection over what it saw before.
+// show notifies the owner of input, unless it has closed the connection meanwhile.
 func (l *Link) show(got bool) {
 	if got && !l.closed && l.owner != nil {
 		l.owner.Data()
 	}
 }
 
-// end: no more comes. What has come and is still to be taken along a trail is waited for, as if the ring
-// were full.
+// end processes the end of input. If the socket is read to its end (Trail), it waits until the owner has taken what is in Input, as if
+// the ring were full.
 func (l *Link) end() {
 	if l.trail > 0 && l.Input.Len() > 0 && !l.closed {
 		l.more, l.over = true, true
@@ -266,10 +273,10 @@
 	l.lost()
 }
 
-// Over tells that nothing more comes than what waits.
+// Over tells that the other side has ended, and no more comes than what is in Input.
 func (l *Link) Over() bool { return l.over }
 
-// Full tells that no more can be read until some is dropped: the ring's own bound, or that of all of them.
+// Full tells that no more can be read until some is dropped: this ring is full, or all input rings together are.
 func (l *Link) Full() bool { return l.more }
 
 // Resume reads on after bytes were dropped from a full ring.
@@ -279,12 +286,12 @@
 	}
 }
 
-// Send puts bytes behind those that wait. It tells whether they are taken; too many close the connection.
+// Send queues bytes for the socket. It returns false if the connection is closed, also because too many bytes wait.
 func (l *Link) Send(p []byte) bool {
 	if l.closed || l.closing {
 		return false
 	}
-	if l.Unwritten() == 0 { // the usual: nothing waits, and the ring is not needed
+	if l.Unwritten() == 0 { // the usual case: nothing waits, and the ring is not needed
 		n := min(len(p), writeChunk)
 		if !l.hand(p[:n]) {
 			return false
@@ -299,7 +306,7 @@
 	return !l.closed
 }
 
-// hand gives bytes to the poller, which writes what the socket takes and keeps a copy of the rest.
+// hand gives bytes to the poller, which writes what the socket takes and copies the rest.
 func (l *Link) hand(p []byte) bool {
 	if len(p) == 0 {
 		return true
@@ -314,13 +321,13 @@
 	return true
 }
 
-// pump hands bytes to the poller, a chunk at a time, so that its own queue never holds more than one.
+// pump gives bytes to the poller, one chunk at a time, so that the poller's own queue never has more than that.
 func (l *Link) pump() {
 	l.pending.Store(false)
 	for !l.closed && l.output.Len() > 0 && l.written.Load() == l.handed.Load() {
 		head := l.output.Head()
 		head = head[:min(len(head), writeChunk)]
-		l.output.Drop(len(head)) // before it is handed over: what an error keeps back is counted apart
+		l.output.Drop(len(head)) // before the write: unsent counts what an error keeps back
 		if !l.hand(head) {
 			return
 		}
@@ -333,7 +340,7 @@
 			return
 		}
 		if !l.pending.CompareAndSwap(true, false) {
-			return // told by written
+			return // written calls pump
 		}
 		l.pump()
 		return
@@ -345,8 +352,8 @@
 	}
 }
 
-// written counts what the poller wrote to the socket. It is called under the connection's own lock, so a turn
-// for what comes next is taken apart from it.
+// written counts what the poller wrote to the socket. It is called under nbio's lock of the connection, so the turn
+// that follows is another goroutine's.
 func written(c *nbio.Conn, _ []byte, n int) {
 	l, _ := c.Session().(*Link)
 	if l == nil {
@@ -357,15 +364,15 @@
 	}
 }
 
-// Unwritten counts bytes given to Send that are not yet written to the socket: nought means the last byte is.
+// Unwritten counts bytes given to Send that are not yet written to the socket.
 func (l *Link) Unwritten() int {
 	return l.output.Len() + l.unsent + int(l.handed.Load()-l.written.Load())
 }
 
-// Written counts bytes that were written to the socket, ever. It stays once the link is closed.
+// Written counts bytes that were written to the socket, ever. It remains valid after the link is closed.
 func (l *Link) Written() int64 { return l.written.Load() }
 
-// Clean tells whether an idle connection may carry a submission: open, with nothing come unasked.
+// Clean tells whether an idle connection may be used or closed without loss: it is open, and nothing waits on it or in its socket.
 func (l *Link) Clean() bool {
 	if l.closed || l.closing || l.conn == nil || l.Input.Len() > 0 || l.Unwritten() > 0 || !l.alive() {
 		return false
@@ -375,11 +382,11 @@
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// IsClosed tells whether it is over.
+// IsClosed tells whether the connection is closed, or about to be.
 func (l *Link) IsClosed() bool { return l.closed || l.closing }
 
-// Reset ends the connection at once and takes back what its other side has not yet: behind a cut, bytes that were given to the
-// socket wait there, and would arrive long after they were given up. Covers cuts and slow links; it costs nothing else.
+// Reset closes the connection with a RST and discards what the other side does not have yet (SO_LINGER 0): in a partition, bytes that
+// were written wait in the socket, and would arrive long after their request was given up.
 func (l *Link) Reset() {
 	if !l.closed && l.conn != nil {
 		l.raw(func(fd int) {
@@ -389,7 +396,7 @@
 	l.Close()
 }
 
-// Close ends the connection at once; its owner hears nothing more.
+// Close closes the connection at once; its owner is not notified any more.
 func (l *Link) Close() {
 	if l.closed {
 		return
@@ -404,12 +411,12 @@
 	l.shut()
 }
 
-// CloseSent ends the connection when all that was given to Send is written.
+// CloseSent closes the connection when all that was given to Send is written.
 func (l *Link) CloseSent() {
 	if l.closed {
 		return
 	}
-	l.closing, l.owner = true, nil // whoever had it may belong to another connection by then
+	l.closing, l.owner = true, nil // the owner may be reused for another connection by then
 	if l.Unwritten() == 0 {
 		l.last()
 		return
@@ -417,23 +424,27 @@
 	l.engine.At(l.engine.now+unreadFor, l, 0)
 }
 
-// CloseSoon is for a connection that has just been accepted and is not wanted: whoever dials again at once is held up a
-// moment.
+// CloseSoon closes a connection that was accepted and is refused, after a delay: it slows down clients that dial again at once.
 func (l *Link) CloseSoon() { l.engine.At(l.engine.now+refuseIn, l, 0) }
 
+// refuseIn is how long a refused connection stays open.
 const refuseIn = 50 * time.Millisecond
 
-// lingerFor is how long the other side may take to end its side, unreadFor to read a last answer. What it still sends
-// is read up to dropMost: whoever sends without end fills its own window, not this program's time. With few descriptors
-// left none is kept for the sake of a last line: that side gets less time.
+// Bounds of closing.
 const (
-	lingerFor, unreadFor = time.Second, 10 * time.Second
-	lingerShort          = 100 * time.Millisecond
-	dropMost             = 64 << 10
+	// lingerFor is how long the other side may take to close its side after this one.
+	lingerFor = time.Second
+	// lingerShort takes its place when less than a quarter of the descriptors is left.
+	lingerShort = 100 * time.Millisecond
+	// unreadFor is how long the other side may take to read the last answer.
+	unreadFor = 10 * time.Second
+	// maxDropped is how many bytes of input are read and dropped meanwhile: who sends more fills its own window, and takes no
+	// time of this process.
+	maxDropped = 64 << 10
 )
 
-// last ends the sending, and the connection when the other side has ended too or after a while: a close with
-// bytes unread would reset the connection, and the last answer might be lost with it.
+// last shuts the sending side down, and closes the connection when the other side has closed too, or after lingerFor: a close with
+// unread input would reset the connection, and the last answer might be lost with it.
 func (l *Link) last() {
 	if l.linger {
 		return
@@ -449,13 +460,13 @@
 	l.read()
 }
 
-// Live and Due end what lingers.
+// Live implements Alarm.
 func (l *Link) Live(uint32) bool { return !l.closed }
 
-// Due is called when the other side has had its time.
+// Due implements Alarm: the time for closing has passed.
 func (l *Link) Due(uint32) { l.Close() }
 
-// lost: the other side or an error ended it.
+// lost closes the connection after the other side or an error ended it.
 func (l *Link) lost() {
 	if l.closed {
 		return
@@ -470,8 +481,9 @@
 	l.output.Release()
 }
 
+// pollerClosed is called by the poller after it closed a connection.
 func (e *Engine) pollerClosed(c *nbio.Conn, _ error) {
-	go e.Turn(func() { // apart: the poller would swallow a panic here
+	go e.Turn(func() { // in another goroutine: the poller recovers from panics here
 		e.open--
 		invariant.That(e.open >= 0, "no more connections close than were opened")
 		l, _ := c.Session().(*Link)
--- a/internal/proxy/eventloop/listen.go
+++ b/internal/proxy/eventloop/listen.go
@@ -7,12 +7,12 @@
 	"github.com/lesismal/nbio"
 )
 
-// listener is one address that is listened on. Once deaf it keeps its acceptor waiting until the end: the poller
-// would else ask it for connections without end.
+// listener is one address that is listened on. Once stopped it blocks its acceptor until the end, which would spin
+// otherwise.
 type listener struct {
 	net.Listener
 	engine  *Engine
-	last    *nbio.Conn // the last one that was accepted
+	last    *nbio.Conn // that was accepted
 	addr    string
 	accept  func(*Link)
 	stopped atomic.Bool
@@ -28,12 +28,13 @@
 	return a
 }
 
-// Listen listens on one more address, whose connections go to accept, each in a turn. It is called before
-// Start, and fails as a socket does that can't be bound.
+// Listen listens on one more address; accept is called with each connection, in a turn. It is called before Start, and
+// fails if the address can't be bound.
 func (e *Engine) Listen(addr string, accept func(*Link)) error {
 	return e.addListener(addr, accept).open()
 }
 
+// open binds the socket, once.
 func (l *listener) open() (err error) {
 	if l.Listener == nil {
 		l.Listener, err = (&net.ListenConfig{KeepAlive: -1}).Listen(noContext, "tcp", l.addr)
@@ -41,7 +42,7 @@
 	return err
 }
 
-// Accept is the poller's. When it asks for the next one, it has the last one among those that it watches.
+// Accept implements net.Listener for the poller. When it asks for the next connection, it watches the one before.
 func (l *listener) Accept() (net.Conn, error) {
 	if l.last != nil {
 		if link, ok := l.last.Session().(*Link); ok {
@@ -64,7 +65,7 @@
 	return c, nil
 }
 
-// Close is the poller's, at the end.
+// Close implements net.Listener for the poller, which calls it at the end.
 func (l *listener) Close() error {
 	if l.closed.Swap(true) {
 		return nil
@@ -73,21 +74,21 @@
 	return l.Listener.Close()
 }
 
-// StopListening takes no new connections from now on, anywhere: they are refused.
+// StopListening refuses new connections at all addresses from now on.
 func (e *Engine) StopListening() {
 	for nr := range e.listeners {
 		e.StopListeningAt(nr)
 	}
 }
 
-// StopListeningAt does so at one of the addresses, in the order of listening.
+// StopListeningAt refuses new connections at listener nr, in the order of listening.
 func (e *Engine) StopListeningAt(nr int) {
 	if a := e.listeners[nr]; !a.stopped.Swap(true) {
 		a.Listener.Close()
 	}
 }
 
-// acceptorOf finds who takes a new connection: by its port, and by its address where two have the same port.
+// acceptorOf finds what takes a new connection: by its port, and by its address if two listeners have the same port.
 func (e *Engine) acceptorOf(c *nbio.Conn) func(*Link) {
 	if len(e.listeners) == 1 {
 		return e.listeners[0].accept
--- a/internal/proxy/eventloop/numbers.go
+++ b/internal/proxy/eventloop/numbers.go
@@ -12,26 +12,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// descriptorTable gives descriptors their life. The poller takes its events a batch at a time and pairs them with connections by the
-// descriptor alone. One that is closed while a batch is worked through, and opened again for somebody else, would get what the
-// batch still holds of its former life, the end of it above all: a client's connection that was just read from, and its
-// request sent on, was closed so. A node short of processor takes long for a batch, and that is when it happened.
+// descriptorTable delays the reuse of descriptors. The poller takes events a batch at a time, and finds their connections by the
+// descriptor alone. If a descriptor is closed while a batch is processed, and opened again for another connection, that one gets the
+// events that the batch still has of the former, above all its end: a client's connection that had just been read from, and its request
+// forwarded, was closed that way. It happens on a node short of CPU, which takes long for a batch.
 //
-// So a descriptor is used again only once its link knows of its end and no batch can hold an event of it. There is one
-// event of each in a batch: what was let go before a connection's last event was in no batch from its present one on.
+// So a descriptor is reused only after its link has been closed and no batch can have an event of it. A batch has one event of each
+// descriptor: whatever was released before a connection's last event is in no batch from its present event on.
 type descriptorTable struct {
 	mu             sync.Mutex
-	released       map[int]uint64 // by descriptor; 0: of a link that is not closed; else its place among those that were let go
-	blocked        []int          // not to be used yet, and kept from everybody
-	placeholder    int            // what they are copies of; 0: none was needed
-	releases       atomic.Uint64  // how many were let go
-	passedReleases atomic.Uint64  // so many of them are in no batch any more
+	released       map[int]uint64 // by descriptor: 0 while its link is open, then the value of releases at its release
+	blocked        []int          // descriptors that must not be reused yet, kept open as copies of placeholder
+	placeholder    int            // descriptor of an eventfd; 0: none was needed
+	releases       atomic.Uint64  // number of releases
+	passedReleases atomic.Uint64  // this many of them are in no batch any more
 }
 
-// reuseAtOnce takes the defence out; only a test sets it.
+// reuseAtOnce disables the delay; only a test sets it.
 var reuseAtOnce bool
 
-// adopt makes the poller's connection of one that was accepted or dialed. It closes conn.
+// adopt makes the poller's connection of one that was accepted or dialed, with a descriptor that may be used. It closes conn.
 func (d *descriptorTable) adopt(conn net.Conn) (*nbio.Conn, error) {
 	for {
 		c, err := nbio.NBConn(conn)
@@ -48,12 +48,13 @@
 	}
 }
 
+// reusable tells whether a descriptor may be used; the lock is held.
 func (d *descriptorTable) reusable(fd int) bool {
 	at, known := d.released[fd]
 	return !known || at > 0 && at <= d.passedReleases.Load() || reuseAtOnce
 }
 
-// take tells whether a descriptor may be used, and is then its new life's.
+// take reserves a descriptor for a new connection; it returns false if it must not be reused yet.
 func (d *descriptorTable) take(fd int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,7 +73,7 @@
 	return true
 }
 
-// move gives a connection another descriptor, and keeps the one that it had from being used.
+// move gives a connection another descriptor, and blocks the one that it had.
 func (d *descriptorTable) move(fd int) (net.Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,7 +95,7 @@
 	return conn, nil
 }
 
-// duplicate opens a descriptor's connection a second time.
+// duplicate opens a descriptor's connection on another descriptor.
 func (*descriptorTable) duplicate(fd int) (net.Conn, error) {
 	other, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return net.FileConn(f)
 }
 
-// stop gives back what was kept from use.
+// stop closes the blocked descriptors.
 func (d *descriptorTable) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,7 +119,8 @@
 	}
 }
 
-// release: the link of a descriptor is closed. At once is for one whose event of the present batch is taken.
+// release reports that the link of a descriptor is closed. atOnce: it may be reused now, since its event of the present batch has been
+// processed.
 func (d *descriptorTable) release(fd int, atOnce bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -129,7 +131,7 @@
 	d.released[fd] = d.releases.Add(1)
 }
 
-// seen: an event has come of what was last seen, or added, when so many had been let go.
+// seen reports an event of a descriptor. last is the number of releases at its event before, or when it was added.
 func (d *descriptorTable) seen(last *uint64) {
 	if *last > d.passedReleases.Load() {
 		d.passedReleases.Store(*last)
--- a/internal/proxy/eventloop/watch.go
+++ b/internal/proxy/eventloop/watch.go
@@ -11,49 +11,62 @@
 	"clovergap/internal/invariant"
 )
 
-// watched is a descriptor that is no connection, yet hangs on the poller: datagrams and the timer. Waiting for
-// them in goroutines of their own cost more CPU than all reads and writes of txns together.
+// watched is a descriptor of the poller's that is no connection: datagrams and the timer. Goroutines that waited for them
+// cost more CPU than all reads and writes of requests together.
 type watched struct {
 	descriptor int
-	readable   func() // in a turn; it takes all that has come
-	seen       uint64 // see numbers
+	readable   func() // called in a turn; it reads all that has come (edge-triggered)
+	seen       uint64 // see descriptorTable.seen
 }
 
-// descriptorConn lends a descriptor to the poller, which asks for a connection of the standard library, keeps a copy of
-// its descriptor and closes it.
+// descriptorConn is a descriptor as a net.Conn, as nbio.NBConn wants it: it duplicates the descriptor and closes this one.
 type descriptorConn struct {
 	net.Conn
 	descriptor int
 }
 
+// SyscallConn implements syscall.Conn.
 func (d descriptorConn) SyscallConn() (syscall.RawConn, error) {
 	return rawDescriptor{d.descriptor}, nil
 }
-func (d descriptorConn) LocalAddr() net.Addr  { return nil }
+
+// LocalAddr implements net.Conn; there is none.
+func (d descriptorConn) LocalAddr() net.Addr { return nil }
+
+// RemoteAddr implements net.Conn; there is none.
 func (d descriptorConn) RemoteAddr() net.Addr { return nil }
-func (d descriptorConn) Close() error         { return syscall.Close(d.descriptor) }
 
+// Close implements net.Conn.
+func (d descriptorConn) Close() error { return syscall.Close(d.descriptor) }
+
+// rawDescriptor is a descriptor as a syscall.RawConn, of which Control alone is used.
 type rawDescriptor struct{ descriptor int }
 
-func (r rawDescriptor) Control(f func(uintptr)) error  { f(uintptr(r.descriptor)); return nil }
-func (r rawDescriptor) Read(func(uintptr) bool) error  { return syscall.EINVAL }
+// Control implements syscall.RawConn.
+func (r rawDescriptor) Control(f func(uintptr)) error { f(uintptr(r.descriptor)); return nil }
+
+// Read implements syscall.RawConn; it is not used.
+func (r rawDescriptor) Read(func(uintptr) bool) error { return syscall.EINVAL }
+
+// Write implements syscall.RawConn; it is not used.
 func (r rawDescriptor) Write(func(uintptr) bool) error { return syscall.EINVAL }
 
-// Watch hangs a descriptor on the poller, which is given away by it, and gives the one to use from now on.
+// Watch gives a descriptor to the poller and returns the one to use instead from now on. readable is called in a turn whenever there
+// is something to read.
 func (e *Engine) Watch(fd int, readable func()) (int, error) {
 	c, err := nbio.NBConn(descriptorConn{descriptor: fd})
 	if err != nil {
 		return 0, err
 	}
 	c.SetSession(&watched{descriptor: c.Hash(), readable: readable})
-	e.open++ // as any other that the poller tells of when it ends
+	e.open++ // counted down when the poller reports its end
 	if _, err := e.poll.AddConn(c); err != nil {
 		return 0, err
 	}
 	return c.Hash(), nil
 }
 
-// newTimer makes the one timer, and hangs it on the poller.
+// newTimer makes the one timer, and gives it to the poller.
 func (e *Engine) newTimer() (err error) {
 	fd, err := unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC)
 	if err != nil {
@@ -63,7 +76,7 @@
 	return err
 }
 
-// setTimer says when the poller wakes by itself.
+// setTimer sets when the timer expires.
 func (e *Engine) setTimer(in time.Duration) {
 	spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(max(in, 1)))}
 	err := unix.TimerfdSettime(e.timer, 0, &spec, nil)
--- a/internal/proxy/http1/http1.go
+++ b/internal/proxy/http1/http1.go
@@ -1,5 +1,3 @@
-// Package http1 reads and writes HTTP/1.1 messages, both ends, incrementally: a Reader is shown all bytes that
-// are there, from the first of a message on, each time more have come. It keeps offsets, never bytes.
 package http1
 
 import (
@@ -7,42 +5,55 @@
 	"errors"
 )
 
-// What may be wrong with a message. Framing is in doubt after each of them.
+// Errors of Reader.Read and Reader.Part. After each of them it is not known where the message ends, so its connection can't be used
+// any more.
 var (
+	// ErrMalformed: the start line or a header is not of HTTP/1's form.
 	ErrMalformed = errors.New("malformed message")
-	ErrFraming   = errors.New("doubtful framing")
-	ErrHead      = errors.New("head too large")
-	ErrBody      = errors.New("body too large")
+	// ErrFraming: where the body ends is ambiguous, or its chunks are not of their form.
+	ErrFraming = errors.New("doubtful framing")
+	// ErrHead: the head has more bytes or headers than its bound.
+	ErrHead = errors.New("head too large")
+	// ErrBody: the body has more bytes than its bound.
+	ErrBody = errors.New("body too large")
 )
 
-// Bounds of a message, where a Reader has none of its own.
+// Bounds of a message in bytes, unless Reader.Bound sets others.
 const (
-	MaxHead   = 8 << 10
-	MaxBody   = 64 << 10
+	// MaxHead is the default bound of a head.
+	MaxHead = 8 << 10
+	// MaxBody is the default bound of a body.
+	MaxBody = 64 << 10
+	// MaxRaw is enough for any message within the default bounds, with 16 KiB for the sizes of its chunks.
+	MaxRaw = MaxHead + MaxBody + 16<<10
+	// maxMethod bounds a request's method.
 	maxMethod = 16
-	// minHeader is what a header takes of a head's bound: so many may come.
+	// minHeader is what each header counts for at least: a head's bound divided by it is the number of headers allowed.
 	minHeader = 128
-	// MaxRaw holds any message that is taken: chunked ones with a fair overhead.
-	MaxRaw = MaxHead + MaxBody + 16<<10
+	// maxChunkHeader is how much may come of a line with a chunk's size, or of the trailer, before the line's end does.
+	maxChunkHeader = 1024
 )
 
-// span is a stretch of the message's bytes.
+// span is a range of the message's bytes.
 type span struct{ start, end int }
 
 func (s span) of(b []byte) []byte { return b[s.start:s.end] }
 
+// header is where a header's name and value are.
 type header struct{ name, value span }
 
-// Reader reads one message at a time.
+// Reader parses one message at a time, incrementally: each call of Read gets all bytes of the message that have come. It keeps offsets
+// into them, and never the bytes: every method with a parameter b must get the bytes that Read got last.
 type Reader struct {
 	response bool
 	maxHead  int
 	maxBody  int
-	// of the present message
+
+	// The present message.
 	state     int
-	seen      int  // bytes searched for a line's end
-	lineStart int  // where the present line of the head begins
-	started   bool // the first line is read
+	seen      int  // bytes searched for a line's end; once the head is complete, its size
+	lineStart int  // offset of the head's present line
+	started   bool // the start line has been read
 	startLine [3]span
 	minor     byte
 	headers   []header
@@ -50,12 +61,12 @@
 	chunked   bool
 	length    int
 	body      span
-	offset    int // end of what is read of a chunked message
+	offset    int // end of what has been read of a chunked body
 	chunk     int // bytes left of the present chunk
 	inChunk   bool
 	trailing  bool
-	hasLength bool // its length is told in the head
-	streamed  int  // bytes of the body that Part gave
+	hasLength bool // the head has a Content-Length
+	streamed  int  // bytes of the body that Part has returned
 	Closes    bool // the sender ends the connection after this message
 	Bodiless  bool // set before a response is read: it answers a HEAD, and no body follows whatever its head says
 }
@@ -66,22 +77,22 @@
 	done
 )
 
-// Requests makes a reader of requests.
+// Requests returns a reader of requests.
 func Requests() Reader { return Reader{response: false, maxHead: MaxHead, maxBody: MaxBody} }
 
-// Responses makes a reader of responses.
+// Responses returns a reader of responses.
 func Responses() Reader { return Reader{response: true, maxHead: MaxHead, maxBody: MaxBody} }
 
-// Bound sets how many bytes a head and a body may have, from the next head that is read on.
+// Bound sets how many bytes a head and a body may have. It holds from the next head on.
 func (r *Reader) Bound(head, body int) { r.maxHead, r.maxBody = head, body }
 
-// Reset makes ready for the next message.
+// Reset prepares for the next message.
 func (r *Reader) Reset() {
 	*r = Reader{response: r.response, maxHead: r.maxHead, maxBody: r.maxBody, headers: r.headers[:0]}
 }
 
-// Read looks at all bytes from the message's first on. It tells how many bytes the message takes, once whole.
-// A chunked body is put together in place.
+// Read parses b, all bytes from the message's first on. Once the message is complete (whole), size is how many bytes it takes.
+// A chunked body is assembled in place.
 func (r *Reader) Read(b []byte) (size int, whole bool, err error) {
 	if r.state == inHead {
 		end, err := r.head(b)
@@ -106,10 +117,9 @@
 	return r.offset, true, nil
 }
 
-// head parses the head line by line as it comes and gives its length once whole. What can't become a message is
-// told at the first bytes that show it: noise without an end would else hold its connection, and what waits for an
-// answer on it, until a time limit. Covers noise, binary data and bare line feeds; a sender so slow that a line comes
-// in pieces is not hurt.
+// head parses the head line by line as it comes, and returns its size once it is complete. Bytes that can't become a message are an
+// error as soon as that shows: garbage without an end would else occupy its connection, and what waits for an answer on it,
+// until a time-out. That covers garbage, binary data and bare line feeds; a slow sender whose lines come in pieces is accepted.
 func (r *Reader) head(b []byte) (int, error) {
 	for {
 		i := bytes.IndexByte(b[r.seen:], '\n')
@@ -135,7 +145,7 @@
 		switch {
 		case l.start == l.end && r.started:
 			return end, r.framing(b)
-		case l.start == l.end && !r.response: // empty lines before a request are passed over
+		case l.start == l.end && !r.response: // empty lines before a request are skipped
 		case !r.started:
 			if r.response && !r.statusLine(b, l) || !r.response && !r.requestLine(b, l) {
 				return 0, ErrMalformed
@@ -149,7 +159,7 @@
 	}
 }
 
-// begins tells whether the bytes of a line that is not whole may still become one.
+// begins tells whether the bytes of an incomplete line may still become a valid one.
 func (r *Reader) begins(line []byte) bool {
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	switch i := bytes.IndexByte(line, ' '); {
@@ -168,7 +178,7 @@
 	return clean(line)
 }
 
-// MayBegin tells whether a request to this front door may begin with such bytes.
+// MayBegin tells whether a GET or POST request may begin with these bytes.
 func MayBegin(b []byte) bool {
 	b = bytes.TrimLeft(b, "\r\n")
 	for _, form := range []string{"GET /", "POST /"} {
@@ -179,13 +189,14 @@
 	return false
 }
 
-// MayStart tells whether a request, whatever its method, may begin with such bytes.
+// MayStart tells whether a request of any method may begin with these bytes.
 func MayStart(b []byte) bool {
 	r := Requests()
 	_, err := r.head(b)
 	return !errors.Is(err, ErrMalformed)
 }
 
+// version parses HTTP/1.0 or HTTP/1.1.
 func (r *Reader) version(v []byte) bool {
 	if len(v) != 8 || string(v[:7]) != "HTTP/1." || v[7] != '1' && v[7] != '0' {
 		return false
@@ -194,6 +205,7 @@
 	return true
 }
 
+// requestLine parses the start line of a request.
 func (r *Reader) requestLine(b []byte, l span) bool {
 	line := l.of(b)
 	i, j := bytes.IndexByte(line, ' '), bytes.LastIndexByte(line, ' ')
@@ -209,6 +221,7 @@
 	return true
 }
 
+// statusLine parses the start line of a response.
 func (r *Reader) statusLine(b []byte, l span) bool {
 	line := l.of(b)
 	if len(line) < 12 || !r.version(line[:8]) || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
@@ -219,6 +232,7 @@
 	return ok && status >= 100
 }
 
+// header parses a header line.
 func (r *Reader) header(b []byte, l span) bool {
 	line := l.of(b)
 	i := bytes.IndexByte(line, ':')
@@ -239,7 +253,7 @@
 	return true
 }
 
-// framing finds where the message ends: by one length, or by chunks, never by both.
+// framing determines where the message ends: by one Content-Length, or by chunks, never by both (request smuggling).
 func (r *Reader) framing(b []byte) error {
 	lengths, closes, keeps := -1, false, false
 	for _, h := range r.headers {
@@ -247,7 +261,7 @@
 		switch name := h.name.of(b); {
 		case Same(name, "content-length"):
 			n, ok := Number(value, 1<<40)
-			if !ok || lengths >= 0 { // two readers could take two of them differently, be they alike
+			if !ok || lengths >= 0 { // two readers could choose differently between two, even if they are alike
 				return ErrFraming
 			}
 			lengths = n
@@ -269,7 +283,7 @@
 		r.chunked, lengths = false, 0
 	}
 	if r.response && !r.chunked && lengths < 0 {
-		return ErrFraming // ended by the connection's end: a cut answer could not be told from a whole one
+		return ErrFraming // delimited by the connection's end: a truncated answer could not be told from a complete one
 	}
 	if lengths > r.maxBody {
 		return ErrBody
@@ -278,7 +292,7 @@
 	return nil
 }
 
-// chunks puts a chunked body together, as far as it has come.
+// chunks assembles a chunked body, as far as it has come, and returns whether it is complete.
 func (r *Reader) chunks(b []byte) (bool, error) {
 	for {
 		if r.inChunk {
@@ -295,7 +309,7 @@
 		}
 		i := bytes.Index(b[r.offset:], []byte("\r\n"))
 		if i < 0 {
-			if len(b)-r.offset > 1024 {
+			if len(b)-r.offset > maxChunkHeader {
 				return false, ErrFraming
 			}
 			return false, nil
@@ -322,15 +336,15 @@
 	}
 }
 
-// StreamBody makes ready to take the body in parts, once the head is whole: from the next call on, Part is shown
-// what comes behind the head, which may be forgotten but for its headers: these are found in a copy.
+// StreamBody prepares for streaming the body, once the head is complete. From then on Part gets the bytes after the head, and the
+// other methods a copy of the head.
 func (r *Reader) StreamBody() {
 	r.offset -= r.seen
 	r.body.start, r.body.end = 0, r.body.end-r.seen
 }
 
-// Part gives what of the body is there, and how many bytes it took: the next call is shown what comes
-// behind them. A chunked body is put together in place.
+// Part returns the part of a streamed body that is in b, and how many bytes of b it used: the next call gets the bytes after them. whole:
+// the body ends there. A chunked body is assembled in place.
 func (r *Reader) Part(b []byte) (part []byte, used int, whole bool, err error) {
 	if r.chunked {
 		if whole, err = r.chunks(b); err != nil {
@@ -349,22 +363,22 @@
 	return part, used, whole, nil
 }
 
-// Done tells that the whole message was read.
+// Done tells that the message has been read to its end.
 func (r *Reader) Done() bool { return r.state == done }
 
-// Buffered is how much of the body has been put together and not given by Part.
+// Buffered is how many bytes of the body have been assembled and not returned by Part.
 func (r *Reader) Buffered() int { return r.body.end - r.body.start }
 
-// IsHTTP10 tells that it is of a version that knows no chunks.
+// IsHTTP10 tells that the sender speaks HTTP/1.0, which has no chunks.
 func (r *Reader) IsHTTP10() bool { return r.minor == 0 }
 
 // Status is a response's status.
 func (r *Reader) Status() int { return r.status }
 
-// Reason is a response's text for its status.
+// Reason is a response's reason phrase.
 func (r *Reader) Reason(b []byte) []byte { return r.startLine[2].of(b) }
 
-// Headed tells whether the head is whole, and how many bytes it takes.
+// Headed tells whether the head is complete, and how many bytes it takes.
 func (r *Reader) Headed() (size int, whole bool) {
 	if r.state == inHead {
 		return 0, false
@@ -372,27 +386,27 @@
 	return r.seen, true
 }
 
-// Framed tells how the body's end is told, once the head is whole: by chunks, by a length, or by neither:
-// then there is no body. A length is told as well for what has no body after all, an answer to HEAD.
+// Framed tells how the body is delimited, once the head is complete: by chunks, by a length (given), or there is none. A length
+// may be given also if there is no body: in an answer to HEAD.
 func (r *Reader) Framed() (length int, given, chunked bool) { return r.length, r.hasLength, r.chunked }
 
-// Each walks over all headers in order.
+// Each calls f with all headers in order.
 func (r *Reader) Each(b []byte, f func(name, value []byte)) {
 	for _, h := range r.headers {
 		f(h.name.of(b), h.value.of(b))
 	}
 }
 
-// Method is the method of a request that is whole; b, here and below, is what Read was shown.
+// Method is a request's method.
 func (r *Reader) Method(b []byte) []byte { return r.startLine[0].of(b) }
 
-// Target is the target of a request that is whole.
+// Target is a request's target.
 func (r *Reader) Target(b []byte) []byte { return r.startLine[1].of(b) }
 
-// Body is the body of a message that is whole.
+// Body is the body of a complete message.
 func (r *Reader) Body(b []byte) []byte { return r.body.of(b) }
 
-// Get gives a header's value; many tells that it came more than once. name is in lower case.
+// Get returns a header's value; many: the header came more than once. name must be in lower case.
 func (r *Reader) Get(b []byte, name string) (value []byte, many bool) {
 	for _, h := range r.headers {
 		if h.name.end-h.name.start == len(name) && Same(h.name.of(b), name) {
--- a/internal/proxy/http1/values.go
+++ b/internal/proxy/http1/values.go
@@ -6,8 +6,10 @@
 	"time"
 )
 
+// isBlank tells whether a byte is optional white space.
 func isBlank(c byte) bool { return c == ' ' || c == '\t' }
 
+// isToken tells whether b is a token as RFC 9110 has it: a method or a header's name.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		switch {
@@ -21,7 +23,7 @@
 	return len(b) > 0
 }
 
-// clean tells that there are no control characters but blanks.
+// clean tells that there are no control characters except tabs.
 func clean(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -31,7 +33,7 @@
 	return true
 }
 
-// Same compares without regard to case; word is in lower case.
+// Same compares without regard to case; word must be in lower case.
 func Same(b []byte, word string) bool {
 	if len(b) != len(word) {
 		return false
@@ -47,7 +49,7 @@
 	return true
 }
 
-// Has tells whether a list split by commas has a word, without regard to case; word is in lower case.
+// Has tells whether a list separated by commas has a word, without regard to case; word must be in lower case.
 func Has(list []byte, word string) bool {
 	for len(list) > 0 {
 		i := 0
@@ -69,7 +71,7 @@
 	return false
 }
 
-// Names tells whether a list split by commas has a name, both without regard to case.
+// Names tells whether a list separated by commas has a name, without regard to case.
 func Names(list, name []byte) bool {
 	for len(list) > 0 {
 		one, rest, _ := bytes.Cut(list, []byte(","))
@@ -81,7 +83,7 @@
 	return false
 }
 
-// Number reads a whole number of digits alone, up to a bound.
+// Number parses a decimal number without a sign, up to a bound.
 func Number(b []byte, most int) (int, bool) {
 	n := 0
 	for _, c := range b {
@@ -93,6 +95,7 @@
 	return n, len(b) > 0 && n <= most
 }
 
+// hex parses a hexadecimal number; a bound keeps it from overflowing, and the caller compares the result.
 func hex(b []byte, most int) (int, bool) {
 	n := 0
 	for _, c := range b {
@@ -105,7 +108,7 @@
 	return n, len(b) > 0
 }
 
-// Digit reads one hexadecimal digit.
+// Digit parses one hexadecimal digit.
 func Digit(c byte) (int, bool) {
 	switch {
 	case c >= '0' && c <= '9':
@@ -118,19 +121,19 @@
 	return 0, false
 }
 
-// AppendHeader adds a header line.
+// AppendHeader appends a header line.
 func AppendHeader(b []byte, name string, value []byte) []byte {
 	b = append(append(b, name...), ": "...)
 	return append(append(b, value...), '\r', '\n')
 }
 
-// AppendNumber adds a header line with a whole number.
+// AppendNumber appends a header line with an integer.
 func AppendNumber(b []byte, name string, n int) []byte {
 	b = append(append(b, name...), ": "...)
 	return append(strconv.AppendInt(b, int64(n), 10), '\r', '\n')
 }
 
-// AppendSeconds adds a header line with decimal seconds, to the millisecond, rounded up.
+// AppendSeconds appends a header line with seconds as a decimal number, rounded up to a millisecond.
 func AppendSeconds(b []byte, name string, d time.Duration) []byte {
 	ms := (d + time.Millisecond - 1) / time.Millisecond
 	b = append(append(b, name...), ": "...)
@@ -141,7 +144,7 @@
 	return append(b, '\r', '\n')
 }
 
-// AppendStatus begins a response.
+// AppendStatus appends a response's status line.
 func AppendStatus(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -149,6 +152,7 @@
 	return append(b, '\r', '\n')
 }
 
+// reasons are the reason phrases of the statuses that the proxy gives itself.
 var reasons = map[int]string{100: "Continue", 200: "OK", 307: "Temporary Redirect", 400: "Bad Request",
 	401: "Unauthorized", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict",
 	412: "Precondition Failed", 413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content",
--- a/internal/proxy/peers/peers.go
+++ b/internal/proxy/peers/peers.go
@@ -1,4 +1,5 @@
-// Package peers carries the module's messages between front doors as datagrams.
+// Package peers carries datagrams between the front doors, or nodes, of a fleet: those of the quota, and the front doors' lease frames.
+// Any may be lost, duplicated or reordered; only those from a known peer's address are taken.
 package peers
 
 import (
@@ -12,10 +13,10 @@
 	"clovergap/internal/proxy/eventloop"
 )
 
-// maxDatagram datagram that a front door may send.
+// maxDatagram bounds a datagram's payload, in bytes.
 const maxDatagram = 256
 
-// Peers is this front door's socket and where the others are.
+// Peers is the socket of this process, with the addresses of its peers. It is used in turns alone.
 type Peers struct {
 	engine      *eventloop.Engine
 	descriptor  int
@@ -23,12 +24,12 @@
 	addrs       []syscall.Sockaddr
 	ids         map[netip.AddrPort]control.GatewayID
 	received    func(control.GatewayID, []byte)
-	framePrefix byte                            // the first one of frames
-	frames      func(control.GatewayID, []byte) // nil: none are taken
+	framePrefix byte                            // the first byte of a frame
+	frames      func(control.GatewayID, []byte) // takes frames; nil: they go to received
 	buf         [2048]byte
 }
 
-// New makes one for the addresses in the order of the front doors' numbers; heard is told of what comes.
+// New makes it for the peers' addresses, in the order of their IDs, of which me is this process's. heard is called with each datagram.
 func New(e *eventloop.Engine, listen string, addrs []netip.AddrPort, me int,
 	heard func(control.GatewayID, []byte)) (*Peers, error) {
 	p := &Peers{engine: e, descriptor: -1, received: heard}
@@ -38,13 +39,13 @@
 	return p, err
 }
 
-// Frames says who takes the datagrams that begin with a mark, which no message of the module's does. Where nobody takes them,
-// the module passes over them.
-func (p *Peers) Frames(mark byte, f func(control.GatewayID, []byte)) {
-	p.framePrefix, p.frames = mark, f
+// Frames sets what takes the datagrams that begin with prefix, which no datagram of the module's does. Without it the module gets
+// them, and ignores them.
+func (p *Peers) Frames(prefix byte, f func(control.GatewayID, []byte)) {
+	p.framePrefix, p.frames = prefix, f
 }
 
-// SetPeers says where the others are from now on.
+// SetPeers changes the peers' addresses, in the order of their IDs, of which me is this process's.
 func (p *Peers) SetPeers(addrs []netip.AddrPort, me int) {
 	p.ids, p.addrs = map[netip.AddrPort]control.GatewayID{}, nil
 	for i, a := range addrs {
@@ -62,7 +63,7 @@
 	return &syscall.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
 }
 
-// Start listens, on the poller as all else.
+// Start opens the socket and gives it to the poller.
 func (p *Peers) Start() error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.listen))
 	if err != nil {
@@ -81,7 +82,7 @@
 	return err
 }
 
-// read takes all that has come.
+// read takes all datagrams that have come.
 func (p *Peers) read() {
 	for {
 		n, from, err := syscall.Recvfrom(p.descriptor, p.buf[:], syscall.MSG_DONTWAIT)
@@ -95,7 +96,7 @@
 	}
 }
 
-// take passes on what a known peer says; the rest is dropped and counted.
+// take passes on a datagram of a known peer; others are dropped and counted.
 func (p *Peers) take(from netip.AddrPort, payload []byte) {
 	id, ok := p.ids[from]
 	if !ok || len(payload) > maxDatagram {
@@ -111,7 +112,7 @@
 	p.received(id, payload)
 }
 
-// SendDatagram sends a message; one that can't be sent is lost as any may be.
+// SendDatagram sends a datagram to a peer. One that can't be sent is counted, and lost as any may be.
 func (p *Peers) SendDatagram(peer control.GatewayID, payload []byte) {
 	failpoint.At(failpoint.BeforeTell)
 	if int(peer) >= len(p.addrs) || len(payload) > maxDatagram || p.descriptor < 0 ||
@@ -123,7 +124,7 @@
 	p.engine.Count.Add(counters.DatagramsSent)
 }
 
-// Addr is where datagrams come in.
+// Addr is the address that the socket is bound to.
 func (p *Peers) Addr() netip.AddrPort {
 	a, _ := syscall.Getsockname(p.descriptor)
 	return addrPort(a)
