--- a/internal/gateway/routing/read.go
+++ b/internal/gateway/routing/read.go
@@ -35,7 +35,7 @@
 	return &FieldError{Path: path, Reason: errors.Errorf(format, args...).Error()}
 }
 
-// ReadConfig reads and checks a complete configuration as Config.Repath carries it. Its errors are *FieldError. That
+// ReadConfig reads and checks a complete configuration as Config.Replace carries it. Its errors are *FieldError. That
 // its generation is above the current one is for the Register to say.
 func ReadConfig(body []byte) (*Config, error) {
 	b := new(Config)
