--- a/internal/gateway/node/call_router.go
+++ b/internal/gateway/node/call_router.go
@@ -66,7 +66,7 @@
 	hops int // with the one that it is on
 }
 
-// callReply ends the call of its ID. The status is as for the caller, or controlapi.Unclear.
+// callReply ends the call of its ID. The status is as for the caller, or controlapi.StatusAmbiguous.
 type callReply struct {
 	id     callID
 	status int
@@ -161,8 +161,8 @@
 func (c *callRouter) propose(sequence uint32) {
 	call := c.pending[sequence]
 	wanted := func() bool {
-		call := c.pending[sequence]
-		return call != nil && call.sentTo == handledHere
+		now := c.pending[sequence]
+		return now != nil && now.sentTo == handledHere
 	}
 	done := func(status int, body []byte) { c.complete(sequence, status, body) }
 	c.env.propose(changeProposal{call.kind, call.body, wanted, done})
