--- a/internal/proxy/downstream/client.go
+++ b/internal/proxy/downstream/client.go
@@ -118,8 +118,8 @@
 
 // headed tells whether the head of the present request is complete.
 func (c *Client) headed() bool {
-	_, whole := c.reader.Headed()
-	return whole
+	_, complete := c.reader.Headed()
+	return complete
 }
 
 // release ends the claim on the request's ID.
@@ -165,15 +165,15 @@
 		if !c.begun {
 			c.begun, c.since = true, c.server.engine.Now()
 		}
-		size, whole, err := c.reader.Read(c.link.Input.Linear())
+		size, complete, err := c.reader.Read(c.link.Input.Linear())
 		if err != nil {
 			c.RejectUnreadable(err)
 			return
 		}
-		if !whole && c.beginStreaming() {
+		if !complete && c.beginStreaming() {
 			return
 		}
-		if !whole {
+		if !complete {
 			if c.link.Input.Available() == 0 {
 				c.RejectUnreadable(http1.ErrBody)
 			} else if c.link.Full() {
--- a/internal/proxy/downstream/server_test.go
+++ b/internal/proxy/downstream/server_test.go
@@ -20,11 +20,11 @@
 func (g greeter) Take(c *Client) { c.Answer(answer.Up) }
 func (greeter) Left(slots.Ref)   {}
 
-// late is a due time.
-type late func()
+// alarmFunc is a function as an eventloop.Alarm.
+type alarmFunc func()
 
-func (late) Live(uint32) bool { return true }
-func (l late) Due(uint32)     { l() }
+func (alarmFunc) Live(uint32) bool { return true }
+func (a alarmFunc) Due(uint32)     { a() }
 
 // A node that stood still looks at its clients only after it has read what came meanwhile: half a request whose rest lies
 // unread is no client that keeps silent. Nobody waits: a due time of an hour ago is what a standstill leaves.
@@ -50,7 +50,7 @@
 		c.Write([]byte("GET /up HTTP/1.1\r\nHo"))
 		<-begun
 		e.Turn(func() {
-			e.At(e.Now()-time.Hour, late(func() {
+			e.At(e.Now()-time.Hour, alarmFunc(func() {
 				in.clients.Each(func(_ slots.Ref, c *Client) { c.since -= time.Hour })
 				c.Write([]byte("st: a\r\n\r\n")) // it can't be read before this turn is over
 				in.Due(0)
--- a/internal/proxy/downstream/streaming.go
+++ b/internal/proxy/downstream/streaming.go
@@ -58,8 +58,8 @@
 // Flows tells whether the body is streamed.
 func (c *Client) Flows() bool { return c.streaming }
 
-// Part appends what has come of a streamed body; whole: that was the last. After an error the rest can't be read.
-func (c *Client) Part(b []byte) (out []byte, whole bool, err error) {
+// Part appends what has come of a streamed body; complete: that was the last. After an error the rest can't be read.
+func (c *Client) Part(b []byte) (out []byte, complete bool, err error) {
 	for !c.reader.Done() && !c.link.IsClosed() {
 		if c.link.Input.Len() == 0 {
 			break
@@ -106,8 +106,8 @@
 
 // End writes the end of a streamed answer, or closes the connection if the answer is not complete, so that the client can
 // tell.
-func (c *Client) End(whole bool, last []byte) {
-	if !whole {
+func (c *Client) End(complete bool, last []byte) {
+	if !complete {
 		c.txn = 0
 		c.close()
 		return
--- a/internal/proxy/eventloop/engine.go
+++ b/internal/proxy/eventloop/engine.go
@@ -245,5 +245,5 @@
 // Addr is the first address that is listened on.
 func (e *Engine) Addr() string { return e.AddrOf(0) }
 
-// AddrOf is the address of listener nr, in the order of listening, as the system assigned it.
-func (e *Engine) AddrOf(nr int) string { return e.listeners[nr].Listener.Addr().String() }
+// AddrOf is the address of listener i, in the order of listening, as the system assigned it.
+func (e *Engine) AddrOf(i int) string { return e.listeners[i].Listener.Addr().String() }
--- a/internal/proxy/eventloop/listen.go
+++ b/internal/proxy/eventloop/listen.go
@@ -76,14 +76,14 @@
 
 // StopListening refuses new connections at all addresses from now on.
 func (e *Engine) StopListening() {
-	for nr := range e.listeners {
-		e.StopListeningAt(nr)
+	for i := range e.listeners {
+		e.StopListeningAt(i)
 	}
 }
 
-// StopListeningAt refuses new connections at listener nr, in the order of listening.
-func (e *Engine) StopListeningAt(nr int) {
-	if a := e.listeners[nr]; !a.stopped.Swap(true) {
+// StopListeningAt refuses new connections at listener i, in the order of listening.
+func (e *Engine) StopListeningAt(i int) {
+	if a := e.listeners[i]; !a.stopped.Swap(true) {
 		a.Listener.Close()
 	}
 }
--- a/internal/proxy/eventloop/numbers_test.go
+++ b/internal/proxy/eventloop/numbers_test.go
@@ -13,25 +13,28 @@
 	"github.com/shoenig/test/must"
 )
 
-// said is an owner that keeps what came.
-type said struct {
+// recordingOwner is an owner that keeps what came.
+type recordingOwner struct {
 	l      *Link
 	came   chan string
 	closed bool
 }
 
-func (s *said) Data()   { s.came <- string(s.l.Input.Linear()); s.l.Input.Drop(s.l.Input.Len()) }
-func (s *said) Sent()   {}
-func (s *said) Closed() { s.closed = true }
+func (r *recordingOwner) Data() {
+	r.came <- string(r.l.Input.Linear())
+	r.l.Input.Drop(r.l.Input.Len())
+}
+func (r *recordingOwner) Sent()   {}
+func (r *recordingOwner) Closed() { r.closed = true }
 
-func own(l *Link) *said {
-	s := &said{l: l, came: make(chan string, 10)}
+func newRecordingOwner(l *Link) *recordingOwner {
+	s := &recordingOwner{l: l, came: make(chan string, 10)}
 	l.SetOwner(s)
 	return s
 }
 
-// plugBelow takes all free descriptors below one.
-func plugBelow(t *testing.T, fd int) {
+// occupyDescriptorsBelow takes all free descriptors below one.
+func occupyDescriptorsBelow(t *testing.T, fd int) {
 	for {
 		p, err := syscall.Dup(0)
 		must.NoError(t, err)
@@ -50,7 +53,7 @@
 		reuseAtOnce = fault
 		e := New("127.0.0.1:0", 256, 64<<10, 1<<20)
 		links := make(chan *Link, 3)
-		e.OnAccept(func(l *Link) { own(l); links <- l })
+		e.OnAccept(func(l *Link) { newRecordingOwner(l); links <- l })
 		var hook atomic.Value
 		hook.Store(e.readable)
 		e.poll.OnRead(func(c *nbio.Conn) { hook.Load().(func(*nbio.Conn))(c) })
@@ -73,7 +76,7 @@
 		must.NoError(t, err)
 		<-links
 
-		step, barrier, late := 0, make(chan bool, 1), make(chan *said, 2)
+		step, barrier, late := 0, make(chan bool, 1), make(chan *recordingOwner, 2)
 		hook.Store(func(c *nbio.Conn) {
 			switch {
 			case c == l[0].conn && step == 0:
@@ -84,13 +87,13 @@
 				barrier <- true
 			case c == l[1].conn && step == 1:
 				step = 2
-				plugBelow(t, l[2].conn.Hash())
+				occupyDescriptorsBelow(t, l[2].conn.Hash())
 				e.Turn(func() { l[2].Close() })
 				peer.Write([]byte("hello"))
 				n := e.newLink()
 				e.Turn(func() { e.open++ })
 				e.dialEnded(n, dialed, nil, func(bool) {
-					s := own(n)
+					s := newRecordingOwner(n)
 					late <- s
 					late <- s
 				})
@@ -100,7 +103,7 @@
 		})
 		next := func() { // one event, in a batch of its own
 			clients[0].Write([]byte("x"))
-			must.Eq(t, "x", <-l[0].owner.(*said).came)
+			must.Eq(t, "x", <-l[0].owner.(*recordingOwner).came)
 		}
 		next()
 		must.Eq(t, "hello", <-(<-late).came)
@@ -120,7 +123,7 @@
 func TestDescriptorOfFormerLife(t *testing.T) {
 	e := New("127.0.0.1:0", 256, 64<<10, 1<<20)
 	links := make(chan *Link, 1)
-	e.OnAccept(func(l *Link) { own(l); links <- l })
+	e.OnAccept(func(l *Link) { newRecordingOwner(l); links <- l })
 	must.NoError(t, e.Start())
 	defer e.Stop()
 	defer func() { skipAliveCheck = false }()
--- a/internal/proxy/gate/front.go
+++ b/internal/proxy/gate/front.go
@@ -28,16 +28,16 @@
 	Flows(who, txn slots.Ref) bool
 	// BodyConsumed tells that some of the body has been taken, so that the request can't be sent again.
 	BodyConsumed(who, txn slots.Ref) bool
-	// Part appends what has come of the body. whole: that was the last of it; not ok: the rest never comes.
-	Part(b []byte, who, txn slots.Ref) (out []byte, whole, ok bool)
+	// Part appends what has come of the body. complete: that was the last of it; not ok: the rest never comes.
+	Part(b []byte, who, txn slots.Ref) (out []byte, complete, ok bool)
 	// Begin takes the head of an answer. It returns false if the answer can't be streamed.
 	Begin(who, txn slots.Ref, o Outcome) bool
 	// Writable is how many bytes of the answer the client takes now; below 0: nobody waits.
 	Writable(who, txn slots.Ref) int
 	// Pass gives the next bytes of the answer.
 	Pass(who, txn slots.Ref, part []byte)
-	// End ends the answer. One that is not complete (whole) must be recognizable as such to the client.
-	End(who, txn slots.Ref, whole bool)
+	// End ends the answer. One that is not complete must be recognizable as such to the client.
+	End(who, txn slots.Ref, complete bool)
 }
 
 // Message is a txn's request as it is sent to backends. It is empty once the client has left.
@@ -78,6 +78,6 @@
 }
 
 // Part appends what has come of a streamed body: see Streamer.
-func (m Message) Part(b []byte) (out []byte, whole, ok bool) {
+func (m Message) Part(b []byte) (out []byte, complete, ok bool) {
 	return m.front.(Streamer).Part(b, m.who, m.txn)
 }
--- a/internal/proxy/gate/gate.go
+++ b/internal/proxy/gate/gate.go
@@ -21,10 +21,10 @@
 	TxnArrived(control.Txn)
 	ClientLeft(control.TxnID)
 	// SubmissionEnded reports the one outcome of an attempt; over: the txn has been answered.
-	SubmissionEnded(id control.TxnID, nr int, at control.BackendID, e control.Ending, over bool, took time.Duration,
+	SubmissionEnded(id control.TxnID, attempt int, at control.BackendID, e control.Ending, over bool, took time.Duration,
 		load []float64)
-	// EndpointsChanged: the list is the complete one (whole) or has only what changed.
-	EndpointsChanged(whole bool, list []control.Endpoint)
+	// EndpointsChanged: the list is complete, or has only what changed.
+	EndpointsChanged(complete bool, list []control.Endpoint)
 	DatagramReceived(from control.GatewayID, payload []byte)
 	ProbeEnded(at control.BackendID, good bool, took time.Duration, load []float64)
 	// Woken: the time that a Wake decision asked for has come.
@@ -34,10 +34,11 @@
 
 // Sender carries attempts to backends, and reports the outcome of each to Gate.Ended exactly once.
 type Sender interface {
-	// Submit sends attempt nr of a txn. limit bounds it as a whole, whole the answer from its first byte on (0: not).
-	Submit(txn slots.Ref, nr int, m Message, to control.BackendID, limit, whole time.Duration)
-	// Recall cancels attempt nr if it is in flight.
-	Recall(txn slots.Ref, nr int)
+	// Submit sends an attempt of a txn. limit bounds it, answerTimeout its answer from the first
+	// byte on (0: not).
+	Submit(txn slots.Ref, attempt int, m Message, to control.BackendID, limit, answerTimeout time.Duration)
+	// Recall cancels an attempt if it is in flight.
+	Recall(txn slots.Ref, attempt int)
 	Probe(at control.BackendID)
 }
 
@@ -51,8 +52,8 @@
 
 // Watcher observes the steps of txns, for histories that operators ask for. It is optional.
 type Watcher interface {
-	Sent(txn slots.Ref, id string, nr int, to control.BackendID)
-	Ended(txn slots.Ref, nr int, at control.BackendID, how control.Ending)
+	Sent(txn slots.Ref, id string, attempt int, to control.BackendID)
+	Ended(txn slots.Ref, attempt int, at control.BackendID, how control.Ending)
 	Final(txn slots.Ref, id string, how control.Action)
 }
 
@@ -61,10 +62,10 @@
 	ID(who, txn slots.Ref) string
 }
 
-// Clock gives the time of the current turn, and calls Gate.Due with nr at the time given to Wake.
+// Clock gives the time of the current turn, and calls Gate.Due with sequence at the time given to Wake.
 type Clock interface {
 	Now() time.Duration
-	Wake(at time.Duration, nr uint32)
+	Wake(at time.Duration, sequence uint32)
 }
 
 // txn is a request in flight.
@@ -219,16 +220,16 @@
 }
 
 // Ended takes the one outcome of an attempt.
-func (g *Gate) Ended(ref slots.Ref, nr int, at control.BackendID, o Outcome) {
+func (g *Gate) Ended(ref slots.Ref, attempt int, at control.BackendID, o Outcome) {
 	t := g.txns.Get(ref)
-	invariant.That(t != nil && t.submitted && t.attempts == nr+1, "a submission ends once, while its txn is held")
-	if t == nil || !t.submitted || t.attempts != nr+1 {
+	invariant.That(t != nil && t.submitted && t.attempts == attempt+1, "a submission ends once, while its txn is held")
+	if t == nil || !t.submitted || t.attempts != attempt+1 {
 		return
 	}
 	t.submitted, t.mayHaveRun = false, t.mayHaveRun || mayHaveRun(o.Ending)
 	g.counters.Add(counters.EndAnswered + counters.ID(o.Ending))
 	if g.watcher != nil {
-		g.watcher.Ended(ref, nr, at, o.Ending)
+		g.watcher.Ended(ref, attempt, at, o.Ending)
 	}
 	over := t.answered
 	switch {
@@ -256,7 +257,7 @@
 		}
 	}
 	g.module.Now(g.clock.Now())
-	g.module.SubmissionEnded(control.TxnID(ref), nr, at, o.Ending, over, o.Took, o.Load)
+	g.module.SubmissionEnded(control.TxnID(ref), attempt, at, o.Ending, over, o.Took, o.Load)
 	g.drop(ref, t)
 }
 
@@ -285,9 +286,9 @@
 }
 
 // EndpointsChanged takes an update of the endpoint list.
-func (g *Gate) EndpointsChanged(whole bool, list []control.Endpoint) {
+func (g *Gate) EndpointsChanged(complete bool, list []control.Endpoint) {
 	g.module.Now(g.clock.Now())
-	g.module.EndpointsChanged(whole, list)
+	g.module.EndpointsChanged(complete, list)
 }
 
 // DatagramReceived takes a peer's message.
@@ -303,7 +304,7 @@
 }
 
 // Live reports whether an alarm is the newest: the module asks anew whenever something is due earlier.
-func (g *Gate) Live(nr uint32) bool { return nr == g.wakeSequence }
+func (g *Gate) Live(sequence uint32) bool { return sequence == g.wakeSequence }
 
 // Due wakes the module; RunDecisions at the end of the turn does the rest.
 func (g *Gate) Due(uint32) { g.module.Woken(0) }
--- a/internal/proxy/http1/http1.go
+++ b/internal/proxy/http1/http1.go
@@ -91,9 +91,9 @@
 	*r = Reader{response: r.response, maxHead: r.maxHead, maxBody: r.maxBody, headers: r.headers[:0]}
 }
 
-// Read parses b, all bytes from the message's first on. Once the message is complete (whole), size is how many bytes it takes.
+// Read parses b, all bytes from the message's first on. Once the message is complete, size is how many bytes it takes.
 // A chunked body is assembled in place.
-func (r *Reader) Read(b []byte) (size int, whole bool, err error) {
+func (r *Reader) Read(b []byte) (size int, complete bool, err error) {
 	if r.state == inHead {
 		end, err := r.head(b)
 		if err != nil || end == 0 {
@@ -109,7 +109,7 @@
 			}
 			r.body.end = r.body.start + r.length
 			r.offset = r.body.end
-		} else if whole, err := r.chunks(b); !whole || err != nil {
+		} else if complete, err := r.chunks(b); !complete || err != nil {
 			return 0, false, err
 		}
 		r.state = done
@@ -343,24 +343,24 @@
 	r.body.start, r.body.end = 0, r.body.end-r.seen
 }
 
-// Part returns the part of a streamed body that is in b, and how many bytes of b it used: the next call gets the bytes after them. whole:
+// Part returns the part of a streamed body that is in b, and how many bytes of b it used: the next call gets the bytes after them. complete:
 // the body ends there. A chunked body is assembled in place.
-func (r *Reader) Part(b []byte) (part []byte, used int, whole bool, err error) {
+func (r *Reader) Part(b []byte) (part []byte, used int, complete bool, err error) {
 	if r.chunked {
-		if whole, err = r.chunks(b); err != nil {
+		if complete, err = r.chunks(b); err != nil {
 			return nil, 0, false, err
 		}
 		part, used = r.body.of(b), r.offset
 	} else {
 		used = min(len(b), r.length-r.streamed)
-		part, whole = b[:used], r.streamed+used == r.length
+		part, complete = b[:used], r.streamed+used == r.length
 	}
 	r.streamed += len(part)
 	r.offset, r.body = 0, span{}
-	if whole {
+	if complete {
 		r.state = done
 	}
-	return part, used, whole, nil
+	return part, used, complete, nil
 }
 
 // Done tells that the message has been read to its end.
@@ -379,7 +379,7 @@
 func (r *Reader) Reason(b []byte) []byte { return r.startLine[2].of(b) }
 
 // Headed tells whether the head is complete, and how many bytes it takes.
-func (r *Reader) Headed() (size int, whole bool) {
+func (r *Reader) Headed() (size int, complete bool) {
 	if r.state == inHead {
 		return 0, false
 	}
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -163,15 +163,15 @@
 	}
 	for {
 		b := c.link.Input.Linear()
-		size, whole, err := c.reader.Read(b)
+		size, complete, err := c.reader.Read(b)
 		if err != nil {
 			c.dispatch.badAnswer(ref, s)
 			return
 		}
-		if !whole && c.beginStreaming(ref, s, b) {
+		if !complete && c.beginStreaming(ref, s, b) {
 			return
 		}
-		if !whole {
+		if !complete {
 			if c.link.Full() {
 				c.dispatch.badAnswer(ref, s)
 			} else if len(b) > 0 && s.answerDeadline == 0 && s.answerTimeout > 0 {
--- a/internal/proxy/upstream/fence.go
+++ b/internal/proxy/upstream/fence.go
@@ -22,8 +22,8 @@
 // disabledChecks disables protections; only tests set it.
 var disabledChecks struct{ passed, first, sameID, unread bool }
 
-// send hands bytes of an attempt to its connection; whole: no more will follow. An attempt goes over one connection.
-func (c *conn) send(s *submission, b []byte, whole bool) bool {
+// send hands bytes of an attempt to its connection; complete: no more will follow. An attempt goes over one connection.
+func (c *conn) send(s *submission, b []byte, complete bool) bool {
 	f := &s.transmission
 	first := f.conn == 0 && c.link.Unwritten() == 0
 	may := s.conn == c && (first || f.conn == c.ref) && !f.complete
@@ -35,7 +35,7 @@
 		f.conn, f.link, f.writtenBefore = c.ref, c.link, c.link.Written()
 	}
 	f.sent += len(b)
-	f.complete = whole
+	f.complete = complete
 	return c.link.Send(b)
 }
 
--- a/internal/proxy/upstream/orders_test.go
+++ b/internal/proxy/upstream/orders_test.go
@@ -28,21 +28,21 @@
 // All orders of a few things that may befall a request that runs at most once, on real sockets; judged by what the backends
 // saw. Nothing waits for time: each thing that happened is read before the next does.
 
-// backend takes connections and keeps all that came on each.
-type fixture struct {
-	ln    net.Listener
-	mu    sync.Mutex
-	more  *sync.Cond
-	conns []*net.TCPConn
-	saw   []*bytes.Buffer
-	reads bool // else it leaves what comes in the socket
-	ended int
-}
-
-func newFixture(t *testing.T, reads bool) *fixture {
+// fakeBackend accepts connections and keeps all that came on each.
+type fakeBackend struct {
+	listener net.Listener
+	mu       sync.Mutex
+	more     *sync.Cond
+	conns    []*net.TCPConn
+	received []*bytes.Buffer
+	reads    bool // else it leaves what comes in the socket
+	ended    int
+}
+
+func newFakeBackend(t *testing.T, reads bool) *fakeBackend {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	b := &fixture{ln: ln, reads: reads}
+	b := &fakeBackend{listener: ln, reads: reads}
 	b.more = sync.NewCond(&b.mu)
 	go func() {
 		for {
@@ -52,7 +52,7 @@
 			}
 			b.mu.Lock()
 			nr := len(b.conns)
-			b.conns, b.saw = append(b.conns, c.(*net.TCPConn)), append(b.saw, &bytes.Buffer{})
+			b.conns, b.received = append(b.conns, c.(*net.TCPConn)), append(b.received, &bytes.Buffer{})
 			b.more.Broadcast()
 			b.mu.Unlock()
 			go b.read(c, nr)
@@ -61,7 +61,7 @@
 	return b
 }
 
-func (f *fixture) read(c net.Conn, nr int) {
+func (f *fakeBackend) read(c net.Conn, nr int) {
 	p := make([]byte, 256<<10)
 	for {
 		f.mu.Lock()
@@ -71,7 +71,7 @@
 		f.mu.Unlock()
 		n, err := c.Read(p)
 		f.mu.Lock()
-		f.saw[nr].Write(p[:n])
+		f.received[nr].Write(p[:n])
 		if err != nil {
 			f.ended++
 		}
@@ -84,8 +84,8 @@
 	}
 }
 
-// until waits for something that this backend sees.
-func (f *fixture) until(see func() bool) {
+// waitUntil waits for something that this backend sees.
+func (f *fakeBackend) waitUntil(see func() bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for !see() {
@@ -93,51 +93,53 @@
 	}
 }
 
-func (f *fixture) readsOn() {
+func (f *fakeBackend) startReading() {
 	f.mu.Lock()
 	f.reads = true
 	f.more.Broadcast()
 	f.mu.Unlock()
 }
 
-// asker is a front with clients that each have an id and what they were told.
-type asker struct {
-	told map[slots.Ref][]string
-	body []byte
-	same bool // all choose the same id
-	gone map[slots.Ref]bool
+// fakeFront is a front with clients that each have an id and what they were told.
+type fakeFront struct {
+	answers map[slots.Ref][]string
+	body    []byte
+	sameID  bool // all choose the same id
+	left    map[slots.Ref]bool
 }
 
-func (a *asker) say(txn slots.Ref, what string) { a.told[txn] = append(a.told[txn], what) }
-func (a *asker) Complete(_, txn slots.Ref, o gate.Outcome) {
-	a.say(txn, "answer "+string(o.Body))
+func (f *fakeFront) record(txn slots.Ref, what string) { f.answers[txn] = append(f.answers[txn], what) }
+func (f *fakeFront) Complete(_, txn slots.Ref, o gate.Outcome) {
+	f.record(txn, "answer "+string(o.Body))
 }
-func (a *asker) Reject(_, txn slots.Ref, _ time.Duration, _ control.Reason) { a.say(txn, "refused") }
-func (a *asker) Fail(_, txn slots.Ref, _ control.Reason)                    { a.say(txn, "void") }
-func (a *asker) Once(_, _ slots.Ref) bool                                   { return true }
-func (a *asker) ID(_, txn slots.Ref) string {
-	if a.same {
+func (f *fakeFront) Reject(_, txn slots.Ref, _ time.Duration, _ control.Reason) {
+	f.record(txn, "refused")
+}
+func (f *fakeFront) Fail(_, txn slots.Ref, _ control.Reason) { f.record(txn, "void") }
+func (f *fakeFront) Once(_, _ slots.Ref) bool                { return true }
+func (f *fakeFront) ID(_, txn slots.Ref) string {
+	if f.sameID {
 		return "same"
 	}
 	return fmt.Sprint("id", txn)
 }
-func (a *asker) waits(txn slots.Ref) bool { return len(a.told[txn]) == 0 && !a.gone[txn] }
-func (a *asker) AppendTo(b []byte, _, txn slots.Ref, _ control.BackendID, _ time.Duration) []byte {
-	if !a.waits(txn) {
+func (f *fakeFront) isWaiting(txn slots.Ref) bool { return len(f.answers[txn]) == 0 && !f.left[txn] }
+func (f *fakeFront) AppendTo(b []byte, _, txn slots.Ref, _ control.BackendID, _ time.Duration) []byte {
+	if !f.isWaiting(txn) {
 		return b
 	}
-	b = append(b, "POST / HTTP/1.1\r\nHost: a\r\nX-Attempt-Id: "+a.ID(0, txn)+"\r\n"...)
-	b = http1.AppendNumber(b, "Content-Length", len(a.body))
-	return append(append(b, "\r\n"...), a.body...)
+	b = append(b, "POST / HTTP/1.1\r\nHost: a\r\nX-Attempt-Id: "+f.ID(0, txn)+"\r\n"...)
+	b = http1.AppendNumber(b, "Content-Length", len(f.body))
+	return append(append(b, "\r\n"...), f.body...)
 }
 
-// echoes is a dialect that matches answers by their id.
-type echoes struct{ blind bool }
+// idDialect is a dialect that matches answers by their id.
+type idDialect struct{ blind bool }
 
-func (echoes) Wary() bool { return true }
-func (e echoes) Read(x Request, r *http1.Reader, b []byte) Meaning {
+func (idDialect) Wary() bool { return true }
+func (i idDialect) Read(x Request, r *http1.Reader, b []byte) Meaning {
 	id, _ := r.Get(b, "x-attempt-id")
-	if string(id) != x.ID && !e.blind {
+	if string(id) != x.ID && !i.blind {
 		return Meaning{Other: true}
 	}
 	if r.Status() == 421 {
@@ -146,11 +148,11 @@
 	return Meaning{Ending: control.Succeeded}
 }
 
-// hands is the clock of the gate and the office, moved by the test alone.
-type hands struct{ now time.Duration }
+// manualClock is the clock of the gate and of admission, moved by the test alone.
+type manualClock struct{ now time.Duration }
 
-func (h *hands) Now() time.Duration         { return h.now }
-func (h *hands) Wake(time.Duration, uint32) {}
+func (m *manualClock) Now() time.Duration         { return m.now }
+func (m *manualClock) Wake(time.Duration, uint32) {}
 
 // watcher keeps how submissions ended.
 type watcher struct{ ends []control.Ending }
@@ -163,81 +165,81 @@
 
 // scenario is a node of the parts that requests pass, with two backends.
 type scenario struct {
-	t     *testing.T
-	e     *eventloop.Engine
-	d     *Dispatch
-	g     *gate.Gate
-	a     *asker
-	w     *watcher
-	hands *hands
-	at    [2]*fixture
-	first int // the backend that the request went to first
-	rung  chan bool
+	t        *testing.T
+	engine   *eventloop.Engine
+	dispatch *Dispatch
+	gate     *gate.Gate
+	front    *fakeFront
+	watcher  *watcher
+	clock    *manualClock
+	backends [2]*fakeBackend
+	first    int // the backend that the request went to first
+	alarms   chan bool
 }
 
 func (s *scenario) Live(uint32) bool { return true }
-func (s *scenario) Due(uint32)       { s.rung <- true }
+func (s *scenario) Due(uint32)       { s.alarms <- true }
 
 // read waits until the poller has taken all that was there: a due time comes behind it.
 func (s *scenario) read() {
-	s.e.Turn(func() { s.e.At(s.e.Now(), s, 0) })
-	<-s.rung
+	s.engine.Turn(func() { s.engine.At(s.engine.Now(), s, 0) })
+	<-s.alarms
 }
 
 func newScenario(t *testing.T, e *eventloop.Engine, dialect Dialect, body, tries int) *scenario { // as many backends as tries
-	s := &scenario{t: t, e: e, hands: &hands{now: time.Hour}, w: &watcher{}, rung: make(chan bool, 1),
-		a: &asker{told: map[slots.Ref][]string{}, gone: map[slots.Ref]bool{}, body: make([]byte, body)}}
+	s := &scenario{t: t, engine: e, clock: &manualClock{now: time.Hour}, watcher: &watcher{}, alarms: make(chan bool, 1),
+		front: &fakeFront{answers: map[slots.Ref][]string{}, left: map[slots.Ref]bool{}, body: make([]byte, body)}}
 	quota := quota.NewLimiter(1, 0, 1, time.Hour, quota.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
 		DatagramsPerSecond: 100})
 	o := admission.New(1, admission.Config{RetryRatio: 1, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: 1}, quota, time.Hour)
 	o.SetRoute(1, admission.Route{Effectful: true, LatencyTarget: time.Minute, MaxAttempts: tries, Targets: []admission.Target{{Service: 1, Weight: 1}}})
-	s.g = gate.New(o, s.hands, 100, &counters.Set{}, zap.NewNop())
-	s.g.SetWatcher(s.w)
-	s.e.Turn(func() {
-		s.d = New(e, s.g, Config{Dialect: dialect, IdleTimeout: time.Hour, MinIdle: 1, DialTimeout: time.Minute}, func() bool { return false })
-		s.g.SetTransport(s.d, nil)
-		for i := range s.at {
-			if s.at[i] = newFixture(t, body < 1<<20); i >= tries {
+	s.gate = gate.New(o, s.clock, 100, &counters.Set{}, zap.NewNop())
+	s.gate.SetWatcher(s.watcher)
+	s.engine.Turn(func() {
+		s.dispatch = New(e, s.gate, Config{Dialect: dialect, IdleTimeout: time.Hour, MinIdle: 1, DialTimeout: time.Minute}, func() bool { return false })
+		s.gate.SetTransport(s.dispatch, nil)
+		for i := range s.backends {
+			if s.backends[i] = newFakeBackend(t, body < 1<<20); i >= tries {
 				continue
 			}
 			id := control.BackendID(i + 1)
-			s.d.SetBackend(id, s.at[i].ln.Addr().String(), 0, true)
-			s.g.EndpointsChanged(false, []control.Endpoint{{ID: id, State: control.Ready, Capacity: 4, Service: 1}})
+			s.dispatch.SetBackend(id, s.backends[i].listener.Addr().String(), 0, true)
+			s.gate.EndpointsChanged(false, []control.Endpoint{{ID: id, State: control.Ready, Capacity: 4, Service: 1}})
 		}
-		s.hands.now += 30 * time.Second // tokens have come in
-		s.g.RunDecisions()
+		s.clock.now += 30 * time.Second // tokens have come in
+		s.gate.RunDecisions()
 	})
 	return s
 }
 
 func (s *scenario) take() (txn slots.Ref) {
-	s.e.Turn(func() {
-		txn, _ = s.g.Take(control.Txn{Product: 1, Units: 1, SetWidth: 1, Expiry: s.hands.now + time.Hour}, s.a, 1)
-		s.g.RunDecisions()
+	s.engine.Turn(func() {
+		txn, _ = s.gate.Take(control.Txn{Product: 1, Units: 1, SetWidth: 1, Expiry: s.clock.now + time.Hour}, s.front, 1)
+		s.gate.RunDecisions()
 	})
 	return txn
 }
 
 func (s *scenario) ends() (n int) {
-	s.e.Turn(func() { n = len(s.w.ends) })
+	s.engine.Turn(func() { n = len(s.watcher.ends) })
 	return n
 }
 
-func (s *scenario) told(txn slots.Ref) (told []string) {
-	s.e.Turn(func() { told = slices.Clone(s.a.told[txn]) })
+func (s *scenario) answersTo(txn slots.Ref) (told []string) {
+	s.engine.Turn(func() { told = slices.Clone(s.front.answers[txn]) })
 	return told
 }
 
 // newest is the connection that came last.
-func (f *fixture) newest() *net.TCPConn {
+func (f *fakeBackend) newest() *net.TCPConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.conns[len(f.conns)-1]
 }
 
-// settled tells whether the request has its end and nothing is out.
-func (s *scenario) settled() (is bool) {
-	s.e.Turn(func() { s.g.RunDecisions(); is = s.g.InFlight() == 0 })
+// isQuiet tells whether the request has its end and nothing is out.
+func (s *scenario) isQuiet() (is bool) {
+	s.engine.Turn(func() { s.gate.RunDecisions(); is = s.gate.InFlight() == 0 })
 	return is
 }
 
@@ -245,10 +247,10 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// happen makes one thing happen on the newest connection that carries the request.
-func (s *scenario) happen(what byte, txn slots.Ref) {
-	b := s.at[s.first]
-	c, id := b.newest(), s.a.ID(0, txn)
+// apply makes one thing happen on the newest connection that carries the request.
+func (s *scenario) apply(what byte, txn slots.Ref) {
+	b := s.backends[s.first]
+	c, id := b.newest(), s.front.ID(0, txn)
 	switch what {
 	case 'a':
 		c.Write([]byte(answerTo(id, id)))
@@ -266,39 +268,39 @@
 	case 'f':
 		c.CloseWrite()
 	case 'r':
-		b.readsOn()
+		b.startReading()
 	case 't': // its deadline
-		s.e.Turn(func() {
-			s.hands.now += 2 * time.Hour
-			s.g.RunDecisions()
+		s.engine.Turn(func() {
+			s.clock.now += 2 * time.Hour
+			s.gate.RunDecisions()
 		})
 	case 'l': // an alarm of a former life of the slot
-		s.e.Turn(func() { s.d.limitAlarms.Due(uint32(s.d.byTxn[txn])) })
+		s.engine.Turn(func() { s.dispatch.limitAlarms.Due(uint32(s.dispatch.byTxn[txn])) })
 	case 'c':
-		s.e.Turn(func() {
-			s.a.gone[txn] = true
-			s.g.Left(txn)
+		s.engine.Turn(func() {
+			s.front.left[txn] = true
+			s.gate.Left(txn)
 		})
 	}
 	s.read()
 }
 
-// judge compares what was told with what the backends saw, once nothing can come any more.
-func (s *scenario) judge(txn slots.Ref, refusedBy int) error {
-	id := s.a.ID(0, txn)
+// check compares what was told with what the backends saw, once nothing can come any more.
+func (s *scenario) check(txn slots.Ref, refusedBy int) error {
+	id := s.front.ID(0, txn)
 	ran := 0
-	for _, b := range s.at {
-		b.readsOn()
-		b.ln.Close()
-		b.until(func() bool { return b.ended == len(b.conns) })
-		for _, saw := range b.saw {
+	for _, b := range s.backends {
+		b.startReading()
+		b.listener.Close()
+		b.waitUntil(func() bool { return b.ended == len(b.conns) })
+		for _, saw := range b.received {
 			if saw.Len() > 0 {
 				ran++
 			}
 		}
 	}
-	told, gone := s.told(txn), false
-	s.e.Turn(func() { gone = s.a.gone[txn] })
+	told, gone := s.answersTo(txn), false
+	s.engine.Turn(func() { gone = s.front.left[txn] })
 	switch {
 	case len(told) > 1:
 		return fmt.Errorf("told twice: %v", told)
@@ -314,8 +316,8 @@
 	return nil
 }
 
-// orders gives all orders of so many of some things.
-func orders(of string, most int, f func(string)) {
+// forEachOrder gives all orders of so many of some things.
+func forEachOrder(of string, most int, f func(string)) {
 	var walk func(done string)
 	walk = func(done string) {
 		f(done)
@@ -331,8 +333,8 @@
 	walk("")
 }
 
-// play lets things happen to a request, in this order.
-func play(t *testing.T, dialect Dialect, body int, order string) (err error) {
+// runOrder lets things happen to a request, in this order.
+func runOrder(t *testing.T, dialect Dialect, body int, order string) (err error) {
 	defer func() { // a check of a debug build finds it as well
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%v", r)
@@ -347,56 +349,56 @@
 	s.begins()
 	refused := 0
 	for _, what := range []byte(order) {
-		if s.settled() {
+		if s.isQuiet() {
 			break
 		}
 		ends := s.ends()
-		s.happen(what, txn)
+		s.apply(what, txn)
 		if what == 'l' && s.ends() > ends {
 			return fmt.Errorf("ended by an alarm that was not its own")
 		}
-		if s.ends() > ends && !s.settled() && s.out() { // it went to the other one
+		if s.ends() > ends && !s.isQuiet() && s.isInFlight() { // it went to the other one
 			s.begins()
 		}
 	}
-	if !s.settled() {
-		s.happen('t', txn)
+	if !s.isQuiet() {
+		s.apply('t', txn)
 	}
-	if !s.settled() { // its client is told, or has gone: what is out ends by its own limit
+	if !s.isQuiet() { // its client is told, or has gone: what is out ends by its own limit
 		e.Turn(func() {
-			s.d.submissions.Each(func(ref slots.Ref, x *submission) { s.d.giveUp(ref, x, control.TimedOut, control.Unreachable) })
-			s.g.RunDecisions()
+			s.dispatch.submissions.Each(func(ref slots.Ref, x *submission) { s.dispatch.giveUp(ref, x, control.TimedOut, control.Unreachable) })
+			s.gate.RunDecisions()
 		})
 	}
 	e.Turn(func() {
-		if len(s.w.ends) > 0 && s.w.ends[0] == control.Rejected {
+		if len(s.watcher.ends) > 0 && s.watcher.ends[0] == control.Rejected {
 			refused = 1
 		}
 	})
 	e.Stop()
-	return s.judge(txn, refused)
+	return s.check(txn, refused)
 }
 
-// out tells whether a submission is.
-func (s *scenario) out() (is bool) {
-	s.e.Turn(func() { is = s.d.submissions.Len() > 0 })
+// isInFlight tells whether a submission is.
+func (s *scenario) isInFlight() (is bool) {
+	s.engine.Turn(func() { is = s.dispatch.submissions.Len() > 0 })
 	return is
 }
 
 // begins waits until a backend has what it reads of the request, and finds which.
 func (s *scenario) begins() {
 	for s.first = 0; ; s.first = 1 - s.first {
-		b := s.at[s.first]
+		b := s.backends[s.first]
 		b.mu.Lock()
 		n := len(b.conns)
-		got := n > 0 && (!b.reads || b.saw[n-1].Len() >= len(s.a.body))
+		got := n > 0 && (!b.reads || b.received[n-1].Len() >= len(s.front.body))
 		b.mu.Unlock()
 		over := false
 		if got {
 			s.read()
-			s.e.Turn(func() {
+			s.engine.Turn(func() {
 				over = true
-				s.d.submissions.Each(func(_ slots.Ref, x *submission) {
+				s.dispatch.submissions.Each(func(_ slots.Ref, x *submission) {
 					if x.transmission.conn == 0 || int(x.backend.id) != s.first+1 {
 						over = false
 					}
@@ -420,9 +422,9 @@
 		if body > 0 { // written in part: half of it waits at this side
 			most = 1 + deep
 		}
-		orders(happenings, most, func(order string) {
+		forEachOrder(happenings, most, func(order string) {
 			n++
-			must.NoError(t, play(t, echoes{}, body, order), must.Sprint(body, order))
+			must.NoError(t, runOrder(t, idDialect{}, body, order), must.Sprint(body, order))
 		})
 		t.Log(body, n, "orders")
 	}
@@ -431,9 +433,9 @@
 // Each defence taken out is found.
 func TestFaults(t *testing.T) {
 	found := func(dialect Dialect, body int) (at string, n int) {
-		orders(happenings, 2, func(order string) {
+		forEachOrder(happenings, 2, func(order string) {
 			if at == "" {
-				if n++; play(t, dialect, body, order) != nil {
+				if n++; runOrder(t, dialect, body, order) != nil {
 					at = order
 				}
 			}
@@ -446,9 +448,9 @@
 		dialect Dialect
 		body    int
 	}{
-		{"what passed the fence is taken for unsent", func(on bool) { disabledChecks.passed = on }, echoes{}, 0},
-		{"what is written in part is taken for unsent", func(on bool) { disabledChecks.first = on }, echoes{}, 12 << 20},
-		{"an answer of another id is taken", func(bool) {}, echoes{blind: true}, 0},
+		{"what passed the fence is taken for unsent", func(on bool) { disabledChecks.passed = on }, idDialect{}, 0},
+		{"what is written in part is taken for unsent", func(on bool) { disabledChecks.first = on }, idDialect{}, 12 << 20},
+		{"an answer of another id is taken", func(bool) {}, idDialect{blind: true}, 0},
 	} {
 		f.set(true)
 		began := time.Now()
@@ -469,11 +471,11 @@
 // callers asks twice, on one connection where that may be, lets the backend write before the second ask what stream
 // says, cut in two, and behind it the second's answer. It tells if a caller got what is not its own.
 func (s *scenario) callers(stream []int, cut int, same bool) error {
-	s.e.Turn(func() { s.a.same = same })
+	s.engine.Turn(func() { s.front.sameID = same })
 	one := s.take()
 	s.begins()
-	b := s.at[s.first]
-	id, next := s.a.ID(0, one), s.a.ID(0, one+1<<16) // the slot is used again
+	b := s.backends[s.first]
+	id, next := s.front.ID(0, one), s.front.ID(0, one+1<<16) // the slot is used again
 	var all string
 	for _, nr := range stream {
 		all += pieces(id, next)[nr]
@@ -485,38 +487,38 @@
 	c := b.newest()
 	c.Write([]byte(all[:cut]))
 	s.read()
-	early := s.settled()
+	early := s.isQuiet()
 	two := slots.Ref(0)
 	if early {
 		two = s.take()
 	}
 	c.Write([]byte(all[cut:]))
 	s.read()
-	if two == 0 && s.settled() {
+	if two == 0 && s.isQuiet() {
 		two = s.take()
 	}
-	for two != 0 && s.out() { // dialed, where the connection was given up
+	for two != 0 && s.isInFlight() { // dialed, where the connection was given up
 		s.begins()
-		if s.told(two) == nil {
-			s.at[s.first].newest().Write([]byte(answerTo(s.a.ID(0, two), "own")))
+		if s.answersTo(two) == nil {
+			s.backends[s.first].newest().Write([]byte(answerTo(s.front.ID(0, two), "own")))
 			s.read()
 		}
-		if s.out() {
+		if s.isInFlight() {
 			break
 		}
 	}
 	for _, txn := range []slots.Ref{one, two} {
-		if txn != 0 && !s.settled() {
-			s.happen('t', txn)
+		if txn != 0 && !s.isQuiet() {
+			s.apply('t', txn)
 		}
 	}
-	if told := s.told(one); len(told) != 1 || strings.HasPrefix(told[0], "answer") && told[0] != "answer "+id && (!same || told[0] != "answer stolen") {
+	if told := s.answersTo(one); len(told) != 1 || strings.HasPrefix(told[0], "answer") && told[0] != "answer "+id && (!same || told[0] != "answer stolen") {
 		return fmt.Errorf("the first was told %q", told)
 	}
 	if two == 0 {
 		return nil
 	}
-	if told := s.told(two); len(told) != 1 || strings.HasPrefix(told[0], "answer") && told[0] != "answer own" && (same || told[0] != "answer stolen") {
+	if told := s.answersTo(two); len(told) != 1 || strings.HasPrefix(told[0], "answer") && told[0] != "answer own" && (same || told[0] != "answer stolen") {
 		return fmt.Errorf("the second was told %q", told)
 	}
 	return nil
@@ -533,7 +535,7 @@
 			err = fmt.Errorf("%v", r)
 		}
 	}()
-	orders("012345", most, func(order string) {
+	forEachOrder("012345", most, func(order string) {
 		var stream []int
 		for _, x := range order {
 			stream = append(stream, int(x-'0'))
@@ -556,7 +558,7 @@
 		}
 	})
 	e.Turn(func() {
-		for _, told := range s.a.told {
+		for _, told := range s.front.answers {
 			if strings.HasPrefix(told[0], "answer") {
 				answered++
 			}
@@ -567,16 +569,16 @@
 
 // Nothing of an answer in pieces, with surplus bytes, doubled, or of another id goes to another caller.
 func TestOwnAnswersOnly(t *testing.T) {
-	n, answered, err := streams(t, echoes{}, 2+deep, 17)
+	n, answered, err := streams(t, idDialect{}, 2+deep, 17)
 	must.NoError(t, err)
 	must.Greater(t, n/2, answered)
 	t.Log(n, "streams,", answered, "answers")
 	disabledChecks.sameID = true
-	n, _, err = streams(t, echoes{}, 2, 17)
+	n, _, err = streams(t, idDialect{}, 2, 17)
 	disabledChecks.sameID = false
 	must.Error(t, err)
 	t.Log("two callers of one id on one connection: found after", n, err)
-	n, _, err = streams(t, echoes{blind: true}, 2, 17)
+	n, _, err = streams(t, idDialect{blind: true}, 2, 17)
 	must.Error(t, err)
 	t.Log("ids not looked at: found after", n, err)
 }
@@ -588,30 +590,30 @@
 		disabledChecks.unread = fault
 		e := eventloop.New("", 1024, 64<<10, 1<<30)
 		must.NoError(t, e.Start())
-		s := newScenario(t, e, echoes{}, 0, 1)
+		s := newScenario(t, e, idDialect{}, 0, 1)
 		txn := s.take()
 		s.begins()
-		s.happen('p', txn)
+		s.apply('p', txn)
 		e.Turn(func() {
-			e.At(e.Now()-time.Hour, late(func() {
-				ref := s.d.byTxn[txn]
-				x := s.d.submissions.Get(ref)
+			e.At(e.Now()-time.Hour, alarmFunc(func() {
+				ref := s.dispatch.byTxn[txn]
+				x := s.dispatch.submissions.Get(ref)
 				x.answerTimeout, x.answerDeadline = time.Minute, e.Now()
-				id := s.a.ID(0, txn)
-				s.at[s.first].newest().Write([]byte(answerTo(id, id)[30:])) // it can't be read before this turn is over
-				s.d.partAlarms.Due(uint32(ref))
+				id := s.front.ID(0, txn)
+				s.backends[s.first].newest().Write([]byte(answerTo(id, id)[30:])) // it can't be read before this turn is over
+				s.dispatch.partAlarms.Due(uint32(ref))
 			}), 0)
 		})
-		for !s.settled() {
+		for !s.isQuiet() {
 			s.read()
 		}
-		must.Eq(t, fault, s.told(txn)[0] == "void")
+		must.Eq(t, fault, s.answersTo(txn)[0] == "void")
 		e.Stop()
 	}
 }
 
-// late is a due time.
-type late func()
+// alarmFunc is a function as an eventloop.Alarm.
+type alarmFunc func()
 
-func (late) Live(uint32) bool { return true }
-func (l late) Due(uint32)     { l() }
+func (alarmFunc) Live(uint32) bool { return true }
+func (a alarmFunc) Due(uint32)     { a() }
--- a/internal/proxy/upstream/streaming.go
+++ b/internal/proxy/upstream/streaming.go
@@ -34,16 +34,16 @@
 		if s == nil || s.conn != c || !s.streaming || s.transmission.conn == 0 || c.link.IsClosed() || c.link.Unwritten() >= maxUnwritten {
 			return
 		}
-		b, whole, ok := s.message.Part(c.dispatch.scratch[:0])
+		b, complete, ok := s.message.Part(c.dispatch.scratch[:0])
 		c.dispatch.scratch = b[:0]
 		if !ok { // the rest never comes
 			c.dispatch.giveUp(c.sub, s, control.ConnectionLost, control.NotSent)
 			return
 		}
-		if s.streaming = !whole; len(b) == 0 {
+		if s.streaming = !complete; len(b) == 0 {
 			return
 		}
-		c.send(s, b, whole)
+		c.send(s, b, complete)
 	}
 }
 
@@ -110,9 +110,9 @@
 	if head = c.link.Input.Head(); len(head) == 0 {
 		return false
 	}
-	part, used, whole, err := c.reader.Part(head)
-	if err == nil && used == 0 && !whole && len(head) < c.link.Input.Len() { // a chunk's size wraps in the ring
-		part, used, whole, err = c.reader.Part(c.link.Input.Linear())
+	part, used, complete, err := c.reader.Part(head)
+	if err == nil && used == 0 && !complete && len(head) < c.link.Input.Len() { // a chunk's size wraps in the ring
+		part, used, complete, err = c.reader.Part(c.link.Input.Linear())
 	}
 	if err != nil {
 		c.dispatch.badAnswer(ref, s)
@@ -125,7 +125,7 @@
 		return false
 	}
 	c.link.Input.Drop(used)
-	if whole {
+	if complete {
 		c.endStreaming(ref, s)
 		return false
 	}
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -14,7 +14,7 @@
 // Gate receives the outcome of each attempt, and streamed answers.
 type Gate interface {
 	// Ended takes the one outcome of an attempt; also of one whose answer was streamed.
-	Ended(txn slots.Ref, nr int, at control.BackendID, o gate.Outcome)
+	Ended(txn slots.Ref, attempt int, at control.BackendID, o gate.Outcome)
 	// Probed takes the outcome of a health check.
 	Probed(at control.BackendID, good bool, took time.Duration, load []float64)
 	// Begun takes the head of an answer that is streamed; false: nobody takes the rest.
@@ -165,20 +165,20 @@
 	})
 }
 
-// Submit sends attempt nr of a txn. However it ends, Gate.Ended is called once. limit bounds the attempt, whole its answer from
-// the first byte on (0: not).
-func (d *Dispatch) Submit(txn slots.Ref, nr int, m gate.Message, to control.BackendID, limit, whole time.Duration) {
+// Submit sends an attempt of a txn. However it ends, Gate.Ended is called once. limit bounds the attempt, answerTimeout its
+// answer from the first byte on (0: not).
+func (d *Dispatch) Submit(txn slots.Ref, attempt int, m gate.Message, to control.BackendID, limit, answerTimeout time.Duration) {
 	b := d.backends[to]
 	ref, s, ok := d.submissions.Add()
 	if b == nil || !b.ready || !ok { // nothing goes to a backend that drains, whatever the module decided
 		if ok {
 			d.submissions.Drop(ref)
 		}
-		d.gate.Ended(txn, nr, to, gate.Outcome{Ending: control.NotSent})
+		d.gate.Ended(txn, attempt, to, gate.Outcome{Ending: control.NotSent})
 		return
 	}
 	now := d.engine.Now()
-	*s = submission{txn: txn, attempt: nr, backend: b, message: m, started: now, deadline: now + limit, answerTimeout: whole}
+	*s = submission{txn: txn, attempt: attempt, backend: b, message: m, started: now, deadline: now + limit, answerTimeout: answerTimeout}
 	d.byTxn[txn] = ref
 	if c := d.reuse(b, false, m.ID()); c != nil {
 		d.engine.Count.Add(counters.Reused)
@@ -211,9 +211,9 @@
 }
 
 // Recall cancels an attempt and closes its connection.
-func (d *Dispatch) Recall(txn slots.Ref, nr int) {
+func (d *Dispatch) Recall(txn slots.Ref, attempt int) {
 	ref := d.byTxn[txn]
-	if s := d.submissions.Get(ref); s != nil && s.attempt == nr {
+	if s := d.submissions.Get(ref); s != nil && s.attempt == attempt {
 		d.giveUp(ref, s, control.Canceled, control.NotSent)
 	}
 }
