--- a/internal/gateway/node/call_errors.go
+++ b/internal/gateway/node/call_errors.go
@@ -6,7 +6,7 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Statuses of control calls: those of HTTP, as their callers get them. See controlapi.Unclear for one more.
+// Statuses of control calls: those of HTTP, as their callers get them. See controlapi.StatusAmbiguous for one more.
 const (
 	statusOK          = 200
 	statusInvalid     = 400 // the change is wrong, whatever is current
