--- a/internal/gateway/node/coordination.go
+++ b/internal/gateway/node/coordination.go
@@ -52,6 +52,14 @@
 	node *Node
 }
 
+// groupApplication is what the groups of this node order: the calls of its coordination service.
+func (n *Node) groupApplication() groups.Application {
+	if n.knobs.GroupApplications != nil {
+		return n.knobs.GroupApplications.NewApplication()
+	}
+	return groupsApplication{n.coordination, n}
+}
+
 // LeadershipLost logs that this node leads a group no longer, and notifies the service.
 func (g groupsApplication) LeadershipLost(id groups.ID, term uint64) {
 	g.node.logInfo(groupPart).Int("group", int(id)).Uint64("term", term).Msg("lost group leadership")
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -90,7 +90,7 @@
 	c.disk = &diskQueue{clock: n, disk: disk, onSynced: c.writeSynced}
 	c.replica = replication.New(c.self, stored, replication.DefaultConfig(), n.seed, n.now())
 	n.core = c
-	n.groups.open(n, disk.GroupLogs())
+	n.groups.open(groupConfig{n.groupApplication(), c.self, c.disk, n.seed, disk.GroupLogs()})
 	return nil
 }
 
--- a/internal/gateway/node/group_founding.go
+++ b/internal/gateway/node/group_founding.go
@@ -35,7 +35,7 @@
 // requestFounding has the groups founded, where the deployment's contracts or a call that came want it.
 func (g *groupHost) requestFounding() {
 	f, now := &g.founding, g.env.now()
-	if newGroupApplication == nil || g.founded || now-f.requestedAt < foundingRetryInterval || !g.env.mayTakeCalls() {
+	if g.founded || now-f.requestedAt < foundingRetryInterval || !g.env.mayTakeCalls() {
 		return
 	}
 	if f.wantedAt == 0 {
--- a/internal/gateway/node/group_host.go
+++ b/internal/gateway/node/group_host.go
@@ -16,9 +16,6 @@
 // maxGroupFrameBytes bounds the groups' messages in one frame.
 const maxGroupFrameBytes = 64 << 10
 
-// newGroupApplication makes what the groups order, at a node with a disk. Nil: there are no groups.
-var newGroupApplication = func(n *Node) groups.Application { return groupsApplication{n.coordination, n} }
-
 // groupHost runs this node's part in the coordination groups: a replica of each at a node with a disk, and everywhere what is known of
 // who leads them. It is a groups.Host. It is called in turns of the node.
 type groupHost struct {
@@ -34,7 +31,7 @@
 
 // groupEnv is what a groupHost needs of its node.
 type groupEnv interface {
-	now() time.Duration
+	replicaEnv
 	sendFrame(to string, f *Frame) bool
 	// mayTakeCalls reports whether this node's contact with a majority is recent enough to take calls.
 	mayTakeCalls() bool
@@ -65,17 +62,23 @@
 
 var _ groups.Host = (*groupHost)(nil)
 
+// groupConfig is what the replicas of the groups begin with, at a node with a disk.
+type groupConfig struct {
+	app    groups.Application
+	self   replication.Member
+	disk   *diskQueue
+	seed   int64 // each group's random numbers have a seed of their own, by this one
+	stored map[replication.LogID]replication.PersistentState
+}
+
 // open makes the replicas from what is on disk.
-func (g *groupHost) open(node *Node, stored map[replication.LogID]replication.PersistentState) {
-	if newGroupApplication == nil {
-		return
-	}
-	g.app, g.outbox = newGroupApplication(node), map[string][]groupMessage{}
+func (g *groupHost) open(config groupConfig) {
+	g.app, g.outbox = config.app, map[string][]groupMessage{}
 	g.leads = newLeadBalancer()
 	for i := range g.replicas {
-		state := stored[logID(groups.ID(i))]
-		g.founded = g.founded || state.ClusterID != 0
-		g.replicas[i] = newGroupReplica(node, g, groups.ID(i), state)
+		id := groups.ID(i)
+		g.founded = g.founded || config.stored[logID(id)].ClusterID != 0
+		g.replicas[i] = newGroupReplica(g, id, &config)
 	}
 }
 
--- a/internal/gateway/node/group_host_test.go
+++ b/internal/gateway/node/group_host_test.go
@@ -55,11 +55,16 @@
 	}
 }
 
+// listApplications makes them.
+type listApplications struct{}
+
+func (listApplications) NewApplication() groups.Application { return &listApplication{} }
+
 // useListApplication has all nodes of a test order lists.
 func useListApplication(t *testing.T) {
-	before := newGroupApplication
-	newGroupApplication = func(*Node) groups.Application { return &listApplication{} }
-	t.Cleanup(func() { newGroupApplication = before })
+	before := newNodeKnobs
+	newNodeKnobs.GroupApplications = listApplications{}
+	t.Cleanup(func() { newNodeKnobs = before })
 }
 
 // groupLeader gives the node that leads a group, once there is one.
--- a/internal/gateway/node/group_replica.go
+++ b/internal/gateway/node/group_replica.go
@@ -47,13 +47,13 @@
 }
 
 // newGroupReplica makes a group's replica from what is on disk.
-func newGroupReplica(node *Node, host *groupHost, id groups.ID, stored replication.PersistentState) *groupReplica {
-	core := node.core
-	stored.ID = core.self.ID
+func newGroupReplica(host *groupHost, id groups.ID, config *groupConfig) *groupReplica {
+	stored := config.stored[logID(id)]
+	stored.ID = config.self.ID
 	r := &groupReplica{host: host, id: id, machine: host.app.StateMachine(id), pending: map[uint64]groupRequest{},
 		snapshotBytes: len(stored.Snapshot.State)}
-	r.replicaHost = replicaHost{env: node, self: core.self, logID: logID(id), disk: core.disk, owner: r, ready: true}
-	r.replica = replication.New(r.self, stored, replication.GroupConfig(r.logID), node.seed+int64(id)+1, node.now())
+	r.replicaHost = replicaHost{env: host.env, self: config.self, logID: logID(id), disk: config.disk, owner: r, ready: true}
+	r.replica = replication.New(r.self, stored, replication.GroupConfig(r.logID), config.seed+int64(id)+1, host.env.now())
 	return r
 }
 
--- a/internal/gateway/node/testingknobs.go
+++ b/internal/gateway/node/testingknobs.go
@@ -1,8 +1,11 @@
 package node
 
-import "clovergap/internal/gateway/quorumcontact"
+import (
+	"clovergap/internal/gateway/groups"
+	"clovergap/internal/gateway/quorumcontact"
+)
 
-// TestingKnobs each take out one defence of a node, so that tests can see that it is needed. The zero value is what runs in service.
+// TestingKnobs are what tests change in a node: most take out one defence, to see that it is needed. The zero value is what runs in service.
 type TestingKnobs struct {
 	Contact quorumcontact.TestingKnobs
 	// AckDrainWithoutCopies acknowledges the drain of a backend on however few copies there are.
@@ -11,6 +14,8 @@
 	TrustStaleUpstream bool
 	// MatchRepliesBySequence has a reply end whichever call bears its sequence number, whoever sent it and to which incarnation.
 	MatchRepliesBySequence bool
+	// GroupApplications makes what the coordination groups order, instead of the coordination service.
+	GroupApplications interface{ NewApplication() groups.Application }
 }
 
 // newNodeKnobs are those of nodes that are made from now on.
