--- a/cmd/gateway/coordination.go
+++ b/cmd/gateway/coordination.go
@@ -145,7 +145,7 @@
 	Group string `arg:"positional,required" placeholder:"GROUP." help:"the keys' name up to the first dot, with the dot"`
 }
 
-// watchTimeout is how long a watch waits at a node; a node that says nothing is left after a second.
+// watchTimeout is how long a watch waits at a node; less than responseTimeout, or another node would be tried.
 const watchTimeout = 500 * time.Millisecond
 
 func (k *keysWatchCmd) run(out io.Writer) error {
@@ -211,7 +211,7 @@
 	return t.Flush()
 }
 
-// groups asks a node how the groups stand.
+// groups gets the status of the groups from a node.
 func (c *caller) groups() (*controlapi.GroupList, []byte, error) {
 	return readAs[controlapi.GroupList](c.call("/api/Groups.List", nil))
 }
@@ -247,7 +247,7 @@
 	Target string `arg:"positional,required" placeholder:"ADDR" help:"inner address of a member: see groups list --json"`
 }
 
-// run asks the node that leads the group, which alone can hand it over.
+// run calls the node that leads the group, which alone can transfer the leadership.
 func (g *groupsTransferCmd) run(out io.Writer) error {
 	list, _, err := g.groups()
 	if err != nil {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -84,12 +84,12 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run does what a command line asks and gives the exit code.
-func run(arguments []string, out, complain io.Writer) int {
+// run carries out a command line and returns the exit code.
+func run(arguments []string, out, errOut io.Writer) int {
 	var a args
 	p, err := arg.NewParser(arg.Config{Program: "gateway"}, &a)
 	if err != nil {
-		fmt.Fprintln(complain, "gateway:", err)
+		fmt.Fprintln(errOut, "gateway:", err)
 		return exitUsage
 	}
 	switch err = p.Parse(arguments); {
@@ -110,18 +110,18 @@
 		fmt.Fprintln(out, a.Version())
 		return exitOK
 	case err != nil || p.Subcommand() == nil:
-		p.WriteUsageForSubcommand(complain, p.SubcommandNames()...)
+		p.WriteUsageForSubcommand(errOut, p.SubcommandNames()...)
 		if err == nil {
 			err = errors.New("no command given")
 		}
-		fmt.Fprintln(complain, "gateway:", err)
+		fmt.Fprintln(errOut, "gateway:", err)
 		return exitUsage
 	}
 	err = p.Subcommand().(command).run(out)
 	if err == nil {
 		return exitOK
 	}
-	fmt.Fprintln(complain, "gateway:", err)
+	fmt.Fprintln(errOut, "gateway:", err)
 	if errors.As(err, &usageError{}) {
 		return exitUsage
 	}
@@ -142,36 +142,36 @@
 }
 
 func (s *serveCmd) run(io.Writer) error {
-	signals := make(chan os.Signal, 16) // from the first: a SIGHUP that nobody takes would end the process
+	signals := make(chan os.Signal, 16) // before anything else: an unhandled SIGHUP would end the process
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	signal.Ignore(syscall.SIGPIPE)
 	if s.Settings == "" {
 		return usageErrorf("no settings file: %s is not set", settings.PathEnv)
 	}
-	sheet, err := settings.Load(s.Settings)
+	loaded, err := settings.Load(s.Settings)
 	if err != nil {
 		return err
 	}
 	debug.SetGCPercent(50) // memory at its peak is priced, and a node allocates little
-	if sheet.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(sheet.Limits.MemoryMB<<20) * memoryShare))
+	if loaded.Limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(float64(loaded.Limits.MemoryMB<<20) * memoryShare))
 	}
 	failpoint.Listen(os.Stdin) // in debug builds
-	h, err := node.New(sheet)
+	n, err := node.New(loaded)
 	if err != nil {
 		return err
 	}
-	if err := h.Start(); err != nil {
+	if err := n.Start(); err != nil {
 		return err
 	}
 	for signal := range signals {
 		switch signal {
 		case syscall.SIGHUP:
-			h.Reload(s.Settings)
+			n.Reload(s.Settings)
 		case syscall.SIGUSR1:
-			h.LogCounters()
+			n.LogCounters()
 		default:
-			h.Shutdown()
+			n.Shutdown()
 			return nil
 		}
 	}
--- a/cmd/gateway/rollout.go
+++ b/cmd/gateway/rollout.go
@@ -82,7 +82,7 @@
 	return readAs[controlapi.RolloutStatus](c.call("/api/Rollout.Status", nil))
 }
 
-// order sends one and tells how the roll-out stands then.
+// order submits a command and prints the status of the roll-out after it.
 func (c *commandMeta) order(out io.Writer, path string, body any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/cmd/gateway/state.go
+++ b/cmd/gateway/state.go
@@ -70,7 +70,7 @@
 	return w.Flush()
 }
 
-// askAll asks nodes for their own state, each once; nil where none came.
+// askAll gets the status of each node from itself, in one attempt; nil where that failed.
 func (c *caller) askAll(nodes []controlapi.StatusNode) []*controlapi.NodeStatus {
 	const atOnce = 16
 	states, turn := make([]*controlapi.NodeStatus, len(nodes)), make(chan struct{}, atOnce)
--- a/internal/gateway/controlapi/coordination.go
+++ b/internal/gateway/controlapi/coordination.go
@@ -18,10 +18,10 @@
 
 // Coordination is the part of a node that the applications' calls need.
 type Coordination interface {
-	// Coordinate brings a call to whoever leads its group. then is called once, within the caller's second, or within a watch's
-	// wait and a second.
+	// Coordinate brings a call to the leader of its group. then is called once: within a second, or within a watch's timeout
+	// and a second.
 	Coordinate(c coordination.Call, then func(coordination.Result))
-	// GroupList is how the groups stand, as this node knows it.
+	// GroupList is the status of the groups, as this node knows it.
 	GroupList() GroupList
 	// TransferGroup has the node at an inner address lead a group; false: this node does not lead it, or that one could not at once.
 	TransferGroup(id groups.ID, address string) bool
--- a/internal/gateway/routing/read.go
+++ b/internal/gateway/routing/read.go
@@ -126,7 +126,7 @@
 		_, err := ParseDuration(fl.Field().String())
 		return err == nil
 	}); err != nil {
-		panic(err) // only an empty tag or function is refused
+		panic(err) // only an empty tag or function is an error
 	}
 	v.RegisterStructValidation(checkRoute, ConfigRoute{})
 	v.RegisterStructValidation(checkNames, Config{})
@@ -170,7 +170,7 @@
 					sl.ReportError(t.Target, at, "Target", "service", t.Target)
 				}
 			}
-			// A route without any target names no service at all, which is refused as an unknown one is.
+			// A route without any target names no service at all, which is rejected as an unknown one is.
 			if (r.Target != "" || len(r.WeightedTargets) == 0) && !known[r.Target] {
 				sl.ReportError(r.Target, path+"target", "Target", "service", r.Target)
 			}
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -11,7 +11,7 @@
 // Kind tells the two calls that change the configuration.
 type Kind int
 
-// The calls: a whole configuration, or a change of named items.
+// The calls: a complete configuration, or a change of named items.
 const (
 	Replace Kind = iota
 	Amend
@@ -132,7 +132,7 @@
 	return decision{result: Accepted, body: complete, config: config}
 }
 
-// checkHorizon refuses a call at or below the horizon of the window: it may have been accepted. It is not read any
+// checkHorizon rejects a call at or below the horizon of the window: it may have been accepted. It is not read any
 // further, since a later version may reject more.
 func (r *Register) checkHorizon(body []byte) error {
 	horizon := r.accepted.Horizon()
--- a/internal/gateway/routing/scan.go
+++ b/internal/gateway/routing/scan.go
@@ -113,7 +113,7 @@
 	return path + "." + name
 }
 
-// checkStructure refuses what nests too deep, and objects that name a field twice: which of the two counts would
+// checkStructure rejects what nests too deep, and objects that name a field twice: which of the two counts would
 // depend on the reader. The value begins at i; path is called only for a fault.
 func checkStructure(b []byte, i, depth int, path func() string) error {
 	if depth > maxDepth {
--- a/internal/gateway/routing/table.go
+++ b/internal/gateway/routing/table.go
@@ -37,7 +37,7 @@
 	Host          string // in lower case
 	Prefix        string
 	Effectful     bool          // not idempotent: it may run once for each attempt of a client
-	Deadline      time.Duration // the longest time that a request is held
+	Deadline      time.Duration // of a request, from when it came
 	LatencyTarget time.Duration // of a response, its latency objective; the deadline where it is left out
 	Priority      int           // 0 is highest
 	MaxAttempts   int           // backends that one request may be sent to, 1 or more
