--- a/internal/proxy/downstream/server.go
+++ b/internal/proxy/downstream/server.go
@@ -135,7 +135,7 @@
 // ClientToAnswer finds the client that waits for a txn, to answer it now. If it has gone the result is nil, and the answer
 // counts as undeliverable.
 func (s *Server) ClientToAnswer(who, txn slots.Ref) *Client {
-	c := s.clientOf(who, txn)
+	c := s.ClientOf(who, txn)
 	if c == nil {
 		s.engine.Count.Add(counters.Undeliverable)
 		return nil
@@ -144,20 +144,17 @@
 	return c
 }
 
-// clientOf finds the client that waits for a txn; nil if it has gone.
-func (s *Server) clientOf(who, txn slots.Ref) *Client {
+// ClientOf finds the client that waits for a txn, before its answer; nil if it has gone.
+func (s *Server) ClientOf(who, txn slots.Ref) *Client {
 	if c := s.clients.Get(who); c != nil && c.txn == txn && txn != 0 {
 		return c
 	}
 	return nil
 }
 
-// ClientOf finds the client that waits for a txn, before its answer; nil if it has gone.
-func (s *Server) ClientOf(who, txn slots.Ref) *Client { return s.clientOf(who, txn) }
-
 // ID is the ID that the client gave to a txn; empty once the client has gone.
 func (s *Server) ID(who, txn slots.Ref) string {
-	if c := s.clientOf(who, txn); c != nil {
+	if c := s.ClientOf(who, txn); c != nil {
 		return c.id
 	}
 	return ""
