--- a/internal/proxy/eventloop/doc.go
+++ b/internal/proxy/eventloop/doc.go
@@ -12,7 +12,7 @@
 //   - One turn at a time. All state of the proxy, and of a node, is used in turns alone and needs no other lock.
 //   - The clock stands still in a turn, unless Refresh is called, and never goes back.
 //   - Bytes on a link are bounded by its rings, and all input rings together by one bound. What does not fit waits in the socket.
-//   - An event reaches the connection that it is of, also if descriptors are reused: numbers.go.
+//   - An event reaches the connection that it is of, also if descriptors are reused: descriptors.go.
 //   - Link.Written is what the kernel took, also after the link is closed.
 //   - Owner.Closed is called at most once, and never after Close.
 //
--- a/internal/proxy/upstream/doc.go
+++ b/internal/proxy/upstream/doc.go
@@ -12,7 +12,7 @@
 //
 //   - Gate.Ended is called exactly once for each attempt.
 //   - An attempt goes over one connection. Its request's bytes are handed to the socket in one place, and whether it may have had effect is
-//     decided in one place, after the connection is closed: fence.go.
+//     decided in one place, after the connection is closed: transmission.go.
 //   - Whatever can't be excluded to have had effect is reported so. In particular an answer that can't be read ends as a broken connection.
 //   - An answer goes to the request that its connection carries. Bytes without a request close the connection.
 //   - Nothing new goes to a backend that is not ready.
