--- a/internal/proxy/eventloop/closing.go
+++ b/internal/proxy/eventloop/closing.go
@@ -12,7 +12,7 @@
 // were written wait in the socket, and would arrive long after their request was given up.
 func (l *Link) Reset() {
 	if !l.closed && l.conn != nil {
-		l.raw(func(fd int) {
+		l.withDescriptor(func(fd int) {
 			syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 		})
 	}
@@ -25,13 +25,13 @@
 		return
 	}
 	l.closed = true
-	l.untrail()
+	l.closeDuplicate()
 	l.Input.Release()
 	l.output.Release()
 	if l.cancel != nil {
 		l.cancel()
 	}
-	l.shut()
+	l.closeConn()
 }
 
 // CloseSent closes the connection when all that was given to Send is written.
@@ -41,17 +41,17 @@
 	}
 	l.closing, l.owner = true, nil // the owner may be reused for another connection by then
 	if l.Unwritten() == 0 {
-		l.last()
+		l.shutdownWrite()
 		return
 	}
 	l.engine.At(l.engine.now+unreadFor, l, 0)
 }
 
 // CloseSoon closes a connection that was accepted and is refused, after a delay: it slows down clients that dial again at once.
-func (l *Link) CloseSoon() { l.engine.At(l.engine.now+refuseIn, l, 0) }
+func (l *Link) CloseSoon() { l.engine.At(l.engine.now+refuseDelay, l, 0) }
 
-// refuseIn is how long a refused connection stays open.
-const refuseIn = 50 * time.Millisecond
+// refuseDelay is how long a refused connection stays open.
+const refuseDelay = 50 * time.Millisecond
 
 // Bounds of closing.
 const (
@@ -66,14 +66,14 @@
 	maxDropped = 64 << 10
 )
 
-// last shuts the sending side down, and closes the connection when the other side has closed too, or after lingerFor: a close with
+// shutdownWrite shuts the sending side down, and closes the connection when the other side has closed too, or after lingerFor: a close with
 // unread input would reset the connection, and the last answer might be lost with it.
-func (l *Link) last() {
-	if l.linger {
+func (l *Link) shutdownWrite() {
+	if l.lingering {
 		return
 	}
-	l.linger, l.owner, l.more = true, nil, false
-	l.raw(func(fd int) { syscall.Shutdown(fd, syscall.SHUT_WR) })
+	l.lingering, l.owner, l.inputFull = true, nil, false
+	l.withDescriptor(func(fd int) { syscall.Shutdown(fd, syscall.SHUT_WR) })
 	l.Input.Drop(l.Input.Len())
 	wait := lingerFor
 	if l.engine.FreeConnections() < l.engine.maxConnections/4 {
@@ -89,14 +89,14 @@
 // Due implements Alarm: the time for closing has passed.
 func (l *Link) Due(uint32) { l.Close() }
 
-// lost closes the connection after the other side or an error ended it.
-func (l *Link) lost() {
+// closeBroken closes the connection after the other side or an error ended it.
+func (l *Link) closeBroken() {
 	if l.closed {
 		return
 	}
 	l.closed = true
-	l.untrail()
-	l.shut()
+	l.closeDuplicate()
+	l.closeConn()
 	if l.owner != nil {
 		l.owner.Closed()
 	}
@@ -104,14 +104,14 @@
 	l.output.Release()
 }
 
-// shut closes the poller's connection; the link and its second descriptor are closed before.
-func (l *Link) shut() {
+// closeConn closes the poller's connection; the link and its second descriptor are closed before.
+func (l *Link) closeConn() {
 	switch {
 	case l.conn == nil:
-	case l.listing.CompareAndSwap(listing, closedEarly):
-		l.raw(func(fd int) { syscall.Shutdown(fd, syscall.SHUT_RDWR) })
+	case l.registration.CompareAndSwap(registering, closedEarly):
+		l.withDescriptor(func(fd int) { syscall.Shutdown(fd, syscall.SHUT_RDWR) })
 	default:
 		l.conn.Close()
-		l.engine.descriptors.release(l.conn.Hash(), l.engine.eventLink == l && !l.trailed)
+		l.engine.descriptors.release(l.conn.Hash(), l.engine.eventLink == l && !l.wasDuplicated)
 	}
 }
--- a/internal/proxy/eventloop/descriptors_test.go
+++ b/internal/proxy/eventloop/descriptors_test.go
@@ -140,7 +140,7 @@
 			must.NoError(t, err)
 			return on != 0
 		}},
-		{func(l *Link) { l.Trail(true); l.read() }, func(_ *Link, pair [2]int) bool {
+		{func(l *Link) { l.ReadToEnd(true); l.read() }, func(_ *Link, pair [2]int) bool {
 			n, _, err := syscall.Recvfrom(pair[0], make([]byte, 9), syscall.MSG_DONTWAIT)
 			return n != 9 || err != nil
 		}},
--- a/internal/proxy/eventloop/dial.go
+++ b/internal/proxy/eventloop/dial.go
@@ -69,7 +69,7 @@
 		l.conn, l.seen = c, e.descriptors.releases.Load()
 		c.SetSession(l)
 		if _, err = e.poll.AddConn(c); err != nil {
-			l.lost() // the poller reports its end
+			l.closeBroken() // the poller reports its end
 			return
 		}
 		dialed(true)
--- a/internal/proxy/eventloop/link.go
+++ b/internal/proxy/eventloop/link.go
@@ -43,30 +43,30 @@
 	Input  ringbuffer.Ring
 	output ringbuffer.Ring
 
-	handed  atomic.Int64 // bytes given to the poller, ever
-	written atomic.Int64 // of these, written to the socket
-	pending atomic.Bool  // some are not written yet, and pump is to be called when they are
-	trail   int          // a second descriptor of the socket, by which it is read to its end: see Trail; 0: none
-	over    bool         // the other side has ended, and some of its bytes are still in Input
-	ended   bool         // the poller has closed its own descriptor
-	unsent  int          // bytes that were not written because of an error
-	closed  bool
-	closing bool               // to be closed once all is written
-	linger  bool               // all is written and the sending side shut down; input is dropped
-	dropped int                // bytes dropped while it lingers
-	more    bool               // Input was full: bytes may wait in the socket
-	cancel  context.CancelFunc // of a dial
-	seen    uint64             // see descriptorTable.seen
-	trailed bool
-	listing atomic.Int32
+	queued        atomic.Int64 // bytes given to the poller, ever
+	written       atomic.Int64 // of these, written to the socket
+	pending       atomic.Bool  // some are not written yet, and pump is to be called when they are
+	duplicate     int          // a second descriptor of the socket, by which it is read to its end: see ReadToEnd; 0: none
+	inputEnded    bool         // the other side has ended, and some of its bytes are still in Input
+	pollerClosed  bool         // the poller has closed its own descriptor
+	unsent        int          // bytes that were not written because of an error
+	closed        bool
+	closing       bool               // to be closed once all is written
+	lingering     bool               // all is written and the sending side shut down; input is dropped
+	dropped       int                // bytes dropped while it lingers
+	inputFull     bool               // Input was full: bytes may wait in the socket
+	cancel        context.CancelFunc // of a dial
+	seen          uint64             // see descriptorTable.seen
+	wasDuplicated bool               // ReadToEnd was used
+	registration  atomic.Int32
 }
 
 // States of an accepted connection: the poller reports it before it watches it. If it were closed in between, the poller would
 // then watch the descriptor although it may be another connection's.
 const (
-	listed int32 = iota
-	listing
-	closedEarly // to be closed once it is listed
+	registered int32 = iota
+	registering
+	closedEarly // to be closed once it is registered
 )
 
 func (e *Engine) newLink() *Link {
@@ -79,17 +79,17 @@
 	l.output.Bound(2 * maxInput)
 }
 
-// Trail with on has the socket read to its end although the other side closes, while a body is streamed: the poller closes its descriptor
-// at once, and what did not fit into Input would be lost. Trail without on ends that, and returns whether the other side is
+// ReadToEnd with on has the socket read to its end although the other side closes, while a body is streamed: the poller closes its descriptor
+// at once, and what did not fit into Input would be lost. ReadToEnd without on ends that, and returns whether the other side is
 // still there.
-func (l *Link) Trail(on bool) bool {
+func (l *Link) ReadToEnd(on bool) bool {
 	l.Input.KeepMemory(on)
 	if !on {
-		l.untrail()
-		return !l.ended && !l.closed
+		l.closeDuplicate()
+		return !l.pollerClosed && !l.closed
 	}
-	if fd, ok := l.copied(); ok && !l.closed {
-		l.trail, l.trailed = fd, true
+	if fd, ok := l.duplicateDescriptor(); ok && !l.closed {
+		l.duplicate, l.wasDuplicated = fd, true
 		l.engine.open++
 	}
 	return true
@@ -102,8 +102,8 @@
 	return err == nil || skipAliveCheck
 }
 
-// copied duplicates the socket's descriptor. If the connection is alive after that, the copy is of the right socket.
-func (l *Link) copied() (fd int, ok bool) {
+// duplicateDescriptor duplicates the socket's descriptor. If the connection is alive after that, the copy is of the right socket.
+func (l *Link) duplicateDescriptor() (fd int, ok bool) {
 	fd, err := unix.FcntlInt(uintptr(l.conn.Hash()), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return 0, false
@@ -115,15 +115,15 @@
 	return fd, true
 }
 
-// raw calls do with the socket's descriptor, if it is still this connection's. In a turn of the poller nothing else closes it.
-func (l *Link) raw(do func(fd int)) {
+// withDescriptor calls do with the socket's descriptor, if it is still this connection's. In a turn of the poller nothing else closes it.
+func (l *Link) withDescriptor(do func(fd int)) {
 	if l.engine.polled {
 		if l.alive() {
 			do(l.conn.Hash())
 		}
 		return
 	}
-	if fd, ok := l.copied(); ok {
+	if fd, ok := l.duplicateDescriptor(); ok {
 		do(fd)
 		syscall.Close(fd)
 	}
@@ -132,25 +132,25 @@
 // skipAliveCheck disables the check of alive; only a test sets it.
 var skipAliveCheck bool
 
-// untrail closes the second descriptor.
-func (l *Link) untrail() {
-	if l.trail > 0 {
-		syscall.Close(l.trail)
-		l.trail = 0
+// closeDuplicate closes the second descriptor.
+func (l *Link) closeDuplicate() {
+	if l.duplicate > 0 {
+		syscall.Close(l.duplicate)
+		l.duplicate = 0
 		l.engine.open--
 	}
 }
 
 // recv reads from the socket, by the second descriptor once the poller has closed its own.
 func (l *Link) recv(p []byte) (int, error) {
-	if !l.ended {
+	if !l.pollerClosed {
 		n, err := l.conn.Read(p)
-		if l.trail == 0 || !errors.Is(err, net.ErrClosed) {
+		if l.duplicate == 0 || !errors.Is(err, net.ErrClosed) {
 			return n, err
 		}
-		l.ended = true
+		l.pollerClosed = true
 	}
-	n, err := syscall.Read(l.trail, p)
+	n, err := syscall.Read(l.duplicate, p)
 	if errors.Is(err, syscall.EAGAIN) { // no event will report more
 		err = net.ErrClosed
 	}
@@ -168,7 +168,7 @@
 	e.Turn(func() {
 		l := e.newLink()
 		l.conn, l.seen = c, e.descriptors.releases.Load()
-		l.listing.Store(listing)
+		l.registration.Store(registering)
 		c.SetSession(l)
 		e.open++
 		e.acceptorOf(c)(l)
@@ -196,35 +196,35 @@
 	l.engine.eventLink = nil
 }
 
-// added reports that the poller watches an accepted connection.
-func (l *Link) added() {
-	if !l.listing.CompareAndSwap(listing, listed) {
+// setRegistered reports that the poller watches an accepted connection.
+func (l *Link) setRegistered() {
+	if !l.registration.CompareAndSwap(registering, registered) {
 		l.conn.Close()
 		l.engine.descriptors.release(l.conn.Hash(), false)
 	}
 }
 
-// showEvery is how many bytes are read at a time before the owner is notified.
-const showEvery = 8 << 10
+// notifyEvery is how many bytes are read at a time before the owner is notified.
+const notifyEvery = 8 << 10
 
 // read reads all that is there, so that decisions are made once for all of it.
 func (l *Link) read() {
 	shown := 0
 	for got := false; !l.closed && l.dropped < maxDropped; {
 		free := l.Input.Free()
-		if l.more = free == nil; l.more { // the ring is full: the rest waits in the socket
-			l.show(got)
+		if l.inputFull = free == nil; l.inputFull { // the ring is full: the rest waits in the socket
+			l.notifyData(got)
 			return
 		}
 		n, err := l.recv(free)
 		if n > 0 {
-			if l.linger {
+			if l.lingering {
 				l.dropped += n
 				continue
 			}
 			l.Input.Filled(n)
-			if got = true; l.Input.Len()-shown >= showEvery {
-				l.show(true) // an invalid message is detected before it has filled the ring
+			if got = true; l.Input.Len()-shown >= notifyEvery {
+				l.notifyData(true) // an invalid message is detected before it has filled the ring
 				shown = l.Input.Len()
 			}
 			if n == len(free) {
@@ -235,40 +235,40 @@
 		if errors.Is(err, syscall.EINTR) {
 			continue
 		}
-		l.show(got)
+		l.notifyData(got)
 		if n == 0 && err == nil || err != nil && !errors.Is(err, syscall.EAGAIN) {
-			l.end()
+			l.endInput()
 		}
 		return
 	}
 }
 
-// show notifies the owner of input, unless it has closed the connection meanwhile.
-func (l *Link) show(got bool) {
+// notifyData notifies the owner of input, unless it has closed the connection meanwhile.
+func (l *Link) notifyData(got bool) {
 	if got && !l.closed && l.owner != nil {
 		l.owner.Data()
 	}
 }
 
-// end processes the end of input. If the socket is read to its end (Trail), it waits until the owner has taken what is in Input, as if
+// endInput processes the end of input. If the socket is read to its end (ReadToEnd), it waits until the owner has taken what is in Input, as if
 // the ring were full.
-func (l *Link) end() {
-	if l.trail > 0 && l.Input.Len() > 0 && !l.closed {
-		l.more, l.over = true, true
+func (l *Link) endInput() {
+	if l.duplicate > 0 && l.Input.Len() > 0 && !l.closed {
+		l.inputFull, l.inputEnded = true, true
 		return
 	}
-	l.lost()
+	l.closeBroken()
 }
 
-// Over tells that the other side has ended, and no more comes than what is in Input.
-func (l *Link) Over() bool { return l.over }
+// InputEnded tells that the other side has ended, and no more comes than what is in Input.
+func (l *Link) InputEnded() bool { return l.inputEnded }
 
 // Full tells that no more can be read until some is dropped: this ring is full, or all input rings together are.
-func (l *Link) Full() bool { return l.more }
+func (l *Link) Full() bool { return l.inputFull }
 
 // Resume reads on after bytes were dropped from a full ring.
 func (l *Link) Resume() {
-	if l.more && !l.closed {
+	if l.inputFull && !l.closed {
 		l.read()
 	}
 }
@@ -280,29 +280,29 @@
 	}
 	if l.Unwritten() == 0 { // the usual case: nothing waits, and the ring is not needed
 		n := min(len(p), writeChunk)
-		if !l.hand(p[:n]) {
+		if !l.queueWrite(p[:n]) {
 			return false
 		}
 		p = p[n:]
 	}
 	if !l.output.Append(p) {
-		l.lost()
+		l.closeBroken()
 		return false
 	}
 	l.pump()
 	return !l.closed
 }
 
-// hand gives bytes to the poller, which writes what the socket takes and copies the rest.
-func (l *Link) hand(p []byte) bool {
+// queueWrite gives bytes to the poller, which writes what the socket takes and copies the rest.
+func (l *Link) queueWrite(p []byte) bool {
 	if len(p) == 0 {
 		return true
 	}
-	l.handed.Add(int64(len(p)))
+	l.queued.Add(int64(len(p)))
 	if n, err := l.conn.Write(p); err != nil || n < 0 {
 		l.unsent = len(p)
-		l.handed.Add(-int64(len(p)))
-		l.lost()
+		l.queued.Add(-int64(len(p)))
+		l.closeBroken()
 		return false
 	}
 	return true
@@ -311,19 +311,19 @@
 // pump gives bytes to the poller, one chunk at a time, so that the poller's own queue never has more than that.
 func (l *Link) pump() {
 	l.pending.Store(false)
-	for !l.closed && l.output.Len() > 0 && l.written.Load() == l.handed.Load() {
+	for !l.closed && l.output.Len() > 0 && l.written.Load() == l.queued.Load() {
 		head := l.output.Head()
 		head = head[:min(len(head), writeChunk)]
 		l.output.Drop(len(head)) // before the write: unsent counts what an error keeps back
-		if !l.hand(head) {
+		if !l.queueWrite(head) {
 			return
 		}
 	}
 	if l.closed {
 		return
 	}
-	if l.written.Load() != l.handed.Load() {
-		if l.pending.Store(true); l.written.Load() != l.handed.Load() {
+	if l.written.Load() != l.queued.Load() {
+		if l.pending.Store(true); l.written.Load() != l.queued.Load() {
 			return
 		}
 		if !l.pending.CompareAndSwap(true, false) {
@@ -333,7 +333,7 @@
 		return
 	}
 	if l.closing {
-		l.last()
+		l.shutdownWrite()
 	} else if l.owner != nil {
 		l.owner.Sent()
 	}
@@ -346,14 +346,14 @@
 	if l == nil {
 		return
 	}
-	if l.written.Add(int64(n)) == l.handed.Load() && l.pending.CompareAndSwap(true, false) {
+	if l.written.Add(int64(n)) == l.queued.Load() && l.pending.CompareAndSwap(true, false) {
 		go l.engine.Turn(l.pump)
 	}
 }
 
 // Unwritten counts bytes given to Send that are not yet written to the socket.
 func (l *Link) Unwritten() int {
-	return l.output.Len() + l.unsent + int(l.handed.Load()-l.written.Load())
+	return l.output.Len() + l.unsent + int(l.queued.Load()-l.written.Load())
 }
 
 // Written counts bytes that were written to the socket, ever. It remains valid after the link is closed.
@@ -378,11 +378,11 @@
 		if l == nil {
 			return
 		}
-		if l.trail > 0 && !l.closed {
-			l.ended = true
+		if l.duplicate > 0 && !l.closed {
+			l.pollerClosed = true
 			l.read()
 			return
 		}
-		l.lost()
+		l.closeBroken()
 	})
 }
--- a/internal/proxy/eventloop/listen.go
+++ b/internal/proxy/eventloop/listen.go
@@ -46,7 +46,7 @@
 func (l *listener) Accept() (net.Conn, error) {
 	if l.last != nil {
 		if link, ok := l.last.Session().(*Link); ok {
-			link.added()
+			link.setRegistered()
 		}
 		l.last = nil
 	}
--- a/internal/proxy/gate/gate.go
+++ b/internal/proxy/gate/gate.go
@@ -70,15 +70,15 @@
 
 // txn is a request in flight.
 type txn struct {
-	front      Front
-	who        slots.Ref
-	expiry     time.Duration
-	answered   bool // or its client has left
-	begun      bool // the head of a streamed answer has gone to the client
-	streams    bool // its body is streamed to the backend
-	attempts   int  // so far; the next one's number
-	submitted  bool
-	mayHaveRun bool // an attempt may have had effect
+	front       Front
+	who         slots.Ref
+	expiry      time.Duration
+	answered    bool // or its client has left
+	answerBegun bool // the head of a streamed answer has gone to the client
+	streams     bool // its body is streamed to the backend
+	attempts    int  // so far; the next one's number
+	submitted   bool
+	mayHaveRun  bool // an attempt may have had effect
 }
 
 // Log takes the module's log entries; *zap.Logger implements it. All fields are made by zap.Float64.
@@ -113,8 +113,8 @@
 // message is what is sent to a backend for it.
 func (t *txn) message(ref slots.Ref) Message { return Message{t.front, t.who, ref} }
 
-// final reports to the watcher how a txn ends, before the answer leaves.
-func (g *Gate) final(ref slots.Ref, t *txn, how control.Action) {
+// notifyFinal reports to the watcher how a txn ends, before the answer leaves.
+func (g *Gate) notifyFinal(ref slots.Ref, t *txn, how control.Action) {
 	failpoint.At(failpoint.BeforeAnswer)
 	if g.watcher != nil {
 		g.watcher.Final(ref, t.message(ref).ID(), how)
@@ -157,13 +157,13 @@
 	t.answered = true
 	g.module.Now(g.clock.Now())
 	g.module.ClientLeft(control.TxnID(ref))
-	g.halt(ref, t)
+	g.cancelStream(ref, t)
 }
 
-// halt cancels a streamed attempt that can't complete any more: nobody reads the answer, or the rest of the body
+// cancelStream cancels a streamed attempt that can't complete any more: nobody reads the answer, or the rest of the body
 // never comes.
-func (g *Gate) halt(ref slots.Ref, t *txn) {
-	if (t.begun || t.streams) && t.submitted {
+func (g *Gate) cancelStream(ref slots.Ref, t *txn) {
+	if (t.answerBegun || t.streams) && t.submitted {
 		g.sender.Recall(ref, t.attempts-1)
 		return
 	}
@@ -188,14 +188,14 @@
 		return false
 	}
 	s, ok := t.front.(Streamer)
-	t.begun = ok && s.Begin(t.who, ref, o)
-	return t.begun
+	t.answerBegun = ok && s.Begin(t.who, ref, o)
+	return t.answerBegun
 }
 
 // Writable is how many bytes of a streamed answer the client takes now; below 0: nobody waits any more.
 func (g *Gate) Writable(ref slots.Ref) int {
 	t := g.txns.Get(ref)
-	if t == nil || t.answered || !t.begun {
+	if t == nil || t.answered || !t.answerBegun {
 		return -1
 	}
 	return t.front.(Streamer).Writable(t.who, ref)
@@ -203,7 +203,7 @@
 
 // Pass gives a part of a streamed answer to the client.
 func (g *Gate) Pass(ref slots.Ref, part []byte) {
-	if t := g.txns.Get(ref); t != nil && !t.answered && t.begun {
+	if t := g.txns.Get(ref); t != nil && !t.answered && t.answerBegun {
 		t.front.(Streamer).Pass(t.who, ref, part)
 	}
 }
@@ -234,9 +234,9 @@
 	over := t.answered
 	switch {
 	case t.answered:
-	case t.begun:
+	case t.answerBegun:
 		over, t.answered = true, true
-		g.final(ref, t, Answered)
+		g.notifyFinal(ref, t, Answered)
 		if o.Answer != nil {
 			g.counters.Add(counters.Answered)
 		} else {
@@ -246,7 +246,7 @@
 	case o.Ending == control.Succeeded || o.Final:
 		g.counters.Add(counters.Answered)
 		over, t.answered = true, true
-		g.final(ref, t, Answered)
+		g.notifyFinal(ref, t, Answered)
 		t.front.Complete(t.who, ref, o)
 	case t.streams && t.message(ref).bodyConsumed(): // the body can't be sent again, so there is no retry
 		over, t.answered = true, true
@@ -271,7 +271,7 @@
 
 // reject answers a txn that had no effect and will have none.
 func (g *Gate) reject(ref slots.Ref, t *txn, after time.Duration, why control.Reason) {
-	g.final(ref, t, control.Reject)
+	g.notifyFinal(ref, t, control.Reject)
 	g.counters.Add(counters.GaveUpTime + counters.ID(why))
 	g.counters.Add(counters.Rejected)
 	t.front.Reject(t.who, ref, after, why)
@@ -279,7 +279,7 @@
 
 // fail answers a txn that may have had effect.
 func (g *Gate) fail(ref slots.Ref, t *txn, why control.Reason) {
-	g.final(ref, t, control.Fail)
+	g.notifyFinal(ref, t, control.Fail)
 	g.counters.Add(counters.GaveUpTime + counters.ID(why))
 	g.counters.Add(counters.Failed)
 	t.front.Fail(t.who, ref, why)
@@ -338,7 +338,7 @@
 	case control.Reject, control.Fail:
 		g.giveUp(ref, d)
 	case control.Cancel:
-		if t := g.txns.Get(ref); t != nil && t.begun && !t.answered {
+		if t := g.txns.Get(ref); t != nil && t.answerBegun && !t.answered {
 			return // its answer is on its way to the client already
 		}
 		g.sender.Recall(ref, d.Attempt)
@@ -397,7 +397,7 @@
 		rejected = false
 	}
 	switch {
-	case t.begun:
+	case t.answerBegun:
 		g.counters.Add(counters.Truncated)
 		t.front.(Streamer).End(t.who, ref, false)
 	case rejected:
@@ -405,7 +405,7 @@
 	default:
 		g.fail(ref, t, d.Reason)
 	}
-	g.halt(ref, t)
+	g.cancelStream(ref, t)
 }
 
 // logEntry logs an entry of the module's, all of whose fields are numbers.
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -203,11 +203,11 @@
 		return
 	}
 	o := gate.Outcome{Ending: v.Ending, Load: v.Load, Final: v.Final, Answer: &c.reader, Bytes: b, Body: c.reader.Body(b)}
-	c.over(ref, s, v, o, size)
+	c.finish(ref, s, v, o, size)
 }
 
-// over reports the outcome of an answer, and pools the connection if nothing is left on it.
-func (c *conn) over(ref slots.Ref, s *submission, v Meaning, o gate.Outcome, size int) {
+// finish reports the outcome of an answer, and pools the connection if nothing is left on it.
+func (c *conn) finish(ref slots.Ref, s *submission, v Meaning, o gate.Outcome, size int) {
 	// With bytes left in either direction the next answer's begin would not be known.
 	keep := !c.reader.Closes && !v.Closes && c.link.Unwritten() == 0 && !s.streaming && c.link.Input.Len() == size
 	c.sub, c.last, s.conn = 0, s.id, nil
--- a/internal/proxy/upstream/streaming.go
+++ b/internal/proxy/upstream/streaming.go
@@ -75,7 +75,7 @@
 	c.reader.StreamBody()
 	c.link.Input.Drop(size)
 	c.link.Input.Bound(maxUnwritten)
-	c.link.Trail(true)
+	c.link.ReadToEnd(true)
 	if s := c.dispatch.submissions.Get(ref); s != nil && s.conn == c {
 		c.forwardAnswer(ref, s)
 	}
@@ -130,7 +130,7 @@
 		return false
 	}
 	if used == 0 && !c.refill() {
-		if s.conn == c && c.link.Over() { // what is left is not the rest of the answer
+		if s.conn == c && c.link.InputEnded() { // what is left is not the rest of the answer
 			c.dispatch.badAnswer(ref, s)
 		}
 		return false
@@ -142,9 +142,9 @@
 func (c *conn) endStreaming(ref slots.Ref, s *submission) {
 	c.streaming = false
 	c.link.Input.Bound(c.dispatch.config.Raw)
-	c.reader.Closes = !c.link.Trail(false) || c.reader.Closes
+	c.reader.Closes = !c.link.ReadToEnd(false) || c.reader.Closes
 	m := c.meaning
-	c.over(ref, s, m, gate.Outcome{Ending: m.Ending, Load: m.Load, Final: m.Final, Answer: &c.reader}, 0)
+	c.finish(ref, s, m, gate.Outcome{Ending: m.Ending, Load: m.Load, Final: m.Final, Answer: &c.reader}, 0)
 }
 
 // refill reads on from the socket if the ring was full. It returns false if nothing was added.
--- a/internal/proxy/upstream/transmission.go
+++ b/internal/proxy/upstream/transmission.go
@@ -20,7 +20,12 @@
 }
 
 // disabledChecks disables protections; only tests set it.
-var disabledChecks struct{ passed, first, sameID, unread bool }
+var disabledChecks struct {
+	passed bool // nothing counts as handed over
+	first  bool // the first byte doesn't count for a wary dialect
+	sameID bool // a request may follow one with the same ID on a connection
+	unread bool // a stall of this process doesn't prolong an answer's deadline
+}
 
 // send hands bytes of an attempt to its connection; complete: no more will follow. An attempt goes over one connection.
 func (c *conn) send(s *submission, b []byte, complete bool) bool {
