--- a/cmd/clovergap/main.go
+++ b/cmd/clovergap/main.go
@@ -66,13 +66,13 @@
 		c.Flags().StringVar(&oper, "operator", os.Getenv("CLOVERGAP_OPERATOR"), "operator file, TOML (default $CLOVERGAP_OPERATOR)")
 		return c
 	}
-	examine := func(*cobra.Command, []string) error { return examine(path, oper) }
+	examine := func(*cobra.Command, []string) error { return checkFiles(path, oper) }
 	root.AddCommand(
 		files(&cobra.Command{Use: "serve", Short: "Run a front door", Args: none,
 			Example: "  clovergap serve --config config.json --operator deploy/operator.toml",
 			RunE:    func(*cobra.Command, []string) error { return serve(path, oper) }}),
 		files(&cobra.Command{Use: "check", Short: "Tell what is wrong with a configuration (as config check)", Args: none, RunE: examine}),
-		&cobra.Command{Use: "version", Short: "Tell the version", Args: none, Run: func(*cobra.Command, []string) { tellVersion() }})
+		&cobra.Command{Use: "version", Short: "Tell the version", Args: none, Run: func(*cobra.Command, []string) { printVersion() }})
 	conf := &cobra.Command{Use: "config", Short: "Check, print or explain configurations", Args: none,
 		RunE: func(*cobra.Command, []string) error {
 			return usageError{errors.New("wants check, print or example")}
@@ -83,16 +83,16 @@
 		files(&cobra.Command{Use: "print", Short: "Print the operator file as it holds, defaults included", Args: none,
 			RunE: func(*cobra.Command, []string) error {
 				f, err := operator.Load(oper)
-				return show(f, err)
+				return printOperatorFile(f, err)
 			}}),
 		&cobra.Command{Use: "example", Short: "Print an operator file with all it may say", Args: none,
-			RunE: func(*cobra.Command, []string) error { return show(operator.Default(), nil) }})
+			RunE: func(*cobra.Command, []string) error { return printOperatorFile(operator.Default(), nil) }})
 	root.AddCommand(conf, leasesCommand(files, &oper), turnCommand(files, &oper))
 	return root
 }
 
-// show prints an operator file.
-func show(f operator.File, err error) error {
+// printOperatorFile prints an operator file.
+func printOperatorFile(f operator.File, err error) error {
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	return err
 }
 
-func tellVersion() {
+func printVersion() {
 	build := "release"
 	if invariant.Debug {
 		build = "debug"
@@ -113,8 +113,8 @@
 	fmt.Println("clovergap", version, build, goes)
 }
 
-// examine reads both files as serve would. Either may be left out, not both.
-func examine(path, oper string) error {
+// checkFiles reads both files as serve would. Either may be left out, not both.
+func checkFiles(path, oper string) error {
 	if oper != "" {
 		if _, err := operator.Load(oper); err != nil {
 			return err
@@ -128,11 +128,11 @@
 	if err != nil {
 		return err
 	}
-	known, err := usable(c)
+	known, err := validate(c)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%s: front door %d of %s, %d products, %d plans, %d backends known, listens on %s\n", path,
-		c.Me, c.Settings["gateways"], len(c.Products), len(c.Plans), len(known.Entries), c.Listen)
+		c.GatewayIndex, c.Settings["gateways"], len(c.Products), len(c.Plans), len(known.Entries), c.Listen)
 	return nil
 }
--- a/cmd/clovergap/serve.go
+++ b/cmd/clovergap/serve.go
@@ -40,39 +40,39 @@
 // txns, then new ones are refused: a front that has not noticed would else send txns up to the last moment.
 // What is held is answered by its expiry.
 const (
-	comingFor = 500 * time.Millisecond
-	quietFor  = 800 * time.Millisecond
-	endMost   = 3500 * time.Millisecond
-	lookEvery = 20 * time.Millisecond
+	acceptPeriod = 500 * time.Millisecond
+	drainPeriod  = 800 * time.Millisecond
+	maxShutdown  = 3500 * time.Millisecond
+	shutdownPoll = 20 * time.Millisecond
 )
 
 // front is one front door with its stages.
 type front struct {
-	e        *eventloop.Engine
-	gate     *gate.Gate
-	intake   *downstream.Server
-	dispatch *upstream.Dispatch
-	peers    *peers.Peers
-	watch    *discovery.Watch // of the list that counts
-	next     *discovery.Watch // at the address that a new configuration names, until it answers
-	conf     *config.Config
-	log      *zap.Logger
-	past     *past // nil: no history is wanted
-	leases   *leasing.Host
+	engine        *eventloop.Engine
+	gate          *gate.Gate
+	intake        *downstream.Server
+	dispatch      *upstream.Dispatch
+	peers         *peers.Peers
+	discovery     *discovery.Watch // of the list that counts
+	nextDiscovery *discovery.Watch // at the address that a new configuration names, until it answers
+	conf          *config.Config
+	log           *zap.Logger
+	history       *processHistory // nil: no history is wanted
+	leases        *leasing.Host
 }
 
 // clock gives the gate the engine's time; the module's next due time is an entry among all others.
 type clock struct {
 	*eventloop.Engine
-	due eventloop.Alarm
+	alarm eventloop.Alarm
 }
 
-func (c *clock) Wake(at time.Duration, nr uint32) { c.At(at, c.due, nr) }
+func (c *clock) Wake(at time.Duration, nr uint32) { c.At(at, c.alarm, nr) }
 
-// quiet is for a site without peers.
-type quiet struct{}
+// noDatagrams is for a site without peers.
+type noDatagrams struct{}
 
-func (quiet) SendDatagram(control.GatewayID, []byte) {}
+func (noDatagrams) SendDatagram(control.GatewayID, []byte) {}
 
 func serve(path, oper string) error {
 	o, err := operator.Load(oper)
@@ -86,10 +86,10 @@
 	log, flush := logs.New(o.Log, c.Name)
 	defer flush()
 	logging.SetLogger(pollerLog{log.Sugar()})
-	limits(c)
+	setRuntimeLimits(c)
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
-	past, err := record(o.History, c.Name)
+	past, err := openHistory(o.History, c.Name)
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 		return err
 	}
 	if f.leases != nil && o.Leases.Socket != "" {
-		s, err := leasing.Serve(f.e, f.leases, o.Leases.Socket)
+		s, err := leasing.Serve(f.engine, f.leases, o.Leases.Socket)
 		if err != nil {
 			return err
 		}
@@ -109,23 +109,23 @@
 	for s := range signals {
 		switch s {
 		case syscall.SIGUSR1:
-			f.tell("counters")
+			f.logCounters("counters")
 			continue
 		case syscall.SIGHUP:
 			f.reload(path)
 			continue
 		}
-		f.end()
-		f.tell("ended")
+		f.shutdown()
+		f.logCounters("ended")
 		return nil
 	}
 	return nil
 }
 
-// limits fits the runtime to what the configuration grants. One core is one processor of the runtime: with the
+// setRuntimeLimits fits the runtime to what the configuration grants. One core is one processor of the runtime: with the
 // timer and datagrams on the poller's set nothing else waits for long (0.6, 0.5, 0.5 s of CPU on a calm day with two,
 // 0.6, 0.4, 0.4 s with one).
-func limits(c *config.Config) {
+func setRuntimeLimits(c *config.Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 3 / 5)
 	debug.SetGCPercent(400)
@@ -136,27 +136,27 @@
 const clientShare, ringShare = 2, 4
 
 // build puts the stages together and starts them.
-func build(c *config.Config, log *zap.Logger, past *past, o operator.Leases) (*front, error) {
-	f := &front{conf: c, log: log, past: past, e: eventloop.New(c.Listen, c.Sockets, http1.MaxRaw, c.MemoryMB<<20/ringShare)}
-	node, err := loadbalancer.New(c.Seed, c.Settings, f.e.Now())
+func build(c *config.Config, log *zap.Logger, past *processHistory, o operator.Leases) (*front, error) {
+	f := &front{conf: c, log: log, history: past, engine: eventloop.New(c.Listen, c.Sockets, http1.MaxRaw, c.MemoryMB<<20/ringShare)}
+	node, err := loadbalancer.New(c.Seed, c.Settings, f.engine.Now())
 	if err != nil {
 		return nil, err
 	}
-	known, err := discovery.Read(c.Known, c.Zones, f.e.AtUnix)
+	known, err := discovery.Parse(c.KnownBackends, c.Zones, f.engine.AtUnix)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	k := &clock{Engine: f.e}
-	f.gate = gate.New(node, k, min(c.MostHeld, c.Sockets), f.e.Count, log)
-	k.due = f.gate
-	clients := max(1, f.e.FreeConnections()/clientShare)
-	f.dispatch = upstream.New(f.e, f.gate, upstream.Config{Dialect: upstream.NewReports(c.Fields), IdleTimeout: c.ConnIdle,
-		DialTimeout: c.DialLimit}, func() bool { return f.intake.Evict() })
-	f.intake = downstream.New(f.e, clients, downstream.Bounds{}, func() bool { return f.dispatch.Evict(nil) })
-	downstream.NewTxns(f.intake, f.gate, txnTerms(c))
-	var tell gate.DatagramSender = quiet{}
+	k := &clock{Engine: f.engine}
+	f.gate = gate.New(node, k, min(c.MaxInFlight, c.Sockets), f.engine.Count, log)
+	k.alarm = f.gate
+	clients := max(1, f.engine.FreeConnections()/clientShare)
+	f.dispatch = upstream.New(f.engine, f.gate, upstream.Config{Dialect: upstream.NewReports(c.LoadFields), IdleTimeout: c.IdleTimeout,
+		DialTimeout: c.DialTimeout}, func() bool { return f.intake.Evict() })
+	f.intake = downstream.New(f.engine, clients, downstream.Bounds{}, func() bool { return f.dispatch.Evict(nil) })
+	downstream.NewTxns(f.intake, f.gate, txnConfig(c))
+	var tell gate.DatagramSender = noDatagrams{}
 	if len(c.Peers) > 0 {
-		if f.peers, err = peers.New(f.e, c.PeerListen, c.Peers, c.Me, f.heard); err != nil {
+		if f.peers, err = peers.New(f.engine, c.PeerListen, c.Peers, c.GatewayIndex, f.receiveDatagram); err != nil {
 			return nil, err
 		}
 		tell = f.peers
@@ -165,9 +165,9 @@
 	if past != nil && past.txns {
 		f.gate.SetWatcher(past)
 	}
-	f.e.OnAccept(f.intake.Accept)
-	f.e.OnTurnEnd(f.gate.RunDecisions)
-	if o.On {
+	f.engine.OnAccept(f.intake.Accept)
+	f.engine.OnTurnEnd(f.gate.RunDecisions)
+	if o.Enabled {
 		if f.peers == nil {
 			return nil, errors.New("leases.on: the configuration names no peers")
 		}
@@ -175,41 +175,41 @@
 		if n, wrong := strconv.Atoi(c.Settings["zone"]); wrong == nil && n >= 0 && n < len(c.Zones) {
 			zone = c.Zones[n]
 		}
-		if f.leases, err = leasing.New(f.e, o, c.Me, len(c.Peers), uint32(c.Seed)^uint32(c.Seed>>32), c.Name, zone, f.peers.SendDatagram, log, past.add); err != nil {
+		if f.leases, err = leasing.New(f.engine, o, c.GatewayIndex, len(c.Peers), uint32(c.Seed)^uint32(c.Seed>>32), c.Name, zone, f.peers.SendDatagram, log, past.add); err != nil {
 			return nil, err
 		}
-		f.peers.Frames(lease.Mark, f.leases.Heard)
-		f.e.OnTurnEnd(func() { f.gate.RunDecisions(); f.leases.Pull() })
+		f.peers.Frames(lease.FrameType, f.leases.Receive)
+		f.engine.OnTurnEnd(func() { f.gate.RunDecisions(); f.leases.RunDecisions() })
 	}
-	f.e.OnOutOfDescriptors(func() {
+	f.engine.OnOutOfDescriptors(func() {
 		if !f.dispatch.Evict(nil) {
 			f.intake.Evict()
 		}
 	})
-	f.e.Turn(func() { f.listed(known) })
+	f.engine.Turn(func() { f.applyList(known) })
 	failpoint.At(failpoint.BeforeReady)
-	if err = f.e.Start(); err != nil {
+	if err = f.engine.Start(); err != nil {
 		return nil, err
 	}
 	if f.peers != nil {
-		f.e.Turn(func() { err = f.peers.Start() })
+		f.engine.Turn(func() { err = f.peers.Start() })
 		if err != nil {
 			return nil, err
 		}
 	}
-	f.e.Turn(func() {
-		f.watch = discovery.NewWatch(f.e, c.Discovery, c.Wait, c.Zones, f.listed, log)
-		f.watch.Start()
+	f.engine.Turn(func() {
+		f.discovery = discovery.NewWatch(f.engine, c.Discovery, c.WatchTimeout, c.Zones, f.applyList, log)
+		f.discovery.Start()
 	})
 	past.add(history.Event{Kind: history.Up})
 	log.Info("serves", zap.String("listen", c.Listen), zap.Bool("debug", invariant.Debug))
 	return f, nil
 }
 
-// heard takes a peer's message to the module.
-func (f *front) heard(from control.GatewayID, payload []byte) {
+// receiveDatagram takes a peer's message to the module.
+func (f *front) receiveDatagram(from control.GatewayID, payload []byte) {
 	if f.leases != nil {
-		f.leases.Seen(from)
+		f.leases.PeerSeen(from)
 	}
 	f.gate.DatagramReceived(from, payload)
 }
@@ -220,69 +220,69 @@
 	failpoint.At(failpoint.BeforeReload)
 	c, err := config.Load(path)
 	if err == nil {
-		_, err = usable(c)
+		_, err = validate(c)
 	}
-	if err == nil && (c.Me != f.conf.Me || len(c.Peers) != len(f.conf.Peers)) {
+	if err == nil && (c.GatewayIndex != f.conf.GatewayIndex || len(c.Peers) != len(f.conf.Peers)) {
 		err = errors.New("another front door's, or another number of them")
 	}
 	if err != nil {
-		f.e.Turn(func() { f.e.Count.Add(counters.ReloadsBad) })
+		f.engine.Turn(func() { f.engine.Count.Add(counters.ReloadsBad) })
 		f.log.Error("configuration not taken, the old one stands", zap.Error(err))
 		return
 	}
-	f.e.Turn(func() {
-		f.e.Count.Add(counters.Reloads)
-		f.move(c)
+	f.engine.Turn(func() {
+		f.engine.Count.Add(counters.Reloads)
+		f.moveWatch(c)
 		if f.peers != nil {
-			f.peers.SetPeers(c.Peers, c.Me)
+			f.peers.SetPeers(c.Peers, c.GatewayIndex)
 		}
 	})
 	f.log.Info("configuration taken", zap.String("discovery", c.Discovery),
-		zap.Strings("waits for a restart", f.conf.Fixed(c)))
+		zap.Strings("waits for a restart", f.conf.RestartOnlyChanges(c)))
 }
 
-// move watches discovery at another address as well. The old watch goes on until the new one has told a whole list: an
+// moveWatch watches discovery at another address as well. The old watch goes on until the new one has told a whole list: an
 // address where nobody answers costs no change of the list.
-func (f *front) move(c *config.Config) {
+func (f *front) moveWatch(c *config.Config) {
 	addr := c.Discovery
-	if f.next != nil && f.next.Addr() == addr {
+	if f.nextDiscovery != nil && f.nextDiscovery.Addr() == addr {
 		return
 	}
-	if f.next != nil {
-		f.next.Stop()
-		f.next = nil
+	if f.nextDiscovery != nil {
+		f.nextDiscovery.Stop()
+		f.nextDiscovery = nil
 	}
-	if addr == f.watch.Addr() {
+	if addr == f.discovery.Addr() {
 		return
 	}
 	var w *discovery.Watch
-	w = discovery.NewWatch(f.e, addr, c.Wait, c.Zones, func(l discovery.List) {
-		if w == f.next {
-			f.watch.Stop()
-			f.watch, f.next = w, nil
+	w = discovery.NewWatch(f.engine, addr, c.WatchTimeout, c.Zones, func(l discovery.List) {
+		if w == f.nextDiscovery {
+			f.discovery.Stop()
+			f.discovery, f.nextDiscovery = w, nil
 		}
-		f.listed(l)
+		f.applyList(l)
 	}, f.log)
-	f.next = w
+	f.nextDiscovery = w
 	w.Start()
 }
 
-// usable tells what is wrong with a configuration that reads well, and which backends it knows.
-func usable(c *config.Config) (discovery.List, error) {
+// validate tells what is wrong with a configuration that reads well, and which backends it knows.
+func validate(c *config.Config) (discovery.List, error) {
 	if _, err := loadbalancer.New(c.Seed, c.Settings, 0); err != nil {
 		return discovery.List{}, err
 	}
-	known, err := discovery.Read(c.Known, c.Zones, func(time.Time) time.Duration { return 0 })
+	known, err := discovery.Parse(c.KnownBackends, c.Zones, func(time.Time) time.Duration { return 0 })
 	if err != nil {
 		return known, fmt.Errorf("known: %w", err)
 	}
 	return known, nil
 }
 
-// listed takes a list to those who go by it.
-func (f *front) listed(l discovery.List) {
+// applyList takes a list to those who go by it.
+func (f *front) applyList(l discovery.List) {
 	failpoint.At(failpoint.BeforeList)
-	f.past.listed(l)
+	f.history.addBackends(l)
 	list := make([]control.Endpoint, 0, len(l.Entries))
 	listed := map[control.BackendID]bool{}
 	for _, e := range l.Entries {
@@ -290,36 +290,36 @@
 		listed[e.ID] = true
 		f.dispatch.SetBackend(e.ID, e.Addr, e.Started, e.State == control.Ready)
 	}
-	if l.Whole {
+	if l.Complete {
 		f.dispatch.SetBackends(listed)
 	}
-	f.gate.EndpointsChanged(l.Whole, list)
+	f.gate.EndpointsChanged(l.Complete, list)
 }
 
-// end goes on for a moment, then closes connections between txns, and ends when all that was taken is answered.
-func (f *front) end() {
+// shutdown goes on for a moment, then closes connections between txns, and ends when all that was taken is answered.
+func (f *front) shutdown() {
 	f.log.Info("ends")
 	began := time.Now()
-	time.Sleep(comingFor)
-	for over := false; !over && time.Since(began) < endMost; time.Sleep(lookEvery) {
-		f.e.Turn(func() {
+	time.Sleep(acceptPeriod)
+	for over := false; !over && time.Since(began) < maxShutdown; time.Sleep(shutdownPoll) {
+		f.engine.Turn(func() {
 			f.intake.Drain()
-			if time.Since(began) > quietFor {
-				f.e.StopListening()
+			if time.Since(began) > drainPeriod {
+				f.engine.StopListening()
 				over = f.gate.InFlight() == 0 && f.intake.Clients() == 0
 			}
 		})
 	}
 }
 
-// tell prints the counters.
-func (f *front) tell(title string) {
+// logCounters prints the counters.
+func (f *front) logCounters(title string) {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	f.e.Turn(func() {
-		f.log.Info(title, zap.Uint64("allocations", m.Mallocs), zap.String("counters", f.e.Count.Text()), zap.Uint64("must holds broken", invariant.Broken()),
+	f.engine.Turn(func() {
+		f.log.Info(title, zap.Uint64("allocations", m.Mallocs), zap.String("counters", f.engine.Count.Text()), zap.Uint64("must holds broken", invariant.Broken()),
 			zap.Int("txns held", f.gate.InFlight()), zap.Int("clients", f.intake.Clients()),
-			zap.Int("connections", f.e.Open()), zap.Int("backends", f.dispatch.Backends()))
+			zap.Int("connections", f.engine.Open()), zap.Int("backends", f.dispatch.Backends()))
 	})
 }
 
@@ -335,9 +335,9 @@
 	}
 }
 
-// txnTerms is what the configuration says of the txns that clients may send.
-func txnTerms(c *config.Config) downstream.TxnConfig {
-	terms := downstream.TxnConfig{Plans: c.Plans, Gateways: max(len(c.Peers), 1), MaxUnits: c.MostUnits}
+// txnConfig is what the configuration says of the txns that clients may send.
+func txnConfig(c *config.Config) downstream.TxnConfig {
+	terms := downstream.TxnConfig{Plans: c.Plans, Gateways: max(len(c.Peers), 1), MaxUnits: c.MaxUnits}
 	for _, p := range c.Products {
 		terms.Products = append(terms.Products, downstream.Product{Name: p.Name, Keyed: p.Keyed, Safe: p.Safe})
 	}
--- a/cmd/clovergap/serve_test.go
+++ b/cmd/clovergap/serve_test.go
@@ -83,11 +83,11 @@
 	for i := 0; i < backends; i++ {
 		b := script()
 		st.backends = append(st.backends, b)
-		list = append(list, target(i, b.L.Addr().String(), "Ready"))
+		list = append(list, target(i, b.Listener.Addr().String(), "Ready"))
 	}
 	st.peer, _ = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	peer := st.peer.LocalAddr().String()
-	c := object{"name": "n0", "listen": "127.0.0.1:0", "discovery": st.agent.L.Addr().String(), "discovery_wait_ms": 30000,
+	c := object{"name": "n0", "listen": "127.0.0.1:0", "discovery": st.agent.Listener.Addr().String(), "discovery_wait_ms": 30000,
 		"seed": "8c1f30d27a5be964", "limits": object{"cores": 1.0, "memory_mb": 192, "sockets": sockets},
 		"peer_listen": "127.0.0.1:0", "peers": []string{"127.0.0.1:1", peer, "127.0.0.1:2"},
 		"known": object{"rev": 1, "all": true, "targets": list}, "settings": s}
@@ -96,17 +96,17 @@
 }
 
 func (f *fixture) close() {
-	f.f.e.Stop()
-	f.agent.L.Close()
+	f.f.engine.Stop()
+	f.agent.Listener.Close()
 	f.peer.Close()
 	for _, b := range f.backends {
-		b.L.Close()
+		b.Listener.Close()
 	}
 }
 
 // count reads one counter.
 func (f *fixture) count(id counters.ID) (n uint64) {
-	f.f.e.Turn(func() { n = f.f.e.Count[id] })
+	f.f.engine.Turn(func() { n = f.f.engine.Count[id] })
 	return n
 }
 
@@ -148,7 +148,7 @@
 }
 
 func (f *fixture) client() *client {
-	c, err := net.Dial("tcp", f.f.e.Addr())
+	c, err := net.Dial("tcp", f.f.engine.Addr())
 	if err != nil {
 		fmt.Println(err)
 		return nil
@@ -256,7 +256,7 @@
 	b := st.backends[0]
 	try := func(what string, answer func(*standin.Call)) {
 		var before counters.Set
-		st.f.e.Turn(func() { before = *st.f.e.Count })
+		st.f.engine.Turn(func() { before = *st.f.engine.Count })
 		c := st.client()
 		defer c.Close()
 		c.send(txn("b", "pay") + "\r\n")
@@ -266,7 +266,7 @@
 		fmt.Print(what, ": ")
 		c.show()
 		var after counters.Set
-		st.f.e.Turn(func() { after = *st.f.e.Count })
+		st.f.engine.Turn(func() { after = *st.f.engine.Count })
 		for id := counters.EndAnswered; id <= counters.BadAnswer; id++ {
 			for ; before[id] < after[id]; before[id]++ {
 				fmt.Println("  ", counters.Name(id))
@@ -279,14 +279,14 @@
 	try("503 without a word", says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"))
 	try("no answer's form", says("HELLO\r\n\r\n"))
 	try("no length", says("HTTP/1.1 200 OK\r\n\r\nsome"))
-	try("cut", func(x *standin.Call) { x.Answer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsome"); x.C.Close() })
-	try("ended", func(x *standin.Call) { x.C.Close() })
-	try("reset", func(x *standin.Call) { x.C.(*net.TCPConn).SetLinger(0); x.C.Close() })
+	try("cut", func(x *standin.Call) { x.Answer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsome"); x.Conn.Close() })
+	try("ended", func(x *standin.Call) { x.Conn.Close() })
+	try("reset", func(x *standin.Call) { x.Conn.(*net.TCPConn).SetLinger(0); x.Conn.Close() })
 	try("two lengths", says("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"))
 	try("interim, then stray bytes", says("HTTP/1.1 100 Continue\r\n\r\n"+standin.Served("done")+"more"))
 	try("settled", says(standin.Served("done")))
-	b.L.Close()
-	st.f.e.Turn(func() { st.f.dispatch.Evict(nil) }) // the kept connection, so that a new one is needed
+	b.Listener.Close()
+	st.f.engine.Turn(func() { st.f.dispatch.Evict(nil) }) // the kept connection, so that a new one is needed
 	try("refused", nil)
 	// Output:
 	// 500: HTTP/1.1 502 Bad Gateway
@@ -331,8 +331,8 @@
 	case first = <-st.backends[1].Came:
 		second = st.backends[0].Next()
 	}
-	first.C.SetReadDeadline(time.Now().Add(patience))
-	n, err := first.C.Read(make([]byte, 1))
+	first.Conn.SetReadDeadline(time.Now().Add(patience))
+	n, err := first.Conn.Read(make([]byte, 1))
 	fmt.Println("the first connection:", n, err)
 	second.Answer(standin.Served("late but whole"))
 	c.show()
@@ -350,7 +350,7 @@
 	c := st.client()
 	c.send("GET /up HTTP/1.1\r\n\r\n")
 	c.show()
-	st.f.e.Turn(func() {
+	st.f.engine.Turn(func() {
 		c.send(strings.Replace(txn("w", "read"), "60000m", "500m", 1) + "\r\n")
 		time.Sleep(900 * time.Millisecond)
 	})
@@ -475,7 +475,7 @@
 		case x := <-st.backends[1].Came:
 			return x
 		case <-time.After(patience):
-			return &standin.Call{Head: "no request came\r\n", C: c}
+			return &standin.Call{Head: "no request came\r\n", Conn: c}
 		}
 	}
 	for i, noise := range []string{"noise, and no end", "HTTP/1.1 200 OK\r\nno header\r\n", "HTTP/1.1 200 OK\r\n" +
@@ -492,7 +492,7 @@
 	defer st.close()
 	c = st.client()
 	var x, y *standin.Call
-	for i := 0; i < 100 && (y == nil || x.C == y.C); i++ { // a machine that is slow lets the first connection rest
+	for i := 0; i < 100 && (y == nil || x.Conn == y.Conn); i++ { // a machine that is slow lets the first connection rest
 		c.send(txn(fmt.Sprint("t", i), "read") + "\r\n" + txn(fmt.Sprint("u", i), "read") + "\r\n")
 		if y != nil {
 			y.Answer(standin.Served("second"))
@@ -523,13 +523,13 @@
 func Example_comeAndGo() {
 	st := open(1, 1024, settings(1, 20))
 	defer st.close()
-	x, was := call(st.agent), st.backends[0].L.Addr().String()
+	x, was := call(st.agent), st.backends[0].Listener.Addr().String()
 	x.List(1, true, target(0, was, "Ready"))
 	for i := 1; i <= 100; i++ { // always new ids, at the address of the one before
 		st.agent.Next().List(1+i, false, target(i-1, "", "Gone"), target(i, was, "Ready"))
 	}
 	x = call(st.agent)
-	st.f.e.Turn(func() { fmt.Println("backends", st.f.dispatch.Backends()) })
+	st.f.engine.Turn(func() { fmt.Println("backends", st.f.dispatch.Backends()) })
 	fmt.Println("# a new process at the same address: the old one's connection is not kept")
 	c := st.client()
 	c.send(txn("o", "read") + "\r\n")
@@ -539,8 +539,8 @@
 	again := target(100, was, "Ready")
 	again["boot_ms"] = time.Now().UnixMilli()
 	x.List(200, false, again)
-	y.C.SetReadDeadline(time.Now().Add(patience))
-	_, err := y.C.Read(make([]byte, 1))
+	y.Conn.SetReadDeadline(time.Now().Add(patience))
+	_, err := y.Conn.Read(make([]byte, 1))
 	fmt.Println(err)
 	// Output:
 	// asked: /discovery/hosts
@@ -587,7 +587,7 @@
 	x.Answer(standin.Served("for nobody"))
 	st.counted(counters.EndAnswered, 1)
 	st.until("nothing is held", func() (none bool) {
-		st.f.e.Turn(func() { none = st.f.gate.InFlight() == 0 && st.f.intake.Clients() == 0 })
+		st.f.engine.Turn(func() { none = st.f.gate.InFlight() == 0 && st.f.intake.Clients() == 0 })
 		return none
 	})
 	fmt.Println("settled", st.count(counters.Answered), "clients closed", st.count(counters.ClientsClosed))
@@ -599,8 +599,8 @@
 	st := open(1, 1024, settings(1, 4))
 	defer st.close()
 	other := script()
-	defer other.L.Close()
-	was := func() string { return st.backends[0].L.Addr().String() }
+	defer other.Listener.Close()
+	was := func() string { return st.backends[0].Listener.Addr().String() }
 	try := func(b *standin.Script) {
 		c := st.client()
 		defer c.Close()
@@ -615,7 +615,7 @@
 	x.List(41, true, target(0, was(), "Ready"))
 	fmt.Println("# one drains, another comes")
 	x = call(st.agent)
-	x.List(42, false, target(0, was(), "Terminating"), target(1, other.L.Addr().String(), "Ready"))
+	x.List(42, false, target(0, was(), "Terminating"), target(1, other.Listener.Addr().String(), "Ready"))
 	x = call(st.agent)
 	try(other)
 	fmt.Println("# what can't be read changes nothing, and is asked again")
@@ -623,7 +623,7 @@
 	x = call(st.agent)
 	try(other)
 	fmt.Println("# the agent dies; then a whole list without the other")
-	x.C.Close()
+	x.Conn.Close()
 	x = call(st.agent)
 	x.List(50, true, target(0, was(), "Ready"))
 	x = call(st.agent)
@@ -660,7 +660,7 @@
 	go func() {
 		for x := range st.agent.Came {
 			if !strings.Contains(x.Head, "after=") {
-				x.List(41, true, target(0, st.backends[0].L.Addr().String(), "Ready"))
+				x.List(41, true, target(0, st.backends[0].Listener.Addr().String(), "Ready"))
 			}
 		}
 	}()
@@ -734,7 +734,7 @@
 	last := st.client()
 	last.show()
 	fmt.Println("refused", st.count(counters.ClientsRefused))
-	st.f.e.Turn(func() { fmt.Println("connections within bounds:", st.f.e.FreeConnections() >= 0) })
+	st.f.engine.Turn(func() { fmt.Println("connections within bounds:", st.f.engine.FreeConnections() >= 0) })
 	// Output:
 	// HTTP/1.1 200 OK up
 	// HTTP/1.1 200 OK, Connection: close up
@@ -759,7 +759,7 @@
 	busy.send(txn("e", "pay") + "\r\n")
 	x := st.backends[0].Next()
 	ended := make(chan bool)
-	go func() { st.f.end(); close(ended) }()
+	go func() { st.f.shutdown(); close(ended) }()
 	idle.show()
 	select {
 	case <-ended:
@@ -770,7 +770,7 @@
 	busy.show()
 	busy.show()
 	<-ended
-	_, err := net.Dial("tcp", st.f.e.Addr())
+	_, err := net.Dial("tcp", st.f.engine.Addr())
 	fmt.Println("held", st.f.gate.InFlight(), "new ones refused:", errors.Is(err, syscall.ECONNREFUSED))
 	st.close()
 	// Output:
@@ -791,7 +791,7 @@
 	st, text := lay(1, 1024, settings(1, 20))
 	conf, _ := config.Parse(text)
 	st.f, _ = build(conf, zap.NewNop(), nil, operator.Leases{})
-	old, listed := st.agent.L.Addr().String(), target(0, st.backends[0].L.Addr().String(), "Ready")
+	old, listed := st.agent.Listener.Addr().String(), target(0, st.backends[0].Listener.Addr().String(), "Ready")
 	write := func(old, new string) {
 		os.WriteFile(path, []byte(strings.Replace(string(text), old, new, 1)), 0o600)
 	}
@@ -804,15 +804,15 @@
 	}
 	fmt.Println("bad", st.count(counters.ReloadsBad), "good", st.count(counters.Reloads))
 	fmt.Println("# the old watch goes on until the new one is told")
-	write(old, now.L.Addr().String())
+	write(old, now.Listener.Addr().String())
 	st.f.reload(path)
 	y := call(now)
 	x.List(42, false)
 	x = call(st.agent)
 	y.List(43, true, listed)
 	call(now)
-	x.C.SetReadDeadline(time.Now().Add(patience))
-	_, err := x.C.Read(make([]byte, 1))
+	x.Conn.SetReadDeadline(time.Now().Add(patience))
+	_, err := x.Conn.Read(make([]byte, 1))
 	fmt.Println("the old watch:", err)
 	st.close()
 	fmt.Println("# by signal")
@@ -821,7 +821,7 @@
 	ended := make(chan error)
 	go func() { ended <- serve(path, "") }()
 	call(st.agent)
-	write(st.agent.L.Addr().String(), now.L.Addr().String())
+	write(st.agent.Listener.Addr().String(), now.Listener.Addr().String())
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	call(now)
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
--- a/cmd/lab/capacity.go
+++ b/cmd/lab/capacity.go
@@ -20,7 +20,7 @@
 type capacityRun struct {
 	sizes     []int
 	site      simulation.Site
-	whole     bool
+	full      bool
 	each      float64 // requests a second at each node
 	warm, dur time.Duration
 	seed      uint64
@@ -34,8 +34,8 @@
 	added     string
 	every     time.Duration
 	from      int
-	by        string
-	at        float64
+	axis      string
+	target    float64
 }
 
 func capacityCommand() *cobra.Command {
@@ -51,7 +51,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			switch {
 			case k.state:
-				return capacity.TellState(os.Stdout)
+				return capacity.PrintState(os.Stdout)
 			case k.added != "":
 				return k.adds(c.Context())
 			case k.hollow > 0:
@@ -70,7 +70,7 @@
 	f.IntVar(&k.site.Wide.Services, "services", 0, "services (0: in proportion)")
 	f.IntVar(&k.site.Wide.Routes, "routes", 0, "routes (0: in proportion)")
 	f.IntVar(&k.site.Wide.Tenants, "tenants", 0, "tenants (0: in proportion)")
-	f.BoolVar(&k.whole, "whole", false, "backends, services, routes and tenants of the target at each size")
+	f.BoolVar(&k.full, "whole", false, "backends, services, routes and tenants of the target at each size")
 	f.Float64Var(&k.each, "rate", 1, "requests a second at each node")
 	f.DurationVar(&k.site.Beat, "beat", 1500*time.Millisecond, "between two beats of a backend")
 	f.Float64Var(&k.site.Share, "share", 0, "of a core that each node has (0: not bounded)")
@@ -81,8 +81,8 @@
 	f.StringVar(&k.out, "out", "", "add what was measured to this file of JSON lines")
 	f.StringSliceVar(&k.fit, "fit", nil, "read what was measured from these files, and print slopes")
 	f.IntVar(&k.from, "up-to", 0, "with --fit, only of sizes up to this")
-	f.StringVar(&k.by, "by", "node", "with --fit, what quantities grow with: "+strings.Join(capacity.Axes(), ", "))
-	f.Float64Var(&k.at, "at", float64(capacity.Target.Nodes), "with --fit, what the slopes come to at so much of it")
+	f.StringVar(&k.axis, "by", "node", "with --fit, what quantities grow with: "+strings.Join(capacity.Axes(), ", "))
+	f.Float64Var(&k.target, "at", float64(capacity.Target.Nodes), "with --fit, what the slopes come to at so much of it")
 	f.IntVar(&k.hollow, "hollow", 0, "start so many real nodes in this process, on loopback, and measure them")
 	f.IntVar(&k.changes, "changes", 20, "with --hollow, changes of the configuration")
 	f.StringVar(&k.added, "added", "", "gateway program: measure what a node adds to a request, --rate of them a second")
@@ -102,7 +102,7 @@
 	size := func(of *int, target int) {
 		switch {
 		case *of > 0:
-		case c.whole:
+		case c.full:
 			*of = target
 		default:
 			*of = max(1, (target*nodes+t.Nodes/2)/t.Nodes)
@@ -138,8 +138,8 @@
 	for _, n := range c.sizes {
 		s := c.of(n)
 		fmt.Printf("%d nodes, %d of the core, %d zones, %d regions; %+v; %.0f requests a second\n", n, s.Disks, s.Zones, s.Regions, s.Wide, s.Rate)
-		capacity.Head(os.Stdout)
-		r := simulation.Meter(s, c.seed, c.warm, c.dur, c.phases, func(p simulation.Phase) { capacity.TellPhase(os.Stdout, p) },
+		capacity.PrintHeader(os.Stdout)
+		r := simulation.Meter(s, c.seed, c.warm, c.dur, c.phases, func(p simulation.Phase) { capacity.PrintPhase(os.Stdout, p) },
 			func() string { return c.enough(ctx) })
 		fmt.Printf("  configuration %d bytes, %.0f KB of heap a node, %d nodes known, took %.0f s\n", r.Config, r.Heap/1024, r.Known, r.TookS)
 		if c.out != "" {
@@ -199,5 +199,5 @@
 		}
 		f.Close()
 	}
-	return capacity.TellSlopes(os.Stdout, all, c.by, c.at)
+	return capacity.PrintSlopes(os.Stdout, all, c.axis, c.target)
 }
--- a/cmd/lab/chaos.go
+++ b/cmd/lab/chaos.go
@@ -99,8 +99,8 @@
 	return faultrig.Options{Program: c.named, Rate: c.rate, Cores: 1, MemoryMB: 192, Sockets: 1024, Keep: c.keep, Own: c.own, Operator: c.operator}
 }
 
-// tell prints a run's line and adds it to the file of results.
-func (c *chaos) tell(r *faultrig.Result) error {
+// report prints a run's line and adds it to the file of results.
+func (c *chaos) report(r *faultrig.Result) error {
 	verdict := "kept all rules"
 	if len(r.Broken) > 0 {
 		verdict = fmt.Sprintf("BROKE %d: %s", len(r.Broken), r.Broken[0])
@@ -110,8 +110,8 @@
 	}
 	fmt.Printf("%s seed %d: %d front doors, %d faults, %d asked, %d settled, %d refused, %d voided, %d without answer, beyond quota %.3f, held up %s: %s\n",
 		r.Name, r.Seed, r.Nodes, r.Faults, r.Asked, r.Settled, r.Refused, r.Voided, r.Failed, r.Beyond, r.Slow.Round(time.Millisecond), verdict)
-	if r.Held > 0 {
-		fmt.Printf("  leases: %d grants and renewals, %d steps taken, %d stale ones refused\n", r.Held, r.Steps, r.Stale)
+	if r.LeaseGrants > 0 {
+		fmt.Printf("  leases: %d grants and renewals, %d steps taken, %d stale ones refused\n", r.LeaseGrants, r.Steps, r.Stale)
 	}
 	return addResult(c.out, r)
 }
@@ -136,12 +136,12 @@
 func (c *chaos) draw(ctx context.Context, s *spec.Spec) error {
 	return playSeeds(ctx, &c.seedRuns, func(ctx context.Context, seed uint64) (*faultrig.Result, error) {
 		return faultrig.Play(ctx, s.Drawn(seed, c.most, false), c.options())
-	}, func(r *faultrig.Result) (bool, error) { return len(r.Broken) > 0, c.tell(r) })
+	}, func(r *faultrig.Result) (bool, error) { return len(r.Broken) > 0, c.report(r) })
 }
 
 // failing makes of a play one that tells whether it breaks the rule: the one that is broken first, and the same all the way, or
 // another failure would be found. A play that was ended from outside breaks nothing.
-func failing(ctx context.Context, rule *string, play func(*spec.Spec) ([]history.Broken, error)) func(*spec.Spec) (bool, error) {
+func failing(ctx context.Context, rule *string, play func(*spec.Spec) ([]history.Violation, error)) func(*spec.Spec) (bool, error) {
 	return func(c *spec.Spec) (bool, error) {
 		broken, err := play(c)
 		if err != nil {
@@ -163,7 +163,7 @@
 // smaller shrinks a schedule that fails.
 func (c *chaos) smaller(ctx context.Context, s *spec.Spec, file string) error {
 	rule := ""
-	fails := failing(ctx, &rule, func(item *spec.Spec) ([]history.Broken, error) {
+	fails := failing(ctx, &rule, func(item *spec.Spec) ([]history.Violation, error) {
 		o := c.options()
 		o.Keep = ""
 		r, err := faultrig.Play(ctx, item, o)
@@ -190,7 +190,7 @@
 		return err
 	}
 	least.Name += "-least"
-	if err := faultrig.Keep(c.keep, least, &faultrig.Result{Broken: []history.Broken{{Rule: rule, What: "shrunk from " + filepath.Base(file)}}}); err != nil {
+	if err := faultrig.Keep(c.keep, least, &faultrig.Result{Broken: []history.Violation{{Rule: rule, What: "shrunk from " + filepath.Base(file)}}}); err != nil {
 		return err
 	}
 	for _, f := range least.Faults {
@@ -211,7 +211,7 @@
 		if len(r.Broken) > 0 {
 			broken++
 		}
-		if err := c.tell(r); err != nil {
+		if err := c.report(r); err != nil {
 			return err
 		}
 	}
@@ -236,9 +236,9 @@
 		if broken++; firstOnly {
 			enough()
 		}
-		bad := make([]history.Broken, 0, len(r.Broken))
+		bad := make([]history.Violation, 0, len(r.Broken))
 		for _, b := range r.Broken {
-			bad = append(bad, history.Broken{Rule: b.Rule.String(), T: b.At, Who: fmt.Sprint("front door ", b.Node), Txn: fmt.Sprint(b.Txn), What: b.What})
+			bad = append(bad, history.Violation{Rule: b.Rule.String(), Time: b.Time, Who: fmt.Sprint("front door ", b.Node), Txn: fmt.Sprint(b.Txn), What: b.What})
 		}
 		fmt.Printf("\nseed %d BROKE %d: %s\n", c.Seed, r.RulesBroken, bad[0])
 		return faultrig.Keep(keep, c, &faultrig.Result{Broken: bad})
--- a/cmd/lab/gateway.go
+++ b/cmd/lab/gateway.go
@@ -90,8 +90,8 @@
 func gatewayDemo(ctx context.Context, path, fault string, nodes int, rate float64, dur time.Duration) error {
 	log := history.InMemory(1 << 20)
 	disks := min(3, nodes)
-	t, err := gatewaystandin.New(gatewaystandin.Terms{Program: path, Nodes: nodes, Disks: disks, Base: "127.0.0.", Zones: zones, Each: 2,
-		Rate: rate, Seed: 1, Beat: time.Second, Lost: min(1, (disks-1)/2), History: log})
+	t, err := gatewaystandin.New(gatewaystandin.Config{Program: path, Nodes: nodes, Disks: disks, Base: "127.0.0.", Zones: zones, BackendsPerZone: 2,
+		Rate: rate, Seed: 1, HeartbeatInterval: time.Second, MaxLostDisks: min(1, (disks-1)/2), History: log})
 	if err != nil {
 		return err
 	}
@@ -253,9 +253,9 @@
 		rest(ctx, time.Second)
 		again()
 	case "node-stall":
-		d.Hold(true, fault)
+		d.Suspend(true, fault)
 		rest(ctx, 4*time.Second)
-		d.Hold(false, fault)
+		d.Suspend(false, fault)
 	case "crash":
 		for _, l := range t.Serving()[:2] {
 			l.Crash()
--- a/cmd/lab/gatewaychaos.go
+++ b/cmd/lab/gatewaychaos.go
@@ -118,8 +118,8 @@
 
 const gatewayTable = "%5v %5v %7v %6v %6v %5v %7v %6v %5v %7v %8v %16v  %s\n"
 
-// tell prints a run's line and adds it to the file of results.
-func (g *gatewayChaos) tell(r *faultrig.GatewayResult) error {
+// report prints a run's line and adds it to the file of results.
+func (g *gatewayChaos) report(r *faultrig.GatewayResult) error {
 	verdict := "kept all rules: "
 	if len(r.Broken) > 0 {
 		verdict = fmt.Sprintf("BROKE %d (%s): ", len(r.Broken), strings.Join(ruleNames(r), ", "))
@@ -165,13 +165,13 @@
 		"took", "held up", "recovered", "verdict")
 	return playSeeds(ctx, &g.seedRuns, func(ctx context.Context, seed uint64) (*faultrig.GatewayResult, error) {
 		return faultrig.PlayGateway(ctx, g.drawn(seed), g.options())
-	}, func(r *faultrig.GatewayResult) (bool, error) { return len(r.Broken) > 0, g.tell(r) })
+	}, func(r *faultrig.GatewayResult) (bool, error) { return len(r.Broken) > 0, g.report(r) })
 }
 
 // smaller shrinks a seed's schedule that fails.
 func (g *gatewayChaos) smaller(ctx context.Context) error {
 	s, rule := g.drawn(g.first), ""
-	fails := failing(ctx, &rule, func(c *spec.Spec) ([]history.Broken, error) {
+	fails := failing(ctx, &rule, func(c *spec.Spec) ([]history.Violation, error) {
 		x, o := *s, g.options()
 		x.Faults, o.Keep = c.Faults, ""
 		r, err := faultrig.PlayGateway(ctx, &x, o)
--- a/cmd/lab/gatewaylosses.go
+++ b/cmd/lab/gatewaylosses.go
@@ -29,7 +29,7 @@
 			}
 			losses, tags := []faultrig.Loss{faultrig.Killed, faultrig.Frozen, faultrig.Emptied}, []string(nil)
 			if cuts {
-				losses, tags = []faultrig.Loss{faultrig.CutOff}, []string{"debug"}
+				losses, tags = []faultrig.Loss{faultrig.Partitioned}, []string{"debug"}
 			}
 			path, done, err := program(gatewayProgram, named, tags...)
 			if err != nil {
@@ -41,10 +41,10 @@
 			for _, s := range all { // what there is of them
 				fmt.Printf("%s, on %d nodes; %d tries set aside, the rig was held up; at most %s in the rest:\n", s.Loss, nodes,
 					s.Aside, s.Slow.Round(time.Millisecond))
-				tellSpan("another leads after", s.Leads)
-				tellSpan("a change is acknowledged after", s.Taken)
-				tellSpan("a quarter of the tries is served after", s.Serve)
-				tellSpan("every node serves every first route after", s.All)
+				printSpan("another leads after", s.Leads)
+				printSpan("a change is acknowledged after", s.Taken)
+				printSpan("a quarter of the tries is served after", s.Serve)
+				printSpan("every node serves every first route after", s.All)
 				err = errors.Join(err, addResult(out, s))
 			}
 			return err
@@ -59,8 +59,8 @@
 	return c
 }
 
-// tellSpan prints the median and the worst of some times, if there are any.
-func tellSpan(what string, of []time.Duration) {
+// printSpan prints the median and the worst of some times, if there are any.
+func printSpan(what string, of []time.Duration) {
 	if len(of) > 0 {
 		ms := func(q float64) time.Duration { return leasecheck.Quantile(of, q).Round(time.Millisecond) }
 		fmt.Printf("  %-42s %d times, median %s, 90 %% %s, worst %s\n", what, len(of), ms(0.5), ms(0.9), ms(1))
--- a/cmd/lab/gatewayrollout.go
+++ b/cmd/lab/gatewayrollout.go
@@ -78,7 +78,7 @@
 		return faultrig.PlayRollout(ctx, s, g.options())
 	}, func(r *faultrig.RolloutResult) (bool, error) {
 		all = append(all, r)
-		return len(r.Broken) > 0, g.tell(r)
+		return len(r.Broken) > 0, g.report(r)
 	})
 	showRollouts(all)
 	if g.page != "" {
@@ -94,26 +94,27 @@
 	return failed
 }
 
-func (g *gatewayRollout) tell(r *faultrig.RolloutResult) error {
+func (g *gatewayRollout) report(r *faultrig.RolloutResult) error {
 	sec := func(d time.Duration) string { return fmt.Sprintf("%.2fs", d.Seconds()) }
 	fmt.Printf(rolloutTable, r.Seed, r.Advance, fmt.Sprintf("%g%%", float64(r.Share)/100), sec(r.Met.Verdict), sec(r.Met.LastNode),
 		sec(r.Met.Last), r.Met.Requests, r.Met.Failing, r.Met.Clients,
 		fmt.Sprintf("%d/%d", r.Reads.Whole, r.Reads.UnderWay), fmt.Sprintf("%d/%d", r.Open.Recorded, r.Open.All), r.Recorded,
-		r.Asked, strings.Join(slices.DeleteFunc([]string{r.Flaw, r.Verdict(), alone(r), heldUp(&r.GatewayResult), strings.Join(r.Faults, ", ")},
+		r.Asked, strings.Join(slices.DeleteFunc([]string{r.Flaw, r.Verdict(), formatSelfRollbacks(r), formatDoubted(&r.GatewayResult), strings.Join(r.Faults, ", ")},
 			func(s string) bool { return s == "" }), "; "))
 	showBroken(&r.GatewayResult)
 	return addResult(g.out, r)
 }
 
-// heldUp tells of a run whose times are not trusted.
-func alone(r *faultrig.RolloutResult) string {
-	if r.Alone == 0 {
+// formatSelfRollbacks tells how many nodes rolled back by themselves.
+func formatSelfRollbacks(r *faultrig.RolloutResult) string {
+	if r.SelfRollbacks == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%d nodes by themselves", r.Alone)
+	return fmt.Sprintf("%d nodes by themselves", r.SelfRollbacks)
 }
 
-func heldUp(r *faultrig.GatewayResult) string {
+// formatDoubted tells of a run whose times are not trusted.
+func formatDoubted(r *faultrig.GatewayResult) string {
 	if len(r.Doubted) == 0 {
 		return ""
 	}
--- a/cmd/lab/leases.go
+++ b/cmd/lab/leases.go
@@ -65,14 +65,14 @@
 		if err != nil {
 			return err
 		}
-		l.tell("three voters, breadth first", 1, r)
+		l.report("three voters, breadth first", 1, r)
 	}
 	for _, name := range names {
 		first, sum, err := l.walk(ctx, models[name])
 		if err != nil {
 			return err
 		}
-		l.tell(name, first, sum)
+		l.report(name, first, sum)
 	}
 	if ctx.Err() != nil {
 		return errors.New("stopped before all was walked through")
@@ -83,11 +83,11 @@
 	return nil
 }
 
-// tell prints what came of a model.
-func (l *leaseRuns) tell(name string, walk int, r leasecheck.Result) {
-	if r.Bad != "" {
+// report prints what came of a model.
+func (l *leaseRuns) report(name string, walk int, r leasecheck.Result) {
+	if r.Violation != "" {
 		l.broken++
-		fmt.Printf("%s: BROKE %d: %s: %s\n", name, walk, r.Bad, strings.Join(r.Trace, ", "))
+		fmt.Printf("%s: BROKE %d: %s: %s\n", name, walk, r.Violation, strings.Join(r.Trace, ", "))
 		return
 	}
 	fmt.Printf("%s: %s\n", name, r)
@@ -108,9 +108,9 @@
 		r, wrong := leasecheck.Walk(m, seed, min(walkChunk, l.walks-int(seed-1)*walkChunk), l.steps)
 		return chunk{seed, r}, wrong
 	}, func(_ int, c chunk) error {
-		sum.States, sum.Depth, sum.Took, sum.Granted = sum.States+c.r.States, max(sum.Depth, c.r.Depth), sum.Took+c.r.Took, sum.Granted+c.r.Granted
-		if c.r.Bad != "" && sum.Bad == "" {
-			sum.Bad, sum.Trace, first = c.r.Bad, slices.Clone(c.r.Trace), int(c.seed)*walkChunk
+		sum.States, sum.Depth, sum.Elapsed, sum.Granted = sum.States+c.r.States, max(sum.Depth, c.r.Depth), sum.Elapsed+c.r.Elapsed, sum.Granted+c.r.Granted
+		if c.r.Violation != "" && sum.Violation == "" {
+			sum.Violation, sum.Trace, first = c.r.Violation, slices.Clone(c.r.Trace), int(c.seed)*walkChunk
 			enough()
 		}
 		return nil
@@ -123,24 +123,24 @@
 
 // bigFleet plays seeds of a big fleet on all cores.
 func bigFleet(ctx context.Context, nodes, seeds int) error {
-	b := leasecheck.Usual(nodes)
+	b := leasecheck.DefaultFleet(nodes)
 	var after []time.Duration
 	var idle time.Duration
 	bad, grants := 0, 0
 	frames, most := 0.0, 0.0
-	err := experiments.Seeds(ctx, 1, seeds, runtime.NumCPU(), b.Play, func(_ int, r *leasecheck.Played) error {
-		for _, x := range r.Bad {
-			fmt.Printf("seed %d: BROKE %d: %s\n", r.Seed, len(r.Bad), x)
+	err := experiments.Seeds(ctx, 1, seeds, runtime.NumCPU(), b.Play, func(_ int, r *leasecheck.FleetResult) error {
+		for _, x := range r.Violations {
+			fmt.Printf("seed %d: BROKE %d: %s\n", r.Seed, len(r.Violations), x)
 		}
-		bad, grants, idle = bad+len(r.Bad), grants+r.Grants, max(idle, r.Idle)
-		after = append(after, r.After...)
-		frames, most = frames+r.Frames/float64(seeds), max(most, r.Most)
+		bad, grants, idle = bad+len(r.Violations), grants+r.Grants, max(idle, r.Idle)
+		after = append(after, r.FailoverTimes...)
+		frames, most = frames+r.Frames/float64(seeds), max(most, r.MaxFrames)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d front doors, %d tasks with %d wishers each, %d seeds of %s: %d grants, %d times two held one permit\n", nodes, b.Tasks, b.Wishers, seeds, b.For, grants, bad)
+	fmt.Printf("%d front doors, %d tasks with %d wishers each, %d seeds of %s: %d grants, %d times two held one permit\n", nodes, b.Tasks, b.Requesters, seeds, b.Duration, grants, bad)
 	fmt.Printf("  %d holders died or stood still: their tasks went on after %.2f s (median), %.2f s (99 %%), %.2f s (most); without a holder at rest %.2f s at most\n",
 		len(after), leasecheck.Quantile(after, 0.5).Seconds(), leasecheck.Quantile(after, 0.99).Seconds(), leasecheck.Quantile(after, 1).Seconds(), idle.Seconds())
 	fmt.Printf("  %.1f frames a front door a second, %.1f the one that sent most\n", frames, most)
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -121,8 +121,8 @@
 func show(r *emulator.Result, took time.Duration) {
 	fmt.Printf("%s, seed %d, %s: %d front doors, %d backends, %.0f simulated seconds\n", r.Name, r.Seed, r.Policy, r.Nodes, r.Backends, r.Seconds)
 	fmt.Printf("  service %.3f  score %.3f  place %.2f (marks %.3f, %.3f)  worst second %.2f\n", r.Service, r.Score, r.Place, r.Low, r.High, r.Worst)
-	fmt.Printf("  %d requests, %d tries, %d submissions; settled %d (%d late), declined %d tries, voided %d; beyond quotas %d\n", r.Requests, r.Tries,
-		r.Submissions, r.Settled, r.Late, r.Declined, r.Voided, r.Beyond)
+	fmt.Printf("  %d requests, %d tries, %d submissions; settled %d (%d late), declined %d tries, voided %d; beyond quotas %d\n", r.Requests, r.Attempts,
+		r.Submissions, r.Succeeded, r.Late, r.Rejected, r.Failed, r.Beyond)
 	fmt.Printf("  ms: median %.0f, 90 %% %.0f, 99 %% %.0f; %d new connections, %d messages; given up: %v\n", r.P50, r.P90, r.P99, r.Handshakes, r.Messages, r.Reasons)
 	for _, g := range r.Plans {
 		fmt.Printf("  plan %-10s %.3f\n", g.Name, g.Service)
--- a/cmd/lab/mutants.go
+++ b/cmd/lab/mutants.go
@@ -44,11 +44,11 @@
 				if !strings.Contains(t.Mutant[i].Name, only) {
 					continue
 				}
-				f, err := mutants.Try(c.Context(), &t.Mutant[i], o)
+				f, err := mutants.Run(c.Context(), &t.Mutant[i], o)
 				if err != nil {
 					return err
 				}
-				if played++; f.By != "" {
+				if played++; f.Experiment != "" {
 					found++
 				}
 				fmt.Println(f.Row())
@@ -108,7 +108,7 @@
 					if wrong != nil {
 						return wrong
 					}
-					tellKept(file, r)
+					printKept(file, r)
 					if r.RulesBroken > 0 {
 						failed++
 					}
@@ -127,7 +127,7 @@
 				if err != nil {
 					return err
 				}
-				if err := k.tell(r); err != nil {
+				if err := k.report(r); err != nil {
 					return err
 				}
 				if len(r.Broken) > 0 {
@@ -144,7 +144,7 @@
 	return c
 }
 
-func tellKept(file string, r *emulator.Result) {
+func printKept(file string, r *emulator.Result) {
 	verdict := "kept all rules"
 	if r.RulesBroken > 0 {
 		verdict = "BROKE " + r.Broken[0].String()
--- a/cmd/lab/simulate.go
+++ b/cmd/lab/simulate.go
@@ -134,9 +134,9 @@
 	fmt.Printf("%d nodes, %d disks, %d zones: %d days of %.1f s in the mean, in %.1f s with %d side by side: %.0f an hour\n",
 		s.site.Nodes, s.site.Disks, s.site.Usual().Zones, s.days, s.simulated.Seconds()/n, took.Seconds(), s.jobs, n/took.Hours())
 	fmt.Printf("a day: %.0f requests, %.1f %% served, %.1f %% in time, %.0f refused, %.0f voided, %.0f without an answer; %.1f configurations; "+
-		"all served again %.1f s after the faults at the latest\n", float64(s.counts.Asked)/n,
-		100*float64(s.counts.Served)/float64(max(1, s.counts.Asked)), 100*float64(s.counts.InTime)/float64(max(1, s.counts.Asked)),
-		float64(s.counts.Refused)/n, float64(s.counts.Voided)/n, float64(s.counts.Failed)/n, float64(s.taken)/n, s.slowest.Seconds())
+		"all served again %.1f s after the faults at the latest\n", float64(s.counts.Requested)/n,
+		100*float64(s.counts.Served)/float64(max(1, s.counts.Requested)), 100*float64(s.counts.InTime)/float64(max(1, s.counts.Requested)),
+		float64(s.counts.Rejected)/n, float64(s.counts.Aborted)/n, float64(s.counts.Failed)/n, float64(s.taken)/n, s.slowest.Seconds())
 	if n := invariant.Broken(); n > 0 {
 		fmt.Printf("%d must holds did not hold\n", n)
 	}
@@ -158,8 +158,8 @@
 // add counts a day, and prints what it broke.
 func (s *simulate) add(r *simulation.Result) {
 	s.days++
-	s.simulated += r.Played
-	s.taken += r.Taken
+	s.simulated += r.SimulatedTime
+	s.taken += r.AcceptedConfigs
 	s.counts.Add(r.Counts)
 	for _, x := range r.Recovered {
 		s.slowest = max(s.slowest, x)
@@ -175,11 +175,11 @@
 		}
 		had[b.Rule] = true
 	}
-	tellDay(r, 4)
+	printDay(r, 4)
 }
 
-// tellDay prints a day that broke rules.
-func tellDay(r *simulation.Result, most int) {
+// printDay prints a day that broke rules.
+func printDay(r *simulation.Result, most int) {
 	fmt.Printf("\nseed %d BROKE %d: %s\n", r.Day.Seed, len(r.Broken), r.Broken[0])
 	for i, b := range r.Broken[1:] {
 		if i == most {
@@ -189,7 +189,7 @@
 		fmt.Printf("      %s\n", b)
 	}
 	for i, f := range r.Day.Faults {
-		fmt.Printf("  %2d %s\n", i, wordFault(f))
+		fmt.Printf("  %2d %s\n", i, formatFault(f))
 	}
 	if r.Day.Early {
 		fmt.Println("  from the first start on")
@@ -199,7 +199,7 @@
 	}
 }
 
-func wordFault(f spec.Fault) string {
+func formatFault(f spec.Fault) string {
 	return fmt.Sprintf("%-12s at %.2fs for %.2fs, share %.1f", f.Kind, f.At.D().Seconds(), f.For.D().Seconds(), f.Share)
 }
 
@@ -225,10 +225,10 @@
 		d.Log = io.Writer(os.Stderr)
 	}
 	r := simulation.Play(d)
-	fmt.Printf("seed %d: %.1f s, %d events, digest %s\n", d.Seed, r.Played.Seconds(), r.Events, r.Digest)
-	fmt.Printf("%+v, %d configurations, served again after %v\n", r.Counts, r.Taken, r.Recovered)
+	fmt.Printf("seed %d: %.1f s, %d events, digest %s\n", d.Seed, r.SimulatedTime.Seconds(), r.Events, r.Digest)
+	fmt.Printf("%+v, %d configurations, served again after %v\n", r.Counts, r.AcceptedConfigs, r.Recovered)
 	if len(r.Broken) > 0 {
-		tellDay(r, 40)
+		printDay(r, 40)
 		return fmt.Errorf("broke %d rules", len(r.Broken))
 	}
 	return nil
@@ -237,7 +237,7 @@
 // smaller shrinks a day that fails.
 func (s *simulate) smaller(ctx context.Context) error {
 	d, rule := s.chosen(), ""
-	fails := failing(ctx, &rule, func(c *spec.Spec) ([]history.Broken, error) {
+	fails := failing(ctx, &rule, func(c *spec.Spec) ([]history.Violation, error) {
 		x := *d
 		x.Faults = c.Faults
 		return simulation.Play(&x).Broken, ctx.Err()
@@ -254,7 +254,7 @@
 		return err
 	}
 	for _, f := range least.Faults {
-		fmt.Printf("  number %d: %s\n", slices.Index(d.Faults, f), wordFault(f))
+		fmt.Printf("  number %d: %s\n", slices.Index(d.Faults, f), formatFault(f))
 	}
 	return nil
 }
@@ -264,7 +264,7 @@
 	fmt.Printf("bytes a second that a node sends in calm, beats each %s, configuration changed %v\n", s.site.Usual().Beat, s.changes)
 	head := "%5v %5v %-8s"
 	fmt.Printf(head, "nodes", "disks", "node")
-	for _, kind := range simulation.Sorts {
+	for _, kind := range simulation.TrafficKinds {
 		fmt.Printf(" %10s", kind)
 	}
 	fmt.Printf(" %10s %10s\n", "all", "the most")
@@ -273,17 +273,17 @@
 		site.Nodes, site.Disks, site.Zones = n, min(s.site.Disks, n), min(max(s.site.Zones, 3), n)
 		r := simulation.Play(&simulation.Day{Site: site, Seed: s.first, For: s.dur, Calm: true, Changes: s.changes})
 		if len(r.Broken) > 0 {
-			tellDay(r, 4)
+			printDay(r, 4)
 			return errors.New("a calm day broke rules")
 		}
 		row := func(name string, t simulation.Traffic, most string) {
 			fmt.Printf(head, n, site.Disks, name)
-			for _, kind := range simulation.Sorts {
+			for _, kind := range simulation.TrafficKinds {
 				fmt.Printf(" %10d", t[kind])
 			}
 			fmt.Printf(" %10d %10s\n", t.Sum(), most)
 		}
-		row("disk", r.Disks, fmt.Sprintf("%.0f", r.Most))
+		row("disk", r.Disks, fmt.Sprintf("%.0f", r.MaxNodeRate))
 		if n > site.Disks {
 			row("none", r.Others, "")
 		}
--- a/internal/failpoint/debug.go
+++ b/internal/failpoint/debug.go
@@ -21,29 +21,29 @@
 // On tells whether this build has the places.
 const On = true
 
-// order is what is to be done at a place, once, when it is reached for so many-th time from now.
-type order struct {
-	does string
-	left int
+// action is what is to be done at a place, once, when it is reached for so many-th time from now.
+type action struct {
+	name      string
+	remaining int
 }
 
 var (
-	armed  atomic.Int64 // orders that wait: none costs one load
-	mu     sync.Mutex
-	orders = map[Name]*order{}
-	parted = map[string]bool{} // hosts that nothing said here gets to
-	dark   = map[string]bool{} // hosts without power: no end of theirs is told
-	cuts   atomic.Int64        // how many of both: none costs one load
-	say    = func(line []byte) { os.Stderr.Write(line) }
-	does   = map[string]func(){
-		"stop": stop,
+	armed         atomic.Int64 // orders that wait: none costs one load
+	mu            sync.Mutex
+	pending       = map[Name]*action{}
+	partitioned   = map[string]bool{} // hosts that nothing said here gets to
+	poweredOff    = map[string]bool{} // hosts without power: no end of theirs is told
+	affectedHosts atomic.Int64        // how many of both: none costs one load
+	writeLine     = func(line []byte) { os.Stderr.Write(line) }
+	actions       = map[string]func(){
+		"stop": pauseProcess,
 		"exit": func() { syscall.Kill(os.Getpid(), syscall.SIGKILL) },
 	}
 )
 
-// stop lets the whole process stand still until SIGCONT. The signal goes to this very thread: sent to the process, another
+// pauseProcess lets the whole process stand still until SIGCONT. The signal goes to this very thread: sent to the process, another
 // thread may take it, and this one runs on for a moment, past the place.
-func stop() {
+func pauseProcess() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	unix.Tgkill(os.Getpid(), unix.Gettid(), unix.SIGSTOP)
@@ -55,32 +55,32 @@
 		return
 	}
 	mu.Lock()
-	o := orders[n]
+	o := pending[n]
 	if o == nil {
 		mu.Unlock()
 		return
 	}
-	if o.left--; o.left > 0 {
+	if o.remaining--; o.remaining > 0 {
 		mu.Unlock()
 		return
 	}
-	delete(orders, n)
+	delete(pending, n)
 	armed.Add(-1)
-	line, _ := json.Marshal(Reached{n, o.does})
-	say(append(line, '\n'))
+	line, _ := json.Marshal(Reached{n, o.name})
+	writeLine(append(line, '\n'))
 	mu.Unlock()
-	does[o.does]()
+	actions[o.name]()
 }
 
-// Cut tells whether nothing that is sent from here gets to an address: host, or host and port.
-func Cut(to string) bool { return struck(to, parted, dark) }
+// Partitioned tells whether nothing that is sent from here gets to an address: host, or host and port.
+func Partitioned(to string) bool { return affected(to, partitioned, poweredOff) }
 
-// Dark tells whether the machine at an address has no power: its connections end without a word.
-func Dark(at string) bool { return struck(at, dark) }
+// PoweredOff tells whether the machine at an address has no power: its connections end without a word.
+func PoweredOff(at string) bool { return affected(at, poweredOff) }
 
-// struck tells whether an address's host is in one of some lists.
-func struck(address string, lists ...map[string]bool) bool {
-	if cuts.Load() == 0 {
+// affected tells whether an address's host is in one of some lists.
+func affected(address string, lists ...map[string]bool) bool {
+	if affectedHosts.Load() == 0 {
 		return false
 	}
 	if host, _, err := net.SplitHostPort(address); err == nil {
@@ -96,11 +96,11 @@
 	return false
 }
 
-// hosts are the orders that name a host, with what they change and to what.
-var hosts = map[string]struct {
+// hostCommands are the orders that name a host, with what they change and to what.
+var hostCommands = map[string]struct {
 	of map[string]bool
 	to bool
-}{"cut": {parted, true}, "mend": {parted, false}, "dark": {dark, true}, "light": {dark, false}}
+}{"cut": {partitioned, true}, "mend": {partitioned, false}, "dark": {poweredOff, true}, "light": {poweredOff, false}}
 
 // Listen takes orders, a line each: "stop gate.before-submit 3" stands still at the third time from now, "exit" ends
 // the process there; "cut 127.1.2.3" loses what is sent to that host from now on, until "mend 127.1.2.3"; "dark 127.1.2.3" does so
@@ -108,28 +108,28 @@
 func Listen(in io.Reader) {
 	go func() {
 		for lines := bufio.NewScanner(in); lines.Scan(); {
-			if err := take(lines.Text()); err != nil {
+			if err := apply(lines.Text()); err != nil {
 				line, _ := json.Marshal(map[string]string{"point": "", "error": err.Error()})
-				say(append(line, '\n'))
+				writeLine(append(line, '\n'))
 			}
 		}
 	}()
 }
 
-func take(line string) error {
+func apply(line string) error {
 	f := strings.Fields(line)
-	if len(f) == 2 && hosts[f[0]].of != nil {
+	if len(f) == 2 && hostCommands[f[0]].of != nil {
 		mu.Lock()
 		defer mu.Unlock()
-		if h := hosts[f[0]]; h.to {
+		if h := hostCommands[f[0]]; h.to {
 			h.of[f[1]] = true
 		} else {
 			delete(h.of, f[1])
 		}
-		cuts.Store(int64(len(parted) + len(dark)))
+		affectedHosts.Store(int64(len(partitioned) + len(poweredOff)))
 		return nil
 	}
-	if len(f) < 2 || len(f) > 3 || does[f[0]] == nil {
+	if len(f) < 2 || len(f) > 3 || actions[f[0]] == nil {
 		return fmt.Errorf("%q is no order: want stop or exit, a point, and the count if not 1; or cut, mend, dark or light and a host", line)
 	}
 	nth := 1
@@ -143,9 +143,9 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if orders[Name(f[1])] == nil {
+	if pending[Name(f[1])] == nil {
 		armed.Add(1)
 	}
-	orders[Name(f[1])] = &order{f[0], nth}
+	pending[Name(f[1])] = &action{f[0], nth}
 	return nil
 }
--- a/internal/failpoint/points.go
+++ b/internal/failpoint/points.go
@@ -8,20 +8,20 @@
 
 // The places. A name says what comes next there.
 const (
-	BeforeSubmit Name = "gate.before-submit" // decided on, not handed to the network
-	AfterSubmit  Name = "gate.after-submit"  // handed over, its answer is still to come
-	BeforeAnswer Name = "gate.before-answer" // the final answer is decided on
-	BeforeTell   Name = "peers.before-tell"  // a datagram is made
-	AfterHear    Name = "peers.after-hear"   // one was read, the module has not heard of it
-	BeforeList   Name = "serve.before-list"  // news of the backends has come, nobody goes by it
-	BeforeReload Name = "serve.before-reload"
-	BeforeReady  Name = "serve.before-ready" // built, not serving
-	BeforeAct    Name = "lease.before-act"   // a grant was found good, its step is not done
-	AfterAct     Name = "lease.after-act"    // the step is done, nobody knows
+	BeforeSubmit         Name = "gate.before-submit" // decided on, not handed to the network
+	AfterSubmit          Name = "gate.after-submit"  // handed over, its answer is still to come
+	BeforeAnswer         Name = "gate.before-answer" // the final answer is decided on
+	BeforeSendDatagram   Name = "peers.before-tell"  // a datagram is made
+	AfterReceiveDatagram Name = "peers.after-hear"   // one was read, the module has not heard of it
+	BeforeList           Name = "serve.before-list"  // news of the backends has come, nobody goes by it
+	BeforeReload         Name = "serve.before-reload"
+	BeforeReady          Name = "serve.before-ready" // built, not serving
+	BeforeAct            Name = "lease.before-act"   // a grant was found good, its step is not done
+	AfterAct             Name = "lease.after-act"    // the step is done, nobody knows
 )
 
 // All lists them.
-var All = []Name{BeforeSubmit, AfterSubmit, BeforeAnswer, BeforeTell, AfterHear, BeforeList, BeforeReload, BeforeReady, BeforeAct, AfterAct}
+var All = []Name{BeforeSubmit, AfterSubmit, BeforeAnswer, BeforeSendDatagram, AfterReceiveDatagram, BeforeList, BeforeReload, BeforeReady, BeforeAct, AfterAct}
 
 // Known tells whether there is such a place.
 func Known(n Name) bool {
@@ -35,6 +35,6 @@
 
 // Reached is the line that a process writes to its log when it does as it was told; the rig reads it there.
 type Reached struct {
-	Point Name   `json:"point"`
-	Does  string `json:"does"` // stop or exit
+	Point  Name   `json:"point"`
+	Action string `json:"does"` // stop or exit
 }
--- a/internal/failpoint/points_test.go
+++ b/internal/failpoint/points_test.go
@@ -11,8 +11,8 @@
 // An order hits its place at its count, once; orders that are wrong are told and change nothing.
 func TestOrders(t *testing.T) {
 	did, said := 0, make(chan string, 10)
-	does["stop"] = func() { did++ }
-	say = func(line []byte) { said <- string(line) }
+	actions["stop"] = func() { did++ }
+	writeLine = func(line []byte) { said <- string(line) }
 	in, out := io.Pipe()
 	Listen(in)
 	for _, bad := range []string{"", "stop", "stop nowhere", "halt gate.before-submit", "stop gate.before-submit 0", "stop gate.before-submit 1 2"} {
@@ -37,15 +37,15 @@
 	for _, order := range []string{"cut 127.1.2.3\n", "mend 127.1.2.4\n", "mend 127.1.2.3\n"} {
 		io.WriteString(out, order+"wrong\n")
 		<-said // the wrong one after it
-		if cut := order != "mend 127.1.2.3\n"; Cut("127.1.2.3:70") != cut || Cut("127.1.2.3") != cut || Cut("127.1.2.4") {
-			t.Errorf("after %q: %v", order, Cut("127.1.2.3"))
+		if cut := order != "mend 127.1.2.3\n"; Partitioned("127.1.2.3:70") != cut || Partitioned("127.1.2.3") != cut || Partitioned("127.1.2.4") {
+			t.Errorf("after %q: %v", order, Partitioned("127.1.2.3"))
 		}
 	}
 	for _, order := range []string{"dark 127.1.2.3\n", "mend 127.1.2.3\n", "light 127.1.2.3\n"} {
 		io.WriteString(out, order+"wrong\n")
 		<-said
-		if off := order != "light 127.1.2.3\n"; Dark("127.1.2.3:70") != off || Cut("127.1.2.3") != off || Dark("127.1.2.4") {
-			t.Errorf("after %q: %v", order, Dark("127.1.2.3"))
+		if off := order != "light 127.1.2.3\n"; PoweredOff("127.1.2.3:70") != off || Partitioned("127.1.2.3") != off || PoweredOff("127.1.2.4") {
+			t.Errorf("after %q: %v", order, PoweredOff("127.1.2.3"))
 		}
 	}
 }
--- a/internal/failpoint/release.go
+++ b/internal/failpoint/release.go
@@ -10,11 +10,11 @@
 // At does nothing in a release build.
 func At(Name) {}
 
-// Cut is for debug builds: here all gets through.
-func Cut(string) bool { return false }
+// Partitioned is for debug builds: here all gets through.
+func Partitioned(string) bool { return false }
 
-// Dark is for debug builds: here all ends are told.
-func Dark(string) bool { return false }
+// PoweredOff is for debug builds: here all ends are told.
+func PoweredOff(string) bool { return false }
 
 // Listen does nothing in a release build.
 func Listen(io.Reader) {}
--- a/internal/frontdoor/config/config.go
+++ b/internal/frontdoor/config/config.go
@@ -16,27 +16,27 @@
 
 // Config is what a front door is told.
 type Config struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	Wait       time.Duration // of a watch of discovery
-	PeerListen string
-	Peers      []netip.AddrPort // in the order of the gateways' numbers, its own included
-	Me         int
-	Seed       int64
-	Cores      float64
-	MemoryMB   int
-	Sockets    int
-	Known      json.RawMessage // the list of backends as last known
-	Settings   control.Settings
-	Zones      []string
-	Products   []Product
-	Plans      []string
-	Fields     []string // of load reports, in the protocol's words
-	ConnIdle   time.Duration
-	DialLimit  time.Duration
-	MostHeld   int
-	MostUnits  float64 // of a txn
+	Name          string
+	Listen        string
+	Discovery     string
+	WatchTimeout  time.Duration // of a watch of discovery
+	PeerListen    string
+	Peers         []netip.AddrPort // in the order of the gateways' numbers, its own included
+	GatewayIndex  int
+	Seed          int64
+	Cores         float64
+	MemoryMB      int
+	Sockets       int
+	KnownBackends json.RawMessage // the list of backends as last known
+	Settings      control.Settings
+	Zones         []string
+	Products      []Product
+	Plans         []string
+	LoadFields    []string // of load reports, in the protocol's words
+	IdleTimeout   time.Duration
+	DialTimeout   time.Duration
+	MaxInFlight   int
+	MaxUnits      float64 // of a txn
 }
 
 // Product is what the front door needs to know of a kind of txn.
@@ -46,11 +46,11 @@
 	Safe  bool // may run again
 }
 
-// form is the file's.
-type form struct {
+// document is the file's.
+type document struct {
 	Name, Listen, Discovery, Seed string
 	PeerListen                    string `json:"peer_listen"`
-	WaitMS                        int    `json:"discovery_wait_ms"`
+	WatchTimeoutMS                int    `json:"discovery_wait_ms"`
 	Peers                         []string
 	Limits                        struct {
 		Cores    float64
@@ -61,8 +61,8 @@
 	Settings json.RawMessage
 }
 
-// facts are the settings that the protocol needs by their own names.
-type facts struct {
+// protocolSettings are the settings that the protocol needs by their own names.
+type protocolSettings struct {
 	Dcs            []string
 	RequestClasses []struct{ Name, Effect string }
 	Plans          []struct{ Name string }
@@ -87,12 +87,12 @@
 
 // Parse reads a configuration.
 func Parse(text []byte) (*Config, error) {
-	var f form
+	var f document
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, PeerListen: f.PeerListen,
-		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known}
+		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, KnownBackends: f.Known}
 	seed, err := strconv.ParseUint(strings.TrimPrefix(f.Seed, "0x"), 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: not a hexadecimal number")
@@ -103,25 +103,25 @@
 			return nil, fmt.Errorf("%s: not an address with a port: %q", name, at)
 		}
 	}
-	if f.WaitMS == 0 {
-		f.WaitMS = 1000
+	if f.WatchTimeoutMS == 0 {
+		f.WatchTimeoutMS = 1000
 	}
-	if c.Wait = time.Duration(f.WaitMS) * time.Millisecond; f.WaitMS < 100 || f.WaitMS > 60000 {
+	if c.WatchTimeout = time.Duration(f.WatchTimeoutMS) * time.Millisecond; f.WatchTimeoutMS < 100 || f.WatchTimeoutMS > 60000 {
 		return nil, fmt.Errorf("discovery_wait_ms: from 100 to 60000")
 	}
 	if c.MemoryMB < 16 || c.Sockets < 64 {
 		return nil, fmt.Errorf("limits: memory_mb is 16 at the least, sockets 64")
 	}
-	if c.Settings, err = Nested(f.Settings); err != nil {
+	if c.Settings, err = ParseJSON(f.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	var known facts
+	var known protocolSettings
 	if err = json.Unmarshal(f.Settings, &known); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	c.Zones, c.Fields = known.Dcs, known.Report.Fields
+	c.Zones, c.LoadFields = known.Dcs, known.Report.Fields
 	for _, p := range known.RequestClasses {
-		c.Products = append(c.Products, Product{p.Name, values[p.Effect] == "referenced", values[p.Effect] == "inquiry-like"})
+		c.Products = append(c.Products, Product{p.Name, settingValues[p.Effect] == "referenced", settingValues[p.Effect] == "inquiry-like"})
 	}
 	for _, p := range known.Plans {
 		c.Plans = append(c.Plans, p.Name)
@@ -129,7 +129,7 @@
 	for _, n := range []struct {
 		name string
 		to   *int
-	}{{"me", &c.Me}, {"limits.most_held", &c.MostHeld}} {
+	}{{"me", &c.GatewayIndex}, {"limits.most_held", &c.MaxInFlight}} {
 		if *n.to, err = strconv.Atoi(c.Settings[n.name]); err != nil {
 			return nil, fmt.Errorf("setting %s: not a whole number", n.name)
 		}
@@ -137,24 +137,24 @@
 	for _, n := range []struct {
 		name string
 		to   *time.Duration
-	}{{"limits.conn_idle", &c.ConnIdle}, {"limits.dial_timeout", &c.DialLimit}} {
+	}{{"limits.conn_idle", &c.IdleTimeout}, {"limits.dial_timeout", &c.DialTimeout}} {
 		us, wrong := strconv.ParseFloat(c.Settings[n.name], 64)
 		if wrong != nil || us <= 0 {
 			return nil, fmt.Errorf("setting %s: not a time in microseconds", n.name)
 		}
 		*n.to = time.Duration(us) * time.Microsecond
 	}
-	if c.MostUnits, err = strconv.ParseFloat(c.Settings["quota.most_units"], 64); err != nil || !(c.MostUnits > 0) {
+	if c.MaxUnits, err = strconv.ParseFloat(c.Settings["quota.most_units"], 64); err != nil || !(c.MaxUnits > 0) {
 		return nil, fmt.Errorf("setting quota.most_units: not a number over 0")
 	}
 	if c.Settings["limits.peers"] == "true" {
-		return c, c.peers(f.Peers)
+		return c, c.parsePeers(f.Peers)
 	}
 	return c, nil
 }
 
-// Fixed names what another configuration has otherwise and only a restart can change.
-func (c *Config) Fixed(other *Config) (names []string) {
+// RestartOnlyChanges names what another configuration has otherwise and only a restart can change.
+func (c *Config) RestartOnlyChanges(other *Config) (names []string) {
 	for _, x := range []struct {
 		name string
 		same bool
@@ -168,7 +168,7 @@
 	return names
 }
 
-func (c *Config) peers(all []string) error {
+func (c *Config) parsePeers(all []string) error {
 	if _, err := netip.ParseAddrPort(c.PeerListen); err != nil {
 		return fmt.Errorf("peer_listen: not an address with a port: %q", c.PeerListen)
 	}
--- a/internal/frontdoor/config/config_test.go
+++ b/internal/frontdoor/config/config_test.go
@@ -15,7 +15,7 @@
 
 func Example() {
 	c, err := Parse([]byte(file))
-	fmt.Println(err, c.Seed, c.Me, c.Peers, c.ConnIdle, c.DialLimit, c.Products, c.Plans, c.Zones, c.Fields)
+	fmt.Println(err, c.Seed, c.GatewayIndex, c.Peers, c.IdleTimeout, c.DialTimeout, c.Products, c.Plans, c.Zones, c.LoadFields)
 	var all []string
 	for name, value := range c.Settings {
 		all = append(all, name+"="+value)
@@ -23,7 +23,7 @@
 	sort.Strings(all)
 	fmt.Println(strings.Join(all, "\n"))
 	fmt.Println("# the drill's lines go through the same tables")
-	fmt.Println(Lines("requestClasses.0.effect=idempotent\nplans.0.refill=0.5\nrubbish"))
+	fmt.Println(ParseLines("requestClasses.0.effect=idempotent\nplans.0.refill=0.5\nrubbish"))
 	// Output:
 	// <nil> -72057594037927935 1 [127.0.0.1:1 127.0.0.1:2] 30s 250ms [{r false true} {k true false}] [p] [a b c] [tps concurrent]
 	// gateways=2
--- a/internal/frontdoor/config/settings.go
+++ b/internal/frontdoor/config/settings.go
@@ -11,8 +11,8 @@
 	"clovergap/control"
 )
 
-// names maps the protocol's setting names, part by part, to ours.
-var names = map[string]string{"requestClasses": "products", "objective": "sla_time", "giveUp": "expiry",
+// settingNames maps the protocol's setting names, part by part, to ours.
+var settingNames = map[string]string{"requestClasses": "products", "objective": "sla_time", "giveUp": "expiry",
 	"dedupScope": "repeat_scope", "window": "repeat_window", "worth": "value", "lateWorth": "late_value",
 	"refill": "rate", "peakUnits": "burst", "hardBurst": "ceiling_burst", "ceilingRate": "ceiling_rate",
 	"ceilingSlack": "ceiling_slack", "atOnce": "open_cap", "excessCost": "over_cost",
@@ -23,12 +23,12 @@
 	"fallMultiple": "fall_multiple", "fields": "fields", "crossZone": "cross_zone",
 	"connIdle": "conn_idle", "dialTimeout": "dial_timeout", "mostHeld": "most_held"}
 
-// values maps the protocol's setting values to ours.
-var values = map[string]string{"idempotent": "inquiry-like", "deduplicated": "referenced",
+// settingValues maps the protocol's setting values to ours.
+var settingValues = map[string]string{"idempotent": "inquiry-like", "deduplicated": "referenced",
 	"at_most_once": "once-only", "concurrent": "inflight", "depth": "queue", "mean_ms": "service_ms",
 	"tps": "per_s", "cell": "pod"}
 
-func rename(words, sep string, table map[string]string) string {
+func translateParts(words, sep string, table map[string]string) string {
 	parts := strings.Split(words, sep)
 	for i, p := range parts {
 		if ours, ok := table[p]; ok {
@@ -38,25 +38,25 @@
 	return strings.Join(parts, sep)
 }
 
-// Ours puts the protocol's setting into our words; both hosts of the module go through it.
-func Ours(s control.Settings, name, value string) {
-	s[rename(name, ".", names)] = rename(strings.TrimSpace(value), ",", values)
+// Translate puts the protocol's setting into our words; both hosts of the module go through it.
+func Translate(s control.Settings, name, value string) {
+	s[translateParts(name, ".", settingNames)] = translateParts(strings.TrimSpace(value), ",", settingValues)
 }
 
-// Lines reads settings of one name=value a line.
-func Lines(text string) control.Settings {
+// ParseLines reads settings of one name=value a line.
+func ParseLines(text string) control.Settings {
 	s := control.Settings{}
 	for _, line := range strings.Split(text, "\n") {
 		if name, value, ok := strings.Cut(line, "="); ok {
-			Ours(s, name, value)
+			Translate(s, name, value)
 		}
 	}
 	return s
 }
 
-// Nested reads settings from a JSON object: a list of plain values is joined by commas, a list of objects
+// ParseJSON reads settings from a JSON object: a list of plain values is joined by commas, a list of objects
 // gives its length under count and its items under their numbers.
-func Nested(text []byte) (control.Settings, error) {
+func ParseJSON(text []byte) (control.Settings, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	var all map[string]any
@@ -85,21 +85,21 @@
 			if _, nested := x.(map[string]any); nested {
 				flatten(s, at+"."+strconv.Itoa(i), x)
 			} else {
-				plain = append(plain, word(x))
+				plain = append(plain, formatValue(x))
 			}
 		}
 		if len(plain) < len(v) {
-			Ours(s, at+".count", strconv.Itoa(len(v)))
+			Translate(s, at+".count", strconv.Itoa(len(v)))
 		} else {
-			Ours(s, at, strings.Join(plain, ","))
+			Translate(s, at, strings.Join(plain, ","))
 		}
 	default:
-		Ours(s, at, word(v))
+		Translate(s, at, formatValue(v))
 	}
 }
 
-// word is a plain value; what splits lists and parts in it becomes an underline, as on the drill's wire.
-func word(v any) string {
+// formatValue is a plain value; what splits lists and parts in it becomes an underline, as on the drill's wire.
+func formatValue(v any) string {
 	if v == nil {
 		return ""
 	}
--- a/internal/frontdoor/discovery/list.go
+++ b/internal/frontdoor/discovery/list.go
@@ -20,12 +20,12 @@
 
 // List is one answer of discovery.
 type List struct {
-	Rev     uint64
-	Whole   bool
-	Entries []Entry
+	Rev      uint64
+	Complete bool
+	Entries  []Entry
 }
 
-type form struct {
+type document struct {
 	Rev     *uint64
 	All     bool
 	Targets []struct {
@@ -39,28 +39,28 @@
 	}
 }
 
-var states = map[string]control.BackendState{"Ready": control.Ready, "Terminating": control.Draining,
+var backendStates = map[string]control.BackendState{"Ready": control.Ready, "Terminating": control.Draining,
 	"Gone": control.Gone}
 
-// Read takes discovery's form apart. clock puts a Unix time on the front door's clock.
-func Read(text []byte, zones []string, clock func(time.Time) time.Duration) (List, error) {
-	var f form
+// Parse takes discovery's form apart. clock puts a Unix time on the front door's clock.
+func Parse(text []byte, zones []string, clock func(time.Time) time.Duration) (List, error) {
+	var f document
 	if err := json.Unmarshal(text, &f); err != nil {
 		return List{}, err
 	}
 	if f.Rev == nil {
 		return List{}, errors.New("no rev")
 	}
-	l := List{Rev: *f.Rev, Whole: f.All}
+	l := List{Rev: *f.Rev, Complete: f.All}
 	for _, t := range f.Targets {
-		state, known := states[t.State]
+		state, known := backendStates[t.State]
 		if t.UID == "" || !known {
 			return List{}, fmt.Errorf("target %q in state %q", t.UID, t.State)
 		}
 		if _, err := netip.ParseAddrPort(t.Endpoint); err != nil && state != control.Gone {
 			return List{}, fmt.Errorf("target %q at %q", t.UID, t.Endpoint)
 		}
-		e := Entry{Addr: t.Endpoint, Endpoint: control.Endpoint{ID: id(t.UID), Zone: -1, Pod: control.PodID(t.PodGroup),
+		e := Entry{Addr: t.Endpoint, Endpoint: control.Endpoint{ID: backendID(t.UID), Zone: -1, Pod: control.PodID(t.PodGroup),
 			State: state, Capacity: t.Hint}}
 		for i, h := range zones {
 			if h == t.AZ {
@@ -75,8 +75,8 @@
 	return l, nil
 }
 
-// id is the same at every front door, as a uid is.
-func id(uid string) control.BackendID {
+// backendID is the same at every front door, as a uid is.
+func backendID(uid string) control.BackendID {
 	h := fnv.New64a()
 	h.Write([]byte(uid))
 	return control.BackendID(h.Sum64())
--- a/internal/frontdoor/discovery/list_test.go
+++ b/internal/frontdoor/discovery/list_test.go
@@ -16,8 +16,8 @@
 		`{"rev":43,"all":false,"targets":[]}`, `{"all":true,"targets":[]}`, `{"rev":1,"targets":[{"uid":"","state":"Ready"}]}`,
 		`{"rev":1,"targets":[{"uid":"a","endpoint":"1.1.1.1:1","state":"Odd"}]}`,
 		`{"rev":1,"targets":[{"uid":"a","endpoint":"here","state":"Ready"}]}`, `{"rev":`} {
-		l, err := Read([]byte(text), []string{"a", "b"}, clock)
-		fmt.Println(l.Rev, l.Whole, err)
+		l, err := Parse([]byte(text), []string{"a", "b"}, clock)
+		fmt.Println(l.Rev, l.Complete, err)
 		for _, e := range l.Entries {
 			fmt.Printf("  %x zone %d pod %d state %d size %g started %v at %q\n", e.ID, e.Zone, e.Pod, e.State, e.Capacity,
 				e.Started, e.Addr)
@@ -38,5 +38,5 @@
 
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"10.1.0.18:8443","state":"Ready"}]}`))
-	f.Fuzz(func(_ *testing.T, text []byte) { Read(text, []string{"a"}, clock) })
+	f.Fuzz(func(_ *testing.T, text []byte) { Parse(text, []string{"a"}, clock) })
 }
--- a/internal/frontdoor/lease/lease_test.go
+++ b/internal/frontdoor/lease/lease_test.go
@@ -10,27 +10,27 @@
 
 // fleet is some cores that hear each other after a while, in one clock.
 type fleet struct {
-	now   time.Duration
-	cores []*Core
-	wire  []flying
-	cut   func(from, to Node) bool
-	said  []string
-	sent  int
+	now         time.Duration
+	cores       []*Core
+	inFlight    []delivery
+	partitioned func(from, to Node) bool
+	events      []string
+	sent        int
 }
 
-type flying struct {
+type delivery struct {
 	at       time.Duration
 	from, to Node
-	b        []byte
+	payload  []byte
 }
 
 func conf(n, me int, life uint32) Config {
-	return Config{Me: Node(me), Life: life, Fleets: []Fleet{{1, n}}, Voters: min(5, n-1+n%2), Length: time.Second, Longest: time.Second, Drift: 0.02, Margin: 20 * ms,
+	return Config{NodeID: Node(me), Incarnation: life, Fleets: []Fleet{{1, n}}, Voters: min(5, n-1+n%2), Length: time.Second, MaxLength: time.Second, Drift: 0.02, Margin: 20 * ms,
 		Retry: 50 * ms}
 }
 
 func start(n int) *fleet {
-	f := &fleet{now: 10 * time.Second, cut: func(Node, Node) bool { return false }}
+	f := &fleet{now: 10 * time.Second, partitioned: func(Node, Node) bool { return false }}
 	for i := 0; i < n; i++ {
 		c, err := New(conf(n, i, 1), 0)
 		if err != nil {
@@ -44,72 +44,72 @@
 // run lets time pass, in steps of a millisecond.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += ms {
-		var later []flying
-		for _, x := range f.wire {
+		var later []delivery
+		for _, x := range f.inFlight {
 			if x.at > f.now {
 				later = append(later, x)
-			} else if !f.cut(x.from, x.to) {
-				f.cores[x.to].Now(f.now)
-				f.cores[x.to].Heard(x.from, x.b)
+			} else if !f.partitioned(x.from, x.to) {
+				f.cores[x.to].Advance(f.now)
+				f.cores[x.to].Receive(x.from, x.payload)
 			}
 		}
-		f.wire = later
+		f.inFlight = later
 		for i, c := range f.cores {
-			c.Now(f.now)
+			c.Advance(f.now)
 			for x, ok := c.Next(); ok; x, ok = c.Next() {
 				switch x.Kind {
 				case Send:
 					f.sent++
-					f.wire = append(f.wire, flying{f.now + 5*ms, Node(i), x.To, x.Payload})
+					f.inFlight = append(f.inFlight, delivery{f.now + 5*ms, Node(i), x.To, x.Payload})
 				case Granted:
-					f.said = append(f.said, fmt.Sprintf("%d has %s/%d as number %d", i, x.Grant.Task, x.Grant.Permit, x.Grant.Number))
-				case Gone:
-					f.said = append(f.said, fmt.Sprintf("%d has %s no longer", i, x.Grant.Task))
+					f.events = append(f.events, fmt.Sprintf("%d has %s/%d as number %d", i, x.Grant.Task, x.Grant.Permit, x.Grant.Number))
+				case Ended:
+					f.events = append(f.events, fmt.Sprintf("%d has %s no longer", i, x.Grant.Task))
 				}
 			}
 		}
 	}
 }
 
-func (f *fleet) tell() {
-	for _, s := range f.said {
+func (f *fleet) printEvents() {
+	for _, s := range f.events {
 		fmt.Println(s)
 	}
-	f.said = nil
+	f.events = nil
 }
 
 func Example() {
 	f := start(5)
 	fmt.Println("# asked for by two, had by the one that asked first; kept by renewals")
-	f.cores[3].Wish("books", 1, 0)
+	f.cores[3].Acquire("books", 1, 0)
 	f.run(60 * ms)
-	f.cores[1].Wish("books", 1, 0)
+	f.cores[1].Acquire("books", 1, 0)
 	f.run(5 * time.Second)
-	f.tell()
+	f.printEvents()
 	fmt.Println("# given back: the next has it at once")
-	f.cores[3].Drop("books")
+	f.cores[3].Release("books")
 	f.run(60 * ms)
-	f.tell()
+	f.printEvents()
 	fmt.Println("# cut off from all, its holder stops by itself before another begins")
-	f.cores[4].Wish("books", 1, 0)
-	f.cut = func(a, b Node) bool { return a == 1 || b == 1 }
+	f.cores[4].Acquire("books", 1, 0)
+	f.partitioned = func(a, b Node) bool { return a == 1 || b == 1 }
 	f.run(1300 * ms)
-	f.tell()
+	f.printEvents()
 	fmt.Println("# handed on to one that waits, before one that has waited longer")
-	f.cut = func(Node, Node) bool { return false }
-	f.cores[0].Wish("books", 1, 0)
+	f.partitioned = func(Node, Node) bool { return false }
+	f.cores[0].Acquire("books", 1, 0)
 	f.run(400 * ms)
-	f.cores[2].Wish("books", 1, 0)
+	f.cores[2].Acquire("books", 1, 0)
 	f.run(400 * ms)
-	f.cores[4].HandOn("books", 2)
+	f.cores[4].Transfer("books", 2)
 	f.run(200 * ms)
-	f.tell()
+	f.printEvents()
 	fmt.Println("# two permits")
 	for i := range f.cores {
-		f.cores[i].Wish("turn", 2, 0)
+		f.cores[i].Acquire("turn", 2, 0)
 	}
 	f.run(2 * time.Second)
-	f.tell()
+	f.printEvents()
 	// Output:
 	// # asked for by two, had by the one that asked first; kept by renewals
 	// 3 has books/0 as number 1
@@ -134,14 +134,14 @@
 		c, _ := New(conf(5, i, 2), f.now)
 		f.cores[i] = c
 	}
-	f.cores[4].Wish("t", 1, 0)
+	f.cores[4].Acquire("t", 1, 0)
 	f.run(990 * ms)
-	if len(f.said) > 0 {
-		t.Errorf("%v", f.said)
+	if len(f.events) > 0 {
+		t.Errorf("%v", f.events)
 	}
 	f.run(time.Second)
-	if len(f.said) != 1 {
-		t.Errorf("%v", f.said)
+	if len(f.events) != 1 {
+		t.Errorf("%v", f.events)
 	}
 }
 
@@ -149,18 +149,18 @@
 func TestThreeHundredWishes(t *testing.T) {
 	f := start(300)
 	for i := range f.cores {
-		f.cores[i].Wish("t", 1, 0)
+		f.cores[i].Acquire("t", 1, 0)
 	}
 	had, turns := map[Node]int{}, 0
 	for f.now < 100*time.Second && len(had) < 300 {
 		f.run(20 * ms)
 		for i, c := range f.cores {
-			if _, ok := c.Holds("t"); ok {
+			if _, ok := c.CurrentGrant("t"); ok {
 				had[Node(i)]++
 				turns++
-				c.Drop("t")
+				c.Release("t")
 				if had[Node(i)] < 3 {
-					c.Wish("t", 1, 0)
+					c.Acquire("t", 1, 0)
 				}
 			}
 		}
@@ -174,7 +174,7 @@
 
 // Whatever comes, nothing that is no frame is taken for one.
 func TestFrames(t *testing.T) {
-	m := &message{op: opSeal, permit: 3, rank: 2, gen: 7, life: 8, round: 9, ask: 10, ms: 11, node: 12, number: 1 << 50, task: "books/2026"}
+	m := &message{op: opAccept, permit: 3, rank: 2, generation: 7, incarnation: 8, sequence: 9, promiseID: 10, millis: 11, node: 12, number: 1 << 50, task: "books/2026"}
 	b := m.encode()
 	got, err := decode(b)
 	if err != nil || *got != *m || len(b) > 256 {
@@ -191,10 +191,10 @@
 		}
 	}
 	c, _ := New(conf(5, 0, 1), 0)
-	c.Heard(1, []byte{2, 0, 0})
-	c.Heard(1, nil)
-	if c.Bad != 2 {
-		t.Errorf("%d bad", c.Bad)
+	c.Receive(1, []byte{2, 0, 0})
+	c.Receive(1, nil)
+	if c.BadMessages != 2 {
+		t.Errorf("%d bad", c.BadMessages)
 	}
 }
 
@@ -210,15 +210,15 @@
 	} {
 		c := conf(5, 0, 1)
 		change(&c)
-		if err := c.Check(); err == nil || len(err.Error()) < len(want) || err.Error()[:len(want)] != want {
+		if err := c.Validate(); err == nil || len(err.Error()) < len(want) || err.Error()[:len(want)] != want {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
 	c, _ := New(conf(5, 0, 1), 0)
-	if c.Wish("", 1, 0) == nil || c.Wish("x", 0, 0) == nil || c.Wish("x", 65, 0) == nil {
+	if c.Acquire("", 1, 0) == nil || c.Acquire("x", 0, 0) == nil || c.Acquire("x", 65, 0) == nil {
 		t.Error("a wish that can't be")
 	}
-	if err := c.Move([]Fleet{{0, 5}}); err == nil {
+	if err := c.Reconfigure([]Fleet{{0, 5}}); err == nil {
 		t.Error("back to an older generation")
 	}
 }
--- a/internal/frontdoor/leasing/socket.go
+++ b/internal/frontdoor/leasing/socket.go
@@ -31,8 +31,8 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /leases", func(w http.ResponseWriter, _ *http.Request) {
-		var v View
-		e.Turn(func() { v = h.Look() })
+		var v Status
+		e.Turn(func() { v = h.Status() })
 		json.NewEncoder(w).Encode(v)
 	})
 	mux.HandleFunc("POST /turn/wait", func(w http.ResponseWriter, r *http.Request) {
@@ -43,7 +43,7 @@
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), most)
 		defer cancel()
-		e.Turn(func() { err = h.Turn(true) })
+		e.Turn(func() { err = h.SetTurnWanted(true) })
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
@@ -59,14 +59,14 @@
 			select {
 			case <-changed:
 			case <-ctx.Done():
-				e.Turn(func() { h.Turn(false) })
+				e.Turn(func() { h.SetTurnWanted(false) })
 				http.Error(w, fmt.Sprintf("no turn within %s", most), http.StatusRequestTimeout)
 				return
 			}
 		}
 	})
 	mux.HandleFunc("POST /turn/done", func(w http.ResponseWriter, _ *http.Request) {
-		e.Turn(func() { h.Turn(false) })
+		e.Turn(func() { h.SetTurnWanted(false) })
 		fmt.Fprintln(w, "given back")
 	})
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
@@ -74,8 +74,8 @@
 	return s, nil
 }
 
-// Ask calls a front door's socket.
-func Ask(ctx context.Context, path, method, target string, query url.Values) (string, error) {
+// Call calls a front door's socket.
+func Call(ctx context.Context, path, method, target string, query url.Values) (string, error) {
 	if path == "" {
 		return "", errors.New("leases.socket names no socket: nothing can be asked")
 	}
--- a/internal/frontdoor/ledger/ledger.go
+++ b/internal/frontdoor/ledger/ledger.go
@@ -15,11 +15,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Line is a step.
-type Line struct {
+// Step is a step.
+type Step struct {
 	Task   string `json:"task"`
 	Number uint64 `json:"number"`
-	By     string `json:"by"`
+	Writer string `json:"by"`
 	Span   int64  `json:"span"`
 	What   any    `json:"what,omitempty"`
 }
@@ -30,11 +30,11 @@
 	ErrClosed = errors.New("the span is closed already")
 )
 
-// tailMost is how much of the file's end is read to find the last step of a task; lines are far shorter.
-const tailMost = 64 << 10
+// maxTail is how much of the file's end is read to find the last step of a task; lines are far shorter.
+const maxTail = 64 << 10
 
 // Add takes a step: one process at a time looks at the last and writes the next.
-func Add(file string, l Line) error {
+func Add(file string, l Step) error {
 	f, err := os.OpenFile(file, os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
 		return err
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	from := max(0, size-tailMost)
+	from := max(0, size-maxTail)
 	tail := make([]byte, size-from)
 	if _, unread := f.ReadAt(tail, from); unread != nil && !errors.Is(unread, io.EOF) {
 		return unread
@@ -59,15 +59,15 @@
 		}
 	}
 	for lines := bytes.Split(tail[:whole], []byte{'\n'}); len(lines) > 0; lines = lines[:len(lines)-1] {
-		var was Line
+		var was Step
 		if json.Unmarshal(lines[len(lines)-1], &was) != nil || was.Task != l.Task {
 			continue
 		}
 		if l.Number < was.Number {
-			return fmt.Errorf("%w: number %d by %s, not %d", ErrStale, was.Number, was.By, l.Number)
+			return fmt.Errorf("%w: number %d by %s, not %d", ErrStale, was.Number, was.Writer, l.Number)
 		}
 		if l.Span <= was.Span {
-			return fmt.Errorf("%w: %d, by %s", ErrClosed, was.Span, was.By)
+			return fmt.Errorf("%w: %d, by %s", ErrClosed, was.Span, was.Writer)
 		}
 		break
 	}
@@ -82,7 +82,7 @@
 }
 
 // Read gives all steps; a broken last line is left out.
-func Read(file string) (all []Line, err error) {
+func Read(file string) (all []Step, err error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 		if len(l) == 0 {
 			continue
 		}
-		var x Line
+		var x Step
 		if err := json.Unmarshal(l, &x); err != nil {
 			return all, fmt.Errorf("%s:%d: %w", file, i+1, err)
 		}
--- a/internal/frontdoor/ledger/ledger_test.go
+++ b/internal/frontdoor/ledger/ledger_test.go
@@ -15,7 +15,7 @@
 	file := filepath.Join(t.TempDir(), "ledger")
 	step := func(number uint64, span int64, want error) {
 		t.Helper()
-		if err := Add(file, Line{Task: "t", Number: number, By: "n0", Span: span}); !errors.Is(err, want) {
+		if err := Add(file, Step{Task: "t", Number: number, Writer: "n0", Span: span}); !errors.Is(err, want) {
 			t.Errorf("number %d, span %d: %v", number, span, err)
 		}
 	}
@@ -23,7 +23,7 @@
 	step(5, 2, nil)
 	step(4, 3, ErrStale)
 	step(6, 2, ErrClosed)
-	if err := Add(file, Line{Task: "other", Number: 1, Span: 1}); err != nil {
+	if err := Add(file, Step{Task: "other", Number: 1, Span: 1}); err != nil {
 		t.Error(err)
 	}
 	step(4, 3, ErrStale) // the other task's number is its own
@@ -37,7 +37,7 @@
 		go func() {
 			defer wg.Done()
 			for span := int64(4); span < 40; span++ {
-				Add(file, Line{Task: "t", Number: 7, By: fmt.Sprint(i), Span: span})
+				Add(file, Step{Task: "t", Number: 7, Writer: fmt.Sprint(i), Span: span})
 			}
 		}()
 	}
--- a/internal/frontdoor/logs/logs.go
+++ b/internal/frontdoor/logs/logs.go
@@ -11,8 +11,8 @@
 	"clovergap/internal/frontdoor/operator"
 )
 
-// FrontDoor names the front door; every line carries it.
-func FrontDoor(name string) zap.Field { return zap.String("front_door", name) }
+// Gateway names the front door; every line carries it.
+func Gateway(name string) zap.Field { return zap.String("front_door", name) }
 
 // Txn names a txn by its client's id.
 func Txn(id string) zap.Field { return zap.String("txn", id) }
@@ -23,7 +23,7 @@
 // New makes the log of a front door, by way of a buffer: a reader that stalls holds up no txn.
 func New(o operator.Log, name string) (*zap.Logger, func()) {
 	out := &zapcore.BufferedWriteSyncer{WS: zapcore.Lock(os.Stderr), FlushInterval: time.Second}
-	return zap.New(core(o, out)).With(FrontDoor(name)), func() { out.Stop() }
+	return zap.New(core(o, out)).With(Gateway(name)), func() { out.Stop() }
 }
 
 // core writes to somewhere as the operator file says.
--- a/internal/frontdoor/logs/logs_test.go
+++ b/internal/frontdoor/logs/logs_test.go
@@ -15,7 +15,7 @@
 func TestLinesAsTheFileSays(t *testing.T) {
 	write := func(o operator.Log) string {
 		var b bytes.Buffer
-		l := zap.New(core(o, zapcore.AddSync(&b))).With(FrontDoor("n3"))
+		l := zap.New(core(o, zapcore.AddSync(&b))).With(Gateway("n3"))
 		for i := 0; i < 20; i++ {
 			l.Info("again", Backend(7))
 		}
--- a/internal/frontdoor/operator/operator.go
+++ b/internal/frontdoor/operator/operator.go
@@ -23,20 +23,20 @@
 
 // Leases says how tasks are shared out, and which there are.
 type Leases struct {
-	On        bool    `toml:"on" comment:"take part: vote, and hold what is wanted below"`
-	Length    string  `toml:"length" comment:"of a lease: a task goes on elsewhere at most this, and a little, after its holder is gone"`
-	Longest   string  `toml:"longest" comment:"of any lease in the fleet, while the length changes; empty: the length"`
-	Drift     float64 `toml:"drift" comment:"every clock's rate is within 1-drift and 1+drift of the true one: safety rests on it"`
-	Margin    string  `toml:"margin" comment:"a holder stops this much before it must: longer than a step takes"`
-	Retry     string  `toml:"retry" comment:"least time between two askings"`
-	Voters    int     `toml:"voters" comment:"of each task: odd, 1 to 15"`
-	PerSecond float64 `toml:"per_second" comment:"frames sent a second at most"`
-	Fleets    []Fleet `toml:"fleets" comment:"front doors by generation of the configuration, the present one last; keep the one before until all have left it. Empty: the peers, generation 1"`
-	Socket    string  `toml:"socket" comment:"Unix socket, for this user only, for clovergap leases and clovergap turn; empty: none"`
-	Turns     int     `toml:"turns" comment:"front doors that may have their turn to restart at once; 0: no turns"`
-	TurnsZone int     `toml:"turns_hall" comment:"and of one zone; 0: no bound"`
-	RollCall  string  `toml:"roll_call" comment:"file, shared by all, in which one front door notes each span who was heard; empty: none"`
-	RollSpan  string  `toml:"roll_span" comment:"such a span"`
+	Enabled            bool    `toml:"on" comment:"take part: vote, and hold what is wanted below"`
+	Length             string  `toml:"length" comment:"of a lease: a task goes on elsewhere at most this, and a little, after its holder is gone"`
+	Longest            string  `toml:"longest" comment:"of any lease in the fleet, while the length changes; empty: the length"`
+	Drift              float64 `toml:"drift" comment:"every clock's rate is within 1-drift and 1+drift of the true one: safety rests on it"`
+	Margin             string  `toml:"margin" comment:"a holder stops this much before it must: longer than a step takes"`
+	Retry              string  `toml:"retry" comment:"least time between two askings"`
+	Voters             int     `toml:"voters" comment:"of each task: odd, 1 to 15"`
+	MaxFramesPerSecond float64 `toml:"per_second" comment:"frames sent a second at most"`
+	Fleets             []Fleet `toml:"fleets" comment:"front doors by generation of the configuration, the present one last; keep the one before until all have left it. Empty: the peers, generation 1"`
+	Socket             string  `toml:"socket" comment:"Unix socket, for this user only, for clovergap leases and clovergap turn; empty: none"`
+	Turns              int     `toml:"turns" comment:"front doors that may have their turn to restart at once; 0: no turns"`
+	TurnsZone          int     `toml:"turns_hall" comment:"and of one zone; 0: no bound"`
+	RollCall           string  `toml:"roll_call" comment:"file, shared by all, in which one front door notes each span who was heard; empty: none"`
+	RollSpan           string  `toml:"roll_span" comment:"such a span"`
 
 	length, longest, margin, retry, span time.Duration
 }
@@ -52,8 +52,8 @@
 	return l.length, l.longest, l.margin, l.retry, l.span
 }
 
-// read takes the spans; what is wrong is named by its key.
-func (l *Leases) read() (key, what string) {
+// parse takes the spans; what is wrong is named by its key.
+func (l *Leases) parse() (key, what string) {
 	for _, x := range []struct {
 		key, text string
 		to        *time.Duration
@@ -74,7 +74,7 @@
 	switch {
 	case l.Turns < 0 || l.Turns > 64 || l.TurnsZone < 0 || l.TurnsZone > 64:
 		return "turns", "must be 0 to 64"
-	case l.PerSecond <= 0:
+	case l.MaxFramesPerSecond <= 0:
 		return "per_second", "must be more than nought"
 	}
 	return "", ""
@@ -82,9 +82,9 @@
 
 // History says where a history of what the front door did goes.
 type History struct {
-	File   string `toml:"file" comment:"added to; empty writes none"`
-	Txns   bool   `toml:"txns" comment:"each submission and final answer as well, not only starts, ends and lists"`
-	MostMB int    `toml:"most_mb" comment:"no more is written to the file than this; what is left out is counted"`
+	File  string `toml:"file" comment:"added to; empty writes none"`
+	Txns  bool   `toml:"txns" comment:"each submission and final answer as well, not only starts, ends and lists"`
+	MaxMB int    `toml:"most_mb" comment:"no more is written to the file than this; what is left out is counted"`
 }
 
 // Log says how the log is written.
@@ -107,9 +107,9 @@
 
 // Default is what holds without a file.
 func Default() File {
-	f := File{Log: Log{Level: "info", Format: "json", Sampling: Sampling{Every: "1s", every: time.Second}}, History: History{MostMB: 64},
-		Leases: Leases{Length: "4s", Drift: 0.02, Margin: "200ms", Retry: "200ms", Voters: 5, PerSecond: 50, RollSpan: "1s"}}
-	f.Leases.read()
+	f := File{Log: Log{Level: "info", Format: "json", Sampling: Sampling{Every: "1s", every: time.Second}}, History: History{MaxMB: 64},
+		Leases: Leases{Length: "4s", Drift: 0.02, Margin: "200ms", Retry: "200ms", Voters: 5, MaxFramesPerSecond: 50, RollSpan: "1s"}}
+	f.Leases.parse()
 	return f
 }
 
@@ -134,7 +134,7 @@
 		return Default(), tomlfile.Where(path, err)
 	}
 	wrong := func(key, what string) (File, error) {
-		return Default(), fmt.Errorf("%s:%d: %s: %s", path, line(text, key), key, what)
+		return Default(), fmt.Errorf("%s:%d: %s: %s", path, lineNumber(text, key), key, what)
 	}
 	switch f.Log.Level {
 	case "debug", "info", "warn", "error":
@@ -152,17 +152,17 @@
 	if s.every, err = time.ParseDuration(s.Every); err != nil || s.every <= 0 {
 		return wrong("log.sampling.every", fmt.Sprintf("must be a span over nought, such as 1s, not %q", s.Every))
 	}
-	if key, what := f.Leases.read(); what != "" {
+	if key, what := f.Leases.parse(); what != "" {
 		return wrong("leases."+key, what)
 	}
-	if f.History.MostMB < 1 || f.History.MostMB > 1<<20 {
-		return wrong("history.most_mb", fmt.Sprintf("must be 1 to %d, not %d", 1<<20, f.History.MostMB))
+	if f.History.MaxMB < 1 || f.History.MaxMB > 1<<20 {
+		return wrong("history.most_mb", fmt.Sprintf("must be 1 to %d, not %d", 1<<20, f.History.MaxMB))
 	}
 	return f, nil
 }
 
-// line finds a key's in the text: the last line that sets its last part within its table, or the table's head.
-func line(text []byte, key string) int {
+// lineNumber finds a key's in the text: the last line that sets its last part within its table, or the table's head.
+func lineNumber(text []byte, key string) int {
 	parts := strings.Split(key, ".")
 	table, last := strings.Join(parts[:len(parts)-1], "."), parts[len(parts)-1]
 	in, found := "", 1
--- a/internal/frontdoor/simwire/wire.go
+++ b/internal/frontdoor/simwire/wire.go
@@ -15,18 +15,18 @@
 	"clovergap/internal/frontdoor/config"
 )
 
-const longest = 1 << 28 // bytes of a frame; more is a broken stream
+const maxFrameBytes = 1 << 28 // bytes of a frame; more is a broken stream
 
 // Codes of records that come in.
 const (
-	inStart, inList, inTxn, inOpened, inEnded, inGone = 1000, 1010, 1020, 1030, 1040, 1050
-	inWoken, inProbed, inPeer, inStop, inCount, inFor = 1060, 1070, 1080, 1090, 1100, 1110
+	inStart, inEndpoints, inTxn, inOpened, inSubmissionEnded, inClientLeft = 1000, 1010, 1020, 1030, 1040, 1050
+	inTimer, inProbeEnded, inDatagram, inStop, inCount, inInstance         = 1060, 1070, 1080, 1090, 1100, 1110
 )
 
 // Codes of records that go out.
 const (
-	outSubmit, outDecline, outVoid, outRecall, outWake = 1000, 1010, 1020, 1030, 1040
-	outProbe, outTell, outNote, outCrash, outBy        = 1050, 1070, 1080, 1090, 1130
+	outSubmit, outReject, outFail, outCancel, outWake    = 1000, 1010, 1020, 1030, 1040
+	outProbe, outDatagram, outLog, outCrash, outInstance = 1050, 1070, 1080, 1090, 1130
 )
 
 var endings = map[byte]control.Ending{0: control.Succeeded, 5: control.Errored, 11: control.Rejected,
@@ -35,21 +35,21 @@
 
 // cursor walks through the bytes of one frame.
 type cursor struct {
-	b    []byte
-	at   int
-	code int
-	err  error
+	data   []byte
+	offset int
+	code   int
+	err    error
 }
 
 func (c *cursor) take(n int) []byte {
-	if c.err == nil && (n < 0 || len(c.b)-c.at < n) {
-		c.err = fmt.Errorf("record %d cut short at byte %d", c.code, c.at)
+	if c.err == nil && (n < 0 || len(c.data)-c.offset < n) {
+		c.err = fmt.Errorf("record %d cut short at byte %d", c.code, c.offset)
 	}
 	if c.err != nil {
 		return make([]byte, max(0, min(n, 8)))
 	}
-	c.at += n
-	return c.b[c.at-n : c.at]
+	c.offset += n
+	return c.data[c.offset-n : c.offset]
 }
 
 func (c *cursor) u8() byte    { return c.take(1)[0] }
@@ -63,7 +63,7 @@
 	}
 	return v
 }
-func (c *cursor) span() time.Duration { return micros(c.u64()) }
+func (c *cursor) span() time.Duration { return microseconds(c.u64()) }
 func (c *cursor) backend() control.BackendID {
 	a := c.take(6)
 	return control.BackendID(binary.BigEndian.Uint32(a))<<16 |
@@ -78,17 +78,17 @@
 	return v
 }
 
-func micros(v uint64) time.Duration {
+func microseconds(v uint64) time.Duration {
 	return time.Duration(min(v, math.MaxInt64/1000)) * time.Microsecond
 }
 
 // Host runs the instances of one process, each as if alone.
 type Host struct {
-	nodes map[uint16]*loadbalancer.Controller
-	heard map[uint16]bool
-	order []uint16
-	out   []byte
-	by    int
+	nodes   map[uint16]*loadbalancer.Controller
+	active  map[uint16]bool
+	order   []uint16
+	out     []byte
+	current int
 }
 
 // Serve answers frames until the input ends.
@@ -103,14 +103,14 @@
 			return errors.New("frame header cut short")
 		}
 		size := binary.LittleEndian.Uint32(head[:])
-		if size > longest {
+		if size > maxFrameBytes {
 			return fmt.Errorf("frame header at byte 0: length %d is too long", size)
 		}
 		body := make([]byte, size)
 		if n, err := io.ReadFull(r, body); err != nil {
 			return fmt.Errorf("frame body cut short at byte %d of %d", n, size)
 		}
-		if err := h.batch(micros(binary.LittleEndian.Uint64(head[4:])), body); err != nil {
+		if err := h.applyFrame(microseconds(binary.LittleEndian.Uint64(head[4:])), body); err != nil {
 			return err
 		}
 		var reply [8]byte
@@ -124,49 +124,49 @@
 	}
 }
 
-func (h *Host) batch(now time.Duration, body []byte) error {
-	h.out, h.by, h.order, h.heard = h.out[:0], -1, h.order[:0], map[uint16]bool{}
-	c := &cursor{b: body}
+func (h *Host) applyFrame(now time.Duration, body []byte) error {
+	h.out, h.current, h.order, h.active = h.out[:0], -1, h.order[:0], map[uint16]bool{}
+	c := &cursor{data: body}
 	who, named := uint16(0), false
-	for c.at < len(body) {
-		start := c.at
+	for c.offset < len(body) {
+		start := c.offset
 		c.code = 0
 		c.code = int(c.u16())
 		size := int(c.u32())
-		if c.err == nil && size > len(body)-c.at {
+		if c.err == nil && size > len(body)-c.offset {
 			c.err = fmt.Errorf("record %d at byte %d says %d bytes, %d are left",
-				c.code, start, size, len(body)-c.at)
+				c.code, start, size, len(body)-c.offset)
 		}
 		if c.err != nil {
 			return c.err
 		}
-		end := c.at + size
-		f := &cursor{b: body[:end], at: c.at, code: c.code}
-		if c.code == inFor {
+		end := c.offset + size
+		f := &cursor{data: body[:end], offset: c.offset, code: c.code}
+		if c.code == inInstance {
 			who, named = f.u16(), true
 		} else if !named {
 			return fmt.Errorf("record %d at byte %d comes before any instance is named", c.code, start)
 		} else {
-			h.take(now, who, f)
+			h.applyRecord(now, who, f)
 		}
 		if f.err != nil {
 			return f.err
 		}
-		if f.at != end && known(c.code) {
-			return fmt.Errorf("record %d at byte %d has %d bytes too many", c.code, start, end-f.at)
+		if f.offset != end && knownCode(c.code) {
+			return fmt.Errorf("record %d at byte %d has %d bytes too many", c.code, start, end-f.offset)
 		}
-		c.at = end
+		c.offset = end
 	}
 	for _, who := range h.order {
-		h.pull(who)
+		h.encodeDecisions(who)
 	}
 	return nil
 }
 
-func known(code int) bool { return code >= inStart && code <= inFor && code%10 == 0 }
+func knownCode(code int) bool { return code >= inStart && code <= inInstance && code%10 == 0 }
 
-// guard turns a panic of the module into the wire's crash report.
-func (h *Host) guard(who uint16) {
+// recoverCrash turns a panic of the module into the wire's crash report.
+func (h *Host) recoverCrash(who uint16) {
 	if cause := recover(); cause != nil {
 		h.crash(who, fmt.Sprint(cause))
 	}
@@ -174,20 +174,20 @@
 
 func (h *Host) crash(who uint16, cause string) {
 	delete(h.nodes, who)
-	h.say(who, outCrash, text(cause))
+	h.appendRecord(who, outCrash, encodeText(cause))
 }
 
-// take decodes one record into a call.
-func (h *Host) take(now time.Duration, who uint16, f *cursor) {
+// applyRecord decodes one record into a call.
+func (h *Host) applyRecord(now time.Duration, who uint16, f *cursor) {
 	call := h.decode(f, who, now)
 	if f.err != nil || call == nil {
 		return
 	}
-	if !h.heard[who] {
-		h.heard[who] = true
+	if !h.active[who] {
+		h.active[who] = true
 		h.order = append(h.order, who)
 	}
-	defer h.guard(who)
+	defer h.recoverCrash(who)
 	if d := h.nodes[who]; d != nil {
 		d.Now(now)
 		call(d)
@@ -202,7 +202,7 @@
 		if f.err != nil {
 			return nil
 		}
-		d, err := loadbalancer.New(seed, config.Lines(env), now)
+		d, err := loadbalancer.New(seed, config.ParseLines(env), now)
 		if err != nil {
 			h.crash(who, err.Error())
 			return nil
@@ -211,7 +211,7 @@
 		return func(*loadbalancer.Controller) {}
 	case inStop:
 		delete(h.nodes, who)
-	case inList:
+	case inEndpoints:
 		how := f.u8()
 		f.u64()
 		n := int(f.u32())
@@ -238,10 +238,10 @@
 		return func(d *loadbalancer.Controller) { d.TxnArrived(t) }
 	case inOpened:
 		f.take(16)
-	case inEnded:
+	case inSubmissionEnded:
 		id, nr, over := control.TxnID(f.u32()), int(f.u16()), f.u8() != 0
 		f.u16()
-		took := micros(uint64(f.u32()))
+		took := microseconds(uint64(f.u32()))
 		f.u16()
 		ending, ok := endings[f.u8()]
 		if !ok {
@@ -249,18 +249,18 @@
 		}
 		b, load := f.backend(), f.load()
 		return func(d *loadbalancer.Controller) { d.SubmissionEnded(id, nr, b, ending, over, took, load) }
-	case inGone:
+	case inClientLeft:
 		id := control.TxnID(f.u32())
 		return func(d *loadbalancer.Controller) { d.ClientLeft(id) }
-	case inWoken:
+	case inTimer:
 		token := f.u64()
 		return func(d *loadbalancer.Controller) { d.Woken(token) }
-	case inProbed:
-		took := micros(uint64(f.u32()))
+	case inProbeEnded:
+		took := microseconds(uint64(f.u32()))
 		good := f.u8() == 0
 		b, load := f.backend(), f.load()
 		return func(d *loadbalancer.Controller) { d.ProbeEnded(b, good, took, load) }
-	case inPeer:
+	case inDatagram:
 		from := control.GatewayID(f.u32())
 		payload := f.take(int(f.u16()))
 		return func(d *loadbalancer.Controller) { d.DatagramReceived(from, payload) }
@@ -270,9 +270,9 @@
 	return nil
 }
 
-// pull encodes the decisions of an instance until there is none left.
-func (h *Host) pull(who uint16) {
-	defer h.guard(who)
+// encodeDecisions encodes the decisions of an instance until there is none left.
+func (h *Host) encodeDecisions(who uint16) {
+	defer h.recoverCrash(who)
 	d := h.nodes[who]
 	if d == nil {
 		return
@@ -294,35 +294,35 @@
 	span := uint32(min(max(x.After.Microseconds(), 0), math.MaxUint32))
 	switch x.Action {
 	case control.Submit:
-		h.say(who, outSubmit, le.AppendUint32(append(id, at...), span))
+		h.appendRecord(who, outSubmit, le.AppendUint32(append(id, at...), span))
 	case control.Reject:
-		h.say(who, outDecline, le.AppendUint32(id, span))
+		h.appendRecord(who, outReject, le.AppendUint32(id, span))
 	case control.Fail:
-		h.say(who, outVoid, id)
+		h.appendRecord(who, outFail, id)
 	case control.Cancel:
-		h.say(who, outRecall, le.AppendUint16(id, uint16(x.Attempt)))
+		h.appendRecord(who, outCancel, le.AppendUint16(id, uint16(x.Attempt)))
 	case control.Probe:
-		h.say(who, outProbe, at)
+		h.appendRecord(who, outProbe, at)
 	case control.SendDatagram:
 		to := le.AppendUint32(nil, uint32(x.Peer))
-		h.say(who, outTell, append(to, text(string(x.Payload))...))
+		h.appendRecord(who, outDatagram, append(to, encodeText(string(x.Payload))...))
 	case control.Wake:
-		h.say(who, outWake, le.AppendUint64(le.AppendUint32(nil, span), x.Token))
+		h.appendRecord(who, outWake, le.AppendUint64(le.AppendUint32(nil, span), x.Token))
 	case control.Log:
-		h.say(who, outNote, text(x.Entry.String()))
+		h.appendRecord(who, outLog, encodeText(x.Entry.String()))
 	}
 }
 
-func text(s string) []byte {
+func encodeText(s string) []byte {
 	s = s[:min(len(s), math.MaxUint16)]
 	return append(binary.LittleEndian.AppendUint16(nil, uint16(len(s))), s...)
 }
 
-func (h *Host) say(who uint16, code uint16, fields []byte) {
+func (h *Host) appendRecord(who uint16, code uint16, fields []byte) {
 	le := binary.LittleEndian
-	if h.by != int(who) {
-		h.by = int(who)
-		h.out = le.AppendUint16(le.AppendUint32(le.AppendUint16(h.out, outBy), 2), who)
+	if h.current != int(who) {
+		h.current = int(who)
+		h.out = le.AppendUint16(le.AppendUint32(le.AppendUint16(h.out, outInstance), 2), who)
 	}
 	h.out = append(le.AppendUint32(le.AppendUint16(h.out, code), uint32(len(fields))), fields...)
 }
--- a/internal/frontdoor/simwire/wire_test.go
+++ b/internal/frontdoor/simwire/wire_test.go
@@ -26,18 +26,18 @@
 }
 
 func Example_frames() {
-	who := record(inFor, 3, 0)
+	who := record(inInstance, 3, 0)
 	fmt.Println("# empty batch, then the end of input")
 	serve(frame())
 	fmt.Println("# short, over-long and inconsistent: one plain line, no reply")
 	serve(frame()[:9])
 	serve(frame(who)[:20])
 	serve(frame(who, record(inTxn, 1, 2)))
-	serve(frame(who, record(inWoken, 1, 2, 3, 4, 5, 6, 7, 8, 9)))
+	serve(frame(who, record(inTimer, 1, 2, 3, 4, 5, 6, 7, 8, 9)))
 	serve(frame(who, []byte{0x10, 4, 255, 0, 0, 0}))
-	serve(frame(record(inWoken, 1, 2, 3, 4, 5, 6, 7, 8)))
+	serve(frame(record(inTimer, 1, 2, 3, 4, 5, 6, 7, 8)))
 	fmt.Println("# an instance that was never started is passed over")
-	serve(frame(who, record(inWoken, 1, 2, 3, 4, 5, 6, 7, 8)))
+	serve(frame(who, record(inTimer, 1, 2, 3, 4, 5, 6, 7, 8)))
 	fmt.Println("# a missing setting is named in a crash report")
 	var out bytes.Buffer
 	env := "family=gate\nunknown.thing=1"
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -287,9 +287,9 @@
 		{"encoded", says("200 OK", "X-Backend-Seal: s\r\nContent-Encoding: gzip\r\n"), bad, bad, counters.EndErrored},
 		{"no id", func(x *standin.Call) { x.Answer("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n") },
 			bad, bad, counters.EndBroken},
-		{"cut", func(x *standin.Call) { x.Answer(okResponse("e", "", "some")[:80]); x.C.Close() },
+		{"cut", func(x *standin.Call) { x.Answer(okResponse("e", "", "some")[:80]); x.Conn.Close() },
 			bad, bad, counters.EndBroken},
-		{"reset", func(x *standin.Call) { x.C.(*net.TCPConn).SetLinger(0); x.C.Close() },
+		{"reset", func(x *standin.Call) { x.Conn.(*net.TCPConn).SetLinger(0); x.Conn.Close() },
 			bad, bad, counters.EndBroken},
 		{"noise", func(x *standin.Call) { x.Answer("\x00\x01\r\n") }, bad, bad, counters.EndBroken},
 	} {
@@ -322,7 +322,7 @@
 					}
 					if cut { // after the head, in the middle of the body
 						x.Answer(text[:len(text)-1])
-						x.C.Close()
+						x.Conn.Close()
 					} else {
 						x.Answer(text)
 					}
@@ -349,8 +349,8 @@
 	x := st.backend.Next()
 	x.Answer(okResponse("x0", "", "not yours") + okResponse("x1", "", "yours") + okResponse("x2", "", "nobody's"))
 	must.Eq(t, "yours", c.expectResponse("HTTP/1.1 200 Fine"))
-	x.C.SetReadDeadline(time.Now().Add(testTimeout))
-	_, err := x.C.Read(make([]byte, 1))
+	x.Conn.SetReadDeadline(time.Now().Add(testTimeout))
+	_, err := x.Conn.Read(make([]byte, 1))
 	must.Error(t, err)
 	must.Eq(t, 1, st.count(counters.OtherAnswer))
 }
--- a/internal/gateway/transport/outbound.go
+++ b/internal/gateway/transport/outbound.go
@@ -113,7 +113,7 @@
 			if f == nil {
 				continue
 			}
-			if failpoint.Cut(l.target) && !awaitHeal(ctx, l.target, writeTimeout) {
+			if failpoint.Partitioned(l.target) && !awaitHeal(ctx, l.target, writeTimeout) {
 				return
 			}
 			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -123,7 +123,7 @@
 		case <-ended:
 			return
 		case <-ctx.Done():
-			if !failpoint.Cut(l.target) {
+			if !failpoint.Partitioned(l.target) {
 				out.Flush()
 			}
 			return
--- a/internal/gateway/transport/partition_test.go
+++ b/internal/gateway/transport/partition_test.go
@@ -25,7 +25,7 @@
 	order := func(what string, to *testNode) {
 		host, _, _ := net.SplitHostPort(to.addr)
 		io.WriteString(orders, what+" "+host+"\n")
-		for failpoint.Cut(to.addr) != (what == "cut") {
+		for failpoint.Partitioned(to.addr) != (what == "cut") {
 		}
 	}
 	a.Connect(b.addr)
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Broken is something in a history that may not be.
-type Broken struct {
+// Violation is something in a history that may not be.
+type Violation struct {
 	Rule  string        `json:"rule"`
-	T     time.Duration `json:"t"`
+	Time  time.Duration `json:"t"`
 	Who   string        `json:"who,omitempty"`
 	Txn   string        `json:"txn,omitempty"`
 	Key   string        `json:"key,omitempty"`
@@ -16,14 +16,14 @@
 	Timed bool          `json:"timed,omitempty"` // rests on how fast things ran: void where the machine itself stood still
 }
 
-func (b Broken) String() string {
-	s := fmt.Sprintf("%s: at %.3fs", b.Rule, b.T.Seconds())
-	for _, x := range [][2]string{{"by", b.Who}, {"txn", b.Txn}, {"of", b.Key}} {
+func (v Violation) String() string {
+	s := fmt.Sprintf("%s: at %.3fs", v.Rule, v.Time.Seconds())
+	for _, x := range [][2]string{{"by", v.Who}, {"txn", v.Txn}, {"of", v.Key}} {
 		if x[1] != "" {
 			s += " " + x[0] + " " + x[1]
 		}
 	}
-	return s + ": " + b.What
+	return s + ": " + v.What
 }
 
 // Product is what the checkers must know of a kind of txn.
@@ -39,17 +39,17 @@
 	return p.Effect == "inquiry-like" || p.Effect == "referenced" && p.Scope == "all"
 }
 
-// Place is where a backend stands, and when it started; nought: long ago.
-type Place struct {
+// Location is where a backend stands, and when it started; nought: long ago.
+type Location struct {
 	Zone  string
 	Pod   int
 	Start time.Duration
 }
 
-// Reached is a submission that has begun, or may have: at a backend that stands somewhere, sent at a time.
-type Reached struct {
-	Place Place
-	Sent  time.Duration
+// Submission is a submission that has begun, or may have: at a backend that stands somewhere, sent at a time.
+type Submission struct {
+	Location Location
+	Sent     time.Duration
 }
 
 // Repeat is how a repeat may run an effect once more.
@@ -57,24 +57,24 @@
 
 // The ways. What bears repeats, or drops them there and then, does not.
 const (
-	Harmless  Repeat = iota
-	OnceOnly         // its effect is never to be repeated
-	OtherDrop        // the backends there do not drop repeats of what ran at the first
-	Forgotten        // they do no longer
+	Harmless      Repeat = iota
+	OnceOnly             // its effect is never to be repeated
+	OutsideScope         // the backends there do not drop repeats of what ran at the first
+	RecordExpired        // they do no longer
 )
 
 // Repeats tells what becomes of a submission after a first one that may have run.
-func (p Product) Repeats(first, again Reached, slack time.Duration) Repeat {
-	otherZone := first.Place.Zone != again.Place.Zone
+func (p Product) Repeats(first, again Submission, slack time.Duration) Repeat {
+	otherZone := first.Location.Zone != again.Location.Zone
 	switch {
 	case p.Effect == "once-only":
 		return OnceOnly
 	case p.Effect != "referenced":
 		return Harmless
-	case p.Scope == "zone" && otherZone, p.Scope == "pod" && (otherZone || first.Place.Pod != again.Place.Pod):
-		return OtherDrop
+	case p.Scope == "zone" && otherZone, p.Scope == "pod" && (otherZone || first.Location.Pod != again.Location.Pod):
+		return OutsideScope
 	case again.Sent > first.Sent+p.Window+slack:
-		return Forgotten
+		return RecordExpired
 	}
 	return Harmless
 }
@@ -82,12 +82,12 @@
 // World is what a history is held against.
 type World struct {
 	Products map[string]Product
-	Backends map[string]Place
+	Backends map[string]Location
 	Slack    time.Duration // of every time limit: the platform's, and what the machine was slow by
 }
 
-// InOrder is what Down says of a process that ended by itself when it was told to.
-const InOrder = "in order"
+// CleanExit is what Down says of a process that ended by itself when it was told to.
+const CleanExit = "in order"
 
 // span is a time in which something held for a process.
 type span struct {
@@ -97,14 +97,14 @@
 
 const forever = time.Duration(1<<63 - 1)
 
-// spans gives, by process, when it was down or stood still.
-func spans(h []Event) map[string][]span {
+// downtimes gives, by process, when it was down or stood still.
+func downtimes(h []Event) map[string][]span {
 	out := map[string][]span{}
 	open := map[string]map[Kind]Event{}
 	for _, e := range h {
 		var ends Kind
 		switch e.Kind {
-		case Down, Stopped:
+		case Down, Paused:
 			if open[e.Who] == nil {
 				open[e.Who] = map[Kind]Event{}
 			}
@@ -114,26 +114,26 @@
 			continue
 		case Up:
 			ends = Down
-		case Goes:
-			ends = Stopped
+		case Resumed:
+			ends = Paused
 		default:
 			continue
 		}
 		if from, ok := open[e.Who][ends]; ok {
-			out[e.Who] = append(out[e.Who], span{from.T, e.T, from.What == InOrder})
+			out[e.Who] = append(out[e.Who], span{from.Time, e.Time, from.What == CleanExit})
 			delete(open[e.Who], ends)
 		}
 	}
 	for who, kinds := range open {
 		for _, from := range kinds {
-			out[who] = append(out[who], span{from.T, forever, from.What == InOrder})
+			out[who] = append(out[who], span{from.Time, forever, from.What == CleanExit})
 		}
 	}
 	return out
 }
 
-// within tells whether any of some spans meets a time from one moment to another.
-func within(all []span, from, to time.Duration) bool {
+// overlaps tells whether any of some spans meets a time from one moment to another.
+func overlaps(all []span, from, to time.Duration) bool {
 	for _, s := range all {
 		if s.from <= to && s.to >= from && (!s.inOrder || s.from <= from) {
 			return true
--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -19,7 +19,7 @@
 		f := strings.Fields(l)
 		var ms float64
 		fmt.Sscan(f[0], &ms)
-		e := Event{T: time.Duration(ms * 1e6), Who: f[1], Kind: Kind(f[2])}
+		e := Event{Time: time.Duration(ms * 1e6), Who: f[1], Kind: Kind(f[2])}
 		for _, kv := range f[3:] {
 			k, v, _ := strings.Cut(kv, "=")
 			v = strings.ReplaceAll(v, "_", " ")
@@ -31,17 +31,17 @@
 			case "key":
 				e.Key = v
 			case "at":
-				e.At = v
+				e.Target = v
 			case "what":
 				e.What = v
 			case "n":
-				e.N = n
+				e.Number = n
 			case "own":
-				e.Own = time.Duration(n * 1e6)
+				e.OwnTime = time.Duration(n * 1e6)
 			case "due":
-				e.Due = time.Duration(n * 1e6)
+				e.Deadline = time.Duration(n * 1e6)
 			case "ok":
-				e.OK = v == "yes"
+				e.Success = v == "yes"
 			default:
 				t.Fatalf("%q", l)
 			}
@@ -54,7 +54,7 @@
 var world = World{Slack: 50 * time.Millisecond,
 	Products: map[string]Product{"read": {Effect: "inquiry-like"}, "pay": {Effect: "once-only", Work: 0.5},
 		"bid": {Effect: "referenced", Scope: "zone", Window: 300 * time.Millisecond}, "pod": {Effect: "referenced", Scope: "pod", Window: time.Second}},
-	Backends: map[string]Place{"s1": {"a", 0, 0}, "s2": {"a", 1, 0}, "s3": {"b", 0, 0}, "new": {"a", 0, time.Nanosecond}}}
+	Backends: map[string]Location{"s1": {"a", 0, 0}, "s2": {"a", 1, 0}, "s3": {"b", 0, 0}, "new": {"a", 0, time.Nanosecond}}}
 
 const (
 	asked  = "0 c ask txn=1 key=p/1 at=n0 n=1 what=%s due=1000\n"
@@ -64,19 +64,19 @@
 
 // Each checker passes what is good, and finds each of at least three ways to be wrong, naming it.
 func TestCheckers(t *testing.T) {
-	one := func(h []Event) []Broken { return OneAnswer(h, world) }
-	twice := func(h []Event) []Broken { return NoEffectTwice(h, world) }
-	drains := func(h []Event) []Broken { return DrainsKept(h, world, time.Second) }
-	bound := func(h []Event) []Broken {
-		return WithinBound("ceilings kept", h, func(key string) (Bound, bool) { return Bound{Store: 2, Rate: 10}, key == "p/1" })
+	one := func(h []Event) []Violation { return OneAnswer(h, world) }
+	twice := func(h []Event) []Violation { return NoEffectTwice(h, world) }
+	drains := func(h []Event) []Violation { return DrainsKept(h, world, time.Second) }
+	bound := func(h []Event) []Violation {
+		return WithinBound("ceilings kept", h, func(key string) (Bound, bool) { return Bound{Burst: 2, Rate: 10}, key == "p/1" })
 	}
-	cold := func(h []Event) []Broken {
-		return NoColdPushedOver(h, world, Cold{From: 0.5, Times: 2, Cores: 1, By: 10 * time.Second, Window: time.Second})
+	cold := func(h []Event) []Violation {
+		return NoOverloadDuringWarmUp(h, world, WarmUp{From: 0.5, Times: 2, Cores: 1, Length: 10 * time.Second, Window: time.Second})
 	}
-	overlap := func(h []Event) []Broken { return NoOverlap(h, func(string) int { return 1 }) }
-	agree := func(h []Event) []Broken { return Agree(h, 500*time.Millisecond) }
-	regs := func(h []Event) []Broken { return Registers(h, 5*time.Second) }
-	lock := func(h []Event) []Broken { return Locks(h, 5*time.Second) }
+	overlap := func(h []Event) []Violation { return NoOverlap(h, func(string) int { return 1 }) }
+	agree := func(h []Event) []Violation { return ViewsConverge(h, 500*time.Millisecond) }
+	regs := func(h []Event) []Violation { return Registers(h, 5*time.Second) }
+	lock := func(h []Event) []Violation { return Locks(h, 5*time.Second) }
 	spend := func(ms ...int) (s string) {
 		for i, at := range ms {
 			s += fmt.Sprintf("%d c ask txn=%d key=p/1 at=n0 n=1 what=pay due=9000\n%d s1 arrive txn=%d n=%d\n", at, i, at, i, i)
@@ -86,7 +86,7 @@
 	chill := func(ms ...int) string { return strings.ReplaceAll(spend(ms...), " s1 ", " new ") }
 	for _, c := range []struct {
 		name, text, want string
-		check            func([]Event) []Broken
+		check            func([]Event) []Violation
 	}{
 		{"answered", fmt.Sprintf(asked, "pay") + began + answer, "", one},
 		{"killed meanwhile", fmt.Sprintf(asked, "pay") + "100 n0 down\n900 n0 up\n2000 x up", "", one},
@@ -144,15 +144,15 @@
 		{"twice by itself", "0 n0 begin key=t\n5 n0 begin key=t", "2 acts", overlap},
 		{"an end of nothing", "0 n0 begin key=t\n5 n1 end key=t", "never began", overlap},
 
-		{"one after another", "0 n0 hold key=t what=0 n=1 due=100\n50 n0 hold key=t what=0 n=1 due=150\n90 n0 gave key=t what=0 n=1\n91 n1 hold key=t what=0 n=2 due=200\n201 n2 hold key=t what=0 n=3 due=300", "", HoldsApart},
-		{"killed, then another", "0 n0 hold key=t what=0 n=1 due=100\n5 n0 down\n6 n1 hold key=t what=0 n=2 due=99\n7 n2 hold key=t what=1 n=2 due=99", "", HoldsApart},
-		{"held by two", "0 n0 hold key=t what=0 n=1 due=100\n99 n1 hold key=t what=0 n=2 due=200", "while n0 holds it", HoldsApart},
-		{"held by two as one stands still", "0 n0 hold key=t what=0 n=1 due=100\n10 n0 stop\n60 n1 hold key=t what=0 n=2 due=200", "while n0", HoldsApart},
-		{"renewed over another", "0 n0 hold key=t what=0 n=1 due=100\n101 n1 hold key=t what=0 n=2 due=200\n150 n0 hold key=t what=0 n=1 due=250", "while n1", HoldsApart},
-		{"rising", "0 k took key=t n=1 at=n0\n1 k took key=t n=1 at=n0\n2 k took key=t n=3 at=n1\n3 k took key=u n=1 at=n1", "", NumbersRise},
-		{"falling", "0 k took key=t n=2 at=n0\n1 k took key=t n=1 at=n1", "after 2", NumbersRise},
-		{"shared", "0 k took key=t n=2 at=n0\n1 k took key=t n=2 at=n1", "also that of", NumbersRise},
-		{"shared at two ledgers", "0 k took key=t n=2 at=n0\n1 l took key=t n=2 at=n1", "also that of", NumbersRise},
+		{"one after another", "0 n0 hold key=t what=0 n=1 due=100\n50 n0 hold key=t what=0 n=1 due=150\n90 n0 gave key=t what=0 n=1\n91 n1 hold key=t what=0 n=2 due=200\n201 n2 hold key=t what=0 n=3 due=300", "", LeasesExclusive},
+		{"killed, then another", "0 n0 hold key=t what=0 n=1 due=100\n5 n0 down\n6 n1 hold key=t what=0 n=2 due=99\n7 n2 hold key=t what=1 n=2 due=99", "", LeasesExclusive},
+		{"held by two", "0 n0 hold key=t what=0 n=1 due=100\n99 n1 hold key=t what=0 n=2 due=200", "while n0 holds it", LeasesExclusive},
+		{"held by two as one stands still", "0 n0 hold key=t what=0 n=1 due=100\n10 n0 stop\n60 n1 hold key=t what=0 n=2 due=200", "while n0", LeasesExclusive},
+		{"renewed over another", "0 n0 hold key=t what=0 n=1 due=100\n101 n1 hold key=t what=0 n=2 due=200\n150 n0 hold key=t what=0 n=1 due=250", "while n1", LeasesExclusive},
+		{"rising", "0 k took key=t n=1 at=n0\n1 k took key=t n=1 at=n0\n2 k took key=t n=3 at=n1\n3 k took key=u n=1 at=n1", "", NumbersMonotonic},
+		{"falling", "0 k took key=t n=2 at=n0\n1 k took key=t n=1 at=n1", "after 2", NumbersMonotonic},
+		{"shared", "0 k took key=t n=2 at=n0\n1 k took key=t n=2 at=n1", "also that of", NumbersMonotonic},
+		{"shared at two ledgers", "0 k took key=t n=2 at=n0\n1 l took key=t n=2 at=n1", "also that of", NumbersMonotonic},
 
 		{"one mind", "0 r strike\n10 r heal\n20 n0 see key=b at=s1 what=bad\n30 n1 see key=b at=s1 what=bad\n600 x up", "", agree},
 		{"one is down", "0 n1 see key=b at=s1 what=good\n0 r strike\n10 n1 down\n10 r heal\n20 n0 see key=b at=s1 what=bad\n600 x up", "", agree},
@@ -195,16 +195,16 @@
 		t.Fatal(err)
 	}
 	for i := 0; i < 100; i++ {
-		l.Add(Event{Kind: Seen, Key: "backend", At: fmt.Sprint(i)})
+		l.Add(Event{Kind: Observed, Key: "backend", Target: fmt.Sprint(i)})
 	}
 	if err = l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	l.Add(Event{Kind: Seen}) // a front door that ends may still be told things
+	l.Add(Event{Kind: Observed}) // a front door that ends may still be told things
 	l.Close()
 	all, cut, err := ReadFile(name)
 	last := all[len(all)-1]
-	if err != nil || cut || all[0].Who != "n7" || all[0].Life != 3 || last.Kind != Lost || len(all)-1+int(last.N) != 100 {
+	if err != nil || cut || all[0].Who != "n7" || all[0].Incarnation != 3 || last.Kind != Dropped || len(all)-1+int(last.Number) != 100 {
 		t.Errorf("%v, cut %v, %d events, last %+v", err, cut, len(all), last)
 	}
 	text, _ := os.ReadFile(name)
@@ -229,9 +229,9 @@
 	}
 	m := InMemory(2)
 	for i := 0; i < 5; i++ {
-		m.Add(Event{T: time.Duration(9 - i), Who: "x"})
+		m.Add(Event{Time: time.Duration(9 - i), Who: "x"})
 	}
-	if h := m.Events(); len(h) != 3 || h[0].T != 8 || h[2].N != 3 {
+	if h := m.Events(); len(h) != 3 || h[0].Time != 8 || h[2].Number != 3 {
 		t.Errorf("%+v", h)
 	}
 }
@@ -242,18 +242,18 @@
 	rng := rand.New(rand.NewPCG(7, 7))
 	passed := 0
 	for range 400 {
-		most := Bound{Store: 1 + 5*rng.Float64(), Rate: 4 * rng.Float64()}
+		most := Bound{Burst: 1 + 5*rng.Float64(), Rate: 4 * rng.Float64()}
 		at, spends := time.Duration(rng.Int64N(1e15)), []Event(nil)
 		for range 1 + rng.IntN(40) {
 			at += time.Duration(rng.Int64N(1e9))
-			spends = append(spends, Event{T: at, N: float64(1 + rng.IntN(2))})
+			spends = append(spends, Event{Time: at, Number: float64(1 + rng.IntN(2))})
 		}
 		over := 0.0
 		for i := range spends {
 			sum := 0.0
 			for _, e := range spends[i:] {
-				sum += e.N
-				over = max(over, sum-most.Most(e.T-spends[i].T))
+				sum += e.Number
+				over = max(over, sum-most.Max(e.Time-spends[i].Time))
 			}
 		}
 		got := worstStretch(spends, most)
@@ -262,7 +262,7 @@
 		}
 		if over > 0 {
 			passed++
-			if d := spends[got.last].T - spends[got.first].T; math.Abs(got.sum-most.Most(d)-over) > 1e-6 {
+			if d := spends[got.last].Time - spends[got.first].Time; math.Abs(got.sum-most.Max(d)-over) > 1e-6 {
 				t.Fatalf("the stretch named, %+v, is not over by %g", got, over)
 			}
 		}
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -26,47 +26,47 @@
 
 // The kinds that the rig, its stand-ins and front doors write.
 const (
-	Header   Kind = "history"   // first line of a file: N is the version
-	Asked    Kind = "ask"       // a client's request is written whole: Key plan/customer, At the front door, N units, What the product
-	Answered Kind = "answer"    // its final answer, by the client: N the status, What whose answer a settled one is
-	Unheard  Kind = "unheard"   // its connection ended without a whole answer
-	Left     Kind = "left"      // its client has given it up, and closed its connection
-	Arrived  Kind = "arrive"    // a submission has begun at a backend; Own is when the front door began to send it
-	Turned   Kind = "turn-away" // a submission was turned away there unseen
-	Over     Kind = "over"      // a submission is out no longer
-	Told     Kind = "told"      // discovery has written news of the backend At to the front door Who; What is its state
-	Up       Kind = "up"        // a process serves; Life counts its starts
-	Down     Kind = "down"      // it has ended; What is "in order" where it did so by itself when told
-	Stopped  Kind = "stop"      // it stands still
-	Goes     Kind = "go"        // and goes on
-	Strikes  Kind = "strike"    // a fault begins; What names it
-	Heals    Kind = "heal"      // and ends
-	Began    Kind = "begin"     // an act under a grant: Key the task, N the permit
-	Ended    Kind = "end"       // and its end
-	Took     Kind = "took"      // the ledger Who took a step numbered N for Key, from At
-	Holds    Kind = "hold"      // Who holds a permit, What, of the task Key until Due, by number N
-	Gave     Kind = "gave"      // and holds it no longer
-	Seen     Kind = "see"       // Who holds What to be so of Key
-	Invoke   Kind = "invoke"    // of an operation on the register or lock Key: What is the operation, N its value
-	Return   Kind = "return"    // its answer
-	Closes   Kind = "closes"    // nothing more is to come: all that was due by now would be here
-	Lost     Kind = "lost"      // N events were not kept: there was no room
+	Header        Kind = "history"   // first line of a file: N is the version
+	Requested     Kind = "ask"       // a client's request is written whole: Key plan/customer, At the front door, N units, What the product
+	Answered      Kind = "answer"    // its final answer, by the client: N the status, What whose answer a settled one is
+	Unanswered    Kind = "unheard"   // its connection ended without a whole answer
+	ClientLeft    Kind = "left"      // its client has given it up, and closed its connection
+	Arrived       Kind = "arrive"    // a submission has begun at a backend; Own is when the front door began to send it
+	Rejected      Kind = "turn-away" // a submission was turned away there unseen
+	Finished      Kind = "over"      // a submission is out no longer
+	Notified      Kind = "told"      // discovery has written news of the backend At to the front door Who; What is its state
+	Up            Kind = "up"        // a process serves; Life counts its starts
+	Down          Kind = "down"      // it has ended; What is "in order" where it did so by itself when told
+	Paused        Kind = "stop"      // it stands still
+	Resumed       Kind = "go"        // and goes on
+	FaultBegan    Kind = "strike"    // a fault begins; What names it
+	FaultEnded    Kind = "heal"      // and ends
+	ActBegan      Kind = "begin"     // an act under a grant: Key the task, N the permit
+	ActEnded      Kind = "end"       // and its end
+	StepAccepted  Kind = "took"      // the ledger Who took a step numbered N for Key, from At
+	LeaseGranted  Kind = "hold"      // Who holds a permit, What, of the task Key until Due, by number N
+	LeaseReleased Kind = "gave"      // and holds it no longer
+	Observed      Kind = "see"       // Who holds What to be so of Key
+	Invoke        Kind = "invoke"    // of an operation on the register or lock Key: What is the operation, N its value
+	Return        Kind = "return"    // its answer
+	Complete      Kind = "closes"    // nothing more is to come: all that was due by now would be here
+	Dropped       Kind = "lost"      // N events were not kept: there was no room
 )
 
 // Event is one thing that happened.
 type Event struct {
-	T    time.Duration `json:"t"`             // the machine's monotonic clock
-	Own  time.Duration `json:"own,omitempty"` // the process's own view of it
-	Who  string        `json:"who"`
-	Life int           `json:"life,omitempty"`
-	Kind Kind          `json:"kind"`
-	Txn  string        `json:"txn,omitempty"`
-	Key  string        `json:"key,omitempty"`
-	At   string        `json:"at,omitempty"`
-	N    float64       `json:"n,omitempty"`
-	Due  time.Duration `json:"due,omitempty"` // of a request: when its client waits no longer
-	OK   bool          `json:"ok,omitempty"`
-	What string        `json:"what,omitempty"`
+	Time        time.Duration `json:"t"`             // the machine's monotonic clock
+	OwnTime     time.Duration `json:"own,omitempty"` // the process's own view of it
+	Who         string        `json:"who"`
+	Incarnation int           `json:"life,omitempty"`
+	Kind        Kind          `json:"kind"`
+	Txn         string        `json:"txn,omitempty"`
+	Key         string        `json:"key,omitempty"`
+	Target      string        `json:"at,omitempty"`
+	Number      float64       `json:"n,omitempty"`
+	Deadline    time.Duration `json:"due,omitempty"` // of a request: when its client waits no longer
+	Success     bool          `json:"ok,omitempty"`
+	What        string        `json:"what,omitempty"`
 }
 
 // Now is the machine's monotonic clock: the same in all processes.
@@ -78,27 +78,27 @@
 	return time.Duration(t.Nano())
 }
 
-// queueMost events wait to be written; beyond these they are counted as lost.
-const queueMost = 1 << 14
+// queueCapacity events wait to be written; beyond these they are counted as lost.
+const queueCapacity = 1 << 14
 
 // Log takes events from many goroutines, into memory or a file, and is bounded in both: what there is no room for is
 // counted, and told by an event at the end. A nil log takes nothing.
 type Log struct {
-	mu    sync.Mutex
-	all   []Event // in memory
-	most  int
-	lost  atomic.Uint64
-	gate  sync.RWMutex // of the queue's end
-	over  bool
-	queue chan Event // to a file
-	done  chan struct{}
-	who   string
-	life  int
-	fault error
+	mu          sync.Mutex
+	events      []Event // in memory
+	maxEvents   int
+	dropped     atomic.Uint64
+	queueMu     sync.RWMutex // of the queue's end
+	closed      bool
+	queue       chan Event // to a file
+	done        chan struct{}
+	who         string
+	incarnation int
+	err         error
 }
 
 // InMemory keeps at most so many events.
-func InMemory(most int) *Log { return &Log{most: most} }
+func InMemory(most int) *Log { return &Log{maxEvents: most} }
 
 // ToFile appends to a file, up to so many bytes. Who and life name the process in events that do not.
 func ToFile(path, who string, life int, mostBytes int64) (*Log, error) {
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
-	l := &Log{queue: make(chan Event, queueMost), done: make(chan struct{}), who: who, life: life}
+	l := &Log{queue: make(chan Event, queueCapacity), done: make(chan struct{}), who: who, incarnation: life}
 	go l.write(f, mostBytes)
 	return l, nil
 }
@@ -116,32 +116,32 @@
 	if l == nil {
 		return
 	}
-	if e.T == 0 {
-		e.T = Now()
+	if e.Time == 0 {
+		e.Time = Now()
 	}
 	if l.queue != nil {
 		if e.Who == "" {
-			e.Who, e.Life = l.who, l.life
+			e.Who, e.Incarnation = l.who, l.incarnation
 		}
-		l.gate.RLock()
-		defer l.gate.RUnlock()
-		if l.over {
+		l.queueMu.RLock()
+		defer l.queueMu.RUnlock()
+		if l.closed {
 			return
 		}
 		select {
 		case l.queue <- e:
 		default:
-			l.lost.Add(1)
+			l.dropped.Add(1)
 		}
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.all) >= l.most {
-		l.lost.Add(1)
+	if len(l.events) >= l.maxEvents {
+		l.dropped.Add(1)
 		return
 	}
-	l.all = append(l.all, e)
+	l.events = append(l.events, e)
 }
 
 // write takes what waits to the file, flushing when nothing more waits: a process that is killed loses little.
@@ -152,15 +152,15 @@
 	line := func(e Event) {
 		b, err := json.Marshal(e)
 		if err != nil || int64(len(b)+1) > room {
-			l.lost.Add(1)
+			l.dropped.Add(1)
 			return
 		}
 		room -= int64(len(b) + 1)
 		if _, err := out.Write(append(b, '\n')); err != nil {
-			l.fault = err
+			l.err = err
 		}
 	}
-	line(Event{T: Now(), Who: l.who, Life: l.life, Kind: Header, N: Version})
+	line(Event{Time: Now(), Who: l.who, Incarnation: l.incarnation, Kind: Header, Number: Version})
 	out.Flush()
 	for e := range l.queue {
 		line(e)
@@ -168,12 +168,12 @@
 			out.Flush()
 		}
 	}
-	if n := l.lost.Load(); n > 0 {
+	if n := l.dropped.Load(); n > 0 {
 		room += 1 << 10 // that some were lost is told in any case
-		line(Event{T: Now(), Who: l.who, Life: l.life, Kind: Lost, N: float64(n)})
+		line(Event{Time: Now(), Who: l.who, Incarnation: l.incarnation, Kind: Dropped, Number: float64(n)})
 	}
 	if err := out.Flush(); err != nil {
-		l.fault = err
+		l.err = err
 	}
 }
 
@@ -182,25 +182,25 @@
 	if l == nil || l.queue == nil {
 		return nil
 	}
-	l.gate.Lock()
-	was := l.over
-	l.over = true
-	l.gate.Unlock()
+	l.queueMu.Lock()
+	was := l.closed
+	l.closed = true
+	l.queueMu.Unlock()
 	if was {
-		return l.fault
+		return l.err
 	}
 	close(l.queue)
 	<-l.done
-	return l.fault
+	return l.err
 }
 
 // Events gives what is kept in memory, in order of time, with a last one if any were lost.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := append([]Event(nil), l.all...)
-	if n := l.lost.Load(); n > 0 {
-		all = append(all, Event{T: Now(), Who: "rig", Kind: Lost, N: float64(n)})
+	all := append([]Event(nil), l.events...)
+	if n := l.dropped.Load(); n > 0 {
+		all = append(all, Event{Time: Now(), Who: "rig", Kind: Dropped, Number: float64(n)})
 	}
 	return Merge(all)
 }
@@ -211,7 +211,7 @@
 	for _, p := range parts {
 		all = append(all, p...)
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].T < all[j].T })
+	sort.SliceStable(all, func(i, j int) bool { return all[i].Time < all[j].Time })
 	return all
 }
 
@@ -219,9 +219,9 @@
 func Write(to io.Writer, all []Event) error {
 	out := bufio.NewWriter(to)
 	enc := json.NewEncoder(out)
-	first := Event{Who: "rig", Kind: Header, N: Version}
+	first := Event{Who: "rig", Kind: Header, Number: Version}
 	if len(all) > 0 {
-		first.T = all[0].T
+		first.Time = all[0].Time
 	}
 	if err := enc.Encode(first); err != nil {
 		return err
@@ -248,8 +248,8 @@
 				}
 				return all, false, fmt.Errorf("%s:%d: %w", name, n, bad)
 			}
-			if e.Kind == Header && e.N > Version {
-				return all, false, fmt.Errorf("%s:%d: version %g, newer than %d, which this program reads", name, n, e.N, Version)
+			if e.Kind == Header && e.Number > Version {
+				return all, false, fmt.Errorf("%s:%d: version %g, newer than %d, which this program reads", name, n, e.Number, Version)
 			}
 			if n == 1 && e.Kind != Header {
 				return all, false, fmt.Errorf("%s:1: no history: its first line must be of kind %q", name, Header)
--- a/internal/history/leases.go
+++ b/internal/history/leases.go
@@ -10,7 +10,7 @@
 
 // NoOverlap checks that at no moment are more acts open for one task than it has permits. An act that is not ended is open until its
 // process ends; one that stands still keeps its act open.
-func NoOverlap(h []Event, permits func(task string) int) (bad []Broken) {
+func NoOverlap(h []Event, permits func(task string) int) (bad []Violation) {
 	type act struct {
 		who string
 		at  time.Duration
@@ -27,13 +27,13 @@
 	}
 	for _, e := range h {
 		switch e.Kind {
-		case Began:
-			open[e.Key] = append(open[e.Key], act{e.Who, e.T})
+		case ActBegan:
+			open[e.Key] = append(open[e.Key], act{e.Who, e.Time})
 			if n := len(open[e.Key]); n > permits(e.Key) {
-				bad = append(bad, Broken{Rule: "no two holders act at once", T: e.T, Who: e.Who, Key: e.Key,
+				bad = append(bad, Violation{Rule: "no two holders act at once", Time: e.Time, Who: e.Who, Key: e.Key,
 					What: fmt.Sprintf("%d acts are open, that of %s since %.3fs; %d may be", n, open[e.Key][0].who, open[e.Key][0].at.Seconds(), permits(e.Key))})
 			}
-		case Ended:
+		case ActEnded:
 			gone := false
 			drop(e.Key, func(a act) bool {
 				if gone || a.who != e.Who {
@@ -43,7 +43,7 @@
 				return true
 			})
 			if !gone {
-				bad = append(bad, Broken{Rule: "no two holders act at once", T: e.T, Who: e.Who, Key: e.Key, What: "an act ends that never began"})
+				bad = append(bad, Violation{Rule: "no two holders act at once", Time: e.Time, Who: e.Who, Key: e.Key, What: "an act ends that never began"})
 			}
 		case Down:
 			for task := range open {
@@ -54,9 +54,9 @@
 	return bad
 }
 
-// HoldsApart checks that at no moment is one permit of a task held by two, each until the time that it last gave, or until it gave the
+// LeasesExclusive checks that at no moment is one permit of a task held by two, each until the time that it last gave, or until it gave the
 // permit back or ended. One that stands still holds on until that time and no longer: its own clock goes on.
-func HoldsApart(h []Event) (bad []Broken) {
+func LeasesExclusive(h []Event) (bad []Violation) {
 	type permit struct{ task, nr string }
 	type hold struct {
 		who      string
@@ -67,24 +67,24 @@
 	for _, e := range h {
 		k := permit{e.Key, e.What}
 		switch e.Kind {
-		case Holds:
+		case LeaseGranted:
 			kept := now[k][:0]
-			from := e.T
+			from := e.Time
 			for _, x := range now[k] {
-				if x.who == e.Who && x.n == e.N {
+				if x.who == e.Who && x.n == e.Number {
 					from = x.from
-				} else if x.to > e.T {
+				} else if x.to > e.Time {
 					kept = append(kept, x)
-					bad = append(bad, Broken{Rule: "no two hold one permit", T: e.T, Who: e.Who, Key: e.Key + "/" + e.What,
-						What: fmt.Sprintf("held by number %g while %s holds it by number %g until %.3fs", e.N, x.who, x.n, x.to.Seconds())})
+					bad = append(bad, Violation{Rule: "no two hold one permit", Time: e.Time, Who: e.Who, Key: e.Key + "/" + e.What,
+						What: fmt.Sprintf("held by number %g while %s holds it by number %g until %.3fs", e.Number, x.who, x.n, x.to.Seconds())})
 				}
 			}
-			now[k] = append(kept, hold{e.Who, from, e.Due, e.N})
-		case Gave, Down:
+			now[k] = append(kept, hold{e.Who, from, e.Deadline, e.Number})
+		case LeaseReleased, Down:
 			for s, all := range now {
 				kept := all[:0]
 				for _, x := range all {
-					if x.who != e.Who || e.Kind == Gave && s != k {
+					if x.who != e.Who || e.Kind == LeaseReleased && s != k {
 						kept = append(kept, x)
 					}
 				}
@@ -95,55 +95,55 @@
 	return bad
 }
 
-// NumbersRise checks that no ledger takes a step with a number lower than one it took before, and one number comes from one holder.
-func NumbersRise(h []Event) (bad []Broken) {
+// NumbersMonotonic checks that no ledger takes a step with a number lower than one it took before, and one number comes from one holder.
+func NumbersMonotonic(h []Event) (bad []Violation) {
 	type place struct{ ledger, task string }
 	highest := map[place]Event{}
 	from := map[string]map[float64]string{}
 	for _, e := range h {
-		if e.Kind != Took {
+		if e.Kind != StepAccepted {
 			continue
 		}
 		k := place{e.Who, e.Key}
-		if was, ok := highest[k]; ok && e.N < was.N {
-			bad = append(bad, Broken{Rule: "numbers rise", T: e.T, Who: e.At, Key: e.Key,
-				What: fmt.Sprintf("%s took number %g after %g from %s", e.Who, e.N, was.N, was.At)})
+		if was, ok := highest[k]; ok && e.Number < was.Number {
+			bad = append(bad, Violation{Rule: "numbers rise", Time: e.Time, Who: e.Target, Key: e.Key,
+				What: fmt.Sprintf("%s took number %g after %g from %s", e.Who, e.Number, was.Number, was.Target)})
 		} else {
 			highest[k] = e
 		}
 		if from[e.Key] == nil {
 			from[e.Key] = map[float64]string{}
 		}
-		if was, ok := from[e.Key][e.N]; ok && was != e.At {
-			bad = append(bad, Broken{Rule: "numbers rise", T: e.T, Who: e.At, Key: e.Key, What: fmt.Sprintf("number %g is also that of %s", e.N, was)})
+		if was, ok := from[e.Key][e.Number]; ok && was != e.Target {
+			bad = append(bad, Violation{Rule: "numbers rise", Time: e.Time, Who: e.Target, Key: e.Key, What: fmt.Sprintf("number %g is also that of %s", e.Number, was)})
 		}
-		from[e.Key][e.N] = e.At
+		from[e.Key][e.Number] = e.Target
 	}
 	return bad
 }
 
-// Agree checks that a stated time after the last fault has healed, all processes that run hold the same to be so of every key.
-func Agree(h []Event, in time.Duration) (bad []Broken) {
+// ViewsConverge checks that a stated time after the last fault has healed, all processes that run hold the same to be so of every key.
+func ViewsConverge(h []Event, in time.Duration) (bad []Violation) {
 	type fact struct{ key, at string }
 	var healed, last time.Duration
 	struck := 0
 	for _, e := range h {
-		last = max(last, e.T)
+		last = max(last, e.Time)
 		switch e.Kind {
-		case Strikes:
+		case FaultBegan:
 			struck++
-		case Heals:
+		case FaultEnded:
 			struck--
-			healed = e.T
+			healed = e.Time
 		}
 	}
 	by := healed + in
 	if struck > 0 || by > last {
-		return []Broken{{Rule: "agreement", T: last, What: fmt.Sprintf("the history ends before %s after the last heal: nothing is shown", in)}}
+		return []Violation{{Rule: "agreement", Time: last, What: fmt.Sprintf("the history ends before %s after the last heal: nothing is shown", in)}}
 	}
-	views, off := map[fact]map[string]Event{}, spans(h)
+	views, off := map[fact]map[string]Event{}, downtimes(h)
 	for _, e := range h {
-		if e.T > by {
+		if e.Time > by {
 			break
 		}
 		if e.Kind == Up { // a new life knows nothing
@@ -151,8 +151,8 @@
 				delete(v, e.Who)
 			}
 		}
-		if e.Kind == Seen {
-			f := fact{e.Key, e.At}
+		if e.Kind == Observed {
+			f := fact{e.Key, e.Target}
 			if views[f] == nil {
 				views[f] = map[string]Event{}
 			}
@@ -169,14 +169,14 @@
 	for _, f := range facts {
 		var who []string
 		for w := range views[f] {
-			if !within(off[w], by, by) {
+			if !overlaps(off[w], by, by) {
 				who = append(who, w)
 			}
 		}
 		sort.Strings(who)
 		for _, w := range who {
 			if a, b := views[f][who[0]], views[f][w]; a.What != b.What {
-				bad = append(bad, Broken{Rule: "agreement", T: by, Who: w, Key: f.key + " " + f.at,
+				bad = append(bad, Violation{Rule: "agreement", Time: by, Who: w, Key: f.key + " " + f.at,
 					What: fmt.Sprintf("holds %q, %s holds %q", b.What, who[0], a.What)})
 				break
 			}
--- a/internal/history/linear.go
+++ b/internal/history/linear.go
@@ -7,8 +7,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// op is an operation on a register or a lock; result is what it returned.
-type op struct {
+// operation is an operation on a register or a lock; result is what it returned.
+type operation struct {
 	key, what, who string
 	value          float64
 }
@@ -23,7 +23,7 @@
 var registers = porcupine.Model{
 	Init: func() any { return 0.0 },
 	Step: func(state, in, out any) (bool, any) {
-		s, o, r := state.(float64), in.(op), out.(result)
+		s, o, r := state.(float64), in.(operation), out.(result)
 		var old float64
 		if n, _ := fmt.Sscanf(o.what, "swap %g", &old); n == 1 {
 			if r.unknown && s != old {
@@ -46,7 +46,7 @@
 var locks = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
-		s, o, r := state.(string), in.(op), out.(result)
+		s, o, r := state.(string), in.(operation), out.(result)
 		if o.what == "lock" {
 			switch {
 			case s == "" && (r.ok || r.unknown):
@@ -66,12 +66,14 @@
 
 // Registers tells whether the operations on each register could have happened one after another, each between its
 // call and its return. An answer that cannot be found within the time is told as such.
-func Registers(h []Event, most time.Duration) []Broken { return linear(h, registers, most) }
+func Registers(h []Event, most time.Duration) []Violation {
+	return checkLinearizable(h, registers, most)
+}
 
 // Locks does so for locks.
-func Locks(h []Event, most time.Duration) []Broken { return linear(h, locks, most) }
+func Locks(h []Event, most time.Duration) []Violation { return checkLinearizable(h, locks, most) }
 
-func linear(h []Event, model porcupine.Model, most time.Duration) (bad []Broken) {
+func checkLinearizable(h []Event, model porcupine.Model, most time.Duration) (bad []Violation) {
 	type call struct{ who, key, txn string }
 	open, byKey, ids := map[call]Event{}, map[string][]porcupine.Operation{}, map[string]int{}
 	var keys []string
@@ -82,7 +84,7 @@
 		if byKey[e.Key] == nil {
 			keys = append(keys, e.Key)
 		}
-		byKey[e.Key] = append(byKey[e.Key], porcupine.Operation{ClientId: ids[e.Who], Input: op{e.Key, e.What, e.Who, e.N}, Call: int64(e.T),
+		byKey[e.Key] = append(byKey[e.Key], porcupine.Operation{ClientId: ids[e.Who], Input: operation{e.Key, e.What, e.Who, e.Number}, Call: int64(e.Time),
 			Output: r, Return: int64(to)})
 	}
 	for _, e := range h {
@@ -93,22 +95,22 @@
 		case Return:
 			if in, ok := open[k]; ok {
 				delete(open, k)
-				add(in, e.T, result{value: e.N, ok: e.OK})
+				add(in, e.Time, result{value: e.Number, ok: e.Success})
 			}
 		}
 	}
 	for _, e := range h { // in their order, not the map's
-		if in, ok := open[call{e.Who, e.Key, e.Txn}]; e.Kind == Invoke && ok && in.T == e.T {
+		if in, ok := open[call{e.Who, e.Key, e.Txn}]; e.Kind == Invoke && ok && in.Time == e.Time {
 			add(in, forever, result{unknown: true})
 		}
 	}
 	for _, k := range keys {
 		switch porcupine.CheckOperationsTimeout(model, byKey[k], most) {
 		case porcupine.Illegal:
-			bad = append(bad, Broken{Rule: "linearizable", T: time.Duration(byKey[k][len(byKey[k])-1].Return), Key: k,
+			bad = append(bad, Violation{Rule: "linearizable", Time: time.Duration(byKey[k][len(byKey[k])-1].Return), Key: k,
 				What: fmt.Sprintf("no order of its %d operations explains what they returned", len(byKey[k]))})
 		case porcupine.Unknown:
-			bad = append(bad, Broken{Rule: "linearizable", Key: k, What: fmt.Sprintf("not known within %s: %d operations", most, len(byKey[k])), Timed: true})
+			bad = append(bad, Violation{Rule: "linearizable", Key: k, What: fmt.Sprintf("not known within %s: %d operations", most, len(byKey[k])), Timed: true})
 		}
 	}
 	return bad
--- a/internal/lab/capacity/added.go
+++ b/internal/lab/capacity/added.go
@@ -34,13 +34,13 @@
 	Backends int
 }
 
-// Waits are milliseconds.
-type Waits struct {
+// Latencies are milliseconds.
+type Latencies struct {
 	N, Bad                int
 	Half, Of90, Of99, Max float64
 }
 
-func waits(all []float64, bad int) Waits {
+func latenciesOf(all []float64, bad int) Latencies {
 	slices.Sort(all)
 	at := func(x float64) float64 {
 		if len(all) == 0 {
@@ -48,39 +48,39 @@
 		}
 		return all[min(len(all)-1, int(x*float64(len(all))))]
 	}
-	return Waits{len(all), bad, at(0.5), at(0.9), at(0.99), at(1)}
+	return Latencies{len(all), bad, at(0.5), at(0.9), at(0.99), at(1)}
 }
 
-// Told is what came of it. RSS is the node's process's, at its peak and at the end, in bytes.
-type Told struct {
+// AddedResult is what came of it. RSS is the node's process's, at its peak and at the end, in bytes.
+type AddedResult struct {
 	Added
-	Bare, Node Waits
+	Bare, Node Latencies
 	Changes    int
 	Peak, RSS  float64
 }
 
 type added struct {
 	Added
-	t        *gatewaystandin.Deployment
-	backends []*http.Server
-	at       []string
-	client   *http.Client
-	ctx      context.Context
+	deployment *gatewaystandin.Deployment
+	backends   []*http.Server
+	addrs      []string
+	client     *http.Client
+	ctx        context.Context
 }
 
 // Play starts nodes and backends, and asks.
-func (a Added) Play(ctx context.Context) (r *Told, err error) {
+func (a Added) Play(ctx context.Context) (r *AddedResult, err error) {
 	x := &added{Added: a, ctx: ctx, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-	if x.t, err = gatewaystandin.New(gatewaystandin.Terms{Program: a.Program, Nodes: a.Nodes, Disks: min(3, a.Nodes), Zones: []string{"zone-0"}, Rate: 1,
-		Seed: 1, Beat: time.Second, Lost: (min(3, a.Nodes) - 1) / 2, History: history.InMemory(1 << 10)}); err != nil {
+	if x.deployment, err = gatewaystandin.New(gatewaystandin.Config{Program: a.Program, Nodes: a.Nodes, Disks: min(3, a.Nodes), Zones: []string{"zone-0"}, Rate: 1,
+		Seed: 1, HeartbeatInterval: time.Second, MaxLostDisks: (min(3, a.Nodes) - 1) / 2, History: history.InMemory(1 << 10)}); err != nil {
 		return nil, err
 	}
-	defer x.t.Close()
-	if err = x.t.Start(); err != nil {
+	defer x.deployment.Close()
+	if err = x.deployment.Start(); err != nil {
 		return nil, err
 	}
 	hollow := &hollow{client: x.client}
-	for _, d := range x.t.Nodes {
+	for _, d := range x.deployment.Nodes {
 		hollow.settings = append(hollow.settings, &settings.Settings{Bind: settings.Bind{Control: d.Control}})
 	}
 	if _, err = hollow.order(ctx, gatewaystandin.ReplacePath, simulation.FirstText(a.Wide), 1); err != nil {
@@ -101,20 +101,20 @@
 		}
 	}()
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(100 * time.Millisecond) {
-		if _, ok := x.ask(x.t.Nodes[0].Front, 0, time.Now()); ok {
+		if _, ok := x.ask(x.deployment.Nodes[0].Front, 0, time.Now()); ok {
 			break
 		}
 		if time.Now().After(end) {
 			return nil, errors.New("the node does not serve in half a minute")
 		}
 	}
-	r = &Told{Added: a}
-	x.load(2*time.Second, &Told{}) // connections are there
+	r = &AddedResult{Added: a}
+	x.load(2*time.Second, &AddedResult{}) // connections are there
 	if a.Change > 0 {
 		wg.Go(func() { x.changes(beats, hollow, r) })
 	}
 	x.load(a.Over, r)
-	pid := x.t.Nodes[0].Pid()
+	pid := x.deployment.Nodes[0].Pid()
 	file := fmt.Sprintf("/proc/%d/status", pid)
 	r.Peak, r.RSS = float64(field(file, "VmHWM:"))*1024, float64(field(file, "VmRSS:"))*1024
 	return r, nil
@@ -136,15 +136,15 @@
 		io.WriteString(w, "done "+nr)
 	})}
 	go s.Serve(ln)
-	a.backends, a.at = append(a.backends, s), append(a.at, ln.Addr().String())
+	a.backends, a.addrs = append(a.backends, s), append(a.addrs, ln.Addr().String())
 	beat := controlapi.Heartbeat{Address: ln.Addr().String(), Capacity: 16, Generation: "v1", Phase: controlapi.Ready, ColdLeft: "0ms", Target: service,
 		Zone: "zone-0"}
 	wg.Go(func() {
-		for to := a.t.Nodes[0].Control; ctx.Err() == nil; {
+		for to := a.deployment.Nodes[0].Control; ctx.Err() == nil; {
 			beat.CallSeq++
 			body, _ := json.Marshal(beat)
 			if status, _, err := h.post(ctx, to, "/api/Backends.Heartbeat/"+id, body); err != nil || status/100 != 2 {
-				to = a.t.Nodes[int(beat.CallSeq)%len(a.t.Nodes)].Control
+				to = a.deployment.Nodes[int(beat.CallSeq)%len(a.deployment.Nodes)].Control
 			}
 			select {
 			case <-ctx.Done():
@@ -176,7 +176,7 @@
 }
 
 // load asks by chance at the rate, the node and the backends in turn, whatever became of what was sent before.
-func (a *added) load(over time.Duration, r *Told) {
+func (a *added) load(over time.Duration, r *AddedResult) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var all [2][]float64
@@ -185,9 +185,9 @@
 	for nr := 0; next.Before(end) && a.ctx.Err() == nil; nr++ {
 		next = next.Add(time.Duration(rand.ExpFloat64() / (2 * a.Rate) * float64(time.Second)))
 		time.Sleep(time.Until(next))
-		meant, which, to := time.Now(), nr%2, a.t.Nodes[0].Front
+		meant, which, to := time.Now(), nr%2, a.deployment.Nodes[0].Front
 		if which == 1 {
-			to = a.at[nr/2%len(a.at)]
+			to = a.addrs[nr/2%len(a.addrs)]
 		}
 		who := rand.IntN(max(a.Wide.Tenants, 1))
 		wg.Go(func() {
@@ -202,11 +202,11 @@
 		})
 	}
 	wg.Wait()
-	r.Node, r.Bare = waits(all[0], bad[0]), waits(all[1], bad[1])
+	r.Node, r.Bare = latenciesOf(all[0], bad[0]), latenciesOf(all[1], bad[1])
 }
 
 // changes makes them every so often.
-func (a *added) changes(ctx context.Context, h *hollow, r *Told) {
+func (a *added) changes(ctx context.Context, h *hollow, r *AddedResult) {
 	for version := uint64(1); ; {
 		select {
 		case <-ctx.Done():
--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -24,9 +24,9 @@
 
 // What a node may spend on control.
 const (
-	BytesMost  = 12 << 10 // sent, a second
-	CoreMost   = 0.01
-	MemoryMost = 256 << 20
+	MaxBytesPerSecond = 12 << 10 // sent, a second
+	MaxCoreShare      = 0.01
+	MaxMemoryBytes    = 256 << 20
 )
 
 // Fit is y = A + B x, by least squares.
@@ -39,8 +39,8 @@
 	N        int
 }
 
-// Line fits a line.
-func Line(x, y []float64) (f Fit) {
+// FitLinear fits a line.
+func FitLinear(x, y []float64) (f Fit) {
 	n := float64(len(x))
 	if f.N = len(x); f.N < 2 {
 		return f
@@ -101,14 +101,14 @@
 	return f.Close()
 }
 
-// Head and TellPhase print a phase for people.
-func Head(w io.Writer) {
+// PrintHeader and PrintPhase print a phase for people.
+func PrintHeader(w io.Writer) {
 	fmt.Fprintf(w, "  %-9s %6s %10s %10s %10s %8s %8s %6s | %9s %9s %8s %6s | %4s %7s %7s %7s %7s %6s %4s\n", "phase", "s", "member B/s", "busiest",
 		"came", "core %", "most %", "links", "other B/s", "busiest", "core %", "links", "n", "ack ms", "median", "99 %", "last", "all s", "out")
 }
 
-// TellPhase prints a line of the table for a phase of a day.
-func TellPhase(w io.Writer, p simulation.Phase) {
+// PrintPhase prints a line of the table for a phase of a day.
+func PrintPhase(w io.Writer, p simulation.Phase) {
 	fmt.Fprintf(w, "  %-9s %6.1f %10.0f %10.0f %10.0f %8.2f %8.2f %6.0f | %9.0f %9.0f %8.3f %6.1f | %4d %7.1f %7.1f %7.1f %7.1f %6.2f %4d\n",
 		p.Name, p.Seconds, p.Member.Mean, p.Member.Most, p.Member.Got, 100*p.Member.Core, 100*p.Member.CoreMost, p.Member.LinksMost,
 		p.Other.Mean, p.Other.Most, 100*p.Other.Core, p.Other.Links, p.Events, p.Acks, p.Median, p.Mean99, p.Worst, p.All, p.Unready)
@@ -117,7 +117,7 @@
 // row is one quantity that grows.
 type row struct {
 	phase, what, unit string
-	of                func(p simulation.Phase) float64
+	value             func(p simulation.Phase) float64
 }
 
 func rows(phases []string) (all []row) {
@@ -127,7 +127,7 @@
 	for _, ph := range phases {
 		add(ph, "member, sent", "B/s", func(p simulation.Phase) float64 { return p.Member.Mean })
 		add(ph, "busiest member, sent", "B/s", func(p simulation.Phase) float64 { return p.Member.Most })
-		for _, kind := range simulation.Sorts {
+		for _, kind := range simulation.TrafficKinds {
 			add(ph, "  "+kind+" of a member", "B/s", func(p simulation.Phase) float64 { return p.Member.Kinds[kind] })
 		}
 		add(ph, "member, in all", "MB", func(p simulation.Phase) float64 { return p.Member.Mean * p.Seconds / 1e6 })
@@ -138,7 +138,7 @@
 		add(ph, "member, links", "", func(p simulation.Phase) float64 { return p.Member.LinksMost })
 		add(ph, "other node, sent", "B/s", func(p simulation.Phase) float64 { return p.Other.Mean })
 		add(ph, "other node, busiest", "B/s", func(p simulation.Phase) float64 { return p.Other.Most })
-		for _, kind := range simulation.Sorts {
+		for _, kind := range simulation.TrafficKinds {
 			add(ph, "  "+kind+" of another node", "B/s", func(p simulation.Phase) float64 { return p.Other.Kinds[kind] })
 		}
 		add(ph, "other node, came", "B/s", func(p simulation.Phase) float64 { return p.Other.Got })
@@ -163,8 +163,8 @@
 // Axes are their names.
 func Axes() []string { return slices.Sorted(maps.Keys(axes)) }
 
-// TellSlopes prints a line for each quantity: how it grows with one thing, and what it comes to where there is so much of that.
-func TellSlopes(w io.Writer, all []*simulation.Measure, by string, at float64) error {
+// PrintSlopes prints a line for each quantity: how it grows with one thing, and what it comes to where there is so much of that.
+func PrintSlopes(w io.Writer, all []*simulation.Measure, by string, at float64) error {
 	x, ok := axes[by]
 	if !ok {
 		return fmt.Errorf("slopes are by %s", strings.Join(Axes(), ", "))
@@ -185,13 +185,13 @@
 		var xs, y []float64
 		for _, m := range all {
 			if p, ok := PhaseOf(m, r.phase); ok && m.Nodes > m.Disks {
-				xs, y = append(xs, x(m)), append(y, r.of(p))
+				xs, y = append(xs, x(m)), append(y, r.value(p))
 			}
 		}
 		if len(xs) < 2 || slices.Max(y) <= 0 {
 			continue
 		}
-		f := Line(xs, y)
+		f := FitLinear(xs, y)
 		fmt.Fprintf(w, "| %s | %s, %s | %.4g (%d) | %.4g (%d) | %.4g | %.2g | %.0f %% | %.2f | %.4g |\n", r.phase, r.what, r.unit,
 			y[0], int(f.From), y[len(y)-1], int(f.To), f.B, f.Error, 100*f.Residual, f.Power, f.At(at))
 	}
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -38,7 +38,7 @@
 			must.True(t, ok)
 			x, y = append(x, float64(r.Nodes)), append(y, of(p))
 		}
-		return Line(x, y)
+		return FitLinear(x, y)
 	}
 	calm := slope("calm", func(p simulation.Phase) float64 { return p.Member.Mean })
 	must.Between(t, 20, calm.B, 60) // B/s a node more: heartbeats to a third of them
@@ -66,15 +66,15 @@
 
 // A line through points on a line, and a square, are told for what they are.
 func TestLine(t *testing.T) {
-	f := Line([]float64{1, 2, 4}, []float64{5, 7, 11})
+	f := FitLinear([]float64{1, 2, 4}, []float64{5, 7, 11})
 	must.InDelta(t, 3, f.A, 1e-9)
 	must.InDelta(t, 2, f.B, 1e-9)
 	must.InDelta(t, 0, f.Error, 1e-9)
 	must.InDelta(t, 23, f.At(10), 1e-9)
-	f = Line([]float64{1, 2, 4, 8}, []float64{3, 12, 48, 192})
+	f = FitLinear([]float64{1, 2, 4, 8}, []float64{3, 12, 48, 192})
 	must.InDelta(t, 2, f.Power, 1e-9)
 	must.Greater(t, 0.5, f.Residual)
 	// By hand: x 0, 1, 2 and y 0, 1, 5 give y = -0.5 + 2.5 x, rest 1.5 over one degree of freedom, and sxx 2.
-	f = Line([]float64{0, 1, 2}, []float64{0, 1, 5})
+	f = FitLinear([]float64{0, 1, 2}, []float64{0, 1, 5})
 	must.InDelta(t, math.Sqrt(1.5/2), f.Error, 1e-9)
 }
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -38,11 +38,11 @@
 	Changes               int
 }
 
-// descriptorsMost of the process.
-const descriptorsMost = 16000
+// maxDescriptors of the process.
+const maxDescriptors = 16000
 
-// Seen is what came of it.
-type Seen struct {
+// HollowResult is what came of it.
+type HollowResult struct {
 	Hollow
 	ReadyS             float64 // from the first start until all were ready
 	Descriptors        int     // of the process, without the beats'
@@ -82,7 +82,7 @@
 }
 
 // Play starts the nodes, measures, and leaves them to the end of the process.
-func (h Hollow) Play(ctx context.Context, tell io.Writer) (*Seen, error) {
+func (h Hollow) Play(ctx context.Context, tell io.Writer) (*HollowResult, error) {
 	x := &hollow{Hollow: h}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := new(net.Dialer).DialContext(ctx, network, addr)
@@ -107,12 +107,12 @@
 	defer wg.Wait()
 	defer stop()
 	for i := range h.Wide.Backends {
-		wg.Go(func() { x.beats(beats, i) })
+		wg.Go(func() { x.sendHeartbeats(beats, i) })
 	}
 	if !x.until(ctx, 2*time.Minute, func(otherNode *node.Node) bool { return otherNode.IsServing() }) {
 		return nil, errors.New("not all nodes are ready in two minutes")
 	}
-	s := &Seen{Hollow: h, ReadyS: time.Since(began).Seconds()}
+	s := &HollowResult{Hollow: h, ReadyS: time.Since(began).Seconds()}
 	fmt.Fprintf(tell, "all ready after %.1f s\n", s.ReadyS)
 	time.Sleep(8 * time.Second)
 	before, bytes, cpu, at := written(), x.bytes.Load(), processTime(), time.Now()
@@ -133,7 +133,7 @@
 			Bind:      settings.Bind{Front: ip + ":18388", Readiness: ip + ":18384", Control: ip + ":18381"},
 			FirstBoot: true, CountsAsLoss: i < h.Members, HeartbeatInterval: h.Beat,
 			Tolerance: settings.Tolerance{Machines: (h.Members - 1) / 2}, Bounds: gatewaystandin.Bounds(),
-			Limits: settings.Limits{MaxFDs: descriptorsMost}} // the poller goes by their numbers, which all nodes share
+			Limits: settings.Limits{MaxFDs: maxDescriptors}} // the poller goes by their numbers, which all nodes share
 		if i < h.Members {
 			s.DataDir = filepath.Join(h.dir, s.NodeName)
 			if err := os.Mkdir(s.DataDir, 0o755); err != nil {
@@ -204,8 +204,8 @@
 	return 0, errors.New(last)
 }
 
-// beats says of one backend that it lives, as long as it does.
-func (h *hollow) beats(ctx context.Context, i int) {
+// sendHeartbeats says of one backend that it lives, as long as it does.
+func (h *hollow) sendHeartbeats(ctx context.Context, i int) {
 	services := 2 + h.Wide.Services
 	service := simulation.ServiceName(i % services)
 	to, beat := h.settings[i%len(h.settings)].Bind.Control, controlapi.Heartbeat{Address: fmt.Sprintf("10.200.%d.%d:8080", i/200, i%200+1),
@@ -237,7 +237,7 @@
 }
 
 // changes makes some, one after the other, and takes the time from each acknowledgement until the nodes have it.
-func (h *hollow) changes(ctx context.Context, s *Seen, version uint64) error {
+func (h *hollow) changes(ctx context.Context, s *HollowResult, version uint64) error {
 	var acks, times []float64
 	for i := range h.Changes {
 		next := version + 1
--- a/internal/lab/capacity/state.go
+++ b/internal/lab/capacity/state.go
@@ -15,8 +15,8 @@
 	"clovergap/internal/lab/simulation"
 )
 
-// held is what a part keeps in use.
-func held(build func() any) (bytes float64, took time.Duration) {
+// measureHeap is what a part keeps in use.
+func measureHeap(build func() any) (bytes float64, took time.Duration) {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -106,8 +106,8 @@
 	}
 }
 
-// TellState prints the bytes in use of each part, with the slope.
-func TellState(w io.Writer) error {
+// PrintState prints the bytes in use of each part, with the slope.
+func PrintState(w io.Writer) error {
 	fmt.Fprintf(w, "| part | for each | sizes | bytes each | error | off the line | at the target, KB | building it there, ms |\n")
 	fmt.Fprintf(w, "| --- | --- | --- | ---: | ---: | ---: | ---: | ---: |\n")
 	for _, p := range parts() {
@@ -116,10 +116,10 @@
 		for _, n := range p.sizes {
 			build := p.build(n)
 			var b float64
-			b, took = held(build)
+			b, took = measureHeap(build)
 			x, y = append(x, float64(n)), append(y, b)
 		}
-		f := Line(x, y)
+		f := FitLinear(x, y)
 		at := map[string]int{"tenant": Target.Tenants, "route": Target.Routes, "backend": Target.Backends, "node": Target.Nodes}[p.per]
 		fmt.Fprintf(w, "| %s | %s | %v | %.0f | %.2g | %.0f %% | %.0f | %.1f |\n", p.name, p.per, p.sizes, f.B, f.Error, 100*f.Residual,
 			f.At(float64(at))/1024, float64(took.Microseconds())/1000)
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -24,49 +24,49 @@
 
 // request is what a client wants; its tries are what front doors see.
 type request struct {
-	nr      int
-	c       *customer
-	product int
-	work    float64 // of this one, in core seconds
-	mean    float64 // of its product
-	at      time.Duration
-	tries   int
-	inside  bool // the quota, by first tries alone
-	done    bool
-	beyond  bool // the try that was settled had gone beyond the quota
+	number      int
+	customer    *customer
+	product     int
+	work        float64 // of this one, in core seconds
+	mean        float64 // of its product
+	firstSent   time.Duration
+	attempts    int
+	withinQuota bool // the quota, by first tries alone
+	done        bool
+	beyondQuota bool // the try that was settled had gone beyond the quota
 }
 
-// try is one submission of a request by its client.
-type try struct {
-	nr     uint32
-	req    *request
-	d      *node
-	life   int
-	sent   time.Duration
-	expiry time.Duration
-	ref    slots.Ref
-	taken  bool
-	over   bool // at the client
-	left   bool
-	beyond bool
+// attempt is one submission of a request by its client.
+type attempt struct {
+	number      uint32
+	request     *request
+	node        *node
+	incarnation int
+	sent        time.Duration
+	expiry      time.Duration
+	ref         slots.Ref
+	taken       bool
+	done        bool // at the client
+	clientLeft  bool
+	beyondQuota bool
 }
 
 type clients struct {
-	w     *world
-	rng   *rand.Rand
-	all   []*customer
-	tries map[uint32]*try
-	next  uint32
-	nr    int
-	cum   [][]float64 // by plan, over its customers
-	by    [][]*customer
-	load  spec.Held // by burst faults under way: factors
+	world            *world
+	rng              *rand.Rand
+	all              []*customer
+	attempts         map[uint32]*attempt
+	next             uint32
+	requests         int
+	cumulativeShares [][]float64 // by plan, over its customers
+	byPlan           [][]*customer
+	load             spec.Factors // by burst faults under way: factors
 }
 
 func newClients(w *world) *clients {
-	s := w.s
-	c := &clients{w: w, rng: rand.New(rand.NewPCG(s.Seed, 0xc11e)), tries: map[uint32]*try{},
-		cum: make([][]float64, len(s.Plans)), by: make([][]*customer, len(s.Plans))}
+	s := w.spec
+	c := &clients{world: w, rng: rand.New(rand.NewPCG(s.Seed, 0xc11e)), attempts: map[uint32]*attempt{},
+		cumulativeShares: make([][]float64, len(s.Plans)), byPlan: make([][]*customer, len(s.Plans))}
 	total := 0.0
 	for _, p := range s.Plans {
 		total += p.Share
@@ -86,17 +86,17 @@
 				sum += math.Pow(float64(1+c.rng.IntN(cu.width)), -s.Clients.Skew)
 				cu.weights = append(cu.weights, sum)
 			}
-			c.by[i] = append(c.by[i], cu)
+			c.byPlan[i] = append(c.byPlan[i], cu)
 			c.all = append(c.all, cu)
 		}
 		heavy := int(s.Clients.Heavy * float64(n))
 		for k := 0; k < heavy; k++ {
-			c.by[i][k].share *= s.Clients.HeavyBy
+			c.byPlan[i][k].share *= s.Clients.HeavyBy
 		}
 		sum := 0.0
-		for _, cu := range c.by[i] {
+		for _, cu := range c.byPlan[i] {
 			sum += cu.share
-			c.cum[i] = append(c.cum[i], sum)
+			c.cumulativeShares[i] = append(c.cumulativeShares[i], sum)
 		}
 	}
 	return c
@@ -104,7 +104,7 @@
 
 // rate is how many requests a second come now. A plan's load is bounded by what its customers' quotas allow.
 func (c *clients) rate() float64 {
-	s := c.w.s
+	s := c.world.spec
 	mean, share := 0.0, 0.0
 	for _, p := range s.Products {
 		mean += p.Share * p.Work.D().Seconds()
@@ -113,7 +113,7 @@
 	mean /= share
 	r := s.Clients.Load * float64(s.Backends.Count) * s.Backends.Cores / mean
 	for _, at := range s.Clients.Shape {
-		if len(at) == 2 && c.w.now-origin >= time.Duration(at[0]*float64(time.Second)) {
+		if len(at) == 2 && c.world.now-origin >= time.Duration(at[0]*float64(time.Second)) {
 			r = s.Clients.Load * at[1] * float64(s.Backends.Count) * s.Backends.Cores / mean
 		}
 	}
@@ -123,11 +123,11 @@
 	return r
 }
 
-func (c *clients) begin() { c.w.after(0, c.arrive) }
+func (c *clients) begin() { c.world.after(0, c.arrive) }
 
 // arrive brings the next request.
 func (c *clients) arrive() {
-	w := c.w
+	w := c.world
 	if w.now >= w.end {
 		return
 	}
@@ -136,7 +136,7 @@
 }
 
 func (c *clients) draw() *request {
-	s := c.w.s
+	s := c.world.spec
 	u, plan := c.rng.Float64(), 0
 	total := 0.0
 	for _, p := range s.Plans {
@@ -145,8 +145,8 @@
 	for u *= total; plan < len(s.Plans)-1 && u > s.Plans[plan].Share; plan++ {
 		u -= s.Plans[plan].Share
 	}
-	cum := c.cum[plan]
-	cu := c.by[plan][sort.SearchFloat64s(cum, c.rng.Float64()*cum[len(cum)-1])]
+	cum := c.cumulativeShares[plan]
+	cu := c.byPlan[plan][sort.SearchFloat64s(cum, c.rng.Float64()*cum[len(cum)-1])]
 	u, total = c.rng.Float64(), 0
 	for _, p := range s.Products {
 		total += p.Share
@@ -155,37 +155,37 @@
 	for u *= total; product < len(s.Products)-1 && u > s.Products[product].Share; product++ {
 		u -= s.Products[product].Share
 	}
-	c.nr++
+	c.requests++
 	p := s.Products[product]
-	r := &request{nr: c.nr, c: cu, product: product, at: c.w.now, mean: p.Work.D().Seconds(),
+	r := &request{number: c.requests, customer: cu, product: product, firstSent: c.world.now, mean: p.Work.D().Seconds(),
 		work: lognormal(c.rng, p.Work.D().Seconds(), p.Spread)}
-	r.inside = c.w.judge.offered(r)
-	c.w.res.offer(r)
+	r.withinQuota = c.world.checker.offered(r)
+	c.world.recorder.offer(r)
 	return r
 }
 
 // send sends a request's next try to a front door of its customer's set that the front believes alive.
 func (c *clients) send(r *request) {
-	w, s := c.w, c.w.s
+	w, s := c.world, c.world.spec
 	p := s.Products[r.product]
-	left := p.Expiry.D() - (w.now - r.at)
+	left := p.Expiry.D() - (w.now - r.firstSent)
 	if r.done || left <= 0 {
 		return
 	}
-	u := c.rng.Float64() * r.c.weights[len(r.c.weights)-1]
-	at := sort.SearchFloat64s(r.c.weights, u)
+	u := c.rng.Float64() * r.customer.weights[len(r.customer.weights)-1]
+	at := sort.SearchFloat64s(r.customer.weights, u)
 	var d *node
-	for i := 0; i < r.c.width; i++ {
-		d = w.nodes[(r.c.first+(at+i)%r.c.width)%len(w.nodes)]
-		if w.judge.believed(d) {
+	for i := 0; i < r.customer.width; i++ {
+		d = w.nodes[(r.customer.first+(at+i)%r.customer.width)%len(w.nodes)]
+		if w.checker.trustedByFrontend(d) {
 			break
 		}
 	}
-	r.tries++
+	r.attempts++
 	c.next++
-	t := &try{nr: c.next, req: r, d: d, sent: w.now,
+	t := &attempt{number: c.next, request: r, node: d, sent: w.now,
 		expiry: w.now + min(left, time.Duration(s.Clients.TryShare*float64(p.Expiry)))}
-	c.tries[t.nr] = t
+	c.attempts[t.number] = t
 	leaves := c.rng.Float64() < s.Clients.Leave
 	leaveAt := w.now + time.Duration(c.rng.Float64()*float64(t.expiry-w.now))
 	w.after(w.between(s.Zones.Client), func() { c.deliver(t) })
@@ -196,122 +196,124 @@
 }
 
 // deliver: the last byte of a try has arrived at its front door.
-func (c *clients) deliver(t *try) {
-	w, d := c.w, t.d
-	if !d.up {
-		w.after(w.between(w.s.Zones.Client), func() { c.failed(t) })
+func (c *clients) deliver(t *attempt) {
+	w, d := c.world, t.node
+	if !d.running {
+		w.after(w.between(w.spec.Zones.Client), func() { c.failed(t) })
 		return
 	}
-	if t.over {
+	if t.done {
 		return
 	}
-	t.life, t.taken = d.life, true
-	w.judge.taken(t)
-	w.res.tries++
+	t.incarnation, t.taken = d.incarnation, true
+	w.checker.taken(t)
+	w.recorder.attempts++
 	d.turn(func() {
-		r := t.req
-		ref, ok := d.brain.Take(control.Txn{Customer: r.c.id, Product: control.ProductID(r.product),
-			Plan: control.PlanID(r.c.plan), Units: 1, Expiry: t.expiry, SetFirst: control.GatewayID(r.c.first),
-			SetWidth: r.c.width, Retry: w.s.Clients.Marks && r.tries > 1}, d, slots.Ref(t.nr))
+		r := t.request
+		ref, ok := d.decider.Take(control.Txn{Customer: r.customer.id, Product: control.ProductID(r.product),
+			Plan: control.PlanID(r.customer.plan), Units: 1, Expiry: t.expiry, SetFirst: control.GatewayID(r.customer.first),
+			SetWidth: r.customer.width, Retry: w.spec.Clients.Marks && r.attempts > 1}, d, slots.Ref(t.number))
 		if t.ref = ref; !ok {
-			c.answer(d, slots.Ref(t.nr), control.Rejected, 0, nil)
+			c.answer(d, slots.Ref(t.number), control.Rejected, 0, nil)
 		}
 	})
 }
 
 // giveUp: the client waits no longer.
-func (c *clients) giveUp(t *try, again bool) {
-	if t.over {
+func (c *clients) giveUp(t *attempt, again bool) {
+	if t.done {
 		return
 	}
-	t.over, t.left = true, !again
-	w := c.w
+	t.done, t.clientLeft = true, !again
+	w := c.world
 	if t.taken {
-		d, life := t.d, t.life
-		w.after(w.between(w.s.Zones.Client), func() {
-			if d.life == life {
-				d.turn(func() { d.brain.Left(t.ref) })
+		d, life := t.node, t.incarnation
+		w.after(w.between(w.spec.Zones.Client), func() {
+			if d.incarnation == life {
+				d.turn(func() { d.decider.Left(t.ref) })
 			}
 		})
 	}
 	c.drop(t)
-	if again && t.req.tries <= w.s.Clients.Retries && w.now < t.req.at+w.s.Products[t.req.product].Expiry.D() {
-		c.send(t.req)
+	if again && t.request.attempts <= w.spec.Clients.Retries && w.now < t.request.firstSent+w.spec.Products[t.request.product].Expiry.D() {
+		c.send(t.request)
 		return
 	}
-	w.res.close(t.req, verdictExpired)
+	w.recorder.close(t.request, outcomeExpired)
 }
 
 // drop forgets a try once no late word of it can come.
-func (c *clients) drop(t *try) { c.w.after(time.Second, func() { delete(c.tries, t.nr) }) }
+func (c *clients) drop(t *attempt) {
+	c.world.after(time.Second, func() { delete(c.attempts, t.number) })
+}
 
 // answer is a front door's final one, on its way to the client.
 func (c *clients) answer(d *node, who slots.Ref, e control.Ending, advice time.Duration, body []byte) {
-	w := c.w
-	t := c.tries[uint32(who)]
+	w := c.world
+	t := c.attempts[uint32(who)]
 	var made uint32
 	if len(body) == 4 {
 		made = binary.LittleEndian.Uint32(body)
 	}
-	w.judge.answered(d, uint32(who), e, made)
+	w.checker.answered(d, uint32(who), e, made)
 	if t == nil {
 		return
 	}
-	w.after(w.between(w.s.Zones.Client), func() { c.got(t, e, advice) })
+	w.after(w.between(w.spec.Zones.Client), func() { c.receive(t, e, advice) })
 }
 
-// got: the client has the answer.
-func (c *clients) got(t *try, e control.Ending, advice time.Duration) {
-	if t.over {
+// receive: the client has the answer.
+func (c *clients) receive(t *attempt, e control.Ending, advice time.Duration) {
+	if t.done {
 		return
 	}
-	t.over = true
+	t.done = true
 	c.drop(t)
-	w, r := c.w, t.req
+	w, r := c.world, t.request
 	switch e {
 	case control.Succeeded:
-		r.done, r.beyond = true, t.beyond
-		w.res.settled(r)
+		r.done, r.beyondQuota = true, t.beyondQuota
+		w.recorder.succeeded(r)
 	case control.Rejected:
-		w.res.declined++
-		c.again(r, advice, verdictDeclined)
+		w.recorder.rejected++
+		c.retryLater(r, advice, outcomeRejected)
 	default:
-		w.res.voided++
-		if w.s.Products[r.product].Effect == "once-only" {
-			w.res.close(r, verdictVoided)
+		w.recorder.failed++
+		if w.spec.Products[r.product].Effect == "once-only" {
+			w.recorder.close(r, outcomeFailed)
 			return
 		}
-		c.again(r, 0, verdictVoided)
+		c.retryLater(r, 0, outcomeFailed)
 	}
 }
 
 // failed: the connection was refused or reset.
-func (c *clients) failed(t *try) {
-	if t.over {
+func (c *clients) failed(t *attempt) {
+	if t.done {
 		return
 	}
-	t.over = true
+	t.done = true
 	c.drop(t)
-	if c.w.s.Products[t.req.product].Effect == "once-only" && t.taken {
-		c.w.res.close(t.req, verdictVoided)
+	if c.world.spec.Products[t.request.product].Effect == "once-only" && t.taken {
+		c.world.recorder.close(t.request, outcomeFailed)
 		return
 	}
-	c.again(t.req, 0, verdictLost)
+	c.retryLater(t.request, 0, outcomeLost)
 }
 
-// again comes back later, where the client does.
-func (c *clients) again(r *request, advice time.Duration, v verdict) {
-	w, s := c.w, c.w.s.Clients
-	if r.tries > s.Retries {
-		w.res.close(r, v)
+// retryLater comes back later, where the client does.
+func (c *clients) retryLater(r *request, advice time.Duration, v requestOutcome) {
+	w, s := c.world, c.world.spec.Clients
+	if r.attempts > s.Retries {
+		w.recorder.close(r, v)
 		return
 	}
-	wait := w.between(s.Backoff) << (r.tries - 1)
-	if advice > 0 && w.net.Float64() < s.Honour {
+	wait := w.between(s.Backoff) << (r.attempts - 1)
+	if advice > 0 && w.netRand.Float64() < s.Honour {
 		wait = max(wait, advice)
 	}
-	if w.now+wait >= r.at+w.s.Products[r.product].Expiry.D() {
-		w.res.close(r, v)
+	if w.now+wait >= r.firstSent+w.spec.Products[r.product].Expiry.D() {
+		w.recorder.close(r, v)
 		return
 	}
 	w.after(wait, func() { c.send(r) })
@@ -319,15 +321,15 @@
 
 // lost: a front door has died; its clients see their connections end.
 func (c *clients) lost(d *node) {
-	var mine []*try
-	for _, t := range c.tries {
-		if t.d == d && t.taken && t.life == d.life {
+	var mine []*attempt
+	for _, t := range c.attempts {
+		if t.node == d && t.taken && t.incarnation == d.incarnation {
 			mine = append(mine, t)
 		}
 	}
-	sort.Slice(mine, func(i, j int) bool { return mine[i].nr < mine[j].nr })
+	sort.Slice(mine, func(i, j int) bool { return mine[i].number < mine[j].number })
 	for _, t := range mine {
 		t := t
-		c.w.after(c.w.between(c.w.s.Zones.Client), func() { c.failed(t) })
+		c.world.after(c.world.between(c.world.spec.Zones.Client), func() { c.failed(t) })
 	}
 }
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -46,7 +46,7 @@
 
 func (r *rogue) Ended(ref slots.Ref, nr int, at control.BackendID, o gate.Outcome) {
 	t := r.txns[ref]
-	if r.kind == "resend" && t != nil && o.Ending == control.Errored && r.d.w.s.Products[t.x.Product].Effect == "once-only" {
+	if r.kind == "resend" && t != nil && o.Ending == control.Errored && r.node.world.spec.Products[t.txn.Product].Effect == "once-only" {
 		t.out = false
 		r.send(ref, t)
 		return
@@ -61,11 +61,11 @@
 	r.simple.EndpointsChanged(whole, list)
 }
 
-func (r *rogue) choice(t *try) *backend {
-	w := r.d.w
+func (r *rogue) choice(t *attempt) *backend {
+	w := r.node.world
 	switch r.kind {
 	case "drain":
-		for id := range r.d.told {
+		for id := range r.node.unavailableSince {
 			if b := w.byID[id]; b.state == control.Draining {
 				return b
 			}
@@ -77,7 +77,7 @@
 			}
 		}
 	case "ceiling":
-		if w.s.Plans[t.req.c.plan].Ceiling > 0 {
+		if w.spec.Plans[t.request.customer.plan].Ceiling > 0 {
 			for _, b := range w.backends {
 				if !b.dead && b.warmth() == 1 && b.state == control.Ready {
 					return b
@@ -99,8 +99,8 @@
 		{"drop", RuleLost, day(5)},
 		{"resend", RuleTwice, day(8, spec.Fault{Kind: "failing", At: at(1), For: at(6), Share: 0.5, By: 0.5})},
 		{"drain", RuleDrain, day(10, release)},
-		{"cold", RuleCold, day(10, release)},
-		{"ceiling", RuleCeiling, day(8, spec.Fault{Kind: "burst", At: at(1), For: at(6), By: 6})},
+		{"cold", RuleSlowStart, day(10, release)},
+		{"ceiling", RuleHardLimit, day(8, spec.Fault{Kind: "burst", At: at(1), For: at(6), By: 6})},
 		{"none", 0, day(10, release, spec.Fault{Kind: "burst", At: at(1), For: at(6), By: 3})},
 	} {
 		if c.kind == "resend" { // the seeing mark itself keeps away from what fails
@@ -119,7 +119,7 @@
 			if b.Rule != c.rule {
 				t.Errorf("%s: %s", c.kind, b)
 			}
-			if b.At <= 0 || b.Node < 0 || b.Node >= c.s.Nodes.Count || b.Txn == 0 {
+			if b.Time <= 0 || b.Node < 0 || b.Node >= c.s.Nodes.Count || b.Txn == 0 {
 				t.Errorf("%s: no place named: %s", c.kind, b)
 			}
 		}
@@ -158,7 +158,7 @@
 func TestMarks(t *testing.T) {
 	s := day(12, spec.Fault{Kind: "burst", At: at(3), For: at(6), By: 2.2},
 		spec.Fault{Kind: "slow", At: at(4), For: at(6), Share: 0.25, By: 6})
-	r, err := Marked(s)
+	r, err := RunScored(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,8 +169,8 @@
 	for _, n := range r.Reasons {
 		sum += n
 	}
-	if sum < r.Declined*9/10 || math.IsNaN(r.Place) {
-		t.Errorf("%d reasons for %d declines", sum, r.Declined)
+	if sum < r.Rejected*9/10 || math.IsNaN(r.Place) {
+		t.Errorf("%d reasons for %d declines", sum, r.Rejected)
 	}
 }
 
@@ -264,7 +264,7 @@
 // What a run prints, kept for people to read.
 func Example() {
 	s := day(8, spec.Fault{Kind: "zone-loss", At: at(2), For: at(2), Zone: "b"})
-	r, err := Marked(s)
+	r, err := RunScored(s)
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -13,58 +13,58 @@
 // faultRun is a fault under way: the run with the front doors that it hits. What it does is in effects.
 type faultRun struct {
 	*world
-	fault  *spec.Fault
-	hit    []*node
-	killed []*node // those of them that it ended
+	fault    *spec.Fault
+	targeted []*node
+	killed   []*node // those of them that it ended
 }
 
 // effects is what faults do in simulated time.
 var effects = spec.NodeActions(spec.Table[*faultRun]{
-	spec.RollNodes:    (*faultRun).roll,
-	spec.LoseZone:     (*faultRun).loseZone,
-	spec.CutZone:      (*faultRun).cutZone,
-	spec.SlowBackends: backendTrouble((*backend).slowed),
-	spec.FailBackends: backendTrouble(func(b *backend, by float64) func() {
+	spec.RollNodes:     (*faultRun).roll,
+	spec.LoseZone:      (*faultRun).loseZone,
+	spec.PartitionZone: (*faultRun).partitionZone,
+	spec.SlowBackends:  backendFault((*backend).slowed),
+	spec.FailBackends: backendFault(func(b *backend, by float64) func() {
 		b.failing += by
 		return func() { b.failing = max(0, b.failing-by) }
 	}),
-	spec.SilenceBackends:  backendTrouble(func(b *backend, _ float64) func() { b.silent++; return func() { b.silent-- } }),
+	spec.SilenceBackends:  backendFault(func(b *backend, _ float64) func() { b.unresponsiveFaults++; return func() { b.unresponsiveFaults-- } }),
 	spec.CrashBackends:    (*faultRun).crashBackends,
 	spec.DrainBackends:    (*faultRun).drainBackends,
-	spec.LosePeers:        func(r *faultRun, f *spec.Fault) func() { return r.lossBy.Hold(f.Share) },
-	spec.ResetSubmissions: func(r *faultRun, f *spec.Fault) func() { return r.resetBy.Hold(f.Share) },
-	spec.LoseAnswers:      func(r *faultRun, f *spec.Fault) func() { return r.lostBy.Hold(f.Share) },
-	spec.RaiseLoad:        func(r *faultRun, f *spec.Fault) func() { return r.clients.load.Hold(f.By) },
-	spec.DelayLists:       func(r *faultRun, _ *spec.Fault) func() { r.lateBy++; return func() { r.lateBy-- } },
-	spec.CutPeers:         (*faultRun).troublePeers,
-	spec.DelayPeers:       (*faultRun).troublePeers,
-	spec.RepeatPeers:      (*faultRun).troublePeers,
-	spec.ReorderPeers:     (*faultRun).troublePeers,
-	spec.LimitPeers:       (*faultRun).troublePeers,
-	spec.SpoilPeers:       (*faultRun).troublePeers,
-	spec.CounterDown:      (*faultRun).troubleCounter,
-	spec.CounterBusy:      (*faultRun).troubleCounter,
-	spec.CounterSpoilt:    (*faultRun).troubleCounter,
-	spec.CounterMute:      (*faultRun).troubleCounter,
-	spec.CounterLate:      (*faultRun).troubleCounter,
+	spec.LosePeers:        func(r *faultRun, f *spec.Fault) func() { return r.lossBy.Add(f.Share) },
+	spec.ResetSubmissions: func(r *faultRun, f *spec.Fault) func() { return r.resetBy.Add(f.Share) },
+	spec.LoseAnswers:      func(r *faultRun, f *spec.Fault) func() { return r.lostBy.Add(f.Share) },
+	spec.RaiseLoad:        func(r *faultRun, f *spec.Fault) func() { return r.clients.load.Add(f.By) },
+	spec.DelayLists:       func(r *faultRun, _ *spec.Fault) func() { r.listDelays++; return func() { r.listDelays-- } },
+	spec.PartitionPeers:   (*faultRun).faultPeers,
+	spec.DelayPeers:       (*faultRun).faultPeers,
+	spec.RepeatPeers:      (*faultRun).faultPeers,
+	spec.ReorderPeers:     (*faultRun).faultPeers,
+	spec.LimitPeers:       (*faultRun).faultPeers,
+	spec.SpoilPeers:       (*faultRun).faultPeers,
+	spec.CounterDown:      (*faultRun).faultCounter,
+	spec.CounterBusy:      (*faultRun).faultCounter,
+	spec.CounterSpoilt:    (*faultRun).faultCounter,
+	spec.CounterMute:      (*faultRun).faultCounter,
+	spec.CounterLate:      (*faultRun).faultCounter,
 	spec.CounterReset:     func(r *faultRun, _ *spec.Fault) func() { r.counter.Replace(); return nil },
 })
 
 // plan hangs the experiment's faults on the clock.
 func (w *world) plan() {
-	for i := range w.s.Faults {
-		f := &w.s.Faults[i]
+	for i := range w.spec.Faults {
+		f := &w.spec.Faults[i]
 		w.at(origin+f.At.D(), func() { w.applyFault(f) })
 	}
 }
 
 // applyFault begins a fault, and ends it when its time is over.
 func (w *world) applyFault(f *spec.Fault) {
-	w.res.note("%s begins", f.Kind)
-	w.after(f.For.D(), func() { w.res.note("%s ends", f.Kind) })
+	w.recorder.logf("%s begins", f.Kind)
+	w.after(f.For.D(), func() { w.recorder.logf("%s ends", f.Kind) })
 	r := &faultRun{world: w, fault: f}
 	if f.Target() == spec.SomeNodes {
-		r.hit = sample(w, w.nodes, f)
+		r.targeted = sample(w, w.nodes, f)
 	}
 	end, err := effects.Begin(r, f)
 	if err != nil {
@@ -77,8 +77,8 @@
 
 // Kill ends the front doors that are hit and run.
 func (f *faultRun) Kill() {
-	for _, d := range f.hit {
-		if d.up {
+	for _, d := range f.targeted {
+		if d.running {
 			d.kill()
 			f.killed = append(f.killed, d)
 		}
@@ -88,7 +88,7 @@
 // Start starts those that the fault ended.
 func (f *faultRun) Start() {
 	for _, d := range f.killed {
-		if !d.up {
+		if !d.running {
 			d.start()
 		}
 	}
@@ -96,15 +96,15 @@
 
 // Stall lets front doors stand still; each goes on by itself when the fault's time is over.
 func (f *faultRun) Stall(on bool) {
-	for _, d := range f.hit {
+	for _, d := range f.targeted {
 		if on {
 			d.stall(f.fault.For.D())
 		}
 	}
 }
 
-// backendTrouble does something to some backends in service, and takes it back; by is the fault's strength.
-func backendTrouble(begin func(b *backend, by float64) (end func())) spec.Action[*faultRun] {
+// backendFault does something to some backends in service, and takes it back; by is the fault's strength.
+func backendFault(begin func(b *backend, by float64) (end func())) spec.Action[*faultRun] {
 	return func(r *faultRun, f *spec.Fault) func() {
 		var ends []func()
 		for _, b := range r.ready(f) {
@@ -145,7 +145,7 @@
 	replace := f.crash(lost)
 	for _, d := range f.nodes {
 		if d.zone == zone && fault.Share > 0 {
-			f.hit = append(f.hit, d)
+			f.targeted = append(f.targeted, d)
 		}
 	}
 	f.Kill()
@@ -155,35 +155,35 @@
 	}
 }
 
-// cutZone lets no word in or out of a zone.
-func (f *faultRun) cutZone(fault *spec.Fault) func() {
+// partitionZone lets no word in or out of a zone.
+func (f *faultRun) partitionZone(fault *spec.Fault) func() {
 	zone := f.zoneNumber(fault.Zone)
-	f.zonesCut[zone]++
-	return func() { f.zonesCut[zone]-- }
+	f.partitionedZones[zone]++
+	return func() { f.partitionedZones[zone]-- }
 }
 
-func (w *world) zoneNumber(name string) int { return max(0, slices.Index(w.s.Zones.Names, name)) }
+func (w *world) zoneNumber(name string) int { return max(0, slices.Index(w.spec.Zones.Names, name)) }
 
-// troublePeers does something to the datagrams between front doors.
-func (f *faultRun) troublePeers(fault *spec.Fault) func() {
-	zone := func(i int) string { return f.s.Zones.Names[f.nodes[i].zone] }
-	e, _ := netfault.Of(fault, len(f.nodes), zone, fault.Source(f.net))
-	id := f.links.Bring(e)
+// faultPeers does something to the datagrams between front doors.
+func (f *faultRun) faultPeers(fault *spec.Fault) func() {
+	zone := func(i int) string { return f.spec.Zones.Names[f.nodes[i].zone] }
+	e, _ := netfault.EffectOf(fault, len(f.nodes), zone, fault.Source(f.netRand))
+	id := f.links.Begin(e)
 	return func() {
 		for _, c := range f.links.End(id) {
-			f.hear(c)
+			f.deliverDatagram(c)
 		}
 	}
 }
 
-// troubleCounter has the counter do something wrong.
-func (f *faultRun) troubleCounter(fault *spec.Fault) func() {
-	change := sharedcounter.Trouble(fault)
-	place := len(f.countBy)
-	f.countBy = append(f.countBy, change)
+// faultCounter has the counter do something wrong.
+func (f *faultRun) faultCounter(fault *spec.Fault) func() {
+	change := sharedcounter.FaultOf(fault)
+	place := len(f.counterFaults)
+	f.counterFaults = append(f.counterFaults, change)
 	sum := func() {
 		f.counter.Mode = sharedcounter.Mode{}
-		for _, change := range f.countBy {
+		for _, change := range f.counterFaults {
 			if change != nil {
 				change(&f.counter.Mode)
 			}
@@ -191,16 +191,16 @@
 	}
 	sum()
 	return func() {
-		f.countBy[place] = nil
+		f.counterFaults[place] = nil
 		sum()
 	}
 }
 
-// hear delivers a datagram.
-func (w *world) hear(c netfault.Copy) {
+// deliverDatagram delivers a datagram.
+func (w *world) deliverDatagram(c netfault.Copy) {
 	w.after(c.After, func() {
-		to := w.nodes[c.To]
-		to.turn(func() { to.brain.DatagramReceived(control.GatewayID(c.From), c.Payload) })
+		to := w.nodes[c.Target]
+		to.turn(func() { to.decider.DatagramReceived(control.GatewayID(c.Source), c.Payload) })
 	})
 }
 
@@ -232,14 +232,14 @@
 
 // replace puts a new backend in the place of one that is gone.
 func (w *world) replace(b *backend) {
-	w.gone(b)
+	w.remove(b)
 	n := w.addBackend(b.zone, b.pod, w.now)
 	n.speed = b.speed
-	w.tell(n, w.s.Discovery.Added)
+	w.announce(n, w.spec.Discovery.Added)
 }
 
-// waved gives when, within a fault's time, the nth of so many things has its turn.
-func waved(f *spec.Fault, n, all int) time.Duration {
+// waveTime gives when, within a fault's time, the nth of so many things has its turn.
+func waveTime(f *spec.Fault, n, all int) time.Duration {
 	waves := max(1, f.Waves)
 	return time.Duration(float64(n*waves/all) * float64(f.For) / float64(waves))
 }
@@ -248,13 +248,13 @@
 func (f *faultRun) drainBackends(fault *spec.Fault) func() {
 	all := f.ready(fault)
 	for i, b := range all {
-		f.after(waved(fault, i, len(all)), func() {
+		f.after(waveTime(fault, i, len(all)), func() {
 			if b.dead || b.state != control.Ready {
 				return
 			}
-			b.drain(func() { f.gone(b) })
+			b.drain(func() { f.remove(b) })
 			n := f.addBackend(b.zone, b.pod, f.now)
-			f.tell(n, f.s.Discovery.Added)
+			f.announce(n, f.spec.Discovery.Added)
 		})
 	}
 	return nil
@@ -262,12 +262,12 @@
 
 // bounce kills a front door and starts it again.
 func (w *world) bounce(d *node, down time.Duration) {
-	if !d.up {
+	if !d.running {
 		return
 	}
 	d.kill()
 	w.after(down, func() {
-		if !d.up {
+		if !d.running {
 			d.start()
 		}
 	})
@@ -276,8 +276,8 @@
 // roll restarts front doors in waves.
 func (f *faultRun) roll(fault *spec.Fault) func() {
 	down := time.Duration(float64(fault.For) / float64(max(1, fault.Waves)) / 2)
-	for i, d := range f.hit {
-		f.after(waved(fault, i, len(f.hit)), func() { f.bounce(d, down) })
+	for i, d := range f.targeted {
+		f.after(waveTime(fault, i, len(f.targeted)), func() { f.bounce(d, down) })
 	}
 	return nil
 }
