--- a/internal/lab/emulator/frontdoor.go
+++ b/internal/lab/emulator/frontdoor.go
@@ -25,83 +25,83 @@
 	RunDecisions()
 }
 
-// held is a connection that rests.
-type held struct{ since time.Duration }
+// idleConn is a connection that rests.
+type idleConn struct{ since time.Duration }
 
 // node is one front door's machine: its process, its connections, what discovery told it.
 type node struct {
-	w       *world
-	nr      int
-	zone    int
-	life    int
-	up      bool
-	stalled bool
-	backlog []func()
-	brain   decider
-	count   *counters.Set
-	idle    map[*backend][]held
-	subs    map[*submission]bool
-	told    map[control.BackendID]time.Duration // since when it knows a backend as draining or gone
+	world            *world
+	index            int
+	zone             int
+	incarnation      int
+	running          bool
+	stalled          bool
+	backlog          []func()
+	decider          decider
+	counters         *counters.Set
+	idle             map[*backend][]idleConn
+	submissions      map[*submission]bool
+	unavailableSince map[control.BackendID]time.Duration // since when it knows a backend as draining or gone
 }
 
-func newNode(w *world, nr, zone int) *node { return &node{w: w, nr: nr, zone: zone} }
+func newNode(w *world, nr, zone int) *node { return &node{world: w, index: nr, zone: zone} }
 
 // module is the real thing: the gate and the module.
 func module(d *node) decider {
-	w := d.w
-	seed := int64(w.s.Seed)<<20 ^ int64(d.nr)<<8 ^ int64(d.life)
-	m, err := loadbalancer.New(seed, settings(w.s, d.nr, d.zone), w.now)
+	w := d.world
+	seed := int64(w.spec.Seed)<<20 ^ int64(d.index)<<8 ^ int64(d.incarnation)
+	m, err := loadbalancer.New(seed, settings(w.spec, d.index, d.zone), w.now)
 	if err != nil {
 		panic(err) // probed before the run
 	}
-	g := gate.New(m, d, 1<<16, d.count, zap.NewNop())
+	g := gate.New(m, d, 1<<16, d.counters, zap.NewNop())
 	g.SetTransport(d, d)
 	return g
 }
 
 // start begins a life, with the list as discovery has it.
 func (n *node) start() {
-	n.life++
-	n.up, n.stalled, n.backlog = true, false, nil
-	n.count = &counters.Set{}
-	n.idle, n.subs, n.told = map[*backend][]held{}, map[*submission]bool{}, map[control.BackendID]time.Duration{}
-	n.brain = n.w.make(n)
+	n.incarnation++
+	n.running, n.stalled, n.backlog = true, false, nil
+	n.counters = &counters.Set{}
+	n.idle, n.submissions, n.unavailableSince = map[*backend][]idleConn{}, map[*submission]bool{}, map[control.BackendID]time.Duration{}
+	n.decider = n.world.newDecider(n)
 	var list []control.Endpoint
-	for _, b := range n.w.backends {
+	for _, b := range n.world.backends {
 		if b.state != control.Gone {
 			list = append(list, b.listing())
 		}
 	}
-	n.turn(func() { n.brain.EndpointsChanged(true, list) })
+	n.turn(func() { n.decider.EndpointsChanged(true, list) })
 }
 
 // kill ends the process at once: what it holds is left to its clients.
 func (n *node) kill() {
-	if !n.up {
+	if !n.running {
 		return
 	}
-	n.w.res.add(n.count)
-	n.up = false
+	n.world.recorder.add(n.counters)
+	n.running = false
 	var mine []*submission
-	for s := range n.subs {
+	for s := range n.submissions {
 		mine = append(mine, s)
 	}
 	sortSubs(mine)
 	for _, s := range mine {
 		s := s
-		s.over = true
-		n.w.after(n.w.hop(n.zone, s.to.zone), func() { s.to.drop(s) })
+		s.done = true
+		n.world.after(n.world.hop(n.zone, s.target.zone), func() { s.target.drop(s) })
 	}
 	for b, idle := range n.idle {
 		b.open -= len(idle)
 	}
-	n.w.clients.lost(n)
-	n.w.judge.killed(n)
+	n.world.clients.lost(n)
+	n.world.checker.killed(n)
 }
 
 // turn is one owner's: inputs, then decisions until there is none.
 func (n *node) turn(do func()) {
-	if !n.up {
+	if !n.running {
 		return
 	}
 	if n.stalled {
@@ -109,19 +109,19 @@
 		return
 	}
 	do()
-	n.brain.RunDecisions()
+	n.decider.RunDecisions()
 }
 
 // stall lets the process stand still for a while: what comes meanwhile waits.
 func (n *node) stall(long time.Duration) {
-	if !n.up || n.stalled {
+	if !n.running || n.stalled {
 		return
 	}
-	life := n.life
+	life := n.incarnation
 	n.stalled = true
-	n.w.judge.stalled(n, n.w.now+long)
-	n.w.after(long, func() {
-		if n.life != life || !n.up {
+	n.world.checker.stalled(n, n.world.now+long)
+	n.world.after(long, func() {
+		if n.incarnation != life || !n.running {
 			return
 		}
 		n.stalled = false
@@ -139,28 +139,28 @@
 	n.turn(func() {
 		for _, l := range list {
 			if l.State == control.Ready {
-				delete(n.told, l.ID)
-			} else if _, ok := n.told[l.ID]; !ok {
-				n.told[l.ID] = n.w.now
+				delete(n.unavailableSince, l.ID)
+			} else if _, ok := n.unavailableSince[l.ID]; !ok {
+				n.unavailableSince[l.ID] = n.world.now
 			}
 		}
-		n.brain.EndpointsChanged(false, list)
+		n.decider.EndpointsChanged(false, list)
 	})
 }
 
 // ---- what the gate asks of its host
 
 // Now is the clock.
-func (n *node) Now() time.Duration { return n.w.now }
+func (n *node) Now() time.Duration { return n.world.now }
 
 // Wake hangs the module's due time on the clock.
 func (n *node) Wake(at time.Duration, nr uint32) {
-	life := n.life
-	n.w.at(at, func() {
-		if n.life == life && n.up && (n.stalled || n.brain.Live(nr)) {
+	life := n.incarnation
+	n.world.at(at, func() {
+		if n.incarnation == life && n.running && (n.stalled || n.decider.Live(nr)) {
 			n.turn(func() {
-				if n.brain.Live(nr) {
-					n.brain.Due(nr)
+				if n.decider.Live(nr) {
+					n.decider.Due(nr)
 				}
 			})
 		}
@@ -169,18 +169,18 @@
 
 // SendDatagram sends a datagram: late, lost, or cut off.
 func (n *node) SendDatagram(peer control.GatewayID, payload []byte) {
-	w := n.w
-	w.res.messages++
-	w.judge.said(n, payload)
-	if int(peer) < 0 || int(peer) >= len(w.nodes) || w.net.Float64() < w.s.Peers.Loss || w.faultAt(w.lossBy) {
+	w := n.world
+	w.recorder.messages++
+	w.checker.datagramSent(n, payload)
+	if int(peer) < 0 || int(peer) >= len(w.nodes) || w.netRand.Float64() < w.spec.Peers.Loss || w.drawsFault(w.lossBy) {
 		return
 	}
-	if w.apart(n.zone, w.nodes[peer].zone) {
+	if w.partitioned(n.zone, w.nodes[peer].zone) {
 		return
 	}
-	for _, c := range w.links.Send(w.now, n.nr, int(peer), payload) {
-		c.After += w.between(w.s.Peers.Delay)
-		w.hear(c)
+	for _, c := range w.links.Send(w.now, n.index, int(peer), payload) {
+		c.After += w.between(w.spec.Peers.Delay)
+		w.deliverDatagram(c)
 	}
 }
 
@@ -191,17 +191,17 @@
 
 // Complete, Decline and Void are the final answers.
 func (n *node) Complete(who, _ slots.Ref, o gate.Outcome) {
-	n.w.clients.answer(n, who, control.Succeeded, 0, o.Body)
+	n.world.clients.answer(n, who, control.Succeeded, 0, o.Body)
 }
 
 // Reject: trying again is harmless.
 func (n *node) Reject(who, _ slots.Ref, after time.Duration, _ control.Reason) {
-	n.w.clients.answer(n, who, control.Rejected, after, nil)
+	n.world.clients.answer(n, who, control.Rejected, after, nil)
 }
 
 // Fail makes no such promise.
 func (n *node) Fail(who, _ slots.Ref, _ control.Reason) {
-	n.w.clients.answer(n, who, control.Errored, 0, nil)
+	n.world.clients.answer(n, who, control.Errored, 0, nil)
 }
 
 // Probe is not allowed on this site; as dispatch does, it is answered as failed.
@@ -209,8 +209,8 @@
 
 // Recall gives a submission up.
 func (n *node) Recall(ref slots.Ref, nr int) {
-	for s := range n.subs {
-		if s.ref == ref && s.nr == nr && !s.over {
+	for s := range n.submissions {
+		if s.ref == ref && s.number == nr && !s.done {
 			s.finish(control.Canceled)
 			return
 		}
@@ -219,47 +219,47 @@
 
 // submission is one try at a backend.
 type submission struct {
-	d     *node
-	life  int
-	ref   slots.Ref
-	nr    int
-	try   *try
-	to    *backend
-	sent  time.Duration // handed to the network
-	whole bool          // its last byte is written
-	ran   bool
-	fails bool
-	over  bool // its end is known at the node
-	job   *job
+	node        *node
+	incarnation int
+	ref         slots.Ref
+	number      int
+	attempt     *attempt
+	target      *backend
+	sent        time.Duration // handed to the network
+	written     bool          // its last byte is written
+	executed    bool
+	fails       bool
+	done        bool // its end is known at the node
+	job         *job
 }
 
 // Submit sends a txn to a backend, over a connection that rests or a new one.
 func (n *node) Submit(ref slots.Ref, nr int, m gate.Message, at control.BackendID, limit, _ time.Duration) {
-	n.submit(ref, nr, n.w.clients.tries[binary.LittleEndian.Uint32(m.AppendTo(nil, at, limit))], n.w.byID[at], limit)
+	n.submit(ref, nr, n.world.clients.attempts[binary.LittleEndian.Uint32(m.AppendTo(nil, at, limit))], n.world.byID[at], limit)
 }
 
-func (n *node) submit(ref slots.Ref, nr int, t *try, b *backend, limit time.Duration) {
-	w := n.w
-	s := &submission{d: n, life: n.life, ref: ref, nr: nr, try: t, to: b, sent: w.now}
-	n.subs[s] = true
-	w.res.submissions++
+func (n *node) submit(ref slots.Ref, nr int, t *attempt, b *backend, limit time.Duration) {
+	w := n.world
+	s := &submission{node: n, incarnation: n.incarnation, ref: ref, number: nr, attempt: t, target: b, sent: w.now}
+	n.submissions[s] = true
+	w.recorder.submissions++
 	if b.zone != n.zone {
-		w.res.crossed++
+		w.recorder.crossed++
 	}
-	w.judge.sent(s)
+	w.checker.sent(s)
 	w.after(max(limit, 0), func() { s.finish(control.TimedOut) })
 	way := w.hop(n.zone, b.zone)
 	if idle := n.idle[b]; len(idle) > 0 {
 		n.idle[b] = idle[:len(idle)-1]
-		if w.now-idle[len(idle)-1].since < w.s.Backends.ConnIdle.D() {
+		if w.now-idle[len(idle)-1].since < w.spec.Backends.ConnIdle.D() {
 			s.write(way)
 			return
 		}
 		b.open--
 	}
-	w.res.handshakes++
+	w.recorder.handshakes++
 	if !b.reachable(n) {
-		w.after(w.s.Backends.DialLimit.D(), func() { s.finish(control.Unreachable) })
+		w.after(w.spec.Backends.DialLimit.D(), func() { s.finish(control.Unreachable) })
 		return
 	}
 	if b.dead {
@@ -267,30 +267,30 @@
 		return
 	}
 	b.open++
-	w.after(time.Duration(2*w.s.Backends.RoundTrips)*way+w.s.Backends.Handshake.D(), func() { s.write(way) })
+	w.after(time.Duration(2*w.spec.Backends.RoundTrips)*way+w.spec.Backends.Handshake.D(), func() { s.write(way) })
 }
 
 // write puts the last byte on the wire.
 func (s *submission) write(way time.Duration) {
-	if s.over {
+	if s.done {
 		return
 	}
-	w := s.d.w
-	if s.to.dead {
+	w := s.node.world
+	if s.target.dead {
 		w.after(way, func() { s.finish(control.Unreachable) })
 		return
 	}
-	s.whole = true
+	s.written = true
 	w.after(way, func() {
 		switch {
-		case s.over || s.life != s.d.life:
-		case s.to.dead:
+		case s.done || s.incarnation != s.node.incarnation:
+		case s.target.dead:
 			w.after(way, func() { s.finish(control.ConnectionLost) })
-		case !s.to.reachable(s.d): // nothing comes back
+		case !s.target.reachable(s.node): // nothing comes back
 		default:
-			s.to.take(s)
-			if w.faultAt(w.resetBy) { // sometime while it runs
-				in := time.Duration(w.net.Float64() * s.try.req.work * float64(time.Second))
+			s.target.receive(s)
+			if w.drawsFault(w.resetBy) { // sometime while it runs
+				in := time.Duration(w.netRand.Float64() * s.attempt.request.work * float64(time.Second))
 				w.after(way+in, func() { s.finish(control.ConnectionLost) })
 			}
 		}
@@ -299,51 +299,51 @@
 
 // reply is the backend's answer on its way back.
 func (s *submission) reply(e control.Ending) {
-	w := s.d.w
-	if !s.to.reachable(s.d) || w.faultAt(w.lostBy) {
+	w := s.node.world
+	if !s.target.reachable(s.node) || w.drawsFault(w.lostBy) {
 		return
 	}
-	load := s.to.held()
-	w.after(w.hop(s.d.zone, s.to.zone), func() { s.end(e, load) })
+	load := s.target.loadReport()
+	w.after(w.hop(s.node.zone, s.target.zone), func() { s.end(e, load) })
 }
 
 // finish ends a submission at the node: what it gave up, the backend hears of.
 func (s *submission) finish(e control.Ending) {
-	if s.over || s.life != s.d.life || !s.d.up {
+	if s.done || s.incarnation != s.node.incarnation || !s.node.running {
 		return
 	}
-	if !s.whole && (e == control.TimedOut || e == control.Canceled) {
+	if !s.written && (e == control.TimedOut || e == control.Canceled) {
 		e = control.NotSent
 	}
-	b := s.to
-	if s.whole {
+	b := s.target
+	if s.written {
 		b.open--
-		s.d.w.after(s.d.w.hop(s.d.zone, b.zone), func() { b.drop(s) })
+		s.node.world.after(s.node.world.hop(s.node.zone, b.zone), func() { b.drop(s) })
 	}
 	s.end(e, nil)
 }
 
 // end tells the gate how a submission went.
 func (s *submission) end(e control.Ending, load []float64) {
-	d := s.d
-	if s.over || s.life != d.life || !d.up {
+	d := s.node
+	if s.done || s.incarnation != d.incarnation || !d.running {
 		return
 	}
 	d.turn(func() {
-		if s.over || s.life != d.life {
+		if s.done || s.incarnation != d.incarnation {
 			return
 		}
-		s.over = true
-		delete(d.subs, s)
+		s.done = true
+		delete(d.submissions, s)
 		if e == control.Succeeded || e == control.Errored || e == control.Rejected {
-			d.idle[s.to] = append(d.idle[s.to], held{d.w.now})
+			d.idle[s.target] = append(d.idle[s.target], idleConn{d.world.now})
 		}
-		d.w.judge.ended(s, e)
-		o := gate.Outcome{Ending: e, Took: d.w.now - s.sent, Load: load}
+		d.world.checker.ended(s, e)
+		o := gate.Outcome{Ending: e, Took: d.world.now - s.sent, Load: load}
 		if e == control.Succeeded {
-			o.Body = binary.LittleEndian.AppendUint32(nil, uint32(s.try.nr))
+			o.Body = binary.LittleEndian.AppendUint32(nil, uint32(s.attempt.number))
 		}
-		d.brain.Ended(s.ref, s.nr, s.to.id, o)
+		d.decider.Ended(s.ref, s.number, s.target.id, o)
 	})
 }
 
@@ -354,8 +354,8 @@
 		delete(n.idle, b)
 	}
 	var mine []*submission
-	for s := range n.subs {
-		if s.to == b && s.whole {
+	for s := range n.submissions {
+		if s.target == b && s.written {
 			mine = append(mine, s)
 		}
 	}
@@ -363,7 +363,7 @@
 	for _, s := range mine {
 		s := s
 		if b.reachable(n) {
-			n.w.after(n.w.hop(n.zone, b.zone), func() { s.end(control.ConnectionLost, nil) })
+			n.world.after(n.world.hop(n.zone, b.zone), func() { s.end(control.ConnectionLost, nil) })
 		}
 	}
 }
--- a/internal/lab/emulator/policies.go
+++ b/internal/lab/emulator/policies.go
@@ -13,47 +13,47 @@
 // once: an upper mark that no front door can reach. The plain one lets all in, to any backend of its list: a
 // lower one.
 
-// seeingLate is the share of the time left to the SLA time that a backend's load may stand for.
-const seeingLate = 0.5
+// omniscientLateShare is the share of the time left to the SLA time that a backend's load may stand for.
+const omniscientLateShare = 0.5
 
 // simple is a decider without quotas, views or peers.
 type simple struct {
-	d      *node
-	seeing bool
-	txns   map[slots.Ref]*simpleTxn
-	next   slots.Ref
-	ready  []control.BackendID
-	state  map[control.BackendID]control.BackendState
-	choose func(*try) *backend
+	node       *node
+	omniscient bool
+	txns       map[slots.Ref]*simpleTxn
+	next       slots.Ref
+	ready      []control.BackendID
+	state      map[control.BackendID]control.BackendState
+	choose     func(*attempt) *backend
 }
 
 type simpleTxn struct {
-	x    control.Txn
-	who  slots.Ref
-	nr   int
-	out  bool
-	ran  bool
-	over bool
+	txn      control.Txn
+	who      slots.Ref
+	attempts int
+	out      bool
+	ran      bool
+	done     bool
 }
 
 func seeing(d *node) decider { return newSimple(d, true) }
 func plain(d *node) decider  { return newSimple(d, false) }
 
 func newSimple(d *node, sees bool) *simple {
-	p := &simple{d: d, seeing: sees, txns: map[slots.Ref]*simpleTxn{}, state: map[control.BackendID]control.BackendState{}}
+	p := &simple{node: d, omniscient: sees, txns: map[slots.Ref]*simpleTxn{}, state: map[control.BackendID]control.BackendState{}}
 	p.choose = p.pick
 	return p
 }
 
 func (s *simple) Take(x control.Txn, _ gate.Front, who slots.Ref) (slots.Ref, bool) {
 	s.next++
-	t := &simpleTxn{x: x, who: who}
+	t := &simpleTxn{txn: x, who: who}
 	s.txns[s.next] = t
 	ref := s.next
-	life := s.d.life
-	s.d.w.at(x.Expiry-2*time.Millisecond, func() {
-		if !t.over && s.d.up && s.d.life == life {
-			s.d.turn(func() { s.end(ref, t) })
+	life := s.node.incarnation
+	s.node.world.at(x.Expiry-2*time.Millisecond, func() {
+		if !t.done && s.node.running && s.node.incarnation == life {
+			s.node.turn(func() { s.end(ref, t) })
 		}
 	})
 	s.send(ref, t)
@@ -62,23 +62,23 @@
 
 // end gives a txn up.
 func (s *simple) end(ref slots.Ref, t *simpleTxn) {
-	if t.over {
+	if t.done {
 		return
 	}
-	t.over = true
-	product := s.d.w.s.Products[t.x.Product]
+	t.done = true
+	product := s.node.world.spec.Products[t.txn.Product]
 	if product.Judged().Safe() || !t.ran && !t.out {
-		s.d.Reject(t.who, ref, 0, control.ReasonNoBackend)
+		s.node.Reject(t.who, ref, 0, control.ReasonNoBackend)
 	} else {
-		s.d.Fail(t.who, ref, control.ReasonNoBackend)
+		s.node.Fail(t.who, ref, control.ReasonNoBackend)
 	}
 }
 
 // send sends a txn on, or gives it up.
 func (s *simple) send(ref slots.Ref, t *simpleTxn) {
-	w := s.d.w
-	tr := w.clients.tries[uint32(t.who)]
-	if tr == nil || t.over {
+	w := s.node.world
+	tr := w.clients.attempts[uint32(t.who)]
+	if tr == nil || t.done {
 		return
 	}
 	to := s.choose(tr)
@@ -86,35 +86,35 @@
 		s.end(ref, t)
 		return
 	}
-	nr := t.nr
-	t.nr, t.out = t.nr+1, true
-	s.d.submit(ref, nr, tr, to, t.x.Expiry-w.now-3*time.Millisecond)
+	nr := t.attempts
+	t.attempts, t.out = t.attempts+1, true
+	s.node.submit(ref, nr, tr, to, t.txn.Expiry-w.now-3*time.Millisecond)
 }
 
-func (s *simple) pick(t *try) *backend {
-	w := s.d.w
-	if !s.seeing {
+func (s *simple) pick(t *attempt) *backend {
+	w := s.node.world
+	if !s.omniscient {
 		if len(s.ready) == 0 {
 			return nil
 		}
-		return w.byID[s.ready[w.net.IntN(len(s.ready))]]
+		return w.byID[s.ready[w.netRand.IntN(len(s.ready))]]
 	}
-	book, plan := w.judge.book(t.req.c), w.s.Plans[t.req.c.plan]
-	if book.quota.now(w.now) < 1 || plan.OpenCap > 0 && book.open >= plan.OpenCap ||
-		plan.Ceiling > 0 && book.ceiling.now(w.now) < 1 {
+	book, plan := w.checker.customer(t.request.customer), w.spec.Plans[t.request.customer.plan]
+	if book.quota.levelAt(w.now) < 1 || plan.OpenCap > 0 && book.inFlight >= plan.OpenCap ||
+		plan.Ceiling > 0 && book.hardLimit.levelAt(w.now) < 1 {
 		return nil
 	}
 	var best *backend
 	least := math.Inf(1)
 	for _, b := range w.backends {
-		if b.dead || b.state != control.Ready || b.warmth() < 1 || !b.reachable(s.d) || b.failing > 0 {
+		if b.dead || b.state != control.Ready || b.warmth() < 1 || !b.reachable(s.node) || b.failing > 0 {
 			continue
 		}
-		if _, told := s.d.told[b.id]; told || s.state[b.id] != control.Ready {
+		if _, told := s.node.unavailableSince[b.id]; told || s.state[b.id] != control.Ready {
 			continue
 		}
 		load := float64(len(b.active)+len(b.waiting)+1) / b.capacity()
-		if b.zone != s.d.zone {
+		if b.zone != s.node.zone {
 			load *= 1.02
 		}
 		if load < least {
@@ -122,7 +122,7 @@
 		}
 	}
 	// What would be late takes the place of what would not.
-	if product := w.s.Products[t.req.product]; least*t.req.mean > seeingLate*(product.SLA.D()-(w.now-t.req.at)).Seconds() {
+	if product := w.spec.Products[t.request.product]; least*t.request.mean > omniscientLateShare*(product.SLA.D()-(w.now-t.request.firstSent)).Seconds() {
 		return nil
 	}
 	return best
@@ -130,7 +130,7 @@
 
 func (s *simple) Left(ref slots.Ref) {
 	if t := s.txns[ref]; t != nil {
-		t.over = true
+		t.done = true
 	}
 }
 
@@ -142,12 +142,12 @@
 	t.out = false
 	switch o.Ending {
 	case control.Succeeded:
-		if !t.over {
-			t.over = true
-			s.d.Complete(t.who, ref, o)
+		if !t.done {
+			t.done = true
+			s.node.Complete(t.who, ref, o)
 		}
 	case control.Rejected, control.Unreachable, control.NotSent:
-		if s.seeing && t.nr < s.d.w.s.Limits.Submissions && !t.over {
+		if s.omniscient && t.attempts < s.node.world.spec.Limits.Submissions && !t.done {
 			s.send(ref, t)
 			return
 		}
@@ -156,7 +156,7 @@
 		t.ran = true
 		s.end(ref, t)
 	}
-	if t.over {
+	if t.done {
 		delete(s.txns, ref)
 	}
 }
--- a/internal/lab/emulator/result.go
+++ b/internal/lab/emulator/result.go
@@ -10,24 +10,24 @@
 	"clovergap/internal/proxy/counters"
 )
 
-// verdict is how a request ended at its client.
-type verdict int
+// requestOutcome is how a request ended at its client.
+type requestOutcome int
 
 const (
-	verdictDeclined verdict = iota
-	verdictVoided
-	verdictExpired
-	verdictLost
+	outcomeRejected requestOutcome = iota
+	outcomeFailed
+	outcomeExpired
+	outcomeLost
 )
 
 // Second is what happened in one second of the run.
 type Second struct {
-	At       int     `json:"at"`
+	Start    int     `json:"at"`
 	Offered  float64 `json:"offered"` // worth asked for inside the quotas
 	Served   float64 `json:"served"`  // of it, settled in time, by the second of the first try
 	Requests int     `json:"requests"`
-	Declined int     `json:"declined"` // requests that ended so
-	Voided   int     `json:"voided"`
+	Rejected int     `json:"declined"` // requests that ended so
+	Failed   int     `json:"voided"`
 	Late     int     `json:"late"`
 	Beyond   int     `json:"beyond"`
 }
@@ -53,16 +53,16 @@
 	Backends    int            `json:"backends"`
 	Events      uint64         `json:"events"`
 	Requests    int            `json:"requests"`
-	Tries       int            `json:"tries"`
+	Attempts    int            `json:"tries"`
 	Submissions int            `json:"submissions"`
 	Handshakes  int            `json:"handshakes"`
 	Crossed     int            `json:"crossed"`
 	Messages    int            `json:"messages"`
 	Beyond      int            `json:"beyond"`
-	Settled     int            `json:"settled"`
+	Succeeded   int            `json:"settled"`
 	Late        int            `json:"late"`
-	Declined    int            `json:"declined"` // tries
-	Voided      int            `json:"voided"`
+	Rejected    int            `json:"declined"` // tries
+	Failed      int            `json:"voided"`
 	Service     float64        `json:"service"` // worth settled in time, of what was offered inside quotas
 	OverCost    float64        `json:"over_cost"`
 	Score       float64        `json:"score"` // service less what went beyond quotas cost
@@ -79,114 +79,114 @@
 	Course      []Second       `json:"course"`
 	Notes       []string       `json:"notes"`
 	RulesBroken int            `json:"rules_broken"`
-	Broken      []Broken       `json:"broken,omitempty"`
+	Broken      []Violation    `json:"broken,omitempty"`
 	Fallen      int            `json:"fallen"` // cold backends pushed over
 }
 
 // recorder adds up a run.
 type recorder struct {
-	w           *world
-	r           Result
-	hist        *hdrhistogram.Histogram
-	over        float64
+	world       *world
+	res         Result
+	latencies   *hdrhistogram.Histogram
+	overCost    float64
 	offered     float64
 	served      float64
 	submissions int
 	handshakes  int
 	crossed     int
 	messages    int
-	tries       int
-	declined    int
-	voided      int
+	attempts    int
+	rejected    int
+	failed      int
 }
 
 func newRecorder(w *world) *recorder {
-	s := w.s
-	rec := &recorder{w: w, hist: hdrhistogram.New(1, 600_000_000, 3)}
-	rec.r = Result{Name: s.Name, Policy: s.Policy, Seed: s.Seed, Seconds: s.For.D().Seconds(),
+	s := w.spec
+	rec := &recorder{world: w, latencies: hdrhistogram.New(1, 600_000_000, 3)}
+	rec.res = Result{Name: s.Name, Policy: s.Policy, Seed: s.Seed, Seconds: s.For.D().Seconds(),
 		Nodes: s.Nodes.Count, Backends: s.Backends.Count, Reasons: map[string]int{}}
 	for _, p := range s.Plans {
-		rec.r.Plans = append(rec.r.Plans, Group{Name: p.Name})
+		rec.res.Plans = append(rec.res.Plans, Group{Name: p.Name})
 	}
 	for _, h := range s.Zones.Names {
-		rec.r.Zones = append(rec.r.Zones, Group{Name: h})
+		rec.res.Zones = append(rec.res.Zones, Group{Name: h})
 	}
 	return rec
 }
 
 func (rec *recorder) second(at time.Duration) *Second {
 	n := int((at - origin) / time.Second)
-	for len(rec.r.Course) <= n {
-		rec.r.Course = append(rec.r.Course, Second{At: len(rec.r.Course)})
+	for len(rec.res.Course) <= n {
+		rec.res.Course = append(rec.res.Course, Second{Start: len(rec.res.Course)})
 	}
-	return &rec.r.Course[n]
+	return &rec.res.Course[n]
 }
 
-// worth is a request's, in time.
-func (rec *recorder) worth(r *request) float64 {
-	return rec.w.s.Products[r.product].Value * rec.w.s.Plans[r.c.plan].Price
+// value is a request's, in time.
+func (rec *recorder) value(r *request) float64 {
+	return rec.world.spec.Products[r.product].Value * rec.world.spec.Plans[r.customer.plan].Price
 }
 
 // zone is that of the first front door of the customer's set.
-func (rec *recorder) zone(r *request) int { return r.c.first % len(rec.r.Zones) }
+func (rec *recorder) zone(r *request) int { return r.customer.first % len(rec.res.Zones) }
 
 func (rec *recorder) offer(r *request) {
-	rec.r.Requests++
-	s := rec.second(r.at)
+	rec.res.Requests++
+	s := rec.second(r.firstSent)
 	s.Requests++
-	v := rec.worth(r)
-	if !r.inside {
-		v *= rec.w.s.Plans[r.c.plan].OverValue
+	v := rec.value(r)
+	if !r.withinQuota {
+		v *= rec.world.spec.Plans[r.customer.plan].OverValue
 	}
 	s.Offered += v
 	rec.offered += v
-	rec.r.Plans[r.c.plan].Offered += v
-	rec.r.Zones[rec.zone(r)].Offered += v
+	rec.res.Plans[r.customer.plan].Offered += v
+	rec.res.Zones[rec.zone(r)].Offered += v
 }
 
-func (rec *recorder) settled(r *request) {
-	rec.r.Settled++
-	p := rec.w.s.Products[r.product]
-	took := rec.w.now - r.at
-	rec.hist.RecordValue(took.Microseconds())
-	v := rec.worth(r)
-	if r.beyond {
-		v *= rec.w.s.Plans[r.c.plan].OverValue
+func (rec *recorder) succeeded(r *request) {
+	rec.res.Succeeded++
+	p := rec.world.spec.Products[r.product]
+	took := rec.world.now - r.firstSent
+	rec.latencies.RecordValue(took.Microseconds())
+	v := rec.value(r)
+	if r.beyondQuota {
+		v *= rec.world.spec.Plans[r.customer.plan].OverValue
 	}
-	s := rec.second(r.at)
+	s := rec.second(r.firstSent)
 	if took > p.SLA.D() {
 		v *= p.LateValue
-		rec.r.Late++
+		rec.res.Late++
 		s.Late++
 	}
 	s.Served += v
 	rec.served += v
-	rec.r.Plans[r.c.plan].Served += v
-	rec.r.Zones[rec.zone(r)].Served += v
+	rec.res.Plans[r.customer.plan].Served += v
+	rec.res.Zones[rec.zone(r)].Served += v
 }
 
-// beyond: a try was sent on beyond its quota.
-func (rec *recorder) beyond(r *request) {
-	rec.over += rec.worth(r) * rec.w.s.Plans[r.c.plan].OverCost
-	rec.second(rec.w.now).Beyond++
+// beyondQuota: a try was sent on beyond its quota.
+func (rec *recorder) beyondQuota(r *request) {
+	rec.overCost += rec.value(r) * rec.world.spec.Plans[r.customer.plan].OverCost
+	rec.second(rec.world.now).Beyond++
 }
 
 // close: a request ended without an answer that serves it.
-func (rec *recorder) close(r *request, v verdict) {
+func (rec *recorder) close(r *request, v requestOutcome) {
 	if r.done {
 		return
 	}
 	r.done = true
-	s := rec.second(r.at)
-	if v == verdictDeclined {
-		s.Declined++
+	s := rec.second(r.firstSent)
+	if v == outcomeRejected {
+		s.Rejected++
 	} else {
-		s.Voided++
+		s.Failed++
 	}
 }
 
-func (rec *recorder) note(format string, v ...any) {
-	rec.r.Notes = append(rec.r.Notes, fmt.Sprintf("%.1fs ", (rec.w.now-origin).Seconds())+fmt.Sprintf(format, v...))
+func (rec *recorder) logf(format string, v ...any) {
+	rec.res.Notes = append(rec.res.Notes, fmt.Sprintf("%.1fs ", (rec.world.now-origin).Seconds())+fmt.Sprintf(format, v...))
 }
 
 // add takes a front door's counters when its life ends.
@@ -196,7 +196,7 @@
 	}
 	for id := counters.GaveUpTime; id <= counters.GaveUpBackends; id++ {
 		if n := int(c[id]); n > 0 {
-			rec.r.Reasons[counters.Name(id)[len("gave up: "):]] += n
+			rec.res.Reasons[counters.Name(id)[len("gave up: "):]] += n
 		}
 	}
 }
@@ -209,24 +209,24 @@
 }
 
 func (rec *recorder) result() *Result {
-	w, r := rec.w, &rec.r
+	w, r := rec.world, &rec.res
 	for _, d := range w.nodes {
-		if d.up {
-			rec.add(d.count)
+		if d.running {
+			rec.add(d.counters)
 		}
 	}
-	r.Events, r.Tries, r.Submissions, r.Handshakes = w.events, rec.tries, rec.submissions, rec.handshakes
-	r.Crossed, r.Messages, r.Declined, r.Voided = rec.crossed, rec.messages, rec.declined, rec.voided
-	r.Beyond, r.RulesBroken, r.Broken = w.judge.beyond, w.judge.many, w.judge.broken
-	r.Service, r.OverCost = share(rec.served, rec.offered), share(rec.over, rec.offered)
+	r.Events, r.Attempts, r.Submissions, r.Handshakes = w.events, rec.attempts, rec.submissions, rec.handshakes
+	r.Crossed, r.Messages, r.Rejected, r.Failed = rec.crossed, rec.messages, rec.rejected, rec.failed
+	r.Beyond, r.RulesBroken, r.Broken = w.checker.beyondQuota, w.checker.violations, w.checker.listed
+	r.Service, r.OverCost = share(rec.served, rec.offered), share(rec.overCost, rec.offered)
 	r.Score = r.Service - r.OverCost
 	r.Worst = 1
 	for i := range r.Course {
-		if s := r.Course[i]; s.Offered > 0 && float64(s.At) < r.Seconds {
+		if s := r.Course[i]; s.Offered > 0 && float64(s.Start) < r.Seconds {
 			r.Worst = min(r.Worst, share(s.Served, s.Offered))
 		}
 	}
-	ms := func(q float64) float64 { return float64(rec.hist.ValueAtQuantile(q)) / 1000 }
+	ms := func(q float64) float64 { return float64(rec.latencies.ValueAtQuantile(q)) / 1000 }
 	r.P50, r.P90, r.P99 = ms(50), ms(90), ms(99)
 	for i := range r.Plans {
 		r.Plans[i].Service = share(r.Plans[i].Served, r.Plans[i].Offered)
@@ -235,7 +235,7 @@
 		r.Zones[i].Service = share(r.Zones[i].Served, r.Zones[i].Offered)
 	}
 	for _, b := range w.all {
-		if b.fallen {
+		if b.overloaded {
 			r.Fallen++
 		}
 	}
@@ -257,11 +257,11 @@
 		return nil, err
 	}
 	w.run()
-	return w.res.result(), nil
+	return w.recorder.result(), nil
 }
 
-// Marked plays it, and both marks on the same day, and says where between them it lies.
-func Marked(s *spec.Spec) (*Result, error) {
+// RunScored plays it, and both marks on the same day, and says where between them it lies.
+func RunScored(s *spec.Spec) (*Result, error) {
 	r, err := Run(s)
 	if err != nil {
 		return nil, err
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -25,40 +25,40 @@
 
 // world is one run.
 type world struct {
-	s        *spec.Spec
-	now, end time.Duration
-	dues     timerqueue.Queue[func()]
-	events   uint64
-	net      *rand.Rand // of everything that travels and fails; arrivals have a source of their own
-	nodes    []*node
-	backends []*backend
-	all      []*backend // those that were replaced too
-	byID     map[control.BackendID]*backend
-	clients  *clients
-	judge    *judge
-	res      *recorder
-	make     func(*node) decider
-	zonesCut map[int]int   // zones cut off, by how many faults
-	lossBy   spec.Held     // of datagrams, by faults under way
-	resetBy  spec.Held     // of submissions
-	lostBy   spec.Held     // of answers
-	lateBy   int           // faults that hold lists back
-	links    *netfault.Set // what faults do to datagrams
-	counter  *sharedcounter.Counter
-	countBy  []func(*sharedcounter.Mode)
-	nextUID  int
+	spec             *spec.Spec
+	now, end         time.Duration
+	timers           timerqueue.Queue[func()]
+	events           uint64
+	netRand          *rand.Rand // of everything that travels and fails; arrivals have a source of their own
+	nodes            []*node
+	backends         []*backend
+	all              []*backend // those that were replaced too
+	byID             map[control.BackendID]*backend
+	clients          *clients
+	checker          *checker
+	recorder         *recorder
+	newDecider       func(*node) decider
+	partitionedZones map[int]int   // zones cut off, by how many faults
+	lossBy           spec.Factors  // of datagrams, by faults under way
+	resetBy          spec.Factors  // of submissions
+	lostBy           spec.Factors  // of answers
+	listDelays       int           // faults that hold lists back
+	links            *netfault.Set // what faults do to datagrams
+	counter          *sharedcounter.Counter
+	counterFaults    []func(*sharedcounter.Mode)
+	nextUID          int
 }
 
 // maker makes what decides at a front door.
 type maker func(*node) decider
 
 func newWorld(s *spec.Spec, m maker) (*world, error) {
-	w := &world{s: s, now: origin, end: origin + s.For.D(), make: m, byID: map[control.BackendID]*backend{},
-		zonesCut: map[int]int{}, net: rand.New(rand.NewPCG(s.Seed, 0x6e6574))}
+	w := &world{spec: s, now: origin, end: origin + s.For.D(), newDecider: m, byID: map[control.BackendID]*backend{},
+		partitionedZones: map[int]int{}, netRand: rand.New(rand.NewPCG(s.Seed, 0x6e6574))}
 	w.links = netfault.New(rand.New(rand.NewPCG(s.Seed, 0x11a7)))
 	w.counter = sharedcounter.New(rand.New(rand.NewPCG(s.Seed, 0x7a11)))
-	w.judge = newJudge(w)
-	w.res = newRecorder(w)
+	w.checker = newChecker(w)
+	w.recorder = newRecorder(w)
 	for i := 0; i < s.Backends.Count; i++ {
 		w.addBackend(i%len(s.Zones.Names), i%s.Backends.Pods, 0)
 	}
@@ -83,16 +83,16 @@
 
 // probe makes one module to find bad settings before the run.
 func (w *world) probe() error {
-	if w.s.Policy != "module" {
+	if w.spec.Policy != "module" {
 		return nil
 	}
-	_, err := loadbalancer.New(1, settings(w.s, 0, 0), origin)
+	_, err := loadbalancer.New(1, settings(w.spec, 0, 0), origin)
 	return err
 }
 
 // at hangs something on the clock; what is past is due now.
 func (w *world) at(t time.Duration, do func()) {
-	w.dues.Add(t, do)
+	w.timers.Add(t, do)
 }
 
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
@@ -101,8 +101,8 @@
 func (w *world) run() {
 	last := w.end + w.longest() + tail
 	for {
-		at, _ := w.dues.Next()
-		do, ok := w.dues.Take(last)
+		at, _ := w.timers.Next()
+		do, ok := w.timers.Take(last)
 		if !ok {
 			break
 		}
@@ -111,12 +111,12 @@
 		do()
 	}
 	w.now = last
-	w.judge.finish()
+	w.checker.finish()
 }
 
 // longest is the longest expiry.
 func (w *world) longest() (most time.Duration) {
-	for _, p := range w.s.Products {
+	for _, p := range w.spec.Products {
 		most = max(most, p.Expiry.D())
 	}
 	return most
@@ -124,24 +124,26 @@
 
 // between draws a span.
 func (w *world) between(r spec.Range) time.Duration {
-	return r[0].D() + time.Duration(w.net.Float64()*float64(r[1]-r[0]))
+	return r[0].D() + time.Duration(w.netRand.Float64()*float64(r[1]-r[0]))
 }
 
 // hop is the way between two zones, one way.
 func (w *world) hop(a, b int) time.Duration {
 	if a == b {
-		return w.between(w.s.Zones.Same)
+		return w.between(w.spec.Zones.Same)
 	}
-	return w.between(w.s.Zones.Cross)
+	return w.between(w.spec.Zones.Cross)
 }
 
-// apart tells whether no word gets from one zone to the other now.
-func (w *world) apart(a, b int) bool { return a != b && (w.zonesCut[a] > 0 || w.zonesCut[b] > 0) }
+// partitioned tells whether no word gets from one zone to the other now.
+func (w *world) partitioned(a, b int) bool {
+	return a != b && (w.partitionedZones[a] > 0 || w.partitionedZones[b] > 0)
+}
 
-// faultAt draws whether any of some faults under way hits.
-func (w *world) faultAt(shares []float64) bool {
+// drawsFault draws whether any of some faults under way hits.
+func (w *world) drawsFault(shares []float64) bool {
 	for _, s := range shares {
-		if w.net.Float64() < s {
+		if w.netRand.Float64() < s {
 			return true
 		}
 	}
@@ -186,7 +188,7 @@
 
 // sample gives a share of some things, at least one, chosen by the fault's source or the world's.
 func sample[T any](w *world, from []T, f *spec.Fault) (out []T) {
-	for _, i := range spec.Hits(len(from), f.Share, f.Source(w.net)) {
+	for _, i := range spec.Hits(len(from), f.Share, f.Source(w.netRand)) {
 		out = append(out, from[i])
 	}
 	return out
--- a/internal/lab/experiments/compare.go
+++ b/internal/lab/experiments/compare.go
@@ -24,7 +24,7 @@
 type Comparison struct {
 	Metric    string
 	Pairs     int
-	Alone     int // results without a partner
+	Unpaired  int // results without a partner
 	MeanA     float64
 	MeanB     float64
 	Diff      float64 // B less A
@@ -57,7 +57,7 @@
 	for _, r := range b {
 		o := at[pair(r)]
 		if o == nil {
-			c.Alone++
+			c.Unpaired++
 			continue
 		}
 		delete(at, pair(r))
@@ -65,7 +65,7 @@
 		c.BrokenA += o.RulesBroken
 		c.BrokenB += r.RulesBroken
 	}
-	c.Alone += len(at)
+	c.Unpaired += len(at)
 	if c.Pairs = len(ds); c.Pairs == 0 {
 		return nil, fmt.Errorf("no result of the one file has a partner in the other")
 	}
@@ -87,5 +87,5 @@
 
 func (c *Comparison) String() string {
 	return fmt.Sprintf("%s over %d pairs: %.4f against %.4f, difference %+.4f (95%%: %+.4f to %+.4f); rules broken %d against %d; "+
-		"%d without a partner", c.Metric, c.Pairs, c.MeanB, c.MeanA, c.Diff, c.Low, c.High, c.BrokenB, c.BrokenA, c.Alone)
+		"%d without a partner", c.Metric, c.Pairs, c.MeanB, c.MeanA, c.Diff, c.Low, c.High, c.BrokenB, c.BrokenA, c.Unpaired)
 }
--- a/internal/lab/experiments/lab.go
+++ b/internal/lab/experiments/lab.go
@@ -147,7 +147,7 @@
 			next, ok := at[part].(map[string]any)
 			if !ok {
 				if at[part] != nil {
-					return nil, &tomlfile.Error{File: s.file, Place: "grid." + k, What: "only keys of plain tables can be swept"}
+					return nil, &tomlfile.Error{File: s.file, Position: "grid." + k, What: "only keys of plain tables can be swept"}
 				}
 				next = map[string]any{}
 				at[part] = next
@@ -188,7 +188,7 @@
 				if errors.Is(err, io.EOF) {
 					return all, true, nil
 				}
-				return all, false, &tomlfile.Error{File: file, Place: fmt.Sprint(n), What: bad.Error()}
+				return all, false, &tomlfile.Error{File: file, Position: fmt.Sprint(n), What: bad.Error()}
 			}
 			all = append(all, r)
 		}
@@ -362,7 +362,7 @@
 // One plays one experiment.
 func One(s *spec.Spec, file string, marks bool) (r *emulator.Result, err error) {
 	if marks {
-		r, err = emulator.Marked(s)
+		r, err = emulator.RunScored(s)
 	} else {
 		r, err = emulator.Run(s)
 	}
@@ -395,7 +395,7 @@
 	for _, r := range all {
 		out.Write([]string{r.Name, r.Point, r.Policy, fmt.Sprint(r.Seed), r.Build, r.File, fmt.Sprint(r.Requests), f(r.Service),
 			f(r.Score), f(r.Place), f(r.High), f(r.Low), f(r.Worst), f(r.P50), f(r.P99), fmt.Sprint(r.Late), fmt.Sprint(r.Beyond),
-			fmt.Sprint(r.Declined), fmt.Sprint(r.Voided), fmt.Sprint(r.Handshakes), fmt.Sprint(r.Messages), fmt.Sprint(r.RulesBroken)})
+			fmt.Sprint(r.Rejected), fmt.Sprint(r.Failed), fmt.Sprint(r.Handshakes), fmt.Sprint(r.Messages), fmt.Sprint(r.RulesBroken)})
 	}
 	out.Flush()
 	return out.Error()
--- a/internal/lab/experiments/lab_test.go
+++ b/internal/lab/experiments/lab_test.go
@@ -138,10 +138,10 @@
 // The page holds all it shows.
 func TestReport(t *testing.T) {
 	r := &emulator.Result{Name: "x <b>", Seed: 3, Service: 0.9, Reasons: map[string]int{"view": 4}, RulesBroken: 1,
-		Broken: []emulator.Broken{{Rule: emulator.RuleDrain, Txn: 7, Node: 2, What: "sent late"}},
+		Broken: []emulator.Violation{{Rule: emulator.RuleDrain, Txn: 7, Node: 2, What: "sent late"}},
 		Plans:  []emulator.Group{{Name: "p", Service: 0.8}}, Zones: []emulator.Group{{Name: "a", Service: 1}}}
 	for i := 0; i < 5; i++ {
-		r.Course = append(r.Course, emulator.Second{At: i, Offered: 2, Served: 1.5})
+		r.Course = append(r.Course, emulator.Second{Start: i, Offered: 2, Served: 1.5})
 	}
 	var b bytes.Buffer
 	if err := Report(&b, "t", []*emulator.Result{r}); err != nil {
--- a/internal/lab/experiments/report.go
+++ b/internal/lab/experiments/report.go
@@ -35,22 +35,22 @@
 	return template.HTML(text), nil
 }
 
-// line is one course over time.
-type line struct {
-	name string
-	xy   plotter.XYs
+// series is one course over time.
+type series struct {
+	name   string
+	points plotter.XYs
 }
 
-func lines(title, y string, all ...line) (template.HTML, error) {
+func lineChart(title, y string, all ...series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
 	p.Add(plotter.NewGrid())
 	p.Legend.Top = true
 	for i, l := range all {
-		if len(l.xy) == 0 {
+		if len(l.points) == 0 {
 			continue
 		}
-		x, err := plotter.NewLine(l.xy)
+		x, err := plotter.NewLine(l.points)
 		if err != nil {
 			return "", err
 		}
@@ -88,14 +88,14 @@
 	c := &Charts{R: r}
 	var service, declined, late, beyond, voided plotter.XYs
 	for _, s := range r.Course {
-		x := float64(s.At)
+		x := float64(s.Start)
 		if s.Offered > 0 {
 			service = append(service, plotter.XY{X: x, Y: s.Served / s.Offered})
 		}
-		declined = append(declined, plotter.XY{X: x, Y: float64(s.Declined)})
+		declined = append(declined, plotter.XY{X: x, Y: float64(s.Rejected)})
 		late = append(late, plotter.XY{X: x, Y: float64(s.Late)})
 		beyond = append(beyond, plotter.XY{X: x, Y: float64(s.Beyond)})
-		voided = append(voided, plotter.XY{X: x, Y: float64(s.Voided)})
+		voided = append(voided, plotter.XY{X: x, Y: float64(s.Failed)})
 	}
 	var reasons []string
 	for k := range r.Reasons {
@@ -116,11 +116,11 @@
 	zones, zoneV := groups(r.Zones)
 	for _, make := range []func() (template.HTML, error){
 		func() (template.HTML, error) {
-			return lines("service, by the second of the first try", "share", line{"service", service})
+			return lineChart("service, by the second of the first try", "share", series{"service", service})
 		},
 		func() (template.HTML, error) {
-			return lines("what ended otherwise", "requests a second", line{"declined", declined}, line{"late", late},
-				line{"voided or expired", voided}, line{"sent on beyond quotas", beyond})
+			return lineChart("what ended otherwise", "requests a second", series{"declined", declined}, series{"late", late},
+				series{"voided or expired", voided}, series{"sent on beyond quotas", beyond})
 		},
 		func() (template.HTML, error) {
 			return bars("time to the answer, from the first try", "ms", []string{"median", "90 %", "99 %"}, []float64{r.P50, r.P90, r.P99})
--- a/internal/lab/experiments/rollouts.go
+++ b/internal/lab/experiments/rollouts.go
@@ -33,14 +33,14 @@
 	return rolloutPage.Execute(w, map[string]any{"Title": title, "All": list, "Sum": faultrig.SumRollouts(all)})
 }
 
-// marks are upright lines at the moments of a roll-out.
-func marks(r *faultrig.RolloutResult, top float64) (all []line) {
+// eventMarkers are upright lines at the moments of a roll-out.
+func eventMarkers(r *faultrig.RolloutResult, top float64) (all []series) {
 	for _, m := range []struct {
 		name string
 		at   float64
 	}{{"it begins to fail", r.SpoiltAt}, {"pulled back", r.PulledAt}} {
 		if m.at > 0 {
-			all = append(all, line{m.name, plotter.XYs{{X: m.at}, {X: m.at, Y: top}}})
+			all = append(all, series{m.name, plotter.XYs{{X: m.at}, {X: m.at, Y: top}}})
 		}
 	}
 	return all
@@ -54,8 +54,8 @@
 		new = append(new, plotter.XY{X: m.At, Y: float64(m.New)})
 		top = max(top, float64(m.Old), float64(m.New))
 	}
-	return lines("requests that reached each version", "in half a second",
-		append([]line{{"old", old}, {"new", new}}, marks(r, top)...)...)
+	return lineChart("requests that reached each version", "in half a second",
+		append([]series{{"old", old}, {"new", new}}, eventMarkers(r, top)...)...)
 }
 
 func failing(r *faultrig.RolloutResult) (template.HTML, error) {
@@ -65,7 +65,7 @@
 		old = append(old, plotter.XY{X: m.At, Y: share(m.OldBad, m.Old)})
 		new = append(new, plotter.XY{X: m.At, Y: share(m.NewBad, m.New)})
 	}
-	return lines("of these, what failed", "share", append([]line{{"old", old}, {"new", new}}, marks(r, 1)...)...)
+	return lineChart("of these, what failed", "share", append([]series{{"old", old}, {"new", new}}, eventMarkers(r, 1)...)...)
 }
 
 var rolloutPage = template.Must(template.New("rollouts").Parse(`<!DOCTYPE html>
--- a/internal/lab/faultdays/faultdays.go
+++ b/internal/lab/faultdays/faultdays.go
@@ -18,12 +18,12 @@
 
 // Site is what a day is drawn from: the part of a site file that is read.
 type Site struct {
-	Name      string    `toml:"name"`
-	Length    float64   `toml:"length_s"`
-	Zones     []Named   `toml:"zones"`
-	Services  []Named   `toml:"services"`
-	Troubles  []Trouble `toml:"troubles"`
-	Contracts []string  `toml:"contracts"`
+	Name      string   `toml:"name"`
+	Length    float64  `toml:"length_s"`
+	Zones     []Named  `toml:"zones"`
+	Services  []Named  `toml:"services"`
+	Faults    []Fault  `toml:"troubles"`
+	Contracts []string `toml:"contracts"`
 	Timing    struct {
 		CatchUp float64 `toml:"catch_up_s"`
 	} `toml:"timing"`
@@ -37,19 +37,19 @@
 	Name string `toml:"name"`
 }
 
-// Trouble is an entry of a day; nought is left out, but for At.
-type Trouble struct {
-	At      float64 `toml:"at"`
-	Kind    string  `toml:"kind"`
-	On      string  `toml:"on"`
-	Service string  `toml:"service"`
-	Zone    string  `toml:"zone"`
-	Share   float64 `toml:"share"`
-	Count   int     `toml:"count"`
-	X       float64 `toml:"x"`
-	For     float64 `toml:"for_s"`
-	Gap     float64 `toml:"gap_s"`
-	How     string  `toml:"how"`
+// Fault is an entry of a day; nought is left out, but for At.
+type Fault struct {
+	Start    float64 `toml:"at"`
+	Kind     string  `toml:"kind"`
+	Target   string  `toml:"on"`
+	Service  string  `toml:"service"`
+	Zone     string  `toml:"zone"`
+	Share    float64 `toml:"share"`
+	Count    int     `toml:"count"`
+	Strength float64 `toml:"x"`
+	For      float64 `toml:"for_s"`
+	Gap      float64 `toml:"gap_s"`
+	How      string  `toml:"how"`
 }
 
 // Day is a day of our own.
@@ -58,8 +58,8 @@
 	Seed    uint64
 	Length  float64
 	Closing Closing
-	Plan    []Trouble
-	Faults  []Trouble
+	Plan    []Fault
+	Faults  []Fault
 }
 
 // Closing is the fault that a day ends with.
@@ -86,7 +86,7 @@
 
 // kinds are those that are played at the site, in order.
 func (s *Site) kinds() (all []string) {
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		if _, ok := table[t.Kind]; ok && !slices.Contains(all, t.Kind) {
 			all = append(all, t.Kind)
 		}
@@ -100,7 +100,7 @@
 
 // Draw draws a day.
 func Draw(s *Site, seed uint64) *Day {
-	d := &drawer{Rand: rand.New(rand.NewPCG(seed, 0x4dc7)), s: s}
+	d := &drawer{Rand: rand.New(rand.NewPCG(seed, 0x4dc7)), site: s}
 	day := &Day{Name: fmt.Sprintf("drawn-%d", seed), Seed: 1 + d.Uint64N(1<<28), Length: length}
 	var control, other, plan []string
 	for _, k := range s.kinds() {
@@ -115,7 +115,7 @@
 	}
 	add := func(kind string, at float64) {
 		t := table[kind].draw(d)
-		t.Kind, t.At = kind, round(at)
+		t.Kind, t.Start = kind, toHundredths(at)
 		if table[kind].sort == ofPlan {
 			day.Plan = append(day.Plan, t)
 		} else {
@@ -152,8 +152,8 @@
 // close draws the closing fault, and puts all before it in order.
 func (d *Day) close(with *drawer) {
 	d.Closing = Closing{Kind: with.one("power_off_all", "wipe_after_ack", "wipe_after_ack", "kill_all"), How: with.one("", "aimed", "timed", "taken"),
-		Down: round(with.span(0.4, 3))}
-	byTime := func(a, b Trouble) int { return int(1000 * (a.At - b.At)) }
+		Down: toHundredths(with.span(0.4, 3))}
+	byTime := func(a, b Fault) int { return int(1000 * (a.Start - b.Start)) }
 	slices.SortStableFunc(d.Plan, byTime)
 	slices.SortStableFunc(d.Faults, byTime)
 }
@@ -169,19 +169,19 @@
 	return err
 }
 
-func writeAll(b *strings.Builder, name string, all []Trouble) {
+func writeAll(b *strings.Builder, name string, all []Fault) {
 	fmt.Fprintf(b, "%s = [\n", name)
 	for _, t := range all {
-		fmt.Fprintf(b, "  { at = %g, kind = %q", t.At, t.Kind)
+		fmt.Fprintf(b, "  { at = %g, kind = %q", t.Start, t.Kind)
 		for _, x := range []struct {
 			name string
 			v    float64
-		}{{"share", t.Share}, {"count", float64(t.Count)}, {"x", t.X}, {"for_s", t.For}, {"gap_s", t.Gap}} {
+		}{{"share", t.Share}, {"count", float64(t.Count)}, {"x", t.Strength}, {"for_s", t.For}, {"gap_s", t.Gap}} {
 			if x.v != 0 {
 				fmt.Fprintf(b, ", %s = %g", x.name, x.v)
 			}
 		}
-		for _, x := range [][2]string{{"on", t.On}, {"service", t.Service}, {"zone", t.Zone}, {"how", t.How}} {
+		for _, x := range [][2]string{{"on", t.Target}, {"service", t.Service}, {"zone", t.Zone}, {"how", t.How}} {
 			if x[1] != "" {
 				fmt.Fprintf(b, ", %s = %q", x[0], x[1])
 			}
--- a/internal/lab/faultdays/faultdays_test.go
+++ b/internal/lab/faultdays/faultdays_test.go
@@ -47,7 +47,7 @@
 			Day []struct {
 				Name         string
 				Seed         uint64
-				Plan, Faults []Trouble
+				Plan, Faults []Fault
 			}
 		}
 		must.NoError(t, toml.Unmarshal([]byte(write(seed)), &back))
@@ -67,10 +67,10 @@
 		d, control, last := Draw(s, seed), 0, map[string]bool{}
 		for _, x := range slices.Concat(d.Plan, d.Faults) {
 			must.SliceContains(t, s.kinds(), x.Kind)
-			must.True(t, x.At > 0 && x.At < d.Length)
+			must.True(t, x.Start > 0 && x.Start < d.Length)
 			if table[x.Kind].sort == ofControl {
 				control++
-				must.LessEq(t, max(1, 30*b2i(x.Kind == "config_race")), x.Count)
+				must.LessEq(t, max(1, 30*boolToInt(x.Kind == "config_race")), x.Count)
 			}
 			seen["twice "+x.Kind] = seen["twice "+x.Kind] || last[x.Kind]
 			last[x.Kind] = true
@@ -88,7 +88,7 @@
 	}
 }
 
-func b2i(x bool) int {
+func boolToInt(x bool) int {
 	if x {
 		return 1
 	}
--- a/internal/lab/faultdays/long.go
+++ b/internal/lab/faultdays/long.go
@@ -20,26 +20,28 @@
 // more are the rows of long days beside those of the table, or in the place of one there: troubles that strike machines without a disk as
 // well, and those that a site does not list and that may come all the same.
 var more = map[string]kind{
-	"node_kill": {ofControl, func(d *drawer) Trouble {
+	"node_kill": {ofControl, func(d *drawer) Fault {
 		if d.IntN(2) == 0 {
-			return Trouble{Share: d.span(0.08, 0.4), For: d.span(0.3, 5), How: d.how("power|power|")}
+			return Fault{Share: d.span(0.08, 0.4), For: d.span(0.3, 5), How: d.how("power|power|")}
 		}
 		return table["node_kill"].draw(d)
 	}},
-	"node_freeze": {ofControl, func(d *drawer) Trouble {
+	"node_freeze": {ofControl, func(d *drawer) Fault {
 		if d.IntN(3) == 0 {
-			return Trouble{Share: d.span(0.08, 0.3), For: d.span(0.5, 6)}
+			return Fault{Share: d.span(0.08, 0.3), For: d.span(0.5, 6)}
 		}
-		return Trouble{On: "core", Count: d.counted(), For: d.span(3, 8), How: d.how(which+"turn", meets, drain)}
+		return Fault{Target: "core", Count: d.counted(), For: d.span(3, 8), How: d.how(which+"turn", meets, drain)}
 	}},
-	"node_slow":    {ofControl, func(d *drawer) Trouble { return Trouble{Share: d.span(0.08, 0.3), X: d.span(2, 6), For: d.span(2, 8)} }},
-	"disk_slow":    {ofControl, func(d *drawer) Trouble { return Trouble{Count: d.counted(), X: d.span(5, 40), For: d.span(2, 10)} }},
-	"disk_stall":   {ofControl, func(d *drawer) Trouble { return Trouble{Count: d.counted(), For: d.span(1, 8)} }},
-	"replace_core": {ofControl, func(d *drawer) Trouble { return Trouble{X: d.span(0.5, 2), How: d.how("|oldest|planned")} }},
-	"ack_lost":     {ofControl, func(d *drawer) Trouble { return Trouble{X: d.span(0.2, 0.8), For: d.span(2, 10)} }},
-	"hup":          {ofPlan, func(d *drawer) Trouble { return Trouble{Share: d.span(0.2, 1), Gap: d.span(0.5, 3)} }},
-	"give_up": {ofService, func(d *drawer) Trouble {
-		return Trouble{Share: d.span(0.1, 0.8), X: d.span(60, 500), For: d.span(5, 25)}
+	"node_slow": {ofControl, func(d *drawer) Fault {
+		return Fault{Share: d.span(0.08, 0.3), Strength: d.span(2, 6), For: d.span(2, 8)}
+	}},
+	"disk_slow":    {ofControl, func(d *drawer) Fault { return Fault{Count: d.counted(), Strength: d.span(5, 40), For: d.span(2, 10)} }},
+	"disk_stall":   {ofControl, func(d *drawer) Fault { return Fault{Count: d.counted(), For: d.span(1, 8)} }},
+	"replace_core": {ofControl, func(d *drawer) Fault { return Fault{Strength: d.span(0.5, 2), How: d.how("|oldest|planned")} }},
+	"ack_lost":     {ofControl, func(d *drawer) Fault { return Fault{Strength: d.span(0.2, 0.8), For: d.span(2, 10)} }},
+	"hup":          {ofPlan, func(d *drawer) Fault { return Fault{Share: d.span(0.2, 1), Gap: d.span(0.5, 3)} }},
+	"give_up": {ofService, func(d *drawer) Fault {
+		return Fault{Share: d.span(0.1, 0.8), Strength: d.span(60, 500), For: d.span(5, 25)}
 	}},
 }
 
@@ -54,10 +56,10 @@
 
 // DrawLong draws a day of a length in seconds, of the kinds that the site lists and of others, by name.
 func DrawLong(s *Site, seed uint64, length float64, others []string) (*Day, error) {
-	d := &drawer{Rand: rand.New(rand.NewPCG(seed, 0x1046)), s: s}
+	d := &drawer{Rand: rand.New(rand.NewPCG(seed, 0x1046)), site: s}
 	day := &Day{Name: fmt.Sprintf("long-%d", seed), Seed: 1 + d.Uint64N(1<<28), Length: length}
 	known := map[string]bool{}
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		known[t.Kind] = true
 	}
 	for _, name := range others {
@@ -76,10 +78,10 @@
 			faults = append(faults, name)
 		}
 	}
-	add := func(to *[]Trouble, name string, at float64) {
+	add := func(to *[]Fault, name string, at float64) {
 		row, _ := rowOf(name)
 		t := row.draw(d)
-		t.Kind, t.At = name, round(at)
+		t.Kind, t.Start = name, toHundredths(at)
 		*to = append(*to, t)
 	}
 	last := length - endCalm
--- a/internal/lab/faultdays/long_test.go
+++ b/internal/lab/faultdays/long_test.go
@@ -23,13 +23,13 @@
 			if x.Kind == "config_change" {
 				changes++
 			}
-			must.True(t, x.At > 0 && x.At < d.Length)
+			must.True(t, x.Start > 0 && x.Start < d.Length)
 		}
 		for _, x := range d.Faults {
-			must.True(t, x.At > 0 && x.At < d.Length && x.At >= before)
-			seen["at once"] = seen["at once"] || x.At-before < stormWithin
-			seen[x.Kind+" "+x.On] = true
-			if before = x.At; x.At > d.Length/2 {
+			must.True(t, x.Start > 0 && x.Start < d.Length && x.Start >= before)
+			seen["at once"] = seen["at once"] || x.Start-before < stormWithin
+			seen[x.Kind+" "+x.Target] = true
+			if before = x.Start; x.Start > d.Length/2 {
 				late++
 			}
 		}
--- a/internal/lab/faultrig/faults.go
+++ b/internal/lab/faultrig/faults.go
@@ -26,9 +26,9 @@
 	if f.Pick != 0 {
 		return f.Source(nil)
 	}
-	for i := range r.s.Faults {
-		if f == &r.s.Faults[i] {
-			return rand.New(rand.NewPCG(r.s.Seed, 0xfa017+uint64(i)))
+	for i := range r.spec.Faults {
+		if f == &r.spec.Faults[i] {
+			return rand.New(rand.NewPCG(r.spec.Seed, 0xfa017+uint64(i)))
 		}
 	}
 	return nil
@@ -58,10 +58,10 @@
 	}
 	over, cancel := context.WithTimeout(ctx, f.For.D())
 	defer cancel()
-	r.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: f.Kind})
+	r.log.Add(history.Event{Who: "rig", Kind: history.FaultBegan, What: f.Kind})
 	under := &faultRun{run: r, ctx: over, fault: f}
 	if f.Target() == spec.SomeNodes {
-		under.hit = r.hits(f, len(r.f.Nodes))
+		under.hit = r.hits(f, len(r.fleet.Nodes))
 	}
 	end, err := effects.Begin(under, f)
 	r.fail(err)
@@ -69,15 +69,15 @@
 	if end != nil {
 		end()
 	}
-	r.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: f.Kind})
+	r.log.Add(history.Event{Who: "rig", Kind: history.FaultEnded, What: f.Kind})
 }
 
 // startLate starts front doors that were not started with the others.
 func (r *run) startLate(ctx context.Context, f *spec.Fault) {
-	r.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: f.Kind})
+	r.log.Add(history.Event{Who: "rig", Kind: history.FaultBegan, What: f.Kind})
 	sleep(ctx, f.At.D()+f.For.D())
-	r.nodes(r.hits(f, len(r.f.Nodes)), (*standin.Node).Again)
-	r.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: f.Kind})
+	r.nodes(r.hits(f, len(r.fleet.Nodes)), (*standin.Node).Again)
+	r.log.Add(history.Event{Who: "rig", Kind: history.FaultEnded, What: f.Kind})
 }
 
 // fail keeps the first thing that went wrong with the rig itself.
@@ -89,11 +89,11 @@
 	}
 }
 
-// told draws how late discovery tells of something.
-func (r *run) told() time.Duration {
+// discoveryDelay draws how late discovery tells of something.
+func (r *run) discoveryDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.s.Discovery.Late
+	l := r.spec.Discovery.Late
 	return l[0].D() + time.Duration(r.rng.Float64()*float64(l[1]-l[0]))
 }
 
@@ -101,7 +101,7 @@
 func (r *run) nodes(which []int, do func(*standin.Node) error) {
 	var wg sync.WaitGroup
 	for _, number := range which {
-		wg.Go(func() { r.fail(do(r.f.Nodes[number])) })
+		wg.Go(func() { r.fail(do(r.fleet.Nodes[number])) })
 	}
 	wg.Wait()
 }
@@ -126,7 +126,7 @@
 	spec.StallAtPoint:     (*faultRun).stallAtPoint,
 	spec.ExitAtPoint:      (*faultRun).exitAtPoint,
 	spec.LoseZone:         (*faultRun).loseZone,
-	spec.CutZone:          (*faultRun).cutZone,
+	spec.PartitionZone:    (*faultRun).partitionZone,
 	spec.SlowBackends:     someBackends(func(m *standin.Mode, f *spec.Fault) { m.Slow = max(1, m.Slow) * f.By }),
 	spec.FailBackends:     someBackends(func(m *standin.Mode, f *spec.Fault) { m.Fail = either(m.Fail, min(f.By, 1)) }),
 	spec.SilenceBackends:  someBackends(func(m *standin.Mode, _ *spec.Fault) { m.Silent = 1 }),
@@ -136,22 +136,22 @@
 	spec.DrainBackends:    (*faultRun).drainBackends,
 	spec.DelayLists:       (*faultRun).delayLists,
 	spec.RaiseLoad:        (*faultRun).raiseLoad,
-	spec.CutLinks:         troubleLinks(func(f *spec.Fault) standin.Trouble { return standin.Trouble{Cut: true, Delay: f.Delay.D()} }),
-	spec.DelayLinks:       troubleLinks(func(f *spec.Fault) standin.Trouble { return standin.Trouble{Delay: f.Delay.D()} }),
-	spec.LimitLinks:       troubleLinks(func(f *spec.Fault) standin.Trouble { return standin.Trouble{Delay: f.Delay.D(), Rate: f.By} }),
-	spec.CutPeers:         (*faultRun).troublePeers,
-	spec.LosePeers:        (*faultRun).troublePeers,
-	spec.DelayPeers:       (*faultRun).troublePeers,
-	spec.RepeatPeers:      (*faultRun).troublePeers,
-	spec.ReorderPeers:     (*faultRun).troublePeers,
-	spec.LimitPeers:       (*faultRun).troublePeers,
-	spec.SpoilPeers:       (*faultRun).troublePeers,
-	spec.CounterDown:      (*faultRun).troubleCounter,
-	spec.CounterBusy:      (*faultRun).troubleCounter,
-	spec.CounterSpoilt:    (*faultRun).troubleCounter,
-	spec.CounterMute:      (*faultRun).troubleCounter,
-	spec.CounterLate:      (*faultRun).troubleCounter,
-	spec.CounterReset:     func(r *faultRun, _ *spec.Fault) func() { r.f.Counter.Replace(); return nil },
+	spec.PartitionLinks:   impairLinks(func(f *spec.Fault) standin.LinkFault { return standin.LinkFault{Blocked: true, Delay: f.Delay.D()} }),
+	spec.DelayLinks:       impairLinks(func(f *spec.Fault) standin.LinkFault { return standin.LinkFault{Delay: f.Delay.D()} }),
+	spec.LimitLinks:       impairLinks(func(f *spec.Fault) standin.LinkFault { return standin.LinkFault{Delay: f.Delay.D(), Rate: f.By} }),
+	spec.PartitionPeers:   (*faultRun).impairPeers,
+	spec.LosePeers:        (*faultRun).impairPeers,
+	spec.DelayPeers:       (*faultRun).impairPeers,
+	spec.RepeatPeers:      (*faultRun).impairPeers,
+	spec.ReorderPeers:     (*faultRun).impairPeers,
+	spec.LimitPeers:       (*faultRun).impairPeers,
+	spec.SpoilPeers:       (*faultRun).impairPeers,
+	spec.CounterDown:      (*faultRun).impairCounter,
+	spec.CounterBusy:      (*faultRun).impairCounter,
+	spec.CounterSpoilt:    (*faultRun).impairCounter,
+	spec.CounterMute:      (*faultRun).impairCounter,
+	spec.CounterLate:      (*faultRun).impairCounter,
+	spec.CounterReset:     func(r *faultRun, _ *spec.Fault) func() { r.fleet.Counter.Replace(); return nil },
 })
 
 // either is the chance that one of two things happens that don't depend on each other.
@@ -175,7 +175,7 @@
 // Stall lets them stand still, and go on.
 func (f *faultRun) Stall(on bool) {
 	for _, number := range f.hit {
-		f.f.Nodes[number].Hold(on, f.fault.Kind)
+		f.fleet.Nodes[number].Suspend(on, f.fault.Kind)
 	}
 }
 
@@ -197,7 +197,7 @@
 func (f *faultRun) slowNodes(fault *spec.Fault) func() {
 	var wg sync.WaitGroup
 	for _, number := range f.hit {
-		wg.Go(func() { f.f.Nodes[number].Slow(f.ctx, fault.By) })
+		wg.Go(func() { f.fleet.Nodes[number].Slow(f.ctx, fault.By) })
 	}
 	return wg.Wait
 }
@@ -225,7 +225,7 @@
 
 // someServing draws the backends that the fault hits.
 func (f *faultRun) someServing() (all []*standin.Backend) {
-	serving := f.f.Serving()
+	serving := f.fleet.Serving()
 	for _, i := range f.hits(f.fault, len(serving)) {
 		all = append(all, serving[i])
 	}
@@ -247,22 +247,22 @@
 
 // allBackends has all of them do something wrong with a share of the submissions.
 func allBackends(change func(*standin.Mode, *spec.Fault)) spec.Action[*faultRun] {
-	return func(r *faultRun, f *spec.Fault) func() { return bring(r.f.Serving(), f, change) }
+	return func(r *faultRun, f *spec.Fault) func() { return bring(r.fleet.Serving(), f, change) }
 }
 
 // crashBackends ends backends; each is replaced by a cold one when the fault is over.
 func (f *faultRun) crashBackends(fault *spec.Fault) func() {
 	for _, b := range f.someServing() {
-		f.f.Replace(b, fault.For.D(), f.told)
+		f.fleet.Replace(b, fault.For.D(), f.discoveryDelay)
 	}
 	return nil
 }
 
 // loseZone ends the backends of a zone and, with a share, its front doors.
 func (f *faultRun) loseZone(fault *spec.Fault) func() {
-	for _, b := range f.f.Serving() {
+	for _, b := range f.fleet.Serving() {
 		if b.Zone == fault.Zone {
-			f.f.Replace(b, fault.For.D(), f.told)
+			f.fleet.Replace(b, fault.For.D(), f.discoveryDelay)
 		}
 	}
 	if fault.Share <= 0 {
@@ -273,16 +273,16 @@
 	return f.Start
 }
 
-// cutZone lets no word in or out of a zone.
-func (f *faultRun) cutZone(fault *spec.Fault) func() {
+// partitionZone lets no word in or out of a zone.
+func (f *faultRun) partitionZone(fault *spec.Fault) func() {
 	mine := f.inZone(fault.Zone)
-	ends := []func(){f.f.Relay.Bring(netfault.Effect{Cut: true, On: func(a, b int) bool {
+	ends := []func(){f.fleet.Relay.Bring(netfault.Effect{Blocked: true, Matches: func(a, b int) bool {
 		return slices.Contains(mine, a) != slices.Contains(mine, b)
 	}})}
-	for _, d := range f.f.Nodes {
+	for _, d := range f.fleet.Nodes {
 		for zone, w := range d.Backends {
 			if (zone == fault.Zone) != (d.Zone == fault.Zone) {
-				ends = append(ends, w.Bring(standin.Trouble{Cut: true}))
+				ends = append(ends, w.Bring(standin.LinkFault{Blocked: true}))
 			}
 		}
 	}
@@ -292,7 +292,7 @@
 // delayLists has discovery tell what it tells late.
 func (f *faultRun) delayLists(*spec.Fault) func() {
 	late := func(on bool) {
-		for _, a := range f.f.Agents {
+		for _, a := range f.fleet.Agents {
 			a.Late(on)
 		}
 	}
@@ -304,7 +304,7 @@
 func (f *faultRun) raiseLoad(fault *spec.Fault) func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	end := f.load.Hold(fault.By)
+	end := f.load.Add(fault.By)
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -312,14 +312,14 @@
 	}
 }
 
-// troubleLinks does something to the ways between front doors and what they call.
-func troubleLinks(trouble func(*spec.Fault) standin.Trouble) spec.Action[*faultRun] {
+// impairLinks does something to the ways between front doors and what they call.
+func impairLinks(trouble func(*spec.Fault) standin.LinkFault) spec.Action[*faultRun] {
 	return func(r *faultRun, f *spec.Fault) func() {
 		t := trouble(f)
 		t.Only = map[string]standin.Direction{"in": standin.In, "out": standin.Out}[f.Way]
 		var ends []func()
 		for _, number := range r.hit {
-			for _, w := range ways(r.f.Nodes[number], f.Link) {
+			for _, w := range ways(r.fleet.Nodes[number], f.Link) {
 				ends = append(ends, w.Bring(t))
 			}
 		}
@@ -327,23 +327,23 @@
 	}
 }
 
-// troublePeers does something to the datagrams between front doors.
-func (f *faultRun) troublePeers(fault *spec.Fault) func() {
-	e, _ := netfault.Of(fault, len(f.f.Nodes), func(i int) string { return f.f.Nodes[i].Zone }, f.source(fault))
-	return f.f.Relay.Bring(e)
+// impairPeers does something to the datagrams between front doors.
+func (f *faultRun) impairPeers(fault *spec.Fault) func() {
+	e, _ := netfault.EffectOf(fault, len(f.fleet.Nodes), func(i int) string { return f.fleet.Nodes[i].Zone }, f.source(fault))
+	return f.fleet.Relay.Bring(e)
 }
 
-// troubleCounter has the shared counter do something wrong.
-func (f *faultRun) troubleCounter(fault *spec.Fault) func() {
-	return f.f.Counter.Bring(sharedcounter.Trouble(fault))
+// impairCounter has the shared counter do something wrong.
+func (f *faultRun) impairCounter(fault *spec.Fault) func() {
+	return f.fleet.Counter.Bring(sharedcounter.FaultOf(fault))
 }
 
-func ways(d *standin.Node, link string) (all []*standin.Way) {
+func ways(d *standin.Node, link string) (all []*standin.Link) {
 	switch link {
 	case "discovery":
-		return []*standin.Way{d.Discovery}
+		return []*standin.Link{d.Discovery}
 	case "counter":
-		return []*standin.Way{d.Counter}
+		return []*standin.Link{d.Counter}
 	}
 	for _, w := range d.Backends {
 		all = append(all, w)
@@ -352,9 +352,9 @@
 }
 
 func (r *run) inZone(zone string) (mine []int) {
-	for _, d := range r.f.Nodes {
+	for _, d := range r.fleet.Nodes {
 		if d.Zone == zone {
-			mine = append(mine, d.Nr)
+			mine = append(mine, d.Index)
 		}
 	}
 	return mine
@@ -363,7 +363,7 @@
 // termWithin is when a front door that was told to end is killed.
 func (r *run) termWithin() time.Duration {
 	longest := 3 * time.Second
-	for _, p := range r.s.Products {
+	for _, p := range r.spec.Products {
 		longest = max(longest, p.Expiry.D())
 	}
 	return longest + 700*time.Millisecond
@@ -374,9 +374,9 @@
 	waves, some := max(1, fault.Waves), f.someServing()
 	for i, b := range some {
 		wave := math.Floor(float64(i*waves) / float64(len(some)))
-		f.f.Later(time.Duration(wave*float64(fault.For)/float64(waves)), func() {
-			f.f.Later(f.told(), func() { f.f.TellAll(b, "Terminating") })
-			f.f.Replaced(b, f.s.Discovery.Late[1].D()+f.s.Rules.DrainGrace.D()+time.Second, f.told)
+		f.fleet.Later(time.Duration(wave*float64(fault.For)/float64(waves)), func() {
+			f.fleet.Later(f.discoveryDelay(), func() { f.fleet.NotifyAll(b, "Terminating") })
+			f.fleet.Replaced(b, f.spec.Discovery.Late[1].D()+f.spec.Rules.DrainGrace.D()+time.Second, f.discoveryDelay)
 		})
 	}
 	return nil
@@ -387,9 +387,9 @@
 	waves := max(1, fault.Waves)
 	step := fault.For.D() / time.Duration(waves)
 	for i, number := range f.hit {
-		d := f.f.Nodes[number]
+		d := f.fleet.Nodes[number]
 		wait := time.Duration(i*waves/len(f.hit)) * step
-		f.wg.Go(func() {
+		f.tasks.Go(func() {
 			sleep(f.ctx, wait)
 			d.Term(f.termWithin())
 			f.fail(d.Again())
@@ -398,22 +398,22 @@
 	return nil
 }
 
-// pointTimes is how often a point is passed, at the most, before an order strikes there, and pointHold how long it lasts
+// maxPointPasses is how often a point is passed, at the most, before an order strikes there, and pointStallDuration how long it lasts
 // where the fault does not say.
 const (
-	pointTimes = 40
-	pointHold  = 400 * time.Millisecond
+	maxPointPasses     = 40
+	pointStallDuration = 400 * time.Millisecond
 )
 
 // atPoint gives, for each front door that is hit, at which time of passing a point an order strikes.
 func (f *faultRun) atPoint(order func(d *standin.Node, nth int)) {
 	rng := f.source(f.fault)
-	for _, number := range spec.Hits(len(f.f.Nodes), f.fault.Share, rng) {
-		nth := 1 + rng.IntN(pointTimes)
+	for _, number := range spec.Hits(len(f.fleet.Nodes), f.fault.Share, rng) {
+		nth := 1 + rng.IntN(maxPointPasses)
 		if f.fault.Waves > 0 {
 			nth = f.fault.Waves
 		}
-		order(f.f.Nodes[number], nth)
+		order(f.fleet.Nodes[number], nth)
 	}
 }
 
@@ -421,7 +421,7 @@
 func (f *faultRun) stallAtPoint(fault *spec.Fault) func() {
 	hold := fault.Delay.D()
 	if hold <= 0 {
-		hold = pointHold
+		hold = pointStallDuration
 	}
 	f.atPoint(func(d *standin.Node, nth int) { d.Order("stop", failpoint.Name(fault.Point), nth, hold) })
 	return nil
--- a/internal/lab/faultrig/gateway.go
+++ b/internal/lab/faultrig/gateway.go
@@ -24,23 +24,23 @@
 
 // GatewayResult is what came of it.
 type GatewayResult struct {
-	Seed      uint64           `json:"seed"`
-	Nodes     int              `json:"nodes"`
-	Seconds   float64          `json:"seconds"`
-	Faults    []string         `json:"faults"`
-	Broken    []history.Broken `json:"broken,omitempty"`
-	Doubted   []history.Broken `json:"doubted,omitempty"` // what rests on times, in a run that was held up
-	Slow      time.Duration    `json:"slow"`              // the longest that the rig itself was held up
-	Recovered []time.Duration  `json:"recovered"`         // until all nodes served: after the heal, the close
-	Asked     int64            `json:"asked"`
-	Settled   int64            `json:"settled"`
-	InTime    int64            `json:"in_time"`
-	Refused   int64            `json:"refused"`
-	Voided    int64            `json:"voided"`
-	Failed    int64            `json:"failed"`
-	Taken     int              `json:"taken"`   // configurations acknowledged
-	Unclear   int              `json:"unclear"` // without a clear answer
-	History   []history.Event  `json:"-"`
+	Seed      uint64              `json:"seed"`
+	Nodes     int                 `json:"nodes"`
+	Seconds   float64             `json:"seconds"`
+	Faults    []string            `json:"faults"`
+	Broken    []history.Violation `json:"broken,omitempty"`
+	Doubted   []history.Violation `json:"doubted,omitempty"` // what rests on times, in a run that was held up
+	Slow      time.Duration       `json:"slow"`              // the longest that the rig itself was held up
+	Recovered []time.Duration     `json:"recovered"`         // until all nodes served: after the heal, the close
+	Asked     int64               `json:"asked"`
+	Settled   int64               `json:"settled"`
+	InTime    int64               `json:"in_time"`
+	Refused   int64               `json:"refused"`
+	Voided    int64               `json:"voided"`
+	Failed    int64               `json:"failed"`
+	Taken     int                 `json:"taken"`   // configurations acknowledged
+	Unclear   int                 `json:"unclear"` // without a clear answer
+	History   []history.Event     `json:"-"`
 }
 
 // Disks of a deployment.
@@ -48,24 +48,24 @@
 
 // gatewayRun is a run under way.
 type gatewayRun struct {
-	s       *GatewaySchedule
-	t       *gatewaystandin.Deployment
-	log     *history.Log
-	load    *gatewaystandin.Clients
-	name    string // of the play, for what is kept
-	wg      sync.WaitGroup
-	mu      sync.Mutex
-	burst   spec.Held
-	fault   error
-	acked   chan struct{} // closed and made anew at each acknowledgement
-	steps   atomic.Bool   // the operator goes on
-	turn    sync.Mutex    // held while it does
-	calmed  time.Time
-	settled []time.Duration
-	says    []string                               // what the nodes say of themselves, where all is not well at the end
-	act     func(context.Context) []history.Broken // what is played while clients ask
-	odd     bool                                   // it is kept though no rule was broken
-	also    func(h []history.Event, slack time.Duration) []history.Broken
+	schedule   *GatewaySchedule
+	deployment *gatewaystandin.Deployment
+	log        *history.Log
+	load       *gatewaystandin.Clients
+	name       string // of the play, for what is kept
+	tasks      sync.WaitGroup
+	mu         sync.Mutex
+	burst      spec.Factors
+	fault      error
+	acked      chan struct{} // closed and made anew at each acknowledgement
+	steps      atomic.Bool   // the operator goes on
+	turn       sync.Mutex    // held while it does
+	calmed     time.Time
+	recoveries []time.Duration
+	says       []string                                  // what the nodes say of themselves, where all is not well at the end
+	act        func(context.Context) []history.Violation // what is played while clients ask
+	odd        bool                                      // it is kept though no rule was broken
+	also       func(h []history.Event, slack time.Duration) []history.Violation
 }
 
 // recoverMost is when all nodes must serve again after the last heal: the rules' bound, and a little for the
@@ -78,7 +78,7 @@
 }
 
 func playGateway(ctx context.Context, s *GatewaySchedule, o GatewayOptions, prepare func(*gatewayRun)) (*GatewayResult, error) {
-	if s.cuts() {
+	if s.needsDebugBuild() {
 		about, err := exec.CommandContext(ctx, o.Program, "version").Output()
 		if err != nil || !strings.Contains(string(about), "debug") {
 			return nil, fmt.Errorf("cuts between nodes want a program built with -tags debug: %s %w", about, err)
@@ -88,17 +88,17 @@
 	if err != nil {
 		return nil, err
 	}
-	t := h.t
-	defer h.leave()
+	t := h.deployment
+	defer h.cancelRequests()
 	prepare(h)
 	stop := make(chan struct{})
 	slow := watchSelf(stop)
 	began := time.Now()
 	if len(s.Late) > 0 {
 		for i, d := range t.Nodes {
-			h.wg.Add(1)
+			h.tasks.Add(1)
 			go func() {
-				defer h.wg.Done()
+				defer h.tasks.Done()
 				sleep(ctx, s.Late[i])
 				h.each([]*gatewaystandin.Node{d}, again)
 			}()
@@ -118,14 +118,14 @@
 	}
 	ends := h.run(ctx)
 	close(stop)
-	res.Slow, res.Seconds, res.Recovered = <-slow, time.Since(began).Seconds(), h.settled
+	res.Slow, res.Seconds, res.Recovered = <-slow, time.Since(began).Seconds(), h.recoveries
 	if ctx.Err() != nil {
 		return res, ctx.Err()
 	}
 	if h.fault != nil {
 		return res, h.fault
 	}
-	h.judge(res, ends)
+	h.check(res, ends)
 	if (len(res.Broken) > 0 || h.odd) && o.Keep != "" {
 		if err := h.keep(o.Keep, res); err != nil {
 			return res, err
@@ -136,19 +136,19 @@
 
 // enter lays a deployment; leave ends all that is of it.
 func enter(s *GatewaySchedule, o GatewayOptions) (*gatewayRun, error) {
-	log := history.InMemory(eventsMost)
+	log := history.InMemory(maxEvents)
 	each := 1
 	if s.Nodes > 6 {
 		each = 2
 	}
-	t, err := gatewaystandin.New(gatewaystandin.Terms{Program: o.Program, Nodes: s.Nodes, Disks: Disks,
-		Zones: []string{"zone-a", "zone-b", "zone-c"},
-		Each:  each, Rate: o.Rate, Seed: s.Seed, Beat: time.Second, Lost: 1, History: log, Play: s.Play})
+	t, err := gatewaystandin.New(gatewaystandin.Config{Program: o.Program, Nodes: s.Nodes, Disks: Disks,
+		Zones:           []string{"zone-a", "zone-b", "zone-c"},
+		BackendsPerZone: each, Rate: o.Rate, Seed: s.Seed, HeartbeatInterval: time.Second, MaxLostDisks: 1, History: log, Play: s.Play})
 	if err != nil {
 		return nil, err
 	}
-	h := &gatewayRun{s: s, t: t, log: log, load: gatewaystandin.NewClients(t), acked: make(chan struct{})}
-	h.load.Leave = s.Leave
+	h := &gatewayRun{schedule: s, deployment: t, log: log, load: gatewaystandin.NewClients(t), acked: make(chan struct{})}
+	h.load.CancelShare = s.CancelShare
 	h.load.Rate = func() float64 {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -157,13 +157,13 @@
 	return h, nil
 }
 
-func (g *gatewayRun) leave() {
+func (g *gatewayRun) cancelRequests() {
 	g.load.Close()
-	g.t.Close()
+	g.deployment.Close()
 }
 
 // run plays all; what is broken by its end is given.
-func (g *gatewayRun) run(ctx context.Context) (bad []history.Broken) {
+func (g *gatewayRun) run(ctx context.Context) (bad []history.Violation) {
 	all, cancel := context.WithCancel(ctx)
 	var side sync.WaitGroup
 	defer side.Wait()
@@ -176,13 +176,13 @@
 	open := make(chan struct{})
 	beside(g.load.Watch)
 	beside(func(ctx context.Context) { g.operate(ctx, open) })
-	if !g.s.Early {
+	if !g.schedule.Early {
 		select {
 		case <-open:
 		case <-all.Done():
 			return nil
 		case <-time.After(recoverMost):
-			return []history.Broken{{Rule: "Acks", T: history.Now(),
+			return []history.Violation{{Rule: "Acks", Time: history.Now(),
 				What: "no first configuration is taken, with nothing in trouble"}}
 		}
 	}
@@ -200,31 +200,31 @@
 	defer g.turn.Unlock()
 	last, over := context.WithTimeout(all, recoverMost)
 	defer over()
-	final := g.t.Operator.Read(last)
+	final := g.deployment.Operator.Read(last)
 	if final == nil {
-		final = g.t.Operator.Read(last)
+		final = g.deployment.Operator.Read(last)
 	}
-	g.log.Add(history.Event{Who: "rig", Kind: history.Closes})
+	g.log.Add(history.Event{Who: "rig", Kind: history.Complete})
 	if all.Err() != nil {
 		return nil
 	}
 	if final == nil || len(bad) > 0 {
-		for _, d := range g.t.Nodes {
-			g.says = append(g.says, d.Name+": "+g.t.Tells(d))
+		for _, d := range g.deployment.Nodes {
+			g.says = append(g.says, d.Name+": "+g.deployment.NodeStatus(d))
 		}
 	}
-	return append(bad, gatewaystandin.Kept(final, g.t.Operator.Versions(), history.Now())...)
+	return append(bad, gatewaystandin.Kept(final, g.deployment.Operator.Versions(), history.Now())...)
 }
 
 // faults plays a schedule's.
-func (g *gatewayRun) faults(all context.Context) (bad []history.Broken) {
+func (g *gatewayRun) faults(all context.Context) (bad []history.Violation) {
 	g.apply(all)
-	sleep(all, g.s.For)
-	g.wg.Wait() // every fault has healed
+	sleep(all, g.schedule.For)
+	g.tasks.Wait() // every fault has healed
 	g.calmed = time.Now()
 	bad = append(bad, g.recovers(all, "the faults")...)
-	if g.s.Close && len(bad) == 0 {
-		if g.s.Wipe {
+	if g.schedule.Close && len(bad) == 0 {
+		if g.schedule.Wipe {
 			sleep(all, wipeCalm-time.Since(g.calmed))
 		}
 		g.closing(all)
@@ -236,28 +236,28 @@
 
 // apply lets all faults begin, each at its time from now.
 func (g *gatewayRun) apply(ctx context.Context) {
-	for i := range g.s.Faults {
-		g.wg.Add(1)
-		go func() { defer g.wg.Done(); g.play(ctx, &g.s.Faults[i]) }()
+	for i := range g.schedule.Faults {
+		g.tasks.Add(1)
+		go func() { defer g.tasks.Done(); g.play(ctx, &g.schedule.Faults[i]) }()
 	}
 }
 
 // operate sends the first configuration, then changes it, until all is over.
 func (g *gatewayRun) operate(ctx context.Context, open chan struct{}) {
-	rng := rand.New(rand.NewPCG(g.s.Seed, 0x09))
-	if !g.t.Operator.Open(ctx) {
+	rng := rand.New(rand.NewPCG(g.schedule.Seed, 0x09))
+	if !g.deployment.Operator.Open(ctx) {
 		return
 	}
 	close(open)
 	for ctx.Err() == nil {
 		if g.steps.Load() {
-			before, _ := g.t.Operator.Known()
+			before, _ := g.deployment.Operator.Known()
 			g.turn.Lock()
 			if g.steps.Load() {
-				g.t.Operator.Step(ctx)
+				g.deployment.Operator.Step(ctx)
 			}
 			g.turn.Unlock()
-			now, config := g.t.Operator.Known()
+			now, config := g.deployment.Operator.Known()
 			if config != nil {
 				g.load.Learn(config)
 			}
--- a/internal/lab/faultrig/gateway_test.go
+++ b/internal/lab/faultrig/gateway_test.go
@@ -60,7 +60,7 @@
 	fault := func(kind string, at, for_, share, by float64) spec.Fault {
 		return spec.Fault{Kind: kind, At: sec(at), For: sec(for_), Share: share, By: by, Pick: 5}
 	}
-	s := &GatewaySchedule{Seed: 7, Nodes: 6, For: 12 * time.Second, Leave: leaveShare, Faults: []spec.Fault{
+	s := &GatewaySchedule{Seed: 7, Nodes: 6, For: 12 * time.Second, CancelShare: cancelShare, Faults: []spec.Fault{
 		fault("lost-answers", 0, 12, 0.3, lostBy), fault("node-power", 0.5, 1.5, 0.5, 0), fault("core-stall", 1, 1.5, 0.3, 0),
 		fault("core-power", 3, 1, 0.3, 0), fault("core-stall", 6, 4.5, 0.3, 0)}}
 	r, err := PlayGateway(context.Background(), s, GatewayOptions{Program: build(t), Rate: 60})
@@ -74,7 +74,7 @@
 	}
 	left := 0
 	for _, e := range r.History {
-		if e.Kind == history.Left {
+		if e.Kind == history.ClientLeft {
 			left++
 		}
 	}
@@ -126,9 +126,9 @@
 	var h []history.Event
 	for i := range 40 { // each 20 ms; from the 13th on every third is served
 		at := time.Duration(i) * 20 * time.Millisecond
-		h = append(h, history.Event{T: at, Kind: history.Asked, Txn: fmt.Sprint(i)})
+		h = append(h, history.Event{Time: at, Kind: history.Requested, Txn: fmt.Sprint(i)})
 		if i >= 12 && i%3 == 0 {
-			h = append(h, history.Event{T: at + time.Second, Kind: history.Answered, Txn: fmt.Sprint(i), N: 200})
+			h = append(h, history.Event{Time: at + time.Second, Kind: history.Answered, Txn: fmt.Sprint(i), Number: 200})
 		}
 	}
 	at, ok := quarter(h, 40*time.Millisecond)
--- a/internal/lab/faultrig/gatewaydraw.go
+++ b/internal/lab/faultrig/gatewaydraw.go
@@ -13,16 +13,16 @@
 
 // GatewaySchedule is random overlapping faults on nodes. The first three have a disk.
 type GatewaySchedule struct {
-	Play   *gatewaystandin.Play // nil: the small deployment
-	Seed   uint64
-	Nodes  int
-	For    time.Duration
-	Early  bool    // faults begin before the first configuration
-	Close  bool    // a closing fault right after an acknowledgement: all are killed
-	Wipe   bool    // and one disk is lost by it
-	Leave  float64 // share of requests whose client gives up early
-	Faults []spec.Fault
-	Late   []time.Duration // when each node is started for the first time; none: all at once, and waited for
+	Play        *gatewaystandin.Play // nil: the small deployment
+	Seed        uint64
+	Nodes       int
+	For         time.Duration
+	Early       bool    // faults begin before the first configuration
+	Close       bool    // a closing fault right after an acknowledgement: all are killed
+	Wipe        bool    // and one disk is lost by it
+	CancelShare float64 // share of requests whose client gives up early
+	Faults      []spec.Fault
+	Late        []time.Duration // when each node is started for the first time; none: all at once, and waited for
 }
 
 // wipeCalm is how long the core must have been calm before a closing fault takes a disk: what was lost has
@@ -72,9 +72,9 @@
 			f.Share, f.For = 0.3, span(0.5, 2)
 		case "node-cut":
 			f.Shape, f.Share = []string{"isolated", "isolated", "halves", "bridge", "ring"}[rng.IntN(5)], 0.2+0.4*rng.Float64()
-			f.Way, f.For = cutWays[rng.IntN(len(cutWays))], span(0.3, 6)
+			f.Way, f.For = partitionDirections[rng.IntN(len(partitionDirections))], span(0.3, 6)
 		case "core-cut", "ack-cut":
-			f.Shape, f.Way = []string{"isolated", "isolated", "bridge"}[rng.IntN(3)], cutWays[rng.IntN(len(cutWays))]
+			f.Shape, f.Way = []string{"isolated", "isolated", "bridge"}[rng.IntN(3)], partitionDirections[rng.IntN(len(partitionDirections))]
 			f.For = span(0.3, 6)
 		case "crash", "drain":
 			f.Share, f.For = 0.1+0.3*rng.Float64(), span(0.2, 2)
@@ -99,7 +99,7 @@
 	stormEvery            = 18 * time.Second
 	stormWithin           = 1.5 // seconds from the first of its troubles to the last
 	stallAfter            = 9 * time.Second
-	leaveShare            = 0.15
+	cancelShare           = 0.15
 	lostBy                = 0.3 // of the answers of a few backends, all the time: something is at work whose client leaves
 )
 
@@ -107,7 +107,7 @@
 // and last into each other. Clients leave early on such days.
 func DrawStorms(seed uint64, nodes int, dur time.Duration) *GatewaySchedule {
 	rng := rand.New(rand.NewPCG(seed, 0x5702))
-	s := &GatewaySchedule{Seed: seed, Nodes: nodes, For: dur, Close: rng.IntN(3) == 0, Leave: leaveShare}
+	s := &GatewaySchedule{Seed: seed, Nodes: nodes, For: dur, Close: rng.IntN(3) == 0, CancelShare: cancelShare}
 	span := func(from, to float64) spec.Span { return spec.Span((from + rng.Float64()*(to-from)) * 1e9) }
 	pick := func() uint64 { return rng.Uint64()>>1 | 1 }
 	kinds := []string{"node-power", "node-power", "node-power", "core-power", "core-stall", "node-stall", "node-kill",
@@ -122,7 +122,7 @@
 			case "core-power", "core-kill", "core-stall", "ack-kill", "ack-stall", "ack-power":
 				f.Share = 0.3
 			case "node-cut", "core-cut":
-				f.Shape, f.Way, f.Share = "isolated", cutWays[rng.IntN(len(cutWays))], 0.3
+				f.Shape, f.Way, f.Share = "isolated", partitionDirections[rng.IntN(len(partitionDirections))], 0.3
 			case "resets", "slow":
 				f.Share, f.By = 0.1+0.3*rng.Float64(), 0.05+0.3*rng.Float64()
 			case "crash", "drain":
@@ -135,12 +135,12 @@
 	return s
 }
 
-// cutWays of a cut: one of them in is of a node that hears nobody, out of one that nobody hears.
-var cutWays = []string{"both", "in", "out"}
+// partitionDirections of a cut: one of them in is of a node that hears nobody, out of one that nobody hears.
+var partitionDirections = []string{"both", "in", "out"}
 
-// cuts tells whether any fault parts nodes or takes their power, which only debug builds can play.
-func (g *GatewaySchedule) cuts() bool {
-	return slices.ContainsFunc(g.Faults, func(f spec.Fault) bool { return f.Has(spec.CutNodes, spec.PowerOffNodes) })
+// needsDebugBuild tells whether any fault parts nodes or takes their power, which only debug builds can play.
+func (g *GatewaySchedule) needsDebugBuild() bool {
+	return slices.ContainsFunc(g.Faults, func(f spec.Fault) bool { return f.Has(spec.PartitionNodes, spec.PowerOffNodes) })
 }
 
 // DrawFounding draws a schedule of the first start of all: nodes start up to some seconds apart, and are killed and
--- a/internal/lab/faultrig/gatewayfaults.go
+++ b/internal/lab/faultrig/gatewayfaults.go
@@ -56,7 +56,7 @@
 	spec.WipeNodes:        (*gatewayFault).wipe,
 	spec.TerminateNodes:   (*gatewayFault).terminate,
 	spec.ReloadNodes:      (*gatewayFault).reload,
-	spec.CutNodes:         (*gatewayFault).cutNodes,
+	spec.PartitionNodes:   (*gatewayFault).partitionNodes,
 	spec.CrashBackends:    (*gatewayFault).crashBackends,
 	spec.DrainBackends:    (*gatewayFault).drainBackends,
 	spec.ResetSubmissions: backendMode(func(m *standin.Mode, by float64) { m.ResetIn = by }),
@@ -75,8 +75,8 @@
 	if f.Moment() == spec.Acknowledged {
 		g.acknowledged(ctx, ackMost)
 	}
-	g.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: f.Kind})
-	defer func() { g.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: f.Kind}) }()
+	g.log.Add(history.Event{Who: "rig", Kind: history.FaultBegan, What: f.Kind})
+	defer func() { g.log.Add(history.Event{Who: "rig", Kind: history.FaultEnded, What: f.Kind}) }()
 	r := &gatewayFault{gatewayRun: g, ctx: ctx, fault: f}
 	r.hit = r.targets()
 	end, err := gatewayEffects.Begin(r, f)
@@ -99,9 +99,9 @@
 // among gives the nodes that the fault may hit.
 func (g *gatewayFault) among() []*gatewaystandin.Node {
 	if g.fault.Target() == spec.SomeDisks {
-		return g.t.Cores()
+		return g.deployment.Cores()
 	}
-	return g.t.Nodes
+	return g.deployment.Nodes
 }
 
 // targets draws the nodes that it hits.
@@ -110,7 +110,7 @@
 	case spec.LeaderNode:
 		return g.leader(g.ctx)
 	case spec.AllNodes:
-		return g.t.Nodes
+		return g.deployment.Nodes
 	case spec.SomeNodes, spec.SomeDisks:
 		from := g.among()
 		for _, i := range spec.Hits(len(from), g.fault.Share, g.fault.Source(nil)) {
@@ -128,7 +128,7 @@
 
 // Stall lets them stand still, and go on.
 func (g *gatewayFault) Stall(on bool) {
-	g.each(g.hit, func(d *gatewaystandin.Node) error { d.Hold(on, g.fault.Kind); return nil })
+	g.each(g.hit, func(d *gatewaystandin.Node) error { d.Suspend(on, g.fault.Kind); return nil })
 }
 
 // darkFirst is how long the other nodes have to take a machine for one without power, before its process ends.
@@ -139,7 +139,7 @@
 func (g *gatewayFault) powerOff(*spec.Fault) func() {
 	hit := g.hit
 	dark := func(on bool) {
-		for _, node := range g.t.Nodes {
+		for _, node := range g.deployment.Nodes {
 			for _, off := range hit {
 				if node != off {
 					node.Dark(off.Host, on)
@@ -174,15 +174,15 @@
 	return nil
 }
 
-// cutNodes parts nodes by the fault's shape, which a debug build plays.
-func (g *gatewayFault) cutNodes(f *spec.Fault) func() {
+// partitionNodes parts nodes by the fault's shape, which a debug build plays.
+func (g *gatewayFault) partitionNodes(f *spec.Fault) func() {
 	of := g.among()
 	parts := f.Pairs(len(of), nil, f.Source(nil))
 	part := func(on bool) {
 		for i, from := range of {
 			for j, to := range of {
 				if i != j && parts(i, j) {
-					from.Part(to, on)
+					from.SetLinkDown(to, on)
 				}
 			}
 		}
@@ -192,8 +192,8 @@
 }
 
 // serving draws the backends that the fault hits.
-func (g *gatewayFault) serving() (all []*gatewaystandin.Line) {
-	serving := g.t.Serving()
+func (g *gatewayFault) serving() (all []*gatewaystandin.HeartbeatBackend) {
+	serving := g.deployment.Serving()
 	for _, i := range spec.Hits(len(serving), g.fault.Share, g.fault.Source(nil)) {
 		all = append(all, serving[i])
 	}
@@ -201,8 +201,8 @@
 }
 
 // add starts a backend like another.
-func (g *gatewayFault) add(like *gatewaystandin.Line) {
-	if _, err := g.t.Add(like.Service, like.Zone, 0); g.ctx.Err() == nil {
+func (g *gatewayFault) add(like *gatewaystandin.HeartbeatBackend) {
+	if _, err := g.deployment.Add(like.Service, like.Zone, 0); g.ctx.Err() == nil {
 		g.fail(err)
 	}
 }
@@ -250,7 +250,7 @@
 func (g *gatewayFault) raiseLoad(f *spec.Fault) func() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	end := g.burst.Hold(f.By)
+	end := g.burst.Add(f.By)
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -260,30 +260,30 @@
 
 // leader is the node that leads the core, by the first word of any of the core.
 func (g *gatewayRun) leader(ctx context.Context) []*gatewaystandin.Node {
-	for _, d := range g.t.Cores() {
-		s := g.t.Status(ctx, d, 300*time.Millisecond)
-		for _, x := range g.t.Cores() {
+	for _, d := range g.deployment.Cores() {
+		s := g.deployment.Status(ctx, d, 300*time.Millisecond)
+		for _, x := range g.deployment.Cores() {
 			if s != nil && s.Core != nil && strings.HasPrefix(s.Core.Leader, x.Host+":") {
 				return []*gatewaystandin.Node{x}
 			}
 		}
 	}
-	return g.t.Cores()[:1]
+	return g.deployment.Cores()[:1]
 }
 
 // closing kills all right after an acknowledgement; one disk may be lost by it.
 func (g *gatewayRun) closing(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(g.s.Seed, 0xc105))
-	lost := g.t.Cores()[rng.IntN(Disks)]
+	rng := rand.New(rand.NewPCG(g.schedule.Seed, 0xc105))
+	lost := g.deployment.Cores()[rng.IntN(Disks)]
 	g.acknowledged(ctx, 5*time.Second)
-	g.log.Add(history.Event{Who: "rig", Kind: history.Strikes, What: "closing"})
-	g.each(g.t.Nodes, func(d *gatewaystandin.Node) error {
-		if g.s.Wipe && d == lost {
+	g.log.Add(history.Event{Who: "rig", Kind: history.FaultBegan, What: "closing"})
+	g.each(g.deployment.Nodes, func(d *gatewaystandin.Node) error {
+		if g.schedule.Wipe && d == lost {
 			return d.Wipe()
 		}
 		return kill(d)
 	})
 	sleep(ctx, time.Duration(200+rng.IntN(800))*time.Millisecond)
-	g.each(g.t.Nodes, again)
-	g.log.Add(history.Event{Who: "rig", Kind: history.Heals, What: "closing"})
+	g.each(g.deployment.Nodes, again)
+	g.log.Add(history.Event{Who: "rig", Kind: history.FaultEnded, What: "closing"})
 }
--- a/internal/lab/faultrig/gatewayjudge.go
+++ b/internal/lab/faultrig/gatewayjudge.go
@@ -20,13 +20,13 @@
 )
 
 // recovers waits until every node serves every first route.
-func (g *gatewayRun) recovers(ctx context.Context, what string) []history.Broken {
+func (g *gatewayRun) recovers(ctx context.Context, what string) []history.Violation {
 	began := time.Now()
 	late, cancel := context.WithTimeout(ctx, recoverMost)
 	defer cancel()
 	var mu sync.Mutex
-	var bad []history.Broken
-	g.each(g.t.Nodes, func(d *gatewaystandin.Node) error {
+	var bad []history.Violation
+	g.each(g.deployment.Nodes, func(d *gatewaystandin.Node) error {
 		for late.Err() == nil {
 			if g.load.Probe(late, d) {
 				return nil
@@ -35,41 +35,41 @@
 		}
 		if ctx.Err() == nil {
 			mu.Lock()
-			bad = append(bad, history.Broken{Rule: "RECOVER", T: history.Now(), Who: d.Name,
+			bad = append(bad, history.Violation{Rule: "RECOVER", Time: history.Now(), Who: d.Name,
 				What: fmt.Sprintf("does not serve %s after %s: %s",
-					recoverMost, what, g.t.Tells(d))})
+					recoverMost, what, g.deployment.NodeStatus(d))})
 			mu.Unlock()
 		}
 		return nil
 	})
-	g.settled = append(g.settled, time.Since(began).Round(time.Millisecond))
+	g.recoveries = append(g.recoveries, time.Since(began).Round(time.Millisecond))
 	return bad
 }
 
-// judge holds the history against the rules.
-func (g *gatewayRun) judge(res *GatewayResult, bad []history.Broken) {
+// check holds the history against the rules.
+func (g *gatewayRun) check(res *GatewayResult, bad []history.Violation) {
 	o, _, _ := g.load.Outcomes()
 	res.Asked, res.Settled, res.InTime = o.Requests, o.Settled, o.InTime
 	res.Refused, res.Voided, res.Failed = o.Declined, o.Voided, o.Failed
-	for _, d := range g.t.Nodes {
+	for _, d := range g.deployment.Nodes {
 		if words, ended := d.Crash(); ended {
-			bad = append(bad, history.Broken{Rule: "Fault", T: history.Now(), Who: d.Name,
+			bad = append(bad, history.Violation{Rule: "Fault", Time: history.Now(), Who: d.Name,
 				What: "ended by itself: " + words})
 		}
 	}
 	events := g.log.Events()
 	res.History = events
-	for _, v := range g.t.Operator.Versions() {
+	for _, v := range g.deployment.Operator.Versions() {
 		if v.Acked > 0 {
 			res.Taken++
 		} else if !v.Lost {
 			res.Unclear++
 		}
 	}
-	if n := events[max(0, len(events)-1)]; n.Kind == history.Lost {
+	if n := events[max(0, len(events)-1)]; n.Kind == history.Dropped {
 		res.Slow = time.Hour // what rests on what was not kept is no finding
 	}
-	bad = append(bad, gatewaystandin.Judge(events, g.t.Backends(), platform+res.Slow)...)
+	bad = append(bad, gatewaystandin.Check(events, g.deployment.Backends(), platform+res.Slow)...)
 	if g.also != nil {
 		bad = append(bad, g.also(events, platform+res.Slow)...)
 	}
@@ -81,12 +81,12 @@
 	}
 	for _, b := range history.OneAnswer(gatewaystandin.Run(events), history.World{Slack: platform + res.Slow}) {
 		// What a backend broke off may end so, and what takes longer than its node's grace.
-		if !spoilt[b.Txn] && !gatewaystandin.OutOfGrace(events, b.Who, b.T) {
+		if !spoilt[b.Txn] && !gatewaystandin.OutOfGrace(events, b.Who, b.Time) {
 			bad = append(bad, b)
 		}
 	}
 	for _, b := range bad {
-		if b.Timed && res.Slow > slowMost {
+		if b.Timed && res.Slow > maxRigStall {
 			res.Doubted = append(res.Doubted, b)
 		} else {
 			res.Broken = append(res.Broken, b)
@@ -113,7 +113,7 @@
 			return err
 		}
 	}
-	for _, d := range g.t.Nodes {
+	for _, d := range g.deployment.Nodes {
 		in, err := os.Open(d.Log())
 		if err != nil {
 			continue // it wrote nothing
--- a/internal/lab/faultrig/leases_test.go
+++ b/internal/lab/faultrig/leases_test.go
@@ -45,7 +45,7 @@
 	}
 	holders := map[string]bool{}
 	for _, e := range r.History {
-		if e.Kind == history.Holds {
+		if e.Kind == history.LeaseGranted {
 			holders[e.Who] = true
 		}
 	}
@@ -72,7 +72,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if text, wrong := leasing.Ask(context.Background(), filepath.Join(f.Dir(), d.Name+".sock"), "POST", "/turn/wait", url.Values{"for": {"60s"}}); wrong != nil {
+			if text, wrong := leasing.Call(context.Background(), filepath.Join(f.Dir(), d.Name+".sock"), "POST", "/turn/wait", url.Values{"for": {"60s"}}); wrong != nil {
 				t.Errorf("%s: %v %s", d.Name, wrong, text)
 				return
 			}
@@ -105,11 +105,11 @@
 	if restarts != 5 || most > 2 {
 		t.Errorf("%d restarts, %d down at once", restarts, most)
 	}
-	text, err := leasing.Ask(context.Background(), filepath.Join(f.Dir(), "n0.sock"), "GET", "/leases", nil)
+	text, err := leasing.Call(context.Background(), filepath.Join(f.Dir(), "n0.sock"), "GET", "/leases", nil)
 	if err != nil || !strings.Contains(text, `"front_door":"n0"`) {
 		t.Errorf("%v %s", err, text)
 	}
-	if _, err := leasing.Ask(context.Background(), filepath.Join(f.Dir(), "n0.sock"), "POST", "/turn/wait", url.Values{"for": {"soon"}}); err == nil {
+	if _, err := leasing.Call(context.Background(), filepath.Join(f.Dir(), "n0.sock"), "POST", "/turn/wait", url.Values{"for": {"soon"}}); err == nil {
 		t.Error("a wait for \"soon\"")
 	}
 }
--- a/internal/lab/faultrig/rig.go
+++ b/internal/lab/faultrig/rig.go
@@ -35,37 +35,37 @@
 
 // Result is what came of it.
 type Result struct {
-	Name    string           `json:"name"`
-	Seed    uint64           `json:"seed"`
-	Nodes   int              `json:"nodes"`
-	Seconds float64          `json:"seconds"`
-	Faults  int              `json:"faults"`
-	Events  int              `json:"events"`
-	Broken  []history.Broken `json:"broken,omitempty"`
-	Doubted []history.Broken `json:"doubted,omitempty"` // what rests on times, in a run whose times can't be trusted
-	Doubt   string           `json:"doubt,omitempty"`   // why they can't
-	Slow    time.Duration    `json:"slow"`              // the longest that the rig itself was held up
-	Relay   time.Duration    `json:"relay"`             // the latest that a datagram went out
-	Waited  float64          `json:"waited"`            // the most that a front door waited for a processor, as a share of the run
-	Beyond  float64          `json:"beyond"`            // units sent beyond quotas, as a share of all
-	Asked   int64            `json:"asked"`
-	Settled int64            `json:"settled"`
-	InTime  int64            `json:"in_time"`
-	Refused int64            `json:"refused"`
-	Voided  int64            `json:"voided"`
-	Failed  int64            `json:"failed"`          // without an answer
-	Held    int              `json:"held,omitempty"`  // grants and renewals of leases
-	Steps   int              `json:"steps,omitempty"` // that the ledger took
-	Stale   int              `json:"stale,omitempty"` // and that it refused, as a newer holder had taken one
-	History []history.Event  `json:"-"`
+	Name        string              `json:"name"`
+	Seed        uint64              `json:"seed"`
+	Nodes       int                 `json:"nodes"`
+	Seconds     float64             `json:"seconds"`
+	Faults      int                 `json:"faults"`
+	Events      int                 `json:"events"`
+	Broken      []history.Violation `json:"broken,omitempty"`
+	Doubted     []history.Violation `json:"doubted,omitempty"` // what rests on times, in a run whose times can't be trusted
+	Doubt       string              `json:"doubt,omitempty"`   // why they can't
+	Slow        time.Duration       `json:"slow"`              // the longest that the rig itself was held up
+	Relay       time.Duration       `json:"relay"`             // the latest that a datagram went out
+	Waited      float64             `json:"waited"`            // the most that a front door waited for a processor, as a share of the run
+	Beyond      float64             `json:"beyond"`            // units sent beyond quotas, as a share of all
+	Asked       int64               `json:"asked"`
+	Settled     int64               `json:"settled"`
+	InTime      int64               `json:"in_time"`
+	Refused     int64               `json:"refused"`
+	Voided      int64               `json:"voided"`
+	Failed      int64               `json:"failed"`          // without an answer
+	LeaseGrants int                 `json:"held,omitempty"`  // grants and renewals of leases
+	Steps       int                 `json:"steps,omitempty"` // that the ledger took
+	Stale       int                 `json:"stale,omitempty"` // and that it refused, as a newer holder had taken one
+	History     []history.Event     `json:"-"`
 }
 
 // What bounds a run.
 const (
-	eventsMost = 4 << 20
-	slowMost   = 150 * time.Millisecond // beyond that, held up, a run's times are not trusted
-	platform   = 50 * time.Millisecond  // the platform's own slack of all time limits
-	tail       = 700 * time.Millisecond
+	maxEvents   = 4 << 20
+	maxRigStall = 150 * time.Millisecond // beyond that, held up, a run's times are not trusted
+	platform    = 50 * time.Millisecond  // the platform's own slack of all time limits
+	tail        = 700 * time.Millisecond
 )
 
 // Ledger is where an operator text for the rig puts the roll call: {dir}/ledger.
@@ -73,19 +73,19 @@
 
 // run is one under way.
 type run struct {
-	s     *spec.Spec
-	f     *standin.Fleet
+	spec  *spec.Spec
+	fleet *standin.Fleet
 	log   *history.Log
 	rng   *rand.Rand
 	mu    sync.Mutex
-	load  spec.Held
+	load  spec.Factors
 	fault error
-	wg    sync.WaitGroup
+	tasks sync.WaitGroup
 }
 
 // Play plays an experiment on real processes. Whatever happens, none is left when it returns.
 func Play(ctx context.Context, s *spec.Spec, o Options) (*Result, error) {
-	r := &run{s: s, log: history.InMemory(eventsMost), rng: rand.New(rand.NewPCG(s.Seed, 0x719))}
+	r := &run{spec: s, log: history.InMemory(maxEvents), rng: rand.New(rand.NewPCG(s.Seed, 0x719))}
 	own := ""
 	if o.Own {
 		dir, err := os.MkdirTemp("", "clovergap-own-")
@@ -104,14 +104,14 @@
 		}
 	}
 	var err error
-	r.f, err = standin.With(s, standin.Options{Program: o.Program, Cores: o.Cores, MemoryMB: o.MemoryMB, Sockets: o.Sockets, Links: true,
+	r.fleet, err = standin.With(s, standin.Options{Program: o.Program, Cores: o.Cores, MemoryMB: o.MemoryMB, Sockets: o.Sockets, Links: true,
 		History: r.log, Own: own, Late: late, Operator: o.Operator})
 	if err != nil {
 		return nil, err
 	}
-	defer r.f.Close()
-	r.f.Relay.Bring(base(s))
-	load := standin.NewClients(r.f, 256)
+	defer r.fleet.Close()
+	r.fleet.Relay.Bring(base(s))
+	load := standin.NewClients(r.fleet, 256)
 	defer load.Close()
 	load.Log, load.Notice = r.log, s.Clients.Notice[0].D()
 	rate := o.Rate
@@ -129,15 +129,15 @@
 	all, cancel := context.WithTimeout(ctx, s.For.D())
 	defer cancel()
 	for i := range s.Faults {
-		r.wg.Add(1)
-		go func() { defer r.wg.Done(); r.play(all, &s.Faults[i]) }()
+		r.tasks.Add(1)
+		go func() { defer r.tasks.Done(); r.play(all, &s.Faults[i]) }()
 	}
 	load.Open(all, s.For.D())
-	r.wg.Wait() // every fault has healed
+	r.tasks.Wait() // every fault has healed
 	if ctx.Err() == nil {
 		time.Sleep(tail)
 	}
-	r.log.Add(history.Event{Who: "rig", Kind: history.Closes})
+	r.log.Add(history.Event{Who: "rig", Kind: history.Complete})
 	close(stop)
 	res := &Result{Name: s.Name, Seed: s.Seed, Nodes: s.Nodes.Count, Seconds: time.Since(began).Seconds(), Faults: len(s.Faults), Slow: <-slow}
 	if ctx.Err() != nil {
@@ -146,7 +146,7 @@
 	if r.fault != nil {
 		return res, r.fault
 	}
-	r.judge(res, load, own)
+	r.check(res, load, own)
 	if len(res.Broken) > 0 && o.Keep != "" {
 		if err := Keep(o.Keep, s, res); err != nil {
 			return res, err
@@ -158,10 +158,10 @@
 // offered is the experiment's load in requests a second.
 func (r *run) offered() float64 {
 	mean, share := 0.0, 0.0
-	for _, p := range r.s.Products {
+	for _, p := range r.spec.Products {
 		mean, share = mean+p.Share*p.Work.D().Seconds(), share+p.Share
 	}
-	return r.s.Clients.Load * float64(r.s.Backends.Count) * r.s.Backends.Cores / (mean / share)
+	return r.spec.Clients.Load * float64(r.spec.Backends.Count) * r.spec.Backends.Cores / (mean / share)
 }
 
 // watchSelf measures how long the rig itself is held up: the machine's own slowness is no fault of a front door.
@@ -186,22 +186,22 @@
 	return out
 }
 
-// judge holds the history against the rules.
-func (r *run) judge(res *Result, load *standin.Clients, own string) {
-	s := r.s
+// check holds the history against the rules.
+func (r *run) check(res *Result, load *standin.Clients, own string) {
+	s := r.spec
 	o := load.Outcomes()[""]
 	res.Asked, res.Settled, res.InTime, res.Refused, res.Voided, res.Failed = o.Requests, o.Settled, o.InTime, o.Declined, o.Voided, o.Failed
-	for _, d := range r.f.Nodes {
+	for _, d := range r.fleet.Nodes {
 		if words, bad := d.Crash(); bad {
-			res.Broken = append(res.Broken, history.Broken{Rule: "no front door crashes", T: history.Now(), Who: d.Name, What: words})
+			res.Broken = append(res.Broken, history.Violation{Rule: "no front door crashes", Time: history.Now(), Who: d.Name, What: words})
 		} else if d.Up() {
 			if n := d.Counters(2 * time.Second)["must holds broken"]; n > 0 {
-				res.Broken = append(res.Broken, history.Broken{Rule: "what must hold holds", T: history.Now(), Who: d.Name, What: fmt.Sprint(n, " times not")})
+				res.Broken = append(res.Broken, history.Violation{Rule: "what must hold holds", Time: history.Now(), Who: d.Name, What: fmt.Sprint(n, " times not")})
 			}
 		}
 		res.Waited = max(res.Waited, waited(d.Pid())/res.Seconds)
 	}
-	late, over, dropped := r.f.Relay.Behind()
+	late, over, dropped := r.fleet.Relay.Behind()
 	res.Relay = late
 	h := r.log.Events()
 	if own != "" {
@@ -214,45 +214,45 @@
 	}
 	res.History, res.Events = h, len(h)
 	switch n := h[max(0, len(h)-1)]; {
-	case n.Kind == history.Lost:
-		res.Doubt = fmt.Sprintf("%.0f events were not kept", n.N)
-	case res.Slow > slowMost:
+	case n.Kind == history.Dropped:
+		res.Doubt = fmt.Sprintf("%.0f events were not kept", n.Number)
+	case res.Slow > maxRigStall:
 		res.Doubt = fmt.Sprintf("the rig was held up for %s", res.Slow.Round(time.Millisecond))
-	case late > slowMost:
+	case late > maxRigStall:
 		res.Doubt = fmt.Sprintf("the relay fell behind by %s", late.Round(time.Millisecond))
 	case dropped > 0 || over > 0:
 		res.Doubt = fmt.Sprintf("%d datagrams were dropped before the relay read them, %d found no room in a cut", dropped, over)
 	}
-	w := history.World{Products: map[string]history.Product{}, Backends: map[string]history.Place{}, Slack: platform + max(res.Slow, late)}
+	w := history.World{Products: map[string]history.Product{}, Backends: map[string]history.Location{}, Slack: platform + max(res.Slow, late)}
 	for _, p := range s.Products {
 		w.Products[p.Name] = p.Judged()
 	}
-	for _, b := range r.f.All() {
+	for _, b := range r.fleet.All() {
 		w.Backends[b.ID] = b.Place()
 	}
 	bad := history.OneAnswer(h, w)
 	bad = append(bad, history.NoEffectTwice(h, w)...)
 	bad = append(bad, history.DrainsKept(h, w, s.Rules.DrainGrace.D())...)
-	bad = append(bad, history.NoColdPushedOver(h, w, history.Cold{From: s.Rules.ColdFrom, Times: s.Rules.FallMultiple, Cores: s.Backends.Cores,
-		By: s.Rules.WarmBy.D(), Window: s.Rules.FallWindow.D()})...)
+	bad = append(bad, history.NoOverloadDuringWarmUp(h, w, history.WarmUp{From: s.Rules.ColdFrom, Times: s.Rules.FallMultiple, Cores: s.Backends.Cores,
+		Length: s.Rules.WarmBy.D(), Window: s.Rules.FallWindow.D()})...)
 	bad = append(bad, history.WithinBound("ceilings kept", h, Ceilings(s))...)
-	bad = append(bad, history.HoldsApart(h)...)
-	if steps, err := ledger.Read(filepath.Join(r.f.Dir(), Ledger)); err == nil { // the order in which it took them
+	bad = append(bad, history.LeasesExclusive(h)...)
+	if steps, err := ledger.Read(filepath.Join(r.fleet.Dir(), Ledger)); err == nil { // the order in which it took them
 		res.Steps = len(steps)
 		var took []history.Event
 		for i, l := range steps {
-			took = append(took, history.Event{T: time.Duration(i), Who: "ledger", Kind: history.Took, Key: l.Task, At: l.By, N: float64(l.Number)})
+			took = append(took, history.Event{Time: time.Duration(i), Who: "ledger", Kind: history.StepAccepted, Key: l.Task, Target: l.Writer, Number: float64(l.Number)})
 			if i > 0 && l.Span <= steps[i-1].Span {
-				bad = append(bad, history.Broken{Rule: "spans closed once", Who: l.By, Key: l.Task, What: fmt.Sprintf("span %d after %d", l.Span, steps[i-1].Span)})
+				bad = append(bad, history.Violation{Rule: "spans closed once", Who: l.Writer, Key: l.Task, What: fmt.Sprintf("span %d after %d", l.Span, steps[i-1].Span)})
 			}
 		}
-		bad = append(bad, history.NumbersRise(took)...)
+		bad = append(bad, history.NumbersMonotonic(took)...)
 	}
 	for _, e := range h {
 		switch {
-		case e.Kind == history.Holds:
-			res.Held++
-		case e.Kind == history.Ended && strings.Contains(e.What, ledger.ErrStale.Error()):
+		case e.Kind == history.LeaseGranted:
+			res.LeaseGrants++
+		case e.Kind == history.ActEnded && strings.Contains(e.What, ledger.ErrStale.Error()):
 			res.Stale++
 		}
 	}
@@ -271,7 +271,7 @@
 	byPlan := map[string]history.Bound{}
 	for _, p := range s.Plans {
 		if p.Ceiling > 0 {
-			byPlan[p.Name] = history.Bound{Store: p.Ceiling*p.Burst + s.Rules.CeilingSlackOf(&p), Rate: p.Ceiling * p.Rate}
+			byPlan[p.Name] = history.Bound{Burst: p.Ceiling*p.Burst + s.Rules.RateLimitSlack(&p), Rate: p.Ceiling * p.Rate}
 		}
 	}
 	return func(key string) (history.Bound, bool) {
@@ -288,19 +288,19 @@
 		plans[p.Name] = p
 	}
 	all, over := 0.0, 0.0
-	for key, list := range history.Spent(h) {
+	for key, list := range history.Consumption(h) {
 		plan, _, _ := strings.Cut(key, "/")
 		p := plans[plan]
 		level, at := p.Burst, time.Duration(0)
 		for _, e := range list {
 			if at > 0 {
-				level = min(p.Burst, level+p.Rate*(e.T-at).Seconds())
+				level = min(p.Burst, level+p.Rate*(e.Time-at).Seconds())
 			}
-			at = e.T
-			if all += e.N; level >= e.N {
-				level -= e.N
+			at = e.Time
+			if all += e.Number; level >= e.Number {
+				level -= e.Number
 			} else {
-				over += e.N
+				over += e.Number
 			}
 		}
 	}
--- a/internal/lab/faultrig/rig_test.go
+++ b/internal/lab/faultrig/rig_test.go
@@ -107,7 +107,7 @@
 	for _, e := range r.History {
 		seen[string(e.Kind)]++
 		switch e.Kind {
-		case history.Strikes, history.Stopped:
+		case history.FaultBegan, history.Paused:
 			seen[e.What]++
 		case history.Down:
 			seen["down "+e.What]++
@@ -213,7 +213,7 @@
 	dir := t.TempDir()
 	s := three(t, 30)
 	s = s.Drawn(1, 8, false)
-	if err := Keep(dir, s, &Result{Broken: []history.Broken{{Rule: "r", What: "two\nlines"}}, History: []history.Event{{T: 5, Who: "n0", Kind: history.Up}}}); err != nil {
+	if err := Keep(dir, s, &Result{Broken: []history.Violation{{Rule: "r", What: "two\nlines"}}, History: []history.Event{{Time: 5, Who: "n0", Kind: history.Up}}}); err != nil {
 		t.Fatal(err)
 	}
 	again, err := spec.Load(filepath.Join(dir, "ci-1.toml"))
--- a/internal/lab/faultrig/rollout.go
+++ b/internal/lab/faultrig/rollout.go
@@ -26,11 +26,11 @@
 	Judged   Arm = "judged"   // the version fails partway and is judged
 	Unjudged Arm = "unjudged" // it fails, and nothing that it does counts
 	Good     Arm = "good"     // it does not fail
-	Alone    Arm = "alone"    // it fails while most of the core stands still
+	Isolated Arm = "alone"    // it fails while most of the core stands still
 )
 
 // Arms are all.
-var Arms = []Arm{Judged, Unjudged, Good, Alone}
+var Arms = []Arm{Judged, Unjudged, Good, Isolated}
 
 // newVersion is what takes over.
 const newVersion = "v2"
@@ -58,7 +58,7 @@
 		Dwell: span(1.5, 2.5).D(), Advance: []string{"time", "word"}[rng.IntN(2)], Step: 2 + rng.IntN(3)}
 	s.After = time.Duration(rng.Float64() * float64(s.Dwell))
 	s.Flaw = gatewaystandin.Flaw{Cause: gatewaystandin.Causes[rng.IntN(len(gatewaystandin.Causes))],
-		Share: []float64{0.2, 0.5, 1}[rng.IntN(3)], Writes: rng.IntN(3) == 0, By: 4}
+		Share: []float64{0.2, 0.5, 1}[rng.IntN(3)], Writes: rng.IntN(3) == 0, SlowFactor: 4}
 	if rng.IntN(6) == 0 {
 		s.Flaw.Tenant = s.Play.Tenant(rng.IntN(4))
 	}
@@ -73,7 +73,7 @@
 		}
 		s.Faults = append(s.Faults, f)
 	}
-	if arm == Alone {
+	if arm == Isolated {
 		s.Seen, s.Faults = false, []spec.Fault{{Kind: "core-stall", For: spec.Span(10 * time.Second), Share: 0.6, Pick: 7}}
 	}
 	return s
@@ -100,39 +100,39 @@
 // RolloutResult is what came of it.
 type RolloutResult struct {
 	GatewayResult
-	Play     string                  `json:"play"`
-	Arm      Arm                     `json:"arm"`
-	Flaw     string                  `json:"flaw,omitempty"`
-	Advance  string                  `json:"advance"`
-	Share    int                     `json:"share"`  // when it began to fail, in 1/10000
-	Rate     float64                 `json:"rate"`   // requests a second
-	Pulled   int                     `json:"pulled"` // nodes that were seen to have pulled back
-	Alone    int                     `json:"alone"`  // nodes that said that they pulled back for themselves
-	Phase    string                  `json:"phase"`  // at the end
-	Why      string                  `json:"why,omitempty"`
-	Met      gatewaystandin.Met      `json:"met"`
-	Reads    gatewaystandin.Carried  `json:"reads"`
-	Open     gatewaystandin.Open     `json:"open"` // writes without a clear answer
-	Recorded int                     `json:"recorded"`
-	Course   []gatewaystandin.Moment `json:"course,omitempty"`
-	SpoiltAt float64                 `json:"spoilt_at,omitempty"` // seconds from the start of the roll-out
-	PulledAt float64                 `json:"pulled_at,omitempty"`
+	Play          string                  `json:"play"`
+	Arm           Arm                     `json:"arm"`
+	Flaw          string                  `json:"flaw,omitempty"`
+	Advance       string                  `json:"advance"`
+	Share         int                     `json:"share"`  // when it began to fail, in 1/10000
+	Rate          float64                 `json:"rate"`   // requests a second
+	Pulled        int                     `json:"pulled"` // nodes that were seen to have pulled back
+	SelfRollbacks int                     `json:"alone"`  // nodes that said that they pulled back for themselves
+	Phase         string                  `json:"phase"`  // at the end
+	Why           string                  `json:"why,omitempty"`
+	Met           gatewaystandin.Met      `json:"met"`
+	Reads         gatewaystandin.Carried  `json:"reads"`
+	Open          gatewaystandin.Open     `json:"open"` // writes without a clear answer
+	Recorded      int                     `json:"recorded"`
+	Course        []gatewaystandin.Moment `json:"course,omitempty"`
+	SpoiltAt      float64                 `json:"spoilt_at,omitempty"` // seconds from the start of the roll-out
+	PulledAt      float64                 `json:"pulled_at,omitempty"`
 }
 
 const (
-	lookEvery  = 40 * time.Millisecond
-	afterwards = 2 * time.Second // watched after the last node has pulled back
-	orderMost  = 20 * time.Second
-	piece      = 500 * time.Millisecond
+	statusPollInterval = 40 * time.Millisecond
+	afterwards         = 2 * time.Second // watched after the last node has pulled back
+	orderTimeout       = 20 * time.Second
+	courseInterval     = 500 * time.Millisecond
 )
 
 // rollout is one under way, beside its deployment.
 type rolloutRun struct {
 	*gatewayRun
-	s     *RolloutSchedule
-	res   *RolloutResult
-	trial gatewaystandin.Trial
-	from  time.Duration // when it was started
+	schedule *RolloutSchedule
+	result   *RolloutResult
+	trial    gatewaystandin.Trial
+	from     time.Duration // when it was started
 
 	look sync.Mutex
 	last gatewaystandin.RolloutView // the newest that any node told
@@ -142,23 +142,23 @@
 
 // PlayRollout plays a schedule on real nodes.
 func PlayRollout(ctx context.Context, s *RolloutSchedule, o GatewayOptions) (*RolloutResult, error) {
-	r := &rolloutRun{s: s, res: &RolloutResult{Play: s.Play.Name, Arm: s.Arm, Advance: s.Advance, Rate: o.Rate},
-		trial: gatewaystandin.Trial{Service: s.Play.Leading, New: newVersion, Pulled: map[string]time.Duration{}},
+	r := &rolloutRun{schedule: s, result: &RolloutResult{Play: s.Play.Name, Arm: s.Arm, Advance: s.Advance, Rate: o.Rate},
+		trial: gatewaystandin.Trial{Service: s.Play.Leading, New: newVersion, RolledBackNodes: map[string]time.Duration{}},
 		seen:  make(chan struct{})}
 	if s.Arm != Good {
-		r.res.Flaw = s.Flaw.String()
+		r.result.Flaw = s.Flaw.String()
 	}
 	res, err := playGateway(ctx, &s.GatewaySchedule, o, func(h *gatewayRun) {
-		r.gatewayRun, h.act, h.also, h.name = h, r.act, r.judge, s.Play.Name+"-"+string(s.Arm)
+		r.gatewayRun, h.act, h.also, h.name = h, r.act, r.check, s.Play.Name+"-"+string(s.Arm)
 	})
 	if res != nil {
-		r.res.GatewayResult = *res
+		r.result.GatewayResult = *res
 	}
-	return r.res, err
+	return r.result, err
 }
 
 // act starts the roll-out, lets the new version fail, and waits until all nodes have pulled back.
-func (r *rolloutRun) act(ctx context.Context) (bad []history.Broken) {
+func (r *rolloutRun) act(ctx context.Context) (bad []history.Violation) {
 	if why := r.begins(ctx); why != "" {
 		return r.broken("%s", why)
 	}
@@ -166,35 +166,35 @@
 	var side sync.WaitGroup
 	defer side.Wait()
 	defer enough()
-	for _, d := range r.t.Nodes {
+	for _, d := range r.deployment.Nodes {
 		side.Go(func() { r.watch(watch, d) })
 	}
-	if !r.steps(ctx, r.s.Step) {
-		return r.broken("step %d does not come", r.s.Step)
+	if !r.steps(ctx, r.schedule.Step) {
+		return r.broken("step %d does not come", r.schedule.Step)
 	}
-	sleep(ctx, r.s.After)
-	if r.s.Arm != Good {
+	sleep(ctx, r.schedule.After)
+	if r.schedule.Arm != Good {
 		r.trial.Spoilt = history.Now()
-		r.t.Spoil(newVersion, &r.s.Flaw)
+		r.deployment.Spoil(newVersion, &r.schedule.Flaw)
 	}
-	r.res.Share = r.s.Steps[r.s.Step-1]
-	if !r.s.Seen || r.s.Arm == Good || r.s.Arm == Unjudged {
+	r.result.Share = r.schedule.Steps[r.schedule.Step-1]
+	if !r.schedule.Seen || r.schedule.Arm == Good || r.schedule.Arm == Unjudged {
 		r.apply(ctx)
 	}
 	stepped := make(chan bool, 1)
 	going, stop := context.WithCancel(ctx)
-	side.Go(func() { stepped <- r.steps(going, len(r.s.Steps)) })
+	side.Go(func() { stepped <- r.steps(going, len(r.schedule.Steps)) })
 	defer stop()
 	r.awaits(ctx, stop)
-	r.wg.Wait()
-	if !r.pulledBack() && r.s.Arm != Good {
+	r.tasks.Wait()
+	if !r.pulledBack() && r.schedule.Arm != Good {
 		r.mends()
 	}
-	if r.s.Arm == Good {
+	if r.schedule.Arm == Good {
 		if !<-stepped {
 			bad = r.broken("the last step does not come")
 		}
-		sleep(ctx, r.s.Dwell)
+		sleep(ctx, r.schedule.Dwell)
 	}
 	if r.pulledBack() {
 		bad = append(bad, r.afterPullBack(ctx)...)
@@ -203,15 +203,15 @@
 }
 
 // broken is a breach of the roll-out's own rule.
-func (r *rolloutRun) broken(format string, args ...any) []history.Broken {
-	return []history.Broken{{Rule: "ROLLOUT", T: history.Now(), What: fmt.Sprintf(format, args...)}}
+func (r *rolloutRun) broken(format string, args ...any) []history.Violation {
+	return []history.Violation{{Rule: "ROLLOUT", Time: history.Now(), What: fmt.Sprintf(format, args...)}}
 }
 
 // begins starts backends of the new version and the roll-out; it says why that could not be done.
 func (r *rolloutRun) begins(ctx context.Context) (why string) {
-	for _, l := range r.t.Serving() {
-		if l.Service == r.s.Play.Leading {
-			if _, err := r.t.AddVersion(l.Service, l.Zone, newVersion, time.Second); err != nil {
+	for _, l := range r.deployment.Serving() {
+		if l.Service == r.schedule.Play.Leading {
+			if _, err := r.deployment.AddVersion(l.Service, l.Zone, newVersion, time.Second); err != nil {
 				return err.Error()
 			}
 		}
@@ -219,7 +219,7 @@
 	sleep(ctx, 3*time.Second) // all nodes have heard of them
 	r.from = history.Now()
 	why = r.call(ctx, rollout.Start, 0)
-	for until := time.Now().Add(orderMost); why != "" && strings.Contains(why, "room") && time.Now().Before(until); {
+	for until := time.Now().Add(orderTimeout); why != "" && strings.Contains(why, "room") && time.Now().Before(until); {
 		sleep(ctx, time.Second) // a machine that is held up has late beats: an operator would ask again
 		r.from = history.Now()
 		why = r.call(ctx, rollout.Start, 0)
@@ -235,39 +235,39 @@
 	select {
 	case <-r.seen:
 		stop()
-		if r.s.Seen && r.s.Arm == Judged {
+		if r.schedule.Seen && r.schedule.Arm == Judged {
 			r.apply(ctx)
 		}
-	case <-time.After(r.s.For):
+	case <-time.After(r.schedule.For):
 	case <-ctx.Done():
 	}
 }
 
 // mends ends the new version's failing where nobody has pulled back.
 func (r *rolloutRun) mends() {
-	r.trial.Mended = history.Now()
-	r.odd = r.s.Arm == Judged
-	for _, d := range r.t.Nodes {
-		r.says = append(r.says, d.Name+": "+r.t.TellsRollouts(d))
+	r.trial.RepairedAt = history.Now()
+	r.odd = r.schedule.Arm == Judged
+	for _, d := range r.deployment.Nodes {
+		r.says = append(r.says, d.Name+": "+r.deployment.RolloutStatus(d))
 	}
-	r.t.Spoil(newVersion, nil)
+	r.deployment.Spoil(newVersion, nil)
 }
 
 // afterPullBack waits until all nodes have pulled back, and sees that the roll-out does not go on.
-func (r *rolloutRun) afterPullBack(ctx context.Context) []history.Broken {
-	for until := time.Now().Add(recoverMost); time.Now().Before(until) && r.nodesPulled() < len(r.t.Nodes); {
-		sleep(ctx, lookEvery)
+func (r *rolloutRun) afterPullBack(ctx context.Context) []history.Violation {
+	for until := time.Now().Add(recoverMost); time.Now().Before(until) && r.nodesPulled() < len(r.deployment.Nodes); {
+		sleep(ctx, statusPollInterval)
 	}
 	sleep(ctx, afterwards)
-	if why := r.call(ctx, rollout.Advance, len(r.s.Steps)); why == "" {
-		return r.broken("went on to step %d after the pull-back", len(r.s.Steps))
+	if why := r.call(ctx, rollout.Advance, len(r.schedule.Steps)); why == "" {
+		return r.broken("went on to step %d after the pull-back", len(r.schedule.Steps))
 	}
 	return nil
 }
 
 // steps brings the roll-out to a step: by the operator's word where the order wants that.
 func (r *rolloutRun) steps(ctx context.Context, to int) bool {
-	late := time.Now().Add(time.Duration(to)*r.s.Dwell + orderMost)
+	late := time.Now().Add(time.Duration(to)*r.schedule.Dwell + orderTimeout)
 	since, at := time.Now(), 0
 	for ctx.Err() == nil && time.Now().Before(late) {
 		now := r.newest()
@@ -278,10 +278,10 @@
 			return now.Step >= to
 		}
 		// An operator looks before the next word. Where nothing counts there is nothing to be seen.
-		if r.s.Advance == "word" && time.Since(since) > r.s.Dwell && now.Doubt < 1 {
+		if r.schedule.Advance == "word" && time.Since(since) > r.schedule.Dwell && now.Doubt < 1 {
 			r.call(ctx, rollout.Advance, now.Step+1) // refused if the newest is not known here: again then
 		}
-		sleep(ctx, lookEvery)
+		sleep(ctx, statusPollInterval)
 	}
 	return false
 }
@@ -290,7 +290,7 @@
 func (r *rolloutRun) watch(ctx context.Context, d *gatewaystandin.Node) {
 	for i := 0; ctx.Err() == nil; i++ {
 		if i%4 == 0 {
-			if v, ok := r.t.Rollout(ctx, d, r.s.Play.Leading); ok {
+			if v, ok := r.deployment.Rollout(ctx, d, r.schedule.Play.Leading); ok {
 				r.look.Lock()
 				if v.Rev >= r.last.Rev {
 					r.last = v
@@ -298,17 +298,17 @@
 				r.look.Unlock()
 			}
 		}
-		why, yes := r.t.PulledBack(ctx, d, r.s.Play.Leading)
+		why, yes := r.deployment.RolledBack(ctx, d, r.schedule.Play.Leading)
 		now := history.Now()
 		r.look.Lock()
-		if yes && r.trial.Pulled[d.Name] == 0 {
-			if r.trial.Pulled[d.Name] = now; r.trial.Verdict == 0 {
-				r.trial.Verdict, r.why = now, why
+		if yes && r.trial.RolledBackNodes[d.Name] == 0 {
+			if r.trial.RolledBackNodes[d.Name] = now; r.trial.RolledBackAt == 0 {
+				r.trial.RolledBackAt, r.why = now, why
 				close(r.seen)
 			}
 		}
 		r.look.Unlock()
-		sleep(ctx, lookEvery)
+		sleep(ctx, statusPollInterval)
 	}
 }
 
@@ -317,7 +317,7 @@
 func (r *rolloutRun) nodesPulled() int {
 	r.look.Lock()
 	defer r.look.Unlock()
-	return len(r.trial.Pulled)
+	return len(r.trial.RolledBackNodes)
 }
 
 func (r *rolloutRun) newest() gatewaystandin.RolloutView {
@@ -329,21 +329,21 @@
 // call gives an order; empty if it is done, else why not.
 func (r *rolloutRun) call(ctx context.Context, verb rollout.Verb, step int) (why string) {
 	now := r.newest()
-	status, text, clear := r.t.Operator.Rollout(ctx, verb, r.s.order(), now, step)
+	status, text, clear := r.deployment.Operator.Rollout(ctx, verb, r.schedule.order(), now, step)
 	if clear && status == 200 {
 		return ""
 	}
 	return cmp.Or(fmt.Sprint(status, " ", strings.TrimSpace(string(text))), "no clear answer")
 }
 
-// judge holds the roll-out against its own rules and measures it.
-func (r *rolloutRun) judge(h []history.Event, slack time.Duration) (bad []history.Broken) {
-	r.trial.Lines, r.trial.Slack = r.t.Outputs(), slack
+// check holds the roll-out against its own rules and measures it.
+func (r *rolloutRun) check(h []history.Event, slack time.Duration) (bad []history.Violation) {
+	r.trial.Backends, r.trial.Slack = r.deployment.BackendVersions(), slack
 	books, open := gatewaystandin.Ledger(h)
-	reads, carried := gatewaystandin.Whole(h, &r.trial)
+	reads, carried := gatewaystandin.CheckReadsComplete(h, &r.trial)
 	bad = slices.Concat(books, reads, gatewaystandin.Barred(h, &r.trial))
-	x := r.res
-	x.Open, x.Reads, x.Met, x.Pulled = open, carried, gatewaystandin.Measure(h, &r.trial), len(r.trial.Pulled)
+	x := r.result
+	x.Open, x.Reads, x.Met, x.Pulled = open, carried, gatewaystandin.Measure(h, &r.trial), len(r.trial.RolledBackNodes)
 	now := r.newest()
 	x.Phase, x.Why = now.Phase, r.why
 	for _, e := range h {
@@ -351,20 +351,20 @@
 			x.Recorded++
 		}
 	}
-	x.Course = gatewaystandin.Course(h, &r.trial, r.from, piece)
+	x.Course = gatewaystandin.Course(h, &r.trial, r.from, courseInterval)
 	at := func(t time.Duration) float64 {
 		if t == 0 {
 			return 0
 		}
 		return (t - r.from).Seconds()
 	}
-	for _, d := range r.t.Nodes {
+	for _, d := range r.deployment.Nodes {
 		if text, err := os.ReadFile(d.Log()); err == nil && strings.Contains(string(text), node.LocalRollbackMessage) {
-			x.Alone++
+			x.SelfRollbacks++
 		}
 	}
-	x.SpoiltAt, x.PulledAt = at(r.trial.Spoilt), at(r.trial.Verdict)
-	if r.s.Arm == Good && x.Pulled > 0 {
+	x.SpoiltAt, x.PulledAt = at(r.trial.Spoilt), at(r.trial.RolledBackAt)
+	if r.schedule.Arm == Good && x.Pulled > 0 {
 		x.Why = "wrongly: " + x.Why
 	}
 	return bad
@@ -383,18 +383,18 @@
 	return "pulled back"
 }
 
-// Spread is the middle and the worst of some times.
-type Spread struct {
+// Distribution is the middle and the worst of some times.
+type Distribution struct {
 	Half  time.Duration `json:"half"`
 	Worst time.Duration `json:"worst"`
 }
 
-func spreadOf(all []time.Duration) (s Spread) {
+func distributionOf(all []time.Duration) (s Distribution) {
 	if len(all) == 0 {
 		return s
 	}
 	slices.Sort(all)
-	return Spread{all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond)}
+	return Distribution{all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond)}
 }
 
 // RolloutSum sums up roll-outs.
@@ -402,9 +402,9 @@
 	Runs     int                    `json:"runs"`
 	Broke    int                    `json:"broke"`  // runs that broke a rule
 	Pulled   int                    `json:"pulled"` // at all nodes
-	Verdict  Spread                 `json:"verdict"`
-	LastNode Spread                 `json:"last_node"`
-	Last     Spread                 `json:"last"`
+	Verdict  Distribution           `json:"verdict"`
+	LastNode Distribution           `json:"last_node"`
+	Last     Distribution           `json:"last"`
 	Met      [2]int                 `json:"met"`    // median and most of the requests that met it
 	Failed   [2]int                 `json:"failed"` // of these
 	Asked    int64                  `json:"asked"`
@@ -439,7 +439,7 @@
 		s.Reads.UnderWay, s.Reads.Whole = s.Reads.UnderWay+r.Reads.UnderWay, s.Reads.Whole+r.Reads.Whole
 		s.Reads.Failed, s.Reads.Off = s.Reads.Failed+r.Reads.Failed, s.Reads.Off+r.Reads.Off
 	}
-	s.Verdict, s.LastNode, s.Last = spreadOf(verdict), spreadOf(node), spreadOf(last)
+	s.Verdict, s.LastNode, s.Last = distributionOf(verdict), distributionOf(node), distributionOf(last)
 	half := func(n []int) (x [2]int) {
 		if slices.Sort(n); len(n) > 0 {
 			x = [2]int{n[len(n)/2], n[len(n)-1]}
--- a/internal/lab/faultrig/rollout_test.go
+++ b/internal/lab/faultrig/rollout_test.go
@@ -38,7 +38,7 @@
 		return r
 	}
 	s := SumRollouts([]*RolloutResult{run(5, 3*time.Second, 30), run(5, time.Second, 10), run(5, 2*time.Second, 20), run(0, 0, 900)})
-	must.Eq(t, Spread{2 * time.Second, 3 * time.Second}, s.Last)
+	must.Eq(t, Distribution{2 * time.Second, 3 * time.Second}, s.Last)
 	must.Eq(t, [2]int{20, 30}, s.Met) // of those that were pulled back
 	must.Eq(t, 3, s.Pulled)
 	must.Eq(t, 4, s.Why["never sent on"])
--- a/internal/lab/faultrig/spans.go
+++ b/internal/lab/faultrig/spans.go
@@ -18,10 +18,10 @@
 
 // The losses.
 const (
-	Killed  Loss = "the leader is killed"
-	Frozen  Loss = "the leader is frozen"
-	CutOff  Loss = "the leader is cut off from all nodes" // of a debug build
-	Emptied Loss = "all nodes are killed and started again at once"
+	Killed      Loss = "the leader is killed"
+	Frozen      Loss = "the leader is frozen"
+	Partitioned Loss = "the leader is cut off from all nodes" // of a debug build
+	Emptied     Loss = "all nodes are killed and started again at once"
 )
 
 // lossFor is how long a leader stays frozen, cut off or dead.
@@ -48,8 +48,8 @@
 	if err != nil {
 		return nil, err
 	}
-	defer h.leave()
-	if err := h.t.Start(); err != nil {
+	defer h.cancelRequests()
+	if err := h.deployment.Start(); err != nil {
 		return nil, err
 	}
 	all, cancel := context.WithCancel(ctx)
@@ -57,8 +57,8 @@
 	defer side.Wait()
 	defer cancel()
 	side.Go(func() { h.load.Watch(all) })
-	h.t.Operator.Pause = 30 * time.Millisecond // the nodes' time counts, not the operator's
-	if !h.t.Operator.Open(all) {
+	h.deployment.Operator.MaxRetryInterval = 30 * time.Millisecond // the nodes' time counts, not the operator's
+	if !h.deployment.Operator.Open(all) {
 		return nil, fmt.Errorf("no first configuration is taken: %w", ctx.Err())
 	}
 	side.Go(func() { h.load.Open(all) })
@@ -69,11 +69,11 @@
 			out[i].Loss = l
 			for aside := 0; ; aside++ {
 				s, slow, err := h.watched(all, l, rng)
-				if err == nil && slow <= slowMost {
+				if err == nil && slow <= maxRigStall {
 					out[i].take(s, slow)
 					break
 				}
-				if ctx.Err() != nil || slow <= slowMost || aside == asideMost {
+				if ctx.Err() != nil || slow <= maxRigStall || aside == asideMost {
 					return out, fmt.Errorf("try %d, %s, held up for %s: %w", try, l, slow, errors.Join(err, ctx.Err()))
 				}
 				out[i].Aside++
@@ -109,11 +109,11 @@
 
 // lose takes the leader away and waits for what it measures.
 func (g *gatewayRun) lose(ctx context.Context, s *Spans, leader *gatewaystandin.Node, view uint64) (err error) {
-	rest := slices.DeleteFunc(slices.Clone(g.t.Nodes), func(d *gatewaystandin.Node) bool { return d == leader })
+	rest := slices.DeleteFunc(slices.Clone(g.deployment.Nodes), func(d *gatewaystandin.Node) bool { return d == leader })
 	part := func(off bool) {
 		for _, d := range rest {
-			leader.Part(d, off)
-			d.Part(leader, off)
+			leader.SetLinkDown(d, off)
+			d.SetLinkDown(leader, off)
 		}
 	}
 	began := time.Now()
@@ -121,8 +121,8 @@
 	case Killed:
 		go leader.Kill()
 	case Frozen:
-		leader.Hold(true, string(s.Loss))
-	case CutOff:
+		leader.Suspend(true, string(s.Loss))
+	case Partitioned:
 		part(true)
 	}
 	late, cancel := context.WithTimeout(ctx, recoverMost)
@@ -137,7 +137,7 @@
 	var taken time.Duration
 	side.Go(func() {
 		for late.Err() == nil && taken == 0 {
-			if g.t.Operator.Change(late) {
+			if g.deployment.Operator.Change(late) {
 				taken = time.Since(began)
 			}
 		}
@@ -147,8 +147,8 @@
 	case Killed:
 		err = leader.Again()
 	case Frozen:
-		leader.Hold(false, string(s.Loss))
-	case CutOff:
+		leader.Suspend(false, string(s.Loss))
+	case Partitioned:
 		part(false)
 	}
 	side.Wait()
@@ -162,10 +162,10 @@
 // empty kills all nodes and starts them again.
 func (g *gatewayRun) empty(ctx context.Context, s *Spans) error {
 	began, killed := time.Now(), history.Now()
-	g.each(g.t.Nodes, kill)
+	g.each(g.deployment.Nodes, kill)
 	var side sync.WaitGroup
 	defer side.Wait()
-	side.Go(func() { g.each(g.t.Nodes, again) })
+	side.Go(func() { g.each(g.deployment.Nodes, again) })
 	if bad := g.recovers(ctx, string(s.Loss)); len(bad) > 0 {
 		return fmt.Errorf("%s", bad[0])
 	}
@@ -191,17 +191,17 @@
 	served := map[string]bool{}
 	for _, e := range all {
 		switch {
-		case e.T < after:
-		case e.Kind == history.Asked:
+		case e.Time < after:
+		case e.Kind == history.Requested:
 			sent = append(sent, e)
-		case e.Kind == history.Answered && e.N >= 200 && e.N < 300:
+		case e.Kind == history.Answered && e.Number >= 200 && e.Number < 300:
 			served[e.Txn] = true
 		}
 	}
 	for i, first := range sent {
 		n, good := 0, 0
 		for _, e := range sent[i:] {
-			if e.T > first.T+quarterOf {
+			if e.Time > first.Time+quarterOf {
 				break
 			}
 			if n++; served[e.Txn] {
@@ -209,7 +209,7 @@
 			}
 		}
 		if n >= quarterMin && 4*good >= n && served[first.Txn] {
-			return first.T - after, true
+			return first.Time - after, true
 		}
 	}
 	return 0, false
@@ -220,7 +220,7 @@
 	late, cancel := context.WithTimeout(ctx, recoverMost)
 	defer cancel()
 	for late.Err() == nil {
-		if d, view := g.t.Leader(late); d != nil {
+		if d, view := g.deployment.Leader(late); d != nil {
 			return d, view, nil
 		}
 		sleep(late, 50*time.Millisecond)
@@ -229,8 +229,8 @@
 		return nil, 0, ctx.Err()
 	}
 	text := ""
-	for _, d := range g.t.Nodes {
-		text += "\n" + d.Name + ": " + g.t.Tells(d)
+	for _, d := range g.deployment.Nodes {
+		text += "\n" + d.Name + ": " + g.deployment.NodeStatus(d)
 	}
 	return nil, 0, fmt.Errorf("not all is well after %s:%s", recoverMost, text)
 }
@@ -238,11 +238,11 @@
 // another waits until another of the core leads a newer view.
 func (g *gatewayRun) another(ctx context.Context, than *gatewaystandin.Node, view uint64) bool {
 	for ctx.Err() == nil {
-		for _, d := range g.t.Cores() {
+		for _, d := range g.deployment.Cores() {
 			if d == than {
 				continue
 			}
-			if s := g.t.Status(ctx, d, time.Second); s != nil && s.Core != nil && s.Core.Role == "leading" && s.Core.View > view {
+			if s := g.deployment.Status(ctx, d, time.Second); s != nil && s.Core != nil && s.Core.Role == "leading" && s.Core.View > view {
 				return true
 			}
 		}
--- a/internal/lab/gatewaystandin/backend.go
+++ b/internal/lab/gatewaystandin/backend.go
@@ -22,46 +22,46 @@
 	"clovergap/internal/lab/standin"
 )
 
-// Line is a backend of the gateway with its beats, in one life: an extra with a line to say.
-type Line struct {
+// HeartbeatBackend is a backend of the gateway with its beats, in one life: an extra with a line to say.
+type HeartbeatBackend struct {
 	*standin.Backend
 	Service, Zone string
 	Version       string // generation in its beats
-	t             *Deployment
-	left          atomic.Bool
-	phase         atomic.Bool // it drains
+	deployment    *Deployment
+	deregistered  atomic.Bool
+	draining      atomic.Bool // it drains
 	seq           atomic.Uint64
 	cancel        context.CancelFunc
 	mu            sync.Mutex
 	target        string // of its next beats, if it was given one
 	from          time.Time
-	cold          time.Duration
+	slowStart     time.Duration
 }
 
 // What a backend takes, and how long it works.
 const (
-	SlotsEach  = 4 // of the small deployment
-	QueueEach  = 6
-	BeatsMost  = 1 * time.Second // an acknowledgement counts within it
-	ackMost    = 4 << 10
-	DrainSlack = 1500 * time.Millisecond // and a little longer
-	GivesUp    = 6 * time.Second         // of a drain that nobody acknowledges
+	SlotsEach        = 4 // of the small deployment
+	QueueEach        = 6
+	HeartbeatTimeout = 1 * time.Second // an acknowledgement counts within it
+	maxAckBytes      = 4 << 10
+	DrainSlack       = 1500 * time.Millisecond // and a little longer
+	DrainTimeout     = 6 * time.Second         // of a drain that nobody acknowledges
 )
 
 // Read takes a request by the protocol; health and what can't be one are answered at once.
-func (l *Line) Read(_ *standin.Backend, w http.ResponseWriter, r *http.Request) standin.Task {
+func (h *HeartbeatBackend) Read(_ *standin.Backend, w http.ResponseWriter, r *http.Request) standin.Task {
 	if r.URL.Path == "/health" {
-		w.Header().Set("X-Backend-Id", l.ID)
-		if l.phase.Load() {
+		w.Header().Set("X-Backend-Id", h.ID)
+		if h.draining.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return standin.Task{}
 	}
-	t := standin.Task{ID: r.Header.Get("X-Attempt-Id"), Kind: l.t.kind(l.Service, r.URL.Path), Tenant: r.Header.Get("X-Tenant"),
+	t := standin.Task{ID: r.Header.Get("X-Attempt-Id"), Kind: h.deployment.kind(h.Service, r.URL.Path), Tenant: r.Header.Get("X-Tenant"),
 		At: r.URL.Path}
 	refuse := func(status int) standin.Task {
 		if t.ID != "" {
-			l.t.Terms.History.Add(history.Event{Who: l.ID, Kind: history.Turned, Txn: t.ID,
+			h.deployment.Config.History.Add(history.Event{Who: h.ID, Kind: history.Rejected, Txn: t.ID,
 				What: strconv.Itoa(status)})
 		}
 		w.Header().Set("X-Not-Run", "1")
@@ -72,41 +72,41 @@
 	if t.ID == "" {
 		return refuse(http.StatusBadRequest)
 	}
-	if who := r.Header.Get("X-Expect-Backend"); who != "" && who != l.ID {
+	if who := r.Header.Get("X-Expect-Backend"); who != "" && who != h.ID {
 		return refuse(http.StatusMisdirectedRequest)
 	}
 	if ms, err := strconv.ParseFloat(r.Header.Get("X-Deadline-Ms"), 64); err == nil {
 		t.Within = time.Duration(max(ms, 1) * float64(time.Millisecond))
 	}
-	l.spoil(&t, r)
+	h.spoil(&t, r)
 	return t
 }
 
-// Held tells nothing: backends of the gateway report no load.
-func (l *Line) Held(http.ResponseWriter, int64) {}
+// SetLoadHeader tells nothing: backends of the gateway report no load.
+func (h *HeartbeatBackend) SetLoadHeader(http.ResponseWriter, int64) {}
 
-// TurnAway says that the request has not run.
-func (l *Line) TurnAway(w http.ResponseWriter, t standin.Task) {
+// Reject says that the request has not run.
+func (h *HeartbeatBackend) Reject(w http.ResponseWriter, t standin.Task) {
 	w.Header().Set("X-Not-Run", "1")
 	w.Header().Set("X-Attempt-Id", t.ID)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Heads seals an answer.
-func (l *Line) Heads(_ *standin.Backend, w http.ResponseWriter, t standin.Task) {
-	l.record(t)
+// SetHeaders seals an answer.
+func (h *HeartbeatBackend) SetHeaders(_ *standin.Backend, w http.ResponseWriter, t standin.Task) {
+	h.record(t)
 	w.Header().Set("X-Attempt-Id", t.ID)
 	if !t.Bare {
-		w.Header().Set("X-Backend-Seal", sealOf(l.ID, t.ID))
+		w.Header().Set("X-Backend-Seal", sealOf(h.ID, t.ID))
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	if l.phase.Load() {
+	if h.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
 // Add starts a backend that is slow for a while, and lets it beat.
-func (d *Deployment) Add(service, zone string, cold time.Duration) (*Line, error) {
+func (d *Deployment) Add(service, zone string, cold time.Duration) (*HeartbeatBackend, error) {
 	return d.AddVersion(service, zone, FirstVersion, cold)
 }
 
@@ -114,19 +114,19 @@
 const FirstVersion = "v1"
 
 // AddVersion is Add with the version that the backend beats with.
-func (d *Deployment) AddVersion(service, zone, version string, cold time.Duration) (*Line, error) {
+func (d *Deployment) AddVersion(service, zone, version string, cold time.Duration) (*HeartbeatBackend, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
 		return nil, errors.New("the deployment is closed")
 	}
-	d.lives++
-	src := rand.New(rand.NewPCG(d.Terms.Seed, 0xbac0+uint64(d.lives)))
+	d.incarnations++
+	src := rand.New(rand.NewPCG(d.Config.Seed, 0xbac0+uint64(d.incarnations)))
 	var draw sync.Mutex
-	l := &Line{Service: service, Zone: zone, Version: version, t: d, from: time.Now(), cold: cold}
-	b, err := standin.NewSpeaking(l, d.Terms.History, fmt.Sprintf("i-%s-%d", service, d.lives), zone, d.play().slots,
+	l := &HeartbeatBackend{Service: service, Zone: zone, Version: version, deployment: d, from: time.Now(), slowStart: cold}
+	b, err := standin.NewSpeaking(l, d.Config.History, fmt.Sprintf("i-%s-%d", service, d.incarnations), zone, d.play().slots,
 		QueueEach,
-		d.Terms.Seed+uint64(d.lives), func(kind string) time.Duration {
+		d.Config.Seed+uint64(d.incarnations), func(kind string) time.Duration {
 			draw.Lock()
 			defer draw.Unlock()
 			return time.Duration(float64(d.work(kind)) * (0.5 + min(src.ExpFloat64(), longestDraw)/2))
@@ -137,37 +137,37 @@
 	l.Backend = b
 	ctx, cancel := context.WithCancel(d.ctx)
 	l.cancel = cancel
-	d.outputs, d.all = append(d.outputs, l), append(d.all, l)
-	d.wg.Add(1)
-	go func() { defer d.wg.Done(); l.beats(ctx) }()
+	d.registered, d.all = append(d.registered, l), append(d.all, l)
+	d.tasks.Add(1)
+	go func() { defer d.tasks.Done(); l.sendHeartbeats(ctx) }()
 	return l, nil
 }
 
-func (d *Deployment) remove(l *Line) {
+func (d *Deployment) remove(l *HeartbeatBackend) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.outputs = slices.DeleteFunc(d.outputs, func(x *Line) bool { return x == l })
+	d.registered = slices.DeleteFunc(d.registered, func(x *HeartbeatBackend) bool { return x == l })
 }
 
 // Crash ends it without a word.
-func (l *Line) Crash() { l.end(false) }
+func (h *HeartbeatBackend) Crash() { h.end(false) }
 
 // end ends it: in order, after a drain, or not.
-func (l *Line) end(drained bool) {
-	l.t.Terms.History.Add(BackendEnds(l.ID, drained))
-	l.left.Store(true)
-	l.cancel()
-	l.t.remove(l)
-	l.Set(standin.Mode{Down: true})
-	l.Backend.Close()
+func (h *HeartbeatBackend) end(drained bool) {
+	h.deployment.Config.History.Add(BackendEnds(h.ID, drained))
+	h.deregistered.Store(true)
+	h.cancel()
+	h.deployment.remove(h)
+	h.Set(standin.Mode{Down: true})
+	h.Backend.Close()
 }
 
-// beats says every so often that it is there, and at once when asked again too early.
-func (l *Line) beats(ctx context.Context) {
-	tick := time.NewTicker(l.t.Terms.Beat)
+// sendHeartbeats says every so often that it is there, and at once when asked again too early.
+func (h *HeartbeatBackend) sendHeartbeats(ctx context.Context) {
+	tick := time.NewTicker(h.deployment.Config.HeartbeatInterval)
 	defer tick.Stop()
 	for {
-		l.say(ctx, "Heartbeat")
+		h.say(ctx, "Heartbeat")
 		select {
 		case <-ctx.Done():
 			return
@@ -178,31 +178,31 @@
 
 // say calls nodes in turn, the one it was told first, until one acknowledges; nobody for a whole round is
 // left for the next time.
-func (l *Line) say(ctx context.Context, what string) bool {
-	l.mu.Lock()
-	first := l.target
-	l.mu.Unlock()
+func (h *HeartbeatBackend) say(ctx context.Context, what string) bool {
+	h.mu.Lock()
+	first := h.target
+	h.mu.Unlock()
 	try := func(to string) bool {
 		phase := controlapi.Ready
-		if l.phase.Load() {
+		if h.draining.Load() {
 			phase = controlapi.Draining
 		}
-		body, _ := json.Marshal(controlapi.Heartbeat{Address: l.Addr, CallSeq: l.seq.Add(1), Capacity: l.t.play().slots,
-			Generation: l.Version, Phase: phase,
+		body, _ := json.Marshal(controlapi.Heartbeat{Address: h.Addr, CallSeq: h.seq.Add(1), Capacity: h.deployment.play().slots,
+			Generation: h.Version, Phase: phase,
 			ColdLeft: fmt.Sprintf("%dms", max(0,
-				l.cold-time.Since(l.from)).Milliseconds()), Target: l.Service, Zone: l.Zone})
-		status, text, err := l.t.post(ctx, to, "/api/Backends."+what+"/"+l.ID, body, BeatsMost)
-		if err != nil || status/100 != 2 || len(text) > ackMost {
+				h.slowStart-time.Since(h.from)).Milliseconds()), Target: h.Service, Zone: h.Zone})
+		status, text, err := h.deployment.post(ctx, to, "/api/Backends."+what+"/"+h.ID, body, HeartbeatTimeout)
+		if err != nil || status/100 != 2 || len(text) > maxAckBytes {
 			return false
 		}
 		var a controlapi.HeartbeatAnswer
 		if json.Unmarshal(text, &a) == nil && a.BeatTarget != "" {
-			l.mu.Lock()
-			l.target = a.BeatTarget
-			l.mu.Unlock()
+			h.mu.Lock()
+			h.target = a.BeatTarget
+			h.mu.Unlock()
 		}
 		if phase == controlapi.Draining || what == "Leave" {
-			l.t.Terms.History.Add(history.Event{Who: to, Kind: history.Told, At: l.ID, What: "Terminating"})
+			h.deployment.Config.History.Add(history.Event{Who: to, Kind: history.Notified, Target: h.ID, What: "Terminating"})
 		}
 		return true
 	}
@@ -210,16 +210,16 @@
 		if try(first) {
 			return true
 		}
-		l.mu.Lock()
-		l.target = ""
-		l.mu.Unlock()
+		h.mu.Lock()
+		h.target = ""
+		h.mu.Unlock()
 	}
-	from := int(l.seq.Load()) + len(l.ID)
-	for i := range l.t.Nodes {
+	from := int(h.seq.Load()) + len(h.ID)
+	for i := range h.deployment.Nodes {
 		if ctx.Err() != nil {
 			return false
 		}
-		if to := l.t.Nodes[(from+i)%len(l.t.Nodes)].Control; to != first && try(to) {
+		if to := h.deployment.Nodes[(from+i)%len(h.deployment.Nodes)].Control; to != first && try(to) {
 			return true
 		}
 	}
@@ -228,19 +228,19 @@
 
 // Drain lets it leave in order: it says so, serves for the drain after the acknowledgement and a little
 // longer, leaves and ends. It returns when it has ended.
-func (l *Line) Drain(ctx context.Context) (acknowledged bool) {
-	l.phase.Store(true)
-	until := time.Now().Add(GivesUp)
+func (h *HeartbeatBackend) Drain(ctx context.Context) (acknowledged bool) {
+	h.draining.Store(true)
+	until := time.Now().Add(DrainTimeout)
 	for !acknowledged && ctx.Err() == nil && time.Now().Before(until) {
-		if acknowledged = l.say(ctx, "Heartbeat"); !acknowledged {
-			pause(ctx, 200*time.Millisecond)
+		if acknowledged = h.say(ctx, "Heartbeat"); !acknowledged {
+			sleep(ctx, 200*time.Millisecond)
 		}
 	}
-	pause(ctx, Bounds().BackendDrain+DrainSlack)
+	sleep(ctx, Bounds().BackendDrain+DrainSlack)
 	if acknowledged {
-		l.say(ctx, "Leave")
+		h.say(ctx, "Leave")
 	}
-	l.end(true)
+	h.end(true)
 	return acknowledged
 }
 
@@ -280,8 +280,8 @@
 	return status, text, nil
 }
 
-// pause waits, or until the context ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/lab/gatewaystandin/calm_rules.go
+++ b/internal/lab/gatewaystandin/calm_rules.go
@@ -43,31 +43,31 @@
 	events map[string][]time.Duration // of each node: ends, starts, stops, goes
 	core   []time.Duration
 	off    off
-	gaps   []gap
+	gaps   []linkOutage
 	cores  []string
 }
 
 const always = time.Duration(1<<63 - 1)
 
 func newCalm(h []history.Event, t *Backends) *calm {
-	c := &calm{events: map[string][]time.Duration{}, off: newOff(h), gaps: gapsOf(h), cores: t.Cores}
+	c := &calm{events: map[string][]time.Duration{}, off: newOff(h), gaps: linkOutages(h), cores: t.Cores}
 	nodes := map[string]bool{}
 	for _, name := range t.Nodes {
 		nodes[name] = true
 	}
 	for _, e := range h {
 		switch core := slices.Contains(c.cores, e.Who); e.Kind {
-		case history.Down, history.Stopped, history.Up, history.Goes, Terminates, Troubled, Eased:
+		case history.Down, history.Paused, history.Up, history.Resumed, Terminates, Troubled, Eased:
 			if !nodes[e.Who] {
 				continue
 			}
-			c.events[e.Who] = append(c.events[e.Who], e.T)
+			c.events[e.Who] = append(c.events[e.Who], e.Time)
 			if core {
-				c.core = append(c.core, e.T)
+				c.core = append(c.core, e.Time)
 			}
-		case Parted, Joined: // of a cut, both ends must be of the core to unsettle it
-			if core && slices.Contains(c.cores, e.At) {
-				c.core = append(c.core, e.T)
+		case LinkDown, LinkUp: // of a cut, both ends must be of the core to unsettle it
+			if core && slices.Contains(c.cores, e.Target) {
+				c.core = append(c.core, e.Time)
 			}
 		}
 	}
@@ -85,12 +85,12 @@
 		switch {
 		case e.Kind == history.Down || slices.Contains(downs, e.Kind):
 			begins = history.Down
-		case e.Kind == history.Stopped || e.Kind == Troubled:
+		case e.Kind == history.Paused || e.Kind == Troubled:
 			begins = e.Kind
 		case e.Kind == history.Up:
 			ends = history.Down
-		case e.Kind == history.Goes:
-			ends = history.Stopped
+		case e.Kind == history.Resumed:
+			ends = history.Paused
 		case e.Kind == Eased:
 			ends = Troubled
 		default:
@@ -100,10 +100,10 @@
 			open[e.Who] = map[history.Kind]time.Duration{}
 		}
 		if _, is := open[e.Who][begins]; begins != "" && !is { // a kill is told when it is sent, and when it is seen
-			open[e.Who][begins] = e.T
+			open[e.Who][begins] = e.Time
 		}
 		if from, is := open[e.Who][ends]; is {
-			o[e.Who] = append(o[e.Who], [2]time.Duration{from, e.T})
+			o[e.Who] = append(o[e.Who], [2]time.Duration{from, e.Time})
 			delete(open[e.Who], ends)
 		}
 	}
@@ -126,9 +126,9 @@
 		switch {
 		case e.Who != node:
 		case e.Kind == Terminates:
-			told = min(told, e.T)
+			told = min(told, e.Time)
 		case e.Kind == history.Down:
-			if e.T-told > Bounds().ShutdownGrace-graceNear && e.T-at < graceNear/3 && at-e.T < graceNear/3 {
+			if e.Time-told > Bounds().ShutdownGrace-graceNear && e.Time-at < graceNear/3 && at-e.Time < graceNear/3 {
 				return true
 			}
 			told = always
@@ -146,8 +146,8 @@
 	return slices.ContainsFunc(all, func(t time.Duration) bool { return t >= from && t <= to })
 }
 
-// settled tells whether the core was, for a whole time.
-func (c *calm) settled(from, to time.Duration) bool {
+// coreStable tells whether the core was, for a whole time.
+func (c *calm) coreStable(from, to time.Duration) bool {
 	begin := from - Bounds().InTouch
 	return !between(c.core, begin, to) && slices.ContainsFunc(c.cores, func(who string) bool {
 		return !c.off.meets(who, begin, to) && c.reaches(who, begin, to, true)
@@ -157,7 +157,7 @@
 // touch tells whether a node was in touch for a whole time.
 func (c *calm) touch(node string, from, to time.Duration) bool {
 	begin := from - Bounds().InTouch
-	return !between(c.events[node], begin, to) && !c.off.meets(node, begin, to) && c.settled(from, to) &&
+	return !between(c.events[node], begin, to) && !c.off.meets(node, begin, to) && c.coreStable(from, to) &&
 		!slices.ContainsFunc(c.cores, func(o string) bool { // without a path to one that has to do with most of the core
 			return !c.off.meets(o, begin, to) && c.reaches(o, begin, to, false) && !c.joined(node, o, begin, to, true)
 		})
--- a/internal/lab/gatewaystandin/clients.go
+++ b/internal/lab/gatewaystandin/clients.go
@@ -21,61 +21,61 @@
 
 // Clients ask nodes by host and path with their tenants' keys, and try again as the protocol says.
 type Clients struct {
-	t     *Deployment
-	Rate  func() float64 // requests a second now
-	Leave float64        // share of requests whose client gives up early
-	http  *http.Client
-	fresh *http.Client // a new connection for each
-	rng   *rand.Rand
-	next  atomic.Uint64
-
-	mu     sync.Mutex
-	by     standin.Outcome
-	status map[int]int // by the last try's answer; nought: none
-	kinds  map[string]*standin.Outcome
-	known  Known
-	missed []int // times in a row that a node was not ready
-	heard  []bool
+	deployment  *Deployment
+	Rate        func() float64 // requests a second now
+	CancelShare float64        // share of requests whose client gives up early
+	http        *http.Client
+	fresh       *http.Client // a new connection for each
+	rng         *rand.Rand
+	next        atomic.Uint64
+
+	mu      sync.Mutex
+	outcome standin.Outcome
+	status  map[int]int // by the last try's answer; nought: none
+	kinds   map[string]*standin.Outcome
+	known   Known
+	missed  []int // times in a row that a node was not ready
+	ready   []bool
 }
 
-// listens is how long after its time a client still listens: an answer that comes late is told from none.
-const listens = time.Second
+// responseGrace is how long after its time a client still listens: an answer that comes late is told from none.
+const responseGrace = time.Second
 
-// TriesMost of one request, by its client.
-const TriesMost = 4
+// MaxAttempts of one request, by its client.
+const MaxAttempts = 4
 
-// goneMost routes that were taken away are asked on.
-const goneMost = 4
+// maxRemovedRoutes routes that were taken away are asked on.
+const maxRemovedRoutes = 4
 
 // NewClients makes clients; watch must be called for them to know which nodes are ready.
 func NewClients(t *Deployment) *Clients {
 	dial := (&net.Dialer{Timeout: time.Second}).DialContext
-	rate := t.Terms.Rate
-	return &Clients{t: t, Rate: func() float64 { return rate }, rng: t.source(0xc11e), status: map[int]int{},
+	rate := t.Config.Rate
+	return &Clients{deployment: t, Rate: func() float64 { return rate }, rng: t.source(0xc11e), status: map[int]int{},
 		kinds: map[string]*standin.Outcome{},
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32, IdleConnTimeout: 10 * time.Second,
 			DisableCompression: true,
 			DialContext:        dial}},
 		fresh: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 			DialContext: dial}},
-		missed: make([]int, len(t.Nodes)), heard: make([]bool, len(t.Nodes))}
+		missed: make([]int, len(t.Nodes)), ready: make([]bool, len(t.Nodes))}
 }
 
 // Watch asks every node each second whether it is ready, as the platform does, until the context ends.
 func (c *Clients) Watch(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i, d := range c.t.Nodes {
+	for i, d := range c.deployment.Nodes {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for ctx.Err() == nil {
-				yes, _ := c.t.ready(ctx, d)
+				yes, _ := c.deployment.ready(ctx, d)
 				c.mu.Lock()
 				if c.missed[i]++; yes {
-					c.missed[i], c.heard[i] = 0, true
+					c.missed[i], c.ready[i] = 0, true
 				}
 				c.mu.Unlock()
-				pause(ctx, time.Second)
+				sleep(ctx, time.Second)
 			}
 		}()
 	}
@@ -94,11 +94,11 @@
 	return n
 }
 
-func (c *Clients) in(i int) bool { return c.heard[i] && c.missed[i] < 2 }
+func (c *Clients) in(i int) bool { return c.ready[i] && c.missed[i] < 2 }
 
 // node is where the platform passes a new connection of a zone; the lock is held.
 func (c *Clients) node(zone string) *Node {
-	return c.t.Nodes[Pass(c.rng, zone, len(c.t.Nodes), func(i int) string { return c.t.Nodes[i].Zone }, c.in)]
+	return c.deployment.Nodes[Pass(c.rng, zone, len(c.deployment.Nodes), func(i int) string { return c.deployment.Nodes[i].Zone }, c.in)]
 }
 
 // Pass chooses where the platform passes a new connection of a zone, by which nodes are in.
@@ -126,20 +126,20 @@
 	return ready[rng.IntN(len(ready))]
 }
 
-// Want is one request of a client.
-type Want struct {
+// Request is one request of a client.
+type Request struct {
 	Kind, Host, Path, Tenant, Key string
 	Effectful                     bool
-	Aim, Deadline                 time.Duration
+	LatencyTarget, Deadline       time.Duration
 	Zone                          string
 	User                          int    // from 1; nought: nobody in particular
-	Mark                          string // the client's own
+	ClientID                      string // the client's own
 	Bytes                         int    // of the answer
 }
 
 // wantFrom is a request of a zone, with the times that most have.
-func wantFrom(rng *rand.Rand, zones []string) Want {
-	return Want{Zone: zones[rng.IntN(len(zones))], Aim: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond}
+func wantFrom(rng *rand.Rand, zones []string) Request {
+	return Request{Zone: zones[rng.IntN(len(zones))], LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond}
 }
 
 // Known are the routes that come and go, as clients know them.
@@ -151,7 +151,7 @@
 	for _, g := range k.guests {
 		if !slices.ContainsFunc(now, func(x routing.ConfigRoute) bool { return x.Name == g.Name }) {
 			k.gone = append(k.gone, g)
-			k.gone = k.gone[max(0, len(k.gone)-goneMost):]
+			k.gone = k.gone[max(0, len(k.gone)-maxRemovedRoutes):]
 		}
 	}
 	k.guests = now
@@ -164,17 +164,17 @@
 	c.known.Learn(b)
 }
 
-func (c *Clients) draw() Want {
+func (c *Clients) draw() Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.t.Terms.Play; p != nil {
-		return c.known.drawPlay(p, c.rng, c.t.Terms.Zones)
+	if p := c.deployment.Config.Play; p != nil {
+		return c.known.drawPlay(p, c.rng, c.deployment.Config.Zones)
 	}
-	return c.known.Draw(c.rng, c.t.Terms.Zones)
+	return c.known.Draw(c.rng, c.deployment.Config.Zones)
 }
 
 // Draw draws a request in the small deployment.
-func (k *Known) Draw(rng *rand.Rand, zones []string) Want {
+func (k *Known) Draw(rng *rand.Rand, zones []string) Request {
 	w := wantFrom(rng, zones)
 	switch x := rng.IntN(100); {
 	case x < 50:
@@ -191,7 +191,7 @@
 		w.Kind, w.Host, w.Path, w.Tenant, w.Key = "r-lobby", hostProgramme, "/lobby/", "", ""
 	case x < 85 || len(k.guests) == 0:
 		w.Kind, w.Host, w.Path, w.Effectful = "r-book", hostTickets, "/book/", true
-		w.Aim, w.Deadline = 500*time.Millisecond, 2*time.Second
+		w.LatencyTarget, w.Deadline = 500*time.Millisecond, 2*time.Second
 	default:
 		k.drawGuest(rng, &w)
 	}
@@ -200,7 +200,7 @@
 }
 
 // drawGuest asks by a route that comes and goes, of which there is one at the least.
-func (k *Known) drawGuest(rng *rand.Rand, w *Want) {
+func (k *Known) drawGuest(rng *rand.Rand, w *Request) {
 	g := k.guests[rng.IntN(len(k.guests))]
 	if len(k.gone) > 0 && rng.IntN(4) == 0 {
 		g = k.gone[rng.IntN(len(k.gone))]
@@ -209,14 +209,14 @@
 }
 
 // ComesAndGoes tells whether a request asks by a route that the first configuration does not have.
-func ComesAndGoes(w *Want) bool { return w.Host == hostGuests }
+func ComesAndGoes(w *Request) bool { return w.Host == hostGuests }
 
 // probeMost is what a probe waits.
 const probeMost = 2 * time.Second
 
 // Probes are a request by each of the small deployment's first routes.
-func Probes() []Want {
-	all := []Want{{Kind: "r-lobby", Host: hostProgramme, Path: "/lobby/probe"},
+func Probes() []Request {
+	all := []Request{{Kind: "r-lobby", Host: hostProgramme, Path: "/lobby/probe"},
 		{Kind: "r-browse", Host: hostProgramme, Path: "/browse/probe", Tenant: "patrons", Key: "patronskey1"},
 		{Kind: "r-book", Host: hostTickets, Path: "/book/probe", Tenant: "patrons", Key: "patronskey2", Effectful: true}}
 	for i := range all {
@@ -226,8 +226,8 @@
 }
 
 // One asks a node by a route, once, without a client's further tries.
-func (c *Clients) One(ctx context.Context, d *Node, w Want) int {
-	status, _, _ := c.try(ctx, c.fresh, d, w, w.Deadline, always)
+func (c *Clients) One(ctx context.Context, d *Node, w Request) int {
+	status, _, _ := c.attempt(ctx, c.fresh, d, w, w.Deadline, always)
 	return status
 }
 
@@ -242,19 +242,19 @@
 }
 
 // probes are one request by each of the first routes.
-func (c *Clients) probes() []Want {
-	if p := c.t.Terms.Play; p != nil {
+func (c *Clients) probes() []Request {
+	if p := c.deployment.Config.Play; p != nil {
 		return c.playProbes(p)
 	}
 	return Probes()
 }
 
-// try sends one try by its own id. Its client leaves after the time that it stays, at the latest a while after its deadline.
-func (c *Clients) try(ctx context.Context, with *http.Client, d *Node, w Want,
+// attempt sends one try by its own id. Its client leaves after the time that it stays, at the latest a while after its deadline.
+func (c *Clients) attempt(ctx context.Context, with *http.Client, d *Node, w Request,
 	left, stays time.Duration) (status int, h http.Header, wrong bool) {
-	ctx, cancel := context.WithTimeout(ctx, min(left+listens, stays))
+	ctx, cancel := context.WithTimeout(ctx, min(left+responseGrace, stays))
 	defer cancel()
-	id := fmt.Sprintf("%08x%08x", uint32(c.t.Terms.Seed), c.next.Add(1))
+	id := fmt.Sprintf("%08x%08x", uint32(c.deployment.Config.Seed), c.next.Add(1))
 	method, text := "GET", ""
 	if w.Effectful {
 		method, text = "POST", "{\"item\":7}"
@@ -272,30 +272,30 @@
 	if w.Key != "" {
 		r.Header.Set("Authorization", "Token "+w.Key)
 	}
-	if w.Mark != "" {
-		r.Header.Set("X-Client-Mark", w.Mark)
+	if w.ClientID != "" {
+		r.Header.Set("X-Client-Mark", w.ClientID)
 	}
 	what := "pure"
 	if w.Effectful {
 		what = "effectful"
 	}
-	asked := history.Event{Who: "clients", Kind: history.Asked, Txn: id, Key: w.Tenant, At: d.Name, N: 1,
-		What: what, Due: history.Now() + left}
-	c.t.Terms.History.Add(history.Event{Who: "clients", Kind: Route, Txn: id, Key: w.Host, At: w.Path,
-		What: w.Kind, N: float64(w.User)})
-	status, h, body := standin.Try(with, c.t.Terms.History, r, asked)
+	asked := history.Event{Who: "clients", Kind: history.Requested, Txn: id, Key: w.Tenant, Target: d.Name, Number: 1,
+		What: what, Deadline: history.Now() + left}
+	c.deployment.Config.History.Add(history.Event{Who: "clients", Kind: Route, Txn: id, Key: w.Host, Target: w.Path,
+		What: w.Kind, Number: float64(w.User)})
+	status, h, body := standin.SendAndRecord(with, c.deployment.Config.History, r, asked)
 	whole := "done " + id
 	if w.Bytes > 0 {
 		whole = standin.Long(whole, w.Bytes)
 	}
 	if status/100 == 2 && (body != whole || h.Get("X-Backend-Seal") == "" || h.Get("X-Attempt-Id") != id) {
 		wrong = true
-		c.t.Terms.History.Add(history.Event{Who: "clients", Kind: Mixed, Txn: id, At: d.Name,
+		c.deployment.Config.History.Add(history.Event{Who: "clients", Kind: Mixed, Txn: id, Target: d.Name,
 			What: fmt.Sprintf("%.80q of %d bytes, seal %q", body, len(body),
 				h.Get("X-Backend-Seal"))})
 	}
 	if seal := h.Get("X-Backend-Seal"); status/100 != 2 && seal != "" {
-		c.t.Terms.History.Add(history.Event{Who: "clients", Kind: Sealed, Txn: id, At: d.Name, N: float64(status), What: seal})
+		c.deployment.Config.History.Add(history.Event{Who: "clients", Kind: Sealed, Txn: id, Target: d.Name, Number: float64(status), What: seal})
 	}
 	return status, h, wrong
 }
@@ -318,11 +318,11 @@
 }
 
 // Send sends one request, with further tries within its time.
-func (c *Clients) Send(ctx context.Context, w Want, meant time.Time) {
+func (c *Clients) Send(ctx context.Context, w Request, meant time.Time) {
 	until := meant.Add(w.Deadline)
 	status, wrong := 0, false
-	leaves := c.leaves(meant)
-	for try := 1; try <= TriesMost; try++ {
+	leaves := c.cancelTime(meant)
+	for try := 1; try <= MaxAttempts; try++ {
 		left := time.Until(until)
 		if left < 20*time.Millisecond && try > 1 {
 			break
@@ -334,7 +334,7 @@
 		}
 		c.mu.Unlock()
 		var h http.Header
-		status, h, wrong = c.try(ctx, with, d, w, max(left, time.Millisecond), time.Until(leaves))
+		status, h, wrong = c.attempt(ctx, with, d, w, max(left, time.Millisecond), time.Until(leaves))
 		if status == 0 && time.Now().After(leaves) {
 			return // it counts as no outcome: its client wants none
 		}
@@ -345,7 +345,7 @@
 		if after, err := strconv.ParseFloat(h.Get("Retry-After"), 64); err == nil {
 			wait = min(time.Duration(after*1e9), time.Until(until)/3)
 		}
-		pause(ctx, wait)
+		sleep(ctx, wait)
 	}
 	took := time.Since(meant)
 	c.mu.Lock()
@@ -356,13 +356,13 @@
 		k = &standin.Outcome{}
 		c.kinds[w.Tenant] = k
 	}
-	for _, o := range []*standin.Outcome{&c.by, k} {
+	for _, o := range []*standin.Outcome{&c.outcome, k} {
 		o.Requests++
 		switch {
 		case wrong:
 			o.Wrong++
 		case status/100 == 2:
-			if o.Settled++; took <= w.Aim {
+			if o.Settled++; took <= w.LatencyTarget {
 				o.InTime++
 			}
 		case status == 429 || status == 503:
@@ -376,16 +376,16 @@
 }
 
 // Clients that give up early do so within this.
-const leavesFrom, leavesTo = 20 * time.Millisecond, 400 * time.Millisecond
+const minCancelDelay, maxCancelDelay = 20 * time.Millisecond, 400 * time.Millisecond
 
-// leaves is when the client of a request gives up, long after its deadline for most.
-func (c *Clients) leaves(meant time.Time) time.Time {
+// cancelTime is when the client of a request gives up, long after its deadline for most.
+func (c *Clients) cancelTime(meant time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Leave <= 0 || c.rng.Float64() >= c.Leave {
+	if c.CancelShare <= 0 || c.rng.Float64() >= c.CancelShare {
 		return meant.Add(time.Hour)
 	}
-	return meant.Add(leavesFrom + time.Duration(c.rng.Int64N(int64(leavesTo-leavesFrom))))
+	return meant.Add(minCancelDelay + time.Duration(c.rng.Int64N(int64(maxCancelDelay-minCancelDelay))))
 }
 
 func (c *Clients) drawn(n int) int {
@@ -417,7 +417,7 @@
 	for s, n := range c.status {
 		status[s] = n
 	}
-	return c.by, by, status
+	return c.outcome, by, status
 }
 
 // Close ends the clients' connections.
--- a/internal/lab/gatewaystandin/config_rules.go
+++ b/internal/lab/gatewaystandin/config_rules.go
@@ -14,9 +14,9 @@
 
 // Kept checks that what was acknowledged is in the configuration read back at the end, at a time, or older than it; and what is
 // read is what was sent.
-func Kept(final *routing.Config, sent map[uint64]Version, at time.Duration) (bad []history.Broken) {
+func Kept(final *routing.Config, sent map[uint64]Version, at time.Duration) (bad []history.Violation) {
 	say := func(format string, args ...any) {
-		bad = append(bad, history.Broken{Rule: "CONFIG", T: at, What: fmt.Sprintf(format, args...)})
+		bad = append(bad, history.Violation{Rule: "CONFIG", Time: at, What: fmt.Sprintf(format, args...)})
 	}
 	parents := map[uint64]uint64{}
 	for n, v := range sent {
@@ -66,16 +66,16 @@
 }
 
 // reads: what is read is not older than what was acknowledged before it was asked.
-func reads(h []history.Event, t *Backends) (bad []history.Broken) {
+func reads(h []history.Event, t *Backends) (bad []history.Violation) {
 	for _, e := range h {
 		if e.Kind != ReadBack {
 			continue
 		}
 		for n, v := range t.Versions {
-			if v.Acked > 0 && v.Acked < e.Due && float64(n) > e.N {
-				bad = append(bad, history.Broken{Rule: "CONFIG", T: e.T, What: fmt.Sprintf(
-					"%.0f was read, asked at %.3fs, though %d was acknowledged at %.3fs", e.N,
-					e.Due.Seconds(), n, v.Acked.Seconds())})
+			if v.Acked > 0 && v.Acked < e.Deadline && float64(n) > e.Number {
+				bad = append(bad, history.Violation{Rule: "CONFIG", Time: e.Time, What: fmt.Sprintf(
+					"%.0f was read, asked at %.3fs, though %d was acknowledged at %.3fs", e.Number,
+					e.Deadline.Seconds(), n, v.Acked.Seconds())})
 			}
 		}
 	}
@@ -83,18 +83,18 @@
 }
 
 // acks: a proper order is acknowledged within its time where the core was settled all the while.
-func acks(t *Backends, c *calm, h []history.Event) (bad []history.Broken) {
-	last := h[len(h)-1].T
-	if i := slices.IndexFunc(h, func(e history.Event) bool { return e.Kind == history.Closes }); i >= 0 {
-		last = h[i].T // the operator has gone, while long reads may go on
+func acks(t *Backends, c *calm, h []history.Event) (bad []history.Violation) {
+	last := h[len(h)-1].Time
+	if i := slices.IndexFunc(h, func(e history.Event) bool { return e.Kind == history.Complete }); i >= 0 {
+		last = h[i].Time // the operator has gone, while long reads may go on
 	}
 	for n, v := range t.Versions {
 		late := v.Sent + Bounds().AckWithin
 		if v.Lost || v.Acked > 0 && v.Acked <= late || late > last {
 			continue
 		}
-		if c.settled(v.Sent, late) {
-			bad = append(bad, history.Broken{Rule: "Acks", T: late,
+		if c.coreStable(v.Sent, late) {
+			bad = append(bad, history.Violation{Rule: "Acks", Time: late,
 				What: fmt.Sprintf("%d, sent at %.3fs, has no acknowledgement by then", n,
 					v.Sent.Seconds()), Timed: true})
 		}
@@ -104,19 +104,19 @@
 
 // routes: what runs was asked so, by a service that some configuration names for it, and nodes in touch go
 // by the configurations that may be in force.
-func routes(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Broken) {
-	all, byID := triesOf(h)
-	x := &routeJudge{t: t, calm: c, slack: slack, force: t.force(newestRead(h))}
+func routes(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Violation) {
+	all, byID := attemptsOf(h)
+	x := &routeChecker{backends: t, calm: c, slack: slack, force: t.force(newestRead(h))}
 	for _, e := range Run(h) {
 		switch {
 		case e.Kind == Mixed:
-			x.bad = append(x.bad, history.Broken{Rule: "MIXED", T: e.T, Who: e.At, Txn: e.Txn, What: e.What})
+			x.bad = append(x.bad, history.Violation{Rule: "MIXED", Time: e.Time, Who: e.Target, Txn: e.Txn, What: e.What})
 		case e.Kind == history.Arrived && byID[e.Txn] == nil:
-			x.bad = append(x.bad, history.Broken{Rule: "UNASKED", T: e.T, Who: e.Who, Txn: e.Txn, What: "no client sent it"})
+			x.bad = append(x.bad, history.Violation{Rule: "UNASKED", Time: e.Time, Who: e.Who, Txn: e.Txn, What: "no client sent it"})
 		}
 	}
 	for _, r := range all {
-		x.asked(r)
+		x.checkRequested(r)
 		x.inForce(r)
 	}
 	return x.bad
@@ -126,77 +126,77 @@
 func newestRead(h []history.Event) (newest uint64) {
 	for _, e := range h {
 		if e.Kind == ReadBack {
-			newest = uint64(e.N)
+			newest = uint64(e.Number)
 		}
 	}
 	return newest
 }
 
-// routeJudge holds tries to the configurations.
-type routeJudge struct {
-	t     *Backends
-	calm  *calm
-	slack time.Duration
-	force []Version // in order; see Backends.force
-	bad   []history.Broken
+// routeChecker holds tries to the configurations.
+type routeChecker struct {
+	backends *Backends
+	calm     *calm
+	slack    time.Duration
+	force    []Version // in order; see Backends.force
+	bad      []history.Violation
 }
 
-func (r *routeJudge) say(clientTry *clientTry, rule string, timed bool, at time.Duration, format string, args ...any) {
-	r.bad = append(r.bad, history.Broken{Rule: rule, T: at, Who: clientTry.ask.At, Txn: clientTry.route.Txn, Key: clientTry.route.What,
+func (r *routeChecker) report(clientTry *clientAttempt, rule string, timed bool, at time.Duration, format string, args ...any) {
+	r.bad = append(r.bad, history.Violation{Rule: rule, Time: at, Who: clientTry.ask.Target, Txn: clientTry.route.Txn, Key: clientTry.route.What,
 		What: fmt.Sprintf(format, args...), Timed: timed})
 }
 
-// asked: what ran is what was asked, as its tenant, by a service that some configuration ever sent names for it.
-func (r *routeJudge) asked(clientTry *clientTry) {
+// checkRequested: what ran is what was asked, as its tenant, by a service that some configuration ever sent names for it.
+func (r *routeChecker) checkRequested(clientTry *clientAttempt) {
 	ever := map[string]bool{}
-	for _, v := range r.t.Versions {
+	for _, v := range r.backends.Versions {
 		for _, s := range targets(v.Config, clientTry.route) {
 			ever[s] = true
 		}
 	}
 	for _, e := range clientTry.ran {
-		if e.At != clientTry.route.At {
-			r.say(clientTry, "UNASKED", false, e.T, "asked %s, ran %s", clientTry.route.At, e.At)
+		if e.Target != clientTry.route.Target {
+			r.report(clientTry, "UNASKED", false, e.Time, "asked %s, ran %s", clientTry.route.Target, e.Target)
 		}
-		if e.Key != clientTry.ask.Key && clientTry.ask.T > 0 {
-			r.say(clientTry, "UNASKED", false, e.T, "ran as the tenant %q, its key is of %q", e.Key, clientTry.ask.Key)
+		if e.Key != clientTry.ask.Key && clientTry.ask.Time > 0 {
+			r.report(clientTry, "UNASKED", false, e.Time, "ran as the tenant %q, its key is of %q", e.Key, clientTry.ask.Key)
 		}
-		if !ever[r.t.Services[e.Who]] {
-			r.say(clientTry, "ROUTE", false, e.T, "ran at %s, of a service that no configuration names for it", e.Who)
+		if !ever[r.backends.Services[e.Who]] {
+			r.report(clientTry, "ROUTE", false, e.Time, "ran at %s, of a service that no configuration names for it", e.Who)
 		}
 	}
 }
 
 // inForce: a node in touch answers and routes by a configuration that may be in force.
-func (r *routeJudge) inForce(clientTry *clientTry) {
-	if clientTry.ask.T == 0 || len(r.force) == 0 {
+func (r *routeChecker) inForce(clientTry *clientAttempt) {
+	if clientTry.ask.Time == 0 || len(r.force) == 0 {
 		return
 	}
-	end := max(clientTry.answer.T, clientTry.ask.T)
+	end := max(clientTry.answer.Time, clientTry.ask.Time)
 	for _, e := range clientTry.ran {
-		end = max(end, e.T)
+		end = max(end, e.Time)
 	}
-	if !r.calm.touch(clientTry.ask.At, clientTry.ask.T, end) {
+	if !r.calm.touch(clientTry.ask.Target, clientTry.ask.Time, end) {
 		return
 	}
 	allowed, some, none := r.allowed(clientTry, end)
-	if code := clientTry.answer.N; !none && some && (code == 401 || code == 403 || code == 404) {
-		r.say(clientTry, "CONFIG", true, clientTry.answer.T,
+	if code := clientTry.answer.Number; !none && some && (code == 401 || code == 403 || code == 404) {
+		r.report(clientTry, "CONFIG", true, clientTry.answer.Time,
 			"answered %.0f, though every configuration that may be in force has its route and key", code)
 	}
 	for _, e := range clientTry.ran {
-		if !allowed[r.t.Services[e.Who]] {
-			r.say(clientTry, "CONFIG", true, e.T, "ran at %s, as only an older configuration allows", e.Who)
+		if !allowed[r.backends.Services[e.Who]] {
+			r.report(clientTry, "CONFIG", true, e.Time, "ran at %s, as only an older configuration allows", e.Who)
 		}
 	}
 }
 
 // allowed gives the services that versions which may be in force during a try name for it, and whether some or any of these
 // versions name one, or none.
-func (r *routeJudge) allowed(clientTry *clientTry, end time.Duration) (services map[string]bool, some, none bool) {
+func (r *routeChecker) allowed(clientTry *clientAttempt, end time.Duration) (services map[string]bool, some, none bool) {
 	from := 0
 	for i, v := range r.force {
-		if v.Acked > 0 && v.Acked+Bounds().ApplyWithin+r.slack < clientTry.ask.T {
+		if v.Acked > 0 && v.Acked+Bounds().ApplyWithin+r.slack < clientTry.ask.Time {
 			from = i
 		}
 	}
@@ -234,7 +234,7 @@
 const slowedTimes = 8
 
 // backwards: within one life a node does not go back behind a version whose effect a backend has seen.
-func backwards(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Broken) {
+func backwards(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Violation) {
 	type sight struct {
 		at     time.Duration
 		oldest int // in force, that explains it
@@ -245,7 +245,7 @@
 		switch e.Kind {
 		case Route:
 			route[e.Txn] = e
-		case history.Asked:
+		case history.Requested:
 			ask[e.Txn] = e
 		case history.Up:
 			delete(seen, e.Who)
@@ -263,22 +263,22 @@
 				continue
 			}
 			within := Bounds().RevertSlack
-			if !c.touch(a.At, a.T, e.T) {
+			if !c.touch(a.Target, a.Time, e.Time) {
 				within *= slowedTimes
 			}
 			known := 0
-			for _, s := range seen[a.At] {
-				if s.at+within+slack < a.T {
+			for _, s := range seen[a.Target] {
+				if s.at+within+slack < a.Time {
 					known = max(known, s.oldest)
 				}
 			}
 			if newest < known {
-				bad = append(bad, history.Broken{Rule: "CONFIG", T: e.T, Who: a.At, Txn: e.Txn, Key: a.Key, Timed: true, What: fmt.Sprintf(
+				bad = append(bad, history.Violation{Rule: "CONFIG", Time: e.Time, Who: a.Target, Txn: e.Txn, Key: a.Key, Timed: true, What: fmt.Sprintf(
 					"ran at %s, as no version after %d allows, though %d was seen in force", e.Who, force[newest].Config.Generation,
 					force[known].Config.Generation)})
 			}
-			if all := seen[a.At]; len(all) == 0 || all[len(all)-1].oldest < oldest {
-				seen[a.At] = append(all, sight{e.T, oldest})
+			if all := seen[a.Target]; len(all) == 0 || all[len(all)-1].oldest < oldest {
+				seen[a.Target] = append(all, sight{e.Time, oldest})
 			}
 		}
 	}
--- a/internal/lab/gatewaystandin/cuts.go
+++ b/internal/lab/gatewaystandin/cuts.go
@@ -8,39 +8,41 @@
 
 // Kinds of events of cuts: nothing that the node Who says to the node At gets there, until they are joined.
 const (
-	Parted history.Kind = "parted"
-	Joined history.Kind = "joined"
+	LinkDown history.Kind = "parted"
+	LinkUp   history.Kind = "joined"
 )
 
-// Part lets nothing that the node says get to another, or lets it again. The nodes must be debug builds.
-func (n *Node) Part(to *Node, off bool) {
-	note := func(k history.Kind) { n.t.Terms.History.Add(history.Event{Who: n.Name, At: to.Name, Kind: k}) }
+// SetLinkDown lets nothing that the node says get to another, or lets it again. The nodes must be debug builds.
+func (n *Node) SetLinkDown(to *Node, off bool) {
+	note := func(k history.Kind) {
+		n.deployment.Config.History.Add(history.Event{Who: n.Name, Target: to.Name, Kind: k})
+	}
 	if off {
-		note(Parted)
+		note(LinkDown)
 	}
-	n.Cut(to.Host, off)
+	n.BlockHost(to.Host, off)
 	if !off {
-		note(Joined)
+		note(LinkUp)
 	}
 }
 
-// gap is a time when what one node says did not get to another.
-type gap struct {
-	who, at  string
-	from, to time.Duration
+// linkOutage is a time when what one node says did not get to another.
+type linkOutage struct {
+	source, destination string
+	from, to            time.Duration
 }
 
-// gapsOf are all gaps; faults that overlap may part two nodes twice.
-func gapsOf(h []history.Event) (all []gap) {
+// linkOutages are all gaps; faults that overlap may part two nodes twice.
+func linkOutages(h []history.Event) (all []linkOutage) {
 	open := map[[2]string][]time.Duration{}
 	for _, e := range h {
-		way := [2]string{e.Who, e.At}
+		way := [2]string{e.Who, e.Target}
 		switch from := open[way]; {
-		case e.Kind == Parted:
-			open[way] = append(from, e.T)
-		case e.Kind == Joined && len(from) > 0:
+		case e.Kind == LinkDown:
+			open[way] = append(from, e.Time)
+		case e.Kind == LinkUp && len(from) > 0:
 			if open[way] = from[1:]; len(from) == 1 {
-				all = append(all, gap{e.Who, e.At, from[0], e.T})
+				all = append(all, linkOutage{e.Who, e.Target, from[0], e.Time})
 			} else {
 				open[way][0] = from[0]
 			}
@@ -48,14 +50,16 @@
 	}
 	for way, from := range open {
 		if len(from) > 0 {
-			all = append(all, gap{way[0], way[1], from[0], always})
+			all = append(all, linkOutage{way[0], way[1], from[0], always})
 		}
 	}
 	return all
 }
 
 // between tells whether it parts two nodes, one way or the other.
-func (g gap) between(a, b string) bool { return g.who == a && g.at == b || g.who == b && g.at == a }
+func (l linkOutage) between(a, b string) bool {
+	return l.source == a && l.destination == b || l.source == b && l.destination == a
+}
 
 // joined tells whether two nodes had a path both ways: all of the time, or else at least some of it.
 func (c *calm) joined(a, b string, from, to time.Duration, allOfIt bool) bool {
--- a/internal/lab/gatewaystandin/deployment.go
+++ b/internal/lab/gatewaystandin/deployment.go
@@ -25,20 +25,20 @@
 	"clovergap/internal/lab/standin"
 )
 
-// Terms are how large a deployment is, and how it is told to behave.
-type Terms struct {
-	Program string // of gateway
-	Nodes   int
-	Disks   int    // the first so many nodes have one
-	Base    string // first three bytes of the nodes' addresses, with a dot; empty: the deployment's own
-	Zones   []string
-	Each    int // backends of each service in each zone
-	Rate    float64
-	Seed    uint64
-	Beat    time.Duration
-	Lost    int          // disks that may be lost at once
-	History *history.Log // nil: none is kept
-	Play    *Play        // nil: the small deployment
+// Config are how large a deployment is, and how it is told to behave.
+type Config struct {
+	Program           string // of gateway
+	Nodes             int
+	Disks             int    // the first so many nodes have one
+	Base              string // first three bytes of the nodes' addresses, with a dot; empty: the deployment's own
+	Zones             []string
+	BackendsPerZone   int // backends of each service in each zone
+	Rate              float64
+	Seed              uint64
+	HeartbeatInterval time.Duration
+	MaxLostDisks      int          // disks that may be lost at once
+	History           *history.Log // nil: none is kept
+	Play              *Play        // nil: the small deployment
 }
 
 // Bounds are what the nodes are told; those of the rules that the rig checks are taken from here.
@@ -49,34 +49,34 @@
 
 // Deployment is nodes with all they speak with.
 type Deployment struct {
-	Terms    Terms
+	Config   Config
 	Nodes    []*Node
 	Operator *Operator
 	dir      string
-	at       ports
+	ports    ports
 	seeds    []string
 	control  *http.Client
 	ctx      context.Context // of what beats
 	stop     context.CancelFunc
-	wg       sync.WaitGroup
-
-	mu      sync.Mutex
-	outputs []*Line // backends that beat
-	all     []*Line // those that are gone too
-	lives   int
-	closed  bool
-	flaws   map[string]Flaw // of versions, by generation
+	tasks    sync.WaitGroup
+
+	mu           sync.Mutex
+	registered   []*HeartbeatBackend // backends that beat
+	all          []*HeartbeatBackend // those that are gone too
+	incarnations int
+	closed       bool
+	flaws        map[string]Flaw // of versions, by generation
 }
 
 // Node is one node's process, in one life after another.
 type Node struct {
 	*standin.Process
-	Nr              int
+	Index           int
 	Zone, Host      string
 	Front, Readying string
 	Control         string
 	Disk            string // its folder, empty without a disk
-	t               *Deployment
+	deployment      *Deployment
 }
 
 var deployments atomic.Uint32
@@ -111,12 +111,12 @@
 }
 
 // New lays the nodes' settings and starts the backends; Start starts the nodes.
-func New(o Terms) (t *Deployment, err error) {
+func New(o Config) (t *Deployment, err error) {
 	dir, err := os.MkdirTemp("", "clovergap-gateway-")
 	if err != nil {
 		return nil, err
 	}
-	t = &Deployment{Terms: o, dir: dir, control: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4,
+	t = &Deployment{Config: o, dir: dir, control: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4,
 		IdleConnTimeout: 5 * time.Second,
 		DialContext:     (&net.Dialer{Timeout: time.Second}).DialContext}}}
 	t.ctx, t.stop = context.WithCancel(context.Background())
@@ -126,20 +126,20 @@
 			t = nil
 		}
 	}()
-	if t.Terms.Base == "" {
-		t.Terms.Base = base()
+	if t.Config.Base == "" {
+		t.Config.Base = base()
 	}
-	if t.at, err = free(t.Terms.Base, o.Nodes); err != nil {
+	if t.ports, err = free(t.Config.Base, o.Nodes); err != nil {
 		return t, err
 	}
 	for i := range o.Nodes {
-		host := fmt.Sprintf("%s%d", t.Terms.Base, i+1)
-		d := &Node{Nr: i, Zone: o.Zones[i%len(o.Zones)], Host: host, t: t,
-			Front: addr(host, t.at.front), Readying: addr(host, t.at.ready), Control: addr(host, t.at.control)}
+		host := fmt.Sprintf("%s%d", t.Config.Base, i+1)
+		d := &Node{Index: i, Zone: o.Zones[i%len(o.Zones)], Host: host, deployment: t,
+			Front: addr(host, t.ports.front), Readying: addr(host, t.ports.ready), Control: addr(host, t.ports.control)}
 		if i < o.Disks {
 			d.Disk = filepath.Join(dir, fmt.Sprintf("disk%d", i))
 		}
-		d.Process = standin.NewProcess(fmt.Sprintf("node-%d", i), o.History, d.prepare, d.line, d.serves)
+		d.Process = standin.NewProcess(fmt.Sprintf("node-%d", i), o.History, d.prepare, d.appendLog, d.serves)
 		t.Nodes = append(t.Nodes, d)
 		if len(t.seeds) < 3 {
 			t.seeds = append(t.seeds, d.Control)
@@ -148,7 +148,7 @@
 	t.Operator = newOperator(t)
 	for _, s := range t.play().services {
 		for _, z := range o.Zones {
-			for range o.Each {
+			for range o.BackendsPerZone {
 				if _, err := t.Add(s.Name, z, 0); err != nil {
 					return t, err
 				}
@@ -177,17 +177,17 @@
 
 // Settings is the text of the node's settings file.
 func (n *Node) Settings(first bool) string {
-	t, b := n.t, Bounds()
+	t, b := n.deployment, Bounds()
 	var s strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&s, format+"\n", args...) }
 	line("node_name: %q\nrole: \"node\"\nserves: [\"edge\", \"control\"]", n.Name)
 	line("ip: %q\nzone: %q\nregion: \"loopback\"", n.Host, n.Zone)
 	line("zones:")
-	for _, z := range t.Terms.Zones {
+	for _, z := range t.Config.Zones {
 		line("  %s: \"loopback\"", z)
 	}
 	line("bind: {front: %q, readiness: %q, control: %q}", n.Front, n.Readying, n.Control)
-	line("inner_port_range: [%d, %d]\nseed_addrs:", t.at.inner, t.at.inner+15)
+	line("inner_port_range: [%d, %d]\nseed_addrs:", t.ports.inner, t.ports.inner+15)
 	for _, a := range t.seeds {
 		line("  - %q", a)
 	}
@@ -197,7 +197,7 @@
 		line("data_dir: %q", n.Disk)
 	}
 	line("beat_interval: \"%dms\"\ntolerates: {machines: %d, zones: 0, regions: 0}",
-		t.Terms.Beat.Milliseconds(), t.Terms.Lost)
+		t.Config.HeartbeatInterval.Milliseconds(), t.Config.MaxLostDisks)
 	line("bounds: [\"drain=%dms\", \"apply_within=%dms\", \"in_touch=%dms\", \"grace=%dms\"]",
 		b.BackendDrain.Milliseconds(),
 		b.ApplyWithin.Milliseconds(), b.InTouch.Milliseconds(), b.ShutdownGrace.Milliseconds())
@@ -206,7 +206,7 @@
 
 // prepare lays the settings of the next life. Only the first start of all is one on empty disks.
 func (n *Node) prepare(life int) (*exec.Cmd, error) {
-	file := filepath.Join(n.t.dir, n.Name+".yaml")
+	file := filepath.Join(n.deployment.dir, n.Name+".yaml")
 	if err := os.WriteFile(file, []byte(n.Settings(life == 1)), 0o600); err != nil {
 		return nil, err
 	}
@@ -215,14 +215,14 @@
 			return nil, err
 		}
 	}
-	cmd := exec.Command(n.t.Terms.Program, "serve")
+	cmd := exec.Command(n.deployment.Config.Program, "serve")
 	cmd.Env = append(os.Environ(), "GOTRACEBACK=single", settings.PathEnv+"="+file)
 	return cmd, nil
 }
 
 // serves tells whether the node answers whether it is ready, be it no.
 func (n *Node) serves(ctx context.Context) bool {
-	_, ok := n.t.ready(ctx, n)
+	_, ok := n.deployment.ready(ctx, n)
 	return ok
 }
 
@@ -246,7 +246,7 @@
 		return errors.New("no disk to wipe")
 	}
 	return n.KillAnd(func() error {
-		n.t.Terms.History.Add(history.Event{Who: n.Name, Kind: Wiped})
+		n.deployment.Config.History.Add(history.Event{Who: n.Name, Kind: Wiped})
 		return os.RemoveAll(n.Disk)
 	})
 }
@@ -259,23 +259,23 @@
 
 // Term tells the node to end, and kills it if it has not within a while.
 func (n *Node) Term(patience time.Duration) {
-	n.t.Terms.History.Add(history.Event{Who: n.Name, Kind: Terminates})
+	n.deployment.Config.History.Add(history.Event{Who: n.Name, Kind: Terminates})
 	n.Process.Term(patience)
 }
 
 // Reload tells the node that its settings file may have changed.
 func (n *Node) Reload() {
-	n.t.Terms.History.Add(history.Event{Who: n.Name, Kind: Reloads})
+	n.deployment.Config.History.Add(history.Event{Who: n.Name, Kind: Reloads})
 	n.Process.Reload()
 }
 
-// Tells is what a node says of itself.
-func (d *Deployment) Tells(node *Node) string { return d.tells(node, "/api/Node.Status") }
+// NodeStatus is what a node says of itself.
+func (d *Deployment) NodeStatus(node *Node) string { return d.status(node, "/api/Node.Status") }
 
-// TellsRollouts is what a node says of roll-outs.
-func (d *Deployment) TellsRollouts(node *Node) string { return d.tells(node, "/api/Rollout.Status") }
+// RolloutStatus is what a node says of roll-outs.
+func (d *Deployment) RolloutStatus(node *Node) string { return d.status(node, "/api/Rollout.Status") }
 
-func (d *Deployment) tells(node *Node, path string) string {
+func (d *Deployment) status(node *Node, path string) string {
 	status, text, err := d.call(d.ctx, "GET", node.Control, path, nil, time.Second)
 	if err != nil {
 		return err.Error()
@@ -284,10 +284,10 @@
 }
 
 // Log is the file of all that the node's lives wrote.
-func (n *Node) Log() string { return filepath.Join(n.t.dir, n.Name+".log") }
+func (n *Node) Log() string { return filepath.Join(n.deployment.dir, n.Name+".log") }
 
-// line keeps the log, and tells its lines from a crash's last words.
-func (n *Node) line(text []byte) bool {
+// appendLog keeps the log, and tells its lines from a crash's last words.
+func (n *Node) appendLog(text []byte) bool {
 	if f, err := os.OpenFile(n.Log(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err == nil {
 		f.Write(append(text[:len(text):len(text)], '\n'))
 		f.Close()
@@ -296,20 +296,20 @@
 }
 
 // Cores are the nodes with a disk.
-func (d *Deployment) Cores() []*Node { return d.Nodes[:min(d.Terms.Disks, len(d.Nodes))] }
+func (d *Deployment) Cores() []*Node { return d.Nodes[:min(d.Config.Disks, len(d.Nodes))] }
 
 // Serving lists the backends that beat.
-func (d *Deployment) Serving() []*Line {
+func (d *Deployment) Serving() []*HeartbeatBackend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]*Line(nil), d.outputs...)
+	return append([]*HeartbeatBackend(nil), d.registered...)
 }
 
 // All lists all backends that ever were.
-func (d *Deployment) All() []*Line {
+func (d *Deployment) All() []*HeartbeatBackend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]*Line(nil), d.all...)
+	return append([]*HeartbeatBackend(nil), d.all...)
 }
 
 // Close ends all: the nodes by their processes' numbers.
@@ -321,7 +321,7 @@
 	for _, node := range d.Nodes {
 		node.Close()
 	}
-	d.wg.Wait()
+	d.tasks.Wait()
 	for _, l := range d.All() {
 		l.Close()
 	}
@@ -330,4 +330,4 @@
 }
 
 // source draws from the deployment's seed, apart for each use.
-func (d *Deployment) source(use uint64) *rand.Rand { return rand.New(rand.NewPCG(d.Terms.Seed, use)) }
+func (d *Deployment) source(use uint64) *rand.Rand { return rand.New(rand.NewPCG(d.Config.Seed, use)) }
--- a/internal/lab/gatewaystandin/gone_rules.go
+++ b/internal/lab/gatewaystandin/gone_rules.go
@@ -15,34 +15,34 @@
 	ranOnAfter = 500 * time.Millisecond // after their client has left
 )
 
-// runOf names one arrival of a try at a backend.
-type runOf struct {
+// arrivalID names one arrival of a try at a backend.
+type arrivalID struct {
 	who, txn string
-	n        float64
+	number   float64
 }
 
 // ranOn: a request that may be repeated reaches a backend, or is still there, over half a second after its client has left, by a node
 // in touch.
-func (r *requestJudge) ranOn(h []history.Event) (bad []history.Broken) {
-	over := map[runOf]time.Duration{}
+func (r *requestChecker) ranOn(h []history.Event) (bad []history.Violation) {
+	over := map[arrivalID]time.Duration{}
 	for _, e := range h {
-		if e.Kind == history.Over {
-			over[runOf{e.Who, e.Txn, e.N}] = e.T
+		if e.Kind == history.Finished {
+			over[arrivalID{e.Who, e.Txn, e.Number}] = e.Time
 		}
 	}
 	for _, clientTry := range r.all {
-		if clientTry.end.Kind != history.Left || clientTry.ask.What != "pure" {
+		if clientTry.end.Kind != history.ClientLeft || clientTry.ask.What != "pure" {
 			continue
 		}
-		late := clientTry.end.T + ranOnAfter + r.slack
-		if !r.calm.touch(clientTry.ask.At, clientTry.ask.T, late) {
+		late := clientTry.end.Time + ranOnAfter + r.slack
+		if !r.calm.touch(clientTry.ask.Target, clientTry.ask.Time, late) {
 			continue
 		}
 		for _, run := range clientTry.ran {
-			if end, ok := over[runOf{run.Who, run.Txn, run.N}]; run.T > late || ok && end > late {
-				bad = append(bad, history.Broken{Rule: "GONE", T: late, Who: clientTry.ask.At, Txn: clientTry.ask.Txn, Timed: true,
-					What: fmt.Sprintf("its client left at %.3fs, at %s from %.3fs to %.3fs", clientTry.end.T.Seconds(), run.Who,
-						run.T.Seconds(), end.Seconds())})
+			if end, ok := over[arrivalID{run.Who, run.Txn, run.Number}]; run.Time > late || ok && end > late {
+				bad = append(bad, history.Violation{Rule: "GONE", Time: late, Who: clientTry.ask.Target, Txn: clientTry.ask.Txn, Timed: true,
+					What: fmt.Sprintf("its client left at %.3fs, at %s from %.3fs to %.3fs", clientTry.end.Time.Seconds(), run.Who,
+						run.Time.Seconds(), end.Seconds())})
 			}
 		}
 	}
--- a/internal/lab/gatewaystandin/limit_rules.go
+++ b/internal/lab/gatewaystandin/limit_rules.go
@@ -14,11 +14,11 @@
 
 // Quotas checks that in no window do a tenant's requests that were sent and that ran in it pass (rate x window + burst)
 // x (1 + excess) + margin, over all nodes.
-func Quotas(h []history.Event) (bad []history.Broken) {
+func Quotas(h []history.Event) (bad []history.Violation) {
 	b := Bounds()
 	sent := map[string]history.Event{}
 	for _, e := range h {
-		if e.Kind == history.Asked {
+		if e.Kind == history.Requested {
 			sent[e.Txn] = e
 		}
 	}
@@ -27,7 +27,7 @@
 	for _, e := range Run(h) {
 		if a, ok := sent[e.Txn]; ok && e.Kind == history.Arrived && !seen[e.Txn] && a.Key != "" {
 			seen[e.Txn] = true
-			by[a.Key] = append(by[a.Key], run{a.T, e.T})
+			by[a.Key] = append(by[a.Key], run{a.Time, e.Time})
 		}
 	}
 	for _, t := range First().Tenants {
@@ -52,7 +52,7 @@
 			}
 		}
 		if float64(worst) > most {
-			bad = append(bad, history.Broken{Rule: "QUOTA", T: at, Key: t.Name,
+			bad = append(bad, history.Violation{Rule: "QUOTA", Time: at, Key: t.Name,
 				What: fmt.Sprintf("%d ran in %s, %.0f is the most", worst, b.QuotaWindow, most)})
 		}
 	}
@@ -62,12 +62,12 @@
 // budgets: in no window does a service receive more arrivals after the first of each request than its share
 // of the requests for it and the extra. What was turned away counts, and the best of three windows of
 // requests does.
-func budgets(h []history.Event, t *Backends) (bad []history.Broken) {
+func budgets(h []history.Event, t *Backends) (bad []history.Violation) {
 	b := Bounds()
 	service, versions := t.Services, t.Versions
 	prefixes := map[string][]string{} // services that any version names, by host and the path's first part
 	named := func(e history.Event) []string {
-		key := e.Key + e.At[:strings.Index(e.At[1:], "/")+2]
+		key := e.Key + e.Target[:strings.Index(e.Target[1:], "/")+2]
 		if all, ok := prefixes[key]; ok {
 			return all
 		}
@@ -85,14 +85,14 @@
 		switch at := service[e.Who]; {
 		case e.Kind == Route:
 			for _, s := range named(e) {
-				asks[s] = append(asks[s], e.T)
+				asks[s] = append(asks[s], e.Time)
 			}
-		case at == "" || e.Kind != history.Arrived && e.Kind != history.Turned:
-		case e.N > 0 && counted[fmt.Sprint(e.Who, e.Txn, e.N)]: // turned away from its queue: it had arrived
+		case at == "" || e.Kind != history.Arrived && e.Kind != history.Rejected:
+		case e.Number > 0 && counted[fmt.Sprint(e.Who, e.Txn, e.Number)]: // turned away from its queue: it had arrived
 		default:
-			counted[fmt.Sprint(e.Who, e.Txn, e.N)] = true
+			counted[fmt.Sprint(e.Who, e.Txn, e.Number)] = true
 			if came[at+e.Txn] {
-				again[at] = append(again[at], e.T)
+				again[at] = append(again[at], e.Time)
 			}
 			came[at+e.Txn] = true
 		}
@@ -106,7 +106,7 @@
 			asked := max(countWithin(asks[s], end-w, end), countWithin(asks[s], end-2*w, end-w),
 				countWithin(asks[s], end-3*w/2, end-w/2))
 			if most := b.RetryRatio*float64(asked) + b.RetryExtra; float64(n) > most {
-				bad = append(bad, history.Broken{Rule: "BUDGET", T: end, Key: s,
+				bad = append(bad, history.Violation{Rule: "BUDGET", Time: end, Key: s,
 					What: fmt.Sprintf("%d further arrivals in %s, %.0f are the most", n, w, most)})
 				break
 			}
