--- a/internal/lab/gatewaystandin/loss_rules.go
+++ b/internal/lab/gatewaystandin/loss_rules.go
@@ -11,23 +11,23 @@
 
 // planned is all planned work of a history, and what unplanned trouble there was beside it.
 type planned struct {
-	ends     map[string][]time.Duration // SIGTERMs, by node
-	reloads  map[string][]time.Duration // SIGHUPs, by node
-	troubles [][2]time.Duration         // unplanned, from and to
+	terminations map[string][]time.Duration // SIGTERMs, by node
+	reloads      map[string][]time.Duration // SIGHUPs, by node
+	faults       [][2]time.Duration         // unplanned, from and to
 }
 
 // newPlanned reads it from a history. A node's end is planned if it was told to end, and that in its time.
 func newPlanned(h []history.Event, c *calm) *planned {
-	p := &planned{ends: map[string][]time.Duration{}, reloads: map[string][]time.Duration{}}
+	p := &planned{terminations: map[string][]time.Duration{}, reloads: map[string][]time.Duration{}}
 	for _, e := range h {
 		switch e.Kind {
 		case Terminates:
-			p.ends[e.Who] = append(p.ends[e.Who], e.T)
+			p.terminations[e.Who] = append(p.terminations[e.Who], e.Time)
 		case Reloads:
-			p.reloads[e.Who] = append(p.reloads[e.Who], e.T)
+			p.reloads[e.Who] = append(p.reloads[e.Who], e.Time)
 		case Crashed:
 			if e.What != inOrder {
-				p.troubles = append(p.troubles, [2]time.Duration{e.T, e.T})
+				p.faults = append(p.faults, [2]time.Duration{e.Time, e.Time})
 			}
 		}
 	}
@@ -36,55 +36,55 @@
 	for who, spans := range newOff(downs) {
 		for _, s := range spans {
 			if !p.endsByItself(downs, who, s[0]) {
-				p.troubles = append(p.troubles, s)
+				p.faults = append(p.faults, s)
 			}
 		}
 	}
 	for _, spans := range newOff(slices.DeleteFunc(slices.Clone(h), isDown)) {
-		p.troubles = append(p.troubles, spans...)
+		p.faults = append(p.faults, spans...)
 	}
 	for _, g := range c.gaps {
-		p.troubles = append(p.troubles, [2]time.Duration{g.from, g.to})
+		p.faults = append(p.faults, [2]time.Duration{g.from, g.to})
 	}
 	return p
 }
 
 // endsByItself tells whether a node that went down then was told to end, and was not killed before its grace was over.
 func (p *planned) endsByItself(downs []history.Event, node string, at time.Duration) bool {
-	if !between(p.ends[node], at-Bounds().ShutdownGrace-afterGrace, at) {
+	if !between(p.terminations[node], at-Bounds().ShutdownGrace-afterGrace, at) {
 		return false
 	}
 	inOrder := slices.ContainsFunc(downs, func(e history.Event) bool {
-		return e.Who == node && e.T == at && e.Kind == history.Down && e.What == history.InOrder
+		return e.Who == node && e.Time == at && e.Kind == history.Down && e.What == history.CleanExit
 	})
-	return inOrder || !between(p.ends[node], at-Bounds().ShutdownGrace+1, at)
+	return inOrder || !between(p.terminations[node], at-Bounds().ShutdownGrace+1, at)
 }
 
 // quiet tells whether there was no unplanned trouble anywhere in a time.
 func (p *planned) quiet(from, to time.Duration) bool {
-	return !slices.ContainsFunc(p.troubles, func(s [2]time.Duration) bool { return s[0] <= to && s[1] >= from })
+	return !slices.ContainsFunc(p.faults, func(s [2]time.Duration) bool { return s[0] <= to && s[1] >= from })
 }
 
 // losses: around planned work, and in no other trouble, who has read a request does not end its connection without an answer.
-func (r *requestJudge) losses(h []history.Event) (bad []history.Broken) {
+func (r *requestChecker) losses(h []history.Event) (bad []history.Violation) {
 	p := newPlanned(h, r.calm)
 	over := map[string]time.Duration{} // when the last backend had done with a try
 	for _, e := range h {
-		if e.Kind == history.Over {
-			over[e.Txn] = e.T
+		if e.Kind == history.Finished {
+			over[e.Txn] = e.Time
 		}
 	}
 	beside := map[string]*besideConfigs{}
 	for _, clientTry := range r.all {
-		if clientTry.end.Kind == "" || !p.quiet(clientTry.ask.T-Bounds().InTouch, clientTry.end.T) {
+		if clientTry.end.Kind == "" || !p.quiet(clientTry.ask.Time-Bounds().InTouch, clientTry.end.Time) {
 			continue
 		}
-		of := beside[clientTry.ask.At]
+		of := beside[clientTry.ask.Target]
 		if of == nil {
 			of = &besideConfigs{}
-			beside[clientTry.ask.At] = of
+			beside[clientTry.ask.Target] = of
 		}
-		cut := r.cut(clientTry)
+		cut := r.aborted(clientTry)
 		at, ends := r.ending(p, clientTry)
 		switch {
 		case cut && ends:
@@ -94,62 +94,62 @@
 		case cut && reloading(p, clientTry):
 			bad = append(bad, r.lost(clientTry, "while its node read its settings again"))
 		case r.config(clientTry):
-			of.beside = of.beside.with(clientTry.end)
-			if cut && clientTry.end.T-clientTry.ask.T < time.Duration(usedShare*float64(r.allowed(clientTry))) {
-				of.cut = append(of.cut, clientTry)
+			of.duringChanges = of.duringChanges.with(clientTry.end)
+			if cut && clientTry.end.Time-clientTry.ask.Time < time.Duration(usedShare*float64(r.allowed(clientTry))) {
+				of.aborted = append(of.aborted, clientTry)
 			}
 		default:
-			of.apart = of.apart.with(clientTry.end)
+			of.otherwise = of.otherwise.with(clientTry.end)
 			if cut {
-				of.cutApart++
+				of.abortedOtherwise++
 			}
 		}
 	}
 	for _, of := range beside {
 		if of.often() {
-			for _, item := range of.cut {
+			for _, item := range of.aborted {
 				bad = append(bad, r.lost(item, "while a configuration was on its way"))
 			}
 		}
 	}
-	slices.SortFunc(bad, func(a, b history.Broken) int { return strings.Compare(a.Txn, b.Txn) })
+	slices.SortFunc(bad, func(a, b history.Violation) int { return strings.Compare(a.Txn, b.Txn) })
 	return bad
 }
 
 // besideConfigs is what became of one node's requests while a configuration was on its way, and at other times.
 type besideConfigs struct {
-	beside, apart share
-	cut           []*clientTry
-	cutApart      int
+	duringChanges, otherwise share
+	aborted                  []*clientAttempt
+	abortedOtherwise         int
 }
 
 // often tells whether it cut requests over three times as often beside configurations as at other times.
 func (b *besideConfigs) often() bool {
-	return float64(len(b.cut))*float64(max(b.apart.asked, 1)) > cutTimes*float64(b.cutApart)*float64(b.beside.asked)
+	return float64(len(b.aborted))*float64(max(b.otherwise.requested, 1)) > abortRatio*float64(b.abortedOtherwise)*float64(b.duringChanges.requested)
 }
 
-func (r *requestJudge) lost(clientTry *clientTry, when string) history.Broken {
-	return history.Broken{Rule: "LOST", T: clientTry.end.T, Who: clientTry.ask.At, Txn: clientTry.ask.Txn, Key: clientTry.route.What, Timed: true,
-		What: fmt.Sprintf("its connection ended without an answer after %s, %s", clientTry.end.T-clientTry.ask.T, when)}
+func (r *requestChecker) lost(clientTry *clientAttempt, when string) history.Violation {
+	return history.Violation{Rule: "LOST", Time: clientTry.end.Time, Who: clientTry.ask.Target, Txn: clientTry.ask.Txn, Key: clientTry.route.What, Timed: true,
+		What: fmt.Sprintf("its connection ended without an answer after %s, %s", clientTry.end.Time-clientTry.ask.Time, when)}
 }
 
 // allowed is how long a try may take: what its client waits, and its route's timeout.
-func (r *requestJudge) allowed(clientTry *clientTry) time.Duration {
-	left := clientTry.ask.Due - clientTry.ask.T
+func (r *requestChecker) allowed(clientTry *clientAttempt) time.Duration {
+	left := clientTry.ask.Deadline - clientTry.ask.Time
 	if t := r.timeout(clientTry); t > 0 {
 		left = min(left, t)
 	}
 	return left
 }
 
-// cut tells whether a connection ended without an answer, by the node's doing and before the time was over.
-func (r *requestJudge) cut(clientTry *clientTry) bool {
-	took := clientTry.end.T - clientTry.ask.T
-	if clientTry.end.Kind != history.Unheard || clientTry.spoilt || took+r.slack >= r.allowed(clientTry) {
+// aborted tells whether a connection ended without an answer, by the node's doing and before the time was over.
+func (r *requestChecker) aborted(clientTry *clientAttempt) bool {
+	took := clientTry.end.Time - clientTry.ask.Time
+	if clientTry.end.Kind != history.Unanswered || clientTry.spoilt || took+r.slack >= r.allowed(clientTry) {
 		return false
 	}
 	for _, e := range clientTry.ran {
-		if between(r.crashes[e.Who], clientTry.ask.T, clientTry.end.T) {
+		if between(r.crashes[e.Who], clientTry.ask.Time, clientTry.end.Time) {
 			return false
 		}
 	}
@@ -157,9 +157,9 @@
 }
 
 // ending tells whether a try ended while its node was told to end, and since when that was.
-func (r *requestJudge) ending(p *planned, clientTry *clientTry) (at time.Duration, ends bool) {
-	for _, t := range p.ends[clientTry.ask.At] {
-		if t <= clientTry.end.T && clientTry.end.T <= t+Bounds().ShutdownGrace+afterGrace+r.slack {
+func (r *requestChecker) ending(p *planned, clientTry *clientAttempt) (at time.Duration, ends bool) {
+	for _, t := range p.terminations[clientTry.ask.Target] {
+		if t <= clientTry.end.Time && clientTry.end.Time <= t+Bounds().ShutdownGrace+afterGrace+r.slack {
 			return t, true
 		}
 	}
@@ -171,22 +171,22 @@
 
 // workedOn tells whether a backend was still at work in the last sixth of its node's grace on a try that was sent soon after the node was
 // told to end.
-func workedOn(r *clientTry, over, told time.Duration) bool {
+func workedOn(r *clientAttempt, over, told time.Duration) bool {
 	last := told + Bounds().ShutdownGrace*5/6
-	return len(r.ran) > 0 && r.ask.T <= told+sentSoon && r.end.T >= last && (over == 0 || over >= last)
+	return len(r.ran) > 0 && r.ask.Time <= told+sentSoon && r.end.Time >= last && (over == 0 || over >= last)
 }
 
 // reloading tells whether a try was sent up to a while after its node was told to read its settings, and cut after that.
-func reloading(p *planned, r *clientTry) bool {
-	return slices.ContainsFunc(p.reloads[r.ask.At], func(t time.Duration) bool {
-		return r.ask.T <= t+Bounds().ApplyWithin && r.end.T >= t
+func reloading(p *planned, r *clientAttempt) bool {
+	return slices.ContainsFunc(p.reloads[r.ask.Target], func(t time.Duration) bool {
+		return r.ask.Time <= t+Bounds().ApplyWithin && r.end.Time >= t
 	})
 }
 
 // config tells whether a try ended while a configuration that may be in force was on its way.
-func (r *requestJudge) config(clientTry *clientTry) bool {
+func (r *requestChecker) config(clientTry *clientAttempt) bool {
 	return slices.ContainsFunc(r.force, func(v Version) bool {
 		to := v.Acked + Bounds().ApplyWithin + afterConfigApply
-		return v.Sent <= clientTry.end.T && (v.Acked == 0 || clientTry.end.T <= to)
+		return v.Sent <= clientTry.end.Time && (v.Acked == 0 || clientTry.end.Time <= to)
 	})
 }
--- a/internal/lab/gatewaystandin/operator.go
+++ b/internal/lab/gatewaystandin/operator.go
@@ -97,20 +97,20 @@
 
 // Operator changes the configuration, sends the same bytes again until the answer is clear, and reads.
 type Operator struct {
-	Pause time.Duration // the longest between two calls of one change
-
-	t        *Deployment
-	mu       sync.Mutex
-	rng      *rand.Rand
-	versions map[uint64]*Version
-	known    uint64 // the newest that it knows to be in force
-	top      uint64 // the highest number that it has used
-	unsure   bool   // a change had no clear answer since
-	at       int
+	MaxRetryInterval time.Duration // the longest between two calls of one change
+
+	deployment *Deployment
+	mu         sync.Mutex
+	rng        *rand.Rand
+	versions   map[uint64]*Version
+	known      uint64 // the newest that it knows to be in force
+	top        uint64 // the highest number that it has used
+	ambiguous  bool   // a change had no clear answer since
+	nextNode   int
 }
 
 func newOperator(t *Deployment) *Operator {
-	return &Operator{Pause: 500 * time.Millisecond, t: t, rng: t.source(0x09e7a702), versions: map[uint64]*Version{}, at: 0}
+	return &Operator{MaxRetryInterval: 500 * time.Millisecond, deployment: t, rng: t.source(0x09e7a702), versions: map[uint64]*Version{}, nextNode: 0}
 }
 
 // Clear tells whether a status ends an operator's call at once.
@@ -131,12 +131,12 @@
 	ctx, cancel := context.WithTimeout(ctx, ClearMost)
 	defer cancel()
 	o.mu.Lock()
-	o.at = o.rng.IntN(len(o.t.Nodes))
-	at := o.at
+	o.nextNode = o.rng.IntN(len(o.deployment.Nodes))
+	at := o.nextNode
 	o.mu.Unlock()
 	strange := 0
-	for wait := 30 * time.Millisecond; ctx.Err() == nil; wait = min(2*wait, o.Pause) {
-		status, text, err := o.t.call(ctx, method, o.t.Nodes[at%len(o.t.Nodes)].Control, path, body, time.Second)
+	for wait := 30 * time.Millisecond; ctx.Err() == nil; wait = min(2*wait, o.MaxRetryInterval) {
+		status, text, err := o.deployment.call(ctx, method, o.deployment.Nodes[at%len(o.deployment.Nodes)].Control, path, body, time.Second)
 		at++
 		switch {
 		case err != nil:
@@ -147,7 +147,7 @@
 				return status, text, true
 			}
 		}
-		pause(ctx, wait)
+		sleep(ctx, wait)
 	}
 	return 0, nil, false
 }
@@ -156,14 +156,14 @@
 func (o *Operator) propose(ctx context.Context, path string, body any, v *Version) (status int, clear bool) {
 	text, _ := json.Marshal(body)
 	gen := v.Config.Generation
-	log := o.t.Terms.History
+	log := o.deployment.Config.History
 	o.mu.Lock()
 	v.Sent = history.Now()
 	o.versions[gen] = v
 	o.top = max(o.top, gen)
 	o.mu.Unlock()
 	note := func(k history.Kind, what string) {
-		log.Add(history.Event{Who: "operator", Kind: k, N: float64(gen), Key: fmt.Sprint(v.Parent), What: what})
+		log.Add(history.Event{Who: "operator", Kind: k, Number: float64(gen), Key: fmt.Sprint(v.Parent), What: what})
 	}
 	note(Proposes, path)
 	status, answer, clear := o.ask(ctx, "POST", path, text)
@@ -180,7 +180,7 @@
 		v.Lost, v.Refusal = true, fmt.Sprint(status, " ", string(answer))
 		note(Refused, v.Refusal)
 	default:
-		o.unsure = true
+		o.ambiguous = true
 		note(Unclear, "")
 	}
 	return status, clear
@@ -189,7 +189,7 @@
 // Open sends the first configuration, again and again until it is taken.
 func (o *Operator) Open(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		v := &Version{Config: o.t.play().first()}
+		v := &Version{Config: o.deployment.play().first()}
 		if status, clear := o.propose(ctx, ReplacePath, v.Config, v); clear && status == http.StatusOK {
 			return true
 		} else if clear {
@@ -210,14 +210,14 @@
 	if json.Unmarshal(text, b) != nil {
 		return nil
 	}
-	o.t.Terms.History.Add(history.Event{Who: "operator", Kind: ReadBack, N: float64(b.Generation), Due: began})
+	o.deployment.Config.History.Add(history.Event{Who: "operator", Kind: ReadBack, Number: float64(b.Generation), Deadline: began})
 	return b
 }
 
 // current gives the version that the next change builds on: after an unclear answer it is read first.
 func (o *Operator) current(ctx context.Context) (uint64, *routing.Config) {
 	o.mu.Lock()
-	unsure := o.unsure
+	unsure := o.ambiguous
 	o.mu.Unlock()
 	if unsure {
 		b := o.Read(ctx)
@@ -225,7 +225,7 @@
 			return 0, nil
 		}
 		o.mu.Lock()
-		o.unsure, o.known = false, b.Generation
+		o.ambiguous, o.known = false, b.Generation
 		o.mu.Unlock()
 	}
 	o.mu.Lock()
@@ -284,7 +284,7 @@
 	all.Wait()
 	if len(changes) > 1 {
 		o.mu.Lock()
-		o.unsure = true // who has won is read
+		o.ambiguous = true // who has won is read
 		o.mu.Unlock()
 	}
 }
--- a/internal/lab/gatewaystandin/orders.go
+++ b/internal/lab/gatewaystandin/orders.go
@@ -22,15 +22,15 @@
 	Doubt float64 `json:"doubt"` // 0 where whoever leads was not asked
 }
 
-// lookMost bounds one look at a roll-out.
-const lookMost = 300 * time.Millisecond
+// rolloutStatusTimeout bounds one look at a roll-out.
+const rolloutStatusTimeout = 300 * time.Millisecond
 
 // Rollout is how a service's newest roll-out stands, asked of a node; whoever leads knows best.
 func (d *Deployment) Rollout(ctx context.Context, node *Node, service string) (v RolloutView, ok bool) {
 	var all struct {
 		Rollouts []RolloutView `json:"rollouts"`
 	}
-	status, text, err := d.call(ctx, "GET", node.Control, "/api/Rollout.Status", nil, lookMost)
+	status, text, err := d.call(ctx, "GET", node.Control, "/api/Rollout.Status", nil, rolloutStatusTimeout)
 	if err != nil || status != http.StatusOK || json.Unmarshal(text, &all) != nil {
 		return v, false
 	}
@@ -42,8 +42,8 @@
 	return v, false
 }
 
-// PulledBack tells whether a node itself goes by a pull-back of a service's newest roll-out, and why there was one.
-func (d *Deployment) PulledBack(ctx context.Context, node *Node, service string) (why string, yes bool) {
+// RolledBack tells whether a node itself goes by a pull-back of a service's newest roll-out, and why there was one.
+func (d *Deployment) RolledBack(ctx context.Context, node *Node, service string) (why string, yes bool) {
 	var all struct {
 		Rollouts []struct {
 			Phase string `json:"phase"`
@@ -54,7 +54,7 @@
 			} `json:"lines"`
 		} `json:"rollouts"`
 	}
-	status, text, err := d.call(ctx, "GET", node.Control, "/api/Rollout.History/"+service, nil, lookMost)
+	status, text, err := d.call(ctx, "GET", node.Control, "/api/Rollout.History/"+service, nil, rolloutStatusTimeout)
 	if err != nil || status != http.StatusOK || json.Unmarshal(text, &all) != nil || len(all.Rollouts) == 0 {
 		return "", false
 	}
@@ -73,7 +73,7 @@
 	if verb == rollout.Start {
 		b, _ := json.Marshal(r)
 		json.Unmarshal(b, &body)
-		body["busy"] = o.t.play().busy
+		body["busy"] = o.deployment.play().busy
 	}
 	body["mark"], body["by"], body["rev"] = fmt.Sprintf("%s-%d", verb, o.number()), "operator", seen.Rev
 	name := map[rollout.Verb]string{rollout.Start: "Start", rollout.Advance: "Step", rollout.Pause: "Hold",
--- a/internal/lab/gatewaystandin/play.go
+++ b/internal/lab/gatewaystandin/play.go
@@ -28,12 +28,12 @@
 
 // Kind is one kind of requests, by a route of its own.
 type Kind struct {
-	Name, Service       string
-	Effectful           bool
-	Work, Aim, Deadline time.Duration
-	Share               int           // of the requests, in hundredths
-	Every               time.Duration // one each so often, beside the others; nought: none
-	Bytes               int           // of an answer that comes in pieces while the backend works
+	Name, Service                 string
+	Effectful                     bool
+	Work, LatencyTarget, Deadline time.Duration
+	Share                         int           // of the requests, in hundredths
+	Every                         time.Duration // one each so often, beside the others; nought: none
+	Bytes                         int           // of an answer that comes in pieces while the backend works
 }
 
 const (
@@ -51,24 +51,24 @@
 // while bids go on.
 func SaleDay() *Play {
 	return written(&Play{Name: "sale-day", Leading: "saleroom", slots: 8, busy: 14, Kinds: []Kind{
-		{Name: "bids", Service: "saleroom", Effectful: true, Work: 25 * ms, Aim: 500 * ms, Deadline: 2000 * ms, Share: 38},
-		{Name: "hammers", Service: "saleroom", Effectful: true, Work: 40 * ms, Aim: 500 * ms, Deadline: 2500 * ms,
+		{Name: "bids", Service: "saleroom", Effectful: true, Work: 25 * ms, LatencyTarget: 500 * ms, Deadline: 2000 * ms, Share: 38},
+		{Name: "hammers", Service: "saleroom", Effectful: true, Work: 40 * ms, LatencyTarget: 500 * ms, Deadline: 2500 * ms,
 			Every: 2500 * ms},
-		{Name: "lots", Service: "saleroom", Work: 12 * ms, Aim: 400 * ms, Deadline: 1500 * ms, Share: 42},
-		{Name: "appraisals", Service: "saleroom", Work: 2000 * ms, Aim: 5000 * ms, Deadline: 12000 * ms, Share: 2,
+		{Name: "lots", Service: "saleroom", Work: 12 * ms, LatencyTarget: 400 * ms, Deadline: 1500 * ms, Share: 42},
+		{Name: "appraisals", Service: "saleroom", Work: 2000 * ms, LatencyTarget: 5000 * ms, Deadline: 12000 * ms, Share: 2,
 			Bytes: 60000},
-		{Name: "catalogue", Service: "library", Work: 15 * ms, Aim: 400 * ms, Deadline: 1500 * ms, Share: 14}}})
+		{Name: "catalogue", Service: "library", Work: 15 * ms, LatencyTarget: 400 * ms, Deadline: 1500 * ms, Share: 14}}})
 }
 
 // CertificationWeek is a test laboratory's: submissions, lookups, datasheets, and certificates of several seconds.
 func CertificationWeek() *Play {
 	return written(&Play{Name: "certification-week", Leading: "bench", slots: 10, busy: 18, Kinds: []Kind{
-		{Name: "submissions", Service: "bench", Effectful: true, Work: 45 * ms, Aim: 800 * ms, Deadline: 3000 * ms,
+		{Name: "submissions", Service: "bench", Effectful: true, Work: 45 * ms, LatencyTarget: 800 * ms, Deadline: 3000 * ms,
 			Share: 26},
-		{Name: "lookups", Service: "bench", Work: 8 * ms, Aim: 300 * ms, Deadline: 1500 * ms, Share: 48},
-		{Name: "certificates", Service: "bench", Work: 3000 * ms, Aim: 8000 * ms, Deadline: 15000 * ms, Share: 2,
+		{Name: "lookups", Service: "bench", Work: 8 * ms, LatencyTarget: 300 * ms, Deadline: 1500 * ms, Share: 48},
+		{Name: "certificates", Service: "bench", Work: 3000 * ms, LatencyTarget: 8000 * ms, Deadline: 15000 * ms, Share: 2,
 			Bytes: 90000},
-		{Name: "datasheets", Service: "archive", Work: 60 * ms, Aim: 600 * ms, Deadline: 2000 * ms, Share: 20,
+		{Name: "datasheets", Service: "archive", Work: 60 * ms, LatencyTarget: 600 * ms, Deadline: 2000 * ms, Share: 20,
 			Bytes: 6000}}})
 }
 
@@ -98,7 +98,7 @@
 			b.Tenants = append(b.Tenants, t)
 		}
 		for _, k := range p.Kinds {
-			deadline, aim := span(k.Deadline), span(k.Aim)
+			deadline, aim := span(k.Deadline), span(k.LatencyTarget)
 			r := routing.ConfigRoute{Name: k.Name, PathPrefix: "/" + k.Name + "/", Variant: routing.Pure, Deadline: &deadline,
 				TargetLatency: &aim, MaxTries: 2, Target: k.Service}
 			if k.Effectful {
@@ -125,8 +125,8 @@
 
 // play is what is played.
 func (d *Deployment) play() *Play {
-	if d.Terms.Play != nil {
-		return d.Terms.Play
+	if d.Config.Play != nil {
+		return d.Config.Play
 	}
 	return fakeNode
 }
@@ -162,7 +162,7 @@
 }
 
 // drawPlay draws a request of a play.
-func (k *Known) drawPlay(p *Play, rng *rand.Rand, zones []string) Want {
+func (k *Known) drawPlay(p *Play, rng *rand.Rand, zones []string) Request {
 	w := wantFrom(rng, zones)
 	x := rng.IntN(100)
 	if x >= 100-guestShare && len(k.guests) > 0 {
@@ -180,30 +180,30 @@
 }
 
 // someone is a user who asks for something that nobody else asks for.
-func (w *Want) someone(rng *rand.Rand) {
-	w.by(1 + rng.IntN(usersEach))
-	w.Path += strconv.FormatUint(rng.Uint64(), 16) // of a write: which one it is
+func (r *Request) someone(rng *rand.Rand) {
+	r.by(1 + rng.IntN(usersEach))
+	r.Path += strconv.FormatUint(rng.Uint64(), 16) // of a write: which one it is
 }
 
-func (w *Want) of(k Kind) {
-	w.Kind, w.Host, w.Path, w.Effectful = k.Name, host(k), "/"+k.Name+"/", k.Effectful
-	w.Aim, w.Deadline, w.Bytes = k.Aim, k.Deadline, k.Bytes
+func (r *Request) of(k Kind) {
+	r.Kind, r.Host, r.Path, r.Effectful = k.Name, host(k), "/"+k.Name+"/", k.Effectful
+	r.LatencyTarget, r.Deadline, r.Bytes = k.LatencyTarget, k.Deadline, k.Bytes
 }
 
 // by says which user asks.
-func (w *Want) by(user int) {
+func (r *Request) by(user int) {
 	x := user - 1
-	w.User, w.Tenant = user, tenant(x%tenantsEach)
-	w.Key = key(x%tenantsEach, x/tenantsEach%keysEach)
+	r.User, r.Tenant = user, tenant(x%tenantsEach)
+	r.Key = key(x%tenantsEach, x/tenantsEach%keysEach)
 	if x >= tenantsEach*keysEach {
-		w.Mark = fmt.Sprintf("client-%d", user)
+		r.ClientID = fmt.Sprintf("client-%d", user)
 	}
 }
 
-func (c *Clients) playProbes(p *Play) (all []Want) {
+func (c *Clients) playProbes(p *Play) (all []Request) {
 	for _, k := range p.Kinds {
 		if k.Work < time.Second {
-			w := Want{}
+			w := Request{}
 			w.of(k)
 			w.by(1)
 			w.Deadline = probeMost
@@ -218,7 +218,7 @@
 func (c *Clients) Regular(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for _, k := range c.t.play().Kinds {
+	for _, k := range c.deployment.play().Kinds {
 		if k.Every <= 0 {
 			continue
 		}
@@ -228,7 +228,7 @@
 			standin.Pace(ctx, k.Every.Seconds, func(meant time.Time) func() {
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				w := wantFrom(c.rng, c.t.Terms.Zones)
+				w := wantFrom(c.rng, c.deployment.Config.Zones)
 				w.of(k)
 				w.someone(c.rng)
 				return func() { c.Send(context.WithoutCancel(ctx), w, meant) }
@@ -239,12 +239,12 @@
 
 // Flaw is what a version does wrong with some of its requests.
 type Flaw struct {
-	Cause  string  // 5xx, reset, silent, wrong or slow
-	Share  float64 // of those it hits
-	By     float64 // slow: so many times slower
-	Writes bool    // writes alone
-	Tenant string  // this one alone; empty: all
-	Cold   bool    // only while it is cold
+	Cause         string  // 5xx, reset, silent, wrong or slow
+	Share         float64 // of those it hits
+	SlowFactor    float64 // slow: so many times slower
+	Writes        bool    // writes alone
+	Tenant        string  // this one alone; empty: all
+	WarmingUpOnly bool    // only while it is cold
 }
 
 // Causes of flaws.
@@ -253,7 +253,7 @@
 func (f *Flaw) String() string {
 	s := fmt.Sprintf("%.0f%% %s", 100*f.Share, f.Cause)
 	if f.Cause == "slow" {
-		s += fmt.Sprintf(" x%.0f", f.By)
+		s += fmt.Sprintf(" x%.0f", f.SlowFactor)
 	}
 	if f.Writes {
 		s += " of writes"
@@ -261,7 +261,7 @@
 	if f.Tenant != "" {
 		s += " of one tenant"
 	}
-	if f.Cold {
+	if f.WarmingUpOnly {
 		s += " while cold"
 	}
 	return s
@@ -288,15 +288,15 @@
 )
 
 // spoil lets a request meet its version's flaw, and says how long its answer is.
-func (l *Line) spoil(t *standin.Task, r *http.Request) {
-	if k := l.t.play().of(t.Kind); k != nil {
+func (h *HeartbeatBackend) spoil(t *standin.Task, r *http.Request) {
+	if k := h.deployment.play().of(t.Kind); k != nil {
 		t.Bytes = k.Bytes
 	}
-	l.t.mu.Lock()
-	f, bad := l.t.flaws[l.Version]
-	l.t.mu.Unlock()
+	h.deployment.mu.Lock()
+	f, bad := h.deployment.flaws[h.Version]
+	h.deployment.mu.Unlock()
 	if !bad || f.Writes && r.Method == http.MethodGet || f.Tenant != "" && f.Tenant != t.Tenant ||
-		f.Cold && time.Since(l.from) > l.cold || !l.Chance(f.Share) {
+		f.WarmingUpOnly && time.Since(h.from) > h.slowStart || !h.Chance(f.Share) {
 		return
 	}
 	switch f.Cause {
@@ -307,16 +307,16 @@
 	case "silent":
 		t.Does = &standin.Mode{Silent: 1}
 	case "slow":
-		t.Does = &standin.Mode{Slow: f.By}
+		t.Does = &standin.Mode{Slow: f.SlowFactor}
 	case "wrong":
 		t.Bare = true
 	}
-	l.t.Terms.History.Add(history.Event{Who: l.ID, Kind: Flawed, Txn: t.ID, At: t.At, What: f.Cause})
+	h.deployment.Config.History.Add(history.Event{Who: h.ID, Kind: Flawed, Txn: t.ID, Target: t.At, What: f.Cause})
 }
 
 // record puts a write in the books once its work is done, before anybody is told.
-func (l *Line) record(t standin.Task) {
-	if k := l.t.play().of(t.Kind); k != nil && k.Effectful {
-		l.t.Terms.History.Add(history.Event{Who: l.ID, Kind: Recorded, Txn: t.ID, At: t.At, Key: t.Tenant})
+func (h *HeartbeatBackend) record(t standin.Task) {
+	if k := h.deployment.play().of(t.Kind); k != nil && k.Effectful {
+		h.deployment.Config.History.Add(history.Event{Who: h.ID, Kind: Recorded, Txn: t.ID, Target: t.At, Key: t.Tenant})
 	}
 }
--- a/internal/lab/gatewaystandin/request_rules.go
+++ b/internal/lab/gatewaystandin/request_rules.go
@@ -33,50 +33,50 @@
 
 // Figures of the rules, as the operators' pages have them.
 const (
-	triesBeyondMost  = 3   // requests that may run on more backends than their route's max_tries
-	usedShare        = 0.7 // of its time: beside a configuration a request cut later is not counted
-	cutTimes         = 3.0 // as often as at other times may requests be cut beside a configuration
-	addedLeast       = 20  // requests on routes that were added later, from which they are judged
-	starvedShare     = 0.25
-	servedLeast      = 5.0 // of a kind or tenant that must be expected, so that fewer are no chance
-	kindLeast        = 100 // requests of a kind or tenant, from which it is judged
-	heldMost         = 250 * time.Millisecond
-	afterGrace       = time.Second
-	afterConfigApply = time.Second
+	maxExcessAttempts  = 3   // requests that may run on more backends than their route's max_tries
+	usedShare          = 0.7 // of its time: beside a configuration a request cut later is not counted
+	abortRatio         = 3.0 // as often as at other times may requests be cut beside a configuration
+	minAddedRequests   = 20  // requests on routes that were added later, from which they are judged
+	starvedShare       = 0.25
+	minExpectedServed  = 5.0 // of a kind or tenant that must be expected, so that fewer are no chance
+	minKindRequests    = 100 // requests of a kind or tenant, from which it is judged
+	maxDeadlineOverrun = 250 * time.Millisecond
+	afterGrace         = time.Second
+	afterConfigApply   = time.Second
 )
 
-// judgeRequests holds single requests to the rules that speak of them.
-func judgeRequests(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Broken) {
-	x := &requestJudge{all: requestsOf(h), t: t, calm: c, slack: slack, crashes: map[string][]time.Duration{}}
+// checkRequests holds single requests to the rules that speak of them.
+func checkRequests(h []history.Event, t *Backends, c *calm, slack time.Duration) (bad []history.Violation) {
+	x := &requestChecker{all: requestsOf(h), backends: t, calm: c, slack: slack, crashes: map[string][]time.Duration{}}
 	for _, e := range h {
 		switch e.Kind {
 		case ReadBack:
-			x.force = t.force(uint64(e.N))
+			x.force = t.force(uint64(e.Number))
 		case Crashed:
-			x.crashes[e.Who] = append(x.crashes[e.Who], e.T)
+			x.crashes[e.Who] = append(x.crashes[e.Who], e.Time)
 		}
 	}
 	bad = append(bad, sealedFailures(h)...)
-	bad = append(bad, x.tries()...)
+	bad = append(bad, x.checkAttemptBudget()...)
 	bad = append(bad, x.losses(h)...)
 	bad = append(bad, x.addedRoutes()...)
-	bad = append(bad, x.held()...)
+	bad = append(bad, x.checkDeadlines()...)
 	bad = append(bad, x.ranOn(h)...)
 	return append(bad, x.starved()...)
 }
 
-// requestJudge is what these rules go by.
-type requestJudge struct {
-	all     []*clientTry
-	force   []Version // in order; see Backends.force
-	t       *Backends
-	calm    *calm
-	slack   time.Duration
-	crashes map[string][]time.Duration
+// requestChecker is what these rules go by.
+type requestChecker struct {
+	all      []*clientAttempt
+	force    []Version // in order; see Backends.force
+	backends *Backends
+	calm     *calm
+	slack    time.Duration
+	crashes  map[string][]time.Duration
 }
 
 // sealedFailures: a failure that bears a backend's seal has the status that this backend gave.
-func sealedFailures(h []history.Event) (bad []history.Broken) {
+func sealedFailures(h []history.Event) (bad []history.Violation) {
 	type given struct {
 		seal   string
 		status float64
@@ -84,13 +84,13 @@
 	gave := map[given]bool{}
 	for _, e := range h {
 		if e.Kind == standin.Fails {
-			gave[given{sealOf(e.Who, e.Txn), e.N}] = true
+			gave[given{sealOf(e.Who, e.Txn), e.Number}] = true
 		}
 	}
 	for _, e := range h {
-		if e.Kind == Sealed && !gave[given{e.What, e.N}] {
-			bad = append(bad, history.Broken{Rule: "MIXED", T: e.T, Who: e.At, Txn: e.Txn,
-				What: fmt.Sprintf("%.0f under the seal %q, which that backend did not give", e.N, e.What)})
+		if e.Kind == Sealed && !gave[given{e.What, e.Number}] {
+			bad = append(bad, history.Violation{Rule: "MIXED", Time: e.Time, Who: e.Target, Txn: e.Txn,
+				What: fmt.Sprintf("%.0f under the seal %q, which that backend did not give", e.Number, e.What)})
 		}
 	}
 	return bad
@@ -101,10 +101,10 @@
 
 // inForce are the versions that may be in force for a try at any moment until a time: the newest that every node has by
 // when it was asked, and those sent since.
-func (r *requestJudge) inForce(clientTry *clientTry, until time.Duration) []Version {
+func (r *requestChecker) inForce(clientTry *clientAttempt, until time.Duration) []Version {
 	from := 0
 	for i, v := range r.force {
-		if v.Acked > 0 && v.Acked+Bounds().ApplyWithin+r.slack < clientTry.ask.T {
+		if v.Acked > 0 && v.Acked+Bounds().ApplyWithin+r.slack < clientTry.ask.Time {
 			from = i
 		}
 	}
@@ -116,10 +116,10 @@
 }
 
 // ended is when a try was over, as far as anybody saw.
-func (c *clientTry) ended() time.Duration {
-	end := max(c.end.T, c.ask.T)
+func (c *clientAttempt) ended() time.Duration {
+	end := max(c.end.Time, c.ask.Time)
 	for _, e := range c.ran {
-		end = max(end, e.T)
+		end = max(end, e.Time)
 	}
 	return end
 }
@@ -131,7 +131,7 @@
 			continue
 		}
 		for i, r := range h.PathList {
-			if strings.HasPrefix(route.At, r.PathPrefix) && (found == nil || len(r.PathPrefix) > len(found.PathPrefix)) {
+			if strings.HasPrefix(route.Target, r.PathPrefix) && (found == nil || len(r.PathPrefix) > len(found.PathPrefix)) {
 				found = &h.PathList[i]
 			}
 		}
@@ -139,8 +139,8 @@
 	return found
 }
 
-// tries: no more than a few requests run, in one try, on more backends than their route's max_tries.
-func (r *requestJudge) tries() (bad []history.Broken) {
+// checkAttemptBudget: no more than a few requests run, in one try, on more backends than their route's max_tries.
+func (r *requestChecker) checkAttemptBudget() (bad []history.Violation) {
 	for _, clientTry := range r.all {
 		most := 0
 		for _, v := range r.inForce(clientTry, clientTry.ended()) {
@@ -150,23 +150,23 @@
 		}
 		at := map[string]bool{}
 		for _, e := range clientTry.ran {
-			if !between(r.crashes[e.Who], clientTry.ask.T, clientTry.ended()) {
+			if !between(r.crashes[e.Who], clientTry.ask.Time, clientTry.ended()) {
 				at[e.Who] = true
 			}
 		}
 		if most > 0 && len(at) > most {
-			bad = append(bad, history.Broken{Rule: "BUDGET", T: clientTry.ran[len(clientTry.ran)-1].T, Who: clientTry.ask.At, Txn: clientTry.ask.Txn,
+			bad = append(bad, history.Violation{Rule: "BUDGET", Time: clientTry.ran[len(clientTry.ran)-1].Time, Who: clientTry.ask.Target, Txn: clientTry.ask.Txn,
 				Key: clientTry.route.What, What: fmt.Sprintf("ran on %d backends, %d are the most in one try", len(at), most)})
 		}
 	}
-	if len(bad) <= triesBeyondMost {
+	if len(bad) <= maxExcessAttempts {
 		return nil
 	}
 	return bad
 }
 
 // timeout is the longest time that a route lets a try be held, by any version that may be in force; nought: there is none.
-func (r *requestJudge) timeout(clientTry *clientTry) (most time.Duration) {
+func (r *requestChecker) timeout(clientTry *clientAttempt) (most time.Duration) {
 	for _, v := range r.inForce(clientTry, clientTry.ended()) {
 		route := routeOf(v.Config, clientTry.route)
 		if route == nil || route.Deadline == nil {
@@ -179,34 +179,34 @@
 	return most
 }
 
-// held: a node without trouble does not hold a request a quarter of a second past its route's deadline.
-func (r *requestJudge) held() (bad []history.Broken) {
+// checkDeadlines: a node without trouble does not hold a request a quarter of a second past its route's deadline.
+func (r *requestChecker) checkDeadlines() (bad []history.Violation) {
 	for _, clientTry := range r.all {
 		most := r.timeout(clientTry)
-		if most == 0 || clientTry.end.T <= clientTry.ask.T+most+heldMost+r.slack || !r.undisturbed(clientTry.ask.At, clientTry.ask.T, clientTry.end.T) {
+		if most == 0 || clientTry.end.Time <= clientTry.ask.Time+most+maxDeadlineOverrun+r.slack || !r.undisturbed(clientTry.ask.Target, clientTry.ask.Time, clientTry.end.Time) {
 			continue
 		}
-		bad = append(bad, history.Broken{Rule: "Held", T: clientTry.end.T, Who: clientTry.ask.At, Txn: clientTry.ask.Txn, Key: clientTry.route.What, Timed: true,
-			What: fmt.Sprintf("held for %s, its route's deadline is %s", clientTry.end.T-clientTry.ask.T, most)})
+		bad = append(bad, history.Violation{Rule: "Held", Time: clientTry.end.Time, Who: clientTry.ask.Target, Txn: clientTry.ask.Txn, Key: clientTry.route.What, Timed: true,
+			What: fmt.Sprintf("held for %s, its route's deadline is %s", clientTry.end.Time-clientTry.ask.Time, most)})
 	}
 	return bad
 }
 
 // undisturbed tells whether a node was in no trouble of its own for a whole time, and a while before.
-func (r *requestJudge) undisturbed(node string, from, to time.Duration) bool {
+func (r *requestChecker) undisturbed(node string, from, to time.Duration) bool {
 	begin := from - Bounds().InTouch
 	return !between(r.calm.events[node], begin, to) && !r.calm.off.meets(node, begin, to)
 }
 
 // addedRoutes: nodes in touch serve requests on routes that were added later not much seldomer than those on the first ones.
-func (r *requestJudge) addedRoutes() (bad []history.Broken) {
+func (r *requestChecker) addedRoutes() (bad []history.Violation) {
 	if len(r.force) == 0 {
 		return nil
 	}
 	first, added := map[string]share{}, map[string]share{}
 	for _, clientTry := range r.all {
 		versions := r.inForce(clientTry, clientTry.ended())
-		if clientTry.end.N == 429 || clientTry.end.Kind == "" || clientTry.end.Kind == history.Left || len(versions) == 0 || !r.calm.touch(clientTry.ask.At, clientTry.ask.T, clientTry.ended()) ||
+		if clientTry.end.Number == 429 || clientTry.end.Kind == "" || clientTry.end.Kind == history.ClientLeft || len(versions) == 0 || !r.calm.touch(clientTry.ask.Target, clientTry.ask.Time, clientTry.ended()) ||
 			slices.ContainsFunc(versions, func(v Version) bool { return routeOf(v.Config, clientTry.route) == nil }) {
 			continue
 		}
@@ -214,44 +214,44 @@
 		if routeOf(r.force[0].Config, clientTry.route) != nil {
 			to = first
 		}
-		for _, of := range []string{"", clientTry.ask.At} {
+		for _, of := range []string{"", clientTry.ask.Target} {
 			to[of] = to[of].with(clientTry.end)
 		}
 	}
 	for of, a := range added {
 		f := first[of]
 		least := starvedShare * f.rate() // where few of the first are served, more are asked for to tell it from chance
-		if a.asked >= addedLeast && f.asked > 0 && a.rate() < least && least*float64(a.asked) >= servedLeast {
-			bad = append(bad, history.Broken{Rule: "CONFIG", T: r.all[len(r.all)-1].ask.T, Who: of, What: fmt.Sprintf(
-				"served %d of %d on routes added later, %d of %d on the first", a.served, a.asked, f.served, f.asked)})
+		if a.requested >= minAddedRequests && f.requested > 0 && a.rate() < least && least*float64(a.requested) >= minExpectedServed {
+			bad = append(bad, history.Violation{Rule: "CONFIG", Time: r.all[len(r.all)-1].ask.Time, Who: of, What: fmt.Sprintf(
+				"served %d of %d on routes added later, %d of %d on the first", a.served, a.requested, f.served, f.requested)})
 		}
 	}
-	slices.SortFunc(bad, func(a, b history.Broken) int { return cmp.Compare(a.Who, b.Who) })
+	slices.SortFunc(bad, func(a, b history.Violation) int { return cmp.Compare(a.Who, b.Who) })
 	return bad
 }
 
 // share counts requests and those of them that were served.
-type share struct{ asked, served int }
+type share struct{ requested, served int }
 
 func (s share) with(end history.Event) share {
-	if s.asked++; end.Kind == history.Answered && int(end.N)/100 == 2 {
+	if s.requested++; end.Kind == history.Answered && int(end.Number)/100 == 2 {
 		s.served++
 	}
 	return s
 }
 
-func (s share) rate() float64 { return float64(s.served) / float64(max(s.asked, 1)) }
+func (s share) rate() float64 { return float64(s.served) / float64(max(s.requested, 1)) }
 
 // starved: no kind of request and no tenant is served much seldomer than all. What lies beyond a tenant's limit is not owed, nor
 // what no configuration in force allows, nor a route that was added later at a node that was out of touch: it can't know of it.
-func (r *requestJudge) starved() (bad []history.Broken) {
+func (r *requestChecker) starved() (bad []history.Violation) {
 	all, by := share{}, map[string]share{}
 	for _, clientTry := range r.all {
 		versions := r.inForce(clientTry, clientTry.ended())
-		if clientTry.end.N == 429 || clientTry.end.Kind == "" || !r.begun(clientTry) || slices.ContainsFunc(versions, func(v Version) bool { return routeOf(v.Config, clientTry.route) == nil }) {
+		if clientTry.end.Number == 429 || clientTry.end.Kind == "" || !r.begun(clientTry) || slices.ContainsFunc(versions, func(v Version) bool { return routeOf(v.Config, clientTry.route) == nil }) {
 			continue
 		}
-		if routeOf(r.force[0].Config, clientTry.route) == nil && !r.calm.touch(clientTry.ask.At, clientTry.ask.T, clientTry.ended()) {
+		if routeOf(r.force[0].Config, clientTry.route) == nil && !r.calm.touch(clientTry.ask.Target, clientTry.ask.Time, clientTry.ended()) {
 			continue // it may not have been told of the route
 		}
 		all = all.with(clientTry.end)
@@ -261,26 +261,26 @@
 	}
 	for name, most := range r.limits() {
 		of := "tenant " + name
-		by[of] = share{min(by[of].asked, most), by[of].served}
+		by[of] = share{min(by[of].requested, most), by[of].served}
 	}
 	for of, s := range by {
 		least := starvedShare * all.rate() // fewer are expected than can be told from chance on days that serve next to nothing
-		if s.asked >= kindLeast && s.rate() < least && least*float64(s.asked) >= servedLeast {
-			bad = append(bad, history.Broken{Rule: "Starved", T: r.all[len(r.all)-1].ask.T, Key: of, What: fmt.Sprintf(
-				"served %d of %d that are owed, of all %d of %d", s.served, s.asked, all.served, all.asked)})
+		if s.requested >= minKindRequests && s.rate() < least && least*float64(s.requested) >= minExpectedServed {
+			bad = append(bad, history.Violation{Rule: "Starved", Time: r.all[len(r.all)-1].ask.Time, Key: of, What: fmt.Sprintf(
+				"served %d of %d that are owed, of all %d of %d", s.served, s.requested, all.served, all.requested)})
 		}
 	}
-	slices.SortFunc(bad, func(a, b history.Broken) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(bad, func(a, b history.Violation) int { return cmp.Compare(a.Key, b.Key) })
 	return bad
 }
 
 // begun tells whether the first configuration was in force everywhere when a request was sent.
-func (r *requestJudge) begun(clientTry *clientTry) bool {
-	return len(r.force) > 0 && r.force[0].Acked > 0 && clientTry.ask.T > r.force[0].Acked+Bounds().ApplyWithin
+func (r *requestChecker) begun(clientTry *clientAttempt) bool {
+	return len(r.force) > 0 && r.force[0].Acked > 0 && clientTry.ask.Time > r.force[0].Acked+Bounds().ApplyWithin
 }
 
 // kindOf is a request's kind: its route's, or that of all routes that come and go.
-func kindOf(r *clientTry) string {
+func kindOf(r *clientAttempt) string {
 	if r.route.Key == hostGuests {
 		return "kind " + hostGuests
 	}
@@ -288,12 +288,12 @@
 }
 
 // limits are how many requests of each metered tenant are owed over the whole time, at the most.
-func (r *requestJudge) limits() map[string]int {
+func (r *requestChecker) limits() map[string]int {
 	limits := map[string]int{}
 	if len(r.all) == 0 {
 		return limits
 	}
-	seconds := (r.all[len(r.all)-1].ask.T - r.all[0].ask.T).Seconds()
+	seconds := (r.all[len(r.all)-1].ask.Time - r.all[0].ask.Time).Seconds()
 	for _, v := range r.force {
 		for _, t := range v.Config.Tenants {
 			if t.RatePerS > 0 {
--- a/internal/lab/gatewaystandin/request_rules_test.go
+++ b/internal/lab/gatewaystandin/request_rules_test.go
@@ -13,14 +13,14 @@
 // sent is a try that its client waits two seconds for; status 0: its connection ended without an answer.
 func sent(id, path string, at, took time.Duration, status float64, backends ...string) []history.Event {
 	host := map[string]string{"/browse/1": hostProgramme, "/book/1": hostTickets, "/late/1": hostGuests}[path]
-	h := []history.Event{{T: at, Who: "clients", Kind: Route, Txn: id, Key: host, At: path, What: "r" + path},
-		{T: at, Who: "clients", Kind: history.Asked, Txn: id, At: "d0", N: 1, What: "pure", Due: at + 2*s}}
+	h := []history.Event{{Time: at, Who: "clients", Kind: Route, Txn: id, Key: host, Target: path, What: "r" + path},
+		{Time: at, Who: "clients", Kind: history.Requested, Txn: id, Target: "d0", Number: 1, What: "pure", Deadline: at + 2*s}}
 	for i, who := range backends {
-		h = append(h, history.Event{T: at + time.Duration(i+1)*10*time.Millisecond, Who: who, Kind: history.Arrived, Txn: id, At: path})
+		h = append(h, history.Event{Time: at + time.Duration(i+1)*10*time.Millisecond, Who: who, Kind: history.Arrived, Txn: id, Target: path})
 	}
-	end := history.Event{T: at + took, Who: "clients", Kind: history.Answered, Txn: id, N: status}
+	end := history.Event{Time: at + took, Who: "clients", Kind: history.Answered, Txn: id, Number: status}
 	if status == 0 {
-		end.Kind = history.Unheard
+		end.Kind = history.Unanswered
 	}
 	return append(h, end)
 }
@@ -58,7 +58,7 @@
 		{told + 3*s, last - 1, 0, true, false}, {told + 3*s, last, last - 1, true, false}, {told + 3*s + 1, last, 0, true, false},
 		{told + 3*s, last, 0, false, false},
 	} {
-		r := &clientTry{ask: history.Event{T: c.asked}, end: history.Event{T: c.ended}}
+		r := &clientAttempt{ask: history.Event{Time: c.asked}, end: history.Event{Time: c.ended}}
 		if c.ran {
 			r.ran = []history.Event{{}}
 		}
@@ -69,7 +69,7 @@
 // Each rule that MORE.md brought finds its planted fault, and only that; beside each stands what is no fault.
 func TestRequestRulesFindWhatIsBroken(t *testing.T) {
 	event := func(at time.Duration, who string, kind history.Kind) []history.Event {
-		return []history.Event{{T: at, Who: who, Kind: kind}}
+		return []history.Event{{Time: at, Who: who, Kind: kind}}
 	}
 	join := func(all ...[]history.Event) (h []history.Event) {
 		for _, x := range all {
@@ -85,9 +85,9 @@
 	}
 	sealed := func(seal string, status float64) []history.Event {
 		return join(sent("a", "/browse/1", 30*s, s/10, status, "p"),
-			[]history.Event{{T: 31 * s, Who: "clients", Kind: Sealed, Txn: "a", At: "d0", N: status, What: seal}})
+			[]history.Event{{Time: 31 * s, Who: "clients", Kind: Sealed, Txn: "a", Target: "d0", Number: status, What: seal}})
 	}
-	fails := []history.Event{{T: 30*s + s/20, Who: "p", Kind: "fails", Txn: "a", N: 500}}
+	fails := []history.Event{{Time: 30*s + s/20, Who: "p", Kind: "fails", Txn: "a", Number: 500}}
 	tries := func(n int, path string, from time.Duration, backends ...string) []history.Event {
 		return several(n, from, func(id string, at time.Duration) []history.Event { return sent(id, path, at, s/10, 200, backends...) })
 	}
@@ -109,8 +109,8 @@
 	left := func(n int, what string, runs time.Duration) []history.Event { // clients that leave a tenth of a second after they asked
 		return several(n, 30*s, func(id string, at time.Duration) []history.Event {
 			h := sent(id, "/browse/1", at, s/10, 0, "p")
-			h[1].What, h[3].Kind = what, history.Left
-			return append(h, history.Event{T: at + runs, Who: "p", Kind: history.Over, Txn: id})
+			h[1].What, h[3].Kind = what, history.ClientLeft
+			return append(h, history.Event{Time: at + runs, Who: "p", Kind: history.Finished, Txn: id})
 		})
 	}
 	for name, c := range map[string]struct {
@@ -131,15 +131,15 @@
 
 		"cut by an end":                           {join(event(29*s, "d0", Terminates), cut), "LOST"},
 		"cut by a kill while it ends":             {join(event(29*s, "d0", Terminates), event(31*s, "d0", history.Down), cut), ""},
-		"cut by its own end":                      {join(event(29*s, "d0", Terminates), []history.Event{{T: 31 * s, Who: "d0", Kind: history.Down, What: history.InOrder}}, cut), "LOST"},
+		"cut by its own end":                      {join(event(29*s, "d0", Terminates), []history.Event{{Time: 31 * s, Who: "d0", Kind: history.Down, What: history.CleanExit}}, cut), "LOST"},
 		"cut by another node's end":               {join(event(29*s, "d1", Terminates), cut), ""},
 		"cut long after an end":                   {join(event(20*s, "d0", Terminates), cut), ""},
-		"cut after its end, in other trouble":     {join(event(29*s, "d0", Terminates), event(28*s, "d1", history.Stopped), cut), ""},
+		"cut after its end, in other trouble":     {join(event(29*s, "d0", Terminates), event(28*s, "d1", history.Paused), cut), ""},
 		"in trouble while it ends":                {join(event(29*s, "d0", Terminates), event(29*s+s/2, "d0", Troubled), event(30*s+s/2, "d0", Eased), cut), ""},
 		"cut after its end, a backend crashed":    {join(event(29*s, "d0", Terminates), event(28*s, "t", Crashed), cut), ""},
 		"cut at once, nothing was passed on":      {join(event(29*s, "d0", Terminates), sent("a", "/browse/1", 30*s, s/10, 0)), ""},
 		"cut later, though nothing was passed on": {join(event(29*s, "d0", Terminates), sent("a", "/browse/1", 30*s, s/2, 0)), "LOST"},
-		"its backend broke off":                   {join(event(29*s, "d0", Terminates), cut, []history.Event{{T: 30 * s, Who: "p", Kind: "spoil", Txn: "a"}}), ""},
+		"its backend broke off":                   {join(event(29*s, "d0", Terminates), cut, []history.Event{{Time: 30 * s, Who: "p", Kind: "spoil", Txn: "a"}}), ""},
 		"at its route's timeout":                  {join(event(29*s, "d0", Terminates), cutAt(30*s, 1600*time.Millisecond)), ""},
 		"at work before the last sixth of grace":  {join(event(29*s, "d0", Terminates), cutAt(32*s, s)), "LOST"},
 		"at work in it, sent late":                {join(event(29*s, "d0", Terminates), cutAt(33*s, s+s/4)), "LOST"},
@@ -161,35 +161,35 @@
 			return sent(id, "/browse/1", at, s/10, 503)
 		}), late(503)), ""},
 		"beyond the quota":                {join(served, late(429)), ""},
-		"a node that had just been away":  {join(served, late(503), event(39*s, "d0", history.Stopped), event(45*s, "d0", history.Goes)), ""},
-		"a node that was away for longer": {join(served, late(503), event(10*s, "d0", history.Stopped), event(11*s, "d0", history.Goes)), "CONFIG"},
+		"a node that had just been away":  {join(served, late(503), event(39*s, "d0", history.Paused), event(45*s, "d0", history.Resumed)), ""},
+		"a node that was away for longer": {join(served, late(503), event(10*s, "d0", history.Paused), event(11*s, "d0", history.Resumed)), "CONFIG"},
 
 		"answered at its deadline":        {sent("a", "/browse/1", 30*s, 1700*time.Millisecond, 504), ""},
 		"held past its route's deadline":  {sent("a", "/browse/1", 30*s, 1800*time.Millisecond, 504), "Held"},
-		"held by a node that stood still": {join(sent("a", "/browse/1", 30*s, 1800*time.Millisecond, 504), event(31*s, "d0", history.Stopped), event(31*s+s/2, "d0", history.Goes)), ""},
+		"held by a node that stood still": {join(sent("a", "/browse/1", 30*s, 1800*time.Millisecond, 504), event(31*s, "d0", history.Paused), event(31*s+s/2, "d0", history.Resumed)), ""},
 		"never answered":                  {join(sent("a", "/browse/1", 30*s, s, 0)[:2], sent("b", "/browse/1", 40*s, s/10, 200)), "Held"},
 
 		"called off when their clients left":  {left(30, "pure", s/5), ""},
 		"run on after their clients had left": {left(4, "pure", s), "GONE"},
 		"a few of them":                       {left(3, "pure", s), ""},
 		"run on, as they may run once":        {left(30, "effectful", s), ""},
-		"run on by a node that had been away": {join(event(29*s, "d0", history.Stopped), event(29*s+s/2, "d0", history.Goes), left(10, "pure", s)), ""},
+		"run on by a node that had been away": {join(event(29*s, "d0", history.Paused), event(29*s+s/2, "d0", history.Resumed), left(10, "pure", s)), ""},
 
 		"a kind that is refused": {join(many, book), "Starved"},
-		"added routes, at a node that was away": {join(many, event(41*s, "d0", history.Stopped), several(120, 42*s, func(id string, at time.Duration) []history.Event {
+		"added routes, at a node that was away": {join(many, event(41*s, "d0", history.Paused), several(120, 42*s, func(id string, at time.Duration) []history.Event {
 			return sent(id, "/late/1", at, s/10, 503)
-		}), event(60*s, "d0", history.Goes)), ""},
+		}), event(60*s, "d0", history.Resumed)), ""},
 		"a kind that is refused seldom": {join(many, book[:3*90]), ""},
 		"a tenant that is refused":      {join(many, of("patrons", 300, 20)), "Starved"},
 		"a tenant far beyond its limit": {join(many, of("touts", 300, 20)), ""},
 	} {
 		var rules []string
-		h := history.Merge(c.h, []history.Event{{T: 100 * s, Who: "operator", Kind: ReadBack, N: 7, Due: 99 * s}})
+		h := history.Merge(c.h, []history.Event{{Time: 100 * s, Who: "operator", Kind: ReadBack, Number: 7, Deadline: 99 * s}})
 		backends := quiet(later()).Backends()
 		for _, who := range []string{"p", "p2", "p3"} {
 			backends.Services[who] = "programme"
 		}
-		for _, b := range Judge(h, backends, 0) {
+		for _, b := range Check(h, backends, 0) {
 			if len(rules) == 0 || rules[len(rules)-1] != b.Rule {
 				rules = append(rules, b.Rule)
 			}
--- a/internal/lab/gatewaystandin/rollouts.go
+++ b/internal/lab/gatewaystandin/rollouts.go
@@ -10,18 +10,18 @@
 
 // Trial is a roll-out as the rig saw it from outside, to hold a history against.
 type Trial struct {
-	Service string
-	New     string                   // version
-	Lines   map[string][2]string     // of each backend: service, version
-	Spoilt  time.Duration            // when the new version began to fail; nought: never
-	Mended  time.Duration            // when it was mended, as nothing had pulled it back; nought: never
-	Verdict time.Duration            // when any node was first seen to have pulled back; nought: none was
-	Pulled  map[string]time.Duration // the same of each node
-	Slack   time.Duration            // how slow the machine itself was
+	Service         string
+	New             string                   // version
+	Backends        map[string][2]string     // of each backend: service, version
+	Spoilt          time.Duration            // when the new version began to fail; nought: never
+	RepairedAt      time.Duration            // when it was mended, as nothing had pulled it back; nought: never
+	RolledBackAt    time.Duration            // when any node was first seen to have pulled back; nought: none was
+	RolledBackNodes map[string]time.Duration // the same of each node
+	Slack           time.Duration            // how slow the machine itself was
 }
 
-// Outputs tells service and version of all backends that ever were.
-func (d *Deployment) Outputs() map[string][2]string {
+// BackendVersions tells service and version of all backends that ever were.
+func (d *Deployment) BackendVersions() map[string][2]string {
 	all := map[string][2]string{}
 	for _, l := range d.All() {
 		all[l.ID] = [2]string{l.Service, l.Version}
@@ -29,7 +29,7 @@
 	return all
 }
 
-func (t *Trial) isNew(backend string) bool { return t.Lines[backend] == [2]string{t.Service, t.New} }
+func (t *Trial) isNew(backend string) bool { return t.Backends[backend] == [2]string{t.Service, t.New} }
 
 // Open counts writes whose client had no clear answer, by why, and how many of them are in the books.
 type Open struct {
@@ -52,8 +52,8 @@
 // ended is when a backend was done with what it had begun.
 func (a *attempt) ended(b history.Event) time.Duration {
 	for _, e := range a.over {
-		if e.Who == b.Who && e.N == b.N {
-			return e.T
+		if e.Who == b.Who && e.Number == b.Number {
+			return e.Time
 		}
 	}
 	return always
@@ -74,14 +74,14 @@
 		switch e.Kind {
 		case Route:
 			of(e).route = e
-		case history.Asked:
+		case history.Requested:
 			of(e).ask = e
 		case history.Answered:
 			of(e).final = e
 		case history.Arrived:
 			a := of(e)
 			a.begun = append(a.begun, e)
-		case history.Over:
+		case history.Finished:
 			a := of(e)
 			a.over = append(a.over, e)
 		case Recorded:
@@ -95,7 +95,7 @@
 
 // Ledger checks the books: a write whose client was told that it is done is in the books once; one that was told refused is not; none
 // is twice, by try or by the write that all its tries are for. What had no clear answer is counted.
-func Ledger(h []history.Event) (bad []history.Broken, u Open) {
+func Ledger(h []history.Event) (bad []history.Violation, u Open) {
 	u.Why = map[string]int{}
 	all, order := attempts(h)
 	o := newOff(h, Terminates)
@@ -106,16 +106,16 @@
 			continue
 		}
 		say := func(format string, args ...any) {
-			bad = append(bad, history.Broken{Rule: "BOOKS", T: max(a.final.T, a.ask.T), Who: a.ask.At, Txn: id,
+			bad = append(bad, history.Violation{Rule: "BOOKS", Time: max(a.final.Time, a.ask.Time), Who: a.ask.Target, Txn: id,
 				Key: a.route.What, What: fmt.Sprintf(format, args...)})
 		}
-		writes[a.route.At] += a.recorded
-		code := a.final.N
+		writes[a.route.Target] += a.recorded
+		code := a.final.Number
 		switch {
 		case a.recorded > 1:
 			say("recorded %d times", a.recorded)
-		case a.recorded == 1 && writes[a.route.At] > 1:
-			say("%s is recorded %d times, by several tries", a.route.At, writes[a.route.At])
+		case a.recorded == 1 && writes[a.route.Target] > 1:
+			say("%s is recorded %d times, by several tries", a.route.Target, writes[a.route.Target])
 		case int(code)/100 == 2 && a.recorded == 0:
 			say("told %.0f, and not recorded", code)
 		case promise(code) && a.recorded > 0:
@@ -128,15 +128,15 @@
 		if a.recorded > 0 {
 			u.Recorded++
 		}
-		end := a.ask.Due
-		if a.final.T > 0 {
-			end = a.final.T
+		end := a.ask.Deadline
+		if a.final.Time > 0 {
+			end = a.final.Time
 		}
 		why := "other: " + fmt.Sprintf("%.0f", code)
 		switch {
 		case a.flaw != "":
 			why = "the version's " + a.flaw
-		case o.meets(a.ask.At, a.ask.T, end):
+		case o.meets(a.ask.Target, a.ask.Time, end):
 			why = "its node ended or stood still"
 		case len(a.begun) == 0:
 			why = "never sent on"
@@ -153,15 +153,15 @@
 // Barred checks that once a node was seen to have pulled back, no request reaches the failing version by it, in a later life
 // neither; nor by any node that started anew after the verdict. A further try goes from the new version to the old,
 // never the other way.
-func Barred(h []history.Event, t *Trial) (bad []history.Broken) {
+func Barred(h []history.Event, t *Trial) (bad []history.Violation) {
 	closed := map[string]time.Duration{}
-	for d, at := range t.Pulled {
+	for d, at := range t.RolledBackNodes {
 		closed[d] = at
 	}
 	for _, e := range h {
-		if e.Kind == history.Up && t.Verdict > 0 && e.T > t.Verdict {
-			if at, ok := closed[e.Who]; !ok || e.T < at {
-				closed[e.Who] = e.T
+		if e.Kind == history.Up && t.RolledBackAt > 0 && e.Time > t.RolledBackAt {
+			if at, ok := closed[e.Who]; !ok || e.Time < at {
+				closed[e.Who] = e.Time
 			}
 		}
 	}
@@ -170,7 +170,7 @@
 		a := all[id]
 		old := time.Duration(0) // when the old version was done with it
 		for _, b := range a.begun {
-			if t.Lines[b.Who][0] != t.Service {
+			if t.Backends[b.Who][0] != t.Service {
 				continue
 			}
 			if !t.isNew(b.Who) {
@@ -178,16 +178,16 @@
 				continue
 			}
 			say := func(rule string, timed bool, format string, args ...any) {
-				bad = append(bad, history.Broken{Rule: rule, T: b.T, Who: a.ask.At, Txn: id, Key: a.route.What, Timed: timed,
+				bad = append(bad, history.Violation{Rule: rule, Time: b.Time, Who: a.ask.Target, Txn: id, Key: a.route.What, Timed: timed,
 					What: fmt.Sprintf(format, args...)})
 			}
-			late := a.final.T > 0 && a.final.T < b.T // it was sent before, and arrives after all is over
-			if old > 0 && old < b.T-t.Slack && !late {
+			late := a.final.Time > 0 && a.final.Time < b.Time // it was sent before, and arrives after all is over
+			if old > 0 && old < b.Time-t.Slack && !late {
 				say("BACK", true, "went on to %s of the new version after the old one had it", b.Who)
 			}
-			if at, ok := closed[a.ask.At]; ok && b.T > at+t.Slack {
-				say("BARRED", a.ask.T <= at, "reached %s of the failing version %.3fs after its node had pulled back, asked "+
-					"%.3fs after", b.Who, (b.T - at).Seconds(), (a.ask.T - at).Seconds())
+			if at, ok := closed[a.ask.Target]; ok && b.Time > at+t.Slack {
+				say("BARRED", a.ask.Time <= at, "reached %s of the failing version %.3fs after its node had pulled back, asked "+
+					"%.3fs after", b.Who, (b.Time - at).Seconds(), (a.ask.Time - at).Seconds())
 			}
 		}
 	}
@@ -202,10 +202,10 @@
 	Off      int `json:"off"`    // whose node was killed, was ending or stood still
 }
 
-// Whole checks that reads under way on the failing version at the pull-back come whole, but for those that the version fails
+// CheckReadsComplete checks that reads under way on the failing version at the pull-back come whole, but for those that the version fails
 // itself and those whose node dies.
-func Whole(h []history.Event, t *Trial) (bad []history.Broken, r Carried) {
-	if t.Verdict == 0 {
+func CheckReadsComplete(h []history.Event, t *Trial) (bad []history.Violation, r Carried) {
+	if t.RolledBackAt == 0 {
 		return nil, r
 	}
 	o := newOff(h, Terminates)
@@ -217,25 +217,25 @@
 	for _, id := range order {
 		a := all[id]
 		if a.ask.What != "pure" || !slices.ContainsFunc(a.begun, func(b history.Event) bool {
-			return t.isNew(b.Who) && b.T <= t.Verdict && a.ended(b) > t.Verdict
+			return t.isNew(b.Who) && b.Time <= t.RolledBackAt && a.ended(b) > t.RolledBackAt
 		}) {
 			continue
 		}
-		end := a.ask.Due
-		if a.final.T > 0 {
-			end = a.final.T
+		end := a.ask.Deadline
+		if a.final.Time > 0 {
+			end = a.final.Time
 		}
 		r.UnderWay++
 		switch {
-		case int(a.final.N)/100 == 2 && !mixed[id]:
+		case int(a.final.Number)/100 == 2 && !mixed[id]:
 			r.Whole++
 		case a.flaw != "":
 			r.Failed++
-		case o.meets(a.ask.At, a.ask.T, end):
+		case o.meets(a.ask.Target, a.ask.Time, end):
 			r.Off++
 		default:
-			bad = append(bad, history.Broken{Rule: "READS", T: end, Who: a.ask.At, Txn: id, Key: a.route.What,
-				What: fmt.Sprintf("under way at the pull-back, and ended with %.0f", a.final.N)})
+			bad = append(bad, history.Violation{Rule: "READS", Time: end, Who: a.ask.Target, Txn: id, Key: a.route.What,
+				What: fmt.Sprintf("under way at the pull-back, and ended with %.0f", a.final.Number)})
 		}
 	}
 	return bad, r
@@ -258,17 +258,17 @@
 func Measure(h []history.Event, t *Trial) (m Met) {
 	first := time.Duration(0)
 	for _, e := range h {
-		if e.Kind == Flawed && t.isNew(e.Who) && (first == 0 || e.T < first) {
-			first = e.T
+		if e.Kind == Flawed && t.isNew(e.Who) && (first == 0 || e.Time < first) {
+			first = e.Time
 		}
 	}
 	if first == 0 {
 		return m
 	}
 	m.FirstBad = first - t.Spoilt
-	if t.Verdict > 0 {
-		m.Verdict = t.Verdict - first
-		for _, at := range t.Pulled {
+	if t.RolledBackAt > 0 {
+		m.Verdict = t.RolledBackAt - first
+		for _, at := range t.RolledBackNodes {
 			m.LastNode = max(m.LastNode, at-first)
 		}
 	}
@@ -276,12 +276,12 @@
 	for _, a := range all {
 		met := false
 		for _, b := range a.begun {
-			if t.isNew(b.Who) && b.T >= first && (t.Mended == 0 || b.T <= t.Mended) {
-				met, m.Last = true, max(m.Last, b.T-first)
+			if t.isNew(b.Who) && b.Time >= first && (t.RepairedAt == 0 || b.Time <= t.RepairedAt) {
+				met, m.Last = true, max(m.Last, b.Time-first)
 				if m.ByNode == nil {
 					m.ByNode = map[string]time.Duration{}
 				}
-				m.ByNode[a.ask.At] = max(m.ByNode[a.ask.At], b.T-first)
+				m.ByNode[a.ask.Target] = max(m.ByNode[a.ask.Target], b.Time-first)
 			}
 		}
 		if !met && a.flaw == "" {
@@ -290,7 +290,7 @@
 		m.Requests++
 		if a.flaw != "" {
 			m.Failing++
-			if int(a.final.N)/100 != 2 {
+			if int(a.final.Number)/100 != 2 {
 				m.Clients++
 			}
 		}
@@ -310,15 +310,15 @@
 	all, _ := attempts(h)
 	for _, a := range all {
 		for _, b := range a.begun {
-			if t.Lines[b.Who][0] != t.Service || b.T < from {
+			if t.Backends[b.Who][0] != t.Service || b.Time < from {
 				continue
 			}
-			i := int((b.T - from) / piece)
+			i := int((b.Time - from) / piece)
 			for len(out) <= i {
 				out = append(out, Moment{At: float64(len(out)) * piece.Seconds()})
 			}
 			fails := 0
-			if a.flaw != "" && t.isNew(b.Who) || len(a.begun) == 1 && (a.final.N >= 500 || a.final.N == 0) {
+			if a.flaw != "" && t.isNew(b.Who) || len(a.begun) == 1 && (a.final.Number >= 500 || a.final.Number == 0) {
 				fails = 1
 			}
 			if t.isNew(b.Who) {
--- a/internal/lab/gatewaystandin/rollouts_test.go
+++ b/internal/lab/gatewaystandin/rollouts_test.go
@@ -16,33 +16,33 @@
 // told is a try of the trial's service at node d0: asked, begun at some backends one after another, over, answered.
 // A write is in the books as often as is said.
 func told(id, what, path string, at, takes time.Duration, code float64, recorded int, begun ...string) []history.Event {
-	h := []history.Event{{T: at, Who: "clients", Kind: Route, Txn: id, Key: "saleroom.example", At: path, What: "bids"},
-		{T: at, Who: "clients", Kind: history.Asked, Txn: id, At: "d0", N: 1, What: what, Due: at + 4*s}}
+	h := []history.Event{{Time: at, Who: "clients", Kind: Route, Txn: id, Key: "saleroom.example", Target: path, What: "bids"},
+		{Time: at, Who: "clients", Kind: history.Requested, Txn: id, Target: "d0", Number: 1, What: what, Deadline: at + 4*s}}
 	for i, who := range begun {
 		from := at + time.Duration(i)*takes/10
-		h = append(h, history.Event{T: from, Who: who, Kind: history.Arrived, Txn: id, N: 1},
-			history.Event{T: from + takes, Who: who, Kind: history.Over, Txn: id, N: 1})
+		h = append(h, history.Event{Time: from, Who: who, Kind: history.Arrived, Txn: id, Number: 1},
+			history.Event{Time: from + takes, Who: who, Kind: history.Finished, Txn: id, Number: 1})
 	}
 	for range recorded {
-		h = append(h, history.Event{T: at + takes, Who: begun[0], Kind: Recorded, Txn: id, At: path})
+		h = append(h, history.Event{Time: at + takes, Who: begun[0], Kind: Recorded, Txn: id, Target: path})
 	}
 	if code > 0 {
-		h = append(h, history.Event{T: at + takes, Who: "clients", Kind: history.Answered, Txn: id, N: code, What: id})
+		h = append(h, history.Event{Time: at + takes, Who: "clients", Kind: history.Answered, Txn: id, Number: code, What: id})
 	}
 	return h
 }
 
 func event(at time.Duration, who string, k history.Kind) []history.Event {
-	return []history.Event{{T: at, Who: who, Kind: k}}
+	return []history.Event{{Time: at, Who: who, Kind: k}}
 }
 
 func onTrial() *Trial {
-	return &Trial{Service: "saleroom", New: "v2", Lines: map[string][2]string{"old": {"saleroom", "v1"},
-		"new": {"saleroom", "v2"}, "other": {"library", "v2"}}, Spoilt: 8 * s, Verdict: 20 * s,
-		Pulled: map[string]time.Duration{"d0": 21 * s}, Slack: 50 * ms}
+	return &Trial{Service: "saleroom", New: "v2", Backends: map[string][2]string{"old": {"saleroom", "v1"},
+		"new": {"saleroom", "v2"}, "other": {"library", "v2"}}, Spoilt: 8 * s, RolledBackAt: 20 * s,
+		RolledBackNodes: map[string]time.Duration{"d0": 21 * s}, Slack: 50 * ms}
 }
 
-func rulesOf(bad []history.Broken) (rules []string) {
+func rulesOf(bad []history.Violation) (rules []string) {
 	for _, b := range bad {
 		rules = append(rules, b.Rule)
 	}
@@ -50,8 +50,8 @@
 }
 
 func TestLedgerFindsWhatIsLostDoubledOrDenied(t *testing.T) {
-	flaw := history.Event{T: 2 * s, Who: "new", Kind: Flawed, Txn: "a", What: "5xx"}
-	turned := history.Event{T: 2 * s, Who: "new", Kind: history.Turned, Txn: "a", N: 1}
+	flaw := history.Event{Time: 2 * s, Who: "new", Kind: Flawed, Txn: "a", What: "5xx"}
+	turned := history.Event{Time: 2 * s, Who: "new", Kind: history.Rejected, Txn: "a", Number: 1}
 	for name, c := range map[string]struct {
 		h     []history.Event
 		rules []string
@@ -94,9 +94,9 @@
 		"after, another service":        {at(22*s, "other"), nil},
 		"from the new to the old":       {at(20*s, "new", "old"), nil},
 		"from the old to the new": {history.Merge(told("a", "pure", "/lots/1", 10*s, s/10, 0, 0, "old"),
-			[]history.Event{{T: 11 * s, Who: "new", Kind: history.Arrived, Txn: "a", N: 2}}), []string{"BACK"}},
+			[]history.Event{{Time: 11 * s, Who: "new", Kind: history.Arrived, Txn: "a", Number: 2}}), []string{"BACK"}},
 		"sent before, arrived after the answer": {history.Merge(told("a", "pure", "/lots/1", 10*s, s/10, 200, 0, "old"),
-			[]history.Event{{T: 11 * s, Who: "new", Kind: history.Arrived, Txn: "a", N: 2}}), nil},
+			[]history.Event{{Time: 11 * s, Who: "new", Kind: history.Arrived, Txn: "a", Number: 2}}), nil},
 		"out at both at a time":           {at(10*s, "old", "new"), nil},
 		"a node started anew before that": {history.Merge(event(20*s+s/5, "d0", history.Up), at(20*s+s/2, "new")), []string{"BARRED"}},
 		"and before the verdict":          {history.Merge(event(19*s, "d0", history.Up), at(20*s+s/2, "new")), nil},
@@ -121,8 +121,8 @@
 	read := func(from, takes time.Duration, code float64) []history.Event {
 		return told("a", "pure", "/appraisals/1", from, takes, code, 0, "new")
 	}
-	flaw := history.Event{T: 19 * s, Who: "new", Kind: Flawed, Txn: "a", What: "wrong"}
-	mixed := history.Event{T: 22 * s, Who: "clients", Kind: Mixed, Txn: "a"}
+	flaw := history.Event{Time: 19 * s, Who: "new", Kind: Flawed, Txn: "a", What: "wrong"}
+	mixed := history.Event{Time: 22 * s, Who: "clients", Kind: Mixed, Txn: "a"}
 	for name, c := range map[string]struct {
 		h     []history.Event
 		rules []string
@@ -137,7 +137,7 @@
 		"failed by it":       {append(read(19*s, 3*s, 500), flaw), nil, Carried{UnderWay: 1, Failed: 1}},
 		"its node is killed": {history.Merge(read(19*s, 3*s, 0), event(21*s, "d0", history.Down)), nil, Carried{UnderWay: 1, Off: 1}},
 	} {
-		bad, got := Whole(c.h, onTrial())
+		bad, got := CheckReadsComplete(c.h, onTrial())
 		must.Eq(t, c.rules, rulesOf(bad), must.Sprint(name))
 		must.Eq(t, c.want, got, must.Sprint(name))
 	}
@@ -145,7 +145,7 @@
 
 func TestMeasuresFromTheFirstFailingAnswer(t *testing.T) {
 	flaw := func(at time.Duration, id string) []history.Event {
-		return []history.Event{{T: at, Who: "new", Kind: Flawed, Txn: id, What: "5xx"}}
+		return []history.Event{{Time: at, Who: "new", Kind: Flawed, Txn: id, What: "5xx"}}
 	}
 	h := history.Merge(told("before", "pure", "/lots/0", 8*s, s/10, 200, 0, "new"),
 		told("first", "effectful", "/bids/1", 10*s, s/10, 500, 1, "new"), flaw(10*s, "first"),
@@ -167,16 +167,16 @@
 		text, _ := json.Marshal(p.first())
 		_, err := routing.ReadConfig(text)
 		must.NoError(t, err)
-		tr := &Deployment{Terms: Terms{Play: p, Seed: 3, Zones: []string{"stalls"}}}
+		tr := &Deployment{Config: Config{Play: p, Seed: 3, Zones: []string{"stalls"}}}
 		c := NewClients(tr)
 		n, marks, keys := map[string]int{}, map[int]string{}, map[int]string{}
 		for range 5000 {
 			w := c.draw()
 			n[w.Kind]++
 			if marks[w.User] == "" {
-				marks[w.User], keys[w.User] = w.Mark, w.Key
+				marks[w.User], keys[w.User] = w.ClientID, w.Key
 			}
-			must.Eq(t, marks[w.User]+keys[w.User], w.Mark+w.Key)
+			must.Eq(t, marks[w.User]+keys[w.User], w.ClientID+w.Key)
 		}
 		must.Eq(t, usersEach, len(keys))
 		for _, k := range p.Kinds {
@@ -186,14 +186,14 @@
 }
 
 func TestFlawsHitWhatTheySay(t *testing.T) {
-	tr, err := New(Terms{Zones: []string{"stalls"}, Nodes: 0, Each: 1, Beat: time.Hour, Play: SaleDay(), History: history.InMemory(1 << 10)})
+	tr, err := New(Config{Zones: []string{"stalls"}, Nodes: 0, BackendsPerZone: 1, HeartbeatInterval: time.Hour, Play: SaleDay(), History: history.InMemory(1 << 10)})
 	must.NoError(t, err)
 	defer tr.Close()
 	l, err := tr.AddVersion("saleroom", "stalls", "v2", 0)
 	must.NoError(t, err)
 	tr.Spoil("v2", &Flaw{Cause: "5xx", Share: 1, Writes: true, Tenant: "tenant1"})
-	at := func(l *Line, kind string, user int) int {
-		var w Want
+	at := func(l *HeartbeatBackend, kind string, user int) int {
+		var w Request
 		w.by(user)
 		method := http.MethodGet
 		if tr.play().of(kind).Effectful {
@@ -214,7 +214,7 @@
 	tr.Spoil("v2", nil)
 	must.Eq(t, 200, at(l, "bids", 2))
 	records := 0
-	for _, e := range tr.Terms.History.Events() {
+	for _, e := range tr.Config.History.Events() {
 		if e.Kind == Recorded {
 			records++
 		}
@@ -226,9 +226,9 @@
 func TestTheOperatorGoesBeforeLongReadsEnd(t *testing.T) {
 	sent := moved(0)
 	sent[4].Sent, sent[4].Acked = 15*s, 0
-	end := event(30*s, "clients", history.Unheard)
+	end := event(30*s, "clients", history.Unanswered)
 	played := quiet(sent).Backends()
 	must.Len(t, 1, acks(played, newCalm(end, played), end))
-	closed := history.Merge(event(16*s, "rig", history.Closes), end)
+	closed := history.Merge(event(16*s, "rig", history.Complete), end)
 	must.SliceEmpty(t, acks(played, newCalm(closed, played), closed))
 }
--- a/internal/lab/gatewaystandin/rules_test.go
+++ b/internal/lab/gatewaystandin/rules_test.go
@@ -15,13 +15,13 @@
 
 // quiet is a deployment that only rules see: three nodes with disks, up since long, and an operator's versions.
 func quiet(versions map[uint64]*Version) *Deployment {
-	t := &Deployment{Terms: Terms{Disks: 3}}
+	t := &Deployment{Config: Config{Disks: 3}}
 	for _, name := range []string{"d0", "d1", "d2"} {
 		t.Nodes = append(t.Nodes, &Node{Process: standin.NewProcess(name, nil, nil, nil, nil),
-			Control: name + ":1", t: t})
+			Control: name + ":1", deployment: t})
 	}
-	t.Operator = &Operator{t: t, versions: versions}
-	t.all = []*Line{{Backend: &standin.Backend{ID: "p"}, Service: "programme"},
+	t.Operator = &Operator{deployment: t, versions: versions}
+	t.all = []*HeartbeatBackend{{Backend: &standin.Backend{ID: "p"}, Service: "programme"},
 		{Backend: &standin.Backend{ID: "t"}, Service: "tickets"}}
 	return t
 }
@@ -30,12 +30,12 @@
 // turn-away after it.
 func request(id, what, tenant, host, path string, at time.Duration, ran map[string]time.Duration,
 	answer time.Duration, code float64) []history.Event {
-	h := []history.Event{{T: at, Who: "clients", Kind: Route, Txn: id, Key: host, At: path, What: "r"},
-		{T: at, Who: "clients", Kind: history.Asked, Txn: id, Key: tenant, At: "d0", N: 1, What: what}}
+	h := []history.Event{{Time: at, Who: "clients", Kind: Route, Txn: id, Key: host, Target: path, What: "r"},
+		{Time: at, Who: "clients", Kind: history.Requested, Txn: id, Key: tenant, Target: "d0", Number: 1, What: what}}
 	for who, t := range ran {
-		h = append(h, history.Event{T: t, Who: who, Kind: history.Arrived, Txn: id, Key: tenant, At: path, N: 1})
+		h = append(h, history.Event{Time: t, Who: who, Kind: history.Arrived, Txn: id, Key: tenant, Target: path, Number: 1})
 	}
-	return append(h, history.Event{T: answer, Who: "clients", Kind: history.Answered, Txn: id, N: code,
+	return append(h, history.Event{Time: answer, Who: "clients", Kind: history.Answered, Txn: id, Number: code,
 		What: id})
 }
 
@@ -50,12 +50,12 @@
 }
 
 func TestRulesFindWhatIsBroken(t *testing.T) {
-	read := history.Event{T: 100 * s, Who: "operator", Kind: ReadBack, N: 4, Due: 99 * s}
+	read := history.Event{Time: 100 * s, Who: "operator", Kind: ReadBack, Number: 4, Deadline: 99 * s}
 	browse := func(at time.Duration, who string, code float64) []history.Event {
 		return request("a", "pure", "patrons", hostProgramme, "/browse/1", at, map[string]time.Duration{who: at},
 			at+s/10, code)
 	}
-	turned := history.Event{T: 5*s + s/2, Who: "t", Kind: history.Turned, Txn: "a", N: 1}
+	turned := history.Event{Time: 5*s + s/2, Who: "t", Kind: history.Rejected, Txn: "a", Number: 1}
 	var many []history.Event
 	for i := range 70 {
 		many = append(many, request(string(rune('A'+i)), "pure", "touts", hostProgramme, "/browse/1",
@@ -67,12 +67,12 @@
 		id := string(rune('A' + i))
 		again = append(again, request(id, "pure", "", hostProgramme, "/browse/1", 10*s,
 			map[string]time.Duration{"p": 10 * s}, 11*s+s/2, 200)...)
-		again = append(again, history.Event{T: 11 * s, Who: "p", Kind: history.Turned, Txn: id, N: 2 + float64(i)})
+		again = append(again, history.Event{Time: 11 * s, Who: "p", Kind: history.Rejected, Txn: id, Number: 2 + float64(i)})
 	}
 	over := append(again[:0:0], again...)
 	for i := range 70 { // and once more
-		over = append(over, history.Event{T: 12 * s, Who: "p", Kind: history.Turned, Txn: string(rune('A' + i)),
-			N: 100 + float64(i)})
+		over = append(over, history.Event{Time: 12 * s, Who: "p", Kind: history.Rejected, Txn: string(rune('A' + i)),
+			Number: 100 + float64(i)})
 	}
 	for name, c := range map[string]struct {
 		h     []history.Event
@@ -87,20 +87,20 @@
 		"refused though it is there": {browse(30*s, "t", 404), []string{"CONFIG"}},
 		"a route that is gone": {request("a", "pure", "", hostTickets, "/book/1", 30*s,
 			map[string]time.Duration{"t": 30 * s}, 31*s, 200), []string{"CONFIG"}},
-		"a node that had just started": {append([]history.Event{{T: 29 * s, Who: "d0", Kind: history.Up}},
+		"a node that had just started": {append([]history.Event{{Time: 29 * s, Who: "d0", Kind: history.Up}},
 			browse(30*s, "p", 200)...), nil},
-		"a node in trouble all the while": {append([]history.Event{{T: 5 * s, Who: "d0", Kind: Troubled}},
+		"a node in trouble all the while": {append([]history.Event{{Time: 5 * s, Who: "d0", Kind: Troubled}},
 			browse(30*s, "p", 200)...), nil},
-		"trouble of a node that was eased": {append([]history.Event{{T: 5 * s, Who: "d0", Kind: Troubled},
-			{T: 6 * s, Who: "d0", Kind: Eased}}, browse(30*s, "p", 200)...), []string{"CONFIG"}},
-		"a node without a path from one of the core": {append([]history.Event{{T: 25 * s, Who: "d2", Kind: Parted, At: "d0"},
-			{T: 28 * s, Who: "d2", Kind: Joined, At: "d0"}}, browse(30*s, "p", 200)...), nil},
-		"a path back for long": {append([]history.Event{{T: 25 * s, Who: "d2", Kind: Parted, At: "d0"},
-			{T: 26 * s, Who: "d2", Kind: Joined, At: "d0"}}, browse(30*s, "p", 200)...), []string{"CONFIG"}},
-		"one of the core cut off for long, another's node": {append([]history.Event{{T: 20 * s, Who: "d2", Kind: Parted, At: "d1"},
-			{T: 20 * s, Who: "d2", Kind: Parted, At: "d0"}}, browse(30*s, "p", 200)...), []string{"CONFIG"}},
-		"the core in three": {append([]history.Event{{T: 20 * s, Who: "d2", Kind: Parted, At: "d1"}, {T: 20 * s, Who: "d2", Kind: Parted, At: "d0"},
-			{T: 20 * s, Who: "d0", Kind: Parted, At: "d1"}}, browse(30*s, "p", 200)...), nil},
+		"trouble of a node that was eased": {append([]history.Event{{Time: 5 * s, Who: "d0", Kind: Troubled},
+			{Time: 6 * s, Who: "d0", Kind: Eased}}, browse(30*s, "p", 200)...), []string{"CONFIG"}},
+		"a node without a path from one of the core": {append([]history.Event{{Time: 25 * s, Who: "d2", Kind: LinkDown, Target: "d0"},
+			{Time: 28 * s, Who: "d2", Kind: LinkUp, Target: "d0"}}, browse(30*s, "p", 200)...), nil},
+		"a path back for long": {append([]history.Event{{Time: 25 * s, Who: "d2", Kind: LinkDown, Target: "d0"},
+			{Time: 26 * s, Who: "d2", Kind: LinkUp, Target: "d0"}}, browse(30*s, "p", 200)...), []string{"CONFIG"}},
+		"one of the core cut off for long, another's node": {append([]history.Event{{Time: 20 * s, Who: "d2", Kind: LinkDown, Target: "d1"},
+			{Time: 20 * s, Who: "d2", Kind: LinkDown, Target: "d0"}}, browse(30*s, "p", 200)...), []string{"CONFIG"}},
+		"the core in three": {append([]history.Event{{Time: 20 * s, Who: "d2", Kind: LinkDown, Target: "d1"}, {Time: 20 * s, Who: "d2", Kind: LinkDown, Target: "d0"},
+			{Time: 20 * s, Who: "d0", Kind: LinkDown, Target: "d1"}}, browse(30*s, "p", 200)...), nil},
 		"never a service of it": {request("a", "pure", "", hostTickets, "/book/1", 5*s,
 			map[string]time.Duration{"p": 5 * s}, 6*s, 200), []string{"ROUTE", "CONFIG"}},
 		"twice": {request("a", "effectful", "", hostTickets, "/book/1", 5*s,
@@ -110,21 +110,21 @@
 		"refused, turned away in queue": {append(request("a", "effectful", "", hostTickets, "/book/1", 5*s,
 			map[string]time.Duration{"t": 5 * s}, 6*s, 503), turned), nil},
 		"another's tenant": {append(request("a", "pure", "clubs", hostProgramme, "/browse/1", 5*s, nil, 6*s, 200),
-			history.Event{T: 5 * s, Who: "p", Kind: history.Arrived, Txn: "a", Key: "touts", At: "/browse/1",
-				N: 1}), []string{"UNASKED"}},
-		"nobody sent it": {[]history.Event{{T: 5 * s, Who: "p", Kind: history.Arrived, Txn: "x", N: 1}},
+			history.Event{Time: 5 * s, Who: "p", Kind: history.Arrived, Txn: "a", Key: "touts", Target: "/browse/1",
+				Number: 1}), []string{"UNASKED"}},
+		"nobody sent it": {[]history.Event{{Time: 5 * s, Who: "p", Kind: history.Arrived, Txn: "x", Number: 1}},
 			[]string{"UNASKED"}},
 		"further tries":   {append(again[:0:0], again[:66*4]...), nil},
 		"over the budget": {over, []string{"BUDGET"}},
 		"over the quota":  {many, []string{"QUOTA"}},
-		"sent to one that drains": {append([]history.Event{{T: 5 * s, Who: "d1:1", Kind: history.Told, At: "p",
+		"sent to one that drains": {append([]history.Event{{Time: 5 * s, Who: "d1:1", Kind: history.Notified, Target: "p",
 			What: "Terminating"}},
 			browse(8*s, "p", 200)...), []string{"DRAIN"}},
-		"an old one read": {[]history.Event{{T: 50 * s, Who: "operator", Kind: ReadBack, N: 1, Due: 49 * s}},
+		"an old one read": {[]history.Event{{Time: 50 * s, Who: "operator", Kind: ReadBack, Number: 1, Deadline: 49 * s}},
 			[]string{"CONFIG"}},
 	} {
 		var rules []string
-		for _, b := range Judge(history.Merge(c.h, []history.Event{read}), quiet(moved(20*s)).Backends(), 0) {
+		for _, b := range Check(history.Merge(c.h, []history.Event{read}), quiet(moved(20*s)).Backends(), 0) {
 			if len(rules) == 0 || rules[len(rules)-1] != b.Rule {
 				rules = append(rules, b.Rule)
 			}
--- a/internal/lab/leasecheck/check_test.go
+++ b/internal/lab/leasecheck/check_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("%s: %s", name, r)
-	if r.Bad != "" {
+	if r.Violation != "" {
 		t.Errorf("%s: %s", name, r)
 	}
 	if r.Granted == 0 {
@@ -43,7 +43,7 @@
 	load, moved := make([]int, 100), 0
 	for i := 0; i < 400; i++ {
 		task := lease.Task([]byte{'t', byte(i), byte(i >> 8)})
-		a, b := lease.Voters(lease.Fleet{Gen: 1, Members: 100}, 5, task, 0), lease.Voters(lease.Fleet{Gen: 2, Members: 99}, 5, task, 0)
+		a, b := lease.Voters(lease.Fleet{Generation: 1, Members: 100}, 5, task, 0), lease.Voters(lease.Fleet{Generation: 2, Members: 99}, 5, task, 0)
 		same := 0
 		for _, n := range a {
 			load[n]++
@@ -70,17 +70,17 @@
 	var after []time.Duration
 	grants := 0
 	for seed := uint64(1); seed <= 12; seed++ {
-		r, err := Usual(60).Play(seed)
+		r, err := DefaultFleet(60).Play(seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, b := range r.Bad {
+		for _, b := range r.Violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
 		if r.Idle > 2*time.Second {
 			t.Errorf("seed %d: a task had no holder for %s with the fleet at rest", seed, r.Idle)
 		}
-		after, grants = append(after, r.After...), grants+r.Grants
+		after, grants = append(after, r.FailoverTimes...), grants+r.Grants
 	}
 	t.Logf("%d grants; %d holders lost, their tasks went on after %s (median), %s (99 %%)", grants, len(after), Quantile(after, 0.5), Quantile(after, 0.99))
 	if grants < 50 || len(after) == 0 {
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -23,23 +23,25 @@
 
 // Change is one in a file: old must stand there exactly once.
 type Change struct {
-	File string `toml:"file"`
-	Old  string `toml:"old"`
-	New  string `toml:"new"`
+	File        string `toml:"file"`
+	Original    string `toml:"old"`
+	Replacement string `toml:"new"`
 }
 
 // Mutant is a defence taken away.
 type Mutant struct {
-	Name string   `toml:"name"`
-	File string   `toml:"file"`
-	Old  string   `toml:"old"`
-	New  string   `toml:"new"`
-	Also []Change `toml:"also"`
-	Play []string `toml:"play"`
+	Name        string   `toml:"name"`
+	File        string   `toml:"file"`
+	Original    string   `toml:"old"`
+	Replacement string   `toml:"new"`
+	Also        []Change `toml:"also"`
+	Play        []string `toml:"play"`
 }
 
 // Changes are all of a mutant's.
-func (m *Mutant) Changes() []Change { return append([]Change{{m.File, m.Old, m.New}}, m.Also...) }
+func (m *Mutant) Changes() []Change {
+	return append([]Change{{m.File, m.Original, m.Replacement}}, m.Also...)
+}
 
 // Table is a file of them.
 type Table struct {
@@ -78,7 +80,7 @@
 			}
 		}
 		for _, c := range m.Changes() {
-			if c.File == "" || c.Old == "" || c.Old == c.New {
+			if c.File == "" || c.Original == "" || c.Original == c.Replacement {
 				return nil, wrong("needs a file, what stands there, and something else in its place")
 			}
 		}
@@ -94,20 +96,20 @@
 		if err != nil {
 			return fmt.Errorf("mutant %q: %w", m.Name, err)
 		}
-		if n := strings.Count(string(text), c.Old); n != 1 {
+		if n := strings.Count(string(text), c.Original); n != 1 {
 			return fmt.Errorf("mutant %q: %s holds its old text %d times, not once", m.Name, c.File, n)
 		}
 	}
 	return nil
 }
 
-// Found is how one was found, or was not.
-type Found struct {
-	Mutant *Mutant
-	By     string // the experiment; empty: not found
-	Seeds  int    // until it was
-	Rule   string // that it broke
-	Took   time.Duration
+// Result is how one was found, or was not.
+type Result struct {
+	Mutant     *Mutant
+	Experiment string // the experiment; empty: not found
+	Seeds      int    // until it was
+	Rule       string // that it broke
+	Took       time.Duration
 }
 
 // Options are how they are played.
@@ -149,8 +151,8 @@
 	brokeProcesses = regexp.MustCompile(`(?m)^\S+ seed (\d+): .*BROKE \d+: ([^:]+):`)
 )
 
-// Try builds a mutant in a folder of its own and plays it until it is found.
-func Try(ctx context.Context, m *Mutant, o Options) (f Found, err error) {
+// Run builds a mutant in a folder of its own and plays it until it is found.
+func Run(ctx context.Context, m *Mutant, o Options) (f Result, err error) {
 	f.Mutant = m
 	began := time.Now()
 	defer func() { f.Took = time.Since(began) }()
@@ -171,7 +173,7 @@
 		if err != nil {
 			return f, err
 		}
-		if err := os.WriteFile(file, []byte(strings.Replace(string(text), c.Old, c.New, 1)), 0o644); err != nil {
+		if err := os.WriteFile(file, []byte(strings.Replace(string(text), c.Original, c.Replacement, 1)), 0o644); err != nil {
 			return f, err
 		}
 	}
@@ -215,17 +217,17 @@
 			continue
 		}
 		seed, _ := strconv.Atoi(hit[1])
-		f.By, f.Seeds, f.Rule = play, seed, strings.TrimSpace(hit[2])
+		f.Experiment, f.Seeds, f.Rule = play, seed, strings.TrimSpace(hit[2])
 		return f, nil
 	}
 	return f, nil
 }
 
 // Row is a line of the table in docs/lab.md.
-func (f Found) Row() string {
-	by, seeds := f.By, strconv.Itoa(f.Seeds)
+func (r Result) Row() string {
+	by, seeds := r.Experiment, strconv.Itoa(r.Seeds)
 	if by == "" {
 		by, seeds = "**not found**", "-"
 	}
-	return fmt.Sprintf("| %s | `%s` | %s | %s | %s |", f.Mutant.Name, f.Mutant.File, by, seeds, f.Rule)
+	return fmt.Sprintf("| %s | `%s` | %s | %s | %s |", r.Mutant.Name, r.Mutant.File, by, seeds, r.Rule)
 }
--- a/internal/lab/netfault/links_test.go
+++ b/internal/lab/netfault/links_test.go
@@ -17,17 +17,17 @@
 		e    Effect
 		want func(n, spoilt int, least, most time.Duration) bool
 	}{
-		"cut":     {Effect{Cut: true}, func(n, _ int, _, _ time.Duration) bool { return n == 0 }},
+		"cut":     {Effect{Blocked: true}, func(n, _ int, _, _ time.Duration) bool { return n == 0 }},
 		"loss":    {Effect{Loss: 0.3}, func(n, _ int, _, _ time.Duration) bool { return n > 600 && n < 800 }},
-		"double":  {Effect{Double: 0.3}, func(n, _ int, _, _ time.Duration) bool { return n > 1200 && n < 1400 }},
+		"double":  {Effect{Duplicate: 0.3}, func(n, _ int, _, _ time.Duration) bool { return n > 1200 && n < 1400 }},
 		"delay":   {Effect{Delay: 20 * ms}, func(n, _ int, l, m time.Duration) bool { return n == 1000 && l >= 10*ms && m <= 30*ms }},
 		"reorder": {Effect{Reorder: 0.5, Delay: 20 * ms}, func(n, _ int, l, m time.Duration) bool { return n == 1000 && l == 0 && m > 10*ms }},
-		"rate":    {Effect{Rate: 1000}, func(n, _ int, _, m time.Duration) bool { return n == 50 && m > 450*ms && m <= rateWait }},
-		"spoil":   {Effect{Spoil: 0.5}, func(n, s int, _, _ time.Duration) bool { return n == 1000 && s > 400 && s < 600 }},
+		"rate":    {Effect{Rate: 1000}, func(n, _ int, _, m time.Duration) bool { return n == 50 && m > 450*ms && m <= maxQueueDelay }},
+		"spoil":   {Effect{Corrupt: 0.5}, func(n, s int, _, _ time.Duration) bool { return n == 1000 && s > 400 && s < 600 }},
 	} {
 		s := set()
-		c.e.On = to1
-		id := s.Bring(c.e)
+		c.e.Matches = to1
+		id := s.Begin(c.e)
 		n, spoilt, least, most := 0, 0, time.Hour, time.Duration(0)
 		for i := 0; i < 1000; i++ {
 			for _, x := range s.Send(0, 0, 1, []byte("0123456789")) {
@@ -44,7 +44,7 @@
 		if x := s.Send(0, 1, 2, []byte("a")); len(x) != 1 || x[0].After != 0 {
 			t.Errorf("%s: hits another link", name)
 		}
-		if s.End(id); !s.Calm() || len(s.Send(time.Hour, 0, 1, []byte("a"))) != 1 {
+		if s.End(id); !s.Idle() || len(s.Send(time.Hour, 0, 1, []byte("a"))) != 1 {
 			t.Errorf("%s: goes on after its end", name)
 		}
 	}
@@ -53,17 +53,17 @@
 // What a cut holds comes after it, and what finds no room is counted.
 func TestHold(t *testing.T) {
 	s := set()
-	id := s.Bring(Effect{Cut: true, Hold: true})
-	for i := 0; i < heldMost+10; i++ {
+	id := s.Begin(Effect{Blocked: true, Delayed: true})
+	for i := 0; i < maxDelayed+10; i++ {
 		if s.Send(0, 0, 1, []byte{byte(i)}) != nil {
 			t.Fatal("through a cut")
 		}
 	}
-	if !s.Apart(0, 1) {
+	if !s.Partitioned(0, 1) {
 		t.Error("not apart")
 	}
-	if held := s.End(id); len(held) != heldMost || s.Over != 10 || s.Apart(0, 1) {
-		t.Errorf("%d held, %d over", len(held), s.Over)
+	if held := s.End(id); len(held) != maxDelayed || s.Overflowed != 10 || s.Partitioned(0, 1) {
+		t.Errorf("%d held, %d over", len(held), s.Overflowed)
 	}
 	if s.End(id) != nil {
 		t.Error("ended twice")
--- a/internal/lab/sharedcounter/tally.go
+++ b/internal/lab/sharedcounter/tally.go
@@ -12,19 +12,19 @@
 
 // Mode is what the counter does wrong. The nought value does nothing wrong.
 type Mode struct {
-	Down   bool          // it can't be reached
-	Busy   float64       // share of the calls turned away
-	Spoilt float64       // share of the answers without a number; the amount was added
-	Mute   float64       // share never answered; the amount was added
-	Late   time.Duration // before each answer
+	Down       bool          // it can't be reached
+	Busy       float64       // share of the calls turned away
+	Malformed  float64       // share of the answers without a number; the amount was added
+	Unanswered float64       // share never answered; the amount was added
+	Delay      time.Duration // before each answer
 }
 
 // What the protocol holds a counter to.
 const (
-	Life     = 60 * time.Second // longest, of a name
-	MostAdd  = 1e9
-	NameMost = 64
-	namesMax = 1 << 16
+	MaxTTL       = 60 * time.Second // longest, of a name
+	MaxIncrement = 1e9
+	MaxNameBytes = 64
+	maxNames     = 1 << 16
 )
 
 type number struct {
@@ -45,27 +45,27 @@
 // Replace puts a fresh one in its place, which starts empty.
 func (c *Counter) Replace() { clear(c.all) }
 
-// Say does one line of the protocol; no answer is none at all.
-func (c *Counter) Say(now time.Duration, line string) (answer string) {
+// Handle does one line of the protocol; no answer is none at all.
+func (c *Counter) Handle(now time.Duration, line string) (answer string) {
 	if line == "ping" {
 		return "pong"
 	}
 	f := strings.Split(line, " ")
-	if len(f) != 4 || f[0] != "add" || f[1] == "" || len(f[1]) > NameMost {
+	if len(f) != 4 || f[0] != "add" || f[1] == "" || len(f[1]) > MaxNameBytes {
 		return "error"
 	}
 	amount, err := strconv.ParseFloat(f[2], 64)
 	life, err2 := strconv.ParseInt(f[3], 10, 64)
-	if err != nil || err2 != nil || life < 1 || math.IsNaN(amount) || math.Abs(amount) > MostAdd {
+	if err != nil || err2 != nil || life < 1 || math.IsNaN(amount) || math.Abs(amount) > MaxIncrement {
 		return "error"
 	}
-	total, how := c.Add(now, f[1], amount, time.Duration(min(life, int64(Life/time.Millisecond)))*time.Millisecond)
+	total, how := c.Add(now, f[1], amount, time.Duration(min(life, int64(MaxTTL/time.Millisecond)))*time.Millisecond)
 	switch how {
 	case Busy:
 		return "busy"
-	case Mute:
+	case Unanswered:
 		return ""
-	case Spoilt:
+	case Malformed:
 		return "ok "
 	}
 	return "ok " + strconv.FormatFloat(total, 'g', 7, 64)
@@ -76,10 +76,10 @@
 
 // The answers.
 const (
-	Added  Answer = iota
-	Busy          // turned away, nothing added
-	Spoilt        // added, without a total
-	Mute          // added, and never answered
+	Added      Answer = iota
+	Busy              // turned away, nothing added
+	Malformed         // added, without a total
+	Unanswered        // added, and never answered
 )
 
 // Add adds to a number, which begins at nought with its life.
@@ -89,9 +89,9 @@
 	}
 	n := c.all[name]
 	if n == nil || now >= n.until {
-		n = &number{until: now + min(life, Life)}
+		n = &number{until: now + min(life, MaxTTL)}
 		c.all[name] = n
-		if len(c.all) > namesMax { // names live a minute at most
+		if len(c.all) > maxNames { // names live a minute at most
 			for name, x := range c.all {
 				if now >= x.until {
 					delete(c.all, name)
@@ -101,10 +101,10 @@
 	}
 	n.total += amount
 	switch u := c.rng.Float64(); {
-	case u < c.Mode.Mute:
-		return 0, Mute
-	case u < c.Mode.Mute+c.Mode.Spoilt:
-		return 0, Spoilt
+	case u < c.Mode.Unanswered:
+		return 0, Unanswered
+	case u < c.Mode.Unanswered+c.Mode.Malformed:
+		return 0, Malformed
 	}
 	return n.total, Added
 }
--- a/internal/lab/sharedcounter/trouble.go
+++ b/internal/lab/sharedcounter/trouble.go
@@ -2,19 +2,19 @@
 
 import "clovergap/internal/lab/spec"
 
-// Trouble is what a fault makes the counter do wrong; nil where it does nothing to it.
-func Trouble(f *spec.Fault) func(*Mode) {
+// FaultOf is what a fault makes the counter do wrong; nil where it does nothing to it.
+func FaultOf(f *spec.Fault) func(*Mode) {
 	switch f.Effect() {
 	case spec.CounterDown:
 		return func(m *Mode) { m.Down = true }
 	case spec.CounterBusy:
 		return func(m *Mode) { m.Busy = either(m.Busy, f.Share) }
 	case spec.CounterSpoilt:
-		return func(m *Mode) { m.Spoilt = either(m.Spoilt, f.Share) }
+		return func(m *Mode) { m.Malformed = either(m.Malformed, f.Share) }
 	case spec.CounterMute:
-		return func(m *Mode) { m.Mute = either(m.Mute, f.Share) }
+		return func(m *Mode) { m.Unanswered = either(m.Unanswered, f.Share) }
 	case spec.CounterLate:
-		return func(m *Mode) { m.Late += f.Delay.D() }
+		return func(m *Mode) { m.Delay += f.Delay.D() }
 	}
 	return nil
 }
--- a/internal/lab/simulation/backends.go
+++ b/internal/lab/simulation/backends.go
@@ -18,56 +18,56 @@
 
 // timeline is all backends.
 type timeline struct {
-	w        *world
-	at       map[string]*backend // by address
+	world    *world
+	byAddr   map[string]*backend // by address
 	live     []*backend
 	services map[string]string // of every one that ever was
-	free     []vacant
-	born     int
+	free     []freeAddress
+	created  int
 	runs     int
 }
 
-// vacant is an address that a backend had.
-type vacant struct {
+// freeAddress is an address that a backend had.
+type freeAddress struct {
 	addr string
 	from time.Duration // it may be used again
 }
 
 // backend is one life of one.
 type backend struct {
-	w                 *world
-	id, service, zone string
-	addr              string
-	slot              int
-	from, cold        time.Duration
-	seq               uint64
-	target            string // control address for beats
-	draining          bool
-	dead              bool
-	running           int
-	queue             []*submission
-	slow              float64
-	resets, silent    float64
-	fails             float64
-	unheard           time.Duration // that it waited for machines without power
+	world                   *world
+	id, service, zone       string
+	addr                    string
+	slot                    int
+	from, warmingUntil      time.Duration
+	seq                     uint64
+	target                  string // control address for beats
+	draining                bool
+	dead                    bool
+	running                 int
+	queue                   []*submission
+	slowdown                float64
+	resetShare, lostAnswers float64
+	failShare               float64
+	unpoweredTime           time.Duration // that it waited for machines without power
 }
 
-// Ended is how a backend's word that it leaves was acknowledged.
-type Ended struct {
-	Took    time.Duration // from its first word to the acknowledgement, or until it gave up
-	Unheard time.Duration // of that, what it waited for machines that had no power: nobody else can know of its word by then
+// DrainResult is how a backend's word that it leaves was acknowledged.
+type DrainResult struct {
+	Latency       time.Duration // from its first word to the acknowledgement, or until it gave up
+	UnpoweredTime time.Duration // of that, what it waited for machines that had no power: nobody else can know of its word by then
 }
 
 func newTimeline(w *world) *timeline {
-	return &timeline{w: w, at: map[string]*backend{}, services: map[string]string{}}
+	return &timeline{world: w, byAddr: map[string]*backend{}, services: map[string]string{}}
 }
 
 // add starts a backend. An address that another had is used first.
 func (t *timeline) add(service, zone string, cold time.Duration) *backend {
-	w := t.w
-	t.born++
-	b := &backend{w: w, id: fmt.Sprintf("i-%s-%d", service, t.born), service: service, zone: zone, slot: t.born, from: w.now,
-		cold: cold, slow: 1}
+	w := t.world
+	t.created++
+	b := &backend{world: w, id: fmt.Sprintf("i-%s-%d", service, t.created), service: service, zone: zone, slot: t.created, from: w.now,
+		warmingUntil: cold, slowdown: 1}
 	for i, v := range t.free {
 		if v.from <= w.now {
 			b.addr = v.addr
@@ -76,18 +76,18 @@
 		}
 	}
 	if b.addr == "" {
-		b.addr = fmt.Sprintf("10.200.%d.%d:8080", t.born/200, t.born%200+1)
+		b.addr = fmt.Sprintf("10.200.%d.%d:8080", t.created/200, t.created%200+1)
 	}
-	t.at[b.addr] = b
+	t.byAddr[b.addr] = b
 	t.live = append(t.live, b)
 	t.services[b.id] = service
 	w.every(w.day.Beat, func() bool {
 		if !b.dead {
-			b.say(false, func(bool) {})
+			b.notifyNodes(false, func(bool) {})
 		}
 		return !b.dead
 	})
-	w.after(span(w.backs, 0, w.day.Beat/4), func() { b.say(false, func(bool) {}) })
+	w.after(span(w.backendRand, 0, w.day.Beat/4), func() { b.notifyNodes(false, func(bool) {}) })
 	return b
 }
 
@@ -99,17 +99,17 @@
 	if b.dead {
 		return
 	}
-	w, s := b.w, b.w.timeline
-	w.note(gatewaystandin.BackendEnds(b.id, inOrder))
+	w, s := b.world, b.world.timeline
+	w.record(gatewaystandin.BackendEnds(b.id, inOrder))
 	b.dead = true
 	s.live = slices.DeleteFunc(s.live, func(x *backend) bool { return x == b })
-	delete(s.at, b.addr)
-	s.free = append(s.free, vacant{b.addr, w.now + gatewaystandin.Bounds().AddrReuse})
+	delete(s.byAddr, b.addr)
+	s.free = append(s.free, freeAddress{b.addr, w.now + gatewaystandin.Bounds().AddrReuse})
 	b.queue = nil
 	for _, m := range w.machines {
-		if p := m.p; p != nil {
-			for _, x := range p.ways.sorted() {
-				if x.line != nil && x.line.b == b && x.written {
+		if p := m.process; p != nil {
+			for _, x := range p.backendLinks.sorted() {
+				if x.conn != nil && x.conn.backend == b && x.written {
 					x.answer(control.ConnectionLost, false)
 				}
 			}
@@ -117,11 +117,11 @@
 	}
 }
 
-// say calls nodes, the one it was told first, until one acknowledges; nobody in a round is left for the next time.
-func (b *backend) say(leaves bool, then func(acked bool)) {
-	w := b.w
+// notifyNodes calls nodes, the one it was told first, until one acknowledges; nobody in a round is left for the next time.
+func (b *backend) notifyNodes(leaves bool, then func(acked bool)) {
+	w := b.world
 	var todo []*machine
-	if m := w.byCall[b.target]; m != nil {
+	if m := w.byControlAddr[b.target]; m != nil {
 		todo = append(todo, m)
 	}
 	from := int(b.seq) + b.slot
@@ -141,7 +141,7 @@
 		todo = todo[1:]
 		b.call(m, leaves, func(ok bool, target string) {
 			if !ok {
-				if m.control == b.target {
+				if m.controlAddr == b.target {
 					b.target = ""
 				}
 				next()
@@ -151,7 +151,7 @@
 				b.target = target
 			}
 			if drains || leaves {
-				w.note(history.Event{Who: m.control, Kind: history.Told, At: b.id, What: "Terminating"})
+				w.record(history.Event{Who: m.controlAddr, Kind: history.Notified, Target: b.id, What: "Terminating"})
 			}
 			then(true)
 		})
@@ -161,16 +161,16 @@
 
 // call makes one call at a node, which has a second for it.
 func (b *backend) call(m *machine, leaves bool, then func(ok bool, target string)) {
-	w, done := b.w, false
+	w, done := b.world, false
 	end := func(ok bool, target string) {
 		if !done {
 			done = true
 			then(ok, target)
 		}
 	}
-	w.after(gatewaystandin.BeatsMost, func() {
-		if !done && m.dark {
-			b.unheard += gatewaystandin.BeatsMost
+	w.after(gatewaystandin.HeartbeatTimeout, func() {
+		if !done && m.poweredOff {
+			b.unpoweredTime += gatewaystandin.HeartbeatTimeout
 		}
 		end(false, "")
 	})
@@ -180,31 +180,31 @@
 		phase = registry.Draining
 	}
 	word := registry.Record{ID: b.id, Service: b.service, Addr: b.addr, Zone: b.zone, Generation: "v1", Capacity: gatewaystandin.SlotsEach,
-		Phase: phase, SlowStartLeft: max(0, b.cold-(w.now-b.from)), Seq: b.seq}
-	if w.apart(m, b.zone) || m.dark {
+		Phase: phase, SlowStartLeft: max(0, b.warmingUntil-(w.now-b.from)), Seq: b.seq}
+	if w.backendUnreachable(m, b.zone) || m.poweredOff {
 		return
 	}
-	w.after(w.way(b.zone, m.zone), func() {
-		p := m.p
-		if p == nil || p.upstreams.deaf {
-			w.after(w.way(m.zone, b.zone), func() { end(false, "") })
+	w.after(w.delay(b.zone, m.zone), func() {
+		p := m.process
+		if p == nil || p.upstreams.stoppedListening {
+			w.after(w.delay(m.zone, b.zone), func() { end(false, "") })
 			return
 		}
 		p.turn(func() {
-			w.doing = "beats"
+			w.turnKind = "beats"
 			answered := func(ok bool, target string) {
 				if ok && phase == registry.Draining && !leaves {
 					w.drainer = m
 					w.happens(spec.Drained)
 				}
-				if !w.apart(m, b.zone) {
-					w.after(w.way(m.zone, b.zone), func() { end(ok, target) })
+				if !w.backendUnreachable(m, b.zone) {
+					w.after(w.delay(m.zone, b.zone), func() { end(ok, target) })
 				}
 			}
 			if leaves {
-				p.h.Deregister(b.id, answered)
+				p.node.Deregister(b.id, answered)
 			} else {
-				p.h.Heartbeat(word, answered)
+				p.node.Heartbeat(word, answered)
 			}
 		})
 	})
@@ -212,14 +212,14 @@
 
 // drain lets it leave in order: it says so, serves for the drain after the acknowledgement and a little longer, and ends.
 func (b *backend) drain() {
-	w, began := b.w, b.w.now
-	b.draining, b.unheard = true, 0
-	w.say("%s drains", b.id)
+	w, began := b.world, b.world.now
+	b.draining, b.unpoweredTime = true, 0
+	w.logf("%s drains", b.id)
 	var ask func()
 	leave := func(acked bool) {
 		w.after(gatewaystandin.Bounds().BackendDrain+gatewaystandin.DrainSlack, func() {
 			if acked {
-				b.say(true, func(bool) {})
+				b.notifyNodes(true, func(bool) {})
 				w.after(500*time.Millisecond, func() { b.end(true) })
 				return
 			}
@@ -227,11 +227,11 @@
 		})
 	}
 	ask = func() {
-		b.say(false, func(ok bool) {
+		b.notifyNodes(false, func(ok bool) {
 			switch {
 			case b.dead:
-			case ok || w.now-began > gatewaystandin.GivesUp:
-				w.ends = append(w.ends, Ended{w.now - began, b.unheard})
+			case ok || w.now-began > gatewaystandin.DrainTimeout:
+				w.drainResults = append(w.drainResults, DrainResult{w.now - began, b.unpoweredTime})
 				leave(ok)
 			default:
 				w.after(200*time.Millisecond, ask)
@@ -241,15 +241,15 @@
 	ask()
 }
 
-// take takes a submission that has come.
-func (b *backend) take(s *submission) {
-	w := b.w
+// receive takes a submission that has come.
+func (b *backend) receive(s *submission) {
+	w := b.world
 	if b.dead {
 		s.answer(control.ConnectionLost, false)
 		return
 	}
 	turned := func() {
-		w.note(history.Event{Who: b.id, Kind: history.Turned, Txn: s.try.id})
+		w.record(history.Event{Who: b.id, Kind: history.Rejected, Txn: s.request.id})
 	}
 	switch {
 	case s.name != b.id:
@@ -268,24 +268,24 @@
 
 // run works on a submission.
 func (b *backend) run(s *submission) {
-	w := b.w
+	w := b.world
 	b.running++
-	b.w.timeline.runs++
-	w.note(history.Event{Who: b.id, Kind: history.Arrived, Txn: s.try.id, Key: s.try.tenant, At: s.try.want.Path,
-		N: float64(b.w.timeline.runs)})
+	b.world.timeline.runs++
+	w.record(history.Event{Who: b.id, Kind: history.Arrived, Txn: s.request.id, Key: s.request.tenant, Target: s.request.want.Path,
+		Number: float64(b.world.timeline.runs)})
 	work := time.Duration(0)
 	for _, x := range gatewaystandin.Services {
 		if x.Name == b.service {
 			work = x.Work
 		}
 	}
-	took := time.Duration(float64(work) * (0.5 + w.backs.ExpFloat64()/2) * b.slow)
-	if w.now-b.from < b.cold {
+	took := time.Duration(float64(work) * (0.5 + w.backendRand.ExpFloat64()/2) * b.slowdown)
+	if w.now-b.from < b.warmingUntil {
 		took *= 3
 	}
-	resets, silent, fails := w.backs.Float64() < b.resets, w.backs.Float64() < b.silent, w.backs.Float64() < b.fails
+	resets, silent, fails := w.backendRand.Float64() < b.resetShare, w.backendRand.Float64() < b.lostAnswers, w.backendRand.Float64() < b.failShare
 	if resets {
-		w.after(span(w.backs, 0, took), func() { s.answer(control.ConnectionLost, false) })
+		w.after(span(w.backendRand, 0, took), func() { s.answer(control.ConnectionLost, false) })
 	}
 	w.after(took, func() {
 		b.running--
@@ -293,9 +293,9 @@
 			return
 		}
 		switch {
-		case resets || silent || s.over:
+		case resets || silent || s.done:
 		case fails:
-			s.answer(control.Errored, s.try.adm.AtMostOnce)
+			s.answer(control.Errored, s.request.admission.AtMostOnce)
 		default:
 			s.answer(control.Succeeded, false)
 		}
@@ -307,8 +307,8 @@
 	for len(b.queue) > 0 && b.running < gatewaystandin.SlotsEach {
 		s := b.queue[0]
 		b.queue = b.queue[1:]
-		if s.queued = false; s.until <= b.w.now { // its time is up: it says that it has not run
-			b.w.note(history.Event{Who: b.id, Kind: history.Turned, Txn: s.try.id})
+		if s.queued = false; s.deadline <= b.world.now { // its time is up: it says that it has not run
+			b.world.record(history.Event{Who: b.id, Kind: history.Rejected, Txn: s.request.id})
 			s.answer(control.Rejected, false)
 			continue
 		}
--- a/internal/lab/simulation/catchup_test.go
+++ b/internal/lab/simulation/catchup_test.go
@@ -25,8 +25,8 @@
 // leader is the machine that leads; nil if none does.
 func (c *changer) leader() *machine {
 	for _, m := range c.w.cores() {
-		if m.p != nil {
-			if s := m.p.h.Status(); s.Core.Role == "leading" && s.Core.Waiting == 0 {
+		if m.process != nil {
+			if s := m.process.node.Status(); s.Core.Role == "leading" && s.Core.Waiting == 0 {
 				return m
 			}
 		}
@@ -35,10 +35,10 @@
 }
 
 func (c *changer) applied(m *machine) uint64 {
-	if m == nil || m.p == nil {
+	if m == nil || m.process == nil {
 		return 0
 	}
-	return m.p.h.Status().Generation
+	return m.process.node.Status().Generation
 }
 
 // next sends the next change: small, or whole.
@@ -90,7 +90,7 @@
 	must.True(t, w.until(w.now+20*time.Second, func() bool { return c.leader() != nil }))
 	w.until(w.now+5*time.Second, nil)
 	c.change(t, 1, true)
-	must.True(t, w.until(w.now+4*time.Minute, func() bool { return c.level(w.machines...) }), must.Sprint("the first is not everywhere"))
+	must.True(t, w.until(w.now+4*time.Minute, func() bool { return c.upToDate(w.machines...) }), must.Sprint("the first is not everywhere"))
 	return c
 }
 
@@ -110,7 +110,7 @@
 	}
 }
 
-func (c *changer) level(all ...*machine) bool {
+func (c *changer) upToDate(all ...*machine) bool {
 	for _, m := range all {
 		if c.applied(m) != c.gen {
 			return false
@@ -133,7 +133,7 @@
 	gone.kill(false)
 	last.kill(false)
 	c.change(t, times, whole)
-	w.counted = w.now
+	w.countedTime = w.now
 	for _, m := range w.machines {
 		m.sent = nil
 	}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -17,58 +17,58 @@
 
 // clients ask, by way of the platform.
 type clients struct {
-	w      *world
-	rng    *rand.Rand
-	known  gatewaystandin.Known
-	missed []int
-	heard  []bool
-	burst  spec.Held
-	hot    []*rush
-	next   uint32
-	open   bool
-	counts Counts
+	world     *world
+	rng       *rand.Rand
+	known     gatewaystandin.Known
+	missed    []int
+	everReady []bool
+	burst     spec.Factors
+	rushes    []*rush
+	next      uint32
+	open      bool
+	counts    Counts
 }
 
 // Counts are how requests ended, by their last try.
 type Counts struct {
-	Asked, Served, InTime, Refused, Voided, Failed int
+	Requested, Served, InTime, Rejected, Aborted, Failed int
 }
 
 // Add adds another day's.
 func (c *Counts) Add(x Counts) {
-	c.Asked, c.Served, c.InTime = c.Asked+x.Asked, c.Served+x.Served, c.InTime+x.InTime
-	c.Refused, c.Voided, c.Failed = c.Refused+x.Refused, c.Voided+x.Voided, c.Failed+x.Failed
+	c.Requested, c.Served, c.InTime = c.Requested+x.Requested, c.Served+x.Served, c.InTime+x.InTime
+	c.Rejected, c.Aborted, c.Failed = c.Rejected+x.Rejected, c.Aborted+x.Aborted, c.Failed+x.Failed
 }
 
-// try is one try of a client.
-type try struct {
-	nr     uint32
-	id     string
-	want   gatewaystandin.Want
-	m      *machine
-	p      *process // that has it
-	adm    ingress.Admission
-	tenant string // as the node tells backends
-	ref    slots.Ref
-	expiry time.Duration // on the node's clock
-	over   bool          // at the client
-	ended  func(status int, after time.Duration)
+// attempt is one try of a client.
+type attempt struct {
+	number    uint32
+	id        string
+	want      gatewaystandin.Request
+	machine   *machine
+	process   *process // that has it
+	admission ingress.Admission
+	tenant    string // as the node tells backends
+	ref       slots.Ref
+	expiry    time.Duration // on the node's clock
+	done      bool          // at the client
+	ended     func(status int, after time.Duration)
 }
 
 func numberOf(b []byte) uint32 { return binary.LittleEndian.Uint32(b) }
 
 func newClients(w *world) *clients {
-	return &clients{w: w, rng: source(w.day.Seed, 0xc11e), missed: make([]int, w.day.Nodes), heard: make([]bool, w.day.Nodes)}
+	return &clients{world: w, rng: source(w.day.Seed, 0xc11e), missed: make([]int, w.day.Nodes), everReady: make([]bool, w.day.Nodes)}
 }
 
 // watch asks every node each second whether it is ready, as the platform does.
 func (c *clients) watch() {
-	for i := range c.w.machines {
-		c.w.after(span(c.rng, 0, time.Second), func() {
-			c.w.every(time.Second, func() bool {
-				m := c.w.machines[i] // another by now, if it was replaced
-				if c.missed[i]++; m.runs() && m.p.h.Ready() {
-					c.missed[i], c.heard[i] = 0, true
+	for i := range c.world.machines {
+		c.world.after(span(c.rng, 0, time.Second), func() {
+			c.world.every(time.Second, func() bool {
+				m := c.world.machines[i] // another by now, if it was replaced
+				if c.missed[i]++; m.runs() && m.process.node.Ready() {
+					c.missed[i], c.everReady[i] = 0, true
 				}
 				return true
 			})
@@ -76,7 +76,7 @@
 	}
 }
 
-func (c *clients) in(i int) bool { return c.heard[i] && c.missed[i] < 2 }
+func (c *clients) inRotation(i int) bool { return c.everReady[i] && c.missed[i] < 2 }
 
 // begin sends at the day's rate, whatever becomes of what was sent before.
 func (c *clients) begin() {
@@ -86,35 +86,35 @@
 		if !c.open {
 			return
 		}
-		c.send(c.rushes(c.draw()))
-		c.w.after(c.gap(), next)
+		c.send(c.applyRushes(c.draw()))
+		c.world.after(c.interarrival(), next)
 	}
-	c.w.after(c.gap(), next)
+	c.world.after(c.interarrival(), next)
 }
 
-func (c *clients) gap() time.Duration {
-	rate := c.w.day.Rate
+func (c *clients) interarrival() time.Duration {
+	rate := c.world.day.Rate
 	for _, by := range c.burst {
 		rate *= by
 	}
-	for _, r := range c.hot {
-		rate *= 1 + r.by
+	for _, r := range c.rushes {
+		rate *= 1 + r.factor
 	}
 	return time.Duration(c.rng.ExpFloat64() / rate * 1e9)
 }
 
 // send sends one request, with further tries within its time.
-func (c *clients) send(want gatewaystandin.Want) {
-	w := c.w
+func (c *clients) send(want gatewaystandin.Request) {
+	w := c.world
 	began, until, tries := w.now, w.now+want.Deadline, 0
-	c.counts.Asked++
+	c.counts.Requested++
 	var again func()
 	again = func() {
 		tries++
-		m := w.machines[gatewaystandin.Pass(c.rng, want.Zone, len(w.machines), func(i int) string { return w.machines[i].zone }, c.in)]
-		c.try(m, want, until-w.now, func(status int, after time.Duration) {
+		m := w.machines[gatewaystandin.Pass(c.rng, want.Zone, len(w.machines), func(i int) string { return w.machines[i].zone }, c.inRotation)]
+		c.startAttempt(m, want, until-w.now, func(status int, after time.Duration) {
 			left := until - w.now
-			if gatewaystandin.Again(status, want.Effectful) && tries < gatewaystandin.TriesMost && left > 20*time.Millisecond {
+			if gatewaystandin.Again(status, want.Effectful) && tries < gatewaystandin.MaxAttempts && left > 20*time.Millisecond {
 				wait := span(c.rng, 20*time.Millisecond, 80*time.Millisecond)
 				if after > 0 {
 					wait = min(after, left/3)
@@ -124,13 +124,13 @@
 			}
 			switch {
 			case status == 200:
-				if c.counts.Served++; w.now-began <= want.Aim {
+				if c.counts.Served++; w.now-began <= want.LatencyTarget {
 					c.counts.InTime++
 				}
 			case status == 429 || status == 503:
-				c.counts.Refused++
+				c.counts.Rejected++
 			case status > 0:
-				c.counts.Voided++
+				c.counts.Aborted++
 			default:
 				c.counts.Failed++
 			}
@@ -139,56 +139,56 @@
 	again()
 }
 
-// try sends one try to a node.
-func (c *clients) try(m *machine, want gatewaystandin.Want, left time.Duration, ended func(status int, after time.Duration)) {
-	w := c.w
+// startAttempt sends one try to a node.
+func (c *clients) startAttempt(m *machine, want gatewaystandin.Request, left time.Duration, ended func(status int, after time.Duration)) {
+	w := c.world
 	c.next++
-	t := &try{nr: c.next, id: fmt.Sprintf("%08x", c.next), want: want, m: m, ended: ended}
+	t := &attempt{number: c.next, id: fmt.Sprintf("%08x", c.next), want: want, machine: m, ended: ended}
 	what := "pure"
 	if want.Effectful {
 		what = "effectful"
 	}
-	w.note(history.Event{Who: "clients", Kind: gatewaystandin.Route, Txn: t.id, Key: want.Host, At: want.Path, What: want.Kind})
-	w.note(history.Event{Who: "clients", Kind: history.Asked, Txn: t.id, Key: want.Tenant, At: m.name, N: 1, What: what,
-		Due: w.now + left})
+	w.record(history.Event{Who: "clients", Kind: gatewaystandin.Route, Txn: t.id, Key: want.Host, Target: want.Path, What: want.Kind})
+	w.record(history.Event{Who: "clients", Kind: history.Requested, Txn: t.id, Key: want.Tenant, Target: m.name, Number: 1, What: what,
+		Deadline: w.now + left})
 	sent := w.now
 	gives := left
-	if !want.Effectful && m.p != nil && m.stalled > 0 { // a node that does not read is left earlier
+	if !want.Effectful && m.process != nil && m.stalls > 0 { // a node that does not read is left earlier
 		gives = max(left/3, min(left, time.Second))
 	}
-	w.after(gives, func() { c.unheard(t) })
-	w.after(w.way(want.Zone, m.zone), func() {
-		if m.dark || t.over {
+	w.after(gives, func() { c.timedOut(t) })
+	w.after(w.delay(want.Zone, m.zone), func() {
+		if m.poweredOff || t.done {
 			return
 		}
-		p := m.p
-		if p == nil || p.upstreams.deaf {
-			w.after(w.way(m.zone, want.Zone), func() { c.unheard(t) })
+		p := m.process
+		if p == nil || p.upstreams.stoppedListening {
+			w.after(w.delay(m.zone, want.Zone), func() { c.timedOut(t) })
 			return
 		}
 		came := w.now
-		t.p = p
-		p.upstreams.tries[t.nr] = t
+		t.process = p
+		p.upstreams.attempts[t.number] = t
 		p.turn(func() {
-			w.doing = "requests"
-			p.upstreams.take(t, left-(came-sent), w.now-came)
+			w.turnKind = "requests"
+			p.upstreams.admit(t, left-(came-sent), w.now-came)
 		})
 	})
 }
 
-// unheard: no answer came, the client closes the connection.
-func (c *clients) unheard(t *try) {
-	if t.over {
+// timedOut: no answer came, the client closes the connection.
+func (c *clients) timedOut(t *attempt) {
+	if t.done {
 		return
 	}
-	t.over = true
-	c.w.note(history.Event{Who: "clients", Kind: history.Unheard, Txn: t.id})
-	if p := t.p; p != nil {
-		c.w.after(c.w.way(t.want.Zone, t.m.zone), func() {
+	t.done = true
+	c.world.record(history.Event{Who: "clients", Kind: history.Unanswered, Txn: t.id})
+	if p := t.process; p != nil {
+		c.world.after(c.world.delay(t.want.Zone, t.machine.zone), func() {
 			p.turn(func() {
-				delete(p.upstreams.tries, t.nr)
+				delete(p.upstreams.attempts, t.number)
 				if t.ref != 0 {
-					p.g.Left(t.ref)
+					p.gate.Left(t.ref)
 				}
 			})
 		})
@@ -196,63 +196,63 @@
 	t.ended(0, 0)
 }
 
-// answered: an answer is on its way.
-func (u *upstreams) answered(t *try, status int, after time.Duration) {
-	delete(u.tries, t.nr)
-	w := u.p.w
-	w.after(w.way(t.m.zone, t.want.Zone), func() {
-		if t.over {
+// sendResponse: an answer is on its way.
+func (u *upstreams) sendResponse(t *attempt, status int, after time.Duration) {
+	delete(u.attempts, t.number)
+	w := u.process.world
+	w.after(w.delay(t.machine.zone, t.want.Zone), func() {
+		if t.done {
 			return
 		}
-		t.over = true
-		w.note(history.Event{Who: "clients", Kind: history.Answered, Txn: t.id, N: float64(status), What: t.id})
+		t.done = true
+		w.record(history.Event{Who: "clients", Kind: history.Answered, Txn: t.id, Number: float64(status), What: t.id})
 		t.ended(status, after)
 	})
 }
 
-// lost: a node's process has ended, and its clients' connections with it.
-func (c *clients) lost(p *process, power bool) {
+// processEnded: a node's process has ended, and its clients' connections with it.
+func (c *clients) processEnded(p *process, power bool) {
 	if power {
 		return
 	}
-	for _, nr := range sortedKeys(p.upstreams.tries) {
-		t := p.upstreams.tries[nr]
-		t.p = nil
-		c.w.after(c.w.way(p.m.zone, t.want.Zone), func() { c.unheard(t) })
+	for _, nr := range sortedKeys(p.upstreams.attempts) {
+		t := p.upstreams.attempts[nr]
+		t.process = nil
+		c.world.after(c.world.delay(p.machine.zone, t.want.Zone), func() { c.timedOut(t) })
 	}
 }
 
 // ---- The front of a node: what internal/gateway/ingress does, without bytes.
 
-const soon = 300 * time.Millisecond
+const retryAfter = 300 * time.Millisecond
 
-// take admits a request whose client waits so long, some of which it may have lain unread.
-func (u *upstreams) take(t *try, wait, unread time.Duration) {
-	p := u.p
-	if u.tries[t.nr] != t {
+// admit admits a request whose client waits so long, some of which it may have lain unread.
+func (u *upstreams) admit(t *attempt, wait, unread time.Duration) {
+	p := u.process
+	if u.attempts[t.number] != t {
 		return
 	}
-	if p.w.refuses(&t.want) {
-		u.answered(t, 503, soon)
+	if p.world.plantedReject(&t.want) {
+		u.sendResponse(t, 503, retryAfter)
 		return
 	}
 	key := []byte(t.want.Key)
 	if len(key) == 0 {
 		key = nil
 	}
-	a, why := p.h.Admit([]byte(t.want.Host), []byte(t.want.Path), key)
+	a, why := p.node.Admit([]byte(t.want.Host), []byte(t.want.Path), key)
 	switch why {
 	case ingress.NoRoute:
-		u.answered(t, 404, 0)
+		u.sendResponse(t, 404, 0)
 		return
 	case ingress.InvalidKey:
-		u.answered(t, 401, 0)
+		u.sendResponse(t, 401, 0)
 		return
 	case ingress.ConfigurationPending:
-		u.answered(t, 503, soon)
+		u.sendResponse(t, 503, retryAfter)
 		return
 	}
-	t.adm, t.tenant = a, a.Tenant
+	t.admission, t.tenant = a, a.Tenant
 	if a.Deadline > 0 && a.Deadline < wait {
 		wait = a.Deadline
 	}
@@ -261,17 +261,17 @@
 	if a.Metered {
 		txn.Units = 1
 	}
-	ref, ok := p.g.Take(txn, u, slots.Ref(t.nr))
+	ref, ok := p.gate.Take(txn, u, slots.Ref(t.number))
 	if !ok {
-		u.answered(t, 503, soon)
+		u.sendResponse(t, 503, retryAfter)
 		return
 	}
 	t.ref = ref
 }
 
-// of finds a try that waits.
-func (u *upstreams) of(who, txn slots.Ref) *try {
-	if t := u.tries[uint32(who)]; t != nil && (t.ref == 0 || t.ref == txn) {
+// attemptOf finds a try that waits.
+func (u *upstreams) attemptOf(who, txn slots.Ref) *attempt {
+	if t := u.attempts[uint32(who)]; t != nil && (t.ref == 0 || t.ref == txn) {
 		return t
 	}
 	return nil
@@ -279,7 +279,7 @@
 
 // AppendTo gives the number of the try: no bytes are needed here.
 func (u *upstreams) AppendTo(b []byte, who, txn slots.Ref, _ control.BackendID, _ time.Duration) []byte {
-	if u.of(who, txn) == nil {
+	if u.attemptOf(who, txn) == nil {
 		return b
 	}
 	return binary.LittleEndian.AppendUint32(b, uint32(who))
@@ -287,22 +287,22 @@
 
 // User names whoever a request is of: its key.
 func (u *upstreams) User(who, txn slots.Ref) ([]byte, string) {
-	if t := u.of(who, txn); t != nil {
+	if t := u.attemptOf(who, txn); t != nil {
 		return []byte(t.want.Key), t.tenant
 	}
 	return nil, ""
 }
 
 func (u *upstreams) Complete(who, txn slots.Ref, o gate.Outcome) {
-	t := u.of(who, txn)
+	t := u.attemptOf(who, txn)
 	switch {
 	case t == nil:
 	case string(o.Body) != t.id:
-		u.p.w.note(history.Event{Who: "clients", Kind: gatewaystandin.Mixed, Txn: t.id, At: t.m.name, What: string(o.Body)})
+		u.process.world.record(history.Event{Who: "clients", Kind: gatewaystandin.Mixed, Txn: t.id, Target: t.machine.name, What: string(o.Body)})
 	case o.Ending == control.Succeeded:
-		u.answered(t, 200, 0)
+		u.sendResponse(t, 200, 0)
 	default:
-		u.answered(t, 500, 0)
+		u.sendResponse(t, 500, 0)
 	}
 }
 
@@ -311,19 +311,19 @@
 	if why == control.ReasonNoUnits {
 		status = 429
 	}
-	if t := u.of(who, txn); t != nil {
-		u.answered(t, status, after)
+	if t := u.attemptOf(who, txn); t != nil {
+		u.sendResponse(t, status, after)
 	}
 }
 
 func (u *upstreams) Fail(who, txn slots.Ref, why control.Reason) {
-	t := u.of(who, txn)
+	t := u.attemptOf(who, txn)
 	if t == nil {
 		return
 	}
 	status := 502
-	if why == control.ReasonNoTime || t.expiry <= u.p.Now() {
+	if why == control.ReasonNoTime || t.expiry <= u.process.Now() {
 		status = 504
 	}
-	u.answered(t, status, 0)
+	u.sendResponse(t, status, 0)
 }
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -42,7 +42,7 @@
 			f.Share = min(f.Share, 0.6)
 		case f.Has(spec.FailBackends):
 			f.For = seconds(1, 8)
-		case f.Has(spec.PartLeader):
+		case f.Has(spec.PartitionLeader):
 			f.For = seconds(15, 22)
 		case f.Has(spec.SlowDisks, spec.HangDisks, spec.FillDisks):
 			f.Share = min(f.Share, 0.6)
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -8,17 +8,17 @@
 	"clovergap/internal/lab/spec"
 )
 
-// momentMost is how long a fault waits for its moment; then it comes all the same.
-const momentMost = 3 * time.Second
+// maxMomentDelay is how long a fault waits for its moment; then it comes all the same.
+const maxMomentDelay = 3 * time.Second
 
 // faultRun is a fault under way: the day with the machines that it hits. What it does is in effects.
 type faultRun struct {
 	*world
-	fault *spec.Fault
-	rng   *rand.Rand
-	hit   []*machine
-	// harmed machines count as in trouble while the fault lasts: those that a rule may not hold to anything meanwhile.
-	harmed []*machine
+	fault    *spec.Fault
+	rng      *rand.Rand
+	targeted []*machine
+	// faulted machines count as in trouble while the fault lasts: those that a rule may not hold to anything meanwhile.
+	faulted []*machine
 }
 
 // effects is what faults do in simulated time. An action without an end calls over itself.
@@ -30,9 +30,9 @@
 	spec.TerminateNodes:   (*faultRun).terminate,
 	spec.ResetNodes:       (*faultRun).resetNodes,
 	spec.RestartCaller:    (*faultRun).restartCaller,
-	spec.CutNodes:         (*faultRun).cutNodes,
-	spec.CutZone:          (*faultRun).cutZone,
-	spec.PartLeader:       (*faultRun).partLeader,
+	spec.PartitionNodes:   (*faultRun).partitionNodes,
+	spec.PartitionZone:    (*faultRun).partitionZone,
+	spec.PartitionLeader:  (*faultRun).partitionLeader,
 	spec.RepeatCalls:      (*faultRun).repeatCalls,
 	spec.LoseFrames:       (*faultRun).loseFrames,
 	spec.SlowDisks:        (*faultRun).slowDisks,
@@ -42,10 +42,10 @@
 	spec.DrainBackends:    (*faultRun).drainBackends,
 	spec.RaiseLoad:        (*faultRun).raiseLoad,
 	spec.RushTenant:       (*faultRun).rushTenant,
-	spec.SlowBackends:     backendTrouble(func(b *backend, on, by float64) { b.slow = 1 + on*(1+20*by) }),
-	spec.ResetSubmissions: backendTrouble(func(b *backend, on, by float64) { b.resets = on * by / 2 }),
-	spec.LoseAnswers:      backendTrouble(func(b *backend, on, by float64) { b.silent = on * by / 2 }),
-	spec.FailBackends:     backendTrouble(func(b *backend, on, by float64) { b.fails = on * (0.3 + 0.7*by) }),
+	spec.SlowBackends:     backendFault(func(b *backend, on, by float64) { b.slowdown = 1 + on*(1+20*by) }),
+	spec.ResetSubmissions: backendFault(func(b *backend, on, by float64) { b.resetShare = on * by / 2 }),
+	spec.LoseAnswers:      backendFault(func(b *backend, on, by float64) { b.lostAnswers = on * by / 2 }),
+	spec.FailBackends:     backendFault(func(b *backend, on, by float64) { b.failShare = on * (0.3 + 0.7*by) }),
 })
 
 // play brings a fault at its time, or at its moment after that, and ends it.
@@ -62,7 +62,7 @@
 			w.timeline.add(b.service, b.zone, time.Second)
 			b.drain()
 		}
-		w.next(moment, momentMost, func() { w.applyFault(f) })
+		w.atNextMoment(moment, maxMomentDelay, func() { w.applyFault(f) })
 	})
 }
 
@@ -71,17 +71,17 @@
 
 // applyFault brings a fault now.
 func (w *world) applyFault(f *spec.Fault) {
-	r := &faultRun{world: w, fault: f, rng: f.Source(w.net)}
-	r.hit = r.targets()
+	r := &faultRun{world: w, fault: f, rng: f.Source(w.netRand)}
+	r.targeted = r.targets()
 	if !f.Has(spec.RestartCaller) || w.caller == nil {
-		w.say("fault %s for %s, share %.2f", f.Kind, f.For.D(), f.Share)
+		w.logf("fault %s for %s, share %.2f", f.Kind, f.For.D(), f.Share)
 	}
 	end, err := effects.Begin(r, f)
 	if err != nil {
 		panic(err)
 	}
 	if end != nil {
-		r.lasts(end)
+		r.endAfter(end)
 	}
 }
 
@@ -107,28 +107,28 @@
 	return some
 }
 
-// lasts ends the fault when its time is over. The harmed machines are in trouble until then.
-func (f *faultRun) lasts(end func()) {
+// endAfter ends the fault when its time is over. The harmed machines are in trouble until then.
+func (f *faultRun) endAfter(end func()) {
 	f.after(f.fault.For.D(), func() {
 		end()
-		for _, m := range f.harmed {
-			m.countTrouble(false)
+		for _, m := range f.faulted {
+			m.countFault(false)
 		}
-		f.over()
+		f.finished()
 	})
 }
 
-// over notes that the fault has ended.
-func (f *faultRun) over() {
-	f.say("fault %s ends", f.fault.Kind)
+// finished notes that the fault has ended.
+func (f *faultRun) finished() {
+	f.logf("fault %s ends", f.fault.Kind)
 	f.faults--
 }
 
-// harms marks machines as in trouble while the fault lasts.
-func (f *faultRun) harms(all []*machine) {
-	f.harmed = all
+// countFaulted marks machines as in trouble while the fault lasts.
+func (f *faultRun) countFaulted(all []*machine) {
+	f.faulted = all
 	for _, m := range all {
-		m.countTrouble(true)
+		m.countFault(true)
 	}
 }
 
@@ -137,21 +137,21 @@
 
 // Start starts those that do not run.
 func (f *faultRun) Start() {
-	for _, m := range f.hit {
+	for _, m := range f.targeted {
 		m.start()
 	}
 }
 
 // Stall lets them stand still, and go on.
 func (f *faultRun) Stall(on bool) {
-	for _, m := range f.hit {
+	for _, m := range f.targeted {
 		m.stall(on)
 	}
 }
 
 // killed ends them, or takes their power.
 func (f *faultRun) killed(power bool) (end func()) {
-	for _, m := range f.hit {
+	for _, m := range f.targeted {
 		m.kill(power)
 	}
 	return f.Start
@@ -160,7 +160,7 @@
 // wipe kills machines and takes what is on their disks; on hard days each such loss waits for its turn.
 func (f *faultRun) wipe(fault *spec.Fault) func() {
 	wipe := func() {
-		for _, m := range f.hit {
+		for _, m := range f.targeted {
 			m.kill(fault.By < 0.5)
 			m.loseDisk()
 		}
@@ -169,33 +169,33 @@
 		wipe()
 		return f.Start
 	}
-	f.turn(func() {
-		for i, m := range f.hit { // by its place: it may have been replaced meanwhile
-			f.hit[i] = f.machines[m.nr]
+	f.awaitDiskTurn(func() {
+		for i, m := range f.targeted { // by its place: it may have been replaced meanwhile
+			f.targeted[i] = f.machines[m.index]
 		}
 		wipe()
-		f.lasts(f.Start)
+		f.endAfter(f.Start)
 	})
 	return nil
 }
 
 // replaceNodes puts new machines in the place of those that are hit, when their turn has come.
 func (f *faultRun) replaceNodes(*spec.Fault) func() {
-	f.turn(func() {
-		for i, m := range f.hit { // by its place: it may have been replaced meanwhile
-			f.hit[i] = f.machines[m.nr].replace()
+	f.awaitDiskTurn(func() {
+		for i, m := range f.targeted { // by its place: it may have been replaced meanwhile
+			f.targeted[i] = f.machines[m.index].replace()
 		}
-		f.lasts(f.Start)
+		f.endAfter(f.Start)
 	})
 	return nil
 }
 
 // terminate tells processes to end; they start again when their grace and the fault's time are over.
 func (f *faultRun) terminate(*spec.Fault) func() {
-	for _, m := range f.hit {
+	for _, m := range f.targeted {
 		m.terminate()
 	}
-	f.after(f.machines[0].settings.Bounds.ShutdownGrace+200*time.Millisecond, func() { f.lasts(f.Start) })
+	f.after(f.machines[0].settings.Bounds.ShutdownGrace+200*time.Millisecond, func() { f.endAfter(f.Start) })
 	return nil
 }
 
@@ -203,13 +203,13 @@
 func (f *faultRun) resetNodes(fault *spec.Fault) func() {
 	until := f.now + fault.For.D()
 	reset := func() {
-		for _, m := range f.hit {
-			m.resets()
+		for _, m := range f.targeted {
+			m.resetConnections()
 		}
 	}
-	f.harms(f.hit)
+	f.countFaulted(f.targeted)
 	reset()
-	f.every(resetEach, func() bool {
+	f.every(resetInterval, func() bool {
 		if f.now < until {
 			reset()
 		}
@@ -230,37 +230,37 @@
 // callPower is the kind that takes the power of the node that passed on a call.
 const callPower = "call-power"
 
-// cutNodes lets the machines that are hit not hear the others, or not be heard, or both.
-func (f *faultRun) cutNodes(fault *spec.Fault) func() {
-	return f.cut(&cut{in: fault.Way != "out", out: fault.Way != "in"})
+// partitionNodes lets the machines that are hit not hear the others, or not be heard, or both.
+func (f *faultRun) partitionNodes(fault *spec.Fault) func() {
+	return f.addPartition(&partition{blocksInbound: fault.Way != "out", blocksOutbound: fault.Way != "in"})
 }
 
-// cutZone lets no word in or out of a zone, of its machines or of its backends.
-func (f *faultRun) cutZone(*spec.Fault) func() {
+// partitionZone lets no word in or out of a zone, of its machines or of its backends.
+func (f *faultRun) partitionZone(*spec.Fault) func() {
 	zone := f.zones[f.rng.IntN(len(f.zones))]
-	f.hit = nil
+	f.targeted = nil
 	for _, m := range f.machines {
 		if m.zone == zone {
-			f.hit = append(f.hit, m)
+			f.targeted = append(f.targeted, m)
 		}
 	}
-	return f.cut(&cut{zone: zone, backends: true, in: true, out: true})
+	return f.addPartition(&partition{zone: zone, backends: true, blocksInbound: true, blocksOutbound: true})
 }
 
-// cut brings a cut of the machines that are hit; all machines are in trouble by it.
-func (f *faultRun) cut(c *cut) func() {
-	c.group = map[*machine]bool{}
-	for _, m := range f.hit {
-		c.group[m] = true
+// addPartition brings a cut of the machines that are hit; all machines are in trouble by it.
+func (f *faultRun) addPartition(c *partition) func() {
+	c.members = map[*machine]bool{}
+	for _, m := range f.targeted {
+		c.members[m] = true
 	}
-	f.harms(f.machines)
-	f.cuts = append(f.cuts, c)
-	return func() { f.cuts = slices.DeleteFunc(f.cuts, func(x *cut) bool { return x == c }) }
+	f.countFaulted(f.machines)
+	f.partitions = append(f.partitions, c)
+	return func() { f.partitions = slices.DeleteFunc(f.partitions, func(x *partition) bool { return x == c }) }
 }
 
-// partLeader parts the leader, or another machine with a disk, from the others with one.
-func (f *faultRun) partLeader(fault *spec.Fault) func() {
-	m := f.hit[0]
+// partitionLeader parts the leader, or another machine with a disk, from the others with one.
+func (f *faultRun) partitionLeader(fault *spec.Fault) func() {
+	m := f.targeted[0]
 	if l := f.leader(); l != nil && fault.By < 0.6 {
 		m = l
 	}
@@ -268,7 +268,7 @@
 		f.faults--
 		return nil
 	}
-	f.part(fault, m)
+	f.partitionNode(fault, m)
 	return nil
 }
 
@@ -280,18 +280,18 @@
 
 // loseFrames loses a share of the datagrams; frames that would be lost go again.
 func (f *faultRun) loseFrames(fault *spec.Fault) func() {
-	f.harms(f.machines)
-	return f.losses.Hold(0.02 + 0.3*fault.By)
+	f.countFaulted(f.machines)
+	return f.losses.Add(0.02 + 0.3*fault.By)
 }
 
-// disks does something to the disks that are hit, whose machines are in trouble by it, and undoes it.
-func (f *faultRun) disks(begin, end func(*simulatedDisk)) func() {
-	f.harms(f.hit)
-	for _, m := range f.hit {
+// faultDisks does something to the disks that are hit, whose machines are in trouble by it, and undoes it.
+func (f *faultRun) faultDisks(begin, end func(*simulatedDisk)) func() {
+	f.countFaulted(f.targeted)
+	for _, m := range f.targeted {
 		begin(m.disk)
 	}
 	return func() {
-		for _, m := range f.hit {
+		for _, m := range f.targeted {
 			end(m.disk)
 		}
 	}
@@ -299,29 +299,29 @@
 
 func (f *faultRun) slowDisks(fault *spec.Fault) func() {
 	by := 5 + 100*fault.By
-	return f.disks(func(d *simulatedDisk) { d.slow *= by }, func(d *simulatedDisk) { d.slow /= by })
+	return f.faultDisks(func(d *simulatedDisk) { d.slowdown *= by }, func(d *simulatedDisk) { d.slowdown /= by })
 }
 
 func (f *faultRun) hangDisks(*spec.Fault) func() {
-	return f.disks(func(d *simulatedDisk) { d.hangs++ }, func(d *simulatedDisk) { d.hangs-- })
+	return f.faultDisks(func(d *simulatedDisk) { d.hangFaults++ }, func(d *simulatedDisk) { d.hangFaults-- })
 }
 
 func (f *faultRun) fillDisks(*spec.Fault) func() {
-	return f.disks(func(d *simulatedDisk) { d.full++ }, func(d *simulatedDisk) { d.full-- })
+	return f.faultDisks(func(d *simulatedDisk) { d.fullFaults++ }, func(d *simulatedDisk) { d.fullFaults-- })
 }
 
 // backends draws the backends that the fault hits.
-func (f *faultRun) backendsHit() (all []*backend) {
+func (f *faultRun) targetedBackends() (all []*backend) {
 	for _, i := range spec.Hits(len(f.timeline.live), f.fault.Share, f.rng) {
 		all = append(all, f.timeline.live[i])
 	}
 	return all
 }
 
-// backendTrouble sets something of some backends, with on at 1, and takes it back, at 0; by is the fault's strength.
-func backendTrouble(set func(b *backend, on, by float64)) spec.Action[*faultRun] {
+// backendFault sets something of some backends, with on at 1, and takes it back, at 0; by is the fault's strength.
+func backendFault(set func(b *backend, on, by float64)) spec.Action[*faultRun] {
 	return func(r *faultRun, f *spec.Fault) func() {
-		hit := r.backendsHit()
+		hit := r.targetedBackends()
 		for _, b := range hit {
 			set(b, 1, f.By)
 		}
@@ -335,7 +335,7 @@
 
 // crashBackends ends backends at once; others come in their place when the fault is over.
 func (f *faultRun) crashBackends(fault *spec.Fault) func() {
-	for _, b := range f.backendsHit() {
+	for _, b := range f.targetedBackends() {
 		if !b.draining {
 			f.after(0, b.crash)
 			f.after(fault.For.D(), func() { f.timeline.add(b.service, b.zone, time.Second) })
@@ -346,7 +346,7 @@
 
 // drainBackends lets backends leave in order, each replaced by another at once.
 func (f *faultRun) drainBackends(*spec.Fault) func() {
-	for _, b := range f.backendsHit() {
+	for _, b := range f.targetedBackends() {
 		if !b.draining {
 			f.timeline.add(b.service, b.zone, time.Second)
 			b.drain()
@@ -356,11 +356,13 @@
 }
 
 // raiseLoad lets clients ask more often.
-func (f *faultRun) raiseLoad(fault *spec.Fault) func() { return f.clients.burst.Hold(2 + 2*fault.By) }
+func (f *faultRun) raiseLoad(fault *spec.Fault) func() { return f.clients.burst.Add(2 + 2*fault.By) }
 
 // rushTenant lets one tenant send many times its usual.
 func (f *faultRun) rushTenant(fault *spec.Fault) func() {
-	rushing := f.hot(fault)
-	f.clients.hot = append(f.clients.hot, rushing)
-	return func() { f.clients.hot = slices.DeleteFunc(f.clients.hot, func(x *rush) bool { return x == rushing }) }
+	rushing := f.rushOf(fault)
+	f.clients.rushes = append(f.clients.rushes, rushing)
+	return func() {
+		f.clients.rushes = slices.DeleteFunc(f.clients.rushes, func(x *rush) bool { return x == rushing })
+	}
 }
--- a/internal/lab/simulation/feed_test.go
+++ b/internal/lab/simulation/feed_test.go
@@ -23,7 +23,7 @@
 			level := func() bool { // with whatever was acknowledged so long ago
 				for _, m := range w.machines[3:] {
 					for gen, v := range w.operator.versions {
-						if v.Acked > 0 && w.now-v.Acked > gatewaystandin.Bounds().ApplyWithin && gen > m.p.h.Status().Generation {
+						if v.Acked > 0 && w.now-v.Acked > gatewaystandin.Bounds().ApplyWithin && gen > m.process.node.Status().Generation {
 							return false
 						}
 					}
@@ -37,7 +37,7 @@
 			m.loseDisk()
 			w.after(away, m.start)
 			behind := false
-			w.every(lookEach, func() bool { behind = behind || !level(); return true })
+			w.every(checkInterval, func() bool { behind = behind || !level(); return true })
 			w.until(w.now+7*time.Second, nil)
 			must.False(t, behind, must.Sprint(lost, " ", away))
 		}
--- a/internal/lab/simulation/groups_test.go
+++ b/internal/lab/simulation/groups_test.go
@@ -34,10 +34,10 @@
 func (w *world) leads(id groups.ID) (leader *machine) {
 	newest := uint64(0)
 	for _, m := range w.cores() {
-		if m.p == nil {
+		if m.process == nil {
 			continue
 		}
-		if s, ok := m.p.h.GroupStatus(id); ok && s.Role == "leading" && s.Term > newest {
+		if s, ok := m.process.node.GroupStatus(id); ok && s.Role == "leading" && s.Term > newest {
 			leader, newest = m, s.Term
 		}
 	}
@@ -74,8 +74,8 @@
 		if n++; m == struck || !m.runs() {
 			return done == 0
 		}
-		m.p.turn(func() {
-			m.p.h.Coordinate(coordination.Call{Operation: coordination.NumberNext, Name: name}, func(a coordination.Result) {
+		m.process.turn(func() {
+			m.process.node.Coordinate(coordination.Call{Operation: coordination.NumberNext, Name: name}, func(a coordination.Result) {
 				if a.Status == coordination.StatusOK && done == 0 {
 					done = w.now
 				}
@@ -95,19 +95,19 @@
 	{"killed", func(_ *world, m *machine) { m.kill(false) }, func(_ *world, m *machine) { m.start() }},
 	{"without power", func(_ *world, m *machine) { m.kill(true) }, func(_ *world, m *machine) { m.start() }},
 	{"frozen", func(_ *world, m *machine) { m.stall(true) }, func(_ *world, m *machine) { m.stall(false) }},
-	{"cut both ways", cutOff(true, true), heal},
-	{"hears nothing", cutOff(true, false), heal},
-	{"is not heard", cutOff(false, true), heal},
-	{"disk hangs", func(_ *world, m *machine) { m.disk.hangs++ }, func(_ *world, m *machine) { m.disk.hangs-- }},
+	{"cut both ways", partitionMachine(true, true), endPartitions},
+	{"hears nothing", partitionMachine(true, false), endPartitions},
+	{"is not heard", partitionMachine(false, true), endPartitions},
+	{"disk hangs", func(_ *world, m *machine) { m.disk.hangFaults++ }, func(_ *world, m *machine) { m.disk.hangFaults-- }},
 }
 
-func cutOff(in, out bool) func(w *world, m *machine) {
+func partitionMachine(in, out bool) func(w *world, m *machine) {
 	return func(w *world, m *machine) {
-		w.cuts = append(w.cuts, &cut{group: map[*machine]bool{m: true}, in: in, out: out})
+		w.partitions = append(w.partitions, &partition{members: map[*machine]bool{m: true}, blocksInbound: in, blocksOutbound: out})
 	}
 }
 
-func heal(w *world, _ *machine) { w.cuts = nil }
+func endPartitions(w *world, _ *machine) { w.partitions = nil }
 
 // A group whose leader is lost, whichever way, goes on under another one: within 1.1 s at the worst, and again afterwards. GROUP_TIMES
 // plays so many of each.
@@ -157,8 +157,8 @@
 		w.every(40*time.Millisecond, func() bool {
 			m := w.machines[n%len(w.machines)]
 			if n++; m.runs() {
-				m.p.turn(func() {
-					m.p.h.Coordinate(coordination.Call{Operation: coordination.NumberNext, Name: nameIn(id)}, func(a coordination.Result) {
+				m.process.turn(func() {
+					m.process.node.Coordinate(coordination.Call{Operation: coordination.NumberNext, Name: nameIn(id)}, func(a coordination.Result) {
 						given = max(given, a.Number)
 					})
 				})
@@ -177,13 +177,13 @@
 	all()
 	for round := range 2 {
 		gone := w.leads(groups.ID(round))
-		old := gone.p.h.Status().Core.Me
+		old := gone.process.node.Status().Core.Me
 		came := gone.replace()
 		w.after(time.Second, came.start)
 		all()
 		began := w.now
 		moved := func() bool {
-			if came.p == nil {
+			if came.process == nil {
 				return false
 			}
 			for id := range groups.ID(groups.Count) {
@@ -191,11 +191,11 @@
 				if m == nil {
 					return false
 				}
-				s, _ := m.p.h.GroupStatus(id)
+				s, _ := m.process.node.GroupStatus(id)
 				had, has := false, false
 				for _, o := range s.Members {
 					had = had || fmt.Sprintf("%010x", uint64(o.ID)) == old
-					has = has || o.Addr == came.inner
+					has = has || o.Addr == came.peerAddr
 				}
 				if had || !has || !s.MembersCommitted {
 					return false
@@ -228,10 +228,10 @@
 		}
 		w.operator.open(func() {})
 		w.until(w.now+12*time.Second, nil)
-		w.counted = w.now
+		w.countedTime = w.now
 		w.until(w.now+5*time.Second, nil)
 		r := &Result{}
-		w.count(r, 5*time.Second)
+		w.countTraffic(r, 5*time.Second)
 		return r.Disks["groups"], r.Disks.Sum()
 	}
 	none, before := bytes()
@@ -279,8 +279,8 @@
 		w.every(time.Second/time.Duration(perSecond), func() bool {
 			m := w.machines[n%len(w.machines)]
 			n++
-			m.p.turn(func() {
-				m.p.h.Coordinate(callMix(n), func(a coordination.Result) {
+			m.process.turn(func() {
+				m.process.node.Coordinate(callMix(n), func(a coordination.Result) {
 					if a.Status != coordination.StatusAmbiguous && a.Status != coordination.StatusUnavailable {
 						c.answered += 1 / over.Seconds()
 					}
@@ -298,7 +298,7 @@
 			c.frames += float64(frames) / over.Seconds()
 			c.bytes += float64(m.meter.sent.Bytes[kind]) / over.Seconds()
 		}
-		c.processor += m.meter.all / time.Duration(over.Seconds())
+		c.processor += m.meter.cpuTotal / time.Duration(over.Seconds())
 	}
 	c.syncs = float64(syncs) / over.Seconds()
 	return c
@@ -333,8 +333,8 @@
 				if n++; c.Operation == coordination.KeyPut {
 					c.Value = fmt.Sprintf("%04096d", n)
 				}
-				m.p.turn(func() {
-					m.p.h.Coordinate(c, func(a coordination.Result) {
+				m.process.turn(func() {
+					m.process.node.Coordinate(c, func(a coordination.Result) {
 						must.NotEq(t, coordination.StatusUnavailable, a.Status)
 						calls = append(calls, w.now-asked)
 					})
--- a/internal/lab/simulation/hard_days.go
+++ b/internal/lab/simulation/hard_days.go
@@ -21,10 +21,10 @@
 	"copies", "call-kill", "call-kill", "call-kill", "call-power", "disk-wipe", "disk-slow"}, kinds...)
 
 const (
-	longCut    = 20 * time.Second
-	turnMost   = 40 * time.Second // that a loss of a disk waits for its turn
-	copiesMax  = 6 * time.Second  // late
-	stalledFor = 850 * time.Millisecond
+	longPartition = 20 * time.Second
+	maxTurnDelay  = 40 * time.Second // that a loss of a disk waits for its turn
+	maxCopyDelay  = 6 * time.Second  // late
+	stallDuration = 850 * time.Millisecond
 )
 
 // DrawHard draws the faults of a hard day, from all kinds: disks are lost one after the other, as soon as the last one counts as
@@ -44,7 +44,7 @@
 				f.Kind = "core-kill"
 			}
 		case f.Kind == "long-cut":
-			f.For, f.Share = spec.Span(longCut), 0.1
+			f.For, f.Share = spec.Span(longPartition), 0.1
 		case f.Has(spec.RestartCaller):
 			f.For = seconds(0.02, 0.8)
 		case f.Has(spec.RepeatCalls):
@@ -60,14 +60,14 @@
 	return d
 }
 
-// turn calls once so few machines with a disk are lost that another may be: what is in trouble, down or not back for as long as it
+// awaitDiskTurn calls once so few machines with a disk are lost that another may be: what is in trouble, down or not back for as long as it
 // takes to catch up counts. After a while the loss is left out.
-func (w *world) turn(do func()) {
-	until := w.now + turnMost
-	w.every(lookEach, func() bool {
+func (w *world) awaitDiskTurn(do func()) {
+	until := w.now + maxTurnDelay
+	w.every(checkInterval, func() bool {
 		lost := 0
 		for _, m := range w.cores() {
-			if m.trouble > 0 || m.p == nil || w.now-m.eased < gatewaystandin.Bounds().CatchUp || w.now-m.p.born < gatewaystandin.Bounds().CatchUp {
+			if m.activeFaults > 0 || m.process == nil || w.now-m.lastFaultEnd < gatewaystandin.Bounds().CatchUp || w.now-m.process.born < gatewaystandin.Bounds().CatchUp {
 				lost++
 			}
 		}
@@ -75,7 +75,7 @@
 		case lost < w.day.Tolerates():
 			do()
 		case w.now >= until:
-			w.say("no turn comes for another loss")
+			w.logf("no turn comes for another loss")
 			w.faults--
 		default:
 			return true
@@ -87,18 +87,18 @@
 // replace puts a new machine in the place of one, under its name in the history: it has a new address, an empty disk and, when it
 // starts, seeds from the list as it is by then. The old one never comes back.
 func (m *machine) replace() *machine {
-	w := m.w
+	w := m.world
 	m.kill(true)
 	w.replaced++
-	n := &machine{w: w, nr: m.nr, name: m.name, zone: m.zone, life: m.life, trouble: m.trouble, eased: m.eased, disk: newSimulatedDisk(w),
-		ip: fmt.Sprintf("10.%d.%d.%d", m.nr%w.day.Zones, 100+w.replaced/200, w.replaced%200+1)}
-	n.inner, n.control = net.JoinHostPort(n.ip, strconv.Itoa(innerPort)), net.JoinHostPort(n.ip, strconv.Itoa(controlPort))
+	n := &machine{world: w, index: m.index, name: m.name, zone: m.zone, incarnation: m.incarnation, activeFaults: m.activeFaults, lastFaultEnd: m.lastFaultEnd, disk: newSimulatedDisk(w),
+		addr: fmt.Sprintf("10.%d.%d.%d", m.index%w.day.Zones, 100+w.replaced/200, w.replaced%200+1)}
+	n.peerAddr, n.controlAddr = net.JoinHostPort(n.addr, strconv.Itoa(peerPort)), net.JoinHostPort(n.addr, strconv.Itoa(controlPort))
 	sheet := *m.settings
-	sheet.NodeName, sheet.IPAddress, sheet.Bind.Control = fmt.Sprintf("%s-%d", m.name, w.replaced), n.ip, n.control
-	n.settings, m.heir = &sheet, n
-	w.machines[m.nr] = n
-	w.byInner[n.inner], w.byCall[n.control] = n, n
-	w.say("%s is replaced, at %s", m.name, n.ip)
+	sheet.NodeName, sheet.IPAddress, sheet.Bind.Control = fmt.Sprintf("%s-%d", m.name, w.replaced), n.addr, n.controlAddr
+	n.settings, m.successor = &sheet, n
+	w.machines[m.index] = n
+	w.byPeerAddr[n.peerAddr], w.byControlAddr[n.controlAddr] = n, n
+	w.logf("%s is replaced, at %s", m.name, n.addr)
 	n.loseDisk()
 	return n
 }
@@ -106,7 +106,7 @@
 // seeds are the control addresses that a file names which is written now.
 func (w *world) seeds() (all []string) {
 	for _, m := range w.cores()[:min(3, w.day.Disks)] {
-		all = append(all, m.control)
+		all = append(all, m.controlAddr)
 	}
 	return all
 }
@@ -115,83 +115,83 @@
 // of the next life: numbers of calls begin anew in each. Mostly whoever has the call stands still meanwhile, so that its reply
 // is sent to the new life.
 func (w *world) restarts(f *spec.Fault, m *machine, left int) {
-	m = w.machines[m.nr]
+	m = w.machines[m.index]
 	if left == 0 {
 		w.faults--
 		return
 	}
-	w.say("fault %s for %s, %d left", f.Kind, f.For.D(), left)
-	m.countTrouble(true)
+	w.logf("fault %s for %s, %d left", f.Kind, f.For.D(), left)
+	m.countFault(true)
 	if has := w.callee; f.By > 0.25 && has != m {
-		has.countTrouble(true)
+		has.countFault(true)
 		has.stall(true)
-		w.after(stalledFor, func() {
+		w.after(stallDuration, func() {
 			has.stall(false)
-			has.countTrouble(false)
+			has.countFault(false)
 		})
 	}
 	w.after(time.Millisecond, func() { m.kill(f.Kind == callPower) }) // what it has sent is out
 	w.after(time.Millisecond+f.For.D(), func() {
-		w.machines[m.nr].start()
-		m.countTrouble(false)
+		w.machines[m.index].start()
+		m.countFault(false)
 		until := w.now + 2*time.Second
 		var next func()
 		next = func() {
-			if w.caller == w.machines[m.nr] || w.now >= until {
+			if w.caller == w.machines[m.index] || w.now >= until {
 				w.restarts(f, m, left-1)
 				return
 			}
-			w.next(spec.PassesOn, time.Second, next)
+			w.atNextMoment(spec.PassesOn, time.Second, next)
 		}
-		w.next(spec.PassesOn, time.Second, next)
+		w.atNextMoment(spec.PassesOn, time.Second, next)
 	})
 }
 
-// copied lets a passed-on call or its reply come once more, seconds late, to whatever process stands at the address by then.
-func (w *world) copied(p *process, to *machine, f *node.Frame) {
-	if f.Call == nil && f.Reply == nil || w.net.Float64() < 0.5 {
+// duplicateFrame lets a passed-on call or its reply come once more, seconds late, to whatever process stands at the address by then.
+func (w *world) duplicateFrame(p *process, to *machine, f *node.Frame) {
+	if f.Call == nil && f.Reply == nil || w.netRand.Float64() < 0.5 {
 		return
 	}
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(f); err != nil {
 		panic(err)
 	}
-	from := p.m
-	w.after(span(w.net, 20*time.Millisecond, copiesMax), func() {
-		if to.p == nil || w.parts(from, to) {
+	from := p.machine
+	w.after(span(w.netRand, 20*time.Millisecond, maxCopyDelay), func() {
+		if to.process == nil || w.partitioned(from, to) {
 			return
 		}
-		q, f := to.p, new(node.Frame)
+		q, f := to.process, new(node.Frame)
 		if err := gob.NewDecoder(&b).Decode(f); err != nil {
 			panic(err)
 		}
-		q.turn(func() { q.h.FrameReceived(from.inner, f) })
+		q.turn(func() { q.node.FrameReceived(from.peerAddr, f) })
 	})
 }
 
-// order is an acknowledged change, as it was sent.
-type order struct {
-	gen  uint64
-	path string
-	body []byte
+// sentChange is an acknowledged change, as it was sent.
+type sentChange struct {
+	generation uint64
+	path       string
+	body       []byte
 }
 
-// again sends a change that was taken once more, however long ago, to any node: it is acknowledged, or left unclear.
-func (o *operator) again() {
-	w := o.w
+// resendChange sends a change that was taken once more, however long ago, to any node: it is acknowledged, or left unclear.
+func (o *operator) resendChange() {
+	w := o.world
 	w.every(400*time.Millisecond, func() bool {
-		if !o.goes || len(o.taken) == 0 {
+		if !o.goes || len(o.accepted) == 0 {
 			return true
 		}
-		x := o.taken[o.rng.IntN(len(o.taken))]
+		x := o.accepted[o.rng.IntN(len(o.accepted))]
 		if o.rng.IntN(2) == 0 {
-			x = o.taken[len(o.taken)-1]
+			x = o.accepted[len(o.accepted)-1]
 		}
 		m := w.machines[o.rng.IntN(len(w.machines))]
 		o.call(m, x.path, x.body, func(status int, text []byte) {
 			if status/100 == 4 && status != 408 && status != 429 {
-				w.broken = append(w.broken, history.Broken{Rule: "AGAIN", T: w.now, Who: m.name,
-					What: fmt.Sprintf("%d was acknowledged, and sent again is answered %d %s", x.gen, status, text)})
+				w.broken = append(w.broken, history.Violation{Rule: "AGAIN", Time: w.now, Who: m.name,
+					What: fmt.Sprintf("%d was acknowledged, and sent again is answered %d %s", x.generation, status, text)})
 			}
 		})
 		return true
--- a/internal/lab/simulation/hard_test.go
+++ b/internal/lab/simulation/hard_test.go
@@ -28,15 +28,15 @@
 	}
 	opened := false
 	w.operator.open(func() { opened = true })
-	must.True(t, w.until(w.now+openIn, func() bool { return opened }))
+	must.True(t, w.until(w.now+firstConfigTimeout, func() bool { return opened }))
 	old := w.machines[1]
 	n := old.replace()
 	n.start()
 	old.start() // a fault that was under way on it ends: nothing comes of it
-	must.Nil(t, old.p)
-	must.NotEq(t, old.control, n.control)
+	must.Nil(t, old.process)
+	must.NotEq(t, old.controlAddr, n.controlAddr)
 	must.False(t, n.settings.FirstBoot)
-	must.True(t, w.until(w.now+gatewaystandin.Bounds().CatchUp, func() bool { return n.disk.kept.Commit > 0 }))
+	must.True(t, w.until(w.now+gatewaystandin.Bounds().CatchUp, func() bool { return n.disk.persisted.Commit > 0 }))
 	for seed := range uint64(4) {
 		d := &Day{Site: Site{Nodes: 5, Disks: 3}, Seed: 20 + seed, For: 8 * time.Second, Hard: true, Faults: []spec.Fault{
 			{Kind: "core-replace", At: spec.Span(2 * time.Second), For: spec.Span(time.Second), Share: 0.01, Pick: 3 + seed}}}
@@ -70,12 +70,12 @@
 	}
 	opened := false
 	w.operator.open(func() { opened = true })
-	must.True(t, w.until(w.now+openIn, func() bool { return opened }))
+	must.True(t, w.until(w.now+firstConfigTimeout, func() bool { return opened }))
 	never := gatewaystandin.First()
 	never.Generation = 1000
 	text, err := json.Marshal(never)
 	must.NoError(t, err)
-	w.operator.taken = []order{{1000, gatewaystandin.ReplacePath, text}}
+	w.operator.accepted = []sentChange{{1000, gatewaystandin.ReplacePath, text}}
 	must.True(t, w.until(w.now+10*time.Second, func() bool { return len(w.broken) > 0 }))
 	must.Eq(t, "AGAIN", w.broken[0].Rule)
 }
--- a/internal/lab/simulation/large_test.go
+++ b/internal/lab/simulation/large_test.go
@@ -25,10 +25,10 @@
 	text, err := json.Marshal(&b)
 	must.NoError(t, err)
 	leads, tries, taken, under, oldest := c.leader(), 0, false, false, time.Duration(0)
-	view, began := leads.p.h.Status().Core.View, w.now
+	view, began := leads.process.node.Status().Core.View, w.now
 	w.every(50*time.Millisecond, func() bool {
 		for _, m := range w.machines { // until it is in force, and has to be had everywhere
-			if age, _ := m.p.h.Staleness(); c.applied(leads) == c.gen {
+			if age, _ := m.process.node.Staleness(); c.applied(leads) == c.gen {
 				oldest = max(oldest, age)
 			}
 		}
@@ -42,5 +42,5 @@
 	t.Logf("%d bytes in %v and %d tries, oldest word %v", len(text), w.now-began, tries, oldest)
 	must.LessEq(t, 20*time.Second, w.now-began)
 	must.Less(t, 1500*time.Millisecond, oldest)
-	must.Eq(t, view, leads.p.h.Status().Core.View)
+	must.Eq(t, view, leads.process.node.Status().Core.View)
 }
--- a/internal/lab/simulation/members_test.go
+++ b/internal/lab/simulation/members_test.go
@@ -23,24 +23,24 @@
 			m.start()
 		}
 	}
-	late.life = 1 // it is not there at the first start of all
+	late.incarnation = 1 // it is not there at the first start of all
 	w.clients.watch()
 	opened := false
 	w.operator.open(func() { opened = true })
-	must.True(t, w.until(w.now+openIn, func() bool { return opened }))
+	must.True(t, w.until(w.now+firstConfigTimeout, func() bool { return opened }))
 	w.clients.begin()
 	w.until(w.now+2*time.Second, nil)
 	gone, next := w.machines[seed%3], w.machines[(seed+1+seed/3%2)%3]
 	loses := func() {
-		if gone.countTrouble(true); told {
+		if gone.countFault(true); told {
 			gone.terminate()
 		} else {
 			gone.kill(true)
 		}
-		must.True(t, w.until(w.now+8*time.Second, func() bool { return gone.p == nil }))
+		must.True(t, w.until(w.now+8*time.Second, func() bool { return gone.process == nil }))
 	}
 	comes := func() {
-		late.countTrouble(true)
+		late.countFault(true)
 		late.start()
 	}
 	if before {
@@ -58,12 +58,12 @@
 			if m == gone {
 				continue
 			}
-			c := m.p.h.Status().Core
+			c := m.process.node.Status().Core
 			has := map[string]bool{}
 			for _, o := range c.Members {
 				has[o.Address] = true
 			}
-			if !c.Settled || len(has) != 3 || !has[late.inner] || has[gone.inner] {
+			if !c.Settled || len(has) != 3 || !has[late.peerAddr] || has[gone.peerAddr] {
 				return false
 			}
 		}
@@ -72,8 +72,8 @@
 	must.True(t, w.until(began+catchUp, three), must.Sprintf("seed %d: the lost one still counts", seed))
 	took := w.now - began
 	w.until(began+catchUp, nil)
-	late.countTrouble(false)
-	gone.countTrouble(false)
+	late.countFault(false)
+	gone.countFault(false)
 	taken := func() (n int) {
 		for _, v := range w.operator.versions {
 			if v.Acked > 0 {
@@ -83,17 +83,17 @@
 		return n
 	}
 	was := taken()
-	next.countTrouble(true)
+	next.countFault(true)
 	next.kill(true)
 	must.True(t, w.until(w.now+gatewaystandin.ClearMost, func() bool { return taken() > was }), must.Sprintf("seed %d: nothing is taken", seed))
 	w.until(w.now+2*time.Second, nil)
 	next.start()
 	w.until(w.now+catchUp, nil)
-	next.countTrouble(false)
+	next.countFault(false)
 	w.operator.goes, w.clients.open = false, false
 	w.until(w.now+gatewaystandin.ClearMost+5*time.Second, func() bool { return !w.operator.busy })
-	w.over = true
-	for _, b := range gatewaystandin.Judge(w.history, w.backends(), slack) {
+	w.finished = true
+	for _, b := range gatewaystandin.Check(w.history, w.backends(), timingSlack) {
 		t.Errorf("seed %d: %s", seed, b)
 	}
 	return took
@@ -116,7 +116,7 @@
 		w.timeline.add(gatewaystandin.Services[0].Name, z, 0)
 	}
 	if full {
-		one.disk.full++
+		one.disk.fullFaults++
 	}
 	for _, m := range w.machines {
 		if m != one || full {
@@ -126,20 +126,20 @@
 	w.clients.watch()
 	opened := false
 	w.operator.open(func() { opened = true })
-	must.True(t, w.until(w.now+openIn, func() bool { return opened }), name)
+	must.True(t, w.until(w.now+firstConfigTimeout, func() bool { return opened }), name)
 	t.Logf("%s opened after %v", one.name, w.now-origin)
 	w.until(w.now+away, nil)
 	if full {
-		must.True(t, one.p.h.Ready(), name)
+		must.True(t, one.process.node.Ready(), name)
 		must.Eq(t, 0, one.disk.syncs, name)
-		one.disk.full--
+		one.disk.fullFaults--
 	} else {
 		one.start()
 	}
 	began := w.now
 	three := func() bool {
 		for _, m := range w.cores() {
-			if c := m.p.h.Status().Core; !c.Settled || len(c.Members) != 3 || c.Synced < c.Last {
+			if c := m.process.node.Status().Core; !c.Settled || len(c.Members) != 3 || c.Synced < c.Last {
 				return false
 			}
 		}
--- a/internal/lab/simulation/meter.go
+++ b/internal/lab/simulation/meter.go
@@ -60,9 +60,9 @@
 }
 
 // draw draws a request; in a wide deployment any of its tenants may be the one that asks.
-func (c *clients) draw() gatewaystandin.Want {
-	want := c.known.Draw(c.rng, c.w.zones)
-	if n := c.w.day.Wide.Tenants; n > 0 && want.Key != "" {
+func (c *clients) draw() gatewaystandin.Request {
+	want := c.known.Draw(c.rng, c.world.zones)
+	if n := c.world.day.Wide.Tenants; n > 0 && want.Key != "" {
 		i := c.rng.IntN(n)
 		want.Tenant, want.Key = fmt.Sprintf("account-%06d", i), AccountKey(i)
 	}
@@ -82,32 +82,32 @@
 
 // meter counts what one machine does.
 type meter struct {
-	sent, got Tally
-	spent     map[string]time.Duration // by what a turn was for
-	turns     Traffic
-	all       time.Duration // spent
-	frames    int           // sent and taken
+	sent, received Tally
+	cpuByKind      map[string]time.Duration // by what a turn was for
+	turns          Traffic
+	cpuTotal       time.Duration // spent
+	frames         int           // sent and taken
 }
 
-// came notes what a turn under way is for.
-func (m *meter) came(w *world, kind string, bytes int) {
-	w.doing = kind
+// recordArrival notes what a turn under way is for.
+func (m *meter) recordArrival(w *world, kind string, bytes int) {
+	w.turnKind = kind
 	m.frames++
-	m.got.add(kind, bytes)
+	m.received.add(kind, bytes)
 }
 
 // turn takes a turn, and the processor time of it. A thread's own clock is read: what else runs on the machine is not in it.
 func (m *meter) turn(w *world, do func()) {
-	w.doing = "timers"
+	w.turnKind = "timers"
 	began := threadTime()
 	do()
-	if m.spent == nil {
-		m.spent, m.turns = map[string]time.Duration{}, Traffic{}
+	if m.cpuByKind == nil {
+		m.cpuByKind, m.turns = map[string]time.Duration{}, Traffic{}
 	}
 	took := threadTime() - began
-	m.all += took
-	m.spent[w.doing] += took
-	m.turns[w.doing]++
+	m.cpuTotal += took
+	m.cpuByKind[w.turnKind] += took
+	m.turns[w.turnKind]++
 }
 
 // frameTime is what a frame takes beside its turn, at either end: a call of the kernel and its way through it.
@@ -115,12 +115,12 @@
 
 // metered takes a turn and counts it; where the processor is bounded, the next one waits for as long as this one took.
 func (p *process) metered(do func()) {
-	x := &p.m.meter
-	began, frames := x.all, x.frames
-	x.turn(p.w, func() { do(); p.settled() })
-	if share := p.w.day.Share; share > 0 {
-		took := x.all - began + time.Duration(x.frames-frames)*frameTime
-		p.busy = p.w.now + time.Duration(float64(took)/share)
+	x := &p.machine.meter
+	began, frames := x.cpuTotal, x.frames
+	x.turn(p.world, func() { do(); p.endOfTurn() })
+	if share := p.world.day.Share; share > 0 {
+		took := x.cpuTotal - began + time.Duration(x.frames-frames)*frameTime
+		p.busyUntil = p.world.now + time.Duration(float64(took)/share)
 	}
 }
 
@@ -131,21 +131,21 @@
 	}
 	var next func()
 	next = func() {
-		if p.over || len(p.inbox) == 0 {
+		if p.ended || len(p.inbox) == 0 {
 			return
 		}
 		do := p.inbox[0]
 		p.inbox = p.inbox[1:]
-		if p.m.stalled > 0 {
+		if p.machine.stalls > 0 {
 			p.backlog = append(p.backlog, do)
 		} else {
 			p.metered(do)
 		}
 		if len(p.inbox) > 0 {
-			p.w.at(p.busy, next)
+			p.world.at(p.busyUntil, next)
 		}
 	}
-	p.w.at(p.busy, next)
+	p.world.at(p.busyUntil, next)
 }
 
 func threadTime() time.Duration {
@@ -202,8 +202,8 @@
 	for i, m := range w.machines {
 		x := m.meter
 		x.sent.Bytes, x.sent.Frames = copyOf(x.sent.Bytes), copyOf(x.sent.Frames)
-		x.got.Bytes, x.got.Frames = copyOf(x.got.Bytes), copyOf(x.got.Frames)
-		x.spent, x.turns = copyOf(x.spent), copyOf(x.turns)
+		x.received.Bytes, x.received.Frames = copyOf(x.received.Bytes), copyOf(x.received.Frames)
+		x.cpuByKind, x.turns = copyOf(x.cpuByKind), copyOf(x.turns)
 		all[i] = x
 	}
 	return all
@@ -217,15 +217,15 @@
 	return to
 }
 
-// links counts connections of a machine, those that it dialed and those that came.
-func (w *world) links() map[*machine]int {
+// countLinks counts connections of a machine, those that it dialed and those that came.
+func (w *world) countLinks() map[*machine]int {
 	n := map[*machine]int{}
 	for _, m := range w.machines {
-		if m.p != nil {
-			for _, v := range m.p.links {
-				if v.c != nil {
+		if m.process != nil {
+			for _, v := range m.process.links {
+				if v.conn != nil {
 					n[m]++
-					n[v.to]++
+					n[v.target]++
 				}
 			}
 		}
@@ -233,12 +233,12 @@
 	return n
 }
 
-// shared sums what nodes of one role did since a copy was taken.
-func (w *world) shared(before []meter, over time.Duration, member bool) (s Share) {
+// usageSince sums what nodes of one role did since a copy was taken.
+func (w *world) usageSince(before []meter, over time.Duration, member bool) (s Share) {
 	s.Kinds, s.MostKinds, s.Frames, s.Spent = map[string]float64{}, map[string]float64{}, map[string]float64{}, map[string]float64{}
 	s.Turns, s.GotKinds = map[string]float64{}, map[string]float64{}
 	var sums []float64
-	links, secs := w.links(), over.Seconds()
+	links, secs := w.countLinks(), over.Seconds()
 	per := func(to map[string]float64, now, then Traffic) {
 		for k, v := range now {
 			to[k] += float64(v-then[k]) / secs
@@ -257,15 +257,15 @@
 			per(s.MostKinds, m.meter.sent.Bytes, before[i].sent.Bytes)
 		}
 		per(s.Kinds, m.meter.sent.Bytes, before[i].sent.Bytes)
-		per(s.GotKinds, m.meter.got.Bytes, before[i].got.Bytes)
+		per(s.GotKinds, m.meter.received.Bytes, before[i].received.Bytes)
 		per(s.Frames, m.meter.sent.Frames, before[i].sent.Frames)
 		per(s.Turns, m.meter.turns, before[i].turns)
-		got := float64(m.meter.got.Bytes.Sum()-before[i].got.Bytes.Sum()) / secs
+		got := float64(m.meter.received.Bytes.Sum()-before[i].received.Bytes.Sum()) / secs
 		s.Got += got
 		s.GotMost = max(s.GotMost, got)
 		var core float64
-		for k, v := range m.meter.spent {
-			x := (v - before[i].spent[k]).Seconds() / secs
+		for k, v := range m.meter.cpuByKind {
+			x := (v - before[i].cpuByKind[k]).Seconds() / secs
 			s.Spent[k] += x
 			core += x
 		}
@@ -287,7 +287,7 @@
 	for _, x := range sums {
 		s.Mean += x / n
 	}
-	s.Median = part(sums, 0.5)
+	s.Median = quantile(sums, 0.5)
 	return s
 }
 
--- a/internal/lab/simulation/net.go
+++ b/internal/lab/simulation/net.go
@@ -14,23 +14,23 @@
 
 // As internal/gateway/transport and its kernel have it.
 const (
-	dialLimit    = 600 * time.Millisecond
-	unheardFor   = 2 * time.Second // bytes that nobody acknowledges end a link
-	redialIn     = 40 * time.Millisecond
-	redialMost   = 640 * time.Millisecond
-	lookAgain    = 100 * time.Millisecond
-	goesAgain    = 200 * time.Millisecond // a packet that was lost
-	writtenIn    = 200 * time.Microsecond // links are written apart from the turns
-	frameHead    = 66                     // of a packet, beside what it carries
-	datagramHead = 42                     // of a datagram
-	queueMost    = 500 * time.Millisecond // datagrams wait no longer for their turn on a link
+	dialTimeout      = 600 * time.Millisecond
+	unackedTimeout   = 2 * time.Second // bytes that nobody acknowledges end a link
+	minRedialDelay   = 40 * time.Millisecond
+	maxRedialDelay   = 640 * time.Millisecond
+	watchInterval    = 100 * time.Millisecond
+	retransmitDelay  = 200 * time.Millisecond // a packet that was lost
+	writeDelay       = 200 * time.Microsecond // links are written apart from the turns
+	packetOverhead   = 66                     // of a packet, beside what it carries
+	datagramOverhead = 42                     // of a datagram
+	maxQueueDelay    = 500 * time.Millisecond // datagrams wait no longer for their turn on a link
 )
 
 // Traffic is bytes by what they were for.
 type Traffic map[string]int64
 
-// Sorts are what bytes are for, in the order of tables.
-var Sorts = []string{"heartbeats", "registry", "core", "feed", "calls", "hellos", "roll-outs", "groups", "links", "datagrams"}
+// TrafficKinds are what bytes are for, in the order of tables.
+var TrafficKinds = []string{"heartbeats", "registry", "core", "feed", "calls", "hellos", "roll-outs", "groups", "links", "datagrams"}
 
 // Sum is all of it.
 func (t Traffic) Sum() (n int64) {
@@ -40,102 +40,102 @@
 	return n
 }
 
-// cut parts a group of machines from the rest. Way: in and out are what the group does not hear, and is not heard with.
-type cut struct {
-	group    map[*machine]bool
-	zone     string // backends of it are in the group
-	in, out  bool
-	backends bool // the way between nodes and backends is cut too
-	cores    bool // between machines with a disk alone
-	lasting  bool // links to the group last, though nothing comes back on them
+// partition parts a group of machines from the rest. Way: in and out are what the group does not hear, and is not heard with.
+type partition struct {
+	members                       map[*machine]bool
+	zone                          string // backends of it are in the group
+	blocksInbound, blocksOutbound bool
+	backends                      bool // the way between nodes and backends is cut too
+	coreOnly                      bool // between machines with a disk alone
+	keepsLinks                    bool // links to the group last, though nothing comes back on them
 }
 
-// keeps tells whether a link goes on while nothing of its bytes is acknowledged.
-func (w *world) keeps(from, to *machine) bool {
-	return !w.parts(from, to) && slices.ContainsFunc(w.cuts, func(c *cut) bool { return c.lasting && c.group[to] })
+// keepsLink tells whether a link goes on while nothing of its bytes is acknowledged.
+func (w *world) keepsLink(from, to *machine) bool {
+	return !w.partitioned(from, to) && slices.ContainsFunc(w.partitions, func(c *partition) bool { return c.keepsLinks && c.members[to] })
 }
 
-func (w *world) parts(from, to *machine) bool {
-	for _, c := range w.cuts {
-		if c.cores && (from.disk == nil || to.disk == nil) {
+func (w *world) partitioned(from, to *machine) bool {
+	for _, c := range w.partitions {
+		if c.coreOnly && (from.disk == nil || to.disk == nil) {
 			continue
 		}
-		if a, b := c.group[from], c.group[to]; a != b && (a && c.out || b && c.in) {
+		if a, b := c.members[from], c.members[to]; a != b && (a && c.blocksOutbound || b && c.blocksInbound) {
 			return true
 		}
 	}
 	return false
 }
 
-// apart tells whether a node and a backend hear nothing of each other.
-func (w *world) apart(m *machine, zone string) bool {
-	for _, c := range w.cuts {
-		if c.backends && c.group[m] != (c.zone == zone) {
+// backendUnreachable tells whether a node and a backend hear nothing of each other.
+func (w *world) backendUnreachable(m *machine, zone string) bool {
+	for _, c := range w.partitions {
+		if c.backends && c.members[m] != (c.zone == zone) {
 			return true
 		}
 	}
 	return false
 }
 
-// faultAt draws whether a packet is lost.
-func (w *world) faultAt() bool {
+// losesPacket draws whether a packet is lost.
+func (w *world) losesPacket() bool {
 	for _, x := range w.losses {
-		if w.net.Float64() < x {
+		if w.netRand.Float64() < x {
 			return true
 		}
 	}
 	return false
 }
 
-// leaves puts bytes on a machine's link, and tells when they are out.
-func (m *machine) leaves(kind string, bytes int) time.Duration {
-	if m.w.now >= m.w.counted {
+// transmit puts bytes on a machine's link, and tells when they are out.
+func (m *machine) transmit(kind string, bytes int) time.Duration {
+	if m.world.now >= m.world.countedTime {
 		if m.sent == nil {
 			m.sent = Traffic{}
 		}
 		m.sent[kind] += int64(bytes)
 	}
-	if m.w.metered {
+	if m.world.metered {
 		m.meter.sent.add(kind, bytes)
 		m.meter.frames++
 	}
-	m.w.sum = m.w.sum*31 + uint64(bytes) + uint64(m.nr)
-	m.free = max(m.free, m.w.now)
-	if m.w.day.Mbps > 0 {
-		m.free += time.Duration(float64(bytes) * 8000 / m.w.day.Mbps)
+	m.world.trafficHash = m.world.trafficHash*31 + uint64(bytes) + uint64(m.index)
+	m.linkFreeAt = max(m.linkFreeAt, m.world.now)
+	if m.world.day.Mbps > 0 {
+		m.linkFreeAt += time.Duration(float64(bytes) * 8000 / m.world.day.Mbps)
 	}
-	return m.free
+	return m.linkFreeAt
 }
 
-// wing is a link that a node wants, conn one connection of it.
-type wing struct {
-	p    *process
-	to   *machine
-	c    *conn
-	wait time.Duration
-	dial int // counts dials, so that a late one is told from the newest
+// peerLink is a link that a node wants, conn one connection of it.
+type peerLink struct {
+	process     *process
+	target      *machine
+	conn        *conn
+	redialDelay time.Duration
+	dial        int // counts dials, so that a late one is told from the newest
 }
 
 type conn struct {
-	v       *wing
-	peer    *process
-	out     bytes.Buffer
-	in      bytes.Buffer
-	enc     *gob.Encoder
-	dec     *gob.Decoder
-	last    time.Duration // nothing overtakes
-	stuck   [][]byte
-	watched bool
-	over    bool
-	gone    bool // what was sent last was lost with its sender
+	link         *peerLink
+	peer         *process
+	outbound     bytes.Buffer
+	inbound      bytes.Buffer
+	encoder      *gob.Encoder
+	decoder      *gob.Decoder
+	lastDelivery time.Duration // nothing overtakes
+	undelivered  [][]byte
+	watched      bool
+	closed       bool
+	senderLost   bool // what was sent last was lost with its sender
 }
 
 // Connect, Leave and Send are the links of a deployment.
 func (p *process) Connect(to string) {
-	if m := p.w.byInner[to]; m != nil && p.links[to] == nil && m != p.m {
-		v := &wing{p: p, to: m, wait: redialIn}
+	if m := p.world.byPeerAddr[to]; m != nil && p.links[to] == nil && m != p.machine {
+		v := &peerLink{process: p, target: m, redialDelay: minRedialDelay}
 		p.links[to] = v
-		v.again(0)
+		v.redial(0)
 	}
 }
 
@@ -155,140 +155,140 @@
 		return false
 	}
 	if f.Core != nil && f.Core.Message.Kind == replication.MsgPreVote {
-		p.w.happens(spec.ViewChange)
+		p.world.happens(spec.ViewChange)
 	}
 	if f.Call != nil {
-		p.w.caller, p.w.callee = p.m, v.to
-		p.w.happens(spec.PassesOn)
+		p.world.caller, p.world.callee = p.machine, v.target
+		p.world.happens(spec.PassesOn)
 	}
-	if p.w.owners {
-		p.w.after(ownedFor, p.w.owned(p.m.name, f))
+	if p.world.checkOwnership {
+		p.world.after(ownershipCheckDelay, p.world.watchUnchanged(p.machine.name, f))
 	}
-	if v.c != nil { // else it waits for a link, and is dropped when that is up
-		v.c.send(f)
+	if v.conn != nil { // else it waits for a link, and is dropped when that is up
+		v.conn.send(f)
 	}
 	return true
 }
 
-func (w *wing) wanted() bool { return !w.p.over && w.p.links[w.to.inner] == w }
+func (p *peerLink) wanted() bool { return !p.process.ended && p.process.links[p.target.peerAddr] == p }
 
-// again dials after a while.
-func (w *wing) again(wait time.Duration) {
-	w.dial++
-	nr, world := w.dial, w.p.w
+// redial dials after a while.
+func (p *peerLink) redial(wait time.Duration) {
+	p.dial++
+	nr, world := p.dial, p.process.world
 	world.after(wait, func() {
-		if nr != w.dial || !w.wanted() || w.c != nil {
+		if nr != p.dial || !p.wanted() || p.conn != nil {
 			return
 		}
 		failed := func() {
-			if nr == w.dial && w.wanted() && w.c == nil {
-				w.wait = min(2*w.wait, redialMost)
-				w.again(w.wait)
+			if nr == p.dial && p.wanted() && p.conn == nil {
+				p.redialDelay = min(2*p.redialDelay, maxRedialDelay)
+				p.redial(p.redialDelay)
 			}
 		}
-		m, trip := w.to, world.way(w.p.m.zone, w.to.zone)+world.way(w.to.zone, w.p.m.zone)
-		w.p.m.leaves("links", 3*frameHead)
-		if m.dark || world.parts(w.p.m, m) || world.parts(m, w.p.m) {
-			world.after(dialLimit, failed)
+		m, trip := p.target, world.delay(p.process.machine.zone, p.target.zone)+world.delay(p.target.zone, p.process.machine.zone)
+		p.process.machine.transmit("links", 3*packetOverhead)
+		if m.poweredOff || world.partitioned(p.process.machine, m) || world.partitioned(m, p.process.machine) {
+			world.after(dialTimeout, failed)
 			return
 		}
 		world.after(trip, func() {
-			if nr != w.dial || !w.wanted() || w.c != nil {
+			if nr != p.dial || !p.wanted() || p.conn != nil {
 				return
 			}
-			if m.p == nil {
+			if m.process == nil {
 				failed()
 				return
 			}
-			w.up(m.p)
+			p.connected(m.process)
 		})
 	})
 }
 
-func (w *wing) up(peer *process) {
-	c := &conn{v: w, peer: peer, last: w.p.w.now}
-	c.enc, c.dec = gob.NewEncoder(&c.out), gob.NewDecoder(&c.in)
-	w.c, w.wait = c, redialIn
-	from, life := w.p.m.inner, w.p.id
-	c.last += w.p.w.way(w.p.m.zone, w.to.zone) // what it says first names who has dialed
-	w.p.w.at(c.last, func() {
+func (p *peerLink) connected(peer *process) {
+	c := &conn{link: p, peer: peer, lastDelivery: p.process.world.now}
+	c.encoder, c.decoder = gob.NewEncoder(&c.outbound), gob.NewDecoder(&c.inbound)
+	p.conn, p.redialDelay = c, minRedialDelay
+	from, life := p.process.machine.peerAddr, p.process.id
+	c.lastDelivery += p.process.world.delay(p.process.machine.zone, p.target.zone) // what it says first names who has dialed
+	p.process.world.at(c.lastDelivery, func() {
 		peer.turn(func() {
-			peer.from[from] = c
-			anew := peer.lives[from] != 0 && peer.lives[from] != life
-			peer.lives[from] = life
-			if back := peer.links[from]; back != nil && back.c == nil { // it can be reached
-				back.wait = redialIn
-				back.again(0)
-			} else if back != nil && anew && back.c.peer.over {
-				back.c.end()
+			peer.inbound[from] = c
+			anew := peer.incarnations[from] != 0 && peer.incarnations[from] != life
+			peer.incarnations[from] = life
+			if back := peer.links[from]; back != nil && back.conn == nil { // it can be reached
+				back.redialDelay = minRedialDelay
+				back.redial(0)
+			} else if back != nil && anew && back.conn.peer.ended {
+				back.conn.end()
 			}
-			peer.h.PeerConnected(from)
+			peer.node.PeerConnected(from)
 		})
 	})
-	w.p.turn(func() {
-		if w.c == c && w.wanted() {
-			w.p.h.LinkUp(w.to.inner)
+	p.process.turn(func() {
+		if p.conn == c && p.wanted() {
+			p.process.node.LinkUp(p.target.peerAddr)
 		}
 	})
 }
 
 // send writes a frame: gob as on a real link, whose types travel once.
 func (c *conn) send(f *node.Frame) {
-	p := c.v.p
-	c.out.Reset()
-	if err := c.enc.Encode(f); err != nil {
+	p := c.link.process
+	c.outbound.Reset()
+	if err := c.encoder.Encode(f); err != nil {
 		panic(err)
 	}
-	b := bytes.Clone(c.out.Bytes())
-	if p.w.copies > 0 {
-		p.w.copied(p, c.v.to, f)
+	b := bytes.Clone(c.outbound.Bytes())
+	if p.world.copies > 0 {
+		p.world.duplicateFrame(p, c.link.target, f)
 	}
-	at := p.m.leaves(f.Kind(), len(b)+frameHead)
-	if c.parted() {
+	at := p.machine.transmit(f.Kind(), len(b)+packetOverhead)
+	if c.mayGoUnacked() {
 		c.watch()
 	}
-	if p.w.parts(p.m, c.v.to) || c.peer.over || len(c.stuck) > 0 {
-		c.stuck = append(c.stuck, b)
+	if p.world.partitioned(p.machine, c.link.target) || c.peer.ended || len(c.undelivered) > 0 {
+		c.undelivered = append(c.undelivered, b)
 		return
 	}
-	if p.w.faultAt() {
-		at += goesAgain
+	if p.world.losesPacket() {
+		at += retransmitDelay
 	}
-	c.deliver(at, p.w.now+span(p.w.net, 0, writtenIn), b)
+	c.deliver(at, p.world.now+span(p.world.netRand, 0, writeDelay), b)
 }
 
 // deliver brings bytes that were written at one time and are out on the link at another. What a process had not written when it
 // was killed never comes, nor what was not out when its machine lost power.
 func (c *conn) deliver(out, written time.Duration, b []byte) {
-	p := c.v.p
-	c.last = max(c.last, max(out, written)+p.w.way(p.m.zone, c.v.to.zone))
-	peer, from := c.peer, p.m.inner
-	p.w.at(c.last, func() {
-		if p.over && (written > p.died || p.m.dark && out > p.died) || c.gone {
-			c.gone = true
+	p := c.link.process
+	c.lastDelivery = max(c.lastDelivery, max(out, written)+p.world.delay(p.machine.zone, c.link.target.zone))
+	peer, from := c.peer, p.machine.peerAddr
+	p.world.at(c.lastDelivery, func() {
+		if p.ended && (written > p.died || p.machine.poweredOff && out > p.died) || c.senderLost {
+			c.senderLost = true
 			return
 		}
 		peer.turn(func() {
 			f := new(node.Frame)
-			c.in.Write(b)
-			if err := c.dec.Decode(f); err != nil {
+			c.inbound.Write(b)
+			if err := c.decoder.Decode(f); err != nil {
 				panic(err)
 			}
-			if peer.w.metered {
-				peer.m.meter.came(peer.w, f.Kind(), len(b)+frameHead)
+			if peer.world.metered {
+				peer.machine.meter.recordArrival(peer.world, f.Kind(), len(b)+packetOverhead)
 			}
-			if peer.from[from] == c {
-				peer.h.FrameReceived(from, f)
+			if peer.inbound[from] == c {
+				peer.node.FrameReceived(from, f)
 			}
 		})
 	})
 }
 
-// parted tells whether what is sent may go unacknowledged.
-func (c *conn) parted() bool {
-	w := c.v.p.w
-	from, to := c.v.p.m, c.v.to
-	return c.peer.over || w.parts(from, to) || w.parts(to, from) && !w.keeps(from, to)
+// mayGoUnacked tells whether what is sent may go unacknowledged.
+func (c *conn) mayGoUnacked() bool {
+	w := c.link.process.world
+	from, to := c.link.process.machine, c.link.target
+	return c.peer.ended || w.partitioned(from, to) || w.partitioned(to, from) && !w.keepsLink(from, to)
 }
 
 // watch looks after a link whose bytes are not acknowledged: it goes on, or ends after a while, or at once where another
@@ -298,20 +298,20 @@
 		return
 	}
 	c.watched = true
-	w, began := c.v.p.w, c.v.p.w.now
-	w.every(lookAgain, func() bool {
+	w, began := c.link.process.world, c.link.process.world.now
+	w.every(watchInterval, func() bool {
 		switch {
-		case c.over || !c.v.wanted() || c.v.c != c:
+		case c.closed || !c.link.wanted() || c.link.conn != c:
 			return false
-		case !c.parted():
+		case !c.mayGoUnacked():
 			c.watched = false
-			all := c.stuck
-			c.stuck = nil
+			all := c.undelivered
+			c.undelivered = nil
 			for _, b := range all {
-				c.deliver(w.now+span(w.net, 0, goesAgain), began, b)
+				c.deliver(w.now+span(w.netRand, 0, retransmitDelay), began, b)
 			}
 			return false
-		case w.now-began >= unheardFor || c.peer.over && !c.v.to.dark && !w.parts(c.v.p.m, c.v.to) && !w.parts(c.v.to, c.v.p.m):
+		case w.now-began >= unackedTimeout || c.peer.ended && !c.link.target.poweredOff && !w.partitioned(c.link.process.machine, c.link.target) && !w.partitioned(c.link.target, c.link.process.machine):
 			c.end()
 			return false
 		}
@@ -320,38 +320,38 @@
 }
 
 func (c *conn) end() {
-	v := c.v
-	if c.over || v.c != c {
+	v := c.link
+	if c.closed || v.conn != c {
 		return
 	}
-	c.over = true
-	v.c = nil
-	if v.p.over {
+	c.closed = true
+	v.conn = nil
+	if v.process.ended {
 		return
 	}
-	v.p.turn(func() {
-		if now := v.p.links[v.to.inner]; now == nil || now == v {
-			v.p.h.LinkDown(v.to.inner)
+	v.process.turn(func() {
+		if now := v.process.links[v.target.peerAddr]; now == nil || now == v {
+			v.process.node.LinkDown(v.target.peerAddr)
 		}
 	})
 	if v.wanted() {
-		v.again(v.wait)
+		v.redial(v.redialDelay)
 	}
 }
 
-// lost: a process has ended. Its side of links is reset, where the machine still lives and can be heard.
-func (w *world) lost(p *process) {
-	if p.m.dark {
+// processEnded: a process has ended. Its side of links is reset, where the machine still lives and can be heard.
+func (w *world) processEnded(p *process) {
+	if p.machine.poweredOff {
 		return
 	}
 	for _, m := range w.machines {
-		if m.p == nil || m.p == p {
+		if m.process == nil || m.process == p {
 			continue
 		}
-		if v := m.p.links[p.m.inner]; v != nil && v.c != nil && v.c.peer == p {
-			c := v.c
-			w.after(w.way(p.m.zone, m.zone), func() {
-				if !w.parts(p.m, m) {
+		if v := m.process.links[p.machine.peerAddr]; v != nil && v.conn != nil && v.conn.peer == p {
+			c := v.conn
+			w.after(w.delay(p.machine.zone, m.zone), func() {
+				if !w.partitioned(p.machine, m) {
 					c.end()
 				} else {
 					c.watch()
@@ -363,23 +363,23 @@
 
 // SendDatagram sends a datagram.
 func (d *datagrams) SendDatagram(peer control.GatewayID, payload []byte) {
-	p := d.p
+	p := d.process
 	if int(peer) >= len(d.all) || d.all[peer] == nil {
 		return
 	}
-	m, at := d.all[peer], p.m.leaves("datagrams", len(payload)+datagramHead)
-	if m == p.m || p.w.parts(p.m, m) || p.w.faultAt() || at-p.w.now > queueMost {
+	m, at := d.all[peer], p.machine.transmit("datagrams", len(payload)+datagramOverhead)
+	if m == p.machine || p.world.partitioned(p.machine, m) || p.world.losesPacket() || at-p.world.now > maxQueueDelay {
 		return
 	}
 	b := slices.Clone(payload)
-	p.w.at(at+p.w.way(p.m.zone, m.zone), func() {
-		if q := m.p; q != nil {
+	p.world.at(at+p.world.delay(p.machine.zone, m.zone), func() {
+		if q := m.process; q != nil {
 			q.turn(func() {
-				if q.w.metered {
-					q.m.meter.came(q.w, "datagrams", len(b)+datagramHead)
+				if q.world.metered {
+					q.machine.meter.recordArrival(q.world, "datagrams", len(b)+datagramOverhead)
 				}
-				if slot, ok := q.datagrams.slots[p.m]; ok {
-					q.h.ReceiveDatagram(control.GatewayID(slot), b)
+				if slot, ok := q.datagrams.slots[p.machine]; ok {
+					q.node.ReceiveDatagram(control.GatewayID(slot), b)
 				}
 			})
 		}
--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -15,24 +15,24 @@
 
 // operator changes the configuration, sends the same bytes again until the answer is clear, and reads.
 type operator struct {
-	w        *world
+	world    *world
 	rng      *rand.Rand
 	versions map[uint64]*gatewaystandin.Version
 	known    uint64
-	top      uint64
+	highest  uint64
 	unsure   bool
 	goes     bool
 	busy     bool
-	taken    []order
+	accepted []sentChange
 }
 
 func newOperator(w *world) *operator {
-	return &operator{w: w, rng: source(w.day.Seed, 0x09e7), versions: map[uint64]*gatewaystandin.Version{}}
+	return &operator{world: w, rng: source(w.day.Seed, 0x09e7), versions: map[uint64]*gatewaystandin.Version{}}
 }
 
 // call makes one call at a node, which has a second for it. Status 0: no answer.
 func (o *operator) call(m *machine, path string, body []byte, then func(status int, text []byte)) {
-	w, done := o.w, false
+	w, done := o.world, false
 	end := func(status int, text []byte) {
 		if !done {
 			done = true
@@ -40,26 +40,26 @@
 		}
 	}
 	w.after(time.Second, func() { end(0, nil) })
-	if m.dark {
+	if m.poweredOff {
 		return
 	}
-	way := span(w.net, 500*time.Microsecond, 2*time.Millisecond)
+	way := span(w.netRand, 500*time.Microsecond, 2*time.Millisecond)
 	w.after(way, func() {
-		p := m.p
-		if p == nil || p.upstreams.deaf {
+		p := m.process
+		if p == nil || p.upstreams.stoppedListening {
 			w.after(way, func() { end(0, nil) })
 			return
 		}
 		p.turn(func() {
-			w.doing = "operator"
+			w.turnKind = "operator"
 			answered := func(status int, text []byte) { w.after(way, func() { end(status, text) }) }
 			switch path {
 			case gatewaystandin.ReplacePath:
-				p.h.Change(statemachine.KindReplaceConfig, body, answered)
+				p.node.Change(statemachine.KindReplaceConfig, body, answered)
 			case gatewaystandin.AmendPath:
-				p.h.Change(statemachine.KindAmendConfig, body, answered)
+				p.node.Change(statemachine.KindAmendConfig, body, answered)
 			default:
-				p.h.ReadConfiguration(answered)
+				p.node.ReadConfiguration(answered)
 			}
 		})
 	})
@@ -67,7 +67,7 @@
 
 // ask brings a call to one node after another until one gives a clear answer, or for a while.
 func (o *operator) ask(path string, body []byte, then func(status int, text []byte, clear bool)) {
-	w, until, wait := o.w, o.w.now+gatewaystandin.ClearMost, 30*time.Millisecond
+	w, until, wait := o.world, o.world.now+gatewaystandin.ClearMost, 30*time.Millisecond
 	at := o.rng.IntN(len(w.machines))
 	var next func()
 	next = func() {
@@ -90,7 +90,7 @@
 
 // propose sends a change.
 func (o *operator) propose(c gatewaystandin.Change, then func(status int, clear bool)) {
-	w, gen := o.w, c.Config.Generation
+	w, gen := o.world, c.Config.Generation
 	text, err := json.Marshal(c.Body)
 	if err != nil {
 		panic(err)
@@ -98,9 +98,9 @@
 	v := &c.Version
 	v.Sent = w.now
 	o.versions[gen] = v
-	o.top = max(o.top, gen)
+	o.highest = max(o.highest, gen)
 	note := func(k history.Kind, what string) {
-		w.note(history.Event{Who: "operator", Kind: k, N: float64(gen), Key: fmt.Sprint(v.Parent), What: what})
+		w.record(history.Event{Who: "operator", Kind: k, Number: float64(gen), Key: fmt.Sprint(v.Parent), What: what})
 	}
 	note(gatewaystandin.Proposes, c.Path)
 	o.ask(c.Path, text, func(status int, answer []byte, clear bool) {
@@ -108,7 +108,7 @@
 		case clear && status == 200:
 			v.Acked = w.now
 			o.known = max(o.known, gen)
-			o.taken = append(o.taken, order{gen, c.Path, text})
+			o.accepted = append(o.accepted, sentChange{gen, c.Path, text})
 			note(gatewaystandin.Taken, "")
 			w.happens(spec.Acknowledged)
 		case clear:
@@ -124,25 +124,25 @@
 
 // open sends the first configuration until it is taken, then changes it as long as it may.
 func (o *operator) open(then func()) {
-	first := o.w.day.Wide.first()
+	first := o.world.day.Wide.first()
 	o.propose(gatewaystandin.Change{Path: gatewaystandin.ReplacePath, Body: first, Version: gatewaystandin.Version{Config: first}}, func(status int, _ bool) {
 		if status != 200 {
-			o.w.after(100*time.Millisecond, func() { o.open(then) })
+			o.world.after(100*time.Millisecond, func() { o.open(then) })
 			return
 		}
 		o.goes = true
 		o.audit()
-		if o.w.day.Hard {
-			o.again()
+		if o.world.day.Hard {
+			o.resendChange()
 		}
 		then()
-		o.pause()
+		o.backoff()
 	})
 }
 
 // audit reads at one node or another, once each time, whatever else is under way.
 func (o *operator) audit() {
-	w := o.w
+	w := o.world
 	w.every(300*time.Millisecond, func() bool {
 		if began := w.now; o.goes {
 			o.call(w.machines[o.rng.IntN(len(w.machines))], "", nil, func(status int, text []byte) { o.readBack(began, status, text) })
@@ -158,31 +158,31 @@
 		return nil
 	}
 	if v := o.versions[b.Generation]; v != nil && !gatewaystandin.Same(v.Config, b) {
-		o.w.broken = append(o.w.broken, history.Broken{Rule: "CONFIG", T: o.w.now,
+		o.world.broken = append(o.world.broken, history.Violation{Rule: "CONFIG", Time: o.world.now,
 			What: fmt.Sprintf("%d was read back otherwise than it was sent", b.Generation)})
 	}
-	o.w.note(history.Event{Who: "operator", Kind: gatewaystandin.ReadBack, N: float64(b.Generation), Due: began})
+	o.world.record(history.Event{Who: "operator", Kind: gatewaystandin.ReadBack, Number: float64(b.Generation), Deadline: began})
 	return b
 }
 
-func (o *operator) pause() {
-	o.w.after(span(o.rng, 100*time.Millisecond, 700*time.Millisecond), func() {
+func (o *operator) backoff() {
+	o.world.after(span(o.rng, 100*time.Millisecond, 700*time.Millisecond), func() {
 		switch {
-		case o.w.over:
+		case o.world.finished:
 		case !o.goes:
-			o.pause()
+			o.backoff()
 		default:
 			o.busy = true
-			o.step(func() {
+			o.makeChange(func() {
 				o.busy = false
-				o.pause()
+				o.backoff()
 			})
 		}
 	})
 }
 
-// step makes one change, or two that race.
-func (o *operator) step(then func()) {
+// makeChange makes one change, or two that race.
+func (o *operator) makeChange(then func()) {
 	if o.unsure {
 		o.read(func(b *routing.Config) {
 			if b == nil {
@@ -190,7 +190,7 @@
 				return
 			}
 			o.unsure, o.known = false, b.Generation
-			o.step(then)
+			o.makeChange(then)
 		})
 		return
 	}
@@ -199,13 +199,13 @@
 		then()
 		return
 	}
-	number := func() uint64 { o.top += 1 + o.rng.Uint64N(3); return o.top }
+	number := func() uint64 { o.highest += 1 + o.rng.Uint64N(3); return o.highest }
 	changes := gatewaystandin.Draft(o.rng.IntN, number, o.known, v.Config)
 	left := len(changes)
 	for _, c := range changes {
 		o.propose(c, func(int, bool) {
 			if v := o.versions[o.known]; v != nil {
-				o.w.clients.known.Learn(v.Config)
+				o.world.clients.known.Learn(v.Config)
 			}
 			if left--; left == 0 {
 				o.unsure = o.unsure || len(changes) > 1 // who has won is read
@@ -217,7 +217,7 @@
 
 // read asks for the newest configuration; nil if none came in time.
 func (o *operator) read(then func(*routing.Config)) {
-	began := o.w.now
+	began := o.world.now
 	o.ask("", nil, func(status int, text []byte, _ bool) {
 		then(o.readBack(began, status, text))
 	})
--- a/internal/lab/simulation/owned_test.go
+++ b/internal/lab/simulation/owned_test.go
@@ -15,7 +15,7 @@
 func TestWhatIsHandedOverIsLeftAlone(t *testing.T) {
 	for seed := range uint64(1) {
 		d := DrawHard(Site{Nodes: 5, Disks: 3}, 500+seed, 5, 4*time.Second)
-		d.owners = true
+		d.checkOwnership = true
 		for _, b := range Play(d).Broken {
 			t.Errorf("seed %d: %s", 500+seed, b)
 		}
@@ -24,9 +24,9 @@
 
 // A frame that its sender changes while it waits for its link is told.
 func TestOwnersAreWatched(t *testing.T) {
-	w := newWorld(&Day{Site: Site{Nodes: 3, Disks: 3}.Usual(), Seed: 1, owners: true})
+	w := newWorld(&Day{Site: Site{Nodes: 3, Disks: 3}.Usual(), Seed: 1, checkOwnership: true})
 	entries := []replication.WireEntry{{Index: 1, Data: []byte("a")}, {Index: 2, Data: []byte("b")}}
-	look := w.owned("node-0", &node.Frame{Core: &node.CoreMessage{Message: replication.WireMessage{Entries: entries}}})
+	look := w.watchUnchanged("node-0", &node.Frame{Core: &node.CoreMessage{Message: replication.WireMessage{Entries: entries}}})
 	look()
 	must.SliceEmpty(t, w.broken)
 	entries[1].Data = []byte("c") // as a log does that cuts its end off and grows again in place
--- a/internal/lab/simulation/parted.go
+++ b/internal/lab/simulation/parted.go
@@ -18,57 +18,57 @@
 // there, and to those who followed it, as an operator does: to the next node after each answer that is not clear.
 
 const (
-	pokeEach        = 200 * time.Millisecond
-	flightMax       = 20 * time.Millisecond // what was on its way when the cut began
-	atOnce          = 50 * time.Millisecond
+	probeInterval   = 200 * time.Millisecond
+	maxInFlight     = 20 * time.Millisecond // what was on its way when the cut began
+	promptly        = 50 * time.Millisecond
 	staleGeneration = 1 << 40
 )
 
-// Parted is how long orders took until a clear answer, sent first to the node that is cut off, or to one that followed it.
-type Parted struct{ Core, Follower []time.Duration }
+// PartitionTimes is how long orders took until a clear answer, sent first to the node that is cut off, or to one that followed it.
+type PartitionTimes struct{ Core, Follower []time.Duration }
 
-// part brings the cut and lets it end.
-func (w *world) part(f *spec.Fault, m *machine) {
+// partitionNode brings the cut and lets it end.
+func (w *world) partitionNode(f *spec.Fault, m *machine) {
 	lasting := f.Way == "mute"
-	c := &cut{group: map[*machine]bool{m: true}, in: f.Way != "out" && !lasting, out: f.Way != "in", cores: true, lasting: lasting}
+	c := &partition{members: map[*machine]bool{m: true}, blocksInbound: f.Way != "out" && !lasting, blocksOutbound: f.Way != "in", coreOnly: true, keepsLinks: lasting}
 	note := func(k history.Kind) {
 		for _, o := range w.cores() {
-			if o != m && c.out {
-				w.note(history.Event{Who: m.name, At: o.name, Kind: k})
+			if o != m && c.blocksOutbound {
+				w.record(history.Event{Who: m.name, Target: o.name, Kind: k})
 			}
-			if o != m && c.in {
-				w.note(history.Event{Who: o.name, At: m.name, Kind: k})
+			if o != m && c.blocksInbound {
+				w.record(history.Event{Who: o.name, Target: m.name, Kind: k})
 			}
 		}
 	}
 	var fed []*machine
 	for _, o := range w.machines {
-		if o.disk == nil && o.p != nil && o.p.h.Status().Feeder == m.inner {
+		if o.disk == nil && o.process != nil && o.process.node.Status().Feeder == m.peerAddr {
 			fed = append(fed, o)
 		}
 	}
-	w.say("%s is parted from the core, way %s, fed %d", m.name, f.Way, len(fed))
-	note(gatewaystandin.Parted)
-	w.cuts = append(w.cuts, c)
+	w.logf("%s is parted from the core, way %s, fed %d", m.name, f.Way, len(fed))
+	note(gatewaystandin.LinkDown)
+	w.partitions = append(w.partitions, c)
 	began, ends, n := w.now, w.now+f.For.D(), 0
-	w.every(pokeEach, func() bool {
+	w.every(probeInterval, func() bool {
 		if w.now >= ends {
 			return false
 		}
 		if n++; w.operator.known > 0 {
-			w.probeParted(m, began, ends)
+			w.probePartitioned(m, began, ends)
 			if n%2 == 0 {
-				w.orderUntilClear(m, &w.parted.Core)
+				w.orderUntilClear(m, &w.partitionTimes.Core)
 			} else if len(fed) > 0 {
-				w.orderUntilClear(fed[n/2%len(fed)], &w.parted.Follower)
+				w.orderUntilClear(fed[n/2%len(fed)], &w.partitionTimes.Follower)
 			}
 		}
 		return true
 	})
 	w.after(f.For.D(), func() {
-		w.cuts = slices.DeleteFunc(w.cuts, func(x *cut) bool { return x == c })
-		note(gatewaystandin.Joined)
-		w.say("fault %s ends", f.Kind)
+		w.partitions = slices.DeleteFunc(w.partitions, func(x *partition) bool { return x == c })
+		note(gatewaystandin.LinkUp)
+		w.logf("fault %s ends", f.Kind)
 		w.faults--
 	})
 }
@@ -84,44 +84,44 @@
 	return text
 }
 
-// probeParted holds a parted node to what it may do.
-func (w *world) probeParted(m *machine, began, ends time.Duration) {
-	p, at := m.p, w.now
+// probePartitioned holds a parted node to what it may do.
+func (w *world) probePartitioned(m *machine, began, ends time.Duration) {
+	p, at := m.process, w.now
 	since := at - began
-	if p == nil || m.stalled > 0 || since < flightMax {
+	if p == nil || m.stalls > 0 || since < maxInFlight {
 		return
 	}
 	bad := func(format string, args ...any) {
-		w.broken = append(w.broken, history.Broken{Rule: "PARTED", T: w.now, Who: m.name,
+		w.broken = append(w.broken, history.Violation{Rule: "PARTED", Time: w.now, Who: m.name,
 			What: fmt.Sprintf("%.2fs after it was parted it ", since.Seconds()) + fmt.Sprintf(format, args...)})
 	}
 	b := m.settings.Bounds
 	answered := func(what string, may func(int) bool) func(int, []byte) {
 		return func(status int, text []byte) {
-			if w.now >= ends || m.p != p {
+			if w.now >= ends || m.process != p {
 				return
 			}
 			if !may(status) {
 				bad("answers %s with %d %s", what, status, text)
 			}
-			if took := w.now - at; took > atOnce && min(since, at-p.born) > b.PartitionedAge()+atOnce && !p.stood(at) {
+			if took := w.now - at; took > promptly && min(since, at-p.born) > b.PartitionedAge()+promptly && !p.stalledSince(at) {
 				bad("takes %s to answer %s with %d", took, what, status)
 			}
 		}
 	}
 	unclear := func(status int) bool { return status/100 == 5 }
 	p.turn(func() {
-		p.h.Change(statemachine.KindReplaceConfig, staleOrder(), answered("an order", unclear))
-		p.h.ReadConfiguration(answered("a read", unclear))
-		p.h.Deregister(fmt.Sprint("stale-", began), func(ok bool, _ string) {
-			if ok && w.now < ends && m.p == p {
+		p.node.Change(statemachine.KindReplaceConfig, staleOrder(), answered("an order", unclear))
+		p.node.ReadConfiguration(answered("a read", unclear))
+		p.node.Deregister(fmt.Sprint("stale-", began), func(ok bool, _ string) {
+			if ok && w.now < ends && m.process == p {
 				bad("acknowledges an end that nobody else has")
 			}
 		})
-		if since > b.ReadyMaxAge() && p.h.Ready() {
+		if since > b.ReadyMaxAge() && p.node.Ready() {
 			bad("says that it is ready")
 		}
-		if _, no := p.h.Admit([]byte("nowhere.example"), []byte("/"), nil); since > b.AuthoritativeMaxAge() && no == ingress.NoRoute {
+		if _, no := p.node.Admit([]byte("nowhere.example"), []byte("/"), nil); since > b.AuthoritativeMaxAge() && no == ingress.NoRoute {
 			bad("denies for sure")
 		}
 	})
@@ -129,40 +129,42 @@
 
 // watchContact holds all nodes to what they say of their word of a majority, now and then and when one goes on after it stood still.
 func (w *world) watchContact() {
-	w.every(lookEach, func() bool {
+	w.every(checkInterval, func() bool {
 		for _, m := range w.machines {
-			m.holdsWord()
+			m.checkContact()
 		}
 		return true
 	})
 }
 
-// holdsWord: whatever was acknowledged so long ago as a node says that its word is old is in force there.
-func (m *machine) holdsWord() {
-	w := m.w
+// checkContact: whatever was acknowledged so long ago as a node says that its word is old is in force there.
+func (m *machine) checkContact() {
+	w := m.world
 	if !m.runs() {
 		return
 	}
-	age, generation := m.p.h.Staleness()
+	age, generation := m.process.node.Staleness()
 	for n, v := range w.operator.versions {
 		if v.Acked > 0 && v.Acked < w.now-age && n > generation {
-			w.broken = append(w.broken, history.Broken{Rule: "STALE", T: w.now, Who: m.name, What: fmt.Sprintf(
+			w.broken = append(w.broken, history.Violation{Rule: "STALE", Time: w.now, Who: m.name, What: fmt.Sprintf(
 				"has word of %s ago and goes by %d, while %d was acknowledged %s ago", age, generation, n, w.now-v.Acked)})
 		}
 	}
 }
 
-// stood tells whether a process stood still since then, or does.
-func (p *process) stood(since time.Duration) bool { return p.m.stalled > 0 || p.goes >= since }
+// stalledSince tells whether a process stood still since then, or does.
+func (p *process) stalledSince(since time.Duration) bool {
+	return p.machine.stalls > 0 || p.resumedAt >= since
+}
 
 // orderUntilClear sends an order to a node, and on to the next ones, until the answer is clear: one at a time, since a refusal takes a place in
 // the log too.
 func (w *world) orderUntilClear(first *machine, into *[]time.Duration) {
-	if w.chasing {
+	if w.orderPending {
 		return
 	}
-	w.chasing = true
-	body, began, wait, n := staleOrder(), w.now, 30*time.Millisecond, first.nr
+	w.orderPending = true
+	body, began, wait, n := staleOrder(), w.now, 30*time.Millisecond, first.index
 	var next func()
 	next = func() {
 		m := w.machines[n%len(w.machines)]
@@ -171,7 +173,7 @@
 			switch {
 			case gatewaystandin.Clear(status) || w.now-began > gatewaystandin.ClearMost:
 				*into = append(*into, w.now-began)
-				w.chasing = false
+				w.orderPending = false
 			default:
 				w.after(wait, next)
 				wait = min(2*wait, 500*time.Millisecond)
@@ -186,7 +188,7 @@
 	var view uint64
 	for _, m := range w.cores() {
 		if m.runs() {
-			if s := m.p.h.Status().Core; s.Role == "leading" && s.View > view {
+			if s := m.process.node.Status().Core; s.Role == "leading" && s.View > view {
 				found, view = m, s.View
 			}
 		}
