--- a/internal/lab/simulation/parted_test.go
+++ b/internal/lab/simulation/parted_test.go
@@ -14,7 +14,7 @@
 // refuses and tells nothing, acknowledges no end, is not ready, and sends callers on at once; all rules hold, and orders find their
 // answer at the next node.
 func TestPartedForTwentySeconds(t *testing.T) {
-	var all Parted
+	var all PartitionTimes
 	for n, way := range []string{"both", "in", "out", "mute"} {
 		for who, by := range map[string]float64{"who leads": 0, "another": 1} {
 			d := &Day{Site: Site{Nodes: 7, Disks: 3}, Seed: uint64(100 + n), For: 24 * time.Second, Faults: []spec.Fault{
@@ -23,8 +23,8 @@
 			for _, b := range r.Broken {
 				t.Errorf("%s, %s: %s", who, way, b)
 			}
-			must.Greater(t, 9, len(r.Parted.Core), must.Sprint(who, way))
-			all.Core, all.Follower = append(all.Core, r.Parted.Core...), append(all.Follower, r.Parted.Follower...)
+			must.Greater(t, 9, len(r.Partitioned.Core), must.Sprint(who, way))
+			all.Core, all.Follower = append(all.Core, r.Partitioned.Core...), append(all.Follower, r.Partitioned.Follower...)
 		}
 	}
 	for name, took := range map[string][]time.Duration{"the node itself": all.Core, "who followed it": all.Follower} {
@@ -50,9 +50,9 @@
 			for i := range with {
 				faults[i].Pick = seed
 			}
-			for _, e := range Play(&Day{Site: Site{Nodes: 12, Disks: 3}, Seed: seed + 1, For: 16 * time.Second, Faults: faults}).Ends {
-				ends = append(ends, e.Took-e.Unheard)
-				if e.Unheard > 0 {
+			for _, e := range Play(&Day{Site: Site{Nodes: 12, Disks: 3}, Seed: seed + 1, For: 16 * time.Second, Faults: faults}).DrainResults {
+				ends = append(ends, e.Latency-e.UnpoweredTime)
+				if e.UnpoweredTime > 0 {
 					atDark++
 				}
 			}
--- a/internal/lab/simulation/planted_test.go
+++ b/internal/lab/simulation/planted_test.go
@@ -14,14 +14,14 @@
 // A calm simulated day with a planted fault breaks the rule that is there for it, and no other; without one it breaks none.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for name, c := range map[string]struct {
-		planted plant
+		planted plantedFault
 		rules   []string
 	}{
-		"none":                 {sound, nil},
-		"cuts at the end":      {cutsAtTheEnd, []string{"LOST"}},
-		"refuses routes added": {refusesAdded, []string{"CONFIG", "Starved"}},
-		"refuses a kind":       {refusesKind, []string{"Starved"}},
-		"says it was not sent": {deniesRuns, []string{"BUDGET"}},
+		"none":                 {noPlantedFault, nil},
+		"cuts at the end":      {closesOnShutdown, []string{"LOST"}},
+		"refuses routes added": {rejectsNewRoutes, []string{"CONFIG", "Starved"}},
+		"refuses a kind":       {rejectsOneKind, []string{"Starved"}},
+		"says it was not sent": {reportsRunAsUnsent, []string{"BUDGET"}},
 	} {
 		w := newWorld(&Day{Site: Site{Nodes: 5, Disks: 3, Rate: 100}.Usual(), Seed: 3, For: time.Second})
 		w.planted = c.planted
@@ -36,21 +36,21 @@
 		w.clients.watch()
 		opened := false
 		w.operator.open(func() { opened = true })
-		must.True(t, w.until(w.now+openIn, func() bool { return opened }))
+		must.True(t, w.until(w.now+firstConfigTimeout, func() bool { return opened }))
 		w.clients.begin()
 		w.until(w.now+15*time.Second, nil)
 		for _, b := range w.timeline.live { // failing ones, so that there is something to send again
-			b.fails = 0.3
+			b.failShare = 0.3
 		}
 		w.until(w.now+5*time.Second, nil)
 		w.machines[4].terminate()
 		w.until(w.now+10*time.Second, nil)
 		w.operator.goes, w.clients.open = false, false
-		w.until(w.now+tail, nil)
+		w.until(w.now+drainTime, nil)
 		w.operator.read(func(*routing.Config) {})
-		w.until(w.now+tail, nil)
+		w.until(w.now+drainTime, nil)
 		var rules []string
-		for _, b := range gatewaystandin.Judge(w.history, w.backends(), slack) {
+		for _, b := range gatewaystandin.Check(w.history, w.backends(), timingSlack) {
 			rules = append(rules, b.Rule)
 		}
 		slices.Sort(rules)
--- a/internal/lab/simulation/resets.go
+++ b/internal/lab/simulation/resets.go
@@ -7,8 +7,8 @@
 	"clovergap/internal/lab/spec"
 )
 
-// resetEach is the time from one reset of a machine's connections to the next, while the fault lasts.
-const resetEach = 300 * time.Millisecond
+// resetInterval is the time from one reset of a machine's connections to the next, while the fault lasts.
+const resetInterval = 300 * time.Millisecond
 
 // drawResets adds, to every third day, that all connections of some machines are reset, of those with a disk as often as of
 // any. It draws by itself: a seed's other faults are what they were without it.
@@ -21,29 +21,29 @@
 		At: spec.Span(rng.Float64() * 0.8 * float64(dur)), For: spec.Span(rng.Float64() * 2e9), Pick: rng.Uint64()>>1 | 1})
 }
 
-// resets ends all connections of a machine: links of nodes both ways, to backends, and of clients.
-func (m *machine) resets() {
-	p, w := m.p, m.w
+// resetConnections ends all connections of a machine: links of nodes both ways, to backends, and of clients.
+func (m *machine) resetConnections() {
+	p, w := m.process, m.world
 	if p == nil {
 		return
 	}
-	w.say("%s has its connections reset", m.name)
+	w.logf("%s has its connections reset", m.name)
 	for _, o := range w.machines {
-		if o.p == nil || o == m {
+		if o.process == nil || o == m {
 			continue
 		}
-		for _, v := range []*wing{o.p.links[m.inner], p.links[o.inner]} {
-			if v != nil && v.c != nil {
-				v.c.gone = true // what was on its way is lost
-				v.c.end()
+		for _, v := range []*peerLink{o.process.links[m.peerAddr], p.links[o.peerAddr]} {
+			if v != nil && v.conn != nil {
+				v.conn.senderLost = true // what was on its way is lost
+				v.conn.end()
 			}
 		}
 	}
-	for _, b := range p.ways.at {
+	for _, b := range p.backendLinks.endpoints {
 		b.idle = nil
 	}
 	p.turn(func() {
-		for _, s := range p.ways.sorted() {
+		for _, s := range p.backendLinks.sorted() {
 			switch {
 			case s.dialing:
 				s.end(control.Unreachable, false)
@@ -52,8 +52,8 @@
 			}
 		}
 	})
-	for _, nr := range sortedKeys(p.upstreams.tries) {
-		t := p.upstreams.tries[nr]
-		w.after(w.way(m.zone, t.want.Zone), func() { w.clients.unheard(t) })
+	for _, nr := range sortedKeys(p.upstreams.attempts) {
+		t := p.upstreams.attempts[nr]
+		w.after(w.delay(m.zone, t.want.Zone), func() { w.clients.timedOut(t) })
 	}
 }
--- a/internal/lab/simulation/resets_test.go
+++ b/internal/lab/simulation/resets_test.go
@@ -18,8 +18,8 @@
 			{Kind: "drain", Share: 0.2, At: spec.Span(2 * time.Second), For: spec.Span(time.Second), Pick: 7}}}
 		r := Play(d)
 		must.SliceEmpty(t, r.Broken)
-		must.Greater(t, 5, r.Taken)
-		must.Greater(t, r.Counts.Asked/2, r.Counts.Served)
+		must.Greater(t, 5, r.AcceptedConfigs)
+		must.Greater(t, r.Counts.Requested/2, r.Counts.Served)
 		must.Less(t, time.Second, r.Recovered[0])
 	}
 }
@@ -32,20 +32,20 @@
 	}
 	w.operator.open(func() {})
 	w.until(w.now+5*time.Second, nil)
-	old := map[*wing]*conn{}
+	old := map[*peerLink]*conn{}
 	for _, m := range w.machines[1:] {
-		for _, v := range []*wing{m.p.links[w.machines[0].inner], w.machines[0].p.links[m.inner]} {
-			must.NotNil(t, v.c)
-			old[v] = v.c
+		for _, v := range []*peerLink{m.process.links[w.machines[0].peerAddr], w.machines[0].process.links[m.peerAddr]} {
+			must.NotNil(t, v.conn)
+			old[v] = v.conn
 		}
 	}
-	w.machines[0].resets()
+	w.machines[0].resetConnections()
 	for v, c := range old {
-		must.True(t, c.over && c.gone && v.c == nil)
+		must.True(t, c.closed && c.senderLost && v.conn == nil)
 	}
-	w.until(w.now+redialIn+50*time.Millisecond, nil)
+	w.until(w.now+minRedialDelay+50*time.Millisecond, nil)
 	for v, c := range old {
-		must.True(t, v.c != nil && v.c != c)
+		must.True(t, v.conn != nil && v.conn != c)
 	}
 }
 
--- a/internal/lab/simulation/rush.go
+++ b/internal/lab/simulation/rush.go
@@ -41,11 +41,11 @@
 // rush is a tenant that sends more than usual.
 type rush struct {
 	tenant, key string
-	by          float64 // as much as all others, times this
+	factor      float64 // as much as all others, times this
 }
 
-// hot is the tenant of a fault that lets one rush.
-func (w *world) hot(f *spec.Fault) *rush {
+// rushOf is the tenant of a fault that lets one rush.
+func (w *world) rushOf(f *spec.Fault) *rush {
 	var all []*rush
 	for _, t := range gatewaystandin.First().Tenants {
 		if t.RatePerS > 0 {
@@ -55,10 +55,10 @@
 	return all[f.Pick%uint64(len(all))]
 }
 
-// rushes makes some requests those of a tenant that rushes.
-func (c *clients) rushes(want gatewaystandin.Want) gatewaystandin.Want {
-	for _, r := range c.hot {
-		if want.Tenant != "" && c.rng.Float64() < r.by/(1+r.by) {
+// applyRushes makes some requests those of a tenant that rushes.
+func (c *clients) applyRushes(want gatewaystandin.Request) gatewaystandin.Request {
+	for _, r := range c.rushes {
+		if want.Tenant != "" && c.rng.Float64() < r.factor/(1+r.factor) {
 			want.Tenant, want.Key = r.tenant, r.key
 		}
 	}
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -90,7 +90,7 @@
 	}
 	w.operator.open(func() {})
 	hears := func(m *machine) (n int) {
-		for _, d := range m.p.h.Status().Nodes {
+		for _, d := range m.process.node.Status().Nodes {
 			if d.Live {
 				n++
 			}
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -8,115 +8,115 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// dialMost is how long a node waits for a connection to a backend, as internal/gateway/node has it.
-const dialMost = 700 * time.Millisecond
+// backendDialTimeout is how long a node waits for a connection to a backend, as internal/gateway/node has it.
+const backendDialTimeout = 700 * time.Millisecond
 
-// ways are a node's ways to backends, as internal/proxy/upstream and the ingress's dialect carry submissions: over connections that
+// backendLinks are a node's ways to backends, as internal/proxy/upstream and the ingress's dialect carry submissions: over connections that
 // are kept, with the backend's id in X-Expect-Backend; what proves that a request never ran, and nothing else, counts as such.
-type ways struct {
-	p    *process
-	at   map[control.BackendID]*place
-	subs map[slots.Ref]*submission
+type backendLinks struct {
+	process     *process
+	endpoints   map[control.BackendID]*endpoint
+	submissions map[slots.Ref]*submission
 }
 
-// place is where a node knows a backend to be.
-type place struct {
+// endpoint is where a node knows a backend to be.
+type endpoint struct {
 	addr  string
 	ready bool
-	idle  []*line
+	idle  []*backendConn
 }
 
-// line is a connection to a process of a backend, whoever that is by now.
-type line struct {
-	b     *backend
-	since time.Duration
+// backendConn is a connection to a process of a backend, whoever that is by now.
+type backendConn struct {
+	backend *backend
+	since   time.Duration
 }
 
 // submission is one try at a backend.
 type submission struct {
-	x       *ways
-	ref     slots.Ref
-	nr      int
-	to      control.BackendID
-	place   *place
-	try     *try
-	name    string // X-Expect-Backend
-	line    *line
-	began   time.Duration
-	until   time.Duration // on the world's clock
-	dialing bool
-	written bool
-	over    bool
-	queued  bool
+	links    *backendLinks
+	ref      slots.Ref
+	attempt  int
+	target   control.BackendID
+	endpoint *endpoint
+	request  *attempt
+	name     string // X-Expect-Backend
+	conn     *backendConn
+	began    time.Duration
+	deadline time.Duration // on the world's clock
+	dialing  bool
+	written  bool
+	done     bool
+	queued   bool
 }
 
-func newWays(p *process) *ways {
-	return &ways{p: p, at: map[control.BackendID]*place{}, subs: map[slots.Ref]*submission{}}
+func newWays(p *process) *backendLinks {
+	return &backendLinks{process: p, endpoints: map[control.BackendID]*endpoint{}, submissions: map[slots.Ref]*submission{}}
 }
 
 // SetBackend says where a backend is.
-func (w *ways) SetBackend(id control.BackendID, addr string, _ time.Duration, ready bool) {
-	b := w.at[id]
-	if b == nil {
+func (b *backendLinks) SetBackend(id control.BackendID, addr string, _ time.Duration, ready bool) {
+	item := b.endpoints[id]
+	if item == nil {
 		if ready {
-			w.at[id] = &place{addr: addr, ready: true}
+			b.endpoints[id] = &endpoint{addr: addr, ready: true}
 		}
 		return
 	}
-	if b.addr != addr || !ready {
-		b.idle = nil
-		for _, s := range w.sorted() {
-			if s.place == b && s.dialing {
+	if item.addr != addr || !ready {
+		item.idle = nil
+		for _, s := range b.sorted() {
+			if s.endpoint == item && s.dialing {
 				s.end(control.NotSent, false)
 			}
 		}
 	}
-	if b.ready = ready; ready {
-		b.addr = addr
+	if item.ready = ready; ready {
+		item.addr = addr
 	} else {
-		delete(w.at, id)
+		delete(b.endpoints, id)
 	}
 }
 
 // SetMaxConns bounds nothing here: no more connections are kept than requests are out.
-func (w *ways) SetMaxConns(control.BackendID, int) {}
+func (b *backendLinks) SetMaxConns(control.BackendID, int) {}
 
-func (w *ways) Probe(control.BackendID) {}
+func (b *backendLinks) Probe(control.BackendID) {}
 
 // sorted are the submissions that are out, in order.
-func (w *ways) sorted() []*submission {
-	all := make([]*submission, 0, len(w.subs))
-	for _, ref := range sortedKeys(w.subs) {
-		all = append(all, w.subs[ref])
+func (b *backendLinks) sorted() []*submission {
+	all := make([]*submission, 0, len(b.submissions))
+	for _, ref := range sortedKeys(b.submissions) {
+		all = append(all, b.submissions[ref])
 	}
 	return all
 }
 
 // lost: the node's process has ended, and its connections with it.
-func (w *ways) lost() {
-	for _, s := range w.sorted() {
-		s.over = true
-		s.leave()
+func (b *backendLinks) lost() {
+	for _, s := range b.sorted() {
+		s.done = true
+		s.disconnect()
 	}
 }
 
 // Submit sends on. However it ends, the gate hears of it once.
-func (w *ways) Submit(ref slots.Ref, nr int, m gate.Message, to control.BackendID, limit, _ time.Duration) {
-	world, b := w.p.w, w.at[to]
-	if b == nil || !b.ready {
-		w.p.g.Ended(ref, nr, to, gate.Outcome{Ending: control.NotSent})
+func (b *backendLinks) Submit(ref slots.Ref, nr int, m gate.Message, to control.BackendID, limit, _ time.Duration) {
+	world, endpoint := b.process.world, b.endpoints[to]
+	if endpoint == nil || !endpoint.ready {
+		b.process.gate.Ended(ref, nr, to, gate.Outcome{Ending: control.NotSent})
 		return
 	}
-	s := &submission{x: w, ref: ref, nr: nr, to: to, place: b, began: world.now, until: world.now + limit, name: w.p.h.BackendName(to)}
-	w.subs[ref] = s
+	s := &submission{links: b, ref: ref, attempt: nr, target: to, endpoint: endpoint, began: world.now, deadline: world.now + limit, name: b.process.node.BackendName(to)}
+	b.submissions[ref] = s
 	if number := m.AppendTo(nil, to, limit); len(number) > 0 && s.name != "" {
-		s.try = w.p.upstreams.tries[numberOf(number)]
+		s.request = b.process.upstreams.attempts[numberOf(number)]
 	}
-	world.at(s.until, func() {
-		if s.over {
+	world.at(s.deadline, func() {
+		if s.done {
 			return
 		}
-		w.p.turn(func() {
+		b.process.turn(func() {
 			if s.written {
 				s.end(control.TimedOut, false)
 			} else {
@@ -124,11 +124,11 @@
 			}
 		})
 	})
-	for len(b.idle) > 0 {
-		l := b.idle[len(b.idle)-1]
-		b.idle = b.idle[:len(b.idle)-1]
-		if !l.b.dead && world.now-l.since < idleMost {
-			s.line = l
+	for len(endpoint.idle) > 0 {
+		l := endpoint.idle[len(endpoint.idle)-1]
+		endpoint.idle = endpoint.idle[:len(endpoint.idle)-1]
+		if !l.backend.dead && world.now-l.since < maxIdle {
+			s.conn = l
 			s.write()
 			return
 		}
@@ -136,36 +136,36 @@
 	s.dial()
 }
 
-const idleMost = 3 * time.Second
+const maxIdle = 3 * time.Second
 
 func (s *submission) dial() {
-	x, w := s.x, s.x.p.w
+	x, w := s.links, s.links.process.world
 	s.dialing = true
-	l, zone := w.timeline.at[s.place.addr], x.p.m.zone
+	l, zone := w.timeline.byAddr[s.endpoint.addr], x.process.machine.zone
 	ended := func() {
-		x.p.turn(func() {
-			if !s.over && s.dialing {
+		x.process.turn(func() {
+			if !s.done && s.dialing {
 				s.end(control.Unreachable, false)
 			}
 		})
 	}
 	if l == nil {
-		w.after(2*w.way(zone, zone), ended)
+		w.after(2*w.delay(zone, zone), ended)
 		return
 	}
-	if w.apart(x.p.m, l.zone) {
-		w.after(dialMost, ended)
+	if w.backendUnreachable(x.process.machine, l.zone) {
+		w.after(backendDialTimeout, ended)
 		return
 	}
-	w.after(w.way(zone, l.zone)+w.way(l.zone, zone), func() {
-		x.p.turn(func() {
+	w.after(w.delay(zone, l.zone)+w.delay(l.zone, zone), func() {
+		x.process.turn(func() {
 			switch {
-			case s.over:
+			case s.done:
 			case l.dead:
 				s.end(control.Unreachable, false)
 			default:
 				s.dialing = false
-				s.line = &line{b: l}
+				s.conn = &backendConn{backend: l}
 				s.write()
 			}
 		})
@@ -174,41 +174,41 @@
 
 // write puts the request on its connection: from now on it may have run.
 func (s *submission) write() {
-	x, w := s.x, s.x.p.w
-	if s.try == nil || s.until <= w.now { // its client has gone
+	x, w := s.links, s.links.process.world
+	if s.request == nil || s.deadline <= w.now { // its client has gone
 		s.end(control.NotSent, false)
 		return
 	}
 	s.written = true
-	b := s.line.b
-	if w.apart(x.p.m, b.zone) {
+	b := s.conn.backend
+	if w.backendUnreachable(x.process.machine, b.zone) {
 		return // nobody answers
 	}
-	w.after(w.way(x.p.m.zone, b.zone), func() { b.take(s) })
+	w.after(w.delay(x.process.machine.zone, b.zone), func() { b.receive(s) })
 }
 
 // answer is a backend's, on its way.
 func (s *submission) answer(e control.Ending, final bool) {
-	x, w := s.x, s.x.p.w
-	if w.apart(x.p.m, s.line.b.zone) {
+	x, w := s.links, s.links.process.world
+	if w.backendUnreachable(x.process.machine, s.conn.backend.zone) {
 		return
 	}
-	w.after(w.way(s.line.b.zone, x.p.m.zone), func() {
-		if !s.over {
-			x.p.turn(func() { s.end(e, final) })
+	w.after(w.delay(s.conn.backend.zone, x.process.machine.zone), func() {
+		if !s.done {
+			x.process.turn(func() { s.end(e, final) })
 		}
 	})
 }
 
 // misdirected: another backend answered at the address.
 func (s *submission) misdirected() {
-	x, w := s.x, s.x.p.w
-	w.after(w.way(s.line.b.zone, x.p.m.zone), func() {
-		if !s.over {
-			x.p.turn(func() {
-				if !s.over {
-					x.p.h.BackendReplaced(s.to)
-					s.line = nil
+	x, w := s.links, s.links.process.world
+	w.after(w.delay(s.conn.backend.zone, x.process.machine.zone), func() {
+		if !s.done {
+			x.process.turn(func() {
+				if !s.done {
+					x.process.node.BackendReplaced(s.target)
+					s.conn = nil
 					s.end(control.Rejected, false)
 				}
 			})
@@ -216,18 +216,18 @@
 	})
 }
 
-// leave tells the backend that the connection has ended: what it has not begun it drops.
-func (s *submission) leave() {
-	if s.line == nil || !s.written {
+// disconnect tells the backend that the connection has ended: what it has not begun it drops.
+func (s *submission) disconnect() {
+	if s.conn == nil || !s.written {
 		return
 	}
-	b := s.line.b
-	s.x.p.w.after(s.x.p.w.way(s.x.p.m.zone, b.zone), func() { b.drop(s) })
+	b := s.conn.backend
+	s.links.process.world.after(s.links.process.world.delay(s.links.process.machine.zone, b.zone), func() { b.drop(s) })
 }
 
 // Recall calls a submission off.
-func (w *ways) Recall(ref slots.Ref, nr int) {
-	if s := w.subs[ref]; s != nil && s.nr == nr {
+func (b *backendLinks) Recall(ref slots.Ref, nr int) {
+	if s := b.submissions[ref]; s != nil && s.attempt == nr {
 		if s.written {
 			s.end(control.Canceled, false)
 		} else {
@@ -238,25 +238,25 @@
 
 // end tells the one outcome, in a turn.
 func (s *submission) end(e control.Ending, final bool) {
-	x := s.x
-	if s.over {
+	x := s.links
+	if s.done {
 		return
 	}
-	e = x.p.w.denies(s, e)
-	s.over = true
-	delete(x.subs, s.ref)
+	e = x.process.world.plantedEnding(s, e)
+	s.done = true
+	delete(x.submissions, s.ref)
 	switch {
-	case e == control.Succeeded || e == control.Errored || e == control.Rejected && s.line != nil:
-		if l := s.line; l != nil && !l.b.dead && s.place.ready {
-			l.since = x.p.w.now
-			s.place.idle = append(s.place.idle, l)
+	case e == control.Succeeded || e == control.Errored || e == control.Rejected && s.conn != nil:
+		if l := s.conn; l != nil && !l.backend.dead && s.endpoint.ready {
+			l.since = x.process.world.now
+			s.endpoint.idle = append(s.endpoint.idle, l)
 		}
 	default:
-		s.leave()
+		s.disconnect()
 	}
-	o := gate.Outcome{Ending: e, Final: final, Took: x.p.w.now - s.began}
-	if s.try != nil {
-		o.Body = []byte(s.try.id)
+	o := gate.Outcome{Ending: e, Final: final, Took: x.process.world.now - s.began}
+	if s.request != nil {
+		o.Body = []byte(s.request.id)
 	}
-	x.p.g.Ended(s.ref, s.nr, s.to, o)
+	x.process.gate.Ended(s.ref, s.attempt, s.target, o)
 }
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -29,7 +29,7 @@
 
 // Ports of all nodes are alike.
 const (
-	innerPort   = 7110
+	peerPort    = 7110
 	controlPort = 7102
 )
 
@@ -86,64 +86,64 @@
 	Hard    bool // disks wait their turn to be lost, and the operator sends again what was taken long ago: see DrawHard
 	Log     io.Writer
 
-	owners bool // what is handed over is looked at again: see owned.go
+	checkOwnership bool // what is handed over is looked at again: see owned.go
 }
 
 // world is a day under way.
 type world struct {
-	day          *Day
-	now          time.Duration
-	dues         timerqueue.Queue[func()]
-	events       uint64
-	history      []history.Event
-	machines     []*machine
-	byInner      map[string]*machine
-	byCall       map[string]*machine
-	zones        []string
-	net          *rand.Rand // what travels
-	disks        *rand.Rand
-	backs        *rand.Rand
-	cuts         []*cut
-	losses       spec.Held // of datagrams, and of frames that go again
-	timeline     *timeline
-	clients      *clients
-	operator     *operator
-	waits        map[spec.Moment][]func()
-	drainer      *machine // who last acknowledged a drain
-	faults       int      // under way
-	over         bool
-	sum          uint64 // of what travelled
-	counted      time.Duration
-	parted       Parted
-	ends         []Ended
-	planted      plant
-	owners       bool
-	chasing      bool     // an order of a parted node's is under way
-	copies       int      // faults under way that let frames come twice
-	replaced     int      // machines
-	caller       *machine // who last passed on a call, and to whom
-	callee       *machine
-	broken       []history.Broken // seen while the day went on
-	metered      bool             // work and frames are counted, and no history is kept
-	enough       func() string    // why a metered day is to end at once; nil: never
-	doing        string           // what the turn under way is for, where it is metered
-	applications *applications    // nil: none call
+	day            *Day
+	now            time.Duration
+	timers         timerqueue.Queue[func()]
+	events         uint64
+	history        []history.Event
+	machines       []*machine
+	byPeerAddr     map[string]*machine
+	byControlAddr  map[string]*machine
+	zones          []string
+	netRand        *rand.Rand // what travels
+	diskRand       *rand.Rand
+	backendRand    *rand.Rand
+	partitions     []*partition
+	losses         spec.Factors // of datagrams, and of frames that go again
+	timeline       *timeline
+	clients        *clients
+	operator       *operator
+	momentWaiters  map[spec.Moment][]func()
+	drainer        *machine // who last acknowledged a drain
+	faults         int      // under way
+	finished       bool
+	trafficHash    uint64 // of what travelled
+	countedTime    time.Duration
+	partitionTimes PartitionTimes
+	drainResults   []DrainResult
+	planted        plantedFault
+	checkOwnership bool
+	orderPending   bool     // an order of a parted node's is under way
+	copies         int      // faults under way that let frames come twice
+	replaced       int      // machines
+	caller         *machine // who last passed on a call, and to whom
+	callee         *machine
+	broken         []history.Violation // seen while the day went on
+	metered        bool                // work and frames are counted, and no history is kept
+	enough         func() string       // why a metered day is to end at once; nil: never
+	turnKind       string              // what the turn under way is for, where it is metered
+	applications   *applications       // nil: none call
 }
 
 // happens calls those who wait for a moment.
 func (w *world) happens(m spec.Moment) {
-	all := w.waits[m]
+	all := w.momentWaiters[m]
 	if len(all) == 0 {
 		return
 	}
-	delete(w.waits, m)
+	delete(w.momentWaiters, m)
 	for _, do := range all {
 		w.after(0, do)
 	}
 }
 
-// next calls at the next such moment, or after a while.
-func (w *world) next(m spec.Moment, most time.Duration, do func()) {
+// atNextMoment calls at the next such moment, or after a while.
+func (w *world) atNextMoment(m spec.Moment, most time.Duration, do func()) {
 	done := false
 	once := func() {
 		if !done {
@@ -151,36 +151,36 @@
 			do()
 		}
 	}
-	w.waits[m] = append(w.waits[m], once)
+	w.momentWaiters[m] = append(w.momentWaiters[m], once)
 	w.after(most, once)
 }
 
 func source(seed, use uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, use)) }
 
 func newWorld(d *Day) *world {
-	w := &world{day: d, owners: d.owners, now: origin, byInner: map[string]*machine{}, byCall: map[string]*machine{},
-		waits: map[spec.Moment][]func(){}, counted: 1 << 62, net: source(d.Seed, 0x6e6574), disks: source(d.Seed, 0xd15c), backs: source(d.Seed, 0xbac)}
+	w := &world{day: d, checkOwnership: d.checkOwnership, now: origin, byPeerAddr: map[string]*machine{}, byControlAddr: map[string]*machine{},
+		momentWaiters: map[spec.Moment][]func(){}, countedTime: 1 << 62, netRand: source(d.Seed, 0x6e6574), diskRand: source(d.Seed, 0xd15c), backendRand: source(d.Seed, 0xbac)}
 	for i := range d.Zones {
 		w.zones = append(w.zones, fmt.Sprintf("zone-%d", i))
 	}
 	var seeds []string
 	for i := range d.Nodes {
-		m := &machine{w: w, nr: i, name: fmt.Sprintf("node-%d", i), ip: fmt.Sprintf("10.%d.%d.%d", i%d.Zones, i/200, i%200+1),
+		m := &machine{world: w, index: i, name: fmt.Sprintf("node-%d", i), addr: fmt.Sprintf("10.%d.%d.%d", i%d.Zones, i/200, i%200+1),
 			zone: w.zones[i%d.Zones]}
-		m.inner, m.control = net.JoinHostPort(m.ip, strconv.Itoa(innerPort)), net.JoinHostPort(m.ip, strconv.Itoa(controlPort))
+		m.peerAddr, m.controlAddr = net.JoinHostPort(m.addr, strconv.Itoa(peerPort)), net.JoinHostPort(m.addr, strconv.Itoa(controlPort))
 		w.machines = append(w.machines, m)
-		w.byInner[m.inner], w.byCall[m.control] = m, m
+		w.byPeerAddr[m.peerAddr], w.byControlAddr[m.controlAddr] = m, m
 		if i < d.Disks {
 			m.disk = newSimulatedDisk(w)
 			if len(seeds) < 3 {
-				seeds = append(seeds, m.control)
+				seeds = append(seeds, m.controlAddr)
 			}
 		}
 	}
 	for _, m := range w.machines {
-		m.settings = &settings.Settings{NodeName: m.name, Role: "node", Serves: []string{"edge", "control"}, IPAddress: m.ip, Zone: m.zone,
-			InnerPorts: [2]int{innerPort, innerPort + 15}, SeedAddrs: seeds, FirstBoot: true, CountsAsLoss: m.disk != nil,
-			Bind:              settings.Bind{Front: "front", Readiness: "ready", Control: m.control},
+		m.settings = &settings.Settings{NodeName: m.name, Role: "node", Serves: []string{"edge", "control"}, IPAddress: m.addr, Zone: m.zone,
+			InnerPorts: [2]int{peerPort, peerPort + 15}, SeedAddrs: seeds, FirstBoot: true, CountsAsLoss: m.disk != nil,
+			Bind:              settings.Bind{Front: "front", Readiness: "ready", Control: m.controlAddr},
 			HeartbeatInterval: d.Beat, Tolerance: settings.Tolerance{Machines: d.Tolerates()}, Bounds: gatewaystandin.Bounds()}
 		if m.disk != nil {
 			m.settings.DataDir = "disk"
@@ -196,37 +196,37 @@
 }
 
 // at hangs something on the clock; what is past is due now.
-func (w *world) at(t time.Duration, do func())    { w.dues.Add(max(t, w.now), do) }
+func (w *world) at(t time.Duration, do func())    { w.timers.Add(max(t, w.now), do) }
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
 // every calls until it is told not to, or the day is over.
 func (w *world) every(d time.Duration, do func() bool) {
 	w.after(d, func() {
-		if !w.over && do() {
+		if !w.finished && do() {
 			w.every(d, do)
 		}
 	})
 }
 
-// eventsMost bounds a day: one that has come so far goes round and round.
-const eventsMost = 1 << 28
+// maxEvents bounds a day: one that has come so far goes round and round.
+const maxEvents = 1 << 28
 
 // until plays up to a time, or until something is so.
 func (w *world) until(t time.Duration, is func() bool) bool {
 	for {
-		at, ok := w.dues.Next()
+		at, ok := w.timers.Next()
 		if !ok || at > t {
 			w.now = t
 			return is != nil && is()
 		}
-		do, _ := w.dues.Take(at)
+		do, _ := w.timers.Take(at)
 		w.now = at
-		if w.events++; w.events > eventsMost {
+		if w.events++; w.events > maxEvents {
 			panic("the day does not end")
 		}
-		if w.enough != nil && w.events%enoughEach == 0 {
+		if w.enough != nil && w.events%stopCheckInterval == 0 {
 			if why := w.enough(); why != "" {
-				panic(ended(why))
+				panic(endReason(why))
 			}
 		}
 		do()
@@ -236,12 +236,12 @@
 	}
 }
 
-// note adds to the history.
-func (w *world) note(e history.Event) {
+// record adds to the history.
+func (w *world) record(e history.Event) {
 	if w.metered {
 		return
 	}
-	e.T = w.now
+	e.Time = w.now
 	w.history = append(w.history, e)
 }
 
@@ -250,19 +250,19 @@
 	return from + time.Duration(r.Float64()*float64(to-from))
 }
 
-// way is how long something travels between two zones, one way.
-func (w *world) way(from, to string) time.Duration {
+// delay is how long something travels between two zones, one way.
+func (w *world) delay(from, to string) time.Duration {
 	if from == to {
-		return span(w.net, 200*time.Microsecond, 600*time.Microsecond)
+		return span(w.netRand, 200*time.Microsecond, 600*time.Microsecond)
 	}
 	if n := w.day.Regions; n > 1 && w.region(from) != w.region(to) {
-		return span(w.net, acrossLeast, acrossMost)
+		return span(w.netRand, minRegionDelay, maxRegionDelay)
 	}
-	return span(w.net, 800*time.Microsecond, 3*time.Millisecond)
+	return span(w.netRand, 800*time.Microsecond, 3*time.Millisecond)
 }
 
 // One way between two regions.
-const acrossLeast, acrossMost = 50 * time.Millisecond, 60 * time.Millisecond
+const minRegionDelay, maxRegionDelay = 50 * time.Millisecond, 60 * time.Millisecond
 
 // region is where a zone lies.
 func (w *world) region(zone string) int { return slices.Index(w.zones, zone) % max(w.day.Regions, 1) }
@@ -273,22 +273,22 @@
 	for _, e := range w.history {
 		fmt.Fprintln(f, e)
 	}
-	fmt.Fprintln(f, w.sum, w.events)
+	fmt.Fprintln(f, w.trafficHash, w.events)
 	return fmt.Sprintf("%016x", f.Sum64())
 }
 
-// lines are a node's, by the day's clock.
-type lines struct {
-	w    *world
-	name string
+// nodeLog are a node's, by the day's clock.
+type nodeLog struct {
+	world *world
+	name  string
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (n *nodeLog) Write(b []byte) (int, error) {
 	text := b
 	if i := bytes.Index(b, []byte(`"part":`)); i >= 0 { // what comes before is the wall clock's
 		text = b[i:]
 	}
-	l.w.say("%-8s %s", l.name, bytes.TrimRight(text, "}\n"))
+	n.world.logf("%-8s %s", n.name, bytes.TrimRight(text, "}\n"))
 	return len(b), nil
 }
 
@@ -296,11 +296,11 @@
 	if w.day.Log == nil {
 		return &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}}
 	}
-	return &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: &lines{w, name}}}
+	return &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: &nodeLog{w, name}}}
 }
 
-// say writes a line of the world's own.
-func (w *world) say(format string, args ...any) {
+// logf writes a line of the world's own.
+func (w *world) logf(format string, args ...any) {
 	if w.day.Log != nil {
 		fmt.Fprintf(w.day.Log, "%9.4fs "+format+"\n", append([]any{(w.now - origin).Seconds()}, args...)...)
 	}
--- a/internal/lab/spec/actions.go
+++ b/internal/lab/spec/actions.go
@@ -37,16 +37,16 @@
 	return own
 }
 
-// Held is a list of values that faults under way stand for, such as shares that are lost.
-type Held []float64
+// Factors is a list of values that faults under way stand for, such as shares that are lost.
+type Factors []float64
 
-// Hold adds a value, and gives what takes it out again.
-func (h *Held) Hold(x float64) (end func()) {
-	*h = append(*h, x)
+// Add adds a value, and gives what takes it out again.
+func (f *Factors) Add(x float64) (end func()) {
+	*f = append(*f, x)
 	return func() {
-		for i, v := range *h {
+		for i, v := range *f {
 			if v == x {
-				*h = append((*h)[:i:i], (*h)[i+1:]...)
+				*f = append((*f)[:i:i], (*f)[i+1:]...)
 				return
 			}
 		}
@@ -54,9 +54,9 @@
 }
 
 // Product is all of the values multiplied.
-func (h Held) Product() float64 {
+func (f Factors) Product() float64 {
 	product := 1.0
-	for _, x := range h {
+	for _, x := range f {
 		product *= x
 	}
 	return product
--- a/internal/lab/spec/kinds.go
+++ b/internal/lab/spec/kinds.go
@@ -83,14 +83,14 @@
 	StallAtPoint // processes stand still at a named point of their code
 	ExitAtPoint  // or end there
 
-	CutNodes    // some nodes do not hear the others, or are not heard, or both
-	PartLeader  // a node with a disk is parted from the others with one, and its callers look on
-	CutZone     // no word gets in or out of a zone
-	LoseZone    // a zone's backends, and maybe its nodes, end
-	LoseFrames  // a share of what travels is lost
-	RepeatCalls // calls and replies between nodes come again, late
+	PartitionNodes  // some nodes do not hear the others, or are not heard, or both
+	PartitionLeader // a node with a disk is parted from the others with one, and its callers look on
+	PartitionZone   // no word gets in or out of a zone
+	LoseZone        // a zone's backends, and maybe its nodes, end
+	LoseFrames      // a share of what travels is lost
+	RepeatCalls     // calls and replies between nodes come again, late
 
-	CutPeers // of datagrams between front doors
+	PartitionPeers // of datagrams between front doors
 	LosePeers
 	DelayPeers
 	RepeatPeers
@@ -115,7 +115,7 @@
 	RaiseLoad
 	RushTenant // one tenant sends many times its usual
 
-	CutLinks // between a front door and what it calls
+	PartitionLinks // between a front door and what it calls
 	DelayLinks
 	LimitLinks
 
@@ -161,14 +161,14 @@
 	{name: "drain", needs: NeedsShare, worlds: anywhere | gateways, effect: DrainBackends},
 	{name: "exit-at", needs: NeedsShare | NeedsPoint, worlds: FrontDoors, target: SomeNodes, effect: ExitAtPoint},
 	{name: "failing", needs: NeedsShare | NeedsBy, worlds: anywhere | Simulation, effect: FailBackends},
-	{name: "zone-cut", needs: NeedsZone, worlds: anywhere | Simulation, effect: CutZone},
+	{name: "zone-cut", needs: NeedsZone, worlds: anywhere | Simulation, effect: PartitionZone},
 	{name: "zone-loss", needs: NeedsZone, worlds: anywhere, effect: LoseZone},
 	{name: "late-lists", worlds: anywhere, effect: DelayLists},
-	{name: "link-cut", needs: NeedsShare | NeedsLink, worlds: FrontDoors, target: SomeNodes, effect: CutLinks},
+	{name: "link-cut", needs: NeedsShare | NeedsLink, worlds: FrontDoors, target: SomeNodes, effect: PartitionLinks},
 	{name: "link-delay", needs: NeedsShare | NeedsLink | NeedsDelay, worlds: FrontDoors, target: SomeNodes, effect: DelayLinks},
 	{name: "link-rate", needs: NeedsShare | NeedsLink | NeedsBy, worlds: FrontDoors, target: SomeNodes, effect: LimitLinks},
 	{name: "lost-answers", needs: NeedsShare, worlds: anywhere | gateways, effect: LoseAnswers},
-	{name: "peer-cut", needs: NeedsShape, worlds: anywhere, effect: CutPeers},
+	{name: "peer-cut", needs: NeedsShape, worlds: anywhere, effect: PartitionPeers},
 	{name: "peer-delay", needs: NeedsDelay, worlds: anywhere, effect: DelayPeers},
 	{name: "peer-double", needs: NeedsShare, worlds: anywhere, effect: RepeatPeers},
 	{name: "peer-loss", needs: NeedsShare, worlds: anywhere, effect: LosePeers},
@@ -182,7 +182,7 @@
 	{name: "stall-at", needs: NeedsShare | NeedsPoint, worlds: FrontDoors, target: SomeNodes, effect: StallAtPoint},
 
 	// Of the gateway alone.
-	{name: "ack-cut", worlds: gateways, moment: Acknowledged, target: SomeDisks, effect: CutNodes},
+	{name: "ack-cut", worlds: gateways, moment: Acknowledged, target: SomeDisks, effect: PartitionNodes},
 	{name: "ack-kill", worlds: gateways, moment: Acknowledged, target: SomeDisks, effect: KillNodes},
 	{name: "ack-power", worlds: gateways, moment: Acknowledged, target: SomeDisks, effect: PowerOffNodes},
 	{name: "ack-replace", worlds: Simulation, moment: Acknowledged, target: SomeDisks, effect: ReplaceNodes},
@@ -191,9 +191,9 @@
 	{name: "call-kill", worlds: Simulation, moment: PassesOn, target: CallerNode, effect: RestartCaller},
 	{name: "call-power", worlds: Simulation, moment: PassesOn, target: CallerNode, effect: RestartCaller},
 	{name: "copies", worlds: Simulation, effect: RepeatCalls},
-	{name: "core-cut", worlds: gateways, target: SomeDisks, effect: CutNodes},
+	{name: "core-cut", worlds: gateways, target: SomeDisks, effect: PartitionNodes},
 	{name: "core-kill", worlds: gateways, target: SomeDisks, effect: KillNodes},
-	{name: "core-part", worlds: Simulation, target: SomeDisks, effect: PartLeader},
+	{name: "core-part", worlds: Simulation, target: SomeDisks, effect: PartitionLeader},
 	{name: "core-power", worlds: gateways, target: SomeDisks, effect: PowerOffNodes},
 	{name: "core-replace", worlds: Simulation, target: SomeDisks, effect: ReplaceNodes},
 	{name: "core-reset", worlds: Simulation, target: SomeDisks, effect: ResetNodes},
@@ -203,10 +203,10 @@
 	{name: "disk-hang", worlds: Simulation, target: SomeDisks, effect: HangDisks},
 	{name: "disk-slow", worlds: Simulation, target: SomeDisks, effect: SlowDisks},
 	{name: "disk-wipe", worlds: gateways, target: SomeDisks, effect: WipeNodes},
-	{name: "node-cut", worlds: gateways, target: SomeNodes, effect: CutNodes},
+	{name: "node-cut", worlds: gateways, target: SomeNodes, effect: PartitionNodes},
 	{name: "node-power", needs: NeedsShare, worlds: gateways, target: SomeNodes, effect: PowerOffNodes},
 	{name: "node-reset", worlds: Simulation, target: SomeNodes, effect: ResetNodes},
-	{name: "drain-cut", worlds: Simulation, moment: Drained, target: DrainerNode, effect: CutNodes},
+	{name: "drain-cut", worlds: Simulation, moment: Drained, target: DrainerNode, effect: PartitionNodes},
 	{name: "drain-kill", worlds: Simulation, moment: Drained, target: DrainerNode, effect: KillOrPowerOff},
 	{name: "garble", worlds: Gateways, effect: GarbleAnswers},
 	{name: "all-kill", worlds: gateways, target: AllNodes, effect: KillNodes},
@@ -214,7 +214,7 @@
 	{name: "lead-kill", worlds: Gateways, target: LeaderNode, effect: KillNodes},
 	{name: "lead-stall", worlds: Gateways, target: LeaderNode, effect: StallNodes},
 	{name: "lead-term", worlds: Gateways, target: LeaderNode, effect: TerminateNodes},
-	{name: "long-cut", worlds: Simulation, target: SomeDisks, effect: CutNodes},
+	{name: "long-cut", worlds: Simulation, target: SomeDisks, effect: PartitionNodes},
 	{name: "loss", worlds: Simulation, effect: LoseFrames},
 	{name: "sync-kill", worlds: Simulation, moment: Writes, target: SomeDisks, effect: KillNodes},
 	{name: "sync-power", worlds: Simulation, moment: Writes, target: SomeDisks, effect: PowerOffNodes},
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -219,7 +219,7 @@
 		return nil, tomlfile.Where(file, err)
 	}
 	if key, what := s.wrong(); what != "" {
-		return nil, &tomlfile.Error{File: file, Place: line(text, key), What: key + ": " + what}
+		return nil, &tomlfile.Error{File: file, Position: line(text, key), What: key + ": " + what}
 	}
 	return &s, nil
 }
--- a/internal/lab/standin/backend.go
+++ b/internal/lab/standin/backend.go
@@ -42,19 +42,19 @@
 	Bytes      int           // of its answer at the least, which come in pieces while it works; nought: at the end
 }
 
-// Wire is how a backend speaks with those before it.
-type Wire interface {
+// Protocol is how a backend speaks with those before it.
+type Protocol interface {
 	// Read takes a request; one without an id in what it gives was answered, as there is nothing to run.
 	Read(b *Backend, w http.ResponseWriter, r *http.Request) Task
-	Held(w http.ResponseWriter, n int64)             // how many it has is told with each answer
-	TurnAway(w http.ResponseWriter, t Task)          // it has not run it and never will
-	Heads(b *Backend, w http.ResponseWriter, t Task) // before an answer's body
+	SetLoadHeader(w http.ResponseWriter, n int64)         // how many it has is told with each answer
+	Reject(w http.ResponseWriter, t Task)                 // it has not run it and never will
+	SetHeaders(b *Backend, w http.ResponseWriter, t Task) // before an answer's body
 }
 
-// old is the wire of the front doors.
-type old struct{}
+// frontDoorProtocol is the wire of the front doors.
+type frontDoorProtocol struct{}
 
-func (old) Read(_ *Backend, w http.ResponseWriter, r *http.Request) Task {
+func (frontDoorProtocol) Read(_ *Backend, w http.ResponseWriter, r *http.Request) Task {
 	t := Task{ID: r.Header.Get("Req-Id"), Kind: r.Header.Get("Req-Kind")}
 	if t.ID == "" {
 		http.Error(w, "no id", http.StatusNotFound)
@@ -62,16 +62,16 @@
 	return t
 }
 
-func (old) Held(w http.ResponseWriter, n int64) {
+func (frontDoorProtocol) SetLoadHeader(w http.ResponseWriter, n int64) {
 	w.Header().Set("Srv-Load", fmt.Sprintf("concurrent=%d", n))
 }
 
-func (old) TurnAway(w http.ResponseWriter, _ Task) {
+func (frontDoorProtocol) Reject(w http.ResponseWriter, _ Task) {
 	w.Header().Set("Srv-Declined", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (old) Heads(*Backend, http.ResponseWriter, Task) {}
+func (frontDoorProtocol) SetHeaders(*Backend, http.ResponseWriter, Task) {}
 
 // Spoils is an event of a backend whose answer breaks off, or is none.
 const Spoils history.Kind = "spoil"
@@ -85,14 +85,14 @@
 	Pod      int
 	Addr     string
 
-	wire  Wire
-	work  func(kind string) time.Duration
-	mode  atomic.Pointer[Mode]
-	slots chan struct{}
-	held  atomic.Int64
-	most  int64
-	l     net.Listener
-	srv   *http.Server
+	protocol    Protocol
+	work        func(kind string) time.Duration
+	mode        atomic.Pointer[Mode]
+	slots       chan struct{}
+	inFlight    atomic.Int64
+	maxInFlight int64
+	listener    net.Listener
+	srv         *http.Server
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
@@ -101,33 +101,33 @@
 	Once  map[string]bool
 	Ran   atomic.Int64
 
-	Boot    time.Time     // its start; zero: long ago
-	started time.Duration // by the history's clock; nought: long ago
-	log     *history.Log
-	marks   *traces
-	nr      atomic.Int64 // of submissions
-	layers  layers[Mode]
+	Boot        time.Time     // its start; zero: long ago
+	started     time.Duration // by the history's clock; nought: long ago
+	log         *history.Log
+	traces      *traces
+	submissions atomic.Int64 // of submissions
+	layers      layers[Mode]
 }
 
 // NewBackend listens on loopback. Work gives how long a request of a kind takes.
 func NewBackend(id, zone string, pod, slots, queue int, seed uint64, work func(string) time.Duration) (*Backend, error) {
-	return newBackend(old{}, nil, id, zone, pod, slots, queue, seed, work)
+	return newBackend(frontDoorProtocol{}, nil, id, zone, pod, slots, queue, seed, work)
 }
 
 // NewSpeaking makes one that speaks by a wire, and notes what comes in a history.
-func NewSpeaking(wire Wire, log *history.Log, id, zone string, slots, queue int, seed uint64,
+func NewSpeaking(wire Protocol, log *history.Log, id, zone string, slots, queue int, seed uint64,
 	work func(string) time.Duration) (*Backend, error) {
 	return newBackend(wire, log, id, zone, 0, slots, queue, seed, work)
 }
 
-func newBackend(wire Wire, log *history.Log, id, zone string, pod, slots, queue int, seed uint64,
+func newBackend(wire Protocol, log *history.Log, id, zone string, pod, slots, queue int, seed uint64,
 	work func(string) time.Duration) (*Backend, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Backend{wire: wire, log: log, ID: id, Zone: zone, Pod: pod, Addr: l.Addr().String(), work: work, slots: make(chan struct{}, slots), most: int64(slots + queue),
-		l: l, rng: rand.New(rand.NewPCG(seed, 7)), ran: map[string]int{}, conns: map[net.Conn]bool{}}
+	b := &Backend{protocol: wire, log: log, ID: id, Zone: zone, Pod: pod, Addr: l.Addr().String(), work: work, slots: make(chan struct{}, slots), maxInFlight: int64(slots + queue),
+		listener: l, rng: rand.New(rand.NewPCG(seed, 7)), ran: map[string]int{}, conns: map[net.Conn]bool{}}
 	b.mode.Store(&Mode{})
 	b.srv = &http.Server{Handler: b, ConnState: func(c net.Conn, s http.ConnState) {
 		b.mu.Lock()
@@ -178,8 +178,8 @@
 }
 
 // Place is where it stands, for checkers.
-func (b *Backend) Place() history.Place {
-	return history.Place{Zone: b.Zone, Pod: b.Pod, Start: b.started}
+func (b *Backend) Place() history.Location {
+	return history.Location{Zone: b.Zone, Pod: b.Pod, Start: b.started}
 }
 
 // Close ends it.
@@ -227,49 +227,49 @@
 // request is one under way at a backend.
 type request struct {
 	*Backend
-	w     http.ResponseWriter
-	r     *http.Request
-	task  Task
-	mode  *Mode
-	came  history.Event
-	trace *trace           // of its connection; nil where none is kept
-	late  <-chan time.Time // nobody waits any more
+	response http.ResponseWriter
+	request  *http.Request
+	task     Task
+	mode     *Mode
+	came     history.Event
+	trace    *trace           // of its connection; nil where none is kept
+	late     <-chan time.Time // nobody waits any more
 }
 
 // ServeHTTP does a request's work.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x := &request{Backend: b, w: w, r: r, mode: b.mode.Load()}
+	x := &request{Backend: b, response: w, request: r, mode: b.mode.Load()}
 	io.Copy(io.Discard, r.Body)
-	if x.task = b.wire.Read(b, w, r); x.task.ID == "" {
+	if x.task = b.protocol.Read(b, w, r); x.task.ID == "" {
 		return
 	}
 	if x.task.Does != nil {
 		x.mode = x.task.Does
 	}
-	x.came = history.Event{T: history.Now(), Who: b.ID, N: float64(b.nr.Add(1)), Txn: x.task.ID, Key: x.task.Tenant, At: x.task.At}
-	if x.trace = b.marks.of(r.RemoteAddr, b.Addr); x.trace != nil {
-		x.came.Own = time.Duration(x.trace.sent.Load())
+	x.came = history.Event{Time: history.Now(), Who: b.ID, Number: float64(b.submissions.Add(1)), Txn: x.task.ID, Key: x.task.Tenant, Target: x.task.At}
+	if x.trace = b.traces.of(r.RemoteAddr, b.Addr); x.trace != nil {
+		x.came.OwnTime = time.Duration(x.trace.sent.Load())
 	}
 	if b.Chance(x.mode.ResetIn) {
 		x.resets()
 		return
 	}
-	held := b.held.Add(1)
-	defer b.held.Add(-1)
-	b.wire.Held(w, held)
-	if held > b.most || b.Chance(x.mode.Full) {
-		x.note(history.Turned)
-		b.wire.TurnAway(w, x.task)
+	held := b.inFlight.Add(1)
+	defer b.inFlight.Add(-1)
+	b.protocol.SetLoadHeader(w, held)
+	if held > b.maxInFlight || b.Chance(x.mode.Full) {
+		x.record(history.Rejected)
+		b.protocol.Reject(w, x.task)
 		return
 	}
-	x.note(history.Arrived)
+	x.record(history.Arrived)
 	defer x.over()
 	if x.task.Within > 0 {
 		timer := time.NewTimer(x.task.Within)
 		defer timer.Stop()
 		x.late = timer.C
 	}
-	if !x.waits() {
+	if !x.acquireSlot() {
 		return
 	}
 	defer func() { <-b.slots }()
@@ -283,18 +283,18 @@
 	}
 }
 
-// note writes that the request has come, or what became of it at once.
-func (r *request) note(kind history.Kind) {
+// record writes that the request has come, or what became of it at once.
+func (r *request) record(kind history.Kind) {
 	r.came.Kind = kind
 	r.log.Add(r.came)
 }
 
 // resets ends the connection of a request that has begun, and nobody will know.
 func (r *request) resets() {
-	r.note(history.Arrived)
+	r.record(history.Arrived)
 	r.began(r.task)
-	r.note(history.Over)
-	if c, ok := hijack(r.w); ok {
+	r.record(history.Finished)
+	if c, ok := hijack(r.response); ok {
 		reset(c)
 	}
 }
@@ -302,24 +302,24 @@
 // over writes that it is out no longer: its answer is written, or the front door has closed its side.
 func (r *request) over() {
 	e := r.came
-	e.T, e.Own, e.Kind = history.Now(), 0, history.Over
+	e.Time, e.OwnTime, e.Kind = history.Now(), 0, history.Finished
 	if r.trace != nil && r.trace.closed.Load() > 0 {
-		e.T = min(e.T, time.Duration(r.trace.closed.Load()))
+		e.Time = min(e.Time, time.Duration(r.trace.closed.Load()))
 	}
 	r.log.Add(e)
 }
 
-// waits lets it wait for a slot; without one in time it is turned away.
-func (r *request) waits() bool {
+// acquireSlot lets it wait for a slot; without one in time it is turned away.
+func (r *request) acquireSlot() bool {
 	select {
 	case r.slots <- struct{}{}:
 		return true
 	case <-r.late:
 		e := r.came
-		e.T, e.Kind = history.Now(), history.Turned
+		e.Time, e.Kind = history.Now(), history.Rejected
 		r.log.Add(e)
-		r.wire.TurnAway(r.w, r.task)
-	case <-r.r.Context().Done():
+		r.protocol.Reject(r.response, r.task)
+	case <-r.request.Context().Done():
 	}
 	return false
 }
@@ -341,8 +341,8 @@
 	case <-time.After(wait + r.mode.Delay):
 		return rest, true
 	case <-r.late:
-		r.w.WriteHeader(http.StatusGatewayTimeout)
-	case <-r.r.Context().Done(): // given up: the work stops
+		r.response.WriteHeader(http.StatusGatewayTimeout)
+	case <-r.request.Context().Done(): // given up: the work stops
 	}
 	return 0, false
 }
@@ -353,24 +353,24 @@
 	if r.task.Bytes > 0 {
 		body = Long(body, r.task.Bytes)
 	}
-	r.wire.Heads(r.Backend, r.w, r.task)
+	r.protocol.SetHeaders(r.Backend, r.response, r.task)
 	switch {
 	case r.Chance(r.mode.Fail):
-		r.log.Add(history.Event{Who: r.ID, Kind: Fails, Txn: r.task.ID, N: http.StatusInternalServerError})
-		r.w.WriteHeader(http.StatusInternalServerError)
+		r.log.Add(history.Event{Who: r.ID, Kind: Fails, Txn: r.task.ID, Number: http.StatusInternalServerError})
+		r.response.WriteHeader(http.StatusInternalServerError)
 	case r.Chance(r.mode.Half), r.Chance(r.mode.Stall), r.Chance(r.mode.Spoilt):
 		r.log.Add(history.Event{Who: r.ID, Kind: Spoils, Txn: r.task.ID})
-		r.spoil(r.w, r.mode, body)
+		r.spoil(r.response, r.mode, body)
 	default:
-		r.answer(r.w, r.r, body, rest)
+		r.answer(r.response, r.request, body, rest)
 	}
 }
 
 // Long is an answer's first line with so many bytes behind it.
 func Long(line string, bytes int) string { return line + "\n" + strings.Repeat(".", bytes) }
 
-// pieces of an answer that comes while its backend works.
-const pieces = 12
+// bodyChunks of an answer that comes while its backend works.
+const bodyChunks = 12
 
 // answer writes a body, in pieces where it takes a while.
 func (b *Backend) answer(w http.ResponseWriter, r *http.Request, body string, takes time.Duration) {
@@ -379,15 +379,15 @@
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	for i := range pieces {
+	for i := range bodyChunks {
 		if i > 0 {
 			select {
-			case <-time.After(takes / (pieces - 1)):
+			case <-time.After(takes / (bodyChunks - 1)):
 			case <-r.Context().Done(): // given up
 				return
 			}
 		}
-		io.WriteString(w, body[i*len(body)/pieces:(i+1)*len(body)/pieces])
+		io.WriteString(w, body[i*len(body)/bodyChunks:(i+1)*len(body)/bodyChunks])
 		http.NewResponseController(w).Flush()
 	}
 }
@@ -428,20 +428,20 @@
 
 // Agent is discovery's on a front door's own machine: it answers with what it has been told.
 type Agent struct {
-	Addr string
-	node string
-	log  *history.Log
-	way  *Way // to the front door; nil: straight
-	seen *traces
-	quit chan struct{}
-	held []target // news that waits, while lists are late
-	late bool
-	srv  *http.Server
-	mu   sync.Mutex
-	rev  int
-	all  map[string]target
-	past []target // by revision, from 1
-	more chan struct{}
+	Addr    string
+	node    string
+	log     *history.Log
+	way     *Link // to the front door; nil: straight
+	seen    *traces
+	quit    chan struct{}
+	delayed []target // news that waits, while lists are late
+	late    bool
+	srv     *http.Server
+	mu      sync.Mutex
+	rev     int
+	all     map[string]target
+	past    []target // by revision, from 1
+	more    chan struct{}
 }
 
 type target struct {
@@ -467,10 +467,10 @@
 	return a, nil
 }
 
-// Tell brings news of a backend: Ready, Terminating or Gone.
-func (a *Agent) Tell(b *Backend, state string) { a.tellAt(b, b.Addr, state) }
+// Notify brings news of a backend: Ready, Terminating or Gone.
+func (a *Agent) Notify(b *Backend, state string) { a.notifyAt(b, b.Addr, state) }
 
-func (a *Agent) tellAt(b *Backend, addr, state string) {
+func (a *Agent) notifyAt(b *Backend, addr, state string) {
 	t := target{b.ID, addr, b.Zone, "m", b.Pod, state, 1, 0}
 	if !b.Boot.IsZero() {
 		t.Boot = b.Boot.UnixMilli()
@@ -478,7 +478,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.late {
-		a.held = append(a.held, t)
+		a.delayed = append(a.delayed, t)
 		return
 	}
 	a.take(t)
@@ -490,10 +490,10 @@
 	defer a.mu.Unlock()
 	a.late = late
 	if !late {
-		for _, t := range a.held {
+		for _, t := range a.delayed {
 			a.take(t)
 		}
-		a.held = nil
+		a.delayed = nil
 	}
 }
 
@@ -510,15 +510,15 @@
 	a.more = make(chan struct{})
 }
 
-// told notes what has been written to the front door: where its way is cut or slow, when it gets there, if its
+// recordDelivery notes what has been written to the front door: where its way is cut or slow, when it gets there, if its
 // connection is still open then.
-func (a *Agent) told(r *http.Request, list []target, size int) {
+func (a *Agent) recordDelivery(r *http.Request, list []target, size int) {
 	if a.log == nil {
 		return
 	}
 	note := func() {
 		for _, t := range list {
-			a.log.Add(history.Event{Who: a.node, Kind: history.Told, At: t.UID, What: t.State})
+			a.log.Add(history.Event{Who: a.node, Kind: history.Notified, Target: t.UID, What: t.State})
 		}
 	}
 	if a.way == nil {
@@ -533,13 +533,13 @@
 	}()
 }
 
-// Whole is the list as JSON.
-func (a *Agent) Whole() []byte {
-	b, _ := a.whole()
+// Snapshot is the list as JSON.
+func (a *Agent) Snapshot() []byte {
+	b, _ := a.snapshot()
 	return b
 }
 
-func (a *Agent) whole() ([]byte, []target) {
+func (a *Agent) snapshot() ([]byte, []target) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	list := make([]target, 0, len(a.all))
@@ -554,9 +554,9 @@
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var after, wait int
 	if _, err := fmt.Sscan(r.URL.Query().Get("after"), &after); err != nil {
-		b, list := a.whole()
+		b, list := a.snapshot()
 		if _, err := w.Write(b); err == nil {
-			a.told(r, list, len(b))
+			a.recordDelivery(r, list, len(b))
 		}
 		return
 	}
@@ -581,7 +581,7 @@
 		if f, ok := w.(http.Flusher); ok {
 			f.Flush()
 		}
-		a.told(r, news, len(b))
+		a.recordDelivery(r, news, len(b))
 	}
 }
 
--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -40,15 +40,15 @@
 
 // Clients send requests to a fleet's front doors.
 type Clients struct {
-	f    *Fleet
-	http *http.Client
-	rng  *rand.Rand
-	mu   sync.Mutex
-	next atomic.Uint64
-	hist *hdrhistogram.Histogram
-	by   map[string]*Outcome // by plan, and all under ""
-	Rate func() float64      // requests a second now
-	Log  *history.Log        // nil: no history is kept
+	fleet    *Fleet
+	http     *http.Client
+	rng      *rand.Rand
+	mu       sync.Mutex
+	next     atomic.Uint64
+	hist     *hdrhistogram.Histogram
+	outcomes map[string]*Outcome // by plan, and all under ""
+	Rate     func() float64      // requests a second now
+	Log      *history.Log        // nil: no history is kept
 	// Notice is how long the front goes on sending to a front door that does not run. Nought: for ever.
 	Notice time.Duration
 }
@@ -57,8 +57,8 @@
 func NewClients(f *Fleet, conns int) *Clients {
 	t := &http.Transport{MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns, IdleConnTimeout: time.Minute, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
-	return &Clients{f: f, http: &http.Client{Transport: t}, rng: rand.New(rand.NewPCG(f.Spec.Seed, 13)),
-		hist: hdrhistogram.New(1, 60_000_000, 3), by: map[string]*Outcome{"": {}}}
+	return &Clients{fleet: f, http: &http.Client{Transport: t}, rng: rand.New(rand.NewPCG(f.Spec.Seed, 13)),
+		hist: hdrhistogram.New(1, 60_000_000, 3), outcomes: map[string]*Outcome{"": {}}}
 }
 
 // pick draws by shares.
@@ -90,24 +90,24 @@
 func (c *Clients) draw() ask {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.f.Spec
+	s := c.fleet.Spec
 	p := pick(c.rng, len(s.Products), func(i int) float64 { return s.Products[i].Share })
 	pl := pick(c.rng, len(s.Plans), func(i int) float64 { return s.Plans[i].Share })
 	a := ask{product: s.Products[p], plan: s.Plans[pl]}
-	a.width = max(1, int(a.plan.Width*float64(len(c.f.Nodes))+0.5))
+	a.width = max(1, int(a.plan.Width*float64(len(c.fleet.Nodes))+0.5))
 	n := max(1, int(c.rate()*a.plan.Share/(s.Clients.Use*a.plan.Rate)))
 	a.key = uint64(pl)<<24 | uint64(c.rng.IntN(n))
-	a.first = int(a.key % uint64(len(c.f.Nodes)))
+	a.first = int(a.key % uint64(len(c.fleet.Nodes)))
 	if a.plan.Ceiling > 0 { // as a site does: each of the set can hold a txn of its own
 		a.width = min(a.width, max(1, int(a.plan.Ceiling*a.plan.Burst/2)))
 	}
 	at := c.rng.IntN(a.width)
 	for i := 0; i < a.width; i++ {
-		if a.node = (a.first + (at+i)%a.width) % len(c.f.Nodes); c.Notice == 0 || c.f.Nodes[a.node].Down() < c.Notice {
+		if a.node = (a.first + (at+i)%a.width) % len(c.fleet.Nodes); c.Notice == 0 || c.fleet.Nodes[a.node].Down() < c.Notice {
 			break
 		}
 	}
-	a.id = fmt.Sprintf("%08x%08x", c.f.Spec.Seed&0xffffffff, c.next.Add(1))
+	a.id = fmt.Sprintf("%08x%08x", c.fleet.Spec.Seed&0xffffffff, c.next.Add(1))
 	return a
 }
 
@@ -128,9 +128,9 @@
 	}
 	// A body that the library can't get anew: it must not send anything again by itself.
 	body := struct{ io.Reader }{strings.NewReader(text)}
-	asked := history.Event{Who: "clients", Kind: history.Asked, Txn: a.id, Key: fmt.Sprintf("%s/%x", a.plan.Name, a.key), At: c.f.Nodes[a.node].Name,
-		N: 1, What: a.product.Name, Due: history.Now() + time.Until(meant) + a.product.Expiry.D()}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.f.Nodes[a.node].Addr+"/api?lot=7", body)
+	asked := history.Event{Who: "clients", Kind: history.Requested, Txn: a.id, Key: fmt.Sprintf("%s/%x", a.plan.Name, a.key), Target: c.fleet.Nodes[a.node].Name,
+		Number: 1, What: a.product.Name, Deadline: history.Now() + time.Until(meant) + a.product.Expiry.D()}
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.fleet.Nodes[a.node].Addr+"/api?lot=7", body)
 	if err != nil {
 		return
 	}
@@ -144,14 +144,14 @@
 	if method == "POST" {
 		r.Header.Set("Idempotency-Key", "k-"+a.id)
 	}
-	code, _, text := Try(c.http, c.Log, r, asked)
+	code, _, text := SendAndRecord(c.http, c.Log, r, asked)
 	took := time.Since(meant)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all, plan := c.by[""], c.by[a.plan.Name]
+	all, plan := c.outcomes[""], c.outcomes[a.plan.Name]
 	if plan == nil {
 		plan = &Outcome{}
-		c.by[a.plan.Name] = plan
+		c.outcomes[a.plan.Name] = plan
 	}
 	for _, o := range []*Outcome{all, plan} {
 		o.Requests++
@@ -176,9 +176,9 @@
 	}
 }
 
-// Try sends one request, waits for its end and notes what its client saw of it: asked as soon as it is written. The
+// SendAndRecord sends one request, waits for its end and notes what its client saw of it: asked as soon as it is written. The
 // code is nought where no whole answer came.
-func Try(with *http.Client, log *history.Log, r *http.Request, asked history.Event) (code int, h http.Header, text string) {
+func SendAndRecord(with *http.Client, log *history.Log, r *http.Request, asked history.Event) (code int, h http.Header, text string) {
 	ctx, began := r.Context(), history.Now()
 	var mu sync.Mutex
 	wrote := false
@@ -186,7 +186,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if !wrote {
-			wrote, asked.T = true, at
+			wrote, asked.Time = true, at
 			log.Add(asked)
 		}
 	}
@@ -208,7 +208,7 @@
 	}
 	if code > 0 {
 		note(began) // the answer may come before the library says that it wrote
-		log.Add(history.Event{Who: asked.Who, Kind: history.Answered, Txn: asked.Txn, N: float64(code), What: firstLine(text)})
+		log.Add(history.Event{Who: asked.Who, Kind: history.Answered, Txn: asked.Txn, Number: float64(code), What: answeringID(text)})
 		return code, h, text
 	}
 	mu.Lock()
@@ -216,15 +216,15 @@
 	switch {
 	case !wrote:
 	case ctx.Err() == nil: // its time is not over: the connection ended
-		log.Add(history.Event{Who: asked.Who, Kind: history.Unheard, Txn: asked.Txn, What: fmt.Sprint(fault)})
+		log.Add(history.Event{Who: asked.Who, Kind: history.Unanswered, Txn: asked.Txn, What: fmt.Sprint(fault)})
 	default:
-		log.Add(history.Event{Who: asked.Who, Kind: history.Left, Txn: asked.Txn})
+		log.Add(history.Event{Who: asked.Who, Kind: history.ClientLeft, Txn: asked.Txn})
 	}
 	return code, h, text
 }
 
-// firstLine names whose answer it is.
-func firstLine(text string) string {
+// answeringID names whose answer it is.
+func answeringID(text string) string {
 	line, _, _ := strings.Cut(strings.TrimPrefix(text, "done "), "\n")
 	return line
 }
@@ -285,7 +285,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]Outcome{}
-	for k, v := range c.by {
+	for k, v := range c.outcomes {
 		out[k] = *v
 	}
 	return out
--- a/internal/lab/standin/counter.go
+++ b/internal/lab/standin/counter.go
@@ -14,14 +14,14 @@
 
 // Counter keeps numbers by name, as the platform's does: lines of text, answers in the order of the calls on a connection.
 type Counter struct {
-	Addr string
-	l    net.Listener
-	mu   sync.Mutex
-	core *sharedcounter.Counter
-	conn map[net.Conn]bool
-	now  func() time.Time
-	born time.Time
-	over layers[sharedcounter.Mode]
+	Addr     string
+	listener net.Listener
+	mu       sync.Mutex
+	core     *sharedcounter.Counter
+	conn     map[net.Conn]bool
+	now      func() time.Time
+	born     time.Time
+	over     layers[sharedcounter.Mode]
 }
 
 // What the counter holds to.
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Counter{Addr: l.Addr().String(), l: l, core: sharedcounter.New(rand.New(rand.NewPCG(seed, 19))), conn: map[net.Conn]bool{},
+	c := &Counter{Addr: l.Addr().String(), listener: l, core: sharedcounter.New(rand.New(rand.NewPCG(seed, 19))), conn: map[net.Conn]bool{},
 		now: time.Now, born: time.Now()}
 	go func() {
 		for {
@@ -97,7 +97,7 @@
 
 // Close ends it.
 func (c *Counter) Close() {
-	c.l.Close()
+	c.listener.Close()
 	c.Set(sharedcounter.Mode{Down: true})
 }
 
@@ -132,5 +132,5 @@
 func (c *Counter) call(line string) (answer string, late time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.core.Say(c.now().Sub(c.born), line), c.core.Mode.Late
+	return c.core.Handle(c.now().Sub(c.born), line), c.core.Mode.Delay
 }
--- a/internal/lab/standin/fleet.go
+++ b/internal/lab/standin/fleet.go
@@ -50,7 +50,7 @@
 	Relay    *Relay // between the front doors
 	opt      Options
 	dir      string
-	marks    *traces
+	traces   *traces
 	once     map[string]bool
 	work     func(string) time.Duration
 	mu       sync.Mutex
@@ -131,7 +131,7 @@
 		}
 	}()
 	if o.Links {
-		f.marks = &traces{}
+		f.traces = &traces{}
 	}
 	if err := f.layBackends(); err != nil {
 		return f, err
@@ -185,13 +185,13 @@
 // layNode makes one front door with its discovery agent and the ways to what it calls.
 func (f *Fleet) layNode(number int, listen, peers string) error {
 	name, zones := fmt.Sprintf("n%d", number), f.Spec.Zones.Names
-	d := &Node{Nr: number, fresh: make(chan struct{}, 1), Zone: zones[number%len(zones)], Addr: listen, peers: peers, f: f,
-		conf: filepath.Join(f.dir, name+".json"), Discovery: newWay(), Counter: newWay(), Backends: map[string]*Way{},
+	d := &Node{Index: number, fresh: make(chan struct{}, 1), Zone: zones[number%len(zones)], Addr: listen, peers: peers, fleet: f,
+		conf: filepath.Join(f.dir, name+".json"), Discovery: newWay(), Counter: newWay(), Backends: map[string]*Link{},
 		memory: f.opt.MemoryMB, sockets: f.opt.Sockets}
 	for _, zone := range zones {
 		d.Backends[zone] = newWay()
 	}
-	d.Process = NewProcess(name, f.opt.History, d.prepare, d.line, d.serves)
+	d.Process = NewProcess(name, f.opt.History, d.prepare, d.parseLog, d.serves)
 	f.Nodes = append(f.Nodes, d)
 	a, err := NewAgent()
 	if err != nil {
@@ -199,7 +199,7 @@
 	}
 	a.node, a.log = d.Name, f.opt.History
 	if f.opt.Links {
-		a.way, a.seen = d.Discovery, f.marks
+		a.way, a.seen = d.Discovery, f.traces
 	}
 	f.Agents = append(f.Agents, a)
 	if d.counter, err = f.via(d, "counter", f.Counter.Addr, d.Counter); err != nil {
@@ -209,25 +209,25 @@
 		return err
 	}
 	for _, b := range f.Backends {
-		if err := f.tell(d, b, "Ready"); err != nil {
+		if err := f.notify(d, b, "Ready"); err != nil {
 			return err
 		}
 	}
-	d.known = a.Whole()
+	d.known = a.Snapshot()
 	return nil
 }
 
 // startNodes starts all front doors but those that come late, and waits until they are ready.
 func (f *Fleet) startNodes() error {
 	for _, d := range f.Nodes {
-		if !f.opt.Late[d.Nr] {
+		if !f.opt.Late[d.Index] {
 			if err := d.launch(); err != nil {
 				return err
 			}
 		}
 	}
 	for _, d := range f.Nodes {
-		if !f.opt.Late[d.Nr] {
+		if !f.opt.Late[d.Index] {
 			if err := d.ready(readyMost); err != nil {
 				return err
 			}
@@ -245,7 +245,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b.Once, b.Boot, b.log, b.marks = f.once, boot, f.opt.History, f.marks
+	b.Once, b.Boot, b.log, b.traces = f.once, boot, f.opt.History, f.traces
 	if !boot.IsZero() {
 		b.started = history.Now()
 	}
@@ -257,7 +257,7 @@
 }
 
 // via gives the address at which a front door finds something: its own, or that of a proxy before it.
-func (f *Fleet) via(d *Node, what, addr string, w *Way) (string, error) {
+func (f *Fleet) via(d *Node, what, addr string, w *Link) (string, error) {
 	if !f.opt.Links {
 		return addr, nil
 	}
@@ -270,30 +270,30 @@
 		f.proxies[d] = map[string]*proxy{}
 	}
 	if p := f.proxies[d][what]; p != nil {
-		return p.l.Addr().String(), nil
+		return p.listener.Addr().String(), nil
 	}
-	p, err := newProxy(addr, w, f.marks)
+	p, err := newProxy(addr, w, f.traces)
 	if err != nil {
 		return "", err
 	}
 	f.proxies[d][what] = p
-	return p.l.Addr().String(), nil
+	return p.listener.Addr().String(), nil
 }
 
-// tell brings one front door's agent news of a backend.
-func (f *Fleet) tell(d *Node, b *Backend, state string) error {
+// notify brings one front door's agent news of a backend.
+func (f *Fleet) notify(d *Node, b *Backend, state string) error {
 	at, err := f.via(d, b.ID, b.Addr, d.Backends[b.Zone])
 	if err != nil {
 		return err
 	}
-	f.Agents[d.Nr].tellAt(b, at, state)
+	f.Agents[d.Index].notifyAt(b, at, state)
 	return nil
 }
 
-// TellAll brings all agents news of a backend.
-func (f *Fleet) TellAll(b *Backend, state string) {
+// NotifyAll brings all agents news of a backend.
+func (f *Fleet) NotifyAll(b *Backend, state string) {
 	for _, d := range f.Nodes {
-		f.tell(d, b, state)
+		f.notify(d, b, state)
 	}
 }
 
@@ -302,11 +302,11 @@
 func (f *Fleet) Replace(b *Backend, gone time.Duration, told func() time.Duration) {
 	b.Set(Mode{Down: true})
 	f.remove(b)
-	f.Later(told(), func() { f.TellAll(b, "Gone") })
+	f.Later(told(), func() { f.NotifyAll(b, "Gone") })
 	f.Later(gone, func() {
 		n, err := f.add(b.Zone, b.Pod, time.Now())
 		if err == nil {
-			f.Later(told(), func() { f.TellAll(n, "Ready") })
+			f.Later(told(), func() { f.NotifyAll(n, "Ready") })
 		}
 	})
 }
@@ -316,12 +316,12 @@
 	b.Bring(func(m *Mode) { m.Full = 1 }) // it takes nothing new, and turns away what comes
 	n, err := f.add(b.Zone, b.Pod, time.Now())
 	if err == nil {
-		f.Later(told(), func() { f.TellAll(n, "Ready") })
+		f.Later(told(), func() { f.NotifyAll(n, "Ready") })
 	}
 	f.Later(goes, func() {
 		f.remove(b)
 		b.Set(Mode{Down: true})
-		f.Later(told(), func() { f.TellAll(b, "Gone") })
+		f.Later(told(), func() { f.NotifyAll(b, "Gone") })
 	})
 }
 
@@ -437,7 +437,7 @@
 	f.Later(told, func() {
 		for _, b := range lost {
 			if b.mode.Load().Down {
-				f.TellAll(b, "Gone")
+				f.NotifyAll(b, "Gone")
 			}
 		}
 	})
@@ -451,7 +451,7 @@
 		b.Set(Mode{})
 		if was {
 			b.Boot, b.started = now, history.Now()
-			f.TellAll(b, "Ready")
+			f.NotifyAll(b, "Ready")
 		}
 	}
 }
--- a/internal/lab/standin/frontdoor.go
+++ b/internal/lab/standin/frontdoor.go
@@ -18,14 +18,14 @@
 // Node is one front door's process, in one life after another.
 type Node struct {
 	*Process
-	Nr        int
+	Index     int
 	Zone      string
 	Addr      string
-	Discovery *Way
-	Counter   *Way
-	Backends  map[string]*Way // by zone
+	Discovery *Link
+	Counter   *Link
+	Backends  map[string]*Link // by zone
 
-	f                  *Fleet
+	fleet              *Fleet
 	conf               string // file
 	peers              string
 	discovery, counter string // addresses as it is told them
@@ -40,11 +40,11 @@
 
 // write lays the configuration.
 func (n *Node) write() error {
-	f := n.f
+	f := n.fleet
 	conf := map[string]any{"name": n.Name, "listen": n.Addr, "discovery": n.discovery, "seed": fmt.Sprintf("%016x", n.seed),
 		"limits": map[string]any{"cores": f.opt.Cores, "memory_mb": n.memory, "sockets": n.sockets}, "peer_listen": n.peers,
-		"peers": f.Relay.Peers(n.Nr), "counter": n.counter, "known": json.RawMessage(n.known),
-		"settings": Settings(f.Spec, n.Nr, n.Nr%len(f.Spec.Zones.Names))}
+		"peers": f.Relay.Peers(n.Index), "counter": n.counter, "known": json.RawMessage(n.known),
+		"settings": Settings(f.Spec, n.Index, n.Index%len(f.Spec.Zones.Names))}
 	text, err := json.MarshalIndent(conf, "", " ")
 	if err != nil {
 		return err
@@ -55,31 +55,31 @@
 // prepare lays the configuration of the next life, with a seed of its own each time.
 func (n *Node) prepare(life int) (*exec.Cmd, error) {
 	if !n.same {
-		n.seed = n.f.Spec.Seed + uint64(n.Nr) + uint64(life)<<32
+		n.seed = n.fleet.Spec.Seed + uint64(n.Index) + uint64(life)<<32
 	}
 	n.same = false
 	if err := n.write(); err != nil {
 		return nil, err
 	}
 	args := []string{"serve", "--config", n.conf}
-	text := strings.NewReplacer("{name}", n.Name, "{dir}", n.f.dir).Replace(n.f.opt.Operator)
-	if own := n.f.opt.Own; own != "" {
+	text := strings.NewReplacer("{name}", n.Name, "{dir}", n.fleet.dir).Replace(n.fleet.opt.Operator)
+	if own := n.fleet.opt.Own; own != "" {
 		text += fmt.Sprintf("\n[history]\nfile = %q\ntxns = true\n", filepath.Join(own, n.Name+".jsonl"))
 	}
 	if text != "" {
-		file := filepath.Join(n.f.dir, n.Name+".toml")
+		file := filepath.Join(n.fleet.dir, n.Name+".toml")
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			return nil, err
 		}
 		args = append(args, "--operator", file)
 	}
-	cmd := exec.Command(n.f.opt.Program, args...)
+	cmd := exec.Command(n.fleet.opt.Program, args...)
 	cmd.Env = append(os.Environ(), "GOTRACEBACK=single")
 	return cmd, nil
 }
 
-// line takes counters from the log.
-func (n *Node) line(text []byte) bool {
+// parseLog takes counters from the log.
+func (n *Node) parseLog(text []byte) bool {
 	var l struct {
 		Counters    string `json:"counters"`
 		Allocations int    `json:"allocations"`
@@ -140,8 +140,8 @@
 	return n.last
 }
 
-// Settle rewrites the configuration and has the process read it again.
-func (n *Node) Settle(change func()) error {
+// Reconfigure rewrites the configuration and has the process read it again.
+func (n *Node) Reconfigure(change func()) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
@@ -156,7 +156,7 @@
 func (n *Node) Limits(memoryMB, sockets int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.memory, n.sockets = n.f.opt.MemoryMB, n.f.opt.Sockets
+	n.memory, n.sockets = n.fleet.opt.MemoryMB, n.fleet.opt.Sockets
 	if memoryMB > 0 {
 		n.memory = memoryMB
 	}
@@ -175,7 +175,7 @@
 // MoveDiscovery gives the front door another address of its agent, as a new configuration does; the old one ends a
 // while later.
 func (n *Node) MoveDiscovery(old time.Duration) error {
-	f := n.f
+	f := n.fleet
 	f.mu.Lock()
 	var was *proxy
 	if f.proxies[n] != nil {
@@ -186,7 +186,7 @@
 	if was == nil {
 		return errors.New("a fleet without links has one address of discovery")
 	}
-	at, err := f.via(n, "discovery", f.Agents[n.Nr].Addr, n.Discovery)
+	at, err := f.via(n, "discovery", f.Agents[n.Index].Addr, n.Discovery)
 	if err != nil {
 		return err
 	}
@@ -194,14 +194,14 @@
 	f.mu.Lock()
 	f.proxies[n][fmt.Sprint("discovery until ", at)] = was // closed with the fleet at the latest
 	f.mu.Unlock()
-	return n.Settle(func() { n.discovery = at })
+	return n.Reconfigure(func() { n.discovery = at })
 }
 
 // Crashed names front doors that ended by themselves, with their last words.
 func (f *Fleet) Crashed() (who []int) {
 	for _, d := range f.Nodes {
 		if _, bad := d.Crash(); bad {
-			who = append(who, d.Nr)
+			who = append(who, d.Index)
 		}
 	}
 	return who
--- a/internal/lab/standin/process.go
+++ b/internal/lab/standin/process.go
@@ -23,25 +23,25 @@
 type Process struct {
 	Name string
 
-	log     *history.Log
-	prepare func(life int) (*exec.Cmd, error) // lays what the next life reads, and says how it is started
-	line    func(text []byte) bool            // takes a line of its log; false: words beside the log
-	serves  func(ctx context.Context) bool    // asks it
-
-	start  sync.Mutex
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	in     io.WriteCloser
-	meant  bool // its end is ours
-	exit   chan struct{}
-	ended  error
-	life   int
-	holds  int // reasons to stand still
-	orders map[failpoint.Name]time.Duration
-	cut    map[string]int // reasons why nothing said gets to a host; they outlast a life
-	dark   map[string]int // reasons to take a host for a machine without power, likewise
-	said   []string       // last lines that are no JSON: what a crash says
-	gone   time.Time
+	log      *history.Log
+	prepare  func(life int) (*exec.Cmd, error) // lays what the next life reads, and says how it is started
+	parseLog func(text []byte) bool            // takes a line of its log; false: words beside the log
+	serves   func(ctx context.Context) bool    // asks it
+
+	start           sync.Mutex
+	mu              sync.Mutex
+	cmd             *exec.Cmd
+	stdin           io.WriteCloser
+	meant           bool // its end is ours
+	exit            chan struct{}
+	ended           error
+	incarnation     int
+	suspensions     int // reasons to stand still
+	orders          map[failpoint.Name]time.Duration
+	blockedHosts    map[string]int // reasons why nothing said gets to a host; they outlast a life
+	poweredOffHosts map[string]int // reasons to take a host for a machine without power, likewise
+	stderrTail      []string       // last lines that are no JSON: what a crash says
+	gone            time.Time
 }
 
 // NewProcess makes one that Again starts. prepare lays what the next life reads; line takes a line of its
@@ -49,18 +49,18 @@
 func NewProcess(name string, log *history.Log, prepare func(life int) (*exec.Cmd, error),
 	line func([]byte) bool,
 	serves func(context.Context) bool) *Process {
-	return &Process{Name: name, log: log, prepare: prepare, line: line, serves: serves}
+	return &Process{Name: name, log: log, prepare: prepare, parseLog: line, serves: serves}
 }
 
-// linesKept of what a process says beside its log.
-const linesKept = 12
+// stderrTailLength of what a process says beside its log.
+const stderrTailLength = 12
 
 // launch starts the process, again if need be.
 func (p *Process) launch() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.life++
-	cmd, err := p.prepare(p.life)
+	p.incarnation++
+	cmd, err := p.prepare(p.incarnation)
 	if err != nil {
 		return err
 	}
@@ -77,12 +77,12 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
-	p.cmd, p.in, p.exit, p.meant, p.holds, p.gone = cmd, in, make(chan struct{}), false, 0, time.Time{}
-	p.ended, p.orders, p.said = nil, map[failpoint.Name]time.Duration{}, nil
-	for host := range p.cut {
+	p.cmd, p.stdin, p.exit, p.meant, p.suspensions, p.gone = cmd, in, make(chan struct{}), false, 0, time.Time{}
+	p.ended, p.orders, p.stderrTail = nil, map[failpoint.Name]time.Duration{}, nil
+	for host := range p.blockedHosts {
 		p.say("cut %s\n", host)
 	}
-	for host := range p.dark {
+	for host := range p.poweredOffHosts {
 		p.say("dark %s\n", host)
 	}
 	go p.read(out, cmd, p.exit)
@@ -96,29 +96,29 @@
 	for in.Scan() {
 		var l failpoint.Reached
 		switch {
-		case !p.line(in.Bytes()):
+		case !p.parseLog(in.Bytes()):
 			p.mu.Lock()
-			p.said = append(p.said, in.Text())
-			p.said = p.said[max(0, len(p.said)-linesKept):]
+			p.stderrTail = append(p.stderrTail, in.Text())
+			p.stderrTail = p.stderrTail[max(0, len(p.stderrTail)-stderrTailLength):]
 			p.mu.Unlock()
-		case json.Unmarshal(in.Bytes(), &l) == nil && l.Does == "stop":
+		case json.Unmarshal(in.Bytes(), &l) == nil && l.Action == "stop":
 			go p.reached(cmd, l.Point)
 		}
 	}
 	err, how := cmd.Wait(), ""
 	if err == nil {
-		err, how = errors.New("it ended with 0"), history.InOrder
+		err, how = errors.New("it ended with 0"), history.CleanExit
 	}
 	p.mu.Lock()
 	p.ended, p.gone = err, time.Now()
-	p.note(history.Down, how)
+	p.record(history.Down, how)
 	p.mu.Unlock()
 	close(exit)
 }
 
-// note adds to the history; the lock is held.
-func (p *Process) note(k history.Kind, what string) {
-	p.log.Add(history.Event{Who: p.Name, Life: p.life, Kind: k, What: what})
+// record adds to the history; the lock is held.
+func (p *Process) record(k history.Kind, what string) {
+	p.log.Add(history.Event{Who: p.Name, Incarnation: p.incarnation, Kind: k, What: what})
 }
 
 // signal reaches the process if it runs; the lock is held.
@@ -168,13 +168,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), most)
 	defer cancel()
 	p.mu.Lock()
-	exit, life := p.exit, p.life
+	exit, life := p.exit, p.incarnation
 	p.mu.Unlock()
 	for {
 		if p.serves(ctx) {
 			p.mu.Lock()
-			if p.life == life && p.ended == nil {
-				p.note(history.Up, "")
+			if p.incarnation == life && p.ended == nil {
+				p.record(history.Up, "")
 			}
 			p.mu.Unlock()
 			return nil
@@ -184,7 +184,7 @@
 			if p.Meant() {
 				return nil // killed in its start, as a fault may
 			}
-			return fmt.Errorf("%s ended before it was up: %s %s", p.Name, fmt.Sprint(p.ended), strings.Join(p.said, "; "))
+			return fmt.Errorf("%s ended before it was up: %s %s", p.Name, fmt.Sprint(p.ended), strings.Join(p.stderrTail, "; "))
 		case <-ctx.Done():
 			return fmt.Errorf("%s was not up within %s", p.Name, most)
 		case <-time.After(10 * time.Millisecond):
@@ -227,7 +227,7 @@
 	exit := p.exit
 	running := p.signal(s)
 	if running && s == syscall.SIGKILL { // one that waits for its disk is seen to end much later
-		p.note(history.Down, "")
+		p.record(history.Down, "")
 	}
 	p.mu.Unlock()
 	if !running {
@@ -256,19 +256,19 @@
 	return p.ready(30 * time.Second)
 }
 
-// Hold lets the process stand still, or go on; while any reason holds it, it stands.
-func (p *Process) Hold(still bool, why string) {
+// Suspend lets the process stand still, or go on; while any reason holds it, it stands.
+func (p *Process) Suspend(still bool, why string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if still {
-		if p.holds++; p.holds == 1 && p.signal(syscall.SIGSTOP) {
-			p.note(history.Stopped, why)
+		if p.suspensions++; p.suspensions == 1 && p.signal(syscall.SIGSTOP) {
+			p.record(history.Paused, why)
 		}
 		return
 	}
-	if p.holds > 0 {
-		if p.holds--; p.holds == 0 && p.signal(syscall.SIGCONT) {
-			p.note(history.Goes, why)
+	if p.suspensions > 0 {
+		if p.suspensions--; p.suspensions == 0 && p.signal(syscall.SIGCONT) {
+			p.record(history.Resumed, why)
 		}
 	}
 }
@@ -292,7 +292,7 @@
 func (p *Process) pulse(still bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.holds > 0 {
+	if p.suspensions > 0 {
 		return
 	}
 	if still {
@@ -307,23 +307,27 @@
 func (p *Process) Order(does string, at failpoint.Name, nth int, hold time.Duration) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ended != nil || p.in == nil {
+	if p.ended != nil || p.stdin == nil {
 		return fmt.Errorf("%s does not run", p.Name)
 	}
 	p.orders[at] = hold
 	if does == "exit" {
 		p.meant = true
 	}
-	_, err := fmt.Fprintf(p.in, "%s %s %d\n", does, at, nth)
+	_, err := fmt.Fprintf(p.stdin, "%s %s %d\n", does, at, nth)
 	return err
 }
 
-// Cut lets nothing that a debug build says get to a host, or lets it again; while any reason cuts it off, it is.
-func (p *Process) Cut(host string, off bool) { p.order(&p.cut, host, off, "cut", "mend") }
+// BlockHost lets nothing that a debug build says get to a host, or lets it again; while any reason cuts it off, it is.
+func (p *Process) BlockHost(host string, off bool) {
+	p.order(&p.blockedHosts, host, off, "cut", "mend")
+}
 
 // Dark has a debug build take a host for a machine without power, or no longer: nothing gets there, and no end of its connections is
 // told.
-func (p *Process) Dark(host string, off bool) { p.order(&p.dark, host, off, "dark", "light") }
+func (p *Process) Dark(host string, off bool) {
+	p.order(&p.poweredOffHosts, host, off, "dark", "light")
+}
 
 // order counts the reasons for something about a host, and gives the order for the first one, and another when none is left.
 func (p *Process) order(reasons *map[string]int, host string, on bool, begin, end string) {
@@ -346,8 +350,8 @@
 
 // say gives an order to the process if it runs; the lock is held.
 func (p *Process) say(format string, args ...any) {
-	if p.in != nil && p.ended == nil {
-		fmt.Fprintf(p.in, format, args...) // one that ends now needs none
+	if p.stdin != nil && p.ended == nil {
+		fmt.Fprintf(p.stdin, format, args...) // one that ends now needs none
 	}
 }
 
@@ -370,8 +374,8 @@
 		p.mu.Unlock()
 		return
 	}
-	p.holds++
-	p.note(history.Stopped, string(at))
+	p.suspensions++
+	p.record(history.Paused, string(at))
 	exit := p.exit
 	p.mu.Unlock()
 	wake := time.NewTimer(hold)
@@ -379,7 +383,7 @@
 	select {
 	case <-exit:
 	case <-wake.C:
-		p.Hold(false, string(at))
+		p.Suspend(false, string(at))
 	}
 }
 
@@ -410,7 +414,7 @@
 	if p.ended == nil || p.meant {
 		return "", false
 	}
-	return fmt.Sprint(p.ended, ": ", strings.Join(p.said, "; ")), true
+	return fmt.Sprint(p.ended, ": ", strings.Join(p.stderrTail, "; ")), true
 }
 
 // Close ends the process for good and waits for it.
--- a/internal/lab/standin/proxy.go
+++ b/internal/lab/standin/proxy.go
@@ -12,12 +12,12 @@
 	"clovergap/internal/history"
 )
 
-// Trouble is what a front door's way to one of its others suffers.
-type Trouble struct {
-	Cut   bool          // nothing gets through; what is written waits
-	Only  Direction     // of a cut: one way, or both
-	Delay time.Duration // of each piece, both ways
-	Rate  float64       // bytes a second, each way; 0: no bound
+// LinkFault is what a front door's way to one of its others suffers.
+type LinkFault struct {
+	Blocked bool          // nothing gets through; what is written waits
+	Only    Direction     // of a cut: one way, or both
+	Delay   time.Duration // of each piece, both ways
+	Rate    float64       // bytes a second, each way; 0: no bound
 }
 
 // Direction is one of a way's: what the front door says, or what it is told.
@@ -30,69 +30,69 @@
 	In
 )
 
-// Way is a front door's way to one kind of others: discovery, backends, the counter.
-type Way struct {
+// Link is a front door's way to one kind of others: discovery, backends, the counter.
+type Link struct {
 	mu   sync.Mutex
-	now  map[int]Trouble
+	now  map[int]LinkFault
 	next int
-	cut  [In + 1]chan struct{} // closed when that direction is open
+	open [In + 1]chan struct{} // closed when that direction is open
 	shut [In + 1]bool
-	sum  Trouble
+	sum  LinkFault
 }
 
-func newWay() *Way {
-	w := &Way{now: map[int]Trouble{}}
-	for d := range w.cut {
-		w.cut[d] = make(chan struct{})
-		close(w.cut[d])
+func newWay() *Link {
+	w := &Link{now: map[int]LinkFault{}}
+	for d := range w.open {
+		w.open[d] = make(chan struct{})
+		close(w.open[d])
 	}
 	return w
 }
 
 // Bring begins a trouble and gives what ends it.
-func (w *Way) Bring(t Trouble) (end func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.next++
-	id := w.next
-	w.now[id] = t
-	w.add()
+func (l *Link) Bring(t LinkFault) (end func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.next++
+	id := l.next
+	l.now[id] = t
+	l.add()
 	return func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		delete(w.now, id)
-		w.add()
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		delete(l.now, id)
+		l.add()
 	}
 }
 
 // add sums up what is under way; the lock is held.
-func (w *Way) add() {
-	was := w.shut
-	w.sum, w.shut = Trouble{}, [In + 1]bool{}
-	for _, t := range w.now {
-		for d := range w.shut {
-			w.shut[d] = w.shut[d] || t.Cut && (t.Only == Both || t.Only == Direction(d))
+func (l *Link) add() {
+	was := l.shut
+	l.sum, l.shut = LinkFault{}, [In + 1]bool{}
+	for _, t := range l.now {
+		for d := range l.shut {
+			l.shut[d] = l.shut[d] || t.Blocked && (t.Only == Both || t.Only == Direction(d))
 		}
-		w.sum.Delay += t.Delay
-		if t.Rate > 0 && (w.sum.Rate == 0 || t.Rate < w.sum.Rate) {
-			w.sum.Rate = t.Rate
+		l.sum.Delay += t.Delay
+		if t.Rate > 0 && (l.sum.Rate == 0 || t.Rate < l.sum.Rate) {
+			l.sum.Rate = t.Rate
 		}
 	}
-	for d := range w.shut {
-		if w.shut[d] && !was[d] {
-			w.cut[d] = make(chan struct{})
-		} else if !w.shut[d] && was[d] {
-			close(w.cut[d])
+	for d := range l.shut {
+		if l.shut[d] && !was[d] {
+			l.open[d] = make(chan struct{})
+		} else if !l.shut[d] && was[d] {
+			close(l.open[d])
 		}
 	}
 }
 
 // pass waits until a piece of so many bytes, come at a time, may go on; false if all is over.
-func (w *Way) pass(d Direction, n int, came time.Time, quit <-chan struct{}) bool {
+func (l *Link) pass(d Direction, n int, came time.Time, quit <-chan struct{}) bool {
 	for {
-		w.mu.Lock()
-		sum, open, shut := w.sum, w.cut[d], w.shut[d]
-		w.mu.Unlock()
+		l.mu.Lock()
+		sum, open, shut := l.sum, l.open[d], l.shut[d]
+		l.mu.Unlock()
 		if shut {
 			select {
 			case <-open:
@@ -117,12 +117,12 @@
 	}
 }
 
-// isCut tells in which direction nothing gets through now: a connection needs both to come up.
-func (w *Way) isCut() (Direction, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// blockedDirection tells in which direction nothing gets through now: a connection needs both to come up.
+func (l *Link) blockedDirection() (Direction, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, d := range []Direction{Out, In} {
-		if w.shut[d] {
+		if l.shut[d] {
 			return d, true
 		}
 	}
@@ -152,43 +152,43 @@
 
 // proxy stands between one front door and one of its others.
 type proxy struct {
-	l     net.Listener
-	to    string
-	way   *Way
-	marks *traces
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	over  bool
-	wg    sync.WaitGroup
-	quit  chan struct{}
+	listener net.Listener
+	target   string
+	way      *Link
+	traces   *traces
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
+	over     bool
+	tasks    sync.WaitGroup
+	quit     chan struct{}
 }
 
-func newProxy(to string, way *Way, marks *traces) (*proxy, error) {
+func newProxy(to string, way *Link, marks *traces) (*proxy, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{l: l, to: to, way: way, marks: marks, conns: map[net.Conn]bool{}, quit: make(chan struct{})}
-	p.wg.Add(1)
+	p := &proxy{listener: l, target: to, way: way, traces: marks, conns: map[net.Conn]bool{}, quit: make(chan struct{})}
+	p.tasks.Add(1)
 	go func() {
-		defer p.wg.Done()
+		defer p.tasks.Done()
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			if !p.hold(c) {
+			if !p.track(c) {
 				c.Close()
 				return
 			}
-			p.wg.Add(1)
+			p.tasks.Add(1)
 			go p.serve(c)
 		}
 	}()
 	return p, nil
 }
 
-func (p *proxy) hold(c net.Conn) bool {
+func (p *proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.over {
@@ -207,28 +207,28 @@
 
 // serve joins a front door's connection with one to the other side; while the way is cut neither hears anything.
 func (p *proxy) serve(near net.Conn) {
-	defer p.wg.Done()
+	defer p.tasks.Done()
 	defer p.drop(near)
-	if d, cut := p.way.isCut(); cut { // it never comes up, and is reset once the way is open
+	if d, cut := p.way.blockedDirection(); cut { // it never comes up, and is reset once the way is open
 		p.way.pass(d, 0, time.Now(), p.quit)
 		reset(near)
 		return
 	}
-	far, err := net.DialTimeout("tcp4", p.to, time.Second)
+	far, err := net.DialTimeout("tcp4", p.target, time.Second)
 	if err != nil {
 		reset(near) // refused there: the front door sees its own connection end
 		return
 	}
-	if !p.hold(far) {
+	if !p.track(far) {
 		far.Close()
 		return
 	}
 	defer p.drop(far)
 	t := &trace{}
-	if p.marks != nil {
-		key := ends(far.LocalAddr().String(), p.to)
-		p.marks.all.Store(key, t)
-		defer time.AfterFunc(5*time.Second, func() { p.marks.all.CompareAndDelete(key, t) })
+	if p.traces != nil {
+		key := ends(far.LocalAddr().String(), p.target)
+		p.traces.all.Store(key, t)
+		defer time.AfterFunc(5*time.Second, func() { p.traces.all.CompareAndDelete(key, t) })
 	}
 	both := make(chan struct{}, 2)
 	go func() { defer func() { both <- struct{}{} }(); p.pump(Out, near, far, t) }()
@@ -237,20 +237,20 @@
 	<-both
 }
 
-// piece is what was read at once, or how the reading ended.
-type piece struct {
-	b    []byte
+// chunk is what was read at once, or how the reading ended.
+type chunk struct {
+	data []byte
 	came time.Time
 	err  error
 }
 
-// piecesMost wait on a way in one direction; beyond them the sender is slowed down.
-const piecesMost = 64
+// maxQueuedChunks wait on a way in one direction; beyond them the sender is slowed down.
+const maxQueuedChunks = 64
 
 // pump takes bytes from one side to the other until either ends, and passes the end on as it came. What is read is
 // noted at once, however long it waits: a front door that has closed its side has done so, whoever knows.
 func (p *proxy) pump(d Direction, from, to net.Conn, t *trace) {
-	line, over := make(chan piece, piecesMost), make(chan struct{})
+	line, over := make(chan chunk, maxQueuedChunks), make(chan struct{})
 	defer close(over)
 	go func() {
 		defer close(line)
@@ -264,7 +264,7 @@
 				t.closed.CompareAndSwap(0, int64(history.Now()))
 			}
 			select {
-			case line <- piece{b[:n], time.Now(), err}:
+			case line <- chunk{b[:n], time.Now(), err}:
 			case <-over:
 				return
 			}
@@ -274,8 +274,8 @@
 		}
 	}()
 	for x := range line {
-		open := p.way.pass(d, len(x.b), x.came, p.quit)
-		if !open || len(x.b) > 0 && write(to, x.b) != nil || x.err != nil && !errors.Is(x.err, io.EOF) {
+		open := p.way.pass(d, len(x.data), x.came, p.quit)
+		if !open || len(x.data) > 0 && write(to, x.data) != nil || x.err != nil && !errors.Is(x.err, io.EOF) {
 			reset(to)
 			reset(from)
 			return
@@ -307,6 +307,6 @@
 		c.Close()
 	}
 	p.mu.Unlock()
-	p.l.Close()
-	p.wg.Wait()
+	p.listener.Close()
+	p.tasks.Wait()
 }
--- a/internal/lab/standin/proxy_test.go
+++ b/internal/lab/standin/proxy_test.go
@@ -41,7 +41,7 @@
 	}
 	defer p.Close()
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp4", p.l.Addr().String())
+		c, err := net.Dial("tcp4", p.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,7 +59,7 @@
 	if got := say("one", 10*time.Second); got != "back" || <-heard != "one" {
 		t.Fatalf("calm: %q", got)
 	}
-	heal := w.Bring(Trouble{Cut: true, Only: In})
+	heal := w.Bring(LinkFault{Blocked: true, Only: In})
 	if got := say("two", 100*time.Millisecond); got != "" || <-heard != "two" {
 		t.Errorf("cut in: heard back %q", got)
 	}
@@ -75,7 +75,7 @@
 	if _, err := other.Read(b); err == nil {
 		t.Error("a connection that came up during a cut")
 	}
-	defer w.Bring(Trouble{Cut: true, Only: Out})()
+	defer w.Bring(LinkFault{Blocked: true, Only: Out})()
 	if got := say("three", 100*time.Millisecond); got != "" || len(heard) != 0 {
 		t.Errorf("cut out: %q, %d heard", got, len(heard))
 	}
--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -17,31 +17,31 @@
 // Relay carries the datagrams between front doors, and does to them what faults say. Each ordered pair has a socket of
 // its own, so that a front door sees every peer at one address: the one it sends to, and hears from.
 type Relay struct {
-	mu    sync.Mutex
-	set   *netfault.Set
-	base  int // the effect that Lossy sets
-	cut   map[[2]int]int
-	socks [][]*net.UDPConn
-	to    []netip.AddrPort
-	born  time.Time
-	moved int
-	late  time.Duration // the most that a datagram came later than it was to
-	due   timerqueue.Queue[netfault.Copy]
-	more  chan struct{}
-	stop  chan struct{}
-	wg    sync.WaitGroup
+	mu      sync.Mutex
+	set     *netfault.Set
+	base    int // the effect that Lossy sets
+	blocked map[[2]int]int
+	socks   [][]*net.UDPConn
+	targets []netip.AddrPort
+	born    time.Time
+	moved   int
+	late    time.Duration // the most that a datagram came later than it was to
+	pending timerqueue.Queue[netfault.Copy]
+	more    chan struct{}
+	stop    chan struct{}
+	tasks   sync.WaitGroup
 }
 
 // NewRelay opens the sockets for front doors that listen at the given addresses.
 func NewRelay(listen []string, seed uint64) (*Relay, error) {
-	r := &Relay{set: netfault.New(rand.New(rand.NewPCG(seed, 17))), cut: map[[2]int]int{}, born: time.Now(), more: make(chan struct{}, 1),
+	r := &Relay{set: netfault.New(rand.New(rand.NewPCG(seed, 17))), blocked: map[[2]int]int{}, born: time.Now(), more: make(chan struct{}, 1),
 		stop: make(chan struct{})}
 	for _, at := range listen {
 		a, err := netip.ParseAddrPort(at)
 		if err != nil {
 			return nil, err
 		}
-		r.to = append(r.to, a)
+		r.targets = append(r.targets, a)
 	}
 	for i := range listen {
 		r.socks = append(r.socks, make([]*net.UDPConn, len(listen)))
@@ -60,21 +60,21 @@
 	for i := range listen {
 		for j := range listen {
 			if i != j {
-				r.wg.Add(1)
+				r.tasks.Add(1)
 				go r.carry(i, j)
 			}
 		}
 	}
-	r.wg.Add(1)
+	r.tasks.Add(1)
 	go r.deliver()
 	return r, nil
 }
 
 // Peers are the addresses that front door i is to be configured with.
 func (r *Relay) Peers(i int) (all []string) {
-	for j := range r.to {
+	for j := range r.targets {
 		if i == j {
-			all = append(all, r.to[i].String())
+			all = append(all, r.targets[i].String())
 			continue
 		}
 		all = append(all, r.socks[i][j].LocalAddr().String())
@@ -84,7 +84,7 @@
 
 // carry takes what front door i sends to j on.
 func (r *Relay) carry(i, j int) {
-	defer r.wg.Done()
+	defer r.tasks.Done()
 	b := make([]byte, 2048)
 	for {
 		n, _, err := r.socks[i][j].ReadFromUDPAddrPort(b)
@@ -102,7 +102,7 @@
 // send hangs copies on the clock; the lock is held.
 func (r *Relay) send(now time.Duration, copies []netfault.Copy) {
 	for _, c := range copies {
-		r.due.Add(now+c.After, c)
+		r.pending.Add(now+c.After, c)
 	}
 	if len(copies) > 0 {
 		select {
@@ -114,19 +114,19 @@
 
 // deliver gives out what is due. How late that is tells whether the relay keeps up.
 func (r *Relay) deliver() {
-	defer r.wg.Done()
+	defer r.tasks.Done()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		r.mu.Lock()
 		now, wait := time.Since(r.born), time.Hour
-		for at, ok := r.due.Next(); ok && at <= now; at, ok = r.due.Next() {
-			c, _ := r.due.Take(now)
+		for at, ok := r.pending.Next(); ok && at <= now; at, ok = r.pending.Next() {
+			c, _ := r.pending.Take(now)
 			r.late = max(r.late, now-at)
 			r.moved++
-			r.socks[c.To][c.From].WriteToUDPAddrPort(c.Payload, r.to[c.To]) // does not block
+			r.socks[c.Target][c.Source].WriteToUDPAddrPort(c.Payload, r.targets[c.Target]) // does not block
 		}
-		if at, ok := r.due.Next(); ok {
+		if at, ok := r.pending.Next(); ok {
 			wait = at - now
 		}
 		r.mu.Unlock()
@@ -144,7 +144,7 @@
 func (r *Relay) Bring(e netfault.Effect) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id := r.set.Bring(e)
+	id := r.set.Begin(e)
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -157,19 +157,19 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.set.End(r.base)
-	r.base = r.set.Bring(netfault.Effect{Loss: share, Reorder: 1, Delay: delay})
+	r.base = r.set.Begin(netfault.Effect{Loss: share, Reorder: 1, Delay: delay})
 }
 
-// Cut parts two front doors, or joins them again.
-func (r *Relay) Cut(i, j int, apart bool) {
+// Block parts two front doors, or joins them again.
+func (r *Relay) Block(i, j int, apart bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if id, ok := r.cut[[2]int{i, j}]; ok {
+	if id, ok := r.blocked[[2]int{i, j}]; ok {
 		r.set.End(id)
-		delete(r.cut, [2]int{i, j})
+		delete(r.blocked, [2]int{i, j})
 	}
 	if apart {
-		r.cut[[2]int{i, j}] = r.set.Bring(netfault.Effect{Cut: true, On: func(a, b int) bool { return a == i && b == j || a == j && b == i }})
+		r.blocked[[2]int{i, j}] = r.set.Begin(netfault.Effect{Blocked: true, Matches: func(a, b int) bool { return a == i && b == j || a == j && b == i }})
 	}
 }
 
@@ -184,7 +184,7 @@
 // no room, and how many the machine dropped before they were read.
 func (r *Relay) Behind() (late time.Duration, over, dropped uint64) {
 	r.mu.Lock()
-	late, over = r.late, r.set.Over
+	late, over = r.late, r.set.Overflowed
 	mine := map[string]bool{}
 	for _, row := range r.socks {
 		for _, c := range row {
@@ -219,5 +219,5 @@
 			}
 		}
 	}
-	r.wg.Wait()
+	r.tasks.Wait()
 }
--- a/internal/lab/standin/script.go
+++ b/internal/lab/standin/script.go
@@ -13,18 +13,18 @@
 // Script is a stand-in that does nothing by itself: it hands over each request as it arrives, and the test answers as it
 // likes, byte by byte if need be. It plays a backend or discovery's agent, whatever must answer call by call.
 type Script struct {
-	L    net.Listener
-	Came chan *Call
+	Listener net.Listener
+	Came     chan *Call
 }
 
 // Call is a request that has arrived whole.
 type Call struct {
 	Head, Body string
-	C          net.Conn
+	Conn       net.Conn
 }
 
-// Patience bounds every wait for a call; nothing depends on how long anything takes within it.
-const Patience = 20 * time.Second
+// CallTimeout bounds every wait for a call; nothing depends on how long anything takes within it.
+const CallTimeout = 20 * time.Second
 
 // NewScript listens on a loopback address that a dial gone astray, to 0.0.0.0, would not reach.
 func NewScript() (*Script, error) {
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Script{L: l, Came: make(chan *Call, 100)}
+	s := &Script{Listener: l, Came: make(chan *Call, 100)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -54,17 +54,17 @@
 }
 
 // Addr is where it listens; Close ends that.
-func (s *Script) Addr() string { return s.L.Addr().String() }
+func (s *Script) Addr() string { return s.Listener.Addr().String() }
 
 // Close takes no more connections.
-func (s *Script) Close() { s.L.Close() }
+func (s *Script) Close() { s.Listener.Close() }
 
 // Next waits for a request.
 func (s *Script) Next() *Call {
 	select {
 	case x := <-s.Came:
 		return x
-	case <-time.After(Patience):
+	case <-time.After(CallTimeout):
 		return &Call{Head: "no request came\r\n"}
 	}
 }
@@ -76,7 +76,7 @@
 }
 
 // Answer writes a text as it is.
-func (c *Call) Answer(text string) { io.WriteString(c.C, text) }
+func (c *Call) Answer(text string) { io.WriteString(c.Conn, text) }
 
 // List answers as discovery's agent does, with targets in its form.
 func (c *Call) List(rev int, all bool, targets ...map[string]any) {
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -99,14 +99,14 @@
 	if moved == 0 || taken == 0 {
 		t.Fatalf("%d datagrams moved, %d taken", moved, taken)
 	}
-	f.Relay.Cut(0, 1, true)
+	f.Relay.Block(0, 1, true)
 	time.Sleep(50 * time.Millisecond)
 	moved = f.Relay.Count()
 	c.Open(context.Background(), 500*time.Millisecond)
 	if f.Relay.Count() != moved {
 		t.Error("datagrams between front doors that are apart")
 	}
-	f.Relay.Cut(0, 1, false)
+	f.Relay.Block(0, 1, false)
 	f.Relay.Lossy(0.5, 20*time.Millisecond)
 	c.Open(context.Background(), 500*time.Millisecond)
 	if o := c.Outcomes()[""]; f.Relay.Count() == moved || o.Failed > 0 || o.Wrong > 0 || o.Settled < o.Requests/2 {
@@ -147,7 +147,7 @@
 	say("add a 1 1000", "ok 1")
 	c.Set(sharedcounter.Mode{Busy: 1})
 	say("add a 1 1000", "busy")
-	c.Set(sharedcounter.Mode{Spoilt: 1})
+	c.Set(sharedcounter.Mode{Malformed: 1})
 	say("add a 1 1000", "ok ")
 	c.Set(sharedcounter.Mode{})
 	say("add a 0 1000", "ok 2")
--- a/internal/proxy/peers/peers.go
+++ b/internal/proxy/peers/peers.go
@@ -108,15 +108,15 @@
 		return
 	}
 	p.engine.Count.Add(counters.DatagramsTaken)
-	failpoint.At(failpoint.AfterHear)
+	failpoint.At(failpoint.AfterReceiveDatagram)
 	p.received(id, payload)
 }
 
 // SendDatagram sends a datagram to a peer. One that can't be sent is counted, and lost as any may be.
 func (p *Peers) SendDatagram(peer control.GatewayID, payload []byte) {
-	failpoint.At(failpoint.BeforeTell)
+	failpoint.At(failpoint.BeforeSendDatagram)
 	if int(peer) >= len(p.addrs) || len(payload) > maxDatagram || p.descriptor < 0 ||
-		failpoint.On && failpoint.Cut(addrPort(p.addrs[peer]).String()) ||
+		failpoint.On && failpoint.Partitioned(addrPort(p.addrs[peer]).String()) ||
 		syscall.Sendto(p.descriptor, payload, syscall.MSG_DONTWAIT, p.addrs[peer]) != nil {
 		p.engine.Count.Add(counters.DatagramsUnsent)
 		return
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -11,18 +11,18 @@
 )
 
 // Error says what is wrong, and where.
-type Error struct{ File, Place, What string }
+type Error struct{ File, Position, What string }
 
 func (e *Error) Error() string {
 	place := e.File
-	if e.Place != "" {
-		place += ":" + e.Place
+	if e.Position != "" {
+		place += ":" + e.Position
 	}
 	return place + ": " + e.What
 }
 
-// typed is how the library words a value of the wrong type.
-var typed = regexp.MustCompile(`cannot decode TOML (\w+) into struct field \S+ of type (\S+)`)
+// wrongType is how the library words a value of the wrong type.
+var wrongType = regexp.MustCompile(`cannot decode TOML (\w+) into struct field \S+ of type (\S+)`)
 
 // Where puts the library's error into file, line and key.
 func Where(file string, err error) error {
@@ -35,7 +35,7 @@
 	var bad *toml.DecodeError
 	if errors.As(err, &bad) {
 		row, _ := bad.Position()
-		what := typed.ReplaceAllString(strings.TrimPrefix(bad.Error(), "toml: "), "$1 where $2 is wanted")
+		what := wrongType.ReplaceAllString(strings.TrimPrefix(bad.Error(), "toml: "), "$1 where $2 is wanted")
 		if key := strings.Join(bad.Key(), "."); key != "" {
 			what = key + ": " + what
 		}
