--- a/control/decision.go
+++ b/control/decision.go
@@ -78,8 +78,8 @@
 	Value float64
 }
 
-// Count is a LogField of a whole number.
-func Count(name string, n int) LogField { return LogField{Name: name, Value: float64(n)} }
+// IntField returns a LogField that holds an integer value.
+func IntField(name string, n int) LogField { return LogField{Name: name, Value: float64(n)} }
 
 // String gives the entry in one line: the message, then name=value.
 func (l *LogEntry) String() string {
--- a/control/decision_test.go
+++ b/control/decision_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestLogEntryInOneLine(t *testing.T) {
-	e := LogEntry{Message: "requests", Fields: []LogField{Count("arrived", 12), {Name: "capacity", Value: 2.5}}}
+	e := LogEntry{Message: "requests", Fields: []LogField{IntField("arrived", 12), {Name: "capacity", Value: 2.5}}}
 	must.Eq(t, "requests arrived=12 capacity=2.5", e.String())
 	must.Eq(t, "requests", (&LogEntry{Message: "requests"}).String())
 }
--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -254,11 +254,11 @@
 func (c *Controller) logSummary(ejected int) {
 	var fields []control.LogField
 	for reason, name := range reasonNames {
-		fields = append(fields, control.Count(name, c.givenUp[reason]))
+		fields = append(fields, control.IntField(name, c.givenUp[reason]))
 	}
-	fields = append(fields, control.LogField{Name: "capacity", Value: c.capacity}, control.Count("ejected", ejected),
-		control.Count("backends", len(c.available)), control.Count("waiting", len(c.waiting)),
-		control.Count("bad_datagrams", c.quota.BadDatagrams()))
+	fields = append(fields, control.LogField{Name: "capacity", Value: c.capacity}, control.IntField("ejected", ejected),
+		control.IntField("backends", len(c.available)), control.IntField("waiting", len(c.waiting)),
+		control.IntField("bad_datagrams", c.quota.BadDatagrams()))
 	c.decisions = append(c.decisions, control.Decision{Action: control.Log, Entry: &control.LogEntry{Message: "txns given up", Fields: fields}})
 	c.givenUp, c.loggedAt = reasonCounts{}, c.now
 }
--- a/internal/gateway/admission/counts.go
+++ b/internal/gateway/admission/counts.go
@@ -31,11 +31,11 @@
 	n := &c.counts
 	failed := n.endings[control.Errored] + n.endings[control.TimedOut] + n.endings[control.Unreachable] + n.endings[control.ConnectionLost]
 	c.decisions = append(c.decisions, control.Decision{Action: control.Log, Entry: &control.LogEntry{Message: "requests", Fields: []control.LogField{
-		control.Count("arrived", n.arrived), control.Count("retried", n.retried), control.Count("rejected_by_backend", n.endings[control.Rejected]),
-		control.Count("failed", failed), control.Count("no_time", n.reasons[control.ReasonNoTime]),
-		control.Count("no_units", n.reasons[control.ReasonNoUnits]), control.Count("no_backend", n.reasons[control.ReasonNoBackend]),
-		control.Count("queued", queued), control.Count("in_flight", inFlight), control.Count("clients_left", n.clientsLeft),
-		control.Count("clients_left_in_flight", n.clientsLeftInFlight), control.Count("ran_on", n.ranOn),
+		control.IntField("arrived", n.arrived), control.IntField("retried", n.retried), control.IntField("rejected_by_backend", n.endings[control.Rejected]),
+		control.IntField("failed", failed), control.IntField("no_time", n.reasons[control.ReasonNoTime]),
+		control.IntField("no_units", n.reasons[control.ReasonNoUnits]), control.IntField("no_backend", n.reasons[control.ReasonNoBackend]),
+		control.IntField("queued", queued), control.IntField("in_flight", inFlight), control.IntField("clients_left", n.clientsLeft),
+		control.IntField("clients_left_in_flight", n.clientsLeftInFlight), control.IntField("ran_on", n.ranOn),
 	}}})
 	c.counts, c.loggedAt = counts{}, c.now
 }
--- a/internal/proxy/gate/gate_test.go
+++ b/internal/proxy/gate/gate_test.go
@@ -118,7 +118,7 @@
 // A module's line reaches the log as a message that is always the same and a field for each figure.
 func TestModuleLogsMessageAndFields(t *testing.T) {
 	module := &recklessModule{decisions: []control.Decision{{Action: control.Log, Entry: &control.LogEntry{Message: "requests",
-		Fields: []control.LogField{control.Count("arrived", 7), {Name: "capacity", Value: 2.5}}}}}}
+		Fields: []control.LogField{control.IntField("arrived", 7), {Name: "capacity", Value: 2.5}}}}}}
 	log := &logRecorder{}
 	New(module, &fakeSender{}, 10, &counters.Set{}, log).RunDecisions()
 	must.Eq(t, []string{"requests"}, log.messages)
