--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -125,9 +125,9 @@
 		MinInterval: minInterval, SnapshotTTL: snapshotTTL, InitialFill: 1,
 		DatagramsPerSecond: r.number("quota.mail_per_s"), MaxUnits: r.number("quota.most_units"),
 	}
-	plans := quota.Plans{
-		PeersEnabled: r.boolean("limits.peers"), Limit: c.planLimit,
-		Observations: c.lastObservations, Observed: c.takeObservations,
+	plans := quota.PlanLimiterOptions{
+		PeersEnabled: r.boolean("limits.peers"), PlanLimit: c.planLimit,
+		LastObservations: c.lastObservations, ObservationsReceived: c.takeObservations,
 	}
 	c.quota = quota.NewPlanLimiter(c.rng.Uint32()|1, self, c.gateways, now, config, plans)
 	return c, r.err
--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -760,9 +760,9 @@
 			Deltas: []quota.Delta{{Customer: mine, Units: 15, SetWidth: 3}}})
 	}
 	state, _ := s.controller.quota.State(mine)
-	fmt.Printf("left %.0f, customers %d\n", state.Level, s.controller.quota.Customers())
+	fmt.Printf("left %.0f, customers %d\n", state.Level, s.controller.quota.CustomerCount())
 	s.advance(40000)
-	fmt.Println("customers", s.controller.quota.Customers())
+	fmt.Println("customers", s.controller.quota.CustomerCount())
 	// Output:
 	// backends 3 3 3
 	// 10000 submit 1 to 1, 446
--- a/control/loadbalancer/txn.go
+++ b/control/loadbalancer/txn.go
@@ -133,7 +133,7 @@
 
 // passQuota asks the quota for a txn's units. A txn that may not go on is queued or answered.
 func (c *Controller) passQuota(t *txn, a *quota.Account) bool {
-	request := quota.Request{Units: t.Units, Arrived: t.arrived, SLA: c.products[t.Product].slaTime, Late: t.late}
+	request := quota.Request{Units: t.Units, Arrived: t.arrived, SLA: c.products[t.Product].slaTime, LateRetry: t.late}
 	outcome, at, reason := c.quota.CheckAccount(a, request)
 	t.reason = reason
 	switch outcome {
--- a/control/quota/account.go
+++ b/control/quota/account.go
@@ -81,8 +81,8 @@
 	a := l.accounts[id]
 	if a == nil {
 		a = &Account{id: id, planID: plan, owner: l.self, reporters: 1, usedAt: l.now, allowanceAt: l.now, hardShareAt: l.startedAt}
-		if l.plans.Limit != nil {
-			a.limit = l.plans.Limit(plan)
+		if l.plans.PlanLimit != nil {
+			a.limit = l.plans.PlanLimit(plan)
 			a.level, a.levelAt = l.initialLevel(a), l.now
 		}
 		l.accounts[id] = a
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -21,10 +21,10 @@
 
 // Request asks for units of a customer's quota.
 type Request struct {
-	Units   float64
-	Arrived time.Duration // time of the clock; the same each time that the request is checked
-	SLA     time.Duration // the time in which an answer has its full value: a share of it may be spent waiting
-	Late    bool          // a client's retry that comes late: it leaves a low bucket to others
+	Units     float64
+	Arrived   time.Duration // time of the clock; the same each time that the request is checked
+	SLA       time.Duration // the time in which an answer has its full value: a share of it may be spent waiting
+	LateRetry bool          // a client's retry that comes late: it leaves a low bucket to others
 }
 
 // Check tells whether a customer's quota covers a request. A customer without a limit is not metered. With Pending comes the time of
@@ -85,7 +85,7 @@
 		return Allowed, 0
 	}
 	after := time.Duration((l.required(a, r) - left) / a.limit.Rate * float64(time.Second))
-	if l.now+after < latest && !r.Late {
+	if l.now+after < latest && !r.LateRetry {
 		return Pending, latest
 	}
 	return Exceeded, after
@@ -93,7 +93,7 @@
 
 // required is what a level must hold for a request. A client's retry, which mostly comes late, leaves a low bucket to first attempts.
 func (l *Limiter) required(a *Account, r Request) float64 {
-	if r.Late {
+	if r.LateRetry {
 		return r.Units + retryReserveShare*a.limit.Burst
 	}
 	return r.Units
@@ -185,7 +185,7 @@
 	if a.hasSnapshot && left < l.required(a, r) {
 		return false
 	}
-	unanswered := l.now >= v.deadline && a.requestedAt > 0 && a.requestedAt < v.deadline && !r.Late
+	unanswered := l.now >= v.deadline && a.requestedAt > 0 && a.requestedAt < v.deadline && !r.LateRetry
 	return !v.tight || unanswered
 }
 
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -42,23 +42,23 @@
 	HardBurst   float64 // units, the same
 }
 
-// Plans is what a limiter needs of a front door, whose customers have the limits of their plans.
-type Plans struct {
+// PlanLimiterOptions is what a limiter needs of a front door, whose customers have the limits of their plans.
+type PlanLimiterOptions struct {
 	// PeersEnabled is false where nothing may be sent to peers.
 	PeersEnabled bool
-	// Limit gives the limits of a plan, nil for one that does not exist.
-	Limit func(control.PlanID) *Limit
-	// Observations gives the last observations of backends, which go along with datagrams, and how many there were in all.
-	Observations func() (last []Observation, count int)
-	// Observed takes those of a peer.
-	Observed func([]Observation)
+	// PlanLimit gives the limits of a plan, nil for one that does not exist.
+	PlanLimit func(control.PlanID) *Limit
+	// LastObservations gives the last observations of backends, which go along with datagrams, and how many there were in all.
+	LastObservations func() (last []Observation, count int)
+	// ObservationsReceived takes those of a peer.
+	ObservationsReceived func([]Observation)
 }
 
 // Limiter is one gateway's part in metering all customers: the buckets that it owns, its snapshots of the others, and the messages
 // about them. It is not safe for concurrent use. All times are of the host's clock.
 type Limiter struct {
 	config Config
-	plans  Plans // Limit nil: limits are set by SetLimit
+	plans  PlanLimiterOptions // PlanLimit nil: limits are set by SetLimit
 
 	now         time.Duration
 	startedAt   time.Duration
@@ -104,7 +104,7 @@
 
 // NewPlanLimiter starts the part of a front door: customers have the limits of their plans, and the set that each txn names. The epoch
 // must not be 0.
-func NewPlanLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config, plans Plans) *Limiter {
+func NewPlanLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config, plans PlanLimiterOptions) *Limiter {
 	l := newLimiter(epoch, self, gateways, now, config)
 	l.plans = plans
 	return l
@@ -135,7 +135,7 @@
 // SetLimit sets a customer's rate, in units a second, and burst, in units. A lower burst cuts the level at once, a higher one fills at
 // the rate. A rate of 0 or below ends the metering of this customer. Numbers of customers go up to 1<<34.
 func (l *Limiter) SetLimit(c control.CustomerID, rate, burst float64) {
-	invariant.That(l.plans.Limit == nil && c <= 1<<34, "a limit is of a customer that messages can name")
+	invariant.That(l.plans.PlanLimit == nil && c <= 1<<34, "a limit is of a customer that messages can name")
 	a := l.accounts[c]
 	switch {
 	case rate <= 0:
@@ -314,7 +314,7 @@
 	for _, a := range l.ordered {
 		full := a.owner != l.self || a.level+a.limit.Rate*(l.now-a.levelAt).Seconds() >= a.limit.Burst &&
 			(a.limit.HardRate <= 0 || l.hardShareNow(a) >= l.hardShareCap(a))
-		if l.plans.Limit != nil && l.now-a.usedAt > idleAfter && full && !a.dirty && a.inFlight == 0 && a.reservations == 0 &&
+		if l.plans.PlanLimit != nil && l.now-a.usedAt > idleAfter && full && !a.dirty && a.inFlight == 0 && a.reservations == 0 &&
 			a.unacked <= 0 {
 			delete(l.accounts, a.id)
 			continue
@@ -349,8 +349,8 @@
 // HasPending tells whether there is something to send to a peer, now or later.
 func (l *Limiter) HasPending() bool { return len(l.pending) > 0 }
 
-// Customers counts the customers of which an account is kept.
-func (l *Limiter) Customers() int { return len(l.accounts) }
+// CustomerCount counts the customers of which an account is kept.
+func (l *Limiter) CustomerCount() int { return len(l.accounts) }
 
 // BadDatagrams counts the datagrams that were malformed or from no peer, and the deltas that could not be applied.
 func (l *Limiter) BadDatagrams() int { return l.badDatagrams }
--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -17,7 +17,7 @@
 func newPlanScenario() *planScenario {
 	plan := &Limit{Rate: 10, Burst: 20, HardRate: 20, HardBurst: 20}
 	s := &planScenario{Limiter: NewPlanLimiter(1, 0, 3, 0, Config{MinInterval: 10 * time.Millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 100,
-		InitialFill: 1, MaxUnits: 1}, Plans{PeersEnabled: true, Limit: func(control.PlanID) *Limit { return plan }})}
+		InitialFill: 1, MaxUnits: 1}, PlanLimiterOptions{PeersEnabled: true, PlanLimit: func(control.PlanID) *Limit { return plan }})}
 	s.advance(10 * time.Second)
 	return s
 }
--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -28,8 +28,8 @@
 		l.removeAcknowledged(p, m)
 		l.applySnapshots(p, m)
 	}
-	if l.plans.Observed != nil {
-		l.plans.Observed(m.Observations)
+	if l.plans.ObservationsReceived != nil {
+		l.plans.ObservationsReceived(m.Observations)
 	}
 	return m.Seq > 0 || forThisEpoch
 }
@@ -76,7 +76,7 @@
 // acceptsDeltas tells whether a message's deltas may be applied. Where limits are set by SetLimit, a delta may come before this gateway knows
 // its customer, or that it owns it. Then no part of the message is applied or acknowledged, and the peer sends it again.
 func (l *Limiter) acceptsDeltas(m *Message) bool {
-	if l.plans.Limit != nil {
+	if l.plans.PlanLimit != nil {
 		return true
 	}
 	for _, d := range m.Deltas {
@@ -107,10 +107,10 @@
 
 // accountOf finds or makes the owned account that a delta is for; nil if there is none.
 func (l *Limiter) accountOf(d Delta) *Account {
-	if l.plans.Limit == nil && l.accounts[d.Customer] == nil {
+	if l.plans.PlanLimit == nil && l.accounts[d.Customer] == nil {
 		return nil // not metered any more
 	}
-	if l.plans.Limit != nil && l.plans.Limit(d.Plan) == nil {
+	if l.plans.PlanLimit != nil && l.plans.PlanLimit(d.Plan) == nil {
 		l.badDatagrams++
 		return nil
 	}
--- a/control/quota/recorded_test.go
+++ b/control/quota/recorded_test.go
@@ -103,7 +103,7 @@
 			c := control.CustomerID(1 + chance.Intn(customers))
 			units := float64(1 + chance.Intn(4))
 			v, at := q.Check(c, Request{Units: units, Arrived: now - time.Duration(chance.Intn(300))*time.Millisecond, SLA: 400 * time.Millisecond,
-				Late: chance.Intn(5) == 0})
+				LateRetry: chance.Intn(5) == 0})
 			rec.add(int64(i), int64(v), int64(at))
 			if v == Allowed {
 				if chance.Intn(4) == 0 {
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -171,10 +171,10 @@
 
 // attachObservations adds the host's last observations, all of the new ones or, where there is no room, none.
 func (l *Limiter) attachObservations(p *peer, m *Message) {
-	if l.plans.Observations == nil {
+	if l.plans.LastObservations == nil {
 		return
 	}
-	last, count := l.plans.Observations()
+	last, count := l.plans.LastObservations()
 	if fresh := min(count-p.observationsSent, len(last)); m.remaining() >= fresh*observationBytes {
 		m.Observations, p.observationsSent = last[len(last)-fresh:], count
 	}
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -119,7 +119,7 @@
 	if t.Customer == 0 || t.consumed || t.reserved {
 		return true
 	}
-	request := quota.Request{Units: t.Units, Arrived: t.arrived, Late: t.Retry,
+	request := quota.Request{Units: t.Units, Arrived: t.arrived, LateRetry: t.Retry,
 		SLA: time.Duration(quotaTargetShare * float64(t.targetAt-t.arrived))}
 	switch outcome, at := c.limiter.Check(t.Customer, request); outcome {
 	case quota.Exceeded:
