--- a/internal/gateway/admission/canary.go
+++ b/internal/gateway/admission/canary.go
@@ -24,22 +24,22 @@
 // Assigner decides at which version a request begins, and learns how the first submissions ended by which the versions are compared.
 type Assigner interface {
 	Assign(id control.TxnID, kind control.ProductID, service control.ServiceID) Assignment
-	SubmissionEnded(c Comparison)
+	SubmissionEnded(c ComparisonSample)
 }
 
 // Assignment is where a request begins. The zero value: at the baseline version, and it does not count.
 type Assignment struct {
-	Number rollout.Number
-	Side   rollout.Side
-	Counts bool // the versions are compared by its first submission
-	Tenant uint32
+	Number       rollout.Number
+	Side         rollout.Side
+	InComparison bool // the versions are compared by its first submission
+	Tenant       uint32
 }
 
 // mayUseCanary tells whether a request that began there may be sent to the canary.
 func (a Assignment) mayUseCanary() bool { return rollout.MayAttempt(a.Side, rollout.Canary) }
 
-// Comparison is the end of a first submission that counts.
-type Comparison struct {
+// ComparisonSample is the end of a first submission that is part of the comparison of the versions.
+type ComparisonSample struct {
 	Assignment
 	Service   control.ServiceID // the baseline version
 	Kind      control.ProductID
@@ -139,7 +139,7 @@
 	if e == control.Canceled || e == control.NotSent || selfInflicted && e == control.TimedOut {
 		return
 	}
-	c.assigner.SubmissionEnded(Comparison{
+	c.assigner.SubmissionEnded(ComparisonSample{
 		Assignment: t.assignment, Service: t.service.baselineVersion().id, Kind: t.Product, Effectful: t.route.Effectful, Backend: t.backend,
 		Ending: e, Took: took, WarmingUp: selfInflicted || t.service.balancer.WarmingUp(c.now, t.backend),
 	})
--- a/internal/gateway/admission/canary_test.go
+++ b/internal/gateway/admission/canary_test.go
@@ -12,12 +12,12 @@
 )
 
 // oddAssigner sends requests with odd numbers to the canary.
-type oddAssigner struct{ comparisons []Comparison }
+type oddAssigner struct{ comparisons []ComparisonSample }
 
 func (o *oddAssigner) Assign(id control.TxnID, _ control.ProductID, service control.ServiceID) Assignment {
-	return Assignment{Number: 7, Side: rollout.Side(id % 2), Counts: true, Tenant: uint32(service)}
+	return Assignment{Number: 7, Side: rollout.Side(id % 2), InComparison: true, Tenant: uint32(service)}
 }
-func (o *oddAssigner) SubmissionEnded(e Comparison) { o.comparisons = append(o.comparisons, e) }
+func (o *oddAssigner) SubmissionEnded(e ComparisonSample) { o.comparisons = append(o.comparisons, e) }
 
 const firstCanary = 11 // backends from here on are of the canary
 
@@ -57,7 +57,7 @@
 	must.False(t, d.onCanary("again, from old"))
 	d.endLast(control.Succeeded, true)
 	must.SliceLen(t, 2, s.comparisons)
-	must.Eq(t, Comparison{Assignment: Assignment{7, rollout.Canary, true, 1}, Service: 1, Kind: 1, Backend: s.comparisons[0].Backend, Ending: control.Errored,
+	must.Eq(t, ComparisonSample{Assignment: Assignment{7, rollout.Canary, true, 1}, Service: 1, Kind: 1, Backend: s.comparisons[0].Backend, Ending: control.Errored,
 		Took: 50 * time.Millisecond}, s.comparisons[0])
 	must.Eq(t, rollout.Baseline, s.comparisons[1].Side)
 
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -141,7 +141,7 @@
 // usualLatency is the usual answer time of a request.
 func (c *Controller) usualLatency(t *txn) time.Duration {
 	if t.service != nil {
-		if usual, ok := t.service.balancer.UsualLatency(t.Product); ok {
+		if usual, ok := t.service.balancer.TypicalLatency(t.Product); ok {
 			return usual
 		}
 	}
@@ -257,10 +257,10 @@
 	}
 	s := t.service
 	s.balancer.Ended(c.now, t.backend, balancer.Outcome{Ending: e, Kind: t.Product, Took: took, LatencyTarget: t.route.LatencyTarget,
-		SelfInflicted: t.sentAt < c.pausedUntil, ClientLeft: t.clientLeft})
+		ProcessPaused: t.sentAt < c.pausedUntil, ClientLeft: t.clientLeft})
 	s.recheck = true
 	s.concurrency.busyTime += took
-	if t.assignment.Counts && t.submissions == 1 {
+	if t.assignment.InComparison && t.submissions == 1 {
 		c.reportComparison(t, e, took)
 	}
 }
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -184,8 +184,8 @@
 // Capacity is how many there may be now.
 func (b *Balancer) Capacity() float64 { return b.capacity }
 
-// UsualLatency is the usual answer time of a kind of request; false while none has been answered.
-func (b *Balancer) UsualLatency(kind control.ProductID) (time.Duration, bool) {
+// TypicalLatency returns the smoothed response time of a kind of request, or false while none has been answered.
+func (b *Balancer) TypicalLatency(kind control.ProductID) (time.Duration, bool) {
 	seconds, ok := b.latency[kind]
 	return time.Duration(seconds * float64(time.Second)), ok
 }
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -21,7 +21,7 @@
 	if backend.unanswered == 0 {
 		backend.unansweredSince, backend.expectedLatency = now, 0
 	}
-	if usual, ok := b.UsualLatency(r.Kind); ok {
+	if usual, ok := b.TypicalLatency(r.Kind); ok {
 		backend.expectedLatency = max(backend.expectedLatency, usual)
 	}
 	if backend.unanswered == 1 {
@@ -40,7 +40,7 @@
 	Kind          control.ProductID
 	Took          time.Duration
 	LatencyTarget time.Duration // in it an answer has its full value; 0: there is none
-	SelfInflicted bool          // this process stood still: how long it took is its own doing
+	ProcessPaused bool          // this process stood still: how long it took is its own doing
 	ClientLeft    bool          // its client has left: if it was canceled, then for that
 }
 
@@ -68,7 +68,7 @@
 		b.recordAnswer(now, backend, o)
 		b.recordResult(now, backend, 0, o.Ending)
 	case control.TimedOut:
-		if !o.SelfInflicted {
+		if !o.ProcessPaused {
 			b.recordValueLoss(now, backend, lateCost)
 			b.recordResult(now, backend, 1, o.Ending)
 		}
@@ -98,7 +98,7 @@
 // unresponsiveWhenCanceled tells whether a backend was silent for long when a request was canceled because its client had left. Where clients leave early
 // nothing times out any more: it has failed all the same.
 func unresponsiveWhenCanceled(backend *backendState, o Outcome) bool {
-	return o.ClientLeft && !o.SelfInflicted && o.Took > backend.unresponsiveTime()
+	return o.ClientLeft && !o.ProcessPaused && o.Took > backend.unresponsiveTime()
 }
 
 // recordRejection leaves a backend that rejected a request alone, twice as long each time in a row. It says nothing of the others, unless many
@@ -118,7 +118,7 @@
 
 // recordAnswer learns from an answer's time.
 func (b *Balancer) recordAnswer(now time.Duration, backend *backendState, o Outcome) {
-	if o.SelfInflicted {
+	if o.ProcessPaused {
 		return
 	}
 	took := max(o.Took.Seconds(), minLatencySeconds)
--- a/internal/gateway/node/rollout_admission.go
+++ b/internal/gateway/node/rollout_admission.go
@@ -106,8 +106,8 @@
 		scope.Route = route.Name
 	}
 	b := admission.Assignment{Number: n.rollouts.local.RunningNumber(name)}
-	b.Side, b.Counts = n.rollouts.local.ChooseSide(name, user, scope)
-	if b.Counts {
+	b.Side, b.InComparison = n.rollouts.local.ChooseSide(name, user, scope)
+	if b.InComparison {
 		sum := fnv.New32a()
 		sum.Write([]byte(tenant))
 		b.Tenant = sum.Sum32()
@@ -116,7 +116,7 @@
 }
 
 // SubmissionEnded passes on how a request that counts has ended.
-func (r *requestSides) SubmissionEnded(e admission.Comparison) {
+func (r *requestSides) SubmissionEnded(e admission.ComparisonSample) {
 	outcome := rollout.Outcome{Side: e.Side, Route: uint32(e.Kind), Tenant: e.Tenant, Backend: uint64(e.Backend),
 		Cause: causeOf(e.Ending, r.rollouts.answerStatus), Latency: e.Took, WarmingUp: e.WarmingUp}
 	if e.Effectful {
