--- a/internal/gateway/outlier/access.go
+++ b/internal/gateway/outlier/access.go
@@ -50,10 +50,10 @@
 		}
 		return a.compare(b.Key)
 	})
-	short := max(0, n.state.Settings().minInService(len(svc.backends))-(len(svc.backends)-len(ejected)))
-	invariant.That(short <= len(ejected), "a floor is not above all")
+	shortfall := max(0, n.state.Settings().minInService(len(svc.backends))-(len(svc.backends)-len(ejected)))
+	invariant.That(shortfall <= len(ejected), "a floor is not above all")
 	kept := map[InstanceID]bool{}
-	for _, ejection := range ejected[:short] {
+	for _, ejection := range ejected[:shortfall] {
 		kept[ejection.ID] = true
 	}
 	for _, instance := range svc.backends {
@@ -81,7 +81,7 @@
 	switch {
 	case available || len(svc.backends) == 0:
 		svc.noneAvailableAt = 0
-	case svc.noneAvailableAt == 0 || n.now-svc.noneAvailableAt >= noneAvailableRepeat:
+	case svc.noneAvailableAt == 0 || n.now-svc.noneAvailableAt >= noneAvailableRepeatInterval:
 		svc.noneAvailableAt = n.now
 		n.push(NoneAvailable{svc.name, Strict, len(svc.backends)})
 	}
--- a/internal/gateway/outlier/coordinator.go
+++ b/internal/gateway/outlier/coordinator.go
@@ -18,16 +18,16 @@
 // fencing token: what it needs is reported again within two seconds.
 type Coordinator struct {
 	actionQueue
-	now          time.Duration
-	startedAt    time.Duration
-	fencingToken uint64
-	nodeCount    int
-	state        *State
-	backends     map[InstanceID]Backend
-	evidence     map[Key]*keyEvidence
-	recoveries   map[Key]*recovery
-	forgotAt     time.Duration
-	requestKeys  []Key // to ask all nodes about
+	now              time.Duration
+	startedAt        time.Duration
+	fencingToken     uint64
+	nodeCount        int
+	state            *State
+	backends         map[InstanceID]Backend
+	evidence         map[Key]*keyEvidence
+	recoveries       map[Key]*recovery
+	forgetProposedAt time.Duration
+	requestKeys      []Key // to ask all nodes about
 }
 
 // keyEvidence is what all nodes have of a key.
@@ -58,7 +58,7 @@
 // NewCoordinator makes one. The fencing token must be above that of every coordinator before.
 func NewCoordinator(fencingToken uint64, now time.Duration) *Coordinator {
 	return &Coordinator{now: now, startedAt: now, fencingToken: fencingToken, nodeCount: 1, state: NewState(), backends: map[InstanceID]Backend{},
-		evidence: map[Key]*keyEvidence{}, recoveries: map[Key]*recovery{}, forgotAt: now}
+		evidence: map[Key]*keyEvidence{}, recoveries: map[Key]*recovery{}, forgetProposedAt: now}
 }
 
 // SetNodeCount says how many nodes are alive.
@@ -156,7 +156,7 @@
 // propose puts an entry forward if the state would take it now, and again where it does not come back. proposedAt is when it last was.
 func (c *Coordinator) propose(e Entry, proposedAt *time.Duration) bool {
 	e.Author, e.FencingToken = coordinatorName, c.fencingToken
-	if v, _ := c.state.Decide(&e); v != routing.Accepted {
+	if result, _ := c.state.Decide(&e); result != routing.Accepted {
 		return false
 	}
 	if c.now-*proposedAt >= retryInterval {
--- a/internal/gateway/outlier/decide.go
+++ b/internal/gateway/outlier/decide.go
@@ -25,12 +25,12 @@
 	if e.CallID != "" && slices.Contains(s.CallIDs, e.CallID) {
 		return routing.Duplicate, nil
 	}
-	for _, t := range []string{e.CallID, e.Author, e.Reason, e.Service, string(e.Key.ID)} {
-		if len(t) > maxTextBytes {
+	for _, text := range []string{e.CallID, e.Author, e.Reason, e.Service, string(e.Key.ID)} {
+		if len(text) > maxTextBytes {
 			return routing.Invalid, ErrTextTooLong
 		}
 	}
-	c := s.Ejection(e.Key)
+	ejection := s.Ejection(e.Key)
 	rev := s.revision(e.Key)
 	if e.Verb == SetSettings {
 		rev = s.SettingsRevision
@@ -58,22 +58,22 @@
 		}
 		return routing.Accepted, nil
 	case e.Verb == Eject:
-		return s.decideEject(e, c)
-	case c == nil:
+		return s.decideEject(e, ejection)
+	case ejection == nil:
 		return conflict("key", "%s was never convicted as %s", e.Key.ID, e.Key.Mode)
 	case e.Verb == Clear:
 		return routing.Accepted, nil
-	case e.Verb == StepUp && c.Step != InService && c.Step.next(c.Mode) != InService,
-		e.Verb == Readmit && c.Step != InService && c.Step.next(c.Mode) == InService:
+	case e.Verb == StepUp && ejection.Step != InService && ejection.Step.next(ejection.Mode) != InService,
+		e.Verb == Readmit && ejection.Step != InService && ejection.Step.next(ejection.Mode) == InService:
 		return routing.Accepted, nil
 	case e.Verb == StepUp || e.Verb == Readmit:
-		return conflict("verb", "no %s from %s", e.Verb, c.Step)
+		return conflict("verb", "no %s from %s", e.Verb, ejection.Step)
 	}
 	return routing.Invalid, logentry.FieldErrorf("verb", "no %q", e.Verb)
 }
 
 // decideEject decides on an entry that ejects.
-func (s *State) decideEject(e *Entry, c *Ejection) (routing.Result, error) {
+func (s *State) decideEject(e *Entry, ejection *Ejection) (routing.Result, error) {
 	switch {
 	case e.Key.ID == "" || e.Key.Mode >= modeCount || e.Service == "" || e.ReadyBackends < 1:
 		return routing.Invalid, logentry.FieldErrorf("key", "names no backend of a service")
@@ -81,9 +81,9 @@
 		return routing.Invalid, logentry.FieldErrorf("witnesses", "none, or too many")
 	case !s.Enabled():
 		return conflict("settings", "nothing is judged")
-	case c != nil && c.Step == Ejected:
+	case ejection != nil && ejection.Step == Ejected:
 		return conflict("key", "%s is out as %s", e.Key.ID, e.Key.Mode)
-	case c == nil && len(s.snapshot.Ejections) >= maxEjections && s.oldestInService() < 0:
+	case ejection == nil && len(s.snapshot.Ejections) >= maxEjections && s.oldestInService() < 0:
 		return conflict("key", "%d cases are kept, and none of them is free", maxEjections)
 	}
 	if _, ok := s.soleWitness(e); !ok {
@@ -94,7 +94,7 @@
 
 // soleWitness tells on whose evidence alone an ejection is, or NoSlot where it is on several: a refuted witness weighs half of one each time.
 // What one alone may have ejected is the bound on a node that is wrong.
-func (s *State) soleWitness(e *Entry) (alone Slot, ok bool) {
+func (s *State) soleWitness(e *Entry) (sole Slot, ok bool) {
 	weight := 0.0
 	for _, w := range e.Witnesses {
 		weight += math.Pow(0.5, float64(s.refutations(w)))
@@ -105,14 +105,14 @@
 	for _, w := range e.Witnesses[:min(max(e.Sufficient, 0), len(e.Witnesses))] {
 		ofService, ofAll := 0, 0
 		for i := range s.snapshot.Ejections {
-			if o := &s.snapshot.Ejections[i]; o.SoleWitness == w && o.Key != e.Key {
+			if ejection := &s.snapshot.Ejections[i]; ejection.SoleWitness == w && ejection.Key != e.Key {
 				ofAll++
-				if o.Service == e.Service && o.Mode == e.Key.Mode {
+				if ejection.Service == e.Service && ejection.Mode == e.Key.Mode {
 					ofService++
 				}
 			}
 		}
-		if mayService, mayAll := s.snapshot.Settings.soleWitnessLimits(e.ReadyBackends, s.refutations(w)); ofService < mayService && ofAll < mayAll {
+		if serviceLimit, totalLimit := s.snapshot.Settings.soleWitnessLimits(e.ReadyBackends, s.refutations(w)); ofService < serviceLimit && ofAll < totalLimit {
 			return w, true
 		}
 	}
@@ -123,7 +123,7 @@
 func (s *State) refutations(w Slot) int {
 	for _, t := range s.snapshot.Trust {
 		if t.Witness == w {
-			return t.Refuted >> min((s.Revision-t.Rev)/forgiveAfter, 62)
+			return t.Refuted >> min((s.Revision-t.Rev)/refutationHalfLife, 62)
 		}
 	}
 	return 0
@@ -131,11 +131,11 @@
 
 // oldestInService is the ejection to drop where there are too many; -1: none.
 func (s *State) oldestInService() int {
-	least := -1
+	oldest := -1
 	for i := range s.snapshot.Ejections {
-		if c := &s.snapshot.Ejections[i]; c.Step == InService && (least < 0 || c.Rev < s.snapshot.Ejections[least].Rev) {
-			least = i
+		if ejection := &s.snapshot.Ejections[i]; ejection.Step == InService && (oldest < 0 || ejection.Rev < s.snapshot.Ejections[oldest].Rev) {
+			oldest = i
 		}
 	}
-	return least
+	return oldest
 }
--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -18,64 +18,64 @@
 
 // Losses: a lost answer is told from a late one by other answers in its time.
 const (
-	lossConfirmTimeout = 4 * time.Second // after it no node has the slots of that time any more
-	minVouchingAnswers = 2               // clean answers in the second half of its time-out
-	vouchingSpeedup    = 6               // each within so small a part of it
+	lossConfirmTimeout       = 4 * time.Second // after it no node has the slots of that time any more
+	minConfirmingAnswers     = 2               // clean answers in the second half of its time-out
+	confirmingLatencyDivisor = 6               // each within so small a part of it
 )
 
 // Failure rates.
 const (
-	freshWindow       = 2 * time.Second // a window that was reported longer ago is not the present one
-	minFailuresToAsk  = 2               // failures, without the node that has most, that make a question to all nodes
-	minServiceAnswers = 20              // of the service's other backends, to compare with
-	patientRateFactor = 2               // so many times the others' rate
-	patientMinRate    = 0.5             // and so much at the least
-	strictRateFactor  = 4               // so many times the others' rate
-	strictRateMargin  = 0.05            // and so much more
+	freshWindow          = 2 * time.Second // a window that was reported longer ago is not the present one
+	minFailuresToRequest = 2               // failures, without the node that has most, that make a question to all nodes
+	minServiceAnswers    = 20              // of the service's other backends, to compare with
+	patientRateFactor    = 2               // so many times the others' rate
+	patientMinRate       = 0.5             // and so much at the least
+	strictRateFactor     = 4               // so many times the others' rate
+	strictRateMargin     = 0.05            // and so much more
 )
 
 // minFailures that make a verdict by their rate, by mode.
 var minFailures = [modeCount]uint32{5, 8}
 
 // halfAnsweredAfter is after which half of the nodes are enough to answer a question; within it three quarters are.
-const halfAnsweredAfter = 500 * time.Millisecond
+const halfQuorumDelay = 500 * time.Millisecond
 
 // assessment is what the reports on a key come to, under the present revision of its ejection.
 type assessment struct {
-	key        Key
-	evidence   *keyEvidence
-	backend    Backend
-	revision   uint64
-	recovering bool       // it was ejected and is on its way back
-	muted      Slot       // whoever alone had it ejected has no say on its way back
-	conclusive []Slot     // nodes with conclusive evidence
-	selfDoubt  bool       // one of them doubts itself
-	items      []Evidence // all that still count
-	total      Window     // of all nodes
-	worst      Window     // of the node with most failures; empty where there is only one node
+	key             Key
+	evidence        *keyEvidence
+	backend         Backend
+	revision        uint64
+	recovering      bool       // it was ejected and is on its way back
+	excludedWitness Slot       // whoever alone had it ejected has no say on its way back
+	conclusive      []Slot     // nodes with conclusive evidence
+	selfDoubt       bool       // one of them doubts itself
+	items           []Evidence // all that still count
+	total           Window     // of all nodes
+	worst           Window     // of the node with most failures; empty where there is only one node
 }
 
 // counts reports whether a node's observation is one of the assessment's.
-func (a *assessment) counts(from Slot, o *receivedObservation) bool {
-	return o.Rev == a.revision && from != a.muted
+func (a *assessment) includes(from Slot, o *receivedObservation) bool {
+	return o.Rev == a.revision && from != a.excludedWitness
 }
 
 // assess joins the reports on a key.
 func (c *Coordinator) assess(key Key, evidence *keyEvidence, ejection *Ejection) *assessment {
 	a := &assessment{key: key, evidence: evidence, backend: c.backends[key.ID], revision: c.state.revision(key),
-		recovering: ejection != nil && ejection.Step != InService, muted: membership.NoSlot}
+		recovering: ejection != nil && ejection.Step != InService, excludedWitness: membership.NoSlot}
 	if a.recovering {
-		a.muted = ejection.SoleWitness
+		a.excludedWitness = ejection.SoleWitness
 	}
 	for _, from := range evidence.witnesses() {
 		o := evidence.byWitness[from]
-		if !a.counts(from, o) {
+		if !a.includes(from, o) {
 			continue
 		}
 		conclusive := false
 		for _, item := range o.Evidence {
 			if item.Age+c.now-o.receivedAt <= evidenceTTL {
-				conclusive = conclusive || weights[item.Kind][key.Mode] == Conclusive
+				conclusive = conclusive || evidenceWeights[item.Kind][key.Mode] == Conclusive
 				a.items = append(a.items, item)
 			}
 		}
@@ -108,20 +108,20 @@
 	}
 	a := c.assess(key, evidence, ejection)
 	losses, settled := c.confirmedLosses(a)
-	several := len(losses)+len(a.conclusive) > 1 || a.recovering
-	lossesCount := len(losses) > 0 && several && settled && c.requestAnswered(key, evidence) && c.seenInZone(a, losses)
-	if c.ejectByProof(a, losses, lossesCount) {
+	enoughWitnesses := len(losses)+len(a.conclusive) > 1 || a.recovering
+	lossesUsable := len(losses) > 0 && enoughWitnesses && settled && c.requestAnswered(key, evidence) && c.seenInZone(a, losses)
+	if c.ejectOnConclusive(a, losses, lossesUsable) {
 		return
 	}
 	sufficient := 0
 	if a.recovering { // with limited access one that is lost is enough
 		sufficient = len(losses)
 	}
-	if lossesCount && c.proposeEjection(a, ruleLost, losses, sufficient) {
+	if lossesUsable && c.proposeEjection(a, ruleLost, losses, sufficient) {
 		return
 	}
 	others := a.total.sub(a.worst)
-	if others.Failing < minFailuresToAsk || others.failureRate() < doubtRate[key.Mode] || !c.requestAnswered(key, evidence) {
+	if others.Failing < minFailuresToRequest || others.failureRate() < doubtRate[key.Mode] || !c.requestAnswered(key, evidence) {
 		return
 	}
 	if witnesses, exceeds := c.exceedsRate(a); exceeds {
@@ -134,13 +134,13 @@
 }
 
 // ejectByProof proposes a verdict on conclusive evidence. Losses that count make their witnesses witnesses of it too.
-func (c *Coordinator) ejectByProof(a *assessment, losses []Slot, lossesCount bool) bool {
+func (c *Coordinator) ejectOnConclusive(a *assessment, losses []Slot, lossesUsable bool) bool {
 	if len(a.conclusive) == 0 {
 		return false
 	}
 	witnesses, sufficient := slices.Clone(a.conclusive), len(a.conclusive)
 	for _, from := range losses {
-		if lossesCount && !slices.Contains(a.conclusive, from) {
+		if lossesUsable && !slices.Contains(a.conclusive, from) {
 			witnesses = append(witnesses, from)
 		}
 	}
@@ -159,7 +159,7 @@
 		}
 	}
 	since := c.now - evidence.requestedAt
-	if since < retryInterval && (4*answers >= 3*c.nodeCount || 2*answers >= c.nodeCount && since >= halfAnsweredAfter) {
+	if since < retryInterval && (4*answers >= 3*c.nodeCount || 2*answers >= c.nodeCount && since >= halfQuorumDelay) {
 		return true
 	}
 	evidence.changed = true
@@ -173,20 +173,20 @@
 // seenInZone reports whether one of the witnesses is in the backend's zone, or no node there had an answer or a failure of it: links from
 // elsewhere may be bad.
 func (c *Coordinator) seenInZone(a *assessment, witnesses []Slot) bool {
-	used := false
+	zoneHasTraffic := false
 	for from, o := range a.evidence.byWitness {
 		if o.zone == a.backend.Zone && slices.Contains(witnesses, from) {
 			return true
 		}
-		used = used || o.zone == a.backend.Zone && o.Rev == a.revision && c.isFresh(o) && o.Window.total() > 0
+		zoneHasTraffic = zoneHasTraffic || o.zone == a.backend.Zone && o.Rev == a.revision && c.isFresh(o) && o.Window.total() > 0
 	}
-	return !used
+	return !zoneHasTraffic
 }
 
 // confirmsLoss tells a lost answer from a late one: in the second half of its time-out other answers came, quickly, and not at
 // one node alone.
 func (k *keyEvidence) confirmsLoss(revision uint64, item Evidence, at time.Duration, nodes int) bool {
-	var total, best Window
+	var total, largest Window
 	for _, o := range k.byWitness {
 		var sum Window
 		for i, w := range o.Slots {
@@ -195,14 +195,14 @@
 				sum.add(w)
 			}
 		}
-		if total.add(sum); sum.Clean > best.Clean {
-			best = sum
+		if total.add(sum); sum.Clean > largest.Clean {
+			largest = sum
 		}
 	}
 	quick := func(w Window) bool {
-		return w.Clean > 0 && time.Duration(w.LatencyMillis/w.Clean)*time.Millisecond <= item.Timeout/vouchingSpeedup
+		return w.Clean > 0 && time.Duration(w.LatencyMillis/w.Clean)*time.Millisecond <= item.Timeout/confirmingLatencyDivisor
 	}
-	return total.Clean >= minVouchingAnswers && quick(total) && (nodes == 1 || quick(total.sub(best)))
+	return total.Clean >= minConfirmingAnswers && quick(total) && (nodes == 1 || quick(total.sub(largest)))
 }
 
 // confirmedLosses are the nodes whose partial evidence others bear out; not settled while that is still asked.
@@ -211,13 +211,13 @@
 	losses := a.evidence.losses
 	for _, from := range a.evidence.witnesses() {
 		o := a.evidence.byWitness[from]
-		if !a.counts(from, o) {
+		if !a.includes(from, o) {
 			continue
 		}
 		for _, item := range o.Evidence {
 			at := o.receivedAt - item.Age
 			known := losses[from].revision == a.revision && losses[from].observedAt >= at-slotDuration
-			if weights[item.Kind][a.key.Mode] != Partial || known || c.now-at > lossConfirmTimeout {
+			if evidenceWeights[item.Kind][a.key.Mode] != Partial || known || c.now-at > lossConfirmTimeout {
 				continue
 			}
 			if item.Kind == LostAnswer && !c.requestAnswered(a.key, a.evidence) {
@@ -234,7 +234,7 @@
 }
 
 // otherBackends is what each node has of the service's other backends, without those that are in doubt themselves.
-func (c *Coordinator) otherBackends(a *assessment) map[Slot]Window {
+func (c *Coordinator) otherBackendWindows(a *assessment) map[Slot]Window {
 	byNode := map[Slot]Window{}
 	for from, o := range a.evidence.byWitness {
 		if c.isFresh(o) {
@@ -251,7 +251,7 @@
 				total.add(o.Window)
 			}
 		}
-		if key != a.key && (total.Failing < minFailuresToAsk || total.failureRate() < doubtRate[key.Mode]) {
+		if key != a.key && (total.Failing < minFailuresToRequest || total.failureRate() < doubtRate[key.Mode]) {
 			continue
 		}
 		for from, o := range evidence.byWitness {
@@ -275,7 +275,7 @@
 // exceedsRate holds the failure rate against that of the service's other backends; it must exceed it without any one node too. The
 // witnesses are the nodes with failures, that with most first.
 func (c *Coordinator) exceedsRate(a *assessment) (witnesses []Slot, exceeds bool) {
-	byNode := c.otherBackends(a)
+	byNode := c.otherBackendWindows(a)
 	var others Window
 	for _, w := range byNode {
 		others.add(w)
@@ -288,7 +288,7 @@
 			continue
 		}
 		own := a.total
-		if a.counts(from, o) {
+		if a.includes(from, o) {
 			own = a.total.sub(o.Window)
 			if o.Window.Failing > 0 {
 				witnesses = append(witnesses, from)
--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -21,10 +21,10 @@
 	StrayAnswer     // an answer to what its connection never carried
 	DuplicateAnswer // a second answer to what was answered
 	WrongInstance   // a probe answered by another instance
-	evidenceKinds
+	evidenceKindCount
 )
 
-var evidenceNames = [evidenceKinds]string{"none", "clean", "failed", "lost", "reset", "unsealed", "stray", "second", "stranger"}
+var evidenceNames = [evidenceKindCount]string{"none", "clean", "failed", "lost", "reset", "unsealed", "stray", "second", "stranger"}
 
 // String gives the kind's name in reasons.
 func (e EvidenceKind) String() string { return evidenceNames[e] }
@@ -41,7 +41,7 @@
 )
 
 // weights is the one place that says what evidence can do in which mode.
-var weights = [evidenceKinds][modeCount]Weight{
+var evidenceWeights = [evidenceKindCount][modeCount]Weight{
 	ServerError:     {ByRate, ByRate},
 	LostAnswer:      {Partial, Ignored}, // a read that is late is only late
 	ConnectionReset: {Partial, ByRate},
@@ -94,12 +94,12 @@
 
 // describeEvidence gives evidence in words, by kind.
 func describeEvidence(items []Evidence, w Window) string {
-	var counts [evidenceKinds]int
+	var counts [evidenceKindCount]int
 	for _, item := range items {
 		counts[item.Kind]++
 	}
 	text := ""
-	for k := evidenceKinds - 1; k > CleanAnswer; k-- {
+	for k := evidenceKindCount - 1; k > CleanAnswer; k-- {
 		if counts[k] > 0 {
 			text += fmt.Sprintf("%d %s, ", counts[k], k)
 		}
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -8,16 +8,16 @@
 
 // Times and bounds of what a node observes and reports.
 const (
-	linkEvidenceDelay   = 500 * time.Millisecond // evidence that a link may have made is counted after it
-	reportNow           = 1 * time.Nanosecond    // at the next turn
-	reportDelay         = 200 * time.Millisecond // of new evidence on a key
-	slowReportDelay     = time.Second            // of totals, and of failures that count by rate
-	reportRepeat        = 2 * time.Second        // while evidence counts
-	maxObservations     = 32                     // of one report
-	probeInterval       = time.Second            // between probes of a backend
-	noneAvailableRepeat = 5 * time.Second
-	limitedPerSecond    = 10 // requests to a backend with limited access, of all nodes together
-	maxOtherResets      = 2  // so many other backends that reset at once: it was not theirs
+	linkEvidenceDelay           = 500 * time.Millisecond // evidence that a link may have made is counted after it
+	reportNow                   = 1 * time.Nanosecond    // at the next turn
+	reportDelay                 = 200 * time.Millisecond // of new evidence on a key
+	slowReportDelay             = time.Second            // of totals, and of failures that count by rate
+	reportRepeatInterval        = 2 * time.Second        // while evidence counts
+	maxObservations             = 32                     // of one report
+	probeInterval               = time.Second            // between probes of a backend
+	noneAvailableRepeatInterval = 5 * time.Second
+	limitedPerSecond            = 10 // requests to a backend with limited access, of all nodes together
+	maxOtherResets              = 2  // so many other backends that reset at once: it was not theirs
 )
 
 // A node's own ejections, before there is a verdict.
@@ -112,7 +112,7 @@
 		n.delayed = nil
 		for _, state := range n.active {
 			state.delayedCount = 0
-			state.evidence = slices.DeleteFunc(state.evidence, func(item evidenceItem) bool { return weights[item.kind][state.key.Mode] == Partial })
+			state.evidence = slices.DeleteFunc(state.evidence, func(item evidenceItem) bool { return evidenceWeights[item.kind][state.key.Mode] == Partial })
 		}
 	}
 	n.disconnected = !connected
@@ -205,8 +205,8 @@
 	n.updateAccess()
 }
 
-// HandleRequest takes the coordinator's question.
-func (n *Node) HandleRequest(r ReportRequest) {
+// HandleReportRequest answers a request of the coordinator to report on some keys.
+func (n *Node) HandleReportRequest(r ReportRequest) {
 	for _, k := range r.Keys {
 		if instance := n.backends[k.ID]; instance != nil && k.Mode < modeCount {
 			instance.keys[k.Mode].reportWithin = reportNow
@@ -222,10 +222,10 @@
 	n.releaseDelayed()
 	keys := slices.SortedFunc(maps.Keys(n.active), Key.compare)
 	for _, k := range keys {
-		n.maintain(n.active[k])
+		n.maintainKey(n.active[k])
 	}
 	for _, svc := range n.services {
-		if svc.noneAvailableAt > 0 && n.now-svc.noneAvailableAt >= noneAvailableRepeat {
+		if svc.noneAvailableAt > 0 && n.now-svc.noneAvailableAt >= noneAvailableRepeatInterval {
 			n.queueService(svc)
 		}
 	}
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -99,7 +99,7 @@
 		if s := &instance.keys[Strict]; k.Mode == Patient && s.revision > 0 {
 			s.Reads++
 		}
-	case weights[kind][k.Mode] == Ignored:
+	case evidenceWeights[kind][k.Mode] == Ignored:
 	case kind == LostAnswer || kind == ConnectionReset: // a link may have made it
 		if k.Mode == Strict && n.mayEjectLocally(instance) {
 			state.delayedCount++
@@ -116,13 +116,13 @@
 // countEvidence takes what only the backend can have done, or what was delayed long enough.
 func (n *Node) countEvidence(state *keyState, item evidenceItem) {
 	m := state.key.Mode
-	if weights[item.kind][m] != Partial { // those have a rule of their own
+	if evidenceWeights[item.kind][m] != Partial { // those have a rule of their own
 		state.window.slotAt(n.now).Failing++
 		state.backend.service.windows[m].slotAt(n.now).Failing++
 		state.Failing++
 	}
 	n.active[state.key] = state
-	if weights[item.kind][m] == ByRate {
+	if evidenceWeights[item.kind][m] == ByRate {
 		if state.window.sum(n.now).failureRate() >= doubtRate[m] {
 			state.scheduleReport(slowReportDelay)
 		}
@@ -149,8 +149,8 @@
 // mayEjectLocally bounds what a node ejects by itself: one that sees more than half of a service fail doubts itself.
 func (n *Node) mayEjectLocally(instance *backend) bool {
 	svc, count := instance.service, 0
-	for _, o := range svc.backends {
-		if state := &o.keys[Strict]; o != instance && state.locallyEjected(n.now) {
+	for _, other := range svc.backends {
+		if state := &other.keys[Strict]; other != instance && state.locallyEjected(n.now) {
 			count++
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 // maintain does what is due for a key, and lets it go when there is nothing left to do.
-func (n *Node) maintain(state *keyState) {
+func (n *Node) maintainKey(state *keyState) {
 	state.evidence = slices.DeleteFunc(state.evidence, func(item evidenceItem) bool { return n.now-item.observedAt > evidenceTTL })
 	if state.ejectedUntil > 0 && state.ejectedUntil <= n.now {
 		state.ejectedUntil = 0
@@ -221,7 +221,7 @@
 	} else if len(state.evidence) == 0 && state.delayedCount == 0 && state.ejectedUntil == 0 && state.reportWithin == 0 {
 		delete(n.active, state.key)
 	}
-	if len(state.evidence) > 0 && n.now-state.reportedAt >= reportRepeat {
+	if len(state.evidence) > 0 && n.now-state.reportedAt >= reportRepeatInterval {
 		state.scheduleReport(reportNow)
 	}
 }
--- a/internal/gateway/outlier/recovery.go
+++ b/internal/gateway/outlier/recovery.go
@@ -76,10 +76,10 @@
 		return sum
 	}
 	worst := uint32(0)
-	most := e.requiredAnswers()/min(uint32(c.nodeCount), readmitNodes) + 1
+	maxPerNode := e.requiredAnswers()/min(uint32(c.nodeCount), readmitNodes) + 1
 	for _, o := range evidence.byWitness {
 		if o.Rev == e.Rev {
-			sum.add(Totals{Clean: min(o.Clean, most), Failing: o.Failing, Reads: min(o.Reads, most), Probes: o.Probes})
+			sum.add(Totals{Clean: min(o.Clean, maxPerNode), Failing: o.Failing, Reads: min(o.Reads, maxPerNode), Probes: o.Probes})
 			worst = max(worst, o.Failing)
 		}
 	}
@@ -91,7 +91,7 @@
 
 // forgetGone drops the ejections of instances that are gone, or that no registry has known for long.
 func (c *Coordinator) forgetGone() {
-	if c.now-c.forgotAt < retryInterval {
+	if c.now-c.forgetProposedAt < retryInterval {
 		return
 	}
 	var gone []InstanceID
@@ -103,7 +103,7 @@
 		}
 	}
 	if len(gone) > 0 {
-		c.propose(Entry{Verb: Forget, GoneInstances: gone}, &c.forgotAt)
+		c.propose(Entry{Verb: Forget, GoneInstances: gone}, &c.forgetProposedAt)
 	}
 	maps.DeleteFunc(c.backends, func(id InstanceID, b Backend) bool {
 		return b.Phase == Gone && c.state.Ejection(Key{id, Strict}) == nil && c.state.Ejection(Key{id, Patient}) == nil
--- a/internal/gateway/outlier/report.go
+++ b/internal/gateway/outlier/report.go
@@ -21,7 +21,7 @@
 // valid reports whether a node may have made an observation so.
 func (o *Observation) valid() bool {
 	return o.Mode < modeCount && len(o.Slots) <= maxReportedSlots && len(o.Evidence) <= maxEvidence &&
-		!slices.ContainsFunc(o.Evidence, func(e Evidence) bool { return e.Kind >= evidenceKinds || e.Age < 0 || e.Timeout < 0 })
+		!slices.ContainsFunc(o.Evidence, func(e Evidence) bool { return e.Kind >= evidenceKindCount || e.Age < 0 || e.Timeout < 0 })
 }
 
 // Report is what a node has observed since its last one.
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -19,265 +19,265 @@
 )
 
 const (
-	tick = 50 * time.Millisecond
-	ms   = time.Millisecond
-	long = time.Hour // never, in these plays
+	tickInterval = 50 * time.Millisecond
+	ms           = time.Millisecond
+	farFuture    = time.Hour // never, in these plays
 )
 
 // trade is a service of the simulated site.
-type trade struct {
-	name          string
-	backs         int
-	writes, reads float64 // a second, over all nodes
-	work          time.Duration
-	deadline      time.Duration
-	all           []*simBack
+type simService struct {
+	name                string
+	backendCount        int
+	writeRate, readRate float64 // a second, over all nodes
+	typicalLatency      time.Duration
+	timeout             time.Duration
+	backends            []*simBackend
 }
 
 // fault is what a backend does to a request, beside answering it: None for nothing.
-type fault func(w *world, node *simNode, m Mode) (kind EvidenceKind, slower float64)
+type faultFunc func(w *simulation, node *simNode, m Mode) (kind EvidenceKind, slower float64)
 
-type simBack struct {
+type simBackend struct {
 	Backend
-	trade *trade
-	fault fault
-	from  time.Duration // the fault's
-	to    time.Duration // and its end; 0: never
-	dead  bool
-	speed float64
-	first time.Duration // first evidence that a node saw
-	ever  bool          // has a fault of its own
-	reqs  []*request    // under way
-}
-
-type request struct {
-	node *simNode
-	back *simBack
-	key  Key
-	rev  uint64
-	sent time.Duration
-	seen AttemptEnd
-	also EvidenceKind // seen a moment later
-	done bool
+	service         *simService
+	fault           faultFunc
+	faultFrom       time.Duration // the fault's
+	faultUntil      time.Duration // and its end; 0: never
+	crashed         bool
+	latencyFactor   float64
+	firstEvidenceAt time.Duration // first evidence that a node saw
+	faulty          bool          // has a fault of its own
+	requests        []*simRequest // under way
+}
+
+type simRequest struct {
+	node          *simNode
+	backend       *simBackend
+	key           Key
+	rev           uint64
+	sentAt        time.Duration
+	outcome       AttemptEnd
+	laterEvidence EvidenceKind // seen a moment later
+	done          bool
 }
 
 type simNode struct {
 	*Node
-	slot    Slot
-	zone    int
-	state   *State
-	at      int                   // entries applied
-	due     map[int]time.Duration // when an entry comes
-	bind    map[Key]SetAccess
-	out     map[Key]int // under way
-	sentAt  map[Key]time.Duration
-	liar    func(d *simNode) *Report
-	refused int
+	slot        Slot
+	zone        int
+	state       *State
+	applied     int                   // entries applied
+	applyAt     map[int]time.Duration // when an entry comes
+	access      map[Key]SetAccess
+	inFlight    map[Key]int // under way
+	sentAt      map[Key]time.Duration
+	forgeReport func(d *simNode) *Report
+	unserved    int
 }
 
 // world is a site of nodes in three zones, its backends, the core's log and the links between them.
-type world struct {
-	rng    *rand.Rand
-	now    time.Duration
-	trades []*trade
-	backs  []*simBack
-	nodes  []*simNode
-	duty   *Coordinator
-	dutyAt int // its node
-	log    []Entry
-	logAt  []time.Duration
-	state  *State
-	later  map[time.Duration][]func()
-	cuts   []cut
-	base   float64 // share of 5xx that all backends have
-	nr     int
-
-	met             map[EvidenceKind]int // requests that met a fault
-	verdicts, wrong int
-	firstTo, lastTo []time.Duration // first evidence to the entry, and the entry to the last node in touch
-	told            int
-	worst           float64       // share of the patient that is shut, against the bound
-	shutWrong       time.Duration // healthy backends shut by verdicts, times how long, of all nodes' time
-	ownWrong        time.Duration // and by nodes' own holds
-	bad             map[InstanceID]bool
-	most            int // cases that a liar has out alone
+type simulation struct {
+	rng             *rand.Rand
+	now             time.Duration
+	services        []*simService
+	backends        []*simBackend
+	nodes           []*simNode
+	coordinator     *Coordinator
+	coordinatorNode int // its node
+	entries         []Entry
+	appendedAt      []time.Duration
+	state           *State
+	events          map[time.Duration][]func()
+	partitions      []partition
+	baseErrorRate   float64 // share of 5xx that all backends have
+	startedBackends int
+
+	faultCounts                      map[EvidenceKind]int // requests that met a fault
+	ejections, wrongEjections        int
+	detectionTimes, propagationTimes []time.Duration // first evidence to the entry, and the entry to the last node in touch
+	reportsSent                      int
+	worstPatientShare                float64       // share of the patient that is shut, against the bound
+	wronglyClosed                    time.Duration // healthy backends shut by verdicts, times how long, of all nodes' time
+	wronglyClosedLocally             time.Duration // and by nodes' own holds
+	wronglyEjected                   map[InstanceID]bool
+	maxSoleEjections                 int // cases that a liar has out alone
 }
 
 // cut takes a zone or a node from all others for a while.
-type cut struct {
+type partition struct {
 	zone, node int // -1: any
 	from, to   time.Duration
 }
 
-func site() []*trade {
-	return []*trade{
+func largeSite() []*simService {
+	return []*simService{
 		{"libro", 48, 560, 0, 160 * ms, 2 * time.Second, nil},
 		{"catalogo", 64, 80, 900, 120 * ms, 1500 * ms, nil},
 		{"archivo", 32, 0, 300, 300 * ms, 3 * time.Second, nil},
 	}
 }
 
-func small() []*trade {
-	return []*trade{
+func smallSite() []*simService {
+	return []*simService{
 		{"libro", 6, 69, 0, 160 * ms, 2 * time.Second, nil},
 		{"catalogo", 13, 10, 217, 120 * ms, 1500 * ms, nil},
 		{"archivo", 9, 0, 61, 300 * ms, 3 * time.Second, nil},
 	}
 }
 
-func newWorld(seed int64, nodes int, trades []*trade) *world {
-	w := &world{rng: rand.New(rand.NewSource(seed)), trades: trades, state: NewState(),
-		later: map[time.Duration][]func(){}, met: map[EvidenceKind]int{}, bad: map[InstanceID]bool{}}
+func newSimulation(seed int64, nodes int, services []*simService) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewSource(seed)), services: services, state: NewState(),
+		events: map[time.Duration][]func(){}, faultCounts: map[EvidenceKind]int{}, wronglyEjected: map[InstanceID]bool{}}
 	for i := range nodes {
-		w.nodes = append(w.nodes, &simNode{Node: NewNode(zone(i%3), uint64(seed)*1000+uint64(i), 0), slot: Slot(i), zone: i % 3,
-			state: NewState(), due: map[int]time.Duration{}, bind: map[Key]SetAccess{}, out: map[Key]int{},
+		sim.nodes = append(sim.nodes, &simNode{Node: NewNode(zoneName(i%3), uint64(seed)*1000+uint64(i), 0), slot: Slot(i), zone: i % 3,
+			state: NewState(), applyAt: map[int]time.Duration{}, access: map[Key]SetAccess{}, inFlight: map[Key]int{},
 			sentAt: map[Key]time.Duration{}})
-		w.nodes[i].SetNodeCount(nodes)
-		w.nodes[i].SetConnected(true)
+		sim.nodes[i].SetNodeCount(nodes)
+		sim.nodes[i].SetConnected(true)
 	}
-	w.newDuty(1, 0)
-	for _, t := range trades {
-		for i := range t.backs {
-			w.start(t, i%3)
+	sim.startCoordinator(1, 0)
+	for _, svc := range services {
+		for i := range svc.backendCount {
+			sim.startBackend(svc, i%3)
 		}
 	}
-	w.append(Entry{Verb: SetSettings, Settings: &Settings{Enabled: true}})
-	return w
+	sim.appendEntry(Entry{Verb: SetSettings, Settings: &Settings{Enabled: true}})
+	return sim
 }
 
-func zone(i int) string { return fmt.Sprint("zone-", i) }
+func zoneName(i int) string { return fmt.Sprint("zone-", i) }
 
-func (w *world) start(t *trade, z int) *simBack {
-	w.nr++
-	b := &simBack{Backend: Backend{ID: InstanceID(fmt.Sprintf("i-%03d", w.nr)), Service: t.name, Zone: zone(z)}, trade: t,
-		speed: math.Exp(0.15 * w.rng.NormFloat64()), from: long, first: long}
-	w.backs, t.all = append(w.backs, b), append(t.all, b)
-	w.tell(b)
+func (sim *simulation) startBackend(svc *simService, zone int) *simBackend {
+	sim.startedBackends++
+	b := &simBackend{Backend: Backend{ID: InstanceID(fmt.Sprintf("i-%03d", sim.startedBackends)), Service: svc.name, Zone: zoneName(zone)}, service: svc,
+		latencyFactor: math.Exp(0.15 * sim.rng.NormFloat64()), faultFrom: farFuture, firstEvidenceAt: farFuture}
+	sim.backends, svc.backends = append(sim.backends, b), append(svc.backends, b)
+	sim.updateRegistry(b)
 	return b
 }
 
-func (w *world) tell(b *simBack) {
-	for i, d := range w.nodes {
-		l := b.Backend
-		l.Owned = i == w.nr*7919%len(w.nodes)
-		d.SetBackend(l)
+func (sim *simulation) updateRegistry(b *simBackend) {
+	for i, node := range sim.nodes {
+		instance := b.Backend
+		instance.Owned = i == sim.startedBackends*7919%len(sim.nodes)
+		node.SetBackend(instance)
 	}
-	w.duty.SetBackend(b.Backend)
+	sim.coordinator.SetBackend(b.Backend)
 }
 
-func (w *world) newDuty(fence uint64, at int) {
-	w.duty, w.dutyAt = NewCoordinator(fence, w.now), at
-	w.duty.SetNodeCount(len(w.nodes))
-	for _, b := range w.backs {
+func (sim *simulation) startCoordinator(fencingToken uint64, node int) {
+	sim.coordinator, sim.coordinatorNode = NewCoordinator(fencingToken, sim.now), node
+	sim.coordinator.SetNodeCount(len(sim.nodes))
+	for _, b := range sim.backends {
 		if b.Phase == Ready {
-			w.duty.SetBackend(b.Backend)
+			sim.coordinator.SetBackend(b.Backend)
 		}
 	}
-	w.duty.ApplyState(w.state, nil)
+	sim.coordinator.ApplyState(sim.state, nil)
 }
 
 // apart tells whether two places hear each other, and until when they do not.
-func (w *world) apart(nodeA, zoneA, nodeB, zoneB int) (until time.Duration) {
-	for _, c := range w.cuts {
-		if w.now < c.from || w.now >= c.to {
+func (sim *simulation) partitionedUntil(nodeA, zoneA, nodeB, zoneB int) (until time.Duration) {
+	for _, c := range sim.partitions {
+		if sim.now < c.from || sim.now >= c.to {
 			continue
 		}
-		in := func(node, zone int) bool { return node == c.node && node >= 0 || zone == c.zone && c.zone >= 0 }
-		if in(nodeA, zoneA) != in(nodeB, zoneB) {
+		inside := func(node, zone int) bool { return node == c.node && node >= 0 || zone == c.zone && c.zone >= 0 }
+		if inside(nodeA, zoneA) != inside(nodeB, zoneB) {
 			until = max(until, c.to)
 		}
 	}
 	return until
 }
 
-func (w *world) after(in time.Duration, f func()) {
-	at := (w.now + max(in, tick)).Truncate(tick)
-	w.later[at] = append(w.later[at], f)
+func (sim *simulation) schedule(delay time.Duration, event func()) {
+	at := (sim.now + max(delay, tickInterval)).Truncate(tickInterval)
+	sim.events[at] = append(sim.events[at], event)
 }
 
 // append puts an entry into the log, if the state takes it; each node has it a little later, in order.
-func (w *world) append(e Entry) {
-	was := w.state.Ejection(e.Key)
-	if v, _ := w.state.Apply(&e); v != routing.Accepted {
+func (sim *simulation) appendEntry(e Entry) {
+	previous := sim.state.Ejection(e.Key)
+	if result, _ := sim.state.Apply(&e); result != routing.Accepted {
 		return
 	}
-	w.log, w.logAt = append(w.log, e), append(w.logAt, w.now)
-	w.duty.ApplyState(w.state, &e)
+	sim.entries, sim.appendedAt = append(sim.entries, e), append(sim.appendedAt, sim.now)
+	sim.coordinator.ApplyState(sim.state, &e)
 	if e.Verb == Eject {
-		w.verdicts++
-		for _, b := range w.backs {
+		sim.ejections++
+		for _, b := range sim.backends {
 			if b.ID != e.Key.ID {
 				continue
 			}
-			if !b.ever && !b.dead {
-				w.wrong++
-				w.bad[b.ID] = true
+			if !b.faulty && !b.crashed {
+				sim.wrongEjections++
+				sim.wronglyEjected[b.ID] = true
 			}
-			if b.first < w.now && was == nil {
-				w.firstTo = append(w.firstTo, w.now-b.first)
+			if b.firstEvidenceAt < sim.now && previous == nil {
+				sim.detectionTimes = append(sim.detectionTimes, sim.now-b.firstEvidenceAt)
 			}
 		}
 	}
-	for _, d := range w.nodes {
-		d.due[len(w.log)-1] = w.now + 20*ms + time.Duration(w.rng.Intn(100))*ms
+	for _, node := range sim.nodes {
+		node.applyAt[len(sim.entries)-1] = sim.now + 20*ms + time.Duration(sim.rng.Intn(100))*ms
 	}
 }
 
-func (w *world) feed(d *simNode) {
-	touch := w.apart(int(d.slot), d.zone, w.dutyAt, w.dutyAt%3) == 0
-	if d.SetConnected(touch); !touch {
+func (sim *simulation) applyEntries(node *simNode) {
+	connected := sim.partitionedUntil(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0
+	if node.SetConnected(connected); !connected {
 		return
 	}
-	for d.at < len(w.log) && d.due[d.at] <= w.now {
-		if _, err := d.state.Apply(&w.log[d.at]); err != nil {
+	for node.applied < len(sim.entries) && node.applyAt[node.applied] <= sim.now {
+		if _, err := node.state.Apply(&sim.entries[node.applied]); err != nil {
 			panic(err)
 		}
-		delete(d.due, d.at)
-		if d.at++; w.log[d.at-1].Verb == Eject {
-			if late := w.now - w.logAt[d.at-1]; late < time.Second {
-				w.lastTo = append(w.lastTo, late)
+		delete(node.applyAt, node.applied)
+		if node.applied++; sim.entries[node.applied-1].Verb == Eject {
+			if delay := sim.now - sim.appendedAt[node.applied-1]; delay < time.Second {
+				sim.propagationTimes = append(sim.propagationTimes, delay)
 			}
 		}
-		d.ApplyState(d.state, &w.log[d.at-1])
+		node.ApplyState(node.state, &sim.entries[node.applied-1])
 	}
 }
 
 // play goes on for a time.
-func (w *world) play(d time.Duration) {
-	for end := w.now + d; w.now < end; {
-		w.step()
+func (sim *simulation) run(duration time.Duration) {
+	for end := sim.now + duration; sim.now < end; {
+		sim.step()
 	}
 }
 
-func (w *world) step() {
-	w.now += tick
-	for _, f := range w.later[w.now] {
-		f()
+func (sim *simulation) step() {
+	sim.now += tickInterval
+	for _, event := range sim.events[sim.now] {
+		event()
 	}
-	delete(w.later, w.now)
-	for _, t := range w.trades {
-		w.ask(t, Strict, t.writes)
-		w.ask(t, Patient, t.reads)
+	delete(sim.events, sim.now)
+	for _, svc := range sim.services {
+		sim.sendRequests(svc, Strict, svc.writeRate)
+		sim.sendRequests(svc, Patient, svc.readRate)
 	}
-	for _, d := range w.nodes {
-		w.feed(d)
-		if w.now%(2*tick) == 0 || len(d.delayed) > 0 {
-			d.Tick(w.now)
+	for _, node := range sim.nodes {
+		sim.applyEntries(node)
+		if sim.now%(2*tickInterval) == 0 || len(node.delayed) > 0 {
+			node.Tick(sim.now)
 		}
-		w.pull(d)
-		w.check(d)
+		sim.handleActions(node)
+		sim.checkMinInService(node)
 	}
-	w.duty.Tick(w.now)
-	for a, ok := w.duty.Next(); ok; a, ok = w.duty.Next() {
-		switch a := a.(type) {
+	sim.coordinator.Tick(sim.now)
+	for action, ok := sim.coordinator.Next(); ok; action, ok = sim.coordinator.Next() {
+		switch action := action.(type) {
 		case Propose:
-			if w.core() {
-				w.after(tick, func() { w.append(a.Entry) })
+			if sim.hasQuorum() {
+				sim.schedule(tickInterval, func() { sim.appendEntry(action.Entry) })
 			}
 		case BroadcastRequest:
-			for _, d := range w.nodes {
-				if w.apart(int(d.slot), d.zone, w.dutyAt, w.dutyAt%3) == 0 && w.rng.Intn(50) > 0 {
-					w.after(tick, func() { d.HandleRequest(a.Request) })
+			for _, node := range sim.nodes {
+				if sim.partitionedUntil(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 && sim.rng.Intn(50) > 0 {
+					sim.schedule(tickInterval, func() { node.HandleReportRequest(action.Request) })
 				}
 			}
 		}
@@ -285,219 +285,221 @@
 }
 
 // core tells whether the duty's node is with the majority: two zones of three.
-func (w *world) core() bool {
-	for _, c := range w.cuts {
-		if w.now >= c.from && w.now < c.to && (c.zone == w.dutyAt%3 || c.node == w.dutyAt) {
+func (sim *simulation) hasQuorum() bool {
+	for _, c := range sim.partitions {
+		if sim.now >= c.from && sim.now < c.to && (c.zone == sim.coordinatorNode%3 || c.node == sim.coordinatorNode) {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) pull(d *simNode) {
-	for a, ok := d.Next(); ok; a, ok = d.Next() {
-		switch a := a.(type) {
+func (sim *simulation) handleActions(node *simNode) {
+	for action, ok := node.Next(); ok; action, ok = node.Next() {
+		switch action := action.(type) {
 		case SendReport:
-			r := a.Report
-			if d.liar != nil {
+			report := action.Report
+			if node.forgeReport != nil {
 				continue
 			}
-			w.send(d, r)
+			sim.deliverReport(node, report)
 		case SetAccess:
-			d.bind[a.Key] = a
+			node.access[action.Key] = action
 		case Probe:
-			for _, b := range w.backs {
-				if b.ID == a.ID && !b.dead && w.apart(int(d.slot), d.zone, -1, zoneOf(b)) == 0 {
-					w.after(2*tick, func() { d.HandleProbe(b.ID, b.ID, true) }) // it lies: always well
+			for _, b := range sim.backends {
+				if b.ID == action.ID && !b.crashed && sim.partitionedUntil(int(node.slot), node.zone, -1, zoneOf(b)) == 0 {
+					sim.schedule(2*tickInterval, func() { node.HandleProbe(b.ID, b.ID, true) }) // it lies: always well
 				}
 			}
 		}
 	}
-	if d.liar != nil {
-		if r := d.liar(d); r != nil {
-			w.send(d, *r)
+	if node.forgeReport != nil {
+		if report := node.forgeReport(node); report != nil {
+			sim.deliverReport(node, *report)
 		}
 	}
 }
 
-func zoneOf(b *simBack) int { return int(b.Zone[len(b.Zone)-1] - '0') }
+func zoneOf(b *simBackend) int { return int(b.Zone[len(b.Zone)-1] - '0') }
 
 // send takes a report to the duty; one of fifty is lost, one of fifty comes twice.
-func (w *world) send(d *simNode, r Report) {
-	w.told++
-	n := 1
-	switch w.rng.Intn(50) {
+func (sim *simulation) deliverReport(node *simNode, report Report) {
+	sim.reportsSent++
+	copies := 1
+	switch sim.rng.Intn(50) {
 	case 0:
-		n = 0
+		copies = 0
 	case 1:
-		n = 2
+		copies = 2
 	}
-	for range n {
-		w.after(time.Duration(w.rng.Intn(60))*ms, func() {
-			if w.apart(int(d.slot), d.zone, w.dutyAt, w.dutyAt%3) == 0 {
-				w.duty.HandleReport(d.slot, r)
+	for range copies {
+		sim.schedule(time.Duration(sim.rng.Intn(60))*ms, func() {
+			if sim.partitionedUntil(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 {
+				sim.coordinator.HandleReport(node.slot, report)
 			}
 		})
 	}
 }
 
 // ask sends a tick's requests of one manner.
-func (w *world) ask(t *trade, m Mode, rate float64) {
-	for n := rate * tick.Seconds(); n > 0; n-- {
-		if n < 1 && w.rng.Float64() > n {
+func (sim *simulation) sendRequests(svc *simService, m Mode, rate float64) {
+	for n := rate * tickInterval.Seconds(); n > 0; n-- {
+		if n < 1 && sim.rng.Float64() > n {
 			break
 		}
-		d := w.nodes[w.rng.Intn(len(w.nodes))]
-		if b := w.pick(d, t, m); b != nil {
-			w.request(d, b, m)
+		node := sim.nodes[sim.rng.Intn(len(sim.nodes))]
+		if b := sim.pickBackend(node, svc, m); b != nil {
+			sim.sendRequest(node, b, m)
 		} else {
-			d.refused++
+			node.unserved++
 		}
 	}
 }
 
 // pick chooses one in the node's zone, else any, as its binds let it.
-func (w *world) pick(d *simNode, t *trade, m Mode) *simBack {
-	var near, far []*simBack
-	for _, b := range t.all {
-		k := Key{b.ID, m}
+func (sim *simulation) pickBackend(node *simNode, svc *simService, m Mode) *simBackend {
+	var near, far []*simBackend
+	for _, b := range svc.backends {
+		key := Key{b.ID, m}
 		if b.Phase != Ready {
 			continue
 		}
-		switch x := d.bind[k]; {
-		case x.Access == Closed, x.Access == Limited && (d.out[k] > 0 || w.now-d.sentAt[k] < x.Interval):
-		case zoneOf(b) == d.zone:
+		switch access := node.access[key]; {
+		case access.Access == Closed, access.Access == Limited && (node.inFlight[key] > 0 || sim.now-node.sentAt[key] < access.Interval):
+		case zoneOf(b) == node.zone:
 			near = append(near, b)
 		default:
 			far = append(far, b)
 		}
 	}
-	if len(near) == 0 || w.rng.Intn(10) == 0 && len(far) > 0 { // some cross anyway
+	if len(near) == 0 || sim.rng.Intn(10) == 0 && len(far) > 0 { // some cross anyway
 		near = far
 	}
 	if len(near) == 0 {
 		return nil
 	}
-	return near[w.rng.Intn(len(near))]
+	return near[sim.rng.Intn(len(near))]
 }
 
-func (w *world) request(d *simNode, b *simBack, m Mode) {
-	t := b.trade
-	x := &request{node: d, back: b, key: Key{b.ID, m}, rev: d.Revision(Key{b.ID, m}), sent: w.now, seen: AttemptEnd{Ending: control.Succeeded}}
-	d.out[x.key]++
-	d.sentAt[x.key] = w.now
-	kind, slower := NoEvidence, 1.0
-	if b.fault != nil && w.now >= b.from {
-		kind, slower = b.fault(w, d, m)
+func (sim *simulation) sendRequest(node *simNode, b *simBackend, m Mode) {
+	svc := b.service
+	req := &simRequest{node: node, backend: b, key: Key{b.ID, m}, rev: node.Revision(Key{b.ID, m}), sentAt: sim.now, outcome: AttemptEnd{Ending: control.Succeeded}}
+	node.inFlight[req.key]++
+	node.sentAt[req.key] = sim.now
+	kind, slowdown := NoEvidence, 1.0
+	if b.fault != nil && sim.now >= b.faultFrom {
+		kind, slowdown = b.fault(sim, node, m)
 	}
-	if kind == NoEvidence && w.rng.Float64() < w.base {
+	if kind == NoEvidence && sim.rng.Float64() < sim.baseErrorRate {
 		kind = ServerError
 	}
-	took := time.Duration(float64(t.work) * b.speed * slower * math.Exp(0.4*w.rng.NormFloat64()))
-	if b.to > 0 { // it goes on at its usual pace then
-		took = min(took, b.to-w.now+time.Duration(float64(took)/slower))
+	latency := time.Duration(float64(svc.typicalLatency) * b.latencyFactor * slowdown * math.Exp(0.4*sim.rng.NormFloat64()))
+	if b.faultUntil > 0 { // it goes on at its usual pace then
+		latency = min(latency, b.faultUntil-sim.now+time.Duration(float64(latency)/slowdown))
 	}
-	if until := w.apart(int(d.slot), d.zone, -1, zoneOf(b)); until > 0 {
-		took += until - w.now + time.Duration(200+w.rng.Intn(800))*ms
+	if until := sim.partitionedUntil(int(node.slot), node.zone, -1, zoneOf(b)); until > 0 {
+		latency += until - sim.now + time.Duration(200+sim.rng.Intn(800))*ms
 	}
-	for _, c := range w.cuts { // one that begins on its way
-		in := func(node, zone int) bool { return c.node >= 0 && node == c.node || c.zone >= 0 && zone == c.zone }
-		if c.from > w.now && c.from < w.now+took && in(int(d.slot), d.zone) != in(-1, zoneOf(b)) {
-			took += c.to - c.from + time.Duration(200+w.rng.Intn(800))*ms
+	for _, c := range sim.partitions { // one that begins on its way
+		inside := func(index, zoneIndex int) bool {
+			return c.node >= 0 && index == c.node || c.zone >= 0 && zoneIndex == c.zone
+		}
+		if c.from > sim.now && c.from < sim.now+latency && inside(int(node.slot), node.zone) != inside(-1, zoneOf(b)) {
+			latency += c.to - c.from + time.Duration(200+sim.rng.Intn(800))*ms
 		}
 	}
 	switch kind {
 	case LostAnswer:
-		took = long
+		latency = farFuture
 	case ServerError:
-		x.seen.Ending = control.Errored
+		req.outcome.Ending = control.Errored
 	case MalformedAnswer:
-		x.seen = AttemptEnd{Ending: control.Errored, Malformed: true}
+		req.outcome = AttemptEnd{Ending: control.Errored, Malformed: true}
 	case ConnectionReset:
-		x.seen = AttemptEnd{Ending: control.ConnectionLost, PartialAnswer: true}
+		req.outcome = AttemptEnd{Ending: control.ConnectionLost, PartialAnswer: true}
 	case DuplicateAnswer, StrayAnswer:
-		x.also = kind
+		req.laterEvidence = kind
 	}
 	if kind != NoEvidence {
-		w.met[kind]++
+		sim.faultCounts[kind]++
 	}
-	if took > t.deadline {
-		took, x.seen = t.deadline, AttemptEnd{Ending: control.TimedOut}
+	if latency > svc.timeout {
+		latency, req.outcome = svc.timeout, AttemptEnd{Ending: control.TimedOut}
 	}
-	if b.dead {
-		x.seen = AttemptEnd{Ending: control.Unreachable}
-		took = tick
+	if b.crashed {
+		req.outcome = AttemptEnd{Ending: control.Unreachable}
+		latency = tickInterval
 	}
-	b.reqs = append(slices.DeleteFunc(b.reqs, func(r *request) bool { return r.done }), x)
-	w.after(took, func() { w.end(x) })
+	b.requests = append(slices.DeleteFunc(b.requests, func(r *simRequest) bool { return r.done }), req)
+	sim.schedule(latency, func() { sim.endRequest(req) })
 }
 
-func (w *world) end(x *request) {
-	if x.done {
+func (sim *simulation) endRequest(req *simRequest) {
+	if req.done {
 		return
 	}
-	x.done = true
-	d := x.node
-	d.out[x.key]--
-	if k := x.seen.Evidence(); k > CleanAnswer && x.back.first == long && w.now > x.back.from {
-		x.back.first = w.now
-	}
-	d.Node.now = w.now
-	d.RecordAttempt(x.key, x.rev, x.sent, x.seen)
-	if x.also != NoEvidence {
-		w.after(2*tick, func() {
-			if x.back.first == long {
-				x.back.first = w.now
+	req.done = true
+	node := req.node
+	node.inFlight[req.key]--
+	if kind := req.outcome.Evidence(); kind > CleanAnswer && req.backend.firstEvidenceAt == farFuture && sim.now > req.backend.faultFrom {
+		req.backend.firstEvidenceAt = sim.now
+	}
+	node.Node.now = sim.now
+	node.RecordAttempt(req.key, req.rev, req.sentAt, req.outcome)
+	if req.laterEvidence != NoEvidence {
+		sim.schedule(2*tickInterval, func() {
+			if req.backend.firstEvidenceAt == farFuture {
+				req.backend.firstEvidenceAt = sim.now
 			}
-			d.RecordEvidence(x.key, x.rev, x.also)
+			node.RecordEvidence(req.key, req.rev, req.laterEvidence)
 		})
 	}
-	w.pull(d)
+	sim.handleActions(node)
 }
 
 // check holds every node against the floor, at every moment.
-func (w *world) check(d *simNode) {
-	if w.now%(10*tick) != 0 {
+func (sim *simulation) checkMinInService(node *simNode) {
+	if sim.now%(10*tickInterval) != 0 {
 		return
 	}
-	for _, t := range w.trades {
+	for _, svc := range sim.services {
 		ready, open := 0, 0
-		for _, b := range t.all {
+		for _, b := range svc.backends {
 			if b.Phase != Ready {
 				continue
 			}
 			ready++
-			if d.bind[Key{b.ID, Patient}].Access == Open {
+			if node.access[Key{b.ID, Patient}].Access == Open {
 				open++
 			}
-			if x := d.bind[Key{b.ID, Strict}]; x.Access == Closed && !b.ever && !b.dead {
-				if x.Local {
-					w.ownWrong += 10 * tick / time.Duration(len(w.nodes))
+			if access := node.access[Key{b.ID, Strict}]; access.Access == Closed && !b.faulty && !b.crashed {
+				if access.Local {
+					sim.wronglyClosedLocally += 10 * tickInterval / time.Duration(len(sim.nodes))
 				} else {
-					w.shutWrong += 10 * tick / time.Duration(len(w.nodes))
+					sim.wronglyClosed += 10 * tickInterval / time.Duration(len(sim.nodes))
 				}
 			}
 		}
-		floor := d.state.Settings().minInService(ready)
-		if open < floor {
-			panic(fmt.Sprintf("node %d has %d of %d open, floor %d", d.slot, open, ready, floor))
+		minimum := node.state.Settings().minInService(ready)
+		if open < minimum {
+			panic(fmt.Sprintf("node %d has %d of %d open, floor %d", node.slot, open, ready, minimum))
 		}
-		w.worst = max(w.worst, float64(ready-open)/float64(max(ready-floor, 1)))
+		sim.worstPatientShare = max(sim.worstPatientShare, float64(ready-open)/float64(max(ready-minimum, 1)))
 	}
 }
 
 // sick makes some of a service's backends do a thing to a share of a manner's requests, from callers of a zone (-1: any).
-func (w *world) sick(service string, part float64, m Mode, kind EvidenceKind, share float64, caller int) {
-	var all []*simBack
-	for _, b := range w.backs {
+func (sim *simulation) injectFault(service string, backendShare float64, m Mode, kind EvidenceKind, requestShare float64, caller int) {
+	var candidates []*simBackend
+	for _, b := range sim.backends {
 		if b.Service == service {
-			all = append(all, b)
+			candidates = append(candidates, b)
 		}
 	}
-	for _, b := range all[:int(part*float64(len(all)))] {
-		b.from, b.ever = 5*time.Second+time.Duration(w.rng.Intn(2000))*ms, caller < 0
-		b.fault = func(w *world, d *simNode, is Mode) (EvidenceKind, float64) {
-			if is == m && w.rng.Float64() < share && (caller < 0 || caller == d.zone && caller != zoneOf(b)) {
+	for _, b := range candidates[:int(backendShare*float64(len(candidates)))] {
+		b.faultFrom, b.faulty = 5*time.Second+time.Duration(sim.rng.Intn(2000))*ms, caller < 0
+		b.fault = func(sim *simulation, node *simNode, mode Mode) (EvidenceKind, float64) {
+			if mode == m && sim.rng.Float64() < requestShare && (caller < 0 || caller == node.zone && caller != zoneOf(b)) {
 				return kind, 1
 			}
 			return NoEvidence, 1
@@ -506,79 +508,79 @@
 }
 
 // breaks ends what is under way at a backend, or from a node, by a reset.
-func (w *world) breaks(is func(x *request) bool) {
-	for _, b := range w.backs {
-		for _, x := range slices.Clone(b.reqs) {
-			if !x.done && is(x) {
-				x.seen, x.also = AttemptEnd{Ending: control.ConnectionLost}, NoEvidence
-				w.end(x)
+func (sim *simulation) resetConnections(matches func(req *simRequest) bool) {
+	for _, b := range sim.backends {
+		for _, req := range slices.Clone(b.requests) {
+			if !req.done && matches(req) {
+				req.outcome, req.laterEvidence = AttemptEnd{Ending: control.ConnectionLost}, NoEvidence
+				sim.endRequest(req)
 			}
 		}
 	}
 }
 
 // crash ends a backend without a word; its registrar tells of it 3 s later, another begins after 5.
-func (w *world) crash(b *simBack) {
-	if b.dead || b.Phase != Ready {
+func (sim *simulation) crashBackend(b *simBackend) {
+	if b.crashed || b.Phase != Ready {
 		return
 	}
-	b.dead = true
-	if w.rng.Intn(2) == 0 {
-		w.breaks(func(x *request) bool { return x.back == b })
+	b.crashed = true
+	if sim.rng.Intn(2) == 0 {
+		sim.resetConnections(func(req *simRequest) bool { return req.backend == b })
 	}
-	w.after(3*time.Second, func() { w.phase(b, Gone) })
-	w.after(5*time.Second, func() { w.start(b.trade, zoneOf(b)) })
+	sim.schedule(3*time.Second, func() { sim.setPhase(b, Gone) })
+	sim.schedule(5*time.Second, func() { sim.startBackend(b.service, zoneOf(b)) })
 }
 
-func (w *world) phase(b *simBack, p Phase) {
+func (sim *simulation) setPhase(b *simBackend, p Phase) {
 	b.Phase = p
 	if p == Gone {
-		b.trade.all = slices.DeleteFunc(b.trade.all, func(o *simBack) bool { return o == b })
+		b.service.backends = slices.DeleteFunc(b.service.backends, func(other *simBackend) bool { return other == b })
 	}
-	w.tell(b)
+	sim.updateRegistry(b)
 }
 
 // usual are the troubles of the sites: none of them is a sick backend.
-func (w *world) usual(every time.Duration) {
-	w.base = 0.01
-	any := func() *simBack {
-		t := w.trades[w.rng.Intn(len(w.trades))]
-		return t.all[w.rng.Intn(len(t.all))]
-	}
-	cutFor := func(c cut, from time.Duration) {
-		c.from, c.to = from, from+time.Duration(1000+w.rng.Intn(7000))*ms
-		w.cuts = append(w.cuts, c)
-		if c.zone == w.dutyAt%3 || c.node == w.dutyAt { // who follows is on the other side
-			w.after(c.from-w.now+1500*ms, func() { w.newDuty(w.duty.fencingToken+1, (w.dutyAt+1)%len(w.nodes)) })
+func (sim *simulation) scheduleDisturbances(interval time.Duration) {
+	sim.baseErrorRate = 0.01
+	randomBackend := func() *simBackend {
+		svc := sim.services[sim.rng.Intn(len(sim.services))]
+		return svc.backends[sim.rng.Intn(len(svc.backends))]
+	}
+	addPartition := func(c partition, from time.Duration) {
+		c.from, c.to = from, from+time.Duration(1000+sim.rng.Intn(7000))*ms
+		sim.partitions = append(sim.partitions, c)
+		if c.zone == sim.coordinatorNode%3 || c.node == sim.coordinatorNode { // who follows is on the other side
+			sim.schedule(c.from-sim.now+1500*ms, func() { sim.startCoordinator(sim.coordinator.fencingToken+1, (sim.coordinatorNode+1)%len(sim.nodes)) })
 		}
 	}
-	for at := every; at < long/20; at += time.Duration((0.5 + w.rng.Float64()) * float64(every)) {
-		what := w.rng.Intn(7)
-		w.after(at, func() {
-			switch what {
+	for at := interval; at < farFuture/20; at += time.Duration((0.5 + sim.rng.Float64()) * float64(interval)) {
+		disturbance := sim.rng.Intn(7)
+		sim.schedule(at, func() {
+			switch disturbance {
 			case 0:
-				w.crash(any())
+				sim.crashBackend(randomBackend())
 			case 1: // many at once
 				for range 4 {
-					w.crash(any())
+					sim.crashBackend(randomBackend())
 				}
 			case 2:
-				cutFor(cut{zone: w.rng.Intn(3), node: -1}, w.now+time.Second)
+				addPartition(partition{zone: sim.rng.Intn(3), node: -1}, sim.now+time.Second)
 			case 3:
-				cutFor(cut{zone: -1, node: w.rng.Intn(len(w.nodes))}, w.now+time.Second)
+				addPartition(partition{zone: -1, node: sim.rng.Intn(len(sim.nodes))}, sim.now+time.Second)
 			case 4: // all connections of a node
-				d := w.nodes[w.rng.Intn(len(w.nodes))]
-				w.breaks(func(x *request) bool { return x.node == d })
+				node := sim.nodes[sim.rng.Intn(len(sim.nodes))]
+				sim.resetConnections(func(req *simRequest) bool { return req.node == node })
 			case 5: // slow for ten seconds
-				b, times := any(), []float64{3, 10, 100}[w.rng.Intn(3)]
-				b.from, b.to = w.now, w.now+10*time.Second
-				b.fault = func(*world, *simNode, Mode) (EvidenceKind, float64) { return NoEvidence, times }
-				w.after(10*time.Second, func() { b.fault, b.to = nil, 0 })
+				b, slowdown := randomBackend(), []float64{3, 10, 100}[sim.rng.Intn(3)]
+				b.faultFrom, b.faultUntil = sim.now, sim.now+10*time.Second
+				b.fault = func(*simulation, *simNode, Mode) (EvidenceKind, float64) { return NoEvidence, slowdown }
+				sim.schedule(10*time.Second, func() { b.fault, b.faultUntil = nil, 0 })
 			case 6:
-				if b := any(); b.Phase == Ready && !b.dead {
-					w.phase(b, Draining)
-					w.after(2*time.Second, func() { w.phase(b, Gone) })
-					w.start(b.trade, zoneOf(b))
+				if b := randomBackend(); b.Phase == Ready && !b.crashed {
+					sim.setPhase(b, Draining)
+					sim.schedule(2*time.Second, func() { sim.setPhase(b, Gone) })
+					sim.startBackend(b.service, zoneOf(b))
 				}
 			}
 		})
@@ -586,178 +588,178 @@
 }
 
 // agree: once nothing is cut, all nodes have come to the same, whatever they heard in between.
-func (w *world) agree() {
-	w.cuts = nil
-	for _, d := range w.nodes {
-		d.due = map[int]time.Duration{}
-		w.feed(d)
-		w.pull(d)
-		if !bytes.Equal(w.state.Snapshot(), d.state.Snapshot()) {
-			panic(fmt.Sprint("node ", d.slot, " has another state"))
+func (sim *simulation) checkConvergence() {
+	sim.partitions = nil
+	for _, node := range sim.nodes {
+		node.applyAt = map[int]time.Duration{}
+		sim.applyEntries(node)
+		sim.handleActions(node)
+		if !bytes.Equal(sim.state.Snapshot(), node.state.Snapshot()) {
+			panic(fmt.Sprint("node ", node.slot, " has another state"))
 		}
-		for k, b := range d.bind {
-			if o := w.nodes[0].bind[k]; !b.Local && !o.Local && b.Access != o.Access {
-				panic(fmt.Sprintf("nodes %d and 0 bind %v otherwise", d.slot, k))
+		for k, b := range node.access {
+			if o := sim.nodes[0].access[k]; !b.Local && !o.Local && b.Access != o.Access {
+				panic(fmt.Sprintf("nodes %d and 0 bind %v otherwise", node.slot, k))
 			}
 		}
 	}
 }
 
 // plays runs seeds on three cores.
-func plays(n int, play func(seed int64) *world, each func(w *world)) {
+func runSeeds(count int, simulate func(seed int64) *simulation, collect func(sim *simulation)) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	next := make(chan int64)
 	for range 3 {
-		all.Add(1)
+		workers.Add(1)
 		go func() {
-			defer all.Done()
+			defer workers.Done()
 			for seed := range next {
-				w := play(seed)
+				sim := simulate(seed)
 				mu.Lock()
-				each(w)
+				collect(sim)
 				mu.Unlock()
 			}
 		}()
 	}
-	for seed := range int64(n) {
+	for seed := range int64(count) {
 		next <- seed
 	}
 	close(next)
-	all.Wait()
+	workers.Wait()
 }
 
 // seeds are more where OUTLIER_SEEDS says so.
-func seeds(usual int) int {
+func seedCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("OUTLIER_SEEDS")); err == nil {
 		return n
 	}
-	return usual
+	return defaultCount
 }
 
 // The usual troubles, one every five seconds, are no verdicts; what is shut wrongly is counted.
-func TestUsualTroubles(t *testing.T) {
+func TestDisturbancesCauseNoEjections(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		nodes  int
-		trades func() []*trade
+		trades func() []*simService
 		n      int
-	}{{12, small, seeds(24)}, {96, site, seeds(6)}} {
-		wrong, verdicts, worst, played, own, told := 0, 0, 0.0, time.Duration(0), time.Duration(0), 0
-		plays(c.n, func(seed int64) *world {
-			w := newWorld(seed, c.nodes, c.trades())
-			w.usual(5 * time.Second)
-			w.play(60 * time.Second)
-			w.agree()
-			return w
-		}, func(w *world) {
-			wrong, verdicts, worst, played = wrong+w.wrong, verdicts+w.verdicts, max(worst, w.worst), played+w.now
-			own, told = own+w.ownWrong, told+w.told
-			for _, p := range w.state.History() {
-				if p.Verb == Eject && w.bad[p.Key.ID] {
-					t.Log(p.Key, p.Reason, p.Witnesses)
+	}{{12, smallSite, seedCount(24)}, {96, largeSite, seedCount(6)}} {
+		wrongEjections, ejections, worstShare, simulated, closedLocally, reports := 0, 0, 0.0, time.Duration(0), time.Duration(0), 0
+		runSeeds(tc.n, func(seed int64) *simulation {
+			sim := newSimulation(seed, tc.nodes, tc.trades())
+			sim.scheduleDisturbances(5 * time.Second)
+			sim.run(60 * time.Second)
+			sim.checkConvergence()
+			return sim
+		}, func(sim *simulation) {
+			wrongEjections, ejections, worstShare, simulated = wrongEjections+sim.wrongEjections, ejections+sim.ejections, max(worstShare, sim.worstPatientShare), simulated+sim.now
+			closedLocally, reports = closedLocally+sim.wronglyClosedLocally, reports+sim.reportsSent
+			for _, record := range sim.state.History() {
+				if record.Verb == Eject && sim.wronglyEjected[record.Key.ID] {
+					t.Log(record.Key, record.Reason, record.Witnesses)
 				}
 			}
 		})
 		t.Logf("%d nodes: %d seeds, %v: %d wrong of %d verdicts; patient: %.2f of its bound shut; held off by single nodes: %v; %.1f reports/s",
-			c.nodes, c.n, played, wrong, verdicts, worst, own.Round(ms), float64(told)/played.Seconds())
-		must.LessEq(t, 1+int(played.Hours()/10), wrong)
+			tc.nodes, tc.n, simulated, wrongEjections, ejections, worstShare, closedLocally.Round(ms), float64(reports)/simulated.Seconds())
+		must.LessEq(t, 1+int(simulated.Hours()/10), wrongEjections)
 	}
 }
 
 // lies says of forty backends whatever may convict, bears out what others say, and says that all else is well.
-func (w *world) lies(d *simNode) *Report {
-	if w.now%(4*tick) != 0 || w.now < 5*time.Second {
+func (sim *simulation) forgedReport(node *simNode) *Report {
+	if sim.now%(4*tickInterval) != 0 || sim.now < 5*time.Second {
 		return nil
 	}
-	d.seq++
-	r := &Report{Zone: zone(w.rng.Intn(3)), Incarnation: 1, Seq: d.seq}
-	var late []Window
+	node.seq++
+	report := &Report{Zone: zoneName(sim.rng.Intn(3)), Incarnation: 1, Seq: node.seq}
+	var slots []Window
 	for range maxReportedSlots {
-		late = append(late, Window{Clean: 50, LatencyMillis: 500})
+		slots = append(slots, Window{Clean: 50, LatencyMillis: 500})
 	}
-	for _, i := range w.rng.Perm(len(w.backs))[:min(40, len(w.backs))] {
+	for _, i := range sim.rng.Perm(len(sim.backends))[:min(40, len(sim.backends))] {
 		for m := range modeCount {
-			f := Observation{Key: Key{w.backs[i].ID, m}, Window: Window{0, 1000, 0}, ServiceWindow: Window{1 << 20, 0, 0}, Slots: late,
+			observation := Observation{Key: Key{sim.backends[i].ID, m}, Window: Window{0, 1000, 0}, ServiceWindow: Window{1 << 20, 0, 0}, Slots: slots,
 				Totals: Totals{Failing: 1 << 20}}
-			f.Rev = d.state.revision(f.Key)
-			for k := ServerError; k < evidenceKinds; k++ {
-				f.Evidence = append(f.Evidence, Evidence{k, 0, 2 * time.Second})
+			observation.Rev = node.state.revision(observation.Key)
+			for kind := ServerError; kind < evidenceKindCount; kind++ {
+				observation.Evidence = append(observation.Evidence, Evidence{kind, 0, 2 * time.Second})
 			}
-			r.Observations = append(r.Observations, f)
+			report.Observations = append(report.Observations, observation)
 		}
 	}
-	return r
+	return report
 }
 
 // A node that sees nonsense on purpose has out what its bound says at every moment, and less with each refuted verdict.
 func TestOneLyingNode(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct {
-		nodes    int
-		trades   func() []*trade
-		troubles bool
-		n        int
-	}{{96, site, false, seeds(1)}, {12, small, false, seeds(6)}, {12, small, true, seeds(6)}} {
-		most, verdicts, shut, by, others := 0, 0, time.Duration(0), time.Duration(0), 0
-		plays(c.n, func(seed int64) *world {
-			w := newWorld(seed, c.nodes, c.trades())
-			if c.troubles {
-				w.usual(5 * time.Second)
+	for _, tc := range []struct {
+		nodes         int
+		trades        func() []*simService
+		troubles      bool
+		soleEjections int
+	}{{96, largeSite, false, seedCount(1)}, {12, smallSite, false, seedCount(6)}, {12, smallSite, true, seedCount(6)}} {
+		maxEjected, ejections, closedTime, simulated, sharedEjections := 0, 0, time.Duration(0), time.Duration(0), 0
+		runSeeds(tc.soleEjections, func(seed int64) *simulation {
+			sim := newSimulation(seed, tc.nodes, tc.trades())
+			if tc.troubles {
+				sim.scheduleDisturbances(5 * time.Second)
 			}
-			w.base = 0.004
-			liar := w.nodes[1]
-			liar.liar = w.lies
-			for w.now < 90*time.Second {
-				w.step()
-				n, of := 0, map[string]int{}
-				for _, x := range w.state.Ejections() {
+			sim.baseErrorRate = 0.004
+			liar := sim.nodes[1]
+			liar.forgeReport = sim.forgedReport
+			for sim.now < 90*time.Second {
+				sim.step()
+				soleEjections, byService := 0, map[string]int{}
+				for _, x := range sim.state.Ejections() {
 					if x.Step != InService && x.SoleWitness == liar.slot {
-						n++
-						of[x.Service+x.Mode.String()]++
-					} else if x.Step != InService && !c.troubles {
+						soleEjections++
+						byService[x.Service+x.Mode.String()]++
+					} else if x.Step != InService && !tc.troubles {
 						panic(fmt.Sprintf("%v is out by more than the liar", x))
 					}
 				}
-				w.most = max(w.most, n)
-				for _, x := range w.trades {
+				sim.maxSoleEjections = max(sim.maxSoleEjections, soleEjections)
+				for _, x := range sim.services {
 					for m := range modeCount {
-						a, all := w.state.Settings().soleWitnessLimits(len(x.all), 0)
-						if k := of[x.name+m.String()]; k > a && !c.troubles || n > all {
-							panic(fmt.Sprintf("node %d alone has %d of %s out, %d in all", liar.slot, k, x.name, n))
+						serviceLimit, totalLimit := sim.state.Settings().soleWitnessLimits(len(x.backends), 0)
+						if count := byService[x.name+m.String()]; count > serviceLimit && !tc.troubles || soleEjections > totalLimit {
+							panic(fmt.Sprintf("node %d alone has %d of %s out, %d in all", liar.slot, count, x.name, soleEjections))
 						}
 					}
 				}
 			}
-			return w
-		}, func(w *world) {
-			most, verdicts, shut, by = max(most, w.most), verdicts+w.verdicts, shut+w.shutWrong, by+w.now
-			for _, p := range w.state.History() {
-				if p.Verb == Eject && len(p.Witnesses) > 1 && w.bad[p.Key.ID] {
-					others++
+			return sim
+		}, func(sim *simulation) {
+			maxEjected, ejections, closedTime, simulated = max(maxEjected, sim.maxSoleEjections), ejections+sim.ejections, closedTime+sim.wronglyClosed, simulated+sim.now
+			for _, record := range sim.state.History() {
+				if record.Verb == Eject && len(record.Witnesses) > 1 && sim.wronglyEjected[record.Key.ID] {
+					sharedEjections++
 				}
 			}
 		})
 		t.Logf("%d nodes, troubles %v: %d seeds, %v: at most %d out at once, %d verdicts (%d by more than the liar), shut for writes %v",
-			c.nodes, c.troubles, c.n, by, most, verdicts, others, shut.Round(time.Second))
+			tc.nodes, tc.troubles, tc.soleEjections, simulated, maxEjected, ejections, sharedEjections, closedTime.Round(time.Second))
 	}
 }
 
-func median(d []time.Duration) (mid, worst time.Duration) {
-	if len(d) == 0 {
+func medianAndMax(durations []time.Duration) (median, largest time.Duration) {
+	if len(durations) == 0 {
 		return 0, 0
 	}
-	slices.Sort(d)
-	return d[len(d)/2], d[len(d)-1]
+	slices.Sort(durations)
+	return durations[len(durations)/2], durations[len(durations)-1]
 }
 
 // From the first evidence of a backend to its verdict, and to the last node in touch; what is no verdict.
-func TestHowSoon(t *testing.T) {
+func TestDetectionTime(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name    string
 		nodes   int
-		trades  func() []*trade
+		trades  func() []*simService
 		service string
 		part    float64
 		manner  Mode
@@ -766,39 +768,39 @@
 		caller  int           // of this zone only, at backends elsewhere; -1: any
 		most    time.Duration // stated, for the median; 0: no verdict
 	}{
-		{"one answer in forty lost", 12, small, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
-		{"one answer in forty lost", 96, site, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
-		{"one in forty answered twice", 12, small, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"one in forty answered twice", 96, site, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"all within two seconds, no seal", 12, small, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
-		{"one in five fails by 5xx", 12, small, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
-		{"one in five fails by 5xx", 96, site, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
-		{"nine reads in ten without a seal", 96, site, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
-		{"one in ten lost, from one zone", 12, small, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"one in ten lost, from one zone", 96, site, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"all fail by 5xx alike", 12, small, "libro", 1, Strict, ServerError, 0.5, -1, 0},
+		{"one answer in forty lost", 12, smallSite, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
+		{"one answer in forty lost", 96, largeSite, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
+		{"one in forty answered twice", 12, smallSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"one in forty answered twice", 96, largeSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"all within two seconds, no seal", 12, smallSite, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
+		{"one in five fails by 5xx", 12, smallSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
+		{"one in five fails by 5xx", 96, largeSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
+		{"nine reads in ten without a seal", 96, largeSite, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
+		{"one in ten lost, from one zone", 12, smallSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"one in ten lost, from one zone", 96, largeSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"all fail by 5xx alike", 12, smallSite, "libro", 1, Strict, ServerError, 0.5, -1, 0},
 	} {
-		var first, last []time.Duration
-		met, verdicts, sick, refused := 0, 0, 0, 0
-		n := max(1, seeds(36/c.nodes))
-		plays(n, func(seed int64) *world {
-			w := newWorld(seed, c.nodes, c.trades())
-			w.base = 0.004
-			w.sick(c.service, c.part, c.manner, c.kind, c.share, c.caller)
-			w.play(45 * time.Second)
-			return w
-		}, func(w *world) {
-			first, last = append(first, w.firstTo...), append(last, w.lastTo...)
-			met, verdicts, sick = met+w.met[c.kind], verdicts+w.verdicts, sick+len(w.state.Ejections())
-			for _, d := range w.nodes {
-				refused += d.refused
+		var detection, propagation []time.Duration
+		faults, ejections, ejectedKeys, unserved := 0, 0, 0, 0
+		runs := max(1, seedCount(36/tc.nodes))
+		runSeeds(runs, func(seed int64) *simulation {
+			sim := newSimulation(seed, tc.nodes, tc.trades())
+			sim.baseErrorRate = 0.004
+			sim.injectFault(tc.service, tc.part, tc.manner, tc.kind, tc.share, tc.caller)
+			sim.run(45 * time.Second)
+			return sim
+		}, func(sim *simulation) {
+			detection, propagation = append(detection, sim.detectionTimes...), append(propagation, sim.propagationTimes...)
+			faults, ejections, ejectedKeys = faults+sim.faultCounts[tc.kind], ejections+sim.ejections, ejectedKeys+len(sim.state.Ejections())
+			for _, node := range sim.nodes {
+				unserved += node.unserved
 			}
-			must.Eq(t, 0, w.wrong)
+			must.Eq(t, 0, sim.wrongEjections)
 		})
-		mid, worst := median(first)
-		mid2, worst2 := median(last)
-		t.Logf("%-32s | %2d nodes | %v, %v | %v, %v | met %d | %d verdicts on %d | refused %d", c.name, c.nodes, mid, worst, mid2,
-			worst2, met/n, verdicts, sick, refused)
-		must.True(t, mid <= c.most && (verdicts > 0) == (c.most > 0), must.Sprint(c.name))
+		medianDetection, maxDetection := medianAndMax(detection)
+		medianPropagation, maxPropagation := medianAndMax(propagation)
+		t.Logf("%-32s | %2d nodes | %v, %v | %v, %v | met %d | %d verdicts on %d | refused %d", tc.name, tc.nodes, medianDetection, maxDetection, medianPropagation,
+			maxPropagation, faults/runs, ejections, ejectedKeys, unserved)
+		must.True(t, medianDetection <= tc.most && (ejections > 0) == (tc.most > 0), must.Sprint(tc.name))
 	}
 }
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -11,14 +11,14 @@
 
 // Bounds of the state.
 const (
-	maxEjections      = 1024
-	maxHistory        = 256 // entries
-	maxCallIDs        = 256
-	maxTextBytes      = 256
-	maxTrust          = 1024
-	maxRepeats        = 16
-	maxNamedWitnesses = 8
-	forgiveAfter      = 24 // entries, some five ejections with their ways back, after which half of the refutations is forgiven
+	maxEjections       = 1024
+	maxHistory         = 256 // entries
+	maxCallIDs         = 256
+	maxTextBytes       = 256
+	maxTrust           = 1024
+	maxRepeats         = 16
+	maxNamedWitnesses  = 8
+	refutationHalfLife = 24 // entries, some five ejections with their ways back, after which half of the refutations is forgiven
 )
 
 // State is what the replicated log's entries come to: the same at all nodes.
@@ -61,14 +61,14 @@
 
 // revision under which a key's evidence is gathered now; 0 if it was never ejected.
 func (s *State) revision(k Key) uint64 {
-	if c := s.Ejection(k); c != nil {
-		return c.Rev
+	if ejection := s.Ejection(k); ejection != nil {
+		return ejection.Rev
 	}
 	return 0
 }
 
 func (s *State) find(k Key) (int, bool) {
-	return slices.BinarySearchFunc(s.snapshot.Ejections, k, func(c Ejection, k Key) int { return c.compare(k) })
+	return slices.BinarySearchFunc(s.snapshot.Ejections, k, func(ejection Ejection, k Key) int { return ejection.compare(k) })
 }
 
 // refute notes that what was ejected on one witness alone came back, and no other node had seen anything.
@@ -80,8 +80,8 @@
 
 // Apply carries an entry out if Decide takes it, and gives Decide's verdict.
 func (s *State) Apply(e *Entry) (routing.Result, error) {
-	if v, err := s.Decide(e); v != routing.Accepted {
-		return v, err
+	if result, err := s.Decide(e); result != routing.Accepted {
+		return result, err
 	}
 	s.Revision++
 	s.FencingToken = max(s.FencingToken, e.FencingToken)
@@ -95,22 +95,22 @@
 		err := s.snapshot.Settings.Normalize()
 		invariant.That(err == nil, "settings that were taken are sound")
 	case Forget:
-		s.snapshot.Ejections = slices.DeleteFunc(s.snapshot.Ejections, func(c Ejection) bool { return slices.Contains(e.GoneInstances, c.ID) })
+		s.snapshot.Ejections = slices.DeleteFunc(s.snapshot.Ejections, func(ejection Ejection) bool { return slices.Contains(e.GoneInstances, ejection.ID) })
 	case Eject:
 		s.eject(e)
 		step = Ejected
 	default:
-		c := s.Ejection(e.Key)
-		if e.Verb == Readmit && c.SoleWitness != membership.NoSlot {
-			s.refute(c.SoleWitness)
+		ejection := s.Ejection(e.Key)
+		if e.Verb == Readmit && ejection.SoleWitness != membership.NoSlot {
+			s.refute(ejection.SoleWitness)
 		}
 		if e.Verb == StepUp {
-			step = c.Step.next(c.Mode)
+			step = ejection.Step.next(ejection.Mode)
 		} else {
-			c.SoleWitness = membership.NoSlot
+			ejection.SoleWitness = membership.NoSlot
 		}
-		if c.Step, c.Rev = step, s.Revision; e.Verb == Clear {
-			c.Repeats = 0
+		if ejection.Step, ejection.Rev = step, s.Revision; e.Verb == Clear {
+			ejection.Repeats = 0
 		}
 	}
 	s.snapshot.History = logentry.KeepLast(append(s.snapshot.History, HistoryEntry{e.Verb, e.Key, step, e.Author, e.UnixMilli, e.Reason, e.Witnesses}), maxHistory)
@@ -119,19 +119,19 @@
 
 // eject begins an ejection, in the place of the oldest that is over where there are too many.
 func (s *State) eject(e *Entry) {
-	alone, _ := s.soleWitness(e)
-	i, had := s.find(e.Key)
-	if !had {
+	sole, _ := s.soleWitness(e)
+	i, exists := s.find(e.Key)
+	if !exists {
 		if len(s.snapshot.Ejections) >= maxEjections {
-			at := s.oldestInService()
-			s.snapshot.Ejections = slices.Delete(s.snapshot.Ejections, at, at+1)
+			oldest := s.oldestInService()
+			s.snapshot.Ejections = slices.Delete(s.snapshot.Ejections, oldest, oldest+1)
 			i, _ = s.find(e.Key)
 		}
 		s.snapshot.Ejections = slices.Insert(s.snapshot.Ejections, i, Ejection{Key: e.Key, Repeats: -1})
 	}
-	c := &s.snapshot.Ejections[i]
-	c.Service, c.Step, c.Rev, c.SoleWitness, c.Score, c.Reason = e.Service, Ejected, s.Revision, alone, e.Score, e.Reason
-	c.Repeats = min(c.Repeats+1, maxRepeats)
+	ejection := &s.snapshot.Ejections[i]
+	ejection.Service, ejection.Step, ejection.Rev, ejection.SoleWitness, ejection.Score, ejection.Reason = e.Service, Ejected, s.Revision, sole, e.Score, e.Reason
+	ejection.Repeats = min(ejection.Repeats+1, maxRepeats)
 }
 
 // Snapshot encodes the state.
--- a/internal/gateway/outlier/zonepath.go
+++ b/internal/gateway/outlier/zonepath.go
@@ -15,17 +15,17 @@
 // zonePath tells whether the backends of a zone are reachable, by the gaps between their answers.
 type zonePath struct {
 	lastAnswerAt time.Duration
-	usualGap     float64       // between two answers, in seconds, smoothed
+	smoothedGap  float64       // between two answers, in seconds, smoothed
 	steadySince  time.Duration // since then no gap was long
 }
 
 func newZonePath(now time.Duration) *zonePath {
-	return &zonePath{lastAnswerAt: now, steadySince: now, usualGap: maxGap.Seconds() / gapFactor}
+	return &zonePath{lastAnswerAt: now, steadySince: now, smoothedGap: maxGap.Seconds() / gapFactor}
 }
 
 // tolerance is the longest gap that is none.
 func (z *zonePath) tolerance() time.Duration {
-	return min(max(time.Duration(gapFactor*z.usualGap*float64(time.Second)), minGap), maxGap)
+	return min(max(time.Duration(gapFactor*z.smoothedGap*float64(time.Second)), minGap), maxGap)
 }
 
 // observeAnswer takes an answer of one of the zone's backends.
@@ -33,7 +33,7 @@
 	if now-z.lastAnswerAt > z.tolerance() {
 		z.steadySince = now
 	}
-	z.usualGap += gapSmoothing * (min(now-z.lastAnswerAt, maxGap).Seconds() - z.usualGap)
+	z.smoothedGap += gapSmoothing * (min(now-z.lastAnswerAt, maxGap).Seconds() - z.smoothedGap)
 	z.lastAnswerAt = now
 }
 
