--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -227,7 +227,7 @@
 		must.Eq(t, slots, machine.Slots())
 		var founders []membership.Founder
 		for _, m := range []replication.Member{recordedLeader, recordedFounder, recordedLost} {
-			founders = append(founders, membership.Founder{Disk: membership.Disk(m.ID), Addr: m.Addr})
+			founders = append(founders, membership.Founder{Disk: membership.DiskID(m.ID), Addr: m.Addr})
 		}
 		must.Eq(t, founders, machine.Founders())
 
--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -78,7 +78,7 @@
 func TestFingerprintsDiffer(t *testing.T) {
 	seen := map[uint64]Node{}
 	for incarnation := range uint64(4) {
-		for disk := range Disk(4) {
+		for disk := range DiskID(4) {
 			for cluster := range uint64(4) {
 				for flags := range 4 {
 					n := Node{Incarnation: incarnation, Disk: disk, ClusterID: cluster, Bootstrapped: flags&1 > 0, Leaving: flags&2 > 0}
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -37,9 +37,9 @@
 	return hash ^ hash>>29
 }
 
-// Watchers are the addresses to send heartbeats to. A node with a disk sends them to all others that have one; while none is known, or
+// HeartbeatTargets are the addresses to send heartbeats to. A node with a disk sends them to all others that have one; while none is known, or
 // nobody has a slot, each node sends them over all its links.
-func (r *Roster) Watchers() (addrs []string) {
+func (r *Roster) HeartbeatTargets() (addrs []string) {
 	for addr, p := range r.peers {
 		if p.introduced && p.Disk != 0 && (p.live || r.self.Disk != 0) {
 			addrs = append(addrs, addr)
--- a/internal/gateway/membership/node.go
+++ b/internal/gateway/membership/node.go
@@ -7,8 +7,8 @@
 // NoSlot is the slot of a node that has none yet.
 const NoSlot Slot = -1
 
-// Disk names a node's disk; 0: the node has none. A wiped disk is another one.
-type Disk uint64
+// DiskID names a node's disk; 0: the node has none. A wiped disk is another one.
+type DiskID uint64
 
 // Node is what a node says of itself.
 type Node struct {
@@ -16,7 +16,7 @@
 	Addr         string // where it takes links: IP and first inner port
 	ControlAddr  string // where it takes control calls
 	Zone         string
-	Disk         Disk
+	Disk         DiskID
 	FirstStart   bool   // this is the first start of the whole deployment
 	Incarnation  uint64 // drawn at random at each start
 	Bootstrapped bool   // its disk holds a state of the core
@@ -59,7 +59,7 @@
 
 // Founder is a node whose disk is among the first members of the core. The core's log stores it with these names.
 type Founder struct {
-	Disk Disk
+	Disk DiskID
 	Addr string
 }
 
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -99,7 +99,7 @@
 func (r *Roster) Self() Node { return r.self }
 
 // SetCluster says of which cluster this node's disk holds a state from now on; 0: of none.
-func (r *Roster) SetCluster(disk Disk, clusterID uint64) {
+func (r *Roster) SetCluster(disk DiskID, clusterID uint64) {
 	if r.self.Disk != disk || r.self.ClusterID != clusterID {
 		r.self.Disk, r.self.Bootstrapped, r.self.ClusterID = disk, clusterID != 0, clusterID
 		r.helloAll()
@@ -131,8 +131,8 @@
 	return NoSlot
 }
 
-// AtSlot is the node that has a slot, if any has.
-func (r *Roster) AtSlot(s Slot) (SlotHolder, bool) {
+// SlotHolderAt is the node that has a slot, if any has.
+func (r *Roster) SlotHolderAt(s Slot) (SlotHolder, bool) {
 	if s < 0 || int(s) >= len(r.slotHolders) {
 		return SlotHolder{}, false
 	}
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -57,7 +57,7 @@
 // A link comes and goes by itself, and the other node's hellos come on another: whatever the order between nodes, and between a node's
 // hellos and the link to it, the same nodes are live in the end.
 func TestEventOrdersConverge(t *testing.T) {
-	hello := func(a string, disk Disk, life uint64, known ...string) event {
+	hello := func(a string, disk DiskID, life uint64, known ...string) event {
 		return func(r *Roster) {
 			r.HandleHello(a, Hello{Node: Node{Name: a, Addr: "elsewhere", Disk: disk, Incarnation: life}, KnownAddrs: known})
 		}
@@ -111,13 +111,13 @@
 	w := &world{config: Config{strings.Split(seeds, ""), 1, clusterIDOf}, nodes: map[string]*simNode{}, proposals: map[string]bool{},
 		connected: func(string, string) bool { return true }, dropsBootstrap: func(string, string) bool { return false }}
 	for i, n := range disks {
-		w.start(n, Disk(i+1), true)
+		w.start(n, DiskID(i+1), true)
 	}
 	return w
 }
 
 // start begins an incarnation of a node; its disk keeps what it took.
-func (w *world) start(name string, disk Disk, first bool) *simNode {
+func (w *world) start(name string, disk DiskID, first bool) *simNode {
 	a := w.nodes[name]
 	if a == nil {
 		a = &simNode{}
@@ -154,7 +154,7 @@
 					a.LinkDown(to)
 				}
 			}
-			if w.reachable(to, n) && w.nodes[to].linkUp[n] && slices.Contains(w.nodes[to].Watchers(), n) {
+			if w.reachable(to, n) && w.nodes[to].linkUp[n] && slices.Contains(w.nodes[to].HeartbeatTargets(), n) {
 				a.FrameReceived(to)
 			}
 		}
@@ -282,7 +282,7 @@
 		}, "a", 2},
 		{"all were killed before a word of it was on disk", "abc", func(w *world) {
 			for nr, n := range []string{"a", "b", "c"} {
-				w.start(n, Disk(nr+1), false)
+				w.start(n, DiskID(nr+1), false)
 			}
 		}, "a", 3},
 		{"all but one, and that was wiped as well", "abc", func(w *world) {
@@ -381,7 +381,7 @@
 	must.Len(t, maxNodes, r.Addrs())
 	r.HandleHello("x", Hello{Node: Node{Name: "x", Disk: 5}}) // a full table still takes hellos of those in it
 	d, _ := r.Node("x")
-	must.Eq(t, Disk(5), d.Disk)
+	must.Eq(t, DiskID(5), d.Disk)
 }
 
 // Links must not grow with the square of the nodes, and nobody may be left without one: a node without a disk that knows only
@@ -479,7 +479,7 @@
 	began := func(pause time.Duration, hears bool) bool {
 		r := New(Node{Addr: "a", Disk: 1, FirstStart: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: clusterIDOf}, 0)
 		for i, n := range []string{"b", "c"} {
-			r.HandleHello(n, Hello{Node: Node{Name: n, Disk: Disk(i + 2), FirstStart: true, Incarnation: 1}})
+			r.HandleHello(n, Hello{Node: Node{Name: n, Disk: DiskID(i + 2), FirstStart: true, Incarnation: 1}})
 			r.LinkUp(n)
 		}
 		drain(r)
@@ -535,7 +535,7 @@
 		order = append(order, SlotHolder{Name: addr, Addr: addr})
 	}
 	for _, d := range []string{"disk", "disk-2"} {
-		r.HandleHello(d, Hello{Node: Node{Addr: d, Disk: Disk(len(d))}})
+		r.HandleHello(d, Hello{Node: Node{Addr: d, Disk: DiskID(len(d))}})
 	}
 	must.Len(t, 301, r.HelloTo("disk").KnownAddrs)
 	r.SetSlots(order[:299])
--- a/internal/gateway/membership/wire.go
+++ b/internal/gateway/membership/wire.go
@@ -10,7 +10,7 @@
 	Addr    string
 	Control string // ControlAddr
 	Zone    string
-	Disk    Disk
+	Disk    DiskID
 	First   bool   // FirstStart
 	Life    uint64 // Incarnation
 	Founded bool   // Bootstrapped
--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -127,7 +127,7 @@
 // Admit finds the route and the tenant of a request, or the reason to refuse it. A node without recent quorum contact refuses nothing by its own
 // configuration: the reason is then that it does not know yet.
 func (n *Node) Admit(host, path, key []byte) (a ingress.Admission, no ingress.Rejection) {
-	current := n.permitted(quorumcontact.Refuse)
+	current := n.permitted(quorumcontact.RefuseRequests)
 	route, ok := n.table.Route(host, path)
 	switch {
 	case !ok && !current:
--- a/internal/gateway/node/configuration.go
+++ b/internal/gateway/node/configuration.go
@@ -44,7 +44,7 @@
 // Change has the leader take a change, unless the outcome is known here for every later state: that the change was taken, or that it is
 // invalid in itself. A node whose knowledge is too old refuses nothing by its own state. done gets an HTTP status, see controlapi.Node.
 func (n *Node) Change(kind statemachine.Kind, body []byte, done func(status int, body []byte)) {
-	if v, err, final := n.machine.DecideFinal(kind, body); final && (v != routing.Invalid || n.permitted(quorumcontact.Refuse)) {
+	if v, err, final := n.machine.DecideFinal(kind, body); final && (v != routing.Invalid || n.permitted(quorumcontact.RefuseRequests)) {
 		done(responseOf(v, err))
 		return
 	}
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -124,7 +124,7 @@
 			c.env.logInfo(corePart).Uint64("term", term).Str("leader", m.Addr).Msg("leader changed")
 		}
 	}
-	c.env.membershipRoster().SetCluster(membership.Disk(c.self.ID), c.replica.ClusterID())
+	c.env.membershipRoster().SetCluster(membership.DiskID(c.self.ID), c.replica.ClusterID())
 }
 
 // sendMessage sends to another member.
--- a/internal/gateway/node/group_founding.go
+++ b/internal/gateway/node/group_founding.go
@@ -92,9 +92,9 @@
 func (c *core) groupFounders() []byte {
 	var founders []membership.Founder
 	for _, m := range c.replica.Members() {
-		founders = append(founders, membership.Founder{Disk: membership.Disk(m.ID), Addr: m.Addr})
+		founders = append(founders, membership.Founder{Disk: membership.DiskID(m.ID), Addr: m.Addr})
 	}
-	return statemachine.BootstrapGroupsEntry(founders)
+	return statemachine.BootstrapGroupsBody(founders)
 }
 
 func containsMember(members []replication.Member, id replication.MemberID) bool {
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -32,10 +32,10 @@
 		h.liveSlots = n.roster.ReachableSlots()
 	} else if upstream := n.streamReceiver.upstream; upstream != "" {
 		sent[upstream] = true
-		n.links.Send(upstream, heartbeatFrame(&heartbeat{contact: h.contact, clock: n.contact.Stamp(n.loop.Now())}))
+		n.links.Send(upstream, heartbeatFrame(&heartbeat{contact: h.contact, clock: n.contact.Timestamp(n.loop.Now())}))
 	}
 	full, toDisk := heartbeatFrame(&h), heartbeatFrame(&heartbeat{liveSlots: h.liveSlots})
-	for _, addr := range n.roster.Watchers() {
+	for _, addr := range n.roster.HeartbeatTargets() {
 		node, met := n.roster.Node(addr)
 		switch {
 		case sent[addr] || n.core != nil && n.deferLiveness(addr, urgent):
@@ -71,7 +71,7 @@
 		n.roster.HandleLiveness(from, h.liveSlots)
 	}
 	if upstream {
-		n.contact.Learn(h.contact, n.appliedIndex, n.loop.Now())
+		n.contact.HandleReport(h.contact, n.appliedIndex, n.loop.Now())
 		n.groups.learnLeaders(h.leaders)
 	}
 	if h.clock != 0 && n.streamSender.isLearner(from) {
@@ -120,7 +120,7 @@
 		return
 	}
 	now := n.loop.Now()
-	for _, addr := range n.roster.Watchers() {
+	for _, addr := range n.roster.HeartbeatTargets() {
 		if n.core.liveness.takeOverdue(addr, now) {
 			n.links.Send(addr, heartbeatFrame(&heartbeat{liveSlots: n.roster.ReachableSlots()}))
 		}
--- a/internal/gateway/node/heartbeat_test.go
+++ b/internal/gateway/node/heartbeat_test.go
@@ -47,7 +47,7 @@
 	n.openLogStream()
 	slots := []membership.SlotHolder{{Addr: me.Addr}}
 	for i, a := range []string{b, c} {
-		n.roster.HandleHello(a, membership.Hello{Node: membership.Node{Addr: a, Disk: membership.Disk(i + 2), Incarnation: 1, Bootstrapped: true}})
+		n.roster.HandleHello(a, membership.Hello{Node: membership.Node{Addr: a, Disk: membership.DiskID(i + 2), Incarnation: 1, Bootstrapped: true}})
 		n.roster.LinkUp(a)
 		slots = append(slots, membership.SlotHolder{Addr: a})
 	}
--- a/internal/gateway/node/host_env.go
+++ b/internal/gateway/node/host_env.go
@@ -36,7 +36,7 @@
 func (n *Node) sendFrame(to string, f *Frame) bool { return n.links.Send(to, f) }
 
 // mayTakeCalls reports whether this node's contact with a majority is recent enough to take calls.
-func (n *Node) mayTakeCalls() bool { return n.permitted(quorumcontact.TakeCalls) }
+func (n *Node) mayTakeCalls() bool { return n.permitted(quorumcontact.AcceptCalls) }
 
 // callLeader takes a call to the leader of the configuration log: see callRouter.
 func (n *Node) callLeader(kind statemachine.Kind, body []byte, hops int, done callDone) {
@@ -91,7 +91,7 @@
 func (n *Node) rolloutState() *rollout.State { return n.machine.Rollouts }
 
 // isCurrent reports whether what this node knows is recent enough to refuse requests by it.
-func (n *Node) isCurrent() bool { return n.permitted(quorumcontact.Refuse) }
+func (n *Node) isCurrent() bool { return n.permitted(quorumcontact.RefuseRequests) }
 
 // isMember reports whether this node has a disk, and with it a replica of the configuration log.
 func (n *Node) isMember() bool { return n.core != nil }
--- a/internal/gateway/node/logstream_receiver.go
+++ b/internal/gateway/node/logstream_receiver.go
@@ -120,7 +120,7 @@
 	}
 	if d.chunk != nil { // so that what follows the blob comes
 		defer func() {
-			s.host.SendStreamRequest(from, &streamRequest{after: s.host.AppliedIndex(), clock: s.contact.Stamp(s.host.Now()), acceptsChunks: true})
+			s.host.SendStreamRequest(from, &streamRequest{after: s.host.AppliedIndex(), clock: s.contact.Timestamp(s.host.Now()), acceptsChunks: true})
 		}()
 	}
 	if !s.apply(d) {
@@ -130,7 +130,7 @@
 		s.request(from)
 		return
 	}
-	s.contact.Learn(d.contact, s.host.AppliedIndex(), s.host.Now())
+	s.contact.HandleReport(d.contact, s.host.AppliedIndex(), s.host.Now())
 }
 
 // acceptReport notes what data reports of its sender's contact. False: the data is of no use.
@@ -158,7 +158,7 @@
 	}
 	blob, had := s.incoming.Receive(d.chunk)
 	if blob == nil {
-		s.host.SendStreamRequest(from, &streamRequest{after: s.host.AppliedIndex(), clock: s.contact.Stamp(s.host.Now()), receivedChunk: had,
+		s.host.SendStreamRequest(from, &streamRequest{after: s.host.AppliedIndex(), clock: s.contact.Timestamp(s.host.Now()), receivedChunk: had,
 			acceptsChunks: true})
 		return false
 	}
@@ -204,7 +204,7 @@
 		}
 	}
 	s.upstream, s.requestedAt = addr, s.host.Now()
-	s.host.SendStreamRequest(addr, &streamRequest{after: s.host.AppliedIndex(), begins: begins, clock: s.contact.Stamp(s.host.Now()),
+	s.host.SendStreamRequest(addr, &streamRequest{after: s.host.AppliedIndex(), begins: begins, clock: s.contact.Timestamp(s.host.Now()),
 		receivedChunk: s.incoming.Received(), acceptsChunks: true})
 }
 
--- a/internal/gateway/node/logstream_receiver_test.go
+++ b/internal/gateway/node/logstream_receiver_test.go
@@ -83,7 +83,7 @@
 		loop: &manualClock{now: time.Minute}, links: discardingLinks{}, peerAddr: "10.0.0.9:7110"}
 	n.roster = membership.New(membership.Node{Name: "node", Addr: n.peerAddr}, membership.Config{}, n.loop.Now())
 	for i, a := range disks {
-		n.roster.HandleHello(a, membership.Hello{Node: membership.Node{Name: a, Addr: a, Disk: membership.Disk(i + 1), Incarnation: 1, Bootstrapped: true}})
+		n.roster.HandleHello(a, membership.Hello{Node: membership.Node{Name: a, Addr: a, Disk: membership.DiskID(i + 1), Incarnation: 1, Bootstrapped: true}})
 		n.roster.LinkUp(a)
 	}
 	n.openLogStream()
--- a/internal/gateway/node/node.go
+++ b/internal/gateway/node/node.go
@@ -168,7 +168,7 @@
 	self := membership.Node{Name: n.settings.NodeName, Addr: n.peerAddr, ControlAddr: n.settings.Bind.Control, Zone: n.settings.Zone,
 		FirstStart: n.settings.FirstBoot, Incarnation: n.incarnation}
 	if n.core != nil {
-		self.Disk, self.Bootstrapped, self.ClusterID = membership.Disk(n.core.self.ID), n.core.replica.Bootstrapped(), n.core.replica.ClusterID()
+		self.Disk, self.Bootstrapped, self.ClusterID = membership.DiskID(n.core.self.ID), n.core.replica.Bootstrapped(), n.core.replica.ClusterID()
 	}
 	clusterID := func(f []membership.Founder) uint64 { return replication.ClusterIDOf(founderMembers(f)) }
 	n.roster = membership.New(self, membership.Config{Seeds: n.peerAddrs(n.settings.SeedAddrs),
--- a/internal/gateway/node/readiness.go
+++ b/internal/gateway/node/readiness.go
@@ -16,7 +16,7 @@
 	}
 	check(n.shuttingDown, "it is told to end")
 	check(n.table.Version() == 0, "no configuration")
-	check(!n.contact.SufficesFor(quorumcontact.ServeClients, n.loop.Now()), "not heard of the core of late")
+	check(!n.contact.ContactSuffices(quorumcontact.ServeClients, n.loop.Now()), "not heard of the core of late")
 	check(n.registry == nil, "no slot")
 	check(n.registry != nil && !n.registry.HasReady(), "no backend is ready")
 	return reasons
--- a/internal/gateway/quorumcontact/permissions.go
+++ b/internal/gateway/quorumcontact/permissions.go
@@ -34,8 +34,8 @@
 // The permissions.
 const (
 	ServeClients       Permission = iota // the platform is told that clients may come
-	Refuse                               // 401 and 404, and 400 to a change that is invalid in itself, by this node's own state
-	TakeCalls                            // a change or a read is taken or forwarded; without it, it is rejected at once
+	RefuseRequests                       // 401 and 404, and 400 to a change that is invalid in itself, by this node's own state
+	AcceptCalls                          // a change or a read is taken or forwarded; without it, it is rejected at once
 	StreamLog                            // the learners of this node need not look for another upstream
 	AcknowledgeBackend                   // the heartbeat of a backend is acknowledged
 	AcknowledgeDrain                     // a backend's drain or deregistration is, once enough other nodes have it
@@ -59,8 +59,8 @@
 // slot, and changes of members.
 var rules = [...]rule{
 	ServeClients:       {inContact, Bounds.ReadyMaxAge, Bounds.ReadyMaxAge, true},
-	Refuse:             {inContact, Bounds.AuthoritativeMaxAge, Bounds.AuthoritativeMaxAge, true},
-	TakeCalls:          {inContact | Starting, Bounds.PartitionedAge, Bounds.ReadyMaxAge, false},
+	RefuseRequests:     {inContact, Bounds.AuthoritativeMaxAge, Bounds.AuthoritativeMaxAge, true},
+	AcceptCalls:        {inContact | Starting, Bounds.PartitionedAge, Bounds.ReadyMaxAge, false},
 	StreamLog:          {inContact, Bounds.PartitionedAge, Bounds.PartitionedAge, false},
 	AcknowledgeBackend: {inContact | Starting, Bounds.PartitionedAge, Bounds.ReadyMaxAge, false},
 	AcknowledgeDrain:   {inContact, Bounds.PartitionedAge, Bounds.PartitionedAge, false},
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -119,11 +119,11 @@
 
 // Permits reports whether the node has a permission now; configured: a configuration is in force here.
 func (t *Tracker) Permits(p Permission, configured bool, now time.Duration) bool {
-	return (configured || !rules[p].needsConfig) && t.SufficesFor(p, now)
+	return (configured || !rules[p].needsConfig) && t.ContactSuffices(p, now)
 }
 
-// SufficesFor reports whether the contact suffices for a permission, whatever the configuration.
-func (t *Tracker) SufficesFor(p Permission, now time.Duration) bool {
+// ContactSuffices reports whether the contact suffices for a permission, whatever the configuration.
+func (t *Tracker) ContactSuffices(p Permission, now time.Duration) bool {
 	if t.config.Knobs.grants(p) {
 		return true
 	}
@@ -140,9 +140,9 @@
 	switch p {
 	case AcknowledgeDrain:
 		return t.AckDrainWithoutContact || t.GrantAll
-	case TakeCalls:
+	case AcceptCalls:
 		return t.QueueWithoutContact || t.GrantAll
-	case ServeClients, Refuse:
+	case ServeClients, RefuseRequests:
 		return t.ServeWithoutContact || t.GrantAll
 	}
 	return t.GrantAll
@@ -152,13 +152,13 @@
 type Report struct {
 	Age   time.Duration
 	Term  uint64 // 0 from a program that does not send it, which gives back no clock either
-	Echo  uint32 // the newest clock of the receiver that its sender has received, see Stamp
+	Echo  uint32 // the newest clock of the receiver that its sender has received, see Timestamp
 	Index uint64 // of the last entry that its sender had applied
 }
 
-// Learn takes the report of the current upstream, once what its sender had applied is applied here. A report is passed over if it is of
+// HandleReport takes the report of the current upstream, once what its sender had applied is applied here. A report is passed over if it is of
 // an older term than the newest, or answers a clock that this incarnation did not send of late.
-func (t *Tracker) Learn(r Report, appliedIndex uint64, now time.Duration) {
+func (t *Tracker) HandleReport(r Report, appliedIndex uint64, now time.Duration) {
 	sentAt, ok := t.clock.SentAt(r.Echo, now)
 	switch {
 	case t.config.Replica != nil || r.Age >= MaxKnownAge || r.Index > appliedIndex:
@@ -181,8 +181,8 @@
 // ReportedTerm is the newest term that an upstream reported, 0 if none did.
 func (t *Tracker) ReportedTerm() uint64 { return t.stream.term }
 
-// Stamp is this node's clock for others, who give it back in a Report.
-func (t *Tracker) Stamp(now time.Duration) uint32 { return t.clock.Timestamp(now) }
+// Timestamp is this node's clock for others, who give it back in a Report.
+func (t *Tracker) Timestamp(now time.Duration) uint32 { return t.clock.Timestamp(now) }
 
 // Uptime is how long ago this incarnation began.
 func (t *Tracker) Uptime(now time.Duration) time.Duration { return now - t.config.StartedAt }
--- a/internal/gateway/quorumcontact/tracker_test.go
+++ b/internal/gateway/quorumcontact/tracker_test.go
@@ -53,7 +53,7 @@
 			for i, w := range left {
 				c := t
 				before := c.stream
-				c.Learn(Report{Age: w.age, Term: w.term, Echo: w.by.Timestamp(w.asked), Index: w.index}, 9, now)
+				c.HandleReport(Report{Age: w.age, Term: w.term, Echo: w.by.Timestamp(w.asked), Index: w.index}, 9, now)
 				moved := c.stream.appliedAsOf > before.appliedAsOf
 				if moved && (c.stream.appliedAsOf > w.asked-w.age || w.term < before.term || w.index > 9 || w.by == other) {
 					wrong++
@@ -72,13 +72,13 @@
 // Each permission is granted in just the states, and up to just the age, of this table, which is written here once more.
 func TestPermissionsByStateAndAge(t *testing.T) {
 	const started = time.Minute
-	all := []Permission{ServeClients, Refuse, TakeCalls, StreamLog, AcknowledgeBackend, AcknowledgeDrain, RequestSlot}
+	all := []Permission{ServeClients, RefuseRequests, AcceptCalls, StreamLog, AcknowledgeBackend, AcknowledgeDrain, RequestSlot}
 	b := fixedBounds{}
 	member := []time.Duration{b.ReadyMaxAge(), b.AuthoritativeMaxAge(), b.PartitionedAge(), b.PartitionedAge(), b.PartitionedAge(), b.PartitionedAge(), b.ReadyMaxAge()}
 	learner := []time.Duration{b.ReadyMaxAge(), b.AuthoritativeMaxAge(), b.ReadyMaxAge(), b.PartitionedAge(), b.ReadyMaxAge(), b.PartitionedAge(), b.ReadyMaxAge()}
 	for i, p := range all {
-		starting := p == TakeCalls || p == AcknowledgeBackend
-		config := p == ServeClients || p == Refuse
+		starting := p == AcceptCalls || p == AcknowledgeBackend
+		config := p == ServeClients || p == RefuseRequests
 		for _, leads := range []bool{false, true} {
 			r := &fakeReplica{leads: leads, contact: true}
 			tracker := New(Config{Replica: r, Bounds: b, StartedAt: started})
@@ -97,7 +97,7 @@
 		must.False(t, tracker.Permits(p, true, started+learner[i]))
 		must.Eq(t, UnknownAge, tracker.Age(started))
 		now := started + time.Minute
-		tracker.Learn(Report{Age: 10 * time.Millisecond, Index: 1}, 1, now) // from a program that gives back no clock
+		tracker.HandleReport(Report{Age: 10 * time.Millisecond, Index: 1}, 1, now) // from a program that gives back no clock
 		must.True(t, tracker.Permits(p, true, now+learner[i]-11*time.Millisecond))
 		must.False(t, tracker.Permits(p, true, now+learner[i]-10*time.Millisecond))
 	}
@@ -114,11 +114,11 @@
 		}
 		return all
 	}
-	every := []Permission{ServeClients, Refuse, TakeCalls, StreamLog, AcknowledgeBackend, AcknowledgeDrain, RequestSlot}
+	every := []Permission{ServeClients, RefuseRequests, AcceptCalls, StreamLog, AcknowledgeBackend, AcknowledgeDrain, RequestSlot}
 	must.SliceEmpty(t, granted(TestingKnobs{}))
 	must.Eq(t, every, granted(TestingKnobs{GrantAll: true}))
 	must.Eq(t, every, granted(TestingKnobs{TrustHeardLeader: true}))
 	must.Eq(t, []Permission{AcknowledgeDrain}, granted(TestingKnobs{AckDrainWithoutContact: true}))
-	must.Eq(t, []Permission{ServeClients, Refuse}, granted(TestingKnobs{ServeWithoutContact: true}))
-	must.Eq(t, []Permission{TakeCalls}, granted(TestingKnobs{QueueWithoutContact: true}))
+	must.Eq(t, []Permission{ServeClients, RefuseRequests}, granted(TestingKnobs{ServeWithoutContact: true}))
+	must.Eq(t, []Permission{AcceptCalls}, granted(TestingKnobs{QueueWithoutContact: true}))
 }
--- a/internal/gateway/statemachine/entry.go
+++ b/internal/gateway/statemachine/entry.go
@@ -14,7 +14,7 @@
 	KindAmendConfig     Kind = 'a' // named items of it
 	KindAssignSlot      Kind = 's' // a node asks for a slot: see AssignSlotEntry
 	KindRollout         Kind = 'u' // a rollout.Entry: an order to a roll-out, or a verdict on one
-	KindBootstrapGroups Kind = 'f' // the coordination groups begin: see BootstrapGroupsEntry
+	KindBootstrapGroups Kind = 'f' // the coordination groups begin: see BootstrapGroupsBody
 )
 
 // EncodeEntry is an entry of a kind with a body.
@@ -25,7 +25,7 @@
 	return EncodeEntry(KindAssignSlot, logentry.Encode(storeSlot(holder)))
 }
 
-// BootstrapGroupsEntry is the body of the entry by which the coordination groups begin with some disks, all of them on all.
-func BootstrapGroupsEntry(founders []membership.Founder) []byte {
+// BootstrapGroupsBody is the body of the entry by which the coordination groups begin with some disks, all of them on all.
+func BootstrapGroupsBody(founders []membership.Founder) []byte {
 	return logentry.Encode(storeFounders(founders))
 }
--- a/internal/gateway/statemachine/stored.go
+++ b/internal/gateway/statemachine/stored.go
@@ -13,7 +13,7 @@
 	}
 	storedSlot    struct{ Name, Addr, Control, Zone string }
 	storedFounder struct {
-		Disk membership.Disk
+		Disk membership.DiskID
 		Addr string
 	}
 )
