--- a/control/quota/account.go
+++ b/control/quota/account.go
@@ -6,102 +6,111 @@
 	"clovergap/control"
 )
 
-// Account is what this gateway keeps of one customer: the bucket if it owns it, the owner's snapshot if not.
+// Account is the state that this gateway keeps of one customer. The owner of the customer holds the token bucket. Every other gateway
+// holds the owner's last snapshot.
 type Account struct {
-	id     control.CustomerID
-	limit  *Limit
-	planID control.PlanID
-	usedAt time.Duration // when a request last asked for units
-
-	owner    control.GatewayID
-	placed   bool              // the set is known
-	setFirst control.GatewayID // the set's first gateway,
-	setWidth int               // and how many there are
-	inSet    bool              // this gateway is one of them
-
-	level   float64       // owner: units in the bucket; otherwise: units in the snapshot
-	levelAt time.Duration // owner: of the last refill; otherwise: when the snapshot came
-
-	// Of requests here.
-	inFlight     int     // submissions
-	reserved     float64 // units that are allowed and wait for something else
-	reservations int     // how many these are
-
-	// Owner.
-	reports   []*report
-	exhausted bool // the recent reporters were sent snapshots without a unit
-
-	// Not the owner: the snapshot.
+	id         control.CustomerID
+	limit      *Limit
+	planID     control.PlanID
+	lastUsedAt time.Duration // time of the last check or delta
+
+	owner       control.GatewayID
+	setAssigned bool              // the set has been assigned
+	setFirst    control.GatewayID // first gateway of the set
+	setWidth    int               // number of gateways in the set
+	inSet       bool              // this gateway belongs to the set
+
+	level   float64       // units in the bucket (owner) or in the last snapshot (other gateways)
+	levelAt time.Duration // time of the last refill (owner) or of the arrival of the last snapshot (other gateways)
+
+	// Requests at this gateway.
+	inFlight     int     // submissions in flight
+	reserved     float64 // units of reservations
+	reservations int     // number of reservations
+
+	// Reports of the other gateways, used by the owner.
+	reporterStates []*reporterState
+	exhausted      bool // the bucket has less than one unit, and the recent reporters have been told
+
+	// Snapshot of the owner, used by the other gateways.
 	hasSnapshot       bool
-	version           uint64 // of the snapshot
-	reporters         int    // recent ones, this gateway included
-	inFlightElsewhere int    // submissions of other gateways
-
-	// Not the owner: reports.
-	unreported  float64       // units consumed and not in a delta yet
-	unacked     float64       // units in deltas that are not acknowledged
-	dirty       bool          // queued for a delta
-	reportedAt  time.Duration // when it was last part of one
-	requestedAt time.Duration // since when a snapshot is waited for; 0: none is
-	ackedSince  time.Duration // sending time of the latest delta that the owner acknowledged
-	unitsWanted float64       // units that a pending request needs
+	version           uint64 // version of the snapshot
+	reporterCount     int    // number of recent reporters, including this gateway
+	inFlightElsewhere int    // submissions in flight at other gateways
+
+	// Reports to the owner, used by the other gateways.
+	unreported          float64       // units consumed that are not in a delta yet
+	unacked             float64       // units in deltas that the owner has not acknowledged
+	reportQueued        bool          // the account is in the report queue of the owner's peer
+	reportedAt          time.Duration // time of the last delta
+	snapshotRequestedAt time.Duration // start of the wait for a snapshot; 0 if none is awaited
+	lastAckedSentAt     time.Duration // first sending time of the latest acknowledged delta; 0 if there is none
+	unitsWanted         float64       // units that a pending request needs
 
 	// Hard limit.
-	hardShare   float64 // units left of this gateway's part, the owner's pool included
-	hardShareAt time.Duration
-	hardWanted  float64 // units to ask the owner's pool for
-
-	// Strict mode, not the owner.
-	granted             float64 // units that the owner has set aside for this gateway
-	grantedAt           time.Duration
-	grantUsed           float64 // units of grants consumed or expired, and not reported yet
-	allowance           float64 // units that may be consumed without the owner's knowledge
-	allowanceAt         time.Duration
-	allowanceUsed       float64 // units of it consumed, of which it is not known yet whether the bucket had them
-	allowanceUnreported float64 // units of it among unreported
-	allowanceAcked      float64 // units of it that the owner acknowledged: its next snapshot shows whether the bucket had them
-	usedIsolated        bool    // units were consumed while isolated, and not all of them are acknowledged
+	hardShare       float64 // units left of this gateway's share, which includes the pool at the owner
+	hardShareAt     time.Duration
+	hardUnitsWanted float64 // units to request from the owner's pool
+
+	// Strict mode, used by gateways that do not own the bucket.
+	granted     float64 // units that the owner has set aside for this gateway
+	grantedAt   time.Duration
+	grantUsed   float64 // units of grants that were consumed or expired and are not reported yet
+	allowance   float64 // units that may be consumed without the owner's knowledge
+	allowanceAt time.Duration
+	// allowanceUsed counts the consumed units of the allowance for which it is not known yet whether the bucket covered them.
+	allowanceUsed       float64
+	allowanceUnreported float64 // units of unreported that came from the allowance
+	// allowanceAcked counts the units of the allowance that the owner has acknowledged. The owner's next snapshot shows whether the
+	// bucket covered them.
+	allowanceAcked float64
+	// consumedWhileIsolated is true if units were consumed during an isolation and not all of them are acknowledged.
+	consumedWhileIsolated bool
 }
 
-// report is what an owner knows of one gateway's use of a customer.
-type report struct {
-	from          control.GatewayID
-	receivedAt    time.Duration
-	snapshotLevel float64 // units, in the last snapshot to it
-	inFlight      int     // submissions; in strict mode units, see reportedInFlight
-	unitsWanted   float64 // units that a pending request there needs
-	hardWanted    float64 // units that it asks of the pool of the hard limit
-	granted       float64 // units set aside for it; not in strict mode: units that its snapshot shows and nobody else's should
-	grantedAt     time.Duration
-	withheld      float64 // units of the refill kept for it while it is silent
+// reporterState is what an owner knows of one gateway's use of a customer's bucket.
+type reporterState struct {
+	from            control.GatewayID
+	receivedAt      time.Duration
+	snapshotLevel   float64 // units in the last snapshot for this reporter
+	inFlight        int     // submissions in flight (in strict mode, units; see reportedInFlight)
+	unitsWanted     float64 // units that a pending request at the reporter needs
+	hardUnitsWanted float64 // units that the reporter requests from the pool of the hard limit
+	// granted is in units. In strict mode these units are set aside for the reporter. Otherwise they are the units in the reporter's
+	// last snapshot that snapshots for other gateways leave out.
+	granted   float64
+	grantedAt time.Duration
+	withheld  float64 // units of the refill that are withheld while the reporter is silent
 }
 
-// account finds or makes the account of a customer.
+// account returns the account of a customer. It creates the account if there is none.
 func (l *Limiter) account(id control.CustomerID, plan control.PlanID) *Account {
 	a := l.accounts[id]
 	if a == nil {
-		a = &Account{id: id, planID: plan, owner: l.self, reporters: 1, usedAt: l.now, allowanceAt: l.now, hardShareAt: l.startedAt}
-		if l.plans.PlanLimit != nil {
-			a.limit = l.plans.PlanLimit(plan)
+		a = &Account{id: id, planID: plan, owner: l.self, reporterCount: 1, lastUsedAt: l.now, allowanceAt: l.now, hardShareAt: l.startedAt}
+		if l.options.PlanLimit != nil {
+			a.limit = l.options.PlanLimit(plan)
 			a.level, a.levelAt = l.initialLevel(a), l.now
 		}
 		l.accounts[id] = a
-		l.ordered = append(l.ordered, a)
+		l.orderedAccounts = append(l.orderedAccounts, a)
 	}
 	return a
 }
 
-// assignOwner sets an account's set of gateways and works out its owner. Numbers that make no sense are brought into range.
+// assignOwner sets the gateways that may serve a customer and computes the owner of its bucket. It brings a first gateway or a width
+// that is out of range into the valid range.
 func (l *Limiter) assignOwner(a *Account, first control.GatewayID, width int) {
 	width = min(max(width, 1), l.gateways)
 	first = control.GatewayID(max(int(first), 0) % l.gateways)
-	if a.placed && a.setFirst == first && a.setWidth == width {
+	if a.setAssigned && a.setFirst == first && a.setWidth == width {
 		return
 	}
-	if a.placed { // a peer had named another set: the part of a hard limit by that one is void
+	// The account had another set, named by a peer. The share of the hard limit that was computed from it is void.
+	if a.setAssigned {
 		a.hardShare, a.hardShareAt = 0, l.now
 	}
-	a.placed, a.setFirst, a.setWidth, a.reporters = true, first, width, width
+	a.setAssigned, a.setFirst, a.setWidth, a.reporterCount = true, first, width, width
 	a.owner = OwnerOf(a.id, first, a.setWidth, l.gateways)
 	a.inSet = (int(l.self-first)%l.gateways+l.gateways)%l.gateways < a.setWidth
 	if a.owner != l.self {
@@ -109,8 +118,8 @@
 	}
 }
 
-// OwnerOf is the gateway that owns a customer's bucket: the one of the set with the highest hash (rendezvous hashing), the same at every
-// gateway.
+// OwnerOf returns the gateway that owns a customer's bucket. It is the gateway of the set with the highest hash (rendezvous hashing), so
+// all gateways compute the same owner.
 func OwnerOf(c control.CustomerID, first control.GatewayID, width, gateways int) (owner control.GatewayID) {
 	highest := uint64(0)
 	for i := range width {
@@ -122,25 +131,25 @@
 	return owner
 }
 
-// initialLevel is what a bucket that was empty when its owner was assigned holds by now.
+// initialLevel returns the units that a bucket holds by now if it was empty when its owner was assigned.
 func (l *Limiter) initialLevel(a *Account) float64 {
-	level := a.limit.Rate * max(0, l.now-l.ownersSince-l.config.OwnershipDelay).Seconds()
+	level := a.limit.Rate * max(0, l.now-l.ownersAssignedAt-l.config.OwnershipDelay).Seconds()
 	if l.freshCluster && l.olderPeers == 0 {
 		level += l.initialFill(a)
 	}
 	return min(a.limit.Burst, level)
 }
 
-// initialFill is what a bucket begins with in a new cluster.
+// initialFill returns the units that a bucket begins with in a new cluster.
 func (l *Limiter) initialFill(a *Account) float64 {
 	fill := l.config.InitialFill * a.limit.Burst
 	if l.config.Strict {
-		fill = min(fill, a.limit.Rate*maxInitialFill.Seconds())
+		fill = min(fill, a.limit.Rate*maxInitialFillTime.Seconds())
 	}
 	return fill
 }
 
-// addInFlight counts submissions of this gateway; the owner learns of them where they are bounded.
+// addInFlight adds n to the submissions in flight at this gateway. If the customer has a limit on them, it schedules a report to the owner.
 func (l *Limiter) addInFlight(a *Account, n int) {
 	a.inFlight += n
 	if a.limit.MaxInFlight > 0 {
@@ -148,7 +157,7 @@
 	}
 }
 
-// inFlightElsewhere counts the submissions of other gateways, as far as reported.
+// inFlightElsewhere returns the number of submissions in flight at other gateways, as far as these have reported them.
 func (l *Limiter) inFlightElsewhere(a *Account) int {
 	if a.owner == l.self {
 		_, inFlight, _ := l.recentReporters(a, nil)
@@ -157,22 +166,22 @@
 	return a.inFlightElsewhere
 }
 
-// report finds or makes what a gateway reported.
-func (a *Account) report(from control.GatewayID) *report {
-	for _, r := range a.reports {
+// reporterState returns the state of a reporter. It creates the state if there is none.
+func (a *Account) reporterState(from control.GatewayID) *reporterState {
+	for _, r := range a.reporterStates {
 		if r.from == from {
 			return r
 		}
 	}
-	r := &report{from: from, receivedAt: -reporterTTL}
-	a.reports = append(a.reports, r)
+	r := &reporterState{from: from, receivedAt: -reporterTTL}
+	a.reporterStates = append(a.reporterStates, r)
 	return r
 }
 
-// recentReporters counts the recent reporters, all included, and of those except one their submissions in flight and the units that
-// their last snapshots have promised them.
+// recentReporters returns the number of recent reporters. For all of them but except, it also returns the submissions in flight and the
+// units that their last snapshots promised. A nil except leaves out none.
 func (l *Limiter) recentReporters(a *Account, except *peer) (n, inFlight int, promised float64) {
-	for _, r := range a.reports {
+	for _, r := range a.reporterStates {
 		if l.now-r.receivedAt >= reporterTTL {
 			continue
 		}
--- a/control/quota/allowance.go
+++ b/control/quota/allowance.go
@@ -5,38 +5,44 @@
 	"time"
 )
 
-// allowanceNow brings the allowance of a customer up to now and gives it: what this gateway may consume without the owner's knowledge, whether it has
-// a snapshot or not. It is the gateway's part of what the bound leaves beyond rate x Window + burst, some at once and the rest over a
-// window. It begins empty in each epoch, and a partition does not renew it. What the owner acknowledges with units left comes back
-// (confirmAllowance). While isolated (isolatedFrom) the gateway's part of the rate is added, with no more saved up than before.
-func (l *Limiter) allowanceNow(a *Account) float64 {
+// refillAllowance refills the allowance of a customer up to the present and returns it. The allowance is what this gateway may consume
+// without the owner's knowledge, with or without a snapshot.
+//
+// All gateways together have as allowance what the bound leaves beyond rate x Window + burst. Each gateway gets an equal part, some of
+// it at once and the rest over a window. The allowance is empty at the start of each epoch, and a partition does not renew it. Units that
+// the owner acknowledges while its bucket has units left are returned to the allowance (settleAllowance). While the gateway is isolated
+// (isolationStart), the allowance also gets the gateway's part of the rate, but the maximum that can be saved up stays the same.
+func (l *Limiter) refillAllowance(a *Account) float64 {
 	n := float64(l.gateways)
 	part := (l.config.Excess*(a.limit.Rate*l.config.Window.Seconds()+a.limit.Burst) + l.config.Margin) / n
-	most := min(part, max(1, allowanceBurstShare*part))
-	fill := (part - most) / max(l.config.Window, time.Second).Seconds() * (l.now - a.allowanceAt).Seconds()
-	if isolated := l.now - max(l.isolatedFrom(a), a.allowanceAt); isolated > 0 {
-		a.allowanceUsed, most = 0, max(most, 1)
+	maxSaved := min(part, max(1, allowanceBurstShare*part))
+	fill := (part - maxSaved) / max(l.config.Window, time.Second).Seconds() * (l.now - a.allowanceAt).Seconds()
+	if isolated := l.now - max(l.isolationStart(a), a.allowanceAt); isolated > 0 {
+		a.allowanceUsed, maxSaved = 0, max(maxSaved, 1)
 		fill += a.limit.Rate / n * isolated.Seconds()
 	}
-	a.allowance, a.allowanceAt = max(a.allowance, min(most-a.allowanceUsed, a.allowance+fill)), l.now
+	a.allowance, a.allowanceAt = max(a.allowance, min(maxSaved-a.allowanceUsed, a.allowance+fill)), l.now
 	return a.allowance
 }
 
-// isolatedFrom is when this gateway's part of the rate is its own to consume; now or later: it is not. The owner must be unresponsive. Then either it had
-// a report shortly before, and withholds the part; or the host has found it unreachable for so long that the owner has found the same of
-// this gateway.
-func (l *Limiter) isolatedFrom(a *Account) time.Duration {
-	owner, asked := l.peers[a.owner], a.requestedAt
+// isolationStart returns the time from which this gateway may consume its part of the rate on its own. The result is the present or
+// later if it may not do so yet.
+//
+// The owner must be unresponsive, and one of two conditions must hold. Either the owner received a report shortly before, and so
+// withholds this gateway's part of the rate. Or the host has found the owner unreachable for so long that the owner's host has found this
+// gateway unreachable as well.
+func (l *Limiter) isolationStart(a *Account) time.Duration {
+	owner, askedAt := l.peers[a.owner], a.snapshotRequestedAt
 	for _, u := range owner.unacked {
-		if asked == 0 || u.firstSentAt < asked {
-			asked = u.firstSentAt
+		if askedAt == 0 || u.firstSentAt < askedAt {
+			askedAt = u.firstSentAt
 		}
 	}
-	if asked == 0 {
+	if askedAt == 0 {
 		return l.now
 	}
-	from := max(asked, owner.receivedAt, l.pausedUntil) + ownerAttempts*l.answerTimeout(a)
-	if l.withholdsEarly(a) && a.ackedSince > 0 && asked-a.ackedSince < recentReport {
+	from := max(askedAt, owner.receivedAt, l.pausedUntil) + ownerAttempts*l.answerTimeout(a)
+	if l.withholdsEarly(a) && a.lastAckedSentAt > 0 && askedAt-a.lastAckedSentAt < recentReportAge {
 		return from
 	}
 	if owner.unreachableSince == 0 {
@@ -45,26 +51,30 @@
 	return max(from, owner.unreachableSince+reachabilityLag)
 }
 
-// confirmAllowance settles the acknowledged units of the allowance by the owner's new level: if there are units left, the bucket had
-// them, and they come back. If not, they were beyond it, and come back with time.
-func (l *Limiter) confirmAllowance(a *Account, left float64) {
+// settleAllowance settles the acknowledged units of the allowance by the level in the owner's new snapshot. If units are left, the
+// bucket covered the acknowledged units, and they are returned to the allowance. Otherwise they exceeded the bucket, and the allowance
+// regains them only by its refill.
+func (l *Limiter) settleAllowance(a *Account, level float64) {
 	settled := min(a.allowanceAcked, a.allowanceUsed)
-	l.allowanceNow(a)
-	if left > 0 {
+	l.refillAllowance(a)
+	if level > 0 {
 		a.allowance += settled
 	}
 	a.allowanceAcked, a.allowanceUsed = 0, a.allowanceUsed-settled
 }
 
-// reportedInFlight is what a delta says in its field InFlight: the submissions in flight. In strict mode, which bounds none, it is after an
-// isolation the units that may have been consumed of the withheld part and are yet to be reported or acknowledged, without the delta's own.
+// reportedInFlight returns the value of a delta's field InFlight. Without strict mode this is the number of submissions in flight.
+//
+// Strict mode does not limit the submissions in flight and uses the field for units. After an isolation, they are the units that may
+// have been consumed from the withheld part and are not acknowledged yet. The units of the delta itself (own) are left out. In all other
+// cases the value is 0.
 func (l *Limiter) reportedInFlight(a *Account, own float64) int {
 	switch {
 	case !l.config.Strict:
 		return a.inFlight
 	case a.unacked <= 0:
-		a.usedIsolated = false
-	case a.usedIsolated:
+		a.consumedWhileIsolated = false
+	case a.consumedWhileIsolated:
 		return int(math.Ceil(max(0, a.unacked+a.unreported-own)))
 	}
 	return 0
--- a/control/quota/bench_test.go
+++ b/control/quota/bench_test.go
@@ -9,7 +9,7 @@
 	"clovergap/control"
 )
 
-// benchmarkMessage is a message as full as a busy peer sends it: five deltas, eight snapshots, three observations.
+// benchmarkMessage returns a message as full as a busy peer sends it, with five deltas, eight snapshots and three observations.
 func benchmarkMessage() *Message {
 	m := &Message{Epoch: 0x9f3a6c01, Interval: 200 * time.Millisecond, Age: 90 * time.Second, Seq: 4711, Version: 9182, AckEpoch: 0x71b2c3d5, AckHigh: 4699,
 		AckMask: 0xffffffff}
@@ -44,7 +44,8 @@
 	}
 }
 
-// One exchange of the quota as the gateway uses it: use is reported to the owner, which answers with a snapshot.
+// BenchmarkDatagramExchange measures one exchange as the gateway uses it. A reporter reports its use to the owner, which answers with
+// snapshots.
 func BenchmarkDatagramExchange(b *testing.B) {
 	const customers = 8
 	reporter, owner := NewLimiter(1, 0, 2, 0, gatewayConfig), NewLimiter(2, 1, 2, 0, gatewayConfig)
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -6,44 +6,49 @@
 	"clovergap/control"
 )
 
-// Outcome is the answer to a request for units.
+// Outcome is the result of a check of a request for units.
 type Outcome int
 
-// The answers to a request for units.
+// The results of a check.
 const (
-	// Allowed: the units are there; Consume or Reserve takes them.
+	// Allowed means that the quota covers the request. Consume or Reserve takes the units.
 	Allowed Outcome = iota
-	// Pending: ask again when DatagramReceived reports news, and at the time given.
+	// Pending means that the request must be checked again, both when DatagramReceived returns true and at the returned time.
 	Pending
-	// Exceeded: not covered; it may be worth coming again after the duration given.
+	// Exceeded means that the quota does not cover the request. There may be units after the returned duration.
 	Exceeded
 )
 
-// Request asks for units of a customer's quota.
+// Request is a request for units of a customer's quota.
 type Request struct {
-	Units     float64
-	Arrived   time.Duration // time of the clock; the same each time that the request is checked
-	SLA       time.Duration // the time in which an answer has its full value: a share of it may be spent waiting
-	LateRetry bool          // a client's retry that comes late: it leaves a low bucket to others
-}
-
-// Check tells whether a customer's quota covers a request. A customer without a limit is not metered. With Pending comes the time of
-// the clock until which to wait at most, with Exceeded the duration after which there may be units. It takes nothing: Consume, or Reserve
-// for a request that waits for something else, does.
+	Units float64
+	// Arrived is the clock time of the arrival. It is the same in every check of the request.
+	Arrived time.Duration
+	// SLA is the time within which an answer has its full value. A share of it may be spent waiting.
+	SLA time.Duration
+	// LateRetry marks a late retry by the client. It is allowed only if enough of the bucket is left for first attempts.
+	LateRetry bool
+}
+
+// Check reports whether a customer's quota covers a request. A customer without a limit is not metered, so its requests are allowed.
+//
+// With Pending, the duration is the clock time until which to wait at most. With Exceeded, it is the time after which there may be
+// units. Check takes no units. Consume takes them, and Reserve keeps them for a request that has to wait for something else.
 func (l *Limiter) Check(c control.CustomerID, r Request) (Outcome, time.Duration) {
 	a := l.accounts[c]
 	if a == nil {
 		return Allowed, 0
 	}
-	a.usedAt = l.now
+	a.lastUsedAt = l.now
 	outcome, at, _ := l.check(a, r)
-	if outcome != Pending { // nothing is granted for what does not wait any more; another request that waits asks for itself
+	// A request that no longer waits needs no grant. Another waiting request sets unitsWanted again at its next check.
+	if outcome != Pending {
 		a.unitsWanted = 0
 	}
 	return outcome, at
 }
 
-// check is Check, with what was lacking if the request is not allowed.
+// check is Check for an account. For a request that is not allowed, the returned reason names what it lacks.
 func (l *Limiter) check(a *Account, r Request) (Outcome, time.Duration, control.Reason) {
 	latest := r.Arrived + time.Duration(unitTimeoutShare*float64(r.SLA))
 	if allowed, at := l.checkHardLimit(a, r); !allowed {
@@ -66,10 +71,11 @@
 	return outcome, at, control.ReasonNoSnapshot
 }
 
-// checkSlots answers where as many submissions of the customer are in flight as may be.
+// checkSlots decides on a request of a customer that has reached its maximum of submissions in flight.
 func (l *Limiter) checkSlots(a *Account, latest time.Duration) (Outcome, time.Duration, control.Reason) {
 	if a.owner != l.self && l.now-a.levelAt > l.answerTimeout(a) {
-		l.requestSnapshot(a) // what others had in flight ended long ago, but nobody tells a gateway that sends nothing
+		// The submissions at other gateways may have ended long ago. The owner does not send that to a gateway that sends no reports.
+		l.requestSnapshot(a)
 	}
 	if l.now < latest {
 		return Pending, latest, control.ReasonNoSlot
@@ -77,67 +83,68 @@
 	return Exceeded, 0, control.ReasonNoSlot
 }
 
-// checkBucket decides by a bucket that is owned here.
+// checkBucket decides on a request of a customer whose bucket this gateway owns.
 func (l *Limiter) checkBucket(a *Account, r Request, latest time.Duration) (Outcome, time.Duration) {
 	l.refill(a)
 	left := a.level - l.outstandingGrants(a)
-	if left-a.reserved >= l.required(a, r) {
+	if left-a.reserved >= l.requiredLevel(a, r) {
 		return Allowed, 0
 	}
-	after := time.Duration((l.required(a, r) - left) / a.limit.Rate * float64(time.Second))
+	after := time.Duration((l.requiredLevel(a, r) - left) / a.limit.Rate * float64(time.Second))
 	if l.now+after < latest && !r.LateRetry {
 		return Pending, latest
 	}
 	return Exceeded, after
 }
 
-// required is what a level must hold for a request. A client's retry, which mostly comes late, leaves a low bucket to first attempts.
-func (l *Limiter) required(a *Account, r Request) float64 {
+// requiredLevel returns the level that a request needs. A client's retry usually arrives late. It must leave a part of the bucket for
+// first attempts.
+func (l *Limiter) requiredLevel(a *Account, r Request) float64 {
 	if r.LateRetry {
 		return r.Units + retryReserveShare*a.limit.Burst
 	}
 	return r.Units
 }
 
-// remoteView is what a gateway knows, for one request, of a bucket that it does not own.
+// remoteView is what a gateway that does not own a bucket knows of it when it checks one request.
 type remoteView struct {
-	age      time.Duration // of the snapshot
-	fresh    bool          // the snapshot may be used
-	tight    bool          // one such request from each reporter would be more than is left
-	pending  float64       // units consumed or reserved here that the snapshot doesn't know of
-	share    float64       // units that may be so
-	allowed  bool          // in strict mode: the allowance covers the request
-	deadline time.Duration // until then a request waits for the owner's answer
+	age             time.Duration // age of the snapshot
+	fresh           bool          // the snapshot is recent enough to be used
+	scarce          bool          // one such request from each reporter would need more units than are left
+	notInSnapshot   float64       // units consumed or reserved at this gateway that are not in the snapshot
+	burstShare      float64       // most units that notInSnapshot may reach
+	allowanceCovers bool          // the allowance covers the request (always true without strict mode)
+	deadline        time.Duration // end of the wait for the owner's answer
 }
 
-func (l *Limiter) viewOf(a *Account, r Request) remoteView {
+func (l *Limiter) remoteViewOf(a *Account, r Request) remoteView {
 	v := remoteView{
-		age: l.now - a.levelAt, pending: a.unacked + a.unreported + a.reserved,
-		share: a.burstShare(r.Units), allowed: true, deadline: l.answerDeadline(a, r),
+		age: l.now - a.levelAt, notInSnapshot: a.unacked + a.unreported + a.reserved,
+		burstShare: a.burstShare(r.Units), allowanceCovers: true, deadline: l.answerDeadline(a, r),
 	}
 	if l.config.Strict {
-		v.allowed = l.allowanceNow(a)-a.reserved >= r.Units
+		v.allowanceCovers = l.refillAllowance(a)-a.reserved >= r.Units
 	}
 	left, ttl := a.limit.Burst, l.config.SnapshotTTL
 	if a.hasSnapshot {
 		left = min(left, max(a.level, 0))
 	}
-	// A tight snapshot is good only for the requests that wait for it: with a set of a hundred gateways each would else consume its
-	// share of a used-up bucket.
-	if v.tight = r.Units*float64(a.reporters) > left; v.tight {
+	// A scarce snapshot is valid only for the requests that wait for it. Otherwise, in a set of a hundred gateways, each of them would
+	// consume its share of an empty bucket.
+	if v.scarce = r.Units*float64(a.reporterCount) > left; v.scarce {
 		ttl = l.answerTimeout(a)
 	}
 	v.fresh = a.hasSnapshot && v.age < ttl
 	return v
 }
 
-// checkSnapshot decides for a customer whose bucket another gateway owns.
+// checkSnapshot decides on a request of a customer whose bucket another gateway owns.
 func (l *Limiter) checkSnapshot(a *Account, r Request) (Outcome, time.Duration) {
 	if l.config.Strict && l.currentGrant(a)-a.reserved >= r.Units {
 		return Allowed, 0
 	}
-	v := l.viewOf(a, r)
-	if v.fresh && v.allowed && a.level-v.pending >= l.required(a, r) && v.pending+r.Units <= v.share {
+	v := l.remoteViewOf(a, r)
+	if v.fresh && v.allowanceCovers && a.level-v.notInSnapshot >= l.requiredLevel(a, r) && v.notInSnapshot+r.Units <= v.burstShare {
 		return Allowed, 0
 	}
 	if !v.fresh {
@@ -145,79 +152,83 @@
 			return outcome, at
 		}
 	}
-	// The owner may have more by now than the snapshot says.
-	more := (!v.allowed || v.age > l.answerTimeout(a)) && a.level+a.limit.Rate*v.age.Seconds()-v.pending >= r.Units
-	if l.now < v.deadline && (!v.fresh || more || v.pending+r.Units > v.share) {
+	// By now the owner's bucket may hold more units than the snapshot shows.
+	ownerMayHaveMore := (!v.allowanceCovers || v.age > l.answerTimeout(a)) && a.level+a.limit.Rate*v.age.Seconds()-v.notInSnapshot >= r.Units
+	if l.now < v.deadline && (!v.fresh || ownerMayHaveMore || v.notInSnapshot+r.Units > v.burstShare) {
 		l.requestSnapshot(a)
 		a.unitsWanted = max(a.unitsWanted, r.Units)
 		return Pending, v.deadline
 	}
-	return Exceeded, time.Duration((l.required(a, r) - max(0, a.level-v.pending)) / a.limit.Rate * float64(time.Second))
+	return Exceeded, time.Duration((l.requiredLevel(a, r) - max(0, a.level-v.notInSnapshot)) / a.limit.Rate * float64(time.Second))
 }
 
-// checkStale asks the owner for a snapshot, and decides without one where it can.
+// checkStale requests a snapshot from the owner and decides without one if it can. It returns decided false if the request must wait for
+// the owner's answer or is to be rejected.
 func (l *Limiter) checkStale(a *Account, r Request, v remoteView) (outcome Outcome, at time.Duration, decided bool) {
 	l.requestSnapshot(a)
 	unresponsive := l.ownerUnresponsive(a)
 	if unresponsive && l.config.Strict {
-		if v.allowed {
+		if v.allowanceCovers {
 			return Allowed, 0, true
 		}
 		return Exceeded, time.Duration(r.Units / a.limit.Rate * float64(l.gateways) * float64(time.Second)), true
 	}
-	// While the owner is unresponsive the share grows at the rate, divided by the recent reporters without those that are lost: so the
-	// survivors of a lost zone serve the whole quota between them.
-	share := v.share
+	// While the owner is unresponsive, the share grows at the rate divided by the number of reachable reporters. So the gateways that are
+	// left after the loss of a zone serve the whole quota between them.
+	share := v.burstShare
 	if unresponsive {
-		share += a.limit.Rate / float64(l.reachableReporters(a)) * (l.now - a.requestedAt).Seconds()
+		share += a.limit.Rate / float64(l.reachableReporters(a)) * (l.now - a.snapshotRequestedAt).Seconds()
 	}
-	if v.allowed && v.pending+r.Units <= share && (unresponsive || l.staleCovers(a, r, v)) {
+	if v.allowanceCovers && v.notInSnapshot+r.Units <= share && (unresponsive || l.staleCovers(a, r, v)) {
 		return Allowed, 0, true
 	}
 	return Pending, 0, false
 }
 
-// staleCovers tells whether an old snapshot, with this gateway's part of the refill since, covers a request, although the owner answers: else
-// many gateways would each consume a share every second of a used-up bucket. A tight one does so only once the owner was asked in good time and has not
-// answered.
+// staleCovers reports whether an expired snapshot covers a request while the owner is responsive. It adds this gateway's part of the
+// refill since the snapshot. Without this check, many gateways would each consume a share of an empty bucket every second. A scarce
+// snapshot covers a request only if the owner was asked before the request's deadline and has not answered by then.
 func (l *Limiter) staleCovers(a *Account, r Request, v remoteView) bool {
-	left := a.level + a.limit.Rate*v.age.Seconds()/float64(max(a.reporters, 1)) - v.pending
-	if a.hasSnapshot && left < l.required(a, r) {
+	left := a.level + a.limit.Rate*v.age.Seconds()/float64(max(a.reporterCount, 1)) - v.notInSnapshot
+	if a.hasSnapshot && left < l.requiredLevel(a, r) {
 		return false
 	}
-	unanswered := l.now >= v.deadline && a.requestedAt > 0 && a.requestedAt < v.deadline && !r.LateRetry
-	return !v.tight || unanswered
+	unanswered := l.now >= v.deadline && a.snapshotRequestedAt > 0 && a.snapshotRequestedAt < v.deadline && !r.LateRetry
+	return !v.scarce || unanswered
 }
 
-// burstShare is what may be consumed against a snapshot before it is acknowledged: the burst, or twice a low level, divided by
-// the recent reporters, but one request's units at the least.
+// burstShare returns the units that may be consumed against a snapshot before the owner acknowledges them. This is the burst, or
+// lowLevelFactor times the level if that is less, divided by the number of recent reporters. It is never less than the given units of one
+// request.
 func (a *Account) burstShare(units float64) float64 {
 	left := a.limit.Burst
 	if a.hasSnapshot {
-		left = min(left, lowBucketSplit*max(a.level, 0))
+		left = min(left, lowLevelFactor*max(a.level, 0))
 	}
-	return max(left/float64(max(a.reporters, 1)), units)
+	return max(left/float64(max(a.reporterCount, 1)), units)
 }
 
-// answerTimeout is the time within which a healthy owner answers.
+// answerTimeout returns the time within which a healthy owner answers.
 func (l *Limiter) answerTimeout(a *Account) time.Duration {
 	return snapshotTimeout + l.interval + l.peers[a.owner].interval
 }
 
-// answerDeadline is the time until which a request waits for the owner's answer.
+// answerDeadline returns the time until which a request waits for the owner's answer.
 func (l *Limiter) answerDeadline(a *Account, r Request) time.Duration {
 	return r.Arrived + min(ownerAttempts*l.answerTimeout(a), time.Duration(snapshotTimeoutShare*float64(r.SLA)))
 }
 
-// ownerUnresponsive tells whether an owner was asked and nothing came from it for as long as a healthy one takes.
+// ownerUnresponsive reports whether an awaited snapshot has not come and the owner has been silent for longer than ownerAttempts answer
+// time-outs.
 func (l *Limiter) ownerUnresponsive(a *Account) bool {
-	return l.now-max(a.requestedAt, l.peers[a.owner].receivedAt, l.pausedUntil) > ownerAttempts*l.answerTimeout(a)
+	return l.now-max(a.snapshotRequestedAt, l.peers[a.owner].receivedAt, l.pausedUntil) > ownerAttempts*l.answerTimeout(a)
 }
 
-// reachableReporters counts the gateways that share an unresponsive owner's rate. One that owes an acknowledgement for long is lost. From
-// the others of a wide set nothing may come for long either, which proves nothing.
+// reachableReporters returns the number of gateways that share the rate while the owner is unresponsive. A gateway counts as lost if it
+// has owed an acknowledgement for longer than peerLostAfter. Silence of the other gateways proves nothing, because in a wide set two
+// gateways may have nothing to send to each other for a long time.
 func (l *Limiter) reachableReporters(a *Account) int {
-	n := a.reporters
+	n := a.reporterCount
 	for i := range a.setWidth {
 		p := l.peers[(int(a.setFirst)+i)%l.gateways]
 		if len(p.unacked) > 0 && l.now-max(p.unackedSince, p.receivedAt, l.pausedUntil) > peerLostAfter {
--- a/control/quota/consume.go
+++ b/control/quota/consume.go
@@ -2,7 +2,7 @@
 
 import "clovergap/control"
 
-// Reserve keeps units that Check allowed for a request that still waits for something else. Release ends that.
+// Reserve keeps units that Check allowed for a request that still has to wait for something else. Release ends the reservation.
 func (l *Limiter) Reserve(c control.CustomerID, units float64) {
 	if a := l.accounts[c]; a != nil {
 		l.reserve(a, units)
@@ -14,7 +14,7 @@
 	a.reservations++
 }
 
-// Release gives up a reservation, whether its units are consumed next or not.
+// Release ends a reservation, whether or not its units are consumed next.
 func (l *Limiter) Release(c control.CustomerID, units float64) {
 	if a := l.accounts[c]; a != nil {
 		a.reserved = max(0, a.reserved-units)
@@ -22,7 +22,7 @@
 	}
 }
 
-// Consume takes units that Check allowed, once, as the request is sent on.
+// Consume takes units that Check allowed. It is called once for each request, when the request is forwarded.
 func (l *Limiter) Consume(c control.CustomerID, units float64) {
 	if a := l.accounts[c]; a != nil {
 		l.consume(a, units)
@@ -48,29 +48,32 @@
 	l.scheduleReport(a)
 }
 
-// consumeRemote takes units of a grant or, where that doesn't hold as many, of the allowance.
+// consumeRemote takes units from the grant or, if the grant does not hold enough, from the allowance.
 func (l *Limiter) consumeRemote(a *Account, units float64) {
 	if l.currentGrant(a) >= units {
 		a.granted, a.grantUsed = a.granted-units, a.grantUsed+units
 		return
 	}
-	l.allowanceNow(a)
+	l.refillAllowance(a)
 	a.allowance -= units
-	if l.isolatedFrom(a) >= l.now {
+	if l.isolationStart(a) >= l.now {
 		a.allowanceUsed, a.allowanceUnreported = a.allowanceUsed+units, a.allowanceUnreported+units
 	} else {
-		a.usedIsolated = true
+		a.consumedWhileIsolated = true
 	}
 }
 
-// draw takes units from an owned bucket. What it doesn't hold was beyond the quota and takes nothing; in strict mode it is paid back, but
-// old use not for long. Recent reporters that believe there are units get a snapshot at once when there are none any more.
+// draw takes units from an owned bucket. Units that the bucket does not hold exceeded the quota. Without strict mode they are ignored. In
+// strict mode they take the level below 0, and later refills pay them back. The debt is limited (maxDebtTime), so that old use is not paid
+// back for long.
+//
+// When the level falls below one unit, draw schedules a snapshot for each recent reporter whose last snapshot showed units.
 func (l *Limiter) draw(a *Account, units float64) {
-	least := 0.0
+	minLevel := 0.0
 	if l.config.Strict {
-		least = -a.limit.Rate * maxDebt.Seconds()
+		minLevel = -a.limit.Rate * maxDebtTime.Seconds()
 	}
-	a.level = max(least, a.level-units)
+	a.level = max(minLevel, a.level-units)
 	if a.level >= 1 {
 		a.exhausted = false
 		return
@@ -79,7 +82,7 @@
 		return
 	}
 	a.exhausted = true
-	for _, r := range a.reports {
+	for _, r := range a.reporterStates {
 		if l.now-r.receivedAt < reporterTTL && r.snapshotLevel >= 1 {
 			l.scheduleSnapshot(l.peers[r.from], a.id)
 		}
--- a/control/quota/decode.go
+++ b/control/quota/decode.go
@@ -9,15 +9,15 @@
 	"clovergap/control"
 )
 
-// Errors of DecodeMessage.
+// Errors that DecodeMessage returns.
 var (
-	// ErrMessageVersion: the datagram has another format than this program reads.
-	ErrMessageVersion = errors.New("unknown version of a datagram")
-	// ErrMalformed: the datagram ends early, has bytes left over, or holds a number out of range.
-	ErrMalformed = errors.New("malformed datagram")
+	// ErrMessageVersion means that the datagram has a format that this program does not read.
+	ErrMessageVersion = errors.New("decode datagram: unknown format version")
+	// ErrMalformed means that the datagram is cut short, has extra bytes at its end, or holds a number out of range.
+	ErrMalformed = errors.New("decode datagram: malformed payload")
 )
 
-// DecodeMessage reads a datagram.
+// DecodeMessage decodes a datagram. It returns ErrMessageVersion or ErrMalformed if it cannot.
 func DecodeMessage(payload []byte) (*Message, error) {
 	r := &reader{buffer: payload}
 	if r.octet() != messageVersion {
@@ -48,7 +48,7 @@
 	return m, nil
 }
 
-// reader reads the fields of a datagram in their order. After a failure what it gives means nothing.
+// reader reads the fields of a datagram in their order. After a failed read, failed is true and all further results are meaningless.
 type reader struct {
 	buffer []byte
 	failed bool
@@ -77,7 +77,8 @@
 	}
 }
 
-// observation reads a ratio in eighths up to 253, and the two marks above.
+// observation reads an observation. Its last byte is the ratio in eighths up to 253, or stands for ObservedLost or ObservedFailed (255 or
+// 254).
 func (r *reader) observation() Observation {
 	o := Observation{BackendHash: uint64(r.octet()) | uint64(r.octet())<<8 | uint64(r.octet())<<16}
 	v := r.octet()
@@ -90,10 +91,10 @@
 	return o
 }
 
-// boundedUvarint reads a number that must not be over a bound.
-func (r *reader) boundedUvarint(most uint64) uint64 {
+// boundedUvarint reads an unsigned varint. The read fails if the number is above the limit.
+func (r *reader) boundedUvarint(limit uint64) uint64 {
 	v, n := binary.Uvarint(r.buffer)
-	if n <= 0 || v > most {
+	if n <= 0 || v > limit {
 		r.failed = true
 		return 0
 	}
@@ -105,7 +106,7 @@
 
 func (r *reader) sixteenths() float64 { return float64(r.boundedUvarint(maxCount)) / 16 }
 
-// signedSixteenths reads sixteenths that may be below 0.
+// signedSixteenths reads a number of sixteenths that may be negative.
 func (r *reader) signedSixteenths() float64 {
 	v, n := binary.Varint(r.buffer)
 	if n <= 0 || v > maxCount || v < -maxCount {
--- a/control/quota/grant.go
+++ b/control/quota/grant.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// grantUnits sets units aside for a gateway whose requests wait for them: nobody else has them until it reports what became of them.
-func (l *Limiter) grantUnits(r *report, left float64) (units float64) {
+// grantUnits sets units aside for a reporter whose requests wait for them, and returns how many. No other gateway gets these units until
+// the reporter has reported how many of them it used. The result is 0 if no request waits or if fewer units are left than it needs.
+func (l *Limiter) grantUnits(r *reporterState, left float64) (units float64) {
 	if r.unitsWanted > 0 && left >= r.unitsWanted {
 		units = max(r.unitsWanted, math.Floor(left/grantDivisor/float64(l.gateways)))
 		r.granted, r.grantedAt = r.granted+units, l.now
@@ -11,13 +12,14 @@
 	return units
 }
 
-// outstandingGrants is what is granted of an owned bucket and may still be consumed, or was consumed within the window. A gateway that is
-// silent for longer has consumed its grant before that, or let it expire.
+// outstandingGrants returns the granted units of an owned bucket that may still be consumed, or may have been consumed within the window.
+// A grant older than grantMaxAge no longer counts. A gateway that has been silent for so long has consumed the grant before the window or
+// let it expire.
 func (l *Limiter) outstandingGrants(a *Account) (units float64) {
 	if !l.config.Strict {
 		return 0
 	}
-	for _, r := range a.reports {
+	for _, r := range a.reporterStates {
 		if l.now-r.grantedAt >= grantMaxAge {
 			r.granted = 0
 		}
@@ -26,7 +28,7 @@
 	return units
 }
 
-// currentGrant is what is left of this gateway's grant. What is not consumed soon expires, and is reported as used.
+// currentGrant returns what is left of this gateway's grant. A grant expires after grantTTL, and its rest is reported as used.
 func (l *Limiter) currentGrant(a *Account) float64 {
 	if l.now-a.grantedAt >= grantTTL {
 		a.granted, a.grantUsed = 0, a.grantUsed+a.granted
--- a/control/quota/hardlimit.go
+++ b/control/quota/hardlimit.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// checkHardLimit tells whether this gateway's part of the hard limit covers a request, and otherwise when to ask again. A share of the limit
-// is split evenly over the set, so that each gateway has some when partitioned; the rest is the owner's pool, of which those ask
-// whose requests come unevenly. Parts and pool begin empty in each epoch, and rates and bursts add up to the whole limit, whoever
-// restarts.
+// checkHardLimit reports whether this gateway's share of the hard limit covers a request, and if not, when to check again.
+//
+// A part of the hard limit (hardEvenShare) is split evenly over the set, so that each gateway has some units during a partition. The rest
+// is the owner's pool. Gateways whose requests come unevenly request units from the pool. Shares and pool are empty at the start of each
+// epoch. Their rates and bursts add up to the whole limit, whichever gateways restart.
 func (l *Limiter) checkHardLimit(a *Account, r Request) (allowed bool, at time.Duration) {
 	if a.limit.HardRate <= 0 {
 		return true, 0
@@ -16,60 +17,61 @@
 	if !a.inSet {
 		return false, l.now + time.Second
 	}
-	lacking := r.Units + a.reserved - l.hardShareNow(a)
+	lacking := r.Units + a.reserved - l.refillHardShare(a)
 	if lacking <= 0 {
 		return true, 0
 	}
 	if a.owner != l.self {
-		a.hardWanted = min(max(a.hardWanted, lacking), l.hardShareCap(a))
+		a.hardUnitsWanted = min(max(a.hardUnitsWanted, lacking), l.hardShareCap(a))
 		l.requestSnapshot(a)
 		return false, l.now
 	}
 	return false, l.now + time.Duration(lacking/(a.limit.HardRate*l.hardFraction(a))*float64(time.Second))
 }
 
-// hardFraction is the share of the hard limit that is this gateway's.
+// hardFraction returns the fraction of the hard limit that belongs to this gateway. The owner's fraction includes the pool.
 func (l *Limiter) hardFraction(a *Account) float64 {
 	width := float64(max(a.setWidth, 1))
-	// The largest request must fit into a part.
-	even := min(1, max(evenShare, l.config.MaxUnits*width/max(a.limit.HardBurst, 1)))
+	// A share must hold the largest request.
+	even := min(1, max(hardEvenShare, l.config.MaxUnits*width/max(a.limit.HardBurst, 1)))
 	if a.owner == l.self {
 		return even/width + 1 - even
 	}
 	return even / width
 }
 
-// hardShareNow brings this gateway's part up to now and gives what is left of it.
-func (l *Limiter) hardShareNow(a *Account) float64 {
+// refillHardShare refills this gateway's share of the hard limit up to the present and returns it.
+func (l *Limiter) refillHardShare(a *Account) float64 {
 	fill := a.limit.HardRate * l.hardFraction(a) * (l.now - a.hardShareAt).Seconds()
 	a.hardShare, a.hardShareAt = min(l.hardShareCap(a), a.hardShare+fill), l.now
 	return a.hardShare
 }
 
-// hardShareCap is the most that this gateway's part holds.
+// hardShareCap returns the most units that this gateway's share holds.
 func (l *Limiter) hardShareCap(a *Account) float64 { return a.limit.HardBurst * l.hardFraction(a) }
 
-// takeTransfer gives what a delta says in its field Transfer, and clears it: below 0 the units that are asked of the owner's pool; in
-// strict mode the units of grants that were used.
+// takeTransfer returns the value of a delta's field Transfer and clears its source. Without strict mode the value is negative or 0 and
+// requests units from the owner's pool. In strict mode it is the units of grants that were used.
 func (l *Limiter) takeTransfer(a *Account) (transfer float64) {
 	if l.config.Strict {
 		transfer, a.grantUsed = a.grantUsed, 0
 		return transfer
 	}
-	transfer, a.hardWanted = -a.hardWanted, 0
+	transfer, a.hardUnitsWanted = -a.hardUnitsWanted, 0
 	return transfer
 }
 
-// grantHardShare gives units of the owner's pool. They are taken off before they are sent, and added at most once and only in the epoch that
-// they were meant for: a lost message loses them.
-func (l *Limiter) grantHardShare(a *Account, r *report) float64 {
-	if r.hardWanted <= 0 || !a.inSet || a.limit.HardRate <= 0 {
+// grantFromHardPool grants a reporter units of the owner's pool and returns how many. The owner subtracts them before it sends them. The
+// reporter adds them at most once, and only in the epoch for which they were granted. So a lost message loses units but never doubles
+// them.
+func (l *Limiter) grantFromHardPool(a *Account, r *reporterState) float64 {
+	if r.hardUnitsWanted <= 0 || !a.inSet || a.limit.HardRate <= 0 {
 		return 0
 	}
-	units := math.Ceil(16*r.hardWanted) / 16 // as a message rounds them
-	r.hardWanted = 0
-	if units > l.hardShareNow(a)-a.reserved {
-		return 0 // less than what is asked for would let nobody go
+	units := math.Ceil(16*r.hardUnitsWanted) / 16 // the precision of a message
+	r.hardUnitsWanted = 0
+	if units > l.refillHardShare(a)-a.reserved {
+		return 0 // a smaller grant would not cover the waiting request
 	}
 	a.hardShare -= units
 	return units
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -10,113 +10,117 @@
 	"clovergap/internal/invariant"
 )
 
-// Config is what the two programs set differently. MinInterval, SnapshotTTL and DatagramsPerSecond must be above 0.
+// Config is the part of the limiter's configuration in which the two programs differ. MinInterval, SnapshotTTL and DatagramsPerSecond
+// must be above 0.
 type Config struct {
-	// MinInterval is the least time between two datagrams to one peer.
+	// MinInterval is the minimum interval between two datagrams to one peer.
 	MinInterval time.Duration
-	// SnapshotTTL is how long an owner's snapshot may be used.
+	// SnapshotTTL is the time for which an owner's snapshot may be used.
 	SnapshotTTL time.Duration
-	// DatagramsPerSecond is how many datagrams this gateway is able to take in.
+	// DatagramsPerSecond is the number of datagrams a second that this gateway can receive.
 	DatagramsPerSecond float64
-	// InitialFill is the share of the burst that buckets begin with in a new cluster; 0: they begin empty.
+	// InitialFill is the share of the burst that buckets hold at the start of a new cluster. With 0 they start empty.
 	InitialFill float64
-	// MaxUnits are the units of the largest request: a part of a hard limit holds as many.
+	// MaxUnits is the number of units of the largest request. The shares of a hard limit are sized to hold as many.
 	MaxUnits float64
 
-	// Strict bounds what all gateways consume together, whatever is partitioned; see the package comment.
+	// Strict limits what all gateways consume together under any partition. See the package comment.
 	Strict bool
-	// Window, Excess and Margin state that bound: (1 + Excess) x (rate x Window + burst) + Margin units in any Window.
+	// Window, Excess and Margin define the bound of strict mode, (1 + Excess) x (rate x Window + burst) + Margin units in any Window.
 	Window time.Duration
-	Excess float64 // a share
+	Excess float64 // share of 1
 	Margin float64 // units
-	// OwnershipDelay is how long a bucket stays empty after its ownership changed, by a start or by Grow.
+	// OwnershipDelay is the time for which a bucket stays empty after its owner has changed because of a start or of Grow.
 	OwnershipDelay time.Duration
 }
 
-// Limit is what a customer may use.
+// Limit holds the limits of one customer.
 type Limit struct {
-	Rate        float64 // units a second; 0: not metered, but for the rest
+	Rate        float64 // units a second; 0 disables this limit, but not the others
 	Burst       float64 // units
-	MaxInFlight int     // submissions in flight over all gateways; 0: no bound
-	HardRate    float64 // units a second that are never exceeded; 0: no hard limit
-	HardBurst   float64 // units, the same
+	MaxInFlight int     // submissions in flight over all gateways; 0 means no limit
+	HardRate    float64 // units a second that are never exceeded; 0 means no hard limit
+	HardBurst   float64 // units of burst that are never exceeded
 }
 
-// PlanLimiterOptions is what a limiter needs of a front door, whose customers have the limits of their plans.
+// PlanLimiterOptions configures a front door's limiter, whose customers have the limits of their plans.
 type PlanLimiterOptions struct {
-	// PeersEnabled is false where nothing may be sent to peers.
+	// PeersEnabled is false if nothing may be sent to peers.
 	PeersEnabled bool
-	// PlanLimit gives the limits of a plan, nil for one that does not exist.
+	// PlanLimit returns the limits of a plan, or nil for a plan that does not exist.
 	PlanLimit func(control.PlanID) *Limit
-	// LastObservations gives the last observations of backends, which go along with datagrams, and how many there were in all.
+	// LastObservations returns the latest observations of backends, which are sent along with datagrams, and the number of all
+	// observations made so far.
 	LastObservations func() (last []Observation, count int)
-	// ObservationsReceived takes those of a peer.
+	// ObservationsReceived is called with the observations in a peer's datagram.
 	ObservationsReceived func([]Observation)
 }
 
-// Limiter is one gateway's part in metering all customers: the buckets that it owns, its snapshots of the others, and the messages
-// about them. It is not safe for concurrent use. All times are of the host's clock.
+// Limiter meters all customers for one gateway. It holds the buckets that this gateway owns and the snapshots of the other buckets, and
+// it creates and applies the messages about them. It is not safe for concurrent use. All times are those of the host's clock.
 type Limiter struct {
-	config Config
-	plans  PlanLimiterOptions // PlanLimit nil: limits are set by SetLimit
+	config  Config
+	options PlanLimiterOptions // PlanLimit is nil if limits are set by SetLimit
 
-	now         time.Duration
-	startedAt   time.Duration
-	pausedUntil time.Duration // end of the last time in which this process stood still
-	ownersSince time.Duration // when owners were last assigned anew
-	sweptAt     time.Duration
+	now              time.Duration
+	startedAt        time.Duration
+	pausedUntil      time.Duration // end of the last pause of this process
+	ownersAssignedAt time.Duration // time from which Config.OwnershipDelay counts for new owners
+	sweptAt          time.Duration
 
 	self     control.GatewayID
 	gateways int
 	epoch    uint32
 
-	reachable       int           // gateways in touch with this one, itself included, as the host says
-	reachableBefore int           // before that last rose
-	reachableAt     time.Duration // when it last rose
-
-	olderPeers   int  // seen that were started before this gateway
-	youngPeers   int  // seen that were started with it
-	freshCluster bool // no gateway is older
-
-	accounts map[control.CustomerID]*Account
-	ordered  []*Account // the same, in order of their creation
-	removed  map[control.CustomerID]time.Duration
-
-	peers        []*peer       // by gateway; the own place is unused
-	pending      []*peer       // with something to send
-	version      uint64        // of the last message with snapshots
-	interval     time.Duration // between datagrams to here, as peers are asked to keep
-	maxDatagrams float64       // a second, from all peers
-	received     int           // datagrams since the last sweep
-	senders      int           // peers that they came from
-	badDatagrams int
+	reachable       int           // number of gateways, including this one, that the host reports as reachable
+	reachableBefore int           // effectiveReachable before the last rise of reachable
+	reachableRoseAt time.Duration // time of the last rise of reachable
+
+	// olderPeers counts the datagrams from peers that were started before this gateway.
+	olderPeers int
+	// youngPeers counts the peers that were started at about the same time as this gateway or later.
+	youngPeers   int
+	freshCluster bool // no gateway of the cluster is older than this one
+
+	accounts        map[control.CustomerID]*Account
+	orderedAccounts []*Account // the values of accounts in the order of their creation
+	removedAt       map[control.CustomerID]time.Duration
+
+	peers               []*peer       // by gateway ID; the entry of this gateway is unused
+	pendingPeers        []*peer       // peers for which there may be something to send
+	version             uint64        // version of the last message with snapshots
+	interval            time.Duration // interval between datagrams to this gateway that peers are asked to keep
+	maxDatagrams        float64       // target for the datagrams a second from all peers
+	datagramsSinceSweep int           // datagrams received since the last sweep
+	sendersSinceSweep   int           // peers that sent these datagrams
+	badDatagrams        int
 }
 
-// NewLimiter starts the part of gateway self of so many. The seed makes its epoch: no two runs may have the same. Limits are set by
-// SetLimit, and each customer's set is all gateways.
+// NewLimiter returns the limiter of gateway self in a cluster of the given number of gateways. The epoch is derived from the seed, so no
+// two runs may have the same seed. Limits are set by SetLimit, and the set of each customer is all gateways.
 func NewLimiter(seed int64, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
-	invariant.That(self >= 0 && int(self) < gateways, "a gateway is one of those there are")
-	invariant.That(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0, "a quota is configured")
+	invariant.That(self >= 0 && int(self) < gateways, "the gateway ID is below the number of gateways")
+	invariant.That(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0, "MinInterval, SnapshotTTL and DatagramsPerSecond are above 0")
 	l := newLimiter(rand.New(rand.NewSource(seed)).Uint32()|1, self, gateways, now, config)
-	l.plans.PeersEnabled, l.sweptAt = true, now
+	l.options.PeersEnabled, l.sweptAt = true, now
 	return l
 }
 
-// NewPlanLimiter starts the part of a front door: customers have the limits of their plans, and the set that each txn names. The epoch
-// must not be 0.
-func NewPlanLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config, plans PlanLimiterOptions) *Limiter {
+// NewPlanLimiter returns the limiter of a front door. Customers have the limits of their plans and the set that each txn names. The
+// epoch must not be 0.
+func NewPlanLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config, options PlanLimiterOptions) *Limiter {
 	l := newLimiter(epoch, self, gateways, now, config)
-	l.plans = plans
+	l.options = options
 	return l
 }
 
 func newLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
 	l := &Limiter{
 		config: config, epoch: epoch, self: self, gateways: gateways, reachable: gateways,
-		now: now, startedAt: now, ownersSince: now,
+		now: now, startedAt: now, ownersAssignedAt: now,
 		interval: config.MinInterval, maxDatagrams: max(1, datagramShare*config.DatagramsPerSecond),
-		accounts: map[control.CustomerID]*Account{},
-		removed:  map[control.CustomerID]time.Duration{},
+		accounts:  map[control.CustomerID]*Account{},
+		removedAt: map[control.CustomerID]time.Duration{},
 	}
 	for i := range gateways {
 		l.peers = append(l.peers, &peer{id: control.GatewayID(i)})
@@ -124,7 +128,7 @@
 	return l
 }
 
-// Now sets the clock, which never goes back.
+// Now sets the limiter's clock. A time before the current one is ignored.
 func (l *Limiter) Now(now time.Duration) {
 	if l.now > l.startedAt && now-l.now > stallThreshold {
 		l.pausedUntil = now
@@ -132,19 +136,19 @@
 	l.now = max(l.now, now)
 }
 
-// SetLimit sets a customer's rate, in units a second, and burst, in units. A lower burst cuts the level at once, a higher one fills at
-// the rate. A rate of 0 or below ends the metering of this customer. Numbers of customers go up to 1<<34.
+// SetLimit sets a customer's rate in units a second and its burst in units. A lower burst reduces the level at once. After a higher
+// burst, the bucket fills at the rate. A rate of 0 or below stops the metering of the customer. The largest customer ID is 1<<34.
 func (l *Limiter) SetLimit(c control.CustomerID, rate, burst float64) {
-	invariant.That(l.plans.PlanLimit == nil && c <= 1<<34, "a limit is of a customer that messages can name")
+	invariant.That(l.options.PlanLimit == nil && c <= 1<<34, "limits are set by customer, and the customer ID fits a message")
 	a := l.accounts[c]
 	switch {
 	case rate <= 0:
 		l.removeLimit(c)
 	case a == nil:
-		delete(l.removed, c)
+		delete(l.removedAt, c)
 		a = l.account(c, 0)
 		a.limit = &Limit{Rate: rate, Burst: burst}
-		a.level, a.levelAt = l.initialLevel(a), max(l.now, l.ownersSince+l.config.OwnershipDelay)
+		a.level, a.levelAt = l.initialLevel(a), max(l.now, l.ownersAssignedAt+l.config.OwnershipDelay)
 		l.assignOwner(a, 0, l.gateways)
 	default:
 		if a.owner == l.self {
@@ -157,18 +161,20 @@
 
 func (l *Limiter) removeLimit(c control.CustomerID) {
 	if a := l.accounts[c]; a != nil {
-		l.detach(a)
+		l.cancelReports(a)
 		delete(l.accounts, c)
-		l.ordered = slices.DeleteFunc(l.ordered, func(o *Account) bool { return o == a })
+		l.orderedAccounts = slices.DeleteFunc(l.orderedAccounts, func(o *Account) bool { return o == a })
 	}
-	l.removed[c] = l.now
+	l.removedAt[c] = l.now
 }
 
-// SetReachable says which gateways are in touch with this one, by number; until it is called, all are. In strict mode the buckets owned
-// here fill by so much less as others are out of reach, since those consume their parts alone, and for reachabilityLag longer, since they may
-// learn later that they are not isolated any more.
+// SetReachable sets which gateways this one can reach, by gateway ID. Until the first call, all are reachable.
+//
+// In strict mode, unreachable gateways reduce the refill of the buckets that this gateway owns, because those gateways consume their
+// parts of the rate on their own. The reduction lasts reachabilityLag longer than the fault, because such a gateway may learn later than
+// this one that it is no longer isolated.
 func (l *Limiter) SetReachable(live []bool) {
-	for _, a := range l.ordered {
+	for _, a := range l.orderedAccounts {
 		if a.owner == l.self {
 			l.refill(a)
 		}
@@ -184,27 +190,28 @@
 		}
 	}
 	if count > l.reachable {
-		l.reachableBefore, l.reachableAt = l.reachableNow(), l.now
+		l.reachableBefore, l.reachableRoseAt = l.effectiveReachable(), l.now
 	}
 	l.reachable = count
 }
 
-// reachableNow counts the gateways whose parts of the rate go into the buckets. An owner that has just started has withheld nothing, and
-// believes its host at once.
-func (l *Limiter) reachableNow() int {
-	if l.now-l.reachableAt < reachabilityLag && l.reachableAt-l.startedAt > grantMaxAge {
+// effectiveReachable returns the number of gateways whose parts of the rate refill the buckets. It delays a rise of reachable by
+// reachabilityLag. An owner that has just started has withheld nothing, so it applies a rise at once.
+func (l *Limiter) effectiveReachable() int {
+	if l.now-l.reachableRoseAt < reachabilityLag && l.reachableRoseAt-l.startedAt > grantMaxAge {
 		return min(l.reachable, l.reachableBefore)
 	}
 	return l.reachable
 }
 
-// Grow says that there are more gateways, or that this one has another number among them. Owners are hashed anew. A bucket that is owned
-// here from now on stays empty for Config.OwnershipDelay: that stands for everything consumed before, so that nobody spends it twice. Units that the
-// old owner has not acknowledged are reported to the new one; if the old one had applied them, they count twice, and the customer has too
-// little for a moment. Grants of the old owner are void. Only an old owner that is partitioned off goes on beside the new one, so gateways are to be added
-// while all are in touch.
+// Grow sets a higher number of gateways, or another ID of this gateway. All owners are computed anew.
+//
+// A bucket that this gateway owns from now on stays empty for Config.OwnershipDelay. That stands for everything consumed before, so no
+// units are spent twice. Units that the old owner has not acknowledged are reported to the new one. If the old owner had applied them,
+// they count twice, and the customer has too few units for a moment. Grants of the old owner are void. An old owner that is partitioned
+// off goes on granting units beside the new one. So gateways must be added only while all of them can reach each other.
 func (l *Limiter) Grow(self control.GatewayID, gateways int) {
-	invariant.That(gateways >= l.gateways && int(self) < gateways, "gateways get more")
+	invariant.That(gateways >= l.gateways && int(self) < gateways, "the number of gateways does not decrease and the gateway ID is below it")
 	before := l.self
 	if self == before && gateways == l.gateways {
 		return
@@ -213,34 +220,34 @@
 		l.peers = append(l.peers, &peer{id: control.GatewayID(i)})
 	}
 	if self != before {
-		l.epoch += 2 // to the peers it is a gateway that has just started
+		l.epoch += 2 // a new epoch, so that peers treat this gateway as one that has just started
 	}
 	allReachable, delay := l.reachable == l.gateways, l.config.OwnershipDelay
 	if l.gateways == 1 && int(self) < gateways-1 {
-		delay = 0 // it has started again under a number that the others know: they ask no other owner
+		delay = 0 // this gateway has restarted under an ID that the others know, and they report to no other owner
 	}
-	l.self, l.gateways, l.ownersSince = self, gateways, l.now+delay-l.config.OwnershipDelay
+	l.self, l.gateways, l.ownersAssignedAt = self, gateways, l.now+delay-l.config.OwnershipDelay
 	if l.reachable = min(l.reachable, gateways); allReachable {
 		l.reachable = gateways
 	}
-	for _, a := range l.ordered {
+	for _, a := range l.orderedAccounts {
 		l.reassign(a, before, delay)
 	}
 }
 
-// reassign assigns an account's owner after Grow; before is the own number until then.
+// reassign assigns the owner of an account after Grow. The argument before is the ID that this gateway had until then.
 func (l *Limiter) reassign(a *Account, before control.GatewayID, delay time.Duration) {
 	owner := OwnerOf(a.id, 0, l.gateways, l.gateways)
-	a.setWidth, a.reporters = l.gateways, l.gateways
+	a.setWidth, a.reporterCount = l.gateways, l.gateways
 	if owner == a.owner && l.self == before {
 		return
 	}
 	if a.owner != before {
-		a.unreported, a.unacked = a.unreported+l.detach(a), 0
+		a.unreported, a.unacked = a.unreported+l.cancelReports(a), 0
 	}
-	a.owner, a.level, a.levelAt, a.reports = owner, 0, l.now, nil
-	a.hasSnapshot, a.version, a.requestedAt = false, 0, 0
-	a.granted, a.grantUsed, a.allowanceAcked, a.ackedSince = 0, 0, 0, 0
+	a.owner, a.level, a.levelAt, a.reporterStates = owner, 0, l.now, nil
+	a.hasSnapshot, a.version, a.snapshotRequestedAt = false, 0, 0
+	a.granted, a.grantUsed, a.allowanceAcked, a.lastAckedSentAt = 0, 0, 0, 0
 	if owner == l.self {
 		a.levelAt, a.unreported, a.allowanceUnreported, a.allowanceUsed = l.now+delay, 0, 0, 0
 	} else if a.unreported > 0 {
@@ -248,91 +255,93 @@
 	}
 }
 
-// detach takes an account out of everything that waits to be sent to its owner or acknowledged by it, and gives the unacknowledged units.
-func (l *Limiter) detach(a *Account) (units float64) {
+// cancelReports removes an account from the queue of reports to its owner and from the unacknowledged messages. It returns the account's
+// unacknowledged units.
+func (l *Limiter) cancelReports(a *Account) (units float64) {
 	p := l.peers[a.owner]
-	p.dirty = slices.DeleteFunc(p.dirty, func(o *Account) bool { return o == a })
-	a.dirty = false
+	p.reportQueue = slices.DeleteFunc(p.reportQueue, func(o *Account) bool { return o == a })
+	a.reportQueued = false
 	for _, u := range p.unacked {
 		u.deltas = slices.DeleteFunc(slices.Clone(u.deltas), func(d Delta) bool {
 			if d.Customer == a.id {
 				units += d.Units
-				a.allowanceUnreported += u.allowance[a.id]
+				a.allowanceUnreported += u.allowanceUnits[a.id]
 			}
 			return d.Customer == a.id
 		})
 	}
-	p.unacked = slices.DeleteFunc(p.unacked, func(u *unackedDelta) bool { return len(u.deltas) == 0 })
+	p.unacked = slices.DeleteFunc(p.unacked, func(u *unackedMessage) bool { return len(u.deltas) == 0 })
 	return units
 }
 
-// learnAge finds out whether the whole cluster was started with this gateway: then nobody can have consumed anything before, and buckets
-// begin with their initial fill. One older peer is proof of the contrary: this gateway has restarted, and its buckets begin empty.
-func (l *Limiter) learnAge(p *peer, age time.Duration) {
-	if age > l.now-l.startedAt+startSkew {
+// recordPeerAge uses the age of a peer to find out whether the whole cluster was started together with this gateway. In such a new
+// cluster nothing can have been consumed before, so buckets get their initial fill. One older peer proves that this gateway has restarted,
+// and then its buckets start empty.
+func (l *Limiter) recordPeerAge(p *peer, age time.Duration) {
+	if age > l.now-l.startedAt+maxStartSkew {
 		l.olderPeers++
 	} else if p.receivedAt == 0 {
 		l.youngPeers++
 	}
-	if l.config.InitialFill <= 0 || l.olderPeers > 0 || l.freshCluster || l.now-l.startedAt > startSkew ||
+	if l.config.InitialFill <= 0 || l.olderPeers > 0 || l.freshCluster || l.now-l.startedAt > maxStartSkew ||
 		l.youngPeers < min(minYoungPeers, l.gateways-1) {
 		return
 	}
-	for _, a := range l.ordered {
+	for _, a := range l.orderedAccounts {
 		if a.owner == l.self {
-			a.level += l.initialFill(a) // capped at the next refill
+			a.level += l.initialFill(a) // the next refill limits the level to the burst
 		}
 	}
 	l.freshCluster = true
 }
 
-// Sweep does the periodic work, once a second; other calls do nothing.
+// Sweep does the periodic work at most once a second. Calls in between do nothing.
 func (l *Limiter) Sweep() {
 	if l.now-l.sweptAt < time.Second {
 		return
 	}
 	l.adjustInterval()
-	l.dropIdle()
+	l.removeIdleAccounts()
 	l.sweptAt = l.now
-	maps.DeleteFunc(l.removed, func(_ control.CustomerID, at time.Duration) bool { return l.now-at > removedTTL })
+	maps.DeleteFunc(l.removedAt, func(_ control.CustomerID, at time.Duration) bool { return l.now-at > removedTTL })
 }
 
-// adjustInterval lets the interval that peers are asked to keep follow the load: a gateway that owns a customer of many gateways gets
-// fewer datagrams of each of them.
+// adjustInterval adapts the interval that peers are asked to keep to the rate of received datagrams. So a gateway that owns a customer of
+// many gateways gets fewer datagrams from each of them.
 func (l *Limiter) adjustInterval() {
-	rate := float64(l.received) / (l.now - l.sweptAt).Seconds()
+	rate := float64(l.datagramsSinceSweep) / (l.now - l.sweptAt).Seconds()
 	l.interval = min(max(l.config.MinInterval, time.Duration(float64(l.interval)*max(rate/l.maxDatagrams, intervalDecay))), maxInterval)
 	if rate > l.maxDatagrams {
-		l.interval = max(l.interval, time.Duration(float64(l.senders)/l.maxDatagrams*float64(time.Second)))
+		l.interval = max(l.interval, time.Duration(float64(l.sendersSinceSweep)/l.maxDatagrams*float64(time.Second)))
 	}
-	l.received, l.senders = 0, 0
+	l.datagramsSinceSweep, l.sendersSinceSweep = 0, 0
 }
 
-// dropIdle drops the accounts that a new one would equal. Those with a limit of their own (SetLimit) stay.
-func (l *Limiter) dropIdle() {
-	kept := l.ordered[:0]
-	for _, a := range l.ordered {
+// removeIdleAccounts removes idle accounts that a newly created account would equal. Accounts whose limits were set by SetLimit are kept.
+func (l *Limiter) removeIdleAccounts() {
+	kept := l.orderedAccounts[:0]
+	for _, a := range l.orderedAccounts {
 		full := a.owner != l.self || a.level+a.limit.Rate*(l.now-a.levelAt).Seconds() >= a.limit.Burst &&
-			(a.limit.HardRate <= 0 || l.hardShareNow(a) >= l.hardShareCap(a))
-		if l.plans.PlanLimit != nil && l.now-a.usedAt > idleAfter && full && !a.dirty && a.inFlight == 0 && a.reservations == 0 &&
+			(a.limit.HardRate <= 0 || l.refillHardShare(a) >= l.hardShareCap(a))
+		if l.options.PlanLimit != nil && l.now-a.lastUsedAt > idleAfter && full && !a.reportQueued && a.inFlight == 0 && a.reservations == 0 &&
 			a.unacked <= 0 {
 			delete(l.accounts, a.id)
 			continue
 		}
 		kept = append(kept, a)
 	}
-	l.ordered = kept
+	l.orderedAccounts = kept
 }
 
-// NextDeadline is the time at which NextDatagram or Sweep may have something to do, now at the earliest.
+// NextDeadline returns the next time at which NextDatagram or Sweep may have something to do. It is never before the current time.
 func (l *Limiter) NextDeadline() time.Duration {
 	next := l.sweptAt + time.Second
-	for _, p := range l.pending {
+	for _, p := range l.pendingPeers {
 		at := next
 		if len(p.unacked) > 0 {
 			at = p.resendAt() + 1
 		}
-		if len(p.dirty) > 0 || p.ackPending {
+		if len(p.reportQueue) > 0 || p.ackPending {
 			at = l.now
 		}
 		if p.sentAt > 0 {
@@ -343,26 +352,27 @@
 	return max(next, l.now)
 }
 
-// Epoch is the number of this run of the limiter; messages carry it, and peers acknowledge it.
+// Epoch returns the epoch of this limiter. Messages carry it, and peers name it in their acknowledgements.
 func (l *Limiter) Epoch() uint32 { return l.epoch }
 
-// HasPending tells whether there is something to send to a peer, now or later.
-func (l *Limiter) HasPending() bool { return len(l.pending) > 0 }
+// HasPending reports whether there may be something to send to a peer, now or later.
+func (l *Limiter) HasPending() bool { return len(l.pendingPeers) > 0 }
 
-// CustomerCount counts the customers of which an account is kept.
+// CustomerCount returns the number of customers that have an account.
 func (l *Limiter) CustomerCount() int { return len(l.accounts) }
 
-// BadDatagrams counts the datagrams that were malformed or from no peer, and the deltas that could not be applied.
+// BadDatagrams returns the number of datagrams that were malformed or came from no known peer, plus the rejected deltas and messages of
+// deltas.
 func (l *Limiter) BadDatagrams() int { return l.badDatagrams }
 
-// AccountState is a part of an account, for diagnosis.
+// AccountState is an excerpt of an account for diagnosis.
 type AccountState struct {
 	Owner    control.GatewayID
-	Level    float64 // units: in the bucket, or in the owner's last snapshot
+	Level    float64 // units in the bucket or in the owner's last snapshot
 	Reserved float64 // units
 }
 
-// State gives what is kept of a customer; false if nothing is.
+// State returns the state of a customer's account, and false if there is none.
 func (l *Limiter) State(c control.CustomerID) (AccountState, bool) {
 	a := l.accounts[c]
 	if a == nil {
--- a/control/quota/message.go
+++ b/control/quota/message.go
@@ -9,89 +9,94 @@
 )
 
 const (
-	// messageVersion is the first byte of a datagram: the number of its format.
+	// messageVersion is the version of the datagram format and the first byte of each datagram.
 	messageVersion = 2
-	// maxMessageBytes is what limiters fill; the host's limit on datagrams is not lower.
+	// maxMessageBytes is the size up to which limiters fill datagrams. The host's limit on datagrams is not lower.
 	maxMessageBytes = 256
 
-	// maxSeq bounds sequences and versions, maxCount counts and sixteenths of a unit.
+	// maxSeq is the largest sequence number or version. maxCount is the largest count or number of sixteenths of a unit.
 	maxSeq            = 1 << 62
 	maxCount          = 1 << 20
 	maxCustomer       = 1 << 34
 	maxPlan           = 1 << 16
 	maxIntervalMillis = 1 << 14
 
-	// maxDeltaBytes and maxSnapshotBytes are the longest encodings of usual figures: customer 5, plan and other small counts 3, units 4.
+	// maxDeltaBytes and maxSnapshotBytes are the largest encodings of usual values. A customer ID takes 5 bytes, a plan ID or another small
+	// number 3, and units 4.
 	maxDeltaBytes    = 5 + 3 + 4 + 3 + 4 + 3 + 4 + 3
 	maxSnapshotBytes = 5 + 4 + 3 + 3 + 4
 	observationBytes = 5
 
-	// ObservationHashMask is the part of a backend's hash that an observation carries.
+	// ObservationHashMask selects the bits of a backend's hash that an observation carries.
 	ObservationHashMask = 1<<24 - 1
 )
 
-// Message is one datagram between two gateways: deltas for accounts that the receiver owns, snapshots of accounts that the sender owns,
-// the acknowledgement of the receiver's deltas, and observations of backends. Numbers are varints, units are sixteenths.
+// Message is one datagram between two gateways. It carries deltas for accounts that the receiver owns, snapshots of accounts that the
+// sender owns, the acknowledgement of the receiver's deltas, and observations of backends. Most numbers are encoded as varints, and
+// units as sixteenths.
 type Message struct {
-	Epoch        uint32        // of the sender
-	Interval     time.Duration // least time between datagrams to the sender, in whole milliseconds
-	Age          time.Duration // of the sender, in whole seconds, 255 at the most
-	Seq          uint64        // of the deltas; 0: there are none
+	Epoch        uint32        // epoch of the sender
+	Interval     time.Duration // minimum interval between datagrams to the sender, in whole milliseconds
+	Age          time.Duration // time since the start of the sender, in whole seconds, at most 255
+	Seq          uint64        // sequence number of the deltas; 0 if there are none
 	Deltas       []Delta
-	Version      uint64 // of the snapshots: a later one goes before
-	AckEpoch     uint32 // the receiver's epoch that acknowledgement and snapshots are for
-	AckHigh      uint64 // highest sequence applied
-	AckMask      uint64 // the last 32 sequences applied: bit i for AckHigh-i
+	Version      uint64 // version of the snapshots; a higher version replaces a lower one
+	AckEpoch     uint32 // receiver's epoch to which the acknowledgement and the snapshots apply
+	AckHigh      uint64 // highest sequence number applied
+	AckMask      uint64 // applied ones of the last 32 sequence numbers; bit i stands for AckHigh-i
 	Snapshots    []Snapshot
 	Observations []Observation
 }
 
-// Delta reports the use of one customer to its owner.
+// Delta reports the use of one customer's quota to the owner.
 type Delta struct {
-	Customer    control.CustomerID
-	Plan        control.PlanID
-	Units       float64           // consumed since the last report
-	InFlight    int               // submissions; in strict mode units, see reportedInFlight
-	Transfer    float64           // units: below 0, asked of the hard limit's pool; in strict mode, used of grants
-	SetFirst    control.GatewayID // the customer's set, so that an owner knows it before it sees a request of the customer
-	UnitsWanted float64           // units that a pending request needs
+	Customer control.CustomerID
+	Plan     control.PlanID
+	Units    float64 // units consumed since the last report
+	InFlight int     // submissions in flight (in strict mode, units; see reportedInFlight)
+	// Transfer is negative if it requests units from the pool of the hard limit. In strict mode it is the units of grants that were used.
+	Transfer float64
+	// SetFirst and SetWidth describe the customer's set. With them, the owner knows the set before it receives a request of the customer.
+	SetFirst    control.GatewayID
+	UnitsWanted float64 // units that a pending request needs
 	SetWidth    int
 }
 
-// Snapshot is what an owner says of one customer to one reporter.
+// Snapshot is the state of one customer's bucket that the owner sends to one reporter.
 type Snapshot struct {
 	Customer          control.CustomerID
 	Level             float64 // units left
-	Reporters         int     // recent ones, the receiver included
-	InFlightElsewhere int     // submissions of other gateways
-	Grant             float64 // units: of the hard limit's pool; in strict mode, set aside for the receiver
+	Reporters         int     // number of recent reporters, including the receiver
+	InFlightElsewhere int     // submissions in flight at other gateways
+	Grant             float64 // units from the hard limit's pool (in strict mode, units set aside for the receiver)
 }
 
-// Observation is how one submission went at a backend. Limiters only carry it, from one host to another.
+// Observation is the result of one submission to a backend. Limiters only carry observations from one host to another.
 type Observation struct {
-	BackendHash uint64 // its last 24 bits
+	BackendHash uint64 // last 24 bits of the backend's hash
 	Product     control.ProductID
-	Ratio       float64 // answer time over the usual one, in eighths, or one of ObservedLost and ObservedFailed
-	Congestion  Congestion
+	// Ratio is the answer time divided by the usual one, in eighths, or one of ObservedLost and ObservedFailed.
+	Ratio      float64
+	Congestion Congestion
 }
 
-// Congestion is what a submission says of the fleet of backends.
+// Congestion is the congestion of all backends as seen by one submission.
 type Congestion int
 
-// What a submission may say of the fleet.
+// The values of Congestion. CongestionUnknown means that the submission shows nothing about it.
 const (
 	CongestionUnknown Congestion = iota
 	NotCongested
 	Congested
 )
 
-// Ratios of submissions that were not answered.
+// Special values of Observation.Ratio for submissions without a regular answer.
 const (
-	ObservedLost   = -1 // no answer, or no connection
-	ObservedFailed = -2 // answered with an error
+	ObservedLost   = -1 // no answer or no connection
+	ObservedFailed = -2 // an error as the answer
 )
 
-// sixteenths rounds units down to what a message carries.
+// sixteenths converts units to sixteenths, rounded down and limited to maxCount. It returns 0 for negative units and NaN.
 func sixteenths(units float64) uint64 {
 	if units <= 0 || math.IsNaN(units) {
 		return 0
@@ -126,10 +131,10 @@
 	return append(b, byte(o.BackendHash), byte(o.BackendHash>>8), byte(o.BackendHash>>16), byte(o.Product)<<2|byte(o.Congestion), ratio)
 }
 
-// remaining is the number of bytes that may be added to a message.
-func (m *Message) remaining() int { return maxMessageBytes - len(m.Encode()) }
+// remainingBytes returns the number of bytes that can still be added to the message.
+func (m *Message) remainingBytes() int { return maxMessageBytes - len(m.Encode()) }
 
-// Encode gives the bytes of a message. DecodeMessage reads them.
+// Encode returns the encoded message, which DecodeMessage reads.
 func (m *Message) Encode() []byte {
 	b := make([]byte, 0, maxMessageBytes)
 	b = append(b, messageVersion)
@@ -156,7 +161,8 @@
 	return b
 }
 
-// acknowledges tells whether the message says that a sequence was applied.
+// acknowledges reports whether the message acknowledges the given sequence number. A number that is too old for the mask counts as
+// acknowledged.
 func (m *Message) acknowledges(seq uint64) bool {
 	return m.AckHigh >= seq && (m.AckHigh-seq >= 32 || m.AckMask>>(m.AckHigh-seq)&1 == 1)
 }
--- a/control/quota/peer.go
+++ b/control/quota/peer.go
@@ -7,53 +7,53 @@
 	"clovergap/control"
 )
 
-// maxRetiredEpochs is how many of a peer's former epochs are remembered: late datagrams of those are dropped.
+// maxRetiredEpochs is the number of a peer's former epochs that are remembered. Late datagrams from these epochs are dropped.
 const maxRetiredEpochs = 8
 
-// peer is another gateway.
+// peer is the state that this gateway keeps of another gateway.
 type peer struct {
 	id            control.GatewayID
-	epoch         uint32 // 0: nothing came from it yet
+	epoch         uint32 // epoch of the peer; 0 if nothing has been received from it
 	retiredEpochs []uint32
-	receivedAt    time.Duration // last datagram from it
-	sentAt        time.Duration // last datagram to it
-	interval      time.Duration // between datagrams to it, as it asked
-	// unreachableSince is when the host found it out of reach; 0: it is in reach.
+	receivedAt    time.Duration // time of the last datagram from the peer
+	sentAt        time.Duration // time of the last datagram to the peer
+	interval      time.Duration // minimum interval between datagrams to the peer, as requested by it
+	// unreachableSince is the time when the host found the peer unreachable. It is 0 while the peer is reachable.
 	unreachableSince time.Duration
-	pending          bool // in Limiter.pending
+	queued           bool // the peer is in Limiter.pendingPeers
 
-	// Deltas from it, for accounts that are owned here.
-	appliedHigh uint64 // highest sequence applied
-	appliedMask uint64 // those below, bit i for appliedHigh-i
-	ackPending  bool   // an acknowledgement or snapshots are to be sent
-	// snapshotQueue are the customers whose snapshots are to be sent, each once.
+	// Deltas from the peer for accounts that this gateway owns.
+	appliedHigh uint64 // highest sequence number applied
+	appliedMask uint64 // applied sequence numbers; bit i stands for appliedHigh-i
+	ackPending  bool   // an acknowledgement or snapshots have to be sent
+	// snapshotQueue holds the customers whose snapshots have to be sent, each of them once.
 	snapshotQueue  []control.CustomerID
 	snapshotQueued map[control.CustomerID]bool
 
-	// Deltas to it, for accounts that it owns.
-	dirty        []*Account // with something to report, oldest first
+	// Deltas to the peer for accounts that it owns.
+	reportQueue  []*Account // accounts to report, oldest first
 	lastSeq      uint64
-	unacked      []*unackedDelta
-	unackedSince time.Duration // since when it owes an acknowledgement
-	grantVersion uint64        // of the last message whose grants were taken
+	unacked      []*unackedMessage
+	unackedSince time.Duration // start of the wait for an acknowledgement
+	grantVersion uint64        // version of the last message whose grants were applied
 
-	observationsSent int // how many of the host's were sent, or left out
+	observationsSent int // number of the host's observations that were sent or skipped
 }
 
-// unackedDelta are the deltas of one message that waits for its acknowledgement.
-type unackedDelta struct {
-	seq         uint64
-	firstSentAt time.Duration
-	sentAt      time.Duration
-	resends     int
-	deltas      []Delta
-	allowance   map[control.CustomerID]float64 // units of the deltas that were taken from the allowance
+// unackedMessage holds the deltas of one message that the peer has not acknowledged.
+type unackedMessage struct {
+	seq            uint64
+	firstSentAt    time.Duration
+	sentAt         time.Duration
+	resends        int
+	deltas         []Delta
+	allowanceUnits map[control.CustomerID]float64 // units of the deltas that came from the allowance
 }
 
-// isRetired tells whether an epoch has ended.
+// isRetired reports whether an epoch of the peer has ended.
 func (p *peer) isRetired(epoch uint32) bool { return slices.Contains(p.retiredEpochs, epoch) }
 
-// beginEpoch starts the peer's next epoch. Its sequences and versions begin anew.
+// beginEpoch starts the peer's next epoch. Its sequence numbers and versions start again.
 func (p *peer) beginEpoch(epoch uint32) {
 	if p.epoch != 0 {
 		p.retiredEpochs = append(p.retiredEpochs, p.epoch)
@@ -62,7 +62,7 @@
 	p.epoch, p.appliedHigh, p.appliedMask, p.grantVersion = epoch, 0, 0, 0
 }
 
-// recordApplied notes a sequence, and tells whether it comes for the first time. One too old for the window counts as applied.
+// recordApplied records a sequence number and reports whether it is new. A number that is too old for the window of 64 counts as applied.
 func (p *peer) recordApplied(seq uint64) bool {
 	if seq > p.appliedHigh {
 		p.appliedMask = p.appliedMask<<min(seq-p.appliedHigh, 64) | 1
@@ -77,7 +77,7 @@
 	return true
 }
 
-// resendAt is when the oldest unacknowledged delta is to be sent again.
+// resendAt returns the time at which the oldest unacknowledged message is due to be sent again.
 func (p *peer) resendAt() time.Duration {
 	oldest := p.unacked[0]
 	return oldest.sentAt + (resendAfter+p.interval)<<oldest.resends
--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -7,8 +7,8 @@
 	"clovergap/control"
 )
 
-// planScenario is a limiter of a front door among three whose one plan has ten units a second, a burst of 20, and a hard limit of 20 a
-// second and at once. It prints nothing by itself.
+// planScenario is a front door's limiter in a cluster of three. Its only plan has ten units a second, a burst of 20 units, and a hard
+// limit of 20 units a second with a burst of 20. Its methods print only decoding errors.
 type planScenario struct {
 	*Limiter
 	datagrams []*Message
@@ -26,11 +26,11 @@
 	for p.now < to {
 		p.Now(min(to, p.now+50*time.Millisecond))
 		p.Sweep()
-		p.pull()
+		p.collectDatagrams()
 	}
 }
 
-func (p *planScenario) pull() {
+func (p *planScenario) collectDatagrams() {
 	for _, payload, ok := p.NextDatagram(); ok; _, payload, ok = p.NextDatagram() {
 		m, err := DecodeMessage(payload)
 		if err != nil {
@@ -42,22 +42,22 @@
 
 func (p *planScenario) receive(from control.GatewayID, m *Message) {
 	p.DatagramReceived(from, m.Encode())
-	p.pull()
+	p.collectDatagrams()
 }
 
-func (p *planScenario) last() *Message { return p.datagrams[len(p.datagrams)-1] }
+func (p *planScenario) lastDatagram() *Message { return p.datagrams[len(p.datagrams)-1] }
 
-// ask asks for a unit, and takes it if it is covered.
-func (p *planScenario) ask(a *Account) Outcome {
+// checkAndConsume checks a request for one unit and consumes the unit if it is allowed.
+func (p *planScenario) checkAndConsume(a *Account) Outcome {
 	outcome, _, _ := p.CheckAccount(a, Request{Units: 1, Arrived: p.now, SLA: 500 * time.Millisecond})
 	if outcome == Allowed {
 		p.ConsumeAccount(a, 1)
 	}
-	p.pull()
+	p.collectDatagrams()
 	return outcome
 }
 
-// ownedAmongThree finds a customer of the whole set that the gateway owns.
+// ownedAmongThree returns a customer that gateway g owns if the set is all three gateways.
 func ownedAmongThree(g control.GatewayID) control.CustomerID {
 	for c := control.CustomerID(1); ; c++ {
 		if OwnerOf(c, 0, 3, 3) == g {
@@ -70,25 +70,25 @@
 	s := newPlanScenario()
 	c := ownedAmongThree(1)
 	a := s.Account(c, 0, 0, 3)
-	s.hardShareNow(a)
-	fmt.Println("# a part without a unit: the owner is asked for what is lacking, and its grant lets the txn go")
+	s.refillHardShare(a)
+	fmt.Println("# a share with less than one unit: the gateway requests the missing units, and the grant covers the txn")
 	a.hardShare = 0.25
-	fmt.Println("waits:", s.ask(a) == Pending)
-	fmt.Printf("asks for %.2f\n", -s.last().Deltas[0].Transfer)
+	fmt.Println("pending:", s.checkAndConsume(a) == Pending)
+	fmt.Printf("units requested: %.2f\n", -s.lastDatagram().Deltas[0].Transfer)
 	m := &Message{Epoch: 9, Version: 3, AckEpoch: s.epoch, AckHigh: 1, AckMask: 1, Snapshots: []Snapshot{{Customer: c, Level: 5, Reporters: 1, Grant: 0.75}}}
 	s.receive(1, m)
-	fmt.Println("goes:", s.ask(a) == Allowed)
-	fmt.Println("# a grant comes once, whatever is repeated, and no more than the part holds")
+	fmt.Println("allowed:", s.checkAndConsume(a) == Allowed)
+	fmt.Println("# a duplicated grant is applied once, and the share does not exceed its capacity")
 	a.hardShare, m.Version, m.Snapshots[0].Grant = 0, 4, 900
 	s.receive(1, m)
 	fmt.Printf("%.1f of %.1f\n", a.hardShare, s.hardShareCap(a))
 	a.hardShare = 0
 	s.receive(1, m)
-	fmt.Println("# a grant for an earlier life is lost")
+	fmt.Println("# a grant for an earlier epoch is dropped")
 	m.Version, m.AckEpoch = 5, 77
 	s.receive(1, m)
 	fmt.Printf("%.1f\n", a.hardShare)
-	fmt.Println("# all parts and the pool are the whole ceiling; an owner gives no more than its pool")
+	fmt.Println("# the shares and the pool add up to the hard limit; an owner grants no more than its pool")
 	own := s.Account(ownedAmongThree(0), 0, 0, 3)
 	fmt.Printf("%.1f and twice %.1f of %.1f\n", s.hardShareCap(own), s.hardShareCap(a), a.limit.HardBurst)
 	own.hardShare, own.hardShareAt = 2, s.now
@@ -96,35 +96,35 @@
 		s.receive(2, &Message{Epoch: 9, Seq: uint64(seq) + 1, AckEpoch: s.epoch, Deltas: []Delta{{Customer: own.id, Transfer: -want, SetWidth: 3}}})
 		s.advance(s.now + 50*time.Millisecond)
 		grant := 0.0
-		for _, l := range s.last().Snapshots {
+		for _, l := range s.lastDatagram().Snapshots {
 			grant = l.Grant
 		}
-		fmt.Printf("asked for %.1f it gives %.1f\n", want, grant)
+		fmt.Printf("requested %.1f, granted %.1f\n", want, grant)
 	}
 	// Output:
-	// # a part without a unit: the owner is asked for what is lacking, and its grant lets the txn go
-	// waits: true
-	// asks for 0.75
-	// goes: true
-	// # a grant comes once, whatever is repeated, and no more than the part holds
+	// # a share with less than one unit: the gateway requests the missing units, and the grant covers the txn
+	// pending: true
+	// units requested: 0.75
+	// allowed: true
+	// # a duplicated grant is applied once, and the share does not exceed its capacity
 	// 3.3 of 3.3
-	// # a grant for an earlier life is lost
+	// # a grant for an earlier epoch is dropped
 	// 0.0
-	// # all parts and the pool are the whole ceiling; an owner gives no more than its pool
+	// # the shares and the pool add up to the hard limit; an owner grants no more than its pool
 	// 13.3 and twice 3.3 of 20.0
-	// asked for 3.0 it gives 0.0
-	// asked for 1.5 it gives 1.5
+	// requested 3.0, granted 0.0
+	// requested 1.5, granted 1.5
 }
 
 func Example_messages() {
-	most := 1<<20 - 1
+	maxValue := 1<<20 - 1
 	m := &Message{Epoch: 1<<32 - 1, Interval: maxInterval, Seq: 1 << 40, Version: 1 << 40, AckEpoch: 1<<32 - 1, AckHigh: 1 << 40,
-		Deltas:    []Delta{{1<<33 - 1, 200, 65535, most, -65535, 1023, 65535, 1024}},
-		Snapshots: []Snapshot{{1<<33 - 1, 65535, 1000, most, 65535}}}
+		Deltas:    []Delta{{1<<33 - 1, 200, 65535, maxValue, -65535, 1023, 65535, 1024}},
+		Snapshots: []Snapshot{{1<<33 - 1, 65535, 1000, maxValue, 65535}}}
 	b := m.Encode()
-	back, err := DecodeMessage(b)
-	fmt.Println(back.Deltas[0] == m.Deltas[0], back.Snapshots[0] == m.Snapshots[0], back.Interval == m.Interval, err)
-	fmt.Println("# cut short anywhere, too long, or with a number out of range: dropped and counted, nothing changes")
+	decoded, err := DecodeMessage(b)
+	fmt.Println(decoded.Deltas[0] == m.Deltas[0], decoded.Snapshots[0] == m.Snapshots[0], decoded.Interval == m.Interval, err)
+	fmt.Println("# a datagram cut short at any byte, too long, or with a number out of range is dropped and counted, and changes no state")
 	s := newPlanScenario()
 	for n := range b {
 		s.DatagramReceived(1, b[:n])
@@ -135,7 +135,7 @@
 	fmt.Println(s.badDatagrams == len(b)+2, len(s.accounts), s.peers[1].receivedAt)
 	// Output:
 	// true true true <nil>
-	// # cut short anywhere, too long, or with a number out of range: dropped and counted, nothing changes
+	// # a datagram cut short at any byte, too long, or with a number out of range is dropped and counted, and changes no state
 	// true 0 0s
 }
 
@@ -144,25 +144,25 @@
 	c := ownedAmongThree(0)
 	s.receive(1, &Message{Epoch: 7, Seq: 1, Deltas: []Delta{{Customer: c, SetWidth: 1}}})
 	a := s.accounts[c]
-	fmt.Println("a peer says the set is this gateway alone:", a.setWidth, "part", s.hardShareNow(a) > 0)
-	s.ask(s.Account(c, 0, 0, 3))
-	fmt.Println("a txn says three: width", a.setWidth, "part", a.hardShare)
+	fmt.Println("a peer names a set of this gateway alone: width", a.setWidth, "has share", s.refillHardShare(a) > 0)
+	s.checkAndConsume(s.Account(c, 0, 0, 3))
+	fmt.Println("a txn names a set of three: width", a.setWidth, "share", a.hardShare)
 	// Output:
-	// a peer says the set is this gateway alone: 1 part true
-	// a txn says three: width 3 part 0
+	// a peer names a set of this gateway alone: width 1 has share true
+	// a txn names a set of three: width 3 share 0
 }
 
-// An owned account is dropped when its bucket is full again, and not before.
-func Example_idleAccountsAreDropped() {
+// An owned account is removed only after its bucket is full again.
+func Example_idleAccountsAreRemoved() {
 	s := newPlanScenario()
-	s.ask(s.Account(ownedAmongThree(0), 0, 0, 3))
+	s.checkAndConsume(s.Account(ownedAmongThree(0), 0, 0, 3))
 	own := s.accounts[ownedAmongThree(0)]
-	own.level = -200 // full again in 22 s
-	fmt.Println("customers", len(s.ordered), len(s.accounts))
+	own.level = -200 // full again after 22 s
+	fmt.Println("customers", len(s.orderedAccounts), len(s.accounts))
 	s.advance(30 * time.Second)
-	fmt.Println("customers", len(s.ordered), len(s.accounts))
+	fmt.Println("customers", len(s.orderedAccounts), len(s.accounts))
 	s.advance(40 * time.Second)
-	fmt.Println("customers", len(s.ordered), len(s.accounts))
+	fmt.Println("customers", len(s.orderedAccounts), len(s.accounts))
 	// Output:
 	// customers 1 1
 	// customers 1 1
--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -2,20 +2,21 @@
 
 import "clovergap/control"
 
-// DatagramReceived takes a peer's datagram, and tells whether it may change what is covered: then pending requests are to be checked again.
-// A datagram that is malformed, or from no peer, is dropped and counted; one of a former epoch is dropped.
-func (l *Limiter) DatagramReceived(from control.GatewayID, payload []byte) (news bool) {
+// DatagramReceived applies a peer's datagram. It returns true if the datagram may change the result of a check, so that pending requests
+// have to be checked again. It drops and counts a datagram that is malformed or comes from no known peer. It drops a datagram of a former
+// epoch.
+func (l *Limiter) DatagramReceived(from control.GatewayID, payload []byte) (recheck bool) {
 	m, err := DecodeMessage(payload)
 	if err != nil || from < 0 || int(from) >= len(l.peers) || from == l.self {
 		l.badDatagrams++
 		return false
 	}
 	p := l.peers[from]
-	l.received++
+	l.datagramsSinceSweep++
 	if p.receivedAt <= l.sweptAt {
-		l.senders++
+		l.sendersSinceSweep++
 	}
-	l.learnAge(p, m.Age)
+	l.recordPeerAge(p, m.Age)
 	p.receivedAt, p.interval = l.now, m.Interval
 	if m.Epoch != p.epoch && !l.beginPeerEpoch(p, m.Epoch) {
 		return false
@@ -28,14 +29,14 @@
 		l.removeAcknowledged(p, m)
 		l.applySnapshots(p, m)
 	}
-	if l.plans.ObservationsReceived != nil {
-		l.plans.ObservationsReceived(m.Observations)
+	if l.options.ObservationsReceived != nil {
+		l.options.ObservationsReceived(m.Observations)
 	}
 	return m.Seq > 0 || forThisEpoch
 }
 
-// beginPeerEpoch notes that a peer has started again; false: that epoch has ended. What was reported to the former epoch is dropped: the new
-// one's buckets begin empty, which stands for all use before.
+// beginPeerEpoch starts a new epoch of a peer that has restarted. It returns false if the epoch has already ended. Reports to the former
+// epoch are dropped, because the buckets of the new epoch start empty, which stands for all earlier use.
 func (l *Limiter) beginPeerEpoch(p *peer, epoch uint32) bool {
 	if p.isRetired(epoch) {
 		return false
@@ -43,10 +44,10 @@
 	if p.epoch != 0 {
 		l.dropReported(p)
 	}
-	for _, a := range l.ordered {
-		for _, r := range a.reports {
+	for _, a := range l.orderedAccounts {
+		for _, r := range a.reporterStates {
 			if r.from == p.id {
-				r.withheld = 0 // nobody reports what was consumed of it before
+				r.withheld = 0 // no one reports the units that the former epoch consumed from it
 			}
 		}
 	}
@@ -54,68 +55,70 @@
 	return true
 }
 
-// dropReported forgets what was exchanged with a peer about the accounts that it owns.
+// dropReported drops the reports to a peer and the snapshots and grants from it, for the accounts that it owns.
 func (l *Limiter) dropReported(p *peer) {
 	for _, u := range p.unacked {
 		for _, d := range u.deltas {
 			if a := l.accounts[d.Customer]; a != nil {
 				a.unacked -= d.Units
-				a.allowanceUsed = max(0, a.allowanceUsed-u.allowance[a.id])
+				a.allowanceUsed = max(0, a.allowanceUsed-u.allowanceUnits[a.id])
 			}
 		}
 	}
 	p.unacked = nil
-	for _, a := range l.ordered {
+	for _, a := range l.orderedAccounts {
 		if a.owner == p.id {
-			a.hasSnapshot, a.version, a.requestedAt = false, 0, 0
-			a.granted, a.grantUsed, a.ackedSince = 0, 0, 0
+			a.hasSnapshot, a.version, a.snapshotRequestedAt = false, 0, 0
+			a.granted, a.grantUsed, a.lastAckedSentAt = 0, 0, 0
 		}
 	}
 }
 
-// acceptsDeltas tells whether a message's deltas may be applied. Where limits are set by SetLimit, a delta may come before this gateway knows
-// its customer, or that it owns it. Then no part of the message is applied or acknowledged, and the peer sends it again.
+// acceptsDeltas reports whether the deltas of a message may be applied. If limits are set by SetLimit, a delta may arrive before this
+// gateway knows the customer, or knows that it owns the customer. In that case no part of the deltas is applied or acknowledged, and the
+// peer sends them again.
 func (l *Limiter) acceptsDeltas(m *Message) bool {
-	if l.plans.PlanLimit != nil {
+	if l.options.PlanLimit != nil {
 		return true
 	}
 	for _, d := range m.Deltas {
 		a := l.accounts[d.Customer]
-		if _, removed := l.removed[d.Customer]; a == nil && !removed || a != nil && a.owner != l.self {
+		if _, removed := l.removedAt[d.Customer]; a == nil && !removed || a != nil && a.owner != l.self {
 			return false
 		}
 	}
 	return true
 }
 
-// applyDeltas applies a message's deltas, once, and queues a snapshot of each account as the answer.
+// applyDeltas applies the deltas of a message at most once. It schedules a snapshot of each account as the answer.
 func (l *Limiter) applyDeltas(p *peer, m *Message) {
 	if !l.acceptsDeltas(m) {
 		l.badDatagrams++
 		return
 	}
-	first := p.recordApplied(m.Seq)
+	firstTime := p.recordApplied(m.Seq)
 	p.ackPending = true
 	l.schedulePeer(p)
 	for _, d := range m.Deltas {
-		if a := l.accountOf(d); a != nil {
-			l.applyDelta(p, m, a, d, first)
+		if a := l.ownedAccountFor(d); a != nil {
+			l.applyDelta(p, m, a, d, firstTime)
 			l.scheduleSnapshot(p, a.id)
 		}
 	}
 }
 
-// accountOf finds or makes the owned account that a delta is for; nil if there is none.
-func (l *Limiter) accountOf(d Delta) *Account {
-	if l.plans.PlanLimit == nil && l.accounts[d.Customer] == nil {
-		return nil // not metered any more
+// ownedAccountFor returns the owned account of a delta's customer, and creates it if needed. It returns nil if the customer is not
+// metered, the plan does not exist, or another gateway owns the account.
+func (l *Limiter) ownedAccountFor(d Delta) *Account {
+	if l.options.PlanLimit == nil && l.accounts[d.Customer] == nil {
+		return nil // the customer is no longer metered
 	}
-	if l.plans.PlanLimit != nil && l.plans.PlanLimit(d.Plan) == nil {
+	if l.options.PlanLimit != nil && l.options.PlanLimit(d.Plan) == nil {
 		l.badDatagrams++
 		return nil
 	}
 	a := l.account(d.Customer, d.Plan)
-	if !a.placed { // what a txn here says goes before what a peer says
+	if !a.setAssigned { // a set that a txn names takes precedence over a set that a peer names
 		l.assignOwner(a, d.SetFirst, d.SetWidth)
 	}
 	if a.owner != l.self {
@@ -125,32 +128,34 @@
 	return a
 }
 
-// applyDelta applies one delta. Units count only the first time that it comes; what it says of the present only if no later one has come.
-func (l *Limiter) applyDelta(p *peer, m *Message, a *Account, d Delta, first bool) {
+// applyDelta applies one delta. Its units count only the first time that it arrives. Its values of the current state count only if no
+// later delta has arrived.
+func (l *Limiter) applyDelta(p *peer, m *Message, a *Account, d Delta, firstTime bool) {
 	l.refill(a)
-	r := a.report(p.id)
+	r := a.reporterState(p.id)
 	r.receivedAt = l.now
 	if m.Seq == p.appliedHigh {
 		r.inFlight, r.unitsWanted = d.InFlight, d.UnitsWanted
-		l.releaseWithheld(a, r, r.withheld-float64(d.InFlight)) // what it has yet to report may have been of the withheld part
+		l.releaseWithheld(a, r, r.withheld-float64(d.InFlight)) // units that it has yet to report may come from the withheld part
 	}
 	switch {
 	case !l.config.Strict:
 		r.granted = max(0, r.granted-d.Units)
-	case first:
+	case firstTime:
 		r.granted = max(0, r.granted-max(d.Transfer, 0))
 	}
-	if !first {
+	if !firstTime {
 		return
 	}
 	l.releaseWithheld(a, r, d.Units-max(d.Transfer, 0))
 	l.draw(a, d.Units)
 	if m.AckEpoch == l.epoch && a.inSet && a.limit.HardRate > 0 {
-		r.hardWanted = max(-d.Transfer, 0)
+		r.hardUnitsWanted = max(-d.Transfer, 0)
 	}
 }
 
-// removeAcknowledged takes the deltas that a message acknowledges off the unacknowledged ones, and their units off the level.
+// removeAcknowledged removes the messages that the peer acknowledges from the unacknowledged ones and subtracts their units from the
+// levels.
 func (l *Limiter) removeAcknowledged(p *peer, m *Message) {
 	kept := p.unacked[:0]
 	for _, u := range p.unacked {
@@ -162,15 +167,15 @@
 			if a := l.accounts[d.Customer]; a != nil {
 				a.unacked -= d.Units
 				a.level -= d.Units
-				a.allowanceAcked += u.allowance[a.id]
-				a.ackedSince = max(a.ackedSince, u.firstSentAt)
+				a.allowanceAcked += u.allowanceUnits[a.id]
+				a.lastAckedSentAt = max(a.lastAckedSentAt, u.firstSentAt)
 			}
 		}
 	}
 	p.unacked = kept
 }
 
-// applySnapshots takes a message's grants, once, and its levels unless later ones have come.
+// applySnapshots applies the grants of a message at most once. It applies the levels unless a later version has arrived before.
 func (l *Limiter) applySnapshots(p *peer, m *Message) {
 	takeGrants := m.Version > p.grantVersion
 	p.grantVersion = max(p.grantVersion, m.Version)
@@ -180,21 +185,21 @@
 			continue
 		}
 		if takeGrants {
-			l.takeGrant(a, s)
+			l.applyGrant(a, s)
 		}
 		if m.Version < a.version && a.hasSnapshot {
 			continue
 		}
 		a.level, a.levelAt, a.hasSnapshot, a.version = s.Level, l.now, true, m.Version
-		a.reporters, a.inFlightElsewhere, a.requestedAt = max(s.Reporters, 1), s.InFlightElsewhere, 0
+		a.reporterCount, a.inFlightElsewhere, a.snapshotRequestedAt = max(s.Reporters, 1), s.InFlightElsewhere, 0
 	}
 }
 
-// takeGrant adds what a snapshot grants: a part of the hard limit; in strict mode, units. After a standstill of this process the message may be old,
-// and units that it grants have expired.
-func (l *Limiter) takeGrant(a *Account, s Snapshot) {
+// applyGrant adds the units that a snapshot grants. Without strict mode these are units of the hard limit. In strict mode they are units
+// of the bucket. After a pause of this process the message may be old and its granted units expired, so they are ignored.
+func (l *Limiter) applyGrant(a *Account, s Snapshot) {
 	if a.limit.HardRate > 0 && a.inSet {
-		a.hardShare = min(l.hardShareCap(a), l.hardShareNow(a)+s.Grant)
+		a.hardShare = min(l.hardShareCap(a), l.refillHardShare(a)+s.Grant)
 	}
 	if !l.config.Strict {
 		return
@@ -203,5 +208,5 @@
 	if l.now-l.pausedUntil > l.answerTimeout(a) && s.Grant > 0 {
 		a.granted, a.grantedAt = a.granted+s.Grant, l.now
 	}
-	l.confirmAllowance(a, s.Level)
+	l.settleAllowance(a, s.Level)
 }
--- a/control/quota/recorded_test.go
+++ b/control/quota/recorded_test.go
@@ -14,10 +14,10 @@
 	"clovergap/control"
 )
 
-// These tests hold what was decided on 2 December 2026, draw by draw and byte by byte, over runs with losses, silence and
-// restarts: a change of the code's shape may not change them. One that is meant to change decisions records them anew.
+// The tests in this file compare decisions and datagrams with digests that were recorded on 2 December 2026. The runs include lost
+// datagrams, pauses and restarts. A refactoring must not change the digests. A change that is meant to change decisions records new ones.
 
-// recorder hashes what was decided.
+// recorder computes a digest of decisions.
 type recorder struct {
 	hash.Hash64
 	count int
@@ -25,135 +25,137 @@
 
 func newRecorder() *recorder { return &recorder{Hash64: fnv.New64a()} }
 
-func (r *recorder) add(figures ...int64) {
+func (r *recorder) add(values ...int64) {
 	r.count++
-	for _, v := range figures {
+	for _, v := range values {
 		r.Write(binary.LittleEndian.AppendUint64(nil, uint64(v)))
 	}
 }
 
 func (r *recorder) sum() string { return fmt.Sprintf("%d %016x", r.count, r.Sum64()) }
 
-func flag(yes bool) int64 {
+func boolToInt(yes bool) int64 {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-// playQuotas plays five quotas of which peers get lost, start again and are added, and gives the digest of their verdicts and messages.
-func playQuotas(seed int64, terms Config) string {
+// recordDecisions runs five limiters through isolation, a restart and the addition of a limiter. It returns the digest of their decisions
+// and messages.
+func recordDecisions(seed int64, config Config) string {
 	type sent struct {
 		from, to control.GatewayID
 		at       time.Duration
 		payload  []byte
 	}
 	const customers = 12
-	chance, rec := rand.New(rand.NewSource(seed)), newRecorder()
-	var all []*Limiter
-	var under []sent
+	rng, rec := rand.New(rand.NewSource(seed)), newRecorder()
+	var limiters []*Limiter
+	var inTransit []sent
 	now := time.Duration(0)
 	start := func(i, n int) *Limiter {
-		q := NewLimiter(seed*100+int64(now/time.Millisecond)+int64(i), control.GatewayID(i), n, now, terms)
+		limiter := NewLimiter(seed*100+int64(now/time.Millisecond)+int64(i), control.GatewayID(i), n, now, config)
 		for c := control.CustomerID(1); c <= customers; c++ {
-			q.SetLimit(c, float64(c)*4, float64(c)*8)
+			limiter.SetLimit(c, float64(c)*4, float64(c)*8)
 		}
-		return q
+		return limiter
 	}
 	for i := range 5 {
-		all = append(all, start(i, 5))
+		limiters = append(limiters, start(i, 5))
 	}
-	lost := -1
+	isolated := -1
 	for step := 0; now < 60*time.Second; step++ {
 		now += 5 * time.Millisecond
 		switch {
-		case step%2400 == 1200: // one is cut off
-			lost = chance.Intn(len(all))
+		case step%2400 == 1200: // one limiter is isolated
+			isolated = rng.Intn(len(limiters))
 		case step%2400 == 1700:
-			lost = -1
-		case step == 5000: // one starts again
-			i := chance.Intn(len(all))
-			all[i] = start(i, len(all))
-		case step == 7000: // one more
-			n := len(all) + 1
-			for i, q := range all {
-				q.Grow(control.GatewayID(i), n)
+			isolated = -1
+		case step == 5000: // one limiter restarts
+			i := rng.Intn(len(limiters))
+			limiters[i] = start(i, len(limiters))
+		case step == 7000: // one limiter is added
+			n := len(limiters) + 1
+			for i, limiter := range limiters {
+				limiter.Grow(control.GatewayID(i), n)
 			}
-			all = append(all, start(n-1, n))
+			limiters = append(limiters, start(n-1, n))
 		case step == 8000:
-			for _, q := range all {
-				q.SetLimit(3, 2, 4)
-				q.SetLimit(4, 0, 0)
+			for _, limiter := range limiters {
+				limiter.SetLimit(3, 2, 4)
+				limiter.SetLimit(4, 0, 0)
 			}
 		}
 		if step%100 == 99 {
-			for i, q := range all {
-				live := make([]bool, len(all))
+			for i, limiter := range limiters {
+				live := make([]bool, len(limiters))
 				for j := range live {
-					live[j] = lost < 0 || (i == lost) == (j == lost)
+					live[j] = isolated < 0 || (i == isolated) == (j == isolated)
 				}
-				q.SetReachable(live)
+				limiter.SetReachable(live)
 			}
 		}
-		for i, q := range all {
+		for i, limiter := range limiters {
 			if step%900 > 800 && i == 2 {
-				continue // it stands still
+				continue // the process is paused
 			}
-			q.Now(now)
-			c := control.CustomerID(1 + chance.Intn(customers))
-			units := float64(1 + chance.Intn(4))
-			v, at := q.Check(c, Request{Units: units, Arrived: now - time.Duration(chance.Intn(300))*time.Millisecond, SLA: 400 * time.Millisecond,
-				LateRetry: chance.Intn(5) == 0})
-			rec.add(int64(i), int64(v), int64(at))
-			if v == Allowed {
-				if chance.Intn(4) == 0 {
-					q.Reserve(c, units)
-					q.Release(c, units)
+			limiter.Now(now)
+			c := control.CustomerID(1 + rng.Intn(customers))
+			units := float64(1 + rng.Intn(4))
+			outcome, at := limiter.Check(c, Request{Units: units, Arrived: now - time.Duration(rng.Intn(300))*time.Millisecond, SLA: 400 * time.Millisecond,
+				LateRetry: rng.Intn(5) == 0})
+			rec.add(int64(i), int64(outcome), int64(at))
+			if outcome == Allowed {
+				if rng.Intn(4) == 0 {
+					limiter.Reserve(c, units)
+					limiter.Release(c, units)
 				}
-				q.Consume(c, units)
+				limiter.Consume(c, units)
 			}
 		}
-		rest := under[:0]
-		for _, m := range under {
+		rest := inTransit[:0]
+		for _, m := range inTransit {
 			if m.at > now {
 				rest = append(rest, m)
 			} else {
-				rec.add(flag(all[m.to].DatagramReceived(m.from, m.payload)))
+				rec.add(boolToInt(limiters[m.to].DatagramReceived(m.from, m.payload)))
 			}
 		}
-		under = rest
-		for i, q := range all {
-			q.Sweep()
-			rec.add(int64(q.NextDeadline()))
-			for to, payload, ok := q.NextDatagram(); ok; to, payload, ok = q.NextDatagram() {
+		inTransit = rest
+		for i, limiter := range limiters {
+			limiter.Sweep()
+			rec.add(int64(limiter.NextDeadline()))
+			for to, payload, ok := limiter.NextDatagram(); ok; to, payload, ok = limiter.NextDatagram() {
 				rec.add(int64(to))
 				rec.Write(payload)
-				if lost >= 0 && (i == lost) != (int(to) == lost) || chance.Intn(20) == 0 {
+				if isolated >= 0 && (i == isolated) != (int(to) == isolated) || rng.Intn(20) == 0 {
 					continue
 				}
-				under = append(under, sent{control.GatewayID(i), to, now + time.Duration(2+chance.Intn(30))*time.Millisecond, payload})
+				inTransit = append(inTransit, sent{control.GatewayID(i), to, now + time.Duration(2+rng.Intn(30))*time.Millisecond, payload})
 			}
 		}
 	}
 	return rec.sum()
 }
 
-func TestQuotaDecidesAsRecorded(t *testing.T) {
-	even := gatewayConfig
-	even.Strict, even.InitialFill = false, 0.5
-	young := gatewayConfig
-	young.InitialFill, young.MinInterval = 1, 20*time.Millisecond
+// TestDecisionsMatchRecordedDigest guards against a refactoring that changes a decision or a datagram.
+func TestDecisionsMatchRecordedDigest(t *testing.T) {
+	shareConfig := gatewayConfig
+	shareConfig.Strict, shareConfig.InitialFill = false, 0.5
+	newClusterConfig := gatewayConfig
+	newClusterConfig.InitialFill, newClusterConfig.MinInterval = 1, 20*time.Millisecond
 	for _, tc := range []struct {
-		name  string
-		terms Config
-		seed  int64
-		want  string
+		name   string
+		config Config
+		seed   int64
+		want   string
 	}{
-		{"by parts", gatewayConfig, 1, "141726 99c9d93c34a0c060"},
-		{"by parts, another seed", gatewayConfig, 2, "141732 c11524532d6d5d36"},
-		{"by parts, all new", young, 3, "196913 bbf527c8f9084487"},
-		{"by share", even, 4, "141642 03abd78779a639e1"},
+		{"strict", gatewayConfig, 1, "141726 99c9d93c34a0c060"},
+		{"strict, another seed", gatewayConfig, 2, "141732 c11524532d6d5d36"},
+		{"strict, new cluster", newClusterConfig, 3, "196913 bbf527c8f9084487"},
+		{"not strict", shareConfig, 4, "141642 03abd78779a639e1"},
 	} {
-		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, playQuotas(tc.seed, tc.terms)) })
+		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, recordDecisions(tc.seed, tc.config)) })
 	}
 }
--- a/control/quota/refill.go
+++ b/control/quota/refill.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// refill brings an owned bucket up to now.
+// refill refills an owned bucket up to the present.
 func (l *Limiter) refill(a *Account) {
 	if l.now >= a.levelAt {
 		a.level = min(a.limit.Burst, a.level+l.refillAmount(a, l.now-a.levelAt))
@@ -10,22 +10,26 @@
 	}
 }
 
-// refillAmount is what an owned bucket gets in a time: the rate; in strict mode, the parts of the gateways in touch. A gateway out of
-// reach consumes its part alone. One that reported and has fallen silent may do so too: its part is withheld until a message of it comes, and then
-// released, less what it has consumed. After reporterLostAfter the host has found it lost; if not, it had nothing to report.
-func (l *Limiter) refillAmount(a *Account, in time.Duration) float64 {
+// refillAmount returns the refill of an owned bucket for a period. Without strict mode this is the rate. In strict mode it is the parts
+// of the rate that belong to reachable gateways.
+//
+// An unreachable gateway consumes its part on its own. A gateway that has reported and then fallen silent may do the same. Its part is
+// withheld until a message from it arrives, and is then released less the units that it consumed. After reporterLostAfter, a lost gateway
+// has been found unreachable by the host. A silent gateway that is still reachable by then had nothing to report, and its part is
+// released.
+func (l *Limiter) refillAmount(a *Account, period time.Duration) float64 {
 	if !l.config.Strict {
-		return a.limit.Rate * in.Seconds()
+		return a.limit.Rate * period.Seconds()
 	}
-	part, reachable := a.limit.Rate*in.Seconds()/float64(l.gateways), l.reachableNow()
-	for _, r := range a.reports {
+	part, reachable := a.limit.Rate*period.Seconds()/float64(l.gateways), l.effectiveReachable()
+	for _, r := range a.reporterStates {
 		silentFor := l.now - max(r.receivedAt, l.pausedUntil)
-		lost := l.peers[r.from].unreachableSince > 0
+		unreachable := l.peers[r.from].unreachableSince > 0
 		mayBeIsolated := (r.inFlight > 0 || silentFor > reporterQuietAfter) && silentFor < reporterLostAfter && l.withholdsEarly(a)
 		switch {
-		case lost && silentFor <= reporterQuietAfter && r.inFlight == 0: // its own message is newer than the host's finding
+		case unreachable && silentFor <= reporterQuietAfter && r.inFlight == 0: // its last message is newer than the host's finding
 			reachable++
-		case lost: // not counted as reachable
+		case unreachable: // effectiveReachable does not count it
 			r.withheld += part
 		case mayBeIsolated:
 			r.withheld += part
@@ -37,14 +41,14 @@
 	return part * float64(max(1, reachable))
 }
 
-// withholdsEarly tells whether parts of the rate are withheld for gateways that have just fallen silent. Of a small rate they come to nothing in
-// that time, and to withhold them would only delay the customer.
+// withholdsEarly reports whether parts of the rate are withheld for gateways that have just fallen silent. At a small rate, such a part
+// is negligible in so short a time, and withholding it would only delay the customer.
 func (l *Limiter) withholdsEarly(a *Account) bool {
 	return a.limit.Rate >= minWithholdRate*float64(l.gateways)
 }
 
-// releaseWithheld puts units that were withheld for a reporter into the bucket.
-func (l *Limiter) releaseWithheld(a *Account, r *report, units float64) {
+// releaseWithheld returns units that were withheld for a reporter to the bucket.
+func (l *Limiter) releaseWithheld(a *Account, r *reporterState, units float64) {
 	if units = min(units, r.withheld); units > 0 {
 		a.level, r.withheld = min(a.limit.Burst, a.level+units), r.withheld-units
 	}
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -2,23 +2,23 @@
 
 import "clovergap/control"
 
-// requestSnapshot reports an account to its owner, with 0 units if need be, since the owner answers each report with a snapshot. While a report
-// is under way it does nothing.
+// requestSnapshot schedules a report of an account to its owner, which answers each report with a snapshot. The report may have 0 units.
+// While an earlier report may still be answered, requestSnapshot schedules no other one.
 func (l *Limiter) requestSnapshot(a *Account) {
-	if a.requestedAt == 0 {
-		a.requestedAt = l.now
+	if a.snapshotRequestedAt == 0 {
+		a.snapshotRequestedAt = l.now
 	} else if l.now-a.reportedAt < l.answerTimeout(a) {
 		return
 	}
 	l.scheduleReport(a)
 }
 
-// scheduleReport queues an account for the next delta to its owner.
+// scheduleReport queues an account for the next deltas to its owner.
 func (l *Limiter) scheduleReport(a *Account) {
-	if !a.dirty && a.owner != l.self {
-		a.dirty = true
+	if !a.reportQueued && a.owner != l.self {
+		a.reportQueued = true
 		p := l.peers[a.owner]
-		p.dirty = append(p.dirty, a)
+		p.reportQueue = append(p.reportQueue, a)
 		l.schedulePeer(p)
 	}
 }
@@ -37,23 +37,23 @@
 }
 
 func (l *Limiter) schedulePeer(p *peer) {
-	if !p.pending && l.plans.PeersEnabled {
-		p.pending = true
-		l.pending = append(l.pending, p)
+	if !p.queued && l.options.PeersEnabled {
+		p.queued = true
+		l.pendingPeers = append(l.pendingPeers, p)
 	}
 }
 
-// NextDatagram gives the next datagram that is to be sent now, and to whom; false when there is none. Peers take turns in the order in
-// which something to send came up.
+// NextDatagram returns the next datagram that is due and the peer to send it to. It returns false if none is due. Peers are served in
+// the order in which they were queued.
 func (l *Limiter) NextDatagram() (to control.GatewayID, payload []byte, ok bool) {
-	queue := l.pending
-	l.pending = l.pending[:0]
+	queue := l.pendingPeers
+	l.pendingPeers = l.pendingPeers[:0]
 	for i, p := range queue {
-		p.pending = len(p.dirty) > 0 || p.ackPending || len(p.unacked) > 0
-		if !p.pending {
+		p.queued = len(p.reportQueue) > 0 || p.ackPending || len(p.unacked) > 0
+		if !p.queued {
 			continue
 		}
-		l.pending = append(l.pending, p)
+		l.pendingPeers = append(l.pendingPeers, p)
 		if l.now-p.sentAt < max(p.interval, l.config.MinInterval) && p.sentAt > 0 {
 			continue
 		}
@@ -61,13 +61,14 @@
 		if m.Seq == 0 && !p.ackPending {
 			continue
 		}
-		l.pending = append(l.pending, queue[i+1:]...)
+		l.pendingPeers = append(l.pendingPeers, queue[i+1:]...)
 		return p.id, l.finishMessage(p, m), true
 	}
 	return 0, nil, false
 }
 
-// newMessage begins a message with the deltas that are to be sent: old ones again, under their sequence, or new ones.
+// newMessage creates a message with the deltas that are due. These are either unacknowledged deltas, sent again under their sequence
+// number, or new ones.
 func (l *Limiter) newMessage(p *peer) *Message {
 	m := &Message{Epoch: l.epoch, Interval: l.interval, Age: l.now - l.startedAt,
 		AckEpoch: p.epoch, AckHigh: p.appliedHigh, AckMask: p.appliedMask}
@@ -77,21 +78,21 @@
 		oldest.sentAt, oldest.resends = l.now, min(oldest.resends+1, maxResendDoublings)
 		p.unacked = append(p.unacked[1:], oldest)
 		m.Seq, m.Deltas = oldest.seq, l.refreshDeltas(oldest.deltas)
-	case len(p.dirty) > 0:
+	case len(p.reportQueue) > 0:
 		l.packDeltas(p, m)
 	}
 	return m
 }
 
-// packDeltas moves what is to be reported into the message, oldest first so that no account starves, as far as there is room.
+// packDeltas moves queued reports into the message as far as there is room. The oldest reports come first, so that no account starves.
 func (l *Limiter) packDeltas(p *peer, m *Message) {
 	p.lastSeq++
 	m.Seq = p.lastSeq
 	allowance := map[control.CustomerID]float64{}
-	for room := m.remaining() * deltaEighths / 8; len(p.dirty) > 0 && room >= maxDeltaBytes; {
-		a := p.dirty[0]
-		p.dirty = p.dirty[1:]
-		a.dirty = false
+	for room := m.remainingBytes() * deltaEighths / 8; len(p.reportQueue) > 0 && room >= maxDeltaBytes; {
+		a := p.reportQueue[0]
+		p.reportQueue = p.reportQueue[1:]
+		a.reportQueued = false
 		d := Delta{
 			Customer: a.id, Plan: a.planID, Units: a.unreported, InFlight: l.reportedInFlight(a, a.unreported), Transfer: l.takeTransfer(a),
 			SetFirst: a.setFirst, UnitsWanted: a.unitsWanted, SetWidth: a.setWidth,
@@ -107,10 +108,10 @@
 	if len(p.unacked) == 0 {
 		p.unackedSince = l.now
 	}
-	p.unacked = append(p.unacked, &unackedDelta{seq: m.Seq, sentAt: l.now, firstSentAt: l.now, deltas: m.Deltas, allowance: allowance})
+	p.unacked = append(p.unacked, &unackedMessage{seq: m.Seq, sentAt: l.now, firstSentAt: l.now, deltas: m.Deltas, allowanceUnits: allowance})
 }
 
-// refreshDeltas brings up to date what deltas that are sent again say beside their units.
+// refreshDeltas updates deltas that are sent again. Their units stay the same.
 func (l *Limiter) refreshDeltas(deltas []Delta) []Delta {
 	for i := range deltas {
 		if a := l.accounts[deltas[i].Customer]; l.config.Strict && a != nil {
@@ -120,7 +121,7 @@
 	return deltas
 }
 
-// finishMessage adds what goes along with any message, and encodes it.
+// finishMessage adds the snapshots and observations to a message and encodes it.
 func (l *Limiter) finishMessage(p *peer, m *Message) []byte {
 	l.packSnapshots(p, m)
 	l.attachObservations(p, m)
@@ -129,11 +130,11 @@
 	return m.Encode()
 }
 
-// packSnapshots adds the snapshots that a peer is to get, as far as there is room.
+// packSnapshots adds the queued snapshots for a peer to the message, as far as there is room.
 func (l *Limiter) packSnapshots(p *peer, m *Message) {
 	l.version++
 	m.Version = l.version
-	for room := m.remaining(); len(p.snapshotQueue) > 0 && room >= maxSnapshotBytes; {
+	for room := m.remainingBytes(); len(p.snapshotQueue) > 0 && room >= maxSnapshotBytes; {
 		id := p.snapshotQueue[0]
 		delete(p.snapshotQueued, id)
 		p.snapshotQueue = p.snapshotQueue[1:]
@@ -147,12 +148,12 @@
 	}
 }
 
-// snapshotFor makes the snapshot of an owned account for one reporter: what is left without what others have been promised, and what is
-// granted to it.
+// snapshotFor returns the snapshot of an owned account for one reporter. It holds the units left without those promised to others, and
+// the units granted to the reporter.
 func (l *Limiter) snapshotFor(p *peer, a *Account) Snapshot {
 	l.refill(a)
 	others, inFlight, promised := l.recentReporters(a, p)
-	r := a.report(p.id)
+	r := a.reporterState(p.id)
 	left := max(0, a.level-promised-a.reserved-l.outstandingGrants(a))
 	r.snapshotLevel = left
 	var grant float64
@@ -163,19 +164,19 @@
 		if left >= r.unitsWanted {
 			r.granted = r.unitsWanted
 		}
-		grant = l.grantHardShare(a, r)
+		grant = l.grantFromHardPool(a, r)
 	}
 	r.unitsWanted = 0
 	return Snapshot{Customer: a.id, Level: left, Reporters: others + 1, InFlightElsewhere: inFlight + a.inFlight, Grant: grant}
 }
 
-// attachObservations adds the host's last observations, all of the new ones or, where there is no room, none.
+// attachObservations adds the host's latest observations to a message. It adds all that are new to the peer, or none if they do not fit.
 func (l *Limiter) attachObservations(p *peer, m *Message) {
-	if l.plans.LastObservations == nil {
+	if l.options.LastObservations == nil {
 		return
 	}
-	last, count := l.plans.LastObservations()
-	if fresh := min(count-p.observationsSent, len(last)); m.remaining() >= fresh*observationBytes {
+	last, count := l.options.LastObservations()
+	if fresh := min(count-p.observationsSent, len(last)); m.remainingBytes() >= fresh*observationBytes {
 		m.Observations, p.observationsSent = last[len(last)-fresh:], count
 	}
 }
--- a/control/quota/tuning.go
+++ b/control/quota/tuning.go
@@ -2,79 +2,87 @@
 
 import "time"
 
-// Values without another source were tuned on the simulated score; shares are of 1.
+// Values without another stated source were tuned on the simulated score. Shares are fractions of 1.
 const (
-	// stallThreshold without a call of Now means that this process stood still: silence of that time proves nothing about others.
+	// stallThreshold is the time between two calls of Now from which on this process counts as paused. Silence during a pause proves nothing
+	// about the peers.
 	stallThreshold = 250 * time.Millisecond
 
-	// datagramShare of Config.DatagramsPerSecond is what this gateway lets its peers send.
+	// datagramShare is the share of Config.DatagramsPerSecond that this gateway lets its peers use.
 	datagramShare = 0.7
-	// maxInterval bounds the interval between datagrams that peers are asked to keep.
+	// maxInterval is the longest interval between datagrams that peers are asked to keep.
 	maxInterval = 2 * time.Second
-	// intervalDecay is the least factor by which that interval shrinks from one second to the next.
+	// intervalDecay is the smallest factor by which that interval changes from one second to the next.
 	intervalDecay = 0.5
-	// deltaEighths of a message may be filled with deltas; the rest is for snapshots.
+	// deltaEighths is the part of a message, in eighths, that may be filled with deltas. The rest is kept for snapshots.
 	deltaEighths = 4
-	// resendAfter, and the peer's interval, without an acknowledgement a delta is sent again; the time doubles with each attempt.
+	// resendAfter plus the peer's interval is the time after which an unacknowledged delta is sent again. It doubles with each attempt.
 	resendAfter = 120 * time.Millisecond
-	// maxResendDoublings bounds that.
+	// maxResendDoublings is the maximum number of these doublings.
 	maxResendDoublings = 3
 
-	// snapshotTimeout, and both gateways' intervals, is the time within which a healthy owner answers.
+	// snapshotTimeout plus the intervals of both gateways is the time within which a healthy owner answers.
 	snapshotTimeout = 100 * time.Millisecond
-	// ownerAttempts is after how many such times an owner counts as unresponsive: a request or its answer may get lost.
+	// ownerAttempts is the number of such time-outs after which an owner counts as unresponsive. One is not enough, because a request or its
+	// answer may get lost.
 	ownerAttempts = 2
-	// snapshotTimeoutShare of the SLA time is the longest wait for an owner's answer.
+	// snapshotTimeoutShare is the share of the SLA time that a request waits for an owner's answer at most.
 	snapshotTimeoutShare = 0.4
-	// unitTimeoutShare of the SLA time is the longest wait for units or for a free slot.
+	// unitTimeoutShare is the share of the SLA time that a request waits for units or for a free slot at most.
 	unitTimeoutShare = 0.3
-	// retryReserveShare of the burst must be left by a late retry.
+	// retryReserveShare is the share of the burst that a late retry must leave in the bucket.
 	retryReserveShare = 0.5
-	// lowBucketSplit times the remaining level, over the recent reporters, is the burst share of a low bucket.
-	lowBucketSplit = 2.0
+	// lowLevelFactor times the remaining level, divided by the number of recent reporters, is the burst share of a low bucket.
+	lowLevelFactor = 2.0
 
-	// reporterTTL is how long a report counts its sender among the recent reporters.
+	// reporterTTL is the time for which a report makes its sender a recent reporter.
 	reporterTTL = 2 * time.Second
-	// peerLostAfter without an answer a peer counts as lost, when an unresponsive owner's rate is divided.
+	// peerLostAfter is the time without an answer after which a peer counts as lost when the rate of an unresponsive owner is divided.
 	peerLostAfter = 1500 * time.Millisecond
-	// removedTTL is how long a customer that is not metered any more is remembered: deltas of it are still acknowledged.
+	// removedTTL is the time for which a customer that is no longer metered is remembered. Deltas for it are still acknowledged.
 	removedTTL = time.Minute
-	// idleAfter without a request an account with a full bucket is dropped.
+	// idleAfter is the time without a request after which an account with a full bucket is removed.
 	idleAfter = 10 * time.Second
 
-	// startSkew is by how much the starts of gateways that are started together may differ.
-	startSkew = 2 * time.Second
-	// minYoungPeers, and none older, make a cluster a new one, if there are that many.
+	// maxStartSkew is the largest difference between the start times of gateways that are started together.
+	maxStartSkew = 2 * time.Second
+	// minYoungPeers is the number of young peers that, without any older peer, prove that the cluster is new. A smaller cluster needs all its
+	// peers.
 	minYoungPeers = 3
 
-	// evenShare of the hard limit is split evenly; the rest is the owner's pool.
-	evenShare = 0.5
+	// hardEvenShare is the share of the hard limit that is split evenly over the set. The rest is the owner's pool.
+	hardEvenShare = 0.5
 )
 
-// Strict mode. The bound in the package comment is proved for these values; TestQuotaAnyCut fails for looser ones.
+// Constants of strict mode. The bound in the package comment is proved for these values. TestBoundHoldsInAnyPartition fails for looser
+// ones.
 const (
-	// allowanceBurstShare of a gateway's allowance is there at once, the rest comes over a window.
+	// allowanceBurstShare is the share of a gateway's allowance that is available at once. The rest is added over a window.
 	allowanceBurstShare = 0.5
-	// maxDebt, times the rate, is the most that use without the owner's knowledge takes a bucket below 0.
-	maxDebt = 1 * time.Second
-	// maxInitialFill, times the rate, is the most in the buckets of a new cluster.
-	maxInitialFill = 500 * time.Millisecond
+	// maxDebtTime times the rate is the most that use without the owner's knowledge takes a bucket below 0.
+	maxDebtTime = 1 * time.Second
+	// maxInitialFillTime times the rate is the most units in a bucket of a new cluster.
+	maxInitialFillTime = 500 * time.Millisecond
 
-	// grantTTL is how long granted units may be consumed.
+	// grantTTL is the time for which granted units may be consumed.
 	grantTTL = 1 * time.Second
-	// grantMaxAge is how long their owner keeps them set aside: a window more, since they may have been consumed.
+	// grantMaxAge is the time for which the owner keeps granted units set aside. It is a window longer than grantTTL, since the units may have
+	// been consumed.
 	grantMaxAge = 6 * time.Second
-	// grantDivisor: at most the level, over so many times the gateways, is granted beyond what is asked for.
+	// grantDivisor limits a grant beyond the requested units to the level divided by grantDivisor times the number of gateways.
 	grantDivisor = 4.0
 
-	// reporterQuietAfter without a message a recent reporter's part of the rate is withheld.
+	// reporterQuietAfter is the time without a message after which a recent reporter's part of the rate is withheld.
 	reporterQuietAfter = 250 * time.Millisecond
-	// reporterLostAfter, at the latest, the host has found a lost reporter unreachable: 2.9 s after its next report, due within 1 s.
+	// reporterLostAfter is the time without a message after which the host has found a lost reporter unreachable at the latest. The host finds
+	// it 2.9 s after the reporter's next report, which is due within 1 s.
 	reporterLostAfter = 4200 * time.Millisecond
-	// recentReport: an owner that acknowledged a report less than this before it fell silent withholds the reporter's part.
-	recentReport = 1 * time.Second
-	// minWithholdRate, units a second for each gateway, is the least rate of which parts are withheld before a host finds a gateway unreachable.
+	// recentReportAge is the longest time between the last report that an owner acknowledged and the owner's silence for which it certainly
+	// withholds the reporter's part.
+	recentReportAge = 1 * time.Second
+	// minWithholdRate is the minimum rate, in units a second for each gateway, of which parts are withheld before a host finds a gateway
+	// unreachable.
 	minWithholdRate = 0.5
-	// reachabilityLag is by how much two gateways' views of their reachability may differ.
+	// reachabilityLag is the longest delay between the views that two gateways have of their reachability.
 	reachabilityLag = 1 * time.Second
 )
--- a/control/quota/versions_test.go
+++ b/control/quota/versions_test.go
@@ -9,37 +9,39 @@
 	"github.com/shoenig/test/must"
 )
 
-// A datagram between gateways as the version of 2 December 2026 words it, with every field set: it is read by this one, which words the
-// same alike. Its form bears a number: one that differs needs another, and a version that reads both.
-func TestDatagramOfTheVersionBefore(t *testing.T) {
-	const words = "02070000001403090280808080200328042f02080605001000000000000b080000000c05000000018080808020940203021802efcdab160a01000000ff"
+// TestDatagramFormatIsUnchanged guards against a change of the datagram format without a new version number. It decodes a datagram with
+// every field set, recorded from the version of 2 December 2026, and encodes the same message. A change of the format needs a new number
+// and code that reads both versions.
+func TestDatagramFormatIsUnchanged(t *testing.T) {
+	const encoded = "02070000001403090280808080200328042f02080605001000000000000b080000000c05000000018080808020940203021802efcdab160a01000000ff"
 	m := &Message{Epoch: 7, Interval: 20 * time.Millisecond, Age: 3 * time.Second, Seq: 9,
 		Deltas:  []Delta{{Customer: 1 << 33, Plan: 3, Units: 2.5, InFlight: 4, Transfer: -1.5, SetFirst: 2, UnitsWanted: 0.5, SetWidth: 6}, {Customer: 5, Units: 1}},
 		Version: 11, AckEpoch: 8, AckHigh: 12, AckMask: 5,
 		Snapshots:    []Snapshot{{Customer: 1 << 33, Level: 17.25, Reporters: 3, InFlightElsewhere: 2, Grant: 1.5}},
 		Observations: []Observation{{BackendHash: 0xabcdef, Product: 5, Congestion: 2, Ratio: 1.25}, {BackendHash: 1, Ratio: -1}}}
-	b, err := hex.DecodeString(words)
+	b, err := hex.DecodeString(encoded)
 	must.NoError(t, err)
 	got, err := DecodeMessage(b)
 	must.NoError(t, err)
 	must.True(t, reflect.DeepEqual(m, got))
-	must.Eq(t, words, hex.EncodeToString(m.Encode()))
+	must.Eq(t, encoded, hex.EncodeToString(m.Encode()))
 }
 
-// The shapes that a datagram takes, beside the one with every field set: a delta alone, an acknowledgement alone, the marks of a
-// submission that was lost or failed, and figures past what a field holds, which are cut to its bound.
-func TestDatagramsOfTheVersionBefore(t *testing.T) {
+// TestDatagramVariantsKeepTheirFormat guards against a format change that the message with every field set does not show. It covers a
+// delta alone, an acknowledgement alone, the special ratios of a lost and a failed submission, and values above the limits of their
+// fields, which are reduced to the limits.
+func TestDatagramVariantsKeepTheirFormat(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		sent  Message
-		taken *Message // nil: as sent
-		bytes string
+		name    string
+		sent    Message
+		decoded *Message // nil means that the decoded message equals sent
+		bytes   string
 	}{
 		{"delta alone", Message{Epoch: 1, Seq: 1, Deltas: []Delta{{Customer: 1, Units: 1}}}, nil, "0201000000000001010100100000000000000000000000000000000000"},
 		{"acknowledgement alone", Message{Epoch: 1, AckEpoch: 2, AckHigh: 40, AckMask: 0xffffffff}, nil, "020100000000000000000200000028ffffffff0000"},
-		{"marks", Message{Epoch: 1, Version: 1, Observations: []Observation{{BackendHash: ObservationHashMask, Product: 63, Congestion: Congested, Ratio: ObservedLost}, {Ratio: ObservedFailed},
+		{"special ratios", Message{Epoch: 1, Version: 1, Observations: []Observation{{BackendHash: ObservationHashMask, Product: 63, Congestion: Congested, Ratio: ObservedLost}, {Ratio: ObservedFailed},
 			{BackendHash: 2, Congestion: NotCongested, Ratio: 20}}}, nil, "020100000000000000010000000000000000000003fffffffeff00000000fe02000001a0"},
-		{"past the bounds", Message{Epoch: 1<<32 - 1, Interval: 16 * time.Second, Age: time.Hour, Seq: 1,
+		{"values above the limits", Message{Epoch: 1<<32 - 1, Interval: 16 * time.Second, Age: time.Hour, Seq: 1,
 			Deltas: []Delta{{Customer: 1 << 34, Units: 1 << 20, Transfer: -1 << 20}, {Customer: 2, Units: -1, Transfer: 1 << 20}}},
 			&Message{Epoch: 1<<32 - 1, Interval: 16 * time.Second, Age: 255 * time.Second, Seq: 1,
 				Deltas: []Delta{{Customer: 1 << 34, Units: 1 << 16, Transfer: -1 << 16}, {Customer: 2, Transfer: 1 << 16}}}, "02ffffffff807dff010280808080400080804000ffff7f0000000200000080808001000000000000000000000000000000"},
@@ -51,16 +53,16 @@
 			got, err := DecodeMessage(b)
 			must.NoError(t, err)
 			want := &tc.sent
-			if tc.taken != nil {
-				want = tc.taken
+			if tc.decoded != nil {
+				want = tc.decoded
 			}
 			must.True(t, reflect.DeepEqual(want, got))
 		})
 	}
 }
 
-// A caller can tell a datagram of another version from a malformed one.
-func TestErrorsOfDatagrams(t *testing.T) {
+// TestDecodeErrorsAreDistinguishable guards against errors that do not distinguish a datagram of another version from a malformed one.
+func TestDecodeErrorsAreDistinguishable(t *testing.T) {
 	whole := (&Message{Epoch: 1, Seq: 1, Deltas: []Delta{{Customer: 1, Units: 1}}}).Encode()
 	for _, tc := range []struct {
 		name    string
