--- a/control/quota/account.go
+++ b/control/quota/account.go
@@ -12,7 +12,7 @@
 	id         control.CustomerID
 	limit      *Limit
 	planID     control.PlanID
-	lastUsedAt time.Duration // time of the last check or delta
+	lastUsedAt time.Duration // time of the last check of a request
 
 	owner       control.GatewayID
 	setAssigned bool              // the set has been assigned
@@ -30,7 +30,7 @@
 
 	// Reports of the other gateways, used by the owner.
 	reporterStates []*reporterState
-	exhausted      bool // the bucket has less than one unit, and the recent reporters have been told
+	exhausted      bool // the bucket has less than one unit, and snapshots that show it are scheduled
 
 	// Snapshot of the owner, used by the other gateways.
 	hasSnapshot       bool
@@ -106,7 +106,7 @@
 	if a.setAssigned && a.setFirst == first && a.setWidth == width {
 		return
 	}
-	// The account had another set, named by a peer. The share of the hard limit that was computed from it is void.
+	// If the account already had a set, a peer named it. The share of the hard limit that was computed from that set is void.
 	if a.setAssigned {
 		a.hardShare, a.hardShareAt = 0, l.now
 	}
@@ -179,7 +179,7 @@
 }
 
 // recentReporters returns the number of recent reporters. For all of them but except, it also returns the submissions in flight and the
-// units that their last snapshots promised. A nil except leaves out none.
+// units that their last snapshots promised. If except is nil, no reporter is left out. In strict mode promised is 0.
 func (l *Limiter) recentReporters(a *Account, except *peer) (n, inFlight int, promised float64) {
 	for _, r := range a.reporterStates {
 		if l.now-r.receivedAt >= reporterTTL {
--- a/control/quota/allowance.go
+++ b/control/quota/allowance.go
@@ -10,7 +10,7 @@
 //
 // All gateways together have as allowance what the bound leaves beyond rate x Window + burst. Each gateway gets an equal part, some of
 // it at once and the rest over a window. The allowance is empty at the start of each epoch, and a partition does not renew it. Units that
-// the owner acknowledges while its bucket has units left are returned to the allowance (settleAllowance). While the gateway is isolated
+// the owner acknowledges while its bucket has units left are returned to the allowance (confirmAllowance). While the gateway is isolated
 // (isolationStart), the allowance also gets the gateway's part of the rate, but the maximum that can be saved up stays the same.
 func (l *Limiter) refillAllowance(a *Account) float64 {
 	n := float64(l.gateways)
@@ -51,10 +51,10 @@
 	return max(from, owner.unreachableSince+reachabilityLag)
 }
 
-// settleAllowance settles the acknowledged units of the allowance by the level in the owner's new snapshot. If units are left, the
+// confirmAllowance settles the acknowledged units of the allowance by the level in the owner's new snapshot. If units are left, the
 // bucket covered the acknowledged units, and they are returned to the allowance. Otherwise they exceeded the bucket, and the allowance
 // regains them only by its refill.
-func (l *Limiter) settleAllowance(a *Account, level float64) {
+func (l *Limiter) confirmAllowance(a *Account, level float64) {
 	settled := min(a.allowanceAcked, a.allowanceUsed)
 	l.refillAllowance(a)
 	if level > 0 {
--- a/control/quota/bound_test.go
+++ b/control/quota/bound_test.go
@@ -141,14 +141,14 @@
 	for _, n := range []int{2, 3, 5, 12} {
 		for isolated := 1; isolated < n; isolated++ {
 			for i, limit := range limits {
-				for name, plan := range partitionSchedules {
+				for name, schedule := range partitionSchedules {
 					caseNumber := isolated + i + len(name)
 					if n == 12 && caseNumber%6 != 0 { // some of the cases, which include all counts and all limits
 						continue
 					}
 					s := newPartitionScenario(t, n, isolated, limit[0], limit[1])
 					s.blockInbound, s.blockOutbound = caseNumber%3 != 1, caseNumber%3 != 2 // in some cases datagrams are lost in only one direction
-					s.runSchedule(plan, (isolated+i)%2 == 0)
+					s.runSchedule(schedule, (isolated+i)%2 == 0)
 					s.mustBeBounded(fmt.Sprintf("%d of %d gateways isolated, limit %v, schedule %q", isolated, n, limit, name))
 				}
 			}
@@ -161,6 +161,7 @@
 func TestBoundHoldsThroughAnyRestart(t *testing.T) {
 	for _, limit := range [][2]float64{{6, 6}, {20, 20}, {200, 200}, {20, 400}, {400, 20}} {
 		for _, n := range []int{2, 3, 5, 12} {
+			// Case 0 restarts the owner, case 1 the other gateways, and case 2 random gateways.
 			for restarting := range 3 {
 				s := newPartitionScenario(t, n, 1, limit[0], limit[1])
 				s.step = 50 * time.Millisecond
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -32,8 +32,8 @@
 
 // Check reports whether a customer's quota covers a request. A customer without a limit is not metered, so its requests are allowed.
 //
-// With Pending, the duration is the clock time until which to wait at most. With Exceeded, it is the time after which there may be
-// units. Check takes no units. Consume takes them, and Reserve keeps them for a request that has to wait for something else.
+// With Pending, the duration is the clock time until which to wait at most. With Exceeded, it is the duration after which there
+// may be units. Check takes no units. Consume takes them, and Reserve keeps them for a request that has to wait for something else.
 func (l *Limiter) Check(c control.CustomerID, r Request) (Outcome, time.Duration) {
 	a := l.accounts[c]
 	if a == nil {
@@ -41,7 +41,7 @@
 	}
 	a.lastUsedAt = l.now
 	outcome, at, _ := l.check(a, r)
-	// A request that no longer waits needs no grant. Another waiting request sets unitsWanted again at its next check.
+	// A request that is not pending no longer needs a grant. Another waiting request sets unitsWanted again at its next check.
 	if outcome != Pending {
 		a.unitsWanted = 0
 	}
@@ -186,7 +186,7 @@
 }
 
 // staleCovers reports whether an expired snapshot covers a request while the owner is responsive. It adds this gateway's part of the
-// refill since the snapshot. Without this check, many gateways would each consume a share of an empty bucket every second. A scarce
+// refill since the snapshot to the level. Without this check, many gateways would each consume a share of an empty bucket every second. A scarce
 // snapshot covers a request only if the owner was asked before the request's deadline and has not answered by then.
 func (l *Limiter) staleCovers(a *Account, r Request, v remoteView) bool {
 	left := a.level + a.limit.Rate*v.age.Seconds()/float64(max(a.reporterCount, 1)) - v.notInSnapshot
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -40,7 +40,7 @@
 	Burst       float64 // units
 	MaxInFlight int     // submissions in flight over all gateways; 0 means no limit
 	HardRate    float64 // units a second that are never exceeded; 0 means no hard limit
-	HardBurst   float64 // units of burst that are never exceeded
+	HardBurst   float64 // units; burst of the hard limit
 }
 
 // PlanLimiterOptions configures a front door's limiter, whose customers have the limits of their plans.
@@ -128,7 +128,8 @@
 	return l
 }
 
-// Now sets the limiter's clock. A time before the current one is ignored.
+// Now sets the limiter's clock. A time before the current one is ignored. A step of more than stallThreshold counts as a pause of this
+// process.
 func (l *Limiter) Now(now time.Duration) {
 	if l.now > l.startedAt && now-l.now > stallThreshold {
 		l.pausedUntil = now
--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -208,5 +208,5 @@
 	if l.now-l.pausedUntil > l.answerTimeout(a) && s.Grant > 0 {
 		a.granted, a.grantedAt = a.granted+s.Grant, l.now
 	}
-	l.settleAllowance(a, s.Level)
+	l.confirmAllowance(a, s.Level)
 }
--- a/control/quota/tuning.go
+++ b/control/quota/tuning.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Values without another stated source were tuned on the simulated score. Shares are fractions of 1.
+// Values for which no other reason is stated were tuned on the simulated score. Shares are fractions of 1.
 const (
 	// stallThreshold is the time between two calls of Now from which on this process counts as paused. Silence during a pause proves nothing
 	// about the peers.
@@ -59,7 +59,7 @@
 const (
 	// allowanceBurstShare is the share of a gateway's allowance that is available at once. The rest is added over a window.
 	allowanceBurstShare = 0.5
-	// maxDebtTime times the rate is the most that use without the owner's knowledge takes a bucket below 0.
+	// maxDebtTime times the rate is the largest debt of a bucket that results from use without the owner's knowledge.
 	maxDebtTime = 1 * time.Second
 	// maxInitialFillTime times the rate is the most units in a bucket of a new cluster.
 	maxInitialFillTime = 500 * time.Millisecond
@@ -77,8 +77,8 @@
 	// reporterLostAfter is the time without a message after which the host has found a lost reporter unreachable at the latest. The host finds
 	// it 2.9 s after the reporter's next report, which is due within 1 s.
 	reporterLostAfter = 4200 * time.Millisecond
-	// recentReportAge is the longest time between the last report that an owner acknowledged and the owner's silence for which it certainly
-	// withholds the reporter's part.
+	// recentReportAge limits the age of the last acknowledged report at the time when the owner falls silent. An owner that acknowledged a
+	// report of a lower age withholds the reporter's part.
 	recentReportAge = 1 * time.Second
 	// minWithholdRate is the minimum rate, in units a second for each gateway, of which parts are withheld before a host finds a gateway
 	// unreachable.
