--- a/control/quota/bound_test.go
+++ b/control/quota/bound_test.go
@@ -137,6 +137,7 @@
 // exceeded the bound with an earlier allowance of rate/n a second after 0.4 s of silence and burst/2n saved up, beside snapshots for
 // which no units were set aside.
 func TestBoundHoldsInAnyPartition(t *testing.T) {
+	// Each limit is a rate and a burst.
 	limits := [][2]float64{{6, 6}, {20, 20}, {200, 200}, {1000, 1000}, {20, 400}, {400, 20}, {10, 300}}
 	for _, n := range []int{2, 3, 5, 12} {
 		for isolated := 1; isolated < n; isolated++ {
@@ -213,6 +214,7 @@
 	}
 }
 
+// mustBeBounded asserts that consumption stays within the bound of strict mode in every window.
 func (p *partitionScenario) mustBeBounded(scenario string) {
 	p.t.Helper()
 	first, most := 0, 0
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -117,6 +117,7 @@
 	deadline        time.Duration // end of the wait for the owner's answer
 }
 
+// remoteViewOf returns what this gateway knows of the bucket of an account, for one request.
 func (l *Limiter) remoteViewOf(a *Account, r Request) remoteView {
 	v := remoteView{
 		age: l.now - a.levelAt, notInSnapshot: a.unacked + a.unreported + a.reserved,
--- a/control/quota/consume.go
+++ b/control/quota/consume.go
@@ -29,6 +29,7 @@
 	}
 }
 
+// consume takes units from the share of the hard limit and from the bucket. If another gateway owns the bucket, it schedules a report.
 func (l *Limiter) consume(a *Account, units float64) {
 	if a.limit.HardRate > 0 {
 		a.hardShare -= units
--- a/control/quota/doc.go
+++ b/control/quota/doc.go
@@ -12,11 +12,14 @@
 //
 // # Terms
 //
+//   - gateway: one process with a limiter. It is a node of the gateway program or a front door.
+//   - host: the code of that process that calls the limiter and does the I/O for it.
 //   - account: the state that one gateway keeps of one customer. It includes the bucket if the gateway is the owner, and the owner's
 //     snapshot if it is not.
 //   - units: the cost of a request. A level is the number of units left.
 //   - delta: the units consumed since the last report. Deltas carry a sequence number. They are sent again until they are acknowledged,
 //     and applied once.
+//   - reporter: a gateway that sends deltas for a customer to its owner. It is a recent reporter for two seconds after each delta.
 //   - snapshot: the owner's level for one reporter, with the number of recent reporters. It expires (Config.SnapshotTTL).
 //   - burst share: the units that a gateway may consume against a snapshot before they are acknowledged. It is an equal part of the
 //     burst or of a low level.
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -83,8 +83,8 @@
 	freshCluster bool // no gateway of the cluster is older than this one
 
 	accounts        map[control.CustomerID]*Account
-	orderedAccounts []*Account // the values of accounts in the order of their creation
-	removedAt       map[control.CustomerID]time.Duration
+	orderedAccounts []*Account                           // the values of accounts in the order of their creation
+	removedAt       map[control.CustomerID]time.Duration // times at which the metering of customers stopped; kept for removedTTL
 
 	peers               []*peer       // by gateway ID; the entry of this gateway is unused
 	pendingPeers        []*peer       // peers for which there may be something to send
@@ -160,6 +160,7 @@
 	}
 }
 
+// removeLimit stops the metering of a customer and records the time.
 func (l *Limiter) removeLimit(c control.CustomerID) {
 	if a := l.accounts[c]; a != nil {
 		l.cancelReports(a)
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// schedulePeer queues a peer for the next datagrams. It does nothing if nothing may be sent to peers.
 func (l *Limiter) schedulePeer(p *peer) {
 	if !p.queued && l.options.PeersEnabled {
 		p.queued = true
