--- a/control/loadbalancer/backend.go
+++ b/control/loadbalancer/backend.go
@@ -12,27 +12,27 @@
 // backend is what is known of one backend.
 type backend struct {
 	control.Endpoint
-	hash   uint64  // for rankings and observations
-	warmth float64 // share of its capacity that it has for sure, at the last survey
-	load   float64 // at the last choice
+	hash        uint64  // for rankings and observations
+	warmUpShare float64 // share of its capacity that it has for sure, at the last survey
+	load        float64 // at the last choice
 
 	// Submissions.
-	inFlight        int
-	sentAt          time.Duration // of the last one
-	unanswered      int           // since the last answer
-	unansweredSince time.Duration // since when it owes one
-	rejections      int           // in a row
-	rejectingUntil  time.Duration
+	inFlight              int
+	sentAt                time.Duration // of the last one
+	unanswered            int           // since the last answer
+	unansweredSince       time.Duration // since when it owes one
+	consecutiveRejections int           // in a row
+	rejectionBackoffUntil time.Duration
 
 	// Load reports.
 	inFlightElsewhere float64 // submissions of other front doors, smoothed
 	loadReportedAt    time.Duration
 
 	// Quality.
-	slowdown       float64 // answer time over the usual one, smoothed
-	failureShare   float64 // share of lost submissions, smoothed
-	failureSamples float64 // weight of what that is made of
-	failures       []productFailures
+	slowdown    float64 // answer time over the usual one, smoothed
+	lossShare   float64 // share of lost submissions, smoothed
+	lossSamples float64 // weight of what that is made of
+	failures    []productFailures
 
 	// Ejection.
 	ejected       bool
@@ -40,12 +40,12 @@
 	probing       bool
 	nextProbeAt   time.Duration
 	backoff       time.Duration
-	slowStartFrom time.Duration // when it was last readmitted; 0: never
+	slowStartedAt time.Duration // when it was last readmitted; 0: never
 
 	// Warming up.
-	warmUpTokens   float64
-	warmUpTokensAt time.Duration
-	tokensLapse    bool // the budget is under one submission in its window: what is not used in time is lost
+	warmUpTokens       float64
+	warmUpTokensAt     time.Duration
+	warmUpTokensExpire bool // the budget is under one submission in its window: what is not used in time is lost
 }
 
 // productFailures is how submissions of one product fail, at one backend or at all.
@@ -64,7 +64,7 @@
 // EndpointsChanged takes changes of the backend list; a complete one replaces it.
 func (c *Controller) EndpointsChanged(complete bool, list []control.Endpoint) {
 	if complete {
-		for _, b := range c.ordered {
+		for _, b := range c.backendsByID {
 			b.State = control.Gone
 		}
 	}
@@ -72,14 +72,14 @@
 		c.setEndpoint(e)
 	}
 	// A submission that is in flight keeps its own pointer to its backend.
-	c.ordered = slices.DeleteFunc(c.ordered, func(b *backend) bool {
+	c.backendsByID = slices.DeleteFunc(c.backendsByID, func(b *backend) bool {
 		if b.State == control.Gone {
 			delete(c.backends, b.ID)
-			delete(c.byHash, b.hash&quota.ObservationHashMask)
+			delete(c.backendsByHash, b.hash&quota.ObservationHashMask)
 		}
 		return b.State == control.Gone
 	})
-	c.recheck, c.saturated, c.available = true, false, c.available[:0]
+	c.recheckWaiting, c.saturated, c.readyBackends = true, false, c.readyBackends[:0]
 }
 
 func (c *Controller) setEndpoint(e control.Endpoint) {
@@ -87,9 +87,9 @@
 	if b == nil {
 		b = c.newBackend(e)
 		c.backends[e.ID] = b
-		c.ordered = append(c.ordered, b)
-		c.byHash[b.hash&quota.ObservationHashMask] = b
-		sort.Slice(c.ordered, func(i, j int) bool { return c.ordered[i].ID < c.ordered[j].ID })
+		c.backendsByID = append(c.backendsByID, b)
+		c.backendsByHash[b.hash&quota.ObservationHashMask] = b
+		sort.Slice(c.backendsByID, func(i, j int) bool { return c.backendsByID[i].ID < c.backendsByID[j].ID })
 	}
 	if e.Started > b.Started { // a new process: what is known is of the former one
 		inFlight := b.inFlight
@@ -100,23 +100,23 @@
 }
 
 // survey brings up to date what every choice goes by; one survey is good for all choices of a short time.
-func (c *Controller) survey() {
-	if c.now-c.surveyedAt < surveyInterval && len(c.available) > 0 {
+func (c *Controller) refreshBackends() {
+	if c.now-c.refreshedAt < refreshInterval && len(c.readyBackends) > 0 {
 		return
 	}
-	c.surveyedAt, c.available = c.now, c.available[:0]
+	c.refreshedAt, c.readyBackends = c.now, c.readyBackends[:0]
 	warm, slowdowns := 0.0, c.slowdowns[:0]
-	for _, b := range c.ordered {
+	for _, b := range c.backendsByID {
 		if b.State != control.Ready {
 			continue
 		}
-		b.warmth = c.warmthOf(b)
-		c.available = append(c.available, b)
+		b.warmUpShare = c.warmUpShareOf(b)
+		c.readyBackends = append(c.readyBackends, b)
 		if b.ejected {
 			continue
 		}
 		slowdowns = append(slowdowns, b.slowdown)
-		if b.warmth >= 1 {
+		if b.warmUpShare >= 1 {
 			warm++
 		}
 	}
@@ -125,27 +125,27 @@
 	c.warmRate = c.completionRateNow() / max(warm, 1)
 }
 
-// warmthOf is the share of its capacity that a backend has for sure by now: it grows evenly from its start.
-func (c *Controller) warmthOf(b *backend) float64 {
+// warmUpShareOf is the share of its capacity that a backend has for sure by now: it grows evenly from its start.
+func (c *Controller) warmUpShareOf(b *backend) float64 {
 	if b.Started <= 0 || c.warmUpTime <= 0 || c.now-b.Started >= c.warmUpTime {
 		return 1
 	}
 	age := max(0, float64(c.now-b.Started)/float64(c.warmUpTime))
-	return c.initialWarmth + (1-c.initialWarmth)*age
+	return c.initialWarmUpShare + (1-c.initialWarmUpShare)*age
 }
 
 // median sorts figures and gives the middle one, 1 if there are none.
-func median(figures []float64) float64 {
-	if len(figures) == 0 {
+func median(numbers []float64) float64 {
+	if len(numbers) == 0 {
 		return 1
 	}
-	sort.Float64s(figures)
-	return figures[len(figures)/2]
+	sort.Float64s(numbers)
+	return numbers[len(numbers)/2]
 }
 
-// readLoad takes a load report. One above what all front doors may have in flight can't be true.
-func (c *Controller) readLoad(b *backend, load []float64) {
-	reported, ok := reportedInFlight(c.loadFields, load)
+// applyLoadReport takes a load report. One above what all front doors may have in flight can't be true.
+func (c *Controller) applyLoadReport(b *backend, load []float64) {
+	reported, ok := reportedInFlight(c.loadReportFields, load)
 	if !ok || reported > maxCapacity*float64(c.gateways) {
 		return
 	}
--- a/control/loadbalancer/capacity.go
+++ b/control/loadbalancer/capacity.go
@@ -9,7 +9,7 @@
 
 // congestionOf tells whether an answer, or a time-out, shows that the fleet is congested, that it is not, or neither.
 func (c *Controller) congestionOf(t *txn, b *backend, e control.Ending) quota.Congestion {
-	if t.current == nil || e != control.Succeeded && e != control.TimedOut {
+	if t.currentBackend == nil || e != control.Succeeded && e != control.TimedOut {
 		return quota.CongestionUnknown
 	}
 	sla := float64(c.products[t.Product].slaTime)
@@ -20,7 +20,7 @@
 	// What is one backend's fault makes its own capacity smaller, not the fleet's. A time-out at a backend that has answered nothing since is
 	// unresponsiveness, not congestion.
 	unresponsive := e == control.TimedOut && b.unansweredSince <= t.sentAt
-	if b.warmth < 1 || b.slowdown > slowOutlierRatio*c.medianSlowdown || unresponsive {
+	if b.warmUpShare < 1 || b.slowdown > slowOutlierRatio*c.medianSlowdown || unresponsive {
 		return quota.CongestionUnknown
 	}
 	return quota.Congested
--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -13,21 +13,21 @@
 // Controller decides for one front door. It is not safe for concurrent use. All times are of the host's clock.
 type Controller struct {
 	// Settings.
-	gateways       int // front doors, this one included
-	zone           control.ZoneID
-	products       []product
-	plans          []plan
-	maxSubmissions int           // of one txn
-	maxAdvice      time.Duration // longest time after which a client is advised to come again
-	probesAllowed  bool
-	cancelAllowed  bool
-	adviceAllowed  bool
-	loadByProbe    bool // load reports come with probes, not with answers
-	loadFields     []string
-	warmUpTime     time.Duration // of a backend that has started
-	initialWarmth  float64       // share of its capacity that such a backend begins with
-	fallWindow     time.Duration // more than fallMultiple times what a warm backend gets in it
-	fallMultiple   float64       // pushes over a backend that is warming up
+	gateways           int // front doors, this one included
+	zone               control.ZoneID
+	products           []product
+	plans              []plan
+	maxSubmissions     int           // of one txn
+	maxRetryAfter      time.Duration // longest time after which a client is advised to come again
+	probesAllowed      bool
+	cancelAllowed      bool
+	retryAfterAllowed  bool
+	loadReportsByProbe bool // load reports come with probes, not with answers
+	loadReportFields   []string
+	warmUpTime         time.Duration // of a backend that has started
+	initialWarmUpShare float64       // share of its capacity that such a backend begins with
+	overloadWindow     time.Duration // more than overloadFactor times what a warm backend gets in it
+	overloadFactor     float64       // pushes over a backend that is warming up
 
 	// Time.
 	now         time.Duration
@@ -41,33 +41,33 @@
 	rng   *rand.Rand
 
 	// Txns.
-	txns        map[control.TxnID]*txn
-	timers      timerqueue.Queue[control.TxnID] // expiries, and ends of waiting
-	undecided   []*txn                          // to be decided next
-	waiting     []*txn                          // for units, a snapshot, a slot or a backend
-	recheck     bool                            // what waits is to be decided again
-	decisions   []control.Decision              // made and not yet taken by Next
-	retryCredit float64
-	givenUp     reasonCounts // since the last summary
-	loggedAt    time.Duration
+	txns           map[control.TxnID]*txn
+	timers         timerqueue.Queue[control.TxnID] // expiries, and ends of waiting
+	undecided      []*txn                          // to be decided next
+	waiting        []*txn                          // for units, a snapshot, a slot or a backend
+	recheckWaiting bool                            // what waits is to be decided again
+	decisions      []control.Decision              // made and not yet taken by Next
+	retryBudget    float64
+	giveUpCounts   reasonCounts // since the last summary
+	loggedAt       time.Duration
 
 	// Backends.
 	backends       map[control.BackendID]*backend
-	ordered        []*backend // the same, by id
-	byHash         map[uint64]*backend
-	available      []*backend // the ready ones at the last survey
-	surveyedAt     time.Duration
+	backendsByID   []*backend // the same, by id
+	backendsByHash map[uint64]*backend
+	readyBackends  []*backend // the ready ones at the last survey
+	refreshedAt    time.Duration
 	examinedAt     time.Duration
-	probeCredit    float64
+	probeBudget    float64
 	candidates     []*backend // space for pick
 	slowdowns      []float64  // space for survey
 	medianSlowdown float64
 
 	// What is known of all backends.
-	latency          map[int]float64 // usual answer time by kind of work, in seconds
-	meanWork         float64         // mean usual answer time of the txns that were sent, in seconds
+	usualLatencies   map[int]float64 // usual answer time by kind of work, in seconds
+	meanUsualLatency float64         // mean usual answer time of the txns that were sent, in seconds
 	fleetFailures    []productFailures
-	lostShare        float64 // share of submissions that were lost
+	fleetLossShare   float64 // share of submissions that were lost
 	completionRate   float64 // answers a second of warm backends, smoothed
 	completionRateAt time.Duration
 	warmRate         float64             // the same of one warm backend
@@ -88,30 +88,30 @@
 	self := control.GatewayID(r.count("me", 1<<20))
 	c := &Controller{
 		now: now, startedAt: now, sweptAt: now,
-		rng:            rand.New(rand.NewSource(seed)),
-		gateways:       r.count("gateways", 1<<20),
-		zone:           control.ZoneID(r.count("zone", 1<<16)),
-		probesAllowed:  r.boolean("limits.probes"),
-		cancelAllowed:  r.boolean("limits.cancel"),
-		adviceAllowed:  r.boolean("limits.advice"),
-		maxAdvice:      r.duration("limits.longest_advice"),
-		maxSubmissions: r.count("limits.max_submissions", 1<<16),
-		loadByProbe:    r.text("report.how") == "probe",
-		loadFields:     r.list("report.fields"),
-		warmUpTime:     r.duration("rules.warm_by"),
-		fallWindow:     r.duration("rules.fall_window"),
-		initialWarmth:  r.number("rules.cold_from"),
-		fallMultiple:   r.number("rules.fall_multiple"),
-		products:       r.products(),
-		plans:          r.plans(),
-		txns:           map[control.TxnID]*txn{},
-		backends:       map[control.BackendID]*backend{},
-		byHash:         map[uint64]*backend{},
-		latency:        map[int]float64{},
-		retryCredit:    maxRetryCredit / 3,
-		probeCredit:    maxProbeCredit,
-		capacityGain:   initialCapacityGain,
-		saturatedAt:    -pressureTTL,
+		rng:                rand.New(rand.NewSource(seed)),
+		gateways:           r.count("gateways", 1<<20),
+		zone:               control.ZoneID(r.count("zone", 1<<16)),
+		probesAllowed:      r.boolean("limits.probes"),
+		cancelAllowed:      r.boolean("limits.cancel"),
+		retryAfterAllowed:  r.boolean("limits.advice"),
+		maxRetryAfter:      r.duration("limits.longest_advice"),
+		maxSubmissions:     r.count("limits.max_submissions", 1<<16),
+		loadReportsByProbe: r.text("report.how") == "probe",
+		loadReportFields:   r.list("report.fields"),
+		warmUpTime:         r.duration("rules.warm_by"),
+		overloadWindow:     r.duration("rules.fall_window"),
+		initialWarmUpShare: r.number("rules.cold_from"),
+		overloadFactor:     r.number("rules.fall_multiple"),
+		products:           r.products(),
+		plans:              r.plans(),
+		txns:               map[control.TxnID]*txn{},
+		backends:           map[control.BackendID]*backend{},
+		backendsByHash:     map[uint64]*backend{},
+		usualLatencies:     map[int]float64{},
+		retryBudget:        maxRetryBudget / 3,
+		probeBudget:        maxProbeBudget,
+		capacityGain:       initialCapacityGain,
+		saturatedAt:        -pressureTTL,
 	}
 	c.capacity = initialCapacity / float64(max(c.gateways, 1))
 	c.fleetFailures = make([]productFailures, len(c.products))
@@ -122,12 +122,12 @@
 		r.fail("me", "must be under the number of gateways, which is one at the least")
 	}
 	config := quota.Config{
-		MinInterval: minInterval, SnapshotTTL: snapshotTTL, InitialFill: 1,
+		MinInterval: minDatagramInterval, SnapshotTTL: snapshotTTL, InitialFill: 1,
 		DatagramsPerSecond: r.number("quota.mail_per_s"), MaxUnits: r.number("quota.most_units"),
 	}
 	plans := quota.Plans{
 		PeersEnabled: r.boolean("limits.peers"), Limit: c.planLimit,
-		Observations: c.lastObservations, Observed: c.takeObservations,
+		Observations: c.recentObservations, Observed: c.applyPeerObservations,
 	}
 	c.quota = quota.NewPlanLimiter(c.rng.Uint32()|1, self, c.gateways, now, config, plans)
 	return c, r.err
@@ -146,7 +146,7 @@
 func (c *Controller) Now(now time.Duration) {
 	if c.now > c.startedAt && now-c.now > stallThreshold {
 		c.pausedFrom, c.pausedUntil = c.now, now
-		for _, b := range c.ordered {
+		for _, b := range c.backendsByID {
 			b.unansweredSince = now
 		}
 	}
@@ -165,8 +165,8 @@
 			c.decisions = c.decisions[1:]
 			return d, true
 		}
-		if c.recheck {
-			c.recheck = false
+		if c.recheckWaiting {
+			c.recheckWaiting = false
 			c.requeueWaiting()
 		}
 		if len(c.undecided) > 0 {
@@ -189,7 +189,7 @@
 		if to, payload, ok := c.quota.NextDatagram(); ok {
 			return control.Decision{Action: control.SendDatagram, Peer: to, Payload: payload}, true
 		}
-		return c.wake()
+		return c.scheduleWake()
 	}
 }
 
@@ -211,15 +211,15 @@
 // sweepInterval is the time from one sweep to the next.
 func (c *Controller) sweepInterval() time.Duration {
 	if len(c.waiting) > 0 || c.quota.HasPending() {
-		return busyInterval
+		return busySweepInterval
 	}
-	return surveyInterval
+	return refreshInterval
 }
 
 // sweep does the periodic work.
 func (c *Controller) sweep() {
-	c.recheck, c.saturated = true, false
-	if c.now-c.examinedAt >= surveyInterval {
+	c.recheckWaiting, c.saturated = true, false
+	if c.now-c.examinedAt >= refreshInterval {
 		c.examinedAt = c.now
 		c.examineBackends()
 	}
@@ -227,12 +227,12 @@
 }
 
 // wake asks to be woken for the next sweep or timer, unless that was asked before.
-func (c *Controller) wake() (control.Decision, bool) {
+func (c *Controller) scheduleWake() (control.Decision, bool) {
 	next := c.sweptAt + c.sweepInterval()
 	if at, ok := c.timers.Next(); ok {
 		next = min(next, at)
 	}
-	next = max(next, c.now+minWake)
+	next = max(next, c.now+minWakeDelay)
 	if c.wakeAt > c.now && c.wakeAt <= next {
 		return control.Decision{}, false
 	}
@@ -246,7 +246,7 @@
 // DatagramReceived takes a peer's datagram.
 func (c *Controller) DatagramReceived(from control.GatewayID, payload []byte) {
 	if c.quota.DatagramReceived(from, payload) {
-		c.recheck = true
+		c.recheckWaiting = true
 	}
 }
 
@@ -254,13 +254,13 @@
 func (c *Controller) logSummary(ejected int) {
 	var fields []control.LogField
 	for reason, name := range reasonNames {
-		fields = append(fields, control.IntField(name, c.givenUp[reason]))
+		fields = append(fields, control.IntField(name, c.giveUpCounts[reason]))
 	}
 	fields = append(fields, control.LogField{Name: "capacity", Value: c.capacity}, control.IntField("ejected", ejected),
-		control.IntField("backends", len(c.available)), control.IntField("waiting", len(c.waiting)),
+		control.IntField("backends", len(c.readyBackends)), control.IntField("waiting", len(c.waiting)),
 		control.IntField("bad_datagrams", c.quota.BadDatagrams()))
 	c.decisions = append(c.decisions, control.Decision{Action: control.Log, Entry: &control.LogEntry{Message: "txns given up", Fields: fields}})
-	c.givenUp, c.loggedAt = reasonCounts{}, c.now
+	c.giveUpCounts, c.loggedAt = reasonCounts{}, c.now
 }
 
 // reasonCounts counts txns by what they lacked when they were given up.
--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -13,16 +13,16 @@
 	c := ownedBy(0)
 	for id, e := range []control.Ending{control.Succeeded, control.Errored, control.Rejected, control.TimedOut, control.Unreachable, control.ConnectionLost} {
 		fmt.Println("#", id, "inquiry-like, then ending", e)
-		s.txn(control.TxnID(id), c, 0, 0)
-		s.ended(control.TxnID(id), e)
+		s.arrive(control.TxnID(id), c, 0, 0)
+		s.endSubmission(control.TxnID(id), e)
 		if s.controller.txns[control.TxnID(id)] != nil {
-			s.ended(control.TxnID(id), e)
+			s.endSubmission(control.TxnID(id), e)
 		}
 		if s.controller.txns[control.TxnID(id)] != nil {
-			s.ended(control.TxnID(id), e)
+			s.endSubmission(control.TxnID(id), e)
 		}
 		s.controller.ClientLeft(control.TxnID(id)) // an id no longer held is passed over
-		s.pull()
+		s.printDecisions()
 	}
 	// Output:
 	// # 0 inquiry-like, then ending 0
@@ -56,7 +56,7 @@
 
 func Example_expiry() {
 	s := newWarmScenario()
-	s.txn(1, ownedBy(0), 2, 0)
+	s.arrive(1, ownedBy(0), 2, 0)
 	s.advance(11997)
 	s.advance(11998)
 	s.controller.SubmissionEnded(1, 0, 1, control.TimedOut, false, 0, nil) // its own outcome comes after the answer
@@ -72,13 +72,13 @@
 func Example_onceOnly() {
 	s := newWarmScenario()
 	fmt.Println("# proved not to have run: again elsewhere, then rejected")
-	s.txn(1, ownedBy(0), 2, 0)
-	s.ended(1, control.Unreachable)
-	s.ended(1, control.Rejected)
-	s.ended(1, control.Rejected)
+	s.arrive(1, ownedBy(0), 2, 0)
+	s.endSubmission(1, control.Unreachable)
+	s.endSubmission(1, control.Rejected)
+	s.endSubmission(1, control.Rejected)
 	fmt.Println("# may have run: failed at once")
-	s.txn(2, ownedBy(0), 2, 0)
-	s.ended(2, control.Errored)
+	s.arrive(2, ownedBy(0), 2, 0)
+	s.endSubmission(2, control.Errored)
 	// Output:
 	// # proved not to have run: again elsewhere, then rejected
 	// 10000 submit 1 to 1
@@ -93,18 +93,18 @@
 func Example_referenced() {
 	s := newWarmScenario()
 	fmt.Println("# retries stay in the pod of the first that may have run")
-	s.txn(1, ownedBy(0), 1, 0)
-	s.ended(1, control.ConnectionLost)
-	s.ended(1, control.ConnectionLost)
+	s.arrive(1, ownedBy(0), 1, 0)
+	s.endSubmission(1, control.ConnectionLost)
+	s.endSubmission(1, control.ConnectionLost)
 	fmt.Println("# and inside the window: with the time over it is failed")
-	s.txn(2, ownedBy(0), 1, 0)
+	s.arrive(2, ownedBy(0), 1, 0)
 	s.controller.products[1].repeatWindow = 0
-	s.ended(2, control.ConnectionLost)
+	s.endSubmission(2, control.ConnectionLost)
 	fmt.Println("# where all backends know retries, it may be rejected")
-	s.txn(3, ownedBy(0), 3, 0)
-	s.ended(3, control.ConnectionLost)
-	s.ended(3, control.ConnectionLost)
-	s.ended(3, control.ConnectionLost)
+	s.arrive(3, ownedBy(0), 3, 0)
+	s.endSubmission(3, control.ConnectionLost)
+	s.endSubmission(3, control.ConnectionLost)
+	s.endSubmission(3, control.ConnectionLost)
 	// Output:
 	// # retries stay in the pod of the first that may have run
 	// 10000 submit 1 to 1, 446
@@ -122,12 +122,12 @@
 
 func Example_draining() {
 	s := newWarmScenario()
-	s.list(false, control.Endpoint{ID: 1, State: control.Draining}, control.Endpoint{ID: 2, State: control.Gone})
+	s.changeEndpoints(false, control.Endpoint{ID: 1, State: control.Draining}, control.Endpoint{ID: 2, State: control.Gone})
 	for id := control.TxnID(1); id < 5; id++ {
-		s.txn(id, ownedBy(0)+control.CustomerID(id), 0, 0)
+		s.arrive(id, ownedBy(0)+control.CustomerID(id), 0, 0)
 	}
-	s.list(true) // an empty list: nothing is ready
-	s.txn(9, ownedBy(0), 0, 0)
+	s.changeEndpoints(true) // an empty list: nothing is ready
+	s.arrive(9, ownedBy(0), 0, 0)
 	s.advance(10200)
 	// Output:
 	// 10000 submit 1 to 3, 446
@@ -138,7 +138,7 @@
 }
 
 // sends counts what goes to a backend while txns of one product come every 10 ms for a span.
-func (s *scenario) sends(id control.BackendID, from, to int) (n int) {
+func (s *scenario) countSubmissionsTo(id control.BackendID, from, to int) (n int) {
 	for at := from; at < to; at += 10 {
 		s.controller.Now(time.Millisecond * time.Duration(at))
 		s.controller.TxnArrived(control.Txn{ID: control.TxnID(at), Customer: control.CustomerID(at), SetWidth: 3, Units: 1, Expiry: s.controller.now + time.Second})
@@ -156,17 +156,17 @@
 
 func Example_warmUpBudget() {
 	s := newWarmScenario()
-	s.list(false, control.Endpoint{ID: 1, State: control.Ready, Started: 9900 * time.Millisecond})
+	s.changeEndpoints(false, control.Endpoint{ID: 1, State: control.Ready, Started: 9900 * time.Millisecond})
 	fmt.Println("beside warm backends, second by second:")
 	for at := 10000; at < 14000; at += 1000 {
-		fmt.Println(" warming up", s.sends(1, at, at+1000))
+		fmt.Println(" warming up", s.countSubmissionsTo(1, at, at+1000))
 	}
 	s = newScenario(settings(0), 0)
 	s.advance(20000)
-	s.list(true, control.Endpoint{ID: 1, State: control.Ready, Started: 19900 * time.Millisecond})
+	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready, Started: 19900 * time.Millisecond})
 	fmt.Println("alone, with nothing warm to judge by:")
 	for at := 20000; at < 23000; at += 1000 {
-		fmt.Println(" warming up", s.sends(1, at, at+1000))
+		fmt.Println(" warming up", s.countSubmissionsTo(1, at, at+1000))
 	}
 	// Output:
 	// beside warm backends, second by second:
@@ -182,20 +182,20 @@
 
 func Example_hardLimitAcrossRestart() {
 	s := newScenario(settings(0), 0)
-	s.quiet = true
-	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
+	s.hideDatagrams = true
+	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
 	s.advance(10000)
 	s.controller.capacity = 100
 	c := ownedBy(0)
 	fmt.Println("# the owner's pool and its part, two thirds of the hard limit, then nothing but their refill")
 	for id := control.TxnID(1); id <= 16; id++ {
-		s.txn(id, c, 0, 1)
+		s.arrive(id, c, 0, 1)
 	}
 	s = newScenario(settings(0), 10000)
-	s.quiet = true
-	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
+	s.hideDatagrams = true
+	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
 	fmt.Println("# the next epoch starts with an empty part")
-	s.txn(1, c, 0, 1)
+	s.arrive(1, c, 0, 1)
 	s.advance(10200)
 	// Output:
 	// # the owner's pool and its part, two thirds of the hard limit, then nothing but their refill
@@ -218,9 +218,9 @@
 
 func Example_ownerRestart() {
 	s := newScenario(settings(0), 5000)
-	s.list(true, control.Endpoint{ID: 1, State: control.Ready})
+	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
 	fmt.Println("# an owner's bucket starts empty and refills at the rate: a txn waits for its unit")
-	s.txn(1, ownedBy(0), 0, 0)
+	s.arrive(1, ownedBy(0), 0, 0)
 	s.advance(5100)
 	s.advance(5120)
 	fmt.Println("# a message of the peer's former epoch is dropped after its new one is known")
@@ -267,11 +267,11 @@
 
 func Example_snapshots() {
 	s := newWarmScenario()
-	s.quiet, s.controller.capacity = false, 5
+	s.hideDatagrams, s.controller.capacity = false, 5
 	c := ownedBy(1)
 	fmt.Println("# new: one txn after the other from the burst share, asking the owner")
 	for id := control.TxnID(1); id < 9; id++ {
-		s.txn(id, c, 0, 0)
+		s.arrive(id, c, 0, 0)
 	}
 	s.advance(10050)
 	fmt.Println("# lost: the delta goes again under its sequence")
@@ -282,15 +282,15 @@
 			Snapshots: []quota.Snapshot{{Customer: c, Level: left, Reporters: 1}}}
 	}
 	s.receive(1, snap(5, 4))
-	s.txn(11, c, 0, 0)
+	s.arrive(11, c, 0, 0)
 	fmt.Println("# an older snapshot that comes late brings nothing back")
 	s.receive(1, snap(4, 20))
-	s.txn(12, c, 0, 0)
-	s.txn(13, c, 0, 0)
+	s.arrive(12, c, 0, 0)
+	s.arrive(13, c, 0, 0)
 	s.advance(10500)
 	fmt.Println("# stale: the burst share alone, and it asks afresh")
 	s.advance(11900)
-	s.txn(14, c, 0, 0)
+	s.arrive(14, c, 0, 0)
 	// Output:
 	// # new: one txn after the other from the burst share, asking the owner
 	// 10000 submit 1 to 2, 446
@@ -370,7 +370,7 @@
 		}
 		s.controller.Now(s.controller.now + 10*time.Millisecond)
 	}
-	fmt.Println("capacity as before:", s.controller.capacity == room, "- backoff of backend 1 grew:", s.controller.backends[1].rejections > 1)
+	fmt.Println("capacity as before:", s.controller.capacity == room, "- backoff of backend 1 grew:", s.controller.backends[1].consecutiveRejections > 1)
 	// Output:
 	// capacity as before: true - backoff of backend 1 grew: true
 }
@@ -381,14 +381,14 @@
 	take := func(id control.TxnID, repeat bool) {
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: control.CustomerID(id), Retry: repeat, Units: 1, SetWidth: 1,
 			Expiry: s.controller.now + time.Second})
-		s.pull()
+		s.printDecisions()
 	}
 	fmt.Println("# capacity for one: the first attempt waits, the retry is rejected at once with advice")
 	take(1, false)
 	take(2, false)
 	take(3, true)
 	s.advance(10100)
-	s.ended(1, control.Succeeded)
+	s.endSubmission(1, control.Succeeded)
 	s.advance(10500)
 	// Output:
 	// # capacity for one: the first attempt waits, the retry is rejected at once with advice
@@ -399,15 +399,15 @@
 
 func Example_beyondQuotaThatPays() {
 	s := newWarmScenario()
-	s.controller.plans[0].overValue, s.controller.plans[0].overCost = 0.3, 0
+	s.controller.plans[0].overQuotaValue, s.controller.plans[0].overQuotaCost = 0.3, 0
 	c := ownedBy(0)
-	s.drain(c, 0)
+	s.drainBucket(c, 0)
 	s.controller.plans[0].Rate = 1
 	fmt.Println("# no units, capacity to spare, nothing charged: goes on, and takes no units")
-	s.txn(1, c, 0, 0)
+	s.arrive(1, c, 0, 0)
 	fmt.Println("# something lacked capacity lately: rejected, with advice when units are due")
 	s.controller.saturatedAt = s.controller.now
-	s.txn(2, c, 0, 0)
+	s.arrive(2, c, 0, 0)
 	// Output:
 	// # no units, capacity to spare, nothing charged: goes on, and takes no units
 	// 10000 submit 1 to 1, 446
@@ -418,14 +418,14 @@
 // The view is good for 150 ms, the wait for a backend is longer: what covered the txn must still do so.
 func Example_reservedWhileWaiting() {
 	s := newScenario(settings(0), 0)
-	s.list(true, control.Endpoint{ID: 1, State: control.Ready})
+	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
 	s.advance(10000)
 	c := ownedBy(1)
 	s.controller.plans[0].Burst = 2 // tight: a view is good for an answer's time only
 	s.controller.capacity = 0.3
-	s.txn(1, ownedBy(0), 0, 0)
-	s.quiet = true
-	s.txn(2, c, 0, 0)
+	s.arrive(1, ownedBy(0), 0, 0)
+	s.hideDatagrams = true
+	s.arrive(2, c, 0, 0)
 	s.receive(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
 	kept := func() float64 {
 		state, _ := s.controller.quota.State(c)
@@ -433,7 +433,7 @@
 	}
 	fmt.Println("reserved:", kept(), "- what others may consume of the snapshot is less by that")
 	s.advance(10170)
-	s.ended(1, control.Succeeded)
+	s.endSubmission(1, control.Succeeded)
 	s.advance(10180)
 	fmt.Println("reserved:", kept())
 	// Output:
@@ -448,13 +448,13 @@
 	s := newWarmScenario()
 	c := ownedBy(0)
 	again := func(id control.TxnID, left time.Duration) {
-		s.drain(c, 5) // of 20: under what a late repeat must leave
+		s.drainBucket(c, 5) // of 20: under what a late repeat must leave
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + left})
-		s.pull()
+		s.printDecisions()
 	}
 	fmt.Println("# no first attempt was seen: it may be late and leaves the low bucket alone")
 	again(1, 1900*time.Millisecond)
-	s.txn(2, ownedBy(0), 0, 0)
+	s.arrive(2, ownedBy(0), 0, 0)
 	fmt.Println("# 100 ms gone: like a first attempt, with that much less time")
 	again(3, 1900*time.Millisecond)
 	fmt.Println("# 600 ms gone, the SLA time is over: rejected at once")
@@ -501,10 +501,10 @@
 	c := ownedBy(0)
 	fmt.Println("# no capacity: of two that wait, what has the highest value for its time goes first")
 	for id, p := range []control.ProductID{0, 0, 2} {
-		s.txn(control.TxnID(id), c, p, 0)
+		s.arrive(control.TxnID(id), c, p, 0)
 	}
 	s.advance(10100)
-	s.ended(0, control.Succeeded)
+	s.endSubmission(0, control.Succeeded)
 	// Output:
 	// # no capacity: of two that wait, what has the highest value for its time goes first
 	// 10000 submit 0 to 1, 446
@@ -514,8 +514,8 @@
 
 func Example_unresponsiveBackendIsTried() {
 	s := newScenario(settings(0), 0)
-	s.quiet = true
-	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
+	s.hideDatagrams = true
+	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
 	s.advance(10000)
 	b := s.controller.backends[1]
 	b.unanswered, b.unansweredSince, b.sentAt = 2, 10*time.Second, 10*time.Second
@@ -538,7 +538,7 @@
 	s := newWarmScenario()
 	take := func(x control.Txn) {
 		s.controller.TxnArrived(x)
-		s.pull()
+		s.printDecisions()
 	}
 	now := s.controller.now
 	fmt.Println("# expiry over, product and plan that the settings don't name, odd sets, no units")
@@ -552,7 +552,7 @@
 	s.controller.ProbeEnded(55, true, 0, nil)
 	s.controller.DatagramReceived(99, nil)
 	s.controller.DatagramReceived(0, []byte("from myself"))
-	s.pull()
+	s.printDecisions()
 	_, err := New(1, control.Settings{}, 0)
 	fmt.Println(err)
 	// Output:
@@ -569,10 +569,10 @@
 	s := newWarmScenario()
 	c := ownedBy(0)
 	fmt.Println("# four units of twenty left: not for a retry, at once, but for a first attempt")
-	s.drain(c, 4)
+	s.drainBucket(c, 4)
 	s.controller.TxnArrived(control.Txn{ID: 1, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
-	s.pull()
-	s.txn(2, c, 0, 0)
+	s.printDecisions()
+	s.arrive(2, c, 0, 0)
 	// Output:
 	// # four units of twenty left: not for a retry, at once, but for a first attempt
 	// 10000 reject 1, 700
@@ -581,21 +581,21 @@
 
 func Example_unresponsiveBackendsAreEjected() {
 	s := newWarmScenario()
-	for _, b := range s.controller.ordered {
+	for _, b := range s.controller.backendsByID {
 		b.unanswered, b.unansweredSince, b.sentAt = 2, s.controller.now, s.controller.now
 	}
 	fmt.Println("# none has answered for a while: all are ejected and probed")
 	s.advance(11700)
 	s.advance(12300)
-	for _, b := range s.controller.ordered {
+	for _, b := range s.controller.backendsByID {
 		s.controller.ProbeEnded(b.ID, true, time.Millisecond, nil)
 	}
 	s.advance(12900)
-	for _, b := range s.controller.ordered {
+	for _, b := range s.controller.backendsByID {
 		s.controller.ProbeEnded(b.ID, true, time.Millisecond, nil)
 	}
 	s.advance(13400)
-	fmt.Println("back:", !s.controller.ordered[0].ejected)
+	fmt.Println("back:", !s.controller.backendsByID[0].ejected)
 	// Output:
 	// # none has answered for a while: all are ejected and probed
 	// 12200 probe 1
@@ -608,8 +608,8 @@
 
 func Example_capacityAndTimeOuts() {
 	s := newWarmScenario()
-	s.txn(1, ownedBy(0), 0, 0)
-	b, before := s.controller.txns[1].current, s.controller.capacity
+	s.arrive(1, ownedBy(0), 0, 0)
+	b, before := s.controller.txns[1].currentBackend, s.controller.capacity
 	s.controller.utilization = 1
 	s.controller.Now(s.controller.now + 200*time.Millisecond)
 	s.controller.Now(s.controller.now + 200*time.Millisecond)
@@ -631,34 +631,34 @@
 
 func Example_wideSets() {
 	s := newScenario(settings(0), 0)
-	s.list(true, control.Endpoint{ID: 1, State: control.Ready})
+	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
 	s.advance(10000)
 	s.controller.capacity = 3
 	c := ownedBy(1)
 	s.controller.plans[0].Burst = 2 // less than a unit for each gateway of the set
 	fmt.Println("# new, but a burst share for each would be too much: the owner is asked, and has two")
-	s.txn(1, c, 0, 0)
+	s.arrive(1, c, 0, 0)
 	s.advance(10030)
 	s.receive(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
 	fmt.Println("# it has none: rejected, with the time until there is one")
-	s.quiet = true
+	s.hideDatagrams = true
 	s.advance(11000)
-	s.quiet = false
-	s.txn(2, c, 0, 0)
+	s.hideDatagrams = false
+	s.arrive(2, c, 0, 0)
 	s.receive(1, &quota.Message{Epoch: 9, Version: 2, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3, Snapshots: []quota.Snapshot{{Customer: c, Reporters: 2}}})
 	s.advance(11150)
 	fmt.Println("# no answer in time: the burst share is there for that")
-	s.quiet = true
+	s.hideDatagrams = true
 	s.advance(13000)
-	s.quiet = false
-	s.txn(3, c, 0, 0)
+	s.hideDatagrams = false
+	s.arrive(3, c, 0, 0)
 	s.advance(13140)
 	fmt.Println("# an owner shows units that it has just shown one asker to no other")
 	c = ownedBy(0)
 	s.controller.plans[0].Burst = 1
-	s.quiet = true
+	s.hideDatagrams = true
 	s.advance(14000)
-	s.quiet = false
+	s.hideDatagrams = false
 	s.controller.sweptAt = time.Minute
 	for g := control.GatewayID(1); g < 3; g++ {
 		s.receive(g, &quota.Message{Epoch: 9, Seq: 1, Deltas: []quota.Delta{{Customer: c, UnitsWanted: 1, SetWidth: 3}}})
@@ -685,8 +685,8 @@
 
 func Example_processPause() {
 	s := newWarmScenario()
-	s.txn(1, ownedBy(0), 0, 0)
-	b := s.controller.txns[1].current
+	s.arrive(1, ownedBy(0), 0, 0)
+	b := s.controller.txns[1].currentBackend
 	b.unanswered = 3
 	s.controller.Now(12 * time.Second) // no turn for two seconds
 	s.controller.SubmissionEnded(1, 0, b.ID, control.TimedOut, true, 272*time.Millisecond, nil)
@@ -694,8 +694,8 @@
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
 	}
 	fmt.Println("# of eight txns that came over two seconds the last two are still in their SLA time")
-	s.pull()
-	fmt.Println("held against the backend:", b.failureShare, "- unresponsive for", s.controller.now-b.unansweredSince)
+	s.printDecisions()
+	fmt.Println("held against the backend:", b.lossShare, "- unresponsive for", s.controller.now-b.unansweredSince)
 	// Output:
 	// 10000 submit 1 to 1, 446
 	// # of eight txns that came over two seconds the last two are still in their SLA time
@@ -746,14 +746,14 @@
 	s := newWarmScenario()
 	mine, other := ownedBy(0), ownedBy(1)
 	for i := 4; i < 500; i++ {
-		s.list(false, control.Endpoint{ID: control.BackendID(i - 1)}, control.Endpoint{ID: control.BackendID(i), State: control.Ready})
+		s.changeEndpoints(false, control.Endpoint{ID: control.BackendID(i - 1)}, control.Endpoint{ID: control.BackendID(i), State: control.Ready})
 	}
-	fmt.Println("backends", len(s.controller.ordered), len(s.controller.backends), len(s.controller.byHash))
+	fmt.Println("backends", len(s.controller.backendsByID), len(s.controller.backends), len(s.controller.backendsByHash))
 	s.controller.plans[0].Rate = 2
-	s.txn(1, mine, 0, 0)
-	s.ended(1, control.Succeeded)
-	s.txn(2, other, 0, 0)
-	s.ended(2, control.Succeeded)
+	s.arrive(1, mine, 0, 0)
+	s.endSubmission(1, control.Succeeded)
+	s.arrive(2, other, 0, 0)
+	s.endSubmission(2, control.Succeeded)
 	for i := 1; i <= 3; i++ { // a peer goes on using what is quiet here
 		s.advance(10000 + 4000*i)
 		s.receive(1, &quota.Message{Epoch: 7, AckEpoch: s.controller.quota.Epoch(), AckHigh: 9, AckMask: 1<<32 - 1, Seq: uint64(i),
@@ -780,7 +780,7 @@
 		s.controller.SubmissionEnded(0, 0, 1, control.Succeeded, true, 0, []float64{held})
 		fmt.Printf("reported %g: load %.1f\n", held, s.controller.loadOf(b))
 	}
-	s.controller.survey()
+	s.controller.refreshBackends()
 	tell(1e5)
 	tell(20)
 	for t := 11000; t <= 14000; t += 1000 {
@@ -800,25 +800,25 @@
 func Example_reportedLoads() {
 	s := newScenario(settings(0), 0)
 	for id := control.BackendID(1); id <= 20; id++ {
-		s.list(false, control.Endpoint{ID: id, State: control.Ready})
+		s.changeEndpoints(false, control.Endpoint{ID: id, State: control.Ready})
 	}
-	s.quiet = true
+	s.hideDatagrams = true
 	s.advance(10000)
 	s.controller.capacity = 50
 	c := ownedBy(0)
 	first := func(id control.TxnID) *backend {
-		s.txn(id, c, 0, 0)
-		return s.controller.txns[id].current
+		s.arrive(id, c, 0, 0)
+		return s.controller.txns[id].currentBackend
 	}
 	b := first(1)
-	s.ended(1, control.Succeeded)
+	s.endSubmission(1, control.Succeeded)
 	for i, held := range []float64{4, 40} {
-		for _, x := range s.controller.ordered {
+		for _, x := range s.controller.backendsByID {
 			x.inFlightElsewhere, x.loadReportedAt = 1, s.controller.now
 		}
 		b.inFlightElsewhere = held
 		fmt.Printf("it holds %.0f, the others 1: first again: %v\n", held, first(control.TxnID(i+2)) == b)
-		s.ended(control.TxnID(i+2), control.Succeeded)
+		s.endSubmission(control.TxnID(i+2), control.Succeeded)
 	}
 	// Output:
 	// 10000 submit 1 to 14, 446
--- a/control/loadbalancer/ejection.go
+++ b/control/loadbalancer/ejection.go
@@ -8,15 +8,15 @@
 
 // examineBackends ejects and readmits backends, and sends a probe where one is due.
 func (c *Controller) examineBackends() {
-	c.survey()
+	c.refreshBackends()
 	ejected := 0
-	for _, b := range c.available {
+	for _, b := range c.readyBackends {
 		if b.ejected {
 			ejected++
 		}
 	}
 	var next *backend // to be probed
-	for _, b := range c.available {
+	for _, b := range c.readyBackends {
 		switch {
 		case b.ejected:
 			if c.readmit(b) {
@@ -26,7 +26,7 @@
 			c.eject(b)
 			ejected++
 		}
-		if c.mayProbe(b) && (next == nil || probeFirst(b, next)) {
+		if c.mayProbe(b) && (next == nil || probeBefore(b, next)) {
 			next = b
 		}
 	}
@@ -42,10 +42,10 @@
 	if b.unanswered >= 2 && c.now-b.unansweredSince > unresponsiveEjectionTime {
 		return true
 	}
-	if float64(ejected+1) > maxEjectedShare*float64(len(c.available)) {
+	if float64(ejected+1) > maxEjectedShare*float64(len(c.readyBackends)) {
 		return false
 	}
-	failing := b.failureSamples >= 2 && b.failureShare > failureThreshold && b.failureShare > failureOutlierFactor*c.lostShare
+	failing := b.lossSamples >= 2 && b.lossShare > failureThreshold && b.lossShare > failureOutlierFactor*c.fleetLossShare
 	return failing || b.slowdown > slowEjectionRatio*c.medianSlowdown
 }
 
@@ -59,21 +59,21 @@
 // readmit ends an ejection after successful probes or, where there are none, after its time. The backend comes back with a slow start.
 func (c *Controller) readmit(b *backend) bool {
 	if !c.probesAllowed && c.now < b.nextProbeAt ||
-		c.probesAllowed && (b.passedProbes < probesToReturn || c.now < b.nextProbeAt-b.backoff+minEjectionTime) {
+		c.probesAllowed && (b.passedProbes < probesToReadmit || c.now < b.nextProbeAt-b.backoff+minEjectionTime) {
 		return false
 	}
-	b.ejected, b.slowStartFrom = false, c.now
-	b.slowdown, b.failureShare, b.failureSamples, b.unanswered = 1, 0, 0, 0
+	b.ejected, b.slowStartedAt = false, c.now
+	b.slowdown, b.lossShare, b.lossSamples, b.unanswered = 1, 0, 0, 0
 	return true
 }
 
 // mayProbe tells whether a backend may be probed now: an ejected one, or any where load reports come with probes.
 func (c *Controller) mayProbe(b *backend) bool {
-	return (c.loadByProbe || b.ejected && c.probesAllowed) && !b.probing && c.now >= b.nextProbeAt
+	return (c.loadReportsByProbe || b.ejected && c.probesAllowed) && !b.probing && c.now >= b.nextProbeAt
 }
 
-// probeFirst tells whether b is to be probed before another: ejected ones first, then by when the probe was due.
-func probeFirst(b, other *backend) bool {
+// probeBefore tells whether b is to be probed before another: ejected ones first, then by when the probe was due.
+func probeBefore(b, other *backend) bool {
 	if b.ejected != other.ejected {
 		return b.ejected
 	}
@@ -82,11 +82,11 @@
 
 // sendProbe probes a backend, if there is one, at the cost of a probe credit. Txns earn most of these: so many front doors probe no more than few.
 func (c *Controller) sendProbe(b *backend) {
-	c.probeCredit = min(maxProbeCredit, c.probeCredit+idleProbeCredit)
-	if b == nil || c.probeCredit < 1 {
+	c.probeBudget = min(maxProbeBudget, c.probeBudget+idleProbeBudget)
+	if b == nil || c.probeBudget < 1 {
 		return
 	}
-	c.probeCredit--
+	c.probeBudget--
 	b.probing, b.nextProbeAt = true, c.now+minEjectionTime
 	c.decisions = append(c.decisions, control.Decision{Action: control.Probe, Backend: b.ID})
 }
@@ -98,10 +98,10 @@
 		return
 	}
 	b.probing = false
-	c.readLoad(b, load)
+	c.applyLoadReport(b, load)
 	if !passed {
 		b.passedProbes = 0
-		b.failureShare += smoothing * (1 - b.failureShare)
+		b.lossShare += smoothing * (1 - b.lossShare)
 		return
 	}
 	b.passedProbes++
--- a/control/loadbalancer/outcome.go
+++ b/control/loadbalancer/outcome.go
@@ -14,7 +14,7 @@
 		if b.inFlight > 1 {
 			b.unanswered, b.unansweredSince = b.inFlight-1, c.now
 		}
-		c.readLoad(b, load)
+		c.applyLoadReport(b, load)
 	}
 	if t == nil || t.sentAt < c.pausedUntil && (e == control.Succeeded || e == control.TimedOut) {
 		return // how long it took is this process's own doing
@@ -34,7 +34,7 @@
 		c.recordRejection(b)
 		return
 	case control.Succeeded:
-		b.rejections = 0
+		b.consecutiveRejections = 0
 		o.Ratio = c.recordLatency(t, took)
 		c.countCompletion(b)
 	case control.Canceled, control.NotSent:
@@ -49,14 +49,14 @@
 // recordRejection leaves a backend that rejected a submission alone, twice as long each time in a row. It says nothing of the others: were it
 // to take capacity from all, one that always rejects would starve the fleet.
 func (c *Controller) recordRejection(b *backend) {
-	b.rejectingUntil = c.now + rejectionBackoff<<min(b.rejections, maxRejectionDoublings)
-	b.rejections++
+	b.rejectionBackoffUntil = c.now + rejectionBackoff<<min(b.consecutiveRejections, maxRejectionDoublings)
+	b.consecutiveRejections++
 }
 
 // recordLatency learns the usual answer time from an answer, and gives the answer's ratio to it.
 func (c *Controller) recordLatency(t *txn, took time.Duration) float64 {
 	kind := c.workKind(t)
-	usual, ok := c.latency[kind]
+	usual, ok := c.usualLatencies[kind]
 	if !ok {
 		usual = took.Seconds()
 	}
@@ -64,7 +64,7 @@
 	if step > 0 && c.underPressure() {
 		step = 0 // under pressure answers wait in queues, which is no part of the usual time
 	}
-	c.latency[kind] = usual + step
+	c.usualLatencies[kind] = usual + step
 	return min(took.Seconds()/max(usual, minLatencySeconds), maxLatencyRatio)
 }
 
@@ -90,9 +90,9 @@
 
 // recordLoss counts a submission as lost (1) or not (0).
 func (c *Controller) recordLoss(b *backend, lost float64) {
-	b.failureSamples = b.failureSamples*(1-smoothing) + 1
-	b.failureShare += max(smoothing, 1/b.failureSamples) * (lost - b.failureShare)
-	c.lostShare += fleetSmoothing * (lost - c.lostShare)
+	b.lossSamples = b.lossSamples*(1-smoothing) + 1
+	b.lossShare += max(smoothing, 1/b.lossSamples) * (lost - b.lossShare)
+	c.fleetLossShare += fleetSmoothing * (lost - c.fleetLossShare)
 }
 
 // recordProductResult learns whether a backend fails one product (failed is 1 or 0). A backend that does is excluded for that product alone, twice
@@ -110,21 +110,21 @@
 		}
 	case f.share > failureThreshold && f.samples >= 2 && f.share > failureOutlierFactor*fleet.share:
 		f.backoff = min(max(minEjectionTime, 2*f.backoff), maxEjectionTime)
-		f.excludedUntil, f.share = c.now+f.backoff, retryFailureShare*failureThreshold
+		f.excludedUntil, f.share = c.now+f.backoff, postExclusionShare*failureThreshold
 	case f.share < failureThreshold/4:
 		f.backoff = 0
 	}
 }
 
-// lastObservations gives how the last submissions went, and how many there were in all.
-func (c *Controller) lastObservations() ([]quota.Observation, int) {
+// recentObservations gives how the last submissions went, and how many there were in all.
+func (c *Controller) recentObservations() ([]quota.Observation, int) {
 	return c.observations, c.observationCount
 }
 
-// takeObservations takes those of a peer. Backends that the own list does not name are unknown.
-func (c *Controller) takeObservations(observations []quota.Observation) {
+// applyPeerObservations takes those of a peer. Backends that the own list does not name are unknown.
+func (c *Controller) applyPeerObservations(observations []quota.Observation) {
 	for _, o := range observations {
-		if b := c.byHash[o.BackendHash]; b != nil && int(o.Product) < len(c.products) {
+		if b := c.backendsByHash[o.BackendHash]; b != nil && int(o.Product) < len(c.products) {
 			c.applyObservation(b, o)
 			c.adjustCapacity(o.Congestion)
 		}
--- a/control/loadbalancer/recorded_test.go
+++ b/control/loadbalancer/recorded_test.go
@@ -25,9 +25,9 @@
 
 func newDecisionRecorder() *decisionRecorder { return &decisionRecorder{Hash64: fnv.New64a()} }
 
-func (d *decisionRecorder) add(figures ...int64) {
+func (d *decisionRecorder) add(numbers ...int64) {
 	d.count++
-	for _, v := range figures {
+	for _, v := range numbers {
 		d.Write(binary.LittleEndian.AppendUint64(nil, uint64(v)))
 	}
 }
@@ -49,8 +49,8 @@
 	return s
 }
 
-// playFrontDoors plays three front doors before eight backends of which some are slow, failing, dead or new, and gives the digest of their decisions.
-func playFrontDoors(seed int64, load float64, change func(control.Settings)) string {
+// simulateFrontDoors plays three front doors before eight backends of which some are slow, failing, dead or new, and gives the digest of their decisions.
+func simulateFrontDoors(seed int64, load float64, change func(control.Settings)) string {
 	type event struct {
 		at       time.Duration
 		instance int
@@ -195,6 +195,6 @@
 		}, 3, "62102 3f46f75209db254e"},
 		{"load by probes", 0.5, func(s control.Settings) { s["report.how"], s["report.fields"] = "probe", "queue,per_s,service_ms" }, 4, "63570 369a32c64359b1ca"},
 	} {
-		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, playFrontDoors(tc.seed, tc.load, tc.change)) })
+		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, simulateFrontDoors(tc.seed, tc.load, tc.change)) })
 	}
 }
--- a/control/loadbalancer/scenario_test.go
+++ b/control/loadbalancer/scenario_test.go
@@ -10,9 +10,9 @@
 
 // scenario drives one controller and prints its decisions. Times are in milliseconds.
 type scenario struct {
-	controller *Controller
-	datagrams  []*quota.Message
-	quiet      bool // datagrams are not printed
+	controller    *Controller
+	datagrams     []*quota.Message
+	hideDatagrams bool // datagrams are not printed
 }
 
 // settings have these products: 0 inquiry-like, 1 referenced in its pod, 2 once-only, 3 referenced everywhere.
@@ -52,8 +52,8 @@
 // newWarmScenario is at 10 s and has three warm backends: 1 and 2 in pod 0, 3 in pod 1.
 func newWarmScenario() *scenario {
 	s := newScenario(settings(0), 0)
-	s.list(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready}, control.Endpoint{ID: 3, Pod: 1, State: control.Ready})
-	s.quiet, s.controller.capacity = true, 3
+	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready}, control.Endpoint{ID: 3, Pod: 1, State: control.Ready})
+	s.hideDatagrams, s.controller.capacity = true, 3
 	s.advance(10000)
 	return s
 }
@@ -63,24 +63,26 @@
 func (s *scenario) advance(t int) {
 	for to := time.Millisecond * time.Duration(t); s.controller.now < to; {
 		s.controller.Now(min(to, s.controller.now+50*time.Millisecond))
-		s.pull()
+		s.printDecisions()
 	}
 }
 
-func (s *scenario) list(whole bool, l ...control.Endpoint) { s.controller.EndpointsChanged(whole, l) }
+func (s *scenario) changeEndpoints(complete bool, l ...control.Endpoint) {
+	s.controller.EndpointsChanged(complete, l)
+}
 
 // txn takes a txn of one unit in, from the customer, with two seconds until its expiry.
-func (s *scenario) txn(id control.TxnID, c control.CustomerID, p control.ProductID, pl control.PlanID) {
+func (s *scenario) arrive(id control.TxnID, c control.CustomerID, p control.ProductID, pl control.PlanID) {
 	s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Product: p, Plan: pl, Units: 1, SetWidth: 3,
 		Expiry: s.controller.now + 2*time.Second})
-	s.pull()
+	s.printDecisions()
 }
 
 // ended ends the present submission of a txn.
-func (s *scenario) ended(id control.TxnID, e control.Ending) {
+func (s *scenario) endSubmission(id control.TxnID, e control.Ending) {
 	t := s.controller.txns[id]
-	s.controller.SubmissionEnded(id, t.submissions-1, t.current.ID, e, e == control.Succeeded, s.controller.now-t.sentAt, nil)
-	s.pull()
+	s.controller.SubmissionEnded(id, t.submissions-1, t.currentBackend.ID, e, e == control.Succeeded, s.controller.now-t.sentAt, nil)
+	s.printDecisions()
 }
 
 // ownedBy finds a customer of the whole set that the gateway owns.
@@ -93,7 +95,7 @@
 }
 
 // drain leaves so many units in a bucket of plan 0 that is owned here and holds as many or more.
-func (s *scenario) drain(c control.CustomerID, left float64) {
+func (s *scenario) drainBucket(c control.CustomerID, left float64) {
 	s.controller.quota.Account(c, 0, 0, 3)
 	state, _ := s.controller.quota.State(c)
 	s.controller.quota.Consume(c, state.Level-left)
@@ -102,10 +104,10 @@
 // receive delivers a message from a peer.
 func (s *scenario) receive(from control.GatewayID, m *quota.Message) {
 	s.controller.DatagramReceived(from, m.Encode())
-	s.pull()
+	s.printDecisions()
 }
 
-func (s *scenario) pull() {
+func (s *scenario) printDecisions() {
 	for {
 		x, ok := s.controller.Next()
 		if !ok {
@@ -138,7 +140,7 @@
 			return t + err.Error() + "\n"
 		}
 		s.datagrams = append(s.datagrams, m)
-		if s.quiet {
+		if s.hideDatagrams {
 			return ""
 		}
 		text := fmt.Sprintf("%sdatagram to %d:", t, x.Peer)
--- a/control/loadbalancer/settings.go
+++ b/control/loadbalancer/settings.go
@@ -43,9 +43,9 @@
 // plan is the terms of a customer.
 type plan struct {
 	quota.Limit
-	price     float64
-	overValue float64 // of an answer beyond the quota
-	overCost  float64 // what the customer is charged for it
+	price          float64
+	overQuotaValue float64 // of an answer beyond the quota
+	overQuotaCost  float64 // what the customer is charged for it
 }
 
 // SettingError says what is wrong with a setting.
@@ -84,9 +84,9 @@
 	return v
 }
 
-func (s *settingsReader) count(name string, most int) int {
+func (s *settingsReader) count(name string, maxValue int) int {
 	v, err := strconv.Atoi(s.text(name))
-	if err != nil || v < 0 || v > most {
+	if err != nil || v < 0 || v > maxValue {
 		s.fail(name, "not a whole number in range")
 		return 0
 	}
@@ -135,9 +135,9 @@
 				HardRate:    s.number(at + "ceiling_rate"),
 				HardBurst:   s.number(at + "ceiling_burst"),
 			},
-			price:     s.number(at + "price"),
-			overValue: s.number(at + "over_value"),
-			overCost:  s.number(at + "over_cost"),
+			price:          s.number(at + "price"),
+			overQuotaValue: s.number(at + "over_value"),
+			overQuotaCost:  s.number(at + "over_cost"),
 		})
 	}
 	return all
--- a/control/loadbalancer/tuning.go
+++ b/control/loadbalancer/tuning.go
@@ -6,27 +6,27 @@
 
 // Periodic work.
 const (
-	// busyInterval between two sweeps while something waits, surveyInterval while nothing does.
-	busyInterval   = 20 * time.Millisecond
-	surveyInterval = 100 * time.Millisecond
+	// busySweepInterval between two sweeps while something waits, refreshInterval while nothing does.
+	busySweepInterval = 20 * time.Millisecond
+	refreshInterval   = 100 * time.Millisecond
 	// stallThreshold without a call of Now means that this process stood still.
 	stallThreshold = 250 * time.Millisecond
-	// minWake is the least time from a decision to a wake-up.
-	minWake = time.Millisecond
+	// minWakeDelay is the least time from a decision to a wake-up.
+	minWakeDelay = time.Millisecond
 	// logInterval between two summaries for the log.
 	logInterval = 5 * time.Second
 )
 
 // The quota.
 const (
-	// minInterval between two datagrams to one peer.
-	minInterval = 10 * time.Millisecond
+	// minDatagramInterval between two datagrams to one peer.
+	minDatagramInterval = 10 * time.Millisecond
 	// snapshotTTL is how long an owner's snapshot may be used.
 	snapshotTTL = 1000 * time.Millisecond
-	// Beyond its quota a txn may pass, if its plan pays for it, while less than maxSpareUtilization of the capacity is in use and none
-	// was lacking for spareCalmTime.
-	maxSpareUtilization = 0.4
-	spareCalmTime       = 3 * time.Second
+	// Beyond its quota a txn may pass, if its plan pays for it, while less than maxOverQuotaUtilization of the capacity is in use and none
+	// was lacking for overQuotaCooldown.
+	maxOverQuotaUtilization = 0.4
+	overQuotaCooldown       = 3 * time.Second
 )
 
 // Times of a txn.
@@ -39,15 +39,15 @@
 	networkMargin = 40 * time.Millisecond
 	// responseTimeout is how long an answer that has begun may take to be complete.
 	responseTimeout = 100 * time.Millisecond
-	// backendTimeoutShare of the SLA time is the longest wait for a backend.
-	backendTimeoutShare = 0.35
+	// backendQueueTimeShare of the SLA time is the longest wait for a backend.
+	backendQueueTimeShare = 0.35
 	// firstAttemptShare of the time that is left is given to a first submission, so that a retry has time, but only if that is more
 	// than firstAttemptFactor times the usual answer time.
 	firstAttemptShare  = 0.9
 	firstAttemptFactor = 4
-	// retryCreditPerTxn retries are earned by a txn, and maxRetryCredit saved up at the most.
-	retryCreditPerTxn = 0.2
-	maxRetryCredit    = 30.0
+	// retryBudgetPerTxn retries are earned by a txn, and maxRetryBudget saved up at the most.
+	retryBudgetPerTxn = 0.2
+	maxRetryBudget    = 30.0
 )
 
 // What is learned of answer times and failures.
@@ -86,8 +86,8 @@
 	failureOutlierFactor = 2.0
 	// maxFailureSamples is the number of answers that a product's failing share is made of.
 	maxFailureSamples = 5.0
-	// retryFailureShare of failureThreshold is what such a share begins with after an exclusion: one more failure excludes it again.
-	retryFailureShare = 0.95
+	// postExclusionShare of failureThreshold is what such a share begins with after an exclusion: one more failure excludes it again.
+	postExclusionShare = 0.95
 	// slowEjectionRatio times the median slowdown ejects a backend.
 	slowEjectionRatio = 4.0
 	// maxEjectedShare of the backends may be ejected for failing or for slowness.
@@ -104,14 +104,14 @@
 	minUnresponsiveTime      = 200 * time.Millisecond
 	unresponsiveEjectionTime = 1600 * time.Millisecond
 	trialInterval            = 700 * time.Millisecond
-	// probesToReturn successful probes in a row end an ejection.
-	probesToReturn = 2
-	// probeCreditPerTxn and idleProbeCredit probes are earned by a txn and by each examination of the backends, maxProbeCredit saved up.
-	probeCreditPerTxn = 0.2
-	idleProbeCredit   = 0.05
-	maxProbeCredit    = 10.0
-	// slowStart is how long a backend's share grows after an ejection, from minSlowStartShare.
-	slowStart         = 4 * time.Second
+	// probesToReadmit successful probes in a row end an ejection.
+	probesToReadmit = 2
+	// probeBudgetPerTxn and idleProbeBudget probes are earned by a txn and by each examination of the backends, maxProbeBudget saved up.
+	probeBudgetPerTxn = 0.2
+	idleProbeBudget   = 0.05
+	maxProbeBudget    = 10.0
+	// slowStartTime is how long a backend's share grows after an ejection, from minSlowStartShare.
+	slowStartTime     = 4 * time.Second
 	minSlowStartShare = 0.2
 	// warmUpBudgetShare of the submissions that would push over a backend that is warming up are sent by all front doors together.
 	warmUpBudgetShare = 0.5
@@ -142,14 +142,14 @@
 
 // Choice of a backend.
 const (
-	// maxBackendFactor times its capacity is in flight at one backend.
-	maxBackendFactor = 1.5
+	// maxInFlightFactor times its capacity is in flight at one backend.
+	maxInFlightFactor = 1.5
 	// burstAllowance times the square root of the whole capacity is in flight beyond it: txns come unevenly, the more so the fewer.
 	burstAllowance = 1.0
 	// maxLoadFactor times the mean load, and one more, is enough for a backend. It is large because load reports are late.
 	maxLoadFactor = 8.0
 	// minLoadSlowdown bounds by how much a fast backend's load counts as less.
 	minLoadSlowdown = 0.5
-	// cappedSlowRatio times the median slowdown: no place for a txn whose plan bounds submissions in flight.
-	cappedSlowRatio = 1.3
+	// maxSlowdownForLimitedPlans times the median slowdown: no place for a txn whose plan bounds submissions in flight.
+	maxSlowdownForLimitedPlans = 1.3
 )
--- a/control/loadbalancer/txn.go
+++ b/control/loadbalancer/txn.go
@@ -10,10 +10,10 @@
 // txn is a txn that this front door holds, until it is answered and its last submission has ended.
 type txn struct {
 	control.Txn
-	arrived time.Duration
-	slaAt   time.Duration // end of the SLA time
-	late    bool          // a client's retry whose SLA time is over, or may be
-	ended   bool          // answered, or its client is gone
+	arrived     time.Duration
+	slaDeadline time.Duration // end of the SLA time
+	lateRetry   bool          // a client's retry whose SLA time is over, or may be
+	ended       bool          // answered, or its client is gone
 
 	// Waiting.
 	queued   bool // in Controller.waiting
@@ -26,10 +26,10 @@
 	overQuota bool // let in beyond the quota
 
 	// Submissions.
-	submissions int
-	current     *backend // where one is in flight
-	previous    *backend // where the last one was
-	sentAt      time.Duration
+	submissions     int
+	currentBackend  *backend // where one is in flight
+	previousBackend *backend // where the last one was
+	sentAt          time.Duration
 
 	// What is known of its running.
 	mayHaveRun bool
@@ -38,8 +38,8 @@
 	ranPod     control.PodID
 }
 
-// awaitsQuota tells whether the quota still has to let it pass.
-func (t *txn) awaitsQuota() bool { return !t.consumed && !t.overQuota && !t.reserved }
+// needsQuota tells whether the quota still has to let it pass.
+func (t *txn) needsQuota() bool { return !t.consumed && !t.overQuota && !t.reserved }
 
 // TxnArrived takes a client's txn.
 func (c *Controller) TxnArrived(x control.Txn) {
@@ -49,7 +49,7 @@
 	x.Units = max(x.Units, 0)
 	t := &txn{Txn: x, arrived: c.now}
 	if x.Product < 0 || int(x.Product) >= len(c.products) || x.Plan < 0 || int(x.Plan) >= len(c.plans) {
-		t.Product, t.Plan, t.slaAt = 0, 0, c.now // the settings don't name it: rejected for want of time
+		t.Product, t.Plan, t.slaDeadline = 0, 0, c.now // the settings don't name it: rejected for want of time
 	} else {
 		c.setDeadlines(t)
 	}
@@ -64,16 +64,16 @@
 func (c *Controller) setDeadlines(t *txn) {
 	p := &c.products[t.Product]
 	left := t.Expiry - c.now
-	t.slaAt = min(c.now+p.slaTime, t.Expiry)
+	t.slaDeadline = min(c.now+p.slaTime, t.Expiry)
 	if !t.Retry {
 		p.attemptTimeout = min(max(p.attemptTimeout, left), p.clientTimeout)
 		return
 	}
 	elapsed := p.clientTimeout - left
 	unknown := p.attemptTimeout <= 0 || left >= p.attemptTimeout-networkMargin && elapsed > networkMargin
-	t.late = unknown || elapsed >= p.slaTime && p.lateValue > 0
-	if !t.late && elapsed > 0 {
-		t.slaAt = min(t.slaAt, c.now+p.slaTime-elapsed)
+	t.lateRetry = unknown || elapsed >= p.slaTime && p.lateValue > 0
+	if !t.lateRetry && elapsed > 0 {
+		t.slaDeadline = min(t.slaDeadline, c.now+p.slaTime-elapsed)
 	}
 }
 
@@ -84,7 +84,7 @@
 	for i, t := range c.undecided {
 		if t.arrived == c.now && t.submissions == 0 {
 			waited := time.Duration(float64(c.pausedUntil-c.pausedFrom) * (float64(n-i) - 0.5) / float64(n))
-			t.slaAt = min(t.slaAt, c.now-waited+c.products[t.Product].slaTime)
+			t.slaDeadline = min(t.slaDeadline, c.now-waited+c.products[t.Product].slaTime)
 		}
 	}
 	c.pausedFrom = c.pausedUntil
@@ -92,12 +92,12 @@
 
 // decide decides about a txn that has no submission in flight: it is sent, waits, or is answered.
 func (c *Controller) decide(t *txn) {
-	if t.ended || t.current != nil || t.queued {
+	if t.ended || t.currentBackend != nil || t.queued {
 		return
 	}
-	if !c.hasTime(t) {
+	if !c.canSubmitInTime(t) {
 		t.reason = control.ReasonNoTime
-		c.finish(t, c.maxAdvice)
+		c.finish(t, c.maxRetryAfter)
 		return
 	}
 	if t.submissions > 0 && t.mayHaveRun && !c.repeatable(t) {
@@ -105,7 +105,7 @@
 		return
 	}
 	a := c.quota.Account(t.Customer, t.Plan, t.SetFirst, t.SetWidth)
-	if t.awaitsQuota() && !c.passQuota(t, a) {
+	if t.needsQuota() && !c.checkQuota(t, a) {
 		return
 	}
 	t.reason = control.ReasonNoBackend
@@ -114,8 +114,8 @@
 		b = c.pick(t)
 	}
 	switch {
-	case t.late && t.submissions == 0 && (b == nil || c.underPressure()):
-		c.finish(t, c.maxAdvice) // what capacity there is belongs to first attempts
+	case t.lateRetry && t.submissions == 0 && (b == nil || c.underPressure()):
+		c.finish(t, c.maxRetryAfter) // what capacity there is belongs to first attempts
 	case b == nil:
 		c.awaitBackend(t, a)
 	default:
@@ -123,17 +123,17 @@
 	}
 }
 
-// hasTime tells whether an answer may still come in time, and whether a txn that was sent before may be sent again.
-func (c *Controller) hasTime(t *txn) bool {
-	if t.submissions > 0 && (t.submissions >= c.maxSubmissions || c.retryCredit < 1 || c.underPressure() && t.mayHaveRun) {
+// canSubmitInTime tells whether an answer may still come in time, and whether a txn that was sent before may be sent again.
+func (c *Controller) canSubmitInTime(t *txn) bool {
+	if t.submissions > 0 && (t.submissions >= c.maxSubmissions || c.retryBudget < 1 || c.underPressure() && t.mayHaveRun) {
 		return false
 	}
-	return c.now+min(c.usualLatency(t), c.products[t.Product].slaTime/4)/2 < t.slaAt
+	return c.now+min(c.usualLatency(t), c.products[t.Product].slaTime/4)/2 < t.slaDeadline
 }
 
-// passQuota asks the quota for a txn's units. A txn that may not go on is queued or answered.
-func (c *Controller) passQuota(t *txn, a *quota.Account) bool {
-	request := quota.Request{Units: t.Units, Arrived: t.arrived, SLA: c.products[t.Product].slaTime, Late: t.late}
+// checkQuota asks the quota for a txn's units. A txn that may not go on is queued or answered.
+func (c *Controller) checkQuota(t *txn, a *quota.Account) bool {
+	request := quota.Request{Units: t.Units, Arrived: t.arrived, SLA: c.products[t.Product].slaTime, Late: t.lateRetry}
 	outcome, at, reason := c.quota.CheckAccount(a, request)
 	t.reason = reason
 	switch outcome {
@@ -141,7 +141,7 @@
 		c.enqueue(t, at)
 		return false
 	case quota.Exceeded:
-		if !c.mayUseSpare(a, t) {
+		if !c.mayExceedQuota(a, t) {
 			c.finish(t, at)
 			return false
 		}
@@ -153,11 +153,11 @@
 // awaitBackend lets a txn wait for a backend. Its units are reserved: a snapshot that grows old while it waits would not cover it any more.
 func (c *Controller) awaitBackend(t *txn, a *quota.Account) {
 	c.saturatedAt = c.now
-	if t.awaitsQuota() {
+	if t.needsQuota() {
 		t.reserved = true
 		c.quota.ReserveAccount(a, t.Units)
 	}
-	c.enqueue(t, t.arrived+time.Duration(backendTimeoutShare*float64(c.products[t.Product].slaTime)))
+	c.enqueue(t, t.arrived+time.Duration(backendQueueTimeShare*float64(c.products[t.Product].slaTime)))
 }
 
 // valueRate is a txn's value over the time that it takes. Plans count alike: none is passed over for its price.
@@ -165,12 +165,12 @@
 	return c.products[t.Product].value * max(t.Units, 1) / max(c.usualLatency(t).Seconds(), 0.001)
 }
 
-// mayUseSpare tells whether a txn beyond its quota may pass all the same: an exception for plans that gain by it and are not charged, only while the
+// mayExceedQuota tells whether a txn beyond its quota may pass all the same: an exception for plans that gain by it and are not charged, only while the
 // backends clearly have capacity and nothing within a quota lacked any lately.
-func (c *Controller) mayUseSpare(a *quota.Account, t *txn) bool {
+func (c *Controller) mayExceedQuota(a *quota.Account, t *txn) bool {
 	p := &c.plans[a.Plan()]
-	return p.overValue > 0 && p.overCost <= 0 && p.MaxInFlight == 0 && p.HardRate <= 0 && !t.late &&
-		c.utilization < maxSpareUtilization && c.now-c.saturatedAt > spareCalmTime
+	return p.overQuotaValue > 0 && p.overQuotaCost <= 0 && p.MaxInFlight == 0 && p.HardRate <= 0 && !t.lateRetry &&
+		c.utilization < maxOverQuotaUtilization && c.now-c.saturatedAt > overQuotaCooldown
 }
 
 // enqueue lets a txn wait until a time at which it is given up.
@@ -196,7 +196,7 @@
 		c.undecided = append(c.undecided, t)
 		return
 	}
-	if !expired && (t.current != nil || !t.queued || c.now < t.giveUpAt) {
+	if !expired && (t.currentBackend != nil || !t.queued || c.now < t.giveUpAt) {
 		return
 	}
 	c.finish(t, 0)
@@ -204,26 +204,26 @@
 
 // finish is the one place where a txn gets its final answer, at once (rules 1 and 2). A rejection promises that a retry is safe: only if nothing may
 // have run, or where the product bears it everywhere.
-func (c *Controller) finish(t *txn, advice time.Duration) {
+func (c *Controller) finish(t *txn, retryAfter time.Duration) {
 	if t.ended {
 		return
 	}
 	t.ended = true
-	c.givenUp[t.reason]++
+	c.giveUpCounts[t.reason]++
 	p := c.products[t.Product]
 	retryable := p.effect == inquiryLike || p.effect == referenced && p.repeatScope == scopeAll
 	d := control.Decision{Action: control.Fail, Txn: t.ID, Reason: t.reason}
-	if retryable || !t.mayHaveRun && t.current == nil {
+	if retryable || !t.mayHaveRun && t.currentBackend == nil {
 		d.Action = control.Reject
-		if c.adviceAllowed {
-			d.After = max(0, min(advice, c.maxAdvice))
+		if c.retryAfterAllowed {
+			d.After = max(0, min(retryAfter, c.maxRetryAfter))
 		}
 	}
 	c.decisions = append(c.decisions, d)
-	if t.current != nil && c.cancelAllowed {
+	if t.currentBackend != nil && c.cancelAllowed {
 		c.decisions = append(c.decisions, control.Decision{Action: control.Cancel, Txn: t.ID, Attempt: t.submissions - 1})
 	}
-	if t.current == nil { // otherwise the submission's outcome is still to come
+	if t.currentBackend == nil { // otherwise the submission's outcome is still to come
 		c.forget(t)
 	}
 }
@@ -241,44 +241,44 @@
 
 // submit sends a txn to a backend. It is the one place that does, and asks for every rule again.
 func (c *Controller) submit(t *txn, a *quota.Account, b *backend) {
-	if t.ended || t.current != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-expiryMargin || !c.allowed(b, t) {
+	if t.ended || t.currentBackend != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-expiryMargin || !c.allowedByRules(b, t) {
 		c.finish(t, 0)
 		return
 	}
 	if t.submissions == 0 {
-		c.payFirst(t, a)
+		c.chargeFirstSubmission(t, a)
 	} else {
-		c.retryCredit--
+		c.retryBudget--
 	}
 	c.countSubmission(t, b)
 	c.quota.SubmissionSent(a)
 	t.submissions++
-	t.current, t.previous, t.sentAt = b, b, c.now
+	t.currentBackend, t.previousBackend, t.sentAt = b, b, c.now
 	c.decisions = append(c.decisions, control.Decision{
 		Action: control.Submit, Txn: t.ID, Backend: b.ID, After: c.submissionTimeout(t), ResponseTimeout: responseTimeout,
 	})
 }
 
-// payFirst takes a txn's units with its first submission, which earns retries and probes.
-func (c *Controller) payFirst(t *txn, a *quota.Account) {
-	c.release(t)
+// chargeFirstSubmission takes a txn's units with its first submission, which earns retries and probes.
+func (c *Controller) chargeFirstSubmission(t *txn, a *quota.Account) {
+	c.releaseReservation(t)
 	if !t.overQuota {
 		t.consumed = true
 		c.quota.ConsumeAccount(a, t.Units)
 	}
-	c.retryCredit = min(maxRetryCredit, c.retryCredit+retryCreditPerTxn)
-	c.probeCredit = min(maxProbeCredit, c.probeCredit+probeCreditPerTxn)
+	c.retryBudget = min(maxRetryBudget, c.retryBudget+retryBudgetPerTxn)
+	c.probeBudget = min(maxProbeBudget, c.probeBudget+probeBudgetPerTxn)
 }
 
 // countSubmission notes a submission at its backend.
 func (c *Controller) countSubmission(t *txn, b *backend) {
-	if b.warmth < 1 {
+	if b.warmUpShare < 1 {
 		b.warmUpTokens -= c.workWeight(t) // may go below 0: a large txn is paid off before the next
 	}
-	if c.meanWork <= 0 {
-		c.meanWork = c.usualLatency(t).Seconds()
+	if c.meanUsualLatency <= 0 {
+		c.meanUsualLatency = c.usualLatency(t).Seconds()
 	}
-	c.meanWork += fleetSmoothing * (c.usualLatency(t).Seconds() - c.meanWork)
+	c.meanUsualLatency += fleetSmoothing * (c.usualLatency(t).Seconds() - c.meanUsualLatency)
 	b.sentAt = c.now
 	if b.unanswered == 0 {
 		b.unansweredSince = c.now
@@ -293,7 +293,7 @@
 	if c.products[t.Product].effect == onceOnly {
 		return 0
 	}
-	timeout := t.slaAt - c.now - slaMargin
+	timeout := t.slaDeadline - c.now - slaMargin
 	first := time.Duration(firstAttemptShare * float64(timeout))
 	if t.submissions == 1 && !c.underPressure() && firstAttemptFactor*c.usualLatency(t) < first {
 		return first
@@ -308,11 +308,11 @@
 	if b != nil {
 		c.recordOutcome(t, b, e, took, load)
 	}
-	if t == nil || attempt != t.submissions-1 || t.current == nil {
+	if t == nil || attempt != t.submissions-1 || t.currentBackend == nil {
 		return
 	}
-	t.current.inFlight--
-	t.current = nil
+	t.currentBackend.inFlight--
+	t.currentBackend = nil
 	c.quota.SubmissionEnded(t.Customer)
 	if !e.ProvesNotRun() && !t.mayHaveRun {
 		t.mayHaveRun, t.firstRanAt = true, t.sentAt
@@ -320,7 +320,7 @@
 			t.ranZone, t.ranPod = b.Zone, b.Pod
 		}
 	}
-	c.recheck, c.saturated = true, false
+	c.recheckWaiting, c.saturated = true, false
 	if answered || t.ended {
 		c.forget(t)
 		return
@@ -338,14 +338,14 @@
 // forget drops a txn, unless a submission is in flight, whose outcome still counts for its backend.
 func (c *Controller) forget(t *txn) {
 	t.ended = true
-	c.release(t)
-	if t.current == nil {
+	c.releaseReservation(t)
+	if t.currentBackend == nil {
 		delete(c.txns, t.ID)
 	}
 }
 
 // release gives up a txn's reservation.
-func (c *Controller) release(t *txn) {
+func (c *Controller) releaseReservation(t *txn) {
 	if t.reserved {
 		c.quota.Release(t.Customer, t.Units)
 	}
--- a/control/loadbalancer/work.go
+++ b/control/loadbalancer/work.go
@@ -15,7 +15,7 @@
 
 // usualLatency is the usual answer time of such a txn.
 func (c *Controller) usualLatency(t *txn) time.Duration {
-	if seconds, ok := c.latency[c.workKind(t)]; ok {
+	if seconds, ok := c.usualLatencies[c.workKind(t)]; ok {
 		return time.Duration(seconds * float64(time.Second))
 	}
 	return c.products[t.Product].slaTime / unknownLatencyDivisor
@@ -32,15 +32,15 @@
 
 // workWeight is a txn's work over the mean of those that were sent: the budget of a backend that is warming up is one of work.
 func (c *Controller) workWeight(t *txn) float64 {
-	if c.meanWork <= 0 {
+	if c.meanUsualLatency <= 0 {
 		return 1
 	}
-	return c.usualLatency(t).Seconds() / c.meanWork
+	return c.usualLatency(t).Seconds() / c.meanUsualLatency
 }
 
 // countCompletion counts an answer of a warm backend: submissions may be more than they can do.
 func (c *Controller) countCompletion(b *backend) {
-	if b.warmth >= 1 {
+	if b.warmUpShare >= 1 {
 		c.completionRate, c.completionRateAt = c.completionRateNow()+1/rateWindow, c.now
 	}
 }
