--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -8,11 +8,13 @@
 	"clovergap/control/quota"
 )
 
-func Example_endings() {
+// Guards against too many or too few retries of an inquiry-like txn. After each kind of failure, it is retried until it has had
+// max_submissions submissions, and is then rejected.
+func Example_retriesByEnding() {
 	s := newWarmScenario()
 	c := ownedBy(0)
 	for id, e := range []control.Ending{control.Succeeded, control.Errored, control.Rejected, control.TimedOut, control.Unreachable, control.ConnectionLost} {
-		fmt.Println("#", id, "inquiry-like, then ending", e)
+		fmt.Println("# txn", id, "is inquiry-like, each submission has ending", e)
 		s.arrive(control.TxnID(id), c, 0, 0)
 		s.endSubmission(control.TxnID(id), e)
 		if s.controller.txns[control.TxnID(id)] != nil {
@@ -21,57 +23,60 @@
 		if s.controller.txns[control.TxnID(id)] != nil {
 			s.endSubmission(control.TxnID(id), e)
 		}
-		s.controller.ClientLeft(control.TxnID(id)) // an id no longer held is passed over
+		s.controller.ClientLeft(control.TxnID(id)) // an unknown ID is ignored
 		s.printDecisions()
 	}
 	// Output:
-	// # 0 inquiry-like, then ending 0
+	// # txn 0 is inquiry-like, each submission has ending 0
 	// 10000 submit 0 to 1, 446
-	// # 1 inquiry-like, then ending 1
+	// # txn 1 is inquiry-like, each submission has ending 1
 	// 10000 submit 1 to 1, 446
 	// 10000 submit 1 to 3, 496
 	// 10000 submit 1 to 2, 496
 	// 10000 reject 1, 2000
-	// # 2 inquiry-like, then ending 2
+	// # txn 2 is inquiry-like, each submission has ending 2
 	// 10000 submit 2 to 3, 446
 	// 10000 submit 2 to 2, 496
 	// 10000 submit 2 to 1, 496
 	// 10000 reject 2, 2000
-	// # 3 inquiry-like, then ending 3
+	// # txn 3 is inquiry-like, each submission has ending 3
 	// 10000 submit 3 to 1, 446
 	// 10000 submit 3 to 1, 496
 	// 10000 submit 3 to 1, 496
 	// 10000 reject 3, 2000
-	// # 4 inquiry-like, then ending 4
+	// # txn 4 is inquiry-like, each submission has ending 4
 	// 10000 submit 4 to 1, 446
 	// 10000 submit 4 to 2, 496
 	// 10000 submit 4 to 3, 496
 	// 10000 reject 4, 2000
-	// # 5 inquiry-like, then ending 5
+	// # txn 5 is inquiry-like, each submission has ending 5
 	// 10000 submit 5 to 1, 446
 	// 10000 submit 5 to 1, 496
 	// 10000 submit 5 to 1, 496
 	// 10000 reject 5, 2000
 }
 
-func Example_expiry() {
+// Guards against a txn without an answer at its expiry. A once-only txn in flight is failed and canceled expiryMargin before its expiry, and
+// its state is removed after the outcome of its submission.
+func Example_failAtExpiry() {
 	s := newWarmScenario()
 	s.arrive(1, ownedBy(0), 2, 0)
 	s.advance(11997)
 	s.advance(11998)
-	s.controller.SubmissionEnded(1, 0, 1, control.TimedOut, false, 0, nil) // its own outcome comes after the answer
+	s.controller.SubmissionEnded(1, 0, 1, control.TimedOut, false, 0, nil) // the outcome of the submission comes after the answer
 	s.advance(12100)
-	fmt.Println(len(s.controller.txns), "held")
+	fmt.Println(len(s.controller.txns), "txns remain")
 	// Output:
 	// 10000 submit 1 to 1
 	// 11998 fail 1
 	// 11998 cancel 1/0
-	// 0 held
+	// 0 txns remain
 }
 
-func Example_onceOnly() {
+// Guards against a once-only txn that runs twice. It is retried only if its submission provably did not run.
+func Example_onceOnlyIsRetriedOnlyIfNotRun() {
 	s := newWarmScenario()
-	fmt.Println("# proved not to have run: again elsewhere, then rejected")
+	fmt.Println("# proved not to have run: retried at another backend, then rejected")
 	s.arrive(1, ownedBy(0), 2, 0)
 	s.endSubmission(1, control.Unreachable)
 	s.endSubmission(1, control.Rejected)
@@ -80,7 +85,7 @@
 	s.arrive(2, ownedBy(0), 2, 0)
 	s.endSubmission(2, control.Errored)
 	// Output:
-	// # proved not to have run: again elsewhere, then rejected
+	// # proved not to have run: retried at another backend, then rejected
 	// 10000 submit 1 to 1
 	// 10000 submit 1 to 3
 	// 10000 submit 1 to 1
@@ -90,43 +95,45 @@
 	// 10000 fail 2
 }
 
-func Example_referenced() {
+// Guards against a referenced txn that runs twice. It is retried only within its pod and its window.
+func Example_referencedIsRetriedInScopeAndWindow() {
 	s := newWarmScenario()
-	fmt.Println("# retries stay in the pod of the first that may have run")
+	fmt.Println("# retries stay in the pod of the first submission that may have run")
 	s.arrive(1, ownedBy(0), 1, 0)
 	s.endSubmission(1, control.ConnectionLost)
 	s.endSubmission(1, control.ConnectionLost)
-	fmt.Println("# and inside the window: with the time over it is failed")
+	fmt.Println("# after its window, the txn is failed")
 	s.arrive(2, ownedBy(0), 1, 0)
 	s.controller.products[1].repeatWindow = 0
 	s.endSubmission(2, control.ConnectionLost)
-	fmt.Println("# where all backends know retries, it may be rejected")
+	fmt.Println("# the product allows repeats at all backends: the txn is rejected after its last submission")
 	s.arrive(3, ownedBy(0), 3, 0)
 	s.endSubmission(3, control.ConnectionLost)
 	s.endSubmission(3, control.ConnectionLost)
 	s.endSubmission(3, control.ConnectionLost)
 	// Output:
-	// # retries stay in the pod of the first that may have run
+	// # retries stay in the pod of the first submission that may have run
 	// 10000 submit 1 to 1, 446
 	// 10000 submit 1 to 2, 496
 	// 10000 submit 1 to 1, 496
-	// # and inside the window: with the time over it is failed
+	// # after its window, the txn is failed
 	// 10000 submit 2 to 1, 446
 	// 10000 fail 2
-	// # where all backends know retries, it may be rejected
+	// # the product allows repeats at all backends: the txn is rejected after its last submission
 	// 10000 submit 3 to 1, 446
 	// 10000 submit 3 to 3, 496
 	// 10000 submit 3 to 1, 496
 	// 10000 reject 3, 2000
 }
 
-func Example_draining() {
+// Guards against submissions to backends that are draining or gone.
+func Example_drainingBackendGetsNoTxns() {
 	s := newWarmScenario()
 	s.changeEndpoints(false, control.Endpoint{ID: 1, State: control.Draining}, control.Endpoint{ID: 2, State: control.Gone})
 	for id := control.TxnID(1); id < 5; id++ {
 		s.arrive(id, ownedBy(0)+control.CustomerID(id), 0, 0)
 	}
-	s.changeEndpoints(true) // an empty list: nothing is ready
+	s.changeEndpoints(true) // an empty list, so no backend is ready
 	s.arrive(9, ownedBy(0), 0, 0)
 	s.advance(10200)
 	// Output:
@@ -137,7 +144,7 @@
 	// 10200 reject 9
 }
 
-// sends counts what goes to a backend while txns of one product come every 10 ms for a span.
+// countSubmissionsTo returns the number of submissions to a backend while a txn of one product arrives every 10 ms between two times.
 func (s *scenario) countSubmissionsTo(id control.BackendID, from, to int) (n int) {
 	for at := from; at < to; at += 10 {
 		s.controller.Now(time.Millisecond * time.Duration(at))
@@ -154,32 +161,34 @@
 	return n
 }
 
-func Example_warmUpBudget() {
+// Guards against overload of a backend that is warming up.
+func Example_warmUpBudgetLimitsSubmissions() {
 	s := newWarmScenario()
 	s.changeEndpoints(false, control.Endpoint{ID: 1, State: control.Ready, Started: 9900 * time.Millisecond})
-	fmt.Println("beside warm backends, second by second:")
+	fmt.Println("with warm backends, submissions per second:")
 	for at := 10000; at < 14000; at += 1000 {
 		fmt.Println(" warming up", s.countSubmissionsTo(1, at, at+1000))
 	}
 	s = newScenario(settings(0), 0)
 	s.advance(20000)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready, Started: 19900 * time.Millisecond})
-	fmt.Println("alone, with nothing warm to judge by:")
+	fmt.Println("without warm backends, whose rate is unknown:")
 	for at := 20000; at < 23000; at += 1000 {
 		fmt.Println(" warming up", s.countSubmissionsTo(1, at, at+1000))
 	}
 	// Output:
-	// beside warm backends, second by second:
+	// with warm backends, submissions per second:
 	//  warming up 4
 	//  warming up 8
 	//  warming up 9
 	//  warming up 13
-	// alone, with nothing warm to judge by:
+	// without warm backends, whose rate is unknown:
 	//  warming up 1
 	//  warming up 3
 	//  warming up 6
 }
 
+// Guards against a front door that exceeds the hard limit of a customer by a restart.
 func Example_hardLimitAcrossRestart() {
 	s := newScenario(settings(0), 0)
 	s.hideDatagrams = true
@@ -187,18 +196,18 @@
 	s.advance(10000)
 	s.controller.capacity = 100
 	c := ownedBy(0)
-	fmt.Println("# the owner's pool and its part, two thirds of the hard limit, then nothing but their refill")
+	fmt.Println("# the owner's pool and its part are two thirds of the hard limit, and after that only their refill is left")
 	for id := control.TxnID(1); id <= 16; id++ {
 		s.arrive(id, c, 0, 1)
 	}
 	s = newScenario(settings(0), 10000)
 	s.hideDatagrams = true
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
-	fmt.Println("# the next epoch starts with an empty part")
+	fmt.Println("# after the restart, the new epoch starts with an empty part")
 	s.arrive(1, c, 0, 1)
 	s.advance(10200)
 	// Output:
-	// # the owner's pool and its part, two thirds of the hard limit, then nothing but their refill
+	// # the owner's pool and its part are two thirds of the hard limit, and after that only their refill is left
 	// 10000 submit 1 to 1, 446
 	// 10000 submit 2 to 1, 446
 	// 10000 submit 3 to 1, 446
@@ -212,18 +221,19 @@
 	// 10000 submit 11 to 1, 446
 	// 10000 submit 12 to 1, 446
 	// 10000 submit 13 to 1, 446
-	// # the next epoch starts with an empty part
+	// # after the restart, the new epoch starts with an empty part
 	// 10100 submit 1 to 1, 356
 }
 
-func Example_ownerRestart() {
+// Guards against an owner that grants units again after a restart, and against one that applies messages of a peer's former epoch.
+func Example_ownerRestartEmptiesBucket() {
 	s := newScenario(settings(0), 5000)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
-	fmt.Println("# an owner's bucket starts empty and refills at the rate: a txn waits for its unit")
+	fmt.Println("# the bucket of an owner starts empty and refills at the rate, so a txn waits for its unit")
 	s.arrive(1, ownedBy(0), 0, 0)
 	s.advance(5100)
 	s.advance(5120)
-	fmt.Println("# a message of the peer's former epoch is dropped after its new one is known")
+	fmt.Println("# a message of the former epoch of a peer is dropped once the new epoch is known")
 	c := ownedBy(0)
 	s.receive(1, &quota.Message{Epoch: 7, Seq: 5, Deltas: []quota.Delta{{Customer: c, SetWidth: 3}}})
 	s.advance(5200)
@@ -232,67 +242,70 @@
 	s.receive(1, &quota.Message{Epoch: 7, Seq: 6, Deltas: []quota.Delta{{Customer: c, Units: 9, SetWidth: 3}}})
 	s.advance(5400)
 	// Output:
-	// # an owner's bucket starts empty and refills at the rate: a txn waits for its unit
+	// # the bucket of an owner starts empty and refills at the rate, so a txn waits for its unit
 	//  5100 submit 1 to 1, 356
-	// # a message of the peer's former epoch is dropped after its new one is known
+	// # a message of the former epoch of a peer is dropped once the new epoch is known
 	//  5120 datagram to 1: snapshot left 0.1875 sharers 2 ack 5
 	//  5200 datagram to 1: snapshot left 1 sharers 2 ack 1
 }
 
-func Example_deltas() {
+// Guards against usage that is lost or counted twice when datagrams arrive out of order or repeatedly.
+func Example_deltasAreAppliedOnce() {
 	s := newScenario(settings(0), 0)
 	s.advance(10000)
 	c := ownedBy(0)
 	first := &quota.Message{Epoch: 7, Seq: 1, Deltas: []quota.Delta{{Customer: c, Units: 3, SetWidth: 3}}}
 	second := &quota.Message{Epoch: 7, Seq: 2, Deltas: []quota.Delta{{Customer: c, Units: 5, SetWidth: 3}}}
-	fmt.Println("# out of order and twice, each applied once")
+	fmt.Println("# deltas out of order and repeated: each is applied once")
 	s.receive(1, second)
-	s.controller.sweptAt = 20 * time.Second // no refill of the trace by periodic work
+	s.controller.sweptAt = 20 * time.Second // no sweep, which would refill the bucket
 	s.advance(10100)
 	s.receive(1, first)
 	s.advance(10200)
 	s.receive(1, second)
 	s.advance(10300)
-	fmt.Println("# what does not decode is dropped and counted")
+	fmt.Println("# a datagram that cannot be decoded is dropped and counted")
 	s.controller.DatagramReceived(1, []byte{1, 2, 3})
 	fmt.Println(s.controller.quota.BadDatagrams())
 	// Output:
-	// # out of order and twice, each applied once
+	// # deltas out of order and repeated: each is applied once
 	// 10000 datagram to 1: snapshot left 15 sharers 2 ack 2
 	// 10100 datagram to 1: snapshot left 13 sharers 2 ack 2
 	// 10200 datagram to 1: snapshot left 14 sharers 2 ack 2
-	// # what does not decode is dropped and counted
+	// # a datagram that cannot be decoded is dropped and counted
 	// 1
 }
 
-func Example_snapshots() {
+// Guards against a front door that consumes more than its burst share and the owner's snapshots allow. Datagrams are lost, snapshots arrive late
+// and become too old.
+func Example_snapshotsLimitConsumption() {
 	s := newWarmScenario()
 	s.hideDatagrams, s.controller.capacity = false, 5
 	c := ownedBy(1)
-	fmt.Println("# new: one txn after the other from the burst share, asking the owner")
+	fmt.Println("# new customer: txns use the burst share while the owner is asked")
 	for id := control.TxnID(1); id < 9; id++ {
 		s.arrive(id, c, 0, 0)
 	}
 	s.advance(10050)
-	fmt.Println("# lost: the delta goes again under its sequence")
+	fmt.Println("# lost datagram: the delta is sent again with its sequence number")
 	s.advance(10200)
-	fmt.Println("# the snapshot acknowledges the first two: four units are left, two of them used since")
-	snap := func(version uint64, left float64) *quota.Message {
+	fmt.Println("# the snapshot acknowledges the first two deltas and leaves four units, of which two were used since")
+	snapshot := func(version uint64, left float64) *quota.Message {
 		return &quota.Message{Epoch: 9, Version: version, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3,
 			Snapshots: []quota.Snapshot{{Customer: c, Level: left, Reporters: 1}}}
 	}
-	s.receive(1, snap(5, 4))
+	s.receive(1, snapshot(5, 4))
 	s.arrive(11, c, 0, 0)
-	fmt.Println("# an older snapshot that comes late brings nothing back")
-	s.receive(1, snap(4, 20))
+	fmt.Println("# an older snapshot that arrives late restores no units")
+	s.receive(1, snapshot(4, 20))
 	s.arrive(12, c, 0, 0)
 	s.arrive(13, c, 0, 0)
 	s.advance(10500)
-	fmt.Println("# stale: the burst share alone, and it asks afresh")
+	fmt.Println("# expired snapshot: only the burst share is left, and the owner is asked again")
 	s.advance(11900)
 	s.arrive(14, c, 0, 0)
 	// Output:
-	// # new: one txn after the other from the burst share, asking the owner
+	// # new customer: txns use the burst share while the owner is asked
 	// 10000 submit 1 to 2, 446
 	// 10000 datagram to 1: delta 1 used 1
 	// 10000 submit 2 to 2, 446
@@ -301,29 +314,30 @@
 	// 10000 submit 5 to 2, 446
 	// 10000 submit 6 to 2, 446
 	// 10050 datagram to 1: delta 2 used 5
-	// # lost: the delta goes again under its sequence
+	// # lost datagram: the delta is sent again with its sequence number
 	// 10150 datagram to 1: delta 1 used 1
 	// 10200 reject 7, 100
 	// 10200 reject 8, 100
 	// 10200 datagram to 1: delta 2 used 5
-	// # the snapshot acknowledges the first two: four units are left, two of them used since
+	// # the snapshot acknowledges the first two deltas and leaves four units, of which two were used since
 	// 10200 submit 11 to 2, 446
-	// # an older snapshot that comes late brings nothing back
+	// # an older snapshot that arrives late restores no units
 	// 10200 submit 12 to 3, 446
 	// 10200 submit 13 to 3, 446
 	// 10250 datagram to 1: delta 3 used 3
 	// 10400 datagram to 1: delta 3 used 3
-	// # stale: the burst share alone, and it asks afresh
+	// # expired snapshot: only the burst share is left, and the owner is asked again
 	// 10650 datagram to 1: delta 3 used 3
 	// 11150 datagram to 1: delta 3 used 3
 	// 11900 submit 14 to 1, 446
 	// 11900 datagram to 1: delta 4 used 1
 }
 
-func Example_oneProductFails() {
+// Guards against the exclusion of a backend for all products when only one product fails there.
+func Example_failingProductIsExcluded() {
 	s := newWarmScenario()
 	c := ownedBy(0)
-	fmt.Println("# product 0 fails at one backend: passed over for it, still taken for product 3")
+	fmt.Println("# product 0 fails at one backend, which is skipped for product 0 and still used for product 3")
 	first := control.BackendID(0)
 	for id := control.TxnID(1); id < 13; id++ {
 		p := control.ProductID(id % 2 * 3)
@@ -341,7 +355,7 @@
 		}
 	}
 	// Output:
-	// # product 0 fails at one backend: passed over for it, still taken for product 3
+	// # product 0 fails at one backend, which is skipped for product 0 and still used for product 3
 	// product 3 at 1: settled
 	// product 0 at 1: error
 	// product 0 at 3: settled
@@ -358,9 +372,10 @@
 	// product 0 at 3: settled
 }
 
-func Example_rejectingBackend() {
+// Guards against a backend that always rejects and so lowers the capacity of all others.
+func Example_rejectionsKeepCapacity() {
 	s := newWarmScenario()
-	room := s.controller.capacity
+	initial := s.controller.capacity
 	for id := control.TxnID(1); id < 40; id++ {
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
 		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
@@ -370,116 +385,121 @@
 		}
 		s.controller.Now(s.controller.now + 10*time.Millisecond)
 	}
-	fmt.Println("capacity as before:", s.controller.capacity == room, "- backoff of backend 1 grew:", s.controller.backends[1].consecutiveRejections > 1)
+	fmt.Println("capacity unchanged:", s.controller.capacity == initial, "- backoff of backend 1 increased:", s.controller.backends[1].consecutiveRejections > 1)
 	// Output:
-	// capacity as before: true - backoff of backend 1 grew: true
+	// capacity unchanged: true - backoff of backend 1 increased: true
 }
 
-func Example_retriesGiveWay() {
+// Guards against retries that use scarce capacity before first attempts.
+func Example_retriesYieldToFirstAttempts() {
 	s := newWarmScenario()
 	s.controller.capacity = 0.4
-	take := func(id control.TxnID, repeat bool) {
-		s.controller.TxnArrived(control.Txn{ID: id, Customer: control.CustomerID(id), Retry: repeat, Units: 1, SetWidth: 1,
+	arrive := func(id control.TxnID, retry bool) {
+		s.controller.TxnArrived(control.Txn{ID: id, Customer: control.CustomerID(id), Retry: retry, Units: 1, SetWidth: 1,
 			Expiry: s.controller.now + time.Second})
 		s.printDecisions()
 	}
-	fmt.Println("# capacity for one: the first attempt waits, the retry is rejected at once with advice")
-	take(1, false)
-	take(2, false)
-	take(3, true)
+	fmt.Println("# no capacity is left: the retry is rejected at once with a retry delay")
+	arrive(1, false)
+	arrive(2, false)
+	arrive(3, true)
 	s.advance(10100)
 	s.endSubmission(1, control.Succeeded)
 	s.advance(10500)
 	// Output:
-	// # capacity for one: the first attempt waits, the retry is rejected at once with advice
+	// # no capacity is left: the retry is rejected at once with a retry delay
 	// 10000 submit 1 to 3, 446
 	// 10000 submit 2 to 2, 446
 	// 10000 reject 3, 2000
 }
 
-func Example_beyondQuotaThatPays() {
+// Guards against txns beyond the quota that use capacity which others lack.
+func Example_exceedQuotaWithSpareCapacity() {
 	s := newWarmScenario()
 	s.controller.plans[0].overQuotaValue, s.controller.plans[0].overQuotaCost = 0.3, 0
 	c := ownedBy(0)
 	s.drainBucket(c, 0)
 	s.controller.plans[0].Rate = 1
-	fmt.Println("# no units, capacity to spare, nothing charged: goes on, and takes no units")
+	fmt.Println("# no units, spare capacity, no charge: the txn is submitted and consumes no units")
 	s.arrive(1, c, 0, 0)
-	fmt.Println("# something lacked capacity lately: rejected, with advice when units are due")
+	fmt.Println("# a txn lacked capacity recently: rejected with the delay until units are available")
 	s.controller.saturatedAt = s.controller.now
 	s.arrive(2, c, 0, 0)
 	// Output:
-	// # no units, capacity to spare, nothing charged: goes on, and takes no units
+	// # no units, spare capacity, no charge: the txn is submitted and consumes no units
 	// 10000 submit 1 to 1, 446
-	// # something lacked capacity lately: rejected, with advice when units are due
+	// # a txn lacked capacity recently: rejected with the delay until units are available
 	// 10000 reject 2, 1000
 }
 
-// The view is good for 150 ms, the wait for a backend is longer: what covered the txn must still do so.
-func Example_reservedWhileWaiting() {
+// Guards against a txn that waits for a backend and loses its units. The snapshot that covers it may be used for 150 ms, which is less than the
+// time that it waits.
+func Example_unitsStayReservedWhileWaiting() {
 	s := newScenario(settings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
 	s.advance(10000)
 	c := ownedBy(1)
-	s.controller.plans[0].Burst = 2 // tight: a view is good for an answer's time only
+	s.controller.plans[0].Burst = 2 // so small that a snapshot may be used only for the response time of the owner
 	s.controller.capacity = 0.3
 	s.arrive(1, ownedBy(0), 0, 0)
 	s.hideDatagrams = true
 	s.arrive(2, c, 0, 0)
 	s.receive(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
-	kept := func() float64 {
+	reservedUnits := func() float64 {
 		state, _ := s.controller.quota.State(c)
 		return state.Reserved
 	}
-	fmt.Println("reserved:", kept(), "- what others may consume of the snapshot is less by that")
+	fmt.Println("reserved:", reservedUnits(), "- other txns may consume that much less of the snapshot")
 	s.advance(10170)
 	s.endSubmission(1, control.Succeeded)
 	s.advance(10180)
-	fmt.Println("reserved:", kept())
+	fmt.Println("reserved:", reservedUnits())
 	// Output:
 	// 10000 submit 1 to 1, 446
-	// reserved: 1 - what others may consume of the snapshot is less by that
+	// reserved: 1 - other txns may consume that much less of the snapshot
 	// 10170 submit 2 to 1, 326
 	// reserved: 0
 }
 
-// A client's patience counts from its first attempt, so a retry's expiry tells how long ago that was.
-func Example_retryInTime() {
+// Guards against a retry that gets a full SLA time again. A client's time-out counts from its first attempt, so the expiry of a retry shows how
+// long ago the first attempt was.
+func Example_retryUsesRemainingSLATime() {
 	s := newWarmScenario()
 	c := ownedBy(0)
-	again := func(id control.TxnID, left time.Duration) {
-		s.drainBucket(c, 5) // of 20: under what a late repeat must leave
+	retry := func(id control.TxnID, left time.Duration) {
+		s.drainBucket(c, 5) // of 20, which is less than a late retry must leave
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + left})
 		s.printDecisions()
 	}
-	fmt.Println("# no first attempt was seen: it may be late and leaves the low bucket alone")
-	again(1, 1900*time.Millisecond)
+	fmt.Println("# no first attempt was seen: the retry may be late and leaves the low bucket to others")
+	retry(1, 1900*time.Millisecond)
 	s.arrive(2, ownedBy(0), 0, 0)
-	fmt.Println("# 100 ms gone: like a first attempt, with that much less time")
-	again(3, 1900*time.Millisecond)
-	fmt.Println("# 600 ms gone, the SLA time is over: rejected at once")
-	again(4, 1400*time.Millisecond)
-	fmt.Println("# late answers still earn something: it is a late retry again")
+	fmt.Println("# 100 ms have passed: treated as a first attempt with 100 ms less time")
+	retry(3, 1900*time.Millisecond)
+	fmt.Println("# 600 ms have passed and the SLA time is over: rejected at once")
+	retry(4, 1400*time.Millisecond)
+	fmt.Println("# late responses still have a value: treated as a late retry")
 	s.controller.products[0].lateValue = 0.2
-	for c++; quota.OwnerOf(c, 0, 3, 3) != 0; c++ { // another customer: of the first one's five units one is spent
+	for c++; quota.OwnerOf(c, 0, 3, 3) != 0; c++ { // another customer, because the first one has spent one of its five units
 	}
-	again(5, 1400*time.Millisecond)
+	retry(5, 1400*time.Millisecond)
 	// Output:
-	// # no first attempt was seen: it may be late and leaves the low bucket alone
+	// # no first attempt was seen: the retry may be late and leaves the low bucket to others
 	// 10000 reject 1, 600
 	// 10000 submit 2 to 1, 446
-	// # 100 ms gone: like a first attempt, with that much less time
+	// # 100 ms have passed: treated as a first attempt with 100 ms less time
 	// 10000 submit 3 to 1, 356
-	// # 600 ms gone, the SLA time is over: rejected at once
+	// # 600 ms have passed and the SLA time is over: rejected at once
 	// 10000 reject 4, 2000
-	// # late answers still earn something: it is a late retry again
+	// # late responses still have a value: treated as a late retry
 	// 10000 reject 5, 600
 }
 
-func Example_unresponsiveOwner() {
+// Guards against a customer that gets no service, or too much of it, while the owner of its quota does not answer.
+func Example_unresponsiveOwnerLeavesBurstShare() {
 	s := newWarmScenario()
 	c := ownedBy(1)
-	fmt.Println("# the burst share is spent, then grows at the rate while no datagram comes")
+	fmt.Println("# the burst share is used up and then grows at the rate while no datagram arrives")
 	for id := control.TxnID(1); id < 200; id++ {
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
 		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
@@ -491,27 +511,29 @@
 		s.controller.Now(s.controller.now + 10*time.Millisecond)
 	}
 	// Output:
-	// # the burst share is spent, then grows at the rate while no datagram comes
+	// # the burst share is used up and then grows at the rate while no datagram arrives
 	// 10000 10010 10020 10030 10040 10050 10230 10400 10700 11000 11300 11510 11510 11510 11670 11870
 }
 
-func Example_valueUnderPressure() {
+// Guards against a valuable txn that still waits after a submission has ended under pressure.
+func Example_waitingTxnIsSubmittedUnderPressure() {
 	s := newWarmScenario()
 	s.controller.capacity, s.controller.products[2].value = 0.4, 5
 	c := ownedBy(0)
-	fmt.Println("# no capacity: of two that wait, what has the highest value for its time goes first")
+	fmt.Println("# no capacity: the waiting txn is submitted when a submission ends")
 	for id, p := range []control.ProductID{0, 0, 2} {
 		s.arrive(control.TxnID(id), c, p, 0)
 	}
 	s.advance(10100)
 	s.endSubmission(0, control.Succeeded)
 	// Output:
-	// # no capacity: of two that wait, what has the highest value for its time goes first
+	// # no capacity: the waiting txn is submitted when a submission ends
 	// 10000 submit 0 to 1, 446
 	// 10000 submit 1 to 3, 446
 	// 10100 submit 2 to 1
 }
 
+// Guards against an unresponsive backend that never gets another submission. An inquiry-like txn tries it after each trialInterval.
 func Example_unresponsiveBackendIsTried() {
 	s := newScenario(settings(0), 0)
 	s.hideDatagrams = true
@@ -524,29 +546,30 @@
 		s.advance(at)
 		for _, p := range []control.ProductID{2, 0} {
 			t := &txn{Txn: control.Txn{Product: p}}
-			fmt.Println(at, "product", p, "passes it over:", s.controller.unresponsive(b, t))
+			fmt.Println(at, "product", p, "skips the backend:", s.controller.unresponsive(b, t))
 		}
 	}
 	// Output:
-	// 10400 product 2 passes it over: true
-	// 10400 product 0 passes it over: true
-	// 10800 product 2 passes it over: true
-	// 10800 product 0 passes it over: false
+	// 10400 product 2 skips the backend: true
+	// 10400 product 0 skips the backend: true
+	// 10800 product 2 skips the backend: true
+	// 10800 product 0 skips the backend: false
 }
 
-func Example_oddInputs() {
+// Guards against panics and missing answers for invalid inputs.
+func Example_invalidInputs() {
 	s := newWarmScenario()
-	take := func(x control.Txn) {
+	arrive := func(x control.Txn) {
 		s.controller.TxnArrived(x)
 		s.printDecisions()
 	}
 	now := s.controller.now
-	fmt.Println("# expiry over, product and plan that the settings don't name, odd sets, no units")
-	take(control.Txn{ID: 1, Units: 1, Expiry: now - time.Second})
-	take(control.Txn{ID: 2, Product: 9, Expiry: now + time.Second})
-	take(control.Txn{ID: 3, Plan: -4, Expiry: now + time.Second})
-	take(control.Txn{ID: 4, Customer: ownedBy(0), SetWidth: -3, SetFirst: -9, Expiry: now + time.Second})
-	take(control.Txn{ID: 5, Customer: 77, SetWidth: 1 << 40, SetFirst: 1 << 40, Units: -5, Expiry: now + time.Second})
+	fmt.Println("# expired txn, unknown product, unknown plan, invalid sets, negative units")
+	arrive(control.Txn{ID: 1, Units: 1, Expiry: now - time.Second})
+	arrive(control.Txn{ID: 2, Product: 9, Expiry: now + time.Second})
+	arrive(control.Txn{ID: 3, Plan: -4, Expiry: now + time.Second})
+	arrive(control.Txn{ID: 4, Customer: ownedBy(0), SetWidth: -3, SetFirst: -9, Expiry: now + time.Second})
+	arrive(control.Txn{ID: 5, Customer: 77, SetWidth: 1 << 40, SetFirst: 1 << 40, Units: -5, Expiry: now + time.Second})
 	s.controller.SubmissionEnded(99, 0, 1, control.Succeeded, true, 0, nil)
 	s.controller.SubmissionEnded(4, 7, 55, control.Succeeded, true, 0, []float64{1, 2, 3, 4})
 	s.controller.ProbeEnded(55, true, 0, nil)
@@ -556,7 +579,7 @@
 	_, err := New(1, control.Settings{}, 0)
 	fmt.Println(err)
 	// Output:
-	// # expiry over, product and plan that the settings don't name, odd sets, no units
+	// # expired txn, unknown product, unknown plan, invalid sets, negative units
 	// 10000 reject 1, 2000
 	// 10000 reject 2, 2000
 	// 10000 reject 3, 2000
@@ -565,26 +588,28 @@
 	// setting me: missing
 }
 
-func Example_retriesLeaveALowBucket() {
+// Guards against retries that use the last units of a bucket before first attempts.
+func Example_retriesLeaveLowBucket() {
 	s := newWarmScenario()
 	c := ownedBy(0)
-	fmt.Println("# four units of twenty left: not for a retry, at once, but for a first attempt")
+	fmt.Println("# four of twenty units are left: a retry is rejected at once, a first attempt is submitted")
 	s.drainBucket(c, 4)
 	s.controller.TxnArrived(control.Txn{ID: 1, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
 	s.printDecisions()
 	s.arrive(2, c, 0, 0)
 	// Output:
-	// # four units of twenty left: not for a retry, at once, but for a first attempt
+	// # four of twenty units are left: a retry is rejected at once, a first attempt is submitted
 	// 10000 reject 1, 700
 	// 10000 submit 2 to 1, 446
 }
 
+// Guards against unresponsive backends that never return, even if all backends are unresponsive.
 func Example_unresponsiveBackendsAreEjected() {
 	s := newWarmScenario()
 	for _, b := range s.controller.backendsByID {
 		b.unanswered, b.unansweredSince, b.sentAt = 2, s.controller.now, s.controller.now
 	}
-	fmt.Println("# none has answered for a while: all are ejected and probed")
+	fmt.Println("# no backend has responded for a while: all are ejected and probed")
 	s.advance(11700)
 	s.advance(12300)
 	for _, b := range s.controller.backendsByID {
@@ -595,18 +620,19 @@
 		s.controller.ProbeEnded(b.ID, true, time.Millisecond, nil)
 	}
 	s.advance(13400)
-	fmt.Println("back:", !s.controller.backendsByID[0].ejected)
+	fmt.Println("readmitted:", !s.controller.backendsByID[0].ejected)
 	// Output:
-	// # none has answered for a while: all are ejected and probed
+	// # no backend has responded for a while: all are ejected and probed
 	// 12200 probe 1
 	// 12300 probe 2
 	// 12400 probe 3
 	// 12700 probe 1
 	// 12800 probe 2
-	// back: true
+	// readmitted: true
 }
 
-func Example_capacityAndTimeOuts() {
+// Guards against time-outs that lower the capacity although the fleet is not congested.
+func Example_timeOutsLowerCapacityUnderPressure() {
 	s := newWarmScenario()
 	s.arrive(1, ownedBy(0), 0, 0)
 	b, before := s.controller.txns[1].currentBackend, s.controller.capacity
@@ -615,45 +641,46 @@
 	s.controller.Now(s.controller.now + 200*time.Millisecond)
 	s.controller.saturatedAt = s.controller.now
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
-	fmt.Println("time-out at a backend that has answered nothing since: capacity as before:", s.controller.capacity == before)
+	fmt.Println("time-out at a backend that has not responded since: capacity unchanged:", s.controller.capacity == before)
 	b.unansweredSince = s.controller.now
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
-	fmt.Println("it answered others meanwhile: capacity taken away:", s.controller.capacity < before)
+	fmt.Println("it responded to others meanwhile: capacity lowered:", s.controller.capacity < before)
 	before, s.controller.saturatedAt = s.controller.capacity, s.controller.now-pressureTTL
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
-	fmt.Println("nothing lacked capacity lately: late answers are the work's own, capacity as before:", s.controller.capacity == before)
+	fmt.Println("no txn lacked capacity recently, so the work itself takes long: capacity unchanged:", s.controller.capacity == before)
 	// Output:
 	// 10000 submit 1 to 1, 446
-	// time-out at a backend that has answered nothing since: capacity as before: true
-	// it answered others meanwhile: capacity taken away: true
-	// nothing lacked capacity lately: late answers are the work's own, capacity as before: true
+	// time-out at a backend that has not responded since: capacity unchanged: true
+	// it responded to others meanwhile: capacity lowered: true
+	// no txn lacked capacity recently, so the work itself takes long: capacity unchanged: true
 }
 
-func Example_wideSets() {
+// Guards against a wide set of gateways that together consume more than a small burst.
+func Example_ownerIsAskedIfBurstShareIsTooSmall() {
 	s := newScenario(settings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
 	s.advance(10000)
 	s.controller.capacity = 3
 	c := ownedBy(1)
-	s.controller.plans[0].Burst = 2 // less than a unit for each gateway of the set
-	fmt.Println("# new, but a burst share for each would be too much: the owner is asked, and has two")
+	s.controller.plans[0].Burst = 2 // less than one unit for each gateway of the set
+	fmt.Println("# new customer, and its burst is too small for a share for each gateway: the owner is asked and has two units")
 	s.arrive(1, c, 0, 0)
 	s.advance(10030)
 	s.receive(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
-	fmt.Println("# it has none: rejected, with the time until there is one")
+	fmt.Println("# the owner has no units: rejected with the delay until there is one")
 	s.hideDatagrams = true
 	s.advance(11000)
 	s.hideDatagrams = false
 	s.arrive(2, c, 0, 0)
 	s.receive(1, &quota.Message{Epoch: 9, Version: 2, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3, Snapshots: []quota.Snapshot{{Customer: c, Reporters: 2}}})
 	s.advance(11150)
-	fmt.Println("# no answer in time: the burst share is there for that")
+	fmt.Println("# the owner does not answer in time: the burst share is used")
 	s.hideDatagrams = true
 	s.advance(13000)
 	s.hideDatagrams = false
 	s.arrive(3, c, 0, 0)
 	s.advance(13140)
-	fmt.Println("# an owner shows units that it has just shown one asker to no other")
+	fmt.Println("# an owner that has just offered its units to one gateway offers them to no other")
 	c = ownedBy(0)
 	s.controller.plans[0].Burst = 1
 	s.hideDatagrams = true
@@ -664,41 +691,42 @@
 		s.receive(g, &quota.Message{Epoch: 9, Seq: 1, Deltas: []quota.Delta{{Customer: c, UnitsWanted: 1, SetWidth: 3}}})
 	}
 	// Output:
-	// # new, but a burst share for each would be too much: the owner is asked, and has two
+	// # new customer, and its burst is too small for a share for each gateway: the owner is asked and has two units
 	// 10000 datagram to 1: delta 1 used 0
 	// 10030 submit 1 to 1, 419
 	// 10030 datagram to 1: delta 2 used 1
-	// # it has none: rejected, with the time until there is one
+	// # the owner has no units: rejected with the delay until there is one
 	// 11000 datagram to 1: delta 3 used 0
 	// 11000 reject 2, 100
 	// 11150 datagram to 1: delta 3 used 0
-	// # no answer in time: the burst share is there for that
+	// # the owner does not answer in time: the burst share is used
 	// 12000 reject 1
 	// 12000 cancel 1/0
 	// 13000 datagram to 1: delta 4 used 0
 	// 13140 datagram to 1: delta 5 used 0
-	// # an owner shows units that it has just shown one asker to no other
+	// # an owner that has just offered its units to one gateway offers them to no other
 	// 13240 submit 3 to 1, 256
 	// 13790 probe 1
 	// 14000 datagram to 2: snapshot left 1 sharers 3 ack 1
 }
 
-func Example_processPause() {
+// Guards against a stall of this process that counts as a fault of the backends, and against txns that are submitted after their SLA time.
+func Example_processStallIsNoFaultOfBackends() {
 	s := newWarmScenario()
 	s.arrive(1, ownedBy(0), 0, 0)
 	b := s.controller.txns[1].currentBackend
 	b.unanswered = 3
-	s.controller.Now(12 * time.Second) // no turn for two seconds
+	s.controller.Now(12 * time.Second) // the process stalls for two seconds
 	s.controller.SubmissionEnded(1, 0, b.ID, control.TimedOut, true, 272*time.Millisecond, nil)
 	for id := control.TxnID(2); id < 10; id++ {
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
 	}
-	fmt.Println("# of eight txns that came over two seconds the last two are still in their SLA time")
+	fmt.Println("# of eight txns that arrived during two seconds, only the last two have SLA time left")
 	s.printDecisions()
-	fmt.Println("held against the backend:", b.lossShare, "- unresponsive for", s.controller.now-b.unansweredSince)
+	fmt.Println("loss share of the backend:", b.lossShare, "- unresponsive for", s.controller.now-b.unansweredSince)
 	// Output:
 	// 10000 submit 1 to 1, 446
-	// # of eight txns that came over two seconds the last two are still in their SLA time
+	// # of eight txns that arrived during two seconds, only the last two have SLA time left
 	// 12000 reject 2, 2000
 	// 12000 reject 3, 2000
 	// 12000 reject 4, 2000
@@ -707,10 +735,11 @@
 	// 12000 reject 7, 2000
 	// 12000 submit 8 to 1, 121
 	// 12000 submit 9 to 1, 333
-	// held against the backend: 0 - unresponsive for 0s
+	// loss share of the backend: 0 - unresponsive for 0s
 }
 
-func Example_newCluster() {
+// Guards against buckets that start full after the restart of one front door. They start full only if all front doors have just started.
+func Example_bucketStartsFullInNewCluster() {
 	c := ownedBy(0)
 	for _, age := range []time.Duration{0, 60 * time.Second} {
 		s := newScenario(settings(0), 5000)
@@ -719,14 +748,15 @@
 		}
 		s.controller.quota.Account(c, 0, 0, 3)
 		state, _ := s.controller.quota.State(c)
-		fmt.Println("peers started since", age, "- a bucket starts with", state.Level)
+		fmt.Println("peers started", age, "ago: a bucket starts with", state.Level)
 	}
 	// Output:
-	// peers started since 0s - a bucket starts with 20
-	// peers started since 1m0s - a bucket starts with 0
+	// peers started 0s ago: a bucket starts with 20
+	// peers started 1m0s ago: a bucket starts with 0
 }
 
-func Example_observations() {
+// Guards against a backend that each front door has to find failing by itself.
+func Example_peerObservationsExcludeBackend() {
 	s := newWarmScenario()
 	b := s.controller.backends[2]
 	m := &quota.Message{Epoch: 7}
@@ -734,15 +764,16 @@
 		m.Observations = append(m.Observations, quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Ratio: quota.ObservedFailed}, quota.Observation{BackendHash: 5, Ratio: 9})
 	}
 	s.receive(1, m)
-	fmt.Println("observed failures: excluded for that product", b.failures[0].excludedUntil > s.controller.now, "and no other", b.failures[1].excludedUntil > s.controller.now)
-	fmt.Println("a backend that its own list does not name stays unknown:", len(s.controller.backends))
+	fmt.Println("observed failures: excluded for their product", b.failures[0].excludedUntil > s.controller.now, "and no other", b.failures[1].excludedUntil > s.controller.now)
+	fmt.Println("a backend that is not in the own list is ignored, backends:", len(s.controller.backends))
 	// Output:
-	// observed failures: excluded for that product true and no other false
-	// a backend that its own list does not name stays unknown: 3
+	// observed failures: excluded for their product true and no other false
+	// a backend that is not in the own list is ignored, backends: 3
 }
 
-// What is gone is forgotten: backends at once, an owned customer when its bucket is full again, and not before.
-func Example_forgetting() {
+// Guards against state that is never removed or is removed too early. A backend that is gone is removed at once, and an owned customer only
+// when its bucket is full again.
+func Example_goneBackendsAndFullBucketsAreRemoved() {
 	s := newWarmScenario()
 	mine, other := ownedBy(0), ownedBy(1)
 	for i := 4; i < 500; i++ {
@@ -754,35 +785,35 @@
 	s.endSubmission(1, control.Succeeded)
 	s.arrive(2, other, 0, 0)
 	s.endSubmission(2, control.Succeeded)
-	for i := 1; i <= 3; i++ { // a peer goes on using what is quiet here
+	for i := 1; i <= 3; i++ { // a peer still uses the bucket, this front door does not
 		s.advance(10000 + 4000*i)
 		s.receive(1, &quota.Message{Epoch: 7, AckEpoch: s.controller.quota.Epoch(), AckHigh: 9, AckMask: 1<<32 - 1, Seq: uint64(i),
 			Deltas: []quota.Delta{{Customer: mine, Units: 15, SetWidth: 3}}})
 	}
 	state, _ := s.controller.quota.State(mine)
-	fmt.Printf("left %.0f, customers %d\n", state.Level, s.controller.quota.Customers())
+	fmt.Printf("level %.0f, customers %d\n", state.Level, s.controller.quota.Customers())
 	s.advance(40000)
 	fmt.Println("customers", s.controller.quota.Customers())
 	// Output:
 	// backends 3 3 3
 	// 10000 submit 1 to 1, 446
 	// 10000 submit 2 to 2, 446
-	// left 0, customers 1
+	// level 0, customers 1
 	// customers 0
 }
 
-// A load report that can't be true is not taken, and an old one counts ever less: a backend that told of a crowd
-// once, and is therefore not chosen, would else never tell of anything again.
-func Example_loadReports() {
+// Guards against a backend that is never picked again after one report of a high load, since only a pick brings a new report. The weight of
+// a report decreases with its age, and an impossible report is ignored.
+func Example_loadReportsExpire() {
 	s := newWarmScenario()
 	b := s.controller.backends[1]
-	tell := func(held float64) {
-		s.controller.SubmissionEnded(0, 0, 1, control.Succeeded, true, 0, []float64{held})
-		fmt.Printf("reported %g: load %.1f\n", held, s.controller.loadOf(b))
+	report := func(inFlight float64) {
+		s.controller.SubmissionEnded(0, 0, 1, control.Succeeded, true, 0, []float64{inFlight})
+		fmt.Printf("reported %g: load %.1f\n", inFlight, s.controller.loadOf(b))
 	}
 	s.controller.refreshBackends()
-	tell(1e5)
-	tell(20)
+	report(1e5)
+	report(20)
 	for t := 11000; t <= 14000; t += 1000 {
 		s.advance(t)
 		fmt.Printf("%d: load %.1f\n", t, s.controller.loadOf(b))
@@ -796,8 +827,9 @@
 	// 14000: load 0.0
 }
 
-// Reports are late: what looks a little fuller keeps its customers, only one that overflows loses them.
-func Example_reportedLoads() {
+// Guards against late load reports that move customers between backends all the time. A backend with somewhat more load keeps its customers.
+// Only one with far more than the mean load loses them.
+func Example_reportedLoadKeepsRanking() {
 	s := newScenario(settings(0), 0)
 	for id := control.BackendID(1); id <= 20; id++ {
 		s.changeEndpoints(false, control.Endpoint{ID: id, State: control.Ready})
@@ -812,18 +844,18 @@
 	}
 	b := first(1)
 	s.endSubmission(1, control.Succeeded)
-	for i, held := range []float64{4, 40} {
+	for i, inFlight := range []float64{4, 40} {
 		for _, x := range s.controller.backendsByID {
 			x.inFlightElsewhere, x.loadReportedAt = 1, s.controller.now
 		}
-		b.inFlightElsewhere = held
-		fmt.Printf("it holds %.0f, the others 1: first again: %v\n", held, first(control.TxnID(i+2)) == b)
+		b.inFlightElsewhere = inFlight
+		fmt.Printf("the backend has %.0f in flight, the others 1: still first: %v\n", inFlight, first(control.TxnID(i+2)) == b)
 		s.endSubmission(control.TxnID(i+2), control.Succeeded)
 	}
 	// Output:
 	// 10000 submit 1 to 14, 446
 	// 10000 submit 2 to 14, 446
-	// it holds 4, the others 1: first again: true
+	// the backend has 4 in flight, the others 1: still first: true
 	// 10000 submit 3 to 1, 446
-	// it holds 40, the others 1: first again: false
+	// the backend has 40 in flight, the others 1: still first: false
 }
--- a/control/loadbalancer/recorded_test.go
+++ b/control/loadbalancer/recorded_test.go
@@ -14,10 +14,11 @@
 	"clovergap/control"
 )
 
-// These tests hold what was decided on 2 December 2026, draw by draw and byte by byte, over runs with losses, silence and
-// restarts: a change of the code's shape may not change them. One that is meant to change decisions records them anew.
+// These tests compare the decisions with those of 2 December 2026, including every random draw and every byte of the datagrams, over runs with
+// losses, unresponsive backends and restarts. They guard against a refactoring that changes decisions. A change that is meant to change
+// decisions records new digests.
 
-// decisionRecorder hashes what was decided.
+// decisionRecorder computes the digest of decisions.
 type decisionRecorder struct {
 	hash.Hash64
 	count int
@@ -34,33 +35,35 @@
 
 func (d *decisionRecorder) sum() string { return fmt.Sprintf("%d %016x", d.count, d.Sum64()) }
 
-// recordedSettings are a scene's, with an open cap, a ceiling and plans that pay for what is beyond the quota.
+// recordedSettings returns the settings of a scenario, with plans that limit the submissions in flight, that have a hard limit, and that gain by
+// responses beyond the quota.
 func recordedSettings(me int) control.Settings {
 	s := settings(me)
 	s["quota.mail_per_s"], s["products.1.late_value"], s["plans.count"] = "400", "0.3", "4"
 	for i, plan := range []string{"40 80 0 0 0", "30 60 0 60 60", "30 60 5 0 0", "30 60 0 0 0"} {
-		var rate, burst, open, ceiling, ceilingBurst string
-		fmt.Sscan(plan, &rate, &burst, &open, &ceiling, &ceilingBurst)
+		var rate, burst, maxInFlight, hardRate, hardBurst string
+		fmt.Sscan(plan, &rate, &burst, &maxInFlight, &hardRate, &hardBurst)
 		at := fmt.Sprintf("plans.%d.", i)
-		s[at+"rate"], s[at+"burst"], s[at+"open_cap"], s[at+"ceiling_rate"], s[at+"ceiling_burst"] = rate, burst, open, ceiling, ceilingBurst
+		s[at+"rate"], s[at+"burst"], s[at+"open_cap"], s[at+"ceiling_rate"], s[at+"ceiling_burst"] = rate, burst, maxInFlight, hardRate, hardBurst
 		s[at+"price"], s[at+"over_value"], s[at+"over_cost"] = "1", "0", "1"
 	}
 	s["plans.3.over_value"], s["plans.3.over_cost"] = "1", "0"
 	return s
 }
 
-// simulateFrontDoors plays three front doors before eight backends of which some are slow, failing, dead or new, and gives the digest of their decisions.
+// simulateFrontDoors simulates three front doors and eight backends, of which some are slow, failing, unreachable or new. It returns the
+// digest of the decisions.
 func simulateFrontDoors(seed int64, load float64, change func(control.Settings)) string {
 	type event struct {
 		at       time.Duration
 		instance int
 		decision control.Decision
-		nr       int
-		from     control.GatewayID // of a message
+		attempt  int
+		from     control.GatewayID // sender of a datagram
 		sent     time.Duration
 	}
-	chance, rec := rand.New(rand.NewSource(seed)), newDecisionRecorder()
-	var instances []*Controller
+	rng, rec := rand.New(rand.NewSource(seed)), newDecisionRecorder()
+	var controllers []*Controller
 	now := time.Second
 	for i := range 3 {
 		s := recordedSettings(i)
@@ -69,110 +72,110 @@
 		if err != nil {
 			return err.Error()
 		}
-		instances = append(instances, d)
+		controllers = append(controllers, d)
 	}
-	list := func(id int, state control.BackendState, started time.Duration) control.Endpoint {
+	endpoint := func(id int, state control.BackendState, started time.Duration) control.Endpoint {
 		return control.Endpoint{ID: control.BackendID(id), Zone: control.ZoneID(id % 2), Pod: control.PodID(id % 4), State: state, Capacity: 4, Started: started}
 	}
-	for _, d := range instances {
+	for _, d := range controllers {
 		var all []control.Endpoint
 		for id := 1; id <= 8; id++ {
-			all = append(all, list(id, control.Ready, 0))
+			all = append(all, endpoint(id, control.Ready, 0))
 		}
 		d.EndpointsChanged(true, all)
 	}
-	still := func(step int) bool { return step%1500 > 1420 } // the second one, now and then
-	tries := map[[2]int]int{}
-	open := map[[2]int]bool{}
-	held := [9]int{}
+	stalled := func(step int) bool { return step%1500 > 1420 } // for the second front door, at intervals
+	attempts := map[[2]int]int{}
+	unanswered := map[[2]int]bool{}
+	inFlight := [9]int{}
 	var queue []event
 	var next control.TxnID
 	for step := 0; now < 41*time.Second; step++ {
 		now += 5 * time.Millisecond
 		if step%1000 == 999 {
-			id := 1 + chance.Intn(8)
-			for _, d := range instances {
-				switch chance.Intn(3) {
+			id := 1 + rng.Intn(8)
+			for _, d := range controllers {
+				switch rng.Intn(3) {
 				case 0:
-					d.EndpointsChanged(false, []control.Endpoint{list(id, control.Draining, 0)})
+					d.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Draining, 0)})
 				case 1:
-					d.EndpointsChanged(false, []control.Endpoint{list(id, control.Gone, 0)})
+					d.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Gone, 0)})
 				default:
-					d.EndpointsChanged(false, []control.Endpoint{list(id, control.Ready, now)})
+					d.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Ready, now)})
 				}
 			}
 		}
 		rest := queue[:0]
 		for _, e := range queue {
-			if e.at > now || e.instance == 1 && still(step) {
+			if e.at > now || e.instance == 1 && stalled(step) {
 				rest = append(rest, e)
 				continue
 			}
-			d, x := instances[e.instance], e.decision
+			d, x := controllers[e.instance], e.decision
 			d.Now(now)
 			switch x.Action {
 			case control.SendDatagram:
 				d.DatagramReceived(e.from, x.Payload)
 			case control.Probe:
-				d.ProbeEnded(x.Backend, chance.Intn(5) > 0, 3*time.Millisecond, []float64{float64(held[x.Backend])})
+				d.ProbeEnded(x.Backend, rng.Intn(5) > 0, 3*time.Millisecond, []float64{float64(inFlight[x.Backend])})
 			case control.Submit:
-				held[x.Backend]--
-				who := [2]int{e.instance, int(x.Txn)}
-				how, took := control.Succeeded, e.at-e.sent
+				inFlight[x.Backend]--
+				txnKey := [2]int{e.instance, int(x.Txn)}
+				ending, took := control.Succeeded, e.at-e.sent
 				switch {
 				case x.Backend == 3 && now > 15*time.Second && now < 22*time.Second:
-					how = control.Errored
+					ending = control.Errored
 				case x.Backend == 5 && now > 20*time.Second && now < 26*time.Second:
-					how = []control.Ending{control.Unreachable, control.ConnectionLost, control.TimedOut}[chance.Intn(3)]
+					ending = []control.Ending{control.Unreachable, control.ConnectionLost, control.TimedOut}[rng.Intn(3)]
 				case x.After > 0 && took > x.After:
-					how, took = control.TimedOut, x.After
-				case chance.Intn(20) == 0:
-					how = []control.Ending{control.Errored, control.Rejected, control.TimedOut, control.Unreachable, control.ConnectionLost, control.Canceled, control.NotSent}[chance.Intn(7)]
+					ending, took = control.TimedOut, x.After
+				case rng.Intn(20) == 0:
+					ending = []control.Ending{control.Errored, control.Rejected, control.TimedOut, control.Unreachable, control.ConnectionLost, control.Canceled, control.NotSent}[rng.Intn(7)]
 				}
-				over := how == control.Succeeded || !open[who]
-				d.SubmissionEnded(x.Txn, e.nr, x.Backend, how, over, took, []float64{float64(held[x.Backend])})
-				if over {
-					delete(open, who)
+				answered := ending == control.Succeeded || !unanswered[txnKey]
+				d.SubmissionEnded(x.Txn, e.attempt, x.Backend, ending, answered, took, []float64{float64(inFlight[x.Backend])})
+				if answered {
+					delete(unanswered, txnKey)
 				}
 			}
 		}
 		queue = rest
-		for i, d := range instances {
-			if i == 1 && still(step) {
+		for i, d := range controllers {
+			if i == 1 && stalled(step) {
 				continue
 			}
 			d.Now(now)
-			for chance.Float64() < load {
+			for rng.Float64() < load {
 				next++
-				product := control.ProductID(chance.Intn(4))
-				open[[2]int{i, int(next)}] = true
-				d.TxnArrived(control.Txn{ID: next, Customer: control.CustomerID(1 + chance.Intn(20)), Product: product, Plan: control.PlanID(chance.Intn(4)), Units: float64(1 + chance.Intn(3)),
-					Expiry: now + time.Duration(500+chance.Intn(1500))*time.Millisecond, SetFirst: 0, SetWidth: 3, Retry: chance.Intn(6) == 0})
+				product := control.ProductID(rng.Intn(4))
+				unanswered[[2]int{i, int(next)}] = true
+				d.TxnArrived(control.Txn{ID: next, Customer: control.CustomerID(1 + rng.Intn(20)), Product: product, Plan: control.PlanID(rng.Intn(4)), Units: float64(1 + rng.Intn(3)),
+					Expiry: now + time.Duration(500+rng.Intn(1500))*time.Millisecond, SetFirst: 0, SetWidth: 3, Retry: rng.Intn(6) == 0})
 			}
-			if chance.Intn(400) == 0 && next > 0 {
+			if rng.Intn(400) == 0 && next > 0 {
 				d.ClientLeft(next)
 			}
 			for x, ok := d.Next(); ok; x, ok = d.Next() {
 				rec.add(int64(x.Action), int64(x.Txn), int64(x.Attempt), int64(x.Backend), int64(x.After), int64(x.ResponseTimeout), int64(x.Peer), int64(x.Reason))
 				rec.Write(x.Payload)
-				who := [2]int{i, int(x.Txn)}
+				txnKey := [2]int{i, int(x.Txn)}
 				switch x.Action {
 				case control.Submit:
-					held[x.Backend]++
-					took := time.Duration(chance.ExpFloat64() * 40 * float64(time.Millisecond) * float64(1+held[x.Backend]/6))
+					inFlight[x.Backend]++
+					took := time.Duration(rng.ExpFloat64() * 40 * float64(time.Millisecond) * float64(1+inFlight[x.Backend]/6))
 					if x.Backend == 7 {
 						took *= 6
 					}
-					queue = append(queue, event{at: now + min(took, 3*time.Second), instance: i, decision: x, nr: tries[who], sent: now})
-					tries[who]++
+					queue = append(queue, event{at: now + min(took, 3*time.Second), instance: i, decision: x, attempt: attempts[txnKey], sent: now})
+					attempts[txnKey]++
 				case control.Probe:
 					queue = append(queue, event{at: now + 3*time.Millisecond, instance: i, decision: x})
 				case control.SendDatagram:
-					if chance.Intn(15) > 0 {
+					if rng.Intn(15) > 0 {
 						queue = append(queue, event{at: now + 4*time.Millisecond, instance: int(x.Peer), decision: x, from: control.GatewayID(i)})
 					}
 				case control.Reject, control.Fail:
-					delete(open, who)
+					delete(unanswered, txnKey)
 				}
 			}
 		}
@@ -180,7 +183,7 @@
 	return rec.sum()
 }
 
-func TestFrontDoorDecidesAsRecorded(t *testing.T) {
+func TestDecisionsMatchRecordedDigests(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		load   float64
--- a/control/loadbalancer/scenario_test.go
+++ b/control/loadbalancer/scenario_test.go
@@ -8,15 +8,15 @@
 	"clovergap/control/quota"
 )
 
-// scenario drives one controller and prints its decisions. Times are in milliseconds.
+// scenario drives one controller and prints its decisions. Times in arguments and in the output are in milliseconds.
 type scenario struct {
 	controller    *Controller
 	datagrams     []*quota.Message
-	hideDatagrams bool // datagrams are not printed
+	hideDatagrams bool // do not print datagrams
 }
 
-// settings have these products: 0 inquiry-like, 1 referenced in its pod, 2 once-only, 3 referenced everywhere.
-// Plans: 0 ten units a second and burst 20; 1 the same with a hard limit of 20 a second and at once.
+// settings returns settings with these products: 0 is inquiry-like, 1 is referenced in its pod, 2 is once-only and 3 is referenced everywhere.
+// Plan 0 has ten units per second and a burst of 20. Plan 1 has the same and a hard limit of 20 units per second with a burst of 20.
 func settings(me int) control.Settings {
 	s := control.Settings{"me": fmt.Sprint(me), "gateways": "3", "zone": "0", "limits.probes": "true",
 		"limits.peers": "true", "limits.cancel": "true", "limits.advice": "true",
@@ -32,15 +32,16 @@
 		s[at+"repeat_window"], s[at+"value"], s[at+"late_value"] = "1000000", "1", "0"
 		s[at+"expiry"] = "2000000"
 	}
-	for i, ceil := range []string{"0", "20"} {
+	for i, hardLimit := range []string{"0", "20"} {
 		at := fmt.Sprintf("plans.%d.", i)
 		s[at+"rate"], s[at+"burst"], s[at+"price"], s[at+"over_value"] = "10", "20", "1", "0"
-		s[at+"over_cost"], s[at+"open_cap"], s[at+"ceiling_rate"] = "1", "0", ceil
-		s[at+"ceiling_burst"] = ceil[:1] + "0"
+		s[at+"over_cost"], s[at+"open_cap"], s[at+"ceiling_rate"] = "1", "0", hardLimit
+		s[at+"ceiling_burst"] = hardLimit[:1] + "0"
 	}
 	return s
 }
 
+// newScenario returns a scenario whose clock starts at the given time.
 func newScenario(s control.Settings, at int) *scenario {
 	d, err := New(1, s, time.Millisecond*time.Duration(at))
 	if err != nil {
@@ -49,7 +50,7 @@
 	return &scenario{controller: d}
 }
 
-// newWarmScenario is at 10 s and has three warm backends: 1 and 2 in pod 0, 3 in pod 1.
+// newWarmScenario returns a scenario at 10 s with three warm backends. Backends 1 and 2 are in pod 0, and backend 3 is in pod 1.
 func newWarmScenario() *scenario {
 	s := newScenario(settings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready}, control.Endpoint{ID: 3, Pod: 1, State: control.Ready})
@@ -58,8 +59,8 @@
 	return s
 }
 
-// advance moves the clock and prints what is decided by then.
-// It does so in steps, as a host does: a process without a call has stood still.
+// advance moves the clock to a time and prints the decisions until then. It moves the clock in steps, as a host does, because a long time
+// without a call counts as a stall of the process.
 func (s *scenario) advance(t int) {
 	for to := time.Millisecond * time.Duration(t); s.controller.now < to; {
 		s.controller.Now(min(to, s.controller.now+50*time.Millisecond))
@@ -67,25 +68,26 @@
 	}
 }
 
+// changeEndpoints applies changes to the backend list, or replaces it if complete is true.
 func (s *scenario) changeEndpoints(complete bool, l ...control.Endpoint) {
 	s.controller.EndpointsChanged(complete, l)
 }
 
-// txn takes a txn of one unit in, from the customer, with two seconds until its expiry.
+// arrive adds a txn of the customer with one unit and an expiry in two seconds, and prints the decisions.
 func (s *scenario) arrive(id control.TxnID, c control.CustomerID, p control.ProductID, pl control.PlanID) {
 	s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Product: p, Plan: pl, Units: 1, SetWidth: 3,
 		Expiry: s.controller.now + 2*time.Second})
 	s.printDecisions()
 }
 
-// ended ends the present submission of a txn.
+// endSubmission ends the submission of a txn that is in flight, and prints the decisions.
 func (s *scenario) endSubmission(id control.TxnID, e control.Ending) {
 	t := s.controller.txns[id]
 	s.controller.SubmissionEnded(id, t.submissions-1, t.currentBackend.ID, e, e == control.Succeeded, s.controller.now-t.sentAt, nil)
 	s.printDecisions()
 }
 
-// ownedBy finds a customer of the whole set that the gateway owns.
+// ownedBy returns a customer that the set of all three gateways serves and that the given gateway owns.
 func ownedBy(g control.GatewayID) control.CustomerID {
 	for c := control.CustomerID(1); ; c++ {
 		if quota.OwnerOf(c, 0, 3, 3) == g {
@@ -94,19 +96,21 @@
 	}
 }
 
-// drain leaves so many units in a bucket of plan 0 that is owned here and holds as many or more.
+// drainBucket consumes units until the given number is left. The bucket must be of plan 0, owned by this gateway, and have at least that
+// many units.
 func (s *scenario) drainBucket(c control.CustomerID, left float64) {
 	s.controller.quota.Account(c, 0, 0, 3)
 	state, _ := s.controller.quota.State(c)
 	s.controller.quota.Consume(c, state.Level-left)
 }
 
-// receive delivers a message from a peer.
+// receive delivers a message from a peer and prints the decisions.
 func (s *scenario) receive(from control.GatewayID, m *quota.Message) {
 	s.controller.DatagramReceived(from, m.Encode())
 	s.printDecisions()
 }
 
+// printDecisions prints the decisions until there is none.
 func (s *scenario) printDecisions() {
 	for {
 		x, ok := s.controller.Next()
@@ -117,6 +121,7 @@
 	}
 }
 
+// format returns a decision as a line, or an empty string if the decision is not printed.
 func (s *scenario) format(x control.Decision) string {
 	t := fmt.Sprintf("%5d ", s.controller.now.Milliseconds())
 	limit := ""
--- a/control/loadbalancer/settings_test.go
+++ b/control/loadbalancer/settings_test.go
@@ -9,8 +9,9 @@
 	"clovergap/control"
 )
 
-// The first setting that is missing or wrong is named, so that an operator need not look for it.
-func TestSettingErrors(t *testing.T) {
+// Guards against an error that leaves the operator to search for the setting. New reports the first setting that is missing or invalid by
+// its name.
+func TestNewReportsFirstInvalidSetting(t *testing.T) {
 	for _, tc := range []struct{ name, value, problem string }{
 		{"me", "", "missing"},
 		{"zone", "-1", "not a whole number in range"},
@@ -23,9 +24,9 @@
 			delete(s, tc.name)
 		}
 		_, err := New(1, s, 0)
-		var wrong *SettingError
-		must.True(t, errors.As(err, &wrong), must.Sprint(tc))
-		must.Eq(t, SettingError{Name: tc.name, Problem: tc.problem}, *wrong)
+		var settingErr *SettingError
+		must.True(t, errors.As(err, &settingErr), must.Sprint(tc))
+		must.Eq(t, SettingError{Name: tc.name, Problem: tc.problem}, *settingErr)
 	}
 	_, err := New(1, control.Settings{}, 0)
 	must.EqError(t, err, "setting me: missing")
