--- a/control/loadbalancer/backend.go
+++ b/control/loadbalancer/backend.go
@@ -58,8 +58,8 @@
 }
 
 // newBackend creates a backend without any learned state.
-func (c *Controller) newBackend(e control.Endpoint) *backend {
-	return &backend{Endpoint: e, hash: control.Hash64(uint64(e.ID)), slowdown: 1, failures: make([]productFailures, len(c.products))}
+func (c *Controller) newBackend(endpoint control.Endpoint) *backend {
+	return &backend{Endpoint: endpoint, hash: control.Hash64(uint64(endpoint.ID)), slowdown: 1, failures: make([]productFailures, len(c.products))}
 }
 
 // EndpointsChanged applies changes to the backend list. A complete list replaces the current one.
@@ -69,8 +69,8 @@
 			b.State = control.Gone
 		}
 	}
-	for _, e := range list {
-		c.setEndpoint(e)
+	for _, endpoint := range list {
+		c.setEndpoint(endpoint)
 	}
 	// A submission in flight keeps its own pointer to its backend, so a removed backend stays valid for it.
 	c.backendsByID = slices.DeleteFunc(c.backendsByID, func(b *backend) bool {
@@ -84,21 +84,21 @@
 }
 
 // setEndpoint adds a backend to the list or updates it.
-func (c *Controller) setEndpoint(e control.Endpoint) {
-	b := c.backends[e.ID]
+func (c *Controller) setEndpoint(endpoint control.Endpoint) {
+	b := c.backends[endpoint.ID]
 	if b == nil {
-		b = c.newBackend(e)
-		c.backends[e.ID] = b
+		b = c.newBackend(endpoint)
+		c.backends[endpoint.ID] = b
 		c.backendsByID = append(c.backendsByID, b)
 		c.backendsByHash[b.hash&quota.ObservationHashMask] = b
 		sort.Slice(c.backendsByID, func(i, j int) bool { return c.backendsByID[i].ID < c.backendsByID[j].ID })
 	}
-	if e.Started > b.Started { // a new process, to which the statistics of the former one do not apply
+	if endpoint.Started > b.Started { // a new process, to which the statistics of the former one do not apply
 		inFlight := b.inFlight
-		*b = *c.newBackend(e)
+		*b = *c.newBackend(endpoint)
 		b.inFlight = inFlight
 	}
-	b.Endpoint = e
+	b.Endpoint = endpoint
 }
 
 // refreshBackends updates the list of ready backends and the statistics that pick uses. One refresh serves all picks within refreshInterval.
--- a/control/loadbalancer/capacity.go
+++ b/control/loadbalancer/capacity.go
@@ -8,18 +8,18 @@
 )
 
 // congestionOf returns whether a response or a time-out shows that the fleet is congested, that it is not, or neither.
-func (c *Controller) congestionOf(t *txn, b *backend, e control.Ending) quota.Congestion {
-	if t.currentBackend == nil || e != control.Succeeded && e != control.TimedOut {
+func (c *Controller) congestionOf(t *txn, b *backend, ending control.Ending) quota.Congestion {
+	if t.currentBackend == nil || ending != control.Succeeded && ending != control.TimedOut {
 		return quota.CongestionUnknown
 	}
 	sla := float64(c.products[t.Product].slaTime)
 	late := time.Duration(min(lateSLAShare*sla+float64(c.usualLatency(t)), maxLateSLAShare*sla))
-	if e == control.Succeeded && c.now-t.sentAt < late {
+	if ending == control.Succeeded && c.now-t.sentAt < late {
 		return quota.NotCongested
 	}
 	// A fault of one backend lowers the capacity of that backend, not of the fleet. A time-out at a backend that has not responded since the
 	// submission shows an unresponsive backend, not congestion.
-	unresponsive := e == control.TimedOut && b.unansweredSince <= t.sentAt
+	unresponsive := ending == control.TimedOut && b.unansweredSince <= t.sentAt
 	if b.warmUpShare < 1 || b.slowdown > slowOutlierRatio*c.medianSlowdown || unresponsive {
 		return quota.CongestionUnknown
 	}
@@ -29,13 +29,13 @@
 // adjustCapacity adapts the number of submissions that this front door may have in flight. It learns from its own submissions and from those
 // that peers report. A late response lowers the capacity, and a prompt one raises it while the capacity is in use. This protects against
 // overload, a slow fleet and lost backends alike. It may do harm if the work of a product alone takes nearly its SLA time.
-func (c *Controller) adjustCapacity(seen quota.Congestion) {
-	if seen == quota.NotCongested && c.underPressure() {
+func (c *Controller) adjustCapacity(congestion quota.Congestion) {
+	if congestion == quota.NotCongested && c.underPressure() {
 		c.capacity = min(maxCapacity, c.capacity*(1+c.capacityGain))
 	}
 	// A front door with spare capacity does not cause the lateness. Exponentially distributed work times also cause some late responses
 	// without any congestion. These would lower the capacity while nothing raises it.
-	if seen == quota.Congested && c.utilization >= minUtilization && c.underPressure() {
+	if congestion == quota.Congested && c.utilization >= minUtilization && c.underPressure() {
 		c.capacity, c.capacityGain = max(minCapacity/float64(c.gateways), c.capacity*(1-capacityLoss)), capacityGain
 	}
 }
--- a/control/loadbalancer/ejection.go
+++ b/control/loadbalancer/ejection.go
@@ -95,8 +95,8 @@
 }
 
 // ProbeEnded records the outcome of a probe and its load report, if it has one.
-func (c *Controller) ProbeEnded(at control.BackendID, passed bool, _ time.Duration, load []float64) {
-	b := c.backends[at]
+func (c *Controller) ProbeEnded(backendID control.BackendID, passed bool, _ time.Duration, load []float64) {
+	b := c.backends[backendID]
 	if b == nil {
 		return
 	}
--- a/control/loadbalancer/outcome.go
+++ b/control/loadbalancer/outcome.go
@@ -8,40 +8,40 @@
 )
 
 // recordOutcome updates the statistics from the outcome of a submission. t is nil if the txn has been answered and forgotten.
-func (c *Controller) recordOutcome(t *txn, b *backend, e control.Ending, took time.Duration, load []float64) {
-	if e == control.Succeeded || e == control.Errored || e == control.Rejected {
+func (c *Controller) recordOutcome(t *txn, b *backend, ending control.Ending, took time.Duration, load []float64) {
+	if ending == control.Succeeded || ending == control.Errored || ending == control.Rejected {
 		b.unanswered, b.unansweredSince = 0, 0
 		if b.inFlight > 1 {
 			b.unanswered, b.unansweredSince = b.inFlight-1, c.now
 		}
 		c.applyLoadReport(b, load)
 	}
-	if t == nil || t.sentAt < c.pausedUntil && (e == control.Succeeded || e == control.TimedOut) {
+	if t == nil || t.sentAt < c.pausedUntil && (ending == control.Succeeded || ending == control.TimedOut) {
 		return // the stall of this process, not the backend, determined how long it took
 	}
-	o := quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Product: t.Product, Congestion: c.congestionOf(t, b, e)}
-	c.adjustCapacity(o.Congestion)
-	switch e {
+	observation := quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Product: t.Product, Congestion: c.congestionOf(t, b, ending)}
+	c.adjustCapacity(observation.Congestion)
+	switch ending {
 	case control.Unreachable, control.ConnectionLost:
-		o.Ratio = quota.ObservedLost
+		observation.Ratio = quota.ObservedLost
 	case control.Errored:
-		o.Ratio = quota.ObservedFailed
+		observation.Ratio = quota.ObservedFailed
 	case control.TimedOut:
-		if o.Ratio = float64(c.now-t.sentAt) / float64(c.usualLatency(t)); o.Ratio >= lostLatencyRatio {
-			o.Ratio = quota.ObservedLost
+		if observation.Ratio = float64(c.now-t.sentAt) / float64(c.usualLatency(t)); observation.Ratio >= lostLatencyRatio {
+			observation.Ratio = quota.ObservedLost
 		}
 	case control.Rejected:
 		c.recordRejection(b)
 		return
 	case control.Succeeded:
 		b.consecutiveRejections = 0
-		o.Ratio = c.recordLatency(t, took)
+		observation.Ratio = c.recordLatency(t, took)
 		c.countCompletion(b)
 	case control.Canceled, control.NotSent:
 		return
 	}
-	c.applyObservation(b, o)
-	c.observations = append(c.observations, o)
+	c.applyObservation(b, observation)
+	c.observations = append(c.observations, observation)
 	c.observations = c.observations[max(0, len(c.observations)-observationsPerMessage):]
 	c.observationCount++
 }
@@ -72,19 +72,19 @@
 // lost backends. A peer's observation has the weight of one response and can't readmit an ejected backend. The ejections that it causes are
 // bounded by maxEjectedShare, and these backends are tried again like all other ejected ones. A peer that is itself slow may report misleading
 // observations.
-func (c *Controller) applyObservation(b *backend, o quota.Observation) {
-	switch o.Ratio {
+func (c *Controller) applyObservation(b *backend, observation quota.Observation) {
+	switch observation.Ratio {
 	case quota.ObservedLost:
 		c.recordLoss(b, 1)
 		return
 	case quota.ObservedFailed:
-		c.recordProductResult(o.Product, b, 1)
+		c.recordProductResult(observation.Product, b, 1)
 	default:
-		c.recordProductResult(o.Product, b, 0)
-		if b.ejected && o.Ratio < slowEjectionRatio {
+		c.recordProductResult(observation.Product, b, 0)
+		if b.ejected && observation.Ratio < slowEjectionRatio {
 			b.passedProbes++ // a prompt response counts as a successful probe
 		}
-		b.slowdown += smoothing * (o.Ratio - b.slowdown)
+		b.slowdown += smoothing * (observation.Ratio - b.slowdown)
 	}
 	c.recordLoss(b, 0)
 }
@@ -125,10 +125,10 @@
 
 // applyPeerObservations applies the observations of a peer. It ignores backends that are not in this front door's list.
 func (c *Controller) applyPeerObservations(observations []quota.Observation) {
-	for _, o := range observations {
-		if b := c.backendsByHash[o.BackendHash]; b != nil && int(o.Product) < len(c.products) {
-			c.applyObservation(b, o)
-			c.adjustCapacity(o.Congestion)
+	for _, observation := range observations {
+		if b := c.backendsByHash[observation.BackendHash]; b != nil && int(observation.Product) < len(c.products) {
+			c.applyObservation(b, observation)
+			c.adjustCapacity(observation.Congestion)
 		}
 	}
 }
--- a/control/loadbalancer/pick.go
+++ b/control/loadbalancer/pick.go
@@ -20,48 +20,48 @@
 // capacity.
 func (c *Controller) pick(t *txn) *backend {
 	c.refreshBackends()
-	s := c.candidatesFor(t)
-	c.candidates = s.candidates
-	c.utilization = s.inFlight / max(s.capacity, 1)
-	if !s.anyEligible {
+	set := c.candidatesFor(t)
+	c.candidates = set.candidates
+	c.utilization = set.inFlight / max(set.capacity, 1)
+	if !set.anyEligible {
 		return c.pickFallback(t)
 	}
-	if len(s.candidates) == 0 || s.inFlight+1 > max(1, s.capacity+burstAllowance*math.Sqrt(s.capacity)) {
+	if len(set.candidates) == 0 || set.inFlight+1 > max(1, set.capacity+burstAllowance*math.Sqrt(set.capacity)) {
 		c.saturated = c.saturated || !t.mayHaveRun
 		return nil
 	}
-	return c.pickByRank(t, s)
+	return c.pickByRank(t, set)
 }
 
 // candidatesFor returns the summary of the eligible backends for a txn. Its candidates are those that have capacity.
 func (c *Controller) candidatesFor(t *txn) candidateSet {
-	s := candidateSet{candidates: c.candidates[:0]}
+	set := candidateSet{candidates: c.candidates[:0]}
 	for _, b := range c.readyBackends {
 		if !c.eligible(b, t) {
 			continue
 		}
 		share := b.warmUpShare * c.slowStartShare(b)
 		capacity := c.capacity * share * min(1, c.medianSlowdown/max(b.slowdown, minSlowdown))
-		s.anyEligible, s.inFlight, s.capacity = true, s.inFlight+float64(b.inFlight), s.capacity+capacity
+		set.anyEligible, set.inFlight, set.capacity = true, set.inFlight+float64(b.inFlight), set.capacity+capacity
 		// A backend that is warming up or in slow start is skipped at random, so that it gets only its share of the txns.
 		if share < 1 && c.rng.Float64() > share || float64(b.inFlight+1) > max(1, maxInFlightFactor*capacity) {
 			continue
 		}
-		s.candidates = append(s.candidates, b)
+		set.candidates = append(set.candidates, b)
 		b.load = c.loadOf(b)
-		s.load += b.load
+		set.load += b.load
 	}
-	return s
+	return set
 }
 
 // pickByRank returns the candidate with the highest rank. The ranks of backends in the own zone are above all others, because traffic
 // between zones has a cost. Candidates with far more than the mean load are skipped. If all candidates are skipped, it returns the least
 // loaded one.
-func (c *Controller) pickByRank(t *txn, s candidateSet) *backend {
-	maxLoad := maxLoadFactor*s.load/float64(len(s.candidates)) + 1
+func (c *Controller) pickByRank(t *txn, set candidateSet) *backend {
+	maxLoad := maxLoadFactor*set.load/float64(len(set.candidates)) + 1
 	var first, least *backend
 	var highest uint64
-	for _, b := range s.candidates {
+	for _, b := range set.candidates {
 		if least == nil || b.load < least.load {
 			least = b
 		}
--- a/control/loadbalancer/txn.go
+++ b/control/loadbalancer/txn.go
@@ -42,19 +42,19 @@
 func (t *txn) needsQuota() bool { return !t.consumed && !t.overQuota && !t.reserved }
 
 // TxnArrived adds a txn from a client, to be decided by Next. It ignores a txn whose ID is in use.
-func (c *Controller) TxnArrived(x control.Txn) {
-	if c.txns[x.ID] != nil {
+func (c *Controller) TxnArrived(request control.Txn) {
+	if c.txns[request.ID] != nil {
 		return
 	}
-	x.Units = max(x.Units, 0)
-	t := &txn{Txn: x, arrived: c.now}
-	if x.Product < 0 || int(x.Product) >= len(c.products) || x.Plan < 0 || int(x.Plan) >= len(c.plans) {
+	request.Units = max(request.Units, 0)
+	t := &txn{Txn: request, arrived: c.now}
+	if request.Product < 0 || int(request.Product) >= len(c.products) || request.Plan < 0 || int(request.Plan) >= len(c.plans) {
 		t.Product, t.Plan, t.slaDeadline = 0, 0, c.now // unknown product or plan: rejected with ReasonNoTime
 	} else {
 		c.setDeadlines(t)
 	}
-	c.txns[x.ID] = t
-	c.timers.Add(x.Expiry-expiryMargin, x.ID) // rule 1: every txn is answered by its expiry
+	c.txns[request.ID] = t
+	c.timers.Add(request.Expiry-expiryMargin, request.ID) // rule 1: every txn is answered by its expiry
 	c.undecided = append(c.undecided, t)
 }
 
@@ -105,8 +105,8 @@
 		c.finish(t, 0)
 		return
 	}
-	a := c.quota.Account(t.Customer, t.Plan, t.SetFirst, t.SetWidth)
-	if t.needsQuota() && !c.checkQuota(t, a) {
+	account := c.quota.Account(t.Customer, t.Plan, t.SetFirst, t.SetWidth)
+	if t.needsQuota() && !c.checkQuota(t, account) {
 		return
 	}
 	t.reason = control.ReasonNoBackend
@@ -118,9 +118,9 @@
 	case t.lateRetry && t.submissions == 0 && (b == nil || c.underPressure()):
 		c.finish(t, c.maxRetryAfter) // the remaining capacity is for first attempts
 	case b == nil:
-		c.awaitBackend(t, a)
+		c.awaitBackend(t, account)
 	default:
-		c.submit(t, a, b)
+		c.submit(t, account, b)
 	}
 }
 
@@ -133,16 +133,16 @@
 }
 
 // checkQuota reports whether the quota admits a txn or the txn may exceed it. Otherwise, it queues or answers the txn.
-func (c *Controller) checkQuota(t *txn, a *quota.Account) bool {
+func (c *Controller) checkQuota(t *txn, account *quota.Account) bool {
 	request := quota.Request{Units: t.Units, Arrived: t.arrived, SLA: c.products[t.Product].slaTime, Late: t.lateRetry}
-	outcome, at, reason := c.quota.CheckAccount(a, request)
+	outcome, at, reason := c.quota.CheckAccount(account, request)
 	t.reason = reason
 	switch outcome {
 	case quota.Pending:
 		c.enqueue(t, at)
 		return false
 	case quota.Exceeded:
-		if !c.mayExceedQuota(a, t) {
+		if !c.mayExceedQuota(account, t) {
 			c.finish(t, at)
 			return false
 		}
@@ -153,11 +153,11 @@
 
 // awaitBackend lets a txn wait for a backend. It reserves the units of the txn, because the quota snapshot that covers the txn may become
 // too old while the txn waits.
-func (c *Controller) awaitBackend(t *txn, a *quota.Account) {
+func (c *Controller) awaitBackend(t *txn, account *quota.Account) {
 	c.saturatedAt = c.now
 	if t.needsQuota() {
 		t.reserved = true
-		c.quota.ReserveAccount(a, t.Units)
+		c.quota.ReserveAccount(account, t.Units)
 	}
 	c.enqueue(t, t.arrived+time.Duration(backendQueueTimeShare*float64(c.products[t.Product].slaTime)))
 }
@@ -170,8 +170,8 @@
 
 // mayExceedQuota reports whether a txn that exceeds its quota is admitted. This is an exception for plans that gain by it and are not
 // charged. It holds only while the backends clearly have spare capacity and no txn has recently lacked capacity.
-func (c *Controller) mayExceedQuota(a *quota.Account, t *txn) bool {
-	p := &c.plans[a.Plan()]
+func (c *Controller) mayExceedQuota(account *quota.Account, t *txn) bool {
+	p := &c.plans[account.Plan()]
 	return p.overQuotaValue > 0 && p.overQuotaCost <= 0 && p.MaxInFlight == 0 && p.HardRate <= 0 && !t.lateRetry &&
 		c.utilization < maxOverQuotaUtilization && c.now-c.saturatedAt > overQuotaCooldown
 }
@@ -243,18 +243,18 @@
 }
 
 // submit sends a txn to a backend. No other function does so, and it checks every rule of the package comment again.
-func (c *Controller) submit(t *txn, a *quota.Account, b *backend) {
+func (c *Controller) submit(t *txn, account *quota.Account, b *backend) {
 	if t.ended || t.currentBackend != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-expiryMargin || !c.allowedByRules(b, t) {
 		c.finish(t, 0)
 		return
 	}
 	if t.submissions == 0 {
-		c.chargeFirstSubmission(t, a)
+		c.chargeFirstSubmission(t, account)
 	} else {
 		c.retryBudget--
 	}
 	c.countSubmission(t, b)
-	c.quota.SubmissionSent(a)
+	c.quota.SubmissionSent(account)
 	t.submissions++
 	t.currentBackend, t.previousBackend, t.sentAt = b, b, c.now
 	c.decisions = append(c.decisions, control.Decision{
@@ -263,11 +263,11 @@
 }
 
 // chargeFirstSubmission consumes the units of a txn at its first submission, and adds to the retry and probe budgets.
-func (c *Controller) chargeFirstSubmission(t *txn, a *quota.Account) {
+func (c *Controller) chargeFirstSubmission(t *txn, account *quota.Account) {
 	c.releaseReservation(t)
 	if !t.overQuota {
 		t.consumed = true
-		c.quota.ConsumeAccount(a, t.Units)
+		c.quota.ConsumeAccount(account, t.Units)
 	}
 	c.retryBudget = min(maxRetryBudget, c.retryBudget+retryBudgetPerTxn)
 	c.probeBudget = min(maxProbeBudget, c.probeBudget+probeBudgetPerTxn)
@@ -307,11 +307,11 @@
 
 // SubmissionEnded records the only outcome of a submission. attempt counts from 0. answered reports whether the client has an answer or has
 // left.
-func (c *Controller) SubmissionEnded(id control.TxnID, attempt int, at control.BackendID, e control.Ending, answered bool, took time.Duration,
+func (c *Controller) SubmissionEnded(id control.TxnID, attempt int, backendID control.BackendID, ending control.Ending, answered bool, took time.Duration,
 	load []float64) {
-	t, b := c.txns[id], c.backends[at]
+	t, b := c.txns[id], c.backends[backendID]
 	if b != nil {
-		c.recordOutcome(t, b, e, took, load)
+		c.recordOutcome(t, b, ending, took, load)
 	}
 	if t == nil || attempt != t.submissions-1 || t.currentBackend == nil {
 		return
@@ -319,7 +319,7 @@
 	t.currentBackend.inFlight--
 	t.currentBackend = nil
 	c.quota.SubmissionEnded(t.Customer)
-	if !e.ProvesNotRun() && !t.mayHaveRun {
+	if !ending.ProvesNotRun() && !t.mayHaveRun {
 		t.mayHaveRun, t.firstRanAt = true, t.sentAt
 		if b != nil {
 			t.ranZone, t.ranPod = b.Zone, b.Pod
