--- a/control/loadbalancer/backend.go
+++ b/control/loadbalancer/backend.go
@@ -30,7 +30,7 @@
 
 	// Quality.
 	slowdown    float64           // smoothed ratio of its response times to the usual ones
-	lossShare   float64           // smoothed share of lost submissions
+	lossShare   float64           // smoothed share of lost submissions and failed probes
 	lossSamples float64           // total weight of the samples in lossShare
 	failures    []productFailures // indexed by control.ProductID
 
@@ -52,7 +52,7 @@
 // productFailures is the failure statistics of one product, either at one backend or at all backends.
 type productFailures struct {
 	share         float64 // smoothed share of failed submissions
-	samples       float64 // number of responses in share
+	samples       float64 // number of responses in share, at most maxFailureSamples
 	excludedUntil time.Duration
 	backoff       time.Duration // length of the last exclusion
 }
--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -32,12 +32,12 @@
 	overloadFactor float64
 
 	// Time.
-	now         time.Duration
-	startedAt   time.Duration
-	sweptAt     time.Duration
-	wakeAt      time.Duration
-	pausedFrom  time.Duration // start of the last stall of this process
-	pausedUntil time.Duration // end of the last stall of this process
+	now        time.Duration
+	startedAt  time.Duration
+	sweptAt    time.Duration
+	wakeAt     time.Duration
+	stallStart time.Duration // start of the last stall of this process
+	stallEnd   time.Duration // end of the last stall of this process
 
 	quota *quota.Limiter
 	rng   *rand.Rand
@@ -149,7 +149,7 @@
 // backdateArrivals.
 func (c *Controller) Now(now time.Duration) {
 	if c.now > c.startedAt && now-c.now > stallThreshold {
-		c.pausedFrom, c.pausedUntil = c.now, now
+		c.stallStart, c.stallEnd = c.now, now
 		for _, b := range c.backendsByID {
 			b.unansweredSince = now
 		}
@@ -161,7 +161,7 @@
 // Next returns the next decision, or false if there is none now. It returns pending decisions first. Then it handles undecided txns, expired
 // timers, periodic work, datagrams and the next wake-up, in this order.
 func (c *Controller) Next() (control.Decision, bool) {
-	if c.pausedFrom < c.pausedUntil {
+	if c.stallStart < c.stallEnd {
 		c.backdateArrivals()
 	}
 	for {
--- a/control/loadbalancer/outcome.go
+++ b/control/loadbalancer/outcome.go
@@ -7,7 +7,7 @@
 	"clovergap/control/quota"
 )
 
-// recordOutcome updates the statistics from the outcome of a submission. t is nil if the txn has been answered and forgotten.
+// recordOutcome updates the statistics from the outcome of a submission. t is nil if the txn has been answered and removed.
 func (c *Controller) recordOutcome(t *txn, b *backend, ending control.Ending, took time.Duration, load []float64) {
 	if ending == control.Succeeded || ending == control.Errored || ending == control.Rejected {
 		b.unanswered, b.unansweredSince = 0, 0
@@ -16,7 +16,7 @@
 		}
 		c.applyLoadReport(b, load)
 	}
-	if t == nil || t.sentAt < c.pausedUntil && (ending == control.Succeeded || ending == control.TimedOut) {
+	if t == nil || t.sentAt < c.stallEnd && (ending == control.Succeeded || ending == control.TimedOut) {
 		return // the stall of this process, not the backend, determined how long it took
 	}
 	observation := quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Product: t.Product, Congestion: c.congestionOf(t, b, ending)}
@@ -69,9 +69,9 @@
 }
 
 // applyObservation updates the statistics from the outcome of one submission of this front door or of a peer. It detects slow, failing and
-// lost backends. A peer's observation has the weight of one response and can't readmit an ejected backend. The ejections that it causes are
-// bounded by maxEjectedShare, and these backends are tried again like all other ejected ones. A peer that is itself slow may report misleading
-// observations.
+// lost backends. A peer's observation has the weight of one response and alone can't readmit an ejected backend. The ejections that it
+// causes are bounded by maxEjectedShare, and these backends are tried again like all other ejected ones. A peer that is itself slow may
+// report misleading observations.
 func (c *Controller) applyObservation(b *backend, observation quota.Observation) {
 	switch observation.Ratio {
 	case quota.ObservedLost:
--- a/control/loadbalancer/tuning.go
+++ b/control/loadbalancer/tuning.go
@@ -32,7 +32,7 @@
 
 // Times of a txn.
 const (
-	// expiryMargin is the time before its expiry at which the front door answers a txn itself.
+	// The front door itself answers a txn at expiryMargin before the expiry of the txn.
 	expiryMargin = 2 * time.Millisecond
 	// slaMargin is the time before the end of the SLA time at which a submission times out. A later response has too little value for
 	// its work.
@@ -41,7 +41,7 @@
 	networkMargin = 40 * time.Millisecond
 	// responseTimeout is the longest time from the first byte of a response to its last.
 	responseTimeout = 100 * time.Millisecond
-	// backendQueueTimeShare is the share of the SLA time for which a txn waits for a backend at most.
+	// backendQueueTimeShare is the longest time for which a txn waits for a backend, as a share of the SLA time.
 	backendQueueTimeShare = 0.35
 	// A first submission times out after firstAttemptShare of the remaining time, so that there is time for a retry. This holds only if
 	// that time is more than firstAttemptFactor times the usual response time.
@@ -56,7 +56,7 @@
 const (
 	// smoothing is the weight of a new sample in the moving averages of a backend.
 	smoothing = 0.1
-	// fleetSmoothing is the weight of a new sample in the moving averages of all backends, and latencySmoothing its weight in the usual
+	// fleetSmoothing is the weight of a new sample in the moving averages over all backends. latencySmoothing is its weight in the usual
 	// response time of a kind of work.
 	fleetSmoothing   = smoothing / 5
 	latencySmoothing = smoothing / 2
@@ -121,8 +121,8 @@
 	// slowStartTime is the time after an ejection in which the share of a backend grows from minSlowStartShare to 1.
 	slowStartTime     = 4 * time.Second
 	minSlowStartShare = 0.2
-	// warmUpBudgetShare is the share of the submissions that would overload a backend that is warming up which all front doors together
-	// send to it.
+	// A certain number of submissions overloads a backend that is warming up. All front doors together send it warmUpBudgetShare of this
+	// number.
 	warmUpBudgetShare = 0.5
 )
 
@@ -144,7 +144,7 @@
 	// SLA time.
 	lateSLAShare    = 0.4
 	maxLateSLAShare = 0.9
-	// The late responses of a backend whose slowdown is above slowOutlierRatio times the median are its own fault and show no congestion
+	// If the slowdown of a backend is above slowOutlierRatio times the median, its late responses are its own fault and show no congestion
 	// of the fleet.
 	slowOutlierRatio = 1.7
 	// pressureTTL is the time for which a lack of capacity counts as pressure.
@@ -158,7 +158,8 @@
 	// At most burstAllowance times the square root of the whole capacity is in flight beyond that capacity. Txns arrive unevenly, and the
 	// fewer there are, the more unevenly.
 	burstAllowance = 1.0
-	// A backend gets no more submissions at maxLoadFactor times the mean load plus one. The factor is large because load reports are late.
+	// A candidate is skipped if one more submission would raise its load above maxLoadFactor times the mean load plus one. The factor is
+	// large because load reports are late.
 	maxLoadFactor = 8.0
 	// minLoadSlowdown is the lower bound of the factor by which the load of a fast backend is reduced.
 	minLoadSlowdown = 0.5
--- a/control/loadbalancer/txn.go
+++ b/control/loadbalancer/txn.go
@@ -64,14 +64,14 @@
 // late response still has some value. It leaves low quota buckets and scarce capacity to other txns.
 func (c *Controller) setDeadlines(t *txn) {
 	p := &c.products[t.Product]
-	left := t.Expiry - c.now
+	remaining := t.Expiry - c.now
 	t.slaDeadline = min(c.now+p.slaTime, t.Expiry)
 	if !t.Retry {
-		p.attemptTimeout = min(max(p.attemptTimeout, left), p.clientTimeout)
+		p.attemptTimeout = min(max(p.attemptTimeout, remaining), p.clientTimeout)
 		return
 	}
-	elapsed := p.clientTimeout - left
-	unknown := p.attemptTimeout <= 0 || left >= p.attemptTimeout-networkMargin && elapsed > networkMargin
+	elapsed := p.clientTimeout - remaining
+	unknown := p.attemptTimeout <= 0 || remaining >= p.attemptTimeout-networkMargin && elapsed > networkMargin
 	t.lateRetry = unknown || elapsed >= p.slaTime && p.lateValue > 0
 	if !t.lateRetry && elapsed > 0 {
 		t.slaDeadline = min(t.slaDeadline, c.now+p.slaTime-elapsed)
@@ -84,11 +84,11 @@
 	n := len(c.undecided)
 	for i, t := range c.undecided {
 		if t.arrived == c.now && t.submissions == 0 {
-			waited := time.Duration(float64(c.pausedUntil-c.pausedFrom) * (float64(n-i) - 0.5) / float64(n))
+			waited := time.Duration(float64(c.stallEnd-c.stallStart) * (float64(n-i) - 0.5) / float64(n))
 			t.slaDeadline = min(t.slaDeadline, c.now-waited+c.products[t.Product].slaTime)
 		}
 	}
-	c.pausedFrom = c.pausedUntil
+	c.stallStart = c.stallEnd
 }
 
 // decide submits a txn that has no submission in flight, lets it wait, or answers it.
