--- a/control/loadbalancer/recorded_test.go
+++ b/control/loadbalancer/recorded_test.go
@@ -191,12 +191,12 @@
 		seed   int64
 		want   string
 	}{
-		{"calm", 0.2, func(control.Settings) {}, 1, "22398 7cdf512c8e12c25d"},
-		{"crowded", 0.7, func(control.Settings) {}, 2, "97632 79bb9abc922bbd29"},
-		{"no probes, no advice, no cancel", 0.5, func(s control.Settings) {
+		{"low load", 0.2, func(control.Settings) {}, 1, "22398 7cdf512c8e12c25d"},
+		{"high load", 0.7, func(control.Settings) {}, 2, "97632 79bb9abc922bbd29"},
+		{"no probes, no retry delays, no cancellation", 0.5, func(s control.Settings) {
 			s["limits.probes"], s["limits.cancel"], s["limits.advice"] = "false", "false", "false"
 		}, 3, "62102 3f46f75209db254e"},
-		{"load by probes", 0.5, func(s control.Settings) { s["report.how"], s["report.fields"] = "probe", "queue,per_s,service_ms" }, 4, "63570 369a32c64359b1ca"},
+		{"load reports by probes", 0.5, func(s control.Settings) { s["report.how"], s["report.fields"] = "probe", "queue,per_s,service_ms" }, 4, "63570 369a32c64359b1ca"},
 	} {
 		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, simulateFrontDoors(tc.seed, tc.load, tc.change)) })
 	}
--- a/control/loadbalancer/settings.go
+++ b/control/loadbalancer/settings.go
@@ -89,7 +89,7 @@
 func (s *settingsReader) count(name string, maxValue int) int {
 	v, err := strconv.Atoi(s.text(name))
 	if err != nil || v < 0 || v > maxValue {
-		s.fail(name, "not a whole number in range")
+		s.fail(name, "not an integer in the allowed range")
 		return 0
 	}
 	return v
--- a/control/loadbalancer/settings_test.go
+++ b/control/loadbalancer/settings_test.go
@@ -14,7 +14,7 @@
 func TestNewReportsFirstInvalidSetting(t *testing.T) {
 	for _, tc := range []struct{ name, value, problem string }{
 		{"me", "", "missing"},
-		{"zone", "-1", "not a whole number in range"},
+		{"zone", "-1", "not an integer in the allowed range"},
 		{"rules.cold_from", "much", "not a number"},
 		{"products.1.sla_time", "", "missing"},
 		{"quota.mail_per_s", "x", "not a number"},
