--- a/internal/gateway/outlier/access.go
+++ b/internal/gateway/outlier/access.go
@@ -7,7 +7,7 @@
 	"clovergap/internal/invariant"
 )
 
-// queueService has a service's access looked at again.
+// queueService marks a service for the next updateAccess. It does nothing if the service is already marked.
 func (n *Node) queueService(svc *service) {
 	if !svc.changed {
 		svc.changed = true
@@ -15,7 +15,7 @@
 	}
 }
 
-// updateAccess tells the host what has changed of what backends get.
+// updateAccess recomputes the access of the backends of every marked service and pushes a SetAccess action for each change.
 func (n *Node) updateAccess() {
 	for _, svc := range n.changed {
 		svc.changed = false
@@ -25,7 +25,7 @@
 	n.changed = n.changed[:0]
 }
 
-// accessOf is the access that a key's ejection leaves it.
+// accessOf returns the access that a key's ejection allows. It is Open if the key has no ejection or if outlier detection is disabled.
 func (n *Node) accessOf(k Key) Access {
 	if ejection := n.state.Ejection(k); ejection != nil && n.state.Enabled() {
 		return ejection.access()
@@ -33,7 +33,8 @@
 	return Open
 }
 
-// updatePatient keeps the least unhealthy in service, as many as the settings ask for at the least.
+// updatePatient sets the access of a service's backends for patient requests. If too few backends would stay open, it opens the least
+// unhealthy of the ejected ones, until as many are open as Settings.minInService requires.
 func (n *Node) updatePatient(svc *service) {
 	var ejected []*Ejection
 	for _, instance := range svc.backends {
@@ -42,7 +43,7 @@
 		}
 	}
 	slices.SortFunc(ejected, func(a, b *Ejection) int {
-		switch { // the least unhealthy first
+		switch { // The least unhealthy backend comes first.
 		case a.Step != b.Step:
 			return int(b.Step) - int(a.Step)
 		case a.Score != b.Score:
@@ -51,7 +52,7 @@
 		return a.compare(b.Key)
 	})
 	shortfall := max(0, n.state.Settings().minInService(len(svc.backends))-(len(svc.backends)-len(ejected)))
-	invariant.That(shortfall <= len(ejected), "a floor is not above all")
+	invariant.That(shortfall <= len(ejected), "the required number of open backends is at most the number of ready backends")
 	kept := map[InstanceID]bool{}
 	for _, ejection := range ejected[:shortfall] {
 		kept[ejection.ID] = true
@@ -65,7 +66,9 @@
 	}
 }
 
-// updateStrict keeps none in service: a write is better rejected than lost.
+// updateStrict sets the access of a service's backends for strict requests. It keeps no minimum in service, because it is better to reject
+// a write than to lose it. While no backend of the service is available, it pushes a NoneAvailable action every
+// noneAvailableRepeatInterval.
 func (n *Node) updateStrict(svc *service) {
 	available := false
 	for _, instance := range svc.backends {
@@ -87,7 +90,8 @@
 	}
 }
 
-// setAccess tells the host of a key's access, if it has changed.
+// setAccess pushes a SetAccess action if the access of a key has changed. local reports whether this node itself closed the access,
+// without an ejection by the coordinator.
 func (n *Node) setAccess(state *keyState, access Access, local bool) {
 	if state.access == access && state.local == local {
 		return
--- a/internal/gateway/outlier/backend.go
+++ b/internal/gateway/outlier/backend.go
@@ -4,13 +4,14 @@
 	"clovergap/internal/gateway/membership"
 )
 
-// InstanceID names one start of a backend: each has another, whatever the address.
+// InstanceID identifies one start of a backend. Each start has its own ID, also at the same address.
 type InstanceID string
 
-// Mode is how the requests of a route are treated.
+// Mode determines how the outcomes of a route's requests are evaluated.
 type Mode uint8
 
-// Strict is for what must not run twice or vanish, Patient for what may be asked again. Unwatched requests say nothing of their backends.
+// Strict is the mode of requests that must neither run twice nor get lost. Patient is the mode of requests that may be repeated. The outcomes
+// of Unwatched requests are not evaluated.
 const (
 	Strict Mode = iota
 	Patient
@@ -20,16 +21,16 @@
 
 var modeNames = [...]string{"strict", "patient", "off"}
 
-// String gives the mode's name in settings and histories.
+// String returns the mode's name, as it is used in settings and histories.
 func (m Mode) String() string { return modeNames[m] }
 
-// Key is an instance in a mode: what an ejection is about.
+// Key identifies an instance in a mode. Ejections and evidence refer to a Key.
 type Key struct {
 	ID   InstanceID
 	Mode Mode
 }
 
-// compare orders keys.
+// compare orders keys by ID, then by mode. It returns -1, 0 or 1.
 func (k Key) compare(o Key) int {
 	switch {
 	case k.ID < o.ID || k.ID == o.ID && k.Mode < o.Mode:
@@ -40,34 +41,36 @@
 	return 1
 }
 
-// Phase of an instance, as the registry has it.
+// Phase is the life cycle phase of an instance, as recorded in the registry.
 type Phase uint8
 
-// The phases of a backend.
+// The phases of a backend. A backend receives new requests only while it is Ready.
 const (
 	Ready Phase = iota
 	Draining
 	Gone
 )
 
-// Backend is an instance as the registry has it.
+// Backend describes an instance, as recorded in the registry.
 type Backend struct {
 	ID      InstanceID
 	Service string
 	Zone    string
 	Phase   Phase
-	Owned   bool // this node owns its registration, and so probes it
+	// Reports whether this node owns the registration. The owner probes the backend.
+	Owned bool
 }
 
-// Access is what a node may send to a backend in a mode.
+// Access limits the requests that a node may send to a backend in a mode.
 type Access uint8
 
-// How much a backend gets.
+// The levels of access.
 const (
-	Open    Access = iota
-	Limited        // one request at a time, and at intervals
+	Open Access = iota
+	// One request at a time, with an interval between requests.
+	Limited
 	Closed
 )
 
-// Slot of a node; the same in every incarnation of it.
+// Slot identifies a node. It is the same in every incarnation of the node.
 type Slot = membership.Slot
--- a/internal/gateway/outlier/coordinator.go
+++ b/internal/gateway/outlier/coordinator.go
@@ -9,13 +9,16 @@
 )
 
 const (
-	retryInterval   = time.Second // of a question, and of an entry that did not come back through the log
+	// retryInterval is the interval after which the coordinator repeats a report request, or a proposal of an entry that was not applied
+	// from the log.
+	retryInterval   = time.Second
 	maxObservedKeys = 4096
-	coordinatorName = "duty" // the coordinator's name in histories
+	// The author of the coordinator's entries in histories.
+	coordinatorName = "duty"
 )
 
-// Coordinator is the part on the core's leader that decides for all nodes. It may be taken over at any time by another with a higher
-// fencing token: what it needs is reported again within two seconds.
+// Coordinator runs on the core's leader and decides on ejections for all nodes. Another coordinator with a higher fencing token may replace
+// it at any time, because the nodes repeat their reports within two seconds.
 type Coordinator struct {
 	actionQueue
 	now              time.Duration
@@ -27,25 +30,28 @@
 	evidence         map[Key]*keyEvidence
 	recoveries       map[Key]*recovery
 	forgetProposedAt time.Duration
-	requestKeys      []Key // to ask all nodes about
+	// Keys for the next report request to all nodes.
+	requestKeys []Key
 }
 
-// keyEvidence is what all nodes have of a key.
+// keyEvidence holds what all nodes have reported on a key.
 type keyEvidence struct {
-	byWitness   map[Slot]*receivedObservation
-	changed     bool // since it was last evaluated
+	byWitness map[Slot]*receivedObservation
+	// Reports whether observations arrived since the last evaluation.
+	changed     bool
 	requestedAt time.Duration
 	proposedAt  time.Duration
-	losses      map[Slot]confirmedLoss // by witness
+	// By witness.
+	losses map[Slot]confirmedLoss
 }
 
-// confirmedLoss is the newest partial evidence of a witness that others bore out.
+// confirmedLoss is the newest partial evidence of a witness that the observations of other nodes confirm.
 type confirmedLoss struct {
 	revision   uint64
 	observedAt time.Duration
 }
 
-// receivedObservation is a node's newest one of a key.
+// receivedObservation is a node's newest observation of a key.
 type receivedObservation struct {
 	Observation
 	zone        string
@@ -55,16 +61,17 @@
 	receivedAt  time.Duration
 }
 
-// NewCoordinator makes one. The fencing token must be above that of every coordinator before.
+// NewCoordinator returns a Coordinator. The fencing token must be higher than that of every earlier coordinator.
 func NewCoordinator(fencingToken uint64, now time.Duration) *Coordinator {
 	return &Coordinator{now: now, startedAt: now, fencingToken: fencingToken, nodeCount: 1, state: NewState(), backends: map[InstanceID]Backend{},
 		evidence: map[Key]*keyEvidence{}, recoveries: map[Key]*recovery{}, forgetProposedAt: now}
 }
 
-// SetNodeCount says how many nodes are alive.
+// SetNodeCount sets the number of live nodes.
 func (c *Coordinator) SetNodeCount(n int) { c.nodeCount = max(n, 1) }
 
-// ApplyState takes the state after an entry, or after a snapshot without one; the host changes it in the same turn only.
+// ApplyState sets the state after entry e was applied, or after a snapshot was restored if e is nil. The host must change the state only in
+// the turn in which it calls ApplyState.
 func (c *Coordinator) ApplyState(s *State, e *Entry) {
 	c.state = s
 	if e != nil && e.Verb != SetSettings && e.Verb != Forget {
@@ -79,7 +86,7 @@
 	maps.DeleteFunc(c.recoveries, func(k Key, _ *recovery) bool { return s.Ejection(k) == nil })
 }
 
-// SetBackend takes a backend's state from the registry.
+// SetBackend stores a backend as recorded in the registry. It drops the evidence on a backend that is gone.
 func (c *Coordinator) SetBackend(b Backend) {
 	c.backends[b.ID] = b
 	if b.Phase != Gone {
@@ -93,8 +100,8 @@
 	}
 }
 
-// HandleReport takes a report. Observations of backends that are not in service, that no node may have written, or that are older
-// than the witness's last change nothing.
+// HandleReport stores the observations of a node's report. It ignores observations of backends that are not ready, invalid observations and
+// observations that are not newer than the latest one of the same witness.
 func (c *Coordinator) HandleReport(from Slot, r Report) {
 	for _, o := range r.Observations {
 		b, known := c.backends[o.ID]
@@ -116,7 +123,7 @@
 	}
 }
 
-// Tick sets the clock and evaluates what is new.
+// Tick sets the clock, evaluates keys with new observations, requests reports and advances the recovery of ejections.
 func (c *Coordinator) Tick(now time.Duration) {
 	c.now = max(c.now, now)
 	if !c.state.Enabled() {
@@ -143,7 +150,7 @@
 	c.forgetGone()
 }
 
-// hasFreshEvidence reports whether anything of a key's evidence may still count.
+// hasFreshEvidence reports whether any observation of a key is at most evidenceTTL old.
 func (c *Coordinator) hasFreshEvidence(evidence *keyEvidence) bool {
 	for _, o := range evidence.byWitness {
 		if c.now-o.receivedAt <= evidenceTTL {
@@ -153,7 +160,8 @@
 	return false
 }
 
-// propose puts an entry forward if the state would take it now, and again where it does not come back. proposedAt is when it last was.
+// propose pushes a proposal of an entry and reports whether the state would accept the entry now. The same entry is proposed again after
+// retryInterval, until it is applied. proposedAt is the time of the last proposal, and propose updates it.
 func (c *Coordinator) propose(e Entry, proposedAt *time.Duration) bool {
 	e.Author, e.FencingToken = coordinatorName, c.fencingToken
 	if result, _ := c.state.Decide(&e); result != routing.Accepted {
--- a/internal/gateway/outlier/decide.go
+++ b/internal/gateway/outlier/decide.go
@@ -11,16 +11,17 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// ErrTextTooLong refuses an entry with a text of more than maxTextBytes.
-var ErrTextTooLong = errors.Errorf("a text is longer than %d bytes", maxTextBytes)
+// ErrTextTooLong is returned for an entry that has a text field of more than maxTextBytes.
+var ErrTextTooLong = errors.Errorf("text field of the entry is longer than %d bytes", maxTextBytes)
 
-// conflict refuses an entry that builds on another state than the present one.
+// conflict returns routing.Conflict and a field error. It is the result for an entry that was built on a different state than the current
+// one.
 func conflict(field, format string, args ...any) (routing.Result, error) {
 	return routing.Conflict, logentry.FieldErrorf(field, format, args...)
 }
 
-// Decide tells what would become of an entry now, and changes nothing. The error, a
-// logentry.FieldError or ErrTextTooLong, says why it isn't taken.
+// Decide returns the result that Apply would return for an entry now. It does not change the state. The error says why an entry is not
+// accepted. It is a logentry.FieldError or ErrTextTooLong, and nil for an accepted or a duplicate entry.
 func (s *State) Decide(e *Entry) (routing.Result, error) {
 	if e.CallID != "" && slices.Contains(s.CallIDs, e.CallID) {
 		return routing.Duplicate, nil
@@ -38,19 +39,19 @@
 	byCoordinator := e.Verb != SetSettings && e.Verb != Clear
 	switch {
 	case byCoordinator != (e.FencingToken > 0):
-		return routing.Invalid, logentry.FieldErrorf("fence", "%d is not that of who may %s", e.FencingToken, e.Verb)
+		return routing.Invalid, logentry.FieldErrorf("fence", "token %d does not fit the verb %s, because only the coordinator's entries carry one", e.FencingToken, e.Verb)
 	case byCoordinator && e.FencingToken < s.FencingToken:
-		return conflict("fence", "is %d, but %d was seen", e.FencingToken, s.FencingToken)
+		return conflict("fence", "token %d is lower than the current token %d", e.FencingToken, s.FencingToken)
 	case e.Verb == Forget:
 		if len(e.GoneInstances) == 0 || len(e.GoneInstances) > maxEjections {
-			return routing.Invalid, logentry.FieldErrorf("gone", "names no instance, or too many")
+			return routing.Invalid, logentry.FieldErrorf("gone", "lists no instance or too many instances")
 		}
 		return routing.Accepted, nil
 	case e.Revision != rev:
-		return conflict("rev", "is %d, but %d is current", e.Revision, rev)
+		return conflict("rev", "revision %d is not the current revision %d", e.Revision, rev)
 	case e.Verb == SetSettings:
 		if e.Settings == nil {
-			return routing.Invalid, logentry.FieldErrorf("settings", "missing")
+			return routing.Invalid, logentry.FieldErrorf("settings", "is missing")
 		}
 		settings := *e.Settings
 		if err := settings.Normalize(); err != nil {
@@ -60,40 +61,41 @@
 	case e.Verb == Eject:
 		return s.decideEject(e, ejection)
 	case ejection == nil:
-		return conflict("key", "%s was never convicted as %s", e.Key.ID, e.Key.Mode)
+		return conflict("key", "instance %s was never ejected in mode %s", e.Key.ID, e.Key.Mode)
 	case e.Verb == Clear:
 		return routing.Accepted, nil
 	case e.Verb == StepUp && ejection.Step != InService && ejection.Step.next(ejection.Mode) != InService,
 		e.Verb == Readmit && ejection.Step != InService && ejection.Step.next(ejection.Mode) == InService:
 		return routing.Accepted, nil
 	case e.Verb == StepUp || e.Verb == Readmit:
-		return conflict("verb", "no %s from %s", e.Verb, ejection.Step)
+		return conflict("verb", "%s is not possible in step %s", e.Verb, ejection.Step)
 	}
-	return routing.Invalid, logentry.FieldErrorf("verb", "no %q", e.Verb)
+	return routing.Invalid, logentry.FieldErrorf("verb", "unknown verb %q", e.Verb)
 }
 
-// decideEject decides on an entry that ejects.
+// decideEject returns the result for an Eject entry. ejection is the current ejection of the entry's key, nil if there is none.
 func (s *State) decideEject(e *Entry, ejection *Ejection) (routing.Result, error) {
 	switch {
 	case e.Key.ID == "" || e.Key.Mode >= modeCount || e.Service == "" || e.ReadyBackends < 1:
-		return routing.Invalid, logentry.FieldErrorf("key", "names no backend of a service")
+		return routing.Invalid, logentry.FieldErrorf("key", "does not name an instance and a mode of a service with ready backends")
 	case len(e.Witnesses) == 0 || len(e.Witnesses) > maxNamedWitnesses:
-		return routing.Invalid, logentry.FieldErrorf("witnesses", "none, or too many")
+		return routing.Invalid, logentry.FieldErrorf("witnesses", "lists no node or too many nodes")
 	case !s.Enabled():
-		return conflict("settings", "nothing is judged")
+		return conflict("settings", "outlier detection is disabled")
 	case ejection != nil && ejection.Step == Ejected:
-		return conflict("key", "%s is out as %s", e.Key.ID, e.Key.Mode)
+		return conflict("key", "instance %s is already ejected in mode %s", e.Key.ID, e.Key.Mode)
 	case ejection == nil && len(s.snapshot.Ejections) >= maxEjections && s.oldestInService() < 0:
-		return conflict("key", "%d cases are kept, and none of them is free", maxEjections)
+		return conflict("key", "all %d stored ejections are still in force", maxEjections)
 	}
 	if _, ok := s.soleWitness(e); !ok {
-		return conflict("witnesses", "not two that are trusted, and no one may have more out alone")
+		return conflict("witnesses", "fewer than two trusted witnesses, and each sole witness is at its limit of ejections")
 	}
 	return routing.Accepted, nil
 }
 
-// soleWitness tells on whose evidence alone an ejection is, or NoSlot where it is on several: a refuted witness weighs half of one each time.
-// What one alone may have ejected is the bound on a node that is wrong.
+// soleWitness returns the node on whose evidence alone an ejection rests, or NoSlot if the ejection rests on several nodes. Each refutation
+// halves the weight of a witness. ok is false if the witnesses do not suffice for an ejection. The limits on the ejections of a sole
+// witness bound the effect of a faulty node.
 func (s *State) soleWitness(e *Entry) (sole Slot, ok bool) {
 	weight := 0.0
 	for _, w := range e.Witnesses {
@@ -119,7 +121,7 @@
 	return membership.NoSlot, false
 }
 
-// refutations are what is held against a witness now.
+// refutations returns the number of refutations that still count against a witness. It halves every refutationHalfLife revisions.
 func (s *State) refutations(w Slot) int {
 	for _, t := range s.snapshot.Trust {
 		if t.Witness == w {
@@ -129,7 +131,8 @@
 	return 0
 }
 
-// oldestInService is the ejection to drop where there are too many; -1: none.
+// oldestInService returns the index of the ejection to drop when too many are stored. It is the oldest ejection whose backend is back in
+// service, or -1 if there is none.
 func (s *State) oldestInService() int {
 	oldest := -1
 	for i := range s.snapshot.Ejections {
--- a/internal/gateway/outlier/doc.go
+++ b/internal/gateway/outlier/doc.go
@@ -1,35 +1,42 @@
-// Package outlier detects unhealthy backends by what their services need, once for all nodes, and takes them out of service (outlier ejection).
-// It is not wired into a node yet. docs/outliers.md has the reasons, the figures and what was weighed.
+// Package outlier detects unhealthy backends and takes them out of service (outlier ejection). One decision holds for all nodes, and the
+// rules depend on what the requests of a service need. No node uses the package yet. docs/outliers.md has the reasons, the figures and the
+// alternatives that were considered.
 //
 // # Terms
 //
-// An instance is one start of a backend, whatever its address. A mode says how the requests of a route are treated: Strict for what must not run
-// twice or vanish, Patient for what may be asked again, Unwatched for what says nothing. A Key is an instance in a mode; it is what an Ejection is
-// about. Evidence is what a node saw of a key, of a kind (EvidenceKind) and a weight: Conclusive where only the backend can be its cause, Partial where the
-// link can too, ByRate where it is a matter of degree. A node that reports evidence is a witness. An ejection that rests on one witness alone is
-// refuted if the instance comes back and no other node saw anything; a refuted witness weighs less.
+//   - Instance: one start of a backend, whatever its address.
+//   - Mode: determines how the outcomes of a route's requests are evaluated. Strict is for requests that must neither run twice nor get lost,
+//     Patient for requests that may be repeated, and Unwatched for requests whose outcomes are not evaluated.
+//   - Key: an instance in a mode. Each Ejection refers to one key.
+//   - Evidence: what a node observed of a key. It has a kind (EvidenceKind) and a weight. Conclusive evidence can only be caused by the backend.
+//     Partial evidence can also be caused by the network link. ByRate evidence counts as a failure, and only the failure rate matters.
+//   - Witness: a node that reports evidence.
+//   - Refutation: an ejection on the evidence of one witness alone is refuted if the instance comes back into service and no other node
+//     confirmed the evidence. A refuted witness has less weight.
 //
 // # Parts
 //
-//   - State (state.go, decide.go, entry.go, ejection.go, settings.go) is the replicated state: entries of the core's log go in, Ejections come out.
-//     All nodes apply the same entries and come to the same.
-//   - Node (node.go, observe.go, zonepath.go) is on every node. It counts what it sees of backends (evidence.go, window.go), reports it (report.go),
-//     and tells its host what access each backend has (access.go).
-//   - Coordinator (coordinator.go, evaluate.go, recovery.go) is on the core's leader alone. It joins the reports and proposes entries: eject, one step
-//     back into service, readmit, forget.
+//   - State (state.go, decide.go, entry.go, ejection.go, settings.go) is the replicated state. It applies the entries of the core's log
+//     and holds the resulting Ejections. All nodes apply the same entries and reach the same state.
+//   - Node (node.go, observe.go, zonepath.go) runs on every node. It counts the outcomes of requests to backends (evidence.go, window.go), reports
+//     them (report.go) and tells its host the access of each backend (access.go).
+//   - Coordinator (coordinator.go, evaluate.go, recovery.go) runs on the core's leader only. It combines the reports and proposes the entries
+//     Eject, StepUp, Readmit and Forget.
 //
 // # Guarantees
 //
-//   - A node's own failures, a partition and a lying node eject nobody beyond a bound: every rule but conclusive evidence asks for several nodes, and
-//     what rests on one witness alone is bounded by Settings.SoleWitnessPercent and Settings.SoleWitnessMax.
-//   - Patient requests always keep Settings.MinInService and MinInServicePercent of a service's backends; writes keep none.
-//   - Entries name the revision that they build on, and a coordinator's carry a fencing token (the leader's term): of two at once one wins, and a late
-//     one hits nothing newer.
-//   - Reports are sums of one incarnation of a node: lost, doubled and reordered ones change nothing.
-//   - State is bounded, and equal states give equal snapshots.
+//   - A failure of a node, a partition or a node with false reports cannot eject more than a bounded number of backends. Every rule except that
+//     for conclusive evidence requires several nodes. Settings.SoleWitnessPercent and Settings.SoleWitnessMax bound the ejections that rest on
+//     one witness alone.
+//   - Patient requests always keep at least Settings.MinInService and Settings.MinInServicePercent of a service's backends. Strict requests have
+//     no such minimum.
+//   - Each entry names the revision that it was built on, and a coordinator's entry carries a fencing token (the leader's term). Of two
+//     concurrent entries only one is accepted, and a delayed entry cannot change a newer revision.
+//   - A report holds sums of one incarnation of a node, so lost, duplicated and reordered reports do no harm.
+//   - The size of the state is bounded, and equal states have equal snapshots.
 //
-// # What it must not do
+// # Restrictions
 //
-// It does no I/O, reads no clock and draws no random number: time comes with Tick, and the host pulls with Next what is to be sent, proposed, probed
-// or set. Nothing of it may be called concurrently: a node calls it in its turns.
+// The package does no I/O, reads no clock and draws no random numbers. The host passes the time to Tick. With Next it pulls what it must send,
+// propose, probe or set. The types are not safe for concurrent use. A node calls them within its turns.
 package outlier
--- a/internal/gateway/outlier/ejection.go
+++ b/internal/gateway/outlier/ejection.go
@@ -1,9 +1,10 @@
 package outlier
 
-// Step is where an ejection is on its way back into service.
+// Step is the stage of an ejection's recovery. The zero value is Ejected.
 type Step uint8
 
-// A strict ejection goes from Ejected by ReadsOnly and LimitedWrites to InService, a patient one from Ejected by ReadsOnly.
+// A strict ejection recovers from Ejected through ReadsOnly and LimitedWrites to InService. A patient ejection recovers from Ejected through
+// ReadsOnly to InService.
 const (
 	Ejected Step = iota
 	ReadsOnly
@@ -13,10 +14,10 @@
 
 var stepNames = [...]string{"out", "reads", "writes", "free"}
 
-// String gives the step's name in histories.
+// String returns the step's name in histories.
 func (s Step) String() string { return stepNames[s] }
 
-// next is the step after, by mode.
+// next returns the step that follows in the given mode. InService is the last step.
 func (s Step) next(m Mode) Step {
 	if s == ReadsOnly && m == Patient {
 		return InService
@@ -24,19 +25,23 @@
 	return min(s+1, InService)
 }
 
-// Ejection is what became of a key that was ever ejected.
+// Ejection is the record of a key that was ejected at least once. It stays after the backend is back in service.
 type Ejection struct {
 	Key
-	Service     string
-	Step        Step
-	Rev         uint64 // revision: rises with each change of it
-	Repeats     int    // ejections but the first
-	SoleWitness Slot   // the one node on whose evidence it is ejected; NoSlot: on more, or it is in service
-	Score       int    // failure rate at its last ejection, in 1/1000
-	Reason      string
+	Service string
+	Step    Step
+	// The revision of the last change of the ejection. Each change raises it.
+	Rev uint64
+	// The number of ejections after the first one.
+	Repeats int
+	// The node on whose evidence alone the key is ejected. NoSlot if there are several such nodes or the backend is back in service.
+	SoleWitness Slot
+	// The failure rate at the last ejection, in thousandths.
+	Score  int
+	Reason string
 }
 
-// access is what an ejection leaves for requests of its own mode.
+// access returns the access that an ejection allows for requests of its mode.
 func (e *Ejection) access() Access {
 	switch {
 	case e.Step == InService:
@@ -47,7 +52,7 @@
 	return Closed
 }
 
-// HistoryEntry is what one entry did.
+// HistoryEntry records the effect of one log entry.
 type HistoryEntry struct {
 	Verb      Verb
 	Key       Key
@@ -58,9 +63,11 @@
 	Witnesses []Slot
 }
 
-// Trust is what is held against a witness.
+// Trust records the refutations of a witness.
 type Trust struct {
 	Witness Slot
-	Refuted int    // ejections on its evidence alone that no other node bore out
-	Rev     uint64 // the state's revision at the last of them
+	// The number of ejections on this witness's evidence alone that no other node confirmed.
+	Refuted int
+	// The state's revision at the last refutation.
+	Rev uint64
 }
--- a/internal/gateway/outlier/entry.go
+++ b/internal/gateway/outlier/entry.go
@@ -4,45 +4,62 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// Verb is what an entry does.
+// Verb is the operation of an entry.
 type Verb string
 
-// SetSettings and Clear are operators', the others the coordinator's. The texts are stored, and those of operators' calls.
+// The verbs. Operators use SetSettings and Clear, the coordinator uses the others. The values are stored and are part of the operators' API.
 const (
-	SetSettings Verb = "set"     // of this package
-	Eject       Verb = "convict" // out of service, or out again
-	StepUp      Verb = "parole"  // one step back into service
-	Readmit     Verb = "acquit"  // the last step
-	Clear       Verb = "clear"   // in service at once, and what was seen before says nothing
-	Forget      Verb = "forget"  // instances that are gone
+	// Replaces the settings of this package.
+	SetSettings Verb = "set"
+	// Takes an instance out of service, also after an earlier ejection.
+	Eject Verb = "convict"
+	// Advances the recovery by one step.
+	StepUp Verb = "parole"
+	// Takes the last recovery step, which puts the instance back into service.
+	Readmit Verb = "acquit"
+	// Puts the instance back into service at once and invalidates all earlier evidence.
+	Clear Verb = "clear"
+	// Removes the ejections of instances that are gone.
+	Forget Verb = "forget"
 )
 
-// Entry is an operator's command or the coordinator's verdict, as the replicated log has it. Revision names what it builds on: of two at once one
-// wins, and a late one hits nothing newer.
+// Entry is an operator's command or a coordinator's decision in the replicated log. Revision names the revision that the entry was built on.
+// Of two concurrent entries only one is therefore accepted, and a delayed entry cannot change a newer revision.
 type Entry struct {
-	Verb         Verb
-	CallID       string // operators: the same call again is answered as the first was
-	Author       string // for the history
-	UnixMilli    int64  // milliseconds since 1970, for the history alone
-	Reason       string
-	Revision     uint64 // of the ejection, 0 if there is none; SetSettings: of the settings
-	FencingToken uint64 // the coordinator: 1 or more. 0: an operator
+	Verb Verb
+	// The ID of an operator's call, for deduplication. A repeated call returns routing.Duplicate. Empty: no deduplication.
+	CallID string
+	// Who made the entry, for the history.
+	Author string
+	// The time in milliseconds since 1970, used in the history only.
+	UnixMilli int64
+	Reason    string
+	// The revision of the ejection, 0 if there is none. For SetSettings the revision of the settings.
+	Revision uint64
+	// The token of the coordinator, at least 1. It is 0 for an operator's entry.
+	FencingToken uint64
 
-	Key           Key
-	Service       string
-	Witnesses     []Slot // Eject: those whose evidence alone would do come first
-	Sufficient    int    // Eject: so many they are
-	ReadyBackends int    // Eject: of the service
-	Score         int    // Eject: failure rate, in 1/1000
+	Key     Key
+	Service string
+	// Eject: the reporting nodes. Those whose evidence suffices alone come first.
+	Witnesses []Slot
+	// Eject: the number of witnesses whose evidence suffices alone.
+	Sufficient int
+	// Eject: the number of the service's ready backends.
+	ReadyBackends int
+	// Eject: the failure rate, in thousandths.
+	Score int
+	// Forget: the instances that are gone.
 	GoneInstances []InstanceID
-	Settings      *Settings
+	// SetSettings: the new settings.
+	Settings *Settings
 }
 
-// Encode gives an entry's form in the log.
+// Encode returns the entry in the encoding of the log.
 func (e *Entry) Encode() []byte { return logentry.Encode(e) }
 
-// DecodeEntry reads what Encode wrote.
+// DecodeEntry decodes an entry that Encode encoded.
 func DecodeEntry(b []byte) (*Entry, error) {
 	e := new(Entry)
-	return e, logentry.Decode(b, e, "entry of outlier")
+	return e, logentry.Decode(b, e, "decode outlier entry")
 }
--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -9,58 +9,79 @@
 	"clovergap/internal/gateway/membership"
 )
 
-// The rules of a verdict, by their names in its reason.
+// The rules for an ejection, by their names in the ejection's reason.
 const (
-	ruleConclusive = "proof"   // evidence that only the backend can have made
-	ruleLost       = "lost"    // lost answers and resets, seen by several nodes
-	ruleRate       = "failing" // its failure rate against that of the service's other backends
+	// Evidence that only the backend can have caused.
+	ruleConclusive = "proof"
+	// Lost answers and connection resets, seen by several nodes.
+	ruleLost = "lost"
+	// A failure rate well above that of the service's other backends.
+	ruleRate = "failing"
 )
 
-// Losses: a lost answer is told from a late one by other answers in its time.
+// Constants for the confirmation of a lost answer. Other answers from the backend during the attempt distinguish a lost answer from a late one.
 const (
-	lossConfirmTimeout       = 4 * time.Second // after it no node has the slots of that time any more
-	minConfirmingAnswers     = 2               // clean answers in the second half of its time-out
-	confirmingLatencyDivisor = 6               // each within so small a part of it
+	// After this time no node has the window slots of the attempt any more.
+	lossConfirmTimeout = 4 * time.Second
+	// The number of clean answers needed in the second half of the attempt's time-out.
+	minConfirmingAnswers = 2
+	// The mean latency of these answers is at most the attempt's time-out divided by this number.
+	confirmingLatencyDivisor = 6
 )
 
-// Failure rates.
+// Constants for the comparison of failure rates.
 const (
-	freshWindow          = 2 * time.Second // a window that was reported longer ago is not the present one
-	minFailuresToRequest = 2               // failures, without the node that has most, that make a question to all nodes
-	minServiceAnswers    = 20              // of the service's other backends, to compare with
-	patientRateFactor    = 2               // so many times the others' rate
-	patientMinRate       = 0.5             // and so much at the least
-	strictRateFactor     = 4               // so many times the others' rate
-	strictRateMargin     = 0.05            // and so much more
+	// A window that was reported longer ago is not considered current.
+	freshWindow = 2 * time.Second
+	// The number of failures, without those of the node with the most, that leads to a report request to all nodes.
+	minFailuresToRequest = 2
+	// The number of answers of the service's other backends that a comparison needs.
+	minServiceAnswers = 20
+	// The failure rate of a patient key is too high from this multiple of the other backends' rate.
+	patientRateFactor = 2
+	// The failure rate of a patient key is never too high below this rate.
+	patientMinRate = 0.5
+	// The failure rate of a strict key is too high from this multiple of the other backends' rate plus strictRateMargin.
+	strictRateFactor = 4
+	// The margin between the limit of a strict key and the multiple of the other backends' rate.
+	strictRateMargin = 0.05
 )
 
-// minFailures that make a verdict by their rate, by mode.
+// minFailures is the number of failures that an ejection by failure rate needs, by mode.
 var minFailures = [modeCount]uint32{5, 8}
 
-// halfAnsweredAfter is after which half of the nodes are enough to answer a question; within it three quarters are.
+// halfQuorumDelay is the time after a report request from which the answers of half of the nodes suffice. Before that, three quarters of the
+// nodes must have answered.
 const halfQuorumDelay = 500 * time.Millisecond
 
-// assessment is what the reports on a key come to, under the present revision of its ejection.
+// assessment combines the reports on a key that belong to the current revision of its ejection.
 type assessment struct {
-	key             Key
-	evidence        *keyEvidence
-	backend         Backend
-	revision        uint64
-	recovering      bool       // it was ejected and is on its way back
-	excludedWitness Slot       // whoever alone had it ejected has no say on its way back
-	conclusive      []Slot     // nodes with conclusive evidence
-	selfDoubt       bool       // one of them doubts itself
-	items           []Evidence // all that still count
-	total           Window     // of all nodes
-	worst           Window     // of the node with most failures; empty where there is only one node
+	key      Key
+	evidence *keyEvidence
+	backend  Backend
+	revision uint64
+	// Reports whether the key is ejected or in a recovery step.
+	recovering bool
+	// The sole witness of the ejection. Its observations do not count during the recovery. NoSlot if there is none.
+	excludedWitness Slot
+	// The nodes with conclusive evidence.
+	conclusive []Slot
+	// Reports whether one of them doubts its own observations.
+	selfDoubt bool
+	// All evidence that has not expired.
+	items []Evidence
+	// The sum over all nodes.
+	total Window
+	// The window of the node with the most failures. Empty if there is only one node.
+	worst Window
 }
 
-// counts reports whether a node's observation is one of the assessment's.
+// includes reports whether a node's observation counts in the assessment.
 func (a *assessment) includes(from Slot, o *receivedObservation) bool {
 	return o.Rev == a.revision && from != a.excludedWitness
 }
 
-// assess joins the reports on a key.
+// assess combines the reports on a key. ejection is nil if the key was never ejected.
 func (c *Coordinator) assess(key Key, evidence *keyEvidence, ejection *Ejection) *assessment {
 	a := &assessment{key: key, evidence: evidence, backend: c.backends[key.ID], revision: c.state.revision(key),
 		recovering: ejection != nil && ejection.Step != InService, excludedWitness: membership.NoSlot}
@@ -94,13 +115,13 @@
 	return a
 }
 
-// isFresh reports whether an observation's window is the present one.
+// isFresh reports whether an observation is recent enough for its window to be considered current.
 func (c *Coordinator) isFresh(o *receivedObservation) bool { return c.now-o.receivedAt <= freshWindow }
 
-// witnesses are the nodes that have reported on a key, in order.
+// witnesses returns the nodes that have reported on a key, in ascending order.
 func (k *keyEvidence) witnesses() []Slot { return slices.Sorted(maps.Keys(k.byWitness)) }
 
-// evaluate holds what all nodes have of a key against the three rules.
+// evaluate applies the three rules to the reports of all nodes on a key and proposes an ejection if one of the rules is met.
 func (c *Coordinator) evaluate(key Key, evidence *keyEvidence) {
 	ejection := c.state.Ejection(key)
 	if c.backends[key.ID].Phase != Ready || ejection != nil && ejection.Step == Ejected {
@@ -114,7 +135,7 @@
 		return
 	}
 	sufficient := 0
-	if a.recovering { // with limited access one that is lost is enough
+	if a.recovering { // Under limited access a single loss is enough.
 		sufficient = len(losses)
 	}
 	if lossesUsable && c.proposeEjection(a, ruleLost, losses, sufficient) {
@@ -133,7 +154,8 @@
 	}
 }
 
-// ejectByProof proposes a verdict on conclusive evidence. Losses that count make their witnesses witnesses of it too.
+// ejectOnConclusive proposes an ejection if there is conclusive evidence. If lossesUsable is true, the witnesses of the losses are added to
+// the witnesses of the ejection. It returns false if there is no conclusive evidence or if the state would not accept the entry.
 func (c *Coordinator) ejectOnConclusive(a *assessment, losses []Slot, lossesUsable bool) bool {
 	if len(a.conclusive) == 0 {
 		return false
@@ -150,7 +172,8 @@
 	return c.proposeEjection(a, ruleConclusive, witnesses, sufficient)
 }
 
-// requestAnswered asks all nodes about a key, and reports whether enough have answered.
+// requestAnswered reports whether enough nodes have answered a report request on a key. If there is no current request, it queues one. While
+// answers are missing, it marks the key for another evaluation.
 func (c *Coordinator) requestAnswered(key Key, evidence *keyEvidence) bool {
 	answers := 0
 	for _, o := range evidence.byWitness {
@@ -170,8 +193,8 @@
 	return false
 }
 
-// seenInZone reports whether one of the witnesses is in the backend's zone, or no node there had an answer or a failure of it: links from
-// elsewhere may be bad.
+// seenInZone reports whether one of the witnesses is in the backend's zone, or no node of that zone has a current answer or failure of the
+// backend. Witnesses in other zones alone do not suffice, because their links to the backend's zone may be faulty.
 func (c *Coordinator) seenInZone(a *assessment, witnesses []Slot) bool {
 	zoneHasTraffic := false
 	for from, o := range a.evidence.byWitness {
@@ -183,8 +206,9 @@
 	return !zoneHasTraffic
 }
 
-// confirmsLoss tells a lost answer from a late one: in the second half of its time-out other answers came, quickly, and not at
-// one node alone.
+// confirmsLoss reports whether an answer was lost and is not merely late. It requires that other answers of the backend arrived in the second
+// half of the attempt's time-out, that they were fast, and that they did not all arrive at the same node. at is the time when the attempt
+// timed out, and nodes is the number of live nodes. With one node, its answers suffice.
 func (k *keyEvidence) confirmsLoss(revision uint64, item Evidence, at time.Duration, nodes int) bool {
 	var total, largest Window
 	for _, o := range k.byWitness {
@@ -205,7 +229,8 @@
 	return total.Clean >= minConfirmingAnswers && quick(total) && (nodes == 1 || quick(total.sub(largest)))
 }
 
-// confirmedLosses are the nodes whose partial evidence others bear out; not settled while that is still asked.
+// confirmedLosses returns the nodes whose partial evidence is confirmed by the observations on the backend. A connection reset needs no
+// confirmation. settled is false while a report request for the confirmation is not yet answered.
 func (c *Coordinator) confirmedLosses(a *assessment) (witnesses []Slot, settled bool) {
 	settled = true
 	losses := a.evidence.losses
@@ -233,7 +258,8 @@
 	return witnesses, settled
 }
 
-// otherBackends is what each node has of the service's other backends, without those that are in doubt themselves.
+// otherBackendWindows returns each node's window of the service's other backends. It leaves out backends whose own failure rate is
+// suspicious.
 func (c *Coordinator) otherBackendWindows(a *assessment) map[Slot]Window {
 	byNode := map[Slot]Window{}
 	for from, o := range a.evidence.byWitness {
@@ -263,7 +289,7 @@
 	return byNode
 }
 
-// isUnhealthy holds a backend's window against that of the service's others.
+// isUnhealthy reports whether a backend's failure rate is too high in comparison with that of the service's other backends.
 func isUnhealthy(mode Mode, own, others Window) bool {
 	limit := max(patientMinRate, patientRateFactor*others.failureRate())
 	if mode == Strict {
@@ -272,8 +298,9 @@
 	return others.total() >= minServiceAnswers && own.Failing >= minFailures[mode] && own.failureRate() >= limit
 }
 
-// exceedsRate holds the failure rate against that of the service's other backends; it must exceed it without any one node too. The
-// witnesses are the nodes with failures, that with most first.
+// exceedsRate reports whether a backend's failure rate is too high in comparison with that of the service's other backends. The rate must
+// remain too high when the observations of any one node are left out. witnesses are the nodes with failures, in descending order of their
+// failures.
 func (c *Coordinator) exceedsRate(a *assessment) (witnesses []Slot, exceeds bool) {
 	byNode := c.otherBackendWindows(a)
 	var others Window
@@ -303,7 +330,7 @@
 	return witnesses, len(witnesses) > 0
 }
 
-// proposeEjection proposes a verdict; false where the state would not take it.
+// proposeEjection proposes an ejection. It returns false if the state would not accept the entry.
 func (c *Coordinator) proposeEjection(a *assessment, rule string, witnesses []Slot, sufficient int) bool {
 	ready := 0
 	for _, b := range c.backends {
--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -7,32 +7,41 @@
 	"clovergap/control"
 )
 
-// EvidenceKind is what a node saw of a backend.
+// EvidenceKind classifies what a node observed of a backend.
 type EvidenceKind uint8
 
-// The closed list. CleanAnswer is a complete answer of the service's own; NoEvidence says nothing.
+// The kinds of evidence. NoEvidence means that an outcome allows no conclusion about the backend. CleanAnswer is a complete answer that the
+// service itself gave.
 const (
 	NoEvidence EvidenceKind = iota
 	CleanAnswer
-	ServerError     // a 5xx of its own that may have run
-	LostAnswer      // sent completely, and no byte of an answer in its time
-	ConnectionReset // while the request ran
-	MalformedAnswer // a 2xx without its seal, or no HTTP answer
-	StrayAnswer     // an answer to what its connection never carried
-	DuplicateAnswer // a second answer to what was answered
-	WrongInstance   // a probe answered by another instance
+	// A 5xx of the service itself, where the request may have run.
+	ServerError
+	// The request was sent completely and no byte of an answer came within the time-out.
+	LostAnswer
+	// The connection was reset while the request ran.
+	ConnectionReset
+	// A 2xx without its seal, or bytes that are not an HTTP answer.
+	MalformedAnswer
+	// An answer to a request that its connection never carried.
+	StrayAnswer
+	// A second answer to a request that was already answered.
+	DuplicateAnswer
+	// A probe that another instance answered.
+	WrongInstance
 	evidenceKindCount
 )
 
 var evidenceNames = [evidenceKindCount]string{"none", "clean", "failed", "lost", "reset", "unsealed", "stray", "second", "stranger"}
 
-// String gives the kind's name in reasons.
+// String returns the kind's name, as it is used in the reasons of ejections.
 func (e EvidenceKind) String() string { return evidenceNames[e] }
 
-// Weight is what evidence can do.
+// Weight determines the effect of evidence.
 type Weight uint8
 
-// Conclusive: only the backend can be its cause. Partial: the link can too. ByRate: a matter of degree.
+// Ignored evidence has no effect. ByRate evidence counts as a failure, and only the failure rate matters. Partial evidence may also be caused
+// by the network link. Conclusive evidence can only be caused by the backend.
 const (
 	Ignored Weight = iota
 	ByRate
@@ -40,10 +49,11 @@
 	Conclusive
 )
 
-// weights is the one place that says what evidence can do in which mode.
+// evidenceWeights is the only definition of the weight of each kind of evidence in each mode.
 var evidenceWeights = [evidenceKindCount][modeCount]Weight{
-	ServerError:     {ByRate, ByRate},
-	LostAnswer:      {Partial, Ignored}, // a read that is late is only late
+	ServerError: {ByRate, ByRate},
+	// A patient read without an answer may only be late.
+	LostAnswer:      {Partial, Ignored},
 	ConnectionReset: {Partial, ByRate},
 	MalformedAnswer: {Conclusive, ByRate},
 	StrayAnswer:     {Conclusive, ByRate},
@@ -51,17 +61,22 @@
 	WrongInstance:   {Conclusive, Conclusive},
 }
 
-// AttemptEnd is what a node knows of the end of an attempt.
+// AttemptEnd describes how an attempt ended, as seen by a node.
 type AttemptEnd struct {
-	Ending          control.Ending
-	FreshConnection bool // its connection had answered nothing before
-	PartialAnswer   bool // some of an answer had come
-	Malformed       bool // what came was no HTTP answer, or a 2xx without its seal
-	NodeStalled     bool // this process stood still meanwhile
+	Ending control.Ending
+	// Reports whether the connection had not returned any answer before.
+	FreshConnection bool
+	// Reports whether a part of an answer arrived.
+	PartialAnswer bool
+	// Reports whether the answer was not HTTP, or was a 2xx without its seal.
+	Malformed bool
+	// Reports whether this node's process was stalled during the attempt.
+	NodeStalled bool
 }
 
-// Evidence is what it is evidence of. A backend resets fresh connections that are too many for it, and what is late but
-// comes is only slow.
+// Evidence returns the kind of evidence that the end of an attempt gives. A reset of a fresh connection before an answer is NoEvidence,
+// because a backend resets fresh connections when it has too many. A time-out after a part of the answer is NoEvidence, because the
+// answer is only slow.
 func (a AttemptEnd) Evidence() EvidenceKind {
 	switch {
 	case a.NodeStalled:
@@ -80,19 +95,19 @@
 	return NoEvidence
 }
 
-// pathWorked reports that the network to the backend and back worked.
+// pathWorked reports whether the attempt shows that the network path to the backend and back worked.
 func (a AttemptEnd) pathWorked() bool {
 	return a.PartialAnswer || a.Malformed || a.Ending == control.Succeeded || a.Ending == control.Errored || a.Ending == control.Rejected
 }
 
-// Evidence is conclusive or partial evidence.
+// Evidence is an item of conclusive or partial evidence.
 type Evidence struct {
 	Kind    EvidenceKind
-	Age     time.Duration // at the time of the report
-	Timeout time.Duration // LostAnswer: the time-out of the attempt
+	Age     time.Duration // The age at the time of the report.
+	Timeout time.Duration // LostAnswer: the time-out of the attempt.
 }
 
-// describeEvidence gives evidence in words, by kind.
+// describeEvidence describes evidence for the reason of an ejection, with the number of items by kind.
 func describeEvidence(items []Evidence, w Window) string {
 	var counts [evidenceKindCount]int
 	for _, item := range items {
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -6,30 +6,40 @@
 	"time"
 )
 
-// Times and bounds of what a node observes and reports.
+// Intervals and bounds of a node's observations and reports.
 const (
-	linkEvidenceDelay           = 500 * time.Millisecond // evidence that a link may have made is counted after it
-	reportNow                   = 1 * time.Nanosecond    // at the next turn
-	reportDelay                 = 200 * time.Millisecond // of new evidence on a key
-	slowReportDelay             = time.Second            // of totals, and of failures that count by rate
-	reportRepeatInterval        = 2 * time.Second        // while evidence counts
-	maxObservations             = 32                     // of one report
-	probeInterval               = time.Second            // between probes of a backend
+	// The delay before evidence counts that a network link may have caused.
+	linkEvidenceDelay = 500 * time.Millisecond
+	// Reports at the next Tick or report request.
+	reportNow = 1 * time.Nanosecond
+	// The longest delay of the report of new evidence.
+	reportDelay = 200 * time.Millisecond
+	// The longest delay of the report of totals, and of failures that count by rate.
+	slowReportDelay = time.Second
+	// The interval between reports on a key while its evidence has not expired.
+	reportRepeatInterval = 2 * time.Second
+	// The maximum number of observations in one report.
+	maxObservations = 32
+	// The minimum interval between two probes of a backend.
+	probeInterval               = time.Second
 	noneAvailableRepeatInterval = 5 * time.Second
-	limitedPerSecond            = 10 // requests to a backend with limited access, of all nodes together
-	maxOtherResets              = 2  // so many other backends that reset at once: it was not theirs
+	// The rate limit of a backend with limited access, for all nodes together.
+	limitedPerSecond = 10
+	// From this number of other backends that reset connections at the same time, the resets are not attributed to the backends.
+	maxOtherResets = 2
 )
 
-// A node's own ejections, before there is a verdict.
+// Constants of local ejections. A node ejects a backend locally before the coordinator has decided.
 const (
-	localEjectionTime = 10 * time.Second // doubled with each repetition
+	localEjectionTime = 10 * time.Second // Doubled with each repeated local ejection.
 	maxLocalDoublings = 3
 )
 
-// doubtRate is the failure rate from which a backend is in doubt, and a node reports it.
+// doubtRate is the failure rate, by mode, from which a backend is suspected and a node reports on it.
 var doubtRate = [modeCount]float64{0.05, 0.3}
 
-// Node is one node's part: it observes backends, reports to the coordinator, and gives each backend the access that ejections leave it.
+// Node is the part that runs on every node. It observes backends, reports to the coordinator and sets each backend's access according to the
+// ejections.
 type Node struct {
 	actionQueue
 	now          time.Duration
@@ -40,43 +50,48 @@
 	disconnected bool
 	state        *State
 	backends     map[InstanceID]*backend
-	services     map[string]*service  // by service
-	zonePaths    map[string]*zonePath // by zone
-	active       map[Key]*keyState    // keys with anything to look at
-	delayed      []delayedEvidence    // not counted yet
-	resets       []observedReset      // of late
-	changed      []*service           // whose access may have changed
+	services     map[string]*service  // By service name.
+	zonePaths    map[string]*zonePath // By zone.
+	active       map[Key]*keyState    // The keys that have pending work.
+	delayed      []delayedEvidence    // Evidence that is not counted yet.
+	resets       []observedReset      // The recent connection resets.
+	changed      []*service           // The services whose access may have changed.
 }
 
-// backend is what a node has of a backend.
+// backend is a node's state for a backend.
 type backend struct {
 	Backend
 	service      *service
 	keys         [modeCount]keyState
-	lastAnswerAt time.Duration // to this node
-	probedAt     time.Duration
+	lastAnswerAt time.Duration // The time of the last answer to this node.
+	probedAt     time.Duration // The time of this node's last probe.
 }
 
-// service is what a node has of a service.
+// service is a node's state for a service.
 type service struct {
-	name            string
-	backends        []*backend // ready ones, by ID
-	windows         [modeCount]slidingWindow
-	doubtUntil      time.Duration // this node doubts its own observations until then
-	changed         bool          // it is in Node.changed
-	noneAvailableAt time.Duration // when NoneAvailable was last pushed; 0: some backend takes writes
+	name string
+	// The ready backends, ordered by ID.
+	backends []*backend
+	windows  [modeCount]slidingWindow
+	// The time until which this node doubts its own observations of the service.
+	doubtUntil time.Duration
+	// Reports whether the service is in Node.changed.
+	changed bool
+	// When NoneAvailable was last pushed. 0 while a backend accepts strict requests or the service has no ready backends.
+	noneAvailableAt time.Duration
 }
 
-// NewNode makes one. Each start of a node has another incarnation.
+// NewNode returns a Node that is not connected to the core. Each start of a node needs a different incarnation.
 func NewNode(zone string, incarnation uint64, now time.Duration) *Node {
 	return &Node{now: now, zone: zone, incarnation: incarnation, nodeCount: 1, disconnected: true, state: NewState(), backends: map[InstanceID]*backend{},
 		services: map[string]*service{}, zonePaths: map[string]*zonePath{}, active: map[Key]*keyState{}}
 }
 
-// SetNodeCount says how many nodes share the backends.
+// SetNodeCount sets the number of nodes that share the backends.
 func (n *Node) SetNodeCount(count int) { n.nodeCount = max(count, 1) }
 
-// ApplyState takes the state after an entry, or after a snapshot without one; the host changes it in the same turn only.
+// ApplyState sets the state after entry e was applied, or after a snapshot was restored if e is nil. The host must change the state only in
+// the turn in which it calls ApplyState.
 func (n *Node) ApplyState(s *State, e *Entry) {
 	n.state = s
 	if e != nil && e.Verb != SetSettings && e.Verb != Forget {
@@ -98,6 +113,7 @@
 	n.updateAccess()
 }
 
+// applyKey discards what was observed of a key if its ejection has a new revision, and marks the service for updateAccess.
 func (n *Node) applyKey(instance *backend, m Mode) {
 	state := &instance.keys[m]
 	if rev := n.state.revision(state.key); rev != state.revision {
@@ -106,7 +122,8 @@
 	n.queueService(instance.service)
 }
 
-// SetConnected says whether this node has contact with the core. What it found of links while it had none is dropped when it has again.
+// SetConnected sets whether this node is connected to the core. When the connection is restored, the node drops the evidence that a network
+// link may have caused.
 func (n *Node) SetConnected(connected bool) {
 	if connected && n.disconnected {
 		n.delayed = nil
@@ -118,7 +135,7 @@
 	n.disconnected = !connected
 }
 
-// SetBackend takes a backend's state from the registry.
+// SetBackend stores a backend as recorded in the registry. It stops the observation of a backend that is not ready.
 func (n *Node) SetBackend(b Backend) {
 	instance := n.backends[b.ID]
 	if instance == nil {
@@ -138,13 +155,14 @@
 	} else if !ready && listed {
 		svc.backends = slices.Delete(svc.backends, at, at+1)
 	}
-	if b.Phase != Ready { // it gets nothing new, and what is seen of it now is not about the service
+	// It gets no new requests, and what is observed of it from now on says nothing about the service.
+	if b.Phase != Ready {
 		n.removeBackend(instance)
 	}
 	n.updateAccess()
 }
 
-// addBackend begins to observe a backend.
+// addBackend starts the observation of a backend and of its service.
 func (n *Node) addBackend(b Backend) *backend {
 	svc := n.services[b.Service]
 	if svc == nil {
@@ -161,7 +179,7 @@
 	return instance
 }
 
-// removeBackend ends it; one that comes back begins open.
+// removeBackend stops the observation of a backend and opens its access. A backend that comes back starts with open access.
 func (n *Node) removeBackend(instance *backend) {
 	delete(n.backends, instance.ID)
 	for m := range instance.keys {
@@ -173,7 +191,8 @@
 	}
 }
 
-// ModeFor is the mode of a route's requests.
+// ModeFor returns the mode of a route's requests. It is Unwatched if outlier detection is disabled. effectful reports whether the route's
+// requests have side effects.
 func (n *Node) ModeFor(route string, effectful bool) Mode {
 	if !n.state.Enabled() {
 		return Unwatched
@@ -181,10 +200,11 @@
 	return n.state.Settings().ModeFor(route, effectful)
 }
 
-// Revision of a key is kept with an attempt, for its end.
+// Revision returns the current revision of a key's ejection. The host stores it with an attempt and passes it to RecordAttempt.
 func (n *Node) Revision(k Key) uint64 { return n.state.revision(k) }
 
-// HandleProbe takes the answer to a probe: which instance answered, "" if none did, and whether it is healthy.
+// HandleProbe handles the result of a probe of instance id. by is the instance that answered, or "" if none did. healthy reports whether it is
+// healthy.
 func (n *Node) HandleProbe(id, by InstanceID, healthy bool) {
 	instance := n.backends[id]
 	if instance == nil || !n.state.Enabled() {
@@ -205,7 +225,7 @@
 	n.updateAccess()
 }
 
-// HandleReportRequest answers a request of the coordinator to report on some keys.
+// HandleReportRequest reports on the keys that the coordinator requested.
 func (n *Node) HandleReportRequest(r ReportRequest) {
 	for _, k := range r.Keys {
 		if instance := n.backends[k.ID]; instance != nil && k.Mode < modeCount {
@@ -216,7 +236,7 @@
 	n.report(r.Keys)
 }
 
-// Tick sets the clock, and reports what is due.
+// Tick sets the clock, counts delayed evidence, updates keys and access, probes backends and reports what is due.
 func (n *Node) Tick(now time.Duration) {
 	n.now = max(n.now, now)
 	n.releaseDelayed()
@@ -234,6 +254,7 @@
 	n.report(keys)
 }
 
+// probe pushes a probe of a backend, unless the last probe was less than probeInterval ago.
 func (n *Node) probe(instance *backend) {
 	if n.now-instance.probedAt >= probeInterval {
 		instance.probedAt = n.now
@@ -241,7 +262,8 @@
 	}
 }
 
-// probeIdle has the backends in service probed that this node owns and that have answered nothing for a while, where the settings say so.
+// probeIdle probes the ready backends that this node owns and that have not answered or been probed for Settings.ProbeIdleAfter. It does
+// nothing if that setting is 0.
 func (n *Node) probeIdle() {
 	after := time.Duration(n.state.Settings().ProbeIdleAfter)
 	if after == 0 || !n.state.Enabled() {
@@ -256,7 +278,7 @@
 	}
 }
 
-// report sends the observations of some keys that are due.
+// report pushes a report with the observations of those keys whose report is due.
 func (n *Node) report(keys []Key) {
 	if n.disconnected || !n.state.Enabled() {
 		return
@@ -280,7 +302,8 @@
 		}
 		doubt = doubt || svc.doubtUntil > n.now
 		if observations = append(observations, observation); len(observations) == maxObservations {
-			break // the others with the next turn
+			// The remaining keys are reported at the next Tick.
+			break
 		}
 	}
 	if len(observations) > 0 {
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -5,33 +5,43 @@
 	"time"
 )
 
-// keyState is what this node has of a key, under the present revision of its ejection.
+// keyState is this node's state for a key under the current revision of its ejection.
 type keyState struct {
-	key           Key
-	backend       *backend
-	revision      uint64
-	revisionSince time.Duration // when the revision came here
+	key      Key
+	backend  *backend
+	revision uint64
+	// When this node applied the revision.
+	revisionSince time.Duration
 	window        slidingWindow
 	evidence      []evidenceItem
 	Totals
-	reportedTotals Totals        // as last reported
-	delayedCount   int           // evidence that is not counted yet
-	ejectedUntil   time.Duration // by this node itself
+	// The totals in the last report.
+	reportedTotals Totals
+	// The number of items of delayed evidence for which this node keeps the backend closed.
+	delayedCount int
+	// The end of the local ejection. 0 if there is none.
+	ejectedUntil time.Duration
+	// The number of local ejections so far.
 	localEjections int
-	access         Access
-	local          bool
-	reportWithin   time.Duration // the longest that it may wait to be reported; 0: nothing to report
-	reportedAt     time.Duration
+	// As last pushed to the host.
+	access Access
+	// Reports whether this node itself closed the access.
+	local bool
+	// The longest time since reportedAt before the next report. 0: nothing to report.
+	reportWithin time.Duration
+	// When the key was last reported. 0: never.
+	reportedAt time.Duration
 }
 
-// evidenceItem is one observation of what a backend did.
+// evidenceItem is one item of evidence on a backend.
 type evidenceItem struct {
 	kind       EvidenceKind
 	observedAt time.Duration
-	timeout    time.Duration // of the attempt
+	// The duration of the attempt. For LostAnswer it is the attempt's time-out.
+	timeout time.Duration
 }
 
-// delayedEvidence is evidence that a link may have made.
+// delayedEvidence is evidence that a network link may have caused. It counts after linkEvidenceDelay.
 type delayedEvidence struct {
 	evidenceItem
 	state    *keyState
@@ -39,19 +49,20 @@
 	sentAt   time.Duration
 }
 
-// observedReset is a connection that a backend reset.
+// observedReset records that a backend reset a connection.
 type observedReset struct {
 	id         InstanceID
 	observedAt time.Duration
 }
 
-// resetKey drops what was seen under another revision: it says nothing any more.
+// resetKey discards what was observed of a key under another revision, because it is no longer valid.
 func (n *Node) resetKey(state *keyState, rev uint64) {
 	*state = keyState{key: state.key, backend: state.backend, revision: rev, revisionSince: n.now, localEjections: state.localEjections, access: state.access, local: state.local}
 	n.active[state.key] = state
 }
 
-// RecordAttempt takes the one end of an attempt that was sent at a time, under a revision of its key.
+// RecordAttempt records how an attempt ended. sent is when the attempt was sent, and rev is the key's revision at that time. The host calls it
+// once for each attempt.
 func (n *Node) RecordAttempt(k Key, rev uint64, sent time.Duration, seen AttemptEnd) {
 	instance := n.backends[k.ID]
 	kind := seen.Evidence()
@@ -73,14 +84,15 @@
 	n.record(instance, k, rev, kind, sent)
 }
 
-// RecordEvidence takes what is no end of an attempt: StrayAnswer and DuplicateAnswer, by the revision under which the connection's last attempt was sent.
+// RecordEvidence records evidence that is not the end of an attempt, which is StrayAnswer or DuplicateAnswer. rev is the key's revision when
+// the connection's last attempt was sent.
 func (n *Node) RecordEvidence(k Key, rev uint64, kind EvidenceKind) {
 	if instance := n.backends[k.ID]; instance != nil && n.state.Enabled() {
 		n.record(instance, k, rev, kind, n.now)
 	}
 }
 
-// record takes one observation of a key.
+// record records one piece of evidence on a key. It ignores evidence of another revision than the current one.
 func (n *Node) record(instance *backend, k Key, rev uint64, kind EvidenceKind, sent time.Duration) {
 	if k.Mode >= modeCount || kind == NoEvidence {
 		return
@@ -100,7 +112,7 @@
 			s.Reads++
 		}
 	case evidenceWeights[kind][k.Mode] == Ignored:
-	case kind == LostAnswer || kind == ConnectionReset: // a link may have made it
+	case kind == LostAnswer || kind == ConnectionReset: // A network link may have caused it.
 		if k.Mode == Strict && n.mayEjectLocally(instance) {
 			state.delayedCount++
 		}
@@ -113,10 +125,11 @@
 	n.updateAccess()
 }
 
-// countEvidence takes what only the backend can have done, or what was delayed long enough.
+// countEvidence counts evidence that only the backend can have caused, or whose delay is over. Strict evidence that does not count by rate
+// alone leads to a local ejection, if mayEjectLocally allows it.
 func (n *Node) countEvidence(state *keyState, item evidenceItem) {
 	m := state.key.Mode
-	if evidenceWeights[item.kind][m] != Partial { // those have a rule of their own
+	if evidenceWeights[item.kind][m] != Partial { // A separate rule evaluates partial evidence.
 		state.window.slotAt(n.now).Failing++
 		state.backend.service.windows[m].slotAt(n.now).Failing++
 		state.Failing++
@@ -139,14 +152,15 @@
 	n.queueService(state.backend.service)
 }
 
-// scheduleReport has the key reported within a time.
+// scheduleReport requests a report on the key within the given time since the last report. It never postpones a scheduled report.
 func (k *keyState) scheduleReport(in time.Duration) {
 	if k.reportWithin == 0 || in < k.reportWithin {
 		k.reportWithin = in
 	}
 }
 
-// mayEjectLocally bounds what a node ejects by itself: one that sees more than half of a service fail doubts itself.
+// mayEjectLocally reports whether this node may eject a backend locally. A node that sees more than half of a service's backends fail doubts
+// its own observations. The function then returns false and sets doubtUntil.
 func (n *Node) mayEjectLocally(instance *backend) bool {
 	svc, count := instance.service, 0
 	for _, other := range svc.backends {
@@ -161,12 +175,13 @@
 	return true
 }
 
-// locallyEjected reports whether this node by itself gives the backend nothing.
+// locallyEjected reports whether this node itself closes the backend, without an ejection by the coordinator.
 func (k *keyState) locallyEjected(now time.Duration) bool {
 	return k.delayedCount > 0 || k.ejectedUntil > now
 }
 
-// releaseDelayed counts evidence whose delay is over, or drops it as a link's or this node's own.
+// releaseDelayed processes the evidence whose delay is over. It counts the evidence, or drops it if a network link or this node itself may
+// have caused it.
 func (n *Node) releaseDelayed() {
 	released := 0
 	for _, delayed := range n.delayed {
@@ -180,7 +195,8 @@
 		}
 		state.delayedCount = max(state.delayedCount-1, 0)
 		n.queueService(state.backend.service)
-		// A partition makes no resets, and what it broke shows at several backends at once.
+		// A partition itself causes no connection resets, so a reset needs no intact path. Connections that a partition broke show as resets of
+		// several backends at the same time.
 		if !n.disconnected && n.otherResets(delayed) < maxOtherResets && (delayed.kind == ConnectionReset || n.zonePaths[state.backend.Zone].intact(delayed.sentAt, n.now)) {
 			n.countEvidence(state, delayed.evidenceItem)
 		}
@@ -189,7 +205,8 @@
 	n.resets = slices.DeleteFunc(n.resets, func(r observedReset) bool { return n.now-r.observedAt > 3*linkEvidenceDelay })
 }
 
-// otherResets counts the other backends that reset a connection at the time of one that did; 0 for other evidence.
+// otherResets returns the number of other backends that reset a connection within linkEvidenceDelay of the given reset. It returns 0 for
+// evidence that is not a reset.
 func (n *Node) otherResets(delayed delayedEvidence) int {
 	if delayed.kind != ConnectionReset {
 		return 0
@@ -203,7 +220,8 @@
 	return len(others)
 }
 
-// maintain does what is due for a key, and lets it go when there is nothing left to do.
+// maintainKey drops expired evidence, ends local ejections, schedules reports and probes an ejected backend that this node owns. It removes the
+// key from the active ones when no work is pending.
 func (n *Node) maintainKey(state *keyState) {
 	state.evidence = slices.DeleteFunc(state.evidence, func(item evidenceItem) bool { return n.now-item.observedAt > evidenceTTL })
 	if state.ejectedUntil > 0 && state.ejectedUntil <= n.now {
--- a/internal/gateway/outlier/recovery.go
+++ b/internal/gateway/outlier/recovery.go
@@ -7,31 +7,41 @@
 	"time"
 )
 
-// What the steps back into service ask for.
+// The requirements of the recovery steps, and the TTL of unknown instances.
 const (
-	maxEjectionTime   = 10 * time.Minute
-	readmitProbes     = 3  // clean probes in a row, after the ejection time
-	readmitReads      = 20 // clean answers, in the step after it
-	readmitWrites     = 40 // clean answers of writes, doubled with each repetition
+	maxEjectionTime = 10 * time.Minute
+	// Consecutive clean probes, after the ejection time.
+	readmitProbes = 3
+	// Clean answers in the step ReadsOnly.
+	readmitReads = 20
+	// Clean answers to writes, doubled with each repeated ejection.
+	readmitWrites     = 40
 	maxWriteDoublings = 4
-	readmitNodes      = 4                // at the least, where there are so many
-	failurePenalty    = 10               // clean answers that one failure costs
-	unknownTTL        = 60 * time.Second // an instance that no registry knows is forgotten after it
+	// The minimum number of nodes that the clean answers come from, if there are so many nodes.
+	readmitNodes = 4
+	// The number of additional clean answers that each failure requires.
+	failurePenalty = 10
+	// The time after which an instance that is not in the registry is forgotten.
+	unknownTTL = 60 * time.Second
 )
 
-// recovery is the way of an ejection back into service.
+// recovery tracks the current recovery step of an ejection.
 type recovery struct {
-	revision   uint64
-	since      time.Duration
+	// The revision of the ejection in this step.
+	revision uint64
+	// The time when this step began.
+	since time.Duration
+	// The time of the last proposal of the next step.
 	proposedAt time.Duration
 }
 
-// ejectionTime is how long an ejection lasts at the least.
+// ejectionTime returns the minimum duration of an ejection. It doubles with each repeated ejection, up to maxEjectionTime.
 func ejectionTime(s *State, e *Ejection) time.Duration {
 	return min(time.Duration(s.Settings().BaseEjectionTime)<<e.Repeats, maxEjectionTime)
 }
 
-// requiredAnswers is what a step asks for, in clean answers; a probe counts for two reads where a service has none.
+// requiredAnswers returns the number of clean answers that the current step requires. In the step ReadsOnly of a strict ejection a clean
+// probe counts as two reads, because a service may have no reads.
 func (e *Ejection) requiredAnswers() uint32 {
 	if e.Step == LimitedWrites {
 		return readmitWrites << min(e.Repeats, maxWriteDoublings)
@@ -39,10 +49,11 @@
 	return readmitReads
 }
 
-// wantsProbes reports whether probes take an ejection further.
+// wantsProbes reports whether clean probes can advance the recovery in the current step.
 func (e *Ejection) wantsProbes() bool { return e.Step <= ReadsOnly && e.Step.next(e.Mode) != InService }
 
-// advanceRecovery takes an ejection one step on where what is asked for has come, from several nodes: one alone may be wrong.
+// advanceRecovery proposes the next recovery step of an ejection once the requirements of the current step are met. The required answers
+// must come from several nodes, because one node alone may be wrong.
 func (c *Coordinator) advanceRecovery(e *Ejection) {
 	r, backend := c.recoveries[e.Key], c.backends[e.ID]
 	if e.Step == InService || r == nil || backend.ID == "" || backend.Phase != Ready {
@@ -68,8 +79,8 @@
 	}
 }
 
-// recoveryTotals sums what nodes counted since the ejection's last change. Clean answers of one node count up to a part of what is asked
-// for, and the failures of the node that has most of them don't count: one alone may be wrong.
+// recoveryTotals sums the nodes' totals since the last change of the ejection. The clean answers of one node count only up to a share of the
+// required number, and the failures of the node with the most failures do not count, because one node alone may be wrong.
 func (c *Coordinator) recoveryTotals(e *Ejection) (sum Totals) {
 	evidence := c.evidence[e.Key]
 	if evidence == nil {
@@ -89,7 +100,8 @@
 	return sum
 }
 
-// forgetGone drops the ejections of instances that are gone, or that no registry has known for long.
+// forgetGone proposes to remove the ejections of instances that are gone. It includes instances that are not in the registry when the
+// coordinator has run for longer than unknownTTL.
 func (c *Coordinator) forgetGone() {
 	if c.now-c.forgetProposedAt < retryInterval {
 		return
--- a/internal/gateway/outlier/report.go
+++ b/internal/gateway/outlier/report.go
@@ -5,65 +5,74 @@
 	"time"
 )
 
-// Observation is what one node has of a key: sums, and the evidence that still counts. The newest stands for all before it, so it does not matter
-// which are lost, doubled or late.
+// Observation is what one node has observed of a key. It holds sums and the evidence that has not expired. Each observation replaces all
+// earlier ones, so lost, duplicated and delayed observations do no harm.
 type Observation struct {
 	Key
-	Rev           uint64 // revision of the ejection under which all of it was sent
-	Evidence      []Evidence
-	Window        Window
-	ServiceWindow Window        // of all the service's backends, in this mode
-	Slots         []Window      // where evidence counts, or the coordinator asks: the newest complete one first
-	SlotAge       time.Duration // so long ago the newest complete one ended
+	// The revision of the ejection under which all observed requests were sent.
+	Rev      uint64
+	Evidence []Evidence
+	Window   Window
+	// The window of all of the service's backends in this mode.
+	ServiceWindow Window
+	// The completed slots of the window, newest first. Set for strict keys with evidence, or if the coordinator requested a report.
+	Slots []Window
+	// The time since the newest completed slot ended.
+	SlotAge time.Duration
 	Totals
 }
 
-// valid reports whether a node may have made an observation so.
+// valid reports whether an observation is within the bounds that every node keeps to.
 func (o *Observation) valid() bool {
 	return o.Mode < modeCount && len(o.Slots) <= maxReportedSlots && len(o.Evidence) <= maxEvidence &&
 		!slices.ContainsFunc(o.Evidence, func(e Evidence) bool { return e.Kind >= evidenceKindCount || e.Age < 0 || e.Timeout < 0 })
 }
 
-// Report is what a node has observed since its last one.
+// Report carries the observations of a node that are due. At most maxObservations fit into one report.
 type Report struct {
-	Zone         string
-	Incarnation  uint64 // of the node, drawn at random
-	Seq          uint64 // rises within the incarnation
-	SelfDoubt    bool   // it sees more than half of a service fail: its evidence alone ejects nobody
+	Zone string
+	// The node's incarnation, a random number.
+	Incarnation uint64
+	// The sequence number, which rises within the incarnation.
+	Seq uint64
+	// Reports whether the node sees more than half of a service's backends fail. Its evidence alone then ejects no backend.
+	SelfDoubt    bool
 	Observations []Observation
 }
 
-// ReportRequest asks all nodes to report on some keys, whatever there is.
+// ReportRequest asks a node to report on some keys at once, also if it has observed nothing.
 type ReportRequest struct{ Keys []Key }
 
-// Action is what the host is to do.
+// Action is something that a Node or a Coordinator asks its host to do.
 type Action interface{ action() }
 
-// SendReport goes to the node with the coordinator; it may be lost.
+// SendReport asks the host to send a report to the coordinator's node. The report may get lost.
 type SendReport struct{ Report Report }
 
-// SetAccess is what a backend gets from now on. Interval is between requests with Limited access.
+// SetAccess sets the access of a backend in a mode from now on. Interval is the minimum time between two requests under Limited access.
 type SetAccess struct {
 	Key
 	Access   Access
 	Interval time.Duration
-	Local    bool // by this node itself, not by an ejection
+	// Reports whether this node itself closed the access, without an ejection by the coordinator.
+	Local bool
 }
 
-// Probe asks for a backend's health page, to be answered by Node.HandleProbe.
+// Probe asks the host to fetch a backend's health page and to pass the result to Node.HandleProbe.
 type Probe struct{ ID InstanceID }
 
-// NoneAvailable is for the log: no backend of a service takes requests of this mode any more.
+// NoneAvailable asks the host to log that no backend of a service accepts requests of a mode. Backends is the number of ready backends.
 type NoneAvailable struct {
 	Service  string
 	Mode     Mode
 	Backends int
 }
 
-// BroadcastRequest goes to all nodes, this one too; it may be lost.
+// BroadcastRequest asks the host to send a report request to all nodes, including this one. The request may get lost.
 type BroadcastRequest struct{ Request ReportRequest }
 
-// Propose is an entry for the replicated log, to be put there by this node or not at all.
+// Propose asks the host to append an entry to the replicated log. Only this node may append the entry. The host must not forward it to
+// another node.
 type Propose struct{ Entry Entry }
 
 func (SendReport) action()       {}
@@ -73,12 +82,12 @@
 func (BroadcastRequest) action() {}
 func (Propose) action()          {}
 
-// actionQueue is what the host has yet to do.
+// actionQueue holds the actions that the host has not yet pulled.
 type actionQueue struct{ actions []Action }
 
 func (a *actionQueue) push(action Action) { a.actions = append(a.actions, action) }
 
-// Next gives the next thing to do now, or false when there is none.
+// Next removes and returns the next action. It returns false if there is none.
 func (a *actionQueue) Next() (Action, bool) {
 	if len(a.actions) == 0 {
 		return nil, false
--- a/internal/gateway/outlier/settings.go
+++ b/internal/gateway/outlier/settings.go
@@ -7,30 +7,36 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// Settings are set by operators, with an entry of the log like any other. What is 0 has the value of DefaultSettings.
+// Settings are the operators' settings. A log entry changes them. A number or duration of 0 is replaced by the value of DefaultSettings.
 type Settings struct {
-	Enabled             bool              `json:"on"`
-	Routes              []Route           `json:"routes" validate:"max=256,unique=Route,dive"`
-	MinInService        int               `json:"floor_number" validate:"min=1,max=1000"`          // so many of a service's backends stay in service for patient requests
-	MinInServicePercent int               `json:"floor_share" validate:"min=10,max=100"`           // and so many percent of the ready ones
-	SoleWitnessPercent  int               `json:"alone_share" validate:"min=1,max=50"`             // of a service: what one witness alone may have ejected
-	SoleWitnessMax      int               `json:"alone_most" validate:"min=1,max=64"`              // of all services: as many
-	BaseEjectionTime    logentry.Duration `json:"rest" validate:"min=1000000000,max=600000000000"` // 1 s to 10 min, doubled with each repetition
-	ProbeIdleAfter      logentry.Duration `json:"probe_silent" validate:"min=0"`                   // 0: none that is in service is probed
+	Enabled bool    `json:"on"`
+	Routes  []Route `json:"routes" validate:"max=256,unique=Route,dive"`
+	// The minimum number of a service's backends that stay in service for patient requests.
+	MinInService int `json:"floor_number" validate:"min=1,max=1000"`
+	// The minimum percentage of a service's ready backends that stay in service for patient requests.
+	MinInServicePercent int `json:"floor_share" validate:"min=10,max=100"`
+	// The percentage of a service's ready backends that may be ejected on the evidence of one witness alone.
+	SoleWitnessPercent int `json:"alone_share" validate:"min=1,max=50"`
+	// The number of ejections, over all services, that may rest on the evidence of one witness alone.
+	SoleWitnessMax int `json:"alone_most" validate:"min=1,max=64"`
+	// The minimum duration of an ejection, from 1 s to 10 min, doubled with each repeated ejection.
+	BaseEjectionTime logentry.Duration `json:"rest" validate:"min=1000000000,max=600000000000"`
+	// The idle time after which a backend in service is probed. 0: backends in service are not probed.
+	ProbeIdleAfter logentry.Duration `json:"probe_silent" validate:"min=0"`
 }
 
-// Route sets the mode of a route's requests, whatever its variant.
+// Route sets the mode of the requests of a route, in all of the route's variants.
 type Route struct {
 	Route string `json:"route" validate:"required,max=128"`
 	Mode  string `json:"manner" validate:"oneof=strict patient off"`
 }
 
-// DefaultSettings are in force where Settings say nothing.
+// DefaultSettings returns the values that replace zero values in Settings.
 func DefaultSettings() Settings {
 	return Settings{MinInService: 2, MinInServicePercent: 50, SoleWitnessPercent: 13, SoleWitnessMax: 4, BaseEjectionTime: logentry.Duration(5 * time.Second)}
 }
 
-// Normalize fills in the defaults and checks the settings. Its errors are FieldErrors of logentry.
+// Normalize replaces zero values by the defaults and validates the settings. Its errors are of type logentry.FieldError.
 func (s *Settings) Normalize() error {
 	defaults := DefaultSettings()
 	s.MinInService = cmp.Or(s.MinInService, defaults.MinInService)
@@ -42,12 +48,13 @@
 		return err
 	}
 	if p := time.Duration(s.ProbeIdleAfter); p > 0 && p < time.Second {
-		return logentry.FieldErrorf("probe_silent", "%v is below a second", p)
+		return logentry.FieldErrorf("probe_silent", "%v is less than 1 s", p)
 	}
 	return nil
 }
 
-// ModeFor is the mode of a route's requests; effectful ones are Strict where no route says otherwise.
+// ModeFor returns the mode of a route's requests. Without a setting for the route, it is Strict for requests with side effects and Patient for
+// others.
 func (s *Settings) ModeFor(route string, effectful bool) Mode {
 	for _, r := range s.Routes {
 		if r.Route != route {
@@ -65,12 +72,13 @@
 	return Patient
 }
 
-// minInService is how many of a service's ready backends stay in service for patient requests.
+// minInService returns how many of a service's ready backends must stay in service for patient requests.
 func (s *Settings) minInService(ready int) int {
 	return min(ready, max(s.MinInService, (ready*s.MinInServicePercent+99)/100))
 }
 
-// soleWitnessLimits are how many of a service's ready backends, and of all, one witness alone may have ejected, after some refutations.
+// soleWitnessLimits returns how many of a service's ready backends, and how many backends in total, may be ejected on the evidence of one
+// witness alone. Each refutation of the witness halves both limits.
 func (s *Settings) soleWitnessLimits(ready, refuted int) (ofService, ofAll int) {
 	return max(1, ready*s.SoleWitnessPercent/100) >> refuted, s.SoleWitnessMax >> refuted
 }
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -9,26 +9,28 @@
 	"clovergap/internal/invariant"
 )
 
-// Bounds of the state.
+// Bounds of the stored state.
 const (
-	maxEjections       = 1024
-	maxHistory         = 256 // entries
-	maxCallIDs         = 256
-	maxTextBytes       = 256
-	maxTrust           = 1024
-	maxRepeats         = 16
-	maxNamedWitnesses  = 8
-	refutationHalfLife = 24 // entries, some five ejections with their ways back, after which half of the refutations is forgiven
+	maxEjections = 1024
+	// Entries.
+	maxHistory        = 256
+	maxCallIDs        = 256
+	maxTextBytes      = 256
+	maxTrust          = 1024
+	maxRepeats        = 16
+	maxNamedWitnesses = 8
+	// After this number of entries half of a witness's refutations are forgiven. It is about five ejections with their recoveries.
+	refutationHalfLife = 24
 )
 
-// State is what the replicated log's entries come to: the same at all nodes.
+// State is the replicated state that results from the entries of the log. It is the same on all nodes.
 type State struct{ snapshot }
 
-// snapshot is the state as it is stored. Gob goes by these names.
+// snapshot is the stored form of the state. Gob stores the field names, so they must not change.
 type snapshot struct {
 	Settings         Settings
 	SettingsRevision uint64
-	Ejections        []Ejection // by key
+	Ejections        []Ejection // Ordered by key.
 	History          []HistoryEntry
 	Trust            []Trust
 	Revision         uint64
@@ -36,22 +38,22 @@
 	CallIDs          []string
 }
 
-// NewState is that before the first entry.
+// NewState returns the state before the first entry.
 func NewState() *State { return &State{snapshot{Settings: DefaultSettings()}} }
 
-// Enabled reports whether anything is observed, reported or ejected.
+// Enabled reports whether outlier detection is enabled. If not, nothing is observed, reported or ejected.
 func (s *State) Enabled() bool { return s.snapshot.Settings.Enabled }
 
-// Settings are those in force; not to be changed.
+// Settings returns the current settings. The caller must not change them.
 func (s *State) Settings() *Settings { return &s.snapshot.Settings }
 
-// Ejections are all, by key; not to be changed.
+// Ejections returns all ejections, ordered by key. The caller must not change them.
 func (s *State) Ejections() []Ejection { return s.snapshot.Ejections }
 
-// History is the history, oldest first; not to be changed.
+// History returns the history, oldest entry first. The caller must not change it.
 func (s *State) History() []HistoryEntry { return s.snapshot.History }
 
-// Ejection of a key, nil if it was never ejected; not to be changed.
+// Ejection returns the ejection of a key, or nil if none is stored. The caller must not change it.
 func (s *State) Ejection(k Key) *Ejection {
 	if i, ok := s.find(k); ok {
 		return &s.snapshot.Ejections[i]
@@ -59,7 +61,7 @@
 	return nil
 }
 
-// revision under which a key's evidence is gathered now; 0 if it was never ejected.
+// revision returns the revision of a key's ejection, under which its evidence is gathered now. It is 0 if no ejection is stored.
 func (s *State) revision(k Key) uint64 {
 	if ejection := s.Ejection(k); ejection != nil {
 		return ejection.Rev
@@ -67,18 +69,20 @@
 	return 0
 }
 
+// find returns the index of a key's ejection, or the index to insert it at and false.
 func (s *State) find(k Key) (int, bool) {
 	return slices.BinarySearchFunc(s.snapshot.Ejections, k, func(ejection Ejection, k Key) int { return ejection.compare(k) })
 }
 
-// refute notes that what was ejected on one witness alone came back, and no other node had seen anything.
+// refute records that a backend that was ejected on the evidence of w alone came back into service, and that no other node had confirmed the
+// evidence.
 func (s *State) refute(w Slot) {
 	n := s.refutations(w) + 1
 	s.snapshot.Trust = slices.DeleteFunc(s.snapshot.Trust, func(t Trust) bool { return t.Witness == w })
 	s.snapshot.Trust = logentry.KeepLast(append(s.snapshot.Trust, Trust{w, n, s.Revision}), maxTrust)
 }
 
-// Apply carries an entry out if Decide takes it, and gives Decide's verdict.
+// Apply applies an entry if Decide accepts it. It returns the result and the error of Decide.
 func (s *State) Apply(e *Entry) (routing.Result, error) {
 	if result, err := s.Decide(e); result != routing.Accepted {
 		return result, err
@@ -93,7 +97,7 @@
 	case SetSettings:
 		s.snapshot.Settings, s.SettingsRevision = *e.Settings, s.Revision
 		err := s.snapshot.Settings.Normalize()
-		invariant.That(err == nil, "settings that were taken are sound")
+		invariant.That(err == nil, "settings of an accepted entry are valid")
 	case Forget:
 		s.snapshot.Ejections = slices.DeleteFunc(s.snapshot.Ejections, func(ejection Ejection) bool { return slices.Contains(e.GoneInstances, ejection.ID) })
 	case Eject:
@@ -117,7 +121,7 @@
 	return routing.Accepted, nil
 }
 
-// eject begins an ejection, in the place of the oldest that is over where there are too many.
+// eject starts an ejection. If too many ejections are stored, it drops the oldest one whose backend is back in service.
 func (s *State) eject(e *Entry) {
 	sole, _ := s.soleWitness(e)
 	i, exists := s.find(e.Key)
@@ -134,15 +138,15 @@
 	ejection.Repeats = min(ejection.Repeats+1, maxRepeats)
 }
 
-// Snapshot encodes the state.
+// Snapshot returns the encoded state. Equal states have equal snapshots.
 func (s *State) Snapshot() []byte { return logentry.Encode(s.snapshot) }
 
-// Restore decodes one; nothing at all is the state before the first entry.
+// Restore decodes a snapshot. For an empty snapshot it returns the state before the first entry.
 func Restore(b []byte) (*State, error) {
 	s := NewState()
 	if len(b) == 0 {
 		return s, nil
 	}
 	s.snapshot = snapshot{}
-	return s, logentry.Decode(b, &s.snapshot, "snapshot of outlier")
+	return s, logentry.Decode(b, &s.snapshot, "decode outlier snapshot")
 }
--- a/internal/gateway/outlier/window.go
+++ b/internal/gateway/outlier/window.go
@@ -4,48 +4,53 @@
 	"time"
 )
 
-// Bounds of what a node keeps and reports of a key.
+// Bounds of what a node stores and reports of a key.
 const (
-	windowSlots      = 20
-	slotDuration     = 500 * time.Millisecond
-	windowDuration   = windowSlots * slotDuration
-	maxReportedSlots = 12 // of one observation
+	windowSlots    = 20
+	slotDuration   = 500 * time.Millisecond
+	windowDuration = windowSlots * slotDuration
+	// The maximum number of slots in one observation.
+	maxReportedSlots = 12
 	evidenceTTL      = 60 * time.Second
-	maxEvidence      = 8 // of one observation: the newest
+	// The maximum number of items in one observation. The newest items are kept.
+	maxEvidence = 8
 )
 
-// Window counts what ended within windowDuration, or a part of it.
+// Window counts the attempts that ended within windowDuration or within a part of it.
 type Window struct {
-	Clean         uint32
-	Failing       uint32 // by the mode's weights
-	LatencyMillis uint32 // of the clean ones together
+	Clean uint32
+	// The failures that count under the weights of the mode.
+	Failing uint32
+	// The sum of the latencies of the clean answers, in milliseconds.
+	LatencyMillis uint32
 }
 
-// add sums.
+// add adds the counts of another window.
 func (w *Window) add(o Window) {
 	w.Clean += o.Clean
 	w.Failing += o.Failing
 	w.LatencyMillis += o.LatencyMillis
 }
 
-// sub takes another window's counts off, down to 0.
+// sub returns the window without the counts of another window. No count falls below 0.
 func (w Window) sub(o Window) Window {
 	return Window{w.Clean - min(o.Clean, w.Clean), w.Failing - min(o.Failing, w.Failing), w.LatencyMillis - min(o.LatencyMillis, w.LatencyMillis)}
 }
 
-// total is all that ended.
+// total returns the number of attempts that ended.
 func (w Window) total() uint32 { return w.Clean + w.Failing }
 
-// failureRate is the part that failed, 0 to 1.
+// failureRate returns the share of attempts that failed, from 0 to 1. It is 0 for an empty window.
 func (w Window) failureRate() float64 { return float64(w.Failing) / max(float64(w.total()), 1) }
 
-// slidingWindow counts what ended within the last windowDuration, by slots.
+// slidingWindow counts the attempts that ended within the last windowDuration, in slots of slotDuration.
 type slidingWindow struct {
-	slots      [windowSlots]Window
-	newestSlot time.Duration // its number
+	slots [windowSlots]Window
+	// The number of the newest slot, which is its time divided by slotDuration.
+	newestSlot time.Duration
 }
 
-// slotAt gives the slot of a time, and empties those that it has moved over.
+// slotAt advances the window to a time and returns the slot of that time. It clears the slots that the window has passed.
 func (s *slidingWindow) slotAt(now time.Duration) *Window {
 	slot := now / slotDuration
 	for i := max(s.newestSlot+1, slot-windowSlots+1); i <= slot; i++ {
@@ -55,7 +60,7 @@
 	return &s.slots[s.newestSlot%windowSlots]
 }
 
-// sum is all of the window.
+// sum returns the sum of all slots of the window that ends now.
 func (s *slidingWindow) sum(now time.Duration) (w Window) {
 	s.slotAt(now)
 	for _, window := range s.slots {
@@ -64,7 +69,7 @@
 	return w
 }
 
-// completedSlots are the last complete slots, the newest first.
+// completedSlots returns up to maxReportedSlots completed slots, the newest first.
 func (s *slidingWindow) completedSlots(now time.Duration) (list []Window) {
 	s.slotAt(now)
 	for i := range min(maxReportedSlots, s.newestSlot) {
@@ -73,14 +78,16 @@
 	return list
 }
 
-// Totals are what a node counted since the last change of a key's ejection.
+// Totals holds a node's counts since the last change of a key's ejection.
 type Totals struct {
 	Clean, Failing uint32
-	Reads          uint32 // strict: clean reads of the same instance
-	Probes         uint32 // clean ones in a row
+	// For a strict key: the clean answers to the instance's patient requests.
+	Reads uint32
+	// The number of consecutive clean probes.
+	Probes uint32
 }
 
-// add sums.
+// add adds the counts of other totals.
 func (t *Totals) add(o Totals) {
 	t.Clean += o.Clean
 	t.Failing += o.Failing
--- a/internal/gateway/outlier/zonepath.go
+++ b/internal/gateway/outlier/zonepath.go
@@ -4,31 +4,38 @@
 	"time"
 )
 
-// Gaps between the answers of a zone's backends.
+// Constants for the gaps between the answers of a zone's backends.
 const (
-	gapFactor    = 8 // so many times the usual gap are tolerated
-	minGap       = 300 * time.Millisecond
-	maxGap       = 3 * time.Second
+	// A gap of up to this multiple of the smoothed gap is tolerated.
+	gapFactor = 8
+	// The lower bound of the tolerance.
+	minGap = 300 * time.Millisecond
+	// The upper bound of the tolerance, and of a gap in the average.
+	maxGap = 3 * time.Second
+	// The weight of a new gap in the exponential moving average.
 	gapSmoothing = 0.05
 )
 
-// zonePath tells whether the backends of a zone are reachable, by the gaps between their answers.
+// zonePath determines from the gaps between answers whether the backends of a zone are reachable.
 type zonePath struct {
 	lastAnswerAt time.Duration
-	smoothedGap  float64       // between two answers, in seconds, smoothed
-	steadySince  time.Duration // since then no gap was long
+	// The exponential moving average of the gap between two answers, in seconds.
+	smoothedGap float64
+	// No gap has exceeded the tolerance since this time.
+	steadySince time.Duration
 }
 
+// newZonePath returns a zonePath that starts with the longest tolerance.
 func newZonePath(now time.Duration) *zonePath {
 	return &zonePath{lastAnswerAt: now, steadySince: now, smoothedGap: maxGap.Seconds() / gapFactor}
 }
 
-// tolerance is the longest gap that is none.
+// tolerance returns the longest gap between two answers that is considered normal.
 func (z *zonePath) tolerance() time.Duration {
 	return min(max(time.Duration(gapFactor*z.smoothedGap*float64(time.Second)), minGap), maxGap)
 }
 
-// observeAnswer takes an answer of one of the zone's backends.
+// observeAnswer records an answer of one of the zone's backends.
 func (z *zonePath) observeAnswer(now time.Duration) {
 	if now-z.lastAnswerAt > z.tolerance() {
 		z.steadySince = now
@@ -37,7 +44,8 @@
 	z.lastAnswerAt = now
 }
 
-// intact reports whether answers kept coming from a time on, so often that a partition half as long would show.
+// intact reports whether answers have arrived without a long gap since from, and so frequently that a partition of half that time would
+// have been noticed. It returns false for a nil zonePath.
 func (z *zonePath) intact(from, now time.Duration) bool {
 	return z != nil && z.steadySince <= from && z.lastAnswerAt > from && now-z.lastAnswerAt <= z.tolerance() && z.tolerance() <= max((now-from)/2, minGap)
 }
