--- a/internal/gateway/outlier/access.go
+++ b/internal/gateway/outlier/access.go
@@ -68,7 +68,7 @@
 
 // updateStrict sets the access of a service's backends for strict requests. It keeps no minimum in service, because it is better to reject
 // a write than to lose it. While no backend of the service is available, it pushes a NoneAvailable action every
-// noneAvailableRepeatInterval.
+// noneAvailableInterval.
 func (n *Node) updateStrict(svc *service) {
 	available := false
 	for _, instance := range svc.backends {
@@ -84,7 +84,7 @@
 	switch {
 	case available || len(svc.backends) == 0:
 		svc.noneAvailableAt = 0
-	case svc.noneAvailableAt == 0 || n.now-svc.noneAvailableAt >= noneAvailableRepeatInterval:
+	case svc.noneAvailableAt == 0 || n.now-svc.noneAvailableAt >= noneAvailableInterval:
 		svc.noneAvailableAt = n.now
 		n.push(NoneAvailable{svc.name, Strict, len(svc.backends)})
 	}
--- a/internal/gateway/outlier/decide.go
+++ b/internal/gateway/outlier/decide.go
@@ -61,7 +61,7 @@
 	case e.Verb == Eject:
 		return s.decideEject(e, ejection)
 	case ejection == nil:
-		return conflict("key", "instance %s was never ejected in mode %s", e.Key.ID, e.Key.Mode)
+		return conflict("key", "instance %s has no ejection in mode %s", e.Key.ID, e.Key.Mode)
 	case e.Verb == Clear:
 		return routing.Accepted, nil
 	case e.Verb == StepUp && ejection.Step != InService && ejection.Step.next(ejection.Mode) != InService,
@@ -121,11 +121,11 @@
 	return membership.NoSlot, false
 }
 
-// refutations returns the number of refutations that still count against a witness. It halves every refutationHalfLife revisions.
+// refutations returns the number of refutations that still count against a witness. It halves every refutationHalvingPeriod revisions.
 func (s *State) refutations(w Slot) int {
 	for _, t := range s.snapshot.Trust {
 		if t.Witness == w {
-			return t.Refuted >> min((s.Revision-t.Rev)/refutationHalfLife, 62)
+			return t.Refuted >> min((s.Revision-t.Rev)/refutationHalvingPeriod, 62)
 		}
 	}
 	return 0
--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -13,7 +13,7 @@
 const (
 	// Evidence that only the backend can have caused.
 	ruleConclusive = "proof"
-	// Lost answers and connection resets, seen by several nodes.
+	// Lost answers and connection resets, seen by several nodes, or by one node while the backend recovers.
 	ruleLost = "lost"
 	// A failure rate well above that of the service's other backends.
 	ruleRate = "failing"
@@ -66,11 +66,11 @@
 	excludedWitness Slot
 	// The nodes with conclusive evidence.
 	conclusive []Slot
-	// Reports whether one of them doubts its own observations.
+	// Reports whether one of the nodes with conclusive evidence doubts its own observations.
 	selfDoubt bool
 	// All evidence that has not expired.
 	items []Evidence
-	// The sum over all nodes.
+	// The sum of the current windows of all nodes.
 	total Window
 	// The window of the node with the most failures. Empty if there is only one node.
 	worst Window
@@ -131,7 +131,7 @@
 	losses, settled := c.confirmedLosses(a)
 	enoughWitnesses := len(losses)+len(a.conclusive) > 1 || a.recovering
 	lossesUsable := len(losses) > 0 && enoughWitnesses && settled && c.requestAnswered(key, evidence) && c.seenInZone(a, losses)
-	if c.ejectOnConclusive(a, losses, lossesUsable) {
+	if c.ejectOnConclusiveEvidence(a, losses, lossesUsable) {
 		return
 	}
 	sufficient := 0
@@ -154,9 +154,9 @@
 	}
 }
 
-// ejectOnConclusive proposes an ejection if there is conclusive evidence. If lossesUsable is true, the witnesses of the losses are added to
+// ejectOnConclusiveEvidence proposes an ejection if there is conclusive evidence. If lossesUsable is true, the witnesses of the losses are added to
 // the witnesses of the ejection. It returns false if there is no conclusive evidence or if the state would not accept the entry.
-func (c *Coordinator) ejectOnConclusive(a *assessment, losses []Slot, lossesUsable bool) bool {
+func (c *Coordinator) ejectOnConclusiveEvidence(a *assessment, losses []Slot, lossesUsable bool) bool {
 	if len(a.conclusive) == 0 {
 		return false
 	}
@@ -223,10 +223,10 @@
 			largest = sum
 		}
 	}
-	quick := func(w Window) bool {
+	isFast := func(w Window) bool {
 		return w.Clean > 0 && time.Duration(w.LatencyMillis/w.Clean)*time.Millisecond <= item.Timeout/confirmingLatencyDivisor
 	}
-	return total.Clean >= minConfirmingAnswers && quick(total) && (nodes == 1 || quick(total.sub(largest)))
+	return total.Clean >= minConfirmingAnswers && isFast(total) && (nodes == 1 || isFast(total.sub(largest)))
 }
 
 // confirmedLosses returns the nodes whose partial evidence is confirmed by the observations on the backend. A connection reset needs no
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -10,19 +10,20 @@
 const (
 	// The delay before evidence counts that a network link may have caused.
 	linkEvidenceDelay = 500 * time.Millisecond
-	// Reports at the next Tick or report request.
+	// The report interval for a report at the next Tick or at once.
 	reportNow = 1 * time.Nanosecond
-	// The longest delay of the report of new evidence.
+	// New evidence on a key is reported when this time has passed since the last report on the key.
 	reportDelay = 200 * time.Millisecond
-	// The longest delay of the report of totals, and of failures that count by rate.
+	// Totals, and failures that count by rate, are reported when this time has passed since the last report on the key.
 	slowReportDelay = time.Second
-	// The interval between reports on a key while its evidence has not expired.
-	reportRepeatInterval = 2 * time.Second
+	// The report on a key is repeated at this interval while its evidence has not expired.
+	reportInterval = 2 * time.Second
 	// The maximum number of observations in one report.
 	maxObservations = 32
 	// The minimum interval between two probes of a backend.
-	probeInterval               = time.Second
-	noneAvailableRepeatInterval = 5 * time.Second
+	probeInterval = time.Second
+	// The interval between two NoneAvailable actions while no backend of a service is available.
+	noneAvailableInterval = 5 * time.Second
 	// The rate limit of a backend with limited access, for all nodes together.
 	limitedPerSecond = 10
 	// From this number of other backends that reset connections at the same time, the resets are not attributed to the backends.
@@ -155,7 +156,7 @@
 	} else if !ready && listed {
 		svc.backends = slices.Delete(svc.backends, at, at+1)
 	}
-	// It gets no new requests, and what is observed of it from now on says nothing about the service.
+	// A backend that is not ready gets no new requests. What is observed of it from now on says nothing about the service.
 	if b.Phase != Ready {
 		n.removeBackend(instance)
 	}
@@ -245,7 +246,7 @@
 		n.maintainKey(n.active[k])
 	}
 	for _, svc := range n.services {
-		if svc.noneAvailableAt > 0 && n.now-svc.noneAvailableAt >= noneAvailableRepeatInterval {
+		if svc.noneAvailableAt > 0 && n.now-svc.noneAvailableAt >= noneAvailableInterval {
 			n.queueService(svc)
 		}
 	}
@@ -284,7 +285,7 @@
 		return
 	}
 	var observations []Observation
-	doubt := false
+	selfDoubt := false
 	for _, k := range keys {
 		state := n.active[k]
 		if state == nil || state.reportWithin == 0 || n.now-state.reportedAt < state.reportWithin && state.reportedAt > 0 {
@@ -300,7 +301,7 @@
 		for _, item := range state.evidence {
 			observation.Evidence = append(observation.Evidence, Evidence{item.kind, n.now - item.observedAt, item.timeout})
 		}
-		doubt = doubt || svc.doubtUntil > n.now
+		selfDoubt = selfDoubt || svc.doubtUntil > n.now
 		if observations = append(observations, observation); len(observations) == maxObservations {
 			// The remaining keys are reported at the next Tick.
 			break
@@ -308,6 +309,6 @@
 	}
 	if len(observations) > 0 {
 		n.seq++
-		n.push(SendReport{Report{n.zone, n.incarnation, n.seq, doubt, observations}})
+		n.push(SendReport{Report{n.zone, n.incarnation, n.seq, selfDoubt, observations}})
 	}
 }
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -10,7 +10,7 @@
 	key      Key
 	backend  *backend
 	revision uint64
-	// When this node applied the revision.
+	// The time when this node applied the revision.
 	revisionSince time.Duration
 	window        slidingWindow
 	evidence      []evidenceItem
@@ -23,13 +23,13 @@
 	ejectedUntil time.Duration
 	// The number of local ejections so far.
 	localEjections int
-	// As last pushed to the host.
+	// The access that was last pushed to the host.
 	access Access
 	// Reports whether this node itself closed the access.
 	local bool
-	// The longest time since reportedAt before the next report. 0: nothing to report.
+	// The next report is due when this time has passed since reportedAt. 0: nothing to report.
 	reportWithin time.Duration
-	// When the key was last reported. 0: never.
+	// The time of the last report on the key. 0: never.
 	reportedAt time.Duration
 }
 
@@ -92,7 +92,7 @@
 	}
 }
 
-// record records one piece of evidence on a key. It ignores evidence of another revision than the current one.
+// record records one item of evidence on a key. It ignores evidence of another revision than the current one.
 func (n *Node) record(instance *backend, k Key, rev uint64, kind EvidenceKind, sent time.Duration) {
 	if k.Mode >= modeCount || kind == NoEvidence {
 		return
@@ -152,10 +152,11 @@
 	n.queueService(state.backend.service)
 }
 
-// scheduleReport requests a report on the key within the given time since the last report. It never postpones a scheduled report.
-func (k *keyState) scheduleReport(in time.Duration) {
-	if k.reportWithin == 0 || in < k.reportWithin {
-		k.reportWithin = in
+// scheduleReport schedules a report on the key for when the given time has passed since the last report. It never postpones a scheduled
+// report.
+func (k *keyState) scheduleReport(within time.Duration) {
+	if k.reportWithin == 0 || within < k.reportWithin {
+		k.reportWithin = within
 	}
 }
 
@@ -239,7 +240,7 @@
 	} else if len(state.evidence) == 0 && state.delayedCount == 0 && state.ejectedUntil == 0 && state.reportWithin == 0 {
 		delete(n.active, state.key)
 	}
-	if len(state.evidence) > 0 && n.now-state.reportedAt >= reportRepeatInterval {
+	if len(state.evidence) > 0 && n.now-state.reportedAt >= reportInterval {
 		state.scheduleReport(reportNow)
 	}
 }
--- a/internal/gateway/outlier/report.go
+++ b/internal/gateway/outlier/report.go
@@ -15,7 +15,7 @@
 	Window   Window
 	// The window of all of the service's backends in this mode.
 	ServiceWindow Window
-	// The completed slots of the window, newest first. Set for strict keys with evidence, or if the coordinator requested a report.
+	// The completed slots of the window, newest first. Set for a strict key that has evidence or that the coordinator requested.
 	Slots []Window
 	// The time since the newest completed slot ended.
 	SlotAge time.Duration
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -36,7 +36,7 @@
 
 // faultFunc returns the evidence that a backend's fault causes on a request, and the factor by which the fault multiplies the latency. The kind
 // is NoEvidence if the request has no fault.
-type faultFunc func(w *simulation, node *simNode, m Mode) (kind EvidenceKind, slower float64)
+type faultFunc func(sim *simulation, node *simNode, m Mode) (kind EvidenceKind, slowdown float64)
 
 // simBackend is a simulated backend.
 type simBackend struct {
@@ -74,8 +74,8 @@
 	applyAt     map[int]time.Duration // The time when each entry arrives, by index.
 	access      map[Key]SetAccess
 	inFlight    map[Key]int // The number of requests in flight.
-	sentAt      map[Key]time.Duration
-	forgeReport func(d *simNode) *Report
+	lastSentAt  map[Key]time.Duration
+	forgeReport func(node *simNode) *Report
 	unserved    int
 }
 
@@ -87,7 +87,7 @@
 	backends        []*simBackend
 	nodes           []*simNode
 	coordinator     *Coordinator
-	coordinatorNode int // The coordinator's node.
+	coordinatorNode int // The index of the coordinator's node.
 	entries         []Entry
 	appendedAt      []time.Duration
 	state           *State
@@ -137,7 +137,7 @@
 	for i := range nodes {
 		sim.nodes = append(sim.nodes, &simNode{Node: NewNode(zoneName(i%3), uint64(seed)*1000+uint64(i), 0), slot: Slot(i), zone: i % 3,
 			state: NewState(), applyAt: map[int]time.Duration{}, access: map[Key]SetAccess{}, inFlight: map[Key]int{},
-			sentAt: map[Key]time.Duration{}})
+			lastSentAt: map[Key]time.Duration{}})
 		sim.nodes[i].SetNodeCount(nodes)
 		sim.nodes[i].SetConnected(true)
 	}
@@ -184,13 +184,13 @@
 
 // partitionedUntil returns the end of the partitions between two places. It returns 0 if they can reach each other. A node of -1 is a backend.
 func (sim *simulation) partitionedUntil(nodeA, zoneA, nodeB, zoneB int) (until time.Duration) {
-	for _, c := range sim.partitions {
-		if sim.now < c.from || sim.now >= c.to {
+	for _, p := range sim.partitions {
+		if sim.now < p.from || sim.now >= p.to {
 			continue
 		}
-		inside := func(node, zone int) bool { return node == c.node && node >= 0 || zone == c.zone && c.zone >= 0 }
+		inside := func(node, zone int) bool { return node == p.node && node >= 0 || zone == p.zone && p.zone >= 0 }
 		if inside(nodeA, zoneA) != inside(nodeB, zoneB) {
-			until = max(until, c.to)
+			until = max(until, p.to)
 		}
 	}
 	return until
@@ -295,8 +295,8 @@
 
 // hasQuorum reports whether the coordinator's node is connected to the majority, which is two of the three zones.
 func (sim *simulation) hasQuorum() bool {
-	for _, c := range sim.partitions {
-		if sim.now >= c.from && sim.now < c.to && (c.zone == sim.coordinatorNode%3 || c.node == sim.coordinatorNode) {
+	for _, p := range sim.partitions {
+		if sim.now >= p.from && sim.now < p.to && (p.zone == sim.coordinatorNode%3 || p.node == sim.coordinatorNode) {
 			return false
 		}
 	}
@@ -376,7 +376,7 @@
 			continue
 		}
 		switch access := node.access[key]; {
-		case access.Access == Closed, access.Access == Limited && (node.inFlight[key] > 0 || sim.now-node.sentAt[key] < access.Interval):
+		case access.Access == Closed, access.Access == Limited && (node.inFlight[key] > 0 || sim.now-node.lastSentAt[key] < access.Interval):
 		case zoneOf(b) == node.zone:
 			near = append(near, b)
 		default:
@@ -396,7 +396,7 @@
 	svc := b.service
 	req := &simRequest{node: node, backend: b, key: Key{b.ID, m}, rev: node.Revision(Key{b.ID, m}), sentAt: sim.now, outcome: AttemptEnd{Ending: control.Succeeded}}
 	node.inFlight[req.key]++
-	node.sentAt[req.key] = sim.now
+	node.lastSentAt[req.key] = sim.now
 	kind, slowdown := NoEvidence, 1.0
 	if b.fault != nil && sim.now >= b.faultFrom {
 		kind, slowdown = b.fault(sim, node, m)
@@ -411,10 +411,10 @@
 	if until := sim.partitionedUntil(int(node.slot), node.zone, -1, zoneOf(b)); until > 0 {
 		latency += until - sim.now + time.Duration(200+sim.rng.Intn(800))*ms
 	}
-	for _, c := range sim.partitions { // A partition that begins while the request is in flight.
-		inside := func(index, zone int) bool { return c.node >= 0 && index == c.node || c.zone >= 0 && zone == c.zone }
-		if c.from > sim.now && c.from < sim.now+latency && inside(int(node.slot), node.zone) != inside(-1, zoneOf(b)) {
-			latency += c.to - c.from + time.Duration(200+sim.rng.Intn(800))*ms
+	for _, p := range sim.partitions { // A partition that begins while the request is in flight.
+		inside := func(index, zone int) bool { return p.node >= 0 && index == p.node || p.zone >= 0 && zone == p.zone }
+		if p.from > sim.now && p.from < sim.now+latency && inside(int(node.slot), node.zone) != inside(-1, zoneOf(b)) {
+			latency += p.to - p.from + time.Duration(200+sim.rng.Intn(800))*ms
 		}
 	}
 	switch kind {
@@ -558,11 +558,11 @@
 		svc := sim.services[sim.rng.Intn(len(sim.services))]
 		return svc.backends[sim.rng.Intn(len(svc.backends))]
 	}
-	addPartition := func(c partition, from time.Duration) {
-		c.from, c.to = from, from+time.Duration(1000+sim.rng.Intn(7000))*ms
-		sim.partitions = append(sim.partitions, c)
-		if c.zone == sim.coordinatorNode%3 || c.node == sim.coordinatorNode { // The next coordinator is on the other side of the partition.
-			sim.schedule(c.from-sim.now+1500*ms, func() { sim.startCoordinator(sim.coordinator.fencingToken+1, (sim.coordinatorNode+1)%len(sim.nodes)) })
+	addPartition := func(p partition, from time.Duration) {
+		p.from, p.to = from, from+time.Duration(1000+sim.rng.Intn(7000))*ms
+		sim.partitions = append(sim.partitions, p)
+		if p.zone == sim.coordinatorNode%3 || p.node == sim.coordinatorNode { // The next coordinator is on the other side of the partition.
+			sim.schedule(p.from-sim.now+1500*ms, func() { sim.startCoordinator(sim.coordinator.fencingToken+1, (sim.coordinatorNode+1)%len(sim.nodes)) })
 		}
 	}
 	for at := interval; at < farFuture/20; at += time.Duration((0.5 + sim.rng.Float64()) * float64(interval)) {
@@ -608,8 +608,8 @@
 		if !bytes.Equal(sim.state.Snapshot(), node.state.Snapshot()) {
 			panic(fmt.Sprint("node ", node.slot, " differs in its state from the log"))
 		}
-		for k, b := range node.access {
-			if o := sim.nodes[0].access[k]; !b.Local && !o.Local && b.Access != o.Access {
+		for k, access := range node.access {
+			if other := sim.nodes[0].access[k]; !access.Local && !other.Local && access.Access != other.Access {
 				panic(fmt.Sprintf("nodes %d and 0 differ in the access of %v", node.slot, k))
 			}
 		}
@@ -815,7 +815,7 @@
 		})
 		medianDetection, maxDetection := medianAndMax(detection)
 		medianPropagation, maxPropagation := medianAndMax(propagation)
-		t.Logf("%-32s | %2d nodes | %v, %v | %v, %v | met %d | %d verdicts on %d | refused %d", tc.name, tc.nodes, medianDetection, maxDetection, medianPropagation,
+		t.Logf("%-32s | %2d nodes | %v, %v | %v, %v | faults %d | %d ejections of %d keys | unserved %d", tc.name, tc.nodes, medianDetection, maxDetection, medianPropagation,
 			maxPropagation, faults/runs, ejections, ejectedKeys, unserved)
 		must.True(t, medianDetection <= tc.maxMedian && (ejections > 0) == (tc.maxMedian > 0), must.Sprint(tc.name))
 	}
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -12,7 +12,7 @@
 // Bounds of the stored state.
 const (
 	maxEjections = 1024
-	// Entries.
+	// The maximum number of entries in the history.
 	maxHistory        = 256
 	maxCallIDs        = 256
 	maxTextBytes      = 256
@@ -20,7 +20,7 @@
 	maxRepeats        = 16
 	maxNamedWitnesses = 8
 	// After this number of entries half of a witness's refutations are forgiven. It is about five ejections with their recoveries.
-	refutationHalfLife = 24
+	refutationHalvingPeriod = 24
 )
 
 // State is the replicated state that results from the entries of the log. It is the same on all nodes.
