--- a/internal/gateway/outlier/backend.go
+++ b/internal/gateway/outlier/backend.go
@@ -41,7 +41,7 @@
 	return 1
 }
 
-// Phase is the life cycle phase of an instance, as recorded in the registry.
+// Phase is the lifecycle phase of an instance, as recorded in the registry.
 type Phase uint8
 
 // The phases of a backend. A backend receives new requests only while it is Ready.
--- a/internal/gateway/outlier/doc.go
+++ b/internal/gateway/outlier/doc.go
@@ -1,5 +1,5 @@
-// Package outlier detects unhealthy backends and takes them out of service (outlier ejection). One decision holds for all nodes, and the
-// rules depend on what the requests of a service need. No node uses the package yet. docs/outliers.md has the reasons, the figures and the
+// Package outlier detects unhealthy backends and takes them out of service (outlier ejection). All nodes act on the same decisions, and
+// the rules depend on what the requests of a service need. No node uses the package yet. docs/outliers.md has the reasons, the figures and the
 // alternatives that were considered.
 //
 // # Terms
--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -10,7 +10,7 @@
 // EvidenceKind classifies what a node observed of a backend.
 type EvidenceKind uint8
 
-// The kinds of evidence. NoEvidence means that an outcome allows no conclusion about the backend. CleanAnswer is a complete answer that the
+// The kinds of evidence, which form a closed list. NoEvidence means that an outcome allows no conclusion about the backend. CleanAnswer is a complete answer that the
 // service itself gave.
 const (
 	NoEvidence EvidenceKind = iota
@@ -21,7 +21,7 @@
 	LostAnswer
 	// The connection was reset while the request ran.
 	ConnectionReset
-	// A 2xx without its seal, or bytes that are not an HTTP answer.
+	// A 2xx without the backend's seal, or bytes that are not an HTTP answer.
 	MalformedAnswer
 	// An answer to a request that its connection never carried.
 	StrayAnswer
@@ -68,15 +68,15 @@
 	FreshConnection bool
 	// Reports whether a part of an answer arrived.
 	PartialAnswer bool
-	// Reports whether the answer was not HTTP, or was a 2xx without its seal.
+	// Reports whether the answer was not HTTP, or was a 2xx without the backend's seal.
 	Malformed bool
 	// Reports whether this node's process was stalled during the attempt.
 	NodeStalled bool
 }
 
-// Evidence returns the kind of evidence that the end of an attempt gives. A reset of a fresh connection before an answer is NoEvidence,
-// because a backend resets fresh connections when it has too many. A time-out after a part of the answer is NoEvidence, because the
-// answer is only slow.
+// Evidence returns the kind of evidence that the end of an attempt is. A reset of a fresh connection before any part of an answer is
+// NoEvidence, because a backend resets fresh connections when it has too many. A time-out after a part of the answer is NoEvidence,
+// because the answer is only slow.
 func (a AttemptEnd) Evidence() EvidenceKind {
 	switch {
 	case a.NodeStalled:
--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -200,7 +200,8 @@
 // Guards against evidence that a network failure caused, and against access that is left closed. It plays seven events at a node in every
 // order: a lost answer, an ejection, a Clear, the loss and the return of the connection to the core, the end of the instance, and a pause in
 // the answers of the zone. A lost answer is reported after a delay, and only while the zone answers and the core is reachable. An ejection
-// closes the access. A local ejection ends. The access of other instances stays open. An attempt under an older revision, or to an instance that is gone, gives no evidence.
+// closes the access. A local ejection ends. The access of other instances stays open. An attempt under an older revision, or to an instance
+// that is gone, is no evidence.
 func TestNodeEventsInEveryOrder(t *testing.T) {
 	t.Parallel()
 	k := Key{"i-1", Strict}
@@ -339,7 +340,7 @@
 	must.Positive(t, countEjections(func(seq uint64) []Report {
 		return []Report{report(seq, "b", 9, 0, DuplicateAnswer), report(seq, "a", 9, 0), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 	}))
-	confirmedBy := func(seq uint64, confirming int) []Report { // Some nodes report answers during the attempts, as many as confirming says.
+	confirmedBy := func(seq uint64, confirming int) []Report { // A number of nodes report answers during the attempts.
 		reports := []Report{report(seq, "a", 0, 0, LostAnswer), report(seq, "a", 0, 0, LostAnswer), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 		for i := range confirming {
 			reports[2+i].Observations[0].Slots = slices.Repeat([]Window{{Clean: 50, LatencyMillis: 5000}}, maxReportedSlots)
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -100,9 +100,9 @@
 	ejections, wrongEjections        int
 	detectionTimes, propagationTimes []time.Duration // From the first evidence to the entry, and from the entry to each connected node.
 	reportsSent                      int
-	worstPatientShare                float64       // The largest share of the allowed closed backends for patient requests that was closed.
-	wronglyClosed                    time.Duration // The time that ejections kept healthy backends closed, averaged over the nodes.
-	wronglyClosedLocally             time.Duration // The time that local ejections kept healthy backends closed, averaged over the nodes.
+	worstPatientShare                float64       // The largest number of backends closed for patient requests, as a share of the allowed number.
+	wronglyClosed                    time.Duration // The total time that ejections kept healthy backends closed, averaged over the nodes.
+	wronglyClosedLocally             time.Duration // The total time that local ejections kept healthy backends closed, averaged over the nodes.
 	wronglyEjected                   map[InstanceID]bool
 	maxSoleEjections                 int // The largest number of simultaneous ejections on the evidence of the lying node alone.
 }
