--- a/internal/gateway/membership/action.go
+++ b/internal/gateway/membership/action.go
@@ -1,20 +1,25 @@
 package membership
 
-// ActionKind is what an action asks of the host.
+// ActionKind is the operation that an action asks the host to perform.
 type ActionKind int
 
-// What an action asks of the host.
+// The kinds of actions.
 const (
-	Connect          ActionKind = iota // keep a link to Addr from now on
-	Disconnect                         // keep it no longer
-	SendHello                          // send Addr what HelloTo gives
-	Bootstrap                          // send Addr the Founders of the core; if that is this node, take them
-	LiveNodesChanged                   // other nodes are live, or have slots, than before
+	// Connect asks to keep a link to Addr from now on.
+	Connect ActionKind = iota
+	// Disconnect asks to close the link to Addr and to stop keeping it.
+	Disconnect
+	// SendHello asks to send Addr the result of HelloTo.
+	SendHello
+	// Bootstrap asks to send Addr the Founders of the core. If Addr is this node, the host accepts them itself.
+	Bootstrap
+	// LiveNodesChanged reports that the set of live nodes, their incarnations or the slot holders have changed.
+	LiveNodesChanged
 )
 
-// Action is one thing that the host is to do.
+// Action is one operation that the host has to perform.
 type Action struct {
 	Kind     ActionKind
-	Addr     string    // of all but LiveNodesChanged
-	Founders []Founder // of Bootstrap
+	Addr     string    // set for all kinds except LiveNodesChanged
+	Founders []Founder // set for Bootstrap only
 }
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -7,24 +7,27 @@
 )
 
 const (
-	// bootstrapQuietPeriod is how long no further node with a disk must have come before the core is bootstrapped.
+	// bootstrapQuietPeriod is how long no further node with a disk must have appeared before the core is bootstrapped.
 	bootstrapQuietPeriod = 500 * time.Millisecond
-	// bootstrapTimeout is when it is bootstrapped with fewer founders than ToleratedLosses needs.
+	// bootstrapTimeout is how long a seed waits for as many founders as ToleratedLosses needs. After it, the seed bootstraps the
+	// core with fewer.
 	bootstrapTimeout = 3 * time.Second
-	// bootstrapSeedInterval is how much later each seed's turn is than that of the one before it.
+	// bootstrapSeedInterval is the delay between the turns of consecutive seeds.
 	bootstrapSeedInterval = 2500 * time.Millisecond
-	// bootstrapRestartDelay is how much later the turn of a seed is that has run before: others may still come with a state.
+	// bootstrapRestartDelay is added to the delay of a seed that has run before, because another node may still appear with a
+	// state of the core.
 	bootstrapRestartDelay = 6 * time.Second
-	// bootstrapContactTimeout is how recently seeds must have been heard to count: less than livenessTimeout, as one that has just been
-	// partitioned must not bootstrap by nodes that it no longer reaches.
+	// bootstrapContactTimeout is how recently a seed must have been heard from to count as reached. It is less than
+	// livenessTimeout, because a node that was partitioned a moment ago must not bootstrap the core on the strength of nodes that
+	// it no longer reaches.
 	bootstrapContactTimeout = 1100 * time.Millisecond
-	// bootstrapResendInterval is between two messages to a founder that has not taken the bootstrap.
+	// bootstrapResendInterval is the time between two messages to a founder that has not accepted the bootstrap.
 	bootstrapResendInterval = time.Second
 )
 
-// MayBootstrap tells whether a node may be sent the founders of a cluster: seeds first, each of which accepts one cluster alone, and all others
-// once more than half of the seeds hold it, so that no two clusters ever come that far. A seed without a disk can hold none: it counts
-// where it is live.
+// MayBootstrap reports whether the founders of a cluster may be sent to a node. Seeds may receive them first, and each seed
+// accepts only one cluster. All other nodes may receive them once more than half of the seeds hold the cluster. So no two
+// clusters can both get that far. A seed without a disk cannot hold a cluster, and counts as holding it while it is live.
 func (r *Roster) MayBootstrap(clusterID uint64, addr string) bool {
 	holding := 0
 	for _, seed := range r.config.Seeds {
@@ -36,23 +39,29 @@
 	return 2*holding > len(r.config.Seeds) || slices.Contains(r.config.Seeds, addr)
 }
 
-// clusterExists tells whether a node that was met holds a state of the core.
+// clusterExists reports whether any node that this one has met holds a state of the core.
 func (r *Roster) clusterExists() bool {
 	for _, p := range r.peers {
-		if p.introduced && p.Bootstrapped {
+		if p.helloReceived && p.Bootstrapped {
 			return true
 		}
 	}
 	return false
 }
 
-// bootstrap begins the core at the first start of all: the first seed does, once no further node with a disk comes. The next seed
-// does only where those before it are not live, or have run before. If all of them were killed before the first message was on disk,
-// none is at its first start any more, and none may wait for ever: then the first live seed begins it, later, where as many disks are
-// empty as a core needs, so that nothing can have been acknowledged. Nodes that have a state take no such message, and nobody begins
-// anything where a node that was met has a state or knows of one that has, or without more than half of the seeds: the two sides of a
-// partition must not begin two clusters (see MayBootstrap). The founders are chosen once in an incarnation; the message goes again to
-// those that have not taken it, since a link may have lost it.
+// bootstrap creates the core at the first start of the deployment. The first seed does so once no further node with a disk
+// appears. A later seed does so only if the seeds before it are not live or have run before.
+//
+// If all seeds were killed before the first message was on disk, no seed is at its first start any more, and waiting for one
+// would never end. Then the first live seed bootstraps the core after a longer delay. It requires as many empty disks as a core
+// needs, so that no earlier core can have acknowledged anything.
+//
+// Nodes that hold a state do not accept the message. A seed does not bootstrap if a node that it has met holds a state or knows
+// of a node that does, nor without contact with more than half of the seeds, because the two sides of a partition must not create
+// two clusters (see MayBootstrap).
+//
+// The founders are chosen once in an incarnation. The message is sent again to founders that have not accepted it, because a link
+// may have lost it.
 func (r *Roster) bootstrap() {
 	if r.founders == nil {
 		if r.founders = r.chooseFounders(); r.founders == nil {
@@ -73,18 +82,18 @@
 	}
 }
 
-// chooseFounders names the founders if this node is to begin the core now, in the order of their addresses; else nil.
+// chooseFounders returns the founders, sorted by address, if this node has to bootstrap the core now. Otherwise it returns nil.
 func (r *Roster) chooseFounders() []Founder {
-	rank := slices.Index(r.config.Seeds, r.self.Addr)
-	turn := time.Duration(rank) * bootstrapSeedInterval
+	seedIndex := slices.Index(r.config.Seeds, r.self.Addr)
+	startDelay := time.Duration(seedIndex) * bootstrapSeedInterval
 	if !r.self.FirstStart {
-		turn += bootstrapRestartDelay
+		startDelay += bootstrapRestartDelay
 	}
 	age := r.now - r.startedAt
-	if r.self.Bootstrapped || rank < 0 || age < turn || !r.reachesSeedMajority() {
+	if r.self.Bootstrapped || seedIndex < 0 || age < startDelay || !r.reachesSeedMajority() {
 		return nil
 	}
-	founders, ok := r.emptyDisks(rank)
+	founders, ok := r.founderCandidates(seedIndex)
 	if !ok || len(founders) == 0 {
 		return nil
 	}
@@ -92,14 +101,15 @@
 		return nil
 	}
 	tooFew := len(founders) < 2*r.config.ToleratedLosses+1
-	if tooFew && (age < bootstrapTimeout+turn || !r.self.FirstStart) {
+	if tooFew && (age < bootstrapTimeout+startDelay || !r.self.FirstStart) {
 		return nil
 	}
 	slices.SortFunc(founders, func(a, b Founder) int { return strings.Compare(a.Addr, b.Addr) })
 	return founders
 }
 
-// reachesSeedMajority tells whether this node and the seeds that it has heard just now are more than half of the seeds.
+// reachesSeedMajority reports whether this node, if it is a seed, and the seeds heard from within bootstrapContactTimeout are
+// together more than half of the seeds.
 func (r *Roster) reachesSeedMajority() bool {
 	reached := 0
 	for _, seed := range r.config.Seeds {
@@ -111,20 +121,21 @@
 	return 2*reached > len(r.config.Seeds)
 }
 
-// emptyDisks gives the nodes whose disks can found the core. It is not ok where a state of the core is known of, or where a seed before
-// this one is to begin.
-func (r *Roster) emptyDisks(rank int) (founders []Founder, ok bool) {
+// founderCandidates returns the nodes whose disks can found the core. It returns false if a state of the core is known to exist,
+// or if a seed before this one has to bootstrap first.
+func (r *Roster) founderCandidates(seedIndex int) (founders []Founder, ok bool) {
 	if r.self.Disk != 0 {
 		founders = append(founders, Founder{r.self.Disk, r.self.Addr})
 	}
-	seedsBefore := r.config.Seeds[:rank]
+	seedsBefore := r.config.Seeds[:seedIndex]
 	for addr, p := range r.peers {
-		clusterKnown := p.introduced && (p.Bootstrapped || p.knowsCluster)
+		clusterKnown := p.helloReceived && (p.Bootstrapped || p.knowsCluster)
 		goesFirst := slices.Contains(seedsBefore, addr) && p.live && (p.FirstStart || !r.self.FirstStart)
 		if clusterKnown || goesFirst {
 			return nil, false
 		}
-		if p.Disk != 0 && (p.live || p.introduced && r.self.FirstStart) { // empty, whichever incarnation this is
+		// The disk is empty, whichever incarnation of the node this is.
+		if p.Disk != 0 && (p.live || p.helloReceived && r.self.FirstStart) {
 			founders = append(founders, Founder{p.Disk, addr})
 		}
 	}
--- a/internal/gateway/membership/doc.go
+++ b/internal/gateway/membership/doc.go
@@ -1,49 +1,53 @@
-// Package membership owns one node's knowledge of the deployment's nodes: which there are, which are live, which slot each
-// has, to which this node keeps a link, and, at the first start of all, which nodes bootstrap the core. It decides only: inputs
-// update what is known, and the host pulls actions with Next until there are none.
+// Package membership tracks what one node knows of the nodes in its deployment: which nodes exist, which are live, which slot each
+// one has, which nodes this node keeps links to, and which nodes bootstrap the core when the deployment starts for the first time.
+// The package only decides. Inputs update a Roster, and the host calls Next for the resulting actions until there are none left.
 //
 // # Terms
 //
-//   - Node: one process of the gateway, named by the inner address at which it takes links.
-//   - Disk: the id of a node's disk, drawn at random when it was empty. Nodes with a disk are the core's candidates; nodes
-//     without one follow these. A wiped disk is another disk.
-//   - Incarnation: one run of a node's process, named by a random number.
-//   - Slot: a node's number, given once by the core's log. Quota owners and backend owners are hashed over slots.
-//   - Seed: an address named by the settings, by which a node finds the others.
-//   - Hello: what a node says of itself when a link comes up and when anything of it changes. It carries a fingerprint of
-//     what the sender knows of the receiver, which acknowledges the receiver's own hello.
-//   - Watcher: a node that is sent another one's heartbeats.
-//   - Founders, bootstrap: the nodes whose disks become the core's first members, and the one exchange that makes them so.
+//   - Node: one process of the gateway. Its name in this package is the inner address at which it accepts links.
+//   - Core: the replicated group of nodes that orders the configuration log. Its state is stored on its members' disks.
+//   - Disk: the ID of a node's disk, drawn at random when the disk was empty. Nodes with a disk are candidates for the core.
+//     Nodes without one follow them. A wiped disk gets a new ID.
+//   - Incarnation: one run of a node's process, identified by a random number.
+//   - Slot: a node's number, assigned once by the core's log. Quota owners and backend owners are chosen by hashing over slots.
+//   - Seed: an address in the settings by which a node finds the other nodes.
+//   - Hello: a node's description of itself, sent when a link comes up and when the description changes. It carries a fingerprint
+//     of what the sender knows of the receiver, which acknowledges the receiver's own hello.
+//   - Founders, bootstrap: the founders are the nodes whose disks become the first members of the core. The bootstrap is the
+//     exchange of messages that makes them so. It happens once in the life of a deployment.
 //
 // # Liveness
 //
-// Each node sends heartbeats to maxWatchers nodes with a disk, the next ones after its position on a hash ring; nodes with a disk
-// to all others that have one. A node is reachable if anything at all came from it within livenessTimeout. Nodes with a disk
-// report to each other whom they reach themselves, and to their followers who is live. So n nodes send a few heartbeats each and not n,
-// and all go by the same reports. What is passed on is never hearsay: else two nodes could keep a dead one alive between them.
+// A node without a disk sends heartbeats to maxHeartbeatTargets nodes with a disk, the next ones after its own position on a hash
+// ring. A node with a disk sends heartbeats to all other nodes with a disk. A node is reachable if any frame came from it within
+// livenessTimeout. Nodes with a disk report to each other which nodes they reach themselves, and report to their followers which
+// nodes are live. So each of n nodes sends a few heartbeats and not n, and all nodes use the same reports. A node with a disk does
+// not pass on to another one what a third reported. Otherwise two nodes could keep a dead node alive between them.
 //
-// A node is live if it is reachable, or a reachable node with a disk reports it, and, where this node wants a link to it, the
-// link is up and it has said hello in its present incarnation.
+// A node is live if it is reachable, or if a reachable node with a disk reports it. Where this node wants a link to it, the link
+// must also be up, and a hello must have come over it in the node's present incarnation.
 //
 // # Links
 //
-// Nodes with a disk want links to all nodes, the others to those with a disk alone: links grow with the nodes and not with their
-// square. Two nodes without a disk are linked only while one of them may know nobody else. See updateLink.
+// Nodes with a disk want links to all nodes. Nodes without a disk want links only to nodes with one. So the number of links grows
+// with the number of nodes and not with its square. Two nodes without a disk are linked only while one of them may know no other
+// node. See updateLink.
 //
 // # Guarantees
 //
-//   - Hellos converge: whichever are lost, both ends of a link that stays up know each other as they are in the end, and then
-//     say nothing more.
-//   - At most one bootstrap ever gets a majority of its founders. It takes more than half of the seeds to begin one; its founders are sent to
-//     seeds first, which accept one alone each, and to others once more than half of the seeds hold it (MayBootstrap). No node
-//     begins one where a node that it has met holds a state of the core, or has met one that does.
-//   - A step of the clock above a second is a stall of this process: what others sent lies unread, and nobody is taken for lost
-//     for it.
-//   - Nodes that are not heard for forgetAfter are forgotten, seeds and slot holders apart; maxNodes are known at most.
-//   - Actions do not depend on the order of maps: the same inputs give the same actions.
-//
-// # What it must not do
-//
-// It does no I/O, reads no clock and draws no random numbers. It decides neither who leads nor who is a member of the core once
-// that exists (package replication), and gives no slots: those come from the log (SetSlots).
+//   - Hellos converge. Whichever hellos are lost, both ends of a link that stays up finally know each other's current description,
+//     and then send no more hellos.
+//   - At most one bootstrap ever reaches a majority of its founders. A node needs contact with more than half of the seeds to begin
+//     one. Its founders are sent to seeds first, each of which accepts a single bootstrap, and to other nodes once more than half
+//     of the seeds hold it (MayBootstrap). No node begins a bootstrap if a node that it has met holds a state of the core, or has
+//     met a node that does.
+//   - A step of the clock of more than a second means that this process was stalled. What other nodes sent in that time is still
+//     unread, so no node is declared lost because of it.
+//   - Nodes that are not heard from for forgetAfter are forgotten, except seeds and slot holders. At most maxNodes nodes are known.
+//   - Actions do not depend on the iteration order of maps. The same inputs give the same actions.
+//
+// # Limits
+//
+// The package does no I/O, reads no clock and draws no random numbers. Once the core exists, package replication decides which node
+// leads it and which nodes are its members. Slots are assigned by the log and passed in with SetSlots.
 package membership
--- a/internal/gateway/membership/hello.go
+++ b/internal/gateway/membership/hello.go
@@ -2,51 +2,54 @@
 
 import "time"
 
-// Hellos are sent when a link comes up and when something of a node changes, and repeated while they are not acknowledged. A node that has
-// had none of another one, or only one that is out of date, could turn to it for nothing as long as the link lasts, whatever else
-// is lost meanwhile.
+// Hellos are sent when a link comes up and when the description of a node changes, and are repeated while they are not
+// acknowledged. Without the repeats, a node that received no hello from another node, or only an outdated one, could not use that
+// node for anything while the link lasts, even though no later message is lost.
 const (
-	// helloInterval is the least time between two hellos to a node, apart from those that links and changes ask for.
+	// helloInterval is the minimum time between two hellos to a node, not counting those sent because a link came up or a
+	// description changed.
 	helloInterval = time.Second
-	// maxHelloRepeats bounds the repeats to a node that is as it was: programs that know no acknowledgements never confirm.
+	// maxHelloRepeats limits the repeats to a node while neither side changes, because versions that do not support
+	// acknowledgements never confirm a hello.
 	maxHelloRepeats = 6
 )
 
-// helloState is what was sent to a peer, and what that has acknowledged.
+// helloState records which hellos were sent to a peer and what the peer has acknowledged.
 type helloState struct {
-	sentAt       time.Duration // of the last hello
-	acknowledged uint64        // fingerprint of the peer that it acknowledged; 0: none
-	repeats      int           // since either side has changed
-	confirmed    bool          // the peer knows this node as it is
+	sentAt time.Duration // time of the last hello
+	// acknowledged is the fingerprint of the peer's description that the last hello to it acknowledged. 0 means none.
+	acknowledged uint64
+	repeats      int  // number of repeats since either side last changed
+	confirmed    bool // the peer has acknowledged this node's current description
 }
 
-// received takes a peer's own hello; p is what was known of it before.
-func (h *helloState) received(hello *Hello, p *peer, self *Node) {
+// recordReceived updates the state with a hello that the peer sent. p is what was known of the peer before that hello.
+func (h *helloState) recordReceived(hello *Hello, p *peer, self *Node) {
 	h.confirmed = hello.Acknowledged == self.fingerprint()
-	if !p.introduced || p.fingerprint() != hello.Node.fingerprint() {
+	if !p.helloReceived || p.fingerprint() != hello.Node.fingerprint() {
 		h.repeats = 0
 	}
 }
 
-// needsRepeat tells whether a hello is to be sent again: for as long as it takes to a peer that has sent none, else until each has
-// acknowledged the other as it is.
+// needsRepeat reports whether a hello has to be sent again. To a peer that has sent no hello, hellos are repeated without limit.
+// To other peers they are repeated up to maxHelloRepeats times, until each side has acknowledged the other's current description.
 func (h *helloState) needsRepeat(p *peer, now time.Duration) bool {
 	if !p.linkWanted || !p.linkUp || now-h.sentAt < helloInterval {
 		return false
 	}
-	return !p.introduced || h.repeats < maxHelloRepeats && (h.acknowledged != p.fingerprint() || !h.confirmed)
+	return !p.helloReceived || h.repeats < maxHelloRepeats && (h.acknowledged != p.fingerprint() || !h.confirmed)
 }
 
-// sendHello has a hello sent over a link that is up.
+// sendHello asks the host to send a hello over a link that is up.
 func (r *Roster) sendHello(addr string, p *peer) {
 	p.hello.sentAt, p.hello.acknowledged = r.now, 0
-	if p.introduced {
+	if p.helloReceived {
 		p.hello.acknowledged = p.fingerprint()
 	}
 	r.push(Action{Kind: SendHello, Addr: addr})
 }
 
-// repeatHello sends a hello again where it is needed.
+// repeatHello sends the hello again if needsRepeat reports that it is needed.
 func (r *Roster) repeatHello(addr string, p *peer) {
 	if p.hello.needsRepeat(p, r.now) {
 		p.hello.repeats++
@@ -54,7 +57,7 @@
 	}
 }
 
-// helloAll sends hellos to all, as this node has changed.
+// helloAll sends hellos to all linked nodes, because this node's description has changed.
 func (r *Roster) helloAll() {
 	for _, addr := range r.Addrs() {
 		p := r.peers[addr]
@@ -65,12 +68,13 @@
 	}
 }
 
-// HelloTo is this node's hello to another one. It names the nodes with a disk, and to one with a disk those without that have no slot
-// yet. Slot holders are in the core's log, which all follow: to name them in each hello would cost the square of the deployment.
+// HelloTo returns this node's hello to another node. The hello names the nodes with a disk. A hello to a node with a disk also
+// names the nodes without a disk that have no slot yet. Slot holders are omitted because they are in the core's log, which all
+// nodes follow. Naming them in each hello would make the traffic grow with the square of the number of nodes.
 func (r *Roster) HelloTo(addr string) Hello {
 	to := r.peers[addr]
 	hello := Hello{Node: r.self, ClusterExists: r.clusterExists()}
-	if to != nil && to.introduced {
+	if to != nil && to.helloReceived {
 		hello.Acknowledged = to.fingerprint()
 	}
 	for _, known := range r.Addrs() {
@@ -82,7 +86,8 @@
 	return hello
 }
 
-// HandleHello takes what a node says of itself. It is known by the address that its frames come from, whatever address it gives.
+// HandleHello processes a hello that another node sent. The node is identified by the address that its frames come from, whatever
+// address the hello gives.
 func (r *Roster) HandleHello(from string, hello Hello) {
 	p := r.discover(from)
 	if p == nil {
@@ -92,31 +97,33 @@
 	if hasDisk && p.Disk != hello.Node.Disk {
 		r.lastDiskAt = r.now
 	}
-	restarted := p.introduced && p.Incarnation != hello.Node.Incarnation
-	isNewDisk := hasDisk && (!p.introduced || p.Disk != hello.Node.Disk)
+	restarted := p.helloReceived && p.Incarnation != hello.Node.Incarnation
+	isNewDisk := hasDisk && (!p.helloReceived || p.Disk != hello.Node.Disk)
 	clusterExisted := r.clusterExists()
-	p.hello.received(&hello, p, &r.self)
-	p.Node, p.introduced, p.knowsCluster, p.receivedAt, p.helloAt = hello.Node, true, hello.ClusterExists, r.now, r.now
+	p.hello.recordReceived(&hello, p, &r.self)
+	p.Node, p.helloReceived, p.knowsCluster, p.receivedAt, p.helloAt = hello.Node, true, hello.ClusterExists, r.now, r.now
 	p.Addr = from
 	r.updateLink(from, p)
 	switch {
 	case clusterExisted && !r.clusterExists():
-		r.helloAll() // the peer held a bootstrap that nobody joined, and dropped it: who heard of it by this node must not wait for it
+		// The peer held a bootstrap that no other node joined, and dropped it. The nodes that learned of that bootstrap from this
+		// node must not keep waiting for it.
+		r.helloAll()
 	case clusterExisted != r.clusterExists():
 		r.notifySeeds()
 	}
-	r.advertise(hello.KnownAddrs)
+	r.addAdvertised(hello.KnownAddrs)
 	if isNewDisk && r.self.Disk == 0 {
-		r.introduceToDiskless()
+		r.sendHelloToDiskless()
 	}
 	if restarted {
-		r.changed = true
+		r.liveNodesChanged = true
 	}
 	r.refresh()
 }
 
-// advertise takes addresses that another node named.
-func (r *Roster) advertise(addrs []string) {
+// addAdvertised adds the addresses that another node named in its hello.
+func (r *Roster) addAdvertised(addrs []string) {
 	for _, addr := range addrs {
 		if p := r.discover(addr); p != nil {
 			p.advertised = true
@@ -125,9 +132,9 @@
 	}
 }
 
-// introduceToDiskless sends hellos, which name the nodes with a disk, to the nodes without one that are linked: who dialed this one as a
-// seed waits for such a name.
-func (r *Roster) introduceToDiskless() {
+// sendHelloToDiskless sends hellos, which name the nodes with a disk, to the linked nodes without one. A node that dialed this
+// node as a seed waits for such a name.
+func (r *Roster) sendHelloToDiskless() {
 	for _, addr := range r.Addrs() {
 		if p := r.peers[addr]; p.linkUp && p.Disk == 0 {
 			r.sendHello(addr, p)
@@ -135,11 +142,11 @@
 	}
 }
 
-// notifySeeds sends hellos to the seeds that may still bootstrap the core, as another node has or has not: they may not reach that
-// one.
+// notifySeeds sends hellos to the seeds that may still bootstrap the core, because it has become known that a core exists. The
+// seeds may not reach the node that holds its state.
 func (r *Roster) notifySeeds() {
 	for _, addr := range r.config.Seeds {
-		if p := r.peers[addr]; p != nil && p.linkUp && p.introduced && p.FirstStart && !p.Bootstrapped {
+		if p := r.peers[addr]; p != nil && p.linkUp && p.helloReceived && p.FirstStart && !p.Bootstrapped {
 			r.sendHello(addr, p)
 		}
 	}
--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -7,16 +7,18 @@
 	"github.com/shoenig/test/must"
 )
 
-// Whichever hellos are lost, at the start of a link or when one of the nodes has changed, each knows the other as it is in the end, and sends
-// no more. Guards against an exchange that is made once a link: a node that lost power was never sent a hello by two of three members, and followed
-// the third until nothing went on (incident mvk-anadolu 7).
+// Whichever hellos are lost, when a link comes up or after one of the nodes has changed, each node finally knows the other's
+// current description and then sends no more hellos. Guards against sending hellos only once per link: two of three members never
+// sent a hello to a node that had lost power, and the node followed the third member until it made no more progress (incident
+// mvk-anadolu 7).
 func TestLostHelloIsRepeated(t *testing.T) {
-	const hellos = 5 // so many, of both sides, may be lost, each or not
+	// The first hellos of both sides, each of which may be lost or not.
+	const hellos = 5
 	for lost := range 1 << hellos {
 		now := time.Minute
 		node := New(Node{Addr: "node", Incarnation: 2}, Config{Seeds: []string{"disk"}}, now)
 		disk := New(Node{Addr: "disk", Disk: 7, Bootstrapped: true, Incarnation: 9}, Config{Seeds: []string{"disk"}}, now)
-		disk.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}}) // of its former incarnation
+		disk.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}}) // from the node's earlier incarnation
 		drain(disk)
 		node.LinkUp("disk")
 		disk.LinkUp("node")
@@ -36,12 +38,12 @@
 		changes := now + 10*time.Second
 		for end := now + 20*time.Second; now < end; now += refreshInterval {
 			if now == changes {
-				sent = 0 // of these so many may be lost again
+				sent = 0 // the next hellos may be lost again
 				disk.SetCluster(8, 3)
 			}
 			for _, r := range []*Roster{node, disk} {
 				r.Tick(now)
-				r.FrameReceived(map[*Roster]string{node: "disk", disk: "node"}[r]) // other frames come
+				r.FrameReceived(map[*Roster]string{node: "disk", disk: "node"}[r]) // other frames keep both reachable
 			}
 			carry(node, disk)
 			carry(disk, node)
@@ -50,11 +52,12 @@
 		must.Eq(t, disk.self, node.peers["disk"].Node, must.Sprintf("lost %05b", lost))
 		must.Eq(t, node.self, disk.peers["node"].Node, must.Sprintf("lost %05b", lost))
 		must.LessEq(t, hellos+4, sent)
-		must.Less(t, changes+(hellos+3)*helloInterval, last) // and nothing more is sent
+		must.Less(t, changes+(hellos+3)*helloInterval, last) // no hello is sent after that
 	}
 }
 
-// To a program that acknowledges no hellos, few are repeated; and none to one that has acknowledged this incarnation.
+// Guards against unlimited repeats. A peer whose version does not acknowledge hellos gets a limited number of repeats, and a peer
+// that has acknowledged this incarnation gets none.
 func TestHelloRepeatsAreBounded(t *testing.T) {
 	me := Node{Addr: "disk", Disk: 7, Incarnation: 7, Bootstrapped: true}
 	for _, acknowledged := range []uint64{0, me.fingerprint()} {
@@ -74,7 +77,7 @@
 	}
 }
 
-// Whatever of a node others go by changes its fingerprint.
+// Every field that other nodes act on changes the fingerprint.
 func TestFingerprintsDiffer(t *testing.T) {
 	seen := map[uint64]Node{}
 	for incarnation := range uint64(4) {
--- a/internal/gateway/membership/links.go
+++ b/internal/gateway/membership/links.go
@@ -6,23 +6,26 @@
 )
 
 const (
-	// passiveDialDelay is how long a node without a disk that has sent nothing yet is left to dial first. It may not find its way, and is
-	// dialed then.
+	// passiveDialDelay is how long this node waits for a node without a disk, which has sent nothing yet, to dial first. After
+	// it, this node dials, because the other node may not be able to establish the link itself.
 	passiveDialDelay = 2 * time.Second
-	// guestLinkTimeout is how long after its last hello a node without a disk keeps its link to another one without.
-	guestLinkTimeout = 5 * time.Second
+	// disklessLinkTimeout is how long a node without a disk keeps its link to another node without a disk after that node's last
+	// hello.
+	disklessLinkTimeout = 5 * time.Second
 )
 
-// updateLink keeps a link to a node, or leaves it. Nodes with a disk keep links to all, the others to those with one alone, so that links and
-// what goes over them grow with the nodes and not with their square. Two nodes without a disk are linked only while one of
-// them may know nobody else: it dials its seeds until it has a slot and knows a live node with a disk, and is answered meanwhile.
+// updateLink decides whether this node keeps a link to a node, and asks the host to connect or disconnect if that changes. Nodes
+// with a disk keep links to all nodes, and the other nodes keep links only to nodes with a disk, so that links and their traffic
+// grow with the number of nodes and not with its square. Two nodes without a disk are linked only while one of them may know no
+// other node. A node without a disk dials its seeds until it has a slot and knows a live node with a disk, and the seeds keep the
+// link meanwhile.
 //
-// A node without a disk that has sent nothing is left to dial first: a node with a disk that starts knows hundreds by their slots, and would
-// dial them all in the moment in which they all dial it.
+// A node with a disk lets a node without one, which has sent nothing yet, dial first. Otherwise, when it starts, it would know
+// hundreds of nodes by their slots and dial them all at the moment when they all dial it.
 func (r *Roster) updateLink(addr string, p *peer) {
-	isPresent := p.introduced || r.now-p.receivedAt < livenessTimeout || r.now-p.discoveredAt >= passiveDialDelay
-	isGuest := r.now-p.helloAt < guestLinkTimeout
-	want := r.self.Disk != 0 && isPresent || p.Disk != 0 || p.advertised && !p.introduced || isGuest ||
+	isPresent := p.helloReceived || r.now-p.receivedAt < livenessTimeout || r.now-p.discoveredAt >= passiveDialDelay
+	hasRecentHello := r.now-p.helloAt < disklessLinkTimeout
+	want := r.self.Disk != 0 && isPresent || p.Disk != 0 || p.advertised && !p.helloReceived || hasRecentHello ||
 		slices.Contains(r.seeds, addr) && !r.attached()
 	switch {
 	case want && !p.linkWanted:
@@ -34,7 +37,8 @@
 	p.linkWanted = want
 }
 
-// attached tells whether this node needs its seeds no more: the log has given slots, and a node with a disk is live.
+// attached reports whether this node no longer needs its seeds, because the log has assigned slots and a node with a disk is
+// live.
 func (r *Roster) attached() bool {
 	if len(r.slotHolders) == 0 {
 		return false
@@ -47,7 +51,8 @@
 	return false
 }
 
-// SetSeeds takes the seeds that the settings name by now. The bootstrap goes by those of the start, which are alike at all nodes.
+// SetSeeds sets the seeds from the current settings. The bootstrap still uses the seeds from the start of the process, which are
+// the same at all nodes.
 func (r *Roster) SetSeeds(addrs []string) {
 	r.seeds = addrs
 	for _, addr := range addrs {
@@ -57,7 +62,7 @@
 	}
 }
 
-// LinkUp notes that the link to a node is up.
+// LinkUp records that the link to a node is up.
 func (r *Roster) LinkUp(addr string) {
 	if p := r.peers[addr]; p != nil {
 		p.linkUp = true
@@ -66,7 +71,7 @@
 	}
 }
 
-// LinkDown notes that the link to a node has ended.
+// LinkDown records that the link to a node has ended.
 func (r *Roster) LinkDown(addr string) {
 	if p := r.peers[addr]; p != nil {
 		p.linkUp = false
@@ -74,13 +79,14 @@
 	}
 }
 
-// LinkReport counts this node's links, for operators: what they ask first where a node reaches fewer nodes than others do.
+// LinkReport counts this node's links for operators. They look at it first when a node reaches fewer nodes than the others do.
 type LinkReport struct {
 	Wanted, Connected int
-	WithoutHello      []string // addresses of nodes whose link is up and which have sent no hello, in order
+	// WithoutHello lists the addresses of nodes whose link is up but that have sent no hello, sorted.
+	WithoutHello []string
 }
 
-// Links reports on this node's links. A node without a disk can follow only nodes that have sent it a hello.
+// Links returns a report on this node's links. A node without a disk can follow only nodes that have sent it a hello.
 func (r *Roster) Links() (report LinkReport) {
 	for _, addr := range r.Addrs() {
 		p := r.peers[addr]
@@ -92,18 +98,18 @@
 			continue
 		}
 		report.Connected++
-		if !p.introduced {
+		if !p.helloReceived {
 			report.WithoutHello = append(report.WithoutHello, addr)
 		}
 	}
 	return report
 }
 
-// LinkedDiskNodes are the other nodes with a disk whose links are up, live or not, in the order of their addresses: where nobody is
-// live by what this node was sent, one of these may know more.
+// LinkedDiskNodes returns the other nodes with a disk whose links are up, live or not, sorted by address. A caller that finds no
+// live node in the reports it received can ask these, because one of them may know more.
 func (r *Roster) LinkedDiskNodes() (nodes []Node) {
 	for _, addr := range r.Addrs() {
-		if p := r.peers[addr]; p.linkUp && p.introduced && p.Disk != 0 {
+		if p := r.peers[addr]; p.linkUp && p.helloReceived && p.Disk != 0 {
 			nodes = append(nodes, p.Node)
 		}
 	}
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -7,26 +7,29 @@
 )
 
 const (
-	// livenessTimeout is how long a node from which nothing comes is still taken for reachable: three heartbeats of 700 ms (package node) and
-	// 100 ms for their way.
+	// livenessTimeout is how long a node counts as reachable after the last frame from it. It covers three heartbeats of 700 ms
+	// (package node) and 100 ms for their transit.
 	livenessTimeout = 2200 * time.Millisecond
-	// stallThreshold is the step of the clock above which this process stood still.
+	// stallThreshold is the step of the clock above which this process is assumed to have been stalled.
 	stallThreshold = time.Second
-	// forgetAfter is how long after it was last heard a node is dropped, unless it is a seed or has a slot.
+	// forgetAfter is how long after the last frame from it a node is forgotten, unless it is a seed or has a slot.
 	forgetAfter = 90 * time.Second
-	// refreshInterval is how often liveness, links and hellos are worked out anew, if nothing happens before.
+	// refreshInterval is the maximum time between two evaluations of liveness, links and hellos.
 	refreshInterval = 200 * time.Millisecond
-	// maxWatchers is how many watchers a node has: one may be lost and one partitioned while the third is still sent its heartbeats.
-	maxWatchers = 3
+	// maxHeartbeatTargets is the number of nodes to which a node without a disk sends heartbeats. If one of them is lost and
+	// another one is partitioned, the third still receives the heartbeats.
+	maxHeartbeatTargets = 3
 )
 
-// livenessReport is what another node with a disk last sent: slots that it reaches itself, or that are live by what it was sent, a bit each.
+// livenessReport is the last report from another node. It is a bit set of slots, either those that the sender reaches itself
+// (ReachableSlots) or those that it considers live (LiveSlots).
 type livenessReport struct {
 	slots      []byte
 	receivedAt time.Duration
 }
 
-// ringPosition is where a node stands on the ring: FNV-1a, its bits spread, as addresses differ in their last digits alone.
+// ringPosition returns the position of an address on the hash ring. It is an FNV-1a hash whose bits are mixed further, because
+// addresses often differ only in their last digits.
 func ringPosition(addr string) uint64 {
 	hash := uint64(fnvOffset)
 	for i := range len(addr) {
@@ -37,11 +40,11 @@
 	return hash ^ hash>>29
 }
 
-// HeartbeatTargets are the addresses to send heartbeats to. A node with a disk sends them to all others that have one; while none is known, or
-// nobody has a slot, each node sends them over all its links.
+// HeartbeatTargets returns the addresses to which this node sends heartbeats. A node with a disk sends them to all other nodes
+// with a disk. While no node with a disk is known, or no node has a slot, each node sends them over all its links.
 func (r *Roster) HeartbeatTargets() (addrs []string) {
 	for addr, p := range r.peers {
-		if p.introduced && p.Disk != 0 && (p.live || r.self.Disk != 0) {
+		if p.helloReceived && p.Disk != 0 && (p.live || r.self.Disk != 0) {
 			addrs = append(addrs, addr)
 		}
 	}
@@ -50,12 +53,13 @@
 		addrs = r.Addrs()
 		return slices.DeleteFunc(addrs, func(addr string) bool { return !r.peers[addr].linkWanted })
 	}
-	if r.self.Disk != 0 || len(addrs) <= maxWatchers {
+	if r.self.Disk != 0 || len(addrs) <= maxHeartbeatTargets {
 		return addrs
 	}
 	self := ringPosition(r.self.Addr)
 	slices.SortFunc(addrs, func(a, b string) int {
-		if x, y := ringPosition(a)-self, ringPosition(b)-self; x != y { // distances, once around the ring
+		// x and y are clockwise distances from this node. The subtraction wraps around the ring.
+		if x, y := ringPosition(a)-self, ringPosition(b)-self; x != y {
 			if x < y {
 				return -1
 			}
@@ -63,11 +67,11 @@
 		}
 		return strings.Compare(a, b)
 	})
-	return addrs[:maxWatchers]
+	return addrs[:maxHeartbeatTargets]
 }
 
-// Prefers tells which of two nodes the one at an address turns to where both are as good: a or not. Each node has an order of its own,
-// so that they do not all turn to the same.
+// Prefers reports whether the node at address from prefers node a to node b when both are equally good. Each node has its own
+// order of preference, so that the nodes do not all choose the same one.
 func Prefers(from, a, b string) bool {
 	x, y := ringPosition(from+" "+a), ringPosition(from+" "+b)
 	return x < y || x == y && a < b
@@ -75,7 +79,7 @@
 
 func hasSlot(set []byte, s Slot) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
 
-// slotSet has a bit for each slot whose holder is in.
+// slotSet returns a bit set with a bit for each slot whose holder's address satisfies the predicate.
 func (r *Roster) slotSet(in func(addr string) bool) []byte {
 	set := make([]byte, (len(r.slotHolders)+7)/8)
 	for i, holder := range r.slotHolders {
@@ -86,23 +90,23 @@
 	return set
 }
 
-// reachable tells whether anything came from a node within livenessTimeout.
+// reachable reports whether any frame came from a node within livenessTimeout. It is always true for this node.
 func (r *Roster) reachable(addr string) bool {
 	p := r.peers[addr]
-	return addr == r.self.Addr || p != nil && p.introduced && r.now-p.receivedAt < livenessTimeout
+	return addr == r.self.Addr || p != nil && p.helloReceived && r.now-p.receivedAt < livenessTimeout
 }
 
-// ReachableSlots are the slots that this node reaches itself, a bit each: what nodes with a disk report to each other. It holds nothing
-// that others reported, else two nodes could keep a dead one alive between them.
+// ReachableSlots returns the bit set of the slots that this node reaches itself. Nodes with a disk report it to each other. It
+// includes nothing that other nodes reported, because otherwise two nodes could keep a dead node alive between them.
 func (r *Roster) ReachableSlots() []byte { return r.slotSet(r.reachable) }
 
-// LiveSlots are the slots of the live nodes, a bit each: what nodes with a disk report to their followers.
+// LiveSlots returns the bit set of the slots of live nodes. Nodes with a disk report it to their followers.
 func (r *Roster) LiveSlots() []byte {
 	return r.slotSet(func(addr string) bool { return r.reachable(addr) || r.reportedLive(r.Slot(addr)) })
 }
 
-// HandleLiveness takes the report of another node: its ReachableSlots, or its LiveSlots where this node follows it. A node without a
-// disk goes by one report at a time.
+// HandleLiveness stores the liveness report of another node. The report holds the sender's ReachableSlots, or its LiveSlots if
+// this node follows the sender. A node without a disk keeps only the newest report.
 func (r *Roster) HandleLiveness(from string, slots []byte) {
 	if r.self.Disk == 0 {
 		clear(r.livenessReports)
@@ -111,7 +115,7 @@
 	r.refresh()
 }
 
-// reportedLive tells whether a node that is reachable has reported a slot.
+// reportedLive reports whether a reachable node has reported a slot within livenessTimeout.
 func (r *Roster) reportedLive(s Slot) bool {
 	for from, report := range r.livenessReports {
 		if hasSlot(report.slots, s) && r.now-report.receivedAt < livenessTimeout && r.reachable(from) {
@@ -121,7 +125,7 @@
 	return false
 }
 
-// FrameReceived notes that anything came from a node.
+// FrameReceived records that a frame of any kind came from a node.
 func (r *Roster) FrameReceived(addr string) {
 	if p := r.discover(addr); p != nil {
 		p.receivedAt = r.now
@@ -131,15 +135,16 @@
 	}
 }
 
-// refresh works out who is live, which links are wanted, which hellos are to be repeated, who is forgotten, and whether the core is to be
-// bootstrapped.
+// refresh re-evaluates which nodes are live, which links are wanted, which hellos to repeat, which nodes to forget, and whether
+// to bootstrap the core.
 func (r *Roster) refresh() {
 	r.refreshedAt = r.now
-	for _, addr := range r.Addrs() { // in order: the actions must not go by a map's
+	// Addrs is sorted, so the actions do not depend on the iteration order of a map.
+	for _, addr := range r.Addrs() {
 		p := r.peers[addr]
-		connected := !p.linkWanted || p.linkUp && p.introduced
+		connected := !p.linkWanted || p.linkUp && p.helloReceived
 		if live := connected && (r.reachable(addr) || r.reportedLive(r.Slot(addr))); live != p.live {
-			p.live, r.changed = live, true
+			p.live, r.liveNodesChanged = live, true
 		}
 		r.updateLink(addr, p)
 		r.repeatHello(addr, p)
@@ -157,13 +162,14 @@
 	}
 }
 
-// Live tells whether a node is live: see the package's comment.
+// Live reports whether a node is live, as defined in the package's comment. This node is always live.
 func (r *Roster) Live(addr string) bool {
 	p := r.peers[addr]
 	return addr == r.self.Addr || p != nil && p.live
 }
 
-// LiveDiskNodes are the live nodes with a disk: this one first if it has one, the others in the order of their addresses.
+// LiveDiskNodes returns the live nodes with a disk. This node comes first if it has a disk, and the others follow, sorted by
+// address.
 func (r *Roster) LiveDiskNodes() (nodes []Node) {
 	if r.self.Disk != 0 {
 		nodes = append(nodes, r.self)
--- a/internal/gateway/membership/liveness_test.go
+++ b/internal/gateway/membership/liveness_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against nodes in a zone without a disk that all turn to the first node by address: of six, it sent twice the mean.
-func TestNodesPreferDifferentOnes(t *testing.T) {
+// Guards against nodes in a zone without a disk that all choose the first node by address. With six nodes with a disk, the first
+// one then received twice the mean load.
+func TestNodesPreferDifferentNodes(t *testing.T) {
 	const nodes, disks = 600, 6
 	turned := map[string]int{}
 	for i := range nodes {
--- a/internal/gateway/membership/node.go
+++ b/internal/gateway/membership/node.go
@@ -1,37 +1,38 @@
 package membership
 
-// Slot is a node's number, given once by the core's log; owners of quotas and of backends are hashed over
+// Slot is a node's number, which the core's log assigns once. The owners of quotas and of backends are chosen by hashing over
 // slots.
 type Slot int
 
-// NoSlot is the slot of a node that has none yet.
+// NoSlot is the slot of a node that has not been assigned one yet.
 const NoSlot Slot = -1
 
-// DiskID names a node's disk; 0: the node has none. A wiped disk is another one.
+// DiskID identifies a node's disk. 0 means that the node has no disk. A wiped disk gets a new ID.
 type DiskID uint64
 
-// Node is what a node says of itself.
+// Node is a node's description of itself.
 type Node struct {
 	Name         string
-	Addr         string // where it takes links: IP and first inner port
-	ControlAddr  string // where it takes control calls
+	Addr         string // address at which it accepts links: IP and first inner port
+	ControlAddr  string // address at which it accepts control calls
 	Zone         string
 	Disk         DiskID
 	FirstStart   bool   // this is the first start of the whole deployment
-	Incarnation  uint64 // drawn at random at each start
+	Incarnation  uint64 // drawn at random at each start of the process
 	Bootstrapped bool   // its disk holds a state of the core
 	Leaving      bool   // it is shutting down
-	ClusterID    uint64 // which bootstrap that state is of; 0: none
+	ClusterID    uint64 // the cluster to which the state on its disk belongs; 0 if there is no state
 }
 
-// The constants of FNV-1a, 64 bits.
+// The parameters of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = 0xcbf29ce484222325
 	fnvPrime  = 0x100000001b3
 )
 
-// fingerprint tells apart two states of a node, by what other nodes go by (FNV-1a by 64-bit words). It is never 0. It is taken of each
-// peer several times a second.
+// fingerprint returns a hash (FNV-1a over 64-bit words) of the fields that other nodes act on. It differs between two
+// descriptions of a node that differ in these fields. It is never 0. It must be cheap, because it is computed for each peer
+// several times a second.
 func (n *Node) fingerprint() uint64 {
 	flags := uint64(0)
 	if n.Bootstrapped {
@@ -48,20 +49,22 @@
 	return max(hash, 1)
 }
 
-// Hello is what nodes send each other when a link comes up, and when something of it changes.
+// Hello is the message that nodes send each other when a link comes up and when any of its content changes.
 type Hello struct {
 	Node          Node     // the sender
-	KnownAddrs    []string // nodes that the receiver is to know of
+	KnownAddrs    []string // addresses of nodes that the receiver has to know
 	ClusterExists bool     // a node that the sender has met holds a state of the core
-	ChunkedCalls  bool     // the sender's program takes large calls in chunks
-	Acknowledged  uint64   // fingerprint of the receiver as the sender knows it; 0: it does not
+	ChunkedCalls  bool     // the sender's version accepts large calls in chunks
+	// Acknowledged is the fingerprint of the receiver's description as the sender knows it. 0 means that the sender knows none.
+	Acknowledged uint64
 }
 
-// Founder is a node whose disk is among the first members of the core. The core's log stores it with these names.
+// Founder is a node whose disk is among the first members of the core. The core's log stores it under these field names.
 type Founder struct {
 	Disk DiskID
 	Addr string
 }
 
-// SlotHolder is a node as the core's log gave it a slot. The log and its snapshots store it with these names.
+// SlotHolder is a node as the core's log recorded it when assigning its slot. The log and its snapshots store it under these
+// field names.
 type SlotHolder struct{ Name, Addr, Control, Zone string }
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// maxNodes bounds the other nodes that are known: as many as there may be slots.
+// maxNodes limits the number of other nodes that are known. It equals the maximum number of slots.
 const maxNodes = 1024
 
-// Config binds a roster to its deployment. It is alike at all nodes.
+// Config describes the deployment to a roster. It is the same at all nodes.
 type Config struct {
-	Seeds           []string               // inner addresses, in the order of the settings; none: nobody bootstraps
-	ToleratedLosses int                    // nodes with a disk that may be lost at once
-	ClusterID       func([]Founder) uint64 // names the cluster of some founders; never 0
+	Seeds           []string               // inner addresses in the order of the settings; if empty, no node bootstraps
+	ToleratedLosses int                    // number of nodes with a disk that may be lost at once
+	ClusterID       func([]Founder) uint64 // returns the ID of the cluster of these founders; never 0
 }
 
-// Roster is one node's knowledge of all nodes. It is not safe for concurrent use.
+// Roster holds one node's knowledge of all nodes. It is not safe for concurrent use.
 type Roster struct {
 	now, startedAt time.Duration // on the host's clock
 	self           Node
 	config         Config
-	seeds          []string // as the settings name them by now
+	seeds          []string // from the current settings; config.Seeds are those from the start
 
 	peers           map[string]*peer // by address
 	slots           map[string]Slot  // by address
@@ -28,30 +28,30 @@
 	livenessReports map[string]livenessReport
 	refreshedAt     time.Duration
 
-	lastDiskAt      time.Duration            // when a node with a disk was last met for the first time
-	founders        []Founder                // that this node chose; nil: none
-	bootstrapSentAt map[string]time.Duration // to founders, by address
+	lastDiskAt      time.Duration            // when this node last met a new node with a disk
+	founders        []Founder                // chosen by this node; nil if it has chosen none
+	bootstrapSentAt map[string]time.Duration // time of the last bootstrap message to each founder, by address
 
-	actions []Action // due
-	changed bool     // LiveNodesChanged is due
+	actions          []Action // pending, in order
+	liveNodesChanged bool     // a LiveNodesChanged action is pending
 }
 
-// peer is another node. Until it is introduced, its Node is an address and nothing else.
+// peer is another node. Until it has sent a hello, only the address in its Node is set.
 type peer struct {
 	Node
-	introduced   bool          // has sent a hello
-	knowsCluster bool          // has met a node that holds a state of the core
-	advertised   bool          // another node named its address
-	linkWanted   bool          // this node keeps a link to it
-	linkUp       bool          // and that is up
-	receivedAt   time.Duration // when anything came from it
-	discoveredAt time.Duration
-	helloAt      time.Duration // when it last sent a hello
-	hello        helloState
-	live         bool
+	helloReceived bool          // it has sent a hello
+	knowsCluster  bool          // it has met a node that holds a state of the core
+	advertised    bool          // another node named its address
+	linkWanted    bool          // this node keeps a link to it
+	linkUp        bool          // the link to it is up
+	receivedAt    time.Duration // when the last frame came from it
+	discoveredAt  time.Duration
+	helloAt       time.Duration // when it last sent a hello
+	hello         helloState
+	live          bool
 }
 
-// New makes a roster that knows its seeds.
+// New returns a roster that knows only its seeds.
 func New(self Node, config Config, now time.Duration) *Roster {
 	r := &Roster{now: now, startedAt: now, self: self, config: config, peers: map[string]*peer{}, slots: map[string]Slot{},
 		livenessReports: map[string]livenessReport{}, bootstrapSentAt: map[string]time.Duration{}, refreshedAt: now, lastDiskAt: now}
@@ -59,12 +59,13 @@
 	return r
 }
 
-// Tick moves the clock. A step above stallThreshold means that this process stood still and what others sent lies unread: no time of
-// it counts. Else this node would take all others for lost for a moment, and leave its upstream while the messages of that wait to be
-// read.
+// Tick advances the clock. A step above stallThreshold means that this process was stalled and that what other nodes sent is
+// still unread, so the step does not count towards any time-out. Otherwise this node would briefly take all others for lost, and
+// would leave its upstream while the upstream's messages wait to be read.
 func (r *Roster) Tick(now time.Duration) {
 	if step := now - r.now; step > stallThreshold {
-		r.lastDiskAt = now // others may have bootstrapped the core meanwhile: their hellos lie unread
+		// Other nodes may have bootstrapped the core meanwhile, and their hellos may be unread.
+		r.lastDiskAt = now
 		for _, p := range r.peers {
 			p.receivedAt += step
 		}
@@ -76,7 +77,8 @@
 	r.now = max(r.now, now)
 }
 
-// Next gives what is to be done. It is called after every input, and after Tick, until there is nothing more.
+// Next returns the next action for the host to perform, and false if there is none. The host calls it after every input and after
+// Tick, until it returns false.
 func (r *Roster) Next() (Action, bool) {
 	if r.now-r.refreshedAt >= refreshInterval {
 		r.refresh()
@@ -86,8 +88,8 @@
 		r.actions = r.actions[1:]
 		return a, true
 	}
-	if r.changed {
-		r.changed = false
+	if r.liveNodesChanged {
+		r.liveNodesChanged = false
 		return Action{Kind: LiveNodesChanged}, true
 	}
 	return Action{}, false
@@ -95,10 +97,11 @@
 
 func (r *Roster) push(a Action) { r.actions = append(r.actions, a) }
 
-// Self is what this node says of itself.
+// Self returns this node's description of itself.
 func (r *Roster) Self() Node { return r.self }
 
-// SetCluster says of which cluster this node's disk holds a state from now on; 0: of none.
+// SetCluster sets this node's disk and the cluster whose state that disk holds from now on. A cluster ID of 0 means that the disk
+// holds no state.
 func (r *Roster) SetCluster(disk DiskID, clusterID uint64) {
 	if r.self.Disk != disk || r.self.ClusterID != clusterID {
 		r.self.Disk, r.self.Bootstrapped, r.self.ClusterID = disk, clusterID != 0, clusterID
@@ -106,13 +109,13 @@
 	}
 }
 
-// AnnounceShutdown says that this node is shutting down.
+// AnnounceShutdown tells all linked nodes that this node is shutting down.
 func (r *Roster) AnnounceShutdown() {
 	r.self.Leaving = true
 	r.helloAll()
 }
 
-// SetSlots takes the slot holders as the core's log has them. They are not changed afterwards.
+// SetSlots sets the slot holders from the core's log. The caller must not modify the slice afterwards.
 func (r *Roster) SetSlots(holders []SlotHolder) {
 	r.slotHolders = holders
 	clear(r.slots)
@@ -120,10 +123,10 @@
 		r.slots[holder.Addr] = Slot(i)
 		r.discover(holder.Addr)
 	}
-	r.changed = true
+	r.liveNodesChanged = true
 }
 
-// Slot is that of an address, or NoSlot.
+// Slot returns the slot of the node at an address, or NoSlot.
 func (r *Roster) Slot(addr string) Slot {
 	if s, ok := r.slots[addr]; ok {
 		return s
@@ -131,30 +134,30 @@
 	return NoSlot
 }
 
-// SlotHolderAt is the node that has a slot, if any has.
-func (r *Roster) SlotHolderAt(s Slot) (SlotHolder, bool) {
+// NodeAtSlot returns the node that has a slot, and false if no node has it.
+func (r *Roster) NodeAtSlot(s Slot) (SlotHolder, bool) {
 	if s < 0 || int(s) >= len(r.slotHolders) {
 		return SlotHolder{}, false
 	}
 	return r.slotHolders[s], true
 }
 
-// SlotHolders are the nodes with a slot, by slot.
+// SlotHolders returns the nodes with a slot, indexed by slot.
 func (r *Roster) SlotHolders() []SlotHolder { return r.slotHolders }
 
-// Node is what a node last said of itself, if it has.
+// Node returns a node's last description of itself, and false if it has sent none.
 func (r *Roster) Node(addr string) (Node, bool) {
 	if addr == r.self.Addr {
 		return r.self, true
 	}
 	p := r.peers[addr]
-	if p == nil || !p.introduced {
+	if p == nil || !p.helloReceived {
 		return Node{}, false
 	}
 	return p.Node, true
 }
 
-// Addrs are the addresses of the other nodes that are known, in order.
+// Addrs returns the addresses of the other known nodes, sorted.
 func (r *Roster) Addrs() []string {
 	addrs := make([]string, 0, len(r.peers))
 	for addr := range r.peers {
@@ -164,13 +167,14 @@
 	return addrs
 }
 
-// discover finds or adds the node at an address; nil if that is this node's, empty, or new while maxNodes are known.
+// discover returns the peer at an address and adds it if it is new. It returns nil if the address is empty or this node's own, or
+// if it is new and maxNodes nodes are already known.
 func (r *Roster) discover(addr string) *peer {
 	p := r.peers[addr]
 	if p != nil || addr == r.self.Addr || addr == "" || len(r.peers) >= maxNodes {
 		return p
 	}
-	p = &peer{Node: Node{Addr: addr}, receivedAt: r.now - livenessTimeout, discoveredAt: r.now, helloAt: r.now - guestLinkTimeout}
+	p = &peer{Node: Node{Addr: addr}, receivedAt: r.now - livenessTimeout, discoveredAt: r.now, helloAt: r.now - disklessLinkTimeout}
 	r.peers[addr] = p
 	r.updateLink(addr, p)
 	return p
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -16,8 +16,8 @@
 // event is one input to a roster.
 type event func(*Roster)
 
-// interleave tries all orders of several sequences, each of which keeps its own.
-func interleave(seqs [][]event, try func([]event)) {
+// interleave calls visit with every interleaving of several sequences. Each sequence keeps its own order.
+func interleave(seqs [][]event, visit func([]event)) {
 	var order []event
 	var step func()
 	step = func() {
@@ -32,7 +32,7 @@
 			order, seqs[i] = order[:len(order)-1], s
 		}
 		if done {
-			try(order)
+			visit(order)
 		}
 	}
 	step()
@@ -45,60 +45,61 @@
 	return all
 }
 
-func count(all []Action, v ActionKind, addr string) (n int) {
+func count(all []Action, kind ActionKind, addr string) (n int) {
 	for _, a := range all {
-		if a.Kind == v && a.Addr == addr {
+		if a.Kind == kind && a.Addr == addr {
 			n++
 		}
 	}
 	return n
 }
 
-// A link comes and goes by itself, and the other node's hellos come on another: whatever the order between nodes, and between a node's
-// hellos and the link to it, the same nodes are live in the end.
+// Guards against a result that depends on the order of inputs. A link comes up and goes down by itself, and a node's hellos come
+// over another link. Whatever the order between nodes, and between a node's hellos and its link, the same nodes are live in the
+// end.
 func TestEventOrdersConverge(t *testing.T) {
-	hello := func(a string, disk DiskID, life uint64, known ...string) event {
+	hello := func(a string, disk DiskID, incarnation uint64, known ...string) event {
 		return func(r *Roster) {
-			r.HandleHello(a, Hello{Node: Node{Name: a, Addr: "elsewhere", Disk: disk, Incarnation: life}, KnownAddrs: known})
+			r.HandleHello(a, Hello{Node: Node{Name: a, Addr: "elsewhere", Disk: disk, Incarnation: incarnation}, KnownAddrs: known})
 		}
 	}
 	up := func(a string) event { return func(r *Roster) { r.LinkUp(a) } }
 	down := func(a string) event { return func(r *Roster) { r.LinkDown(a) } }
-	tries := 0
+	orderCount := 0
 	interleave([][]event{{hello("a", 1, 1, "b", "x"), up("a")}, {down("b"), up("b")},
 		{hello("b", 2, 1), hello("b", 3, 2)}, {up("d"), down("d")}, {hello("d", 4, 1)}}, func(order []event) {
 		r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me", "a", "b", "d"}, ToleratedLosses: 1}, 0)
-		var did []Action
+		var actions []Action
 		for _, e := range order {
 			e(r)
-			did = append(did, drain(r)...)
+			actions = append(actions, drain(r)...)
 		}
-		tries++
+		orderCount++
 		must.True(t, slices.Equal([]Node{{Addr: "me", Disk: 9}, {Name: "a", Addr: "a", Disk: 1, Incarnation: 1},
-			{Name: "b", Addr: "b", Disk: 3, Incarnation: 2}}, r.LiveDiskNodes())) // those that are live
+			{Name: "b", Addr: "b", Disk: 3, Incarnation: 2}}, r.LiveDiskNodes()))
 		must.True(t, slices.Equal([]string{"a", "b", "d", "x"}, r.Addrs()))
-		must.Eq(t, "1 1 1", fmt.Sprint(count(did, Connect, "x"), count(did, SendHello, "a"), count(did, SendHello, "b")))
+		must.Eq(t, "1 1 1", fmt.Sprint(count(actions, Connect, "x"), count(actions, SendHello, "a"), count(actions, SendHello, "b")))
 	})
-	must.Eq(t, 22680, tries)
+	must.Eq(t, 22680, orderCount)
 }
 
-// simNode is a node in a small world of nodes that send hellos, bootstrap, stop and come back.
+// simNode is a node in a small simulated deployment whose nodes send hellos, bootstrap, stop and restart.
 type simNode struct {
 	*Roster
 	stopped  bool
 	linkUp   map[string]bool
-	founders []Founder // what its disk holds: those of the first bootstrap that it was sent
+	founders []Founder // what its disk holds: the founders of the first bootstrap that it was sent
 }
 
-type world struct {
+type simCluster struct {
 	now            time.Duration
 	config         Config
 	nodes          map[string]*simNode
 	names          []string
-	connected      func(a, b string) bool     // they reach each other now
-	dropsBootstrap func(from, to string) bool // a Bootstrap is lost
+	connected      func(a, b string) bool     // the two nodes can reach each other now
+	dropsBootstrap func(from, to string) bool // a Bootstrap message is lost
 	proposals      map[string]bool            // all lists of founders that were sent
-	bootstrappers  []string                   // who chose founders, in order
+	bootstrappers  []string                   // the nodes that chose founders, in order
 }
 
 func clusterIDOf(list []Founder) uint64 {
@@ -107,8 +108,8 @@
 	return h.Sum64() | 1
 }
 
-func newWorld(seeds string, disks ...string) *world {
-	w := &world{config: Config{strings.Split(seeds, ""), 1, clusterIDOf}, nodes: map[string]*simNode{}, proposals: map[string]bool{},
+func newSimCluster(seeds string, disks ...string) *simCluster {
+	w := &simCluster{config: Config{strings.Split(seeds, ""), 1, clusterIDOf}, nodes: map[string]*simNode{}, proposals: map[string]bool{},
 		connected: func(string, string) bool { return true }, dropsBootstrap: func(string, string) bool { return false }}
 	for i, n := range disks {
 		w.start(n, DiskID(i+1), true)
@@ -116,8 +117,8 @@
 	return w
 }
 
-// start begins an incarnation of a node; its disk keeps what it took.
-func (w *world) start(name string, disk DiskID, first bool) *simNode {
+// start begins an incarnation of a node. Its disk keeps the founders that it accepted before.
+func (w *simCluster) start(name string, disk DiskID, first bool) *simNode {
 	a := w.nodes[name]
 	if a == nil {
 		a = &simNode{}
@@ -132,13 +133,13 @@
 	return a
 }
 
-func (w *world) reachable(a, b string) bool {
+func (w *simCluster) reachable(a, b string) bool {
 	x := w.nodes[b]
 	return x != nil && !x.stopped && !w.nodes[a].stopped && w.connected(a, b)
 }
 
-// step lets a fifth of a second pass.
-func (w *world) step() {
+// step advances the simulation by 200 ms.
+func (w *simCluster) step() {
 	w.now += 200 * ms
 	for _, n := range w.names {
 		a := w.nodes[n]
@@ -163,47 +164,47 @@
 		again = false
 		for _, n := range w.names {
 			a := w.nodes[n]
-			for _, do := range drain(a.Roster) {
-				if again = true; do.Kind == Bootstrap {
-					w.deliverBootstrap(n, do)
+			for _, action := range drain(a.Roster) {
+				if again = true; action.Kind == Bootstrap {
+					w.deliverBootstrap(n, action)
 				}
-				if do.Kind == SendHello && w.reachable(n, do.Addr) {
-					w.nodes[do.Addr].HandleHello(n, a.HelloTo(do.Addr))
+				if action.Kind == SendHello && w.reachable(n, action.Addr) {
+					w.nodes[action.Addr].HandleHello(n, a.HelloTo(action.Addr))
 				}
 			}
 		}
 	}
 }
 
-func (w *world) deliverBootstrap(from string, do Action) {
-	if list := fmt.Sprint(do.Founders); !w.proposals[list] {
-		w.proposals[list], w.bootstrappers = true, append(w.bootstrappers, from)
+func (w *simCluster) deliverBootstrap(from string, action Action) {
+	if founders := fmt.Sprint(action.Founders); !w.proposals[founders] {
+		w.proposals[founders], w.bootstrappers = true, append(w.bootstrappers, from)
 	}
-	to := w.nodes[do.Addr]
-	if from != do.Addr && (!w.reachable(from, do.Addr) || w.dropsBootstrap(from, do.Addr)) || to.founders != nil {
+	to := w.nodes[action.Addr]
+	if from != action.Addr && (!w.reachable(from, action.Addr) || w.dropsBootstrap(from, action.Addr)) || to.founders != nil {
 		return
 	}
-	if me := (Founder{to.Self().Disk, do.Addr}); slices.Contains(do.Founders, me) {
-		to.founders = do.Founders
-		to.SetCluster(me.Disk, clusterIDOf(do.Founders))
+	if self := (Founder{to.Self().Disk, action.Addr}); slices.Contains(action.Founders, self) {
+		to.founders = action.Founders
+		to.SetCluster(self.Disk, clusterIDOf(action.Founders))
 	}
 }
 
-func (w *world) stop(names ...string) {
+func (w *simCluster) stop(names ...string) {
 	for _, n := range names {
 		w.nodes[n].stopped = true
 	}
 }
 
-func (w *world) until(t time.Duration) *world {
+func (w *simCluster) until(t time.Duration) *simCluster {
 	for w.now < t {
 		w.step()
 	}
 	return w
 }
 
-// majorities counts the lists of founders that a majority of them holds.
-func (w *world) majorities() (n int) {
+// majorities counts the lists of founders that a majority of their own nodes hold.
+func (w *simCluster) majorities() (n int) {
 	holds := map[string]int{}
 	for _, a := range w.nodes {
 		if a.founders != nil {
@@ -216,128 +217,130 @@
 	return n
 }
 
-// Three nodes with disks and one without meet: the first seed bootstraps the core, once, with all of them, and sends it again where it was
-// lost.
+// With three nodes with a disk and one without, the first seed bootstraps the core once, with all three as founders, and sends
+// the message again where it was lost.
 func TestFirstSeedBootstraps(t *testing.T) {
-	w := newWorld("abc", "a", "b", "c")
+	w := newSimCluster("abc", "a", "b", "c")
 	w.start("d", 0, true)
-	lost := 0
-	w.dropsBootstrap = func(_, to string) bool { lost++; return to == "c" && lost < 4 }
+	bootstrapMessages := 0
+	w.dropsBootstrap = func(_, to string) bool { bootstrapMessages++; return to == "c" && bootstrapMessages < 4 }
 	w.until(400 * ms)
 	must.MapEmpty(t, w.proposals)
 	w.until(2 * time.Second)
 	must.Eq(t, []string{"a"}, w.bootstrappers)
-	all := []Founder{{1, "a"}, {2, "b"}, {3, "c"}}
-	must.Eq(t, all, w.nodes["b"].founders)
+	founders := []Founder{{1, "a"}, {2, "b"}, {3, "c"}}
+	must.Eq(t, founders, w.nodes["b"].founders)
 	must.SliceEmpty(t, w.nodes["c"].founders)
 	w.until(8 * time.Second)
-	must.Eq(t, all, w.nodes["c"].founders)
+	must.Eq(t, founders, w.nodes["c"].founders)
 	must.SliceEmpty(t, w.nodes["d"].founders)
 	must.Eq(t, []string{"a"}, w.bootstrappers)
-	sent := lost
-	w.until(20 * time.Second) // all have it: nothing is sent again
-	must.Eq(t, sent, lost)
+	sent := bootstrapMessages
+	w.until(20 * time.Second) // all founders hold it, so nothing is sent again
+	must.Eq(t, sent, bootstrapMessages)
 }
 
-// The next seed bootstraps only where the one before was never there, is gone, or has run before; and nobody does where a node that was met
-// holds a state.
+// A later seed bootstraps only if the seed before it was never live, has gone or has run before. No seed bootstraps if a node
+// that it has met holds a state.
 func TestBootstrapTurns(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		seeds string
-		do    func(w *world)
-		by    string // who chose founders
-		size  int    // of the list
+		name         string
+		seeds        string
+		setUp        func(w *simCluster)
+		bootstrapper string // the node that chose the founders
+		founderCount int    // of the list of founders
 	}{
-		{"the first is never there", "abc", func(w *world) { w.stop("a") }, "b", 2},
-		{"the first dies early", "abc", func(w *world) { w.until(200 * ms).stop("a") }, "b", 3},
-		{"it comes back with a new life", "abc", func(w *world) {
+		{"first seed never starts", "abc", func(w *simCluster) { w.stop("a") }, "b", 2},
+		{"first seed stops early", "abc", func(w *simCluster) { w.until(200 * ms).stop("a") }, "b", 3},
+		{"first seed stops and restarts in another incarnation", "abc", func(w *simCluster) {
 			w.until(200 * ms).stop("a")
 			w.until(1000*ms).start("a", 1, false)
 		}, "b", 3},
-		{"it comes back late, while it is waited for", "abc", func(w *world) {
+		{"first seed starts late, while the second waits for its turn", "abc", func(w *simCluster) {
 			w.stop("a")
 			w.until(2200*ms).start("a", 1, true)
 		}, "a", 3},
-		{"it comes back with a state", "abc", func(w *world) {
+		{"first seed restarts with a state", "abc", func(w *simCluster) {
 			w.until(200 * ms).stop("a")
 			w.nodes["a"].founders = []Founder{{1, "a"}}
 			w.until(1000*ms).start("a", 1, false)
 		}, "", 0},
-		{"another holds a state", "abc", func(w *world) {
+		{"another seed holds a state", "abc", func(w *simCluster) {
 			w.nodes["c"].founders = []Founder{{3, "c"}}
 			w.start("c", 3, false)
 		}, "", 0},
-		{"two are never there", "abc", func(w *world) { w.stop("a", "b") }, "", 0},
-		{"no seed has a disk to found with", "def", func(w *world) {
+		{"two of three seeds never start", "abc", func(w *simCluster) { w.stop("a", "b") }, "", 0},
+		{"no seed has a disk", "def", func(w *simCluster) {
 			for _, n := range []string{"d", "e", "f"} {
 				w.start(n, 0, true)
 			}
 			w.stop("d", "c")
 		}, "e", 2},
-		{"a seed without a disk hears two that do not hear each other", "abf", func(w *world) {
+		{"a seed without a disk reaches two seeds that do not reach each other", "abf", func(w *simCluster) {
 			w.start("f", 0, true)
 			w.start("d", 4, true)
 			w.connected = func(a, b string) bool { return strings.Contains("af fa bf fb ad da bc cb", a+b) }
 		}, "a", 2},
-		{"all were killed before a word of it was on disk", "abc", func(w *world) {
+		{"all nodes were killed before a bootstrap was on disk", "abc", func(w *simCluster) {
 			for nr, n := range []string{"a", "b", "c"} {
 				w.start(n, DiskID(nr+1), false)
 			}
 		}, "a", 3},
-		{"all but one, and that was wiped as well", "abc", func(w *world) {
+		{"all nodes but one are stopped, and its disk was wiped", "abc", func(w *simCluster) {
 			w.stop("a", "b")
 			w.start("c", 9, false)
 		}, "", 0},
-		{"one seed, and it is alone", "a", func(w *world) { w.connected = func(_, _ string) bool { return false } }, "a", 1},
-		{"all seeds are the same", "bbb", func(*world) {}, "b", 3},
+		{"the only seed reaches no other node", "a", func(w *simCluster) { w.connected = func(_, _ string) bool { return false } }, "a", 1},
+		{"all seeds have the same address", "bbb", func(*simCluster) {}, "b", 3},
 	} {
-		w := newWorld(c.seeds, "a", "b", "c")
-		c.do(w)
+		w := newSimCluster(c.seeds, "a", "b", "c")
+		c.setUp(w)
 		w.until(12 * time.Second)
 		by := strings.Join(w.bootstrappers, "")
-		must.Eq(t, c.by, by, must.Sprint(c.name))
+		must.Eq(t, c.bootstrapper, by, must.Sprint(c.name))
 		for list := range w.proposals {
-			must.Eq(t, c.size, strings.Count(list, "{"), must.Sprint(c.name))
+			must.Eq(t, c.founderCount, strings.Count(list, "{"), must.Sprint(c.name))
 		}
 	}
 }
 
-// However three seeds and another node with a disk come to reach each other, whichever messages of a bootstrap are lost, and whether or not
-// the first seed stops on the way: no two clusters have a majority; one has once all reach each other, unless the first seed alone wrote
-// its founders down and stopped.
+// Three seeds and another node with a disk come to reach each other at different times, messages of a bootstrap are lost, and the
+// first seed may stop on the way. Guards against two clusters that both have a majority, and against no cluster once all nodes
+// reach each other. The second is allowed only if the first seed alone stored its founders and then stopped.
 func TestPartitionsBootstrapOneCluster(t *testing.T) {
-	const far = time.Hour
-	at := []time.Duration{0, 1600 * ms, 6 * time.Second, far} // when two of the seeds first reach each other
-	tries := 0
+	const never = time.Hour
+	// The times at which two of the seeds first reach each other.
+	meetingTimes := []time.Duration{0, 1600 * ms, 6 * time.Second, never}
+	runs := 0
 	for meet := range 64 * 3 {
-		when := map[string]time.Duration{"ab": at[meet&3], "ac": at[meet>>2&3], "bc": at[meet>>4&3],
-			"ad": at[2], "bd": at[2], "cd": at[2]}
-		when[[]string{"ad", "bd", "cd"}[meet>>6]] = 0
-		for _, stopsAt := range []time.Duration{far, 400 * ms, 3400 * ms} {
-			lossy := tries%2 > 0
-			w := newWorld("abc", "a", "b", "c", "d")
-			w.connected = func(a, b string) bool { return w.now >= min(when[min(a, b)+max(a, b)], 10*time.Second) }
+		reachableFrom := map[string]time.Duration{"ab": meetingTimes[meet&3], "ac": meetingTimes[meet>>2&3], "bc": meetingTimes[meet>>4&3],
+			"ad": meetingTimes[2], "bd": meetingTimes[2], "cd": meetingTimes[2]}
+		reachableFrom[[]string{"ad", "bd", "cd"}[meet>>6]] = 0
+		for _, stopsAt := range []time.Duration{never, 400 * ms, 3400 * ms} {
+			lossy := runs%2 > 0
+			w := newSimCluster("abc", "a", "b", "c", "d")
+			w.connected = func(a, b string) bool { return w.now >= min(reachableFrom[min(a, b)+max(a, b)], 10*time.Second) }
 			w.dropsBootstrap = func(_, to string) bool { return lossy && w.now < 7*time.Second && to != "d" }
-			alone := false
+			onlyFirstSeedHolds := false
 			for w.now < 14*time.Second {
 				w.step()
 				must.LessEq(t, 1, w.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, w.bootstrappers))
 				if a := w.nodes["a"]; w.now == stopsAt {
 					a.stopped = true
-					alone = a.founders != nil && w.majorities() == 0
+					onlyFirstSeedHolds = a.founders != nil && w.majorities() == 0
 				} else if w.now == stopsAt+800*ms {
 					w.start("a", 1, false)
 				}
 			}
-			if tries++; !alone {
+			if runs++; !onlyFirstSeedHolds {
 				must.Eq(t, 1, w.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, w.bootstrappers))
 			}
 		}
 	}
 }
 
-// A node that sends nothing is not live, one that sends nothing for long is forgotten, and a seed or one with a slot is not.
+// A node that sends nothing is not live. A node that sends nothing for a long time is forgotten, unless it is a seed or has a
+// slot.
 func TestLivenessTimeout(t *testing.T) {
 	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"s"}}, 0)
 	for _, a := range []string{"s", "x", "y"} {
@@ -354,8 +357,8 @@
 		must.SliceEmpty(t, drain(r))
 	}
 	r.Tick(livenessTimeout)
-	must.Eq(t, 1, count(drain(r), LiveNodesChanged, "")) // s and y have gone, at once
-	pass := func(until time.Duration) {
+	must.Eq(t, 1, count(drain(r), LiveNodesChanged, "")) // s and y are lost at the same time
+	tickUntil := func(until time.Duration) {
 		for at := r.now; at < until; at += 500 * ms {
 			r.Tick(at)
 		}
@@ -366,29 +369,29 @@
 	r.FrameReceived("y")
 	must.True(t, r.Live("y")) // its link never ended
 	r.HandleHello("y", Hello{Node: Node{Name: "y", Incarnation: 2}})
-	must.Eq(t, 1, count(drain(r), LiveNodesChanged, "")) // another incarnation of it, though it stays live
-	pass(livenessTimeout + forgetAfter + ms)
-	gone := drain(r)
-	must.Eq(t, 1, count(gone, Disconnect, "x"))
+	must.Eq(t, 1, count(drain(r), LiveNodesChanged, "")) // y stays live, but in another incarnation
+	tickUntil(livenessTimeout + forgetAfter + ms)
+	actions := drain(r)
+	must.Eq(t, 1, count(actions, Disconnect, "x"))
 	must.Eq(t, []string{"s", "y"}, r.Addrs())
 	r.FrameReceived("x")
 	must.Eq(t, 1, count(drain(r), Connect, "x"))
-	var many []string
+	var addrs []string
 	for i := range 2 * maxNodes {
-		many = append(many, fmt.Sprint("z", i))
+		addrs = append(addrs, fmt.Sprint("z", i))
 	}
-	r.SetSeeds(many)
+	r.SetSeeds(addrs)
 	must.Len(t, maxNodes, r.Addrs())
-	r.HandleHello("x", Hello{Node: Node{Name: "x", Disk: 5}}) // a full table still takes hellos of those in it
+	r.HandleHello("x", Hello{Node: Node{Name: "x", Disk: 5}}) // a full table still accepts hellos from known nodes
 	d, _ := r.Node("x")
 	must.Eq(t, DiskID(5), d.Disk)
 }
 
-// Links must not grow with the square of the nodes, and nobody may be left without one: a node without a disk that knows only
-// seeds without a disk is brought to those that have one, leaves the seeds when it has a slot, and goes back to them when
-// all nodes with a disk are gone.
+// Guards against links that grow with the square of the number of nodes, and against a node that is left without a link. A node
+// without a disk that knows only seeds without a disk is linked to the nodes with a disk. It drops its links to the seeds when it
+// has a slot, and links to them again when all nodes with a disk are gone.
 func TestLinksGoThroughDiskNodes(t *testing.T) {
-	w := newWorld("dea", "a", "b", "c")
+	w := newSimCluster("dea", "a", "b", "c")
 	for _, n := range []string{"d", "e", "f", "g"} {
 		w.start(n, 0, true)
 	}
@@ -409,7 +412,8 @@
 		}
 		return all
 	}
-	report := func(d time.Duration) { // those with a disk report to the others who is live
+	// The nodes with a disk report to the other nodes which nodes are live.
+	report := func(d time.Duration) {
 		for end := w.now + d; w.now < end; {
 			w.step()
 			for _, n := range w.names {
@@ -432,13 +436,13 @@
 	must.Eq(t, "bcdefg", linked("a"))
 	for _, n := range []string{"d", "e", "f", "g"} {
 		must.Eq(t, "abc", linked(n))
-		must.True(t, w.nodes[n].Live("d")) // by the reports of those with a disk
+		must.True(t, w.nodes[n].Live("d")) // as reported by the nodes with a disk
 		must.Eq(t, []string{"a", "b", "c"}, w.nodes[n].HelloTo("f").KnownAddrs)
 	}
-	w.nodes["a"].stopped = true // the one seed with a disk
+	w.nodes["a"].stopped = true // the only seed with a disk
 	w.start("h", 0, false)
 	report(time.Second)
-	must.Eq(t, "abcde", linked("h")) // a is a seed: it may come back
+	must.Eq(t, "abcde", linked("h")) // a is a seed and may come back
 	slots()
 	report(10 * time.Second)
 	must.Eq(t, "abc", linked("h"))
@@ -449,8 +453,9 @@
 	must.Eq(t, "abce", linked("d"))
 }
 
-// A node that stood still for seconds goes on with all that others sent unread: it must not take them for lost before it has read it.
-// Guards against one that left its upstream so, dropped the entries that lay unread, and went by an old configuration for seconds.
+// After a stall of several seconds, a process has not yet read what the others sent, and must not take them for lost before it
+// has read it. Guards against a node that left its upstream for this reason, dropped the unread entries, and used an old
+// configuration for seconds.
 func TestStallIsNotATimeout(t *testing.T) {
 	r := New(Node{Addr: "me"}, Config{}, 0)
 	r.HandleHello("a", Hello{Node: Node{Name: "a", Disk: 1, Incarnation: 1}, Acknowledged: r.self.fingerprint()})
@@ -470,13 +475,14 @@
 	must.True(t, r.Live("a") && r.Live("b"))
 	r.Tick(22 * time.Second)
 	drain(r)
-	must.False(t, r.Live("a") || r.Live("b")) // nothing for 2.2 s, of which 0.5 s came before the stall
+	must.False(t, r.Live("a") || r.Live("b")) // nothing came for 2.2 s, of which 0.5 s were before the stall
 }
 
-// The first seed stalls before it bootstraps the core, or was just partitioned: it reads first what the others have sent, and does not go by
-// nodes that it has not heard for a second. Guards against a cluster of its own, which the others never join.
+// The first seed stalls before it bootstraps the core, or was partitioned a moment ago. It must first read what the others have
+// sent, and must not count nodes that it has not heard from for a second. Guards against a cluster of its own, which the others
+// never join.
 func TestIsolatedSeedDoesNotBootstrap(t *testing.T) {
-	began := func(pause time.Duration, hears bool) bool {
+	bootstraps := func(pause time.Duration, othersSend bool) bool {
 		r := New(Node{Addr: "a", Disk: 1, FirstStart: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: clusterIDOf}, 0)
 		for i, n := range []string{"b", "c"} {
 			r.HandleHello(n, Hello{Node: Node{Name: n, Disk: DiskID(i + 2), FirstStart: true, Incarnation: 1}})
@@ -487,26 +493,28 @@
 			r.Tick(r.now + 100*ms)
 		}
 		r.Tick(r.now + pause)
-		did := drain(r)
-		for end := r.now + time.Second; r.now < end; did = append(did, drain(r)...) {
-			if r.Tick(r.now + 100*ms); hears {
+		actions := drain(r)
+		for end := r.now + time.Second; r.now < end; actions = append(actions, drain(r)...) {
+			if r.Tick(r.now + 100*ms); othersSend {
 				r.FrameReceived("b")
 				r.HandleHello("c", Hello{Node: Node{Name: "c", Disk: 3, FirstStart: true, Incarnation: 1, Bootstrapped: pause > 0}})
 			}
 		}
-		return count(did, Bootstrap, "a") > 0
+		return count(actions, Bootstrap, "a") > 0
 	}
-	must.True(t, began(0, true))
-	must.False(t, began(6*time.Second, true)) // another has bootstrapped it
-	must.False(t, began(800*ms, false))       // nobody was heard for 1.2 s
+	must.True(t, bootstraps(0, true))
+	must.False(t, bootstraps(6*time.Second, true)) // another node has bootstrapped the core
+	must.False(t, bootstraps(800*ms, false))       // no node was heard from for 1.2 s
 }
 
-// Two nodes with a disk that the second and third seed never met bootstrap the core with the first one, which is partitioned from these two as it
-// sends the founders: three of five hold them. The other two seeds, which know of three disks, bootstrap one of their own: two of three. Both
-// clusters would take changes. So the founders go to the seeds first, and to the others once more than half of the seeds hold them.
+// Guards against two clusters that both accept changes. Nodes d and e have a disk, and the second and third seed never met them.
+// They bootstrap the core with the first seed, which is partitioned from the other two seeds as it sends the founders, so three
+// of five founders hold that cluster. The other two seeds know of three disks and bootstrap a cluster of their own, held by two
+// of three. To prevent this, the founders go to the seeds first, and to the other nodes once more than half of the seeds hold
+// them.
 func TestSeedsHoldFoundersFirst(t *testing.T) {
-	for cut := 400 * ms; cut < 1600*ms; cut += 100 * ms {
-		w := newWorld("abc", "a", "b", "c", "d", "e")
+	for partitionedAt := 400 * ms; partitionedAt < 1600*ms; partitionedAt += 100 * ms {
+		w := newSimCluster("abc", "a", "b", "c", "d", "e")
 		w.connected = func(x, y string) bool {
 			x, y = min(x, y), max(x, y)
 			switch {
@@ -515,58 +523,60 @@
 			case strings.Contains("bd be cd ce", x+y):
 				return false
 			}
-			return w.now < cut || !strings.Contains("ab ac", x+y)
+			return w.now < partitionedAt || !strings.Contains("ab ac", x+y)
 		}
 		for w.now < 20*time.Second {
 			w.step()
-			must.LessEq(t, 1, w.majorities(), must.Sprintf("cut at %v: %v", cut, w.bootstrappers))
+			must.LessEq(t, 1, w.majorities(), must.Sprintf("partitioned at %v: %v", partitionedAt, w.bootstrappers))
 		}
 	}
 }
 
-// Hellos must not carry the square of a deployment: slot holders are known from the core's log, so that a hello to a node with a disk names
-// those alone that have no slot yet, beside the nodes with a disk. A node without a slot is still made known.
+// Guards against hellos whose traffic grows with the square of the number of nodes. Slot holders are known from the core's log,
+// so a hello to a node with a disk names only the nodes with a disk and the nodes that have no slot yet. A node without a slot is
+// still made known.
 func TestHellosOmitSlotHolders(t *testing.T) {
 	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"disk"}, ClusterID: clusterIDOf}, 0)
-	var order []SlotHolder
+	var holders []SlotHolder
 	for i := range 300 {
 		addr := fmt.Sprint("node-", i)
 		r.HandleHello(addr, Hello{Node: Node{Name: addr, Addr: addr}})
-		order = append(order, SlotHolder{Name: addr, Addr: addr})
+		holders = append(holders, SlotHolder{Name: addr, Addr: addr})
 	}
 	for _, d := range []string{"disk", "disk-2"} {
 		r.HandleHello(d, Hello{Node: Node{Addr: d, Disk: DiskID(len(d))}})
 	}
 	must.Len(t, 301, r.HelloTo("disk").KnownAddrs)
-	r.SetSlots(order[:299])
+	r.SetSlots(holders[:299])
 	must.Eq(t, []string{"disk-2", "node-299"}, r.HelloTo("disk").KnownAddrs)
 	must.Eq(t, []string{"disk", "disk-2"}, r.HelloTo("node-5").KnownAddrs)
 }
 
-// A node with a disk that starts knows hundreds of nodes by their slots. It leaves them to dial first, which they all do in that
-// moment, and answers; those that send nothing are dialed a little later, for they may not find their way. Guards against a member
-// with no descriptors left right after a loss of power: its 300 dials came beside theirs.
+// A node with a disk that starts knows hundreds of nodes by their slots. It lets them dial first, which they all do at that
+// moment, and answers. It dials those that send nothing a little later, because they may not be able to establish the link
+// themselves. Guards against a member that ran out of file descriptors right after a power loss, because its 300 dials were added
+// to the 300 dials of the others.
 func TestSlotHoldersDialFirst(t *testing.T) {
 	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me"}, ClusterID: clusterIDOf}, 0)
-	var order []SlotHolder
+	var holders []SlotHolder
 	for i := range 300 {
 		addr := fmt.Sprint("node-", i)
-		order = append(order, SlotHolder{Name: addr, Addr: addr})
+		holders = append(holders, SlotHolder{Name: addr, Addr: addr})
 	}
-	r.SetSlots(order)
+	r.SetSlots(holders)
 	r.Tick(300 * ms)
 	must.Eq(t, 0, count(drain(r), Connect, "node-7"))
 	r.FrameReceived("node-7")
 	r.HandleHello("node-8", Hello{Node: Node{Addr: "node-8"}})
-	all := drain(r)
-	must.Eq(t, 1, count(all, Connect, "node-7"))
-	must.Eq(t, 1, count(all, Connect, "node-8"))
-	must.Eq(t, 0, count(all, Connect, "node-9"))
+	actions := drain(r)
+	must.Eq(t, 1, count(actions, Connect, "node-7"))
+	must.Eq(t, 1, count(actions, Connect, "node-8"))
+	must.Eq(t, 0, count(actions, Connect, "node-9"))
 	for at := 400 * ms; at <= passiveDialDelay+refreshInterval; at += refreshInterval {
 		r.Tick(at)
-		all = append(all, drain(r)...)
+		actions = append(actions, drain(r)...)
 	}
-	must.Eq(t, 1, count(all, Connect, "node-9"))
-	must.Eq(t, 1, count(all, Connect, "node-7"))
-	must.Eq(t, 0, count(all, Disconnect, "node-7"))
+	must.Eq(t, 1, count(actions, Connect, "node-9"))
+	must.Eq(t, 1, count(actions, Connect, "node-7"))
+	must.Eq(t, 0, count(actions, Disconnect, "node-7"))
 }
--- a/internal/gateway/membership/wire.go
+++ b/internal/gateway/membership/wire.go
@@ -1,10 +1,11 @@
 package membership
 
-// The form in which hellos go over links. gob goes by the names of fields: programs of other versions read these, so that a field
-// keeps its name here whatever it is called in the code. A field that the other side does not know is passed over, one that it does
-// not send is zero. SlotHolder and Founder are in the core's log as they are.
+// The types in this file are the encoding of hellos on links. Gob matches fields by name, and other versions of the program read
+// these messages, so a field keeps its name here whatever it is called in the code. A receiver ignores a field that it does not
+// know, and a field that the sender omits is zero. SlotHolder and Founder need no such types, because the core's log stores them
+// under their own field names.
 
-// WireNode is a Node as gob sends it.
+// WireNode is the gob encoding of a Node.
 type WireNode struct {
 	Name    string
 	Addr    string
@@ -18,7 +19,7 @@
 	House   uint64 // ClusterID
 }
 
-// WireHello is a Hello as gob sends it.
+// WireHello is the gob encoding of a Hello.
 type WireHello struct {
 	Door  WireNode // Node
 	Known []string // KnownAddrs
@@ -27,7 +28,7 @@
 	Knows uint64   // Acknowledged
 }
 
-// Wire gives a hello as it is sent.
+// Wire returns the hello in the form in which it is sent.
 func (h *Hello) Wire() *WireHello {
 	n := &h.Node
 	return &WireHello{Door: WireNode{Name: n.Name, Addr: n.Addr, Control: n.ControlAddr, Zone: n.Zone, Disk: n.Disk, First: n.FirstStart,
@@ -35,7 +36,7 @@
 		Known: h.KnownAddrs, Begun: h.ClusterExists, Parts: h.ChunkedCalls, Knows: h.Acknowledged}
 }
 
-// Hello gives a hello that was sent.
+// Hello returns the hello that was sent in this form.
 func (w *WireHello) Hello() Hello {
 	n := &w.Door
 	return Hello{Node: Node{Name: n.Name, Addr: n.Addr, ControlAddr: n.Control, Zone: n.Zone, Disk: n.Disk, FirstStart: n.First,
--- a/internal/gateway/membership/wire_test.go
+++ b/internal/gateway/membership/wire_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// A field that is added to a hello and forgotten in its wire form would be lost between two nodes.
+// Guards against a field that is added to a hello but forgotten in its wire form, and so is lost between two nodes.
 func TestWireFormKeepsEveryField(t *testing.T) {
 	h := Hello{Node: Node{Name: "node-0", Addr: "10.0.0.1:7110", ControlAddr: "10.0.0.1:7000", Zone: "zone", Disk: 21, FirstStart: true,
 		Incarnation: 31, Bootstrapped: true, Leaving: true, ClusterID: 41},
--- a/internal/gateway/node/backend_registry.go
+++ b/internal/gateway/node/backend_registry.go
@@ -157,7 +157,7 @@
 		}
 		switch a := a.(type) {
 		case registry.Send:
-			if s, ok := n.roster.SlotHolderAt(membership.Slot(a.Target)); ok {
+			if s, ok := n.roster.NodeAtSlot(membership.Slot(a.Target)); ok {
 				n.links.Send(s.Addr, &Frame{Board: a.Message.Wire()})
 			}
 		case registry.Changed:
--- a/internal/gateway/node/group_leaders.go
+++ b/internal/gateway/node/group_leaders.go
@@ -77,7 +77,7 @@
 // learnLeaders takes them from the node that this one follows.
 func (g *groupHost) learnLeaders(slots []membership.Slot) {
 	for id, slot := range slots[:min(len(slots), groups.Count)] {
-		if s, ok := g.env.membershipRoster().SlotHolderAt(slot); ok {
+		if s, ok := g.env.membershipRoster().NodeAtSlot(slot); ok {
 			g.founded = true
 			g.HintLeader(groups.ID(id), s.Addr)
 		}
