--- a/internal/gateway/quorumcontact/doc.go
+++ b/internal/gateway/quorumcontact/doc.go
@@ -1,31 +1,31 @@
 // Package quorumcontact tracks how old a node's knowledge of the configuration log may be, and decides what the node may do at that age.
 //
-// # Idea
+// # Contact age
 //
-// A node serves from its own copy of the configuration, also while it is partitioned from the majority that orders changes. What it may
-// still do then depends on one figure, its contact age: everything that a majority acknowledged longer ago than that has been applied
-// here. This is the safe time of bounded-staleness reads, or a closed timestamp, turned into an age.
+// A node serves from its own copy of the configuration, even while it is partitioned from the majority that orders changes. What it
+// may still do then depends on a single value, its contact age. Every change that a majority acknowledged longer ago than the contact
+// age has been applied at this node. The contact age is the age of the safe time of bounded-staleness reads (the closed timestamp).
 //
-//   - A member of the log has the age from its replica (replication.Replica.QuorumContact).
-//   - A node without a disk has it from its upstream, the member whose log stream it applies. Each report answers a clock that this node
-//     sent, and the age counts from when that clock was sent and not from when the report came: a report that was long on its way, or lay
-//     unread while this process was paused, is as old as it is.
+//   - A member of the log gets the age from its replica (replication.Replica.QuorumContact).
+//   - A node without a disk gets it from its upstream, the member whose log stream it applies. Each report echoes a timestamp that
+//     this node sent. The age counts from the time when this node sent the timestamp, and not from the time when the report came.
+//     So the age includes the time that a report spent in transit, or unread while this process was paused.
 //
-// The age runs by the node's monotonic clock, and is computed anew for each decision. After a pause of the process nothing that was fresh
-// before it still is.
+// The age is measured with the node's monotonic clock and is computed anew for each decision. After a pause of the process, the age
+// includes the pause.
 //
 // # Terms
 //
-//   - Contact: the age, and the newest term that it is known of.
-//   - State: the contact compared with a bound, and whether the node leads: see State.
-//   - Permission: something that a node does for others and that requires a state. The table of permissions is the only place that says
-//     which, and within which age.
+//   - Contact: the contact age, and the newest term in which the contact is known.
+//   - State: the result of comparing the contact age with a bound, and whether the node leads. See State.
+//   - Permission: something that a node does for others and that requires a certain state. The table of permissions is the only
+//     place that defines which state a permission requires and up to which age.
 //
 // # Guarantees
 //
-// The age is never younger than the truth: a report of an older term than the newest one is not taken, nor one of more entries than were
-// applied here, nor one that answers a clock of another incarnation.
+// The age is never less than the true one. A report is rejected if its term is older than the newest reported one, if it covers more
+// entries than were applied at this node, or if it echoes a timestamp of another incarnation.
 //
-// Nothing is written, confirmed or read on the ground of an age: the log itself does that, with a majority, whatever the age. This
-// package sends nothing, reads no clock, and stores nothing.
+// No change or read relies on the age. The log itself orders, confirms and reads with a majority, whatever the age is. This package
+// sends nothing, reads no clock and stores nothing.
 package quorumcontact
--- a/internal/gateway/quorumcontact/permissions.go
+++ b/internal/gateway/quorumcontact/permissions.go
@@ -2,61 +2,71 @@
 
 import "time"
 
-// Bounds are the ages that the table of permissions compares with. settings.Bounds implements it.
+// Bounds provides the ages that the table of permissions refers to. settings.Bounds implements it.
 type Bounds interface {
-	// ReadyMaxAge is the age up to which clients are wanted.
+	// ReadyMaxAge returns the age up to which the node reports itself ready for clients.
 	ReadyMaxAge() time.Duration
-	// AuthoritativeMaxAge is the age up to which a node refuses requests by its own state.
+	// AuthoritativeMaxAge returns the age up to which a node refuses requests on the ground of its own state.
 	AuthoritativeMaxAge() time.Duration
-	// PartitionedAge is the age from which another node is to be asked rather than waited for.
+	// PartitionedAge returns the age from which a caller should ask another node rather than wait for this one.
 	PartitionedAge() time.Duration
 }
 
-// State is how a node stands to the majority, for a permission that ends at some age. States are bits, so that a permission can require
-// one of several.
+// State is a node's contact with the majority, compared with a maximum age. The states are bits, so that a permission can accept
+// several of them.
 type State uint8
 
 // The states.
 const (
-	LeaderInContact     State = 1 << iota // it leads, and a majority was in contact within the age
-	FollowerInContact                     // it does not lead, and its contact is within the age
-	LeaderPartitioned                     // it leads, and its contact is older
-	FollowerPartitioned                   // it does not lead, and its contact is older
-	Starting                              // no contact in this incarnation, which is younger than the age
-	NoContact                             // no contact in this incarnation
+	LeaderInContact     State = 1 << iota // the node leads, and its contact age is below the maximum
+	FollowerInContact                     // the node does not lead, and its contact age is below the maximum
+	LeaderPartitioned                     // the node leads, and its contact age has reached the maximum
+	FollowerPartitioned                   // the node does not lead, and its contact age has reached the maximum
+	Starting                              // there was no contact in this incarnation, and its uptime is below the maximum age
+	NoContact                             // there was no contact in this incarnation, and its uptime has reached the maximum age
 
 	inContact = LeaderInContact | FollowerInContact
 )
 
-// Permission is something that a node does for others.
+// Permission is something that a node does for others if its contact allows it.
 type Permission uint8
 
 // The permissions.
 const (
-	ServeClients       Permission = iota // the platform is told that clients may come
-	RefuseRequests                       // 401 and 404, and 400 to a change that is invalid in itself, by this node's own state
-	AcceptCalls                          // a change or a read is taken or forwarded; without it, it is rejected at once
-	StreamLog                            // the learners of this node need not look for another upstream
-	AcknowledgeBackend                   // the heartbeat of a backend is acknowledged
-	AcknowledgeDrain                     // a backend's drain or deregistration is, once enough other nodes have it
-	RequestSlot                          // the node asks for a slot
+	// ServeClients permits the node to tell the platform that it is ready for clients.
+	ServeClients Permission = iota
+	// RefuseRequests permits answers of 401, of 404, and of 400 to a change that is invalid in itself, on the ground of this
+	// node's own state.
+	RefuseRequests
+	// AcceptCalls permits the node to accept or forward a change or a read. Without the permission, the node rejects the call at
+	// once.
+	AcceptCalls
+	// StreamLog means that the learners of this node need not look for another upstream.
+	StreamLog
+	// AcknowledgeBackend permits the node to acknowledge the heartbeat of a backend.
+	AcknowledgeBackend
+	// AcknowledgeDrain permits the node to acknowledge a backend's drain or deregistration, once enough other nodes hold it.
+	AcknowledgeDrain
+	// RequestSlot permits the node to request a slot.
+	RequestSlot
 )
 
-// rule is a row of the table.
+// rule is a row of the table of permissions.
 type rule struct {
-	states        State // one of which is required
-	memberMaxAge  ageBound
-	learnerMaxAge ageBound // of a node without a disk, whose age is up to a heartbeat's interval older than its upstream's
-	needsConfig   bool     // also: a configuration must be in force
+	states       State // the permission requires one of these states
+	memberMaxAge ageBound
+	// learnerMaxAge is the maximum age for a node without a disk. Its age exceeds its upstream's by up to one heartbeat interval.
+	learnerMaxAge ageBound
+	needsConfig   bool // the permission also requires that a configuration is in force
 }
 
 // ageBound selects one of the bounds.
 type ageBound func(Bounds) time.Duration
 
-// rules is the table. What is not in it needs no contact: serving by the configuration that is there (2xx), the node's share of quotas
-// by the nodes in reach, 200 to a change that is in its own committed log, and streaming what it has to a node that knows nothing newer.
-// What needs a majority gets it from the log itself, whatever the age: taking, confirming and refusing (412) a change, reading, giving a
-// slot, and changes of members.
+// rules is the table of permissions. What is not in the table needs no contact: serving requests with the present configuration
+// (2xx), using the node's share of quotas among the nodes in reach, answering 200 to a change that is in its own committed log,
+// and streaming its entries to a node that knows nothing newer. Operations that need a majority get it from the log itself,
+// whatever the age is: accepting, confirming and refusing (412) a change, reading, assigning a slot, and changing the members.
 var rules = [...]rule{
 	ServeClients:       {inContact, Bounds.ReadyMaxAge, Bounds.ReadyMaxAge, true},
 	RefuseRequests:     {inContact, Bounds.AuthoritativeMaxAge, Bounds.AuthoritativeMaxAge, true},
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -7,69 +7,73 @@
 )
 
 const (
-	// UnknownAge is the age that is sent and compared where there was no contact in this incarnation.
+	// UnknownAge is the age that is sent and compared while there was no contact in this incarnation.
 	UnknownAge = 24 * time.Hour
-	// MaxKnownAge is the age from which on a report says that its sender had no contact.
+	// MaxKnownAge is the age from which a report means that its sender had no contact.
 	MaxKnownAge = UnknownAge / 2
 )
 
-// Replica is what the tracker asks a member's replica of the configuration log; *replication.Replica implements it.
+// Replica is the part of a member's replica of the configuration log that the tracker uses. *replication.Replica implements it.
 type Replica interface {
-	// Tick tells the replica the time. A leader that was paused steps down by it, if it was missed meanwhile.
+	// Tick advances the replica's clock. A leader that was paused steps down on this call if the other members have timed it out
+	// meanwhile.
 	Tick(now time.Duration)
 	IsLeader() bool
-	// Leader is the known leader and its term, if there is one.
+	// Leader returns the known leader and its term, and false if no leader is known.
 	Leader() (leader replication.Member, term uint64, ok bool)
-	// QuorumContact is the contact age and the newest term that it is known of.
+	// QuorumContact returns the contact age and the newest term in which the contact is known, and false if there was no contact.
 	QuorumContact(now time.Duration) (age time.Duration, term uint64, ok bool)
 }
 
-// Config is what a tracker is made with.
+// Config holds the parameters of a tracker.
 type Config struct {
 	Replica     Replica // nil at a node without a disk
-	Bounds      Bounds  // asked anew at each decision: settings may be reloaded
+	Bounds      Bounds  // read anew for each decision, because the settings may be reloaded
 	Incarnation uint64
 	StartedAt   time.Duration
 	Knobs       *TestingKnobs // nil outside of tests
 }
 
-// TestingKnobs each take out one defence, so that tests can see that it is needed. They may change while the tracker is in use.
+// TestingKnobs disable one safeguard each, so that tests can show that the safeguard is needed. They may change while the tracker
+// is in use.
 type TestingKnobs struct {
 	GrantAll               bool // every permission is granted
-	CountFromReceipt       bool // an upstream's report counts from when it came
-	AcceptOlderTerms       bool // a report of an older term is taken after a newer one's
+	CountFromReceipt       bool // the age of an upstream's report counts from its receipt
+	AcceptOlderTerms       bool // a report of an older term is accepted after one of a newer term
 	AckDrainWithoutContact bool
-	ServeWithoutContact    bool // clients are wanted, and refused, whatever the age
-	QueueWithoutContact    bool // a call waits where nobody can take it
-	TrustHeardLeader       bool // a member goes by that it hears a leader, whether or not the leader hears it
+	ServeWithoutContact    bool // clients are served and requests are refused at any age
+	QueueWithoutContact    bool // a call is queued even if no node can accept it
+	// TrustHeardLeader makes a member count as in contact while it hears a leader, whether or not the leader hears the member.
+	TrustHeardLeader bool
 }
 
-// Tracker knows one node's contact. All methods are for the owner of the node's turn, and take the time as an argument.
+// Tracker tracks the contact of one node. Only the goroutine that runs the current turn of the node's event loop may call its methods. They take
+// the current time as an argument.
 type Tracker struct {
 	config Config
 	clock  replication.Clock
-	stream contact // at a node without a disk: what its upstreams reported
+	stream streamContact // what the upstreams reported, at a node without a disk
 }
 
-// contact is what a node without a disk was told.
-type contact struct {
-	appliedAsOf time.Duration // all that was acknowledged before it has been applied
-	term        uint64        // the newest that a report was of
+// streamContact is the contact of a node without a disk.
+type streamContact struct {
+	appliedAsOf time.Duration // all changes acknowledged before this time have been applied here
+	term        uint64        // the newest term of a report
 }
 
-// never is appliedAsOf before any report.
-const never = -UnknownAge
+// noReport is the value of appliedAsOf before the first report.
+const noReport = -UnknownAge
 
-// New makes the tracker of an incarnation that begins now.
+// New returns the tracker of an incarnation that begins at config.StartedAt.
 func New(config Config) *Tracker {
 	if config.Knobs == nil {
 		config.Knobs = &TestingKnobs{}
 	}
-	return &Tracker{config: config, clock: replication.NewClock(config.Incarnation), stream: contact{appliedAsOf: never}}
+	return &Tracker{config: config, clock: replication.NewClock(config.Incarnation), stream: streamContact{appliedAsOf: noReport}}
 }
 
-// IsLeader reports whether this node leads the configuration log. The replica's clock runs first: a leader that was paused does not know
-// that it was missed.
+// IsLeader reports whether this node leads the configuration log. It advances the replica's clock first, because a leader that
+// was paused does not know yet that the other members have timed it out.
 func (t *Tracker) IsLeader(now time.Duration) bool {
 	if t.config.Replica == nil {
 		return false
@@ -78,8 +82,8 @@
 	return t.config.Replica.IsLeader()
 }
 
-// Contact is how old this node's knowledge is at the most, and the newest term that it is known of; false while there was no contact in
-// this incarnation.
+// Contact returns the maximum age of this node's knowledge and the newest term in which that is known. It returns false while
+// there was no contact in this incarnation.
 func (t *Tracker) Contact(now time.Duration) (age time.Duration, term uint64, ok bool) {
 	if r := t.config.Replica; r != nil {
 		if _, term, ok := r.Leader(); ok && t.config.Knobs.TrustHeardLeader {
@@ -87,10 +91,10 @@
 		}
 		return r.QuorumContact(now)
 	}
-	return now - t.stream.appliedAsOf, t.stream.term, t.stream.appliedAsOf > never
+	return now - t.stream.appliedAsOf, t.stream.term, t.stream.appliedAsOf > noReport
 }
 
-// Age is the contact's age, or UnknownAge.
+// Age returns the contact age, or UnknownAge if there was no contact.
 func (t *Tracker) Age(now time.Duration) time.Duration {
 	if age, _, ok := t.Contact(now); ok {
 		return age
@@ -98,9 +102,9 @@
 	return UnknownAge
 }
 
-// State compares the contact with a bound.
+// State compares the contact age with a maximum age.
 func (t *Tracker) State(maxAge, now time.Duration) State {
-	leading := t.IsLeader(now) // advances the replica's clock, which the contact depends on
+	leading := t.IsLeader(now) // this call advances the replica's clock, on which the contact depends
 	age, _, ok := t.Contact(now)
 	switch {
 	case !ok && t.Uptime(now) < maxAge:
@@ -117,12 +121,12 @@
 	return FollowerPartitioned
 }
 
-// Permits reports whether the node has a permission now; configured: a configuration is in force here.
+// Permits reports whether the node has a permission now. configured is true if a configuration is in force at this node.
 func (t *Tracker) Permits(p Permission, configured bool, now time.Duration) bool {
 	return (configured || !rules[p].needsConfig) && t.ContactSuffices(p, now)
 }
 
-// ContactSuffices reports whether the contact suffices for a permission, whatever the configuration.
+// ContactSuffices reports whether the contact suffices for a permission, whether or not a configuration is in force.
 func (t *Tracker) ContactSuffices(p Permission, now time.Duration) bool {
 	if t.config.Knobs.grants(p) {
 		return true
@@ -135,7 +139,7 @@
 	return r.states&t.State(maxAge(t.config.Bounds), now) != 0
 }
 
-// grants reports whether a permission is granted without its defence.
+// grants reports whether the knobs grant a permission without its safeguard.
 func (t *TestingKnobs) grants(p Permission) bool {
 	switch p {
 	case AcknowledgeDrain:
@@ -148,16 +152,19 @@
 	return t.GrantAll
 }
 
-// Report is what an upstream says of its own contact.
+// Report is an upstream's description of its own contact.
 type Report struct {
-	Age   time.Duration
-	Term  uint64 // 0 from a program that does not send it, which gives back no clock either
-	Echo  uint32 // the newest clock of the receiver that its sender has received, see Timestamp
-	Index uint64 // of the last entry that its sender had applied
+	Age time.Duration
+	// Term is 0 if the sender's version does not send terms. Such a version echoes no timestamp either.
+	Term uint64
+	// Echo is the newest timestamp of the receiver of the report that the sender has received. See Timestamp.
+	Echo  uint32
+	Index uint64 // index of the last entry that the sender had applied
 }
 
-// HandleReport takes the report of the current upstream, once what its sender had applied is applied here. A report is passed over if it is of
-// an older term than the newest, or answers a clock that this incarnation did not send of late.
+// HandleReport processes a report of the current upstream. The caller passes it on once the entries that the sender had applied
+// are applied here. A report is ignored if its term is older than the newest reported one, or if it echoes a timestamp that this
+// incarnation did not send recently.
 func (t *Tracker) HandleReport(r Report, appliedIndex uint64, now time.Duration) {
 	sentAt, ok := t.clock.SentAt(r.Echo, now)
 	switch {
@@ -169,23 +176,24 @@
 		return
 	}
 	if appliedAsOf := sentAt - r.Age; appliedAsOf > t.stream.appliedAsOf {
-		t.stream = contact{appliedAsOf, max(t.stream.term, r.Term)}
+		t.stream = streamContact{appliedAsOf, max(t.stream.term, r.Term)}
 	}
 }
 
-// IsStaleTerm reports whether a term is older than the newest that an upstream reported: its sender has missed a change of leaders.
+// IsStaleTerm reports whether a term is older than the newest term that an upstream reported. The sender of a stale term has
+// missed a change of leaders.
 func (t *Tracker) IsStaleTerm(term uint64) bool {
 	return term < t.stream.term && !t.config.Knobs.AcceptOlderTerms
 }
 
-// ReportedTerm is the newest term that an upstream reported, 0 if none did.
+// ReportedTerm returns the newest term that an upstream reported, or 0 if there was no report.
 func (t *Tracker) ReportedTerm() uint64 { return t.stream.term }
 
-// Timestamp is this node's clock for others, who give it back in a Report.
+// Timestamp returns this node's current timestamp. Other nodes echo it in a Report.
 func (t *Tracker) Timestamp(now time.Duration) uint32 { return t.clock.Timestamp(now) }
 
-// Uptime is how long ago this incarnation began.
+// Uptime returns the time since this incarnation began.
 func (t *Tracker) Uptime(now time.Duration) time.Duration { return now - t.config.StartedAt }
 
-// StreamMaxAge is the age of an upstream's contact from which a learner looks for another one.
+// StreamMaxAge returns the age of an upstream's contact from which a learner looks for another upstream.
 func (t *Tracker) StreamMaxAge() time.Duration { return rules[StreamLog].memberMaxAge(t.config.Bounds) }
--- a/internal/gateway/quorumcontact/tracker_test.go
+++ b/internal/gateway/quorumcontact/tracker_test.go
@@ -10,18 +10,18 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// fixedBounds are bounds of a test.
+// fixedBounds implements Bounds with constants.
 type fixedBounds struct{}
 
 func (fixedBounds) ReadyMaxAge() time.Duration         { return 3 * time.Second }
 func (fixedBounds) AuthoritativeMaxAge() time.Duration { return 2 * time.Second }
 func (fixedBounds) PartitionedAge() time.Duration      { return time.Second }
 
-// fakeReplica is a replica whose contact a test sets.
+// fakeReplica implements Replica with a contact that the test sets.
 type fakeReplica struct {
 	tickedAt time.Duration
 	leads    bool
-	leader   bool // one is known
+	leader   bool // a leader is known
 	age      time.Duration
 	contact  bool
 }
@@ -35,48 +35,50 @@
 	return f.age, 3, f.contact
 }
 
-// In all orders of reports from upstreams: a node's contact is never newer than the newest that was reported, counted from when the node
-// asked; none of an older term is taken after a newer one's, none that is of more than it has, none that another incarnation asked for.
-func TestReportsInAllOrders(t *testing.T) {
+// Reports from upstreams are handled in every order. A node's contact must never be newer than the newest one that was reported,
+// counted from the time when the node sent its timestamp. A report must not be accepted if its term is older than one accepted
+// before, if it covers more entries than the node has applied, or if it echoes a timestamp of another incarnation.
+func TestContactIsNeverNewerThanReported(t *testing.T) {
 	const now = 100 * time.Second
 	own, other := replication.NewClock(7), replication.NewClock(8)
-	type told struct {
-		asked, age  time.Duration
+	type testReport struct {
+		sentAt, age time.Duration
 		term, index uint64
-		by          replication.Clock
+		clock       replication.Clock
 	}
-	all := []told{{now - 3*time.Second, time.Second, 5, 9, own}, {now - 2*time.Second, 500 * time.Millisecond, 6, 9, own},
+	reports := []testReport{{now - 3*time.Second, time.Second, 5, 9, own}, {now - 2*time.Second, 500 * time.Millisecond, 6, 9, own},
 		{now - time.Second, 100 * time.Millisecond, 5, 9, own}, {now - time.Second, 0, 7, 10, own}, {now - time.Second, 0, 6, 9, other}}
-	play := func(knobs TestingKnobs) (wrong int) {
-		var orders func(left []told, t Tracker)
-		orders = func(left []told, t Tracker) {
+	countViolations := func(knobs TestingKnobs) (violations int) {
+		var orders func(left []testReport, t Tracker)
+		orders = func(left []testReport, t Tracker) {
 			for i, w := range left {
 				c := t
 				before := c.stream
-				c.HandleReport(Report{Age: w.age, Term: w.term, Echo: w.by.Timestamp(w.asked), Index: w.index}, 9, now)
+				c.HandleReport(Report{Age: w.age, Term: w.term, Echo: w.clock.Timestamp(w.sentAt), Index: w.index}, 9, now)
 				moved := c.stream.appliedAsOf > before.appliedAsOf
-				if moved && (c.stream.appliedAsOf > w.asked-w.age || w.term < before.term || w.index > 9 || w.by == other) {
-					wrong++
+				if moved && (c.stream.appliedAsOf > w.sentAt-w.age || w.term < before.term || w.index > 9 || w.clock == other) {
+					violations++
 				}
 				orders(append(slices.Clone(left[:i]), left[i+1:]...), c)
 			}
 		}
-		orders(all, *New(Config{Bounds: fixedBounds{}, Incarnation: 7, Knobs: &knobs}))
-		return wrong
+		orders(reports, *New(Config{Bounds: fixedBounds{}, Incarnation: 7, Knobs: &knobs}))
+		return violations
 	}
-	must.Eq(t, 0, play(TestingKnobs{}))
-	must.Greater(t, 0, play(TestingKnobs{AcceptOlderTerms: true}))
-	must.Greater(t, 0, play(TestingKnobs{CountFromReceipt: true}))
+	must.Eq(t, 0, countViolations(TestingKnobs{}))
+	must.Greater(t, 0, countViolations(TestingKnobs{AcceptOlderTerms: true}))
+	must.Greater(t, 0, countViolations(TestingKnobs{CountFromReceipt: true}))
 }
 
-// Each permission is granted in just the states, and up to just the age, of this table, which is written here once more.
+// Each permission is granted in exactly the states, and up to exactly the age, that this test lists independently of the table of
+// permissions.
 func TestPermissionsByStateAndAge(t *testing.T) {
 	const started = time.Minute
-	all := []Permission{ServeClients, RefuseRequests, AcceptCalls, StreamLog, AcknowledgeBackend, AcknowledgeDrain, RequestSlot}
+	permissions := []Permission{ServeClients, RefuseRequests, AcceptCalls, StreamLog, AcknowledgeBackend, AcknowledgeDrain, RequestSlot}
 	b := fixedBounds{}
 	member := []time.Duration{b.ReadyMaxAge(), b.AuthoritativeMaxAge(), b.PartitionedAge(), b.PartitionedAge(), b.PartitionedAge(), b.PartitionedAge(), b.ReadyMaxAge()}
 	learner := []time.Duration{b.ReadyMaxAge(), b.AuthoritativeMaxAge(), b.ReadyMaxAge(), b.PartitionedAge(), b.ReadyMaxAge(), b.PartitionedAge(), b.ReadyMaxAge()}
-	for i, p := range all {
+	for i, p := range permissions {
 		starting := p == AcceptCalls || p == AcknowledgeBackend
 		config := p == ServeClients || p == RefuseRequests
 		for _, leads := range []bool{false, true} {
@@ -97,22 +99,22 @@
 		must.False(t, tracker.Permits(p, true, started+learner[i]))
 		must.Eq(t, UnknownAge, tracker.Age(started))
 		now := started + time.Minute
-		tracker.HandleReport(Report{Age: 10 * time.Millisecond, Index: 1}, 1, now) // from a program that gives back no clock
+		tracker.HandleReport(Report{Age: 10 * time.Millisecond, Index: 1}, 1, now) // from a version that echoes no timestamp
 		must.True(t, tracker.Permits(p, true, now+learner[i]-11*time.Millisecond))
 		must.False(t, tracker.Permits(p, true, now+learner[i]-10*time.Millisecond))
 	}
 }
 
-// Each knob takes out the defence that it names, and no other.
-func TestKnobsGrantWhatTheyName(t *testing.T) {
-	granted := func(knobs TestingKnobs) (all []Permission) {
+// Each knob disables the safeguard that it names, and no other.
+func TestKnobsDisableOnlyTheirSafeguard(t *testing.T) {
+	granted := func(knobs TestingKnobs) (permissions []Permission) {
 		tracker := New(Config{Replica: &fakeReplica{leader: true, contact: true, age: time.Hour}, Bounds: fixedBounds{}, Knobs: &knobs})
 		for p := range Permission(len(rules)) {
 			if tracker.Permits(p, true, 2*time.Hour) {
-				all = append(all, p)
+				permissions = append(permissions, p)
 			}
 		}
-		return all
+		return permissions
 	}
 	every := []Permission{ServeClients, RefuseRequests, AcceptCalls, StreamLog, AcknowledgeBackend, AcknowledgeDrain, RequestSlot}
 	must.SliceEmpty(t, granted(TestingKnobs{}))
