--- a/internal/gateway/logentry/codec.go
+++ b/internal/gateway/logentry/codec.go
@@ -10,16 +10,16 @@
 	"clovergap/internal/invariant"
 )
 
-// Encode encodes an entry or a snapshot by gob. It must be made of texts, numbers, booleans, and structs and lists of them, which
-// gob can't fail to encode.
+// Encode encodes an entry or a snapshot with gob. The value must consist of strings, numbers, booleans, and structs and slices of
+// these, for which gob encoding cannot fail.
 func Encode(v any) []byte {
 	var b bytes.Buffer
 	err := gob.NewEncoder(&b).Encode(v)
-	invariant.That(err == nil, "an entry can be encoded")
+	invariant.That(err == nil, "gob encodes every log entry and snapshot")
 	return b.Bytes()
 }
 
-// Decode reads what Encode wrote. The error begins with what it was that was read.
+// Decode decodes into v what Encode returned. The message of an error begins with what, which says what was read.
 func Decode(b []byte, v any, what string) error {
 	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(v); err != nil {
 		return errors.Wrap(err, what)
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// KeepLast bounds a list to its last items.
+// KeepLast returns the last items of a list, at most limit of them.
 func KeepLast[T any](list []T, limit int) []T {
 	if len(list) > limit {
 		return slices.Clone(list[len(list)-limit:])
--- a/internal/gateway/logentry/dedupwindow.go
+++ b/internal/gateway/logentry/dedupwindow.go
@@ -9,12 +9,12 @@
 	"clovergap/internal/invariant"
 )
 
-// Digest stands for a request's bytes. It is a SHA-256 truncated to 128 bits: among 2^32 requests two are equal by chance with a
-// probability of 2^-65.
+// Digest identifies a request by its bytes. It is a SHA-256 hash truncated to 128 bits. The probability that any two of 2^32
+// requests have the same digest by chance is 2^-65.
 type Digest [16]byte
 
-// DigestOf is the digest of some parts in their order. All but the last must have a fixed length, so that no other parts give the
-// same bytes.
+// DigestOf returns the digest of the concatenation of parts. All parts but the last must have a fixed length, so that different
+// parts never concatenate to the same bytes.
 func DigestOf(parts ...[]byte) Digest {
 	h := sha256.New()
 	for _, p := range parts {
@@ -23,20 +23,21 @@
 	return Digest(h.Sum(nil)[:len(Digest{})])
 }
 
-// DedupWindowBytes is the size of a window that knows at least the last 4,400 requests, and the last 6,700 if their numbers are
-// consecutive.
+// DedupWindowBytes is the size in bytes of a window that holds at least the last 4,400 requests, or the last 6,700 if their
+// numbers are consecutive.
 const DedupWindowBytes = 112 << 10
 
-// ErrCorruptWindow is what DecodeDedupWindow's errors wrap.
+// ErrCorruptWindow is wrapped by the errors of DecodeDedupWindow.
 var ErrCorruptWindow = errors.New("corrupt deduplication window")
 
-// DedupWindow knows which requests were applied recently, so that one that is sent again is recognized. It is bounded by the bytes
-// of its encoding and forgets the oldest requests. The horizon bounds what it may have forgotten: whether a request that it
-// does not know was applied under a number up to there is not known. Windows to which the same was added are equal.
+// DedupWindow records which requests were applied recently, so that a request that is sent again is recognized. Its encoding is
+// bounded in bytes, and the oldest requests are dropped to stay within the bound. The horizon is the highest request number that
+// may have been dropped. For a request that the window does not contain, it is unknown whether it was applied under a number up
+// to the horizon. Windows to which the same requests were added are equal.
 type DedupWindow struct {
 	maxBytes int
-	bytes    int       // of the requests' encoding
-	requests []request // oldest first, with rising numbers
+	bytes    int       // encoded size of the requests
+	requests []request // oldest first, with increasing numbers
 	digests  map[Digest]struct{}
 	horizon  uint64
 }
@@ -46,21 +47,21 @@
 	digest Digest
 }
 
-// NewDedupWindow returns an empty window of at most so many bytes.
+// NewDedupWindow returns an empty window whose requests take at most maxBytes bytes in its encoding.
 func NewDedupWindow(maxBytes int) *DedupWindow {
 	return &DedupWindow{maxBytes: maxBytes, digests: map[Digest]struct{}{}}
 }
 
-// Has reports whether a request was applied and is not forgotten.
+// Has reports whether a request was applied and is still in the window.
 func (d *DedupWindow) Has(digest Digest) bool {
 	_, ok := d.digests[digest]
 	return ok
 }
 
-// Horizon is the highest number of a request that may have been forgotten; 0 if none was.
+// Horizon returns the highest number of a request that may have been dropped, or 0 if none was.
 func (d *DedupWindow) Horizon() uint64 { return d.horizon }
 
-// newest is the number of the last request, or the horizon if none is known.
+// newest returns the number of the last request, or the horizon if the window is empty.
 func (d *DedupWindow) newest() uint64 {
 	if len(d.requests) == 0 {
 		return d.horizon
@@ -68,9 +69,9 @@
 	return d.requests[len(d.requests)-1].number
 }
 
-// Add records that a request was applied, under a number above all before it.
+// Add records that a request was applied. Its number must be above the number of every request before it.
 func (d *DedupWindow) Add(number uint64, digest Digest) {
-	invariant.That(number > d.newest(), "numbers of applied requests rise")
+	invariant.That(number > d.newest(), "numbers of applied requests increase")
 	d.bytes += encodedSize(number - d.newest())
 	d.requests = append(d.requests, request{number, digest})
 	d.digests[digest] = struct{}{}
@@ -86,13 +87,13 @@
 	d.requests, d.horizon = d.requests[1:], oldest.number
 }
 
-// encodedSize is the size of a request whose number is so much above the one before.
+// encodedSize returns the encoded size of a request whose number exceeds the number before it by difference.
 func encodedSize(difference uint64) int {
 	return len(binary.AppendUvarint(nil, difference)) + len(Digest{})
 }
 
-// Bytes encodes the window: the horizon, then for each request the difference of its number to the one before, as varints, and its
-// digest.
+// Bytes returns the encoding of the window. It holds the horizon as a varint and then, for each request, the difference of its
+// number to the one before as a varint, followed by the digest.
 func (d *DedupWindow) Bytes() []byte {
 	previous := d.horizon
 	b := binary.AppendUvarint(make([]byte, 0, d.bytes+binary.MaxVarintLen64), previous)
@@ -103,21 +104,21 @@
 	return b
 }
 
-// DecodeDedupWindow reads what Bytes wrote.
+// DecodeDedupWindow decodes a window that Bytes encoded.
 func DecodeDedupWindow(b []byte, maxBytes int) (*DedupWindow, error) {
 	d := NewDedupWindow(maxBytes)
 	horizon, size := binary.Uvarint(b)
 	if size <= 0 {
-		return nil, errors.Wrap(ErrCorruptWindow, "no horizon")
+		return nil, errors.Wrap(ErrCorruptWindow, "horizon is missing")
 	}
 	d.horizon = horizon
 	for b = b[size:]; len(b) > 0; {
 		difference, size := binary.Uvarint(b)
 		if size <= 0 || len(b) < size+len(Digest{}) {
-			return nil, errors.Wrap(ErrCorruptWindow, "truncated")
+			return nil, errors.Wrap(ErrCorruptWindow, "request is truncated")
 		}
 		if difference == 0 {
-			return nil, errors.Wrap(ErrCorruptWindow, "numbers that don't rise")
+			return nil, errors.Wrap(ErrCorruptWindow, "request number does not increase")
 		}
 		d.Add(d.newest()+difference, Digest(b[size:size+len(Digest{})]))
 		b = b[size+len(Digest{}):]
@@ -125,9 +126,9 @@
 	return d, nil
 }
 
-// SetHorizon makes a new window one that may have forgotten all requests up to a number: its state comes from a version that had
-// no window.
+// SetHorizon sets the horizon of a new window whose state comes from a version without a window. All requests up to the number
+// count as possibly dropped.
 func (d *DedupWindow) SetHorizon(number uint64) {
-	invariant.That(len(d.requests) == 0 && d.horizon == 0, "only a new window is given a horizon")
+	invariant.That(len(d.requests) == 0 && d.horizon == 0, "the horizon of a deduplication window is set only while it is new")
 	d.horizon = number
 }
--- a/internal/gateway/logentry/dedupwindow_test.go
+++ b/internal/gateway/logentry/dedupwindow_test.go
@@ -7,31 +7,32 @@
 	"github.com/shoenig/test/must"
 )
 
-// Windows of a few entries, with numbers near and far, against a list that is cut by hand; each goes through its bytes on the way.
-func TestWindow(t *testing.T) {
-	digest := func(nr uint64) Digest { return DigestOf([]byte(fmt.Sprint(nr))) }
-	const room = 3*18 + 5
+// Compares windows of a few requests, whose numbers are close together or far apart, with the complete list of requests. The
+// window is encoded and decoded after each request.
+func TestDedupWindowDropsOldestRequests(t *testing.T) {
+	digest := func(number uint64) Digest { return DigestOf([]byte(fmt.Sprint(number))) }
+	const maxBytes = 3*18 + 5
 	for _, steps := range [][]uint64{{1, 1, 1, 1, 1}, {200, 1, 200, 300, 1, 9}, {1 << 60, 5, 1 << 50, 1}, {7}} {
-		w, nr, all := NewDedupWindow(room), uint64(0), []uint64{}
+		w, number, numbers := NewDedupWindow(maxBytes), uint64(0), []uint64{}
 		for _, step := range steps {
-			nr += step
-			w.Add(nr, digest(nr))
-			all = append(all, nr)
+			number += step
+			w.Add(number, digest(number))
+			numbers = append(numbers, number)
 			b := w.Bytes()
-			must.LessEq(t, room+10, len(b)) // and the horizon
+			must.LessEq(t, maxBytes+10, len(b)) // 10 bytes more for the horizon
 			var err error
-			w, err = DecodeDedupWindow(b, room)
+			w, err = DecodeDedupWindow(b, maxBytes)
 			must.NoError(t, err)
 			must.Eq(t, b, w.Bytes())
-			must.Between(t, 1, len(w.requests), len(all))
-			for _, n := range all {
+			must.Between(t, 1, len(w.requests), len(numbers))
+			for _, n := range numbers {
 				must.Eq(t, n > w.Horizon(), w.Has(digest(n)))
 			}
-			must.Eq(t, len(all) == len(w.requests), w.Horizon() == 0)
+			must.Eq(t, len(numbers) == len(w.requests), w.Horizon() == 0)
 		}
 	}
 	for _, bad := range [][]byte{nil, {0x80}, {0, 1, 2}, append([]byte{0, 0}, make([]byte, 16)...), append([]byte{0, 1}, make([]byte, 17)...)} {
-		_, err := DecodeDedupWindow(bad, room)
+		_, err := DecodeDedupWindow(bad, maxBytes)
 		must.Error(t, err)
 	}
 }
--- a/internal/gateway/logentry/doc.go
+++ b/internal/gateway/logentry/doc.go
@@ -1,5 +1,6 @@
-// Package logentry is what the packages that decide by the entries of a log have in common: encoding of entries and snapshots,
-// validation of orders in JSON, and bounded tables that come out the same at every node.
+// Package logentry holds what the packages that act on log entries have in common: the encoding of entries and snapshots, the validation
+// of JSON commands, and bounded tables that are equal at all nodes.
 //
-// All of it is deterministic, since each node decides for itself and must come to the same: no I/O, no clock, no random numbers.
+// Each node acts on the entries by itself and must reach the same result as the others. So the package is deterministic. It does no I/O,
+// reads no clock and draws no random numbers.
 package logentry
--- a/internal/gateway/logentry/duration.go
+++ b/internal/gateway/logentry/duration.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Duration is a time that JSON writes as the control API does: a number with its unit, ms or s.
+// Duration is a time.Duration that is written in JSON as in the control API, as a number with the unit ms or s.
 type Duration time.Duration
 
-// MarshalText writes milliseconds.
+// MarshalText writes the duration in milliseconds.
 func (d Duration) MarshalText() ([]byte, error) {
 	return append(strconv.AppendInt(nil, time.Duration(d).Milliseconds(), 10), "ms"...), nil
 }
 
-// UnmarshalText reads what time.ParseDuration reads.
+// UnmarshalText accepts the formats of time.ParseDuration.
 func (d *Duration) UnmarshalText(b []byte) error {
 	parsed, err := time.ParseDuration(string(b))
 	*d = Duration(parsed)
--- a/internal/gateway/logentry/fielderror_test.go
+++ b/internal/gateway/logentry/fielderror_test.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	testOrder struct {
+	testCommand struct {
 		Steps []testStep `json:"steps" validate:"dive"`
 	}
 	testStep struct {
@@ -16,10 +16,10 @@
 	}
 )
 
-// Guards against a refusal whose field a caller could only tell by its text.
+// Guards against an error from which a caller can tell the rejected field only by parsing the text.
 func TestValidateNamesTheField(t *testing.T) {
-	must.NoError(t, Validate(&testOrder{}))
-	err := errors.Wrap(Validate(&testOrder{Steps: []testStep{{}}}), "order")
+	must.NoError(t, Validate(&testCommand{}))
+	err := errors.Wrap(Validate(&testCommand{Steps: []testStep{{}}}), "order")
 	var field *FieldError
 	must.True(t, errors.As(err, &field))
 	must.Eq(t, FieldError{Field: "steps[0].share", Reason: "0 breaks min 1"}, *field)
--- a/internal/gateway/logentry/validate.go
+++ b/internal/gateway/logentry/validate.go
@@ -8,21 +8,22 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// validate names fields as JSON does.
+// validate is the validator of commands. It names fields by their json tags.
 var validate = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("json") })
 	return v
 }()
 
-// Validate checks an order by its `validate` tags. A FieldError names the first field that is wrong as its caller wrote it.
-func Validate(order any) error {
-	var all validator.ValidationErrors
-	err := validate.Struct(order)
-	if !errors.As(err, &all) {
+// Validate checks a command against its `validate` tags. It returns a FieldError for the first invalid field, under the name that
+// the caller wrote.
+func Validate(command any) error {
+	var fieldErrors validator.ValidationErrors
+	err := validate.Struct(command)
+	if !errors.As(err, &fieldErrors) {
 		return err
 	}
-	first := all[0]
+	first := fieldErrors[0]
 	_, field, _ := strings.Cut(first.Namespace(), ".")
 	rule := strings.Trim(first.Tag()+" "+first.Param(), " ")
 	return FieldErrorf(field, "%v breaks %s", first.Value(), rule)
--- a/internal/gateway/statemachine/entry.go
+++ b/internal/gateway/statemachine/entry.go
@@ -5,27 +5,28 @@
 	"clovergap/internal/gateway/membership"
 )
 
-// Kind is what an entry changes. It is the first byte of an entry in the log.
+// Kind identifies what an entry changes. It is the first byte of an entry in the log.
 type Kind byte
 
-// The kinds of entries. The bodies of the first two are JSON as the control API takes it.
+// The kinds of entries. The bodies of KindReplaceConfig and KindAmendConfig are JSON in the format of the control API.
 const (
 	KindReplaceConfig   Kind = 'r' // the complete configuration
-	KindAmendConfig     Kind = 'a' // named items of it
-	KindAssignSlot      Kind = 's' // a node asks for a slot: see AssignSlotEntry
-	KindRollout         Kind = 'u' // a rollout.Entry: an order to a roll-out, or a verdict on one
-	KindBootstrapGroups Kind = 'f' // the coordination groups begin: see BootstrapGroupsBody
+	KindAmendConfig     Kind = 'a' // named items of the configuration
+	KindAssignSlot      Kind = 's' // a node requests a slot: see AssignSlotEntry
+	KindRollout         Kind = 'u' // a rollout.Entry: a command to a roll-out, or a verdict on one
+	KindBootstrapGroups Kind = 'f' // the coordination groups are bootstrapped: see BootstrapGroupsBody
 )
 
-// EncodeEntry is an entry of a kind with a body.
+// EncodeEntry returns an entry with the given kind and body.
 func EncodeEntry(kind Kind, body []byte) []byte { return append([]byte{byte(kind)}, body...) }
 
-// AssignSlotEntry is the entry by which a node asks for a slot, or renews what is known of its own.
+// AssignSlotEntry returns the entry by which a node requests a slot, or updates the record of the slot that it has.
 func AssignSlotEntry(holder membership.SlotHolder) []byte {
 	return EncodeEntry(KindAssignSlot, logentry.Encode(storeSlot(holder)))
 }
 
-// BootstrapGroupsBody is the body of the entry by which the coordination groups begin with some disks, all of them on all.
+// BootstrapGroupsBody returns the body of the entry that bootstraps the coordination groups. Every group starts on all of the
+// given disks.
 func BootstrapGroupsBody(founders []membership.Founder) []byte {
 	return logentry.Encode(storeFounders(founders))
 }
--- a/internal/gateway/statemachine/errors.go
+++ b/internal/gateway/statemachine/errors.go
@@ -6,15 +6,18 @@
 	"github.com/go-faster/errors"
 )
 
-// Why Apply refuses an entry, beside what the parts that it directs entries to return. Callers of the control API see the texts.
+// These errors are the reasons why Apply rejects an entry, apart from the errors of the packages to which Machine dispatches
+// entries. Callers of the control API see their texts.
 var (
-	ErrEmptyEntry   = errors.New("empty entry")
-	ErrNoSlotLeft   = errors.New("no slot is left")
-	ErrNoGroupDisks = errors.New("groups without a disk")
+	ErrEmptyEntry   = errors.New("log entry is empty")
+	ErrNoSlotLeft   = errors.New("assign slot: no slot is left")
+	ErrNoGroupDisks = errors.New("bootstrap coordination groups: entry names no disk")
 )
 
 // UnknownKindError is returned for an entry of a kind that this version does not know.
 type UnknownKindError struct{ Kind Kind }
 
-// Error names the kind by its character.
-func (u *UnknownKindError) Error() string { return fmt.Sprintf("entry of unknown kind %q", u.Kind) }
+// Error returns a message that names the kind by its character.
+func (e *UnknownKindError) Error() string {
+	return fmt.Sprintf("log entry has unknown kind %q", e.Kind)
+}
--- a/internal/gateway/statemachine/groups.go
+++ b/internal/gateway/statemachine/groups.go
@@ -6,13 +6,14 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// Founders are the disks that the coordination groups began with; nil if they have not begun.
+// Founders returns the disks with which the coordination groups were bootstrapped, or nil if that has not happened yet.
 func (m *Machine) Founders() []membership.Founder { return m.founders }
 
-// bootstrapGroups takes only the first such entry: groups that began twice, on other disks, would know nothing of each other.
+// bootstrapGroups applies only the first entry of its kind. If the groups were bootstrapped twice, on different disks, the two
+// sets of groups would know nothing of each other.
 func (m *Machine) bootstrapGroups(body []byte) (routing.Result, error) {
 	var stored []storedFounder
-	if err := logentry.Decode(body, &stored, "groups"); err != nil {
+	if err := logentry.Decode(body, &stored, "read bootstrap entry of the coordination groups"); err != nil {
 		return routing.Invalid, err
 	}
 	if len(stored) == 0 {
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -9,18 +9,18 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// Machine is the state. It is for one goroutine at a time.
+// Machine holds the state. It is not safe for concurrent use.
 type Machine struct {
 	Configs  *routing.Register
 	Rollouts *rollout.State
-	slots    []membership.SlotHolder // by slot
+	slots    []membership.SlotHolder // indexed by slot
 	founders []membership.Founder    // of the coordination groups
 }
 
 // New returns the state before the first entry.
 func New() *Machine { return &Machine{Configs: routing.NewRegister(), Rollouts: rollout.NewState()} }
 
-// configKind is a kind of this log as routing.Register knows it, and false for a kind that is not the register's.
+// configKind returns the routing.Kind of a kind that routing.Register implements, and false for all other kinds.
 func configKind(kind Kind) (routing.Kind, bool) {
 	switch kind {
 	case KindReplaceConfig:
@@ -31,7 +31,7 @@
 	return 0, false
 }
 
-// Decide returns the verdict that Apply would give now. Kinds that only Apply decides are taken.
+// Decide returns the result that Apply would return now. It accepts every entry of a kind that only Apply decides.
 func (m *Machine) Decide(kind Kind, body []byte) (routing.Result, error) {
 	if kind == KindRollout {
 		return withRolloutEntry(body, m.Rollouts.Decide)
@@ -42,20 +42,21 @@
 	return routing.Accepted, nil
 }
 
-// DecideFinal is Decide, and reports besides whether the verdict is the same in every later state: then a node may answer by it
-// though its state is stale.
-func (m *Machine) DecideFinal(kind Kind, body []byte) (v routing.Result, err error, final bool) {
+// DecideFinal returns the same as Decide, and also reports whether the result is the same in every later state. If it is, a node
+// may answer with it even though its own state is stale.
+func (m *Machine) DecideFinal(kind Kind, body []byte) (result routing.Result, err error, final bool) {
 	if config, ok := configKind(kind); ok {
 		return m.Configs.Final(config, body)
 	}
 	if kind != KindRollout {
 		return routing.Accepted, nil, false
 	}
-	v, err = withRolloutEntry(body, m.decideRolloutFinal)
-	return v, err, v != routing.Accepted
+	result, err = withRolloutEntry(body, m.decideRolloutFinal)
+	return result, err, result != routing.Accepted
 }
 
-// decideRolloutFinal gives the verdicts on a roll-out's entry that no later entry changes.
+// decideRolloutFinal returns the result for an entry of a roll-out if no later entry can change that result, and otherwise
+// Accepted.
 func (m *Machine) decideRolloutFinal(e *rollout.Entry) (routing.Result, error) {
 	if m.Rollouts.CallApplied(e.CallID) {
 		return routing.Duplicate, nil
@@ -66,16 +67,16 @@
 	return routing.Accepted, nil
 }
 
-// withRolloutEntry hands on a roll-out's entry if it can be read.
-func withRolloutEntry(body []byte, to func(*rollout.Entry) (routing.Result, error)) (routing.Result, error) {
+// withRolloutEntry decodes an entry of a roll-out and passes it to handle. It returns Invalid if the entry cannot be decoded.
+func withRolloutEntry(body []byte, handle func(*rollout.Entry) (routing.Result, error)) (routing.Result, error) {
 	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return routing.Invalid, err
 	}
-	return to(e)
+	return handle(e)
 }
 
-// Apply changes the state by an entry. One that can't be read, or is of an unknown kind, changes nothing.
+// Apply applies an entry to the state. An entry that cannot be decoded or has an unknown kind changes nothing.
 func (m *Machine) Apply(entry []byte) (routing.Result, error) {
 	if len(entry) == 0 {
 		return routing.Invalid, ErrEmptyEntry
@@ -108,16 +109,16 @@
 // Restore returns the state that a snapshot encodes.
 func Restore(snapshot []byte) (*Machine, error) {
 	var stored storedState
-	if err := logentry.Decode(snapshot, &stored, "snapshot"); err != nil {
+	if err := logentry.Decode(snapshot, &stored, "read snapshot"); err != nil {
 		return nil, err
 	}
 	configs, err := routing.Restore(stored.Bills)
 	if err != nil {
-		return nil, errors.Wrap(err, "snapshot")
+		return nil, errors.Wrap(err, "restore configurations")
 	}
 	rollouts, err := rollout.Restore(stored.Rollouts)
 	if err != nil {
-		return nil, errors.Wrap(err, "snapshot")
+		return nil, errors.Wrap(err, "restore roll-outs")
 	}
 	return &Machine{Configs: configs, Rollouts: rollouts, slots: slotsOf(stored.Seats), founders: foundersOf(stored.Founders)}, nil
 }
--- a/internal/gateway/statemachine/machine_test.go
+++ b/internal/gateway/statemachine/machine_test.go
@@ -23,7 +23,7 @@
 	return membership.SlotHolder{Name: name, Addr: name + ":1", Control: name + ":2", Zone: "z"}
 }
 
-// allEntryKinds is a short life of a core, with all that an entry may be.
+// allEntryKinds returns a short log that contains every kind of entry, including duplicate, conflicting and invalid ones.
 func allEntryKinds() [][]byte {
 	again := slotHolder("b")
 	again.Name = "b2"
@@ -45,20 +45,22 @@
 	return EncodeEntry(KindRollout, e.Encode())
 }
 
-// Every entry has its verdict; slots are given in order, and a node that asks again keeps its own under its new name.
-func TestEntries(t *testing.T) {
+// Checks the result of every entry. Slots are assigned in order, and a node that requests one again keeps its slot under its new
+// name.
+func TestApplyResults(t *testing.T) {
 	s := New()
-	taken, already, conflict, invalid := routing.Accepted, routing.Duplicate, routing.Conflict, routing.Invalid
-	for i, want := range []routing.Result{taken, taken, taken, conflict, already, already, invalid, invalid, invalid,
-		taken, invalid, taken, taken, taken, already, conflict, invalid, taken} {
+	accepted, duplicate, conflict, invalid := routing.Accepted, routing.Duplicate, routing.Conflict, routing.Invalid
+	for i, want := range []routing.Result{accepted, accepted, accepted, conflict, duplicate, duplicate, invalid, invalid, invalid,
+		accepted, invalid, accepted, accepted, accepted, duplicate, conflict, invalid, accepted} {
 		e, before := allEntryKinds()[i], s.Snapshot()
-		if len(e) > 0 && e[0] != byte(KindAssignSlot) && e[0] != 'z' { // told before as it comes
+		// Decide gives the same result as Apply.
+		if len(e) > 0 && e[0] != byte(KindAssignSlot) && e[0] != 'z' {
 			v, _ := s.Decide(Kind(e[0]), e[1:])
 			must.Eq(t, want, v)
 		}
 		v, err := s.Apply(e)
 		must.Eq(t, want, v, must.Sprint(i))
-		must.Eq(t, want == taken || want == already, err == nil, must.Sprint(i))
+		must.Eq(t, want == accepted || want == duplicate, err == nil, must.Sprint(i))
 		if want == conflict || want == invalid {
 			must.Eq(t, before, s.Snapshot())
 		}
@@ -67,47 +69,48 @@
 	b.Name = "b2"
 	must.Eq(t, []membership.SlotHolder{b, slotHolder("a"), slotHolder("c")}, s.Slots())
 	must.Eq(t, 9, s.Configs.Version())
-	must.Eq(t, config(9, 5), s.Configs.Body()) // a roll-out changes nothing of it
+	must.Eq(t, config(9, 5), s.Configs.Body()) // a roll-out does not change the configuration
 	must.Eq(t, rollout.RolledBack, s.Rollouts.Run("s").Phase)
-	for i := range maxSlots { // they are bounded
+	for i := range maxSlots { // the number of slots is bounded
 		s.Apply(AssignSlotEntry(slotHolder(fmt.Sprint(i))))
 	}
 	must.Len(t, maxSlots, s.Slots())
 }
 
-// Whoever starts from a snapshot after any entry comes to the same as who folded all, whatever becomes of a third.
-func TestRestoreAnywhere(t *testing.T) {
-	all := allEntryKinds()
-	whole := New()
-	var snaps [][]byte
-	for _, e := range all {
-		snaps = append(snaps, whole.Snapshot())
-		whole.Apply(e)
+// Guards against a snapshot that loses state. A machine that is restored from a snapshot taken after any entry, and then applies
+// the rest, reaches the same state as one that applied all entries.
+func TestRestoreAfterAnyEntry(t *testing.T) {
+	entries := allEntryKinds()
+	complete := New()
+	var snapshots [][]byte
+	for _, e := range entries {
+		snapshots = append(snapshots, complete.Snapshot())
+		complete.Apply(e)
 	}
-	for i, snap := range snaps {
-		s, err := Restore(snap)
+	for i, snapshot := range snapshots {
+		s, err := Restore(snapshot)
 		must.NoError(t, err)
-		must.Eq(t, snap, s.Snapshot()) // the same bytes round trip
-		for _, e := range all[i:] {
+		must.Eq(t, snapshot, s.Snapshot()) // a restored machine encodes to the same bytes
+		for _, e := range entries[i:] {
 			s.Apply(e)
 		}
-		must.Eq(t, whole.Snapshot(), s.Snapshot(), must.Sprint(i))
-		must.Eq(t, whole.Slots(), s.Slots())
-		v, _ := s.Decide(KindReplaceConfig, config(3, 0)) // what was taken is known by its bytes
+		must.Eq(t, complete.Snapshot(), s.Snapshot(), must.Sprint(i))
+		must.Eq(t, complete.Slots(), s.Slots())
+		v, _ := s.Decide(KindReplaceConfig, config(3, 0)) // an accepted change is recognized by its bytes
 		must.Eq(t, routing.Duplicate, v)
 	}
-	var older bytes.Buffer // the snapshot of a program that knew no roll-outs
+	var older bytes.Buffer // the snapshot of a version that knew no roll-outs
 	must.NoError(t, gob.NewEncoder(&older).Encode(struct {
 		Bills []byte
 		Seats []membership.SlotHolder
-	}{whole.Configs.Snapshot(), whole.Slots()}))
+	}{complete.Configs.Snapshot(), complete.Slots()}))
 	s, err := Restore(older.Bytes())
 	must.NoError(t, err)
-	must.Eq(t, whole.Configs.Snapshot(), s.Configs.Snapshot())
+	must.Eq(t, complete.Configs.Snapshot(), s.Configs.Snapshot())
 	must.False(t, s.Rollouts.HasRollouts())
 	v, _ := s.Apply(rolloutEntry(rollout.Entry{Verb: rollout.Start, Spec: testRollout}))
 	must.Eq(t, routing.Accepted, v)
-	for _, bad := range [][]byte{nil, []byte("x"), snaps[3][:len(snaps[3])/2]} {
+	for _, bad := range [][]byte{nil, []byte("x"), snapshots[3][:len(snapshots[3])/2]} {
 		_, err := Restore(bad)
 		must.Error(t, err)
 	}
--- a/internal/gateway/statemachine/process_test.go
+++ b/internal/gateway/statemachine/process_test.go
@@ -15,13 +15,14 @@
 	"clovergap/internal/gateway/rollout"
 )
 
-// What another process of this test does before it folds the log.
+// preludeEnv is the environment variable that tells a child process of this test what to do before it applies the log.
 const preludeEnv = "STATEMACHINE_DOES_BEFORE"
 
-// A member that was sent half of a snapshot goes on with the other half from whoever leads next, if the bytes are the same. They were not
-// where one process had worded other types before, as a node does that was a leader, or had no disk to read.
+// A member that was sent half of a snapshot receives the other half from the next leader, which works only if the two snapshots
+// have the same bytes. Guards against bytes that depend on which other types a process has encoded before. They did so in a
+// process that had been a leader, or that had no disk to read.
 func TestSnapshotBytesEqualAcrossProcesses(t *testing.T) {
-	fold := func() string {
+	applyLog := func() string {
 		s := New()
 		for _, e := range allEntryKinds() {
 			s.Apply(e)
@@ -38,13 +39,13 @@
 		(&rollout.Entry{Spec: &rollout.Spec{}}).Encode()
 		fallthrough
 	default:
-		fmt.Print(fold())
+		fmt.Print(applyLog())
 		return
 	}
 	want := ""
-	for i, what := range []string{"nothing", "roll-outs", "hellos"} {
+	for i, prelude := range []string{"nothing", "roll-outs", "hellos"} {
 		c := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
-		c.Env = append(os.Environ(), preludeEnv+"="+what)
+		c.Env = append(os.Environ(), preludeEnv+"="+prelude)
 		out, err := c.Output()
 		must.NoError(t, err, must.Sprint(string(out)))
 		got := ""
@@ -53,6 +54,6 @@
 		if i == 0 {
 			want = got
 		}
-		must.Eq(t, want, got, must.Sprint(what))
+		must.Eq(t, want, got, must.Sprint(prelude))
 	}
 }
--- a/internal/gateway/statemachine/slots.go
+++ b/internal/gateway/statemachine/slots.go
@@ -6,16 +6,18 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// maxSlots bounds the slots. They are never given back: a slot is a node's number in messages and bit sets for good.
+// maxSlots is the maximum number of slots. Slots are never released, because a slot identifies its node permanently in messages
+// and bit sets.
 const maxSlots = 1024
 
-// Slots are the nodes that have a slot, by its number.
+// Slots returns the nodes that have a slot, indexed by slot.
 func (m *Machine) Slots() []membership.SlotHolder { return m.slots }
 
-// assignSlot gives a node the next slot. A node at an address that has one keeps that, and what is known of it is replaced.
+// assignSlot assigns the next slot to a node. If the node's address already has a slot, the node keeps it and the record of the
+// node is replaced.
 func (m *Machine) assignSlot(body []byte) (routing.Result, error) {
 	var stored storedSlot
-	if err := logentry.Decode(body, &stored, "slot"); err != nil {
+	if err := logentry.Decode(body, &stored, "read slot entry"); err != nil {
 		return routing.Invalid, err
 	}
 	holder := stored.slot()
--- a/internal/gateway/statemachine/stored.go
+++ b/internal/gateway/statemachine/stored.go
@@ -2,14 +2,14 @@
 
 import "clovergap/internal/gateway/membership"
 
-// The forms in which gob keeps entries and snapshots. Gob goes by the names of fields, and other versions read what this one
-// writes, so these names stay as they are.
+// These types are the gob encoding of entries and snapshots. Gob matches fields by name, and other versions read what this one
+// writes, so the names must not change.
 type (
 	storedState struct {
-		Bills    []byte // routing.Register's snapshot
+		Bills    []byte // snapshot of routing.Register
 		Seats    []storedSlot
-		Rollouts []byte          // rollout.State's snapshot; not in snapshots of the first version
-		Founders []storedFounder // nor are these
+		Rollouts []byte          // snapshot of rollout.State; not in snapshots of the first version
+		Founders []storedFounder // not in snapshots of the first version
 	}
 	storedSlot    struct{ Name, Addr, Control, Zone string }
 	storedFounder struct {
@@ -18,8 +18,9 @@
 	}
 )
 
-// init encodes an empty state. Gob numbers types in the order in which a process first encodes them, and the numbers are part of
-// its bytes: with a snapshot's types first, equal states have equal bytes in all processes of a version.
+// init encodes an empty state. Gob numbers types in the order in which a process first encodes them, and these numbers are part
+// of the encoded bytes. As the types of a snapshot are encoded first, equal states have equal bytes in all processes of a
+// version.
 func init() { New().Snapshot() }
 
 func storeSlot(holder membership.SlotHolder) storedSlot {
@@ -30,7 +31,8 @@
 	return membership.SlotHolder{Name: s.Name, Addr: s.Addr, Control: s.Control, Zone: s.Zone}
 }
 
-// storeSlots gives nil for none, as do the others: gob omits both, but a restored state must equal its original.
+// storeSlots returns nil for an empty list, and so do slotsOf, storeFounders and foundersOf. Gob omits both nil and empty lists,
+// but a restored state must equal its original.
 func storeSlots(holders []membership.SlotHolder) (stored []storedSlot) {
 	for _, holder := range holders {
 		stored = append(stored, storeSlot(holder))
