--- a/internal/gateway/membership/hello.go
+++ b/internal/gateway/membership/hello.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Hellos are sent when a link comes up and when the description of a node changes, and are repeated while they are not
-// acknowledged. Without the repeats, a node that received no hello from another node, or only an outdated one, could not use that
-// node for anything while the link lasts, even though no later message is lost.
+// acknowledged. Without the repeats, a lost hello would leave a node with no description of the other node, or with an outdated
+// one. The node could then use the other one for nothing as long as the link lasts.
 const (
 	// helloInterval is the minimum time between two hellos to a node, not counting those sent because a link came up or a
 	// description changed.
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -80,10 +80,10 @@
 func hasSlot(set []byte, s Slot) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
 
 // slotSet returns a bit set with a bit for each slot whose holder's address satisfies the predicate.
-func (r *Roster) slotSet(in func(addr string) bool) []byte {
+func (r *Roster) slotSet(include func(addr string) bool) []byte {
 	set := make([]byte, (len(r.slotHolders)+7)/8)
 	for i, holder := range r.slotHolders {
-		if in(holder.Addr) {
+		if include(holder.Addr) {
 			set[i/8] |= 1 << (i % 8)
 		}
 	}
--- a/internal/gateway/membership/node.go
+++ b/internal/gateway/membership/node.go
@@ -30,9 +30,8 @@
 	fnvPrime  = 0x100000001b3
 )
 
-// fingerprint returns a hash (FNV-1a over 64-bit words) of the fields that other nodes act on. It differs between two
-// descriptions of a node that differ in these fields. It is never 0. It must be cheap, because it is computed for each peer
-// several times a second.
+// fingerprint returns a hash (FNV-1a over 64-bit words) that distinguishes descriptions of a node by the fields that other nodes
+// act on. It is never 0. It must be cheap, because it is computed for each peer several times a second.
 func (n *Node) fingerprint() uint64 {
 	flags := uint64(0)
 	if n.Bootstrapped {
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -109,79 +109,79 @@
 }
 
 func newSimCluster(seeds string, disks ...string) *simCluster {
-	w := &simCluster{config: Config{strings.Split(seeds, ""), 1, clusterIDOf}, nodes: map[string]*simNode{}, proposals: map[string]bool{},
+	sim := &simCluster{config: Config{strings.Split(seeds, ""), 1, clusterIDOf}, nodes: map[string]*simNode{}, proposals: map[string]bool{},
 		connected: func(string, string) bool { return true }, dropsBootstrap: func(string, string) bool { return false }}
 	for i, n := range disks {
-		w.start(n, DiskID(i+1), true)
+		sim.start(n, DiskID(i+1), true)
 	}
-	return w
+	return sim
 }
 
 // start begins an incarnation of a node. Its disk keeps the founders that it accepted before.
-func (w *simCluster) start(name string, disk DiskID, first bool) *simNode {
-	a := w.nodes[name]
+func (sim *simCluster) start(name string, disk DiskID, first bool) *simNode {
+	a := sim.nodes[name]
 	if a == nil {
 		a = &simNode{}
-		w.nodes[name] = a
-		w.names = append(w.names, name)
+		sim.nodes[name] = a
+		sim.names = append(sim.names, name)
 	}
-	me := Node{Name: name, Addr: name, Disk: disk, FirstStart: first, Incarnation: uint64(w.now) + 1, Bootstrapped: a.founders != nil}
+	me := Node{Name: name, Addr: name, Disk: disk, FirstStart: first, Incarnation: uint64(sim.now) + 1, Bootstrapped: a.founders != nil}
 	if a.founders != nil {
 		me.ClusterID = clusterIDOf(a.founders)
 	}
-	a.Roster, a.stopped, a.linkUp = New(me, w.config, w.now), false, map[string]bool{}
+	a.Roster, a.stopped, a.linkUp = New(me, sim.config, sim.now), false, map[string]bool{}
 	return a
 }
 
-func (w *simCluster) reachable(a, b string) bool {
-	x := w.nodes[b]
-	return x != nil && !x.stopped && !w.nodes[a].stopped && w.connected(a, b)
+func (sim *simCluster) reachable(a, b string) bool {
+	x := sim.nodes[b]
+	return x != nil && !x.stopped && !sim.nodes[a].stopped && sim.connected(a, b)
 }
 
 // step advances the simulation by 200 ms.
-func (w *simCluster) step() {
-	w.now += 200 * ms
-	for _, n := range w.names {
-		a := w.nodes[n]
+func (sim *simCluster) step() {
+	sim.now += 200 * ms
+	for _, n := range sim.names {
+		a := sim.nodes[n]
 		if a.stopped {
 			continue
 		}
-		a.Tick(w.now)
+		a.Tick(sim.now)
 		for _, to := range a.Addrs() {
-			if is := w.reachable(n, to); is != a.linkUp[to] {
-				if a.linkUp[to] = is; is {
+			if up := sim.reachable(n, to); up != a.linkUp[to] {
+				if a.linkUp[to] = up; up {
 					a.LinkUp(to)
 				} else {
 					a.LinkDown(to)
 				}
 			}
-			if w.reachable(to, n) && w.nodes[to].linkUp[n] && slices.Contains(w.nodes[to].HeartbeatTargets(), n) {
+			if sim.reachable(to, n) && sim.nodes[to].linkUp[n] && slices.Contains(sim.nodes[to].HeartbeatTargets(), n) {
 				a.FrameReceived(to)
 			}
 		}
 	}
 	for again := true; again; {
 		again = false
-		for _, n := range w.names {
-			a := w.nodes[n]
+		for _, n := range sim.names {
+			a := sim.nodes[n]
 			for _, action := range drain(a.Roster) {
 				if again = true; action.Kind == Bootstrap {
-					w.deliverBootstrap(n, action)
+					sim.deliverBootstrap(n, action)
 				}
-				if action.Kind == SendHello && w.reachable(n, action.Addr) {
-					w.nodes[action.Addr].HandleHello(n, a.HelloTo(action.Addr))
+				if action.Kind == SendHello && sim.reachable(n, action.Addr) {
+					sim.nodes[action.Addr].HandleHello(n, a.HelloTo(action.Addr))
 				}
 			}
 		}
 	}
 }
 
-func (w *simCluster) deliverBootstrap(from string, action Action) {
-	if founders := fmt.Sprint(action.Founders); !w.proposals[founders] {
-		w.proposals[founders], w.bootstrappers = true, append(w.bootstrappers, from)
+func (sim *simCluster) deliverBootstrap(from string, action Action) {
+	if founders := fmt.Sprint(action.Founders); !sim.proposals[founders] {
+		sim.proposals[founders], sim.bootstrappers = true, append(sim.bootstrappers, from)
 	}
-	to := w.nodes[action.Addr]
-	if from != action.Addr && (!w.reachable(from, action.Addr) || w.dropsBootstrap(from, action.Addr)) || to.founders != nil {
+	to := sim.nodes[action.Addr]
+	if from != action.Addr && (!sim.reachable(from, action.Addr) || sim.dropsBootstrap(from, action.Addr)) || to.founders != nil {
 		return
 	}
 	if self := (Founder{to.Self().Disk, action.Addr}); slices.Contains(action.Founders, self) {
@@ -190,23 +190,23 @@
 	}
 }
 
-func (w *simCluster) stop(names ...string) {
+func (sim *simCluster) stop(names ...string) {
 	for _, n := range names {
-		w.nodes[n].stopped = true
+		sim.nodes[n].stopped = true
 	}
 }
 
-func (w *simCluster) until(t time.Duration) *simCluster {
-	for w.now < t {
-		w.step()
+func (sim *simCluster) until(t time.Duration) *simCluster {
+	for sim.now < t {
+		sim.step()
 	}
-	return w
+	return sim
 }
 
 // majorities counts the lists of founders that a majority of their own nodes hold.
-func (w *simCluster) majorities() (n int) {
+func (sim *simCluster) majorities() (n int) {
 	holds := map[string]int{}
-	for _, a := range w.nodes {
+	for _, a := range sim.nodes {
 		if a.founders != nil {
 			list := fmt.Sprint(a.founders)
 			if holds[list]++; holds[list] == len(a.founders)/2+1 {
@@ -220,23 +220,23 @@
 // With three nodes with a disk and one without, the first seed bootstraps the core once, with all three as founders, and sends
 // the message again where it was lost.
 func TestFirstSeedBootstraps(t *testing.T) {
-	w := newSimCluster("abc", "a", "b", "c")
-	w.start("d", 0, true)
+	sim := newSimCluster("abc", "a", "b", "c")
+	sim.start("d", 0, true)
 	bootstrapMessages := 0
-	w.dropsBootstrap = func(_, to string) bool { bootstrapMessages++; return to == "c" && bootstrapMessages < 4 }
-	w.until(400 * ms)
-	must.MapEmpty(t, w.proposals)
-	w.until(2 * time.Second)
-	must.Eq(t, []string{"a"}, w.bootstrappers)
+	sim.dropsBootstrap = func(_, to string) bool { bootstrapMessages++; return to == "c" && bootstrapMessages < 4 }
+	sim.until(400 * ms)
+	must.MapEmpty(t, sim.proposals)
+	sim.until(2 * time.Second)
+	must.Eq(t, []string{"a"}, sim.bootstrappers)
 	founders := []Founder{{1, "a"}, {2, "b"}, {3, "c"}}
-	must.Eq(t, founders, w.nodes["b"].founders)
-	must.SliceEmpty(t, w.nodes["c"].founders)
-	w.until(8 * time.Second)
-	must.Eq(t, founders, w.nodes["c"].founders)
-	must.SliceEmpty(t, w.nodes["d"].founders)
-	must.Eq(t, []string{"a"}, w.bootstrappers)
+	must.Eq(t, founders, sim.nodes["b"].founders)
+	must.SliceEmpty(t, sim.nodes["c"].founders)
+	sim.until(8 * time.Second)
+	must.Eq(t, founders, sim.nodes["c"].founders)
+	must.SliceEmpty(t, sim.nodes["d"].founders)
+	must.Eq(t, []string{"a"}, sim.bootstrappers)
 	sent := bootstrapMessages
-	w.until(20 * time.Second) // all founders hold it, so nothing is sent again
+	sim.until(20 * time.Second) // all founders hold it, so nothing is sent again
 	must.Eq(t, sent, bootstrapMessages)
 }
 
@@ -246,59 +246,59 @@
 	for _, c := range []struct {
 		name         string
 		seeds        string
-		setUp        func(w *simCluster)
+		setUp        func(sim *simCluster)
 		bootstrapper string // the node that chose the founders
-		founderCount int    // of the list of founders
+		founderCount int    // number of founders in each list
 	}{
-		{"first seed never starts", "abc", func(w *simCluster) { w.stop("a") }, "b", 2},
-		{"first seed stops early", "abc", func(w *simCluster) { w.until(200 * ms).stop("a") }, "b", 3},
-		{"first seed stops and restarts in another incarnation", "abc", func(w *simCluster) {
-			w.until(200 * ms).stop("a")
-			w.until(1000*ms).start("a", 1, false)
+		{"first seed never starts", "abc", func(sim *simCluster) { sim.stop("a") }, "b", 2},
+		{"first seed stops early", "abc", func(sim *simCluster) { sim.until(200 * ms).stop("a") }, "b", 3},
+		{"first seed stops and restarts in another incarnation", "abc", func(sim *simCluster) {
+			sim.until(200 * ms).stop("a")
+			sim.until(1000*ms).start("a", 1, false)
 		}, "b", 3},
-		{"first seed starts late, while the second waits for its turn", "abc", func(w *simCluster) {
-			w.stop("a")
-			w.until(2200*ms).start("a", 1, true)
+		{"first seed starts late, while the second waits for its turn", "abc", func(sim *simCluster) {
+			sim.stop("a")
+			sim.until(2200*ms).start("a", 1, true)
 		}, "a", 3},
-		{"first seed restarts with a state", "abc", func(w *simCluster) {
-			w.until(200 * ms).stop("a")
-			w.nodes["a"].founders = []Founder{{1, "a"}}
-			w.until(1000*ms).start("a", 1, false)
+		{"first seed restarts with a state", "abc", func(sim *simCluster) {
+			sim.until(200 * ms).stop("a")
+			sim.nodes["a"].founders = []Founder{{1, "a"}}
+			sim.until(1000*ms).start("a", 1, false)
 		}, "", 0},
-		{"another seed holds a state", "abc", func(w *simCluster) {
-			w.nodes["c"].founders = []Founder{{3, "c"}}
-			w.start("c", 3, false)
+		{"another seed holds a state", "abc", func(sim *simCluster) {
+			sim.nodes["c"].founders = []Founder{{3, "c"}}
+			sim.start("c", 3, false)
 		}, "", 0},
-		{"two of three seeds never start", "abc", func(w *simCluster) { w.stop("a", "b") }, "", 0},
-		{"no seed has a disk", "def", func(w *simCluster) {
+		{"two of three seeds never start", "abc", func(sim *simCluster) { sim.stop("a", "b") }, "", 0},
+		{"no seed has a disk", "def", func(sim *simCluster) {
 			for _, n := range []string{"d", "e", "f"} {
-				w.start(n, 0, true)
+				sim.start(n, 0, true)
 			}
-			w.stop("d", "c")
+			sim.stop("d", "c")
 		}, "e", 2},
-		{"a seed without a disk reaches two seeds that do not reach each other", "abf", func(w *simCluster) {
-			w.start("f", 0, true)
-			w.start("d", 4, true)
-			w.connected = func(a, b string) bool { return strings.Contains("af fa bf fb ad da bc cb", a+b) }
+		{"a seed without a disk reaches two seeds that do not reach each other", "abf", func(sim *simCluster) {
+			sim.start("f", 0, true)
+			sim.start("d", 4, true)
+			sim.connected = func(a, b string) bool { return strings.Contains("af fa bf fb ad da bc cb", a+b) }
 		}, "a", 2},
-		{"all nodes were killed before a bootstrap was on disk", "abc", func(w *simCluster) {
+		{"all nodes were killed before a bootstrap was on disk", "abc", func(sim *simCluster) {
 			for nr, n := range []string{"a", "b", "c"} {
-				w.start(n, DiskID(nr+1), false)
+				sim.start(n, DiskID(nr+1), false)
 			}
 		}, "a", 3},
-		{"all nodes but one are stopped, and its disk was wiped", "abc", func(w *simCluster) {
-			w.stop("a", "b")
-			w.start("c", 9, false)
+		{"all nodes but one are stopped, and its disk was wiped", "abc", func(sim *simCluster) {
+			sim.stop("a", "b")
+			sim.start("c", 9, false)
 		}, "", 0},
-		{"the only seed reaches no other node", "a", func(w *simCluster) { w.connected = func(_, _ string) bool { return false } }, "a", 1},
+		{"the only seed reaches no other node", "a", func(sim *simCluster) { sim.connected = func(_, _ string) bool { return false } }, "a", 1},
 		{"all seeds have the same address", "bbb", func(*simCluster) {}, "b", 3},
 	} {
-		w := newSimCluster(c.seeds, "a", "b", "c")
-		c.setUp(w)
-		w.until(12 * time.Second)
-		by := strings.Join(w.bootstrappers, "")
+		sim := newSimCluster(c.seeds, "a", "b", "c")
+		c.setUp(sim)
+		sim.until(12 * time.Second)
+		by := strings.Join(sim.bootstrappers, "")
 		must.Eq(t, c.bootstrapper, by, must.Sprint(c.name))
-		for list := range w.proposals {
+		for list := range sim.proposals {
 			must.Eq(t, c.founderCount, strings.Count(list, "{"), must.Sprint(c.name))
 		}
 	}
@@ -318,22 +318,22 @@
 		reachableFrom[[]string{"ad", "bd", "cd"}[meet>>6]] = 0
 		for _, stopsAt := range []time.Duration{never, 400 * ms, 3400 * ms} {
 			lossy := runs%2 > 0
-			w := newSimCluster("abc", "a", "b", "c", "d")
-			w.connected = func(a, b string) bool { return w.now >= min(reachableFrom[min(a, b)+max(a, b)], 10*time.Second) }
-			w.dropsBootstrap = func(_, to string) bool { return lossy && w.now < 7*time.Second && to != "d" }
+			sim := newSimCluster("abc", "a", "b", "c", "d")
+			sim.connected = func(a, b string) bool { return sim.now >= min(reachableFrom[min(a, b)+max(a, b)], 10*time.Second) }
+			sim.dropsBootstrap = func(_, to string) bool { return lossy && sim.now < 7*time.Second && to != "d" }
 			onlyFirstSeedHolds := false
-			for w.now < 14*time.Second {
-				w.step()
-				must.LessEq(t, 1, w.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, w.bootstrappers))
-				if a := w.nodes["a"]; w.now == stopsAt {
+			for sim.now < 14*time.Second {
+				sim.step()
+				must.LessEq(t, 1, sim.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, sim.bootstrappers))
+				if a := sim.nodes["a"]; sim.now == stopsAt {
 					a.stopped = true
-					onlyFirstSeedHolds = a.founders != nil && w.majorities() == 0
-				} else if w.now == stopsAt+800*ms {
-					w.start("a", 1, false)
+					onlyFirstSeedHolds = a.founders != nil && sim.majorities() == 0
+				} else if sim.now == stopsAt+800*ms {
+					sim.start("a", 1, false)
 				}
 			}
 			if runs++; !onlyFirstSeedHolds {
-				must.Eq(t, 1, w.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, w.bootstrappers))
+				must.Eq(t, 1, sim.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, sim.bootstrappers))
 			}
 		}
 	}
@@ -391,22 +391,22 @@
 // without a disk that knows only seeds without a disk is linked to the nodes with a disk. It drops its links to the seeds when it
 // has a slot, and links to them again when all nodes with a disk are gone.
 func TestLinksGoThroughDiskNodes(t *testing.T) {
-	w := newSimCluster("dea", "a", "b", "c")
+	sim := newSimCluster("dea", "a", "b", "c")
 	for _, n := range []string{"d", "e", "f", "g"} {
-		w.start(n, 0, true)
+		sim.start(n, 0, true)
 	}
 	slots := func() {
 		var order []SlotHolder
-		for _, n := range w.names {
+		for _, n := range sim.names {
 			order = append(order, SlotHolder{Name: n, Addr: n})
 		}
-		for _, n := range w.names {
-			w.nodes[n].SetSlots(order)
+		for _, n := range sim.names {
+			sim.nodes[n].SetSlots(order)
 		}
 	}
 	linked := func(n string) (all string) {
-		for _, a := range w.nodes[n].Addrs() {
-			if w.nodes[n].peers[a].linkWanted {
+		for _, a := range sim.nodes[n].Addrs() {
+			if sim.nodes[n].peers[a].linkWanted {
 				all += a
 			}
 		}
@@ -414,12 +414,12 @@
 	}
 	// The nodes with a disk report to the other nodes which nodes are live.
 	report := func(d time.Duration) {
-		for end := w.now + d; w.now < end; {
-			w.step()
-			for _, n := range w.names {
-				if a := w.nodes[n]; !a.stopped && a.Self().Disk != 0 {
-					for _, o := range w.names {
-						if b := w.nodes[o]; b != a && !b.stopped && b.Self().Disk != 0 {
+		for end := sim.now + d; sim.now < end; {
+			sim.step()
+			for _, n := range sim.names {
+				if a := sim.nodes[n]; !a.stopped && a.Self().Disk != 0 {
+					for _, o := range sim.names {
+						if b := sim.nodes[o]; b != a && !b.stopped && b.Self().Disk != 0 {
 							b.HandleLiveness(n, a.ReachableSlots())
 						} else if !b.stopped && n == "b" {
 							b.FrameReceived(n)
@@ -430,25 +430,25 @@
 			}
 		}
 	}
-	w.until(3 * time.Second)
+	sim.until(3 * time.Second)
 	slots()
 	report(10 * time.Second)
 	must.Eq(t, "bcdefg", linked("a"))
 	for _, n := range []string{"d", "e", "f", "g"} {
 		must.Eq(t, "abc", linked(n))
-		must.True(t, w.nodes[n].Live("d")) // as reported by the nodes with a disk
-		must.Eq(t, []string{"a", "b", "c"}, w.nodes[n].HelloTo("f").KnownAddrs)
+		must.True(t, sim.nodes[n].Live("d")) // as reported by the nodes with a disk
+		must.Eq(t, []string{"a", "b", "c"}, sim.nodes[n].HelloTo("f").KnownAddrs)
 	}
-	w.nodes["a"].stopped = true // the only seed with a disk
-	w.start("h", 0, false)
+	sim.nodes["a"].stopped = true // the only seed with a disk
+	sim.start("h", 0, false)
 	report(time.Second)
 	must.Eq(t, "abcde", linked("h")) // a is a seed and may come back
 	slots()
 	report(10 * time.Second)
 	must.Eq(t, "abc", linked("h"))
 	must.Eq(t, "abc", linked("d"))
-	w.stop("b", "c")
-	w.until(w.now + 4*time.Second)
+	sim.stop("b", "c")
+	sim.until(sim.now + 4*time.Second)
 	must.Eq(t, "abcde", linked("h"))
 	must.Eq(t, "abce", linked("d"))
 }
@@ -514,20 +514,20 @@
 // them.
 func TestSeedsHoldFoundersFirst(t *testing.T) {
 	for partitionedAt := 400 * ms; partitionedAt < 1600*ms; partitionedAt += 100 * ms {
-		w := newSimCluster("abc", "a", "b", "c", "d", "e")
-		w.connected = func(x, y string) bool {
+		sim := newSimCluster("abc", "a", "b", "c", "d", "e")
+		sim.connected = func(x, y string) bool {
 			x, y = min(x, y), max(x, y)
 			switch {
-			case w.now > 20*time.Second:
+			case sim.now > 20*time.Second:
 				return true
 			case strings.Contains("bd be cd ce", x+y):
 				return false
 			}
-			return w.now < partitionedAt || !strings.Contains("ab ac", x+y)
+			return sim.now < partitionedAt || !strings.Contains("ab ac", x+y)
 		}
-		for w.now < 20*time.Second {
-			w.step()
-			must.LessEq(t, 1, w.majorities(), must.Sprintf("partitioned at %v: %v", partitionedAt, w.bootstrappers))
+		for sim.now < 20*time.Second {
+			sim.step()
+			must.LessEq(t, 1, sim.majorities(), must.Sprintf("partitioned at %v: %v", partitionedAt, sim.bootstrappers))
 		}
 	}
 }
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -102,7 +102,7 @@
 	return UnknownAge
 }
 
-// State compares the contact age with a maximum age.
+// State returns the node's contact compared with a maximum age.
 func (t *Tracker) State(maxAge, now time.Duration) State {
 	leading := t.IsLeader(now) // this call advances the replica's clock, on which the contact depends
 	age, _, ok := t.Contact(now)
@@ -162,9 +162,9 @@
 	Index uint64 // index of the last entry that the sender had applied
 }
 
-// HandleReport processes a report of the current upstream. The caller passes it on once the entries that the sender had applied
-// are applied here. A report is ignored if its term is older than the newest reported one, or if it echoes a timestamp that this
-// incarnation did not send recently.
+// HandleReport processes a report of the current upstream. It ignores a report that covers more entries than the appliedIndex of
+// this node, whose sender had no contact, whose term is older than the newest reported one, or that echoes a timestamp that this
+// incarnation did not send recently. A report without a term echoes no timestamp, so its age counts from its receipt.
 func (t *Tracker) HandleReport(r Report, appliedIndex uint64, now time.Duration) {
 	sentAt, ok := t.clock.SentAt(r.Echo, now)
 	switch {
--- a/internal/gateway/quorumcontact/tracker_test.go
+++ b/internal/gateway/quorumcontact/tracker_test.go
@@ -19,17 +19,17 @@
 
 // fakeReplica implements Replica with a contact that the test sets.
 type fakeReplica struct {
-	tickedAt time.Duration
-	leads    bool
-	leader   bool // a leader is known
-	age      time.Duration
-	contact  bool
+	tickedAt    time.Duration
+	leads       bool
+	leaderKnown bool
+	age         time.Duration
+	contact     bool
 }
 
 func (f *fakeReplica) Tick(now time.Duration) { f.tickedAt = now }
 func (f *fakeReplica) IsLeader() bool         { return f.leads }
 func (f *fakeReplica) Leader() (replication.Member, uint64, bool) {
-	return replication.Member{}, 4, f.leader
+	return replication.Member{}, 4, f.leaderKnown
 }
 func (f *fakeReplica) QuorumContact(time.Duration) (time.Duration, uint64, bool) {
 	return f.age, 3, f.contact
@@ -49,20 +49,20 @@
 	reports := []testReport{{now - 3*time.Second, time.Second, 5, 9, own}, {now - 2*time.Second, 500 * time.Millisecond, 6, 9, own},
 		{now - time.Second, 100 * time.Millisecond, 5, 9, own}, {now - time.Second, 0, 7, 10, own}, {now - time.Second, 0, 6, 9, other}}
 	countViolations := func(knobs TestingKnobs) (violations int) {
-		var orders func(left []testReport, t Tracker)
-		orders = func(left []testReport, t Tracker) {
-			for i, w := range left {
-				c := t
-				before := c.stream
-				c.HandleReport(Report{Age: w.age, Term: w.term, Echo: w.clock.Timestamp(w.sentAt), Index: w.index}, 9, now)
-				moved := c.stream.appliedAsOf > before.appliedAsOf
-				if moved && (c.stream.appliedAsOf > w.sentAt-w.age || w.term < before.term || w.index > 9 || w.clock == other) {
+		var handleInAllOrders func(remaining []testReport, t Tracker)
+		handleInAllOrders = func(remaining []testReport, t Tracker) {
+			for i, r := range remaining {
+				tracker := t
+				before := tracker.stream
+				tracker.HandleReport(Report{Age: r.age, Term: r.term, Echo: r.clock.Timestamp(r.sentAt), Index: r.index}, 9, now)
+				advanced := tracker.stream.appliedAsOf > before.appliedAsOf
+				if advanced && (tracker.stream.appliedAsOf > r.sentAt-r.age || r.term < before.term || r.index > 9 || r.clock == other) {
 					violations++
 				}
-				orders(append(slices.Clone(left[:i]), left[i+1:]...), c)
+				handleInAllOrders(append(slices.Clone(remaining[:i]), remaining[i+1:]...), tracker)
 			}
 		}
-		orders(reports, *New(Config{Bounds: fixedBounds{}, Incarnation: 7, Knobs: &knobs}))
+		handleInAllOrders(reports, *New(Config{Bounds: fixedBounds{}, Incarnation: 7, Knobs: &knobs}))
 		return violations
 	}
 	must.Eq(t, 0, countViolations(TestingKnobs{}))
@@ -108,7 +108,7 @@
 // Each knob disables the safeguard that it names, and no other.
 func TestKnobsDisableOnlyTheirSafeguard(t *testing.T) {
 	granted := func(knobs TestingKnobs) (permissions []Permission) {
-		tracker := New(Config{Replica: &fakeReplica{leader: true, contact: true, age: time.Hour}, Bounds: fixedBounds{}, Knobs: &knobs})
+		tracker := New(Config{Replica: &fakeReplica{leaderKnown: true, contact: true, age: time.Hour}, Bounds: fixedBounds{}, Knobs: &knobs})
 		for p := range Permission(len(rules)) {
 			if tracker.Permits(p, true, 2*time.Hour) {
 				permissions = append(permissions, p)
--- a/internal/gateway/statemachine/errors.go
+++ b/internal/gateway/statemachine/errors.go
@@ -18,6 +18,6 @@
 type UnknownKindError struct{ Kind Kind }
 
 // Error returns a message that names the kind by its character.
-func (e *UnknownKindError) Error() string {
-	return fmt.Sprintf("log entry has unknown kind %q", e.Kind)
+func (u *UnknownKindError) Error() string {
+	return fmt.Sprintf("log entry has unknown kind %q", u.Kind)
 }
