--- a/internal/gateway/logentry/dedupwindow.go
+++ b/internal/gateway/logentry/dedupwindow.go
@@ -42,6 +42,7 @@
 	horizon  uint64
 }
 
+// request is an applied request in a window.
 type request struct {
 	number uint64
 	digest Digest
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -90,7 +90,8 @@
 	return set
 }
 
-// reachable reports whether any frame came from a node within livenessTimeout. It is always true for this node.
+// reachable reports whether any frame came from a node within livenessTimeout. It is always true for this node, and false for a
+// node that has sent no hello.
 func (r *Roster) reachable(addr string) bool {
 	p := r.peers[addr]
 	return addr == r.self.Addr || p != nil && p.helloReceived && r.now-p.receivedAt < livenessTimeout
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -305,8 +305,9 @@
 }
 
 // Three seeds and another node with a disk come to reach each other at different times, messages of a bootstrap are lost, and the
-// first seed may stop on the way. Guards against two clusters that both have a majority, and against no cluster once all nodes
-// reach each other. The second is allowed only if the first seed alone stored its founders and then stopped.
+// first seed may stop on the way. Guards against two clusters that both have a majority, and against no cluster with a majority
+// once all nodes reach each other. A missing cluster is allowed only if the first seed alone stored its founders and then
+// stopped.
 func TestPartitionsBootstrapOneCluster(t *testing.T) {
 	const never = time.Hour
 	// The times at which two of the seeds first reach each other.
@@ -395,25 +396,25 @@
 	for _, n := range []string{"d", "e", "f", "g"} {
 		sim.start(n, 0, true)
 	}
-	slots := func() {
-		var order []SlotHolder
+	assignSlots := func() {
+		var holders []SlotHolder
 		for _, n := range sim.names {
-			order = append(order, SlotHolder{Name: n, Addr: n})
+			holders = append(holders, SlotHolder{Name: n, Addr: n})
 		}
 		for _, n := range sim.names {
-			sim.nodes[n].SetSlots(order)
+			sim.nodes[n].SetSlots(holders)
 		}
 	}
-	linked := func(n string) (all string) {
+	linked := func(n string) (addrs string) {
 		for _, a := range sim.nodes[n].Addrs() {
 			if sim.nodes[n].peers[a].linkWanted {
-				all += a
+				addrs += a
 			}
 		}
-		return all
+		return addrs
 	}
 	// The nodes with a disk report to the other nodes which nodes are live.
-	report := func(d time.Duration) {
+	reportLiveness := func(d time.Duration) {
 		for end := sim.now + d; sim.now < end; {
 			sim.step()
 			for _, n := range sim.names {
@@ -431,8 +432,8 @@
 		}
 	}
 	sim.until(3 * time.Second)
-	slots()
-	report(10 * time.Second)
+	assignSlots()
+	reportLiveness(10 * time.Second)
 	must.Eq(t, "bcdefg", linked("a"))
 	for _, n := range []string{"d", "e", "f", "g"} {
 		must.Eq(t, "abc", linked(n))
@@ -441,10 +442,10 @@
 	}
 	sim.nodes["a"].stopped = true // the only seed with a disk
 	sim.start("h", 0, false)
-	report(time.Second)
+	reportLiveness(time.Second)
 	must.Eq(t, "abcde", linked("h")) // a is a seed and may come back
-	slots()
-	report(10 * time.Second)
+	assignSlots()
+	reportLiveness(10 * time.Second)
 	must.Eq(t, "abc", linked("h"))
 	must.Eq(t, "abc", linked("d"))
 	sim.stop("b", "c")
