--- a/internal/gateway/admission/attempts_test.go
+++ b/internal/gateway/admission/attempts_test.go
@@ -9,24 +9,24 @@
 	"clovergap/control"
 )
 
-// attemptsStep is one thing that may happen to a request.
+// requestStep is one event in the life of a request.
 type requestStep int
 
 const (
-	stepErrored            requestStep = iota // its submission fails after it may have run
-	stepRejected                              // 421 or X-Not-Run
-	stepUnreachable                           // nothing of it was sent
-	stepConnectionLost                        // the connection broke after a byte of it was written
-	stepUnresponsive                          // the backend is silent until it counts as dead
-	stepProcessPause                          // this node stands still for a second
+	stepErrored            requestStep = iota // the submission fails after it may have run
+	stepRejected                              // the backend answers 421 or X-Not-Run
+	stepUnreachable                           // no connection was made, so nothing was sent
+	stepConnectionLost                        // the connection is lost after a byte was written
+	stepUnresponsive                          // the backend does not answer until it counts as dead
+	stepProcessPause                          // this node is paused for a second
 	stepMaxAttemptsLowered                    // a configuration lowers the route's max_tries to one
-	stepAllRejecting                          // all backends reject requests for a while, so that it waits in the queue
+	stepAllDraining                           // all backends drain for a moment, so that the request may wait in the queue
 	stepCount
 )
 
-// Whatever the order of the ends of its submissions, of standstills and of a configuration that lowers max_tries, a request runs on no
-// more backends than its route allows: at the most as many as when it came, and no retry once one is allowed and it ran.
-// Before LowerMaxAttempts a request under way went on by the bound that it had come with.
+// Guards against a request that runs on more backends than its route allows. It plays all sequences of ends of submissions, process pauses and a
+// configuration that lowers max_tries. A request may run on as many backends as its route allowed on its arrival. Once max_tries is lowered to one,
+// a request that ran is not retried. Before LowerMaxAttempts existed, a request under way kept the bound of its arrival.
 func TestRequestStaysWithinMaxAttemptsInAnyOrderOfEvents(t *testing.T) {
 	const depth = 4
 	sequences := 1
@@ -45,22 +45,22 @@
 				currentStep := requestStep(remaining % int(stepCount))
 				if currentStep == stepMaxAttemptsLowered && bound == maxAttempts {
 					bound = max(len(ran), 1)
-					if request := h.txns[1]; request.inFlight && !ran[request.lastBackend] && len(ran) > 0 { // on its way already
+					if request := h.txns[1]; request.inFlight && !ran[request.lastBackend] && len(ran) > 0 { // in flight already
 						bound++
 					}
 				}
 				h.playStep(currentStep, ran)
-				must.LessEq(t, bound, len(ran), must.Sprintf("most %d, walk %o", maxAttempts, sequence))
+				must.LessEq(t, bound, len(ran), must.Sprintf("max attempts %d, sequence %o", maxAttempts, sequence))
 			}
 			if len(ran) > 1 {
 				retriedSequences++
 			}
 		}
-		must.Eq(t, maxAttempts > 1, retriedSequences > 0) // some did go to another
+		must.Eq(t, maxAttempts > 1, retriedSequences > 0) // some sequences did retry
 	}
 }
 
-// playStep lets one step happen, and notes what a backend may have run by it.
+// playStep plays one step. It adds the backends that may have run the request to ran.
 func (h *harness) playStep(step requestStep, ran map[control.BackendID]bool) {
 	inFlight := h.txns[1].inFlight
 	backend := h.txns[1].lastBackend
@@ -70,7 +70,7 @@
 	case stepProcessPause:
 		h.now += time.Second
 		h.Now(h.now)
-	case stepAllRejecting:
+	case stepAllDraining:
 		h.setBackends(control.Draining, 1, 6)
 		h.takeDecisions()
 		h.setBackends(control.Ready, 1, 6)
@@ -88,7 +88,7 @@
 			switch {
 			case consequenceOf(ending, false, false).mayHaveRun:
 				ran[backend] = true
-			case ran[backend]: // silent until now: it can't say any more that it has not run
+			case ran[backend]: // it was unresponsive, so it may have run the request and cannot deny that any more
 				return
 			}
 			h.SubmissionEnded(1, h.txns[1].submissions-1, backend, ending, false, 50*time.Millisecond, nil)
@@ -97,8 +97,8 @@
 	h.takeDecisions()
 }
 
-// One that waits in the queue for another backend is not sent there once its route allows one alone; debug builds took it for a send
-// that may not be.
+// Guards against a retry that is sent from the queue after its route was lowered to one attempt. Debug builds stopped at such a submission, since it
+// is not permitted.
 func TestQueuedRetryIsDroppedWhenMaxAttemptsIsLowered(t *testing.T) {
 	h := newHarness(idempotentRoute, 2)
 	h.arrive(1)
@@ -107,7 +107,7 @@
 	for id := control.TxnID(2); h.services[0].balancer.InFlight() < 2; id++ {
 		h.arrive(id)
 	}
-	for id := control.TxnID(2); id < 20; id++ { // the other one rejects all, and is left alone for a while
+	for id := control.TxnID(2); id < 20; id++ { // the other backend rejects all requests and gets none for a while
 		if x := h.txns[id]; x != nil && x.inFlight && x.lastBackend == other {
 			h.SubmissionEnded(id, x.submissions-1, other, control.Rejected, false, time.Millisecond, nil)
 		}
--- a/internal/gateway/admission/bench_test.go
+++ b/internal/gateway/admission/bench_test.go
@@ -12,9 +12,9 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// A routed request through this node's decisions: the route and the tenant are looked up, admission lets it pass with
-// units of its tenant's quota, the balancer chooses its backend, and its answer is taken in. What is left out is I/O:
-// HTTP, the event loop, and the map from a route to its number, which node keeps.
+// BenchmarkRoutedRequest measures the decisions for one request: looking up its route and tenant, admitting it with units of its tenant's quota,
+// choosing its backend and recording its answer. It does not include I/O: HTTP, the event loop, and the map from a route to its product ID, which
+// package node keeps.
 func BenchmarkRoutedRequest(b *testing.B) {
 	const hosts, backends = 20, 12
 	config := &routing.Config{Generation: 1}
--- a/internal/gateway/admission/budget.go
+++ b/internal/gateway/admission/budget.go
@@ -27,42 +27,42 @@
 }
 
 // advance brings the budget up to now: it deposits the refill, which is in tokens per window, and drops tokens older than a window.
-func (b *retryBudget) advance(now time.Duration, refill float64) {
-	sliceLength := b.window / windowSlices
-	for end := time.Duration(b.slice+1) * sliceLength; now >= end; end += sliceLength {
-		if now-end > b.window { // idle for longer than a window: all tokens have expired
-			b.tokens = [windowSlices]float64{}
-			b.slice, b.updatedAt = int64((now-b.window)/sliceLength), (now-b.window)/sliceLength*sliceLength
-			end = time.Duration(b.slice) * sliceLength
+func (r *retryBudget) advance(now time.Duration, refill float64) {
+	sliceLength := r.window / windowSlices
+	for end := time.Duration(r.slice+1) * sliceLength; now >= end; end += sliceLength {
+		if now-end > r.window { // idle for longer than a window: all tokens have expired
+			r.tokens = [windowSlices]float64{}
+			r.slice, r.updatedAt = int64((now-r.window)/sliceLength), (now-r.window)/sliceLength*sliceLength
+			end = time.Duration(r.slice) * sliceLength
 			continue
 		}
-		b.tokens[b.slice%windowSlices] += refill * float64(end-b.updatedAt) / float64(b.window)
-		b.slice, b.updatedAt = b.slice+1, end
-		b.tokens[b.slice%windowSlices] = 0
+		r.tokens[r.slice%windowSlices] += refill * float64(end-r.updatedAt) / float64(r.window)
+		r.slice, r.updatedAt = r.slice+1, end
+		r.tokens[r.slice%windowSlices] = 0
 	}
-	b.tokens[b.slice%windowSlices] += refill * float64(now-b.updatedAt) / float64(b.window)
-	b.updatedAt = now
+	r.tokens[r.slice%windowSlices] += refill * float64(now-r.updatedAt) / float64(r.window)
+	r.updatedAt = now
 }
 
 // deposit adds tokens.
-func (b *retryBudget) deposit(tokens float64) { b.tokens[b.slice%windowSlices] += tokens }
+func (r *retryBudget) deposit(tokens float64) { r.tokens[r.slice%windowSlices] += tokens }
 
 // available returns the number of tokens.
-func (b *retryBudget) available() (sum float64) {
-	for _, n := range b.tokens {
+func (r *retryBudget) available() (sum float64) {
+	for _, n := range r.tokens {
 		sum += n
 	}
 	return sum
 }
 
-// tryWithdraw takes one token, the oldest first. It returns false if there is less than one token.
-func (b *retryBudget) tryWithdraw() bool {
-	if b.available() < 1 {
+// withdraw takes one token, the oldest first. It returns false if there is less than one token.
+func (r *retryBudget) withdraw() bool {
+	if r.available() < 1 {
 		return false
 	}
 	need := 1.0
 	for i := int64(1); i <= windowSlices && need > 0; i++ {
-		tokens := &b.tokens[(b.slice+i)%windowSlices]
+		tokens := &r.tokens[(r.slice+i)%windowSlices]
 		taken := min(*tokens, need)
 		*tokens, need = *tokens-taken, need-taken
 	}
--- a/internal/gateway/admission/canary_test.go
+++ b/internal/gateway/admission/canary_test.go
@@ -11,15 +11,15 @@
 	"clovergap/internal/gateway/rollout"
 )
 
-// oddAssigner sends requests with odd numbers to the canary.
+// oddAssigner assigns requests with odd IDs to the canary.
 type oddAssigner struct{ samples []ComparisonSample }
 
 func (o *oddAssigner) Assign(id control.TxnID, _ control.ProductID, service control.ServiceID) Assignment {
 	return Assignment{Number: 7, Side: rollout.Side(id % 2), InComparison: true, Tenant: uint32(service)}
 }
-func (o *oddAssigner) SubmissionEnded(e ComparisonSample) { o.samples = append(o.samples, e) }
+func (o *oddAssigner) SubmissionEnded(sample ComparisonSample) { o.samples = append(o.samples, sample) }
 
-const firstCanary = 11 // backends from here on are of the canary
+const firstCanaryBackend = 11 // backends with this ID or a higher one belong to the canary
 
 func newCanaryHarness(route Route, baselineBackends, canaryBackends int) (*harness, *oddAssigner) {
 	h, assigner := newHarness(route, baselineBackends), &oddAssigner{}
@@ -31,30 +31,31 @@
 
 func (h *harness) setCanaryBackends(state control.BackendState, n int) {
 	for i := range n {
-		h.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(firstCanary + i), State: state, Capacity: 4, Service: 2}})
+		h.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(firstCanaryBackend + i), State: state, Capacity: 4, Service: 2}})
 	}
 }
 
 func (h *harness) sentToCanary(what string) bool {
 	h.t.Helper()
 	must.Eq(h.t, control.Submit, h.lastDecision().Action, must.Sprint(what))
-	return h.lastDecision().Backend >= firstCanary
+	return h.lastDecision().Backend >= firstCanaryBackend
 }
 
-// Where a first submission goes, and where a retry: to the baseline, to the new one only from there and where the
-// baseline has nobody; never from baseline to canary. Only first ones are reported.
+// Checks where submissions go. A first submission goes where it is assigned. A retry goes to the baseline version, or to the canary if the request
+// began there and the baseline version has no backend. A request never goes from the baseline version to the canary. Only first submissions are
+// reported to the assigner.
 func TestCanaryRequestsMayRetryAtBaselineButNotTheReverse(t *testing.T) {
 	h, assigner := newCanaryHarness(idempotentRoute, 3, 3)
 	h.t = t
 	h.arrive(1)
-	must.True(t, h.sentToCanary("first, new"))
+	must.True(t, h.sentToCanary("first submission of a canary request"))
 	h.endLastSubmission(control.Errored, false)
-	must.False(t, h.sentToCanary("again, from new"))
+	must.False(t, h.sentToCanary("retry of a canary request"))
 	h.endLastSubmission(control.Succeeded, true)
 	h.arrive(2)
-	must.False(t, h.sentToCanary("first, old"))
+	must.False(t, h.sentToCanary("first submission of a baseline request"))
 	h.endLastSubmission(control.Errored, false)
-	must.False(t, h.sentToCanary("again, from old"))
+	must.False(t, h.sentToCanary("retry of a baseline request"))
 	h.endLastSubmission(control.Succeeded, true)
 	must.SliceLen(t, 2, assigner.samples)
 	must.Eq(t, ComparisonSample{Assignment: Assignment{7, rollout.Canary, true, 1}, Service: 1, Kind: 1, Backend: assigner.samples[0].Backend, Ending: control.Errored,
@@ -63,29 +64,29 @@
 
 	h.setBackends(control.Gone, 1, 3)
 	h.arrive(3)
-	must.True(t, h.sentToCanary("new, with no old"))
+	must.True(t, h.sentToCanary("first submission of a canary request without baseline backends"))
 	h.endLastSubmission(control.Errored, false)
-	must.True(t, h.sentToCanary("again, with no old"))
+	must.True(t, h.sentToCanary("retry of a canary request without baseline backends"))
 	h.endLastSubmission(control.Succeeded, true)
 	h.arrive(4)
 	h.advance(h.now + time.Second)
-	must.Eq(t, control.Reject, h.lastDecision().Action) // old, with no old
+	must.Eq(t, control.Reject, h.lastDecision().Action) // a baseline request is rejected if the baseline version has no backend
 
 	h.setBackends(control.Ready, 1, 1)
 	h.setCanaryBackends(control.Gone, 3)
-	n := len(assigner.samples)
+	samplesBefore := len(assigner.samples)
 	h.arrive(5)
-	must.False(t, h.sentToCanary("new, with no new"))
+	must.False(t, h.sentToCanary("first submission of a canary request without canary backends"))
 	h.endLastSubmission(control.Errored, false)
-	must.SliceLen(t, n, assigner.samples) // that is no finding about the version
+	must.SliceLen(t, samplesBefore, assigner.samples) // nothing is reported, since the canary had no backend
 	must.Eq(t, control.Fail, h.lastDecision().Action)
 }
 
-// At a rollback what waits for the canary goes to the baseline; what was sent there ends as it may, and what did not run
-// goes on at the baseline.
+// Checks that a rollback moves the requests in the canary's queue to the baseline version. Submissions in flight end at the canary. Those that did
+// not run are retried at the baseline version.
 func TestRollbackMovesCanaryRequestsToBaseline(t *testing.T) {
 	h, assigner := newCanaryHarness(effectfulRoute, 5, 1)
-	defer func() { must.SliceLen(t, 1, assigner.samples) }() // the one that was sent there and ended
+	defer func() { must.SliceLen(t, 1, assigner.samples) }() // the submission that ended at the canary
 	h.t = t
 	id := control.TxnID(1)
 	for h.arrive(id); h.lastDecision().Txn == id; h.arrive(id) {
@@ -95,25 +96,25 @@
 	h.SetRollout(1, 2, CanaryClosed)
 	h.takeDecisions()
 	must.Eq(t, id, h.lastDecision().Txn)
-	must.False(t, h.sentToCanary("waited"))
+	must.False(t, h.sentToCanary("request from the canary's queue after a rollback"))
 	h.endLastSubmission(control.Succeeded, true)
-	h.SubmissionEnded(1, 0, firstCanary, control.Rejected, false, 50*time.Millisecond, nil) // it has not run
+	h.SubmissionEnded(1, 0, firstCanaryBackend, control.Rejected, false, 50*time.Millisecond, nil) // the request has not run
 	h.takeDecisions()
 	must.Eq(t, 1, h.lastDecision().Txn)
-	must.False(t, h.sentToCanary("rejected"))
+	must.False(t, h.sentToCanary("request that the canary rejected after a rollback"))
 	h.arrive(101)
-	must.False(t, h.sentToCanary("rolled back"))
+	must.False(t, h.sentToCanary("new request after a rollback"))
 	h.setBackends(control.Gone, 1, 5)
 	h.arrive(103)
 	h.advance(h.now + time.Second)
-	must.Eq(t, control.Reject, h.lastDecision().Action) // not even where there is nobody else
+	must.Eq(t, control.Reject, h.lastDecision().Action) // the closed canary is not used, even if the baseline version has no backend
 	h.SetRollout(1, 2, CanaryFallback)
 	h.setCanaryBackends(control.Ready, 2)
 	h.arrive(105)
-	must.True(t, h.sentToCanary("spare"))
+	must.True(t, h.sentToCanary("new request with the canary as fallback"))
 }
 
-// One that finds the canary short of capacity waits for it, and then goes to the baseline instead of nowhere.
+// Checks that a request which waits in vain for a canary without capacity goes to the baseline version instead of being rejected.
 func TestRequestMovesToBaselineWhenCanaryLacksCapacity(t *testing.T) {
 	h, assigner := newCanaryHarness(idempotentRoute, 3, 1)
 	h.t = t
@@ -123,13 +124,13 @@
 	}
 	h.advance(h.now + 100*time.Millisecond)
 	must.Eq(t, id, h.lastDecision().Txn)
-	must.False(t, h.sentToCanary("no capacity"))
+	must.False(t, h.sentToCanary("request that waited for the canary"))
 	h.endLastSubmission(control.Errored, false)
-	must.SliceEmpty(t, assigner.samples) // it did not end on its own side
+	must.SliceEmpty(t, assigner.samples) // the request did not end at the version that it was assigned to
 }
 
-// Whatever comes in whatever order: nothing of the baseline is sent to the canary, nothing at all while that is closed, and
-// there is one retry budget.
+// Checks under random events that no request of the baseline version is sent to the canary, that a closed canary gets nothing, and that both
+// versions share one retry budget.
 func TestBaselineRequestsNeverReachCanary(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
@@ -151,23 +152,23 @@
 				id++
 				h.arrive(id)
 			default:
-				for i, x := range inFlight {
-					delete(inFlight, i)
+				for txnID, decision := range inFlight {
+					delete(inFlight, txnID)
 					ending := control.Ending(rng.Intn(int(control.NotSent)))
-					h.SubmissionEnded(i, submissions[i]-1, x.Backend, ending, ending == control.Succeeded, 20*time.Millisecond, nil)
+					h.SubmissionEnded(txnID, submissions[txnID]-1, decision.Backend, ending, ending == control.Succeeded, 20*time.Millisecond, nil)
 					break
 				}
 			}
 			h.advance(h.now + 10*time.Millisecond)
-			for _, x := range h.decided {
-				if x.Action != control.Submit {
+			for _, decision := range h.decided {
+				if decision.Action != control.Submit {
 					continue
 				}
-				toCanary := x.Backend >= firstCanary
-				must.False(t, toCanary && (x.Txn%2 == 0 || access == CanaryClosed), must.Sprint(seed, " ", x))
+				toCanary := decision.Backend >= firstCanaryBackend
+				must.False(t, toCanary && (decision.Txn%2 == 0 || access == CanaryClosed), must.Sprint(seed, " ", decision))
 				sent[toCanary]++
-				inFlight[x.Txn] = x
-				submissions[x.Txn]++
+				inFlight[decision.Txn] = decision
+				submissions[decision.Txn]++
 			}
 			h.decided = nil
 		}
--- a/internal/gateway/admission/client_left_test.go
+++ b/internal/gateway/admission/client_left_test.go
@@ -9,7 +9,7 @@
 	"clovergap/control"
 )
 
-// cancellations counts the submissions that are canceled.
+// cancellations returns the number of canceled submissions.
 func (h *harness) cancellations() (n int) {
 	for _, x := range h.decided {
 		if x.Action == control.Cancel {
@@ -19,13 +19,13 @@
 	return n
 }
 
-// An idempotent request is canceled at its backend when its client leaves, whenever that is: before it is sent, while it is
-// out, while it is out a second time, after its backend has been found silent. An effectful one is left to its end. Nothing is
-// sent for a client that has left. Guards against backends that work on for nobody (incident mvk-anadolu 7).
+// Guards against backends that work for clients that have left (incident mvk-anadolu 7). An idempotent request is canceled at its backend when its
+// client leaves: before it is sent, during its first or second submission, or after its backend was found unresponsive. An effectful request is
+// left to end. Nothing is sent for a client that has left.
 func TestClientLeft(t *testing.T) {
-	t.Run("while it is out", clientLeavesWhileInFlight)
-	t.Run("after another try", clientLeavesAfterRetry)
-	t.Run("in the queue", clientLeavesWhileQueued)
+	t.Run("while the first submission is in flight", clientLeavesWhileInFlight)
+	t.Run("during or after a retry", clientLeavesAfterRetry)
+	t.Run("while the request is queued", clientLeavesWhileQueued)
 }
 
 func clientLeavesWhileInFlight(t *testing.T) {
@@ -43,7 +43,7 @@
 				h.SubmissionEnded(1, 0, h.decided[0].Backend, ending, true, 50*time.Millisecond, nil)
 			}
 			decisionsBefore := len(h.decided)
-			h.ClientLeft(1) // called twice
+			h.ClientLeft(1) // a second call has no effect
 			h.advance(h.now + 12*time.Second)
 			must.Len(t, decisionsBefore, h.decided)
 			must.MapEmpty(t, h.txns)
@@ -52,7 +52,7 @@
 	}
 }
 
-// It is canceled once, by its second submission as by its first, and not if that is canceled already.
+// A request is canceled once, also during its second submission, and not again if the submission was canceled before.
 func clientLeavesAfterRetry(t *testing.T) {
 	h := newHarness(idempotentRoute, 2)
 	h.arrive(1)
@@ -68,18 +68,18 @@
 	h = newHarness(idempotentRoute, 2)
 	h.arrive(1)
 	h.arrive(2)
-	for h.cancellations() == 0 && h.now < 40*time.Second { // both are silent
+	for h.cancellations() == 0 && h.now < 40*time.Second { // both backends are unresponsive
 		h.advance(h.now + 100*time.Millisecond)
 	}
 	if n := h.cancellations(); n > 0 {
-		left := h.lastDecision().Txn
-		h.ClientLeft(left)
+		leftTxn := h.lastDecision().Txn
+		h.ClientLeft(leftTxn)
 		h.takeDecisions()
 		must.Eq(t, n, h.cancellations())
 	}
 }
 
-// One that waits for a backend or for units is sent to nobody once its client has left.
+// A request that waits for a backend or for units is not sent once its client has left.
 func clientLeavesWhileQueued(t *testing.T) {
 	h := newHarness(idempotentRoute, 0)
 	h.arrive(1)
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -10,18 +10,18 @@
 	"clovergap/control/quota"
 )
 
-// unlimited is a quota that limits nobody.
+// unlimited returns a quota without limits.
 func unlimited() *quota.Limiter {
 	return quota.NewLimiter(1, 0, 1, 0, quota.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
 		DatagramsPerSecond: 100})
 }
 
-// harness is one controller with a hand-driven host.
+// harness is a controller whose host is played by the test.
 type harness struct {
 	*Controller
-	t       *testing.T // where it is set
+	t       *testing.T // set by tests that use sentToCanary
 	now     time.Duration
-	decided []control.Decision // but wake-ups and lines for the log
+	decided []control.Decision // without wake-ups and log entries
 }
 
 func newHarness(route Route, backends int) *harness { return newSeededHarness(1, route, backends) }
@@ -32,7 +32,7 @@
 	route.Targets = []Target{{1, 1}}
 	h.SetRoute(1, route)
 	h.setBackends(control.Ready, 1, backends)
-	h.advance(30 * time.Second) // tokens have come in
+	h.advance(30 * time.Second) // the retry budget is filled
 	return h
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// advance goes there in steps, as a host does that is woken.
+// advance advances the time in steps of 10 ms, as a host does that wakes the controller.
 func (h *harness) advance(until time.Duration) {
 	for h.now < until {
 		h.now = min(h.now+10*time.Millisecond, until)
@@ -64,7 +64,7 @@
 	h.takeDecisions()
 }
 
-// endLast ends what was sent last.
+// endLastSubmission ends the last submission.
 func (h *harness) endLastSubmission(ending control.Ending, answered bool) {
 	decision := h.lastDecision()
 	h.SubmissionEnded(decision.Txn, h.txns[decision.Txn].submissions-1, decision.Backend, ending, answered, 50*time.Millisecond, nil)
@@ -85,10 +85,10 @@
 			must.Eq(t, noFurtherAnswer, want.answer)
 			must.False(t, want.retryable)
 		} else {
-			must.Eq(t, provesNotRun, want.answer == answerReject) // Reject promises that it has not run
+			must.Eq(t, provesNotRun, want.answer == answerReject) // Reject promises that the request has not run
 			must.Eq(t, provesNotRun || !key.effectful, want.retryable)
 		}
-		// And so does the controller, with the last attempt left and with none.
+		// The controller follows the table, with one attempt left and with none.
 		route := map[bool]Route{false: idempotentRoute, true: effectfulRoute}[key.effectful]
 		for route.MaxAttempts = 1; route.MaxAttempts <= 2; route.MaxAttempts++ {
 			h := newHarness(route, 3)
@@ -115,8 +115,7 @@
 	}
 }
 
-// However many are rejected, what goes out again in any window keeps to the rule, and a new start has
-// nothing.
+// Checks that the retries of any window stay within the bound of the retry budget, whatever the load, and that a new budget is empty.
 func TestRetryBudgetBoundsRetriesInEveryWindow(t *testing.T) {
 	const nodes, window = 4, 10 * time.Second
 	budgets := make([]retryBudget, nodes)
@@ -127,16 +126,16 @@
 	for now := time.Duration(0); now < 120*time.Second; now += 10 * time.Millisecond {
 		for i := range budgets {
 			budgets[i].advance(now, refillShare*64/nodes)
-			if s := int(now.Seconds()); s%40 > 25 || now%(500*time.Millisecond) == 0 { // bursts, and a trickle between them
+			if s := int(now.Seconds()); s%40 > 25 || now%(500*time.Millisecond) == 0 { // bursts, and few requests between them
 				budgets[i].deposit(depositShare * 0.2)
 				firstSubmissions[s]++
 			}
-			for s := int(now.Seconds()); (s%20 > 8) && budgets[i].tryWithdraw(); { // saved up, then all at once
+			for s := int(now.Seconds()); (s%20 > 8) && budgets[i].withdraw(); { // withdrawn at once after some time without retries
 				retries[s]++
 			}
 			if now == 66*time.Second {
 				budgets[i] = retryBudget{window: window, updatedAt: now, slice: int64(now / (window / windowSlices))}
-				must.False(t, budgets[i].tryWithdraw())
+				must.False(t, budgets[i].withdraw())
 			}
 		}
 	}
@@ -152,11 +151,11 @@
 		must.LessEq(t, 0.2*requests+64, sum(retries, s))
 		allRetries += retries[s]
 	}
-	must.Greater(t, 100, allRetries) // and it is of use
+	must.Greater(t, 100, allRetries) // the budget does allow retries
 }
 
-// A storm of rejections ends in rejected requests once the budget is used up, whatever the seed: how many are sent at all before the backends are left alone
-// goes by chance. Every send is counted, also of requests that waited for a backend first.
+// Checks that the retry budget ends a storm of rejections, whatever the seed. The seed determines how many requests are sent before all backends
+// back off. Every submission counts, also those of requests that waited for a backend first.
 func TestRetryBudgetEndsStormOfRejections(t *testing.T) {
 	const seeds = 12
 	sentInAllRuns := 0
@@ -165,15 +164,15 @@
 		sentTxns, retries, examined := map[control.TxnID]bool{}, 0, 0
 		rejectSubmissions := func() {
 			for ; examined < len(h.decided); examined++ {
-				x := h.decided[examined]
-				if x.Action != control.Submit {
+				decision := h.decided[examined]
+				if decision.Action != control.Submit {
 					continue
 				}
-				if sentTxns[x.Txn] {
+				if sentTxns[decision.Txn] {
 					retries++
 				}
-				sentTxns[x.Txn] = true
-				h.SubmissionEnded(x.Txn, h.txns[x.Txn].submissions-1, x.Backend, control.Rejected, false, 50*time.Millisecond, nil)
+				sentTxns[decision.Txn] = true
+				h.SubmissionEnded(decision.Txn, h.txns[decision.Txn].submissions-1, decision.Backend, control.Rejected, false, 50*time.Millisecond, nil)
 				h.takeDecisions()
 			}
 		}
@@ -201,7 +200,7 @@
 	h.advance(start + 1500*time.Millisecond)
 	must.Eq(t, []control.Action{control.Submit, control.Fail, control.Cancel}, h.decidedActions())
 	must.Eq(t, control.ReasonNoTime, h.decided[1].Reason)
-	must.MapLen(t, 1, h.txns) // its end is still to come
+	must.MapLen(t, 1, h.txns) // the submission's end has not been reported yet
 	h.SubmissionEnded(1, 0, 1, control.Canceled, true, 1500*time.Millisecond, nil)
 	must.MapEmpty(t, h.txns)
 }
@@ -213,7 +212,7 @@
 	return all
 }
 
-// After a standstill of the process nothing is sent whose time is over.
+// Checks that requests which expired during a process pause are not sent.
 func TestExpiredRequestsAreNotSentAfterProcessPause(t *testing.T) {
 	h := newHarness(idempotentRoute, 1)
 	h.TxnArrived(control.Txn{ID: 1, Product: 1, Expiry: h.now + 1500*time.Millisecond})
@@ -226,8 +225,8 @@
 	must.Eq(t, h.now, h.pausedUntil)
 }
 
-// What all backends have enough for waits by rank for a bounded time; one that drains gets nothing new, and
-// what is out there goes on.
+// Checks that requests wait in order of priority and for a bounded time while all backends are saturated. A draining backend gets no new requests,
+// and its requests in flight go on.
 func TestQueueIsOrderedByPriorityAndBoundedInTime(t *testing.T) {
 	h := newHarness(idempotentRoute, 1)
 	lowPriorityRoute := idempotentRoute
@@ -240,7 +239,7 @@
 	h.TxnArrived(control.Txn{ID: 100, Product: 2, Expiry: h.now + time.Minute})
 	h.arrive(101)
 	h.decided = h.decided[:1]
-	h.SubmissionEnded(1, 0, 1, control.Succeeded, true, 50*time.Millisecond, nil) // proven now: it gets more
+	h.SubmissionEnded(1, 0, 1, control.Succeeded, true, 50*time.Millisecond, nil) // the backend has answered, so it gets more
 	h.takeDecisions()
 	for i, want := range []control.TxnID{1, id, 101, 100} {
 		must.Eq(t, want, h.decided[i].Txn)
@@ -258,7 +257,7 @@
 	must.MapLen(t, h.services[0].balancer.InFlight(), h.txns)
 }
 
-// A request beyond its quota is rejected at once, with the time after which there is some.
+// Checks that a request beyond its quota is rejected at once, with the time after which units are available.
 func TestRequestBeyondQuotaIsRejectedWithRetryAfter(t *testing.T) {
 	h := newHarness(idempotentRoute, 3)
 	h.limiter.(*quota.Limiter).SetLimit(7, 1, 2)
@@ -272,10 +271,10 @@
 	must.Between(t, 500*time.Millisecond, h.lastDecision().After, 1001*time.Millisecond)
 }
 
-// A backend that owes answers for long, while others answer, is given up by what may run twice.
+// Checks that idempotent requests are canceled at a backend that does not respond while another one does.
 func TestIdempotentRequestIsCanceledAtDeadBackend(t *testing.T) {
 	h := newHarness(idempotentRoute, 2)
-	for id := control.TxnID(1); id <= 60; id++ { // backend 1 is silent
+	for id := control.TxnID(1); id <= 60; id++ { // backend 1 does not respond
 		h.arrive(id)
 		if h.lastDecision().Action == control.Submit && h.lastDecision().Txn == id && h.lastDecision().Backend == 2 {
 			h.advance(h.now + 20*time.Millisecond)
@@ -293,10 +292,10 @@
 
 var _ Limiter = (*quota.Limiter)(nil)
 
-// Numbers come round: a timer of a request that is long gone does nothing to the one that has its number now.
+// Request IDs are reused. Checks that a timer of an earlier request does nothing to a later request with the same ID.
 func TestTimerOfEarlierRequestWithSameIDHasNoEffect(t *testing.T) {
 	h := newHarness(Route{Effectful: true, LatencyTarget: time.Second, MaxAttempts: 1}, 1)
-	h.arrive(7) // expires in 10 s
+	h.arrive(7) // it expires in 10 s
 	h.takeDecisions()
 	h.SubmissionEnded(7, 0, 1, control.Succeeded, true, time.Millisecond, nil)
 	h.advance(h.now + 9*time.Second)
@@ -309,15 +308,14 @@
 	must.Eq(t, control.Fail, h.decided[0].Action)
 }
 
-// Parts of a route get the share of their weights within few requests, over all nodes together and while configurations come and go; a part
-// without backends leaves its share to the others. Guards against shares left to chance, which is off by 0.05 or more in one of twelve
-// times 300 requests.
+// Checks that each target gets the share of its weight within few requests, over all nodes together, even if configurations change. A target without
+// backends leaves its share to the others. Guards against a random choice, which is off by 0.05 or more in one of twelve runs of 300 requests.
 func TestTargetsGetTheirShareOfWeights(t *testing.T) {
 	const nodes, requestsPerNode = 12, 25
 	for _, weights := range [][]int{{50, 50}, {90, 10}, {1, 2, 3}, {97, 3}} {
-		sum, requests := 0, map[control.ServiceID]int{}
+		weightSum, requests := 0, map[control.ServiceID]int{}
 		for _, w := range weights {
-			sum += w
+			weightSum += w
 		}
 		for n := range nodes {
 			controller := New(int64(n), Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, Nodes: nodes}, unlimited(), 0)
@@ -336,7 +334,7 @@
 		}
 		for i, w := range weights {
 			share := float64(requests[control.ServiceID(i+1)]) / (nodes * requestsPerNode)
-			must.Between(t, float64(w)/float64(sum)-0.02, share, float64(w)/float64(sum)+0.02, must.Sprint(weights, requests))
+			must.Between(t, float64(w)/float64(weightSum)-0.02, share, float64(w)/float64(weightSum)+0.02, must.Sprint(weights, requests))
 		}
 	}
 	controller := New(1, Config{Nodes: 1}, unlimited(), 0)
--- a/internal/gateway/admission/recorded_test.go
+++ b/internal/gateway/admission/recorded_test.go
@@ -14,14 +14,14 @@
 	"clovergap/control/quota"
 )
 
-// playRecorded plays three nodes, two services of which one has a second version, backends that come, go, fail and are
-// silent, and gives the digest of all decisions. Lines for the log are left out.
+// simulateAndDigest simulates three nodes and two services, one of which has a canary, with backends that are added, removed, fail and do not
+// respond. It returns the number and a digest of all decisions, without log entries.
 func simulateAndDigest(seed int64, load float64) string {
 	type event struct {
 		at       time.Duration
 		node     int
 		decision control.Decision
-		nr       int
+		attempt  int
 		sent     time.Duration
 	}
 	const nodes, backends = 3, 18
@@ -51,12 +51,12 @@
 			controller.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Ready)})
 		}
 	}
-	paused := func(step int) bool { return step%1500 > 1420 } // the second one, now and then
+	paused := func(step int) bool { return step%1500 > 1420 } // node 1 is paused at times
 	submissions := map[[2]int]int{}
 	answered := map[[2]int]bool{}
 	inFlight := [backends + 1]int{}
 	var events []event
-	var next control.TxnID
+	var lastTxn control.TxnID
 	for step := 0; now < 60*time.Second; step++ {
 		now += 5 * time.Millisecond
 		switch step % 2000 {
@@ -94,10 +94,10 @@
 			case control.SendDatagram:
 				controllers[decision.Peer].DatagramReceived(control.GatewayID(e.node), decision.Payload)
 			case control.Cancel:
-				// Taken at once below.
+				// handled when it is decided, see below
 			case control.Submit:
-				if e.nr != submissions[key]-1 {
-					continue // canceled meanwhile
+				if e.attempt != submissions[key]-1 {
+					continue // canceled in the meantime
 				}
 				inFlight[decision.Backend]--
 				ending, took := control.Succeeded, now-e.sent
@@ -116,7 +116,7 @@
 					ending = control.ConnectionLost
 				}
 				hasAnswer := ending == control.Succeeded || answered[key]
-				controller.SubmissionEnded(decision.Txn, e.nr, decision.Backend, ending, hasAnswer, took, nil)
+				controller.SubmissionEnded(decision.Txn, e.attempt, decision.Backend, ending, hasAnswer, took, nil)
 			}
 		}
 		events = remaining
@@ -126,12 +126,12 @@
 			}
 			controller.Now(now)
 			for rng.Float64() < load {
-				next++
-				controller.TxnArrived(control.Txn{ID: next, Customer: control.CustomerID(rng.Intn(7)), Product: control.ProductID(1 + rng.Intn(3)),
+				lastTxn++
+				controller.TxnArrived(control.Txn{ID: lastTxn, Customer: control.CustomerID(rng.Intn(7)), Product: control.ProductID(1 + rng.Intn(3)),
 					Plan: control.PlanID(rng.Intn(3)), Units: 1, Expiry: now + time.Duration(500+rng.Intn(1500))*time.Millisecond, Retry: rng.Intn(6) == 0})
 			}
-			if rng.Intn(100) == 0 && next > 0 {
-				controller.ClientLeft(next)
+			if rng.Intn(100) == 0 && lastTxn > 0 {
+				controller.ClientLeft(lastTxn)
 			}
 			for decision, ok := controller.Next(); ok; decision, ok = controller.Next() {
 				if decision.Action == control.Log {
@@ -156,9 +156,9 @@
 					events = append(events, event{now + min(took, decision.After+time.Millisecond), i, decision, submissions[key], now})
 					submissions[key]++
 				case control.Cancel:
-					submissions[key]++ // what is queued for it is void
+					submissions[key]++ // events of the canceled submission are void
 					for j, e := range events {
-						if e.node == i && e.decision.Txn == decision.Txn && e.decision.Action == control.Submit && e.nr == decision.Attempt {
+						if e.node == i && e.decision.Txn == decision.Txn && e.decision.Action == control.Submit && e.attempt == decision.Attempt {
 							inFlight[e.decision.Backend]--
 							events = append(events[:j:j], events[j+1:]...)
 							controller.SubmissionEnded(decision.Txn, decision.Attempt, e.decision.Backend, control.Canceled, answered[key], now-e.sent, nil)
@@ -182,8 +182,8 @@
 	return fmt.Sprintf("%d %016x", count, digest.Sum64())
 }
 
-// What was decided on 2 December 2026, draw by draw: a change of the code's shape may not change it. One that is meant to
-// change decisions records them anew.
+// Guards against a refactoring that changes decisions: they must be those recorded on 2 December 2026, down to each random number. A change that is
+// meant to change decisions records new digests.
 func TestDecisionsMatchRecordedDigest(t *testing.T) {
 	for _, tc := range []struct {
 		name string
--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -11,7 +11,8 @@
 	"clovergap/internal/timerqueue"
 )
 
-// job is a request at a backend; or, among the events, any event.
+// job is a request at a backend, or any other event of the simulation. Its kind is arrival (a client's request), arrive (a submission reaches its
+// backend), done (the backend has processed it), settled, full or cut (the node learns that it succeeded, was rejected or timed out), or wake.
 type job struct {
 	kind    string
 	node    int
@@ -21,18 +22,18 @@
 	sentAt  time.Duration
 }
 
-// server works on so many at a time and queues as many more.
+// server processes as many requests at a time as it has slots, and queues as many more.
 type server struct {
 	speed        float64
 	slots        int
 	zone         control.ZoneID
 	busy         int
 	queue        []job
-	busyTime     time.Duration // done
+	busyTime     time.Duration // total duration of the requests that were started
 	unresponsive bool
 }
 
-// simulated is a few controllers before queueing servers, in simulated time.
+// simulation runs several controllers against queueing servers in simulated time.
 type simulation struct {
 	now                                                                             time.Duration
 	rng                                                                             *rand.Rand
@@ -41,9 +42,9 @@
 	events                                                                          timerqueue.Queue[job]
 	route                                                                           Route
 	meanServiceTime                                                                 time.Duration
-	rate                                                                            []float64 // a second, by controller
+	arrivalRates                                                                    []float64 // requests per second, by controller
 	arrivedAt                                                                       map[[2]int]time.Duration
-	next                                                                            control.TxnID
+	lastTxn                                                                         control.TxnID
 	routeOf                                                                         map[control.TxnID]control.ProductID
 	requested, served                                                               map[control.ProductID]int
 	arrived, inTarget, late, rejected, failed, crossZone, firstSubmissions, retries int
@@ -70,7 +71,7 @@
 		controller.SetRoute(1, sim.route)
 		controller.EndpointsChanged(true, list)
 		sim.controllers = append(sim.controllers, controller)
-		sim.rate = append(sim.rate, rate/float64(nodes)*(0.6+0.8*sim.rng.Float64()))
+		sim.arrivalRates = append(sim.arrivalRates, rate/float64(nodes)*(0.6+0.8*sim.rng.Float64()))
 		sim.events.Add(0, job{kind: "arrival", node: i})
 	}
 	return sim
@@ -82,7 +83,7 @@
 	return time.Duration(s.rng.ExpFloat64() * float64(mean))
 }
 
-// run plays until a time.
+// run processes the events until a time.
 func (s *simulation) run(until time.Duration) {
 	for {
 		at, _ := s.events.Next()
@@ -104,24 +105,24 @@
 	controller.Now(s.now)
 	switch j.kind {
 	case "arrival":
-		rate, kind := s.rate[j.node], control.ProductID(max(j.attempt, 1)) // nr: of a route added later
+		rate, kind := s.arrivalRates[j.node], control.ProductID(max(j.attempt, 1)) // attempt holds the product ID of a route that was added later
 		if kind > 1 {
 			rate *= addedRouteShare
 		}
 		s.after(s.randomTime(time.Duration(float64(time.Second)/rate)), j)
-		s.next++
-		s.routeOf[s.next] = kind
+		s.lastTxn++
+		s.routeOf[s.lastTxn] = kind
 		s.requested[kind]++
 		s.arrived++
-		s.arrivedAt[[2]int{j.node, int(s.next)}] = s.now
-		controller.TxnArrived(control.Txn{ID: s.next, Product: kind, Units: 1, Expiry: s.now + s.route.Deadline})
+		s.arrivedAt[[2]int{j.node, int(s.lastTxn)}] = s.now
+		controller.TxnArrived(control.Txn{ID: s.lastTxn, Product: kind, Units: 1, Expiry: s.now + s.route.Deadline})
 	case "settled", "full", "cut":
 		ending := map[string]control.Ending{"settled": control.Succeeded, "full": control.Rejected,
 			"cut": control.TimedOut}[j.kind]
 		key := [2]int{j.node, int(j.txn)}
 		arrivedAt, waiting := s.arrivedAt[key]
 		if t := controller.txns[j.txn]; t == nil || !t.inFlight || t.submissions-1 != j.attempt {
-			break // it has ended otherwise
+			break // the submission has ended otherwise
 		}
 		if waiting && ending == control.Succeeded {
 			delete(s.arrivedAt, key)
@@ -207,30 +208,30 @@
 	s.after(d, j)
 }
 
-// Fast backends are used a little more than slow ones, but none is crowded; few requests leave their zone, and what is beyond what all
-// can do is refused without taking away from the rest.
+// Checks that fast backends are used a little more than slow ones without being overloaded, that few requests leave their zone, and that load beyond
+// the capacity is rejected without harm to the other requests.
 func TestLoadIsBalancedWithinZonesAndExcessIsRejected(t *testing.T) {
 	sim := newSimulation(1, 12, 13, 4, 330, false)
 	sim.run(40 * time.Second)
 	for zone := range control.ZoneID(3) {
-		least, most := 1.0, 0.0
+		lowestUse, highestUse := 1.0, 0.0
 		for _, s := range sim.servers {
-			if used := s.busyTime.Seconds() / sim.now.Seconds() / float64(s.slots); s.zone == zone {
-				least, most = min(least, used), max(most, used)
+			if use := s.busyTime.Seconds() / sim.now.Seconds() / float64(s.slots); s.zone == zone {
+				lowestUse, highestUse = min(lowestUse, use), max(highestUse, use)
 			}
 		}
-		must.Less(t, 1.35, most/least) // speeds are 0.6 to 1.4, shares go by their 1.6th power
+		must.Less(t, 1.35, highestUse/lowestUse) // speeds are 0.6 to 1.4, shares are their 1.6th power
 	}
 	must.Greater(t, 0.93, sim.share(sim.inTarget))
 	must.Less(t, 0.06, sim.share(sim.crossZone))
 
-	sim = newSimulation(1, 12, 13, 4, 650, false) // half as much again as all can do
+	sim = newSimulation(1, 12, 13, 4, 650, false) // 1.5 times the capacity of all backends
 	sim.run(40 * time.Second)
 	must.Greater(t, 0.55, sim.share(sim.inTarget))
 	must.LessEq(t, 0.2*float64(sim.firstSubmissions)+64, float64(sim.retries))
 }
 
-// Two backends that are silent cost little: others take over, those are tried with few.
+// Checks that two unresponsive backends cost few requests: the other backends take over, and few requests probe the two.
 func TestTwoUnresponsiveBackendsCostFewRequests(t *testing.T) {
 	for _, effectful := range []bool{false, true} {
 		sim := newSimulation(1, 12, 13, 4, 217, effectful)
@@ -245,11 +246,11 @@
 
 func (s *simulation) share(n int) float64 { return float64(n) / float64(s.arrived) }
 
-// addedShare of a node's requests, beside these, go by each route that was added later.
+// addedRouteShare is the request rate of each route that was added later, as a share of the node's rate of the first route.
 const addedRouteShare = 0.1
 
-// A route that is added later is served as often as the first ones, from its first second on: on the service that there is, and on
-// one that just appeared, whose backends are slow from their start and of which no node has learnt anything yet.
+// Checks that a route that is added later is served as often as the first one from its first second on. One such route uses the existing service,
+// another a new one, whose backends are slow at first and of which no node has learnt anything yet.
 func TestAddedRoutesAreServed(t *testing.T) {
 	for _, nodes := range []int{3, 12} {
 		sim := newSimulation(2, nodes, 13, 4, 200, false)
@@ -260,9 +261,9 @@
 		for i, controller := range sim.controllers {
 			controller.Now(sim.now)
 			controller.SetRoute(2, sim.route)
-			onNew := sim.route
-			onNew.Targets = []Target{{2, 1}}
-			controller.SetRoute(3, onNew)
+			newServiceRoute := sim.route
+			newServiceRoute.Targets = []Target{{2, 1}}
+			controller.SetRoute(3, newServiceRoute)
 			for b := range 3 {
 				controller.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(14 + b), Zone: control.ZoneID(b), State: control.Ready, Capacity: 4,
 					Service: 2, WarmingUntil: sim.now + 3*time.Second}})
@@ -273,11 +274,11 @@
 		}
 		sim.requested, sim.served = map[control.ProductID]int{}, map[control.ProductID]int{}
 		sim.run(25 * time.Second)
-		first := float64(sim.served[1]) / float64(sim.requested[1])
-		must.Greater(t, 0.9, first)
+		firstRouteShare := float64(sim.served[1]) / float64(sim.requested[1])
+		must.Greater(t, 0.9, firstRouteShare)
 		for kind := control.ProductID(2); kind <= 3; kind++ {
 			must.Greater(t, 40, sim.requested[kind])
-			must.Greater(t, 0.8*first, float64(sim.served[kind])/float64(sim.requested[kind]), must.Sprintf("%d nodes, kind %d", nodes, kind))
+			must.Greater(t, 0.8*firstRouteShare, float64(sim.served[kind])/float64(sim.requested[kind]), must.Sprintf("%d nodes, kind %d", nodes, kind))
 		}
 	}
 }
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -181,7 +181,7 @@
 	switch {
 	case t.submissions == 0:
 		s.budget.deposit(depositShare * c.config.RetryRatio)
-	case t.attempts > 0 && !s.budget.tryWithdraw():
+	case t.attempts > 0 && !s.budget.withdraw():
 		c.finish(t, control.ReasonNoBackend, c.retryAfter(s))
 		return
 	}
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -10,12 +10,12 @@
 	"clovergap/control"
 )
 
-// fixture is a balancer with backends 1 to 6, 1 to 3 of them in this zone, that answer in their own time.
+// fixture is a balancer with backends 1 to 6, of which 1 to 3 are in its zone, and the response times and endings of the backends.
 type fixture struct {
 	*Balancer
 	now           time.Duration
 	chosen        map[control.BackendID]int
-	responseTimes map[control.BackendID]time.Duration // not 100 ms
+	responseTimes map[control.BackendID]time.Duration // 100 ms if not set
 	endings       map[control.BackendID]control.Ending
 }
 
@@ -33,7 +33,7 @@
 	return control.Endpoint{ID: id, Zone: control.ZoneID((id - 1) / 3), State: state, Capacity: 4}
 }
 
-// play sends so many, one each 20 ms, each ended before the next: what each backend has out is no guide here.
+// sendRequests sends n requests, one every 20 ms. Each ends before the next one is sent, so the numbers in flight do not influence the choice.
 func (f *fixture) sendRequests(n int, request Request) {
 	clear(f.chosen)
 	for range n {
@@ -52,113 +52,114 @@
 	}
 }
 
-func (f *fixture) inOtherZone() int { return f.chosen[4] + f.chosen[5] + f.chosen[6] }
+func (f *fixture) requestsToOtherZone() int { return f.chosen[4] + f.chosen[5] + f.chosen[6] }
 
 func TestRequestsLeaveZoneOnlyIfItIsLateOrFailing(t *testing.T) {
-	s := newFixture(1)
-	s.sendRequests(300, Request{})
-	must.Zero(t, s.inOtherZone())
-	// Somewhat slower is no reason to leave, late is.
+	f := newFixture(1)
+	f.sendRequests(300, Request{})
+	must.Zero(t, f.requestsToOtherZone())
+	// Somewhat slower responses in this zone are no reason to leave it, but late ones are.
 	for i := range 3 {
-		s.responseTimes[control.BackendID(i+1)] = 200 * time.Millisecond
+		f.responseTimes[control.BackendID(i+1)] = 200 * time.Millisecond
 	}
-	s.sendRequests(300, Request{})
-	must.Zero(t, s.inOtherZone())
+	f.sendRequests(300, Request{})
+	must.Zero(t, f.requestsToOtherZone())
 	for i := range 3 {
-		s.responseTimes[control.BackendID(i+1)] = 500 * time.Millisecond
+		f.responseTimes[control.BackendID(i+1)] = 500 * time.Millisecond
 	}
-	s.sendRequests(300, Request{})
-	must.Greater(t, 50, s.inOtherZone())
-	// And so is a zone that rejects all, or fails. When it is well again, they come back.
-	for _, e := range []control.Ending{control.Rejected, control.Unreachable} {
-		s = newFixture(1)
-		s.endings[1], s.endings[2], s.endings[3] = e, e, e
-		s.sendRequests(300, Request{})
-		must.Greater(t, 200, s.inOtherZone())
-		clear(s.endings)
-		s.sendRequests(600, Request{})
-		s.sendRequests(100, Request{})
-		must.Less(t, 10, s.inOtherZone())
+	f.sendRequests(300, Request{})
+	must.Greater(t, 50, f.requestsToOtherZone())
+	// A zone whose backends all reject requests or fail is left as well. Requests return once it has recovered.
+	for _, ending := range []control.Ending{control.Rejected, control.Unreachable} {
+		f = newFixture(1)
+		f.endings[1], f.endings[2], f.endings[3] = ending, ending, ending
+		f.sendRequests(300, Request{})
+		must.Greater(t, 200, f.requestsToOtherZone())
+		clear(f.endings)
+		f.sendRequests(600, Request{})
+		f.sendRequests(100, Request{})
+		must.Less(t, 10, f.requestsToOtherZone())
 	}
 }
 
-// Requests go by a power of the speed, so that fewer come late by a slow backend alone, and nodes of one age and knowledge don't move in step.
+// Checks that shares follow a power of the speed, which keeps responses of slow backends from being late, and that nodes with the same view do not
+// choose in step.
 func TestSharesFollowPowerOfSpeed(t *testing.T) {
-	first := map[control.BackendID]int{}
+	firstChosen := map[control.BackendID]int{}
 	for seed := range int64(12) {
-		s := newFixture(seed)
-		id, _ := s.Pick(s.now, Request{})
-		first[id]++
-		s.responseTimes[1], s.responseTimes[2], s.responseTimes[3] = 60*time.Millisecond, 100*time.Millisecond, 140*time.Millisecond
-		s.sendRequests(600, Request{})
-		s.sendRequests(600, Request{})
-		must.Between(t, 1.9, float64(s.chosen[1])/float64(s.chosen[2]), 2.7) // (100/60)^1.6 is 2.26
-		must.Between(t, 1.5, float64(s.chosen[2])/float64(s.chosen[3]), 2.1)
+		f := newFixture(seed)
+		id, _ := f.Pick(f.now, Request{})
+		firstChosen[id]++
+		f.responseTimes[1], f.responseTimes[2], f.responseTimes[3] = 60*time.Millisecond, 100*time.Millisecond, 140*time.Millisecond
+		f.sendRequests(600, Request{})
+		f.sendRequests(600, Request{})
+		must.Between(t, 1.9, float64(f.chosen[1])/float64(f.chosen[2]), 2.7) // (100/60)^1.6 is 2.26
+		must.Between(t, 1.5, float64(f.chosen[2])/float64(f.chosen[3]), 2.1)
 	}
-	must.MapLen(t, 3, first)
+	must.MapLen(t, 3, firstChosen)
 }
 
 func TestFailingBackendIsEjectedUnlessAllFail(t *testing.T) {
-	s := newFixture(1)
-	s.sendRequests(60, Request{})
-	s.endings[2] = control.ConnectionLost
-	s.sendRequests(300, Request{}) // six seconds
-	must.Between(t, 2, s.chosen[2], 15)
-	s.sendRequests(300, Request{Effectful: true})
-	must.Less(t, 3, s.chosen[2])
-	delete(s.endings, 2)
-	s.sendRequests(600, Request{})
-	s.sendRequests(300, Request{})
-	must.Greater(t, 60, s.chosen[2])
-	// Where all fail alike, all are still tried.
+	f := newFixture(1)
+	f.sendRequests(60, Request{})
+	f.endings[2] = control.ConnectionLost
+	f.sendRequests(300, Request{}) // six seconds
+	must.Between(t, 2, f.chosen[2], 15)
+	f.sendRequests(300, Request{Effectful: true})
+	must.Less(t, 3, f.chosen[2])
+	delete(f.endings, 2)
+	f.sendRequests(600, Request{})
+	f.sendRequests(300, Request{})
+	must.Greater(t, 60, f.chosen[2])
+	// If all backends fail alike, all are still used.
 	for i := range 6 {
-		s.endings[control.BackendID(i+1)] = control.Errored
+		f.endings[control.BackendID(i+1)] = control.Errored
 	}
-	s.sendRequests(300, Request{})
-	must.MapLen(t, 6, s.chosen)
-	for _, n := range s.chosen {
+	f.sendRequests(300, Request{})
+	must.MapLen(t, 6, f.chosen)
+	for _, n := range f.chosen {
 		must.Greater(t, 5, n)
 	}
 }
 
 func TestWarmingUpBackendGetsReducedShareAndDrainingNone(t *testing.T) {
-	s := newFixture(1)
-	cold := s.endpoint(7, control.Ready)
-	cold.Zone, cold.WarmingUntil = 0, s.now+6*time.Second
-	s.SetEndpoint(s.now, cold)
-	s.SetEndpoint(s.now, s.endpoint(1, control.Draining))
-	s.sendRequests(300, Request{})
-	must.Between(t, 10, s.chosen[7], 50)
-	must.Zero(t, s.chosen[1])
-	s.sendRequests(200, Request{})
-	s.sendRequests(300, Request{})
-	must.Greater(t, 85, s.chosen[7])
+	f := newFixture(1)
+	warmingUp := f.endpoint(7, control.Ready)
+	warmingUp.Zone, warmingUp.WarmingUntil = 0, f.now+6*time.Second
+	f.SetEndpoint(f.now, warmingUp)
+	f.SetEndpoint(f.now, f.endpoint(1, control.Draining))
+	f.sendRequests(300, Request{})
+	must.Between(t, 10, f.chosen[7], 50)
+	must.Zero(t, f.chosen[1])
+	f.sendRequests(200, Request{})
+	f.sendRequests(300, Request{})
+	must.Greater(t, 85, f.chosen[7])
 }
 
-// One that owes answers for long gets few, and is dead once others have answered.
+// Checks that a backend with unanswered requests gets few requests, and is dead once other backends have responded.
 func TestUnresponsiveBackendIsAvoidedAndDeclaredDead(t *testing.T) {
-	s := newFixture(1)
-	s.sendRequests(100, Request{})
+	f := newFixture(1)
+	f.sendRequests(100, Request{})
 	for range 2 {
-		s.Sent(s.now, 1, Request{})
+		f.Sent(f.now, 1, Request{})
 	}
-	s.now += 250 * time.Millisecond
-	must.False(t, s.Dead(s.now, 1))
-	s.now += 200 * time.Millisecond
-	must.False(t, s.Dead(s.now, 1)) // nobody else was asked
-	s.sendRequests(5, Request{Attempted: []control.BackendID{1}})
-	must.True(t, s.Dead(s.now, 1))
+	f.now += 250 * time.Millisecond
+	must.False(t, f.Dead(f.now, 1))
+	f.now += 200 * time.Millisecond
+	must.False(t, f.Dead(f.now, 1)) // no other backend has been asked since
+	f.sendRequests(5, Request{Attempted: []control.BackendID{1}})
+	must.True(t, f.Dead(f.now, 1))
 	for range 10 {
-		id, _ := s.Pick(s.now, Request{})
+		id, _ := f.Pick(f.now, Request{})
 		must.NotEq(t, 1, id)
 	}
-	s.Resumed(s.now) // unless the silence was this node's own
-	must.False(t, s.Dead(s.now, 1))
+	f.Resumed(f.now) // the process was paused, so the backend is not at fault
+	must.False(t, f.Dead(f.now, 1))
 }
 
-// Without a subset a node of a large fleet sent to each backend once in a while: it learnt nothing of them and opened a connection
-// for two requests of three. Subsets are spread evenly without a message, most goes there, and what they have no capacity for,
-// or all when they are gone, goes to the others.
+// Guards against a node of a large fleet that sends to each backend too rarely: it learnt nothing of them and opened a connection for two of three
+// requests. Subsets are evenly distributed without messages between nodes, and get most requests. Requests for which the subset has no capacity,
+// or all requests if its backends are gone, go to the other backends.
 func TestSubsetsAreEvenAndFallBackToOtherBackends(t *testing.T) {
 	const nodes, backends = 24, 56
 	nodesOf := map[control.BackendID]int{}
@@ -168,40 +169,40 @@
 		for i := range backends {
 			balancer.SetEndpoint(0, control.Endpoint{ID: control.BackendID(i + 1), Capacity: 4, State: control.Ready})
 		}
-		s := &fixture{Balancer: balancer, now: time.Second, chosen: map[control.BackendID]int{}}
-		s.sendRequests(300, Request{}) // its rate is known
+		f := &fixture{Balancer: balancer, now: time.Second, chosen: map[control.BackendID]int{}}
+		f.sendRequests(300, Request{}) // establishes the request rate
 		inSubset := map[control.BackendID]bool{}
 		for _, b := range balancer.ordered {
 			if inSubset[b.ID] = !b.outsideSubset; !b.outsideSubset {
 				nodesOf[b.ID]++
 			}
 		}
-		s.sendRequests(400, Request{})
+		f.sendRequests(400, Request{})
 		toSubset := 0
-		for id, n := range s.chosen {
+		for id, n := range f.chosen {
 			if inSubset[id] {
 				toSubset += n
 			}
 		}
 		must.Between(t, 330, toSubset, 399)
 		var sentTo []control.BackendID
-		for range 24 { // none of them ends
-			id, result := s.Pick(s.now, Request{})
+		for range 24 { // none of them ends meanwhile
+			id, result := f.Pick(f.now, Request{})
 			must.Eq(t, Chosen, result)
-			s.Sent(s.now, id, Request{})
+			f.Sent(f.now, id, Request{})
 			sentTo = append(sentTo, id)
 		}
 		for _, id := range sentTo {
-			s.Ended(s.now, id, Outcome{Took: 100 * time.Millisecond, LatencyTarget: 400 * time.Millisecond})
+			f.Ended(f.now, id, Outcome{Took: 100 * time.Millisecond, LatencyTarget: 400 * time.Millisecond})
 		}
 		for id := range inSubset {
 			if inSubset[id] {
-				s.SetEndpoint(s.now, control.Endpoint{ID: id, State: control.Gone})
+				f.SetEndpoint(f.now, control.Endpoint{ID: id, State: control.Gone})
 			}
 		}
-		s.sendRequests(50, Request{})
+		f.sendRequests(50, Request{})
 		total := 0
-		for _, n := range s.chosen {
+		for _, n := range f.chosen {
 			total += n
 		}
 		must.Eq(t, 50, total)
@@ -212,9 +213,10 @@
 	must.MapLen(t, backends, nodesOf)
 }
 
-// A node of a very large fleet sends little: it has a small subset then, to each backend of which it sends before the connection would have been closed
-// as idle, and more as soon as it sends more. Guards against a subset of twelve for three requests a second, where nearly each of the first
-// requests opened a connection. All backends have about as many nodes at any rate, and small subsets leave the others a little.
+// Guards against a subset that is too large for the request rate: with twelve backends for three requests per second, nearly each of the first
+// requests opened a connection. A node of a very large fleet with few requests has a small subset, so that it sends to each backend before the idle
+// connection is closed. The subset grows as soon as the rate does. At any rate all backends are in the subsets of about as many nodes, and the
+// backends outside a small subset get a few requests.
 func TestSubsetSizeFollowsRequestRate(t *testing.T) {
 	const nodes, backends = 50, 42
 	nodesOf := map[control.BackendID]int{}
@@ -224,7 +226,7 @@
 		for i := range backends {
 			balancer.SetEndpoint(0, control.Endpoint{ID: control.BackendID(i + 1), Capacity: 4, State: control.Ready})
 		}
-		s := &fixture{Balancer: balancer, now: time.Second, chosen: map[control.BackendID]int{}}
+		f := &fixture{Balancer: balancer, now: time.Second, chosen: map[control.BackendID]int{}}
 		subsetSize := func() (n int) {
 			for _, b := range balancer.ordered {
 				if !b.outsideSubset {
@@ -234,28 +236,28 @@
 			return n
 		}
 		must.Eq(t, minSubset, subsetSize())
-		sendEvery := func(n int, gap time.Duration) (nodesOf int) {
-			s.sendRequests(0, Request{})
+		sendEvery := func(n int, gap time.Duration) (toSubset int) {
+			f.sendRequests(0, Request{})
 			for range n {
-				s.now += gap - 20*time.Millisecond
-				before := s.chosen
-				s.chosen = map[control.BackendID]int{}
-				s.sendRequests(1, Request{})
-				for id := range s.chosen {
+				f.now += gap - 20*time.Millisecond
+				before := f.chosen
+				f.chosen = map[control.BackendID]int{}
+				f.sendRequests(1, Request{})
+				for id := range f.chosen {
 					if !balancer.known[id].outsideSubset {
-						nodesOf++
+						toSubset++
 					}
 					before[id]++
 				}
-				s.chosen = before
+				f.chosen = before
 			}
-			return nodesOf
+			return toSubset
 		}
 		sendEvery(60, 300*time.Millisecond)
 		must.Between(t, 6, subsetSize(), 8)
 		toSubset := sendEvery(200, 300*time.Millisecond)
 		must.Between(t, 180, toSubset, 199)
-		must.Greater(t, 12, len(s.chosen)) // of 42, in a minute
+		must.Greater(t, 12, len(f.chosen)) // of 42, in a minute
 		for _, b := range balancer.ordered {
 			if !b.outsideSubset {
 				nodesOf[b.ID]++
@@ -276,22 +278,22 @@
 	must.MapLen(t, backends, nodesOf)
 }
 
-// A backend that is silent is ejected although every client leaves it before its time is up; one whose clients leave soon is not. Guards
-// against learning nothing of a backend whose requests are canceled.
+// Guards against learning nothing of a backend whose requests are canceled. An unresponsive backend is ejected although all its clients leave before
+// the deadline. A backend whose clients leave soon is not ejected.
 func TestUnresponsiveBackendIsEjectedWhenClientsLeaveFirst(t *testing.T) {
 	for _, leavesAfter := range []time.Duration{150 * time.Millisecond, 500 * time.Millisecond} {
-		s := newFixture(1)
-		s.sendRequests(100, Request{})
+		f := newFixture(1)
+		f.sendRequests(100, Request{})
 		for range 8 {
-			s.Sent(s.now, 1, Request{})
-			s.now += leavesAfter
-			s.Ended(s.now, 1, Outcome{Ending: control.Canceled, Took: leavesAfter, LatencyTarget: 400 * time.Millisecond, ClientLeft: true})
+			f.Sent(f.now, 1, Request{})
+			f.now += leavesAfter
+			f.Ended(f.now, 1, Outcome{Ending: control.Canceled, Took: leavesAfter, LatencyTarget: 400 * time.Millisecond, ClientLeft: true})
 		}
-		s.sendRequests(60, Request{})
+		f.sendRequests(60, Request{})
 		if leavesAfter > 4*100*time.Millisecond {
-			must.Zero(t, s.chosen[1])
+			must.Zero(t, f.chosen[1])
 		} else {
-			must.Positive(t, s.chosen[1])
+			must.Positive(t, f.chosen[1])
 		}
 	}
 }
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -21,8 +21,8 @@
 	if backend.unanswered == 0 {
 		backend.unansweredSince, backend.expectedLatency = now, 0
 	}
-	if usual, ok := b.TypicalLatency(r.Kind); ok {
-		backend.expectedLatency = max(backend.expectedLatency, usual)
+	if typical, ok := b.TypicalLatency(r.Kind); ok {
+		backend.expectedLatency = max(backend.expectedLatency, typical)
 	}
 	if backend.unanswered == 1 {
 		backend.secondUnansweredAt = now
