--- a/internal/gateway/admission/canary.go
+++ b/internal/gateway/admission/canary.go
@@ -117,8 +117,7 @@
 }
 
 // fallBackToBaseline moves a first submission whose wait in a canary's queue has ended to the baseline version. There it is sent at once or
-// rejected. So a canary that is short of capacity does not cost requests that the baseline version can serve. It returns false if the request
-// cannot be moved.
+// rejected. The canary may be short of capacity, but the baseline version is not expected to be. It returns false if the request cannot be moved.
 func (c *Controller) fallBackToBaseline(t *txn) bool {
 	baseline := t.service.baseline
 	if baseline == nil || t.submissions > 0 || baseline.balancer.Ready() == 0 {
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -20,7 +20,7 @@
 	rank      [2]int        // its tenant's and its route's priority; 0 is highest
 
 	service       *service // service that it goes to; nil until chosen
-	versionChosen bool     // if the service has two versions
+	versionChosen bool     // a version was chosen, where the service has two
 	assignment    Assignment
 
 	// Waiting.
@@ -55,7 +55,7 @@
 	return balancer.Request{Kind: t.Product, Effectful: t.route.Effectful, Attempted: t.attempted}
 }
 
-// mayRunAgain reports whether the request may be sent again without running twice against its route's rules.
+// mayRunAgain reports whether the request may be sent again, since it has not run or is idempotent.
 func (t *txn) mayRunAgain() bool { return !t.mayHaveRun || !t.route.Effectful }
 
 // mayUseVersion reports whether the request may be sent to the version that it is counted at. It is checked again before each submission.
@@ -139,7 +139,7 @@
 	return true
 }
 
-// typicalLatency returns the typical latency of a request.
+// typicalLatency returns the typical latency of a request, or a part of its latency target while none is known.
 func (c *Controller) typicalLatency(t *txn) time.Duration {
 	if t.service != nil {
 		if typical, ok := t.service.balancer.TypicalLatency(t.Product); ok {
@@ -217,8 +217,8 @@
 	}
 }
 
-// SubmissionEnded receives the outcome of a submission, exactly once. Attempts count from 0. answered means that the client has an answer or a
-// part of it, or has left.
+// SubmissionEnded records the one outcome of a submission. attempt is the number of the submission, from 0. A call for any other submission than
+// the one in flight is ignored. answered means that the client has an answer or a part of it, or has left.
 func (c *Controller) SubmissionEnded(id control.TxnID, attempt int, backend control.BackendID, ending control.Ending,
 	answered bool, took time.Duration, _ []float64) {
 	t := c.txns[id]
--- a/internal/gateway/balancer/pick.go
+++ b/internal/gateway/balancer/pick.go
@@ -45,7 +45,7 @@
 	if r.Effectful && !result.found() && !result.anyBusy {
 		result = b.search(now, r, false)
 	}
-	local, remote := result.earliest[ownZone], result.earliest[otherZones]
+	local, remote := result.next[ownZone], result.next[otherZones]
 	switch {
 	case local != nil && remote != nil && b.rng.Float64() < b.updateCrossZoneShare(now):
 		return remote.ID, Chosen
@@ -64,15 +64,13 @@
 
 // searchResult holds the backends whose turn is next, by ownZone and otherZones, and why others were passed over.
 type searchResult struct {
-	earliest     [2]*backendState
-	earliestPass [2]float64
-	anyEligible  bool // there is a backend that the request may be sent to
-	anyBusy      bool // there is a healthy backend that is busy
+	next        [2]*backendState
+	nextPass    [2]float64
+	anyEligible bool // there is a backend that the request may be sent to
+	anyBusy     bool // there is a healthy backend that is busy
 }
 
-func (s *searchResult) found() bool {
-	return s.earliest[ownZone] != nil || s.earliest[otherZones] != nil
-}
+func (s *searchResult) found() bool { return s.next[ownZone] != nil || s.next[otherZones] != nil }
 
 // search finds the backends whose turn is next by their pass. Each request in flight counts as one more stride. A random part keeps nodes with
 // the same view from choosing alike. excludeFailing leaves out backends that are too unreliable for effectful requests.
@@ -92,8 +90,8 @@
 		}
 		stride, locality := b.stride(now, backend, r), b.locality(backend.Zone)
 		pass := max(backend.pass, b.virtualTime[locality]-maxLag*stride) + stride*(float64(backend.inFlight)+b.rng.Float64()/4)
-		if result.earliest[locality] == nil || pass < result.earliestPass[locality] {
-			result.earliest[locality], result.earliestPass[locality] = backend, pass
+		if result.next[locality] == nil || pass < result.nextPass[locality] {
+			result.next[locality], result.nextPass[locality] = backend, pass
 		}
 	}
 	return result
