--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -26,6 +26,7 @@
 
 func newHarness(route Route, backends int) *harness { return newSeededHarness(1, route, backends) }
 
+// newSeededHarness returns a harness with a route 1 to service 1 and ready backends with the IDs from 1 on.
 func newSeededHarness(seed int64, route Route, backends int) *harness {
 	h := &harness{Controller: New(seed, Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: 2},
 		unlimited(), 0)}
@@ -76,6 +77,8 @@
 var idempotentRoute = Route{LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, MaxAttempts: 2}
 var effectfulRoute = Route{Effectful: true, LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, MaxAttempts: 2}
 
+// Checks the table of consequences for each ending, and that the controller follows it. Guards against an effectful request that may have run and is
+// sent again, and against a second answer after a part of one has gone to the client.
 func TestConsequenceOfEachEnding(t *testing.T) {
 	must.MapLen(t, 4*(int(control.NotSent)+1), consequences)
 	for key, want := range consequences {
@@ -190,6 +193,7 @@
 	must.Greater(t, 50*seeds, sentInAllRuns)
 }
 
+// Checks that a request in flight fails at its deadline, is canceled at its backend, and is kept until its submission has ended.
 func TestRequestFailsAtDeadlineAndIsCanceled(t *testing.T) {
 	h := newHarness(effectfulRoute, 1)
 	start := h.now
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -54,6 +54,7 @@
 
 func (f *fixture) requestsToOtherZone() int { return f.chosen[4] + f.chosen[5] + f.chosen[6] }
 
+// Checks when requests go to another zone: only if the backends of this zone are late, reject all requests or fail.
 func TestRequestsLeaveZoneOnlyIfItIsLateOrFailing(t *testing.T) {
 	f := newFixture(1)
 	f.sendRequests(300, Request{})
@@ -99,6 +100,7 @@
 	must.MapLen(t, 3, firstChosen)
 }
 
+// Checks that a failing backend gets few requests, and fewer effectful ones, until it has recovered, and that no backend is left out if all fail.
 func TestFailingBackendIsEjectedUnlessAllFail(t *testing.T) {
 	f := newFixture(1)
 	f.sendRequests(60, Request{})
@@ -122,6 +124,7 @@
 	}
 }
 
+// Checks that a backend that is warming up gets a reduced share, which grows to its full size, and that a draining backend gets no requests.
 func TestWarmingUpBackendGetsReducedShareAndDrainingNone(t *testing.T) {
 	f := newFixture(1)
 	warmingUp := f.endpoint(7, control.Ready)
