--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -10,22 +10,22 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// maxLogs bounds the logs of a file.
+// maxLogs is the exclusive upper bound of the IDs of the logs in a file.
 const maxLogs = replication.LogID(64)
 
 // Keys in the buckets of a log.
 var (
 	headKey      = []byte("head")
 	snapshotKey  = []byte("snap")
-	softStateKey = []byte("note") // beside the head of the configuration's log
+	softStateKey = []byte("note") // in the head bucket of the configuration's log
 )
 
-// bucketNames are the names of one log's buckets.
+// bucketNames holds the names of the buckets of one log.
 type bucketNames struct{ head, snapshot, entries []byte }
 
-// namesOf are those of a log. A group's snapshot has a bucket of its own, so that it is not written again with each head; the
-// configuration's stands beside its head, as in the first version.
-func namesOf(id replication.LogID) bucketNames {
+// bucketNamesOf returns the names of the buckets of a log. The snapshot of a group's log has its own bucket, so that a write of the head
+// does not rewrite the snapshot. The snapshot of the configuration's log stays in the bucket of its head, as in the first version.
+func bucketNamesOf(id replication.LogID) bucketNames {
 	if id == replication.ConfigurationLog {
 		return bucketNames{head: []byte("book"), snapshot: []byte("book"), entries: []byte("log")}
 	}
@@ -33,41 +33,42 @@
 	return bucketNames{head: name("head"), snapshot: name("snapshot"), entries: name("log")}
 }
 
-// logBuckets are the buckets of one log in a transaction; nil where there is none.
+// logBuckets holds the buckets of one log in a transaction. A bucket that does not exist is nil.
 type logBuckets struct {
 	id       replication.LogID
 	names    bucketNames
 	head     *bbolt.Bucket
 	snapshot *bbolt.Bucket
-	entries  *bbolt.Bucket // by index: 8 bytes, the highest byte first
+	entries  *bbolt.Bucket // the key is the entry's index as 8 bytes in big-endian order
 }
 
-// lookupBuckets gives a log's buckets as they are.
+// lookupBuckets returns the existing buckets of a log and creates none.
 func lookupBuckets(tx *bbolt.Tx, id replication.LogID) logBuckets {
-	return bucketsNamed(tx, id, namesOf(id))
+	return lookupNamedBuckets(tx, id, bucketNamesOf(id))
 }
 
-func bucketsNamed(tx *bbolt.Tx, id replication.LogID, names bucketNames) logBuckets {
+// lookupNamedBuckets returns the existing buckets of a log that has these bucket names.
+func lookupNamedBuckets(tx *bbolt.Tx, id replication.LogID, names bucketNames) logBuckets {
 	return logBuckets{id: id, names: names, head: tx.Bucket(names.head), snapshot: tx.Bucket(names.snapshot),
 		entries: tx.Bucket(names.entries)}
 }
 
-// createBuckets makes what is missing of a log's buckets.
+// createBuckets creates the missing buckets of a log and returns all of them.
 func createBuckets(tx *bbolt.Tx, id replication.LogID) (logBuckets, error) {
-	names := namesOf(id)
+	names := bucketNamesOf(id)
 	for _, name := range [][]byte{names.head, names.snapshot, names.entries} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 			return logBuckets{}, logError("create bucket", id, name, err)
 		}
 	}
-	return bucketsNamed(tx, id, names), nil
+	return lookupNamedBuckets(tx, id, names), nil
 }
 
-// missing tells whether nothing of the log is there.
-func (l logBuckets) missing() bool { return l.head == nil && l.snapshot == nil && l.entries == nil }
+// allMissing reports whether none of the log's buckets exists.
+func (l logBuckets) allMissing() bool { return l.head == nil && l.snapshot == nil && l.entries == nil }
 
-// missingBucket is the name of a bucket that is not there, nil if all are.
-func (l logBuckets) missingBucket() []byte {
+// firstMissingBucket returns the name of the first bucket that does not exist, or nil if all exist.
+func (l logBuckets) firstMissingBucket() []byte {
 	switch {
 	case l.head == nil:
 		return l.names.head
@@ -79,7 +80,6 @@
 	return nil
 }
 
-// readHead reads the head.
 func (l logBuckets) readHead() (h storedHead, err error) {
 	if err = decodeGob(l.head.Get(headKey), &h); err != nil {
 		return h, logError("read head", l.id, l.names.head, err)
@@ -87,19 +87,20 @@
 	return h, nil
 }
 
-// readLog reads a log and checks that it holds together. disk is the member ID under which it must have been written; 0: any.
-func (l logBuckets) readLog(disk replication.MemberID) (state replication.PersistentState, err error) {
-	if name := l.missingBucket(); name != nil {
+// readLog reads a log and validates it. It returns ErrForeignDisk if the log was not written under wantMemberID; with 0 any member ID is
+// accepted.
+func (l logBuckets) readLog(wantMemberID replication.MemberID) (state replication.PersistentState, err error) {
+	if name := l.firstMissingBucket(); name != nil {
 		return state, logError("read", l.id, name, ErrBucketMissing)
 	}
 	head, err := l.readHead()
 	if err != nil {
 		return state, err
 	}
-	if disk != 0 && head.Me != disk {
+	if wantMemberID != 0 && head.Me != wantMemberID {
 		return state, logError("read head", l.id, l.names.head, ErrForeignDisk)
 	}
-	state = head.state()
+	state = head.toState()
 	if state.Snapshot, err = l.readSnapshot(); err != nil {
 		return state, err
 	}
@@ -112,7 +113,7 @@
 	return state, nil
 }
 
-// readSnapshot reads the snapshot; a log that was never founded has none.
+// readSnapshot reads the snapshot. It returns the zero Snapshot for a log that has none because no cluster was founded on it.
 func (l logBuckets) readSnapshot() (replication.Snapshot, error) {
 	value := l.snapshot.Get(snapshotKey)
 	if value == nil {
@@ -122,10 +123,10 @@
 	if err := decodeGob(value, &stored); err != nil {
 		return replication.Snapshot{}, logError("read snapshot", l.id, l.names.snapshot, err)
 	}
-	return stored.snapshot(), nil
+	return stored.toSnapshot(), nil
 }
 
-// readEntries reads all entries in the order of their indexes.
+// readEntries reads all entries in index order.
 func (l logBuckets) readEntries() ([]replication.Entry, error) {
 	var entries []replication.Entry
 	err := l.entries.ForEach(func(key, value []byte) error {
@@ -133,21 +134,21 @@
 		if err := decodeGob(value, &stored); err != nil {
 			return logError(fmt.Sprintf("read entry %x", key), l.id, l.names.entries, err)
 		}
-		entries = append(entries, stored.entry())
+		entries = append(entries, stored.toEntry())
 		return nil
 	})
 	return entries, err
 }
 
-// write does what a write asks for, but for the head.
+// write applies the snapshot and the entries of a write to the buckets. It does not write the head.
 func (l logBuckets) write(w *replication.Write) error {
 	if w.Snapshot != nil {
-		if err := putGob(l.snapshot, snapshotKey, storeSnapshot(w.Snapshot)); err != nil {
+		if err := putGob(l.snapshot, snapshotKey, newStoredSnapshot(w.Snapshot)); err != nil {
 			return logError("write snapshot", l.id, l.names.snapshot, err)
 		}
 	}
-	// By their keys, and never by a cursor that goes on: in bbolt 1.5 one that deletes its way through several pages and is
-	// then sent to the end goes round for ever over pages that hold nothing any more.
+	// Delete by key instead of through the cursor. In bbolt 1.5 a cursor that deletes entries over several pages and then seeks to the
+	// end loops forever over pages that are already empty.
 	for _, key := range l.obsoleteKeys(w) {
 		if err := l.entries.Delete(key); err != nil {
 			return logError(fmt.Sprintf("delete entry %x", key), l.id, l.names.entries, err)
@@ -158,14 +159,13 @@
 	}
 	for i := range w.Entries {
 		e := &w.Entries[i]
-		if err := putGob(l.entries, indexKey(e.Index), storeEntry(e)); err != nil {
+		if err := putGob(l.entries, indexKey(e.Index), newStoredEntry(e)); err != nil {
 			return logError(fmt.Sprintf("write entry %d", e.Index), l.id, l.names.entries, err)
 		}
 	}
 	return nil
 }
 
-// writeHead writes the head.
 func (l logBuckets) writeHead(h storedHead) error {
 	if err := putGob(l.head, headKey, h); err != nil {
 		return logError("write head", l.id, l.names.head, err)
@@ -173,7 +173,8 @@
 	return nil
 }
 
-// obsoleteKeys are the keys of the entries that a write removes: those that its snapshot covers, and those from its first index on.
+// obsoleteKeys returns the keys of the entries that a write removes. These are the entries that the write's snapshot covers and the
+// entries from the write's first index on.
 func (l logBuckets) obsoleteKeys(w *replication.Write) (keys [][]byte) {
 	c := l.entries.Cursor()
 	if w.Snapshot != nil {
@@ -193,4 +194,5 @@
 	return keys
 }
 
+// indexKey returns the key of the entry at an index. Big-endian keys sort in index order.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
--- a/internal/gateway/logstore/errors.go
+++ b/internal/gateway/logstore/errors.go
@@ -9,32 +9,32 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Errors of what a file holds.
+// Causes of errors about the content of a file.
 var (
-	// ErrBucketMissing says that a log has some of its buckets, and not all.
-	ErrBucketMissing = errors.New("a bucket is missing")
-	// ErrForeignDisk says that a group's log was written under another member ID than the configuration's.
-	ErrForeignDisk = errors.New("written by another disk")
-	// ErrReadBack says that a transaction was committed, and the mapping does not show it.
-	ErrReadBack = errors.New("what was written is not what is read")
+	// ErrBucketMissing reports that a log has some of its buckets but not all.
+	ErrBucketMissing = errors.New("bucket is missing")
+	// ErrForeignDisk reports that a group's log was written under another member ID than the configuration's log.
+	ErrForeignDisk = errors.New("log was written under another member ID")
+	// ErrReadBack reports that the memory mapping does not show a transaction that was committed.
+	ErrReadBack = errors.New("data read back differs from data written")
 )
 
-// FileError is an operation on a store's file, or on its folder, that failed.
+// FileError reports an operation that failed on the file of a store or on its directory.
 type FileError struct {
-	Operation string // what was being done, such as "open" or "write"
+	Operation string // for example "open" or "write"
 	Path      string
 	Err       error
 }
 
-// Error names the operation and the file.
+// Error returns a message with the operation, the path and the cause.
 func (f *FileError) Error() string {
 	return fmt.Sprintf("log store: %s %s: %v", f.Operation, f.Path, f.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *FileError) Unwrap() error { return f.Err }
 
-// fileError says what failed and with which file; nil for no error.
+// fileError wraps err in a FileError. It returns nil if err is nil.
 func fileError(op, path string, err error) error {
 	if err == nil {
 		return nil
@@ -42,43 +42,44 @@
 	return &FileError{Operation: op, Path: path, Err: err}
 }
 
-// CorruptError is a file that is torn or does not hold together. The disk is to be taken for lost then: see Wipe.
+// CorruptError reports a file that is torn or inconsistent. The caller must treat the disk as lost and may call Wipe to start with an
+// empty one.
 type CorruptError struct {
 	Path string
 	Err  error
 }
 
-// Error names the file and what is wrong with it.
+// Error returns a message with the path and the cause.
 func (c *CorruptError) Error() string {
 	return fmt.Sprintf("log store %s is corrupt: %v", c.Path, c.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (c *CorruptError) Unwrap() error { return c.Err }
 
-// ConflictError is a folder with two files, of the present name and of the former one, that both hold a state. Which of them is the
-// newer can't be told for sure, and a disk that goes on from the older one has forgotten what it voted for and acknowledged. An operator
-// is to remove one of them; nothing was touched.
+// ConflictError reports that a directory holds two files with a state, one under FileName and one under the name of earlier versions. Open
+// cannot tell reliably which file is newer. A disk that continues from the older file would have forgotten votes and acknowledged entries.
+// An operator must remove one of the files. Open has changed neither.
 type ConflictError struct {
-	Current FileSummary // under FileName
-	Former  FileSummary // under the name of earlier versions
+	Current FileSummary // the file named FileName
+	Former  FileSummary // the file with the name of earlier versions
 }
 
-// FileSummary is what an operator needs to know of one of two files.
+// FileSummary describes one of two conflicting files for an operator.
 type FileSummary struct {
 	Path   string
 	ID     replication.MemberID
 	Term   uint64
-	Commit uint64 // of the configuration's log
-	Err    error  // why it can't be read, nil if it can
+	Commit uint64 // commit index of the configuration's log
+	Err    error  // why the file cannot be read, or nil if it can
 }
 
-// Error names both files and what tells them apart.
+// Error returns a message with both files and the data that distinguishes them.
 func (c *ConflictError) Error() string {
 	return fmt.Sprintf("log store: two files hold a state, remove the older one: %v; %v", c.Current, c.Former)
 }
 
-// String words a summary for an error.
+// String returns the path with either the read error or the member ID, the term and the commit index.
 func (f FileSummary) String() string {
 	if f.Err != nil {
 		return fmt.Sprintf("%s (%v)", f.Path, f.Err)
@@ -86,26 +87,26 @@
 	return fmt.Sprintf("%s (member %x, term %d, commit index %d)", f.Path, uint64(f.ID), f.Term, f.Commit)
 }
 
-// LogError is an operation on one log of a file that failed.
+// LogError reports an operation that failed on one log of a file.
 type LogError struct {
-	Operation string // what was being done, such as "read snapshot"
+	Operation string // for example "read snapshot"
 	Log       replication.LogID
 	Bucket    string
 	Err       error
 }
 
-// Error names the operation, the log and the bucket.
+// Error returns a message with the operation, the log, the bucket and the cause.
 func (l *LogError) Error() string {
 	return fmt.Sprintf("%s of log %d in bucket %q: %v", l.Operation, l.Log, l.Bucket, l.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (l *LogError) Unwrap() error { return l.Err }
 
-// logError says what failed and with which log.
+// logError returns a LogError for an operation on a bucket of a log.
 func logError(op string, log replication.LogID, bucket []byte, err error) error {
 	return &LogError{Operation: op, Log: log, Bucket: string(bucket), Err: err}
 }
 
-// isDiskFull tells whether an error says that the disk takes no more bytes.
+// isDiskFull reports whether err means that the disk or the quota has no space left.
 func isDiskFull(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
--- a/internal/gateway/logstore/errors_test.go
+++ b/internal/gateway/logstore/errors_test.go
@@ -11,28 +11,28 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// What is wrong with a file is told with the file, the log, the bucket and what was being done.
+// An operator needs to find the damage in a corrupt file. Its error names the file, the log, the bucket and the failed operation.
 func TestErrorsNameFileLogAndBucket(t *testing.T) {
 	const group = replication.LogID(3)
 	for _, c := range []struct {
-		name  string
-		spoil func(tx *bbolt.Tx) error
-		want  LogError
-		is    error
+		name    string
+		corrupt func(tx *bbolt.Tx) error
+		want    LogError
+		is      error
 	}{
-		{"no bucket", func(tx *bbolt.Tx) error { return tx.DeleteBucket([]byte("group 03 log")) },
+		{"missing bucket", func(tx *bbolt.Tx) error { return tx.DeleteBucket([]byte("group 03 log")) },
 			LogError{Operation: "read", Log: group, Bucket: "group 03 log"}, ErrBucketMissing},
-		{"another disk's", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).writeHead(storedHead{Me: 7}) },
+		{"head of another disk", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).writeHead(storedHead{Me: 7}) },
 			LogError{Operation: "read head", Log: group, Bucket: "group 03 head"}, ErrForeignDisk},
-		{"no head", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).head.Delete(headKey) },
+		{"missing head", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).head.Delete(headKey) },
 			LogError{Operation: "read head", Log: group, Bucket: "group 03 head"}, nil},
-		{"a torn snapshot", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).snapshot.Put(snapshotKey, []byte{1}) },
+		{"torn snapshot", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).snapshot.Put(snapshotKey, []byte{1}) },
 			LogError{Operation: "read snapshot", Log: group, Bucket: "group 03 snapshot"}, nil},
-		{"a torn entry", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Put(indexKey(2), []byte{1}) },
+		{"torn entry", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Put(indexKey(2), []byte{1}) },
 			LogError{Operation: "read entry 0000000000000002", Log: group, Bucket: "group 03 log"}, nil},
-		{"a gap", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Delete(indexKey(2)) },
+		{"gap in the entries", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Delete(indexKey(2)) },
 			LogError{Operation: "check", Log: group, Bucket: "group 03 log"}, nil},
-		{"the configuration's", func(tx *bbolt.Tx) error {
+		{"missing head of the configuration's log", func(tx *bbolt.Tx) error {
 			return lookupBuckets(tx, replication.ConfigurationLog).head.Delete(headKey)
 		}, LogError{Operation: "read head", Log: replication.ConfigurationLog, Bucket: "book"}, nil},
 	} {
@@ -42,7 +42,7 @@
 		must.NoError(t, store.Write([]replication.LogWrite{{Log: group, Write: replication.Write{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
 			Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: state.ID}}},
 			Entries:  []replication.Entry{entry(2, 1, "a"), entry(3, 1, "b")}}}}))
-		must.NoError(t, store.file.Update(c.spoil))
+		must.NoError(t, store.file.Update(c.corrupt))
 		must.NoError(t, store.Close())
 
 		_, _, err = Open(dir)
--- a/internal/gateway/logstore/file.go
+++ b/internal/gateway/logstore/file.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	fileMode    = 0o600
-	lockTimeout = time.Second // for another process's lock
-	allocBytes  = 64 << 10    // by which the file grows: bbolt's own 16 MiB are much for a disk of 64 MB
-	initialMmap = 1 << 20     // bytes that are mapped from the start, so that a small file is not mapped anew as it grows
+	fileMode         = 0o600
+	lockTimeout      = time.Second // how long to wait for the lock of another process
+	allocBytes       = 64 << 10    // growth step of the file; bbolt's default of 16 MiB is too much for a disk of 64 MB
+	initialMmapBytes = 1 << 20     // bytes mapped at the start, so that a small file is not remapped as it grows
 )
 
-// filesystem is what a Store asks of the operating system beside bbolt's reads and writes. Tests put faults into it.
+// filesystem is the part of the operating system that a Store uses beside bbolt's reads and writes. Tests inject faults into it.
 type filesystem interface {
 	OpenFile(name string, flag int, mode os.FileMode) (*os.File, error)
-	// Sync makes a file's content, or a folder's names, durable.
+	// Sync makes the content of a file, or the entries of a directory, durable.
 	Sync(name string) error
 	Rename(from, to string) error
 	Remove(name string) error
 }
 
-// osFilesystem is the operating system's.
+// osFilesystem implements filesystem with the operating system's calls.
 type osFilesystem struct{}
 
-// OpenFile is os.OpenFile.
+// OpenFile calls os.OpenFile.
 func (osFilesystem) OpenFile(name string, flag int, mode os.FileMode) (*os.File, error) {
 	return os.OpenFile(name, flag, mode)
 }
 
-// Sync opens a file or a folder and syncs it.
+// Sync opens a file or a directory and syncs it.
 func (osFilesystem) Sync(name string) error {
 	f, err := os.Open(name)
 	if err != nil {
@@ -47,32 +47,33 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Rename is os.Rename.
+// Rename calls os.Rename.
 func (osFilesystem) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Remove is os.Remove.
+// Remove calls os.Remove.
 func (osFilesystem) Remove(name string) error { return os.Remove(name) }
 
-// contents is what a file holds.
+// contents is the decoded content of a file.
 type contents struct {
 	configuration replication.PersistentState
 	groups        map[replication.LogID]replication.PersistentState
 }
 
-// empty tells whether there is no state: no file, or one whose process ended before its first write. Nobody was told its member ID.
-func (c *contents) empty() bool { return c.configuration.ID == 0 }
+// isEmpty reports whether there is no state. The file is missing, or its process ended before the first write. No other node knows the
+// member ID of such a file.
+func (c *contents) isEmpty() bool { return c.configuration.ID == 0 }
 
-// readFile reads all that a file holds; one that is not there, or has no bytes, holds nothing. The error is a CorruptError where the
-// content is to blame.
+// readFile reads the content of a file. It returns empty contents for a file that does not exist or has no bytes. It returns a
+// CorruptError if the content cannot be read, and a FileError if the file cannot be accessed or is locked.
 func readFile(path string) (contents, error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return contents{}, nil
 	}
 	if err != nil {
-		return contents{}, fileError("look for", path, err)
+		return contents{}, fileError("stat", path, err)
 	}
-	if info.Size() == 0 { // a process ended before its first write
+	if info.Size() == 0 { // the process that created the file ended before its first write
 		return contents{}, nil
 	}
 	c, err := openAndRead(path)
@@ -85,7 +86,8 @@
 	return c, nil
 }
 
-// openAndRead opens a file for reading only, since opening one that is broken for writing can end the whole process, and reads it.
+// openAndRead opens a file read-only and reads it. Opening a broken file for writing can end the whole process, so the content is checked
+// this way first.
 func openAndRead(path string) (contents, error) {
 	var c contents
 	var file *os.File
@@ -104,18 +106,18 @@
 		return errors.Join(err, db.Close())
 	})
 	if err != nil && file != nil {
-		// A panic leaves it open, mapped and locked; the lock would last as long as the mapping.
+		// A panic leaves the file open, mapped and locked. Without an explicit unlock the lock would last as long as the mapping.
 		_ = unix.Flock(int(file.Fd()), unix.LOCK_UN)
 		file.Close()
 	}
 	return c, err
 }
 
-// readContents reads all logs.
+// readContents reads all logs of a file.
 func readContents(db *bbolt.DB) (c contents, err error) {
 	return c, db.View(func(tx *bbolt.Tx) error {
 		configuration := lookupBuckets(tx, replication.ConfigurationLog)
-		if configuration.missing() {
+		if configuration.allMissing() {
 			return nil
 		}
 		if c.configuration, err = configuration.readLog(0); err != nil {
@@ -124,7 +126,7 @@
 		c.groups = map[replication.LogID]replication.PersistentState{}
 		for id := replication.ConfigurationLog + 1; id < maxLogs; id++ {
 			group := lookupBuckets(tx, id)
-			if group.missing() {
+			if group.allMissing() {
 				continue
 			}
 			if c.groups[id], err = group.readLog(c.configuration.ID); err != nil {
@@ -135,11 +137,11 @@
 	})
 }
 
-// openForWriting opens the file, and makes it where there is no state. After an error none is open.
+// openForWriting opens the file for writing. With create it also initializes a new file. After an error s.file is nil.
 func (s *Store) openForWriting(create bool) error {
 	err := recoverFault(func() (err error) {
 		s.file, err = bbolt.Open(s.path, fileMode, &bbolt.Options{Timeout: lockTimeout, NoFreelistSync: true,
-			FreelistType: bbolt.FreelistMapType, InitialMmapSize: initialMmap, NoStatistics: true, OpenFile: s.filesystem.OpenFile})
+			FreelistType: bbolt.FreelistMapType, InitialMmapSize: initialMmapBytes, NoStatistics: true, OpenFile: s.filesystem.OpenFile})
 		if err != nil {
 			return err
 		}
@@ -156,7 +158,7 @@
 	return fileError("open", s.path, err)
 }
 
-// initialize writes what a new file has, and makes its name last.
+// initialize writes the initial content of a new file and makes its directory entry durable.
 func (s *Store) initialize() error {
 	if err := s.file.Update(func(tx *bbolt.Tx) error {
 		configuration, err := createBuckets(tx, replication.ConfigurationLog)
@@ -170,11 +172,13 @@
 	return s.filesystem.Sync(s.dir)
 }
 
-// Wipe removes the file for good, under either name: the disk counts as lost, and Open begins with a new member ID.
+// Wipe removes the file permanently, under its present and its former name. The disk then counts as lost, and the next Open generates a
+// new member ID.
 func Wipe(dir string) error {
 	return wipe(osFilesystem{}, dir, FileName, formerFileName)
 }
 
+// wipe removes the named files from a directory and syncs the directory. A file that does not exist is not an error.
 func wipe(fs filesystem, dir string, names ...string) error {
 	for _, name := range names {
 		path := filepath.Join(dir, name)
@@ -185,12 +189,12 @@
 	return fileError("sync", dir, fs.Sync(dir))
 }
 
-// recoverFault turns a panic, or a fault of a mapping, into an error.
+// recoverFault runs do and returns a panic or a memory fault in a mapping as an error.
 func recoverFault(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = errors.Errorf("%v", r)
+			err = errors.Errorf("recovered from panic: %v", r)
 		}
 	}()
 	return do()
--- a/internal/gateway/logstore/filename.go
+++ b/internal/gateway/logstore/filename.go
@@ -8,26 +8,26 @@
 	"github.com/go-faster/errors"
 )
 
-// FileName is the file's in the folder that Open is given.
+// FileName is the name of the store's file in the directory that is passed to Open.
 //
-// Earlier versions called it formerFileName. Open uses a file that it finds under that name and renames it, once it has been read whole
-// and is locked: the file is synced, renamed, and the folder synced. A crash between any two of these leaves one file under one of the
-// names, with all that was ever acknowledged. Where a step fails, as on a full disk, the store goes on with the name that the file has,
-// and the next Open tries again; RenameError tells.
+// Earlier versions use the name formerFileName. Open also accepts a file with that name and renames it after it has read the whole file and
+// locked it. Open syncs the file, renames it and syncs the directory. A crash between any two of these steps leaves one file under one of
+// the names, with everything that was ever acknowledged. If a step fails, as on a full disk, the store keeps the name that the file has,
+// RenameError returns the cause, and the next Open tries again.
 //
-// Two files, of both names, come about where an earlier version ran in the folder in between. One that holds no state does not count;
-// one file under both names, or two with the same bytes, count as one. Otherwise Open refuses with a ConflictError.
+// Files with both names exist if an earlier version ran in the directory in the meantime. A file that holds no state is ignored. One file
+// under both names counts as one file, and so do two files with the same bytes. In all other cases Open returns a ConflictError.
 const FileName = "replicas.db"
 
-// formerFileName is what versions up to that of 2 December 2026 (dd5a45a) call the file.
+// formerFileName is the name of the file in versions up to that of 2 December 2026 (dd5a45a).
 const formerFileName = "promptbook.db"
 
-// find reads the folder's file, whichever of its names it has, and sets the store's path: that of the present name where there is no
-// state.
-func (s *Store) find() (contents, error) {
+// findFile reads the file in the directory under its present or former name and sets s.path to its path. If there is no state, s.path has
+// the present name.
+func (s *Store) findFile() (contents, error) {
 	current, former := filepath.Join(s.dir, FileName), filepath.Join(s.dir, formerFileName)
 	s.path = current
-	if s.twoNames = sameFile(current, former); s.twoNames {
+	if s.hasBothNames = sameFile(current, former); s.hasBothNames {
 		return readFile(current)
 	}
 	ofCurrent, currentErr := readFile(current)
@@ -38,39 +38,41 @@
 		}
 	}
 	switch {
-	case formerErr == nil && ofFormer.empty():
+	case formerErr == nil && ofFormer.isEmpty():
 		return ofCurrent, currentErr
-	case currentErr == nil && ofCurrent.empty():
+	case currentErr == nil && ofCurrent.isEmpty():
 		s.path = former
 		return ofFormer, formerErr
 	case sameBytes(current, former):
-		s.path = former // it takes the other one's place
+		s.path = former // migrateFileName renames it over the identical file
 		return ofFormer, formerErr
 	}
 	return contents{}, &ConflictError{Current: summarize(current, &ofCurrent, currentErr),
 		Former: summarize(former, &ofFormer, formerErr)}
 }
 
+// summarize returns the summary of a file for a ConflictError.
 func summarize(path string, c *contents, err error) FileSummary {
 	return FileSummary{Path: path, ID: c.configuration.ID, Term: c.configuration.Term, Commit: c.configuration.Commit, Err: err}
 }
 
-// sameFile tells whether two names are of one file, as a filesystem may leave them that lost power during a rename.
+// sameFile reports whether two paths name the same file. A filesystem may leave this state after a power loss during a rename.
 func sameFile(a, b string) bool {
 	infoA, errA := os.Stat(a)
 	infoB, errB := os.Stat(b)
 	return errA == nil && errB == nil && os.SameFile(infoA, infoB)
 }
 
-// sameBytes tells whether two files hold the same.
+// sameBytes reports whether two files have the same content. It returns false if one of them cannot be read.
 func sameBytes(a, b string) bool {
 	bytesA, errA := os.ReadFile(a)
 	bytesB, errB := os.ReadFile(b)
 	return errA == nil && errB == nil && bytes.Equal(bytesA, bytesB)
 }
 
-// adoptName leaves the open file with its present name alone. It is locked meanwhile: no other process uses it under either.
-func (s *Store) adoptName() error {
+// migrateFileName leaves the open file with its present name only. The file is locked meanwhile, so no other process uses it under either
+// name.
+func (s *Store) migrateFileName() error {
 	current, former := filepath.Join(s.dir, FileName), filepath.Join(s.dir, formerFileName)
 	switch {
 	case s.path == former:
@@ -80,9 +82,10 @@
 		if err := s.filesystem.Rename(former, current); err != nil {
 			return fileError("rename", former, err)
 		}
-		// Without the sync of the folder a loss of power may bring the former name back: it is the same file, and found by it.
+		// A power loss before the directory is synced may restore the former name. It names the same file, so the next Open finds the file
+		// under that name.
 		s.path = current
-	case s.twoNames:
+	case s.hasBothNames:
 		if err := s.filesystem.Remove(former); err != nil {
 			return fileError("remove", former, err)
 		}
--- a/internal/gateway/logstore/filename_test.go
+++ b/internal/gateway/logstore/filename_test.go
@@ -15,8 +15,8 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// formerFolder is a folder with a file that has a state and the former name.
-func formerFolder(t *testing.T) (dir string, want replication.PersistentState) {
+// newDirWithFormerName returns a new directory with a file under the former name, and the state in that file.
+func newDirWithFormerName(t *testing.T) (dir string, want replication.PersistentState) {
 	t.Helper()
 	dir = t.TempDir()
 	s, want, err := Open(dir)
@@ -30,14 +30,14 @@
 	return dir, want
 }
 
-// foundingWrite is the first one of a cluster with one member.
+// foundingWrite returns the first write of a cluster with one member.
 func foundingWrite(id replication.MemberID) replication.Write {
 	return replication.Write{ClusterID: 5, Term: 1, Vote: id, Commit: 1, FirstIndex: 2,
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: id, Addr: "a"}}}}
 }
 
-// names are those of the files in a folder.
-func names(t *testing.T, dir string) (all []string) {
+// fileNames returns the names of the files in a directory.
+func fileNames(t *testing.T, dir string) (all []string) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
 	must.NoError(t, err)
@@ -47,28 +47,29 @@
 	return all
 }
 
-// requireState opens a folder's file, which must hold a state and have the present name alone.
+// requireState opens the file in a directory and checks that it holds the state and has only the present name.
 func requireState(t *testing.T, dir string, want replication.PersistentState) {
 	t.Helper()
 	s, got, err := Open(dir)
 	must.NoError(t, err)
 	must.NoError(t, s.RenameError())
 	must.Eq(t, want, got)
-	must.Eq(t, []string{FileName}, names(t, dir))
+	must.Eq(t, []string{FileName}, fileNames(t, dir))
 	must.NoError(t, s.Close())
 }
 
-// A file of an earlier version is used, renamed and written under its present name; its folder is synced last.
+// Open uses the file of an earlier version, renames it and writes it under its present name. The directory is synced last, or a crash could
+// undo the rename.
 func TestFormerNameIsReplaced(t *testing.T) {
-	dir, want := formerFolder(t)
+	dir, want := newDirWithFormerName(t)
 	fs := &faultyFilesystem{}
 	s, got, err := open(dir, fs)
 	must.NoError(t, err)
 	must.NoError(t, s.RenameError())
-	must.Eq(t, []string{"sync file", "rename", "sync folder"}, fs.steps)
-	must.Eq(t, filepath.Join(dir, FileName), s.path) // what errors name from now on
+	must.Eq(t, []string{"sync file", "rename", "sync directory"}, fs.steps)
+	must.Eq(t, filepath.Join(dir, FileName), s.path) // errors name this path from now on
 	must.Eq(t, want, got)
-	must.Eq(t, []string{FileName}, names(t, dir))
+	must.Eq(t, []string{FileName}, fileNames(t, dir))
 	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{entry(3, 2, "b")}}
 	must.NoError(t, s.Write([]replication.LogWrite{{Write: later}}))
 	want.Apply(later)
@@ -76,32 +77,33 @@
 	requireState(t, dir, want)
 }
 
-// A crash before or after each step of the rename loses nothing, whether or not a loss of power takes a rename back whose folder was not
-// synced. The state is read under whichever name is left, and the rename is made good.
-func TestCrashDuringRename(t *testing.T) {
-	points := 0
+// A crash before or after any step of the rename loses nothing, even if a power loss undoes a rename whose directory was not synced. The
+// next Open reads the state under whichever name is left and completes the rename.
+func TestCrashDuringRenameLosesNothing(t *testing.T) {
+	crashPoints := 0
 	for crashAt := 1; ; crashAt++ {
-		for _, renameIsLost := range []bool{false, true} {
-			dir, want := formerFolder(t)
+		for _, renameIsUndone := range []bool{false, true} {
+			dir, want := newDirWithFormerName(t)
 			fs := &faultyFilesystem{crashAt: crashAt}
 			if !fs.openAndCrash(t, dir) {
-				must.Eq(t, 2*3, points)
+				must.Eq(t, 2*3, crashPoints)
 				return
 			}
-			points++
-			if renameIsLost && slices.Contains(names(t, dir), FileName) {
+			crashPoints++
+			if renameIsUndone && slices.Contains(fileNames(t, dir), FileName) {
 				must.NoError(t, os.Rename(filepath.Join(dir, FileName), filepath.Join(dir, formerFileName)))
 			}
-			must.SliceLen(t, 1, names(t, dir))
+			must.SliceLen(t, 1, fileNames(t, dir))
 			requireState(t, dir, want)
 		}
 	}
 }
 
-// A power loss after the folder's sync failed may take the rename back, with all that was written since: it is one file.
-func TestRenameTakenBackKeepsLaterWrites(t *testing.T) {
-	dir, want := formerFolder(t)
-	s, _, err := open(dir, &faultyFilesystem{fail: map[string]error{"sync folder": unix.EIO}})
+// If the sync of the directory fails, a later power loss may undo the rename. The writes since then are kept, because both names refer to
+// the same file.
+func TestUndoneRenameKeepsLaterWrites(t *testing.T) {
+	dir, want := newDirWithFormerName(t)
+	s, _, err := open(dir, &faultyFilesystem{failures: map[string]error{"sync directory": unix.EIO}})
 	must.NoError(t, err)
 	must.ErrorIs(t, s.RenameError(), unix.EIO)
 	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{entry(3, 2, "b")}}
@@ -112,17 +114,17 @@
 	requireState(t, dir, want)
 }
 
-// A disk that refuses the rename, as a full one does, is used under the former name: it votes and acknowledges all the same. The next
-// start that may rename does.
-func TestRefusedRename(t *testing.T) {
+// A store whose file cannot be renamed, for example on a full disk, works under the former name, so that its replicas still vote and
+// acknowledge. The next Open renames the file if it can.
+func TestFailedRenameKeepsFormerName(t *testing.T) {
 	for _, step := range []string{"sync file", "rename"} {
-		dir, want := formerFolder(t)
-		s, got, err := open(dir, &faultyFilesystem{fail: map[string]error{step: unix.ENOSPC}})
+		dir, want := newDirWithFormerName(t)
+		s, got, err := open(dir, &faultyFilesystem{failures: map[string]error{step: unix.ENOSPC}})
 		must.NoError(t, err)
 		must.ErrorIs(t, s.RenameError(), unix.ENOSPC)
 		must.StrContains(t, s.RenameError().Error(), filepath.Join(dir, formerFileName))
 		must.Eq(t, want, got)
-		must.Eq(t, []string{formerFileName}, names(t, dir))
+		must.Eq(t, []string{formerFileName}, fileNames(t, dir))
 		later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{entry(3, 2, "b")}}
 		must.NoError(t, s.Write([]replication.LogWrite{{Write: later}}))
 		want.Apply(later)
@@ -131,24 +133,25 @@
 	}
 }
 
-// Another process that uses the file under its former name, as an earlier version that still runs, keeps it and its name.
-func TestFormerNameOfAnotherProcess(t *testing.T) {
-	dir, want := formerFolder(t)
+// While another process holds the file under its former name, such as an earlier version that still runs, Open fails and leaves the file
+// and its name alone.
+func TestFormerNameKeptWhileAnotherProcessHoldsFile(t *testing.T) {
+	dir, want := newDirWithFormerName(t)
 	other := &Store{dir: dir, path: filepath.Join(dir, formerFileName), filesystem: osFilesystem{}, memberID: want.ID}
 	must.NoError(t, other.openForWriting(false))
 	_, _, err := Open(dir)
-	var wrong *FileError
-	must.True(t, errors.As(err, &wrong), must.Sprint(err))
-	must.Eq(t, []string{formerFileName}, names(t, dir))
+	var fileErr *FileError
+	must.True(t, errors.As(err, &fileErr), must.Sprint(err))
+	must.Eq(t, []string{formerFileName}, fileNames(t, dir))
 	must.NoError(t, other.Close())
 	requireState(t, dir, want)
 }
 
-// Of two files one that holds no state does not count, whichever it is: nobody was told the member ID of an empty one.
-func TestEmptyFileBesideAnother(t *testing.T) {
+// Of two files, the one that holds no state is ignored, whichever name it has. No other node knows the member ID of an empty file.
+func TestEmptyFileIsIgnoredBesideState(t *testing.T) {
 	for _, empty := range []string{FileName, formerFileName} {
 		for _, size := range []string{"no bytes", "no bucket"} {
-			dir, want := formerFolder(t)
+			dir, want := newDirWithFormerName(t)
 			if empty == formerFileName {
 				must.NoError(t, os.Rename(filepath.Join(dir, formerFileName), filepath.Join(dir, FileName)))
 			}
@@ -163,21 +166,22 @@
 	}
 }
 
-// writeEmptyFile leaves a file as a process does that ended before its first write.
-func writeEmptyFile(t *testing.T, path string, paged bool) {
+// writeEmptyFile writes a file as a process leaves it that ended before its first write. The file has no bytes, or with withPages the
+// pages of an empty bbolt file.
+func writeEmptyFile(t *testing.T, path string, withPages bool) {
 	t.Helper()
 	must.NoError(t, os.WriteFile(path, nil, fileMode))
-	if paged {
+	if withPages {
 		db, err := bbolt.Open(path, fileMode, nil)
 		must.NoError(t, err)
 		must.NoError(t, db.Close())
 	}
 }
 
-// One file under both names, and two with the same bytes, are one.
-func TestFileUnderBothNames(t *testing.T) {
+// One file under both names counts as one, and so do two files with the same bytes.
+func TestSameFileUnderBothNamesIsUsed(t *testing.T) {
 	for _, linked := range []bool{true, false} {
-		dir, want := formerFolder(t)
+		dir, want := newDirWithFormerName(t)
 		current, former := filepath.Join(dir, FileName), filepath.Join(dir, formerFileName)
 		if linked {
 			must.NoError(t, os.Link(former, current))
@@ -190,37 +194,37 @@
 	}
 }
 
-// Two files that both hold a state, or one of which can't be read, are left alone: the older one has forgotten votes and entries. Once an
-// operator has removed one, the other one is used.
+// Open rejects and does not change two files if both hold a state or one of them cannot be read. The older file lacks votes and entries, so
+// using it could lose them. After an operator has removed one file, Open uses the other.
 func TestTwoStatesAreRefused(t *testing.T) {
-	for what, makeCurrent := range map[string]func(t *testing.T, dir string, id replication.MemberID){
-		"another disk's, made by an earlier version": func(t *testing.T, dir string, _ replication.MemberID) {
+	for name, makeCurrent := range map[string]func(t *testing.T, dir string, id replication.MemberID){
+		"file of another disk": func(t *testing.T, dir string, _ replication.MemberID) {
 			s, kept, err := Open(dir)
 			must.NoError(t, err)
 			must.NoError(t, s.Write([]replication.LogWrite{{Write: foundingWrite(kept.ID)}}))
 			must.NoError(t, s.Close())
 		},
-		"a copy that went on": func(t *testing.T, dir string, id replication.MemberID) {
+		"copy with later writes": func(t *testing.T, dir string, id replication.MemberID) {
 			s := &Store{dir: dir, path: filepath.Join(dir, FileName), filesystem: osFilesystem{}, memberID: id}
 			must.NoError(t, s.openForWriting(true))
 			must.NoError(t, s.Write([]replication.LogWrite{{Write: foundingWrite(id)}}))
 			must.NoError(t, s.Close())
 		},
-		"corrupt": func(t *testing.T, dir string, _ replication.MemberID) {
+		"corrupt file": func(t *testing.T, dir string, _ replication.MemberID) {
 			must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), make([]byte, 5000), fileMode))
 		},
 	} {
-		dir, want := formerFolder(t)
+		dir, want := newDirWithFormerName(t)
 		current, former := filepath.Join(dir, FileName), filepath.Join(dir, formerFileName)
-		aside := filepath.Join(t.TempDir(), "aside")
-		must.NoError(t, os.Rename(former, aside))
+		formerAside := filepath.Join(t.TempDir(), "aside")
+		must.NoError(t, os.Rename(former, formerAside))
 		makeCurrent(t, dir, want.ID)
-		must.NoError(t, os.Rename(aside, former))
+		must.NoError(t, os.Rename(formerAside, former))
 		before := readAll(t, current, former)
 
 		_, _, err := Open(dir)
 		var conflict *ConflictError
-		must.True(t, errors.As(err, &conflict), must.Sprint(what, ": ", err))
+		must.True(t, errors.As(err, &conflict), must.Sprint(name, ": ", err))
 		must.Eq(t, want.ID, conflict.Former.ID)
 		must.Eq(t, want.Term, conflict.Former.Term)
 		must.Eq(t, want.Commit, conflict.Former.Commit)
@@ -232,11 +236,11 @@
 	}
 }
 
-// A former name that can't be removed stays, and is the same file at the next start.
-func TestFormerNameThatCanNotBeRemoved(t *testing.T) {
-	dir, want := formerFolder(t)
+// If the former name cannot be removed, it stays. The next Open recognizes both names as the same file.
+func TestFailedRemovalOfFormerName(t *testing.T) {
+	dir, want := newDirWithFormerName(t)
 	must.NoError(t, os.Link(filepath.Join(dir, formerFileName), filepath.Join(dir, FileName)))
-	store, got, err := open(dir, &faultyFilesystem{fail: map[string]error{"remove": unix.ENOSPC}})
+	store, got, err := open(dir, &faultyFilesystem{failures: map[string]error{"remove": unix.ENOSPC}})
 	must.NoError(t, err)
 	must.ErrorIs(t, store.RenameError(), unix.ENOSPC)
 	must.Eq(t, want, got)
@@ -244,6 +248,7 @@
 	requireState(t, dir, want)
 }
 
+// readAll returns the contents of files.
 func readAll(t *testing.T, paths ...string) (contents [][]byte) {
 	t.Helper()
 	for _, path := range paths {
@@ -254,7 +259,7 @@
 	return contents
 }
 
-// A corrupt file is wiped under whichever name it has.
+// Wipe removes a corrupt file under its present or its former name.
 func TestWipeRemovesBothNames(t *testing.T) {
 	for _, name := range []string{FileName, formerFileName} {
 		dir := t.TempDir()
@@ -264,6 +269,6 @@
 		must.True(t, errors.As(err, &corrupt), must.Sprint(err))
 		must.Eq(t, filepath.Join(dir, name), corrupt.Path)
 		must.NoError(t, Wipe(dir))
-		must.SliceEmpty(t, names(t, dir))
+		must.SliceEmpty(t, fileNames(t, dir))
 	}
 }
--- a/internal/gateway/logstore/filesystem_test.go
+++ b/internal/gateway/logstore/filesystem_test.go
@@ -9,28 +9,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// faultyFilesystem is the operating system's with faults.
+// faultyFilesystem is the operating system's filesystem with injected faults.
 type faultyFilesystem struct {
 	osFilesystem
-	fail    map[string]error // by step, such as "rename"
-	crashAt int              // the process ends before this step, from 1; 0: it doesn't
-	steps   []string         // that were reached
-	opened  []*os.File
+	failures map[string]error // error to return, by step such as "rename"
+	crashAt  int              // number of the step, from 1, before which the process ends; 0 means never
+	steps    []string         // the steps reached, in order
+	opened   []*os.File
 }
 
-// errCrash ends the process that a test plays.
-var errCrash = errors.New("the process ends")
+// errCrash is the panic value that simulates the end of the process.
+var errCrash = errors.New("simulated crash of the process")
 
+// step records a step and returns its injected error. It panics with errCrash at the step crashAt.
 func (f *faultyFilesystem) step(name string) error {
 	f.steps = append(f.steps, name)
 	if len(f.steps) == f.crashAt {
 		panic(errCrash)
 	}
-	return f.fail[name]
+	return f.failures[name]
 }
 
 func (f *faultyFilesystem) OpenFile(name string, flag int, mode os.FileMode) (*os.File, error) {
-	if err := f.fail["open"]; err != nil {
+	if err := f.failures["open"]; err != nil {
 		return nil, &os.PathError{Op: "open", Path: name, Err: err}
 	}
 	file, err := f.osFilesystem.OpenFile(name, flag, mode)
@@ -41,7 +42,7 @@
 func (f *faultyFilesystem) Sync(name string) error {
 	what := "sync file"
 	if info, err := os.Stat(name); err == nil && info.IsDir() {
-		what = "sync folder"
+		what = "sync directory"
 	}
 	if err := f.step(what); err != nil {
 		return err
@@ -63,14 +64,15 @@
 	return f.osFilesystem.Remove(name)
 }
 
-// openAndCrash opens a folder's file in a process that ends at a step, as a killed one ends; false: it did not get there.
+// openAndCrash opens the file in a directory and simulates a process that is killed before the step crashAt. It returns false if Open
+// finished before that step.
 func (f *faultyFilesystem) openAndCrash(t *testing.T, dir string) (crashed bool) {
 	t.Helper()
 	defer func() {
 		if r := recover(); r != nil {
 			must.Eq(t, error(errCrash), r.(error), must.Sprint(r))
 			crashed = true
-			f.release()
+			f.releaseLocks()
 		}
 	}()
 	s, _, err := open(dir, f)
@@ -79,8 +81,8 @@
 	return false
 }
 
-// release gives up the locks of a process that has ended.
-func (f *faultyFilesystem) release() {
+// releaseLocks releases the locks of a process that has ended.
+func (f *faultyFilesystem) releaseLocks() {
 	for _, file := range f.opened {
 		_ = unix.Flock(int(file.Fd()), unix.LOCK_UN)
 		file.Close()
--- a/internal/gateway/logstore/logs_test.go
+++ b/internal/gateway/logstore/logs_test.go
@@ -12,9 +12,9 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Several logs in one file read back as each of them would alone, however their writes were put together, and a write to one
-// touches no other.
-func TestManyLogs(t *testing.T) {
+// Logs in one file stay independent. Each log reads back as if it were alone, however its writes were batched, and a write to one log does
+// not change another.
+func TestManyLogsReadBack(t *testing.T) {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
 	must.NoError(t, err)
@@ -23,11 +23,11 @@
 		want[id] = replication.PersistentState{ID: state.ID}
 	}
 	members := []replication.Member{{ID: state.ID, Addr: "a"}}
-	found := func(id replication.LogID) replication.LogWrite {
+	foundingWrite := func(id replication.LogID) replication.LogWrite {
 		return replication.LogWrite{Log: id, Write: replication.Write{ClusterID: 5 + uint64(id), Term: 1, Commit: 1, FirstIndex: 2,
 			Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members}}}
 	}
-	adds := func(id replication.LogID, from, term uint64, data ...string) replication.LogWrite {
+	appendWrite := func(id replication.LogID, from, term uint64, data ...string) replication.LogWrite {
 		w := replication.Write{ClusterID: 5 + uint64(id), Term: term, Commit: 1, FirstIndex: from}
 		for i, text := range data {
 			w.Entries = append(w.Entries, entry(from+uint64(i), term, text))
@@ -35,14 +35,14 @@
 		return replication.LogWrite{Log: id, Write: w}
 	}
 	for _, batch := range [][]replication.LogWrite{
-		{found(0)},
-		{found(3), found(1)},
-		{adds(1, 2, 1, "a", "b"), adds(0, 2, 1, "c"), adds(3, 2, 1, "d", "e", "f")},
-		{adds(3, 3, 2, "g")},
+		{foundingWrite(0)},
+		{foundingWrite(3), foundingWrite(1)},
+		{appendWrite(1, 2, 1, "a", "b"), appendWrite(0, 2, 1, "c"), appendWrite(3, 2, 1, "d", "e", "f")},
+		{appendWrite(3, 3, 2, "g")},
 		{{Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3,
 			Snapshot: &replication.Snapshot{Index: 2, Term: 1, Members: members, State: []byte("a")}}}, {Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3, FirstIndex: 4,
 			Entries: []replication.Entry{entry(4, 1, "h")}}}},
-		{found(2)},
+		{foundingWrite(2)},
 	} {
 		must.NoError(t, store.Write(batch))
 		for _, w := range batch {
@@ -65,8 +65,8 @@
 	must.NoError(t, store.Close())
 }
 
-// A transaction that fails, or whose process ends in it, leaves nothing of any log: the groups' writes of a turn are there together
-// or not at all.
+// A transaction that fails, or whose process ends during it, leaves none of its writes in any log. The writes of several groups in one
+// transaction are stored together or not at all.
 func TestWriteIsAtomicAcrossLogs(t *testing.T) {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
@@ -88,15 +88,15 @@
 	must.NoError(t, store.Close())
 }
 
-// Eight groups whose snapshots take each other's place, each of so many bytes, with entries between them, and a configuration beside
-// them: the file stays under so many of all that is kept. One write goes at a time, as a WriteQueue has it.
-func TestSizeOfManyLogs(t *testing.T) {
+// The file stays below a fixed factor of all retained data while the snapshots of eight groups and of the configuration replace each other,
+// with entries between them. Writes go one at a time, as a WriteQueue issues them.
+func TestSizeOfManyLogsIsBounded(t *testing.T) {
 	const groups = 8
 	for _, stateBytes := range []int{64 << 10, 1 << 20} {
 		dir := t.TempDir()
 		store, state, err := Open(dir)
 		must.NoError(t, err)
-		store.file.NoSync = true // what is looked at is the size
+		store.file.NoSync = true // the test checks only the size
 		members := []replication.Member{{ID: state.ID, Addr: "a"}}
 		for index := uint64(1); index <= 12; index += 2 {
 			for log := replication.LogID(0); log <= groups; log++ {
@@ -109,12 +109,12 @@
 		must.NoError(t, store.Close())
 		info, err := os.Stat(filepath.Join(dir, FileName))
 		must.NoError(t, err)
-		t.Logf("%d logs of %d KB and half as much of entries: a file of %d KB", groups+1, stateBytes>>10, info.Size()>>10)
+		t.Logf("%d logs with a snapshot of %d KB and entries of half that size: the file has %d KB", groups+1, stateBytes>>10, info.Size()>>10)
 		must.LessEq(t, int64((groups+1)*stateBytes*3/2*5/4+6*stateBytes+256<<10), info.Size())
 	}
 }
 
-// What one write of an entry to one of eight groups costs the process, with its sync: processor time of the thread.
+// BenchmarkGroupWrite measures the thread's processor time of one synced write of an entry to one of eight groups.
 func BenchmarkGroupWrite(b *testing.B) {
 	store, state, err := Open(b.TempDir())
 	must.NoError(b, err)
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -25,27 +25,27 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// testdata/dd5a45a*.db.gz are the files of the three members of one system, as dd5a45a (2 December 2026) left them when its nodes were
-// killed: the first one's led the configuration's log. They were written by five nodes of that version on the loopback that were driven
-// by control calls: a configuration, three backends, a roll-out at its second step, locks, numbers and keys, 66 amendments; one disk was
-// replaced by that of another node before the snapshot, and one by an empty disk at its own address behind it.
+// testdata/dd5a45a*.db.gz are the files of the three members of one cluster as dd5a45a (2 December 2026) left them when its nodes were
+// killed. The first member led the configuration's log. Five nodes of that version wrote the files on the loopback interface, driven by
+// control calls. The calls made a configuration, three backends, a rollout at its second step, locks, numbers and keys, and 66 amendments.
+// Before the snapshot, the disk of another node replaced one disk. After the snapshot, an empty disk at the same address replaced another.
 const (
 	recordedFirst  = "dd5a45a"
-	recordedSecond = "dd5a45a-second" // the empty disk that came last
+	recordedSecond = "dd5a45a-second" // the empty disk that joined last
 	recordedThird  = "dd5a45a-third"
 )
 
-// The members of the recorded system.
+// The members of the recorded cluster.
 var (
-	recordedLeader  = replication.Member{ID: 347707248338, Addr: "127.122.178.12:17560"}
-	recordedLost    = replication.Member{ID: 774665722114, Addr: "127.122.178.11:17560"}
-	recordedNext    = replication.Member{ID: 536838017176, Addr: "127.122.178.11:17560"} // in the place of the lost one
-	recordedFounder = replication.Member{ID: 363783961311, Addr: "127.122.178.13:17560"} // in whose place the heir came
-	recordedHeir    = replication.Member{ID: 834510643323, Addr: "127.122.178.15:17560"}
+	recordedLeader      = replication.Member{ID: 347707248338, Addr: "127.122.178.12:17560"}
+	recordedLost        = replication.Member{ID: 774665722114, Addr: "127.122.178.11:17560"}
+	recordedEmptyDisk   = replication.Member{ID: 536838017176, Addr: "127.122.178.11:17560"} // replaced recordedLost at its address
+	recordedReplaced    = replication.Member{ID: 363783961311, Addr: "127.122.178.13:17560"} // replaced by recordedReplacement
+	recordedReplacement = replication.Member{ID: 834510643323, Addr: "127.122.178.15:17560"}
 )
 
-// recordedFolder is a new folder with a recorded file.
-func recordedFolder(t *testing.T, name string) (dir string) {
+// newRecordedDir returns a new directory with a recorded file under its former name.
+func newRecordedDir(t *testing.T, name string) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	f, err := os.Open(filepath.Join("testdata", name+".db.gz"))
@@ -59,32 +59,31 @@
 	return dir
 }
 
-// leadingHost is a groups.Host that leads all groups, confirms every read and applies what is proposed at once, at a clock that stands
-// still.
-type leadingHost struct {
+// leaderHost is a groups.Host that leads all groups, confirms every read and applies each proposal immediately. Its clock stands still.
+type leaderHost struct {
 	groups.Host
 	machines [groups.Count]groups.StateMachine
 }
 
-func (l *leadingHost) Leadership(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
-func (l *leadingHost) ReadIndex(_ groups.ID, then func(bool))             { then(true) }
-func (l *leadingHost) Now() time.Duration                                 { return 0 }
-func (l *leadingHost) Propose(id groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
+func (l *leaderHost) Leadership(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
+func (l *leaderHost) ReadIndex(_ groups.ID, then func(bool))             { then(true) }
+func (l *leaderHost) Now() time.Duration                                 { return 0 }
+func (l *leaderHost) Propose(id groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
 	then(groups.Applied, l.machines[id].Apply(1<<20, entry))
 }
 
-// noPeers is a coordination.Outside without any other node.
+// noPeers is a coordination.Env of a node without peers.
 type noPeers struct{ coordination.Env }
 
 func (noPeers) InputDelay() time.Duration        { return 0 }
 func (noPeers) HasQuorumContact() bool           { return true }
 func (noPeers) ScheduleAt(time.Duration, uint32) {}
 
-// coordinationOf folds the groups' logs to the service that answers applications' calls.
-func coordinationOf(t *testing.T, logs map[replication.LogID]replication.PersistentState) *coordination.Service {
+// restoreCoordination restores the groups' logs into the service that answers calls of applications.
+func restoreCoordination(t *testing.T, logs map[replication.LogID]replication.PersistentState) *coordination.Service {
 	t.Helper()
 	s := coordination.New(noPeers{}, coordination.Config{Address: "here", Incarnation: 1, HistoryRetention: 20 * time.Second})
-	host := &leadingHost{}
+	host := &leaderHost{}
 	s.SetHost(host)
 	for id := range groups.ID(groups.Count) {
 		log, machine := logs[replication.LogID(id)+1], s.StateMachine(id)
@@ -100,14 +99,14 @@
 	return s
 }
 
-// answerOf is a service's answer to a call.
-func answerOf(s *coordination.Service, c coordination.Call) (answer coordination.Result) {
+// submitCall returns a service's result for a call.
+func submitCall(s *coordination.Service, c coordination.Call) (answer coordination.Result) {
 	s.Submit(c, func(a coordination.Result) { answer = a })
 	return answer
 }
 
-// machineOf folds the configuration's log.
-func machineOf(t *testing.T, state replication.PersistentState) *statemachine.Machine {
+// restoreMachine restores the configuration's log into a state machine.
+func restoreMachine(t *testing.T, state replication.PersistentState) *statemachine.Machine {
 	t.Helper()
 	machine, err := statemachine.Restore(state.Snapshot.State)
 	must.NoError(t, err)
@@ -120,13 +119,14 @@
 	return machine
 }
 
-// Every field of the three members' configuration logs and of the first one's group logs is as it was recorded.
-func TestRecordedLogs(t *testing.T) {
-	founders := []replication.Member{recordedLeader, recordedFounder, recordedLost}
-	replaced := []replication.Member{recordedLeader, recordedLost, recordedHeir}
-	for name, member := range map[string]replication.Member{recordedFirst: recordedLeader, recordedSecond: recordedNext,
-		recordedThird: recordedHeir} {
-		store, state, err := Open(recordedFolder(t, name))
+// Every field of the three members' configuration logs and of the first member's group logs reads back as it was recorded. A changed stored
+// name would lose a field without an error.
+func TestRecordedLogsAreRead(t *testing.T) {
+	founders := []replication.Member{recordedLeader, recordedReplaced, recordedLost}
+	replaced := []replication.Member{recordedLeader, recordedLost, recordedReplacement}
+	for name, member := range map[string]replication.Member{recordedFirst: recordedLeader, recordedSecond: recordedEmptyDisk,
+		recordedThird: recordedReplacement} {
+		store, state, err := Open(newRecordedDir(t, name))
 		must.NoError(t, err)
 		must.Eq(t, member.ID, state.ID)
 		must.Eq(t, 619735245, state.ClusterID)
@@ -146,7 +146,7 @@
 				continue
 			}
 			must.Eq(t, replication.EntryConfigChange, e.Kind)
-			must.Eq(t, []replication.Member{recordedLeader, recordedHeir, recordedNext}, e.Members)
+			must.Eq(t, []replication.Member{recordedLeader, recordedReplacement, recordedEmptyDisk}, e.Members)
 		}
 		must.MapLen(t, groups.Count, store.GroupLogs())
 		for id, log := range store.GroupLogs() {
@@ -155,7 +155,7 @@
 		must.NoError(t, store.Close())
 	}
 
-	store, _, err := Open(recordedFolder(t, recordedFirst))
+	store, _, err := Open(newRecordedDir(t, recordedFirst))
 	must.NoError(t, err)
 	defer store.Close()
 	for id, want := range map[replication.LogID]recordedLog{
@@ -164,8 +164,8 @@
 		3: {3803676565, 3, recordedLeader.ID, 7, 8, []uint64{3, 8}},
 		4: {689352377, 5, recordedLeader.ID, 6, 7, []uint64{4, 7}},
 		5: {1777702779, 10, recordedLeader.ID, 8, 8, []uint64{3}},
-		6: {2798233679, 5, recordedHeir.ID, 8, 9, []uint64{4, 9}},
-		7: {1847444969, 3, recordedHeir.ID, 4, 5, []uint64{3, 5}},
+		6: {2798233679, 5, recordedReplacement.ID, 8, 9, []uint64{4, 9}},
+		7: {1847444969, 3, recordedReplacement.ID, 4, 5, []uint64{3, 5}},
 		8: {1375970845, 7, recordedLeader.ID, 9, 10, []uint64{4, 10}},
 	} {
 		log := store.GroupLogs()[id]
@@ -190,8 +190,8 @@
 	}
 }
 
-// recordedLog is what a group's log was recorded with: its cluster, its term and vote, how far it was known to be committed, its last
-// entry, and the entries that changed its members.
+// recordedLog is the recorded content of a group's log: its cluster ID, its term and vote, its commit index, the index of its last entry,
+// and the indexes of the entries that changed its members.
 type recordedLog struct {
 	cluster, term   uint64
 	vote            replication.MemberID
@@ -199,22 +199,22 @@
 	changes         []uint64
 }
 
-// The configuration's log folds to the configuration, slots, members of the groups and roll-out that were acknowledged.
-func TestRecordedConfiguration(t *testing.T) {
+// The configuration's log restores to the configuration, slots, group members and rollout that were acknowledged.
+func TestRecordedConfigurationIsRestored(t *testing.T) {
 	for _, name := range []string{recordedFirst, recordedSecond, recordedThird} {
-		store, state, err := Open(recordedFolder(t, name))
+		store, state, err := Open(newRecordedDir(t, name))
 		must.NoError(t, err)
 		must.NoError(t, store.Close())
 		before, err := statemachine.Restore(state.Snapshot.State)
 		must.NoError(t, err)
 		must.Eq(t, 53, before.Configs.Version())
-		machine := machineOf(t, state)
+		machine := restoreMachine(t, state)
 		must.Eq(t, 67, machine.Configs.Version())
 		must.Eq(t, `{"generation":67,"parent_version":66,"services":[{"name":"s"},{"name":"t2"},{"name":"t3"},{"name":"t4"},{"name":"t5"},`+
 			`{"name":"t6"},{"name":"t7"},{"name":"t8"},{"name":"t9"},{"name":"t0"},{"name":"t1"}],"vhosts":[{"hostname":"h.example",
 "path_list":[{"name":"r","path_prefix":"/r1/","variant":"pure","deadline":"1s","target_latency":"1s","target":"s"}]}]}`,
 			string(machine.Configs.Body()))
-		for version := 2; version <= 67; version++ { // what was acknowledged is known when it is sent again
+		for version := 2; version <= 67; version++ { // an acknowledged amendment is a duplicate when it is sent again
 			verdict, _ := machine.Decide(statemachine.KindAmendConfig, fmt.Appendf(nil, `{"generation":%d,"parent_version":%d,"upserts":{"services":[{"name":"t%d"}]}}`,
 				version, version-1, version%10))
 			must.Eq(t, routing.Duplicate, verdict, must.Sprint(version))
@@ -226,7 +226,7 @@
 		}
 		must.Eq(t, slots, machine.Slots())
 		var founders []membership.Founder
-		for _, m := range []replication.Member{recordedLeader, recordedFounder, recordedLost} {
+		for _, m := range []replication.Member{recordedLeader, recordedReplaced, recordedLost} {
 			founders = append(founders, membership.Founder{Disk: membership.DiskID(m.ID), Addr: m.Addr})
 		}
 		must.Eq(t, founders, machine.Founders())
@@ -244,21 +244,22 @@
 			Failing: run.Spec.Failing, Steps: []rollout.Step{{Share: 5000, MinTime: rollout.Duration(time.Second)}, {Share: 9000, MinTime: rollout.Duration(time.Second)}}}, run.Spec)
 		must.Eq(t, "{[5xx none wrong] 10 9500 130}", fmt.Sprint(run.Spec.Failing))
 		must.SliceLen(t, 2, run.History)
-		must.Eq(t, "start 1 5000 ana 1796229222189", pastText(run.History[0]))
-		must.Eq(t, "step 1 9000  1796229222438", pastText(run.History[1]))
+		must.Eq(t, "start 1 5000 ana 1796229222189", historyEntryText(run.History[0]))
+		must.Eq(t, "step 1 9000  1796229222438", historyEntryText(run.History[1]))
 		must.True(t, machine.Rollouts.CallApplied("m-1"))
 		must.True(t, machine.Rollouts.CallApplied("m-2"))
 		must.False(t, machine.Rollouts.CallApplied("m-3"))
 	}
 }
 
-func pastText(p rollout.HistoryEntry) string {
+// historyEntryText returns the fields of a history entry separated by spaces.
+func historyEntryText(p rollout.HistoryEntry) string {
 	return fmt.Sprint(p.Verb, " ", p.Step, " ", p.Share, " ", p.Author, " ", p.UnixMilli)
 }
 
-// The note beside the log has the backends that were known.
-func TestRecordedBackends(t *testing.T) {
-	store, _, err := Open(recordedFolder(t, recordedFirst))
+// The soft state holds the backends that were known.
+func TestRecordedBackendsAreRead(t *testing.T) {
+	store, _, err := Open(newRecordedDir(t, recordedFirst))
 	must.NoError(t, err)
 	defer store.Close()
 	var records []registry.WireRecord
@@ -271,13 +272,13 @@
 		record("v2-2", "127.0.0.1:38577", "v2", 3, 71444197)}, records)
 }
 
-// The groups' logs fold to the locks, numbers and keys that were acknowledged: some in a snapshot, some in entries behind it.
-func TestRecordedCoordination(t *testing.T) {
+// The groups' logs restore to the locks, numbers and keys that were acknowledged. Some are in a snapshot and some in entries after it.
+func TestRecordedCoordinationIsRestored(t *testing.T) {
 	for _, name := range []string{recordedFirst, recordedThird} {
-		store, _, err := Open(recordedFolder(t, name))
+		store, _, err := Open(newRecordedDir(t, name))
 		must.NoError(t, err)
 		must.NoError(t, store.Close())
-		s := coordinationOf(t, store.GroupLogs())
+		s := restoreCoordination(t, store.GroupLogs())
 		lock := func(name, holder string, fence uint64, left string) coordination.LockInfo {
 			d, err := time.ParseDuration(left)
 			must.NoError(t, err)
@@ -290,14 +291,14 @@
 			4: {lock("n2", "eva", 2, "7m0.001s")},
 			7: {lock("l3f", "cyd", 1, "9m59.750444s")},
 		} {
-			must.Eq(t, want, answerOf(s, coordination.Call{Operation: coordination.LockList, Group: groups.ID(id)}).Locks)
+			must.Eq(t, want, submitCall(s, coordination.Call{Operation: coordination.LockList, Group: groups.ID(id)}).Locks)
 		}
-		must.Eq(t, coordination.StatusLockHeld, answerOf(s, coordination.Call{Operation: coordination.LockAcquire, Name: "l1f", Holder: "zoe",
+		must.Eq(t, coordination.StatusLockHeld, submitCall(s, coordination.Call{Operation: coordination.LockAcquire, Name: "l1f", Holder: "zoe",
 			TTL: time.Second}).Status)
-		must.Eq(t, 6, answerOf(s, coordination.Call{Operation: coordination.LockAcquire, Name: "name-99", Holder: "zoe",
-			TTL: time.Second}).FencingToken) // group 1's next one
+		must.Eq(t, 6, submitCall(s, coordination.Call{Operation: coordination.LockAcquire, Name: "name-99", Holder: "zoe",
+			TTL: time.Second}).FencingToken) // group 1's next token
 		for counter, last := range map[string]uint64{"orders": 3, "bills": 2, "name-30": 4} {
-			must.Eq(t, last+1, answerOf(s, coordination.Call{Operation: coordination.NumberNext, Name: counter}).Number)
+			must.Eq(t, last+1, submitCall(s, coordination.Call{Operation: coordination.NumberNext, Name: counter}).Number)
 		}
 
 		values := map[string]string{"alone": "two"}
@@ -309,44 +310,44 @@
 		values["g1.k0"], revisions["g1.k0"] = "last", 91
 		for key, value := range values {
 			must.Eq(t, coordination.Result{Value: value, Revision: revisions[key]},
-				answerOf(s, coordination.Call{Operation: coordination.KeyRead, Name: key}))
+				submitCall(s, coordination.Call{Operation: coordination.KeyRead, Name: key}))
 		}
-		must.Eq(t, coordination.StatusNotFound, answerOf(s, coordination.Call{Operation: coordination.KeyRead, Name: "none"}).Status)
+		must.Eq(t, coordination.StatusNotFound, submitCall(s, coordination.Call{Operation: coordination.KeyRead, Name: "none"}).Status)
 		must.Eq(t, []coordination.Event{{Name: "g1.k4", Value: fmt.Sprint("88-", strings.Repeat("v", 1500)), Revision: 89},
 			{Name: "g1.k5", Value: fmt.Sprint("89-", strings.Repeat("v", 1500)), Revision: 90}, {Name: "g1.k0", Value: "last", Revision: 91}},
-			answerOf(s, coordination.Call{Operation: coordination.KeyWatch, Name: "g1.", AfterRevision: 88}).Events)
-		must.SliceLen(t, 83, answerOf(s, coordination.Call{Operation: coordination.KeyWatch, Name: "g1.", AfterRevision: 1}).Events)
+			submitCall(s, coordination.Call{Operation: coordination.KeyWatch, Name: "g1.", AfterRevision: 88}).Events)
+		must.SliceLen(t, 83, submitCall(s, coordination.Call{Operation: coordination.KeyWatch, Name: "g1.", AfterRevision: 1}).Events)
 		for key, put := range map[string]coordination.Result{"one": {Revision: 1}, "two": {Revision: 2}, "three": {Status: coordination.StatusConflict, Revision: 2}} {
-			must.Eq(t, put, answerOf(s, coordination.Call{Operation: coordination.KeyPut, Name: "alone", Value: key, Conditional: true, ExpectedRevision: 1}))
+			must.Eq(t, put, submitCall(s, coordination.Call{Operation: coordination.KeyPut, Name: "alone", Value: key, Conditional: true, ExpectedRevision: 1}))
 		}
 	}
 }
 
-// recordedState is a configuration log's folded state as dd5a45a keeps it.
+// recordedState is the state of the configuration's log as dd5a45a stores it.
 type recordedState struct {
-	pastState
+	previousState
 	Founders []struct {
 		Disk uint64
 		Addr string
 	}
 }
 
-// recordedFile is all of a file, by the types of dd5a45a as far as gob goes by them.
+// recordedFile is the content of a whole file, in the types of dd5a45a with the field names that gob matches.
 type recordedFile struct {
-	Logs  map[string]recordedBuckets
-	State recordedState
-	Note  []pastWord
+	Logs      map[string]recordedBuckets
+	State     recordedState
+	SoftState []previousBackendRecord
 }
 
-// recordedBuckets is a log of a file.
+// recordedBuckets is the content of the buckets of one log.
 type recordedBuckets struct {
-	Head    pastHead
-	Snap    pastSnapshot
-	Entries []pastEntry
+	Head    previousHead
+	Snap    previousSnapshot
+	Entries []previousEntry
 }
 
-// asRecorded reads a file as dd5a45a does, once it has its former name again.
-func asRecorded(t *testing.T, dir string) (file recordedFile) {
+// readAsRecordedVersion renames a file to its former name and reads it with the types of dd5a45a.
+func readAsRecordedVersion(t *testing.T, dir string) (file recordedFile) {
 	t.Helper()
 	decode := func(b []byte, v any) { must.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(v)) }
 	must.NoError(t, os.Rename(filepath.Join(dir, "replicas.db"), filepath.Join(dir, "promptbook.db")))
@@ -357,7 +358,7 @@
 		decode(tx.Bucket([]byte(head)).Get([]byte("head")), &log.Head)
 		decode(tx.Bucket([]byte(snap)).Get([]byte("snap")), &log.Snap)
 		must.NoError(t, tx.Bucket([]byte(entries)).ForEach(func(_, v []byte) error {
-			var e pastEntry
+			var e previousEntry
 			decode(v, &e)
 			log.Entries = append(log.Entries, e)
 			return nil
@@ -366,24 +367,25 @@
 	}
 	must.NoError(t, db.View(func(tx *bbolt.Tx) error {
 		configuration := log(tx, "book", "book", "log")
-		decode(configuration.Snap.State, &file.State.pastState)
+		decode(configuration.Snap.State, &file.State.previousState)
 		decode(configuration.Snap.State, &file.State)
-		configuration.Snap.State, file.State.Bills, file.State.Rollouts = nil, nil, nil // gob puts names of types into these
+		configuration.Snap.State, file.State.Bills, file.State.Rollouts = nil, nil, nil // their gob encoding contains type names, which differ between versions
 		file.Logs = map[string]recordedBuckets{"configuration": configuration}
 		for id := 1; id <= groups.Count; id++ {
 			name := fmt.Sprintf("group %02d ", id)
 			file.Logs[name] = log(tx, name+"head", name+"snapshot", name+"log")
 		}
-		decode(tx.Bucket([]byte("book")).Get([]byte("note")), &file.Note)
+		decode(tx.Bucket([]byte("book")).Get([]byte("note")), &file.SoftState)
 		return nil
 	}))
 	return file
 }
 
-// What is written now is read by dd5a45a: a recorded file that is read and written anew has the same content by its types.
-func TestRecordedFileForItsVersion(t *testing.T) {
+// Version dd5a45a can read what this version writes. A recorded file that this version reads and writes again has the same content in the
+// types of dd5a45a.
+func TestRecordedVersionReadsRewrittenFile(t *testing.T) {
 	for _, name := range []string{recordedFirst, recordedSecond, recordedThird} {
-		from, to := recordedFolder(t, name), t.TempDir()
+		from, to := newRecordedDir(t, name), t.TempDir()
 		recorded, state, err := Open(from)
 		must.NoError(t, err)
 		var records []registry.WireRecord
@@ -393,26 +395,26 @@
 		must.NoError(t, err)
 		state.Snapshot.State = machine.Snapshot()
 
-		again, _, err := Open(to)
+		rewritten, _, err := Open(to)
 		must.NoError(t, err)
-		again.memberID = state.ID
+		rewritten.memberID = state.ID
 		logs := recorded.GroupLogs()
 		logs[replication.ConfigurationLog] = state
 		for id, log := range logs {
-			must.NoError(t, again.Write([]replication.LogWrite{{Log: id, Write: replication.Write{ClusterID: log.ClusterID, Term: log.Term,
+			must.NoError(t, rewritten.Write([]replication.LogWrite{{Log: id, Write: replication.Write{ClusterID: log.ClusterID, Term: log.Term,
 				Vote: log.Vote, Commit: log.Commit, Snapshot: &log.Snapshot, FirstIndex: log.Snapshot.Index + 1, Entries: log.Entries}}}))
 		}
-		var note bytes.Buffer
-		must.NoError(t, gob.NewEncoder(&note).Encode(records))
-		must.NoError(t, again.SaveSoftState(note.Bytes()))
-		must.NoError(t, again.Close())
+		var softState bytes.Buffer
+		must.NoError(t, gob.NewEncoder(&softState).Encode(records))
+		must.NoError(t, rewritten.SaveSoftState(softState.Bytes()))
+		must.NoError(t, rewritten.Close())
 
-		want, got := asRecorded(t, from), asRecorded(t, to)
+		want, got := readAsRecordedVersion(t, from), readAsRecordedVersion(t, to)
 		must.MapLen(t, 1+groups.Count, want.Logs)
 		must.SliceLen(t, 17, want.Logs["configuration"].Entries)
 		must.SliceLen(t, 5, want.State.Seats)
 		must.SliceLen(t, 3, want.State.Founders)
-		must.SliceLen(t, 3, want.Note)
+		must.SliceLen(t, 3, want.SoftState)
 		must.Eq(t, want, got)
 	}
 }
--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -12,9 +12,9 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// fillWithStates replaces a state of about so many bytes so often, as the log has it: an entry is written, and once entries have so many bytes
-// a snapshot in their place. It tells the size of the file.
-func fillWithStates(t *testing.T, stateBytes, times, compact int) int64 {
+// fileSizeAfterStates writes a number of states of about stateBytes each, one replacing the other, and returns the size of the file. Each
+// state is written as an entry. A snapshot replaces the entries once they have compactBytes.
+func fileSizeAfterStates(t *testing.T, stateBytes, times, compactBytes int) int64 {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
 	must.NoError(t, err)
@@ -22,14 +22,14 @@
 	members := []replication.Member{{ID: state.ID, Addr: "a"}}
 	must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2,
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members}}}))
-	held := 0
+	entryBytes := 0
 	for i := range times {
 		index := uint64(i + 2)
 		data := make([]byte, stateBytes-stateBytes/10+rng.IntN(stateBytes/5))
 		must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 1, Term: 1, Commit: index, FirstIndex: index,
 			Entries: []replication.Entry{{Index: index, Term: 1, Data: data}}}}))
-		if held += len(data); held >= compact {
-			held = 0
+		if entryBytes += len(data); entryBytes >= compactBytes {
+			entryBytes = 0
 			must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 1, Term: 1, Commit: index,
 				Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: members, State: data}}}))
 		}
@@ -40,31 +40,32 @@
 	return info.Size()
 }
 
-// Whole configurations that take each other's place, compacted by bytes, leave the file at about five of them: 1 MB fits a disk of
-// 64 MB many times, and the 4 MiB that a call may have does. By entries alone, each 64, it grew to seventy.
+// The file stays at about five times the size of a configuration when whole configurations replace each other and the log is compacted by
+// bytes. Configurations of 1 MB fit a disk of 64 MB many times, and those of 4 MiB, the limit of a control call, fit as well. Compaction
+// by number of entries alone, every 64, let the file grow to the size of seventy configurations.
 func TestSizeOfWholeConfigurations(t *testing.T) {
 	times := 20
 	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_TIMES")); err == nil {
 		times = n
 	}
 	for _, stateBytes := range []int{250 << 10, 1 << 20, 4 << 20} {
-		size := fillWithStates(t, stateBytes, times, 256<<10)
-		t.Logf("%d of %d KB: %d KB", times, stateBytes>>10, size>>10)
+		size := fileSizeAfterStates(t, stateBytes, times, 256<<10)
+		t.Logf("after %d configurations of %d KB the file has %d KB", times, stateBytes>>10, size>>10)
 		must.LessEq(t, int64(8*stateBytes+1<<20), size)
 	}
-	must.Greater(t, int64(15<<20), fillWithStates(t, 1<<20, 20, 64<<20)) // the defence out
+	must.Greater(t, int64(15<<20), fileSizeAfterStates(t, 1<<20, 20, 64<<20)) // without timely compaction the file exceeds the limit
 }
 
-// A disk of 64 MB took 64 whole configurations of 3.4 MB one after the other, each as they come at their worst: two that are not committed
-// yet, which is all that the log holds of such, both replaced by another leader's; a snapshot and the entries after it in one write, as
-// after a disk that hung; a snapshot from elsewhere in the place of all. The file stays below ten configurations (node.diskCopies). Played at
-// a quarter of that size; LOGSTORE_STATE plays it larger.
+// A disk of 64 MB must take 64 whole configurations of 3.4 MB one after the other in the worst patterns of writes. One is two uncommitted
+// configurations, the most that the log holds of this size, which are both replaced by another leader's. Another is a snapshot and the
+// entries after it in one write, as after a disk that hung. The third is a snapshot of another member that replaces everything. The file
+// stays below ten configurations (node.diskCopiesPerState). The test runs at a quarter of that size, and LOGSTORE_STATE sets a larger one.
 func TestSmallDiskHoldsWholeConfigurations(t *testing.T) {
 	stateBytes := 850_000
 	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_STATE")); err == nil {
 		stateBytes = n
 	}
-	const times, seed = 64, 1 // the worst of twelve seeds
+	const times, seed = 64, 1 // the seed with the largest file of twelve that were tried
 	dir := t.TempDir()
 	store, state, err := Open(dir)
 	must.NoError(t, err)
@@ -87,19 +88,19 @@
 	for range times {
 		one, two := entry(at+1), entry(at+2)
 		switch rng.IntN(4) {
-		case 0: // one by one
+		case 0: // the entries are written one by one
 			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{one}})
 			apply(replication.Write{Commit: at + 1, FirstIndex: at + 2, Entries: []replication.Entry{two}})
 			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
-		case 1: // another leader's in their place
+		case 1: // another leader's entries replace them
 			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
 			term++
 			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{entry(at + 1), entry(at + 2)}})
 			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
-		case 2: // after a disk that hung
+		case 2: // a snapshot and entries in one write, as after a disk that hung
 			apply(replication.Write{Commit: at + 1, Snapshot: snap(at), FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
 			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
-		case 3: // a member that was away
+		case 3: // a snapshot of another member, as for a member that was away
 			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
 			apply(replication.Write{Commit: at + 9, Snapshot: snap(at + 9), FirstIndex: at + 10})
 			at += 7
@@ -109,6 +110,6 @@
 	must.NoError(t, store.Close())
 	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
-	t.Logf("%d of %d KB: %d KB", times, stateBytes>>10, info.Size()>>10)
+	t.Logf("after %d configurations of %d KB the file has %d KB", times, stateBytes>>10, info.Size()>>10)
 	must.LessEq(t, int64(10*stateBytes), info.Size())
 }
--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -11,37 +11,39 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// memberIDShift leaves 40 bits of a random number for a member ID: they are enough, and it travels with each message.
+// memberIDShift reduces a random 64-bit number to the 40 bits of a member ID. 40 bits are enough, and a short ID saves bytes because each
+// message carries it.
 const memberIDShift = 24
 
-// Store is an open file, for one goroutine at a time.
+// Store is an open file. Only one goroutine may use it at a time.
 type Store struct {
-	dir        string
-	path       string
-	filesystem filesystem
-	memberID   replication.MemberID
-	file       *bbolt.DB // nil until there is a file: see Created
-	groupLogs  map[replication.LogID]replication.PersistentState
-	twoNames   bool  // the file was found under both of its names
-	renameErr  error // see RenameError
+	dir          string
+	path         string
+	filesystem   filesystem
+	memberID     replication.MemberID
+	file         *bbolt.DB // nil until the file exists: see Created
+	groupLogs    map[replication.LogID]replication.PersistentState
+	hasBothNames bool  // the file was found under both of its names
+	renameErr    error // see RenameError
 }
 
-// Open opens the file in a folder, reads all of it, and gives the configuration's log. Where there is none it makes one, with a new
-// member ID, synced with its name. If the disk is too full for that, the store has an ID alone (see Created) and the first Write that
-// finds room makes the file: until then nothing is confirmed under that ID, so that a process which ends before has lost nothing but the
-// ID.
+// Open opens the file in a directory, reads all of it and returns the configuration's log. If there is no state, Open creates a file with a
+// new member ID and syncs the file and its directory entry. If the disk is too full for that, the store only has a member ID (see Created),
+// and the first Write that finds room creates the file. Until then the store confirms nothing under that ID, so a process that ends before
+// loses only the ID.
 //
-// The error is a CorruptError if what the file holds can't be read: the disk is to be taken for lost then, see Wipe. After any other
-// error (a FileError, a ConflictError) nothing was touched.
+// Open returns a CorruptError if the content of the file cannot be read. The caller must then treat the disk as lost: see Wipe. After any
+// other error, such as a FileError or a ConflictError, Open has changed nothing.
 func Open(dir string) (*Store, replication.PersistentState, error) { return open(dir, osFilesystem{}) }
 
+// open implements Open on a given filesystem.
 func open(dir string, fs filesystem) (*Store, replication.PersistentState, error) {
 	s := &Store{dir: dir, filesystem: fs}
-	found, err := s.find()
+	found, err := s.findFile()
 	if err != nil {
 		return nil, replication.PersistentState{}, err
 	}
-	create := found.empty()
+	create := found.isEmpty()
 	if create {
 		if found.configuration.ID, err = newMemberID(); err != nil {
 			return nil, replication.PersistentState{}, err
@@ -54,33 +56,34 @@
 		}
 		return s, found.configuration, nil
 	}
-	s.renameErr = s.adoptName()
+	s.renameErr = s.migrateFileName()
 	return s, found.configuration, nil
 }
 
-// newMemberID draws the ID of an empty disk.
+// newMemberID returns a random member ID for an empty disk. The ID is never 0.
 func newMemberID() (id replication.MemberID, err error) {
 	for id == 0 {
 		var random [8]byte
 		if _, err = rand.Read(random[:]); err != nil {
-			return 0, errors.Wrap(err, "draw a member ID")
+			return 0, errors.Wrap(err, "generate a random member ID")
 		}
 		id = replication.MemberID(binary.BigEndian.Uint64(random[:]) >> memberIDShift)
 	}
 	return id, nil
 }
 
-// Created tells whether there is a file; false on a disk that is too full to make one.
+// Created reports whether the file exists. It returns false if the disk is too full to create the file.
 func (s *Store) Created() bool { return s.file != nil }
 
-// RenameError tells why the file may have the name of earlier versions still; nil if it has its present one for good. It is used all the
-// same, and the next Open tries again.
+// RenameError returns why the file may still have the name of earlier versions, or nil if the file permanently has its present name. The
+// store uses the file in either case, and the next Open tries to rename it again.
 func (s *Store) RenameError() error { return s.renameErr }
 
-// GroupLogs are the logs beside the configuration's that the file held when it was opened.
+// GroupLogs returns the logs, other than the configuration's, that the file held when it was opened.
 func (s *Store) GroupLogs() map[replication.LogID]replication.PersistentState { return s.groupLogs }
 
-// ensureCreated makes the file of a store that has none yet. What an earlier attempt left was never confirmed to be there.
+// ensureCreated creates the file of a store that has none yet. It first removes what an earlier attempt left, which is safe because nothing
+// in it was ever confirmed.
 func (s *Store) ensureCreated() error {
 	if s.file != nil {
 		return nil
@@ -91,7 +94,8 @@
 	return s.openForWriting(true)
 }
 
-// Write puts writes on disk in one transaction. After it all are synced; with an error none is there, and they may be tried again.
+// Write stores writes in one transaction. When it returns nil, all of them are synced. When it returns an error, none of them is on disk,
+// and the caller may retry them.
 func (s *Store) Write(writes []replication.LogWrite) error {
 	if len(writes) == 0 {
 		return nil
@@ -101,7 +105,7 @@
 	}
 	heads := map[replication.LogID]storedHead{}
 	for i := range writes {
-		heads[writes[i].Log] = headOf(s.memberID, &writes[i].Write)
+		heads[writes[i].Log] = newStoredHead(s.memberID, &writes[i].Write)
 	}
 	return fileError("write", s.path, recoverFault(func() error {
 		if err := s.commit(writes, heads); err != nil {
@@ -111,7 +115,7 @@
 	}))
 }
 
-// commit is the transaction of a Write.
+// commit runs the transaction of a Write. It stores the snapshots and entries in order and then one head for each log.
 func (s *Store) commit(writes []replication.LogWrite, heads map[replication.LogID]storedHead) error {
 	return s.file.Update(func(tx *bbolt.Tx) error {
 		for i := range writes {
@@ -132,8 +136,8 @@
 	})
 }
 
-// verify reads back the heads that were written. bbolt writes to the file and reads it through a mapping; on a disk that lost the write
-// the two differ.
+// verify reads back the heads that commit wrote. bbolt writes to the file and reads it through a memory mapping. The two differ on a disk
+// that lost the write.
 func (s *Store) verify(heads map[replication.LogID]storedHead) error {
 	return s.file.View(func(tx *bbolt.Tx) error {
 		for id, want := range heads {
@@ -146,7 +150,8 @@
 	})
 }
 
-// SaveSoftState keeps a value beside the logs that is good to have after a start and may be old or lost: the newest alone.
+// SaveSoftState stores a value beside the logs that is useful after a start but may be out of date or lost. It replaces the previous
+// value.
 func (s *Store) SaveSoftState(value []byte) error {
 	if err := s.ensureCreated(); err != nil {
 		return err
@@ -158,7 +163,7 @@
 	}))
 }
 
-// SoftState is the value that was saved last, nil if there is none or it can't be read.
+// SoftState returns the value that was saved last. It returns nil if there is none or it cannot be read.
 func (s *Store) SoftState() (value []byte) {
 	if s.file == nil {
 		return nil
@@ -174,7 +179,7 @@
 	return value
 }
 
-// Close closes the file.
+// Close closes the file. It does nothing if the store has no file.
 func (s *Store) Close() error {
 	if s.file == nil {
 		return nil
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -13,11 +13,12 @@
 	"clovergap/internal/gateway/replication"
 )
 
+// entry returns an entry with data and no members.
 func entry(index, term uint64, data string) replication.Entry {
 	return replication.Entry{Index: index, Term: term, Data: []byte(data)}
 }
 
-// writeConfiguration writes to the configuration's log.
+// writeConfiguration stores writes to the configuration's log in one transaction.
 func writeConfiguration(s *Store, writes []replication.Write) error {
 	var all []replication.LogWrite
 	for _, w := range writes {
@@ -26,8 +27,8 @@
 	return s.Write(all)
 }
 
-// The file does what Kept.Apply does, also after it was closed.
-func TestReopen(t *testing.T) {
+// A reopened file holds the same state that PersistentState.Apply computes from the same writes.
+func TestReopenRestoresAppliedWrites(t *testing.T) {
 	dir := t.TempDir()
 	store, want, err := Open(dir)
 	must.NoError(t, err)
@@ -38,11 +39,11 @@
 		{{ClusterID: 5, Term: 2, Vote: 7, Commit: 1, FirstIndex: 2,
 			Entries: []replication.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}},
 			{ClusterID: 5, Term: 3, Vote: 7, Commit: 2}},
-		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 3, FirstIndex: 4, // trimmed
+		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 3, FirstIndex: 4, // replaces the entries from index 4 on
 			Entries: []replication.Entry{entry(4, 3, "d"), entry(5, 3, "e")}}},
 		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 4,
 			Snapshot: &replication.Snapshot{Index: 4, Term: 3, Members: members, State: []byte("abd")}}},
-		{{ClusterID: 5, Term: 9, Vote: 8, Commit: 30, FirstIndex: 31, // another's snapshot
+		{{ClusterID: 5, Term: 9, Vote: 8, Commit: 30, FirstIndex: 31, // a snapshot of another member
 			Snapshot: &replication.Snapshot{Index: 30, Term: 8, Members: members, State: []byte("z")}}},
 	} {
 		must.NoError(t, writeConfiguration(store, batch))
@@ -61,6 +62,7 @@
 	must.NoError(t, store.Close())
 }
 
+// The file stays below 1 MiB with a state of 100 KB and up to 100 entries of 1 KB after each snapshot.
 func TestSizeIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	store, _, err := Open(dir)
@@ -81,12 +83,13 @@
 	must.NoError(t, store.Close())
 	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
-	t.Log(info.Size())
+	t.Logf("the file has %d bytes", info.Size())
 	must.Less(t, int64(1<<20), info.Size())
 }
 
-// A file that is cut short or overwritten gives an error that names it, or reads as it was: never a crash.
-func TestCorruptFile(t *testing.T) {
+// Open of a truncated or overwritten file never crashes the process. It returns an error that names the file, or the file opens because the
+// damage does not affect it.
+func TestCorruptFileIsReportedNotFatal(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, FileName)
 	store, old, err := Open(dir)
@@ -97,26 +100,26 @@
 	must.NoError(t, store.Close())
 	whole, err := os.ReadFile(path)
 	must.NoError(t, err)
-	bad := 0
-	try := func(content []byte) {
+	corruptCount := 0
+	checkOpen := func(content []byte) {
 		must.NoError(t, os.WriteFile(path, content, 0o600))
-		again, _, refused := Open(dir)
-		if refused == nil {
-			must.NoError(t, again.Close())
+		reopened, _, openErr := Open(dir)
+		if openErr == nil {
+			must.NoError(t, reopened.Close())
 			return
 		}
-		bad++
-		var u *CorruptError
-		must.True(t, errors.As(refused, &u), must.Sprint(refused))
-		must.StrContains(t, refused.Error(), path)
+		corruptCount++
+		var corrupt *CorruptError
+		must.True(t, errors.As(openErr, &corrupt), must.Sprint(openErr))
+		must.StrContains(t, openErr.Error(), path)
 	}
 	for at := 512; at < len(whole); at += 512 {
-		try(whole[:at])
+		checkOpen(whole[:at])
 		junk := bytes.Repeat([]byte{0xa5}, 512)
-		try(bytes.Join([][]byte{whole[:at], junk, whole[min(at+512, len(whole)):]}, nil))
+		checkOpen(bytes.Join([][]byte{whole[:at], junk, whole[min(at+512, len(whole)):]}, nil))
 	}
-	must.Positive(t, bad)
-	try(whole[:100])
+	must.Positive(t, corruptCount)
+	checkOpen(whole[:100])
 	must.NoError(t, Wipe(dir))
 	store, state, err := Open(dir)
 	must.NoError(t, err)
@@ -125,8 +128,8 @@
 	must.NoError(t, store.Close())
 }
 
-// A note stands beside the log: the newest alone, through a start, and an empty file has none.
-func TestSoftState(t *testing.T) {
+// The soft state keeps only the newest value, which survives a restart. An empty file has none.
+func TestSoftStateKeepsNewestValue(t *testing.T) {
 	dir := t.TempDir()
 	store, _, err := Open(dir)
 	must.NoError(t, err)
@@ -140,8 +143,8 @@
 	must.NoError(t, store.Close())
 }
 
-// A follower that was behind when the log was put into a snapshot deletes all its entries, over several pages, and goes on with a
-// later one in the same step. It used to go round for ever.
+// A follower that lags behind receives a snapshot that removes all its entries, over several pages, and a later entry in the same write.
+// This write used to loop forever in a bbolt cursor.
 func TestSnapshotAndLaterEntriesInOneWrite(t *testing.T) {
 	for _, together := range []bool{true, false} {
 		store, state, err := Open(t.TempDir())
@@ -169,15 +172,16 @@
 	}
 }
 
-// The first start on a full disk: a store without a file, which ended the process. It has an ID, confirms nothing, and is as any other
-// once the disk takes writes again, whatever an earlier attempt left behind. Other faults still end the process, and touch nothing.
+// A first start on a full disk used to end the process. The store now has a member ID but no file and confirms nothing. It works as any
+// other store once the disk takes writes again, whatever an earlier attempt left behind. Other faults still make Open fail, and it changes
+// nothing.
 func TestDiskFullAtFirstStart(t *testing.T) {
 	dir := t.TempDir()
-	fs := &faultyFilesystem{fail: map[string]error{"open": unix.EACCES}}
+	fs := &faultyFilesystem{failures: map[string]error{"open": unix.EACCES}}
 	_, _, err := open(dir, fs)
 	must.ErrorIs(t, err, unix.EACCES)
 
-	fs.fail["open"] = unix.ENOSPC
+	fs.failures["open"] = unix.ENOSPC
 	store, state, err := open(dir, fs)
 	must.NoError(t, err)
 	must.False(t, store.Created())
@@ -187,20 +191,20 @@
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: state.ID}}}}}
 	must.ErrorIs(t, writeConfiguration(store, write), unix.ENOSPC)
 	must.ErrorIs(t, store.SaveSoftState([]byte("one")), unix.ENOSPC)
-	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), make([]byte, 5000), 0o600)) // as much as there was room for
+	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), make([]byte, 5000), 0o600)) // the part that the disk had room for
 	must.ErrorIs(t, writeConfiguration(store, write), unix.ENOSPC)
 
-	delete(fs.fail, "open")
+	delete(fs.failures, "open")
 	must.NoError(t, writeConfiguration(store, write))
 	must.True(t, store.Created())
 	must.NoError(t, store.Close())
-	store, back, err := Open(dir)
+	store, reopened, err := Open(dir)
 	must.NoError(t, err)
-	must.Eq(t, state.ID, back.ID)
-	must.Len(t, 1, back.Entries)
+	must.Eq(t, state.ID, reopened.ID)
+	must.Len(t, 1, reopened.Entries)
 	must.NoError(t, store.Close())
 
-	fs.fail["open"] = unix.ENOSPC // one that holds a state is opened without a write, or not at all
+	fs.failures["open"] = unix.ENOSPC // Open never returns a store without a file if there is a file with a state
 	_, _, err = open(dir, fs)
 	must.ErrorIs(t, err, unix.ENOSPC)
 }
--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -18,10 +18,11 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// testdata/before.db.gz is a member's file as the version before left it (of 2 December 2026, before all was renamed): three nodes that
-// took a configuration, 70 amendments and a roll-out, with nine backends.
+// testdata/before.db.gz is the file of a member as the previous version left it (2 December 2026, before the renaming of identifiers). Its
+// cluster had three nodes that took a configuration, 70 amendments and a rollout with nine backends.
 
-func pastFile(t *testing.T) (dir string) {
+// previousVersionDir returns a new directory with the previous version's file under its former name.
+func previousVersionDir(t *testing.T) (dir string) {
 	dir = t.TempDir()
 	f, err := os.Open("testdata/before.db.gz")
 	must.NoError(t, err)
@@ -34,33 +35,33 @@
 	return dir
 }
 
-// The types of the version before, as far as gob goes by them.
+// The types of the previous version. They have the field names that gob matches and the types that it decodes into.
 type (
-	pastHead struct {
+	previousHead struct {
 		Me, For                   uint64
 		House, Promise, Delivered uint64
 	}
-	pastMember struct {
+	previousMember struct {
 		ID   uint64
 		Addr string
 	}
-	pastSnapshot struct {
+	previousSnapshot struct {
 		Index, View uint64
-		Members     []pastMember
+		Members     []previousMember
 		State       []byte
 	}
-	pastEntry struct {
+	previousEntry struct {
 		Index, View uint64
 		Kind        uint8
 		Data        []byte
-		Members     []pastMember
+		Members     []previousMember
 	}
-	pastState struct {
+	previousState struct {
 		Bills    []byte
 		Seats    []struct{ Name, Addr, Control, Zone string }
 		Rollouts []byte
 	}
-	pastWord struct {
+	previousBackendRecord struct {
 		ID, Service, Addr, Zone, Generation string
 		Capacity                            int
 		Phase                               uint8
@@ -72,7 +73,7 @@
 		Fence                               uint64
 		Missed                              int
 	}
-	pastConfigs struct {
+	previousConfigs struct {
 		Body  []byte
 		Taken []struct {
 			Version uint64
@@ -80,26 +81,27 @@
 		}
 		Window []byte
 	}
-	pastRollouts struct {
+	previousRollouts struct {
 		Runs, Ended      []struct{ Number, Rev uint64 }
 		Last, Rev, Fence uint64
 		Marks            []string
 		Window           []byte
 	}
-	// pastAll is all of a file.
-	pastAll struct {
-		Head    pastHead
-		Snap    pastSnapshot
-		State   pastState
-		Configs pastConfigs
-		Runs    pastRollouts
-		Note    []pastWord
-		Entries []pastEntry
+	// previousFile is the decoded content of a whole file.
+	previousFile struct {
+		Head      previousHead
+		Snap      previousSnapshot
+		State     previousState
+		Configs   previousConfigs
+		Runs      previousRollouts
+		SoftState []previousBackendRecord
+		Entries   []previousEntry
 	}
 )
 
-// asBefore reads a file as the version before does, once it has its former name again: see "Two versions side by side" in docs/state.md.
-func asBefore(t *testing.T, dir string) (all pastAll) {
+// readAsPreviousVersion renames a file to its former name and reads it with the types of the previous version. See "Two versions side by
+// side" in docs/state.md.
+func readAsPreviousVersion(t *testing.T, dir string) (file previousFile) {
 	decode := func(b []byte, v any) { must.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(v)) }
 	must.NoError(t, os.Rename(filepath.Join(dir, "replicas.db"), filepath.Join(dir, "promptbook.db")))
 	db, err := bbolt.Open(filepath.Join(dir, "promptbook.db"), 0o600, &bbolt.Options{ReadOnly: true})
@@ -107,26 +109,27 @@
 	defer db.Close()
 	must.NoError(t, db.View(func(tx *bbolt.Tx) error {
 		book := tx.Bucket([]byte("book"))
-		decode(book.Get([]byte("head")), &all.Head)
-		decode(book.Get([]byte("snap")), &all.Snap)
-		decode(book.Get([]byte("note")), &all.Note)
+		decode(book.Get([]byte("head")), &file.Head)
+		decode(book.Get([]byte("snap")), &file.Snap)
+		decode(book.Get([]byte("note")), &file.SoftState)
 		return tx.Bucket([]byte("log")).ForEach(func(_, v []byte) error {
-			var e pastEntry
+			var e previousEntry
 			decode(v, &e)
-			all.Entries = append(all.Entries, e)
+			file.Entries = append(file.Entries, e)
 			return nil
 		})
 	}))
-	decode(all.Snap.State, &all.State)
-	decode(all.State.Bills, &all.Configs)
-	decode(all.State.Rollouts, &all.Runs)
-	all.Snap.State, all.State.Bills, all.State.Rollouts = nil, nil, nil // how gob words them has names of types in it
-	return all
+	decode(file.Snap.State, &file.State)
+	decode(file.State.Bills, &file.Configs)
+	decode(file.State.Rollouts, &file.Runs)
+	file.Snap.State, file.State.Bills, file.State.Rollouts = nil, nil, nil // their gob encoding contains type names, which differ between versions
+	return file
 }
 
-// A disk that the version before has written is read whole, and its state folds to what it told when it was written.
-func TestFileOfTheVersionBefore(t *testing.T) {
-	store, state, err := Open(pastFile(t))
+// Open reads a file of the previous version in full, and its state restores to the state that the cluster reported when the file was
+// written.
+func TestFileOfPreviousVersionIsRead(t *testing.T) {
+	store, state, err := Open(previousVersionDir(t))
 	must.NoError(t, err)
 	defer store.Close()
 	must.Eq(t, 0x90d0564f83, state.ID)
@@ -151,29 +154,30 @@
 	must.Eq(t, "i-0", records[0].ID)
 }
 
-// A disk that this version writes is read by the version before: the same content is the same by its types.
-func TestFileForTheVersionBefore(t *testing.T) {
-	from, to := pastFile(t), t.TempDir()
-	past, state, err := Open(from)
+// The previous version can read a file that this version writes. The same content decodes to the same values with the types of the previous
+// version.
+func TestPreviousVersionReadsFile(t *testing.T) {
+	from, to := previousVersionDir(t), t.TempDir()
+	previous, state, err := Open(from)
 	must.NoError(t, err)
-	note := past.SoftState()
-	must.NoError(t, past.Close())
+	softState := previous.SoftState()
+	must.NoError(t, previous.Close())
 	var records []registry.WireRecord
-	must.NoError(t, gob.NewDecoder(bytes.NewReader(note)).Decode(&records))
+	must.NoError(t, gob.NewDecoder(bytes.NewReader(softState)).Decode(&records))
 	machine, err := statemachine.Restore(state.Snapshot.State)
 	must.NoError(t, err)
 	state.Snapshot.State = machine.Snapshot()
-	now, _, err := Open(to)
+	current, _, err := Open(to)
 	must.NoError(t, err)
-	now.memberID = state.ID
-	must.NoError(t, writeConfiguration(now, []replication.Write{{ClusterID: state.ClusterID, Term: state.Term, Vote: state.Vote, Commit: state.Commit,
+	current.memberID = state.ID
+	must.NoError(t, writeConfiguration(current, []replication.Write{{ClusterID: state.ClusterID, Term: state.Term, Vote: state.Vote, Commit: state.Commit,
 		Snapshot: &state.Snapshot, FirstIndex: state.Snapshot.Index + 1, Entries: state.Entries}}))
 	var b bytes.Buffer
 	must.NoError(t, gob.NewEncoder(&b).Encode(records))
-	must.NoError(t, now.SaveSoftState(b.Bytes()))
-	must.NoError(t, now.Close())
-	want, got := asBefore(t, from), asBefore(t, to)
-	must.SliceLen(t, 9, want.Note)
+	must.NoError(t, current.SaveSoftState(b.Bytes()))
+	must.NoError(t, current.Close())
+	want, got := readAsPreviousVersion(t, from), readAsPreviousVersion(t, to)
+	must.SliceLen(t, 9, want.SoftState)
 	must.SliceLen(t, 3, want.State.Seats)
 	must.Positive(t, len(want.Configs.Body)*len(want.Configs.Window))
 	must.Eq(t, want, got)
