--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -29,7 +29,7 @@
 	if id == replication.ConfigurationLog {
 		return bucketNames{head: []byte("book"), snapshot: []byte("book"), entries: []byte("log")}
 	}
-	name := func(what string) []byte { return fmt.Appendf(nil, "group %02d %s", id, what) }
+	name := func(suffix string) []byte { return fmt.Appendf(nil, "group %02d %s", id, suffix) }
 	return bucketNames{head: name("head"), snapshot: name("snapshot"), entries: name("log")}
 }
 
@@ -87,8 +87,8 @@
 	return h, nil
 }
 
-// readLog reads a log and validates it. It returns ErrForeignDisk if the log was not written under wantMemberID; with 0 any member ID is
-// accepted.
+// readLog reads a log and validates it. It returns ErrForeignDisk if the log was not written under wantMemberID. If wantMemberID is
+// 0, any member ID is accepted.
 func (l logBuckets) readLog(wantMemberID replication.MemberID) (state replication.PersistentState, err error) {
 	if name := l.firstMissingBucket(); name != nil {
 		return state, logError("read", l.id, name, ErrBucketMissing)
--- a/internal/gateway/logstore/errors_test.go
+++ b/internal/gateway/logstore/errors_test.go
@@ -15,10 +15,10 @@
 func TestErrorsNameFileLogAndBucket(t *testing.T) {
 	const group = replication.LogID(3)
 	for _, c := range []struct {
-		name    string
-		corrupt func(tx *bbolt.Tx) error
-		want    LogError
-		is      error
+		name      string
+		corrupt   func(tx *bbolt.Tx) error
+		want      LogError
+		wantCause error
 	}{
 		{"missing bucket", func(tx *bbolt.Tx) error { return tx.DeleteBucket([]byte("group 03 log")) },
 			LogError{Operation: "read", Log: group, Bucket: "group 03 log"}, ErrBucketMissing},
@@ -54,8 +54,8 @@
 		must.NotNil(t, got.Err)
 		must.Eq(t, c.want, LogError{Operation: got.Operation, Log: got.Log, Bucket: got.Bucket}, must.Sprint(c.name))
 		must.StrContains(t, err.Error(), c.want.Operation)
-		if c.is != nil {
-			must.ErrorIs(t, err, c.is)
+		if c.wantCause != nil {
+			must.ErrorIs(t, err, c.wantCause)
 		}
 	}
 }
--- a/internal/gateway/logstore/filename.go
+++ b/internal/gateway/logstore/filename.go
@@ -30,25 +30,25 @@
 	if s.hasBothNames = sameFile(current, former); s.hasBothNames {
 		return readFile(current)
 	}
-	ofCurrent, currentErr := readFile(current)
-	ofFormer, formerErr := readFile(former)
+	currentContents, currentErr := readFile(current)
+	formerContents, formerErr := readFile(former)
 	for _, err := range []error{currentErr, formerErr} {
 		if err != nil && !errors.As(err, new(*CorruptError)) {
 			return contents{}, err
 		}
 	}
 	switch {
-	case formerErr == nil && ofFormer.isEmpty():
-		return ofCurrent, currentErr
-	case currentErr == nil && ofCurrent.isEmpty():
+	case formerErr == nil && formerContents.isEmpty():
+		return currentContents, currentErr
+	case currentErr == nil && currentContents.isEmpty():
 		s.path = former
-		return ofFormer, formerErr
+		return formerContents, formerErr
 	case sameBytes(current, former):
 		s.path = former // migrateFileName renames it over the identical file
-		return ofFormer, formerErr
+		return formerContents, formerErr
 	}
-	return contents{}, &ConflictError{Current: summarize(current, &ofCurrent, currentErr),
-		Former: summarize(former, &ofFormer, formerErr)}
+	return contents{}, &ConflictError{Current: summarize(current, &currentContents, currentErr),
+		Former: summarize(former, &formerContents, formerErr)}
 }
 
 // summarize returns the summary of a file for a ConflictError.
--- a/internal/gateway/logstore/filename_test.go
+++ b/internal/gateway/logstore/filename_test.go
@@ -198,7 +198,7 @@
 // using it could lose them. After an operator has removed one file, Open uses the other.
 func TestTwoStatesAreRefused(t *testing.T) {
 	for name, makeCurrent := range map[string]func(t *testing.T, dir string, id replication.MemberID){
-		"file of another disk": func(t *testing.T, dir string, _ replication.MemberID) {
+		"file of another disk made by an earlier version": func(t *testing.T, dir string, _ replication.MemberID) {
 			s, kept, err := Open(dir)
 			must.NoError(t, err)
 			must.NoError(t, s.Write([]replication.LogWrite{{Write: foundingWrite(kept.ID)}}))
--- a/internal/gateway/logstore/filesystem_test.go
+++ b/internal/gateway/logstore/filesystem_test.go
@@ -40,11 +40,11 @@
 }
 
 func (f *faultyFilesystem) Sync(name string) error {
-	what := "sync file"
+	stepName := "sync file"
 	if info, err := os.Stat(name); err == nil && info.IsDir() {
-		what = "sync directory"
+		stepName = "sync directory"
 	}
-	if err := f.step(what); err != nil {
+	if err := f.step(stepName); err != nil {
 		return err
 	}
 	return f.osFilesystem.Sync(name)
--- a/internal/gateway/logstore/logs_test.go
+++ b/internal/gateway/logstore/logs_test.go
@@ -88,8 +88,8 @@
 	must.NoError(t, store.Close())
 }
 
-// The file stays below a fixed factor of all retained data while the snapshots of eight groups and of the configuration replace each other,
-// with entries between them. Writes go one at a time, as a WriteQueue issues them.
+// The file stays below a bound proportional to the retained data while the snapshots of eight groups and of the
+// configuration replace each other, with entries between them. Writes go one at a time, as a WriteQueue issues them.
 func TestSizeOfManyLogsIsBounded(t *testing.T) {
 	const groups = 8
 	for _, stateBytes := range []int{64 << 10, 1 << 20} {
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -100,9 +100,9 @@
 }
 
 // submitCall returns a service's result for a call.
-func submitCall(s *coordination.Service, c coordination.Call) (answer coordination.Result) {
-	s.Submit(c, func(a coordination.Result) { answer = a })
-	return answer
+func submitCall(s *coordination.Service, c coordination.Call) (result coordination.Result) {
+	s.Submit(c, func(r coordination.Result) { result = r })
+	return result
 }
 
 // restoreMachine restores the configuration's log into a state machine.
@@ -123,7 +123,7 @@
 // name would lose a field without an error.
 func TestRecordedLogsAreRead(t *testing.T) {
 	founders := []replication.Member{recordedLeader, recordedReplaced, recordedLost}
-	replaced := []replication.Member{recordedLeader, recordedLost, recordedReplacement}
+	membersAfterReplacement := []replication.Member{recordedLeader, recordedLost, recordedReplacement}
 	for name, member := range map[string]replication.Member{recordedFirst: recordedLeader, recordedSecond: recordedEmptyDisk,
 		recordedThird: recordedReplacement} {
 		store, state, err := Open(newRecordedDir(t, name))
@@ -135,7 +135,7 @@
 		must.Eq(t, 78, state.Commit)
 		must.Eq(t, 64, state.Snapshot.Index)
 		must.Eq(t, 11, state.Snapshot.Term)
-		must.Eq(t, replaced, state.Snapshot.Members)
+		must.Eq(t, membersAfterReplacement, state.Snapshot.Members)
 		must.Len(t, 17, state.Entries)
 		for i, e := range state.Entries {
 			must.Eq(t, 65+uint64(i), e.Index)
@@ -179,7 +179,7 @@
 		if id == 2 {
 			must.Eq(t, 56, log.Snapshot.Index)
 			must.Eq(t, 5, log.Snapshot.Term)
-			must.Eq(t, replaced, log.Snapshot.Members)
+			must.Eq(t, membersAfterReplacement, log.Snapshot.Members)
 			must.Len(t, 75110, log.Snapshot.State)
 			continue
 		}
@@ -332,7 +332,7 @@
 	}
 }
 
-// recordedFile is the content of a whole file, in the types of dd5a45a with the field names that gob matches.
+// recordedFile is the content of a whole file in the types of dd5a45a, reduced to the field names and types that gob matches.
 type recordedFile struct {
 	Logs      map[string]recordedBuckets
 	State     recordedState
--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -35,7 +35,7 @@
 	return dir
 }
 
-// The types of the previous version. They have the field names that gob matches and the types that it decodes into.
+// The types of the previous version, reduced to the field names and types that gob matches.
 type (
 	previousHead struct {
 		Me, For                   uint64
@@ -108,10 +108,10 @@
 	must.NoError(t, err)
 	defer db.Close()
 	must.NoError(t, db.View(func(tx *bbolt.Tx) error {
-		book := tx.Bucket([]byte("book"))
-		decode(book.Get([]byte("head")), &file.Head)
-		decode(book.Get([]byte("snap")), &file.Snap)
-		decode(book.Get([]byte("note")), &file.SoftState)
+		headBucket := tx.Bucket([]byte("book"))
+		decode(headBucket.Get([]byte("head")), &file.Head)
+		decode(headBucket.Get([]byte("snap")), &file.Snap)
+		decode(headBucket.Get([]byte("note")), &file.SoftState)
 		return tx.Bucket([]byte("log")).ForEach(func(_, v []byte) error {
 			var e previousEntry
 			decode(v, &e)
