--- a/internal/gateway/logstore/filename.go
+++ b/internal/gateway/logstore/filename.go
@@ -15,7 +15,7 @@
 // the names, with everything that was ever acknowledged. If a step fails, as on a full disk, the store keeps the name that the file has,
 // RenameError returns the cause, and the next Open tries again.
 //
-// Files with both names exist if an earlier version ran in the directory in the meantime. A file that holds no state is ignored. One file
+// Two files, one under each name, exist if an earlier version ran in the directory after a rename. A file that holds no state is ignored. One file
 // under both names counts as one file, and so do two files with the same bytes. In all other cases Open returns a ConflictError.
 const FileName = "replicas.db"
 
--- a/internal/gateway/logstore/filename_test.go
+++ b/internal/gateway/logstore/filename_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// writeEmptyFile writes a file as a process leaves it that ended before its first write. The file has no bytes, or with withPages the
+// writeEmptyFile writes the file that a process leaves if it ends before its first write. The file has no bytes, or with withPages the
 // pages of an empty bbolt file.
 func writeEmptyFile(t *testing.T, path string, withPages bool) {
 	t.Helper()
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -27,7 +27,7 @@
 
 // testdata/dd5a45a*.db.gz are the files of the three members of one cluster as dd5a45a (2 December 2026) left them when its nodes were
 // killed. The first member led the configuration's log. Five nodes of that version wrote the files on the loopback interface, driven by
-// control calls. The calls made a configuration, three backends, a rollout at its second step, locks, numbers and keys, and 66 amendments.
+// control calls. The calls created a configuration, three backends, a rollout at its second step, locks, numbers and keys, and 66 amendments.
 // Before the snapshot, the disk of another node replaced one disk. After the snapshot, an empty disk at the same address replaced another.
 const (
 	recordedFirst  = "dd5a45a"
--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -12,8 +12,8 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// fileSizeAfterStates writes a number of states of about stateBytes each, one replacing the other, and returns the size of the file. Each
-// state is written as an entry. A snapshot replaces the entries once they have compactBytes.
+// fileSizeAfterStates writes a sequence of states of about stateBytes each and returns the size of the file. Each state replaces the one
+// before it. A state is written as an entry. A snapshot replaces the entries once they have compactBytes.
 func fileSizeAfterStates(t *testing.T, stateBytes, times, compactBytes int) int64 {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
@@ -56,10 +56,10 @@
 	must.Greater(t, int64(15<<20), fileSizeAfterStates(t, 1<<20, 20, 64<<20)) // without timely compaction the file exceeds the limit
 }
 
-// A disk of 64 MB must take 64 whole configurations of 3.4 MB one after the other in the worst patterns of writes. One is two uncommitted
-// configurations, the most that the log holds of this size, which are both replaced by another leader's. Another is a snapshot and the
-// entries after it in one write, as after a disk that hung. The third is a snapshot of another member that replaces everything. The file
-// stays below ten configurations (node.diskCopiesPerState). The test runs at a quarter of that size, and LOGSTORE_STATE sets a larger one.
+// A disk of 64 MB must take 64 whole configurations of 3.4 MB one after the other in the worst patterns of writes. In the first
+// pattern, entries of another leader replace two uncommitted configurations, the most that the log holds of this size. In the second,
+// one write holds a snapshot and the entries after it, as after a disk that hung. In the third, a snapshot of another member replaces
+// everything. The file stays below ten configurations (node.diskCopiesPerState). The test runs at a quarter of that size, and LOGSTORE_STATE sets a larger one.
 func TestSmallDiskHoldsWholeConfigurations(t *testing.T) {
 	stateBytes := 850_000
 	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_STATE")); err == nil {
@@ -100,7 +100,7 @@
 		case 2: // a snapshot and entries in one write, as after a disk that hung
 			apply(replication.Write{Commit: at + 1, Snapshot: snap(at), FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
 			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
-		case 3: // a snapshot of another member, as for a member that was away
+		case 3: // a snapshot of another member, as after this member was offline
 			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
 			apply(replication.Write{Commit: at + 9, Snapshot: snap(at + 9), FirstIndex: at + 10})
 			at += 7
