--- a/internal/gateway/controlapi/rollouts.go
+++ b/internal/gateway/controlapi/rollouts.go
@@ -127,7 +127,7 @@
 		Reason:   order.Why,
 		Revision: order.Rev,
 		Spec:     spec,
-		Capacity: rollout.Capacity{Canary: max(order.NewRoom, 0), Busy: max(order.Busy, 0)},
+		Capacity: rollout.Capacity{Canary: max(order.NewRoom, 0), PeakInUse: max(order.Busy, 0)},
 	}, order.DryRun, nil
 }
 
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -239,7 +239,7 @@
 		must.Eq(t, rollout.Running, run.Phase)
 		must.Eq(t, 2, run.Step)
 		must.False(t, run.Paused)
-		must.Eq(t, rollout.Capacity{Baseline: 200, Canary: 100, Busy: 50}, run.Capacity)
+		must.Eq(t, rollout.Capacity{Baseline: 200, Canary: 100, PeakInUse: 50}, run.Capacity)
 		must.Eq(t, rollout.Spec{Service: "s", Old: "v1", New: "v2", Advance: "word",
 			Failing: run.Spec.Failing, Steps: []rollout.Step{{Share: 5000, MinTime: rollout.Duration(time.Second)}, {Share: 9000, MinTime: rollout.Duration(time.Second)}}}, run.Spec)
 		must.Eq(t, "{[5xx none wrong] 10 9500 130}", fmt.Sprint(run.Spec.Failing))
--- a/internal/gateway/node/change_repeat_test.go
+++ b/internal/gateway/node/change_repeat_test.go
@@ -92,7 +92,7 @@
 	d.startBackend("v2-0", "v2", &fails)
 	d.eventuallyAll("the backends", func(s controlapi.NodeStatus) bool { return len(s.Backends) == 2 && s.Generation == 7 })
 	entry := func(rev uint64, mark string) *rollout.Entry {
-		return &rollout.Entry{Verb: rollout.Start, Service: "s", CallID: mark, Revision: rev, Capacity: rollout.Capacity{Busy: 9}, Spec: &rollout.Spec{
+		return &rollout.Entry{Verb: rollout.Start, Service: "s", CallID: mark, Revision: rev, Capacity: rollout.Capacity{PeakInUse: 9}, Spec: &rollout.Spec{
 			Service: "s", Old: "v1", New: "v2", Steps: []rollout.Step{{Share: 100, MinTime: rollout.Duration(time.Second)}}}}
 	}
 	behind := func(do func(h *Node, then func(int, []byte))) (status int) {
--- a/internal/gateway/node/rollout_admission.go
+++ b/internal/gateway/node/rollout_admission.go
@@ -69,7 +69,7 @@
 	switch {
 	case finished:
 		state.open = admission.CanaryFallback
-	case r.local.CanaryBarred(run.Spec.Service):
+	case r.local.CanaryExcluded(run.Spec.Service):
 		state.open = admission.CanaryClosed
 	}
 	return state
--- a/internal/gateway/node/rollout_calls.go
+++ b/internal/gateway/node/rollout_calls.go
@@ -29,7 +29,7 @@
 		}
 		given := e.Capacity
 		e.Capacity = n.rollouts.capacityOf(e.Spec)
-		e.Capacity.Canary, e.Capacity.Busy = max(given.Canary, e.Capacity.Canary), cmp.Or(given.Busy, e.Capacity.Busy)
+		e.Capacity.Canary, e.Capacity.PeakInUse = max(given.Canary, e.Capacity.Canary), cmp.Or(given.PeakInUse, e.Capacity.PeakInUse)
 	}
 	body := e.Encode()
 	if dry {
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	number := n.machine.Rollouts.Last + 1
+	number := n.machine.Rollouts.LastNumber + 1
 	return controlapi.RolloutAnswer{Service: e.Service, Number: uint64(number), Phase: "dry", Rev: e.Revision, Steps: len(e.Spec.Steps),
 		Users: ptr(len(users)), Moved: e.Spec.CountMoved(number, users), Room: capacityAnswer(e.Capacity)}
 }
@@ -109,7 +109,7 @@
 }
 
 func capacityAnswer(c rollout.Capacity) *controlapi.RolloutRoom {
-	return &controlapi.RolloutRoom{Old: c.Baseline, New: c.Canary, Busy: c.Busy}
+	return &controlapi.RolloutRoom{Old: c.Baseline, New: c.Canary, Busy: c.PeakInUse}
 }
 
 // Rollouts reads the status from the leader, which has the counts; without one, this node answers by its own state.
@@ -125,7 +125,7 @@
 // rolloutStatusBody is how roll-outs stand, as this node knows it.
 func (n *Node) rolloutStatusBody() []byte {
 	state := n.machine.Rollouts
-	all := controlapi.RolloutStatus{Node: n.settings.NodeName, Rev: state.Rev,
+	all := controlapi.RolloutStatus{Node: n.settings.NodeName, Rev: state.Revision,
 		Leads: n.rollouts.coordinator != nil || n.isLeader(), Rollouts: []controlapi.RolloutRun{}}
 	for i := range state.Runs() {
 		all.Rollouts = append(all.Rollouts, n.rollouts.statusOf(&state.Runs()[i]))
--- a/internal/gateway/node/rollout_host.go
+++ b/internal/gateway/node/rollout_host.go
@@ -92,10 +92,10 @@
 // applyState takes the state after an entry or a snapshot.
 func (r *rolloutHost) applyState() {
 	state := r.peers.rolloutState()
-	if state.Rev == r.appliedRevision {
+	if state.Revision == r.appliedRevision {
 		return
 	}
-	r.appliedRevision = state.Rev
+	r.appliedRevision = state.Revision
 	now := r.peers.now()
 	r.local.Tick(now)
 	r.local.ApplyState(state)
@@ -152,7 +152,7 @@
 // receiveCatchUp takes the leader's state at the time of the request: this node's own may be from before its restart.
 func (r *rolloutHost) receiveCatchUp(status int, body []byte) {
 	var there controlapi.RolloutStatus
-	if status == statusOK && json.Unmarshal(body, &there) == nil && r.peers.rolloutState().Rev >= there.Rev {
+	if status == statusOK && json.Unmarshal(body, &there) == nil && r.peers.rolloutState().Revision >= there.Rev {
 		r.caughtUp = true
 	}
 }
@@ -262,7 +262,7 @@
 			c.Baseline += max(record.Capacity, 1)
 		}
 	}
-	c.Busy = r.backends.busyEverywhere(spec.Service)
+	c.PeakInUse = r.backends.busyEverywhere(spec.Service)
 	return c
 }
 
--- a/internal/gateway/rollout/decide.go
+++ b/internal/gateway/rollout/decide.go
@@ -29,7 +29,7 @@
 		return false
 	}
 	if e.Verb == Pause || e.Verb == Rollback { // they name no revision
-		return e.Number <= s.Last
+		return e.Number <= s.LastNumber
 	}
 	return e.Revision < horizon
 }
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -130,8 +130,8 @@
 	return 0
 }
 
-// CanaryBarred reports that the canary gets no attempt at all, neither first nor later ones.
-func (n *Node) CanaryBarred(service string) bool {
+// CanaryExcluded reports whether requests may make no attempt on the canary, neither a first nor a later one.
+func (n *Node) CanaryExcluded(service string) bool {
 	local := n.rollouts[service]
 	return local != nil && (local.Phase == RolledBack || local.rolledBack || !n.everConnected && local.Phase == Running)
 }
--- a/internal/gateway/rollout/spec.go
+++ b/internal/gateway/rollout/spec.go
@@ -103,7 +103,7 @@
 
 // Capacity is that of a service's backends, in concurrent requests: of the baseline, of the canary, and how many are in use at the
 // busiest (0: not known, then defaultUtilization of all).
-type Capacity struct{ Baseline, Canary, Busy int }
+type Capacity struct{ Baseline, Canary, PeakInUse int }
 
 const (
 	spareFactor        = 1.25 // capacity over the busiest use that must be there
@@ -119,8 +119,8 @@
 	case c.Canary <= 0:
 		return logentry.FieldErrorf("new", "%s has room for none", s.New)
 	}
-	busy := float64(c.Busy)
-	if c.Busy <= 0 {
+	busy := float64(c.PeakInUse)
+	if c.PeakInUse <= 0 {
 		busy = defaultUtilization * float64(c.Baseline+c.Canary)
 	}
 	if need := busy * spareFactor; float64(c.Baseline) < need {
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -62,8 +62,8 @@
 
 // State is what the replicated log's entries come to: the same at all nodes.
 type State struct {
-	Last         Number // newest roll-out of all services
-	Rev          uint64 // rises with each entry that was taken
+	LastNumber   Number // newest roll-out of all services
+	Revision     uint64 // rises with each entry that was taken
 	fencingToken uint64 // highest of a coordinator
 	runs         []Run  // the newest of each service, by service
 	ended        []Run  // earlier ones, oldest first
@@ -103,16 +103,16 @@
 	if v, err := s.Decide(e); v != routing.Accepted {
 		return v, err
 	}
-	s.Rev++
+	s.Revision++
 	if e.CallID != "" {
-		s.appliedCalls.Add(s.Rev, callDigest(e.CallID))
+		s.appliedCalls.Add(s.Revision, callDigest(e.CallID))
 	}
 	s.fencingToken = max(s.fencingToken, e.FencingToken)
 	if e.Verb == Start {
 		s.startRun(e)
 	}
 	r := s.Run(e.Service)
-	r.Revision = s.Rev
+	r.Revision = s.Revision
 	step := r.Step
 	switch e.Verb {
 	case Advance:
@@ -130,8 +130,8 @@
 
 // startRun puts a new roll-out in the place of the service's former one.
 func (s *State) startRun(e *Entry) {
-	s.Last++
-	r := Run{Number: s.Last, Spec: *e.Spec, Capacity: e.Capacity, Phase: Running, Step: 1}
+	s.LastNumber++
+	r := Run{Number: s.LastNumber, Spec: *e.Spec, Capacity: e.Capacity, Phase: Running, Step: 1}
 	err := r.Spec.Normalize()
 	invariant.That(err == nil, "an order that was taken is sound")
 	i, exists := s.find(e.Service)
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -33,7 +33,7 @@
 		"steps":[{"share":100,"min_time":"10s"},{"share":2500,"min_time":"60000ms","requests":500}]}`), &r))
 	must.NoError(t, r.Normalize())
 	must.Eq(t, DefaultFailureCriteria(), r.Failing)
-	must.NoError(t, r.CheckCapacity(Capacity{Baseline: 24, Canary: 8, Busy: 19}))
+	must.NoError(t, r.CheckCapacity(Capacity{Baseline: 24, Canary: 8, PeakInUse: 19}))
 	for want, spoil := range map[string]func(*Spec){
 		"new":               func(r *Spec) { r.New = "v1" },
 		"steps[1].share":    func(r *Spec) { r.Steps[1].Share = 100 },
@@ -49,8 +49,8 @@
 		must.Error(t, err, must.Sprint(want))
 		must.StrContains(t, err.Error(), want)
 	}
-	must.ErrorContains(t, r.CheckCapacity(Capacity{Baseline: 24, Canary: 8, Busy: 20}), "old: v1 has room for 24")
-	must.ErrorContains(t, r.CheckCapacity(Capacity{Baseline: 90, Canary: 8, Busy: 40}), "steps[1].share: v2")
+	must.ErrorContains(t, r.CheckCapacity(Capacity{Baseline: 24, Canary: 8, PeakInUse: 20}), "old: v1 has room for 24")
+	must.ErrorContains(t, r.CheckCapacity(Capacity{Baseline: 90, Canary: 8, PeakInUse: 40}), "steps[1].share: v2")
 	all, none := func(string) bool { return true }, func(string) bool { return false }
 	r.Limits.Tenants = []string{"huka"}
 	must.ErrorContains(t, r.CheckReferences(all, all, none, all), "limits.tenants[0]")
@@ -228,7 +228,7 @@
 	user := []byte("someone")
 	late := NewNode("a", 1, 0)
 	late.ApplyState(s) // of its disk: it may have been rolled back since
-	must.True(t, late.Share("libro") == 0 && late.CanaryBarred("libro"))
+	must.True(t, late.Share("libro") == 0 && late.CanaryExcluded("libro"))
 	late.SetConnected(true)
 	must.Eq(t, 9000, late.Share("libro"))
 	late.SetConnected(false)
@@ -240,7 +240,7 @@
 			late.RecordOutcome("libro", 1, Outcome{Side: Canary, Kind: Write, Backend: uint64(5 + i%3), Cause: InvalidResponse})
 		}
 	}
-	must.True(t, late.Share("libro") == 0 && late.CanaryBarred("libro"))
+	must.True(t, late.Share("libro") == 0 && late.CanaryExcluded("libro"))
 	side, _ := late.ChooseSide("libro", user, Scope{})
 	must.Eq(t, Baseline, side)
 	a, ok := late.Next()
--- a/internal/gateway/rollout/stored.go
+++ b/internal/gateway/rollout/stored.go
@@ -96,7 +96,9 @@
 	return c
 }
 
-func storeCapacity(c Capacity) storedCapacity { return storedCapacity{c.Baseline, c.Canary, c.Busy} }
+func storeCapacity(c Capacity) storedCapacity {
+	return storedCapacity{c.Baseline, c.Canary, c.PeakInUse}
+}
 
 func (s storedCapacity) capacity() Capacity { return Capacity{s.Old, s.New, s.Busy} }
 
@@ -157,7 +159,7 @@
 
 // stored gives the state's stored form, but for the window of calls.
 func (s *State) stored() storedState {
-	return storedState{Runs: storeRuns(s.runs), Ended: storeRuns(s.ended), Last: s.Last, Rev: s.Rev, Fence: s.fencingToken}
+	return storedState{Runs: storeRuns(s.runs), Ended: storeRuns(s.ended), Last: s.LastNumber, Rev: s.Revision, Fence: s.fencingToken}
 }
 
 // Snapshot encodes the state. Equal states give equal bytes in all processes of a version.
@@ -177,7 +179,7 @@
 	if err := logentry.Decode(b, &stored, "snapshot of roll-outs"); err != nil {
 		return s, err
 	}
-	s.runs, s.ended, s.Last, s.Rev, s.fencingToken = runsOf(stored.Runs), runsOf(stored.Ended), stored.Last, stored.Rev, stored.Fence
+	s.runs, s.ended, s.LastNumber, s.Revision, s.fencingToken = runsOf(stored.Runs), runsOf(stored.Ended), stored.Last, stored.Rev, stored.Fence
 	if stored.Window == nil {
 		s.addStoredCalls(stored.Marks)
 		return s, nil
@@ -190,7 +192,7 @@
 // addStoredCalls takes over the list of earlier programs. Each call has made a revision of its own, at the latest the one that it is
 // counted at here.
 func (s *State) addStoredCalls(ids []string) {
-	before := s.Rev - uint64(len(ids))
+	before := s.Revision - uint64(len(ids))
 	if len(ids) == maxStoredCalls {
 		s.appliedCalls.SetHorizon(before)
 	}
--- a/internal/gateway/rollout/versions_test.go
+++ b/internal/gateway/rollout/versions_test.go
@@ -32,7 +32,7 @@
 
 func pastOrder() *Entry {
 	return &Entry{Verb: Start, Service: "libro", CallID: "call-1", Author: "ana", UnixMilli: 1764692000123, Reason: "new release", Spec: pastSpec(),
-		Capacity: Capacity{Baseline: 40, Canary: 30, Busy: 20}}
+		Capacity: Capacity{Baseline: 40, Canary: 30, PeakInUse: 20}}
 }
 
 func pastVerdict() *Entry {
@@ -66,7 +66,7 @@
 	for _, name := range []string{"snapshot", "marks"} {
 		s, err := Restore(pastBytes(t, name))
 		must.NoError(t, err)
-		must.True(t, s.Last == 2 && s.Rev == 5 && s.fencingToken == 9, must.Sprint(name))
+		must.True(t, s.LastNumber == 2 && s.Revision == 5 && s.fencingToken == 9, must.Sprint(name))
 		for _, id := range []string{"call-1", "call-2", "call-3", "call-4"} {
 			must.True(t, s.CallApplied(id), must.Sprint(name, id))
 		}
@@ -78,7 +78,7 @@
 		must.Eq(t, HistoryEntry{Verb: Rollback, Step: 1, Author: "duty", UnixMilli: 5, Reason: "writes: new 3 of 9 failed", Counts: pastVerdict().Counts}, ended.History[2])
 		r := s.Run("libro")
 		must.True(t, r.Number == 2 && r.Revision == 5 && r.Phase == Running && r.Step == 1 && r.Paused && r.Spec.New == "v3")
-		must.Eq(t, Capacity{Baseline: 40, Canary: 30, Busy: 20}, r.Capacity)
+		must.Eq(t, Capacity{Baseline: 40, Canary: 30, PeakInUse: 20}, r.Capacity)
 	}
 }
 
--- a/internal/gateway/statemachine/machine_test.go
+++ b/internal/gateway/statemachine/machine_test.go
@@ -41,7 +41,7 @@
 	MinTime: rollout.Duration(time.Second)}}}
 
 func rolloutEntry(e rollout.Entry) []byte {
-	e.Service, e.Capacity = "s", rollout.Capacity{Baseline: 9, Canary: 9, Busy: 5}
+	e.Service, e.Capacity = "s", rollout.Capacity{Baseline: 9, Canary: 9, PeakInUse: 5}
 	return EncodeEntry(KindRollout, e.Encode())
 }
 
