--- a/internal/gateway/rollout/coordinator.go
+++ b/internal/gateway/rollout/coordinator.go
@@ -6,17 +6,20 @@
 )
 
 const (
-	lapInterval   = 30 * time.Second
-	proposalRetry = time.Second // an entry that did not come back through the log is proposed anew
-	maxReports    = 512         // kept of one step: the newest of each incarnation of a node
-	coordinatorBy = "duty"      // the coordinator's name in histories
+	lapInterval = 30 * time.Second
+	// proposalRetryInterval is the delay before the coordinator repeats a proposal that the log has not delivered.
+	proposalRetryInterval = time.Second
+	// maxReportsPerStep bounds the stored reports of one step. The coordinator keeps the newest report of each node incarnation.
+	maxReportsPerStep = 512
+	// coordinatorAuthor is the author that histories show for the coordinator's entries.
+	coordinatorAuthor = "duty"
 )
 
-// NodeID is a node's slot.
+// NodeID identifies a node by its slot number.
 type NodeID int
 
-// Coordinator is the part on the core's leader that decides for all nodes. It may be taken over at any time by another with a higher
-// fencing token: what it needs comes with the next reports.
+// Coordinator evaluates the reports of all nodes and proposes entries for the replicated log. It runs on the core's leader. Another
+// coordinator with a higher fencing token may replace it at any time, because the next reports contain all the state that it needs.
 type Coordinator struct {
 	actionQueue
 	now          time.Duration
@@ -25,18 +28,21 @@
 	active       map[string]*activeRollout // by service
 }
 
-// activeRollout is a roll-out that runs, in its present step.
+// activeRollout is the coordinator's state of a running roll-out in its current step.
 type activeRollout struct {
 	Run
-	stepStart        time.Duration
-	lap              int
-	lapStart         time.Duration
-	proposedAt       time.Duration
-	reports          map[nodeIncarnation]*receivedReport
-	changed          bool // reports have come since it was last evaluated
-	baselineBackends int  // that are ready; unknownBackends: not known
-	unconfigured     bool // the service is not in the configuration any more
-	doubt            float64
+	stepStart  time.Duration
+	lap        int
+	lapStart   time.Duration
+	proposedAt time.Duration
+	reports    map[nodeIncarnation]*receivedReport
+	// changed is true if the reports must be evaluated again.
+	changed bool
+	// baselineBackends is the number of ready backends of the baseline, or unknownBackends.
+	baselineBackends int
+	// unconfigured is true if the configuration no longer contains the service.
+	unconfigured bool
+	holdScore    float64
 }
 
 const unknownBackends = -1
@@ -51,24 +57,24 @@
 	found *findings
 }
 
-// NewCoordinator makes one. The fencing token must be above that of every coordinator before.
+// NewCoordinator returns a coordinator without active roll-outs. Its fencing token must be higher than that of every earlier coordinator.
 func NewCoordinator(fencingToken uint64, now time.Duration) *Coordinator {
 	return &Coordinator{now: now, fencingToken: fencingToken, active: map[string]*activeRollout{}}
 }
 
-// ApplyState takes the state after an entry or a snapshot.
+// ApplyState updates the active roll-outs from the replicated state. The host calls it after an entry or a snapshot was applied.
 func (c *Coordinator) ApplyState(s *State) {
 	for i := range s.Runs() {
 		run := &s.Runs()[i]
 		service := run.Spec.Service
-		former := c.active[service]
+		previous := c.active[service]
 		switch {
 		case run.Phase != Running:
 			delete(c.active, service)
-		case former == nil || former.Number != run.Number || former.Step != run.Step:
-			c.active[service] = c.newActive(run, former)
+		case previous == nil || previous.Number != run.Number || previous.Step != run.Step:
+			c.active[service] = c.newActive(run, previous)
 		default:
-			former.Run = *run
+			previous.Run = *run
 		}
 	}
 	for service := range c.active {
@@ -78,57 +84,57 @@
 	}
 }
 
-// newActive begins a step; laps go on over the steps of one roll-out.
-func (c *Coordinator) newActive(run *Run, former *activeRollout) *activeRollout {
-	a := &activeRollout{Run: *run, stepStart: c.now, lap: 1, lapStart: c.now, proposedAt: -proposalRetry,
+// newActive returns the state for a new step. The lap counter continues from the previous step of the same roll-out.
+func (c *Coordinator) newActive(run *Run, previous *activeRollout) *activeRollout {
+	a := &activeRollout{Run: *run, stepStart: c.now, lap: 1, lapStart: c.now, proposedAt: -proposalRetryInterval,
 		reports: map[nodeIncarnation]*receivedReport{}, baselineBackends: unknownBackends}
-	if former != nil && former.Number == run.Number {
-		a.lap, a.lapStart, a.baselineBackends, a.unconfigured = former.lap, former.lapStart, former.baselineBackends, former.unconfigured
+	if previous != nil && previous.Number == run.Number {
+		a.lap, a.lapStart, a.baselineBackends, a.unconfigured = previous.lap, previous.lapStart, previous.baselineBackends, previous.unconfigured
 	}
 	return a
 }
 
-// HandleReport takes a report. One on another step, or older than what its node has reported, changes nothing; one that can't be
-// read is an error.
+// HandleReport stores a node's report. It ignores a report on another step and one that is not newer than the stored report of the
+// same node incarnation. It returns an error if the report's evidence cannot be decoded.
 func (c *Coordinator) HandleReport(from NodeID, r Report) error {
 	a := c.active[r.Service]
 	if a == nil || a.Number != r.Number || a.Step != r.Step {
 		return nil
 	}
 	key := nodeIncarnation{from, r.Incarnation}
-	if newest := a.reports[key]; newest != nil && newest.Seq >= r.Seq || newest == nil && len(a.reports) >= maxReports {
+	if newest := a.reports[key]; newest != nil && newest.Seq >= r.Seq || newest == nil && len(a.reports) >= maxReportsPerStep {
 		return nil
 	}
-	f, err := r.findings(from)
+	decoded, err := r.findings(from)
 	if err != nil {
 		return err
 	}
-	if r.Lap > a.lap { // an earlier coordinator's
+	if r.Lap > a.lap { // an earlier coordinator started this lap
 		a.lap, a.lapStart = r.Lap, c.now
 	}
-	a.reports[key], a.changed = &receivedReport{r, f}, true
+	a.reports[key], a.changed = &receivedReport{r, decoded}, true
 	return nil
 }
 
-// SetNodeCount says how many nodes there are: where there are others, one alone is not believed.
+// SetNodeCount sets the number of nodes. If there are several nodes, the coordinator does not roll back on the reports of a single one.
 func (c *Coordinator) SetNodeCount(n int) { c.nodeCount = n }
 
-// SetBaselineBackends says how many backends of the baseline are ready (-1: not known), and whether the configuration still has the
-// service.
+// SetBaselineBackends sets how many backends of the baseline are ready (-1 if unknown), and whether the configuration still contains
+// the service.
 func (c *Coordinator) SetBaselineBackends(service string, ready int, configured bool) {
 	if a := c.active[service]; a != nil {
 		a.baselineBackends, a.unconfigured = ready, !configured
 	}
 }
 
-// Counts are the sums of all nodes in the present step of a service, and the doubt: from 1 on the coordinator does not go on to the next
-// step.
-func (c *Coordinator) Counts(service string) (counts Counts, doubt float64) {
+// Counts returns the outcomes of all nodes in the current step of a service's roll-out, and the hold score. The coordinator does not
+// advance to the next step while the hold score is 1 or more. Both results are 0 if no roll-out of the service runs.
+func (c *Coordinator) Counts(service string) (counts Counts, holdScore float64) {
 	a := c.active[service]
 	if a == nil {
 		return counts, 0
 	}
-	return a.counts(), a.doubt
+	return a.counts(), a.holdScore
 }
 
 func (a *activeRollout) counts() (sum Counts) {
@@ -138,7 +144,7 @@
 	return sum
 }
 
-// Tick sets the clock, begins laps, and proposes what the reports ask for.
+// Tick advances the clock, starts laps that are due and proposes the entries that the reports call for.
 func (c *Coordinator) Tick(now time.Duration) {
 	c.now = max(c.now, now)
 	for _, service := range sortedKeys(c.active) {
@@ -158,7 +164,8 @@
 	}
 }
 
-// collect gives the findings of all reports; those of another lap count for the step's window alone.
+// collect returns the findings of all reports, the nodes that reported, and the nodes that rolled back locally. Findings of another
+// lap count only in the window of the step.
 func (a *activeRollout) collect() (list []*findings, reporting, rolledBack map[NodeID]bool) {
 	reporting, rolledBack = map[NodeID]bool{}, map[NodeID]bool{}
 	for key, r := range a.reports {
@@ -177,16 +184,17 @@
 	return list, reporting, rolledBack
 }
 
-// evaluate looks at what all nodes found.
+// evaluate combines the findings of all nodes. It proposes a rollback if they show that the canary fails. If the baseline has no
+// ready backend, it proposes a pause instead.
 func (c *Coordinator) evaluate(a *activeRollout) {
 	list, reporting, rolledBack := a.collect()
-	score, doubt := evaluate(list, a.Step, a.lap, FleetFalsePositiveRate)
-	a.doubt = doubt
-	if len(rolledBack) > 0 { // enough to hold off the next step
-		a.doubt = max(doubt, 1)
+	score, holdScore := evaluate(list, a.Step, a.lap, FleetFalsePositiveRate)
+	a.holdScore = holdScore
+	if len(rolledBack) > 0 { // one local rollback is enough to hold the step
+		a.holdScore = max(holdScore, 1)
 	}
-	oneOfMany := len(reporting) == 1 && c.nodeCount > 1
-	if (score < 1 || oneOfMany) && len(rolledBack) < 2 {
+	singleReporter := len(reporting) == 1 && c.nodeCount > 1
+	if (score < 1 || singleReporter) && len(rolledBack) < 2 {
 		return
 	}
 	counts := a.counts()
@@ -194,30 +202,31 @@
 	case a.baselineBackends != 0:
 		c.propose(a, Rollback, a.Step, counts.describe())
 	case !a.Paused:
-		c.propose(a, Pause, a.Step, "failing, but no backend of the old version is left: "+counts.describe())
+		c.propose(a, Pause, a.Step, "the new version fails, but the old version has no ready backend: "+counts.describe())
 	}
 }
 
-// maybeAdvance goes on to the next step where the spec lets the coordinator do it.
+// maybeAdvance proposes the next step if the spec allows the coordinator to advance and the conditions of the current step are met.
 func (c *Coordinator) maybeAdvance(a *activeRollout) {
 	step := a.Spec.Steps[a.Step-1]
-	if a.Spec.Advance != AdvanceByTime || a.Paused || a.Step == len(a.Spec.Steps) || a.doubt >= 1 || a.unconfigured ||
+	if a.Spec.Advance != AdvanceByTime || a.Paused || a.Step == len(a.Spec.Steps) || a.holdScore >= 1 || a.unconfigured ||
 		c.now-a.stepStart < step.minTime() {
 		return
 	}
 	counts := a.counts()
 	if seen := int(counts[Canary][Read].Outcomes + counts[Canary][Write].Outcomes); seen >= step.Requests {
-		c.propose(a, Advance, a.Step+1, fmt.Sprintf("%d requests of the new version in order", seen))
+		c.propose(a, Advance, a.Step+1, fmt.Sprintf("the new version passed the step with %d requests", seen))
 	}
 }
 
-// propose puts an entry forward, and again where it does not come back through the log.
+// propose queues a proposal for the replicated log. It proposes at most once per proposalRetryInterval and marks the roll-out as
+// changed, so that the next Tick repeats a proposal that the log has not delivered.
 func (c *Coordinator) propose(a *activeRollout, verb Verb, step int, why string) {
 	a.changed = true
-	if c.now-a.proposedAt < proposalRetry {
+	if c.now-a.proposedAt < proposalRetryInterval {
 		return
 	}
 	a.proposedAt = c.now
-	c.push(Propose{Entry{Verb: verb, Service: a.Spec.Service, Author: coordinatorBy, Reason: why, Number: a.Number, Step: step,
+	c.push(Propose{Entry{Verb: verb, Service: a.Spec.Service, Author: coordinatorAuthor, Reason: why, Number: a.Number, Step: step,
 		FencingToken: c.fencingToken, Counts: a.counts()}})
 }
--- a/internal/gateway/rollout/counter.go
+++ b/internal/gateway/rollout/counter.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// stepCounter is what one node knows of one running step.
+// stepCounter holds the counts and evidence that one node has gathered in the current step of a roll-out.
 type stepCounter struct {
 	criteria       FailureCriteria
-	countedCauses  [causeCount]bool // those that the criteria name
+	failureCauses  [causeCount]bool // causes that the criteria count as failures
 	counts         Counts
 	span           span
 	spanStart      time.Duration
 	evidence       evidence
 	latencyByRoute map[uint32]*quantileEstimate
-	canaryBackends map[uint64]struct{} // seen at work
-	changed        bool                // since it was last evaluated
+	canaryBackends map[uint64]struct{} // backends with at least one outcome
+	changed        bool                // outcomes were recorded after the last evaluation
 }
 
 func newStepCounter(criteria FailureCriteria, now time.Duration) *stepCounter {
@@ -20,13 +20,14 @@
 		latencyByRoute: map[uint32]*quantileEstimate{}, canaryBackends: map[uint64]struct{}{}}
 	for cause := range causeNames {
 		for _, name := range criteria.Causes {
-			s.countedCauses[cause] = s.countedCauses[cause] || name == causeNames[cause]
+			s.failureCauses[cause] = s.failureCauses[cause] || name == causeNames[cause]
 		}
 	}
 	return s
 }
 
-// record takes an outcome.
+// record counts an outcome in the tallies and in the failure tests. It also records the latency of a successful response, unless the
+// backend is warming up.
 func (s *stepCounter) record(o Outcome) {
 	tally := &s.counts[o.Side][o.Kind]
 	tally.record(o.Cause)
@@ -34,7 +35,7 @@
 	if o.Side == Canary && len(s.canaryBackends) < maxBackends {
 		s.canaryBackends[o.Backend] = struct{}{}
 	}
-	failed := s.countedCauses[o.Cause]
+	failed := s.failureCauses[o.Cause]
 	overall := int(o.Kind) * failureTests
 	s.recordTest(o, overall, failed)
 	s.recordTest(o, overall+1+int(mixBits(uint64(o.Tenant))%tenantGroups), failed)
@@ -45,7 +46,8 @@
 	s.recordLatency(o)
 }
 
-// recordLatency compares an answer with the baseline's usual latency on its route.
+// recordLatency counts a response as slow or not, compared with the estimated latency quantile of the baseline on the same route. It
+// then updates the estimate with responses of the baseline.
 func (s *stepCounter) recordLatency(o Outcome) {
 	estimate := s.latencyByRoute[o.Route]
 	if estimate == nil {
@@ -63,12 +65,13 @@
 		}
 		s.recordTest(o, latencyTests+int(o.Kind), latency > limit)
 	}
-	if o.Side == Baseline { // after its own comparison: the estimate must not know what is compared with it
+	// The estimate is updated after the comparison, because it must not depend on the response that is compared with it.
+	if o.Side == Baseline {
 		estimate.observe(latency, float64(s.criteria.Quantile)/FullShare)
 	}
 }
 
-// recordTest counts an outcome for one test.
+// recordTest counts an outcome for one test in the current span. It attributes failures of the canary to their backend.
 func (s *stepCounter) recordTest(o Outcome, test int, failed bool) {
 	s.span.outcomes[o.Side][test]++
 	if !failed {
@@ -81,7 +84,7 @@
 	failures := s.span.perBackend[o.Backend]
 	if failures == nil {
 		if _, known := s.evidence.perBackend[o.Backend]; !known && len(s.evidence.perBackend)+len(s.span.perBackend) >= maxBackends {
-			return // beyond the bound a backend can't be left out of the evidence
+			return // the failures of a backend above the limit cannot be excluded from the evidence
 		}
 		failures = new([testCount]uint32)
 		s.span.perBackend[o.Backend] = failures
@@ -89,10 +92,11 @@
 	failures[test]++
 }
 
-// toleratedSlowRate of the canary's answers may be slow beyond what the criteria tolerate.
+// toleratedSlowRate is the fraction of the canary's responses that may exceed the tolerated latency in addition to those that would
+// exceed it on the baseline.
 const toleratedSlowRate = 0.01
 
-// closeSpan weighs the present span and begins another.
+// closeSpan adds the current span to the evidence and starts the next span.
 func (s *stepCounter) closeSpan(now time.Duration) {
 	s.evidence.add(&s.span, func(test int) float64 {
 		if test >= latencyTests {
@@ -104,7 +108,7 @@
 	s.spanStart = now
 }
 
-// spanEnd is when the present span ends.
+// spanEnd returns the time at which the current span ends. A span with few outcomes of the canary lasts longer.
 func (s *stepCounter) spanEnd() time.Duration {
 	if n := &s.span.outcomes[Canary]; n[0]+n[failureTests] < shortSpanOutcomes {
 		return s.spanStart + longSpan
--- a/internal/gateway/rollout/decide.go
+++ b/internal/gateway/rollout/decide.go
@@ -7,28 +7,29 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// Decide tells what would become of an entry now, and changes nothing. The error says why it isn't taken. A call that seems to have lost a
-// race may be one that was taken so long ago that its ID is forgotten: that is Unclear.
+// Decide returns the result that Apply would have for an entry, without a change to the state. The error says why the entry is not
+// accepted. A call that conflicts may be the repetition of a call that was applied so long ago that its ID is no longer stored. Decide
+// returns routing.Ambiguous for it.
 func (s *State) Decide(e *Entry) (routing.Result, error) {
 	v, err := s.decide(e)
 	if v == routing.Conflict && s.mayBeForgotten(e) {
-		return routing.Ambiguous, errors.Wrap(err, "not known any more what was taken")
+		return routing.Ambiguous, errors.Wrap(err, "call may have been applied earlier, its ID is no longer stored")
 	}
 	return v, err
 }
 
-// CallApplied reports whether the call of an ID was taken and is not forgotten.
+// CallApplied reports whether the call with an ID was applied and its ID is still stored.
 func (s *State) CallApplied(id string) bool { return id != "" && s.appliedCalls.Has(callDigest(id)) }
 
 func callDigest(id string) logentry.Digest { return logentry.DigestOf([]byte(id)) }
 
-// mayBeForgotten reports whether a call that is not known may have been taken.
+// mayBeForgotten reports whether an entry's call may have been applied although its ID is no longer stored.
 func (s *State) mayBeForgotten(e *Entry) bool {
 	horizon := s.appliedCalls.Horizon()
 	if e.CallID == "" || horizon == 0 || s.Run(e.Service) == nil {
 		return false
 	}
-	if e.Verb == Pause || e.Verb == Rollback { // they name no revision
+	if e.Verb == Pause || e.Verb == Rollback { // these need not name a revision
 		return e.Number <= s.LastNumber
 	}
 	return e.Revision < horizon
@@ -49,25 +50,25 @@
 	if e.Verb == Start {
 		return s.decideStart(e, r)
 	}
-	inTime := e.Verb == Rollback || e.Verb == Pause // these never come too late, whatever changed since
+	ignoresRevision := e.Verb == Rollback || e.Verb == Pause // these stay valid after any change to the roll-out
 	switch {
 	case r == nil:
-		return conflict("service", "no roll-out of %q", e.Service)
+		return conflict("service", "%q has no roll-out", e.Service)
 	case e.Number != r.Number:
-		return conflict("number", "is %d, but %d is the newest", e.Number, r.Number)
+		return conflict("number", "is %d, but the newest roll-out is %d", e.Number, r.Number)
 	case r.Phase != Running:
 		return conflict("number", "roll-out %d is %s", r.Number, r.Phase)
-	case !e.byCoordinator() && e.Revision != r.Revision && !inTime:
-		return conflict("rev", "is %d, but %d is current", e.Revision, r.Revision)
+	case !e.byCoordinator() && e.Revision != r.Revision && !ignoresRevision:
+		return conflict("rev", "is %d, but the current revision is %d", e.Revision, r.Revision)
 	case e.byCoordinator() && e.FencingToken < s.fencingToken:
-		return conflict("fence", "is %d, but %d was seen", e.FencingToken, s.fencingToken)
+		return conflict("fence", "is %d, but an entry with token %d was already applied", e.FencingToken, s.fencingToken)
 	}
 	switch e.Verb {
 	case Advance:
 		return decideAdvance(e, r)
 	case Finish:
 		if r.Step < len(r.Spec.Steps) || e.byCoordinator() {
-			return conflict("step", "%d of %d is current, only an operator finishes the last", r.Step, len(r.Spec.Steps))
+			return conflict("step", "current step is %d of %d, and only an operator may finish the last step", r.Step, len(r.Spec.Steps))
 		}
 	}
 	return routing.Accepted, nil
@@ -75,17 +76,17 @@
 
 func decideAdvance(e *Entry, r *Run) (routing.Result, error) {
 	if e.Step != r.Step+1 || e.Step > len(r.Spec.Steps) {
-		return conflict("step", "is %d, %d of %d is current", e.Step, r.Step, len(r.Spec.Steps))
+		return conflict("step", "is %d, but the current step is %d of %d", e.Step, r.Step, len(r.Spec.Steps))
 	}
 	if e.byCoordinator() && (r.Paused || r.Spec.Advance != AdvanceByTime) {
-		return conflict("step", "it waits for an operator's command")
+		return conflict("step", "next step waits for an operator's command")
 	}
 	return routing.Accepted, nil
 }
 
 func (s *State) decideStart(e *Entry, r *Run) (routing.Result, error) {
 	spec := *e.Spec
-	if err := spec.Normalize(); err != nil { // Validate has passed: only the defaults are wanted here
+	if err := spec.Normalize(); err != nil { // Validate has already passed, so this call only sets the defaults
 		return routing.Invalid, err
 	}
 	current := uint64(0)
@@ -93,13 +94,13 @@
 		current = r.Revision
 	}
 	if e.Revision != current {
-		return conflict("rev", "is %d, but %d is current", e.Revision, current)
+		return conflict("rev", "is %d, but the current revision is %d", e.Revision, current)
 	}
 	if r != nil && r.Phase == Running {
-		return conflict("service", "roll-out %d of %q runs", r.Number, e.Service)
+		return conflict("service", "roll-out %d of %q is still running", r.Number, e.Service)
 	}
 	if r == nil && len(s.runs) >= maxServices {
-		return routing.Invalid, logentry.FieldErrorf("service", "%d have roll-outs, no more are kept", maxServices)
+		return routing.Invalid, logentry.FieldErrorf("service", "%d services have roll-outs, which is the limit", maxServices)
 	}
 	if err := spec.CheckCapacity(e.Capacity); err != nil {
 		return routing.Invalid, err
--- a/internal/gateway/rollout/doc.go
+++ b/internal/gateway/rollout/doc.go
@@ -1,47 +1,54 @@
-// Package rollout moves a share of a service's users from one version of it to the next, step by step, and rolls them back when the
-// new version fails: a canary release that is judged by a sequential test in place of fixed thresholds. docs/rollouts.md
-// has the statistics, the figures and what was weighed.
+// Package rollout moves the users of a service from one version to the next in steps, and rolls them back if the new version fails. This is
+// a canary release that is evaluated by a sequential statistical test instead of fixed thresholds. docs/rollouts.md describes the
+// statistics, the measured figures and the alternatives that were considered.
 //
 // # Terms
 //
-// The versions of a service are the generations that its backends name in their heartbeats. The baseline is the one that users come
-// from, the canary the one that they go to. A Spec is an operator's order: both versions, the steps (shares of the users in basis
-// points), limits on the traffic concerned, and the FailureCriteria. A Run is a roll-out as the replicated log has it: its Spec, phase,
-// step and history. An Outcome is the end of a request's first attempt; later attempts are not compared. Evidence is the logarithm of the
-// wealth of bets that the canary fails some times as often as the baseline, by test (kind of request, group of tenants, slow
-// answers) and by backend. A lap is a span of 30 s over which evidence is gathered afresh, beside that since the step began: a version that
-// fails after ten good minutes has no credit from them. A false positive is a good version that is rolled back.
+// The versions of a service are the generations that its backends send in their heartbeats. The baseline is the version that the users come
+// from. The canary is the version that they move to. A Spec is an operator's specification of a roll-out. It contains both versions, the
+// steps (shares of the users in basis points), limits on the affected traffic, and the FailureCriteria. A Run is a roll-out in the
+// replicated log, with its Spec, phase, step and history. An Outcome is the result of a request's first attempt. Later attempts are not
+// compared.
+//
+// Evidence is the logarithm of the wealth of bets. Each bet assumes that the canary fails a certain number of times as often as the
+// baseline. Evidence is kept for each test (kind of request, group of tenants, slow responses) and for each backend. A lap is an interval of
+// 30 s for which evidence is gathered from zero, in addition to the evidence since the start of the step. Laps ensure that a version that
+// fails after ten good minutes gets no credit for them. A false positive is a good version that is rolled back.
 //
 // # Parts
 //
-//   - State (state.go, decide.go, entry.go, stored.go) is the replicated state: entries of the core's log go in, Runs come out. All nodes
-//     apply the same entries and come to the same.
-//   - Node (node.go) is on every node. It gives each request its side (side.go: a hash of the user that is the same at every node),
-//     counts outcomes (outcome.go, counter.go, quantile.go), weighs them (evidence.go) and hands out a Report each second (report.go).
-//   - Coordinator (coordinator.go) is on the core's leader alone. It joins the reports of all nodes and proposes entries: rollback, the next
-//     step, a pause.
-//   - evaluate (evaluate.go) decides on evidence, for one node as for all.
+//   - State (state.go, decide.go, entry.go, stored.go) is the replicated state. It applies the entries of the core's log and provides the
+//     Runs. All nodes apply the same entries and reach the same state.
+//   - Node (node.go) runs on every node. It assigns each request to a side (side.go) by a hash of the user that is the same at every node.
+//     It counts outcomes (outcome.go, counter.go, quantile.go), derives evidence from them (evidence.go) and sends a Report each second
+//     (report.go).
+//   - Coordinator (coordinator.go) runs only on the core's leader. It combines the reports of all nodes and proposes entries for a rollback,
+//     the next step or a pause.
+//   - evaluate (evaluate.go) decides on the evidence, both of one node and of all nodes.
 //
 // # Guarantees
 //
-//   - A good version is rolled back by all nodes with a chance of at most FleetFalsePositiveRate over a whole roll-out, by one node for itself of
-//     at most NodeFalsePositiveRate. The failures of one backend or of one node never roll it back for all.
-//   - A user has the same side at every node that knows the same step, and stays on the canary while shares grow.
-//   - What was rolled back or finished stays so until another roll-out of the service starts: entries name the number of theirs, and a
-//     coordinator's entries carry a fencing token (the leader's term), so that a late verdict hits nothing newer.
-//   - A report is the sum of all that one incarnation of a node found: lost, doubled and reordered reports change nothing, and a new coordinator
-//     has all with the next round.
-//   - State is bounded. Equal states give equal snapshots.
+//   - The probability that all nodes roll back a good version during a whole roll-out is at most FleetFalsePositiveRate. The probability that
+//     one node rolls it back locally is at most NodeFalsePositiveRate. Failures of a single backend or a single node never cause a rollback
+//     by all nodes.
+//   - A user has the same side at every node that knows the same step, and stays on the canary while the share grows.
+//   - A roll-out that was rolled back or finished stays so until another roll-out of the service starts. Entries contain the number of their
+//     roll-out. A coordinator's entries also contain a fencing token (the leader's term). A late decision therefore has no effect on a newer
+//     roll-out.
+//   - A report contains the totals of everything that one incarnation of a node has gathered. Lost, duplicated and reordered reports do not
+//     change the result, and a new coordinator has all data after the next round of reports.
+//   - The size of the state is bounded. Equal states have equal snapshots.
 //
-// # What it must not do
+// # Constraints
 //
-// It does no I/O, reads no clock and draws no random number: time comes with Tick, and the host pulls with Next what is to be sent, proposed or
-// logged. It must not send a user to the canary before this incarnation of the node was connected to the core (SetConnected), nor let a request go
-// from the baseline to the canary (MayAttempt). Nothing of it may be called concurrently: a node calls it in its turns.
+// The package does no I/O, reads no clock and uses no random numbers. The host passes the time to Tick, and calls Next for the messages to
+// send, the entries to propose and the events to log. A user must not be sent to a running canary before this incarnation of the node has
+// been connected to the core (SetConnected). A request must not move from the baseline to the canary (MayAttempt). The types are not
+// safe for concurrent use. A node calls them from its event loop.
 //
 // # Stored and sent names
 //
-// Gob stores entries and snapshots in the log and sends reports between nodes. It goes by the names of fields, and other versions read them:
-// stored.go has these forms with the names that they were given first, and the functions between them and the types that the code uses. Lap is sent,
-// and Spec stored, as it is.
+// Gob encodes the entries and snapshots in the log and the reports between nodes. It identifies fields by name, and other versions of the
+// program read the data. stored.go therefore defines separate types with the original field names, and functions that convert them to and
+// from the types that the code uses. Lap is sent and Spec is stored without conversion.
 package rollout
--- a/internal/gateway/rollout/entry.go
+++ b/internal/gateway/rollout/entry.go
@@ -6,11 +6,11 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// Verb is what an entry does.
+// Verb names the operation of an entry.
 type Verb string
 
-// An operator may use all, the coordinator Advance and Rollback, and Pause where there is no baseline to go back to. The texts are
-// stored, and those of the operators' calls.
+// The operations. An operator may use all of them. The coordinator uses Advance and Rollback, and Pause if the baseline has no backend
+// to roll back to. The values are stored in the log and used in operators' calls.
 const (
 	Start    Verb = "start"
 	Advance  Verb = "step"
@@ -19,38 +19,45 @@
 	Finish   Verb = "finish"
 )
 
-// Entry is an operator's command or the coordinator's verdict, as the replicated log has it. An operator's names the revision that it builds on,
-// so that of two at once one wins; the coordinator's names the step that was evaluated, under its fencing token. stored.go has its form
-// in the log.
+// Entry is an operator's command or a coordinator's decision in the replicated log. An operator's entry names the revision that it
+// is based on, so that only one of two concurrent commands succeeds. A coordinator's entry names the step that was evaluated and
+// carries the coordinator's fencing token. The storedEntry type defines the encoding in the log.
 type Entry struct {
-	Verb         Verb
-	Service      string
-	CallID       string // the call's ID: the same call again is answered as the first was
-	Author       string // author, for the history
-	UnixMilli    int64  // milliseconds since 1970, for the history alone
-	Reason       string
-	Revision     uint64 // operators: revision of the service's newest roll-out, 0 if there was none. Pause and Rollback don't need it
-	Number       Number // all but Start
-	Step         int    // Advance: the step to go to, from 1. The coordinator: the step evaluated, or to go to
-	FencingToken uint64 // the coordinator's fencing token, 1 or more. 0: an operator
+	Verb      Verb
+	Service   string
+	CallID    string // ID of the call; a repeated call gets the result of the first one
+	Author    string // shown in the history
+	UnixMilli int64  // Unix time in milliseconds, only for the history
+	Reason    string
+	// Revision is the revision of the service's newest roll-out that an operator's entry is based on, or 0 if there was none. Pause and
+	// Rollback do not need it.
+	Revision uint64
+	// Number is the roll-out that the entry applies to. Start does not use it.
+	Number Number
+	// Step counts from 1. It is the step to advance to, or else the step that the coordinator evaluated.
+	Step int
+	// FencingToken is the coordinator's fencing token, 1 or more. It is 0 in an operator's entry.
+	FencingToken uint64
 	Spec         *Spec
-	Capacity     Capacity // Start: as the node that took the call knew it
-	Counts       Counts   // of the step so far, as the coordinator has them
+	// Capacity is set for Start. It is the capacity known to the node that received the call.
+	Capacity Capacity
+	// Counts are the outcomes of the step that the coordinator knows so far.
+	Counts Counts
 }
 
-// maxTextBytes bounds each text of an entry.
+// maxTextBytes is the maximum length of each text field of an entry.
 const maxTextBytes = 512
 
-// What an entry may be refused for by itself.
+// Errors of Entry.Validate.
 var (
-	ErrTextTooLong = errors.Errorf("a text is longer than %d bytes", maxTextBytes)
-	ErrNoSpec      = errors.New("order: missing, or of another service")
+	ErrTextTooLong = errors.Errorf("text field of a roll-out entry is longer than %d bytes", maxTextBytes)
+	ErrNoSpec      = errors.New("order: missing, or for another service")
 )
 
-// byCoordinator reports whether the coordinator has made an entry.
+// byCoordinator reports whether a coordinator proposed the entry.
 func (e *Entry) byCoordinator() bool { return e.FencingToken != 0 }
 
-// Validate checks an entry by itself, whatever the state: the error is one of the above or a logentry.FieldError.
+// Validate checks the fields of an entry, independent of the state. It returns ErrTextTooLong, ErrNoSpec or a logentry.FieldError.
 func (e *Entry) Validate() error {
 	for _, text := range []string{e.Service, e.Author, e.Reason, e.CallID} {
 		if len(text) > maxTextBytes {
@@ -67,5 +74,5 @@
 	case Advance, Pause, Rollback, Finish:
 		return nil
 	}
-	return logentry.FieldErrorf("verb", "no %q", e.Verb)
+	return logentry.FieldErrorf("verb", "%q is unknown", e.Verb)
 }
--- a/internal/gateway/rollout/evaluate.go
+++ b/internal/gateway/rollout/evaluate.go
@@ -5,26 +5,27 @@
 	"slices"
 )
 
-// Chances that a good version is rolled back, over a whole roll-out: by all nodes together, and by one node for itself.
+// Upper bounds of the probability that a good version is rolled back during a whole roll-out. FleetFalsePositiveRate applies to a
+// rollback by all nodes together, NodeFalsePositiveRate to a local rollback by one node.
 const (
 	FleetFalsePositiveRate = 1.0 / 200
 	NodeFalsePositiveRate  = 1e-5
 )
 
-// doubtWealth times the stake: in doubt, no next step by itself.
-const doubtWealth = 20
+// holdWealth is the wealth, as a multiple of the initial stake, at which the coordinator stops to advance to the next step.
+const holdWealth = 20
 
-// Parts of the stake that the tests have; together 1.
+// Fractions of the initial stake for the tests. They add up to 1.
 const (
-	overallStake = 0.15 // each kind of request, failing
-	latencyStake = 0.10 // each kind, slow
-	groupStake   = 0.25 / (2 * tenantGroups)
-	zonesStake   = 0.25 // all zones
-	zoneStake    = zonesStake / (2 * maxZones)
-	maxZones     = 8
+	overallStake  = 0.15 // failures of each kind of request
+	latencyStake  = 0.10 // slow responses of each kind of request
+	groupStake    = 0.25 / (2 * tenantGroups)
+	allZonesStake = 0.25 // failures in all zones together
+	zoneStake     = allZonesStake / (2 * maxZones)
+	maxZones      = 8
 )
 
-// stakeOf is the part of the stake that a test has.
+// stakeOf returns the fraction of the stake that is bet on a test.
 func stakeOf(test int) float64 {
 	switch {
 	case test >= latencyTests:
@@ -35,19 +36,19 @@
 	return groupStake
 }
 
-// findings are what one incarnation of a node found in a step.
+// findings holds the evidence that one incarnation of a node gathered in a step.
 type findings struct {
 	*evidence
-	node           NodeID // several incarnations of one may have reported
+	node           NodeID // several findings may be of the same node, one for each incarnation
 	zone           string
-	canaryBackends int  // that it saw at work
-	excluded       bool // left out, to see whether a verdict rests on one node
+	canaryBackends int  // backends of the canary with at least one outcome at this node
+	excluded       bool // not counted, to check whether a decision depends on one node
 }
 
-// wealthOf gives the logarithms of one node's wealth in a window, without one backend's failures (0: with all).
-func (f *findings) wealthOf(window int, without uint64) logWealth {
+// wealthOf returns the logarithms of one node's wealth in a window, without the failures of excludedBackend. 0 excludes none.
+func (f *findings) wealthOf(window int, excludedBackend uint64) logWealth {
 	wealth := f.total[window]
-	if backend := f.perBackend[without]; backend != nil {
+	if backend := f.perBackend[excludedBackend]; backend != nil {
 		for test := range wealth {
 			for i := range wealth[test] {
 				wealth[test][i] -= backend[window][test][i]
@@ -57,15 +58,16 @@
 	return wealth
 }
 
-// wealth is what the bets came to in a window, from a stake of 1, without one backend's failures (0: with all).
-func wealth(list []*findings, window int, without uint64) float64 {
+// wealth returns the total wealth of all bets in a window, starting from a stake of 1, without the failures of excludedBackend. 0
+// excludes none.
+func wealth(list []*findings, window int, excludedBackend uint64) float64 {
 	var sum logWealth
-	zones := map[string]*[2][ratioCount]float64{} // of both kinds of requests
+	zones := map[string]*[2][ratioCount]float64{} // by kind of request
 	for _, f := range list {
 		if f.excluded {
 			continue
 		}
-		logs := f.wealthOf(window, without)
+		logs := f.wealthOf(window, excludedBackend)
 		zone := zones[f.zone]
 		if zone == nil && len(zones) < maxZones {
 			zone = new([2][ratioCount]float64)
@@ -89,16 +91,17 @@
 	for _, zone := range zones {
 		total += zoneStake * (mixtureWealth(&zone[0]) + mixtureWealth(&zone[1]))
 	}
-	return total + max(0, zonesStake-2*zoneStake*float64(len(zones))) // what is not staked stays
+	return total + max(0, allZonesStake-2*zoneStake*float64(len(zones))) // the stake of unused zones is not bet and stays
 }
 
-// Logarithms of wealth beyond these are nothing, and too much to be a float64.
+// Limits of the logarithm of wealth. Wealth below minLogWealth counts as 0. Wealth above maxLogWealth is capped, because it could
+// exceed the range of a float64.
 const (
 	minLogWealth = -30
 	maxLogWealth = 600
 )
 
-// mixtureWealth is the mean wealth of the bets on all ratios, by their logarithms.
+// mixtureWealth returns the mean wealth of the bets on all ratios, given the logarithms of their wealth.
 func mixtureWealth(logs *[ratioCount]float64) (sum float64) {
 	if *logs == ([ratioCount]float64{}) {
 		return 1
@@ -111,26 +114,27 @@
 	return sum
 }
 
-// evaluate tells by how much the evidence passes what the false positive rate asks for: a score of 1 and more is a verdict against the
-// canary; a doubt of 1 and more holds off the next step. The verdict must hold without any one backend, and without any one node: what
-// befalls one machine is not the version's. The rate is split over both windows and over all steps and laps: the k-th of them
-// has 1/(k(k+1)) of a half.
-func evaluate(list []*findings, step, lap int, falsePositiveRate float64) (score, doubt float64) {
+// evaluate compares the evidence with the wealth that the false positive rate requires. A score of 1 or more means that the canary
+// fails and is to be rolled back. A hold score of 1 or more prevents the next step. The score must reach 1 without the failures of any
+// one backend and without the findings of any one node, because a fault of one machine is not a fault of the version. Half of the
+// false positive rate is for each window. Within a window, the k-th step or lap gets the fraction 1/(k(k+1)) of that half.
+func evaluate(list []*findings, step, lap int, falsePositiveRate float64) (score, holdScore float64) {
 	for window, k := range [windowCount]float64{stepWindow: float64(step), lapWindow: float64(lap)} {
 		required := 2 * k * (k + 1) / falsePositiveRate
-		least := wealth(list, window, 0)
-		doubt = max(doubt, least/doubtWealth)
-		if least < required {
+		minWealth := wealth(list, window, 0)
+		holdScore = max(holdScore, minWealth/holdWealth)
+		if minWealth < required {
 			continue
 		}
-		least = min(least, wealthWithoutAnyBackend(list, window), wealthWithoutAnyNode(list, window))
-		score = max(score, least/required)
+		minWealth = min(minWealth, minWealthWithoutOneBackend(list, window), minWealthWithoutOneNode(list, window))
+		score = max(score, minWealth/required)
 	}
-	return score, doubt
+	return score, holdScore
 }
 
-// wealthWithoutAnyBackend is the least wealth without one backend's failures; where the canary has only one, there is none to leave out.
-func wealthWithoutAnyBackend(list []*findings, window int) float64 {
+// minWealthWithoutOneBackend returns the lowest wealth that remains when the failures of one backend are excluded. It returns infinity
+// if no backend can be excluded because the canary has only one.
+func minWealthWithoutOneBackend(list []*findings, window int) float64 {
 	failing, seen := map[uint64]bool{}, 0
 	for _, f := range list {
 		seen = max(seen, f.canaryBackends)
@@ -138,32 +142,33 @@
 			failing[id] = true
 		}
 	}
-	least := math.Inf(1)
+	minWealth := math.Inf(1)
 	if seen > 1 || len(failing) > 1 {
 		for id := range failing {
-			least = min(least, wealth(list, window, id))
+			minWealth = min(minWealth, wealth(list, window, id))
 		}
 	}
-	return least
+	return minWealth
 }
 
-// wealthWithoutAnyNode is the least wealth without one node's findings, all its incarnations; where there is only one, with them.
-func wealthWithoutAnyNode(list []*findings, window int) float64 {
+// minWealthWithoutOneNode returns the lowest wealth that remains when the findings of one node, in all its incarnations, are excluded.
+// If there is only one node, its findings are included.
+func minWealthWithoutOneNode(list []*findings, window int) float64 {
 	var nodes []NodeID
 	for _, f := range list {
 		if !slices.Contains(nodes, f.node) {
 			nodes = append(nodes, f.node)
 		}
 	}
-	least := math.Inf(1)
+	minWealth := math.Inf(1)
 	for _, node := range nodes {
 		for _, f := range list {
 			f.excluded = f.node == node && len(nodes) > 1
 		}
-		least = min(least, wealth(list, window, 0))
+		minWealth = min(minWealth, wealth(list, window, 0))
 	}
 	for _, f := range list {
 		f.excluded = false
 	}
-	return least
+	return minWealth
 }
--- a/internal/gateway/rollout/evidence.go
+++ b/internal/gateway/rollout/evidence.go
@@ -8,34 +8,35 @@
 	"github.com/go-faster/errors"
 )
 
-// The tests that a step is under, each by its index: failures of each kind of request over all users and by group of tenants, then
-// slow answers of each kind.
+// Indexes of the tests that compare both versions in a step. For each kind of request there is a test of the failures of all users and
+// one for each group of tenants. The tests of slow responses, one for each kind of request, come last.
 const (
-	tenantGroups = 16 // by hash of the tenant
+	tenantGroups = 16 // a tenant's group is chosen by a hash
 	failureTests = 1 + tenantGroups
-	latencyTests = 2 * failureTests // the first of them
+	latencyTests = 2 * failureTests // index of the first latency test
 	testCount    = latencyTests + 2
 )
 
 const (
 	ratioCount  = 4
 	windowCount = 2
-	maxBackends = 32 // of the canary, told apart in one node's evidence
+	maxBackends = 32 // backends of the canary that one node's evidence distinguishes
 )
 
-// The windows of evidence.
+// Windows over which evidence is added up.
 const (
-	stepWindow = iota // since the step began
-	lapWindow         // of the present lap
+	stepWindow = iota // since the start of the step
+	lapWindow         // since the start of the lap
 )
 
-// failureRatios are how many times as often the canary may fail: each test bets on each of them.
+// failureRatios are the assumed ratios of the canary's failure rate to the baseline's. Each test bets on each ratio.
 var failureRatios = [ratioCount]float64{1.4, 2.2, 6, 40}
 
-// logWealth is the logarithm of what the bets of each test came to, by ratio.
+// logWealth is the natural logarithm of the wealth of each test's bets, by ratio.
 type logWealth [testCount][ratioCount]float64
 
-// evidence against the canary, in nats, for each window; and the part of it that rests on one backend's failures.
+// evidence is the evidence against the canary in nats, for each window. perBackend is the part that comes from the failures of each
+// backend.
 type evidence struct {
 	total      [windowCount]logWealth
 	perBackend map[uint64]*[windowCount]logWealth
@@ -43,7 +44,7 @@
 
 func newEvidence() evidence { return evidence{perBackend: map[uint64]*[windowCount]logWealth{}} }
 
-// backend gives the part of one backend's failures.
+// backend returns the part of the evidence that comes from one backend's failures. It adds an empty part if there is none.
 func (e *evidence) backend(id uint64) *[windowCount]logWealth {
 	wealth := e.perBackend[id]
 	if wealth == nil {
@@ -53,38 +54,38 @@
 	return wealth
 }
 
-// Outcomes are put together for a span before they are weighed: a short one where the canary has enough of them. One failure among few
-// outcomes weighs little, however sure the bet.
+// Outcomes are collected for a span before they are added to the evidence. The span is short if the canary has enough outcomes. A longer
+// span is needed otherwise, because one failure among few outcomes adds little evidence, whatever the ratio of the bet.
 const (
 	shortSpan         = 500 * time.Millisecond
 	longSpan          = 4 * shortSpan
-	shortSpanOutcomes = 10 // of the canary
+	shortSpanOutcomes = 10 // outcomes of the canary
 )
 
-// span counts the outcomes of one span at one node. They are compared with each other only: what befalls both
-// sides, in this span and at this node, cancels.
+// span counts the outcomes of one time span at one node. They are compared only with each other, so that a fault that affects both sides
+// in this span at this node cancels out.
 type span struct {
-	outcomes, failures [2][testCount]uint32 // by Side
+	outcomes, failures [2][testCount]uint32 // by Side and test
 	perBackend         map[uint64]*[testCount]uint32
 }
 
-// reset empties a span.
+// reset removes all counts from the span.
 func (s *span) reset() {
 	s.outcomes, s.failures = [2][testCount]uint32{}, [2][testCount]uint32{}
 	clear(s.perBackend)
 }
 
-// add weighs a span. Given how many failed on both sides together, each of them was on the canary's side with chance n1/(n0+n1) if the
-// versions are alike; the bet on a ratio multiplies by c1 for one on the canary's side, by c0 for one on the baseline's, and its mean
-// is at most 1. Additional failures are tolerated at the rate given by test: their mean effect is taken off. docs/rollouts.md says why the
-// product never grows by chance.
-func (e *evidence) add(s *span, tolerated func(test int) float64) {
+// add adds a span to the evidence. If the versions are equal, each failure is on the canary with probability n1/(n0+n1), given the number
+// of failures on both sides. The bet on a ratio multiplies its wealth by c1 = ratio*c0 for each failure of the canary and by c0 for each
+// failure of the baseline. The expected factor is at most 1. toleratedRate returns the rate of additional failures that a test tolerates.
+// Their expected effect is subtracted. docs/rollouts.md explains why the product does not grow by chance.
+func (e *evidence) add(s *span, toleratedRate func(test int) float64) {
 	for test := range testCount {
 		n0, n1 := float64(s.outcomes[Baseline][test]), float64(s.outcomes[Canary][test])
 		if n0 == 0 || n1 == 0 {
 			continue
 		}
-		failed0, failed1, expected := float64(s.failures[Baseline][test]), float64(s.failures[Canary][test]), n1*tolerated(test)
+		failed0, failed1, expected := float64(s.failures[Baseline][test]), float64(s.failures[Canary][test]), n1*toleratedRate(test)
 		for i, ratio := range failureRatios {
 			c0 := (n0 + n1) / (ratio*n1 + n0)
 			gain := math.Log(ratio * c0)
@@ -97,7 +98,7 @@
 	}
 }
 
-// addBackends attributes a test's failures to the backends that they are of.
+// addBackends adds the failures of a test to the evidence of the backends on which they occurred.
 func (e *evidence) addBackends(s *span, test, ratio int, gain float64) {
 	for id, failures := range s.perBackend {
 		if failures[test] == 0 {
@@ -110,7 +111,7 @@
 	}
 }
 
-// resetWindow empties one window.
+// resetWindow removes the evidence of one window.
 func (e *evidence) resetWindow(w int) {
 	e.total[w] = logWealth{}
 	for _, wealth := range e.perBackend {
@@ -118,7 +119,7 @@
 	}
 }
 
-// withoutWindow is a copy with one window empty.
+// withoutWindow returns a copy of the evidence in which one window is empty.
 func (e *evidence) withoutWindow(w int) *evidence {
 	c := &evidence{total: e.total, perBackend: map[uint64]*[windowCount]logWealth{}}
 	for id, wealth := range e.perBackend {
@@ -129,10 +130,11 @@
 	return c
 }
 
-// evidencePerNat is the grain of encoded evidence. It is rounded against a rollback.
-const evidencePerNat = 64
+// evidenceUnitsPerNat is the resolution of encoded evidence. Values are rounded in the direction that makes a rollback less likely.
+const evidenceUnitsPerNat = 64
 
-// encode writes evidence: for each test and window with any, a byte of both, the backend (0: all), and the bets as varints.
+// encode returns the binary form of the evidence. It has one record for each test and window with a value other than 0. A record is one
+// byte with the test and the window, the backend as a varint (0 for the total) and the bets as varints.
 func (e *evidence) encode() []byte {
 	var b []byte
 	put := func(backend uint64, window, test int, wealth *[ratioCount]float64, round func(float64) float64) {
@@ -141,7 +143,7 @@
 		}
 		b = binary.AppendUvarint(append(b, byte(test<<1|window)), backend)
 		for _, nats := range wealth {
-			b = binary.AppendVarint(b, int64(round(nats*evidencePerNat)))
+			b = binary.AppendVarint(b, int64(round(nats*evidenceUnitsPerNat)))
 		}
 	}
 	for window := range windowCount {
@@ -155,14 +157,14 @@
 	return b
 }
 
-// What encoded evidence may be refused for.
+// Errors of decoding evidence.
 var (
-	ErrMalformedEvidence = errors.New("evidence: malformed record")
-	ErrTruncatedEvidence = errors.New("evidence: truncated")
-	ErrTooManyBackends   = errors.New("evidence: too many backends")
+	ErrMalformedEvidence = errors.New("decode evidence: malformed record header")
+	ErrTruncatedEvidence = errors.New("decode evidence: truncated record")
+	ErrTooManyBackends   = errors.New("decode evidence: too many backends")
 )
 
-// decodeEvidence reads what encode wrote.
+// decodeEvidence decodes the result of encode.
 func decodeEvidence(b []byte) (*evidence, error) {
 	e := newEvidence()
 	for len(b) > 0 {
@@ -184,7 +186,7 @@
 			if n <= 0 {
 				return nil, ErrTruncatedEvidence
 			}
-			wealth[i], b = float64(nats)/evidencePerNat, b[n:]
+			wealth[i], b = float64(nats)/evidenceUnitsPerNat, b[n:]
 		}
 	}
 	return &e, nil
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// reportInterval is how often a node reports while something changes.
+// reportInterval is the interval between a node's reports while its counts change.
 const reportInterval = time.Second
 
-// Node is one node's part: it gives each request its side, counts outcomes and reports them.
+// Node is the part of the roll-outs that runs on each node. It assigns requests to a side, counts their outcomes and reports them.
 type Node struct {
 	actionQueue
 	now           time.Duration
 	zone          string
 	incarnation   uint64
-	everConnected bool // to the core, in this incarnation
+	everConnected bool // this incarnation has been connected to the core
 	disconnected  bool
 	rollouts      map[string]*localRollout // by service
 }
@@ -23,22 +23,23 @@
 // localRollout is a node's view of one roll-out.
 type localRollout struct {
 	Run
-	salt       uint64
-	rolledBack bool         // this node has rolled back for itself: for the rest of this incarnation
-	counter    *stepCounter // nil unless the roll-out runs
-	lap        int
-	seq        uint64 // of the last report
-	reportedAt time.Duration
-	unreported bool // something has changed since
-	urgent     bool // it is reported without waiting
-}
-
-// NewNode makes one. Each start of a node has another incarnation.
+	salt uint64
+	// rolledBack is true once this node has rolled back locally. It stays true for the rest of this incarnation.
+	rolledBack        bool
+	counter           *stepCounter // nil if the roll-out is not running
+	lap               int
+	seq               uint64 // sequence number of the last report
+	reportedAt        time.Duration
+	unreported        bool // counts have changed since the last report
+	reportImmediately bool // the next report does not wait for reportInterval
+}
+
+// NewNode returns a node without roll-outs that is not connected to the core. Each start of a node needs a new incarnation.
 func NewNode(zone string, incarnation uint64, now time.Duration) *Node {
 	return &Node{now: now, zone: zone, incarnation: incarnation, disconnected: true, rollouts: map[string]*localRollout{}}
 }
 
-// ApplyState takes the state after an entry or a snapshot.
+// ApplyState updates the node's roll-outs from the replicated state. The host calls it after an entry or a snapshot was applied.
 func (n *Node) ApplyState(s *State) {
 	for i := range s.Runs() {
 		run := &s.Runs()[i]
@@ -64,18 +65,18 @@
 	}
 }
 
-// resetCounter begins counts and evidence; usual latencies stay.
+// resetCounter starts new counts and evidence. It keeps the latency estimates.
 func (l *localRollout) resetCounter(now time.Duration) {
-	former := l.counter
+	previous := l.counter
 	l.counter = newStepCounter(l.Spec.Failing, now)
-	if former != nil {
-		l.counter.latencyByRoute = former.latencyByRoute
+	if previous != nil {
+		l.counter.latencyByRoute = previous.latencyByRoute
 	}
 }
 
-// SetConnected says whether this node has contact with the core. Until it once had, it sends nobody to a canary that may have been
-// rolled back meanwhile. What it finds while disconnected is for its own rollback only, and is dropped when it is connected
-// again: else a partition would look like a failing version to the fleet.
+// SetConnected sets whether this node is connected to the core. Before its first connection, the node sends no user to a running canary,
+// because the canary may have been rolled back in the meantime. Evidence that the node gathers while disconnected is used only for a
+// local rollback. The node discards it when it reconnects. Otherwise a network partition would look like a failing version to the fleet.
 func (n *Node) SetConnected(connected bool) {
 	if connected && n.disconnected {
 		for _, local := range n.rollouts {
@@ -89,7 +90,7 @@
 	n.disconnected, n.everConnected = !connected, n.everConnected || connected
 }
 
-// HandleLap takes a coordinator's lap; one that came already or is passed changes nothing.
+// HandleLap starts a new lap that the coordinator announced. It ignores a lap that is not newer than the current one.
 func (n *Node) HandleLap(lap Lap) {
 	local := n.rollouts[lap.Service]
 	if local == nil || local.Number != lap.Number || lap.Lap <= local.lap {
@@ -102,15 +103,17 @@
 	}
 }
 
-// EverConnected reports whether this incarnation was ever connected to the core: the sides of backends may be others from then on.
+// EverConnected reports whether this incarnation has been connected to the core. BackendSide may return other sides after the first
+// connection.
 func (n *Node) EverConnected() bool { return n.everConnected }
 
-// HasRollouts reports whether there is anything to ask this node for.
+// HasRollouts reports whether this node knows of any roll-out.
 func (n *Node) HasRollouts() bool { return len(n.rollouts) > 0 }
 
-// BackendSide is the side of a backend, by the generation in its heartbeats: what is not the canary is the baseline. Once a roll-out
-// is finished, what is not the baseline is the canary: a third version may come without another roll-out. But a node that was never
-// connected may not know of another roll-out, which tries that version or has rolled it back.
+// BackendSide returns the side of a backend with a generation from its heartbeats. A backend that does not have the canary's generation is
+// on the baseline. Once a roll-out is finished, a backend that does not have the baseline's generation is on the canary, because a third
+// version may follow without another roll-out. This does not apply to a node that has never been connected. It may not know of a newer
+// roll-out that tests the third version or has rolled it back.
 func (n *Node) BackendSide(service, generation string) Side {
 	local := n.rollouts[service]
 	switch {
@@ -122,7 +125,7 @@
 	return Baseline
 }
 
-// Share is what this node sends to the canary now, in basis points of the users whom the roll-out concerns.
+// Share returns the share of users that this node sends to the canary now, in basis points of the users within the roll-out's limits.
 func (n *Node) Share(service string) int {
 	if local := n.rollouts[service]; local != nil && !local.rolledBack && (n.everConnected || local.Phase == Finished) {
 		return local.Run.Share()
@@ -130,14 +133,14 @@
 	return 0
 }
 
-// CanaryExcluded reports whether requests may make no attempt on the canary, neither a first nor a later one.
+// CanaryExcluded reports whether requests must not be attempted on the canary, neither first nor later attempts.
 func (n *Node) CanaryExcluded(service string) bool {
 	local := n.rollouts[service]
 	return local != nil && (local.Phase == RolledBack || local.rolledBack || !n.everConnected && local.Phase == Running)
 }
 
-// ChooseSide tells where a request begins, and whether it is one that the versions are compared by. The user is nil
-// where the request names none: such requests stay on the baseline.
+// ChooseSide returns the side for the first attempt of a request, and whether its outcome is compared between the versions. A request
+// without a user (empty user) stays on the baseline while a roll-out runs.
 func (n *Node) ChooseSide(service string, user []byte, in Scope) (side Side, compared bool) {
 	local := n.rollouts[service]
 	switch share := n.Share(service); {
@@ -154,7 +157,8 @@
 	}
 }
 
-// RecordOutcome takes the outcome of a request that is compared, with the number of the roll-out under which it began.
+// RecordOutcome records the outcome of a compared request. The number is that of the roll-out that was running when the request started.
+// RecordOutcome ignores the outcome if that roll-out no longer runs, or if the outcome has no backend or an unknown cause.
 func (n *Node) RecordOutcome(service string, number Number, o Outcome) {
 	if local := n.rollouts[service]; local != nil && local.Number == number && local.counter != nil && o.Cause < causeCount && o.Backend != 0 {
 		local.counter.record(o)
@@ -162,7 +166,7 @@
 	}
 }
 
-// RunningNumber is the roll-out of a service that a request begins under, for RecordOutcome; 0 if none runs.
+// RunningNumber returns the number of a service's running roll-out, which RecordOutcome needs. It returns 0 if none is running.
 func (n *Node) RunningNumber(service string) Number {
 	if local := n.rollouts[service]; local != nil && local.counter != nil {
 		return local.Number
@@ -170,7 +174,7 @@
 	return 0
 }
 
-// NextDeadline is when Tick has something to do; false while no roll-out runs.
+// NextDeadline returns the next time at which Tick has work to do, and false if no roll-out runs.
 func (n *Node) NextDeadline() (at time.Duration, ok bool) {
 	for _, local := range n.rollouts {
 		if local.counter != nil && (!ok || local.counter.spanEnd() < at) {
@@ -180,7 +184,8 @@
 	return at, ok
 }
 
-// Tick sets the clock, weighs the spans that have ended, rolls back where this node alone is sure, and reports.
+// Tick advances the clock and adds the spans that have ended to the evidence. It rolls back locally if this node's own evidence is
+// sufficient, and sends the reports that are due.
 func (n *Node) Tick(now time.Duration) {
 	n.now = max(n.now, now)
 	if at, ok := n.NextDeadline(); !ok || n.now < at {
@@ -195,26 +200,26 @@
 		if local.counter.changed && !local.rolledBack {
 			n.evaluate(local)
 		}
-		if local.unreported && !n.disconnected && (n.now-local.reportedAt >= reportInterval || local.urgent) {
+		if local.unreported && !n.disconnected && (n.now-local.reportedAt >= reportInterval || local.reportImmediately) {
 			n.push(SendReport{n.report(local)})
 		}
 	}
 }
 
-// evaluate looks at what this node alone has found.
+// evaluate evaluates the evidence of this node alone and rolls back locally if it shows that the canary fails.
 func (n *Node) evaluate(local *localRollout) {
 	c := local.counter
 	c.changed = false
 	own := []*findings{{evidence: &c.evidence, zone: n.zone, canaryBackends: len(c.canaryBackends)}}
-	score, doubt := evaluate(own, local.Step, local.lap, NodeFalsePositiveRate)
-	local.urgent = doubt >= 1
+	score, holdScore := evaluate(own, local.Step, local.lap, NodeFalsePositiveRate)
+	local.reportImmediately = holdScore >= 1
 	if score >= 1 {
-		local.rolledBack, local.unreported, local.urgent = true, true, true
+		local.rolledBack, local.unreported, local.reportImmediately = true, true, true
 		n.push(LocalRollback{local.Spec.Service, local.Number, c.counts.describe()})
 	}
 }
 
-// report is the next one on a roll-out.
+// report returns the next report on a roll-out and increments its sequence number.
 func (n *Node) report(local *localRollout) Report {
 	c := local.counter
 	local.unreported, local.reportedAt = false, n.now
--- a/internal/gateway/rollout/outcome.go
+++ b/internal/gateway/rollout/outcome.go
@@ -6,57 +6,59 @@
 	"time"
 )
 
-// Kind of request.
+// Kind is the kind of a request.
 type Kind uint8
 
-// Reads may run more than once, writes at most once.
+// The kinds of requests. A read may be executed more than once, a write at most once.
 const (
 	Read Kind = iota
 	Write
 )
 
-// Cause is how a first attempt ended.
+// Cause is the result of a request's first attempt.
 type Cause uint8
 
-// The causes, with their names in FailureCriteria. A 4xx is the service's own answer and a Success.
+// The causes, with their names in FailureCriteria. A 4xx response is a regular response of the service and counts as Success.
 const (
 	Success         Cause = iota
-	ServerError           // "5xx": an answer of 5xx
-	NoResponse            // "none": time-out, reset, no connection
-	InvalidResponse       // "wrong": an answer that is not ours, such as bytes without a seal
-	Rejected              // "full": rejected by a backend that has not looked at it
+	ServerError           // "5xx": a response with a 5xx status
+	NoResponse            // "none": a time-out, a reset connection or a failed connection attempt
+	InvalidResponse       // "wrong": a response that does not come from the service, such as one without a seal
+	Rejected              // "full": rejected by the backend before it processed the request
 	causeCount
 )
 
 var causeNames = [causeCount]string{"", "5xx", "none", "wrong", "full"}
 
-// Outcome is the end of a request's first attempt. Later attempts are not compared: they go only where the first one failed. Nor
-// is what the node itself ended.
+// Outcome is the result of a request's first attempt. Later attempts are not compared, because they occur only after the first one
+// failed. Attempts that the node itself ended are not compared either.
 type Outcome struct {
-	Side      Side
-	Kind      Kind
-	Route     uint32 // by a number of this node's: each has its own usual latency
-	Tenant    uint32 // the same at every node
-	Backend   uint64 // the same at every node, not 0
+	Side Side
+	Kind Kind
+	// Route is a number that this node assigns to the route. Latencies are estimated for each route.
+	Route     uint32
+	Tenant    uint32 // same number at every node
+	Backend   uint64 // same number at every node, not 0
 	Cause     Cause
-	Latency   time.Duration // from its sending to the complete answer
-	WarmingUp bool          // the backend is in slow start: its latency says nothing
+	Latency   time.Duration // time from sending the request to the complete response
+	WarmingUp bool          // the backend is in slow start, so its latency is not compared
 }
 
-// LatencyBuckets are those of a Tally: bucket i ends at 2^(i/2) milliseconds, the last one nowhere.
+// LatencyBuckets is the number of latency buckets of a Tally. The upper bound of bucket i is 2^(i/2) milliseconds. The last bucket has
+// no upper bound.
 const LatencyBuckets = 26
 
-// Tally counts the outcomes of one side, of one kind of request.
+// Tally counts the outcomes of one kind of request on one side.
 type Tally struct {
 	Outcomes  uint32
-	ByCause   [causeCount]uint32     // by Cause
-	Latencies [LatencyBuckets]uint32 // answers of backends that are not warming up
+	ByCause   [causeCount]uint32     // indexed by Cause
+	Latencies [LatencyBuckets]uint32 // successful responses of backends that are not warming up
 }
 
-// Counts are of one step, by Side and Kind.
+// Counts holds the tallies of one step, by Side and Kind.
 type Counts [2][2]Tally
 
-// Add sums.
+// Add adds the counts of other to c.
 func (c *Counts) Add(other *Counts) {
 	for side := range c {
 		for kind := range c[side] {
@@ -75,39 +77,40 @@
 	}
 }
 
-// record counts one outcome.
+// record counts one outcome by its cause.
 func (t *Tally) record(cause Cause) {
 	t.Outcomes++
 	t.ByCause[cause]++
 }
 
-// recordLatency counts an answer by its latency.
+// recordLatency counts a response in the bucket of its latency.
 func (t *Tally) recordLatency(latency time.Duration) {
 	bucket := int(math.Ceil(2 * math.Log2(latency.Seconds()*1000)))
 	t.Latencies[min(max(bucket, 0), LatencyBuckets-1)]++
 }
 
-// Quantile is the upper bound of the latency that a part of the answers (0 to 1) had; 0 without any.
-func (t *Tally) Quantile(part float64) time.Duration {
+// Quantile returns an upper bound of the latency of a fraction of the responses. The fraction is between 0 and 1. Quantile returns 0 if
+// there are no responses.
+func (t *Tally) Quantile(fraction float64) time.Duration {
 	total := uint32(0)
 	for _, n := range t.Latencies {
 		total += n
 	}
-	left := part * float64(total)
+	remaining := fraction * float64(total)
 	for i, n := range t.Latencies {
-		if left -= float64(n); n > 0 && left <= 0 {
+		if remaining -= float64(n); n > 0 && remaining <= 0 {
 			return time.Duration(math.Pow(2, float64(i)/2) * float64(time.Millisecond))
 		}
 	}
 	return 0
 }
 
-// failures are the outcomes that are the version's fault, whatever the criteria.
+// failures returns the number of outcomes that are a fault of the version, independent of the FailureCriteria.
 func (t *Tally) failures() uint32 {
 	return t.ByCause[ServerError] + t.ByCause[NoResponse] + t.ByCause[InvalidResponse]
 }
 
-// describe gives the counts in words, for the history of a roll-out.
+// describe returns a summary of the counts as text for the history of a roll-out.
 func (c *Counts) describe() string {
 	text := ""
 	for kind, name := range []string{"reads", "writes"} {
@@ -115,7 +118,7 @@
 		if canary.Outcomes == 0 {
 			continue
 		}
-		text += fmt.Sprintf("%s: new %d of %d failed, old %d of %d; nine in ten within %v, %v. ", name, canary.failures(), canary.Outcomes,
+		text += fmt.Sprintf("%s: new %d of %d failed, old %d of %d; p90 latency new %v, old %v. ", name, canary.failures(), canary.Outcomes,
 			baseline.failures(), baseline.Outcomes, canary.Quantile(0.9).Round(time.Millisecond), baseline.Quantile(0.9).Round(time.Millisecond))
 	}
 	return text[:max(len(text)-1, 0)]
--- a/internal/gateway/rollout/quantile.go
+++ b/internal/gateway/rollout/quantile.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// quantileEstimate follows a quantile of the baseline's latency on one route: it moves up with each answer above it and down with
-// each below, so that it settles where the parts are right.
+// quantileEstimate estimates a quantile of the baseline's latency on one route. Each latency above the estimate raises it and each one
+// below lowers it. The steps are weighted so that the estimate converges to the quantile.
 type quantileEstimate struct {
 	seconds float64
 	samples int
 }
 
 const (
-	minQuantileSamples = 20   // answers before it is used
-	minQuantileStep    = 0.04 // relative; a longer one to begin with
+	minQuantileSamples = 20   // responses needed before the estimate is used
+	minQuantileStep    = 0.04 // relative step; the first steps are larger
 	maxQuantileRoutes  = 512
-	latencySlack       = 0.010 // seconds that are tolerated in any case: another zone, a new connection
+	latencySlack       = 0.010 // seconds that are always tolerated, for a backend in another zone or a new connection
 )
 
-// observe takes an answer's latency in seconds; quantile is from 0 to 1.
+// observe updates the estimate with the latency of a response in seconds. The quantile is between 0 and 1.
 func (q *quantileEstimate) observe(latency, quantile float64) {
 	if q.samples++; q.samples == 1 {
 		q.seconds = latency
--- a/internal/gateway/rollout/report.go
+++ b/internal/gateway/rollout/report.go
@@ -2,57 +2,58 @@
 
 import "github.com/go-faster/errors"
 
-// Report is all that one incarnation of a node found of the present step: sums, not what came since the last report. The newest by Seq
-// stands for all before it, so it does not matter which are lost, doubled or late, and a new coordinator has all with
-// the next round. WireReport is what goes over links.
+// Report holds everything that one incarnation of a node has gathered in the current step. It contains totals, not the changes since the
+// last report. The report with the highest Seq replaces all earlier ones, so that lost, duplicated and delayed reports do no harm, and a
+// new coordinator has all data after the next round of reports. WireReport is the form that is sent between nodes.
 type Report struct {
 	Service        string
 	Number         Number
 	Step           int
 	Lap            int
-	Incarnation    uint64 // the node's incarnation, drawn at random
-	Seq            uint64 // rises within the incarnation
+	Incarnation    uint64 // incarnation of the node, a random number
+	Seq            uint64 // increases with each report of the incarnation
 	Zone           string
-	RolledBack     bool // the node has rolled back for itself
-	CanaryBackends int  // backends of the canary that it saw at work
+	RolledBack     bool // the node has rolled back locally
+	CanaryBackends int  // backends of the canary with at least one outcome at the node
 	Counts         Counts
 	Evidence       []byte
 }
 
-// Lap is the coordinator's notice that evidence is gathered afresh: a version that fails after ten good minutes must not
-// have their credit. Gob sends it between nodes by these names.
+// Lap is the coordinator's message that a new lap has started, for which evidence is gathered from zero. A version that fails after ten
+// good minutes must not get credit for them. Lap is sent between nodes with gob, so its field names must not change.
 type Lap struct {
 	Service string
 	Number  Number
 	Lap     int
 }
 
-// findings decodes a report's evidence.
+// findings returns the findings of a report that a node sent. It returns an error if the evidence cannot be decoded.
 func (r *Report) findings(from NodeID) (*findings, error) {
 	e, err := decodeEvidence(r.Evidence)
 	if err != nil {
-		return nil, errors.Wrapf(err, "report on %s", r.Service)
+		return nil, errors.Wrapf(err, "decode report on service %s", r.Service)
 	}
 	return &findings{evidence: e, node: from, zone: r.Zone, canaryBackends: r.CanaryBackends}, nil
 }
 
-// Action is what the host is to do: a Node's are SendReport and LocalRollback, a Coordinator's Propose and BroadcastLap.
+// Action is an operation that the host must perform. A Node returns SendReport and LocalRollback, a Coordinator returns Propose and
+// BroadcastLap.
 type Action interface{ action() }
 
-// SendReport goes to the node with the coordinator; it may be lost.
+// SendReport sends a report to the node that runs the coordinator. The report may be lost.
 type SendReport struct{ Report Report }
 
-// LocalRollback is for the log: this node has rolled back for itself.
+// LocalRollback tells the host to log that this node has rolled back locally.
 type LocalRollback struct {
 	Service string
 	Number  Number
 	Reason  string
 }
 
-// Propose is an entry for the replicated log, to be put there by this node or not at all.
+// Propose proposes an entry for the replicated log. Only this node may propose it. The host must not forward it to another node.
 type Propose struct{ Entry Entry }
 
-// BroadcastLap goes to all nodes, this one too; it may be lost.
+// BroadcastLap sends a Lap to all nodes, including this one. The message may be lost.
 type BroadcastLap struct{ Lap Lap }
 
 func (SendReport) action()    {}
@@ -60,12 +61,12 @@
 func (Propose) action()       {}
 func (BroadcastLap) action()  {}
 
-// actionQueue is what the host has yet to do.
+// actionQueue holds the actions that the host has not yet taken.
 type actionQueue struct{ actions []Action }
 
 func (a *actionQueue) push(action Action) { a.actions = append(a.actions, action) }
 
-// Next gives the next thing to do now, or false when there is none.
+// Next removes and returns the next action. It returns false if there is none.
 func (a *actionQueue) Next() (Action, bool) {
 	if len(a.actions) == 0 {
 		return nil, false
--- a/internal/gateway/rollout/side.go
+++ b/internal/gateway/rollout/side.go
@@ -5,29 +5,29 @@
 	"math/bits"
 )
 
-// Side is a version of a service.
+// Side is one of the two versions that a roll-out compares.
 type Side uint8
 
-// Baseline is also the side of all requests that no roll-out concerns. Specs, answers and logs call the sides old and new.
+// The sides. Baseline is also the side of requests to which no roll-out applies. Specs, API responses and logs call the sides old and new.
 const (
 	Baseline Side = iota
 	Canary
 )
 
-// String gives the side's name in answers and logs.
+// String returns the name of the side in API responses and logs.
 func (s Side) String() string { return [...]string{"old", "new"}[s] }
 
-// MayAttempt reports whether a request whose first attempt was on one side may have an attempt on another: never from the baseline
-// to the canary.
+// MayAttempt reports whether a request may have a later attempt on the side next after its first attempt was on the side first. A request
+// never moves from the baseline to the canary.
 func MayAttempt(first, next Side) bool { return next == Baseline || first == Canary }
 
-// FNV-1a with 64 bits.
+// Parameters of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// fnv1a hashes further bytes into a state that began with fnvOffset.
+// fnv1a adds bytes to an FNV-1a hash and returns its new state. The initial state is fnvOffset.
 func fnv1a[T string | []byte](state uint64, b T) uint64 {
 	for i := range len(b) {
 		state = (state ^ uint64(b[i])) * fnvPrime
@@ -35,28 +35,30 @@
 	return state
 }
 
-// hashSalt makes every roll-out begin with other users.
+// hashSalt returns the hash state of a roll-out. It differs between roll-outs, so that each of them starts with other users.
 func hashSalt(service string, n Number) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(n))
 	return fnv1a(fnv1a(fnvOffset, service), b[:])
 }
 
-// mixBits spreads all bits over all: FNV alone leaves its upper bits alike for texts that end alike. Murmur3's finalizer (Appleby).
+// mixBits makes each bit of the result depend on all bits of h. Without it, the upper bits of FNV hashes are similar for texts that differ
+// little at the end. It uses the shifts and multipliers of the MurmurHash3 finalizer by Appleby.
 func mixBits(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
 	return h ^ h>>33
 }
 
-// userPosition is a user's position among all, 0 to FullShare-1. It does not depend on shares, so whoever is on the canary stays
-// there while they grow; and it is the same at every node.
+// userPosition returns the position of a user among all users, from 0 to FullShare-1. The position does not depend on the share, so a
+// user on the canary stays there while the share grows. It is the same at every node.
 func userPosition(salt uint64, user []byte) int {
 	hi, _ := bits.Mul64(mixBits(fnv1a(salt, user)), FullShare)
 	return int(hi)
 }
 
-// CountMoved counts how many of some users each step would move to the canary, for a dry run: where users are few, shares are rough.
+// CountMoved returns how many of the given users are on the canary in each step of roll-out n. Dry runs show these numbers, because the
+// actual shares deviate from the configured ones if there are few users.
 func (s *Spec) CountMoved(n Number, users [][]byte) []int {
 	counts, salt := make([]int, len(s.Steps)), hashSalt(s.Service, n)
 	for _, user := range users {
--- a/internal/gateway/rollout/spec.go
+++ b/internal/gateway/rollout/spec.go
@@ -8,16 +8,17 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// FullShare is all users: shares are in basis points, 1/10000.
+// FullShare is the share of all users. Shares are in basis points (1/10000).
 const FullShare = 10000
 
-// Number names a roll-out: no two have the same. 0 is none.
+// Number identifies a roll-out. It is unique over all services. 0 means no roll-out.
 type Number uint64
 
-// Duration is a time that JSON writes with its unit.
+// Duration is a duration that is written with its unit in JSON.
 type Duration = logentry.Duration
 
-// Spec is an operator's order: which version takes over from which, and how. Versions are the generations in the backends' heartbeats.
+// Spec is an operator's specification of a roll-out. It names both versions, the steps and the limits. A version is the generation that
+// backends send in their heartbeats.
 type Spec struct {
 	Service string          `json:"service" validate:"required,max=128"`
 	Old     string          `json:"old" validate:"required,max=128"`             // the baseline's generation
@@ -28,50 +29,51 @@
 	Advance string          `json:"advance" validate:"oneof=time word"` // AdvanceByTime or AdvanceByCommand
 }
 
-// Who goes on to the next step, as Spec.Advance says it.
+// Values of Spec.Advance, which say who starts the next step.
 const (
-	AdvanceByTime    = "time" // the coordinator, once the step's least time and requests are there
-	AdvanceByCommand = "word" // an operator; the default
+	AdvanceByTime    = "time" // the coordinator, after the minimum time and requests of the step
+	AdvanceByCommand = "word" // an operator (default)
 )
 
-// Step is a share of users, and what must pass before the next one.
+// Step is the share of users on the canary, and the conditions for the next step.
 type Step struct {
-	Share    int      `json:"share" validate:"min=1,max=9000"`    // in basis points; a tenth stays to compare with
-	MinTime  Duration `json:"min_time" validate:"min=1000000000"` // a second or more
-	Requests int      `json:"requests" validate:"min=0"`          // on the canary, over all nodes
+	Share    int      `json:"share" validate:"min=1,max=9000"`    // basis points; a tenth of the users stays on the baseline for comparison
+	MinTime  Duration `json:"min_time" validate:"min=1000000000"` // at least one second
+	Requests int      `json:"requests" validate:"min=0"`          // minimum number on the canary, over all nodes
 }
 
-// Limits bind a roll-out to some of the traffic; an empty list binds nothing. Zones are the nodes'.
+// Limits restricts a roll-out to a part of the traffic. An empty list means no restriction. Zones are those of the gateway nodes.
 type Limits struct {
 	Tenants []string `json:"tenants" validate:"max=64,dive,required"`
 	Routes  []string `json:"routes" validate:"max=256,dive,required"`
 	Zones   []string `json:"zones" validate:"max=32,dive,required"`
 }
 
-// Scope is where a request belongs. Empty: to none.
+// Scope is the tenant, route and zone of a request. An empty field means that the request has none.
 type Scope struct{ Tenant, Route, Zone string }
 
-// matches reports whether a request of a scope is among the traffic that the limits name.
+// matches reports whether the limits include a request with the given scope.
 func (l *Limits) matches(s Scope) bool {
 	allows := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 	return allows(l.Tenants, s.Tenant) && allows(l.Routes, s.Route) && allows(l.Zones, s.Zone)
 }
 
-// FailureCriteria say what counts as a failure, always against the baseline in the same span. What is left out has the value of
-// DefaultFailureCriteria.
+// FailureCriteria defines which outcomes count as failures. Failures are always compared with those of the baseline in the same span. Fields
+// that are not set get the values of DefaultFailureCriteria.
 type FailureCriteria struct {
-	Causes   []string `json:"causes" validate:"required,dive,oneof=5xx none wrong full"` // names of a Cause
-	Extra    int      `json:"extra" validate:"min=0,max=5000"`                           // additional failures that are tolerated, in basis points
-	Quantile int      `json:"quantile" validate:"min=5000,max=9900"`                     // of the baseline's latencies, in basis points
-	Slower   int      `json:"slower" validate:"min=100,max=1000"`                        // so many hundredths of that latency are tolerated
+	Causes   []string `json:"causes" validate:"required,dive,oneof=5xx none wrong full"` // names of Cause values
+	Extra    int      `json:"extra" validate:"min=0,max=5000"`                           // tolerated additional failures, in basis points
+	Quantile int      `json:"quantile" validate:"min=5000,max=9900"`                     // quantile of the baseline's latencies, in basis points
+	Slower   int      `json:"slower" validate:"min=100,max=1000"`                        // tolerated latency, in percent of that quantile
 }
 
-// DefaultFailureCriteria are in force where a Spec says nothing.
+// DefaultFailureCriteria returns the criteria for fields that a Spec does not set.
 func DefaultFailureCriteria() FailureCriteria {
 	return FailureCriteria{Causes: []string{"5xx", "none", "wrong"}, Extra: 10, Quantile: 9500, Slower: 130}
 }
 
-// Normalize fills in the defaults and checks the spec by itself. Its errors are FieldErrors of logentry.
+// Normalize sets the defaults and checks the spec, independent of the state and the configuration. It returns a logentry.FieldError for an
+// invalid field.
 func (s *Spec) Normalize() error {
 	s.setDefaults()
 	if err := logentry.Validate(s); err != nil {
@@ -79,7 +81,7 @@
 	}
 	for i := 1; i < len(s.Steps); i++ {
 		if s.Steps[i].Share <= s.Steps[i-1].Share {
-			return logentry.FieldErrorf(fmt.Sprintf("steps[%d].share", i), "%d is not above the step before", s.Steps[i].Share)
+			return logentry.FieldErrorf(fmt.Sprintf("steps[%d].share", i), "%d is not above the share of the previous step", s.Steps[i].Share)
 		}
 	}
 	return nil
@@ -101,17 +103,17 @@
 	}
 }
 
-// Capacity is that of a service's backends, in concurrent requests: of the baseline, of the canary, and how many are in use at the
-// busiest (0: not known, then defaultUtilization of all).
+// Capacity is the capacity of a service's backends in concurrent requests, by version. PeakInUse is the highest number of requests that
+// were in progress at the same time. If it is unknown (0), CheckCapacity assumes defaultUtilization of the total capacity.
 type Capacity struct{ Baseline, Canary, PeakInUse int }
 
 const (
-	spareFactor        = 1.25 // capacity over the busiest use that must be there
-	defaultUtilization = 0.7  // of all capacity, where the busiest use isn't known
+	spareFactor        = 1.25 // required ratio of capacity to peak use
+	defaultUtilization = 0.7  // assumed peak use as a fraction of the total capacity if it is unknown
 )
 
-// CheckCapacity tells whether there is capacity: the baseline can take all users back at any moment, the canary bears its
-// largest share.
+// CheckCapacity returns an error if the baseline does not have the capacity to take all users back at any time, or if the canary does
+// not have the capacity for its largest share.
 func (s *Spec) CheckCapacity(c Capacity) error {
 	switch {
 	case c.Baseline <= 0:
@@ -119,21 +121,21 @@
 	case c.Canary <= 0:
 		return logentry.FieldErrorf("new", "%s has room for none", s.New)
 	}
-	busy := float64(c.PeakInUse)
+	peakInUse := float64(c.PeakInUse)
 	if c.PeakInUse <= 0 {
-		busy = defaultUtilization * float64(c.Baseline+c.Canary)
+		peakInUse = defaultUtilization * float64(c.Baseline+c.Canary)
 	}
-	if need := busy * spareFactor; float64(c.Baseline) < need {
-		return logentry.FieldErrorf("old", "%s has room for %d at a time, %.0f must stay to take all users back", s.Old, c.Baseline, need)
+	if required := peakInUse * spareFactor; float64(c.Baseline) < required {
+		return logentry.FieldErrorf("old", "%s has room for %d concurrent requests, but %.0f are needed to take all users back", s.Old, c.Baseline, required)
 	}
 	last := len(s.Steps) - 1
-	if need := busy * spareFactor * float64(s.Steps[last].Share) / FullShare; float64(c.Canary) < need {
-		return logentry.FieldErrorf(fmt.Sprintf("steps[%d].share", last), "%s has room for %d at a time, %.0f are needed", s.New, c.Canary, need)
+	if required := peakInUse * spareFactor * float64(s.Steps[last].Share) / FullShare; float64(c.Canary) < required {
+		return logentry.FieldErrorf(fmt.Sprintf("steps[%d].share", last), "%s has room for %d concurrent requests, but %.0f are needed for its largest share", s.New, c.Canary, required)
 	}
 	return nil
 }
 
-// CheckReferences tells whether the configuration in force has what a spec names.
+// CheckReferences returns an error if the spec names a service, route, tenant or zone that the configuration in force does not contain.
 func (s *Spec) CheckReferences(service, route, tenant, zone func(string) bool) error {
 	if !service(s.Service) {
 		return logentry.FieldErrorf("service", "no %q in the configuration", s.Service)
@@ -150,10 +152,10 @@
 	return nil
 }
 
-// minTime is how long a step takes at the least.
+// minTime returns the minimum duration of the step.
 func (s Step) minTime() time.Duration { return time.Duration(s.MinTime) }
 
-// String gives the service, both versions and the number of steps.
+// String returns a summary with the service, both versions and the number of steps.
 func (s *Spec) String() string {
 	return fmt.Sprintf("%s from %s to %s in %d steps", s.Service, s.Old, s.New, len(s.Steps))
 }
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -9,40 +9,41 @@
 	"clovergap/internal/invariant"
 )
 
-// Phase of a roll-out.
+// Phase is the phase of a roll-out.
 type Phase string
 
-// RolledBack and Finished end a roll-out and stay in force until another one of the service starts.
+// The phases. RolledBack and Finished end a roll-out and stay in force until another roll-out of the service starts.
 const (
 	Running    Phase = "running"
 	RolledBack Phase = "pulled back"
 	Finished   Phase = "finished"
 )
 
-// HistoryEntry is what one entry did to a roll-out. Counts are those of the step that it ends, as the coordinator last had them.
+// HistoryEntry records the effect of one log entry on a roll-out. Counts holds the outcomes of the step that the entry ended, as the
+// coordinator last knew them.
 type HistoryEntry struct {
 	Verb      Verb
 	Step      int
 	Share     int
 	Author    string
-	UnixMilli int64 // milliseconds since 1970
+	UnixMilli int64 // Unix time in milliseconds
 	Reason    string
 	Counts    Counts
 }
 
-// Run is a roll-out and what became of it.
+// Run is the state and the history of a roll-out.
 type Run struct {
 	Number   Number
-	Revision uint64 // rises with each change of it
+	Revision uint64 // revision of the state at the last change of this roll-out
 	Spec     Spec
 	Capacity Capacity
 	Phase    Phase
 	Step     int  // from 1
-	Paused   bool // paused: the coordinator doesn't go on to the next step
+	Paused   bool // the coordinator does not start the next step
 	History  []HistoryEntry
 }
 
-// Share is of the users whom the roll-out concerns, in basis points.
+// Share returns the share of the canary, in basis points of the users within the roll-out's limits.
 func (r *Run) Share() int {
 	switch r.Phase {
 	case Running:
@@ -53,35 +54,35 @@
 	return 0
 }
 
-// Bounds of the state.
+// Limits on the size of the state.
 const (
 	maxServices = 64
-	maxEnded    = 32 // earlier roll-outs, of all services
-	maxHistory  = 48 // entries of one roll-out
+	maxEnded    = 32 // earlier roll-outs of all services
+	maxHistory  = 48 // history entries of one roll-out
 )
 
-// State is what the replicated log's entries come to: the same at all nodes.
+// State is the replicated state of all roll-outs. It results from the entries of the replicated log and is the same at all nodes.
 type State struct {
-	LastNumber   Number // newest roll-out of all services
-	Revision     uint64 // rises with each entry that was taken
-	fencingToken uint64 // highest of a coordinator
-	runs         []Run  // the newest of each service, by service
-	ended        []Run  // earlier ones, oldest first
+	LastNumber   Number // number of the newest roll-out of all services
+	Revision     uint64 // increases with each accepted entry
+	fencingToken uint64 // highest token in an accepted entry
+	runs         []Run  // newest roll-out of each service, sorted by service
+	ended        []Run  // earlier roll-outs, oldest first
 	appliedCalls *logentry.DedupWindow
 }
 
-// NewState is that before the first entry.
+// NewState returns the state before the first entry.
 func NewState() *State {
 	return &State{appliedCalls: logentry.NewDedupWindow(logentry.DedupWindowBytes)}
 }
 
-// Runs are the newest roll-outs of all services; not to be changed.
+// Runs returns the newest roll-out of each service. The caller must not modify the result.
 func (s *State) Runs() []Run { return s.runs }
 
-// Ended are earlier ones, oldest first; not to be changed.
+// Ended returns earlier roll-outs, oldest first. The caller must not modify the result.
 func (s *State) Ended() []Run { return s.ended }
 
-// Run is the newest roll-out of a service, nil if there was none; not to be changed.
+// Run returns the newest roll-out of a service, or nil if there is none. The caller must not modify the result.
 func (s *State) Run(service string) *Run {
 	if i, ok := s.find(service); ok {
 		return &s.runs[i]
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// HasRollouts reports whether any roll-out runs, or has ended in a way that binds.
+// HasRollouts reports whether any roll-out is running, or has ended and is still in force.
 func (s *State) HasRollouts() bool { return len(s.runs) > 0 }
 
 func (s *State) find(service string) (int, bool) {
@@ -98,7 +99,7 @@
 	})
 }
 
-// Apply carries an entry out if Decide takes it, and gives Decide's verdict.
+// Apply applies an entry if Decide accepts it. It returns the result of Decide.
 func (s *State) Apply(e *Entry) (routing.Result, error) {
 	if v, err := s.Decide(e); v != routing.Accepted {
 		return v, err
@@ -128,12 +129,12 @@
 	return routing.Accepted, nil
 }
 
-// startRun puts a new roll-out in the place of the service's former one.
+// startRun adds a new roll-out. It moves the previous roll-out of the service, if there is one, to the ended ones.
 func (s *State) startRun(e *Entry) {
 	s.LastNumber++
 	r := Run{Number: s.LastNumber, Spec: *e.Spec, Capacity: e.Capacity, Phase: Running, Step: 1}
 	err := r.Spec.Normalize()
-	invariant.That(err == nil, "an order that was taken is sound")
+	invariant.That(err == nil, "the spec of an accepted start entry is valid")
 	i, exists := s.find(e.Service)
 	if !exists {
 		s.runs = slices.Insert(s.runs, i, r)
@@ -144,7 +145,7 @@
 }
 
 func (r *Run) addHistory(h HistoryEntry) {
-	if len(r.History) == maxHistory { // the first, the operator's order, stays
+	if len(r.History) == maxHistory { // the first entry, the operator's start, is kept
 		r.History = slices.Delete(r.History, 1, 2)
 	}
 	r.History = append(r.History, h)
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -16,44 +16,44 @@
 )
 
 func testSpec(shares ...int) *Spec {
-	r := &Spec{Service: "libro", Old: "v1", New: "v2", Advance: "time"}
-	for _, s := range shares {
-		r.Steps = append(r.Steps, Step{Share: s, MinTime: Duration(10 * time.Second), Requests: 10})
+	spec := &Spec{Service: "libro", Old: "v1", New: "v2", Advance: "time"}
+	for _, share := range shares {
+		spec.Steps = append(spec.Steps, Step{Share: share, MinTime: Duration(10 * time.Second), Requests: 10})
 	}
-	return r
+	return spec
 }
 
-func startEntry(o *Spec, rev uint64, mark string) *Entry {
-	return &Entry{Verb: Start, Service: o.Service, Revision: rev, CallID: mark, Author: "ana", Spec: o, Capacity: Capacity{100, 100, 60}}
+func startEntry(spec *Spec, revision uint64, callID string) *Entry {
+	return &Entry{Verb: Start, Service: spec.Service, Revision: revision, CallID: callID, Author: "ana", Spec: spec, Capacity: Capacity{100, 100, 60}}
 }
 
 func TestSpecErrorsNameTheirField(t *testing.T) {
-	var r Spec
+	var spec Spec
 	must.NoError(t, json.Unmarshal([]byte(`{"service":"libro","old":"v1","new":"v2",
-		"steps":[{"share":100,"min_time":"10s"},{"share":2500,"min_time":"60000ms","requests":500}]}`), &r))
-	must.NoError(t, r.Normalize())
-	must.Eq(t, DefaultFailureCriteria(), r.Failing)
-	must.NoError(t, r.CheckCapacity(Capacity{Baseline: 24, Canary: 8, PeakInUse: 19}))
-	for want, spoil := range map[string]func(*Spec){
-		"new":               func(r *Spec) { r.New = "v1" },
-		"steps[1].share":    func(r *Spec) { r.Steps[1].Share = 100 },
-		"steps[0].share":    func(r *Spec) { r.Steps[0].Share = 9500 },
-		"steps[0].min_time": func(r *Spec) { r.Steps[0].MinTime = 0 },
-		"failing.causes[0]": func(r *Spec) { r.Failing.Causes = []string{"4xx"} },
-		"advance":           func(r *Spec) { r.Advance = "moon" },
+		"steps":[{"share":100,"min_time":"10s"},{"share":2500,"min_time":"60000ms","requests":500}]}`), &spec))
+	must.NoError(t, spec.Normalize())
+	must.Eq(t, DefaultFailureCriteria(), spec.Failing)
+	must.NoError(t, spec.CheckCapacity(Capacity{Baseline: 24, Canary: 8, PeakInUse: 19}))
+	for want, invalidate := range map[string]func(*Spec){
+		"new":               func(spec *Spec) { spec.New = "v1" },
+		"steps[1].share":    func(spec *Spec) { spec.Steps[1].Share = 100 },
+		"steps[0].share":    func(spec *Spec) { spec.Steps[0].Share = 9500 },
+		"steps[0].min_time": func(spec *Spec) { spec.Steps[0].MinTime = 0 },
+		"failing.causes[0]": func(spec *Spec) { spec.Failing.Causes = []string{"4xx"} },
+		"advance":           func(spec *Spec) { spec.Advance = "moon" },
 	} {
-		x := r
-		x.Steps = append([]Step(nil), r.Steps...)
-		spoil(&x)
-		err := x.Normalize()
+		invalid := spec
+		invalid.Steps = append([]Step(nil), spec.Steps...)
+		invalidate(&invalid)
+		err := invalid.Normalize()
 		must.Error(t, err, must.Sprint(want))
 		must.StrContains(t, err.Error(), want)
 	}
-	must.ErrorContains(t, r.CheckCapacity(Capacity{Baseline: 24, Canary: 8, PeakInUse: 20}), "old: v1 has room for 24")
-	must.ErrorContains(t, r.CheckCapacity(Capacity{Baseline: 90, Canary: 8, PeakInUse: 40}), "steps[1].share: v2")
+	must.ErrorContains(t, spec.CheckCapacity(Capacity{Baseline: 24, Canary: 8, PeakInUse: 20}), "old: v1 has room for 24")
+	must.ErrorContains(t, spec.CheckCapacity(Capacity{Baseline: 90, Canary: 8, PeakInUse: 40}), "steps[1].share: v2")
 	all, none := func(string) bool { return true }, func(string) bool { return false }
-	r.Limits.Tenants = []string{"huka"}
-	must.ErrorContains(t, r.CheckReferences(all, all, none, all), "limits.tenants[0]")
+	spec.Limits.Tenants = []string{"huka"}
+	must.ErrorContains(t, spec.CheckReferences(all, all, none, all), "limits.tenants[0]")
 }
 
 func TestSharesAreExactAndSticky(t *testing.T) {
@@ -65,13 +65,13 @@
 	}
 	for n := range Number(5) {
 		for i, got := range testSpec(shares...).CountMoved(n, names) {
-			p := float64(shares[i]) / FullShare // stated: that of as many coins
+			p := float64(shares[i]) / FullShare // the documented deviation is that of independent choices for each user
 			must.InDelta(t, p*users, float64(got), 5*math.Sqrt(users*p*(1-p))+5)
 		}
 	}
-	a, b := NewNode("a", 1, 0), NewNode("b", 2, 0) // that don't know of each other
+	a, b := NewNode("a", 1, 0), NewNode("b", 2, 0) // not connected with each other
 	s := NewState()
-	on := make([]bool, users)
+	onCanary := make([]bool, users)
 	for step := range shares {
 		e := &Entry{Verb: Advance, Service: "libro", Number: 1, Step: step + 1, FencingToken: 1}
 		if step == 0 {
@@ -80,30 +80,30 @@
 		}
 		v, err := s.Apply(e)
 		must.Eq(t, routing.Accepted, v, must.Sprint(err))
-		for _, d := range []*Node{a, b} {
-			d.ApplyState(s)
-			d.SetConnected(true)
+		for _, node := range []*Node{a, b} {
+			node.ApplyState(s)
+			node.SetConnected(true)
 		}
 		for i, u := range names {
 			x, _ := a.ChooseSide("libro", u, Scope{})
 			y, _ := b.ChooseSide("libro", u, Scope{Tenant: "any"})
-			if x != y || on[i] && x == Baseline {
-				t.Fatalf("user %d is on %v, %v", i, x, y)
+			if x != y || onCanary[i] && x == Baseline {
+				t.Fatalf("user %d is on side %v at node a and on side %v at node b", i, x, y)
 			}
-			on[i] = x == Canary
+			onCanary[i] = x == Canary
 		}
 	}
-	side, counts := a.ChooseSide("libro", nil, Scope{})
-	must.True(t, side == Baseline && !counts)
+	side, compared := a.ChooseSide("libro", nil, Scope{})
+	must.True(t, side == Baseline && !compared)
 	must.True(t, MayAttempt(Canary, Baseline) && MayAttempt(Canary, Canary) && MayAttempt(Baseline, Baseline) && !MayAttempt(Baseline, Canary))
 }
 
-// Guards against errors that a caller can tell apart by their text alone.
+// Guards against errors that a caller can distinguish only by their text.
 func TestErrorsAreTyped(t *testing.T) {
 	spec := testSpec(500, 100)
 	var field *logentry.FieldError
 	must.True(t, errors.As(spec.Normalize(), &field))
-	must.Eq(t, logentry.FieldError{Field: "steps[1].share", Reason: "100 is not above the step before"}, *field)
+	must.Eq(t, logentry.FieldError{Field: "steps[1].share", Reason: "100 is not above the share of the previous step"}, *field)
 	s := NewState()
 	verdict, err := s.Decide(&Entry{Verb: Advance, Service: "libro", Number: 1})
 	must.True(t, verdict == routing.Conflict && errors.As(err, &field) && field.Field == "service")
@@ -120,9 +120,10 @@
 	}
 }
 
-// All orders of seven entries of two operators and two coordinators: a state that ends never runs again,
-// what is taken is taken by all alike, an old verdict never hits the next roll-out.
-func TestAllOrdersOfEntries(t *testing.T) {
+// Guards against invariants that depend on the order of entries. It applies seven entries of two operators and two coordinators in every
+// order. An ended roll-out must not run again. An entry of an old roll-out or coordinator must not change a newer roll-out. A repeated
+// call must not be applied twice.
+func TestEntryOrderKeepsInvariants(t *testing.T) {
 	t.Parallel()
 	next := testSpec(100)
 	next.New = "v3"
@@ -144,34 +145,34 @@
 			}
 			return
 		}
-		s, ended, fence := NewState(), map[Number]bool{}, uint64(0)
-		marks := map[string]int{}
+		s, ended, maxFencingToken := NewState(), map[Number]bool{}, uint64(0)
+		acceptedCalls := map[string]int{}
 		for _, i := range done {
 			e := entries[i]
-			was := s.Run("libro")
+			previous := s.Run("libro")
 			var before Run
-			if was != nil {
-				before = *was
+			if previous != nil {
+				before = *previous
 			}
 			v, err := s.Apply(e)
 			must.Eq(t, v == routing.Accepted || v == routing.Duplicate, err == nil)
 			if v != routing.Accepted {
 				continue
 			}
-			marks[e.CallID]++
+			acceptedCalls[e.CallID]++
 			r := s.Run("libro")
-			must.False(t, e.CallID != "" && marks[e.CallID] > 1)
-			must.False(t, e.FencingToken != 0 && e.FencingToken < fence)
-			fence = max(fence, e.FencingToken)
+			must.False(t, e.CallID != "" && acceptedCalls[e.CallID] > 1)
+			must.False(t, e.FencingToken != 0 && e.FencingToken < maxFencingToken)
+			maxFencingToken = max(maxFencingToken, e.FencingToken)
 			must.False(t, ended[r.Number] || e.Verb == Start && before.Phase == Running)
 			must.True(t, e.Verb == Start || e.Number == r.Number)
 			must.False(t, e.Verb == Advance && before.Paused)
 			ended[r.Number] = r.Phase != Running
 		}
-		must.Eq(t, 1, marks["ana-1"]+marks["ben-1"]) // one of two wins
-		for mark, n := range marks {
-			if mark != "" && n > 0 { // the same again
-				v, err := s.Apply(&Entry{Verb: Rollback, Service: "libro", CallID: mark})
+		must.Eq(t, 1, acceptedCalls["ana-1"]+acceptedCalls["ben-1"]) // only one of the two concurrent starts is accepted
+		for callID, n := range acceptedCalls {
+			if callID != "" && n > 0 { // a repeated call
+				v, err := s.Apply(&Entry{Verb: Rollback, Service: "libro", CallID: callID})
 				must.True(t, v == routing.Duplicate && err == nil)
 			}
 		}
@@ -179,25 +180,25 @@
 	each([]int{0, 1, 2, 3, 4, 5, 6}, nil)
 }
 
-func TestStateSurvivesAndIsBounded(t *testing.T) {
+func TestSnapshotRestoresBoundedState(t *testing.T) {
 	t.Parallel()
 	s := NewState()
 	for i := range 60 {
-		rev := uint64(0)
+		revision := uint64(0)
 		if r := s.Run("libro"); r != nil {
-			rev = r.Revision
+			revision = r.Revision
 		}
-		v, err := s.Apply(startEntry(testSpec(100), rev, fmt.Sprint(i)))
+		v, err := s.Apply(startEntry(testSpec(100), revision, fmt.Sprint(i)))
 		must.Eq(t, routing.Accepted, v, must.Sprint(err))
 		r := s.Run("libro")
 		for range 60 {
 			e := &Entry{Verb: Pause, Service: "libro", Number: r.Number, Step: 1, FencingToken: 1, Reason: strings.Repeat("x", 200)}
 			e.Counts[Canary][Write].Outcomes = 7
 			if i == 0 {
-				read, unread := DecodeEntry(e.Encode())
-				must.NoError(t, unread)
-				must.Eq(t, e, read)
-				e = read
+				decoded, decodeErr := DecodeEntry(e.Encode())
+				must.NoError(t, decodeErr)
+				must.Eq(t, e, decoded)
+				e = decoded
 			}
 			_, err = s.Apply(e)
 			must.NoError(t, err)
@@ -209,9 +210,9 @@
 	must.Eq(t, maxHistory, len(s.Run("libro").History))
 	b := s.Snapshot()
 	must.Less(t, 1<<20, len(b))
-	again, err := Restore(b)
+	restored, err := Restore(b)
 	must.NoError(t, err)
-	must.Eq(t, b, again.Snapshot())
+	must.Eq(t, b, restored.Snapshot())
 	_, err = Restore(b[:len(b)/2])
 	must.Error(t, err)
 }
@@ -221,46 +222,46 @@
 	e := startEntry(testSpec(9000), 0, "")
 	e.Capacity.Canary = 10
 	_, err := s.Apply(e)
-	must.ErrorContains(t, err, "steps[0].share") // no room for so many
+	must.ErrorContains(t, err, "steps[0].share") // the canary lacks the capacity for the share
 	e.Capacity.Canary = 1000
 	_, err = s.Apply(e)
 	must.NoError(t, err)
 	user := []byte("someone")
-	late := NewNode("a", 1, 0)
-	late.ApplyState(s) // of its disk: it may have been rolled back since
-	must.True(t, late.Share("libro") == 0 && late.CanaryExcluded("libro"))
-	late.SetConnected(true)
-	must.Eq(t, 9000, late.Share("libro"))
-	late.SetConnected(false)
-	must.Eq(t, 9000, late.Share("libro"))
+	node := NewNode("a", 1, 0)
+	node.ApplyState(s) // state from its disk, the roll-out may have been rolled back since
+	must.True(t, node.Share("libro") == 0 && node.CanaryExcluded("libro"))
+	node.SetConnected(true)
+	must.Eq(t, 9000, node.Share("libro"))
+	node.SetConnected(false)
+	must.Eq(t, 9000, node.Share("libro"))
 	for now := time.Duration(0); now < 5*time.Second; now += 100 * time.Millisecond {
-		late.Tick(now)
+		node.Tick(now)
 		for i := range 10 {
-			late.RecordOutcome("libro", 1, Outcome{Side: Baseline, Kind: Write, Backend: uint64(1 + i%3)})
-			late.RecordOutcome("libro", 1, Outcome{Side: Canary, Kind: Write, Backend: uint64(5 + i%3), Cause: InvalidResponse})
+			node.RecordOutcome("libro", 1, Outcome{Side: Baseline, Kind: Write, Backend: uint64(1 + i%3)})
+			node.RecordOutcome("libro", 1, Outcome{Side: Canary, Kind: Write, Backend: uint64(5 + i%3), Cause: InvalidResponse})
 		}
 	}
-	must.True(t, late.Share("libro") == 0 && late.CanaryExcluded("libro"))
-	side, _ := late.ChooseSide("libro", user, Scope{})
+	must.True(t, node.Share("libro") == 0 && node.CanaryExcluded("libro"))
+	side, _ := node.ChooseSide("libro", user, Scope{})
 	must.Eq(t, Baseline, side)
-	a, ok := late.Next()
-	low, is := a.(LocalRollback)
+	a, ok := node.Next()
+	rollback, is := a.(LocalRollback)
 	must.True(t, ok && is)
-	must.StrContains(t, low.Reason, "writes: new")
-	late.SetConnected(true)
-	late.ApplyState(s) // the fleet's share does not bring it back
-	must.Eq(t, 0, late.Share("libro"))
-	must.Eq(t, Baseline, late.BackendSide("libro", "v1.5"))
+	must.StrContains(t, rollback.Reason, "writes: new")
+	node.SetConnected(true)
+	node.ApplyState(s) // the replicated share does not undo the local rollback
+	must.Eq(t, 0, node.Share("libro"))
+	must.Eq(t, Baseline, node.BackendSide("libro", "v1.5"))
 	done := NewState()
 	must.NoError(t, apply(done, startEntry(testSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Revision: 1}))
-	for i, want := range []Side{Baseline, Canary} { // a third version, which another roll-out may have rolled back
+	for i, want := range []Side{Baseline, Canary} { // another roll-out may have rolled back the third version
 		ended := NewNode("a", 1, 0)
 		ended.ApplyState(done)
 		ended.SetConnected(i == 1)
 		must.Eq(t, want, ended.BackendSide("libro", "v3"))
 		must.True(t, ended.BackendSide("libro", "v1") == Baseline && ended.BackendSide("libro", "v2") == Canary)
 	}
-	must.Eq(t, Canary, late.BackendSide("libro", "v2"))
+	must.Eq(t, Canary, node.BackendSide("libro", "v2"))
 }
 
 func apply(s *State, all ...*Entry) error {
@@ -275,11 +276,11 @@
 	return nil
 }
 
-// IDs of calls that were taken are known again, also after an earlier program's snapshot; once they are forgotten, no call is answered that
-// it lost a race.
-func TestCallIDsAreForgottenByNumber(t *testing.T) {
+// Guards against a wrong answer to a repeated call. The IDs of applied calls must stay known, also after a restore from a snapshot of an
+// earlier version. A call whose ID may have been dropped must get Ambiguous instead of Conflict.
+func TestForgottenCallIDsAreAmbiguous(t *testing.T) {
 	t.Parallel()
-	for _, old := range []bool{false, true} {
+	for _, fromOldSnapshot := range []bool{false, true} {
 		s := NewState()
 		s.Apply(startEntry(testSpec(100), 0, "first"))
 		pause := func(i int) *Entry {
@@ -288,13 +289,13 @@
 		for i := range 300 {
 			s.Apply(pause(i))
 		}
-		if old {
-			k := s.stored()
+		if fromOldSnapshot {
+			stored := s.stored()
 			for i := 300 - maxStoredCalls; i < 300; i++ {
-				k.Marks = append(k.Marks, pause(i).CallID)
+				stored.Marks = append(stored.Marks, pause(i).CallID)
 			}
 			var err error
-			s, err = Restore(logentry.Encode(k))
+			s, err = Restore(logentry.Encode(stored))
 			must.NoError(t, err)
 		} else {
 			s.appliedCalls, _ = logentry.DecodeDedupWindow(s.appliedCalls.Bytes(), 18*maxStoredCalls)
@@ -307,7 +308,7 @@
 			v, err := s.Decide(startEntry(testSpec(100), 0, "first"))
 			must.Eq(t, routing.Ambiguous, v)
 			must.Error(t, err)
-			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Revision, "second")) // its rev stands: it never was
+			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Revision, "second")) // its revision is current, so it was not applied before
 			must.Eq(t, routing.Conflict, v)
 			other := testSpec(100)
 			other.Service = "other"
--- a/internal/gateway/rollout/stored.go
+++ b/internal/gateway/rollout/stored.go
@@ -2,9 +2,9 @@
 
 import "clovergap/internal/gateway/logentry"
 
-// The forms in which gob stores entries and snapshots, and sends reports. Gob goes by the names of fields, and other versions read what
-// this one writes, so these names stay as they are, whatever the types that the code uses call them. Spec and its parts are
-// stored as they are: their names are those of operators' orders.
+// Types that gob encodes for the log, for snapshots and for reports. Gob identifies fields by name, and other versions of the program read
+// the data, so these field names must not change, whatever the names in the other types are. Spec and its parts are stored directly. Their
+// names are those of the operators' specifications.
 type (
 	storedEntry struct {
 		Verb    Verb
@@ -27,9 +27,9 @@
 		Last  Number
 		Rev   uint64   // revision
 		Fence uint64   // fencing token
-		Marks []string // IDs of the last maxStoredCalls calls, in snapshots of programs before there was a Window
+		Marks []string // IDs of the last maxStoredCalls calls, in snapshots of earlier versions without Window
 
-		Window []byte // logentry.DedupWindow of the calls' IDs, by the revision that each made
+		Window []byte // encoded logentry.DedupWindow of call IDs, by the revision that each call created
 	}
 	storedRun struct {
 		Number  Number
@@ -59,7 +59,7 @@
 	}
 )
 
-// WireReport is a Report as gob sends it.
+// WireReport is the form of a Report that gob encodes.
 type WireReport struct {
 	Service  string
 	Number   Number
@@ -102,13 +102,13 @@
 
 func (s storedCapacity) capacity() Capacity { return Capacity{s.Old, s.New, s.Busy} }
 
-// Encode gives an entry's form in the log.
+// Encode returns the entry in its log encoding.
 func (e *Entry) Encode() []byte {
 	return logentry.Encode(storedEntry{Verb: e.Verb, Service: e.Service, Mark: e.CallID, By: e.Author, At: e.UnixMilli, Why: e.Reason, Rev: e.Revision,
 		Number: e.Number, Step: e.Step, Fence: e.FencingToken, Order: e.Spec, Room: storeCapacity(e.Capacity), Counts: storeCounts(&e.Counts)})
 }
 
-// DecodeEntry reads what Encode wrote.
+// DecodeEntry decodes the result of Encode.
 func DecodeEntry(b []byte) (*Entry, error) {
 	var s storedEntry
 	err := logentry.Decode(b, &s, "entry of a roll-out")
@@ -116,19 +116,20 @@
 		Number: s.Number, Step: s.Step, FencingToken: s.Fence, Spec: s.Order, Capacity: s.Room.capacity(), Counts: s.Counts.counts()}, err
 }
 
-// Wire gives a report as it is sent.
+// Wire returns the report in the form that is sent between nodes.
 func (r *Report) Wire() *WireReport {
 	return &WireReport{Service: r.Service, Number: r.Number, Step: r.Step, Lap: r.Lap, Life: r.Incarnation, Seq: r.Seq, Zone: r.Zone,
 		Alone: r.RolledBack, Backs: r.CanaryBackends, Counts: storeCounts(&r.Counts), Evidence: r.Evidence}
 }
 
-// Report gives a report that was sent.
+// Report returns the report that was received as w.
 func (w *WireReport) Report() Report {
 	return Report{Service: w.Service, Number: w.Number, Step: w.Step, Lap: w.Lap, Incarnation: w.Life, Seq: w.Seq, Zone: w.Zone,
 		RolledBack: w.Alone, CanaryBackends: w.Backs, Counts: w.Counts.counts(), Evidence: w.Evidence}
 }
 
-// storeRuns gives nil for none, as the others do: gob leaves both out, but a state that was restored must equal its original.
+// storeRuns converts roll-outs to their stored form. It returns nil if there are none, as the other conversions do. Gob omits both nil and
+// an empty slice, but a restored state must equal the original.
 func storeRuns(runs []Run) (stored []storedRun) {
 	for i := range runs {
 		r := &runs[i]
@@ -157,19 +158,19 @@
 	return runs
 }
 
-// stored gives the state's stored form, but for the window of calls.
+// stored returns the stored form of the state without the window of call IDs.
 func (s *State) stored() storedState {
 	return storedState{Runs: storeRuns(s.runs), Ended: storeRuns(s.ended), Last: s.LastNumber, Rev: s.Revision, Fence: s.fencingToken}
 }
 
-// Snapshot encodes the state. Equal states give equal bytes in all processes of a version.
+// Snapshot encodes the state. Processes of the same version encode equal states to equal bytes.
 func (s *State) Snapshot() []byte {
 	stored := s.stored()
 	stored.Window = s.appliedCalls.Bytes()
 	return logentry.Encode(stored)
 }
 
-// Restore decodes a snapshot; nothing at all is the state before the first entry.
+// Restore decodes a snapshot. It returns the state before the first entry if b is empty.
 func Restore(b []byte) (*State, error) {
 	s := NewState()
 	if len(b) == 0 {
@@ -189,8 +190,8 @@
 	return s, err
 }
 
-// addStoredCalls takes over the list of earlier programs. Each call has made a revision of its own, at the latest the one that it is
-// counted at here.
+// addStoredCalls adds the list of call IDs from a snapshot of an earlier version. The list does not contain revisions. Each call created its
+// own revision, which is not later than the one that addStoredCalls assigns to it.
 func (s *State) addStoredCalls(ids []string) {
 	before := s.Revision - uint64(len(ids))
 	if len(ids) == maxStoredCalls {
--- a/internal/gateway/rollout/versions_test.go
+++ b/internal/gateway/rollout/versions_test.go
@@ -12,30 +12,30 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// testdata/before.* is what the version of 2 December 2026 (dd5a45a, before its names were changed) stored and sent: an operator's order, a
-// verdict with all its fields, a snapshot with an earlier roll-out and one that is paused, the same with the list of calls that still earlier
-// programs had, a report and a lap.
+// The files testdata/before.* contain data that the version of 2 December 2026 stored and sent (dd5a45a, before its names were changed).
+// They are an operator's start entry, a rollback entry with all fields, a snapshot with an ended and a paused roll-out, the same snapshot
+// with the list of call IDs that still earlier versions stored, a report and a lap.
 
-func pastBytes(t *testing.T, name string) []byte {
+func previousVersionBytes(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile("testdata/before." + name)
 	must.NoError(t, err)
 	return b
 }
 
-func pastSpec() *Spec {
+func previousVersionSpec() *Spec {
 	return &Spec{Service: "libro", Old: "v1", New: "v2",
 		Steps:   []Step{{Share: 100, MinTime: Duration(time.Minute), Requests: 500}, {Share: 2500, MinTime: Duration(2 * time.Minute)}},
 		Limits:  Limits{Tenants: []string{"huka"}, Routes: []string{"r1"}, Zones: []string{"a", "b"}},
 		Failing: FailureCriteria{Causes: []string{"5xx", "full"}, Extra: 11, Quantile: 9400, Slower: 140}, Advance: AdvanceByTime}
 }
 
-func pastOrder() *Entry {
-	return &Entry{Verb: Start, Service: "libro", CallID: "call-1", Author: "ana", UnixMilli: 1764692000123, Reason: "new release", Spec: pastSpec(),
+func previousVersionStart() *Entry {
+	return &Entry{Verb: Start, Service: "libro", CallID: "call-1", Author: "ana", UnixMilli: 1764692000123, Reason: "new release", Spec: previousVersionSpec(),
 		Capacity: Capacity{Baseline: 40, Canary: 30, PeakInUse: 20}}
 }
 
-func pastVerdict() *Entry {
+func previousVersionRollback() *Entry {
 	e := &Entry{Verb: Rollback, Service: "libro", CallID: "m", Author: "duty", UnixMilli: 5, Reason: "writes: new 3 of 9 failed", Revision: 7, Number: 1, Step: 1, FencingToken: 9}
 	for side := range e.Counts {
 		for kind := range e.Counts[side] {
@@ -52,19 +52,19 @@
 	return e
 }
 
-// Guards against a name that gob goes by and that is changed: the entries of a log that the version before wrote would lose a field.
-func TestEntriesOfTheVersionBefore(t *testing.T) {
-	for name, want := range map[string]*Entry{"entry": pastOrder(), "verdict": pastVerdict()} {
-		e, err := DecodeEntry(pastBytes(t, name))
+// Guards against a changed gob field name. The log entries of the previous version would lose that field when they are decoded.
+func TestDecodesEntriesOfPreviousVersion(t *testing.T) {
+	for name, want := range map[string]*Entry{"entry": previousVersionStart(), "verdict": previousVersionRollback()} {
+		e, err := DecodeEntry(previousVersionBytes(t, name))
 		must.NoError(t, err)
 		must.Eq(t, want, e)
 	}
 }
 
-// Guards against a snapshot of the version before that is read with a field less.
-func TestSnapshotsOfTheVersionBefore(t *testing.T) {
+// Guards against a field of the previous version's snapshots that is lost when they are restored.
+func TestRestoresSnapshotsOfPreviousVersion(t *testing.T) {
 	for _, name := range []string{"snapshot", "marks"} {
-		s, err := Restore(pastBytes(t, name))
+		s, err := Restore(previousVersionBytes(t, name))
 		must.NoError(t, err)
 		must.True(t, s.LastNumber == 2 && s.Revision == 5 && s.fencingToken == 9, must.Sprint(name))
 		for _, id := range []string{"call-1", "call-2", "call-3", "call-4"} {
@@ -73,23 +73,23 @@
 		must.False(t, s.CallApplied("call-5"))
 		must.SliceLen(t, 1, s.Ended())
 		ended := s.Ended()[0]
-		must.Eq(t, *pastSpec(), ended.Spec)
+		must.Eq(t, *previousVersionSpec(), ended.Spec)
 		must.True(t, ended.Phase == RolledBack && ended.Paused && ended.Number == 1)
-		must.Eq(t, HistoryEntry{Verb: Rollback, Step: 1, Author: "duty", UnixMilli: 5, Reason: "writes: new 3 of 9 failed", Counts: pastVerdict().Counts}, ended.History[2])
+		must.Eq(t, HistoryEntry{Verb: Rollback, Step: 1, Author: "duty", UnixMilli: 5, Reason: "writes: new 3 of 9 failed", Counts: previousVersionRollback().Counts}, ended.History[2])
 		r := s.Run("libro")
 		must.True(t, r.Number == 2 && r.Revision == 5 && r.Phase == Running && r.Step == 1 && r.Paused && r.Spec.New == "v3")
 		must.Eq(t, Capacity{Baseline: 40, Canary: 30, PeakInUse: 20}, r.Capacity)
 	}
 }
 
-// Guards against reports of nodes of the version before that are read with a field less, while both versions run.
-func TestReportsOfTheVersionBefore(t *testing.T) {
+// Guards against a field of the previous version's reports that is lost while nodes of both versions run.
+func TestDecodesReportsOfPreviousVersion(t *testing.T) {
 	var wire WireReport
-	must.NoError(t, logentry.Decode(pastBytes(t, "report"), &wire, "report"))
+	must.NoError(t, logentry.Decode(previousVersionBytes(t, "report"), &wire, "report"))
 	r := wire.Report()
 	evidence := r.Evidence
 	r.Evidence = nil
-	must.Eq(t, Report{Service: "libro", Number: 2, Step: 1, Lap: 3, Incarnation: 1 << 60, Seq: 12, Zone: "a", RolledBack: true, CanaryBackends: 5, Counts: pastVerdict().Counts}, r)
+	must.Eq(t, Report{Service: "libro", Number: 2, Step: 1, Lap: 3, Incarnation: 1 << 60, Seq: 12, Zone: "a", RolledBack: true, CanaryBackends: 5, Counts: previousVersionRollback().Counts}, r)
 	e, err := decodeEvidence(evidence)
 	must.NoError(t, err)
 	for window := range windowCount {
@@ -102,11 +102,11 @@
 	}
 	must.Eq(t, evidence, e.encode())
 	var lap Lap
-	must.NoError(t, logentry.Decode(pastBytes(t, "lap"), &lap, "lap"))
+	must.NoError(t, logentry.Decode(previousVersionBytes(t, "lap"), &lap, "lap"))
 	must.Eq(t, Lap{Service: "libro", Number: 2, Lap: 4}, lap)
 }
 
-// The types of the version before, as far as gob goes by them.
+// The types of the previous version, with the field names and types by which gob decodes them.
 type (
 	oldTally struct {
 		Ends  uint32
@@ -179,25 +179,25 @@
 	}
 )
 
-// sameAsBefore checks that the version before reads in what this one writes just what it reads in what it wrote itself.
-func sameAsBefore[T any](t *testing.T, name string, written []byte) {
+// checkPreviousVersionReads checks that the previous version decodes the same values from the data of this version as from its own.
+func checkPreviousVersionReads[T any](t *testing.T, name string, written []byte) {
 	t.Helper()
 	var want, got T
-	must.NoError(t, gob.NewDecoder(bytes.NewReader(pastBytes(t, name))).Decode(&want))
+	must.NoError(t, gob.NewDecoder(bytes.NewReader(previousVersionBytes(t, name))).Decode(&want))
 	must.NoError(t, gob.NewDecoder(bytes.NewReader(written)).Decode(&got))
 	must.Eq(t, want, got)
 }
 
-// Guards against a field that the version before would not find, while both versions run or after the way back to it.
-func TestVersionBeforeReadsThisOne(t *testing.T) {
-	sameAsBefore[oldEntry](t, "entry", pastOrder().Encode())
-	sameAsBefore[oldEntry](t, "verdict", pastVerdict().Encode())
-	s, err := Restore(pastBytes(t, "snapshot"))
+// Guards against a field that the previous version does not find, while both versions run or after a downgrade.
+func TestPreviousVersionReadsThisVersion(t *testing.T) {
+	checkPreviousVersionReads[oldEntry](t, "entry", previousVersionStart().Encode())
+	checkPreviousVersionReads[oldEntry](t, "verdict", previousVersionRollback().Encode())
+	s, err := Restore(previousVersionBytes(t, "snapshot"))
 	must.NoError(t, err)
-	sameAsBefore[oldState](t, "snapshot", s.Snapshot())
+	checkPreviousVersionReads[oldState](t, "snapshot", s.Snapshot())
 	var wire WireReport
-	must.NoError(t, logentry.Decode(pastBytes(t, "report"), &wire, "report"))
+	must.NoError(t, logentry.Decode(previousVersionBytes(t, "report"), &wire, "report"))
 	r := wire.Report()
-	sameAsBefore[oldReport](t, "report", logentry.Encode(r.Wire()))
-	sameAsBefore[oldLap](t, "lap", logentry.Encode(Lap{Service: "libro", Number: 2, Lap: 4}))
+	checkPreviousVersionReads[oldReport](t, "report", logentry.Encode(r.Wire()))
+	checkPreviousVersionReads[oldLap](t, "lap", logentry.Encode(Lap{Service: "libro", Number: 2, Lap: 4}))
 }
