--- a/internal/gateway/rollout/coordinator.go
+++ b/internal/gateway/rollout/coordinator.go
@@ -42,7 +42,7 @@
 	baselineBackends int
 	// unconfigured is true if the configuration no longer contains the service.
 	unconfigured bool
-	holdScore    float64
+	suspicion    float64
 }
 
 const unknownBackends = -1
@@ -127,14 +127,14 @@
 	}
 }
 
-// Counts returns the outcomes of all nodes in the current step of a service's roll-out, and the hold score. The coordinator does not
-// advance to the next step while the hold score is 1 or more. Both results are 0 if no roll-out of the service runs.
-func (c *Coordinator) Counts(service string) (counts Counts, holdScore float64) {
+// Counts returns the outcomes of all nodes in the current step of a service's roll-out, and the suspicion. The coordinator does not
+// advance to the next step while the suspicion is 1 or more. Both results are 0 if no roll-out of the service runs.
+func (c *Coordinator) Counts(service string) (counts Counts, suspicion float64) {
 	a := c.active[service]
 	if a == nil {
 		return counts, 0
 	}
-	return a.counts(), a.holdScore
+	return a.counts(), a.suspicion
 }
 
 func (a *activeRollout) counts() (sum Counts) {
@@ -184,14 +184,14 @@
 	return list, reporting, rolledBack
 }
 
-// evaluate combines the findings of all nodes. It proposes a rollback if they show that the canary fails. If the baseline has no
-// ready backend, it proposes a pause instead.
+// evaluate combines the findings of all nodes. It proposes a rollback if the score reaches 1 and the findings are not those of a single
+// node among several, or if at least two nodes have rolled back locally. If the baseline has no ready backend, it proposes a pause instead.
 func (c *Coordinator) evaluate(a *activeRollout) {
 	list, reporting, rolledBack := a.collect()
-	score, holdScore := evaluate(list, a.Step, a.lap, FleetFalsePositiveRate)
-	a.holdScore = holdScore
-	if len(rolledBack) > 0 { // one local rollback is enough to hold the step
-		a.holdScore = max(holdScore, 1)
+	score, suspicion := evaluate(list, a.Step, a.lap, FleetFalsePositiveRate)
+	a.suspicion = suspicion
+	if len(rolledBack) > 0 { // a local rollback at one node is enough to prevent the next step
+		a.suspicion = max(suspicion, 1)
 	}
 	singleReporter := len(reporting) == 1 && c.nodeCount > 1
 	if (score < 1 || singleReporter) && len(rolledBack) < 2 {
@@ -209,7 +209,7 @@
 // maybeAdvance proposes the next step if the spec allows the coordinator to advance and the conditions of the current step are met.
 func (c *Coordinator) maybeAdvance(a *activeRollout) {
 	step := a.Spec.Steps[a.Step-1]
-	if a.Spec.Advance != AdvanceByTime || a.Paused || a.Step == len(a.Spec.Steps) || a.holdScore >= 1 || a.unconfigured ||
+	if a.Spec.Advance != AdvanceByTime || a.Paused || a.Step == len(a.Spec.Steps) || a.suspicion >= 1 || a.unconfigured ||
 		c.now-a.stepStart < step.minTime() {
 		return
 	}
--- a/internal/gateway/rollout/evaluate.go
+++ b/internal/gateway/rollout/evaluate.go
@@ -12,15 +12,16 @@
 	NodeFalsePositiveRate  = 1e-5
 )
 
-// holdWealth is the wealth, as a multiple of the initial stake, at which the coordinator stops to advance to the next step.
-const holdWealth = 20
+// suspicionWealth is the wealth, as a multiple of the initial stake, at which the coordinator
+// stops advancing to the next step.
+const suspicionWealth = 20
 
 // Fractions of the initial stake for the tests. They add up to 1.
 const (
 	overallStake  = 0.15 // failures of each kind of request
 	latencyStake  = 0.10 // slow responses of each kind of request
 	groupStake    = 0.25 / (2 * tenantGroups)
-	allZonesStake = 0.25 // failures in all zones together
+	allZonesStake = 0.25 // failures by zone, for all zones together
 	zoneStake     = allZonesStake / (2 * maxZones)
 	maxZones      = 8
 )
@@ -115,21 +116,22 @@
 }
 
 // evaluate compares the evidence with the wealth that the false positive rate requires. A score of 1 or more means that the canary
-// fails and is to be rolled back. A hold score of 1 or more prevents the next step. The score must reach 1 without the failures of any
-// one backend and without the findings of any one node, because a fault of one machine is not a fault of the version. Half of the
-// false positive rate is for each window. Within a window, the k-th step or lap gets the fraction 1/(k(k+1)) of that half.
-func evaluate(list []*findings, step, lap int, falsePositiveRate float64) (score, holdScore float64) {
+// fails and is to be rolled back. The suspicion is the wealth divided by suspicionWealth. If it is 1 or more, the roll-out does not advance
+// to the next step. The score must reach 1 without the failures of any one backend and without the findings of any one node, because a
+// fault of one machine is not a fault of the version. Half of the false positive rate is for each window. Within a window, the k-th step or
+// lap gets the fraction 1/(k(k+1)) of that half.
+func evaluate(list []*findings, step, lap int, falsePositiveRate float64) (score, suspicion float64) {
 	for window, k := range [windowCount]float64{stepWindow: float64(step), lapWindow: float64(lap)} {
 		required := 2 * k * (k + 1) / falsePositiveRate
 		minWealth := wealth(list, window, 0)
-		holdScore = max(holdScore, minWealth/holdWealth)
+		suspicion = max(suspicion, minWealth/suspicionWealth)
 		if minWealth < required {
 			continue
 		}
 		minWealth = min(minWealth, minWealthWithoutOneBackend(list, window), minWealthWithoutOneNode(list, window))
 		score = max(score, minWealth/required)
 	}
-	return score, holdScore
+	return score, suspicion
 }
 
 // minWealthWithoutOneBackend returns the lowest wealth that remains when the failures of one backend are excluded. It returns infinity
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -211,8 +211,8 @@
 	c := local.counter
 	c.changed = false
 	own := []*findings{{evidence: &c.evidence, zone: n.zone, canaryBackends: len(c.canaryBackends)}}
-	score, holdScore := evaluate(own, local.Step, local.lap, NodeFalsePositiveRate)
-	local.reportImmediately = holdScore >= 1
+	score, suspicion := evaluate(own, local.Step, local.lap, NodeFalsePositiveRate)
+	local.reportImmediately = suspicion >= 1
 	if score >= 1 {
 		local.rolledBack, local.unreported, local.reportImmediately = true, true, true
 		n.push(LocalRollback{local.Spec.Service, local.Number, c.counts.describe()})
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -265,7 +265,7 @@
 	} {
 		const runs = 5
 		var took []time.Duration
-		var canaryRequests, canaryFailures []int
+		var requests, failures []int
 		localRollbacks, faultStart := 0, time.Duration(0)
 		if c.rate == 60 {
 			faultStart = 10 * time.Minute
@@ -279,14 +279,14 @@
 					requestsBeforeFault = sim.canaryRequests
 				}
 			}
-			took, canaryRequests, canaryFailures = append(took, sim.now-faultStart), append(canaryRequests, sim.canaryRequests-requestsBeforeFault), append(canaryFailures, sim.canaryFailures)
+			took, requests, failures = append(took, sim.now-faultStart), append(requests, sim.canaryRequests-requestsBeforeFault), append(failures, sim.canaryFailures)
 			localRollbacks += sim.localRollbacks
 		}
 		slices.Sort(took)
-		slices.Sort(canaryRequests)
-		slices.Sort(canaryFailures)
+		slices.Sort(requests)
+		slices.Sort(failures)
 		t.Logf("%-30s | %2d %% | %4.0f/s | %4.1f s, %4.1f s | %4d, %4d | %3d | local rollbacks %d", c.name, c.share/100, c.rate,
-			took[2].Seconds(), took[4].Seconds(), canaryRequests[2], canaryRequests[4], canaryFailures[2], localRollbacks)
+			took[2].Seconds(), took[4].Seconds(), requests[2], requests[4], failures[2], localRollbacks)
 		if took[2] > c.most {
 			t.Errorf("%s: median time to the rollback is %v, which is above the limit", c.name, took[2])
 		}
@@ -303,12 +303,12 @@
 	for range 3 {
 		for range 4 {
 			sim.now += tick
-			for i, d := range sim.nodes {
+			for i, node := range sim.nodes {
 				for range 40 {
-					sim.request(i, d, 1, 1)
+					sim.request(i, node, 1, 1)
 				}
-				d.Tick(sim.now)
-				for a, ok := d.Next(); ok; a, ok = d.Next() {
+				node.Tick(sim.now)
+				for a, ok := node.Next(); ok; a, ok = node.Next() {
 					reports = append(reports, a.(SendReport).Report)
 				}
 			}
@@ -324,18 +324,18 @@
 	must.Eq(t, uint32(480*2), want[0][0].Outcomes+want[0][1].Outcomes+want[1][0].Outcomes+want[1][1].Outcomes)
 	var each func(left, done []int)
 	each = func(left, done []int) {
-		d := NewCoordinator(2, sim.now)
-		d.ApplyState(sim.state)
+		coordinator := NewCoordinator(2, sim.now)
+		coordinator.ApplyState(sim.state)
 		for _, i := range append(done, done...) {
-			must.NoError(t, d.HandleReport(NodeID(i%2), reports[i]))
+			must.NoError(t, coordinator.HandleReport(NodeID(i%2), reports[i]))
 		}
 		if slices.Contains(done, 4) && slices.Contains(done, 5) {
-			got, _ := d.Counts("libro")
+			got, _ := coordinator.Counts("libro")
 			must.Eq(t, want, got)
 			old := reports[4]
 			old.Number++
-			must.NoError(t, d.HandleReport(0, old))
-			got, _ = d.Counts("libro")
+			must.NoError(t, coordinator.HandleReport(0, old))
+			got, _ = coordinator.Counts("libro")
 			must.Eq(t, want, got)
 		}
 		for i := range left {
@@ -346,9 +346,9 @@
 	each([]int{0, 1, 2, 3, 4, 5}, nil)
 	broken := reports[5]
 	broken.Evidence = broken.Evidence[:len(broken.Evidence)-1]
-	d := NewCoordinator(2, 0)
-	d.ApplyState(sim.state)
-	must.Error(t, d.HandleReport(1, broken))
+	coordinator := NewCoordinator(2, 0)
+	coordinator.ApplyState(sim.state)
+	must.Error(t, coordinator.HandleReport(1, broken))
 }
 
 // Guards against a rollback on the evidence of one faulty node. It must not occur while this node's report is the only one, nor through
--- a/internal/gateway/rollout/spec.go
+++ b/internal/gateway/rollout/spec.go
@@ -130,7 +130,7 @@
 	}
 	last := len(s.Steps) - 1
 	if required := peakInUse * spareFactor * float64(s.Steps[last].Share) / FullShare; float64(c.Canary) < required {
-		return logentry.FieldErrorf(fmt.Sprintf("steps[%d].share", last), "%s has room for %d concurrent requests, but %.0f are needed for its largest share", s.New, c.Canary, required)
+		return logentry.FieldErrorf(fmt.Sprintf("steps[%d].share", last), "%s has room for %d concurrent requests, but this share needs %.0f", s.New, c.Canary, required)
 	}
 	return nil
 }
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -27,6 +27,7 @@
 	return &Entry{Verb: Start, Service: spec.Service, Revision: revision, CallID: callID, Author: "ana", Spec: spec, Capacity: Capacity{100, 100, 60}}
 }
 
+// Guards against an error for an invalid spec, a lack of capacity or an unknown reference that does not name the field.
 func TestSpecErrorsNameTheirField(t *testing.T) {
 	var spec Spec
 	must.NoError(t, json.Unmarshal([]byte(`{"service":"libro","old":"v1","new":"v2",
@@ -56,6 +57,8 @@
 	must.ErrorContains(t, spec.CheckReferences(all, all, none, all), "limits.tenants[0]")
 }
 
+// Guards against shares that deviate from the configured ones, users who leave the canary while the share grows, and nodes that choose
+// different sides for the same user.
 func TestSharesAreExactAndSticky(t *testing.T) {
 	const users = 100_000
 	shares := []int{1, 100, 500, 2500, 7500, 9000}
@@ -180,6 +183,8 @@
 	each([]int{0, 1, 2, 3, 4, 5, 6}, nil)
 }
 
+// Guards against a state that grows without limit, and against a snapshot or an entry that is not restored completely. A truncated
+// snapshot must be an error.
 func TestSnapshotRestoresBoundedState(t *testing.T) {
 	t.Parallel()
 	s := NewState()
@@ -217,6 +222,8 @@
 	must.Error(t, err)
 }
 
+// Guards against a node that sends users to the canary without knowledge of a rollback. A node that was never connected uses a share of 0.
+// A disconnected node keeps its share and may only roll back locally. Neither a reconnection nor the replicated state undoes that.
 func TestPartitionedNodeOnlyLowersShare(t *testing.T) {
 	s := NewState()
 	e := startEntry(testSpec(9000), 0, "")
--- a/internal/gateway/rollout/stored.go
+++ b/internal/gateway/rollout/stored.go
@@ -25,8 +25,8 @@
 		Runs  []storedRun
 		Ended []storedRun
 		Last  Number
-		Rev   uint64   // revision
-		Fence uint64   // fencing token
+		Rev   uint64   // Revision
+		Fence uint64   // fencingToken
 		Marks []string // IDs of the last maxStoredCalls calls, in snapshots of earlier versions without Window
 
 		Window []byte // encoded logentry.DedupWindow of call IDs, by the revision that each call created
@@ -50,7 +50,7 @@
 		Why    string // Reason
 		Counts storedCounts
 	}
-	storedCapacity struct{ Old, New, Busy int } // Baseline, Canary, Busy
+	storedCapacity struct{ Old, New, Busy int } // Baseline, Canary, PeakInUse
 	storedCounts   [2][2]storedTally
 	storedTally    struct {
 		Ends  uint32                 // Outcomes
