--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -159,7 +159,7 @@
 // BackendReplaced is called when another backend answered at this one's address.
 func (n *Node) BackendReplaced(id control.BackendID) {
 	if n.registry != nil {
-		n.registry.AddressTaken(n.catalog.backendNames[id])
+		n.registry.ReportAddressConflict(n.catalog.backendNames[id])
 	}
 }
 
--- a/internal/gateway/registry/entry.go
+++ b/internal/gateway/registry/entry.go
@@ -45,7 +45,7 @@
 
 func (e *entry) phase() Phase {
 	switch {
-	case e.record.Left || e.timedOut:
+	case e.record.Deregistered || e.timedOut:
 		return Gone
 	case e.record.Draining:
 		return Draining
--- a/internal/gateway/registry/merge.go
+++ b/internal/gateway/registry/merge.go
@@ -12,7 +12,7 @@
 // whether the backend was gone and is not any more.
 func (r *Registry) merge(e *entry, update Record) (revived bool) {
 	before := e.phase()
-	timeout := update.Phase == Gone && !update.Left
+	timeout := update.Phase == Gone && !update.Deregistered
 	seq, token := max(e.record.Seq, update.Seq), max(e.record.FencingToken, update.FencingToken)
 	timedOut := e.timedOut && e.record.Seq == seq && e.record.FencingToken == token ||
 		timeout && update.Seq == seq && update.FencingToken == token
@@ -28,7 +28,7 @@
 	}
 	e.record.Seq, e.record.FencingToken = seq, token
 	e.record.Draining = e.record.Draining || update.Draining || update.Phase == Draining
-	e.record.Left = e.record.Left || update.Left
+	e.record.Deregistered = e.record.Deregistered || update.Deregistered
 	e.firstSeenAt = min(e.firstSeenAt, r.now-update.Age)
 	r.setTimedOut(e, before, timedOut)
 	r.enqueueAddrChanges(e)
--- a/internal/gateway/registry/ownership.go
+++ b/internal/gateway/registry/ownership.go
@@ -66,7 +66,7 @@
 	if changed && owns || departs {
 		r.broadcast(e, departs || revived)
 	}
-	if direct && !e.record.Left {
+	if direct && !e.record.Deregistered {
 		r.relayToOwners(e, owner.Slot)
 	}
 }
--- a/internal/gateway/registry/record.go
+++ b/internal/gateway/registry/record.go
@@ -42,7 +42,7 @@
 	Seq           uint64        // the backend's own count of its calls, call_seq
 
 	Draining     bool          // has ever said that it is draining; never taken back
-	Left         bool          // has deregistered; nothing revives it
+	Deregistered bool          // has deregistered; nothing revives it
 	Age          time.Duration // since any node first heard of it, at the time of the record
 	Owner        Slot          // watches it
 	FencingToken uint64        // counts changes of owner; 0: it has had none
@@ -58,7 +58,7 @@
 // departure is how far a record says that the backend has gone.
 func (r *Record) departure() departure {
 	switch {
-	case r.Left:
+	case r.Deregistered:
 		return departed
 	case r.Draining || r.Phase == Draining:
 		return draining
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -105,7 +105,7 @@
 	if e == nil {
 		return r.rejectCall()
 	}
-	record.Left, record.FencingToken, record.Owner, record.LostOwner, record.Age = false, 0, NoSlot, NoSlot, 0
+	record.Deregistered, record.FencingToken, record.Owner, record.LostOwner, record.Age = false, 0, NoSlot, NoSlot, 0
 	record.Draining = record.Phase == Draining
 	requested := notDeparting
 	if record.Draining {
@@ -124,7 +124,7 @@
 		return r.rejectCall()
 	}
 	before := e.departure()
-	r.merge(e, Record{ID: id, Phase: Gone, Left: true, Owner: NoSlot, LostOwner: NoSlot})
+	r.merge(e, Record{ID: id, Phase: Gone, Deregistered: true, Owner: NoSlot, LostOwner: NoSlot})
 	if before != departed {
 		r.broadcast(e, true)
 	}
@@ -146,7 +146,7 @@
 
 // AddressTaken notes that another backend answers at the address of this one (HTTP 421): it is gone at this node, and its owner is
 // sent the suspicion. Its next heartbeat revives it everywhere.
-func (r *Registry) AddressTaken(id string) {
+func (r *Registry) ReportAddressConflict(id string) {
 	e := r.entries[id]
 	if e == nil || e.phase() == Gone {
 		return
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -189,7 +189,7 @@
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase, x.Draining = 2, 1, 3, Draining, true }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 3, 1, 3 }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase = 3, 1, 3, Gone }),
-			{ID: w.ID, Owner: NoSlot, LostOwner: NoSlot, Phase: Gone, Left: true},
+			{ID: w.ID, Owner: NoSlot, LostOwner: NoSlot, Phase: Gone, Deregistered: true},
 		},
 		{ // two at one address
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Age = 9, 1, 3, 9*time.Second }),
@@ -544,7 +544,7 @@
 			case 5:
 				crashed[s.ID] = true
 			case 6:
-				f.registries[x].AddressTaken(s.ID)
+				f.registries[x].ReportAddressConflict(s.ID)
 			}
 			for range 2 { // faults are noticed before the next heartbeats, after, or not at all
 				if r.Intn(2) == 0 {
--- a/internal/gateway/registry/wire.go
+++ b/internal/gateway/registry/wire.go
@@ -19,7 +19,7 @@
 	Seq        uint64
 
 	Drained bool // Draining
-	Final   bool // Left
+	Final   bool // Deregistered
 	Age     time.Duration
 	Keeper  Slot   // Owner
 	Fence   uint64 // FencingToken
@@ -47,7 +47,7 @@
 	for i := range records {
 		r := &records[i]
 		wire[i] = WireRecord{ID: r.ID, Service: r.Service, Addr: r.Addr, Zone: r.Zone, Generation: r.Generation, Capacity: r.Capacity,
-			Phase: r.Phase, ColdLeft: r.SlowStartLeft, Seq: r.Seq, Drained: r.Draining, Final: r.Left, Age: r.Age, Keeper: r.Owner,
+			Phase: r.Phase, ColdLeft: r.SlowStartLeft, Seq: r.Seq, Drained: r.Draining, Final: r.Deregistered, Age: r.Age, Keeper: r.Owner,
 			Fence: r.FencingToken, Missed: r.LostOwner}
 	}
 	return wire
@@ -62,7 +62,7 @@
 	for i := range wire {
 		w := &wire[i]
 		records[i] = Record{ID: w.ID, Service: w.Service, Addr: w.Addr, Zone: w.Zone, Generation: w.Generation, Capacity: w.Capacity,
-			Phase: w.Phase, SlowStartLeft: w.ColdLeft, Seq: w.Seq, Draining: w.Drained, Left: w.Final, Age: w.Age, Owner: w.Keeper,
+			Phase: w.Phase, SlowStartLeft: w.ColdLeft, Seq: w.Seq, Draining: w.Drained, Deregistered: w.Final, Age: w.Age, Owner: w.Keeper,
 			FencingToken: w.Fence, LostOwner: w.Missed}
 	}
 	return records
--- a/internal/gateway/registry/wire_test.go
+++ b/internal/gateway/registry/wire_test.go
@@ -13,7 +13,7 @@
 // fullRecord has every field set.
 func fullRecord(id string) Record {
 	return Record{ID: id, Service: "service", Addr: "10.0.0.9:80", Zone: "zone", Generation: "generation", Capacity: 4, Phase: Draining,
-		SlowStartLeft: time.Second, Seq: 5, Draining: true, Left: true, Age: 2 * time.Second, Owner: 1, FencingToken: 3, LostOwner: 2}
+		SlowStartLeft: time.Second, Seq: 5, Draining: true, Deregistered: true, Age: 2 * time.Second, Owner: 1, FencingToken: 3, LostOwner: 2}
 }
 
 // A field that is added to a record or a message and forgotten in its wire form would be lost between two nodes, or over a restart.
