--- a/internal/gateway/registry/action.go
+++ b/internal/gateway/registry/action.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// Ticket names a call of a backend until its Acknowledge.
+// Ticket identifies a call of a backend until the registry answers it with an Acknowledge.
 type Ticket uint64
 
-// Action is what the host is to do: a Send, Changed, Acknowledge or Wake.
+// Action is what the host must do next. It is a Send, Changed, Acknowledge or Wake.
 type Action interface{ action() }
 
-// Send is a message to another node. It may be lost.
+// Send asks the host to send Message to the node Target. The message may be lost.
 type Send struct {
 	Target  Slot
 	Message Message
 }
 
-// Changed gives a backend that differs from what was last given of it, as requests should see it: Gone too where a younger
-// backend has its address.
+// Changed reports a backend that differs from its last report. Record.Phase is the phase that requests should see. It is
+// Gone also when a more recently seen backend has the same address.
 type Changed struct {
-	Record         Record
-	SlowStartUntil time.Duration // on the host's clock; past: it is not warming up
+	Record Record
+	// End of the slow start on the host's clock. The backend is not in slow start if this time is past.
+	SlowStartUntil time.Duration
 }
 
-// Acknowledge ends a call: 200 with OwnerAddr as beat_target where it is Confirmed, else 503, after which the backend turns to
-// another node.
+// Acknowledge answers a call. If Confirmed is true, the host answers 200 with OwnerAddr as beat_target. Otherwise it
+// answers 503, and the backend retries the call at another node.
 type Acknowledge struct {
-	Ticket    Ticket
-	OwnerAddr string // where the next heartbeats should go; "": no owner is live
+	Ticket Ticket
+	// Control address for the next heartbeats. It is empty if no owner is live.
+	OwnerAddr string
 	Confirmed bool
 }
 
-// Wake asks for Tick at Deadline or before. The newest one counts.
+// Wake asks the host to call Tick at Deadline or earlier. A newer Wake replaces an older one.
 type Wake struct{ Deadline time.Duration }
 
 func (Send) action()        {}
--- a/internal/gateway/registry/departure.go
+++ b/internal/gateway/registry/departure.go
@@ -6,29 +6,36 @@
 )
 
 const (
-	// allCopiesTimeout is how long a departure waits for all that this node informs, once MinCopies have it.
+	// allCopiesTimeout is how long a departure waits for the acknowledgements of all peers that this node sends updates to,
+	// even if MinCopies nodes already have it.
 	allCopiesTimeout = 500 * time.Millisecond
-	// minCopiesTimeout is how long it waits for MinCopies.
+	// minCopiesTimeout is how long a departure waits for MinCopies copies.
 	minCopiesTimeout = 800 * time.Millisecond
-	// callTimeout is when the backend has turned to another node: a call is to be answered within a second, and the answer takes its
-	// way as well.
+	// callTimeout is the age of a call at which the backend has turned to another node. The backend expects the answer within
+	// a second, and the answer itself takes time to arrive.
 	callTimeout = 950 * time.Millisecond
 )
 
-// pendingCall is a call with a departure, pending until other nodes have it: this one may be killed the moment it answers.
+// pendingCall is a call that reports a departure and waits for other nodes to store it. The call is not answered earlier,
+// because this node may be killed immediately after its answer.
 //
-// A departure is confirmed on Config.MinCopies copies at nodes with a disk, one more than may be lost, whoever answers and however few
-// nodes are in reach: copies that are merely all in reach prove nothing in the first moments of a partition. Copies are what a
-// departure outlives losses by; they are not yet what every node in contact with a majority goes by. For that it takes, within the
-// drain time:
+// A departure is confirmed when Config.MinCopies nodes with a disk have it. This is one copy more than the number of nodes
+// that may be lost. The rule does not depend on which node answers or on how many nodes are reachable. In the first
+// moments of a partition, a copy at every reachable node proves nothing. The copies ensure that a departure survives the
+// loss of nodes. They do not ensure that every node in contact with a majority applies the departure. That requires the
+// following steps within the drain time:
 //
-//   - from a node with a disk to all others that have one. Each is sent it by whoever has the departure first, and those which that one
-//     does not reach by whoever reaches them (Message.Unreachable), as long as a node in contact with a majority is reached
-//     by one that has the departure;
-//   - from a node with a disk to all that follow it, by its own list or by those of whoever passes its stream on;
-//   - a node without a disk follows only one in contact with a majority, and is sent all departures when it follows anew.
+//   - A node with a disk sends the departure to all other nodes with a disk. The first node that has the departure
+//     sends it to each of them. Nodes that this one does not reach get it from a node that reaches them
+//     (Message.Unreachable). This works as long as a node that has the departure reaches a node in contact with a
+//     majority.
+//   - A node with a disk sends the departure to all of its followers. It takes these from its own list or from the
+//     lists of the nodes that forward its stream.
+//   - A node without a disk follows only a node in contact with a majority, and receives all departures when it
+//     follows a new upstream.
 //
-// Whatever carries updates from nodes with a disk to the others (each by itself, or by one in a zone) has to keep the last two.
+// Any path that carries updates from nodes with a disk to the other nodes must preserve the last two steps. This holds
+// whether each node carries them itself or one node carries them for its zone.
 type pendingCall struct {
 	ticket    Ticket
 	entry     *entry
@@ -36,7 +43,7 @@
 	since     time.Duration
 }
 
-// deadline is when the call is to be looked at again.
+// deadline returns the next time at which the call must be checked.
 func (p pendingCall) deadline(now time.Duration) time.Duration {
 	if now < p.since+allCopiesTimeout {
 		return p.since + allCopiesTimeout
@@ -44,19 +51,21 @@
 	return p.since + minCopiesTimeout
 }
 
-// rejectCall answers a call of a backend that the registry has no room for.
+// rejectCall answers the last call as not confirmed, because the registry has no room for the backend or the call has no
+// backend id.
 func (r *Registry) rejectCall() Ticket {
 	r.acknowledgements = append(r.acknowledgements, Acknowledge{Ticket: r.lastTicket})
 	return r.lastTicket
 }
 
-// trackCall answers the last call at once, or when other nodes have its departure.
+// trackCall answers the last call at once if its result is known. Otherwise it stores the call until other nodes have the
+// departure.
 func (r *Registry) trackCall(e *entry, requested departure) {
 	call := pendingCall{ticket: r.lastTicket, entry: e, requested: requested, since: r.now}
 	if requested != notDeparting {
 		for _, s := range r.peerSlots {
 			p := r.peers[s]
-			if r.informs(p) && e.notified[s] < requested && !p.hasInFlight(e.record.ID, requested) {
+			if r.sendsUpdatesTo(p) && e.notified[s] < requested && !p.hasInFlight(e.record.ID, requested) {
 				r.enqueueUpdate(p, e.record.ID, true)
 			}
 		}
@@ -68,13 +77,15 @@
 	r.pendingCalls = append(r.pendingCalls, call)
 }
 
+// answerCall queues the Acknowledge of a call. The Acknowledge carries the control address of the node that should own the
+// backend.
 func (r *Registry) answerCall(call pendingCall, confirmed bool) {
 	owner := r.ownerFor(call.entry, NoSlot)
 	r.acknowledgements = append(r.acknowledgements, Acknowledge{Ticket: call.ticket, OwnerAddr: owner.ControlAddr, Confirmed: confirmed})
 }
 
-// answerDecided answers the calls that can be decided by now.
-func (r *Registry) answerDecided() {
+// answerDecidedCalls answers all pending calls whose result is known.
+func (r *Registry) answerDecidedCalls() {
 	r.pendingCalls = slices.DeleteFunc(r.pendingCalls, func(call pendingCall) bool {
 		confirmed, decided := r.decide(call)
 		if decided {
@@ -84,9 +95,10 @@
 	})
 }
 
-// decide tells whether a call can be answered by now, and how: confirmed when all that this node informs have the departure, and
-// MinCopies of them a disk. The others have it from these a moment later. Where too few with a disk are in reach, another node
-// may reach them: the call fails at once.
+// decide reports whether a call can be answered now, and whether it is confirmed. A departure is confirmed when all peers
+// that this node sends updates to have it, and MinCopies nodes with a disk have it. The remaining nodes receive it from
+// these a moment later. After allCopiesTimeout, MinCopies copies and one other node that has the departure are sufficient.
+// If too few nodes with a disk are reachable, the call fails at once, because another node may reach them.
 func (r *Registry) decide(call pendingCall) (confirmed, decided bool) {
 	if call.requested == notDeparting || r.hasNodes && r.knownCount == 0 {
 		return true, true
@@ -97,23 +109,29 @@
 	}
 	age := r.now - call.since
 	enough := copies.confirmed >= copies.required
-	if enough && (copies.all || age >= allCopiesTimeout && age < callTimeout && copies.others > 0) {
+	if enough && (copies.allNotified || age >= allCopiesTimeout && age < callTimeout && copies.notifiedPeers > 0) {
 		return true, true
 	}
 	return false, age >= minCopiesTimeout
 }
 
-// copyCounts says where a departure is known to be. Nodes with a disk count as copies; where none is known at all, any node does.
+// copyCounts counts the nodes that are known to have a departure. Only nodes with a disk count as copies. If no node with
+// a disk is known, every node counts.
 type copyCounts struct {
-	required  int  // copies that it takes
-	reachable int  // nodes that count and are in reach, this one among them
-	confirmed int  // of these, nodes that have it
-	others    int  // other nodes that have it, whether they count or not
-	all       bool // all that this node informs have it
+	required int // copies needed to confirm the departure
+	// Number of reachable nodes whose copies count, including this node.
+	reachable int
+	// Number of these reachable nodes that have the departure.
+	confirmed int
+	// Number of other nodes that have the departure, whether or not their copies count.
+	notifiedPeers int
+	// True if all peers that this node sends updates to have the departure.
+	allNotified bool
 }
 
+// countCopies counts the copies of the departure that a call reports.
 func (r *Registry) countCopies(call pendingCall) copyCounts {
-	c := copyCounts{required: r.config.MinCopies, all: true}
+	c := copyCounts{required: r.config.MinCopies, allNotified: true}
 	if !r.hasKnownDisk {
 		c.required = min(c.required, r.knownCount+1)
 	}
@@ -122,7 +140,7 @@
 	}
 	for _, s := range r.peerSlots {
 		p := r.peers[s]
-		if !r.informs(p) {
+		if !r.sendsUpdatesTo(p) {
 			continue
 		}
 		counts := !r.hasKnownDisk || p.node.HasDisk
@@ -130,10 +148,10 @@
 			c.reachable++
 		}
 		if call.entry.notified[s] < call.requested {
-			c.all = false
+			c.allNotified = false
 			continue
 		}
-		c.others++
+		c.notifiedPeers++
 		if counts {
 			c.confirmed++
 		}
@@ -141,7 +159,7 @@
 	return c
 }
 
-// recordNotified notes that a node has a departure.
+// recordNotified records that a node has a departure of the backend.
 func (e *entry) recordNotified(s Slot, d departure) {
 	if e.notified == nil {
 		e.notified = map[Slot]departure{}
@@ -149,7 +167,8 @@
 	e.notified[s] = max(e.notified[s], d)
 }
 
-// unconfirmedDepartures are the backends whose departure a peer was sent, or was about to be sent, and has not acknowledged.
+// unconfirmedDepartures returns the ids of the backends whose departure is pending for a peer or in flight to it, and
+// which the peer has not acknowledged.
 func (r *Registry) unconfirmedDepartures(p *peer) (ids []string) {
 	collect := func(candidates []string) {
 		for _, id := range candidates {
@@ -165,18 +184,19 @@
 	return ids
 }
 
-// rebroadcastDepartures sends the other nodes with a disk once more the departures that did not get to one of them: they may reach it.
+// rebroadcastDepartures sends departures again to all other reachable nodes with a disk. A lost node with a disk may not
+// have received these departures, and the other nodes may still reach it.
 func (r *Registry) rebroadcastDepartures(ids []string) {
 	for _, id := range ids {
 		for _, s := range r.peerSlots {
-			if p := r.peers[s]; p.node.HasDisk && r.informs(p) {
+			if p := r.peers[s]; p.node.HasDisk && r.sendsUpdatesTo(p) {
 				r.enqueueUpdate(p, id, true)
 			}
 		}
 	}
 }
 
-// unreachableDiskNodes are the nodes with a disk that this one does not reach.
+// unreachableDiskNodes returns the nodes with a disk that this node does not reach.
 func (r *Registry) unreachableDiskNodes() (slots []Slot) {
 	for _, s := range r.peerSlots {
 		if p := r.peers[s]; p.node.HasDisk && !p.node.Live {
@@ -186,14 +206,15 @@
 	return slots
 }
 
-// forwardDepartures sends the departures of a message to those nodes with a disk that its sender does not reach.
+// forwardDepartures forwards the departures of a message to the nodes with a disk that the sender does not reach. Only a
+// node with a disk forwards them.
 func (r *Registry) forwardDepartures(m *Message) {
 	if !r.local.HasDisk {
 		return
 	}
 	for _, s := range m.Unreachable {
 		p := r.peers[s]
-		if p == nil || !p.node.HasDisk || !r.informs(p) {
+		if p == nil || !p.node.HasDisk || !r.sendsUpdatesTo(p) {
 			continue
 		}
 		for _, update := range m.Updates {
--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -7,12 +7,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// partition loses what two nodes send each other.
+// partition drops all messages between two nodes from now on. The nodes notice it at the next updateNodes.
 func (f *fleet) partition(a, b Slot) {
 	f.partitioned[[2]Slot{a, b}], f.partitioned[[2]Slot{b, a}] = true, true
 }
 
-// drain has a backend call a node that it is draining, and gives the answer, if there is one at once.
+// drain has a backend report at a node that it is draining. answered is false if the node has not answered yet.
 func (f *fleet) drain(s *backend, at Slot) (a Acknowledge, answered bool) {
 	s.Seq, s.Phase = s.Seq+1, Draining
 	ticket := f.registries[at].Heartbeat(s.Record)
@@ -21,16 +21,18 @@
 	return a, answered
 }
 
-// A departure is confirmed on the copies that may be lost and one more, however few nodes are in reach: in the first moments of a partition a
-// node without a disk reached its upstream alone, and a node with a disk only its followers, and "all in reach have it" was taken for enough.
-// Where too few are in reach the call fails at once, so that the backend turns to the next node.
+// TestDepartureNeedsMinCopies guards against departures that are confirmed with too few copies. The number of copies must
+// be one more than the number of tolerated losses, however few nodes are reachable. In the first moments of a partition a
+// node without a disk reached only its upstream, and a node with a disk only its followers, and copies at all reachable
+// nodes were taken as sufficient. If too few nodes with a disk are reachable, the call must fail at once, so that the
+// backend turns to the next node.
 func TestDepartureNeedsMinCopies(t *testing.T) {
 	for _, at := range []Slot{0, 3} {
 		f := newFleet(t, 5, 3)
 		s := newBackend(1)
 		f.heartbeat(s, 1)
 		f.advance(time.Second)
-		for _, isolated := range []Slot{at, 0} { // the node itself, and the one that node 3 follows
+		for _, isolated := range []Slot{at, 0} { // the node itself and the upstream of node 3
 			for _, o := range []Slot{1, 2} {
 				f.partition(isolated, o)
 			}
@@ -47,8 +49,9 @@
 	}
 }
 
-// One other disk of two that is in reach and acknowledges nothing leaves the departure unconfirmed; one that acknowledges it is enough, and
-// followers are not waited for in vain.
+// TestDepartureWaitsForAnotherDisk checks that a departure stays unconfirmed while the only other reachable node with a
+// disk does not acknowledge it. Its acknowledgement must then be sufficient, and the call must not wait for followers in
+// vain.
 func TestDepartureWaitsForAnotherDisk(t *testing.T) {
 	f := newFleet(t, 4, 3)
 	s := newBackend(1)
@@ -56,7 +59,7 @@
 	f.advance(time.Second)
 	f.partition(0, 2)
 	f.updateNodes()
-	f.partition(0, 1) // which nobody has noticed
+	f.partition(0, 1) // not noticed by any node
 	_, answered := f.drain(s, 0)
 	must.False(t, answered)
 	f.advance(minCopiesTimeout)
@@ -70,8 +73,9 @@
 	must.True(t, answered && a.Confirmed)
 }
 
-// A departure may come first in a relayed heartbeat, while the updates to this node wait for its acknowledgements. It is sent on as any other is.
-// Guards against followers that never had it: by the time its update came, it was no news.
+// TestDepartureInRelayedHeartbeatIsBroadcast guards against followers that never receive a departure. A relayed heartbeat
+// may carry a departure before its update arrives, while updates to this node wait for acknowledgements. The later update
+// then changed nothing and was not forwarded. The departure in the heartbeat must be forwarded like any other.
 func TestDepartureInRelayedHeartbeatIsBroadcast(t *testing.T) {
 	for registrar := range Slot(3) {
 		f := newFleet(t, 6, 3)
@@ -87,25 +91,29 @@
 	}
 }
 
-// Two nodes with a disk that are partitioned from each other alone both reach a majority by the third, and both have followers. A departure that one
-// has reaches the other by the third, whoever has it first: also one that was in flight when the partition was noticed.
-func TestDeparturesGoAroundAPartition(t *testing.T) {
+// TestDeparturesAreRelayedAroundPartition checks a partition between only two nodes with a disk. Both reach a majority
+// through the third, and both have followers. A departure that one of them has must reach the other through the third,
+// whichever node has it first. This includes a departure that was in flight when the partition was noticed.
+func TestDeparturesAreRelayedAroundPartition(t *testing.T) {
 	for at := range Slot(6) {
 		for _, noticed := range []bool{true, false} {
-			for i := range 6 { // owned by one or another
+			for i := range 6 { // backends with different owners
 				requireDrainAroundPartition(t, newBackend(i), at, noticed)
 			}
 		}
 	}
 }
 
+// requireDrainAroundPartition partitions nodes 0 and 1 from each other and drains the backend at the node at. All nodes
+// must then know the departure, and must stop sending it. noticed tells whether the nodes notice the partition before the
+// call or after it.
 func requireDrainAroundPartition(t *testing.T, s *backend, at Slot, noticed bool) {
 	t.Helper()
 	f := newFleet(t, 6, 3)
 	f.heartbeat(s, 2)
 	f.advance(time.Second)
 	f.partition(0, 1)
-	if at == 5 { // which follows 0, and reaches 2 besides
+	if at == 5 { // Node 5 follows node 0 and also reaches node 2.
 		f.partition(5, 1)
 	}
 	if noticed {
@@ -120,17 +128,19 @@
 	f.requirePhase(s.ID, Draining)
 	before := f.messages
 	f.advance(5 * heartbeatInterval / 2)
-	must.LessEq(t, before+60, f.messages, must.Sprint("it is sent around for ever, at ", at))
+	must.LessEq(t, before+60, f.messages, must.Sprint("the departure is sent in a loop, called at node ", at))
 }
 
-// A new follower is sent departures too, though a backend that has deregistered is none of those that there are. Guards against requests that
-// go there for as long as the full sync takes.
+// TestNewFollowerReceivesDepartures guards against requests to a deregistered backend for the duration of a full sync. A
+// new follower must be sent the departure as well, although the full sync otherwise covers only backends that are not
+// gone.
 func TestNewFollowerReceivesDepartures(t *testing.T) {
 	f := newFleet(t, 4, 3)
 	s := newBackend(1)
 	f.heartbeat(s, 1)
 	f.advance(time.Second)
-	f.partition(3, 0) // its upstream: it reaches nobody for a while
+	// Node 0 is the upstream of node 3. Node 3 reaches no node for a while.
+	f.partition(3, 0)
 	for o := range Slot(2) {
 		f.partition(3, o+1)
 	}
--- a/internal/gateway/registry/dissemination.go
+++ b/internal/gateway/registry/dissemination.go
@@ -6,32 +6,35 @@
 )
 
 const (
-	// batchDelay is how long a change that nobody waits for is delayed, so that several go in one message.
+	// batchDelay is how long a non-urgent change is delayed so that several changes fit into one message.
 	batchDelay = 50 * time.Millisecond
-	// maxUpdatesPerMessage bounds the records of one message: a few KB, so that a thin link is free for other frames soon.
+	// maxUpdatesPerMessage limits the records in one message to a few KB, so that a message does not block other frames on a
+	// slow link for long.
 	maxUpdatesPerMessage = 64
 )
 
-// informs tells whether this node sends its updates to a peer: as long as a node with a disk lives, to such ones and to its
-// followers alone.
-func (r *Registry) informs(p *peer) bool {
+// sendsUpdatesTo reports whether this node sends its updates to a peer. While a node with a disk is live, only nodes with
+// a disk and this node's followers receive updates. Otherwise all live peers do.
+func (r *Registry) sendsUpdatesTo(p *peer) bool {
 	return p.node.Live && (!r.hasLiveDisk || p.node.HasDisk || p.node.Follows)
 }
 
-// broadcast sends a backend's record to all that this node informs, at once or together with other changes.
+// broadcast enqueues a backend's record for all peers that this node sends updates to. An urgent record is sent at once,
+// any other is batched with other changes.
 func (r *Registry) broadcast(e *entry, urgent bool) { r.forward(e, nil, urgent) }
 
-// forward sends a backend's record on. What a node with a disk sent, it sent to all others that have one: it is for the followers. What
-// another node sent is for all.
+// forward enqueues a backend's record for all peers that this node sends updates to, except from, the peer that sent the
+// record. A node with a disk has already sent the record to all other nodes with a disk, so that its records are forwarded
+// to followers only. from is nil if the record did not come from a peer.
 func (r *Registry) forward(e *entry, from *peer, urgent bool) {
 	for _, s := range r.peerSlots {
-		if p := r.peers[s]; p != from && r.informs(p) && !(from != nil && from.node.HasDisk && p.node.HasDisk) {
+		if p := r.peers[s]; p != from && r.sendsUpdatesTo(p) && !(from != nil && from.node.HasDisk && p.node.HasDisk) {
 			r.enqueueUpdate(p, e.record.ID, urgent)
 		}
 	}
 }
 
-// enqueueUpdate has a backend's record sent to a peer, as it is by then.
+// enqueueUpdate schedules a backend's record for a peer. The message carries the record as it is when the message is sent.
 func (r *Registry) enqueueUpdate(p *peer, id string, urgent bool) {
 	at := r.now
 	if !urgent {
@@ -47,7 +50,8 @@
 	}
 }
 
-// relayHeartbeat sends a heartbeat on to a node. It is not repeated: the next heartbeat makes up for a lost one.
+// relayHeartbeat relays a heartbeat to a node. A lost relayed heartbeat is not resent, because the next heartbeat replaces
+// it.
 func (r *Registry) relayHeartbeat(e *entry, s Slot) {
 	if p := r.peers[s]; p != nil && p.node.Live && len(p.heartbeats) < maxUpdatesPerMessage {
 		r.activate(p)
@@ -55,7 +59,7 @@
 	}
 }
 
-// reportSuspicion sends the owner the suspicion that another backend has its address.
+// reportSuspicion tells a backend's owner that another backend may have the same address.
 func (r *Registry) reportSuspicion(e *entry) {
 	e.ownerSince = r.now
 	if p := r.peers[e.record.Owner]; p != nil && p.node.Live && !slices.Contains(p.suspicions, e.record.ID) {
@@ -64,7 +68,7 @@
 	}
 }
 
-// nextMessage takes the next message for a peer, if there is one.
+// nextMessage returns the next message for a peer. ok is false if there is none.
 func (r *Registry) nextMessage(p *peer) (m Message, ok bool) {
 	m.Acks, p.acks = p.acks, nil
 	if !p.node.Live {
@@ -85,7 +89,8 @@
 	return m, true
 }
 
-// takeInFlight takes what waits for a peer, its updates where they are due, as one message in flight.
+// takeInFlight moves the pending suspicions of a peer, its full sync marker and, if updatesDue is true, its pending
+// updates into one message in flight.
 func (r *Registry) takeInFlight(p *peer, updatesDue bool) *inFlightMessage {
 	p.seq++
 	f := &inFlightMessage{seq: p.seq, sentAt: r.now, suspicions: p.suspicions, fullSync: p.fullSyncNext}
@@ -106,7 +111,7 @@
 	return f
 }
 
-// fillMessage writes the records of a message in flight as they are now.
+// fillMessage adds the records of a message in flight to m, as they are now.
 func (r *Registry) fillMessage(m *Message, f *inFlightMessage) {
 	m.Seq, m.FullSync = f.seq, f.fullSync
 	departs := false
--- a/internal/gateway/registry/doc.go
+++ b/internal/gateway/registry/doc.go
@@ -1,56 +1,66 @@
-// Package registry owns one node's list of the deployment's backends: which there are, which node watches each, and when a
-// change is confirmed to the backend that asked for it. It decides only: inputs update what is known, the host then pulls
-// actions with Next until there are none, and all times are the host's steady clock since its start.
+// Package registry maintains one node's list of the deployment's backends. It determines which backends exist, which node
+// owns each of them, and when a change is confirmed to the backend that requested it. The package only makes decisions.
+// Inputs update its state, and the host then calls Next until it returns no more actions. All times are offsets on the
+// host's monotonic clock since the host's start.
 //
 // # Terms
 //
-//   - Backend: an instance of a service that calls a node's control address. It sends heartbeats, says once that it is
-//     draining, and deregisters with its last call.
-//   - Owner: the one node that watches a backend for missed heartbeats. It is chosen by rendezvous hashing of the backend's id
-//     over the live nodes with a disk, in the backend's own zone where one lives there (ownerFor); without a live disk, over
-//     all live nodes. Each answer to a heartbeat names the owner's control address, so that backends turn to it by themselves.
-//   - Fencing token: counts a backend's changes of owner; 0 means that it has none yet.
-//   - Departure: that a backend is draining, or has deregistered. Neither is taken back as long as the backend is remembered.
-//   - Follower: a node without a disk, which takes its updates from one node with a disk, its upstream.
-//   - Full sync: everything that a node sends to one that begins to follow it.
-//   - Suspicion: a node's observation that another backend answers at a backend's address (HTTP 421), on its way to the owner.
+//   - Backend: an instance of a service that calls a node's control address. It sends heartbeats, announces once that
+//     it is draining, and deregisters with its last call.
+//   - Owner: the one node that watches a backend for missed heartbeats. It is chosen by rendezvous hashing of the
+//     backend's id over the live nodes with a disk (ownerFor). Nodes in the backend's zone are preferred. If no node
+//     with a disk is live, all live nodes are candidates. Each answer to a heartbeat names the owner's control
+//     address, so that backends send their next heartbeats there.
+//   - Fencing token: a counter of a backend's changes of owner. 0 means that the backend has had no owner yet.
+//   - Departure: the fact that a backend is draining or has deregistered. A departure is never reverted while the
+//     registry remembers the backend.
+//   - Follower: a node without a disk that receives its updates from one node with a disk, its upstream.
+//   - Full sync: the complete set of records that a node sends to a new follower.
+//   - Suspicion: a node's report to the owner that another backend answers at a backend's address (HTTP 421).
 //
 // # How updates travel
 //
-// Heartbeats do not travel, changes alone do: the owner sends them to the other nodes with a disk, and each of these to its
-// followers. As long as a node with a disk lives, nodes without one send each other nothing, so that what goes over one link does not grow
-// with their number.
-// Messages carry a sequence number, are acknowledged, resent with a growing interval, and limited to maxInFlight a peer;
-// a peer that acknowledges nothing is probed alone, and synced anew once it answers.
+// Nodes exchange changes, not heartbeats. The owner sends a change to the other nodes with a disk, and each of these sends
+// it to its followers. While a node with a disk is live, nodes without a disk send each other nothing. The traffic on one
+// link therefore does not grow with the number of nodes without a disk.
 //
-// Whatever way and in whatever order updates come, and however often: nodes that have received the same know the same.
-// Records merge (see merge): the newest call sequence number decides what a backend says of itself, the highest fencing
-// token its owner, departures stay.
+// Messages carry a sequence number and are acknowledged. They are resent with a growing interval, and at most maxInFlight
+// are in flight to a peer. A peer that acknowledges nothing is only probed. It is synced again when it answers.
+//
+// Nodes that have received the same updates have the same state, regardless of the path, order and repetition of the
+// updates. Records are merged (see merge). The record with the highest call sequence number determines what the backend
+// reports about itself, and the record with the highest fencing token determines its owner. Departures are kept.
 //
 // # Guarantees
 //
-//   - A departure is confirmed (Acknowledge with Confirmed) only once Config.MinCopies nodes with a disk have it, one more
-//     than may be lost at once, and as a rule once each node has it that this one informs. Copies that are merely all in
-//     reach prove nothing in the first moments of a partition: where fewer than MinCopies disks are in reach, the call fails at
-//     once and the backend turns to another node. Where no disk is known at all, all nodes count; the only node there is
-//     confirms by itself. See pendingCall.
-//   - Only what a peer acknowledged or sent in its present incarnation proves a copy: a late message of a former one, whose memory
-//     is lost, is none.
-//   - A backend is timed out after missedHeartbeats intervals without a heartbeat, by its owner alone. (A node that sees another
-//     backend answer at its address takes it for gone by itself, until the owner or the next heartbeat decides.) Such a time-out counts only for exactly the call and the fencing token that the owner knew: a later heartbeat revives the backend
-//     everywhere, and a former owner that missed the change can't time out what its successor watches. That is what the token
-//     guards.
-//   - When an owner is lost, its backends stay as they are for 2.5 heartbeat intervals. Then the next node in the order of hashing
-//     takes over under the next token, if it reaches a majority of the nodes; a node on the smaller side of a partition takes
-//     nothing over and times out only backends that call it directly. An owner that lives on and still hears the backend takes it back,
-//     and whoever took it leaves it alone for takeoverHoldoffHeartbeats: two nodes do not take a backend from each other for ever.
-//   - A step of the clock above a second is a stall of this process, during which no heartbeat could be read: all time-outs
-//     begin anew.
-//   - Tables are bounded: maxBackends entries, of them maxTombstones gone, and a tombstone for tombstoneTTL at most.
+//   - A departure is confirmed (Acknowledge with Confirmed) only when Config.MinCopies nodes with a disk have it. That
+//     is one copy more than the number of nodes that may be lost at once. As a rule, the registry also waits until
+//     every peer that it sends updates to has the departure. In the first moments of a partition, copies at all
+//     reachable nodes prove nothing. If fewer than MinCopies nodes with a disk are reachable, the call therefore fails
+//     at once and the backend turns to another node. If no node with a disk is known, all nodes count. A node that is
+//     the only one confirms departures by itself. See pendingCall.
+//   - A peer counts as a copy only by what it acknowledged or sent in its present incarnation. A late message of a
+//     former incarnation does not count, because the memory of that incarnation is lost.
+//   - Only the owner times out a backend, after missedHeartbeats intervals without a heartbeat. (A node that sees
+//     another backend answer at a backend's address treats the backend as gone locally, until the owner or the next
+//     heartbeat decides.) A time-out applies only to the exact call sequence number and fencing token that the owner
+//     knew. A later heartbeat therefore revives the backend at all nodes. The token ensures that a former owner that
+//     missed the change cannot time out a backend that its successor watches.
+//   - When an owner is lost, its backends stay as they are for 2.5 heartbeat intervals. Then the next node in hashing
+//     order takes over with the next token, if it reaches a majority of the nodes. A node on the minority side of a
+//     partition takes over nothing, and times out only backends that call it directly. If the former owner is alive
+//     and still receives the backend's heartbeats, it takes the backend back. The node that had taken over then leaves
+//     the backend alone for takeoverHoldoffHeartbeats intervals, so that two nodes do not take it from each other
+//     forever.
+//   - A step of the clock above one second means that this process was stalled and could read no heartbeats. All
+//     time-outs then restart.
+//   - Tables are bounded to maxBackends entries, of which at most maxTombstones are gone. A tombstone is kept for at
+//     most tombstoneTTL.
 //
 // # What it must not do
 //
-// It does no I/O, reads no clock and draws no random numbers. It does not choose among backends for a request (package
-// balancer), and does not judge a backend's health by what requests come to. Nothing rests on what a disk kept of it
-// (Restore): that is a hint which spares the deployment a wait for the first heartbeats after the loss of all nodes.
+// The package does no I/O, reads no clock and draws no random numbers. It does not select a backend for a request (package
+// balancer does), and does not judge a backend's health by the results of requests. Its correctness does not depend on the
+// records that a disk stored (Restore). These are a hint that saves the deployment a wait for the first heartbeats after
+// the loss of all nodes.
 package registry
--- a/internal/gateway/registry/entry.go
+++ b/internal/gateway/registry/entry.go
@@ -8,41 +8,54 @@
 )
 
 const (
-	// maxBackends bounds the entries, tombstones among them: more than any deployment's backends (docs/CAPACITY.md).
+	// maxBackends limits the number of entries, tombstones included. It is more than the backends of any deployment
+	// (docs/CAPACITY.md).
 	maxBackends = 8192
-	// maxTombstones bounds the entries of backends that are gone, so that a fleet which starts and ends backends in a loop
-	// leaves room for those that live.
+	// maxTombstones limits the number of entries of gone backends. A fleet that starts and stops backends in a loop therefore
+	// leaves room for live backends.
 	maxTombstones = 4096
-	// tombstoneTTL is how long a gone backend is remembered: longer than any message about it may take.
+	// tombstoneTTL is how long the registry remembers a gone backend. It is longer than the delay of any message about the
+	// backend.
 	tombstoneTTL = 60 * time.Second
-	// never is a deadline that does not come.
+	// never is a deadline that is never reached.
 	never = time.Duration(1<<63 - 1)
 )
 
-// entry is what is known of one backend. Phase, SlowStartLeft and Age of its record are unused: see recordOf.
+// entry is the state of one backend. The Phase, SlowStartLeft and Age of its record are unused. See recordOf.
 type entry struct {
-	record          Record
-	timedOut        bool // at exactly this Seq and FencingToken
-	goneAt          time.Duration
-	firstSeenAt     time.Duration // by any node
-	slowStartUntil  time.Duration
-	lastSeenAt      time.Duration // last heartbeat that this node knows of, or since when this node knows its owner
-	ownerSince      time.Duration // since when the owner is known as such; also when the owner was last sent a suspicion or the record
-	syncedAt        time.Duration // when the upstream last sent an update of it
-	lastHeartbeatAt time.Duration // last heartbeat that came here, from the backend or relayed
-	directHeartbeat bool          // that one came from the backend itself
-	noTakeoverUntil time.Duration // another node still reaches its owner: it is left to that one
-	suspected       bool          // timed out by what this node saw, until its owner says so too
-	notified        map[Slot]departure
+	record Record
+	// True if the backend is timed out at exactly the Seq and FencingToken of record.
+	timedOut       bool
+	goneAt         time.Duration
+	firstSeenAt    time.Duration // when any node first saw it
+	slowStartUntil time.Duration
+	// Time of the last heartbeat that this node knows of, or of the last change of owner if that is later.
+	lastSeenAt time.Duration
+	// Time at which this node learned of the owner. It is also set when the owner is sent a suspicion, or the next owner is
+	// sent the record.
+	ownerSince time.Duration
+	syncedAt   time.Duration // last update from the sync source
+	// Time of the last heartbeat that this node received, from the backend or relayed.
+	lastHeartbeatAt time.Duration
+	// True if the newest known heartbeat came from the backend itself.
+	directHeartbeat bool
+	// Time before which this node does not take over the backend, because another node still reaches its owner.
+	noTakeoverUntil time.Duration
+	// True if the backend is timed out by an observation of this node that its owner has not confirmed yet.
+	suspected bool
+	// The furthest departure that each node is known to have.
+	notified map[Slot]departure
 
-	changeQueued       bool // is among Registry.changedEntries
+	changeQueued       bool // is in Registry.changedEntries
 	published          Record
 	publishedSlowStart time.Duration
-	everPublished      bool
+	everPublished      bool // published is set
 }
 
+// departure returns how far the backend has departed.
 func (e *entry) departure() departure { return e.record.departure() }
 
+// phase returns the phase of the backend, without regard to other backends at its address. See visiblePhase.
 func (e *entry) phase() Phase {
 	switch {
 	case e.record.Deregistered || e.timedOut:
@@ -53,7 +66,8 @@
 	return Ready
 }
 
-// entryFor finds or makes the entry of a backend; nil if the registry is full or the id is empty.
+// entryFor returns the entry of a backend, and creates it if there is none. It returns nil if the registry is full or the
+// id is empty.
 func (r *Registry) entryFor(id string) *entry {
 	if e := r.entries[id]; e != nil {
 		return e
@@ -73,9 +87,10 @@
 	return e
 }
 
+// compareID compares the backend id of an entry with id.
 func compareID(e *entry, id string) int { return strings.Compare(e.record.ID, id) }
 
-// recordOf is the record of an entry as of now.
+// recordOf returns the record of an entry as of the registry's present time.
 func (r *Registry) recordOf(e *entry) Record {
 	record := e.record
 	record.Phase = e.phase()
@@ -84,7 +99,7 @@
 	return record
 }
 
-// pruneTombstones drops what has been gone for tombstoneTTL, and the oldest where there are too many.
+// pruneTombstones removes tombstones that are older than tombstoneTTL, and the oldest ones if there are too many.
 func (r *Registry) pruneTombstones() {
 	var tombstones []*entry
 	for _, e := range r.sorted {
--- a/internal/gateway/registry/fullsync.go
+++ b/internal/gateway/registry/fullsync.go
@@ -6,34 +6,39 @@
 )
 
 const (
-	// maxFullSyncs bounds the followers that are sent a full sync at a time.
+	// maxFullSyncs limits the number of followers that are synced at the same time.
 	maxFullSyncs = 16
-	// departureRetention is how long a new follower is sent the departure of a backend that is gone: the follower may have been
-	// isolated, and go on sending requests there.
+	// departureRetention is how long a new follower is still sent the departure of a gone backend. The follower may have been
+	// isolated and may still send requests to the backend.
 	departureRetention = 10 * time.Second
-	// fullSyncGrace is how long the upstream may send nothing of a full sync that it has not ended.
+	// fullSyncGrace is how long the upstream may pause during a full sync before the sync counts as ended.
 	fullSyncGrace = 3 * time.Second
-	// fullSyncTimeout is how long a full sync may take in all.
+	// fullSyncTimeout limits the total duration of a full sync.
 	fullSyncTimeout = 10 * time.Second
 )
 
-// syncRequest is a follower's turn to be synced: with the backends of its own zone, with which it can serve, or with all.
+// syncRequest is a queued sync of a follower. If zoneOnly is true, it covers only the backends of the follower's zone,
+// with which the follower can already serve requests. Otherwise it covers all backends.
 type syncRequest struct {
 	target   Slot
 	zoneOnly bool
 }
 
-// SyncPeer syncs a node that is connected anew, or follows anew. A follower gets all backends that are not gone. Nodes with a disk
-// send each other the backends that they own, those that the other should own, those whose owner is lost and that fall to the sender, and
-// all departures: together they send one the complete registry. A node without a disk sends a node with one the departures of backends that
-// are not gone; more of what it knows follows where the other turns out not to have it (reportMissing).
+// SyncPeer syncs a node that has reconnected or that follows this node anew. It does nothing if the node is unknown.
+//
+//   - A follower receives all backends that are not gone.
+//   - Nodes with a disk send each other all departures, the backends that they own, the backends that the receiver
+//     should own, and the backends of a lost owner that the sender would take over. Together they send one node the
+//     complete registry.
+//   - A node without a disk sends a node with a disk the departures of backends that are not gone. It sends other
+//     records that the receiver lacks later (reportMissingBackends).
 func (r *Registry) SyncPeer(s Slot) {
 	p := r.peers[s]
 	if p == nil {
 		return
 	}
 	r.resetPeer(p)
-	if !r.informs(p) {
+	if !r.sendsUpdatesTo(p) {
 		return
 	}
 	if p.node.Follows {
@@ -42,14 +47,14 @@
 		return
 	}
 	for _, e := range r.sorted {
-		if r.syncs(e, s) {
+		if r.includedInSync(e, s) {
 			r.enqueueUpdate(p, e.record.ID, true)
 		}
 	}
 }
 
-// syncs tells whether a backend is part of what a peer that does not follow this node is synced with.
-func (r *Registry) syncs(e *entry, to Slot) bool {
+// includedInSync reports whether a backend is part of the sync of a peer that does not follow this node.
+func (r *Registry) includedInSync(e *entry, to Slot) bool {
 	if r.hasLiveDisk && !r.local.HasDisk {
 		return e.phase() != Gone && e.departure() > notDeparting
 	}
@@ -58,8 +63,8 @@
 		r.unreachable(owner) && r.ownerFor(e, to).Slot == r.localSlot
 }
 
-// enqueueSync queues a follower for the backends of its zone, before anybody's full sync, and for its full sync. Where most
-// backends are in its zone there is nothing to be gained by the first.
+// enqueueSync queues a follower for a sync of the backends of its zone, ahead of all full syncs, and for a full sync. If
+// at least half of the backends are in its zone, the zone sync saves nothing and is omitted.
 func (r *Registry) enqueueSync(p *peer) {
 	inZone, present := 0, 0
 	for _, e := range r.sorted {
@@ -80,8 +85,9 @@
 	r.syncQueue = append(r.syncQueue, syncRequest{p.node.Slot, false})
 }
 
-// startSyncs begins the syncs that wait, maxFullSyncs at a time. After the loss of all nodes everybody asks at once: what all are sent
-// together comes so late to each that they give up and ask another node, for all of it again.
+// startSyncs starts queued syncs while fewer than maxFullSyncs are running. After the loss of all nodes every follower
+// asks at once. If all are synced together, each one receives its records so late that it gives up and asks another node
+// for all of them again.
 func (r *Registry) startSyncs() {
 	if len(r.syncQueue) == 0 {
 		return
@@ -110,12 +116,13 @@
 	}
 }
 
-// relevantToFollower holds for backends that are not gone, and for those whose departure may be news to a follower.
+// relevantToFollower reports whether a backend is part of the sync of a follower. This holds for backends that are not
+// gone, and for gone backends whose departure the follower may not know.
 func (r *Registry) relevantToFollower(e *entry) bool {
 	return e.phase() != Gone || e.departure() > notDeparting && r.now-e.goneAt < departureRetention
 }
 
-// trackFullSync follows the full sync that another node sends to this one.
+// trackFullSync tracks the progress of the full sync that another node sends to this node.
 func (r *Registry) trackFullSync(from Slot, m *Message) {
 	if m.FullSync {
 		r.syncSource, r.syncStartedAt, r.reportMissingAt = from, r.now, r.now+fullSyncGrace
@@ -125,15 +132,15 @@
 	}
 }
 
-// reportMissing sends the upstream what its full sync left out, once that has ended: so it learns what it should have had, or this
-// node that a backend is gone.
-func (r *Registry) reportMissing() {
+// reportMissingBackends sends the upstream the backends that its full sync left out, after the sync has ended. Either the
+// upstream learns of backends that it should have had, or this node learns that they are gone.
+func (r *Registry) reportMissingBackends() {
 	if r.now < r.reportMissingAt {
 		return
 	}
 	r.reportMissingAt = never
 	p := r.peers[r.syncSource]
-	if p == nil || !r.informs(p) {
+	if p == nil || !r.sendsUpdatesTo(p) {
 		return
 	}
 	for _, e := range r.sorted {
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -8,26 +8,28 @@
 	"github.com/shoenig/test/must"
 )
 
-// followerCrowd is a node with a disk that many follow, all at once: what happens after the loss of all nodes.
+// followerCrowd is a node with a disk that many nodes begin to follow at once. This happens after the loss of all nodes.
 type followerCrowd struct {
-	registry  *Registry
-	records   map[Slot]int // sent to each
-	unacked   []pendingAck
-	fullSyncs map[Slot]bool
+	registry    *Registry
+	recordsSent map[Slot]int  // by receiver
+	unacked     []pendingAck  // acknowledgements to be delivered
+	fullSyncs   map[Slot]bool // receivers of a full sync marker
 }
 
+// pendingAck is an acknowledgement that the node receives at a later time.
 type pendingAck struct {
-	at  time.Duration
-	to  Slot
-	seq uint64
+	dueAt time.Duration
+	to    Slot
+	seq   uint64
 }
 
-// oneZone has all backends and followers in one zone.
+// oneZone puts all backends and followers into one zone.
 func oneZone(int) string { return "" }
 
-// newFollowerCrowd is a node with some backends and followers, each in the zone of its number.
+// newFollowerCrowd returns a node with the given numbers of backends and followers. zone returns the zone of the backend
+// or follower with index i.
 func newFollowerCrowd(backends, followers int, zone func(i int) string) *followerCrowd {
-	c := &followerCrowd{registry: New(0, Config{HeartbeatInterval: time.Minute, MinCopies: 1, Incarnation: 1}, 0), records: map[Slot]int{}, fullSyncs: map[Slot]bool{}}
+	c := &followerCrowd{registry: New(0, Config{HeartbeatInterval: time.Minute, MinCopies: 1, Incarnation: 1}, 0), recordsSent: map[Slot]int{}, fullSyncs: map[Slot]bool{}}
 	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
 	c.registry.SetNodes(nodes)
 	for i := range backends {
@@ -42,12 +44,13 @@
 	return c
 }
 
-// collect takes what is to be sent, each acknowledged after a while, and counts the updates in it.
+// collect takes all messages that are due, schedules the acknowledgement of each one after the given delay, and returns
+// the number of updates in them.
 func (f *followerCrowd) collect(after time.Duration) (sent int) {
 	for a, ok := f.registry.Next(); ok; a, ok = f.registry.Next() {
 		if m, is := a.(Send); is && m.Message.Seq != 0 {
 			sent += len(m.Message.Updates)
-			f.records[m.Target] += len(m.Message.Updates)
+			f.recordsSent[m.Target] += len(m.Message.Updates)
 			f.fullSyncs[m.Target] = f.fullSyncs[m.Target] || m.Message.FullSync
 			f.unacked = append(f.unacked, pendingAck{f.registry.now + after, m.Target, m.Message.Seq})
 		}
@@ -55,14 +58,14 @@
 	return sent
 }
 
-// runUntil goes on to a time; acknowledgements come when they are due.
+// runUntil advances the clock to t and delivers acknowledgements when they are due.
 func (f *followerCrowd) runUntil(t time.Duration, after time.Duration) {
 	for now := f.registry.now; now <= t; now += 10 * time.Millisecond {
 		f.registry.Tick(now)
 		rest := f.unacked
 		f.unacked = nil
 		for _, d := range rest {
-			if d.at <= now {
+			if d.dueAt <= now {
 				f.registry.Receive(d.to, Message{Acks: []uint64{d.seq}})
 			} else {
 				f.unacked = append(f.unacked, d)
@@ -72,57 +75,61 @@
 	}
 }
 
-// Guards against a node that all begin to follow at once and that syncs all of them together. With little processor time each got its part so
-// late that it gave up and asked another node, for all of it again: at 300 nodes nothing else was done any more, and nothing was
-// served for half a minute.
+// TestFullSyncsAreBounded guards against a node that syncs all of its new followers at once. With little processor time,
+// each follower received its records so late that it gave up and asked another node for all of them again. At 300 nodes no
+// other work was done, and no requests were served for half a minute.
 func TestFullSyncsAreBounded(t *testing.T) {
 	const backends, followers = 1000, 100
 	c := newFollowerCrowd(backends, followers, oneZone)
-	must.LessEq(t, maxFullSyncs*maxInFlight*maxUpdatesPerMessage, c.collect(time.Hour)) // nobody acknowledges
+	must.LessEq(t, maxFullSyncs*maxInFlight*maxUpdatesPerMessage, c.collect(time.Hour)) // no follower acknowledges
 	c = newFollowerCrowd(backends, followers, oneZone)
 	c.runUntil(4*time.Second, 10*time.Millisecond)
 	for s := range followers {
 		must.True(t, c.fullSyncs[Slot(s+1)])
-		must.Eq(t, backends, c.records[Slot(s+1)]) // each once
+		must.Eq(t, backends, c.recordsSent[Slot(s+1)]) // each record once
 	}
 }
 
-// What is acknowledged late is not sent again and again: that made a busy node busier.
-func TestLateAcksCostLittle(t *testing.T) {
+// TestLateAcksCauseFewResends guards against repeated resends of messages that are acknowledged late. They added load to a
+// node that was already busy.
+func TestLateAcksCauseFewResends(t *testing.T) {
 	const backends, followers = 1000, 100
 	c := newFollowerCrowd(backends, followers, oneZone)
 	sent := func() (n int) {
-		for _, x := range c.records {
+		for _, x := range c.recordsSent {
 			n += x
 		}
 		return n
 	}
 	c.runUntil(90*time.Second, 800*time.Millisecond)
 	for s := range followers {
-		must.GreaterEq(t, backends, c.records[Slot(s+1)])
+		must.GreaterEq(t, backends, c.recordsSent[Slot(s+1)])
 	}
-	must.LessEq(t, 2*backends*followers, sent()) // it was 3.7 times as much when it went again each 300 ms
+	// Resends each 300 ms sent 3.7 times as many records.
+	must.LessEq(t, 2*backends*followers, sent())
 }
 
-// A full sync ends with the node that it goes to: the next one's begins.
-func TestFullSyncsGoOn(t *testing.T) {
+// TestLostFollowersEndTheirFullSyncs checks that a full sync ends when its follower is lost, and that the next queued one
+// then starts.
+func TestLostFollowersEndTheirFullSyncs(t *testing.T) {
 	c := newFollowerCrowd(1000, 2*maxFullSyncs, oneZone)
 	c.collect(time.Hour)
 	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
 	for s := range 2 * maxFullSyncs {
 		nodes = append(nodes, Node{Slot: Slot(s + 1), Live: s >= maxFullSyncs, Follows: s >= maxFullSyncs})
 	}
-	c.registry.SetNodes(nodes) // those that were synced first are lost
+	c.registry.SetNodes(nodes) // The followers that were synced first are lost.
 	c.unacked = nil
 	c.runUntil(4*time.Second, 10*time.Millisecond)
 	for s := maxFullSyncs; s < 2*maxFullSyncs; s++ {
-		must.Eq(t, 1000, c.records[Slot(s+1)])
+		must.Eq(t, 1000, c.recordsSent[Slot(s+1)])
 	}
 }
 
-// An input costs a look at the peers that it concerns: at none, where nothing is to be sent. Guards against a look at all of them, by which a
-// heartbeat cost with three hundred nodes three times what it did with a hundred.
-func TestIdlePeersCostNothing(t *testing.T) {
+// TestIdlePeersAreNotVisited guards against inputs that visit all peers. An input must visit only the peers that it
+// concerns, and none if there is nothing to send. When all peers were visited, a heartbeat cost three times as much with
+// 300 nodes as with 100.
+func TestIdlePeersAreNotVisited(t *testing.T) {
 	c := newFollowerCrowd(100, 50, oneZone)
 	c.collect(time.Hour)
 	must.SliceNotEmpty(t, c.registry.activePeers)
@@ -136,16 +143,18 @@
 	}
 	must.SliceEmpty(t, c.registry.activePeers)
 	must.True(t, c.registry.HasReady())
-	c.registry.Deregister("i-7") // that is for all
+	c.registry.Deregister("i-7") // The departure is sent to all followers.
 	c.collect(time.Hour)
 	must.SliceLen(t, 50, c.registry.activePeers)
-	c.registry.SetNodes([]Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}) // nobody is there any more
+	// All followers are removed.
+	c.registry.SetNodes([]Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}})
 	must.SliceEmpty(t, c.registry.activePeers)
 	must.False(t, New(0, Config{}, 0).HasReady())
 }
 
-// What a node needs to serve comes first: the backends of its own zone, to all that wait, before the next full sync, and within the same
-// bound. Guards against hundreds of nodes that wait for the last of hundreds of backends on thin links after the loss of all.
+// TestFullSyncSendsOwnZoneFirst guards against hundreds of nodes that wait on slow links for the last of hundreds of
+// backends after the loss of all nodes. The backends of a follower's zone, with which it can serve, must be sent to all
+// waiting followers before the next full sync, and within the same limit.
 func TestFullSyncSendsOwnZoneFirst(t *testing.T) {
 	const zones, backends, followers = 6, 600, 4 * maxFullSyncs
 	zone := func(i int) string { return fmt.Sprint("zone-", i%zones) }
@@ -172,7 +181,7 @@
 			}
 			c.unacked = append(c.unacked, pendingAck{now, m.Target, m.Message.Seq})
 		}
-		if len(c.fullSyncs) > maxFullSyncs { // the first ones had nobody before them
+		if len(c.fullSyncs) > maxFullSyncs { // The first full syncs had no zone sync queued ahead of them.
 			must.MapLen(t, followers, inZone)
 			for s := range inZone {
 				must.MapLen(t, backends/zones, inZone[s], must.Sprintf("node %d at %v", s, now))
--- a/internal/gateway/registry/merge.go
+++ b/internal/gateway/registry/merge.go
@@ -2,14 +2,16 @@
 
 import "time"
 
-// slowStartTolerance is how far the end of a slow start may differ from what is known without counting as another: each heartbeat
-// gives what is left of it, a little differently.
+// slowStartTolerance is how far the reported end of a slow start may differ from the known end and still count as the same
+// slow start. Each heartbeat reports the remaining time with a small deviation.
 const slowStartTolerance = 500 * time.Millisecond
 
-// merge adds a record to what is known. The result is the same in every order and with every repetition: the newest Seq gives
-// what the backend says of itself, the highest fencing token its owner; departures stay. A time-out counts only at exactly the newest
-// Seq and token: a later heartbeat revives the backend, and a former owner can't undo what its successor knows. It tells
-// whether the backend was gone and is not any more.
+// merge merges an update into the entry of a backend. It reports whether the backend was gone and no longer is.
+//
+// The result does not depend on the order or the repetition of updates. The record with the highest Seq determines what
+// the backend reports about itself, and the record with the highest fencing token determines its owner. Departures are
+// kept. A time-out counts only at exactly the highest Seq and fencing token. A later heartbeat therefore revives the
+// backend, and a former owner cannot override its successor.
 func (r *Registry) merge(e *entry, update Record) (revived bool) {
 	before := e.phase()
 	timeout := update.Phase == Gone && !update.Deregistered
@@ -23,7 +25,8 @@
 		e.lastSeenAt, e.directHeartbeat = r.now, false
 	}
 	if update.FencingToken > e.record.FencingToken ||
-		update.FencingToken == e.record.FencingToken && update.Owner > e.record.Owner { // two took it at once: any rule that all go by will do
+		// Two nodes took the backend over at the same time. Any tie-break is correct if all nodes apply the same one.
+		update.FencingToken == e.record.FencingToken && update.Owner > e.record.Owner {
 		r.setOwner(e, update.Owner, update.LostOwner)
 	}
 	e.record.Seq, e.record.FencingToken = seq, token
@@ -35,7 +38,7 @@
 	return before == Gone && e.phase() != Gone
 }
 
-// mergeDetails takes what the backend says of itself.
+// mergeDetails applies what the backend reports about itself.
 func (r *Registry) mergeDetails(e *entry, update Record) {
 	if e.record.Addr != update.Addr {
 		r.reindexAddr(e, update.Addr)
@@ -47,17 +50,19 @@
 	}
 }
 
-// setOwner notes who watches the backend from now on, and from whom it was taken.
+// setOwner sets the owner of a backend, and the lost owner from which it was taken over (NoSlot if it was not).
 func (r *Registry) setOwner(e *entry, owner, lostOwner Slot) {
 	if e.record.Owner == r.localSlot && owner != r.localSlot && r.unreachable(owner) {
-		// Another node reaches an owner that this one does not: the two must not take the backend from each other for ever.
+		// Another node reaches an owner that this node does not reach. The hold-off prevents the two nodes from taking the
+		// backend from each other forever.
 		e.noTakeoverUntil = r.now + takeoverHoldoffHeartbeats*r.config.HeartbeatInterval
 	}
 	e.record.Owner, e.record.LostOwner = owner, lostOwner
 	e.ownerSince, e.lastSeenAt = r.now, r.now
 }
 
-// setTimedOut sets whether the backend is timed out, and counts those that are gone. before is its phase until now.
+// setTimedOut sets whether the backend is timed out, and updates the number of gone backends. before is the phase of the
+// backend before the change.
 func (r *Registry) setTimedOut(e *entry, before Phase, timedOut bool) {
 	e.timedOut, e.suspected = timedOut, timedOut && e.suspected
 	switch after := e.phase(); {
@@ -69,7 +74,7 @@
 	}
 }
 
-// expire times a backend out.
+// expire times out a backend.
 func (r *Registry) expire(e *entry) {
 	r.setTimedOut(e, e.phase(), true)
 	r.enqueueAddrChanges(e)
--- a/internal/gateway/registry/nodes.go
+++ b/internal/gateway/registry/nodes.go
@@ -2,25 +2,29 @@
 
 import "slices"
 
-// Node is a node that is known, this one too, live or not.
+// Node is a known node, live or not. It may be the local node.
 type Node struct {
-	Slot        Slot
-	ControlAddr string // where it takes heartbeats; "": it can own no backends
-	Zone        string // its own backends are of this zone, where a node lives there
-	Live        bool   // of the local node it does not matter
-	HasDisk     bool   // it can be the copy of a departure, and owns backends before those without one
-	Follows     bool   // it takes its updates from this node
+	Slot Slot
+	// Address at which the node receives heartbeats. If it is empty, the node cannot own backends.
+	ControlAddr string
+	// The node is preferred as owner of the backends of this zone.
+	Zone string
+	// True if this node reaches the node. It is ignored for the local node.
+	Live bool
+	// True if the node can hold a copy of a departure. Nodes with a disk are preferred as owners.
+	HasDisk bool
+	Follows bool // receives its updates from this node
 }
 
-// SetNodes gives all nodes that are known, the local one too. A peer that is no longer live or given is lost: its backends go
-// to others after a grace. One that is live anew is synced.
+// SetNodes sets all known nodes, including the local node. A peer that is no longer live or no longer listed is lost, and
+// other nodes take over its backends after a grace period. A peer that becomes live is synced.
 func (r *Registry) SetNodes(nodes []Node) {
 	r.hasNodes = true
 	r.local = Node{Slot: r.localSlot}
 	r.ownerCandidates, r.knownCount, r.liveCount, r.hasLiveDisk, r.hasKnownDisk = r.ownerCandidates[:0], 0, 0, false, false
 	given := map[Slot]bool{}
 	var toSync []Slot
-	var undelivered []string // departures that a lost node with a disk may not have had
+	var undelivered []string // departures that a lost node with a disk may lack
 	for _, n := range nodes {
 		if n.Slot < 0 {
 			continue
@@ -39,18 +43,19 @@
 		r.countNode(n)
 	}
 	r.preferDiskOwners()
-	r.dropPeersBut(given)
+	r.dropPeersExcept(given)
 	for _, s := range toSync {
 		r.SyncPeer(s)
 	}
 	r.rebroadcastDepartures(undelivered)
-	r.answerDecided()
+	r.answerDecidedCalls()
 }
 
-// updatePeer takes what is known of another node. It tells whether the node is to be synced, as it is live or follows anew; and
-// which departures it may not have had, if it is lost.
+// updatePeer updates the state of another node. needsSync reports whether the node must be synced because it has become
+// live, has acquired a disk or has begun to follow this node. undelivered lists the backends whose departure the node may
+// not have received, if the node is lost.
 func (r *Registry) updatePeer(n Node) (needsSync bool, undelivered []string) {
-	p := r.peerAt(n.Slot)
+	p := r.peerFor(n.Slot)
 	switch {
 	case n.Live && (!p.node.Live || n.HasDisk && !p.node.HasDisk || n.Follows && !p.node.Follows):
 		needsSync = true
@@ -68,7 +73,7 @@
 	return needsSync, undelivered
 }
 
-// countNode takes a node among those that may own backends, if it can.
+// countNode updates the flags for nodes with a disk, and adds a live node with a control address to the owner candidates.
 func (r *Registry) countNode(n Node) {
 	r.hasKnownDisk = r.hasKnownDisk || n.HasDisk
 	if !n.Live {
@@ -80,7 +85,7 @@
 	}
 }
 
-// preferDiskOwners leaves ownership to the nodes with a disk, as long as one of them lives.
+// preferDiskOwners sorts the owner candidates by slot, and removes those without a disk if any candidate has a disk.
 func (r *Registry) preferDiskOwners() {
 	slices.SortFunc(r.ownerCandidates, func(x, y Node) int { return int(x.Slot - y.Slot) })
 	if slices.ContainsFunc(r.ownerCandidates, func(n Node) bool { return n.HasDisk }) {
@@ -88,8 +93,8 @@
 	}
 }
 
-// dropPeersBut forgets the nodes that are not among those given.
-func (r *Registry) dropPeersBut(given map[Slot]bool) {
+// dropPeersExcept removes all peers whose slot is not in knownSlots.
+func (r *Registry) dropPeersExcept(given map[Slot]bool) {
 	for s, p := range r.peers {
 		if !given[s] {
 			r.resetPeer(p)
@@ -100,7 +105,8 @@
 	r.peerSlots = slices.DeleteFunc(r.peerSlots, func(s Slot) bool { return !given[s] })
 }
 
-// SetFollower notes that a node follows this one, or does no longer: what SetNodes would find, without a look at all the others.
+// SetFollower records whether a node follows this node. It has the same effect as SetNodes with the changed node, without
+// processing all other nodes.
 func (r *Registry) SetFollower(s Slot, follows bool) {
 	p := r.peers[s]
 	if p == nil || p.node.Follows == follows {
@@ -113,10 +119,10 @@
 	if follows && p.node.Live {
 		r.SyncPeer(s)
 	}
-	r.answerDecided()
+	r.answerDecidedCalls()
 }
 
-// unreachable tells whether a node is another one that is not live.
+// unreachable reports whether s is another node that is unknown or not live.
 func (r *Registry) unreachable(s Slot) bool {
 	if s == r.localSlot {
 		return false
@@ -125,5 +131,5 @@
 	return p == nil || !p.node.Live
 }
 
-// reachesMajority tells whether this node and those that it reaches are more than half of all that are known.
+// reachesMajority reports whether this node and its live peers are more than half of all known nodes.
 func (r *Registry) reachesMajority() bool { return 2*(r.liveCount+1) > r.knownCount+1 }
--- a/internal/gateway/registry/ownership.go
+++ b/internal/gateway/registry/ownership.go
@@ -6,19 +6,22 @@
 )
 
 const (
-	// missedHeartbeats is how many intervals without a heartbeat time a backend out.
+	// missedHeartbeats is the number of heartbeat intervals without a heartbeat after which a backend is timed out.
 	missedHeartbeats = 3
-	// ownerGraceHalfIntervals is how many half intervals a lost owner is waited for before another node takes over. It is less than
-	// missedHeartbeats: the new owner watches from then on, and the loss of an owner must not look like that of its backends.
+	// ownerGraceHalfIntervals is the number of half heartbeat intervals after which another node takes over the backends of a
+	// lost owner. It is shorter than missedHeartbeats. The new owner watches for time-outs from the takeover on, so that the
+	// loss of an owner does not look like the loss of its backends.
 	ownerGraceHalfIntervals = 5
-	// takeoverHoldoffHeartbeats is for how many intervals a backend is left to an owner that another node reaches and this one does not.
+	// takeoverHoldoffHeartbeats is the number of heartbeat intervals during which this node does not take over a backend
+	// whose owner it does not reach, but another node does.
 	takeoverHoldoffHeartbeats = 20
-	// scanInterval is how often all backends are looked at. It is the longest that the host sleeps while there are any.
+	// scanInterval is the interval between two scans of all backends. The host sleeps no longer than this while there are
+	// backends that are not gone.
 	scanInterval = 500 * time.Millisecond
 )
 
-// ownerFor gives the node that ought to own a backend, by rendezvous hashing over the candidates but one: first those of the
-// backend's zone, then all. Its Slot is NoSlot where there is none.
+// ownerFor returns the node that should own a backend, by rendezvous hashing over the owner candidates without the node
+// except. Candidates in the backend's zone are preferred. The Slot of the result is NoSlot if there is no candidate.
 func (r *Registry) ownerFor(e *entry, except Slot) Node {
 	h := fnv.New64a()
 	h.Write([]byte(e.record.ID))
@@ -37,7 +40,7 @@
 	return best
 }
 
-// mix64 spreads the bits of a number over all of them: the finalizer of splitmix64.
+// mix64 mixes the bits of x so that each one affects the whole result. It is the finalizer of splitmix64.
 func mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -46,33 +49,35 @@
 	return x ^ x>>31
 }
 
-// handleHeartbeat takes a heartbeat that came from the backend itself (direct), or that another node relayed.
+// handleHeartbeat processes a heartbeat. direct is true if it came from the backend itself, and false if another node
+// relayed it.
 func (r *Registry) handleHeartbeat(e *entry, heartbeat Record, direct bool) {
 	before, departureBefore := e.record, e.departure()
 	revived := r.merge(e, heartbeat)
-	departs := e.departure() > departureBefore // whoever relayed it may have sent it to nobody else
+	// The node that relayed the heartbeat may have sent the departure to no other node.
+	departureAdvanced := e.departure() > departureBefore
 	if e.record.Seq > before.Seq {
 		e.lastHeartbeatAt, e.directHeartbeat = r.now, direct
-	} else if e.record.Owner != NoSlot && !direct && !departs {
-		return // a late one
+	} else if e.record.Owner != NoSlot && !direct && !departureAdvanced {
+		return // The heartbeat is late.
 	}
 	owner := r.ownerFor(e, NoSlot)
-	takes := owner.Slot == r.localSlot && e.record.Owner != r.localSlot && e.phase() != Gone
-	if takes {
+	becomesOwner := owner.Slot == r.localSlot && e.record.Owner != r.localSlot && e.phase() != Gone
+	if becomesOwner {
 		r.takeOwnership(e, NoSlot)
 	}
-	changed := takes || revived || e.record.changed(&before)
-	owns := owner.Slot == r.localSlot || e.record.Owner == r.localSlot
-	if changed && owns || departs {
-		r.broadcast(e, departs || revived)
+	changed := becomesOwner || revived || e.record.differsFrom(&before)
+	isOwner := owner.Slot == r.localSlot || e.record.Owner == r.localSlot
+	if changed && isOwner || departureAdvanced {
+		r.broadcast(e, departureAdvanced || revived)
 	}
 	if direct && !e.record.Deregistered {
 		r.relayToOwners(e, owner.Slot)
 	}
 }
 
-// relayToOwners relays a heartbeat to the node that ought to own the backend, and to the one that is known to: that one may not know
-// yet that it is no longer the owner, and must not time the backend out.
+// relayToOwners relays a heartbeat to the node that should own the backend (owner) and to the known owner, if they differ.
+// The known owner may not know yet that it is no longer the owner, and must not time out the backend.
 func (r *Registry) relayToOwners(e *entry, owner Slot) {
 	if owner != NoSlot && owner != r.localSlot {
 		r.relayHeartbeat(e, owner)
@@ -82,7 +87,8 @@
 	}
 }
 
-// takeOwnership makes this node the owner under the next fencing token.
+// takeOwnership makes this node the owner of a backend with the next fencing token, and revives the backend if it was
+// timed out.
 func (r *Registry) takeOwnership(e *entry, lostOwner Slot) {
 	r.setOwner(e, r.localSlot, lostOwner)
 	e.record.FencingToken++
@@ -90,17 +96,18 @@
 	r.enqueueAddrChanges(e)
 }
 
-// scan looks at all backends: for time-outs of those that this node owns, and for those whose owner is lost.
+// scan checks all backends. It times out backends of this node, and takes over backends whose owner is lost. It also
+// resends suspicions and prunes tombstones.
 func (r *Registry) scan() {
 	r.nextScanAt = r.now + scanInterval
-	r.reportMissing()
+	r.reportMissingBackends()
 	expiredTombstone := false
 	for _, e := range r.sorted {
 		switch {
 		case e.phase() == Gone:
 			expiredTombstone = expiredTombstone || r.now-e.goneAt >= tombstoneTTL
 			if e.suspected && r.now-e.ownerSince >= r.config.HeartbeatInterval {
-				r.reportSuspicion(e) // the first may be lost
+				r.reportSuspicion(e) // The first report may have been lost.
 			}
 		case e.record.Owner == r.localSlot:
 			r.checkTimeout(e)
@@ -113,19 +120,20 @@
 	}
 }
 
-// checkTimeout times out a backend of this node that missed its heartbeats. A node that reaches no majority judges only those which last
-// sent their heartbeats here: the others may send theirs to nodes that it does not reach.
+// checkTimeout times out a backend of this node if it missed its heartbeats or a more recently seen backend has its
+// address. A node that reaches no majority applies missed heartbeats only to backends that sent their last heartbeat
+// directly to it. The others may send their heartbeats to nodes that it does not reach.
 func (r *Registry) checkTimeout(e *entry) {
 	timeout := missedHeartbeats * r.config.HeartbeatInterval
-	mayJudge := e.directHeartbeat || r.reachesMajority()
-	if r.displaced(e) || mayJudge && r.now-max(e.lastSeenAt, r.timeoutFloor) >= timeout {
+	mayTimeOut := e.directHeartbeat || r.reachesMajority()
+	if r.displaced(e) || mayTimeOut && r.now-max(e.lastSeenAt, r.timeoutFloor) >= timeout {
 		r.expire(e)
 		r.broadcast(e, true)
 	}
 }
 
-// checkOwner takes over a backend whose owner is lost, if that falls to this node. A node that reaches no majority takes nothing over:
-// the owner may live on the other side of a partition.
+// checkOwner takes over a backend whose owner is lost, if this node is next in hashing order. A node that reaches no
+// majority takes over nothing, because the owner may be live on the other side of a partition.
 func (r *Registry) checkOwner(e *entry) {
 	if !r.unreachable(e.record.Owner) || !r.reachesMajority() || r.now < e.noTakeoverUntil {
 		return
@@ -144,7 +152,8 @@
 		r.takeOwnership(e, e.record.Owner)
 		r.broadcast(e, false)
 	} else if p := r.peers[next]; p != nil && lostFor >= grace+r.config.HeartbeatInterval {
-		r.enqueueUpdate(p, e.record.ID, false) // the one that it falls to may never have heard of the backend
+		// The next owner may not know the backend.
+		r.enqueueUpdate(p, e.record.ID, false)
 		e.ownerSince = r.now
 	}
 }
--- a/internal/gateway/registry/peer.go
+++ b/internal/gateway/registry/peer.go
@@ -7,55 +7,63 @@
 )
 
 const (
-	// resendTimeout is how long an acknowledgement is waited for at first: some round trips of a link between zones.
+	// resendTimeout is how long a message waits for its acknowledgement before the first resend. It is several round trips of
+	// a link between zones.
 	resendTimeout = 300 * time.Millisecond
-	// maxResendDoublings is how often that doubles: up to 4.8 s.
+	// maxResendDoublings is how often the resend time-out doubles. The maximum is 4.8 s.
 	maxResendDoublings = 4
-	// maxResends is how often a message is resent, over 14 s, before its receiver counts as unresponsive.
+	// maxResends is how often a message is resent, over 14 s in all, before its receiver counts as unresponsive.
 	maxResends = 6
-	// probeInterval is between two probes of an unresponsive node.
+	// probeInterval is the interval between two probes of an unresponsive node.
 	probeInterval = time.Second
-	// maxInFlight bounds the messages that one node has not acknowledged.
+	// maxInFlight limits the messages to one node that it has not acknowledged.
 	maxInFlight = 4
-	// maxPendingAcks bounds the acknowledgements that wait to be sent to one node; it resends what got none.
+	// maxPendingAcks limits the acknowledgements that wait to be sent to one node. The node resends a message that was not
+	// acknowledged.
 	maxPendingAcks = 256
 )
 
-// peer is another node, and what it has yet to be sent.
+// peer is the state of another node, with the messages that it has not received or acknowledged yet.
 type peer struct {
-	node   Node
+	node Node
+	// When the peer was last lost or reset. It is the time of creation at first.
 	lostAt time.Duration
-	seq    uint64 // of the last message
-
-	pendingIDs   []string // of backends whose records wait to be sent, in order
-	pendingSet   map[string]bool
-	sendAt       time.Duration      // when they are sent
-	inFlight     []*inFlightMessage // sent and not acknowledged
-	retransmits  []*inFlightMessage // of these, to be sent once more
-	confirmed    bool               // has acknowledged something since it was synced: what it sends is of its present incarnation
-	unresponsive bool               // acknowledges nothing: it is only probed, and synced when it answers
-
-	active       bool // its slot is among Registry.activePeers
-	fullSyncNext bool // the next message begins a full sync
-	syncing      bool // a full sync is on its way
-	suspicions   []string
+	seq    uint64 // sequence number of the last message
+
+	// Ids of the backends whose records wait to be sent, in order of sending.
+	pendingIDs  []string
+	pendingSet  map[string]bool    // the same ids as a set
+	sendAt      time.Duration      // when the pending records are due
+	inFlight    []*inFlightMessage // messages sent and not acknowledged
+	retransmits []*inFlightMessage // messages in flight that are due to be resent
+	// True if the peer has acknowledged a message since the last reset. Its messages then come from its present incarnation.
+	confirmed bool
+	// True if the peer acknowledges nothing. It is then only probed, and is synced when it answers.
+	unresponsive bool
+
+	active       bool     // its slot is in Registry.activePeers
+	fullSyncNext bool     // the next message starts a full sync
+	syncing      bool     // a sync of this follower is running
+	suspicions   []string // ids of suspected backends to report
 	heartbeats   []Record
 	acks         []uint64
 }
 
-// inFlightMessage is a message that was sent, with what it said of departures at first. Its records are as new as can be whenever it is
-// sent again.
+// inFlightMessage is a message that was sent and not acknowledged. A resent message carries the present records of its
+// backends. departures keeps what the first transmission reported.
 type inFlightMessage struct {
-	seq        uint64
-	ids        []string
-	departures []departure // by ids: what an acknowledgement proves that the receiver has
+	seq uint64
+	ids []string
+	// Departures by index of ids. An acknowledgement proves that the receiver has these.
+	departures []departure
 	suspicions []string
 	fullSync   bool
 	sentAt     time.Duration
 	attempts   int
 }
 
-func (r *Registry) peerAt(s Slot) *peer {
+// peerFor returns the peer with slot s, and creates it if there is none.
+func (r *Registry) peerFor(s Slot) *peer {
 	p := r.peers[s]
 	if p == nil {
 		p = &peer{node: Node{Slot: s}, seq: uint64(r.config.Incarnation) << 32, pendingSet: map[string]bool{}, lostAt: r.now}
@@ -66,8 +74,8 @@
 	return p
 }
 
-// resetPeer forgets what was on its way to a node, and what it is known to have: it may come back in another incarnation that has
-// nothing of it.
+// resetPeer discards the messages to a node and the record of the departures that it has. The node may come back in
+// another incarnation that has lost all state.
 func (r *Registry) resetPeer(p *peer) {
 	p.lostAt = r.now
 	p.pendingIDs, p.inFlight, p.retransmits, p.suspicions, p.heartbeats, p.acks = nil, nil, nil, nil, nil, nil
@@ -79,7 +87,8 @@
 	}
 }
 
-// activate has Next look at a peer: an input that concerns few peers must not cost a look at all of them.
+// activate adds a peer to those that Next checks for messages. Next checks only these, so that the cost of an input does
+// not grow with the number of peers that it does not concern.
 func (r *Registry) activate(p *peer) {
 	if p.active {
 		return
@@ -89,7 +98,7 @@
 	r.activePeers = slices.Insert(r.activePeers, at, p.node.Slot)
 }
 
-// deactivateIdle takes out the peers that have nothing more to be sent and have acknowledged all.
+// deactivateIdle removes idle peers from the active ones.
 func (r *Registry) deactivateIdle() {
 	r.activePeers = slices.DeleteFunc(r.activePeers, func(s Slot) bool {
 		p := r.peers[s]
@@ -101,11 +110,12 @@
 	})
 }
 
+// idle reports whether the peer has nothing to be sent and has acknowledged all messages.
 func (p *peer) idle() bool {
 	return !p.fullSyncNext && len(p.pendingIDs)+len(p.inFlight)+len(p.retransmits)+len(p.suspicions)+len(p.heartbeats)+len(p.acks) == 0
 }
 
-// nextDeadline is when the peer is to be looked at again.
+// nextDeadline returns the next time at which the peer must be checked.
 func (p *peer) nextDeadline() time.Duration {
 	at := never
 	for _, f := range p.inFlight {
@@ -117,9 +127,9 @@
 	return at
 }
 
-// ackTimeout is how long the acknowledgement of a message is waited for, twice as long after each attempt. Links lose nothing while
-// they are up, so that what is not acknowledged mostly waits where the peer has more to do than it can: the same again is no
-// help to it.
+// ackTimeout returns how long a message waits for its acknowledgement. The time-out doubles after each attempt, up to a
+// maximum. A link loses nothing while it is up. A message without acknowledgement therefore mostly waits at an overloaded
+// receiver, and resending it soon only adds load.
 func (p *peer) ackTimeout(f *inFlightMessage) time.Duration {
 	if p.unresponsive {
 		return probeInterval
@@ -127,8 +137,8 @@
 	return resendTimeout << min(f.attempts, maxResendDoublings)
 }
 
-// resendOverdue repeats what was not acknowledged, and gives up on a peer that acknowledges nothing: from then on it is sent one empty
-// message now and then, as a probe.
+// resendOverdue schedules the resend of messages whose acknowledgement is overdue. If a message exceeds maxResends, the
+// peer counts as unresponsive. From then on it is only sent an empty message at each probeInterval as a probe.
 func (r *Registry) resendOverdue(p *peer) {
 	for _, f := range p.inFlight {
 		if r.now-f.sentAt < p.ackTimeout(f) {
@@ -149,7 +159,8 @@
 	}
 }
 
-// handleAck records which departures a peer has acknowledged.
+// handleAck removes an acknowledged message from those in flight, and records the departures in it as received by the
+// peer.
 func (r *Registry) handleAck(p *peer, seq uint64) {
 	for i, f := range p.inFlight {
 		if f.seq != seq {
@@ -167,7 +178,7 @@
 	}
 }
 
-// hasInFlight tells whether a departure is on its way to the peer already.
+// hasInFlight reports whether a message in flight to the peer carries the departure d of a backend, or a later one.
 func (p *peer) hasInFlight(id string, d departure) bool {
 	for _, f := range p.inFlight {
 		if i := slices.Index(f.ids, id); i >= 0 && f.departures[i] >= d {
--- a/internal/gateway/registry/publish.go
+++ b/internal/gateway/registry/publish.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Backends share addresses in time: a machine's address may be another backend's a moment later, while this node still has the
-// former one. Of several at one address, only the one that was seen first most recently is given to requests.
+// An address may pass from one backend to another while this node still has the former backend. If several backends have
+// the same address, requests see only the one whose first sighting is the most recent.
 
-// reindexAddr files an entry under another address.
+// reindexAddr changes the address of an entry and moves the entry in the address index.
 func (r *Registry) reindexAddr(e *entry, addr string) {
 	r.unindexAddr(e)
 	if e.record.Addr = addr; addr == "" {
@@ -14,7 +14,8 @@
 	r.byAddr[addr] = append(r.byAddr[addr], e)
 }
 
-// unindexAddr takes an entry from its address; those that stay there may be seen differently.
+// unindexAddr removes an entry from the address index. It queues the other entries at the address for publication, because
+// their visible phase may change.
 func (r *Registry) unindexAddr(e *entry) {
 	if e.record.Addr == "" {
 		return
@@ -30,7 +31,8 @@
 	}
 }
 
-// enqueueAddrChanges has an entry, and all that share its address, compared with what was published of them.
+// enqueueAddrChanges queues an entry, and all entries with the same address, for comparison with their last published
+// state.
 func (r *Registry) enqueueAddrChanges(e *entry) {
 	r.enqueueChange(e)
 	for _, other := range r.byAddr[e.record.Addr] {
@@ -38,6 +40,7 @@
 	}
 }
 
+// enqueueChange queues an entry for comparison with its last published state.
 func (r *Registry) enqueueChange(e *entry) {
 	if !e.changeQueued {
 		e.changeQueued = true
@@ -45,7 +48,7 @@
 	}
 }
 
-// displaced tells whether a younger backend lives at the same address.
+// displaced reports whether another backend at the same address is not gone and was first seen more recently.
 func (r *Registry) displaced(e *entry) bool {
 	for _, other := range r.byAddr[e.record.Addr] {
 		if other != e && other.phase() != Gone && (other.firstSeenAt > e.firstSeenAt ||
@@ -56,7 +59,8 @@
 	return false
 }
 
-// visiblePhase is a backend's phase as requests should see it.
+// visiblePhase returns the phase of a backend that requests should see. It is Gone for a displaced backend, and for one
+// whose service is unknown.
 func (r *Registry) visiblePhase(e *entry) Phase {
 	if e.record.Service == "" || r.displaced(e) {
 		return Gone
@@ -64,14 +68,14 @@
 	return e.phase()
 }
 
-// publish gives a backend if it differs from what was last given of it.
+// publish returns a Changed action if the backend differs from its last published state. It returns false otherwise.
 func (r *Registry) publish(e *entry) (Action, bool) {
 	record := r.recordOf(e)
 	record.Phase = r.visiblePhase(e)
-	same := record.Service == e.published.Service && record.Addr == e.published.Addr && record.Zone == e.published.Zone &&
+	unchanged := record.Service == e.published.Service && record.Addr == e.published.Addr && record.Zone == e.published.Zone &&
 		record.Generation == e.published.Generation && record.Capacity == e.published.Capacity && record.Phase == e.published.Phase &&
 		e.slowStartUntil == e.publishedSlowStart
-	if same || !e.everPublished && record.Phase == Gone {
+	if unchanged || !e.everPublished && record.Phase == Gone {
 		return nil, false
 	}
 	e.published, e.publishedSlowStart, e.everPublished = record, e.slowStartUntil, true
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Receive takes a message of another node.
+// Receive processes a message from another node.
 func (r *Registry) Receive(from Slot, m Message) {
 	p := r.peers[from]
 	if p == nil {
 		if from < 0 || from == r.localSlot {
 			return
 		}
-		p = r.peerAt(from)
+		p = r.peerFor(from)
 	}
 	if p.unresponsive && p.node.Live {
 		r.SyncPeer(from)
@@ -34,27 +34,30 @@
 		r.activate(p)
 		p.acks = append(p.acks, m.Seq)
 	}
-	r.answerDecided()
+	r.answerDecidedCalls()
 }
 
-// priorState is what was known of a backend before an update.
+// priorState is the state of a backend before an update.
 type priorState struct {
-	record          Record
-	phase           Phase
-	departure       departure
-	slowStartUntil  time.Duration
-	suspected       bool
-	owned           bool // this node watched it
-	recentHeartbeat bool // its last heartbeat that came here is recent
+	record         Record
+	phase          Phase
+	departure      departure
+	slowStartUntil time.Duration
+	suspected      bool
+	// True if this node owned the backend and it was not gone.
+	owned bool
+	// True if this node received a heartbeat of the backend within the time-out.
+	recentHeartbeat bool
 }
 
+// priorState returns the state of a backend before an update.
 func (r *Registry) priorState(e *entry) priorState {
 	return priorState{record: e.record, phase: e.phase(), departure: e.departure(), slowStartUntil: e.slowStartUntil, suspected: e.suspected,
 		owned:           e.record.Owner == r.localSlot && e.phase() != Gone,
 		recentHeartbeat: r.now-e.lastHeartbeatAt < missedHeartbeats*r.config.HeartbeatInterval}
 }
 
-// handleUpdate merges a record, sends on what is new, and answers the sender where more is known here.
+// handleUpdate merges a record, forwards what changed, and corrects the sender if this node has newer information.
 func (r *Registry) handleUpdate(p *peer, update Record) {
 	e := r.entryFor(update.ID)
 	if e == nil {
@@ -69,8 +72,8 @@
 	if update.Phase == Gone && p.node.Slot == e.record.Owner {
 		e.suspected = false
 	}
-	// A sender that names a departure has it, if it has acknowledged anything in its present incarnation: a late message of the former
-	// one is no copy.
+	// A sender that reports a departure has it, provided that it has acknowledged a message in its present incarnation.
+	// A late message of a former incarnation does not prove a copy.
 	if d := update.departure(); d > notDeparting && (p.confirmed || r.config.TestingKnobs.trustUnconfirmedPeers()) {
 		e.recordNotified(p.node.Slot, d)
 	}
@@ -80,26 +83,28 @@
 	r.correctSender(e, p, &update, &before)
 }
 
-// forwardUpdate sends on what an update changed.
+// forwardUpdate forwards an update if it changed the record of the backend.
 func (r *Registry) forwardUpdate(e *entry, from *peer, update *Record, before *priorState) {
-	// A backend that this node alone suspected is a change to the others when its owner says that it is gone.
+	// If only this node suspected the backend, the owner's time-out changes nothing here but is news to the other nodes.
 	urgent := e.phase() != before.phase || e.departure() > before.departure || before.suspected && update.Phase == Gone
-	changed := urgent || e.record.changed(&before.record)
+	changed := urgent || e.record.differsFrom(&before.record)
 	switch {
 	case e.record.Owner == r.localSlot && (before.record.Owner != r.localSlot || changed):
-		// The owner answers for what all know: others may have believed the update, or have come up with it.
+		// The owner must inform all nodes. Other nodes may have applied the update, or one of them may be its origin.
 		r.broadcast(e, urgent)
 	case r.local.HasDisk && (changed || e.slowStartUntil != before.slowStartUntil):
 		r.forward(e, from, urgent)
 	}
 	isNew := before.record.Service == "" && e.phase() != Gone
 	if owner := r.peers[e.record.Owner]; r.local.HasDisk && isNew && owner != nil && owner != from && owner.node.Live {
-		r.enqueueUpdate(owner, e.record.ID, false) // it may have forgotten the backend, and watches it again
+		// The owner may have lost its record of the backend. It resumes watching the backend.
+		r.enqueueUpdate(owner, e.record.ID, false)
 	}
 }
 
-// reclaimOwnership takes a backend back that another node took from this one as lost, while its heartbeats still come here. Of one that was
-// taken from a third node, that one is sent the record. It tells whether the backend was taken back.
+// reclaimOwnership takes back a backend that another node took over from this node as lost, if the backend's heartbeats
+// still arrive here. If the backend was taken over from a third node, that node is sent the record instead. The result
+// reports whether this node took the backend back.
 func (r *Registry) reclaimOwnership(e *entry, from *peer, update *Record, before *priorState) bool {
 	if update.LostOwner == NoSlot || update.FencingToken != e.record.FencingToken || update.Owner != e.record.Owner {
 		return false
@@ -115,24 +120,26 @@
 	return false
 }
 
-// correctSender sends the record back, or to all, where the update was behind what is known here.
+// correctSender sends the record of a backend to the sender of an outdated update, or to all nodes if others may have
+// applied the update.
 func (r *Registry) correctSender(e *entry, from *peer, update *Record, before *priorState) {
 	known := r.recordOf(e)
 	if update.Phase == Gone && known.Phase != Gone && (e.record.Owner == r.localSlot || before.recentHeartbeat) {
-		r.broadcast(e, true) // others may have believed it as well
+		// Other nodes may also have applied the time-out.
+		r.broadcast(e, true)
 		return
 	}
 	staleOwner := update.Owner != known.Owner &&
 		(update.FencingToken < known.FencingToken || update.FencingToken == known.FencingToken && update.Owner < known.Owner)
-	// An owner that missed the last heartbeat would time the backend out by one that was not the last.
+	// An owner that missed the last heartbeat would measure the time-out from an earlier one.
 	missedHeartbeat := update.Seq < known.Seq && known.Phase != Gone && from.node.Slot == known.Owner
 	if (update.Phase != known.Phase || update.departure() != known.departure() || staleOwner || missedHeartbeat) && from.node.Live {
 		r.enqueueUpdate(from, e.record.ID, true)
 	}
 }
 
-// handleSuspicion takes it that another backend answered at this one's address, and times it out: its next heartbeat shows who is
-// right.
+// handleSuspicion times out a backend because another backend answered at its address. If the backend still exists, its
+// next heartbeat revives it.
 func (r *Registry) handleSuspicion(p *peer, suspicion Record) {
 	e := r.entryFor(suspicion.ID)
 	if e == nil {
--- a/internal/gateway/registry/record.go
+++ b/internal/gateway/registry/record.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Slot is a node's number, the same at every node and in every incarnation of it.
+// Slot is the number of a node. It is the same at every node and in every incarnation of the node.
 type Slot int
 
-// NoSlot is the slot of no node.
+// NoSlot means no node.
 const NoSlot Slot = -1
 
-// Phase is where a backend is in its life cycle.
+// Phase is the state of a backend in its life cycle.
 type Phase uint8
 
-// The phases of a backend. Their numbers are sent and stored.
+// The phases of a backend. Their numeric values are sent and stored.
 const (
-	Ready    Phase = iota // takes requests
-	Draining              // takes no new ones; never becomes Ready again
-	Gone                  // timed out, deregistered, or another backend is at its address
+	Ready    Phase = iota // accepts requests
+	Draining              // accepts no new requests and never becomes Ready again
+	Gone                  // timed out, deregistered, or displaced by another backend at its address
 )
 
-// String names a phase as operators and backends see it.
+// String returns the name of the phase for operators and backends.
 func (p Phase) String() string {
 	switch p {
 	case Ready:
@@ -29,33 +29,39 @@
 	return "gone"
 }
 
-// Record is what one node knows of one backend. For Heartbeat, the host sets the fields up to Seq.
+// Record is what a node knows about a backend. For Heartbeat, the host sets the fields up to Seq.
 type Record struct {
-	ID            string
-	Service       string // "": only known by name, from a departure that came before any heartbeat
+	ID string
+	// Service is empty if only the id is known, from a departure that came before any heartbeat.
+	Service       string
 	Addr          string // host:port
 	Zone          string
 	Generation    string
-	Capacity      int           // requests at a time
-	Phase         Phase         // Gone is not for heartbeats: see Deregister
-	SlowStartLeft time.Duration // how long the backend still warms up, from the time of the record
-	Seq           uint64        // the backend's own count of its calls, call_seq
+	Capacity      int           // concurrent requests
+	Phase         Phase         // never Gone in a heartbeat, see Deregister
+	SlowStartLeft time.Duration // remaining slow start at the time of the record
+	Seq           uint64        // the backend's own count of its calls (call_seq)
 
-	Draining     bool          // has ever said that it is draining; never taken back
-	Deregistered bool          // has deregistered; nothing revives it
-	Age          time.Duration // since any node first heard of it, at the time of the record
-	Owner        Slot          // watches it
-	FencingToken uint64        // counts changes of owner; 0: it has had none
-	LostOwner    Slot          // from whom the owner took it, as it no longer reached that node; else NoSlot
+	// True once the backend has reported that it is draining. It is never reset.
+	Draining bool
+	// True once the backend has deregistered. Nothing revives it afterwards.
+	Deregistered bool
+	// Time since any node first saw the backend, at the time of the record.
+	Age   time.Duration
+	Owner Slot // node that watches the backend
+	// Number of changes of owner. 0 means that there has been no owner.
+	FencingToken uint64
+	// Former owner that the present owner no longer reached when it took over. Otherwise it is NoSlot.
+	LostOwner Slot
 }
 
-// changed tells whether anything differs that other nodes go by, departures aside.
-func (r *Record) changed(since *Record) bool {
-	return r.Service != since.Service || r.Addr != since.Addr || r.Zone != since.Zone || r.Generation != since.Generation ||
-		r.Capacity != since.Capacity || r.FencingToken != since.FencingToken || r.Owner != since.Owner
+// differsFrom reports whether the records differ in a field that other nodes depend on, apart from departures.
+func (r *Record) differsFrom(other *Record) bool {
+	return r.Service != other.Service || r.Addr != other.Addr || r.Zone != other.Zone || r.Generation != other.Generation ||
+		r.Capacity != other.Capacity || r.FencingToken != other.FencingToken || r.Owner != other.Owner
 }
 
-// departure is how far a record says that the backend has gone.
+// departure returns how far the backend has departed according to the record.
 func (r *Record) departure() departure {
 	switch {
 	case r.Deregistered:
@@ -66,22 +72,27 @@
 	return notDeparting
 }
 
-// departure is how far a backend has gone. It only rises.
+// departure is how far a backend has departed. It never decreases.
 type departure uint8
 
 const (
 	notDeparting departure = iota
-	draining
-	departed
+	draining               // no longer accepts requests
+	departed               // has deregistered
 )
 
-// Message is what nodes send each other. One without Seq wants no acknowledgement.
+// Message is a message between two nodes. A message whose Seq is 0 is not acknowledged.
 type Message struct {
-	Seq         uint64   // counts the sender's messages to the receiver; its upper half is the sender's incarnation
-	Updates     []Record // what changed, or a part of a full sync
-	Heartbeats  []Record // from backends that called a node which is not their owner
-	Suspicions  []Record // another backend answered at the address of these
-	Acks        []uint64 // Seq of messages taken in
-	FullSync    bool     // from here on the sender sends everything that it has
-	Unreachable []Slot   // with departures among Updates: nodes with a disk that the sender does not reach, and the receiver may
+	// Sequence number of the sender's messages to the receiver. The upper 32 bits are the sender's incarnation.
+	Seq     uint64
+	Updates []Record // changed records, or a part of a full sync
+	// Heartbeats of backends that called a node which is not their owner.
+	Heartbeats []Record
+	// Records of backends at whose address another backend answered.
+	Suspicions []Record
+	Acks       []uint64 // Seq of the received messages
+	// True if the sender starts a full sync with this message.
+	FullSync bool
+	// Nodes with a disk that the sender does not reach and the receiver may reach. It is set if Updates contains departures.
+	Unreachable []Slot
 }
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -6,73 +6,82 @@
 	"clovergap/internal/invariant"
 )
 
-// stallThreshold is the step of the clock above which this process stood still: the host ticks every scanInterval at the latest.
+// stallThreshold is the clock step above which this process counts as stalled. Without a stall, the host ticks at least
+// every scanInterval.
 const stallThreshold = time.Second
 
-// Config binds a registry to its deployment.
+// Config holds the settings of a registry.
 type Config struct {
-	HeartbeatInterval time.Duration // between two heartbeats of a backend
-	MinCopies         int           // nodes with a disk that must have a departure before it is confirmed: tolerated losses + 1
-	Incarnation       uint32        // differs between two runs of this node, so that acknowledgements to a former one match nothing
-	TestingKnobs      TestingKnobs  // empty in a release build
+	HeartbeatInterval time.Duration // interval between two heartbeats of a backend
+	// Number of nodes with a disk that must have a departure before it is confirmed. It is the number of tolerated losses
+	// plus 1.
+	MinCopies int
+	// A number that differs between two runs of this node, so that acknowledgements to a former run match no message.
+	Incarnation  uint32
+	TestingKnobs TestingKnobs // empty in a release build
 }
 
 // Registry is one node's list of backends. It is not safe for concurrent use.
 type Registry struct {
-	localSlot    Slot
-	config       Config
-	now          time.Duration
-	timeoutFloor time.Duration // time-outs of backends and owners count from here at the earliest
+	localSlot Slot
+	config    Config
+	now       time.Duration
+	// Earliest time from which time-outs of backends and owners are measured.
+	timeoutFloor time.Duration
 	nextScanAt   time.Duration
-	wakeAt       time.Duration // of the last Wake given
+	wakeAt       time.Duration // deadline of the last Wake
 
 	entries   map[string]*entry
-	sorted    []*entry // all entries, by id
+	sorted    []*entry // all entries, sorted by id
 	byAddr    map[string][]*entry
-	goneCount int // entries whose phase is Gone
-	refused   uint64
+	goneCount int    // entries whose phase is Gone
+	refused   uint64 // see Status.Refused
 
-	// Nodes, as SetNodes gave them.
+	// State of the nodes as of the last SetNodes.
 	hasNodes        bool // SetNodes was called
 	local           Node
-	ownerCandidates []Node // by slot
-	knownCount      int    // other nodes, live or not
-	liveCount       int    // other nodes that live
+	ownerCandidates []Node // sorted by slot
+	knownCount      int    // number of other nodes, live or not
+	liveCount       int    // number of other live nodes
 	hasLiveDisk     bool   // a node with a disk is live
 	hasKnownDisk    bool   // a node with a disk is known, live or not
 
-	peers       map[Slot]*peer
-	peerSlots   []Slot        // of peers, sorted
-	activePeers []Slot        // of peers with something to send or to be acknowledged, sorted
-	syncQueue   []syncRequest // followers that wait for their full sync
+	peers     map[Slot]*peer
+	peerSlots []Slot // slots of peers, sorted
+	// Slots of peers with something to send or with unacknowledged messages, sorted.
+	activePeers []Slot
+	syncQueue   []syncRequest // followers that wait for a sync
 
-	// The full sync that this node takes from its upstream.
-	syncSource      Slot // who last began one
-	syncStartedAt   time.Duration
-	reportMissingAt time.Duration // when the upstream is sent what its full sync left out; never: it was
+	// State of the full sync that this node receives from its upstream.
+	syncSource    Slot // node that last began a full sync to this node
+	syncStartedAt time.Duration
+	// Time at which the upstream is sent the backends that its full sync left out. It is never if that is done, or if no
+	// full sync was received.
+	reportMissingAt time.Duration
 
 	lastTicket       Ticket
 	pendingCalls     []pendingCall
-	acknowledgements []Action // due
-	changedEntries   []*entry // may differ from what was last published of them
+	acknowledgements []Action // answers to be returned by Next
+	// Entries that may differ from their last published state.
+	changedEntries []*entry
 }
 
-// New makes an empty registry of the node with a slot; heartbeats and other nodes fill it. Until SetNodes is called, no departure
-// is confirmed.
+// New returns an empty registry of the node with the given slot. Heartbeats and messages from other nodes fill it. No
+// departure is confirmed before SetNodes is called.
 func New(slot Slot, config Config, now time.Duration) *Registry {
-	invariant.That(slot >= 0, "a registry has a slot")
+	invariant.That(slot >= 0, "the slot of the registry's node is not negative")
 	return &Registry{localSlot: slot, config: config, now: now, timeoutFloor: now, nextScanAt: now + scanInterval, wakeAt: never,
 		syncSource: NoSlot, reportMissingAt: never, entries: map[string]*entry{}, byAddr: map[string][]*entry{}, peers: map[Slot]*peer{}}
 }
 
-// SetConfig takes settings that changed while running. Incarnation and TestingKnobs stay.
+// SetConfig applies settings that changed at run time. Incarnation and TestingKnobs do not change.
 func (r *Registry) SetConfig(config Config) {
 	config.Incarnation, config.TestingKnobs = r.config.Incarnation, r.config.TestingKnobs
 	r.config = config
 }
 
-// Tick moves the clock; earlier times are passed over. A step above stallThreshold means that this process stood still: no heartbeat
-// could be read, so that all time-outs begin anew.
+// Tick advances the clock to now. A time earlier than the present one is ignored. A step above stallThreshold means that
+// this process was stalled and could read no heartbeats, so that all time-outs restart.
 func (r *Registry) Tick(now time.Duration) {
 	if now < r.now {
 		return
@@ -95,10 +104,11 @@
 	if now >= r.nextScanAt {
 		r.scan()
 	}
-	r.answerDecided()
+	r.answerDecidedCalls()
 }
 
-// Heartbeat takes a backend's call that names its phase, Ready or Draining. The host answers it on the ticket's Acknowledge.
+// Heartbeat processes a backend's call that reports its phase, Ready or Draining. The host answers the call when Next
+// returns the Acknowledge with the returned ticket.
 func (r *Registry) Heartbeat(record Record) Ticket {
 	r.lastTicket++
 	e := r.entryFor(record.ID)
@@ -116,7 +126,8 @@
 	return r.lastTicket
 }
 
-// Deregister takes a backend's last call. The host answers it on the ticket's Acknowledge.
+// Deregister processes a backend's last call. The host answers the call when Next returns the Acknowledge with the
+// returned ticket.
 func (r *Registry) Deregister(id string) Ticket {
 	r.lastTicket++
 	e := r.entryFor(id)
@@ -132,20 +143,21 @@
 	return r.lastTicket
 }
 
-// Restore takes what this node's disk kept of the registry. It may be old: all of it is watched for time-outs from now on, and whoever
-// knows newer records prevails. After the loss of all nodes it spares them a wait for the first heartbeats. What is wrong in it
-// costs a request that can't be sent, or is answered 421 by another backend.
+// Restore loads the records that this node's disk stored. They may be outdated. Each backend is therefore watched for a
+// time-out from now on, and newer records from other nodes replace the restored ones. After the loss of all nodes, a
+// restore saves the wait for the first heartbeats. A wrong record costs a request that cannot be sent, or that another
+// backend answers with 421.
 func (r *Registry) Restore(records []Record) {
 	for _, record := range records {
 		if e := r.entryFor(record.ID); e != nil && record.Phase != Gone {
-			record.SlowStartLeft = 0 // nobody knows how long ago that was
+			record.SlowStartLeft = 0 // The age of the stored record is unknown.
 			r.merge(e, record)
 		}
 	}
 }
 
-// AddressTaken notes that another backend answers at the address of this one (HTTP 421): it is gone at this node, and its owner is
-// sent the suspicion. Its next heartbeat revives it everywhere.
+// ReportAddressConflict records that another backend answers at the address of this backend (HTTP 421). The backend is
+// timed out at this node, and its owner is sent the suspicion. The next heartbeat of the backend revives it at all nodes.
 func (r *Registry) ReportAddressConflict(id string) {
 	e := r.entries[id]
 	if e == nil || e.phase() == Gone {
@@ -160,7 +172,8 @@
 	}
 }
 
-// Next gives what is to be done. It is called after every input until there is nothing more.
+// Next returns the next action for the host. The second result is false if there is none. The host calls Next after every
+// input until it returns false.
 func (r *Registry) Next() (Action, bool) {
 	if len(r.acknowledgements) > 0 {
 		a := r.acknowledgements[0]
@@ -193,7 +206,7 @@
 	return nil, false
 }
 
-// nextWake is when Tick is wanted next.
+// nextWake returns the next time at which Tick must be called, or never.
 func (r *Registry) nextWake() time.Duration {
 	at := never
 	if len(r.entries) > r.goneCount {
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -14,21 +14,23 @@
 	heartbeatInterval = 1500 * ms
 )
 
-// fleet is a few nodes and the messages between them, on one clock.
+// fleet is a group of nodes that exchange messages and share one clock.
 type fleet struct {
 	t           *testing.T
 	now         time.Duration
 	registries  map[Slot]*Registry
 	live        map[Slot]bool
-	partitioned map[[2]Slot]bool
-	disks       int // nodes from 0 that have a disk
-	messages    int
-	acks        map[Slot]map[Ticket]Acknowledge
-	views       map[Slot]map[string]Record
+	partitioned map[[2]Slot]bool // sender and receiver whose messages are lost
+	// Number of nodes with a disk. These have the lowest slots.
+	disks    int
+	messages int                             // number of messages sent
+	acks     map[Slot]map[Ticket]Acknowledge // answers by node and ticket
+	views    map[Slot]map[string]Record      // last reported records by node and backend id
 }
 
-func newFleet(t *testing.T, n, firm int) *fleet {
-	f := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: firm,
+// newFleet starts n nodes, of which the first disks nodes have a disk.
+func newFleet(t *testing.T, n, disks int) *fleet {
+	f := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: disks,
 		acks: map[Slot]map[Ticket]Acknowledge{}, views: map[Slot]map[string]Record{}}
 	for s := range Slot(n) {
 		f.start(s)
@@ -37,20 +39,22 @@
 	return f
 }
 
+// start starts a node with an empty registry.
 func (f *fleet) start(s Slot) {
-	enough := 2
-	if f.disks == 1 { // the loss of the only disk is not tolerated
-		enough = 1
+	minCopies := 2
+	// The loss of the only node with a disk is not tolerated.
+	if f.disks == 1 {
+		minCopies = 1
 	}
-	f.registries[s] = New(s, Config{HeartbeatInterval: heartbeatInterval, MinCopies: enough, Incarnation: uint32(f.now)}, f.now)
+	f.registries[s] = New(s, Config{HeartbeatInterval: heartbeatInterval, MinCopies: minCopies, Incarnation: uint32(f.now)}, f.now)
 	f.acks[s], f.views[s], f.live[s] = map[Ticket]Acknowledge{}, map[string]Record{}, true
 }
 
-// updateNodes gives each node the others, live if it reaches them, and who follows whom: nodes without a disk follow the first one
-// with a disk that they reach, both ways.
+// updateNodes sets the nodes of each registry. A node is live for another one that reaches it. A node without a disk
+// follows the first node with a disk that it reaches and that reaches it.
 func (f *fleet) updateNodes() {
 	reach := func(a, b Slot) bool { return f.live[b] && !f.partitioned[[2]Slot{a, b}] }
-	follows := func(s Slot) Slot {
+	upstreamOf := func(s Slot) Slot {
 		for o := range Slot(f.disks) {
 			if int(s) >= f.disks && reach(s, o) && reach(o, s) {
 				return o
@@ -62,14 +66,14 @@
 		var nodes []Node
 		for o := range Slot(len(f.registries)) {
 			nodes = append(nodes, Node{Slot: o, ControlAddr: fmt.Sprint("node", o), HasDisk: int(o) < f.disks,
-				Live: reach(s, o), Follows: follows(o) == s})
+				Live: reach(s, o), Follows: upstreamOf(o) == s})
 		}
 		b.SetNodes(nodes)
 	}
 	f.deliverAll()
 }
 
-// deliverAll delivers messages until there is none; what is sent into a partition or to a stopped node is lost.
+// deliverAll delivers messages until there are none. A message to a partitioned or stopped node is lost.
 func (f *fleet) deliverAll() {
 	for again := true; again; {
 		again = false
@@ -95,6 +99,7 @@
 	}
 }
 
+// advance moves the clock forward by d, in steps of at most 100 ms, and delivers all messages after each step.
 func (f *fleet) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += min(100*ms, end-f.now)
@@ -107,12 +112,14 @@
 	}
 }
 
-// backend sends its heartbeats where the last answer named a node.
+// backend is a backend that sends its heartbeats to the node that the last answer named.
 type backend struct {
 	Record
 	target Slot
 }
 
+// heartbeat has a backend send a heartbeat to the node at, and returns the answer. The answer is zero if the node has not
+// answered yet.
 func (f *fleet) heartbeat(s *backend, at Slot) Acknowledge {
 	s.Seq++
 	ticket := f.registries[at].Heartbeat(s.Record)
@@ -129,6 +136,8 @@
 		Addr: fmt.Sprint("10.0.0.", i, ":80")}}
 }
 
+// requirePhase requires that all live nodes reported the backend with the phase want. For Gone, a node may also have
+// reported nothing.
 func (f *fleet) requirePhase(id string, want Phase) {
 	f.t.Helper()
 	for s := range f.registries {
@@ -138,37 +147,38 @@
 	}
 }
 
-// knownRecords is all that must be alike at nodes that have received the same.
+// knownRecords returns the records that must be equal at nodes that have received the same updates.
 func knownRecords(b *Registry) map[string]Record {
 	m := map[string]Record{}
 	for id, e := range b.entries {
 		w := b.recordOf(e)
-		w.SlowStartLeft, w.LostOwner, w.Seq = 0, NoSlot, 0 // heartbeats do not travel
+		w.SlowStartLeft, w.LostOwner, w.Seq = 0, NoSlot, 0 // Heartbeats are not sent to all nodes.
 		m[id] = w
 	}
 	return m
 }
 
-// permutations calls f with every order of n things.
+// permutations calls f with every order of the numbers below n.
 func permutations(n int, f func([]int)) {
-	var go1 func(head, rest []int)
-	go1 = func(head, rest []int) {
+	var permute func(head, rest []int)
+	permute = func(head, rest []int) {
 		if len(rest) == 0 {
 			f(head)
 		}
 		for i, x := range rest {
 			left := append(append([]int{}, rest[:i]...), rest[i+1:]...)
-			go1(append(append([]int{}, head...), x), left)
+			permute(append(append([]int{}, head...), x), left)
 		}
 	}
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
 	}
-	go1(nil, all)
+	permute(nil, all)
 }
 
-func TestUpdateOrdersConverge(t *testing.T) {
+// TestUpdatesConvergeInAnyOrder checks that updates lead to the same state in every order, also if one is repeated.
+func TestUpdatesConvergeInAnyOrder(t *testing.T) {
 	w := newBackend(1).Record
 	update := func(set func(*Record)) Record {
 		x := w
@@ -176,22 +186,22 @@
 		set(&x)
 		return x
 	}
-	for _, words := range [][]Record{
-		{ // the owner changes while the former one times the backend out, and its heartbeats go on
+	for _, updates := range [][]Record{
+		{ // The owner changes while the former owner times out the backend, and the backend's heartbeats continue.
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 1, 1, 3 }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase = 4, 1, 3, Gone }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 4, 2, 5 }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 4, 2, 4 }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Capacity = 5, 2, 5, 7 }),
 		},
-		{ // draining, timed out, a late heartbeat, deregistered
+		{ // The backend drains, sends a late heartbeat, times out and deregisters.
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 1, 1, 3 }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase, x.Draining = 2, 1, 3, Draining, true }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 3, 1, 3 }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase = 3, 1, 3, Gone }),
 			{ID: w.ID, Owner: NoSlot, LostOwner: NoSlot, Phase: Gone, Deregistered: true},
 		},
-		{ // two at one address
+		{ // Two backends have the same address.
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Age = 9, 1, 3, 9*time.Second }),
 			update(func(x *Record) { x.ID, x.Service, x.Seq, x.FencingToken, x.Owner = "i-9", "other", 1, 1, 4 }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Age, x.Draining = 9, 1, 3, 9*time.Second, true }),
@@ -199,10 +209,10 @@
 	} {
 		var first map[string]Record
 		var seen []Record
-		permutations(len(words), func(order []int) {
+		permutations(len(updates), func(order []int) {
 			b := New(0, Config{HeartbeatInterval: heartbeatInterval}, 0)
 			for _, i := range append(order, order[0]) {
-				b.Receive(Slot(words[i].Owner+1), Message{Updates: words[i : i+1]})
+				b.Receive(Slot(updates[i].Owner+1), Message{Updates: updates[i : i+1]})
 			}
 			if first == nil {
 				first, seen = knownRecords(b), b.Backends()
@@ -213,12 +223,13 @@
 	}
 }
 
-func TestCallOrdersConverge(t *testing.T) {
-	// Calls of one backend at three nodes, in every order, and with the nodes partitioned meanwhile or not.
-	for _, cut := range []bool{false, true} {
+// TestCallsConvergeInAnyOrder checks calls of one backend at three nodes, in every order, with and without a partition
+// between the nodes during the calls. All nodes must have the same state afterwards.
+func TestCallsConvergeInAnyOrder(t *testing.T) {
+	for _, partitioned := range []bool{false, true} {
 		permutations(4, func(order []int) {
 			f := newFleet(t, 3, 0)
-			if cut {
+			if partitioned {
 				for _, p := range [][2]Slot{{0, 1}, {1, 0}, {0, 2}, {2, 0}} {
 					f.partitioned[p] = true
 				}
@@ -246,12 +257,14 @@
 			f.updateNodes()
 			f.advance(time.Second)
 			f.requirePhase("i-1", Draining)
-			must.Eq(t, knownRecords(f.registries[0])["i-1"], knownRecords(f.registries[1])["i-1"], must.Sprint(cut, order))
+			must.Eq(t, knownRecords(f.registries[0])["i-1"], knownRecords(f.registries[1])["i-1"], must.Sprint(partitioned, order))
 		})
 	}
 }
 
-func TestHeartbeatsGoToOwnersAndNoFurther(t *testing.T) {
+// TestHeartbeatsAreNotForwardedByOwner checks that heartbeats to the owner cause no messages between nodes. It also checks
+// that backends without heartbeats are timed out at all nodes, and that a later heartbeat revives them.
+func TestHeartbeatsAreNotForwardedByOwner(t *testing.T) {
 	f := newFleet(t, 4, 0)
 	var all []*backend
 	for i := range 20 {
@@ -263,12 +276,12 @@
 		f.requirePhase(s.ID, Ready)
 		must.Eq(t, s.target, f.registries[0].entries[s.ID].record.Owner)
 	}
-	kept := map[Slot]int{}
+	ownedByNode := map[Slot]int{}
 	for _, s := range all {
-		kept[s.target]++
+		ownedByNode[s.target]++
 		f.heartbeat(s, s.target)
 	}
-	must.MapLen(t, 4, kept)
+	must.MapLen(t, 4, ownedByNode)
 	f.advance(200 * ms)
 	f.messages = 0
 	for range 8 {
@@ -278,7 +291,7 @@
 		f.advance(heartbeatInterval)
 	}
 	must.Eq(t, 0, f.messages)
-	// Without heartbeats all are gone at all nodes, and one that sends them again is back.
+	// Without heartbeats, all backends are gone at all nodes. A new heartbeat revives a backend.
 	f.advance(4 * heartbeatInterval)
 	for _, s := range all {
 		f.requirePhase(s.ID, Gone)
@@ -288,6 +301,7 @@
 	f.requirePhase(all[3].ID, Ready)
 }
 
+// TestDrainIsConfirmedByCopies checks when departures are confirmed while nodes with and without a disk are unreachable.
 func TestDrainIsConfirmedByCopies(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	s := newBackend(1)
@@ -298,9 +312,9 @@
 	f.requirePhase(s.ID, Draining)
 	must.Eq(t, 0, f.registries[0].Status().PendingCalls)
 
-	// Node 3 still counts as live but receives nothing: MinCopies suffice after allCopiesTimeout.
-	loseTo := func(o Slot) { f.partitioned[[2]Slot{0, o}] = true }
-	loseTo(3)
+	// Node 3 still counts as live but receives nothing. MinCopies copies are sufficient after allCopiesTimeout.
+	dropMessagesTo := func(o Slot) { f.partitioned[[2]Slot{0, o}] = true }
+	dropMessagesTo(3)
 	s = newBackend(2)
 	f.heartbeat(s, 0)
 	s.Phase = Draining
@@ -311,8 +325,8 @@
 	f.advance(100 * ms)
 	must.True(t, f.acks[0][ticket].Confirmed)
 
-	// Copies at nodes without a disk are not enough.
-	loseTo(1)
+	// Copies at nodes without a disk are not sufficient.
+	dropMessagesTo(1)
 	ticket = f.registries[0].Deregister(s.ID)
 	f.deliverAll()
 	f.advance(700 * ms)
@@ -321,7 +335,7 @@
 	must.MapContainsKey(t, f.acks[0], ticket)
 	must.False(t, f.acks[0][ticket].Confirmed)
 
-	// Node 1 receives again: the departure is still on its way, and the next call finds it acknowledged.
+	// Node 1 receives messages again. The departure is still in flight, and the next call finds it acknowledged.
 	delete(f.partitioned, [2]Slot{0, 1})
 	delete(f.partitioned, [2]Slot{0, 3})
 	f.advance(time.Second)
@@ -330,9 +344,9 @@
 	f.deliverAll()
 	must.True(t, f.acks[0][ticket].Confirmed)
 
-	// A node that reaches nobody confirms no departure, but the only node there is may.
+	// A node that reaches no other node confirms no departure. The only known node does.
 	for o := range Slot(3) {
-		loseTo(o + 1)
+		dropMessagesTo(o + 1)
 	}
 	f.updateNodes()
 	s = newBackend(3)
@@ -343,6 +357,8 @@
 	must.True(t, f.heartbeat(s, 0).Confirmed)
 }
 
+// TestLossOfOwnerKeepsItsBackends checks that the backends of a lost owner stay ready and get a new owner. A backend that
+// stops with its owner must be timed out, and the restarted owner must receive the whole registry.
 func TestLossOfOwnerKeepsItsBackends(t *testing.T) {
 	f := newFleet(t, 4, 0)
 	var all []*backend
@@ -352,10 +368,10 @@
 		f.heartbeat(all[i], all[i].target)
 	}
 	f.advance(time.Second)
-	dead := all[0].target
+	lostOwner := all[0].target
 	var orphans, stopped []*backend
 	for _, s := range all {
-		if s.target == dead {
+		if s.target == lostOwner {
 			orphans = append(orphans, s)
 		}
 	}
@@ -363,25 +379,26 @@
 	stopped, orphans = orphans[:1], orphans[1:]
 	others := all[:0:0]
 	for _, s := range all {
-		if s.target != dead {
+		if s.target != lostOwner {
 			others = append(others, s)
 		}
 	}
-	f.live[dead] = false
-	next := (dead + 1) % 4
+	f.live[lostOwner] = false
+	next := (lostOwner + 1) % 4
 	for i := range 7 {
 		for _, s := range others {
 			f.heartbeat(s, s.target)
 		}
 		for _, s := range orphans {
-			if i == 0 || s.target == dead {
-				f.heartbeat(s, next) // its heartbeat failed: it turns to the next node
+			if i == 0 || s.target == lostOwner {
+				// The heartbeat to the lost owner failed, and the backend turns to the next node.
+				f.heartbeat(s, next)
 			} else {
 				f.heartbeat(s, s.target)
 			}
 		}
 		if i == 1 {
-			f.updateNodes() // only now do the nodes notice
+			f.updateNodes() // The nodes notice the loss only now.
 		}
 		for _, s := range all {
 			if i < 4 || s != stopped[0] {
@@ -390,19 +407,21 @@
 		}
 		f.advance(heartbeatInterval)
 	}
-	f.requirePhase(stopped[0].ID, Gone) // it ended together with its owner
+	f.requirePhase(stopped[0].ID, Gone) // It stopped together with its owner.
 	for _, s := range orphans {
-		must.NotEq(t, dead, s.target)
+		must.NotEq(t, lostOwner, s.target)
 		must.Eq(t, s.target, f.registries[next].entries[s.ID].record.Owner)
 	}
-	// The owner comes back and knows nothing: it is sent the whole registry, departures too.
-	f.start(dead)
+	// The owner restarts with an empty registry. It is sent all records, including departures.
+	f.start(lostOwner)
 	f.updateNodes()
 	f.advance(time.Second)
-	must.Eq(t, knownRecords(f.registries[next]), knownRecords(f.registries[dead]))
-	must.Eq(t, 29, len(f.registries[dead].Backends()))
+	must.Eq(t, knownRecords(f.registries[next]), knownRecords(f.registries[lostOwner]))
+	must.Eq(t, 29, len(f.registries[lostOwner].Backends()))
 }
 
+// TestIsolatedNodeExpiresOnlyDirectBackends guards against an isolated node that times out backends which now send their
+// heartbeats to other nodes.
 func TestIsolatedNodeExpiresOnlyDirectBackends(t *testing.T) {
 	f := newFleet(t, 5, 0)
 	var all []*backend
@@ -419,7 +438,8 @@
 		for _, s := range all {
 			at := s.target
 			if at == 0 {
-				at = 2 // its zone does not reach node 0 any more
+				// The zone of the backend no longer reaches node 0.
+				at = 2
 			}
 			f.heartbeat(s, at)
 		}
@@ -434,7 +454,9 @@
 	}
 }
 
-func TestStallIsNotATimeout(t *testing.T) {
+// TestStallRestartsTimeouts guards against backends that are timed out because the process was stalled. The time-outs must
+// restart after the stall, and must still expire.
+func TestStallRestartsTimeouts(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	s := newBackend(1)
 	f.heartbeat(s, 0)
@@ -457,7 +479,9 @@
 	f.requirePhase(s.ID, Gone)
 }
 
-func TestAddressUsedAgain(t *testing.T) {
+// TestReusedAddressShowsYoungestBackend checks that requests see only the backend that was first seen most recently at an
+// address.
+func TestReusedAddressShowsYoungestBackend(t *testing.T) {
 	f := newFleet(t, 3, 0)
 	old := newBackend(1)
 	f.heartbeat(old, 0)
@@ -469,7 +493,7 @@
 	f.requirePhase(old.ID, Gone)
 	f.requirePhase(young.ID, Ready)
 	must.SliceLen(t, 1, f.registries[2].Backends())
-	// A late call of the old one changes nothing for long, and the departure of the young one does not bring it back.
+	// A late call of the old backend has no lasting effect. The departure of the young backend does not revive the old one.
 	old.Seq += 5
 	f.heartbeat(old, 2)
 	f.advance(600 * ms)
@@ -481,7 +505,9 @@
 	f.requirePhase(old.ID, Gone)
 }
 
-func TestTombstonesEnd(t *testing.T) {
+// TestTombstonesExpireAndAreBounded checks that no state of a gone backend remains after tombstoneTTL, and that the number
+// of tombstones is limited.
+func TestTombstonesExpireAndAreBounded(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	s := newBackend(1)
 	f.heartbeat(s, 0)
@@ -501,6 +527,8 @@
 	must.Eq(t, maxTombstones, len(f.registries[0].entries))
 }
 
+// TestNodesConvergeAfterFaults applies random faults to fleets of random size. After the faults end, all nodes must report
+// the right phases and send no more messages.
 func TestNodesConvergeAfterFaults(t *testing.T) {
 	for seed := range int64(200) {
 		r := rand.New(rand.NewSource(seed))
@@ -509,7 +537,7 @@
 		for i := range 12 {
 			all = append(all, newBackend(i))
 		}
-		beats := func() {
+		sendHeartbeats := func() {
 			for _, s := range all {
 				for tries := 0; tries < n && !crashed[s.ID]; tries++ {
 					if f.live[s.target] && f.heartbeat(s, s.target).Confirmed {
@@ -519,11 +547,11 @@
 				}
 			}
 		}
-		back := func(d Slot) {
+		restart := func(d Slot) {
 			f.start(d)
 			for o, b := range f.registries {
 				if o != d && f.live[o] {
-					b.SyncPeer(d) // it may have been back before its liveness timed out
+					b.SyncPeer(d) // The node may have restarted before the others noticed its loss.
 				}
 			}
 			f.updateNodes()
@@ -534,7 +562,7 @@
 			case 0:
 				f.live[x] = false
 			case 1:
-				back(x)
+				restart(x)
 			case 2:
 				f.partitioned[[2]Slot{x, y}], f.partitioned[[2]Slot{y, x}] = x != y, x != y
 			case 3:
@@ -546,18 +574,18 @@
 			case 6:
 				f.registries[x].ReportAddressConflict(s.ID)
 			}
-			for range 2 { // faults are noticed before the next heartbeats, after, or not at all
+			for range 2 { // Faults are noticed before the next heartbeats, after them, or not at all.
 				if r.Intn(2) == 0 {
 					f.updateNodes()
 				}
-				beats()
+				sendHeartbeats()
 				f.advance(time.Duration(r.Intn(1000)) * ms)
 			}
 		}
 		f.partitioned = map[[2]Slot]bool{}
 		for d := range Slot(n) {
 			if !f.live[d] {
-				back(d)
+				restart(d)
 			}
 		}
 		f.updateNodes()
@@ -565,7 +593,7 @@
 			if i == 9 {
 				f.messages = 0
 			}
-			beats()
+			sendHeartbeats()
 			f.advance(heartbeatInterval)
 		}
 		for _, s := range all {
@@ -575,13 +603,14 @@
 			}
 			f.requirePhase(s.ID, want)
 		}
-		must.Eq(t, 0, f.messages, must.Sprint("in calm, seed ", seed))
+		must.Eq(t, 0, f.messages, must.Sprint("messages sent without changes, seed ", seed))
 	}
 }
 
-// What goes over a link must not grow with the nodes: a release of many backends, and a node that comes back in the middle of
-// it, cost a node without a disk one update a change from its upstream, and the registry once. Guards against messages of all to all, which
-// held up requests on thin links and broke the rule DRAIN.
+// TestMessagesGrowLinearlyWithNodes guards against messages from all nodes to all nodes, which delayed requests on slow
+// links and broke the rule DRAIN. The traffic on a link must not grow with the number of nodes. In a release of many
+// backends, a node without a disk must receive one update for each change, from its upstream. A node that restarts
+// meanwhile must receive the registry once.
 func TestMessagesGrowLinearlyWithNodes(t *testing.T) {
 	for _, n := range []int{12, 48, 96} {
 		f := newFleet(t, n, 3)
@@ -596,9 +625,10 @@
 		for i := range 60 {
 			s := newBackend(i)
 			s.Seq, s.Phase = 9, Draining
-			must.True(t, f.heartbeat(s, Slot(i%n)).Confirmed, must.Sprint("known by those with a disk, it is acknowledged at once"))
+			must.True(t, f.heartbeat(s, Slot(i%n)).Confirmed, must.Sprint("a departure that the nodes with a disk have is not confirmed at once"))
 		}
-		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes")) // an update and its acknowledgement each
+		// Each node receives an update and acknowledges it.
+		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes"))
 		f.advance(time.Second)
 		f.messages = 0
 		f.start(Slot(n - 1))
@@ -612,49 +642,52 @@
 	}
 }
 
-// After the loss of all nodes one that kept its registry on disk spares the others a wait for heartbeats. What it has wrongly goes: a
-// backend that sends none is gone after three intervals, one that deregistered meanwhile stays gone where that is known.
-func TestRestore(t *testing.T) {
+// TestRestoredBackendsAreWatchedForTimeouts checks a restart of all nodes in which one node restores its registry from
+// disk, so that the others need not wait for heartbeats. Restored records that are wrong must not last. A backend that
+// sends no heartbeats must be gone after three intervals. A backend that deregistered meanwhile must stay gone at a node
+// that knows of it.
+func TestRestoredBackendsAreWatchedForTimeouts(t *testing.T) {
 	f := newFleet(t, 3, 1)
-	lives, died := newBackend(1), newBackend(2)
-	for _, s := range []*backend{lives, died} {
+	alive, stopped := newBackend(1), newBackend(2)
+	for _, s := range []*backend{alive, stopped} {
 		f.heartbeat(s, 0)
 		f.heartbeat(s, s.target)
 	}
 	f.advance(time.Second)
-	kept := f.registries[0].Backends()
-	must.Len(t, 2, kept)
+	stored := f.registries[0].Backends()
+	must.Len(t, 2, stored)
 	for s := range Slot(3) {
 		f.start(s)
 	}
-	f.registries[0].Restore(kept)
+	f.registries[0].Restore(stored)
 	f.updateNodes()
 	f.advance(200 * ms)
-	f.requirePhase(lives.ID, Ready)
-	f.requirePhase(died.ID, Ready)
+	f.requirePhase(alive.ID, Ready)
+	f.requirePhase(stopped.ID, Ready)
 	for range 6 {
-		f.heartbeat(lives, lives.target)
+		f.heartbeat(alive, alive.target)
 		f.advance(heartbeatInterval)
 	}
-	f.requirePhase(lives.ID, Ready)
-	f.requirePhase(died.ID, Gone)
+	f.requirePhase(alive.ID, Ready)
+	f.requirePhase(stopped.ID, Gone)
 
 	f.start(0)
-	f.registries[0].Deregister(lives.ID)
-	f.registries[0].Restore(kept)
+	f.registries[0].Deregister(alive.ID)
+	f.registries[0].Restore(stored)
 	f.deliverAll()
-	must.Eq(t, Gone, f.registries[0].visiblePhase(f.registries[0].entries[lives.ID]))
+	must.Eq(t, Gone, f.registries[0].visiblePhase(f.registries[0].entries[alive.ID]))
 }
 
-// The only node with a disk comes back knowing nothing: its followers send it what its full sync left out. A backend that lives has an
-// owner again without a wait for its heartbeat; one that died meanwhile is gone after three intervals at all nodes, though no heartbeat ever
-// names it again.
+// TestFollowersReportMissingBackends checks a restart of the only node with a disk with an empty registry. Its followers
+// must send it the backends that its full sync left out. A running backend must get an owner without waiting for its
+// heartbeat. A backend that stopped meanwhile must be gone at all nodes after three intervals, although no heartbeat names
+// it again.
 func TestFollowersReportMissingBackends(t *testing.T) {
 	f := newFleet(t, 4, 1)
-	lives, died := newBackend(1), newBackend(2)
-	for _, s := range []*backend{lives, died} {
+	alive, stopped := newBackend(1), newBackend(2)
+	for _, s := range []*backend{alive, stopped} {
 		f.heartbeat(s, 3)
-		must.Eq(t, Slot(0), s.target) // nodes with a disk own backends
+		must.Eq(t, Slot(0), s.target) // Nodes with a disk own backends.
 		f.heartbeat(s, 0)
 	}
 	f.advance(time.Second)
@@ -668,19 +701,20 @@
 	must.Len(t, 2, f.registries[0].Backends())
 	must.Len(t, 2, f.registries[2].Backends())
 	for range 6 {
-		f.heartbeat(lives, 0)
+		f.heartbeat(alive, 0)
 		f.advance(heartbeatInterval)
 	}
-	f.requirePhase(lives.ID, Ready)
-	f.requirePhase(died.ID, Gone)
+	f.requirePhase(alive.ID, Ready)
+	f.requirePhase(stopped.ID, Gone)
 }
 
-// A node that came back has nothing of what its former incarnation knew: a late message of that one, read after the new one was synced, is
-// no copy. The departure of a backend is confirmed once the present incarnation acknowledges it.
+// TestLateMessageOfFormerIncarnationIsNoCopy guards against a departure that is confirmed by a late message of a former
+// incarnation. A restarted node has lost what that incarnation knew, so a message that is read after the new incarnation
+// was synced does not prove a copy. The departure must be confirmed only when the present incarnation acknowledges it.
 func TestLateMessageOfFormerIncarnationIsNoCopy(t *testing.T) {
-	for _, fault := range withoutDefence {
+	for _, trustUnconfirmed := range safeguardDisabledCases {
 		f := newFleet(t, 2, 2)
-		knobs := knobsTrustingPeers(fault)
+		knobs := knobsTrustingPeers(trustUnconfirmed)
 		for _, r := range f.registries {
 			r.config.TestingKnobs = knobs
 		}
@@ -688,14 +722,15 @@
 		f.heartbeat(s, 0)
 		late := s.Record
 		late.Phase, late.Draining, late.Seq, late.Owner, late.LostOwner = Draining, true, s.Seq+1, NoSlot, NoSlot
-		f.registries[0].SyncPeer(1) // the link to its new incarnation is up, a message of the former one lies unread
+		// The link to the new incarnation is up. A message of the former incarnation has not been read yet.
+		f.registries[0].SyncPeer(1)
 		sent := f.takeMessages(0)
 		f.registries[0].Receive(1, Message{Seq: 7, Updates: []Record{late}})
 		s.Phase, s.Seq = Draining, s.Seq+1
 		ticket := f.registries[0].Heartbeat(s.Record)
 		sent = append(sent, f.takeMessages(0)...)
 		_, early := f.acks[0][ticket]
-		must.Eq(t, fault, early)
+		must.Eq(t, trustUnconfirmed, early)
 		f.registries[1] = New(1, Config{HeartbeatInterval: heartbeatInterval, MinCopies: 2, Incarnation: 99, TestingKnobs: knobs}, f.now)
 		f.registries[1].SetNodes([]Node{{Slot: 0, HasDisk: true, Live: true}, {Slot: 1, HasDisk: true, Live: true}})
 		for _, m := range sent {
@@ -707,7 +742,7 @@
 	}
 }
 
-// takeMessages gives what a node sends, and delivers nothing.
+// takeMessages returns the messages that a node sends, without delivering them.
 func (f *fleet) takeMessages(s Slot) (sent []Message) {
 	for a, ok := f.registries[s].Next(); ok; a, ok = f.registries[s].Next() {
 		switch a := a.(type) {
--- a/internal/gateway/registry/status.go
+++ b/internal/gateway/registry/status.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// Status counts what there is, for operators.
+// Status holds counts for operators.
 type Status struct {
-	Ready, Draining, Gone int    // backends, as requests should see them
-	Owned                 int    // backends that this node watches
-	OwnerLost             int    // backends whose owner this node does not reach
-	PendingCalls          int    // calls that wait for other nodes
-	Unconfirmed           int    // records that other nodes have not acknowledged
-	Refused               uint64 // calls and updates of backends that found the registry full, since the start
+	Ready, Draining, Gone int // number of backends by visible phase
+	Owned                 int // backends that this node owns
+	OwnerLost             int // backends whose owner this node does not reach
+	PendingCalls          int // calls that wait for other nodes
+	Unconfirmed           int // records that other nodes have not acknowledged
+	// Number of calls and updates of new backends that were rejected because the registry was full, since the start.
+	Refused uint64
 }
 
-// Status counts what there is.
+// Status returns the present counts.
 func (r *Registry) Status() Status {
 	s := Status{PendingCalls: len(r.pendingCalls), Refused: r.refused}
 	for _, e := range r.sorted {
@@ -42,7 +43,7 @@
 	return s
 }
 
-// Backends gives the backends that are not gone, by id. SlowStartLeft and Age are as of the last Tick.
+// Backends returns the backends that are not gone, sorted by id. SlowStartLeft and Age are as of the last Tick.
 func (r *Registry) Backends() []Record {
 	var records []Record
 	for _, e := range r.sorted {
@@ -53,7 +54,8 @@
 	return records
 }
 
-// HasReady tells whether any backend is ready. It looks no further than the first: readiness is asked for each second and more.
+// HasReady reports whether any backend is ready. It stops at the first ready backend, because readiness is queried at
+// least once a second.
 func (r *Registry) HasReady() bool {
 	return slices.ContainsFunc(r.sorted, func(e *entry) bool { return r.visiblePhase(e) == Ready })
 }
--- a/internal/gateway/registry/testingknobs_debug.go
+++ b/internal/gateway/registry/testingknobs_debug.go
@@ -2,10 +2,10 @@
 
 package registry
 
-// TestingKnobs take defences out, for tests that show what these are for.
+// TestingKnobs disable safeguards, for tests that show which failures the safeguards prevent.
 type TestingKnobs struct {
-	// TrustUnconfirmedPeers counts a departure in any message as a copy at its sender, also in one that the sender's former
-	// incarnation may have sent.
+	// TrustUnconfirmedPeers counts a departure in any message as a copy at its sender, even if a former incarnation of the
+	// sender may have sent the message.
 	TrustUnconfirmedPeers bool
 }
 
--- a/internal/gateway/registry/testingknobs_debug_test.go
+++ b/internal/gateway/registry/testingknobs_debug_test.go
@@ -2,7 +2,8 @@
 
 package registry
 
-// withoutDefence are the cases of a test that shows what a defence is for: with it, and with it taken out.
-var withoutDefence = []bool{false, true}
+// safeguardDisabledCases are the cases of a test that shows what a safeguard prevents. The test runs once with the
+// safeguard and once with the safeguard disabled.
+var safeguardDisabledCases = []bool{false, true}
 
 func knobsTrustingPeers(trust bool) TestingKnobs { return TestingKnobs{TrustUnconfirmedPeers: trust} }
--- a/internal/gateway/registry/testingknobs_release.go
+++ b/internal/gateway/registry/testingknobs_release.go
@@ -2,7 +2,7 @@
 
 package registry
 
-// TestingKnobs is empty in a release build: no defence can be taken out, and the compiler removes the branches.
+// TestingKnobs is empty in a release build. No safeguard can be disabled, and the compiler removes the branches.
 type TestingKnobs struct{}
 
 func (TestingKnobs) trustUnconfirmedPeers() bool { return false }
--- a/internal/gateway/registry/testingknobs_release_test.go
+++ b/internal/gateway/registry/testingknobs_release_test.go
@@ -2,7 +2,8 @@
 
 package registry
 
-// withoutDefence are the cases of a test that shows what a defence is for. A release build has all defences.
-var withoutDefence = []bool{false}
+// safeguardDisabledCases are the cases of a test that shows what a safeguard prevents. A release build cannot disable a
+// safeguard.
+var safeguardDisabledCases = []bool{false}
 
 func knobsTrustingPeers(bool) TestingKnobs { return TestingKnobs{} }
--- a/internal/gateway/registry/wire.go
+++ b/internal/gateway/registry/wire.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// The forms in which records and messages go over links and onto a node's disk. gob goes by the names of fields: programs of
-// other versions read these, so that a field keeps its name here whatever it is called in the code. A field that the other side
-// does not know is passed over, one that it does not send is zero.
+// This file defines the encoded forms of records and messages on links and on a node's disk. gob identifies fields by name,
+// and other program versions read these forms. A field therefore keeps its name here, whatever its name in the code is. A
+// decoder ignores a field that it does not know, and sets a field that was not sent to zero.
 
-// WireRecord is a Record as gob sends and stores it.
+// WireRecord is the form of a Record that gob sends and stores. Comments name the corresponding fields of Record.
 type WireRecord struct {
 	ID         string
 	Service    string
@@ -26,7 +26,7 @@
 	Missed  Slot   // LostOwner
 }
 
-// WireMessage is a Message as gob sends it.
+// WireMessage is the form of a Message that gob sends. Comments name the corresponding fields of Message.
 type WireMessage struct {
 	Nr     uint64       // Seq
 	Words  []WireRecord // Updates
@@ -38,7 +38,7 @@
 	Unreached []Slot // Unreachable
 }
 
-// ToWire gives records as they are sent and stored.
+// ToWire converts records to the form in which they are sent and stored. It returns nil for no records.
 func ToWire(records []Record) []WireRecord {
 	if len(records) == 0 {
 		return nil
@@ -53,7 +53,7 @@
 	return wire
 }
 
-// FromWire gives records that were sent or stored.
+// FromWire converts sent or stored records to Records. It returns nil for no records.
 func FromWire(wire []WireRecord) []Record {
 	if len(wire) == 0 {
 		return nil
@@ -68,13 +68,13 @@
 	return records
 }
 
-// Wire gives a message as it is sent.
+// Wire converts a message to the form in which it is sent.
 func (m *Message) Wire() *WireMessage {
 	return &WireMessage{Nr: m.Seq, Words: ToWire(m.Updates), Beats: ToWire(m.Heartbeats), Doubts: ToWire(m.Suspicions), Acks: m.Acks,
 		All: m.FullSync, Unreached: m.Unreachable}
 }
 
-// Message gives a message that was sent.
+// Message converts a received message to a Message.
 func (w *WireMessage) Message() Message {
 	return Message{Seq: w.Nr, Updates: FromWire(w.Words), Heartbeats: FromWire(w.Beats), Suspicions: FromWire(w.Doubts), Acks: w.Acks,
 		FullSync: w.All, Unreachable: w.Unreached}
--- a/internal/gateway/registry/wire_test.go
+++ b/internal/gateway/registry/wire_test.go
@@ -10,13 +10,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// fullRecord has every field set.
+// fullRecord returns a record in which every field is set.
 func fullRecord(id string) Record {
 	return Record{ID: id, Service: "service", Addr: "10.0.0.9:80", Zone: "zone", Generation: "generation", Capacity: 4, Phase: Draining,
 		SlowStartLeft: time.Second, Seq: 5, Draining: true, Deregistered: true, Age: 2 * time.Second, Owner: 1, FencingToken: 3, LostOwner: 2}
 }
 
-// A field that is added to a record or a message and forgotten in its wire form would be lost between two nodes, or over a restart.
+// TestWireFormsKeepEveryField guards against a field that is added to Record or Message but not to its wire form. It would
+// be lost between two nodes or over a restart.
 func TestWireFormsKeepEveryField(t *testing.T) {
 	m := Message{Seq: 8, Updates: []Record{fullRecord("update")}, Heartbeats: []Record{fullRecord("heartbeat")},
 		Suspicions: []Record{fullRecord("suspicion")}, Acks: []uint64{1, 2}, FullSync: true, Unreachable: []Slot{3, 4}}
@@ -29,8 +30,8 @@
 	must.Eq(t, Message{}, (&Message{}).Wire().Message())
 }
 
-// BenchmarkWire is what a relayed heartbeat, and a full message of updates, cost on their way into a link: converted and encoded, and
-// encoded alone.
+// BenchmarkWire measures the cost of sending a relayed heartbeat and a full message of updates to a link. It measures
+// conversion with encoding, and encoding alone.
 func BenchmarkWire(b *testing.B) {
 	heartbeat := Message{Heartbeats: []Record{fullRecord("heartbeat")}}
 	var updates Message
