--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -13,9 +13,9 @@
 }
 
 // drain has a backend report at a node that it is draining. answered is false if the node has not answered yet.
-func (f *fleet) drain(s *backend, at Slot) (a Acknowledge, answered bool) {
-	s.Seq, s.Phase = s.Seq+1, Draining
-	ticket := f.registries[at].Heartbeat(s.Record)
+func (f *fleet) drain(b *backend, at Slot) (a Acknowledge, answered bool) {
+	b.Seq, b.Phase = b.Seq+1, Draining
+	ticket := f.registries[at].Heartbeat(b.Record)
 	f.deliverAll()
 	a, answered = f.acks[at][ticket]
 	return a, answered
@@ -29,8 +29,8 @@
 func TestDepartureNeedsMinCopies(t *testing.T) {
 	for _, at := range []Slot{0, 3} {
 		f := newFleet(t, 5, 3)
-		s := newBackend(1)
-		f.heartbeat(s, 1)
+		b := newBackend(1)
+		f.heartbeat(b, 1)
 		f.advance(time.Second)
 		for _, isolated := range []Slot{at, 0} { // the node itself and the upstream of node 3
 			for _, o := range []Slot{1, 2} {
@@ -38,14 +38,14 @@
 			}
 		}
 		f.updateNodes()
-		a, answered := f.drain(s, at)
+		a, answered := f.drain(b, at)
 		must.True(t, answered, must.Sprint("at ", at))
 		must.False(t, a.Confirmed, must.Sprint("at ", at))
 		f.partitioned = map[[2]Slot]bool{}
 		f.updateNodes()
-		a, answered = f.drain(s, at)
+		a, answered = f.drain(b, at)
 		must.True(t, answered && a.Confirmed, must.Sprint("at ", at))
-		f.requirePhase(s.ID, Draining)
+		f.requirePhase(b.ID, Draining)
 	}
 }
 
@@ -54,13 +54,13 @@
 // vain.
 func TestDepartureWaitsForAnotherDisk(t *testing.T) {
 	f := newFleet(t, 4, 3)
-	s := newBackend(1)
-	f.heartbeat(s, 0)
+	b := newBackend(1)
+	f.heartbeat(b, 0)
 	f.advance(time.Second)
 	f.partition(0, 2)
 	f.updateNodes()
 	f.partition(0, 1) // not noticed by any node
-	_, answered := f.drain(s, 0)
+	_, answered := f.drain(b, 0)
 	must.False(t, answered)
 	f.advance(minCopiesTimeout)
 	for ticket, a := range f.acks[0] {
@@ -69,7 +69,7 @@
 	delete(f.partitioned, [2]Slot{0, 1})
 	delete(f.partitioned, [2]Slot{1, 0})
 	f.advance(time.Second)
-	a, answered := f.drain(s, 0)
+	a, answered := f.drain(b, 0)
 	must.True(t, answered && a.Confirmed)
 }
 
@@ -79,15 +79,15 @@
 func TestDepartureInRelayedHeartbeatIsBroadcast(t *testing.T) {
 	for registrar := range Slot(3) {
 		f := newFleet(t, 6, 3)
-		s := newBackend(1)
-		f.heartbeat(s, 0)
-		f.heartbeat(s, s.target)
+		b := newBackend(1)
+		f.heartbeat(b, 0)
+		f.heartbeat(b, b.target)
 		f.advance(time.Second)
-		w := s.Record
-		w.Seq, w.Phase, w.Draining, w.Owner, w.LostOwner = s.Seq+1, Draining, true, NoSlot, NoSlot
-		f.registries[registrar].Receive(5, Message{Heartbeats: []Record{w}})
+		departing := b.Record
+		departing.Seq, departing.Phase, departing.Draining, departing.Owner, departing.LostOwner = b.Seq+1, Draining, true, NoSlot, NoSlot
+		f.registries[registrar].Receive(5, Message{Heartbeats: []Record{departing}})
 		f.deliverAll()
-		f.requirePhase(s.ID, Draining)
+		f.requirePhase(b.ID, Draining)
 	}
 }
 
@@ -107,10 +107,10 @@
 // requireDrainAroundPartition partitions nodes 0 and 1 from each other and drains the backend at the node at. All nodes
 // must then know the departure, and must stop sending it. noticed tells whether the nodes notice the partition before the
 // call or after it.
-func requireDrainAroundPartition(t *testing.T, s *backend, at Slot, noticed bool) {
+func requireDrainAroundPartition(t *testing.T, b *backend, at Slot, noticed bool) {
 	t.Helper()
 	f := newFleet(t, 6, 3)
-	f.heartbeat(s, 2)
+	f.heartbeat(b, 2)
 	f.advance(time.Second)
 	f.partition(0, 1)
 	if at == 5 { // Node 5 follows node 0 and also reaches node 2.
@@ -119,13 +119,13 @@
 	if noticed {
 		f.updateNodes()
 	}
-	f.drain(s, at)
+	f.drain(b, at)
 	if !noticed {
 		f.advance(600 * ms)
 		f.updateNodes()
 	}
 	f.advance(100 * ms)
-	f.requirePhase(s.ID, Draining)
+	f.requirePhase(b.ID, Draining)
 	before := f.messages
 	f.advance(5 * heartbeatInterval / 2)
 	must.LessEq(t, before+60, f.messages, must.Sprint("the departure is sent in a loop, called at node ", at))
@@ -136,8 +136,8 @@
 // gone.
 func TestNewFollowerReceivesDepartures(t *testing.T) {
 	f := newFleet(t, 4, 3)
-	s := newBackend(1)
-	f.heartbeat(s, 1)
+	b := newBackend(1)
+	f.heartbeat(b, 1)
 	f.advance(time.Second)
 	// Node 0 is the upstream of node 3. Node 3 reaches no node for a while.
 	f.partition(3, 0)
@@ -145,13 +145,13 @@
 		f.partition(3, o+1)
 	}
 	f.updateNodes()
-	f.drain(s, 1)
-	f.registries[1].Deregister(s.ID)
+	f.drain(b, 1)
+	f.registries[1].Deregister(b.ID)
 	f.advance(time.Second)
-	must.Eq(t, Ready, f.views[3][s.ID].Phase)
+	must.Eq(t, Ready, f.views[3][b.ID].Phase)
 	f.partitioned = map[[2]Slot]bool{}
 	f.partition(3, 0)
 	f.updateNodes()
 	f.advance(100 * ms)
-	must.Eq(t, Gone, f.views[3][s.ID].Phase)
+	must.Eq(t, Gone, f.views[3][b.ID].Phase)
 }
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -46,32 +46,32 @@
 
 // collect takes all messages that are due, schedules the acknowledgement of each one after the given delay, and returns
 // the number of updates in them.
-func (f *followerCrowd) collect(after time.Duration) (sent int) {
-	for a, ok := f.registry.Next(); ok; a, ok = f.registry.Next() {
-		if m, is := a.(Send); is && m.Message.Seq != 0 {
+func (c *followerCrowd) collect(after time.Duration) (sent int) {
+	for a, ok := c.registry.Next(); ok; a, ok = c.registry.Next() {
+		if m, isSend := a.(Send); isSend && m.Message.Seq != 0 {
 			sent += len(m.Message.Updates)
-			f.recordsSent[m.Target] += len(m.Message.Updates)
-			f.fullSyncs[m.Target] = f.fullSyncs[m.Target] || m.Message.FullSync
-			f.unacked = append(f.unacked, pendingAck{f.registry.now + after, m.Target, m.Message.Seq})
+			c.recordsSent[m.Target] += len(m.Message.Updates)
+			c.fullSyncs[m.Target] = c.fullSyncs[m.Target] || m.Message.FullSync
+			c.unacked = append(c.unacked, pendingAck{c.registry.now + after, m.Target, m.Message.Seq})
 		}
 	}
 	return sent
 }
 
 // runUntil advances the clock to t and delivers acknowledgements when they are due.
-func (f *followerCrowd) runUntil(t time.Duration, after time.Duration) {
-	for now := f.registry.now; now <= t; now += 10 * time.Millisecond {
-		f.registry.Tick(now)
-		rest := f.unacked
-		f.unacked = nil
-		for _, d := range rest {
-			if d.dueAt <= now {
-				f.registry.Receive(d.to, Message{Acks: []uint64{d.seq}})
+func (c *followerCrowd) runUntil(t time.Duration, after time.Duration) {
+	for now := c.registry.now; now <= t; now += 10 * time.Millisecond {
+		c.registry.Tick(now)
+		pending := c.unacked
+		c.unacked = nil
+		for _, ack := range pending {
+			if ack.dueAt <= now {
+				c.registry.Receive(ack.to, Message{Acks: []uint64{ack.seq}})
 			} else {
-				f.unacked = append(f.unacked, d)
+				c.unacked = append(c.unacked, ack)
 			}
 		}
-		f.collect(after)
+		c.collect(after)
 	}
 }
 
@@ -134,10 +134,10 @@
 	c.collect(time.Hour)
 	must.SliceNotEmpty(t, c.registry.activePeers)
 	for range 20 {
-		rest := c.unacked
+		pending := c.unacked
 		c.unacked = nil
-		for _, d := range rest {
-			c.registry.Receive(d.to, Message{Acks: []uint64{d.seq}})
+		for _, ack := range pending {
+			c.registry.Receive(ack.to, Message{Acks: []uint64{ack.seq}})
 		}
 		c.collect(time.Hour)
 	}
@@ -163,17 +163,17 @@
 	for now := time.Duration(0); now < 8*time.Second; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
 		for a, ok := c.registry.Next(); ok; a, ok = c.registry.Next() {
-			m, is := a.(Send)
-			if !is || m.Message.Seq == 0 {
+			m, isSend := a.(Send)
+			if !isSend || m.Message.Seq == 0 {
 				continue
 			}
 			if inZone[m.Target] == nil {
 				inZone[m.Target], sent[m.Target] = map[string]bool{}, map[string]bool{}
 			}
-			for _, w := range m.Message.Updates {
-				sent[m.Target][w.ID] = true
-				if w.Zone == zone(int(m.Target)-1) {
-					inZone[m.Target][w.ID] = true
+			for _, record := range m.Message.Updates {
+				sent[m.Target][record.ID] = true
+				if record.Zone == zone(int(m.Target)-1) {
+					inZone[m.Target][record.ID] = true
 				}
 			}
 			if m.Message.FullSync {
@@ -187,8 +187,8 @@
 				must.MapLen(t, backends/zones, inZone[s], must.Sprintf("node %d at %v", s, now))
 			}
 		}
-		for _, d := range c.unacked {
-			c.registry.Receive(d.to, Message{Acks: []uint64{d.seq}})
+		for _, ack := range c.unacked {
+			c.registry.Receive(ack.to, Message{Acks: []uint64{ack.seq}})
 		}
 		c.unacked = nil
 	}
--- a/internal/gateway/registry/nodes.go
+++ b/internal/gateway/registry/nodes.go
@@ -9,7 +9,7 @@
 	ControlAddr string
 	// The node is preferred as owner of the backends of this zone.
 	Zone string
-	// True if this node reaches the node. It is ignored for the local node.
+	// True if the local node reaches this node. It is ignored for the local node itself.
 	Live bool
 	// True if the node can hold a copy of a departure. Nodes with a disk are preferred as owners.
 	HasDisk bool
@@ -22,7 +22,7 @@
 	r.hasNodes = true
 	r.local = Node{Slot: r.localSlot}
 	r.ownerCandidates, r.knownCount, r.liveCount, r.hasLiveDisk, r.hasKnownDisk = r.ownerCandidates[:0], 0, 0, false, false
-	given := map[Slot]bool{}
+	knownSlots := map[Slot]bool{}
 	var toSync []Slot
 	var undelivered []string // departures that a lost node with a disk may lack
 	for _, n := range nodes {
@@ -33,7 +33,7 @@
 			n.Live = true
 			r.local = n
 		} else {
-			given[n.Slot] = true
+			knownSlots[n.Slot] = true
 			needsSync, departures := r.updatePeer(n)
 			if needsSync {
 				toSync = append(toSync, n.Slot)
@@ -43,7 +43,7 @@
 		r.countNode(n)
 	}
 	r.preferDiskOwners()
-	r.dropPeersExcept(given)
+	r.dropPeersExcept(knownSlots)
 	for _, s := range toSync {
 		r.SyncPeer(s)
 	}
@@ -94,15 +94,15 @@
 }
 
 // dropPeersExcept removes all peers whose slot is not in knownSlots.
-func (r *Registry) dropPeersExcept(given map[Slot]bool) {
+func (r *Registry) dropPeersExcept(knownSlots map[Slot]bool) {
 	for s, p := range r.peers {
-		if !given[s] {
+		if !knownSlots[s] {
 			r.resetPeer(p)
 			delete(r.peers, s)
 			r.activePeers = slices.DeleteFunc(r.activePeers, func(x Slot) bool { return x == s })
 		}
 	}
-	r.peerSlots = slices.DeleteFunc(r.peerSlots, func(s Slot) bool { return !given[s] })
+	r.peerSlots = slices.DeleteFunc(r.peerSlots, func(s Slot) bool { return !knownSlots[s] })
 }
 
 // SetFollower records whether a node follows this node. It has the same effect as SetNodes with the changed node, without
--- a/internal/gateway/registry/peer.go
+++ b/internal/gateway/registry/peer.go
@@ -26,7 +26,7 @@
 // peer is the state of another node, with the messages that it has not received or acknowledged yet.
 type peer struct {
 	node Node
-	// When the peer was last lost or reset. It is the time of creation at first.
+	// Time at which the peer was last lost or reset, initially the time at which it became known.
 	lostAt time.Duration
 	seq    uint64 // sequence number of the last message
 
@@ -127,9 +127,9 @@
 	return at
 }
 
-// ackTimeout returns how long a message waits for its acknowledgement. The time-out doubles after each attempt, up to a
-// maximum. A link loses nothing while it is up. A message without acknowledgement therefore mostly waits at an overloaded
-// receiver, and resending it soon only adds load.
+// ackTimeout returns how long a message waits for its acknowledgement. The time-out doubles after each attempt, up to
+// maxResendDoublings times. A link loses nothing while it is up. A message without acknowledgement therefore mostly waits
+// at an overloaded receiver, and resending it soon only adds load. For an unresponsive peer the time-out is probeInterval.
 func (p *peer) ackTimeout(f *inFlightMessage) time.Duration {
 	if p.unresponsive {
 		return probeInterval
@@ -138,7 +138,7 @@
 }
 
 // resendOverdue schedules the resend of messages whose acknowledgement is overdue. If a message exceeds maxResends, the
-// peer counts as unresponsive. From then on it is only sent an empty message at each probeInterval as a probe.
+// peer counts as unresponsive. From then on the peer is only sent an empty message as a probe, once in each probeInterval.
 func (r *Registry) resendOverdue(p *peer) {
 	for _, f := range p.inFlight {
 		if r.now-f.sentAt < p.ackTimeout(f) {
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -83,7 +83,8 @@
 	r.correctSender(e, p, &update, &before)
 }
 
-// forwardUpdate forwards an update if it changed the record of the backend.
+// forwardUpdate forwards an update to other nodes if it changed what this node knows of the backend. It also sends a new
+// backend to its known owner.
 func (r *Registry) forwardUpdate(e *entry, from *peer, update *Record, before *priorState) {
 	// If only this node suspected the backend, the owner's time-out changes nothing here but is news to the other nodes.
 	urgent := e.phase() != before.phase || e.departure() > before.departure || before.suspected && update.Phase == Gone
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -62,13 +62,13 @@
 		}
 		return NoSlot
 	}
-	for s, b := range f.registries {
+	for s, registry := range f.registries {
 		var nodes []Node
 		for o := range Slot(len(f.registries)) {
 			nodes = append(nodes, Node{Slot: o, ControlAddr: fmt.Sprint("node", o), HasDisk: int(o) < f.disks,
 				Live: reach(s, o), Follows: upstreamOf(o) == s})
 		}
-		b.SetNodes(nodes)
+		registry.SetNodes(nodes)
 	}
 	f.deliverAll()
 }
@@ -103,9 +103,9 @@
 func (f *fleet) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += min(100*ms, end-f.now)
-		for s, b := range f.registries {
+		for s, registry := range f.registries {
 			if f.live[s] {
-				b.Tick(f.now)
+				registry.Tick(f.now)
 			}
 		}
 		f.deliverAll()
@@ -120,13 +120,13 @@
 
 // heartbeat has a backend send a heartbeat to the node at, and returns the answer. The answer is zero if the node has not
 // answered yet.
-func (f *fleet) heartbeat(s *backend, at Slot) Acknowledge {
-	s.Seq++
-	ticket := f.registries[at].Heartbeat(s.Record)
+func (f *fleet) heartbeat(b *backend, at Slot) Acknowledge {
+	b.Seq++
+	ticket := f.registries[at].Heartbeat(b.Record)
 	f.deliverAll()
 	a, ok := f.acks[at][ticket]
 	if ok && a.OwnerAddr != "" {
-		fmt.Sscanf(a.OwnerAddr, "node%d", &s.target)
+		fmt.Sscanf(a.OwnerAddr, "node%d", &b.target)
 	}
 	return a
 }
@@ -136,26 +136,26 @@
 		Addr: fmt.Sprint("10.0.0.", i, ":80")}}
 }
 
-// requirePhase requires that all live nodes reported the backend with the phase want. For Gone, a node may also have
-// reported nothing.
+// requirePhase requires that the last report of the backend by each live node has the phase want. For Gone, a node may
+// also have reported nothing.
 func (f *fleet) requirePhase(id string, want Phase) {
 	f.t.Helper()
 	for s := range f.registries {
-		if w, ok := f.views[s][id]; f.live[s] && (ok || want != Gone) {
-			must.Eq(f.t, want, w.Phase, must.Sprintf("node %d of %s", s, id))
+		if record, ok := f.views[s][id]; f.live[s] && (ok || want != Gone) {
+			must.Eq(f.t, want, record.Phase, must.Sprintf("node %d of %s", s, id))
 		}
 	}
 }
 
 // knownRecords returns the records that must be equal at nodes that have received the same updates.
-func knownRecords(b *Registry) map[string]Record {
-	m := map[string]Record{}
-	for id, e := range b.entries {
-		w := b.recordOf(e)
-		w.SlowStartLeft, w.LostOwner, w.Seq = 0, NoSlot, 0 // Heartbeats are not sent to all nodes.
-		m[id] = w
-	}
-	return m
+func knownRecords(registry *Registry) map[string]Record {
+	records := map[string]Record{}
+	for id, e := range registry.entries {
+		record := registry.recordOf(e)
+		record.SlowStartLeft, record.LostOwner, record.Seq = 0, NoSlot, 0 // Heartbeats are not sent to all nodes.
+		records[id] = record
+	}
+	return records
 }
 
 // permutations calls f with every order of the numbers below n.
@@ -179,9 +179,9 @@
 
 // TestUpdatesConvergeInAnyOrder checks that updates lead to the same state in every order, also if one is repeated.
 func TestUpdatesConvergeInAnyOrder(t *testing.T) {
-	w := newBackend(1).Record
+	base := newBackend(1).Record
 	update := func(set func(*Record)) Record {
-		x := w
+		x := base
 		x.Owner, x.LostOwner = NoSlot, NoSlot
 		set(&x)
 		return x
@@ -199,7 +199,7 @@
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase, x.Draining = 2, 1, 3, Draining, true }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner = 3, 1, 3 }),
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Phase = 3, 1, 3, Gone }),
-			{ID: w.ID, Owner: NoSlot, LostOwner: NoSlot, Phase: Gone, Deregistered: true},
+			{ID: base.ID, Owner: NoSlot, LostOwner: NoSlot, Phase: Gone, Deregistered: true},
 		},
 		{ // Two backends have the same address.
 			update(func(x *Record) { x.Seq, x.FencingToken, x.Owner, x.Age = 9, 1, 3, 9*time.Second }),
@@ -208,17 +208,17 @@
 		},
 	} {
 		var first map[string]Record
-		var seen []Record
+		var firstBackends []Record
 		permutations(len(updates), func(order []int) {
-			b := New(0, Config{HeartbeatInterval: heartbeatInterval}, 0)
+			registry := New(0, Config{HeartbeatInterval: heartbeatInterval}, 0)
 			for _, i := range append(order, order[0]) {
-				b.Receive(Slot(updates[i].Owner+1), Message{Updates: updates[i : i+1]})
+				registry.Receive(Slot(updates[i].Owner+1), Message{Updates: updates[i : i+1]})
 			}
 			if first == nil {
-				first, seen = knownRecords(b), b.Backends()
+				first, firstBackends = knownRecords(registry), registry.Backends()
 			}
-			must.Eq(t, first, knownRecords(b), must.Sprint(order))
-			must.SliceLen(t, len(seen), b.Backends())
+			must.Eq(t, first, knownRecords(registry), must.Sprint(order))
+			must.SliceLen(t, len(firstBackends), registry.Backends())
 		})
 	}
 }
@@ -236,20 +236,20 @@
 				f.updateNodes()
 			}
 			for _, i := range order {
-				w := newBackend(1).Record
+				record := newBackend(1).Record
 				switch i {
 				case 0:
-					w.Seq = 1
-					f.registries[0].Heartbeat(w)
+					record.Seq = 1
+					f.registries[0].Heartbeat(record)
 				case 1:
-					w.Seq, w.Capacity = 2, 6
-					f.registries[1].Heartbeat(w)
+					record.Seq, record.Capacity = 2, 6
+					f.registries[1].Heartbeat(record)
 				case 2:
-					w.Seq, w.Phase = 3, Draining
-					f.registries[2].Heartbeat(w)
+					record.Seq, record.Phase = 3, Draining
+					f.registries[2].Heartbeat(record)
 				case 3:
-					w.Seq = 4
-					f.registries[0].Heartbeat(w)
+					record.Seq = 4
+					f.registries[0].Heartbeat(record)
 				}
 				f.deliverAll()
 			}
@@ -266,59 +266,59 @@
 // that backends without heartbeats are timed out at all nodes, and that a later heartbeat revives them.
 func TestHeartbeatsAreNotForwardedByOwner(t *testing.T) {
 	f := newFleet(t, 4, 0)
-	var all []*backend
+	var backends []*backend
 	for i := range 20 {
-		all = append(all, newBackend(i))
-		must.True(t, f.heartbeat(all[i], 0).Confirmed)
+		backends = append(backends, newBackend(i))
+		must.True(t, f.heartbeat(backends[i], 0).Confirmed)
 	}
 	f.advance(200 * ms)
-	for _, s := range all {
-		f.requirePhase(s.ID, Ready)
-		must.Eq(t, s.target, f.registries[0].entries[s.ID].record.Owner)
+	for _, b := range backends {
+		f.requirePhase(b.ID, Ready)
+		must.Eq(t, b.target, f.registries[0].entries[b.ID].record.Owner)
 	}
 	ownedByNode := map[Slot]int{}
-	for _, s := range all {
-		ownedByNode[s.target]++
-		f.heartbeat(s, s.target)
+	for _, b := range backends {
+		ownedByNode[b.target]++
+		f.heartbeat(b, b.target)
 	}
 	must.MapLen(t, 4, ownedByNode)
 	f.advance(200 * ms)
 	f.messages = 0
 	for range 8 {
-		for _, s := range all {
-			must.True(t, f.heartbeat(s, s.target).Confirmed)
+		for _, b := range backends {
+			must.True(t, f.heartbeat(b, b.target).Confirmed)
 		}
 		f.advance(heartbeatInterval)
 	}
 	must.Eq(t, 0, f.messages)
 	// Without heartbeats, all backends are gone at all nodes. A new heartbeat revives a backend.
 	f.advance(4 * heartbeatInterval)
-	for _, s := range all {
-		f.requirePhase(s.ID, Gone)
+	for _, b := range backends {
+		f.requirePhase(b.ID, Gone)
 	}
-	f.heartbeat(all[3], 2)
+	f.heartbeat(backends[3], 2)
 	f.advance(100 * ms)
-	f.requirePhase(all[3].ID, Ready)
+	f.requirePhase(backends[3].ID, Ready)
 }
 
 // TestDrainIsConfirmedByCopies checks when departures are confirmed while nodes with and without a disk are unreachable.
 func TestDrainIsConfirmedByCopies(t *testing.T) {
 	f := newFleet(t, 4, 2)
-	s := newBackend(1)
-	f.heartbeat(s, 0)
+	b := newBackend(1)
+	f.heartbeat(b, 0)
 	f.advance(time.Second)
-	s.Phase = Draining
-	must.True(t, f.heartbeat(s, 0).Confirmed)
-	f.requirePhase(s.ID, Draining)
+	b.Phase = Draining
+	must.True(t, f.heartbeat(b, 0).Confirmed)
+	f.requirePhase(b.ID, Draining)
 	must.Eq(t, 0, f.registries[0].Status().PendingCalls)
 
 	// Node 3 still counts as live but receives nothing. MinCopies copies are sufficient after allCopiesTimeout.
 	dropMessagesTo := func(o Slot) { f.partitioned[[2]Slot{0, o}] = true }
 	dropMessagesTo(3)
-	s = newBackend(2)
-	f.heartbeat(s, 0)
-	s.Phase = Draining
-	must.False(t, f.heartbeat(s, 0).Confirmed)
+	b = newBackend(2)
+	f.heartbeat(b, 0)
+	b.Phase = Draining
+	must.False(t, f.heartbeat(b, 0).Confirmed)
 	ticket := f.registries[0].lastTicket
 	f.advance(400 * ms)
 	must.MapNotContainsKey(t, f.acks[0], ticket)
@@ -327,7 +327,7 @@
 
 	// Copies at nodes without a disk are not sufficient.
 	dropMessagesTo(1)
-	ticket = f.registries[0].Deregister(s.ID)
+	ticket = f.registries[0].Deregister(b.ID)
 	f.deliverAll()
 	f.advance(700 * ms)
 	must.MapNotContainsKey(t, f.acks[0], ticket)
@@ -339,8 +339,8 @@
 	delete(f.partitioned, [2]Slot{0, 1})
 	delete(f.partitioned, [2]Slot{0, 3})
 	f.advance(time.Second)
-	f.requirePhase(s.ID, Gone)
-	ticket = f.registries[0].Deregister(s.ID)
+	f.requirePhase(b.ID, Gone)
+	ticket = f.registries[0].Deregister(b.ID)
 	f.deliverAll()
 	must.True(t, f.acks[0][ticket].Confirmed)
 
@@ -349,68 +349,68 @@
 		dropMessagesTo(o + 1)
 	}
 	f.updateNodes()
-	s = newBackend(3)
-	must.True(t, f.heartbeat(s, 0).Confirmed)
-	s.Phase = Draining
-	must.False(t, f.heartbeat(s, 0).Confirmed)
+	b = newBackend(3)
+	must.True(t, f.heartbeat(b, 0).Confirmed)
+	b.Phase = Draining
+	must.False(t, f.heartbeat(b, 0).Confirmed)
 	f = newFleet(t, 1, 0)
-	must.True(t, f.heartbeat(s, 0).Confirmed)
+	must.True(t, f.heartbeat(b, 0).Confirmed)
 }
 
 // TestLossOfOwnerKeepsItsBackends checks that the backends of a lost owner stay ready and get a new owner. A backend that
 // stops with its owner must be timed out, and the restarted owner must receive the whole registry.
 func TestLossOfOwnerKeepsItsBackends(t *testing.T) {
 	f := newFleet(t, 4, 0)
-	var all []*backend
+	var backends []*backend
 	for i := range 30 {
-		all = append(all, newBackend(i))
-		f.heartbeat(all[i], 0)
-		f.heartbeat(all[i], all[i].target)
+		backends = append(backends, newBackend(i))
+		f.heartbeat(backends[i], 0)
+		f.heartbeat(backends[i], backends[i].target)
 	}
 	f.advance(time.Second)
-	lostOwner := all[0].target
+	lostOwner := backends[0].target
 	var orphans, stopped []*backend
-	for _, s := range all {
-		if s.target == lostOwner {
-			orphans = append(orphans, s)
+	for _, b := range backends {
+		if b.target == lostOwner {
+			orphans = append(orphans, b)
 		}
 	}
 	must.Greater(t, 1, len(orphans))
 	stopped, orphans = orphans[:1], orphans[1:]
-	others := all[:0:0]
-	for _, s := range all {
-		if s.target != lostOwner {
-			others = append(others, s)
+	others := backends[:0:0]
+	for _, b := range backends {
+		if b.target != lostOwner {
+			others = append(others, b)
 		}
 	}
 	f.live[lostOwner] = false
 	next := (lostOwner + 1) % 4
 	for i := range 7 {
-		for _, s := range others {
-			f.heartbeat(s, s.target)
+		for _, b := range others {
+			f.heartbeat(b, b.target)
 		}
-		for _, s := range orphans {
-			if i == 0 || s.target == lostOwner {
+		for _, b := range orphans {
+			if i == 0 || b.target == lostOwner {
 				// The heartbeat to the lost owner failed, and the backend turns to the next node.
-				f.heartbeat(s, next)
+				f.heartbeat(b, next)
 			} else {
-				f.heartbeat(s, s.target)
+				f.heartbeat(b, b.target)
 			}
 		}
 		if i == 1 {
 			f.updateNodes() // The nodes notice the loss only now.
 		}
-		for _, s := range all {
-			if i < 4 || s != stopped[0] {
-				f.requirePhase(s.ID, Ready)
+		for _, b := range backends {
+			if i < 4 || b != stopped[0] {
+				f.requirePhase(b.ID, Ready)
 			}
 		}
 		f.advance(heartbeatInterval)
 	}
 	f.requirePhase(stopped[0].ID, Gone) // It stopped together with its owner.
-	for _, s := range orphans {
-		must.NotEq(t, lostOwner, s.target)
-		must.Eq(t, s.target, f.registries[next].entries[s.ID].record.Owner)
+	for _, b := range orphans {
+		must.NotEq(t, lostOwner, b.target)
+		must.Eq(t, b.target, f.registries[next].entries[b.ID].record.Owner)
 	}
 	// The owner restarts with an empty registry. It is sent all records, including departures.
 	f.start(lostOwner)
@@ -424,10 +424,10 @@
 // heartbeats to other nodes.
 func TestIsolatedNodeExpiresOnlyDirectBackends(t *testing.T) {
 	f := newFleet(t, 5, 0)
-	var all []*backend
+	var backends []*backend
 	for i := range 20 {
-		all = append(all, newBackend(i))
-		f.heartbeat(all[i], 1)
+		backends = append(backends, newBackend(i))
+		f.heartbeat(backends[i], 1)
 	}
 	f.advance(100 * ms)
 	for o := range Slot(4) {
@@ -435,13 +435,13 @@
 	}
 	f.updateNodes()
 	for range 10 {
-		for _, s := range all {
-			at := s.target
+		for _, b := range backends {
+			at := b.target
 			if at == 0 {
 				// The zone of the backend no longer reaches node 0.
 				at = 2
 			}
-			f.heartbeat(s, at)
+			f.heartbeat(b, at)
 		}
 		f.advance(heartbeatInterval)
 	}
@@ -449,8 +449,8 @@
 	f.partitioned = map[[2]Slot]bool{}
 	f.updateNodes()
 	f.advance(time.Second)
-	for _, s := range all {
-		f.requirePhase(s.ID, Ready)
+	for _, b := range backends {
+		f.requirePhase(b.ID, Ready)
 	}
 }
 
@@ -458,25 +458,25 @@
 // restart after the stall, and must still expire.
 func TestStallRestartsTimeouts(t *testing.T) {
 	f := newFleet(t, 2, 0)
-	s := newBackend(1)
-	f.heartbeat(s, 0)
-	f.heartbeat(s, s.target)
-	b := f.registries[s.target]
-	b.Tick(f.now + 20*time.Second)
+	b := newBackend(1)
+	f.heartbeat(b, 0)
+	f.heartbeat(b, b.target)
+	registry := f.registries[b.target]
+	registry.Tick(f.now + 20*time.Second)
 	f.deliverAll()
-	f.requirePhase(s.ID, Ready)
+	f.requirePhase(b.ID, Ready)
 	for range 20 {
 		f.now += 200 * ms
-		b.Tick(f.now + 20*time.Second)
+		registry.Tick(f.now + 20*time.Second)
 	}
 	f.deliverAll()
-	f.requirePhase(s.ID, Ready)
+	f.requirePhase(b.ID, Ready)
 	for range 5 {
 		f.now += 200 * ms
-		b.Tick(f.now + 20*time.Second)
+		registry.Tick(f.now + 20*time.Second)
 	}
 	f.deliverAll()
-	f.requirePhase(s.ID, Gone)
+	f.requirePhase(b.ID, Gone)
 }
 
 // TestReusedAddressShowsYoungestBackend checks that requests see only the backend that was first seen most recently at an
@@ -509,13 +509,13 @@
 // of tombstones is limited.
 func TestTombstonesExpireAndAreBounded(t *testing.T) {
 	f := newFleet(t, 2, 0)
-	s := newBackend(1)
-	f.heartbeat(s, 0)
-	f.registries[1].Deregister(s.ID)
+	b := newBackend(1)
+	f.heartbeat(b, 0)
+	f.registries[1].Deregister(b.ID)
 	f.deliverAll()
-	s.Seq = 7
-	f.heartbeat(s, 0)
-	f.requirePhase(s.ID, Gone)
+	b.Seq = 7
+	f.heartbeat(b, 0)
+	f.requirePhase(b.ID, Gone)
 	f.advance(tombstoneTTL + time.Second)
 	must.Eq(t, Status{}, f.registries[0].Status())
 	must.MapEmpty(t, f.registries[0].entries)
@@ -531,34 +531,34 @@
 // the right phases and send no more messages.
 func TestNodesConvergeAfterFaults(t *testing.T) {
 	for seed := range int64(200) {
-		r := rand.New(rand.NewSource(seed))
-		n := 3 + r.Intn(9)
-		f, all, crashed := newFleet(t, n, r.Intn(4)), []*backend{}, map[string]bool{}
+		rng := rand.New(rand.NewSource(seed))
+		n := 3 + rng.Intn(9)
+		f, backends, crashed := newFleet(t, n, rng.Intn(4)), []*backend{}, map[string]bool{}
 		for i := range 12 {
-			all = append(all, newBackend(i))
+			backends = append(backends, newBackend(i))
 		}
 		sendHeartbeats := func() {
-			for _, s := range all {
-				for tries := 0; tries < n && !crashed[s.ID]; tries++ {
-					if f.live[s.target] && f.heartbeat(s, s.target).Confirmed {
+			for _, b := range backends {
+				for tries := 0; tries < n && !crashed[b.ID]; tries++ {
+					if f.live[b.target] && f.heartbeat(b, b.target).Confirmed {
 						break
 					}
-					s.target = Slot(r.Intn(n))
+					b.target = Slot(rng.Intn(n))
 				}
 			}
 		}
-		restart := func(d Slot) {
-			f.start(d)
-			for o, b := range f.registries {
-				if o != d && f.live[o] {
-					b.SyncPeer(d) // The node may have restarted before the others noticed its loss.
+		restart := func(node Slot) {
+			f.start(node)
+			for o, registry := range f.registries {
+				if o != node && f.live[o] {
+					registry.SyncPeer(node) // The node may have restarted before the others noticed its loss.
 				}
 			}
 			f.updateNodes()
 		}
 		for range 25 {
-			x, y, s := Slot(r.Intn(n)), Slot(r.Intn(n)), all[r.Intn(len(all))]
-			switch r.Intn(7) {
+			x, y, b := Slot(rng.Intn(n)), Slot(rng.Intn(n)), backends[rng.Intn(len(backends))]
+			switch rng.Intn(7) {
 			case 0:
 				f.live[x] = false
 			case 1:
@@ -568,24 +568,24 @@
 			case 3:
 				f.partitioned = map[[2]Slot]bool{}
 			case 4:
-				s.Phase = Draining
+				b.Phase = Draining
 			case 5:
-				crashed[s.ID] = true
+				crashed[b.ID] = true
 			case 6:
-				f.registries[x].ReportAddressConflict(s.ID)
+				f.registries[x].ReportAddressConflict(b.ID)
 			}
 			for range 2 { // Faults are noticed before the next heartbeats, after them, or not at all.
-				if r.Intn(2) == 0 {
+				if rng.Intn(2) == 0 {
 					f.updateNodes()
 				}
 				sendHeartbeats()
-				f.advance(time.Duration(r.Intn(1000)) * ms)
+				f.advance(time.Duration(rng.Intn(1000)) * ms)
 			}
 		}
 		f.partitioned = map[[2]Slot]bool{}
-		for d := range Slot(n) {
-			if !f.live[d] {
-				restart(d)
+		for node := range Slot(n) {
+			if !f.live[node] {
+				restart(node)
 			}
 		}
 		f.updateNodes()
@@ -596,12 +596,12 @@
 			sendHeartbeats()
 			f.advance(heartbeatInterval)
 		}
-		for _, s := range all {
-			want := s.Phase
-			if crashed[s.ID] {
+		for _, b := range backends {
+			want := b.Phase
+			if crashed[b.ID] {
 				want = Gone
 			}
-			f.requirePhase(s.ID, want)
+			f.requirePhase(b.ID, want)
 		}
 		must.Eq(t, 0, f.messages, must.Sprint("messages sent without changes, seed ", seed))
 	}
@@ -623,9 +623,9 @@
 		}
 		f.messages = 0
 		for i := range 60 {
-			s := newBackend(i)
-			s.Seq, s.Phase = 9, Draining
-			must.True(t, f.heartbeat(s, Slot(i%n)).Confirmed, must.Sprint("a departure that the nodes with a disk have is not confirmed at once"))
+			b := newBackend(i)
+			b.Seq, b.Phase = 9, Draining
+			must.True(t, f.heartbeat(b, Slot(i%n)).Confirmed, must.Sprint("a departure that the nodes with a disk have is not confirmed at once"))
 		}
 		// Each node receives an update and acknowledges it.
 		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes"))
@@ -649,9 +649,9 @@
 func TestRestoredBackendsAreWatchedForTimeouts(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	alive, stopped := newBackend(1), newBackend(2)
-	for _, s := range []*backend{alive, stopped} {
-		f.heartbeat(s, 0)
-		f.heartbeat(s, s.target)
+	for _, b := range []*backend{alive, stopped} {
+		f.heartbeat(b, 0)
+		f.heartbeat(b, b.target)
 	}
 	f.advance(time.Second)
 	stored := f.registries[0].Backends()
@@ -685,10 +685,10 @@
 func TestFollowersReportMissingBackends(t *testing.T) {
 	f := newFleet(t, 4, 1)
 	alive, stopped := newBackend(1), newBackend(2)
-	for _, s := range []*backend{alive, stopped} {
-		f.heartbeat(s, 3)
-		must.Eq(t, Slot(0), s.target) // Nodes with a disk own backends.
-		f.heartbeat(s, 0)
+	for _, b := range []*backend{alive, stopped} {
+		f.heartbeat(b, 3)
+		must.Eq(t, Slot(0), b.target) // Nodes with a disk own backends.
+		f.heartbeat(b, 0)
 	}
 	f.advance(time.Second)
 	f.start(0)
@@ -715,19 +715,19 @@
 	for _, trustUnconfirmed := range safeguardDisabledCases {
 		f := newFleet(t, 2, 2)
 		knobs := knobsTrustingPeers(trustUnconfirmed)
-		for _, r := range f.registries {
-			r.config.TestingKnobs = knobs
+		for _, registry := range f.registries {
+			registry.config.TestingKnobs = knobs
 		}
-		s := &backend{Record: Record{ID: "b", Service: "s", Addr: "10.0.0.1:80"}}
-		f.heartbeat(s, 0)
-		late := s.Record
-		late.Phase, late.Draining, late.Seq, late.Owner, late.LostOwner = Draining, true, s.Seq+1, NoSlot, NoSlot
+		b := &backend{Record: Record{ID: "b", Service: "s", Addr: "10.0.0.1:80"}}
+		f.heartbeat(b, 0)
+		late := b.Record
+		late.Phase, late.Draining, late.Seq, late.Owner, late.LostOwner = Draining, true, b.Seq+1, NoSlot, NoSlot
 		// The link to the new incarnation is up. A message of the former incarnation has not been read yet.
 		f.registries[0].SyncPeer(1)
 		sent := f.takeMessages(0)
 		f.registries[0].Receive(1, Message{Seq: 7, Updates: []Record{late}})
-		s.Phase, s.Seq = Draining, s.Seq+1
-		ticket := f.registries[0].Heartbeat(s.Record)
+		b.Phase, b.Seq = Draining, b.Seq+1
+		ticket := f.registries[0].Heartbeat(b.Record)
 		sent = append(sent, f.takeMessages(0)...)
 		_, early := f.acks[0][ticket]
 		must.Eq(t, trustUnconfirmed, early)
--- a/internal/gateway/registry/wire.go
+++ b/internal/gateway/registry/wire.go
@@ -6,7 +6,7 @@
 // and other program versions read these forms. A field therefore keeps its name here, whatever its name in the code is. A
 // decoder ignores a field that it does not know, and sets a field that was not sent to zero.
 
-// WireRecord is the form of a Record that gob sends and stores. Comments name the corresponding fields of Record.
+// WireRecord is the form of a Record that gob sends and stores. A comment names the field of Record if its name differs.
 type WireRecord struct {
 	ID         string
 	Service    string
@@ -26,7 +26,7 @@
 	Missed  Slot   // LostOwner
 }
 
-// WireMessage is the form of a Message that gob sends. Comments name the corresponding fields of Message.
+// WireMessage is the form of a Message that gob sends. A comment names the field of Message if its name differs.
 type WireMessage struct {
 	Nr     uint64       // Seq
 	Words  []WireRecord // Updates
