--- a/internal/gateway/registry/doc.go
+++ b/internal/gateway/registry/doc.go
@@ -47,11 +47,11 @@
 //     knew. A later heartbeat therefore revives the backend at all nodes. The token ensures that a former owner that
 //     missed the change cannot time out a backend that its successor watches.
 //   - When an owner is lost, its backends stay as they are for 2.5 heartbeat intervals. Then the next node in hashing
-//     order takes over with the next token, if it reaches a majority of the nodes. A node on the minority side of a
-//     partition takes over nothing, and times out only backends that call it directly. If the former owner is alive
-//     and still receives the backend's heartbeats, it takes the backend back. The node that had taken over then leaves
-//     the backend alone for takeoverHoldoffHeartbeats intervals, so that two nodes do not take it from each other
-//     forever.
+//     order takes over with the next token, if it reaches a majority of the nodes. A node that reaches no majority,
+//     because it is on the smaller side of a partition, takes over nothing and times out only backends that call it
+//     directly. If the former owner is alive and still receives the backend's heartbeats, it takes the backend back.
+//     The node that had taken over then leaves the backend alone for takeoverHoldoffHeartbeats intervals, so that two
+//     nodes do not take it from each other forever.
 //   - A step of the clock above one second means that this process was stalled and could read no heartbeats. All
 //     time-outs then restart.
 //   - Tables are bounded to maxBackends entries, of which at most maxTombstones are gone. A tombstone is kept for at
--- a/internal/gateway/registry/entry.go
+++ b/internal/gateway/registry/entry.go
@@ -34,7 +34,7 @@
 	// Time at which this node learned of the owner. It is also set when the owner is sent a suspicion, or the next owner is
 	// sent the record.
 	ownerSince time.Duration
-	syncedAt   time.Duration // last update from the sync source
+	syncedAt   time.Duration // when the sync source last sent an update of it
 	// Time of the last heartbeat that this node received, from the backend or relayed.
 	lastHeartbeatAt time.Duration
 	// True if the newest known heartbeat came from the backend itself.
--- a/internal/gateway/registry/ownership.go
+++ b/internal/gateway/registry/ownership.go
@@ -40,7 +40,7 @@
 	return best
 }
 
-// mix64 mixes the bits of x so that each one affects the whole result. It is the finalizer of splitmix64.
+// mix64 mixes the bits of x so that each bit affects the whole result. It is the finalizer of splitmix64.
 func mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -108,7 +108,7 @@
 }
 
 // Heartbeat processes a backend's call that reports its phase, Ready or Draining. The host answers the call when Next
-// returns the Acknowledge with the returned ticket.
+// returns an Acknowledge with the ticket that Heartbeat returned.
 func (r *Registry) Heartbeat(record Record) Ticket {
 	r.lastTicket++
 	e := r.entryFor(record.ID)
@@ -126,8 +126,8 @@
 	return r.lastTicket
 }
 
-// Deregister processes a backend's last call. The host answers the call when Next returns the Acknowledge with the
-// returned ticket.
+// Deregister processes a backend's last call. The host answers the call when Next returns an Acknowledge with the ticket
+// that Deregister returned.
 func (r *Registry) Deregister(id string) Ticket {
 	r.lastTicket++
 	e := r.entryFor(id)
