--- a/cmd/clovergap/serve.go
+++ b/cmd/clovergap/serve.go
@@ -317,7 +317,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	f.engine.Turn(func() {
-		f.log.Info(title, zap.Uint64("allocations", m.Mallocs), zap.String("counters", f.engine.Count.Text()), zap.Uint64("must holds broken", invariant.Broken()),
+		f.log.Info(title, zap.Uint64("allocations", m.Mallocs), zap.String("counters", f.engine.Count.Text()), zap.Uint64("must holds broken", invariant.Violations()),
 			zap.Int("txns held", f.gate.InFlight()), zap.Int("clients", f.intake.Clients()),
 			zap.Int("connections", f.engine.Open()), zap.Int("backends", f.dispatch.Backends()))
 	})
--- a/cmd/lab/simulate.go
+++ b/cmd/lab/simulate.go
@@ -137,7 +137,7 @@
 		"all served again %.1f s after the faults at the latest\n", float64(s.counts.Requested)/n,
 		100*float64(s.counts.Served)/float64(max(1, s.counts.Requested)), 100*float64(s.counts.InTime)/float64(max(1, s.counts.Requested)),
 		float64(s.counts.Rejected)/n, float64(s.counts.Aborted)/n, float64(s.counts.Failed)/n, float64(s.taken)/n, s.slowest.Seconds())
-	if n := invariant.Broken(); n > 0 {
+	if n := invariant.Violations(); n > 0 {
 		fmt.Printf("%d must holds did not hold\n", n)
 	}
 	if s.broken > 0 {
--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -229,7 +229,7 @@
 // wake asks to be woken for the next sweep or timer, unless that was asked before.
 func (c *Controller) wake() (control.Decision, bool) {
 	next := c.sweptAt + c.sweepInterval()
-	if at, ok := c.timers.Next(); ok {
+	if at, ok := c.timers.NextDeadline(); ok {
 		next = min(next, at)
 	}
 	next = max(next, c.now+minWake)
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -95,8 +95,8 @@
 // NewLimiter starts the part of gateway self of so many. The seed makes its epoch: no two runs may have the same. Limits are set by
 // SetLimit, and each customer's set is all gateways.
 func NewLimiter(seed int64, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
-	invariant.That(self >= 0 && int(self) < gateways, "a gateway is one of those there are")
-	invariant.That(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0, "a quota is configured")
+	invariant.Assert(self >= 0 && int(self) < gateways, "a gateway is one of those there are")
+	invariant.Assert(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0, "a quota is configured")
 	l := newLimiter(rand.New(rand.NewSource(seed)).Uint32()|1, self, gateways, now, config)
 	l.plans.PeersEnabled, l.sweptAt = true, now
 	return l
@@ -135,7 +135,7 @@
 // SetLimit sets a customer's rate, in units a second, and burst, in units. A lower burst cuts the level at once, a higher one fills at
 // the rate. A rate of 0 or below ends the metering of this customer. Numbers of customers go up to 1<<34.
 func (l *Limiter) SetLimit(c control.CustomerID, rate, burst float64) {
-	invariant.That(l.plans.PlanLimit == nil && c <= 1<<34, "a limit is of a customer that messages can name")
+	invariant.Assert(l.plans.PlanLimit == nil && c <= 1<<34, "a limit is of a customer that messages can name")
 	a := l.accounts[c]
 	switch {
 	case rate <= 0:
@@ -204,7 +204,7 @@
 // little for a moment. Grants of the old owner are void. Only an old owner that is partitioned off goes on beside the new one, so gateways are to be added
 // while all are in touch.
 func (l *Limiter) Grow(self control.GatewayID, gateways int) {
-	invariant.That(gateways >= l.gateways && int(self) < gateways, "gateways get more")
+	invariant.Assert(gateways >= l.gateways && int(self) < gateways, "gateways get more")
 	before := l.self
 	if self == before && gateways == l.gateways {
 		return
--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -214,7 +214,7 @@
 // wake asks to be woken for the next timer or work, unless that was asked before.
 func (c *Controller) wake() (control.Decision, bool) {
 	next := min(c.workedAt+c.workInterval(), max(c.limiter.NextDeadline(), c.now+minDatagramInterval))
-	if at, ok := c.timers.Next(); ok {
+	if at, ok := c.timers.NextDeadline(); ok {
 		next = min(next, at)
 	}
 	next = max(next, c.now+minWake)
--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -85,7 +85,7 @@
 // run plays until a time.
 func (s *simulated) run(until time.Duration) {
 	for {
-		at, _ := s.events.Next()
+		at, _ := s.events.NextDeadline()
 		if at > until {
 			return
 		}
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -172,7 +172,7 @@
 	}
 	allowed := !t.ended && !t.inFlight && t.mayRunAgain() && t.attempts < t.route.MaxAttempts &&
 		!slices.Contains(t.attempted, to) && t.mayUseVersion()
-	invariant.That(allowed, "what is sent may be sent")
+	invariant.Assert(allowed, "what is sent may be sent")
 	if !allowed || !c.mayAnswerInTime(t) {
 		c.finish(t, control.ReasonNoTime, c.retryAfter(s))
 		return
@@ -250,7 +250,7 @@
 func (c *Controller) recordOutcome(t *txn, e control.Ending, took time.Duration) {
 	if t.clientLeft && !t.route.Effectful && c.now-t.clientLeftAt > maxRunOn {
 		c.counts.ranOn++
-		invariant.That(false, "nothing that may be repeated runs on for a client that has left")
+		invariant.Assert(false, "nothing that may be repeated runs on for a client that has left")
 	}
 	if e == control.Canceled && c.now >= t.deadline {
 		e = control.TimedOut
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -10,7 +10,7 @@
 // Sent counts a request that was sent to a backend.
 func (b *Balancer) Sent(now time.Duration, id control.BackendID, r Request) {
 	backend := b.known[id]
-	invariant.That(backend != nil && backend.State == control.Ready, "only a ready backend gets a request")
+	invariant.Assert(backend != nil && backend.State == control.Ready, "only a ready backend gets a request")
 	if backend == nil {
 		return
 	}
@@ -47,7 +47,7 @@
 // Ended takes the one end of a request that was sent.
 func (b *Balancer) Ended(now time.Duration, id control.BackendID, o Outcome) {
 	backend := b.known[id]
-	invariant.That(backend != nil && backend.inFlight > 0, "what ends at a backend was sent there")
+	invariant.Assert(backend != nil && backend.inFlight > 0, "what ends at a backend was sent there")
 	if backend == nil || backend.inFlight == 0 {
 		return
 	}
--- a/internal/gateway/logentry/codec.go
+++ b/internal/gateway/logentry/codec.go
@@ -15,7 +15,7 @@
 func Encode(v any) []byte {
 	var b bytes.Buffer
 	err := gob.NewEncoder(&b).Encode(v)
-	invariant.That(err == nil, "an entry can be encoded")
+	invariant.Assert(err == nil, "an entry can be encoded")
 	return b.Bytes()
 }
 
--- a/internal/gateway/logentry/dedupwindow.go
+++ b/internal/gateway/logentry/dedupwindow.go
@@ -70,7 +70,7 @@
 
 // Add records that a request was applied, under a number above all before it.
 func (d *DedupWindow) Add(number uint64, digest Digest) {
-	invariant.That(number > d.newest(), "numbers of applied requests rise")
+	invariant.Assert(number > d.newest(), "numbers of applied requests rise")
 	d.bytes += encodedSize(number - d.newest())
 	d.requests = append(d.requests, request{number, digest})
 	d.digests[digest] = struct{}{}
@@ -128,6 +128,6 @@
 // SetHorizon makes a new window one that may have forgotten all requests up to a number: its state comes from a version that had
 // no window.
 func (d *DedupWindow) SetHorizon(number uint64) {
-	invariant.That(len(d.requests) == 0 && d.horizon == 0, "only a new window is given a horizon")
+	invariant.Assert(len(d.requests) == 0 && d.horizon == 0, "only a new window is given a horizon")
 	d.horizon = number
 }
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -209,7 +209,7 @@
 	default:
 		applied := c.lastApplied
 		if applied.index != o.Index || !bytes.Equal(applied.entry, p.entry) {
-			invariant.That(false, "a proposal ends by its own entry")
+			invariant.Assert(false, "a proposal ends by its own entry")
 			applied = appliedChange{outcome: routing.Ambiguous}
 		}
 		p.done(responseOf(applied.outcome, applied.err))
--- a/internal/gateway/node/group_replica.go
+++ b/internal/gateway/node/group_replica.go
@@ -112,7 +112,7 @@
 	switch o.Status {
 	case replication.OutcomeCommitted:
 		if g.lastApplied.index != o.Index || !bytes.Equal(g.lastApplied.entry, entry) {
-			invariant.That(false, "a proposal ends by its own entry")
+			invariant.Assert(false, "a proposal ends by its own entry")
 			return groups.Ambiguous, nil
 		}
 		return groups.Applied, g.lastApplied.result
--- a/internal/gateway/node/rollout_calls.go
+++ b/internal/gateway/node/rollout_calls.go
@@ -87,7 +87,7 @@
 // marshalAnswer is an answer in JSON.
 func marshalAnswer(v any) []byte {
 	b, err := json.Marshal(v)
-	invariant.That(err == nil, "an answer can be worded")
+	invariant.Assert(err == nil, "an answer can be worded")
 	return b
 }
 
--- a/internal/gateway/outlier/access.go
+++ b/internal/gateway/outlier/access.go
@@ -51,7 +51,7 @@
 		return a.compare(b.Key)
 	})
 	shortfall := max(0, n.state.Settings().minInService(len(svc.backends))-(len(svc.backends)-len(ejected)))
-	invariant.That(shortfall <= len(ejected), "a floor is not above all")
+	invariant.Assert(shortfall <= len(ejected), "a floor is not above all")
 	kept := map[InstanceID]bool{}
 	for _, ejection := range ejected[:shortfall] {
 		kept[ejection.ID] = true
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -93,7 +93,7 @@
 	case SetSettings:
 		s.snapshot.Settings, s.SettingsRevision = *e.Settings, s.Revision
 		err := s.snapshot.Settings.Normalize()
-		invariant.That(err == nil, "settings that were taken are sound")
+		invariant.Assert(err == nil, "settings that were taken are sound")
 	case Forget:
 		s.snapshot.Ejections = slices.DeleteFunc(s.snapshot.Ejections, func(ejection Ejection) bool { return slices.Contains(e.GoneInstances, ejection.ID) })
 	case Eject:
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -60,7 +60,7 @@
 // New makes an empty registry of the node with a slot; heartbeats and other nodes fill it. Until SetNodes is called, no departure
 // is confirmed.
 func New(slot Slot, config Config, now time.Duration) *Registry {
-	invariant.That(slot >= 0, "a registry has a slot")
+	invariant.Assert(slot >= 0, "a registry has a slot")
 	return &Registry{localSlot: slot, config: config, now: now, timeoutFloor: now, nextScanAt: now + scanInterval, wakeAt: never,
 		syncSource: NoSlot, reportMissingAt: never, entries: map[string]*entry{}, byAddr: map[string][]*entry{}, peers: map[Slot]*peer{}}
 }
--- a/internal/gateway/replication/bootstrap.go
+++ b/internal/gateway/replication/bootstrap.go
@@ -136,7 +136,7 @@
 
 // reset makes the replica as that of an empty disk. The next write does the same to the disk.
 func (r *Replica) reset() {
-	invariant.That(len(r.log.entries) == 0 && r.role != roleLeader, "only a bootstrap is discarded")
+	invariant.Assert(len(r.log.entries) == 0 && r.role != roleLeader, "only a bootstrap is discarded")
 	r.clusterID, r.term, r.votedFor, r.maxSeenTerm, r.bootstrapSynced = 0, 0, 0, 0, false
 	r.log.snapshot, r.memberConfigs, r.commitIndex = Snapshot{}, []memberConfig{{}}, 0
 	r.invalidateSynced(0)
--- a/internal/gateway/replication/durability.go
+++ b/internal/gateway/replication/durability.go
@@ -51,7 +51,7 @@
 
 // Synced reports that the write of this Seq and all before it are on disk.
 func (r *Replica) Synced(seq uint64) {
-	invariant.That(seq < r.nextWriteSeq, "only writes that were handed out are synced")
+	invariant.Assert(seq < r.nextWriteSeq, "only writes that were handed out are synced")
 	r.syncedWriteSeq = max(r.syncedWriteSeq, seq)
 	for len(r.unsyncedWrites) > 0 && r.unsyncedWrites[0].seq <= seq {
 		r.syncedIndex = max(r.syncedIndex, r.unsyncedWrites[0].lastIndex)
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -43,7 +43,7 @@
 
 // enterTerm goes on to a newer term, or in the present one to another leader than the candidate that this member voted for.
 func (r *Replica) enterTerm(term uint64, votedFor MemberID) {
-	invariant.That(term >= r.term, "terms never go back")
+	invariant.Assert(term >= r.term, "terms never go back")
 	if r.role == roleLeader {
 		r.stepDown()
 	}
--- a/internal/gateway/replication/follower.go
+++ b/internal/gateway/replication/follower.go
@@ -13,7 +13,7 @@
 	if m.Term > r.term || r.votedFor != from && !r.mutated(acceptStaleTerm) {
 		r.enterTerm(m.Term, from)
 	}
-	invariant.That(r.role != roleLeader, "a term has one leader")
+	invariant.Assert(r.role != roleLeader, "a term has one leader")
 	r.role, r.leaderID, r.leaderContactAt = roleFollower, from, r.now
 	r.sawLeader, r.failedElections = true, 0
 	r.readSeq = max(r.readSeq, m.Seq)
--- a/internal/gateway/replication/leader.go
+++ b/internal/gateway/replication/leader.go
@@ -225,7 +225,7 @@
 	if peer.transfer.active() && m.Index >= peer.transfer.sender.Blob.Index() {
 		peer.transfer = transfer{}
 	}
-	invariant.That(m.Index <= r.log.lastIndex(), "no member matches more than the leader has")
+	invariant.Assert(m.Index <= r.log.lastIndex(), "no member matches more than the leader has")
 	progressed := m.Index > peer.matchIndex
 	peer.matchIndex = max(peer.matchIndex, m.Index)
 	peer.nextIndex = max(peer.nextIndex, peer.matchIndex+1)
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -76,7 +76,7 @@
 }
 
 func (e *entryLog) append(entry Entry) {
-	invariant.That(entry.Index == e.lastIndex()+1, "the log has no gaps")
+	invariant.Assert(entry.Index == e.lastIndex()+1, "the log has no gaps")
 	e.entries = append(e.entries, entry)
 }
 
@@ -117,7 +117,7 @@
 
 // truncateFrom removes all entries from an index on, and the member lists among them.
 func (r *Replica) truncateFrom(index uint64) {
-	invariant.That(index > r.commitIndex, "committed entries are never removed")
+	invariant.Assert(index > r.commitIndex, "committed entries are never removed")
 	r.log.truncateFrom(index)
 	for r.latestConfig().index >= index {
 		r.memberConfigs = r.memberConfigs[:len(r.memberConfigs)-1]
@@ -131,7 +131,7 @@
 func (r *Replica) appendAfter(prevIndex uint64, entries []Entry) {
 	for i, e := range entries {
 		consecutive := e.Index == prevIndex+1+uint64(i)
-		invariant.That(consecutive, "entries in a message are consecutive")
+		invariant.Assert(consecutive, "entries in a message are consecutive")
 		if !consecutive {
 			return
 		}
@@ -154,7 +154,7 @@
 
 // commitTo hands over all entries up to an index, and ends the proposals among them.
 func (r *Replica) commitTo(index uint64) {
-	invariant.That(index <= r.log.lastIndex(), "only entries in the log are committed")
+	invariant.Assert(index <= r.log.lastIndex(), "only entries in the log are committed")
 	for r.commitIndex < min(index, r.log.lastIndex()) {
 		r.commitIndex++
 		e := *r.log.at(r.commitIndex)
@@ -173,7 +173,7 @@
 
 // Compact replaces the log up to a committed index by the host's state at that index.
 func (r *Replica) Compact(index uint64, state []byte) {
-	invariant.That(index <= r.commitIndex, "only committed entries are compacted")
+	invariant.Assert(index <= r.commitIndex, "only committed entries are compacted")
 	if index <= r.log.snapshot.Index || index > r.commitIndex {
 		return
 	}
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -103,7 +103,7 @@
 // New returns a replica that continues from what a disk has. Times are the host's, counted from any start; the seed decides
 // random delays.
 func New(self Member, state PersistentState, config Config, seed int64, now time.Duration) *Replica {
-	invariant.That(self.ID != 0 && self.ID == state.ID, "a disk keeps its member ID")
+	invariant.Assert(self.ID != 0 && self.ID == state.ID, "a disk keeps its member ID")
 	r := &Replica{
 		self:             self,
 		config:           config,
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -133,7 +133,7 @@
 	s.Last++
 	r := Run{Number: s.Last, Spec: *e.Spec, Capacity: e.Capacity, Phase: Running, Step: 1}
 	err := r.Spec.Normalize()
-	invariant.That(err == nil, "an order that was taken is sound")
+	invariant.Assert(err == nil, "an order that was taken is sound")
 	i, exists := s.find(e.Service)
 	if !exists {
 		s.runs = slices.Insert(s.runs, i, r)
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -86,7 +86,7 @@
 	if d.result != Accepted {
 		return d.result, d.err
 	}
-	invariant.That(d.config.Generation > r.version, "versions of the configuration go up")
+	invariant.Assert(d.config.Generation > r.version, "versions of the configuration go up")
 	r.version, r.body, r.config = d.config.Generation, d.body, d.config
 	r.accepted.Add(r.version, digest)
 	r.decided = nil
@@ -124,7 +124,7 @@
 		if complete, config, err = r.amended(body); err != nil {
 			return decision{result: Invalid, err: err}
 		}
-		invariant.That(config.Generation == c.generation, "what results has the change's generation")
+		invariant.Assert(config.Generation == c.generation, "what results has the change's generation")
 	}
 	if err = validate(config); err != nil {
 		return decision{result: Invalid, err: err, final: k == Replace}
--- a/internal/gateway/routing/table.go
+++ b/internal/gateway/routing/table.go
@@ -195,7 +195,7 @@
 		r.Targets = []Target{{c.Target, 1}}
 	}
 	key, err := json.Marshal(r) // it has no key yet
-	invariant.That(err == nil, "a route has a key")
+	invariant.Assert(err == nil, "a route has a key")
 	r.Key = RouteKey(key)
 	return r
 }
--- a/internal/gateway/transport/invariants.go
+++ b/internal/gateway/transport/invariants.go
@@ -17,6 +17,6 @@
 			continue
 		}
 		l.endedChecks++
-		invariant.That(l.endedChecks != maxEndedChecks, "a link that is up goes over a connection that has not ended")
+		invariant.Assert(l.endedChecks != maxEndedChecks, "a link that is up goes over a connection that has not ended")
 	}
 }
--- a/internal/gateway/transport/mesh_test.go
+++ b/internal/gateway/transport/mesh_test.go
@@ -294,9 +294,9 @@
 	a, b := startOfferedPair(t, 51)
 	check := func() (broken bool) {
 		defer func() { broken = recover() != nil || broken }()
-		before := invariant.Broken()
+		before := invariant.Violations()
 		b.Check()
-		return invariant.Broken() > before
+		return invariant.Violations() > before
 	}
 	for range 3 * maxEndedChecks {
 		must.False(t, check())
--- a/internal/invariant/check.go
+++ b/internal/invariant/check.go
@@ -5,13 +5,13 @@
 
 var broken atomic.Uint64
 
-// That asserts what must hold.
-func That(holds bool, what string) {
+// Assert records a violation if holds is false.
+func Assert(holds bool, what string) {
 	if !holds {
 		broken.Add(1)
 		fail(what)
 	}
 }
 
-// Broken counts what did not hold.
-func Broken() uint64 { return broken.Load() }
+// Violations returns the number of failed assertions.
+func Violations() uint64 { return broken.Load() }
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -101,7 +101,7 @@
 func (w *world) run() {
 	last := w.end + w.longest() + tail
 	for {
-		at, _ := w.timers.Next()
+		at, _ := w.timers.NextDeadline()
 		do, ok := w.timers.Take(last)
 		if !ok {
 			break
--- a/internal/lab/leasecheck/fleet.go
+++ b/internal/lab/leasecheck/fleet.go
@@ -113,7 +113,7 @@
 	for i := range s.Faults {
 		w.at(s.Faults[i].At.D(), func() { w.applyFault(&s.Faults[i], s.Zones.Names) })
 	}
-	for at, ok := w.timers.Next(); ok && at <= f.Duration; at, ok = w.timers.Next() {
+	for at, ok := w.timers.NextDeadline(); ok && at <= f.Duration; at, ok = w.timers.NextDeadline() {
 		do, _ := w.timers.Take(at)
 		w.now = at
 		do()
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -214,7 +214,7 @@
 // until plays up to a time, or until something is so.
 func (w *world) until(t time.Duration, is func() bool) bool {
 	for {
-		at, ok := w.timers.Next()
+		at, ok := w.timers.NextDeadline()
 		if !ok || at > t {
 			w.now = t
 			return is != nil && is()
--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -120,13 +120,13 @@
 	for {
 		r.mu.Lock()
 		now, wait := time.Since(r.born), time.Hour
-		for at, ok := r.pending.Next(); ok && at <= now; at, ok = r.pending.Next() {
+		for at, ok := r.pending.NextDeadline(); ok && at <= now; at, ok = r.pending.NextDeadline() {
 			c, _ := r.pending.Take(now)
 			r.late = max(r.late, now-at)
 			r.moved++
 			r.socks[c.Target][c.Source].WriteToUDPAddrPort(c.Payload, r.targets[c.Target]) // does not block
 		}
-		if at, ok := r.pending.Next(); ok {
+		if at, ok := r.pending.NextDeadline(); ok {
 			wait = at - now
 		}
 		r.mu.Unlock()
--- a/internal/proxy/eventloop/engine.go
+++ b/internal/proxy/eventloop/engine.go
@@ -153,7 +153,7 @@
 func (e *Engine) turn(polled bool, f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	invariant.That(!e.inTurn, "one owner at a time")
+	invariant.Assert(!e.inTurn, "one owner at a time")
 	e.inTurn, e.polled = true, polled
 	e.Count.Add(counters.Turns)
 	e.tick()
@@ -166,7 +166,7 @@
 // tick advances the clock. An alarm that is long overdue shows a stall: this process was paused or got no CPU.
 func (e *Engine) tick() {
 	e.now = max(e.now, clockStart+time.Since(e.started))
-	if at, ok := e.alarms.Next(); ok && e.now-at > minStall {
+	if at, ok := e.alarms.NextDeadline(); ok && e.now-at > minStall {
 		e.stallLength, e.stallEnd = e.now-at, e.now
 	}
 }
@@ -220,7 +220,7 @@
 		if !ok {
 			return
 		}
-		at, _ := e.alarms.Next()
+		at, _ := e.alarms.NextDeadline()
 		if at > e.now && !a.target.Live(a.ref) {
 			e.alarms.Take(at)
 			continue
--- a/internal/proxy/eventloop/link.go
+++ b/internal/proxy/eventloop/link.go
@@ -373,7 +373,7 @@
 func (e *Engine) pollerClosed(c *nbio.Conn, _ error) {
 	go e.Turn(func() { // in another goroutine: the poller recovers from panics here
 		e.open--
-		invariant.That(e.open >= 0, "no more connections close than were opened")
+		invariant.Assert(e.open >= 0, "no more connections close than were opened")
 		l, _ := c.Session().(*Link)
 		if l == nil {
 			return
--- a/internal/proxy/eventloop/watch.go
+++ b/internal/proxy/eventloop/watch.go
@@ -80,5 +80,5 @@
 func (e *Engine) setTimer(in time.Duration) {
 	spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(max(in, 1)))}
 	err := unix.TimerfdSettime(e.timer, 0, &spec, nil)
-	invariant.That(err == nil, "the timer can be set")
+	invariant.Assert(err == nil, "the timer can be set")
 }
--- a/internal/proxy/gate/gate.go
+++ b/internal/proxy/gate/gate.go
@@ -222,7 +222,7 @@
 // Ended takes the one outcome of an attempt.
 func (g *Gate) Ended(ref slots.Ref, attempt int, at control.BackendID, o Outcome) {
 	t := g.txns.Get(ref)
-	invariant.That(t != nil && t.submitted && t.attempts == attempt+1, "a submission ends once, while its txn is held")
+	invariant.Assert(t != nil && t.submitted && t.attempts == attempt+1, "a submission ends once, while its txn is held")
 	if t == nil || !t.submitted || t.attempts != attempt+1 {
 		return
 	}
@@ -357,7 +357,7 @@
 // submit sends an attempt of a txn to a backend.
 func (g *Gate) submit(ref slots.Ref, d control.Decision) {
 	t := g.txns.Get(ref)
-	invariant.That(t != nil && !t.submitted && !t.answered, "a submission goes out alone, for a txn that waits")
+	invariant.Assert(t != nil && !t.submitted && !t.answered, "a submission goes out alone, for a txn that waits")
 	if t == nil || t.submitted || t.answered {
 		return
 	}
@@ -365,7 +365,7 @@
 	t.attempts, t.submitted, t.streams = t.attempts+1, true, t.message(ref).Flows()
 	// The last check before the socket, whatever the module decided: what may run at most once and may have run is not sent again.
 	again := t.mayHaveRun && t.message(ref).Once() && !allowSecondRun
-	invariant.That(!again, "what may run once is not sent after it may have run")
+	invariant.Assert(!again, "what may run once is not sent after it may have run")
 	if again {
 		g.Ended(ref, attempt, d.Backend, Outcome{Ending: control.NotSent})
 		return
@@ -386,14 +386,14 @@
 // giveUp answers a txn that no backend's answer ends, as the decision says: rejected or failed.
 func (g *Gate) giveUp(ref slots.Ref, d control.Decision) {
 	t := g.txns.Get(ref)
-	invariant.That(t != nil && !t.answered, "a txn is answered once")
+	invariant.Assert(t != nil && !t.answered, "a txn is answered once")
 	if t == nil || t.answered {
 		return
 	}
 	t.answered = true
 	rejected := d.Action == control.Reject
 	if rejected && (t.mayHaveRun || t.submitted) && t.message(ref).Once() && !allowSecondRun {
-		invariant.That(false, "what is refused has not run, and nothing of it is out")
+		invariant.Assert(false, "what is refused has not run, and nothing of it is out")
 		rejected = false
 	}
 	switch {
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -96,7 +96,7 @@
 // carry writes an attempt's request.
 func (c *conn) carry(ref slots.Ref, s *submission) {
 	c.sub, s.conn = ref, c
-	invariant.That(s.backend.ready, "nothing is sent to one that drains or is gone")
+	invariant.Assert(s.backend.ready, "nothing is sent to one that drains or is gone")
 	left := s.deadline - c.dispatch.engine.Now()
 	c.dispatch.scratch = s.message.AppendTo(c.dispatch.scratch[:0], c.backend.id, left)
 	if len(c.dispatch.scratch) == 0 || left <= 0 { // the client has left, or the deadline has passed, before anything was written
@@ -136,7 +136,7 @@
 
 // drop forgets the connection; its slot may be reused by the next dial.
 func (c *conn) drop() {
-	invariant.That(c.dispatch.conns.Get(c.ref) == c, "a connection is dropped once")
+	invariant.Assert(c.dispatch.conns.Get(c.ref) == c, "a connection is dropped once")
 	for i, o := range c.backend.idle {
 		if o == c {
 			c.backend.idle = append(c.backend.idle[:i], c.backend.idle[i+1:]...)
--- a/internal/proxy/upstream/transmission.go
+++ b/internal/proxy/upstream/transmission.go
@@ -32,7 +32,7 @@
 	f := &s.transmission
 	first := f.conn == 0 && c.link.Unwritten() == 0
 	may := s.conn == c && (first || f.conn == c.ref) && !f.complete
-	invariant.That(may, "an attempt passes once, on the connection that carries it")
+	invariant.Assert(may, "an attempt passes once, on the connection that carries it")
 	if !may {
 		return false
 	}
@@ -50,7 +50,7 @@
 	if f.conn == 0 || disabledChecks.passed {
 		return false
 	}
-	invariant.That(f.link.IsClosed(), "nobody asks what ran while the poller may write")
+	invariant.Assert(f.link.IsClosed(), "nobody asks what ran while the poller may write")
 	written := f.link.Written() - f.writtenBefore
 	return !f.link.IsClosed() || wary && !disabledChecks.first && written > 0 || f.complete && written >= int64(f.sent)
 }
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Next gives the earliest deadline; false: the queue is empty.
-func (q *Queue[T]) Next() (time.Duration, bool) {
+// NextDeadline returns the earliest deadline, or false if the queue is empty.
+func (q *Queue[T]) NextDeadline() (time.Duration, bool) {
 	if len(q.items) == 0 {
 		return 0, false
 	}
--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -17,7 +17,7 @@
 	}
 	last, lastAt, n := -1, time.Duration(-1), 0
 	for {
-		at, _ := q.Next()
+		at, _ := q.NextDeadline()
 		what, ok := q.Take(100)
 		if !ok {
 			break
