--- a/internal/gateway/groups/groups_test.go
+++ b/internal/gateway/groups/groups_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Which group a name is in is part of what is on disk: these stand as they are.
+// Checks the assignment of names to groups. Stored data depends on it, so the expected groups must never change.
 func TestGroupOfIsStable(t *testing.T) {
 	var seen [Count]int
 	for i := range 4000 {
@@ -22,8 +22,9 @@
 	must.Eq(t, "g1", KeyGroup("g1"))
 }
 
-// Each disk has its share, whatever the order they are named in; when one goes, of the groups that others had few move.
-func TestPreferredLeaders(t *testing.T) {
+// Checks that no disk leads more than its share of groups, that the order of the disks does not matter, and that after the
+// removal of a disk few of the groups that other disks lead move.
+func TestPreferredLeadersAreBalanced(t *testing.T) {
 	for n := 1; n <= 12; n++ {
 		var disks []uint64
 		for i := range n {
@@ -51,7 +52,7 @@
 	must.Eq(t, [Count]uint64{}, PreferredLeaders(nil))
 }
 
-// Nodes of two versions spread the leaders alike: these are what dd5a45a gives.
+// Checks that nodes of different versions compute the same leaders. The expected values are those of commit dd5a45a.
 func TestPreferredLeadersAreStable(t *testing.T) {
 	const a, b, c = 347707248338, 363783961311, 774665722114
 	must.Eq(t, [Count]uint64{b, a, c, a, b, a, c, b}, PreferredLeaders([]uint64{a, b, c}))
--- a/internal/gateway/groups/leaders.go
+++ b/internal/gateway/groups/leaders.go
@@ -7,9 +7,10 @@
 	"slices"
 )
 
-// PreferredLeaders spreads the groups over disks, by their member IDs: group by group, the disk of the highest rank for it that has fewer
-// than its share so far. The same disks, in whatever order, give the same; where one goes, few groups of the others move. Without disks
-// all are 0.
+// PreferredLeaders returns the preferred leader of each group as the member ID of a disk. It goes through the groups in order
+// and assigns each to the disk that ranks highest for the group and has fewer than its share of groups so far. The result does
+// not depend on the order of disks. If a disk is removed, few of the groups that other disks lead move. Without disks, all
+// preferred leaders are 0.
 func PreferredLeaders(disks []uint64) (leaders [Count]uint64) {
 	if len(disks) == 0 {
 		return leaders
@@ -28,7 +29,7 @@
 	return leaders
 }
 
-// RankDisks orders disks by their rendezvous weight for a group, the highest first.
+// RankDisks returns the disks in the order of their rendezvous weights for a group, the highest first.
 func RankDisks(id ID, disks []uint64) []uint64 {
 	ranked := slices.Clone(disks)
 	slices.SortFunc(ranked, func(a, b uint64) int {
@@ -37,8 +38,8 @@
 	return ranked
 }
 
-// rendezvousWeight is a hash of a group and a disk. FNV leaves the high bits of two short texts much alike; the multiplication, by a
-// constant of MurmurHash3's finalizer, mixes them.
+// rendezvousWeight returns a hash of a group and a disk. The high bits of FNV differ little between two short inputs. The
+// multiplication by a constant of MurmurHash3's finalizer mixes them.
 func rendezvousWeight(id ID, disk uint64) uint64 {
 	const mix = 0xff51afd7ed558ccd
 	sum := fnv.New64a()
--- a/internal/gateway/transport/doc.go
+++ b/internal/gateway/transport/doc.go
@@ -1,34 +1,37 @@
-// Package transport owns the links between the nodes of a deployment: streams of gob values over TCP that stay open, so that
-// descriptions of types travel once.
+// Package transport maintains the links between the nodes of a deployment. A link is a stream of gob values over a TCP connection that
+// stays open, so that type descriptions are sent only once per stream.
 //
 // # Terms
 //
-//   - Link: one direction of a pair of nodes, from the node that sends. It is wanted or not, up or down, and while it is up it has one
-//     connection.
-//   - Frame: one value of the mesh's type F.
-//   - Handshake: the first value of a stream: the sender's address, its incarnation, and the stream's number in it.
-//   - Offered link: a connection whose dialer also takes frames on it, so that the other side needs no connection of its own.
+//   - Link: the outbound direction from one node to another. A link is wanted or not. A wanted link is up or down. While it is up, it
+//     has one connection.
+//   - Frame: one value of the type parameter F of the mesh.
+//   - Handshake: the first value of a stream. It holds the address of the sender, its incarnation, and the sequence number of the stream
+//     within that incarnation.
+//   - Offered link: a connection on which the dialer also accepts frames, so that the other node does not need to dial a connection
+//     of its own.
 //
 // # Guarantees
 //
-//   - A link is dialed until it is up or no longer wanted, with a backoff between minRedialBackoff and maxRedialBackoff; a
-//     handshake of its target ends a backoff or a dial that hangs at once.
-//   - Frames of one link arrive in the order of Send, at most once, and only from the newest stream of their sender: a
-//     connection of a former incarnation that is read late, or that a power loss left open, delivers nothing any more.
-//   - Nothing is delivered for sure. What was sent before LinkUp, or waits when a link ends, is lost; a link's queue holds
-//     maxQueuedFrames, and Send drops what is beyond. Whoever needs a frame to arrive repeats it.
-//   - Send never blocks. A peer that does not read for writeTimeout loses its link; other links go on.
+//   - A link that is wanted is dialed until it is up, with a backoff between minRedialBackoff and maxRedialBackoff. A handshake from the
+//     target ends a backoff or a hanging dial at once.
+//   - Frames of one link arrive in the order of the Send calls and at most once. They are accepted only from the newest stream of their
+//     sender. A connection of an earlier incarnation that is read late, or that a power loss left open, delivers nothing any more.
+//   - Delivery is not guaranteed. Frames that were sent before LinkUp, or that are queued when a link ends, are lost. The queue of a
+//     link holds maxQueuedFrames, and Send drops frames beyond that. A sender that needs a frame to arrive must repeat it.
+//   - Send never blocks. If a peer does not read for writeTimeout, its link ends. Other links continue.
 //   - A frame longer than maxFrameBytes ends its stream.
-//   - Each event of the Host comes in a turn of its own, and none after Stop has returned.
-//   - What was given to Send is read later by another goroutine: the caller changes nothing that it points to.
+//   - Each event is reported to the Host in a separate turn. No event is reported after Stop has returned.
+//   - Another goroutine encodes a frame after Send has returned. The caller must not change the frame or anything that it points to.
 //
 // # Goroutines
 //
-// One accepts, each wanted link has one that dials and writes, each connection that frames come on one that reads, each
-// dialed connection that none come on one that waits for its end. Stop ends all of them.
+// One goroutine accepts connections. Each wanted link has a goroutine that dials and writes. Each connection that carries inbound frames
+// has a goroutine that reads. Each dialed connection without inbound frames has a goroutine that waits for its end. Stop ends all of
+// these goroutines.
 //
 // # What it must not do
 //
-// It does not know what frames mean and keeps none. It does not decide who is linked with whom (package membership), nor who is live:
-// that a link is up says nothing of the process behind it.
+// The package does not interpret or store frames. It does not decide which nodes are linked (package membership does) or which nodes
+// are live: a link that is up does not prove that the process behind it works.
 package transport
--- a/internal/gateway/transport/faults.go
+++ b/internal/gateway/transport/faults.go
@@ -10,16 +10,17 @@
 	"clovergap/internal/failpoint"
 )
 
-// What a debug build plays of partitions and of machines that lose power (package failpoint). In a release build nothing of this happens: the
-// failpoints answer false there.
+// A debug build simulates network partitions and power losses of machines in this file (see package failpoint). A release build
+// simulates none, because there the failpoints always return false.
 
-// partitionPollInterval is how often a debug build looks whether a partition has healed.
+// partitionPollInterval is the interval at which a debug build checks whether a partition has healed.
 const partitionPollInterval = 5 * time.Millisecond
 
-// errPartitioned ends a dial into a partition.
-var errPartitioned = errors.New("partitioned")
+// errPartitioned is the error of a dial that a simulated partition blocks until its time-out or its cancellation.
+var errPartitioned = errors.New("simulated network partition blocks the dial")
 
-// dial dials; into a partition it hangs until its time-out, as it would without an answer.
+// dial opens a TCP connection to a node. In a simulated partition it blocks until the partition heals or dialTimeout has
+// passed, like a dial that gets no answer.
 func dial(ctx context.Context, dialer *net.Dialer, to string) (net.Conn, error) {
 	if failpoint.Partitioned(to) && !awaitHeal(ctx, to, dialTimeout) {
 		return nil, errPartitioned
@@ -27,19 +28,20 @@
 	return dialer.DialContext(ctx, "tcp", to)
 }
 
-// awaitHeal waits while a test has this node partitioned from another; false if that takes longer than timeout. What is sent into a
-// partition goes out when it heals, as TCP's segments do, and a link over which nothing got through for writeTimeout ends.
+// awaitHeal blocks while a test has partitioned this node from another one. It returns false if the partition lasts longer than
+// timeout or ctx is cancelled. A write into a partition goes out when the partition heals, as TCP retransmits segments. A link
+// that makes no progress for writeTimeout ends.
 func awaitHeal(ctx context.Context, to string, timeout time.Duration) bool {
-	for end := time.Now().Add(timeout); failpoint.Partitioned(to); time.Sleep(partitionPollInterval) {
-		if ctx.Err() != nil || time.Now().After(end) {
+	for deadline := time.Now().Add(timeout); failpoint.Partitioned(to); time.Sleep(partitionPollInterval) {
+		if ctx.Err() != nil || time.Now().After(deadline) {
 			return false
 		}
 	}
 	return true
 }
 
-// hidePowerLoss holds back the end of a connection to a machine that lost power: nothing tells this side of it, until this side closes
-// the connection itself.
+// hidePowerLoss delays the end of a connection to a machine that lost power in a simulation. In reality nothing informs this
+// side of a power loss, so hidePowerLoss returns only when this side closes the connection.
 func hidePowerLoss(conn net.Conn, to string) {
 	if !failpoint.PoweredOff(to) {
 		return
--- a/internal/gateway/transport/handshake.go
+++ b/internal/gateway/transport/handshake.go
@@ -2,24 +2,26 @@
 
 // handshake is the first value on a stream.
 type handshake struct {
-	from        string // where the sender takes frames
-	incarnation uint64 // differs between two starts of the sender
-	streamSeq   uint64 // grows with each stream that the sender begins in its incarnation; 0: a program that sends none
-	offersLink  bool   // the sender takes frames on this connection as well, see OfferLinks
+	from        string // address at which the sender accepts connections
+	incarnation uint64 // differs between any two starts of the sender
+	// Sequence number of the stream, which rises with each stream that the sender begins in this incarnation. 0 means that the
+	// program of the sender does not number its streams.
+	streamSeq  uint64
+	offersLink bool // the sender also accepts frames on this connection, see OfferLinks
 }
 
-// stream tells which of a node's streams is the newer one: within an incarnation by what the node says, else by the order in which
-// their connections came.
-type stream struct{ incarnation, seq, arrival uint64 }
+// streamOrder determines which of two streams of a node is the newer one. Within an incarnation the sender's sequence numbers
+// decide. Otherwise the order decides in which this node accepted or dialed the connections.
+type streamOrder struct{ incarnation, seq, arrival uint64 }
 
-func (s stream) before(other stream) bool {
+func (s streamOrder) olderThan(other streamOrder) bool {
 	if s.incarnation == other.incarnation && s.seq > 0 && other.seq > 0 {
 		return s.seq < other.seq
 	}
 	return s.arrival < other.arrival
 }
 
-// nextHandshake is the first value of the next stream that this node begins.
+// nextHandshake returns the handshake for the next stream that this node begins.
 func (m *Mesh[F]) nextHandshake() handshake {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gateway/transport/inbound.go
+++ b/internal/gateway/transport/inbound.go
@@ -12,30 +12,33 @@
 )
 
 const (
-	// maxFrameBytes bounds one frame. A stream with a longer one ends.
+	// maxFrameBytes is the maximum length of a frame. A longer frame ends its stream.
 	maxFrameBytes = 16 << 20
-	// acceptBackoff is how long no connection is accepted after an error: mostly descriptors ran out.
+	// acceptBackoff is the delay before the next accept after a failed one. Most failures are due to a lack of file
+	// descriptors.
 	acceptBackoff = 10 * time.Millisecond
-	// readBufferBytes is small: a node may have hundreds of streams, with something on few of them.
+	// readBufferBytes is the size of the read buffer of a stream. It is small because a node may have hundreds of streams, few
+	// of which carry data at a time.
 	readBufferBytes = 2 << 10
 )
 
-// errFrameTooLong ends a stream whose frame exceeds maxFrameBytes.
-var errFrameTooLong = errors.New("frame too long")
+// errFrameTooLong is the read error of a stream with a frame longer than maxFrameBytes.
+var errFrameTooLong = errors.New("read frame: length exceeds the maximum")
 
-// incoming is a connection that frames come on: another node dialed it, or this one, which offers its links.
-type incoming struct {
-	arrival uint64        // counts all of them, by their beginning
-	ended   chan struct{} // closed when nothing more comes on it
+// incomingConn is a connection that carries inbound frames. It was dialed by another node, or by this node if it offers its
+// links.
+type incomingConn struct {
+	arrival uint64        // number of the connection in the order in which connections began
+	ended   chan struct{} // closed when the connection is no longer read
 }
 
-// frameLimiter bounds what is read for one frame.
+// frameLimiter limits the number of bytes that are read for one frame.
 type frameLimiter struct {
 	reader    io.Reader
-	remaining int // bytes; set anew for each frame
+	remaining int // bytes left for the current frame, reset for each frame
 }
 
-// Read reads up to what remains, and fails with errFrameTooLong where nothing does.
+// Read reads at most the remaining bytes. It fails with errFrameTooLong if none remain.
 func (f *frameLimiter) Read(p []byte) (int, error) {
 	if f.remaining <= 0 {
 		return 0, errFrameTooLong
@@ -66,16 +69,16 @@
 	}
 }
 
-// trackIncoming takes a connection among those that frames come on. m.mu is held.
-func (m *Mesh[F]) trackIncoming(conn net.Conn) *incoming {
+// trackIncoming registers a connection that carries inbound frames. The caller holds m.mu.
+func (m *Mesh[F]) trackIncoming(conn net.Conn) *incomingConn {
 	m.lastArrival++
-	in := &incoming{arrival: m.lastArrival, ended: make(chan struct{})}
+	in := &incomingConn{arrival: m.lastArrival, ended: make(chan struct{})}
 	m.incoming[conn] = in
 	return in
 }
 
-// untrackIncoming notes that nothing more comes on a connection, and notifies who writes to it. That its node offers links stays
-// known. m.mu is held.
+// untrackIncoming removes a connection that is no longer read, and notifies the writer that uses it. The fact that the node
+// offers its links stays recorded. The caller holds m.mu.
 func (m *Mesh[F]) untrackIncoming(from string, conn net.Conn) {
 	close(m.incoming[conn].ended)
 	delete(m.incoming, conn)
@@ -84,16 +87,17 @@
 	}
 }
 
-// readFrames takes what comes on a connection until it ends. dialed is the node that this one dialed there; "": the other side dialed.
-func (m *Mesh[F]) readFrames(conn net.Conn, dialed string) {
+// readFrames reads a connection until it ends and reports its frames to the host. dialedAddr is the address that this node
+// dialed. It is empty if the other node dialed.
+func (m *Mesh[F]) readFrames(conn net.Conn, dialedAddr string) {
 	var sender handshake
-	defer func() { m.endReading(conn, sender.from, dialed) }()
+	defer func() { m.closeIncoming(conn, sender.from, dialedAddr) }()
 	limiter := &frameLimiter{reader: conn, remaining: maxFrameBytes}
 	decoder := gob.NewDecoder(bufio.NewReaderSize(limiter, readBufferBytes))
 	var first wireHandshake
 	err := decoder.Decode(&first)
 	sender = first.handshake()
-	if err != nil || dialed != "" && sender.from != dialed || !m.adoptStream(conn, sender, dialed == "") {
+	if err != nil || dialedAddr != "" && sender.from != dialedAddr || !m.adoptStream(conn, sender, dialedAddr == "") {
 		return
 	}
 	m.turn(func() {
@@ -115,9 +119,9 @@
 	}
 }
 
-// endReading closes a connection on which nothing more comes.
-func (m *Mesh[F]) endReading(conn net.Conn, from, dialed string) {
-	hidePowerLoss(conn, cmp.Or(from, dialed))
+// closeIncoming closes a connection whose reading has ended, and removes it from the mesh.
+func (m *Mesh[F]) closeIncoming(conn net.Conn, from, dialedAddr string) {
+	hidePowerLoss(conn, cmp.Or(from, dialedAddr))
 	conn.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,32 +131,33 @@
 	}
 }
 
-// adoptStream puts a stream in the place of its sender's former one, which ends; false if it is itself the former one. What that still
-// holds is of an earlier time, perhaps of an earlier incarnation; and where its machine lost power, nothing else ever ends it. Which
-// one is the former is decided by the handshakes: which is read first is chance.
+// adoptStream makes a stream the current one of its sender and closes the previous one. It returns false if a newer stream of
+// the sender is already known. Data that the previous stream still holds is outdated and may come from an earlier incarnation.
+// If the machine of the sender lost power, nothing else ever ends the previous stream. The order of the streams follows from
+// the handshakes, because the order in which the streams are read is arbitrary.
 func (m *Mesh[F]) adoptStream(conn net.Conn, sender handshake, peerDialed bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := stream{sender.incarnation, sender.streamSeq, m.incoming[conn].arrival}
-	if s.before(m.newestStreams[sender.from]) {
+	order := streamOrder{sender.incarnation, sender.streamSeq, m.incoming[conn].arrival}
+	if order.olderThan(m.newestStreams[sender.from]) {
 		return false
 	}
-	m.newestStreams[sender.from] = s
-	if former := m.inbound[sender.from]; former != nil {
-		former.Close()
+	m.newestStreams[sender.from] = order
+	if previous := m.inbound[sender.from]; previous != nil {
+		previous.Close()
 	}
 	m.inbound[sender.from] = conn
 	if peerDialed {
-		m.peerDialed(sender, conn)
+		m.updateOutboundLink(sender, conn)
 	}
 	return true
 }
 
-// peerDialed has this node's own link to one that has just dialed begin anew where it must. Who dials can be reached: a dial to it
-// that hangs, since its machine had no power, or a backoff, ends. So does a connection to an earlier incarnation, which may look well
-// for as long as nothing is sent. Where the peer offers the link that it dialed, what this node sends goes there from now on.
-// m.mu is held.
-func (m *Mesh[F]) peerDialed(sender handshake, conn net.Conn) {
+// updateOutboundLink restarts this node's link to a peer that has just dialed, if that is necessary. A peer that dials is
+// reachable, so a backoff ends, and so does a dial that hangs because the machine of the peer had no power. A connection to an
+// earlier incarnation of the peer ends too, because it may look intact as long as nothing is sent. If the peer offers the
+// connection that it dialed, this node sends on that connection from now on. The caller holds m.mu.
+func (m *Mesh[F]) updateOutboundLink(sender handshake, conn net.Conn) {
 	known := m.incarnations[sender.from]
 	restarted := known != 0 && known != sender.incarnation
 	m.incarnations[sender.from] = sender.incarnation
@@ -162,7 +167,7 @@
 	}
 }
 
-// isNewestFrom tells whether a connection carries its sender's newest stream.
+// isNewestFrom reports whether a connection carries the newest stream of its sender.
 func (m *Mesh[F]) isNewestFrom(from string, conn net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gateway/transport/invariants.go
+++ b/internal/gateway/transport/invariants.go
@@ -2,21 +2,21 @@
 
 import "clovergap/internal/invariant"
 
-// maxEndedChecks is how many checks in a row may find that the connection of a link has ended, while the link's writer is still on its way
-// to take it down.
+// maxEndedChecks is the number of consecutive checks that must find the connection of a link ended before Check reports a
+// violation. The checks before that may run while the writer of the link is still about to take the link down.
 const maxEndedChecks = 5
 
-// Check asserts that every link that is up goes over a connection that has not ended: else who is linked waits for frames that never
-// come. It is called each second.
+// Check asserts that each link that is up uses a connection that has not ended. Otherwise the nodes of the link would wait for
+// frames that never arrive. The node calls Check once a second.
 func (m *Mesh[F]) Check() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range m.links {
-		if _, framesComeIn := m.incoming[l.conn]; !l.connected || l.conn == nil || framesComeIn {
+		if _, isIncoming := m.incoming[l.conn]; !l.connected || l.conn == nil || isIncoming {
 			l.endedChecks = 0
 			continue
 		}
 		l.endedChecks++
-		invariant.Assert(l.endedChecks != maxEndedChecks, "a link that is up goes over a connection that has not ended")
+		invariant.Assert(l.endedChecks != maxEndedChecks, "a link that is up uses a connection that has not ended")
 	}
 }
--- a/internal/gateway/transport/mesh.go
+++ b/internal/gateway/transport/mesh.go
@@ -8,15 +8,20 @@
 	"github.com/go-faster/errors"
 )
 
-// Host is notified of what happens on the links, each event in a turn of its own.
+// Host receives the events of the links, each in a separate turn.
 type Host[F any] interface {
-	PeerConnected(from string)       // a node began a stream; what it sent on one before may be lost
-	FrameReceived(from string, f *F) // from is where the sender takes frames itself
-	LinkUp(to string)                // all that was sent before is lost
-	LinkDown(to string)              // the link has ended; it is dialed again while it is wanted
+	// PeerConnected reports that a node began a new stream. Frames of its previous stream may be lost.
+	PeerConnected(from string)
+	// FrameReceived reports a frame. from is the address at which the sender accepts connections.
+	FrameReceived(from string, f *F)
+	// LinkUp reports that a link is up. All frames that were sent to it before are lost.
+	LinkUp(to string)
+	// LinkDown reports that a link has ended. The link is dialed again as long as it is wanted.
+	LinkDown(to string)
 }
 
-// Mesh is one node's end of its links to all others. Its methods may be called from any goroutine, except where they say otherwise.
+// Mesh holds a node's links to all other nodes. Its methods may be called from any goroutine, unless their comments say
+// otherwise.
 type Mesh[F any] struct {
 	addr        string
 	incarnation uint64
@@ -24,41 +29,43 @@
 	turn        func(func())
 	listener    net.Listener
 	offersLinks bool           // set before the first Connect
-	goroutines  sync.WaitGroup // all that Stop waits for
+	goroutines  sync.WaitGroup // the goroutines that Stop waits for
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	stopped     bool
-	links       map[string]*link[F]     // wanted, by target
-	incoming    map[net.Conn]*incoming  // connections that frames come on
-	lastArrival uint64                  // of these, by their beginning
-	streamSeq   uint64                  // of the last stream that this node began
-	offers      map[string]*offeredLink // by who offers
+	links       map[string]*link[F]        // wanted links, by target address
+	incoming    map[net.Conn]*incomingConn // connections that carry inbound frames
+	lastArrival uint64                     // arrival number of the newest incoming connection
+	streamSeq   uint64                     // sequence number of the last stream that this node began
+	offers      map[string]*offeredLink    // by address of the offering node
 
-	// By sender, of its newest stream.
+	// Properties of the newest stream of each sender, by address of the sender.
 	inbound       map[string]net.Conn
 	incarnations  map[string]uint64
-	newestStreams map[string]stream
+	newestStreams map[string]streamOrder
 }
 
-// New listens at an inner address, by which this node is known to the others. incarnation differs between two starts of a node;
-// turn runs a function as the host's one owner, and returns when it has run. An error is that of the listener.
+// New creates a mesh that listens at an inner address, by which the other nodes know this node. incarnation must differ between
+// any two starts of a node. turn runs a function with exclusive access to the state of the host, and returns when the function
+// has returned. New returns an error if it cannot listen at the address.
 func New[F any](addr string, incarnation uint64, host Host[F], turn func(func())) (*Mesh[F], error) {
 	listener, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for links of other nodes")
+		return nil, errors.Wrap(err, "listen for connections of other nodes")
 	}
 	return &Mesh[F]{addr: addr, incarnation: incarnation, host: host, turn: turn, listener: listener,
-		links: map[string]*link[F]{}, incoming: map[net.Conn]*incoming{}, offers: map[string]*offeredLink{},
-		inbound: map[string]net.Conn{}, incarnations: map[string]uint64{}, newestStreams: map[string]stream{}}, nil
+		links: map[string]*link[F]{}, incoming: map[net.Conn]*incomingConn{}, offers: map[string]*offeredLink{},
+		inbound: map[string]net.Conn{}, incarnations: map[string]uint64{}, newestStreams: map[string]streamOrder{}}, nil
 }
 
-// Start accepts connections of other nodes from now on.
+// Start begins to accept connections of other nodes.
 func (m *Mesh[F]) Start() { m.goroutines.Go(m.accept) }
 
-// Addr is the address that the mesh listens at.
+// Addr returns the address at which the mesh listens.
 func (m *Mesh[F]) Addr() string { return m.listener.Addr().String() }
 
-// Connect keeps a link to a node from now on. One to this node itself is passed over.
+// Connect makes the link to a node wanted: the mesh dials it until it is up, and again when it ends. A call with the address of
+// this node has no effect.
 func (m *Mesh[F]) Connect(to string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,7 +78,7 @@
 	m.goroutines.Go(func() { m.runWriter(ctx, l) })
 }
 
-// Disconnect keeps the link to a node no longer.
+// Disconnect ends the link to a node and does not dial it again.
 func (m *Mesh[F]) Disconnect(to string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,8 +88,9 @@
 	}
 }
 
-// Send queues a frame for a node. It tells whether there is a link to it, up or not, with room in its queue; else the frame is
-// dropped. Nobody changes the frame, or what it points to, from now on.
+// Send queues a frame for a node. It returns true if the link to the node is wanted, whether up or down, and its queue has
+// room. Otherwise it drops the frame and returns false. The frame and everything that it points to must not be changed after
+// the call.
 func (m *Mesh[F]) Send(to string, f *F) bool {
 	m.mu.Lock()
 	l := m.links[to]
@@ -90,8 +98,8 @@
 	return l != nil && l.queue.put(f)
 }
 
-// Stop ends all links, and returns when the host is notified of nothing more. It is not called in a turn: it waits for those that are
-// under way.
+// Stop ends all links and returns when the host receives no more events. It must not be called in a turn, because it waits for
+// the turns that are in progress.
 func (m *Mesh[F]) Stop() {
 	m.mu.Lock()
 	m.stopped = true
--- a/internal/gateway/transport/mesh_test.go
+++ b/internal/gateway/transport/mesh_test.go
@@ -21,17 +21,17 @@
 	"clovergap/internal/invariant"
 )
 
-// testTimeout bounds every wait of these tests; none of them depends on how long anything takes within it.
+// testTimeout limits each wait of these tests. No test depends on how long an operation takes within it.
 const testTimeout = 20 * time.Second
 
-// frame has a field that is seldom set, as those of nodes have.
+// frame is the frame type of these tests. Like the frames of nodes, it has a field that is rarely set.
 type frame struct {
 	Number  int
 	More    *string
 	Payload []byte
 }
 
-// testNode is one node, with its events in order.
+// testNode is a node that records its events in order.
 type testNode struct {
 	*Mesh[frame]
 	t           *testing.T
@@ -41,119 +41,119 @@
 	connections map[string]int // by peer
 }
 
-func (t *testNode) PeerConnected(from string) { t.connections[from]++ }
-func (t *testNode) FrameReceived(from string, f *frame) {
+func (n *testNode) PeerConnected(from string) { n.connections[from]++ }
+func (n *testNode) FrameReceived(from string, f *frame) {
 	more := ""
 	if f.More != nil {
 		more = *f.More
 	}
-	t.events <- fmt.Sprintf("%s: %d%s", from, f.Number, more)
+	n.events <- fmt.Sprintf("%s: %d%s", from, f.Number, more)
 }
-func (t *testNode) LinkUp(to string)   { t.events <- "up " + to }
-func (t *testNode) LinkDown(to string) { t.events <- "down " + to }
+func (n *testNode) LinkUp(to string)   { n.events <- "up " + to }
+func (n *testNode) LinkDown(to string) { n.events <- "down " + to }
 
-// lastIncarnation numbers the starts of nodes.
+// lastIncarnation is the incarnation of the node that was started last.
 var lastIncarnation atomic.Uint64
 
-// expect waits for the next event.
-func (t *testNode) expect(want string) {
-	t.t.Helper()
+// expectEvent waits for the next event and checks that it is the wanted one.
+func (n *testNode) expectEvent(want string) {
+	n.t.Helper()
 	select {
-	case got := <-t.events:
-		must.Eq(t.t, want, got)
+	case got := <-n.events:
+		must.Eq(n.t, want, got)
 	case <-time.After(testTimeout):
-		t.t.Fatalf("never told: %s", want)
+		n.t.Fatalf("no event within the time-out, want %q", want)
 	}
 }
 
-// testAddr is an address of this process's own on the loopback: its port is free for whoever comes again.
-func testAddr(nr int) string {
-	return fmt.Sprintf("127.%d.%d.%d:17560", 2+os.Getpid()>>8&127, os.Getpid()&255, nr)
+// testAddr returns a loopback address that only this process uses, so that its port stays free for a node that restarts.
+func testAddr(lastOctet int) string {
+	return fmt.Sprintf("127.%d.%d.%d:17560", 2+os.Getpid()>>8&127, os.Getpid()&255, lastOctet)
 }
 
-func startNode(t *testing.T, me string) *testNode {
-	e := &testNode{t: t, addr: me, events: make(chan string, 1<<14), connections: map[string]int{}}
-	w, err := New[frame](me, lastIncarnation.Add(1), e, func(f func()) {
-		e.turn.Lock()
-		defer e.turn.Unlock()
+func startNode(t *testing.T, addr string) *testNode {
+	node := &testNode{t: t, addr: addr, events: make(chan string, 1<<14), connections: map[string]int{}}
+	mesh, err := New[frame](addr, lastIncarnation.Add(1), node, func(f func()) {
+		node.turn.Lock()
+		defer node.turn.Unlock()
 		f()
 	})
 	must.NoError(t, err)
-	e.Mesh = w
-	w.Start()
-	return e
+	node.Mesh = mesh
+	mesh.Start()
+	return node
 }
 
-func (t *testNode) sendFrames(to *testNode, from, upto int) {
-	for nr := from; nr < upto; nr++ {
-		must.True(t.t, t.Send(to.addr, &frame{Number: nr}))
+func (n *testNode) sendFrames(to *testNode, start, end int) {
+	for number := start; number < end; number++ {
+		must.True(n.t, n.Send(to.addr, &frame{Number: number}))
 	}
 }
 
-// Three nodes: links come up by themselves, frames arrive in order, by who sent them; one that was ended is dialed again and receives nothing
-// of before; no node has an event once it has stopped.
-func TestLinks(t *testing.T) {
+// Checks three nodes: links come up, frames arrive in order and with the address of their sender, a link that ended is dialed
+// again and delivers no frame that was sent before, and a node has no event after it was stopped.
+func TestLinksDeliverInOrderAndReconnect(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b, c := startNode(t, testAddr(1)), startNode(t, testAddr(2)), startNode(t, testAddr(3))
 	must.Eq(t, a.addr, a.Addr())
-	must.False(t, a.Send(b.addr, &frame{})) // nobody wants that link
+	must.False(t, a.Send(b.addr, &frame{})) // the link is not wanted
 	for _, to := range []*testNode{a, b, c} {
-		a.Connect(to.addr) // that to itself is passed over
+		a.Connect(to.addr) // a link of a node to itself is ignored
 		a.Connect(to.addr)
 	}
 	first, second := <-a.events, <-a.events
 	must.SliceContainsAll(t, []string{"up " + b.addr, "up " + c.addr}, []string{first, second})
 	c.Connect(b.addr)
-	c.expect("up " + b.addr)
-	more := " and more"
-	must.True(t, c.Send(b.addr, &frame{Number: 7, More: &more}))
-	b.expect(c.addr + ": 7 and more")
+	c.expectEvent("up " + b.addr)
+	text := " and more"
+	must.True(t, c.Send(b.addr, &frame{Number: 7, More: &text}))
+	b.expectEvent(c.addr + ": 7 and more")
 	a.sendFrames(b, 0, 3000)
 	a.sendFrames(c, 0, 10)
 	for nr := range 3000 {
-		b.expect(fmt.Sprintf("%s: %d", a.addr, nr))
+		b.expectEvent(fmt.Sprintf("%s: %d", a.addr, nr))
 	}
 	for nr := range 10 {
-		c.expect(fmt.Sprintf("%s: %d", a.addr, nr))
+		c.expectEvent(fmt.Sprintf("%s: %d", a.addr, nr))
 	}
 	_, err := New[frame](b.addr, 1, b, nil)
 	must.Error(t, err) // the address is in use
 
 	b.Stop()
-	a.expect("down " + b.addr)
-	a.Send(b.addr, &frame{Number: -1}) // waits for a link that is no more
-	again := startNode(t, b.addr)
-	a.expect("up " + b.addr)
+	a.expectEvent("down " + b.addr)
+	a.Send(b.addr, &frame{Number: -1}) // queued for a link that has ended
+	restarted := startNode(t, b.addr)
+	a.expectEvent("up " + b.addr)
 	a.sendFrames(b, 5, 6)
-	again.expect(a.addr + ": 5")
-	c.expect("down " + b.addr)
-	c.expect("up " + b.addr)
+	restarted.expectEvent(a.addr + ": 5")
+	c.expectEvent("down " + b.addr)
+	c.expectEvent("up " + b.addr)
 	c.Disconnect(b.addr)
-	c.expect("down " + b.addr)
+	c.expectEvent("down " + b.addr)
 	must.False(t, c.Send(b.addr, &frame{}))
 	c.Connect(b.addr)
-	c.expect("up " + b.addr)
+	c.expectEvent("up " + b.addr)
 	c.sendFrames(b, 8, 9)
-	again.expect(c.addr + ": 8")
-	again.turn.Lock()
-	must.Positive(t, again.connections[a.addr]) // each link that lasts, before what comes on it
-	must.Positive(t, again.connections[c.addr])
-	again.turn.Unlock()
-	for _, e := range []*testNode{a, again, c} {
+	restarted.expectEvent(c.addr + ": 8")
+	restarted.turn.Lock()
+	must.Positive(t, restarted.connections[a.addr]) // each stream is reported before its frames
+	must.Positive(t, restarted.connections[c.addr])
+	restarted.turn.Unlock()
+	for _, e := range []*testNode{a, restarted, c} {
 		e.Stop()
-		e.Connect(testAddr(4)) // too late
+		e.Connect(testAddr(4)) // has no effect after Stop
 	}
 	must.False(t, a.Send(testAddr(4), &frame{}))
 }
 
-// A link whose frames are longer than any may be, or are none, ends; others do not.
-func TestFrameBound(t *testing.T) {
+// Checks that a stream with a frame that is too long or cannot be decoded ends, and that other streams continue.
+func TestInvalidFrameEndsOnlyItsStream(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := startNode(t, testAddr(1)), startNode(t, testAddr(2))
 	defer a.Stop()
 	defer b.Stop()
 	b.Connect(a.addr)
-	b.expect("up " + a.addr)
+	b.expectEvent("up " + a.addr)
 	dial := func() (net.Conn, *gob.Encoder) {
 		c, err := net.Dial("tcp", a.addr)
 		must.NoError(t, err)
@@ -170,14 +170,14 @@
 		c.Close()
 	}
 	c, enc := dial()
-	for nr := range 3 { // each has the bound for itself
+	for nr := range 3 { // the limit applies to each frame separately
 		must.NoError(t, enc.Encode(frame{Number: nr, Payload: make([]byte, maxFrameBytes*3/4)}))
-		a.expect(fmt.Sprintf("x: %d", nr))
+		a.expectEvent(fmt.Sprintf("x: %d", nr))
 	}
 	enc.Encode(frame{Number: 3, Payload: make([]byte, maxFrameBytes+1<<16)})
 	ended(c)
 	c, _ = dial()
-	c.Write([]byte{0xfc, 0x3f, 0xff, 0xff, 0xff}) // a gigabyte is said to come
+	c.Write([]byte{0xfc, 0x3f, 0xff, 0xff, 0xff}) // length prefix that announces a gigabyte
 	io.CopyN(c, bytes.NewReader(make([]byte, 2*maxFrameBytes)), 2*maxFrameBytes)
 	ended(c)
 	c, _ = dial()
@@ -185,19 +185,19 @@
 	ended(c)
 	c, enc = dial()
 	must.NoError(t, enc.Encode(frame{Number: 5}))
-	a.expect("x: 5")
-	other, enc := dial() // another incarnation of x: what the former one sends is over
+	a.expectEvent("x: 5")
+	other, enc := dial() // a new stream of x ends the previous one
 	must.NoError(t, enc.Encode(frame{Number: 6}))
-	a.expect("x: 6")
+	a.expectEvent("x: 6")
 	ended(c)
 	other.Close()
 	b.sendFrames(a, 4, 5)
-	a.expect(b.addr + ": 4") // and nothing of the others before it
+	a.expectEvent(b.addr + ": 4") // no frame of the other streams came before it
 }
 
-// A peer that does not read holds up neither who sends nor links to others: what it does not take is dropped, and its
-// link ends.
-func TestPeerThatDoesNotRead(t *testing.T) {
+// Checks that a peer that does not read blocks neither the sender nor the links to other nodes. The frames that it does not
+// read are dropped, and its link ends.
+func TestPeerThatDoesNotReadLosesItsLink(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := startNode(t, testAddr(1)), startNode(t, testAddr(2))
 	defer a.Stop()
@@ -205,31 +205,31 @@
 	ln, err := net.Listen("tcp", testAddr(3))
 	must.NoError(t, err)
 	defer ln.Close()
-	stuck := &testNode{addr: testAddr(3)}
-	a.Connect(stuck.addr)
-	a.expect("up " + stuck.addr)
+	blocked := &testNode{addr: testAddr(3)}
+	a.Connect(blocked.addr)
+	a.expectEvent("up " + blocked.addr)
 	a.Connect(b.addr)
-	a.expect("up " + b.addr)
-	fat := &frame{Payload: make([]byte, 64<<10)}
+	a.expectEvent("up " + b.addr)
+	largeFrame := &frame{Payload: make([]byte, 64<<10)}
 	sent := 0
-	for a.Send(stuck.addr, fat) {
+	for a.Send(blocked.addr, largeFrame) {
 		sent++
 	}
 	must.Between(t, maxQueuedFrames, sent, 4*maxQueuedFrames)
 	a.sendFrames(b, 0, 100)
 	for nr := range 100 {
-		b.expect(fmt.Sprintf("%s: %d", a.addr, nr))
+		b.expectEvent(fmt.Sprintf("%s: %d", a.addr, nr))
 	}
-	a.expect("down " + stuck.addr)
+	a.expectEvent("down " + blocked.addr)
 }
 
-// A link may look well though its node has started anew: where a machine lost power nothing ends it while nothing is sent. A stream of the node's
-// new incarnation ends it and has it dialed again at once.
-func TestAnotherIncarnationIsDialedAgain(t *testing.T) {
+// Checks that the first stream of a new incarnation of a node ends the link to the previous incarnation and dials again at
+// once. If the machine of the node lost power, the link looks intact, and nothing else ends it as long as nothing is sent.
+func TestNewIncarnationIsRedialed(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := startNode(t, testAddr(1)), startNode(t, testAddr(2))
 	a.Connect(b.addr)
-	a.expect("up " + b.addr)
+	a.expectEvent("up " + b.addr)
 	begin := func(incarnation uint64) net.Conn {
 		c, err := net.Dial("tcp", a.addr)
 		must.NoError(t, err)
@@ -238,26 +238,27 @@
 	}
 	first := begin(11)
 	defer first.Close()
-	for !a.knowsIncarnation(b.addr, 11) { // the same incarnation says nothing of the link
+	for !a.knowsIncarnation(b.addr, 11) { // the first known incarnation does not restart the link
 		runtime.Gosched()
 	}
 	second := begin(12)
 	defer second.Close()
-	a.expect("down " + b.addr)
-	a.expect("up " + b.addr)
+	a.expectEvent("down " + b.addr)
+	a.expectEvent("up " + b.addr)
 	a.Stop()
 	b.Stop()
 }
 
-func (t *testNode) knowsIncarnation(from string, life uint64) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.incarnations[from] == life
+func (n *testNode) knowsIncarnation(from string, incarnation uint64) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.incarnations[from] == incarnation
 }
 
-// A node that was killed and came back: the stream of its former incarnation is read last, as where the reader has no processor. It neither takes
-// the place of the new one nor is any frame of it taken.
-func TestFormerIncarnationReadLast(t *testing.T) {
+// Checks that a stream of the previous incarnation of a restarted node is rejected when it is read after the stream of the new
+// incarnation, as happens when the reader gets no processor time. The late stream must neither replace the new one nor deliver
+// a frame.
+func TestStreamOfPreviousIncarnationIsRejected(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a := startNode(t, testAddr(41))
 	from := testAddr(42)
@@ -266,55 +267,55 @@
 		must.NoError(t, err)
 		return c, gob.NewEncoder(c)
 	}
-	former, formerEncoder := dial()
+	previous, previousEncoder := dial()
 	current, encoder := dial()
 	must.NoError(t, encoder.Encode(wireHandshake{From: from, Life: 2}))
 	must.NoError(t, encoder.Encode(&frame{Number: 1}))
-	a.expect(from + ": 1")
-	formerEncoder.Encode(wireHandshake{From: from, Life: 1})
-	formerEncoder.Encode(&frame{Number: 9})
-	must.NoError(t, former.SetReadDeadline(time.Now().Add(testTimeout)))
-	_, err := former.Read(make([]byte, 1)) // it is ended
+	a.expectEvent(from + ": 1")
+	previousEncoder.Encode(wireHandshake{From: from, Life: 1})
+	previousEncoder.Encode(&frame{Number: 9})
+	must.NoError(t, previous.SetReadDeadline(time.Now().Add(testTimeout)))
+	_, err := previous.Read(make([]byte, 1)) // the node has closed the connection
 	must.Error(t, err)
 	must.False(t, errors.Is(err, os.ErrDeadlineExceeded))
 	must.NoError(t, encoder.Encode(&frame{Number: 2}))
-	a.expect(from + ": 2")
+	a.expectEvent(from + ": 2")
 	a.mu.Lock()
 	must.Eq(t, 2, a.incarnations[from])
 	a.mu.Unlock()
-	former.Close()
+	previous.Close()
 	current.Close()
 	a.Stop()
 }
 
-// Check finds a link that stays up though its connection has ended. One that has just ended, and whose writer is on its way to take it down,
-// is none.
-func TestCheckFindsLinkWithoutConnection(t *testing.T) {
+// Checks that Check reports a link that stays up after its connection has ended. It must not report a link whose connection has
+// just ended and whose writer is about to take it down.
+func TestCheckReportsLinkWithoutConnection(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := startOfferedPair(t, 51)
-	check := func() (broken bool) {
-		defer func() { broken = recover() != nil || broken }()
+	violatesInvariant := func() (violated bool) {
+		defer func() { violated = recover() != nil || violated }()
 		before := invariant.Violations()
 		b.Check()
 		return invariant.Violations() > before
 	}
 	for range 3 * maxEndedChecks {
-		must.False(t, check())
+		must.False(t, violatesInvariant())
 	}
 	b.mu.Lock()
 	conn := b.links[a.addr].conn
 	in := b.incoming[conn]
-	delete(b.incoming, conn) // as if its reading had ended and its writer had not been notified
+	delete(b.incoming, conn) // as if the connection were no longer read but the writer had not been notified
 	b.mu.Unlock()
 	for range maxEndedChecks - 1 {
-		must.False(t, check())
+		must.False(t, violatesInvariant())
 	}
-	must.True(t, check())
+	must.True(t, violatesInvariant())
 	b.mu.Lock()
 	b.incoming[conn] = in
 	b.mu.Unlock()
-	must.False(t, check())
+	must.False(t, violatesInvariant())
 	a.Stop()
-	b.expect("down " + a.addr)
+	b.expectEvent("down " + a.addr)
 	b.Stop()
 }
--- a/internal/gateway/transport/offer.go
+++ b/internal/gateway/transport/offer.go
@@ -7,25 +7,27 @@
 	"time"
 )
 
-// offerGrace is how long a node that offers its links is left to dial, before this one dials it.
+// offerGrace is the time that a node that offers its links has for dialing this node, before this node dials it.
 const offerGrace = 300 * time.Millisecond
 
-// Offered links. A node that hundreds of others dial would need two descriptors for each of them: the connection that the other one
-// dialed and its own. A node that offers its links takes frames on those that it dialed as well, so that the other side needs no
-// connection of its own. Whoever offers links uses none that is offered to it: two such nodes would else give way to each other
-// without end. A node that does not know of offers dials as before.
+// Offered links save file descriptors. A node that hundreds of other nodes dial would need two descriptors for each of them:
+// one for the connection that the other node dialed, and one for its own connection. A node that offers its links accepts
+// frames also on the connections that it dialed, so that the other side needs no connection of its own. A node that offers its
+// links uses no links that are offered to it. Otherwise two such nodes would give up their own connections in favour of each
+// other again and again. A node whose program does not support offers dials as before.
 
-// offeredLink is a connection that another node dialed and offers. It ends with that connection: another one may have taken its
-// place by then.
+// offeredLink is a connection that another node dialed and offers. The offer ends with that connection. Another connection may
+// have replaced it by then.
 type offeredLink struct {
-	conn  net.Conn        // nil: it has ended, and none has come in its place
-	ended <-chan struct{} // closed when nothing more comes on it
+	conn  net.Conn        // nil if the connection has ended and no other one has replaced it
+	ended <-chan struct{} // closed when the connection is no longer read
 }
 
-// OfferLinks has others answer on the connections that this node dials. It is called before the first Connect.
+// OfferLinks lets other nodes send frames on the connections that this node dials. It must be called before the first Connect.
 func (m *Mesh[F]) OfferLinks() { m.offersLinks = true }
 
-// recordOffer notes whether a node that has dialed offers this connection. m.mu is held.
+// recordOffer records whether a node that has dialed offers this connection. It returns true if this node uses the offer. The
+// caller holds m.mu.
 func (m *Mesh[F]) recordOffer(sender handshake, conn net.Conn) bool {
 	if !sender.offersLink || m.offersLinks {
 		delete(m.offers, sender.from)
@@ -40,7 +42,8 @@
 	return true
 }
 
-// offerOf gives the connection that a node offers. known tells whether it offers links at all: the connection may have ended.
+// offerOf returns the connection that a node offers. known reports whether the node offers its links at all. The connection of
+// the offer is nil if it has ended.
 func (m *Mesh[F]) offerOf(from string) (offer offeredLink, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,8 +53,9 @@
 	return offeredLink{}, false
 }
 
-// connect gives a connection to a link's target, and a channel that is closed at its end: the one that the target offers, else one that
-// is dialed. A node that has offered links dials this one itself as soon as it can; abort ends the wait for that.
+// connect returns a connection to the target of a link, and a channel that is closed when the connection ends. It uses the
+// connection that the target offers, or dials one. A target that has offered its links before dials this node as soon as it
+// can. If its last offered connection has ended, connect therefore first waits for offerGrace. abort ends that wait.
 func (m *Mesh[F]) connect(ctx context.Context, l *link[F], abort func()) (net.Conn, <-chan struct{}, error) {
 	m.setConnection(l, nil, abort)
 	offer, known := m.offerOf(l.target)
@@ -73,13 +77,14 @@
 	return conn, m.watchEnd(conn, l.target), nil
 }
 
-// watchEnd reads what comes back on a connection that this node dialed: frames where it offers its links, else nothing but the end.
+// watchEnd reads a connection that this node dialed, and returns a channel that is closed when the connection ends. If this
+// node offers its links, the connection carries inbound frames. Otherwise watchEnd only detects its end.
 func (m *Mesh[F]) watchEnd(conn net.Conn, to string) <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.offersLinks {
 		ended := make(chan struct{})
-		m.goroutines.Go(func() { // ends with the connection, which the link's writer closes
+		m.goroutines.Go(func() { // ends when the link's writer closes the connection
 			var b [1]byte
 			conn.Read(b[:])
 			hidePowerLoss(conn, to)
--- a/internal/gateway/transport/offer_test.go
+++ b/internal/gateway/transport/offer_test.go
@@ -12,56 +12,57 @@
 	"go.uber.org/goleak"
 )
 
-// incomingCount counts the connections that frames may come on.
-func (t *testNode) incomingCount() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.incoming)
+// incomingCount returns the number of connections that may carry inbound frames.
+func (n *testNode) incomingCount() int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return len(n.incoming)
 }
 
-// awaitOffer waits until a node's offer is known here.
-func (t *testNode) awaitOffer(from string) {
-	t.t.Helper()
-	for o, _ := t.offerOf(from); o.conn == nil; o, _ = t.offerOf(from) {
+// awaitOffer waits until this node knows an offer of another node.
+func (n *testNode) awaitOffer(from string) {
+	n.t.Helper()
+	for o, _ := n.offerOf(from); o.conn == nil; o, _ = n.offerOf(from) {
 		runtime.Gosched()
 	}
 }
 
-// awaitIncoming waits until so many connections come in here. One that the other end has given up counts until its end is read, which may
-// be after frames on another connection.
-func (t *testNode) awaitIncoming(count int) {
-	t.t.Helper()
-	for deadline := time.Now().Add(testTimeout); t.incomingCount() != count; {
-		must.True(t.t, time.Now().Before(deadline), must.Sprintf("%d connections come in, not %d", t.incomingCount(), count))
+// awaitIncoming waits until this node has count incoming connections. A connection that the other end has closed counts until
+// its end is read, which may happen after frames arrive on another connection.
+func (n *testNode) awaitIncoming(count int) {
+	n.t.Helper()
+	for deadline := time.Now().Add(testTimeout); n.incomingCount() != count; {
+		must.True(n.t, time.Now().Before(deadline), must.Sprintf("node has %d incoming connections, want %d", n.incomingCount(), count))
 		runtime.Gosched()
 	}
 }
 
-// startOfferedPair is two nodes of which a offers the link that b answers on, up both ways.
-func startOfferedPair(t *testing.T, nr int) (a, b *testNode) {
-	a, b = startNode(t, testAddr(nr)), startNode(t, testAddr(nr+1))
+// startOfferedPair starts two nodes with links in both directions. Node a offers its link, and b sends on it.
+func startOfferedPair(t *testing.T, lastOctet int) (a, b *testNode) {
+	a, b = startNode(t, testAddr(lastOctet)), startNode(t, testAddr(lastOctet+1))
 	a.OfferLinks()
 	a.Connect(b.addr)
-	a.expect("up " + b.addr)
+	a.expectEvent("up " + b.addr)
 	b.awaitOffer(a.addr)
 	b.Connect(a.addr)
-	b.expect("up " + a.addr)
+	b.expectEvent("up " + a.addr)
 	return a, b
 }
 
-// exchange has two nodes send so many frames to each other, which both receive in order.
-func exchange(a, b *testNode, frames int) {
+// exchangeFrames sends the given number of frames in each direction between two nodes and checks that both receive them in
+// order.
+func exchangeFrames(a, b *testNode, frames int) {
 	a.sendFrames(b, 0, frames)
 	b.sendFrames(a, frames, 2*frames)
-	for nr := range frames {
-		b.expect(fmt.Sprintf("%s: %d", a.addr, nr))
-		a.expect(fmt.Sprintf("%s: %d", b.addr, frames+nr))
+	for number := range frames {
+		b.expectEvent(fmt.Sprintf("%s: %d", a.addr, number))
+		a.expectEvent(fmt.Sprintf("%s: %d", b.addr, frames+number))
 	}
 }
 
-// A node that many others dial answers on the links that they offer: one connection serves both ways, whoever dialed first, and frames
-// arrive in order. Guards against a member of the core that runs out of descriptors (two for each of 299 nodes were 598 of its
-// 800), and took no control calls any more.
+// Checks that one connection carries frames in both directions, in order, whichever node dialed first. Guards against a member
+// of the core that runs out of file descriptors: two for each of 299 nodes were 598 of its 800, and it then accepted no more
+// control calls.
 func TestOfferedLinkServesBothWays(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	for _, first := range []string{"the one that offers", "the other"} {
@@ -69,74 +70,77 @@
 		a.OfferLinks()
 		if first == "the other" {
 			b.Connect(a.addr)
-			b.expect("up " + a.addr)
+			b.expectEvent("up " + a.addr)
 		}
 		a.Connect(b.addr)
-		a.expect("up " + b.addr)
-		if first == "the other" { // it gives up the connection that it dialed
-			b.expect("down " + a.addr)
+		a.expectEvent("up " + b.addr)
+		if first == "the other" { // b gives up the connection that it dialed
+			b.expectEvent("down " + a.addr)
 		} else {
 			b.awaitOffer(a.addr)
 			b.Connect(a.addr)
 		}
-		b.expect("up " + a.addr)
-		exchange(a, b, 100)
-		a.awaitIncoming(1) // the one that it dialed itself
+		b.expectEvent("up " + a.addr)
+		exchangeFrames(a, b, 100)
+		a.awaitIncoming(1) // the connection that a dialed
 		must.Eq(t, 1, b.incomingCount())
 		a.turn.Lock()
 		must.Positive(t, a.connections[b.addr])
 		a.turn.Unlock()
 		b.Stop()
-		a.expect("down " + b.addr)
+		a.expectEvent("down " + b.addr)
 		a.Stop()
 	}
 }
 
-// Both ends notice the end of an offered link, and the next one serves both ways as well.
-func TestOfferedLinkEnds(t *testing.T) {
+// Checks that both ends detect the end of an offered link, and that the next offered link also carries frames in both
+// directions.
+func TestOfferedLinkIsReestablishedAfterItEnds(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := startOfferedPair(t, 23)
 	b.mu.Lock()
 	b.offers[a.addr].conn.Close()
 	b.mu.Unlock()
-	a.expect("down " + b.addr)
-	a.expect("up " + b.addr)
-	b.expect("down " + a.addr)
-	b.expect("up " + a.addr)
+	a.expectEvent("down " + b.addr)
+	a.expectEvent("up " + b.addr)
+	b.expectEvent("down " + a.addr)
+	b.expectEvent("up " + a.addr)
 	b.sendFrames(a, 1, 2)
-	a.expect(b.addr + ": 1")
+	a.expectEvent(b.addr + ": 1")
 	a.sendFrames(b, 2, 3)
-	b.expect(a.addr + ": 2")
+	b.expectEvent(a.addr + ": 2")
 	must.Eq(t, 1, a.incomingCount())
-	a.Stop() // and one that is gone is dialed as any other
-	b.expect("down " + a.addr)
-	again := startNode(t, a.addr)
-	b.expect("up " + a.addr)
-	b.sendFrames(again, 3, 4)
-	again.expect(b.addr + ": 3")
-	again.Stop()
+	a.Stop() // an offering node that is gone is dialed like any other node
+	b.expectEvent("down " + a.addr)
+	restarted := startNode(t, a.addr)
+	b.expectEvent("up " + a.addr)
+	b.sendFrames(restarted, 3, 4)
+	restarted.expectEvent(b.addr + ": 3")
+	restarted.Stop()
 	b.Stop()
 }
 
-// Two nodes that both offer keep a link each: if either gave way to the other they would end each other's for ever.
-func TestBothOfferLinks(t *testing.T) {
+// Checks that two nodes that both offer their links keep one link each. If they used the links of each other, each would close
+// its own link in favour of the other without end.
+func TestTwoOfferingNodesKeepSeparateLinks(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := startNode(t, testAddr(25)), startNode(t, testAddr(26))
 	a.OfferLinks()
 	b.OfferLinks()
 	a.Connect(b.addr)
-	a.expect("up " + b.addr)
+	a.expectEvent("up " + b.addr)
 	b.Connect(a.addr)
-	b.expect("up " + a.addr)
-	exchange(a, b, 50)
+	b.expectEvent("up " + a.addr)
+	exchangeFrames(a, b, 50)
 	must.Eq(t, 2, a.incomingCount())
 	a.Stop()
-	b.expect("down " + a.addr)
+	b.expectEvent("down " + a.addr)
 	b.Stop()
 }
 
-// A queue keeps the order through its growth and while frames are taken, drops beyond its bound, and gives back the memory of a burst.
-func TestQueue(t *testing.T) {
+// Checks that a queue keeps its order while it grows and frames are taken, drops frames beyond its bound, and frees the memory
+// of a burst.
+func TestQueueOrderBoundAndCapacity(t *testing.T) {
 	q := newQueue[int]()
 	put, took := 0, 0
 	add := func(n int) {
@@ -161,7 +165,7 @@
 		add(round%7 + 1)
 		take(min(put-took, round%5+1))
 	}
-	must.LessEq(t, 2*(put-took)+2, cap(q.frames)-1<<8) // free capacity is used again before more is allocated
+	must.LessEq(t, 2*(put-took)+2, cap(q.frames)-1<<8) // free capacity is reused before more is allocated
 	add(2 * maxQueuedFrames)
 	must.Eq(t, maxQueuedFrames, put-took)
 	must.Eq(t, 1, len(q.ready))
@@ -173,10 +177,11 @@
 	must.Positive(t, cap(q.frames))
 }
 
-// Who writes to an offered link notices when another takes its place, also where nothing is sent over it and nothing else ends it: the machine at
-// its other end lost power, and its next incarnation, or the same one over a new connection, offers again. Guards against members that sent
-// no hello to nodes that came back (incident mvk-anadolu 7): such a node followed its only member until nothing went on.
-func TestOfferedLinkIsReplaced(t *testing.T) {
+// Checks that the writer of an offered link switches to a newer offer although nothing is sent and nothing else ends the old
+// connection. This happens when the machine at the other end loses power and its next incarnation, or the same one over a new
+// connection, offers its link again. Guards against members that sent no hello to nodes that had restarted (incident
+// mvk-anadolu 7): such a node followed its only member until the system made no more progress.
+func TestWriterNoticesReplacedOffer(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	for _, later := range []wireHandshake{{Life: 11, Nr: 2}, {Life: 12, Nr: 1}} {
 		for _, hasSent := range []bool{false, true} {
@@ -188,28 +193,28 @@
 				must.NoError(t, gob.NewEncoder(c).Encode(wireHandshake{From: from, Life: incarnation, Nr: seq, Both: true}))
 				return c, gob.NewDecoder(c)
 			}
-			reads := func(dec *gob.Decoder, nr int) {
+			expectFrame := func(dec *gob.Decoder, number int) {
 				var o wireHandshake
 				must.NoError(t, dec.Decode(&o))
 				must.Eq(t, b.addr, o.From)
 				var f frame
 				must.NoError(t, dec.Decode(&f))
-				must.Eq(t, nr, f.Number)
+				must.Eq(t, number, f.Number)
 			}
-			former, dec := offer(11, 1)
+			previous, dec := offer(11, 1)
 			b.awaitOffer(from)
 			b.Connect(from)
-			b.expect("up " + from)
+			b.expectEvent("up " + from)
 			if hasSent {
 				must.True(t, b.Send(from, &frame{Number: 1}))
-				reads(dec, 1)
+				expectFrame(dec, 1)
 			}
 			current, dec := offer(later.Life, later.Nr)
-			b.expect("down " + from)
-			b.expect("up " + from)
+			b.expectEvent("down " + from)
+			b.expectEvent("up " + from)
 			must.True(t, b.Send(from, &frame{Number: 2}))
-			reads(dec, 2)
-			former.Close()
+			expectFrame(dec, 2)
+			previous.Close()
 			current.Close()
 			b.Stop()
 		}
--- a/internal/gateway/transport/outbound.go
+++ b/internal/gateway/transport/outbound.go
@@ -14,54 +14,56 @@
 )
 
 const (
-	// dialTimeout bounds one dial: some round trips, and far below the time after which a node is taken for lost.
+	// dialTimeout limits one dial. It covers several round trips and is far below the time after which a node is considered
+	// lost.
 	dialTimeout = 600 * time.Millisecond
-	// writeTimeout bounds the time in which a peer takes nothing, or its machine acknowledges nothing, before the link ends.
+	// writeTimeout is the time after which a link ends if the peer reads nothing or its machine acknowledges nothing.
 	writeTimeout = 2 * time.Second
-	// minRedialBackoff is the wait after a first failure. It doubles up to maxRedialBackoff. Both are short: nodes that start together
-	// are up soon.
+	// minRedialBackoff is the delay before the next dial after a first failure. The delay doubles with each further failure, up
+	// to maxRedialBackoff. Both are short so that links between nodes that start together are soon up.
 	minRedialBackoff = 40 * time.Millisecond
 	maxRedialBackoff = 640 * time.Millisecond
-	// writeBufferBytes is how much is gathered for one write while frames wait.
+	// writeBufferBytes is the size of the buffer that combines waiting frames into one write.
 	writeBufferBytes = 4 << 10
 )
 
-// link is this node's wish to send to another one.
+// link is a link that is wanted from this node to another one.
 type link[F any] struct {
 	target string
 	queue  *queue[F]
-	stop   context.CancelFunc // the link is no longer wanted
+	stop   context.CancelFunc // called when the link is no longer wanted
 
 	// Guarded by Mesh.mu.
-	abort       func() // ends the dial, the backoff or the connection that it has now
+	abort       func() // ends the current dial, backoff or connection
 	connected   bool
-	conn        net.Conn // while it is up, if frames come on its connection as well
-	endedChecks int      // see Check
+	conn        net.Conn // connection of a link that is up, if it also carries inbound frames, else nil
+	endedChecks int      // number of consecutive checks that found the connection ended, see Check
 }
 
-// setConnection says what a link's abort is to end. conn is what it goes over; nil: it is not up.
+// setConnection sets the connection of a link and the function that ends it. A nil conn means that the link is down. abort then
+// ends the current dial or backoff.
 func (m *Mesh[F]) setConnection(l *link[F], conn net.Conn, abort func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l.connected, l.abort, l.conn, l.endedChecks = conn != nil, abort, nil, 0
-	if _, framesComeIn := m.incoming[conn]; framesComeIn {
+	if _, isIncoming := m.incoming[conn]; isIncoming {
 		l.conn = conn
 	}
 }
 
-// runWriter dials, writes, and dials again, until the link is not wanted any more.
+// runWriter dials the target and writes the queued frames, again and again until the link is no longer wanted.
 func (m *Mesh[F]) runWriter(ctx context.Context, l *link[F]) {
 	for backoff := minRedialBackoff; ctx.Err() == nil; backoff = min(2*backoff, maxRedialBackoff) {
 		attempt, abort := context.WithCancel(ctx)
 		conn, ended, err := m.connect(attempt, l, abort)
 		if err == nil {
 			backoff = minRedialBackoff
-			l.queue.clear() // meant for a connection that is no more
+			l.queue.clear() // the frames were queued for an earlier connection
 			m.setConnection(l, conn, func() {
 				abort()
 				conn.Close()
 			})
-			if o, _ := m.offerOf(l.target); o.conn != nil && o.conn != conn { // it was offered meanwhile
+			if o, _ := m.offerOf(l.target); o.conn != nil && o.conn != conn { // the target offered a connection in the meantime
 				conn.Close()
 				abort()
 				continue
@@ -77,20 +79,20 @@
 	}
 }
 
-// serve writes to a connection until it ends, and tells the host that it is up and down.
+// serve writes frames to a connection until it ends. It reports to the host that the link is up and then down.
 func (m *Mesh[F]) serve(ctx context.Context, l *link[F], conn net.Conn, ended <-chan struct{}, abort func()) {
 	m.turn(func() { m.host.LinkUp(l.target) })
 	m.writeFrames(ctx, l, conn, ended)
 	m.setConnection(l, nil, abort)
 	conn.Close()
 	m.turn(func() {
-		if m.isCurrentLink(l) { // else the one in its place may be up already
+		if m.isCurrentLink(l) { // otherwise the link that replaced this one may already be up
 			m.host.LinkDown(l.target)
 		}
 	})
 }
 
-// isCurrentLink tells whether no other link has been wanted since in the place of this one.
+// isCurrentLink reports whether no newer link to the same target has replaced this one.
 func (m *Mesh[F]) isCurrentLink(l *link[F]) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,11 +100,12 @@
 	return current == nil || current == l
 }
 
-// writeFrames writes frames until the link fails, or ended tells that nothing more comes on its connection.
+// writeFrames sends the handshake and then the queued frames until a write fails, ended is closed or ctx is cancelled.
 func (m *Mesh[F]) writeFrames(ctx context.Context, l *link[F], conn net.Conn, ended <-chan struct{}) {
 	out := bufio.NewWriterSize(conn, writeBufferBytes)
 	encoder := gob.NewEncoder(out)
-	// An offer is sent at once, as the other side waits for it; else the handshake goes with the first frame.
+	// An offer is sent at once, because the other side waits for it. Without an offer, the handshake is sent with the first
+	// frame.
 	if encoder.Encode(m.nextHandshake().wire()) != nil || m.offersLinks && out.Flush() != nil {
 		return
 	}
@@ -131,8 +134,8 @@
 	}
 }
 
-// setUserTimeout ends connections to machines that acknowledge nothing for writeTimeout: one without power, or behind a partition,
-// never sends a reset.
+// setUserTimeout sets TCP_USER_TIMEOUT to writeTimeout, so that the kernel ends a connection to a machine that acknowledges
+// nothing for that time. A machine without power or behind a partition never sends a reset.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(writeTimeout/time.Millisecond))
--- a/internal/gateway/transport/partition_test.go
+++ b/internal/gateway/transport/partition_test.go
@@ -13,8 +13,8 @@
 	"clovergap/internal/failpoint"
 )
 
-// A direction that is partitioned carries nothing, the other goes on; what was sent into the partition arrives when it heals, and a dial into one
-// comes through then.
+// Checks that a partition of one direction blocks that direction only. Frames that are sent into the partition arrive when it
+// heals, and a dial into a partition succeeds then.
 func TestOneWayPartition(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b, c := startNode(t, testAddr(5)), startNode(t, testAddr(6)), startNode(t, testAddr(7))
@@ -29,25 +29,25 @@
 		}
 	}
 	a.Connect(b.addr)
-	a.expect("up " + b.addr)
+	a.expectEvent("up " + b.addr)
 	b.Connect(a.addr)
-	b.expect("up " + a.addr)
-	order("cut", b) // one process: nothing that any node sends gets there
+	b.expectEvent("up " + a.addr)
+	order("cut", b) // failpoints are shared by the whole process, so this blocks the frames of all nodes to b
 	order("cut", c)
 	a.Connect(c.addr)
 	a.sendFrames(b, 0, 3)
 	b.sendFrames(a, 7, 9)
-	a.expect(b.addr + ": 7")
-	a.expect(b.addr + ": 8")
+	a.expectEvent(b.addr + ": 7")
+	a.expectEvent(b.addr + ": 8")
 	must.Eq(t, 0, len(b.events))
 	order("mend", b)
 	for _, what := range []string{": 0", ": 1", ": 2"} {
-		b.expect(a.addr + what)
+		b.expectEvent(a.addr + what)
 	}
 	order("mend", c)
-	a.expect("up " + c.addr)
+	a.expectEvent("up " + c.addr)
 	a.sendFrames(c, 4, 5)
-	c.expect(a.addr + ": 4")
+	c.expectEvent(a.addr + ": 4")
 	for _, e := range all {
 		e.Stop()
 	}
--- a/internal/gateway/transport/queue.go
+++ b/internal/gateway/transport/queue.go
@@ -2,31 +2,32 @@
 
 import "sync"
 
-// maxQueuedFrames bounds the frames that wait for one link; more are dropped.
+// maxQueuedFrames is the maximum number of frames that wait for one link. Further frames are dropped.
 const maxQueuedFrames = 4096
 
-// keptCapacity is the capacity in frames that an empty queue keeps: the memory of a burst is given back.
+// keptCapacity is the largest capacity, in frames, that an empty queue keeps. A queue that grew larger during a burst frees its
+// memory.
 const keptCapacity = 64
 
-// queue holds the frames that wait for one link, in order. It grows with its use: a node may have hundreds of links, with frames
-// waiting on few of them.
+// queue is a FIFO queue of the frames that wait for one link. It allocates memory only as needed, because a node may have
+// hundreds of links and frames wait on few of them.
 type queue[F any] struct {
 	mu     sync.Mutex
 	frames []*F
-	head   int           // of frames: those before it are taken
-	ready  chan struct{} // has a token while something waits
+	head   int           // index of the first frame that has not been taken
+	ready  chan struct{} // holds a token while frames wait
 }
 
 func newQueue[F any]() *queue[F] { return &queue[F]{ready: make(chan struct{}, 1)} }
 
-// put adds a frame at the end; false means that the queue is full.
+// put appends a frame. It returns false if the queue is full.
 func (q *queue[F]) put(f *F) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.frames)-q.head >= maxQueuedFrames {
 		return false
 	}
-	if q.head > 0 && len(q.frames) == cap(q.frames) { // use the capacity that take has freed before allocating more
+	if q.head > 0 && len(q.frames) == cap(q.frames) { // reuse the capacity that take has freed before allocating more
 		n := copy(q.frames, q.frames[q.head:])
 		clear(q.frames[n:])
 		q.frames, q.head = q.frames[:n], 0
@@ -36,7 +37,7 @@
 	return true
 }
 
-// take removes the first frame; nil means that nothing waits.
+// take removes and returns the first frame, or returns nil if the queue is empty.
 func (q *queue[F]) take() *F {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -55,7 +56,7 @@
 	return f
 }
 
-// signal lets the writer that waits on ready look again.
+// signal wakes the writer that waits on ready.
 func (q *queue[F]) signal() {
 	select {
 	case q.ready <- struct{}{}:
@@ -63,14 +64,14 @@
 	}
 }
 
-// empty tells whether nothing waits.
+// empty reports whether the queue is empty.
 func (q *queue[F]) empty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.head == len(q.frames)
 }
 
-// clear drops all that waits.
+// clear removes all frames.
 func (q *queue[F]) clear() {
 	for q.take() != nil {
 	}
--- a/internal/invariant/check.go
+++ b/internal/invariant/check.go
@@ -1,17 +1,19 @@
-// Package invariant holds what must hold: a debug build stops where it does not, a release build counts it.
+// Package invariant checks assertions at run time. A debug build panics at the first violation. A release build counts
+// violations and goes on.
 package invariant
 
 import "sync/atomic"
 
-var broken atomic.Uint64
+var violations atomic.Uint64
 
-// Assert records a violation if holds is false.
-func Assert(holds bool, what string) {
-	if !holds {
-		broken.Add(1)
-		fail(what)
+// Assert checks that condition is true, and otherwise counts a violation. In a debug build it then panics with the text of the
+// invariant.
+func Assert(condition bool, invariant string) {
+	if !condition {
+		violations.Add(1)
+		fail(invariant)
 	}
 }
 
-// Violations returns the number of failed assertions.
-func Violations() uint64 { return broken.Load() }
+// Violations returns the number of assertions that failed since the process started.
+func Violations() uint64 { return violations.Load() }
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-// Debug tells which build this is.
+// Debug is true in a debug build, where a violation panics.
 const Debug = true
 
-func fail(what string) { panic("must hold: " + what) }
+func fail(invariant string) { panic("invariant violated: " + invariant) }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-// Debug tells which build this is.
+// Debug is false in a release build, where a violation is only counted.
 const Debug = false
 
 func fail(string) {}
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,4 +1,5 @@
-// Package timerqueue keeps values until their deadlines: a priority queue by time and, of the same time, by age. It reads no clock.
+// Package timerqueue implements a priority queue of values ordered by deadline. Values with the same deadline leave in the
+// order in which they were added. The queue does not read a clock.
 package timerqueue
 
 import "time"
@@ -6,28 +7,28 @@
 // item is a value with its deadline.
 type item[T any] struct {
 	deadline time.Duration
-	order    uint64 // number of the Add
+	sequence uint64 // position in the order of Add calls, which breaks ties between equal deadlines
 	value    T
 }
 
-// Queue is a binary heap. There is no removal: whoever takes a value that is no longer of interest passes it over. The zero Queue is
-// empty and ready for use. It is not safe for concurrent use.
+// Queue is a binary heap. It does not support the removal of an arbitrary value: the caller skips a taken value that is no
+// longer needed. The zero Queue is empty and ready for use. Queue is not safe for concurrent use.
 type Queue[T any] struct {
-	items []item[T]
-	order uint64
+	items        []item[T]
+	lastSequence uint64
 }
 
-// before tells whether one item goes before another.
-func (q *Queue[T]) before(i, j int) bool {
+// less reports whether item i leaves the queue before item j.
+func (q *Queue[T]) less(i, j int) bool {
 	a, b := &q.items[i], &q.items[j]
-	return a.deadline < b.deadline || a.deadline == b.deadline && a.order < b.order
+	return a.deadline < b.deadline || a.deadline == b.deadline && a.sequence < b.sequence
 }
 
-// Add puts a value in.
+// Add adds a value with its deadline.
 func (q *Queue[T]) Add(deadline time.Duration, value T) {
-	q.order++
-	q.items = append(q.items, item[T]{deadline, q.order, value})
-	for i := len(q.items) - 1; i > 0 && q.before(i, (i-1)/2); i = (i - 1) / 2 {
+	q.lastSequence++
+	q.items = append(q.items, item[T]{deadline, q.lastSequence, value})
+	for i := len(q.items) - 1; i > 0 && q.less(i, (i-1)/2); i = (i - 1) / 2 {
 		q.items[i], q.items[(i-1)/2] = q.items[(i-1)/2], q.items[i]
 	}
 }
@@ -40,7 +41,7 @@
 	return q.items[0].deadline, true
 }
 
-// Peek gives the value with the earliest deadline; false: the queue is empty.
+// Peek returns the value with the earliest deadline without removing it, or false if the queue is empty.
 func (q *Queue[T]) Peek() (value T, ok bool) {
 	if len(q.items) == 0 {
 		return value, false
@@ -48,7 +49,8 @@
 	return q.items[0].value, true
 }
 
-// Take removes the value with the earliest deadline if that is not later than now; false: none is.
+// Take removes and returns the value with the earliest deadline, if that deadline is not later than now. It returns false if no
+// deadline has been reached.
 func (q *Queue[T]) Take(now time.Duration) (value T, ok bool) {
 	if len(q.items) == 0 || q.items[0].deadline > now {
 		return value, false
@@ -56,18 +58,18 @@
 	value = q.items[0].value
 	last := len(q.items) - 1
 	q.items[0] = q.items[last]
-	q.items[last] = item[T]{} // what it refers to can be freed
+	q.items[last] = item[T]{} // release the value for garbage collection
 	q.items = q.items[:last]
 	q.siftDown()
 	return value, true
 }
 
-// siftDown moves the first item to where it belongs.
+// siftDown moves the first item down until the heap is in order again.
 func (q *Queue[T]) siftDown() {
 	for i := 0; ; {
 		first := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(q.items); child++ {
-			if q.before(child, first) {
+			if q.less(child, first) {
 				first = child
 			}
 		}
--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -13,7 +13,7 @@
 		q.Add(time.Duration(rng.Intn(100)), i)
 	}
 	if _, ok := q.Take(-1); ok {
-		fmt.Println("taken early")
+		fmt.Println("value taken before its deadline")
 	}
 	last, lastAt, n := -1, time.Duration(-1), 0
 	for {
@@ -23,7 +23,7 @@
 			break
 		}
 		if at < lastAt || at == lastAt && what < last {
-			fmt.Println("out of order")
+			fmt.Println("value taken out of order")
 		}
 		last, lastAt, n = what, at, n+1
 	}
