--- a/internal/gateway/groups/groups.go
+++ b/internal/gateway/groups/groups.go
@@ -77,8 +77,8 @@
 	// acknowledged is applied too. The result describes the past: another node may lead by now, which Propose and ReadIndex
 	// detect.
 	Leadership(group ID) (term uint64, since time.Duration, ok bool)
-	// Leader returns the inner address of the leader of a group, as far as this node knows it, or false if the leader is
-	// unknown.
+	// Leader returns the inner address of the leader of a group, at which other nodes reach it, or false if this node does not
+	// know the leader.
 	Leader(group ID) (address string, ok bool)
 	// LeaderCandidates returns at most three addresses of nodes to which a call for a group may be sent, the most likely leader
 	// first. They include the address of this node if it has a disk.
--- a/internal/gateway/groups/groups_test.go
+++ b/internal/gateway/groups/groups_test.go
@@ -31,10 +31,10 @@
 			disks = append(disks, uint64(i+1)*7919)
 		}
 		leaders := PreferredLeaders(disks)
-		led := map[uint64]int{}
+		groupsLed := map[uint64]int{}
 		for _, disk := range leaders {
-			led[disk]++
-			must.LessEq(t, (Count+n-1)/n, led[disk])
+			groupsLed[disk]++
+			must.LessEq(t, (Count+n-1)/n, groupsLed[disk])
 		}
 		slices.Reverse(disks)
 		must.Eq(t, leaders, PreferredLeaders(disks))
--- a/internal/gateway/groups/leaders.go
+++ b/internal/gateway/groups/leaders.go
@@ -16,11 +16,11 @@
 		return leaders
 	}
 	share := (Count + len(disks) - 1) / len(disks)
-	led := map[uint64]int{}
+	groupsLed := map[uint64]int{}
 	for id := range leaders {
 		for _, disk := range RankDisks(ID(id), disks) {
-			if led[disk] < share {
-				led[disk]++
+			if groupsLed[disk] < share {
+				groupsLed[disk]++
 				leaders[id] = disk
 				break
 			}
--- a/internal/gateway/transport/doc.go
+++ b/internal/gateway/transport/doc.go
@@ -10,6 +10,7 @@
 //     within that incarnation.
 //   - Offered link: a connection on which the dialer also accepts frames, so that the other node does not need to dial a connection
 //     of its own.
+//   - Turn: a function call with exclusive access to the state of the host. Turns run one at a time.
 //
 // # Guarantees
 //
--- a/internal/gateway/transport/handshake.go
+++ b/internal/gateway/transport/handshake.go
@@ -14,6 +14,7 @@
 // decide. Otherwise the order decides in which this node accepted or dialed the connections.
 type streamOrder struct{ incarnation, seq, arrival uint64 }
 
+// olderThan reports whether the stream of s began before that of other.
 func (s streamOrder) olderThan(other streamOrder) bool {
 	if s.incarnation == other.incarnation && s.seq > 0 && other.seq > 0 {
 		return s.seq < other.seq
--- a/internal/gateway/transport/inbound.go
+++ b/internal/gateway/transport/inbound.go
@@ -48,6 +48,7 @@
 	return n, err
 }
 
+// accept accepts connections of other nodes until the listener is closed, and starts a reader for each.
 func (m *Mesh[F]) accept() {
 	for {
 		conn, err := m.listener.Accept()
--- a/internal/gateway/transport/mesh.go
+++ b/internal/gateway/transport/mesh.go
@@ -45,9 +45,9 @@
 	newestStreams map[string]streamOrder
 }
 
-// New creates a mesh that listens at an inner address, by which the other nodes know this node. incarnation must differ between
-// any two starts of a node. turn runs a function with exclusive access to the state of the host, and returns when the function
-// has returned. New returns an error if it cannot listen at the address.
+// New creates a mesh that listens at addr, the inner address by which the other nodes know this node. incarnation must differ
+// between any two starts of a node. turn runs a function in a turn, which means with exclusive access to the state of the host,
+// and returns when the function has returned. New returns an error if it cannot listen at addr.
 func New[F any](addr string, incarnation uint64, host Host[F], turn func(func())) (*Mesh[F], error) {
 	listener, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
--- a/internal/gateway/transport/mesh_test.go
+++ b/internal/gateway/transport/mesh_test.go
@@ -71,6 +71,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:17560", 2+os.Getpid()>>8&127, os.Getpid()&255, lastOctet)
 }
 
+// startNode starts a node with a new incarnation at an address.
 func startNode(t *testing.T, addr string) *testNode {
 	node := &testNode{t: t, addr: addr, events: make(chan string, 1<<14), connections: map[string]int{}}
 	mesh, err := New[frame](addr, lastIncarnation.Add(1), node, func(f func()) {
@@ -84,6 +85,7 @@
 	return node
 }
 
+// sendFrames sends the frames with the numbers from start to end-1.
 func (n *testNode) sendFrames(to *testNode, start, end int) {
 	for number := start; number < end; number++ {
 		must.True(n.t, n.Send(to.addr, &frame{Number: number}))
@@ -110,11 +112,11 @@
 	b.expectEvent(c.addr + ": 7 and more")
 	a.sendFrames(b, 0, 3000)
 	a.sendFrames(c, 0, 10)
-	for nr := range 3000 {
-		b.expectEvent(fmt.Sprintf("%s: %d", a.addr, nr))
+	for number := range 3000 {
+		b.expectEvent(fmt.Sprintf("%s: %d", a.addr, number))
 	}
-	for nr := range 10 {
-		c.expectEvent(fmt.Sprintf("%s: %d", a.addr, nr))
+	for number := range 10 {
+		c.expectEvent(fmt.Sprintf("%s: %d", a.addr, number))
 	}
 	_, err := New[frame](b.addr, 1, b, nil)
 	must.Error(t, err) // the address is in use
@@ -139,9 +141,9 @@
 	must.Positive(t, restarted.connections[a.addr]) // each stream is reported before its frames
 	must.Positive(t, restarted.connections[c.addr])
 	restarted.turn.Unlock()
-	for _, e := range []*testNode{a, restarted, c} {
-		e.Stop()
-		e.Connect(testAddr(4)) // has no effect after Stop
+	for _, node := range []*testNode{a, restarted, c} {
+		node.Stop()
+		node.Connect(testAddr(4)) // has no effect after Stop
 	}
 	must.False(t, a.Send(testAddr(4), &frame{}))
 }
@@ -162,7 +164,7 @@
 		must.NoError(t, enc.Encode(wireHandshake{From: "x"}))
 		return c, enc
 	}
-	ended := func(c net.Conn) {
+	expectEnded := func(c net.Conn) {
 		t.Helper()
 		_, err := c.Read(make([]byte, 1))
 		must.Error(t, err)
@@ -170,26 +172,26 @@
 		c.Close()
 	}
 	c, enc := dial()
-	for nr := range 3 { // the limit applies to each frame separately
-		must.NoError(t, enc.Encode(frame{Number: nr, Payload: make([]byte, maxFrameBytes*3/4)}))
-		a.expectEvent(fmt.Sprintf("x: %d", nr))
+	for number := range 3 { // the limit applies to each frame separately
+		must.NoError(t, enc.Encode(frame{Number: number, Payload: make([]byte, maxFrameBytes*3/4)}))
+		a.expectEvent(fmt.Sprintf("x: %d", number))
 	}
 	enc.Encode(frame{Number: 3, Payload: make([]byte, maxFrameBytes+1<<16)})
-	ended(c)
+	expectEnded(c)
 	c, _ = dial()
 	c.Write([]byte{0xfc, 0x3f, 0xff, 0xff, 0xff}) // length prefix that announces a gigabyte
 	io.CopyN(c, bytes.NewReader(make([]byte, 2*maxFrameBytes)), 2*maxFrameBytes)
-	ended(c)
+	expectEnded(c)
 	c, _ = dial()
 	io.WriteString(c, strings.Repeat("GET / HTTP/1.1\r\n\r\n", 10))
-	ended(c)
+	expectEnded(c)
 	c, enc = dial()
 	must.NoError(t, enc.Encode(frame{Number: 5}))
 	a.expectEvent("x: 5")
 	other, enc := dial() // a new stream of x ends the previous one
 	must.NoError(t, enc.Encode(frame{Number: 6}))
 	a.expectEvent("x: 6")
-	ended(c)
+	expectEnded(c)
 	other.Close()
 	b.sendFrames(a, 4, 5)
 	a.expectEvent(b.addr + ": 4") // no frame of the other streams came before it
@@ -217,8 +219,8 @@
 	}
 	must.Between(t, maxQueuedFrames, sent, 4*maxQueuedFrames)
 	a.sendFrames(b, 0, 100)
-	for nr := range 100 {
-		b.expectEvent(fmt.Sprintf("%s: %d", a.addr, nr))
+	for number := range 100 {
+		b.expectEvent(fmt.Sprintf("%s: %d", a.addr, number))
 	}
 	a.expectEvent("down " + blocked.addr)
 }
@@ -230,18 +232,18 @@
 	a, b := startNode(t, testAddr(1)), startNode(t, testAddr(2))
 	a.Connect(b.addr)
 	a.expectEvent("up " + b.addr)
-	begin := func(incarnation uint64) net.Conn {
+	beginStream := func(incarnation uint64) net.Conn {
 		c, err := net.Dial("tcp", a.addr)
 		must.NoError(t, err)
 		must.NoError(t, gob.NewEncoder(c).Encode(wireHandshake{From: b.addr, Life: incarnation}))
 		return c
 	}
-	first := begin(11)
+	first := beginStream(11)
 	defer first.Close()
 	for !a.knowsIncarnation(b.addr, 11) { // the first known incarnation does not restart the link
 		runtime.Gosched()
 	}
-	second := begin(12)
+	second := beginStream(12)
 	defer second.Close()
 	a.expectEvent("down " + b.addr)
 	a.expectEvent("up " + b.addr)
@@ -249,6 +251,7 @@
 	b.Stop()
 }
 
+// knowsIncarnation reports whether a node last connected with the given incarnation.
 func (n *testNode) knowsIncarnation(from string, incarnation uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gateway/transport/offer_test.go
+++ b/internal/gateway/transport/offer_test.go
@@ -186,7 +186,7 @@
 	for _, later := range []wireHandshake{{Life: 11, Nr: 2}, {Life: 12, Nr: 1}} {
 		for _, hasSent := range []bool{false, true} {
 			b, from := startNode(t, testAddr(27)), testAddr(28)
-			offer := func(incarnation, seq uint64) (net.Conn, *gob.Decoder) {
+			dialWithOffer := func(incarnation, seq uint64) (net.Conn, *gob.Decoder) {
 				c, err := net.Dial("tcp", b.addr)
 				must.NoError(t, err)
 				must.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
@@ -194,14 +194,14 @@
 				return c, gob.NewDecoder(c)
 			}
 			expectFrame := func(dec *gob.Decoder, number int) {
-				var o wireHandshake
-				must.NoError(t, dec.Decode(&o))
-				must.Eq(t, b.addr, o.From)
+				var first wireHandshake
+				must.NoError(t, dec.Decode(&first))
+				must.Eq(t, b.addr, first.From)
 				var f frame
 				must.NoError(t, dec.Decode(&f))
 				must.Eq(t, number, f.Number)
 			}
-			previous, dec := offer(11, 1)
+			previous, dec := dialWithOffer(11, 1)
 			b.awaitOffer(from)
 			b.Connect(from)
 			b.expectEvent("up " + from)
@@ -209,7 +209,7 @@
 				must.True(t, b.Send(from, &frame{Number: 1}))
 				expectFrame(dec, 1)
 			}
-			current, dec := offer(later.Life, later.Nr)
+			current, dec := dialWithOffer(later.Life, later.Nr)
 			b.expectEvent("down " + from)
 			b.expectEvent("up " + from)
 			must.True(t, b.Send(from, &frame{Number: 2}))
--- a/internal/gateway/transport/outbound.go
+++ b/internal/gateway/transport/outbound.go
@@ -27,7 +27,7 @@
 	writeBufferBytes = 4 << 10
 )
 
-// link is a link that is wanted from this node to another one.
+// link is a wanted link from this node to another one, with the queue of its frames.
 type link[F any] struct {
 	target string
 	queue  *queue[F]
--- a/internal/gateway/transport/partition_test.go
+++ b/internal/gateway/transport/partition_test.go
@@ -18,37 +18,37 @@
 func TestOneWayPartition(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b, c := startNode(t, testAddr(5)), startNode(t, testAddr(6)), startNode(t, testAddr(7))
-	in, orders := io.Pipe()
+	in, commands := io.Pipe()
 	failpoint.Listen(in)
-	defer orders.Close()
-	all := []*testNode{a, b, c}
-	order := func(what string, to *testNode) {
+	defer commands.Close()
+	nodes := []*testNode{a, b, c}
+	sendFailpointCommand := func(command string, to *testNode) {
 		host, _, _ := net.SplitHostPort(to.addr)
-		io.WriteString(orders, what+" "+host+"\n")
-		for failpoint.Partitioned(to.addr) != (what == "cut") {
+		io.WriteString(commands, command+" "+host+"\n")
+		for failpoint.Partitioned(to.addr) != (command == "cut") {
 		}
 	}
 	a.Connect(b.addr)
 	a.expectEvent("up " + b.addr)
 	b.Connect(a.addr)
 	b.expectEvent("up " + a.addr)
-	order("cut", b) // failpoints are shared by the whole process, so this blocks the frames of all nodes to b
-	order("cut", c)
+	sendFailpointCommand("cut", b) // failpoints are shared by the whole process, so this blocks the frames of all nodes to b
+	sendFailpointCommand("cut", c)
 	a.Connect(c.addr)
 	a.sendFrames(b, 0, 3)
 	b.sendFrames(a, 7, 9)
 	a.expectEvent(b.addr + ": 7")
 	a.expectEvent(b.addr + ": 8")
 	must.Eq(t, 0, len(b.events))
-	order("mend", b)
-	for _, what := range []string{": 0", ": 1", ": 2"} {
-		b.expectEvent(a.addr + what)
+	sendFailpointCommand("mend", b)
+	for _, event := range []string{": 0", ": 1", ": 2"} {
+		b.expectEvent(a.addr + event)
 	}
-	order("mend", c)
+	sendFailpointCommand("mend", c)
 	a.expectEvent("up " + c.addr)
 	a.sendFrames(c, 4, 5)
 	c.expectEvent(a.addr + ": 4")
-	for _, e := range all {
-		e.Stop()
+	for _, node := range nodes {
+		node.Stop()
 	}
 }
--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -15,20 +15,20 @@
 	if _, ok := q.Take(-1); ok {
 		fmt.Println("value taken before its deadline")
 	}
-	last, lastAt, n := -1, time.Duration(-1), 0
+	last, lastDeadline, count := -1, time.Duration(-1), 0
 	for {
-		at, _ := q.NextDeadline()
-		what, ok := q.Take(100)
+		deadline, _ := q.NextDeadline()
+		value, ok := q.Take(100)
 		if !ok {
 			break
 		}
-		if at < lastAt || at == lastAt && what < last {
+		if deadline < lastDeadline || deadline == lastDeadline && value < last {
 			fmt.Println("value taken out of order")
 		}
-		last, lastAt, n = what, at, n+1
+		last, lastDeadline, count = value, deadline, count+1
 	}
 	_, more := q.Peek()
-	fmt.Println(n, "taken, more:", more)
+	fmt.Println(count, "taken, more:", more)
 	// Output:
 	// 2000 taken, more: false
 }
