--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -234,7 +234,7 @@
 // scheduleWake returns a wake-up decision for the next sweep or timer. It returns false if an earlier wake-up is already scheduled.
 func (c *Controller) scheduleWake() (control.Decision, bool) {
 	next := c.sweptAt + c.sweepInterval()
-	if at, ok := c.timers.Next(); ok {
+	if at, ok := c.timers.NextDeadline(); ok {
 		next = min(next, at)
 	}
 	next = max(next, c.now+minWakeDelay)
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -99,8 +99,8 @@
 // NewLimiter returns the limiter of gateway self in a cluster of the given number of gateways. The epoch is derived from the seed, so no
 // two runs may have the same seed. Limits are set by SetLimit, and the set of each customer is all gateways.
 func NewLimiter(seed int64, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
-	invariant.That(self >= 0 && int(self) < gateways, "the gateway ID is below the number of gateways")
-	invariant.That(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0, "MinInterval, SnapshotTTL and DatagramsPerSecond are above 0")
+	invariant.Assert(self >= 0 && int(self) < gateways, "the gateway ID is below the number of gateways")
+	invariant.Assert(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0, "MinInterval, SnapshotTTL and DatagramsPerSecond are above 0")
 	l := newLimiter(rand.New(rand.NewSource(seed)).Uint32()|1, self, gateways, now, config)
 	l.options.PeersEnabled, l.sweptAt = true, now
 	return l
@@ -140,7 +140,7 @@
 // SetLimit sets a customer's rate in units a second and its burst in units. A lower burst reduces the level at once. After a higher
 // burst, the bucket fills at the rate. A rate of 0 or below stops the metering of the customer. The largest customer ID is 1<<34.
 func (l *Limiter) SetLimit(c control.CustomerID, rate, burst float64) {
-	invariant.That(l.options.PlanLimit == nil && c <= 1<<34, "limits are set by customer, and the customer ID fits a message")
+	invariant.Assert(l.options.PlanLimit == nil && c <= 1<<34, "limits are set by customer, and the customer ID fits a message")
 	a := l.accounts[c]
 	switch {
 	case rate <= 0:
@@ -213,7 +213,7 @@
 // they count twice, and the customer has too few units for a moment. Grants of the old owner are void. An old owner that is partitioned
 // off goes on granting units beside the new one. So gateways must be added only while all of them can reach each other.
 func (l *Limiter) Grow(self control.GatewayID, gateways int) {
-	invariant.That(gateways >= l.gateways && int(self) < gateways, "the number of gateways does not decrease and the gateway ID is below it")
+	invariant.Assert(gateways >= l.gateways && int(self) < gateways, "the number of gateways does not decrease and the gateway ID is below it")
 	before := l.self
 	if self == before && gateways == l.gateways {
 		return
--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -214,7 +214,7 @@
 // requestWakeUp requests a wake-up for the next timer or periodic work, unless an earlier request covers it.
 func (c *Controller) requestWakeUp() (control.Decision, bool) {
 	next := min(c.periodicWorkAt+c.periodicWorkInterval(), max(c.limiter.NextDeadline(), c.now+minDatagramInterval))
-	if at, ok := c.timers.Next(); ok {
+	if at, ok := c.timers.NextDeadline(); ok {
 		next = min(next, at)
 	}
 	next = max(next, c.now+minWakeDelay)
--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -86,7 +86,7 @@
 // run processes the events until a time.
 func (s *simulation) run(until time.Duration) {
 	for {
-		at, _ := s.events.Next()
+		at, _ := s.events.NextDeadline()
 		if at > until {
 			return
 		}
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -173,7 +173,7 @@
 	}
 	allowed := !t.ended && !t.inFlight && t.mayRunAgain() && t.attempts < t.route.MaxAttempts &&
 		!slices.Contains(t.attempted, backend) && t.mayUseVersion()
-	invariant.That(allowed, "a submitted request may be sent to its backend")
+	invariant.Assert(allowed, "a submitted request may be sent to its backend")
 	if !allowed || !c.canMeetDeadline(t) {
 		c.finish(t, control.ReasonNoTime, c.retryAfter(s))
 		return
@@ -252,7 +252,7 @@
 func (c *Controller) recordOutcome(t *txn, ending control.Ending, took time.Duration) {
 	if t.clientLeft && !t.route.Effectful && c.now-t.clientLeftAt > maxRunAfterClientLeft {
 		c.counts.ranAfterClientLeft++
-		invariant.That(false, "an idempotent request does not stay at a backend after its client has left")
+		invariant.Assert(false, "an idempotent request does not stay at a backend after its client has left")
 	}
 	if ending == control.Canceled && c.now >= t.deadline {
 		ending = control.TimedOut
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -10,7 +10,7 @@
 // Sent records that a request was sent to a backend.
 func (b *Balancer) Sent(now time.Duration, id control.BackendID, r Request) {
 	backend := b.known[id]
-	invariant.That(backend != nil && backend.State == control.Ready, "a request is sent to a ready backend only")
+	invariant.Assert(backend != nil && backend.State == control.Ready, "a request is sent to a ready backend only")
 	if backend == nil {
 		return
 	}
@@ -47,7 +47,7 @@
 // Ended records the end of a request. It is called once for each request that was sent.
 func (b *Balancer) Ended(now time.Duration, id control.BackendID, outcome Outcome) {
 	backend := b.known[id]
-	invariant.That(backend != nil && backend.inFlight > 0, "a request that ends at a backend is in flight there")
+	invariant.Assert(backend != nil && backend.inFlight > 0, "a request that ends at a backend is in flight there")
 	if backend == nil || backend.inFlight == 0 {
 		return
 	}
--- a/internal/gateway/logentry/codec.go
+++ b/internal/gateway/logentry/codec.go
@@ -15,7 +15,7 @@
 func Encode(v any) []byte {
 	var b bytes.Buffer
 	err := gob.NewEncoder(&b).Encode(v)
-	invariant.That(err == nil, "gob encodes every log entry and snapshot")
+	invariant.Assert(err == nil, "gob encodes every log entry and snapshot")
 	return b.Bytes()
 }
 
--- a/internal/gateway/logentry/dedupwindow.go
+++ b/internal/gateway/logentry/dedupwindow.go
@@ -72,7 +72,7 @@
 
 // Add records that a request was applied. Its number must be above the number of every request before it.
 func (d *DedupWindow) Add(number uint64, digest Digest) {
-	invariant.That(number > d.newest(), "numbers of applied requests increase")
+	invariant.Assert(number > d.newest(), "numbers of applied requests increase")
 	d.bytes += encodedSize(number - d.newest())
 	d.requests = append(d.requests, request{number, digest})
 	d.digests[digest] = struct{}{}
@@ -130,6 +130,6 @@
 // SetHorizon sets the horizon of a new window whose state comes from a version without a window. All requests up to the number
 // count as possibly dropped.
 func (d *DedupWindow) SetHorizon(number uint64) {
-	invariant.That(len(d.requests) == 0 && d.horizon == 0, "the horizon of a deduplication window is set only while it is new")
+	invariant.Assert(len(d.requests) == 0 && d.horizon == 0, "the horizon of a deduplication window is set only while it is new")
 	d.horizon = number
 }
--- a/internal/gateway/outlier/access.go
+++ b/internal/gateway/outlier/access.go
@@ -52,7 +52,7 @@
 		return a.compare(b.Key)
 	})
 	shortfall := max(0, n.state.Settings().minInService(len(svc.backends))-(len(svc.backends)-len(ejected)))
-	invariant.That(shortfall <= len(ejected), "the required number of open backends is at most the number of ready backends")
+	invariant.Assert(shortfall <= len(ejected), "the required number of open backends is at most the number of ready backends")
 	kept := map[InstanceID]bool{}
 	for _, ejection := range ejected[:shortfall] {
 		kept[ejection.ID] = true
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -97,7 +97,7 @@
 	case SetSettings:
 		s.snapshot.Settings, s.SettingsRevision = *e.Settings, s.Revision
 		err := s.snapshot.Settings.Normalize()
-		invariant.That(err == nil, "settings of an accepted entry are valid")
+		invariant.Assert(err == nil, "settings of an accepted entry are valid")
 	case Forget:
 		s.snapshot.Ejections = slices.DeleteFunc(s.snapshot.Ejections, func(ejection Ejection) bool { return slices.Contains(e.GoneInstances, ejection.ID) })
 	case Eject:
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -69,7 +69,7 @@
 // New returns an empty registry of the node with the given slot. Heartbeats and messages from other nodes fill it. No
 // departure is confirmed before SetNodes is called.
 func New(slot Slot, config Config, now time.Duration) *Registry {
-	invariant.That(slot >= 0, "the slot of the registry's node is not negative")
+	invariant.Assert(slot >= 0, "the slot of the registry's node is not negative")
 	return &Registry{localSlot: slot, config: config, now: now, timeoutFloor: now, nextScanAt: now + scanInterval, wakeAt: never,
 		syncSource: NoSlot, reportMissingAt: never, entries: map[string]*entry{}, byAddr: map[string][]*entry{}, peers: map[Slot]*peer{}}
 }
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -134,7 +134,7 @@
 	s.LastNumber++
 	r := Run{Number: s.LastNumber, Spec: *e.Spec, Capacity: e.Capacity, Phase: Running, Step: 1}
 	err := r.Spec.Normalize()
-	invariant.That(err == nil, "the spec of an accepted start entry is valid")
+	invariant.Assert(err == nil, "the spec of an accepted start entry is valid")
 	i, exists := s.find(e.Service)
 	if !exists {
 		s.runs = slices.Insert(s.runs, i, r)
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,7 +2,8 @@
 
 package invariant
 
-// Debug tells which build this is.
+// Debug is true in a debug build, where a violation panics.
 const Debug = true
 
-func fail(what string) { panic("must hold: " + what) }
+// fail panics with the text of the violated invariant.
+func fail(invariant string) { panic("invariant violated: " + invariant) }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,7 +2,8 @@
 
 package invariant
 
-// Debug tells which build this is.
+// Debug is false in a release build, where a violation is only counted.
 const Debug = false
 
+// fail does nothing, because a release build goes on after a violation.
 func fail(string) {}
