--- a/internal/gateway/coordination/call.go
+++ b/internal/gateway/coordination/call.go
@@ -6,23 +6,23 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// Operation is what a call asks for. The numbers are sent between nodes and stored in the log; they must not change.
+// Operation is the kind of a call. Its numbers are sent between nodes and stored in the log, so they must not change.
 type Operation uint8
 
-// The operations, with their paths in api/control.yaml.
+// The operations. Each comment begins with the operation's path in api/control.yaml.
 const (
-	LockAcquire Operation = 1 // Locks.Begin: takes a lock, or extends the lease of its holder
-	LockRenew   Operation = 2 // Locks.Heartbeat: extends the lease of a lock's holder
-	LockRelease Operation = 3 // Locks.Finish: gives a lock back
-	NumberNext  Operation = 4 // numbers: the next number of a name
-	KeyPut      Operation = 5 // Cells.Replace: puts a key's value
-	KeyRead     Operation = 6 // Cells.Read: a key's value and revision
+	LockAcquire Operation = 1 // Locks.Begin: grants a free lock, or extends the lease of its holder
+	LockRenew   Operation = 2 // Locks.Heartbeat: extends the holder's lease
+	LockRelease Operation = 3 // Locks.Finish: releases a lock
+	NumberNext  Operation = 4 // numbers: returns the next number under a name
+	KeyPut      Operation = 5 // Cells.Replace: stores a key's value
+	KeyRead     Operation = 6 // Cells.Read: returns a key's value and revision
 	KeyWatch    Operation = 7 // watch: waits for puts in a key group
-	LockRead    Operation = 8 // Locks.Read: who holds a lock, for operators
-	LockList    Operation = 9 // Locks.List: the locks of a group, for operators
+	LockRead    Operation = 8 // Locks.Read: returns the holder of a lock, for operators
+	LockList    Operation = 9 // Locks.List: returns the held locks of a group, for operators
 )
 
-// operationNames are the names in the counters of Groups.List, which operators' tools read.
+// operationNames holds the names of the operations in the counters of Groups.List. Operators' tools read them.
 var operationNames = [...]string{
 	0:           "?",
 	LockAcquire: "lock begin",
@@ -36,7 +36,7 @@
 	LockList:    "lock list",
 }
 
-// String is the operation's name in the control API.
+// String returns the operation's name in the control API, or "?" for an unknown operation.
 func (o Operation) String() string {
 	if int(o) < len(operationNames) {
 		return operationNames[o]
@@ -44,22 +44,23 @@
 	return operationNames[0]
 }
 
-// Call is one call of an application. Only the fields of its operation are sent and stored.
+// Call is one call of an application. Only the fields that its operation uses are sent and stored.
 type Call struct {
 	Operation        Operation
-	Name             string        // of the lock, the counter, the key, or of the key group with its dot
-	Holder           string        // of a lock
-	FencingToken     uint64        // that the holder was given; of LockRenew and LockRelease
-	TTL              time.Duration // the lease; of LockAcquire and LockRenew
-	Value            string        // of KeyPut
-	Conditional      bool          // of KeyPut: ExpectedRevision must be the key's revision
-	ExpectedRevision uint64        // 0: the key must never have been put
-	AfterRevision    uint64        // of KeyWatch: events above it; 0: only the current revision is asked for
-	Timeout          time.Duration // of KeyWatch
-	Group            groups.ID     // of LockList
+	Name             string        // name of the lock, counter or key, or of the key group with its dot
+	Holder           string        // lock operations: who acquires, renews or releases the lock
+	FencingToken     uint64        // LockRenew and LockRelease: the token that was granted to the holder
+	TTL              time.Duration // LockAcquire and LockRenew: the duration of the lease
+	Value            string        // KeyPut: the new value
+	Conditional      bool          // KeyPut: the put succeeds only if the key's revision is ExpectedRevision
+	ExpectedRevision uint64        // KeyPut with Conditional: 0 means that the key must never have been put
+	// KeyWatch waits for events with a higher revision than this one. With 0 it only returns the current revision.
+	AfterRevision uint64
+	Timeout       time.Duration // KeyWatch: the longest time to wait for an event
+	Group         groups.ID     // LockList: the group whose locks are listed
 }
 
-// GroupID is the group that orders the call.
+// GroupID returns the ID of the group that orders the call.
 func (c *Call) GroupID() groups.ID {
 	switch c.Operation {
 	case KeyPut, KeyRead, KeyWatch:
@@ -70,7 +71,7 @@
 	return groups.GroupOf(c.Name)
 }
 
-// isReadOnly reports whether a call changes nothing, so that giving it up is never ambiguous.
+// isReadOnly reports whether the call changes no state. Abandoning such a call is never ambiguous.
 func (c *Call) isReadOnly() bool {
 	switch c.Operation {
 	case KeyRead, KeyWatch, LockRead, LockList:
@@ -79,23 +80,23 @@
 	return false
 }
 
-// Status is how a call ended. The numbers are sent between nodes; they must not change.
+// Status is the outcome of a call. Its numbers are sent between nodes, so they must not change.
 type Status uint8
 
-// The statuses, with what they promise. Package controlapi maps them to HTTP status codes.
+// The statuses and their guarantees. Package controlapi maps them to HTTP status codes.
 const (
-	StatusOK           Status = iota // the call was done
+	StatusOK           Status = iota // the call succeeded
 	StatusLockHeld                   // another caller may hold the lock
-	StatusLockLost                   // the lock is not, or no longer, held by this holder
-	StatusConflict                   // the key has another revision; no effect, now or later
+	StatusLockLost                   // this holder never held the lock, or no longer holds it
+	StatusConflict                   // the key has another revision; the call has no effect, now or later
 	StatusNotFound                   // the key has no value
-	StatusCompacted                  // the watch begins before the history that is kept
-	StatusLimitReached               // a table is full; no effect, now or later
-	StatusUnavailable                // no leader could be asked; no effect, now or later
-	StatusAmbiguous                  // the call may have taken effect, or may still do so
+	StatusCompacted                  // the watch starts before the oldest event that is kept
+	StatusLimitReached               // a table is full; the call has no effect, now or later
+	StatusUnavailable                // no leader could be reached; the call has no effect, now or later
+	StatusAmbiguous                  // the call may have taken effect, or may still take effect
 )
 
-// statusNames are the error texts of the control API.
+// statusNames holds the error texts of the control API.
 var statusNames = [...]string{
 	StatusOK:           "ok",
 	StatusLockHeld:     "held",
@@ -108,37 +109,37 @@
 	StatusAmbiguous:    "unclear",
 }
 
-// String is the status's name in the control API.
+// String returns the status's name in the control API.
 func (s Status) String() string { return statusNames[s] }
 
-// Result is the answer to a call. Which fields are set depends on the operation.
+// Result is the answer to a call. The operation determines which fields are set.
 type Result struct {
 	Status       Status
-	FencingToken uint64     // of LockAcquire
-	Number       uint64     // of NumberNext
-	Revision     uint64     // of the key; of KeyWatch: where the next watch begins
-	Value        string     // of KeyRead
-	Events       []Event    // of KeyWatch, by rising revision
-	Locks        []LockInfo // of LockRead and LockList, by name
+	FencingToken uint64     // LockAcquire: the token that is granted to the holder
+	Number       uint64     // NumberNext: the next number
+	Revision     uint64     // the key's revision; KeyWatch: the revision from which the next watch resumes
+	Value        string     // KeyRead: the key's value
+	Events       []Event    // KeyWatch: events in ascending order of revision
+	Locks        []LockInfo // LockRead and LockList: held locks, sorted by name
 }
 
-// Event is one put of a key.
+// Event records one put of a key.
 type Event struct {
 	Name     string
 	Value    string
 	Revision uint64
 }
 
-// LockInfo is a held lock as operators see it.
+// LockInfo describes a held lock to operators.
 type LockInfo struct {
 	Name         string
 	Holder       string
 	FencingToken uint64
-	TimeLeft     time.Duration // until its lease expires, in log time
+	TimeLeft     time.Duration // time until the lease expires, in log time
 }
 
-// CallID identifies a call that is forwarded, the same in all its attempts: the incarnation of the node that took it, and its sequence
-// number there.
+// CallID identifies a forwarded call and is the same in all its attempts. It consists of the incarnation of the node that received the call
+// from the application, and of the call's sequence number at that node.
 type CallID struct {
 	Incarnation uint64
 	Sequence    uint32
--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -13,11 +13,12 @@
 
 const ms = time.Millisecond
 
-// testHistory is a short history retention, so that days reach its end.
-const testHistory = 4 * time.Second
+// testHistoryRetention is short, so that simulations last beyond it.
+const testHistoryRetention = 4 * time.Second
 
-// cluster is nodes over a faultless model of the replicated groups: one log each, in which an entry is or is not. What may go wrong is who
-// believes to lead a group, what a leader knows of its proposals, messages between nodes, clocks, stopped processes and restarts.
+// cluster is a set of nodes over a fault-free model of the replicated groups. Each group has one log, and an entry is either in it or not.
+// The faults concern which node believes that it leads a group, what a leader knows of its proposals, messages between nodes, clocks,
+// stopped processes and restarts.
 type cluster struct {
 	rng   *rand.Rand
 	now   time.Duration
@@ -27,14 +28,14 @@
 	logs  [groups.Count]groupLog
 }
 
-// groupLog is what is committed in a group.
+// groupLog holds the committed entries and the leader of a group.
 type groupLog struct {
 	entries [][]byte
 	leader  *node
 	term    uint64
 }
 
-// event is an action at a time. Events of the same time happen in the order in which they were scheduled.
+// event is an action that is scheduled for a time. Events with the same time run in the order in which they were scheduled.
 type event struct {
 	time     time.Duration
 	sequence int
@@ -59,13 +60,13 @@
 	return last
 }
 
-// after schedules an action.
-func (c *cluster) after(wait time.Duration, action func()) {
+// schedule runs an action after a delay, at once if the delay is negative.
+func (c *cluster) schedule(delay time.Duration, action func()) {
 	c.queue.lastSequence++
-	heap.Push(&c.queue, event{c.now + max(wait, 0), c.queue.lastSequence, action})
+	heap.Push(&c.queue, event{c.now + max(delay, 0), c.queue.lastSequence, action})
 }
 
-// runUntil lets all events up to a time happen.
+// runUntil runs all events up to and including a time.
 func (c *cluster) runUntil(until time.Duration) {
 	for len(c.queue.events) > 0 && c.queue.events[0].time <= until {
 		e := heap.Pop(&c.queue).(event)
@@ -75,12 +76,12 @@
 	c.now = until
 }
 
-// randomDuration draws a time.
+// randomDuration returns a random duration between from and to, inclusive.
 func (c *cluster) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
 }
 
-// node is a node with its service. It is the service's groups.Host and coordination.Env.
+// node is a node with its service. It implements groups.Host and coordination.Env for the service.
 type node struct {
 	cluster      *cluster
 	index        int
@@ -89,22 +90,23 @@
 	service      *coordination.Service
 	states       [groups.Count]groups.StateMachine
 	applied      [groups.Count]int
-	leaderTerm   [groups.Count]uint64 // the term in which it believes to lead; 0: none
+	leaderTerm   [groups.Count]uint64 // the term in which it believes that it leads, or 0
 	leaderSince  [groups.Count]time.Duration
 	knownLeader  [groups.Count]string // addresses
 	proposals    [groups.Count][]*proposal
-	committed    map[*byte]*proposal // and not yet applied here
+	committed    map[*byte]*proposal // committed proposals that are not applied here yet, by the first byte of their entry
 	frozen       bool
 	inputDelay   time.Duration
-	backlog      []func()                 // turns that wait while it is frozen
-	isolated     bool                     // it has no quorum contact
-	delayedUntil map[string]time.Duration // messages to a node arrive then at the earliest
+	backlog      []func()                 // turns that wait while the node is frozen
+	isolated     bool                     // the node has no quorum contact
+	delayedUntil map[string]time.Duration // earliest arrival time of messages, by receiver
 	brokenLinks  map[string]bool
-	lastArrival  map[string]time.Duration // of the newest message to a node, since links keep order
+	// lastArrival is the arrival time of the newest message, by receiver. Links deliver messages in order.
+	lastArrival map[string]time.Duration
 }
 
 type proposal struct {
-	entry    []byte // nil: a read
+	entry    []byte // nil for a read
 	term     uint64
 	ended    bool
 	callback func(groups.Outcome, []byte)
@@ -122,18 +124,18 @@
 	for id := range groups.ID(groups.Count) {
 		c.makeLeader(id, c.nodes[int(id)%nodes])
 	}
-	c.spreadLeaders()
+	c.announceLeaders()
 	return c
 }
 
-// start begins an incarnation of a node, which applies the logs from the start.
+// start begins a new incarnation of a node. The node applies the logs from their start.
 func (n *node) start() {
 	n.incarnation = n.cluster.rng.Uint64() | 1
 	n.startedAt = n.cluster.now - n.cluster.randomDuration(0, time.Hour)
 	n.service = coordination.New(n, coordination.Config{
 		Address:          nodeAddress(n.index),
 		Incarnation:      n.incarnation,
-		HistoryRetention: testHistory,
+		HistoryRetention: testHistoryRetention,
 		TestingKnobs:     n.cluster.knobs,
 	})
 	n.service.SetHost(n)
@@ -144,25 +146,25 @@
 	}
 }
 
-// restart ends the node's incarnation, with all that was pending in it, and begins another one.
+// restart ends the node's incarnation with all its pending calls, and begins a new one.
 func (n *node) restart() {
 	for id := range groups.ID(groups.Count) {
 		if n.cluster.logs[id].leader == n {
-			n.cluster.makeLeader(id, n.cluster.randomOther(n))
+			n.cluster.makeLeader(id, n.cluster.randomOtherNode(n))
 		}
 	}
 	n.start()
 }
 
-func (c *cluster) randomOther(than *node) *node {
+func (c *cluster) randomOtherNode(excluded *node) *node {
 	for {
-		if n := c.nodes[c.rng.IntN(len(c.nodes))]; n != than && !n.frozen {
+		if n := c.nodes[c.rng.IntN(len(c.nodes))]; n != excluded && !n.frozen {
 			return n
 		}
 	}
 }
 
-// runTurn runs a turn of the node, as soon as it is not frozen.
+// runTurn runs a turn of the node, or queues it while the node is frozen.
 func (n *node) runTurn(turn func()) {
 	if n.frozen {
 		n.backlog = append(n.backlog, turn)
@@ -172,26 +174,26 @@
 	n.service.NotifyWatchers()
 }
 
-// runAfter schedules a turn, which is left out if the node has been restarted by then.
-func (n *node) runAfter(wait time.Duration, turn func()) {
+// scheduleTurn schedules a turn, which is skipped if the node has restarted by then.
+func (n *node) scheduleTurn(delay time.Duration, turn func()) {
 	incarnation := n.incarnation
-	n.cluster.after(wait, func() {
+	n.cluster.schedule(delay, func() {
 		if n.incarnation == incarnation {
 			n.runTurn(turn)
 		}
 	})
 }
 
-// freeze stops the node's process for a while.
-func (n *node) freeze(span time.Duration) {
+// freeze stops the node's process for a duration.
+func (n *node) freeze(duration time.Duration) {
 	incarnation := n.incarnation
 	n.frozen = true
-	n.cluster.after(span, func() {
+	n.cluster.schedule(duration, func() {
 		if n.incarnation != incarnation {
 			return
 		}
-		n.frozen, n.inputDelay = false, span
-		n.cluster.after(20*ms, func() { n.inputDelay = 0 })
+		n.frozen, n.inputDelay = false, duration
+		n.cluster.schedule(20*ms, func() { n.inputDelay = 0 })
 		backlog := n.backlog
 		n.backlog = nil
 		for _, turn := range backlog {
@@ -200,10 +202,10 @@
 	})
 }
 
-// spreadLeaders notifies nodes from time to time of who leads, and lets them apply what is committed.
-func (c *cluster) spreadLeaders() {
+// announceLeaders periodically notifies nodes of a group's leader and lets them apply committed entries.
+func (c *cluster) announceLeaders() {
 	for _, n := range c.nodes {
-		n.runAfter(c.randomDuration(0, 100*ms), func() {
+		n.scheduleTurn(c.randomDuration(0, 100*ms), func() {
 			id := groups.ID(c.rng.IntN(groups.Count))
 			n.catchUp(id)
 			if !n.isolated {
@@ -212,61 +214,62 @@
 			}
 		})
 	}
-	c.after(20*ms, c.spreadLeaders)
+	c.schedule(20*ms, c.announceLeaders)
 }
 
-// catchUp applies what is committed; a node that is far behind is given the state of one that is not.
+// catchUp applies the committed entries that the node lacks. A node that lacks more than 5 entries is sometimes given the snapshot of a
+// node that has applied more.
 func (n *node) catchUp(id groups.ID) {
-	all := n.cluster.logs[id].entries
-	if len(all)-n.applied[id] > 5 && n.cluster.rng.IntN(2) == 0 {
-		for _, x := range n.cluster.nodes {
-			if x.applied[id] > n.applied[id] {
-				if err := n.states[id].Restore(x.states[id].Snapshot()); err != nil {
+	entries := n.cluster.logs[id].entries
+	if len(entries)-n.applied[id] > 5 && n.cluster.rng.IntN(2) == 0 {
+		for _, peer := range n.cluster.nodes {
+			if peer.applied[id] > n.applied[id] {
+				if err := n.states[id].Restore(peer.states[id].Snapshot()); err != nil {
 					panic(err)
 				}
-				for _, entry := range all[n.applied[id]:x.applied[id]] {
+				for _, entry := range entries[n.applied[id]:peer.applied[id]] {
 					n.completeProposal(entry, groups.Ambiguous, nil)
 				}
-				n.applied[id] = x.applied[id]
+				n.applied[id] = peer.applied[id]
 				break
 			}
 		}
 	}
-	for n.applied[id] < len(all) {
-		entry := all[n.applied[id]]
+	for n.applied[id] < len(entries) {
+		entry := entries[n.applied[id]]
 		n.applied[id]++
 		n.completeProposal(entry, groups.Applied, n.states[id].Apply(uint64(n.applied[id]), entry))
 	}
 }
 
-// completeProposal ends the proposal of an entry, if it is this node's.
-func (n *node) completeProposal(entry []byte, o groups.Outcome, result []byte) {
+// completeProposal completes the proposal of an entry, if this node proposed it.
+func (n *node) completeProposal(entry []byte, outcome groups.Outcome, result []byte) {
 	if p := n.committed[&entry[0]]; p != nil {
 		delete(n.committed, &entry[0])
-		p.callback(o, result)
+		p.callback(outcome, result)
 	}
 }
 
-// makeLeader makes a node the leader of a group. Of what the leader before it had proposed, a random first part is committed; that node
+// makeLeader makes a node the leader of a group. A random prefix of the former leader's open proposals is committed. The former leader
 // learns later that it no longer leads.
 func (c *cluster) makeLeader(id groups.ID, n *node) {
 	l := &c.logs[id]
 	if l.leader == n || n.frozen {
 		return
 	}
-	if old := l.leader; old != nil {
-		term, incarnation, survive := l.term, old.incarnation, c.rng.IntN(2) == 0
-		for _, p := range old.proposals[id] {
+	if oldLeader := l.leader; oldLeader != nil {
+		term, incarnation, isCommitted := l.term, oldLeader.incarnation, c.rng.IntN(2) == 0
+		for _, p := range oldLeader.proposals[id] {
 			if p.term != term || p.ended || p.entry == nil {
 				continue
 			}
-			if survive = survive && c.rng.IntN(4) > 0; survive {
+			if isCommitted = isCommitted && c.rng.IntN(4) > 0; isCommitted {
 				l.entries = append(l.entries, p.entry)
 			}
 		}
-		c.after(c.randomDuration(0, 900*ms), func() {
-			if old.incarnation == incarnation {
-				old.runTurn(func() { old.loseLeadership(id, term) })
+		c.schedule(c.randomDuration(0, 900*ms), func() {
+			if oldLeader.incarnation == incarnation {
+				oldLeader.runTurn(func() { oldLeader.loseLeadership(id, term) })
 			}
 		})
 	}
@@ -280,15 +283,15 @@
 	})
 }
 
-// loseLeadership ends the node's leadership: proposals that have not ended are ambiguous.
+// loseLeadership ends the node's leadership. Its open proposals end with groups.Ambiguous.
 func (n *node) loseLeadership(id groups.ID, term uint64) {
 	if n.leaderTerm[id] != term || term == 0 {
 		return
 	}
 	n.leaderTerm[id] = 0
-	all := n.proposals[id]
+	proposals := n.proposals[id]
 	n.proposals[id] = nil
-	for _, p := range all {
+	for _, p := range proposals {
 		if !p.ended {
 			p.ended = true
 			p.callback(groups.Ambiguous, nil)
@@ -297,18 +300,18 @@
 	n.service.LeadershipLost(id, term)
 }
 
-// Propose and the methods up to Now are groups.Host.
-func (n *node) Propose(id groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
+// Propose and the methods up to Now implement groups.Host.
+func (n *node) Propose(id groups.ID, entry []byte, done func(groups.Outcome, []byte)) {
 	if n.leaderTerm[id] == 0 {
-		then(groups.NotProposed, nil)
+		done(groups.NotProposed, nil)
 		return
 	}
-	p := &proposal{entry: entry, term: n.leaderTerm[id], callback: then}
+	p := &proposal{entry: entry, term: n.leaderTerm[id], callback: done}
 	n.proposals[id] = append(n.proposals[id], p)
-	n.cluster.after(n.cluster.randomDuration(2*ms, 12*ms), func() { n.commit(id) })
+	n.cluster.schedule(n.cluster.randomDuration(2*ms, 12*ms), func() { n.commit(id) })
 }
 
-// commit commits the node's first open proposal, if the node leads in that proposal's term.
+// commit commits the node's first open proposal, if the node still leads the group in the proposal's term.
 func (n *node) commit(id groups.ID) {
 	l := &n.cluster.logs[id]
 	for _, p := range n.proposals[id] {
@@ -319,19 +322,19 @@
 		n.proposals[id] = slices.DeleteFunc(n.proposals[id], func(x *proposal) bool { return x == p })
 		l.entries = append(l.entries, p.entry)
 		n.committed[&p.entry[0]] = p
-		n.runAfter(0, func() { n.catchUp(id) })
+		n.scheduleTurn(0, func() { n.catchUp(id) })
 		return
 	}
 }
 
-func (n *node) ReadIndex(id groups.ID, then func(bool)) {
+func (n *node) ReadIndex(id groups.ID, done func(bool)) {
 	if n.leaderTerm[id] == 0 {
-		then(false)
+		done(false)
 		return
 	}
-	p := &proposal{term: n.leaderTerm[id], callback: func(o groups.Outcome, _ []byte) { then(o == groups.Applied) }}
+	p := &proposal{term: n.leaderTerm[id], callback: func(o groups.Outcome, _ []byte) { done(o == groups.Applied) }}
 	n.proposals[id] = append(n.proposals[id], p)
-	n.runAfter(n.cluster.randomDuration(2*ms, 8*ms), func() {
+	n.scheduleTurn(n.cluster.randomDuration(2*ms, 8*ms), func() {
 		if l := &n.cluster.logs[id]; !p.ended && l.leader == n && l.term == p.term {
 			p.ended = true
 			n.proposals[id] = slices.DeleteFunc(n.proposals[id], func(x *proposal) bool { return x == p })
@@ -346,17 +349,17 @@
 
 func (n *node) Leader(id groups.ID) (string, bool) { return n.knownLeader[id], n.knownLeader[id] != "" }
 
-func (n *node) LeaderCandidates(id groups.ID) (all []string) {
+func (n *node) LeaderCandidates(id groups.ID) (addresses []string) {
 	for i := range 3 {
-		all = append(all, nodeAddress((int(id)+i)%len(n.cluster.nodes)))
+		addresses = append(addresses, nodeAddress((int(id)+i)%len(n.cluster.nodes)))
 	}
-	return all
+	return addresses
 }
 
 func (n *node) HintLeader(id groups.ID, address string) { n.knownLeader[id] = address }
 func (n *node) Now() time.Duration                      { return n.cluster.now - n.startedAt }
 
-// Send and the methods after it are coordination.Env.
+// Send and the methods after it implement coordination.Env.
 func (n *node) Send(to string, m *coordination.Message) bool {
 	if n.brokenLinks[to] {
 		return false
@@ -369,7 +372,7 @@
 	if err != nil {
 		panic(err)
 	}
-	n.cluster.after(arrives-n.cluster.now, func() {
+	n.cluster.schedule(arrives-n.cluster.now, func() {
 		if peer.incarnation == incarnation {
 			peer.runTurn(func() { peer.service.Receive(from, decoded) })
 		}
@@ -378,7 +381,7 @@
 }
 
 func (n *node) ScheduleAt(at time.Duration, sequence uint32) {
-	n.runAfter(at-n.Now(), func() {
+	n.scheduleTurn(at-n.Now(), func() {
 		if n.service.Live(sequence) {
 			n.service.Due(sequence)
 		}
--- a/internal/gateway/coordination/codec.go
+++ b/internal/gateway/coordination/codec.go
@@ -7,16 +7,16 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of decoding entries, snapshots and messages.
+// Errors that decoding an entry, a snapshot or a message returns.
 var (
-	// ErrTruncated is returned for data that ends too early.
-	ErrTruncated = errors.New("coordination: data ends too early")
-	// ErrUnknownVersion is returned for data that another version of the program wrote, in a form that this one does not know.
-	ErrUnknownVersion = errors.New("coordination: unknown version of data")
+	// ErrTruncated is returned when encoded data ends before all its values are read.
+	ErrTruncated = errors.New("coordination: encoded data is truncated")
+	// ErrUnknownVersion is returned for data that another version of the program wrote in a format that this version does not support.
+	ErrUnknownVersion = errors.New("coordination: encoded data has an unknown version")
 )
 
-// encoder appends values to bytes: integers as varints, strings with their length. The same values always give the same bytes, which
-// State.Snapshot needs.
+// encoder appends values to a byte slice. Integers are varints, and strings follow their length. Equal values always give equal bytes,
+// which State.Snapshot requires.
 type encoder struct{ bytes []byte }
 
 func (e *encoder) uint(v uint64) { e.bytes = binary.AppendUvarint(e.bytes, v) }
@@ -26,7 +26,7 @@
 	e.bytes = append(e.bytes, s...)
 }
 
-// duration is written in microseconds, rounded down; negative ones as 0.
+// duration appends d in whole microseconds, rounded down. A negative duration is written as 0.
 func (e *encoder) duration(d time.Duration) { e.uint(uint64(max(d, 0) / time.Microsecond)) }
 
 func (e *encoder) bool(v bool) {
@@ -37,7 +37,7 @@
 	e.uint(0)
 }
 
-// decoder reads what an encoder wrote. The first error is kept; all values read after it are zero.
+// decoder reads the values that an encoder wrote. It keeps the first error, and returns zero values after it.
 type decoder struct {
 	bytes []byte
 	err   error
@@ -67,8 +67,8 @@
 
 func (d *decoder) bool() bool { return d.uint() != 0 }
 
-// count reads how many records, or bytes of a string, follow. Each takes at least a byte, so a count beyond what is left is an error:
-// damaged data can't make the reader allocate more than its own size.
+// count reads the number of records, or of bytes in a string, that follow. Each takes at least one byte, so a count above the number of
+// remaining bytes is an error. Damaged data therefore can't make the decoder allocate more than the size of the data.
 func (d *decoder) count() int {
 	n := d.uint()
 	if d.err == nil && n > uint64(len(d.bytes)) {
--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -9,121 +9,122 @@
 	"clovergap/internal/lab/callhistory"
 )
 
-// day is a cluster with callers and faults, and what the callers saw.
-type day struct {
+// simulation is a cluster with callers and faults, and the history of what the callers observed.
+type simulation struct {
 	*cluster
 	callers     *callers.Callers
 	history     []*callhistory.Record
 	faultsEnded bool
 }
 
-// newDay draws a day from a seed. knobs remove defences at all nodes.
-func newDay(seed uint64, knobs coordination.TestingKnobs) *day {
-	d := &day{cluster: newCluster(seed, 5, knobs)}
-	d.callers = callers.Start(d, d.rng, callers.Config{Lockers: 6, MaxWatcherPause: testHistory, LongTTLs: true})
-	d.after(300*ms, d.injectFault)
-	return d
+// newSimulation creates a simulation whose faults and calls follow from a seed. The knobs disable safeguards at all nodes.
+func newSimulation(seed uint64, knobs coordination.TestingKnobs) *simulation {
+	s := &simulation{cluster: newCluster(seed, 5, knobs)}
+	s.callers = callers.Start(s, s.rng, callers.Config{Lockers: 6, MaxWatcherPause: testHistoryRetention, LongTTLs: true})
+	s.schedule(300*ms, s.injectFault)
+	return s
 }
 
-// Now and the others are callers.World.
-func (d *day) Now() time.Duration                  { return d.now }
-func (d *day) After(wait time.Duration, do func()) { d.after(wait, do) }
+// Now, After and Call implement callers.World.
+func (s *simulation) Now() time.Duration                  { return s.now }
+func (s *simulation) After(wait time.Duration, do func()) { s.schedule(wait, do) }
 
-// play plays a day and the audit at its end, and returns the violations.
-func (d *day) play(span time.Duration) (violations []callhistory.Violation) {
-	d.runUntil(span)
-	d.faultsEnded = true
-	d.callers.Stop()
-	d.runUntil(span + 25*time.Second)
-	d.callers.Audit()
-	d.runUntil(span + 35*time.Second)
-	violations = callhistory.Check(d.history, callhistory.Config{HistoryRetention: testHistory})
-	for _, m := range d.callers.Unanswered() {
+// run runs the simulation for a duration, then the final audit without faults, and returns the violations.
+func (s *simulation) run(duration time.Duration) (violations []callhistory.Violation) {
+	s.runUntil(duration)
+	s.faultsEnded = true
+	s.callers.Stop()
+	s.runUntil(duration + 25*time.Second)
+	s.callers.Audit()
+	s.runUntil(duration + 35*time.Second)
+	violations = callhistory.Check(s.history, callhistory.Config{HistoryRetention: testHistoryRetention})
+	for _, m := range s.callers.Unanswered() {
 		violations = append(violations, callhistory.Violation{Rule: callhistory.RuleLost, Text: m})
 	}
 	return violations
 }
 
-// injectFault draws a fault, and schedules the next one.
-func (d *day) injectFault() {
-	if d.faultsEnded {
+// injectFault injects a random fault and schedules the next one.
+func (s *simulation) injectFault() {
+	if s.faultsEnded {
 		return
 	}
-	n := d.nodes[d.rng.IntN(len(d.nodes))]
-	id := groups.GroupOf(callers.Names()[d.rng.IntN(len(callers.Names()))])
-	if d.rng.IntN(2) == 0 {
-		n = d.logs[id].leader
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
+	id := groups.GroupOf(callers.Names()[s.rng.IntN(len(callers.Names()))])
+	if s.rng.IntN(2) == 0 {
+		n = s.logs[id].leader
 	}
-	to := nodeAddress(d.rng.IntN(len(d.nodes)))
-	switch d.rng.IntN(7) {
+	to := nodeAddress(s.rng.IntN(len(s.nodes)))
+	switch s.rng.IntN(7) {
 	case 0:
-		d.makeLeader(id, d.nodes[d.rng.IntN(len(d.nodes))])
-	case 1: // a leader is stopped, another one is elected meanwhile
-		n.freeze(d.randomDuration(100*ms, 4*time.Second))
-		d.after(d.randomDuration(0, 400*ms), func() {
+		s.makeLeader(id, s.nodes[s.rng.IntN(len(s.nodes))])
+	case 1: // a leader's process is stopped, and another node is elected meanwhile
+		n.freeze(s.randomDuration(100*ms, 4*time.Second))
+		s.schedule(s.randomDuration(0, 400*ms), func() {
 			for id := range groups.ID(groups.Count) {
-				if d.logs[id].leader == n && n.frozen {
-					d.makeLeader(id, d.randomOther(n))
+				if s.logs[id].leader == n && n.frozen {
+					s.makeLeader(id, s.randomOtherNode(n))
 				}
 			}
 		})
 	case 2:
 		n.restart()
 	case 3: // messages to a node are delayed
-		late := []string{to, nodeAddress(d.logs[id].leader.index)}[d.rng.IntN(2)]
-		n = d.nodes[d.rng.IntN(len(d.nodes))]
-		n.delayedUntil[late] = d.now + d.randomDuration(100*ms, 3*time.Second)
+		delayedTarget := []string{to, nodeAddress(s.logs[id].leader.index)}[s.rng.IntN(2)]
+		n = s.nodes[s.rng.IntN(len(s.nodes))]
+		n.delayedUntil[delayedTarget] = s.now + s.randomDuration(100*ms, 3*time.Second)
 	case 4:
 		n.brokenLinks[to] = true
 		n.service.PeerDisconnected(to)
-		d.after(d.randomDuration(50*ms, 2*time.Second), func() { n.brokenLinks[to] = false })
+		s.schedule(s.randomDuration(50*ms, 2*time.Second), func() { n.brokenLinks[to] = false })
 	case 5:
 		n.isolated = true
-		d.after(d.randomDuration(100*ms, 2*time.Second), func() { n.isolated = false })
+		s.schedule(s.randomDuration(100*ms, 2*time.Second), func() { n.isolated = false })
 	case 6:
 		for id := range groups.ID(groups.Count) {
-			d.makeLeader(id, d.nodes[d.rng.IntN(len(d.nodes))])
+			s.makeLeader(id, s.nodes[s.rng.IntN(len(s.nodes))])
 		}
 	}
-	d.after(d.randomDuration(50*ms, 1500*ms), d.injectFault)
+	s.schedule(s.randomDuration(50*ms, 1500*ms), s.injectFault)
 }
 
-// Call sends a call to a node and records its end. done is called once: with a record that has ended, or with one that the caller gave up.
-func (d *day) Call(caller string, c coordination.Call, done func(*callhistory.Record)) {
-	r := &callhistory.Record{Caller: caller, Call: c, Sent: d.now, Ended: callhistory.Never}
-	d.history = append(d.history, r)
+// Call sends a call to a random node and records how it ends. It calls done once, with a record that has ended or with one whose call the
+// caller has abandoned.
+func (s *simulation) Call(caller string, c coordination.Call, done func(*callhistory.Record)) {
+	r := &callhistory.Record{Caller: caller, Call: c, Sent: s.now, Ended: callhistory.Never}
+	s.history = append(s.history, r)
 	isDone := false
-	end := func() {
+	finish := func() {
 		if !isDone {
 			isDone = true
 			done(r)
 		}
 	}
-	n := d.nodes[d.rng.IntN(len(d.nodes))]
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	incarnation := n.incarnation
-	d.after(d.randomDuration(ms/2, 2*ms), func() {
+	s.schedule(s.randomDuration(ms/2, 2*ms), func() {
 		if n.incarnation != incarnation {
-			end()
+			finish()
 			return
 		}
 		n.runTurn(func() {
 			n.service.Submit(c, func(result coordination.Result) {
-				d.after(d.randomDuration(ms/2, 2*ms), func() {
-					if isDone || n.incarnation != incarnation || d.rng.IntN(50) == 0 && !d.faultsEnded { // the connection is reset
-						end()
+				s.schedule(s.randomDuration(ms/2, 2*ms), func() {
+					if isDone || n.incarnation != incarnation || s.rng.IntN(50) == 0 && !s.faultsEnded { // the connection is reset
+						finish()
 						return
 					}
-					r.Result, r.Ended = result, d.now
+					r.Result, r.Ended = result, s.now
 					if result.Status == coordination.StatusAmbiguous {
 						r.Ended = callhistory.Never
 					}
-					end()
+					finish()
 				})
 			})
 		})
 	})
-	d.after(time.Second+c.Timeout, end)
-	if d.rng.IntN(15) == 0 && !d.faultsEnded { // the connection is reset while the call is under way
-		d.after(d.randomDuration(0, 60*ms), end)
+	s.schedule(time.Second+c.Timeout, finish)
+	if s.rng.IntN(15) == 0 && !s.faultsEnded { // the connection is reset while the call is in progress
+		s.schedule(s.randomDuration(0, 60*ms), finish)
 	}
 }
--- a/internal/gateway/coordination/entry.go
+++ b/internal/gateway/coordination/entry.go
@@ -6,14 +6,14 @@
 	"github.com/go-faster/errors"
 )
 
-// formatVersion begins each log entry and each snapshot. Data with another one gives ErrUnknownVersion.
+// formatVersion is the first value of each log entry and each snapshot. Decoding data with another version returns ErrUnknownVersion.
 const formatVersion = 1
 
-// entry is a call in a group's log.
+// entry is a call that is stored in a group's log.
 type entry struct {
 	call    Call
-	logTime time.Duration // when the leader took the call in
-	callID  CallID        // stored for LockAcquire alone, whose copies must be recognized
+	logTime time.Duration // when the leader received the call
+	callID  CallID        // stored only for LockAcquire, whose duplicates must be recognized
 }
 
 func (e *entry) encode() []byte {
@@ -32,7 +32,7 @@
 func decodeEntry(b []byte) (e entry, err error) {
 	dec := decoder{bytes: b}
 	if version := dec.uint(); dec.err == nil && version != formatVersion {
-		return e, errors.Wrapf(ErrUnknownVersion, "log entry of version %d", version)
+		return e, errors.Wrapf(ErrUnknownVersion, "decode log entry: version %d", version)
 	}
 	e.logTime = dec.duration()
 	if dec.bool() {
@@ -40,12 +40,12 @@
 	}
 	e.call.decode(&dec)
 	if dec.err != nil {
-		return e, errors.Wrap(dec.err, "log entry")
+		return e, errors.Wrap(dec.err, "decode log entry")
 	}
 	return e, nil
 }
 
-// encodeResult writes the result of an entry for the node that proposed it. Entries have no events, values or locks.
+// encodeResult encodes the result of an entry for the node that proposed it. The result of an entry never has events, a value or locks.
 func encodeResult(r Result) []byte {
 	var enc encoder
 	enc.uint(uint64(r.Status))
@@ -62,10 +62,10 @@
 	r.Number = dec.uint()
 	r.Revision = dec.uint()
 	if dec.err != nil {
-		return r, errors.Wrap(dec.err, "result")
+		return r, errors.Wrap(dec.err, "decode result")
 	}
 	if r.Status > StatusAmbiguous {
-		return r, errors.Wrapf(ErrUnknownVersion, "result with status %d", r.Status)
+		return r, errors.Wrapf(ErrUnknownVersion, "decode result: status %d", r.Status)
 	}
 	return r, nil
 }
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -14,52 +14,52 @@
 	"clovergap/internal/invariant"
 )
 
-// The explorer plays all orders of a few calls on one lock by two callers. Each call may be given up, be forwarded twice and arrive late;
-// time goes on in steps, and another node may come to lead.
+// The explorer tries all orders of a few calls on one lock by two callers. A call may be abandoned by its caller, be forwarded twice and
+// arrive late. Time advances in steps, and another node may become leader.
 
 const (
-	exploreLock        = "l0"
-	exploreTTL         = 1200 * ms
-	exploreStep        = 500 * ms
-	exploreCallTimeout = 800 * ms
-	exploreDepth       = 10
-	exploreMaxCalls    = 5
-	exploreMaxSteps    = 3
+	exploreLock         = "l0"
+	exploreTTL          = 1200 * ms
+	exploreTimeStep     = 500 * ms
+	exploreCallTimeout  = 800 * ms
+	exploreDepth        = 10
+	exploreMaxCalls     = 5
+	exploreMaxTimeSteps = 3
 )
 
-// exploreState is where the exploration stands.
+// exploreState is one state of the exploration.
 type exploreState struct {
 	now           time.Duration
-	logTime       time.Duration // of the leader
-	snapshot      string        // of the group's state
+	logTime       time.Duration // the leader's log time
+	snapshot      string        // snapshot of the group's state
 	callers       [2]exploreCaller
 	calls         [exploreMaxCalls]exploreCall
 	callCount     int
-	steps         int
+	timeSteps     int
 	duplicates    int
 	leaderChanges int
 }
 
-// exploreCaller is a caller of the lock.
+// exploreCaller is a caller that uses the lock.
 type exploreCaller struct {
-	awaitedCall  int // the number of the call whose answer it waits for, from 1; 0: none
+	awaitedCall  int // number, from 1, of the call whose answer the caller awaits, or 0
 	hasLock      bool
 	expiresAt    time.Duration
 	fencingToken uint64
 }
 
-// exploreCall is one of its calls.
+// exploreCall is a call of an exploreCaller.
 type exploreCall struct {
 	caller       int
 	operation    coordination.Operation
 	fencingToken uint64
 	sent         time.Duration
-	inFlight     int  // copies
-	acknowledged bool // it was answered with success
-	released     bool // an acquire that was acknowledged and whose lock was released since
+	inFlight     int  // number of copies that have not been delivered
+	acknowledged bool // the caller received a successful answer
+	released     bool // the call is an acknowledged acquire whose lock was released later
 }
 
-// explorer is a leader that is put into whatever state the exploration has reached. It is a groups.Host and a coordination.Env.
+// explorer runs a leader from each state that the exploration reaches. It implements groups.Host and coordination.Env.
 type explorer struct {
 	t           *testing.T
 	knobs       coordination.TestingKnobs
@@ -68,9 +68,9 @@
 	response    *coordination.ForwardResponse
 	state       groups.StateMachine
 	depth       int
-	seen        map[exploreState]int // the least depth at which a state was met
+	seen        map[exploreState]int // the smallest depth at which a state was visited
 	violation   string
-	path        []string
+	trace       []string
 }
 
 func (e *explorer) Propose(_ groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
@@ -88,13 +88,13 @@
 func (e *explorer) Send(_ string, m *coordination.Message) bool        { e.response = m.Response; return true }
 
 func (e *explorer) newService() *coordination.Service {
-	config := coordination.Config{Address: "leader", Incarnation: e.incarnation, HistoryRetention: testHistory, TestingKnobs: e.knobs}
+	config := coordination.Config{Address: "leader", Incarnation: e.incarnation, HistoryRetention: testHistoryRetention, TestingKnobs: e.knobs}
 	s := coordination.New(e, config)
 	s.SetHost(e)
 	return s
 }
 
-// newRequest is a call as another node forwards it.
+// newRequest returns the request by which another node forwards a call.
 func (e *explorer) newRequest(c *exploreCall, number int) *coordination.ForwardRequest {
 	return &coordination.ForwardRequest{
 		OriginIncarnation: 7,
@@ -106,54 +106,54 @@
 	}
 }
 
-// deliver brings a copy of a call to the leader.
-func (e *explorer) deliver(p exploreState, number int) exploreState {
-	c := &p.calls[number]
+// deliver delivers a copy of a call to the leader and returns the state after it.
+func (e *explorer) deliver(state exploreState, number int) exploreState {
+	c := &state.calls[number]
 	c.inFlight--
 	s := e.newService()
 	id := groups.GroupOf(exploreLock)
-	e.state, e.now, e.response = s.StateMachine(id), p.now, nil
-	must.NoError(e.t, e.state.Restore([]byte(p.snapshot)))
-	s.BecomeLeaderAt(id, p.logTime)
-	held := e.state.(*coordination.State).HeldLocks()
+	e.state, e.now, e.response = s.StateMachine(id), state.now, nil
+	must.NoError(e.t, e.state.Restore([]byte(state.snapshot)))
+	s.BecomeLeaderAt(id, state.logTime)
+	locksBefore := e.state.(*coordination.State).HeldLocks()
 	s.Receive("node", &coordination.Message{Request: e.newRequest(c, number)})
-	before := p.snapshot
-	p.snapshot = string(e.state.Snapshot())
-	if p.now > c.sent+exploreCallTimeout && !bytes.Equal([]byte(before), []byte(p.snapshot)) {
-		e.report("a copy that came %v after its call had an effect", p.now-c.sent)
+	snapshotBefore := state.snapshot
+	state.snapshot = string(e.state.Snapshot())
+	if state.now > c.sent+exploreCallTimeout && !bytes.Equal([]byte(snapshotBefore), []byte(state.snapshot)) {
+		e.report("a copy that arrived %v after its call was sent changed the state", state.now-c.sent)
 	}
 	succeeded := e.response.Outcome == coordination.AttemptDone && e.response.Result.Status == coordination.StatusOK
-	if succeeded && c.operation == coordination.LockAcquire && c.released && held != e.state.(*coordination.State).HeldLocks() {
-		e.report("a copy of an acquire took the lock that was released since")
+	if succeeded && c.operation == coordination.LockAcquire && c.released && locksBefore != e.state.(*coordination.State).HeldLocks() {
+		e.report("a late copy of an acquire took the lock after its release")
 	}
-	if caller := &p.callers[c.caller]; caller.awaitedCall == number+1 {
+	if caller := &state.callers[c.caller]; caller.awaitedCall == number+1 {
 		caller.awaitedCall = 0
 		if succeeded {
-			e.applySuccess(&p, c, caller)
+			e.applySuccess(&state, c, caller)
 		}
 	}
-	return p
+	return state
 }
 
-// applySuccess is what a successful answer means to its caller.
-func (e *explorer) applySuccess(p *exploreState, c *exploreCall, caller *exploreCaller) {
+// applySuccess updates a caller's state after a successful answer.
+func (e *explorer) applySuccess(state *exploreState, c *exploreCall, caller *exploreCaller) {
 	c.acknowledged = true
 	switch c.operation {
 	case coordination.LockAcquire:
-		if caller.hasLock && p.now <= caller.expiresAt {
+		if caller.hasLock && state.now <= caller.expiresAt {
 			caller.expiresAt = max(caller.expiresAt, c.sent+exploreTTL)
 		} else {
 			caller.hasLock, caller.expiresAt = true, c.sent+exploreTTL
 		}
 		caller.fencingToken = e.response.Result.FencingToken
 	case coordination.LockRenew:
-		if caller.hasLock && p.now <= caller.expiresAt {
+		if caller.hasLock && state.now <= caller.expiresAt {
 			caller.expiresAt = max(caller.expiresAt, c.sent+exploreTTL)
 		}
 	case coordination.LockRelease:
-		for i := range p.calls[:p.callCount] {
-			if b := &p.calls[i]; b.caller == c.caller && b.operation == coordination.LockAcquire && b.acknowledged {
-				b.released = true
+		for i := range state.calls[:state.callCount] {
+			if earlier := &state.calls[i]; earlier.caller == c.caller && earlier.operation == coordination.LockAcquire && earlier.acknowledged {
+				earlier.released = true
 			}
 		}
 	}
@@ -161,84 +161,84 @@
 
 func (e *explorer) report(format string, args ...any) {
 	if e.violation == "" {
-		e.violation = fmt.Sprintf(format, args...) + " " + fmt.Sprint(e.path)
+		e.violation = fmt.Sprintf(format, args...) + " " + fmt.Sprint(e.trace)
 	}
 }
 
-// visit takes all steps from a state.
-func (e *explorer) visit(p exploreState, depth int) {
-	if met, ok := e.seen[p]; e.violation != "" || ok && met <= depth {
+// visit explores all steps from a state.
+func (e *explorer) visit(state exploreState, depth int) {
+	if seenDepth, ok := e.seen[state]; e.violation != "" || ok && seenDepth <= depth {
 		return
 	}
-	e.seen[p] = depth
-	a, b := p.callers[0], p.callers[1]
-	if a.hasLock && b.hasLock && p.now < a.expiresAt && p.now < b.expiresAt {
-		e.report("both hold the lock")
+	e.seen[state] = depth
+	first, second := state.callers[0], state.callers[1]
+	if first.hasLock && second.hasLock && state.now < first.expiresAt && state.now < second.expiresAt {
+		e.report("both callers hold the lock")
 		return
 	}
 	if depth == e.depth {
 		return
 	}
-	step := func(what string, args []any, next exploreState) {
-		e.path = append(e.path, fmt.Sprintf(what, args...))
+	step := func(format string, args []any, next exploreState) {
+		e.trace = append(e.trace, fmt.Sprintf(format, args...))
 		e.visit(next, depth+1)
-		e.path = e.path[:len(e.path)-1]
+		e.trace = e.trace[:len(e.trace)-1]
 	}
-	for i := range p.callers {
-		if next := p; p.callers[i].awaitedCall > 0 { // the connection is reset
+	for i := range state.callers {
+		if next := state; state.callers[i].awaitedCall > 0 { // the connection is reset
 			next.callers[i].awaitedCall = 0
-			step("%d gives up", []any{i}, next)
+			step("caller %d abandons its call", []any{i}, next)
 			continue
 		}
 		for _, operation := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
-			if next, ok := p.send(i, operation); ok {
-				step("%d sends %v", []any{i, operation}, next)
+			if next, ok := state.send(i, operation); ok {
+				step("caller %d sends %v", []any{i, operation}, next)
 			}
 		}
 	}
-	for number := range p.calls[:p.callCount] {
-		if p.calls[number].inFlight == 0 {
+	for number := range state.calls[:state.callCount] {
+		if state.calls[number].inFlight == 0 {
 			continue
 		}
-		e.path = append(e.path, fmt.Sprintf("call %d arrives", number))
-		e.visit(e.deliver(p, number), depth+1)
-		e.path = e.path[:len(e.path)-1]
-		if next := p; p.duplicates == 0 && p.calls[number].inFlight == 1 {
+		e.trace = append(e.trace, fmt.Sprintf("call %d arrives", number))
+		e.visit(e.deliver(state, number), depth+1)
+		e.trace = e.trace[:len(e.trace)-1]
+		if next := state; state.duplicates == 0 && state.calls[number].inFlight == 1 {
 			next.duplicates++
 			next.calls[number].inFlight++
 			step("call %d is forwarded twice", []any{number}, next)
 		}
 	}
-	if next := p; p.steps < exploreMaxSteps {
-		next.steps++
-		next.now += exploreStep
-		next.logTime += exploreStep
-		step("time", nil, next)
+	if next := state; state.timeSteps < exploreMaxTimeSteps {
+		next.timeSteps++
+		next.now += exploreTimeStep
+		next.logTime += exploreTimeStep
+		step("time advances", nil, next)
 	}
-	if next := p; p.leaderChanges == 0 { // the new leader's log time begins at the newest entry
+	if next := state; state.leaderChanges == 0 { // the new leader's log time starts at the newest entry
 		next.leaderChanges++
-		next.logTime = e.newLeaderLogTime(p.snapshot)
-		step("another leads", nil, next)
+		next.logTime = e.newLeaderLogTime(state.snapshot)
+		step("another node becomes leader", nil, next)
 	}
 }
 
-// newLeaderLogTime is the log time with which a new leader begins that was given a snapshot.
+// newLeaderLogTime returns the log time at which a new leader starts after it restored a snapshot.
 func (e *explorer) newLeaderLogTime(snapshot string) time.Duration {
-	other := &explorer{t: e.t, knobs: e.knobs, incarnation: 1}
-	s := other.newService()
+	newLeader := &explorer{t: e.t, knobs: e.knobs, incarnation: 1}
+	s := newLeader.newService()
 	id := groups.GroupOf(exploreLock)
 	must.NoError(e.t, s.StateMachine(id).Restore([]byte(snapshot)))
 	s.LeadershipGained(id, 1)
 	return s.LogTime(id)
 }
 
-// send has a caller send a call. False: it can't.
-func (e exploreState) send(number int, operation coordination.Operation) (exploreState, bool) {
-	caller := &e.callers[number]
+// send returns the state after a caller sends a call, or false if the caller can't send it.
+func (e exploreState) send(callerIndex int, operation coordination.Operation) (exploreState, bool) {
+	caller := &e.callers[callerIndex]
 	if e.callCount == exploreMaxCalls || operation != coordination.LockAcquire && !caller.hasLock {
 		return e, false
 	}
-	e.calls[e.callCount] = exploreCall{caller: number, operation: operation, fencingToken: caller.fencingToken, sent: e.now, inFlight: 1}
+	e.calls[e.callCount] = exploreCall{caller: callerIndex, operation: operation, fencingToken: caller.fencingToken, sent: e.now, inFlight: 1}
 	e.callCount++
 	caller.awaitedCall = e.callCount
 	if operation == coordination.LockRelease {
@@ -248,28 +248,28 @@
 }
 
 func explore(t *testing.T, depth int, knobs coordination.TestingKnobs) *explorer {
-	x := &explorer{t: t, knobs: knobs, incarnation: 1, depth: depth, seen: map[exploreState]int{}}
-	x.visit(exploreState{now: time.Minute, snapshot: string(coordination.NewState(testHistory).Snapshot())}, 0)
-	return x
+	e := &explorer{t: t, knobs: knobs, incarnation: 1, depth: depth, seen: map[exploreState]int{}}
+	e.visit(exploreState{now: time.Minute, snapshot: string(coordination.NewState(testHistoryRetention).Snapshot())}, 0)
+	return e
 }
 
-// In no order do two callers hold the lock, does a late copy have an effect, or does a copy take a lock that was released.
-func TestExploreLock(t *testing.T) {
-	began, depth := time.Now(), exploreDepth
-	if invariant.Debug { // under the race detector each state takes ten times as long
+// In no order of calls do two callers hold the lock, does a late copy have an effect, or does a copy take a lock that was released.
+func TestLockIsExclusiveInAllCallOrders(t *testing.T) {
+	start, depth := time.Now(), exploreDepth
+	if invariant.Debug { // each state takes ten times as long under the race detector
 		depth -= 2
 	}
-	x := explore(t, depth, coordination.TestingKnobs{})
-	must.Eq(t, "", x.violation)
-	t.Logf("%d states in %v", len(x.seen), time.Since(began).Round(time.Millisecond))
+	e := explore(t, depth, coordination.TestingKnobs{})
+	must.Eq(t, "", e.violation)
+	t.Logf("%d states in %v", len(e.seen), time.Since(start).Round(time.Millisecond))
 }
 
-// The explorer notices the removal of each defence that days notice only by chance.
-func TestExploreNoticesFaults(t *testing.T) {
-	for name, knobs := range faultsOfOrders {
-		began := time.Now()
-		x := explore(t, exploreDepth, knobs)
-		t.Logf("%s: %d states, %v: %s", name, len(x.seen), time.Since(began).Round(time.Millisecond), x.violation)
-		test.NotEq(t, "", x.violation, test.Sprint(name))
+// The explorer detects the absence of each safeguard in explorerFaults, which the simulations detect only by chance.
+func TestExplorerDetectsFaults(t *testing.T) {
+	for name, knobs := range explorerFaults {
+		start := time.Now()
+		e := explore(t, exploreDepth, knobs)
+		t.Logf("%s: %d states in %v: %s", name, len(e.seen), time.Since(start).Round(time.Millisecond), e.violation)
+		test.NotEq(t, "", e.violation, test.Sprint(name))
 	}
 }
--- a/internal/gateway/coordination/export_test.go
+++ b/internal/gateway/coordination/export_test.go
@@ -7,10 +7,11 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// LogTime is the log time with which a leader would stamp an entry.
+// LogTime returns the log time that a leader would stamp on an entry now.
 func (s *Service) LogTime(id groups.ID) time.Duration { return s.logTime(id) }
 
-// BecomeLeaderAt lets the explorer begin anywhere: the service leads a group and goes on at that log time.
+// BecomeLeaderAt makes the service the leader of a group and sets the log time from which it continues. The explorer uses it to start from
+// any state.
 func (s *Service) BecomeLeaderAt(id groups.ID, logTime time.Duration) {
 	g := &s.hosted[id]
 	g.isLeader = true
@@ -18,7 +19,7 @@
 	g.anchoredAt = s.host.Now()
 }
 
-// HeldLocks describes the locks, with their holders and leases.
+// HeldLocks returns a text with all locks, their holders, fencing tokens and lease expiries.
 func (s *State) HeldLocks() string {
 	text := ""
 	for name, l := range s.locks {
--- a/internal/gateway/coordination/faultdays_test.go
+++ b/internal/gateway/coordination/faultdays_test.go
@@ -13,49 +13,51 @@
 	"clovergap/internal/lab/callhistory"
 )
 
-const daySpan = 25 * time.Second
+const simulationDuration = 25 * time.Second
 
-// Days of all faults at once break no rule, and at their end every call is answered. COORDINATION_DAYS sets the number of days.
-func TestDays(t *testing.T) {
-	days := uint64(60)
+// Simulations with all faults at once violate no guarantee, and at their end every call is answered. COORDINATION_DAYS sets the number of
+// simulations.
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
+	runs := uint64(60)
 	if invariant.Debug {
-		days = 12
+		runs = 12
 	}
 	if n, err := strconv.ParseUint(os.Getenv("COORDINATION_DAYS"), 10, 32); err == nil {
-		days = n
+		runs = n
 	}
 	calls := 0
-	for seed := range days {
-		d := newDay(seed, coordination.TestingKnobs{})
-		for _, v := range d.play(daySpan) {
+	for seed := range runs {
+		s := newSimulation(seed, coordination.TestingKnobs{})
+		for _, v := range s.run(simulationDuration) {
 			t.Errorf("seed %d: %v", seed, v)
 		}
 		if seed%6 == 0 {
-			broken, undecided := callhistory.Linearizable(d.history, 5*time.Second)
-			for _, v := range broken {
+			violations, undecided := callhistory.Linearizable(s.history, 5*time.Second)
+			for _, v := range violations {
 				t.Errorf("seed %d: %v", seed, v)
 			}
 			test.SliceEmpty(t, undecided)
 		}
-		calls += len(d.history)
+		calls += len(s.history)
 		if t.Failed() {
 			return
 		}
 	}
-	t.Logf("%d days, %d calls", days, calls)
+	t.Logf("%d simulations, %d calls", runs, calls)
 }
 
-// The days notice the removal of each defence; TestExploreNoticesFaults has those that are about rare orders.
-func TestDaysNoticeFaults(t *testing.T) {
-	for name, knobs := range faultsOfDays() {
-		began, found := time.Now(), ""
+// The simulations detect the absence of each safeguard in simulationFaults. TestExplorerDetectsFaults covers the safeguards that matter
+// only in rare orders of calls.
+func TestSimulationDetectsFaults(t *testing.T) {
+	for name, knobs := range simulationFaults() {
+		start, violation := time.Now(), ""
 		seed := uint64(0)
-		for ; seed < 60 && found == ""; seed++ {
-			if broken := newDay(seed, knobs).play(daySpan); len(broken) > 0 {
-				found = broken[0].String()
+		for ; seed < 60 && violation == ""; seed++ {
+			if violations := newSimulation(seed, knobs).run(simulationDuration); len(violations) > 0 {
+				violation = violations[0].String()
 			}
 		}
-		t.Logf("%s: day %d, %v: %s", name, seed, time.Since(began).Round(time.Millisecond), found)
-		test.NotEq(t, "", found, test.Sprint(name))
+		t.Logf("%s: %d simulations in %v: %s", name, seed, time.Since(start).Round(time.Millisecond), violation)
+		test.NotEq(t, "", violation, test.Sprint(name))
 	}
 }
--- a/internal/gateway/coordination/faults_test.go
+++ b/internal/gateway/coordination/faults_test.go
@@ -2,39 +2,40 @@
 
 import "clovergap/internal/gateway/coordination"
 
-// faultsOfDays are the defences, removed one at a time, whose absence TestDaysNoticeFaults must notice.
-func faultsOfDays() map[string]coordination.TestingKnobs {
+// simulationFaults returns the safeguards whose absence TestSimulationDetectsFaults must detect. Each is disabled on its own.
+func simulationFaults() map[string]coordination.TestingKnobs {
 	return map[string]coordination.TestingKnobs{
-		"the next holder gets the same fencing token": {ReuseFencingToken: true},
-		"an expired lease is renewed":                 {RenewExpiredLease: true},
-		"a renewal shortens the lease":                {RenewShortensLease: true},
-		"a former leader keeps its own log time":      {KeepOwnLogTime: true},
-		"a put ignores the expected revision":         {IgnoreExpectedRevision: true},
-		"a repeated put is compared like a new one":   {CompareRevisionFirst: true},
-		"a repeated put is a new one":                 {RepeatPuts: true},
-		"a conflict shows the key group's revision":   {ConflictShowsGroupRevision: true},
-		"a read asks no quorum":                       {ReadWithoutQuorum: true},
-		"a watch asks no quorum":                      {WatchWithoutQuorum: true},
-		"a watch gives the last event alone":          {LastEventOnly: true},
-		"the history is too short":                    {ShortHistory: true},
-		"numbers are counted in memory":               {NextNumber: countInMemory()},
-		"an ambiguous end is reported as unavailable": {ReportAmbiguousAsUnavailable: true},
-		"a snapshot lacks the puts":                   {SnapshotWithoutPuts: true},
-		"a snapshot lacks the fencing token":          {SnapshotWithoutFencingToken: true},
-		"a snapshot lacks the history":                {SnapshotWithoutHistory: true},
+		"the next holder gets the previous fencing token": {ReuseFencingToken: true},
+		"an expired lease is renewed":                     {RenewExpiredLease: true},
+		"a renewal shortens the lease":                    {RenewShortensLease: true},
+		"a former leader keeps its own log time":          {KeepOwnLogTime: true},
+		"a put ignores the expected revision":             {IgnoreExpectedRevision: true},
+		"a repeated put is compared like a new one":       {CompareRevisionFirst: true},
+		"a repeated put is applied as a new one":          {RepeatPuts: true},
+		"a conflict returns the key group's revision":     {ConflictShowsGroupRevision: true},
+		"a read does not ask a quorum":                    {ReadWithoutQuorum: true},
+		"a watch does not ask a quorum":                   {WatchWithoutQuorum: true},
+		"a watch returns only the last event":             {LastEventOnly: true},
+		"the history is too short":                        {ShortHistory: true},
+		"numbers are counted in memory":                   {NextNumber: countInMemory()},
+		"an ambiguous outcome is reported as unavailable": {ReportAmbiguousAsUnavailable: true},
+		"a snapshot lacks the puts":                       {SnapshotWithoutPuts: true},
+		"a snapshot lacks the fencing token":              {SnapshotWithoutFencingToken: true},
+		"a snapshot lacks the history":                    {SnapshotWithoutHistory: true},
 	}
 }
 
-// faultsOfOrders are those whose absence TestExploreNoticesFaults must notice: they show in rare orders of a few calls.
-var faultsOfOrders = map[string]coordination.TestingKnobs{
-	"any fencing token counts":                         {AcceptAnyFencingToken: true},
+// explorerFaults are the safeguards whose absence TestExplorerDetectsFaults must detect. Their absence shows only in rare orders of a few
+// calls.
+var explorerFaults = map[string]coordination.TestingKnobs{
+	"any fencing token is accepted":                    {AcceptAnyFencingToken: true},
 	"a stale release frees a lock that was reacquired": {AcceptStaleRelease: true},
 	"a late copy takes a lock that was released":       {AcceptRetiredCall: true},
-	"a copy counts after its deadline":                 {IgnoreDeadlines: true},
-	"a new leader skips all leases":                    {SkipLeasesOnElection: true},
+	"a late copy is served after its deadline":         {IgnoreDeadlines: true},
+	"a new leader starts after the end of all leases":  {SkipLeasesOnElection: true},
 }
 
-// countInMemory counts numbers at each node by itself; a restarted node begins anew.
+// countInMemory returns a function that counts numbers separately at each node. A restarted node starts again at 1.
 func countInMemory() func(incarnation uint64, name string) uint64 {
 	type counter struct {
 		incarnation uint64
--- a/internal/gateway/coordination/forward.go
+++ b/internal/gateway/coordination/forward.go
@@ -7,22 +7,22 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// pendingCall is a call that was taken at this node and has not ended.
+// pendingCall is a call that this node received and that has not ended.
 type pendingCall struct {
-	sequence     uint32
-	call         Call
-	group        groups.ID
-	deadline     time.Duration // when the call ends without an answer
-	retryAt      time.Duration // when the next attempt begins
-	attempts     uint8         // begun so far
-	openAttempts uint32        // a bit for each attempt that may have taken effect, or may still do so
-	target       string        // of the newest attempt
-	avoid        string        // a node that did not answer or does not lead
-	nextGuess    int           // into groups.Host.LeaderCandidates
-	done         func(Result)
+	sequence      uint32
+	call          Call
+	group         groups.ID
+	deadline      time.Duration // when the call ends even without an answer
+	retryAt       time.Duration // when the next attempt starts
+	attempts      uint8         // number of attempts started so far
+	openAttempts  uint32        // one bit for each attempt that may have taken effect, or may still take effect
+	target        string        // address of the newest attempt's target
+	avoidedTarget string        // address of a node that did not answer or does not lead the group
+	nextCandidate int           // index into groups.Host.LeaderCandidates
+	done          func(Result)
 }
 
-// beginAttempt counts an attempt and gives its number.
+// beginAttempt records the start of an attempt and returns the attempt's number.
 func (p *pendingCall) beginAttempt(target string) uint8 {
 	attempt := p.attempts
 	p.attempts++
@@ -31,16 +31,16 @@
 	return attempt
 }
 
-// closeAttempt records that an attempt had no effect and never will.
+// closeAttempt records that an attempt has no effect, now or later.
 func (p *pendingCall) closeAttempt(attempt uint8) { p.openAttempts &^= 1 << attempt }
 
-// remoteClock is what is known of another node's monotonic clock.
+// remoteClock is what this node knows about another node's monotonic clock.
 type remoteClock struct {
 	incarnation uint64
-	offset      time.Duration // by which it is ahead of this node's, at the least
+	offset      time.Duration // lower bound of how far it is ahead of this node's clock
 }
 
-// startCall brings a call to the leader of its group. done is called once, within the timeout.
+// startCall forwards a call to the leader of its group. It calls done exactly once, within the timeout.
 func (s *Service) startCall(c *Call, timeout time.Duration, done func(Result)) {
 	group := c.GroupID()
 	if len(s.pending) >= maxPendingCalls || !s.isLeader(group) && !s.env.HasQuorumContact() {
@@ -53,7 +53,7 @@
 	s.sendAttempt(p)
 }
 
-// sendAttempt sends a call to the node that most likely leads its group, which may be this one.
+// sendAttempt sends a call to the node that most likely leads its group. That may be this node.
 func (s *Service) sendAttempt(p *pendingCall) {
 	now := s.host.Now()
 	p.retryAt = now + retryInterval
@@ -70,14 +70,14 @@
 	if target == s.config.Address {
 		s.env.ScheduleAt(p.retryAt, p.sequence)
 		s.serveAsLeader(&p.call, CallID{s.config.Incarnation, p.sequence}, func(outcome AttemptOutcome, result Result) {
-			s.attemptEnded(p.sequence, attempt, outcome, result, "")
+			s.handleAttemptOutcome(p.sequence, attempt, outcome, result, "")
 		})
 		return
 	}
 	s.counters.Forwarded++
 	if !s.env.Send(target, &Message{Request: s.newForwardRequest(p, attempt)}) {
 		p.closeAttempt(attempt)
-		p.avoid = target
+		p.avoidedTarget = target
 		p.retryAt = now + retryInterval
 	}
 	s.env.ScheduleAt(p.retryAt, p.sequence)
@@ -92,13 +92,13 @@
 	return r
 }
 
-// chooseTarget is the node to ask: this one if it leads, the known leader unless it is avoided, else the next candidate. Empty if there is
-// none.
+// chooseTarget returns the address of the node for the next attempt. It is this node if it leads the group, else the known leader unless
+// that is the avoided target, else the next leader candidate. It is empty if there is none.
 func (s *Service) chooseTarget(p *pendingCall) string {
 	if s.isLeader(p.group) {
 		return s.config.Address
 	}
-	if leader, ok := s.host.Leader(p.group); ok && leader != p.avoid && leader != s.config.Address {
+	if leader, ok := s.host.Leader(p.group); ok && leader != p.avoidedTarget && leader != s.config.Address {
 		return leader
 	}
 	isSelf := func(address string) bool { return address == s.config.Address }
@@ -106,12 +106,12 @@
 	if len(candidates) == 0 {
 		return ""
 	}
-	p.nextGuess++
-	return candidates[(p.nextGuess-1)%len(candidates)]
+	p.nextCandidate++
+	return candidates[(p.nextCandidate-1)%len(candidates)]
 }
 
-// handleForwardRequest serves a call that another node forwarded. The node reads its clock anew before Receive, so that a request which
-// was unread while this process was stopped counts as late.
+// handleForwardRequest serves a call that another node forwarded. The node reads its clock again before it calls Receive, so that a request
+// that waited unread while this process was stopped is recognized as late.
 func (s *Service) handleForwardRequest(from string, r *ForwardRequest) {
 	reply := func(outcome AttemptOutcome, result Result) {
 		s.env.Send(from, &Message{Response: s.newForwardResponse(r, outcome, result)})
@@ -146,22 +146,22 @@
 	return response
 }
 
-// handleForwardResponse takes the answer to a call that this node forwarded.
+// handleForwardResponse handles the response to a call that this node forwarded.
 func (s *Service) handleForwardResponse(from string, r *ForwardResponse) {
-	s.learnClock(from, r)
-	if r.OriginIncarnation != s.config.Incarnation { // meant for the process before this one
+	s.updateRemoteClock(from, r)
+	if r.OriginIncarnation != s.config.Incarnation { // the request was sent by an earlier process of this node
 		return
 	}
 	if p := s.pending[r.Sequence]; p != nil && r.Outcome == AttemptRejected && r.LeaderHint != "" && r.LeaderHint != from {
 		s.host.HintLeader(p.group, r.LeaderHint)
-		p.avoid = from
+		p.avoidedTarget = from
 	}
-	s.attemptEnded(r.Sequence, r.Attempt, r.Outcome, r.Result, r.LeaderHint)
+	s.handleAttemptOutcome(r.Sequence, r.Attempt, r.Outcome, r.Result, r.LeaderHint)
 }
 
-// learnClock keeps the largest offset of a node's clock that was seen. A response takes time, so each offset seen is at most the true one,
-// and a deadline that is computed by it comes too early at worst.
-func (s *Service) learnClock(from string, r *ForwardResponse) {
+// updateRemoteClock stores the largest offset of a node's clock that was observed. A response takes time to arrive, so each observed offset
+// is at most the true one. A deadline that is computed from it is therefore never too late, only too early.
+func (s *Service) updateRemoteClock(from string, r *ForwardResponse) {
 	offset := r.ResponderClock - s.host.Now()
 	known, ok := s.remoteClocks[from]
 	if !ok || known.incarnation != r.ResponderIncarnation || known.offset < offset {
@@ -169,8 +169,9 @@
 	}
 }
 
-// attemptEnded takes the end of an attempt. A result ends the call; other outcomes of the newest attempt lead to the next one.
-func (s *Service) attemptEnded(sequence uint32, attempt uint8, outcome AttemptOutcome, result Result, leaderHint string) {
+// handleAttemptOutcome handles the end of an attempt. A result ends the call. Any other outcome of the newest attempt leads to the next
+// attempt.
+func (s *Service) handleAttemptOutcome(sequence uint32, attempt uint8, outcome AttemptOutcome, result Result, leaderHint string) {
 	p := s.pending[sequence]
 	if p == nil {
 		return
@@ -188,22 +189,23 @@
 	}
 	knowsOtherLeader := outcome == AttemptRejected && leaderHint != "" && leaderHint != p.target
 	if outcome == AttemptDeadlineInvalid || knowsOtherLeader {
-		s.sendAttempt(p) // the response gave the clock, or the leader, that the attempt lacked
+		s.sendAttempt(p) // the response contained the clock or the leader that the attempt lacked
 		return
 	}
 	if outcome == AttemptRejected {
-		p.avoid = p.target
+		p.avoidedTarget = p.target
 	}
-	s.retryAfter(p, retryInterval)
+	s.scheduleRetry(p, retryInterval)
 }
 
-// retryAfter schedules the next attempt of a call.
-func (s *Service) retryAfter(p *pendingCall, pause time.Duration) {
-	p.retryAt = s.host.Now() + pause
+// scheduleRetry schedules the next attempt of a call after a delay.
+func (s *Service) scheduleRetry(p *pendingCall, delay time.Duration) {
+	p.retryAt = s.host.Now() + delay
 	s.env.ScheduleAt(p.retryAt, p.sequence)
 }
 
-// handleCallTimer ends a call at its deadline, or without quorum contact, and begins the next attempt of one whose target does not answer.
+// handleCallTimer ends a call at its deadline, or when this node has no quorum contact. It starts the next attempt of a call whose target
+// does not answer or no longer leads the group.
 func (s *Service) handleCallTimer(p *pendingCall) {
 	now := s.host.Now()
 	switch {
@@ -212,14 +214,14 @@
 	case !s.isLeader(p.group) && !s.env.HasQuorumContact():
 		s.abandonCall(p)
 	case now >= p.retryAt:
-		p.avoid = p.target
+		p.avoidedTarget = p.target
 		s.sendAttempt(p)
 	case s.targetIsStale(p):
 		s.sendAttempt(p)
 	}
 }
 
-// targetIsStale reports whether another node than the newest attempt's target is known to lead by now.
+// targetIsStale reports whether a node other than the newest attempt's target is now known to lead the group.
 func (s *Service) targetIsStale(p *pendingCall) bool {
 	if p.target == "" {
 		return false
@@ -228,10 +230,10 @@
 		return p.target != s.config.Address
 	}
 	leader, ok := s.host.Leader(p.group)
-	return ok && leader != p.target && leader != p.avoid
+	return ok && leader != p.target && leader != p.avoidedTarget
 }
 
-// abandonCall ends a call without an answer. It surely had no effect only if none of its attempts is open.
+// abandonCall ends a call that has no answer. It is certain that the call had no effect only if none of its attempts is open.
 func (s *Service) abandonCall(p *pendingCall) {
 	status := StatusUnavailable
 	if p.openAttempts != 0 && !p.call.isReadOnly() && !s.config.TestingKnobs.ReportAmbiguousAsUnavailable {
@@ -245,19 +247,19 @@
 	p.done(result)
 }
 
-// PeerDisconnected is called when the link to a node has ended. Attempts that were sent there stay open, and the calls are soon sent to
-// another node.
+// PeerDisconnected handles the end of the link to a node. Attempts that were sent to the node stay open, and their calls are retried at
+// another node after retryInterval.
 func (s *Service) PeerDisconnected(address string) {
 	for _, sequence := range sortedKeys(s.pending) {
 		if p := s.pending[sequence]; p != nil && p.target == address {
-			p.avoid = address
-			s.retryAfter(p, retryInterval)
+			p.avoidedTarget = address
+			s.scheduleRetry(p, retryInterval)
 		}
 	}
 }
 
-// LeaderChanged is called when another node leads a group, as far as groups.Host.Leader knows. Calls whose target is not the leader are
-// sent to it at once.
+// LeaderChanged handles a change of a group's leader in groups.Host.Leader. Calls whose target is not the new leader are sent to it at
+// once.
 func (s *Service) LeaderChanged(group groups.ID) {
 	for _, sequence := range sortedKeys(s.pending) {
 		if p := s.pending[sequence]; p != nil && p.group == group && s.targetIsStale(p) {
--- a/internal/gateway/coordination/golden_test.go
+++ b/internal/gateway/coordination/golden_test.go
@@ -13,29 +13,30 @@
 	"github.com/shoenig/test/must"
 )
 
-// The files testdata/dd5a45a.* hold what the code of commit dd5a45a wrote: a name and bytes in hexadecimal a line. Logs, snapshots and nodes
-// of that version hold such bytes, so they are read to the same values and written again as they are.
+// The files testdata/dd5a45a.* hold bytes that the code of commit dd5a45a encoded. Each line is a name and the bytes in hexadecimal. Logs,
+// snapshots and nodes of that version use these encodings, so this version must decode them to the same values and encode the values to the
+// same bytes.
 
-// recorded reads a file of recorded bytes.
-func recorded(t *testing.T, name string) map[string][]byte {
+// readRecorded reads a file of recorded bytes by name.
+func readRecorded(t *testing.T, name string) map[string][]byte {
 	t.Helper()
 	f, err := os.Open("testdata/dd5a45a." + name)
 	must.NoError(t, err)
 	defer f.Close()
-	all := map[string][]byte{}
-	lines := bufio.NewScanner(f)
-	lines.Buffer(nil, 1<<20)
-	for lines.Scan() {
-		what, digits, _ := strings.Cut(lines.Text(), "\t")
-		b, err := hex.DecodeString(digits)
+	records := map[string][]byte{}
+	scanner := bufio.NewScanner(f)
+	scanner.Buffer(nil, 1<<20)
+	for scanner.Scan() {
+		key, hexText, _ := strings.Cut(scanner.Text(), "\t")
+		b, err := hex.DecodeString(hexText)
 		must.NoError(t, err)
-		all[what] = b
+		records[key] = b
 	}
-	must.NoError(t, lines.Err())
-	return all
+	must.NoError(t, scanner.Err())
+	return records
 }
 
-// goldenCalls are a call of each operation, with all fields that are sent of it.
+// goldenCalls returns calls of each operation with all fields that are sent.
 func goldenCalls() map[string]Call {
 	return map[string]Call{
 		"lock begin":     {Operation: LockAcquire, Name: "l1", Holder: "worker-1", TTL: 2500 * time.Millisecond},
@@ -51,11 +52,11 @@
 	}
 }
 
-// goldenMessages are a message of each kind: a question for each operation, a reply with each outcome and with each status.
+// goldenMessages returns a request for each operation, and a response with each outcome and with each status.
 func goldenMessages() map[string]Message {
-	all := map[string]Message{}
+	messages := map[string]Message{}
 	for name, c := range goldenCalls() {
-		all["ask "+name] = Message{Request: &ForwardRequest{
+		messages["ask "+name] = Message{Request: &ForwardRequest{
 			OriginIncarnation: 1<<63 + 5,
 			Sequence:          1<<31 + 7,
 			Attempt:           29,
@@ -73,12 +74,12 @@
 		"2 uncertain": AttemptAmbiguous,
 		"3 undated":   AttemptDeadlineInvalid,
 	}
-	for name, o := range outcomes {
-		all["reply "+name] = Message{Response: &ForwardResponse{
+	for name, outcome := range outcomes {
+		messages["reply "+name] = Message{Response: &ForwardResponse{
 			OriginIncarnation:    1<<63 + 5,
 			Sequence:             1<<31 + 7,
 			Attempt:              29,
-			Outcome:              o,
+			Outcome:              outcome,
 			LeaderHint:           "10.0.0.1:7001",
 			ResponderIncarnation: 1<<62 + 3,
 			ResponderClock:       5 * time.Hour,
@@ -86,29 +87,29 @@
 		}}
 	}
 	for i, s := range goldenStatuses() {
-		all[fmt.Sprint("reply with status ", i)] = Message{Response: &ForwardResponse{Result: Result{Status: s}}}
+		messages[fmt.Sprint("reply with status ", i)] = Message{Response: &ForwardResponse{Result: Result{Status: s}}}
 	}
-	return all
+	return messages
 }
 
-// goldenStatuses are the statuses by the numbers that are sent and stored.
+// goldenStatuses returns the statuses in order of the numbers that are sent and stored.
 func goldenStatuses() []Status {
 	return []Status{StatusOK, StatusLockHeld, StatusLockLost, StatusConflict, StatusNotFound, StatusCompacted, StatusLimitReached,
 		StatusUnavailable, StatusAmbiguous}
 }
 
-func TestRecordedMessages(t *testing.T) {
-	files, want := recorded(t, "messages"), goldenMessages()
-	must.MapLen(t, len(want), files)
+func TestMessagesMatchRecordedBytes(t *testing.T) {
+	recordedMessages, want := readRecorded(t, "messages"), goldenMessages()
+	must.MapLen(t, len(want), recordedMessages)
 	for name, m := range want {
-		got, err := DecodeMessage(files[name])
+		got, err := DecodeMessage(recordedMessages[name])
 		must.NoError(t, err, must.Sprint(name))
 		must.Eq(t, &m, got, must.Sprint(name))
-		must.Eq(t, files[name], m.Encode(), must.Sprint(name))
+		must.Eq(t, recordedMessages[name], m.Encode(), must.Sprint(name))
 	}
 }
 
-// goldenLog are entries in the order of a log: those that change the state in each way.
+// goldenLog returns log entries in order that change the state in each possible way.
 func goldenLog() []entry {
 	at := func(seconds int) time.Duration { return time.Duration(seconds) * time.Second }
 	incarnation := uint64(1<<63 + 5)
@@ -140,11 +141,11 @@
 	}
 }
 
-// Entries and their results are read and written as recorded, and the log of them leads to the recorded state.
-func TestRecordedLog(t *testing.T) {
-	files, results, want := recorded(t, "entries"), recorded(t, "results"), goldenLog()
-	must.MapLen(t, len(want), files)
-	must.MapLen(t, len(want), results)
+// Entries and their results are decoded and encoded as recorded, and applying the log of these entries leads to the recorded state.
+func TestLogMatchesRecordedBytes(t *testing.T) {
+	recordedEntries, recordedResults, want := readRecorded(t, "entries"), readRecorded(t, "results"), goldenLog()
+	must.MapLen(t, len(want), recordedEntries)
+	must.MapLen(t, len(want), recordedResults)
 	statuses := []Status{
 		StatusOK, StatusOK, StatusLockHeld, StatusOK, StatusOK,
 		StatusLockLost, StatusOK, StatusAmbiguous, StatusOK, StatusOK,
@@ -152,32 +153,32 @@
 		StatusOK, StatusConflict, StatusOK, StatusOK, StatusAmbiguous,
 	}
 	s := NewState(4 * time.Second)
-	for i, x := range want {
+	for i, wantEntry := range want {
 		name := fmt.Sprint(i)
-		got, err := decodeEntry(files[name])
+		got, err := decodeEntry(recordedEntries[name])
 		must.NoError(t, err, must.Sprint(name))
-		must.Eq(t, x.call, got.call, must.Sprint(name))
-		must.Eq(t, x.logTime, got.logTime, must.Sprint(name))
-		must.Eq(t, x.callID, got.callID, must.Sprint(name))
-		must.Eq(t, files[name], x.encode(), must.Sprint(name))
-		must.Eq(t, results[name], s.Apply(uint64(i), files[name]), must.Sprint(name))
-		a, err := decodeResult(results[name])
+		must.Eq(t, wantEntry.call, got.call, must.Sprint(name))
+		must.Eq(t, wantEntry.logTime, got.logTime, must.Sprint(name))
+		must.Eq(t, wantEntry.callID, got.callID, must.Sprint(name))
+		must.Eq(t, recordedEntries[name], wantEntry.encode(), must.Sprint(name))
+		must.Eq(t, recordedResults[name], s.Apply(uint64(i), recordedEntries[name]), must.Sprint(name))
+		result, err := decodeResult(recordedResults[name])
 		must.NoError(t, err, must.Sprint(name))
-		must.Eq(t, statuses[i], a.Status, must.Sprint(name))
-		must.Eq(t, results[name], encodeResult(a), must.Sprint(name))
+		must.Eq(t, statuses[i], result.Status, must.Sprint(name))
+		must.Eq(t, recordedResults[name], encodeResult(result), must.Sprint(name))
 	}
-	must.Eq(t, recorded(t, "snapshot")["log"], s.Snapshot())
+	must.Eq(t, readRecorded(t, "snapshot")["log"], s.Snapshot())
 }
 
-func TestRecordedResult(t *testing.T) {
-	b := recorded(t, "snapshot")["result"]
-	a, err := decodeResult(b)
+func TestResultMatchesRecordedBytes(t *testing.T) {
+	recordedBytes := readRecorded(t, "snapshot")["result"]
+	result, err := decodeResult(recordedBytes)
 	must.NoError(t, err)
-	must.Eq(t, Result{Status: StatusConflict, FencingToken: 301, Number: 302, Revision: 303}, a)
-	must.Eq(t, b, encodeResult(a))
+	must.Eq(t, Result{Status: StatusConflict, FencingToken: 301, Number: 302, Revision: 303}, result)
+	must.Eq(t, recordedBytes, encodeResult(result))
 }
 
-// goldenState has all that a snapshot holds.
+// goldenState returns a state with all contents that a snapshot can hold.
 func goldenState() *State {
 	s := NewState(4 * time.Second)
 	s.logTime, s.lastFencingToken = 77*time.Hour+9*time.Microsecond, 1<<40
@@ -188,37 +189,37 @@
 	}
 	s.retiredCalls = []retiredCall{{CallID{9, 10}, 75 * time.Hour}, {CallID{1<<63 + 11, 12}, 76 * time.Hour}}
 	s.numbers = map[string]uint64{"orders": 1 << 50, "invoices": 3}
-	first, second := newPutDigest("g.a", "x"), newPutDigest("h.a", "z")
-	a := storedEvent{Event{"g.a", "w", 11}, 70 * time.Hour}
-	b := storedEvent{Event{"g.a", "x", 12}, 71 * time.Hour}
+	firstDigest, secondDigest := newPutDigest("g.a", "x"), newPutDigest("h.a", "z")
+	older := storedEvent{Event{"g.a", "w", 11}, 70 * time.Hour}
+	newer := storedEvent{Event{"g.a", "x", 12}, 71 * time.Hour}
 	s.keys = keyTable{
 		groups: map[string]*keyGroup{
-			"g.": {revision: 12, compactedRevision: 10, keys: map[string]keyValue{"g.a": {"x", 12}, "g.b": {"\x00y", 9}}, events: []storedEvent{a, b}},
+			"g.": {revision: 12, compactedRevision: 10, keys: map[string]keyValue{"g.a": {"x", 12}, "g.b": {"\x00y", 9}}, events: []storedEvent{older, newer}},
 			"h.": {revision: 1 << 35, compactedRevision: 1 << 34, keys: map[string]keyValue{"h.a": {"z", 1 << 35}}},
 		},
 		bytes:        len("g.a") + len("x") + len("g.b") + len("\x00y") + len("h.a") + len("z") + 3*eventOverhead,
-		historyBytes: a.size() + b.size(),
-		putRevisions: map[putDigest]uint64{first: 12, second: 1 << 35},
-		putOrder:     []putDigest{second, first},
+		historyBytes: older.size() + newer.size(),
+		putRevisions: map[putDigest]uint64{firstDigest: 12, secondDigest: 1 << 35},
+		putOrder:     []putDigest{secondDigest, firstDigest},
 	}
 	return s
 }
 
-func TestRecordedSnapshot(t *testing.T) {
-	b, want, got := recorded(t, "snapshot")["state"], goldenState(), NewState(4*time.Second)
-	must.NoError(t, got.Restore(b))
+func TestSnapshotMatchesRecordedBytes(t *testing.T) {
+	recordedBytes, want, got := readRecorded(t, "snapshot")["state"], goldenState(), NewState(4*time.Second)
+	must.NoError(t, got.Restore(recordedBytes))
 	must.Eq(t, want.logTime, got.logTime)
 	must.Eq(t, want.lastFencingToken, got.lastFencingToken)
 	must.True(t, reflect.DeepEqual(want.locks, got.locks))
 	must.True(t, reflect.DeepEqual(want.retiredCalls, got.retiredCalls))
 	must.Eq(t, want.numbers, got.numbers)
 	must.True(t, reflect.DeepEqual(want.keys, got.keys))
-	must.Eq(t, b, want.Snapshot())
-	must.Eq(t, b, got.Snapshot())
+	must.Eq(t, recordedBytes, want.Snapshot())
+	must.Eq(t, recordedBytes, got.Snapshot())
 }
 
-// Callers can tell data of an unknown version from truncated data.
-func TestUnknownVersion(t *testing.T) {
+// Decoding errors distinguish data of an unknown version from truncated data.
+func TestDecodeRejectsUnknownVersion(t *testing.T) {
 	_, err := decodeEntry([]byte{2})
 	must.ErrorIs(t, err, ErrUnknownVersion)
 	_, err = DecodeMessage([]byte{3})
--- a/internal/gateway/coordination/keys.go
+++ b/internal/gateway/coordination/keys.go
@@ -9,21 +9,21 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// keyTable is the keys of a group, by key group.
+// keyTable holds the keys of a replicated group by key group.
 type keyTable struct {
 	groups       map[string]*keyGroup
-	bytes        int // of all keys: names and values, with eventOverhead for each
-	historyBytes int // of all events
+	bytes        int // size of all keys: names and values, plus eventOverhead for each key
+	historyBytes int // size of all events
 	putRevisions map[putDigest]uint64
-	putOrder     []putDigest // the keys of putRevisions, the oldest put first
+	putOrder     []putDigest // the keys of putRevisions, oldest put first
 }
 
-// keyGroup is the keys that share one count of revisions.
+// keyGroup holds the keys that share one revision counter.
 type keyGroup struct {
-	revision          uint64 // of the newest put
-	compactedRevision uint64 // of the newest event that is no longer in the history
+	revision          uint64 // revision of the newest put
+	compactedRevision uint64 // revision of the newest event that was removed from the history
 	keys              map[string]keyValue
-	events            []storedEvent // the history, by rising revision
+	events            []storedEvent // the history in ascending order of revision
 }
 
 type keyValue struct {
@@ -36,12 +36,12 @@
 	recordedAt time.Duration // log time
 }
 
-// eventOverhead is the bytes that an event or a key takes beside its strings.
+// eventOverhead is the number of bytes that an event or a key takes in addition to its strings.
 const eventOverhead = 64
 
 func (s *storedEvent) size() int { return eventOverhead + len(s.Name) + len(s.Value) }
 
-// putDigest identifies a put by its key and value: 128 bits of SHA-256.
+// putDigest identifies a put by its key and value. It is the first 128 bits of their SHA-256 hash.
 type putDigest [16]byte
 
 func newPutDigest(key, value string) (d putDigest) {
@@ -54,7 +54,7 @@
 	return keyTable{groups: map[string]*keyGroup{}, putRevisions: map[putDigest]uint64{}}
 }
 
-// put puts a value.
+// put stores the value of a key, unless the put repeats an earlier one, conflicts or exceeds maxKeyBytes.
 func (s *State) put(c *Call) Result {
 	name := groups.KeyGroup(c.Name)
 	g := s.keys.groups[name]
@@ -62,7 +62,7 @@
 		g = &keyGroup{keys: map[string]keyValue{}}
 	}
 	digest := newPutDigest(c.Name, c.Value)
-	if result, ended := s.answerWithoutPut(c, g, digest); ended {
+	if result, ended := s.checkRepeatOrConflict(c, g, digest); ended {
 		return result
 	}
 	current, exists := g.keys[c.Name]
@@ -83,9 +83,10 @@
 	return Result{Revision: g.revision}
 }
 
-// answerWithoutPut ends a put that is a copy of an earlier one, or that conflicts. A copy gets the revision of the first put. It is looked for
-// before the expected revision is compared, since the first put has changed the key's revision.
-func (s *State) answerWithoutPut(c *Call, g *keyGroup, digest putDigest) (result Result, ended bool) {
+// checkRepeatOrConflict returns the result of a put that repeats an earlier one or that conflicts, and whether it found one of the two. A
+// repeated put gets the revision of the first put. The check for a repetition precedes the comparison with the expected revision, because
+// the first put has already changed the key's revision.
+func (s *State) checkRepeatOrConflict(c *Call, g *keyGroup, digest putDigest) (result Result, ended bool) {
 	current, exists := g.keys[c.Name]
 	conflict := Result{Status: StatusConflict, Revision: current.revision}
 	if s.knobs.ConflictShowsGroupRevision {
@@ -99,7 +100,7 @@
 		if first, repeated := s.keys.putRevisions[digest]; repeated {
 			return Result{Revision: first}, true
 		}
-		// The digest of the put that gave the key its present value may have been dropped.
+		// The digest of the put that stored the key's current value may have been removed.
 		if exists && current.value == c.Value {
 			return Result{Revision: current.revision}, true
 		}
@@ -107,7 +108,8 @@
 	return conflict, conflicts
 }
 
-// rememberPut keeps a put's revision for when the put is repeated, and forgets the oldest one if there are too many.
+// rememberPut stores a put's revision, so that a repetition of the put can be recognized. If there are maxRememberedPuts already, it
+// removes the oldest one.
 func (k *keyTable) rememberPut(d putDigest, revision uint64) {
 	if len(k.putOrder) >= maxRememberedPuts {
 		delete(k.putRevisions, k.putOrder[0])
@@ -117,7 +119,7 @@
 	k.putRevisions[d] = revision
 }
 
-// appendEvent adds an event to the history of a key group and compacts the history.
+// appendEvent appends an event to the history of a key group and compacts the history.
 func (s *State) appendEvent(g *keyGroup, e Event) {
 	stored := storedEvent{Event: e, recordedAt: s.logTime}
 	g.events = append(g.events, stored)
@@ -125,7 +127,8 @@
 	s.compactHistory(g)
 }
 
-// compactHistory drops events that no watch may ask for any more. The newest event always stays.
+// compactHistory removes events that no watch may request any more. It also removes the oldest events while the history exceeds
+// maxHistoryBytes. It always keeps the newest event.
 func (s *State) compactHistory(g *keyGroup) {
 	// A watch's result may begin with events that are historyRetention old, and the watch may resume from any of them for that long.
 	retention := 2*s.historyRetention + time.Second
@@ -153,7 +156,7 @@
 	return Result{Status: StatusNotFound}
 }
 
-// keyGroupRevision is the revision of a key group's newest put, 0 without one.
+// keyGroupRevision returns the revision of the newest put in a key group, or 0 if there is none.
 func (s *State) keyGroupRevision(keyGroup string) uint64 {
 	if g := s.keys.groups[keyGroup]; g != nil {
 		return g.revision
@@ -161,7 +164,7 @@
 	return 0
 }
 
-// eventsAfter gives the events of a key group above a revision, as many as a result may hold, and the revision to resume from.
+// eventsAfter returns the events of a key group above a revision, as many as fit in a result, and the revision from which to resume.
 func (s *State) eventsAfter(keyGroup string, revision uint64) Result {
 	g := s.keys.groups[keyGroup]
 	if g == nil {
--- a/internal/gateway/coordination/leader.go
+++ b/internal/gateway/coordination/leader.go
@@ -6,20 +6,21 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// hostedGroup is a group at a node that has its state: a member, as leader or follower.
+// hostedGroup is a group whose state this node has, as leader or follower.
 type hostedGroup struct {
 	state    *State
 	isLeader bool
-	// The anchor of the log time: at anchoredAt, by this node's monotonic clock, it was at least anchorLogTime. A leader's log time goes
-	// on from there.
+	// The anchor of the log time. At anchoredAt, by this node's monotonic clock, the log time was at least anchorLogTime. A leader's log
+	// time advances from there.
 	anchorLogTime time.Duration
 	anchoredAt    time.Duration
 }
 
-// anchorClock sets the anchor to the newest entry's log time, which it was at the latest now. So a follower that comes to lead knows how
-// the log time went on since that entry. A follower never keeps an anchor that is ahead of the log: another leader may have stamped entries
-// by a clock that was behind, and leases by those stamps must not end early. A leader's clock goes on by itself.
-func (h *hostedGroup) anchorClock(now time.Duration) {
+// updateClockAnchor sets the anchor to the log time of the newest entry, at the current monotonic time. A follower that becomes leader thus
+// knows how far log time has advanced since that entry. A follower never keeps an anchor that is ahead of the log, because another leader
+// may have stamped entries by a clock that was behind, and leases based on those stamps must not end early. On a leader the function does
+// nothing, because the leader's log time advances by its own clock.
+func (h *hostedGroup) updateClockAnchor(now time.Duration) {
 	if h.isLeader {
 		return
 	}
@@ -30,7 +31,7 @@
 	h.anchoredAt = now
 }
 
-// StateMachine makes a group's state. It is part of groups.Application.
+// StateMachine creates and returns the state machine of a group. It is part of groups.Application.
 func (s *Service) StateMachine(id groups.ID) groups.StateMachine {
 	state := NewState(s.config.HistoryRetention)
 	state.knobs = s.config.TestingKnobs
@@ -43,11 +44,11 @@
 	g.state = state
 	g.anchorLogTime = 0
 	g.anchoredAt = s.host.Now()
-	state.onLogTimeAdvanced = func() { g.anchorClock(s.host.Now()) }
+	state.onLogTimeAdvanced = func() { g.updateClockAnchor(s.host.Now()) }
 	return state
 }
 
-// LeadershipGained begins to lead a group. It is part of groups.Application.
+// LeadershipGained handles this node's becoming the leader of a group. It is part of groups.Application.
 func (s *Service) LeadershipGained(id groups.ID, _ uint64) {
 	g := &s.hosted[id]
 	g.isLeader = true
@@ -57,26 +58,26 @@
 	s.counters.LeadershipsGained++
 }
 
-// LeadershipLost ends leading a group: the watches that are parked here are rejected, so that their nodes ask the new leader. It is part
-// of groups.Application.
+// LeadershipLost handles the end of this node's leadership of a group. It rejects the watches that are parked here, so that their nodes
+// send them to the new leader. It is part of groups.Application.
 func (s *Service) LeadershipLost(id groups.ID, _ uint64) {
 	g := &s.hosted[id]
 	g.isLeader = false
-	g.anchorClock(s.host.Now()) // another leader may have stamped entries before this one learned of its end
+	g.updateClockAnchor(s.host.Now()) // another leader may have stamped entries before this node learned that its leadership had ended
 	s.counters.LeadershipsLost++
-	for _, w := range s.parkedIn(id) {
-		s.unpark(w)
+	for _, w := range s.parkedWatchesIn(id) {
+		s.unparkWatch(w)
 		w.reply(AttemptRejected, Result{})
 	}
 }
 
-// logTime is the present log time of a group that this node leads.
+// logTime returns the current log time of a group that this node leads.
 func (s *Service) logTime(id groups.ID) time.Duration {
 	g := &s.hosted[id]
 	return max(g.state.logTime, g.anchorLogTime+s.host.Now()-g.anchoredAt)
 }
 
-// isLeader reports whether this node leads a group, as far as it knows. Another one may lead by now.
+// isLeader reports whether this node leads a group, as far as it knows. Another node may already be the leader.
 func (s *Service) isLeader(id groups.ID) bool {
 	if s.hosted[id].state == nil || !s.hosted[id].isLeader {
 		return false
@@ -85,10 +86,10 @@
 	return ok
 }
 
-// replyFunc ends one attempt of a call.
+// replyFunc reports the outcome of one attempt of a call.
 type replyFunc func(AttemptOutcome, Result)
 
-// serveAsLeader serves a call if this node leads its group, and rejects it if not.
+// serveAsLeader serves a call if this node leads the call's group, and rejects it otherwise.
 func (s *Service) serveAsLeader(c *Call, id CallID, reply replyFunc) {
 	group := c.GroupID()
 	if int(group) >= len(s.hosted) || !s.isLeader(group) {
@@ -98,8 +99,9 @@
 	knobs := &s.config.TestingKnobs
 	switch c.Operation {
 	case LockAcquire:
-		// Callers that wait for a lock ask again and again. While another one holds it this costs no entry. A leader that lost its
-		// leadership without knowing may say so wrongly; that is harmless, since the caller gets nothing.
+		// Callers that wait for a lock retry the acquire. While another caller holds the lock, such a retry appends no log entry. A leader
+		// that lost its leadership without knowing may answer StatusLockHeld wrongly. That is harmless, because the caller is granted
+		// nothing.
 		if s.hosted[group].state.isLockedByOther(c.Name, c.Holder, s.logTime(group)) {
 			reply(AttemptDone, Result{Status: StatusLockHeld})
 			return
@@ -117,12 +119,12 @@
 		s.readLinearizable(group, knobs.ReadWithoutQuorum, reply, func() Result { return s.readState(group, c) })
 	case KeyWatch:
 		s.serveWatch(group, c, reply)
-	default: // of a newer version of the program
+	default: // an operation of a newer version of the program
 		reply(AttemptDone, Result{Status: StatusLimitReached})
 	}
 }
 
-// propose appends a call to its group's log, stamped with the present log time.
+// propose proposes a call as an entry of its group's log, stamped with the current log time.
 func (s *Service) propose(group groups.ID, c *Call, id CallID, reply replyFunc) {
 	e := entry{call: *c, logTime: s.logTime(group), callID: id}
 	s.host.Propose(group, e.encode(), func(outcome groups.Outcome, encoded []byte) {
@@ -139,7 +141,7 @@
 	})
 }
 
-// attemptOutcome is the outcome of a call whose proposal was not applied.
+// attemptOutcome returns the outcome of an attempt whose proposal was not applied.
 func attemptOutcome(o groups.Outcome) AttemptOutcome {
 	if o == groups.NotProposed {
 		return AttemptRejected
@@ -147,8 +149,8 @@
 	return AttemptAmbiguous
 }
 
-// readLinearizable answers from the group's state once a majority has confirmed the leadership and all that was committed before is
-// applied. withoutQuorum is a testing knob.
+// readLinearizable replies with the result of read, once a majority has confirmed the leadership and all entries that were committed before
+// are applied. withoutQuorum is a testing knob that skips the confirmation.
 func (s *Service) readLinearizable(group groups.ID, withoutQuorum bool, reply replyFunc, read func() Result) {
 	if withoutQuorum {
 		reply(AttemptDone, read())
@@ -163,12 +165,12 @@
 	})
 }
 
-// readState answers a call that changes nothing.
+// readState returns the result of a call that changes no state.
 func (s *Service) readState(group groups.ID, c *Call) Result {
 	state := s.hosted[group].state
 	if c.Operation == KeyRead {
 		return state.readKey(c.Name)
 	}
-	wanted := func(name string) bool { return c.Operation == LockList || name == c.Name }
-	return Result{Locks: state.listLocks(s.logTime(group), wanted)}
+	include := func(name string) bool { return c.Operation == LockList || name == c.Name }
+	return Result{Locks: state.listLocks(s.logTime(group), include)}
 }
--- a/internal/gateway/coordination/limits.go
+++ b/internal/gateway/coordination/limits.go
@@ -2,63 +2,66 @@
 
 import "time"
 
-// What callers may send. Package controlapi rejects calls beyond these; api/control.yaml names them to callers.
+// Limits of what callers may send. Package controlapi rejects calls that exceed them, and api/control.yaml documents them.
 const (
-	// MaxNameBytes is the longest name of a lock, counter, key or holder.
+	// MaxNameBytes is the maximum length of the name of a lock, counter, key or holder.
 	MaxNameBytes = 256
-	// MaxValueBytes is the longest value of a key.
+	// MaxValueBytes is the maximum length of a key's value.
 	MaxValueBytes = 4 << 10
-	// MaxTTL is the longest lease that an acquire or a renew may ask for.
+	// MaxTTL is the longest lease that an acquire or a renewal may request.
 	MaxTTL = 10 * time.Minute
-	// MaxWatchTimeout is the longest time that a watch waits.
+	// MaxWatchTimeout is the longest time that a watch may wait.
 	MaxWatchTimeout = 30 * time.Second
 )
 
-// What the state of one group holds. docs/coordination.md, "Snapshots and size", has what the disk leaves to each group.
+// Limits of the state of one group. docs/coordination.md, "Snapshots and size", explains how much disk space each group has.
 const (
 	maxLocks    = 4096
 	maxNumbers  = 4096
-	maxKeyBytes = 2 << 20 // names and values, with eventOverhead for each key
-	// maxHistoryBytes bounds the events of all key groups. With more puts than that the history is shorter than it should be.
+	maxKeyBytes = 2 << 20 // names and values, plus eventOverhead for each key
+	// maxHistoryBytes limits the events of all key groups together. If there are more puts than fit, the history covers less time than the
+	// configured retention.
 	maxHistoryBytes = 2 << 20
-	// maxRememberedPuts bounds the digests by which a repeated put is recognized.
+	// maxRememberedPuts limits the number of digests that are kept to recognize repeated puts.
 	maxRememberedPuts = 16384
-	// maxEventBytesInResult bounds one watch's result; the next watch gives the rest.
+	// maxEventBytesInResult limits the result of one watch. The next watch returns the remaining events.
 	maxEventBytesInResult = 128 << 10
 )
 
-// What a service holds at one node.
+// Limits of one node's service.
 const (
-	maxPendingCalls  = 4096  // calls taken here that have not ended
-	maxParkedWatches = 8192  // watches of all nodes that wait here, at the leader of their group
+	maxPendingCalls  = 4096  // calls that this node received and that have not ended
+	maxParkedWatches = 8192  // watches from all nodes that wait here, at the leader of their group
 	maxWatchers      = 16384 // callers of this node that wait in shared watches
 )
 
-// Times of a call. Callers turn to another node after 1 s without an answer, so a call ends well before that.
+// Times of a call. Callers switch to another node after 1 s without an answer, so a call must end well before that.
 const (
-	// callTimeout is within what time each call ends, with whatever status.
+	// callTimeout is the time within which each call ends, whatever its status.
 	callTimeout = 800 * time.Millisecond
-	// attemptTimeout is how long a node may take to answer one attempt before another one is asked.
+	// attemptTimeout is how long a node may take to answer one attempt before the next attempt goes to another node.
 	attemptTimeout = 250 * time.Millisecond
-	// retryInterval is the pause between attempts while no leader is known.
+	// retryInterval is the delay between attempts while no leader is known.
 	retryInterval = 40 * time.Millisecond
-	// maxAttempts bounds the attempts of one call. pendingCall.openAttempts has a bit for each.
+	// maxAttempts limits the attempts of one call. pendingCall.openAttempts has one bit for each attempt.
 	maxAttempts = 30
-	// maxInputDelay is how long a call may have been unread in a socket. Beyond it the caller may have given it up and gone on.
+	// maxInputDelay is the longest time that a call may have waited unread in a socket. After a longer delay the caller may have abandoned
+	// the call and continued.
 	maxInputDelay = 200 * time.Millisecond
-	// watchPollTimeout is how long a watch is left with the leader before it is asked for again. A leadership that was lost without
-	// notice is found out after this time.
+	// watchPollTimeout is how long a shared watch waits at the leader before it is sent again. It is also the longest time for which the
+	// loss of a leadership can go unnoticed by a watch.
 	watchPollTimeout = 600 * time.Millisecond
 )
 
 // Times of the state, in log time.
 const (
-	// roundingSlack is added to each lease, since entries keep times in whole microseconds, rounded down.
-	roundingSlack = time.Millisecond
-	// retiredCallRetention is longer than any copy of a call can be on its way: at most maxInputDelay and callTimeout.
+	// leaseRoundingMargin is added to each lease, because entries store times in whole microseconds, rounded down.
+	leaseRoundingMargin = time.Millisecond
+	// retiredCallRetention is longer than any duplicate of a call can be in transit, which is at most maxInputDelay plus callTimeout.
 	retiredCallRetention = 4 * time.Second
-	// staleReleaseWindow is also longer than that. A release that comes within it after the holder acquired the lock again may have
-	// been sent before: the holder keeps its fencing token, so nothing distinguishes the two. Such a release frees nothing, and the
-	// lock is free when its lease expires; to free it under a holder that goes on would be worse.
+	// staleReleaseWindow is also longer than a call can be in transit. A release that arrives within this time after the holder acquired
+	// the lock again may have been sent before that. The two cases can't be distinguished, because the holder keeps its fencing token. Such
+	// a release has no effect, and the lock becomes free when its lease expires. Releasing the lock while its holder still relies on it
+	// would be worse.
 	staleReleaseWindow = 1200 * time.Millisecond
 )
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// lockState is a lock that is held, or whose lease has expired since. A released lock has none, so that free locks take no memory.
+// lockState is a lock that is held, or whose lease has expired. A released lock has no lockState, so that free locks take no memory.
 type lockState struct {
 	holder        string
 	fencingToken  uint64
-	expiresAt     time.Duration // log time from which on the lock is free
-	callID        CallID        // of the holder's last acquire
+	expiresAt     time.Duration // log time from which the lock is free
+	callID        CallID        // call ID of the holder's last acquire
 	lastAcquireAt time.Duration // log time of the holder's last acquire
 	reacquired    bool          // the holder acquired the lock again while it held it
 }
 
-// retiredCall is an acquire whose lock is free again. A copy of it that arrives late must not take the lock once more, since no caller
-// would know that it holds it.
+// retiredCall identifies an acquire whose lock is free again. A copy of the acquire that arrives late must not take the lock once more,
+// because no caller would know that it holds the lock.
 type retiredCall struct {
 	callID    CallID
 	retiredAt time.Duration // log time
 }
 
-// isFree reports whether no caller may hold a lock; l is nil for one without state.
+// isFree reports whether a lock can be granted. l is nil for a lock without state.
 func (s *State) isFree(l *lockState) bool { return l == nil || s.logTime >= l.expiresAt }
 
-// acquire gives a lock to a holder if it is free, or extends the holder's lease.
+// acquire grants a lock if it is free, or extends the lease if the caller already holds the lock.
 func (s *State) acquire(e *entry) Result {
 	if s.isRetired(e.callID) {
 		return Result{Status: StatusAmbiguous}
@@ -40,40 +40,41 @@
 	} else if len(s.locks) >= maxLocks && !s.removeExpiredLocks() {
 		return Result{Status: StatusLimitReached}
 	}
-	// One count for all locks of the group: a count for each lock would have to outlast the lock.
+	// All locks of the group share one counter. A counter for each lock would have to be kept after the lock is released.
 	if !s.knobs.ReuseFencingToken || s.lastFencingToken == 0 {
 		s.lastFencingToken++
 	}
 	s.locks[e.call.Name] = &lockState{
 		holder:        e.call.Holder,
 		fencingToken:  s.lastFencingToken,
-		expiresAt:     s.leaseEnd(&e.call),
+		expiresAt:     s.leaseExpiry(&e.call),
 		callID:        e.callID,
 		lastAcquireAt: s.logTime,
 	}
 	return Result{FencingToken: s.lastFencingToken}
 }
 
-// reacquire extends the lease of a lock that is held, if its holder asks. The holder keeps its fencing token.
+// reacquire extends the lease of a held lock if the caller is its holder. The holder keeps its fencing token.
 func (s *State) reacquire(l *lockState, e *entry) Result {
 	if l.holder != e.call.Holder {
 		return Result{Status: StatusLockHeld}
 	}
-	// A copy of the call that took the lock extends nothing: the caller counts its time from when it sent the first one.
+	// A copy of the call that took the lock does not extend the lease, because the caller counts its lease from when it sent the first
+	// copy.
 	if l.callID != e.callID {
 		s.retireCall(l.callID)
 		l.callID = e.callID
 		l.reacquired = true
 		l.lastAcquireAt = s.logTime
-		l.expiresAt = max(l.expiresAt, s.leaseEnd(&e.call))
+		l.expiresAt = max(l.expiresAt, s.leaseExpiry(&e.call))
 	}
 	return Result{FencingToken: l.fencingToken}
 }
 
-// leaseEnd is when the lease that a call asks for expires.
-func (s *State) leaseEnd(c *Call) time.Duration { return s.logTime + c.TTL + roundingSlack }
+// leaseExpiry returns the log time at which the lease that a call requests expires.
+func (s *State) leaseExpiry(c *Call) time.Duration { return s.logTime + c.TTL + leaseRoundingMargin }
 
-// renew extends a holder's lease. A lease that has expired is lost, whether or not another caller acquired the lock since.
+// renew extends a holder's lease. An expired lease is lost, whether or not another caller has acquired the lock since.
 func (s *State) renew(c *Call) Result {
 	l := s.locks[c.Name]
 	if s.knobs.RenewExpiredLease && l != nil && l.holder == c.Holder {
@@ -83,15 +84,15 @@
 	if s.isFree(l) || !s.isLeaseHolder(l, c) {
 		return Result{Status: StatusLockLost}
 	}
-	// A shorter lease never shortens the one that the holder counts on: copies of renewals may arrive in another order.
-	l.expiresAt = max(l.expiresAt, s.leaseEnd(c))
+	// A renewal never shortens the lease on which the holder relies, because copies of renewals may arrive in another order.
+	l.expiresAt = max(l.expiresAt, s.leaseExpiry(c))
 	if s.knobs.RenewShortensLease {
 		l.expiresAt = s.logTime + c.TTL
 	}
 	return Result{}
 }
 
-// release gives a lock back. It succeeds whether or not the caller holds the lock, so that it can be repeated.
+// release frees a lock. It succeeds whether or not the caller holds the lock, so that callers can repeat it.
 func (s *State) release(c *Call) Result {
 	l := s.locks[c.Name]
 	if l == nil || !s.isLeaseHolder(l, c) || s.mayBeStaleRelease(l) {
@@ -102,17 +103,17 @@
 	return Result{}
 }
 
-// mayBeStaleRelease reports whether a release may have been sent before its holder acquired the lock again, see staleReleaseWindow.
+// mayBeStaleRelease reports whether a release may have been sent before the holder acquired the lock again. See staleReleaseWindow.
 func (s *State) mayBeStaleRelease(l *lockState) bool {
 	return l.reacquired && s.logTime-l.lastAcquireAt < staleReleaseWindow && !s.isFree(l) && !s.knobs.AcceptStaleRelease
 }
 
-// isLeaseHolder reports whether a call comes from a lock's holder and is about its present lease.
+// isLeaseHolder reports whether a call comes from a lock's holder and has the fencing token of its current lease.
 func (s *State) isLeaseHolder(l *lockState, c *Call) bool {
 	return l.holder == c.Holder && (l.fencingToken == c.FencingToken || s.knobs.AcceptAnyFencingToken)
 }
 
-// retireCall remembers an acquire whose lock is free now, and forgets those that are older than retiredCallRetention.
+// retireCall records an acquire whose lock has become free, and removes records that are older than retiredCallRetention.
 func (s *State) retireCall(id CallID) {
 	outdated := 0
 	for outdated < len(s.retiredCalls) && s.logTime-s.retiredCalls[outdated].retiredAt > retiredCallRetention {
@@ -125,23 +126,23 @@
 	return !s.knobs.AcceptRetiredCall && slices.ContainsFunc(s.retiredCalls, func(r retiredCall) bool { return r.callID == id })
 }
 
-// removeExpiredLocks forgets locks whose lease has expired, and reports whether there were any.
+// removeExpiredLocks removes locks whose lease has expired, and reports whether it removed any.
 func (s *State) removeExpiredLocks() bool {
 	before := len(s.locks)
 	maps.DeleteFunc(s.locks, func(_ string, l *lockState) bool { return s.isFree(l) })
 	return len(s.locks) < before
 }
 
-// isLockedByOther reports whether a lock is held by another holder at a log time, which may be ahead of the newest entry's.
+// isLockedByOther reports whether another holder holds a lock at a log time. The log time may be later than that of the newest entry.
 func (s *State) isLockedByOther(name, holder string, at time.Duration) bool {
 	l := s.locks[name]
 	return l != nil && l.holder != holder && max(at, s.logTime) < l.expiresAt
 }
 
-// listLocks lists the locks that are held at a log time and whose name is wanted, by name.
-func (s *State) listLocks(at time.Duration, wanted func(name string) bool) (list []LockInfo) {
+// listLocks returns the locks that are held at a log time and whose name include accepts, sorted by name.
+func (s *State) listLocks(at time.Duration, include func(name string) bool) (list []LockInfo) {
 	for _, name := range slices.Sorted(maps.Keys(s.locks)) {
-		if l := s.locks[name]; wanted(name) && l.expiresAt > at {
+		if l := s.locks[name]; include(name) && l.expiresAt > at {
 			list = append(list, LockInfo{Name: name, Holder: l.holder, FencingToken: l.fencingToken, TimeLeft: l.expiresAt - at})
 		}
 	}
--- a/internal/gateway/coordination/message.go
+++ b/internal/gateway/coordination/message.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// Message is what services of different nodes send each other. Exactly one of its fields is set.
+// Message is a message between the services of two nodes. Exactly one of its fields is set.
 type Message struct {
 	Request  *ForwardRequest
 	Response *ForwardResponse
 }
 
-// ForwardRequest is one attempt of a call, on its way to the leader of the call's group. It is valid until Deadline by the monotonic
-// clock of the receiver's incarnation: a request that was delayed on a link, or was read after the receiver had been stopped, has no
-// effect.
+// ForwardRequest carries one attempt of a call to the leader of the call's group. It is valid until Deadline, by the monotonic clock of the
+// receiver's incarnation. A request that was delayed on a link, or that was read after the receiver's process had been stopped, therefore
+// has no effect.
 type ForwardRequest struct {
-	OriginIncarnation uint64 // of the node that took the call
-	Sequence          uint32 // of the call at that node
-	Attempt           uint8  // from 0
-	TargetIncarnation uint64 // whose clock Deadline is of; 0 while none is known, which is rejected and answered with the clock
+	OriginIncarnation uint64 // incarnation of the node that received the call from the application
+	Sequence          uint32 // sequence number of the call at that node
+	Attempt           uint8  // number of the attempt, starting at 0
+	// TargetIncarnation is the incarnation of the receiver, on whose clock Deadline is a time. It is 0 if the sender does not know one. The
+	// receiver then rejects the request, and its response carries its incarnation and clock.
+	TargetIncarnation uint64
 	Deadline          time.Duration
 	Call              Call
 }
 
-// ForwardResponse ends an attempt.
+// ForwardResponse is the answer to a ForwardRequest and ends the attempt.
 type ForwardResponse struct {
-	OriginIncarnation    uint64 // OriginIncarnation, Sequence and Attempt are the request's
+	OriginIncarnation    uint64 // OriginIncarnation, Sequence and Attempt are copied from the request
 	Sequence             uint32
 	Attempt              uint8
 	Outcome              AttemptOutcome
-	LeaderHint           string // with AttemptRejected: the leader's address, as far as the responder knows
+	LeaderHint           string // with AttemptRejected: the leader's address, or empty if the responder knows none
 	ResponderIncarnation uint64
-	ResponderClock       time.Duration // monotonic, when the response was sent
-	Result               Result        // with AttemptDone
+	ResponderClock       time.Duration // monotonic time at which the response was sent
+	Result               Result        // set with AttemptDone
 }
 
-// AttemptOutcome is how one attempt ended. The numbers are sent between nodes; they must not change.
+// AttemptOutcome is the outcome of one attempt. Its numbers are sent between nodes, so they must not change.
 type AttemptOutcome uint8
 
 // The outcomes of an attempt.
 const (
 	AttemptDone            AttemptOutcome = iota // the call ended with the result
 	AttemptRejected                              // no effect, now or later: the node does not lead the group, or lost its leadership
-	AttemptAmbiguous                             // the attempt may have taken effect, or may still do so
-	AttemptDeadlineInvalid                       // no effect, now or later: Deadline had passed, or was not of this incarnation's clock
+	AttemptAmbiguous                             // the attempt may have taken effect, or may still take effect
+	AttemptDeadlineInvalid                       // no effect, now or later: Deadline had passed, or is of another incarnation's clock
 )
--- a/internal/gateway/coordination/service.go
+++ b/internal/gateway/coordination/service.go
@@ -6,31 +6,31 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// Env is what a service needs of its node.
+// Env is the interface through which a service uses its node.
 type Env interface {
-	// Send gives a message to a link to another node. False: there is no link, and the message will never arrive. True promises
-	// nothing: it may be lost or be late.
+	// Send passes a message to the link to another node. It returns false if there is no link, in which case the message never arrives.
+	// True is no guarantee, because the message may still be lost or late.
 	Send(to string, m *Message) bool
-	// ScheduleAt has Service.Due called with the sequence number at a time of groups.Host.Now, if Service.Live says then that the
-	// number is still of interest.
+	// ScheduleAt schedules a timer for a sequence number, at a time of groups.Host.Now. When the timer expires, the node calls Service.Due
+	// if Service.Live returns true for the number.
 	ScheduleAt(at time.Duration, sequence uint32)
-	// InputDelay is how long the input of this turn may have been unread, since the process was stopped.
+	// InputDelay returns how long the input of the current turn may have waited unread because the process was stopped.
 	InputDelay() time.Duration
-	// HasQuorumContact reports whether this node had recent contact with a majority. Without it calls end at once, so that callers turn
-	// to another node.
+	// HasQuorumContact reports whether this node recently had contact with a majority. Without it, calls end at once, so that callers
+	// switch to another node.
 	HasQuorumContact() bool
 }
 
-// Config is what a service is made with.
+// Config holds the parameters of New.
 type Config struct {
-	Address          string        // of this node, among nodes
-	Incarnation      uint64        // of this node's process
-	HistoryRetention time.Duration // for which a watch may resume; the setting bounds.history
-	TestingKnobs     TestingKnobs  // tests alone set it
+	Address          string        // address of this node among the nodes
+	Incarnation      uint64        // incarnation of this node's process
+	HistoryRetention time.Duration // how long a watch may take to resume; the setting bounds.history
+	TestingKnobs     TestingKnobs  // set only by tests
 }
 
-// Service takes calls at a node, forwards them to the leaders of their groups, and serves those of the groups that this node leads. It
-// implements groups.Application and eventloop.Alarm. All methods are called in turns of the node: by one goroutine at a time.
+// Service receives calls at a node, forwards them to the leaders of their groups, and serves the calls of the groups that this node leads.
+// It implements groups.Application and eventloop.Alarm. The node calls all methods in turns, which means by one goroutine at a time.
 type Service struct {
 	host             groups.Host
 	env              Env
@@ -39,15 +39,16 @@
 	lastSequence     uint32
 	pending          map[uint32]*pendingCall
 	parkedWatches    map[uint32]*parkedWatch
-	parkedByKeyGroup map[string]map[uint32]*parkedWatch // the same watches
+	parkedByKeyGroup map[string]map[uint32]*parkedWatch // the same watches by key group, then by sequence number
 	sharedWatches    map[watchKey]*sharedWatch
-	watcherCount     int                    // in all shared watches
+	watcherCount     int                    // callers in all shared watches
 	remoteClocks     map[string]remoteClock // by address
-	changedKeyGroups []string               // put since the last NotifyWatchers, those with parked watches
+	// changedKeyGroups are the key groups with parked watches that were put since the last call of NotifyWatchers.
+	changedKeyGroups []string
 	counters         Counters
 }
 
-// New makes a node's service. SetHost must be called before anything else.
+// New returns a node's service. SetHost must be called before any other method.
 func New(env Env, config Config) *Service {
 	return &Service{
 		env:              env,
@@ -60,28 +61,29 @@
 	}
 }
 
-// SetHost sets the groups that the service stands on. It is apart from New since the host is made with the service.
+// SetHost sets the host of the replicated groups. It is separate from New because creating the host requires the service.
 func (s *Service) SetHost(host groups.Host) { s.host = host }
 
-// Submit takes an application's call. done is called once: within callTimeout, or a watch's timeout and callTimeout.
+// Submit handles an application's call. It calls done exactly once, within callTimeout, or for a watch within the watch's timeout plus
+// callTimeout.
 func (s *Service) Submit(c Call, done func(Result)) {
 	s.counters.Calls[c.Operation]++
-	counted := func(r Result) {
+	countAndReply := func(r Result) {
 		s.counters.Results[r.Status]++
 		done(r)
 	}
 	if s.env.InputDelay() > maxInputDelay && !s.config.TestingKnobs.IgnoreDeadlines {
-		counted(Result{Status: StatusUnavailable}) // the caller has turned to another node, and may have gone on
+		countAndReply(Result{Status: StatusUnavailable}) // the caller has switched to another node, and may have continued
 		return
 	}
 	if c.Operation == KeyWatch {
-		s.startWatch(&c, counted)
+		s.startWatch(&c, countAndReply)
 		return
 	}
-	s.startCall(&c, callTimeout, counted)
+	s.startCall(&c, callTimeout, countAndReply)
 }
 
-// Receive takes a message of another node's service.
+// Receive handles a message from another node's service.
 func (s *Service) Receive(from string, m *Message) {
 	switch {
 	case m.Request != nil:
@@ -91,12 +93,12 @@
 	}
 }
 
-// Live reports whether a sequence number's timer is still of interest.
+// Live reports whether the call or parked watch with a sequence number still exists, so that its timer is needed.
 func (s *Service) Live(sequence uint32) bool {
 	return s.pending[sequence] != nil || s.parkedWatches[sequence] != nil
 }
 
-// Due is called when a sequence number's timer has run out.
+// Due handles the expiry of a timer that Env.ScheduleAt set for a sequence number.
 func (s *Service) Due(sequence uint32) {
 	if p := s.pending[sequence]; p != nil {
 		s.handleCallTimer(p)
@@ -106,7 +108,7 @@
 	}
 }
 
-// nextSequence numbers a call or a parked watch. With 32 bits none lives long enough to meet its number again.
+// nextSequence returns the sequence number of a new call or parked watch. No call lives long enough for its 32-bit number to be reused.
 func (s *Service) nextSequence() uint32 {
 	s.lastSequence++
 	return s.lastSequence
--- a/internal/gateway/coordination/snapshot.go
+++ b/internal/gateway/coordination/snapshot.go
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Snapshot is the complete state. Everything in it is written in a fixed order, so that members which applied the same entries write
+// Snapshot returns the encoded complete state. It encodes everything in a fixed order, so that members that applied the same entries return
 // the same bytes.
 func (s *State) Snapshot() []byte {
 	var enc encoder
@@ -24,13 +24,13 @@
 	return enc.bytes
 }
 
-// Restore replaces the complete state by a snapshot; an empty one is the state that a group starts with. On an error, ErrTruncated or
-// ErrUnknownVersion, the state is as it was.
+// Restore replaces the complete state with that of a snapshot. An empty snapshot is the initial state of a group. If Restore returns an
+// error, ErrTruncated or ErrUnknownVersion, the state is unchanged.
 func (s *State) Restore(snapshot []byte) error {
 	restored := newContents()
 	if len(snapshot) > 0 {
 		if err := restored.decode(snapshot); err != nil {
-			return errors.Wrap(err, "snapshot")
+			return errors.Wrap(err, "restore snapshot")
 		}
 	}
 	s.contents = restored
@@ -108,7 +108,7 @@
 func (c *contents) decode(snapshot []byte) error {
 	dec := decoder{bytes: snapshot}
 	if version := dec.uint(); dec.err == nil && version != formatVersion {
-		return errors.Wrapf(ErrUnknownVersion, "version %d", version)
+		return errors.Wrapf(ErrUnknownVersion, "snapshot version %d", version)
 	}
 	c.logTime = dec.duration()
 	c.lastFencingToken = dec.uint()
@@ -155,7 +155,7 @@
 	}
 }
 
-// decodeGroup reads a key group and adds its size to the table's.
+// decodeGroup decodes a key group and adds its size to the table's.
 func (k *keyTable) decodeGroup(dec *decoder) *keyGroup {
 	g := &keyGroup{revision: dec.uint(), compactedRevision: dec.uint(), keys: map[string]keyValue{}}
 	for range dec.count() {
--- a/internal/gateway/coordination/state.go
+++ b/internal/gateway/coordination/state.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// State is the state machine of a group: its locks, numbers and keys. It implements groups.StateMachine. What it holds depends on the
-// applied entries alone.
+// State is the state machine of a group. It holds the group's locks, numbers and keys, and implements groups.StateMachine. Its contents
+// depend only on the applied entries.
 type State struct {
 	contents
 	historyRetention  time.Duration // how long a watch may take to resume
 	knobs             TestingKnobs
 	onKeyGroupChanged func(keyGroup string) // called after each put, and for each key group of a restored snapshot
-	onLogTimeAdvanced func()                // called with each entry and restored snapshot
+	onLogTimeAdvanced func()                // called for each entry and each restored snapshot
 }
 
-// contents is the part of the state that snapshots hold.
+// contents is the part of the state that a snapshot holds.
 type contents struct {
-	logTime          time.Duration // the newest entry's
-	lastFencingToken uint64        // over all locks of the group
+	logTime          time.Duration // log time of the newest entry
+	lastFencingToken uint64        // the newest token of all locks of the group
 	locks            map[string]*lockState
-	retiredCalls     []retiredCall // the oldest first
+	retiredCalls     []retiredCall // oldest first
 	numbers          map[string]uint64
 	keys             keyTable
 }
@@ -26,7 +26,7 @@
 	return contents{locks: map[string]*lockState{}, numbers: map[string]uint64{}, keys: newKeyTable()}
 }
 
-// NewState is the state that a group starts with. A watch may resume from any revision that it was given within historyRetention.
+// NewState returns the initial state of a group. A watch may resume from any revision that it received within historyRetention.
 func NewState(historyRetention time.Duration) *State {
 	return &State{
 		contents:          newContents(),
@@ -36,8 +36,8 @@
 	}
 }
 
-// Apply applies the next entry of the log and gives its encoded result. An entry that can't be decoded changes nothing, and its result
-// is StatusAmbiguous: a newer version of the program may know what it does.
+// Apply applies the next entry of the log and returns its encoded result. An entry that can't be decoded changes nothing. Its result is
+// StatusAmbiguous, because a newer version of the program may know its effect.
 func (s *State) Apply(_ uint64, bytes []byte) []byte {
 	e, err := decodeEntry(bytes)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return Result{Status: StatusAmbiguous}
 }
 
-// nextNumber gives the next number of a name, from 1.
+// nextNumber returns the next number under a name, starting at 1.
 func (s *State) nextNumber(name string) Result {
 	if _, known := s.numbers[name]; !known && len(s.numbers) >= maxNumbers {
 		return Result{Status: StatusLimitReached}
--- a/internal/gateway/coordination/status.go
+++ b/internal/gateway/coordination/status.go
@@ -2,26 +2,26 @@
 
 import "clovergap/internal/gateway/groups"
 
-// Counters count what a service did since its start.
+// Counters count the events at a service since its start.
 type Counters struct {
-	Calls             [LockList + 1]uint64        // taken from callers, by operation
-	Results           [StatusAmbiguous + 1]uint64 // given to callers, by status
+	Calls             [LockList + 1]uint64        // calls received from callers, by operation
+	Results           [StatusAmbiguous + 1]uint64 // results returned to callers, by status
 	Forwarded         uint64                      // attempts sent to another node
-	LateRequests      uint64                      // forwarded calls of other nodes that came after their deadline
+	LateRequests      uint64                      // forwarded calls that arrived from other nodes after their deadline
 	LeadershipsGained uint64
 	LeadershipsLost   uint64
 }
 
-// ServiceStatus is what a service holds now.
+// ServiceStatus describes the current load of a service.
 type ServiceStatus struct {
 	Counters      Counters
-	Pending       int           // calls that were taken here and have not ended
+	Pending       int           // calls that this node received and that have not ended
 	Watchers      int           // callers of this node that wait in shared watches
-	ParkedWatches int           // watches of all nodes that wait here, at the leader of their group
-	Groups        []GroupStatus // those whose state this node has
+	ParkedWatches int           // watches from all nodes that wait here, at the leader of their group
+	Groups        []GroupStatus // the groups whose state this node has
 }
 
-// GroupStatus is a group at a node that has its state.
+// GroupStatus describes a group at a node that has its state.
 type GroupStatus struct {
 	ID           groups.ID
 	IsLeader     bool
@@ -32,7 +32,7 @@
 	HistoryBytes int
 }
 
-// Status is what the service holds, and its counters.
+// Status returns the current load of the service and its counters.
 func (s *Service) Status() ServiceStatus {
 	status := ServiceStatus{
 		Counters:      s.counters,
--- a/internal/gateway/coordination/watch_parked.go
+++ b/internal/gateway/coordination/watch_parked.go
@@ -8,7 +8,7 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// parkedWatch is a watch of any node that waits for a put, at the leader of its group.
+// parkedWatch is a watch from any node that waits for a put, at the leader of its group.
 type parkedWatch struct {
 	sequence      uint32
 	group         groups.ID
@@ -18,8 +18,8 @@
 	reply         replyFunc
 }
 
-// serveWatch answers a watch as soon as there are events, or its timeout has passed. Events need no majority: they are committed. That
-// there are none does, and so does the current revision.
+// serveWatch answers a watch as soon as there are events or the watch's timeout has passed. Events are committed, so returning them
+// requires no confirmation by a majority. An answer without events requires one, and so does the current revision.
 func (s *Service) serveWatch(group groups.ID, c *Call, reply replyFunc) {
 	state := s.hosted[group].state
 	if c.AfterRevision == 0 {
@@ -44,13 +44,13 @@
 		s.expireWatch(w)
 		return
 	}
-	s.park(w)
+	s.parkWatch(w)
 }
 
-// endsWatch reports whether a watch need not wait any longer.
+// endsWatch reports whether a watch with this result ends, because the result has events or an error.
 func (r *Result) endsWatch() bool { return r.Status != StatusOK || len(r.Events) > 0 }
 
-func (s *Service) park(w *parkedWatch) {
+func (s *Service) parkWatch(w *parkedWatch) {
 	s.parkedWatches[w.sequence] = w
 	if s.parkedByKeyGroup[w.keyGroup] == nil {
 		s.parkedByKeyGroup[w.keyGroup] = map[uint32]*parkedWatch{}
@@ -59,7 +59,7 @@
 	s.env.ScheduleAt(w.deadline, w.sequence)
 }
 
-func (s *Service) unpark(w *parkedWatch) {
+func (s *Service) unparkWatch(w *parkedWatch) {
 	delete(s.parkedWatches, w.sequence)
 	delete(s.parkedByKeyGroup[w.keyGroup], w.sequence)
 	if len(s.parkedByKeyGroup[w.keyGroup]) == 0 {
@@ -67,8 +67,8 @@
 	}
 }
 
-// parkedIn are the parked watches of a group, by sequence number.
-func (s *Service) parkedIn(id groups.ID) (list []*parkedWatch) {
+// parkedWatchesIn returns the parked watches of a group in order of sequence number.
+func (s *Service) parkedWatchesIn(id groups.ID) (list []*parkedWatch) {
 	for _, sequence := range sortedKeys(s.parkedWatches) {
 		if w := s.parkedWatches[sequence]; w.group == id {
 			list = append(list, w)
@@ -81,11 +81,11 @@
 	if s.host.Now() < w.deadline {
 		return
 	}
-	s.unpark(w)
+	s.unparkWatch(w)
 	s.expireWatch(w)
 }
 
-// expireWatch answers a watch whose timeout has passed, after a majority has confirmed that there are no events that it lacks.
+// expireWatch answers a watch whose timeout has passed, after a majority has confirmed that the watch has missed no events.
 func (s *Service) expireWatch(w *parkedWatch) {
 	s.readLinearizable(w.group, s.config.TestingKnobs.WatchWithoutQuorum, w.reply, func() Result {
 		return s.hosted[w.group].state.eventsAfter(w.keyGroup, w.afterRevision)
@@ -101,7 +101,7 @@
 		for _, sequence := range sortedKeys(s.parkedByKeyGroup[keyGroup]) {
 			w := s.parkedWatches[sequence]
 			if result := s.hosted[w.group].state.eventsAfter(keyGroup, w.afterRevision); result.endsWatch() {
-				s.unpark(w)
+				s.unparkWatch(w)
 				w.reply(AttemptDone, result)
 			}
 		}
@@ -109,5 +109,5 @@
 	s.changedKeyGroups = nil
 }
 
-// sortedKeys gives a map's keys in order, so that the same input leads to the same output in the same order.
+// sortedKeys returns a map's keys in ascending order, so that the same input produces the same output in the same order.
 func sortedKeys[V any](m map[uint32]V) []uint32 { return slices.Sorted(maps.Keys(m)) }
--- a/internal/gateway/coordination/watch_shared.go
+++ b/internal/gateway/coordination/watch_shared.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// watchKey is what watches that can share an answer have in common.
+// watchKey identifies the watches that can share one answer.
 type watchKey struct {
 	keyGroup      string
 	afterRevision uint64
 }
 
-// sharedWatch is the callers of this node that wait for the same events. One call to the leader stands for all of them, however many they
-// are; it is renewed each watchPollTimeout.
+// sharedWatch holds the callers of this node that wait for the same events. One call to the leader serves all of them, however many they
+// are. It is repeated every watchPollTimeout.
 type sharedWatch struct {
 	key      watchKey
 	watchers []watcher
@@ -17,12 +17,13 @@
 
 // watcher is one waiting caller.
 type watcher struct {
-	deadline  time.Duration
-	inRequest bool // the present call to the leader began after this caller came
-	done      func(Result)
+	deadline      time.Duration
+	coveredByPoll bool // the current call to the leader started after this caller began to wait
+	done          func(Result)
 }
 
-// startWatch takes a caller's watch. One that waits long enough joins those that wait for the same; another one is a call of its own.
+// startWatch handles a caller's watch. A watch with a timeout of at least twice watchPollTimeout joins the shared watch for the same
+// events. A shorter watch is forwarded as its own call.
 func (s *Service) startWatch(c *Call, done func(Result)) {
 	if c.AfterRevision == 0 {
 		c.Timeout = 0
@@ -44,30 +45,31 @@
 	}
 	w := &sharedWatch{key: key, watchers: []watcher{newWatcher}}
 	s.sharedWatches[key] = w
-	s.pollShared(w)
+	s.pollSharedWatch(w)
 }
 
-// pollShared asks the leader on behalf of all watchers, until the first of their deadlines.
-func (s *Service) pollShared(w *sharedWatch) {
+// pollSharedWatch sends a watch to the leader on behalf of all watchers. The watch ends at the first of their deadlines, or after
+// watchPollTimeout if that is earlier.
+func (s *Service) pollSharedWatch(w *sharedWatch) {
 	timeout := watchPollTimeout
 	for i := range w.watchers {
-		w.watchers[i].inRequest = true
+		w.watchers[i].coveredByPoll = true
 		timeout = min(timeout, max(w.watchers[i].deadline-s.host.Now(), 0))
 	}
 	c := Call{Operation: KeyWatch, Name: w.key.keyGroup, AfterRevision: w.key.afterRevision, Timeout: timeout}
-	s.startCall(&c, callTimeout+timeout, func(result Result) { s.sharedPollEnded(w, result) })
+	s.startCall(&c, callTimeout+timeout, func(result Result) { s.handleSharedPollResult(w, result) })
 }
 
-// sharedPollEnded hands out a result. One without events ends only the watches whose deadline has passed and that were there when the call
-// began: for the others the leader's answer may be older than they are.
-func (s *Service) sharedPollEnded(w *sharedWatch, result Result) {
+// handleSharedPollResult passes a result to the watchers. A result without events ends only the watches whose deadline has passed and that
+// were waiting when the call began. For the others the leader's answer may be older than their watch.
+func (s *Service) handleSharedPollResult(w *sharedWatch, result Result) {
 	now := s.host.Now()
 	var ended, waiting []watcher
-	for _, x := range w.watchers {
-		if result.endsWatch() || x.deadline <= now && x.inRequest {
-			ended = append(ended, x)
+	for _, caller := range w.watchers {
+		if result.endsWatch() || caller.deadline <= now && caller.coveredByPoll {
+			ended = append(ended, caller)
 		} else {
-			waiting = append(waiting, x)
+			waiting = append(waiting, caller)
 		}
 	}
 	s.watcherCount -= len(ended)
@@ -75,9 +77,9 @@
 	if len(waiting) == 0 {
 		delete(s.sharedWatches, w.key)
 	} else {
-		s.pollShared(w)
+		s.pollSharedWatch(w)
 	}
-	for _, x := range ended {
-		x.done(result)
+	for _, caller := range ended {
+		caller.done(result)
 	}
 }
--- a/internal/gateway/coordination/wire.go
+++ b/internal/gateway/coordination/wire.go
@@ -6,13 +6,13 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// The kinds of messages: the first value of each.
+// The kinds of messages. Each encoded message starts with its kind.
 const (
 	requestKind  = 1
 	responseKind = 2
 )
 
-// Encode writes a message for a link between nodes. The form is compact, since traffic between zones is paid for.
+// Encode encodes a message for a link between nodes. The format is compact, because traffic between zones costs money.
 func (m *Message) Encode() []byte {
 	var enc encoder
 	if m.Request != nil {
@@ -25,7 +25,7 @@
 	return enc.bytes
 }
 
-// DecodeMessage reads what Encode wrote. Errors are ErrTruncated and ErrUnknownVersion.
+// DecodeMessage decodes a message that Encode encoded. It returns ErrTruncated or ErrUnknownVersion for invalid data.
 func DecodeMessage(b []byte) (*Message, error) {
 	dec := decoder{bytes: b}
 	var m Message
@@ -35,10 +35,10 @@
 	case responseKind:
 		m.Response = decodeForwardResponse(&dec)
 	default:
-		return nil, errors.Wrapf(ErrUnknownVersion, "message of kind %d", kind)
+		return nil, errors.Wrapf(ErrUnknownVersion, "decode message: kind %d", kind)
 	}
 	if dec.err != nil {
-		return nil, errors.Wrap(dec.err, "message")
+		return nil, errors.Wrap(dec.err, "decode message")
 	}
 	return &m, nil
 }
@@ -87,7 +87,7 @@
 	return f
 }
 
-// encode writes the fields of the call's operation. Log entries hold calls in this form too.
+// encode appends the fields that the call's operation uses. Log entries store calls in the same format.
 func (c *Call) encode(enc *encoder) {
 	enc.uint(uint64(c.Operation))
 	enc.string(c.Name)
@@ -166,7 +166,7 @@
 	r.Revision = dec.uint()
 	r.Value = dec.string()
 	if dec.err == nil && r.Status > StatusAmbiguous {
-		dec.err = errors.Wrapf(ErrUnknownVersion, "result with status %d", r.Status)
+		dec.err = errors.Wrapf(ErrUnknownVersion, "result status %d", r.Status)
 	}
 	for range dec.count() {
 		r.Events = append(r.Events, decodeEvent(dec))
