--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -73,10 +73,10 @@
 	trace       []string
 }
 
-func (e *explorer) Propose(_ groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
-	then(groups.Applied, e.state.Apply(1, entry))
+func (e *explorer) Propose(_ groups.ID, entry []byte, done func(groups.Outcome, []byte)) {
+	done(groups.Applied, e.state.Apply(1, entry))
 }
-func (e *explorer) ReadIndex(_ groups.ID, then func(bool))             { then(true) }
+func (e *explorer) ReadIndex(_ groups.ID, done func(bool))             { done(true) }
 func (e *explorer) Leadership(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
 func (e *explorer) Leader(groups.ID) (string, bool)                    { return "", false }
 func (e *explorer) LeaderCandidates(groups.ID) []string                { return nil }
--- a/internal/gateway/coordination/leader.go
+++ b/internal/gateway/coordination/leader.go
@@ -89,7 +89,7 @@
 // replyFunc reports the outcome of one attempt of a call.
 type replyFunc func(AttemptOutcome, Result)
 
-// serveAsLeader serves a call if this node leads the call's group, and rejects it otherwise.
+// serveAsLeader serves a call if this node leads the call's group, and replies with AttemptRejected otherwise.
 func (s *Service) serveAsLeader(c *Call, id CallID, reply replyFunc) {
 	group := c.GroupID()
 	if int(group) >= len(s.hosted) || !s.isLeader(group) {
--- a/internal/gateway/coordination/limits.go
+++ b/internal/gateway/coordination/limits.go
@@ -48,8 +48,8 @@
 	// maxInputDelay is the longest time that a call may have waited unread in a socket. After a longer delay the caller may have abandoned
 	// the call and continued.
 	maxInputDelay = 200 * time.Millisecond
-	// watchPollTimeout is how long a shared watch waits at the leader before it is sent again. It is also the longest time for which the
-	// loss of a leadership can go unnoticed by a watch.
+	// watchPollTimeout is how long a shared watch waits at the leader before the node sends it again. A leadership that was lost unnoticed
+	// is detected after this time.
 	watchPollTimeout = 600 * time.Millisecond
 )
 
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -23,7 +23,7 @@
 	retiredAt time.Duration // log time
 }
 
-// isFree reports whether a lock can be granted. l is nil for a lock without state.
+// isFree reports whether no caller can hold a lock at the current log time. l is nil for a lock without state.
 func (s *State) isFree(l *lockState) bool { return l == nil || s.logTime >= l.expiresAt }
 
 // acquire grants a lock if it is free, or extends the lease if the caller already holds the lock.
@@ -54,7 +54,8 @@
 	return Result{FencingToken: s.lastFencingToken}
 }
 
-// reacquire extends the lease of a held lock if the caller is its holder. The holder keeps its fencing token.
+// reacquire extends the lease of a held lock if the call comes from its holder, and returns StatusLockHeld otherwise. The holder keeps its
+// fencing token.
 func (s *State) reacquire(l *lockState, e *entry) Result {
 	if l.holder != e.call.Holder {
 		return Result{Status: StatusLockHeld}
--- a/internal/gateway/coordination/service.go
+++ b/internal/gateway/coordination/service.go
@@ -43,7 +43,7 @@
 	sharedWatches    map[watchKey]*sharedWatch
 	watcherCount     int                    // callers in all shared watches
 	remoteClocks     map[string]remoteClock // by address
-	// changedKeyGroups are the key groups with parked watches that were put since the last call of NotifyWatchers.
+	// changedKeyGroups lists the key groups with parked watches that were put since the last call of NotifyWatchers.
 	changedKeyGroups []string
 	counters         Counters
 }
@@ -108,7 +108,8 @@
 	}
 }
 
-// nextSequence returns the sequence number of a new call or parked watch. No call lives long enough for its 32-bit number to be reused.
+// nextSequence returns the sequence number of a new call or parked watch. Neither lives long enough for its 32-bit number to be assigned
+// again.
 func (s *Service) nextSequence() uint32 {
 	s.lastSequence++
 	return s.lastSequence
