--- a/internal/gateway/coordination/golden_test.go
+++ b/internal/gateway/coordination/golden_test.go
@@ -98,6 +98,7 @@
 		StatusUnavailable, StatusAmbiguous}
 }
 
+// Messages are decoded and encoded as recorded, so that nodes of the recorded version and of this one understand each other.
 func TestMessagesMatchRecordedBytes(t *testing.T) {
 	recordedMessages, want := readRecorded(t, "messages"), goldenMessages()
 	must.MapLen(t, len(want), recordedMessages)
@@ -170,6 +171,7 @@
 	must.Eq(t, readRecorded(t, "snapshot")["log"], s.Snapshot())
 }
 
+// A result with all fields that an entry can set is decoded and encoded as recorded.
 func TestResultMatchesRecordedBytes(t *testing.T) {
 	recordedBytes := readRecorded(t, "snapshot")["result"]
 	result, err := decodeResult(recordedBytes)
@@ -205,6 +207,7 @@
 	return s
 }
 
+// A snapshot with all contents is restored and encoded as recorded, so that this version can restore stored snapshots.
 func TestSnapshotMatchesRecordedBytes(t *testing.T) {
 	recordedBytes, want, got := readRecorded(t, "snapshot")["state"], goldenState(), NewState(4*time.Second)
 	must.NoError(t, got.Restore(recordedBytes))
--- a/internal/gateway/coordination/state_test.go
+++ b/internal/gateway/coordination/state_test.go
@@ -13,9 +13,7 @@
 // drawEntry returns a random entry that uses a few names and whose log time is 0 to 3 s after the previous entry's.
 func drawEntry(t *rapid.T, logTime *time.Duration, sequence uint32) []byte {
 	*logTime += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
-	drawName := func(prefix string, maxSuffix int) string {
-		return fmt.Sprint(prefix, rapid.IntRange(0, maxSuffix).Draw(t, prefix))
-	}
+	drawName := func(name string, limit int) string { return fmt.Sprint(name, rapid.IntRange(0, limit).Draw(t, name)) }
 	e := entry{logTime: *logTime, callID: CallID{Incarnation: 5, Sequence: sequence - uint32(rapid.IntRange(0, 1).Draw(t, "copy"))}}
 	e.call = Call{Operation: Operation(rapid.IntRange(int(LockAcquire), int(KeyPut)).Draw(t, "operation")), Name: drawName("n", 2),
 		Holder: drawName("h", 2), FencingToken: uint64(rapid.IntRange(0, 4).Draw(t, "fencing token")), Value: drawName("v", 30),
