--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -25,7 +25,7 @@
 	return s
 }
 
-// Now, After and Call implement callers.World.
+// Now, After and Call implement callers.Environment.
 func (s *simulation) Now() time.Duration                  { return s.now }
 func (s *simulation) After(wait time.Duration, do func()) { s.schedule(wait, do) }
 
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -10,7 +10,7 @@
 )
 
 // World is the clock and the system that callers use.
-type World interface {
+type Environment interface {
 	Now() time.Duration
 	After(wait time.Duration, action func())
 	// Call sends a call to some node. done is called once: with a record that has ended, or with one that the caller has given up.
@@ -48,7 +48,7 @@
 
 // Callers are some callers of each kind.
 type Callers struct {
-	world      World
+	env        Environment
 	rng        *rand.Rand
 	config     Config
 	lastValue  int // of a put: each one has its own value
@@ -57,8 +57,8 @@
 }
 
 // Start makes callers and has them begin.
-func Start(w World, rng *rand.Rand, config Config) *Callers {
-	c := &Callers{world: w, rng: rng, config: config}
+func Start(env Environment, rng *rand.Rand, config Config) *Callers {
+	c := &Callers{env: env, rng: rng, config: config}
 	for i := range config.Lockers {
 		(&locker{callers: c, name: fmt.Sprintf("a%d", i)}).acquire()
 	}
@@ -94,7 +94,7 @@
 }
 
 func (c *Callers) auditCall(call coordination.Call) {
-	c.world.Call("audit", call, func(r *callhistory.Record) {
+	c.env.Call("audit", call, func(r *callhistory.Record) {
 		if !r.IsDefinite() || r.Result.Status != coordination.StatusOK && r.Result.Status != coordination.StatusNotFound {
 			c.unanswered = append(c.unanswered, fmt.Sprintf("the audit got no answer: %v", r))
 		}
@@ -118,7 +118,7 @@
 	if c.stopping {
 		return
 	}
-	c.world.Call(caller, coordination.Call{Operation: coordination.NumberNext, Name: name}, func(*callhistory.Record) {
-		c.world.After(c.randomDuration(0, 100*time.Millisecond), func() { c.requestNumbers(caller, name) })
+	c.env.Call(caller, coordination.Call{Operation: coordination.NumberNext, Name: name}, func(*callhistory.Record) {
+		c.env.After(c.randomDuration(0, 100*time.Millisecond), func() { c.requestNumbers(caller, name) })
 	})
 }
--- a/internal/lab/callers/keys.go
+++ b/internal/lab/callers/keys.go
@@ -21,9 +21,9 @@
 	}
 	group := c.rng.IntN(keyGroupCount)
 	key := keyName(group, c.rng.IntN(keysPerGroup))
-	c.world.Call(e.name, coordination.Call{Operation: coordination.KeyRead, Name: key}, func(r *callhistory.Record) {
+	c.env.Call(e.name, coordination.Call{Operation: coordination.KeyRead, Name: key}, func(r *callhistory.Record) {
 		if shouldRetry(r) || c.rng.IntN(4) == 0 {
-			c.world.After(c.randomDuration(0, 100*time.Millisecond), e.readAndPut)
+			c.env.After(c.randomDuration(0, 100*time.Millisecond), e.readAndPut)
 			return
 		}
 		conditional := c.rng.IntN(3) > 0
@@ -37,12 +37,12 @@
 // put puts a value, with so many retries.
 func (e *editor) put(call coordination.Call, retries int) {
 	c := e.callers
-	c.world.Call(e.name, call, func(r *callhistory.Record) {
+	c.env.Call(e.name, call, func(r *callhistory.Record) {
 		if shouldRetry(r) && retries > 0 {
-			c.world.After(c.randomDuration(0, 600*time.Millisecond), func() { e.put(call, retries-1) })
+			c.env.After(c.randomDuration(0, 600*time.Millisecond), func() { e.put(call, retries-1) })
 			return
 		}
-		c.world.After(c.randomDuration(0, 60*time.Millisecond), e.readAndPut)
+		c.env.After(c.randomDuration(0, 60*time.Millisecond), e.readAndPut)
 	})
 }
 
@@ -61,7 +61,7 @@
 	}
 	timeout := []time.Duration{0, 300 * time.Millisecond, 2 * time.Second}[c.rng.IntN(3)]
 	call := coordination.Call{Operation: coordination.KeyWatch, Name: w.keyGroup, AfterRevision: w.afterRevision, Timeout: timeout}
-	c.world.Call(w.name, call, func(r *callhistory.Record) {
+	c.env.Call(w.name, call, func(r *callhistory.Record) {
 		switch {
 		case r.Succeeded():
 			w.afterRevision = r.Result.Revision
@@ -72,6 +72,6 @@
 		if c.rng.IntN(15) == 0 {
 			pause = c.randomDuration(0, c.config.MaxWatcherPause)
 		}
-		c.world.After(pause, w.watch)
+		c.env.After(pause, w.watch)
 	})
 }
--- a/internal/lab/callers/locker.go
+++ b/internal/lab/callers/locker.go
@@ -30,11 +30,11 @@
 	if c.config.LongTTLs && c.rng.IntN(6) == 0 {
 		l.ttl *= 4
 	}
-	sent := c.world.Now()
+	sent := c.env.Now()
 	call := coordination.Call{Operation: coordination.LockAcquire, Name: l.lock, Holder: l.name, TTL: l.ttl}
-	c.world.Call(l.name, call, func(r *callhistory.Record) {
+	c.env.Call(l.name, call, func(r *callhistory.Record) {
 		if !r.Succeeded() {
-			c.world.After(c.randomDuration(10*time.Millisecond, 200*time.Millisecond), l.acquire)
+			c.env.After(c.randomDuration(10*time.Millisecond, 200*time.Millisecond), l.acquire)
 			return
 		}
 		l.fencingToken = r.Result.FencingToken
@@ -49,30 +49,30 @@
 	draw := c.rng.IntN(20)
 	switch {
 	case draw == 0: // crashes, and comes back by the same name
-		c.world.After(c.randomDuration(0, 3*time.Second), l.acquire)
+		c.env.After(c.randomDuration(0, 3*time.Second), l.acquire)
 	case draw == 1: // is stopped beyond its lease, and renews all the same
-		c.world.After(l.ttl+c.randomDuration(0, 500*time.Millisecond), func() { l.renew(0) })
+		c.env.After(l.ttl+c.randomDuration(0, 500*time.Millisecond), func() { l.renew(0) })
 	case renewals == 0 || c.stopping:
-		c.world.After(c.randomDuration(0, 100*time.Millisecond), func() { l.release(c.rng.IntN(3)) })
+		c.env.After(c.randomDuration(0, 100*time.Millisecond), func() { l.release(c.rng.IntN(3)) })
 	default:
-		c.world.After(l.ttl/3, func() { l.renew(renewals - 1) })
+		c.env.After(l.ttl/3, func() { l.renew(renewals - 1) })
 	}
 }
 
 // renew extends the lease, sometimes with a shorter one, and goes on holding the lock for so many further renewals.
 func (l *locker) renew(renewals int) {
 	c := l.callers
-	sent, ttl := c.world.Now(), l.ttl
+	sent, ttl := c.env.Now(), l.ttl
 	if c.rng.IntN(5) == 0 {
 		ttl /= 4
 	}
 	call := coordination.Call{Operation: coordination.LockRenew, Name: l.lock, Holder: l.name, FencingToken: l.fencingToken, TTL: ttl}
-	c.world.Call(l.name, call, func(r *callhistory.Record) {
+	c.env.Call(l.name, call, func(r *callhistory.Record) {
 		switch {
 		case r.Succeeded() && r.Ended <= l.expiresAt:
 			l.expiresAt = max(l.expiresAt, sent+ttl)
 			l.keepLock(renewals)
-		case shouldRetry(r) && c.world.Now() < l.expiresAt:
+		case shouldRetry(r) && c.env.Now() < l.expiresAt:
 			l.renew(renewals)
 		default:
 			l.acquire()
@@ -84,7 +84,7 @@
 func (l *locker) release(retries int) {
 	c := l.callers
 	call := coordination.Call{Operation: coordination.LockRelease, Name: l.lock, Holder: l.name, FencingToken: l.fencingToken}
-	c.world.Call(l.name, call, func(r *callhistory.Record) {
+	c.env.Call(l.name, call, func(r *callhistory.Record) {
 		if shouldRetry(r) && retries > 0 {
 			l.release(retries - 1)
 			return
--- a/internal/lab/callhistory/check.go
+++ b/internal/lab/callhistory/check.go
@@ -75,18 +75,18 @@
 func (c *checker) checkNumbers() {
 	byName := c.recordsByName[coordination.NumberNext]
 	for _, name := range sortedNames(byName) {
-		c.checkRising("number of "+name, succeeded(byName[name]), func(r *Record) uint64 { return r.Result.Number })
+		c.checkIncreasing("number of "+name, succeeded(byName[name]), func(r *Record) uint64 { return r.Result.Number })
 	}
 }
 
-// checkRising checks that the values that calls were given differ, and that each is above all that were given before the call was sent.
-func (c *checker) checkRising(what string, records []*Record, value func(*Record) uint64) {
-	first := map[uint64]*Record{}
+// checkIncreasing checks that the values that calls were given differ, and that each is above all that were given before the call was sent.
+func (c *checker) checkIncreasing(subject string, records []*Record, value func(*Record) uint64) {
+	firstByValue := map[uint64]*Record{}
 	for _, r := range records {
-		if x := first[value(r)]; x != nil {
-			c.report(RuleOrder, "%s: %d was given twice: %v and %v", what, value(r), x, r)
+		if previous := firstByValue[value(r)]; previous != nil {
+			c.report(RuleOrder, "%s: %d was given twice: %v and %v", subject, value(r), previous, r)
 		}
-		first[value(r)] = r
+		firstByValue[value(r)] = r
 	}
 	byEnd := slices.Clone(records)
 	slices.SortFunc(byEnd, func(a, b *Record) int { return int(min(max(a.Ended-b.Ended, -1), 1)) })
@@ -100,7 +100,7 @@
 			}
 		}
 		if highest != nil && value(r) <= value(highest) {
-			c.report(RuleOrder, "%s: %v is not above what was given before it was sent: %v", what, r, highest)
+			c.report(RuleOrder, "%s: %v is not above what was given before it was sent: %v", subject, r, highest)
 		}
 	}
 }
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -60,9 +60,9 @@
 }
 
 // Each rule is found broken where it is; a history without faults breaks none.
-func TestRules(t *testing.T) {
+func TestCheckReportsEachRule(t *testing.T) {
 	conflict := coordination.Result{Status: coordination.StatusConflict, Revision: 1}
-	for name, x := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		rule  Rule
 		write func(b *historyBuilder)
 	}{
@@ -134,22 +134,22 @@
 		}},
 	} {
 		b := &historyBuilder{}
-		x.write(b)
+		testCase.write(b)
 		rules := map[Rule]bool{}
 		for _, v := range Check(b.records, Config{HistoryRetention: time.Second}) {
 			rules[v.Rule] = true
 		}
-		if x.rule == "" {
+		if testCase.rule == "" {
 			must.MapEmpty(t, rules, must.Sprint(name))
 		} else {
-			must.MapContainsKey(t, rules, x.rule, must.Sprint(name))
+			must.MapContainsKey(t, rules, testCase.rule, must.Sprint(name))
 		}
 	}
 }
 
 // A history of a faultless system, whatever order its calls overlap in, breaks no rule and is linearizable; with one answer changed, it is
 // not linearizable.
-func TestLinearizable(t *testing.T) {
+func TestLinearizableRejectsStaleRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, last, value := &historyBuilder{}, uint64(0), ""
 		for i := range rapid.IntRange(2, 20).Draw(t, "calls") {
--- a/internal/lab/callhistory/keys.go
+++ b/internal/lab/callhistory/keys.go
@@ -20,7 +20,7 @@
 		}
 	}
 	c.checkSingleRevision()
-	c.checkRevisionsRise()
+	c.checkRevisionsIncrease()
 	byKey := c.putsByKey()
 	for _, key := range sortedNames(byKey) {
 		c.checkConditions(byKey[key])
@@ -41,9 +41,9 @@
 	}
 }
 
-// checkRevisionsRise checks the revisions of each key group. A put counts as sent when its first call was, since a repeated put gets the
+// checkRevisionsIncrease checks the revisions of each key group. A put counts as sent when its first call was, since a repeated put gets the
 // revision of the first one.
-func (c *checker) checkRevisionsRise() {
+func (c *checker) checkRevisionsIncrease() {
 	byGroup := map[string][]*Record{}
 	for _, id := range sortedNames(c.puts) {
 		p := c.puts[id]
@@ -56,7 +56,7 @@
 		byGroup[group] = append(byGroup[group], &record)
 	}
 	for _, group := range sortedNames(byGroup) {
-		c.checkRising("revision in "+group, byGroup[group], func(r *Record) uint64 { return r.Result.Revision })
+		c.checkIncreasing("revision in "+group, byGroup[group], func(r *Record) uint64 { return r.Result.Revision })
 	}
 }
 
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -8,8 +8,8 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// tenure is a span in which a caller takes itself for a lock's holder.
-type tenure struct {
+// holdInterval is a span in which a caller takes itself for a lock's holder.
+type holdInterval struct {
 	holder     string
 	start, end time.Duration
 }
@@ -26,7 +26,7 @@
 		records := byName[name]
 		slices.SortStableFunc(records, func(a, b *Record) int { return cmp.Compare(a.Sent, b.Sent) })
 		c.checkFencingTokens(name, records)
-		c.checkOverlaps(name, tenures(records))
+		c.checkOverlaps(name, holdIntervals(records))
 	}
 }
 
@@ -51,10 +51,10 @@
 	}
 }
 
-// tenures are the spans in which each holder takes itself for one: from a successful answer until the lease, counted from the sending of the
+// holdIntervals are the spans in which each holder takes itself for one: from a successful answer until the lease, counted from the sending of the
 // last successful call, expires, or until it sends a release.
-func tenures(records []*Record) (ended []tenure) {
-	open := map[string]*tenure{}
+func holdIntervals(records []*Record) (ended []holdInterval) {
+	open := map[string]*holdInterval{}
 	for _, r := range records {
 		holder := r.Call.Holder
 		current := open[holder]
@@ -76,7 +76,7 @@
 			if current != nil {
 				ended = append(ended, *current)
 			}
-			open[holder] = &tenure{holder: holder, start: r.Ended, end: r.Sent + r.Call.TTL}
+			open[holder] = &holdInterval{holder: holder, start: r.Ended, end: r.Sent + r.Call.TTL}
 		case coordination.LockRenew:
 			current.renew(r)
 		}
@@ -88,7 +88,7 @@
 }
 
 // renew takes a renewal's answer. It may be called without a tenure.
-func (t *tenure) renew(r *Record) {
+func (t *holdInterval) renew(r *Record) {
 	switch {
 	case t == nil || !r.IsDefinite():
 	case r.Result.Status == coordination.StatusLockLost:
@@ -99,10 +99,10 @@
 }
 
 // checkOverlaps checks that no two holders take themselves for one at the same moment.
-func (c *checker) checkOverlaps(name string, spans []tenure) {
-	slices.SortFunc(spans, func(a, b tenure) int { return cmp.Compare(a.start, b.start) })
-	for i, a := range spans {
-		for _, b := range spans[i+1:] {
+func (c *checker) checkOverlaps(name string, intervals []holdInterval) {
+	slices.SortFunc(intervals, func(a, b holdInterval) int { return cmp.Compare(a.start, b.start) })
+	for i, a := range intervals {
+		for _, b := range intervals[i+1:] {
 			if a.holder != b.holder && b.start < a.end && a.start < b.end {
 				c.report(RuleOne, "%s: %s holds it from %v to %v, %s from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start, b.end)
 			}
--- a/internal/lab/callhistory/puts.go
+++ b/internal/lab/callhistory/puts.go
@@ -33,13 +33,13 @@
 	byKey := c.recordsByName[coordination.KeyPut]
 	for _, key := range sortedNames(byKey) {
 		for _, r := range byKey[key] {
-			c.putOf(r).add(r)
+			c.ensurePut(r).add(r)
 		}
 	}
 }
 
-// putOf is the put that a call is of.
-func (c *checker) putOf(r *Record) *put {
+// ensurePut is the put that a call is of.
+func (c *checker) ensurePut(r *Record) *put {
 	id := putKey(r.Call.Name, r.Call.Value)
 	if c.puts[id] == nil {
 		c.puts[id] = &put{key: r.Call.Name, value: r.Call.Value, firstSent: r, acknowledged: map[uint64]bool{}, observed: map[uint64]bool{},
@@ -92,17 +92,17 @@
 }
 
 // recordObserved records that a call showed a value with a revision, and checks that it may: MIXED and REFUSED.
-func (c *checker) recordObserved(by *Record, key, value string, revision uint64) {
+func (c *checker) recordObserved(observer *Record, key, value string, revision uint64) {
 	p := c.puts[putKey(key, value)]
 	if p == nil {
-		c.report(RuleMixed, "%v shows %q of %s, which nobody put", by, value, key)
+		c.report(RuleMixed, "%v shows %q of %s, which nobody put", observer, value, key)
 		return
 	}
-	if p.firstSent.Sent > by.Ended {
-		c.report(RuleMixed, "%v shows %q of %s before it was put", by, value, key)
+	if p.firstSent.Sent > observer.Ended {
+		c.report(RuleMixed, "%v shows %q of %s before it was put", observer, value, key)
 	}
 	if p.firstSuccess == nil && !p.ambiguous {
-		c.report(RuleRefused, "%v shows %q of %s, a put that was rejected: %v", by, value, key, p.rejections[0])
+		c.report(RuleRefused, "%v shows %q of %s, a put that was rejected: %v", observer, value, key, p.rejections[0])
 	}
 	p.observed[revision] = true
 }
--- a/internal/lab/callhistory/watches.go
+++ b/internal/lab/callhistory/watches.go
@@ -11,7 +11,7 @@
 	for _, group := range sortedNames(byGroup) {
 		for _, r := range byGroup[group] {
 			if r.Succeeded() {
-				c.checkWatchSpan(group, r)
+				c.checkWatchResult(group, r)
 			}
 			if r.IsDefinite() && r.Result.Status == coordination.StatusCompacted {
 				c.checkCompacted(r, byGroup[group])
@@ -20,9 +20,9 @@
 	}
 }
 
-// checkWatchSpan checks that a watch's events rise, lie between the revision that it began after and the one that it ended with, and are all
+// checkWatchResult checks that a watch's events rise, lie between the revision that it began after and the one that it ended with, and are all
 // that were put there.
-func (c *checker) checkWatchSpan(group string, r *Record) {
+func (c *checker) checkWatchResult(group string, r *Record) {
 	after, end := r.Call.AfterRevision, r.Result.Revision
 	if end < after {
 		c.report(RuleOrder, "%v shows a revision under the one that it began after", r)
--- a/internal/lab/simulation/applications.go
+++ b/internal/lab/simulation/applications.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// Now and the others are callers.World.
+// Now and the others are callers.Environment.
 func (a *applications) Now() time.Duration                  { return a.world.now }
 func (a *applications) After(wait time.Duration, do func()) { a.world.after(wait, do) }
 
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -81,14 +81,14 @@
 	}
 	ambiguous := false
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
-		answer, err := c.attempt(ctx, r, body)
-		if err == nil && answer.isDefinite() {
-			if err = answer.error(); err != nil || into == nil {
+		resp, err := c.attempt(ctx, r, body)
+		if err == nil && resp.isDefinite() {
+			if err = resp.error(); err != nil || into == nil {
 				return err
 			}
-			return answer.decode(into)
+			return resp.decode(into)
 		}
-		ambiguous = ambiguous || err != nil || !answer.hadNoEffect()
+		ambiguous = ambiguous || err != nil || !resp.hadNoEffect()
 		if !sleep(ctx, backoff) {
 			if ambiguous && r.method != http.MethodGet {
 				return ErrUnclear
@@ -112,15 +112,15 @@
 
 // attempt sends a request to one node. If it gets no definite response, the next attempt of all callers goes to the next node.
 func (c *Client) attempt(ctx context.Context, r request, body []byte) (result response, err error) {
-	number := c.nextNode.Load()
+	nodeIndex := c.nextNode.Load()
 	defer func() {
 		if err != nil || !result.isDefinite() {
-			c.nextNode.CompareAndSwap(number, number+1)
+			c.nextNode.CompareAndSwap(nodeIndex, nodeIndex+1)
 		}
 	}()
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+r.wait)
 	defer cancel()
-	node := c.nodes[int(number)%len(c.nodes)]
+	node := c.nodes[int(nodeIndex)%len(c.nodes)]
 	httpRequest, err := http.NewRequestWithContext(ctx, r.method, "http://"+node+r.path, bytes.NewReader(body))
 	if err != nil {
 		return result, err
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -31,11 +31,11 @@
 	io.WriteString(w, text)
 }
 
-func (f *fakeNode) count(part string) (found int) {
+func (f *fakeNode) count(substring string) (found int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.requests {
-		if strings.Contains(r, part) {
+		if strings.Contains(r, substring) {
 			found++
 		}
 	}
@@ -61,7 +61,7 @@
 }
 
 // Each status code is the error that stands for the gateway's promise.
-func TestErrors(t *testing.T) {
+func TestErrorForStatus(t *testing.T) {
 	for status, want := range map[int]error{404: ErrNotFound, 410: ErrCompacted, 409: ErrHeld, 400: ErrInvalid} {
 		_, c := newFakeNode(t, func(string, string) (int, string) { return status, "" })
 		_, err := c.Get(contextWithTimeout(t, time.Minute), "g.k")
@@ -75,10 +75,10 @@
 }
 
 // A call without a definite response is sent again, the same. When the context ends, only a call that surely had no effect is ErrUnavailable.
-func TestRetry(t *testing.T) {
-	tries := 0
+func TestRetryUntilDefiniteResponse(t *testing.T) {
+	attempts := 0
 	n, c := newFakeNode(t, func(string, string) (int, string) {
-		if tries++; tries < 3 {
+		if attempts++; attempts < 3 {
 			return 504, ""
 		}
 		return 200, `{"revision":9}`
@@ -90,25 +90,25 @@
 	for status, want := range map[int]error{503: ErrUnavailable, 429: ErrUnavailable, 504: ErrUnclear} {
 		_, c := newFakeNode(t, nil)
 		ctx, cancel := context.WithCancel(t.Context())
-		c.http.Transport = lastResponse{status, cancel}
+		c.http.Transport = cancelingTransport{status, cancel}
 		_, err := c.Next(ctx, "n")
 		must.ErrorIs(t, err, want)
 	}
 }
 
-// lastResponse gives a complete response, and cancels the caller's context with it.
-type lastResponse struct {
+// cancelingTransport gives a complete response, and cancels the caller's context with it.
+type cancelingTransport struct {
 	status int
 	cancel context.CancelFunc
 }
 
-func (l lastResponse) RoundTrip(*http.Request) (*http.Response, error) {
+func (l cancelingTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	l.cancel()
 	return &http.Response{StatusCode: l.status, Body: http.NoBody}, nil
 }
 
 // A session renews its lease. Once no node answers, or one says that the lock is lost, it ends by itself before the lease does.
-func TestSession(t *testing.T) {
+func TestSessionEndsBeforeLeaseExpires(t *testing.T) {
 	for name, status := range map[string]int{"nobody answers": 503, "lost": 409} {
 		renewals := 0
 		_, c := newFakeNode(t, func(path, _ string) (int, string) {
@@ -131,7 +131,7 @@
 }
 
 // A finished session renews no more, and its context has the cause.
-func TestFinish(t *testing.T) {
+func TestFinishStopsRenewals(t *testing.T) {
 	n, c := newFakeNode(t, func(path, _ string) (int, string) {
 		if strings.Contains(path, "Begin") {
 			return 200, `{"fence":5}`
@@ -147,7 +147,7 @@
 }
 
 // A lock that was granted so late that its lease has expired is not held.
-func TestLateLock(t *testing.T) {
+func TestLockFailsWhenLeaseHasExpired(t *testing.T) {
 	late := make(chan struct{})
 	_, c := newFakeNode(t, func(string, string) (int, string) {
 		<-late // longer than the lease
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -53,18 +53,18 @@
 
 // Lock acquires a lock if it is free, and fails with ErrHeld if not. hold is the lease; it counts from before the call is sent. The session
 // ends with ctx too; Finish ends it at once.
-func (c *Client) Lock(ctx context.Context, name, holder string, hold time.Duration) (*Session, error) {
-	expiresAt := time.Now().Add(hold)
+func (c *Client) Lock(ctx context.Context, name, holder string, ttl time.Duration) (*Session, error) {
+	expiresAt := time.Now().Add(ttl)
 	attempts, cancel := context.WithDeadline(ctx, expiresAt)
 	defer cancel()
 	var granted struct {
 		FencingToken uint64 `json:"fence"`
 	}
-	body := acquireBody{Holder: holder, TTL: formatMilliseconds(hold)}
+	body := acquireBody{Holder: holder, TTL: formatMilliseconds(ttl)}
 	if err := c.do(attempts, request{method: http.MethodPost, path: lockPath("Begin", name), body: body}, &granted); err != nil {
 		return nil, err
 	}
-	s := &Session{client: c, name: name, holder: holder, ttl: hold, fencingToken: granted.FencingToken}
+	s := &Session{client: c, name: name, holder: holder, ttl: ttl, fencingToken: granted.FencingToken}
 	s.ctx, s.cancel = context.WithCancelCause(ctx)
 	if !s.extend(expiresAt) {
 		s.cancel(ErrLost)
