--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -9,22 +9,27 @@
 	"clovergap/internal/lab/callhistory"
 )
 
-// World is the clock and the system that callers use.
+// Environment provides the clock that callers run on and the system that they call.
 type Environment interface {
+	// Now returns the current time of the clock.
 	Now() time.Duration
+	// After runs action once the time wait has passed.
 	After(wait time.Duration, action func())
-	// Call sends a call to some node. done is called once: with a record that has ended, or with one that the caller has given up.
+	// Call sends a call to some node. It calls done once, with the record of a call that has ended or that the caller has given up.
 	Call(caller string, c coordination.Call, done func(*callhistory.Record))
 }
 
-// Config says how callers behave.
+// Config configures the number and the behavior of the callers.
 type Config struct {
-	Lockers         int
-	MaxWatcherPause time.Duration // between two watches of a watcher that falls behind now and then
-	LongTTLs        bool          // some leases are up to ten seconds long
+	Lockers int
+	// MaxWatcherPause limits the pause between two calls of a watcher that occasionally falls behind.
+	MaxWatcherPause time.Duration
+	// LongTTLs makes some leases up to ten seconds long.
+	LongTTLs bool
 }
 
-// How many callers of each kind there are beside the lockers, and how many names they share.
+// The first three constants are the numbers of callers of each kind besides the lockers. The others are the numbers of names that the
+// callers share.
 const (
 	numberCallers = 3
 	editors       = 4
@@ -43,20 +48,21 @@
 	return fmt.Sprintf("%s%d", keyGroupName(group), key)
 }
 
-// Names are a lock's, a counter's and key groups' of those that callers use, by which a test finds their replicated groups.
+// Names returns the names of some locks, counters and key groups that the callers use. A test uses them to find the replicated groups that
+// store these objects.
 func Names() []string { return []string{"l0", "l1", "n0", "g0.", "g1."} }
 
-// Callers are some callers of each kind.
+// Callers is a set of simulated callers of all kinds.
 type Callers struct {
 	env        Environment
 	rng        *rand.Rand
 	config     Config
-	lastValue  int // of a put: each one has its own value
+	lastValue  int // the number in the value of the last put, which makes each value unique
 	stopping   bool
-	unanswered []string
+	unanswered []string // descriptions of the audit calls that got no answer
 }
 
-// Start makes callers and has them begin.
+// Start creates the callers and starts them.
 func Start(env Environment, rng *rand.Rand, config Config) *Callers {
 	c := &Callers{env: env, rng: rng, config: config}
 	for i := range config.Lockers {
@@ -74,10 +80,11 @@
 	return c
 }
 
-// Stop has them end what they have begun, and begin nothing more.
+// Stop lets the callers finish the work that they have begun, and keeps them from starting more.
 func (c *Callers) Stop() { c.stopping = true }
 
-// Audit makes a call on each name. It is for when no fault is left and every lease has expired: each call must be answered, see Unanswered.
+// Audit makes a call on each name. Call it when no fault is left and every lease has expired, because each call must then be answered.
+// Unanswered reports the calls that were not.
 func (c *Callers) Audit() {
 	for i := range counterCount {
 		c.auditCall(coordination.Call{Operation: coordination.NumberNext, Name: counterName(i)})
@@ -96,24 +103,24 @@
 func (c *Callers) auditCall(call coordination.Call) {
 	c.env.Call("audit", call, func(r *callhistory.Record) {
 		if !r.IsDefinite() || r.Result.Status != coordination.StatusOK && r.Result.Status != coordination.StatusNotFound {
-			c.unanswered = append(c.unanswered, fmt.Sprintf("the audit got no answer: %v", r))
+			c.unanswered = append(c.unanswered, fmt.Sprintf("audit call got no answer: %v", r))
 		}
 	})
 }
 
-// Unanswered describes the calls of the audit that got no answer.
+// Unanswered returns a description of each audit call that got no answer.
 func (c *Callers) Unanswered() []string { return c.unanswered }
 
 func (c *Callers) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
 }
 
-// shouldRetry reports whether a caller sends a call again.
+// shouldRetry reports whether a caller should send the call again.
 func shouldRetry(r *callhistory.Record) bool {
 	return !r.IsDefinite() || r.Result.Status == coordination.StatusUnavailable || r.Result.Status == coordination.StatusLimitReached
 }
 
-// requestNumbers asks for one number after the other.
+// requestNumbers requests one number after the other, with a random pause in between, until the callers stop.
 func (c *Callers) requestNumbers(caller, name string) {
 	if c.stopping {
 		return
--- a/internal/lab/callers/doc.go
+++ b/internal/lab/callers/doc.go
@@ -1,7 +1,8 @@
-// Package callers simulates the applications that use the coordination calls: holders of locks that crash, are stopped beyond their lease
-// or ask again, editors and watchers of keys, and counters of numbers. They use few names, so that they meet.
+// Package callers simulates applications that use the coordination calls. Lockers hold locks, and sometimes crash, pause for longer than
+// their lease or acquire a lock again. Editors read and put keys, watchers watch key groups, and number callers request numbers from
+// counters. All callers share a few names, so that their calls contend with each other.
 //
-// They run on any clock and any system: World is both. Everything random is drawn from the given source, so a seed gives the same calls
-// over the same answers. What they saw is checked by package callhistory; nothing is checked here but that the audit at the end is
-// answered.
+// The callers run on any clock and any system, which an Environment provides. They draw all random values from the given source, so the
+// same seed and the same responses lead to the same calls. Package callhistory checks the responses. This package checks only that the calls
+// of the final audit are answered.
 package callers
--- a/internal/lab/callers/keys.go
+++ b/internal/lab/callers/keys.go
@@ -8,12 +8,13 @@
 	"clovergap/internal/lab/callhistory"
 )
 
-// editor is a caller that reads and puts keys, two times of three under the condition that the key has not changed since.
+// editor is a caller that reads and puts keys. Two of three puts are conditional and succeed only if the key has not changed since the read.
 type editor struct {
 	callers *Callers
 	name    string
 }
 
+// readAndPut reads a random key and then usually puts a new value to it.
 func (e *editor) readAndPut() {
 	c := e.callers
 	if c.stopping {
@@ -34,7 +35,7 @@
 	})
 }
 
-// put puts a value, with so many retries.
+// put sends a put with at most the given number of retries, and then starts the next read.
 func (e *editor) put(call coordination.Call, retries int) {
 	c := e.callers
 	c.env.Call(e.name, call, func(r *callhistory.Record) {
@@ -46,7 +47,7 @@
 	})
 }
 
-// watcher is a caller that watches a key group, each time from the revision that it was given last.
+// watcher is a caller that watches a key group repeatedly. Each watch starts after the revision that the previous one returned.
 type watcher struct {
 	callers       *Callers
 	name          string
--- a/internal/lab/callers/locker.go
+++ b/internal/lab/callers/locker.go
@@ -7,17 +7,18 @@
 	"clovergap/internal/lab/callhistory"
 )
 
-// locker is a caller that holds locks, for an instant or for several renewals. Sometimes it crashes with the lock, is stopped beyond its
-// lease, or acquires a lock that it held before.
+// locker is a caller that holds a lock for a moment or for several renewals. Sometimes it crashes while it holds the lock, pauses for longer
+// than its lease, or acquires a lock that it held before.
 type locker struct {
 	callers      *Callers
 	name         string
 	lock         string
 	fencingToken uint64
 	ttl          time.Duration
-	expiresAt    time.Duration // of the lease, by the caller's own clock
+	expiresAt    time.Duration // the expiry of the lease, by the caller's own clock
 }
 
+// acquire tries to acquire a lock until it succeeds or the callers stop.
 func (l *locker) acquire() {
 	c := l.callers
 	if c.stopping {
@@ -43,14 +44,14 @@
 	})
 }
 
-// keepLock goes on holding the lock, for so many renewals.
+// keepLock holds the lock for the given number of further renewals. It also injects the crashes and the pauses of the locker.
 func (l *locker) keepLock(renewals int) {
 	c := l.callers
 	draw := c.rng.IntN(20)
 	switch {
-	case draw == 0: // crashes, and comes back by the same name
+	case draw == 0: // the locker crashes, and restarts under the same name
 		c.env.After(c.randomDuration(0, 3*time.Second), l.acquire)
-	case draw == 1: // is stopped beyond its lease, and renews all the same
+	case draw == 1: // the locker pauses for longer than its lease, and then still sends a renewal
 		c.env.After(l.ttl+c.randomDuration(0, 500*time.Millisecond), func() { l.renew(0) })
 	case renewals == 0 || c.stopping:
 		c.env.After(c.randomDuration(0, 100*time.Millisecond), func() { l.release(c.rng.IntN(3)) })
@@ -59,7 +60,7 @@
 	}
 }
 
-// renew extends the lease, sometimes with a shorter one, and goes on holding the lock for so many further renewals.
+// renew renews the lease, sometimes with a shorter duration, and then keeps the lock for the given number of further renewals.
 func (l *locker) renew(renewals int) {
 	c := l.callers
 	sent, ttl := c.env.Now(), l.ttl
@@ -80,7 +81,7 @@
 	})
 }
 
-// release gives the lock back, with so many retries. Without an answer the caller goes on all the same.
+// release releases the lock with at most the given number of retries. The caller continues even if it gets no answer.
 func (l *locker) release(retries int) {
 	c := l.callers
 	call := coordination.Call{Operation: coordination.LockRelease, Name: l.lock, Holder: l.name, FencingToken: l.fencingToken}
--- a/internal/lab/callhistory/check.go
+++ b/internal/lab/callhistory/check.go
@@ -9,10 +9,10 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// Rule is the operators' name of a rule; the package comment says what each means.
+// Rule is the operators' name of a rule. The package comment defines each rule.
 type Rule string
 
-// The rules.
+// The rules that Check applies.
 const (
 	RuleOne     Rule = "ONE"
 	RuleOrder   Rule = "ORDER"
@@ -22,21 +22,22 @@
 	RuleLost    Rule = "LOST"
 )
 
-// Violation is a broken rule.
+// Violation describes one case in which a history breaks a rule.
 type Violation struct {
 	Rule Rule
 	Text string
 }
 
-// String is the rule and the text.
+// String returns the rule and the text of the violation.
 func (v Violation) String() string { return string(v.Rule) + ": " + v.Text }
 
-// Config has the bounds that the rules name.
+// Config contains the limits that the rules refer to.
 type Config struct {
-	HistoryRetention time.Duration // for which a watch may resume from a revision that it was given
+	// HistoryRetention is the time for which a watch can resume from a revision that an earlier watch returned.
+	HistoryRetention time.Duration
 }
 
-// Check checks a history against all rules. The records are in the order in which they were sent.
+// Check checks a history against all rules and returns the violations. The records must be in the order in which the calls were sent.
 func Check(history []*Record, config Config) []Violation {
 	c := newChecker(history, config)
 	c.checkLocks()
@@ -46,11 +47,11 @@
 	return c.violations
 }
 
-// checker collects violations.
+// checker checks one history and collects the violations.
 type checker struct {
 	config        Config
 	recordsByName map[coordination.Operation]map[string][]*Record
-	puts          map[string]*put // by putKey; see collectPuts
+	puts          map[string]*put // keyed by putKey and filled by collectPuts
 	violations    []Violation
 }
 
@@ -71,7 +72,7 @@
 	c.violations = append(c.violations, Violation{Rule: rule, Text: fmt.Sprintf(format, args...)})
 }
 
-// checkNumbers checks ORDER of numbers.
+// checkNumbers checks rule ORDER for numbers.
 func (c *checker) checkNumbers() {
 	byName := c.recordsByName[coordination.NumberNext]
 	for _, name := range sortedNames(byName) {
@@ -79,12 +80,13 @@
 	}
 }
 
-// checkIncreasing checks that the values that calls were given differ, and that each is above all that were given before the call was sent.
+// checkIncreasing checks that all calls returned different values. It also checks that the value of each call is higher than all values
+// that were returned before the call was sent.
 func (c *checker) checkIncreasing(subject string, records []*Record, value func(*Record) uint64) {
 	firstByValue := map[uint64]*Record{}
 	for _, r := range records {
 		if previous := firstByValue[value(r)]; previous != nil {
-			c.report(RuleOrder, "%s: %d was given twice: %v and %v", subject, value(r), previous, r)
+			c.report(RuleOrder, "%s: two calls returned %d: %v and %v", subject, value(r), previous, r)
 		}
 		firstByValue[value(r)] = r
 	}
@@ -100,7 +102,7 @@
 			}
 		}
 		if highest != nil && value(r) <= value(highest) {
-			c.report(RuleOrder, "%s: %v is not above what was given before it was sent: %v", subject, r, highest)
+			c.report(RuleOrder, "%s: %v returned no higher value than a call that ended before it was sent: %v", subject, r, highest)
 		}
 	}
 }
--- a/internal/lab/callhistory/doc.go
+++ b/internal/lab/callhistory/doc.go
@@ -1,19 +1,19 @@
-// Package callhistory checks histories of coordination calls against the operators' rules on locks, numbers, keys and watches. A history is
-// what callers saw, with times of one clock; nothing from inside the system is in it.
+// Package callhistory checks histories of coordination calls against the operators' rules for locks, numbers, keys and watches. A history
+// contains the calls and the answers as the callers saw them, with times of one clock. It contains nothing from inside the system.
 //
-// The rules, with the operators' names for them:
+// The operators name the rules as follows:
 //
-//   - ONE: at most one caller at a time holds a lock, and fencing tokens rise from holder to holder.
-//   - ORDER: numbers and revisions rise; a conditional put follows the revision that it names; a watch gives its events in order and
-//     skips none.
-//   - STALE: a read shows each put that was acknowledged before the read was sent.
-//   - MIXED: only what was put is shown, always with the same revision.
-//   - REFUSED: a put that was rejected is never shown.
-//   - LOST: a watch shows each put that was acknowledged before it was sent, and can resume within the history retention; the audit at the
-//     end is answered.
+//   - ONE: At most one caller at a time holds a lock, and fencing tokens increase from holder to holder.
+//   - ORDER: Numbers and revisions increase. A conditional put directly follows the revision that it expects. A watch returns its events in
+//     order and skips none.
+//   - STALE: A read returns the latest put that was acknowledged before the read was sent, or a later one.
+//   - MIXED: Reads and watches return only values that were put, and always return a value with the same revision.
+//   - REFUSED: Reads and watches never return a put that was rejected.
+//   - LOST: A watch returns each put that was acknowledged before the watch was sent. A watch can resume within the history retention. The
+//     calls of the final audit are answered.
 //
-// Linearizable checks counters and keys a second time, with porcupine: whether there is an order of the calls, each between its sending and
-// its end, that gives these answers.
+// Linearizable checks counters and keys a second time with the porcupine library. It checks whether the calls can be put in an order that
+// explains their answers, where each call takes effect between the time it was sent and the time it ended.
 //
-// A call without a definite answer may have taken effect at any time after it was sent, so it breaks no rule by itself.
+// A call without a definite answer may have taken effect at any time after it was sent. It therefore breaks no rule by itself.
 package callhistory
--- a/internal/lab/callhistory/history.go
+++ b/internal/lab/callhistory/history.go
@@ -7,30 +7,30 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// Never is the end of a call that got no definite answer: it may take effect at any time.
+// Never is the end time of a call that got no definite answer. Such a call may take effect at any time after it was sent.
 const Never = time.Duration(1<<63 - 1)
 
-// Record is a call as its caller saw it. Times are of one clock for all callers.
+// Record is a call and its answer as the caller saw them. The times of all callers come from one clock.
 type Record struct {
 	Caller string
 	Call   coordination.Call
 	Sent   time.Duration
-	Ended  time.Duration // Never without a definite answer
+	Ended  time.Duration // Never if the call got no answer
 	Result coordination.Result
 }
 
-// IsDefinite reports whether the call got an answer that says what became of it.
+// IsDefinite reports whether the call got an answer that states its outcome.
 func (r *Record) IsDefinite() bool {
 	return r.Ended != Never && r.Result.Status != coordination.StatusAmbiguous
 }
 
-// Succeeded reports whether the call was done.
+// Succeeded reports whether the call got a definite answer with the status OK.
 func (r *Record) Succeeded() bool { return r.IsDefinite() && r.Result.Status == coordination.StatusOK }
 
-// endedBefore reports whether the call had ended when another one was sent.
+// endedBefore reports whether the call ended before the other one was sent.
 func (r *Record) endedBefore(other *Record) bool { return r.Ended != Never && r.Ended < other.Sent }
 
-// String describes the call in a violation's text.
+// String returns a description of the call for the text of a violation.
 func (r *Record) String() string {
 	return fmt.Sprintf("%s: %v of %s, sent at %v, ended at %v: %v fence %d number %d revision %d", r.Caller, r.Call.Operation,
 		r.Call.Name, r.Sent, r.Ended, r.Result.Status, r.Result.FencingToken, r.Result.Number, r.Result.Revision)
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -11,7 +11,7 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// historyBuilder builds a history of calls, one after the other.
+// historyBuilder builds a history of sequential calls.
 type historyBuilder struct {
 	records []*Record
 	now     time.Duration
@@ -50,7 +50,7 @@
 
 func revision(r uint64) coordination.Result { return coordination.Result{Revision: r} }
 
-// events is the result of a watch with events of these revisions.
+// events returns the result of a watch that returned the given revision and events with the given revisions.
 func events(revision uint64, revisions ...uint64) (result coordination.Result) {
 	for _, r := range revisions {
 		result.Events = append(result.Events, coordination.Event{Name: "g.k", Value: fmt.Sprint("v", r), Revision: r})
@@ -59,7 +59,8 @@
 	return result
 }
 
-// Each rule is found broken where it is; a history without faults breaks none.
+// TestCheckReportsEachRule guards against a check that misses a broken rule. It checks that Check reports the rule that each faulty history
+// breaks, and reports nothing for a history without faults.
 func TestCheckReportsEachRule(t *testing.T) {
 	conflict := coordination.Result{Status: coordination.StatusConflict, Revision: 1}
 	for name, testCase := range map[string]struct {
@@ -74,7 +75,7 @@
 			b.number(3)
 			b.put("v1", 0, revision(1))
 			b.put("v2", 1, revision(2))
-			b.put("v1", 0, revision(1)) // repeated
+			b.put("v1", 0, revision(1)) // a repetition of the first put
 			b.put("v3", 1, coordination.Result{Status: coordination.StatusConflict, Revision: 2})
 			b.read("v2", 2)
 			b.watch(1, events(2, 2))
@@ -147,8 +148,8 @@
 	}
 }
 
-// A history of a faultless system, whatever order its calls overlap in, breaks no rule and is linearizable; with one answer changed, it is
-// not linearizable.
+// TestLinearizableRejectsStaleRead guards against false alarms and against a missed stale read. A history of a correct system must break no
+// rule and be linearizable, however its calls overlap. With a stale read added at its end, it must not be linearizable.
 func TestLinearizableRejectsStaleRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, last, value := &historyBuilder{}, uint64(0), ""
@@ -166,7 +167,7 @@
 				last, value = last+1, fmt.Sprint("v", i)
 				r = b.put(value, 0, revision(last))
 			}
-			r.Sent -= time.Duration(rapid.IntRange(0, 5).Draw(t, "early")) // it overlaps those before
+			r.Sent -= time.Duration(rapid.IntRange(0, 5).Draw(t, "early")) // makes the call overlap earlier ones
 			r.Ended += time.Duration(rapid.IntRange(0, 5).Draw(t, "late"))
 		}
 		must.SliceEmpty(t, Check(b.records, Config{HistoryRetention: time.Second}))
--- a/internal/lab/callhistory/keys.go
+++ b/internal/lab/callhistory/keys.go
@@ -8,8 +8,8 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// checkKeys checks ORDER, STALE, MIXED and REFUSED of keys. What watches and reads show is collected first, since it may show the revision
-// of a put without an answer.
+// checkKeys checks the rules ORDER, STALE, MIXED and REFUSED for keys. It first collects the results of watches and reads, because they may
+// show the revision of a put that got no answer.
 func (c *checker) checkKeys() {
 	c.collectPuts()
 	c.observeWatches()
@@ -29,20 +29,20 @@
 	}
 }
 
-// checkSingleRevision checks that each put has one revision.
+// checkSingleRevision checks that each put has at most one revision.
 func (c *checker) checkSingleRevision() {
 	for _, id := range sortedNames(c.puts) {
 		p := c.puts[id]
 		revisions := maps.Clone(p.acknowledged)
 		maps.Copy(revisions, p.observed)
 		if len(revisions) > 1 {
-			c.report(RuleMixed, "%q of %s has %d revisions: %v", p.value, p.key, len(revisions), slices.Sorted(maps.Keys(revisions)))
+			c.report(RuleMixed, "value %q of key %s has %d revisions: %v", p.value, p.key, len(revisions), slices.Sorted(maps.Keys(revisions)))
 		}
 	}
 }
 
-// checkRevisionsIncrease checks the revisions of each key group. A put counts as sent when its first call was, since a repeated put gets the
-// revision of the first one.
+// checkRevisionsIncrease checks that the revisions in each key group increase. It takes the time at which the first call of a put was sent,
+// because a repeated put returns the revision of the first one.
 func (c *checker) checkRevisionsIncrease() {
 	byGroup := map[string][]*Record{}
 	for _, id := range sortedNames(c.puts) {
@@ -60,20 +60,21 @@
 	}
 }
 
-// checkConditions checks that no put of the key lies between a conditional put and the revision that it expected.
+// checkConditions checks that no other put of the key has a revision between that of a conditional put and the revision that it expected.
 func (c *checker) checkConditions(puts []*put) {
 	for _, p := range puts {
 		for expected := range p.expectedRevisions {
 			for _, other := range puts {
 				if r := other.revision(); r > expected && r < p.revision() {
-					c.report(RuleOrder, "%q of %s was put over revision %d at %d, though %d was between", p.value, p.key, expected, p.revision(), r)
+					c.report(RuleOrder, "put of %q to %s expected revision %d and got revision %d, despite a put at revision %d", p.value, p.key, expected, p.revision(), r)
 				}
 			}
 		}
 	}
 }
 
-// checkConflicts checks that conflicts show revisions that puts gave the key. Any revision may be that of a put without an answer.
+// checkConflicts checks that each conflict names a revision of a put of the key. If the key has a put without an answer whose revision is
+// unknown, any revision may be that put's, so checkConflicts accepts it.
 func (c *checker) checkConflicts(puts []*put) {
 	known, anyUnknown := map[uint64]bool{}, false
 	for _, p := range puts {
@@ -87,13 +88,13 @@
 		for _, r := range p.rejections {
 			shown := r.Result.Revision
 			if r.Result.Status == coordination.StatusConflict && shown > 0 && !known[shown] && !anyUnknown {
-				c.report(RuleMixed, "%v names a revision that no put gave the key", r)
+				c.report(RuleMixed, "%v returned a revision that no put of the key has", r)
 			}
 		}
 	}
 }
 
-// checkReads checks that reads are not below puts that were acknowledged before.
+// checkReads checks that no read returns a lower revision than a put that was acknowledged before the read was sent.
 func (c *checker) checkReads(key string, puts []*put) {
 	for _, r := range c.recordsByName[coordination.KeyRead][key] {
 		if !r.Succeeded() && (!r.IsDefinite() || r.Result.Status != coordination.StatusNotFound) {
@@ -101,7 +102,7 @@
 		}
 		for _, p := range puts {
 			if p.firstSuccess != nil && p.firstSuccess.endedBefore(r) && p.firstSuccess.Result.Revision > r.Result.Revision {
-				c.report(RuleStale, "%v is below a put acknowledged before it was sent: %v", r, p.firstSuccess)
+				c.report(RuleStale, "%v returned a lower revision than a put acknowledged before the read was sent: %v", r, p.firstSuccess)
 			}
 		}
 	}
--- a/internal/lab/callhistory/linearizable.go
+++ b/internal/lab/callhistory/linearizable.go
@@ -8,23 +8,24 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// modelCall is a call on one name, for the linearizability checker.
+// modelCall is a call on one key or counter in the form that the linearizability checker processes.
 type modelCall struct {
 	operation   coordination.Operation
 	status      coordination.Status
 	conditional bool
-	expected    uint64 // revision, of a conditional put
-	result      uint64 // revision or number
+	expected    uint64 // the revision that a conditional put expects
+	result      uint64 // the revision or number in the answer
 	value       string
 }
 
-// modelState is a key or a counter.
+// modelState is the state of a key or a counter.
 type modelState struct {
 	value string
-	last  uint64 // revision or number; 0: none yet
+	last  uint64 // the last revision or number, or 0 if there is none yet
 }
 
-// callModel is a key or a counter that does one call at a time. Revisions are a key group's, so those of one key have gaps.
+// callModel is the sequential model of a key or a counter, which processes one call at a time. The keys of a key group share its sequence of
+// revisions, so the revisions of one key have gaps.
 var callModel = porcupine.Model{
 	Init: func() any { return modelState{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -35,7 +36,7 @@
 		case call.operation == coordination.KeyPut && call.status == coordination.StatusOK:
 			isExpected := !call.conditional || call.expected == current.last
 			return call.result > current.last && isExpected, modelState{value: call.value, last: call.result}
-		case call.operation == coordination.KeyPut: // a conflict
+		case call.operation == coordination.KeyPut: // the put ended with a conflict
 			return call.result == current.last && call.expected != current.last, state
 		}
 		return call.result == current.last && call.value == current.value, state
@@ -43,8 +44,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Linearizable checks that the calls on each counter and each key could have been done one at a time, each between its sending and its end.
-// The check of a name ends after timeout; undecided has the names whose check did.
+// Linearizable checks that the calls on each counter and each key are linearizable: they could have taken effect one at a time, each between
+// the time it was sent and the time it ended. The check of a name stops after timeout. undecided lists the names whose check timed out.
 func Linearizable(history []*Record, timeout time.Duration) (violations []Violation, undecided []string) {
 	c := newChecker(history, Config{})
 	c.collectPuts()
@@ -52,7 +53,7 @@
 	check := func(name string, calls []porcupine.Operation) {
 		switch porcupine.CheckOperationsTimeout(callModel, calls, timeout) {
 		case porcupine.Illegal:
-			violations = append(violations, Violation{Rule: RuleOrder, Text: name + ": no order of its calls gives these answers"})
+			violations = append(violations, Violation{Rule: RuleOrder, Text: name + ": calls are not linearizable, no order of them explains the answers"})
 		case porcupine.Unknown:
 			undecided = append(undecided, name)
 		}
@@ -80,15 +81,15 @@
 	return operations
 }
 
-// keyOperations are a key's puts, each once however often it was sent, its conflicts and its reads.
+// keyOperations returns the puts, the conflicts and the reads of a key as operations. A put that was sent several times is one operation.
 func (c *checker) keyOperations(key string, puts []*put) []porcupine.Operation {
-	reads := c.readOperations(key) // first: they show more puts that got no answer
+	reads := c.readOperations(key) // must run first, since reads may show the revision of a put that got no answer
 	operations, known, firstUnknown := putOperations(puts)
 	operations = append(operations, conflictOperations(puts, known, firstUnknown)...)
 	return append(operations, reads...)
 }
 
-// readOperations are a key's reads. What they show is noted in the puts.
+// readOperations returns the reads of a key as operations. It records the values and revisions that the reads returned in the puts.
 func (c *checker) readOperations(key string) (operations []porcupine.Operation) {
 	for _, r := range c.recordsByName[coordination.KeyRead][key] {
 		isNotFound := r.IsDefinite() && r.Result.Status == coordination.StatusNotFound
@@ -104,8 +105,8 @@
 	return operations
 }
 
-// putOperations are the puts whose revision is known, the set of these revisions, and when the first ambiguous put without a known revision
-// was sent: Never without one.
+// putOperations returns the puts whose revision is known as operations, and the set of these revisions. firstUnknown is the time at which
+// the first ambiguous put without a known revision was sent, or Never if there is no such put.
 func putOperations(puts []*put) (operations []porcupine.Operation, known map[uint64]bool, firstUnknown time.Duration) {
 	known, firstUnknown = map[uint64]bool{}, Never
 	for _, p := range puts {
@@ -129,8 +130,8 @@
 	return operations, known, firstUnknown
 }
 
-// conflictOperations are the puts that ended with a conflict. A conflict may show the revision of an ambiguous put whose value was never
-// seen; such a put is added.
+// conflictOperations returns the puts that ended with a conflict as operations. A conflict may name the revision of an ambiguous put whose
+// value no call returned. conflictOperations adds an operation for such a put.
 func conflictOperations(puts []*put, known map[uint64]bool, firstUnknown time.Duration) (operations []porcupine.Operation) {
 	for _, p := range puts {
 		for _, r := range p.rejections {
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -8,13 +8,13 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// holdInterval is a span in which a caller takes itself for a lock's holder.
+// holdInterval is a time interval in which a caller considers itself the holder of a lock.
 type holdInterval struct {
 	holder     string
 	start, end time.Duration
 }
 
-// checkLocks checks ONE.
+// checkLocks checks rule ONE.
 func (c *checker) checkLocks() {
 	byName := map[string][]*Record{}
 	for _, o := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
@@ -30,7 +30,7 @@
 	}
 }
 
-// checkFencingTokens checks that fencing tokens rise from holder to holder.
+// checkFencingTokens checks that fencing tokens increase from holder to holder.
 func (c *checker) checkFencingTokens(name string, records []*Record) {
 	var granted []*Record
 	for _, r := range records {
@@ -43,16 +43,17 @@
 			switch {
 			case other.Call.Holder == r.Call.Holder:
 			case other.Result.FencingToken == r.Result.FencingToken && other.Sent < r.Sent:
-				c.report(RuleOne, "%s: two holders got fence %d: %v and %v", name, r.Result.FencingToken, other, r)
+				c.report(RuleOne, "lock %s: two holders got fencing token %d: %v and %v", name, r.Result.FencingToken, other, r)
 			case other.endedBefore(r) && other.Result.FencingToken > r.Result.FencingToken:
-				c.report(RuleOne, "%s: a fence not above one given before: %v after %v", name, r, other)
+				c.report(RuleOne, "lock %s: a fencing token is lower than one granted before: %v after %v", name, r, other)
 			}
 		}
 	}
 }
 
-// holdIntervals are the spans in which each holder takes itself for one: from a successful answer until the lease, counted from the sending of the
-// last successful call, expires, or until it sends a release.
+// holdIntervals returns the intervals in which each caller considers itself the holder. An interval starts when a successful answer to an
+// acquire arrives. It ends when the caller sends a release or when the lease expires. The lease counts from the time at which the last
+// successful call was sent.
 func holdIntervals(records []*Record) (ended []holdInterval) {
 	open := map[string]*holdInterval{}
 	for _, r := range records {
@@ -69,7 +70,7 @@
 			if !r.Succeeded() {
 				continue
 			}
-			if current != nil && r.Ended <= current.end { // it acquires again while it holds the lock
+			if current != nil && r.Ended <= current.end { // the caller acquires the lock again while it holds it
 				current.end = max(current.end, r.Sent+r.Call.TTL)
 				continue
 			}
@@ -87,7 +88,7 @@
 	return ended
 }
 
-// renew takes a renewal's answer. It may be called without a tenure.
+// renew applies the answer to a renewal to the interval. It does nothing if the interval is nil.
 func (t *holdInterval) renew(r *Record) {
 	switch {
 	case t == nil || !r.IsDefinite():
@@ -98,13 +99,13 @@
 	}
 }
 
-// checkOverlaps checks that no two holders take themselves for one at the same moment.
+// checkOverlaps checks that no two callers consider themselves the holder at the same time.
 func (c *checker) checkOverlaps(name string, intervals []holdInterval) {
 	slices.SortFunc(intervals, func(a, b holdInterval) int { return cmp.Compare(a.start, b.start) })
 	for i, a := range intervals {
 		for _, b := range intervals[i+1:] {
 			if a.holder != b.holder && b.start < a.end && a.start < b.end {
-				c.report(RuleOne, "%s: %s holds it from %v to %v, %s from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start, b.end)
+				c.report(RuleOne, "lock %s: %s holds it from %v to %v, %s holds it from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start, b.end)
 			}
 		}
 	}
--- a/internal/lab/callhistory/puts.go
+++ b/internal/lab/callhistory/puts.go
@@ -2,19 +2,20 @@
 
 import "clovergap/internal/gateway/coordination"
 
-// put is a value that was put to a key, by any number of calls: callers repeat a put without an answer, and never use a value twice.
+// put is a value that one or more calls put to a key. Callers repeat a put that gets no answer, and never use the same value for two puts.
 type put struct {
 	key, value        string
 	firstSent         *Record
-	firstSuccess      *Record         // the first to end; nil without one
-	acknowledged      map[uint64]bool // the revisions that its calls were answered with
-	observed          map[uint64]bool // the revisions with which reads and watches showed it
-	ambiguous         bool            // a call of it got no definite answer
-	expectedRevisions map[uint64]bool // of its conditional calls that succeeded
+	firstSuccess      *Record         // the successful call that ended first, or nil if none succeeded
+	acknowledged      map[uint64]bool // the revisions in the answers to its successful calls
+	observed          map[uint64]bool // the revisions with which reads and watches returned the value
+	ambiguous         bool            // true if a call of the put got no definite answer
+	expectedRevisions map[uint64]bool // the expected revisions of its successful conditional calls
 	rejections        []*Record
 }
 
-// revision is the put's revision, 0 if none is known. If there are several, which breaks MIXED, it is any of them.
+// revision returns the revision of the put, or 0 if it is unknown. If the put has several revisions, which breaks rule MIXED, revision
+// returns any of them.
 func (p *put) revision() uint64 {
 	for r := range p.acknowledged {
 		return r
@@ -25,10 +26,10 @@
 	return 0
 }
 
-// putKey identifies a put.
+// putKey returns the string that identifies the put of a value to a key.
 func putKey(key, value string) string { return key + "\x00" + value }
 
-// collectPuts finds the puts of the history.
+// collectPuts collects the puts of the history from their calls.
 func (c *checker) collectPuts() {
 	byKey := c.recordsByName[coordination.KeyPut]
 	for _, key := range sortedNames(byKey) {
@@ -38,7 +39,7 @@
 	}
 }
 
-// ensurePut is the put that a call is of.
+// ensurePut returns the put that a call belongs to, and creates it if necessary.
 func (c *checker) ensurePut(r *Record) *put {
 	id := putKey(r.Call.Name, r.Call.Value)
 	if c.puts[id] == nil {
@@ -48,7 +49,7 @@
 	return c.puts[id]
 }
 
-// add adds a call of the put.
+// add records a call that belongs to the put.
 func (p *put) add(r *Record) {
 	if r.Sent < p.firstSent.Sent {
 		p.firstSent = r
@@ -69,7 +70,7 @@
 	}
 }
 
-// putsByKey are the puts of each key, by value.
+// putsByKey returns the puts of each key, sorted by value.
 func (c *checker) putsByKey() map[string][]*put {
 	byKey := map[string][]*put{}
 	for _, id := range sortedNames(c.puts) {
@@ -79,7 +80,7 @@
 	return byKey
 }
 
-// observeWatches records the puts that watches showed.
+// observeWatches records the puts that watches returned.
 func (c *checker) observeWatches() {
 	byGroup := c.recordsByName[coordination.KeyWatch]
 	for _, group := range sortedNames(byGroup) {
@@ -91,18 +92,19 @@
 	}
 }
 
-// recordObserved records that a call showed a value with a revision, and checks that it may: MIXED and REFUSED.
+// recordObserved records that the call observer returned a value of a key with a revision. It checks the rules MIXED and REFUSED for this
+// result.
 func (c *checker) recordObserved(observer *Record, key, value string, revision uint64) {
 	p := c.puts[putKey(key, value)]
 	if p == nil {
-		c.report(RuleMixed, "%v shows %q of %s, which nobody put", observer, value, key)
+		c.report(RuleMixed, "%v returned value %q of key %s, which no call put", observer, value, key)
 		return
 	}
 	if p.firstSent.Sent > observer.Ended {
-		c.report(RuleMixed, "%v shows %q of %s before it was put", observer, value, key)
+		c.report(RuleMixed, "%v returned value %q of key %s before it was put", observer, value, key)
 	}
 	if p.firstSuccess == nil && !p.ambiguous {
-		c.report(RuleRefused, "%v shows %q of %s, a put that was rejected: %v", observer, value, key, p.rejections[0])
+		c.report(RuleRefused, "%v returned value %q of key %s, whose put was rejected: %v", observer, value, key, p.rejections[0])
 	}
 	p.observed[revision] = true
 }
--- a/internal/lab/callhistory/watches.go
+++ b/internal/lab/callhistory/watches.go
@@ -5,7 +5,7 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// checkWatches checks ORDER and LOST of watches. checkKeys must have collected the puts.
+// checkWatches checks the rules ORDER and LOST for watches. checkKeys must run before it, because checkKeys collects the puts.
 func (c *checker) checkWatches() {
 	byGroup := c.recordsByName[coordination.KeyWatch]
 	for _, group := range sortedNames(byGroup) {
@@ -20,18 +20,19 @@
 	}
 }
 
-// checkWatchResult checks that a watch's events rise, lie between the revision that it began after and the one that it ended with, and are all
-// that were put there.
+// checkWatchResult checks that the revisions of a watch's events increase, that they lie between the revision that the watch started after
+// and the revision that it returned, and that no put in this range is missing. It also checks that the watch does not miss a put that was
+// acknowledged before the watch was sent.
 func (c *checker) checkWatchResult(group string, r *Record) {
 	after, end := r.Call.AfterRevision, r.Result.Revision
 	if end < after {
-		c.report(RuleOrder, "%v shows a revision under the one that it began after", r)
+		c.report(RuleOrder, "%v returned a lower revision than the one that it started after", r)
 	}
 	last := after
 	shown := map[uint64]bool{}
 	for _, e := range r.Result.Events {
 		if e.Revision <= last || e.Revision > end {
-			c.report(RuleOrder, "%v: event %d after %d", r, e.Revision, last)
+			c.report(RuleOrder, "%v returned an event with revision %d after revision %d", r, e.Revision, last)
 		}
 		last = e.Revision
 		shown[e.Revision] = true
@@ -43,21 +44,21 @@
 			continue
 		}
 		if after > 0 && revision > after && revision <= end && !shown[revision] {
-			c.report(RuleOrder, "%v skips the put of %s at %d", r, p.key, revision)
+			c.report(RuleOrder, "%v skipped the put of key %s at revision %d", r, p.key, revision)
 		}
 		if p.firstSuccess != nil && p.firstSuccess.endedBefore(r) && revision > end && len(r.Result.Events) == 0 {
-			c.report(RuleLost, "%v is behind a put acknowledged before it was sent: %v", r, p.firstSuccess)
+			c.report(RuleLost, "%v missed a put acknowledged before the watch was sent: %v", r, p.firstSuccess)
 		}
 	}
 }
 
-// checkCompacted checks that a watch which failed with StatusCompacted did not begin with a revision that a watch was given within the
-// history retention.
+// checkCompacted checks a watch that failed with StatusCompacted. The watch must not have started after a revision that an earlier watch
+// returned within the history retention.
 func (c *checker) checkCompacted(r *Record, watches []*Record) {
 	for _, w := range watches {
 		wasGiven := w.Succeeded() && w.Result.Revision == r.Call.AfterRevision
 		if wasGiven && w.endedBefore(r) && r.Sent-w.Ended < c.config.HistoryRetention {
-			c.report(RuleLost, "%v got 410 for a revision that it was given %v before", r, r.Sent-w.Ended)
+			c.report(RuleLost, "%v got status 410 for a revision that a watch returned %v before", r, r.Sent-w.Ended)
 			return
 		}
 	}
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -13,70 +13,76 @@
 )
 
 const (
-	// attemptTimeout is how long one node may take to answer, beside the time that a watch waits. The gateway ends each call within it.
+	// attemptTimeout limits one attempt at one node. The time that a watch may wait is added to it. The gateway ends each call within
+	// this time.
 	attemptTimeout = time.Second
-	// initialBackoff is the pause before the second attempt. Each further one is twice as long, up to maxBackoff.
+	// initialBackoff is the delay before the second attempt. The delay doubles with each further attempt, up to maxBackoff.
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
-	// maxResponseBytes is above what a node sends: a watch's events are 128 KiB at most, some more in JSON.
+	// maxResponseBytes limits the response body that the client reads. It is above the largest response of a node: the events of a watch
+	// take at most 128 KiB, and somewhat more when encoded as JSON.
 	maxResponseBytes = 1 << 20
-	// maxIdleConnections is kept open to each node.
+	// maxIdleConnections is the number of idle connections that the client keeps open to each node.
 	maxIdleConnections = 4
 )
 
 // Client calls the nodes of one gateway cluster.
 type Client struct {
-	nodes    []string
-	nextNode atomic.Uint32 // counts on with each failed attempt; modulo the nodes it is the one to ask
+	nodes []string
+	// nextNode selects the node of the next attempt: its index is nextNode modulo the number of nodes. Each failed attempt increments it.
+	nextNode atomic.Uint32
 	http     *http.Client
 }
 
-// New makes a client of the nodes at these control addresses, host:port. Close ends it.
+// New returns a client of the nodes at the given control addresses, each in the form host:port. It fails if no address is given. The
+// caller must call Close when it no longer needs the client.
 func New(nodes ...string) (*Client, error) {
 	if len(nodes) == 0 {
-		return nil, errors.New("no node to call")
+		return nil, errors.New("create coordination client: no node address given")
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}
 	return &Client{nodes: nodes, http: &http.Client{Transport: transport}}, nil
 }
 
-// Close closes idle connections.
+// Close closes the idle connections to the nodes.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// request is a call to whichever node answers it.
+// request is a call that any node of the cluster can serve.
 type request struct {
 	method string
 	path   string
-	body   any           // JSON, for POST
-	wait   time.Duration // that the node may wait before it answers, beside attemptTimeout
+	body   any // the value to encode as the JSON body, ignored for GET
+	// wait is the time that the node may wait before it answers. It is added to attemptTimeout.
+	wait time.Duration
 }
 
-// response is a node's answer.
+// response is the HTTP response of a node.
 type response struct {
 	status int
 	body   []byte
 }
 
-// isDefinite reports whether a response ends the call. Otherwise another node is asked.
+// isDefinite reports whether the response ends the call. If not, the client retries the call at another node.
 func (r *response) isDefinite() bool {
 	return r.status/100 != 5 && r.status != http.StatusTooManyRequests
 }
 
-// hadNoEffect reports whether a node promised that the attempt did nothing and never will.
+// hadNoEffect reports whether the response guarantees that the attempt had no effect and will have none later.
 func (r *response) hadNoEffect() bool {
 	return r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests
 }
 
 func (r *response) decode(into any) error { return json.Unmarshal(r.body, into) }
 
-// do sends a request to the nodes until one gives a definite response or the context ends. It is for calls that may arrive twice. into may
-// be nil.
+// do sends a request to the nodes until one gives a definite response or the context ends. A node may receive the request more than once,
+// so the call must be safe to repeat. do decodes the body of a successful response into the value that into points to, unless into is nil.
+// If the context ends, do returns ErrUnclear when an attempt may have taken effect, and ErrUnavailable otherwise.
 func (c *Client) do(ctx context.Context, r request, into any) error {
 	var body []byte
 	if r.method != http.MethodGet {
 		var err error
 		if body, err = json.Marshal(r.body); err != nil {
-			return errors.Wrap(err, "body")
+			return errors.Wrap(err, "encode request body")
 		}
 	}
 	ambiguous := false
@@ -98,7 +104,7 @@
 	}
 }
 
-// sleep waits. False: the context has ended.
+// sleep waits for the duration d and returns true. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -110,7 +116,8 @@
 	}
 }
 
-// attempt sends a request to one node. If it gets no definite response, the next attempt of all callers goes to the next node.
+// attempt sends a request to the current node. If it gets no definite response, it makes the next node the current one for all callers of
+// the client.
 func (c *Client) attempt(ctx context.Context, r request, body []byte) (result response, err error) {
 	nodeIndex := c.nextNode.Load()
 	defer func() {
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeNode answers each request with what respond gives, and records the requests.
+// fakeNode is an HTTP handler that records each request and answers it with the status and body that respond returns.
 type fakeNode struct {
 	mu       sync.Mutex
 	requests []string
@@ -60,7 +60,8 @@
 	return ctx
 }
 
-// Each status code is the error that stands for the gateway's promise.
+// TestErrorForStatus guards against a wrong error for a status code of the gateway. Each error documents what the caller may rely on after
+// the call.
 func TestErrorForStatus(t *testing.T) {
 	for status, want := range map[int]error{404: ErrNotFound, 410: ErrCompacted, 409: ErrHeld, 400: ErrInvalid} {
 		_, c := newFakeNode(t, func(string, string) (int, string) { return status, "" })
@@ -74,7 +75,8 @@
 	must.Eq(t, 7, conflict.Revision)
 }
 
-// A call without a definite response is sent again, the same. When the context ends, only a call that surely had no effect is ErrUnavailable.
+// TestRetryUntilDefiniteResponse checks that the client repeats a call unchanged until it gets a definite response. It also guards against
+// ErrUnavailable for a call that may have taken effect: when the context ends, only a call that certainly had no effect returns it.
 func TestRetryUntilDefiniteResponse(t *testing.T) {
 	attempts := 0
 	n, c := newFakeNode(t, func(string, string) (int, string) {
@@ -96,7 +98,7 @@
 	}
 }
 
-// cancelingTransport gives a complete response, and cancels the caller's context with it.
+// cancelingTransport returns a complete response with the given status and cancels the caller's context, so that no retry follows.
 type cancelingTransport struct {
 	status int
 	cancel context.CancelFunc
@@ -107,7 +109,8 @@
 	return &http.Response{StatusCode: l.status, Body: http.NoBody}, nil
 }
 
-// A session renews its lease. Once no node answers, or one says that the lock is lost, it ends by itself before the lease does.
+// TestSessionEndsBeforeLeaseExpires guards against a session that outlives its lease. The session renews its lease until no node answers or
+// a node reports that the lock is lost. It must then end with ErrLost before the lease expires.
 func TestSessionEndsBeforeLeaseExpires(t *testing.T) {
 	for name, status := range map[string]int{"nobody answers": 503, "lost": 409} {
 		renewals := 0
@@ -130,7 +133,8 @@
 	}
 }
 
-// A finished session renews no more, and its context has the cause.
+// TestFinishStopsRenewals checks that Finish releases the lock, that no renewal follows, and that the session's context ends with
+// ErrFinished.
 func TestFinishStopsRenewals(t *testing.T) {
 	n, c := newFakeNode(t, func(path, _ string) (int, string) {
 		if strings.Contains(path, "Begin") {
@@ -146,11 +150,12 @@
 	must.Eq(t, 0, n.count("Heartbeat"))
 }
 
-// A lock that was granted so late that its lease has expired is not held.
+// TestLockFailsWhenLeaseHasExpired guards against a session for a lease that has already expired. This happens when the response that grants
+// the lock takes longer than the lease.
 func TestLockFailsWhenLeaseHasExpired(t *testing.T) {
 	late := make(chan struct{})
 	_, c := newFakeNode(t, func(string, string) (int, string) {
-		<-late // longer than the lease
+		<-late // blocks for longer than the lease
 		return 200, `{"fence":5}`
 	})
 	t.Cleanup(func() { close(late) })
--- a/pkg/coordination/doc.go
+++ b/pkg/coordination/doc.go
@@ -1,22 +1,24 @@
-// Package coordination is the Go client of the gateway's coordination calls: locks with leases, elections, numbers, small keys and
-// watches.
+// Package coordination is the Go client for the gateway's coordination calls: locks with leases, leader elections, counters that issue
+// increasing numbers, small key-value pairs and watches.
 //
 // # Terms
 //
-//   - Lease: the time for which a lock is held. A Session renews it, and ends by itself before the lock becomes free for others.
-//   - Fence, the fencing token: a number above those of all former holders. What is written under the lock carries it, so that the
-//     store that it is written to can reject a former holder.
-//   - Key group: the keys with the same name up to the first dot, with the dot. Revisions count the puts in a key group, and a watch
-//     is of a key group.
+//   - Lease: the time for which a lock is granted. A Session renews its lease. If the renewals fail, the Session ends before another
+//     holder can acquire the lock.
+//   - Fence, the fencing token: a number that is higher than the fencing tokens of all former holders of the lock. Each write that the
+//     lock protects carries the token, so that the store that receives the write can reject a former holder.
+//   - Key group: all keys whose names are the same up to and including the first dot. A revision counts the puts in a key group. A watch
+//     reports the puts in one key group.
 //
 // # Guarantees
 //
-// Each call is sent to one node after the other until one answers, or the context ends. A node has one second for it. Calls may
-// therefore arrive twice, which is harmless: a lock's holder may ask again, a number is skipped, and a put is recognized by its key and
-// value. Put a value only once to a key: the same value again is taken for the same put.
+// The client sends each call to one node after the other until a node answers or the context ends. Each node has one second to answer.
+// A call may therefore arrive more than once. The repetition is harmless: the holder of a lock may acquire it again, a counter skips a
+// number, and the gateway recognizes a repeated put by its key and value. Put each value at most once to a key, because the gateway takes a
+// second put of the same value for a repetition of the first one.
 //
-// Errors are distinguished by errors.Is and errors.As. ErrUnavailable promises that the call had no effect and never
-// will. ErrUnclear means that it may have had one, or still may.
+// Use errors.Is and errors.As to tell errors apart. ErrUnavailable guarantees that the call had no effect and will have none later.
+// ErrUnclear means that the call may have taken effect or may still take effect.
 //
-// A Client may be used by several goroutines at once.
+// A Client is safe for concurrent use by several goroutines.
 package coordination
--- a/pkg/coordination/errors.go
+++ b/pkg/coordination/errors.go
@@ -8,36 +8,40 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of calls.
+// Errors that calls and sessions return.
 var (
 	// ErrHeld is returned by Lock while another holder may hold the lock.
-	ErrHeld = errors.New("another may hold the lock")
-	// ErrLost is the cause with which a Session's context ends when its lease has expired, or a node reported it lost.
-	ErrLost = errors.New("the lock is lost")
+	ErrHeld = errors.New("lock may be held by another holder")
+	// ErrLost is the cause with which a Session's context ends when its lease has expired or a node reports that the lock is lost.
+	ErrLost = errors.New("lock is lost")
 	// ErrFinished is the cause with which a Session's context ends after Finish.
-	ErrFinished = errors.New("the lock was given back")
+	ErrFinished = errors.New("lock was released by Finish")
 	// ErrNotFound is returned by Get for a key that has no value.
-	ErrNotFound = errors.New("the key has no value")
-	// ErrCompacted is returned by Watch for a revision below the history that is kept. The caller reads the keys anew, and watches from
-	// the current revision on.
-	ErrCompacted = errors.New("the history does not reach back so far")
-	// ErrInvalid means that the call itself is wrong: too long a name, a lease of no time. The wrapping error has the node's reason.
-	ErrInvalid = errors.New("the call is wrong")
-	// ErrUnavailable means that no node could serve the call until the context ended. It had no effect.
-	ErrUnavailable = errors.New("no node could take the call; nothing was done")
-	// ErrUnclear means that the call may have taken effect, or may still do so.
-	ErrUnclear = errors.New("the call may have taken effect, or may still")
+	ErrNotFound = errors.New("key has no value")
+	// ErrCompacted is returned by Watch for a revision that is older than the retained history. The caller should read the keys again and
+	// watch from the current revision.
+	ErrCompacted = errors.New("watch revision is older than the retained history")
+	// ErrInvalid means that a node rejected the call as invalid, for example because a name is too long or a lease is zero. The error that
+	// wraps it contains the reason that the node gave.
+	ErrInvalid = errors.New("call is invalid")
+	// ErrUnavailable means that no node could serve the call before the context ended. The call had no effect and will have none later.
+	ErrUnavailable = errors.New("no node could serve the call, the call had no effect")
+	// ErrUnclear means that the context ended without a definite response. The call may have taken effect or may still take effect.
+	ErrUnclear = errors.New("outcome of the call is unknown, it may have taken effect or may still do so")
 )
 
-// ConflictError means that a key has another revision than a put expected. It had no effect.
+// ConflictError means that the current revision of a key differs from the revision that a conditional put expected. The put had no effect.
 type ConflictError struct {
-	Revision uint64 // that the key has; 0: it was never put
+	// Revision is the current revision of the key, or 0 if the key was never put.
+	Revision uint64
 }
 
-// Error implements error.
-func (c *ConflictError) Error() string { return fmt.Sprintf("the key has revision %d", c.Revision) }
+// Error implements the error interface.
+func (c *ConflictError) Error() string {
+	return fmt.Sprintf("put conflicts with the current key revision %d", c.Revision)
+}
 
-// error is the error of a definite response, nil for success. The status codes are those of api/control.yaml.
+// error returns the error that a definite response stands for, or nil for success. api/control.yaml defines the status codes.
 func (r *response) error() error {
 	switch r.status {
 	case http.StatusOK:
--- a/pkg/coordination/example_test.go
+++ b/pkg/coordination/example_test.go
@@ -11,7 +11,8 @@
 	"clovergap/pkg/coordination"
 )
 
-// A job that must run at one host at a time. The store that it writes to rejects a fence below the highest that it has seen.
+// Run a job on at most one host at a time. The store that the job writes to must reject each fencing token that is lower than the highest
+// one that it has received.
 func ExampleClient_Lock() {
 	client, err := coordination.New("10.0.0.1:7003", "10.0.0.2:7003")
 	if err != nil {
@@ -35,7 +36,7 @@
 	}
 }
 
-// An update of a key that loses no other update.
+// Update a key without overwriting a concurrent update.
 func ExampleClient_PutAt() {
 	client, err := coordination.New("10.0.0.1:7003")
 	if err != nil {
--- a/pkg/coordination/keys.go
+++ b/pkg/coordination/keys.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Next gives a number above all that were given under a name before. Numbers may have gaps.
+// Next returns a number from the counter with the given name. The number is higher than all numbers that the counter returned before. The
+// sequence of numbers may have gaps.
 func (c *Client) Next(ctx context.Context, name string) (uint64, error) {
 	var next struct {
 		Value uint64 `json:"value"`
@@ -18,30 +19,32 @@
 	return next.Value, err
 }
 
-// Value is a key's value, and the revision of the put that gave it.
+// Value is the value of a key and the revision of the put that set it.
 type Value struct {
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// Get reads a key. It shows every put that was acknowledged before the call.
+// Get returns the current value of a key. The result reflects every put that was acknowledged before the call. If the key has no value, Get
+// returns ErrNotFound.
 func (c *Client) Get(ctx context.Context, key string) (v Value, err error) {
 	err = c.do(ctx, request{method: http.MethodGet, path: "/api/Cells.Read/" + url.PathEscape(key)}, &v)
 	return v, err
 }
 
-// Put puts a key's value, whatever revision the key has, and gives the put's own revision. A value must not be put again to the same key:
-// it would be taken for a copy of the first put.
+// Put sets the value of a key regardless of its current revision, and returns the revision of the put. Do not put the same value to the same
+// key again, because the gateway would take the second put for a repetition of the first one.
 func (c *Client) Put(ctx context.Context, key, value string) (uint64, error) {
 	return c.put(ctx, key, putBody{Value: value})
 }
 
-// PutAt puts a key's value if the key has a revision; 0: if it was never put. If not, the error is a *ConflictError.
+// PutAt sets the value of a key if the key's current revision equals the given one, and returns the revision of the put. Revision 0 means
+// that the key was never put. If the revisions differ, the error is a *ConflictError. As with Put, each value may be put only once to a key.
 func (c *Client) PutAt(ctx context.Context, key, value string, revision uint64) (uint64, error) {
 	return c.put(ctx, key, putBody{Value: value, ExpectedRevision: &revision})
 }
 
-// putBody is the KeyReplace of api/control.yaml.
+// putBody is the JSON request body KeyReplace of api/control.yaml.
 type putBody struct {
 	Value            string  `json:"value"`
 	ExpectedRevision *uint64 `json:"topic,omitempty"`
@@ -53,16 +56,17 @@
 	return v.Revision, err
 }
 
-// Event is a put.
+// Event is a put that a watch reports.
 type Event struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// Watch waits for puts in a key group, named with its dot, above a revision. It gives them and the revision to watch from next; no events
-// once wait has passed. Above revision 0 it gives the current revision at once. It may be resumed from any revision that was given within
-// the gateway's setting bounds.history, and fails with ErrCompacted later.
+// Watch waits for puts in a key group whose revisions are higher than after. The name of the group includes its dot. Watch returns the puts
+// as events, together with the revision from which to continue. It returns no events if none arrives within the time wait. If after is 0,
+// Watch returns the current revision at once. A caller can resume from any revision that Watch returned within the time that the gateway's
+// setting bounds.history states. For older revisions, Watch may return ErrCompacted.
 func (c *Client) Watch(ctx context.Context, group string, after uint64, wait time.Duration) ([]Event, uint64, error) {
 	query := "?after=" + strconv.FormatUint(after, 10) + "&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	var result struct {
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -12,14 +12,16 @@
 )
 
 const (
-	// renewalsPerTTL is how often a session renews within its lease, so that one renewal may fail.
+	// renewalsPerTTL is the number of renewals that a session attempts per lease duration, so that the lease survives one failed renewal.
 	renewalsPerTTL = 3
-	// expiryMarginDivisor: a session ends this part of its lease (one twentieth) early, so that what is under way can end in time.
+	// expiryMarginDivisor sets how long before the lease's expiry a session ends. The margin is the lease duration divided by this number,
+	// one twentieth. It lets work that is in progress stop before the lease expires.
 	expiryMarginDivisor = 20
 )
 
-// Session is a lock that is held. It renews its lease by itself. It ends by itself when the lease expires: by this machine's monotonic
-// clock, before another holder can get the lock. Work under the lock should stop with Context, and what it writes should carry Fence.
+// Session represents a lock that its holder has acquired. A Session renews its lease in the background. If the renewals fail, the Session
+// ends shortly before the lease expires, measured by the monotonic clock of this machine, and so before another holder can acquire the lock.
+// Work under the lock should stop when Context ends, and its writes should carry Fence.
 type Session struct {
 	client       *Client
 	name         string
@@ -28,13 +30,13 @@
 	fencingToken uint64
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
-	renewals     sync.WaitGroup // the goroutine of renewPeriodically
+	renewals     sync.WaitGroup // waits for the goroutine that runs renewPeriodically
 
 	mu     sync.Mutex
-	expiry *time.Timer // ends the session
+	expiry *time.Timer // ends the session when its lease is about to expire
 }
 
-// acquireBody, renewBody and releaseBody are LockBegin, LockHeartbeat and LockFinish of api/control.yaml.
+// acquireBody is the JSON request body LockBegin of api/control.yaml. renewBody is LockHeartbeat, and releaseBody is LockFinish.
 type acquireBody struct {
 	TTL    string `json:"hold"`
 	Holder string `json:"holder"`
@@ -51,8 +53,8 @@
 	FencingToken uint64 `json:"fence"`
 }
 
-// Lock acquires a lock if it is free, and fails with ErrHeld if not. hold is the lease; it counts from before the call is sent. The session
-// ends with ctx too; Finish ends it at once.
+// Lock acquires a lock if it is free, and returns ErrHeld otherwise. ttl is the duration of the lease. The client measures the lease from
+// the moment before it sends the call. The session also ends when ctx ends. Finish ends the session at once.
 func (c *Client) Lock(ctx context.Context, name, holder string, ttl time.Duration) (*Session, error) {
 	expiresAt := time.Now().Add(ttl)
 	attempts, cancel := context.WithDeadline(ctx, expiresAt)
@@ -82,13 +84,14 @@
 	return strconv.FormatInt(d.Milliseconds(), 10) + "ms"
 }
 
-// Fence is the fencing token: above that of every holder before.
+// Fence returns the fencing token of the session. It is higher than the tokens of all former holders of the lock.
 func (s *Session) Fence() uint64 { return s.fencingToken }
 
-// Context ends when the session does. context.Cause gives the reason: ErrLost, ErrFinished, or the cause of the context given to Lock.
+// Context returns a context that ends when the session ends. context.Cause returns the reason, which is ErrLost, ErrFinished or the cause of
+// the context that was passed to Lock.
 func (s *Session) Context() context.Context { return s.ctx }
 
-// extend sets when the lease expires. False: the session has ended, or would at once.
+// extend moves the expiry of the lease to expiresAt. It returns false if the session has ended or would end at once.
 func (s *Session) extend(expiresAt time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,13 +100,14 @@
 		return false
 	}
 	if s.expiry != nil && !s.expiry.Stop() {
-		return false // the lease has expired meanwhile
+		return false // the timer has fired, because the lease has expired in the meantime
 	}
 	s.expiry = time.AfterFunc(timeLeft, func() { s.cancel(ErrLost) })
 	return true
 }
 
-// renewPeriodically renews the lease until the session ends. Failed renewals are repeated; the lease's end is what ends the session then.
+// renewPeriodically renews the lease until the session ends. It repeats a failed renewal. If all renewals fail, the expiry timer ends the
+// session. If a node reports that the lock is lost, renewPeriodically ends the session at once.
 func (s *Session) renewPeriodically() {
 	ticker := time.NewTicker(s.ttl / renewalsPerTTL)
 	defer ticker.Stop()
@@ -113,7 +117,7 @@
 			return
 		case <-ticker.C:
 		}
-		expiresAt := time.Now().Add(s.ttl) // from before the call is sent
+		expiresAt := time.Now().Add(s.ttl) // measured from before the call is sent
 		err := s.renew()
 		isLost := errors.Is(err, ErrHeld) || err == nil && !s.extend(expiresAt)
 		if isLost {
@@ -128,7 +132,7 @@
 	return s.client.do(s.ctx, request{method: http.MethodPost, path: lockPath("Heartbeat", s.name), body: body}, nil)
 }
 
-// Finish ends the session and releases the lock, so that another holder can have it at once.
+// Finish ends the session and releases the lock, so that another holder can acquire it at once.
 func (s *Session) Finish(ctx context.Context) error {
 	s.cancel(ErrFinished)
 	s.renewals.Wait()
