--- a/internal/lab/callhistory/check.go
+++ b/internal/lab/callhistory/check.go
@@ -55,6 +55,7 @@
 	violations    []Violation
 }
 
+// newChecker returns a checker for the history, with its records grouped by operation and name.
 func newChecker(history []*Record, config Config) *checker {
 	c := &checker{config: config, recordsByName: map[coordination.Operation]map[string][]*Record{}, puts: map[string]*put{}}
 	for _, r := range history {
@@ -75,7 +76,7 @@
 // checkNumbers checks rule ORDER for numbers.
 func (c *checker) checkNumbers() {
 	byName := c.recordsByName[coordination.NumberNext]
-	for _, name := range sortedNames(byName) {
+	for _, name := range sortedKeys(byName) {
 		c.checkIncreasing("number of "+name, succeeded(byName[name]), func(r *Record) uint64 { return r.Result.Number })
 	}
 }
@@ -116,4 +117,4 @@
 	return list
 }
 
-func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/lab/callhistory/history.go
+++ b/internal/lab/callhistory/history.go
@@ -15,7 +15,7 @@
 	Caller string
 	Call   coordination.Call
 	Sent   time.Duration
-	Ended  time.Duration // Never if the call got no answer
+	Ended  time.Duration // Never if the call got no definite answer
 	Result coordination.Result
 }
 
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -67,7 +67,7 @@
 		rule  Rule
 		write func(b *historyBuilder)
 	}{
-		"none": {"", func(b *historyBuilder) {
+		"no violation": {"", func(b *historyBuilder) {
 			b.acquire("a", 1, 10)
 			b.release("a", 1)
 			b.acquire("b", 2, 10)
@@ -80,55 +80,55 @@
 			b.read("v2", 2)
 			b.watch(1, events(2, 2))
 		}},
-		"two hold": {RuleOne, func(b *historyBuilder) { b.acquire("a", 1, 10); b.acquire("b", 2, 10) }},
-		"fence falls": {RuleOne, func(b *historyBuilder) {
+		"two holders at once": {RuleOne, func(b *historyBuilder) { b.acquire("a", 1, 10); b.acquire("b", 2, 10) }},
+		"fencing token decreases": {RuleOne, func(b *historyBuilder) {
 			b.acquire("a", 2, 10)
 			b.release("a", 2)
 			b.acquire("b", 1, 10)
 		}},
-		"same fence": {RuleOne, func(b *historyBuilder) {
+		"fencing token repeated": {RuleOne, func(b *historyBuilder) {
 			b.acquire("a", 2, 10)
 			b.release("a", 2)
 			b.acquire("b", 2, 10)
 		}},
-		"number twice":   {RuleOrder, func(b *historyBuilder) { b.number(4); b.number(4) }},
-		"number falls":   {RuleOrder, func(b *historyBuilder) { b.number(4); b.number(3) }},
-		"revision falls": {RuleOrder, func(b *historyBuilder) { b.put("v2", 0, revision(2)); b.put("v1", 0, revision(1)) }},
-		"put over later": {RuleOrder, func(b *historyBuilder) {
+		"number repeated":    {RuleOrder, func(b *historyBuilder) { b.number(4); b.number(4) }},
+		"number decreases":   {RuleOrder, func(b *historyBuilder) { b.number(4); b.number(3) }},
+		"revision decreases": {RuleOrder, func(b *historyBuilder) { b.put("v2", 0, revision(2)); b.put("v1", 0, revision(1)) }},
+		"conditional put after a later revision": {RuleOrder, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 0, revision(2))
 			b.put("v3", 1, revision(3))
 		}},
-		"put over a first": {RuleOrder, func(b *historyBuilder) {
+		"conditional first put of an existing key": {RuleOrder, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 0, revision(2)).Call.Conditional = true
 		}},
-		"watch skips": {RuleOrder, func(b *historyBuilder) {
+		"watch skips a put": {RuleOrder, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 0, revision(2))
 			b.put("v3", 0, revision(3))
 			b.watch(1, events(3, 3))
 		}},
-		"watch falls": {RuleOrder, func(b *historyBuilder) {
+		"watch events out of order": {RuleOrder, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 0, revision(2))
 			b.watch(0, events(2, 2, 1))
 		}},
-		"read is old":    {RuleStale, func(b *historyBuilder) { b.put("v1", 0, revision(1)); b.put("v2", 0, revision(2)); b.read("v1", 1) }},
-		"nobody put it":  {RuleMixed, func(b *historyBuilder) { b.read("x", 1) }},
-		"two revisions":  {RuleMixed, func(b *historyBuilder) { b.put("v1", 0, revision(1)); b.read("v1", 2) }},
-		"no put gave it": {RuleMixed, func(b *historyBuilder) { b.put("v2", 0, revision(2)); b.put("v3", 7, conflict) }},
-		"rejected put is shown": {RuleRefused, func(b *historyBuilder) {
+		"stale read":                        {RuleStale, func(b *historyBuilder) { b.put("v1", 0, revision(1)); b.put("v2", 0, revision(2)); b.read("v1", 1) }},
+		"value was never put":               {RuleMixed, func(b *historyBuilder) { b.read("x", 1) }},
+		"value with two revisions":          {RuleMixed, func(b *historyBuilder) { b.put("v1", 0, revision(1)); b.read("v1", 2) }},
+		"conflict with an unknown revision": {RuleMixed, func(b *historyBuilder) { b.put("v2", 0, revision(2)); b.put("v3", 7, conflict) }},
+		"rejected put observed": {RuleRefused, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 3, conflict)
 			b.watch(1, events(2, 2))
 		}},
-		"watch is behind": {RuleLost, func(b *historyBuilder) {
+		"watch misses a put": {RuleLost, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 0, revision(2))
 			b.watch(1, events(1))
 		}},
-		"history is short": {RuleLost, func(b *historyBuilder) {
+		"resume fails within the retention": {RuleLost, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.watch(0, events(1))
 			b.watch(1, coordination.Result{Status: coordination.StatusCompacted})
--- a/internal/lab/callhistory/keys.go
+++ b/internal/lab/callhistory/keys.go
@@ -14,7 +14,7 @@
 	c.collectPuts()
 	c.observeWatches()
 	reads := c.recordsByName[coordination.KeyRead]
-	for _, key := range sortedNames(reads) {
+	for _, key := range sortedKeys(reads) {
 		for _, r := range succeeded(reads[key]) {
 			c.recordObserved(r, key, r.Result.Value, r.Result.Revision)
 		}
@@ -22,7 +22,7 @@
 	c.checkSingleRevision()
 	c.checkRevisionsIncrease()
 	byKey := c.putsByKey()
-	for _, key := range sortedNames(byKey) {
+	for _, key := range sortedKeys(byKey) {
 		c.checkConditions(byKey[key])
 		c.checkConflicts(byKey[key])
 		c.checkReads(key, byKey[key])
@@ -31,7 +31,7 @@
 
 // checkSingleRevision checks that each put has at most one revision.
 func (c *checker) checkSingleRevision() {
-	for _, id := range sortedNames(c.puts) {
+	for _, id := range sortedKeys(c.puts) {
 		p := c.puts[id]
 		revisions := maps.Clone(p.acknowledged)
 		maps.Copy(revisions, p.observed)
@@ -45,7 +45,7 @@
 // because a repeated put returns the revision of the first one.
 func (c *checker) checkRevisionsIncrease() {
 	byGroup := map[string][]*Record{}
-	for _, id := range sortedNames(c.puts) {
+	for _, id := range sortedKeys(c.puts) {
 		p := c.puts[id]
 		if p.firstSuccess == nil {
 			continue
@@ -55,7 +55,7 @@
 		group := groups.KeyGroup(p.key)
 		byGroup[group] = append(byGroup[group], &record)
 	}
-	for _, group := range sortedNames(byGroup) {
+	for _, group := range sortedKeys(byGroup) {
 		c.checkIncreasing("revision in "+group, byGroup[group], func(r *Record) uint64 { return r.Result.Revision })
 	}
 }
--- a/internal/lab/callhistory/linearizable.go
+++ b/internal/lab/callhistory/linearizable.go
@@ -59,11 +59,11 @@
 		}
 	}
 	numbers := c.recordsByName[coordination.NumberNext]
-	for _, name := range sortedNames(numbers) {
+	for _, name := range sortedKeys(numbers) {
 		check(name, numberOperations(numbers[name]))
 	}
 	byKey := c.putsByKey()
-	for _, key := range sortedNames(byKey) {
+	for _, key := range sortedKeys(byKey) {
 		check(key, c.keyOperations(key, byKey[key]))
 	}
 	return violations, undecided
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -22,7 +22,7 @@
 			byName[name] = append(byName[name], records...)
 		}
 	}
-	for _, name := range sortedNames(byName) {
+	for _, name := range sortedKeys(byName) {
 		records := byName[name]
 		slices.SortStableFunc(records, func(a, b *Record) int { return cmp.Compare(a.Sent, b.Sent) })
 		c.checkFencingTokens(name, records)
@@ -82,20 +82,20 @@
 			current.renew(r)
 		}
 	}
-	for _, holder := range sortedNames(open) {
+	for _, holder := range sortedKeys(open) {
 		ended = append(ended, *open[holder])
 	}
 	return ended
 }
 
 // renew applies the answer to a renewal to the interval. It does nothing if the interval is nil.
-func (t *holdInterval) renew(r *Record) {
+func (h *holdInterval) renew(r *Record) {
 	switch {
-	case t == nil || !r.IsDefinite():
+	case h == nil || !r.IsDefinite():
 	case r.Result.Status == coordination.StatusLockLost:
-		t.end = min(t.end, r.Ended)
-	case r.Succeeded() && r.Ended <= t.end:
-		t.end = max(t.end, r.Sent+r.Call.TTL)
+		h.end = min(h.end, r.Ended)
+	case r.Succeeded() && r.Ended <= h.end:
+		h.end = max(h.end, r.Sent+r.Call.TTL)
 	}
 }
 
--- a/internal/lab/callhistory/puts.go
+++ b/internal/lab/callhistory/puts.go
@@ -32,7 +32,7 @@
 // collectPuts collects the puts of the history from their calls.
 func (c *checker) collectPuts() {
 	byKey := c.recordsByName[coordination.KeyPut]
-	for _, key := range sortedNames(byKey) {
+	for _, key := range sortedKeys(byKey) {
 		for _, r := range byKey[key] {
 			c.ensurePut(r).add(r)
 		}
@@ -73,7 +73,7 @@
 // putsByKey returns the puts of each key, sorted by value.
 func (c *checker) putsByKey() map[string][]*put {
 	byKey := map[string][]*put{}
-	for _, id := range sortedNames(c.puts) {
+	for _, id := range sortedKeys(c.puts) {
 		p := c.puts[id]
 		byKey[p.key] = append(byKey[p.key], p)
 	}
@@ -83,7 +83,7 @@
 // observeWatches records the puts that watches returned.
 func (c *checker) observeWatches() {
 	byGroup := c.recordsByName[coordination.KeyWatch]
-	for _, group := range sortedNames(byGroup) {
+	for _, group := range sortedKeys(byGroup) {
 		for _, r := range byGroup[group] {
 			for _, e := range r.Result.Events {
 				c.recordObserved(r, e.Name, e.Value, e.Revision)
--- a/internal/lab/callhistory/watches.go
+++ b/internal/lab/callhistory/watches.go
@@ -8,7 +8,7 @@
 // checkWatches checks the rules ORDER and LOST for watches. checkKeys must run before it, because checkKeys collects the puts.
 func (c *checker) checkWatches() {
 	byGroup := c.recordsByName[coordination.KeyWatch]
-	for _, group := range sortedNames(byGroup) {
+	for _, group := range sortedKeys(byGroup) {
 		for _, r := range byGroup[group] {
 			if r.Succeeded() {
 				c.checkWatchResult(group, r)
@@ -37,7 +37,7 @@
 		last = e.Revision
 		shown[e.Revision] = true
 	}
-	for _, id := range sortedNames(c.puts) {
+	for _, id := range sortedKeys(c.puts) {
 		p := c.puts[id]
 		revision := p.revision()
 		if groups.KeyGroup(p.key) != group || revision == 0 {
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -104,15 +104,15 @@
 	cancel context.CancelFunc
 }
 
-func (l cancelingTransport) RoundTrip(*http.Request) (*http.Response, error) {
-	l.cancel()
-	return &http.Response{StatusCode: l.status, Body: http.NoBody}, nil
+func (c cancelingTransport) RoundTrip(*http.Request) (*http.Response, error) {
+	c.cancel()
+	return &http.Response{StatusCode: c.status, Body: http.NoBody}, nil
 }
 
 // TestSessionEndsBeforeLeaseExpires guards against a session that outlives its lease. The session renews its lease until no node answers or
 // a node reports that the lock is lost. It must then end with ErrLost before the lease expires.
 func TestSessionEndsBeforeLeaseExpires(t *testing.T) {
-	for name, status := range map[string]int{"nobody answers": 503, "lost": 409} {
+	for name, status := range map[string]int{"no node answers": 503, "lock is lost": 409} {
 		renewals := 0
 		_, c := newFakeNode(t, func(path, _ string) (int, string) {
 			if strings.Contains(path, "Begin") {
--- a/pkg/coordination/errors.go
+++ b/pkg/coordination/errors.go
@@ -25,9 +25,9 @@
 	// wraps it contains the reason that the node gave.
 	ErrInvalid = errors.New("call is invalid")
 	// ErrUnavailable means that no node could serve the call before the context ended. The call had no effect and will have none later.
-	ErrUnavailable = errors.New("no node could serve the call, the call had no effect")
+	ErrUnavailable = errors.New("no node could serve the call and it had no effect")
 	// ErrUnclear means that the context ended without a definite response. The call may have taken effect or may still take effect.
-	ErrUnclear = errors.New("outcome of the call is unknown, it may have taken effect or may still do so")
+	ErrUnclear = errors.New("call may have taken effect or may still take effect")
 )
 
 // ConflictError means that the current revision of a key differs from the revision that a conditional put expected. The put had no effect.
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -54,7 +54,8 @@
 }
 
 // Lock acquires a lock if it is free, and returns ErrHeld otherwise. ttl is the duration of the lease. The client measures the lease from
-// the moment before it sends the call. The session also ends when ctx ends. Finish ends the session at once.
+// the moment before it sends the call. If the grant arrives too late for this lease, Lock returns ErrUnclear. The session also ends when ctx
+// ends. Finish ends the session at once.
 func (c *Client) Lock(ctx context.Context, name, holder string, ttl time.Duration) (*Session, error) {
 	expiresAt := time.Now().Add(ttl)
 	attempts, cancel := context.WithDeadline(ctx, expiresAt)
