--- a/pkg/coordination/errors.go
+++ b/pkg/coordination/errors.go
@@ -37,9 +37,7 @@
 }
 
 // Error implements the error interface.
-func (c *ConflictError) Error() string {
-	return fmt.Sprintf("put conflicts with the current key revision %d", c.Revision)
-}
+func (c *ConflictError) Error() string { return fmt.Sprintf("conflict at key revision %d", c.Revision) }
 
 // error returns the error that a definite response stands for, or nil for success. api/control.yaml defines the status codes.
 func (r *response) error() error {
