--- a/internal/lab/callers/keys.go
+++ b/internal/lab/callers/keys.go
@@ -8,12 +8,13 @@
 	"clovergap/internal/lab/callhistory"
 )
 
-// editor is a caller that reads and puts keys, two times of three under the condition that the key has not changed since.
+// editor is a caller that reads and puts keys. Two of three puts are conditional and succeed only if the key has not changed since the read.
 type editor struct {
 	callers *Callers
 	name    string
 }
 
+// readAndPut reads a random key and then usually puts a new value to it.
 func (e *editor) readAndPut() {
 	c := e.callers
 	if c.stopping {
@@ -21,9 +22,9 @@
 	}
 	group := c.rng.IntN(keyGroupCount)
 	key := keyName(group, c.rng.IntN(keysPerGroup))
-	c.world.Call(e.name, coordination.Call{Operation: coordination.KeyRead, Name: key}, func(r *callhistory.Record) {
+	c.env.Call(e.name, coordination.Call{Operation: coordination.KeyRead, Name: key}, func(r *callhistory.Record) {
 		if shouldRetry(r) || c.rng.IntN(4) == 0 {
-			c.world.After(c.randomDuration(0, 100*time.Millisecond), e.readAndPut)
+			c.env.After(c.randomDuration(0, 100*time.Millisecond), e.readAndPut)
 			return
 		}
 		conditional := c.rng.IntN(3) > 0
@@ -34,19 +35,19 @@
 	})
 }
 
-// put puts a value, with so many retries.
+// put sends a put with at most the given number of retries, and then starts the next read.
 func (e *editor) put(call coordination.Call, retries int) {
 	c := e.callers
-	c.world.Call(e.name, call, func(r *callhistory.Record) {
+	c.env.Call(e.name, call, func(r *callhistory.Record) {
 		if shouldRetry(r) && retries > 0 {
-			c.world.After(c.randomDuration(0, 600*time.Millisecond), func() { e.put(call, retries-1) })
+			c.env.After(c.randomDuration(0, 600*time.Millisecond), func() { e.put(call, retries-1) })
 			return
 		}
-		c.world.After(c.randomDuration(0, 60*time.Millisecond), e.readAndPut)
+		c.env.After(c.randomDuration(0, 60*time.Millisecond), e.readAndPut)
 	})
 }
 
-// watcher is a caller that watches a key group, each time from the revision that it was given last.
+// watcher is a caller that watches a key group repeatedly. Each watch starts after the revision that the previous one returned.
 type watcher struct {
 	callers       *Callers
 	name          string
@@ -61,7 +62,7 @@
 	}
 	timeout := []time.Duration{0, 300 * time.Millisecond, 2 * time.Second}[c.rng.IntN(3)]
 	call := coordination.Call{Operation: coordination.KeyWatch, Name: w.keyGroup, AfterRevision: w.afterRevision, Timeout: timeout}
-	c.world.Call(w.name, call, func(r *callhistory.Record) {
+	c.env.Call(w.name, call, func(r *callhistory.Record) {
 		switch {
 		case r.Succeeded():
 			w.afterRevision = r.Result.Revision
@@ -72,6 +73,6 @@
 		if c.rng.IntN(15) == 0 {
 			pause = c.randomDuration(0, c.config.MaxWatcherPause)
 		}
-		c.world.After(pause, w.watch)
+		c.env.After(pause, w.watch)
 	})
 }
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -11,7 +11,7 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// historyBuilder builds a history of calls, one after the other.
+// historyBuilder builds a history of sequential calls.
 type historyBuilder struct {
 	records []*Record
 	now     time.Duration
@@ -50,7 +50,7 @@
 
 func revision(r uint64) coordination.Result { return coordination.Result{Revision: r} }
 
-// events is the result of a watch with events of these revisions.
+// events returns the result of a watch that returned the given revision and events with the given revisions.
 func events(revision uint64, revisions ...uint64) (result coordination.Result) {
 	for _, r := range revisions {
 		result.Events = append(result.Events, coordination.Event{Name: "g.k", Value: fmt.Sprint("v", r), Revision: r})
@@ -59,14 +59,15 @@
 	return result
 }
 
-// Each rule is found broken where it is; a history without faults breaks none.
-func TestRules(t *testing.T) {
+// TestCheckReportsEachRule guards against a check that misses a broken rule. It checks that Check reports the rule that each faulty history
+// breaks, and reports nothing for a history without faults.
+func TestCheckReportsEachRule(t *testing.T) {
 	conflict := coordination.Result{Status: coordination.StatusConflict, Revision: 1}
-	for name, x := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		rule  Rule
 		write func(b *historyBuilder)
 	}{
-		"none": {"", func(b *historyBuilder) {
+		"no violation": {"", func(b *historyBuilder) {
 			b.acquire("a", 1, 10)
 			b.release("a", 1)
 			b.acquire("b", 2, 10)
@@ -74,82 +75,82 @@
 			b.number(3)
 			b.put("v1", 0, revision(1))
 			b.put("v2", 1, revision(2))
-			b.put("v1", 0, revision(1)) // repeated
+			b.put("v1", 0, revision(1)) // a repetition of the first put
 			b.put("v3", 1, coordination.Result{Status: coordination.StatusConflict, Revision: 2})
 			b.read("v2", 2)
 			b.watch(1, events(2, 2))
 		}},
-		"two hold": {RuleOne, func(b *historyBuilder) { b.acquire("a", 1, 10); b.acquire("b", 2, 10) }},
-		"fence falls": {RuleOne, func(b *historyBuilder) {
+		"two holders at once": {RuleOne, func(b *historyBuilder) { b.acquire("a", 1, 10); b.acquire("b", 2, 10) }},
+		"fencing token decreases": {RuleOne, func(b *historyBuilder) {
 			b.acquire("a", 2, 10)
 			b.release("a", 2)
 			b.acquire("b", 1, 10)
 		}},
-		"same fence": {RuleOne, func(b *historyBuilder) {
+		"fencing token repeated": {RuleOne, func(b *historyBuilder) {
 			b.acquire("a", 2, 10)
 			b.release("a", 2)
 			b.acquire("b", 2, 10)
 		}},
-		"number twice":   {RuleOrder, func(b *historyBuilder) { b.number(4); b.number(4) }},
-		"number falls":   {RuleOrder, func(b *historyBuilder) { b.number(4); b.number(3) }},
-		"revision falls": {RuleOrder, func(b *historyBuilder) { b.put("v2", 0, revision(2)); b.put("v1", 0, revision(1)) }},
-		"put over later": {RuleOrder, func(b *historyBuilder) {
+		"number repeated":    {RuleOrder, func(b *historyBuilder) { b.number(4); b.number(4) }},
+		"number decreases":   {RuleOrder, func(b *historyBuilder) { b.number(4); b.number(3) }},
+		"revision decreases": {RuleOrder, func(b *historyBuilder) { b.put("v2", 0, revision(2)); b.put("v1", 0, revision(1)) }},
+		"conditional put after a later revision": {RuleOrder, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 0, revision(2))
 			b.put("v3", 1, revision(3))
 		}},
-		"put over a first": {RuleOrder, func(b *historyBuilder) {
+		"conditional first put of an existing key": {RuleOrder, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 0, revision(2)).Call.Conditional = true
 		}},
-		"watch skips": {RuleOrder, func(b *historyBuilder) {
+		"watch skips a put": {RuleOrder, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 0, revision(2))
 			b.put("v3", 0, revision(3))
 			b.watch(1, events(3, 3))
 		}},
-		"watch falls": {RuleOrder, func(b *historyBuilder) {
+		"watch events out of order": {RuleOrder, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 0, revision(2))
 			b.watch(0, events(2, 2, 1))
 		}},
-		"read is old":    {RuleStale, func(b *historyBuilder) { b.put("v1", 0, revision(1)); b.put("v2", 0, revision(2)); b.read("v1", 1) }},
-		"nobody put it":  {RuleMixed, func(b *historyBuilder) { b.read("x", 1) }},
-		"two revisions":  {RuleMixed, func(b *historyBuilder) { b.put("v1", 0, revision(1)); b.read("v1", 2) }},
-		"no put gave it": {RuleMixed, func(b *historyBuilder) { b.put("v2", 0, revision(2)); b.put("v3", 7, conflict) }},
-		"rejected put is shown": {RuleRefused, func(b *historyBuilder) {
+		"stale read":                        {RuleStale, func(b *historyBuilder) { b.put("v1", 0, revision(1)); b.put("v2", 0, revision(2)); b.read("v1", 1) }},
+		"value was never put":               {RuleMixed, func(b *historyBuilder) { b.read("x", 1) }},
+		"value with two revisions":          {RuleMixed, func(b *historyBuilder) { b.put("v1", 0, revision(1)); b.read("v1", 2) }},
+		"conflict with an unknown revision": {RuleMixed, func(b *historyBuilder) { b.put("v2", 0, revision(2)); b.put("v3", 7, conflict) }},
+		"rejected put observed": {RuleRefused, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 3, conflict)
 			b.watch(1, events(2, 2))
 		}},
-		"watch is behind": {RuleLost, func(b *historyBuilder) {
+		"watch misses a put": {RuleLost, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.put("v2", 0, revision(2))
 			b.watch(1, events(1))
 		}},
-		"history is short": {RuleLost, func(b *historyBuilder) {
+		"resume fails within the retention": {RuleLost, func(b *historyBuilder) {
 			b.put("v1", 0, revision(1))
 			b.watch(0, events(1))
 			b.watch(1, coordination.Result{Status: coordination.StatusCompacted})
 		}},
 	} {
 		b := &historyBuilder{}
-		x.write(b)
+		testCase.write(b)
 		rules := map[Rule]bool{}
 		for _, v := range Check(b.records, Config{HistoryRetention: time.Second}) {
 			rules[v.Rule] = true
 		}
-		if x.rule == "" {
+		if testCase.rule == "" {
 			must.MapEmpty(t, rules, must.Sprint(name))
 		} else {
-			must.MapContainsKey(t, rules, x.rule, must.Sprint(name))
+			must.MapContainsKey(t, rules, testCase.rule, must.Sprint(name))
 		}
 	}
 }
 
-// A history of a faultless system, whatever order its calls overlap in, breaks no rule and is linearizable; with one answer changed, it is
-// not linearizable.
-func TestLinearizable(t *testing.T) {
+// TestLinearizableRejectsStaleRead guards against false alarms and against a missed stale read. A history of a correct system must break no
+// rule and be linearizable, however its calls overlap. With a stale read added at its end, it must not be linearizable.
+func TestLinearizableRejectsStaleRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, last, value := &historyBuilder{}, uint64(0), ""
 		for i := range rapid.IntRange(2, 20).Draw(t, "calls") {
@@ -166,7 +167,7 @@
 				last, value = last+1, fmt.Sprint("v", i)
 				r = b.put(value, 0, revision(last))
 			}
-			r.Sent -= time.Duration(rapid.IntRange(0, 5).Draw(t, "early")) // it overlaps those before
+			r.Sent -= time.Duration(rapid.IntRange(0, 5).Draw(t, "early")) // makes the call overlap earlier ones
 			r.Ended += time.Duration(rapid.IntRange(0, 5).Draw(t, "late"))
 		}
 		must.SliceEmpty(t, Check(b.records, Config{HistoryRetention: time.Second}))
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -8,13 +8,13 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// tenure is a span in which a caller takes itself for a lock's holder.
-type tenure struct {
+// holdInterval is a time interval in which a caller considers itself the holder of a lock.
+type holdInterval struct {
 	holder     string
 	start, end time.Duration
 }
 
-// checkLocks checks ONE.
+// checkLocks checks rule ONE.
 func (c *checker) checkLocks() {
 	byName := map[string][]*Record{}
 	for _, o := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
@@ -22,15 +22,15 @@
 			byName[name] = append(byName[name], records...)
 		}
 	}
-	for _, name := range sortedNames(byName) {
+	for _, name := range sortedKeys(byName) {
 		records := byName[name]
 		slices.SortStableFunc(records, func(a, b *Record) int { return cmp.Compare(a.Sent, b.Sent) })
 		c.checkFencingTokens(name, records)
-		c.checkOverlaps(name, tenures(records))
+		c.checkOverlaps(name, holdIntervals(records))
 	}
 }
 
-// checkFencingTokens checks that fencing tokens rise from holder to holder.
+// checkFencingTokens checks that fencing tokens increase from holder to holder.
 func (c *checker) checkFencingTokens(name string, records []*Record) {
 	var granted []*Record
 	for _, r := range records {
@@ -43,18 +43,19 @@
 			switch {
 			case other.Call.Holder == r.Call.Holder:
 			case other.Result.FencingToken == r.Result.FencingToken && other.Sent < r.Sent:
-				c.report(RuleOne, "%s: two holders got fence %d: %v and %v", name, r.Result.FencingToken, other, r)
+				c.report(RuleOne, "lock %s: two holders got fencing token %d: %v and %v", name, r.Result.FencingToken, other, r)
 			case other.endedBefore(r) && other.Result.FencingToken > r.Result.FencingToken:
-				c.report(RuleOne, "%s: a fence not above one given before: %v after %v", name, r, other)
+				c.report(RuleOne, "lock %s: a fencing token is lower than one granted before: %v after %v", name, r, other)
 			}
 		}
 	}
 }
 
-// tenures are the spans in which each holder takes itself for one: from a successful answer until the lease, counted from the sending of the
-// last successful call, expires, or until it sends a release.
-func tenures(records []*Record) (ended []tenure) {
-	open := map[string]*tenure{}
+// holdIntervals returns the intervals in which each caller considers itself the holder. An interval starts when a successful answer to an
+// acquire arrives. It ends when the caller sends a release or when the lease expires. The lease counts from the time at which the last
+// successful call was sent.
+func holdIntervals(records []*Record) (ended []holdInterval) {
+	open := map[string]*holdInterval{}
 	for _, r := range records {
 		holder := r.Call.Holder
 		current := open[holder]
@@ -69,42 +70,42 @@
 			if !r.Succeeded() {
 				continue
 			}
-			if current != nil && r.Ended <= current.end { // it acquires again while it holds the lock
+			if current != nil && r.Ended <= current.end { // the caller acquires the lock again while it holds it
 				current.end = max(current.end, r.Sent+r.Call.TTL)
 				continue
 			}
 			if current != nil {
 				ended = append(ended, *current)
 			}
-			open[holder] = &tenure{holder: holder, start: r.Ended, end: r.Sent + r.Call.TTL}
+			open[holder] = &holdInterval{holder: holder, start: r.Ended, end: r.Sent + r.Call.TTL}
 		case coordination.LockRenew:
 			current.renew(r)
 		}
 	}
-	for _, holder := range sortedNames(open) {
+	for _, holder := range sortedKeys(open) {
 		ended = append(ended, *open[holder])
 	}
 	return ended
 }
 
-// renew takes a renewal's answer. It may be called without a tenure.
-func (t *tenure) renew(r *Record) {
+// renew applies the answer to a renewal to the interval. It does nothing if the interval is nil.
+func (h *holdInterval) renew(r *Record) {
 	switch {
-	case t == nil || !r.IsDefinite():
+	case h == nil || !r.IsDefinite():
 	case r.Result.Status == coordination.StatusLockLost:
-		t.end = min(t.end, r.Ended)
-	case r.Succeeded() && r.Ended <= t.end:
-		t.end = max(t.end, r.Sent+r.Call.TTL)
+		h.end = min(h.end, r.Ended)
+	case r.Succeeded() && r.Ended <= h.end:
+		h.end = max(h.end, r.Sent+r.Call.TTL)
 	}
 }
 
-// checkOverlaps checks that no two holders take themselves for one at the same moment.
-func (c *checker) checkOverlaps(name string, spans []tenure) {
-	slices.SortFunc(spans, func(a, b tenure) int { return cmp.Compare(a.start, b.start) })
-	for i, a := range spans {
-		for _, b := range spans[i+1:] {
+// checkOverlaps checks that no two callers consider themselves the holder at the same time.
+func (c *checker) checkOverlaps(name string, intervals []holdInterval) {
+	slices.SortFunc(intervals, func(a, b holdInterval) int { return cmp.Compare(a.start, b.start) })
+	for i, a := range intervals {
+		for _, b := range intervals[i+1:] {
 			if a.holder != b.holder && b.start < a.end && a.start < b.end {
-				c.report(RuleOne, "%s: %s holds it from %v to %v, %s from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start, b.end)
+				c.report(RuleOne, "lock %s: %s holds it from %v to %v, %s holds it from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start, b.end)
 			}
 		}
 	}
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeNode answers each request with what respond gives, and records the requests.
+// fakeNode is an HTTP handler that records each request and answers it with the status and body that respond returns.
 type fakeNode struct {
 	mu       sync.Mutex
 	requests []string
@@ -31,11 +31,11 @@
 	io.WriteString(w, text)
 }
 
-func (f *fakeNode) count(part string) (found int) {
+func (f *fakeNode) count(substring string) (found int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.requests {
-		if strings.Contains(r, part) {
+		if strings.Contains(r, substring) {
 			found++
 		}
 	}
@@ -60,8 +60,9 @@
 	return ctx
 }
 
-// Each status code is the error that stands for the gateway's promise.
-func TestErrors(t *testing.T) {
+// TestErrorForStatus guards against a wrong error for a status code of the gateway. Each error documents what the caller may rely on after
+// the call.
+func TestErrorForStatus(t *testing.T) {
 	for status, want := range map[int]error{404: ErrNotFound, 410: ErrCompacted, 409: ErrHeld, 400: ErrInvalid} {
 		_, c := newFakeNode(t, func(string, string) (int, string) { return status, "" })
 		_, err := c.Get(contextWithTimeout(t, time.Minute), "g.k")
@@ -74,11 +75,12 @@
 	must.Eq(t, 7, conflict.Revision)
 }
 
-// A call without a definite response is sent again, the same. When the context ends, only a call that surely had no effect is ErrUnavailable.
-func TestRetry(t *testing.T) {
-	tries := 0
+// TestRetryUntilDefiniteResponse checks that the client repeats a call unchanged until it gets a definite response. It also guards against
+// ErrUnavailable for a call that may have taken effect: when the context ends, only a call that certainly had no effect returns it.
+func TestRetryUntilDefiniteResponse(t *testing.T) {
+	attempts := 0
 	n, c := newFakeNode(t, func(string, string) (int, string) {
-		if tries++; tries < 3 {
+		if attempts++; attempts < 3 {
 			return 504, ""
 		}
 		return 200, `{"revision":9}`
@@ -90,26 +92,27 @@
 	for status, want := range map[int]error{503: ErrUnavailable, 429: ErrUnavailable, 504: ErrUnclear} {
 		_, c := newFakeNode(t, nil)
 		ctx, cancel := context.WithCancel(t.Context())
-		c.http.Transport = lastResponse{status, cancel}
+		c.http.Transport = cancelingTransport{status, cancel}
 		_, err := c.Next(ctx, "n")
 		must.ErrorIs(t, err, want)
 	}
 }
 
-// lastResponse gives a complete response, and cancels the caller's context with it.
-type lastResponse struct {
+// cancelingTransport returns a complete response with the given status and cancels the caller's context, so that no retry follows.
+type cancelingTransport struct {
 	status int
 	cancel context.CancelFunc
 }
 
-func (l lastResponse) RoundTrip(*http.Request) (*http.Response, error) {
-	l.cancel()
-	return &http.Response{StatusCode: l.status, Body: http.NoBody}, nil
+func (c cancelingTransport) RoundTrip(*http.Request) (*http.Response, error) {
+	c.cancel()
+	return &http.Response{StatusCode: c.status, Body: http.NoBody}, nil
 }
 
-// A session renews its lease. Once no node answers, or one says that the lock is lost, it ends by itself before the lease does.
-func TestSession(t *testing.T) {
-	for name, status := range map[string]int{"nobody answers": 503, "lost": 409} {
+// TestSessionEndsBeforeLeaseExpires guards against a session that outlives its lease. The session renews its lease until no node answers or
+// a node reports that the lock is lost. It must then end with ErrLost before the lease expires.
+func TestSessionEndsBeforeLeaseExpires(t *testing.T) {
+	for name, status := range map[string]int{"no node answers": 503, "lock is lost": 409} {
 		renewals := 0
 		_, c := newFakeNode(t, func(path, _ string) (int, string) {
 			if strings.Contains(path, "Begin") {
@@ -130,8 +133,9 @@
 	}
 }
 
-// A finished session renews no more, and its context has the cause.
-func TestFinish(t *testing.T) {
+// TestFinishStopsRenewals checks that Finish releases the lock, that no renewal follows, and that the session's context ends with
+// ErrFinished.
+func TestFinishStopsRenewals(t *testing.T) {
 	n, c := newFakeNode(t, func(path, _ string) (int, string) {
 		if strings.Contains(path, "Begin") {
 			return 200, `{"fence":5}`
@@ -146,11 +150,12 @@
 	must.Eq(t, 0, n.count("Heartbeat"))
 }
 
-// A lock that was granted so late that its lease has expired is not held.
-func TestLateLock(t *testing.T) {
+// TestLockFailsWhenLeaseHasExpired guards against a session for a lease that has already expired. This happens when the response that grants
+// the lock takes longer than the lease.
+func TestLockFailsWhenLeaseHasExpired(t *testing.T) {
 	late := make(chan struct{})
 	_, c := newFakeNode(t, func(string, string) (int, string) {
-		<-late // longer than the lease
+		<-late // blocks for longer than the lease
 		return 200, `{"fence":5}`
 	})
 	t.Cleanup(func() { close(late) })
