--- a/internal/gateway/groups/groups_test.go
+++ b/internal/gateway/groups/groups_test.go
@@ -22,8 +22,8 @@
 	must.Eq(t, "g1", KeyGroup("g1"))
 }
 
-// Checks that no disk leads more than its share of groups, that the order of the disks does not matter, and that after the
-// removal of a disk few of the groups that other disks lead move.
+// Checks that no disk leads more than its share of groups and that the order of the disks does not matter. Also checks the
+// removal of a disk: few of the groups that other disks lead may move to another leader.
 func TestPreferredLeadersAreBalanced(t *testing.T) {
 	for n := 1; n <= 12; n++ {
 		var disks []uint64
--- a/internal/gateway/groups/leaders.go
+++ b/internal/gateway/groups/leaders.go
@@ -9,8 +9,8 @@
 
 // PreferredLeaders returns the preferred leader of each group as the member ID of a disk. It goes through the groups in order
 // and assigns each to the disk that ranks highest for the group and has fewer than its share of groups so far. The result does
-// not depend on the order of disks. If a disk is removed, few of the groups that other disks lead move. Without disks, all
-// preferred leaders are 0.
+// not depend on the order of disks. If a disk is removed, few of the groups that other disks lead move to another leader.
+// Without disks, all preferred leaders are 0.
 func PreferredLeaders(disks []uint64) (leaders [Count]uint64) {
 	if len(disks) == 0 {
 		return leaders
--- a/internal/gateway/registry/departure.go
+++ b/internal/gateway/registry/departure.go
@@ -26,16 +26,16 @@
 // following steps within the drain time:
 //
 //   - A node with a disk sends the departure to all other nodes with a disk. The first node that has the departure
-//     sends it to each of them. Nodes that this one does not reach get it from a node that reaches them
-//     (Message.Unreachable). This works as long as a node that has the departure reaches a node in contact with a
-//     majority.
-//   - A node with a disk sends the departure to all of its followers. It takes these from its own list or from the
-//     lists of the nodes that forward its stream.
+//     sends it to each of these nodes. A node that the first node does not reach gets the departure from another node
+//     that reaches both (Message.Unreachable). For this step, a node that has the departure must reach a node in
+//     contact with a majority.
+//   - A node with a disk sends the departure to all of its followers. The followers are those in its own list or in
+//     the lists of the nodes that forward its stream.
 //   - A node without a disk follows only a node in contact with a majority, and receives all departures when it
 //     follows a new upstream.
 //
 // Any path that carries updates from nodes with a disk to the other nodes must preserve the last two steps. This holds
-// whether each node carries them itself or one node carries them for its zone.
+// both if each node carries its own updates and if one node carries the updates for its zone.
 type pendingCall struct {
 	ticket    Ticket
 	entry     *entry
@@ -96,9 +96,9 @@
 }
 
 // decide reports whether a call can be answered now, and whether it is confirmed. A departure is confirmed when all peers
-// that this node sends updates to have it, and MinCopies nodes with a disk have it. The remaining nodes receive it from
-// these a moment later. After allCopiesTimeout, MinCopies copies and one other node that has the departure are sufficient.
-// If too few nodes with a disk are reachable, the call fails at once, because another node may reach them.
+// that this node sends updates to have it, and MinCopies nodes with a disk have it. These nodes forward the departure to
+// the remaining nodes. After allCopiesTimeout, MinCopies copies and one other node that has the departure are sufficient.
+// If too few nodes with a disk are reachable, the call fails at once, because another node may reach enough of them.
 func (r *Registry) decide(call pendingCall) (confirmed, decided bool) {
 	if call.requested == notDeparting || r.hasNodes && r.knownCount == 0 {
 		return true, true
--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -39,19 +39,19 @@
 		}
 		f.updateNodes()
 		a, answered := f.drain(b, at)
-		must.True(t, answered, must.Sprint("at ", at))
-		must.False(t, a.Confirmed, must.Sprint("at ", at))
+		must.True(t, answered, must.Sprint("drain call during the partition, at node ", at))
+		must.False(t, a.Confirmed, must.Sprint("drain call during the partition, at node ", at))
 		f.partitioned = map[[2]Slot]bool{}
 		f.updateNodes()
 		a, answered = f.drain(b, at)
-		must.True(t, answered && a.Confirmed, must.Sprint("at ", at))
+		must.True(t, answered && a.Confirmed, must.Sprint("drain call after the partition, at node ", at))
 		f.requirePhase(b.ID, Draining)
 	}
 }
 
 // TestDepartureWaitsForAnotherDisk checks that a departure stays unconfirmed while the only other reachable node with a
-// disk does not acknowledge it. Its acknowledgement must then be sufficient, and the call must not wait for followers in
-// vain.
+// disk does not acknowledge the departure. Once that node acknowledges it, the departure must be confirmed. The call must
+// not wait for followers that cannot answer.
 func TestDepartureWaitsForAnotherDisk(t *testing.T) {
 	f := newFleet(t, 4, 3)
 	b := newBackend(1)
--- a/internal/gateway/registry/dissemination.go
+++ b/internal/gateway/registry/dissemination.go
@@ -19,8 +19,8 @@
 	return p.node.Live && (!r.hasLiveDisk || p.node.HasDisk || p.node.Follows)
 }
 
-// broadcast enqueues a backend's record for all peers that this node sends updates to. An urgent record is sent at once,
-// any other is batched with other changes.
+// broadcast enqueues a backend's record for all peers that this node sends updates to. An urgent record is sent at once.
+// Any other record is delayed by at most batchDelay and sent together with other changes.
 func (r *Registry) broadcast(e *entry, urgent bool) { r.forward(e, nil, urgent) }
 
 // forward enqueues a backend's record for all peers that this node sends updates to, except from, the peer that sent the
--- a/internal/gateway/registry/doc.go
+++ b/internal/gateway/registry/doc.go
@@ -25,7 +25,8 @@
 // link therefore does not grow with the number of nodes without a disk.
 //
 // Messages carry a sequence number and are acknowledged. They are resent with a growing interval, and at most maxInFlight
-// are in flight to a peer. A peer that acknowledges nothing is only probed. It is synced again when it answers.
+// are in flight to a peer. A peer that acknowledges nothing is only probed. The peer is synced again when it answers a
+// probe.
 //
 // Nodes that have received the same updates have the same state, regardless of the path, order and repetition of the
 // updates. Records are merged (see merge). The record with the highest call sequence number determines what the backend
@@ -50,8 +51,8 @@
 //     order takes over with the next token, if it reaches a majority of the nodes. A node that reaches no majority,
 //     because it is on the smaller side of a partition, takes over nothing and times out only backends that call it
 //     directly. If the former owner is alive and still receives the backend's heartbeats, it takes the backend back.
-//     The node that had taken over then leaves the backend alone for takeoverHoldoffHeartbeats intervals, so that two
-//     nodes do not take it from each other forever.
+//     The node that had taken over then does not take the backend over again for takeoverHoldoffHeartbeats intervals.
+//     Otherwise the two nodes would take the backend from each other forever.
 //   - A step of the clock above one second means that this process was stalled and could read no heartbeats. All
 //     time-outs then restart.
 //   - Tables are bounded to maxBackends entries, of which at most maxTombstones are gone. A tombstone is kept for at
--- a/internal/gateway/registry/fullsync.go
+++ b/internal/gateway/registry/fullsync.go
@@ -17,21 +17,21 @@
 	fullSyncTimeout = 10 * time.Second
 )
 
-// syncRequest is a queued sync of a follower. If zoneOnly is true, it covers only the backends of the follower's zone,
-// with which the follower can already serve requests. Otherwise it covers all backends.
+// syncRequest is a queued sync of a follower. If zoneOnly is true, the sync covers only the backends of the follower's
+// zone. The follower can already serve requests with these backends. If zoneOnly is false, the sync covers all backends.
 type syncRequest struct {
 	target   Slot
 	zoneOnly bool
 }
 
-// SyncPeer syncs a node that has reconnected or that follows this node anew. It does nothing if the node is unknown.
+// SyncPeer syncs a node that has reconnected or that has begun to follow this node. It does nothing if the node is unknown.
 //
 //   - A follower receives all backends that are not gone.
 //   - Nodes with a disk send each other all departures, the backends that they own, the backends that the receiver
 //     should own, and the backends of a lost owner that the sender would take over. Together they send one node the
 //     complete registry.
-//   - A node without a disk sends a node with a disk the departures of backends that are not gone. It sends other
-//     records that the receiver lacks later (reportMissingBackends).
+//   - A node without a disk sends a node with a disk the departures of backends that are not gone. The node without a
+//     disk sends the other records that the receiver lacks at a later time (reportMissingBackends).
 func (r *Registry) SyncPeer(s Slot) {
 	p := r.peers[s]
 	if p == nil {
@@ -85,9 +85,9 @@
 	r.syncQueue = append(r.syncQueue, syncRequest{p.node.Slot, false})
 }
 
-// startSyncs starts queued syncs while fewer than maxFullSyncs are running. After the loss of all nodes every follower
-// asks at once. If all are synced together, each one receives its records so late that it gives up and asks another node
-// for all of them again.
+// startSyncs starts queued syncs while fewer than maxFullSyncs are running. After the loss of all nodes, every follower
+// asks for a full sync at the same time. If all followers were synced together, each follower would receive its records
+// so late that it would stop waiting and ask another node for all records again.
 func (r *Registry) startSyncs() {
 	if len(r.syncQueue) == 0 {
 		return
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -76,8 +76,8 @@
 }
 
 // TestFullSyncsAreBounded guards against a node that syncs all of its new followers at once. With little processor time,
-// each follower received its records so late that it gave up and asked another node for all of them again. At 300 nodes no
-// other work was done, and no requests were served for half a minute.
+// each follower received its records so late that it stopped waiting and asked another node for all records again. With
+// 300 nodes, the nodes did no other work and served no requests for half a minute.
 func TestFullSyncsAreBounded(t *testing.T) {
 	const backends, followers = 1000, 100
 	c := newFollowerCrowd(backends, followers, oneZone)
@@ -152,9 +152,10 @@
 	must.False(t, New(0, Config{}, 0).HasReady())
 }
 
-// TestFullSyncSendsOwnZoneFirst guards against hundreds of nodes that wait on slow links for the last of hundreds of
-// backends after the loss of all nodes. The backends of a follower's zone, with which it can serve, must be sent to all
-// waiting followers before the next full sync, and within the same limit.
+// TestFullSyncSendsOwnZoneFirst guards against a long wait after the loss of all nodes: hundreds of nodes waited on slow
+// links for the last of hundreds of backends. A follower can serve requests with the backends of its zone alone. These
+// backends must be sent to all waiting followers before the next full sync starts. The limit maxFullSyncs applies to these
+// syncs too.
 func TestFullSyncSendsOwnZoneFirst(t *testing.T) {
 	const zones, backends, followers = 6, 600, 4 * maxFullSyncs
 	zone := func(i int) string { return fmt.Sprint("zone-", i%zones) }
--- a/internal/gateway/registry/ownership.go
+++ b/internal/gateway/registry/ownership.go
@@ -9,19 +9,22 @@
 	// missedHeartbeats is the number of heartbeat intervals without a heartbeat after which a backend is timed out.
 	missedHeartbeats = 3
 	// ownerGraceHalfIntervals is the number of half heartbeat intervals after which another node takes over the backends of a
-	// lost owner. It is shorter than missedHeartbeats. The new owner watches for time-outs from the takeover on, so that the
-	// loss of an owner does not look like the loss of its backends.
+	// lost owner. These 2.5 heartbeat intervals are shorter than the time-out of a backend (missedHeartbeats intervals). The
+	// new owner watches for time-outs from the takeover on, so that the loss of an owner does not look like the loss of its
+	// backends.
 	ownerGraceHalfIntervals = 5
-	// takeoverHoldoffHeartbeats is the number of heartbeat intervals during which this node does not take over a backend
-	// whose owner it does not reach, but another node does.
+	// takeoverHoldoffHeartbeats is the number of heartbeat intervals during which this node does not take over a backend if
+	// another node reaches the backend's owner and this node does not.
 	takeoverHoldoffHeartbeats = 20
 	// scanInterval is the interval between two scans of all backends. The host sleeps no longer than this while there are
 	// backends that are not gone.
 	scanInterval = 500 * time.Millisecond
 )
 
-// ownerFor returns the node that should own a backend, by rendezvous hashing over the owner candidates without the node
-// except. Candidates in the backend's zone are preferred. The Slot of the result is NoSlot if there is no candidate.
+// ownerFor returns the node that should own a backend. It chooses that node by rendezvous hashing over the owner
+// candidates and leaves out the node whose slot is passed as the argument "except". With NoSlot as that argument, no
+// node is left out. Candidates in the backend's zone are preferred. The Slot of the result is NoSlot if there is no
+// candidate.
 func (r *Registry) ownerFor(e *entry, except Slot) Node {
 	h := fnv.New64a()
 	h.Write([]byte(e.record.ID))
--- a/internal/gateway/registry/peer.go
+++ b/internal/gateway/registry/peer.go
@@ -38,7 +38,7 @@
 	retransmits []*inFlightMessage // messages in flight that are due to be resent
 	// True if the peer has acknowledged a message since the last reset. Its messages then come from its present incarnation.
 	confirmed bool
-	// True if the peer acknowledges nothing. It is then only probed, and is synced when it answers.
+	// True if the peer acknowledges nothing. The peer is then only probed, and is synced when it answers a probe.
 	unresponsive bool
 
 	active       bool     // its slot is in Registry.activePeers
@@ -128,8 +128,9 @@
 }
 
 // ackTimeout returns how long a message waits for its acknowledgement. The time-out doubles after each attempt, up to
-// maxResendDoublings times. A link loses nothing while it is up. A message without acknowledgement therefore mostly waits
-// at an overloaded receiver, and resending it soon only adds load. For an unresponsive peer the time-out is probeInterval.
+// maxResendDoublings times. A link loses nothing while it is up. A message without an acknowledgement therefore usually
+// waits at an overloaded receiver, and an early resend only adds load. For an unresponsive peer the time-out is
+// probeInterval.
 func (p *peer) ackTimeout(f *inFlightMessage) time.Duration {
 	if p.unresponsive {
 		return probeInterval
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -86,7 +86,8 @@
 // forwardUpdate forwards an update to other nodes if it changed what this node knows of the backend. It also sends a new
 // backend to its known owner.
 func (r *Registry) forwardUpdate(e *entry, from *peer, update *Record, before *priorState) {
-	// If only this node suspected the backend, the owner's time-out changes nothing here but is news to the other nodes.
+	// If only this node suspected the backend, the owner's time-out changes nothing here, but the other nodes do not know
+	// of the time-out yet.
 	urgent := e.phase() != before.phase || e.departure() > before.departure || before.suspected && update.Phase == Gone
 	changed := urgent || e.record.differsFrom(&before.record)
 	switch {
@@ -103,9 +104,9 @@
 	}
 }
 
-// reclaimOwnership takes back a backend that another node took over from this node as lost, if the backend's heartbeats
-// still arrive here. If the backend was taken over from a third node, that node is sent the record instead. The result
-// reports whether this node took the backend back.
+// reclaimOwnership takes back a backend that another node took over because that node no longer reached this node. It does
+// so only if this node still receives the backend's heartbeats. If the backend was taken over from a third node, the third
+// node is sent the record instead. The result reports whether this node took the backend back.
 func (r *Registry) reclaimOwnership(e *entry, from *peer, update *Record, before *priorState) bool {
 	if update.LostOwner == NoSlot || update.FencingToken != e.record.FencingToken || update.Owner != e.record.Owner {
 		return false
@@ -121,8 +122,8 @@
 	return false
 }
 
-// correctSender sends the record of a backend to the sender of an outdated update, or to all nodes if others may have
-// applied the update.
+// correctSender sends the record of a backend to the sender of an outdated update. If other nodes may also have applied the
+// update, it sends the record to all nodes.
 func (r *Registry) correctSender(e *entry, from *peer, update *Record, before *priorState) {
 	known := r.recordOf(e)
 	if update.Phase == Gone && known.Phase != Gone && (e.record.Owner == r.localSlot || before.recentHeartbeat) {
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -55,8 +55,8 @@
 	// State of the full sync that this node receives from its upstream.
 	syncSource    Slot // node that last began a full sync to this node
 	syncStartedAt time.Duration
-	// Time at which the upstream is sent the backends that its full sync left out. It is never if that is done, or if no
-	// full sync was received.
+	// Time at which the upstream is sent the backends that its full sync left out. The value is the constant never if these
+	// backends were sent, or if no full sync was received.
 	reportMissingAt time.Duration
 
 	lastTicket       Ticket
@@ -145,8 +145,8 @@
 
 // Restore loads the records that this node's disk stored. They may be outdated. Each backend is therefore watched for a
 // time-out from now on, and newer records from other nodes replace the restored ones. After the loss of all nodes, a
-// restore saves the wait for the first heartbeats. A wrong record costs a request that cannot be sent, or that another
-// backend answers with 421.
+// restore saves the wait for the first heartbeats. If a record is wrong, a request cannot be sent, or another backend
+// answers the request with HTTP 421.
 func (r *Registry) Restore(records []Record) {
 	for _, record := range records {
 		if e := r.entryFor(record.ID); e != nil && record.Phase != Gone {
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -607,10 +607,11 @@
 	}
 }
 
-// TestMessagesGrowLinearlyWithNodes guards against messages from all nodes to all nodes, which delayed requests on slow
-// links and broke the rule DRAIN. The traffic on a link must not grow with the number of nodes. In a release of many
-// backends, a node without a disk must receive one update for each change, from its upstream. A node that restarts
-// meanwhile must receive the registry once.
+// TestMessagesGrowLinearlyWithNodes guards against messages from all nodes to all nodes. These delayed requests on slow
+// links and broke the rule DRAIN of the fault tests: no request may reach a backend later than a bounded time after its
+// drain was acknowledged. The traffic on a link must not grow with the number of nodes. In a release of many backends, a
+// node without a disk must receive one update for each change, from its upstream. A node that restarts during the release
+// must receive the registry once.
 func TestMessagesGrowLinearlyWithNodes(t *testing.T) {
 	for _, n := range []int{12, 48, 96} {
 		f := newFleet(t, n, 3)
--- a/internal/gateway/rollout/coordinator.go
+++ b/internal/gateway/rollout/coordinator.go
@@ -94,8 +94,9 @@
 	return a
 }
 
-// HandleReport stores a node's report. It ignores a report on another step and one that is not newer than the stored report of the
-// same node incarnation. It returns an error if the report's evidence cannot be decoded.
+// HandleReport stores a node's report. It ignores a report on another step, a report that is not newer than the stored report of the
+// same node incarnation, and a report of a further incarnation if maxReportsPerStep reports are stored. It returns an error if the
+// report's evidence cannot be decoded.
 func (c *Coordinator) HandleReport(from NodeID, r Report) error {
 	a := c.active[r.Service]
 	if a == nil || a.Number != r.Number || a.Step != r.Step {
@@ -127,8 +128,9 @@
 	}
 }
 
-// Counts returns the outcomes of all nodes in the current step of a service's roll-out, and the suspicion. The coordinator does not
-// advance to the next step while the suspicion is 1 or more. Both results are 0 if no roll-out of the service runs.
+// Counts returns the outcomes of all nodes in the current step of a service's roll-out, and the suspicion. The suspicion is
+// the total wealth of the bets divided by suspicionWealth (see evaluate). It is at least 1 if a node has rolled back locally. The
+// coordinator does not advance to the next step while the suspicion is 1 or more. Both results are 0 if no roll-out of the service runs.
 func (c *Coordinator) Counts(service string) (counts Counts, suspicion float64) {
 	a := c.active[service]
 	if a == nil {
--- a/internal/gateway/rollout/doc.go
+++ b/internal/gateway/rollout/doc.go
@@ -6,14 +6,20 @@
 //
 // The versions of a service are the generations that its backends send in their heartbeats. The baseline is the version that the users come
 // from. The canary is the version that they move to. A Spec is an operator's specification of a roll-out. It contains both versions, the
-// steps (shares of the users in basis points), limits on the affected traffic, and the FailureCriteria. A Run is a roll-out in the
-// replicated log, with its Spec, phase, step and history. An Outcome is the result of a request's first attempt. Later attempts are not
-// compared.
-//
-// Evidence is the logarithm of the wealth of bets. Each bet assumes that the canary fails a certain number of times as often as the
-// baseline. Evidence is kept for each test (kind of request, group of tenants, slow responses) and for each backend. A lap is an interval of
-// 30 s for which evidence is gathered from zero, in addition to the evidence since the start of the step. Laps ensure that a version that
-// fails after ten good minutes gets no credit for them. A false positive is a good version that is rolled back.
+// steps (shares of the users in basis points), limits on the affected traffic, and the FailureCriteria. The core is the group of nodes that
+// replicates the log and elects a leader (see package membership). A Run is a roll-out in the core's log, with its Spec, phase, step and
+// history. An Outcome is the result of a request's first attempt. Later attempts are not compared.
+//
+// The statistical tests work by betting. A bet is an imaginary wager that the canary fails a certain number of times as often as the
+// baseline. This number is the ratio of the bet. The stake is the amount with which a bet starts. The stakes of all bets add up to 1. The
+// wealth of a bet is the amount that it holds later. Failures of the canary increase the wealth, and failures of the baseline decrease it.
+// If both versions fail equally often, the expected wealth does not grow. A large wealth is therefore unlikely unless the canary is worse.
+// Evidence is the natural logarithm of the factor by which the wealth of a bet has changed. Evidence is kept for each test (kind of request,
+// group of tenants, slow responses) and for each backend.
+//
+// A lap is an interval of 30 s for which evidence is gathered from zero, in addition to the evidence since the start of the step. The
+// coordinator starts each lap. Laps ensure that a version that fails after ten good minutes gets no credit for these minutes. A false
+// positive is a rollback of a good version.
 //
 // # Parts
 //
--- a/internal/gateway/rollout/evaluate.go
+++ b/internal/gateway/rollout/evaluate.go
@@ -12,8 +12,8 @@
 	NodeFalsePositiveRate  = 1e-5
 )
 
-// suspicionWealth is the wealth, as a multiple of the initial stake, at which the coordinator
-// stops advancing to the next step.
+// suspicionWealth is the total wealth of all bets, as a multiple of their total stake, at which the coordinator no longer advances to the
+// next step.
 const suspicionWealth = 20
 
 // Fractions of the initial stake for the tests. They add up to 1.
@@ -26,7 +26,7 @@
 	maxZones      = 8
 )
 
-// stakeOf returns the fraction of the stake that is bet on a test.
+// stakeOf returns the fraction of the initial stake with which the bets of a test start.
 func stakeOf(test int) float64 {
 	switch {
 	case test >= latencyTests:
@@ -46,7 +46,8 @@
 	excluded       bool // not counted, to check whether a decision depends on one node
 }
 
-// wealthOf returns the logarithms of one node's wealth in a window, without the failures of excludedBackend. 0 excludes none.
+// wealthOf returns the logarithms of one node's wealth in a window, without the failures of excludedBackend. If excludedBackend is 0, the
+// failures of all backends count.
 func (f *findings) wealthOf(window int, excludedBackend uint64) logWealth {
 	wealth := f.total[window]
 	if backend := f.perBackend[excludedBackend]; backend != nil {
@@ -59,8 +60,8 @@
 	return wealth
 }
 
-// wealth returns the total wealth of all bets in a window, starting from a stake of 1, without the failures of excludedBackend. 0
-// excludes none.
+// wealth returns the total wealth of all bets in a window, without the failures of excludedBackend. The total stake is 1. If excludedBackend
+// is 0, the failures of all backends count.
 func wealth(list []*findings, window int, excludedBackend uint64) float64 {
 	var sum logWealth
 	zones := map[string]*[2][ratioCount]float64{} // by kind of request
@@ -92,7 +93,7 @@
 	for _, zone := range zones {
 		total += zoneStake * (mixtureWealth(&zone[0]) + mixtureWealth(&zone[1]))
 	}
-	return total + max(0, allZonesStake-2*zoneStake*float64(len(zones))) // the stake of unused zones is not bet and stays
+	return total + max(0, allZonesStake-2*zoneStake*float64(len(zones))) // the stakes of unused zones are part of no bet and do not change
 }
 
 // Limits of the logarithm of wealth. Wealth below minLogWealth counts as 0. Wealth above maxLogWealth is capped, because it could
@@ -115,10 +116,13 @@
 	return sum
 }
 
-// evaluate compares the evidence with the wealth that the false positive rate requires. A score of 1 or more means that the canary
-// fails and is to be rolled back. The suspicion is the wealth divided by suspicionWealth. If it is 1 or more, the roll-out does not advance
-// to the next step. The score must reach 1 without the failures of any one backend and without the findings of any one node, because a
-// fault of one machine is not a fault of the version. Half of the false positive rate is for each window. Within a window, the k-th step or
+// evaluate compares the wealth of the bets with the wealth that the false positive rate requires. The score is the wealth divided by the
+// required wealth, or 0 if the total wealth is below the required wealth. A score of 1 or more means that the canary fails and is to be
+// rolled back. The suspicion is the total wealth divided by suspicionWealth. If the suspicion is 1 or more, the roll-out does not advance to
+// the next step. Each result is the larger one of the values for the two windows.
+//
+// The score must reach 1 also if the failures of any one backend or the findings of any one node are left out, because a fault of one
+// machine is not a fault of the version. Each of the two windows gets half of the false positive rate. Within a window, the k-th step or
 // lap gets the fraction 1/(k(k+1)) of that half.
 func evaluate(list []*findings, step, lap int, falsePositiveRate float64) (score, suspicion float64) {
 	for window, k := range [windowCount]float64{stepWindow: float64(step), lapWindow: float64(lap)} {
--- a/internal/gateway/rollout/evidence.go
+++ b/internal/gateway/rollout/evidence.go
@@ -29,14 +29,15 @@
 	lapWindow         // since the start of the lap
 )
 
-// failureRatios are the assumed ratios of the canary's failure rate to the baseline's. Each test bets on each ratio.
+// failureRatios are the assumed ratios of the canary's failure rate to the baseline's failure rate. Each test has one bet for each ratio.
 var failureRatios = [ratioCount]float64{1.4, 2.2, 6, 40}
 
-// logWealth is the natural logarithm of the wealth of each test's bets, by ratio.
+// logWealth is the natural logarithm of the wealth of each test's bets, by ratio. Each bet counts with a stake of 1 here. The wealth
+// function multiplies the result by the stakes.
 type logWealth [testCount][ratioCount]float64
 
-// evidence is the evidence against the canary in nats, for each window. perBackend is the part that comes from the failures of each
-// backend.
+// evidence is the evidence against the canary for each window, in nats (units of the natural logarithm). perBackend is the part that comes
+// from the failures of each backend.
 type evidence struct {
 	total      [windowCount]logWealth
 	perBackend map[uint64]*[windowCount]logWealth
@@ -75,10 +76,11 @@
 	clear(s.perBackend)
 }
 
-// add adds a span to the evidence. If the versions are equal, each failure is on the canary with probability n1/(n0+n1), given the number
-// of failures on both sides. The bet on a ratio multiplies its wealth by c1 = ratio*c0 for each failure of the canary and by c0 for each
-// failure of the baseline. The expected factor is at most 1. toleratedRate returns the rate of additional failures that a test tolerates.
-// Their expected effect is subtracted. docs/rollouts.md explains why the product does not grow by chance.
+// add adds a span to the evidence. n0 is the number of outcomes of the baseline, and n1 is that of the canary. If the versions are equal,
+// each failure is on the canary with probability n1/(n0+n1), given the number of failures on both sides. The wealth of the bet on a ratio
+// (see the package comment) is multiplied by c1 = ratio*c0 for each failure of the canary and by c0 for each failure of the baseline. The
+// expected factor is at most 1. toleratedRate returns the rate of additional failures that a test tolerates. The expected effect of these
+// additional failures is subtracted. docs/rollouts.md explains why the product of the factors does not grow by chance.
 func (e *evidence) add(s *span, toleratedRate func(test int) float64) {
 	for test := range testCount {
 		n0, n1 := float64(s.outcomes[Baseline][test]), float64(s.outcomes[Canary][test])
@@ -134,7 +136,7 @@
 const evidenceUnitsPerNat = 64
 
 // encode returns the binary form of the evidence. It has one record for each test and window with a value other than 0. A record is one
-// byte with the test and the window, the backend as a varint (0 for the total) and the bets as varints.
+// byte with the test and the window, the backend as a varint (0 for the total) and the evidence of the bet on each ratio as a varint.
 func (e *evidence) encode() []byte {
 	var b []byte
 	put := func(backend uint64, window, test int, wealth *[ratioCount]float64, round func(float64) float64) {
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -90,7 +90,8 @@
 	n.disconnected, n.everConnected = !connected, n.everConnected || connected
 }
 
-// HandleLap starts a new lap that the coordinator announced. It ignores a lap that is not newer than the current one.
+// HandleLap starts a new lap that the coordinator announced. A lap is an interval of 30 s for which the node gathers evidence from zero, in
+// addition to the evidence since the start of the step. HandleLap ignores a lap that is not newer than the current one.
 func (n *Node) HandleLap(lap Lap) {
 	local := n.rollouts[lap.Service]
 	if local == nil || local.Number != lap.Number || lap.Lap <= local.lap {
@@ -112,8 +113,8 @@
 
 // BackendSide returns the side of a backend with a generation from its heartbeats. A backend that does not have the canary's generation is
 // on the baseline. Once a roll-out is finished, a backend that does not have the baseline's generation is on the canary, because a third
-// version may follow without another roll-out. This does not apply to a node that has never been connected. It may not know of a newer
-// roll-out that tests the third version or has rolled it back.
+// version may follow without another roll-out. The rule for a finished roll-out does not apply at a node that has never been connected. That
+// node may not know of a newer roll-out that tests the third version or that has rolled the third version back.
 func (n *Node) BackendSide(service, generation string) Side {
 	local := n.rollouts[service]
 	switch {
@@ -206,7 +207,7 @@
 	}
 }
 
-// evaluate evaluates the evidence of this node alone and rolls back locally if it shows that the canary fails.
+// evaluate evaluates the evidence of this node alone. It rolls back locally if this evidence shows that the canary fails.
 func (n *Node) evaluate(local *localRollout) {
 	c := local.counter
 	c.changed = false
--- a/internal/gateway/rollout/outcome.go
+++ b/internal/gateway/rollout/outcome.go
@@ -20,18 +20,20 @@
 
 // The causes, with their names in FailureCriteria. A 4xx response is a regular response of the service and counts as Success.
 const (
-	Success         Cause = iota
-	ServerError           // "5xx": a response with a 5xx status
-	NoResponse            // "none": a time-out, a reset connection or a failed connection attempt
-	InvalidResponse       // "wrong": a response that does not come from the service, such as one without a seal
-	Rejected              // "full": rejected by the backend before it processed the request
+	Success     Cause = iota
+	ServerError       // "5xx": a response with a 5xx status
+	NoResponse        // "none": a time-out, a reset connection or a failed connection attempt
+	// "wrong": a response that does not come from the service, such as a 2xx response without a seal. The seal is the response header
+	// x-backend-seal, by which a backend proves that the response is complete and its own.
+	InvalidResponse
+	Rejected // "full": rejected by the backend before it processed the request
 	causeCount
 )
 
 var causeNames = [causeCount]string{"", "5xx", "none", "wrong", "full"}
 
-// Outcome is the result of a request's first attempt. Later attempts are not compared, because they occur only after the first one
-// failed. Attempts that the node itself ended are not compared either.
+// Outcome is the result of a request's first attempt. Later attempts are not compared, because a later attempt occurs only after the first
+// attempt failed. Attempts that the node itself ended are not compared either.
 type Outcome struct {
 	Side Side
 	Kind Kind
--- a/internal/gateway/rollout/quantile.go
+++ b/internal/gateway/rollout/quantile.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// quantileEstimate estimates a quantile of the baseline's latency on one route. Each latency above the estimate raises it and each one
-// below lowers it. The steps are weighted so that the estimate converges to the quantile.
+// quantileEstimate estimates a quantile of the baseline's latency on one route. A latency above the estimate raises the estimate. Any other
+// latency lowers the estimate. The steps are weighted so that the estimate converges to the quantile.
 type quantileEstimate struct {
 	seconds float64
 	samples int
--- a/internal/gateway/rollout/report.go
+++ b/internal/gateway/rollout/report.go
@@ -19,8 +19,9 @@
 	Evidence       []byte
 }
 
-// Lap is the coordinator's message that a new lap has started, for which evidence is gathered from zero. A version that fails after ten
-// good minutes must not get credit for them. Lap is sent between nodes with gob, so its field names must not change.
+// Lap is the coordinator's message that a new lap of a roll-out has started. A lap is an interval of 30 s for which evidence is gathered
+// from zero, in addition to the evidence since the start of the step. A version that fails after ten good minutes must not get credit for
+// these minutes. Lap is sent between nodes with gob, so its field names must not change.
 type Lap struct {
 	Service string
 	Number  Number
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -351,8 +351,8 @@
 	must.Error(t, coordinator.HandleReport(1, broken))
 }
 
-// Guards against a rollback on the evidence of one faulty node. It must not occur while this node's report is the only one, nor through
-// reports of several incarnations of the node.
+// Guards against a rollback by all nodes on the evidence of one faulty node. The rollback must not occur while only this node has sent
+// reports, even if the reports come from several incarnations of this node.
 func TestOneNodeDoesNotRollBack(t *testing.T) {
 	s := NewState()
 	e := startEntry(testSpec(5000), 0, "")
--- a/internal/gateway/rollout/spec.go
+++ b/internal/gateway/rollout/spec.go
@@ -117,9 +117,9 @@
 func (s *Spec) CheckCapacity(c Capacity) error {
 	switch {
 	case c.Baseline <= 0:
-		return logentry.FieldErrorf("old", "%s has room for none", s.Old)
+		return logentry.FieldErrorf("old", "%s has room for none of the requests: the capacity of its backends is 0", s.Old)
 	case c.Canary <= 0:
-		return logentry.FieldErrorf("new", "%s has room for none", s.New)
+		return logentry.FieldErrorf("new", "%s has room for none of the requests: the capacity of its backends is 0", s.New)
 	}
 	peakInUse := float64(c.PeakInUse)
 	if c.PeakInUse <= 0 {
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -223,7 +223,8 @@
 }
 
 // Guards against a node that sends users to the canary without knowledge of a rollback. A node that was never connected uses a share of 0.
-// A disconnected node keeps its share and may only roll back locally. Neither a reconnection nor the replicated state undoes that.
+// A disconnected node keeps its share and may only roll back locally. Neither a reconnection nor the replicated state undoes a local
+// rollback.
 func TestPartitionedNodeOnlyLowersShare(t *testing.T) {
 	s := NewState()
 	e := startEntry(testSpec(9000), 0, "")
@@ -235,7 +236,7 @@
 	must.NoError(t, err)
 	user := []byte("someone")
 	node := NewNode("a", 1, 0)
-	node.ApplyState(s) // state from its disk, the roll-out may have been rolled back since
+	node.ApplyState(s) // state from the node's disk; the roll-out may have been rolled back in the meantime
 	must.True(t, node.Share("libro") == 0 && node.CanaryExcluded("libro"))
 	node.SetConnected(true)
 	must.Eq(t, 9000, node.Share("libro"))
@@ -315,7 +316,7 @@
 			v, err := s.Decide(startEntry(testSpec(100), 0, "first"))
 			must.Eq(t, routing.Ambiguous, v)
 			must.Error(t, err)
-			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Revision, "second")) // its revision is current, so it was not applied before
+			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Revision, "second")) // the call names the current revision, so it was not applied before
 			must.Eq(t, routing.Conflict, v)
 			other := testSpec(100)
 			other.Service = "other"
--- a/internal/gateway/rollout/stored.go
+++ b/internal/gateway/rollout/stored.go
@@ -191,7 +191,7 @@
 }
 
 // addStoredCalls adds the list of call IDs from a snapshot of an earlier version. The list does not contain revisions. Each call created its
-// own revision, which is not later than the one that addStoredCalls assigns to it.
+// own revision, which is not later than the revision that addStoredCalls assigns to the call.
 func (s *State) addStoredCalls(ids []string) {
 	before := s.Revision - uint64(len(ids))
 	if len(ids) == maxStoredCalls {
--- a/internal/gateway/transport/inbound.go
+++ b/internal/gateway/transport/inbound.go
@@ -78,8 +78,9 @@
 	return in
 }
 
-// untrackIncoming removes a connection that is no longer read, and notifies the writer that uses it. The fact that the node
-// offers its links stays recorded. The caller holds m.mu.
+// untrackIncoming removes a connection that is no longer read, and notifies the writer that uses the connection. A node that
+// offers its links accepts frames also on the connections that it dialed. The record that the node "from" offers its links
+// remains, without the connection. The caller holds m.mu.
 func (m *Mesh[F]) untrackIncoming(from string, conn net.Conn) {
 	close(m.incoming[conn].ended)
 	delete(m.incoming, conn)
@@ -155,9 +156,10 @@
 }
 
 // updateOutboundLink restarts this node's link to a peer that has just dialed, if that is necessary. A peer that dials is
-// reachable, so a backoff ends, and so does a dial that hangs because the machine of the peer had no power. A connection to an
-// earlier incarnation of the peer ends too, because it may look intact as long as nothing is sent. If the peer offers the
-// connection that it dialed, this node sends on that connection from now on. The caller holds m.mu.
+// reachable. The function therefore ends a backoff, and a dial that hangs because the machine of the peer had no power. It also
+// ends a connection to an earlier incarnation of the peer, because that connection may look intact as long as nothing is sent.
+// If the peer also accepts frames on the connection that it dialed (an offered link), this node sends on that connection from
+// now on. The caller holds m.mu.
 func (m *Mesh[F]) updateOutboundLink(sender handshake, conn net.Conn) {
 	known := m.incarnations[sender.from]
 	restarted := known != 0 && known != sender.incarnation
--- a/internal/gateway/transport/offer.go
+++ b/internal/gateway/transport/offer.go
@@ -10,14 +10,15 @@
 // offerGrace is the time that a node that offers its links has for dialing this node, before this node dials it.
 const offerGrace = 300 * time.Millisecond
 
-// Offered links save file descriptors. A node that hundreds of other nodes dial would need two descriptors for each of them:
-// one for the connection that the other node dialed, and one for its own connection. A node that offers its links accepts
-// frames also on the connections that it dialed, so that the other side needs no connection of its own. A node that offers its
-// links uses no links that are offered to it. Otherwise two such nodes would give up their own connections in favour of each
-// other again and again. A node whose program does not support offers dials as before.
+// Offered links save file descriptors. Without them, a node that hundreds of other nodes dial needs two descriptors for each of
+// these nodes: one for the connection that the other node dialed, and one for the connection that it dialed itself. A node that
+// offers its links accepts frames also on the connections that it dialed, so that the other node does not need to dial. A node
+// that offers its links does not use links that are offered to it. Otherwise each of two such nodes would close the connection
+// that it dialed, use the connection of the other node, find that connection closed and dial again. This would repeat forever.
+// A node whose program does not support offers always dials a connection of its own.
 
-// offeredLink is a connection that another node dialed and offers. The offer ends with that connection. Another connection may
-// have replaced it by then.
+// offeredLink is a connection that another node dialed and on which that node accepts frames. The offer ends with the
+// connection. Another connection may have replaced the connection by then.
 type offeredLink struct {
 	conn  net.Conn        // nil if the connection has ended and no other one has replaced it
 	ended <-chan struct{} // closed when the connection is no longer read
@@ -42,8 +43,8 @@
 	return true
 }
 
-// offerOf returns the connection that a node offers. known reports whether the node offers its links at all. The connection of
-// the offer is nil if it has ended.
+// offerOf returns the connection that a node offers. known reports whether the node offers its links at all. The conn of the
+// result is nil if the offered connection has ended.
 func (m *Mesh[F]) offerOf(from string) (offer offeredLink, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gateway/transport/offer_test.go
+++ b/internal/gateway/transport/offer_test.go
@@ -60,21 +60,21 @@
 	}
 }
 
-// Checks that one connection carries frames in both directions, in order, whichever node dialed first. Guards against a member
-// of the core that runs out of file descriptors: two for each of 299 nodes were 598 of its 800, and it then accepted no more
-// control calls.
+// Checks that one connection carries frames in both directions, in order, whichever node dialed first. Node a offers its links,
+// node b does not. Guards against a member of the core that runs out of file descriptors. Two descriptors for each of 299 nodes
+// were 598 of the 800 descriptors of the member. The member then accepted no more control calls.
 func TestOfferedLinkServesBothWays(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	for _, first := range []string{"the one that offers", "the other"} {
+	for _, first := range []string{"node a", "node b"} {
 		a, b := startNode(t, testAddr(21)), startNode(t, testAddr(22))
 		a.OfferLinks()
-		if first == "the other" {
+		if first == "node b" {
 			b.Connect(a.addr)
 			b.expectEvent("up " + a.addr)
 		}
 		a.Connect(b.addr)
 		a.expectEvent("up " + b.addr)
-		if first == "the other" { // b gives up the connection that it dialed
+		if first == "node b" { // b gives up the connection that it dialed
 			b.expectEvent("down " + a.addr)
 		} else {
 			b.awaitOffer(a.addr)
@@ -120,8 +120,8 @@
 	b.Stop()
 }
 
-// Checks that two nodes that both offer their links keep one link each. If they used the links of each other, each would close
-// its own link in favour of the other without end.
+// Checks that two nodes that both offer their links keep one connection each. If each node used the connection that the other
+// node dialed, each node would close the connection that it dialed itself, and dial again. This would repeat forever.
 func TestTwoOfferingNodesKeepSeparateLinks(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := startNode(t, testAddr(25)), startNode(t, testAddr(26))
@@ -179,8 +179,8 @@
 
 // Checks that the writer of an offered link switches to a newer offer although nothing is sent and nothing else ends the old
 // connection. This happens when the machine at the other end loses power and its next incarnation, or the same one over a new
-// connection, offers its link again. Guards against members that sent no hello to nodes that had restarted (incident
-// mvk-anadolu 7): such a node followed its only member until the system made no more progress.
+// connection, offers its link again. Guards against members of the core that sent no hello to nodes that had restarted (incident
+// mvk-anadolu 7). Such a node followed its only member until the system made no more progress.
 func TestWriterNoticesReplacedOffer(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	for _, later := range []wireHandshake{{Life: 11, Nr: 2}, {Life: 12, Nr: 1}} {
--- a/internal/gateway/transport/outbound.go
+++ b/internal/gateway/transport/outbound.go
@@ -40,8 +40,8 @@
 	endedChecks int      // number of consecutive checks that found the connection ended, see Check
 }
 
-// setConnection sets the connection of a link and the function that ends it. A nil conn means that the link is down. abort then
-// ends the current dial or backoff.
+// setConnection sets the connection of a link and the function abort, which ends that connection. A nil conn means that the
+// link is down. In this case abort ends the current dial or backoff.
 func (m *Mesh[F]) setConnection(l *link[F], conn net.Conn, abort func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
