--- a/internal/gateway/registry/departure.go
+++ b/internal/gateway/registry/departure.go
@@ -12,7 +12,7 @@
 	// minCopiesTimeout is how long a departure waits for MinCopies copies.
 	minCopiesTimeout = 800 * time.Millisecond
 	// callTimeout is the age of a call at which the backend has turned to another node. The backend expects the answer within
-	// a second, and the answer itself takes time to arrive.
+	// 1 s, and the answer itself takes time to arrive.
 	callTimeout = 950 * time.Millisecond
 )
 
--- a/internal/gateway/registry/doc.go
+++ b/internal/gateway/registry/doc.go
@@ -34,19 +34,21 @@
 //
 // # Guarantees
 //
-//   - A departure is confirmed (Acknowledge with Confirmed) only when Config.MinCopies nodes with a disk have it. That
-//     is one copy more than the number of nodes that may be lost at once. As a rule, the registry also waits until
+//   - A departure is confirmed (Acknowledge with Confirmed) only when Config.MinCopies nodes with a disk have it.
+//     MinCopies is one more than the number of nodes that may be lost at once. As a rule, the registry also waits until
 //     every peer that it sends updates to has the departure. In the first moments of a partition, copies at all
 //     reachable nodes prove nothing. If fewer than MinCopies nodes with a disk are reachable, the call therefore fails
-//     at once and the backend turns to another node. If no node with a disk is known, all nodes count. A node that is
-//     the only one confirms departures by itself. See pendingCall.
-//   - A peer counts as a copy only by what it acknowledged or sent in its present incarnation. A late message of a
-//     former incarnation does not count, because the memory of that incarnation is lost.
-//   - Only the owner times out a backend, after missedHeartbeats intervals without a heartbeat. (A node that sees
-//     another backend answer at a backend's address treats the backend as gone locally, until the owner or the next
-//     heartbeat decides.) A time-out applies only to the exact call sequence number and fencing token that the owner
-//     knew. A later heartbeat therefore revives the backend at all nodes. The token ensures that a former owner that
-//     missed the change cannot time out a backend that its successor watches.
+//     at once and the backend turns to another node. If no node with a disk is known, nodes without a disk count too,
+//     and no more copies are required than there are known nodes. A node that knows no other node and has no disk
+//     therefore confirms departures by itself. See pendingCall.
+//   - A peer counts as a holder of a departure only if it acknowledged or sent the departure in its present incarnation.
+//     A late message of a former incarnation does not count, because the memory of that incarnation is lost.
+//   - Only the owner times out a backend, after missedHeartbeats intervals without a heartbeat. There is one exception:
+//     if another backend answers at a backend's address, the node that sees this treats the backend as gone. The
+//     exception applies only at that node, and only until the owner's decision or the next heartbeat arrives.
+//   - A time-out applies only to the exact call sequence number and fencing token that the owner knew. A later heartbeat
+//     therefore revives the backend at all nodes. A former owner that does not know of a change of owner cannot time out
+//     the backend, because its fencing token is outdated.
 //   - When an owner is lost, its backends stay as they are for 2.5 heartbeat intervals. Then the next node in hashing
 //     order takes over with the next token, if it reaches a majority of the nodes. A node that reaches no majority,
 //     because it is on the smaller side of a partition, takes over nothing and times out only backends that call it
@@ -62,6 +64,6 @@
 //
 // The package does no I/O, reads no clock and draws no random numbers. It does not select a backend for a request (package
 // balancer does), and does not judge a backend's health by the results of requests. Its correctness does not depend on the
-// records that a disk stored (Restore). These are a hint that saves the deployment a wait for the first heartbeats after
-// the loss of all nodes.
+// records that a disk stored (Restore). These records only save the deployment a wait for the first heartbeats after the
+// loss of all nodes.
 package registry
--- a/internal/gateway/transport/faults.go
+++ b/internal/gateway/transport/faults.go
@@ -29,8 +29,8 @@
 }
 
 // awaitHeal blocks while a test has partitioned this node from another one. It returns false if the partition lasts longer than
-// timeout or ctx is cancelled. A write into a partition goes out when the partition heals, as TCP retransmits segments. A link
-// that makes no progress for writeTimeout ends.
+// timeout or ctx is cancelled. A write that the partition blocks is sent when the partition ends, as TCP would retransmit its
+// segments. A link that makes no progress for writeTimeout ends.
 func awaitHeal(ctx context.Context, to string, timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); failpoint.Partitioned(to); time.Sleep(partitionPollInterval) {
 		if ctx.Err() != nil || time.Now().After(deadline) {
--- a/internal/gateway/transport/handshake.go
+++ b/internal/gateway/transport/handshake.go
@@ -10,8 +10,9 @@
 	offersLink bool // the sender also accepts frames on this connection, see OfferLinks
 }
 
-// streamOrder determines which of two streams of a node is the newer one. Within an incarnation the sender's sequence numbers
-// decide. Otherwise the order decides in which this node accepted or dialed the connections.
+// streamOrder determines which of two streams of a node is the newer one. Within an incarnation, the newer stream has the higher
+// sequence number of the sender. If the incarnations differ or a stream is not numbered, the newer stream is the one whose
+// connection this node accepted or dialed later.
 type streamOrder struct{ incarnation, seq, arrival uint64 }
 
 // olderThan reports whether the stream of s began before that of other.
--- a/internal/gateway/transport/mesh_test.go
+++ b/internal/gateway/transport/mesh_test.go
@@ -259,8 +259,8 @@
 }
 
 // Checks that a stream of the previous incarnation of a restarted node is rejected when it is read after the stream of the new
-// incarnation, as happens when the reader gets no processor time. The late stream must neither replace the new one nor deliver
-// a frame.
+// incarnation. This happens when the reader of the previous stream gets no processor time. The late stream must neither replace
+// the new stream nor deliver a frame.
 func TestStreamOfPreviousIncarnationIsRejected(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a := startNode(t, testAddr(41))
--- a/internal/gateway/transport/partition_test.go
+++ b/internal/gateway/transport/partition_test.go
@@ -13,8 +13,8 @@
 	"clovergap/internal/failpoint"
 )
 
-// Checks that a partition of one direction blocks that direction only. Frames that are sent into the partition arrive when it
-// heals, and a dial into a partition succeeds then.
+// Checks that a partition of one direction blocks that direction only. Frames that are sent during the partition arrive when
+// the partition ends. A dial that the partition blocks succeeds when the partition ends.
 func TestOneWayPartition(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b, c := startNode(t, testAddr(5)), startNode(t, testAddr(6)), startNode(t, testAddr(7))
