--- a/control/decision.go
+++ b/control/decision.go
@@ -13,8 +13,8 @@
 const (
 	// Submit sends Txn to Backend. The submission times out after After. If After is 0, it times out at the expiry of Txn.
 	Submit Action = iota
-	// Reject answers the client that it may safely retry Txn, because Txn has not run and never will, or because its product allows
-	// repeats. The client is advised to retry after After. If After is 0, the answer carries no advice.
+	// Reject answers the client that it may safely retry Txn. Either Txn has not run and never will, or its product allows repeats. The
+	// answer advises the client to retry after After. If After is 0, the answer carries no advice.
 	Reject
 	// Fail answers the client that Txn may have run.
 	Fail
@@ -55,7 +55,7 @@
 	ReasonNoTime Reason = iota
 	// ReasonNoUnits means that the customer's quota is used up.
 	ReasonNoUnits
-	// ReasonNoSnapshot means that the owner of the quota reports it as used up, or that the owner does not answer.
+	// ReasonNoSnapshot means that the owner of the quota reports the quota as used up, or that the owner does not answer.
 	ReasonNoSnapshot
 	// ReasonNoSlot means that the customer has its maximum number of submissions in flight.
 	ReasonNoSlot
--- a/control/loadbalancer/capacity.go
+++ b/control/loadbalancer/capacity.go
@@ -27,14 +27,14 @@
 }
 
 // adjustCapacity adapts the number of submissions that this front door may have in flight. It learns from its own submissions and from those
-// that peers report. A late response lowers the capacity, and a prompt one raises it while the capacity is in use. This protects against
-// overload, a slow fleet and lost backends alike. It may do harm if the work of a product alone takes nearly its SLA time.
+// that peers report. A late response lowers the capacity. A prompt response raises it while the capacity is in use. This adaptation protects against
+// overload, a slow fleet and lost backends. It may lower the capacity needlessly if the work of a product takes nearly its SLA time.
 func (c *Controller) adjustCapacity(congestion quota.Congestion) {
 	if congestion == quota.NotCongested && c.underPressure() {
 		c.capacity = min(maxCapacity, c.capacity*(1+c.capacityGain))
 	}
 	// A front door with spare capacity does not cause the lateness. Exponentially distributed work times also cause some late responses
-	// without any congestion. These would lower the capacity while nothing raises it.
+	// without any congestion. Such responses would lower the capacity while no response raises it.
 	if congestion == quota.Congested && c.utilization >= minUtilization && c.underPressure() {
 		c.capacity, c.capacityGain = max(minCapacity/float64(c.gateways), c.capacity*(1-capacityLoss)), capacityGain
 	}
--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -13,7 +13,7 @@
 // Controller decides for one front door. It is not safe for concurrent use. All times are on the host's clock.
 type Controller struct {
 	// Settings.
-	gateways           int // number of front doors, including this one
+	gateways           int // number of front doors, including this one; package quota calls a front door a gateway
 	zone               control.ZoneID
 	products           []product
 	plans              []plan
@@ -144,9 +144,9 @@
 	return &c.plans[id].Limit
 }
 
-// Now sets the clock, which never goes back. If the process stalled since the last call, the stall itself causes time-outs, missing
-// responses and old snapshots, so they do not count against backends or peers. Txns that arrived during the stall have waited already. See
-// backdateArrivals.
+// Now sets the clock, which never goes back. If the process stalled since the last call, the stall caused time-outs, missing
+// responses and old snapshots. They do not count against backends or peers. The txns that arrived during the stall have already used up a
+// part of their SLA time, which backdateArrivals subtracts.
 func (c *Controller) Now(now time.Duration) {
 	if c.now > c.startedAt && now-c.now > stallThreshold {
 		c.stallStart, c.stallEnd = c.now, now
@@ -245,7 +245,8 @@
 	return control.Decision{Action: control.Wake, After: c.wakeAt - c.now}, true
 }
 
-// Woken reports a scheduled wake-up. It does nothing, because Next takes the work that is due from the clock.
+// Woken reports a scheduled wake-up. It does nothing. The host calls Next after it, and Next compares the clock with the times at which work
+// is due.
 func (c *Controller) Woken(uint64) {}
 
 // DatagramReceived applies a datagram from a peer.
--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -8,8 +8,8 @@
 	"clovergap/control/quota"
 )
 
-// Guards against too many or too few retries of an inquiry-like txn. After each kind of failure, it is retried until it has had
-// max_submissions submissions, and is then rejected.
+// Guards against too many or too few retries of an inquiry-like txn. After each kind of failure, the txn is retried until it has had
+// max_submissions submissions. Then it is rejected.
 func Example_retriesByEnding() {
 	s := newWarmScenario()
 	c := ownedBy(0)
@@ -76,21 +76,21 @@
 // Guards against a once-only txn that runs twice. It is retried only if its submission provably did not run.
 func Example_onceOnlyIsRetriedOnlyIfNotRun() {
 	s := newWarmScenario()
-	fmt.Println("# proved not to have run: retried at another backend, then rejected")
+	fmt.Println("# the submission provably did not run: the txn is retried at another backend, then rejected")
 	s.arrive(1, ownedBy(0), 2, 0)
 	s.endSubmission(1, control.Unreachable)
 	s.endSubmission(1, control.Rejected)
 	s.endSubmission(1, control.Rejected)
-	fmt.Println("# may have run: failed at once")
+	fmt.Println("# the submission may have run: the txn is failed at once")
 	s.arrive(2, ownedBy(0), 2, 0)
 	s.endSubmission(2, control.Errored)
 	// Output:
-	// # proved not to have run: retried at another backend, then rejected
+	// # the submission provably did not run: the txn is retried at another backend, then rejected
 	// 10000 submit 1 to 1
 	// 10000 submit 1 to 3
 	// 10000 submit 1 to 1
 	// 10000 reject 1, 2000
-	// # may have run: failed at once
+	// # the submission may have run: the txn is failed at once
 	// 10000 submit 2 to 2
 	// 10000 fail 2
 }
@@ -165,27 +165,27 @@
 func Example_warmUpBudgetLimitsSubmissions() {
 	s := newWarmScenario()
 	s.changeEndpoints(false, control.Endpoint{ID: 1, State: control.Ready, Started: 9900 * time.Millisecond})
-	fmt.Println("with warm backends, submissions per second:")
+	fmt.Println("two backends are warm and one is warming up:")
 	for at := 10000; at < 14000; at += 1000 {
-		fmt.Println(" warming up", s.countSubmissionsTo(1, at, at+1000))
+		fmt.Println(" submissions in one second to the backend that is warming up:", s.countSubmissionsTo(1, at, at+1000))
 	}
 	s = newScenario(settings(0), 0)
 	s.advance(20000)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready, Started: 19900 * time.Millisecond})
-	fmt.Println("without warm backends, whose rate is unknown:")
+	fmt.Println("the only backend is warming up, so the rate of a warm backend is unknown:")
 	for at := 20000; at < 23000; at += 1000 {
-		fmt.Println(" warming up", s.countSubmissionsTo(1, at, at+1000))
+		fmt.Println(" submissions in one second to the backend that is warming up:", s.countSubmissionsTo(1, at, at+1000))
 	}
 	// Output:
-	// with warm backends, submissions per second:
-	//  warming up 4
-	//  warming up 8
-	//  warming up 9
-	//  warming up 13
-	// without warm backends, whose rate is unknown:
-	//  warming up 1
-	//  warming up 3
-	//  warming up 6
+	// two backends are warm and one is warming up:
+	//  submissions in one second to the backend that is warming up: 4
+	//  submissions in one second to the backend that is warming up: 8
+	//  submissions in one second to the backend that is warming up: 9
+	//  submissions in one second to the backend that is warming up: 13
+	// the only backend is warming up, so the rate of a warm backend is unknown:
+	//  submissions in one second to the backend that is warming up: 1
+	//  submissions in one second to the backend that is warming up: 3
+	//  submissions in one second to the backend that is warming up: 6
 }
 
 // Guards against a front door that exceeds the hard limit of a customer by a restart.
@@ -196,18 +196,18 @@
 	s.advance(10000)
 	s.controller.capacity = 100
 	c := ownedBy(0)
-	fmt.Println("# the owner's pool and its part are two thirds of the hard limit, and after that only their refill is left")
+	fmt.Println("# the owner's share of the hard limit and its pool hold two thirds of the burst, and after these units only the refill is left")
 	for id := control.TxnID(1); id <= 16; id++ {
 		s.arrive(id, c, 0, 1)
 	}
 	s = newScenario(settings(0), 10000)
 	s.hideDatagrams = true
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
-	fmt.Println("# after the restart, the new epoch starts with an empty part")
+	fmt.Println("# after the restart, the owner's share and its pool are empty in the new epoch")
 	s.arrive(1, c, 0, 1)
 	s.advance(10200)
 	// Output:
-	// # the owner's pool and its part are two thirds of the hard limit, and after that only their refill is left
+	// # the owner's share of the hard limit and its pool hold two thirds of the burst, and after these units only the refill is left
 	// 10000 submit 1 to 1, 446
 	// 10000 submit 2 to 1, 446
 	// 10000 submit 3 to 1, 446
@@ -221,7 +221,7 @@
 	// 10000 submit 11 to 1, 446
 	// 10000 submit 12 to 1, 446
 	// 10000 submit 13 to 1, 446
-	// # after the restart, the new epoch starts with an empty part
+	// # after the restart, the owner's share and its pool are empty in the new epoch
 	// 10100 submit 1 to 1, 356
 }
 
@@ -256,7 +256,7 @@
 	c := ownedBy(0)
 	first := &quota.Message{Epoch: 7, Seq: 1, Deltas: []quota.Delta{{Customer: c, Units: 3, SetWidth: 3}}}
 	second := &quota.Message{Epoch: 7, Seq: 2, Deltas: []quota.Delta{{Customer: c, Units: 5, SetWidth: 3}}}
-	fmt.Println("# deltas out of order and repeated: each is applied once")
+	fmt.Println("# deltas arrive out of order and repeatedly: each delta is applied once")
 	s.receive(1, second)
 	s.controller.sweptAt = 20 * time.Second // no sweep, which would refill the bucket
 	s.advance(10100)
@@ -268,7 +268,7 @@
 	s.controller.DatagramReceived(1, []byte{1, 2, 3})
 	fmt.Println(s.controller.quota.BadDatagrams())
 	// Output:
-	// # deltas out of order and repeated: each is applied once
+	// # deltas arrive out of order and repeatedly: each delta is applied once
 	// 10000 datagram to 1: snapshot left 15 sharers 2 ack 2
 	// 10100 datagram to 1: snapshot left 13 sharers 2 ack 2
 	// 10200 datagram to 1: snapshot left 14 sharers 2 ack 2
@@ -287,7 +287,7 @@
 		s.arrive(id, c, 0, 0)
 	}
 	s.advance(10050)
-	fmt.Println("# lost datagram: the delta is sent again with its sequence number")
+	fmt.Println("# a datagram is lost: its delta is sent again with the same sequence number")
 	s.advance(10200)
 	fmt.Println("# the snapshot acknowledges the first two deltas and leaves four units, of which two were used since")
 	snapshot := func(version uint64, left float64) *quota.Message {
@@ -301,7 +301,7 @@
 	s.arrive(12, c, 0, 0)
 	s.arrive(13, c, 0, 0)
 	s.advance(10500)
-	fmt.Println("# expired snapshot: only the burst share is left, and the owner is asked again")
+	fmt.Println("# the snapshot has expired: only the burst share is left, and the owner is asked again")
 	s.advance(11900)
 	s.arrive(14, c, 0, 0)
 	// Output:
@@ -314,7 +314,7 @@
 	// 10000 submit 5 to 2, 446
 	// 10000 submit 6 to 2, 446
 	// 10050 datagram to 1: delta 2 used 5
-	// # lost datagram: the delta is sent again with its sequence number
+	// # a datagram is lost: its delta is sent again with the same sequence number
 	// 10150 datagram to 1: delta 1 used 1
 	// 10200 reject 7, 100
 	// 10200 reject 8, 100
@@ -326,7 +326,7 @@
 	// 10200 submit 13 to 3, 446
 	// 10250 datagram to 1: delta 3 used 3
 	// 10400 datagram to 1: delta 3 used 3
-	// # expired snapshot: only the burst share is left, and the owner is asked again
+	// # the snapshot has expired: only the burst share is left, and the owner is asked again
 	// 10650 datagram to 1: delta 3 used 3
 	// 11150 datagram to 1: delta 3 used 3
 	// 11900 submit 14 to 1, 446
@@ -413,7 +413,7 @@
 	// 10000 reject 3, 2000
 }
 
-// Guards against txns beyond the quota that use capacity which others lack.
+// Guards against txns beyond the quota that use capacity that other txns lack.
 func Example_exceedQuotaWithSpareCapacity() {
 	s := newWarmScenario()
 	s.controller.plans[0].overQuotaValue, s.controller.plans[0].overQuotaCost = 0.3, 0
@@ -422,13 +422,13 @@
 	s.controller.plans[0].Rate = 1
 	fmt.Println("# no units, spare capacity, no charge: the txn is submitted and consumes no units")
 	s.arrive(1, c, 0, 0)
-	fmt.Println("# a txn lacked capacity recently: rejected with the delay until units are available")
+	fmt.Println("# a txn lacked capacity recently: the next txn is rejected, and its retry delay is the time until units are available")
 	s.controller.saturatedAt = s.controller.now
 	s.arrive(2, c, 0, 0)
 	// Output:
 	// # no units, spare capacity, no charge: the txn is submitted and consumes no units
 	// 10000 submit 1 to 1, 446
-	// # a txn lacked capacity recently: rejected with the delay until units are available
+	// # a txn lacked capacity recently: the next txn is rejected, and its retry delay is the time until units are available
 	// 10000 reject 2, 1000
 }
 
@@ -461,8 +461,8 @@
 	// reserved: 0
 }
 
-// Guards against a retry that gets a full SLA time again. A client's time-out counts from its first attempt, so the expiry of a retry shows how
-// long ago the first attempt was.
+// Guards against a retry that gets the full SLA time again. A client's time-out counts from its first attempt. So the expiry of a retry shows
+// how long ago the first attempt was.
 func Example_retryUsesRemainingSLATime() {
 	s := newWarmScenario()
 	c := ownedBy(0)
@@ -471,27 +471,27 @@
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + left})
 		s.printDecisions()
 	}
-	fmt.Println("# no first attempt was seen: the retry may be late and leaves the low bucket to others")
+	fmt.Println("# no first attempt was seen: retry 1 may be late, so it is rejected and leaves the units of the low bucket to other txns")
 	retry(1, 1900*time.Millisecond)
 	s.arrive(2, ownedBy(0), 0, 0)
-	fmt.Println("# 100 ms have passed: treated as a first attempt with 100 ms less time")
+	fmt.Println("# the first attempt was 100 ms ago: retry 3 is treated as a first attempt whose SLA time is 100 ms shorter")
 	retry(3, 1900*time.Millisecond)
-	fmt.Println("# 600 ms have passed and the SLA time is over: rejected at once")
+	fmt.Println("# the first attempt was 600 ms ago: the SLA time of retry 4 is over, so the retry is rejected at once")
 	retry(4, 1400*time.Millisecond)
-	fmt.Println("# late responses still have a value: treated as a late retry")
+	fmt.Println("# late responses of the product have a value: retry 5 is treated as a late retry and is rejected, because the bucket is low")
 	s.controller.products[0].lateValue = 0.2
 	for c++; quota.OwnerOf(c, 0, 3, 3) != 0; c++ { // another customer, because the first one has spent one of its five units
 	}
 	retry(5, 1400*time.Millisecond)
 	// Output:
-	// # no first attempt was seen: the retry may be late and leaves the low bucket to others
+	// # no first attempt was seen: retry 1 may be late, so it is rejected and leaves the units of the low bucket to other txns
 	// 10000 reject 1, 600
 	// 10000 submit 2 to 1, 446
-	// # 100 ms have passed: treated as a first attempt with 100 ms less time
+	// # the first attempt was 100 ms ago: retry 3 is treated as a first attempt whose SLA time is 100 ms shorter
 	// 10000 submit 3 to 1, 356
-	// # 600 ms have passed and the SLA time is over: rejected at once
+	// # the first attempt was 600 ms ago: the SLA time of retry 4 is over, so the retry is rejected at once
 	// 10000 reject 4, 2000
-	// # late responses still have a value: treated as a late retry
+	// # late responses of the product have a value: retry 5 is treated as a late retry and is rejected, because the bucket is low
 	// 10000 reject 5, 600
 }
 
@@ -603,7 +603,8 @@
 	// 10000 submit 2 to 1, 446
 }
 
-// Guards against unresponsive backends that never return, even if all backends are unresponsive.
+// Guards against unresponsive backends that stay without submissions after they have recovered. All backends are ejected, also if all of them
+// are unresponsive at the same time, and successful probes readmit them.
 func Example_unresponsiveBackendsAreEjected() {
 	s := newWarmScenario()
 	for _, b := range s.controller.backendsByID {
@@ -644,15 +645,15 @@
 	fmt.Println("time-out at a backend that has not responded since: capacity unchanged:", s.controller.capacity == before)
 	b.unansweredSince = s.controller.now
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
-	fmt.Println("it responded to others meanwhile: capacity lowered:", s.controller.capacity < before)
+	fmt.Println("time-out at a backend that has responded to other txns since: capacity lowered:", s.controller.capacity < before)
 	before, s.controller.saturatedAt = s.controller.capacity, s.controller.now-pressureTTL
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
-	fmt.Println("no txn lacked capacity recently, so the work itself takes long: capacity unchanged:", s.controller.capacity == before)
+	fmt.Println("time-out while no txn has lacked capacity recently, so the work itself takes long: capacity unchanged:", s.controller.capacity == before)
 	// Output:
 	// 10000 submit 1 to 1, 446
 	// time-out at a backend that has not responded since: capacity unchanged: true
-	// it responded to others meanwhile: capacity lowered: true
-	// no txn lacked capacity recently, so the work itself takes long: capacity unchanged: true
+	// time-out at a backend that has responded to other txns since: capacity lowered: true
+	// time-out while no txn has lacked capacity recently, so the work itself takes long: capacity unchanged: true
 }
 
 // Guards against a wide set of gateways that together consume more than a small burst.
@@ -663,11 +664,11 @@
 	s.controller.capacity = 3
 	c := ownedBy(1)
 	s.controller.plans[0].Burst = 2 // less than one unit for each gateway of the set
-	fmt.Println("# new customer, and its burst is too small for a share for each gateway: the owner is asked and has two units")
+	fmt.Println("# the burst of a new customer is less than one unit for each gateway: the owner is asked and has two units")
 	s.arrive(1, c, 0, 0)
 	s.advance(10030)
 	s.receive(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
-	fmt.Println("# the owner has no units: rejected with the delay until there is one")
+	fmt.Println("# the owner has no units: txn 2 is rejected, and its retry delay is the time until the bucket has one unit")
 	s.hideDatagrams = true
 	s.advance(11000)
 	s.hideDatagrams = false
@@ -680,7 +681,7 @@
 	s.hideDatagrams = false
 	s.arrive(3, c, 0, 0)
 	s.advance(13140)
-	fmt.Println("# an owner that has just offered its units to one gateway offers them to no other")
+	fmt.Println("# an owner that has just offered its units to one gateway offers the same units to no other gateway")
 	c = ownedBy(0)
 	s.controller.plans[0].Burst = 1
 	s.hideDatagrams = true
@@ -691,11 +692,11 @@
 		s.receive(g, &quota.Message{Epoch: 9, Seq: 1, Deltas: []quota.Delta{{Customer: c, UnitsWanted: 1, SetWidth: 3}}})
 	}
 	// Output:
-	// # new customer, and its burst is too small for a share for each gateway: the owner is asked and has two units
+	// # the burst of a new customer is less than one unit for each gateway: the owner is asked and has two units
 	// 10000 datagram to 1: delta 1 used 0
 	// 10030 submit 1 to 1, 419
 	// 10030 datagram to 1: delta 2 used 1
-	// # the owner has no units: rejected with the delay until there is one
+	// # the owner has no units: txn 2 is rejected, and its retry delay is the time until the bucket has one unit
 	// 11000 datagram to 1: delta 3 used 0
 	// 11000 reject 2, 100
 	// 11150 datagram to 1: delta 3 used 0
@@ -704,7 +705,7 @@
 	// 12000 cancel 1/0
 	// 13000 datagram to 1: delta 4 used 0
 	// 13140 datagram to 1: delta 5 used 0
-	// # an owner that has just offered its units to one gateway offers them to no other
+	// # an owner that has just offered its units to one gateway offers the same units to no other gateway
 	// 13240 submit 3 to 1, 256
 	// 13790 probe 1
 	// 14000 datagram to 2: snapshot left 1 sharers 3 ack 1
--- a/control/loadbalancer/doc.go
+++ b/control/loadbalancer/doc.go
@@ -4,11 +4,12 @@
 // # Overview
 //
 // A txn that its customer's quota covers (package quota) goes to the first backend in the customer's ranking that has capacity. The ranking
-// orders the backends by a hash of customer and backend (rendezvous hashing), with the backends of the own zone first. So the txns of a
-// customer go to the same few backends. The capacity is the number of submissions that this front door may have in flight at a backend. The
-// controller learns it from responses: late responses lower it and prompt ones raise it. Among hundreds of front doors, each one sends too few
-// submissions to any one backend to learn its state alone. So each front door reports the outcomes of its last submissions (observations) to the
-// others, in datagrams that are sent anyway.
+// orders the backends by a hash of customer and backend (rendezvous hashing). The backends in the zone of the front door come first. So the txns
+// of a customer go to the same few backends. The capacity is the number of submissions that this front door may have in flight at a backend. The
+// controller learns the capacity from responses. Late responses lower it, and prompt responses raise it. With hundreds of front doors, each
+// front door sends too few submissions to one backend to learn the state of the backend alone. So each front door reports the outcomes of its
+// last submissions (observations) to the other front doors. The observations are added to the datagrams of package quota, so they need no
+// datagrams of their own.
 //
 // # Terms
 //
--- a/control/loadbalancer/outcome.go
+++ b/control/loadbalancer/outcome.go
@@ -47,7 +47,8 @@
 }
 
 // recordRejection starts a backoff for a backend that rejected a submission. The backoff doubles with each rejection in a row. A rejection shows
-// nothing about other backends. If it lowered the capacity of all, one backend that always rejects would starve the fleet.
+// nothing about other backends. If a rejection lowered the capacity of all backends, one backend that always rejects would leave all others
+// unused.
 func (c *Controller) recordRejection(b *backend) {
 	b.rejectionBackoffUntil = c.now + rejectionBackoff<<min(b.consecutiveRejections, maxRejectionDoublings)
 	b.consecutiveRejections++
@@ -69,9 +70,9 @@
 }
 
 // applyObservation updates the statistics from the outcome of one submission of this front door or of a peer. It detects slow, failing and
-// lost backends. A peer's observation has the weight of one response and alone can't readmit an ejected backend. The ejections that it
-// causes are bounded by maxEjectedShare, and these backends are tried again like all other ejected ones. A peer that is itself slow may
-// report misleading observations.
+// lost backends. A peer's observation has the weight of one response. One observation of a peer cannot readmit an ejected backend.
+// maxEjectedShare bounds the ejections that a peer's observations cause, and the ejected backends are tried again like all others. A peer
+// that is itself slow may report misleading observations.
 func (c *Controller) applyObservation(b *backend, observation quota.Observation) {
 	switch observation.Ratio {
 	case quota.ObservedLost:
--- a/control/loadbalancer/scenario_test.go
+++ b/control/loadbalancer/scenario_test.go
@@ -24,6 +24,7 @@
 		"report.fields": "inflight", "rules.warm_by": "10000000", "rules.fall_window": "1000000",
 		"rules.cold_from": "0.2", "rules.fall_multiple": "2", "quota.most_units": "1",
 		"quota.mail_per_s": "100", "products.count": "4", "plans.count": "2"}
+	// Each text holds the effect of a product and its repeat scope. The scope names the backends at which a txn may be repeated.
 	for i, kind := range []string{"inquiry-like all", "referenced pod", "once-only all", "referenced all"} {
 		at := fmt.Sprintf("products.%d.", i)
 		var effect, scope string
--- a/control/loadbalancer/txn.go
+++ b/control/loadbalancer/txn.go
@@ -59,9 +59,10 @@
 }
 
 // setDeadlines sets the end of a txn's SLA time. Clients count their SLA time and their time-out from the first attempt. So the expiry of an
-// attempt is the rest of the client's time-out, or less if the time-out of one attempt is shorter, which first attempts show. A retry with
-// SLA time left is treated as a first attempt. A late retry is one whose remaining SLA time is unknown, or whose SLA time is over while a
-// late response still has some value. It leaves low quota buckets and scarce capacity to other txns.
+// attempt is the rest of the client's time-out. The expiry is earlier if the client also has a shorter time-out for one attempt. The expiries
+// of first attempts show that time-out. A retry with SLA time left is treated as a first attempt. A retry is a late retry if its remaining SLA
+// time is unknown, or if its SLA time is over while a late response still has some value. A late retry leaves low quota buckets and scarce
+// capacity to other txns.
 func (c *Controller) setDeadlines(t *txn) {
 	p := &c.products[t.Product]
 	remaining := t.Expiry - c.now
@@ -206,7 +207,8 @@
 }
 
 // finish rejects or fails a txn that gets no response from a backend. No other function does so, which keeps rules 1 and 2. A rejection promises
-// the client that a retry is safe. So it is given only if no submission may have run, or if the product allows repeats at all backends.
+// the client that a retry is safe. So a txn is rejected only if no submission of it may have run, or if its product allows repeats at all
+// backends.
 func (c *Controller) finish(t *txn, retryAfter time.Duration) {
 	if t.ended {
 		return
--- a/control/quota/doc.go
+++ b/control/quota/doc.go
@@ -1,5 +1,6 @@
-// Package quota meters customers over many gateways. No request has to wait for a call to another gateway. Both programs use the
-// package: the gateway's nodes (NewLimiter, limits by customer) and the front doors (NewPlanLimiter, limits by plan).
+// Package quota meters customers over many gateways. No request has to wait for a call to another gateway. Two programs use the package.
+// A node of cmd/gateway calls NewLimiter and has limits per customer. A front door (cmd/clovergap) calls NewPlanLimiter and has limits per
+// plan.
 //
 // # Design
 //
@@ -37,8 +38,8 @@
 //
 // A delta is applied at most once. Deltas may be lost, duplicated or reordered (sequence window of 64, acknowledgement mask of 32).
 //
-// A gateway that starts owns empty buckets. That stands for everything consumed before. The exception is a cluster of which no member
-// is older than two seconds. Its buckets start with Config.InitialFill.
+// The buckets that a gateway owns are empty when the gateway starts. An empty bucket stands for all units that were consumed before. The
+// exception is a cluster of which no member is older than two seconds. The buckets of such a cluster start with Config.InitialFill.
 //
 // In strict mode (Config.Strict, used by the gateway) all gateways together consume at most (1 + Excess) x (rate x Window + burst) +
 // Margin units in any Window, under any partition, loss and restart. docs/gateway.md has the argument. TestBoundHoldsInAnyPartition,
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -28,7 +28,7 @@
 	Strict bool
 	// Window, Excess and Margin define the bound of strict mode, (1 + Excess) x (rate x Window + burst) + Margin units in any Window.
 	Window time.Duration
-	Excess float64 // share of 1
+	Excess float64 // fraction of rate x Window + burst; 1 is 100 %
 	Margin float64 // units
 	// OwnershipDelay is the time for which a bucket stays empty after its owner has changed because of a start or of Grow.
 	OwnershipDelay time.Duration
@@ -140,7 +140,7 @@
 // SetLimit sets a customer's rate in units a second and its burst in units. A lower burst reduces the level at once. After a higher
 // burst, the bucket fills at the rate. A rate of 0 or below stops the metering of the customer. The largest customer ID is 1<<34.
 func (l *Limiter) SetLimit(c control.CustomerID, rate, burst float64) {
-	invariant.Assert(l.options.PlanLimit == nil && c <= 1<<34, "limits are set by customer, and the customer ID fits a message")
+	invariant.Assert(l.options.PlanLimit == nil && c <= 1<<34, "limits are set per customer, and the customer ID fits a message")
 	a := l.accounts[c]
 	switch {
 	case rate <= 0:
@@ -208,10 +208,11 @@
 
 // Grow sets a higher number of gateways, or another ID of this gateway. All owners are computed anew.
 //
-// A bucket that this gateway owns from now on stays empty for Config.OwnershipDelay. That stands for everything consumed before, so no
-// units are spent twice. Units that the old owner has not acknowledged are reported to the new one. If the old owner had applied them,
-// they count twice, and the customer has too few units for a moment. Grants of the old owner are void. An old owner that is partitioned
-// off goes on granting units beside the new one. So gateways must be added only while all of them can reach each other.
+// A bucket that this gateway owns from now on stays empty for Config.OwnershipDelay. The empty bucket stands for all units that were
+// consumed before, so no units are consumed twice. Units that the old owner has not acknowledged are reported to the new owner. If the old
+// owner had applied these units, they count twice, and the customer has too few units for a short time. Grants of the old owner are void.
+// An old owner that is partitioned from the new owner continues to grant units. So gateways must be added only while all gateways can
+// reach each other.
 func (l *Limiter) Grow(self control.GatewayID, gateways int) {
 	invariant.Assert(gateways >= l.gateways && int(self) < gateways, "the number of gateways does not decrease and the gateway ID is below it")
 	before := l.self
--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -81,16 +81,16 @@
 	fmt.Println("# a duplicated grant is applied once, and the share does not exceed its capacity")
 	a.hardShare, m.Version, m.Snapshots[0].Grant = 0, 4, 900
 	s.receive(1, m)
-	fmt.Printf("%.1f of %.1f\n", a.hardShare, s.hardShareCap(a))
+	fmt.Printf("units in the share: %.1f of %.1f\n", a.hardShare, s.hardShareCap(a))
 	a.hardShare = 0
 	s.receive(1, m)
 	fmt.Println("# a grant for an earlier epoch is dropped")
 	m.Version, m.AckEpoch = 5, 77
 	s.receive(1, m)
-	fmt.Printf("%.1f\n", a.hardShare)
+	fmt.Printf("units in the share: %.1f\n", a.hardShare)
 	fmt.Println("# the shares and the pool add up to the hard limit; an owner grants no more than its pool")
 	own := s.Account(ownedAmongThree(0), 0, 0, 3)
-	fmt.Printf("%.1f and twice %.1f of %.1f\n", s.hardShareCap(own), s.hardShareCap(a), a.limit.HardBurst)
+	fmt.Printf("units: owner's share with the pool %.1f, share of each of the two other gateways %.1f, burst of the hard limit %.1f\n", s.hardShareCap(own), s.hardShareCap(a), a.limit.HardBurst)
 	own.hardShare, own.hardShareAt = 2, s.now
 	for seq, want := range []float64{3, 1.5} {
 		s.receive(2, &Message{Epoch: 9, Seq: uint64(seq) + 1, AckEpoch: s.epoch, Deltas: []Delta{{Customer: own.id, Transfer: -want, SetWidth: 3}}})
@@ -107,11 +107,11 @@
 	// units requested: 0.75
 	// allowed: true
 	// # a duplicated grant is applied once, and the share does not exceed its capacity
-	// 3.3 of 3.3
+	// units in the share: 3.3 of 3.3
 	// # a grant for an earlier epoch is dropped
-	// 0.0
+	// units in the share: 0.0
 	// # the shares and the pool add up to the hard limit; an owner grants no more than its pool
-	// 13.3 and twice 3.3 of 20.0
+	// units: owner's share with the pool 13.3, share of each of the two other gateways 3.3, burst of the hard limit 20.0
 	// requested 3.0, granted 0.0
 	// requested 1.5, granted 1.5
 }
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -349,10 +349,11 @@
 	return allowed, exceeded
 }
 
-// TestFewRequestsAreRejectedWithManyGateways guards against unused grants to gateways that see a customer only now and then. A pending
-// request sets unitsWanted anew at each check. Its gateway used to send that along with the report of the request's own units. The owner
-// then granted one more unit, which no gateway used or could get for six seconds. Of a customer at 0.6 of its quota, 30 to 43 percent of
-// the requests were rejected because of this with 300 gateways, and 7 to 35 percent with 24.
+// TestFewRequestsAreRejectedWithManyGateways guards against unused grants to gateways that rarely receive a request of a customer. A
+// pending request sets unitsWanted again at each check. In an earlier version, the gateway sent unitsWanted together with the report of
+// the units that this request had consumed. The owner then granted one more unit. For six seconds, that gateway did not use the unit and no
+// other gateway could get it. For a customer that requests 0.6 of its quota, this fault rejected 30 to 43 percent of the requests with 300
+// gateways, and 7 to 35 percent with 24 gateways.
 func TestFewRequestsAreRejectedWithManyGateways(t *testing.T) {
 	for _, n := range []int{24, 300} {
 		for _, rate := range []float64{4, 16, 60} {
--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -47,7 +47,7 @@
 	for _, a := range l.orderedAccounts {
 		for _, r := range a.reporterStates {
 			if r.from == p.id {
-				r.withheld = 0 // no one reports the units that the former epoch consumed from it
+				r.withheld = 0 // not released, since the former epoch may have consumed these units, and the new epoch does not report them
 			}
 		}
 	}
--- a/control/quota/refill.go
+++ b/control/quota/refill.go
@@ -13,10 +13,10 @@
 // refillAmount returns the refill of an owned bucket for a period. Without strict mode this is the rate. In strict mode it is the parts
 // of the rate that belong to reachable gateways.
 //
-// An unreachable gateway consumes its part on its own. A gateway that has reported and then fallen silent may do the same. Its part is
-// withheld until a message from it arrives, and is then released less the units that it consumed. After reporterLostAfter, a lost gateway
-// has been found unreachable by the host. A silent gateway that is still reachable by then had nothing to report, and its part is
-// released.
+// An unreachable gateway consumes its part without asking the owner. A gateway that has reported and then fallen silent may do the same.
+// The part of such a gateway is withheld until a message from the gateway arrives. Then the part is released, less the units that the
+// gateway consumed. After reporterLostAfter, the host has found every lost gateway unreachable. A silent gateway that is still reachable by
+// then had nothing to report, and its part is released.
 func (l *Limiter) refillAmount(a *Account, period time.Duration) float64 {
 	if !l.config.Strict {
 		return a.limit.Rate * period.Seconds()
--- a/control/types.go
+++ b/control/types.go
@@ -12,7 +12,8 @@
 // CustomerID identifies a customer, to whom a quota belongs. In the gateway, a customer is a tenant.
 type CustomerID uint64
 
-// GatewayID is the index of a front door among its peers, or the slot of a gateway node. Both count from 0.
+// GatewayID identifies one process that meters customers. It is the index of a front door among its peers, or the slot of a node of the
+// gateway. Both count from 0. The package comment explains front door and gateway.
 type GatewayID int
 
 // ProductID identifies a kind of request. It is a product of the front door or a route of the gateway.
