--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -266,14 +266,14 @@
 	s.advance(10300)
 	fmt.Println("# a datagram that cannot be decoded is dropped and counted")
 	s.controller.DatagramReceived(1, []byte{1, 2, 3})
-	fmt.Println(s.controller.quota.BadDatagrams())
+	fmt.Println("dropped datagrams:", s.controller.quota.BadDatagrams())
 	// Output:
 	// # deltas arrive out of order and repeatedly: each delta is applied once
 	// 10000 datagram to 1: snapshot left 15 sharers 2 ack 2
 	// 10100 datagram to 1: snapshot left 13 sharers 2 ack 2
 	// 10200 datagram to 1: snapshot left 14 sharers 2 ack 2
 	// # a datagram that cannot be decoded is dropped and counted
-	// 1
+	// dropped datagrams: 1
 }
 
 // Guards against a front door that consumes more than its burst share and the owner's snapshots allow. Datagrams are lost, snapshots arrive late
@@ -348,7 +348,7 @@
 			if p == 0 && (first == 0 || x.Backend == first) {
 				first, e = x.Backend, control.Errored
 			}
-			fmt.Printf("product %d at %d: %v\n", p, x.Backend, map[control.Ending]string{control.Succeeded: "settled", control.Errored: "error"}[e])
+			fmt.Printf("product %d at backend %d: %v\n", p, x.Backend, map[control.Ending]string{control.Succeeded: "succeeded", control.Errored: "error"}[e])
 			t := s.controller.txns[id]
 			s.controller.SubmissionEnded(id, t.submissions-1, x.Backend, e, e == control.Succeeded, 10*time.Millisecond, nil)
 			x, _ = s.controller.Next()
@@ -356,20 +356,20 @@
 	}
 	// Output:
 	// # product 0 fails at one backend, which is skipped for product 0 and still used for product 3
-	// product 3 at 1: settled
-	// product 0 at 1: error
-	// product 0 at 3: settled
-	// product 3 at 1: settled
-	// product 0 at 1: error
-	// product 0 at 3: settled
-	// product 3 at 1: settled
-	// product 0 at 3: settled
-	// product 3 at 1: settled
-	// product 0 at 3: settled
-	// product 3 at 1: settled
-	// product 0 at 3: settled
-	// product 3 at 1: settled
-	// product 0 at 3: settled
+	// product 3 at backend 1: succeeded
+	// product 0 at backend 1: error
+	// product 0 at backend 3: succeeded
+	// product 3 at backend 1: succeeded
+	// product 0 at backend 1: error
+	// product 0 at backend 3: succeeded
+	// product 3 at backend 1: succeeded
+	// product 0 at backend 3: succeeded
+	// product 3 at backend 1: succeeded
+	// product 0 at backend 3: succeeded
+	// product 3 at backend 1: succeeded
+	// product 0 at backend 3: succeeded
+	// product 3 at backend 1: succeeded
+	// product 0 at backend 3: succeeded
 }
 
 // Guards against a backend that always rejects and so lowers the capacity of all others.
@@ -546,14 +546,14 @@
 		s.advance(at)
 		for _, p := range []control.ProductID{2, 0} {
 			t := &txn{Txn: control.Txn{Product: p}}
-			fmt.Println(at, "product", p, "skips the backend:", s.controller.unresponsive(b, t))
+			fmt.Println("at", at, "ms: a txn of product", p, "skips the backend:", s.controller.unresponsive(b, t))
 		}
 	}
 	// Output:
-	// 10400 product 2 skips the backend: true
-	// 10400 product 0 skips the backend: true
-	// 10800 product 2 skips the backend: true
-	// 10800 product 0 skips the backend: false
+	// at 10400 ms: a txn of product 2 skips the backend: true
+	// at 10400 ms: a txn of product 0 skips the backend: true
+	// at 10800 ms: a txn of product 2 skips the backend: true
+	// at 10800 ms: a txn of product 0 skips the backend: false
 }
 
 // Guards against panics and missing answers for invalid inputs.
@@ -724,7 +724,7 @@
 	}
 	fmt.Println("# of eight txns that arrived during two seconds, only the last two have SLA time left")
 	s.printDecisions()
-	fmt.Println("loss share of the backend:", b.lossShare, "- unresponsive for", s.controller.now-b.unansweredSince)
+	fmt.Println("loss share of the backend:", b.lossShare, "- time without a response:", s.controller.now-b.unansweredSince)
 	// Output:
 	// 10000 submit 1 to 1, 446
 	// # of eight txns that arrived during two seconds, only the last two have SLA time left
@@ -736,10 +736,10 @@
 	// 12000 reject 7, 2000
 	// 12000 submit 8 to 1, 121
 	// 12000 submit 9 to 1, 333
-	// loss share of the backend: 0 - unresponsive for 0s
+	// loss share of the backend: 0 - time without a response: 0s
 }
 
-// Guards against buckets that start full after the restart of one front door. They start full only if all front doors have just started.
+// Guards against buckets that start full after the restart of one front door. Buckets start full only if all front doors have just started.
 func Example_bucketStartsFullInNewCluster() {
 	c := ownedBy(0)
 	for _, age := range []time.Duration{0, 60 * time.Second} {
@@ -749,14 +749,14 @@
 		}
 		s.controller.quota.Account(c, 0, 0, 3)
 		state, _ := s.controller.quota.State(c)
-		fmt.Println("peers started", age, "ago: a bucket starts with", state.Level)
+		fmt.Println("peers started", age, "ago: units at the start of a bucket:", state.Level)
 	}
 	// Output:
-	// peers started 0s ago: a bucket starts with 20
-	// peers started 1m0s ago: a bucket starts with 0
+	// peers started 0s ago: units at the start of a bucket: 20
+	// peers started 1m0s ago: units at the start of a bucket: 0
 }
 
-// Guards against a backend that each front door has to find failing by itself.
+// Guards against front doors that exclude a failing backend only after failures of their own submissions. The observations of a peer suffice.
 func Example_peerObservationsExcludeBackend() {
 	s := newWarmScenario()
 	b := s.controller.backends[2]
@@ -765,11 +765,11 @@
 		m.Observations = append(m.Observations, quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Ratio: quota.ObservedFailed}, quota.Observation{BackendHash: 5, Ratio: 9})
 	}
 	s.receive(1, m)
-	fmt.Println("observed failures: excluded for their product", b.failures[0].excludedUntil > s.controller.now, "and no other", b.failures[1].excludedUntil > s.controller.now)
-	fmt.Println("a backend that is not in the own list is ignored, backends:", len(s.controller.backends))
+	fmt.Println("peers observed failures of product 0: the backend is excluded for product 0:", b.failures[0].excludedUntil > s.controller.now, "- for product 1:", b.failures[1].excludedUntil > s.controller.now)
+	fmt.Println("an observation of a backend that is not in the list of this front door is ignored, number of backends:", len(s.controller.backends))
 	// Output:
-	// observed failures: excluded for their product true and no other false
-	// a backend that is not in the own list is ignored, backends: 3
+	// peers observed failures of product 0: the backend is excluded for product 0: true - for product 1: false
+	// an observation of a backend that is not in the list of this front door is ignored, number of backends: 3
 }
 
 // Guards against state that is never removed or is removed too early. A backend that is gone is removed at once, and an owned customer only
@@ -780,7 +780,7 @@
 	for i := 4; i < 500; i++ {
 		s.changeEndpoints(false, control.Endpoint{ID: control.BackendID(i - 1)}, control.Endpoint{ID: control.BackendID(i), State: control.Ready})
 	}
-	fmt.Println("backends", len(s.controller.backendsByID), len(s.controller.backends), len(s.controller.backendsByHash))
+	fmt.Println("backends in the list and in the two maps:", len(s.controller.backendsByID), len(s.controller.backends), len(s.controller.backendsByHash))
 	s.controller.plans[0].Rate = 2
 	s.arrive(1, mine, 0, 0)
 	s.endSubmission(1, control.Succeeded)
@@ -792,14 +792,14 @@
 			Deltas: []quota.Delta{{Customer: mine, Units: 15, SetWidth: 3}}})
 	}
 	state, _ := s.controller.quota.State(mine)
-	fmt.Printf("level %.0f, customers %d\n", state.Level, s.controller.quota.CustomerCount())
+	fmt.Printf("units in the bucket %.0f, customers %d\n", state.Level, s.controller.quota.CustomerCount())
 	s.advance(40000)
 	fmt.Println("customers", s.controller.quota.CustomerCount())
 	// Output:
-	// backends 3 3 3
+	// backends in the list and in the two maps: 3 3 3
 	// 10000 submit 1 to 1, 446
 	// 10000 submit 2 to 2, 446
-	// level 0, customers 1
+	// units in the bucket 0, customers 1
 	// customers 0
 }
 
@@ -810,26 +810,26 @@
 	b := s.controller.backends[1]
 	report := func(inFlight float64) {
 		s.controller.SubmissionEnded(0, 0, 1, control.Succeeded, true, 0, []float64{inFlight})
-		fmt.Printf("reported %g: load %.1f\n", inFlight, s.controller.loadOf(b))
+		fmt.Printf("reported in flight %g: load of the backend %.1f\n", inFlight, s.controller.loadOf(b))
 	}
 	s.controller.refreshBackends()
 	report(1e5)
 	report(20)
 	for t := 11000; t <= 14000; t += 1000 {
 		s.advance(t)
-		fmt.Printf("%d: load %.1f\n", t, s.controller.loadOf(b))
+		fmt.Printf("at %d ms: load of the backend %.1f\n", t, s.controller.loadOf(b))
 	}
 	// Output:
-	// reported 100000: load 0.0
-	// reported 20: load 10.0
-	// 11000: load 7.5
-	// 12000: load 5.0
-	// 13000: load 2.5
-	// 14000: load 0.0
+	// reported in flight 100000: load of the backend 0.0
+	// reported in flight 20: load of the backend 10.0
+	// at 11000 ms: load of the backend 7.5
+	// at 12000 ms: load of the backend 5.0
+	// at 13000 ms: load of the backend 2.5
+	// at 14000 ms: load of the backend 0.0
 }
 
-// Guards against late load reports that move customers between backends all the time. A backend with somewhat more load keeps its customers.
-// Only one with far more than the mean load loses them.
+// Guards against late load reports that repeatedly move customers between backends. A backend with somewhat more load keeps its customers.
+// Only a backend with far more than the mean load loses customers.
 func Example_reportedLoadKeepsRanking() {
 	s := newScenario(settings(0), 0)
 	for id := control.BackendID(1); id <= 20; id++ {
@@ -850,13 +850,13 @@
 			x.inFlightElsewhere, x.loadReportedAt = 1, s.controller.now
 		}
 		b.inFlightElsewhere = inFlight
-		fmt.Printf("the backend has %.0f in flight, the others 1: still first: %v\n", inFlight, first(control.TxnID(i+2)) == b)
+		fmt.Printf("submissions in flight: %.0f at the backend, 1 at each other backend; the backend is still picked: %v\n", inFlight, first(control.TxnID(i+2)) == b)
 		s.endSubmission(control.TxnID(i+2), control.Succeeded)
 	}
 	// Output:
 	// 10000 submit 1 to 14, 446
 	// 10000 submit 2 to 14, 446
-	// the backend has 4 in flight, the others 1: still first: true
+	// submissions in flight: 4 at the backend, 1 at each other backend; the backend is still picked: true
 	// 10000 submit 3 to 1, 446
-	// the backend has 40 in flight, the others 1: still first: false
+	// submissions in flight: 40 at the backend, 1 at each other backend; the backend is still picked: false
 }
--- a/control/loadbalancer/pick.go
+++ b/control/loadbalancer/pick.go
@@ -140,8 +140,8 @@
 	return b.failures[t.Product].excludedUntil > c.now
 }
 
-// unresponsive reports whether a backend has not responded for longer than such txns take. An inquiry-like txn tries the backend again after
-// each trialInterval. Without these trials, a backend with too few unanswered submissions to be ejected would never get another chance to
+// unresponsive reports whether a txn must avoid a backend that has not responded for too long. The limit is derived from the usual response
+// time of the txn. An inquiry-like txn tries the backend again after each trialInterval. Without these trials, a backend with too few unanswered submissions to be ejected would never get another chance to
 // respond.
 func (c *Controller) unresponsive(b *backend, t *txn) bool {
 	if b.unanswered < 2 {
@@ -160,7 +160,7 @@
 	return (float64(b.inFlight) + elsewhere) * max(b.slowdown/c.medianSlowdown, minLoadSlowdown) / b.warmUpShare
 }
 
-// slowStartShare returns the share of its capacity that a backend may use after an ejection. It grows linearly from minSlowStartShare to 1
+// slowStartShare returns the share of its capacity that a backend may use after an ejection. The share grows linearly from minSlowStartShare to 1
 // within slowStartTime.
 func (c *Controller) slowStartShare(b *backend) float64 {
 	if b.slowStartedAt == 0 || c.now-b.slowStartedAt > slowStartTime {
@@ -183,7 +183,7 @@
 	b.warmUpTokensExpire = maxTokens < 1
 	if !b.warmUpTokensExpire {
 		b.warmUpTokens = min(b.warmUpTokens, maxTokens)
-	} else if b.warmUpTokens > 1+maxTokens { // unused tokens expire, or hundreds of front doors could use their saved tokens at once
+	} else if b.warmUpTokens > 1+maxTokens { // unused tokens expire; otherwise hundreds of front doors could use their saved tokens at once
 		b.warmUpTokens -= math.Floor(b.warmUpTokens - maxTokens)
 	}
 	return b.warmUpTokens
--- a/control/quota/allowance.go
+++ b/control/quota/allowance.go
@@ -8,8 +8,8 @@
 // refillAllowance refills the allowance of a customer up to the present and returns it. The allowance is what this gateway may consume
 // without the owner's knowledge, with or without a snapshot.
 //
-// All gateways together have as allowance what the bound leaves beyond rate x Window + burst. Each gateway gets an equal part, some of
-// it at once and the rest over a window. The allowance is empty at the start of each epoch, and a partition does not renew it. Units that
+// The allowances of all gateways together are the units of the bound beyond rate x Window + burst. Each gateway gets an equal part of them.
+// A share of the part (allowanceBurstShare) is available at once, and the rest is added over a window. The allowance is empty at the start of each epoch, and a partition does not renew it. Units that
 // the owner acknowledges while its bucket has units left are returned to the allowance (confirmAllowance). While the gateway is isolated
 // (isolationStart), the allowance also gets the gateway's part of the rate, but the maximum that can be saved up stays the same.
 func (l *Limiter) refillAllowance(a *Account) float64 {
@@ -28,9 +28,9 @@
 // isolationStart returns the time from which this gateway may consume its part of the rate on its own. The result is the present or
 // later if it may not do so yet.
 //
-// The owner must be unresponsive, and one of two conditions must hold. Either the owner received a report shortly before, and so
-// withholds this gateway's part of the rate. Or the host has found the owner unreachable for so long that the owner's host has found this
-// gateway unreachable as well.
+// The owner must be unresponsive, and one of two conditions must hold. In the first, the owner received a report shortly before it became
+// unresponsive, and therefore withholds this gateway's part of the rate. In the second, this gateway's host found the owner unreachable so
+// long ago that the owner's host has found this gateway unreachable as well.
 func (l *Limiter) isolationStart(a *Account) time.Duration {
 	owner, askedAt := l.peers[a.owner], a.snapshotRequestedAt
 	for _, u := range owner.unacked {
@@ -52,8 +52,8 @@
 }
 
 // confirmAllowance settles the acknowledged units of the allowance by the level in the owner's new snapshot. If units are left, the
-// bucket covered the acknowledged units, and they are returned to the allowance. Otherwise they exceeded the bucket, and the allowance
-// regains them only by its refill.
+// bucket covered the acknowledged units, and these units are returned to the allowance. Otherwise the acknowledged units exceeded the bucket,
+// and only the refill of the allowance replaces them.
 func (l *Limiter) confirmAllowance(a *Account, level float64) {
 	settled := min(a.allowanceAcked, a.allowanceUsed)
 	l.refillAllowance(a)
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -32,8 +32,9 @@
 
 // Check reports whether a customer's quota covers a request. A customer without a limit is not metered, so its requests are allowed.
 //
-// With Pending, the duration is the clock time until which to wait at most. With Exceeded, it is the duration after which there
-// may be units. Check takes no units. Consume takes them, and Reserve keeps them for a request that has to wait for something else.
+// With Pending, the returned duration is the clock time until which the request waits at most. With Exceeded, it is the time from now after
+// which there may be units. Check takes no units. Consume takes them, and Reserve keeps them for a request that has to wait for another
+// resource.
 func (l *Limiter) Check(c control.CustomerID, r Request) (Outcome, time.Duration) {
 	a := l.accounts[c]
 	if a == nil {
--- a/control/quota/consume.go
+++ b/control/quota/consume.go
@@ -2,7 +2,7 @@
 
 import "clovergap/control"
 
-// Reserve keeps units that Check allowed for a request that still has to wait for something else. Release ends the reservation.
+// Reserve keeps units that Check allowed for a request that still has to wait for another resource. Release ends the reservation.
 func (l *Limiter) Reserve(c control.CustomerID, units float64) {
 	if a := l.accounts[c]; a != nil {
 		l.reserve(a, units)
@@ -64,9 +64,9 @@
 	}
 }
 
-// draw takes units from an owned bucket. Units that the bucket does not hold exceeded the quota. Without strict mode they are ignored. In
-// strict mode they take the level below 0, and later refills pay them back. The debt is limited (maxDebtTime), so that old use is not paid
-// back for long.
+// draw takes units from an owned bucket. Units that the bucket does not hold exceed the quota. Without strict mode, draw ignores these
+// units. In strict mode, these units lower the level below 0, and later refills raise it again. The debt is limited (maxDebtTime), so that
+// old use does not reduce the quota for long.
 //
 // When the level falls below one unit, draw schedules a snapshot for each recent reporter whose last snapshot showed units.
 func (l *Limiter) draw(a *Account, units float64) {
--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -123,7 +123,7 @@
 		Snapshots: []Snapshot{{1<<33 - 1, 65535, 1000, maxValue, 65535}}}
 	b := m.Encode()
 	decoded, err := DecodeMessage(b)
-	fmt.Println(decoded.Deltas[0] == m.Deltas[0], decoded.Snapshots[0] == m.Snapshots[0], decoded.Interval == m.Interval, err)
+	fmt.Println("decoded delta, snapshot and interval are equal, and the error:", decoded.Deltas[0] == m.Deltas[0], decoded.Snapshots[0] == m.Snapshots[0], decoded.Interval == m.Interval, err)
 	fmt.Println("# a datagram cut short at any byte, too long, or with a number out of range is dropped and counted, and changes no state")
 	s := newPlanScenario()
 	for n := range b {
@@ -132,11 +132,11 @@
 	s.DatagramReceived(1, append(b, 0))
 	m.Deltas[0].SetWidth = 1 << 30
 	s.DatagramReceived(1, m.Encode())
-	fmt.Println(s.badDatagrams == len(b)+2, len(s.accounts), s.peers[1].receivedAt)
+	fmt.Println("all are counted, number of accounts, time of the last datagram:", s.badDatagrams == len(b)+2, len(s.accounts), s.peers[1].receivedAt)
 	// Output:
-	// true true true <nil>
+	// decoded delta, snapshot and interval are equal, and the error: true true true <nil>
 	// # a datagram cut short at any byte, too long, or with a number out of range is dropped and counted, and changes no state
-	// true 0 0s
+	// all are counted, number of accounts, time of the last datagram: true 0 0s
 }
 
 func Example_wrongSetFromAPeer() {
@@ -144,12 +144,12 @@
 	c := ownedAmongThree(0)
 	s.receive(1, &Message{Epoch: 7, Seq: 1, Deltas: []Delta{{Customer: c, SetWidth: 1}}})
 	a := s.accounts[c]
-	fmt.Println("a peer names a set of this gateway alone: width", a.setWidth, "has share", s.refillHardShare(a) > 0)
+	fmt.Println("a peer names a set of this gateway alone: set width", a.setWidth, "has units of the hard limit", s.refillHardShare(a) > 0)
 	s.checkAndConsume(s.Account(c, 0, 0, 3))
-	fmt.Println("a txn names a set of three: width", a.setWidth, "share", a.hardShare)
+	fmt.Println("a txn names a set of three gateways: set width", a.setWidth, "units of the hard limit", a.hardShare)
 	// Output:
-	// a peer names a set of this gateway alone: width 1 has share true
-	// a txn names a set of three: width 3 share 0
+	// a peer names a set of this gateway alone: set width 1 has units of the hard limit true
+	// a txn names a set of three gateways: set width 3 units of the hard limit 0
 }
 
 // An owned account is removed only after its bucket is full again.
@@ -158,13 +158,13 @@
 	s.checkAndConsume(s.Account(ownedAmongThree(0), 0, 0, 3))
 	own := s.accounts[ownedAmongThree(0)]
 	own.level = -200 // full again after 22 s
-	fmt.Println("customers", len(s.orderedAccounts), len(s.accounts))
+	fmt.Println("accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
 	s.advance(30 * time.Second)
-	fmt.Println("customers", len(s.orderedAccounts), len(s.accounts))
+	fmt.Println("accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
 	s.advance(40 * time.Second)
-	fmt.Println("customers", len(s.orderedAccounts), len(s.accounts))
+	fmt.Println("accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
 	// Output:
-	// customers 1 1
-	// customers 1 1
-	// customers 0 0
+	// accounts in the list and in the map: 1 1
+	// accounts in the list and in the map: 1 1
+	// accounts in the list and in the map: 0 0
 }
--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -2,9 +2,9 @@
 
 import "clovergap/control"
 
-// DatagramReceived applies a peer's datagram. It returns true if the datagram may change the result of a check, so that pending requests
-// have to be checked again. It drops and counts a datagram that is malformed or comes from no known peer. It drops a datagram of a former
-// epoch.
+// DatagramReceived applies a peer's datagram. It returns true if the datagram may change the result of a check. Then the caller must check
+// pending requests again. DatagramReceived drops and counts a datagram that is malformed or does not come from a known peer. It drops, but
+// does not count, a datagram of a former epoch.
 func (l *Limiter) DatagramReceived(from control.GatewayID, payload []byte) (recheck bool) {
 	m, err := DecodeMessage(payload)
 	if err != nil || from < 0 || int(from) >= len(l.peers) || from == l.self {
@@ -36,7 +36,7 @@
 }
 
 // beginPeerEpoch starts a new epoch of a peer that has restarted. It returns false if the epoch has already ended. Reports to the former
-// epoch are dropped, because the buckets of the new epoch start empty, which stands for all earlier use.
+// epoch are dropped. The buckets of the new epoch start empty, and the empty buckets stand for all units that were consumed before.
 func (l *Limiter) beginPeerEpoch(p *peer, epoch uint32) bool {
 	if p.isRetired(epoch) {
 		return false
