--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -81,16 +81,16 @@
 	fmt.Println("# a duplicated grant is applied once, and the share does not exceed its capacity")
 	a.hardShare, m.Version, m.Snapshots[0].Grant = 0, 4, 900
 	s.receive(1, m)
-	fmt.Printf("%.1f of %.1f\n", a.hardShare, s.hardShareCap(a))
+	fmt.Printf("units in the share: %.1f of %.1f\n", a.hardShare, s.hardShareCap(a))
 	a.hardShare = 0
 	s.receive(1, m)
 	fmt.Println("# a grant for an earlier epoch is dropped")
 	m.Version, m.AckEpoch = 5, 77
 	s.receive(1, m)
-	fmt.Printf("%.1f\n", a.hardShare)
+	fmt.Printf("units in the share: %.1f\n", a.hardShare)
 	fmt.Println("# the shares and the pool add up to the hard limit; an owner grants no more than its pool")
 	own := s.Account(ownedAmongThree(0), 0, 0, 3)
-	fmt.Printf("%.1f and twice %.1f of %.1f\n", s.hardShareCap(own), s.hardShareCap(a), a.limit.HardBurst)
+	fmt.Printf("units: owner's share with the pool %.1f, share of each of the two other gateways %.1f, burst of the hard limit %.1f\n", s.hardShareCap(own), s.hardShareCap(a), a.limit.HardBurst)
 	own.hardShare, own.hardShareAt = 2, s.now
 	for seq, want := range []float64{3, 1.5} {
 		s.receive(2, &Message{Epoch: 9, Seq: uint64(seq) + 1, AckEpoch: s.epoch, Deltas: []Delta{{Customer: own.id, Transfer: -want, SetWidth: 3}}})
@@ -107,11 +107,11 @@
 	// units requested: 0.75
 	// allowed: true
 	// # a duplicated grant is applied once, and the share does not exceed its capacity
-	// 3.3 of 3.3
+	// units in the share: 3.3 of 3.3
 	// # a grant for an earlier epoch is dropped
-	// 0.0
+	// units in the share: 0.0
 	// # the shares and the pool add up to the hard limit; an owner grants no more than its pool
-	// 13.3 and twice 3.3 of 20.0
+	// units: owner's share with the pool 13.3, share of each of the two other gateways 3.3, burst of the hard limit 20.0
 	// requested 3.0, granted 0.0
 	// requested 1.5, granted 1.5
 }
@@ -123,7 +123,7 @@
 		Snapshots: []Snapshot{{1<<33 - 1, 65535, 1000, maxValue, 65535}}}
 	b := m.Encode()
 	decoded, err := DecodeMessage(b)
-	fmt.Println(decoded.Deltas[0] == m.Deltas[0], decoded.Snapshots[0] == m.Snapshots[0], decoded.Interval == m.Interval, err)
+	fmt.Println("decoded delta, snapshot and interval are equal, and the error:", decoded.Deltas[0] == m.Deltas[0], decoded.Snapshots[0] == m.Snapshots[0], decoded.Interval == m.Interval, err)
 	fmt.Println("# a datagram cut short at any byte, too long, or with a number out of range is dropped and counted, and changes no state")
 	s := newPlanScenario()
 	for n := range b {
@@ -132,11 +132,11 @@
 	s.DatagramReceived(1, append(b, 0))
 	m.Deltas[0].SetWidth = 1 << 30
 	s.DatagramReceived(1, m.Encode())
-	fmt.Println(s.badDatagrams == len(b)+2, len(s.accounts), s.peers[1].receivedAt)
+	fmt.Println("all are counted, number of accounts, time of the last datagram:", s.badDatagrams == len(b)+2, len(s.accounts), s.peers[1].receivedAt)
 	// Output:
-	// true true true <nil>
+	// decoded delta, snapshot and interval are equal, and the error: true true true <nil>
 	// # a datagram cut short at any byte, too long, or with a number out of range is dropped and counted, and changes no state
-	// true 0 0s
+	// all are counted, number of accounts, time of the last datagram: true 0 0s
 }
 
 func Example_wrongSetFromAPeer() {
@@ -144,12 +144,12 @@
 	c := ownedAmongThree(0)
 	s.receive(1, &Message{Epoch: 7, Seq: 1, Deltas: []Delta{{Customer: c, SetWidth: 1}}})
 	a := s.accounts[c]
-	fmt.Println("a peer names a set of this gateway alone: width", a.setWidth, "has share", s.refillHardShare(a) > 0)
+	fmt.Println("a peer names a set of this gateway alone: set width", a.setWidth, "has units of the hard limit", s.refillHardShare(a) > 0)
 	s.checkAndConsume(s.Account(c, 0, 0, 3))
-	fmt.Println("a txn names a set of three: width", a.setWidth, "share", a.hardShare)
+	fmt.Println("a txn names a set of three gateways: set width", a.setWidth, "units of the hard limit", a.hardShare)
 	// Output:
-	// a peer names a set of this gateway alone: width 1 has share true
-	// a txn names a set of three: width 3 share 0
+	// a peer names a set of this gateway alone: set width 1 has units of the hard limit true
+	// a txn names a set of three gateways: set width 3 units of the hard limit 0
 }
 
 // An owned account is removed only after its bucket is full again.
@@ -158,13 +158,13 @@
 	s.checkAndConsume(s.Account(ownedAmongThree(0), 0, 0, 3))
 	own := s.accounts[ownedAmongThree(0)]
 	own.level = -200 // full again after 22 s
-	fmt.Println("customers", len(s.orderedAccounts), len(s.accounts))
+	fmt.Println("accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
 	s.advance(30 * time.Second)
-	fmt.Println("customers", len(s.orderedAccounts), len(s.accounts))
+	fmt.Println("accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
 	s.advance(40 * time.Second)
-	fmt.Println("customers", len(s.orderedAccounts), len(s.accounts))
+	fmt.Println("accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
 	// Output:
-	// customers 1 1
-	// customers 1 1
-	// customers 0 0
+	// accounts in the list and in the map: 1 1
+	// accounts in the list and in the map: 1 1
+	// accounts in the list and in the map: 0 0
 }
