--- a/internal/gateway/coordination/codec.go
+++ b/internal/gateway/coordination/codec.go
@@ -67,8 +67,9 @@
 
 func (d *decoder) bool() bool { return d.uint() != 0 }
 
-// count reads the number of records, or of bytes in a string, that follow. Each takes at least one byte, so a count above the number of
-// remaining bytes is an error. Damaged data therefore can't make the decoder allocate more than the size of the data.
+// count decodes an encoded count: the number of the records, or of the bytes of a string, that the encoder wrote after it. Each record takes
+// at least one byte, so a count above the number of remaining bytes is an error. Damaged data therefore can't make the decoder allocate more
+// than the size of the data.
 func (d *decoder) count() int {
 	n := d.uint()
 	if d.err == nil && n > uint64(len(d.bytes)) {
--- a/internal/gateway/coordination/doc.go
+++ b/internal/gateway/coordination/doc.go
@@ -10,9 +10,9 @@
 //
 // # Terms
 //
-//   - Log time: the clock of a group's log. The leader stamps each entry with it. It advances at the rate of the leader's monotonic clock
-//     and stops while there is no leader, so it never runs faster than real time. Restarts, changes of leader and steps of the wall clock
-//     never set it back.
+//   - Log time: the time by the clock of a group's log, as a duration. The leader stamps each entry with the current log time. Log time
+//     advances at the rate of the leader's monotonic clock and stops while there is no leader, so it never advances faster than real
+//     time. Restarts, changes of leader and steps of the wall clock never set it back.
 //   - Lease: the time for which a lock is held after its last acquire or renewal, in log time. The holder counts its own time from before
 //     it sent the call, so that its lease ends before the lock's lease.
 //   - Fencing token: a number that rises with each grant of a lock in a group. A holder attaches its token to what it writes elsewhere, so
@@ -32,7 +32,8 @@
 //   - Each call ends within callTimeout, and a watch within its own timeout plus callTimeout. StatusConflict, StatusLimitReached and
 //     StatusUnavailable mean that the call had no effect and never will have one. StatusAmbiguous means that it may have had an effect, or
 //     may still have one.
-//   - A forwarded call that arrives after its deadline has no effect. It may have come over a slow link, or to a process that was stopped.
+//   - A forwarded call that arrives after its deadline has no effect. The call may have come over a slow link, or
+//     to a process that was suspended.
 //   - The same state has the same snapshot bytes at each member. Entries, snapshots and messages can be decoded as long as their version
 //     is known. Otherwise decoding returns ErrUnknownVersion.
 //
@@ -40,7 +41,7 @@
 //
 // This package does no I/O, starts no goroutine and reads no clock. Messages and timers go out through Env, and time and replication come
 // from groups.Host. State must depend only on its entries. No answer may rely on a lease of the leader, because a leader whose process was
-// stopped must ask a majority before it confirms anything. All tables are bounded (see limits.go).
+// suspended must ask a majority before it confirms anything. All tables are bounded (see limits.go).
 //
 // docs/coordination-calls.md gives the reasons for these rules and the alternatives that were considered.
 package coordination
--- a/internal/gateway/coordination/forward.go
+++ b/internal/gateway/coordination/forward.go
@@ -111,7 +111,7 @@
 }
 
 // handleForwardRequest serves a call that another node forwarded. The node reads its clock again before it calls Receive, so that a request
-// that waited unread while this process was stopped is recognized as late.
+// that waited unread while this process was suspended is recognized as late.
 func (s *Service) handleForwardRequest(from string, r *ForwardRequest) {
 	reply := func(outcome AttemptOutcome, result Result) {
 		s.env.Send(from, &Message{Response: s.newForwardResponse(r, outcome, result)})
--- a/internal/gateway/coordination/limits.go
+++ b/internal/gateway/coordination/limits.go
@@ -59,9 +59,9 @@
 	leaseRoundingMargin = time.Millisecond
 	// retiredCallRetention is longer than any duplicate of a call can be in transit, which is at most maxInputDelay plus callTimeout.
 	retiredCallRetention = 4 * time.Second
-	// staleReleaseWindow is also longer than a call can be in transit. A release that arrives within this time after the holder acquired
-	// the lock again may have been sent before that. The two cases can't be distinguished, because the holder keeps its fencing token. Such
-	// a release has no effect, and the lock becomes free when its lease expires. Releasing the lock while its holder still relies on it
+	// staleReleaseWindow is also longer than a call can be in transit. A release that arrives within this time after the holder acquired the
+	// lock again may have been sent before that acquire. The two cases can't be distinguished, because the holder keeps its fencing token.
+	// Such a release has no effect, and the lock becomes free when its lease expires. Releasing the lock while its holder still relies on it
 	// would be worse.
 	staleReleaseWindow = 1200 * time.Millisecond
 )
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -10,7 +10,7 @@
 type lockState struct {
 	holder        string
 	fencingToken  uint64
-	expiresAt     time.Duration // log time from which the lock is free
+	expiresAt     time.Duration // log time (see the package comment) from which the lock is free
 	callID        CallID        // call ID of the holder's last acquire
 	lastAcquireAt time.Duration // log time of the holder's last acquire
 	reacquired    bool          // the holder acquired the lock again while it held it
--- a/internal/gateway/coordination/message.go
+++ b/internal/gateway/coordination/message.go
@@ -9,7 +9,7 @@
 }
 
 // ForwardRequest carries one attempt of a call to the leader of the call's group. It is valid until Deadline, by the monotonic clock of the
-// receiver's incarnation. A request that was delayed on a link, or that was read after the receiver's process had been stopped, therefore
+// receiver's incarnation. A request that was delayed on a link, or that the receiver read late because its process was suspended, therefore
 // has no effect.
 type ForwardRequest struct {
 	OriginIncarnation uint64 // incarnation of the node that received the call from the application
--- a/internal/gateway/coordination/service.go
+++ b/internal/gateway/coordination/service.go
@@ -14,7 +14,7 @@
 	// ScheduleAt schedules a timer for a sequence number, at a time of groups.Host.Now. When the timer expires, the node calls Service.Due
 	// if Service.Live returns true for the number.
 	ScheduleAt(at time.Duration, sequence uint32)
-	// InputDelay returns how long the input of the current turn may have waited unread because the process was stopped.
+	// InputDelay returns how long the input of the current turn may have waited unread because the process was suspended.
 	InputDelay() time.Duration
 	// HasQuorumContact reports whether this node recently had contact with a majority. Without it, calls end at once, so that callers
 	// switch to another node.
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -25,10 +25,11 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// testdata/dd5a45a*.db.gz are the files of the three members of one cluster as dd5a45a (2 December 2026) left them when its nodes were
-// killed. The first member led the configuration's log. Five nodes of that version wrote the files on the loopback interface, driven by
-// control calls. The calls created a configuration, three backends, a rollout at its second step, locks, numbers and keys, and 66 amendments.
-// Before the snapshot, the disk of another node replaced one disk. After the snapshot, an empty disk at the same address replaced another.
+// testdata/dd5a45a*.db.gz are the files of the three members of one cluster. The program at commit dd5a45a (2 December 2026) wrote them, and
+// its nodes were then killed. The first member led the configuration's log. Five nodes of that version ran on the loopback interface and
+// received control calls. The calls created a configuration, three backends, a rollout at its second step, locks, numbers and keys, and 66
+// amendments. Before the snapshot, the disk of another node replaced one disk. After the snapshot, an empty disk at the same address replaced
+// another.
 const (
 	recordedFirst  = "dd5a45a"
 	recordedSecond = "dd5a45a-second" // the empty disk that joined last
@@ -257,7 +258,8 @@
 	return fmt.Sprint(p.Verb, " ", p.Step, " ", p.Share, " ", p.Author, " ", p.UnixMilli)
 }
 
-// The soft state holds the backends that were known.
+// The soft state is a value beside the logs that may be out of date or lost. In the recorded file it is the list of the backends that the
+// first member knew when it last saved the value. The test checks that this version decodes the list with all fields of each backend.
 func TestRecordedBackendsAreRead(t *testing.T) {
 	store, _, err := Open(newRecordedDir(t, recordedFirst))
 	must.NoError(t, err)
@@ -323,7 +325,7 @@
 	}
 }
 
-// recordedState is the state of the configuration's log as dd5a45a stores it.
+// recordedState is the state of the configuration's log as the program at commit dd5a45a stores it.
 type recordedState struct {
 	previousState
 	Founders []struct {
@@ -332,7 +334,8 @@
 	}
 }
 
-// recordedFile is the content of a whole file in the types of dd5a45a, reduced to the field names and types that gob matches.
+// recordedFile is the content of a whole file in the types of the program at commit dd5a45a, reduced to the field names and types that gob
+// matches.
 type recordedFile struct {
 	Logs      map[string]recordedBuckets
 	State     recordedState
@@ -346,7 +349,7 @@
 	Entries []previousEntry
 }
 
-// readAsRecordedVersion renames a file to its former name and reads it with the types of dd5a45a.
+// readAsRecordedVersion renames a file to its former name and reads it with the types of the program at commit dd5a45a.
 func readAsRecordedVersion(t *testing.T, dir string) (file recordedFile) {
 	t.Helper()
 	decode := func(b []byte, v any) { must.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(v)) }
@@ -381,8 +384,8 @@
 	return file
 }
 
-// Version dd5a45a can read what this version writes. A recorded file that this version reads and writes again has the same content in the
-// types of dd5a45a.
+// The program at commit dd5a45a can read what this version writes. A recorded file that this version reads and writes again has the same
+// content in the types of that program.
 func TestRecordedVersionReadsRewrittenFile(t *testing.T) {
 	for _, name := range []string{recordedFirst, recordedSecond, recordedThird} {
 		from, to := newRecordedDir(t, name), t.TempDir()
--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -72,7 +72,8 @@
 	return id, nil
 }
 
-// Created reports whether the file exists. It returns false if the disk is too full to create the file.
+// Created reports whether the file exists, no matter whether this process or an earlier one created it. It returns false if there was no
+// file and the disk was too full to create one. It returns true once a Write or SaveSoftState has created the file.
 func (s *Store) Created() bool { return s.file != nil }
 
 // RenameError returns why the file may still have the name of earlier versions, or nil if the file permanently has its present name. The
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -17,17 +17,19 @@
 	// bootstrapRestartDelay is added to the delay of a seed that has run before, because another node may still appear with a
 	// state of the core.
 	bootstrapRestartDelay = 6 * time.Second
-	// bootstrapContactTimeout is how recently a seed must have been heard from to count as reached. It is less than
-	// livenessTimeout, because a node that was partitioned a moment ago must not bootstrap the core on the strength of nodes that
-	// it no longer reaches.
+	// bootstrapContactTimeout is the maximum age of the last frame from a seed that counts as reached. It is less than
+	// livenessTimeout, because a node that was partitioned less than livenessTimeout ago still counts nodes as live that it no
+	// longer reaches. Such nodes must not count when the node decides to bootstrap the core (the replicated group of nodes that
+	// orders the configuration log).
 	bootstrapContactTimeout = 1100 * time.Millisecond
 	// bootstrapResendInterval is the time between two messages to a founder that has not accepted the bootstrap.
 	bootstrapResendInterval = time.Second
 )
 
-// MayBootstrap reports whether the founders of a cluster may be sent to a node. Seeds may receive them first, and each seed
-// accepts only one cluster. All other nodes may receive them once more than half of the seeds hold the cluster. So no two
-// clusters can both get that far. A seed without a disk cannot hold a cluster, and counts as holding it while it is live.
+// MayBootstrap reports whether the list of the founders of a cluster may be sent to a node. A seed holds a cluster if the list of
+// its founders is stored on the seed's disk. The list may be sent to seeds at any time, and each seed accepts only one cluster. The
+// list may be sent to all other nodes once more than half of the seeds hold the cluster. So at most one cluster can be sent to
+// nodes that are not seeds. A seed without a disk cannot hold a cluster. It counts as holding every cluster while it is live.
 func (r *Roster) MayBootstrap(clusterID uint64, addr string) bool {
 	holding := 0
 	for _, seed := range r.config.Seeds {
--- a/internal/gateway/membership/doc.go
+++ b/internal/gateway/membership/doc.go
@@ -1,13 +1,15 @@
 // Package membership tracks what one node knows of the nodes in its deployment: which nodes exist, which are live, which slot each
-// one has, which nodes this node keeps links to, and which nodes bootstrap the core when the deployment starts for the first time.
-// The package only decides. Inputs update a Roster, and the host calls Next for the resulting actions until there are none left.
+// one has, which nodes this node keeps links to, and which nodes bootstrap the core (see Terms) when the deployment starts for the
+// first time. The package only decides. Inputs update a Roster, and the host calls Next for the resulting actions until there are
+// none left.
 //
 // # Terms
 //
 //   - Node: one process of the gateway. Its name in this package is the inner address at which it accepts links.
 //   - Core: the replicated group of nodes that orders the configuration log. Its state is stored on its members' disks.
 //   - Disk: the ID of a node's disk, drawn at random when the disk was empty. Nodes with a disk are candidates for the core.
-//     Nodes without one follow them. A wiped disk gets a new ID.
+//     A node without a disk follows a node with one: it applies the log entries that the other node sends. A wiped disk gets a
+//     new ID.
 //   - Incarnation: one run of a node's process, identified by a random number.
 //   - Slot: a node's number, assigned once by the core's log. Quota owners and backend owners are chosen by hashing over slots.
 //   - Seed: an address in the settings by which a node finds the other nodes.
@@ -22,7 +24,8 @@
 // ring. A node with a disk sends heartbeats to all other nodes with a disk. A node is reachable if any frame came from it within
 // livenessTimeout. Nodes with a disk report to each other which nodes they reach themselves, and report to their followers which
 // nodes are live. So each of n nodes sends a few heartbeats and not n, and all nodes use the same reports. A node with a disk does
-// not pass on to another one what a third reported. Otherwise two nodes could keep a dead node alive between them.
+// not repeat to a second node with a disk what a third node reported. Otherwise two nodes could repeat each other's reports, and
+// would count a dead node as live without end.
 //
 // A node is live if it is reachable, or if a reachable node with a disk reports it. Where this node wants a link to it, the link
 // must also be up, and a hello must have come over it in the node's present incarnation.
--- a/internal/gateway/membership/hello.go
+++ b/internal/gateway/membership/hello.go
@@ -4,7 +4,7 @@
 
 // Hellos are sent when a link comes up and when the description of a node changes, and are repeated while they are not
 // acknowledged. Without the repeats, a lost hello would leave a node with no description of the other node, or with an outdated
-// one. The node could then use the other one for nothing as long as the link lasts.
+// one. The first node could then not use the other node for anything as long as the link lasts.
 const (
 	// helloInterval is the minimum time between two hellos to a node, not counting those sent because a link came up or a
 	// description changed.
--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -12,7 +12,7 @@
 // sent a hello to a node that had lost power, and the node followed the third member until it made no more progress (incident
 // mvk-anadolu 7).
 func TestLostHelloIsRepeated(t *testing.T) {
-	// The first hellos of both sides, each of which may be lost or not.
+	// The number of first hellos, counted over both nodes together, that may be lost. Bit i of lost says that hello i+1 is lost.
 	const hellos = 5
 	for lost := range 1 << hellos {
 		now := time.Minute
@@ -48,9 +48,9 @@
 			carry(node, disk)
 			carry(disk, node)
 		}
-		must.True(t, node.Live("disk"), must.Sprintf("lost %05b", lost))
-		must.Eq(t, disk.self, node.peers["disk"].Node, must.Sprintf("lost %05b", lost))
-		must.Eq(t, node.self, disk.peers["node"].Node, must.Sprintf("lost %05b", lost))
+		must.True(t, node.Live("disk"), must.Sprintf("lost hellos %05b (lowest bit: first hello)", lost))
+		must.Eq(t, disk.self, node.peers["disk"].Node, must.Sprintf("lost hellos %05b (lowest bit: first hello)", lost))
+		must.Eq(t, node.self, disk.peers["node"].Node, must.Sprintf("lost hellos %05b (lowest bit: first hello)", lost))
 		must.LessEq(t, hellos+4, sent)
 		must.Less(t, changes+(hellos+3)*helloInterval, last) // no hello is sent after that
 	}
--- a/internal/gateway/membership/links.go
+++ b/internal/gateway/membership/links.go
@@ -20,8 +20,8 @@
 // other node. A node without a disk dials its seeds until it has a slot and knows a live node with a disk, and the seeds keep
 // their side of the link meanwhile.
 //
-// A node with a disk lets a node without one, which has sent nothing yet, dial first. Otherwise, when it starts, it would know
-// hundreds of nodes by their slots and dial them all at the moment when they all dial it.
+// A node with a disk lets a node without one, which has sent nothing yet, dial first. Otherwise a node with a disk that starts
+// would know hundreds of nodes from their slots, and would dial all of them while all of them dial it.
 func (r *Roster) updateLink(addr string, p *peer) {
 	isPresent := p.helloReceived || r.now-p.receivedAt < livenessTimeout || r.now-p.discoveredAt >= passiveDialDelay
 	hasRecentHello := r.now-p.helloAt < disklessLinkTimeout
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -70,8 +70,9 @@
 	return addrs[:maxHeartbeatTargets]
 }
 
-// Prefers reports whether the node at address from prefers node a to node b when both are equally good. Each node has its own
-// order of preference, so that the nodes do not all choose the same one.
+// Prefers reports whether the node at the address "from" prefers the node at the address "a" to the node at the address "b". A
+// node without a disk uses it to choose its upstream, the node whose log stream it applies, among nodes that rank equally. Each
+// node has its own order of preference, so that the nodes do not all choose the same upstream.
 func Prefers(from, a, b string) bool {
 	x, y := ringPosition(from+" "+a), ringPosition(from+" "+b)
 	return x < y || x == y && a < b
@@ -98,7 +99,8 @@
 }
 
 // ReachableSlots returns the bit set of the slots that this node reaches itself. Nodes with a disk report it to each other. It
-// includes nothing that other nodes reported, because otherwise two nodes could keep a dead node alive between them.
+// includes nothing that other nodes reported. Otherwise two nodes could repeat each other's reports, and would count a dead node as
+// live without end.
 func (r *Roster) ReachableSlots() []byte { return r.slotSet(r.reachable) }
 
 // LiveSlots returns the bit set of the slots of live nodes. Nodes with a disk report it to their followers.
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -54,9 +54,10 @@
 	return n
 }
 
-// Guards against a result that depends on the order of inputs. A link comes up and goes down by itself, and a node's hellos come
-// over another link. Whatever the order between nodes, and between a node's hellos and its link, the same nodes are live in the
-// end.
+// Guards against a result that depends on the order of inputs. LinkUp and LinkDown report the link on which this node sends to
+// another node. The other node's hellos may come over a second link, on which the other node sends. So the inputs of different
+// nodes, and the hellos and the link events of one node, may come in any order. The same nodes must be live after the last input,
+// whatever the order.
 func TestEventOrdersConverge(t *testing.T) {
 	hello := func(a string, disk DiskID, incarnation uint64, known ...string) event {
 		return func(r *Roster) {
@@ -203,7 +204,7 @@
 	return sim
 }
 
-// majorities counts the lists of founders that a majority of their own nodes hold.
+// majorities counts the lists of founders that more than half of the listed founders have stored.
 func (sim *simCluster) majorities() (n int) {
 	holds := map[string]int{}
 	for _, a := range sim.nodes {
@@ -305,12 +306,13 @@
 }
 
 // Three seeds and another node with a disk come to reach each other at different times, messages of a bootstrap are lost, and the
-// first seed may stop on the way. Guards against two clusters that both have a majority, and against no cluster with a majority
-// once all nodes reach each other. A missing cluster is allowed only if the first seed alone stored its founders and then
+// first seed may stop during the bootstrap. Guards against two clusters that both have a majority, and against no cluster with a
+// majority once all nodes reach each other. A missing cluster is allowed only if the first seed alone stored its founders and then
 // stopped.
 func TestPartitionsBootstrapOneCluster(t *testing.T) {
 	const never = time.Hour
-	// The times at which two of the seeds first reach each other.
+	// The times at which two of the seeds first reach each other. The lowest three base-4 digits of meet select the times of the pairs
+	// a-b, a-c and b-c. The next digit selects the seed that reaches node d from the start.
 	meetingTimes := []time.Duration{0, 1600 * ms, 6 * time.Second, never}
 	runs := 0
 	for meet := range 64 * 3 {
@@ -325,7 +327,7 @@
 			onlyFirstSeedHolds := false
 			for sim.now < 14*time.Second {
 				sim.step()
-				must.LessEq(t, 1, sim.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, sim.bootstrappers))
+				must.LessEq(t, 1, sim.majorities(), must.Sprintf("contact times %o (octal), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 				if a := sim.nodes["a"]; sim.now == stopsAt {
 					a.stopped = true
 					onlyFirstSeedHolds = a.founders != nil && sim.majorities() == 0
@@ -334,7 +336,7 @@
 				}
 			}
 			if runs++; !onlyFirstSeedHolds {
-				must.Eq(t, 1, sim.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, sim.bootstrappers))
+				must.Eq(t, 1, sim.majorities(), must.Sprintf("contact times %o (octal), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 			}
 		}
 	}
@@ -508,11 +510,12 @@
 	must.False(t, bootstraps(800*ms, false))       // no node was heard from for 1.2 s
 }
 
-// Guards against two clusters that both accept changes. Nodes d and e have a disk, and the second and third seed never met them.
-// They bootstrap the core with the first seed, which is partitioned from the other two seeds as it sends the founders, so three
-// of five founders hold that cluster. The other two seeds know of three disks and bootstrap a cluster of their own, held by two
-// of three. To prevent this, the founders go to the seeds first, and to the other nodes once more than half of the seeds hold
-// them.
+// Guards against two clusters that both accept changes. Nodes a, b and c are the seeds. Nodes d and e also have a disk, and a is
+// the only seed that reaches them. The fault came about as follows. Seed a chose all five nodes as founders, and was partitioned
+// from b and c while it sent the list of founders. Nodes a, d and e stored the list, which made three of five founders. Seeds b and
+// c knew only the disks of a, b and c. They chose these three nodes as founders, and b and c stored that list, which made two of
+// three founders. So each cluster had a majority. To prevent this, a node sends the list to the seeds first. It sends the list to
+// the other nodes once more than half of the seeds have stored it.
 func TestSeedsHoldFoundersFirst(t *testing.T) {
 	for partitionedAt := 400 * ms; partitionedAt < 1600*ms; partitionedAt += 100 * ms {
 		sim := newSimCluster("abc", "a", "b", "c", "d", "e")
@@ -553,10 +556,10 @@
 	must.Eq(t, []string{"disk", "disk-2"}, r.HelloTo("node-5").KnownAddrs)
 }
 
-// A node with a disk that starts knows hundreds of nodes by their slots. It lets them dial first, which they all do at that
-// moment, and answers. It dials those that send nothing a little later, because they may not be able to establish the link
-// themselves. Guards against a member that ran out of file descriptors right after a power loss, because its 300 dials were added
-// to the 300 dials of the others.
+// A node with a disk that starts knows hundreds of nodes by their slots. All of these nodes dial it at that moment, so it waits for
+// them to dial first. After passiveDialDelay it dials the nodes that have sent nothing, because these may not be able to establish
+// the link themselves. Guards against a member that ran out of file descriptors right after a power loss, because its 300 dials
+// were added to the 300 dials of the others.
 func TestSlotHoldersDialFirst(t *testing.T) {
 	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me"}, ClusterID: clusterIDOf}, 0)
 	var holders []SlotHolder
--- a/internal/gateway/quorumcontact/doc.go
+++ b/internal/gateway/quorumcontact/doc.go
@@ -23,8 +23,8 @@
 //
 // # Guarantees
 //
-// The age is never less than the true one. A report is rejected if its term is older than the newest reported one, if it covers more
-// entries than were applied at this node, or if it echoes a timestamp of another incarnation.
+// The computed age is never less than the true age. A report is rejected if its term is older than the newest reported one, if it
+// covers more entries than were applied at this node, or if it echoes a timestamp of another incarnation.
 //
 // No change or read relies on the age. The log itself orders, confirms and reads with a majority, whatever the age is. This package
 // sends nothing, reads no clock and stores nothing.
--- a/internal/gateway/quorumcontact/permissions.go
+++ b/internal/gateway/quorumcontact/permissions.go
@@ -6,7 +6,7 @@
 type Bounds interface {
 	// ReadyMaxAge returns the age up to which the node reports itself ready for clients.
 	ReadyMaxAge() time.Duration
-	// AuthoritativeMaxAge returns the age up to which a node refuses requests on the ground of its own state.
+	// AuthoritativeMaxAge returns the age up to which a node may refuse requests by its own state alone.
 	AuthoritativeMaxAge() time.Duration
 	// PartitionedAge returns the age from which a caller should ask another node rather than wait for this one.
 	PartitionedAge() time.Duration
@@ -35,8 +35,8 @@
 const (
 	// ServeClients permits the node to tell the platform that it is ready for clients.
 	ServeClients Permission = iota
-	// RefuseRequests permits answers of 401, of 404, and of 400 to a change that is invalid in itself, on the ground of this
-	// node's own state.
+	// RefuseRequests permits the node to answer 401, 404, or 400 to a change that is invalid in itself. The node decides these
+	// answers by its own state alone.
 	RefuseRequests
 	// AcceptCalls permits the node to accept or forward a change or a read. Without the permission, the node rejects the call at
 	// once.
