--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -18,7 +18,7 @@
 
 // cluster is a set of nodes over a fault-free model of the replicated groups. Each group has one log, and an entry is either in it or not.
 // The faults concern which node believes that it leads a group, what a leader knows of its proposals, messages between nodes, clocks,
-// stopped processes and restarts.
+// suspended processes and restarts.
 type cluster struct {
 	rng   *rand.Rand
 	now   time.Duration
--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -58,7 +58,7 @@
 	switch s.rng.IntN(7) {
 	case 0:
 		s.makeLeader(id, s.nodes[s.rng.IntN(len(s.nodes))])
-	case 1: // a leader's process is stopped, and another node is elected meanwhile
+	case 1: // a leader's process is suspended, and another node is elected meanwhile
 		n.freeze(s.randomDuration(100*ms, 4*time.Second))
 		s.schedule(s.randomDuration(0, 400*ms), func() {
 			for id := range groups.ID(groups.Count) {
--- a/internal/gateway/coordination/doc.go
+++ b/internal/gateway/coordination/doc.go
@@ -19,7 +19,7 @@
 //     that writes of a former holder can be rejected.
 //   - Key group and revision: keys with the same name up to the first dot form a key group. Each put in the group gets the next revision.
 //   - Watch: a call that waits for puts in a key group above a revision. A watch may resume from any revision that it received within the
-//     history retention. Below the compacted revision it fails. It never skips events.
+//     history retention. A watch that resumes below the compacted revision fails. A watch never skips events.
 //   - Incarnation: one run of a node's process from start to end, identified by a random number. Call IDs and deadlines refer to an
 //     incarnation, because a restarted node starts a new clock and counts calls from 1 again.
 //   - Attempt: one delivery of a call to the node that is believed to be the leader. A call may need several attempts. Its call ID is the
--- a/internal/gateway/coordination/watch_shared.go
+++ b/internal/gateway/coordination/watch_shared.go
@@ -8,8 +8,8 @@
 	afterRevision uint64
 }
 
-// sharedWatch holds the callers of this node that wait for the same events. One call to the leader serves all of them, however many they
-// are. It is repeated every watchPollTimeout.
+// sharedWatch holds the callers of this node that wait for the same events. One call to the leader serves all of them. The call is repeated
+// every watchPollTimeout.
 type sharedWatch struct {
 	key      watchKey
 	watchers []watcher
--- a/internal/gateway/logstore/filename_test.go
+++ b/internal/gateway/logstore/filename_test.go
@@ -58,8 +58,8 @@
 	must.NoError(t, s.Close())
 }
 
-// Open uses the file of an earlier version, renames it and writes it under its present name. The directory is synced last, or a crash could
-// undo the rename.
+// Open uses the file of an earlier version, renames it and writes it under its present name. The directory is synced last, because a power
+// loss could otherwise undo the rename.
 func TestFormerNameIsReplaced(t *testing.T) {
 	dir, want := newDirWithFormerName(t)
 	fs := &faultyFilesystem{}
@@ -133,8 +133,8 @@
 	}
 }
 
-// While another process holds the file under its former name, such as an earlier version that still runs, Open fails and leaves the file
-// and its name alone.
+// While another process holds the file under its former name, such as an earlier version that still runs, Open fails and does not change
+// the file or its name.
 func TestFormerNameKeptWhileAnotherProcessHoldsFile(t *testing.T) {
 	dir, want := newDirWithFormerName(t)
 	other := &Store{dir: dir, path: filepath.Join(dir, formerFileName), filesystem: osFilesystem{}, memberID: want.ID}
--- a/internal/gateway/logstore/logs_test.go
+++ b/internal/gateway/logstore/logs_test.go
@@ -12,8 +12,8 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Logs in one file stay independent. Each log reads back as if it were alone, however its writes were batched, and a write to one log does
-// not change another.
+// Logs in one file stay independent. Open returns each log as if the file held only that log, whether its writes were stored in one
+// transaction or in several. A write to one log does not change another log.
 func TestManyLogsReadBack(t *testing.T) {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -41,8 +41,8 @@
 }
 
 // The file stays at about five times the size of a configuration when whole configurations replace each other and the log is compacted by
-// bytes. Configurations of 1 MB fit a disk of 64 MB many times, and those of 4 MiB, the limit of a control call, fit as well. Compaction
-// by number of entries alone, every 64, let the file grow to the size of seventy configurations.
+// bytes. A disk of 64 MB has room for many times the file of a 1 MB configuration. It also has room for the file of a 4 MiB configuration,
+// the limit of a control call. Compaction after every 64 entries, whatever their size, let the file grow to the size of 70 configurations.
 func TestSizeOfWholeConfigurations(t *testing.T) {
 	times := 20
 	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_TIMES")); err == nil {
@@ -56,10 +56,11 @@
 	must.Greater(t, int64(15<<20), fileSizeAfterStates(t, 1<<20, 20, 64<<20)) // without timely compaction the file exceeds the limit
 }
 
-// A disk of 64 MB must take 64 whole configurations of 3.4 MB one after the other in the worst patterns of writes. In the first
-// pattern, entries of another leader replace two uncommitted configurations, the most that the log holds of this size. In the second,
-// one write holds a snapshot and the entries after it, as after a disk that hung. In the third, a snapshot of another member replaces
-// everything. The file stays below ten configurations (node.diskCopiesPerState). The test runs at a quarter of that size, and LOGSTORE_STATE sets a larger one.
+// A disk of 64 MB must take 64 whole configurations of 3.4 MB one after the other in the worst patterns of writes. In the first pattern,
+// entries of another leader replace two uncommitted configurations, the most that the log holds of this size. In the second, one write holds
+// a snapshot and the entries after it, as happens after writes to a disk were blocked. In the third, a snapshot of another member replaces
+// everything. The file stays below ten configurations (node.diskCopiesPerState). The test runs at a quarter of that size, and LOGSTORE_STATE
+// sets a larger one.
 func TestSmallDiskHoldsWholeConfigurations(t *testing.T) {
 	stateBytes := 850_000
 	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_STATE")); err == nil {
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -172,9 +172,9 @@
 	}
 }
 
-// A first start on a full disk used to end the process. The store now has a member ID but no file and confirms nothing. It works as any
-// other store once the disk takes writes again, whatever an earlier attempt left behind. Other faults still make Open fail, and it changes
-// nothing.
+// A first start on a full disk used to end the process. The store now has a member ID but no file and confirms nothing. It works as any other
+// store once the disk takes writes again, whatever an earlier attempt to create the file left in the directory. After other faults Open still
+// fails and changes nothing.
 func TestDiskFullAtFirstStart(t *testing.T) {
 	dir := t.TempDir()
 	fs := &faultyFilesystem{failures: map[string]error{"open": unix.EACCES}}
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -51,19 +51,20 @@
 	return false
 }
 
-// bootstrap creates the core at the first start of the deployment. The first seed does so once no further node with a disk
-// appears. A later seed does so only if the seeds before it are not live or have run before.
+// bootstrap creates the core at the first start of the deployment. To do so, a seed sends a bootstrap message with the list of
+// founders to each founder. The first seed in the settings bootstraps the core once no further node with a disk has appeared for
+// bootstrapQuietPeriod. A later seed does so only if the seeds before it are not live or have run before.
 //
-// If all seeds were killed before the first message was on disk, no seed is at its first start any more, and waiting for one
-// would never end. Then the first live seed bootstraps the core after a longer delay. It requires as many empty disks as a core
-// needs, so that no earlier core can have acknowledged anything.
+// All seeds may be killed before the first bootstrap message is on disk. Then no seed is at its first start any more, and waiting
+// for a first start would never end. In this case the first live seed bootstraps the core after a longer delay. It requires as many
+// empty disks as a core needs, so that no earlier core can have acknowledged anything.
 //
-// Nodes that hold a state do not accept the message. A seed does not bootstrap if a node that it has met holds a state or knows
-// of a node that does, nor without contact with more than half of the seeds, because the two sides of a partition must not create
-// two clusters (see MayBootstrap).
+// Nodes that hold a state of the core do not accept the message. A seed does not bootstrap the core if a node that it has met holds
+// a state of the core, or knows of a node that does. A seed also does not bootstrap the core without contact with more than half of
+// the seeds, because the two sides of a partition must not create two clusters (see MayBootstrap).
 //
 // The founders are chosen once in an incarnation. The message is sent again to founders that have not accepted it, because a link
-// may have lost it.
+// may have lost the message.
 func (r *Roster) bootstrap() {
 	if r.founders == nil {
 		if r.founders = r.chooseFounders(); r.founders == nil {
--- a/internal/gateway/membership/doc.go
+++ b/internal/gateway/membership/doc.go
@@ -23,7 +23,7 @@
 // A node without a disk sends heartbeats to maxHeartbeatTargets nodes with a disk, the next ones after its own position on a hash
 // ring. A node with a disk sends heartbeats to all other nodes with a disk. A node is reachable if any frame came from it within
 // livenessTimeout. Nodes with a disk report to each other which nodes they reach themselves, and report to their followers which
-// nodes are live. So each of n nodes sends a few heartbeats and not n, and all nodes use the same reports. A node with a disk does
+// nodes are live. So each of n nodes sends a few heartbeats instead of n, and all nodes use the same reports. A node with a disk does
 // not repeat to a second node with a disk what a third node reported. Otherwise two nodes could repeat each other's reports, and
 // would count a dead node as live without end.
 //
@@ -33,8 +33,8 @@
 // # Links
 //
 // Nodes with a disk want links to all nodes. Nodes without a disk want links only to nodes with one. So the number of links grows
-// with the number of nodes and not with its square. Two nodes without a disk are linked only while one of them may know no other
-// node. See updateLink.
+// with the number of nodes and not with the square of that number. Two nodes without a disk are linked only while one of them may
+// know no other node. See updateLink.
 //
 // # Guarantees
 //
--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -13,6 +13,7 @@
 // mvk-anadolu 7).
 func TestLostHelloIsRepeated(t *testing.T) {
 	// The number of first hellos, counted over both nodes together, that may be lost. Bit i of lost says that hello i+1 is lost.
+	// The count starts again when the description of disk changes.
 	const hellos = 5
 	for lost := range 1 << hellos {
 		now := time.Minute
--- a/internal/gateway/membership/links.go
+++ b/internal/gateway/membership/links.go
@@ -15,10 +15,10 @@
 )
 
 // updateLink decides whether this node keeps a link to a node, and asks the host to connect or disconnect if that changes. Nodes
-// with a disk keep links to all nodes, and the other nodes keep links only to nodes with a disk, so that links and their traffic
-// grow with the number of nodes and not with its square. Two nodes without a disk are linked only while one of them may know no
-// other node. A node without a disk dials its seeds until it has a slot and knows a live node with a disk, and the seeds keep
-// their side of the link meanwhile.
+// with a disk keep links to all nodes, and the other nodes keep links only to nodes with a disk. The number of links and their
+// traffic then grow with the number of nodes and not with the square of that number. Two nodes without a disk are linked only while
+// one of them may know no other node. A node without a disk dials its seeds until it has a slot and knows a live node with a disk,
+// and the seeds keep their side of the link meanwhile.
 //
 // A node with a disk lets a node without one, which has sent nothing yet, dial first. Otherwise a node with a disk that starts
 // would know hundreds of nodes from their slots, and would dial all of them while all of them dial it.
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -59,9 +59,9 @@
 	return r
 }
 
-// Tick advances the clock. A step above stallThreshold means that this process was stalled and that what other nodes sent is
-// still unread, so the step does not count towards any time-out. Otherwise this node would briefly take all others for lost, and
-// would leave its upstream while the upstream's messages wait to be read.
+// Tick advances the clock. A step above stallThreshold means that this process was stalled and that what other nodes sent is still
+// unread, so the step does not count towards any time-out. Otherwise this node would briefly consider all other nodes lost, and
+// would leave its upstream (the node whose log stream it applies) while the upstream's messages wait to be read.
 func (r *Roster) Tick(now time.Duration) {
 	if step := now - r.now; step > stallThreshold {
 		// Other nodes may have bootstrapped the core meanwhile, and their hellos may be unread.
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -311,8 +311,8 @@
 // stopped.
 func TestPartitionsBootstrapOneCluster(t *testing.T) {
 	const never = time.Hour
-	// The times at which two of the seeds first reach each other. The lowest three base-4 digits of meet select the times of the pairs
-	// a-b, a-c and b-c. The next digit selects the seed that reaches node d from the start.
+	// The times at which two of the seeds first reach each other. Bits 0-1, 2-3 and 4-5 of meet are the indexes of the times of the
+	// pairs a-b, a-c and b-c. The higher bits are the number (0 to 2) of the seed that reaches node d from the start.
 	meetingTimes := []time.Duration{0, 1600 * ms, 6 * time.Second, never}
 	runs := 0
 	for meet := range 64 * 3 {
@@ -327,7 +327,7 @@
 			onlyFirstSeedHolds := false
 			for sim.now < 14*time.Second {
 				sim.step()
-				must.LessEq(t, 1, sim.majorities(), must.Sprintf("contact times %o (octal), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
+				must.LessEq(t, 1, sim.majorities(), must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 				if a := sim.nodes["a"]; sim.now == stopsAt {
 					a.stopped = true
 					onlyFirstSeedHolds = a.founders != nil && sim.majorities() == 0
@@ -336,7 +336,7 @@
 				}
 			}
 			if runs++; !onlyFirstSeedHolds {
-				must.Eq(t, 1, sim.majorities(), must.Sprintf("contact times %o (octal), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
+				must.Eq(t, 1, sim.majorities(), must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 			}
 		}
 	}
@@ -392,7 +392,7 @@
 
 // Guards against links that grow with the square of the number of nodes, and against a node that is left without a link. A node
 // without a disk that knows only seeds without a disk is linked to the nodes with a disk. It drops its links to the seeds when it
-// has a slot, and links to them again when all nodes with a disk are gone.
+// has a slot, and connects to the seeds again when no node with a disk is live any more.
 func TestLinksGoThroughDiskNodes(t *testing.T) {
 	sim := newSimCluster("dea", "a", "b", "c")
 	for _, n := range []string{"d", "e", "f", "g"} {
@@ -456,9 +456,9 @@
 	must.Eq(t, "abce", linked("d"))
 }
 
-// After a stall of several seconds, a process has not yet read what the others sent, and must not take them for lost before it
-// has read it. Guards against a node that left its upstream for this reason, dropped the unread entries, and used an old
-// configuration for seconds.
+// After a stall of several seconds, a process has not yet read the frames that the other nodes sent. It must not consider these nodes
+// lost before it has read the frames. Guards against a node that considered its upstream lost after a stall. The node changed to
+// another upstream, dropped the unread log entries, and used an old configuration for seconds.
 func TestStallIsNotATimeout(t *testing.T) {
 	r := New(Node{Addr: "me"}, Config{}, 0)
 	r.HandleHello("a", Hello{Node: Node{Name: "a", Disk: 1, Incarnation: 1}, Acknowledged: r.self.fingerprint()})
@@ -481,9 +481,9 @@
 	must.False(t, r.Live("a") || r.Live("b")) // nothing came for 2.2 s, of which 0.5 s were before the stall
 }
 
-// The first seed stalls before it bootstraps the core, or was partitioned a moment ago. It must first read what the others have
-// sent, and must not count nodes that it has not heard from for a second. Guards against a cluster of its own, which the others
-// never join.
+// The first seed stalls for 6 s before it bootstraps the core, or has been partitioned for 1.2 s. After the stall it must first
+// read the frames that the other nodes have sent. After the partition it must not count nodes that have sent nothing for longer than
+// bootstrapContactTimeout. Guards against a first seed that creates a cluster which the other nodes never join.
 func TestIsolatedSeedDoesNotBootstrap(t *testing.T) {
 	bootstraps := func(pause time.Duration, othersSend bool) bool {
 		r := New(Node{Addr: "a", Disk: 1, FirstStart: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: clusterIDOf}, 0)
@@ -536,9 +536,9 @@
 	}
 }
 
-// Guards against hellos whose traffic grows with the square of the number of nodes. Slot holders are known from the core's log,
-// so a hello to a node with a disk names only the nodes with a disk and the nodes that have no slot yet. A node without a slot is
-// still made known.
+// Guards against hellos whose traffic grows with the square of the number of nodes. Slot holders are known from the core's log, so
+// a hello to a node with a disk names only the nodes with a disk and the nodes that have no slot yet. A hello still names a node
+// without a slot, because that node is not in the log.
 func TestHellosOmitSlotHolders(t *testing.T) {
 	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"disk"}, ClusterID: clusterIDOf}, 0)
 	var holders []SlotHolder
--- a/internal/gateway/membership/wire.go
+++ b/internal/gateway/membership/wire.go
@@ -1,7 +1,7 @@
 package membership
 
 // The types in this file are the encoding of hellos on links. Gob matches fields by name, and other versions of the program read
-// these messages, so a field keeps its name here whatever it is called in the code. A receiver ignores a field that it does not
+// these messages, so a field keeps its name in this file even if the code uses another name. A receiver ignores a field that it does not
 // know, and a field that the sender omits is zero. SlotHolder and Founder need no such types, because the core's log stores them
 // under their own field names.
 
--- a/internal/gateway/quorumcontact/tracker_test.go
+++ b/internal/gateway/quorumcontact/tracker_test.go
@@ -35,9 +35,9 @@
 	return f.age, 3, f.contact
 }
 
-// Reports from upstreams are handled in every order. A node's contact must never be newer than the newest one that was reported,
-// counted from the time when the node sent its timestamp. A report must not be accepted if its term is older than one accepted
-// before, if it covers more entries than the node has applied, or if it echoes a timestamp of another incarnation.
+// Reports from upstreams are handled in every order. A node's contact must never be newer than the newest contact that was
+// reported, counted from the time when the node sent its timestamp. A report must not be accepted if its term is older than one
+// accepted before, if it covers more entries than the node has applied, or if it echoes a timestamp of another incarnation.
 func TestContactIsNeverNewerThanReported(t *testing.T) {
 	const now = 100 * time.Second
 	own, other := replication.NewClock(7), replication.NewClock(8)
