--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -17,17 +17,19 @@
 	// bootstrapRestartDelay is added to the delay of a seed that has run before, because another node may still appear with a
 	// state of the core.
 	bootstrapRestartDelay = 6 * time.Second
-	// bootstrapContactTimeout is how recently a seed must have been heard from to count as reached. It is less than
-	// livenessTimeout, because a node that was partitioned a moment ago must not bootstrap the core on the strength of nodes that
-	// it no longer reaches.
+	// bootstrapContactTimeout is the maximum age of the last frame from a seed that counts as reached. It is less than
+	// livenessTimeout, because a node that was partitioned less than livenessTimeout ago still counts nodes as live that it no
+	// longer reaches. Such nodes must not count when the node decides to bootstrap the core (the replicated group of nodes that
+	// orders the configuration log).
 	bootstrapContactTimeout = 1100 * time.Millisecond
 	// bootstrapResendInterval is the time between two messages to a founder that has not accepted the bootstrap.
 	bootstrapResendInterval = time.Second
 )
 
-// MayBootstrap reports whether the founders of a cluster may be sent to a node. Seeds may receive them first, and each seed
-// accepts only one cluster. All other nodes may receive them once more than half of the seeds hold the cluster. So no two
-// clusters can both get that far. A seed without a disk cannot hold a cluster, and counts as holding it while it is live.
+// MayBootstrap reports whether the list of the founders of a cluster may be sent to a node. A seed holds a cluster if the list of
+// its founders is stored on the seed's disk. The list may be sent to seeds at any time, and each seed accepts only one cluster. The
+// list may be sent to all other nodes once more than half of the seeds hold the cluster. So at most one cluster can be sent to
+// nodes that are not seeds. A seed without a disk cannot hold a cluster. It counts as holding every cluster while it is live.
 func (r *Roster) MayBootstrap(clusterID uint64, addr string) bool {
 	holding := 0
 	for _, seed := range r.config.Seeds {
@@ -49,19 +51,20 @@
 	return false
 }
 
-// bootstrap creates the core at the first start of the deployment. The first seed does so once no further node with a disk
-// appears. A later seed does so only if the seeds before it are not live or have run before.
+// bootstrap creates the core at the first start of the deployment. To do so, a seed sends a bootstrap message with the list of
+// founders to each founder. The first seed in the settings bootstraps the core once no further node with a disk has appeared for
+// bootstrapQuietPeriod. A later seed does so only if the seeds before it are not live or have run before.
 //
-// If all seeds were killed before the first message was on disk, no seed is at its first start any more, and waiting for one
-// would never end. Then the first live seed bootstraps the core after a longer delay. It requires as many empty disks as a core
-// needs, so that no earlier core can have acknowledged anything.
+// All seeds may be killed before the first bootstrap message is on disk. Then no seed is at its first start any more, and waiting
+// for a first start would never end. In this case the first live seed bootstraps the core after a longer delay. It requires as many
+// empty disks as a core needs, so that no earlier core can have acknowledged anything.
 //
-// Nodes that hold a state do not accept the message. A seed does not bootstrap if a node that it has met holds a state or knows
-// of a node that does, nor without contact with more than half of the seeds, because the two sides of a partition must not create
-// two clusters (see MayBootstrap).
+// Nodes that hold a state of the core do not accept the message. A seed does not bootstrap the core if a node that it has met holds
+// a state of the core, or knows of a node that does. A seed also does not bootstrap the core without contact with more than half of
+// the seeds, because the two sides of a partition must not create two clusters (see MayBootstrap).
 //
 // The founders are chosen once in an incarnation. The message is sent again to founders that have not accepted it, because a link
-// may have lost it.
+// may have lost the message.
 func (r *Roster) bootstrap() {
 	if r.founders == nil {
 		if r.founders = r.chooseFounders(); r.founders == nil {
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -54,9 +54,10 @@
 	return n
 }
 
-// Guards against a result that depends on the order of inputs. A link comes up and goes down by itself, and a node's hellos come
-// over another link. Whatever the order between nodes, and between a node's hellos and its link, the same nodes are live in the
-// end.
+// Guards against a result that depends on the order of inputs. LinkUp and LinkDown report the link on which this node sends to
+// another node. The other node's hellos may come over a second link, on which the other node sends. So the inputs of different
+// nodes, and the hellos and the link events of one node, may come in any order. The same nodes must be live after the last input,
+// whatever the order.
 func TestEventOrdersConverge(t *testing.T) {
 	hello := func(a string, disk DiskID, incarnation uint64, known ...string) event {
 		return func(r *Roster) {
@@ -203,7 +204,7 @@
 	return sim
 }
 
-// majorities counts the lists of founders that a majority of their own nodes hold.
+// majorities counts the lists of founders that more than half of the listed founders have stored.
 func (sim *simCluster) majorities() (n int) {
 	holds := map[string]int{}
 	for _, a := range sim.nodes {
@@ -305,12 +306,13 @@
 }
 
 // Three seeds and another node with a disk come to reach each other at different times, messages of a bootstrap are lost, and the
-// first seed may stop on the way. Guards against two clusters that both have a majority, and against no cluster with a majority
-// once all nodes reach each other. A missing cluster is allowed only if the first seed alone stored its founders and then
+// first seed may stop during the bootstrap. Guards against two clusters that both have a majority, and against no cluster with a
+// majority once all nodes reach each other. A missing cluster is allowed only if the first seed alone stored its founders and then
 // stopped.
 func TestPartitionsBootstrapOneCluster(t *testing.T) {
 	const never = time.Hour
-	// The times at which two of the seeds first reach each other.
+	// The times at which two of the seeds first reach each other. Bits 0-1, 2-3 and 4-5 of meet are the indexes of the times of the
+	// pairs a-b, a-c and b-c. The higher bits are the number (0 to 2) of the seed that reaches node d from the start.
 	meetingTimes := []time.Duration{0, 1600 * ms, 6 * time.Second, never}
 	runs := 0
 	for meet := range 64 * 3 {
@@ -325,7 +327,7 @@
 			onlyFirstSeedHolds := false
 			for sim.now < 14*time.Second {
 				sim.step()
-				must.LessEq(t, 1, sim.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, sim.bootstrappers))
+				must.LessEq(t, 1, sim.majorities(), must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 				if a := sim.nodes["a"]; sim.now == stopsAt {
 					a.stopped = true
 					onlyFirstSeedHolds = a.founders != nil && sim.majorities() == 0
@@ -334,7 +336,7 @@
 				}
 			}
 			if runs++; !onlyFirstSeedHolds {
-				must.Eq(t, 1, sim.majorities(), must.Sprintf("meet %o, stops at %v: %v", meet, stopsAt, sim.bootstrappers))
+				must.Eq(t, 1, sim.majorities(), must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 			}
 		}
 	}
@@ -390,7 +392,7 @@
 
 // Guards against links that grow with the square of the number of nodes, and against a node that is left without a link. A node
 // without a disk that knows only seeds without a disk is linked to the nodes with a disk. It drops its links to the seeds when it
-// has a slot, and links to them again when all nodes with a disk are gone.
+// has a slot, and connects to the seeds again when no node with a disk is live any more.
 func TestLinksGoThroughDiskNodes(t *testing.T) {
 	sim := newSimCluster("dea", "a", "b", "c")
 	for _, n := range []string{"d", "e", "f", "g"} {
@@ -454,9 +456,9 @@
 	must.Eq(t, "abce", linked("d"))
 }
 
-// After a stall of several seconds, a process has not yet read what the others sent, and must not take them for lost before it
-// has read it. Guards against a node that left its upstream for this reason, dropped the unread entries, and used an old
-// configuration for seconds.
+// After a stall of several seconds, a process has not yet read the frames that the other nodes sent. It must not consider these nodes
+// lost before it has read the frames. Guards against a node that considered its upstream lost after a stall. The node changed to
+// another upstream, dropped the unread log entries, and used an old configuration for seconds.
 func TestStallIsNotATimeout(t *testing.T) {
 	r := New(Node{Addr: "me"}, Config{}, 0)
 	r.HandleHello("a", Hello{Node: Node{Name: "a", Disk: 1, Incarnation: 1}, Acknowledged: r.self.fingerprint()})
@@ -479,9 +481,9 @@
 	must.False(t, r.Live("a") || r.Live("b")) // nothing came for 2.2 s, of which 0.5 s were before the stall
 }
 
-// The first seed stalls before it bootstraps the core, or was partitioned a moment ago. It must first read what the others have
-// sent, and must not count nodes that it has not heard from for a second. Guards against a cluster of its own, which the others
-// never join.
+// The first seed stalls for 6 s before it bootstraps the core, or has been partitioned for 1.2 s. After the stall it must first
+// read the frames that the other nodes have sent. After the partition it must not count nodes that have sent nothing for longer than
+// bootstrapContactTimeout. Guards against a first seed that creates a cluster which the other nodes never join.
 func TestIsolatedSeedDoesNotBootstrap(t *testing.T) {
 	bootstraps := func(pause time.Duration, othersSend bool) bool {
 		r := New(Node{Addr: "a", Disk: 1, FirstStart: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: clusterIDOf}, 0)
@@ -508,11 +510,12 @@
 	must.False(t, bootstraps(800*ms, false))       // no node was heard from for 1.2 s
 }
 
-// Guards against two clusters that both accept changes. Nodes d and e have a disk, and the second and third seed never met them.
-// They bootstrap the core with the first seed, which is partitioned from the other two seeds as it sends the founders, so three
-// of five founders hold that cluster. The other two seeds know of three disks and bootstrap a cluster of their own, held by two
-// of three. To prevent this, the founders go to the seeds first, and to the other nodes once more than half of the seeds hold
-// them.
+// Guards against two clusters that both accept changes. Nodes a, b and c are the seeds. Nodes d and e also have a disk, and a is
+// the only seed that reaches them. The fault came about as follows. Seed a chose all five nodes as founders, and was partitioned
+// from b and c while it sent the list of founders. Nodes a, d and e stored the list, which made three of five founders. Seeds b and
+// c knew only the disks of a, b and c. They chose these three nodes as founders, and b and c stored that list, which made two of
+// three founders. So each cluster had a majority. To prevent this, a node sends the list to the seeds first. It sends the list to
+// the other nodes once more than half of the seeds have stored it.
 func TestSeedsHoldFoundersFirst(t *testing.T) {
 	for partitionedAt := 400 * ms; partitionedAt < 1600*ms; partitionedAt += 100 * ms {
 		sim := newSimCluster("abc", "a", "b", "c", "d", "e")
@@ -533,9 +536,9 @@
 	}
 }
 
-// Guards against hellos whose traffic grows with the square of the number of nodes. Slot holders are known from the core's log,
-// so a hello to a node with a disk names only the nodes with a disk and the nodes that have no slot yet. A node without a slot is
-// still made known.
+// Guards against hellos whose traffic grows with the square of the number of nodes. Slot holders are known from the core's log, so
+// a hello to a node with a disk names only the nodes with a disk and the nodes that have no slot yet. A hello still names a node
+// without a slot, because that node is not in the log.
 func TestHellosOmitSlotHolders(t *testing.T) {
 	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"disk"}, ClusterID: clusterIDOf}, 0)
 	var holders []SlotHolder
@@ -553,10 +556,10 @@
 	must.Eq(t, []string{"disk", "disk-2"}, r.HelloTo("node-5").KnownAddrs)
 }
 
-// A node with a disk that starts knows hundreds of nodes by their slots. It lets them dial first, which they all do at that
-// moment, and answers. It dials those that send nothing a little later, because they may not be able to establish the link
-// themselves. Guards against a member that ran out of file descriptors right after a power loss, because its 300 dials were added
-// to the 300 dials of the others.
+// A node with a disk that starts knows hundreds of nodes by their slots. All of these nodes dial it at that moment, so it waits for
+// them to dial first. After passiveDialDelay it dials the nodes that have sent nothing, because these may not be able to establish
+// the link themselves. Guards against a member that ran out of file descriptors right after a power loss, because its 300 dials
+// were added to the 300 dials of the others.
 func TestSlotHoldersDialFirst(t *testing.T) {
 	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me"}, ClusterID: clusterIDOf}, 0)
 	var holders []SlotHolder
