--- a/internal/gateway/admission/attempts_test.go
+++ b/internal/gateway/admission/attempts_test.go
@@ -99,8 +99,8 @@
 	h.takeDecisions()
 }
 
-// Guards against a retry that is sent from the queue after its route was lowered to one attempt. Debug builds stopped at such a submission, since it
-// is not permitted.
+// Guards against a retry that is sent from the queue after the number of attempts of its route was lowered to one. Such a submission is not permitted,
+// and debug builds stopped at it.
 func TestQueuedRetryIsDroppedWhenMaxAttemptsIsLowered(t *testing.T) {
 	h := newHarness(idempotentRoute, 2)
 	h.arrive(1)
--- a/internal/gateway/admission/budget.go
+++ b/internal/gateway/admission/budget.go
@@ -28,7 +28,8 @@
 	return &retryBudget{window: window, updatedAt: now, slice: int64(now / (window / windowSlices))}
 }
 
-// advance brings the budget up to now: it deposits the refill, which is in tokens per window, and drops tokens older than a window.
+// advance sets the time of the budget to now. It deposits the refill for the time that has passed and drops tokens older than a window. refill is in
+// tokens per window.
 func (r *retryBudget) advance(now time.Duration, refill float64) {
 	sliceLength := r.window / windowSlices
 	for end := time.Duration(r.slice+1) * sliceLength; now >= end; end += sliceLength {
--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -190,8 +190,8 @@
 	return sweepInterval
 }
 
-// periodicWork has all waiting requests checked again, since backoffs of backends may have ended. Once per sweepInterval it drops services that are
-// no longer used.
+// periodicWork marks all waiting requests for another check, since backoffs of backends may have ended. Once per sweepInterval it removes services
+// that are no longer used.
 func (c *Controller) periodicWork() {
 	c.recheckUnits = len(c.awaitingUnits) > 0
 	for _, s := range c.services {
--- a/internal/gateway/admission/queue.go
+++ b/internal/gateway/admission/queue.go
@@ -51,8 +51,8 @@
 	return -1
 }
 
-// sendQueued takes one request out of a queue. It is sent, or answered if no backend is left for it. It returns false if no request can leave a
-// queue now.
+// sendQueued takes one request out of a queue. The request is sent or, if no backend is left for it, answered. sendQueued returns false if no
+// request can leave a queue now.
 func (c *Controller) sendQueued() bool {
 	for _, s := range c.services {
 		if !s.recheck {
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -70,7 +70,7 @@
 	}
 	f.sendRequests(300, Request{})
 	must.Greater(t, 50, f.requestsToOtherZone())
-	// A zone whose backends all reject requests or fail is left as well. Requests return once it has recovered.
+	// If all backends of a zone reject requests or fail, requests go to other zones as well. Requests return once the zone has recovered.
 	for _, ending := range []control.Ending{control.Rejected, control.Unreachable} {
 		f = newFixture(1)
 		f.endings[1], f.endings[2], f.endings[3] = ending, ending, ending
--- a/internal/gateway/balancer/subset.go
+++ b/internal/gateway/balancer/subset.go
@@ -18,7 +18,7 @@
 // The size of the subset depends on the node's request rate. Each backend should get a request before its idle connection is closed, and
 // often enough that the node knows the backend's speed. A range that grows or shrinks keeps its start, so that its first backends stay in it.
 
-// subset holds what determines the size of this node's subset, and the share of the backends outside it.
+// subset holds the values that determine the size of this node's subset and the share of the backends outside the subset.
 type subset struct {
 	sizeByRate   int           // by the request rate
 	rate         float64       // requests per second, smoothed
--- a/internal/gateway/outlier/ejection.go
+++ b/internal/gateway/outlier/ejection.go
@@ -66,8 +66,8 @@
 // Trust records the refutations of a witness.
 type Trust struct {
 	Witness Slot
-	// The refutations that counted against the witness at the last one. Each is an ejection on the witness's evidence alone that no other
-	// node confirmed.
+	// The number of refutations that counted against the witness at the time of its last refutation. Each refuted ejection rested on the evidence
+	// of this witness alone, and no other node confirmed the evidence.
 	Refuted int
 	// The state's revision at the last refutation.
 	Rev uint64
--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -21,7 +21,7 @@
 
 // Constants for the confirmation of a lost answer. Other answers from the backend during the attempt distinguish a lost answer from a late one.
 const (
-	// After this time no node has the window slots of the attempt any more.
+	// The time after which partial evidence is no longer confirmed. After this time no node has the window slots that cover the attempt any more.
 	lossConfirmTimeout = 4 * time.Second
 	// The number of clean answers needed in the second half of the attempt's time-out.
 	minConfirmingAnswers = 2
@@ -193,8 +193,8 @@
 	return false
 }
 
-// seenInZone reports whether one of the witnesses is in the backend's zone, or no node of that zone has a current answer or failure of the
-// backend. Witnesses in other zones alone do not suffice, because their links to the backend's zone may be faulty.
+// seenInZone reports whether one of the witnesses is in the backend's zone. It also returns true if no node of that zone has recently observed an
+// answer or a failure of the backend. Witnesses in other zones alone do not suffice, because their links to the backend's zone may be faulty.
 func (c *Coordinator) seenInZone(a *assessment, witnesses []Slot) bool {
 	zoneHasTraffic := false
 	for from, o := range a.evidence.byWitness {
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -205,8 +205,8 @@
 // Revision returns the current revision of a key's ejection. The host stores it with an attempt and passes it to RecordAttempt.
 func (n *Node) Revision(k Key) uint64 { return n.state.revision(k) }
 
-// HandleProbe handles the result of a probe of instance id. by is the instance that answered, or "" if none did. healthy reports whether it is
-// healthy.
+// HandleProbe handles the result of a probe of instance id. by is the instance that answered, or "" if none did. healthy reports whether the
+// instance that answered is healthy.
 func (n *Node) HandleProbe(id, by InstanceID, healthy bool) {
 	instance := n.backends[id]
 	if instance == nil || !n.state.Enabled() {
