--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -21,7 +21,7 @@
 
 // Constants for the confirmation of a lost answer. Other answers from the backend during the attempt distinguish a lost answer from a late one.
 const (
-	// After this time no node has the window slots of the attempt any more.
+	// The time after which partial evidence is no longer confirmed. After this time no node has the window slots that cover the attempt any more.
 	lossConfirmTimeout = 4 * time.Second
 	// The number of clean answers needed in the second half of the attempt's time-out.
 	minConfirmingAnswers = 2
@@ -193,8 +193,8 @@
 	return false
 }
 
-// seenInZone reports whether one of the witnesses is in the backend's zone, or no node of that zone has a current answer or failure of the
-// backend. Witnesses in other zones alone do not suffice, because their links to the backend's zone may be faulty.
+// seenInZone reports whether one of the witnesses is in the backend's zone. It also returns true if no node of that zone has recently observed an
+// answer or a failure of the backend. Witnesses in other zones alone do not suffice, because their links to the backend's zone may be faulty.
 func (c *Coordinator) seenInZone(a *assessment, witnesses []Slot) bool {
 	zoneHasTraffic := false
 	for from, o := range a.evidence.byWitness {
@@ -206,9 +206,9 @@
 	return !zoneHasTraffic
 }
 
-// confirmsLoss reports whether an answer was lost and is not merely late. It requires that other answers of the backend arrived in the second
-// half of the attempt's time-out, that they were fast, and that they did not all arrive at the same node. at is the time when the attempt
-// timed out, and nodes is the number of live nodes. With one node, its answers suffice.
+// confirmsLoss reports whether an answer was lost and is not merely late. It requires that the backend gave at least minConfirmingAnswers other
+// answers in the second half of the attempt's time-out. These answers must have been fast, and they must not all have arrived at the same node.
+// If there is only one node, its answers suffice. at is the time when the attempt timed out, and nodes is the number of live nodes.
 func (k *keyEvidence) confirmsLoss(revision uint64, item Evidence, at time.Duration, nodes int) bool {
 	var total, largest Window
 	for _, o := range k.byWitness {
@@ -299,8 +299,8 @@
 }
 
 // exceedsRate reports whether a backend's failure rate is too high in comparison with that of the service's other backends. The rate must
-// remain too high when the observations of any one node are left out. witnesses are the nodes with failures, in descending order of their
-// failures.
+// remain too high when the observations of any one node are left out. witnesses are the nodes that observed failures. The node with the most
+// failures comes first.
 func (c *Coordinator) exceedsRate(a *assessment) (witnesses []Slot, exceeds bool) {
 	byNode := c.otherBackendWindows(a)
 	var others Window
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -26,7 +26,8 @@
 	noneAvailableInterval = 5 * time.Second
 	// The rate limit of a backend with limited access, for all nodes together.
 	limitedPerSecond = 10
-	// From this number of other backends that reset connections at the same time, the resets are not attributed to the backends.
+	// If at least this many other backends reset a connection within linkEvidenceDelay of a backend's reset, the reset is not attributed to the
+	// backend.
 	maxOtherResets = 2
 )
 
@@ -204,8 +205,8 @@
 // Revision returns the current revision of a key's ejection. The host stores it with an attempt and passes it to RecordAttempt.
 func (n *Node) Revision(k Key) uint64 { return n.state.revision(k) }
 
-// HandleProbe handles the result of a probe of instance id. by is the instance that answered, or "" if none did. healthy reports whether it is
-// healthy.
+// HandleProbe handles the result of a probe of instance id. by is the instance that answered, or "" if none did. healthy reports whether the
+// instance that answered is healthy.
 func (n *Node) HandleProbe(id, by InstanceID, healthy bool) {
 	instance := n.backends[id]
 	if instance == nil || !n.state.Enabled() {
