--- a/internal/gateway/node/rollout_host_test.go
+++ b/internal/gateway/node/rollout_host_test.go
@@ -233,7 +233,10 @@
 		s := d.rolloutStatus(3)
 		return s.Number == 4 && s.Phase == string(rollout.RolledBack)
 	})
-	must.StrContains(t, d.callUntilClear(3, 200, "GET", "/api/Rollout.History/s", ""), "not in the configuration")
+	// The status comes from the leader. The history comes from node 3 itself, which may apply the rollback a moment later.
+	d.eventually("the reason of the rollback in the history of node 3", func() bool {
+		return strings.Contains(d.callUntilClear(3, 200, "GET", "/api/Rollout.History/s", ""), "not in the configuration")
+	})
 }
 
 // Only endings that are the service's own fault count against a version.
