--- a/internal/gateway/node/call_chunks.go
+++ b/internal/gateway/node/call_chunks.go
@@ -123,7 +123,7 @@
 // sendChunks sends a node what may be in flight to it: of one transfer after the other.
 func (c *chunkedCalls) sendChunks(to string) {
 	now, queue := c.router.env.now(), c.outgoing[to]
-	for len(queue) > 0 && (queue[0].outgoing.Complete() || now >= queue[0].deadline) {
+	for len(queue) > 0 && (queue[0].outgoing.IsComplete() || now >= queue[0].deadline) {
 		queue = queue[1:]
 	}
 	if len(queue) == 0 {
@@ -155,7 +155,7 @@
 
 func (c *chunkedCalls) receiveAck(from string, m *callChunk) {
 	if queue := c.outgoing[from]; len(queue) > 0 && queue[0].header.sameMessage(m) {
-		queue[0].outgoing.Ack(m.received, c.router.env.now())
+		queue[0].outgoing.HandleAck(m.received, c.router.env.now())
 		c.sendChunks(from)
 	}
 }
--- a/internal/gateway/node/core.go
+++ b/internal/gateway/node/core.go
@@ -107,7 +107,7 @@
 	if log != replication.ConfigurationLog {
 		host = c.env.groupReplicaHost(log)
 	}
-	host.advance().Synced(seq)
+	host.advance().ReportSynced(seq)
 }
 
 // handleReady carries out what the replica decided, and notices a new leader.
--- a/internal/gateway/node/lead_balancer.go
+++ b/internal/gateway/node/lead_balancer.go
@@ -162,7 +162,7 @@
 			}
 			continue
 		}
-		if r.replica.Bootstrapped() && r.replica.ReplicatedElsewhere() < r.replica.CommitIndex() {
+		if r.replica.Bootstrapped() && r.replica.IndexReplicatedElsewhere() < r.replica.CommitIndex() {
 			return false
 		}
 	}
--- a/internal/gateway/node/logstream_sender.go
+++ b/internal/gateway/node/logstream_sender.go
@@ -142,7 +142,7 @@
 	case r.after >= l.outgoingLastIndex:
 		l.outgoing, l.sentIndex = replication.BlobSender{}, r.after
 	default:
-		l.outgoing.Ack(r.receivedChunk, now)
+		l.outgoing.HandleAck(r.receivedChunk, now)
 	}
 }
 
@@ -260,7 +260,7 @@
 func (l *learner) beginBlob(b *replication.Blob, lastIndex uint64, entries bool) {
 	l.outgoing, l.outgoingLastIndex, l.sendsEntries = replication.BlobSender{Blob: b}, lastIndex, entries
 	if l.receivedChunk != nil && l.receivedChunk.Offset > 0 {
-		l.outgoing.Ack(l.receivedChunk, 0)
+		l.outgoing.HandleAck(l.receivedChunk, 0)
 	}
 }
 
--- a/internal/gateway/node/logstream_sender_test.go
+++ b/internal/gateway/node/logstream_sender_test.go
@@ -56,7 +56,7 @@
 		n.core.replica.Tick(time.Minute + at)
 		for a, ok := n.core.replica.Next(); ok; a, ok = n.core.replica.Next() {
 			if w, ok := a.(replication.Write); ok {
-				n.core.replica.Synced(w.Seq)
+				n.core.replica.ReportSynced(w.Seq)
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 	last := func() uint64 {
 		for a, ok := p.Next(); ok; a, ok = p.Next() {
 			if w, is := a.(replication.Write); is {
-				p.Synced(w.Seq)
+				p.ReportSynced(w.Seq)
 			}
 		}
 		return p.CommitIndex()
--- a/internal/gateway/node/member_replacement_test.go
+++ b/internal/gateway/node/member_replacement_test.go
@@ -118,7 +118,7 @@
 	for a, ok := p.Next(); ok; a, ok = p.Next() {
 		if w, is := a.(replication.Write); is {
 			must.NoError(t.t, book.Write([]replication.LogWrite{{Log: replication.ConfigurationLog, Write: w}}))
-			p.Synced(w.Seq)
+			p.ReportSynced(w.Seq)
 		}
 	}
 	must.NoError(t.t, book.Close())
--- a/internal/gateway/node/shutdown.go
+++ b/internal/gateway/node/shutdown.go
@@ -52,7 +52,7 @@
 		c.replica.TransferLeadership()
 		return len(c.replica.Members()) == 1
 	}
-	return !c.replica.Bootstrapped() || c.replica.ReplicatedElsewhere() >= c.replica.CommitIndex()
+	return !c.replica.Bootstrapped() || c.replica.IndexReplicatedElsewhere() >= c.replica.CommitIndex()
 }
 
 // Shutdown ends the node, and returns when it is done or the grace is over. It is not for a turn.
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -166,7 +166,7 @@
 // this node, whose sender had no contact, whose term is older than the newest reported one, or that echoes a timestamp that this
 // incarnation did not send recently. A report without a term echoes no timestamp, so its age counts from its receipt.
 func (t *Tracker) HandleReport(r Report, appliedIndex uint64, now time.Duration) {
-	sentAt, ok := t.clock.SentAt(r.Echo, now)
+	sentAt, ok := t.clock.TimeOf(r.Echo, now)
 	switch {
 	case t.config.Replica != nil || r.Age >= MaxKnownAge || r.Index > appliedIndex:
 		return
--- a/internal/gateway/replication/blob.go
+++ b/internal/gateway/replication/blob.go
@@ -49,7 +49,7 @@
 
 // Ack takes how much the receiver has. Less than before means that it has lost it. The same again means that a chunk was lost or
 // came twice: what is in flight is sent again, once from each offset. Acknowledgements of other blobs are ignored.
-func (b *BlobSender) Ack(received *Chunk, now time.Duration) {
+func (b *BlobSender) HandleAck(received *Chunk, now time.Duration) {
 	if b.Blob == nil || received == nil || received.blob() != b.Blob.id || received.Offset > received.Size {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // Complete reports whether the receiver has all of the blob.
-func (b *BlobSender) Complete() bool { return b.acked == b.Blob.id.size }
+func (b *BlobSender) IsComplete() bool { return b.acked == b.Blob.id.size }
 
 // NextChunk returns the next chunk to send; nil if config.MaxInflightBytes are in flight, or all is. What was not acknowledged
 // within config.RetransmitTimeout is sent again.
@@ -98,7 +98,7 @@
 }
 
 // Received is an acknowledgement of the blob that is not complete; nil if there is none.
-func (b *BlobReceiver) Received() *Chunk {
+func (b *BlobReceiver) PendingAck() *Chunk {
 	if b.id.size == 0 {
 		return nil
 	}
--- a/internal/gateway/replication/contact.go
+++ b/internal/gateway/replication/contact.go
@@ -43,7 +43,7 @@
 }
 
 // SentAt is the earliest time that a timestamp can be of, and false if it is not this clock's or too long ago.
-func (c Clock) SentAt(timestamp uint32, now time.Duration) (time.Duration, bool) {
+func (c Clock) TimeOf(timestamp uint32, now time.Duration) (time.Duration, bool) {
 	age := (time.Duration(c.Timestamp(now)-timestamp) + 1) * time.Millisecond
 	return now - age, timestamp != 0 && age <= maxTimestampAge
 }
@@ -71,7 +71,7 @@
 // recordResponseClock records that a member followed this term when the clock that it echoes was sent. A member of the first
 // version sends no clock: it counts from when its answer came.
 func (r *Replica) recordResponseClock(peer *progress, m Message) {
-	sentAt, ok := r.clock.SentAt(m.EchoedClock, r.now)
+	sentAt, ok := r.clock.TimeOf(m.EchoedClock, r.now)
 	if m.Clock == 0 || r.mutated(contactByAck) {
 		sentAt, ok = r.now, true
 	}
@@ -116,7 +116,7 @@
 
 // receiveContact takes over the leader's, once all that it had committed is committed here.
 func (r *Replica) receiveContact(m Message) {
-	sentAt, ok := r.clock.SentAt(m.EchoedClock, r.now)
+	sentAt, ok := r.clock.TimeOf(m.EchoedClock, r.now)
 	if m.Clock == 0 || r.mutated(contactByAppend) {
 		sentAt, ok = r.now, true
 	}
--- a/internal/gateway/replication/durability.go
+++ b/internal/gateway/replication/durability.go
@@ -50,7 +50,7 @@
 }
 
 // Synced reports that the write of this Seq and all before it are on disk.
-func (r *Replica) Synced(seq uint64) {
+func (r *Replica) ReportSynced(seq uint64) {
 	invariant.Assert(seq < r.nextWriteSeq, "only writes that were handed out are synced")
 	r.syncedWriteSeq = max(r.syncedWriteSeq, seq)
 	for len(r.unsyncedWrites) > 0 && r.unsyncedWrites[0].seq <= seq {
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -212,7 +212,7 @@
 	nr := s.writes[0].Seq
 	s.writes = s.writes[1:]
 	c.tick(i)
-	s.replica.Synced(nr)
+	s.replica.ReportSynced(nr)
 	c.drainActions(i)
 }
 
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -70,13 +70,13 @@
 	for _, w := range batch {
 		if notified {
 			c := s.logs[w.Log]
-			c.members[i].replica.Synced(w.Write.Seq)
+			c.members[i].replica.ReportSynced(w.Write.Seq)
 			c.drainActions(i)
 		}
 	}
 	if notified && s.mutation == syncOtherLog {
 		for log, w := range s.queues[i].pending {
-			s.logs[log].members[i].replica.Synced(w.Seq)
+			s.logs[log].members[i].replica.ReportSynced(w.Seq)
 			s.logs[log].drainActions(i)
 		}
 	}
--- a/internal/gateway/replication/leader.go
+++ b/internal/gateway/replication/leader.go
@@ -192,7 +192,7 @@
 	peer.responded, peer.acceptsChunks = true, m.AcceptsChunks
 	switch m.Kind {
 	case MsgChunkAck:
-		peer.transfer.sender.Ack(m.Chunk, r.now)
+		peer.transfer.sender.HandleAck(m.Chunk, r.now)
 		r.replicateTo(peer)
 		r.finishReads()
 	case MsgAppendReject:
--- a/internal/gateway/replication/membership.go
+++ b/internal/gateway/replication/membership.go
@@ -321,7 +321,7 @@
 // ReplicatedElsewhere is up to which index a majority of the members without this one has on disk what is known here to be
 // committed. A member that shuts down stays until that reaches CommitIndex: else a loss right after it could lose an acknowledged
 // entry of which it had one of the copies.
-func (r *Replica) ReplicatedElsewhere() uint64 {
+func (r *Replica) IndexReplicatedElsewhere() uint64 {
 	switch {
 	case r.role == roleLeader:
 		return r.replicatedWithout(r.self.ID)
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -200,7 +200,7 @@
 				d.replica.TransferLeadership()
 			}
 		})()
-		if !d.replica.IsLeader() && d.replica.ReplicatedElsewhere() >= d.replica.CommitIndex() {
+		if !d.replica.IsLeader() && d.replica.IndexReplicatedElsewhere() >= d.replica.CommitIndex() {
 			break
 		}
 		w.runUntil(w.now + 20*time.Millisecond)
@@ -231,11 +231,11 @@
 	must.Eq(t, 1, w.acknowledged)
 	for _, i := range []int{l, (l + 2) % 3} { // the one that leads, or the other that has it
 		p := w.nodes[i].replica
-		atOnce = atOnce || p.ReplicatedElsewhere() >= p.CommitIndex()
+		atOnce = atOnce || p.IndexReplicatedElsewhere() >= p.CommitIndex()
 	}
 	w.runUntil(w.now + 2200*time.Millisecond)
 	p := w.nodes[l].replica
-	return atOnce, p.ReplicatedElsewhere() >= p.CommitIndex()
+	return atOnce, p.IndexReplicatedElsewhere() >= p.CommitIndex()
 }
 
 // A member that drains stays until a majority of the others has what it has: else the loss of another one right after would lose an
@@ -255,7 +255,7 @@
 	w.deliverAll()
 	out := w.members[2].replica
 	must.Eq(t, w.members[0].replica.commitIndex, out.CommitIndex())
-	must.Eq(t, out.CommitIndex(), out.ReplicatedElsewhere())
+	must.Eq(t, out.CommitIndex(), out.IndexReplicatedElsewhere())
 }
 
 // A disk that was moved to another address stays a member: the list is changed, by both majorities.
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -120,7 +120,7 @@
 		case Write:
 			w.checkMerge(i, a)
 			d.writeDoneAt = max(d.writeDoneAt, d.diskBusyUntil, w.now) + w.randomDelay(5) + w.syncDelay
-			w.after(d.writeDoneAt-w.now, w.onNode(i, func(d *simNode) { d.disk.Apply(a); d.replica.Synced(a.Seq) }))
+			w.after(d.writeDoneAt-w.now, w.onNode(i, func(d *simNode) { d.disk.Apply(a); d.replica.ReportSynced(a.Seq) }))
 		case Restore:
 			d.index, d.state = a.Index, string(a.State)
 			if a.Index > 1 && (a.Index-2 >= uint64(len(w.states)) || w.states[a.Index-2] != d.state) {
@@ -543,7 +543,7 @@
 	for a, ok := first.Next(); ok; a, ok = first.Next() {
 		if w, is := a.(Write); is {
 			kept.Apply(w)
-			first.Synced(w.Seq)
+			first.ReportSynced(w.Seq)
 		}
 	}
 	again, second := at(1, kept), at(2, PersistentState{})
