--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -155,7 +155,7 @@
 		}
 	}
 	c.now = max(c.now, now)
-	c.quota.Now(now)
+	c.quota.SetNow(now)
 }
 
 // Next returns the next decision, or false if there is none now. It returns pending decisions first. Then it handles undecided txns, expired
@@ -264,7 +264,7 @@
 	}
 	fields = append(fields, control.LogField{Name: "capacity", Value: c.capacity}, control.IntField("ejected", ejected),
 		control.IntField("backends", len(c.readyBackends)), control.IntField("waiting", len(c.waiting)),
-		control.IntField("bad_datagrams", c.quota.BadDatagrams()))
+		control.IntField("bad_datagrams", c.quota.BadDatagramCount()))
 	c.decisions = append(c.decisions, control.Decision{Action: control.Log, Entry: &control.LogEntry{Message: "txns given up", Fields: fields}})
 	c.giveUpCounts, c.loggedAt = reasonCounts{}, c.now
 }
--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -266,7 +266,7 @@
 	s.advance(10300)
 	fmt.Println("# a datagram that cannot be decoded is dropped and counted")
 	s.controller.DatagramReceived(1, []byte{1, 2, 3})
-	fmt.Println("dropped datagrams:", s.controller.quota.BadDatagrams())
+	fmt.Println("dropped datagrams:", s.controller.quota.BadDatagramCount())
 	// Output:
 	// # deltas arrive out of order and repeatedly: each delta is applied once
 	// 10000 datagram to 1: snapshot left 15 sharers 2 ack 2
@@ -446,7 +446,7 @@
 	s.arrive(2, c, 0, 0)
 	s.receive(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
 	reservedUnits := func() float64 {
-		state, _ := s.controller.quota.State(c)
+		state, _ := s.controller.quota.AccountState(c)
 		return state.Reserved
 	}
 	fmt.Println("reserved:", reservedUnits(), "- other txns may consume that much less of the snapshot")
@@ -747,8 +747,8 @@
 		for g := control.GatewayID(1); g < 3; g++ {
 			s.controller.DatagramReceived(g, (&quota.Message{Epoch: 7, Age: age, Seq: 1}).Encode())
 		}
-		s.controller.quota.Account(c, 0, 0, 3)
-		state, _ := s.controller.quota.State(c)
+		s.controller.quota.EnsureAccount(c, 0, 0, 3)
+		state, _ := s.controller.quota.AccountState(c)
 		fmt.Println("peers started", age, "ago: units at the start of a bucket:", state.Level)
 	}
 	// Output:
@@ -791,7 +791,7 @@
 		s.receive(1, &quota.Message{Epoch: 7, AckEpoch: s.controller.quota.Epoch(), AckHigh: 9, AckMask: 1<<32 - 1, Seq: uint64(i),
 			Deltas: []quota.Delta{{Customer: mine, Units: 15, SetWidth: 3}}})
 	}
-	state, _ := s.controller.quota.State(mine)
+	state, _ := s.controller.quota.AccountState(mine)
 	fmt.Printf("units in the bucket %.0f, customers %d\n", state.Level, s.controller.quota.CustomerCount())
 	s.advance(40000)
 	fmt.Println("customers", s.controller.quota.CustomerCount())
--- a/control/loadbalancer/scenario_test.go
+++ b/control/loadbalancer/scenario_test.go
@@ -100,8 +100,8 @@
 // drainBucket consumes units until the given number is left. The bucket must be of plan 0, owned by this gateway, and have at least that
 // many units.
 func (s *scenario) drainBucket(c control.CustomerID, left float64) {
-	s.controller.quota.Account(c, 0, 0, 3)
-	state, _ := s.controller.quota.State(c)
+	s.controller.quota.EnsureAccount(c, 0, 0, 3)
+	state, _ := s.controller.quota.AccountState(c)
 	s.controller.quota.Consume(c, state.Level-left)
 }
 
--- a/control/loadbalancer/txn.go
+++ b/control/loadbalancer/txn.go
@@ -106,7 +106,7 @@
 		c.finish(t, 0)
 		return
 	}
-	account := c.quota.Account(t.Customer, t.Plan, t.SetFirst, t.SetWidth)
+	account := c.quota.EnsureAccount(t.Customer, t.Plan, t.SetFirst, t.SetWidth)
 	if t.needsQuota() && !c.checkQuota(t, account) {
 		return
 	}
@@ -172,7 +172,7 @@
 // mayExceedQuota reports whether a txn that exceeds its quota is admitted. This is an exception for plans that gain by it and are not
 // charged. It holds only while the backends clearly have spare capacity and no txn has recently lacked capacity.
 func (c *Controller) mayExceedQuota(account *quota.Account, t *txn) bool {
-	p := &c.plans[account.Plan()]
+	p := &c.plans[account.PlanID()]
 	return p.overQuotaValue > 0 && p.overQuotaCost <= 0 && p.MaxInFlight == 0 && p.HardRate <= 0 && !t.lateRetry &&
 		c.utilization < maxOverQuotaUtilization && c.now-c.saturatedAt > overQuotaCooldown
 }
--- a/control/quota/bench_test.go
+++ b/control/quota/bench_test.go
@@ -61,8 +61,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 250 * time.Millisecond
-		reporter.Now(now)
-		owner.Now(now)
+		reporter.SetNow(now)
+		owner.SetNow(now)
 		for _, c := range owned {
 			if v, _ := reporter.Check(c, Request{Units: 1, Arrived: now, SLA: 400 * time.Millisecond}); v == Allowed {
 				reporter.Consume(c, 1)
--- a/control/quota/bound_test.go
+++ b/control/quota/bound_test.go
@@ -76,7 +76,7 @@
 			if limiter == nil {
 				continue
 			}
-			limiter.Now(p.now)
+			limiter.SetNow(p.now)
 			for attempts := 0.0; p.underPressure && attempts <= p.rate+p.burst; attempts++ { // more units at once exceed any bound
 				if v, _ := limiter.Check(watchedCustomer, Request{Units: 1, Arrived: p.now, SLA: 400 * time.Millisecond}); v != Allowed {
 					break
--- a/control/quota/frontdoor.go
+++ b/control/quota/frontdoor.go
@@ -10,7 +10,7 @@
 
 // Account returns the account of a txn's customer and assigns the set that the txn names. It creates an account with the given plan if
 // there is none. The account is valid until the next call of Sweep.
-func (l *Limiter) Account(id control.CustomerID, plan control.PlanID, setFirst control.GatewayID, setWidth int) *Account {
+func (l *Limiter) EnsureAccount(id control.CustomerID, plan control.PlanID, setFirst control.GatewayID, setWidth int) *Account {
 	a := l.account(id, plan)
 	l.assignOwner(a, setFirst, setWidth)
 	a.lastUsedAt = l.now
@@ -18,7 +18,7 @@
 }
 
 // Plan returns the plan with which the account was created.
-func (a *Account) Plan() control.PlanID { return a.planID }
+func (a *Account) PlanID() control.PlanID { return a.planID }
 
 // CheckAccount is Check for an account. For a request that is not allowed, it also returns the reason. Units that the check asks of the
 // owner stay requested, even if the caller gives up the request.
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -130,7 +130,7 @@
 
 // Now sets the limiter's clock. A time before the current one is ignored. A step of more than stallThreshold counts as a pause of this
 // process.
-func (l *Limiter) Now(now time.Duration) {
+func (l *Limiter) SetNow(now time.Duration) {
 	if l.now > l.startedAt && now-l.now > stallThreshold {
 		l.pausedUntil = now
 	}
@@ -366,7 +366,7 @@
 
 // BadDatagrams returns the number of datagrams that were malformed or came from no known peer, plus the rejected deltas and messages of
 // deltas.
-func (l *Limiter) BadDatagrams() int { return l.badDatagrams }
+func (l *Limiter) BadDatagramCount() int { return l.badDatagrams }
 
 // AccountState is an excerpt of an account for diagnosis.
 type AccountState struct {
@@ -376,7 +376,7 @@
 }
 
 // State returns the state of a customer's account, and false if there is none.
-func (l *Limiter) State(c control.CustomerID) (AccountState, bool) {
+func (l *Limiter) AccountState(c control.CustomerID) (AccountState, bool) {
 	a := l.accounts[c]
 	if a == nil {
 		return AccountState{}, false
--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -24,7 +24,7 @@
 
 func (p *planScenario) advance(to time.Duration) {
 	for p.now < to {
-		p.Now(min(to, p.now+50*time.Millisecond))
+		p.SetNow(min(to, p.now+50*time.Millisecond))
 		p.Sweep()
 		p.collectDatagrams()
 	}
@@ -69,7 +69,7 @@
 func Example_hardLimitPool() {
 	s := newPlanScenario()
 	c := ownedAmongThree(1)
-	a := s.Account(c, 0, 0, 3)
+	a := s.EnsureAccount(c, 0, 0, 3)
 	s.refillHardShare(a)
 	fmt.Println("# a share with less than one unit: the gateway requests the missing units, and the grant covers the txn")
 	a.hardShare = 0.25
@@ -89,7 +89,7 @@
 	s.receive(1, m)
 	fmt.Printf("units in the share: %.1f\n", a.hardShare)
 	fmt.Println("# the shares and the pool add up to the hard limit; an owner grants no more than its pool")
-	own := s.Account(ownedAmongThree(0), 0, 0, 3)
+	own := s.EnsureAccount(ownedAmongThree(0), 0, 0, 3)
 	fmt.Printf("units: owner's share with the pool %.1f, share of each of the two other gateways %.1f, burst of the hard limit %.1f\n", s.hardShareCap(own), s.hardShareCap(a), a.limit.HardBurst)
 	own.hardShare, own.hardShareAt = 2, s.now
 	for seq, want := range []float64{3, 1.5} {
@@ -145,7 +145,7 @@
 	s.receive(1, &Message{Epoch: 7, Seq: 1, Deltas: []Delta{{Customer: c, SetWidth: 1}}})
 	a := s.accounts[c]
 	fmt.Println("a peer names a set of this gateway alone: set width", a.setWidth, "has units of the hard limit", s.refillHardShare(a) > 0)
-	s.checkAndConsume(s.Account(c, 0, 0, 3))
+	s.checkAndConsume(s.EnsureAccount(c, 0, 0, 3))
 	fmt.Println("a txn names a set of three gateways: set width", a.setWidth, "units of the hard limit", a.hardShare)
 	// Output:
 	// a peer names a set of this gateway alone: set width 1 has units of the hard limit true
@@ -155,7 +155,7 @@
 // An owned account is removed only after its bucket is full again.
 func Example_idleAccountsAreRemoved() {
 	s := newPlanScenario()
-	s.checkAndConsume(s.Account(ownedAmongThree(0), 0, 0, 3))
+	s.checkAndConsume(s.EnsureAccount(ownedAmongThree(0), 0, 0, 3))
 	own := s.accounts[ownedAmongThree(0)]
 	own.level = -200 // full again after 22 s
 	fmt.Println("accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -85,7 +85,7 @@
 			if l == nil {
 				continue
 			}
-			l.Now(c.now)
+			l.SetNow(c.now)
 			if len(only) > 0 && control.GatewayID(i) != only[0] || c.rng.Float64() > unitsPerSecond*step.Seconds() {
 				continue
 			}
@@ -242,7 +242,7 @@
 	other.Check(lateCustomer, Request{Units: 1, Arrived: c.now, SLA: time.Second})
 	other.Consume(lateCustomer, 3)
 	c.run(time.Second, 0)
-	must.Positive(t, own.BadDatagrams())
+	must.Positive(t, own.BadDatagramCount())
 	must.Eq(t, 3, other.accounts[lateCustomer].unacked)
 	own.SetLimit(lateCustomer, 10, 10)
 	c.run(5*time.Second, 0)
@@ -326,7 +326,7 @@
 	for end := c.now + d; c.now < end; {
 		c.now += step
 		for _, l := range c.limiters {
-			l.Now(c.now)
+			l.SetNow(c.now)
 		}
 		if c.rng.Float64() < requestsPerSecond*step.Seconds() {
 			waiting = append(waiting, waitingRequest{control.GatewayID(c.rng.Intn(len(c.limiters))), Request{Units: 1, Arrived: c.now, SLA: sla}})
--- a/control/quota/recorded_test.go
+++ b/control/quota/recorded_test.go
@@ -100,7 +100,7 @@
 			if step%900 > 800 && i == 2 {
 				continue // the process is paused
 			}
-			limiter.Now(now)
+			limiter.SetNow(now)
 			c := control.CustomerID(1 + rng.Intn(customers))
 			units := float64(1 + rng.Intn(4))
 			outcome, at := limiter.Check(c, Request{Units: units, Arrived: now - time.Duration(rng.Intn(300))*time.Millisecond, SLA: 400 * time.Millisecond,
--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -17,7 +17,7 @@
 // Limiter enforces the quotas of customers. *quota.Limiter implements it. A customer that is unknown to the Limiter is not limited. The creator of
 // the Limiter sets its limits and gateways. DatagramReceived reports whether requests that wait for units should be checked again.
 type Limiter interface {
-	Now(now time.Duration)
+	SetNow(now time.Duration)
 	Check(c control.CustomerID, r quota.Request) (quota.Outcome, time.Duration)
 	Reserve(c control.CustomerID, units float64)
 	Release(c control.CustomerID, units float64)
@@ -112,7 +112,7 @@
 		}
 	}
 	c.now = max(c.now, now)
-	c.limiter.Now(c.now)
+	c.limiter.SetNow(c.now)
 }
 
 // DatagramReceived passes a peer's datagram to the quota.
