--- a/internal/gateway/node/backend_registry.go
+++ b/internal/gateway/node/backend_registry.go
@@ -99,7 +99,7 @@
 func (n *Node) receiveRegistry(from string, m *registry.WireMessage) {
 	if s := n.roster.Slot(from); s != membership.NoSlot {
 		n.registry.Tick(n.loop.Now())
-		n.registry.Receive(registry.Slot(s), m.Message())
+		n.registry.Receive(registry.Slot(s), m.ToMessage())
 	}
 }
 
@@ -131,7 +131,7 @@
 // encodeBackends is the stored form of the backends.
 func encodeBackends(records []registry.Record) []byte {
 	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(registry.ToWire(records)) // of texts and numbers: it can't fail
+	gob.NewEncoder(&b).Encode(registry.ToWireRecords(records)) // of texts and numbers: it can't fail
 	return b.Bytes()
 }
 
@@ -141,7 +141,7 @@
 	if err := gob.NewDecoder(bytes.NewReader(stored)).Decode(&records); err != nil {
 		return nil, err
 	}
-	return registry.FromWire(records), nil
+	return registry.FromWireRecords(records), nil
 }
 
 // handleRegistryActions carries out what the registry decided.
@@ -158,7 +158,7 @@
 		switch a := a.(type) {
 		case registry.Send:
 			if s, ok := n.roster.NodeAtSlot(membership.Slot(a.Target)); ok {
-				n.links.Send(s.Addr, &Frame{Board: a.Message.Wire()})
+				n.links.Send(s.Addr, &Frame{Board: a.Message.ToWire()})
 			}
 		case registry.Changed:
 			n.registryHost.unsaved = true
--- a/internal/gateway/node/frame_recorded_test.go
+++ b/internal/gateway/node/frame_recorded_test.go
@@ -361,7 +361,7 @@
 	want := []registry.WireRecord{wireRecordSet("one"), wireRecordSet("two")}
 	got, err := decodeBackends(kept)
 	must.NoError(t, err)
-	must.Eq(t, registry.FromWire(want), got)
+	must.Eq(t, registry.FromWireRecords(want), got)
 	var before, after []wireRecord
 	must.NoError(t, gob.NewDecoder(bytes.NewReader(kept)).Decode(&before))
 	must.NoError(t, gob.NewDecoder(bytes.NewReader(encodeBackends(got))).Decode(&after))
--- a/internal/gateway/node/readiness.go
+++ b/internal/gateway/node/readiness.go
@@ -18,7 +18,7 @@
 	check(n.table.Version() == 0, "no configuration")
 	check(!n.contact.ContactSuffices(quorumcontact.ServeClients, n.loop.Now()), "not heard of the core of late")
 	check(n.registry == nil, "no slot")
-	check(n.registry != nil && !n.registry.HasReady(), "no backend is ready")
+	check(n.registry != nil && !n.registry.HasReadyBackend(), "no backend is ready")
 	return reasons
 }
 
--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -74,10 +74,10 @@
 	NodeStalled bool
 }
 
-// Evidence returns the kind of evidence that follows from the end of an attempt. The reset of a fresh connection before any part of an answer is
+// EvidenceKind returns the kind of evidence that follows from the end of an attempt. The reset of a fresh connection before any part of an answer is
 // NoEvidence, because a backend resets fresh connections when it has too many connections. A time-out after a part of the answer is NoEvidence,
 // because the answer is merely slow.
-func (a AttemptEnd) Evidence() EvidenceKind {
+func (a AttemptEnd) EvidenceKind() EvidenceKind {
 	switch {
 	case a.NodeStalled:
 		return NoEvidence
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -65,7 +65,7 @@
 // once for each attempt.
 func (n *Node) RecordAttempt(k Key, rev uint64, sent time.Duration, seen AttemptEnd) {
 	instance := n.backends[k.ID]
-	kind := seen.Evidence()
+	kind := seen.EvidenceKind()
 	if instance == nil || !n.state.Enabled() {
 		return
 	}
--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -392,7 +392,7 @@
 			{Ending: control.Unreachable}, {Ending: control.Canceled}, {Ending: control.NotSent}, {Ending: control.Succeeded, NodeStalled: true}},
 	} {
 		for _, end := range ends {
-			must.Eq(t, want, end.Evidence(), must.Sprint(end))
+			must.Eq(t, want, end.EvidenceKind(), must.Sprint(end))
 		}
 	}
 }
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -450,7 +450,7 @@
 	req.done = true
 	node := req.node
 	node.inFlight[req.key]--
-	if kind := req.outcome.Evidence(); kind > CleanAnswer && req.backend.firstEvidenceAt == farFuture && sim.now > req.backend.faultFrom {
+	if kind := req.outcome.EvidenceKind(); kind > CleanAnswer && req.backend.firstEvidenceAt == farFuture && sim.now > req.backend.faultFrom {
 		req.backend.firstEvidenceAt = sim.now
 	}
 	node.Node.now = sim.now
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -142,14 +142,14 @@
 		c.collect(time.Hour)
 	}
 	must.SliceEmpty(t, c.registry.activePeers)
-	must.True(t, c.registry.HasReady())
+	must.True(t, c.registry.HasReadyBackend())
 	c.registry.Deregister("i-7") // The departure is sent to all followers.
 	c.collect(time.Hour)
 	must.SliceLen(t, 50, c.registry.activePeers)
 	// All followers are removed.
 	c.registry.SetNodes([]Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}})
 	must.SliceEmpty(t, c.registry.activePeers)
-	must.False(t, New(0, Config{}, 0).HasReady())
+	must.False(t, New(0, Config{}, 0).HasReadyBackend())
 }
 
 // TestFullSyncSendsOwnZoneFirst guards against a long wait after the loss of all nodes: hundreds of nodes waited on slow
--- a/internal/gateway/registry/status.go
+++ b/internal/gateway/registry/status.go
@@ -54,8 +54,8 @@
 	return records
 }
 
-// HasReady reports whether any backend is ready. It stops at the first ready backend, because readiness is queried at
+// HasReadyBackend reports whether any backend is ready. It stops at the first ready backend, because readiness is queried at
 // least once a second.
-func (r *Registry) HasReady() bool {
+func (r *Registry) HasReadyBackend() bool {
 	return slices.ContainsFunc(r.sorted, func(e *entry) bool { return r.visiblePhase(e) == Ready })
 }
--- a/internal/gateway/registry/wire.go
+++ b/internal/gateway/registry/wire.go
@@ -38,8 +38,8 @@
 	Unreached []Slot // Unreachable
 }
 
-// ToWire converts records to the form in which they are sent and stored. It returns nil for no records.
-func ToWire(records []Record) []WireRecord {
+// ToWireRecords converts records to the form in which they are sent and stored. It returns nil for no records.
+func ToWireRecords(records []Record) []WireRecord {
 	if len(records) == 0 {
 		return nil
 	}
@@ -53,8 +53,8 @@
 	return wire
 }
 
-// FromWire converts sent or stored records to Records. It returns nil for no records.
-func FromWire(wire []WireRecord) []Record {
+// FromWireRecords converts sent or stored records to Records. It returns nil for no records.
+func FromWireRecords(wire []WireRecord) []Record {
 	if len(wire) == 0 {
 		return nil
 	}
@@ -68,14 +68,14 @@
 	return records
 }
 
-// Wire converts a message to the form in which it is sent.
-func (m *Message) Wire() *WireMessage {
-	return &WireMessage{Nr: m.Seq, Words: ToWire(m.Updates), Beats: ToWire(m.Heartbeats), Doubts: ToWire(m.Suspicions), Acks: m.Acks,
+// ToWire converts a message to the form in which it is sent.
+func (m *Message) ToWire() *WireMessage {
+	return &WireMessage{Nr: m.Seq, Words: ToWireRecords(m.Updates), Beats: ToWireRecords(m.Heartbeats), Doubts: ToWireRecords(m.Suspicions), Acks: m.Acks,
 		All: m.FullSync, Unreached: m.Unreachable}
 }
 
-// Message converts a received message to a Message.
-func (w *WireMessage) Message() Message {
-	return Message{Seq: w.Nr, Updates: FromWire(w.Words), Heartbeats: FromWire(w.Beats), Suspicions: FromWire(w.Doubts), Acks: w.Acks,
+// ToMessage converts a received message to a Message.
+func (w *WireMessage) ToMessage() Message {
+	return Message{Seq: w.Nr, Updates: FromWireRecords(w.Words), Heartbeats: FromWireRecords(w.Beats), Suspicions: FromWireRecords(w.Doubts), Acks: w.Acks,
 		FullSync: w.All, Unreachable: w.Unreached}
 }
--- a/internal/gateway/registry/wire_test.go
+++ b/internal/gateway/registry/wire_test.go
@@ -21,13 +21,13 @@
 func TestWireFormsKeepEveryField(t *testing.T) {
 	m := Message{Seq: 8, Updates: []Record{fullRecord("update")}, Heartbeats: []Record{fullRecord("heartbeat")},
 		Suspicions: []Record{fullRecord("suspicion")}, Acks: []uint64{1, 2}, FullSync: true, Unreachable: []Slot{3, 4}}
-	for _, v := range []reflect.Value{reflect.ValueOf(m), reflect.ValueOf(m.Updates[0]), reflect.ValueOf(*m.Wire()), reflect.ValueOf(m.Wire().Words[0])} {
+	for _, v := range []reflect.Value{reflect.ValueOf(m), reflect.ValueOf(m.Updates[0]), reflect.ValueOf(*m.ToWire()), reflect.ValueOf(m.ToWire().Words[0])} {
 		for i := range v.NumField() {
 			must.False(t, v.Field(i).IsZero(), must.Sprintf("%s.%s is not set", v.Type(), v.Type().Field(i).Name))
 		}
 	}
-	must.Eq(t, m, m.Wire().Message())
-	must.Eq(t, Message{}, (&Message{}).Wire().Message())
+	must.Eq(t, m, m.ToWire().ToMessage())
+	must.Eq(t, Message{}, (&Message{}).ToWire().ToMessage())
 }
 
 // BenchmarkWire measures the cost of sending a relayed heartbeat and a full message of updates to a link. It measures
@@ -40,16 +40,16 @@
 	}
 	for name, m := range map[string]*Message{"heartbeat": &heartbeat, "updates": &updates} {
 		encoder := gob.NewEncoder(io.Discard)
-		must.NoError(b, encoder.Encode(m.Wire()))
+		must.NoError(b, encoder.Encode(m.ToWire()))
 		b.Run(name+"/converted", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				encoder.Encode(m.Wire())
+				encoder.Encode(m.ToWire())
 			}
 		})
 		b.Run(name+"/encoded", func(b *testing.B) {
 			b.ReportAllocs()
-			wire := m.Wire()
+			wire := m.ToWire()
 			for b.Loop() {
 				encoder.Encode(wire)
 			}
