--- a/internal/gateway/admission/attempts_test.go
+++ b/internal/gateway/admission/attempts_test.go
@@ -106,7 +106,7 @@
 	h.arrive(1)
 	first := h.lastDecision().Backend
 	other := control.BackendID(3 - first)
-	for id := control.TxnID(2); h.services[0].balancer.InFlight() < 2; id++ {
+	for id := control.TxnID(2); h.services[0].balancer.InFlightCount() < 2; id++ {
 		h.arrive(id)
 	}
 	for id := control.TxnID(2); id < 20; id++ { // the other backend rejects all requests and gets none for a while
--- a/internal/gateway/admission/canary.go
+++ b/internal/gateway/admission/canary.go
@@ -94,7 +94,7 @@
 		}
 	case !t.versionChosen:
 		t.assignment = c.assigner.Assign(t.ID, t.Product, baseline.id)
-		if t.assignment.Side == rollout.Canary && canary.balancer.Ready() > 0 {
+		if t.assignment.Side == rollout.Canary && canary.balancer.ReadyCount() > 0 {
 			target = canary
 		}
 	case t.service == canary:
@@ -121,7 +121,7 @@
 // short of capacity, but the baseline version is not expected to be. fallBackToBaseline returns false if the request cannot be moved.
 func (c *Controller) fallBackToBaseline(t *txn) bool {
 	baseline := t.service.baseline
-	if baseline == nil || t.submissions > 0 || baseline.balancer.Ready() == 0 {
+	if baseline == nil || t.submissions > 0 || baseline.balancer.ReadyCount() == 0 {
 		return false
 	}
 	t.service.queue = slices.DeleteFunc(t.service.queue, func(other *txn) bool { return other == t })
@@ -145,6 +145,6 @@
 	}
 	c.assigner.SubmissionEnded(ComparisonSample{
 		Assignment: t.assignment, Service: t.service.baselineVersion().id, Kind: t.Product, Effectful: t.route.Effectful, Backend: t.lastBackend,
-		Ending: ending, Took: took, WarmingUp: processPaused || t.service.balancer.WarmingUp(c.now, t.lastBackend),
+		Ending: ending, Took: took, WarmingUp: processPaused || t.service.balancer.IsWarmingUp(c.now, t.lastBackend),
 	})
 }
--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -108,7 +108,7 @@
 	if c.wakeAt > 0 && now-c.wakeAt > stallThreshold {
 		c.pausedUntil = now
 		for _, s := range c.services {
-			s.balancer.Resumed(now)
+			s.balancer.RecordResume(now)
 		}
 	}
 	c.now = max(c.now, now)
@@ -203,7 +203,7 @@
 			s.concurrency.advance(c.now)
 		}
 		c.services = slices.DeleteFunc(c.services, func(s *service) bool {
-			return s.txnCount == 0 && s.balancer.Empty() && s.baseline == nil && s.canary == nil && !c.hasRoute(s)
+			return s.txnCount == 0 && s.balancer.IsEmpty() && s.baseline == nil && s.canary == nil && !c.hasRoute(s)
 		})
 	}
 	if c.now-c.loggedAt >= logInterval && c.counts != (counts{}) {
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -187,7 +187,7 @@
 		}
 		h.advance(h.now + time.Second)
 		must.LessEq(t, 0.1*float64(len(sentTxns))+2*refillShare*64/2, float64(retries))
-		must.MapLen(t, h.services[0].balancer.InFlight(), h.txns)
+		must.MapLen(t, h.services[0].balancer.InFlightCount(), h.txns)
 		sentInAllRuns += len(sentTxns)
 	}
 	must.Greater(t, 50*seeds, sentInAllRuns)
@@ -258,7 +258,7 @@
 	must.Eq(t, 200, h.lastDecision().Txn)
 	must.Greater(t, 0, h.lastDecision().After)
 	h.SubmissionEnded(101, 0, 1, control.Succeeded, true, 50*time.Millisecond, nil)
-	must.MapLen(t, h.services[0].balancer.InFlight(), h.txns)
+	must.MapLen(t, h.services[0].balancer.InFlightCount(), h.txns)
 }
 
 // Checks that a request beyond its quota is rejected at once, with the time after which units are available.
--- a/internal/gateway/admission/counts.go
+++ b/internal/gateway/admission/counts.go
@@ -26,7 +26,7 @@
 func (c *Controller) logSummary() {
 	queued, inFlight := 0, 0
 	for _, s := range c.services {
-		queued, inFlight = queued+len(s.queue), inFlight+s.balancer.InFlight()
+		queued, inFlight = queued+len(s.queue), inFlight+s.balancer.InFlightCount()
 	}
 	n := &c.counts
 	failed := n.endings[control.Errored] + n.endings[control.TimedOut] + n.endings[control.Unreachable] + n.endings[control.ConnectionLost]
--- a/internal/gateway/admission/service.go
+++ b/internal/gateway/admission/service.go
@@ -37,9 +37,9 @@
 
 // readyBackends returns the number of ready backends of a service, including its canary's unless the access is CanaryClosed.
 func (s *service) readyBackends() int {
-	n := s.balancer.Ready()
+	n := s.balancer.ReadyCount()
 	if s.canary != nil && s.canaryAccess != CanaryClosed {
-		n += s.canary.balancer.Ready()
+		n += s.canary.balancer.ReadyCount()
 	}
 	return n
 }
@@ -112,7 +112,7 @@
 // retryAfter returns the time after which a rejected client should retry. The time is an estimate of how long this node needs to empty the
 // service's queue. The estimate follows from the queue's length, this node's capacity and the typical latency. The service may be nil.
 func (c *Controller) retryAfter(s *service) time.Duration {
-	if s == nil || s.balancer.Ready() == 0 {
+	if s == nil || s.balancer.ReadyCount() == 0 {
 		return time.Duration(float64(noBackendRetryAfter) * (retryAfterJitterBase + retryAfterJitter*c.rng.Float64()))
 	}
 	typical := emptyQueueLatency
--- a/internal/gateway/admission/timer.go
+++ b/internal/gateway/admission/timer.go
@@ -77,7 +77,7 @@
 		return
 	}
 	mayRetry := t.attempts+1 < t.route.MaxAttempts && c.canMeetDeadline(t) && c.retryTokens(t.service) >= 1
-	if mayRetry && t.service.balancer.Dead(c.now, t.lastBackend) {
+	if mayRetry && t.service.balancer.IsDead(c.now, t.lastBackend) {
 		t.cancelRequested = true
 		c.cancelSubmission(t)
 		return
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -186,7 +186,7 @@
 		return
 	}
 	c.consumeUnits(t)
-	s.balancer.Sent(c.now, backend, t.balancerRequest())
+	s.balancer.RecordSent(c.now, backend, t.balancerRequest())
 	if t.submissions > 0 {
 		c.counts.retried++
 	}
@@ -258,7 +258,7 @@
 		ending = control.TimedOut
 	}
 	s := t.service
-	s.balancer.Ended(c.now, t.lastBackend, balancer.Outcome{Ending: ending, Kind: t.Product, Took: took, LatencyTarget: t.route.LatencyTarget,
+	s.balancer.RecordEnd(c.now, t.lastBackend, balancer.Outcome{Ending: ending, Kind: t.Product, Took: took, LatencyTarget: t.route.LatencyTarget,
 		ProcessPaused: t.sentAt < c.pausedUntil, ClientLeft: t.clientLeft})
 	s.recheck = true
 	s.concurrency.busyTime += took
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -158,8 +158,8 @@
 	return otherZones
 }
 
-// Ready returns the number of ready backends.
-func (b *Balancer) Ready() (n int) {
+// ReadyCount returns the number of ready backends.
+func (b *Balancer) ReadyCount() (n int) {
 	for _, backend := range b.ordered {
 		if backend.State == control.Ready {
 			n++
@@ -173,17 +173,17 @@
 	return slices.ContainsFunc(b.ordered, r.mayGoTo)
 }
 
-// WarmingUp reports whether a backend is warming up or no longer known.
-func (b *Balancer) WarmingUp(now time.Duration, id control.BackendID) bool {
+// IsWarmingUp reports whether a backend is warming up or no longer known.
+func (b *Balancer) IsWarmingUp(now time.Duration, id control.BackendID) bool {
 	backend := b.known[id]
 	return backend == nil || now < backend.WarmingUntil
 }
 
-// Empty reports whether the balancer knows no backend, which implies that no request is in flight.
-func (b *Balancer) Empty() bool { return len(b.known) == 0 }
+// IsEmpty reports whether the balancer knows no backend, which implies that no request is in flight.
+func (b *Balancer) IsEmpty() bool { return len(b.known) == 0 }
 
-// InFlight returns the number of this node's requests in flight at the service.
-func (b *Balancer) InFlight() int { return b.inFlight }
+// InFlightCount returns the number of this node's requests in flight at the service.
+func (b *Balancer) InFlightCount() int { return b.inFlight }
 
 // Capacity returns the number of requests that this node may now have in flight at the service.
 func (b *Balancer) Capacity() float64 { return b.capacity }
@@ -194,8 +194,8 @@
 	return time.Duration(seconds * float64(time.Second)), ok
 }
 
-// Resumed is called after a pause of this process that ended now. Backends are not blamed for responses that are missing because of the pause.
-func (b *Balancer) Resumed(now time.Duration) {
+// RecordResume is called after a pause of this process that ended now. Backends are not blamed for responses that are missing because of the pause.
+func (b *Balancer) RecordResume(now time.Duration) {
 	for _, backend := range b.ordered {
 		backend.unansweredSince, backend.secondUnansweredAt = now, now
 	}
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -43,12 +43,12 @@
 			continue
 		}
 		f.chosen[id]++
-		f.Sent(f.now, id, request)
+		f.RecordSent(f.now, id, request)
 		took := 100 * time.Millisecond
 		if t := f.responseTimes[id]; t > 0 {
 			took = t
 		}
-		f.Ended(f.now, id, Outcome{Ending: f.endings[id], Took: took, LatencyTarget: 400 * time.Millisecond})
+		f.RecordEnd(f.now, id, Outcome{Ending: f.endings[id], Took: took, LatencyTarget: 400 * time.Millisecond})
 	}
 }
 
@@ -144,20 +144,20 @@
 	f := newFixture(1)
 	f.sendRequests(100, Request{})
 	for range 2 {
-		f.Sent(f.now, 1, Request{})
+		f.RecordSent(f.now, 1, Request{})
 	}
 	f.now += 250 * time.Millisecond
-	must.False(t, f.Dead(f.now, 1))
+	must.False(t, f.IsDead(f.now, 1))
 	f.now += 200 * time.Millisecond
-	must.False(t, f.Dead(f.now, 1)) // no other backend has been asked since
+	must.False(t, f.IsDead(f.now, 1)) // no other backend has been asked since
 	f.sendRequests(5, Request{Attempted: []control.BackendID{1}})
-	must.True(t, f.Dead(f.now, 1))
+	must.True(t, f.IsDead(f.now, 1))
 	for range 10 {
 		id, _ := f.Pick(f.now, Request{})
 		must.NotEq(t, 1, id)
 	}
-	f.Resumed(f.now) // the process was paused, so the backend is not at fault
-	must.False(t, f.Dead(f.now, 1))
+	f.RecordResume(f.now) // the process was paused, so the backend is not at fault
+	must.False(t, f.IsDead(f.now, 1))
 }
 
 // Guards against a node of a large fleet that sends to each backend too rarely. Such a node learnt nothing of the backends and opened a new
@@ -193,11 +193,11 @@
 		for range 24 { // none of them ends meanwhile
 			id, result := f.Pick(f.now, Request{})
 			must.Eq(t, Chosen, result)
-			f.Sent(f.now, id, Request{})
+			f.RecordSent(f.now, id, Request{})
 			sentTo = append(sentTo, id)
 		}
 		for _, id := range sentTo {
-			f.Ended(f.now, id, Outcome{Took: 100 * time.Millisecond, LatencyTarget: 400 * time.Millisecond})
+			f.RecordEnd(f.now, id, Outcome{Took: 100 * time.Millisecond, LatencyTarget: 400 * time.Millisecond})
 		}
 		for id := range inSubset {
 			if inSubset[id] {
@@ -289,9 +289,9 @@
 		f := newFixture(1)
 		f.sendRequests(100, Request{})
 		for range 8 {
-			f.Sent(f.now, 1, Request{})
+			f.RecordSent(f.now, 1, Request{})
 			f.now += leavesAfter
-			f.Ended(f.now, 1, Outcome{Ending: control.Canceled, Took: leavesAfter, LatencyTarget: 400 * time.Millisecond, ClientLeft: true})
+			f.RecordEnd(f.now, 1, Outcome{Ending: control.Canceled, Took: leavesAfter, LatencyTarget: 400 * time.Millisecond, ClientLeft: true})
 		}
 		f.sendRequests(60, Request{})
 		if leavesAfter > 4*100*time.Millisecond {
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -7,8 +7,8 @@
 	"clovergap/internal/invariant"
 )
 
-// Sent records that a request was sent to a backend.
-func (b *Balancer) Sent(now time.Duration, id control.BackendID, r Request) {
+// RecordSent records that a request was sent to a backend.
+func (b *Balancer) RecordSent(now time.Duration, id control.BackendID, r Request) {
 	backend := b.known[id]
 	invariant.Assert(backend != nil && backend.State == control.Ready, "a request is sent to a ready backend only")
 	if backend == nil {
@@ -44,14 +44,14 @@
 	ClientLeft    bool          // the client has left; a canceled request was canceled for this reason
 }
 
-// Ended records the end of a request. It is called once for each request that was sent.
-func (b *Balancer) Ended(now time.Duration, id control.BackendID, outcome Outcome) {
+// RecordEnd records the end of a request. It is called once for each request that was sent.
+func (b *Balancer) RecordEnd(now time.Duration, id control.BackendID, outcome Outcome) {
 	backend := b.known[id]
 	invariant.Assert(backend != nil && backend.inFlight > 0, "a request that ends at a backend is in flight there")
 	if backend == nil || backend.inFlight == 0 {
 		return
 	}
-	dead := b.Dead(now, id)
+	dead := b.IsDead(now, id)
 	b.countEnded(now, backend, outcome.Ending)
 	switch outcome.Ending {
 	case control.Canceled:
--- a/internal/gateway/balancer/pick.go
+++ b/internal/gateway/balancer/pick.go
@@ -32,7 +32,7 @@
 	NoBackend
 )
 
-// Pick chooses a backend for a request. The caller reports with Sent that the request was sent there.
+// Pick chooses a backend for a request. The caller reports with RecordSent that the request was sent there.
 func (b *Balancer) Pick(now time.Duration, r Request) (control.BackendID, Result) {
 	if b.inFlight >= int(max(1, b.capacity)) {
 		b.saturatedAt = now
--- a/internal/gateway/balancer/silence.go
+++ b/internal/gateway/balancer/silence.go
@@ -34,9 +34,9 @@
 	return time.Duration(factor * max(1, min(b.slowdown, maxSlowdown)) * float64(b.expectedLatency))
 }
 
-// Dead reports whether a request in flight at a backend is not worth waiting for. The backend must have left at least deadUnanswered requests
+// IsDead reports whether a request in flight at a backend is not worth waiting for. The backend must have left at least deadUnanswered requests
 // unanswered for long, and other backends must have responded meanwhile. For a backend that is suspect or gone, one such request suffices.
-func (b *Balancer) Dead(now time.Duration, id control.BackendID) bool {
+func (b *Balancer) IsDead(now time.Duration, id control.BackendID) bool {
 	backend := b.known[id]
 	if backend == nil || backend.unanswered == 0 {
 		return false
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -225,7 +225,7 @@
 			ip := fmt.Sprint("127.122.178.", 11+node)
 			slots = append(slots, membership.SlotHolder{Name: fmt.Sprint("node-", node), Addr: ip + ":17560", Control: ip + ":18381", Zone: "z"})
 		}
-		must.Eq(t, slots, machine.Slots())
+		must.Eq(t, slots, machine.SlotHolders())
 		var founders []membership.Founder
 		for _, m := range []replication.Member{recordedLeader, recordedReplaced, recordedLost} {
 			founders = append(founders, membership.Founder{Disk: membership.DiskID(m.ID), Addr: m.Addr})
--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -145,7 +145,7 @@
 		}
 	}
 	must.Eq(t, 77, machine.Configs.Version())
-	must.SliceLen(t, 3, machine.Slots())
+	must.SliceLen(t, 3, machine.SlotHolders())
 	must.SliceLen(t, 1, machine.Rollouts.Runs())
 	must.Eq(t, "s", machine.Rollouts.Runs()[0].Spec.Service)
 	var records []registry.WireRecord
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -26,15 +26,15 @@
 	bootstrapResendInterval = time.Second
 )
 
-// MayBootstrap reports whether the list of the founders of a cluster may be sent to a node. A seed holds a cluster if the list of
+// MaySendFounders reports whether the list of the founders of a cluster may be sent to a node. A seed holds a cluster if the list of
 // its founders is stored on the seed's disk. The list may be sent to seeds at any time, and each seed accepts only one cluster. The
 // list may be sent to all other nodes once more than half of the seeds hold the cluster. So at most one cluster can be sent to
 // nodes that are not seeds. A seed without a disk cannot hold a cluster. It counts as holding every cluster while it is live.
-func (r *Roster) MayBootstrap(clusterID uint64, addr string) bool {
+func (r *Roster) MaySendFounders(clusterID uint64, addr string) bool {
 	holding := 0
 	for _, seed := range r.config.Seeds {
 		n, ok := r.Node(seed)
-		if ok && (n.Disk != 0 && n.ClusterID == clusterID || n.Disk == 0 && r.Live(seed)) {
+		if ok && (n.Disk != 0 && n.ClusterID == clusterID || n.Disk == 0 && r.IsLive(seed)) {
 			holding++
 		}
 	}
@@ -61,7 +61,7 @@
 //
 // Nodes that hold a state of the core do not accept the message. A seed does not bootstrap the core if a node that it has met holds
 // a state of the core, or knows of a node that does. A seed also does not bootstrap the core without contact with more than half of
-// the seeds, because the two sides of a partition must not create two clusters (see MayBootstrap).
+// the seeds, because the two sides of a partition must not create two clusters (see MaySendFounders).
 //
 // The founders are chosen once in an incarnation. The message is sent again to founders that have not accepted it, because a link
 // may have lost the message.
@@ -74,7 +74,7 @@
 	clusterID := r.config.ClusterID(r.founders)
 	for _, f := range r.founders {
 		sentAt, sent := r.bootstrapSentAt[f.Addr]
-		if !r.MayBootstrap(clusterID, f.Addr) || sent && r.now-sentAt < bootstrapResendInterval {
+		if !r.MaySendFounders(clusterID, f.Addr) || sent && r.now-sentAt < bootstrapResendInterval {
 			continue
 		}
 		p := r.peers[f.Addr]
--- a/internal/gateway/membership/doc.go
+++ b/internal/gateway/membership/doc.go
@@ -42,7 +42,7 @@
 //     and then send no more hellos.
 //   - At most one bootstrap ever reaches a majority of its founders. A node needs contact with more than half of the seeds to begin
 //     one. Its founders are sent to seeds first, each of which accepts a single bootstrap, and to other nodes once more than half
-//     of the seeds hold it (MayBootstrap). No node begins a bootstrap if a node that it has met holds a state of the core, or has
+//     of the seeds hold it (MaySendFounders). No node begins a bootstrap if a node that it has met holds a state of the core, or has
 //     met a node that does.
 //   - A step of the clock of more than a second means that this process was stalled. What other nodes sent in that time is still
 //     unread, so no node is declared lost because of it.
--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -49,7 +49,7 @@
 			carry(node, disk)
 			carry(disk, node)
 		}
-		must.True(t, node.Live("disk"), must.Sprintf("lost hellos %05b (lowest bit: first hello)", lost))
+		must.True(t, node.IsLive("disk"), must.Sprintf("lost hellos %05b (lowest bit: first hello)", lost))
 		must.Eq(t, disk.self, node.peers["disk"].Node, must.Sprintf("lost hellos %05b (lowest bit: first hello)", lost))
 		must.Eq(t, node.self, disk.peers["node"].Node, must.Sprintf("lost hellos %05b (lowest bit: first hello)", lost))
 		must.LessEq(t, hellos+4, sent)
--- a/internal/gateway/membership/links.go
+++ b/internal/gateway/membership/links.go
@@ -86,8 +86,8 @@
 	WithoutHello []string
 }
 
-// Links returns a report on this node's links. A node without a disk can follow only nodes that have sent it a hello.
-func (r *Roster) Links() (report LinkReport) {
+// LinkReport returns a report on this node's links. A node without a disk can follow only nodes that have sent it a hello.
+func (r *Roster) LinkReport() (report LinkReport) {
 	for _, addr := range r.Addrs() {
 		p := r.peers[addr]
 		if !p.linkWanted {
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// Live reports whether a node is live, as defined in the package's comment. This node is always live.
-func (r *Roster) Live(addr string) bool {
+// IsLive reports whether a node is live, as defined in the package's comment. This node is always live.
+func (r *Roster) IsLive(addr string) bool {
 	p := r.peers[addr]
 	return addr == r.self.Addr || p != nil && p.live
 }
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -367,10 +367,10 @@
 		}
 		r.Tick(until)
 	}
-	must.True(t, r.Live("x"))
-	must.False(t, r.Live("y"))
+	must.True(t, r.IsLive("x"))
+	must.False(t, r.IsLive("y"))
 	r.FrameReceived("y")
-	must.True(t, r.Live("y")) // its link never ended
+	must.True(t, r.IsLive("y")) // its link never ended
 	r.HandleHello("y", Hello{Node: Node{Name: "y", Incarnation: 2}})
 	must.Eq(t, 1, count(drain(r), LiveNodesChanged, "")) // y stays live, but in another incarnation
 	tickUntil(livenessTimeout + forgetAfter + ms)
@@ -439,7 +439,7 @@
 	must.Eq(t, "bcdefg", linked("a"))
 	for _, n := range []string{"d", "e", "f", "g"} {
 		must.Eq(t, "abc", linked(n))
-		must.True(t, sim.nodes[n].Live("d")) // as reported by the nodes with a disk
+		must.True(t, sim.nodes[n].IsLive("d")) // as reported by the nodes with a disk
 		must.Eq(t, []string{"a", "b", "c"}, sim.nodes[n].HelloTo("f").KnownAddrs)
 	}
 	sim.nodes["a"].stopped = true // the only seed with a disk
@@ -465,20 +465,20 @@
 	r.LinkUp("a")
 	r.SetSlots([]SlotHolder{{Addr: "me"}, {Addr: "a"}, {Addr: "b"}})
 	r.HandleLiveness("a", []byte{7})
-	must.True(t, r.Live("a") && r.Live("b"))
+	must.True(t, r.IsLive("a") && r.IsLive("b"))
 	r.Tick(500 * ms)
 	drain(r)
 	r.Tick(20 * time.Second)
 	must.SliceEmpty(t, drain(r))
-	must.True(t, r.Live("a") && r.Live("b"))
+	must.True(t, r.IsLive("a") && r.IsLive("b"))
 	for at := 20 * time.Second; at < 21900*ms; at += 500 * ms {
 		r.Tick(at)
 		drain(r)
 	}
-	must.True(t, r.Live("a") && r.Live("b"))
+	must.True(t, r.IsLive("a") && r.IsLive("b"))
 	r.Tick(22 * time.Second)
 	drain(r)
-	must.False(t, r.Live("a") || r.Live("b")) // nothing came for 2.2 s, of which 0.5 s were before the stall
+	must.False(t, r.IsLive("a") || r.IsLive("b")) // nothing came for 2.2 s, of which 0.5 s were before the stall
 }
 
 // The first seed stalls for 6 s before it bootstraps the core, or has been partitioned for 1.2 s. After the stall it must first
--- a/internal/gateway/node/bootstrap.go
+++ b/internal/gateway/node/bootstrap.go
@@ -12,7 +12,7 @@
 	}
 	founders := n.core.replica.BootstrapMembers()
 	for _, m := range founders {
-		if m.ID == replication.MemberID(d.Disk) && n.roster.MayBootstrap(n.core.replica.ClusterID(), addr) {
+		if m.ID == replication.MemberID(d.Disk) && n.roster.MaySendFounders(n.core.replica.ClusterID(), addr) {
 			n.links.Send(addr, &Frame{Found: founders})
 		}
 	}
@@ -36,7 +36,7 @@
 func (c *core) isReplaced(founder replication.Member) bool {
 	roster := c.env.membershipRoster()
 	present, ok := roster.Node(founder.Addr)
-	return ok && roster.Live(founder.Addr) && present.Disk != 0 && !present.Bootstrapped && replication.MemberID(present.Disk) != founder.ID &&
+	return ok && roster.IsLive(founder.Addr) && present.Disk != 0 && !present.Bootstrapped && replication.MemberID(present.Disk) != founder.ID &&
 		c.env.memberAddr(replication.Member{ID: founder.ID}) == ""
 }
 
--- a/internal/gateway/node/cluster.go
+++ b/internal/gateway/node/cluster.go
@@ -15,7 +15,7 @@
 	n.roster.Tick(n.loop.Now())
 	if n.slotsChanged { // once for all that came in this turn
 		n.slotsChanged = false
-		n.roster.SetSlots(n.machine.Slots())
+		n.roster.SetSlots(n.machine.SlotHolders())
 	}
 	for {
 		a, ok := n.roster.Next()
@@ -63,7 +63,7 @@
 	live := make([]bool, len(holders))
 	reachable := 0
 	for i, s := range holders {
-		if live[i] = n.roster.Live(s.Addr); live[i] {
+		if live[i] = n.roster.IsLive(s.Addr); live[i] {
 			reachable++
 		}
 	}
--- a/internal/gateway/node/configuration.go
+++ b/internal/gateway/node/configuration.go
@@ -14,7 +14,7 @@
 		return
 	}
 	n.appliedIndex, n.machine = index, s
-	n.roster.SetSlots(s.Slots())
+	n.roster.SetSlots(s.SlotHolders())
 	n.installConfiguration()
 	n.rollouts.applyState()
 	n.groups.found(s.Founders())
@@ -25,7 +25,7 @@
 func (n *Node) applyEntry(index uint64, data []byte) (v routing.Result, err error) {
 	n.appliedIndex = index
 	if len(data) > 0 {
-		before, slots := n.machine.Configs.Version(), len(n.machine.Slots())
+		before, slots := n.machine.Configs.Version(), len(n.machine.SlotHolders())
 		if v, err = n.machine.Apply(data); err != nil && v != routing.Conflict {
 			n.logInfo(corePart).Uint64("index", index).Err(err).Msg("entry changes nothing")
 		}
@@ -34,7 +34,7 @@
 			n.installConfiguration()
 		}
 		n.groups.found(n.machine.Founders())
-		n.slotsChanged = n.slotsChanged || len(n.machine.Slots()) != slots
+		n.slotsChanged = n.slotsChanged || len(n.machine.SlotHolders()) != slots
 		n.rollouts.applyState()
 	}
 	n.streamSender.entryApplied(len(data) > 0 && statemachine.Kind(data[0]) == statemachine.KindAssignSlot)
--- a/internal/gateway/node/contact.go
+++ b/internal/gateway/node/contact.go
@@ -24,4 +24,4 @@
 func (n *Node) isLeader() bool { return n.contact.IsLeader(n.loop.Now()) }
 
 // contactAge is how old this node's knowledge of the configuration log is at the most; quorumcontact.UnknownAge without contact.
-func (n *Node) contactAge() time.Duration { return n.contact.Age(n.loop.Now()) }
+func (n *Node) contactAge() time.Duration { return n.contact.ContactAge(n.loop.Now()) }
--- a/internal/gateway/node/group_founding.go
+++ b/internal/gateway/node/group_founding.go
@@ -94,7 +94,7 @@
 	for _, m := range c.replica.Members() {
 		founders = append(founders, membership.Founder{Disk: membership.DiskID(m.ID), Addr: m.Addr})
 	}
-	return statemachine.BootstrapGroupsBody(founders)
+	return statemachine.EncodeBootstrapGroupsBody(founders)
 }
 
 func containsMember(members []replication.Member, id replication.MemberID) bool {
--- a/internal/gateway/node/host_env.go
+++ b/internal/gateway/node/host_env.go
@@ -51,7 +51,7 @@
 		}
 		return ""
 	}
-	if upstream := n.streamReceiver.upstream; n.roster.Live(upstream) {
+	if upstream := n.streamReceiver.upstream; n.roster.IsLive(upstream) {
 		return upstream
 	}
 	return ""
--- a/internal/gateway/node/lead_balancer.go
+++ b/internal/gateway/node/lead_balancer.go
@@ -141,7 +141,7 @@
 	if !g.participates() {
 		return
 	}
-	assigned := g.assignedLeaders(func(m replication.Member) bool { return m.ID != g.self() && g.env.membershipRoster().Live(m.Addr) })
+	assigned := g.assignedLeaders(func(m replication.Member) bool { return m.ID != g.self() && g.env.membershipRoster().IsLive(m.Addr) })
 	for i, r := range g.replicas {
 		if r.advance().IsLeader() {
 			r.replica.TransferLeadershipTo(assigned[i])
--- a/internal/gateway/node/log.go
+++ b/internal/gateway/node/log.go
@@ -112,7 +112,7 @@
 	}
 	last.checkedAt = n.loop.Now()
 	n.links.Check()
-	if links := n.roster.Links(); n.reachable != last.reachable || !slices.Equal(links.WithoutHello, last.unmet) {
+	if links := n.roster.LinkReport(); n.reachable != last.reachable || !slices.Equal(links.WithoutHello, last.unmet) {
 		last.reachable, last.unmet = n.reachable, links.WithoutHello
 		n.logInfo(nodePart).Int("reachable", n.reachable).Int("slots", n.slotCount).Int("links_up", links.Connected).
 			Int("links_wanted", links.Wanted).Strs("links_without_hello", links.WithoutHello).Msg("reachable nodes changed")
--- a/internal/gateway/node/logstream_pair_test.go
+++ b/internal/gateway/node/logstream_pair_test.go
@@ -75,7 +75,7 @@
 // oneMember is a roster in which one member lives.
 type oneMember struct{}
 
-func (oneMember) Live(string) bool { return true }
+func (oneMember) IsLive(string) bool { return true }
 func (oneMember) LiveDiskNodes() []membership.Node {
 	return []membership.Node{{Addr: "member", Disk: 1, Bootstrapped: true}}
 }
--- a/internal/gateway/node/logstream_receiver.go
+++ b/internal/gateway/node/logstream_receiver.go
@@ -68,7 +68,7 @@
 
 // upstreamRoster knows the members; *membership.Roster implements it.
 type upstreamRoster interface {
-	Live(addr string) bool
+	IsLive(addr string) bool
 	LiveDiskNodes() []membership.Node
 	LinkedDiskNodes() []membership.Node
 }
@@ -223,7 +223,7 @@
 		return
 	}
 	answered := s.answeredAt >= s.requestedAt
-	if answered && s.roster.Live(s.upstream) && s.reportedAge(s.upstream) < s.contact.StreamMaxAge() {
+	if answered && s.roster.IsLive(s.upstream) && s.reportedAge(s.upstream) < s.contact.StreamMaxAge() {
 		if s.reports[s.upstream].index > s.host.AppliedIndex() && now-max(s.requestedAt, s.answeredAt) > minStreamRetry {
 			s.request(s.upstream) // what it sent was lost
 		}
@@ -249,7 +249,7 @@
 		return true
 	}
 	unanswered := s.answeredAt < s.requestedAt
-	return unanswered && s.lastFrameAt > s.requestedAt && now-s.requestedAt < busyUpstreamTimeout && s.roster.Live(s.upstream)
+	return unanswered && s.lastFrameAt > s.requestedAt && now-s.requestedAt < busyUpstreamTimeout && s.roster.IsLive(s.upstream)
 }
 
 // choose is the member with the freshest contact, "" if there is none; among equals the current upstream, then one of the own zone. A
--- a/internal/gateway/node/logstream_sender.go
+++ b/internal/gateway/node/logstream_sender.go
@@ -296,6 +296,6 @@
 	now := s.host.Now()
 	_, term, _ := s.contact.Contact(now)
 	clock, _ := s.clockOf(to)
-	d.contact = quorumcontact.Report{Age: s.contact.Age(now), Term: term, Echo: clock, Index: s.log.CommitIndex()}
+	d.contact = quorumcontact.Report{Age: s.contact.ContactAge(now), Term: term, Echo: clock, Index: s.log.CommitIndex()}
 	s.host.SendStreamData(to, d)
 }
--- a/internal/gateway/node/slot_request.go
+++ b/internal/gateway/node/slot_request.go
@@ -24,7 +24,7 @@
 		return
 	}
 	s.requestedAt = n.now()
-	entry := statemachine.AssignSlotEntry(membership.SlotHolder{Name: n.settings.NodeName, Addr: n.peerAddr, Control: n.settings.Bind.Control,
+	entry := statemachine.EncodeAssignSlotEntry(membership.SlotHolder{Name: n.settings.NodeName, Addr: n.peerAddr, Control: n.settings.Bind.Control,
 		Zone: n.settings.Zone})
 	n.callLeader(statemachine.KindAssignSlot, entry[1:], 0, func(status int, body []byte) {
 		if status != statusOK {
--- a/internal/gateway/node/status.go
+++ b/internal/gateway/node/status.go
@@ -59,7 +59,7 @@
 		}
 		seen[addr] = true
 		d := controlapi.StatusNode{Name: from.Name, Address: addr, Control: from.Control, Zone: from.Zone,
-			Live: n.roster.Live(addr)}
+			Live: n.roster.IsLive(addr)}
 		if now, ok := n.roster.Node(addr); ok { // what it says itself is newer than its entry
 			d.Name, d.Control, d.Zone, d.Disk = now.Name, now.ControlAddr, now.Zone, now.Disk != 0
 		}
@@ -89,7 +89,7 @@
 	}
 	for _, m := range c.Members {
 		d, ok := n.roster.Node(m.Addr)
-		live := ok && n.roster.Live(m.Addr) && replication.MemberID(d.Disk) == m.ID
+		live := ok && n.roster.IsLive(m.Addr) && replication.MemberID(d.Disk) == m.ID
 		s.Members = append(s.Members, controlapi.StatusMember{Id: formatMemberID(m.ID), Address: m.Addr, Live: live})
 	}
 	return s
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -94,8 +94,8 @@
 	return now - t.stream.appliedAsOf, t.stream.term, t.stream.appliedAsOf > noReport
 }
 
-// Age returns the contact age, or UnknownAge if there was no contact.
-func (t *Tracker) Age(now time.Duration) time.Duration {
+// ContactAge returns the contact age, or UnknownAge if there was no contact.
+func (t *Tracker) ContactAge(now time.Duration) time.Duration {
 	if age, _, ok := t.Contact(now); ok {
 		return age
 	}
--- a/internal/gateway/quorumcontact/tracker_test.go
+++ b/internal/gateway/quorumcontact/tracker_test.go
@@ -97,7 +97,7 @@
 		tracker := New(Config{Bounds: b, StartedAt: started, Incarnation: 1})
 		must.Eq(t, starting, tracker.Permits(p, true, started+learner[i]-1))
 		must.False(t, tracker.Permits(p, true, started+learner[i]))
-		must.Eq(t, UnknownAge, tracker.Age(started))
+		must.Eq(t, UnknownAge, tracker.ContactAge(started))
 		now := started + time.Minute
 		tracker.HandleReport(Report{Age: 10 * time.Millisecond, Index: 1}, 1, now) // from a version that echoes no timestamp
 		must.True(t, tracker.Permits(p, true, now+learner[i]-11*time.Millisecond))
--- a/internal/gateway/statemachine/entry.go
+++ b/internal/gateway/statemachine/entry.go
@@ -12,21 +12,21 @@
 const (
 	KindReplaceConfig   Kind = 'r' // the complete configuration
 	KindAmendConfig     Kind = 'a' // named items of the configuration
-	KindAssignSlot      Kind = 's' // a node requests a slot: see AssignSlotEntry
+	KindAssignSlot      Kind = 's' // a node requests a slot: see EncodeAssignSlotEntry
 	KindRollout         Kind = 'u' // a rollout.Entry: a command to a roll-out, or a verdict on one
-	KindBootstrapGroups Kind = 'f' // the coordination groups are bootstrapped: see BootstrapGroupsBody
+	KindBootstrapGroups Kind = 'f' // the coordination groups are bootstrapped: see EncodeBootstrapGroupsBody
 )
 
 // EncodeEntry returns an entry with the given kind and body.
 func EncodeEntry(kind Kind, body []byte) []byte { return append([]byte{byte(kind)}, body...) }
 
-// AssignSlotEntry returns the entry by which a node requests a slot, or updates the record of the slot that it has.
-func AssignSlotEntry(holder membership.SlotHolder) []byte {
+// EncodeAssignSlotEntry returns the entry by which a node requests a slot, or updates the record of the slot that it has.
+func EncodeAssignSlotEntry(holder membership.SlotHolder) []byte {
 	return EncodeEntry(KindAssignSlot, logentry.Encode(storeSlot(holder)))
 }
 
-// BootstrapGroupsBody returns the body of the entry that bootstraps the coordination groups. Every group starts on all of the
+// EncodeBootstrapGroupsBody returns the body of the entry that bootstraps the coordination groups. Every group starts on all of the
 // given disks.
-func BootstrapGroupsBody(founders []membership.Founder) []byte {
+func EncodeBootstrapGroupsBody(founders []membership.Founder) []byte {
 	return logentry.Encode(storeFounders(founders))
 }
--- a/internal/gateway/statemachine/machine_test.go
+++ b/internal/gateway/statemachine/machine_test.go
@@ -27,10 +27,10 @@
 func allEntryKinds() [][]byte {
 	again := slotHolder("b")
 	again.Name = "b2"
-	return [][]byte{AssignSlotEntry(slotHolder("b")), EncodeEntry(KindReplaceConfig, config(3, 0)), AssignSlotEntry(slotHolder("a")), EncodeEntry(KindReplaceConfig, config(4, 0)),
-		EncodeEntry(KindReplaceConfig, config(3, 0)), AssignSlotEntry(again), EncodeEntry('z', []byte("of a newer program")), nil, EncodeEntry(KindAssignSlot, []byte("no slot")),
+	return [][]byte{EncodeAssignSlotEntry(slotHolder("b")), EncodeEntry(KindReplaceConfig, config(3, 0)), EncodeAssignSlotEntry(slotHolder("a")), EncodeEntry(KindReplaceConfig, config(4, 0)),
+		EncodeEntry(KindReplaceConfig, config(3, 0)), EncodeAssignSlotEntry(again), EncodeEntry('z', []byte("of a newer program")), nil, EncodeEntry(KindAssignSlot, []byte("no slot")),
 		EncodeEntry(KindAmendConfig, []byte(`{"generation":5,"parent_version":3,"upserts":{"services":[{"name":"t"}]}}`)),
-		EncodeEntry(KindReplaceConfig, []byte("{")), AssignSlotEntry(slotHolder("c")), EncodeEntry(KindReplaceConfig, config(9, 5)),
+		EncodeEntry(KindReplaceConfig, []byte("{")), EncodeAssignSlotEntry(slotHolder("c")), EncodeEntry(KindReplaceConfig, config(9, 5)),
 		rolloutEntry(rollout.Entry{Verb: rollout.Start, CallID: "m", Spec: testRollout}),
 		rolloutEntry(rollout.Entry{Verb: rollout.Start, CallID: "m", Spec: testRollout}),
 		rolloutEntry(rollout.Entry{Verb: rollout.Advance, Number: 1, Step: 2, FencingToken: 5}), EncodeEntry(KindRollout, []byte("{")),
@@ -67,14 +67,14 @@
 	}
 	b := slotHolder("b")
 	b.Name = "b2"
-	must.Eq(t, []membership.SlotHolder{b, slotHolder("a"), slotHolder("c")}, s.Slots())
+	must.Eq(t, []membership.SlotHolder{b, slotHolder("a"), slotHolder("c")}, s.SlotHolders())
 	must.Eq(t, 9, s.Configs.Version())
 	must.Eq(t, config(9, 5), s.Configs.Body()) // a roll-out does not change the configuration
 	must.Eq(t, rollout.RolledBack, s.Rollouts.Run("s").Phase)
 	for i := range maxSlots { // the number of slots is bounded
-		s.Apply(AssignSlotEntry(slotHolder(fmt.Sprint(i))))
+		s.Apply(EncodeAssignSlotEntry(slotHolder(fmt.Sprint(i))))
 	}
-	must.Len(t, maxSlots, s.Slots())
+	must.Len(t, maxSlots, s.SlotHolders())
 }
 
 // Guards against a snapshot that loses state. A machine that is restored from a snapshot taken after any entry, and then applies
@@ -95,7 +95,7 @@
 			s.Apply(e)
 		}
 		must.Eq(t, complete.Snapshot(), s.Snapshot(), must.Sprint(i))
-		must.Eq(t, complete.Slots(), s.Slots())
+		must.Eq(t, complete.SlotHolders(), s.SlotHolders())
 		v, _ := s.Decide(KindReplaceConfig, config(3, 0)) // an accepted change is recognized by its bytes
 		must.Eq(t, routing.Duplicate, v)
 	}
@@ -103,7 +103,7 @@
 	must.NoError(t, gob.NewEncoder(&older).Encode(struct {
 		Bills []byte
 		Seats []membership.SlotHolder
-	}{complete.Configs.Snapshot(), complete.Slots()}))
+	}{complete.Configs.Snapshot(), complete.SlotHolders()}))
 	s, err := Restore(older.Bytes())
 	must.NoError(t, err)
 	must.Eq(t, complete.Configs.Snapshot(), s.Configs.Snapshot())
--- a/internal/gateway/statemachine/slots.go
+++ b/internal/gateway/statemachine/slots.go
@@ -10,8 +10,8 @@
 // and bit sets.
 const maxSlots = 1024
 
-// Slots returns the nodes that have a slot, indexed by slot.
-func (m *Machine) Slots() []membership.SlotHolder { return m.slots }
+// SlotHolders returns the nodes that have a slot, indexed by slot.
+func (m *Machine) SlotHolders() []membership.SlotHolder { return m.slots }
 
 // assignSlot assigns the next slot to a node. If the node's address already has a slot, the node keeps it and the record of the
 // node is replaced.
