--- a/control/loadbalancer/backend.go
+++ b/control/loadbalancer/backend.go
@@ -124,7 +124,7 @@
 	}
 	// Backends are compared with the median. If all of them are equally slow, none is at fault.
 	c.slowdowns, c.medianSlowdown = slowdowns, max(median(slowdowns), minSlowdown)
-	c.warmRate = c.completionRateNow() / max(warm, 1)
+	c.warmRate = c.currentCompletionRate() / max(warm, 1)
 }
 
 // warmUpShareOf returns the share of its full capacity that a backend is guaranteed to have now. The share grows linearly from
--- a/control/loadbalancer/capacity.go
+++ b/control/loadbalancer/capacity.go
@@ -30,15 +30,15 @@
 // that peers report. A late response lowers the capacity. A prompt response raises it while the capacity is in use. This adaptation protects against
 // overload, a slow fleet and lost backends. It may lower the capacity needlessly if the work of a product takes nearly its SLA time.
 func (c *Controller) adjustCapacity(congestion quota.Congestion) {
-	if congestion == quota.NotCongested && c.underPressure() {
+	if congestion == quota.NotCongested && c.isUnderPressure() {
 		c.capacity = min(maxCapacity, c.capacity*(1+c.capacityGain))
 	}
 	// A front door with spare capacity does not cause the lateness. Exponentially distributed work times also cause some late responses
 	// without any congestion. Such responses would lower the capacity while no response raises it.
-	if congestion == quota.Congested && c.utilization >= minUtilization && c.underPressure() {
+	if congestion == quota.Congested && c.utilization >= minUtilization && c.isUnderPressure() {
 		c.capacity, c.capacityGain = max(minCapacity/float64(c.gateways), c.capacity*(1-capacityLoss)), capacityGain
 	}
 }
 
 // underPressure reports whether capacity ran out less than pressureTTL ago.
-func (c *Controller) underPressure() bool { return c.now-c.saturatedAt < pressureTTL }
+func (c *Controller) isUnderPressure() bool { return c.now-c.saturatedAt < pressureTTL }
--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -88,25 +88,25 @@
 // missing or invalid.
 func New(seed int64, s control.Settings, now time.Duration) (*Controller, error) {
 	r := &settingsReader{settings: s}
-	self := control.GatewayID(r.count("me", 1<<20))
+	self := control.GatewayID(r.readCount("me", 1<<20))
 	c := &Controller{
 		now: now, startedAt: now, sweptAt: now,
 		rng:                rand.New(rand.NewSource(seed)),
-		gateways:           r.count("gateways", 1<<20),
-		zone:               control.ZoneID(r.count("zone", 1<<16)),
-		probesAllowed:      r.boolean("limits.probes"),
-		cancelAllowed:      r.boolean("limits.cancel"),
-		retryAfterAllowed:  r.boolean("limits.advice"),
-		maxRetryAfter:      r.duration("limits.longest_advice"),
-		maxSubmissions:     r.count("limits.max_submissions", 1<<16),
-		loadReportsByProbe: r.text("report.how") == "probe",
-		loadReportFields:   r.list("report.fields"),
-		warmUpTime:         r.duration("rules.warm_by"),
-		overloadWindow:     r.duration("rules.fall_window"),
-		initialWarmUpShare: r.number("rules.cold_from"),
-		overloadFactor:     r.number("rules.fall_multiple"),
-		products:           r.products(),
-		plans:              r.plans(),
+		gateways:           r.readCount("gateways", 1<<20),
+		zone:               control.ZoneID(r.readCount("zone", 1<<16)),
+		probesAllowed:      r.readBoolean("limits.probes"),
+		cancelAllowed:      r.readBoolean("limits.cancel"),
+		retryAfterAllowed:  r.readBoolean("limits.advice"),
+		maxRetryAfter:      r.readDuration("limits.longest_advice"),
+		maxSubmissions:     r.readCount("limits.max_submissions", 1<<16),
+		loadReportsByProbe: r.readText("report.how") == "probe",
+		loadReportFields:   r.readList("report.fields"),
+		warmUpTime:         r.readDuration("rules.warm_by"),
+		overloadWindow:     r.readDuration("rules.fall_window"),
+		initialWarmUpShare: r.readNumber("rules.cold_from"),
+		overloadFactor:     r.readNumber("rules.fall_multiple"),
+		products:           r.readProducts(),
+		plans:              r.readPlans(),
 		txns:               map[control.TxnID]*txn{},
 		backends:           map[control.BackendID]*backend{},
 		backendsByHash:     map[uint64]*backend{},
@@ -119,17 +119,17 @@
 	c.capacity = initialCapacity / float64(max(c.gateways, 1))
 	c.fleetFailures = make([]productFailures, len(c.products))
 	if len(c.products) == 0 || len(c.plans) == 0 {
-		r.fail("products.count and plans.count", "must be at least 1")
+		r.recordError("products.count and plans.count", "must be at least 1")
 	}
 	if c.gateways < 1 || int(self) >= c.gateways {
-		r.fail("me", "must be less than the number of gateways, which must be at least 1")
+		r.recordError("me", "must be less than the number of gateways, which must be at least 1")
 	}
 	config := quota.Config{
 		MinInterval: minDatagramInterval, SnapshotTTL: snapshotTTL, InitialFill: 1,
-		DatagramsPerSecond: r.number("quota.mail_per_s"), MaxUnits: r.number("quota.most_units"),
+		DatagramsPerSecond: r.readNumber("quota.mail_per_s"), MaxUnits: r.readNumber("quota.most_units"),
 	}
 	plans := quota.PlanLimiterOptions{
-		PeersEnabled: r.boolean("limits.peers"), PlanLimit: c.planLimit,
+		PeersEnabled: r.readBoolean("limits.peers"), PlanLimit: c.planLimit,
 		LastObservations: c.recentObservations, ObservationsReceived: c.applyPeerObservations,
 	}
 	c.quota = quota.NewPlanLimiter(c.rng.Uint32()|1, self, c.gateways, now, config, plans)
@@ -177,12 +177,12 @@
 		if len(c.undecided) > 0 {
 			t := c.undecided[0]
 			c.undecided = c.undecided[1:]
-			c.decide(t)
+			c.decideTxn(t)
 			continue
 		}
 		if id, ok := c.timers.Take(c.now); ok {
 			if t := c.txns[id]; t != nil {
-				c.expire(t)
+				c.handleTxnTimer(t)
 			}
 			continue
 		}
@@ -208,7 +208,7 @@
 		t.queued = false
 	}
 	c.undecided, c.waiting = append(c.waiting, c.undecided...), nil
-	if c.underPressure() {
+	if c.isUnderPressure() {
 		sort.SliceStable(c.undecided, func(i, j int) bool { return c.valueRate(c.undecided[i]) > c.valueRate(c.undecided[j]) })
 	}
 }
--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -10,12 +10,12 @@
 
 // Guards against too many or too few retries of an inquiry-like txn. After each kind of failure, the txn is retried until it has had
 // max_submissions submissions. Then it is rejected.
-func Example_retriesByEnding() {
+func Example_failedSubmissionsAreRetried() {
 	s := newWarmScenario()
-	c := ownedBy(0)
+	c := customerOwnedBy(0)
 	for id, e := range []control.Ending{control.Succeeded, control.Errored, control.Rejected, control.TimedOut, control.Unreachable, control.ConnectionLost} {
 		fmt.Println("# txn", id, "is inquiry-like, each submission has ending", e)
-		s.arrive(control.TxnID(id), c, 0, 0)
+		s.addTxn(control.TxnID(id), c, 0, 0)
 		s.endSubmission(control.TxnID(id), e)
 		if s.controller.txns[control.TxnID(id)] != nil {
 			s.endSubmission(control.TxnID(id), e)
@@ -58,9 +58,9 @@
 
 // Guards against a txn without an answer at its expiry. A once-only txn in flight is failed and canceled expiryMargin before its expiry, and
 // its state is removed after the outcome of its submission.
-func Example_failAtExpiry() {
+func Example_txnIsFailedBeforeExpiry() {
 	s := newWarmScenario()
-	s.arrive(1, ownedBy(0), 2, 0)
+	s.addTxn(1, customerOwnedBy(0), 2, 0)
 	s.advance(11997)
 	s.advance(11998)
 	s.controller.SubmissionEnded(1, 0, 1, control.TimedOut, false, 0, nil) // the outcome of the submission comes after the answer
@@ -77,12 +77,12 @@
 func Example_onceOnlyIsRetriedOnlyIfNotRun() {
 	s := newWarmScenario()
 	fmt.Println("# the submission provably did not run: the txn is retried at another backend, then rejected")
-	s.arrive(1, ownedBy(0), 2, 0)
+	s.addTxn(1, customerOwnedBy(0), 2, 0)
 	s.endSubmission(1, control.Unreachable)
 	s.endSubmission(1, control.Rejected)
 	s.endSubmission(1, control.Rejected)
 	fmt.Println("# the submission may have run: the txn is failed at once")
-	s.arrive(2, ownedBy(0), 2, 0)
+	s.addTxn(2, customerOwnedBy(0), 2, 0)
 	s.endSubmission(2, control.Errored)
 	// Output:
 	// # the submission provably did not run: the txn is retried at another backend, then rejected
@@ -99,15 +99,15 @@
 func Example_referencedIsRetriedInScopeAndWindow() {
 	s := newWarmScenario()
 	fmt.Println("# retries stay in the pod of the first submission that may have run")
-	s.arrive(1, ownedBy(0), 1, 0)
+	s.addTxn(1, customerOwnedBy(0), 1, 0)
 	s.endSubmission(1, control.ConnectionLost)
 	s.endSubmission(1, control.ConnectionLost)
 	fmt.Println("# after its window, the txn is failed")
-	s.arrive(2, ownedBy(0), 1, 0)
+	s.addTxn(2, customerOwnedBy(0), 1, 0)
 	s.controller.products[1].repeatWindow = 0
 	s.endSubmission(2, control.ConnectionLost)
 	fmt.Println("# the product allows repeats at all backends: the txn is rejected after its last submission")
-	s.arrive(3, ownedBy(0), 3, 0)
+	s.addTxn(3, customerOwnedBy(0), 3, 0)
 	s.endSubmission(3, control.ConnectionLost)
 	s.endSubmission(3, control.ConnectionLost)
 	s.endSubmission(3, control.ConnectionLost)
@@ -131,10 +131,10 @@
 	s := newWarmScenario()
 	s.changeEndpoints(false, control.Endpoint{ID: 1, State: control.Draining}, control.Endpoint{ID: 2, State: control.Gone})
 	for id := control.TxnID(1); id < 5; id++ {
-		s.arrive(id, ownedBy(0)+control.CustomerID(id), 0, 0)
+		s.addTxn(id, customerOwnedBy(0)+control.CustomerID(id), 0, 0)
 	}
 	s.changeEndpoints(true) // an empty list, so no backend is ready
-	s.arrive(9, ownedBy(0), 0, 0)
+	s.addTxn(9, customerOwnedBy(0), 0, 0)
 	s.advance(10200)
 	// Output:
 	// 10000 submit 1 to 3, 446
@@ -169,7 +169,7 @@
 	for at := 10000; at < 14000; at += 1000 {
 		fmt.Println(" submissions in one second to the backend that is warming up:", s.countSubmissionsTo(1, at, at+1000))
 	}
-	s = newScenario(settings(0), 0)
+	s = newScenario(defaultTestSettings(0), 0)
 	s.advance(20000)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready, Started: 19900 * time.Millisecond})
 	fmt.Println("the only backend is warming up, so the rate of a warm backend is unknown:")
@@ -189,22 +189,22 @@
 }
 
 // Guards against a front door that exceeds the hard limit of a customer by a restart.
-func Example_hardLimitAcrossRestart() {
-	s := newScenario(settings(0), 0)
+func Example_hardLimitIsKeptAcrossRestart() {
+	s := newScenario(defaultTestSettings(0), 0)
 	s.hideDatagrams = true
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
 	s.advance(10000)
 	s.controller.capacity = 100
-	c := ownedBy(0)
+	c := customerOwnedBy(0)
 	fmt.Println("# the owner's share of the hard limit and its pool hold two thirds of the burst, and after these units only the refill is left")
 	for id := control.TxnID(1); id <= 16; id++ {
-		s.arrive(id, c, 0, 1)
+		s.addTxn(id, c, 0, 1)
 	}
-	s = newScenario(settings(0), 10000)
+	s = newScenario(defaultTestSettings(0), 10000)
 	s.hideDatagrams = true
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
 	fmt.Println("# after the restart, the owner's share and its pool are empty in the new epoch")
-	s.arrive(1, c, 0, 1)
+	s.addTxn(1, c, 0, 1)
 	s.advance(10200)
 	// Output:
 	// # the owner's share of the hard limit and its pool hold two thirds of the burst, and after these units only the refill is left
@@ -227,19 +227,19 @@
 
 // Guards against an owner that grants units again after a restart, and against one that applies messages of a peer's former epoch.
 func Example_ownerRestartEmptiesBucket() {
-	s := newScenario(settings(0), 5000)
+	s := newScenario(defaultTestSettings(0), 5000)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
 	fmt.Println("# the bucket of an owner starts empty and refills at the rate, so a txn waits for its unit")
-	s.arrive(1, ownedBy(0), 0, 0)
+	s.addTxn(1, customerOwnedBy(0), 0, 0)
 	s.advance(5100)
 	s.advance(5120)
 	fmt.Println("# a message of the former epoch of a peer is dropped once the new epoch is known")
-	c := ownedBy(0)
-	s.receive(1, &quota.Message{Epoch: 7, Seq: 5, Deltas: []quota.Delta{{Customer: c, SetWidth: 3}}})
+	c := customerOwnedBy(0)
+	s.receiveMessage(1, &quota.Message{Epoch: 7, Seq: 5, Deltas: []quota.Delta{{Customer: c, SetWidth: 3}}})
 	s.advance(5200)
-	s.receive(1, &quota.Message{Epoch: 8, Seq: 1, Deltas: []quota.Delta{{Customer: c, SetWidth: 3}}})
+	s.receiveMessage(1, &quota.Message{Epoch: 8, Seq: 1, Deltas: []quota.Delta{{Customer: c, SetWidth: 3}}})
 	s.advance(5300)
-	s.receive(1, &quota.Message{Epoch: 7, Seq: 6, Deltas: []quota.Delta{{Customer: c, Units: 9, SetWidth: 3}}})
+	s.receiveMessage(1, &quota.Message{Epoch: 7, Seq: 6, Deltas: []quota.Delta{{Customer: c, Units: 9, SetWidth: 3}}})
 	s.advance(5400)
 	// Output:
 	// # the bucket of an owner starts empty and refills at the rate, so a txn waits for its unit
@@ -251,18 +251,18 @@
 
 // Guards against usage that is lost or counted twice when datagrams arrive out of order or repeatedly.
 func Example_deltasAreAppliedOnce() {
-	s := newScenario(settings(0), 0)
+	s := newScenario(defaultTestSettings(0), 0)
 	s.advance(10000)
-	c := ownedBy(0)
+	c := customerOwnedBy(0)
 	first := &quota.Message{Epoch: 7, Seq: 1, Deltas: []quota.Delta{{Customer: c, Units: 3, SetWidth: 3}}}
 	second := &quota.Message{Epoch: 7, Seq: 2, Deltas: []quota.Delta{{Customer: c, Units: 5, SetWidth: 3}}}
 	fmt.Println("# deltas arrive out of order and repeatedly: each delta is applied once")
-	s.receive(1, second)
+	s.receiveMessage(1, second)
 	s.controller.sweptAt = 20 * time.Second // no sweep, which would refill the bucket
 	s.advance(10100)
-	s.receive(1, first)
+	s.receiveMessage(1, first)
 	s.advance(10200)
-	s.receive(1, second)
+	s.receiveMessage(1, second)
 	s.advance(10300)
 	fmt.Println("# a datagram that cannot be decoded is dropped and counted")
 	s.controller.DatagramReceived(1, []byte{1, 2, 3})
@@ -281,10 +281,10 @@
 func Example_snapshotsLimitConsumption() {
 	s := newWarmScenario()
 	s.hideDatagrams, s.controller.capacity = false, 5
-	c := ownedBy(1)
+	c := customerOwnedBy(1)
 	fmt.Println("# new customer: txns use the burst share while the owner is asked")
 	for id := control.TxnID(1); id < 9; id++ {
-		s.arrive(id, c, 0, 0)
+		s.addTxn(id, c, 0, 0)
 	}
 	s.advance(10050)
 	fmt.Println("# a datagram is lost: its delta is sent again with the same sequence number")
@@ -294,16 +294,16 @@
 		return &quota.Message{Epoch: 9, Version: version, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3,
 			Snapshots: []quota.Snapshot{{Customer: c, Level: left, Reporters: 1}}}
 	}
-	s.receive(1, snapshot(5, 4))
-	s.arrive(11, c, 0, 0)
+	s.receiveMessage(1, snapshot(5, 4))
+	s.addTxn(11, c, 0, 0)
 	fmt.Println("# an older snapshot that arrives late restores no units")
-	s.receive(1, snapshot(4, 20))
-	s.arrive(12, c, 0, 0)
-	s.arrive(13, c, 0, 0)
+	s.receiveMessage(1, snapshot(4, 20))
+	s.addTxn(12, c, 0, 0)
+	s.addTxn(13, c, 0, 0)
 	s.advance(10500)
 	fmt.Println("# the snapshot has expired: only the burst share is left, and the owner is asked again")
 	s.advance(11900)
-	s.arrive(14, c, 0, 0)
+	s.addTxn(14, c, 0, 0)
 	// Output:
 	// # new customer: txns use the burst share while the owner is asked
 	// 10000 submit 1 to 2, 446
@@ -336,7 +336,7 @@
 // Guards against the exclusion of a backend for all products when only one product fails there.
 func Example_failingProductIsExcluded() {
 	s := newWarmScenario()
-	c := ownedBy(0)
+	c := customerOwnedBy(0)
 	fmt.Println("# product 0 fails at one backend, which is skipped for product 0 and still used for product 3")
 	first := control.BackendID(0)
 	for id := control.TxnID(1); id < 13; id++ {
@@ -377,7 +377,7 @@
 	s := newWarmScenario()
 	initial := s.controller.capacity
 	for id := control.TxnID(1); id < 40; id++ {
-		s.controller.TxnArrived(control.Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
+		s.controller.TxnArrived(control.Txn{ID: id, Customer: customerOwnedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
 		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
 			if x.Action == control.Submit {
 				s.controller.SubmissionEnded(x.Txn, s.controller.txns[x.Txn].submissions-1, x.Backend, control.Rejected, false, time.Millisecond, nil)
@@ -417,14 +417,14 @@
 func Example_exceedQuotaWithSpareCapacity() {
 	s := newWarmScenario()
 	s.controller.plans[0].overQuotaValue, s.controller.plans[0].overQuotaCost = 0.3, 0
-	c := ownedBy(0)
+	c := customerOwnedBy(0)
 	s.drainBucket(c, 0)
 	s.controller.plans[0].Rate = 1
 	fmt.Println("# no units, spare capacity, no charge: the txn is submitted and consumes no units")
-	s.arrive(1, c, 0, 0)
+	s.addTxn(1, c, 0, 0)
 	fmt.Println("# a txn lacked capacity recently: the next txn is rejected, and its retry delay is the time until units are available")
 	s.controller.saturatedAt = s.controller.now
-	s.arrive(2, c, 0, 0)
+	s.addTxn(2, c, 0, 0)
 	// Output:
 	// # no units, spare capacity, no charge: the txn is submitted and consumes no units
 	// 10000 submit 1 to 1, 446
@@ -435,16 +435,16 @@
 // Guards against a txn that waits for a backend and loses its units. The snapshot that covers it may be used for 150 ms, which is less than the
 // time that it waits.
 func Example_unitsStayReservedWhileWaiting() {
-	s := newScenario(settings(0), 0)
+	s := newScenario(defaultTestSettings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
 	s.advance(10000)
-	c := ownedBy(1)
+	c := customerOwnedBy(1)
 	s.controller.plans[0].Burst = 2 // so small that a snapshot may be used only for the response time of the owner
 	s.controller.capacity = 0.3
-	s.arrive(1, ownedBy(0), 0, 0)
+	s.addTxn(1, customerOwnedBy(0), 0, 0)
 	s.hideDatagrams = true
-	s.arrive(2, c, 0, 0)
-	s.receive(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
+	s.addTxn(2, c, 0, 0)
+	s.receiveMessage(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
 	reservedUnits := func() float64 {
 		state, _ := s.controller.quota.AccountState(c)
 		return state.Reserved
@@ -465,7 +465,7 @@
 // how long ago the first attempt was.
 func Example_retryUsesRemainingSLATime() {
 	s := newWarmScenario()
-	c := ownedBy(0)
+	c := customerOwnedBy(0)
 	retry := func(id control.TxnID, left time.Duration) {
 		s.drainBucket(c, 5) // of 20, which is less than a late retry must leave
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + left})
@@ -473,7 +473,7 @@
 	}
 	fmt.Println("# no first attempt was seen: retry 1 may be late, so it is rejected and leaves the units of the low bucket to other txns")
 	retry(1, 1900*time.Millisecond)
-	s.arrive(2, ownedBy(0), 0, 0)
+	s.addTxn(2, customerOwnedBy(0), 0, 0)
 	fmt.Println("# the first attempt was 100 ms ago: retry 3 is treated as a first attempt whose SLA time is 100 ms shorter")
 	retry(3, 1900*time.Millisecond)
 	fmt.Println("# the first attempt was 600 ms ago: the SLA time of retry 4 is over, so the retry is rejected at once")
@@ -498,7 +498,7 @@
 // Guards against a customer that gets no service, or too much of it, while the owner of its quota does not answer.
 func Example_unresponsiveOwnerLeavesBurstShare() {
 	s := newWarmScenario()
-	c := ownedBy(1)
+	c := customerOwnedBy(1)
 	fmt.Println("# the burst share is used up and then grows at the rate while no datagram arrives")
 	for id := control.TxnID(1); id < 200; id++ {
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
@@ -519,10 +519,10 @@
 func Example_waitingTxnIsSubmittedUnderPressure() {
 	s := newWarmScenario()
 	s.controller.capacity, s.controller.products[2].value = 0.4, 5
-	c := ownedBy(0)
+	c := customerOwnedBy(0)
 	fmt.Println("# no capacity: the waiting txn is submitted when a submission ends")
 	for id, p := range []control.ProductID{0, 0, 2} {
-		s.arrive(control.TxnID(id), c, p, 0)
+		s.addTxn(control.TxnID(id), c, p, 0)
 	}
 	s.advance(10100)
 	s.endSubmission(0, control.Succeeded)
@@ -535,7 +535,7 @@
 
 // Guards against an unresponsive backend that never gets another submission. An inquiry-like txn tries it after each trialInterval.
 func Example_unresponsiveBackendIsTried() {
-	s := newScenario(settings(0), 0)
+	s := newScenario(defaultTestSettings(0), 0)
 	s.hideDatagrams = true
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
 	s.advance(10000)
@@ -546,7 +546,7 @@
 		s.advance(at)
 		for _, p := range []control.ProductID{2, 0} {
 			t := &txn{Txn: control.Txn{Product: p}}
-			fmt.Println("at", at, "ms: a txn of product", p, "skips the backend:", s.controller.unresponsive(b, t))
+			fmt.Println("at", at, "ms: a txn of product", p, "skips the backend:", s.controller.mustAvoidUnresponsive(b, t))
 		}
 	}
 	// Output:
@@ -568,7 +568,7 @@
 	arrive(control.Txn{ID: 1, Units: 1, Expiry: now - time.Second})
 	arrive(control.Txn{ID: 2, Product: 9, Expiry: now + time.Second})
 	arrive(control.Txn{ID: 3, Plan: -4, Expiry: now + time.Second})
-	arrive(control.Txn{ID: 4, Customer: ownedBy(0), SetWidth: -3, SetFirst: -9, Expiry: now + time.Second})
+	arrive(control.Txn{ID: 4, Customer: customerOwnedBy(0), SetWidth: -3, SetFirst: -9, Expiry: now + time.Second})
 	arrive(control.Txn{ID: 5, Customer: 77, SetWidth: 1 << 40, SetFirst: 1 << 40, Units: -5, Expiry: now + time.Second})
 	s.controller.SubmissionEnded(99, 0, 1, control.Succeeded, true, 0, nil)
 	s.controller.SubmissionEnded(4, 7, 55, control.Succeeded, true, 0, []float64{1, 2, 3, 4})
@@ -591,12 +591,12 @@
 // Guards against retries that use the last units of a bucket before first attempts.
 func Example_retriesLeaveLowBucket() {
 	s := newWarmScenario()
-	c := ownedBy(0)
+	c := customerOwnedBy(0)
 	fmt.Println("# four of twenty units are left: a retry is rejected at once, a first attempt is submitted")
 	s.drainBucket(c, 4)
 	s.controller.TxnArrived(control.Txn{ID: 1, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
 	s.printDecisions()
-	s.arrive(2, c, 0, 0)
+	s.addTxn(2, c, 0, 0)
 	// Output:
 	// # four of twenty units are left: a retry is rejected at once, a first attempt is submitted
 	// 10000 reject 1, 700
@@ -635,7 +635,7 @@
 // Guards against time-outs that lower the capacity although the fleet is not congested.
 func Example_timeOutsLowerCapacityUnderPressure() {
 	s := newWarmScenario()
-	s.arrive(1, ownedBy(0), 0, 0)
+	s.addTxn(1, customerOwnedBy(0), 0, 0)
 	b, before := s.controller.txns[1].currentBackend, s.controller.capacity
 	s.controller.utilization = 1
 	s.controller.Now(s.controller.now + 200*time.Millisecond)
@@ -658,38 +658,38 @@
 
 // Guards against a wide set of gateways that together consume more than a small burst.
 func Example_ownerIsAskedIfBurstShareIsTooSmall() {
-	s := newScenario(settings(0), 0)
+	s := newScenario(defaultTestSettings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
 	s.advance(10000)
 	s.controller.capacity = 3
-	c := ownedBy(1)
+	c := customerOwnedBy(1)
 	s.controller.plans[0].Burst = 2 // less than one unit for each gateway of the set
 	fmt.Println("# the burst of a new customer is less than one unit for each gateway: the owner is asked and has two units")
-	s.arrive(1, c, 0, 0)
+	s.addTxn(1, c, 0, 0)
 	s.advance(10030)
-	s.receive(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
+	s.receiveMessage(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
 	fmt.Println("# the owner has no units: txn 2 is rejected, and its retry delay is the time until the bucket has one unit")
 	s.hideDatagrams = true
 	s.advance(11000)
 	s.hideDatagrams = false
-	s.arrive(2, c, 0, 0)
-	s.receive(1, &quota.Message{Epoch: 9, Version: 2, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3, Snapshots: []quota.Snapshot{{Customer: c, Reporters: 2}}})
+	s.addTxn(2, c, 0, 0)
+	s.receiveMessage(1, &quota.Message{Epoch: 9, Version: 2, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3, Snapshots: []quota.Snapshot{{Customer: c, Reporters: 2}}})
 	s.advance(11150)
 	fmt.Println("# the owner does not answer in time: the burst share is used")
 	s.hideDatagrams = true
 	s.advance(13000)
 	s.hideDatagrams = false
-	s.arrive(3, c, 0, 0)
+	s.addTxn(3, c, 0, 0)
 	s.advance(13140)
 	fmt.Println("# an owner that has just offered its units to one gateway offers the same units to no other gateway")
-	c = ownedBy(0)
+	c = customerOwnedBy(0)
 	s.controller.plans[0].Burst = 1
 	s.hideDatagrams = true
 	s.advance(14000)
 	s.hideDatagrams = false
 	s.controller.sweptAt = time.Minute
 	for g := control.GatewayID(1); g < 3; g++ {
-		s.receive(g, &quota.Message{Epoch: 9, Seq: 1, Deltas: []quota.Delta{{Customer: c, UnitsWanted: 1, SetWidth: 3}}})
+		s.receiveMessage(g, &quota.Message{Epoch: 9, Seq: 1, Deltas: []quota.Delta{{Customer: c, UnitsWanted: 1, SetWidth: 3}}})
 	}
 	// Output:
 	// # the burst of a new customer is less than one unit for each gateway: the owner is asked and has two units
@@ -714,13 +714,13 @@
 // Guards against a stall of this process that counts as a fault of the backends, and against txns that are submitted after their SLA time.
 func Example_processStallIsNoFaultOfBackends() {
 	s := newWarmScenario()
-	s.arrive(1, ownedBy(0), 0, 0)
+	s.addTxn(1, customerOwnedBy(0), 0, 0)
 	b := s.controller.txns[1].currentBackend
 	b.unanswered = 3
 	s.controller.Now(12 * time.Second) // the process stalls for two seconds
 	s.controller.SubmissionEnded(1, 0, b.ID, control.TimedOut, true, 272*time.Millisecond, nil)
 	for id := control.TxnID(2); id < 10; id++ {
-		s.controller.TxnArrived(control.Txn{ID: id, Customer: ownedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
+		s.controller.TxnArrived(control.Txn{ID: id, Customer: customerOwnedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
 	}
 	fmt.Println("# of eight txns that arrived during two seconds, only the last two have SLA time left")
 	s.printDecisions()
@@ -741,9 +741,9 @@
 
 // Guards against buckets that start full after the restart of one front door. Buckets start full only if all front doors have just started.
 func Example_bucketStartsFullInNewCluster() {
-	c := ownedBy(0)
+	c := customerOwnedBy(0)
 	for _, age := range []time.Duration{0, 60 * time.Second} {
-		s := newScenario(settings(0), 5000)
+		s := newScenario(defaultTestSettings(0), 5000)
 		for g := control.GatewayID(1); g < 3; g++ {
 			s.controller.DatagramReceived(g, (&quota.Message{Epoch: 7, Age: age, Seq: 1}).Encode())
 		}
@@ -764,7 +764,7 @@
 	for i := 0; i < 4; i++ {
 		m.Observations = append(m.Observations, quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Ratio: quota.ObservedFailed}, quota.Observation{BackendHash: 5, Ratio: 9})
 	}
-	s.receive(1, m)
+	s.receiveMessage(1, m)
 	fmt.Println("peers observed failures of product 0: the backend is excluded for product 0:", b.failures[0].excludedUntil > s.controller.now, "- for product 1:", b.failures[1].excludedUntil > s.controller.now)
 	fmt.Println("an observation of a backend that is not in the list of this front door is ignored, number of backends:", len(s.controller.backends))
 	// Output:
@@ -776,19 +776,19 @@
 // when its bucket is full again.
 func Example_goneBackendsAndFullBucketsAreRemoved() {
 	s := newWarmScenario()
-	mine, other := ownedBy(0), ownedBy(1)
+	mine, other := customerOwnedBy(0), customerOwnedBy(1)
 	for i := 4; i < 500; i++ {
 		s.changeEndpoints(false, control.Endpoint{ID: control.BackendID(i - 1)}, control.Endpoint{ID: control.BackendID(i), State: control.Ready})
 	}
 	fmt.Println("backends in the list and in the two maps:", len(s.controller.backendsByID), len(s.controller.backends), len(s.controller.backendsByHash))
 	s.controller.plans[0].Rate = 2
-	s.arrive(1, mine, 0, 0)
+	s.addTxn(1, mine, 0, 0)
 	s.endSubmission(1, control.Succeeded)
-	s.arrive(2, other, 0, 0)
+	s.addTxn(2, other, 0, 0)
 	s.endSubmission(2, control.Succeeded)
 	for i := 1; i <= 3; i++ { // a peer still uses the bucket, this front door does not
 		s.advance(10000 + 4000*i)
-		s.receive(1, &quota.Message{Epoch: 7, AckEpoch: s.controller.quota.Epoch(), AckHigh: 9, AckMask: 1<<32 - 1, Seq: uint64(i),
+		s.receiveMessage(1, &quota.Message{Epoch: 7, AckEpoch: s.controller.quota.Epoch(), AckHigh: 9, AckMask: 1<<32 - 1, Seq: uint64(i),
 			Deltas: []quota.Delta{{Customer: mine, Units: 15, SetWidth: 3}}})
 	}
 	state, _ := s.controller.quota.AccountState(mine)
@@ -831,16 +831,16 @@
 // Guards against late load reports that repeatedly move customers between backends. A backend with somewhat more load keeps its customers.
 // Only a backend with far more than the mean load loses customers.
 func Example_reportedLoadKeepsRanking() {
-	s := newScenario(settings(0), 0)
+	s := newScenario(defaultTestSettings(0), 0)
 	for id := control.BackendID(1); id <= 20; id++ {
 		s.changeEndpoints(false, control.Endpoint{ID: id, State: control.Ready})
 	}
 	s.hideDatagrams = true
 	s.advance(10000)
 	s.controller.capacity = 50
-	c := ownedBy(0)
+	c := customerOwnedBy(0)
 	first := func(id control.TxnID) *backend {
-		s.arrive(id, c, 0, 0)
+		s.addTxn(id, c, 0, 0)
 		return s.controller.txns[id].currentBackend
 	}
 	b := first(1)
--- a/control/loadbalancer/ejection.go
+++ b/control/loadbalancer/ejection.go
@@ -19,14 +19,14 @@
 	for _, b := range c.readyBackends {
 		switch {
 		case b.ejected:
-			if c.readmit(b) {
+			if c.readmitIfRecovered(b) {
 				ejected--
 			}
 		case c.shouldEject(b, ejected):
 			c.eject(b)
 			ejected++
 		}
-		if c.mayProbe(b) && (next == nil || probeBefore(b, next)) {
+		if c.mayProbe(b) && (next == nil || precedesInProbing(b, next)) {
 			next = b
 		}
 	}
@@ -59,7 +59,7 @@
 
 // readmit ends the ejection of a backend if it has passed enough probes or, if probes are disabled, if its ejection time is over. The backend
 // returns with a slow start. readmit reports whether it ended the ejection.
-func (c *Controller) readmit(b *backend) bool {
+func (c *Controller) readmitIfRecovered(b *backend) bool {
 	if !c.probesAllowed && c.now < b.nextProbeAt ||
 		c.probesAllowed && (b.passedProbes < probesToReadmit || c.now < b.nextProbeAt-b.backoff+minEjectionTime) {
 		return false
@@ -75,7 +75,7 @@
 }
 
 // probeBefore reports whether b is probed before other. Ejected backends go first, then the backend whose probe was due earlier.
-func probeBefore(b, other *backend) bool {
+func precedesInProbing(b, other *backend) bool {
 	if b.ejected != other.ejected {
 		return b.ejected
 	}
--- a/control/loadbalancer/outcome.go
+++ b/control/loadbalancer/outcome.go
@@ -62,7 +62,7 @@
 		usual = took.Seconds()
 	}
 	step := latencySmoothing * (min(took.Seconds(), maxLatencyFactor*usual) - usual)
-	if step > 0 && c.underPressure() {
+	if step > 0 && c.isUnderPressure() {
 		step = 0 // under pressure, response times include queueing, which is no part of the usual time
 	}
 	c.usualLatencies[kind] = usual + step
--- a/control/loadbalancer/pick.go
+++ b/control/loadbalancer/pick.go
@@ -18,13 +18,13 @@
 
 // pick returns the backend for a txn, which is the first one in its customer's ranking that has capacity. It returns nil if no backend has
 // capacity.
-func (c *Controller) pick(t *txn) *backend {
+func (c *Controller) pickBackend(t *txn) *backend {
 	c.refreshBackends()
-	set := c.candidatesFor(t)
+	set := c.candidateSetFor(t)
 	c.candidates = set.candidates
 	c.utilization = set.inFlight / max(set.capacity, 1)
 	if !set.anyEligible {
-		return c.pickFallback(t)
+		return c.pickFallbackBackend(t)
 	}
 	if len(set.candidates) == 0 || set.inFlight+1 > max(1, set.capacity+burstAllowance*math.Sqrt(set.capacity)) {
 		c.saturated = c.saturated || !t.mayHaveRun
@@ -34,10 +34,10 @@
 }
 
 // candidatesFor returns the summary of the eligible backends for a txn. Its candidates are those that have capacity.
-func (c *Controller) candidatesFor(t *txn) candidateSet {
+func (c *Controller) candidateSetFor(t *txn) candidateSet {
 	set := candidateSet{candidates: c.candidates[:0]}
 	for _, b := range c.readyBackends {
-		if !c.eligible(b, t) {
+		if !c.isEligible(b, t) {
 			continue
 		}
 		share := b.warmUpShare * c.slowStartShare(b)
@@ -93,9 +93,9 @@
 
 // pickFallback returns the backend to use if none is eligible for a txn. It is the one with the fewest losses and the least load among those
 // that the rules allow and that have capacity. It returns nil if there is none.
-func (c *Controller) pickFallback(t *txn) (best *backend) {
+func (c *Controller) pickFallbackBackend(t *txn) (best *backend) {
 	for _, b := range c.readyBackends {
-		if c.allowedByRules(b, t) && float64(b.inFlight+1) <= max(1, c.capacity) &&
+		if c.rulesAllow(b, t) && float64(b.inFlight+1) <= max(1, c.capacity) &&
 			(best == nil || b.lossShare+float64(b.inFlight) < best.lossShare+float64(best.inFlight)) {
 			best = b
 		}
@@ -104,8 +104,8 @@
 }
 
 // eligible reports whether a backend is suitable for a txn, regardless of its capacity.
-func (c *Controller) eligible(b *backend, t *txn) bool {
-	if b.ejected || b == t.previousBackend || b.rejectionBackoffUntil > c.now || c.excludedFor(b, t) || c.unresponsive(b, t) || !c.allowedByRules(b, t) {
+func (c *Controller) isEligible(b *backend, t *txn) bool {
+	if b.ejected || b == t.previousBackend || b.rejectionBackoffUntil > c.now || c.isExcludedFor(b, t) || c.mustAvoidUnresponsive(b, t) || !c.rulesAllow(b, t) {
 		return false
 	}
 	// If a plan limits the submissions in flight, a slow backend would occupy one of these slots for too long.
@@ -113,23 +113,23 @@
 }
 
 // allowedByRules reports whether rules 2, 3 and 4 of the package comment allow a submission of a txn to a backend.
-func (c *Controller) allowedByRules(b *backend, t *txn) bool {
+func (c *Controller) rulesAllow(b *backend, t *txn) bool {
 	if b.State != control.Ready {
 		return false
 	}
 	if t.mayHaveRun {
 		p := c.products[t.Product]
-		if !c.repeatable(t) || p.effect == referenced &&
+		if !c.mayRepeat(t) || p.effect == referenced &&
 			(p.repeatScope == scopeZone && b.Zone != t.ranZone || p.repeatScope == scopePod && b.Pod != t.ranPod) {
 			return false
 		}
 	}
-	return b.warmUpShare >= 1 || c.warmUpTokensNow(b) >= 1
+	return b.warmUpShare >= 1 || c.refillWarmUpTokens(b) >= 1
 }
 
 // excludedFor reports whether a backend is excluded for the product of a txn. A once-only txn can't be retried after an error, so it also
 // avoids a backend where any other product fails. Txns of the other products find out when that backend has recovered.
-func (c *Controller) excludedFor(b *backend, t *txn) bool {
+func (c *Controller) isExcludedFor(b *backend, t *txn) bool {
 	if c.products[t.Product].effect == onceOnly {
 		for p, f := range b.failures {
 			if control.ProductID(p) != t.Product && (f.excludedUntil > c.now || f.share > failureThreshold/2) {
@@ -143,7 +143,7 @@
 // unresponsive reports whether a txn must avoid a backend that has not responded for too long. The limit is derived from the usual response
 // time of the txn. An inquiry-like txn tries the backend again after each trialInterval. Without these trials, a backend with too few unanswered submissions to be ejected would never get another chance to
 // respond.
-func (c *Controller) unresponsive(b *backend, t *txn) bool {
+func (c *Controller) mustAvoidUnresponsive(b *backend, t *txn) bool {
 	if b.unanswered < 2 {
 		return false
 	}
@@ -172,8 +172,8 @@
 // warmUpTokensNow updates the budget of submissions to a backend that is warming up and returns it. In each overload window, the budget
 // earns tokens at this front door's rate to a warm backend, multiplied by the warm-up share of the backend, overloadFactor and
 // warmUpBudgetShare. So all front doors together stay below the rate that would overload the backend.
-func (c *Controller) warmUpTokensNow(b *backend) float64 {
-	minRate := warmUpBudgetShare / float64(c.gateways) / c.slowestLatency()
+func (c *Controller) refillWarmUpTokens(b *backend) float64 {
+	minRate := warmUpBudgetShare / float64(c.gateways) / c.longestAssumedLatency()
 	rate := b.warmUpShare * max(c.warmRate, minRate) * c.overloadFactor * warmUpBudgetShare
 	if b.warmUpTokensAt == 0 { // a random initial fraction of a token, so that many front doors keep the rate together from the start
 		b.warmUpTokens, b.warmUpTokensAt = c.rng.Float64(), c.now
--- a/control/loadbalancer/recorded_test.go
+++ b/control/loadbalancer/recorded_test.go
@@ -26,19 +26,19 @@
 
 func newDecisionRecorder() *decisionRecorder { return &decisionRecorder{Hash64: fnv.New64a()} }
 
-func (d *decisionRecorder) add(numbers ...int64) {
+func (d *decisionRecorder) addValues(numbers ...int64) {
 	d.count++
 	for _, v := range numbers {
 		d.Write(binary.LittleEndian.AppendUint64(nil, uint64(v)))
 	}
 }
 
-func (d *decisionRecorder) sum() string { return fmt.Sprintf("%d %016x", d.count, d.Sum64()) }
+func (d *decisionRecorder) digest() string { return fmt.Sprintf("%d %016x", d.count, d.Sum64()) }
 
 // recordedSettings returns the settings of a scenario, with plans that limit the submissions in flight, that have a hard limit, and that gain by
 // responses beyond the quota.
 func recordedSettings(me int) control.Settings {
-	s := settings(me)
+	s := defaultTestSettings(me)
 	s["quota.mail_per_s"], s["products.1.late_value"], s["plans.count"] = "400", "0.3", "4"
 	for i, plan := range []string{"40 80 0 0 0", "30 60 0 60 60", "30 60 5 0 0", "30 60 0 0 0"} {
 		var rate, burst, maxInFlight, hardRate, hardBurst string
@@ -53,7 +53,7 @@
 
 // simulateFrontDoors simulates three front doors and eight backends, of which some are slow, failing, unreachable or new. It returns the
 // digest of the decisions.
-func simulateFrontDoors(seed int64, load float64, change func(control.Settings)) string {
+func simulationDigest(seed int64, load float64, change func(control.Settings)) string {
 	type event struct {
 		at       time.Duration
 		instance int
@@ -84,7 +84,7 @@
 		}
 		d.EndpointsChanged(true, all)
 	}
-	stalled := func(step int) bool { return step%1500 > 1420 } // for the second front door, at intervals
+	isStalled := func(step int) bool { return step%1500 > 1420 } // for the second front door, at intervals
 	attempts := map[[2]int]int{}
 	unanswered := map[[2]int]bool{}
 	inFlight := [9]int{}
@@ -107,7 +107,7 @@
 		}
 		rest := queue[:0]
 		for _, e := range queue {
-			if e.at > now || e.instance == 1 && stalled(step) {
+			if e.at > now || e.instance == 1 && isStalled(step) {
 				rest = append(rest, e)
 				continue
 			}
@@ -141,7 +141,7 @@
 		}
 		queue = rest
 		for i, d := range controllers {
-			if i == 1 && stalled(step) {
+			if i == 1 && isStalled(step) {
 				continue
 			}
 			d.Now(now)
@@ -156,7 +156,7 @@
 				d.ClientLeft(next)
 			}
 			for x, ok := d.Next(); ok; x, ok = d.Next() {
-				rec.add(int64(x.Action), int64(x.Txn), int64(x.Attempt), int64(x.Backend), int64(x.After), int64(x.ResponseTimeout), int64(x.Peer), int64(x.Reason))
+				rec.addValues(int64(x.Action), int64(x.Txn), int64(x.Attempt), int64(x.Backend), int64(x.After), int64(x.ResponseTimeout), int64(x.Peer), int64(x.Reason))
 				rec.Write(x.Payload)
 				txnKey := [2]int{i, int(x.Txn)}
 				switch x.Action {
@@ -180,7 +180,7 @@
 			}
 		}
 	}
-	return rec.sum()
+	return rec.digest()
 }
 
 func TestDecisionsMatchRecordedDigests(t *testing.T) {
@@ -198,6 +198,6 @@
 		}, 3, "62102 3f46f75209db254e"},
 		{"load reports by probes", 0.5, func(s control.Settings) { s["report.how"], s["report.fields"] = "probe", "queue,per_s,service_ms" }, 4, "63570 369a32c64359b1ca"},
 	} {
-		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, simulateFrontDoors(tc.seed, tc.load, tc.change)) })
+		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, simulationDigest(tc.seed, tc.load, tc.change)) })
 	}
 }
--- a/control/loadbalancer/scenario_test.go
+++ b/control/loadbalancer/scenario_test.go
@@ -17,7 +17,7 @@
 
 // settings returns settings with these products: 0 is inquiry-like, 1 is referenced in its pod, 2 is once-only and 3 is referenced everywhere.
 // Plan 0 has ten units per second and a burst of 20. Plan 1 has the same and a hard limit of 20 units per second with a burst of 20.
-func settings(me int) control.Settings {
+func defaultTestSettings(me int) control.Settings {
 	s := control.Settings{"me": fmt.Sprint(me), "gateways": "3", "zone": "0", "limits.probes": "true",
 		"limits.peers": "true", "limits.cancel": "true", "limits.advice": "true",
 		"limits.longest_advice": "2000000", "limits.max_submissions": "3", "report.how": "answers",
@@ -53,7 +53,7 @@
 
 // newWarmScenario returns a scenario at 10 s with three warm backends. Backends 1 and 2 are in pod 0, and backend 3 is in pod 1.
 func newWarmScenario() *scenario {
-	s := newScenario(settings(0), 0)
+	s := newScenario(defaultTestSettings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready}, control.Endpoint{ID: 3, Pod: 1, State: control.Ready})
 	s.hideDatagrams, s.controller.capacity = true, 3
 	s.advance(10000)
@@ -75,7 +75,7 @@
 }
 
 // arrive adds a txn of the customer with one unit and an expiry in two seconds, and prints the decisions.
-func (s *scenario) arrive(id control.TxnID, c control.CustomerID, p control.ProductID, pl control.PlanID) {
+func (s *scenario) addTxn(id control.TxnID, c control.CustomerID, p control.ProductID, pl control.PlanID) {
 	s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Product: p, Plan: pl, Units: 1, SetWidth: 3,
 		Expiry: s.controller.now + 2*time.Second})
 	s.printDecisions()
@@ -89,7 +89,7 @@
 }
 
 // ownedBy returns a customer that the set of all three gateways serves and that the given gateway owns.
-func ownedBy(g control.GatewayID) control.CustomerID {
+func customerOwnedBy(g control.GatewayID) control.CustomerID {
 	for c := control.CustomerID(1); ; c++ {
 		if quota.OwnerOf(c, 0, 3, 3) == g {
 			return c
@@ -106,7 +106,7 @@
 }
 
 // receive delivers a message from a peer and prints the decisions.
-func (s *scenario) receive(from control.GatewayID, m *quota.Message) {
+func (s *scenario) receiveMessage(from control.GatewayID, m *quota.Message) {
 	s.controller.DatagramReceived(from, m.Encode())
 	s.printDecisions()
 }
@@ -118,12 +118,12 @@
 		if !ok {
 			return
 		}
-		fmt.Print(s.format(x))
+		fmt.Print(s.formatDecision(x))
 	}
 }
 
 // format returns a decision as a line, or an empty string if the decision is not printed.
-func (s *scenario) format(x control.Decision) string {
+func (s *scenario) formatDecision(x control.Decision) string {
 	t := fmt.Sprintf("%5d ", s.controller.now.Milliseconds())
 	limit := ""
 	if x.After > 0 {
--- a/control/loadbalancer/settings.go
+++ b/control/loadbalancer/settings.go
@@ -64,82 +64,82 @@
 }
 
 // fail records an error, unless there is one already.
-func (s *settingsReader) fail(name, problem string) {
+func (s *settingsReader) recordError(name, problem string) {
 	if s.err == nil {
 		s.err = &SettingError{Name: name, Problem: problem}
 	}
 }
 
-func (s *settingsReader) text(name string) string {
+func (s *settingsReader) readText(name string) string {
 	v, ok := s.settings[name]
 	if !ok {
-		s.fail(name, "missing")
+		s.recordError(name, "missing")
 	}
 	return v
 }
 
-func (s *settingsReader) number(name string) float64 {
-	v, err := strconv.ParseFloat(s.text(name), 64)
+func (s *settingsReader) readNumber(name string) float64 {
+	v, err := strconv.ParseFloat(s.readText(name), 64)
 	if err != nil {
-		s.fail(name, "not a number")
+		s.recordError(name, "not a number")
 	}
 	return v
 }
 
-func (s *settingsReader) count(name string, maxValue int) int {
-	v, err := strconv.Atoi(s.text(name))
+func (s *settingsReader) readCount(name string, maxValue int) int {
+	v, err := strconv.Atoi(s.readText(name))
 	if err != nil || v < 0 || v > maxValue {
-		s.fail(name, "not an integer in the allowed range")
+		s.recordError(name, "not an integer in the allowed range")
 		return 0
 	}
 	return v
 }
 
 // duration reads a number of microseconds.
-func (s *settingsReader) duration(name string) time.Duration {
-	return time.Duration(s.number(name) * float64(time.Microsecond))
+func (s *settingsReader) readDuration(name string) time.Duration {
+	return time.Duration(s.readNumber(name) * float64(time.Microsecond))
 }
 
-func (s *settingsReader) boolean(name string) bool { return s.text(name) == "true" }
+func (s *settingsReader) readBoolean(name string) bool { return s.readText(name) == "true" }
 
 // list reads names that are separated by commas. It returns nil for a missing setting.
-func (s *settingsReader) list(name string) []string {
+func (s *settingsReader) readList(name string) []string {
 	if s.settings[name] == "" {
 		return nil
 	}
 	return strings.Split(s.settings[name], ",")
 }
 
-func (s *settingsReader) products() (all []product) {
-	for i := range s.count("products.count", 255) {
+func (s *settingsReader) readProducts() (all []product) {
+	for i := range s.readCount("products.count", 255) {
 		at := fmt.Sprintf("products.%d.", i)
 		all = append(all, product{
-			slaTime:       s.duration(at + "sla_time"),
-			effect:        effect(s.text(at + "effect")),
-			repeatScope:   scope(s.text(at + "repeat_scope")),
-			repeatWindow:  s.duration(at + "repeat_window"),
-			value:         s.number(at + "value"),
-			lateValue:     s.number(at + "late_value"),
-			clientTimeout: s.duration(at + "expiry"),
+			slaTime:       s.readDuration(at + "sla_time"),
+			effect:        effect(s.readText(at + "effect")),
+			repeatScope:   scope(s.readText(at + "repeat_scope")),
+			repeatWindow:  s.readDuration(at + "repeat_window"),
+			value:         s.readNumber(at + "value"),
+			lateValue:     s.readNumber(at + "late_value"),
+			clientTimeout: s.readDuration(at + "expiry"),
 		})
 	}
 	return all
 }
 
-func (s *settingsReader) plans() (all []plan) {
-	for i := range s.count("plans.count", 1<<16) {
+func (s *settingsReader) readPlans() (all []plan) {
+	for i := range s.readCount("plans.count", 1<<16) {
 		at := fmt.Sprintf("plans.%d.", i)
 		all = append(all, plan{
 			Limit: quota.Limit{
-				Rate:        s.number(at + "rate"),
-				Burst:       s.number(at + "burst"),
-				MaxInFlight: s.count(at+"open_cap", 1<<20),
-				HardRate:    s.number(at + "ceiling_rate"),
-				HardBurst:   s.number(at + "ceiling_burst"),
+				Rate:        s.readNumber(at + "rate"),
+				Burst:       s.readNumber(at + "burst"),
+				MaxInFlight: s.readCount(at+"open_cap", 1<<20),
+				HardRate:    s.readNumber(at + "ceiling_rate"),
+				HardBurst:   s.readNumber(at + "ceiling_burst"),
 			},
-			price:          s.number(at + "price"),
-			overQuotaValue: s.number(at + "over_value"),
-			overQuotaCost:  s.number(at + "over_cost"),
+			price:          s.readNumber(at + "price"),
+			overQuotaValue: s.readNumber(at + "over_value"),
+			overQuotaCost:  s.readNumber(at + "over_cost"),
 		})
 	}
 	return all
--- a/control/loadbalancer/settings_test.go
+++ b/control/loadbalancer/settings_test.go
@@ -19,7 +19,7 @@
 		{"products.1.sla_time", "", "missing"},
 		{"quota.mail_per_s", "x", "not a number"},
 	} {
-		s := settings(0)
+		s := defaultTestSettings(0)
 		if s[tc.name] = tc.value; tc.value == "" {
 			delete(s, tc.name)
 		}
--- a/control/loadbalancer/txn.go
+++ b/control/loadbalancer/txn.go
@@ -39,7 +39,7 @@
 }
 
 // needsQuota reports whether the quota has yet to admit the txn.
-func (t *txn) needsQuota() bool { return !t.consumed && !t.overQuota && !t.reserved }
+func (t *txn) needsQuotaCheck() bool { return !t.consumed && !t.overQuota && !t.reserved }
 
 // TxnArrived adds a txn from a client, to be decided by Next. It ignores a txn whose ID is in use.
 func (c *Controller) TxnArrived(request control.Txn) {
@@ -93,31 +93,31 @@
 }
 
 // decide submits a txn that has no submission in flight, lets it wait, or answers it.
-func (c *Controller) decide(t *txn) {
+func (c *Controller) decideTxn(t *txn) {
 	if t.ended || t.currentBackend != nil || t.queued {
 		return
 	}
 	if !c.canSubmitInTime(t) {
 		t.reason = control.ReasonNoTime
-		c.finish(t, c.maxRetryAfter)
+		c.rejectOrFail(t, c.maxRetryAfter)
 		return
 	}
-	if t.submissions > 0 && t.mayHaveRun && !c.repeatable(t) {
-		c.finish(t, 0)
+	if t.submissions > 0 && t.mayHaveRun && !c.mayRepeat(t) {
+		c.rejectOrFail(t, 0)
 		return
 	}
 	account := c.quota.EnsureAccount(t.Customer, t.Plan, t.SetFirst, t.SetWidth)
-	if t.needsQuota() && !c.checkQuota(t, account) {
+	if t.needsQuotaCheck() && !c.checkQuota(t, account) {
 		return
 	}
 	t.reason = control.ReasonNoBackend
 	var b *backend
 	if !c.saturated || t.mayHaveRun {
-		b = c.pick(t)
+		b = c.pickBackend(t)
 	}
 	switch {
-	case t.lateRetry && t.submissions == 0 && (b == nil || c.underPressure()):
-		c.finish(t, c.maxRetryAfter) // the remaining capacity is for first attempts
+	case t.lateRetry && t.submissions == 0 && (b == nil || c.isUnderPressure()):
+		c.rejectOrFail(t, c.maxRetryAfter) // the remaining capacity is for first attempts
 	case b == nil:
 		c.awaitBackend(t, account)
 	default:
@@ -127,7 +127,7 @@
 
 // canSubmitInTime reports whether a response may still come in time and, for a txn that was submitted before, whether it may be retried.
 func (c *Controller) canSubmitInTime(t *txn) bool {
-	if t.submissions > 0 && (t.submissions >= c.maxSubmissions || c.retryBudget < 1 || c.underPressure() && t.mayHaveRun) {
+	if t.submissions > 0 && (t.submissions >= c.maxSubmissions || c.retryBudget < 1 || c.isUnderPressure() && t.mayHaveRun) {
 		return false
 	}
 	return c.now+min(c.usualLatency(t), c.products[t.Product].slaTime/4)/2 < t.slaDeadline
@@ -140,11 +140,11 @@
 	t.reason = reason
 	switch outcome {
 	case quota.Pending:
-		c.enqueue(t, at)
+		c.queueUntil(t, at)
 		return false
 	case quota.Exceeded:
 		if !c.mayExceedQuota(account, t) {
-			c.finish(t, at)
+			c.rejectOrFail(t, at)
 			return false
 		}
 		t.overQuota = true
@@ -156,11 +156,11 @@
 // too old while the txn waits.
 func (c *Controller) awaitBackend(t *txn, account *quota.Account) {
 	c.saturatedAt = c.now
-	if t.needsQuota() {
+	if t.needsQuotaCheck() {
 		t.reserved = true
 		c.quota.ReserveAccount(account, t.Units)
 	}
-	c.enqueue(t, t.arrived+time.Duration(backendQueueTimeShare*float64(c.products[t.Product].slaTime)))
+	c.queueUntil(t, t.arrived+time.Duration(backendQueueTimeShare*float64(c.products[t.Product].slaTime)))
 }
 
 // valueRate returns the value of a txn per second of its usual response time. It is independent of the plan, so that no txn is passed over
@@ -178,9 +178,9 @@
 }
 
 // enqueue lets a txn wait at most until the given time. It answers the txn at once if that time has passed.
-func (c *Controller) enqueue(t *txn, until time.Duration) {
+func (c *Controller) queueUntil(t *txn, until time.Duration) {
 	if until <= c.now {
-		c.finish(t, 0)
+		c.rejectOrFail(t, 0)
 		return
 	}
 	t.queued = true
@@ -193,7 +193,7 @@
 
 // expire answers a txn at its expiry or when it has waited for too long. A txn that waits for units is decided a last time instead, because
 // it may be admitted from the burst share if the owner of the quota has not answered.
-func (c *Controller) expire(t *txn) {
+func (c *Controller) handleTxnTimer(t *txn) {
 	expired := c.now >= t.Expiry-expiryMargin
 	if t.queued && !expired && c.now >= t.giveUpAt && (t.reason == control.ReasonNoUnits || t.reason == control.ReasonNoSnapshot) {
 		t.queued = false
@@ -203,13 +203,13 @@
 	if !expired && (t.currentBackend != nil || !t.queued || c.now < t.giveUpAt) {
 		return
 	}
-	c.finish(t, 0)
+	c.rejectOrFail(t, 0)
 }
 
 // finish rejects or fails a txn that gets no response from a backend. No other function does so, which keeps rules 1 and 2. A rejection promises
 // the client that a retry is safe. So a txn is rejected only if no submission of it may have run, or if its product allows repeats at all
 // backends.
-func (c *Controller) finish(t *txn, retryAfter time.Duration) {
+func (c *Controller) rejectOrFail(t *txn, retryAfter time.Duration) {
 	if t.ended {
 		return
 	}
@@ -229,12 +229,12 @@
 		c.decisions = append(c.decisions, control.Decision{Action: control.Cancel, Txn: t.ID, Attempt: t.submissions - 1})
 	}
 	if t.currentBackend == nil { // otherwise the outcome of the submission is still pending
-		c.forget(t)
+		c.endTxn(t)
 	}
 }
 
 // repeatable reports whether a txn that may have run may be sent again now (rule 2).
-func (c *Controller) repeatable(t *txn) bool {
+func (c *Controller) mayRepeat(t *txn) bool {
 	switch p := c.products[t.Product]; p.effect {
 	case inquiryLike:
 		return true
@@ -246,8 +246,8 @@
 
 // submit sends a txn to a backend. No other function does so, and it checks every rule of the package comment again.
 func (c *Controller) submit(t *txn, account *quota.Account, b *backend) {
-	if t.ended || t.currentBackend != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-expiryMargin || !c.allowedByRules(b, t) {
-		c.finish(t, 0)
+	if t.ended || t.currentBackend != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-expiryMargin || !c.rulesAllow(b, t) {
+		c.rejectOrFail(t, 0)
 		return
 	}
 	if t.submissions == 0 {
@@ -278,7 +278,7 @@
 // countSubmission records a submission in the statistics of its backend and in the mean work of all txns.
 func (c *Controller) countSubmission(t *txn, b *backend) {
 	if b.warmUpShare < 1 {
-		b.warmUpTokens -= c.workWeight(t) // may go below 0, so that the budget recovers from a large txn before the next one
+		b.warmUpTokens -= c.relativeWork(t) // may go below 0, so that the budget recovers from a large txn before the next one
 	}
 	if c.meanUsualLatency <= 0 {
 		c.meanUsualLatency = c.usualLatency(t).Seconds()
@@ -301,7 +301,7 @@
 	}
 	timeout := t.slaDeadline - c.now - slaMargin
 	first := time.Duration(firstAttemptShare * float64(timeout))
-	if t.submissions == 1 && !c.underPressure() && firstAttemptFactor*c.usualLatency(t) < first {
+	if t.submissions == 1 && !c.isUnderPressure() && firstAttemptFactor*c.usualLatency(t) < first {
 		return first
 	}
 	return timeout
@@ -329,7 +329,7 @@
 	}
 	c.recheckWaiting, c.saturated = true, false
 	if answered || t.ended {
-		c.forget(t)
+		c.endTxn(t)
 		return
 	}
 	c.undecided = append(c.undecided, t)
@@ -338,12 +338,12 @@
 // ClientLeft removes a txn whose client no longer waits for an answer.
 func (c *Controller) ClientLeft(id control.TxnID) {
 	if t := c.txns[id]; t != nil {
-		c.forget(t)
+		c.endTxn(t)
 	}
 }
 
 // forget ends a txn and removes it. If a submission is in flight, the txn stays until its outcome, which still counts for the backend.
-func (c *Controller) forget(t *txn) {
+func (c *Controller) endTxn(t *txn) {
 	t.ended = true
 	c.releaseReservation(t)
 	if t.currentBackend == nil {
--- a/control/loadbalancer/work.go
+++ b/control/loadbalancer/work.go
@@ -22,7 +22,7 @@
 }
 
 // slowestLatency returns the longest of the usual response times that are assumed for the products while the real ones are unknown, in seconds.
-func (c *Controller) slowestLatency() float64 {
+func (c *Controller) longestAssumedLatency() float64 {
 	slowest := 0.0
 	for p := range c.products {
 		slowest = max(slowest, c.products[p].slaTime.Seconds()/unknownLatencyDivisor)
@@ -32,7 +32,7 @@
 
 // workWeight returns the ratio of a txn's work to the mean work of the submitted txns. The budget of a backend that is warming up counts
 // work, not txns.
-func (c *Controller) workWeight(t *txn) float64 {
+func (c *Controller) relativeWork(t *txn) float64 {
 	if c.meanUsualLatency <= 0 {
 		return 1
 	}
@@ -43,11 +43,11 @@
 // than they can process.
 func (c *Controller) countCompletion(b *backend) {
 	if b.warmUpShare >= 1 {
-		c.completionRate, c.completionRateAt = c.completionRateNow()+1/rateWindow, c.now
+		c.completionRate, c.completionRateAt = c.currentCompletionRate()+1/rateWindow, c.now
 	}
 }
 
 // completionRateNow returns the smoothed rate of responses from warm backends, per second.
-func (c *Controller) completionRateNow() float64 {
+func (c *Controller) currentCompletionRate() float64 {
 	return c.completionRate * math.Exp(-(c.now-c.completionRateAt).Seconds()/rateWindow)
 }
--- a/control/quota/account.go
+++ b/control/quota/account.go
@@ -84,7 +84,7 @@
 }
 
 // account returns the account of a customer. It creates the account if there is none.
-func (l *Limiter) account(id control.CustomerID, plan control.PlanID) *Account {
+func (l *Limiter) getOrCreateAccount(id control.CustomerID, plan control.PlanID) *Account {
 	a := l.accounts[id]
 	if a == nil {
 		a = &Account{id: id, planID: plan, owner: l.self, reporterCount: 1, lastUsedAt: l.now, allowanceAt: l.now, hardShareAt: l.startedAt}
@@ -134,7 +134,7 @@
 // initialLevel returns the units that a bucket holds by now if it was empty when its owner was assigned.
 func (l *Limiter) initialLevel(a *Account) float64 {
 	level := a.limit.Rate * max(0, l.now-l.ownersAssignedAt-l.config.OwnershipDelay).Seconds()
-	if l.freshCluster && l.olderPeers == 0 {
+	if l.freshCluster && l.olderPeerDatagrams == 0 {
 		level += l.initialFill(a)
 	}
 	return min(a.limit.Burst, level)
@@ -160,14 +160,14 @@
 // inFlightElsewhere returns the number of submissions in flight at other gateways, as far as these have reported them.
 func (l *Limiter) inFlightElsewhere(a *Account) int {
 	if a.owner == l.self {
-		_, inFlight, _ := l.recentReporters(a, nil)
+		_, inFlight, _ := l.recentReporterTotals(a, nil)
 		return inFlight
 	}
 	return a.inFlightElsewhere
 }
 
 // reporterState returns the state of a reporter. It creates the state if there is none.
-func (a *Account) reporterState(from control.GatewayID) *reporterState {
+func (a *Account) getOrCreateReporterState(from control.GatewayID) *reporterState {
 	for _, r := range a.reporterStates {
 		if r.from == from {
 			return r
@@ -180,7 +180,7 @@
 
 // recentReporters returns the number of recent reporters. For all of them but except, it also returns the submissions in flight and the
 // units that their last snapshots promised. If except is nil, no reporter is left out. In strict mode promised is 0.
-func (l *Limiter) recentReporters(a *Account, except *peer) (n, inFlight int, promised float64) {
+func (l *Limiter) recentReporterTotals(a *Account, except *peer) (n, inFlight int, promised float64) {
 	for _, r := range a.reporterStates {
 		if l.now-r.receivedAt >= reporterTTL {
 			continue
--- a/control/quota/allowance.go
+++ b/control/quota/allowance.go
@@ -32,17 +32,17 @@
 // unresponsive, and therefore withholds this gateway's part of the rate. In the second, this gateway's host found the owner unreachable so
 // long ago that the owner's host has found this gateway unreachable as well.
 func (l *Limiter) isolationStart(a *Account) time.Duration {
-	owner, askedAt := l.peers[a.owner], a.snapshotRequestedAt
+	owner, requestedAt := l.peers[a.owner], a.snapshotRequestedAt
 	for _, u := range owner.unacked {
-		if askedAt == 0 || u.firstSentAt < askedAt {
-			askedAt = u.firstSentAt
+		if requestedAt == 0 || u.firstSentAt < requestedAt {
+			requestedAt = u.firstSentAt
 		}
 	}
-	if askedAt == 0 {
+	if requestedAt == 0 {
 		return l.now
 	}
-	from := max(askedAt, owner.receivedAt, l.pausedUntil) + ownerAttempts*l.answerTimeout(a)
-	if l.withholdsEarly(a) && a.lastAckedSentAt > 0 && askedAt-a.lastAckedSentAt < recentReportAge {
+	from := max(requestedAt, owner.receivedAt, l.pausedUntil) + ownerAttempts*l.answerTimeout(a)
+	if l.withholdsEarly(a) && a.lastAckedSentAt > 0 && requestedAt-a.lastAckedSentAt < recentReportAge {
 		return from
 	}
 	if owner.unreachableSince == 0 {
@@ -55,12 +55,12 @@
 // bucket covered the acknowledged units, and these units are returned to the allowance. Otherwise the acknowledged units exceeded the bucket,
 // and only the refill of the allowance replaces them.
 func (l *Limiter) confirmAllowance(a *Account, level float64) {
-	settled := min(a.allowanceAcked, a.allowanceUsed)
+	confirmed := min(a.allowanceAcked, a.allowanceUsed)
 	l.refillAllowance(a)
 	if level > 0 {
-		a.allowance += settled
+		a.allowance += confirmed
 	}
-	a.allowanceAcked, a.allowanceUsed = 0, a.allowanceUsed-settled
+	a.allowanceAcked, a.allowanceUsed = 0, a.allowanceUsed-confirmed
 }
 
 // reportedInFlight returns the value of a delta's field InFlight. Without strict mode this is the number of submissions in flight.
--- a/control/quota/bench_test.go
+++ b/control/quota/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // benchmarkMessage returns a message as full as a busy peer sends it, with five deltas, eight snapshots and three observations.
-func benchmarkMessage() *Message {
+func newBenchmarkMessage() *Message {
 	m := &Message{Epoch: 0x9f3a6c01, Interval: 200 * time.Millisecond, Age: 90 * time.Second, Seq: 4711, Version: 9182, AckEpoch: 0x71b2c3d5, AckHigh: 4699,
 		AckMask: 0xffffffff}
 	for i := range 5 {
@@ -26,7 +26,7 @@
 }
 
 func BenchmarkDatagramEncode(b *testing.B) {
-	m := benchmarkMessage()
+	m := newBenchmarkMessage()
 	must.LessEq(b, maxMessageBytes, len(m.Encode()))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -35,7 +35,7 @@
 }
 
 func BenchmarkDatagramDecode(b *testing.B) {
-	payload := benchmarkMessage().Encode()
+	payload := newBenchmarkMessage().Encode()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := DecodeMessage(payload); err != nil {
--- a/control/quota/bound_test.go
+++ b/control/quota/bound_test.go
@@ -31,28 +31,28 @@
 }
 
 // isolated reports whether a gateway is on the isolated side.
-func (p *partitionScenario) isolated(g control.GatewayID) bool {
+func (p *partitionScenario) isIsolated(g control.GatewayID) bool {
 	n := len(p.limiters)
-	return (int(g)-int(p.owner())-1+n)%n < p.isolatedCount
+	return (int(g)-int(p.ownerID())-1+n)%n < p.isolatedCount
 }
 
 // partition starts or ends the partition.
-func (p *partitionScenario) partition(partitioned bool) {
+func (p *partitionScenario) setPartitioned(partitioned bool) {
 	p.partitionedNow = partitioned
 	for i := range p.limiters {
 		for j := range p.limiters {
-			if a, b := control.GatewayID(i), control.GatewayID(j); p.isolated(a) != p.isolated(b) {
-				p.partitioned[[2]control.GatewayID{a, b}] = partitioned && (p.isolated(b) && p.blockInbound || p.isolated(a) && p.blockOutbound)
+			if a, b := control.GatewayID(i), control.GatewayID(j); p.isIsolated(a) != p.isIsolated(b) {
+				p.partitioned[[2]control.GatewayID{a, b}] = partitioned && (p.isIsolated(b) && p.blockInbound || p.isIsolated(a) && p.blockOutbound)
 			}
 		}
 	}
 }
 
 // setReachability sets which gateways one gateway can reach.
-func (p *partitionScenario) setReachability(g control.GatewayID, partitioned bool) {
+func (p *partitionScenario) setReachableFrom(g control.GatewayID, partitioned bool) {
 	live := make([]bool, len(p.limiters))
 	for i := range live {
-		live[i] = !partitioned || p.isolated(g) == p.isolated(control.GatewayID(i))
+		live[i] = !partitioned || p.isIsolated(g) == p.isIsolated(control.GatewayID(i))
 	}
 	if p.limiters[g] != nil {
 		p.limiters[g].SetReachable(live)
@@ -85,7 +85,7 @@
 				p.consumed = append(p.consumed, p.now)
 			}
 		}
-		p.deliver()
+		p.exchangeDatagrams()
 	}
 }
 
@@ -107,7 +107,7 @@
 	const pressureStart = 40 * time.Second
 	for i, after := range schedule {
 		partitioned, at := i%2 == 0, pressureStart+after
-		add(at, func() { p.partition(partitioned) })
+		add(at, func() { p.setPartitioned(partitioned) })
 		for g := range p.limiters {
 			wait := p.detectionTime
 			if !partitioned {
@@ -118,7 +118,7 @@
 			}
 			add(at+wait+time.Duration(g), func() { // only if the state has not changed since
 				if p.partitionedNow == partitioned {
-					p.setReachability(control.GatewayID(g), partitioned)
+					p.setReachableFrom(control.GatewayID(g), partitioned)
 				}
 			})
 		}
@@ -150,7 +150,7 @@
 					s := newPartitionScenario(t, n, isolated, limit[0], limit[1])
 					s.blockInbound, s.blockOutbound = caseNumber%3 != 1, caseNumber%3 != 2 // in some cases datagrams are lost in only one direction
 					s.runSchedule(schedule, (isolated+i)%2 == 0)
-					s.mustBeBounded(fmt.Sprintf("%d of %d gateways isolated, limit %v, schedule %q", isolated, n, limit, name))
+					s.requireWithinBound(fmt.Sprintf("%d of %d gateways isolated, limit %v, schedule %q", isolated, n, limit, name))
 				}
 			}
 		}
@@ -173,7 +173,7 @@
 					var restarted []control.GatewayID
 					for i := range s.limiters {
 						g := control.GatewayID(i)
-						if restarting == 2 && s.rng.Intn(2) == 0 || restarting < 2 && (g == s.owner()) == (restarting == 0) {
+						if restarting == 2 && s.rng.Intn(2) == 0 || restarting < 2 && (g == s.ownerID()) == (restarting == 0) {
 							restarted, s.limiters[i] = append(restarted, g), nil
 						}
 					}
@@ -183,7 +183,7 @@
 						s.limiters[g].SetLimit(watchedCustomer, limit[0], limit[1])
 					}
 				}
-				s.mustBeBounded(fmt.Sprintf("%d gateways, limit %v, restart case %d", n, limit, restarting))
+				s.requireWithinBound(fmt.Sprintf("%d gateways, limit %v, restart case %d", n, limit, restarting))
 			}
 		}
 	}
@@ -209,13 +209,13 @@
 				}
 			}
 			s.advance(5*time.Second, nil)
-			s.mustBeBounded(fmt.Sprintf("limit %v, seed %d", limit, seed))
+			s.requireWithinBound(fmt.Sprintf("limit %v, seed %d", limit, seed))
 		}
 	}
 }
 
 // mustBeBounded asserts that consumption stays within the bound of strict mode in every window.
-func (p *partitionScenario) mustBeBounded(scenario string) {
+func (p *partitionScenario) requireWithinBound(scenario string) {
 	p.t.Helper()
 	first, most := 0, 0
 	for i, at := range p.consumed {
@@ -230,8 +230,8 @@
 // without an allowance used to reject most of their quota until the owner had sent as many messages as in its former epoch.
 func TestGrantsOfRestartedOwnerApplyAtOnce(t *testing.T) {
 	c := newCluster(t, 12, 100, 100)
-	c.run(20*time.Second, 5)
-	g := c.owner()
+	c.runWithRandomRequests(20*time.Second, 5)
+	g := c.ownerID()
 	c.limiters[g] = NewLimiter(99, g, 12, c.now, gatewayConfig)
 	c.limiters[g].SetLimit(watchedCustomer, 100, 100)
 	for i := range c.limiters {
@@ -240,6 +240,6 @@
 			a.allowance, a.allowanceAt = 0, c.now+time.Minute
 		}
 	}
-	c.run(2*time.Second, 5)
-	must.Greater(t, 90, c.run(2*time.Second, 5), must.Sprint("units allowed of 120 requested"))
+	c.runWithRandomRequests(2*time.Second, 5)
+	must.Greater(t, 90, c.runWithRandomRequests(2*time.Second, 5), must.Sprint("units allowed of 120 requested"))
 }
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -59,21 +59,21 @@
 		return Exceeded, at - l.now, control.ReasonHardLimit
 	}
 	if a.limit.MaxInFlight > 0 && a.inFlight+a.reservations+l.inFlightElsewhere(a) >= a.limit.MaxInFlight {
-		return l.checkSlots(a, latest)
+		return l.checkWithoutFreeSlot(a, latest)
 	}
 	if a.limit.Rate <= 0 {
 		return Allowed, 0, control.ReasonNoUnits
 	}
 	if a.owner == l.self {
-		outcome, at := l.checkBucket(a, r, latest)
+		outcome, at := l.checkAgainstBucket(a, r, latest)
 		return outcome, at, control.ReasonNoUnits
 	}
-	outcome, at := l.checkSnapshot(a, r)
+	outcome, at := l.checkAgainstSnapshot(a, r)
 	return outcome, at, control.ReasonNoSnapshot
 }
 
 // checkSlots decides on a request of a customer that has reached its maximum of submissions in flight.
-func (l *Limiter) checkSlots(a *Account, latest time.Duration) (Outcome, time.Duration, control.Reason) {
+func (l *Limiter) checkWithoutFreeSlot(a *Account, latest time.Duration) (Outcome, time.Duration, control.Reason) {
 	if a.owner != l.self && l.now-a.levelAt > l.answerTimeout(a) {
 		// The submissions at other gateways may have ended long ago. The owner does not send that to a gateway that sends no reports.
 		l.requestSnapshot(a)
@@ -85,7 +85,7 @@
 }
 
 // checkBucket decides on a request of a customer whose bucket this gateway owns.
-func (l *Limiter) checkBucket(a *Account, r Request, latest time.Duration) (Outcome, time.Duration) {
+func (l *Limiter) checkAgainstBucket(a *Account, r Request, latest time.Duration) (Outcome, time.Duration) {
 	l.refill(a)
 	left := a.level - l.outstandingGrants(a)
 	if left-a.reserved >= l.requiredLevel(a, r) {
@@ -119,7 +119,7 @@
 }
 
 // remoteViewOf returns what this gateway knows of the bucket of an account, for one request.
-func (l *Limiter) remoteViewOf(a *Account, r Request) remoteView {
+func (l *Limiter) remoteViewFor(a *Account, r Request) remoteView {
 	v := remoteView{
 		age: l.now - a.levelAt, notInSnapshot: a.unacked + a.unreported + a.reserved,
 		burstShare: a.burstShare(r.Units), allowanceCovers: true, deadline: l.answerDeadline(a, r),
@@ -141,16 +141,16 @@
 }
 
 // checkSnapshot decides on a request of a customer whose bucket another gateway owns.
-func (l *Limiter) checkSnapshot(a *Account, r Request) (Outcome, time.Duration) {
+func (l *Limiter) checkAgainstSnapshot(a *Account, r Request) (Outcome, time.Duration) {
 	if l.config.Strict && l.currentGrant(a)-a.reserved >= r.Units {
 		return Allowed, 0
 	}
-	v := l.remoteViewOf(a, r)
+	v := l.remoteViewFor(a, r)
 	if v.fresh && v.allowanceCovers && a.level-v.notInSnapshot >= l.requiredLevel(a, r) && v.notInSnapshot+r.Units <= v.burstShare {
 		return Allowed, 0
 	}
 	if !v.fresh {
-		if outcome, at, decided := l.checkStale(a, r, v); decided {
+		if outcome, at, decided := l.checkWithStaleSnapshot(a, r, v); decided {
 			return outcome, at
 		}
 	}
@@ -166,7 +166,7 @@
 
 // checkStale requests a snapshot from the owner and decides without one if it can. It returns decided false if the request must wait for
 // the owner's answer or is to be rejected.
-func (l *Limiter) checkStale(a *Account, r Request, v remoteView) (outcome Outcome, at time.Duration, decided bool) {
+func (l *Limiter) checkWithStaleSnapshot(a *Account, r Request, v remoteView) (outcome Outcome, at time.Duration, decided bool) {
 	l.requestSnapshot(a)
 	unresponsive := l.ownerUnresponsive(a)
 	if unresponsive && l.config.Strict {
@@ -179,9 +179,9 @@
 	// left after the loss of a zone serve the whole quota between them.
 	share := v.burstShare
 	if unresponsive {
-		share += a.limit.Rate / float64(l.reachableReporters(a)) * (l.now - a.snapshotRequestedAt).Seconds()
+		share += a.limit.Rate / float64(l.reachableReporterCount(a)) * (l.now - a.snapshotRequestedAt).Seconds()
 	}
-	if v.allowanceCovers && v.notInSnapshot+r.Units <= share && (unresponsive || l.staleCovers(a, r, v)) {
+	if v.allowanceCovers && v.notInSnapshot+r.Units <= share && (unresponsive || l.staleSnapshotCovers(a, r, v)) {
 		return Allowed, 0, true
 	}
 	return Pending, 0, false
@@ -190,7 +190,7 @@
 // staleCovers reports whether an expired snapshot covers a request while the owner is responsive. It adds this gateway's part of the
 // refill since the snapshot to the level. Without this check, many gateways would each consume a share of an empty bucket every second. A scarce
 // snapshot covers a request only if the owner was asked before the request's deadline and has not answered by then.
-func (l *Limiter) staleCovers(a *Account, r Request, v remoteView) bool {
+func (l *Limiter) staleSnapshotCovers(a *Account, r Request, v remoteView) bool {
 	left := a.level + a.limit.Rate*v.age.Seconds()/float64(max(a.reporterCount, 1)) - v.notInSnapshot
 	if a.hasSnapshot && left < l.requiredLevel(a, r) {
 		return false
@@ -229,7 +229,7 @@
 // reachableReporters returns the number of gateways that share the rate while the owner is unresponsive. A gateway counts as lost if it
 // has owed an acknowledgement for longer than peerLostAfter. Silence of the other gateways proves nothing, because in a wide set two
 // gateways may have nothing to send to each other for a long time.
-func (l *Limiter) reachableReporters(a *Account) int {
+func (l *Limiter) reachableReporterCount(a *Account) int {
 	n := a.reporterCount
 	for i := range a.setWidth {
 		p := l.peers[(int(a.setFirst)+i)%l.gateways]
--- a/control/quota/consume.go
+++ b/control/quota/consume.go
@@ -39,18 +39,18 @@
 	}
 	if a.owner == l.self {
 		l.refill(a)
-		l.draw(a, units)
+		l.drawFromBucket(a, units)
 		return
 	}
 	if l.config.Strict {
-		l.consumeRemote(a, units)
+		l.consumeGrantOrAllowance(a, units)
 	}
 	a.unreported += units
 	l.scheduleReport(a)
 }
 
 // consumeRemote takes units from the grant or, if the grant does not hold enough, from the allowance.
-func (l *Limiter) consumeRemote(a *Account, units float64) {
+func (l *Limiter) consumeGrantOrAllowance(a *Account, units float64) {
 	if l.currentGrant(a) >= units {
 		a.granted, a.grantUsed = a.granted-units, a.grantUsed+units
 		return
@@ -69,7 +69,7 @@
 // old use does not reduce the quota for long.
 //
 // When the level falls below one unit, draw schedules a snapshot for each recent reporter whose last snapshot showed units.
-func (l *Limiter) draw(a *Account, units float64) {
+func (l *Limiter) drawFromBucket(a *Account, units float64) {
 	minLevel := 0.0
 	if l.config.Strict {
 		minLevel = -a.limit.Rate * maxDebtTime.Seconds()
--- a/control/quota/decode.go
+++ b/control/quota/decode.go
@@ -20,27 +20,27 @@
 // DecodeMessage decodes a datagram. It returns ErrMessageVersion or ErrMalformed if it cannot.
 func DecodeMessage(payload []byte) (*Message, error) {
 	r := &reader{buffer: payload}
-	if r.octet() != messageVersion {
+	if r.readOctet() != messageVersion {
 		return nil, ErrMessageVersion
 	}
 	m := &Message{
-		Epoch:    r.fixed32(),
-		Interval: time.Duration(r.boundedUvarint(maxIntervalMillis)) * time.Millisecond,
-		Age:      time.Duration(r.octet()) * time.Second,
-		Seq:      r.boundedUvarint(maxSeq),
+		Epoch:    r.readUint32(),
+		Interval: time.Duration(r.readBoundedUvarint(maxIntervalMillis)) * time.Millisecond,
+		Age:      time.Duration(r.readOctet()) * time.Second,
+		Seq:      r.readBoundedUvarint(maxSeq),
 	}
-	for n := r.octet(); n > 0 && !r.failed; n-- {
-		m.Deltas = append(m.Deltas, r.delta())
+	for n := r.readOctet(); n > 0 && !r.failed; n-- {
+		m.Deltas = append(m.Deltas, r.readDelta())
 	}
-	m.Version = r.boundedUvarint(maxSeq)
-	m.AckEpoch = r.fixed32()
-	m.AckHigh = r.boundedUvarint(maxSeq)
-	m.AckMask = uint64(r.fixed32())
-	for n := r.octet(); n > 0 && !r.failed; n-- {
-		m.Snapshots = append(m.Snapshots, r.snapshot())
+	m.Version = r.readBoundedUvarint(maxSeq)
+	m.AckEpoch = r.readUint32()
+	m.AckHigh = r.readBoundedUvarint(maxSeq)
+	m.AckMask = uint64(r.readUint32())
+	for n := r.readOctet(); n > 0 && !r.failed; n-- {
+		m.Snapshots = append(m.Snapshots, r.readSnapshot())
 	}
-	for n := r.octet(); n > 0 && !r.failed; n-- {
-		m.Observations = append(m.Observations, r.observation())
+	for n := r.readOctet(); n > 0 && !r.failed; n-- {
+		m.Observations = append(m.Observations, r.readObservation())
 	}
 	if r.failed || len(r.buffer) != 0 {
 		return nil, ErrMalformed
@@ -54,36 +54,36 @@
 	failed bool
 }
 
-func (r *reader) delta() Delta {
+func (r *reader) readDelta() Delta {
 	return Delta{
-		Customer:    control.CustomerID(r.boundedUvarint(maxCustomer)),
-		Plan:        control.PlanID(r.boundedUvarint(maxPlan)),
-		Units:       r.sixteenths(),
-		InFlight:    r.count(),
-		Transfer:    r.signedSixteenths(),
-		SetFirst:    control.GatewayID(r.count()),
-		UnitsWanted: r.sixteenths(),
-		SetWidth:    r.count(),
+		Customer:    control.CustomerID(r.readBoundedUvarint(maxCustomer)),
+		Plan:        control.PlanID(r.readBoundedUvarint(maxPlan)),
+		Units:       r.readSixteenths(),
+		InFlight:    r.readCount(),
+		Transfer:    r.readSignedSixteenths(),
+		SetFirst:    control.GatewayID(r.readCount()),
+		UnitsWanted: r.readSixteenths(),
+		SetWidth:    r.readCount(),
 	}
 }
 
-func (r *reader) snapshot() Snapshot {
+func (r *reader) readSnapshot() Snapshot {
 	return Snapshot{
-		Customer:          control.CustomerID(r.boundedUvarint(maxCustomer)),
-		Level:             r.sixteenths(),
-		Reporters:         r.count(),
-		InFlightElsewhere: r.count(),
-		Grant:             r.sixteenths(),
+		Customer:          control.CustomerID(r.readBoundedUvarint(maxCustomer)),
+		Level:             r.readSixteenths(),
+		Reporters:         r.readCount(),
+		InFlightElsewhere: r.readCount(),
+		Grant:             r.readSixteenths(),
 	}
 }
 
 // observation reads an observation. Its last byte is the ratio in eighths up to 253, or stands for ObservedLost or ObservedFailed (255 or
 // 254).
-func (r *reader) observation() Observation {
-	o := Observation{BackendHash: uint64(r.octet()) | uint64(r.octet())<<8 | uint64(r.octet())<<16}
-	v := r.octet()
+func (r *reader) readObservation() Observation {
+	o := Observation{BackendHash: uint64(r.readOctet()) | uint64(r.readOctet())<<8 | uint64(r.readOctet())<<16}
+	v := r.readOctet()
 	o.Product, o.Congestion = control.ProductID(v>>2), Congestion(v&3)
-	if v = r.octet(); v < 254 {
+	if v = r.readOctet(); v < 254 {
 		o.Ratio = float64(v) / 8
 	} else {
 		o.Ratio = float64(v - 256)
@@ -92,7 +92,7 @@
 }
 
 // boundedUvarint reads an unsigned varint. The read fails if the number is above the limit.
-func (r *reader) boundedUvarint(limit uint64) uint64 {
+func (r *reader) readBoundedUvarint(limit uint64) uint64 {
 	v, n := binary.Uvarint(r.buffer)
 	if n <= 0 || v > limit {
 		r.failed = true
@@ -102,12 +102,12 @@
 	return v
 }
 
-func (r *reader) count() int { return int(r.boundedUvarint(maxCount)) }
+func (r *reader) readCount() int { return int(r.readBoundedUvarint(maxCount)) }
 
-func (r *reader) sixteenths() float64 { return float64(r.boundedUvarint(maxCount)) / 16 }
+func (r *reader) readSixteenths() float64 { return float64(r.readBoundedUvarint(maxCount)) / 16 }
 
 // signedSixteenths reads a number of sixteenths that may be negative.
-func (r *reader) signedSixteenths() float64 {
+func (r *reader) readSignedSixteenths() float64 {
 	v, n := binary.Varint(r.buffer)
 	if n <= 0 || v > maxCount || v < -maxCount {
 		r.failed = true
@@ -117,7 +117,7 @@
 	return float64(v) / 16
 }
 
-func (r *reader) fixed32() uint32 {
+func (r *reader) readUint32() uint32 {
 	if len(r.buffer) < 4 {
 		r.failed = true
 		return 0
@@ -127,7 +127,7 @@
 	return v
 }
 
-func (r *reader) octet() int {
+func (r *reader) readOctet() int {
 	if len(r.buffer) < 1 {
 		r.failed = true
 		return 0
--- a/control/quota/frontdoor.go
+++ b/control/quota/frontdoor.go
@@ -11,7 +11,7 @@
 // Account returns the account of a txn's customer and assigns the set that the txn names. It creates an account with the given plan if
 // there is none. The account is valid until the next call of Sweep.
 func (l *Limiter) EnsureAccount(id control.CustomerID, plan control.PlanID, setFirst control.GatewayID, setWidth int) *Account {
-	a := l.account(id, plan)
+	a := l.getOrCreateAccount(id, plan)
 	l.assignOwner(a, setFirst, setWidth)
 	a.lastUsedAt = l.now
 	return a
--- a/control/quota/grant.go
+++ b/control/quota/grant.go
@@ -4,7 +4,7 @@
 
 // grantUnits sets units aside for a reporter whose requests wait for them, and returns how many. No other gateway gets these units until
 // the reporter has reported how many of them it used. The result is 0 if no request waits or if fewer units are left than it needs.
-func (l *Limiter) grantUnits(r *reporterState, left float64) (units float64) {
+func (l *Limiter) grantToReporter(r *reporterState, left float64) (units float64) {
 	if r.unitsWanted > 0 && left >= r.unitsWanted {
 		units = max(r.unitsWanted, math.Floor(left/grantDivisor/float64(l.gateways)))
 		r.granted, r.grantedAt = r.granted+units, l.now
--- a/control/quota/hardlimit.go
+++ b/control/quota/hardlimit.go
@@ -26,11 +26,11 @@
 		l.requestSnapshot(a)
 		return false, l.now
 	}
-	return false, l.now + time.Duration(lacking/(a.limit.HardRate*l.hardFraction(a))*float64(time.Second))
+	return false, l.now + time.Duration(lacking/(a.limit.HardRate*l.hardLimitFraction(a))*float64(time.Second))
 }
 
 // hardFraction returns the fraction of the hard limit that belongs to this gateway. The owner's fraction includes the pool.
-func (l *Limiter) hardFraction(a *Account) float64 {
+func (l *Limiter) hardLimitFraction(a *Account) float64 {
 	width := float64(max(a.setWidth, 1))
 	// A share must hold the largest request.
 	even := min(1, max(hardEvenShare, l.config.MaxUnits*width/max(a.limit.HardBurst, 1)))
@@ -42,13 +42,13 @@
 
 // refillHardShare refills this gateway's share of the hard limit up to the present and returns it.
 func (l *Limiter) refillHardShare(a *Account) float64 {
-	fill := a.limit.HardRate * l.hardFraction(a) * (l.now - a.hardShareAt).Seconds()
+	fill := a.limit.HardRate * l.hardLimitFraction(a) * (l.now - a.hardShareAt).Seconds()
 	a.hardShare, a.hardShareAt = min(l.hardShareCap(a), a.hardShare+fill), l.now
 	return a.hardShare
 }
 
 // hardShareCap returns the most units that this gateway's share holds.
-func (l *Limiter) hardShareCap(a *Account) float64 { return a.limit.HardBurst * l.hardFraction(a) }
+func (l *Limiter) hardShareCap(a *Account) float64 { return a.limit.HardBurst * l.hardLimitFraction(a) }
 
 // takeTransfer returns the value of a delta's field Transfer and clears its source. Without strict mode the value is negative or 0 and
 // requests units from the owner's pool. In strict mode it is the units of grants that were used.
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -72,15 +72,15 @@
 	gateways int
 	epoch    uint32
 
-	reachable       int           // number of gateways, including this one, that the host reports as reachable
-	reachableBefore int           // effectiveReachable before the last rise of reachable
-	reachableRoseAt time.Duration // time of the last rise of reachable
+	reachableCount       int           // number of gateways, including this one, that the host reports as reachable
+	reachableCountBefore int           // effectiveReachable before the last rise of reachable
+	reachableRoseAt      time.Duration // time of the last rise of reachable
 
 	// olderPeers counts the datagrams from peers that were started before this gateway.
-	olderPeers int
+	olderPeerDatagrams int
 	// youngPeers counts the peers that were started at about the same time as this gateway or later.
-	youngPeers   int
-	freshCluster bool // no gateway of the cluster is older than this one
+	youngPeerCount int
+	freshCluster   bool // no gateway of the cluster is older than this one
 
 	accounts        map[control.CustomerID]*Account
 	orderedAccounts []*Account                           // the values of accounts in the order of their creation
@@ -116,7 +116,7 @@
 
 func newLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
 	l := &Limiter{
-		config: config, epoch: epoch, self: self, gateways: gateways, reachable: gateways,
+		config: config, epoch: epoch, self: self, gateways: gateways, reachableCount: gateways,
 		now: now, startedAt: now, ownersAssignedAt: now,
 		interval: config.MinInterval, maxDatagrams: max(1, datagramShare*config.DatagramsPerSecond),
 		accounts:  map[control.CustomerID]*Account{},
@@ -147,7 +147,7 @@
 		l.removeLimit(c)
 	case a == nil:
 		delete(l.removedAt, c)
-		a = l.account(c, 0)
+		a = l.getOrCreateAccount(c, 0)
 		a.limit = &Limit{Rate: rate, Burst: burst}
 		a.level, a.levelAt = l.initialLevel(a), max(l.now, l.ownersAssignedAt+l.config.OwnershipDelay)
 		l.assignOwner(a, 0, l.gateways)
@@ -175,7 +175,7 @@
 // In strict mode, unreachable gateways reduce the refill of the buckets that this gateway owns, because those gateways consume their
 // parts of the rate on their own. The reduction lasts reachabilityLag longer than the fault, because such a gateway may learn later than
 // this one that it is no longer isolated.
-func (l *Limiter) SetReachable(live []bool) {
+func (l *Limiter) SetReachable(reachable []bool) {
 	for _, a := range l.orderedAccounts {
 		if a.owner == l.self {
 			l.refill(a)
@@ -184,26 +184,26 @@
 	count := 0
 	for i, p := range l.peers {
 		switch {
-		case i == int(l.self) || i >= len(live) || live[i]:
+		case i == int(l.self) || i >= len(reachable) || reachable[i]:
 			p.unreachableSince = 0
 			count++
 		case p.unreachableSince == 0:
 			p.unreachableSince = max(l.now, 1)
 		}
 	}
-	if count > l.reachable {
-		l.reachableBefore, l.reachableRoseAt = l.effectiveReachable(), l.now
+	if count > l.reachableCount {
+		l.reachableCountBefore, l.reachableRoseAt = l.effectiveReachableCount(), l.now
 	}
-	l.reachable = count
+	l.reachableCount = count
 }
 
 // effectiveReachable returns the number of gateways whose parts of the rate refill the buckets. It delays a rise of reachable by
 // reachabilityLag. An owner that has just started has withheld nothing, so it applies a rise at once.
-func (l *Limiter) effectiveReachable() int {
+func (l *Limiter) effectiveReachableCount() int {
 	if l.now-l.reachableRoseAt < reachabilityLag && l.reachableRoseAt-l.startedAt > grantMaxAge {
-		return min(l.reachable, l.reachableBefore)
+		return min(l.reachableCount, l.reachableCountBefore)
 	}
-	return l.reachable
+	return l.reachableCount
 }
 
 // Grow sets a higher number of gateways, or another ID of this gateway. All owners are computed anew.
@@ -215,37 +215,37 @@
 // reach each other.
 func (l *Limiter) Grow(self control.GatewayID, gateways int) {
 	invariant.Assert(gateways >= l.gateways && int(self) < gateways, "the number of gateways does not decrease and the gateway ID is below it")
-	before := l.self
-	if self == before && gateways == l.gateways {
+	previousSelf := l.self
+	if self == previousSelf && gateways == l.gateways {
 		return
 	}
 	for i := len(l.peers); i < gateways; i++ {
 		l.peers = append(l.peers, &peer{id: control.GatewayID(i)})
 	}
-	if self != before {
+	if self != previousSelf {
 		l.epoch += 2 // a new epoch, so that peers treat this gateway as one that has just started
 	}
-	allReachable, delay := l.reachable == l.gateways, l.config.OwnershipDelay
+	allReachable, delay := l.reachableCount == l.gateways, l.config.OwnershipDelay
 	if l.gateways == 1 && int(self) < gateways-1 {
 		delay = 0 // this gateway has restarted under an ID that the others know, and they report to no other owner
 	}
 	l.self, l.gateways, l.ownersAssignedAt = self, gateways, l.now+delay-l.config.OwnershipDelay
-	if l.reachable = min(l.reachable, gateways); allReachable {
-		l.reachable = gateways
+	if l.reachableCount = min(l.reachableCount, gateways); allReachable {
+		l.reachableCount = gateways
 	}
 	for _, a := range l.orderedAccounts {
-		l.reassign(a, before, delay)
+		l.reassignOwner(a, previousSelf, delay)
 	}
 }
 
 // reassign assigns the owner of an account after Grow. The argument before is the ID that this gateway had until then.
-func (l *Limiter) reassign(a *Account, before control.GatewayID, delay time.Duration) {
+func (l *Limiter) reassignOwner(a *Account, previousSelf control.GatewayID, delay time.Duration) {
 	owner := OwnerOf(a.id, 0, l.gateways, l.gateways)
 	a.setWidth, a.reporterCount = l.gateways, l.gateways
-	if owner == a.owner && l.self == before {
+	if owner == a.owner && l.self == previousSelf {
 		return
 	}
-	if a.owner != before {
+	if a.owner != previousSelf {
 		a.unreported, a.unacked = a.unreported+l.cancelReports(a), 0
 	}
 	a.owner, a.level, a.levelAt, a.reporterStates = owner, 0, l.now, nil
@@ -282,12 +282,12 @@
 // and then its buckets start empty.
 func (l *Limiter) recordPeerAge(p *peer, age time.Duration) {
 	if age > l.now-l.startedAt+maxStartSkew {
-		l.olderPeers++
+		l.olderPeerDatagrams++
 	} else if p.receivedAt == 0 {
-		l.youngPeers++
+		l.youngPeerCount++
 	}
-	if l.config.InitialFill <= 0 || l.olderPeers > 0 || l.freshCluster || l.now-l.startedAt > maxStartSkew ||
-		l.youngPeers < min(minYoungPeers, l.gateways-1) {
+	if l.config.InitialFill <= 0 || l.olderPeerDatagrams > 0 || l.freshCluster || l.now-l.startedAt > maxStartSkew ||
+		l.youngPeerCount < min(minYoungPeers, l.gateways-1) {
 		return
 	}
 	for _, a := range l.orderedAccounts {
@@ -342,7 +342,7 @@
 	for _, p := range l.pendingPeers {
 		at := next
 		if len(p.unacked) > 0 {
-			at = p.resendAt() + 1
+			at = p.resendTime() + 1
 		}
 		if len(p.reportQueue) > 0 || p.ackPending {
 			at = l.now
--- a/control/quota/message.go
+++ b/control/quota/message.go
@@ -97,7 +97,7 @@
 )
 
 // sixteenths converts units to sixteenths, rounded down and limited to maxCount. It returns 0 for negative units and NaN.
-func sixteenths(units float64) uint64 {
+func toSixteenths(units float64) uint64 {
 	if units <= 0 || math.IsNaN(units) {
 		return 0
 	}
@@ -107,20 +107,20 @@
 func (d Delta) append(b []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(d.Customer))
 	b = binary.AppendUvarint(b, uint64(d.Plan))
-	b = binary.AppendUvarint(b, sixteenths(d.Units))
+	b = binary.AppendUvarint(b, toSixteenths(d.Units))
 	b = binary.AppendUvarint(b, uint64(d.InFlight))
 	b = binary.AppendVarint(b, int64(max(min(d.Transfer*16, maxCount), -maxCount)))
 	b = binary.AppendUvarint(b, uint64(d.SetFirst))
-	b = binary.AppendUvarint(b, sixteenths(d.UnitsWanted))
+	b = binary.AppendUvarint(b, toSixteenths(d.UnitsWanted))
 	return binary.AppendUvarint(b, uint64(d.SetWidth))
 }
 
 func (s Snapshot) append(b []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(s.Customer))
-	b = binary.AppendUvarint(b, sixteenths(s.Level))
+	b = binary.AppendUvarint(b, toSixteenths(s.Level))
 	b = binary.AppendUvarint(b, uint64(s.Reporters))
 	b = binary.AppendUvarint(b, uint64(s.InFlightElsewhere))
-	return binary.AppendUvarint(b, sixteenths(s.Grant))
+	return binary.AppendUvarint(b, toSixteenths(s.Grant))
 }
 
 func (o Observation) append(b []byte) []byte {
--- a/control/quota/peer.go
+++ b/control/quota/peer.go
@@ -51,7 +51,7 @@
 }
 
 // isRetired reports whether an epoch of the peer has ended.
-func (p *peer) isRetired(epoch uint32) bool { return slices.Contains(p.retiredEpochs, epoch) }
+func (p *peer) isRetiredEpoch(epoch uint32) bool { return slices.Contains(p.retiredEpochs, epoch) }
 
 // beginEpoch starts the peer's next epoch. Its sequence numbers and versions start again.
 func (p *peer) beginEpoch(epoch uint32) {
@@ -78,7 +78,7 @@
 }
 
 // resendAt returns the time at which the oldest unacknowledged message is due to be sent again.
-func (p *peer) resendAt() time.Duration {
+func (p *peer) resendTime() time.Duration {
 	oldest := p.unacked[0]
 	return oldest.sentAt + (resendAfter+p.interval)<<oldest.resends
 }
--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func (p *planScenario) receive(from control.GatewayID, m *Message) {
+func (p *planScenario) receiveMessage(from control.GatewayID, m *Message) {
 	p.DatagramReceived(from, m.Encode())
 	p.collectDatagrams()
 }
@@ -58,7 +58,7 @@
 }
 
 // ownedAmongThree returns a customer that gateway g owns if the set is all three gateways.
-func ownedAmongThree(g control.GatewayID) control.CustomerID {
+func customerOwnedBy(g control.GatewayID) control.CustomerID {
 	for c := control.CustomerID(1); ; c++ {
 		if OwnerOf(c, 0, 3, 3) == g {
 			return c
@@ -66,9 +66,9 @@
 	}
 }
 
-func Example_hardLimitPool() {
+func Example_hardLimitPoolGrants() {
 	s := newPlanScenario()
-	c := ownedAmongThree(1)
+	c := customerOwnedBy(1)
 	a := s.EnsureAccount(c, 0, 0, 3)
 	s.refillHardShare(a)
 	fmt.Println("# a share with less than one unit: the gateway requests the missing units, and the grant covers the txn")
@@ -76,24 +76,24 @@
 	fmt.Println("pending:", s.checkAndConsume(a) == Pending)
 	fmt.Printf("units requested: %.2f\n", -s.lastDatagram().Deltas[0].Transfer)
 	m := &Message{Epoch: 9, Version: 3, AckEpoch: s.epoch, AckHigh: 1, AckMask: 1, Snapshots: []Snapshot{{Customer: c, Level: 5, Reporters: 1, Grant: 0.75}}}
-	s.receive(1, m)
+	s.receiveMessage(1, m)
 	fmt.Println("allowed:", s.checkAndConsume(a) == Allowed)
 	fmt.Println("# a duplicated grant is applied once, and the share does not exceed its capacity")
 	a.hardShare, m.Version, m.Snapshots[0].Grant = 0, 4, 900
-	s.receive(1, m)
+	s.receiveMessage(1, m)
 	fmt.Printf("units in the share: %.1f of %.1f\n", a.hardShare, s.hardShareCap(a))
 	a.hardShare = 0
-	s.receive(1, m)
+	s.receiveMessage(1, m)
 	fmt.Println("# a grant for an earlier epoch is dropped")
 	m.Version, m.AckEpoch = 5, 77
-	s.receive(1, m)
+	s.receiveMessage(1, m)
 	fmt.Printf("units in the share: %.1f\n", a.hardShare)
 	fmt.Println("# the shares and the pool add up to the hard limit; an owner grants no more than its pool")
-	own := s.EnsureAccount(ownedAmongThree(0), 0, 0, 3)
+	own := s.EnsureAccount(customerOwnedBy(0), 0, 0, 3)
 	fmt.Printf("units: owner's share with the pool %.1f, share of each of the two other gateways %.1f, burst of the hard limit %.1f\n", s.hardShareCap(own), s.hardShareCap(a), a.limit.HardBurst)
 	own.hardShare, own.hardShareAt = 2, s.now
 	for seq, want := range []float64{3, 1.5} {
-		s.receive(2, &Message{Epoch: 9, Seq: uint64(seq) + 1, AckEpoch: s.epoch, Deltas: []Delta{{Customer: own.id, Transfer: -want, SetWidth: 3}}})
+		s.receiveMessage(2, &Message{Epoch: 9, Seq: uint64(seq) + 1, AckEpoch: s.epoch, Deltas: []Delta{{Customer: own.id, Transfer: -want, SetWidth: 3}}})
 		s.advance(s.now + 50*time.Millisecond)
 		grant := 0.0
 		for _, l := range s.lastDatagram().Snapshots {
@@ -116,7 +116,7 @@
 	// requested 1.5, granted 1.5
 }
 
-func Example_messages() {
+func Example_messageEncodingAndMalformedDatagrams() {
 	maxValue := 1<<20 - 1
 	m := &Message{Epoch: 1<<32 - 1, Interval: maxInterval, Seq: 1 << 40, Version: 1 << 40, AckEpoch: 1<<32 - 1, AckHigh: 1 << 40,
 		Deltas:    []Delta{{1<<33 - 1, 200, 65535, maxValue, -65535, 1023, 65535, 1024}},
@@ -139,10 +139,10 @@
 	// all are counted, number of accounts, time of the last datagram: true 0 0s
 }
 
-func Example_wrongSetFromAPeer() {
+func Example_txnReplacesWrongSetOfPeer() {
 	s := newPlanScenario()
-	c := ownedAmongThree(0)
-	s.receive(1, &Message{Epoch: 7, Seq: 1, Deltas: []Delta{{Customer: c, SetWidth: 1}}})
+	c := customerOwnedBy(0)
+	s.receiveMessage(1, &Message{Epoch: 7, Seq: 1, Deltas: []Delta{{Customer: c, SetWidth: 1}}})
 	a := s.accounts[c]
 	fmt.Println("a peer names a set of this gateway alone: set width", a.setWidth, "has units of the hard limit", s.refillHardShare(a) > 0)
 	s.checkAndConsume(s.EnsureAccount(c, 0, 0, 3))
@@ -155,8 +155,8 @@
 // An owned account is removed only after its bucket is full again.
 func Example_idleAccountsAreRemoved() {
 	s := newPlanScenario()
-	s.checkAndConsume(s.EnsureAccount(ownedAmongThree(0), 0, 0, 3))
-	own := s.accounts[ownedAmongThree(0)]
+	s.checkAndConsume(s.EnsureAccount(customerOwnedBy(0), 0, 0, 3))
+	own := s.accounts[customerOwnedBy(0)]
 	own.level = -200 // full again after 22 s
 	fmt.Println("accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
 	s.advance(30 * time.Second)
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -51,17 +51,17 @@
 	return c
 }
 
-func (c *cluster) owner() control.GatewayID {
+func (c *cluster) ownerID() control.GatewayID {
 	return OwnerOf(watchedCustomer, 0, len(c.limiters), len(c.limiters))
 }
 
 // other returns a gateway that is not the owner.
-func (c *cluster) other() control.GatewayID {
-	return (c.owner() + 1) % control.GatewayID(len(c.limiters))
+func (c *cluster) nonOwnerID() control.GatewayID {
+	return (c.ownerID() + 1) % control.GatewayID(len(c.limiters))
 }
 
 // isolate partitions one gateway from all others, or ends that.
-func (c *cluster) isolate(g control.GatewayID, isolated bool) {
+func (c *cluster) setIsolated(g control.GatewayID, isolated bool) {
 	for i := range c.limiters {
 		c.partitioned[[2]control.GatewayID{g, control.GatewayID(i)}], c.partitioned[[2]control.GatewayID{control.GatewayID(i), g}] = isolated, isolated
 	}
@@ -78,7 +78,7 @@
 
 // run runs the cluster for the given time. Each gateway, or the only one given, receives random requests at a mean of unitsPerSecond
 // units. It returns the number of allowed units.
-func (c *cluster) run(d time.Duration, unitsPerSecond float64, only ...control.GatewayID) (allowed int) {
+func (c *cluster) runWithRandomRequests(d time.Duration, unitsPerSecond float64, only ...control.GatewayID) (allowed int) {
 	for end := c.now + d; c.now < end; {
 		c.now += step
 		for i, l := range c.limiters {
@@ -95,13 +95,13 @@
 				allowed++
 			}
 		}
-		c.deliver()
+		c.exchangeDatagrams()
 	}
 	return allowed
 }
 
 // deliver delivers the datagrams that have arrived and sends those that are due.
-func (c *cluster) deliver() {
+func (c *cluster) exchangeDatagrams() {
 	kept := c.datagrams[:0]
 	for _, m := range c.datagrams {
 		if m.arrivesAt > c.now {
@@ -132,7 +132,7 @@
 }
 
 // mustBeBounded asserts that consumption stays within the bound of strict mode in every window.
-func (c *cluster) mustBeBounded(rate, burst float64) {
+func (c *cluster) requireWithinBound(rate, burst float64) {
 	c.t.Helper()
 	first := 0
 	for i, at := range c.consumed {
@@ -149,9 +149,9 @@
 		for _, lossRate := range []float64{0, 0.2} {
 			c := newCluster(t, n, 40, 60)
 			c.lossRate = lossRate
-			c.run(4*time.Second, 0) // the buckets fill
-			c.run(10*time.Second, 400/float64(n))
-			c.mustBeBounded(40, 60)
+			c.runWithRandomRequests(4*time.Second, 0) // the buckets fill
+			c.runWithRandomRequests(10*time.Second, 400/float64(n))
+			c.requireWithinBound(40, 60)
 			must.Greater(t, 0.8*(40*10+60), float64(len(c.consumed)), must.Sprint("units consumed, which must be most of the quota"))
 		}
 	}
@@ -162,40 +162,40 @@
 func TestRestartsGrantNoNewShare(t *testing.T) {
 	c := newCluster(t, 3, 40, 60)
 	for epoch := int64(1); epoch < 12; epoch++ {
-		c.run(1500*time.Millisecond, 150)
-		g := c.owner()
+		c.runWithRandomRequests(1500*time.Millisecond, 150)
+		g := c.ownerID()
 		if epoch%3 == 0 {
-			g = c.other()
+			g = c.nonOwnerID()
 		}
 		c.limiters[g] = nil
-		c.run(700*time.Millisecond, 150)
+		c.runWithRandomRequests(700*time.Millisecond, 150)
 		c.limiters[g] = NewLimiter(100*epoch, g, 3, c.now, gatewayConfig)
 		c.limiters[g].SetLimit(watchedCustomer, 40, 60)
 	}
-	c.mustBeBounded(40, 60)
+	c.requireWithinBound(40, 60)
 }
 
 // TestPartitionedGatewaysShareTheRate guards against a wrong split of the rate. The owner is partitioned, the hosts find it, and the owner
 // and the isolated gateways consume only their parts until the partition ends.
 func TestPartitionedGatewaysShareTheRate(t *testing.T) {
 	c := newCluster(t, 3, 40, 60)
-	c.run(4*time.Second, 60)
-	c.isolate(c.owner(), true)
-	c.run(500*time.Millisecond, 60)
+	c.runWithRandomRequests(4*time.Second, 60)
+	c.setIsolated(c.ownerID(), true)
+	c.runWithRandomRequests(500*time.Millisecond, 60)
 	for i := range c.limiters {
-		c.setReachable(control.GatewayID(i), func(g control.GatewayID) bool { return g == c.owner() })
+		c.setReachable(control.GatewayID(i), func(g control.GatewayID) bool { return g == c.ownerID() })
 	}
-	c.run(20*time.Second, 60)
-	one := c.run(10*time.Second, 60, c.other())
+	c.runWithRandomRequests(20*time.Second, 60)
+	one := c.runWithRandomRequests(10*time.Second, 60, c.nonOwnerID())
 	must.Between(t, 10*40/3-15, one, 10*40/3+15, must.Sprint("units consumed by one gateway during the partition"))
-	c.isolate(c.owner(), false)
+	c.setIsolated(c.ownerID(), false)
 	for i := range c.limiters {
 		c.setReachable(control.GatewayID(i), func(control.GatewayID) bool { return false })
 	}
-	c.run(10*time.Second, 60)
-	c.mustBeBounded(40, 60)
+	c.runWithRandomRequests(10*time.Second, 60)
+	c.requireWithinBound(40, 60)
 	before := len(c.consumed)
-	c.run(5*time.Second, 60)
+	c.runWithRandomRequests(5*time.Second, 60)
 	must.Greater(t, 150, len(c.consumed)-before, must.Sprint("units consumed after the partition"))
 }
 
@@ -204,19 +204,19 @@
 // new owner.
 func TestBoundHoldsWhileGatewaysAreAdded(t *testing.T) {
 	c := newCluster(t, 2, 40, 60)
-	c.run(4*time.Second, 0)
+	c.runWithRandomRequests(4*time.Second, 0)
 	for n := 3; n <= 8; n++ {
-		c.run(time.Second, 80)
+		c.runWithRandomRequests(time.Second, 80)
 		l := NewLimiter(int64(n), control.GatewayID(n-1), n, c.now, gatewayConfig)
 		l.SetLimit(watchedCustomer, 40, 60)
 		c.limiters = append(c.limiters, l)
 		for _, i := range c.rng.Perm(n - 1) {
-			c.run(100*time.Millisecond, 80)
+			c.runWithRandomRequests(100*time.Millisecond, 80)
 			c.limiters[i].Grow(control.GatewayID(i), n)
 		}
 	}
-	c.run(5*time.Second, 80)
-	c.mustBeBounded(40, 60)
+	c.runWithRandomRequests(5*time.Second, 80)
+	c.requireWithinBound(40, 60)
 	must.Greater(t, 500, len(c.consumed))
 }
 
@@ -224,38 +224,38 @@
 // reporter know different limits.
 func TestLimitChangesTakeEffect(t *testing.T) {
 	c := newCluster(t, 2, 40, 60)
-	own, other := c.limiters[c.owner()], c.limiters[c.other()]
-	c.run(4*time.Second, 0)
+	own, other := c.limiters[c.ownerID()], c.limiters[c.nonOwnerID()]
+	c.runWithRandomRequests(4*time.Second, 0)
 	own.SetLimit(watchedCustomer, 5, 10)
 	must.Eq(t, 10, own.accounts[watchedCustomer].level)
 	own.SetLimit(watchedCustomer, 5, 100)
-	c.run(time.Second, 0)
+	c.runWithRandomRequests(time.Second, 0)
 	own.refill(own.accounts[watchedCustomer])
 	must.Between(t, 14, own.accounts[watchedCustomer].level, 16)
 
 	// Only the reporter knows the limit of this customer. The owner neither applies nor acknowledges the customer's delta until it knows the
 	// limit.
 	lateCustomer := control.CustomerID(0)
-	for lateCustomer = 1; OwnerOf(lateCustomer, 0, 2, 2) != c.owner() || lateCustomer == watchedCustomer; lateCustomer++ {
+	for lateCustomer = 1; OwnerOf(lateCustomer, 0, 2, 2) != c.ownerID() || lateCustomer == watchedCustomer; lateCustomer++ {
 	}
 	other.SetLimit(lateCustomer, 10, 10)
 	other.Check(lateCustomer, Request{Units: 1, Arrived: c.now, SLA: time.Second})
 	other.Consume(lateCustomer, 3)
-	c.run(time.Second, 0)
+	c.runWithRandomRequests(time.Second, 0)
 	must.Positive(t, own.BadDatagramCount())
 	must.Eq(t, 3, other.accounts[lateCustomer].unacked)
 	own.SetLimit(lateCustomer, 10, 10)
-	c.run(5*time.Second, 0)
+	c.runWithRandomRequests(5*time.Second, 0)
 	must.Eq(t, 0, other.accounts[lateCustomer].unacked)
 
 	// The owner stops metering the customer before the reporter does.
 	own.SetLimit(lateCustomer, 0, 0)
 	other.Consume(lateCustomer, 2)
-	c.run(time.Second, 0)
+	c.runWithRandomRequests(time.Second, 0)
 	must.Eq(t, 0, other.accounts[lateCustomer].unacked)
 	v, _ := own.Check(lateCustomer, Request{Units: 1e6, Arrived: c.now})
 	must.Eq(t, Allowed, v)
-	c.run(2*time.Minute, 0)
+	c.runWithRandomRequests(2*time.Minute, 0)
 	must.MapEmpty(t, own.removedAt)
 }
 
@@ -263,10 +263,10 @@
 // has its allowance, and its part of the rate once its host has found the owner unreachable.
 func TestIsolatedGatewayConsumesOnlyItsPart(t *testing.T) {
 	c := newCluster(t, 4, 40, 60)
-	c.isolate(c.other(), true)
-	must.LessEq(t, 60/4+10, c.run(time.Second, 500, c.other()))
-	c.setReachable(c.other(), func(g control.GatewayID) bool { return g != c.other() })
-	must.LessEq(t, 110, c.run(10*time.Second, 500, c.other()))
+	c.setIsolated(c.nonOwnerID(), true)
+	must.LessEq(t, 60/4+10, c.runWithRandomRequests(time.Second, 500, c.nonOwnerID()))
+	c.setReachable(c.nonOwnerID(), func(g control.GatewayID) bool { return g != c.nonOwnerID() })
+	must.LessEq(t, 110, c.runWithRandomRequests(10*time.Second, 500, c.nonOwnerID()))
 	must.Greater(t, 80, len(c.consumed))
 }
 
@@ -274,9 +274,9 @@
 // must get it one after the other.
 func TestSmallQuotaIsUsableByManyGateways(t *testing.T) {
 	c := newCluster(t, 12, 2, 3)
-	c.run(5*time.Second, 0)
-	c.run(20*time.Second, 1)
-	c.mustBeBounded(2, 3)
+	c.runWithRandomRequests(5*time.Second, 0)
+	c.runWithRandomRequests(20*time.Second, 1)
+	c.requireWithinBound(2, 3)
 	must.Greater(t, 30, len(c.consumed))
 }
 
@@ -291,25 +291,25 @@
 		for epoch := seed*100 + 50; epoch < seed*100+70; epoch++ {
 			g := control.GatewayID(c.rng.Intn(n))
 			if c.rng.Intn(2) == 0 {
-				g = c.owner()
+				g = c.ownerID()
 			}
 			if c.rng.Intn(3) == 0 {
 				c.limiters[g] = NewLimiter(epoch, g, n, c.now, gatewayConfig)
 				c.limiters[g].SetLimit(watchedCustomer, rate, burst)
 			} else if off[g] = !off[g]; !off[g] {
 				delete(off, g)
-				c.isolate(g, false)
+				c.setIsolated(g, false)
 			}
 			for g := range off {
-				c.isolate(g, true)
+				c.setIsolated(g, true)
 			}
-			c.run(600*time.Millisecond, 8*rate/n)
+			c.runWithRandomRequests(600*time.Millisecond, 8*rate/n)
 			for g := range c.limiters {
 				c.setReachable(control.GatewayID(g), func(g control.GatewayID) bool { return off[g] })
 			}
-			c.run(time.Duration(c.rng.Intn(3000))*time.Millisecond, 8*rate/n)
+			c.runWithRandomRequests(time.Duration(c.rng.Intn(3000))*time.Millisecond, 8*rate/n)
 		}
-		c.mustBeBounded(rate, burst)
+		c.requireWithinBound(rate, burst)
 	}
 }
 
@@ -321,7 +321,7 @@
 
 // runWaiting runs the cluster for the given time. Random gateways receive requestsPerSecond requests a second in all, which wait while they
 // are pending. It returns the number of allowed and of rejected requests.
-func (c *cluster) runWaiting(d time.Duration, requestsPerSecond float64, sla time.Duration) (allowed, exceeded int) {
+func (c *cluster) runWithPendingRequests(d time.Duration, requestsPerSecond float64, sla time.Duration) (allowed, exceeded int) {
 	var waiting []waitingRequest
 	for end := c.now + d; c.now < end; {
 		c.now += step
@@ -344,7 +344,7 @@
 			}
 		}
 		waiting = rest
-		c.deliver()
+		c.exchangeDatagrams()
 	}
 	return allowed, exceeded
 }
@@ -358,8 +358,8 @@
 	for _, n := range []int{24, 300} {
 		for _, rate := range []float64{4, 16, 60} {
 			c := newCluster(t, n, rate, rate)
-			c.runWaiting(6*time.Second, 0, 0) // the buckets fill
-			allowed, exceeded := c.runWaiting(30*time.Second, rate/1.6, 800*time.Millisecond)
+			c.runWithPendingRequests(6*time.Second, 0, 0) // the buckets fill
+			allowed, exceeded := c.runWithPendingRequests(30*time.Second, rate/1.6, 800*time.Millisecond)
 			must.Greater(t, 12*exceeded, allowed, must.Sprintf("%d gateways, rate %v: %d of %d requests rejected", n, rate, exceeded, allowed+exceeded))
 		}
 	}
@@ -369,15 +369,15 @@
 // has a fifth of the requests of 300 gateways, so its owner is asked some hundred times a second. An owner that receives few datagrams
 // asks the gateways for long intervals, and they reject requests for which they cannot ask in time.
 func TestLargeCustomerNeedsEnoughDatagramsPerSecond(t *testing.T) {
-	rejected := func(datagrams float64) int {
+	rejectedCount := func(datagrams float64) int {
 		config := gatewayConfig
 		config.MinInterval, config.DatagramsPerSecond = 50*time.Millisecond, datagrams
 		c := newClusterOf(t, 300, 290, 290, config)
-		c.runWaiting(6*time.Second, 0, 0)
-		allowed, exceeded := c.runWaiting(12*time.Second, 180, 480*time.Millisecond)
+		c.runWithPendingRequests(6*time.Second, 0, 0)
+		allowed, exceeded := c.runWithPendingRequests(12*time.Second, 180, 480*time.Millisecond)
 		t.Logf("%v datagrams a second: %d of %d requests rejected", datagrams, exceeded, allowed+exceeded)
 		return exceeded
 	}
-	must.Less(t, 10, rejected(2000))   // of about 2,100
-	must.Greater(t, 40, rejected(400)) // the former setting of a node
+	must.Less(t, 10, rejectedCount(2000))   // of about 2,100
+	must.Greater(t, 40, rejectedCount(400)) // the former setting of a node
 }
--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -38,11 +38,11 @@
 // beginPeerEpoch starts a new epoch of a peer that has restarted. It returns false if the epoch has already ended. Reports to the former
 // epoch are dropped. The buckets of the new epoch start empty, and the empty buckets stand for all units that were consumed before.
 func (l *Limiter) beginPeerEpoch(p *peer, epoch uint32) bool {
-	if p.isRetired(epoch) {
+	if p.isRetiredEpoch(epoch) {
 		return false
 	}
 	if p.epoch != 0 {
-		l.dropReported(p)
+		l.discardPeerState(p)
 	}
 	for _, a := range l.orderedAccounts {
 		for _, r := range a.reporterStates {
@@ -56,7 +56,7 @@
 }
 
 // dropReported drops the reports to a peer and the snapshots and grants from it, for the accounts that it owns.
-func (l *Limiter) dropReported(p *peer) {
+func (l *Limiter) discardPeerState(p *peer) {
 	for _, u := range p.unacked {
 		for _, d := range u.deltas {
 			if a := l.accounts[d.Customer]; a != nil {
@@ -117,7 +117,7 @@
 		l.badDatagrams++
 		return nil
 	}
-	a := l.account(d.Customer, d.Plan)
+	a := l.getOrCreateAccount(d.Customer, d.Plan)
 	if !a.setAssigned { // a set that a txn names takes precedence over a set that a peer names
 		l.assignOwner(a, d.SetFirst, d.SetWidth)
 	}
@@ -132,7 +132,7 @@
 // later delta has arrived.
 func (l *Limiter) applyDelta(p *peer, m *Message, a *Account, d Delta, firstTime bool) {
 	l.refill(a)
-	r := a.reporterState(p.id)
+	r := a.getOrCreateReporterState(p.id)
 	r.receivedAt = l.now
 	if m.Seq == p.appliedHigh {
 		r.inFlight, r.unitsWanted = d.InFlight, d.UnitsWanted
@@ -148,7 +148,7 @@
 		return
 	}
 	l.releaseWithheld(a, r, d.Units-max(d.Transfer, 0))
-	l.draw(a, d.Units)
+	l.drawFromBucket(a, d.Units)
 	if m.AckEpoch == l.epoch && a.inSet && a.limit.HardRate > 0 {
 		r.hardUnitsWanted = max(-d.Transfer, 0)
 	}
--- a/control/quota/recorded_test.go
+++ b/control/quota/recorded_test.go
@@ -25,14 +25,14 @@
 
 func newRecorder() *recorder { return &recorder{Hash64: fnv.New64a()} }
 
-func (r *recorder) add(values ...int64) {
+func (r *recorder) addValues(values ...int64) {
 	r.count++
 	for _, v := range values {
 		r.Write(binary.LittleEndian.AppendUint64(nil, uint64(v)))
 	}
 }
 
-func (r *recorder) sum() string { return fmt.Sprintf("%d %016x", r.count, r.Sum64()) }
+func (r *recorder) digest() string { return fmt.Sprintf("%d %016x", r.count, r.Sum64()) }
 
 func boolToInt(yes bool) int64 {
 	if yes {
@@ -43,7 +43,7 @@
 
 // recordDecisions runs five limiters through isolation, a restart and the addition of a limiter. It returns the digest of their decisions
 // and messages.
-func recordDecisions(seed int64, config Config) string {
+func decisionsDigest(seed int64, config Config) string {
 	type sent struct {
 		from, to control.GatewayID
 		at       time.Duration
@@ -54,7 +54,7 @@
 	var limiters []*Limiter
 	var inTransit []sent
 	now := time.Duration(0)
-	start := func(i, n int) *Limiter {
+	startLimiter := func(i, n int) *Limiter {
 		limiter := NewLimiter(seed*100+int64(now/time.Millisecond)+int64(i), control.GatewayID(i), n, now, config)
 		for c := control.CustomerID(1); c <= customers; c++ {
 			limiter.SetLimit(c, float64(c)*4, float64(c)*8)
@@ -62,7 +62,7 @@
 		return limiter
 	}
 	for i := range 5 {
-		limiters = append(limiters, start(i, 5))
+		limiters = append(limiters, startLimiter(i, 5))
 	}
 	isolated := -1
 	for step := 0; now < 60*time.Second; step++ {
@@ -74,13 +74,13 @@
 			isolated = -1
 		case step == 5000: // one limiter restarts
 			i := rng.Intn(len(limiters))
-			limiters[i] = start(i, len(limiters))
+			limiters[i] = startLimiter(i, len(limiters))
 		case step == 7000: // one limiter is added
 			n := len(limiters) + 1
 			for i, limiter := range limiters {
 				limiter.Grow(control.GatewayID(i), n)
 			}
-			limiters = append(limiters, start(n-1, n))
+			limiters = append(limiters, startLimiter(n-1, n))
 		case step == 8000:
 			for _, limiter := range limiters {
 				limiter.SetLimit(3, 2, 4)
@@ -105,7 +105,7 @@
 			units := float64(1 + rng.Intn(4))
 			outcome, at := limiter.Check(c, Request{Units: units, Arrived: now - time.Duration(rng.Intn(300))*time.Millisecond, SLA: 400 * time.Millisecond,
 				LateRetry: rng.Intn(5) == 0})
-			rec.add(int64(i), int64(outcome), int64(at))
+			rec.addValues(int64(i), int64(outcome), int64(at))
 			if outcome == Allowed {
 				if rng.Intn(4) == 0 {
 					limiter.Reserve(c, units)
@@ -119,15 +119,15 @@
 			if m.at > now {
 				rest = append(rest, m)
 			} else {
-				rec.add(boolToInt(limiters[m.to].DatagramReceived(m.from, m.payload)))
+				rec.addValues(boolToInt(limiters[m.to].DatagramReceived(m.from, m.payload)))
 			}
 		}
 		inTransit = rest
 		for i, limiter := range limiters {
 			limiter.Sweep()
-			rec.add(int64(limiter.NextDeadline()))
+			rec.addValues(int64(limiter.NextDeadline()))
 			for to, payload, ok := limiter.NextDatagram(); ok; to, payload, ok = limiter.NextDatagram() {
-				rec.add(int64(to))
+				rec.addValues(int64(to))
 				rec.Write(payload)
 				if isolated >= 0 && (i == isolated) != (int(to) == isolated) || rng.Intn(20) == 0 {
 					continue
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	return rec.sum()
+	return rec.digest()
 }
 
 // TestDecisionsMatchRecordedDigest guards against a refactoring that changes a decision or a datagram.
@@ -156,6 +156,6 @@
 		{"strict, new cluster", newClusterConfig, 3, "196913 bbf527c8f9084487"},
 		{"not strict", shareConfig, 4, "141642 03abd78779a639e1"},
 	} {
-		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, recordDecisions(tc.seed, tc.config)) })
+		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, decisionsDigest(tc.seed, tc.config)) })
 	}
 }
--- a/control/quota/refill.go
+++ b/control/quota/refill.go
@@ -21,7 +21,7 @@
 	if !l.config.Strict {
 		return a.limit.Rate * period.Seconds()
 	}
-	part, reachable := a.limit.Rate*period.Seconds()/float64(l.gateways), l.effectiveReachable()
+	part, reachable := a.limit.Rate*period.Seconds()/float64(l.gateways), l.effectiveReachableCount()
 	for _, r := range a.reporterStates {
 		silentFor := l.now - max(r.receivedAt, l.pausedUntil)
 		unreachable := l.peers[r.from].unreachableSince > 0
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -74,7 +74,7 @@
 	m := &Message{Epoch: l.epoch, Interval: l.interval, Age: l.now - l.startedAt,
 		AckEpoch: p.epoch, AckHigh: p.appliedHigh, AckMask: p.appliedMask}
 	switch {
-	case len(p.unacked) > 0 && l.now > p.resendAt():
+	case len(p.unacked) > 0 && l.now > p.resendTime():
 		oldest := p.unacked[0]
 		oldest.sentAt, oldest.resends = l.now, min(oldest.resends+1, maxResendDoublings)
 		p.unacked = append(p.unacked[1:], oldest)
@@ -153,13 +153,13 @@
 // the units granted to the reporter.
 func (l *Limiter) snapshotFor(p *peer, a *Account) Snapshot {
 	l.refill(a)
-	others, inFlight, promised := l.recentReporters(a, p)
-	r := a.reporterState(p.id)
+	others, inFlight, promised := l.recentReporterTotals(a, p)
+	r := a.getOrCreateReporterState(p.id)
 	left := max(0, a.level-promised-a.reserved-l.outstandingGrants(a))
 	r.snapshotLevel = left
 	var grant float64
 	if l.config.Strict {
-		grant = l.grantUnits(r, left)
+		grant = l.grantToReporter(r, left)
 	} else {
 		r.granted, r.grantedAt = 0, l.now
 		if left >= r.unitsWanted {
