--- a/control/decision.go
+++ b/control/decision.go
@@ -11,12 +11,13 @@
 
 // The actions of a decision.
 const (
-	// Submit sends Txn to Backend. The submission times out after After. If After is 0, it times out at the expiry of Txn.
+	// Submit sends Txn to Backend. The submission times out after After. If After is 0, the submission times out at the expiry of
+	// Txn.
 	Submit Action = iota
-	// Reject answers the client that it may safely retry Txn. Either Txn has not run and never will, or its product allows repeats. The
-	// answer advises the client to retry after After. If After is 0, the answer carries no advice.
+	// Reject tells the client that a retry of Txn is safe. Either Txn has not run and will not run, or the product of Txn allows
+	// repeats. The answer advises the client to retry after After. If After is 0, the answer carries no advice.
 	Reject
-	// Fail answers the client that Txn may have run.
+	// Fail tells the client that Txn gets no response and may have run.
 	Fail
 	// Cancel cancels submission Attempt of Txn.
 	Cancel
@@ -24,7 +25,7 @@
 	Probe
 	// SendDatagram sends Payload to Peer.
 	SendDatagram
-	// Wake calls the module's Woken method with Token after After.
+	// Wake calls the module's Woken method after the delay After. The argument of the call is Token.
 	Wake
 	// Log writes Entry to the log.
 	Log
@@ -34,7 +35,7 @@
 type Decision struct {
 	Action          Action
 	Txn             TxnID
-	Attempt         int // index of the submission, from 0
+	Attempt         int // index of the submission among all submissions of Txn, from 0
 	Backend         BackendID
 	After           time.Duration
 	ResponseTimeout time.Duration // for Submit: the longest time from the first byte of a response to its last
@@ -45,7 +46,7 @@
 	Token           uint64 // for Wake: the argument of the Woken call
 }
 
-// Reason is the resource that a txn lacked when it was rejected or failed. The values are in the order of the counters in
+// Reason says what a txn lacked when the txn was rejected or failed. The values are in the order of the counters in
 // internal/proxy/counters.
 type Reason int
 
@@ -53,13 +54,14 @@
 const (
 	// ReasonNoTime means that a response would come too late.
 	ReasonNoTime Reason = iota
-	// ReasonNoUnits means that the customer's quota is used up.
+	// ReasonNoUnits means that the customer's quota has too few units left.
 	ReasonNoUnits
-	// ReasonNoSnapshot means that the owner of the quota reports the quota as used up, or that the owner does not answer.
+	// ReasonNoSnapshot means that the owner's last snapshot of the quota has too few units left, or that the owner does not answer.
+	// Package quota explains owner and snapshot.
 	ReasonNoSnapshot
 	// ReasonNoSlot means that the customer has its maximum number of submissions in flight.
 	ReasonNoSlot
-	// ReasonHardLimit means that the customer has reached its hard limit.
+	// ReasonHardLimit means that the customer has reached its hard limit, which is a second limit that is never exceeded.
 	ReasonHardLimit
 	// ReasonNoBackend means that no backend is ready, or that no ready backend has capacity.
 	ReasonNoBackend
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,18 +1,20 @@
 // Package control defines the types that a host and its module exchange. The host does the I/O and the module decides. The types are the
-// IDs, a txn (one request of a client), an endpoint (one entry of the backend list), the ending of a submission, and the decisions.
+// IDs, a txn (one request of a client), an endpoint (one entry of the backend list), the ending of a submission (one transmission of a txn
+// to a backend), and the decisions.
 //
-// Two programs have a host and a module:
+// Two programs consist of a host and a module:
 //
-//   - The front door is the program cmd/clovergap. Front doors belong to the platform of the simulator and the service. They meter the
-//     customers' use of one shared service. Their module is control/loadbalancer.
+//   - The front door is the program cmd/clovergap. It meters the customers' use of one shared service. The program cmd/drill runs the same
+//     module in a simulator. The module is control/loadbalancer.
 //   - The gateway is the program cmd/gateway. One process of it is called a node. Its module is internal/gateway/admission.
 //
-// Both modules use control/quota. In control/quota and in the names of this package (GatewayID, Txn.SetFirst), a gateway is any process
-// that meters customers. It is a front door in the first program and a node in the second.
+// Both modules use control/quota. A quota limits the units that a customer consumes, and units measure the cost of a txn. In control/quota
+// and in the names of this package (GatewayID, Txn.SetFirst), a gateway is any process that meters customers. This is a front door in the
+// first program and a node in the second.
 //
-// A module has one owner at a time, which calls it in this order. The host sets the clock with Now. It then reports events with
-// TxnArrived, SubmissionEnded, EndpointsChanged, DatagramReceived and so on, which only update the module's state. Last, it calls Next
-// for decisions until Next returns none. The interface is defined in internal/proxy/gate.
+// A module may be used by only one caller at a time. The host calls the module in this order. It sets the clock with Now. It then
+// reports events with TxnArrived, SubmissionEnded, EndpointsChanged, DatagramReceived and so on, which only update the module's
+// state. Last, it calls Next for decisions until Next returns none. The interface is defined in internal/proxy/gate.
 //
 // This package makes no decisions, reads no clock and does no I/O.
 package control
--- a/control/loadbalancer/backend.go
+++ b/control/loadbalancer/backend.go
@@ -13,8 +13,8 @@
 type backend struct {
 	control.Endpoint
 	hash        uint64  // identifies the backend in rankings and observations
-	warmUpShare float64 // guaranteed share of its full capacity at the last refresh, 1 once it is warm
-	load        float64 // at the last pick, see loadOf
+	warmUpShare float64 // guaranteed share of the full capacity at the last refresh; 1 means that the backend is warm
+	load        float64 // result of loadOf at the last pick
 
 	// Submissions.
 	inFlight              int
@@ -22,34 +22,34 @@
 	unanswered            int           // submissions without a response since the last response
 	unansweredSince       time.Duration // start of the current period without a response
 	consecutiveRejections int           // rejected submissions in a row
-	rejectionBackoffUntil time.Duration // gets no submissions until then
+	rejectionBackoffUntil time.Duration // end of the time without submissions after a rejection
 
 	// Load reports.
 	inFlightElsewhere float64 // smoothed number of submissions of other front doors
 	loadReportedAt    time.Duration
 
 	// Quality.
-	slowdown    float64           // smoothed ratio of its response times to the usual ones
-	lossShare   float64           // smoothed share of lost submissions and failed probes
-	lossSamples float64           // total weight of the samples in lossShare
+	slowdown    float64           // smoothed ratio of the response times to the usual response times
+	lossShare   float64           // smoothed share of submissions and probes that were lost
+	lossSamples float64           // total weight of the samples in lossShare, where older samples weigh less
 	failures    []productFailures // indexed by control.ProductID
 
 	// Ejection.
 	ejected       bool
-	passedProbes  int // successful probes in a row while it is ejected
+	passedProbes  int // successful probes in a row while the backend is ejected
 	probing       bool
 	nextProbeAt   time.Duration
 	backoff       time.Duration // length of the last ejection
-	slowStartedAt time.Duration // when it was last readmitted, 0 if never
+	slowStartedAt time.Duration // end of the last ejection; 0 means that there was none
 
 	// Warming up.
 	warmUpTokens   float64
 	warmUpTokensAt time.Duration
-	// warmUpTokensExpire reports whether the budget is less than one submission per window, so that unused tokens expire.
+	// warmUpTokensExpire is true if the maximum of the budget is less than one token. Then unused tokens expire.
 	warmUpTokensExpire bool
 }
 
-// productFailures is the failure statistics of one product, either at one backend or at all backends.
+// productFailures holds the failure statistics of one product, either at one backend or over all backends.
 type productFailures struct {
 	share         float64 // smoothed share of failed submissions
 	samples       float64 // number of responses in share, at most maxFailureSamples
@@ -57,7 +57,7 @@
 	backoff       time.Duration // length of the last exclusion
 }
 
-// newBackend creates a backend without any learned state.
+// newBackend returns the state of a backend about which nothing has been learned.
 func (c *Controller) newBackend(endpoint control.Endpoint) *backend {
 	return &backend{Endpoint: endpoint, hash: control.Hash64(uint64(endpoint.ID)), slowdown: 1, failures: make([]productFailures, len(c.products))}
 }
@@ -72,7 +72,7 @@
 	for _, endpoint := range list {
 		c.setEndpoint(endpoint)
 	}
-	// A submission in flight keeps its own pointer to its backend, so a removed backend stays valid for it.
+	// Each submission in flight keeps a pointer to its backend, so the pointer stays valid when the backend is removed here.
 	c.backendsByID = slices.DeleteFunc(c.backendsByID, func(b *backend) bool {
 		if b.State == control.Gone {
 			delete(c.backends, b.ID)
@@ -93,7 +93,7 @@
 		c.backendsByHash[b.hash&quota.ObservationHashMask] = b
 		sort.Slice(c.backendsByID, func(i, j int) bool { return c.backendsByID[i].ID < c.backendsByID[j].ID })
 	}
-	if endpoint.Started > b.Started { // a new process, to which the statistics of the former one do not apply
+	if endpoint.Started > b.Started { // the backend has restarted, so the statistics of the former process do not apply
 		inFlight := b.inFlight
 		*b = *c.newBackend(endpoint)
 		b.inFlight = inFlight
@@ -101,7 +101,8 @@
 	b.Endpoint = endpoint
 }
 
-// refreshBackends updates the list of ready backends and the statistics that pick uses. One refresh serves all picks within refreshInterval.
+// refreshBackends updates the list of ready backends and the statistics that pickBackend uses. One refresh serves all picks within
+// refreshInterval.
 func (c *Controller) refreshBackends() {
 	if c.now-c.refreshedAt < refreshInterval && len(c.readyBackends) > 0 {
 		return
@@ -127,8 +128,8 @@
 	c.warmRate = c.currentCompletionRate() / max(warm, 1)
 }
 
-// warmUpShareOf returns the share of its full capacity that a backend is guaranteed to have now. The share grows linearly from
-// initialWarmUpShare at the start of the backend to 1 after warmUpTime.
+// warmUpShareOf returns the share of its full capacity that a backend is guaranteed to have at the current time. The share grows
+// linearly from initialWarmUpShare at the start of the backend to 1 after warmUpTime.
 func (c *Controller) warmUpShareOf(b *backend) float64 {
 	if b.Started <= 0 || c.warmUpTime <= 0 || c.now-b.Started >= c.warmUpTime {
 		return 1
@@ -158,9 +159,9 @@
 	b.loadReportedAt = c.now
 }
 
-// reportedInFlight returns the number of txns in flight at a backend according to its load report. The number is the field inflight. Without
-// that field, it is the queue length plus the number of txns in service, which is their rate multiplied by the service time (Little's law).
-// ok is false if the report has neither inflight nor per_s.
+// reportedInFlight returns the number of txns in flight at a backend according to its load report. The number is the field inflight.
+// Without that field, the number is the queue length plus the number of txns in service, which is their rate multiplied by the
+// service time (Little's law). ok is false if the report has neither inflight nor per_s.
 func reportedInFlight(fields []string, load []float64) (n float64, ok bool) {
 	values := map[string]float64{}
 	for i, f := range fields {
--- a/control/loadbalancer/capacity.go
+++ b/control/loadbalancer/capacity.go
@@ -7,7 +7,8 @@
 	"clovergap/control/quota"
 )
 
-// congestionOf returns whether a response or a time-out shows that the fleet is congested, that it is not, or neither.
+// congestionOf returns whether the ending of a submission shows that the fleet is congested, that the fleet is not congested, or
+// neither.
 func (c *Controller) congestionOf(t *txn, b *backend, ending control.Ending) quota.Congestion {
 	if t.currentBackend == nil || ending != control.Succeeded && ending != control.TimedOut {
 		return quota.CongestionUnknown
@@ -26,19 +27,20 @@
 	return quota.Congested
 }
 
-// adjustCapacity adapts the number of submissions that this front door may have in flight. It learns from its own submissions and from those
-// that peers report. A late response lowers the capacity. A prompt response raises it while the capacity is in use. This adaptation protects against
-// overload, a slow fleet and lost backends. It may lower the capacity needlessly if the work of a product takes nearly its SLA time.
+// adjustCapacity adapts the capacity to one observation of congestion. The observation comes from a submission of this front door or
+// of a peer. A late response lowers the capacity. A prompt response raises it while the capacity is in use. This adaptation protects
+// against overload, a slow fleet and lost backends. The adaptation may lower the capacity needlessly if the work of a product takes
+// nearly its SLA time.
 func (c *Controller) adjustCapacity(congestion quota.Congestion) {
 	if congestion == quota.NotCongested && c.isUnderPressure() {
 		c.capacity = min(maxCapacity, c.capacity*(1+c.capacityGain))
 	}
-	// A front door with spare capacity does not cause the lateness. Exponentially distributed work times also cause some late responses
-	// without any congestion. Such responses would lower the capacity while no response raises it.
+	// A front door with spare capacity does not cause the lateness. Exponentially distributed work times also cause some late
+	// responses without any congestion. Without this condition, such responses would lower the capacity while no response raises it.
 	if congestion == quota.Congested && c.utilization >= minUtilization && c.isUnderPressure() {
 		c.capacity, c.capacityGain = max(minCapacity/float64(c.gateways), c.capacity*(1-capacityLoss)), capacityGain
 	}
 }
 
-// underPressure reports whether capacity ran out less than pressureTTL ago.
+// isUnderPressure reports whether a txn found no backend with capacity less than pressureTTL ago.
 func (c *Controller) isUnderPressure() bool { return c.now-c.saturatedAt < pressureTTL }
--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -10,7 +10,7 @@
 	"clovergap/internal/timerqueue"
 )
 
-// Controller decides for one front door. It is not safe for concurrent use. All times are on the host's clock.
+// Controller makes the decisions of one front door. A Controller is not safe for concurrent use. All times are on the host's clock.
 type Controller struct {
 	// Settings.
 	gateways           int // number of front doors, including this one; package quota calls a front door a gateway
@@ -25,7 +25,7 @@
 	loadReportsByProbe bool // load reports come with probe responses, not with responses to txns
 	loadReportFields   []string
 	warmUpTime         time.Duration // warm-up time of a backend after its start
-	initialWarmUpShare float64       // share of its capacity that a backend has at its start
+	initialWarmUpShare float64       // share of its full capacity that a backend has at its start
 	// A backend that is warming up is overloaded if it gets more than overloadFactor times the submissions of a warm backend within
 	// overloadWindow.
 	overloadWindow time.Duration
@@ -44,7 +44,7 @@
 
 	// Txns.
 	txns           map[control.TxnID]*txn
-	timers         timerqueue.Queue[control.TxnID] // expiries, and ends of queue times
+	timers         timerqueue.Queue[control.TxnID] // expiries of txns and ends of their waiting times
 	undecided      []*txn                          // txns to decide next
 	waiting        []*txn                          // txns that wait for units, a snapshot, a slot or a backend
 	recheckWaiting bool                            // waiting txns must be decided again
@@ -61,8 +61,8 @@
 	refreshedAt    time.Duration
 	examinedAt     time.Duration
 	probeBudget    float64
-	candidates     []*backend // buffer for pick
-	slowdowns      []float64  // buffer for refreshBackends
+	candidates     []*backend // buffer of pickBackend that is reused
+	slowdowns      []float64  // buffer of refreshBackends that is reused
 	medianSlowdown float64
 
 	// Statistics over all backends.
@@ -72,7 +72,7 @@
 	fleetLossShare   float64 // smoothed share of submissions that were lost
 	completionRate   float64 // smoothed rate of responses from warm backends, per second
 	completionRateAt time.Duration
-	warmRate         float64             // completionRate per warm backend
+	warmRate         float64             // completionRate divided by the number of warm backends
 	observations     []quota.Observation // outcomes of the last submissions
 	observationCount int                 // number of observations since the start
 
@@ -80,12 +80,12 @@
 	capacity     float64
 	capacityGain float64
 	utilization  float64       // share of the capacity in use
-	saturated    bool          // no backend has capacity until the state changes
-	saturatedAt  time.Duration // when a txn last found no backend with capacity
+	saturated    bool          // true from the time when no backend has capacity until a submission ends, the backend list changes or a sweep runs
+	saturatedAt  time.Duration // time when a txn last found no backend with capacity
 }
 
-// New creates a controller from the settings, without any learned state. A non-nil error is a *SettingError for the first setting that is
-// missing or invalid.
+// New returns a controller with the given settings and without any learned state. If a setting is missing or invalid, New returns a
+// *SettingError for the first one.
 func New(seed int64, s control.Settings, now time.Duration) (*Controller, error) {
 	r := &settingsReader{settings: s}
 	self := control.GatewayID(r.readCount("me", 1<<20))
@@ -136,7 +136,7 @@
 	return c, r.err
 }
 
-// planLimit returns the limits of a plan, or nil if the settings do not define the plan.
+// planLimit returns the limits of a plan. It returns nil if the settings do not define the plan.
 func (c *Controller) planLimit(id control.PlanID) *quota.Limit {
 	if id < 0 || int(id) >= len(c.plans) {
 		return nil
@@ -144,9 +144,9 @@
 	return &c.plans[id].Limit
 }
 
-// Now sets the clock, which never goes back. If the process stalled since the last call, the stall caused time-outs, missing
-// responses and old snapshots. They do not count against backends or peers. The txns that arrived during the stall have already used up a
-// part of their SLA time, which backdateArrivals subtracts.
+// Now sets the clock. A time before the current one is ignored. If the clock advances by more than stallThreshold, the process counts
+// as stalled in between. Time-outs, missing responses and old snapshots that result from a stall do not count against backends or
+// peers. The txns that arrived during a stall have already used up a part of their SLA time, which backdateArrivals subtracts.
 func (c *Controller) Now(now time.Duration) {
 	if c.now > c.startedAt && now-c.now > stallThreshold {
 		c.stallStart, c.stallEnd = c.now, now
@@ -158,8 +158,8 @@
 	c.quota.SetNow(now)
 }
 
-// Next returns the next decision, or false if there is none now. It returns pending decisions first. Then it handles undecided txns, expired
-// timers, periodic work, datagrams and the next wake-up, in this order.
+// Next returns the next decision, or false if there is none at the current time. It returns pending decisions first. Then it handles
+// undecided txns, expired timers, periodic work, datagrams and the next wake-up, in this order.
 func (c *Controller) Next() (control.Decision, bool) {
 	if c.stallStart < c.stallEnd {
 		c.backdateArrivals()
@@ -198,8 +198,8 @@
 	}
 }
 
-// requeueWaiting moves the waiting txns to the front of the undecided ones. Under pressure, it sorts all of them by their value rate, highest
-// first. Txns with the same value rate keep their order, so the older txn goes first.
+// requeueWaiting moves the waiting txns to the front of the undecided ones. Under pressure, it sorts all of them by their value rate,
+// highest first. Txns with the same value rate keep their order, so the older txn is decided first.
 func (c *Controller) requeueWaiting() {
 	if len(c.waiting) == 0 {
 		return
@@ -221,7 +221,7 @@
 	return refreshInterval
 }
 
-// sweep does the periodic work.
+// sweep examines the backends at each refreshInterval, sweeps the quota, and has the waiting txns decided again.
 func (c *Controller) sweep() {
 	c.recheckWaiting, c.saturated = true, false
 	if c.now-c.examinedAt >= refreshInterval {
@@ -245,8 +245,8 @@
 	return control.Decision{Action: control.Wake, After: c.wakeAt - c.now}, true
 }
 
-// Woken reports a scheduled wake-up. It does nothing. The host calls Next after it, and Next compares the clock with the times at which work
-// is due.
+// Woken reports a scheduled wake-up. The method does nothing, because the host calls Next afterwards and Next compares the clock with
+// the times at which work is due.
 func (c *Controller) Woken(uint64) {}
 
 // DatagramReceived applies a datagram from a peer.
@@ -256,7 +256,7 @@
 	}
 }
 
-// logSummary adds a decision to log a summary and resets the counts in it.
+// logSummary adds a decision to log a summary. It then resets the counts of txns that were given up.
 func (c *Controller) logSummary(ejected int) {
 	var fields []control.LogField
 	for reason, name := range reasonNames {
--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -14,7 +14,7 @@
 	s := newWarmScenario()
 	c := customerOwnedBy(0)
 	for id, e := range []control.Ending{control.Succeeded, control.Errored, control.Rejected, control.TimedOut, control.Unreachable, control.ConnectionLost} {
-		fmt.Println("# txn", id, "is inquiry-like, each submission has ending", e)
+		fmt.Println("# txn", id, "is inquiry-like, each submission ends with the control.Ending number", e)
 		s.addTxn(control.TxnID(id), c, 0, 0)
 		s.endSubmission(control.TxnID(id), e)
 		if s.controller.txns[control.TxnID(id)] != nil {
@@ -23,41 +23,41 @@
 		if s.controller.txns[control.TxnID(id)] != nil {
 			s.endSubmission(control.TxnID(id), e)
 		}
-		s.controller.ClientLeft(control.TxnID(id)) // an unknown ID is ignored
+		s.controller.ClientLeft(control.TxnID(id)) // a call for a txn that is already removed has no effect
 		s.printDecisions()
 	}
 	// Output:
-	// # txn 0 is inquiry-like, each submission has ending 0
-	// 10000 submit 0 to 1, 446
-	// # txn 1 is inquiry-like, each submission has ending 1
-	// 10000 submit 1 to 1, 446
-	// 10000 submit 1 to 3, 496
-	// 10000 submit 1 to 2, 496
-	// 10000 reject 1, 2000
-	// # txn 2 is inquiry-like, each submission has ending 2
-	// 10000 submit 2 to 3, 446
-	// 10000 submit 2 to 2, 496
-	// 10000 submit 2 to 1, 496
-	// 10000 reject 2, 2000
-	// # txn 3 is inquiry-like, each submission has ending 3
-	// 10000 submit 3 to 1, 446
-	// 10000 submit 3 to 1, 496
-	// 10000 submit 3 to 1, 496
-	// 10000 reject 3, 2000
-	// # txn 4 is inquiry-like, each submission has ending 4
-	// 10000 submit 4 to 1, 446
-	// 10000 submit 4 to 2, 496
-	// 10000 submit 4 to 3, 496
-	// 10000 reject 4, 2000
-	// # txn 5 is inquiry-like, each submission has ending 5
-	// 10000 submit 5 to 1, 446
-	// 10000 submit 5 to 1, 496
-	// 10000 submit 5 to 1, 496
-	// 10000 reject 5, 2000
+	// # txn 0 is inquiry-like, each submission ends with the control.Ending number 0
+	// 10000 ms: submit txn 0 to backend 1, after 446 ms
+	// # txn 1 is inquiry-like, each submission ends with the control.Ending number 1
+	// 10000 ms: submit txn 1 to backend 1, after 446 ms
+	// 10000 ms: submit txn 1 to backend 3, after 496 ms
+	// 10000 ms: submit txn 1 to backend 2, after 496 ms
+	// 10000 ms: reject txn 1, after 2000 ms
+	// # txn 2 is inquiry-like, each submission ends with the control.Ending number 2
+	// 10000 ms: submit txn 2 to backend 3, after 446 ms
+	// 10000 ms: submit txn 2 to backend 2, after 496 ms
+	// 10000 ms: submit txn 2 to backend 1, after 496 ms
+	// 10000 ms: reject txn 2, after 2000 ms
+	// # txn 3 is inquiry-like, each submission ends with the control.Ending number 3
+	// 10000 ms: submit txn 3 to backend 1, after 446 ms
+	// 10000 ms: submit txn 3 to backend 1, after 496 ms
+	// 10000 ms: submit txn 3 to backend 1, after 496 ms
+	// 10000 ms: reject txn 3, after 2000 ms
+	// # txn 4 is inquiry-like, each submission ends with the control.Ending number 4
+	// 10000 ms: submit txn 4 to backend 1, after 446 ms
+	// 10000 ms: submit txn 4 to backend 2, after 496 ms
+	// 10000 ms: submit txn 4 to backend 3, after 496 ms
+	// 10000 ms: reject txn 4, after 2000 ms
+	// # txn 5 is inquiry-like, each submission ends with the control.Ending number 5
+	// 10000 ms: submit txn 5 to backend 1, after 446 ms
+	// 10000 ms: submit txn 5 to backend 1, after 496 ms
+	// 10000 ms: submit txn 5 to backend 1, after 496 ms
+	// 10000 ms: reject txn 5, after 2000 ms
 }
 
-// Guards against a txn without an answer at its expiry. A once-only txn in flight is failed and canceled expiryMargin before its expiry, and
-// its state is removed after the outcome of its submission.
+// Guards against a txn without an answer at its expiry. A once-only txn in flight is failed and canceled expiryMargin before its
+// expiry. Its state is removed when its submission has ended.
 func Example_txnIsFailedBeforeExpiry() {
 	s := newWarmScenario()
 	s.addTxn(1, customerOwnedBy(0), 2, 0)
@@ -67,9 +67,9 @@
 	s.advance(12100)
 	fmt.Println(len(s.controller.txns), "txns remain")
 	// Output:
-	// 10000 submit 1 to 1
-	// 11998 fail 1
-	// 11998 cancel 1/0
+	// 10000 ms: submit txn 1 to backend 1
+	// 11998 ms: fail txn 1
+	// 11998 ms: cancel txn 1 attempt 0
 	// 0 txns remain
 }
 
@@ -86,13 +86,13 @@
 	s.endSubmission(2, control.Errored)
 	// Output:
 	// # the submission provably did not run: the txn is retried at another backend, then rejected
-	// 10000 submit 1 to 1
-	// 10000 submit 1 to 3
-	// 10000 submit 1 to 1
-	// 10000 reject 1, 2000
+	// 10000 ms: submit txn 1 to backend 1
+	// 10000 ms: submit txn 1 to backend 3
+	// 10000 ms: submit txn 1 to backend 1
+	// 10000 ms: reject txn 1, after 2000 ms
 	// # the submission may have run: the txn is failed at once
-	// 10000 submit 2 to 2
-	// 10000 fail 2
+	// 10000 ms: submit txn 2 to backend 2
+	// 10000 ms: fail txn 2
 }
 
 // Guards against a referenced txn that runs twice. It is retried only within its pod and its window.
@@ -113,17 +113,17 @@
 	s.endSubmission(3, control.ConnectionLost)
 	// Output:
 	// # retries stay in the pod of the first submission that may have run
-	// 10000 submit 1 to 1, 446
-	// 10000 submit 1 to 2, 496
-	// 10000 submit 1 to 1, 496
+	// 10000 ms: submit txn 1 to backend 1, after 446 ms
+	// 10000 ms: submit txn 1 to backend 2, after 496 ms
+	// 10000 ms: submit txn 1 to backend 1, after 496 ms
 	// # after its window, the txn is failed
-	// 10000 submit 2 to 1, 446
-	// 10000 fail 2
+	// 10000 ms: submit txn 2 to backend 1, after 446 ms
+	// 10000 ms: fail txn 2
 	// # the product allows repeats at all backends: the txn is rejected after its last submission
-	// 10000 submit 3 to 1, 446
-	// 10000 submit 3 to 3, 496
-	// 10000 submit 3 to 1, 496
-	// 10000 reject 3, 2000
+	// 10000 ms: submit txn 3 to backend 1, after 446 ms
+	// 10000 ms: submit txn 3 to backend 3, after 496 ms
+	// 10000 ms: submit txn 3 to backend 1, after 496 ms
+	// 10000 ms: reject txn 3, after 2000 ms
 }
 
 // Guards against submissions to backends that are draining or gone.
@@ -137,14 +137,15 @@
 	s.addTxn(9, customerOwnedBy(0), 0, 0)
 	s.advance(10200)
 	// Output:
-	// 10000 submit 1 to 3, 446
-	// 10000 submit 2 to 3, 446
-	// 10000 submit 3 to 3, 446
-	// 10000 submit 4 to 3, 446
-	// 10200 reject 9
+	// 10000 ms: submit txn 1 to backend 3, after 446 ms
+	// 10000 ms: submit txn 2 to backend 3, after 446 ms
+	// 10000 ms: submit txn 3 to backend 3, after 446 ms
+	// 10000 ms: submit txn 4 to backend 3, after 446 ms
+	// 10200 ms: reject txn 9
 }
 
-// countSubmissionsTo returns the number of submissions to a backend while a txn of one product arrives every 10 ms between two times.
+// countSubmissionsTo returns the number of submissions to a backend from one time to another, both in milliseconds. A txn of product
+// 0 arrives every 10 ms.
 func (s *scenario) countSubmissionsTo(id control.BackendID, from, to int) (n int) {
 	for at := from; at < to; at += 10 {
 		s.controller.Now(time.Millisecond * time.Duration(at))
@@ -188,7 +189,7 @@
 	//  submissions in one second to the backend that is warming up: 6
 }
 
-// Guards against a front door that exceeds the hard limit of a customer by a restart.
+// Guards against a front door that grants units of the hard limit again after a restart.
 func Example_hardLimitIsKeptAcrossRestart() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.hideDatagrams = true
@@ -208,24 +209,25 @@
 	s.advance(10200)
 	// Output:
 	// # the owner's share of the hard limit and its pool hold two thirds of the burst, and after these units only the refill is left
-	// 10000 submit 1 to 1, 446
-	// 10000 submit 2 to 1, 446
-	// 10000 submit 3 to 1, 446
-	// 10000 submit 4 to 1, 446
-	// 10000 submit 5 to 1, 446
-	// 10000 submit 6 to 1, 446
-	// 10000 submit 7 to 1, 446
-	// 10000 submit 8 to 1, 446
-	// 10000 submit 9 to 1, 446
-	// 10000 submit 10 to 1, 446
-	// 10000 submit 11 to 1, 446
-	// 10000 submit 12 to 1, 446
-	// 10000 submit 13 to 1, 446
+	// 10000 ms: submit txn 1 to backend 1, after 446 ms
+	// 10000 ms: submit txn 2 to backend 1, after 446 ms
+	// 10000 ms: submit txn 3 to backend 1, after 446 ms
+	// 10000 ms: submit txn 4 to backend 1, after 446 ms
+	// 10000 ms: submit txn 5 to backend 1, after 446 ms
+	// 10000 ms: submit txn 6 to backend 1, after 446 ms
+	// 10000 ms: submit txn 7 to backend 1, after 446 ms
+	// 10000 ms: submit txn 8 to backend 1, after 446 ms
+	// 10000 ms: submit txn 9 to backend 1, after 446 ms
+	// 10000 ms: submit txn 10 to backend 1, after 446 ms
+	// 10000 ms: submit txn 11 to backend 1, after 446 ms
+	// 10000 ms: submit txn 12 to backend 1, after 446 ms
+	// 10000 ms: submit txn 13 to backend 1, after 446 ms
 	// # after the restart, the owner's share and its pool are empty in the new epoch
-	// 10100 submit 1 to 1, 356
+	// 10100 ms: submit txn 1 to backend 1, after 356 ms
 }
 
-// Guards against an owner that grants units again after a restart, and against one that applies messages of a peer's former epoch.
+// Guards against an owner that grants units again after a restart, and against an owner that applies messages of a peer's former
+// epoch.
 func Example_ownerRestartEmptiesBucket() {
 	s := newScenario(defaultTestSettings(0), 5000)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
@@ -243,13 +245,13 @@
 	s.advance(5400)
 	// Output:
 	// # the bucket of an owner starts empty and refills at the rate, so a txn waits for its unit
-	//  5100 submit 1 to 1, 356
+	//  5100 ms: submit txn 1 to backend 1, after 356 ms
 	// # a message of the former epoch of a peer is dropped once the new epoch is known
-	//  5120 datagram to 1: snapshot left 0.1875 sharers 2 ack 5
-	//  5200 datagram to 1: snapshot left 1 sharers 2 ack 1
+	//  5120 ms: datagram to gateway 1: snapshot level=0.1875 reporters=2 ack=5
+	//  5200 ms: datagram to gateway 1: snapshot level=1 reporters=2 ack=1
 }
 
-// Guards against usage that is lost or counted twice when datagrams arrive out of order or repeatedly.
+// Guards against consumed units that are lost or counted twice when datagrams arrive out of order or repeatedly.
 func Example_deltasAreAppliedOnce() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.advance(10000)
@@ -269,15 +271,15 @@
 	fmt.Println("dropped datagrams:", s.controller.quota.BadDatagramCount())
 	// Output:
 	// # deltas arrive out of order and repeatedly: each delta is applied once
-	// 10000 datagram to 1: snapshot left 15 sharers 2 ack 2
-	// 10100 datagram to 1: snapshot left 13 sharers 2 ack 2
-	// 10200 datagram to 1: snapshot left 14 sharers 2 ack 2
+	// 10000 ms: datagram to gateway 1: snapshot level=15 reporters=2 ack=2
+	// 10100 ms: datagram to gateway 1: snapshot level=13 reporters=2 ack=2
+	// 10200 ms: datagram to gateway 1: snapshot level=14 reporters=2 ack=2
 	// # a datagram that cannot be decoded is dropped and counted
 	// dropped datagrams: 1
 }
 
-// Guards against a front door that consumes more than its burst share and the owner's snapshots allow. Datagrams are lost, snapshots arrive late
-// and become too old.
+// Guards against a front door that consumes more than its burst share and the owner's snapshots allow. Datagrams are lost, and
+// snapshots arrive late or expire.
 func Example_snapshotsLimitConsumption() {
 	s := newWarmScenario()
 	s.hideDatagrams, s.controller.capacity = false, 5
@@ -306,34 +308,34 @@
 	s.addTxn(14, c, 0, 0)
 	// Output:
 	// # new customer: txns use the burst share while the owner is asked
-	// 10000 submit 1 to 2, 446
-	// 10000 datagram to 1: delta 1 used 1
-	// 10000 submit 2 to 2, 446
-	// 10000 submit 3 to 2, 446
-	// 10000 submit 4 to 2, 446
-	// 10000 submit 5 to 2, 446
-	// 10000 submit 6 to 2, 446
-	// 10050 datagram to 1: delta 2 used 5
+	// 10000 ms: submit txn 1 to backend 2, after 446 ms
+	// 10000 ms: datagram to gateway 1: delta seq=1 units=1
+	// 10000 ms: submit txn 2 to backend 2, after 446 ms
+	// 10000 ms: submit txn 3 to backend 2, after 446 ms
+	// 10000 ms: submit txn 4 to backend 2, after 446 ms
+	// 10000 ms: submit txn 5 to backend 2, after 446 ms
+	// 10000 ms: submit txn 6 to backend 2, after 446 ms
+	// 10050 ms: datagram to gateway 1: delta seq=2 units=5
 	// # a datagram is lost: its delta is sent again with the same sequence number
-	// 10150 datagram to 1: delta 1 used 1
-	// 10200 reject 7, 100
-	// 10200 reject 8, 100
-	// 10200 datagram to 1: delta 2 used 5
+	// 10150 ms: datagram to gateway 1: delta seq=1 units=1
+	// 10200 ms: reject txn 7, after 100 ms
+	// 10200 ms: reject txn 8, after 100 ms
+	// 10200 ms: datagram to gateway 1: delta seq=2 units=5
 	// # the snapshot acknowledges the first two deltas and leaves four units, of which two were used since
-	// 10200 submit 11 to 2, 446
+	// 10200 ms: submit txn 11 to backend 2, after 446 ms
 	// # an older snapshot that arrives late restores no units
-	// 10200 submit 12 to 3, 446
-	// 10200 submit 13 to 3, 446
-	// 10250 datagram to 1: delta 3 used 3
-	// 10400 datagram to 1: delta 3 used 3
+	// 10200 ms: submit txn 12 to backend 3, after 446 ms
+	// 10200 ms: submit txn 13 to backend 3, after 446 ms
+	// 10250 ms: datagram to gateway 1: delta seq=3 units=3
+	// 10400 ms: datagram to gateway 1: delta seq=3 units=3
 	// # the snapshot has expired: only the burst share is left, and the owner is asked again
-	// 10650 datagram to 1: delta 3 used 3
-	// 11150 datagram to 1: delta 3 used 3
-	// 11900 submit 14 to 1, 446
-	// 11900 datagram to 1: delta 4 used 1
+	// 10650 ms: datagram to gateway 1: delta seq=3 units=3
+	// 11150 ms: datagram to gateway 1: delta seq=3 units=3
+	// 11900 ms: submit txn 14 to backend 1, after 446 ms
+	// 11900 ms: datagram to gateway 1: delta seq=4 units=1
 }
 
-// Guards against the exclusion of a backend for all products when only one product fails there.
+// Guards against the exclusion of a backend for all products although only one product fails at the backend.
 func Example_failingProductIsExcluded() {
 	s := newWarmScenario()
 	c := customerOwnedBy(0)
@@ -372,7 +374,7 @@
 	// product 0 at backend 3: succeeded
 }
 
-// Guards against a backend that always rejects and so lowers the capacity of all others.
+// Guards against one backend that lowers the capacity of all backends by rejecting every submission.
 func Example_rejectionsKeepCapacity() {
 	s := newWarmScenario()
 	initial := s.controller.capacity
@@ -390,7 +392,7 @@
 	// capacity unchanged: true - backoff of backend 1 increased: true
 }
 
-// Guards against retries that use scarce capacity before first attempts.
+// Guards against retries that use up scarce capacity before first attempts do.
 func Example_retriesYieldToFirstAttempts() {
 	s := newWarmScenario()
 	s.controller.capacity = 0.4
@@ -408,12 +410,12 @@
 	s.advance(10500)
 	// Output:
 	// # no capacity is left: the retry is rejected at once with a retry delay
-	// 10000 submit 1 to 3, 446
-	// 10000 submit 2 to 2, 446
-	// 10000 reject 3, 2000
+	// 10000 ms: submit txn 1 to backend 3, after 446 ms
+	// 10000 ms: submit txn 2 to backend 2, after 446 ms
+	// 10000 ms: reject txn 3, after 2000 ms
 }
 
-// Guards against txns beyond the quota that use capacity that other txns lack.
+// Guards against txns beyond the quota that use up capacity which other txns need.
 func Example_exceedQuotaWithSpareCapacity() {
 	s := newWarmScenario()
 	s.controller.plans[0].overQuotaValue, s.controller.plans[0].overQuotaCost = 0.3, 0
@@ -427,13 +429,13 @@
 	s.addTxn(2, c, 0, 0)
 	// Output:
 	// # no units, spare capacity, no charge: the txn is submitted and consumes no units
-	// 10000 submit 1 to 1, 446
+	// 10000 ms: submit txn 1 to backend 1, after 446 ms
 	// # a txn lacked capacity recently: the next txn is rejected, and its retry delay is the time until units are available
-	// 10000 reject 2, 1000
+	// 10000 ms: reject txn 2, after 1000 ms
 }
 
-// Guards against a txn that waits for a backend and loses its units. The snapshot that covers it may be used for 150 ms, which is less than the
-// time that it waits.
+// Guards against a txn that loses its units while it waits for a backend. The snapshot that covers the txn may be used for 150 ms,
+// which is less than the waiting time of the txn.
 func Example_unitsStayReservedWhileWaiting() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
@@ -449,25 +451,25 @@
 		state, _ := s.controller.quota.AccountState(c)
 		return state.Reserved
 	}
-	fmt.Println("reserved:", reservedUnits(), "- other txns may consume that much less of the snapshot")
+	fmt.Println("reserved units:", reservedUnits(), "- other txns may consume that much less of the snapshot")
 	s.advance(10170)
 	s.endSubmission(1, control.Succeeded)
 	s.advance(10180)
-	fmt.Println("reserved:", reservedUnits())
+	fmt.Println("reserved units:", reservedUnits())
 	// Output:
-	// 10000 submit 1 to 1, 446
-	// reserved: 1 - other txns may consume that much less of the snapshot
-	// 10170 submit 2 to 1, 326
-	// reserved: 0
+	// 10000 ms: submit txn 1 to backend 1, after 446 ms
+	// reserved units: 1 - other txns may consume that much less of the snapshot
+	// 10170 ms: submit txn 2 to backend 1, after 326 ms
+	// reserved units: 0
 }
 
-// Guards against a retry that gets the full SLA time again. A client's time-out counts from its first attempt. So the expiry of a retry shows
-// how long ago the first attempt was.
+// Guards against a retry that gets the full SLA time again. The time-out of a client starts at its first attempt, so the expiry of a
+// retry shows how long ago the first attempt was.
 func Example_retryUsesRemainingSLATime() {
 	s := newWarmScenario()
 	c := customerOwnedBy(0)
 	retry := func(id control.TxnID, left time.Duration) {
-		s.drainBucket(c, 5) // of 20, which is less than a late retry must leave
+		s.drainBucket(c, 5) // 5 of 20 units are fewer than a late retry must leave
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + left})
 		s.printDecisions()
 	}
@@ -480,26 +482,26 @@
 	retry(4, 1400*time.Millisecond)
 	fmt.Println("# late responses of the product have a value: retry 5 is treated as a late retry and is rejected, because the bucket is low")
 	s.controller.products[0].lateValue = 0.2
-	for c++; quota.OwnerOf(c, 0, 3, 3) != 0; c++ { // another customer, because the first one has spent one of its five units
+	for c++; quota.OwnerOf(c, 0, 3, 3) != 0; c++ { // another customer, because the first customer has consumed one of its five units
 	}
 	retry(5, 1400*time.Millisecond)
 	// Output:
 	// # no first attempt was seen: retry 1 may be late, so it is rejected and leaves the units of the low bucket to other txns
-	// 10000 reject 1, 600
-	// 10000 submit 2 to 1, 446
+	// 10000 ms: reject txn 1, after 600 ms
+	// 10000 ms: submit txn 2 to backend 1, after 446 ms
 	// # the first attempt was 100 ms ago: retry 3 is treated as a first attempt whose SLA time is 100 ms shorter
-	// 10000 submit 3 to 1, 356
+	// 10000 ms: submit txn 3 to backend 1, after 356 ms
 	// # the first attempt was 600 ms ago: the SLA time of retry 4 is over, so the retry is rejected at once
-	// 10000 reject 4, 2000
+	// 10000 ms: reject txn 4, after 2000 ms
 	// # late responses of the product have a value: retry 5 is treated as a late retry and is rejected, because the bucket is low
-	// 10000 reject 5, 600
+	// 10000 ms: reject txn 5, after 600 ms
 }
 
-// Guards against a customer that gets no service, or too much of it, while the owner of its quota does not answer.
+// Guards against a customer that gets no units or too many units while the owner of its quota does not answer.
 func Example_unresponsiveOwnerLeavesBurstShare() {
 	s := newWarmScenario()
 	c := customerOwnedBy(1)
-	fmt.Println("# the burst share is used up and then grows at the rate while no datagram arrives")
+	fmt.Println("# times in ms at which a txn is submitted: the burst share is used up and then grows at the rate while no datagram arrives")
 	for id := control.TxnID(1); id < 200; id++ {
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
 		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
@@ -511,11 +513,11 @@
 		s.controller.Now(s.controller.now + 10*time.Millisecond)
 	}
 	// Output:
-	// # the burst share is used up and then grows at the rate while no datagram arrives
+	// # times in ms at which a txn is submitted: the burst share is used up and then grows at the rate while no datagram arrives
 	// 10000 10010 10020 10030 10040 10050 10230 10400 10700 11000 11300 11510 11510 11510 11670 11870
 }
 
-// Guards against a valuable txn that still waits after a submission has ended under pressure.
+// Guards against a txn that still waits although the end of a submission has freed capacity.
 func Example_waitingTxnIsSubmittedUnderPressure() {
 	s := newWarmScenario()
 	s.controller.capacity, s.controller.products[2].value = 0.4, 5
@@ -528,12 +530,13 @@
 	s.endSubmission(0, control.Succeeded)
 	// Output:
 	// # no capacity: the waiting txn is submitted when a submission ends
-	// 10000 submit 0 to 1, 446
-	// 10000 submit 1 to 3, 446
-	// 10100 submit 2 to 1
+	// 10000 ms: submit txn 0 to backend 1, after 446 ms
+	// 10000 ms: submit txn 1 to backend 3, after 446 ms
+	// 10100 ms: submit txn 2 to backend 1
 }
 
-// Guards against an unresponsive backend that never gets another submission. An inquiry-like txn tries it after each trialInterval.
+// Guards against an unresponsive backend that never gets another submission. An inquiry-like txn may be submitted to the backend
+// after each trialInterval.
 func Example_unresponsiveBackendIsTried() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.hideDatagrams = true
@@ -546,14 +549,14 @@
 		s.advance(at)
 		for _, p := range []control.ProductID{2, 0} {
 			t := &txn{Txn: control.Txn{Product: p}}
-			fmt.Println("at", at, "ms: a txn of product", p, "skips the backend:", s.controller.mustAvoidUnresponsive(b, t))
+			fmt.Println("at", at, "ms: a txn of product", p, "must avoid the backend:", s.controller.mustAvoidUnresponsive(b, t))
 		}
 	}
 	// Output:
-	// at 10400 ms: a txn of product 2 skips the backend: true
-	// at 10400 ms: a txn of product 0 skips the backend: true
-	// at 10800 ms: a txn of product 2 skips the backend: true
-	// at 10800 ms: a txn of product 0 skips the backend: false
+	// at 10400 ms: a txn of product 2 must avoid the backend: true
+	// at 10400 ms: a txn of product 0 must avoid the backend: true
+	// at 10800 ms: a txn of product 2 must avoid the backend: true
+	// at 10800 ms: a txn of product 0 must avoid the backend: false
 }
 
 // Guards against panics and missing answers for invalid inputs.
@@ -580,15 +583,15 @@
 	fmt.Println(err)
 	// Output:
 	// # expired txn, unknown product, unknown plan, invalid sets, negative units
-	// 10000 reject 1, 2000
-	// 10000 reject 2, 2000
-	// 10000 reject 3, 2000
-	// 10000 submit 4 to 1, 446
-	// 10000 submit 5 to 2, 446
+	// 10000 ms: reject txn 1, after 2000 ms
+	// 10000 ms: reject txn 2, after 2000 ms
+	// 10000 ms: reject txn 3, after 2000 ms
+	// 10000 ms: submit txn 4 to backend 1, after 446 ms
+	// 10000 ms: submit txn 5 to backend 2, after 446 ms
 	// setting me: missing
 }
 
-// Guards against retries that use the last units of a bucket before first attempts.
+// Guards against retries that use up the last units of a bucket before first attempts do.
 func Example_retriesLeaveLowBucket() {
 	s := newWarmScenario()
 	c := customerOwnedBy(0)
@@ -599,12 +602,12 @@
 	s.addTxn(2, c, 0, 0)
 	// Output:
 	// # four of twenty units are left: a retry is rejected at once, a first attempt is submitted
-	// 10000 reject 1, 700
-	// 10000 submit 2 to 1, 446
+	// 10000 ms: reject txn 1, after 700 ms
+	// 10000 ms: submit txn 2 to backend 1, after 446 ms
 }
 
-// Guards against unresponsive backends that stay without submissions after they have recovered. All backends are ejected, also if all of them
-// are unresponsive at the same time, and successful probes readmit them.
+// Guards against unresponsive backends that get no submissions after they have recovered. Even if all backends are unresponsive at
+// the same time, all of them are ejected. Successful probes then readmit them.
 func Example_unresponsiveBackendsAreEjected() {
 	s := newWarmScenario()
 	for _, b := range s.controller.backendsByID {
@@ -624,11 +627,11 @@
 	fmt.Println("readmitted:", !s.controller.backendsByID[0].ejected)
 	// Output:
 	// # no backend has responded for a while: all are ejected and probed
-	// 12200 probe 1
-	// 12300 probe 2
-	// 12400 probe 3
-	// 12700 probe 1
-	// 12800 probe 2
+	// 12200 ms: probe backend 1
+	// 12300 ms: probe backend 2
+	// 12400 ms: probe backend 3
+	// 12700 ms: probe backend 1
+	// 12800 ms: probe backend 2
 	// readmitted: true
 }
 
@@ -650,13 +653,13 @@
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
 	fmt.Println("time-out while no txn has lacked capacity recently, so the work itself takes long: capacity unchanged:", s.controller.capacity == before)
 	// Output:
-	// 10000 submit 1 to 1, 446
+	// 10000 ms: submit txn 1 to backend 1, after 446 ms
 	// time-out at a backend that has not responded since: capacity unchanged: true
 	// time-out at a backend that has responded to other txns since: capacity lowered: true
 	// time-out while no txn has lacked capacity recently, so the work itself takes long: capacity unchanged: true
 }
 
-// Guards against a wide set of gateways that together consume more than a small burst.
+// Guards against the many gateways of a set that together consume more than a small burst.
 func Example_ownerIsAskedIfBurstShareIsTooSmall() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
@@ -681,7 +684,7 @@
 	s.hideDatagrams = false
 	s.addTxn(3, c, 0, 0)
 	s.advance(13140)
-	fmt.Println("# an owner that has just offered its units to one gateway offers the same units to no other gateway")
+	fmt.Println("# an owner that has just promised its units to one gateway promises the same units to no other gateway")
 	c = customerOwnedBy(0)
 	s.controller.plans[0].Burst = 1
 	s.hideDatagrams = true
@@ -693,25 +696,26 @@
 	}
 	// Output:
 	// # the burst of a new customer is less than one unit for each gateway: the owner is asked and has two units
-	// 10000 datagram to 1: delta 1 used 0
-	// 10030 submit 1 to 1, 419
-	// 10030 datagram to 1: delta 2 used 1
+	// 10000 ms: datagram to gateway 1: delta seq=1 units=0
+	// 10030 ms: submit txn 1 to backend 1, after 419 ms
+	// 10030 ms: datagram to gateway 1: delta seq=2 units=1
 	// # the owner has no units: txn 2 is rejected, and its retry delay is the time until the bucket has one unit
-	// 11000 datagram to 1: delta 3 used 0
-	// 11000 reject 2, 100
-	// 11150 datagram to 1: delta 3 used 0
+	// 11000 ms: datagram to gateway 1: delta seq=3 units=0
+	// 11000 ms: reject txn 2, after 100 ms
+	// 11150 ms: datagram to gateway 1: delta seq=3 units=0
 	// # the owner does not answer in time: the burst share is used
-	// 12000 reject 1
-	// 12000 cancel 1/0
-	// 13000 datagram to 1: delta 4 used 0
-	// 13140 datagram to 1: delta 5 used 0
-	// # an owner that has just offered its units to one gateway offers the same units to no other gateway
-	// 13240 submit 3 to 1, 256
-	// 13790 probe 1
-	// 14000 datagram to 2: snapshot left 1 sharers 3 ack 1
+	// 12000 ms: reject txn 1
+	// 12000 ms: cancel txn 1 attempt 0
+	// 13000 ms: datagram to gateway 1: delta seq=4 units=0
+	// 13140 ms: datagram to gateway 1: delta seq=5 units=0
+	// # an owner that has just promised its units to one gateway promises the same units to no other gateway
+	// 13240 ms: submit txn 3 to backend 1, after 256 ms
+	// 13790 ms: probe backend 1
+	// 14000 ms: datagram to gateway 2: snapshot level=1 reporters=3 ack=1
 }
 
-// Guards against a stall of this process that counts as a fault of the backends, and against txns that are submitted after their SLA time.
+// Guards against a stall of this process that counts as a failure of the backends. Also guards against txns that are submitted after
+// their SLA time.
 func Example_processStallIsNoFaultOfBackends() {
 	s := newWarmScenario()
 	s.addTxn(1, customerOwnedBy(0), 0, 0)
@@ -726,16 +730,16 @@
 	s.printDecisions()
 	fmt.Println("loss share of the backend:", b.lossShare, "- time without a response:", s.controller.now-b.unansweredSince)
 	// Output:
-	// 10000 submit 1 to 1, 446
+	// 10000 ms: submit txn 1 to backend 1, after 446 ms
 	// # of eight txns that arrived during two seconds, only the last two have SLA time left
-	// 12000 reject 2, 2000
-	// 12000 reject 3, 2000
-	// 12000 reject 4, 2000
-	// 12000 reject 5, 2000
-	// 12000 reject 6, 2000
-	// 12000 reject 7, 2000
-	// 12000 submit 8 to 1, 121
-	// 12000 submit 9 to 1, 333
+	// 12000 ms: reject txn 2, after 2000 ms
+	// 12000 ms: reject txn 3, after 2000 ms
+	// 12000 ms: reject txn 4, after 2000 ms
+	// 12000 ms: reject txn 5, after 2000 ms
+	// 12000 ms: reject txn 6, after 2000 ms
+	// 12000 ms: reject txn 7, after 2000 ms
+	// 12000 ms: submit txn 8 to backend 1, after 121 ms
+	// 12000 ms: submit txn 9 to backend 1, after 333 ms
 	// loss share of the backend: 0 - time without a response: 0s
 }
 
@@ -756,7 +760,8 @@
 	// peers started 1m0s ago: units at the start of a bucket: 0
 }
 
-// Guards against front doors that exclude a failing backend only after failures of their own submissions. The observations of a peer suffice.
+// Guards against front doors that exclude a failing backend only after failures of their own submissions. The observations of a peer
+// must be enough for the exclusion.
 func Example_peerObservationsExcludeBackend() {
 	s := newWarmScenario()
 	b := s.controller.backends[2]
@@ -772,35 +777,35 @@
 	// an observation of a backend that is not in the list of this front door is ignored, number of backends: 3
 }
 
-// Guards against state that is never removed or is removed too early. A backend that is gone is removed at once, and an owned customer only
-// when its bucket is full again.
+// Guards against state that is never removed or is removed too early. A backend that is gone is removed at once. An owned customer is
+// removed only when its bucket is full again.
 func Example_goneBackendsAndFullBucketsAreRemoved() {
 	s := newWarmScenario()
 	mine, other := customerOwnedBy(0), customerOwnedBy(1)
 	for i := 4; i < 500; i++ {
 		s.changeEndpoints(false, control.Endpoint{ID: control.BackendID(i - 1)}, control.Endpoint{ID: control.BackendID(i), State: control.Ready})
 	}
-	fmt.Println("backends in the list and in the two maps:", len(s.controller.backendsByID), len(s.controller.backends), len(s.controller.backendsByHash))
+	fmt.Println("number of backends in the list and in the two maps:", len(s.controller.backendsByID), len(s.controller.backends), len(s.controller.backendsByHash))
 	s.controller.plans[0].Rate = 2
 	s.addTxn(1, mine, 0, 0)
 	s.endSubmission(1, control.Succeeded)
 	s.addTxn(2, other, 0, 0)
 	s.endSubmission(2, control.Succeeded)
-	for i := 1; i <= 3; i++ { // a peer still uses the bucket, this front door does not
+	for i := 1; i <= 3; i++ { // a peer still consumes units of the bucket, while this front door gets no txns of the customer
 		s.advance(10000 + 4000*i)
 		s.receiveMessage(1, &quota.Message{Epoch: 7, AckEpoch: s.controller.quota.Epoch(), AckHigh: 9, AckMask: 1<<32 - 1, Seq: uint64(i),
 			Deltas: []quota.Delta{{Customer: mine, Units: 15, SetWidth: 3}}})
 	}
 	state, _ := s.controller.quota.AccountState(mine)
-	fmt.Printf("units in the bucket %.0f, customers %d\n", state.Level, s.controller.quota.CustomerCount())
+	fmt.Printf("units in the bucket: %.0f, number of customers: %d\n", state.Level, s.controller.quota.CustomerCount())
 	s.advance(40000)
-	fmt.Println("customers", s.controller.quota.CustomerCount())
+	fmt.Println("number of customers:", s.controller.quota.CustomerCount())
 	// Output:
-	// backends in the list and in the two maps: 3 3 3
-	// 10000 submit 1 to 1, 446
-	// 10000 submit 2 to 2, 446
-	// units in the bucket 0, customers 1
-	// customers 0
+	// number of backends in the list and in the two maps: 3 3 3
+	// 10000 ms: submit txn 1 to backend 1, after 446 ms
+	// 10000 ms: submit txn 2 to backend 2, after 446 ms
+	// units in the bucket: 0, number of customers: 1
+	// number of customers: 0
 }
 
 // Guards against a backend that is never picked again after one report of a high load, since only a pick brings a new report. The weight of
@@ -810,7 +815,7 @@
 	b := s.controller.backends[1]
 	report := func(inFlight float64) {
 		s.controller.SubmissionEnded(0, 0, 1, control.Succeeded, true, 0, []float64{inFlight})
-		fmt.Printf("reported in flight %g: load of the backend %.1f\n", inFlight, s.controller.loadOf(b))
+		fmt.Printf("load report with submissions in flight %g: load of the backend %.1f\n", inFlight, s.controller.loadOf(b))
 	}
 	s.controller.refreshBackends()
 	report(1e5)
@@ -820,16 +825,16 @@
 		fmt.Printf("at %d ms: load of the backend %.1f\n", t, s.controller.loadOf(b))
 	}
 	// Output:
-	// reported in flight 100000: load of the backend 0.0
-	// reported in flight 20: load of the backend 10.0
+	// load report with submissions in flight 100000: load of the backend 0.0
+	// load report with submissions in flight 20: load of the backend 10.0
 	// at 11000 ms: load of the backend 7.5
 	// at 12000 ms: load of the backend 5.0
 	// at 13000 ms: load of the backend 2.5
 	// at 14000 ms: load of the backend 0.0
 }
 
-// Guards against late load reports that repeatedly move customers between backends. A backend with somewhat more load keeps its customers.
-// Only a backend with far more than the mean load loses customers.
+// Guards against late load reports that repeatedly move customers between backends. A backend with somewhat more than the mean load
+// must keep its customers. Only a backend with far more than the mean load loses customers.
 func Example_reportedLoadKeepsRanking() {
 	s := newScenario(defaultTestSettings(0), 0)
 	for id := control.BackendID(1); id <= 20; id++ {
@@ -854,9 +859,9 @@
 		s.endSubmission(control.TxnID(i+2), control.Succeeded)
 	}
 	// Output:
-	// 10000 submit 1 to 14, 446
-	// 10000 submit 2 to 14, 446
+	// 10000 ms: submit txn 1 to backend 14, after 446 ms
+	// 10000 ms: submit txn 2 to backend 14, after 446 ms
 	// submissions in flight: 4 at the backend, 1 at each other backend; the backend is still picked: true
-	// 10000 submit 3 to 1, 446
+	// 10000 ms: submit txn 3 to backend 1, after 446 ms
 	// submissions in flight: 40 at the backend, 1 at each other backend; the backend is still picked: false
 }
--- a/control/loadbalancer/doc.go
+++ b/control/loadbalancer/doc.go
@@ -3,33 +3,44 @@
 //
 // # Overview
 //
-// A txn that its customer's quota covers (package quota) goes to the first backend in the customer's ranking that has capacity. The ranking
-// orders the backends by a hash of customer and backend (rendezvous hashing). The backends in the zone of the front door come first. So the txns
-// of a customer go to the same few backends. The capacity is the number of submissions that this front door may have in flight at a backend. The
-// controller learns the capacity from responses. Late responses lower it, and prompt responses raise it. With hundreds of front doors, each
-// front door sends too few submissions to one backend to learn the state of the backend alone. So each front door reports the outcomes of its
-// last submissions (observations) to the other front doors. The observations are added to the datagrams of package quota, so they need no
-// datagrams of their own.
+// A txn that its customer's quota covers (package quota) goes to the first backend in the customer's ranking that has capacity. The
+// ranking orders the backends by a hash of customer and backend (rendezvous hashing). The backends in the zone of the front door come
+// first. So the txns of a customer go to the same few backends.
+//
+// The controller learns the capacity of the backends from responses. Late responses lower the capacity, and prompt responses raise it.
+// With hundreds of front doors, each front door sends too few submissions to one backend to learn the state of the backend alone. So each
+// front door reports the outcomes of its last submissions (observations) to the other front doors. The observations are added to the
+// datagrams of package quota, so they need no datagrams of their own.
 //
 // # Terms
 //
 //   - Front door: one instance of the load balancer. Its peers are the other instances, which share the customers and the backends.
+//   - Fleet: all backends together.
 //   - Submission: one transmission of a txn to a backend. A retry is another submission.
-//   - Slowdown: the ratio of a backend's response times to the usual ones, smoothed. 1 is usual. It is compared with the median of all backends.
+//   - Product: the kind of a txn. It determines the SLA time and the effect.
+//   - SLA time: the time from the arrival of a txn within which a response has its full value.
+//   - Expiry: the time by which the client must have an answer. The end of the SLA time is never after the expiry.
+//   - Effect: the consequence of running a txn twice. An inquiry-like txn may run any number of times. Backends drop a repeat of a
+//     referenced txn within a time window and within a zone, a pod or the fleet. A once-only txn takes effect each time that it runs.
+//   - Late retry: a client's retry of a txn whose SLA time is over or may be over.
+//   - Kind of work: the txns of one product with the same number of units. The usual response time is learned for each kind of work.
+//   - Slowdown: the smoothed ratio of a backend's response times to the usual response times. A usual backend has a slowdown of 1. The
+//     slowdown is compared with the median of all backends.
 //   - Capacity: the number of submissions that this front door may have in flight at a usual backend.
-//   - Pressure: the state in the 0.3 s after capacity ran out.
+//   - Pressure: the state in the 0.3 s after a txn found no backend with capacity.
+//   - Load report: numbers in the response to a txn or a probe, from which the load of the backend by all front doors is computed.
 //   - Ejected: a backend that gets no txns until probes succeed or the ejection time is over.
 //   - Excluded: a backend that gets no txns of one product.
+//   - Slow start: the time after an ejection in which the share of the capacity that a backend may use grows.
 //   - Warm-up tokens: the budget of submissions to a backend that has just started.
-//   - Effect: the consequence of running a txn twice (inquiry-like, referenced, once-only).
 //
 // # Rules
 //
-// The front door must keep five rules, whatever fails. The method submit checks all of them again before each submission.
+// The front door must keep five rules, whatever fails. The method submit checks rules 1 to 4 again before each submission.
 //
 //  1. Each txn gets exactly one answer, by its expiry.
-//  2. A txn that may have run is sent again, or declared safe to retry, only if its effect allows a repeat. A once-only txn is never repeated. A
-//     referenced txn is repeated only within its window and within its zone or pod.
+//  2. A txn that may have run is sent again, or declared safe to retry, only if its effect allows a repeat. A once-only txn is never
+//     repeated. A referenced txn is repeated only within its window and within its zone or pod.
 //  3. A backend that is draining or gone gets no submissions.
 //  4. A backend that is warming up gets fewer submissions than would overload it.
 //  5. The hard limit of a customer holds over all front doors together (package quota).
--- a/control/loadbalancer/ejection.go
+++ b/control/loadbalancer/ejection.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// shouldEject reports whether to eject a backend while the given number of backends is ejected. maxEjectedShare does not bound the ejection of
-// unresponsive backends, because they get no submissions anyway. Ejection gives them a way back, since probes or a trial after the ejection time
-// readmit an ejected backend regardless of the arriving txns.
+// shouldEject reports whether to eject a backend while the given number of backends is ejected. maxEjectedShare does not bound the
+// ejection of unresponsive backends, because they get no submissions anyway. Ejection lets them recover, because an ejected backend
+// is readmitted by probes or, without probes, after its ejection time.
 func (c *Controller) shouldEject(b *backend, ejected int) bool {
 	if b.unanswered >= 2 && c.now-b.unansweredSince > unresponsiveEjectionTime {
 		return true
@@ -57,8 +57,8 @@
 	b.nextProbeAt = c.now + b.backoff
 }
 
-// readmit ends the ejection of a backend if it has passed enough probes or, if probes are disabled, if its ejection time is over. The backend
-// returns with a slow start. readmit reports whether it ended the ejection.
+// readmitIfRecovered ends the ejection of a backend that has passed enough probes. If probes are disabled, it ends the ejection after
+// the ejection time. The slow start of the backend then begins. readmitIfRecovered reports whether it ended the ejection.
 func (c *Controller) readmitIfRecovered(b *backend) bool {
 	if !c.probesAllowed && c.now < b.nextProbeAt ||
 		c.probesAllowed && (b.passedProbes < probesToReadmit || c.now < b.nextProbeAt-b.backoff+minEjectionTime) {
@@ -74,7 +74,8 @@
 	return (c.loadReportsByProbe || b.ejected && c.probesAllowed) && !b.probing && c.now >= b.nextProbeAt
 }
 
-// probeBefore reports whether b is probed before other. Ejected backends go first, then the backend whose probe was due earlier.
+// precedesInProbing reports whether b is probed before other. An ejected backend precedes a backend that is not ejected. Otherwise,
+// the backend whose probe is due earlier precedes the other.
 func precedesInProbing(b, other *backend) bool {
 	if b.ejected != other.ejected {
 		return b.ejected
@@ -82,8 +83,8 @@
 	return b.nextProbeAt < other.nextProbeAt
 }
 
-// sendProbe probes a backend, unless b is nil, and takes one probe from the probe budget. Txns earn most of this budget, so many front doors
-// together send no more probes than a few.
+// sendProbe probes a backend, unless b is nil, and takes one probe from the probe budget. Most of this budget is earned by txns, so
+// many front doors together send hardly more probes than a few.
 func (c *Controller) sendProbe(b *backend) {
 	c.probeBudget = min(maxProbeBudget, c.probeBudget+idleProbeBudget)
 	if b == nil || c.probeBudget < 1 {
@@ -94,7 +95,7 @@
 	c.decisions = append(c.decisions, control.Decision{Action: control.Probe, Backend: b.ID})
 }
 
-// ProbeEnded records the outcome of a probe and its load report, if it has one.
+// ProbeEnded records the outcome of a probe and the load report in its response, if there is one.
 func (c *Controller) ProbeEnded(backendID control.BackendID, passed bool, _ time.Duration, load []float64) {
 	b := c.backends[backendID]
 	if b == nil {
--- a/control/loadbalancer/outcome.go
+++ b/control/loadbalancer/outcome.go
@@ -7,7 +7,8 @@
 	"clovergap/control/quota"
 )
 
-// recordOutcome updates the statistics from the outcome of a submission. t is nil if the txn has been answered and removed.
+// recordOutcome updates the statistics from the outcome of a submission. t is nil if the txn has been removed. took is the response
+// time, and load is the load report of the backend.
 func (c *Controller) recordOutcome(t *txn, b *backend, ending control.Ending, took time.Duration, load []float64) {
 	if ending == control.Succeeded || ending == control.Errored || ending == control.Rejected {
 		b.unanswered, b.unansweredSince = 0, 0
@@ -17,7 +18,7 @@
 		c.applyLoadReport(b, load)
 	}
 	if t == nil || t.sentAt < c.stallEnd && (ending == control.Succeeded || ending == control.TimedOut) {
-		return // the stall of this process, not the backend, determined how long it took
+		return // the duration shows the stall of this process and not the quality of the backend
 	}
 	observation := quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Product: t.Product, Congestion: c.congestionOf(t, b, ending)}
 	c.adjustCapacity(observation.Congestion)
@@ -46,9 +47,9 @@
 	c.observationCount++
 }
 
-// recordRejection starts a backoff for a backend that rejected a submission. The backoff doubles with each rejection in a row. A rejection shows
-// nothing about other backends. If a rejection lowered the capacity of all backends, one backend that always rejects would leave all others
-// unused.
+// recordRejection starts a backoff for a backend that rejected a submission. The backoff doubles with each rejection in a row. A
+// rejection shows nothing about other backends. So a rejection does not lower the capacity. Otherwise, one backend that always
+// rejects would leave all other backends unused.
 func (c *Controller) recordRejection(b *backend) {
 	b.rejectionBackoffUntil = c.now + rejectionBackoff<<min(b.consecutiveRejections, maxRejectionDoublings)
 	b.consecutiveRejections++
@@ -63,16 +64,17 @@
 	}
 	step := latencySmoothing * (min(took.Seconds(), maxLatencyFactor*usual) - usual)
 	if step > 0 && c.isUnderPressure() {
-		step = 0 // under pressure, response times include queueing, which is no part of the usual time
+		step = 0 // under pressure, response times include queueing time, which is no part of the usual response time
 	}
 	c.usualLatencies[kind] = usual + step
 	return min(took.Seconds()/max(usual, minLatencySeconds), maxLatencyRatio)
 }
 
-// applyObservation updates the statistics from the outcome of one submission of this front door or of a peer. It detects slow, failing and
-// lost backends. A peer's observation has the weight of one response. One observation of a peer cannot readmit an ejected backend.
-// maxEjectedShare bounds the ejections that a peer's observations cause, and the ejected backends are tried again like all others. A peer
-// that is itself slow may report misleading observations.
+// applyObservation updates the statistics from the outcome of one submission of this front door or of a peer. The statistics serve to
+// detect slow, failing and lost backends. A peer's observation has the weight of one response. One observation of a peer cannot
+// readmit an ejected backend. maxEjectedShare bounds the ejections that a peer's observations cause, and the backends that are
+// ejected for this reason are readmitted in the same way as other ejected backends. A peer that is itself slow may report misleading
+// observations.
 func (c *Controller) applyObservation(b *backend, observation quota.Observation) {
 	switch observation.Ratio {
 	case quota.ObservedLost:
@@ -97,10 +99,11 @@
 	c.fleetLossShare += fleetSmoothing * (lost - c.fleetLossShare)
 }
 
-// recordProductResult updates the failure share of one product at a backend and excludes the backend for that product if the share is too high.
-// failed is 1 for a failed submission and 0 otherwise. Each exclusion lasts twice as long as the last one, and after it the product's own txns
-// try the backend again. If a product fails equally at all backends, no backend is at fault. This detects a backend that quickly responds with
-// errors as well as a function that is broken at one backend.
+// recordProductResult updates the failure share of one product at a backend and excludes the backend for that product if the share is
+// too high. failed is 1 for a failed submission and 0 otherwise. Each exclusion lasts twice as long as the last one. After the
+// exclusion, the product's txns use the backend again. If a product fails equally at all backends, no backend is at fault and none is
+// excluded. The exclusion applies to a backend that quickly responds with errors for all products, and to a product that fails at
+// only one backend.
 func (c *Controller) recordProductResult(p control.ProductID, b *backend, failed float64) {
 	f, fleet := &b.failures[p], &c.fleetFailures[p]
 	f.samples = min(f.samples+1, maxFailureSamples)
@@ -109,7 +112,7 @@
 	switch {
 	case f.excludedUntil > c.now:
 		if failed > 0 {
-			f.excludedUntil = c.now + f.backoff // submissions of peers, or ones sent before, still fail
+			f.excludedUntil = c.now + f.backoff // a submission of a peer, or one sent before the exclusion, still fails
 		}
 	case f.share > failureThreshold && f.samples >= 2 && f.share > failureOutlierFactor*fleet.share:
 		f.backoff = min(max(minEjectionTime, 2*f.backoff), maxEjectionTime)
--- a/control/loadbalancer/pick.go
+++ b/control/loadbalancer/pick.go
@@ -10,14 +10,14 @@
 // candidateSet summarizes the backends that are eligible for a txn.
 type candidateSet struct {
 	anyEligible bool
-	inFlight    float64    // submissions of this front door at eligible backends
-	capacity    float64    // capacity of the eligible backends for submissions of this front door
+	inFlight    float64    // number of submissions of this front door in flight at eligible backends
+	capacity    float64    // total capacity of the eligible backends
 	candidates  []*backend // eligible backends that have capacity
 	load        float64    // total load of the candidates
 }
 
-// pick returns the backend for a txn, which is the first one in its customer's ranking that has capacity. It returns nil if no backend has
-// capacity.
+// pickBackend returns the backend for a txn. This is the first backend in the ranking of the txn's customer that has capacity. The
+// result is nil if no backend has capacity.
 func (c *Controller) pickBackend(t *txn) *backend {
 	c.refreshBackends()
 	set := c.candidateSetFor(t)
@@ -33,7 +33,8 @@
 	return c.pickByRank(t, set)
 }
 
-// candidatesFor returns the summary of the eligible backends for a txn. Its candidates are those that have capacity.
+// candidateSetFor returns the summary of the eligible backends for a txn. The candidates are the eligible backends that have
+// capacity.
 func (c *Controller) candidateSetFor(t *txn) candidateSet {
 	set := candidateSet{candidates: c.candidates[:0]}
 	for _, b := range c.readyBackends {
@@ -78,8 +79,8 @@
 	return first
 }
 
-// rankOf returns the rank of a backend for the customer of a txn. In the own zone, a backend whose warm-up tokens expire goes before all others,
-// because at a lower rank its token would expire unused.
+// rankOf returns the rank of a backend for the customer of a txn. In the own zone, a backend whose warm-up tokens expire ranks above
+// all others, because its token would expire unused at a lower rank.
 func (c *Controller) rankOf(b *backend, t *txn) uint64 {
 	rank := control.Hash64(uint64(t.Customer)*control.GoldenRatio64^b.hash) >> 2
 	if b.Zone == c.zone {
@@ -91,8 +92,9 @@
 	return rank
 }
 
-// pickFallback returns the backend to use if none is eligible for a txn. It is the one with the fewest losses and the least load among those
-// that the rules allow and that have capacity. It returns nil if there is none.
+// pickFallbackBackend returns the backend to use if no backend is eligible for a txn. Among the backends that the rules allow and
+// that have capacity, this is the backend with the least sum of loss share and submissions in flight. The result is nil if there is
+// no such backend.
 func (c *Controller) pickFallbackBackend(t *txn) (best *backend) {
 	for _, b := range c.readyBackends {
 		if c.rulesAllow(b, t) && float64(b.inFlight+1) <= max(1, c.capacity) &&
@@ -103,16 +105,16 @@
 	return best
 }
 
-// eligible reports whether a backend is suitable for a txn, regardless of its capacity.
+// isEligible reports whether a backend is suitable for a txn, regardless of its capacity.
 func (c *Controller) isEligible(b *backend, t *txn) bool {
 	if b.ejected || b == t.previousBackend || b.rejectionBackoffUntil > c.now || c.isExcludedFor(b, t) || c.mustAvoidUnresponsive(b, t) || !c.rulesAllow(b, t) {
 		return false
 	}
-	// If a plan limits the submissions in flight, a slow backend would occupy one of these slots for too long.
+	// If a plan limits the submissions in flight, a submission to a slow backend would use up a part of that limit for too long.
 	return c.plans[t.Plan].MaxInFlight <= 0 || b.slowdown <= maxSlowdownForLimitedPlans*c.medianSlowdown
 }
 
-// allowedByRules reports whether rules 2, 3 and 4 of the package comment allow a submission of a txn to a backend.
+// rulesAllow reports whether rules 2, 3 and 4 of the package comment allow a submission of a txn to a backend.
 func (c *Controller) rulesAllow(b *backend, t *txn) bool {
 	if b.State != control.Ready {
 		return false
@@ -127,8 +129,8 @@
 	return b.warmUpShare >= 1 || c.refillWarmUpTokens(b) >= 1
 }
 
-// excludedFor reports whether a backend is excluded for the product of a txn. A once-only txn can't be retried after an error, so it also
-// avoids a backend where any other product fails. Txns of the other products find out when that backend has recovered.
+// isExcludedFor reports whether a backend is excluded for the product of a txn. A once-only txn cannot be retried after an error, so
+// a backend where any other product fails is also excluded for it. Txns of the other products show when that backend has recovered.
 func (c *Controller) isExcludedFor(b *backend, t *txn) bool {
 	if c.products[t.Product].effect == onceOnly {
 		for p, f := range b.failures {
@@ -140,9 +142,10 @@
 	return b.failures[t.Product].excludedUntil > c.now
 }
 
-// unresponsive reports whether a txn must avoid a backend that has not responded for too long. The limit is derived from the usual response
-// time of the txn. An inquiry-like txn tries the backend again after each trialInterval. Without these trials, a backend with too few unanswered submissions to be ejected would never get another chance to
-// respond.
+// mustAvoidUnresponsive reports whether a txn must avoid a backend because the backend has not responded for too long. The longest
+// allowed time without a response is derived from the usual response time of the txn. An inquiry-like txn tries the backend again
+// after each trialInterval. Without these trials, the backend would get no submissions until its ejection and could not show that it
+// has recovered.
 func (c *Controller) mustAvoidUnresponsive(b *backend, t *txn) bool {
 	if b.unanswered < 2 {
 		return false
@@ -152,9 +155,9 @@
 	return !trial && c.now-b.unansweredSince > timeout
 }
 
-// loadOf returns the load of a backend, as the equivalent number of usual txns in flight at a warm backend. The weight of a load report
-// decreases with its age. Otherwise a backend that once reported a high load would not be picked any more and could never report a lower
-// one.
+// loadOf returns the load of a backend. The unit is one usual txn in flight at a warm backend. The weight of a load report decreases
+// with its age. With a constant weight, a backend that once reported a high load would not be picked any more and could never report
+// a lower load.
 func (c *Controller) loadOf(b *backend) float64 {
 	elsewhere := b.inFlightElsewhere * max(0, 1-float64(c.now-b.loadReportedAt)/float64(loadReportTTL))
 	return (float64(b.inFlight) + elsewhere) * max(b.slowdown/c.medianSlowdown, minLoadSlowdown) / b.warmUpShare
@@ -169,13 +172,14 @@
 	return minSlowStartShare + (1-minSlowStartShare)*float64(c.now-b.slowStartedAt)/float64(slowStartTime)
 }
 
-// warmUpTokensNow updates the budget of submissions to a backend that is warming up and returns it. In each overload window, the budget
-// earns tokens at this front door's rate to a warm backend, multiplied by the warm-up share of the backend, overloadFactor and
-// warmUpBudgetShare. So all front doors together stay below the rate that would overload the backend.
+// refillWarmUpTokens refills the budget of submissions to a backend that is warming up, up to the present, and returns the number of
+// tokens. In each overload window, the budget earns tokens at this front door's rate to a warm backend, multiplied by the warm-up
+// share of the backend, overloadFactor and warmUpBudgetShare. So all front doors together stay below the rate that would overload the
+// backend.
 func (c *Controller) refillWarmUpTokens(b *backend) float64 {
 	minRate := warmUpBudgetShare / float64(c.gateways) / c.longestAssumedLatency()
 	rate := b.warmUpShare * max(c.warmRate, minRate) * c.overloadFactor * warmUpBudgetShare
-	if b.warmUpTokensAt == 0 { // a random initial fraction of a token, so that many front doors keep the rate together from the start
+	if b.warmUpTokensAt == 0 { // the initial fraction of a token is random, so that many front doors together keep to the rate from the start
 		b.warmUpTokens, b.warmUpTokensAt = c.rng.Float64(), c.now
 	}
 	b.warmUpTokens, b.warmUpTokensAt = b.warmUpTokens+rate*(c.now-b.warmUpTokensAt).Seconds(), c.now
--- a/control/loadbalancer/recorded_test.go
+++ b/control/loadbalancer/recorded_test.go
@@ -14,11 +14,11 @@
 	"clovergap/control"
 )
 
-// These tests compare the decisions with those of 2 December 2026, including every random draw and every byte of the datagrams, over runs with
-// losses, unresponsive backends and restarts. They guard against a refactoring that changes decisions. A change that is meant to change
-// decisions records new digests.
+// The tests in this file guard against a refactoring that changes decisions. They compare decisions and datagrams with digests that
+// were recorded on 2 December 2026. The runs include lost datagrams, unresponsive backends and restarts of backends. A change that is
+// meant to change decisions must record new digests.
 
-// decisionRecorder computes the digest of decisions.
+// decisionRecorder computes the digest of a sequence of decisions.
 type decisionRecorder struct {
 	hash.Hash64
 	count int
@@ -35,8 +35,8 @@
 
 func (d *decisionRecorder) digest() string { return fmt.Sprintf("%d %016x", d.count, d.Sum64()) }
 
-// recordedSettings returns the settings of a scenario, with plans that limit the submissions in flight, that have a hard limit, and that gain by
-// responses beyond the quota.
+// recordedSettings returns the settings of one front door. Of the four plans, plan 1 has a hard limit, plan 2 limits the submissions
+// in flight, and responses beyond the quota have a value for plan 3.
 func recordedSettings(me int) control.Settings {
 	s := defaultTestSettings(me)
 	s["quota.mail_per_s"], s["products.1.late_value"], s["plans.count"] = "400", "0.3", "4"
@@ -51,8 +51,8 @@
 	return s
 }
 
-// simulateFrontDoors simulates three front doors and eight backends, of which some are slow, failing, unreachable or new. It returns the
-// digest of the decisions.
+// simulationDigest simulates three front doors and eight backends and returns the digest of the decisions. Some backends are slow,
+// failing, unreachable or warming up.
 func simulationDigest(seed int64, load float64, change func(control.Settings)) string {
 	type event struct {
 		at       time.Duration
@@ -84,7 +84,7 @@
 		}
 		d.EndpointsChanged(true, all)
 	}
-	isStalled := func(step int) bool { return step%1500 > 1420 } // for the second front door, at intervals
+	isStalled := func(step int) bool { return step%1500 > 1420 } // the second front door stalls repeatedly
 	attempts := map[[2]int]int{}
 	unanswered := map[[2]int]bool{}
 	inFlight := [9]int{}
--- a/control/loadbalancer/scenario_test.go
+++ b/control/loadbalancer/scenario_test.go
@@ -8,15 +8,17 @@
 	"clovergap/control/quota"
 )
 
-// scenario drives one controller and prints its decisions. Times in arguments and in the output are in milliseconds.
+// scenario drives one controller and prints its decisions. Times in arguments and in the output are in milliseconds. In the output,
+// "after" is Decision.After, which is the time-out of a submission or the retry delay of a rejection.
 type scenario struct {
 	controller    *Controller
 	datagrams     []*quota.Message
-	hideDatagrams bool // do not print datagrams
+	hideDatagrams bool // true means that datagrams are not printed
 }
 
-// settings returns settings with these products: 0 is inquiry-like, 1 is referenced in its pod, 2 is once-only and 3 is referenced everywhere.
-// Plan 0 has ten units per second and a burst of 20. Plan 1 has the same and a hard limit of 20 units per second with a burst of 20.
+// defaultTestSettings returns the settings of front door me. Product 0 is inquiry-like, product 1 is referenced with scope pod,
+// product 2 is once-only, and product 3 is referenced with scope all. Plan 0 has ten units per second and a burst of 20. Plan 1 has
+// the same and a hard limit of 20 units per second with a burst of 20.
 func defaultTestSettings(me int) control.Settings {
 	s := control.Settings{"me": fmt.Sprint(me), "gateways": "3", "zone": "0", "limits.probes": "true",
 		"limits.peers": "true", "limits.cancel": "true", "limits.advice": "true",
@@ -74,7 +76,7 @@
 	s.controller.EndpointsChanged(complete, l)
 }
 
-// arrive adds a txn of the customer with one unit and an expiry in two seconds, and prints the decisions.
+// addTxn adds a txn of customer c, product p and plan pl with one unit and an expiry in two seconds, and prints the decisions.
 func (s *scenario) addTxn(id control.TxnID, c control.CustomerID, p control.ProductID, pl control.PlanID) {
 	s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Product: p, Plan: pl, Units: 1, SetWidth: 3,
 		Expiry: s.controller.now + 2*time.Second})
@@ -88,7 +90,7 @@
 	s.printDecisions()
 }
 
-// ownedBy returns a customer that the set of all three gateways serves and that the given gateway owns.
+// customerOwnedBy returns a customer whose owner is gateway g if the set consists of all three gateways.
 func customerOwnedBy(g control.GatewayID) control.CustomerID {
 	for c := control.CustomerID(1); ; c++ {
 		if quota.OwnerOf(c, 0, 3, 3) == g {
@@ -97,15 +99,15 @@
 	}
 }
 
-// drainBucket consumes units until the given number is left. The bucket must be of plan 0, owned by this gateway, and have at least that
-// many units.
+// drainBucket consumes units of a customer until the given number is left. The customer must have plan 0, and this gateway must own
+// its bucket. The bucket must hold at least the given number of units.
 func (s *scenario) drainBucket(c control.CustomerID, left float64) {
 	s.controller.quota.EnsureAccount(c, 0, 0, 3)
 	state, _ := s.controller.quota.AccountState(c)
 	s.controller.quota.Consume(c, state.Level-left)
 }
 
-// receive delivers a message from a peer and prints the decisions.
+// receiveMessage delivers a message from a peer and prints the decisions.
 func (s *scenario) receiveMessage(from control.GatewayID, m *quota.Message) {
 	s.controller.DatagramReceived(from, m.Encode())
 	s.printDecisions()
@@ -122,24 +124,24 @@
 	}
 }
 
-// format returns a decision as a line, or an empty string if the decision is not printed.
+// formatDecision returns the line to print for a decision, or an empty string if the decision is not printed.
 func (s *scenario) formatDecision(x control.Decision) string {
-	t := fmt.Sprintf("%5d ", s.controller.now.Milliseconds())
+	t := fmt.Sprintf("%5d ms: ", s.controller.now.Milliseconds())
 	limit := ""
 	if x.After > 0 {
-		limit = fmt.Sprintf(", %d", x.After.Milliseconds())
+		limit = fmt.Sprintf(", after %d ms", x.After.Milliseconds())
 	}
 	switch x.Action {
 	case control.Submit:
-		return fmt.Sprintf("%ssubmit %d to %d%s\n", t, x.Txn, x.Backend, limit)
+		return fmt.Sprintf("%ssubmit txn %d to backend %d%s\n", t, x.Txn, x.Backend, limit)
 	case control.Reject:
-		return fmt.Sprintf("%sreject %d%s\n", t, x.Txn, limit)
+		return fmt.Sprintf("%sreject txn %d%s\n", t, x.Txn, limit)
 	case control.Fail:
-		return fmt.Sprintf("%sfail %d\n", t, x.Txn)
+		return fmt.Sprintf("%sfail txn %d\n", t, x.Txn)
 	case control.Cancel:
-		return fmt.Sprintf("%scancel %d/%d\n", t, x.Txn, x.Attempt)
+		return fmt.Sprintf("%scancel txn %d attempt %d\n", t, x.Txn, x.Attempt)
 	case control.Probe:
-		return fmt.Sprintf("%sprobe %d\n", t, x.Backend)
+		return fmt.Sprintf("%sprobe backend %d\n", t, x.Backend)
 	case control.SendDatagram:
 		m, err := quota.DecodeMessage(x.Payload)
 		if err != nil {
@@ -149,12 +151,12 @@
 		if s.hideDatagrams {
 			return ""
 		}
-		text := fmt.Sprintf("%sdatagram to %d:", t, x.Peer)
+		text := fmt.Sprintf("%sdatagram to gateway %d:", t, x.Peer)
 		for _, l := range m.Deltas {
-			text += fmt.Sprintf(" delta %d used %g", m.Seq, l.Units)
+			text += fmt.Sprintf(" delta seq=%d units=%g", m.Seq, l.Units)
 		}
 		for _, l := range m.Snapshots {
-			text += fmt.Sprintf(" snapshot left %g sharers %d ack %d", l.Level, l.Reporters, m.AckHigh)
+			text += fmt.Sprintf(" snapshot level=%g reporters=%d ack=%d", l.Level, l.Reporters, m.AckHigh)
 		}
 		return text + "\n"
 	}
--- a/control/loadbalancer/settings.go
+++ b/control/loadbalancer/settings.go
@@ -14,9 +14,9 @@
 type effect string
 
 const (
-	inquiryLike effect = "inquiry-like" // no effect, so it may be sent again at any time
-	referenced  effect = "referenced"   // backends drop the repeat, within a window and a scope
-	onceOnly    effect = "once-only"    // the txn takes effect twice
+	inquiryLike effect = "inquiry-like" // running the txn again changes nothing, so a retry is allowed at any time
+	referenced  effect = "referenced"   // backends drop a repeat within a time window and a scope
+	onceOnly    effect = "once-only"    // running the txn again repeats its effect, so a retry is forbidden if the txn may have run
 )
 
 // scope is the set of backends that drop a repeat of a referenced txn.
@@ -24,8 +24,8 @@
 
 const (
 	scopeAll  scope = "all"
-	scopeZone scope = "zone" // backends of the zone in which it ran first
-	scopePod  scope = "pod"  // backends of the pod in which it ran first
+	scopeZone scope = "zone" // backends of the zone in which the txn ran first
+	scopePod  scope = "pod"  // backends of the pod in which the txn ran first
 )
 
 // product is a kind of txn.
@@ -37,11 +37,12 @@
 	value         float64       // value of a response per unit
 	lateValue     float64       // value of a late response
 	clientTimeout time.Duration // time-out of a client over all its attempts
-	// attemptTimeout is a client's time-out for one attempt. It is learned from first attempts and is 0 while it is unknown.
+	// attemptTimeout is a client's time-out for one attempt. The value is learned from first attempts. It is 0 while the time-out is
+	// unknown.
 	attemptTimeout time.Duration
 }
 
-// plan is the terms of a customer.
+// plan holds the limits, the price and the charges of a customer.
 type plan struct {
 	quota.Limit
 	price          float64
@@ -49,7 +50,7 @@
 	overQuotaCost  float64 // charge to the customer for a response beyond the quota
 }
 
-// SettingError reports a missing or invalid setting.
+// SettingError is the error for a missing or invalid setting.
 type SettingError struct {
 	Name    string // name of the setting, or names of several related settings
 	Problem string
@@ -57,13 +58,13 @@
 
 func (s *SettingError) Error() string { return fmt.Sprintf("setting %s: %s", s.Name, s.Problem) }
 
-// settingsReader reads settings and keeps the first error.
+// settingsReader reads settings and records the first error.
 type settingsReader struct {
 	settings control.Settings
 	err      error // nil or a *SettingError
 }
 
-// fail records an error, unless there is one already.
+// recordError records an error, unless an earlier error is recorded.
 func (s *settingsReader) recordError(name, problem string) {
 	if s.err == nil {
 		s.err = &SettingError{Name: name, Problem: problem}
@@ -95,14 +96,14 @@
 	return v
 }
 
-// duration reads a number of microseconds.
+// readDuration reads a number of microseconds.
 func (s *settingsReader) readDuration(name string) time.Duration {
 	return time.Duration(s.readNumber(name) * float64(time.Microsecond))
 }
 
 func (s *settingsReader) readBoolean(name string) bool { return s.readText(name) == "true" }
 
-// list reads names that are separated by commas. It returns nil for a missing setting.
+// readList reads names that are separated by commas. It returns nil for a missing or empty setting.
 func (s *settingsReader) readList(name string) []string {
 	if s.settings[name] == "" {
 		return nil
--- a/control/loadbalancer/settings_test.go
+++ b/control/loadbalancer/settings_test.go
@@ -9,8 +9,8 @@
 	"clovergap/control"
 )
 
-// Guards against an error that leaves the operator to search for the setting. New reports the first setting that is missing or invalid by
-// its name.
+// Guards against an error that does not name the invalid setting. New must report the name of the first setting that is missing or
+// invalid.
 func TestNewReportsFirstInvalidSetting(t *testing.T) {
 	for _, tc := range []struct{ name, value, problem string }{
 		{"me", "", "missing"},
--- a/control/loadbalancer/tuning.go
+++ b/control/loadbalancer/tuning.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// A share of 1 is the whole.
+// A constant whose name contains Share is a fraction of 1.
 
 // Periodic work.
 const (
 	// busySweepInterval is the interval between sweeps while a txn or the quota waits for an event.
 	busySweepInterval = 20 * time.Millisecond
-	// refreshInterval is the interval between sweeps otherwise, and the least interval between two refreshes of the backend statistics.
+	// refreshInterval is the interval between sweeps while nothing waits, and the least interval between two refreshes of the backend
+	// statistics.
 	refreshInterval = 100 * time.Millisecond
 	// stallThreshold is the time without a call of Now after which the process counts as stalled.
 	stallThreshold = 250 * time.Millisecond
@@ -24,8 +25,8 @@
 	minDatagramInterval = 10 * time.Millisecond
 	// snapshotTTL is the time for which a snapshot from an owner may be used.
 	snapshotTTL = 1000 * time.Millisecond
-	// A txn may exceed its quota, if its plan gains by that, while less than maxOverQuotaUtilization of the capacity is in use and no txn
-	// has lacked capacity for overQuotaCooldown.
+	// A txn may exceed its quota if responses beyond the quota have a value for its plan. At that time, less than
+	// maxOverQuotaUtilization of the capacity must be in use, and no txn may have lacked capacity for overQuotaCooldown.
 	maxOverQuotaUtilization = 0.4
 	overQuotaCooldown       = 3 * time.Second
 )
@@ -35,7 +36,7 @@
 	// The front door itself answers a txn at expiryMargin before the expiry of the txn.
 	expiryMargin = 2 * time.Millisecond
 	// slaMargin is the time before the end of the SLA time at which a submission times out. A later response has too little value for
-	// its work.
+	// the work that it takes.
 	slaMargin = 4 * time.Millisecond
 	// networkMargin is the allowance for the network delay to a backend.
 	networkMargin = 40 * time.Millisecond
@@ -43,8 +44,8 @@
 	responseTimeout = 100 * time.Millisecond
 	// backendQueueTimeShare is the longest time for which a txn waits for a backend, as a share of the SLA time.
 	backendQueueTimeShare = 0.35
-	// A first submission times out after firstAttemptShare of the remaining time, so that there is time for a retry. This holds only if
-	// that time is more than firstAttemptFactor times the usual response time.
+	// A first submission times out after firstAttemptShare of the remaining time, so that there is time for a retry. This applies
+	// only if the shortened time-out is more than firstAttemptFactor times the usual response time.
 	firstAttemptShare  = 0.9
 	firstAttemptFactor = 4
 	// Each txn adds retryBudgetPerTxn retries to the retry budget, which holds at most maxRetryBudget.
@@ -56,8 +57,8 @@
 const (
 	// smoothing is the weight of a new sample in the moving averages of a backend.
 	smoothing = 0.1
-	// fleetSmoothing is the weight of a new sample in the moving averages over all backends. latencySmoothing is its weight in the usual
-	// response time of a kind of work.
+	// fleetSmoothing is the weight of a new sample in the moving averages over all backends. latencySmoothing is the weight of a new
+	// sample in the usual response time of a kind of work.
 	fleetSmoothing   = smoothing / 5
 	latencySmoothing = smoothing / 2
 	// loadSmoothing is the weight of a load report in the load of a backend.
@@ -78,7 +79,7 @@
 	minSlowdown = 0.1
 	// rateWindow is the time constant in seconds of the smoothed completion rate.
 	rateWindow = 3.0
-	// observationsPerMessage is the number of last submissions that are reported to peers.
+	// observationsPerMessage is the maximum number of submissions whose outcomes one datagram to a peer reports.
 	observationsPerMessage = 5
 )
 
@@ -104,9 +105,9 @@
 	// rejection in a row, at most maxRejectionDoublings times.
 	rejectionBackoff      = 100 * time.Millisecond
 	maxRejectionDoublings = 5
-	// A backend with at least two unanswered submissions is unresponsive after unresponsiveFactor times the usual response time without
-	// any response, but not before minUnresponsiveTime. It is ejected after unresponsiveEjectionTime. Until then, an inquiry-like txn
-	// tries it after each trialInterval.
+	// A backend with at least two unanswered submissions is unresponsive after unresponsiveFactor times the usual response time
+	// without any response, but not before minUnresponsiveTime. The backend is ejected after unresponsiveEjectionTime. Until then,
+	// one inquiry-like txn is submitted to the backend after each trialInterval.
 	unresponsiveFactor       = 4.0
 	minUnresponsiveTime      = 200 * time.Millisecond
 	unresponsiveEjectionTime = 1600 * time.Millisecond
@@ -121,15 +122,15 @@
 	// slowStartTime is the time after an ejection in which the share of a backend grows from minSlowStartShare to 1.
 	slowStartTime     = 4 * time.Second
 	minSlowStartShare = 0.2
-	// A certain number of submissions overloads a backend that is warming up. All front doors together send it warmUpBudgetShare of this
-	// number.
+	// The settings define the number of submissions that overloads a backend that is warming up. All front doors together send
+	// warmUpBudgetShare of this number to the backend.
 	warmUpBudgetShare = 0.5
 )
 
 // Capacity.
 const (
-	// initialCapacity is the initial capacity of all front doors together, in submissions in flight at one backend. Later it is between
-	// minCapacity and maxCapacity.
+	// initialCapacity is the initial capacity of all front doors together, in submissions in flight at one backend. Later, the
+	// learned capacity is between minCapacity and maxCapacity.
 	initialCapacity = 4.0
 	minCapacity     = 1.0
 	maxCapacity     = 40.0
@@ -144,8 +145,8 @@
 	// SLA time.
 	lateSLAShare    = 0.4
 	maxLateSLAShare = 0.9
-	// If the slowdown of a backend is above slowOutlierRatio times the median, its late responses are its own fault and show no congestion
-	// of the fleet.
+	// If the slowdown of a backend is above slowOutlierRatio times the median, its late responses are attributed to the backend and
+	// not to congestion of the fleet.
 	slowOutlierRatio = 1.7
 	// pressureTTL is the time for which a lack of capacity counts as pressure.
 	pressureTTL = 300 * time.Millisecond
@@ -155,11 +156,11 @@
 const (
 	// At most maxInFlightFactor times its capacity is in flight at one backend.
 	maxInFlightFactor = 1.5
-	// At most burstAllowance times the square root of the whole capacity is in flight beyond that capacity. Txns arrive unevenly, and the
-	// fewer there are, the more unevenly.
+	// At most burstAllowance times the square root of the whole capacity is in flight beyond that capacity. Txns arrive at random,
+	// and the relative variation of their number is the larger, the fewer they are.
 	burstAllowance = 1.0
-	// A candidate is skipped if one more submission would raise its load above maxLoadFactor times the mean load plus one. The factor is
-	// large because load reports are late.
+	// A candidate is skipped if one more submission would raise its load above maxLoadFactor times the mean load plus one. The factor
+	// is large because load reports arrive late.
 	maxLoadFactor = 8.0
 	// minLoadSlowdown is the lower bound of the factor by which the load of a fast backend is reduced.
 	minLoadSlowdown = 0.5
--- a/control/loadbalancer/txn.go
+++ b/control/loadbalancer/txn.go
@@ -12,18 +12,18 @@
 	control.Txn
 	arrived     time.Duration
 	slaDeadline time.Duration // end of the SLA time
-	lateRetry   bool          // a retry by the client whose SLA time is over or may be over
-	ended       bool          // it is answered, or its client has left
+	lateRetry   bool          // a retry by the client, for which the SLA time is over or may be over
+	ended       bool          // the txn is answered, or its client has left
 
 	// Waiting.
-	queued   bool // it is in Controller.waiting
-	giveUpAt time.Duration
-	reason   control.Reason // the resource that it lacked last
+	queued   bool           // the txn is in Controller.waiting
+	giveUpAt time.Duration  // end of the waiting time
+	reason   control.Reason // what the txn lacked at the last decision
 
 	// Quota. At most one of these is true.
-	reserved  bool // its units are reserved while it waits for a backend
-	consumed  bool // its units are consumed
-	overQuota bool // it is admitted beyond the quota and consumes no units
+	reserved  bool // the units are reserved while the txn waits for a backend
+	consumed  bool // the units are consumed
+	overQuota bool // the txn is admitted beyond the quota and consumes no units
 
 	// Submissions.
 	submissions     int
@@ -38,7 +38,7 @@
 	ranPod     control.PodID
 }
 
-// needsQuota reports whether the quota has yet to admit the txn.
+// needsQuotaCheck reports whether the quota has not admitted the txn yet.
 func (t *txn) needsQuotaCheck() bool { return !t.consumed && !t.overQuota && !t.reserved }
 
 // TxnArrived adds a txn from a client, to be decided by Next. It ignores a txn whose ID is in use.
@@ -58,11 +58,11 @@
 	c.undecided = append(c.undecided, t)
 }
 
-// setDeadlines sets the end of a txn's SLA time. Clients count their SLA time and their time-out from the first attempt. So the expiry of an
-// attempt is the rest of the client's time-out. The expiry is earlier if the client also has a shorter time-out for one attempt. The expiries
-// of first attempts show that time-out. A retry with SLA time left is treated as a first attempt. A retry is a late retry if its remaining SLA
-// time is unknown, or if its SLA time is over while a late response still has some value. A late retry leaves low quota buckets and scarce
-// capacity to other txns.
+// setDeadlines sets the end of a txn's SLA time. Clients count their SLA time and their time-out from the first attempt. So the
+// expiry of an attempt is the rest of the client's time-out. The expiry is earlier if the client has a shorter time-out for each
+// attempt. The expiries of first attempts show this shorter time-out. A retry with SLA time left is treated as a first attempt. A
+// retry is a late retry if its remaining SLA time is unknown, or if its SLA time is over while a late response still has some value.
+// A late retry leaves low quota buckets and scarce capacity to other txns.
 func (c *Controller) setDeadlines(t *txn) {
 	p := &c.products[t.Product]
 	remaining := t.Expiry - c.now
@@ -79,8 +79,8 @@
 	}
 }
 
-// backdateArrivals moves the SLA deadlines of the txns that arrived during a stall of this process as if they had arrived evenly over it.
-// Txns whose SLA time is over by now are then rejected at once and consume no units.
+// backdateArrivals moves the SLA deadlines of the txns that arrived during a stall of this process. It assumes that the arrivals were
+// spread evenly over the stall. Txns whose SLA time is over by now are then rejected at once and consume no units.
 func (c *Controller) backdateArrivals() {
 	n := len(c.undecided)
 	for i, t := range c.undecided {
@@ -92,7 +92,7 @@
 	c.stallStart = c.stallEnd
 }
 
-// decide submits a txn that has no submission in flight, lets it wait, or answers it.
+// decideTxn submits a txn that has no submission in flight, lets it wait, or answers it.
 func (c *Controller) decideTxn(t *txn) {
 	if t.ended || t.currentBackend != nil || t.queued {
 		return
@@ -117,7 +117,7 @@
 	}
 	switch {
 	case t.lateRetry && t.submissions == 0 && (b == nil || c.isUnderPressure()):
-		c.rejectOrFail(t, c.maxRetryAfter) // the remaining capacity is for first attempts
+		c.rejectOrFail(t, c.maxRetryAfter) // the remaining capacity is reserved for first attempts
 	case b == nil:
 		c.awaitBackend(t, account)
 	default:
@@ -152,8 +152,8 @@
 	return true
 }
 
-// awaitBackend lets a txn wait for a backend. It reserves the units of the txn, because the quota snapshot that covers the txn may become
-// too old while the txn waits.
+// awaitBackend adds a txn to the waiting txns until a backend has capacity. It reserves the units of the txn, because the quota
+// snapshot that covers the txn may become too old while the txn waits.
 func (c *Controller) awaitBackend(t *txn, account *quota.Account) {
 	c.saturatedAt = c.now
 	if t.needsQuotaCheck() {
@@ -163,21 +163,22 @@
 	c.queueUntil(t, t.arrived+time.Duration(backendQueueTimeShare*float64(c.products[t.Product].slaTime)))
 }
 
-// valueRate returns the value of a txn per second of its usual response time. It is independent of the plan, so that no txn is passed over
-// for the price of its plan.
+// valueRate returns the value of a txn per second of its usual response time. The value is independent of the plan, so that the price
+// of a plan gives a txn no priority.
 func (c *Controller) valueRate(t *txn) float64 {
 	return c.products[t.Product].value * max(t.Units, 1) / max(c.usualLatency(t).Seconds(), 0.001)
 }
 
-// mayExceedQuota reports whether a txn that exceeds its quota is admitted. This is an exception for plans that gain by it and are not
-// charged. It holds only while the backends clearly have spare capacity and no txn has recently lacked capacity.
+// mayExceedQuota reports whether a txn that exceeds its quota is admitted. The plan must have a value for responses beyond the quota
+// and no charge for them. In addition, the backends must have spare capacity, and no txn may have lacked capacity recently.
 func (c *Controller) mayExceedQuota(account *quota.Account, t *txn) bool {
 	p := &c.plans[account.PlanID()]
 	return p.overQuotaValue > 0 && p.overQuotaCost <= 0 && p.MaxInFlight == 0 && p.HardRate <= 0 && !t.lateRetry &&
 		c.utilization < maxOverQuotaUtilization && c.now-c.saturatedAt > overQuotaCooldown
 }
 
-// enqueue lets a txn wait at most until the given time. It answers the txn at once if that time has passed.
+// queueUntil adds a txn to the waiting txns until the given time at the latest. If that time has passed, the txn is rejected or
+// failed at once.
 func (c *Controller) queueUntil(t *txn, until time.Duration) {
 	if until <= c.now {
 		c.rejectOrFail(t, 0)
@@ -191,8 +192,8 @@
 	c.waiting = append(c.waiting, t)
 }
 
-// expire answers a txn at its expiry or when it has waited for too long. A txn that waits for units is decided a last time instead, because
-// it may be admitted from the burst share if the owner of the quota has not answered.
+// handleTxnTimer rejects or fails a txn at its expiry or when it has waited for too long. At the end of its waiting time, a txn that
+// waits for units is decided once more instead. If the owner of the quota has not answered, the burst share may admit the txn.
 func (c *Controller) handleTxnTimer(t *txn) {
 	expired := c.now >= t.Expiry-expiryMargin
 	if t.queued && !expired && c.now >= t.giveUpAt && (t.reason == control.ReasonNoUnits || t.reason == control.ReasonNoSnapshot) {
@@ -206,9 +207,10 @@
 	c.rejectOrFail(t, 0)
 }
 
-// finish rejects or fails a txn that gets no response from a backend. No other function does so, which keeps rules 1 and 2. A rejection promises
-// the client that a retry is safe. So a txn is rejected only if no submission of it may have run, or if its product allows repeats at all
-// backends.
+// rejectOrFail rejects or fails a txn that gets no response from a backend. No other function does so. Therefore only this function
+// has to ensure that such a txn is answered once (rule 1) and is declared safe to retry only if a retry is safe (rule 2). A rejection
+// promises the client that a retry is safe. So a txn is rejected only if no submission of it may have run, or if its product allows
+// repeats at all backends.
 func (c *Controller) rejectOrFail(t *txn, retryAfter time.Duration) {
 	if t.ended {
 		return
@@ -233,7 +235,7 @@
 	}
 }
 
-// repeatable reports whether a txn that may have run may be sent again now (rule 2).
+// mayRepeat reports whether a txn that may have run may be sent again now (rule 2).
 func (c *Controller) mayRepeat(t *txn) bool {
 	switch p := c.products[t.Product]; p.effect {
 	case inquiryLike:
@@ -244,7 +246,7 @@
 	return false
 }
 
-// submit sends a txn to a backend. No other function does so, and it checks every rule of the package comment again.
+// submit sends a txn to a backend. All submissions are made by this function. It checks rules 1 to 4 of the package comment again.
 func (c *Controller) submit(t *txn, account *quota.Account, b *backend) {
 	if t.ended || t.currentBackend != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-expiryMargin || !c.rulesAllow(b, t) {
 		c.rejectOrFail(t, 0)
@@ -278,7 +280,7 @@
 // countSubmission records a submission in the statistics of its backend and in the mean work of all txns.
 func (c *Controller) countSubmission(t *txn, b *backend) {
 	if b.warmUpShare < 1 {
-		b.warmUpTokens -= c.relativeWork(t) // may go below 0, so that the budget recovers from a large txn before the next one
+		b.warmUpTokens -= c.relativeWork(t) // may go below 0; the budget must then recover before the next submission
 	}
 	if c.meanUsualLatency <= 0 {
 		c.meanUsualLatency = c.usualLatency(t).Seconds()
@@ -292,9 +294,9 @@
 	b.inFlight++
 }
 
-// submissionTimeout returns the time after which a submission times out. It ends slaMargin before the end of the SLA time, and earlier for a
-// first submission if there is time for a retry. It is 0 for a once-only txn, whose submission times out at the expiry of the txn. Such a
-// txn is not retried, so a late response is better than none.
+// submissionTimeout returns the time after which a submission times out. The time-out is slaMargin before the end of the SLA time.
+// For a first submission, it is earlier if there is time for a retry. For a once-only txn, the result is 0, so that the submission
+// times out at the expiry of the txn. A once-only txn is not retried after a time-out, so a late response is better than none.
 func (c *Controller) submissionTimeout(t *txn) time.Duration {
 	if c.products[t.Product].effect == onceOnly {
 		return 0
@@ -307,8 +309,8 @@
 	return timeout
 }
 
-// SubmissionEnded records the only outcome of a submission. attempt counts from 0. answered reports whether the client has an answer or has
-// left.
+// SubmissionEnded records the outcome of a submission. The host calls it once for each submission. attempt counts from 0. answered
+// reports whether the client has an answer or has left.
 func (c *Controller) SubmissionEnded(id control.TxnID, attempt int, backendID control.BackendID, ending control.Ending, answered bool, took time.Duration,
 	load []float64) {
 	t, b := c.txns[id], c.backends[backendID]
@@ -342,7 +344,8 @@
 	}
 }
 
-// forget ends a txn and removes it. If a submission is in flight, the txn stays until its outcome, which still counts for the backend.
+// endTxn ends a txn and removes it. If a submission is in flight, the txn is kept until the submission ends, because the outcome
+// still counts in the statistics of the backend.
 func (c *Controller) endTxn(t *txn) {
 	t.ended = true
 	c.releaseReservation(t)
--- a/control/loadbalancer/work.go
+++ b/control/loadbalancer/work.go
@@ -13,7 +13,8 @@
 	return int(t.Product)*(maxWorkUnits+1) + int(min(max(t.Units, 0), maxWorkUnits))
 }
 
-// usualLatency returns the usual response time for the kind of work of a txn. While it is unknown, it is a part of the product's SLA time.
+// usualLatency returns the usual response time for the kind of work of a txn. While this time is unknown, the result is the product's
+// SLA time divided by unknownLatencyDivisor.
 func (c *Controller) usualLatency(t *txn) time.Duration {
 	if seconds, ok := c.usualLatencies[c.workKind(t)]; ok {
 		return time.Duration(seconds * float64(time.Second))
@@ -21,7 +22,8 @@
 	return c.products[t.Product].slaTime / unknownLatencyDivisor
 }
 
-// slowestLatency returns the longest of the usual response times that are assumed for the products while the real ones are unknown, in seconds.
+// longestAssumedLatency returns, in seconds, the longest of the response times that are assumed for the products while the usual
+// response times are unknown.
 func (c *Controller) longestAssumedLatency() float64 {
 	slowest := 0.0
 	for p := range c.products {
@@ -30,8 +32,8 @@
 	return max(slowest, 0.001)
 }
 
-// workWeight returns the ratio of a txn's work to the mean work of the submitted txns. The budget of a backend that is warming up counts
-// work, not txns.
+// relativeWork returns the ratio of a txn's work to the mean work of the submitted txns. The warm-up tokens of a backend count work
+// and not txns.
 func (c *Controller) relativeWork(t *txn) float64 {
 	if c.meanUsualLatency <= 0 {
 		return 1
@@ -47,7 +49,7 @@
 	}
 }
 
-// completionRateNow returns the smoothed rate of responses from warm backends, per second.
+// currentCompletionRate returns the smoothed rate of responses from warm backends, per second.
 func (c *Controller) currentCompletionRate() float64 {
 	return c.completionRate * math.Exp(-(c.now-c.completionRateAt).Seconds()/rateWindow)
 }
--- a/control/quota/account.go
+++ b/control/quota/account.go
@@ -12,7 +12,7 @@
 	id         control.CustomerID
 	limit      *Limit
 	planID     control.PlanID
-	lastUsedAt time.Duration // time of the last check of a request
+	lastUsedAt time.Duration // time of the last check of a request of the customer
 
 	owner       control.GatewayID
 	setAssigned bool              // the set has been assigned
@@ -25,7 +25,7 @@
 
 	// Requests at this gateway.
 	inFlight     int     // submissions in flight
-	reserved     float64 // units of reservations
+	reserved     float64 // units that are reserved for requests that wait for another resource
 	reservations int     // number of reservations
 
 	// Reports of the other gateways, used by the owner.
@@ -68,22 +68,22 @@
 	consumedWhileIsolated bool
 }
 
-// reporterState is what an owner knows of one gateway's use of a customer's bucket.
+// reporterState is the owner's record of how one other gateway uses a customer's bucket.
 type reporterState struct {
 	from            control.GatewayID
 	receivedAt      time.Duration
 	snapshotLevel   float64 // units in the last snapshot for this reporter
-	inFlight        int     // submissions in flight (in strict mode, units; see reportedInFlight)
+	inFlight        int     // submissions in flight (in strict mode, a number of units; see reportedInFlight)
 	unitsWanted     float64 // units that a pending request at the reporter needs
 	hardUnitsWanted float64 // units that the reporter requests from the pool of the hard limit
-	// granted is in units. In strict mode these units are set aside for the reporter. Otherwise they are the units in the reporter's
-	// last snapshot that snapshots for other gateways leave out.
+	// granted is a number of units. In strict mode these units are set aside for the reporter. Without strict mode these units are
+	// part of the reporter's last snapshot, and the snapshots for other gateways leave them out.
 	granted   float64
 	grantedAt time.Duration
 	withheld  float64 // units of the refill that are withheld while the reporter is silent
 }
 
-// account returns the account of a customer. It creates the account if there is none.
+// getOrCreateAccount returns the account of a customer. If the customer has none, the account is created with the given plan.
 func (l *Limiter) getOrCreateAccount(id control.CustomerID, plan control.PlanID) *Account {
 	a := l.accounts[id]
 	if a == nil {
@@ -98,15 +98,16 @@
 	return a
 }
 
-// assignOwner sets the gateways that may serve a customer and computes the owner of its bucket. It brings a first gateway or a width
-// that is out of range into the valid range.
+// assignOwner sets the gateways that may serve a customer and computes the owner of its bucket. A negative first gateway counts as 0,
+// and a first gateway that is too high is reduced modulo the number of gateways. The width is limited to the range from 1 to the
+// number of gateways.
 func (l *Limiter) assignOwner(a *Account, first control.GatewayID, width int) {
 	width = min(max(width, 1), l.gateways)
 	first = control.GatewayID(max(int(first), 0) % l.gateways)
 	if a.setAssigned && a.setFirst == first && a.setWidth == width {
 		return
 	}
-	// If the account already had a set, a peer named it. The share of the hard limit that was computed from that set is void.
+	// An earlier set came from a delta of a peer. The share of the hard limit that was computed from that set is void.
 	if a.setAssigned {
 		a.hardShare, a.hardShareAt = 0, l.now
 	}
@@ -131,7 +132,8 @@
 	return owner
 }
 
-// initialLevel returns the units that a bucket holds by now if it was empty when its owner was assigned.
+// initialLevel returns the level of a new owned bucket. The bucket is empty until Config.OwnershipDelay after the assignment of
+// owners and is then refilled at the rate. In a new cluster, the level also includes the initial fill.
 func (l *Limiter) initialLevel(a *Account) float64 {
 	level := a.limit.Rate * max(0, l.now-l.ownersAssignedAt-l.config.OwnershipDelay).Seconds()
 	if l.freshCluster && l.olderPeerDatagrams == 0 {
@@ -140,7 +142,7 @@
 	return min(a.limit.Burst, level)
 }
 
-// initialFill returns the units that a bucket begins with in a new cluster.
+// initialFill returns the number of units in a bucket at the start of a new cluster.
 func (l *Limiter) initialFill(a *Account) float64 {
 	fill := l.config.InitialFill * a.limit.Burst
 	if l.config.Strict {
@@ -157,7 +159,8 @@
 	}
 }
 
-// inFlightElsewhere returns the number of submissions in flight at other gateways, as far as these have reported them.
+// inFlightElsewhere returns the number of submissions in flight at other gateways, as far as these gateways have reported their
+// submissions.
 func (l *Limiter) inFlightElsewhere(a *Account) int {
 	if a.owner == l.self {
 		_, inFlight, _ := l.recentReporterTotals(a, nil)
@@ -166,7 +169,7 @@
 	return a.inFlightElsewhere
 }
 
-// reporterState returns the state of a reporter. It creates the state if there is none.
+// getOrCreateReporterState returns the state of a reporter. If there is none, the state is created.
 func (a *Account) getOrCreateReporterState(from control.GatewayID) *reporterState {
 	for _, r := range a.reporterStates {
 		if r.from == from {
@@ -178,8 +181,9 @@
 	return r
 }
 
-// recentReporters returns the number of recent reporters. For all of them but except, it also returns the submissions in flight and the
-// units that their last snapshots promised. If except is nil, no reporter is left out. In strict mode promised is 0.
+// recentReporterTotals returns the number n of recent reporters and two totals over all of them but except. inFlight is the total of
+// their submissions in flight. promised is the total of the units that their last snapshots promised, or 0 in strict mode. If except
+// is nil, no reporter is left out of the totals.
 func (l *Limiter) recentReporterTotals(a *Account, except *peer) (n, inFlight int, promised float64) {
 	for _, r := range a.reporterStates {
 		if l.now-r.receivedAt >= reporterTTL {
--- a/control/quota/allowance.go
+++ b/control/quota/allowance.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// refillAllowance refills the allowance of a customer up to the present and returns it. The allowance is what this gateway may consume
-// without the owner's knowledge, with or without a snapshot.
+// refillAllowance refills the allowance of a customer up to the present and returns it. The allowance is the number of units that
+// this gateway may consume without the owner's knowledge, with or without a snapshot.
 //
-// The allowances of all gateways together are the units of the bound beyond rate x Window + burst. Each gateway gets an equal part of them.
-// A share of the part (allowanceBurstShare) is available at once, and the rest is added over a window. The allowance is empty at the start of each epoch, and a partition does not renew it. Units that
-// the owner acknowledges while its bucket has units left are returned to the allowance (confirmAllowance). While the gateway is isolated
-// (isolationStart), the allowance also gets the gateway's part of the rate, but the maximum that can be saved up stays the same.
+// The allowances of all gateways together are the difference between the bound of strict mode and rate x Window + burst. Each gateway
+// gets an equal part of this difference. A share of the part (allowanceBurstShare) is available at once, and the rest is added over a
+// window. The allowance is empty at the start of each epoch, and a partition does not renew it. Units that the owner acknowledges
+// while its bucket has units left are returned to the allowance (confirmAllowance). While the gateway is isolated (isolationStart),
+// the allowance also gets the gateway's part of the rate, but the maximum that can be saved up stays the same.
 func (l *Limiter) refillAllowance(a *Account) float64 {
 	n := float64(l.gateways)
 	part := (l.config.Excess*(a.limit.Rate*l.config.Window.Seconds()+a.limit.Burst) + l.config.Margin) / n
@@ -25,12 +26,12 @@
 	return a.allowance
 }
 
-// isolationStart returns the time from which this gateway may consume its part of the rate on its own. The result is the present or
-// later if it may not do so yet.
+// isolationStart returns the time from which this gateway may consume its part of the rate on its own. If the gateway may not do so
+// yet, the result is the present or later.
 //
-// The owner must be unresponsive, and one of two conditions must hold. In the first, the owner received a report shortly before it became
-// unresponsive, and therefore withholds this gateway's part of the rate. In the second, this gateway's host found the owner unreachable so
-// long ago that the owner's host has found this gateway unreachable as well.
+// The owner must be unresponsive, and one of two conditions must be met. In the first condition, the owner received a report shortly
+// before it became unresponsive, and therefore withholds this gateway's part of the rate. In the second condition, this gateway's
+// host found the owner unreachable so long ago that the owner's host has found this gateway unreachable as well.
 func (l *Limiter) isolationStart(a *Account) time.Duration {
 	owner, requestedAt := l.peers[a.owner], a.snapshotRequestedAt
 	for _, u := range owner.unacked {
@@ -51,9 +52,9 @@
 	return max(from, owner.unreachableSince+reachabilityLag)
 }
 
-// confirmAllowance settles the acknowledged units of the allowance by the level in the owner's new snapshot. If units are left, the
-// bucket covered the acknowledged units, and these units are returned to the allowance. Otherwise the acknowledged units exceeded the bucket,
-// and only the refill of the allowance replaces them.
+// confirmAllowance uses the level in the owner's new snapshot to decide about the acknowledged units of the allowance. If units are
+// left, the bucket covered the acknowledged units, and these units are returned to the allowance. Otherwise the acknowledged units
+// exceeded the bucket, and only the refill of the allowance replaces them.
 func (l *Limiter) confirmAllowance(a *Account, level float64) {
 	confirmed := min(a.allowanceAcked, a.allowanceUsed)
 	l.refillAllowance(a)
@@ -63,11 +64,12 @@
 	a.allowanceAcked, a.allowanceUsed = 0, a.allowanceUsed-confirmed
 }
 
-// reportedInFlight returns the value of a delta's field InFlight. Without strict mode this is the number of submissions in flight.
+// reportedInFlight returns the value for the field InFlight of a delta. Without strict mode, the value is the number of submissions
+// in flight.
 //
-// Strict mode does not limit the submissions in flight and uses the field for units. After an isolation, they are the units that may
-// have been consumed from the withheld part and are not acknowledged yet. The units of the delta itself (own) are left out. In all other
-// cases the value is 0.
+// Strict mode does not limit the submissions in flight and uses the field for a number of units. After an isolation, the value counts
+// the units that may have been consumed from the withheld part and are not acknowledged yet. The units of the delta itself (own) are
+// left out. In all other cases the value is 0.
 func (l *Limiter) reportedInFlight(a *Account, own float64) int {
 	switch {
 	case !l.config.Strict:
--- a/control/quota/bench_test.go
+++ b/control/quota/bench_test.go
@@ -9,7 +9,8 @@
 	"clovergap/control"
 )
 
-// benchmarkMessage returns a message as full as a busy peer sends it, with five deltas, eight snapshots and three observations.
+// newBenchmarkMessage returns a message of the size that a busy peer sends. It has five deltas, eight snapshots and three
+// observations.
 func newBenchmarkMessage() *Message {
 	m := &Message{Epoch: 0x9f3a6c01, Interval: 200 * time.Millisecond, Age: 90 * time.Second, Seq: 4711, Version: 9182, AckEpoch: 0x71b2c3d5, AckHigh: 4699,
 		AckMask: 0xffffffff}
@@ -44,8 +45,8 @@
 	}
 }
 
-// BenchmarkDatagramExchange measures one exchange as the gateway uses it. A reporter reports its use to the owner, which answers with
-// snapshots.
+// BenchmarkDatagramExchange measures one exchange of datagrams between two gateway nodes. The reporter sends deltas of eight
+// customers to the owner, and the owner answers with snapshots.
 func BenchmarkDatagramExchange(b *testing.B) {
 	const customers = 8
 	reporter, owner := NewLimiter(1, 0, 2, 0, gatewayConfig), NewLimiter(2, 1, 2, 0, gatewayConfig)
--- a/control/quota/bound_test.go
+++ b/control/quota/bound_test.go
@@ -11,8 +11,9 @@
 	"clovergap/control"
 )
 
-// partitionScenario is a cluster that is partitioned while all gateways are under constant pressure. Each gateway consumes whatever is
-// allowed at once. The isolatedCount gateways that follow the owner, by ID, are partitioned from it and from the gateways on its side.
+// partitionScenario is a cluster that is partitioned under constant pressure, which means that each gateway consumes units as soon as
+// they are allowed. The isolatedCount gateways whose IDs follow the owner's ID are on the isolated side. They are partitioned from
+// the owner and from all other gateways.
 type partitionScenario struct {
 	*cluster
 	isolatedCount               int
@@ -30,13 +31,13 @@
 	return s
 }
 
-// isolated reports whether a gateway is on the isolated side.
+// isIsolated reports whether a gateway is on the isolated side.
 func (p *partitionScenario) isIsolated(g control.GatewayID) bool {
 	n := len(p.limiters)
 	return (int(g)-int(p.ownerID())-1+n)%n < p.isolatedCount
 }
 
-// partition starts or ends the partition.
+// setPartitioned starts or ends the partition.
 func (p *partitionScenario) setPartitioned(partitioned bool) {
 	p.partitionedNow = partitioned
 	for i := range p.limiters {
@@ -48,7 +49,7 @@
 	}
 }
 
-// setReachability sets which gateways one gateway can reach.
+// setReachableFrom sets which gateways gateway g can reach.
 func (p *partitionScenario) setReachableFrom(g control.GatewayID, partitioned bool) {
 	live := make([]bool, len(p.limiters))
 	for i := range live {
@@ -59,7 +60,7 @@
 	}
 }
 
-// advance runs the scenario for the given time and calls the functions that become due in it.
+// advance runs the scenario for the given time. It calls the functions in due when the clock reaches their times.
 func (p *partitionScenario) advance(d time.Duration, due map[time.Duration][]func()) {
 	for end := p.now + d; p.now < end; {
 		p.now += p.step
@@ -77,7 +78,7 @@
 				continue
 			}
 			limiter.SetNow(p.now)
-			for attempts := 0.0; p.underPressure && attempts <= p.rate+p.burst; attempts++ { // more units at once exceed any bound
+			for attempts := 0.0; p.underPressure && attempts <= p.rate+p.burst; attempts++ { // the limit on attempts ends the loop if too much is allowed
 				if v, _ := limiter.Check(watchedCustomer, Request{Units: 1, Arrived: p.now, SLA: 400 * time.Millisecond}); v != Allowed {
 					break
 				}
@@ -100,7 +101,8 @@
 	"repeated":  {0, 4500 * time.Millisecond, 5 * time.Second, 9500 * time.Millisecond, 10 * time.Second, 14 * time.Second},
 }
 
-// runSchedule runs a schedule. The host of each gateway finds a change after a delay. With spread, each host has a delay of its own.
+// runSchedule starts and ends the partition by a schedule. The host of each gateway detects a change after a delay. If spread is
+// true, the delays of the hosts differ.
 func (p *partitionScenario) runSchedule(schedule []time.Duration, spread bool) {
 	due := map[time.Duration][]func(){}
 	add := func(at time.Duration, do func()) { due[at] = append(due[at], do) }
@@ -116,7 +118,7 @@
 			if spread {
 				wait -= time.Duration(p.rng.Int63n(int64(900 * time.Millisecond)))
 			}
-			add(at+wait+time.Duration(g), func() { // only if the state has not changed since
+			add(at+wait+time.Duration(g), func() { // the change is reported only if it still holds
 				if p.partitionedNow == partitioned {
 					p.setReachableFrom(control.GatewayID(g), partitioned)
 				}
@@ -132,10 +134,10 @@
 	p.advance(schedule[len(schedule)-1]+4*time.Second, due)
 }
 
-// TestBoundHoldsInAnyPartition guards against consumption above the bound of strict mode during a partition. It covers all numbers of
-// gateways partitioned from the owner and small and large rates and bursts, with constant pressure from the worst moment on. Most cases
-// exceeded the bound with an earlier allowance of rate/n a second after 0.4 s of silence and burst/2n saved up, beside snapshots for
-// which no units were set aside.
+// TestBoundHoldsInAnyPartition guards against consumption above the bound of strict mode during a partition. It covers every number
+// of isolated gateways, small and large rates and bursts, and constant pressure that starts at the worst time. Most cases exceeded
+// the bound in an earlier version. In that version, the allowance grew by rate/n a second after 0.4 s without a message from the
+// owner, and up to burst/2n units of it were saved up. The owner also set no units aside for its snapshots.
 func TestBoundHoldsInAnyPartition(t *testing.T) {
 	// Each limit is a rate and a burst.
 	limits := [][2]float64{{6, 6}, {20, 20}, {200, 200}, {1000, 1000}, {20, 400}, {400, 20}, {10, 300}}
@@ -144,21 +146,21 @@
 			for i, limit := range limits {
 				for name, schedule := range partitionSchedules {
 					caseNumber := isolated + i + len(name)
-					if n == 12 && caseNumber%6 != 0 { // some of the cases, which include all counts and all limits
+					if n == 12 && caseNumber%6 != 0 { // run only some of the cases for 12 gateways; together they include all isolated counts and all limits
 						continue
 					}
 					s := newPartitionScenario(t, n, isolated, limit[0], limit[1])
 					s.blockInbound, s.blockOutbound = caseNumber%3 != 1, caseNumber%3 != 2 // in some cases datagrams are lost in only one direction
 					s.runSchedule(schedule, (isolated+i)%2 == 0)
-					s.requireWithinBound(fmt.Sprintf("%d of %d gateways isolated, limit %v, schedule %q", isolated, n, limit, name))
+					s.requireWithinBound(fmt.Sprintf("isolated=%d gateways=%d rate and burst=%v schedule=%q: most units consumed in a 5 s window", isolated, n, limit, name))
 				}
 			}
 		}
 	}
 }
 
-// TestBoundHoldsThroughAnyRestart guards against a new epoch that brings a gateway a new share. The owner, the other gateways or random
-// gateways restart under constant pressure.
+// TestBoundHoldsThroughAnyRestart guards against a restarted gateway that may consume units which it has already consumed in its
+// former epoch. The owner, the other gateways or random gateways restart under constant pressure.
 func TestBoundHoldsThroughAnyRestart(t *testing.T) {
 	for _, limit := range [][2]float64{{6, 6}, {20, 20}, {200, 200}, {20, 400}, {400, 20}} {
 		for _, n := range []int{2, 3, 5, 12} {
@@ -183,14 +185,14 @@
 						s.limiters[g].SetLimit(watchedCustomer, limit[0], limit[1])
 					}
 				}
-				s.requireWithinBound(fmt.Sprintf("%d gateways, limit %v, restart case %d", n, limit, restarting))
+				s.requireWithinBound(fmt.Sprintf("gateways=%d rate and burst=%v restart case=%d: most units consumed in a 5 s window", n, limit, restarting))
 			}
 		}
 	}
 }
 
-// TestBoundHoldsWhileOwnersChange guards against units that two owners grant. Gateways are added under constant pressure, and some
-// gateways learn of it up to a second later than others.
+// TestBoundHoldsWhileOwnersChange guards against two owners that both grant the same units. Gateways are added under constant
+// pressure, and some gateways learn of the addition up to a second later than others.
 func TestBoundHoldsWhileOwnersChange(t *testing.T) {
 	for _, limit := range [][2]float64{{6, 6}, {20, 20}, {200, 200}, {20, 400}, {400, 20}} {
 		for seed := range int64(8) {
@@ -209,12 +211,12 @@
 				}
 			}
 			s.advance(5*time.Second, nil)
-			s.requireWithinBound(fmt.Sprintf("limit %v, seed %d", limit, seed))
+			s.requireWithinBound(fmt.Sprintf("rate and burst=%v seed=%d: most units consumed in a 5 s window", limit, seed))
 		}
 	}
 }
 
-// mustBeBounded asserts that consumption stays within the bound of strict mode in every window.
+// requireWithinBound asserts that consumption stays within the bound of strict mode in every window.
 func (p *partitionScenario) requireWithinBound(scenario string) {
 	p.t.Helper()
 	first, most := 0, 0
@@ -226,8 +228,9 @@
 	must.LessEq(p.t, (p.rate*5+p.burst)*1.1+20, float64(most), must.Sprint(scenario))
 }
 
-// TestGrantsOfRestartedOwnerApplyAtOnce guards against ignoring the grants of a restarted owner, whose versions start again. Gateways
-// without an allowance used to reject most of their quota until the owner had sent as many messages as in its former epoch.
+// TestGrantsOfRestartedOwnerApplyAtOnce guards against gateways that ignore the grants of a restarted owner. The message versions of
+// a restarted owner start again at 1. In an earlier version, gateways without an allowance rejected most requests until the owner had
+// sent as many messages as in its former epoch.
 func TestGrantsOfRestartedOwnerApplyAtOnce(t *testing.T) {
 	c := newCluster(t, 12, 100, 100)
 	c.runWithRandomRequests(20*time.Second, 5)
@@ -235,11 +238,11 @@
 	c.limiters[g] = NewLimiter(99, g, 12, c.now, gatewayConfig)
 	c.limiters[g].SetLimit(watchedCustomer, 100, 100)
 	for i := range c.limiters {
-		if control.GatewayID(i) != g { // its allowance is used up
+		if control.GatewayID(i) != g { // the allowance of the gateway is used up
 			a := c.limiters[i].accounts[watchedCustomer]
 			a.allowance, a.allowanceAt = 0, c.now+time.Minute
 		}
 	}
 	c.runWithRandomRequests(2*time.Second, 5)
-	must.Greater(t, 90, c.runWithRandomRequests(2*time.Second, 5), must.Sprint("units allowed of 120 requested"))
+	must.Greater(t, 90, c.runWithRandomRequests(2*time.Second, 5), must.Sprint("units allowed of about 120 requested units"))
 }
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -11,11 +11,11 @@
 
 // The results of a check.
 const (
-	// Allowed means that the quota covers the request. Consume or Reserve takes the units.
+	// Allowed means that the quota covers the request. The caller next calls Consume, or Reserve if the request still waits.
 	Allowed Outcome = iota
 	// Pending means that the request must be checked again, both when DatagramReceived returns true and at the returned time.
 	Pending
-	// Exceeded means that the quota does not cover the request. There may be units after the returned duration.
+	// Exceeded means that the quota does not cover the request. The quota may cover a retry after the returned duration.
 	Exceeded
 )
 
@@ -24,17 +24,17 @@
 	Units float64
 	// Arrived is the clock time of the arrival. It is the same in every check of the request.
 	Arrived time.Duration
-	// SLA is the time within which an answer has its full value. A share of it may be spent waiting.
+	// SLA is the time from the arrival within which an answer has its full value. The request may wait for a share of this time.
 	SLA time.Duration
-	// LateRetry marks a late retry by the client. It is allowed only if enough of the bucket is left for first attempts.
+	// LateRetry marks a late retry by the client. A late retry is allowed only if enough of the bucket is left for first attempts.
 	LateRetry bool
 }
 
 // Check reports whether a customer's quota covers a request. A customer without a limit is not metered, so its requests are allowed.
 //
-// With Pending, the returned duration is the clock time until which the request waits at most. With Exceeded, it is the time from now after
-// which there may be units. Check takes no units. Consume takes them, and Reserve keeps them for a request that has to wait for another
-// resource.
+// With Pending, the returned duration is the clock time until which the request may wait. With Exceeded, the returned duration is the
+// delay after which enough units may be available. Check takes no units. Consume takes them, and Reserve keeps them for a request
+// that has to wait for another resource.
 func (l *Limiter) Check(c control.CustomerID, r Request) (Outcome, time.Duration) {
 	a := l.accounts[c]
 	if a == nil {
@@ -49,7 +49,7 @@
 	return outcome, at
 }
 
-// check is Check for an account. For a request that is not allowed, the returned reason names what it lacks.
+// check does the work of Check for an account. For a request that is not allowed, check also returns the reason.
 func (l *Limiter) check(a *Account, r Request) (Outcome, time.Duration, control.Reason) {
 	latest := r.Arrived + time.Duration(unitTimeoutShare*float64(r.SLA))
 	if allowed, at := l.checkHardLimit(a, r); !allowed {
@@ -72,10 +72,10 @@
 	return outcome, at, control.ReasonNoSnapshot
 }
 
-// checkSlots decides on a request of a customer that has reached its maximum of submissions in flight.
+// checkWithoutFreeSlot decides on a request of a customer that has reached the maximum number of submissions in flight.
 func (l *Limiter) checkWithoutFreeSlot(a *Account, latest time.Duration) (Outcome, time.Duration, control.Reason) {
 	if a.owner != l.self && l.now-a.levelAt > l.answerTimeout(a) {
-		// The submissions at other gateways may have ended long ago. The owner does not send that to a gateway that sends no reports.
+		// The submissions at other gateways may have ended long ago. The owner sends their new number only in answer to a report.
 		l.requestSnapshot(a)
 	}
 	if l.now < latest {
@@ -84,7 +84,7 @@
 	return Exceeded, 0, control.ReasonNoSlot
 }
 
-// checkBucket decides on a request of a customer whose bucket this gateway owns.
+// checkAgainstBucket decides on a request of a customer whose bucket this gateway owns.
 func (l *Limiter) checkAgainstBucket(a *Account, r Request, latest time.Duration) (Outcome, time.Duration) {
 	l.refill(a)
 	left := a.level - l.outstandingGrants(a)
@@ -98,8 +98,7 @@
 	return Exceeded, after
 }
 
-// requiredLevel returns the level that a request needs. A client's retry usually arrives late. It must leave a part of the bucket for
-// first attempts.
+// requiredLevel returns the level that a request needs. A late retry must also leave a part of the bucket for first attempts.
 func (l *Limiter) requiredLevel(a *Account, r Request) float64 {
 	if r.LateRetry {
 		return r.Units + retryReserveShare*a.limit.Burst
@@ -107,18 +106,18 @@
 	return r.Units
 }
 
-// remoteView is what a gateway that does not own a bucket knows of it when it checks one request.
+// remoteView holds the values with which a gateway checks one request if another gateway owns the bucket.
 type remoteView struct {
 	age             time.Duration // age of the snapshot
 	fresh           bool          // the snapshot is recent enough to be used
 	scarce          bool          // one such request from each reporter would need more units than are left
 	notInSnapshot   float64       // units consumed or reserved at this gateway that are not in the snapshot
-	burstShare      float64       // most units that notInSnapshot may reach
+	burstShare      float64       // upper bound of notInSnapshot
 	allowanceCovers bool          // the allowance covers the request (always true without strict mode)
 	deadline        time.Duration // end of the wait for the owner's answer
 }
 
-// remoteViewOf returns what this gateway knows of the bucket of an account, for one request.
+// remoteViewFor returns the remoteView of an account for one request.
 func (l *Limiter) remoteViewFor(a *Account, r Request) remoteView {
 	v := remoteView{
 		age: l.now - a.levelAt, notInSnapshot: a.unacked + a.unreported + a.reserved,
@@ -131,8 +130,8 @@
 	if a.hasSnapshot {
 		left = min(left, max(a.level, 0))
 	}
-	// A scarce snapshot is valid only for the requests that wait for it. Otherwise, in a set of a hundred gateways, each of them would
-	// consume its share of an empty bucket.
+	// A scarce snapshot is valid only for the requests that waited for the snapshot. With a longer validity, each gateway of a set of
+	// a hundred would consume its share of an empty bucket.
 	if v.scarce = r.Units*float64(a.reporterCount) > left; v.scarce {
 		ttl = l.answerTimeout(a)
 	}
@@ -140,7 +139,7 @@
 	return v
 }
 
-// checkSnapshot decides on a request of a customer whose bucket another gateway owns.
+// checkAgainstSnapshot decides on a request of a customer whose bucket another gateway owns.
 func (l *Limiter) checkAgainstSnapshot(a *Account, r Request) (Outcome, time.Duration) {
 	if l.config.Strict && l.currentGrant(a)-a.reserved >= r.Units {
 		return Allowed, 0
@@ -164,8 +163,8 @@
 	return Exceeded, time.Duration((l.requiredLevel(a, r) - max(0, a.level-v.notInSnapshot)) / a.limit.Rate * float64(time.Second))
 }
 
-// checkStale requests a snapshot from the owner and decides without one if it can. It returns decided false if the request must wait for
-// the owner's answer or is to be rejected.
+// checkWithStaleSnapshot handles a request without a fresh snapshot. It requests a new snapshot from the owner and decides at once if
+// the stale state suffices. Otherwise decided is false, and the request must wait for the owner's answer or be rejected.
 func (l *Limiter) checkWithStaleSnapshot(a *Account, r Request, v remoteView) (outcome Outcome, at time.Duration, decided bool) {
 	l.requestSnapshot(a)
 	unresponsive := l.ownerUnresponsive(a)
@@ -175,8 +174,8 @@
 		}
 		return Exceeded, time.Duration(r.Units / a.limit.Rate * float64(l.gateways) * float64(time.Second)), true
 	}
-	// While the owner is unresponsive, the share grows at the rate divided by the number of reachable reporters. So the gateways that are
-	// left after the loss of a zone serve the whole quota between them.
+	// While the owner is unresponsive, the share grows at the rate divided by the number of reachable reporters. So, after the loss
+	// of a zone, the remaining gateways together serve the whole quota.
 	share := v.burstShare
 	if unresponsive {
 		share += a.limit.Rate / float64(l.reachableReporterCount(a)) * (l.now - a.snapshotRequestedAt).Seconds()
@@ -187,9 +186,10 @@
 	return Pending, 0, false
 }
 
-// staleCovers reports whether an expired snapshot covers a request while the owner is responsive. It adds this gateway's part of the
-// refill since the snapshot to the level. Without this check, many gateways would each consume a share of an empty bucket every second. A scarce
-// snapshot covers a request only if the owner was asked before the request's deadline and has not answered by then.
+// staleSnapshotCovers reports whether an expired snapshot covers a request while the owner is responsive. It adds this gateway's part
+// of the refill since the snapshot to the level. Without this check, many gateways would each consume a share of an empty bucket
+// every second. A scarce snapshot covers a request only if the owner was asked before the request's deadline and has not answered by
+// that deadline.
 func (l *Limiter) staleSnapshotCovers(a *Account, r Request, v remoteView) bool {
 	left := a.level + a.limit.Rate*v.age.Seconds()/float64(max(a.reporterCount, 1)) - v.notInSnapshot
 	if a.hasSnapshot && left < l.requiredLevel(a, r) {
@@ -199,9 +199,9 @@
 	return !v.scarce || unanswered
 }
 
-// burstShare returns the units that may be consumed against a snapshot before the owner acknowledges them. This is the burst, or
-// lowLevelFactor times the level if that is less, divided by the number of recent reporters. It is never less than the given units of one
-// request.
+// burstShare returns the number of units that may be consumed against a snapshot before the owner acknowledges them. This number is
+// the lesser of the burst and lowLevelFactor times the level, divided by the number of recent reporters. The result is at least the
+// given units of one request.
 func (a *Account) burstShare(units float64) float64 {
 	left := a.limit.Burst
 	if a.hasSnapshot {
@@ -210,7 +210,7 @@
 	return max(left/float64(max(a.reporterCount, 1)), units)
 }
 
-// answerTimeout returns the time within which a healthy owner answers.
+// answerTimeout returns the time within which a healthy owner answers a report.
 func (l *Limiter) answerTimeout(a *Account) time.Duration {
 	return snapshotTimeout + l.interval + l.peers[a.owner].interval
 }
@@ -226,9 +226,9 @@
 	return l.now-max(a.snapshotRequestedAt, l.peers[a.owner].receivedAt, l.pausedUntil) > ownerAttempts*l.answerTimeout(a)
 }
 
-// reachableReporters returns the number of gateways that share the rate while the owner is unresponsive. A gateway counts as lost if it
-// has owed an acknowledgement for longer than peerLostAfter. Silence of the other gateways proves nothing, because in a wide set two
-// gateways may have nothing to send to each other for a long time.
+// reachableReporterCount returns the number of gateways that share the rate while the owner is unresponsive. A gateway counts as lost
+// if an acknowledgement from the gateway has been outstanding for longer than peerLostAfter. Silence of the other gateways proves
+// nothing, because in a wide set two gateways may have nothing to send to each other for a long time.
 func (l *Limiter) reachableReporterCount(a *Account) int {
 	n := a.reporterCount
 	for i := range a.setWidth {
--- a/control/quota/consume.go
+++ b/control/quota/consume.go
@@ -2,7 +2,7 @@
 
 import "clovergap/control"
 
-// Reserve keeps units that Check allowed for a request that still has to wait for another resource. Release ends the reservation.
+// Reserve sets aside units that Check allowed, for a request that still waits for another resource. Release ends the reservation.
 func (l *Limiter) Reserve(c control.CustomerID, units float64) {
 	if a := l.accounts[c]; a != nil {
 		l.reserve(a, units)
@@ -14,7 +14,7 @@
 	a.reservations++
 }
 
-// Release ends a reservation, whether or not its units are consumed next.
+// Release ends a reservation. The caller then consumes the units or gives up the request.
 func (l *Limiter) Release(c control.CustomerID, units float64) {
 	if a := l.accounts[c]; a != nil {
 		a.reserved = max(0, a.reserved-units)
@@ -49,7 +49,7 @@
 	l.scheduleReport(a)
 }
 
-// consumeRemote takes units from the grant or, if the grant does not hold enough, from the allowance.
+// consumeGrantOrAllowance takes units from the grant or, if the grant does not hold enough, from the allowance.
 func (l *Limiter) consumeGrantOrAllowance(a *Account, units float64) {
 	if l.currentGrant(a) >= units {
 		a.granted, a.grantUsed = a.granted-units, a.grantUsed+units
@@ -64,11 +64,11 @@
 	}
 }
 
-// draw takes units from an owned bucket. Units that the bucket does not hold exceed the quota. Without strict mode, draw ignores these
-// units. In strict mode, these units lower the level below 0, and later refills raise it again. The debt is limited (maxDebtTime), so that
-// old use does not reduce the quota for long.
+// drawFromBucket takes units from an owned bucket. Units that the bucket does not hold exceed the quota. Without strict mode, these
+// units are ignored. In strict mode, these units lower the level below 0, and later refills raise the level again. The debt is
+// limited (maxDebtTime), so that past use does not reduce the quota for long.
 //
-// When the level falls below one unit, draw schedules a snapshot for each recent reporter whose last snapshot showed units.
+// When the level falls below one unit, drawFromBucket schedules a snapshot for each recent reporter whose last snapshot showed units.
 func (l *Limiter) drawFromBucket(a *Account, units float64) {
 	minLevel := 0.0
 	if l.config.Strict {
--- a/control/quota/decode.go
+++ b/control/quota/decode.go
@@ -17,7 +17,8 @@
 	ErrMalformed = errors.New("decode datagram: malformed payload")
 )
 
-// DecodeMessage decodes a datagram. It returns ErrMessageVersion or ErrMalformed if it cannot.
+// DecodeMessage decodes a datagram. DecodeMessage returns ErrMessageVersion for an empty payload or an unknown format version, and
+// ErrMalformed for any other payload that it cannot decode.
 func DecodeMessage(payload []byte) (*Message, error) {
 	r := &reader{buffer: payload}
 	if r.readOctet() != messageVersion {
@@ -48,7 +49,8 @@
 	return m, nil
 }
 
-// reader reads the fields of a datagram in their order. After a failed read, failed is true and all further results are meaningless.
+// reader reads the fields of a datagram in their order. After a failed read, failed is true, and the results of this and all later
+// reads are meaningless.
 type reader struct {
 	buffer []byte
 	failed bool
@@ -77,8 +79,8 @@
 	}
 }
 
-// observation reads an observation. Its last byte is the ratio in eighths up to 253, or stands for ObservedLost or ObservedFailed (255 or
-// 254).
+// readObservation reads an observation. A last byte of up to 253 is the ratio in eighths. The values 255 and 254 stand for
+// ObservedLost and ObservedFailed.
 func (r *reader) readObservation() Observation {
 	o := Observation{BackendHash: uint64(r.readOctet()) | uint64(r.readOctet())<<8 | uint64(r.readOctet())<<16}
 	v := r.readOctet()
@@ -91,7 +93,7 @@
 	return o
 }
 
-// boundedUvarint reads an unsigned varint. The read fails if the number is above the limit.
+// readBoundedUvarint reads an unsigned varint. The read fails if the number is above the limit.
 func (r *reader) readBoundedUvarint(limit uint64) uint64 {
 	v, n := binary.Uvarint(r.buffer)
 	if n <= 0 || v > limit {
@@ -106,7 +108,7 @@
 
 func (r *reader) readSixteenths() float64 { return float64(r.readBoundedUvarint(maxCount)) / 16 }
 
-// signedSixteenths reads a number of sixteenths that may be negative.
+// readSignedSixteenths reads a number of sixteenths that may be negative.
 func (r *reader) readSignedSixteenths() float64 {
 	v, n := binary.Varint(r.buffer)
 	if n <= 0 || v > maxCount || v < -maxCount {
--- a/control/quota/doc.go
+++ b/control/quota/doc.go
@@ -1,12 +1,13 @@
-// Package quota meters customers over many gateways. No request has to wait for a call to another gateway. Two programs use the package.
-// A node of cmd/gateway calls NewLimiter and has limits per customer. A front door (cmd/clovergap) calls NewPlanLimiter and has limits per
-// plan.
+// Package quota meters customers over many gateways. A check of a request uses only local state and makes no network call. Two programs
+// use the package. A node of cmd/gateway calls NewLimiter and has limits per customer. A front door (cmd/clovergap) calls NewPlanLimiter
+// and has limits per plan.
 //
 // # Design
 //
-// Each customer has one owner among the gateways of its set. The owner is found by rendezvous hashing (OwnerOf), so all gateways find
-// the same one. It holds the customer's token bucket. Every other gateway decides by the owner's last snapshot, less the units that it
-// has consumed and the owner has not acknowledged. It reports its use in deltas, and the owner answers each report with a new snapshot.
+// Each customer has one owner among the gateways that serve the customer. The owner is computed by rendezvous hashing (OwnerOf), so all
+// gateways compute the same owner. The owner holds the customer's token bucket. Every other gateway decides by the owner's last snapshot,
+// less the units that the gateway has consumed and the owner has not acknowledged. Each gateway reports its consumption to the owner in
+// deltas, and the owner answers each report with a new snapshot.
 //
 // One datagram to a peer has at most 256 bytes and carries the deltas, snapshots and acknowledgements of many customers. Datagrams to a
 // peer are a minimum interval apart. The interval grows with the number of datagrams that the peer receives.
@@ -15,34 +16,39 @@
 //
 //   - gateway: one process with a limiter. It is a node of the gateway program or a front door.
 //   - host: the code of that process that calls the limiter and does the I/O for it.
-//   - account: the state that one gateway keeps of one customer. It includes the bucket if the gateway is the owner, and the owner's
-//     snapshot if it is not.
+//   - set: the gateways that may serve a customer's requests. Their numbers run from setFirst to setFirst+setWidth-1, modulo the number
+//     of gateways.
+//   - account: the state that one gateway keeps of one customer. The owner's account includes the bucket. Every other account includes
+//     the owner's snapshot.
 //   - units: the cost of a request. A level is the number of units left.
 //   - delta: the units consumed since the last report. Deltas carry a sequence number. They are sent again until they are acknowledged,
 //     and applied once.
-//   - reporter: a gateway that sends deltas for a customer to its owner. It is a recent reporter for two seconds after each delta.
+//   - reporter: a gateway that sends deltas for a customer to its owner. Each delta makes its sender a recent reporter for two seconds.
 //   - snapshot: the owner's level for one reporter, with the number of recent reporters. It expires (Config.SnapshotTTL).
 //   - burst share: the units that a gateway may consume against a snapshot before they are acknowledged. It is an equal part of the
 //     burst or of a low level.
-//   - grant: units that the owner sets aside for one gateway whose requests wait for them.
+//   - strict mode: a setting (Config.Strict) that bounds the units which all gateways consume together. The section Guarantees has the
+//     bound. Strict mode adds the allowance, the withheld part and grants of bucket units.
+//   - grant: units that the owner sets aside for one gateway that has a pending request.
 //   - allowance: units that a gateway may consume without the owner's knowledge (strict mode).
-//   - withheld: the part of the refill that belongs to a silent reporter. The owner keeps it out of the bucket until a message from the
-//     reporter arrives or the reporter is known to be lost (strict mode).
-//   - hard limit: a second rate and burst. They are split over the gateways so that no sum of the shares exceeds them, whatever messages
-//     are lost and whichever gateways restart.
+//   - withheld: the part of the refill that belongs to a reporter whose messages have stopped. The owner keeps this part out of the bucket
+//     until a message from the reporter arrives or the reporter is known to be lost (strict mode).
+//   - isolated: a gateway that gets no answers from the owner of a bucket.
+//   - hard limit: a second rate and burst, which are split over the gateways. The sum of the shares never exceeds the rate and the burst,
+//     whatever messages are lost and whichever gateways restart. The owner's share includes a pool, from which it grants units to others.
 //   - epoch: the number of one run of a gateway's process. Acknowledgements and grants for another epoch are void.
-//   - set: the gateways that may serve a customer's requests. Their numbers run from setFirst to setFirst+setWidth-1, modulo the number
-//     of gateways.
+//   - SLA time: the time within which an answer to a request has its full value.
+//   - late retry: a client's retry of a request whose SLA time is over or may be over.
 //
 // # Guarantees
 //
 // A delta is applied at most once. Deltas may be lost, duplicated or reordered (sequence window of 64, acknowledgement mask of 32).
 //
-// The buckets that a gateway owns are empty when the gateway starts. An empty bucket stands for all units that were consumed before. The
+// The buckets that a gateway owns are empty when the gateway starts, because all their units may have been consumed before the start. The
 // exception is a cluster of which no member is older than two seconds. The buckets of such a cluster start with Config.InitialFill.
 //
-// In strict mode (Config.Strict, used by the gateway) all gateways together consume at most (1 + Excess) x (rate x Window + burst) +
-// Margin units in any Window, under any partition, loss and restart. docs/gateway.md has the argument. TestBoundHoldsInAnyPartition,
+// In strict mode (used by the gateway) all gateways together consume at most (1 + Excess) x (rate x Window + burst) + Margin units in any
+// Window, under any partition, loss and restart. docs/gateway.md has the argument. TestBoundHoldsInAnyPartition,
 // TestBoundHoldsThroughAnyRestart and TestBoundHoldsWhileOwnersChange check the bound.
 //
 // Without strict mode (used by the front door) an isolated gateway consumes its burst share at once. Then it consumes the rate divided
@@ -52,7 +58,7 @@
 //
 // # Constraints
 //
-// The package does no I/O, reads no clock and starts no goroutine. The host sets the time (Now), delivers datagrams (DatagramReceived),
+// The package does no I/O, reads no clock and starts no goroutine. The host sets the time (SetNow), delivers datagrams (DatagramReceived),
 // sends the datagrams that NextDatagram returns, and calls Sweep at NextDeadline or earlier. The package never blocks a request on the
 // network. A request that is not covered is either Pending until a given time or Exceeded. No code may iterate over a map where the
 // order could change a decision, because simulated days are replayed from a seed.
--- a/control/quota/frontdoor.go
+++ b/control/quota/frontdoor.go
@@ -8,8 +8,8 @@
 
 // The functions in this file are for front doors. A front door passes the account, while a gateway's node passes the customer's ID.
 
-// Account returns the account of a txn's customer and assigns the set that the txn names. It creates an account with the given plan if
-// there is none. The account is valid until the next call of Sweep.
+// EnsureAccount returns the account of a txn's customer and assigns the set that the txn names. If the customer has no account,
+// EnsureAccount creates one with the given plan. The returned pointer is valid until the next call of Sweep.
 func (l *Limiter) EnsureAccount(id control.CustomerID, plan control.PlanID, setFirst control.GatewayID, setWidth int) *Account {
 	a := l.getOrCreateAccount(id, plan)
 	l.assignOwner(a, setFirst, setWidth)
@@ -17,25 +17,25 @@
 	return a
 }
 
-// Plan returns the plan with which the account was created.
+// PlanID returns the ID of the plan with which the account was created.
 func (a *Account) PlanID() control.PlanID { return a.planID }
 
-// CheckAccount is Check for an account. For a request that is not allowed, it also returns the reason. Units that the check asks of the
-// owner stay requested, even if the caller gives up the request.
+// CheckAccount checks a request like Check, but takes the account and also returns the reason if the request is not allowed. Unlike
+// Check, it does not cancel a request for units to the owner if the outcome is not Pending.
 func (l *Limiter) CheckAccount(a *Account, r Request) (Outcome, time.Duration, control.Reason) {
 	return l.check(a, r)
 }
 
-// ReserveAccount is Reserve for an account.
+// ReserveAccount does the same as Reserve, but takes the account.
 func (l *Limiter) ReserveAccount(a *Account, units float64) { l.reserve(a, units) }
 
-// ConsumeAccount is Consume for an account.
+// ConsumeAccount does the same as Consume, but takes the account.
 func (l *Limiter) ConsumeAccount(a *Account, units float64) { l.consume(a, units) }
 
-// SubmissionSent counts a new submission in flight.
+// SubmissionSent adds one to the submissions in flight of the account's customer.
 func (l *Limiter) SubmissionSent(a *Account) { l.addInFlight(a, 1) }
 
-// SubmissionEnded ends the count of one submission in flight.
+// SubmissionEnded subtracts one from the submissions in flight of a customer. It does nothing if the number is already 0.
 func (l *Limiter) SubmissionEnded(id control.CustomerID) {
 	if a := l.accounts[id]; a != nil && a.inFlight > 0 {
 		l.addInFlight(a, -1)
--- a/control/quota/grant.go
+++ b/control/quota/grant.go
@@ -2,9 +2,10 @@
 
 import "math"
 
-// grantUnits sets units aside for a reporter whose requests wait for them, and returns how many. No other gateway gets these units until
-// the reporter has reported how many of them it used. The result is 0 if no request waits or if fewer units are left than it needs.
-func (l *Limiter) grantToReporter(r *reporterState, left float64) (units float64) {
+// grantUnits sets units aside for a reporter that has a pending request, and returns their number. No other gateway gets these
+// units until the reporter has reported how many of them it used, or until grantMaxAge is over. The result is 0 if the reporter has
+// no pending request or if fewer units are left than the request needs.
+func (l *Limiter) grantUnits(r *reporterState, left float64) (units float64) {
 	if r.unitsWanted > 0 && left >= r.unitsWanted {
 		units = max(r.unitsWanted, math.Floor(left/grantDivisor/float64(l.gateways)))
 		r.granted, r.grantedAt = r.granted+units, l.now
@@ -12,9 +13,9 @@
 	return units
 }
 
-// outstandingGrants returns the granted units of an owned bucket that may still be consumed, or may have been consumed within the window.
-// A grant older than grantMaxAge no longer counts. A gateway that has been silent for so long has consumed the grant before the window or
-// let it expire.
+// outstandingGrants returns the number of granted units of an owned bucket that may still be consumed, or may have been consumed
+// within the window of the bound (Config.Window). Without strict mode the result is 0. A grant older than grantMaxAge no longer
+// counts. A gateway that has been silent for so long has consumed the grant before the window or let it expire.
 func (l *Limiter) outstandingGrants(a *Account) (units float64) {
 	if !l.config.Strict {
 		return 0
@@ -28,7 +29,8 @@
 	return units
 }
 
-// currentGrant returns what is left of this gateway's grant. A grant expires after grantTTL, and its rest is reported as used.
+// currentGrant returns the units that are left of this gateway's grant. A grant expires after grantTTL, and its remaining units are
+// then reported as used.
 func (l *Limiter) currentGrant(a *Account) float64 {
 	if l.now-a.grantedAt >= grantTTL {
 		a.granted, a.grantUsed = 0, a.grantUsed+a.granted
--- a/control/quota/hardlimit.go
+++ b/control/quota/hardlimit.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// checkHardLimit reports whether this gateway's share of the hard limit covers a request, and if not, when to check again.
+// checkHardLimit reports whether this gateway's share of the hard limit covers a request. If the share does not, at is the clock time
+// at which to check again.
 //
-// A part of the hard limit (hardEvenShare) is split evenly over the set, so that each gateway has some units during a partition. The rest
-// is the owner's pool. Gateways whose requests come unevenly request units from the pool. Shares and pool are empty at the start of each
-// epoch. Their rates and bursts add up to the whole limit, whichever gateways restart.
+// A part of the hard limit (hardEvenShare) is split evenly over the set, so that each gateway has some units during a partition. The
+// rest is the owner's pool. A gateway whose share is too small for a request requests units from the pool. Shares and pool are empty
+// at the start of each epoch. The rates and bursts of the shares and the pool add up to the whole limit, whichever gateways restart.
 func (l *Limiter) checkHardLimit(a *Account, r Request) (allowed bool, at time.Duration) {
 	if a.limit.HardRate <= 0 {
 		return true, 0
@@ -29,7 +30,7 @@
 	return false, l.now + time.Duration(lacking/(a.limit.HardRate*l.hardLimitFraction(a))*float64(time.Second))
 }
 
-// hardFraction returns the fraction of the hard limit that belongs to this gateway. The owner's fraction includes the pool.
+// hardLimitFraction returns the fraction of the hard limit that belongs to this gateway. The owner's fraction includes the pool.
 func (l *Limiter) hardLimitFraction(a *Account) float64 {
 	width := float64(max(a.setWidth, 1))
 	// A share must hold the largest request.
@@ -47,11 +48,12 @@
 	return a.hardShare
 }
 
-// hardShareCap returns the most units that this gateway's share holds.
+// hardShareCap returns the maximum number of units in this gateway's share of the hard limit.
 func (l *Limiter) hardShareCap(a *Account) float64 { return a.limit.HardBurst * l.hardLimitFraction(a) }
 
-// takeTransfer returns the value of a delta's field Transfer and clears its source. Without strict mode the value is negative or 0 and
-// requests units from the owner's pool. In strict mode it is the units of grants that were used.
+// takeTransfer returns the value for the field Transfer of a delta and clears the account's field that held it. Without strict mode
+// the value is negative or 0 and requests that many units from the owner's pool. In strict mode the value is the number of granted
+// units that were used.
 func (l *Limiter) takeTransfer(a *Account) (transfer float64) {
 	if l.config.Strict {
 		transfer, a.grantUsed = a.grantUsed, 0
@@ -61,9 +63,9 @@
 	return transfer
 }
 
-// grantFromHardPool grants a reporter units of the owner's pool and returns how many. The owner subtracts them before it sends them. The
-// reporter adds them at most once, and only in the epoch for which they were granted. So a lost message loses units but never doubles
-// them.
+// grantFromHardPool grants a reporter units from the owner's pool of the hard limit and returns the number of units. The owner
+// subtracts the units before it sends the grant. The reporter adds the units at most once, and only in the epoch for which they were
+// granted. So a lost message loses units, but no message can add the same units twice.
 func (l *Limiter) grantFromHardPool(a *Account, r *reporterState) float64 {
 	if r.hardUnitsWanted <= 0 || !a.inSet || a.limit.HardRate <= 0 {
 		return 0
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -36,7 +36,7 @@
 
 // Limit holds the limits of one customer.
 type Limit struct {
-	Rate        float64 // units a second; 0 disables this limit, but not the others
+	Rate        float64 // units a second; 0 means no limit on the rate, while the other limits still apply
 	Burst       float64 // units
 	MaxInFlight int     // submissions in flight over all gateways; 0 means no limit
 	HardRate    float64 // units a second that are never exceeded; 0 means no hard limit
@@ -45,7 +45,7 @@
 
 // PlanLimiterOptions configures a front door's limiter, whose customers have the limits of their plans.
 type PlanLimiterOptions struct {
-	// PeersEnabled is false if nothing may be sent to peers.
+	// PeersEnabled reports whether datagrams may be sent to peers.
 	PeersEnabled bool
 	// PlanLimit returns the limits of a plan, or nil for a plan that does not exist.
 	PlanLimit func(control.PlanID) *Limit
@@ -56,8 +56,9 @@
 	ObservationsReceived func([]Observation)
 }
 
-// Limiter meters all customers for one gateway. It holds the buckets that this gateway owns and the snapshots of the other buckets, and
-// it creates and applies the messages about them. It is not safe for concurrent use. All times are those of the host's clock.
+// Limiter meters all customers for one gateway. A Limiter holds the buckets that this gateway owns and the snapshots of the other
+// buckets. It creates and applies the messages about buckets and snapshots. A Limiter is not safe for concurrent use. All times are
+// those of the host's clock.
 type Limiter struct {
 	config  Config
 	options PlanLimiterOptions // PlanLimit is nil if limits are set by SetLimit
@@ -73,12 +74,12 @@
 	epoch    uint32
 
 	reachableCount       int           // number of gateways, including this one, that the host reports as reachable
-	reachableCountBefore int           // effectiveReachable before the last rise of reachable
-	reachableRoseAt      time.Duration // time of the last rise of reachable
+	reachableCountBefore int           // effective count before the last rise of reachableCount
+	reachableRoseAt      time.Duration // time of the last rise of reachableCount
 
-	// olderPeers counts the datagrams from peers that were started before this gateway.
+	// olderPeerDatagrams counts the datagrams from peers that were started before this gateway.
 	olderPeerDatagrams int
-	// youngPeers counts the peers that were started at about the same time as this gateway or later.
+	// youngPeerCount counts the peers that were started at about the same time as this gateway or later.
 	youngPeerCount int
 	freshCluster   bool // no gateway of the cluster is older than this one
 
@@ -128,8 +129,8 @@
 	return l
 }
 
-// Now sets the limiter's clock. A time before the current one is ignored. A step of more than stallThreshold counts as a pause of this
-// process.
+// SetNow sets the limiter's clock. A time before the current one is ignored. If the clock advances by more than stallThreshold, the
+// process counts as paused until the new time.
 func (l *Limiter) SetNow(now time.Duration) {
 	if l.now > l.startedAt && now-l.now > stallThreshold {
 		l.pausedUntil = now
@@ -160,7 +161,7 @@
 	}
 }
 
-// removeLimit stops the metering of a customer and records the time.
+// removeLimit stops the metering of a customer and records the time at which it stopped.
 func (l *Limiter) removeLimit(c control.CustomerID) {
 	if a := l.accounts[c]; a != nil {
 		l.cancelReports(a)
@@ -170,7 +171,8 @@
 	l.removedAt[c] = l.now
 }
 
-// SetReachable sets which gateways this one can reach, by gateway ID. Until the first call, all are reachable.
+// SetReachable sets which gateways this gateway can reach, indexed by gateway ID. Gateways beyond the end of the list count as
+// reachable, and so do all gateways until the first call.
 //
 // In strict mode, unreachable gateways reduce the refill of the buckets that this gateway owns, because those gateways consume their
 // parts of the rate on their own. The reduction lasts reachabilityLag longer than the fault, because such a gateway may learn later than
@@ -197,8 +199,8 @@
 	l.reachableCount = count
 }
 
-// effectiveReachable returns the number of gateways whose parts of the rate refill the buckets. It delays a rise of reachable by
-// reachabilityLag. An owner that has just started has withheld nothing, so it applies a rise at once.
+// effectiveReachableCount returns the number of gateways whose parts of the rate refill the buckets. It delays a rise of
+// reachableCount by reachabilityLag. An owner that has just started has withheld nothing, so the rise applies at once there.
 func (l *Limiter) effectiveReachableCount() int {
 	if l.now-l.reachableRoseAt < reachabilityLag && l.reachableRoseAt-l.startedAt > grantMaxAge {
 		return min(l.reachableCount, l.reachableCountBefore)
@@ -206,7 +208,7 @@
 	return l.reachableCount
 }
 
-// Grow sets a higher number of gateways, or another ID of this gateway. All owners are computed anew.
+// Grow sets a higher number of gateways, or another ID of this gateway. It recomputes the owners of all buckets.
 //
 // A bucket that this gateway owns from now on stays empty for Config.OwnershipDelay. The empty bucket stands for all units that were
 // consumed before, so no units are consumed twice. Units that the old owner has not acknowledged are reported to the new owner. If the old
@@ -227,7 +229,7 @@
 	}
 	allReachable, delay := l.reachableCount == l.gateways, l.config.OwnershipDelay
 	if l.gateways == 1 && int(self) < gateways-1 {
-		delay = 0 // this gateway has restarted under an ID that the others know, and they report to no other owner
+		delay = 0 // this gateway has restarted under an ID that its peers know, and the peers report to no other owner
 	}
 	l.self, l.gateways, l.ownersAssignedAt = self, gateways, l.now+delay-l.config.OwnershipDelay
 	if l.reachableCount = min(l.reachableCount, gateways); allReachable {
@@ -238,7 +240,7 @@
 	}
 }
 
-// reassign assigns the owner of an account after Grow. The argument before is the ID that this gateway had until then.
+// reassignOwner computes the owner of an account after Grow. previousSelf is the ID that this gateway had before.
 func (l *Limiter) reassignOwner(a *Account, previousSelf control.GatewayID, delay time.Duration) {
 	owner := OwnerOf(a.id, 0, l.gateways, l.gateways)
 	a.setWidth, a.reporterCount = l.gateways, l.gateways
@@ -298,7 +300,8 @@
 	l.freshCluster = true
 }
 
-// Sweep does the periodic work at most once a second. Calls in between do nothing.
+// Sweep adapts the interval between datagrams and removes idle accounts and old records of removed customers. It does so at most once
+// a second. Calls in between do nothing.
 func (l *Limiter) Sweep() {
 	if l.now-l.sweptAt < time.Second {
 		return
@@ -309,8 +312,8 @@
 	maps.DeleteFunc(l.removedAt, func(_ control.CustomerID, at time.Duration) bool { return l.now-at > removedTTL })
 }
 
-// adjustInterval adapts the interval that peers are asked to keep to the rate of received datagrams. So a gateway that owns a customer of
-// many gateways gets fewer datagrams from each of them.
+// adjustInterval adapts the interval that peers are asked to keep to the rate of received datagrams. If many gateways report to this
+// gateway, each of them sends fewer datagrams.
 func (l *Limiter) adjustInterval() {
 	rate := float64(l.datagramsSinceSweep) / (l.now - l.sweptAt).Seconds()
 	l.interval = min(max(l.config.MinInterval, time.Duration(float64(l.interval)*max(rate/l.maxDatagrams, intervalDecay))), maxInterval)
@@ -320,7 +323,8 @@
 	l.datagramsSinceSweep, l.sendersSinceSweep = 0, 0
 }
 
-// removeIdleAccounts removes idle accounts that a newly created account would equal. Accounts whose limits were set by SetLimit are kept.
+// removeIdleAccounts removes the idle accounts whose state is equal to that of a new account. Accounts whose limits were set by
+// SetLimit are kept.
 func (l *Limiter) removeIdleAccounts() {
 	kept := l.orderedAccounts[:0]
 	for _, a := range l.orderedAccounts {
@@ -361,11 +365,11 @@
 // HasPending reports whether there may be something to send to a peer, now or later.
 func (l *Limiter) HasPending() bool { return len(l.pendingPeers) > 0 }
 
-// CustomerCount returns the number of customers that have an account.
+// CustomerCount returns the number of customers with an account.
 func (l *Limiter) CustomerCount() int { return len(l.accounts) }
 
-// BadDatagrams returns the number of datagrams that were malformed or came from no known peer, plus the rejected deltas and messages of
-// deltas.
+// BadDatagramCount returns the number of datagrams that were malformed or came from an unknown peer, plus the number of deltas and
+// messages with deltas that were rejected.
 func (l *Limiter) BadDatagramCount() int { return l.badDatagrams }
 
 // AccountState is an excerpt of an account for diagnosis.
@@ -375,7 +379,7 @@
 	Reserved float64 // units
 }
 
-// State returns the state of a customer's account, and false if there is none.
+// AccountState returns an excerpt of a customer's account, and false if there is no account.
 func (l *Limiter) AccountState(c control.CustomerID) (AccountState, bool) {
 	a := l.accounts[c]
 	if a == nil {
--- a/control/quota/message.go
+++ b/control/quota/message.go
@@ -11,7 +11,7 @@
 const (
 	// messageVersion is the version of the datagram format and the first byte of each datagram.
 	messageVersion = 2
-	// maxMessageBytes is the size up to which limiters fill datagrams. The host's limit on datagrams is not lower.
+	// maxMessageBytes is the size up to which limiters fill datagrams. The host must be able to send datagrams of this size.
 	maxMessageBytes = 256
 
 	// maxSeq is the largest sequence number or version. maxCount is the largest count or number of sixteenths of a unit.
@@ -43,7 +43,7 @@
 	Version      uint64 // version of the snapshots; a higher version replaces a lower one
 	AckEpoch     uint32 // receiver's epoch to which the acknowledgement and the snapshots apply
 	AckHigh      uint64 // highest sequence number applied
-	AckMask      uint64 // applied ones of the last 32 sequence numbers; bit i stands for AckHigh-i
+	AckMask      uint64 // bitmap of the last 32 sequence numbers; bit i is 1 if AckHigh-i was applied
 	Snapshots    []Snapshot
 	Observations []Observation
 }
@@ -53,8 +53,9 @@
 	Customer control.CustomerID
 	Plan     control.PlanID
 	Units    float64 // units consumed since the last report
-	InFlight int     // submissions in flight (in strict mode, units; see reportedInFlight)
-	// Transfer is negative if it requests units from the pool of the hard limit. In strict mode it is the units of grants that were used.
+	InFlight int     // submissions in flight (in strict mode, a number of units; see reportedInFlight)
+	// Transfer is negative or 0 without strict mode and requests that many units from the pool of the hard limit. In strict mode it
+	// is the number of granted units that were used.
 	Transfer float64
 	// SetFirst and SetWidth describe the customer's set. With them, the owner knows the set before it receives a request of the customer.
 	SetFirst    control.GatewayID
@@ -75,15 +76,16 @@
 type Observation struct {
 	BackendHash uint64 // last 24 bits of the backend's hash
 	Product     control.ProductID
-	// Ratio is the answer time divided by the usual one, in eighths, or one of ObservedLost and ObservedFailed.
+	// Ratio is the response time divided by the usual response time, or one of ObservedLost and ObservedFailed. The datagram holds it
+	// in eighths.
 	Ratio      float64
 	Congestion Congestion
 }
 
-// Congestion is the congestion of all backends as seen by one submission.
+// Congestion says whether one submission showed that the backends as a whole are congested.
 type Congestion int
 
-// The values of Congestion. CongestionUnknown means that the submission shows nothing about it.
+// The values of Congestion. CongestionUnknown means that the submission shows neither congestion nor its absence.
 const (
 	CongestionUnknown Congestion = iota
 	NotCongested
@@ -96,7 +98,7 @@
 	ObservedFailed = -2 // an error as the answer
 )
 
-// sixteenths converts units to sixteenths, rounded down and limited to maxCount. It returns 0 for negative units and NaN.
+// toSixteenths converts units to sixteenths, rounded down and limited to maxCount. It returns 0 for negative units and NaN.
 func toSixteenths(units float64) uint64 {
 	if units <= 0 || math.IsNaN(units) {
 		return 0
--- a/control/quota/peer.go
+++ b/control/quota/peer.go
@@ -24,8 +24,8 @@
 
 	// Deltas from the peer for accounts that this gateway owns.
 	appliedHigh uint64 // highest sequence number applied
-	appliedMask uint64 // applied sequence numbers; bit i stands for appliedHigh-i
-	ackPending  bool   // an acknowledgement or snapshots have to be sent
+	appliedMask uint64 // bitmap of sequence numbers; bit i is 1 if appliedHigh-i was applied
+	ackPending  bool   // an acknowledgement or a snapshot has to be sent
 	// snapshotQueue holds the customers whose snapshots have to be sent, each of them once.
 	snapshotQueue  []control.CustomerID
 	snapshotQueued map[control.CustomerID]bool
@@ -40,7 +40,7 @@
 	observationsSent int // number of the host's observations that were sent or skipped
 }
 
-// unackedMessage holds the deltas of one message that the peer has not acknowledged.
+// unackedMessage is a sent message whose deltas the peer has not acknowledged.
 type unackedMessage struct {
 	seq            uint64
 	firstSentAt    time.Duration
@@ -50,10 +50,10 @@
 	allowanceUnits map[control.CustomerID]float64 // units of the deltas that came from the allowance
 }
 
-// isRetired reports whether an epoch of the peer has ended.
+// isRetiredEpoch reports whether an epoch of the peer has ended.
 func (p *peer) isRetiredEpoch(epoch uint32) bool { return slices.Contains(p.retiredEpochs, epoch) }
 
-// beginEpoch starts the peer's next epoch. Its sequence numbers and versions start again.
+// beginEpoch records the start of a new epoch of the peer. The sequence numbers and versions of the new epoch start again.
 func (p *peer) beginEpoch(epoch uint32) {
 	if p.epoch != 0 {
 		p.retiredEpochs = append(p.retiredEpochs, p.epoch)
@@ -62,7 +62,8 @@
 	p.epoch, p.appliedHigh, p.appliedMask, p.grantVersion = epoch, 0, 0, 0
 }
 
-// recordApplied records a sequence number and reports whether it is new. A number that is too old for the window of 64 counts as applied.
+// recordApplied records a sequence number as applied and reports whether the number is new. A number that is too low for the window
+// of 64 counts as applied before.
 func (p *peer) recordApplied(seq uint64) bool {
 	if seq > p.appliedHigh {
 		p.appliedMask = p.appliedMask<<min(seq-p.appliedHigh, 64) | 1
@@ -77,7 +78,7 @@
 	return true
 }
 
-// resendAt returns the time at which the oldest unacknowledged message is due to be sent again.
+// resendTime returns the time at which the oldest unacknowledged message is due to be sent again.
 func (p *peer) resendTime() time.Duration {
 	oldest := p.unacked[0]
 	return oldest.sentAt + (resendAfter+p.interval)<<oldest.resends
--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -7,8 +7,8 @@
 	"clovergap/control"
 )
 
-// planScenario is a front door's limiter in a cluster of three. Its only plan has ten units a second, a burst of 20 units, and a hard
-// limit of 20 units a second with a burst of 20. Its methods print only decoding errors.
+// planScenario is a front door's limiter in a cluster of three. The only plan has ten units a second, a burst of 20 units, and a hard
+// limit of 20 units a second with a burst of 20 units.
 type planScenario struct {
 	*Limiter
 	datagrams []*Message
@@ -57,7 +57,7 @@
 	return outcome
 }
 
-// ownedAmongThree returns a customer that gateway g owns if the set is all three gateways.
+// customerOwnedBy returns a customer whose owner is gateway g if the set consists of all three gateways.
 func customerOwnedBy(g control.GatewayID) control.CustomerID {
 	for c := control.CustomerID(1); ; c++ {
 		if OwnerOf(c, 0, 3, 3) == g {
@@ -123,7 +123,7 @@
 		Snapshots: []Snapshot{{1<<33 - 1, 65535, 1000, maxValue, 65535}}}
 	b := m.Encode()
 	decoded, err := DecodeMessage(b)
-	fmt.Println("decoded delta, snapshot and interval are equal, and the error:", decoded.Deltas[0] == m.Deltas[0], decoded.Snapshots[0] == m.Snapshots[0], decoded.Interval == m.Interval, err)
+	fmt.Println("decoded delta, snapshot and interval equal the encoded ones; then the decoding error:", decoded.Deltas[0] == m.Deltas[0], decoded.Snapshots[0] == m.Snapshots[0], decoded.Interval == m.Interval, err)
 	fmt.Println("# a datagram cut short at any byte, too long, or with a number out of range is dropped and counted, and changes no state")
 	s := newPlanScenario()
 	for n := range b {
@@ -132,11 +132,11 @@
 	s.DatagramReceived(1, append(b, 0))
 	m.Deltas[0].SetWidth = 1 << 30
 	s.DatagramReceived(1, m.Encode())
-	fmt.Println("all are counted, number of accounts, time of the last datagram:", s.badDatagrams == len(b)+2, len(s.accounts), s.peers[1].receivedAt)
+	fmt.Println("all are counted as bad datagrams; number of accounts; time of the last valid datagram:", s.badDatagrams == len(b)+2, len(s.accounts), s.peers[1].receivedAt)
 	// Output:
-	// decoded delta, snapshot and interval are equal, and the error: true true true <nil>
+	// decoded delta, snapshot and interval equal the encoded ones; then the decoding error: true true true <nil>
 	// # a datagram cut short at any byte, too long, or with a number out of range is dropped and counted, and changes no state
-	// all are counted, number of accounts, time of the last datagram: true 0 0s
+	// all are counted as bad datagrams; number of accounts; time of the last valid datagram: true 0 0s
 }
 
 func Example_txnReplacesWrongSetOfPeer() {
@@ -144,27 +144,27 @@
 	c := customerOwnedBy(0)
 	s.receiveMessage(1, &Message{Epoch: 7, Seq: 1, Deltas: []Delta{{Customer: c, SetWidth: 1}}})
 	a := s.accounts[c]
-	fmt.Println("a peer names a set of this gateway alone: set width", a.setWidth, "has units of the hard limit", s.refillHardShare(a) > 0)
+	fmt.Println("a delta of a peer names a set of only this gateway: set width", a.setWidth, "- the share of the hard limit has units:", s.refillHardShare(a) > 0)
 	s.checkAndConsume(s.EnsureAccount(c, 0, 0, 3))
-	fmt.Println("a txn names a set of three gateways: set width", a.setWidth, "units of the hard limit", a.hardShare)
+	fmt.Println("a txn names a set of three gateways, so the hard limit's share is void: set width", a.setWidth, "- units in the share of the hard limit:", a.hardShare)
 	// Output:
-	// a peer names a set of this gateway alone: set width 1 has units of the hard limit true
-	// a txn names a set of three gateways: set width 3 units of the hard limit 0
+	// a delta of a peer names a set of only this gateway: set width 1 - the share of the hard limit has units: true
+	// a txn names a set of three gateways, so the hard limit's share is void: set width 3 - units in the share of the hard limit: 0
 }
 
-// An owned account is removed only after its bucket is full again.
+// Guards against the removal of an owned account before its bucket is full again. A new account would then start with a full bucket.
 func Example_idleAccountsAreRemoved() {
 	s := newPlanScenario()
 	s.checkAndConsume(s.EnsureAccount(customerOwnedBy(0), 0, 0, 3))
 	own := s.accounts[customerOwnedBy(0)]
 	own.level = -200 // full again after 22 s
-	fmt.Println("accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
+	fmt.Println("number of accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
 	s.advance(30 * time.Second)
-	fmt.Println("accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
+	fmt.Println("number of accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
 	s.advance(40 * time.Second)
-	fmt.Println("accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
+	fmt.Println("number of accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
 	// Output:
-	// accounts in the list and in the map: 1 1
-	// accounts in the list and in the map: 1 1
-	// accounts in the list and in the map: 0 0
+	// number of accounts in the list and in the map: 1 1
+	// number of accounts in the list and in the map: 1 1
+	// number of accounts in the list and in the map: 0 0
 }
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -10,14 +10,14 @@
 	"clovergap/control"
 )
 
-// cluster is a number of limiters and the datagrams between them, in simulated time.
+// cluster simulates limiters and the datagrams between them.
 type cluster struct {
 	t           *testing.T
 	now         time.Duration
 	limiters    []*Limiter
 	datagrams   []datagram
 	rng         *rand.Rand
-	lossRate    float64 // share of datagrams that are lost; an equal share is duplicated, with the duplicate delayed
+	lossRate    float64 // share of datagrams that are lost; the same share is duplicated, and the duplicates are delayed
 	partitioned map[[2]control.GatewayID]bool
 	consumed    []time.Duration // times at which any gateway consumed a unit of the watched customer
 }
@@ -55,19 +55,20 @@
 	return OwnerOf(watchedCustomer, 0, len(c.limiters), len(c.limiters))
 }
 
-// other returns a gateway that is not the owner.
+// nonOwnerID returns a gateway that is not the owner.
 func (c *cluster) nonOwnerID() control.GatewayID {
 	return (c.ownerID() + 1) % control.GatewayID(len(c.limiters))
 }
 
-// isolate partitions one gateway from all others, or ends that.
+// setIsolated starts or ends the partition of one gateway from all others.
 func (c *cluster) setIsolated(g control.GatewayID, isolated bool) {
 	for i := range c.limiters {
 		c.partitioned[[2]control.GatewayID{g, control.GatewayID(i)}], c.partitioned[[2]control.GatewayID{control.GatewayID(i), g}] = isolated, isolated
 	}
 }
 
-// setReachable sets which gateways one gateway can reach. Each gateway for which isolated returns true is isolated by itself.
+// setReachable sets which gateways gateway g can reach. A gateway for which isolated returns true reaches no other gateway and is
+// reached by none.
 func (c *cluster) setReachable(g control.GatewayID, isolated func(control.GatewayID) bool) {
 	live := make([]bool, len(c.limiters))
 	for i := range live {
@@ -76,8 +77,8 @@
 	c.limiters[g].SetReachable(live)
 }
 
-// run runs the cluster for the given time. Each gateway, or the only one given, receives random requests at a mean of unitsPerSecond
-// units. It returns the number of allowed units.
+// runWithRandomRequests runs the cluster for the given time and returns the number of allowed units. Each gateway, or the single
+// gateway given, receives random requests at a mean rate of unitsPerSecond.
 func (c *cluster) runWithRandomRequests(d time.Duration, unitsPerSecond float64, only ...control.GatewayID) (allowed int) {
 	for end := c.now + d; c.now < end; {
 		c.now += step
@@ -100,7 +101,7 @@
 	return allowed
 }
 
-// deliver delivers the datagrams that have arrived and sends those that are due.
+// exchangeDatagrams delivers the datagrams that have arrived and sends the datagrams that are due.
 func (c *cluster) exchangeDatagrams() {
 	kept := c.datagrams[:0]
 	for _, m := range c.datagrams {
@@ -131,19 +132,19 @@
 	}
 }
 
-// mustBeBounded asserts that consumption stays within the bound of strict mode in every window.
+// requireWithinBound asserts that consumption stays within the bound of strict mode in every window.
 func (c *cluster) requireWithinBound(rate, burst float64) {
 	c.t.Helper()
 	first := 0
 	for i, at := range c.consumed {
 		for ; c.consumed[first] <= at-5*time.Second; first++ {
 		}
-		must.LessEq(c.t, (rate*5+burst)*1.1+20, float64(i-first+1), must.Sprintf("units consumed in the window that ends at %v", at))
+		must.LessEq(c.t, (rate*5+burst)*1.1+20, float64(i-first+1), must.Sprintf("units consumed in the 5 s window that ends at %v", at))
 	}
 }
 
-// TestBoundHoldsWhenAllGatewaysAsk guards against consumption above the bound, and against unused quota, when all gateways request more than
-// the quota. Some cases lose and duplicate datagrams.
+// TestBoundHoldsWhenAllGatewaysAsk guards against consumption above the bound and against unused quota. All gateways together receive
+// requests for more than the quota. In some cases datagrams are lost and duplicated.
 func TestBoundHoldsWhenAllGatewaysAsk(t *testing.T) {
 	for _, n := range []int{2, 3, 12} {
 		for _, lossRate := range []float64{0, 0.2} {
@@ -157,8 +158,8 @@
 	}
 }
 
-// TestRestartsGrantNoNewShare guards against a new epoch that brings a gateway a new share. The owner or another gateway restarts again and
-// again.
+// TestRestartsGrantNoNewShare guards against a restarted gateway that may consume units which it has already consumed in its former
+// epoch. The owner or another gateway restarts repeatedly.
 func TestRestartsGrantNoNewShare(t *testing.T) {
 	c := newCluster(t, 3, 40, 60)
 	for epoch := int64(1); epoch < 12; epoch++ {
@@ -175,8 +176,8 @@
 	c.requireWithinBound(40, 60)
 }
 
-// TestPartitionedGatewaysShareTheRate guards against a wrong split of the rate. The owner is partitioned, the hosts find it, and the owner
-// and the isolated gateways consume only their parts until the partition ends.
+// TestPartitionedGatewaysShareTheRate guards against a wrong split of the rate during a partition. The owner is partitioned from the
+// other gateways, and the hosts detect the partition. Until the partition ends, each gateway may consume only its part of the rate.
 func TestPartitionedGatewaysShareTheRate(t *testing.T) {
 	c := newCluster(t, 3, 40, 60)
 	c.runWithRandomRequests(4*time.Second, 60)
@@ -199,9 +200,9 @@
 	must.Greater(t, 150, len(c.consumed)-before, must.Sprint("units consumed after the partition"))
 }
 
-// TestBoundHoldsWhileGatewaysAreAdded guards against units that are consumed twice or lost as owners change. Gateways are added, and not all
-// gateways learn of it at once. A new owner's bucket starts empty. Units that the former owner has not acknowledged are reported to the
-// new owner.
+// TestBoundHoldsWhileGatewaysAreAdded guards against units that are consumed twice or lost as owners change. Gateways are added, and
+// not all gateways learn of the addition at the same time. A new owner's bucket starts empty. Units that the former owner has not
+// acknowledged are reported to the new owner.
 func TestBoundHoldsWhileGatewaysAreAdded(t *testing.T) {
 	c := newCluster(t, 2, 40, 60)
 	c.runWithRandomRequests(4*time.Second, 0)
@@ -259,8 +260,8 @@
 	must.MapEmpty(t, own.removedAt)
 }
 
-// TestIsolatedGatewayConsumesOnlyItsPart guards against a gateway that consumes too much or nothing without any datagram from an owner. It
-// has its allowance, and its part of the rate once its host has found the owner unreachable.
+// TestIsolatedGatewayConsumesOnlyItsPart guards against an isolated gateway that consumes too much or nothing. Such a gateway may
+// consume its allowance. After its host has found the owner unreachable, it may also consume its part of the rate.
 func TestIsolatedGatewayConsumesOnlyItsPart(t *testing.T) {
 	c := newCluster(t, 4, 40, 60)
 	c.setIsolated(c.nonOwnerID(), true)
@@ -270,8 +271,8 @@
 	must.Greater(t, 80, len(c.consumed))
 }
 
-// TestSmallQuotaIsUsableByManyGateways guards against splitting a unit into fractions that cover no request. Gateways that ask for a unit
-// must get it one after the other.
+// TestSmallQuotaIsUsableByManyGateways guards against splitting a unit into fractions that cover no request. Each unit must be
+// granted as a whole to one gateway after the other.
 func TestSmallQuotaIsUsableByManyGateways(t *testing.T) {
 	c := newCluster(t, 12, 2, 3)
 	c.runWithRandomRequests(5*time.Second, 0)
@@ -280,8 +281,8 @@
 	must.Greater(t, 30, len(c.consumed))
 }
 
-// TestBoundHoldsUnderRandomFaults guards against consumption above the bound under combined faults. Random gateways, most often the owner,
-// are partitioned and restarted. Datagrams are lost, and the hosts find the partitions late.
+// TestBoundHoldsUnderRandomFaults guards against consumption above the bound under combined faults. Random gateways, most often the
+// owner, are partitioned and restarted. Datagrams are lost, and the hosts detect the partitions late.
 func TestBoundHoldsUnderRandomFaults(t *testing.T) {
 	const n, rate, burst = 12, 200, 100
 	for seed := int64(0); seed < 3; seed++ {
@@ -319,8 +320,8 @@
 	request Request
 }
 
-// runWaiting runs the cluster for the given time. Random gateways receive requestsPerSecond requests a second in all, which wait while they
-// are pending. It returns the number of allowed and of rejected requests.
+// runWithPendingRequests runs the cluster for the given time. Random gateways together receive requestsPerSecond requests a second. A
+// pending request is checked again at each step. runWithPendingRequests returns the numbers of allowed and rejected requests.
 func (c *cluster) runWithPendingRequests(d time.Duration, requestsPerSecond float64, sla time.Duration) (allowed, exceeded int) {
 	var waiting []waitingRequest
 	for end := c.now + d; c.now < end; {
@@ -350,24 +351,25 @@
 }
 
 // TestFewRequestsAreRejectedWithManyGateways guards against unused grants to gateways that rarely receive a request of a customer. A
-// pending request sets unitsWanted again at each check. In an earlier version, the gateway sent unitsWanted together with the report of
-// the units that this request had consumed. The owner then granted one more unit. For six seconds, that gateway did not use the unit and no
-// other gateway could get it. For a customer that requests 0.6 of its quota, this fault rejected 30 to 43 percent of the requests with 300
-// gateways, and 7 to 35 percent with 24 gateways.
+// pending request sets unitsWanted again at each check. In an earlier version, the gateway sent unitsWanted together with the report
+// of the units that the request had consumed, so the owner granted one more unit. The gateway did not use this unit, and no other
+// gateway could get it for six seconds. For a customer that requests 0.6 of its quota, this fault rejected 30 to 43 percent of the
+// requests with 300 gateways, and 7 to 35 percent with 24 gateways.
 func TestFewRequestsAreRejectedWithManyGateways(t *testing.T) {
 	for _, n := range []int{24, 300} {
 		for _, rate := range []float64{4, 16, 60} {
 			c := newCluster(t, n, rate, rate)
 			c.runWithPendingRequests(6*time.Second, 0, 0) // the buckets fill
 			allowed, exceeded := c.runWithPendingRequests(30*time.Second, rate/1.6, 800*time.Millisecond)
-			must.Greater(t, 12*exceeded, allowed, must.Sprintf("%d gateways, rate %v: %d of %d requests rejected", n, rate, exceeded, allowed+exceeded))
+			must.Greater(t, 12*exceeded, allowed, must.Sprintf("gateways=%d rate=%v: rejected %d of %d requests", n, rate, exceeded, allowed+exceeded))
 		}
 	}
 }
 
-// TestLargeCustomerNeedsEnoughDatagramsPerSecond guards against an owner that can receive too few datagrams for a large customer. One customer
-// has a fifth of the requests of 300 gateways, so its owner is asked some hundred times a second. An owner that receives few datagrams
-// asks the gateways for long intervals, and they reject requests for which they cannot ask in time.
+// TestLargeCustomerNeedsEnoughDatagramsPerSecond guards against an owner that can receive too few datagrams for a large customer. One
+// customer has a fifth of the requests of 300 gateways, so its owner receives some hundred reports a second. An owner that can
+// receive only few datagrams requires long intervals between datagrams. The gateways then reject requests for which they get no
+// snapshot in time.
 func TestLargeCustomerNeedsEnoughDatagramsPerSecond(t *testing.T) {
 	rejectedCount := func(datagrams float64) int {
 		config := gatewayConfig
@@ -375,9 +377,9 @@
 		c := newClusterOf(t, 300, 290, 290, config)
 		c.runWithPendingRequests(6*time.Second, 0, 0)
 		allowed, exceeded := c.runWithPendingRequests(12*time.Second, 180, 480*time.Millisecond)
-		t.Logf("%v datagrams a second: %d of %d requests rejected", datagrams, exceeded, allowed+exceeded)
+		t.Logf("%v datagrams a second: rejected %d of %d requests", datagrams, exceeded, allowed+exceeded)
 		return exceeded
 	}
-	must.Less(t, 10, rejectedCount(2000))   // of about 2,100
-	must.Greater(t, 40, rejectedCount(400)) // the former setting of a node
+	must.Less(t, 10, rejectedCount(2000))   // of about 2,100 requests
+	must.Greater(t, 40, rejectedCount(400)) // 400 is the former setting of a node
 }
