--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -2,9 +2,9 @@
 
 import "clovergap/control"
 
-// DatagramReceived applies a peer's datagram. It returns true if the datagram may change the result of a check. Then the caller must check
-// pending requests again. DatagramReceived drops and counts a datagram that is malformed or does not come from a known peer. It drops, but
-// does not count, a datagram of a former epoch.
+// DatagramReceived applies a peer's datagram. It returns true if the datagram may change the result of a check. In that case, the
+// caller must check pending requests again. DatagramReceived drops and counts a datagram that is malformed or does not come from a
+// known peer. It drops a datagram of a former epoch without counting it.
 func (l *Limiter) DatagramReceived(from control.GatewayID, payload []byte) (recheck bool) {
 	m, err := DecodeMessage(payload)
 	if err != nil || from < 0 || int(from) >= len(l.peers) || from == l.self {
@@ -55,7 +55,8 @@
 	return true
 }
 
-// dropReported drops the reports to a peer and the snapshots and grants from it, for the accounts that it owns.
+// discardPeerState discards the unacknowledged reports to a peer. It also discards the peer's snapshots and grants for the accounts
+// that the peer owns.
 func (l *Limiter) discardPeerState(p *peer) {
 	for _, u := range p.unacked {
 		for _, d := range u.deltas {
@@ -90,7 +91,7 @@
 	return true
 }
 
-// applyDeltas applies the deltas of a message at most once. It schedules a snapshot of each account as the answer.
+// applyDeltas applies the deltas of a message at most once and schedules a snapshot of each of their accounts as the answer.
 func (l *Limiter) applyDeltas(p *peer, m *Message) {
 	if !l.acceptsDeltas(m) {
 		l.badDatagrams++
@@ -128,15 +129,15 @@
 	return a
 }
 
-// applyDelta applies one delta. Its units count only the first time that it arrives. Its values of the current state count only if no
-// later delta has arrived.
+// applyDelta applies one delta. The units of the delta count only at its first arrival. The number in flight and the wanted units
+// count only if no later delta has arrived.
 func (l *Limiter) applyDelta(p *peer, m *Message, a *Account, d Delta, firstTime bool) {
 	l.refill(a)
 	r := a.getOrCreateReporterState(p.id)
 	r.receivedAt = l.now
 	if m.Seq == p.appliedHigh {
 		r.inFlight, r.unitsWanted = d.InFlight, d.UnitsWanted
-		l.releaseWithheld(a, r, r.withheld-float64(d.InFlight)) // units that it has yet to report may come from the withheld part
+		l.releaseWithheld(a, r, r.withheld-float64(d.InFlight)) // the reporter may have consumed these units from the withheld part without having reported them
 	}
 	switch {
 	case !l.config.Strict:
@@ -154,8 +155,8 @@
 	}
 }
 
-// removeAcknowledged removes the messages that the peer acknowledges from the unacknowledged ones and subtracts their units from the
-// levels.
+// removeAcknowledged removes the messages that the peer acknowledges from the unacknowledged messages. It subtracts their units from
+// the levels of the snapshots.
 func (l *Limiter) removeAcknowledged(p *peer, m *Message) {
 	kept := p.unacked[:0]
 	for _, u := range p.unacked {
@@ -175,7 +176,8 @@
 	p.unacked = kept
 }
 
-// applySnapshots applies the grants of a message at most once. It applies the levels unless a later version has arrived before.
+// applySnapshots applies the snapshots of a message. It applies the grants at most once, and the levels unless a later version has
+// arrived before.
 func (l *Limiter) applySnapshots(p *peer, m *Message) {
 	takeGrants := m.Version > p.grantVersion
 	p.grantVersion = max(p.grantVersion, m.Version)
@@ -195,8 +197,9 @@
 	}
 }
 
-// applyGrant adds the units that a snapshot grants. Without strict mode these are units of the hard limit. In strict mode they are units
-// of the bucket. After a pause of this process the message may be old and its granted units expired, so they are ignored.
+// applyGrant adds the units that a snapshot grants. Without strict mode these are units of the hard limit. In strict mode these are
+// units of the bucket. They are ignored shortly after a pause of this process, because the message may be old and the grant may have
+// expired.
 func (l *Limiter) applyGrant(a *Account, s Snapshot) {
 	if a.limit.HardRate > 0 && a.inSet {
 		a.hardShare = min(l.hardShareCap(a), l.refillHardShare(a)+s.Grant)
--- a/control/quota/recorded_test.go
+++ b/control/quota/recorded_test.go
@@ -15,9 +15,10 @@
 )
 
 // The tests in this file compare decisions and datagrams with digests that were recorded on 2 December 2026. The runs include lost
-// datagrams, pauses and restarts. A refactoring must not change the digests. A change that is meant to change decisions records new ones.
+// datagrams, pauses and restarts. A refactoring must not change the digests. A change that is meant to change decisions must record
+// new digests.
 
-// recorder computes a digest of decisions.
+// recorder computes the digest of a sequence of decisions.
 type recorder struct {
 	hash.Hash64
 	count int
@@ -41,7 +42,7 @@
 	return 0
 }
 
-// recordDecisions runs five limiters through isolation, a restart and the addition of a limiter. It returns the digest of their decisions
+// decisionsDigest runs five limiters, isolates and restarts some of them, and adds a limiter. It returns the digest of all decisions
 // and messages.
 func decisionsDigest(seed int64, config Config) string {
 	type sent struct {
@@ -98,7 +99,7 @@
 		}
 		for i, limiter := range limiters {
 			if step%900 > 800 && i == 2 {
-				continue // the process is paused
+				continue // the process of limiter 2 is paused
 			}
 			limiter.SetNow(now)
 			c := control.CustomerID(1 + rng.Intn(customers))
--- a/control/quota/refill.go
+++ b/control/quota/refill.go
@@ -10,13 +10,13 @@
 	}
 }
 
-// refillAmount returns the refill of an owned bucket for a period. Without strict mode this is the rate. In strict mode it is the parts
-// of the rate that belong to reachable gateways.
+// refillAmount returns the number of units by which an owned bucket is refilled for a period. Without strict mode the refill is the
+// whole rate. In strict mode the refill consists of the parts of the rate that belong to reachable gateways.
 //
-// An unreachable gateway consumes its part without asking the owner. A gateway that has reported and then fallen silent may do the same.
-// The part of such a gateway is withheld until a message from the gateway arrives. Then the part is released, less the units that the
-// gateway consumed. After reporterLostAfter, the host has found every lost gateway unreachable. A silent gateway that is still reachable by
-// then had nothing to report, and its part is released.
+// An unreachable gateway consumes its part without asking the owner. A gateway that has sent reports and then no more messages may do
+// the same. The part of such a gateway is withheld until a message from the gateway arrives. Then the part is released, less the
+// units that the gateway consumed. After reporterLostAfter, the host has found every lost gateway unreachable. A silent gateway that
+// is still reachable by then had nothing to report, and its part is released.
 func (l *Limiter) refillAmount(a *Account, period time.Duration) float64 {
 	if !l.config.Strict {
 		return a.limit.Rate * period.Seconds()
@@ -27,9 +27,9 @@
 		unreachable := l.peers[r.from].unreachableSince > 0
 		mayBeIsolated := (r.inFlight > 0 || silentFor > reporterQuietAfter) && silentFor < reporterLostAfter && l.withholdsEarly(a)
 		switch {
-		case unreachable && silentFor <= reporterQuietAfter && r.inFlight == 0: // its last message is newer than the host's finding
+		case unreachable && silentFor <= reporterQuietAfter && r.inFlight == 0: // its last message is newer than the host's information
 			reachable++
-		case unreachable: // effectiveReachable does not count it
+		case unreachable: // effectiveReachableCount leaves this gateway out
 			r.withheld += part
 		case mayBeIsolated:
 			r.withheld += part
@@ -41,8 +41,8 @@
 	return part * float64(max(1, reachable))
 }
 
-// withholdsEarly reports whether parts of the rate are withheld for gateways that have just fallen silent. At a small rate, such a part
-// is negligible in so short a time, and withholding it would only delay the customer.
+// withholdsEarly reports whether parts of the rate are withheld for gateways whose messages have just stopped. At a small rate, such
+// a part is negligible for so short a time, and withholding the part would only delay the customer.
 func (l *Limiter) withholdsEarly(a *Account) bool {
 	return a.limit.Rate >= minWithholdRate*float64(l.gateways)
 }
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -2,8 +2,8 @@
 
 import "clovergap/control"
 
-// requestSnapshot schedules a report of an account to its owner, which answers each report with a snapshot. The report may have 0 units.
-// While an earlier report may still be answered, requestSnapshot schedules no other one.
+// requestSnapshot schedules a report of an account to the owner, because the owner answers each report with a snapshot. The report
+// may have 0 units. While the answer to an earlier report may still arrive, requestSnapshot schedules no other report.
 func (l *Limiter) requestSnapshot(a *Account) {
 	if a.snapshotRequestedAt == 0 {
 		a.snapshotRequestedAt = l.now
@@ -36,7 +36,7 @@
 	}
 }
 
-// schedulePeer queues a peer for the next datagrams. It does nothing if nothing may be sent to peers.
+// schedulePeer queues a peer for the next datagrams. It does nothing if datagrams to peers are disabled.
 func (l *Limiter) schedulePeer(p *peer) {
 	if !p.queued && l.options.PeersEnabled {
 		p.queued = true
@@ -85,7 +85,8 @@
 	return m
 }
 
-// packDeltas moves queued reports into the message as far as there is room. The oldest reports come first, so that no account starves.
+// packDeltas moves queued reports into the message as far as there is room. The oldest reports come first, so that no account waits
+// forever.
 func (l *Limiter) packDeltas(p *peer, m *Message) {
 	p.lastSeq++
 	m.Seq = p.lastSeq
@@ -112,7 +113,7 @@
 	p.unacked = append(p.unacked, &unackedMessage{seq: m.Seq, sentAt: l.now, firstSentAt: l.now, deltas: m.Deltas, allowanceUnits: allowance})
 }
 
-// refreshDeltas updates deltas that are sent again. Their units stay the same.
+// refreshDeltas updates the field InFlight of deltas that are sent again in strict mode. All other fields keep their values.
 func (l *Limiter) refreshDeltas(deltas []Delta) []Delta {
 	for i := range deltas {
 		if a := l.accounts[deltas[i].Customer]; l.config.Strict && a != nil {
@@ -149,8 +150,8 @@
 	}
 }
 
-// snapshotFor returns the snapshot of an owned account for one reporter. It holds the units left without those promised to others, and
-// the units granted to the reporter.
+// snapshotFor returns the snapshot of an owned account for one reporter. The snapshot holds the units granted to the reporter, and
+// the units left apart from those reserved for or promised to others.
 func (l *Limiter) snapshotFor(p *peer, a *Account) Snapshot {
 	l.refill(a)
 	others, inFlight, promised := l.recentReporterTotals(a, p)
@@ -159,7 +160,7 @@
 	r.snapshotLevel = left
 	var grant float64
 	if l.config.Strict {
-		grant = l.grantToReporter(r, left)
+		grant = l.grantUnits(r, left)
 	} else {
 		r.granted, r.grantedAt = 0, l.now
 		if left >= r.unitsWanted {
@@ -171,7 +172,8 @@
 	return Snapshot{Customer: a.id, Level: left, Reporters: others + 1, InFlightElsewhere: inFlight + a.inFlight, Grant: grant}
 }
 
-// attachObservations adds the host's latest observations to a message. It adds all that are new to the peer, or none if they do not fit.
+// attachObservations adds the host's latest observations to a message. It adds all observations that are new to the peer, or none if
+// not all of them fit.
 func (l *Limiter) attachObservations(p *peer, m *Message) {
 	if l.options.LastObservations == nil {
 		return
--- a/control/quota/versions_test.go
+++ b/control/quota/versions_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestDatagramFormatIsUnchanged guards against a change of the datagram format without a new version number. It decodes a datagram with
-// every field set, recorded from the version of 2 December 2026, and encodes the same message. A change of the format needs a new number
-// and code that reads both versions.
+// TestDatagramFormatIsUnchanged guards against a change of the datagram format without a new version number. The test decodes a
+// datagram that was recorded on 2 December 2026 and has every field set. It then encodes the same message. A change of the format
+// needs a new number and code that reads both versions.
 func TestDatagramFormatIsUnchanged(t *testing.T) {
 	const encoded = "02070000001403090280808080200328042f02080605001000000000000b080000000c05000000018080808020940203021802efcdab160a01000000ff"
 	m := &Message{Epoch: 7, Interval: 20 * time.Millisecond, Age: 3 * time.Second, Seq: 9,
@@ -27,9 +27,9 @@
 	must.Eq(t, encoded, hex.EncodeToString(m.Encode()))
 }
 
-// TestDatagramVariantsKeepTheirFormat guards against a format change that the message with every field set does not show. It covers a
+// TestDatagramVariantsKeepTheirFormat guards against a format change that TestDatagramFormatIsUnchanged does not detect. It covers a
 // delta alone, an acknowledgement alone, the special ratios of a lost and a failed submission, and values above the limits of their
-// fields, which are reduced to the limits.
+// fields. Such values are reduced to the limits.
 func TestDatagramVariantsKeepTheirFormat(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestDecodeErrorsAreDistinguishable guards against errors that do not distinguish a datagram of another version from a malformed one.
+// TestDecodeErrorsAreDistinguishable guards against one error for two causes. A datagram with an unknown format version and a
+// malformed datagram must return different errors.
 func TestDecodeErrorsAreDistinguishable(t *testing.T) {
 	whole := (&Message{Epoch: 1, Seq: 1, Deltas: []Delta{{Customer: 1, Units: 1}}}).Encode()
 	for _, tc := range []struct {
@@ -69,11 +70,11 @@
 		payload []byte
 		want    error
 	}{
-		{"empty", nil, ErrMessageVersion},
-		{"another version", append([]byte{messageVersion + 1}, whole[1:]...), ErrMessageVersion},
-		{"cut short", whole[:len(whole)-1], ErrMalformed},
-		{"too long", append(whole[:len(whole):len(whole)], 0), ErrMalformed},
-		{"out of range", (&Message{Epoch: 1, Seq: 1, Deltas: []Delta{{Customer: maxCustomer + 1}}}).Encode(), ErrMalformed},
+		{"empty payload", nil, ErrMessageVersion},
+		{"unknown format version", append([]byte{messageVersion + 1}, whole[1:]...), ErrMessageVersion},
+		{"last byte is missing", whole[:len(whole)-1], ErrMalformed},
+		{"one extra byte at the end", append(whole[:len(whole):len(whole)], 0), ErrMalformed},
+		{"customer ID above maxCustomer", (&Message{Epoch: 1, Seq: 1, Deltas: []Delta{{Customer: maxCustomer + 1}}}).Encode(), ErrMalformed},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := DecodeMessage(tc.payload)
--- a/control/types.go
+++ b/control/types.go
@@ -12,17 +12,18 @@
 // CustomerID identifies a customer, to whom a quota belongs. In the gateway, a customer is a tenant.
 type CustomerID uint64
 
-// GatewayID identifies one process that meters customers. It is the index of a front door among its peers, or the slot of a node of the
-// gateway. Both count from 0. The package comment explains front door and gateway.
+// GatewayID identifies one process that meters customers. The ID is the index of a front door among its peers or the slot of a
+// gateway node. Both are counted from 0. The package comment defines both programs.
 type GatewayID int
 
-// ProductID identifies a kind of request. It is a product of the front door or a route of the gateway.
+// ProductID identifies a kind of request. This is a product in the front door and a route in the gateway.
 type ProductID int
 
-// PlanID identifies the terms of a customer. It is a plan of the front door or the priority of a tenant in the gateway.
+// PlanID identifies the contract terms of a customer, such as the limits and the price. In the gateway, a PlanID is the priority of a
+// tenant.
 type PlanID int
 
-// ZoneID identifies an availability zone, in which backends and front doors run.
+// ZoneID identifies the availability zone in which a backend or a gateway runs.
 type ZoneID int
 
 // PodID identifies a pod, which is a group of backends that fail together.
@@ -37,7 +38,7 @@
 	Customer CustomerID
 	Product  ProductID
 	Plan     PlanID
-	Units    float64       // units that it consumes of its customer's quota
+	Units    float64       // units of the customer's quota that the txn consumes
 	Expiry   time.Duration // deadline for the answer, on the host's clock
 	SetFirst GatewayID     // first gateway of the set that serves the customer
 	SetWidth int           // number of gateways in that set
@@ -50,10 +51,10 @@
 	Zone         ZoneID
 	Pod          PodID
 	State        BackendState
-	Capacity     float64       // number of requests that it processes concurrently
-	Started      time.Duration // start time on the host's clock, 0 if it started long enough ago to be warm
-	Service      ServiceID     // service that it belongs to, if the host has several
-	WarmingUntil time.Duration // end of its warm-up on the host's clock, 0 to apply the settings
+	Capacity     float64       // number of requests that the backend processes concurrently
+	Started      time.Duration // start time on the host's clock; 0 means that the warm-up is over
+	Service      ServiceID     // service of the backend, if the host has several services
+	WarmingUntil time.Duration // end of the warm-up on the host's clock; 0 means that the settings determine the end
 }
 
 // BackendState is the state of a backend in the backend list.
