--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// requeueWaiting moves the waiting txns to the front of the undecided ones. Under pressure, it sorts all of them by their value rate,
-// highest first. Txns with the same value rate keep their order, so the older txn is decided first.
+// requeueWaiting moves the waiting txns to the front of the undecided txns. Under pressure, it sorts all undecided txns by their
+// value rate, highest first. Txns with the same value rate keep their order, so the older txn is decided first.
 func (c *Controller) requeueWaiting() {
 	if len(c.waiting) == 0 {
 		return
--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -785,7 +785,8 @@
 	for i := 4; i < 500; i++ {
 		s.changeEndpoints(false, control.Endpoint{ID: control.BackendID(i - 1)}, control.Endpoint{ID: control.BackendID(i), State: control.Ready})
 	}
-	fmt.Println("number of backends in the list and in the two maps:", len(s.controller.backendsByID), len(s.controller.backends), len(s.controller.backendsByHash))
+	fmt.Println("number of backends in the list and in the two maps:", len(s.controller.backendsByID),
+		len(s.controller.backends), len(s.controller.backendsByHash))
 	s.controller.plans[0].Rate = 2
 	s.addTxn(1, mine, 0, 0)
 	s.endSubmission(1, control.Succeeded)
--- a/control/loadbalancer/pick.go
+++ b/control/loadbalancer/pick.go
@@ -56,8 +56,8 @@
 }
 
 // pickByRank returns the candidate with the highest rank. The ranks of backends in the own zone are above all others, because traffic
-// between zones has a cost. Candidates with far more than the mean load are skipped. If all candidates are skipped, it returns the least
-// loaded one.
+// between zones has a cost. Candidates with far more than the mean load are skipped. If all candidates are skipped, the result is the
+// candidate with the lowest load.
 func (c *Controller) pickByRank(t *txn, set candidateSet) *backend {
 	maxLoad := maxLoadFactor*set.load/float64(len(set.candidates)) + 1
 	var first, least *backend
@@ -163,8 +163,8 @@
 	return (float64(b.inFlight) + elsewhere) * max(b.slowdown/c.medianSlowdown, minLoadSlowdown) / b.warmUpShare
 }
 
-// slowStartShare returns the share of its capacity that a backend may use after an ejection. The share grows linearly from minSlowStartShare to 1
-// within slowStartTime.
+// slowStartShare returns the share of its capacity that a backend may use after an ejection. This share grows linearly from
+// minSlowStartShare to 1 within slowStartTime.
 func (c *Controller) slowStartShare(b *backend) float64 {
 	if b.slowStartedAt == 0 || c.now-b.slowStartedAt > slowStartTime {
 		return 1
--- a/control/loadbalancer/tuning.go
+++ b/control/loadbalancer/tuning.go
@@ -42,7 +42,7 @@
 	networkMargin = 40 * time.Millisecond
 	// responseTimeout is the longest time from the first byte of a response to its last.
 	responseTimeout = 100 * time.Millisecond
-	// backendQueueTimeShare is the longest time for which a txn waits for a backend, as a share of the SLA time.
+	// backendQueueTimeShare is the share of the SLA time for which a txn waits for a backend at most.
 	backendQueueTimeShare = 0.35
 	// A first submission times out after firstAttemptShare of the remaining time, so that there is time for a retry. This applies
 	// only if the shortened time-out is more than firstAttemptFactor times the usual response time.
@@ -65,15 +65,15 @@
 	loadSmoothing = 0.5
 	// loadReportTTL is the time in which the weight of a load report falls linearly to 0.
 	loadReportTTL = 4 * time.Second
-	// While a txn's usual response time is unknown, it is taken as the SLA time divided by unknownLatencyDivisor.
+	// While the usual response time of a txn is unknown, the SLA time divided by unknownLatencyDivisor is used instead.
 	unknownLatencyDivisor = 8
-	// A response time counts as at most maxLatencyFactor times the usual one in the update of the usual one, and as at most
-	// maxLatencyRatio times the usual one in the slowdown of a backend.
+	// In the update of the usual response time, a response time is limited to maxLatencyFactor times the usual one. In the update of
+	// a backend's slowdown, the ratio of a response time to the usual one is limited to maxLatencyRatio.
 	maxLatencyFactor = 5.0
 	maxLatencyRatio  = 20.0
-	// minLatencySeconds is the lower bound of the usual response time in the ratio of a response time to it.
+	// minLatencySeconds is the lower bound of a usual response time that is used as a divisor.
 	minLatencySeconds = 0.0005
-	// A time-out counts as a lost submission after lostLatencyRatio times the usual response time.
+	// A submission that timed out counts as lost if its time-out is at least lostLatencyRatio times the usual response time.
 	lostLatencyRatio = 3
 	// minSlowdown is the lower bound of a slowdown that is used as a divisor.
 	minSlowdown = 0.1
@@ -98,11 +98,12 @@
 	slowEjectionRatio = 4.0
 	// maxEjectedShare is the share of the backends that may be ejected for losses or slowness.
 	maxEjectedShare = 0.5
-	// minEjectionTime is the length of the first ejection or exclusion. Each further one lasts twice as long, up to maxEjectionTime.
+	// minEjectionTime is the length of the first ejection or exclusion. Each further ejection or exclusion of the backend lasts twice
+	// as long, up to maxEjectionTime.
 	minEjectionTime = 500 * time.Millisecond
 	maxEjectionTime = 8 * time.Second
-	// rejectionBackoff is the time for which a backend that rejected a submission gets no more of them. It doubles with each further
-	// rejection in a row, at most maxRejectionDoublings times.
+	// rejectionBackoff is the time for which a backend that rejected a submission gets no more submissions. This time doubles with
+	// each further rejection in a row, at most maxRejectionDoublings times.
 	rejectionBackoff      = 100 * time.Millisecond
 	maxRejectionDoublings = 5
 	// A backend with at least two unanswered submissions is unresponsive after unresponsiveFactor times the usual response time
@@ -134,8 +135,8 @@
 	initialCapacity = 4.0
 	minCapacity     = 1.0
 	maxCapacity     = 40.0
-	// A prompt response raises the capacity by the share capacityGain, and a late one lowers it by the share capacityLoss. Until the
-	// first loss, the gain is initialCapacityGain, because the initial capacity is only a guess.
+	// A prompt response multiplies the capacity by 1 + capacityGain. A late response multiplies it by 1 - capacityLoss. Until the
+	// first late response lowers the capacity, the gain is initialCapacityGain, because the initial capacity is only an estimate.
 	capacityGain        = 0.002
 	capacityLoss        = 0.025
 	initialCapacityGain = 0.01
@@ -157,7 +158,7 @@
 	// At most maxInFlightFactor times its capacity is in flight at one backend.
 	maxInFlightFactor = 1.5
 	// At most burstAllowance times the square root of the whole capacity is in flight beyond that capacity. Txns arrive at random,
-	// and the relative variation of their number is the larger, the fewer they are.
+	// and the relative variation of their number is larger for smaller numbers.
 	burstAllowance = 1.0
 	// A candidate is skipped if one more submission would raise its load above maxLoadFactor times the mean load plus one. The factor
 	// is large because load reports arrive late.
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -22,7 +22,7 @@
 // Request is a request for units of a customer's quota.
 type Request struct {
 	Units float64
-	// Arrived is the clock time of the arrival. It is the same in every check of the request.
+	// Arrived is the clock time at which the request arrived. Every check of the request must pass the same value.
 	Arrived time.Duration
 	// SLA is the time from the arrival within which an answer has its full value. The request may wait for a share of this time.
 	SLA time.Duration
@@ -98,7 +98,8 @@
 	return Exceeded, after
 }
 
-// requiredLevel returns the level that a request needs. A late retry must also leave a part of the bucket for first attempts.
+// requiredLevel returns the level that a request needs. First attempts go before retries that usually come too late, so a late retry
+// must also leave a part of the bucket for first attempts.
 func (l *Limiter) requiredLevel(a *Account, r Request) float64 {
 	if r.LateRetry {
 		return r.Units + retryReserveShare*a.limit.Burst
@@ -110,7 +111,7 @@
 type remoteView struct {
 	age             time.Duration // age of the snapshot
 	fresh           bool          // the snapshot is recent enough to be used
-	scarce          bool          // one such request from each reporter would need more units than are left
+	scarce          bool          // one request of this size from each recent reporter would need more units than are left
 	notInSnapshot   float64       // units consumed or reserved at this gateway that are not in the snapshot
 	burstShare      float64       // upper bound of notInSnapshot
 	allowanceCovers bool          // the allowance covers the request (always true without strict mode)
@@ -153,7 +154,7 @@
 			return outcome, at
 		}
 	}
-	// By now the owner's bucket may hold more units than the snapshot shows.
+	// The refill since the snapshot may have raised the level of the owner's bucket.
 	ownerMayHaveMore := (!v.allowanceCovers || v.age > l.answerTimeout(a)) && a.level+a.limit.Rate*v.age.Seconds()-v.notInSnapshot >= r.Units
 	if l.now < v.deadline && (!v.fresh || ownerMayHaveMore || v.notInSnapshot+r.Units > v.burstShare) {
 		l.requestSnapshot(a)
@@ -186,10 +187,10 @@
 	return Pending, 0, false
 }
 
-// staleSnapshotCovers reports whether an expired snapshot covers a request while the owner is responsive. It adds this gateway's part
-// of the refill since the snapshot to the level. Without this check, many gateways would each consume a share of an empty bucket
-// every second. A scarce snapshot covers a request only if the owner was asked before the request's deadline and has not answered by
-// that deadline.
+// staleSnapshotCovers reports whether an expired snapshot covers a request while the owner is responsive. The level of the snapshot
+// is raised by this gateway's part of the refill since then. Without this condition, many gateways would each consume a share of an
+// empty bucket every second. A scarce snapshot covers a request only if the owner was asked before the request's deadline and has not
+// answered by that deadline.
 func (l *Limiter) staleSnapshotCovers(a *Account, r Request, v remoteView) bool {
 	left := a.level + a.limit.Rate*v.age.Seconds()/float64(max(a.reporterCount, 1)) - v.notInSnapshot
 	if a.hasSnapshot && left < l.requiredLevel(a, r) {
@@ -220,8 +221,8 @@
 	return r.Arrived + min(ownerAttempts*l.answerTimeout(a), time.Duration(snapshotTimeoutShare*float64(r.SLA)))
 }
 
-// ownerUnresponsive reports whether an awaited snapshot has not come and the owner has been silent for longer than ownerAttempts answer
-// time-outs.
+// ownerUnresponsive reports whether the owner has sent nothing for more than ownerAttempts answer time-outs since a snapshot was
+// requested.
 func (l *Limiter) ownerUnresponsive(a *Account) bool {
 	return l.now-max(a.snapshotRequestedAt, l.peers[a.owner].receivedAt, l.pausedUntil) > ownerAttempts*l.answerTimeout(a)
 }
--- a/control/quota/grant.go
+++ b/control/quota/grant.go
@@ -15,7 +15,7 @@
 
 // outstandingGrants returns the number of granted units of an owned bucket that may still be consumed, or may have been consumed
 // within the window of the bound (Config.Window). Without strict mode the result is 0. A grant older than grantMaxAge no longer
-// counts. A gateway that has been silent for so long has consumed the grant before the window or let it expire.
+// counts. After this time, the gateway has consumed the units before the current window, or the grant has expired.
 func (l *Limiter) outstandingGrants(a *Account) (units float64) {
 	if !l.config.Strict {
 		return 0
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -19,12 +19,13 @@
 	SnapshotTTL time.Duration
 	// DatagramsPerSecond is the number of datagrams a second that this gateway can receive.
 	DatagramsPerSecond float64
-	// InitialFill is the share of the burst that buckets hold at the start of a new cluster. With 0 they start empty.
+	// InitialFill is the share of the burst that buckets hold at the start of a new cluster. With 0, buckets start empty.
 	InitialFill float64
-	// MaxUnits is the number of units of the largest request. The shares of a hard limit are sized to hold as many.
+	// MaxUnits is the number of units of the largest request. Each share of a hard limit can hold at least this number of units.
 	MaxUnits float64
 
-	// Strict limits what all gateways consume together under any partition. See the package comment.
+	// Strict enables strict mode, which bounds the units that all gateways together consume under any partition. See the package
+	// comment.
 	Strict bool
 	// Window, Excess and Margin define the bound of strict mode, (1 + Excess) x (rate x Window + burst) + Margin units in any Window.
 	Window time.Duration
@@ -49,8 +50,8 @@
 	PeersEnabled bool
 	// PlanLimit returns the limits of a plan, or nil for a plan that does not exist.
 	PlanLimit func(control.PlanID) *Limit
-	// LastObservations returns the latest observations of backends, which are sent along with datagrams, and the number of all
-	// observations made so far.
+	// LastObservations returns the latest observations of backends, which are added to datagrams, and the total number of
+	// observations made since the start.
 	LastObservations func() (last []Observation, count int)
 	// ObservationsReceived is called with the observations in a peer's datagram.
 	ObservationsReceived func([]Observation)
@@ -66,7 +67,7 @@
 	now              time.Duration
 	startedAt        time.Duration
 	pausedUntil      time.Duration // end of the last pause of this process
-	ownersAssignedAt time.Duration // time from which Config.OwnershipDelay counts for new owners
+	ownersAssignedAt time.Duration // time of the last assignment of owners, from which Config.OwnershipDelay counts
 	sweptAt          time.Duration
 
 	self     control.GatewayID
@@ -74,7 +75,7 @@
 	epoch    uint32
 
 	reachableCount       int           // number of gateways, including this one, that the host reports as reachable
-	reachableCountBefore int           // effective count before the last rise of reachableCount
+	reachableCountBefore int           // effectiveReachableCount before the last rise of reachableCount
 	reachableRoseAt      time.Duration // time of the last rise of reachableCount
 
 	// olderPeerDatagrams counts the datagrams from peers that were started before this gateway.
@@ -87,21 +88,22 @@
 	orderedAccounts []*Account                           // the values of accounts in the order of their creation
 	removedAt       map[control.CustomerID]time.Duration // times at which the metering of customers stopped; kept for removedTTL
 
-	peers               []*peer       // by gateway ID; the entry of this gateway is unused
+	peers               []*peer       // indexed by gateway ID; the entry of this gateway is unused
 	pendingPeers        []*peer       // peers for which there may be something to send
 	version             uint64        // version of the last message with snapshots
 	interval            time.Duration // interval between datagrams to this gateway that peers are asked to keep
 	maxDatagrams        float64       // target for the datagrams a second from all peers
 	datagramsSinceSweep int           // datagrams received since the last sweep
-	sendersSinceSweep   int           // peers that sent these datagrams
+	sendersSinceSweep   int           // number of peers that sent datagrams since the last sweep
 	badDatagrams        int
 }
 
-// NewLimiter returns the limiter of gateway self in a cluster of the given number of gateways. The epoch is derived from the seed, so no
-// two runs may have the same seed. Limits are set by SetLimit, and the set of each customer is all gateways.
+// NewLimiter returns the limiter of gateway self in a cluster of the given number of gateways. The epoch is derived from the seed, so
+// no two runs of a gateway may have the same seed. Limits are set by SetLimit, and the set of each customer is all gateways.
 func NewLimiter(seed int64, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
 	invariant.Assert(self >= 0 && int(self) < gateways, "the gateway ID is below the number of gateways")
-	invariant.Assert(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0, "MinInterval, SnapshotTTL and DatagramsPerSecond are above 0")
+	invariant.Assert(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0,
+		"MinInterval, SnapshotTTL and DatagramsPerSecond are above 0")
 	l := newLimiter(rand.New(rand.NewSource(seed)).Uint32()|1, self, gateways, now, config)
 	l.options.PeersEnabled, l.sweptAt = true, now
 	return l
@@ -175,8 +177,8 @@
 // reachable, and so do all gateways until the first call.
 //
 // In strict mode, unreachable gateways reduce the refill of the buckets that this gateway owns, because those gateways consume their
-// parts of the rate on their own. The reduction lasts reachabilityLag longer than the fault, because such a gateway may learn later than
-// this one that it is no longer isolated.
+// parts of the rate on their own. The reduction lasts reachabilityLag longer than the fault, because such a gateway may learn of the
+// end of its isolation later than this gateway.
 func (l *Limiter) SetReachable(reachable []bool) {
 	for _, a := range l.orderedAccounts {
 		if a.owner == l.self {
@@ -200,7 +202,8 @@
 }
 
 // effectiveReachableCount returns the number of gateways whose parts of the rate refill the buckets. It delays a rise of
-// reachableCount by reachabilityLag. An owner that has just started has withheld nothing, so the rise applies at once there.
+// reachableCount by reachabilityLag. In an owner that has just started, a rise takes effect at once, because such an owner has
+// withheld nothing.
 func (l *Limiter) effectiveReachableCount() int {
 	if l.now-l.reachableRoseAt < reachabilityLag && l.reachableRoseAt-l.startedAt > grantMaxAge {
 		return min(l.reachableCount, l.reachableCountBefore)
@@ -210,11 +213,11 @@
 
 // Grow sets a higher number of gateways, or another ID of this gateway. It recomputes the owners of all buckets.
 //
-// A bucket that this gateway owns from now on stays empty for Config.OwnershipDelay. The empty bucket stands for all units that were
-// consumed before, so no units are consumed twice. Units that the old owner has not acknowledged are reported to the new owner. If the old
-// owner had applied these units, they count twice, and the customer has too few units for a short time. Grants of the old owner are void.
-// An old owner that is partitioned from the new owner continues to grant units. So gateways must be added only while all gateways can
-// reach each other.
+// A bucket that this gateway owns from now on stays empty for Config.OwnershipDelay. The empty bucket accounts for all units that
+// were consumed before the change of the owner, so no units are consumed twice. Units that the old owner has not acknowledged are
+// reported to the new owner. If the old owner had applied these units, the units count twice, and the customer has too few units for
+// a short time. Grants of the old owner are void. An old owner that is partitioned from the new owner continues to grant units. So
+// gateways must be added only while all gateways can reach each other.
 func (l *Limiter) Grow(self control.GatewayID, gateways int) {
 	invariant.Assert(gateways >= l.gateways && int(self) < gateways, "the number of gateways does not decrease and the gateway ID is below it")
 	previousSelf := l.self
@@ -260,8 +263,8 @@
 	}
 }
 
-// cancelReports removes an account from the queue of reports to its owner and from the unacknowledged messages. It returns the account's
-// unacknowledged units.
+// cancelReports removes an account from the queue of reports to its owner and from the unacknowledged messages. It returns the number
+// of unacknowledged units of the account.
 func (l *Limiter) cancelReports(a *Account) (units float64) {
 	p := l.peers[a.owner]
 	p.reportQueue = slices.DeleteFunc(p.reportQueue, func(o *Account) bool { return o == a })
@@ -280,8 +283,8 @@
 }
 
 // recordPeerAge uses the age of a peer to find out whether the whole cluster was started together with this gateway. In such a new
-// cluster nothing can have been consumed before, so buckets get their initial fill. One older peer proves that this gateway has restarted,
-// and then its buckets start empty.
+// cluster, no units can have been consumed before, so the buckets get their initial fill. One older peer proves that this gateway has
+// restarted, so the buckets of this gateway start empty.
 func (l *Limiter) recordPeerAge(p *peer, age time.Duration) {
 	if age > l.now-l.startedAt+maxStartSkew {
 		l.olderPeerDatagrams++
@@ -340,7 +343,8 @@
 	l.orderedAccounts = kept
 }
 
-// NextDeadline returns the next time at which NextDatagram or Sweep may have something to do. It is never before the current time.
+// NextDeadline returns the next time at which NextDatagram or Sweep may have something to do. The result is never before the current
+// time.
 func (l *Limiter) NextDeadline() time.Duration {
 	next := l.sweptAt + time.Second
 	for _, p := range l.pendingPeers {
@@ -359,10 +363,10 @@
 	return max(next, l.now)
 }
 
-// Epoch returns the epoch of this limiter. Messages carry it, and peers name it in their acknowledgements.
+// Epoch returns the epoch of this limiter. Messages carry the epoch, and peers repeat it in their acknowledgements.
 func (l *Limiter) Epoch() uint32 { return l.epoch }
 
-// HasPending reports whether there may be something to send to a peer, now or later.
+// HasPending reports whether a datagram to a peer may be due at the current time or later.
 func (l *Limiter) HasPending() bool { return len(l.pendingPeers) > 0 }
 
 // CustomerCount returns the number of customers with an account.
--- a/control/quota/peer.go
+++ b/control/quota/peer.go
@@ -7,7 +7,8 @@
 	"clovergap/control"
 )
 
-// maxRetiredEpochs is the number of a peer's former epochs that are remembered. Late datagrams from these epochs are dropped.
+// maxRetiredEpochs is the maximum number of a peer's former epochs that are kept in retiredEpochs. Late datagrams from these epochs
+// are dropped.
 const maxRetiredEpochs = 8
 
 // peer is the state that this gateway keeps of another gateway.
@@ -17,7 +18,7 @@
 	retiredEpochs []uint32
 	receivedAt    time.Duration // time of the last datagram from the peer
 	sentAt        time.Duration // time of the last datagram to the peer
-	interval      time.Duration // minimum interval between datagrams to the peer, as requested by it
+	interval      time.Duration // minimum interval between datagrams to the peer, as requested by the peer
 	// unreachableSince is the time when the host found the peer unreachable. It is 0 while the peer is reachable.
 	unreachableSince time.Duration
 	queued           bool // the peer is in Limiter.pendingPeers
@@ -26,7 +27,7 @@
 	appliedHigh uint64 // highest sequence number applied
 	appliedMask uint64 // bitmap of sequence numbers; bit i is 1 if appliedHigh-i was applied
 	ackPending  bool   // an acknowledgement or a snapshot has to be sent
-	// snapshotQueue holds the customers whose snapshots have to be sent, each of them once.
+	// snapshotQueue holds the customers whose snapshots have to be sent to the peer, without duplicates.
 	snapshotQueue  []control.CustomerID
 	snapshotQueued map[control.CustomerID]bool
 
@@ -50,7 +51,7 @@
 	allowanceUnits map[control.CustomerID]float64 // units of the deltas that came from the allowance
 }
 
-// isRetiredEpoch reports whether an epoch of the peer has ended.
+// isRetiredEpoch reports whether an epoch is one of the peer's last former epochs.
 func (p *peer) isRetiredEpoch(epoch uint32) bool { return slices.Contains(p.retiredEpochs, epoch) }
 
 // beginEpoch records the start of a new epoch of the peer. The sequence numbers and versions of the new epoch start again.
--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -90,7 +90,8 @@
 	fmt.Printf("units in the share: %.1f\n", a.hardShare)
 	fmt.Println("# the shares and the pool add up to the hard limit; an owner grants no more than its pool")
 	own := s.EnsureAccount(customerOwnedBy(0), 0, 0, 3)
-	fmt.Printf("units: owner's share with the pool %.1f, share of each of the two other gateways %.1f, burst of the hard limit %.1f\n", s.hardShareCap(own), s.hardShareCap(a), a.limit.HardBurst)
+	fmt.Printf("units: owner's share with the pool %.1f, share of each of the two other gateways %.1f, burst of the hard limit %.1f\n",
+		s.hardShareCap(own), s.hardShareCap(a), a.limit.HardBurst)
 	own.hardShare, own.hardShareAt = 2, s.now
 	for seq, want := range []float64{3, 1.5} {
 		s.receiveMessage(2, &Message{Epoch: 9, Seq: uint64(seq) + 1, AckEpoch: s.epoch, Deltas: []Delta{{Customer: own.id, Transfer: -want, SetWidth: 3}}})
@@ -123,7 +124,8 @@
 		Snapshots: []Snapshot{{1<<33 - 1, 65535, 1000, maxValue, 65535}}}
 	b := m.Encode()
 	decoded, err := DecodeMessage(b)
-	fmt.Println("decoded delta, snapshot and interval equal the encoded ones; then the decoding error:", decoded.Deltas[0] == m.Deltas[0], decoded.Snapshots[0] == m.Snapshots[0], decoded.Interval == m.Interval, err)
+	fmt.Println("decoded delta, snapshot and interval equal the encoded ones; then the decoding error:",
+		decoded.Deltas[0] == m.Deltas[0], decoded.Snapshots[0] == m.Snapshots[0], decoded.Interval == m.Interval, err)
 	fmt.Println("# a datagram cut short at any byte, too long, or with a number out of range is dropped and counted, and changes no state")
 	s := newPlanScenario()
 	for n := range b {
@@ -132,7 +134,8 @@
 	s.DatagramReceived(1, append(b, 0))
 	m.Deltas[0].SetWidth = 1 << 30
 	s.DatagramReceived(1, m.Encode())
-	fmt.Println("all are counted as bad datagrams; number of accounts; time of the last valid datagram:", s.badDatagrams == len(b)+2, len(s.accounts), s.peers[1].receivedAt)
+	fmt.Println("all are counted as bad datagrams; number of accounts; time of the last valid datagram:",
+		s.badDatagrams == len(b)+2, len(s.accounts), s.peers[1].receivedAt)
 	// Output:
 	// decoded delta, snapshot and interval equal the encoded ones; then the decoding error: true true true <nil>
 	// # a datagram cut short at any byte, too long, or with a number out of range is dropped and counted, and changes no state
@@ -146,7 +149,8 @@
 	a := s.accounts[c]
 	fmt.Println("a delta of a peer names a set of only this gateway: set width", a.setWidth, "- the share of the hard limit has units:", s.refillHardShare(a) > 0)
 	s.checkAndConsume(s.EnsureAccount(c, 0, 0, 3))
-	fmt.Println("a txn names a set of three gateways, so the hard limit's share is void: set width", a.setWidth, "- units in the share of the hard limit:", a.hardShare)
+	fmt.Println("a txn names a set of three gateways, so the hard limit's share is void: set width", a.setWidth,
+		"- units in the share of the hard limit:", a.hardShare)
 	// Output:
 	// a delta of a peer names a set of only this gateway: set width 1 - the share of the hard limit has units: true
 	// a txn names a set of three gateways, so the hard limit's share is void: set width 3 - units in the share of the hard limit: 0
--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -35,8 +35,9 @@
 	return m.Seq > 0 || forThisEpoch
 }
 
-// beginPeerEpoch starts a new epoch of a peer that has restarted. It returns false if the epoch has already ended. Reports to the former
-// epoch are dropped. The buckets of the new epoch start empty, and the empty buckets stand for all units that were consumed before.
+// beginPeerEpoch starts a new epoch of a peer that has restarted. It returns false if the peer has ended this epoch before. Reports
+// to the former epoch are dropped. The buckets of the new epoch start empty, and the empty buckets account for all units that were
+// consumed before.
 func (l *Limiter) beginPeerEpoch(p *peer, epoch uint32) bool {
 	if p.isRetiredEpoch(epoch) {
 		return false
@@ -76,8 +77,8 @@
 }
 
 // acceptsDeltas reports whether the deltas of a message may be applied. If limits are set by SetLimit, a delta may arrive before this
-// gateway knows the customer, or knows that it owns the customer. In that case no part of the deltas is applied or acknowledged, and the
-// peer sends them again.
+// gateway knows the customer or knows that it owns the customer's bucket. In that case no part of the deltas is applied or
+// acknowledged, and the peer sends them again.
 func (l *Limiter) acceptsDeltas(m *Message) bool {
 	if l.options.PlanLimit != nil {
 		return true
--- a/control/quota/refill.go
+++ b/control/quota/refill.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// refill refills an owned bucket up to the present.
+// refill adds the refill since the last call to an owned bucket, up to the burst.
 func (l *Limiter) refill(a *Account) {
 	if l.now >= a.levelAt {
 		a.level = min(a.limit.Burst, a.level+l.refillAmount(a, l.now-a.levelAt))
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// NextDatagram returns the next datagram that is due and the peer to send it to. It returns false if none is due. Peers are served in
-// the order in which they were queued.
+// NextDatagram returns the next datagram that is due and the peer to send it to. If no datagram is due, ok is false. Peers are served
+// in the order in which they were queued.
 func (l *Limiter) NextDatagram() (to control.GatewayID, payload []byte, ok bool) {
 	queue := l.pendingPeers
 	l.pendingPeers = l.pendingPeers[:0]
@@ -68,8 +68,8 @@
 	return 0, nil, false
 }
 
-// newMessage creates a message with the deltas that are due. These are either unacknowledged deltas, sent again under their sequence
-// number, or new ones.
+// newMessage creates a message with the deltas that are due. The message contains either unacknowledged deltas, which are sent again
+// under their sequence number, or new deltas.
 func (l *Limiter) newMessage(p *peer) *Message {
 	m := &Message{Epoch: l.epoch, Interval: l.interval, Age: l.now - l.startedAt,
 		AckEpoch: p.epoch, AckHigh: p.appliedHigh, AckMask: p.appliedMask}
@@ -85,8 +85,8 @@
 	return m
 }
 
-// packDeltas moves queued reports into the message as far as there is room. The oldest reports come first, so that no account waits
-// forever.
+// packDeltas moves queued reports into the message until the part of the message for deltas is full. The oldest reports come first,
+// so that no account waits forever.
 func (l *Limiter) packDeltas(p *peer, m *Message) {
 	p.lastSeq++
 	m.Seq = p.lastSeq
@@ -132,7 +132,7 @@
 	return m.Encode()
 }
 
-// packSnapshots adds the queued snapshots for a peer to the message, as far as there is room.
+// packSnapshots adds the queued snapshots for a peer to the message until the message is full.
 func (l *Limiter) packSnapshots(p *peer, m *Message) {
 	l.version++
 	m.Version = l.version
@@ -150,8 +150,9 @@
 	}
 }
 
-// snapshotFor returns the snapshot of an owned account for one reporter. The snapshot holds the units granted to the reporter, and
-// the units left apart from those reserved for or promised to others.
+// snapshotFor returns the snapshot of an owned account for one reporter. Its level is the level of the bucket less the units that are
+// reserved or promised to others. Its grant is the number of units that are set aside for the reporter in strict mode. Without strict
+// mode, the grant comes from the pool of the hard limit.
 func (l *Limiter) snapshotFor(p *peer, a *Account) Snapshot {
 	l.refill(a)
 	others, inFlight, promised := l.recentReporterTotals(a, p)
