--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -292,14 +292,14 @@
 	fmt.Println("# a datagram is lost: its delta is sent again with the same sequence number")
 	s.advance(10200)
 	fmt.Println("# the snapshot acknowledges the first two deltas and leaves four units, of which two were used since")
-	snapshot := func(version uint64, left float64) *quota.Message {
+	newSnapshot := func(version uint64, left float64) *quota.Message {
 		return &quota.Message{Epoch: 9, Version: version, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3,
 			Snapshots: []quota.Snapshot{{Customer: c, Level: left, Reporters: 1}}}
 	}
-	s.receiveMessage(1, snapshot(5, 4))
+	s.receiveMessage(1, newSnapshot(5, 4))
 	s.addTxn(11, c, 0, 0)
 	fmt.Println("# an older snapshot that arrives late restores no units")
-	s.receiveMessage(1, snapshot(4, 20))
+	s.receiveMessage(1, newSnapshot(4, 20))
 	s.addTxn(12, c, 0, 0)
 	s.addTxn(13, c, 0, 0)
 	s.advance(10500)
@@ -396,15 +396,15 @@
 func Example_retriesYieldToFirstAttempts() {
 	s := newWarmScenario()
 	s.controller.capacity = 0.4
-	arrive := func(id control.TxnID, retry bool) {
+	addTxn := func(id control.TxnID, retry bool) {
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: control.CustomerID(id), Retry: retry, Units: 1, SetWidth: 1,
 			Expiry: s.controller.now + time.Second})
 		s.printDecisions()
 	}
 	fmt.Println("# no capacity is left: the retry is rejected at once with a retry delay")
-	arrive(1, false)
-	arrive(2, false)
-	arrive(3, true)
+	addTxn(1, false)
+	addTxn(2, false)
+	addTxn(3, true)
 	s.advance(10100)
 	s.endSubmission(1, control.Succeeded)
 	s.advance(10500)
@@ -468,23 +468,23 @@
 func Example_retryUsesRemainingSLATime() {
 	s := newWarmScenario()
 	c := customerOwnedBy(0)
-	retry := func(id control.TxnID, left time.Duration) {
+	addRetry := func(id control.TxnID, left time.Duration) {
 		s.drainBucket(c, 5) // 5 of 20 units are fewer than a late retry must leave
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + left})
 		s.printDecisions()
 	}
 	fmt.Println("# no first attempt was seen: retry 1 may be late, so it is rejected and leaves the units of the low bucket to other txns")
-	retry(1, 1900*time.Millisecond)
+	addRetry(1, 1900*time.Millisecond)
 	s.addTxn(2, customerOwnedBy(0), 0, 0)
 	fmt.Println("# the first attempt was 100 ms ago: retry 3 is treated as a first attempt whose SLA time is 100 ms shorter")
-	retry(3, 1900*time.Millisecond)
+	addRetry(3, 1900*time.Millisecond)
 	fmt.Println("# the first attempt was 600 ms ago: the SLA time of retry 4 is over, so the retry is rejected at once")
-	retry(4, 1400*time.Millisecond)
+	addRetry(4, 1400*time.Millisecond)
 	fmt.Println("# late responses of the product have a value: retry 5 is treated as a late retry and is rejected, because the bucket is low")
 	s.controller.products[0].lateValue = 0.2
 	for c++; quota.OwnerOf(c, 0, 3, 3) != 0; c++ { // another customer, because the first customer has consumed one of its five units
 	}
-	retry(5, 1400*time.Millisecond)
+	addRetry(5, 1400*time.Millisecond)
 	// Output:
 	// # no first attempt was seen: retry 1 may be late, so it is rejected and leaves the units of the low bucket to other txns
 	// 10000 ms: reject txn 1, after 600 ms
@@ -562,17 +562,17 @@
 // Guards against panics and missing answers for invalid inputs.
 func Example_invalidInputs() {
 	s := newWarmScenario()
-	arrive := func(x control.Txn) {
+	addTxn := func(x control.Txn) {
 		s.controller.TxnArrived(x)
 		s.printDecisions()
 	}
 	now := s.controller.now
 	fmt.Println("# expired txn, unknown product, unknown plan, invalid sets, negative units")
-	arrive(control.Txn{ID: 1, Units: 1, Expiry: now - time.Second})
-	arrive(control.Txn{ID: 2, Product: 9, Expiry: now + time.Second})
-	arrive(control.Txn{ID: 3, Plan: -4, Expiry: now + time.Second})
-	arrive(control.Txn{ID: 4, Customer: customerOwnedBy(0), SetWidth: -3, SetFirst: -9, Expiry: now + time.Second})
-	arrive(control.Txn{ID: 5, Customer: 77, SetWidth: 1 << 40, SetFirst: 1 << 40, Units: -5, Expiry: now + time.Second})
+	addTxn(control.Txn{ID: 1, Units: 1, Expiry: now - time.Second})
+	addTxn(control.Txn{ID: 2, Product: 9, Expiry: now + time.Second})
+	addTxn(control.Txn{ID: 3, Plan: -4, Expiry: now + time.Second})
+	addTxn(control.Txn{ID: 4, Customer: customerOwnedBy(0), SetWidth: -3, SetFirst: -9, Expiry: now + time.Second})
+	addTxn(control.Txn{ID: 5, Customer: 77, SetWidth: 1 << 40, SetFirst: 1 << 40, Units: -5, Expiry: now + time.Second})
 	s.controller.SubmissionEnded(99, 0, 1, control.Succeeded, true, 0, nil)
 	s.controller.SubmissionEnded(4, 7, 55, control.Succeeded, true, 0, []float64{1, 2, 3, 4})
 	s.controller.ProbeEnded(55, true, 0, nil)
@@ -814,13 +814,13 @@
 func Example_loadReportsExpire() {
 	s := newWarmScenario()
 	b := s.controller.backends[1]
-	report := func(inFlight float64) {
+	applyReport := func(inFlight float64) {
 		s.controller.SubmissionEnded(0, 0, 1, control.Succeeded, true, 0, []float64{inFlight})
 		fmt.Printf("load report with submissions in flight %g: load of the backend %.1f\n", inFlight, s.controller.loadOf(b))
 	}
 	s.controller.refreshBackends()
-	report(1e5)
-	report(20)
+	applyReport(1e5)
+	applyReport(20)
 	for t := 11000; t <= 14000; t += 1000 {
 		s.advance(t)
 		fmt.Printf("at %d ms: load of the backend %.1f\n", t, s.controller.loadOf(b))
@@ -845,18 +845,18 @@
 	s.advance(10000)
 	s.controller.capacity = 50
 	c := customerOwnedBy(0)
-	first := func(id control.TxnID) *backend {
+	backendOfNewTxn := func(id control.TxnID) *backend {
 		s.addTxn(id, c, 0, 0)
 		return s.controller.txns[id].currentBackend
 	}
-	b := first(1)
+	b := backendOfNewTxn(1)
 	s.endSubmission(1, control.Succeeded)
 	for i, inFlight := range []float64{4, 40} {
 		for _, x := range s.controller.backendsByID {
 			x.inFlightElsewhere, x.loadReportedAt = 1, s.controller.now
 		}
 		b.inFlightElsewhere = inFlight
-		fmt.Printf("submissions in flight: %.0f at the backend, 1 at each other backend; the backend is still picked: %v\n", inFlight, first(control.TxnID(i+2)) == b)
+		fmt.Printf("submissions in flight: %.0f at the backend, 1 at each other backend; the backend is still picked: %v\n", inFlight, backendOfNewTxn(control.TxnID(i+2)) == b)
 		s.endSubmission(control.TxnID(i+2), control.Succeeded)
 	}
 	// Output:
--- a/control/loadbalancer/ejection.go
+++ b/control/loadbalancer/ejection.go
@@ -37,8 +37,8 @@
 }
 
 // shouldEject reports whether to eject a backend while the given number of backends is ejected. maxEjectedShare does not bound the
-// ejection of unresponsive backends, because they get no submissions anyway. Ejection lets them recover, because an ejected backend
-// is readmitted by probes or, without probes, after its ejection time.
+// ejection of unresponsive backends, because they get no submissions anyway. Ejection lets them recover whichever txns arrive,
+// because an ejected backend is readmitted by probes or, without probes, after its ejection time.
 func (c *Controller) shouldEject(b *backend, ejected int) bool {
 	if b.unanswered >= 2 && c.now-b.unansweredSince > unresponsiveEjectionTime {
 		return true
--- a/control/loadbalancer/recorded_test.go
+++ b/control/loadbalancer/recorded_test.go
@@ -74,13 +74,13 @@
 		}
 		controllers = append(controllers, d)
 	}
-	endpoint := func(id int, state control.BackendState, started time.Duration) control.Endpoint {
+	newEndpoint := func(id int, state control.BackendState, started time.Duration) control.Endpoint {
 		return control.Endpoint{ID: control.BackendID(id), Zone: control.ZoneID(id % 2), Pod: control.PodID(id % 4), State: state, Capacity: 4, Started: started}
 	}
 	for _, d := range controllers {
 		var all []control.Endpoint
 		for id := 1; id <= 8; id++ {
-			all = append(all, endpoint(id, control.Ready, 0))
+			all = append(all, newEndpoint(id, control.Ready, 0))
 		}
 		d.EndpointsChanged(true, all)
 	}
@@ -97,11 +97,11 @@
 			for _, d := range controllers {
 				switch rng.Intn(3) {
 				case 0:
-					d.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Draining, 0)})
+					d.EndpointsChanged(false, []control.Endpoint{newEndpoint(id, control.Draining, 0)})
 				case 1:
-					d.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Gone, 0)})
+					d.EndpointsChanged(false, []control.Endpoint{newEndpoint(id, control.Gone, 0)})
 				default:
-					d.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Ready, now)})
+					d.EndpointsChanged(false, []control.Endpoint{newEndpoint(id, control.Ready, now)})
 				}
 			}
 		}
@@ -183,6 +183,7 @@
 	return rec.digest()
 }
 
+// TestDecisionsMatchRecordedDigests guards against a refactoring that changes a decision or a datagram.
 func TestDecisionsMatchRecordedDigests(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/control/loadbalancer/work.go
+++ b/control/loadbalancer/work.go
@@ -13,7 +13,7 @@
 	return int(t.Product)*(maxWorkUnits+1) + int(min(max(t.Units, 0), maxWorkUnits))
 }
 
-// usualLatency returns the usual response time for the kind of work of a txn. While this time is unknown, the result is the product's
+// usualLatency returns the usual response time for the kind of work of a txn. While that time is unknown, the result is the product's
 // SLA time divided by unknownLatencyDivisor.
 func (c *Controller) usualLatency(t *txn) time.Duration {
 	if seconds, ok := c.usualLatencies[c.workKind(t)]; ok {
--- a/control/quota/bound_test.go
+++ b/control/quota/bound_test.go
@@ -105,11 +105,11 @@
 // true, the delays of the hosts differ.
 func (p *partitionScenario) runSchedule(schedule []time.Duration, spread bool) {
 	due := map[time.Duration][]func(){}
-	add := func(at time.Duration, do func()) { due[at] = append(due[at], do) }
+	addEvent := func(at time.Duration, do func()) { due[at] = append(due[at], do) }
 	const pressureStart = 40 * time.Second
 	for i, after := range schedule {
 		partitioned, at := i%2 == 0, pressureStart+after
-		add(at, func() { p.setPartitioned(partitioned) })
+		addEvent(at, func() { p.setPartitioned(partitioned) })
 		for g := range p.limiters {
 			wait := p.detectionTime
 			if !partitioned {
@@ -118,7 +118,7 @@
 			if spread {
 				wait -= time.Duration(p.rng.Int63n(int64(900 * time.Millisecond)))
 			}
-			add(at+wait+time.Duration(g), func() { // the change is reported only if it still holds
+			addEvent(at+wait+time.Duration(g), func() { // the change is reported only if it still holds
 				if p.partitionedNow == partitioned {
 					p.setReachableFrom(control.GatewayID(g), partitioned)
 				}
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		l.pendingPeers = append(l.pendingPeers, queue[i+1:]...)
-		return p.id, l.finishMessage(p, m), true
+		return p.id, l.completeAndEncodeMessage(p, m), true
 	}
 	return 0, nil, false
 }
@@ -123,8 +123,8 @@
 	return deltas
 }
 
-// finishMessage adds the snapshots and observations to a message and encodes it.
-func (l *Limiter) finishMessage(p *peer, m *Message) []byte {
+// completeAndEncodeMessage adds the snapshots and observations to a message and returns the encoded message.
+func (l *Limiter) completeAndEncodeMessage(p *peer, m *Message) []byte {
 	l.packSnapshots(p, m)
 	l.attachObservations(p, m)
 	p.ackPending = len(p.snapshotQueue) > 0
