--- a/control/loadbalancer/recorded_test.go
+++ b/control/loadbalancer/recorded_test.go
@@ -14,11 +14,11 @@
 	"clovergap/control"
 )
 
-// These tests compare the decisions with those of 2 December 2026, including every random draw and every byte of the datagrams, over runs with
-// losses, unresponsive backends and restarts. They guard against a refactoring that changes decisions. A change that is meant to change
-// decisions records new digests.
+// The tests in this file guard against a refactoring that changes decisions. They compare decisions and datagrams with digests that
+// were recorded on 2 December 2026. The runs include lost datagrams, unresponsive backends and restarts of backends. A change that is
+// meant to change decisions must record new digests.
 
-// decisionRecorder computes the digest of decisions.
+// decisionRecorder computes the digest of a sequence of decisions.
 type decisionRecorder struct {
 	hash.Hash64
 	count int
@@ -26,19 +26,19 @@
 
 func newDecisionRecorder() *decisionRecorder { return &decisionRecorder{Hash64: fnv.New64a()} }
 
-func (d *decisionRecorder) add(numbers ...int64) {
+func (d *decisionRecorder) addValues(numbers ...int64) {
 	d.count++
 	for _, v := range numbers {
 		d.Write(binary.LittleEndian.AppendUint64(nil, uint64(v)))
 	}
 }
 
-func (d *decisionRecorder) sum() string { return fmt.Sprintf("%d %016x", d.count, d.Sum64()) }
+func (d *decisionRecorder) digest() string { return fmt.Sprintf("%d %016x", d.count, d.Sum64()) }
 
-// recordedSettings returns the settings of a scenario, with plans that limit the submissions in flight, that have a hard limit, and that gain by
-// responses beyond the quota.
+// recordedSettings returns the settings of one front door. Of the four plans, plan 1 has a hard limit, plan 2 limits the submissions
+// in flight, and responses beyond the quota have a value for plan 3.
 func recordedSettings(me int) control.Settings {
-	s := settings(me)
+	s := defaultTestSettings(me)
 	s["quota.mail_per_s"], s["products.1.late_value"], s["plans.count"] = "400", "0.3", "4"
 	for i, plan := range []string{"40 80 0 0 0", "30 60 0 60 60", "30 60 5 0 0", "30 60 0 0 0"} {
 		var rate, burst, maxInFlight, hardRate, hardBurst string
@@ -51,9 +51,9 @@
 	return s
 }
 
-// simulateFrontDoors simulates three front doors and eight backends, of which some are slow, failing, unreachable or new. It returns the
-// digest of the decisions.
-func simulateFrontDoors(seed int64, load float64, change func(control.Settings)) string {
+// simulationDigest simulates three front doors and eight backends and returns the digest of the decisions. Some backends are slow,
+// failing, unreachable or warming up.
+func simulationDigest(seed int64, load float64, change func(control.Settings)) string {
 	type event struct {
 		at       time.Duration
 		instance int
@@ -74,17 +74,17 @@
 		}
 		controllers = append(controllers, d)
 	}
-	endpoint := func(id int, state control.BackendState, started time.Duration) control.Endpoint {
+	newEndpoint := func(id int, state control.BackendState, started time.Duration) control.Endpoint {
 		return control.Endpoint{ID: control.BackendID(id), Zone: control.ZoneID(id % 2), Pod: control.PodID(id % 4), State: state, Capacity: 4, Started: started}
 	}
 	for _, d := range controllers {
 		var all []control.Endpoint
 		for id := 1; id <= 8; id++ {
-			all = append(all, endpoint(id, control.Ready, 0))
+			all = append(all, newEndpoint(id, control.Ready, 0))
 		}
 		d.EndpointsChanged(true, all)
 	}
-	stalled := func(step int) bool { return step%1500 > 1420 } // for the second front door, at intervals
+	isStalled := func(step int) bool { return step%1500 > 1420 } // the second front door stalls repeatedly
 	attempts := map[[2]int]int{}
 	unanswered := map[[2]int]bool{}
 	inFlight := [9]int{}
@@ -97,17 +97,17 @@
 			for _, d := range controllers {
 				switch rng.Intn(3) {
 				case 0:
-					d.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Draining, 0)})
+					d.EndpointsChanged(false, []control.Endpoint{newEndpoint(id, control.Draining, 0)})
 				case 1:
-					d.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Gone, 0)})
+					d.EndpointsChanged(false, []control.Endpoint{newEndpoint(id, control.Gone, 0)})
 				default:
-					d.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Ready, now)})
+					d.EndpointsChanged(false, []control.Endpoint{newEndpoint(id, control.Ready, now)})
 				}
 			}
 		}
 		rest := queue[:0]
 		for _, e := range queue {
-			if e.at > now || e.instance == 1 && stalled(step) {
+			if e.at > now || e.instance == 1 && isStalled(step) {
 				rest = append(rest, e)
 				continue
 			}
@@ -141,7 +141,7 @@
 		}
 		queue = rest
 		for i, d := range controllers {
-			if i == 1 && stalled(step) {
+			if i == 1 && isStalled(step) {
 				continue
 			}
 			d.Now(now)
@@ -156,7 +156,7 @@
 				d.ClientLeft(next)
 			}
 			for x, ok := d.Next(); ok; x, ok = d.Next() {
-				rec.add(int64(x.Action), int64(x.Txn), int64(x.Attempt), int64(x.Backend), int64(x.After), int64(x.ResponseTimeout), int64(x.Peer), int64(x.Reason))
+				rec.addValues(int64(x.Action), int64(x.Txn), int64(x.Attempt), int64(x.Backend), int64(x.After), int64(x.ResponseTimeout), int64(x.Peer), int64(x.Reason))
 				rec.Write(x.Payload)
 				txnKey := [2]int{i, int(x.Txn)}
 				switch x.Action {
@@ -180,9 +180,10 @@
 			}
 		}
 	}
-	return rec.sum()
+	return rec.digest()
 }
 
+// TestDecisionsMatchRecordedDigests guards against a refactoring that changes a decision or a datagram.
 func TestDecisionsMatchRecordedDigests(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -198,6 +199,6 @@
 		}, 3, "62102 3f46f75209db254e"},
 		{"load reports by probes", 0.5, func(s control.Settings) { s["report.how"], s["report.fields"] = "probe", "queue,per_s,service_ms" }, 4, "63570 369a32c64359b1ca"},
 	} {
-		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, simulateFrontDoors(tc.seed, tc.load, tc.change)) })
+		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, simulationDigest(tc.seed, tc.load, tc.change)) })
 	}
 }
--- a/control/loadbalancer/settings.go
+++ b/control/loadbalancer/settings.go
@@ -14,9 +14,9 @@
 type effect string
 
 const (
-	inquiryLike effect = "inquiry-like" // no effect, so it may be sent again at any time
-	referenced  effect = "referenced"   // backends drop the repeat, within a window and a scope
-	onceOnly    effect = "once-only"    // the txn takes effect twice
+	inquiryLike effect = "inquiry-like" // running the txn again changes nothing, so a retry is allowed at any time
+	referenced  effect = "referenced"   // backends drop a repeat within a time window and a scope
+	onceOnly    effect = "once-only"    // running the txn again repeats its effect, so a retry is forbidden if the txn may have run
 )
 
 // scope is the set of backends that drop a repeat of a referenced txn.
@@ -24,8 +24,8 @@
 
 const (
 	scopeAll  scope = "all"
-	scopeZone scope = "zone" // backends of the zone in which it ran first
-	scopePod  scope = "pod"  // backends of the pod in which it ran first
+	scopeZone scope = "zone" // backends of the zone in which the txn ran first
+	scopePod  scope = "pod"  // backends of the pod in which the txn ran first
 )
 
 // product is a kind of txn.
@@ -37,11 +37,12 @@
 	value         float64       // value of a response per unit
 	lateValue     float64       // value of a late response
 	clientTimeout time.Duration // time-out of a client over all its attempts
-	// attemptTimeout is a client's time-out for one attempt. It is learned from first attempts and is 0 while it is unknown.
+	// attemptTimeout is a client's time-out for one attempt. The value is learned from first attempts. It is 0 while the time-out is
+	// unknown.
 	attemptTimeout time.Duration
 }
 
-// plan is the terms of a customer.
+// plan holds the limits, the price and the charges of a customer.
 type plan struct {
 	quota.Limit
 	price          float64
@@ -49,7 +50,7 @@
 	overQuotaCost  float64 // charge to the customer for a response beyond the quota
 }
 
-// SettingError reports a missing or invalid setting.
+// SettingError is the error for a missing or invalid setting.
 type SettingError struct {
 	Name    string // name of the setting, or names of several related settings
 	Problem string
@@ -57,89 +58,89 @@
 
 func (s *SettingError) Error() string { return fmt.Sprintf("setting %s: %s", s.Name, s.Problem) }
 
-// settingsReader reads settings and keeps the first error.
+// settingsReader reads settings and records the first error.
 type settingsReader struct {
 	settings control.Settings
 	err      error // nil or a *SettingError
 }
 
-// fail records an error, unless there is one already.
-func (s *settingsReader) fail(name, problem string) {
+// recordError records an error, unless an earlier error is recorded.
+func (s *settingsReader) recordError(name, problem string) {
 	if s.err == nil {
 		s.err = &SettingError{Name: name, Problem: problem}
 	}
 }
 
-func (s *settingsReader) text(name string) string {
+func (s *settingsReader) readText(name string) string {
 	v, ok := s.settings[name]
 	if !ok {
-		s.fail(name, "missing")
+		s.recordError(name, "missing")
 	}
 	return v
 }
 
-func (s *settingsReader) number(name string) float64 {
-	v, err := strconv.ParseFloat(s.text(name), 64)
+func (s *settingsReader) readNumber(name string) float64 {
+	v, err := strconv.ParseFloat(s.readText(name), 64)
 	if err != nil {
-		s.fail(name, "not a number")
+		s.recordError(name, "not a number")
 	}
 	return v
 }
 
-func (s *settingsReader) count(name string, maxValue int) int {
-	v, err := strconv.Atoi(s.text(name))
+func (s *settingsReader) readCount(name string, maxValue int) int {
+	v, err := strconv.Atoi(s.readText(name))
 	if err != nil || v < 0 || v > maxValue {
-		s.fail(name, "not an integer in the allowed range")
+		s.recordError(name, "not an integer in the allowed range")
 		return 0
 	}
 	return v
 }
 
-// duration reads a number of microseconds.
-func (s *settingsReader) duration(name string) time.Duration {
-	return time.Duration(s.number(name) * float64(time.Microsecond))
+// readDuration reads a number of microseconds.
+func (s *settingsReader) readDuration(name string) time.Duration {
+	return time.Duration(s.readNumber(name) * float64(time.Microsecond))
 }
 
-func (s *settingsReader) boolean(name string) bool { return s.text(name) == "true" }
+func (s *settingsReader) readBoolean(name string) bool { return s.readText(name) == "true" }
 
-// list reads names that are separated by commas. It returns nil for a missing setting.
-func (s *settingsReader) list(name string) []string {
+// readList reads names that are separated by commas. It returns nil for a missing or empty setting.
+func (s *settingsReader) readList(name string) []string {
 	if s.settings[name] == "" {
 		return nil
 	}
 	return strings.Split(s.settings[name], ",")
 }
 
-func (s *settingsReader) products() (all []product) {
-	for i := range s.count("products.count", 255) {
+func (s *settingsReader) readProducts() (all []product) {
+	for i := range s.readCount("products.count", 255) {
 		at := fmt.Sprintf("products.%d.", i)
 		all = append(all, product{
-			slaTime:       s.duration(at + "sla_time"),
-			effect:        effect(s.text(at + "effect")),
-			repeatScope:   scope(s.text(at + "repeat_scope")),
-			repeatWindow:  s.duration(at + "repeat_window"),
-			value:         s.number(at + "value"),
-			lateValue:     s.number(at + "late_value"),
-			clientTimeout: s.duration(at + "expiry"),
+			slaTime:       s.readDuration(at + "sla_time"),
+			effect:        effect(s.readText(at + "effect")),
+			repeatScope:   scope(s.readText(at + "repeat_scope")),
+			repeatWindow:  s.readDuration(at + "repeat_window"),
+			value:         s.readNumber(at + "value"),
+			lateValue:     s.readNumber(at + "late_value"),
+			clientTimeout: s.readDuration(at + "expiry"),
 		})
 	}
 	return all
 }
 
-func (s *settingsReader) plans() (all []plan) {
-	for i := range s.count("plans.count", 1<<16) {
+func (s *settingsReader) readPlans() (all []plan) {
+	for i := range s.readCount("plans.count", 1<<16) {
 		at := fmt.Sprintf("plans.%d.", i)
 		all = append(all, plan{
 			Limit: quota.Limit{
-				Rate:        s.number(at + "rate"),
-				Burst:       s.number(at + "burst"),
-				MaxInFlight: s.count(at+"open_cap", 1<<20),
-				HardRate:    s.number(at + "ceiling_rate"),
-				HardBurst:   s.number(at + "ceiling_burst"),
+				Rate:        s.readNumber(at + "rate"),
+				Burst:       s.readNumber(at + "burst"),
+				MaxInFlight: s.readCount(at+"open_cap", 1<<20),
+				HardRate:    s.readNumber(at + "ceiling_rate"),
+				HardBurst:   s.readNumber(at + "ceiling_burst"),
 			},
-			price:          s.number(at + "price"),
-			overQuotaValue: s.number(at + "over_value"),
-			overQuotaCost:  s.number(at + "over_cost"),
+			price:          s.readNumber(at + "price"),
+			overQuotaValue: s.readNumber(at + "over_value"),
+			overQuotaCost:  s.readNumber(at + "over_cost"),
 		})
 	}
 	return all
--- a/control/loadbalancer/settings_test.go
+++ b/control/loadbalancer/settings_test.go
@@ -9,8 +9,8 @@
 	"clovergap/control"
 )
 
-// Guards against an error that leaves the operator to search for the setting. New reports the first setting that is missing or invalid by
-// its name.
+// Guards against an error that does not name the invalid setting. New must report the name of the first setting that is missing or
+// invalid.
 func TestNewReportsFirstInvalidSetting(t *testing.T) {
 	for _, tc := range []struct{ name, value, problem string }{
 		{"me", "", "missing"},
@@ -19,7 +19,7 @@
 		{"products.1.sla_time", "", "missing"},
 		{"quota.mail_per_s", "x", "not a number"},
 	} {
-		s := settings(0)
+		s := defaultTestSettings(0)
 		if s[tc.name] = tc.value; tc.value == "" {
 			delete(s, tc.name)
 		}
--- a/control/loadbalancer/txn.go
+++ b/control/loadbalancer/txn.go
@@ -12,18 +12,18 @@
 	control.Txn
 	arrived     time.Duration
 	slaDeadline time.Duration // end of the SLA time
-	lateRetry   bool          // a retry by the client whose SLA time is over or may be over
-	ended       bool          // it is answered, or its client has left
+	lateRetry   bool          // a retry by the client, for which the SLA time is over or may be over
+	ended       bool          // the txn is answered, or its client has left
 
 	// Waiting.
-	queued   bool // it is in Controller.waiting
-	giveUpAt time.Duration
-	reason   control.Reason // the resource that it lacked last
+	queued   bool           // the txn is in Controller.waiting
+	giveUpAt time.Duration  // end of the waiting time
+	reason   control.Reason // what the txn lacked at the last decision
 
 	// Quota. At most one of these is true.
-	reserved  bool // its units are reserved while it waits for a backend
-	consumed  bool // its units are consumed
-	overQuota bool // it is admitted beyond the quota and consumes no units
+	reserved  bool // the units are reserved while the txn waits for a backend
+	consumed  bool // the units are consumed
+	overQuota bool // the txn is admitted beyond the quota and consumes no units
 
 	// Submissions.
 	submissions     int
@@ -38,8 +38,8 @@
 	ranPod     control.PodID
 }
 
-// needsQuota reports whether the quota has yet to admit the txn.
-func (t *txn) needsQuota() bool { return !t.consumed && !t.overQuota && !t.reserved }
+// needsQuotaCheck reports whether the quota has not admitted the txn yet.
+func (t *txn) needsQuotaCheck() bool { return !t.consumed && !t.overQuota && !t.reserved }
 
 // TxnArrived adds a txn from a client, to be decided by Next. It ignores a txn whose ID is in use.
 func (c *Controller) TxnArrived(request control.Txn) {
@@ -58,11 +58,11 @@
 	c.undecided = append(c.undecided, t)
 }
 
-// setDeadlines sets the end of a txn's SLA time. Clients count their SLA time and their time-out from the first attempt. So the expiry of an
-// attempt is the rest of the client's time-out. The expiry is earlier if the client also has a shorter time-out for one attempt. The expiries
-// of first attempts show that time-out. A retry with SLA time left is treated as a first attempt. A retry is a late retry if its remaining SLA
-// time is unknown, or if its SLA time is over while a late response still has some value. A late retry leaves low quota buckets and scarce
-// capacity to other txns.
+// setDeadlines sets the end of a txn's SLA time. Clients count their SLA time and their time-out from the first attempt. So the
+// expiry of an attempt is the rest of the client's time-out. The expiry is earlier if the client has a shorter time-out for each
+// attempt. The expiries of first attempts show this shorter time-out. A retry with SLA time left is treated as a first attempt. A
+// retry is a late retry if its remaining SLA time is unknown, or if its SLA time is over while a late response still has some value.
+// A late retry leaves low quota buckets and scarce capacity to other txns.
 func (c *Controller) setDeadlines(t *txn) {
 	p := &c.products[t.Product]
 	remaining := t.Expiry - c.now
@@ -79,8 +79,8 @@
 	}
 }
 
-// backdateArrivals moves the SLA deadlines of the txns that arrived during a stall of this process as if they had arrived evenly over it.
-// Txns whose SLA time is over by now are then rejected at once and consume no units.
+// backdateArrivals moves the SLA deadlines of the txns that arrived during a stall of this process. It assumes that the arrivals were
+// spread evenly over the stall. Txns whose SLA time is over by now are then rejected at once and consume no units.
 func (c *Controller) backdateArrivals() {
 	n := len(c.undecided)
 	for i, t := range c.undecided {
@@ -92,32 +92,32 @@
 	c.stallStart = c.stallEnd
 }
 
-// decide submits a txn that has no submission in flight, lets it wait, or answers it.
-func (c *Controller) decide(t *txn) {
+// decideTxn submits a txn that has no submission in flight, lets it wait, or answers it.
+func (c *Controller) decideTxn(t *txn) {
 	if t.ended || t.currentBackend != nil || t.queued {
 		return
 	}
 	if !c.canSubmitInTime(t) {
 		t.reason = control.ReasonNoTime
-		c.finish(t, c.maxRetryAfter)
+		c.rejectOrFail(t, c.maxRetryAfter)
 		return
 	}
-	if t.submissions > 0 && t.mayHaveRun && !c.repeatable(t) {
-		c.finish(t, 0)
+	if t.submissions > 0 && t.mayHaveRun && !c.mayRepeat(t) {
+		c.rejectOrFail(t, 0)
 		return
 	}
 	account := c.quota.EnsureAccount(t.Customer, t.Plan, t.SetFirst, t.SetWidth)
-	if t.needsQuota() && !c.checkQuota(t, account) {
+	if t.needsQuotaCheck() && !c.checkQuota(t, account) {
 		return
 	}
 	t.reason = control.ReasonNoBackend
 	var b *backend
 	if !c.saturated || t.mayHaveRun {
-		b = c.pick(t)
+		b = c.pickBackend(t)
 	}
 	switch {
-	case t.lateRetry && t.submissions == 0 && (b == nil || c.underPressure()):
-		c.finish(t, c.maxRetryAfter) // the remaining capacity is for first attempts
+	case t.lateRetry && t.submissions == 0 && (b == nil || c.isUnderPressure()):
+		c.rejectOrFail(t, c.maxRetryAfter) // the remaining capacity is reserved for first attempts
 	case b == nil:
 		c.awaitBackend(t, account)
 	default:
@@ -127,7 +127,7 @@
 
 // canSubmitInTime reports whether a response may still come in time and, for a txn that was submitted before, whether it may be retried.
 func (c *Controller) canSubmitInTime(t *txn) bool {
-	if t.submissions > 0 && (t.submissions >= c.maxSubmissions || c.retryBudget < 1 || c.underPressure() && t.mayHaveRun) {
+	if t.submissions > 0 && (t.submissions >= c.maxSubmissions || c.retryBudget < 1 || c.isUnderPressure() && t.mayHaveRun) {
 		return false
 	}
 	return c.now+min(c.usualLatency(t), c.products[t.Product].slaTime/4)/2 < t.slaDeadline
@@ -140,11 +140,11 @@
 	t.reason = reason
 	switch outcome {
 	case quota.Pending:
-		c.enqueue(t, at)
+		c.queueUntil(t, at)
 		return false
 	case quota.Exceeded:
 		if !c.mayExceedQuota(account, t) {
-			c.finish(t, at)
+			c.rejectOrFail(t, at)
 			return false
 		}
 		t.overQuota = true
@@ -152,35 +152,36 @@
 	return true
 }
 
-// awaitBackend lets a txn wait for a backend. It reserves the units of the txn, because the quota snapshot that covers the txn may become
-// too old while the txn waits.
+// awaitBackend adds a txn to the waiting txns until a backend has capacity. It reserves the units of the txn, because the quota
+// snapshot that covers the txn may become too old while the txn waits.
 func (c *Controller) awaitBackend(t *txn, account *quota.Account) {
 	c.saturatedAt = c.now
-	if t.needsQuota() {
+	if t.needsQuotaCheck() {
 		t.reserved = true
 		c.quota.ReserveAccount(account, t.Units)
 	}
-	c.enqueue(t, t.arrived+time.Duration(backendQueueTimeShare*float64(c.products[t.Product].slaTime)))
+	c.queueUntil(t, t.arrived+time.Duration(backendQueueTimeShare*float64(c.products[t.Product].slaTime)))
 }
 
-// valueRate returns the value of a txn per second of its usual response time. It is independent of the plan, so that no txn is passed over
-// for the price of its plan.
+// valueRate returns the value of a txn per second of its usual response time. The value is independent of the plan, so that the price
+// of a plan gives a txn no priority.
 func (c *Controller) valueRate(t *txn) float64 {
 	return c.products[t.Product].value * max(t.Units, 1) / max(c.usualLatency(t).Seconds(), 0.001)
 }
 
-// mayExceedQuota reports whether a txn that exceeds its quota is admitted. This is an exception for plans that gain by it and are not
-// charged. It holds only while the backends clearly have spare capacity and no txn has recently lacked capacity.
+// mayExceedQuota reports whether a txn that exceeds its quota is admitted. The plan must have a value for responses beyond the quota
+// and no charge for them. In addition, the backends must have spare capacity, and no txn may have lacked capacity recently.
 func (c *Controller) mayExceedQuota(account *quota.Account, t *txn) bool {
 	p := &c.plans[account.PlanID()]
 	return p.overQuotaValue > 0 && p.overQuotaCost <= 0 && p.MaxInFlight == 0 && p.HardRate <= 0 && !t.lateRetry &&
 		c.utilization < maxOverQuotaUtilization && c.now-c.saturatedAt > overQuotaCooldown
 }
 
-// enqueue lets a txn wait at most until the given time. It answers the txn at once if that time has passed.
-func (c *Controller) enqueue(t *txn, until time.Duration) {
+// queueUntil adds a txn to the waiting txns until the given time at the latest. If that time has passed, the txn is rejected or
+// failed at once.
+func (c *Controller) queueUntil(t *txn, until time.Duration) {
 	if until <= c.now {
-		c.finish(t, 0)
+		c.rejectOrFail(t, 0)
 		return
 	}
 	t.queued = true
@@ -191,9 +192,9 @@
 	c.waiting = append(c.waiting, t)
 }
 
-// expire answers a txn at its expiry or when it has waited for too long. A txn that waits for units is decided a last time instead, because
-// it may be admitted from the burst share if the owner of the quota has not answered.
-func (c *Controller) expire(t *txn) {
+// handleTxnTimer rejects or fails a txn at its expiry or when it has waited for too long. At the end of its waiting time, a txn that
+// waits for units is decided once more instead. If the owner of the quota has not answered, the burst share may admit the txn.
+func (c *Controller) handleTxnTimer(t *txn) {
 	expired := c.now >= t.Expiry-expiryMargin
 	if t.queued && !expired && c.now >= t.giveUpAt && (t.reason == control.ReasonNoUnits || t.reason == control.ReasonNoSnapshot) {
 		t.queued = false
@@ -203,13 +204,14 @@
 	if !expired && (t.currentBackend != nil || !t.queued || c.now < t.giveUpAt) {
 		return
 	}
-	c.finish(t, 0)
+	c.rejectOrFail(t, 0)
 }
 
-// finish rejects or fails a txn that gets no response from a backend. No other function does so, which keeps rules 1 and 2. A rejection promises
-// the client that a retry is safe. So a txn is rejected only if no submission of it may have run, or if its product allows repeats at all
-// backends.
-func (c *Controller) finish(t *txn, retryAfter time.Duration) {
+// rejectOrFail rejects or fails a txn that gets no response from a backend. No other function does so. Therefore only this function
+// has to ensure that such a txn is answered once (rule 1) and is declared safe to retry only if a retry is safe (rule 2). A rejection
+// promises the client that a retry is safe. So a txn is rejected only if no submission of it may have run, or if its product allows
+// repeats at all backends.
+func (c *Controller) rejectOrFail(t *txn, retryAfter time.Duration) {
 	if t.ended {
 		return
 	}
@@ -229,12 +231,12 @@
 		c.decisions = append(c.decisions, control.Decision{Action: control.Cancel, Txn: t.ID, Attempt: t.submissions - 1})
 	}
 	if t.currentBackend == nil { // otherwise the outcome of the submission is still pending
-		c.forget(t)
+		c.endTxn(t)
 	}
 }
 
-// repeatable reports whether a txn that may have run may be sent again now (rule 2).
-func (c *Controller) repeatable(t *txn) bool {
+// mayRepeat reports whether a txn that may have run may be sent again now (rule 2).
+func (c *Controller) mayRepeat(t *txn) bool {
 	switch p := c.products[t.Product]; p.effect {
 	case inquiryLike:
 		return true
@@ -244,10 +246,10 @@
 	return false
 }
 
-// submit sends a txn to a backend. No other function does so, and it checks every rule of the package comment again.
+// submit sends a txn to a backend. All submissions are made by this function. It checks rules 1 to 4 of the package comment again.
 func (c *Controller) submit(t *txn, account *quota.Account, b *backend) {
-	if t.ended || t.currentBackend != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-expiryMargin || !c.allowedByRules(b, t) {
-		c.finish(t, 0)
+	if t.ended || t.currentBackend != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-expiryMargin || !c.rulesAllow(b, t) {
+		c.rejectOrFail(t, 0)
 		return
 	}
 	if t.submissions == 0 {
@@ -278,7 +280,7 @@
 // countSubmission records a submission in the statistics of its backend and in the mean work of all txns.
 func (c *Controller) countSubmission(t *txn, b *backend) {
 	if b.warmUpShare < 1 {
-		b.warmUpTokens -= c.workWeight(t) // may go below 0, so that the budget recovers from a large txn before the next one
+		b.warmUpTokens -= c.relativeWork(t) // may go below 0; the budget must then recover before the next submission
 	}
 	if c.meanUsualLatency <= 0 {
 		c.meanUsualLatency = c.usualLatency(t).Seconds()
@@ -292,23 +294,23 @@
 	b.inFlight++
 }
 
-// submissionTimeout returns the time after which a submission times out. It ends slaMargin before the end of the SLA time, and earlier for a
-// first submission if there is time for a retry. It is 0 for a once-only txn, whose submission times out at the expiry of the txn. Such a
-// txn is not retried, so a late response is better than none.
+// submissionTimeout returns the time after which a submission times out. The time-out is slaMargin before the end of the SLA time.
+// For a first submission, it is earlier if there is time for a retry. For a once-only txn, the result is 0, so that the submission
+// times out at the expiry of the txn. A once-only txn is not retried after a time-out, so a late response is better than none.
 func (c *Controller) submissionTimeout(t *txn) time.Duration {
 	if c.products[t.Product].effect == onceOnly {
 		return 0
 	}
 	timeout := t.slaDeadline - c.now - slaMargin
 	first := time.Duration(firstAttemptShare * float64(timeout))
-	if t.submissions == 1 && !c.underPressure() && firstAttemptFactor*c.usualLatency(t) < first {
+	if t.submissions == 1 && !c.isUnderPressure() && firstAttemptFactor*c.usualLatency(t) < first {
 		return first
 	}
 	return timeout
 }
 
-// SubmissionEnded records the only outcome of a submission. attempt counts from 0. answered reports whether the client has an answer or has
-// left.
+// SubmissionEnded records the outcome of a submission. The host calls it once for each submission. attempt counts from 0. answered
+// reports whether the client has an answer or has left.
 func (c *Controller) SubmissionEnded(id control.TxnID, attempt int, backendID control.BackendID, ending control.Ending, answered bool, took time.Duration,
 	load []float64) {
 	t, b := c.txns[id], c.backends[backendID]
@@ -329,7 +331,7 @@
 	}
 	c.recheckWaiting, c.saturated = true, false
 	if answered || t.ended {
-		c.forget(t)
+		c.endTxn(t)
 		return
 	}
 	c.undecided = append(c.undecided, t)
@@ -338,12 +340,13 @@
 // ClientLeft removes a txn whose client no longer waits for an answer.
 func (c *Controller) ClientLeft(id control.TxnID) {
 	if t := c.txns[id]; t != nil {
-		c.forget(t)
+		c.endTxn(t)
 	}
 }
 
-// forget ends a txn and removes it. If a submission is in flight, the txn stays until its outcome, which still counts for the backend.
-func (c *Controller) forget(t *txn) {
+// endTxn ends a txn and removes it. If a submission is in flight, the txn is kept until the submission ends, because the outcome
+// still counts in the statistics of the backend.
+func (c *Controller) endTxn(t *txn) {
 	t.ended = true
 	c.releaseReservation(t)
 	if t.currentBackend == nil {
--- a/control/loadbalancer/work.go
+++ b/control/loadbalancer/work.go
@@ -13,7 +13,8 @@
 	return int(t.Product)*(maxWorkUnits+1) + int(min(max(t.Units, 0), maxWorkUnits))
 }
 
-// usualLatency returns the usual response time for the kind of work of a txn. While it is unknown, it is a part of the product's SLA time.
+// usualLatency returns the usual response time for the kind of work of a txn. While that time is unknown, the result is the product's
+// SLA time divided by unknownLatencyDivisor.
 func (c *Controller) usualLatency(t *txn) time.Duration {
 	if seconds, ok := c.usualLatencies[c.workKind(t)]; ok {
 		return time.Duration(seconds * float64(time.Second))
@@ -21,8 +22,9 @@
 	return c.products[t.Product].slaTime / unknownLatencyDivisor
 }
 
-// slowestLatency returns the longest of the usual response times that are assumed for the products while the real ones are unknown, in seconds.
-func (c *Controller) slowestLatency() float64 {
+// longestAssumedLatency returns, in seconds, the longest of the response times that are assumed for the products while the usual
+// response times are unknown.
+func (c *Controller) longestAssumedLatency() float64 {
 	slowest := 0.0
 	for p := range c.products {
 		slowest = max(slowest, c.products[p].slaTime.Seconds()/unknownLatencyDivisor)
@@ -30,9 +32,9 @@
 	return max(slowest, 0.001)
 }
 
-// workWeight returns the ratio of a txn's work to the mean work of the submitted txns. The budget of a backend that is warming up counts
-// work, not txns.
-func (c *Controller) workWeight(t *txn) float64 {
+// relativeWork returns the ratio of a txn's work to the mean work of the submitted txns. The warm-up tokens of a backend count work
+// and not txns.
+func (c *Controller) relativeWork(t *txn) float64 {
 	if c.meanUsualLatency <= 0 {
 		return 1
 	}
@@ -43,11 +45,11 @@
 // than they can process.
 func (c *Controller) countCompletion(b *backend) {
 	if b.warmUpShare >= 1 {
-		c.completionRate, c.completionRateAt = c.completionRateNow()+1/rateWindow, c.now
+		c.completionRate, c.completionRateAt = c.currentCompletionRate()+1/rateWindow, c.now
 	}
 }
 
-// completionRateNow returns the smoothed rate of responses from warm backends, per second.
-func (c *Controller) completionRateNow() float64 {
+// currentCompletionRate returns the smoothed rate of responses from warm backends, per second.
+func (c *Controller) currentCompletionRate() float64 {
 	return c.completionRate * math.Exp(-(c.now-c.completionRateAt).Seconds()/rateWindow)
 }
--- a/control/quota/hardlimit.go
+++ b/control/quota/hardlimit.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// checkHardLimit reports whether this gateway's share of the hard limit covers a request, and if not, when to check again.
+// checkHardLimit reports whether this gateway's share of the hard limit covers a request. If the share does not, at is the clock time
+// at which to check again.
 //
-// A part of the hard limit (hardEvenShare) is split evenly over the set, so that each gateway has some units during a partition. The rest
-// is the owner's pool. Gateways whose requests come unevenly request units from the pool. Shares and pool are empty at the start of each
-// epoch. Their rates and bursts add up to the whole limit, whichever gateways restart.
+// A part of the hard limit (hardEvenShare) is split evenly over the set, so that each gateway has some units during a partition. The
+// rest is the owner's pool. A gateway whose share is too small for a request requests units from the pool. Shares and pool are empty
+// at the start of each epoch. The rates and bursts of the shares and the pool add up to the whole limit, whichever gateways restart.
 func (l *Limiter) checkHardLimit(a *Account, r Request) (allowed bool, at time.Duration) {
 	if a.limit.HardRate <= 0 {
 		return true, 0
@@ -26,11 +27,11 @@
 		l.requestSnapshot(a)
 		return false, l.now
 	}
-	return false, l.now + time.Duration(lacking/(a.limit.HardRate*l.hardFraction(a))*float64(time.Second))
+	return false, l.now + time.Duration(lacking/(a.limit.HardRate*l.hardLimitFraction(a))*float64(time.Second))
 }
 
-// hardFraction returns the fraction of the hard limit that belongs to this gateway. The owner's fraction includes the pool.
-func (l *Limiter) hardFraction(a *Account) float64 {
+// hardLimitFraction returns the fraction of the hard limit that belongs to this gateway. The owner's fraction includes the pool.
+func (l *Limiter) hardLimitFraction(a *Account) float64 {
 	width := float64(max(a.setWidth, 1))
 	// A share must hold the largest request.
 	even := min(1, max(hardEvenShare, l.config.MaxUnits*width/max(a.limit.HardBurst, 1)))
@@ -42,16 +43,17 @@
 
 // refillHardShare refills this gateway's share of the hard limit up to the present and returns it.
 func (l *Limiter) refillHardShare(a *Account) float64 {
-	fill := a.limit.HardRate * l.hardFraction(a) * (l.now - a.hardShareAt).Seconds()
+	fill := a.limit.HardRate * l.hardLimitFraction(a) * (l.now - a.hardShareAt).Seconds()
 	a.hardShare, a.hardShareAt = min(l.hardShareCap(a), a.hardShare+fill), l.now
 	return a.hardShare
 }
 
-// hardShareCap returns the most units that this gateway's share holds.
-func (l *Limiter) hardShareCap(a *Account) float64 { return a.limit.HardBurst * l.hardFraction(a) }
+// hardShareCap returns the maximum number of units in this gateway's share of the hard limit.
+func (l *Limiter) hardShareCap(a *Account) float64 { return a.limit.HardBurst * l.hardLimitFraction(a) }
 
-// takeTransfer returns the value of a delta's field Transfer and clears its source. Without strict mode the value is negative or 0 and
-// requests units from the owner's pool. In strict mode it is the units of grants that were used.
+// takeTransfer returns the value for the field Transfer of a delta and clears the account's field that held it. Without strict mode
+// the value is negative or 0 and requests that many units from the owner's pool. In strict mode the value is the number of granted
+// units that were used.
 func (l *Limiter) takeTransfer(a *Account) (transfer float64) {
 	if l.config.Strict {
 		transfer, a.grantUsed = a.grantUsed, 0
@@ -61,9 +63,9 @@
 	return transfer
 }
 
-// grantFromHardPool grants a reporter units of the owner's pool and returns how many. The owner subtracts them before it sends them. The
-// reporter adds them at most once, and only in the epoch for which they were granted. So a lost message loses units but never doubles
-// them.
+// grantFromHardPool grants a reporter units from the owner's pool of the hard limit and returns the number of units. The owner
+// subtracts the units before it sends the grant. The reporter adds the units at most once, and only in the epoch for which they were
+// granted. So a lost message loses units, but no message can add the same units twice.
 func (l *Limiter) grantFromHardPool(a *Account, r *reporterState) float64 {
 	if r.hardUnitsWanted <= 0 || !a.inSet || a.limit.HardRate <= 0 {
 		return 0
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -19,12 +19,13 @@
 	SnapshotTTL time.Duration
 	// DatagramsPerSecond is the number of datagrams a second that this gateway can receive.
 	DatagramsPerSecond float64
-	// InitialFill is the share of the burst that buckets hold at the start of a new cluster. With 0 they start empty.
+	// InitialFill is the share of the burst that buckets hold at the start of a new cluster. With 0, buckets start empty.
 	InitialFill float64
-	// MaxUnits is the number of units of the largest request. The shares of a hard limit are sized to hold as many.
+	// MaxUnits is the number of units of the largest request. Each share of a hard limit can hold at least this number of units.
 	MaxUnits float64
 
-	// Strict limits what all gateways consume together under any partition. See the package comment.
+	// Strict enables strict mode, which bounds the units that all gateways together consume under any partition. See the package
+	// comment.
 	Strict bool
 	// Window, Excess and Margin define the bound of strict mode, (1 + Excess) x (rate x Window + burst) + Margin units in any Window.
 	Window time.Duration
@@ -36,7 +37,7 @@
 
 // Limit holds the limits of one customer.
 type Limit struct {
-	Rate        float64 // units a second; 0 disables this limit, but not the others
+	Rate        float64 // units a second; 0 means no limit on the rate, while the other limits still apply
 	Burst       float64 // units
 	MaxInFlight int     // submissions in flight over all gateways; 0 means no limit
 	HardRate    float64 // units a second that are never exceeded; 0 means no hard limit
@@ -45,19 +46,20 @@
 
 // PlanLimiterOptions configures a front door's limiter, whose customers have the limits of their plans.
 type PlanLimiterOptions struct {
-	// PeersEnabled is false if nothing may be sent to peers.
+	// PeersEnabled reports whether datagrams may be sent to peers.
 	PeersEnabled bool
 	// PlanLimit returns the limits of a plan, or nil for a plan that does not exist.
 	PlanLimit func(control.PlanID) *Limit
-	// LastObservations returns the latest observations of backends, which are sent along with datagrams, and the number of all
-	// observations made so far.
+	// LastObservations returns the latest observations of backends, which are added to datagrams, and the total number of
+	// observations made since the start.
 	LastObservations func() (last []Observation, count int)
 	// ObservationsReceived is called with the observations in a peer's datagram.
 	ObservationsReceived func([]Observation)
 }
 
-// Limiter meters all customers for one gateway. It holds the buckets that this gateway owns and the snapshots of the other buckets, and
-// it creates and applies the messages about them. It is not safe for concurrent use. All times are those of the host's clock.
+// Limiter meters all customers for one gateway. A Limiter holds the buckets that this gateway owns and the snapshots of the other
+// buckets. It creates and applies the messages about buckets and snapshots. A Limiter is not safe for concurrent use. All times are
+// those of the host's clock.
 type Limiter struct {
 	config  Config
 	options PlanLimiterOptions // PlanLimit is nil if limits are set by SetLimit
@@ -65,42 +67,43 @@
 	now              time.Duration
 	startedAt        time.Duration
 	pausedUntil      time.Duration // end of the last pause of this process
-	ownersAssignedAt time.Duration // time from which Config.OwnershipDelay counts for new owners
+	ownersAssignedAt time.Duration // time of the last assignment of owners, from which Config.OwnershipDelay counts
 	sweptAt          time.Duration
 
 	self     control.GatewayID
 	gateways int
 	epoch    uint32
 
-	reachable       int           // number of gateways, including this one, that the host reports as reachable
-	reachableBefore int           // effectiveReachable before the last rise of reachable
-	reachableRoseAt time.Duration // time of the last rise of reachable
+	reachableCount       int           // number of gateways, including this one, that the host reports as reachable
+	reachableCountBefore int           // effectiveReachableCount before the last rise of reachableCount
+	reachableRoseAt      time.Duration // time of the last rise of reachableCount
 
-	// olderPeers counts the datagrams from peers that were started before this gateway.
-	olderPeers int
-	// youngPeers counts the peers that were started at about the same time as this gateway or later.
-	youngPeers   int
-	freshCluster bool // no gateway of the cluster is older than this one
+	// olderPeerDatagrams counts the datagrams from peers that were started before this gateway.
+	olderPeerDatagrams int
+	// youngPeerCount counts the peers that were started at about the same time as this gateway or later.
+	youngPeerCount int
+	freshCluster   bool // no gateway of the cluster is older than this one
 
 	accounts        map[control.CustomerID]*Account
 	orderedAccounts []*Account                           // the values of accounts in the order of their creation
 	removedAt       map[control.CustomerID]time.Duration // times at which the metering of customers stopped; kept for removedTTL
 
-	peers               []*peer       // by gateway ID; the entry of this gateway is unused
+	peers               []*peer       // indexed by gateway ID; the entry of this gateway is unused
 	pendingPeers        []*peer       // peers for which there may be something to send
 	version             uint64        // version of the last message with snapshots
 	interval            time.Duration // interval between datagrams to this gateway that peers are asked to keep
 	maxDatagrams        float64       // target for the datagrams a second from all peers
 	datagramsSinceSweep int           // datagrams received since the last sweep
-	sendersSinceSweep   int           // peers that sent these datagrams
+	sendersSinceSweep   int           // number of peers that sent datagrams since the last sweep
 	badDatagrams        int
 }
 
-// NewLimiter returns the limiter of gateway self in a cluster of the given number of gateways. The epoch is derived from the seed, so no
-// two runs may have the same seed. Limits are set by SetLimit, and the set of each customer is all gateways.
+// NewLimiter returns the limiter of gateway self in a cluster of the given number of gateways. The epoch is derived from the seed, so
+// no two runs of a gateway may have the same seed. Limits are set by SetLimit, and the set of each customer is all gateways.
 func NewLimiter(seed int64, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
 	invariant.Assert(self >= 0 && int(self) < gateways, "the gateway ID is below the number of gateways")
-	invariant.Assert(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0, "MinInterval, SnapshotTTL and DatagramsPerSecond are above 0")
+	invariant.Assert(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0,
+		"MinInterval, SnapshotTTL and DatagramsPerSecond are above 0")
 	l := newLimiter(rand.New(rand.NewSource(seed)).Uint32()|1, self, gateways, now, config)
 	l.options.PeersEnabled, l.sweptAt = true, now
 	return l
@@ -116,7 +119,7 @@
 
 func newLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
 	l := &Limiter{
-		config: config, epoch: epoch, self: self, gateways: gateways, reachable: gateways,
+		config: config, epoch: epoch, self: self, gateways: gateways, reachableCount: gateways,
 		now: now, startedAt: now, ownersAssignedAt: now,
 		interval: config.MinInterval, maxDatagrams: max(1, datagramShare*config.DatagramsPerSecond),
 		accounts:  map[control.CustomerID]*Account{},
@@ -128,8 +131,8 @@
 	return l
 }
 
-// Now sets the limiter's clock. A time before the current one is ignored. A step of more than stallThreshold counts as a pause of this
-// process.
+// SetNow sets the limiter's clock. A time before the current one is ignored. If the clock advances by more than stallThreshold, the
+// process counts as paused until the new time.
 func (l *Limiter) SetNow(now time.Duration) {
 	if l.now > l.startedAt && now-l.now > stallThreshold {
 		l.pausedUntil = now
@@ -147,7 +150,7 @@
 		l.removeLimit(c)
 	case a == nil:
 		delete(l.removedAt, c)
-		a = l.account(c, 0)
+		a = l.getOrCreateAccount(c, 0)
 		a.limit = &Limit{Rate: rate, Burst: burst}
 		a.level, a.levelAt = l.initialLevel(a), max(l.now, l.ownersAssignedAt+l.config.OwnershipDelay)
 		l.assignOwner(a, 0, l.gateways)
@@ -160,7 +163,7 @@
 	}
 }
 
-// removeLimit stops the metering of a customer and records the time.
+// removeLimit stops the metering of a customer and records the time at which it stopped.
 func (l *Limiter) removeLimit(c control.CustomerID) {
 	if a := l.accounts[c]; a != nil {
 		l.cancelReports(a)
@@ -170,12 +173,13 @@
 	l.removedAt[c] = l.now
 }
 
-// SetReachable sets which gateways this one can reach, by gateway ID. Until the first call, all are reachable.
+// SetReachable sets which gateways this gateway can reach, indexed by gateway ID. Gateways beyond the end of the list count as
+// reachable, and so do all gateways until the first call.
 //
 // In strict mode, unreachable gateways reduce the refill of the buckets that this gateway owns, because those gateways consume their
-// parts of the rate on their own. The reduction lasts reachabilityLag longer than the fault, because such a gateway may learn later than
-// this one that it is no longer isolated.
-func (l *Limiter) SetReachable(live []bool) {
+// parts of the rate on their own. The reduction lasts reachabilityLag longer than the fault, because such a gateway may learn of the
+// end of its isolation later than this gateway.
+func (l *Limiter) SetReachable(reachable []bool) {
 	for _, a := range l.orderedAccounts {
 		if a.owner == l.self {
 			l.refill(a)
@@ -184,68 +188,69 @@
 	count := 0
 	for i, p := range l.peers {
 		switch {
-		case i == int(l.self) || i >= len(live) || live[i]:
+		case i == int(l.self) || i >= len(reachable) || reachable[i]:
 			p.unreachableSince = 0
 			count++
 		case p.unreachableSince == 0:
 			p.unreachableSince = max(l.now, 1)
 		}
 	}
-	if count > l.reachable {
-		l.reachableBefore, l.reachableRoseAt = l.effectiveReachable(), l.now
+	if count > l.reachableCount {
+		l.reachableCountBefore, l.reachableRoseAt = l.effectiveReachableCount(), l.now
 	}
-	l.reachable = count
+	l.reachableCount = count
 }
 
-// effectiveReachable returns the number of gateways whose parts of the rate refill the buckets. It delays a rise of reachable by
-// reachabilityLag. An owner that has just started has withheld nothing, so it applies a rise at once.
-func (l *Limiter) effectiveReachable() int {
+// effectiveReachableCount returns the number of gateways whose parts of the rate refill the buckets. It delays a rise of
+// reachableCount by reachabilityLag. In an owner that has just started, a rise takes effect at once, because such an owner has
+// withheld nothing.
+func (l *Limiter) effectiveReachableCount() int {
 	if l.now-l.reachableRoseAt < reachabilityLag && l.reachableRoseAt-l.startedAt > grantMaxAge {
-		return min(l.reachable, l.reachableBefore)
+		return min(l.reachableCount, l.reachableCountBefore)
 	}
-	return l.reachable
+	return l.reachableCount
 }
 
-// Grow sets a higher number of gateways, or another ID of this gateway. All owners are computed anew.
+// Grow sets a higher number of gateways, or another ID of this gateway. It recomputes the owners of all buckets.
 //
-// A bucket that this gateway owns from now on stays empty for Config.OwnershipDelay. The empty bucket stands for all units that were
-// consumed before, so no units are consumed twice. Units that the old owner has not acknowledged are reported to the new owner. If the old
-// owner had applied these units, they count twice, and the customer has too few units for a short time. Grants of the old owner are void.
-// An old owner that is partitioned from the new owner continues to grant units. So gateways must be added only while all gateways can
-// reach each other.
+// A bucket that this gateway owns from now on stays empty for Config.OwnershipDelay. The empty bucket accounts for all units that
+// were consumed before the change of the owner, so no units are consumed twice. Units that the old owner has not acknowledged are
+// reported to the new owner. If the old owner had applied these units, the units count twice, and the customer has too few units for
+// a short time. Grants of the old owner are void. An old owner that is partitioned from the new owner continues to grant units. So
+// gateways must be added only while all gateways can reach each other.
 func (l *Limiter) Grow(self control.GatewayID, gateways int) {
 	invariant.Assert(gateways >= l.gateways && int(self) < gateways, "the number of gateways does not decrease and the gateway ID is below it")
-	before := l.self
-	if self == before && gateways == l.gateways {
+	previousSelf := l.self
+	if self == previousSelf && gateways == l.gateways {
 		return
 	}
 	for i := len(l.peers); i < gateways; i++ {
 		l.peers = append(l.peers, &peer{id: control.GatewayID(i)})
 	}
-	if self != before {
+	if self != previousSelf {
 		l.epoch += 2 // a new epoch, so that peers treat this gateway as one that has just started
 	}
-	allReachable, delay := l.reachable == l.gateways, l.config.OwnershipDelay
+	allReachable, delay := l.reachableCount == l.gateways, l.config.OwnershipDelay
 	if l.gateways == 1 && int(self) < gateways-1 {
-		delay = 0 // this gateway has restarted under an ID that the others know, and they report to no other owner
+		delay = 0 // this gateway has restarted under an ID that its peers know, and the peers report to no other owner
 	}
 	l.self, l.gateways, l.ownersAssignedAt = self, gateways, l.now+delay-l.config.OwnershipDelay
-	if l.reachable = min(l.reachable, gateways); allReachable {
-		l.reachable = gateways
+	if l.reachableCount = min(l.reachableCount, gateways); allReachable {
+		l.reachableCount = gateways
 	}
 	for _, a := range l.orderedAccounts {
-		l.reassign(a, before, delay)
+		l.reassignOwner(a, previousSelf, delay)
 	}
 }
 
-// reassign assigns the owner of an account after Grow. The argument before is the ID that this gateway had until then.
-func (l *Limiter) reassign(a *Account, before control.GatewayID, delay time.Duration) {
+// reassignOwner computes the owner of an account after Grow. previousSelf is the ID that this gateway had before.
+func (l *Limiter) reassignOwner(a *Account, previousSelf control.GatewayID, delay time.Duration) {
 	owner := OwnerOf(a.id, 0, l.gateways, l.gateways)
 	a.setWidth, a.reporterCount = l.gateways, l.gateways
-	if owner == a.owner && l.self == before {
+	if owner == a.owner && l.self == previousSelf {
 		return
 	}
-	if a.owner != before {
+	if a.owner != previousSelf {
 		a.unreported, a.unacked = a.unreported+l.cancelReports(a), 0
 	}
 	a.owner, a.level, a.levelAt, a.reporterStates = owner, 0, l.now, nil
@@ -258,8 +263,8 @@
 	}
 }
 
-// cancelReports removes an account from the queue of reports to its owner and from the unacknowledged messages. It returns the account's
-// unacknowledged units.
+// cancelReports removes an account from the queue of reports to its owner and from the unacknowledged messages. It returns the number
+// of unacknowledged units of the account.
 func (l *Limiter) cancelReports(a *Account) (units float64) {
 	p := l.peers[a.owner]
 	p.reportQueue = slices.DeleteFunc(p.reportQueue, func(o *Account) bool { return o == a })
@@ -278,16 +283,16 @@
 }
 
 // recordPeerAge uses the age of a peer to find out whether the whole cluster was started together with this gateway. In such a new
-// cluster nothing can have been consumed before, so buckets get their initial fill. One older peer proves that this gateway has restarted,
-// and then its buckets start empty.
+// cluster, no units can have been consumed before, so the buckets get their initial fill. One older peer proves that this gateway has
+// restarted, so the buckets of this gateway start empty.
 func (l *Limiter) recordPeerAge(p *peer, age time.Duration) {
 	if age > l.now-l.startedAt+maxStartSkew {
-		l.olderPeers++
+		l.olderPeerDatagrams++
 	} else if p.receivedAt == 0 {
-		l.youngPeers++
+		l.youngPeerCount++
 	}
-	if l.config.InitialFill <= 0 || l.olderPeers > 0 || l.freshCluster || l.now-l.startedAt > maxStartSkew ||
-		l.youngPeers < min(minYoungPeers, l.gateways-1) {
+	if l.config.InitialFill <= 0 || l.olderPeerDatagrams > 0 || l.freshCluster || l.now-l.startedAt > maxStartSkew ||
+		l.youngPeerCount < min(minYoungPeers, l.gateways-1) {
 		return
 	}
 	for _, a := range l.orderedAccounts {
@@ -298,7 +303,8 @@
 	l.freshCluster = true
 }
 
-// Sweep does the periodic work at most once a second. Calls in between do nothing.
+// Sweep adapts the interval between datagrams and removes idle accounts and old records of removed customers. It does so at most once
+// a second. Calls in between do nothing.
 func (l *Limiter) Sweep() {
 	if l.now-l.sweptAt < time.Second {
 		return
@@ -309,8 +315,8 @@
 	maps.DeleteFunc(l.removedAt, func(_ control.CustomerID, at time.Duration) bool { return l.now-at > removedTTL })
 }
 
-// adjustInterval adapts the interval that peers are asked to keep to the rate of received datagrams. So a gateway that owns a customer of
-// many gateways gets fewer datagrams from each of them.
+// adjustInterval adapts the interval that peers are asked to keep to the rate of received datagrams. If many gateways report to this
+// gateway, each of them sends fewer datagrams.
 func (l *Limiter) adjustInterval() {
 	rate := float64(l.datagramsSinceSweep) / (l.now - l.sweptAt).Seconds()
 	l.interval = min(max(l.config.MinInterval, time.Duration(float64(l.interval)*max(rate/l.maxDatagrams, intervalDecay))), maxInterval)
@@ -320,7 +326,8 @@
 	l.datagramsSinceSweep, l.sendersSinceSweep = 0, 0
 }
 
-// removeIdleAccounts removes idle accounts that a newly created account would equal. Accounts whose limits were set by SetLimit are kept.
+// removeIdleAccounts removes the idle accounts whose state is equal to that of a new account. Accounts whose limits were set by
+// SetLimit are kept.
 func (l *Limiter) removeIdleAccounts() {
 	kept := l.orderedAccounts[:0]
 	for _, a := range l.orderedAccounts {
@@ -336,13 +343,14 @@
 	l.orderedAccounts = kept
 }
 
-// NextDeadline returns the next time at which NextDatagram or Sweep may have something to do. It is never before the current time.
+// NextDeadline returns the next time at which NextDatagram or Sweep may have something to do. The result is never before the current
+// time.
 func (l *Limiter) NextDeadline() time.Duration {
 	next := l.sweptAt + time.Second
 	for _, p := range l.pendingPeers {
 		at := next
 		if len(p.unacked) > 0 {
-			at = p.resendAt() + 1
+			at = p.resendTime() + 1
 		}
 		if len(p.reportQueue) > 0 || p.ackPending {
 			at = l.now
@@ -355,17 +363,17 @@
 	return max(next, l.now)
 }
 
-// Epoch returns the epoch of this limiter. Messages carry it, and peers name it in their acknowledgements.
+// Epoch returns the epoch of this limiter. Messages carry the epoch, and peers repeat it in their acknowledgements.
 func (l *Limiter) Epoch() uint32 { return l.epoch }
 
-// HasPending reports whether there may be something to send to a peer, now or later.
+// HasPending reports whether a datagram to a peer may be due at the current time or later.
 func (l *Limiter) HasPending() bool { return len(l.pendingPeers) > 0 }
 
-// CustomerCount returns the number of customers that have an account.
+// CustomerCount returns the number of customers with an account.
 func (l *Limiter) CustomerCount() int { return len(l.accounts) }
 
-// BadDatagrams returns the number of datagrams that were malformed or came from no known peer, plus the rejected deltas and messages of
-// deltas.
+// BadDatagramCount returns the number of datagrams that were malformed or came from an unknown peer, plus the number of deltas and
+// messages with deltas that were rejected.
 func (l *Limiter) BadDatagramCount() int { return l.badDatagrams }
 
 // AccountState is an excerpt of an account for diagnosis.
@@ -375,7 +383,7 @@
 	Reserved float64 // units
 }
 
-// State returns the state of a customer's account, and false if there is none.
+// AccountState returns an excerpt of a customer's account, and false if there is no account.
 func (l *Limiter) AccountState(c control.CustomerID) (AccountState, bool) {
 	a := l.accounts[c]
 	if a == nil {
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -10,14 +10,14 @@
 	"clovergap/control"
 )
 
-// cluster is a number of limiters and the datagrams between them, in simulated time.
+// cluster simulates limiters and the datagrams between them.
 type cluster struct {
 	t           *testing.T
 	now         time.Duration
 	limiters    []*Limiter
 	datagrams   []datagram
 	rng         *rand.Rand
-	lossRate    float64 // share of datagrams that are lost; an equal share is duplicated, with the duplicate delayed
+	lossRate    float64 // share of datagrams that are lost; the same share is duplicated, and the duplicates are delayed
 	partitioned map[[2]control.GatewayID]bool
 	consumed    []time.Duration // times at which any gateway consumed a unit of the watched customer
 }
@@ -51,23 +51,24 @@
 	return c
 }
 
-func (c *cluster) owner() control.GatewayID {
+func (c *cluster) ownerID() control.GatewayID {
 	return OwnerOf(watchedCustomer, 0, len(c.limiters), len(c.limiters))
 }
 
-// other returns a gateway that is not the owner.
-func (c *cluster) other() control.GatewayID {
-	return (c.owner() + 1) % control.GatewayID(len(c.limiters))
+// nonOwnerID returns a gateway that is not the owner.
+func (c *cluster) nonOwnerID() control.GatewayID {
+	return (c.ownerID() + 1) % control.GatewayID(len(c.limiters))
 }
 
-// isolate partitions one gateway from all others, or ends that.
-func (c *cluster) isolate(g control.GatewayID, isolated bool) {
+// setIsolated starts or ends the partition of one gateway from all others.
+func (c *cluster) setIsolated(g control.GatewayID, isolated bool) {
 	for i := range c.limiters {
 		c.partitioned[[2]control.GatewayID{g, control.GatewayID(i)}], c.partitioned[[2]control.GatewayID{control.GatewayID(i), g}] = isolated, isolated
 	}
 }
 
-// setReachable sets which gateways one gateway can reach. Each gateway for which isolated returns true is isolated by itself.
+// setReachable sets which gateways gateway g can reach. A gateway for which isolated returns true reaches no other gateway and is
+// reached by none.
 func (c *cluster) setReachable(g control.GatewayID, isolated func(control.GatewayID) bool) {
 	live := make([]bool, len(c.limiters))
 	for i := range live {
@@ -76,9 +77,9 @@
 	c.limiters[g].SetReachable(live)
 }
 
-// run runs the cluster for the given time. Each gateway, or the only one given, receives random requests at a mean of unitsPerSecond
-// units. It returns the number of allowed units.
-func (c *cluster) run(d time.Duration, unitsPerSecond float64, only ...control.GatewayID) (allowed int) {
+// runWithRandomRequests runs the cluster for the given time and returns the number of allowed units. Each gateway, or the single
+// gateway given, receives random requests at a mean rate of unitsPerSecond.
+func (c *cluster) runWithRandomRequests(d time.Duration, unitsPerSecond float64, only ...control.GatewayID) (allowed int) {
 	for end := c.now + d; c.now < end; {
 		c.now += step
 		for i, l := range c.limiters {
@@ -95,13 +96,13 @@
 				allowed++
 			}
 		}
-		c.deliver()
+		c.exchangeDatagrams()
 	}
 	return allowed
 }
 
-// deliver delivers the datagrams that have arrived and sends those that are due.
-func (c *cluster) deliver() {
+// exchangeDatagrams delivers the datagrams that have arrived and sends the datagrams that are due.
+func (c *cluster) exchangeDatagrams() {
 	kept := c.datagrams[:0]
 	for _, m := range c.datagrams {
 		if m.arrivesAt > c.now {
@@ -131,92 +132,92 @@
 	}
 }
 
-// mustBeBounded asserts that consumption stays within the bound of strict mode in every window.
-func (c *cluster) mustBeBounded(rate, burst float64) {
+// requireWithinBound asserts that consumption stays within the bound of strict mode in every window.
+func (c *cluster) requireWithinBound(rate, burst float64) {
 	c.t.Helper()
 	first := 0
 	for i, at := range c.consumed {
 		for ; c.consumed[first] <= at-5*time.Second; first++ {
 		}
-		must.LessEq(c.t, (rate*5+burst)*1.1+20, float64(i-first+1), must.Sprintf("units consumed in the window that ends at %v", at))
+		must.LessEq(c.t, (rate*5+burst)*1.1+20, float64(i-first+1), must.Sprintf("units consumed in the 5 s window that ends at %v", at))
 	}
 }
 
-// TestBoundHoldsWhenAllGatewaysAsk guards against consumption above the bound, and against unused quota, when all gateways request more than
-// the quota. Some cases lose and duplicate datagrams.
+// TestBoundHoldsWhenAllGatewaysAsk guards against consumption above the bound and against unused quota. All gateways together receive
+// requests for more than the quota. In some cases datagrams are lost and duplicated.
 func TestBoundHoldsWhenAllGatewaysAsk(t *testing.T) {
 	for _, n := range []int{2, 3, 12} {
 		for _, lossRate := range []float64{0, 0.2} {
 			c := newCluster(t, n, 40, 60)
 			c.lossRate = lossRate
-			c.run(4*time.Second, 0) // the buckets fill
-			c.run(10*time.Second, 400/float64(n))
-			c.mustBeBounded(40, 60)
+			c.runWithRandomRequests(4*time.Second, 0) // the buckets fill
+			c.runWithRandomRequests(10*time.Second, 400/float64(n))
+			c.requireWithinBound(40, 60)
 			must.Greater(t, 0.8*(40*10+60), float64(len(c.consumed)), must.Sprint("units consumed, which must be most of the quota"))
 		}
 	}
 }
 
-// TestRestartsGrantNoNewShare guards against a new epoch that brings a gateway a new share. The owner or another gateway restarts again and
-// again.
+// TestRestartsGrantNoNewShare guards against a restarted gateway that may consume units which it has already consumed in its former
+// epoch. The owner or another gateway restarts repeatedly.
 func TestRestartsGrantNoNewShare(t *testing.T) {
 	c := newCluster(t, 3, 40, 60)
 	for epoch := int64(1); epoch < 12; epoch++ {
-		c.run(1500*time.Millisecond, 150)
-		g := c.owner()
+		c.runWithRandomRequests(1500*time.Millisecond, 150)
+		g := c.ownerID()
 		if epoch%3 == 0 {
-			g = c.other()
+			g = c.nonOwnerID()
 		}
 		c.limiters[g] = nil
-		c.run(700*time.Millisecond, 150)
+		c.runWithRandomRequests(700*time.Millisecond, 150)
 		c.limiters[g] = NewLimiter(100*epoch, g, 3, c.now, gatewayConfig)
 		c.limiters[g].SetLimit(watchedCustomer, 40, 60)
 	}
-	c.mustBeBounded(40, 60)
+	c.requireWithinBound(40, 60)
 }
 
-// TestPartitionedGatewaysShareTheRate guards against a wrong split of the rate. The owner is partitioned, the hosts find it, and the owner
-// and the isolated gateways consume only their parts until the partition ends.
+// TestPartitionedGatewaysShareTheRate guards against a wrong split of the rate during a partition. The owner is partitioned from the
+// other gateways, and the hosts detect the partition. Until the partition ends, each gateway may consume only its part of the rate.
 func TestPartitionedGatewaysShareTheRate(t *testing.T) {
 	c := newCluster(t, 3, 40, 60)
-	c.run(4*time.Second, 60)
-	c.isolate(c.owner(), true)
-	c.run(500*time.Millisecond, 60)
+	c.runWithRandomRequests(4*time.Second, 60)
+	c.setIsolated(c.ownerID(), true)
+	c.runWithRandomRequests(500*time.Millisecond, 60)
 	for i := range c.limiters {
-		c.setReachable(control.GatewayID(i), func(g control.GatewayID) bool { return g == c.owner() })
+		c.setReachable(control.GatewayID(i), func(g control.GatewayID) bool { return g == c.ownerID() })
 	}
-	c.run(20*time.Second, 60)
-	one := c.run(10*time.Second, 60, c.other())
+	c.runWithRandomRequests(20*time.Second, 60)
+	one := c.runWithRandomRequests(10*time.Second, 60, c.nonOwnerID())
 	must.Between(t, 10*40/3-15, one, 10*40/3+15, must.Sprint("units consumed by one gateway during the partition"))
-	c.isolate(c.owner(), false)
+	c.setIsolated(c.ownerID(), false)
 	for i := range c.limiters {
 		c.setReachable(control.GatewayID(i), func(control.GatewayID) bool { return false })
 	}
-	c.run(10*time.Second, 60)
-	c.mustBeBounded(40, 60)
+	c.runWithRandomRequests(10*time.Second, 60)
+	c.requireWithinBound(40, 60)
 	before := len(c.consumed)
-	c.run(5*time.Second, 60)
+	c.runWithRandomRequests(5*time.Second, 60)
 	must.Greater(t, 150, len(c.consumed)-before, must.Sprint("units consumed after the partition"))
 }
 
-// TestBoundHoldsWhileGatewaysAreAdded guards against units that are consumed twice or lost as owners change. Gateways are added, and not all
-// gateways learn of it at once. A new owner's bucket starts empty. Units that the former owner has not acknowledged are reported to the
-// new owner.
+// TestBoundHoldsWhileGatewaysAreAdded guards against units that are consumed twice or lost as owners change. Gateways are added, and
+// not all gateways learn of the addition at the same time. A new owner's bucket starts empty. Units that the former owner has not
+// acknowledged are reported to the new owner.
 func TestBoundHoldsWhileGatewaysAreAdded(t *testing.T) {
 	c := newCluster(t, 2, 40, 60)
-	c.run(4*time.Second, 0)
+	c.runWithRandomRequests(4*time.Second, 0)
 	for n := 3; n <= 8; n++ {
-		c.run(time.Second, 80)
+		c.runWithRandomRequests(time.Second, 80)
 		l := NewLimiter(int64(n), control.GatewayID(n-1), n, c.now, gatewayConfig)
 		l.SetLimit(watchedCustomer, 40, 60)
 		c.limiters = append(c.limiters, l)
 		for _, i := range c.rng.Perm(n - 1) {
-			c.run(100*time.Millisecond, 80)
+			c.runWithRandomRequests(100*time.Millisecond, 80)
 			c.limiters[i].Grow(control.GatewayID(i), n)
 		}
 	}
-	c.run(5*time.Second, 80)
-	c.mustBeBounded(40, 60)
+	c.runWithRandomRequests(5*time.Second, 80)
+	c.requireWithinBound(40, 60)
 	must.Greater(t, 500, len(c.consumed))
 }
 
@@ -224,64 +225,64 @@
 // reporter know different limits.
 func TestLimitChangesTakeEffect(t *testing.T) {
 	c := newCluster(t, 2, 40, 60)
-	own, other := c.limiters[c.owner()], c.limiters[c.other()]
-	c.run(4*time.Second, 0)
+	own, other := c.limiters[c.ownerID()], c.limiters[c.nonOwnerID()]
+	c.runWithRandomRequests(4*time.Second, 0)
 	own.SetLimit(watchedCustomer, 5, 10)
 	must.Eq(t, 10, own.accounts[watchedCustomer].level)
 	own.SetLimit(watchedCustomer, 5, 100)
-	c.run(time.Second, 0)
+	c.runWithRandomRequests(time.Second, 0)
 	own.refill(own.accounts[watchedCustomer])
 	must.Between(t, 14, own.accounts[watchedCustomer].level, 16)
 
 	// Only the reporter knows the limit of this customer. The owner neither applies nor acknowledges the customer's delta until it knows the
 	// limit.
 	lateCustomer := control.CustomerID(0)
-	for lateCustomer = 1; OwnerOf(lateCustomer, 0, 2, 2) != c.owner() || lateCustomer == watchedCustomer; lateCustomer++ {
+	for lateCustomer = 1; OwnerOf(lateCustomer, 0, 2, 2) != c.ownerID() || lateCustomer == watchedCustomer; lateCustomer++ {
 	}
 	other.SetLimit(lateCustomer, 10, 10)
 	other.Check(lateCustomer, Request{Units: 1, Arrived: c.now, SLA: time.Second})
 	other.Consume(lateCustomer, 3)
-	c.run(time.Second, 0)
+	c.runWithRandomRequests(time.Second, 0)
 	must.Positive(t, own.BadDatagramCount())
 	must.Eq(t, 3, other.accounts[lateCustomer].unacked)
 	own.SetLimit(lateCustomer, 10, 10)
-	c.run(5*time.Second, 0)
+	c.runWithRandomRequests(5*time.Second, 0)
 	must.Eq(t, 0, other.accounts[lateCustomer].unacked)
 
 	// The owner stops metering the customer before the reporter does.
 	own.SetLimit(lateCustomer, 0, 0)
 	other.Consume(lateCustomer, 2)
-	c.run(time.Second, 0)
+	c.runWithRandomRequests(time.Second, 0)
 	must.Eq(t, 0, other.accounts[lateCustomer].unacked)
 	v, _ := own.Check(lateCustomer, Request{Units: 1e6, Arrived: c.now})
 	must.Eq(t, Allowed, v)
-	c.run(2*time.Minute, 0)
+	c.runWithRandomRequests(2*time.Minute, 0)
 	must.MapEmpty(t, own.removedAt)
 }
 
-// TestIsolatedGatewayConsumesOnlyItsPart guards against a gateway that consumes too much or nothing without any datagram from an owner. It
-// has its allowance, and its part of the rate once its host has found the owner unreachable.
+// TestIsolatedGatewayConsumesOnlyItsPart guards against an isolated gateway that consumes too much or nothing. Such a gateway may
+// consume its allowance. After its host has found the owner unreachable, it may also consume its part of the rate.
 func TestIsolatedGatewayConsumesOnlyItsPart(t *testing.T) {
 	c := newCluster(t, 4, 40, 60)
-	c.isolate(c.other(), true)
-	must.LessEq(t, 60/4+10, c.run(time.Second, 500, c.other()))
-	c.setReachable(c.other(), func(g control.GatewayID) bool { return g != c.other() })
-	must.LessEq(t, 110, c.run(10*time.Second, 500, c.other()))
+	c.setIsolated(c.nonOwnerID(), true)
+	must.LessEq(t, 60/4+10, c.runWithRandomRequests(time.Second, 500, c.nonOwnerID()))
+	c.setReachable(c.nonOwnerID(), func(g control.GatewayID) bool { return g != c.nonOwnerID() })
+	must.LessEq(t, 110, c.runWithRandomRequests(10*time.Second, 500, c.nonOwnerID()))
 	must.Greater(t, 80, len(c.consumed))
 }
 
-// TestSmallQuotaIsUsableByManyGateways guards against splitting a unit into fractions that cover no request. Gateways that ask for a unit
-// must get it one after the other.
+// TestSmallQuotaIsUsableByManyGateways guards against splitting a unit into fractions that cover no request. Each unit must be
+// granted as a whole to one gateway after the other.
 func TestSmallQuotaIsUsableByManyGateways(t *testing.T) {
 	c := newCluster(t, 12, 2, 3)
-	c.run(5*time.Second, 0)
-	c.run(20*time.Second, 1)
-	c.mustBeBounded(2, 3)
+	c.runWithRandomRequests(5*time.Second, 0)
+	c.runWithRandomRequests(20*time.Second, 1)
+	c.requireWithinBound(2, 3)
 	must.Greater(t, 30, len(c.consumed))
 }
 
-// TestBoundHoldsUnderRandomFaults guards against consumption above the bound under combined faults. Random gateways, most often the owner,
-// are partitioned and restarted. Datagrams are lost, and the hosts find the partitions late.
+// TestBoundHoldsUnderRandomFaults guards against consumption above the bound under combined faults. Random gateways, most often the
+// owner, are partitioned and restarted. Datagrams are lost, and the hosts detect the partitions late.
 func TestBoundHoldsUnderRandomFaults(t *testing.T) {
 	const n, rate, burst = 12, 200, 100
 	for seed := int64(0); seed < 3; seed++ {
@@ -291,25 +292,25 @@
 		for epoch := seed*100 + 50; epoch < seed*100+70; epoch++ {
 			g := control.GatewayID(c.rng.Intn(n))
 			if c.rng.Intn(2) == 0 {
-				g = c.owner()
+				g = c.ownerID()
 			}
 			if c.rng.Intn(3) == 0 {
 				c.limiters[g] = NewLimiter(epoch, g, n, c.now, gatewayConfig)
 				c.limiters[g].SetLimit(watchedCustomer, rate, burst)
 			} else if off[g] = !off[g]; !off[g] {
 				delete(off, g)
-				c.isolate(g, false)
+				c.setIsolated(g, false)
 			}
 			for g := range off {
-				c.isolate(g, true)
+				c.setIsolated(g, true)
 			}
-			c.run(600*time.Millisecond, 8*rate/n)
+			c.runWithRandomRequests(600*time.Millisecond, 8*rate/n)
 			for g := range c.limiters {
 				c.setReachable(control.GatewayID(g), func(g control.GatewayID) bool { return off[g] })
 			}
-			c.run(time.Duration(c.rng.Intn(3000))*time.Millisecond, 8*rate/n)
+			c.runWithRandomRequests(time.Duration(c.rng.Intn(3000))*time.Millisecond, 8*rate/n)
 		}
-		c.mustBeBounded(rate, burst)
+		c.requireWithinBound(rate, burst)
 	}
 }
 
@@ -319,9 +320,9 @@
 	request Request
 }
 
-// runWaiting runs the cluster for the given time. Random gateways receive requestsPerSecond requests a second in all, which wait while they
-// are pending. It returns the number of allowed and of rejected requests.
-func (c *cluster) runWaiting(d time.Duration, requestsPerSecond float64, sla time.Duration) (allowed, exceeded int) {
+// runWithPendingRequests runs the cluster for the given time. Random gateways together receive requestsPerSecond requests a second. A
+// pending request is checked again at each step. runWithPendingRequests returns the numbers of allowed and rejected requests.
+func (c *cluster) runWithPendingRequests(d time.Duration, requestsPerSecond float64, sla time.Duration) (allowed, exceeded int) {
 	var waiting []waitingRequest
 	for end := c.now + d; c.now < end; {
 		c.now += step
@@ -344,40 +345,41 @@
 			}
 		}
 		waiting = rest
-		c.deliver()
+		c.exchangeDatagrams()
 	}
 	return allowed, exceeded
 }
 
 // TestFewRequestsAreRejectedWithManyGateways guards against unused grants to gateways that rarely receive a request of a customer. A
-// pending request sets unitsWanted again at each check. In an earlier version, the gateway sent unitsWanted together with the report of
-// the units that this request had consumed. The owner then granted one more unit. For six seconds, that gateway did not use the unit and no
-// other gateway could get it. For a customer that requests 0.6 of its quota, this fault rejected 30 to 43 percent of the requests with 300
-// gateways, and 7 to 35 percent with 24 gateways.
+// pending request sets unitsWanted again at each check. In an earlier version, the gateway sent unitsWanted together with the report
+// of the units that the request had consumed, so the owner granted one more unit. The gateway did not use this unit, and no other
+// gateway could get it for six seconds. For a customer that requests 0.6 of its quota, this fault rejected 30 to 43 percent of the
+// requests with 300 gateways, and 7 to 35 percent with 24 gateways.
 func TestFewRequestsAreRejectedWithManyGateways(t *testing.T) {
 	for _, n := range []int{24, 300} {
 		for _, rate := range []float64{4, 16, 60} {
 			c := newCluster(t, n, rate, rate)
-			c.runWaiting(6*time.Second, 0, 0) // the buckets fill
-			allowed, exceeded := c.runWaiting(30*time.Second, rate/1.6, 800*time.Millisecond)
-			must.Greater(t, 12*exceeded, allowed, must.Sprintf("%d gateways, rate %v: %d of %d requests rejected", n, rate, exceeded, allowed+exceeded))
+			c.runWithPendingRequests(6*time.Second, 0, 0) // the buckets fill
+			allowed, exceeded := c.runWithPendingRequests(30*time.Second, rate/1.6, 800*time.Millisecond)
+			must.Greater(t, 12*exceeded, allowed, must.Sprintf("gateways=%d rate=%v: rejected %d of %d requests", n, rate, exceeded, allowed+exceeded))
 		}
 	}
 }
 
-// TestLargeCustomerNeedsEnoughDatagramsPerSecond guards against an owner that can receive too few datagrams for a large customer. One customer
-// has a fifth of the requests of 300 gateways, so its owner is asked some hundred times a second. An owner that receives few datagrams
-// asks the gateways for long intervals, and they reject requests for which they cannot ask in time.
+// TestLargeCustomerNeedsEnoughDatagramsPerSecond guards against an owner that can receive too few datagrams for a large customer. One
+// customer has a fifth of the requests of 300 gateways, so its owner receives some hundred reports a second. An owner that can
+// receive only few datagrams requires long intervals between datagrams. The gateways then reject requests for which they get no
+// snapshot in time.
 func TestLargeCustomerNeedsEnoughDatagramsPerSecond(t *testing.T) {
-	rejected := func(datagrams float64) int {
+	rejectedCount := func(datagrams float64) int {
 		config := gatewayConfig
 		config.MinInterval, config.DatagramsPerSecond = 50*time.Millisecond, datagrams
 		c := newClusterOf(t, 300, 290, 290, config)
-		c.runWaiting(6*time.Second, 0, 0)
-		allowed, exceeded := c.runWaiting(12*time.Second, 180, 480*time.Millisecond)
-		t.Logf("%v datagrams a second: %d of %d requests rejected", datagrams, exceeded, allowed+exceeded)
+		c.runWithPendingRequests(6*time.Second, 0, 0)
+		allowed, exceeded := c.runWithPendingRequests(12*time.Second, 180, 480*time.Millisecond)
+		t.Logf("%v datagrams a second: rejected %d of %d requests", datagrams, exceeded, allowed+exceeded)
 		return exceeded
 	}
-	must.Less(t, 10, rejected(2000))   // of about 2,100
-	must.Greater(t, 40, rejected(400)) // the former setting of a node
+	must.Less(t, 10, rejectedCount(2000))   // of about 2,100 requests
+	must.Greater(t, 40, rejectedCount(400)) // 400 is the former setting of a node
 }
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -2,8 +2,8 @@
 
 import "clovergap/control"
 
-// requestSnapshot schedules a report of an account to its owner, which answers each report with a snapshot. The report may have 0 units.
-// While an earlier report may still be answered, requestSnapshot schedules no other one.
+// requestSnapshot schedules a report of an account to the owner, because the owner answers each report with a snapshot. The report
+// may have 0 units. While the answer to an earlier report may still arrive, requestSnapshot schedules no other report.
 func (l *Limiter) requestSnapshot(a *Account) {
 	if a.snapshotRequestedAt == 0 {
 		a.snapshotRequestedAt = l.now
@@ -36,7 +36,7 @@
 	}
 }
 
-// schedulePeer queues a peer for the next datagrams. It does nothing if nothing may be sent to peers.
+// schedulePeer queues a peer for the next datagrams. It does nothing if datagrams to peers are disabled.
 func (l *Limiter) schedulePeer(p *peer) {
 	if !p.queued && l.options.PeersEnabled {
 		p.queued = true
@@ -44,8 +44,8 @@
 	}
 }
 
-// NextDatagram returns the next datagram that is due and the peer to send it to. It returns false if none is due. Peers are served in
-// the order in which they were queued.
+// NextDatagram returns the next datagram that is due and the peer to send it to. If no datagram is due, ok is false. Peers are served
+// in the order in which they were queued.
 func (l *Limiter) NextDatagram() (to control.GatewayID, payload []byte, ok bool) {
 	queue := l.pendingPeers
 	l.pendingPeers = l.pendingPeers[:0]
@@ -63,18 +63,18 @@
 			continue
 		}
 		l.pendingPeers = append(l.pendingPeers, queue[i+1:]...)
-		return p.id, l.finishMessage(p, m), true
+		return p.id, l.completeAndEncodeMessage(p, m), true
 	}
 	return 0, nil, false
 }
 
-// newMessage creates a message with the deltas that are due. These are either unacknowledged deltas, sent again under their sequence
-// number, or new ones.
+// newMessage creates a message with the deltas that are due. The message contains either unacknowledged deltas, which are sent again
+// under their sequence number, or new deltas.
 func (l *Limiter) newMessage(p *peer) *Message {
 	m := &Message{Epoch: l.epoch, Interval: l.interval, Age: l.now - l.startedAt,
 		AckEpoch: p.epoch, AckHigh: p.appliedHigh, AckMask: p.appliedMask}
 	switch {
-	case len(p.unacked) > 0 && l.now > p.resendAt():
+	case len(p.unacked) > 0 && l.now > p.resendTime():
 		oldest := p.unacked[0]
 		oldest.sentAt, oldest.resends = l.now, min(oldest.resends+1, maxResendDoublings)
 		p.unacked = append(p.unacked[1:], oldest)
@@ -85,7 +85,8 @@
 	return m
 }
 
-// packDeltas moves queued reports into the message as far as there is room. The oldest reports come first, so that no account starves.
+// packDeltas moves queued reports into the message until the part of the message for deltas is full. The oldest reports come first,
+// so that no account waits forever.
 func (l *Limiter) packDeltas(p *peer, m *Message) {
 	p.lastSeq++
 	m.Seq = p.lastSeq
@@ -112,7 +113,7 @@
 	p.unacked = append(p.unacked, &unackedMessage{seq: m.Seq, sentAt: l.now, firstSentAt: l.now, deltas: m.Deltas, allowanceUnits: allowance})
 }
 
-// refreshDeltas updates deltas that are sent again. Their units stay the same.
+// refreshDeltas updates the field InFlight of deltas that are sent again in strict mode. All other fields keep their values.
 func (l *Limiter) refreshDeltas(deltas []Delta) []Delta {
 	for i := range deltas {
 		if a := l.accounts[deltas[i].Customer]; l.config.Strict && a != nil {
@@ -122,8 +123,8 @@
 	return deltas
 }
 
-// finishMessage adds the snapshots and observations to a message and encodes it.
-func (l *Limiter) finishMessage(p *peer, m *Message) []byte {
+// completeAndEncodeMessage adds the snapshots and observations to a message and returns the encoded message.
+func (l *Limiter) completeAndEncodeMessage(p *peer, m *Message) []byte {
 	l.packSnapshots(p, m)
 	l.attachObservations(p, m)
 	p.ackPending = len(p.snapshotQueue) > 0
@@ -131,7 +132,7 @@
 	return m.Encode()
 }
 
-// packSnapshots adds the queued snapshots for a peer to the message, as far as there is room.
+// packSnapshots adds the queued snapshots for a peer to the message until the message is full.
 func (l *Limiter) packSnapshots(p *peer, m *Message) {
 	l.version++
 	m.Version = l.version
@@ -149,12 +150,13 @@
 	}
 }
 
-// snapshotFor returns the snapshot of an owned account for one reporter. It holds the units left without those promised to others, and
-// the units granted to the reporter.
+// snapshotFor returns the snapshot of an owned account for one reporter. Its level is the level of the bucket less the units that are
+// reserved or promised to others. Its grant is the number of units that are set aside for the reporter in strict mode. Without strict
+// mode, the grant comes from the pool of the hard limit.
 func (l *Limiter) snapshotFor(p *peer, a *Account) Snapshot {
 	l.refill(a)
-	others, inFlight, promised := l.recentReporters(a, p)
-	r := a.reporterState(p.id)
+	others, inFlight, promised := l.recentReporterTotals(a, p)
+	r := a.getOrCreateReporterState(p.id)
 	left := max(0, a.level-promised-a.reserved-l.outstandingGrants(a))
 	r.snapshotLevel = left
 	var grant float64
@@ -171,7 +173,8 @@
 	return Snapshot{Customer: a.id, Level: left, Reporters: others + 1, InFlightElsewhere: inFlight + a.inFlight, Grant: grant}
 }
 
-// attachObservations adds the host's latest observations to a message. It adds all that are new to the peer, or none if they do not fit.
+// attachObservations adds the host's latest observations to a message. It adds all observations that are new to the peer, or none if
+// not all of them fit.
 func (l *Limiter) attachObservations(p *peer, m *Message) {
 	if l.options.LastObservations == nil {
 		return
