--- a/internal/gateway/replication/bootstrap.go
+++ b/internal/gateway/replication/bootstrap.go
@@ -23,7 +23,7 @@
 // Bootstrap writes the first member list, as term 1 and index 1, on an empty disk that is on it. The same list again does
 // nothing. All of its members must be given the same list.
 func (r *Replica) Bootstrap(members []Member) error {
-	members, clusterID := sortedMembers(members), r.clusterIDFor(members)
+	members, clusterID := sortedMembers(members), r.clusterIDForLog(members)
 	listed := false
 	for i, m := range members {
 		if m.ID == 0 || i > 0 && members[i-1].ID == m.ID {
@@ -58,9 +58,9 @@
 }
 
 // clusterIDFor is the cluster ID of this log. Each log on a disk has another, so that a message can't reach the wrong one.
-func (r *Replica) clusterIDFor(members []Member) uint64 {
+func (r *Replica) clusterIDForLog(members []Member) uint64 {
 	id := ClusterIDOf(members)
-	if r.config.LogID == ConfigurationLog || r.mutated(shareClusterID) {
+	if r.config.LogID == ConfigurationLog || r.hasMutation(shareClusterID) {
 		return id
 	}
 	hash := fnv.New32a()
@@ -96,17 +96,17 @@
 
 // onlyBootstrapped reports whether this disk has a bootstrap and nothing else: it has voted for nobody and has acknowledged no
 // entry. Its cluster loses nothing without it: an empty disk that is given the same list can do as much.
-func (r *Replica) onlyBootstrapped() bool {
-	return r.clusterID != 0 && r.log.snapshot.Index == 1 && len(r.log.entries) == 0 && (r.term == 1 || r.mutated(joinOtherAfterVote))
+func (r *Replica) hasOnlyBootstrap() bool {
+	return r.clusterID != 0 && r.log.snapshot.Index == 1 && len(r.log.entries) == 0 && (r.term == 1 || r.hasMutation(joinOtherAfterVote))
 }
 
 // stepOutsideCluster is Step for an empty disk, or one that was bootstrapped for another cluster and has nothing else. It takes
 // messages only from a leader: a leader has a majority's votes, so its cluster exists.
-func (r *Replica) stepOutsideCluster(from MemberID, m Message) {
+func (r *Replica) stepBeforeJoining(from MemberID, m Message) {
 	switch {
 	case m.Kind == MsgAppendChunk:
 		r.onChunk(from, m)
-	case m.Kind == MsgAppend, r.mutated(countWipedDisk) && r.clusterID == 0 && m.Kind == MsgRequestVote:
+	case m.Kind == MsgAppend, r.hasMutation(countWipedDisk) && r.clusterID == 0 && m.Kind == MsgRequestVote:
 		r.joinCluster(from, m)
 	}
 }
@@ -114,10 +114,10 @@
 // joinCluster joins a leader's cluster with the snapshot that it sends, or asks for that.
 func (r *Replica) joinCluster(from MemberID, m Message) {
 	if m.Kind == MsgAppend && m.Snapshot == nil {
-		r.send(from, Message{Kind: MsgAppendReject, ClusterID: m.ClusterID, Term: m.Term, Seq: m.Seq, AcceptsChunks: true})
+		r.sendToID(from, Message{Kind: MsgAppendReject, ClusterID: m.ClusterID, Term: m.Term, Seq: m.Seq, AcceptsChunks: true})
 		return
 	}
-	r.reset()
+	r.resetToEmptyDisk()
 	r.clusterID = m.ClusterID
 	r.Step(from, m)
 }
@@ -125,20 +125,20 @@
 // DiscardBootstrap empties a disk that has only a bootstrap, if the other members of that are gone for good. It returns false
 // if the disk has more.
 func (r *Replica) DiscardBootstrap() bool {
-	if !r.onlyBootstrapped() {
+	if !r.hasOnlyBootstrap() {
 		return false
 	}
-	r.reset()
+	r.resetToEmptyDisk()
 	r.unwrittenSnapshot = true
 	r.requireWrite(1)
 	return true
 }
 
 // reset makes the replica as that of an empty disk. The next write does the same to the disk.
-func (r *Replica) reset() {
+func (r *Replica) resetToEmptyDisk() {
 	invariant.Assert(len(r.log.entries) == 0 && r.role != roleLeader, "only a bootstrap is discarded")
 	r.clusterID, r.term, r.votedFor, r.maxSeenTerm, r.bootstrapSynced = 0, 0, 0, 0, false
 	r.log.snapshot, r.memberConfigs, r.commitIndex = Snapshot{}, []memberConfig{{}}, 0
-	r.invalidateSynced(0)
+	r.lowerSyncedIndex(0)
 	r.role, r.leaderID, r.electionDeadline = roleFollower, 0, never
 }
--- a/internal/gateway/replication/codec.go
+++ b/internal/gateway/replication/codec.go
@@ -32,7 +32,7 @@
 var ErrTruncatedMessage = errors.New("truncated message")
 
 // mask names the fields that are carried.
-func (m *Message) mask() (mask uint64) {
+func (m *Message) fieldMask() (mask uint64) {
 	set := func(bit uint64, is bool) {
 		if is {
 			mask |= bit
@@ -54,7 +54,7 @@
 // AppendMessage appends a message's compact form.
 func AppendMessage(b []byte, m *Message) []byte {
 	b = append(b, byte(m.Kind))
-	for _, n := range [...]uint64{m.mask(), m.ClusterID, uint64(m.Recipient), m.Term} {
+	for _, n := range [...]uint64{m.fieldMask(), m.ClusterID, uint64(m.Recipient), m.Term} {
 		b = binary.AppendUvarint(b, n)
 	}
 	for _, n := range [...]uint64{m.Index, m.LogTerm, m.Commit, m.Seq, m.ReplicatedElsewhere} {
@@ -106,25 +106,25 @@
 // DecodeMessage reads a message and returns what follows it. The message shares nothing with b.
 func DecodeMessage(b []byte) (m Message, rest []byte, err error) {
 	r := messageReader{rest: b}
-	m.Kind = MessageKind(r.byte())
-	mask := r.uvarint()
-	m.ClusterID, m.Recipient, m.Term, m.ContactAgeMillis = r.uvarint(), MemberID(r.uvarint()), r.uvarint(), -1
+	m.Kind = MessageKind(r.readByte())
+	mask := r.readUvarint()
+	m.ClusterID, m.Recipient, m.Term, m.ContactAgeMillis = r.readUvarint(), MemberID(r.readUvarint()), r.readUvarint(), -1
 	for i, field := range [...]*uint64{&m.Index, &m.LogTerm, &m.Commit, &m.Seq, &m.ReplicatedElsewhere} {
 		if mask&(hasIndex<<i) != 0 {
-			*field = r.uvarint()
+			*field = r.readUvarint()
 		}
 	}
 	m.Rejected, m.AcceptsChunks = mask&isRejection != 0, mask&acceptsChunks != 0
 	if mask&hasEntries != 0 {
-		for range r.count() {
-			m.Entries = append(m.Entries, r.entry())
+		for range r.readCount() {
+			m.Entries = append(m.Entries, r.readEntry())
 		}
 	}
 	if mask&hasSnapshot != 0 {
-		m.Snapshot = &Snapshot{Index: r.uvarint(), Term: r.uvarint(), Members: r.members(), State: r.bytes()}
+		m.Snapshot = &Snapshot{Index: r.readUvarint(), Term: r.readUvarint(), Members: r.readMembers(), State: r.readBytes()}
 	}
 	if mask&hasChunk != 0 {
-		m.Chunk = &Chunk{Index: r.uvarint(), View: r.uvarint(), Sum: r.uvarint(), Size: r.uvarint(), Offset: r.uvarint(), Data: r.bytes()}
+		m.Chunk = &Chunk{Index: r.readUvarint(), View: r.readUvarint(), Sum: r.readUvarint(), Size: r.readUvarint(), Offset: r.readUvarint(), Data: r.readBytes()}
 	}
 	if r.truncated {
 		return Message{}, nil, ErrTruncatedMessage
@@ -138,13 +138,13 @@
 	truncated bool
 }
 
-func (m *messageReader) fail() {
+func (m *messageReader) setTruncated() {
 	m.rest, m.truncated = nil, true
 }
 
-func (m *messageReader) byte() byte {
+func (m *messageReader) readByte() byte {
 	if len(m.rest) == 0 {
-		m.fail()
+		m.setTruncated()
 		return 0
 	}
 	c := m.rest[0]
@@ -152,10 +152,10 @@
 	return c
 }
 
-func (m *messageReader) uvarint() uint64 {
+func (m *messageReader) readUvarint() uint64 {
 	n, size := binary.Uvarint(m.rest)
 	if size <= 0 {
-		m.fail()
+		m.setTruncated()
 		return 0
 	}
 	m.rest = m.rest[size:]
@@ -163,17 +163,17 @@
 }
 
 // count is a number of items. Each takes at least a byte, so that a false count can't have much memory allocated.
-func (m *messageReader) count() int {
-	n := m.uvarint()
+func (m *messageReader) readCount() int {
+	n := m.readUvarint()
 	if n > uint64(len(m.rest)) {
-		m.fail()
+		m.setTruncated()
 		return 0
 	}
 	return int(n)
 }
 
-func (m *messageReader) bytes() []byte {
-	n := m.count()
+func (m *messageReader) readBytes() []byte {
+	n := m.readCount()
 	if n == 0 {
 		return nil
 	}
@@ -182,13 +182,13 @@
 	return data
 }
 
-func (m *messageReader) entry() Entry {
-	return Entry{Index: m.uvarint(), Term: m.uvarint(), Kind: EntryKind(m.byte()), Data: m.bytes(), Members: m.members()}
+func (m *messageReader) readEntry() Entry {
+	return Entry{Index: m.readUvarint(), Term: m.readUvarint(), Kind: EntryKind(m.readByte()), Data: m.readBytes(), Members: m.readMembers()}
 }
 
-func (m *messageReader) members() (members []Member) {
-	for range m.count() {
-		members = append(members, Member{ID: MemberID(m.uvarint()), Addr: string(m.bytes())})
+func (m *messageReader) readMembers() (members []Member) {
+	for range m.readCount() {
+		members = append(members, Member{ID: MemberID(m.readUvarint()), Addr: string(m.readBytes())})
 	}
 	return members
 }
--- a/internal/gateway/replication/contact.go
+++ b/internal/gateway/replication/contact.go
@@ -14,8 +14,8 @@
 
 // contactState is the newest time at which a majority is known to have been in contact, by the leader of a term.
 type contactState struct {
-	since time.Duration // noContact before the first
-	term  uint64
+	lastContactAt time.Duration // noContact before the first
+	term          uint64
 }
 
 const noContact = -never
@@ -49,78 +49,78 @@
 }
 
 // reportsContact reports whether this log has quorum contact: what a node may do depends only on the configuration's log.
-func (r *Replica) reportsContact() bool { return r.config.LogID == ConfigurationLog }
+func (r *Replica) tracksQuorumContact() bool { return r.config.LogID == ConfigurationLog }
 
 // QuorumContact returns how long ago a majority was in contact at the latest, as far as is known here, and the newest term in
 // which that is known. It returns false, and the term of the commit index, if it is not known since the process started.
 func (r *Replica) QuorumContact(now time.Duration) (age time.Duration, term uint64, ok bool) {
-	if r.quorumContact.since == noContact {
+	if r.quorumContact.lastContactAt == noContact {
 		term, _ = r.log.termAt(r.commitIndex)
 		return never, term, false
 	}
-	return max(now, r.now) - r.quorumContact.since, r.quorumContact.term, true
+	return max(now, r.now) - r.quorumContact.lastContactAt, r.quorumContact.term, true
 }
 
 // advanceContact takes over a newer time.
-func (r *Replica) advanceContact(since time.Duration, term uint64) {
-	if since >= r.quorumContact.since {
-		r.quorumContact = contactState{since, max(term, r.quorumContact.term)}
+func (r *Replica) advanceQuorumContact(contactAt time.Duration, term uint64) {
+	if contactAt >= r.quorumContact.lastContactAt {
+		r.quorumContact = contactState{contactAt, max(term, r.quorumContact.term)}
 	}
 }
 
 // recordResponseClock records that a member followed this term when the clock that it echoes was sent. A member of the first
 // version sends no clock: it counts from when its answer came.
-func (r *Replica) recordResponseClock(peer *progress, m Message) {
+func (r *Replica) recordMemberContact(peer *progress, m Message) {
 	sentAt, ok := r.clock.TimeOf(m.EchoedClock, r.now)
-	if m.Clock == 0 || r.mutated(contactByAck) {
+	if m.Clock == 0 || r.hasMutation(contactFromAckTime) {
 		sentAt, ok = r.now, true
 	}
-	peer.lastClock = m.Clock
+	peer.lastReceivedClock = m.Clock
 	if ok {
-		peer.contactAt = max(peer.contactAt, sentAt)
+		peer.lastContactAt = max(peer.lastContactAt, sentAt)
 	}
 }
 
 // updateQuorumContact is the leader's: the newest time since which a majority, of both lists in a joint configuration, was in
 // contact. Before an entry of this term is committed, entries that others acknowledged may not be known to be committed here.
 func (r *Replica) updateQuorumContact() {
-	if r.role != roleLeader || !r.reportsContact() || r.commitIndex < r.termStartIndex && !r.mutated(contactBeforeNoOp) {
+	if r.role != roleLeader || !r.tracksQuorumContact() || r.commitIndex < r.termStartIndex && !r.hasMutation(contactBeforeNoOp) {
 		return
 	}
 	quorumSince := func(t time.Duration) bool {
-		return r.hasQuorum(func(id MemberID) bool { return id == r.self.ID || r.peers[id] != nil && r.peers[id].contactAt >= t })
+		return r.hasQuorum(func(id MemberID) bool { return id == r.self.ID || r.peers[id] != nil && r.peers[id].lastContactAt >= t })
 	}
-	if quorumSince(r.now) || r.mutated(contactWhileLead) {
-		r.advanceContact(r.now, r.term)
+	if quorumSince(r.now) || r.hasMutation(contactWhileLeading) {
+		r.advanceQuorumContact(r.now, r.term)
 		return
 	}
 	for _, peer := range r.peers {
-		if peer.contactAt > r.quorumContact.since && quorumSince(peer.contactAt) {
-			r.advanceContact(peer.contactAt, r.term)
+		if peer.lastContactAt > r.quorumContact.lastContactAt && quorumSince(peer.lastContactAt) {
+			r.advanceQuorumContact(peer.lastContactAt, r.term)
 		}
 	}
 }
 
 // attachContact puts clocks and the age of contact into a leader's message.
-func (r *Replica) attachContact(peer *progress, m *Message) {
+func (r *Replica) attachQuorumContact(peer *progress, m *Message) {
 	m.ContactAgeMillis = -1
-	if !r.reportsContact() {
+	if !r.tracksQuorumContact() {
 		return
 	}
 	r.updateQuorumContact()
-	m.Clock, m.EchoedClock = r.clock.Timestamp(r.now), peer.lastClock
+	m.Clock, m.EchoedClock = r.clock.Timestamp(r.now), peer.lastReceivedClock
 	if age, _, ok := r.QuorumContact(r.now); ok {
 		m.ContactAgeMillis = int64((age + time.Millisecond - 1) / time.Millisecond) // rounded up
 	}
 }
 
 // receiveContact takes over the leader's, once all that it had committed is committed here.
-func (r *Replica) receiveContact(m Message) {
+func (r *Replica) receiveQuorumContact(m Message) {
 	sentAt, ok := r.clock.TimeOf(m.EchoedClock, r.now)
-	if m.Clock == 0 || r.mutated(contactByAppend) {
+	if m.Clock == 0 || r.hasMutation(contactFromAppendTime) {
 		sentAt, ok = r.now, true
 	}
-	if ok && m.ContactAgeMillis >= 0 && (r.commitIndex >= m.Commit || r.mutated(contactAhead)) {
-		r.advanceContact(sentAt-time.Duration(m.ContactAgeMillis)*time.Millisecond, m.Term)
+	if ok && m.ContactAgeMillis >= 0 && (r.commitIndex >= m.Commit || r.hasMutation(contactBeforeCommit)) {
+		r.advanceQuorumContact(sentAt-time.Duration(m.ContactAgeMillis)*time.Millisecond, m.Term)
 	}
 }
--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -61,7 +61,7 @@
 		w.syncAll(2)
 		w.inflight = append(w.inflight, late...)
 		return w
-	}, []mutation{contactByAck, contactWhileLead}},
+	}, []mutation{contactFromAckTime, contactWhileLeading}},
 	{"a follower, and appends that come late", func(planted mutation) *cluster {
 		w := withClock(newCluster(3, 0, planted, stepBudget{proposals: 1, ticks: 2}))
 		w.heartbeat(0)
@@ -75,7 +75,7 @@
 			}
 		}
 		return w
-	}, []mutation{contactByAppend}},
+	}, []mutation{contactFromAppendTime}},
 	{"a new leader that does not know what was acknowledged", func(planted mutation) *cluster {
 		w := withClock(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 1})).propose()
 		w.syncAll(0)
@@ -96,7 +96,7 @@
 		w.deliverAmong([]int{1}, []int{0})
 		w.now += time.Second
 		return w
-	}, []mutation{contactAhead}},
+	}, []mutation{contactBeforeCommit}},
 	{"a partition, a new term, a proposal", func(planted mutation) *cluster {
 		return withClock(newCluster(3, 0, planted, stepBudget{elections: 1, proposals: 1, heartbeats: 1, ticks: 2}))
 	}, nil},
--- a/internal/gateway/replication/durability.go
+++ b/internal/gateway/replication/durability.go
@@ -23,20 +23,20 @@
 // requireWrite records that the disk lacks something: the entries from an index on if that is not 0, else only term, vote, commit
 // index or snapshot.
 func (r *Replica) requireWrite(from uint64) {
-	r.unwritten = true
-	if from > 0 && (r.unwrittenFrom == 0 || from < r.unwrittenFrom) {
-		r.unwrittenFrom = from
+	r.writeNeeded = true
+	if from > 0 && (r.unwrittenFromIndex == 0 || from < r.unwrittenFromIndex) {
+		r.unwrittenFromIndex = from
 	}
 }
 
 // takeWrite returns everything that the disk lacks.
 func (r *Replica) takeWrite() Write {
 	w := Write{Seq: r.nextWriteSeq, ClusterID: r.clusterID, Term: r.term, Vote: r.votedFor, Commit: r.commitIndex}
-	if r.mutated(forgetVotes) {
+	if r.hasMutation(forgetVotes) {
 		w.Term, w.Vote = 1, 0
 	}
-	if r.unwrittenFrom > 0 {
-		w.FirstIndex = max(r.unwrittenFrom, r.log.snapshot.Index+1)
+	if r.unwrittenFromIndex > 0 {
+		w.FirstIndex = max(r.unwrittenFromIndex, r.log.snapshot.Index+1)
 		w.Entries = r.log.entriesFrom(w.FirstIndex)
 	}
 	if r.unwrittenSnapshot {
@@ -45,7 +45,7 @@
 	}
 	r.unsyncedWrites = append(r.unsyncedWrites, unsyncedWrite{r.nextWriteSeq, r.log.lastIndex()})
 	r.nextWriteSeq++
-	r.unwritten, r.unwrittenFrom, r.unwrittenSnapshot = false, 0, false
+	r.writeNeeded, r.unwrittenFromIndex, r.unwrittenSnapshot = false, 0, false
 	return w
 }
 
@@ -58,11 +58,11 @@
 		r.bootstrapSynced = r.bootstrapSynced || r.clusterID != 0 && r.syncedIndex > 0
 		r.unsyncedWrites = r.unsyncedWrites[1:]
 	}
-	ready := 0
-	for ; ready < len(r.pendingReplies) && r.pendingReplies[ready].writeSeq <= r.syncedWriteSeq; ready++ {
-		r.sendPendingReply(r.pendingReplies[ready])
+	readyCount := 0
+	for ; readyCount < len(r.pendingReplies) && r.pendingReplies[readyCount].writeSeq <= r.syncedWriteSeq; readyCount++ {
+		r.sendPendingReply(r.pendingReplies[readyCount])
 	}
-	r.pendingReplies = r.pendingReplies[ready:]
+	r.pendingReplies = r.pendingReplies[readyCount:]
 	if r.role == roleLeader {
 		r.maybeCommit()
 	}
@@ -70,7 +70,7 @@
 
 // invalidateSynced records that the disk does not have this log beyond an index, also once writes that are under way are synced:
 // they have entries that were removed since.
-func (r *Replica) invalidateSynced(index uint64) {
+func (r *Replica) lowerSyncedIndex(index uint64) {
 	r.syncedIndex = min(r.syncedIndex, index)
 	for i := range r.unsyncedWrites {
 		r.unsyncedWrites[i].lastIndex = min(r.unsyncedWrites[i].lastIndex, index)
@@ -81,13 +81,13 @@
 // would let two leaders be elected, or lose a committed entry.
 func (r *Replica) replyAfterSync(reply pendingReply) {
 	reply.writeSeq = r.nextWriteSeq
-	if !r.unwritten {
+	if !r.writeNeeded {
 		reply.writeSeq--
 	}
 	switch {
 	case reply.writeSeq <= r.syncedWriteSeq,
-		r.mutated(ackUnsynced) && reply.kind == MsgAppendAck,
-		r.mutated(voteBeforeSync) && reply.kind == MsgVoteGranted:
+		r.hasMutation(ackUnsynced) && reply.kind == MsgAppendAck,
+		r.hasMutation(voteBeforeSync) && reply.kind == MsgVoteGranted:
 		r.sendPendingReply(reply)
 	case !slices.Contains(r.pendingReplies, reply):
 		r.pendingReplies = append(r.pendingReplies, reply)
@@ -107,12 +107,12 @@
 	case MsgVoteGranted:
 		if r.votedFor == reply.recipient {
 			last := r.log.lastPosition()
-			r.send(reply.recipient, Message{Kind: MsgVoteGranted, Term: r.term, Index: last.index, LogTerm: last.term})
+			r.sendToID(reply.recipient, Message{Kind: MsgVoteGranted, Term: r.term, Index: last.index, LogTerm: last.term})
 		}
 	case MsgRequestVote:
 		if r.role == roleCandidate && r.votedFor == r.self.ID {
 			r.votes[r.self.ID] = r.log.lastPosition()
-			r.awaitVotes()
+			r.extendElectionDeadline()
 			r.tallyVotes()
 		}
 	}
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -9,7 +9,7 @@
 
 	// maxElectionBackoff bounds the election time-out in multiples of Config.ElectionTimeout. Each election without a leader
 	// doubles it: where every sync takes longer than the time-out, candidates would otherwise depose each other for ever.
-	maxElectionBackoff = 4
+	maxElectionBackoffFactor = 4
 
 	// voteTimeoutFactor is how many times as long as its own disk took a candidate allows for votes: others' disks may be busier.
 	voteTimeoutFactor = 3
@@ -25,10 +25,10 @@
 	if !r.sawLeader {
 		timeout, jitter = timeout/startupTimeoutDivisor, jitter/startupTimeoutDivisor
 	}
-	for n := 0; n < r.failedElections && 2*timeout <= maxElectionBackoff*r.config.ElectionTimeout; n++ {
+	for n := 0; n < r.failedElections && 2*timeout <= maxElectionBackoffFactor*r.config.ElectionTimeout; n++ {
 		timeout, jitter = 2*timeout, 2*jitter
 	}
-	r.electionDeadline = r.now + timeout + r.random(jitter)
+	r.electionDeadline = r.now + timeout + r.randomDuration(jitter)
 }
 
 // ReportUnreachable reports that the connection to a member broke. If that is the leader, this member starts a pre-vote soon, as do
@@ -38,7 +38,7 @@
 		return
 	}
 	r.leaderContactAt = min(r.leaderContactAt, r.now-r.config.ElectionTimeout)
-	r.electionDeadline = min(r.electionDeadline, r.now+r.random(r.config.HeartbeatInterval/2))
+	r.electionDeadline = min(r.electionDeadline, r.now+r.randomDuration(r.config.HeartbeatInterval/2))
 }
 
 // enterTerm goes on to a newer term, or in the present one to another leader than the candidate that this member voted for.
@@ -65,14 +65,14 @@
 	r.preVoteSeq++
 	r.preVotes = map[MemberID]bool{r.self.ID: true}
 	for _, m := range r.otherMembers() {
-		r.sendTo(m, Message{Kind: MsgPreVote, Term: r.term, Seq: r.preVoteSeq})
+		r.sendToMember(m, Message{Kind: MsgPreVote, Term: r.term, Seq: r.preVoteSeq})
 	}
 	r.startElectionIfPreVoted()
 }
 
 func (r *Replica) onPreVote(from MemberID, m Message) {
-	lost := r.role != roleLeader && r.now-r.leaderContactAt >= r.config.ElectionTimeout
-	r.send(from, Message{Kind: MsgPreVoteResponse, Term: r.term, Seq: m.Seq, Rejected: !lost})
+	leaderLost := r.role != roleLeader && r.now-r.leaderContactAt >= r.config.ElectionTimeout
+	r.sendToID(from, Message{Kind: MsgPreVoteResponse, Term: r.term, Seq: m.Seq, Rejected: !leaderLost})
 }
 
 func (r *Replica) onPreVoteResponse(from MemberID, m Message) {
@@ -102,22 +102,22 @@
 
 // awaitVotes puts the next election off until the others have had time to sync their votes: one that starts while they write
 // makes those votes worthless.
-func (r *Replica) awaitVotes() {
-	if r.electionDeadline == never || r.mutated(skipTieBreak) {
+func (r *Replica) extendElectionDeadline() {
+	if r.electionDeadline == never || r.hasMutation(skipTieBreak) {
 		return
 	}
 	ownSync := r.now - r.electionStartedAt
-	wait := min(voteTimeoutFactor*ownSync, maxElectionBackoff*r.config.ElectionTimeout)
-	r.electionDeadline = max(r.electionDeadline, r.now+wait)
+	voteTimeout := min(voteTimeoutFactor*ownSync, maxElectionBackoffFactor*r.config.ElectionTimeout)
+	r.electionDeadline = max(r.electionDeadline, r.now+voteTimeout)
 }
 
 // onRequestVote votes for the first candidate of a term, whatever its log: it fetches the newest one before it leads.
 func (r *Replica) onRequestVote(from MemberID, m Message) {
-	if m.Term < r.term || m.Term == r.term && r.votedFor != from && !r.mutated(voteTwice) {
-		r.send(from, Message{Kind: MsgStaleTerm, Term: r.term, Rejected: r.role == roleCandidate})
+	if m.Term < r.term || m.Term == r.term && r.votedFor != from && !r.hasMutation(voteTwice) {
+		r.sendToID(from, Message{Kind: MsgStaleTerm, Term: r.term, Rejected: r.role == roleCandidate})
 		return
 	}
-	if m.Term > r.term || r.mutated(voteTwice) {
+	if m.Term > r.term || r.hasMutation(voteTwice) {
 		r.enterTerm(m.Term, from)
 		r.leaderContactAt, r.sawLeader = r.now, true // the candidate gets an election time-out to lead
 		r.resetElectionDeadline()
@@ -138,14 +138,14 @@
 		return
 	}
 	r.requestVotes()
-	voted := func(id MemberID) bool { _, ok := r.votes[id]; return ok }
-	if !r.hasQuorum(voted) && !(r.mutated(electByMinority) && 2*len(r.votes) >= len(r.Members())-1) {
+	hasVoted := func(id MemberID) bool { _, ok := r.votes[id]; return ok }
+	if !r.hasQuorum(hasVoted) && !(r.hasMutation(electByMinority) && 2*len(r.votes) >= len(r.Members())-1) {
 		return
 	}
-	if newest := r.newestVoter(); newest != r.self.ID && !r.mutated(leadWithoutNewestLog) {
+	if newest := r.voterWithNewestLog(); newest != r.self.ID && !r.hasMutation(leadWithoutNewestLog) {
 		if r.fetchingLogFrom != newest {
 			r.fetchingLogFrom = newest
-			r.send(newest, Message{Kind: MsgFetchLog, Term: r.term, Index: r.commitIndex})
+			r.sendToID(newest, Message{Kind: MsgFetchLog, Term: r.term, Index: r.commitIndex})
 		}
 		return
 	}
@@ -162,13 +162,13 @@
 	for _, m := range r.otherMembers() {
 		if _, asked := r.voteRequests[m.ID]; !asked {
 			r.voteRequests[m.ID] = m
-			r.sendTo(m, Message{Kind: MsgRequestVote, Term: r.term})
+			r.sendToMember(m, Message{Kind: MsgRequestVote, Term: r.term})
 		}
 	}
 }
 
 // newestVoter is the voter with the newest log: this member if none is newer than its own, else the lowest ID of several.
-func (r *Replica) newestVoter() MemberID {
+func (r *Replica) voterWithNewestLog() MemberID {
 	newest, position := r.self.ID, r.log.lastPosition()
 	for id, last := range r.votes {
 		if last.newerThan(position) || last == position && newest != r.self.ID && id < newest {
@@ -191,14 +191,14 @@
 		size = len(snapshot.State)
 	}
 	tail.Entries = r.log.entriesFrom(tail.Index + 1)
-	size += sizeOf(tail.Entries)
+	size += totalEntryBytes(tail.Entries)
 	if r.needsChunks(size) && r.isMember(r.self.ID) {
 		// In one message it would delay everything else on the link. This member leads instead, and brings the candidate up to
 		// date in chunks.
 		r.startElection()
 		return
 	}
-	r.send(from, tail)
+	r.sendToID(from, tail)
 }
 
 // onLogTail takes over the newest voter's log.
@@ -210,12 +210,12 @@
 	if n := len(m.Entries); n > 0 {
 		last = logPosition{m.Entries[n-1].Term, m.Entries[n-1].Index}
 	} else if m.Snapshot != nil {
-		last = m.Snapshot.position()
+		last = m.Snapshot.lastPosition()
 	}
 	if !last.newerThan(r.log.lastPosition()) || m.Snapshot == nil && m.Index > r.commitIndex {
 		return
 	}
-	r.installIfNewer(m.Snapshot)
+	r.installSnapshotIfNewer(m.Snapshot)
 	r.appendAfter(m.Index, m.Entries)
 	r.tallyVotes()
 }
@@ -228,7 +228,7 @@
 	}
 	// Two candidates of one term keep each other from a majority. The lower ID starts another election, and the other one votes
 	// for it.
-	if r.role == roleCandidate && m.Rejected && m.Term == r.term && r.self.ID < from && !r.mutated(skipTieBreak) {
+	if r.role == roleCandidate && m.Rejected && m.Term == r.term && r.self.ID < from && !r.hasMutation(skipTieBreak) {
 		r.startElection()
 	}
 }
--- a/internal/gateway/replication/entry.go
+++ b/internal/gateway/replication/entry.go
@@ -40,7 +40,7 @@
 }
 
 // sizeOf is the sum of the entries' sizes.
-func sizeOf(entries []Entry) (bytes int) {
+func totalEntryBytes(entries []Entry) (bytes int) {
 	for i := range entries {
 		bytes += entries[i].Size()
 	}
@@ -54,7 +54,7 @@
 	State       []byte // empty: the state that a system starts with
 }
 
-func (s *Snapshot) position() logPosition { return logPosition{s.Term, s.Index} }
+func (s *Snapshot) lastPosition() logPosition { return logPosition{s.Term, s.Index} }
 
 // logPosition is that of a log's last entry.
 type logPosition struct{ term, index uint64 }
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -428,7 +428,7 @@
 		if s.down {
 			b = append(b, 'g')
 		}
-		b = appendEntries(append(p.incoming.id.chunk(0, nil).key(appendEntries(b, p.log.entries)), p.incoming.data...), p.log.trailing)
+		b = appendEntries(append(p.incoming.id.newChunk(0, nil).key(appendEntries(b, p.log.entries)), p.incoming.data...), p.log.trailing)
 		for _, q := range p.pendingReplies {
 			b = appendUvarints(b, q.writeSeq-p.syncedWriteSeq, uint64(q.kind), q.term, uint64(q.recipient))
 		}
@@ -436,10 +436,10 @@
 			if q := p.peers[id]; q != nil {
 				b = appendUvarints(b, q.nextIndex, q.matchIndex, q.readSeq)
 				if o := q.transfer.sender; o.Blob != nil {
-					b = appendUvarints(o.Blob.id.chunk(0, nil).key(b), o.acked, o.sent, o.retransmittedFrom, uint64(p.now-o.progressAt))
+					b = appendUvarints(o.Blob.id.newChunk(0, nil).key(b), o.ackedBytes, o.sentBytes, o.retransmittedFrom, uint64(p.now-o.lastProgressAt))
 				}
 				if c.judgesContact {
-					b = appendUvarints(b, uint64(q.lastClock), uint64(q.contactAt))
+					b = appendUvarints(b, uint64(q.lastReceivedClock), uint64(q.lastContactAt))
 				}
 			}
 			if q, ok := p.votes[id]; ok && p.role == roleCandidate {
@@ -447,7 +447,7 @@
 			}
 		}
 		if c.judgesContact {
-			b = appendUvarints(b, uint64(p.leaderClock), uint64(p.quorumContact.since), p.quorumContact.term)
+			b = appendUvarints(b, uint64(p.leaderClock), uint64(p.quorumContact.lastContactAt), p.quorumContact.term)
 		}
 		b = appendEntries(appendUvarints(b, s.disk.Term, uint64(s.disk.Vote), s.disk.Commit), s.disk.Entries)
 		for _, q := range s.writes {
@@ -612,7 +612,7 @@
 	{"a member for another", func(planted mutation) *cluster {
 		w := newCluster(3, 1, planted, stepBudget{elections: 1})
 		w.members[0].replica.AddMember(w.members[3].replica.self, 3)
-		for w.drainActions(0); w.members[0].replica.membersCommitted(); w.drainActions(0) {
+		for w.drainActions(0); w.members[0].replica.isLatestConfigCommitted(); w.drainActions(0) {
 			w.deliver(0)
 			if len(w.members[3].writes) > 0 {
 				w.sync(3)
@@ -704,7 +704,7 @@
 		w.electAmong(1, 0)
 		w.inflight = append(w.inflight, late...)
 		return w
-	}, []mutation{mixChunks}},
+	}, []mutation{mixBlobs}},
 	{"a large entry in chunks, and another that replaces it", func(planted mutation) *cluster {
 		w := newCluster(3, 0, planted, stepBudget{heartbeats: 1, crashes: 1}).inChunks()
 		w.members[0].replica.Propose(1, []byte("xyz"))
@@ -719,7 +719,7 @@
 		w.drainActions(1)
 		w.inflight = append(w.inflight, late...)
 		return w
-	}, []mutation{mixChunks}},
+	}, []mutation{mixBlobs}},
 	{"five: a proposal, an election, a loss of power", func(planted mutation) *cluster {
 		w := newCluster(5, 0, planted, stepBudget{crashes: 1}).propose()
 		w.syncAll(0)
@@ -779,7 +779,7 @@
 		w := newCluster(3, 1, planted, stepBudget{elections: 1, restarts: 1})
 		w.takeDown(2)
 		w.members[0].replica.AddMember(w.members[3].replica.self, 3)
-		for w.drainActions(0); w.members[0].replica.membersCommitted(); w.drainActions(0) {
+		for w.drainActions(0); w.members[0].replica.isLatestConfigCommitted(); w.drainActions(0) {
 			w.deliver(0)
 			w.syncAll(3)
 		}
@@ -814,7 +814,7 @@
 		w := newCluster(5, 1, planted, stepBudget{losses: 1})
 		w.takeDown(4)
 		w.members[0].replica.AddMember(w.members[5].replica.self, 5)
-		for w.drainActions(0); w.members[0].replica.membersCommitted(); w.drainActions(0) {
+		for w.drainActions(0); w.members[0].replica.isLatestConfigCommitted(); w.drainActions(0) {
 			w.deliver(0)
 			w.syncAll(5)
 		}
--- a/internal/gateway/replication/follower.go
+++ b/internal/gateway/replication/follower.go
@@ -6,11 +6,11 @@
 
 // followLeader takes over what every message of a leader has. It returns false if the message is of an earlier term.
 func (r *Replica) followLeader(from MemberID, m Message) bool {
-	if m.Term < r.term && !r.mutated(acceptStaleTerm) {
-		r.send(from, Message{Kind: MsgStaleTerm, Term: r.term})
+	if m.Term < r.term && !r.hasMutation(acceptStaleTerm) {
+		r.sendToID(from, Message{Kind: MsgStaleTerm, Term: r.term})
 		return false
 	}
-	if m.Term > r.term || r.votedFor != from && !r.mutated(acceptStaleTerm) {
+	if m.Term > r.term || r.votedFor != from && !r.hasMutation(acceptStaleTerm) {
 		r.enterTerm(m.Term, from)
 	}
 	invariant.Assert(r.role != roleLeader, "a term has one leader")
@@ -32,11 +32,11 @@
 	if heartbeat {
 		r.replicatedElsewhere = m.ReplicatedElsewhere
 	}
-	r.installIfNewer(m.Snapshot)
+	r.installSnapshotIfNewer(m.Snapshot)
 	// What is committed is the same everywhere, so that nothing up to there need be compared.
-	if m.Index > r.commitIndex && !r.matchesPrevious(m) {
+	if m.Index > r.commitIndex && !r.hasPreviousEntry(m) {
 		r.resetElectionDeadline()
-		r.send(from, Message{Kind: MsgAppendReject, Term: m.Term, Index: r.commitIndex, Seq: r.readSeq,
+		r.sendToID(from, Message{Kind: MsgAppendReject, Term: m.Term, Index: r.commitIndex, Seq: r.readSeq,
 			Clock: r.clock.Timestamp(r.now), EchoedClock: r.leaderClock, AcceptsChunks: true})
 		return
 	}
@@ -44,7 +44,7 @@
 	r.resetElectionDeadline() // after appending: a new list decides whether this member may start elections
 	r.matchIndex = max(r.matchIndex, m.Index+uint64(len(m.Entries)))
 	r.commitTo(max(r.commitIndex, min(m.Commit, r.matchIndex)))
-	r.receiveContact(m)
+	r.receiveQuorumContact(m)
 	if r.matchIndex <= r.syncedIndex || r.readSeq > r.ackedReadSeq || heartbeat {
 		r.sendAck()
 	}
@@ -54,18 +54,18 @@
 }
 
 // matchesPrevious reports whether the entry before those of an append is in the log.
-func (r *Replica) matchesPrevious(m Message) bool {
+func (r *Replica) hasPreviousEntry(m Message) bool {
 	term, known := r.log.termAt(m.Index)
-	return known && (term == m.LogTerm || r.mutated(skipLogMatching))
+	return known && (term == m.LogTerm || r.hasMutation(skipLogMatching))
 }
 
 // sendAck acknowledges to the leader what is on disk, and the read sequence, which needs no disk.
 func (r *Replica) sendAck() {
 	index := min(r.matchIndex, r.syncedIndex)
-	if r.mutated(ackUnsynced) {
+	if r.hasMutation(ackUnsynced) {
 		index = r.matchIndex
 	}
 	r.ackedReadSeq = r.readSeq
-	r.send(r.leaderID, Message{Kind: MsgAppendAck, Term: r.term, Index: index, Seq: r.readSeq,
+	r.sendToID(r.leaderID, Message{Kind: MsgAppendAck, Term: r.term, Index: index, Seq: r.readSeq,
 		Clock: r.clock.Timestamp(r.now), EchoedClock: r.leaderClock, AcceptsChunks: true})
 }
--- a/internal/gateway/replication/leader.go
+++ b/internal/gateway/replication/leader.go
@@ -11,10 +11,10 @@
 	r.role, r.leaderID = roleLeader, r.self.ID
 	r.sawLeader, r.failedElections = true, 0
 	r.peers = map[MemberID]*progress{}
-	r.readSeq, r.reads, r.transferDeadline, r.transferee, r.learner = 0, nil, 0, 0, 0
+	r.readSeq, r.reads, r.leadershipTransferDeadline, r.transferee, r.learner = 0, nil, 0, 0, 0
 	r.trackMembers()
-	r.termStartIndex = r.appendToOwnTerm(Entry{Kind: EntryNoOp})
-	r.heartbeatAt = r.now + r.config.HeartbeatInterval
+	r.termStartIndex = r.appendInCurrentTerm(Entry{Kind: EntryNoOp})
+	r.nextHeartbeatAt = r.now + r.config.HeartbeatInterval
 	r.maybeCommit()
 }
 
@@ -23,11 +23,11 @@
 	r.role, r.leaderID = roleFollower, 0
 	r.leaderContactAt = r.now - r.config.ElectionTimeout // this member accepts a pre-vote at once
 	r.resetElectionDeadline()
-	r.peers, r.learner, r.transferDeadline = nil, 0, 0
+	r.peers, r.learner, r.leadershipTransferDeadline = nil, 0, 0
 	r.matchIndex, r.readSeq, r.ackedReadSeq = 0, 0, 0
 	r.failProposals()
 	for _, read := range r.reads {
-		r.finish(read.token, 0, OutcomeNoLeader)
+		r.finishRequest(read.token, 0, OutcomeNoLeader)
 	}
 	r.reads = nil
 }
@@ -40,26 +40,26 @@
 	}
 	slices.Sort(indexes)
 	for _, index := range indexes {
-		r.finish(r.proposals[index], index, OutcomeUnknown)
+		r.finishRequest(r.proposals[index], index, OutcomeUnknown)
 	}
-	if !r.mutated(keepProposals) {
+	if !r.hasMutation(keepFinishedProposals) {
 		clear(r.proposals)
 	}
 }
 
 // tickLeader steps down without a quorum, drops a dead learner, and sends heartbeats.
 func (r *Replica) tickLeader() {
-	active := func(id MemberID) bool {
-		return id == r.self.ID || r.peers[id] != nil && r.recentlyActive(r.peers[id])
+	isActive := func(id MemberID) bool {
+		return id == r.self.ID || r.peers[id] != nil && r.isRecentlyActive(r.peers[id])
 	}
-	if !r.hasQuorum(active) {
+	if !r.hasQuorum(isActive) {
 		r.stepDown()
 		return
 	}
-	if learner := r.peers[r.learner]; learner != nil && r.now-learner.lastResponseAt > r.config.LearnerTimeout && !r.mutated(keepDeadLearner) {
+	if learner := r.peers[r.learner]; learner != nil && r.now-learner.lastResponseAt > r.config.LearnerTimeout && !r.hasMutation(keepDeadLearner) {
 		r.dropLearner()
 	}
-	if r.now >= r.heartbeatAt {
+	if r.now >= r.nextHeartbeatAt {
 		r.startReadSeq()
 		r.broadcastHeartbeat()
 	}
@@ -67,7 +67,7 @@
 }
 
 // appendToOwnTerm appends a new entry of this term, to be replicated before Next has nothing more.
-func (r *Replica) appendToOwnTerm(e Entry) uint64 {
+func (r *Replica) appendInCurrentTerm(e Entry) uint64 {
 	e.Index, e.Term = r.log.lastIndex()+1, r.term
 	r.appendEntry(e)
 	r.requireWrite(e.Index)
@@ -94,11 +94,11 @@
 
 // replicateTo sends a member what it lacks, as far as may be in flight.
 func (r *Replica) replicateTo(peer *progress) {
-	if outdated := peer.transfer.snapshot; r.mutated(abandonTransfer) && outdated != nil && outdated.Index < r.log.snapshot.Index {
-		peer.transfer, peer.nextIndex = transfer{}, 0
+	if outdated := peer.transfer.snapshot; r.hasMutation(abandonTransfer) && outdated != nil && outdated.Index < r.log.snapshot.Index {
+		peer.transfer, peer.nextIndex = blobTransfer{}, 0
 	}
 	switch {
-	case peer.transfer.active():
+	case peer.transfer.isActive():
 		r.sendChunks(peer)
 	case peer.nextIndex < r.log.firstIndex():
 		r.sendSnapshot(peer)
@@ -115,7 +115,7 @@
 		}
 		return
 	}
-	entries = entries[:r.countToSend(peer, entries)]
+	entries = entries[:r.sendableEntryCount(peer, entries)]
 	if len(entries) == 0 {
 		return
 	}
@@ -127,14 +127,14 @@
 
 // countToSend is how many of some entries go in the next message: up to those that exceed it, exceed what may be in flight, or go
 // in chunks. The first one goes in any case if nothing is in flight.
-func (r *Replica) countToSend(peer *progress, entries []Entry) int {
+func (r *Replica) sendableEntryCount(peer *progress, entries []Entry) int {
 	inflight, size := r.inflightBytes(peer), 0
 	for i := range entries {
 		size += entries[i].Size()
 		exceedsInflight := r.config.MaxInflightBytes > 0 && inflight > 0 && inflight+size > r.config.MaxInflightBytes
 		exceedsMessage := i > 0 && size > r.config.MaxMessageBytes
-		inChunks := i > 0 && peer.acceptsChunks && r.needsChunks(len(entries[i].Data))
-		if exceedsInflight || exceedsMessage || inChunks {
+		needsTransfer := i > 0 && peer.acceptsChunks && r.needsChunks(len(entries[i].Data))
+		if exceedsInflight || exceedsMessage || needsTransfer {
 			return i
 		}
 	}
@@ -147,8 +147,8 @@
 		m.Kind = MsgAppend
 	}
 	m.Term, m.Commit, m.Seq = r.term, r.commitIndex, r.readSeq
-	r.attachContact(peer, &m)
-	r.sendTo(peer.Member, m)
+	r.attachQuorumContact(peer, &m)
+	r.sendToMember(peer.Member, m)
 }
 
 // broadcastHeartbeat sends all a heartbeat, with the commit index.
@@ -156,7 +156,7 @@
 	for _, peer := range r.sortedPeers() {
 		r.sendHeartbeat(peer)
 	}
-	r.heartbeatAt = r.now + r.config.HeartbeatInterval
+	r.nextHeartbeatAt = r.now + r.config.HeartbeatInterval
 }
 
 // sendHeartbeat sends an append without entries. It names the entry that the member should have next to last: the answer shows
@@ -165,18 +165,18 @@
 	previous := logPosition{index: peer.nextIndex - 1}
 	var known bool
 	previous.term, known = r.log.termAt(previous.index)
-	if peer.transfer.active() {
+	if peer.transfer.isActive() {
 		previous, known = peer.transfer.previous, true
 	}
 	if !known {
-		previous = r.log.snapshot.position()
+		previous = r.log.snapshot.lastPosition()
 	}
 	m := Message{Index: previous.index, LogTerm: previous.term}
 	if r.isDraining(peer.ID) {
-		m.ReplicatedElsewhere = r.replicatedWithout(peer.ID)
+		m.ReplicatedElsewhere = r.indexReplicatedWithout(peer.ID)
 	}
 	r.sendAppend(peer, m)
-	if peer.transfer.active() {
+	if peer.transfer.isActive() {
 		r.sendChunks(peer) // those that were not acknowledged in time
 	}
 }
@@ -184,17 +184,17 @@
 // onAppendResponse takes a member's acknowledgement or rejection.
 func (r *Replica) onAppendResponse(from MemberID, m Message) {
 	peer := r.peers[from]
-	if r.role != roleLeader || m.Term != r.term && !r.mutated(countStaleAcks) || peer == nil {
+	if r.role != roleLeader || m.Term != r.term && !r.hasMutation(countStaleAcks) || peer == nil {
 		return
 	}
 	peer.lastResponseAt, peer.readSeq = r.now, max(peer.readSeq, m.Seq)
-	r.recordResponseClock(peer, m)
+	r.recordMemberContact(peer, m)
 	peer.responded, peer.acceptsChunks = true, m.AcceptsChunks
 	switch m.Kind {
 	case MsgChunkAck:
 		peer.transfer.sender.HandleAck(m.Chunk, r.now)
 		r.replicateTo(peer)
-		r.finishReads()
+		r.finishConfirmedReads()
 	case MsgAppendReject:
 		r.onAppendReject(peer, m)
 	default:
@@ -204,11 +204,11 @@
 
 // onAppendReject goes back to what the member has committed, which is the same everywhere.
 func (r *Replica) onAppendReject(peer *progress, m Message) {
-	if peer.transfer.active() && (peer.transfer.snapshot == nil || m.Index >= peer.transfer.sender.Blob.Index()) {
-		peer.transfer = transfer{}
+	if peer.transfer.isActive() && (peer.transfer.snapshot == nil || m.Index >= peer.transfer.sender.Blob.Index()) {
+		peer.transfer = blobTransfer{}
 	}
 	switch {
-	case peer.transfer.active(): // of the snapshot that it lacks
+	case peer.transfer.isActive(): // of the snapshot that it lacks
 		r.replicateTo(peer)
 	case r.now >= peer.nextRetryAt:
 		// Appends that were under way are rejected too. They need no retransmission of their own.
@@ -217,13 +217,13 @@
 		peer.nextIndex = peer.inflightBase + 1
 		r.replicateTo(peer)
 	}
-	r.finishReads()
+	r.finishConfirmedReads()
 }
 
 // onAppendAck takes over what a member has on disk, and goes on with what waited for it.
 func (r *Replica) onAppendAck(peer *progress, m Message) {
-	if peer.transfer.active() && m.Index >= peer.transfer.sender.Blob.Index() {
-		peer.transfer = transfer{}
+	if peer.transfer.isActive() && m.Index >= peer.transfer.sender.Blob.Index() {
+		peer.transfer = blobTransfer{}
 	}
 	invariant.Assert(m.Index <= r.log.lastIndex(), "no member matches more than the leader has")
 	progressed := m.Index > peer.matchIndex
@@ -252,24 +252,24 @@
 		if index <= r.commitIndex {
 			break
 		}
-		joint := !r.membersCommitted()
+		joint := !r.isLatestConfigCommitted()
 		r.commitTo(index)
-		r.heartbeatAt = min(r.heartbeatAt, r.now+r.config.CommitNotifyDelay)
-		if joint && r.membersCommitted() {
+		r.nextHeartbeatAt = min(r.nextHeartbeatAt, r.now+r.config.CommitNotifyDelay)
+		if joint && r.isLatestConfigCommitted() {
 			r.exitJointConfiguration()
 		}
 	}
-	r.finishReads()
+	r.finishConfirmedReads()
 }
 
 // committableIndex is up to which index a majority has the log on disk, if the entry there is of this term. One of an earlier term
 // is committed only with one of this term behind it: a later leader may not know it, though a majority has it (Raft, 5.4.2).
 func (r *Replica) committableIndex() uint64 {
 	for index := r.log.lastIndex(); index > r.commitIndex; index-- {
-		if term, _ := r.log.termAt(index); term != r.term && !r.mutated(commitEarlierTerms) {
+		if term, _ := r.log.termAt(index); term != r.term && !r.hasMutation(commitEarlierTerms) {
 			break
 		}
-		if r.hasQuorum(func(id MemberID) bool { return r.memberSynced(id, index) }) {
+		if r.hasQuorum(func(id MemberID) bool { return r.hasMemberSynced(id, index) }) {
 			return index
 		}
 	}
@@ -277,11 +277,11 @@
 }
 
 // memberSynced reports whether a member is known to have the log up to an index on disk.
-func (r *Replica) memberSynced(id MemberID, index uint64) bool {
+func (r *Replica) hasMemberSynced(id MemberID, index uint64) bool {
 	if id == r.self.ID {
-		return r.syncedIndex >= index || r.mutated(ackUnsynced)
+		return r.syncedIndex >= index || r.hasMutation(ackUnsynced)
 	}
-	if r.mutated(countLearner) && r.learner != 0 && id == r.otherMembers()[0].ID {
+	if r.hasMutation(countLearner) && r.learner != 0 && id == r.otherMembers()[0].ID {
 		id = r.learner
 	}
 	return r.peers[id] != nil && r.peers[id].matchIndex >= index
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -13,10 +13,10 @@
 // entryLog is a snapshot and the entries after it, and in memory some of the entries before its index. All that it returns may be
 // kept by the caller.
 type entryLog struct {
-	snapshot     Snapshot
-	entries      []Entry // after snapshot
-	trailing     []Entry // the last ones up to snapshot, for members that lack only a little; not on disk
-	trailingTerm uint64  // of the entry before trailing, so that an append of all of trailing can name it
+	snapshot           Snapshot
+	entries            []Entry // after snapshot
+	trailing           []Entry // the last ones up to snapshot, for members that lack only a little; not on disk
+	termBeforeTrailing uint64  // of the entry before trailing, so that an append of all of trailing can name it
 }
 
 // firstIndex is that of the oldest entry in memory.
@@ -30,7 +30,7 @@
 }
 
 // at is the entry of an index from firstIndex to lastIndex.
-func (e *entryLog) at(index uint64) *Entry {
+func (e *entryLog) entryAt(index uint64) *Entry {
 	if index <= e.snapshot.Index {
 		return &e.trailing[index-e.firstIndex()]
 	}
@@ -45,15 +45,15 @@
 	case index+1 < e.firstIndex() || index > e.lastIndex():
 		return 0, false
 	case index+1 == e.firstIndex():
-		return e.trailingTerm, true
+		return e.termBeforeTrailing, true
 	}
-	return e.at(index).Term, true
+	return e.entryAt(index).Term, true
 }
 
 // matches reports whether the log has an entry of this index and term.
-func (e *entryLog) matches(index, term uint64) bool {
-	own, known := e.termAt(index)
-	return known && own == term
+func (e *entryLog) hasEntry(index, term uint64) bool {
+	foundTerm, known := e.termAt(index)
+	return known && foundTerm == term
 }
 
 // entriesFrom is a copy of the log from an index on, which is at least firstIndex.
@@ -70,7 +70,7 @@
 // bytesBetween is the size of the entries after one index, up to and including another.
 func (e *entryLog) bytesBetween(after, upto uint64) (bytes int) {
 	for index := max(after+1, e.firstIndex()); index <= upto; index++ {
-		bytes += e.at(index).Size()
+		bytes += e.entryAt(index).Size()
 	}
 	return bytes
 }
@@ -90,18 +90,18 @@
 // and the snapshot's state: a member that lacks less than that is sent entries, not the snapshot.
 func (e *entryLog) compact(snapshot Snapshot, trailingBytes int) {
 	if len(e.trailing) == 0 {
-		e.trailingTerm = e.snapshot.Term
+		e.termBeforeTrailing = e.snapshot.Term
 	}
-	compacted := snapshot.Index - e.snapshot.Index
-	e.trailing = append(slices.Clone(e.trailing), e.entries[:compacted]...)
-	e.entries = slices.Clone(e.entries[compacted:])
+	compactedCount := snapshot.Index - e.snapshot.Index
+	e.trailing = append(slices.Clone(e.trailing), e.entries[:compactedCount]...)
+	e.entries = slices.Clone(e.entries[compactedCount:])
 	e.snapshot = snapshot
 
-	left := max(trailingBytes, len(snapshot.State))
+	remainingBytes := max(trailingBytes, len(snapshot.State))
 	for i := len(e.trailing) - 1; i >= 0; i-- {
-		left -= e.trailing[i].Size()
-		if left < 0 || len(e.trailing)-i > maxTrailingEntries {
-			e.trailing, e.trailingTerm = slices.Clone(e.trailing[i+1:]), e.trailing[i].Term
+		remainingBytes -= e.trailing[i].Size()
+		if remainingBytes < 0 || len(e.trailing)-i > maxTrailingEntries {
+			e.trailing, e.termBeforeTrailing = slices.Clone(e.trailing[i+1:]), e.trailing[i].Term
 			return
 		}
 	}
@@ -122,7 +122,7 @@
 	for r.latestConfig().index >= index {
 		r.memberConfigs = r.memberConfigs[:len(r.memberConfigs)-1]
 	}
-	r.invalidateSynced(index - 1)
+	r.lowerSyncedIndex(index - 1)
 	r.requireWrite(index)
 }
 
@@ -139,7 +139,7 @@
 			continue
 		}
 		if term, known := r.log.termAt(e.Index); known {
-			if term == e.Term || r.mutated(skipTruncation) {
+			if term == e.Term || r.hasMutation(skipTruncation) {
 				continue
 			}
 			r.truncateFrom(e.Index)
@@ -157,11 +157,11 @@
 	invariant.Assert(index <= r.log.lastIndex(), "only entries in the log are committed")
 	for r.commitIndex < min(index, r.log.lastIndex()) {
 		r.commitIndex++
-		e := *r.log.at(r.commitIndex)
+		e := *r.log.entryAt(r.commitIndex)
 		r.actions = append(r.actions, Commit{e})
 		if token, proposed := r.proposals[e.Index]; proposed {
 			delete(r.proposals, e.Index)
-			r.finish(token, e.Index, OutcomeCommitted)
+			r.finishRequest(token, e.Index, OutcomeCommitted)
 		}
 		if e.Kind == EntryConfigChange {
 			// The commit index goes to disk: after a restart this member needs only the majority of the new list, also where
--- a/internal/gateway/replication/membership.go
+++ b/internal/gateway/replication/membership.go
@@ -26,7 +26,7 @@
 	removeLostAfter = 3 * time.Second
 
 	// drainedLongAgo dates the loss of a member that drains: longer than that of any other, and than both of the above.
-	drainedLongAgo = 365 * 24 * time.Hour
+	drainingLostAge = 365 * 24 * time.Hour
 
 	// maxMissedHeartbeats is how many heartbeats a member may miss before it counts as lost since its last answer.
 	maxMissedHeartbeats = 3
@@ -48,16 +48,16 @@
 // that is needed for as many further losses as are tolerated. It is to be called every few hundred milliseconds, at followers too: so
 // a new leader knows who is lost, and since when.
 func (r *Replica) ReconcileMembers(reachable []ReachableNode, tolerates int) {
-	r.trackReachability(reachable)
+	r.updateLostMembers(reachable)
 	if r.role != roleLeader || r.lostSince[r.self.ID] != 0 { // the successor of a leader that drains does this
 		return
 	}
-	r.updateAddresses(reachable)
+	r.updateMemberAddresses(reachable)
 	candidates := r.learnerCandidates(reachable)
-	if r.learnerFailed(candidates) && !r.mutated(keepDeadLearner) {
+	if r.hasLearnerFailed(candidates) && !r.hasMutation(keepDeadLearner) {
 		r.dropLearner()
 	}
-	if next, ok := r.nextLearner(candidates); ok && len(r.Members()) < maxMembers {
+	if next, ok := r.chooseLearner(candidates); ok && len(r.Members()) < maxMembers {
 		r.reconcileLearner(next, tolerates)
 	}
 	if id := r.memberToRemove(tolerates); id != 0 {
@@ -66,21 +66,21 @@
 }
 
 // updateAddresses changes the list if a member's disk is at another address now. That too is a change by both majorities.
-func (r *Replica) updateAddresses(reachable []ReachableNode) {
-	members, moved := slices.Clone(r.Members()), false
+func (r *Replica) updateMemberAddresses(reachable []ReachableNode) {
+	members, changed := slices.Clone(r.Members()), false
 	for i := range members {
 		for _, node := range reachable {
 			if node.ID == members[i].ID && node.Addr != members[i].Addr {
-				members[i].Addr, moved = node.Addr, true
+				members[i].Addr, changed = node.Addr, true
 			}
 		}
 	}
-	if moved && distinctAddresses(members) && r.canReconfigure() {
-		r.appendToOwnTerm(Entry{Kind: EntryConfigChange, Members: members})
+	if changed && haveDistinctAddresses(members) && r.canReconfigure() {
+		r.appendInCurrentTerm(Entry{Kind: EntryConfigChange, Members: members})
 	}
 }
 
-func distinctAddresses(members []Member) bool {
+func haveDistinctAddresses(members []Member) bool {
 	addresses := map[string]bool{}
 	for _, m := range members {
 		addresses[m.Addr] = true
@@ -100,17 +100,17 @@
 }
 
 // learnerFailed reports whether the learner is gone, or makes no progress while there are others.
-func (r *Replica) learnerFailed(candidates []Member) bool {
+func (r *Replica) hasLearnerFailed(candidates []Member) bool {
 	if r.learner == 0 {
 		return false
 	}
-	reached := slices.ContainsFunc(candidates, func(m Member) bool { return m.ID == r.learner })
-	stalled := r.now-r.learnerProgressAt > maxLearnerTimeouts*r.config.LearnerTimeout
-	return !reached || stalled && len(candidates) > 1
+	isReachable := slices.ContainsFunc(candidates, func(m Member) bool { return m.ID == r.learner })
+	isStalled := r.now-r.learnerProgressAt > maxLearnerTimeouts*r.config.LearnerTimeout
+	return !isReachable || isStalled && len(candidates) > 1
 }
 
 // trackReachability records since when members are lost.
-func (r *Replica) trackReachability(reachable []ReachableNode) {
+func (r *Replica) updateLostMembers(reachable []ReachableNode) {
 	now := max(r.now, 1) // 0 is no entry
 	for id := range r.lostSince {
 		if !r.isMember(id) {
@@ -119,14 +119,14 @@
 	}
 	for _, m := range r.Members() {
 		i := slices.IndexFunc(reachable, func(node ReachableNode) bool { return node.ID == m.ID })
-		reached := i >= 0 || m.ID == r.self.ID
+		isReachable := i >= 0 || m.ID == r.self.ID
 		if now-r.unreachableSince(m.ID, now) > maxMissedHeartbeats*r.config.HeartbeatInterval {
-			reached = false // a machine without power closes no connection
+			isReachable = false // a machine without power closes no connection
 		}
 		switch {
 		case i >= 0 && reachable[i].Draining:
-			r.lostSince[m.ID] = now - drainedLongAgo
-		case reached:
+			r.lostSince[m.ID] = now - drainingLostAge
+		case isReachable:
 			delete(r.lostSince, m.ID)
 		case r.lostSince[m.ID] == 0 || r.isDraining(m.ID): // one that has drained is gone, and may be restarting from now on
 			r.lostSince[m.ID] = r.unreachableSince(m.ID, now)
@@ -137,12 +137,12 @@
 }
 
 // isDraining reports whether a member has announced that it shuts down.
-func (r *Replica) isDraining(id MemberID) bool { return r.lostSince[id] < r.now-drainedLongAgo/2 }
+func (r *Replica) isDraining(id MemberID) bool { return r.lostSince[id] < r.now-drainingLostAge/2 }
 
 // unreachableSince is the earlier of when a host found a member lost, and its last answer to the leader. A host takes seconds to
 // find out: counted from there a replacement would come too late for the deadlines within which a site must tolerate the next loss.
 func (r *Replica) unreachableSince(id MemberID, detected time.Duration) time.Duration {
-	if peer := r.peers[id]; peer != nil && !r.mutated(lostWhenDetected) {
+	if peer := r.peers[id]; peer != nil && !r.hasMutation(lostFromDetection) {
 		return max(min(detected, peer.lastResponseAt), 1)
 	}
 	return detected
@@ -150,16 +150,16 @@
 
 // nextLearner is the candidate that receives the log: the present learner, else one at a member's address, else the next by ID
 // after the one that was dropped last, so that all get their turn.
-func (r *Replica) nextLearner(candidates []Member) (Member, bool) {
+func (r *Replica) chooseLearner(candidates []Member) (Member, bool) {
 	if len(candidates) == 0 {
 		return Member{}, false
 	}
-	for _, suits := range []func(Member) bool{
+	for _, isPreferred := range []func(Member) bool{
 		func(m Member) bool { return m.ID == r.learner },
 		func(m Member) bool { return r.memberAtAddressOf(m) != 0 && m.ID != r.lastDroppedLearner },
 		func(m Member) bool { return m.ID > r.lastDroppedLearner },
 	} {
-		if i := slices.IndexFunc(candidates, suits); i >= 0 {
+		if i := slices.IndexFunc(candidates, isPreferred); i >= 0 {
 			return candidates[i], true
 		}
 	}
@@ -178,15 +178,15 @@
 
 // reconcileLearner continues with the learner. Which member it replaces is decided anew each time, until it has caught up.
 func (r *Replica) reconcileLearner(learner Member, tolerates int) {
-	lost, since := r.longestLost()
+	lost, since := r.longestLostMember()
 	switch atAddress := r.memberAtAddressOf(learner); {
-	case r.mutated(neverReplace):
+	case r.hasMutation(neverReplace):
 		r.AddMember(learner, 0)
 	case atAddress != 0:
 		r.AddMember(learner, atAddress)
 	case lost != 0 && r.now-since >= replaceLostAfter:
 		r.AddMember(learner, lost)
-	case r.delaysLearner(learner, lost, tolerates):
+	case r.shouldDelayLearner(learner, lost, tolerates):
 		r.startLearner(learner, nil)
 	default:
 		r.AddMember(learner, 0)
@@ -196,16 +196,16 @@
 // delaysLearner reports whether a learner is delayed, while a list that is long enough without it has a member that may be lost or
 // restarting: it might have to replace that one. A machine without power looks reachable until it has missed heartbeats, so all
 // must have responded since the learner came.
-func (r *Replica) delaysLearner(learner Member, lost MemberID, tolerates int) bool {
-	if len(r.Members()) <= 2*tolerates || r.mutated(replaceAtOnce) {
+func (r *Replica) shouldDelayLearner(learner Member, lost MemberID, tolerates int) bool {
+	if len(r.Members()) <= 2*tolerates || r.hasMutation(replaceAtOnce) {
 		return false
 	}
-	return lost != 0 || r.learner != learner.ID || !r.allRespondedSinceLearner()
+	return lost != 0 || r.learner != learner.ID || !r.allRespondedSinceLearnerStart()
 }
 
-func (r *Replica) allRespondedSinceLearner() bool {
+func (r *Replica) allRespondedSinceLearnerStart() bool {
 	for _, m := range r.otherMembers() {
-		if peer := r.peers[m.ID]; peer == nil || peer.lastResponseAt <= r.learnerSince {
+		if peer := r.peers[m.ID]; peer == nil || peer.lastResponseAt <= r.learnerStartedAt {
 			return false
 		}
 	}
@@ -213,11 +213,11 @@
 }
 
 // longestLost is the member, not this one, that is lost for longest, the lowest ID of several; 0 if none is.
-func (r *Replica) longestLost() (id MemberID, since time.Duration) {
+func (r *Replica) longestLostMember() (id MemberID, since time.Duration) {
 	for _, m := range r.Members() {
-		at, lost := r.lostSince[m.ID]
-		if lost && m.ID != r.self.ID && (id == 0 || at < since || at == since && m.ID < id) {
-			id, since = m.ID, at
+		memberLostSince, lost := r.lostSince[m.ID]
+		if lost && m.ID != r.self.ID && (id == 0 || memberLostSince < since || memberLostSince == since && m.ID < id) {
+			id, since = m.ID, memberLostSince
 		}
 	}
 	return id, since
@@ -226,14 +226,14 @@
 // memberToRemove is a lost member without which more losses are tolerated; 0 if there is none.
 func (r *Replica) memberToRemove(tolerates int) MemberID {
 	members := len(r.Members())
-	live := members - len(r.lostSince)
-	lost, since := r.longestLost()
-	floor := 2*tolerates + 1
-	if r.mutated(shrinkBelowFloor) {
-		floor = 1
-	}
-	tolerated := live - majoritySize(members)
-	if lost == 0 || r.now-since < removeLostAfter || members <= floor || tolerated >= tolerates || r.mutated(neverReplace) {
+	liveMembers := members - len(r.lostSince)
+	lost, since := r.longestLostMember()
+	minMembers := 2*tolerates + 1
+	if r.hasMutation(shrinkBelowMinimum) {
+		minMembers = 1
+	}
+	tolerated := liveMembers - majoritySize(members)
+	if lost == 0 || r.now-since < removeLostAfter || members <= minMembers || tolerated >= tolerates || r.hasMutation(neverReplace) {
 		return 0
 	}
 	return lost
@@ -242,7 +242,7 @@
 // canReconfigure reports whether the list may be changed: one change at a time, and only after an entry of this term is committed.
 // Before that an earlier leader's list that is not known here could be in effect, whose majorities need not meet this one's.
 func (r *Replica) canReconfigure() bool {
-	return r.membersCommitted() && r.commitIndex >= r.termStartIndex
+	return r.isLatestConfigCommitted() && r.commitIndex >= r.termStartIndex
 }
 
 // AddMember has the leader send its log to a learner and, once that has it on disk, make it a member: it replaces the member
@@ -273,7 +273,7 @@
 	if r.learner == learner.ID {
 		return true
 	}
-	r.learner, r.learnerProgressAt, r.learnerSince = learner.ID, r.now, r.now
+	r.learner, r.learnerProgressAt, r.learnerStartedAt = learner.ID, r.now, r.now
 	if r.peers[learner.ID] == nil {
 		r.peers[learner.ID] = r.newProgress(learner)
 	}
@@ -289,12 +289,12 @@
 		return
 	}
 	caughtUp := peer.matchIndex >= r.commitIndex && peer.matchIndex > 0
-	if !caughtUp && !r.mutated(promoteEarly) {
+	if !caughtUp && !r.hasMutation(promoteEarly) {
 		return
 	}
 	r.learner = 0
 	if r.learnerConfig.index == r.latestConfig().index { // else another list took effect since: AddMember is called again
-		r.appendToOwnTerm(Entry{Kind: EntryConfigChange, Members: r.learnerConfig.members})
+		r.appendInCurrentTerm(Entry{Kind: EntryConfigChange, Members: r.learnerConfig.members})
 	}
 	r.trackMembers()
 }
@@ -314,7 +314,7 @@
 	if r.role != roleLeader || !r.canReconfigure() || len(members) == 0 {
 		return false
 	}
-	r.appendToOwnTerm(Entry{Kind: EntryConfigChange, Members: members})
+	r.appendInCurrentTerm(Entry{Kind: EntryConfigChange, Members: members})
 	return true
 }
 
@@ -324,7 +324,7 @@
 func (r *Replica) IndexReplicatedElsewhere() uint64 {
 	switch {
 	case r.role == roleLeader:
-		return r.replicatedWithout(r.self.ID)
+		return r.indexReplicatedWithout(r.self.ID)
 	case !r.isMember(r.self.ID):
 		return r.commitIndex
 	}
@@ -332,11 +332,11 @@
 }
 
 // replicatedWithout is ReplicatedElsewhere of a member, as the leader knows it.
-func (r *Replica) replicatedWithout(id MemberID) (replicated uint64) {
-	if r.mutated(drainEarly) {
+func (r *Replica) indexReplicatedWithout(id MemberID) (replicated uint64) {
+	if r.hasMutation(drainEarly) {
 		return r.commitIndex
 	}
-	syncedAt := func(member MemberID) uint64 {
+	syncedIndexOf := func(member MemberID) uint64 {
 		switch peer := r.peers[member]; {
 		case member == id:
 			return 0
@@ -348,8 +348,8 @@
 		return 0
 	}
 	for _, m := range append(r.otherMembers(), r.self) {
-		index := min(syncedAt(m.ID), r.commitIndex)
-		if index > replicated && r.hasQuorum(func(member MemberID) bool { return syncedAt(member) >= index }) {
+		index := min(syncedIndexOf(m.ID), r.commitIndex)
+		if index > replicated && r.hasQuorum(func(member MemberID) bool { return syncedIndexOf(member) >= index }) {
 			replicated = index
 		}
 	}
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -64,8 +64,8 @@
 			}
 		}
 	}
-	if n := len(p.Members()); !p.membersCommitted() || up-tolerates < majoritySize(n) || n <= 2*tolerates || had <= tolerates {
-		return fmt.Sprintf("%d members, of which %d are up with the state, %d with the last acknowledged; committed %v", n, up, had, p.membersCommitted())
+	if n := len(p.Members()); !p.isLatestConfigCommitted() || up-tolerates < majoritySize(n) || n <= 2*tolerates || had <= tolerates {
+		return fmt.Sprintf("%d members, of which %d are up with the state, %d with the last acknowledged; committed %v", n, up, had, p.isLatestConfigCommitted())
 	}
 	return ""
 }
@@ -320,7 +320,7 @@
 	_, last, other := twoClusters(noMutation, false)
 	must.Eq(t, other.clusterID, last.clusterID)
 	must.Len(t, 3, last.Members())
-	must.True(t, last.membersCommitted())
+	must.True(t, last.isLatestConfigCommitted())
 	_, last, other = twoClusters(noMutation, true)
 	must.NotEq(t, other.clusterID, last.clusterID)
 	must.Eq(t, 2, last.term)
--- a/internal/gateway/replication/message.go
+++ b/internal/gateway/replication/message.go
@@ -69,7 +69,7 @@
 
 // Size is approximately how many bytes a message takes on a link.
 func (m *Message) Size() int {
-	size := messageOverheadBytes + sizeOf(m.Entries)
+	size := messageOverheadBytes + totalEntryBytes(m.Entries)
 	if m.Snapshot != nil {
 		size += len(m.Snapshot.State)
 	}
--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -16,45 +16,45 @@
 
 func (m mutation) String() string {
 	return [...]string{
-		noMutation:           "none",
-		ackUnsynced:          "entries that are not on disk are acknowledged",
-		countWipedDisk:       "a member with a wiped disk counts",
-		acceptStaleTerm:      "a former leader's appends are accepted",
-		forgetVotes:          "votes are not put on disk",
-		skipTruncation:       "conflicting entries are kept",
-		commitEarlierTerms:   "entries of earlier terms are committed by counting",
-		singleMajority:       "one majority is enough for a change of members",
-		skipReadSeq:          "a read without a confirmed sequence",
-		voteBeforeSync:       "a vote is sent before it is on disk",
-		voteTwice:            "two votes in a term",
-		electByMinority:      "one vote too few",
-		leadWithoutNewestLog: "not the newest log leads",
-		skipLogMatching:      "appended behind an entry of another term",
-		countLearner:         "a learner counts",
-		countStaleAcks:       "an acknowledgement of an earlier term counts",
-		keepProposals:        "a proposal ends twice",
-		readBeforeNoOp:       "a read before the term's first entry is committed",
-		joinOtherAfterVote:   "a cluster is left after a vote",
-		skipTieBreak:         "two candidates of a term both need another time-out",
-		shareClusterID:       "all logs have one cluster ID",
-		loseMergedWrite:      "a pending write is forgotten",
-		syncOtherLog:         "synced with another log's write",
-		mixChunks:            "chunks of two blobs are joined",
-		skipChunks:           "a missing chunk is passed over",
-		installPartial:       "a snapshot is installed before it is complete",
-		abandonTransfer:      "a newer snapshot replaces the one under transfer",
-		contactByAck:         "contact by an answer's receipt",
-		contactByAppend:      "contact by an append's receipt",
-		contactBeforeNoOp:    "contact before the term's first entry is committed",
-		contactWhileLead:     "contact while it leads",
-		contactAhead:         "contact ahead of the log",
-		neverReplace:         "nobody is replaced",
-		promoteEarly:         "a learner counts before it has the state",
-		replaceAtOnce:        "a member that restarts is replaced",
-		shrinkBelowFloor:     "too few members stay",
-		keepDeadLearner:      "a dead learner blocks the next",
-		drainEarly:           "a member that drains goes too early",
-		lostWhenDetected:     "lost from when it is detected",
+		noMutation:            "none",
+		ackUnsynced:           "entries that are not on disk are acknowledged",
+		countWipedDisk:        "a member with a wiped disk counts",
+		acceptStaleTerm:       "a former leader's appends are accepted",
+		forgetVotes:           "votes are not put on disk",
+		skipTruncation:        "conflicting entries are kept",
+		commitEarlierTerms:    "entries of earlier terms are committed by counting",
+		singleMajority:        "one majority is enough for a change of members",
+		skipReadSeq:           "a read without a confirmed sequence",
+		voteBeforeSync:        "a vote is sent before it is on disk",
+		voteTwice:             "two votes in a term",
+		electByMinority:       "one vote too few",
+		leadWithoutNewestLog:  "not the newest log leads",
+		skipLogMatching:       "appended behind an entry of another term",
+		countLearner:          "a learner counts",
+		countStaleAcks:        "an acknowledgement of an earlier term counts",
+		keepFinishedProposals: "a proposal ends twice",
+		readBeforeNoOp:        "a read before the term's first entry is committed",
+		joinOtherAfterVote:    "a cluster is left after a vote",
+		skipTieBreak:          "two candidates of a term both need another time-out",
+		shareClusterID:        "all logs have one cluster ID",
+		loseMergedWrite:       "a pending write is forgotten",
+		syncOtherLog:          "synced with another log's write",
+		mixBlobs:              "chunks of two blobs are joined",
+		skipChunks:            "a missing chunk is passed over",
+		installPartial:        "a snapshot is installed before it is complete",
+		abandonTransfer:       "a newer snapshot replaces the one under transfer",
+		contactFromAckTime:    "contact by an answer's receipt",
+		contactFromAppendTime: "contact by an append's receipt",
+		contactBeforeNoOp:     "contact before the term's first entry is committed",
+		contactWhileLeading:   "contact while it leads",
+		contactBeforeCommit:   "contact ahead of the log",
+		neverReplace:          "nobody is replaced",
+		promoteEarly:          "a learner counts before it has the state",
+		replaceAtOnce:         "a member that restarts is replaced",
+		shrinkBelowMinimum:    "too few members stay",
+		keepDeadLearner:       "a dead learner blocks the next",
+		drainEarly:            "a member that drains goes too early",
+		lostFromDetection:     "lost from when it is detected",
 	}[m]
 }
 
@@ -111,19 +111,19 @@
 
 // What orders of a few messages don't show: reads and ends of proposals.
 func TestWalksFindMutations(t *testing.T) {
-	requireMutationsFound(t, faultWalk, 200, skipReadSeq, readBeforeNoOp, keepProposals)
+	requireMutationsFound(t, faultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
 }
 
 func TestWalksOfGroupsFindMutations(t *testing.T) {
-	requireMutationsFound(t, groupFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepProposals)
+	requireMutationsFound(t, groupFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
 }
 
 func TestContactWalksFindMutations(t *testing.T) {
-	requireMutationsFound(t, contactWalk, 200, contactByAck, contactByAppend, contactBeforeNoOp, contactWhileLead)
+	requireMutationsFound(t, contactWalk, 200, contactFromAckTime, contactFromAppendTime, contactBeforeNoOp, contactWhileLeading)
 }
 
 func TestReplacementWalksFindMutations(t *testing.T) {
-	requireMutationsFound(t, replacements, 60, neverReplace, replaceAtOnce, shrinkBelowFloor, keepDeadLearner)
+	requireMutationsFound(t, replacements, 60, neverReplace, replaceAtOnce, shrinkBelowMinimum, keepDeadLearner)
 }
 
 func TestSnapshotInTransferFindsMutation(t *testing.T) {
@@ -146,7 +146,7 @@
 }
 
 func TestReplacedWithinCatchUpFindsMutation(t *testing.T) {
-	must.StrContains(t, loseAfterCatchUp(t, lostWhenDetected), "no order is taken")
+	must.StrContains(t, loseAfterCatchUp(t, lostFromDetection), "no order is taken")
 }
 
 func TestTwoMembersElectLeaderSoonFindsMutation(t *testing.T) {
--- a/internal/gateway/replication/progress.go
+++ b/internal/gateway/replication/progress.go
@@ -9,31 +9,31 @@
 // progress is what a leader knows of another member or of the learner.
 type progress struct {
 	Member
-	nextIndex      uint64 // of the next entry to send
-	matchIndex     uint64 // its synced log is as the leader's up to here
-	inflightBase   uint64 // entries after it are in flight; raised above matchIndex when a retransmission or snapshot skips some
-	readSeq        uint64 // the newest acknowledged
-	lastResponseAt time.Duration
-	snapshotSentAt time.Duration // in one message
-	nextRetryAt    time.Duration // rejections before it are not answered again
-	lastClock      uint32        // the newest received from it
-	contactAt      time.Duration // it followed this term then
+	nextIndex         uint64 // of the next entry to send
+	matchIndex        uint64 // its synced log is as the leader's up to here
+	inflightBase      uint64 // entries after it are in flight; raised above matchIndex when a retransmission or snapshot skips some
+	readSeq           uint64 // the newest acknowledged
+	lastResponseAt    time.Duration
+	snapshotSentAt    time.Duration // in one message
+	nextRetryAt       time.Duration // rejections before it are not answered again
+	lastReceivedClock uint32        // the newest received from it
+	lastContactAt     time.Duration // it followed this term then
 
 	responded     bool // in this term; until then it is not known whether it accepts chunks
 	acceptsChunks bool
-	transfer      transfer
+	transfer      blobTransfer
 }
 
 // transfer is a snapshot's state or an entry's data on its way to a member in chunks. The zero value is none. It is kept until the
 // member has all of it, also if there is a newer snapshot: one that started over at each compaction might never end.
-type transfer struct {
+type blobTransfer struct {
 	sender   BlobSender
 	snapshot *Snapshot   // without State, which is what is sent
 	entry    *Entry      // or without Data, which is what is sent
 	previous logPosition // that the member must have before it takes what is sent
 }
 
-func (t *transfer) active() bool { return t.sender.Blob != nil }
+func (t *blobTransfer) isActive() bool { return t.sender.Blob != nil }
 
 // newProgress is that of a member of which nothing is known in this term.
 func (r *Replica) newProgress(m Member) *progress {
@@ -44,7 +44,7 @@
 		lastResponseAt: r.now,
 		snapshotSentAt: -never,
 		nextRetryAt:    -never,
-		contactAt:      noContact,
+		lastContactAt:  noContact,
 	}
 }
 
@@ -75,7 +75,7 @@
 }
 
 // recentlyActive reports whether a member counts for the leader's quorum.
-func (r *Replica) recentlyActive(peer *progress) bool {
+func (r *Replica) isRecentlyActive(peer *progress) bool {
 	return r.now-peer.lastResponseAt <= r.config.QuorumTimeout
 }
 
--- a/internal/gateway/replication/quorum.go
+++ b/internal/gateway/replication/quorum.go
@@ -15,30 +15,30 @@
 func (r *Replica) Members() []Member { return r.latestConfig().members }
 
 // membersCommitted reports whether the list in effect is known to be committed. While it is not, the configuration is a joint one.
-func (r *Replica) membersCommitted() bool { return r.latestConfig().index <= r.commitIndex }
+func (r *Replica) isLatestConfigCommitted() bool { return r.latestConfig().index <= r.commitIndex }
 
 // previousMembers is the other list of a joint configuration. There is always one before a list that is not committed.
 func (r *Replica) previousMembers() []Member { return r.memberConfigs[len(r.memberConfigs)-2].members }
 
 // hasQuorum reports whether a condition is true for a majority of the members, and of those before them in a joint configuration.
-func (r *Replica) hasQuorum(holds func(MemberID) bool) bool {
-	if !hasMajority(r.Members(), holds) {
+func (r *Replica) hasQuorum(condition func(MemberID) bool) bool {
+	if !hasMajority(r.Members(), condition) {
 		return false
 	}
-	return r.membersCommitted() || r.mutated(singleMajority) || hasMajority(r.previousMembers(), holds)
+	return r.isLatestConfigCommitted() || r.hasMutation(singleMajority) || hasMajority(r.previousMembers(), condition)
 }
 
-func hasMajority(members []Member, holds func(MemberID) bool) bool {
-	n := 0
+func hasMajority(members []Member, condition func(MemberID) bool) bool {
+	count := 0
 	for _, m := range members {
-		if holds(m.ID) {
-			n++
+		if condition(m.ID) {
+			count++
 		}
 	}
-	return n >= majoritySize(len(members))
+	return count >= majoritySize(len(members))
 }
 
-func majoritySize(members int) int { return members/2 + 1 }
+func majoritySize(memberCount int) int { return memberCount/2 + 1 }
 
 func (r *Replica) isMember(id MemberID) bool {
 	return slices.ContainsFunc(r.Members(), func(m Member) bool { return m.ID == id })
@@ -48,7 +48,7 @@
 // log.
 func (r *Replica) otherMembers() []Member {
 	others := slices.Clone(r.Members())
-	if !r.membersCommitted() {
+	if !r.isLatestConfigCommitted() {
 		for _, m := range r.previousMembers() {
 			if !r.isMember(m.ID) {
 				others = append(others, m)
--- a/internal/gateway/replication/read.go
+++ b/internal/gateway/replication/read.go
@@ -15,7 +15,7 @@
 // Read asks up to which index the host's state must be to include all that was acknowledged before: see Outcome.
 func (r *Replica) Read(token uint64) {
 	if r.role != roleLeader || len(r.reads) >= r.config.MaxPending {
-		r.finish(token, 0, r.admitRequest(len(r.reads)))
+		r.finishRequest(token, 0, r.admissionStatus(len(r.reads)))
 		return
 	}
 	r.reads = append(r.reads, pendingRead{token, r.readSeq + 1})
@@ -34,7 +34,7 @@
 // broadcastReadSeq sends a new read sequence. With ReadMinimalQuorum it goes to a bare majority, those that responded last; where
 // one of them does not answer, the next heartbeat to all makes up for it.
 func (r *Replica) broadcastReadSeq() {
-	if !r.config.ReadMinimalQuorum || !r.membersCommitted() {
+	if !r.config.ReadMinimalQuorum || !r.isLatestConfigCommitted() {
 		r.broadcastHeartbeat()
 		return
 	}
@@ -66,19 +66,19 @@
 
 // finishReads ends the reads whose sequence is confirmed, once an entry of this term is committed: before that, entries that an
 // earlier leader acknowledged may not be known to be committed.
-func (r *Replica) finishReads() {
-	if r.role != roleLeader || len(r.reads) == 0 || r.commitIndex < r.termStartIndex && !r.mutated(readBeforeNoOp) {
+func (r *Replica) finishConfirmedReads() {
+	if r.role != roleLeader || len(r.reads) == 0 || r.commitIndex < r.termStartIndex && !r.hasMutation(readBeforeNoOp) {
 		return
 	}
 	confirmed := r.confirmedReadSeq()
-	if r.mutated(skipReadSeq) {
+	if r.hasMutation(skipReadSeq) {
 		confirmed = r.readSeq + 1
 	}
-	done := 0
-	for ; done < len(r.reads) && r.reads[done].readSeq <= confirmed; done++ {
-		r.finish(r.reads[done].token, r.commitIndex, OutcomeCommitted)
+	finishedCount := 0
+	for ; finishedCount < len(r.reads) && r.reads[finishedCount].readSeq <= confirmed; finishedCount++ {
+		r.finishRequest(r.reads[finishedCount].token, r.commitIndex, OutcomeCommitted)
 	}
-	r.reads = r.reads[done:]
+	r.reads = r.reads[finishedCount:]
 	if len(r.reads) > 0 && confirmed >= r.readSeq {
 		r.replicationPending = true // starts the sequence of those that came meanwhile
 	}
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -42,13 +42,13 @@
 	bootstrapSynced bool   // the cluster ID is on disk
 
 	// Writes: see durability.go.
-	nextWriteSeq      uint64 // of the next write
-	syncedWriteSeq    uint64
-	unwritten         bool   // the disk lacks something
-	unwrittenFrom     uint64 // index from which entries are not written; 0: none
-	unwrittenSnapshot bool
-	unsyncedWrites    []unsyncedWrite
-	pendingReplies    []pendingReply
+	nextWriteSeq       uint64 // of the next write
+	syncedWriteSeq     uint64
+	writeNeeded        bool   // the disk lacks something
+	unwrittenFromIndex uint64 // index from which entries are not written; 0: none
+	unwrittenSnapshot  bool
+	unsyncedWrites     []unsyncedWrite
+	pendingReplies     []pendingReply
 
 	// Following a leader.
 	role                role
@@ -79,21 +79,21 @@
 	quorumContact contactState
 
 	// Leading: see leader.go, read.go and transfer.go.
-	peers              map[MemberID]*progress // members of both lists, and the learner
-	termStartIndex     uint64                 // of the no-op that began the term
-	heartbeatAt        time.Duration
-	proposals          map[uint64]uint64 // token by index
-	reads              []pendingRead
-	replicationPending bool          // entries or reads are to be sent before Next has nothing more
-	snapshotBlob       *Blob         // of the latest snapshot's state, once it was sent
-	transferDeadline   time.Duration // until then proposals are refused, for another member to lead
-	transferee         MemberID      // the one that is preferred; 0: any
+	peers                      map[MemberID]*progress // members of both lists, and the learner
+	termStartIndex             uint64                 // of the no-op that began the term
+	nextHeartbeatAt            time.Duration
+	proposals                  map[uint64]uint64 // token by index
+	reads                      []pendingRead
+	replicationPending         bool          // entries or reads are to be sent before Next has nothing more
+	snapshotBlob               *Blob         // of the latest snapshot's state, once it was sent
+	leadershipTransferDeadline time.Duration // until then proposals are refused, for another member to lead
+	transferee                 MemberID      // the one that is preferred; 0: any
 
 	// Changes of members: see membership.go.
 	lostSince          map[MemberID]time.Duration // members that the host does not reach; also at followers
 	learner            MemberID                   // 0: none
 	learnerConfig      memberConfig               // the list once the learner has caught up; without members: it is delayed
-	learnerSince       time.Duration
+	learnerStartedAt   time.Duration
 	learnerProgressAt  time.Duration // its disk last had something new
 	lastDroppedLearner MemberID
 
@@ -120,7 +120,7 @@
 		nextWriteSeq:     1,
 		leaderContactAt:  now - config.ElectionTimeout,
 		electionDeadline: never,
-		quorumContact:    contactState{since: noContact},
+		quorumContact:    contactState{lastContactAt: noContact},
 		proposals:        map[uint64]uint64{},
 		lostSince:        map[MemberID]time.Duration{},
 	}
@@ -133,7 +133,7 @@
 		r.actions = append(r.actions, Restore{state.Snapshot.Index, state.Snapshot.State})
 	}
 	r.commitTo(state.Commit)
-	r.unwritten = false // a committed list marked it: that is on disk
+	r.writeNeeded = false // a committed list marked it: that is on disk
 	r.resetElectionDeadline()
 	return r
 }
@@ -152,11 +152,11 @@
 
 // Step takes a message from a member, or from a node that may become one.
 func (r *Replica) Step(from MemberID, m Message) {
-	if m.Recipient != r.self.ID && !r.mutated(countWipedDisk) || from == r.self.ID {
+	if m.Recipient != r.self.ID && !r.hasMutation(countWipedDisk) || from == r.self.ID {
 		return
 	}
-	if r.clusterID == 0 || m.ClusterID != r.clusterID && r.onlyBootstrapped() {
-		r.stepOutsideCluster(from, m)
+	if r.clusterID == 0 || m.ClusterID != r.clusterID && r.hasOnlyBootstrap() {
+		r.stepBeforeJoining(from, m)
 		return
 	}
 	if m.ClusterID != r.clusterID {
@@ -192,25 +192,25 @@
 // Propose asks for an entry with this data, which must not change any more. The Outcome carries the token, which the host uses
 // once.
 func (r *Replica) Propose(token uint64, data []byte) {
-	if status := r.admitRequest(len(r.proposals)); status != OutcomeCommitted {
-		r.finish(token, 0, status)
+	if status := r.admissionStatus(len(r.proposals)); status != OutcomeCommitted {
+		r.finishRequest(token, 0, status)
 		return
 	}
 	pending := r.commitIndex < r.log.lastIndex()
 	if limit := r.config.MaxUncommittedBytes; limit > 0 && pending && r.uncommittedBytes()+len(data) > limit {
-		r.finish(token, 0, OutcomeBusy)
+		r.finishRequest(token, 0, OutcomeBusy)
 		return
 	}
-	index := r.appendToOwnTerm(Entry{Kind: EntryNormal, Data: data})
+	index := r.appendInCurrentTerm(Entry{Kind: EntryNormal, Data: data})
 	r.proposals[index] = token
 }
 
 // admitRequest returns why a proposal or a read can't be taken while so many are pending; OutcomeCommitted if it can.
-func (r *Replica) admitRequest(pending int) OutcomeStatus {
+func (r *Replica) admissionStatus(pending int) OutcomeStatus {
 	switch _, _, known := r.Leader(); {
 	case r.role != roleLeader && known:
 		return OutcomeNotLeader
-	case r.role != roleLeader || r.now < r.transferDeadline:
+	case r.role != roleLeader || r.now < r.leadershipTransferDeadline:
 		return OutcomeNoLeader
 	case pending >= r.config.MaxPending:
 		return OutcomeBusy
@@ -219,7 +219,7 @@
 }
 
 // finish ends a proposal or a read.
-func (r *Replica) finish(token, index uint64, status OutcomeStatus) {
+func (r *Replica) finishRequest(token, index uint64, status OutcomeStatus) {
 	outcome := Outcome{Token: token, Index: index, Status: status}
 	if status == OutcomeNotLeader {
 		outcome.Leader, _, _ = r.Leader()
@@ -234,7 +234,7 @@
 		r.replicationPending = false
 		r.replicateAll()
 	}
-	if len(r.actions) == 0 && r.unwritten {
+	if len(r.actions) == 0 && r.writeNeeded {
 		r.actions = append(r.actions, r.takeWrite())
 	}
 	if len(r.actions) == 0 {
@@ -253,15 +253,15 @@
 
 func (r *Replica) nextDeadline() time.Duration {
 	if r.role == roleLeader {
-		return r.heartbeatAt
+		return r.nextHeartbeatAt
 	}
 	return r.electionDeadline
 }
 
 // send sends a message to a member of any list in the log, or to a learner.
-func (r *Replica) send(to MemberID, m Message) {
+func (r *Replica) sendToID(to MemberID, m Message) {
 	if peer := r.peers[to]; peer != nil {
-		r.sendTo(peer.Member, m)
+		r.sendToMember(peer.Member, m)
 		return
 	}
 	if to == r.self.ID {
@@ -270,15 +270,15 @@
 	for i := len(r.memberConfigs) - 1; i >= 0; i-- {
 		for _, member := range r.memberConfigs[i].members {
 			if member.ID == to {
-				r.sendTo(member, m)
+				r.sendToMember(member, m)
 				return
 			}
 		}
 	}
-	r.sendTo(Member{ID: to}, m) // the host may know its address
+	r.sendToMember(Member{ID: to}, m) // the host may know its address
 }
 
-func (r *Replica) sendTo(to Member, m Message) {
+func (r *Replica) sendToMember(to Member, m Message) {
 	m.Recipient = to.ID
 	if m.ClusterID == 0 {
 		m.ClusterID = r.clusterID
@@ -287,7 +287,7 @@
 }
 
 // random draws a time below a bound, by splitmix64 (Steele, Lea and Flood, 2014) from the seed that New was given.
-func (r *Replica) random(bound time.Duration) time.Duration {
+func (r *Replica) randomDuration(bound time.Duration) time.Duration {
 	r.randomState += 0x9e3779b97f4a7c15
 	z := r.randomState
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
--- a/internal/gateway/replication/snapshot.go
+++ b/internal/gateway/replication/snapshot.go
@@ -48,11 +48,11 @@
 
 // sendSnapshot sends a member the snapshot: in one message if that is small or the member's version takes no chunks.
 func (r *Replica) sendSnapshot(peer *progress) {
-	if !r.recentlyActive(peer) {
+	if !r.isRecentlyActive(peer) {
 		return
 	}
 	if !r.needsChunks(len(r.log.snapshot.State)) || peer.responded && !peer.acceptsChunks {
-		r.sendSnapshotAtOnce(peer)
+		r.sendSnapshotInOneMessage(peer)
 		return
 	}
 	if !peer.responded {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (r *Replica) sendSnapshotAtOnce(peer *progress) {
+func (r *Replica) sendSnapshotInOneMessage(peer *progress) {
 	if r.now-snapshotRetransmitFactor*r.config.RetransmitTimeout < peer.snapshotSentAt {
 		return
 	}
@@ -76,7 +76,7 @@
 // snapshotsInTransfer are the snapshots on their way to other members.
 func (r *Replica) snapshotsInTransfer(except *progress) (blobs []*Blob) {
 	for _, peer := range r.sortedPeers() {
-		if peer != except && peer.transfer.active() && peer.transfer.snapshot != nil {
+		if peer != except && peer.transfer.isActive() && peer.transfer.snapshot != nil {
 			blobs = append(blobs, peer.transfer.sender.Blob)
 		}
 	}
@@ -91,7 +91,7 @@
 		}
 	}
 	snapshot.State = nil
-	peer.transfer = transfer{sender: BlobSender{Blob: blob}, snapshot: &snapshot, previous: snapshot.position()}
+	peer.transfer = blobTransfer{sender: BlobSender{Blob: blob}, snapshot: &snapshot, previous: snapshot.lastPosition()}
 	peer.nextIndex, peer.inflightBase = snapshot.Index+1, snapshot.Index
 	r.sendChunks(peer)
 }
@@ -99,19 +99,19 @@
 func (r *Replica) startEntryTransfer(peer *progress, e Entry) {
 	previous := logPosition{index: e.Index - 1}
 	previous.term, _ = r.log.termAt(previous.index)
-	peer.transfer = transfer{sender: BlobSender{Blob: NewBlob(e.Index, e.Term, e.Data)}, entry: &e, previous: previous}
+	peer.transfer = blobTransfer{sender: BlobSender{Blob: NewBlob(e.Index, e.Term, e.Data)}, entry: &e, previous: previous}
 	r.sendChunks(peer)
 }
 
 // sendChunks sends what may be in flight of a transfer.
 func (r *Replica) sendChunks(peer *progress) {
-	if !r.recentlyActive(peer) {
+	if !r.isRecentlyActive(peer) {
 		return
 	}
 	t := &peer.transfer
-	if t.snapshot == nil && t.sender.acked == 0 && peer.nextIndex < r.log.firstIndex() {
+	if t.snapshot == nil && t.sender.ackedBytes == 0 && peer.nextIndex < r.log.firstIndex() {
 		// The entry was compacted and the member has nothing of it: the snapshot has that and more.
-		peer.transfer = transfer{}
+		peer.transfer = blobTransfer{}
 		r.sendSnapshot(peer)
 		return
 	}
@@ -128,29 +128,29 @@
 
 // onChunk takes a chunk of a leader's append. The last one is as if all had come in one message.
 func (r *Replica) onChunk(from MemberID, m Message) {
-	outside := r.clusterID == 0 || m.ClusterID != r.clusterID && r.onlyBootstrapped()
-	if m.Chunk == nil || m.Snapshot == nil && len(m.Entries) != 1 || !outside && !r.followLeader(from, m) {
+	joining := r.clusterID == 0 || m.ClusterID != r.clusterID && r.hasOnlyBootstrap()
+	if m.Chunk == nil || m.Snapshot == nil && len(m.Entries) != 1 || !joining && !r.followLeader(from, m) {
 		return
 	}
 	chunk := m.Chunk
 	m.Kind, m.Chunk = MsgAppend, nil
 	switch {
-	case outside && m.Snapshot == nil:
+	case joining && m.Snapshot == nil:
 		r.joinCluster(from, m) // asks for the snapshot
 		return
-	case !outside && !r.wantsChunk(&m, chunk):
+	case !joining && !r.wantsChunk(&m, chunk):
 		m.Snapshot, m.Entries = nil, nil
 		r.onAppend(from, m) // acknowledges, or rejects what comes before it
 		return
 	}
 	r.incoming.knobs = r.config.TestingKnobs
-	complete, received := r.incoming.Receive(chunk)
+	complete, ack := r.incoming.Receive(chunk)
 	if complete == nil {
-		r.ackChunk(from, m, received, outside)
+		r.ackChunk(from, m, ack, joining)
 		return
 	}
-	m.fillIn(complete)
-	if outside {
+	m.attachData(complete)
+	if joining {
 		r.joinCluster(from, m)
 		return
 	}
@@ -163,29 +163,29 @@
 	if m.Snapshot != nil {
 		return r.needsSnapshot(m.Snapshot)
 	}
-	if r.log.matches(c.Index, c.View) {
+	if r.log.hasEntry(c.Index, c.View) {
 		m.Index, m.LogTerm = c.Index, c.View
 		return false
 	}
-	previousMissing := m.Index > r.commitIndex && !r.log.matches(m.Index, m.LogTerm)
+	previousMissing := m.Index > r.commitIndex && !r.log.hasEntry(m.Index, m.LogTerm)
 	return c.Index > r.commitIndex && !previousMissing
 }
 
 // ackChunk acknowledges what was received so far.
-func (r *Replica) ackChunk(from MemberID, m Message, received *Chunk, outside bool) {
-	if !outside {
+func (r *Replica) ackChunk(from MemberID, m Message, ack *Chunk, joining bool) {
+	if !joining {
 		r.resetElectionDeadline()
 		r.ackedReadSeq = r.readSeq
 	}
-	if received == nil {
+	if ack == nil {
 		return
 	}
-	r.send(from, Message{Kind: MsgChunkAck, ClusterID: m.ClusterID, Term: m.Term, Seq: m.Seq, Chunk: received, AcceptsChunks: true,
+	r.sendToID(from, Message{Kind: MsgChunkAck, ClusterID: m.ClusterID, Term: m.Term, Seq: m.Seq, Chunk: ack, AcceptsChunks: true,
 		Clock: r.clock.Timestamp(r.now), EchoedClock: r.leaderClock})
 }
 
 // fillIn puts into an append what came in chunks.
-func (m *Message) fillIn(data []byte) {
+func (m *Message) attachData(data []byte) {
 	if m.Snapshot != nil {
 		snapshot := *m.Snapshot
 		snapshot.State = data
@@ -199,18 +199,18 @@
 
 // needsSnapshot reports whether a snapshot is ahead of what this member has.
 func (r *Replica) needsSnapshot(s *Snapshot) bool {
-	return s != nil && s.Index > r.commitIndex && !r.log.matches(s.Index, s.Term)
+	return s != nil && s.Index > r.commitIndex && !r.log.hasEntry(s.Index, s.Term)
 }
 
 // installIfNewer replaces the log and the host's state by a snapshot that is ahead of them; nil is none.
-func (r *Replica) installIfNewer(s *Snapshot) {
+func (r *Replica) installSnapshotIfNewer(s *Snapshot) {
 	if !r.needsSnapshot(s) {
 		return
 	}
 	r.log = entryLog{snapshot: *s}
 	r.memberConfigs = []memberConfig{{s.Index, s.Members}}
 	r.commitIndex = s.Index
-	r.invalidateSynced(0)
+	r.lowerSyncedIndex(0)
 	r.unwrittenSnapshot = true
 	r.requireWrite(s.Index + 1)
 	r.actions = append(r.actions, Restore{s.Index, s.State})
--- a/internal/gateway/replication/state.go
+++ b/internal/gateway/replication/state.go
@@ -91,7 +91,7 @@
 
 // Size is approximately how many bytes a write puts on disk.
 func (w *Write) Size() int {
-	size := sizeOf(w.Entries)
+	size := totalEntryBytes(w.Entries)
 	if w.Snapshot != nil {
 		size += len(w.Snapshot.State)
 	}
--- a/internal/gateway/replication/status.go
+++ b/internal/gateway/replication/status.go
@@ -27,7 +27,7 @@
 		Term:             r.term,
 		Leader:           leader,
 		Members:          r.Members(),
-		MembersCommitted: r.membersCommitted(),
+		MembersCommitted: r.isLatestConfigCommitted(),
 		Learner:          r.learner,
 		FirstIndex:       r.log.snapshot.Index + 1,
 		LastIndex:        r.log.lastIndex(),
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -476,7 +476,7 @@
 	}
 	w.runUntil(w.now + DefaultConfig().QuorumTimeout + 2*DefaultConfig().HeartbeatInterval)
 	must.False(t, w.nodes[l].replica.IsLeader())
-	must.Eq(t, OutcomeNoLeader, w.nodes[l].replica.admitRequest(0))
+	must.Eq(t, OutcomeNoLeader, w.nodes[l].replica.admissionStatus(0))
 	w.runUntil(w.now + time.Second)
 	must.NotEq(t, -1, w.leader())
 	must.NotEq(t, l, w.leader())
--- a/internal/gateway/replication/wire.go
+++ b/internal/gateway/replication/wire.go
@@ -14,12 +14,12 @@
 	Data        []byte
 }
 
-func (c *Chunk) blob() blobID {
+func (c *Chunk) blobID() blobID {
 	return blobID{index: c.Index, term: c.View, checksum: c.Sum, size: c.Size}
 }
 
 // SameBlob reports whether two chunks are of the same blob.
-func (c *Chunk) SameBlob(other *Chunk) bool { return c.blob() == other.blob() }
+func (c *Chunk) SameBlob(other *Chunk) bool { return c.blobID() == other.blobID() }
 
 // WireEntry is an Entry as gob sends it.
 type WireEntry struct {
@@ -77,11 +77,11 @@
 	if len(m.Entries) > 0 {
 		wire.Entries = make([]WireEntry, len(m.Entries))
 		for i := range m.Entries {
-			wire.Entries[i] = m.Entries[i].wire()
+			wire.Entries[i] = m.Entries[i].toWire()
 		}
 	}
 	if m.Snapshot != nil {
-		wire.Snap = m.Snapshot.wire()
+		wire.Snap = m.Snapshot.toWire()
 	}
 	return wire
 }
@@ -108,27 +108,27 @@
 	if len(w.Entries) > 0 {
 		m.Entries = make([]Entry, len(w.Entries))
 		for i := range w.Entries {
-			m.Entries[i] = w.Entries[i].entry()
+			m.Entries[i] = w.Entries[i].toEntry()
 		}
 	}
 	if w.Snap != nil {
-		m.Snapshot = w.Snap.snapshot()
+		m.Snapshot = w.Snap.toSnapshot()
 	}
 	return m
 }
 
-func (e *Entry) wire() WireEntry {
+func (e *Entry) toWire() WireEntry {
 	return WireEntry{Index: e.Index, View: e.Term, Kind: e.Kind, Data: e.Data, Members: e.Members}
 }
 
-func (w *WireEntry) entry() Entry {
+func (w *WireEntry) toEntry() Entry {
 	return Entry{Index: w.Index, Term: w.View, Kind: w.Kind, Data: w.Data, Members: w.Members}
 }
 
-func (s *Snapshot) wire() *WireSnapshot {
+func (s *Snapshot) toWire() *WireSnapshot {
 	return &WireSnapshot{Index: s.Index, View: s.Term, Members: s.Members, State: s.State}
 }
 
-func (w *WireSnapshot) snapshot() *Snapshot {
+func (w *WireSnapshot) toSnapshot() *Snapshot {
 	return &Snapshot{Index: w.Index, Term: w.View, Members: w.Members, State: w.State}
 }
--- a/internal/gateway/replication/writequeue.go
+++ b/internal/gateway/replication/writequeue.go
@@ -8,9 +8,9 @@
 // of one log are merged, so that a disk that hangs has no more to write than the state of each log. The host writes a transaction
 // atomically and calls Synced of each replica. The zero value is empty.
 type WriteQueue struct {
-	knobs     TestingKnobs
-	pending   map[LogID]*Write
-	nextGroup LogID // whose write goes first
+	knobs        TestingKnobs
+	pending      map[LogID]*Write
+	nextGroupLog LogID // whose write goes first
 }
 
 // Put adds a write behind those of the same log.
@@ -18,7 +18,7 @@
 	if w.pending == nil {
 		w.pending = map[LogID]*Write{}
 	}
-	if earlier := w.pending[log]; earlier != nil && !w.knobs.has(loseMergedWrite) {
+	if earlier := w.pending[log]; earlier != nil && !w.knobs.hasMutation(loseMergedWrite) {
 		write = earlier.Merge(write)
 	}
 	w.pending[log] = &write
@@ -30,32 +30,32 @@
 	if len(w.pending) == 0 {
 		return nil
 	}
-	take := func(log LogID) {
+	moveToBatch := func(log LogID) {
 		batch = append(batch, LogWrite{log, *w.pending[log]})
 		delete(w.pending, log)
 	}
 	if w.pending[ConfigurationLog] != nil {
-		take(ConfigurationLog)
+		moveToBatch(ConfigurationLog)
 	}
 	batchBytes := 0
-	for _, log := range w.groupsInTurn() {
+	for _, log := range w.groupsWithPendingWrites() {
 		size := w.pending[log].Size()
 		if batchBytes += size; batchBytes > maxBatchBytes && batchBytes > size {
-			w.nextGroup = log
+			w.nextGroupLog = log
 			break
 		}
-		take(log)
+		moveToBatch(log)
 	}
 	return batch
 }
 
 // groupsInTurn are the groups with pending writes, from nextGroup on.
-func (w *WriteQueue) groupsInTurn() (groups []LogID) {
+func (w *WriteQueue) groupsWithPendingWrites() (groups []LogID) {
 	last := ConfigurationLog
 	for log := range w.pending {
 		last = max(last, log)
 	}
-	first := max(w.nextGroup, 1)
+	first := max(w.nextGroupLog, 1)
 	for i := range last {
 		if log := 1 + (first-1+i)%last; w.pending[log] != nil {
 			groups = append(groups, log)
