--- a/internal/gateway/replication/action.go
+++ b/internal/gateway/replication/action.go
@@ -2,51 +2,53 @@
 
 import "time"
 
-// Action is what Replica.Next has the host do: a Send, Write, Commit, Restore, Outcome or Wake.
+// Action is a step that Replica.Next returns for the host to execute: a Send, Write, Commit, Restore, Outcome or Wake.
 type Action interface{ action() }
 
-// Send has a message sent. It may be lost.
+// Send is a message to be sent. The message may be lost.
 type Send struct {
-	Recipient Member // with an empty Addr if only the host can know it
+	Recipient Member // Addr is empty if the replica does not know the address
 	Message   Message
 }
 
-// Commit hands over the next committed entry. EntryNoOp and EntryConfigChange are handed over too: Index has no gaps.
+// Commit contains the next committed entry. Entries of kind EntryNoOp and EntryConfigChange are included, so Index has no gaps.
 type Commit struct{ Entry Entry }
 
-// Restore replaces the host's state; Commit continues after its Index. It comes first if the disk had a snapshot, and later if
-// the leader had compacted what this member lacks.
+// Restore replaces the host's state. The next Commit has the index after Index. Restore is the first action if the disk contains
+// a snapshot. It also occurs later, when the leader has compacted entries that this member lacks.
 type Restore struct {
 	Index uint64
-	State []byte // empty: the state that a system starts with
+	State []byte // empty: the initial state of a new system
 }
 
-// Outcome ends a proposal or a read.
+// Outcome is the result of a proposal or a read.
 type Outcome struct {
-	Token  uint64 // as given to Propose or Read
-	Index  uint64 // of a proposal: its entry's, committed just before; of a read: the state up to here is new enough
+	Token uint64 // the token that was passed to Propose or Read
+	// For a proposal, Index is the index of its entry, whose Commit came just before. For a read,
+	// the host may answer from its state once it has applied all entries up to Index.
+	Index  uint64
 	Status OutcomeStatus
-	Leader Member // with OutcomeNotLeader
+	Leader Member // set with OutcomeNotLeader
 }
 
-// OutcomeStatus is how a proposal or a read ended.
+// OutcomeStatus is the status of a finished proposal or read.
 type OutcomeStatus uint8
 
-// The statuses. All but OutcomeCommitted and OutcomeUnknown guarantee that a proposal was not taken and never will be.
+// With any status but OutcomeCommitted and OutcomeUnknown, a proposal was not accepted and will never be committed.
 const (
 	OutcomeCommitted OutcomeStatus = iota
-	OutcomeNotLeader               // Outcome.Leader is the one to ask
-	OutcomeNoLeader                // no leader is known, or this one has no quorum or transfers its leadership
-	OutcomeBusy                    // too many proposals, bytes or reads are pending
-	OutcomeUnknown                 // may have been committed, or may still be
+	OutcomeNotLeader               // the request must go to Outcome.Leader
+	OutcomeNoLeader                // no leader is known, or the leader has no quorum or is transferring its leadership
+	OutcomeBusy                    // the limit for pending proposals, uncommitted bytes or pending reads is reached
+	OutcomeUnknown                 // the proposal may have been committed, or may still be committed
 )
 
-// String is the text that callers of the control API see.
+// String returns the text that callers of the control API see.
 func (o OutcomeStatus) String() string {
 	return [...]string{"done", "not the leader", "no leader that hears a majority", "too many wait", "unknown"}[o]
 }
 
-// Wake asks for a Tick at Deadline. It replaces any earlier Wake.
+// Wake requests a call of Tick at Deadline. It replaces any earlier Wake.
 type Wake struct{ Deadline time.Duration }
 
 func (Send) action()    {}
--- a/internal/gateway/replication/blob.go
+++ b/internal/gateway/replication/blob.go
@@ -5,50 +5,55 @@
 	"time"
 )
 
-// Transfers of what is too large for one message: a snapshot's state, an entry's data, and what else a host sends so. Chunks go
-// in order, some of them in flight at a time; each is acknowledged by how much the receiver has, so that either end may change.
+// This file transfers data that is too large for one message: the state of a snapshot, the data of an entry, and other
+// data that the host sends as a Blob. The sender sends the chunks of a blob in order and keeps a limited number of bytes in
+// flight. The receiver acknowledges each chunk with the number of bytes that it has. A sender or receiver that is replaced
+// can therefore continue the transfer from that offset.
 
-// maxBlobBytes bounds what a receiver puts together.
+// maxBlobBytes is the largest blob that a receiver accepts.
 const maxBlobBytes = 64 << 20
 
 var crcTable = crc64.MakeTable(crc64.ECMA)
 
-// blobID identifies a blob whoever sends it.
+// blobID identifies the content of a blob independently of its sender.
 type blobID struct{ index, term, checksum, size uint64 }
 
 func (b blobID) newChunk(offset uint64, data []byte) *Chunk {
 	return &Chunk{Index: b.index, View: b.term, Sum: b.checksum, Size: b.size, Offset: offset, Data: data}
 }
 
-// Blob is bytes that are sent in chunks. All senders of it share it.
+// Blob is a byte sequence that is sent in chunks. Several senders may share one Blob.
 type Blob struct {
 	id   blobID
 	data []byte
 }
 
-// NewBlob returns the blob of a snapshot or an entry with this index and term. The data must not change any more.
+// NewBlob returns the blob of the snapshot or entry with this index and term. The caller must not change the data afterwards.
 func NewBlob(index, term uint64, data []byte) *Blob {
 	id := blobID{index: index, term: term, checksum: crc64.Checksum(data, crcTable), size: uint64(len(data))}
 	return &Blob{id, data}
 }
 
-// Index is that of the snapshot or the entry.
+// Index returns the log index of the snapshot or entry.
 func (b *Blob) Index() uint64 { return b.id.index }
 
-// Bytes is all of the data.
+// Bytes returns the complete data.
 func (b *Blob) Bytes() []byte { return b.data }
 
-// BlobSender sends a blob to one receiver. The zero value sends none.
+// BlobSender sends a blob to one receiver. The zero value has no blob.
 type BlobSender struct {
 	Blob              *Blob
-	ackedBytes        uint64        // bytes that the receiver has
-	sentBytes         uint64        // bytes that were sent
-	retransmittedFrom uint64        // 1 + the offset from which chunks were last sent again; 0: none were
-	lastProgressAt    time.Duration // the receiver last had more, or chunks were sent after all were acknowledged
+	ackedBytes        uint64 // bytes that the receiver has acknowledged
+	sentBytes         uint64 // bytes that were sent; lowered when chunks must be sent again
+	retransmittedFrom uint64 // 1 + the offset of the last retransmission; 0: no retransmission yet
+	// lastProgressAt is the time of the last processed acknowledgement, or of the last chunk that was sent while nothing
+	// was in flight.
+	lastProgressAt time.Duration
 }
 
-// Ack takes how much the receiver has. Less than before means that it has lost it. The same again means that a chunk was lost or
-// came twice: what is in flight is sent again, once from each offset. Acknowledgements of other blobs are ignored.
+// HandleAck processes an acknowledgement, whose Offset is the number of bytes that the receiver has. A lower number than
+// before means that the receiver has lost data. The same number as before means that a chunk was lost or duplicated: the
+// bytes in flight are sent again, but only once for each offset. Acknowledgements of other blobs are ignored.
 func (b *BlobSender) HandleAck(ack *Chunk, now time.Duration) {
 	if b.Blob == nil || ack == nil || ack.blobID() != b.Blob.id || ack.Offset > ack.Size {
 		return
@@ -63,17 +68,18 @@
 		b.sentBytes = ack.Offset
 	}
 	if ack.Offset > b.sentBytes {
-		// It had that from another sender. What is in flight repeats it, and the answers to that are no sign of a loss.
+		// The receiver got these bytes from another sender. The chunks in flight repeat them, so their acknowledgements
+		// do not indicate a loss.
 		b.retransmittedFrom = ack.Offset + 1
 	}
 	b.ackedBytes, b.sentBytes, b.lastProgressAt = ack.Offset, max(b.sentBytes, ack.Offset), now
 }
 
-// Complete reports whether the receiver has all of the blob.
+// IsComplete reports whether the receiver has the complete blob.
 func (b *BlobSender) IsComplete() bool { return b.ackedBytes == b.Blob.id.size }
 
-// NextChunk returns the next chunk to send; nil if config.MaxInflightBytes are in flight, or all is. What was not acknowledged
-// within config.RetransmitTimeout is sent again.
+// NextChunk returns the next chunk to send. It returns nil if config.MaxInflightBytes are in flight or if everything was sent.
+// Chunks without an acknowledgement within config.RetransmitTimeout are sent again.
 func (b *BlobSender) NextChunk(config *Config, now time.Duration) *Chunk {
 	size := b.Blob.id.size
 	if b.sentBytes > b.ackedBytes && now-b.lastProgressAt >= config.RetransmitTimeout {
@@ -90,14 +96,14 @@
 	return b.Blob.id.newChunk(offset, b.Blob.data[offset:b.sentBytes])
 }
 
-// BlobReceiver puts a blob together. The zero value has received nothing.
+// BlobReceiver assembles a blob from chunks. The zero value has received nothing.
 type BlobReceiver struct {
 	knobs TestingKnobs
-	id    blobID // of size 0: none
-	data  []byte // from its begin on
+	id    blobID // size 0: no blob is being received
+	data  []byte // the bytes received so far, from offset 0
 }
 
-// Received is an acknowledgement of the blob that is not complete; nil if there is none.
+// PendingAck returns an acknowledgement for the incomplete blob; nil if no blob is being received.
 func (b *BlobReceiver) PendingAck() *Chunk {
 	if b.id.size == 0 {
 		return nil
@@ -105,8 +111,10 @@
 	return b.id.newChunk(uint64(len(b.data)), nil)
 }
 
-// Receive takes a chunk. It returns the data once the last chunk has come, and until then an acknowledgement to be sent. A first
-// chunk of another blob replaces what was received: its sender goes on with a newer one. Later ones are ignored.
+// Receive processes a chunk. It returns the complete data with the last chunk, and otherwise an acknowledgement to send.
+// A chunk with offset 0 of another blob replaces the incomplete blob, because the sender has moved on to a newer blob.
+// Other chunks of another blob are acknowledged with offset 0 and not stored.
+// Receive returns nil twice for a chunk whose blob is empty or larger than maxBlobBytes.
 func (b *BlobReceiver) Receive(c *Chunk) (complete []byte, ack *Chunk) {
 	id := c.blobID()
 	if id.size == 0 || id.size > maxBlobBytes {
@@ -130,7 +138,7 @@
 	complete = b.data
 	b.id, b.data = blobID{}, nil
 	if crc64.Checksum(complete, crcTable) != id.checksum && !b.knobs.hasAnyMutation() {
-		return nil, id.newChunk(0, nil) // all over again
+		return nil, id.newChunk(0, nil) // checksum mismatch: the transfer starts again
 	}
 	return complete, nil
 }
--- a/internal/gateway/replication/bootstrap.go
+++ b/internal/gateway/replication/bootstrap.go
@@ -11,17 +11,17 @@
 	"clovergap/internal/invariant"
 )
 
-// The first member list of a cluster, and disks that have nothing else.
+// This file writes the first member list of a cluster, and handles disks that contain nothing else.
 
-// What the errors of Bootstrap wrap.
+// Bootstrap returns one of these errors, or an error that wraps ErrInvalidMembers.
 var (
 	ErrInvalidMembers      = errors.New("invalid member list")
 	ErrNotAMember          = errors.New("this disk is not on the member list")
 	ErrAlreadyBootstrapped = errors.New("the disk belongs to another cluster")
 )
 
-// Bootstrap writes the first member list, as term 1 and index 1, on an empty disk that is on it. The same list again does
-// nothing. All of its members must be given the same list.
+// Bootstrap writes the first member list to an empty disk, as term 1 and index 1. The member of this disk must be on the list.
+// A repeated call with the same list has no effect. All members on the list must be bootstrapped with the same list.
 func (r *Replica) Bootstrap(members []Member) error {
 	members, clusterID := sortedMembers(members), r.clusterIDForLog(members)
 	listed := false
@@ -48,16 +48,17 @@
 	return nil
 }
 
-// ClusterIDOf is the cluster ID of the configuration's log with these first members, in any order.
+// ClusterIDOf returns the cluster ID of the configuration log that is bootstrapped with these members. Their order does not matter.
 func ClusterIDOf(members []Member) uint64 {
 	hash := fnv.New32a()
 	for _, m := range sortedMembers(members) {
 		hash.Write(append(binary.AppendUvarint(nil, uint64(m.ID)), m.Addr...))
 	}
-	return uint64(hash.Sum32()) | 1 // 0 is no cluster
+	return uint64(hash.Sum32()) | 1 // 0 means no cluster
 }
 
-// clusterIDFor is the cluster ID of this log. Each log on a disk has another, so that a message can't reach the wrong one.
+// clusterIDForLog returns the cluster ID of this replica's log. Each log on a disk has its own cluster ID, so that a replica
+// ignores a message that was sent to another log.
 func (r *Replica) clusterIDForLog(members []Member) uint64 {
 	id := ClusterIDOf(members)
 	if r.config.LogID == ConfigurationLog || r.hasMutation(shareClusterID) {
@@ -74,11 +75,11 @@
 	return members
 }
 
-// Bootstrapped reports whether there is anything on this disk but the member ID.
+// Bootstrapped reports whether the disk contains anything besides the member ID.
 func (r *Replica) Bootstrapped() bool { return r.clusterID != 0 }
 
-// BootstrapMembers is the first member list while the log has nothing else; nil otherwise. A member on it with an empty disk
-// has missed it, and any other may pass it on.
+// BootstrapMembers returns the first member list as long as no snapshot has replaced it; nil otherwise. A listed member whose
+// disk is empty has missed the bootstrap. Any other member may send it the list.
 func (r *Replica) BootstrapMembers() []Member {
 	if r.clusterID == 0 || r.log.snapshot.Index != 1 {
 		return nil
@@ -86,7 +87,7 @@
 	return slices.Clone(r.log.snapshot.Members)
 }
 
-// ClusterID identifies the cluster that this disk belongs to; 0 while that is not synced.
+// ClusterID returns the ID of the cluster that this disk belongs to; 0 until the ID is synced to disk.
 func (r *Replica) ClusterID() uint64 {
 	if !r.bootstrapSynced {
 		return 0
@@ -94,14 +95,14 @@
 	return r.clusterID
 }
 
-// onlyBootstrapped reports whether this disk has a bootstrap and nothing else: it has voted for nobody and has acknowledged no
-// entry. Its cluster loses nothing without it: an empty disk that is given the same list can do as much.
+// hasOnlyBootstrap reports whether this disk contains a bootstrap and nothing else. Such a member has not voted and has not
+// acknowledged an entry. Its cluster can lose the disk without harm: an empty disk with the same list replaces it fully.
 func (r *Replica) hasOnlyBootstrap() bool {
 	return r.clusterID != 0 && r.log.snapshot.Index == 1 && len(r.log.entries) == 0 && (r.term == 1 || r.hasMutation(joinOtherAfterVote))
 }
 
-// stepOutsideCluster is Step for an empty disk, or one that was bootstrapped for another cluster and has nothing else. It takes
-// messages only from a leader: a leader has a majority's votes, so its cluster exists.
+// stepBeforeJoining handles a message on an empty disk, or on a disk that only has the bootstrap of another cluster. It accepts
+// messages only from a leader: a leader has the votes of a majority, so its cluster exists.
 func (r *Replica) stepBeforeJoining(from MemberID, m Message) {
 	switch {
 	case m.Kind == MsgAppendChunk:
@@ -111,7 +112,7 @@
 	}
 }
 
-// joinCluster joins a leader's cluster with the snapshot that it sends, or asks for that.
+// joinCluster joins the leader's cluster if the message contains a snapshot. Otherwise it requests the snapshot.
 func (r *Replica) joinCluster(from MemberID, m Message) {
 	if m.Kind == MsgAppend && m.Snapshot == nil {
 		r.sendToID(from, Message{Kind: MsgAppendReject, ClusterID: m.ClusterID, Term: m.Term, Seq: m.Seq, AcceptsChunks: true})
@@ -122,8 +123,8 @@
 	r.Step(from, m)
 }
 
-// DiscardBootstrap empties a disk that has only a bootstrap, if the other members of that are gone for good. It returns false
-// if the disk has more.
+// DiscardBootstrap erases a disk that has only a bootstrap. The host calls it if the other members of that bootstrap are
+// permanently lost. It returns false if the disk contains more than a bootstrap.
 func (r *Replica) DiscardBootstrap() bool {
 	if !r.hasOnlyBootstrap() {
 		return false
@@ -134,9 +135,9 @@
 	return true
 }
 
-// reset makes the replica as that of an empty disk. The next write does the same to the disk.
+// resetToEmptyDisk resets the replica to the state of an empty disk. The next write erases the disk as well.
 func (r *Replica) resetToEmptyDisk() {
-	invariant.Assert(len(r.log.entries) == 0 && r.role != roleLeader, "only a bootstrap is discarded")
+	invariant.Assert(len(r.log.entries) == 0 && r.role != roleLeader, "only bootstrap state is discarded, and never by a leader")
 	r.clusterID, r.term, r.votedFor, r.maxSeenTerm, r.bootstrapSynced = 0, 0, 0, 0, false
 	r.log.snapshot, r.memberConfigs, r.commitIndex = Snapshot{}, []memberConfig{{}}, 0
 	r.lowerSyncedIndex(0)
--- a/internal/gateway/replication/codec.go
+++ b/internal/gateway/replication/codec.go
@@ -7,14 +7,15 @@
 	"github.com/go-faster/errors"
 )
 
-// The compact form of messages between members of the coordination groups. Most are heartbeats and single entries, for which gob
-// would take three times the bytes. Layout, with all numbers as varints but the kinds, which are a byte each:
+// This file encodes messages between members of the coordination groups in a compact form. Most of these messages are
+// heartbeats and single entries, for which gob would take three times the bytes. The layout is as follows. Numbers are
+// varints, except the kinds, which take one byte each:
 //
-//	kind, mask, cluster ID, recipient, term, the numbers and lists that the mask names
+//	kind, mask, cluster ID, recipient, term, the fields whose bits are set in the mask
 //
-// Clocks and contact are not carried: these logs don't report it (see reportsContact).
+// The form omits clocks and quorum contact, because the logs of groups do not track quorum contact (see tracksQuorumContact).
 
-// Bits of the mask, in the order in which the fields follow. They are on the wire.
+// Bits of the mask, in the order in which the fields are encoded. They are part of the wire format.
 const (
 	hasIndex = 1 << iota
 	hasLogTerm
@@ -28,10 +29,10 @@
 	acceptsChunks
 )
 
-// ErrTruncatedMessage is returned for a message that ends too early, or counts more than can follow.
+// ErrTruncatedMessage is returned for a message that ends too early, or whose counts exceed the remaining bytes.
 var ErrTruncatedMessage = errors.New("truncated message")
 
-// mask names the fields that are carried.
+// fieldMask returns the bits of the fields that are encoded.
 func (m *Message) fieldMask() (mask uint64) {
 	set := func(bit uint64, is bool) {
 		if is {
@@ -51,7 +52,7 @@
 	return mask
 }
 
-// AppendMessage appends a message's compact form.
+// AppendMessage appends the compact form of a message to b.
 func AppendMessage(b []byte, m *Message) []byte {
 	b = append(b, byte(m.Kind))
 	for _, n := range [...]uint64{m.fieldMask(), m.ClusterID, uint64(m.Recipient), m.Term} {
@@ -103,7 +104,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(data))), data...)
 }
 
-// DecodeMessage reads a message and returns what follows it. The message shares nothing with b.
+// DecodeMessage decodes a message and returns the bytes that follow it. The message does not refer to the memory of b.
 func DecodeMessage(b []byte) (m Message, rest []byte, err error) {
 	r := messageReader{rest: b}
 	m.Kind = MessageKind(r.readByte())
@@ -132,7 +133,8 @@
 	return m, r.rest, nil
 }
 
-// messageReader reads fields until there are not enough bytes; from then on it reads zeros.
+// messageReader decodes fields from a buffer. Once the buffer is too short for a field, truncated is true and all further reads
+// return zero values.
 type messageReader struct {
 	rest      []byte
 	truncated bool
@@ -162,7 +164,8 @@
 	return n
 }
 
-// count is a number of items. Each takes at least a byte, so that a false count can't have much memory allocated.
+// readCount reads the length of a list or byte sequence. Each item takes at least one byte, so a count beyond the remaining
+// bytes is an error. This check prevents large allocations for an invalid count.
 func (m *messageReader) readCount() int {
 	n := m.readUvarint()
 	if n > uint64(len(m.rest)) {
--- a/internal/gateway/replication/config.go
+++ b/internal/gateway/replication/config.go
@@ -5,69 +5,70 @@
 // LogID distinguishes the logs on one disk.
 type LogID uint8
 
-// ConfigurationLog is the log that orders configurations. The logs of the coordination groups have the numbers from 1 on.
+// ConfigurationLog is the log of configuration changes. The logs of the coordination groups are numbered from 1.
 const ConfigurationLog LogID = 0
 
-// Config has the times and bounds of a replica. The defaults given are DefaultConfig's; GroupConfig's, where they differ, follow
-// in parentheses.
+// Config contains the timeouts and limits of a replica. Each comment gives the default of DefaultConfig, and in parentheses the
+// default of GroupConfig where it differs.
 type Config struct {
-	// TestingKnobs plants faults for tests. It is an empty type in a release build.
+	// TestingKnobs injects defects for tests. It is an empty type in a release build.
 	TestingKnobs TestingKnobs
 
-	// LogID is the log that the replica replicates. Default: ConfigurationLog.
+	// LogID is the log that this replica replicates. Default: ConfigurationLog.
 	LogID LogID
 
 	// HeartbeatInterval is the time between a leader's heartbeats. Default: 150 ms (100 ms).
 	HeartbeatInterval time.Duration
 
-	// ElectionTimeout is the least time without a leader before a member starts a pre-vote. Default: 400 ms (300 ms).
+	// ElectionTimeout is the minimum time without contact with a leader before a member starts a pre-vote. Default: 400 ms (300 ms).
 	ElectionTimeout time.Duration
 
-	// ElectionJitter is the upper bound of a random time on top of ElectionTimeout. Default: 400 ms (300 ms).
+	// ElectionJitter is the upper bound of the random time that is added to ElectionTimeout. Default: 400 ms (300 ms).
 	ElectionJitter time.Duration
 
-	// QuorumTimeout is how long a leader leads without an answer from a majority, and how long a follower names a leader that it
-	// does not hear. Default: 1 s (500 ms).
+	// QuorumTimeout is how long a leader continues without responses from a majority, and how long a follower reports a leader
+	// from which it receives no messages. Default: 1 s (500 ms).
 	QuorumTimeout time.Duration
 
-	// CommitNotifyDelay is the longest time before a leader sends a new commit index. Default: 20 ms (100 ms: only the
-	// leader answers by what is committed).
+	// CommitNotifyDelay is the maximum delay before a leader sends a new commit index. Default: 20 ms (100 ms, because in a
+	// group only the leader answers requests from the committed state).
 	CommitNotifyDelay time.Duration
 
-	// RetransmitTimeout is when chunks that nobody acknowledged are sent again. A snapshot in one message is sent again after
-	// snapshotRetransmitFactor times as long. Default: 500 ms.
+	// RetransmitTimeout is the time after which unacknowledged chunks are sent again. A snapshot in a single message is sent
+	// again after snapshotRetransmitFactor times this value. Default: 500 ms.
 	RetransmitTimeout time.Duration
 
-	// LearnerTimeout is when a learner that does not answer is dropped. Default: 3 s.
+	// LearnerTimeout is how long a learner may go without a response before the leader drops it. Default: 3 s.
 	LearnerTimeout time.Duration
 
-	// MaxPending bounds the proposals, and likewise the reads, without an Outcome. Default: 1024.
+	// MaxPending is the maximum number of proposals without an Outcome, and also of reads without an Outcome. Default: 1024.
 	MaxPending int
 
-	// MaxUncommittedBytes bounds the entries that are not committed; one entry is always taken. 0: not bounded. Default: 8 MiB
-	// (1 MiB).
+	// MaxUncommittedBytes is the maximum size of the uncommitted entries. A single entry is always accepted. 0: no limit.
+	// Default: 8 MiB (1 MiB).
 	MaxUncommittedBytes int
 
-	// MaxMessageBytes bounds the entries in one message; one entry always goes. Default: 16 KiB.
+	// MaxMessageBytes is the maximum size of the entries in one message. A single entry is always sent. Default: 16 KiB.
 	MaxMessageBytes int
 
-	// MaxInflightBytes bounds what is sent to one member and not acknowledged. Larger entries and snapshots go in chunks. 0: not
-	// bounded, and no chunks. Default: 16 KiB.
+	// MaxInflightBytes is the maximum number of unacknowledged bytes in flight to one member. Larger entries and snapshots
+	// are sent in chunks. 0: no limit and no chunks. Default: 16 KiB.
 	MaxInflightBytes int
 
 	// ChunkBytes is the size of a chunk. Default: 8 KiB.
 	ChunkBytes int
 
-	// TrailingBytes is how many bytes of compacted entries stay in memory at the least. Default: 64 KiB (16 KiB).
+	// TrailingBytes is the minimum size of the compacted entries that are kept in memory. Default: 64 KiB (16 KiB).
 	TrailingBytes int
 
-	// ReadMinimalQuorum has a read sequence sent to a bare majority at first, and to the others with the next heartbeat.
+	// ReadMinimalQuorum sends a new read sequence to a bare majority first. The other members get it with the next heartbeat.
 	// Default: false (true).
 	ReadMinimalQuorum bool
 }
 
-// DefaultConfig is for links with a round trip of a few milliseconds and at least 2 Mbit/s, and disks with some milliseconds a
-// sync: MaxInflightBytes to each of a handful of members delays a heartbeat on such a link by less than ElectionTimeout.
+// DefaultConfig returns the configuration for links with a round trip of a few milliseconds and at least 2 Mbit/s, and for disks
+// that sync in a few milliseconds. On such a link, MaxInflightBytes in flight to each of about five members delay a heartbeat by
+// less than ElectionTimeout.
 func DefaultConfig() Config {
 	return Config{
 		LogID:               ConfigurationLog,
@@ -87,8 +88,9 @@
 	}
 }
 
-// GroupConfig is for the log of a coordination group. Calls are delayed while a group has no leader, so elections start sooner than for
-// the configuration's log. The machines have 0.4 of a core and disks of up to 5 ms a sync: three heartbeats may be missed.
+// GroupConfig returns the configuration for the log of a coordination group. Calls are delayed while a group has no leader, so
+// elections start sooner than in the configuration log. The timeouts are chosen for machines with 0.4 of a core and disks that
+// sync in up to 5 ms. They tolerate three missed heartbeats.
 func GroupConfig(log LogID) Config {
 	config := DefaultConfig()
 	config.LogID = log
--- a/internal/gateway/replication/doc.go
+++ b/internal/gateway/replication/doc.go
@@ -1,73 +1,79 @@
-// Package replication is a replicated log in the manner of Raft: the members of a cluster, each a node with a disk, agree on one
-// order of entries, and every member applies them in that order.
+// Package replication implements a replicated log that is based on Raft. The members of a cluster, each a node with a disk, agree
+// on one order of log entries, and every member applies the entries in this order.
 //
-// The package is a deterministic core. It does no I/O, reads no clock, starts no goroutine and draws no randomness of its own:
-// time, messages, completed writes and a seed are arguments, and the same inputs give the same outputs. A host (package node)
-// owns a Replica and calls it from one goroutine.
+// The package is a deterministic core. It does no I/O, does not read a clock, starts no goroutines and has no random source of
+// its own. Time, messages, completed writes and a seed are passed as arguments. The same inputs give the same outputs. A host
+// (package node) owns a Replica and calls it from one goroutine.
 //
 // # Inputs and outputs
 //
-// Inputs are methods of Replica: Step (a message came), Tick (time passed), Synced (a write is on disk), Propose, Read, Compact,
-// ReconcileMembers, TransferLeadership. After each of them the host calls Next until it has nothing more. Next hands out an
-// Action, a closed set of types: Send, Write, Commit, Restore, Outcome, Wake. It corresponds to the Ready of etcd's raft, one
-// step at a time, so that the order of messages and writes is part of the contract.
+// The inputs are methods of Replica: Step (a message arrived), Tick (time passed), ReportSynced (a write is on disk),
+// ReportUnreachable (a connection broke), Propose, Read, Compact, ReconcileMembers and TransferLeadership. After each input the
+// host calls Next until it returns false. Next returns an Action, which is one of the types Send, Write, Commit, Restore, Outcome
+// and Wake. An Action corresponds to a part of Ready in etcd's raft library. Actions are returned one by one, so that the order
+// of messages and writes is part of the contract.
 //
-// A host must do the following, and may rely on the guarantees only if it does:
+// The guarantees below hold only if the host fulfills these obligations:
 //
-//   - write each Write atomically, in the order of Seq, and call Synced once it is synced. The package itself delays what a member
-//     acknowledges to others until then; the host may send every message at once.
-//   - pass Tick the present time before anything that happened meanwhile, also after the process was suspended.
-//   - give the PersistentState that results from all synced writes to New after a restart, and a new MemberID to an empty disk.
-//   - treat Data, State and Members as immutable: they are shared with messages and writes that are still under way.
+//   - The host writes each Write atomically, in the order of Seq, and calls ReportSynced once the write is synced. The host may
+//     send each message at once, because the package delays every message that depends on a write until the write is synced.
+//   - The host calls Tick with the current time before it passes on later events, also after the process was suspended.
+//   - After a restart, the host passes the PersistentState that results from all synced writes to New. For an empty disk it draws
+//     a new MemberID.
+//   - The host does not change Data, State and Members, because messages and pending writes share them.
 //
 // # Terms
 //
-//	term                 a period with at most one leader; terms only rise
+//	term                 a period with at most one leader; terms never decrease
 //	vote                 a member's promise to follow one candidate in a term; on disk before it is sent
-//	pre-vote             the question whether others have lost the leader too, before the term is raised
-//	append               the leader's message with entries, or without any as a heartbeat
-//	match index          up to which index a member's synced log is known to equal the leader's
-//	commit index         up to which index entries are known to be on the disks of a majority
-//	snapshot             the host's state up to an index, which replaces the log up to there
-//	trailing log         compacted entries that are still in memory, for members that lack only a little
-//	joint configuration  two member lists of which both majorities are needed, while the newer one is not committed
-//	learner              a node that receives the log and does not count; it becomes a member once it has caught up
+//	pre-vote             asks whether other members have lost the leader too, before the term is increased
+//	append               the leader's message with entries, or without entries as a heartbeat
+//	match index          index up to which a member's synced log is known to equal the leader's log
+//	commit index         index up to which entries are known to be on the disks of a majority
+//	snapshot             the host's state up to an index, which replaces the log up to that index
+//	trailing log         compacted entries that stay in memory for members that lack only a few entries
+//	joint configuration  an uncommitted member list together with the previous one; decisions need majorities of both
+//	learner              a node that receives the log without a vote; it becomes a member once it has caught up
 //	leadership transfer  the leader asks a member that has all entries to start an election at once (TimeoutNow)
-//	read sequence        the number of a broadcast of heartbeats which confirms that a leader still leads (Raft's ReadIndex)
-//	quorum contact       how long ago a majority was in contact with the leader: how stale this member's state can be
-//	cluster ID           identifies one bootstrap of one log; messages of another cluster are ignored
-//	bootstrap            writing the first member list on empty disks, as term 1 and index 1
+//	read sequence        number of a broadcast of heartbeats that confirms the leadership for reads (ReadIndex in Raft)
+//	quorum contact       the last time when a majority is known to have followed the leader; its age bounds the staleness
+//	blob                 data that is too large for one message and is sent in chunks: a snapshot's state or an entry's data
+//	draining             state of a member that has announced its shutdown
+//	cluster ID           identifies one bootstrap of one log; messages with another cluster ID are ignored
+//	bootstrap            the write of the first member list to empty disks, as term 1 and index 1
 //
 // # Guarantees
 //
-//   - Log matching: two members that have an entry of the same index and term have the same entries up to there.
-//   - Leader completeness: an entry that was committed is in the log of every later leader.
-//   - At most one Outcome for each proposal and read. OutcomeCommitted means the entry was committed at Index;
-//     OutcomeNotLeader, OutcomeNoLeader and OutcomeBusy mean that it was not taken and never will be; OutcomeUnknown means that
-//     it may have been, or may still be, committed.
-//   - A read that ends with OutcomeCommitted sees everything that was acknowledged before it was requested.
-//   - Safety depends only on disks. Time decides only when an election starts, what is retransmitted, and which members the
-//     leader considers lost.
+//   - Log matching: if two members have an entry with the same index and term, their logs are equal up to this entry.
+//   - Leader completeness: a committed entry is in the log of every later leader.
+//   - Each proposal and each read has at most one Outcome. OutcomeCommitted means that the proposed entry is committed at Index.
+//     OutcomeNotLeader, OutcomeNoLeader and OutcomeBusy mean that the request was not accepted and will never take effect.
+//     OutcomeUnknown means that the entry may have been committed, or may still be committed.
+//   - A read with OutcomeCommitted sees everything that was acknowledged before the read was requested.
+//   - Safety depends only on disks. Time only determines when an election starts, when data is retransmitted, and which members
+//     the leader considers lost.
 //
-// # Where it differs from Raft, and why
+// # Differences from Raft
 //
-//   - A vote does not depend on the candidate's log. It carries the voter's last position, and the candidate fetches the newest
-//     log among a majority before it leads, as in Viewstamped Replication. So any member can
-//     lead, also one that lags. Where that log is too large for one message its owner starts an election itself.
-//   - A candidate syncs its own vote before it asks for others: a member whose disk hangs does not disturb the cluster.
-//   - Two candidates of one term would each need another time-out. The one with the lower ID starts the next term at once.
-//   - A member is a disk, not a node: an empty disk draws a new ID, so that a lost disk's votes and acknowledgements can't be
-//     mistaken for those of the empty one that replaces it.
-//   - A joint configuration is one entry. The new list takes effect when it is appended, with the majorities of both lists, and
-//     by itself once it is committed. So one change replaces a member by another, without a longer or shorter list in between.
-//   - The leader changes the member list itself, by which disks its host reaches (ReconcileMembers).
-//   - An acknowledgement of a read sequence needs no disk, so reads are not slowed by writes.
-//   - Snapshots and large entries go in acknowledged chunks, at most Config.MaxInflightBytes at a time, so that heartbeats are
-//     not stuck behind them; a transfer continues under a new leader or connection where it stopped.
-//   - There are no leader leases. QuorumContact is how stale a host's state may be; no read or write depends on it.
+//   - A vote does not depend on the candidate's log. It contains the voter's last log position. Before the candidate leads, it
+//     fetches the newest log of a majority, as in Viewstamped Replication. So any member can become leader, even with a log that
+//     lags behind. If the newest log is too large for one message, its owner starts an election itself.
+//   - A candidate syncs its own vote before it requests other votes. So a member with a hanging disk does not disturb the cluster.
+//   - Two candidates in one term would each wait for another election timeout. Instead, the candidate with the lower ID starts the
+//     next term at once.
+//   - A member is a disk and not a node. An empty disk draws a new ID, so that votes and acknowledgements of a lost disk are not
+//     attributed to the empty disk that replaces it.
+//   - A joint configuration is a single entry. The new list takes effect when the entry is appended, together with the previous
+//     list. Once the entry is committed, only the new list is in effect. So one change replaces a member by another, without a
+//     longer or shorter list in between.
+//   - The leader changes the member list itself, depending on which disks its host reaches (ReconcileMembers).
+//   - The acknowledgement of a read sequence needs no disk write, so writes do not slow down reads.
+//   - Snapshots and large entries are sent in acknowledged chunks, with at most Config.MaxInflightBytes in flight, so that
+//     they do not block heartbeats. A new leader or a new connection continues a transfer where it stopped.
+//   - There are no leader leases. QuorumContact tells how stale the host's state may be. No read or write depends on it.
 //
 // # Compatibility
 //
-// Nodes of two versions talk to each other while a new one is rolled out. The names and types that gob sends are in wire.go; the
-// coordination groups' messages are in the compact form of codec.go. The names on disk are in package logstore.
+// Nodes of two software versions exchange messages during a roll-out. The names and types that gob sends are in wire.go. The
+// messages of the coordination groups use the compact form of codec.go. The names on disk are in package logstore.
 package replication
--- a/internal/gateway/replication/durability.go
+++ b/internal/gateway/replication/durability.go
@@ -6,22 +6,24 @@
 	"clovergap/internal/invariant"
 )
 
-// What is on disk, what is being written, and the messages that must not be sent before a write is synced. Nothing here blocks:
-// the replica goes on while the host writes.
+// This file tracks what is on disk, which writes are pending, and which messages must not be sent before a write is synced.
+// Nothing in it blocks: the replica continues while the host writes.
 
-// unsyncedWrite is a write that the host has been given: once it is synced the log up to lastIndex is on disk.
+// unsyncedWrite is a write that was passed to the host. Once it is synced, the log up to lastIndex is on disk.
 type unsyncedWrite struct{ seq, lastIndex uint64 }
 
-// pendingReply is a message to be sent once a write is synced.
+// pendingReply is a message that must be sent only after a write is synced.
 type pendingReply struct {
-	writeSeq  uint64
-	kind      MessageKind // MsgAppendAck; MsgVoteGranted; MsgRequestVote: a candidate's vote for itself
+	writeSeq uint64
+	// MsgAppendAck, MsgVoteGranted, or MsgRequestVote: a candidate's own vote, whose sync
+	// starts the vote requests to the other members
+	kind      MessageKind
 	term      uint64
 	recipient MemberID
 }
 
-// requireWrite records that the disk lacks something: the entries from an index on if that is not 0, else only term, vote, commit
-// index or snapshot.
+// requireWrite records that the replica's state must be written to disk. A `from` above 0 means that the entries from this index
+// on must be written. With `from` 0, only the term, vote, commit index and snapshot are written.
 func (r *Replica) requireWrite(from uint64) {
 	r.writeNeeded = true
 	if from > 0 && (r.unwrittenFromIndex == 0 || from < r.unwrittenFromIndex) {
@@ -29,7 +31,7 @@
 	}
 }
 
-// takeWrite returns everything that the disk lacks.
+// takeWrite returns a write with everything that is not yet on disk.
 func (r *Replica) takeWrite() Write {
 	w := Write{Seq: r.nextWriteSeq, ClusterID: r.clusterID, Term: r.term, Vote: r.votedFor, Commit: r.commitIndex}
 	if r.hasMutation(forgetVotes) {
@@ -49,9 +51,9 @@
 	return w
 }
 
-// Synced reports that the write of this Seq and all before it are on disk.
+// ReportSynced reports that the write with this sequence number and all earlier writes are on disk.
 func (r *Replica) ReportSynced(seq uint64) {
-	invariant.Assert(seq < r.nextWriteSeq, "only writes that were handed out are synced")
+	invariant.Assert(seq < r.nextWriteSeq, "only writes returned by Next are reported as synced")
 	r.syncedWriteSeq = max(r.syncedWriteSeq, seq)
 	for len(r.unsyncedWrites) > 0 && r.unsyncedWrites[0].seq <= seq {
 		r.syncedIndex = max(r.syncedIndex, r.unsyncedWrites[0].lastIndex)
@@ -68,8 +70,8 @@
 	}
 }
 
-// invalidateSynced records that the disk does not have this log beyond an index, also once writes that are under way are synced:
-// they have entries that were removed since.
+// lowerSyncedIndex records that the disk does not have the current log beyond an index. This also applies to writes that are not
+// synced yet, because they contain entries that were removed since.
 func (r *Replica) lowerSyncedIndex(index uint64) {
 	r.syncedIndex = min(r.syncedIndex, index)
 	for i := range r.unsyncedWrites {
@@ -77,8 +79,8 @@
 	}
 }
 
-// replyAfterSync sends a reply once all that the replica now has is on disk: a vote or an acknowledgement that power takes back
-// would let two leaders be elected, or lose a committed entry.
+// replyAfterSync sends a reply once the present state of the replica is on disk. If a power loss erased a vote, two leaders
+// could be elected in one term. If it erased an acknowledged entry, a committed entry could be lost.
 func (r *Replica) replyAfterSync(reply pendingReply) {
 	reply.writeSeq = r.nextWriteSeq
 	if !r.writeNeeded {
@@ -94,7 +96,7 @@
 	}
 }
 
-// sendPendingReply sends a reply, unless this member has gone on to a newer term meanwhile.
+// sendPendingReply sends a reply, unless this member has moved to a newer term since.
 func (r *Replica) sendPendingReply(reply pendingReply) {
 	if reply.term != r.term {
 		return
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -3,19 +3,20 @@
 import "clovergap/internal/invariant"
 
 const (
-	// startupTimeoutDivisor shortens the first election time-out of a process that knows of no leader yet: after a loss of
-	// power everywhere there is none. Where there is one, the pre-vote keeps it.
+	// startupTimeoutDivisor shortens the first election timeout of a process that has not seen a leader yet: after a power
+	// loss on all nodes there is no leader. If a leader exists, the pre-vote prevents an unnecessary election.
 	startupTimeoutDivisor = 3
 
-	// maxElectionBackoff bounds the election time-out in multiples of Config.ElectionTimeout. Each election without a leader
-	// doubles it: where every sync takes longer than the time-out, candidates would otherwise depose each other for ever.
+	// maxElectionBackoffFactor limits the election timeout to this multiple of Config.ElectionTimeout. Each election without a
+	// leader doubles the timeout. Otherwise candidates would depose each other forever if every sync takes longer than the timeout.
 	maxElectionBackoffFactor = 4
 
-	// voteTimeoutFactor is how many times as long as its own disk took a candidate allows for votes: others' disks may be busier.
+	// voteTimeoutFactor is the time that a candidate allows for votes, as a multiple of the time of its own sync. The factor
+	// is above 1 because the disks of other members may be busier.
 	voteTimeoutFactor = 3
 )
 
-// resetElectionDeadline starts the election time-out anew. Only members start elections.
+// resetElectionDeadline restarts the election timeout. Only members start elections.
 func (r *Replica) resetElectionDeadline() {
 	r.electionDeadline = never
 	if r.clusterID == 0 || !r.isMember(r.self.ID) {
@@ -31,8 +32,8 @@
 	r.electionDeadline = r.now + timeout + r.randomDuration(jitter)
 }
 
-// ReportUnreachable reports that the connection to a member broke. If that is the leader, this member starts a pre-vote soon, as do
-// the others whose connections broke; those that still hear the leader reject it.
+// ReportUnreachable reports that the connection to a member broke. If that member is the leader, this member soon starts a
+// pre-vote, like the other members whose connections broke. Members that still receive messages from the leader reject it.
 func (r *Replica) ReportUnreachable(id MemberID) {
 	if r.role != roleFollower || r.leaderID != id || r.electionDeadline == never {
 		return
@@ -41,9 +42,10 @@
 	r.electionDeadline = min(r.electionDeadline, r.now+r.randomDuration(r.config.HeartbeatInterval/2))
 }
 
-// enterTerm goes on to a newer term, or in the present one to another leader than the candidate that this member voted for.
+// enterTerm moves to a newer term. It is also called for the current term if the leader is not the candidate that this member
+// voted for.
 func (r *Replica) enterTerm(term uint64, votedFor MemberID) {
-	invariant.Assert(term >= r.term, "terms never go back")
+	invariant.Assert(term >= r.term, "the term never decreases")
 	if r.role == roleLeader {
 		r.stepDown()
 	}
@@ -54,8 +56,8 @@
 	r.requireWrite(0)
 }
 
-// startPreVote asks the others whether they have lost the leader too. Without it, a partitioned member would raise the
-// term in vain, and depose the leader when it comes back.
+// startPreVote asks the other members whether they have lost the leader too. Without a pre-vote, a partitioned member would
+// increase the term without being elected, and would depose the leader once the partition heals.
 func (r *Replica) startPreVote() {
 	r.resetElectionDeadline()
 	if r.electionDeadline == never {
@@ -88,8 +90,8 @@
 	}
 }
 
-// startElection raises the term and votes for this member. The others are requested to once that vote is on disk: one that can't sync
-// could not lead, and had better not depose the leader.
+// startElection increases the term and votes for this member. Vote requests are sent only after this vote is on disk: a member
+// that cannot sync could not lead, so it should not depose the leader.
 func (r *Replica) startElection() {
 	r.enterTerm(max(r.term, r.maxSeenTerm)+1, r.self.ID)
 	r.role, r.fetchingLogFrom = roleCandidate, 0
@@ -100,8 +102,8 @@
 	r.replyAfterSync(pendingReply{kind: MsgRequestVote, term: r.term})
 }
 
-// awaitVotes puts the next election off until the others have had time to sync their votes: one that starts while they write
-// makes those votes worthless.
+// extendElectionDeadline postpones the next election until the other members have had time to sync their votes. An election
+// that starts while they write would invalidate these votes.
 func (r *Replica) extendElectionDeadline() {
 	if r.electionDeadline == never || r.hasMutation(skipTieBreak) {
 		return
@@ -111,7 +113,8 @@
 	r.electionDeadline = max(r.electionDeadline, r.now+voteTimeout)
 }
 
-// onRequestVote votes for the first candidate of a term, whatever its log: it fetches the newest one before it leads.
+// onRequestVote votes for the first candidate of a term. The vote does not depend on the candidate's log, because a candidate
+// fetches the newest log before it leads.
 func (r *Replica) onRequestVote(from MemberID, m Message) {
 	if m.Term < r.term || m.Term == r.term && r.votedFor != from && !r.hasMutation(voteTwice) {
 		r.sendToID(from, Message{Kind: MsgStaleTerm, Term: r.term, Rejected: r.role == roleCandidate})
@@ -119,7 +122,7 @@
 	}
 	if m.Term > r.term || r.hasMutation(voteTwice) {
 		r.enterTerm(m.Term, from)
-		r.leaderContactAt, r.sawLeader = r.now, true // the candidate gets an election time-out to lead
+		r.leaderContactAt, r.sawLeader = r.now, true // the candidate has one election timeout to become leader
 		r.resetElectionDeadline()
 	}
 	r.replyAfterSync(pendingReply{kind: MsgVoteGranted, term: m.Term, recipient: from})
@@ -132,7 +135,8 @@
 	}
 }
 
-// tallyVotes asks for the votes that are missing, and leads with a majority's if this log is the newest of theirs.
+// tallyVotes sends the missing vote requests. With the votes of a majority, it becomes leader if its log is the newest among
+// the voters. Otherwise it fetches the newest log.
 func (r *Replica) tallyVotes() {
 	if _, synced := r.votes[r.self.ID]; !synced {
 		return
@@ -149,7 +153,8 @@
 		}
 		return
 	}
-	if !r.isMember(r.self.ID) { // the newest log has a list without this member: another one will start an election
+	// The newest log has a member list without this member. Another member will start an election.
+	if !r.isMember(r.self.ID) {
 		r.role = roleFollower
 		r.resetElectionDeadline()
 		return
@@ -157,7 +162,8 @@
 	r.becomeLeader()
 }
 
-// requestVotes sends a request to the members that were not sent one in this term. A log that was fetched may have brought new ones.
+// requestVotes sends a vote request to each member that was not sent one in this term. The member list can grow during an
+// election if the candidate fetches a newer log.
 func (r *Replica) requestVotes() {
 	for _, m := range r.otherMembers() {
 		if _, asked := r.voteRequests[m.ID]; !asked {
@@ -167,7 +173,8 @@
 	}
 }
 
-// newestVoter is the voter with the newest log: this member if none is newer than its own, else the lowest ID of several.
+// voterWithNewestLog returns the voter whose log is the newest. It returns this member if no log is newer than its own, and the
+// lowest ID if several other voters have the same newest position.
 func (r *Replica) voterWithNewestLog() MemberID {
 	newest, position := r.self.ID, r.log.lastPosition()
 	for id, last := range r.votes {
@@ -178,7 +185,7 @@
 	return newest
 }
 
-// onFetchLog gives this member's log to the candidate that it voted for.
+// onFetchLog sends this member's log to the candidate that it voted for.
 func (r *Replica) onFetchLog(from MemberID, m Message) {
 	if m.Term != r.term || r.votedFor != from || r.role != roleFollower || r.leaderID != 0 {
 		return
@@ -193,15 +200,15 @@
 	tail.Entries = r.log.entriesFrom(tail.Index + 1)
 	size += totalEntryBytes(tail.Entries)
 	if r.needsChunks(size) && r.isMember(r.self.ID) {
-		// In one message it would delay everything else on the link. This member leads instead, and brings the candidate up to
-		// date in chunks.
+		// A single message of this size would delay all other traffic on the link. This member starts an election to lead
+		// instead, and then sends its log to the candidate in chunks.
 		r.startElection()
 		return
 	}
 	r.sendToID(from, tail)
 }
 
-// onLogTail takes over the newest voter's log.
+// onLogTail replaces the end of this log by the log of the voter with the newest log.
 func (r *Replica) onLogTail(m Message) {
 	if r.role != roleCandidate || m.Term != r.term {
 		return
@@ -220,20 +227,20 @@
 	r.tallyVotes()
 }
 
-// onStaleTerm takes the answer of a member that does not follow this one's term.
+// onStaleTerm handles the response of a member that does not accept this member's term.
 func (r *Replica) onStaleTerm(from MemberID, m Message) {
-	// A majority may follow a newer term. A learner does not count.
+	// A majority may follow a newer term. A learner is no evidence of that, because it does not count for a majority.
 	if r.role == roleLeader && m.Term > r.term && r.peers[from] != nil && from != r.learner {
 		r.stepDown()
 	}
-	// Two candidates of one term keep each other from a majority. The lower ID starts another election, and the other one votes
-	// for it.
+	// Two candidates in one term prevent each other from getting a majority. The one with the lower ID starts another
+	// election, and the other votes for it.
 	if r.role == roleCandidate && m.Rejected && m.Term == r.term && r.self.ID < from && !r.hasMutation(skipTieBreak) {
 		r.startElection()
 	}
 }
 
-// onTimeoutNow starts an election without a pre-vote: the leader transfers its leadership.
+// onTimeoutNow starts an election without a pre-vote, because the leader transfers its leadership to this member.
 func (r *Replica) onTimeoutNow(from MemberID, m Message) {
 	if m.Term == r.term && r.leaderID == from && r.role == roleFollower && r.isMember(r.self.ID) {
 		r.startElection()
--- a/internal/gateway/replication/entry.go
+++ b/internal/gateway/replication/entry.go
@@ -1,45 +1,45 @@
 package replication
 
-// MemberID identifies a member's disk. It is drawn at random for each empty disk and is never 0; the ID of a lost disk never
-// comes back.
+// MemberID identifies a member's disk. It is drawn at random for each empty disk and is never 0. The ID of a lost disk is never
+// used again.
 type MemberID uint64
 
-// Member is a disk and the address of its node.
+// Member is a disk of the cluster with the address of its node.
 type Member struct {
 	ID   MemberID
-	Addr string // host:port; no two members of a list share one
+	Addr string // host:port, unique within a member list
 }
 
-// EntryKind is what an entry is for. Its numbers are on disk and on the wire.
+// EntryKind is the kind of an entry. Its values are part of the disk format and the wire format.
 type EntryKind uint8
 
-// The kinds of entries.
+// Kinds of entries.
 const (
-	EntryNormal       EntryKind = iota // Data is the host's
-	EntryConfigChange                  // Members is the list from this index on
-	EntryNoOp                          // the first entry of a term
+	EntryNormal       EntryKind = iota // Data is the host's payload
+	EntryConfigChange                  // Members is the member list that takes effect at this index
+	EntryNoOp                          // the first entry of a term, without content
 )
 
 // Entry is one entry of the log.
 type Entry struct {
 	Index, Term uint64
 	Kind        EntryKind
-	Data        []byte   // of an EntryNormal; never changed once proposed
-	Members     []Member // of an EntryConfigChange: the complete new list
+	Data        []byte   // for EntryNormal; must not change after the proposal
+	Members     []Member // for EntryConfigChange: the complete new list
 }
 
-// Approximate bytes that an entry and each member on its list take beside the data, on a link and on disk.
+// These are the approximate overhead of an entry, and of each member on its list, in bytes on a link or on disk.
 const (
 	entryOverheadBytes  = 32
 	memberOverheadBytes = 32
 )
 
-// Size is approximately how many bytes an entry takes on a link and on disk.
+// Size returns the approximate size of the entry in bytes on a link or on disk.
 func (e *Entry) Size() int {
 	return len(e.Data) + entryOverheadBytes + memberOverheadBytes*len(e.Members)
 }
 
-// sizeOf is the sum of the entries' sizes.
+// totalEntryBytes returns the sum of the entry sizes.
 func totalEntryBytes(entries []Entry) (bytes int) {
 	for i := range entries {
 		bytes += entries[i].Size()
@@ -47,20 +47,20 @@
 	return bytes
 }
 
-// Snapshot is the host's state up to an index. It replaces the log up to there.
+// Snapshot is the host's state up to an index. It replaces the log up to that index.
 type Snapshot struct {
 	Index, Term uint64 // of the last entry that State includes
 	Members     []Member
-	State       []byte // empty: the state that a system starts with
+	State       []byte // empty: the initial state of a new system
 }
 
 func (s *Snapshot) lastPosition() logPosition { return logPosition{s.Term, s.Index} }
 
-// logPosition is that of a log's last entry.
+// logPosition is the term and index of an entry, usually of the last entry of a log.
 type logPosition struct{ term, index uint64 }
 
-// newerThan compares logs as Raft does: the one whose last entry has the higher term, or the higher index in the same term, is
-// newer.
+// newerThan compares the last entries of two logs as Raft does. The log with the higher last term is newer. If the terms are equal,
+// the log with the higher last index is newer.
 func (l logPosition) newerThan(other logPosition) bool {
 	return l.term > other.term || l.term == other.term && l.index > other.index
 }
--- a/internal/gateway/replication/follower.go
+++ b/internal/gateway/replication/follower.go
@@ -2,9 +2,9 @@
 
 import "clovergap/internal/invariant"
 
-// What a member does with a leader's appends. Chunks of them are in snapshot.go.
+// This file handles the leader's append messages at a follower. Chunks of appends are handled in snapshot.go.
 
-// followLeader takes over what every message of a leader has. It returns false if the message is of an earlier term.
+// followLeader processes the fields that all messages of a leader have. It returns false if the message has an earlier term.
 func (r *Replica) followLeader(from MemberID, m Message) bool {
 	if m.Term < r.term && !r.hasMutation(acceptStaleTerm) {
 		r.sendToID(from, Message{Kind: MsgStaleTerm, Term: r.term})
@@ -13,17 +13,18 @@
 	if m.Term > r.term || r.votedFor != from && !r.hasMutation(acceptStaleTerm) {
 		r.enterTerm(m.Term, from)
 	}
-	invariant.Assert(r.role != roleLeader, "a term has one leader")
+	invariant.Assert(r.role != roleLeader, "a term has at most one leader")
 	r.role, r.leaderID, r.leaderContactAt = roleFollower, from, r.now
 	r.sawLeader, r.failedElections = true, 0
 	r.readSeq = max(r.readSeq, m.Seq)
-	if r.leaderClock == 0 || int32(m.Clock-r.leaderClock) > 0 { // the difference, as clocks wrap
+	// Clocks wrap around, so that only the sign of the difference tells which is newer.
+	if r.leaderClock == 0 || int32(m.Clock-r.leaderClock) > 0 {
 		r.leaderClock = m.Clock
 	}
 	return true
 }
 
-// onAppend appends a leader's entries, or installs its snapshot, and acknowledges what is on disk.
+// onAppend appends the leader's entries or installs its snapshot, and acknowledges what is on disk.
 func (r *Replica) onAppend(from MemberID, m Message) {
 	if !r.followLeader(from, m) {
 		return
@@ -33,7 +34,7 @@
 		r.replicatedElsewhere = m.ReplicatedElsewhere
 	}
 	r.installSnapshotIfNewer(m.Snapshot)
-	// What is committed is the same everywhere, so that nothing up to there need be compared.
+	// Committed entries are the same on all members, so entries up to the commit index need no comparison.
 	if m.Index > r.commitIndex && !r.hasPreviousEntry(m) {
 		r.resetElectionDeadline()
 		r.sendToID(from, Message{Kind: MsgAppendReject, Term: m.Term, Index: r.commitIndex, Seq: r.readSeq,
@@ -41,7 +42,7 @@
 		return
 	}
 	r.appendAfter(m.Index, m.Entries)
-	r.resetElectionDeadline() // after appending: a new list decides whether this member may start elections
+	r.resetElectionDeadline() // after appending, because a new member list determines whether this member may start elections
 	r.matchIndex = max(r.matchIndex, m.Index+uint64(len(m.Entries)))
 	r.commitTo(max(r.commitIndex, min(m.Commit, r.matchIndex)))
 	r.receiveQuorumContact(m)
@@ -53,13 +54,13 @@
 	}
 }
 
-// matchesPrevious reports whether the entry before those of an append is in the log.
+// hasPreviousEntry reports whether the log has the entry that precedes the entries of an append.
 func (r *Replica) hasPreviousEntry(m Message) bool {
 	term, known := r.log.termAt(m.Index)
 	return known && (term == m.LogTerm || r.hasMutation(skipLogMatching))
 }
 
-// sendAck acknowledges to the leader what is on disk, and the read sequence, which needs no disk.
+// sendAck acknowledges the log on disk to the leader. It also acknowledges the read sequence, which needs no disk write.
 func (r *Replica) sendAck() {
 	index := min(r.matchIndex, r.syncedIndex)
 	if r.hasMutation(ackUnsynced) {
--- a/internal/gateway/replication/leader.go
+++ b/internal/gateway/replication/leader.go
@@ -6,7 +6,8 @@
 	"clovergap/internal/invariant"
 )
 
-// becomeLeader begins the term with a no-op: nothing of earlier terms counts as committed before an entry of this one is.
+// becomeLeader starts the term with a no-op entry. Entries of earlier terms are not counted as committed before an entry of this
+// term is committed.
 func (r *Replica) becomeLeader() {
 	r.role, r.leaderID = roleLeader, r.self.ID
 	r.sawLeader, r.failedElections = true, 0
@@ -18,10 +19,10 @@
 	r.maybeCommit()
 }
 
-// stepDown stops leading. Proposals that are pending may still be committed by another leader.
+// stepDown ends the leadership. Another leader may still commit the pending proposals.
 func (r *Replica) stepDown() {
 	r.role, r.leaderID = roleFollower, 0
-	r.leaderContactAt = r.now - r.config.ElectionTimeout // this member accepts a pre-vote at once
+	r.leaderContactAt = r.now - r.config.ElectionTimeout // accept a pre-vote at once
 	r.resetElectionDeadline()
 	r.peers, r.learner, r.leadershipTransferDeadline = nil, 0, 0
 	r.matchIndex, r.readSeq, r.ackedReadSeq = 0, 0, 0
@@ -32,7 +33,7 @@
 	r.reads = nil
 }
 
-// failProposals ends all proposals, in the order of the log.
+// failProposals ends all pending proposals with OutcomeUnknown, in the order of the log.
 func (r *Replica) failProposals() {
 	indexes := make([]uint64, 0, len(r.proposals))
 	for index := range r.proposals {
@@ -47,7 +48,7 @@
 	}
 }
 
-// tickLeader steps down without a quorum, drops a dead learner, and sends heartbeats.
+// tickLeader steps down if the quorum is lost, drops a learner that does not respond, and sends heartbeats.
 func (r *Replica) tickLeader() {
 	isActive := func(id MemberID) bool {
 		return id == r.self.ID || r.peers[id] != nil && r.isRecentlyActive(r.peers[id])
@@ -66,7 +67,7 @@
 	r.updateQuorumContact()
 }
 
-// appendToOwnTerm appends a new entry of this term, to be replicated before Next has nothing more.
+// appendInCurrentTerm appends a new entry in the current term. The entry is replicated before Next returns false.
 func (r *Replica) appendInCurrentTerm(e Entry) uint64 {
 	e.Index, e.Term = r.log.lastIndex()+1, r.term
 	r.appendEntry(e)
@@ -78,7 +79,7 @@
 	return e.Index
 }
 
-// replicateAll sends every member what it lacks, and starts a read sequence if there are reads for one.
+// replicateAll sends each member the entries that it lacks, and starts a read sequence if reads are waiting for one.
 func (r *Replica) replicateAll() {
 	if r.role != roleLeader {
 		return
@@ -89,10 +90,10 @@
 	if len(r.reads) > 0 && r.confirmedReadSeq() == r.readSeq && r.startReadSeq() {
 		r.broadcastReadSeq()
 	}
-	r.maybeCommit() // the only member of a cluster gets no acknowledgement that would
+	r.maybeCommit() // a cluster with a single member gets no acknowledgement that would trigger the commit
 }
 
-// replicateTo sends a member what it lacks, as far as may be in flight.
+// replicateTo sends a member the entries or the snapshot that it lacks, up to the limit for data in flight.
 func (r *Replica) replicateTo(peer *progress) {
 	if outdated := peer.transfer.snapshot; r.hasMutation(abandonTransfer) && outdated != nil && outdated.Index < r.log.snapshot.Index {
 		peer.transfer, peer.nextIndex = blobTransfer{}, 0
@@ -125,8 +126,9 @@
 	r.sendAppend(peer, Message{Index: previous, LogTerm: term, Entries: entries})
 }
 
-// countToSend is how many of some entries go in the next message: up to those that exceed it, exceed what may be in flight, or go
-// in chunks. The first one goes in any case if nothing is in flight.
+// sendableEntryCount returns how many of the entries fit into the next message. The message ends before the entry that would exceed
+// the message size or the limit for data in flight, or that must be sent in chunks. If nothing is in flight, the first entry is
+// always sent.
 func (r *Replica) sendableEntryCount(peer *progress, entries []Entry) int {
 	inflight, size := r.inflightBytes(peer), 0
 	for i := range entries {
@@ -141,7 +143,7 @@
 	return len(entries)
 }
 
-// sendAppend sends a message of the leader with what all of them carry.
+// sendAppend sends a message of the leader with the fields that all of its messages have.
 func (r *Replica) sendAppend(peer *progress, m Message) {
 	if m.Kind == 0 {
 		m.Kind = MsgAppend
@@ -151,7 +153,7 @@
 	r.sendToMember(peer.Member, m)
 }
 
-// broadcastHeartbeat sends all a heartbeat, with the commit index.
+// broadcastHeartbeat sends a heartbeat with the commit index to all members and the learner.
 func (r *Replica) broadcastHeartbeat() {
 	for _, peer := range r.sortedPeers() {
 		r.sendHeartbeat(peer)
@@ -159,8 +161,8 @@
 	r.nextHeartbeatAt = r.now + r.config.HeartbeatInterval
 }
 
-// sendHeartbeat sends an append without entries. It names the entry that the member should have next to last: the answer shows
-// whether something was lost.
+// sendHeartbeat sends an append without entries. Its Index and LogTerm name the last entry that was sent to the member. If the
+// member lacks that entry, it rejects the heartbeat, which reveals a lost message.
 func (r *Replica) sendHeartbeat(peer *progress) {
 	previous := logPosition{index: peer.nextIndex - 1}
 	var known bool
@@ -177,11 +179,11 @@
 	}
 	r.sendAppend(peer, m)
 	if peer.transfer.isActive() {
-		r.sendChunks(peer) // those that were not acknowledged in time
+		r.sendChunks(peer) // sends unacknowledged chunks again after the timeout
 	}
 }
 
-// onAppendResponse takes a member's acknowledgement or rejection.
+// onAppendResponse handles a member's acknowledgement or rejection.
 func (r *Replica) onAppendResponse(from MemberID, m Message) {
 	peer := r.peers[from]
 	if r.role != roleLeader || m.Term != r.term && !r.hasMutation(countStaleAcks) || peer == nil {
@@ -202,16 +204,16 @@
 	}
 }
 
-// onAppendReject goes back to what the member has committed, which is the same everywhere.
+// onAppendReject continues replication from the member's commit index, because committed entries are the same on all members.
 func (r *Replica) onAppendReject(peer *progress, m Message) {
 	if peer.transfer.isActive() && (peer.transfer.snapshot == nil || m.Index >= peer.transfer.sender.Blob.Index()) {
 		peer.transfer = blobTransfer{}
 	}
 	switch {
-	case peer.transfer.isActive(): // of the snapshot that it lacks
+	case peer.transfer.isActive(): // the snapshot contains the missing entries
 		r.replicateTo(peer)
 	case r.now >= peer.nextRetryAt:
-		// Appends that were under way are rejected too. They need no retransmission of their own.
+		// Appends that were in flight are rejected too. These rejections must not cause further retransmissions.
 		peer.nextRetryAt = r.now + r.config.HeartbeatInterval/2
 		peer.inflightBase = max(m.Index, peer.matchIndex)
 		peer.nextIndex = peer.inflightBase + 1
@@ -220,17 +222,17 @@
 	r.finishConfirmedReads()
 }
 
-// onAppendAck takes over what a member has on disk, and goes on with what waited for it.
+// onAppendAck records what a member has on disk, and continues the work that depends on it.
 func (r *Replica) onAppendAck(peer *progress, m Message) {
 	if peer.transfer.isActive() && m.Index >= peer.transfer.sender.Blob.Index() {
 		peer.transfer = blobTransfer{}
 	}
-	invariant.Assert(m.Index <= r.log.lastIndex(), "no member matches more than the leader has")
+	invariant.Assert(m.Index <= r.log.lastIndex(), "a member acknowledges no index beyond the leader's log")
 	progressed := m.Index > peer.matchIndex
 	peer.matchIndex = max(peer.matchIndex, m.Index)
 	peer.nextIndex = max(peer.nextIndex, peer.matchIndex+1)
 	r.maybeCommit()
-	if r.role != roleLeader || r.peers[peer.ID] == nil { // a list without it, or without this leader, was committed
+	if r.role != roleLeader || r.peers[peer.ID] == nil { // a committed member list removed the member or this leader
 		return
 	}
 	if peer.ID == r.learner {
@@ -245,7 +247,8 @@
 	r.maybeTransferLeadership()
 }
 
-// maybeCommit commits what a majority has on disk. A committed list can make more of it.
+// maybeCommit commits the entries that a majority has on disk. If a committed member list ends a joint configuration, more entries
+// can be committable. The loop repeats for this reason.
 func (r *Replica) maybeCommit() {
 	for r.role == roleLeader {
 		index := r.committableIndex()
@@ -262,8 +265,9 @@
 	r.finishConfirmedReads()
 }
 
-// committableIndex is up to which index a majority has the log on disk, if the entry there is of this term. One of an earlier term
-// is committed only with one of this term behind it: a later leader may not know it, though a majority has it (Raft, 5.4.2).
+// committableIndex returns the highest index up to which a majority has the log on disk, provided that its entry is of the current
+// term. An entry of an earlier term is committed only together with a later entry of the current term: even if a majority has the
+// older entry, a later leader may lack it (Raft, section 5.4.2).
 func (r *Replica) committableIndex() uint64 {
 	for index := r.log.lastIndex(); index > r.commitIndex; index-- {
 		if term, _ := r.log.termAt(index); term != r.term && !r.hasMutation(commitEarlierTerms) {
@@ -276,7 +280,7 @@
 	return r.commitIndex
 }
 
-// memberSynced reports whether a member is known to have the log up to an index on disk.
+// hasMemberSynced reports whether a member is known to have the log up to an index on disk.
 func (r *Replica) hasMemberSynced(id MemberID, index uint64) bool {
 	if id == r.self.ID {
 		return r.syncedIndex >= index || r.hasMutation(ackUnsynced)
@@ -287,7 +291,8 @@
 	return r.peers[id] != nil && r.peers[id].matchIndex >= index
 }
 
-// exitJointConfiguration goes on with only the new list. Members that are not on it learn so by one more commit index.
+// exitJointConfiguration continues with only the new member list. Before that, it sends the commit index once more to the members
+// that are no longer listed, so that they learn of their removal.
 func (r *Replica) exitJointConfiguration() {
 	r.broadcastHeartbeat()
 	r.trackMembers()
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -6,20 +6,22 @@
 	"clovergap/internal/invariant"
 )
 
-// maxTrailingEntries bounds the compacted entries that stay in memory, beside Config.TrailingBytes: small entries cost more than
-// their Size.
+// maxTrailingEntries limits the number of compacted entries that stay in memory, in addition to the limit in bytes: a small entry
+// takes more memory than its Size.
 const maxTrailingEntries = 4096
 
-// entryLog is a snapshot and the entries after it, and in memory some of the entries before its index. All that it returns may be
-// kept by the caller.
+// entryLog is a snapshot and the entries after it. It also keeps some compacted entries in memory. Its methods return values that
+// the caller may keep.
 type entryLog struct {
-	snapshot           Snapshot
-	entries            []Entry // after snapshot
-	trailing           []Entry // the last ones up to snapshot, for members that lack only a little; not on disk
-	termBeforeTrailing uint64  // of the entry before trailing, so that an append of all of trailing can name it
+	snapshot Snapshot
+	entries  []Entry // entries after the snapshot
+	// The last entries up to the snapshot, for members that lack only a few entries. They are not on disk.
+	trailing []Entry
+	// The term of the entry before trailing. An append that starts with the first trailing entry must name this term.
+	termBeforeTrailing uint64
 }
 
-// firstIndex is that of the oldest entry in memory.
+// firstIndex returns the index of the oldest entry in memory.
 func (e *entryLog) firstIndex() uint64 { return e.snapshot.Index + 1 - uint64(len(e.trailing)) }
 
 func (e *entryLog) lastIndex() uint64 { return e.snapshot.Index + uint64(len(e.entries)) }
@@ -29,7 +31,7 @@
 	return logPosition{term, e.lastIndex()}
 }
 
-// at is the entry of an index from firstIndex to lastIndex.
+// entryAt returns the entry with an index from firstIndex to lastIndex.
 func (e *entryLog) entryAt(index uint64) *Entry {
 	if index <= e.snapshot.Index {
 		return &e.trailing[index-e.firstIndex()]
@@ -37,7 +39,7 @@
 	return &e.entries[index-e.snapshot.Index-1]
 }
 
-// termAt is the term of the entry at an index, and false if that is not known any more or yet.
+// termAt returns the term of the entry at an index. It returns false if the entry was compacted or does not exist yet.
 func (e *entryLog) termAt(index uint64) (uint64, bool) {
 	switch {
 	case index == e.snapshot.Index:
@@ -50,13 +52,13 @@
 	return e.entryAt(index).Term, true
 }
 
-// matches reports whether the log has an entry of this index and term.
+// hasEntry reports whether the log has an entry with this index and term.
 func (e *entryLog) hasEntry(index, term uint64) bool {
 	foundTerm, known := e.termAt(index)
 	return known && foundTerm == term
 }
 
-// entriesFrom is a copy of the log from an index on, which is at least firstIndex.
+// entriesFrom returns a copy of the log from an index on. The index must be at least firstIndex.
 func (e *entryLog) entriesFrom(index uint64) []Entry {
 	if index > e.lastIndex() {
 		return nil
@@ -67,7 +69,7 @@
 	return slices.Clone(e.entries[index-e.snapshot.Index-1:])
 }
 
-// bytesBetween is the size of the entries after one index, up to and including another.
+// bytesBetween returns the total size of the entries after index `after`, up to and including index `upto`.
 func (e *entryLog) bytesBetween(after, upto uint64) (bytes int) {
 	for index := max(after+1, e.firstIndex()); index <= upto; index++ {
 		bytes += e.entryAt(index).Size()
@@ -76,18 +78,18 @@
 }
 
 func (e *entryLog) append(entry Entry) {
-	invariant.Assert(entry.Index == e.lastIndex()+1, "the log has no gaps")
+	invariant.Assert(entry.Index == e.lastIndex()+1, "an appended entry follows the last entry of the log")
 	e.entries = append(e.entries, entry)
 }
 
 // truncateFrom removes all entries from an index on.
 func (e *entryLog) truncateFrom(index uint64) {
-	// A copy: the previous array may be part of a message or a write that is under way.
+	// Copy the slice, because the previous array may be part of a message or a write that is still in use.
 	e.entries = slices.Clone(e.entries[:index-e.snapshot.Index-1])
 }
 
-// compact replaces the log up to the snapshot's index by it, and keeps as much of what it replaces as the larger of trailingBytes
-// and the snapshot's state: a member that lacks less than that is sent entries, not the snapshot.
+// compact replaces the log up to the snapshot's index by the snapshot. It keeps compacted entries in memory, up to the larger of
+// trailingBytes and the size of the snapshot's state. A member that lacks less than that receives entries instead of the snapshot.
 func (e *entryLog) compact(snapshot Snapshot, trailingBytes int) {
 	if len(e.trailing) == 0 {
 		e.termBeforeTrailing = e.snapshot.Term
@@ -107,7 +109,7 @@
 	}
 }
 
-// appendEntry appends to the log, and puts a member list into effect.
+// appendEntry appends an entry to the log. The member list of an EntryConfigChange takes effect at once.
 func (r *Replica) appendEntry(e Entry) {
 	r.log.append(e)
 	if e.Kind == EntryConfigChange {
@@ -115,7 +117,7 @@
 	}
 }
 
-// truncateFrom removes all entries from an index on, and the member lists among them.
+// truncateFrom removes all entries from an index on, together with the member lists in them.
 func (r *Replica) truncateFrom(index uint64) {
 	invariant.Assert(index > r.commitIndex, "committed entries are never removed")
 	r.log.truncateFrom(index)
@@ -126,12 +128,12 @@
 	r.requireWrite(index)
 }
 
-// appendAfter makes the log as a newer one, given that one's entries after an index up to which both are equal. Entries are only
-// removed where one conflicts: a delayed message has fewer entries than an earlier one, and must not undo it.
+// appendAfter appends the entries of a newer log, given that both logs are equal up to prevIndex. It removes own entries only from
+// the first conflicting one on: a delayed message may contain fewer entries than an earlier one, and must not remove the others.
 func (r *Replica) appendAfter(prevIndex uint64, entries []Entry) {
 	for i, e := range entries {
 		consecutive := e.Index == prevIndex+1+uint64(i)
-		invariant.Assert(consecutive, "entries in a message are consecutive")
+		invariant.Assert(consecutive, "entries in a message have consecutive indexes")
 		if !consecutive {
 			return
 		}
@@ -152,7 +154,7 @@
 	}
 }
 
-// commitTo hands over all entries up to an index, and ends the proposals among them.
+// commitTo passes all entries up to an index to the host as committed, and finishes the proposals among them.
 func (r *Replica) commitTo(index uint64) {
 	invariant.Assert(index <= r.log.lastIndex(), "only entries in the log are committed")
 	for r.commitIndex < min(index, r.log.lastIndex()) {
@@ -164,8 +166,8 @@
 			r.finishRequest(token, e.Index, OutcomeCommitted)
 		}
 		if e.Kind == EntryConfigChange {
-			// The commit index goes to disk: after a restart this member needs only the majority of the new list, also where
-			// the members that knew so are gone.
+			// The commit index is written to disk. After a restart, this member then needs only the majority of the new list, even
+			// if the other members that knew of the commit are gone.
 			r.requireWrite(0)
 		}
 	}
@@ -186,11 +188,11 @@
 	r.requireWrite(0)
 }
 
-// FirstIndex is the index of the oldest entry that EntriesAfter can return.
+// FirstIndex returns the index of the oldest entry that EntriesAfter can return.
 func (r *Replica) FirstIndex() uint64 { return r.log.firstIndex() }
 
-// EntriesAfter returns the entries after an index, up to and including another. It returns false if some of them are compacted:
-// the snapshot has them.
+// EntriesAfter returns the entries after index `index`, up to and including index `upto`. It returns false if some of these entries
+// were compacted and are only in the snapshot, or if the log ends before `upto`.
 func (r *Replica) EntriesAfter(index, upto uint64) ([]Entry, bool) {
 	if index+1 < r.log.firstIndex() || upto > r.log.lastIndex() {
 		return nil, false
@@ -199,7 +201,7 @@
 	return entries[:min(uint64(len(entries)), max(upto, index)-index)], true
 }
 
-// UncompactedBytes is the size of the entries after the snapshot, up to and including an index.
+// UncompactedBytes returns the size of the entries after the snapshot, up to and including an index.
 func (r *Replica) UncompactedBytes(upto uint64) int {
 	return r.log.bytesBetween(r.log.snapshot.Index, min(upto, r.log.lastIndex()))
 }
--- a/internal/gateway/replication/membership.go
+++ b/internal/gateway/replication/membership.go
@@ -6,50 +6,53 @@
 	"time"
 )
 
-// Changes of members. The leader goes by which disks its host reaches and makes one change at a time, each by a joint
-// configuration:
+// Membership changes. The leader compares the member list with the disks that its host reaches. It makes one change at a time, each
+// by a joint configuration:
 //
-//   - A disk that is no member receives the log as a learner first. Once it has what is committed, it replaces the member at its
-//     address, whose disk is gone, or the member that was lost longest; if none is lost, it is added. While a member has been lost
-//     only for a moment it may be restarting: the learner is delayed until that is known.
-//   - A lost member that no learner replaces is removed if otherwise fewer than `tolerates` further members could be lost, and only
-//     if 2*tolerates+1 remain: a majority of so many are tolerates+1 copies of whatever is acknowledged.
+//   - A disk that is not a member first receives the log as a learner. Once the learner has all committed entries, it replaces the
+//     member at its own address, because the disk of that member is gone. Otherwise it replaces the member that has been lost
+//     longest. If no member is lost, the learner is added. A member that was lost only recently may be restarting, so the
+//     learner's promotion is delayed until that is known.
+//   - A lost member without a replacement is removed if fewer than `tolerates` further members could be lost otherwise, and only
+//     if at least 2*tolerates+1 members remain: a majority of 2*tolerates+1 keeps tolerates+1 copies of each acknowledged entry.
 //
-// With l members reached of n, l-(n/2+1) more may be lost. With l >= 2*tolerates+1 that is at least `tolerates` once n = l. So
-// after any loss it takes replaceLostAfter or removeLostAfter, and a round trip, until `tolerates` more may be lost.
+// If l of n members are reachable, l-(n/2+1) more may be lost. Once n = l and l >= 2*tolerates+1, that is at least `tolerates`.
+// So after any loss, it takes replaceLostAfter or removeLostAfter plus a round trip until the cluster tolerates `tolerates` losses again.
 
 const (
 	// replaceLostAfter is how long a member may take to restart before a learner replaces it.
 	replaceLostAfter = 2 * time.Second
 
-	// removeLostAfter is the same for a member without a learner to replace it. It is longer, as a learner may yet come.
+	// removeLostAfter is how long a member may be lost before it is removed without a replacement. It is longer than
+	// replaceLostAfter, because a learner may still appear.
 	removeLostAfter = 3 * time.Second
 
-	// drainedLongAgo dates the loss of a member that drains: longer than that of any other, and than both of the above.
+	// drainingLostAge is the age that is recorded for the loss of a draining member. It exceeds the age of any real loss and
+	// both limits above, so a draining member is replaced first.
 	drainingLostAge = 365 * 24 * time.Hour
 
-	// maxMissedHeartbeats is how many heartbeats a member may miss before it counts as lost since its last answer.
+	// maxMissedHeartbeats is the number of heartbeats that a member may miss. After more, it is lost since its last response.
 	maxMissedHeartbeats = 3
 
-	// maxLearnerTimeouts is how many times Config.LearnerTimeout a learner may make no progress while there are others.
+	// maxLearnerTimeouts times Config.LearnerTimeout is how long a learner may make no progress while other candidates exist.
 	maxLearnerTimeouts = 3
 
-	// maxMembers bounds a list.
+	// maxMembers is the maximum length of a member list.
 	maxMembers = 15
 )
 
 // ReachableNode is a node with a disk that the host reaches.
 type ReachableNode struct {
 	Member
-	Draining bool // it has announced that it shuts down
+	Draining bool // the node has announced its shutdown
 }
 
-// ReconcileMembers takes which disks the host reaches, this one among them, and, at the leader, makes the next change of members
-// that is needed for as many further losses as are tolerated. It is to be called every few hundred milliseconds, at followers too: so
-// a new leader knows who is lost, and since when.
+// ReconcileMembers takes the nodes that the host reaches, including this one. On the leader, it makes the next membership change
+// that is needed to tolerate `tolerates` further losses. The host calls it every few hundred milliseconds, also on followers: a new
+// leader then already knows which members are lost, and since when.
 func (r *Replica) ReconcileMembers(reachable []ReachableNode, tolerates int) {
 	r.updateLostMembers(reachable)
-	if r.role != roleLeader || r.lostSince[r.self.ID] != 0 { // the successor of a leader that drains does this
+	if r.role != roleLeader || r.lostSince[r.self.ID] != 0 { // the successor of a draining leader makes the changes
 		return
 	}
 	r.updateMemberAddresses(reachable)
@@ -65,7 +68,8 @@
 	}
 }
 
-// updateAddresses changes the list if a member's disk is at another address now. That too is a change by both majorities.
+// updateMemberAddresses changes the member list if the disk of a member is now at another address. Such a change also needs the
+// majorities of both lists.
 func (r *Replica) updateMemberAddresses(reachable []ReachableNode) {
 	members, changed := slices.Clone(r.Members()), false
 	for i := range members {
@@ -88,7 +92,7 @@
 	return len(addresses) == len(members)
 }
 
-// learnerCandidates are the nodes that are no members and stay, by ID.
+// learnerCandidates returns the nodes that are neither members nor draining, sorted by ID.
 func (r *Replica) learnerCandidates(reachable []ReachableNode) (candidates []Member) {
 	for _, node := range reachable {
 		if !node.Draining && !r.isMember(node.ID) {
@@ -99,7 +103,7 @@
 	return candidates
 }
 
-// learnerFailed reports whether the learner is gone, or makes no progress while there are others.
+// hasLearnerFailed reports whether the learner is unreachable, or has made no progress for too long while other candidates exist.
 func (r *Replica) hasLearnerFailed(candidates []Member) bool {
 	if r.learner == 0 {
 		return false
@@ -109,9 +113,9 @@
 	return !isReachable || isStalled && len(candidates) > 1
 }
 
-// trackReachability records since when members are lost.
+// updateLostMembers records since when each unreachable member is lost.
 func (r *Replica) updateLostMembers(reachable []ReachableNode) {
-	now := max(r.now, 1) // 0 is no entry
+	now := max(r.now, 1) // 0 means that there is no entry
 	for id := range r.lostSince {
 		if !r.isMember(id) {
 			delete(r.lostSince, id)
@@ -121,14 +125,15 @@
 		i := slices.IndexFunc(reachable, func(node ReachableNode) bool { return node.ID == m.ID })
 		isReachable := i >= 0 || m.ID == r.self.ID
 		if now-r.unreachableSince(m.ID, now) > maxMissedHeartbeats*r.config.HeartbeatInterval {
-			isReachable = false // a machine without power closes no connection
+			isReachable = false // the connections of a machine without power stay open
 		}
 		switch {
 		case i >= 0 && reachable[i].Draining:
 			r.lostSince[m.ID] = now - drainingLostAge
 		case isReachable:
 			delete(r.lostSince, m.ID)
-		case r.lostSince[m.ID] == 0 || r.isDraining(m.ID): // one that has drained is gone, and may be restarting from now on
+		// A member that finished draining is gone. It may be restarting from now on.
+		case r.lostSince[m.ID] == 0 || r.isDraining(m.ID):
 			r.lostSince[m.ID] = r.unreachableSince(m.ID, now)
 		default:
 			r.lostSince[m.ID] = r.unreachableSince(m.ID, r.lostSince[m.ID])
@@ -136,11 +141,12 @@
 	}
 }
 
-// isDraining reports whether a member has announced that it shuts down.
+// isDraining reports whether a member has announced its shutdown.
 func (r *Replica) isDraining(id MemberID) bool { return r.lostSince[id] < r.now-drainingLostAge/2 }
 
-// unreachableSince is the earlier of when a host found a member lost, and its last answer to the leader. A host takes seconds to
-// find out: counted from there a replacement would come too late for the deadlines within which a site must tolerate the next loss.
+// unreachableSince returns the earlier of two times: when the host detected the loss of a member, and the member's last response to
+// the leader. A host takes seconds to detect a loss. Counted from the detection, a replacement would miss the deadline within
+// which the cluster must tolerate the next loss.
 func (r *Replica) unreachableSince(id MemberID, detected time.Duration) time.Duration {
 	if peer := r.peers[id]; peer != nil && !r.hasMutation(lostFromDetection) {
 		return max(min(detected, peer.lastResponseAt), 1)
@@ -148,8 +154,8 @@
 	return detected
 }
 
-// nextLearner is the candidate that receives the log: the present learner, else one at a member's address, else the next by ID
-// after the one that was dropped last, so that all get their turn.
+// chooseLearner returns the candidate that receives the log. The order of preference is the present learner, a candidate at the
+// address of a member, and the next ID after the learner that was dropped last. The last rule gives each candidate a turn.
 func (r *Replica) chooseLearner(candidates []Member) (Member, bool) {
 	if len(candidates) == 0 {
 		return Member{}, false
@@ -166,7 +172,7 @@
 	return candidates[0], true
 }
 
-// memberAtAddressOf is the member at a learner's address, whose disk is gone or elsewhere; 0 if there is none.
+// memberAtAddressOf returns the member at the address of a learner, whose disk is gone or at another address; 0 if there is none.
 func (r *Replica) memberAtAddressOf(learner Member) MemberID {
 	for _, m := range r.Members() {
 		if m.Addr == learner.Addr && m.ID != learner.ID {
@@ -176,7 +182,7 @@
 	return 0
 }
 
-// reconcileLearner continues with the learner. Which member it replaces is decided anew each time, until it has caught up.
+// reconcileLearner continues with the learner. Until the learner has caught up, each call decides again which member it replaces.
 func (r *Replica) reconcileLearner(learner Member, tolerates int) {
 	lost, since := r.longestLostMember()
 	switch atAddress := r.memberAtAddressOf(learner); {
@@ -193,9 +199,9 @@
 	}
 }
 
-// delaysLearner reports whether a learner is delayed, while a list that is long enough without it has a member that may be lost or
-// restarting: it might have to replace that one. A machine without power looks reachable until it has missed heartbeats, so all
-// must have responded since the learner came.
+// shouldDelayLearner reports whether the learner's promotion must be delayed. It is delayed if the member list is long enough
+// without the learner and a member may be lost or restarting: the learner may have to replace that member. A machine without power
+// looks reachable until it has missed heartbeats, so all members must have responded since the learner started.
 func (r *Replica) shouldDelayLearner(learner Member, lost MemberID, tolerates int) bool {
 	if len(r.Members()) <= 2*tolerates || r.hasMutation(replaceAtOnce) {
 		return false
@@ -212,7 +218,8 @@
 	return true
 }
 
-// longestLost is the member, not this one, that is lost for longest, the lowest ID of several; 0 if none is.
+// longestLostMember returns the member that has been lost longest, except this member. Of several, it returns the lowest ID; 0 if
+// no member is lost.
 func (r *Replica) longestLostMember() (id MemberID, since time.Duration) {
 	for _, m := range r.Members() {
 		memberLostSince, lost := r.lostSince[m.ID]
@@ -223,7 +230,7 @@
 	return id, since
 }
 
-// memberToRemove is a lost member without which more losses are tolerated; 0 if there is none.
+// memberToRemove returns a lost member whose removal lets the cluster tolerate more losses; 0 if there is none.
 func (r *Replica) memberToRemove(tolerates int) MemberID {
 	members := len(r.Members())
 	liveMembers := members - len(r.lostSince)
@@ -239,21 +246,23 @@
 	return lost
 }
 
-// canReconfigure reports whether the list may be changed: one change at a time, and only after an entry of this term is committed.
-// Before that an earlier leader's list that is not known here could be in effect, whose majorities need not meet this one's.
+// canReconfigure reports whether the member list may be changed. Only one change at a time is allowed, and only after an entry of
+// this term is committed. Until then, an earlier leader's member list that is unknown here may be in effect. Its majorities need
+// not overlap with those of this list.
 func (r *Replica) canReconfigure() bool {
 	return r.isLatestConfigCommitted() && r.commitIndex >= r.termStartIndex
 }
 
-// AddMember has the leader send its log to a learner and, once that has it on disk, make it a member: it replaces the member
-// at its address, or else the member `replaces`, or none (0). One at a time. It is to be called again until
-// Members has it. It returns false if this member does not lead or is occupied with another learner.
+// AddMember sends the log to a learner and makes the learner a member once it has the log on disk. The new member replaces the
+// member at its address, otherwise the member `replaces`, or no member if `replaces` is 0. Only one learner is handled at a time.
+// The host repeats the call until Members contains the learner. AddMember returns false if this member is not the leader or if
+// another learner is in progress.
 func (r *Replica) AddMember(learner Member, replaces MemberID) bool {
 	if r.isMember(learner.ID) {
 		return r.role == roleLeader
 	}
 	if atAddress := r.memberAtAddressOf(learner); atAddress != 0 {
-		replaces = atAddress // and nobody else: one change must not remove two
+		replaces = atAddress // and no other member, since one change must not remove two members
 	}
 	members := slices.DeleteFunc(slices.Clone(r.Members()), func(m Member) bool { return m.ID == replaces })
 	if !r.startLearner(learner, append(members, learner)) {
@@ -263,8 +272,8 @@
 	return true
 }
 
-// startLearner starts to send the log to a learner, or continues. The list takes effect once the learner has caught up; nil delays
-// it.
+// startLearner starts or continues to send the log to a learner. The list `members` takes effect once the learner has caught up. If
+// `members` is nil, the promotion is delayed.
 func (r *Replica) startLearner(learner Member, members []Member) bool {
 	if r.role != roleLeader || learner.ID == 0 || r.learner != 0 && r.learner != learner.ID {
 		return false
@@ -281,8 +290,8 @@
 	return true
 }
 
-// promoteLearner makes the learner a member if it has caught up and is not delayed. One that lacked committed entries would
-// count for a majority that does not have them.
+// promoteLearner makes the learner a member if it has caught up and its promotion is not delayed. A learner that lacks committed
+// entries would count for a majority that does not have these entries.
 func (r *Replica) promoteLearner() {
 	peer := r.peers[r.learner]
 	if r.learner == 0 || peer == nil || r.learnerConfig.members == nil || !r.canReconfigure() {
@@ -293,7 +302,7 @@
 		return
 	}
 	r.learner = 0
-	if r.learnerConfig.index == r.latestConfig().index { // else another list took effect since: AddMember is called again
+	if r.learnerConfig.index == r.latestConfig().index { // else another list took effect meanwhile, and AddMember will be called again
 		r.appendInCurrentTerm(Entry{Kind: EntryConfigChange, Members: r.learnerConfig.members})
 	}
 	r.trackMembers()
@@ -304,8 +313,8 @@
 	r.trackMembers()
 }
 
-// RemoveMember takes a member off the list. It is to be called again until Members is without it. It returns false if this member
-// does not lead, if another change is under way, or if it is the last member.
+// RemoveMember removes a member from the list. The host repeats the call until Members no longer contains the member. It returns
+// false if this member is not the leader, if another change is in progress, or if the member is the last one.
 func (r *Replica) RemoveMember(id MemberID) bool {
 	members := slices.DeleteFunc(slices.Clone(r.Members()), func(m Member) bool { return m.ID == id })
 	if len(members) == len(r.Members()) {
@@ -318,9 +327,9 @@
 	return true
 }
 
-// ReplicatedElsewhere is up to which index a majority of the members without this one has on disk what is known here to be
-// committed. A member that shuts down stays until that reaches CommitIndex: else a loss right after it could lose an acknowledged
-// entry of which it had one of the copies.
+// IndexReplicatedElsewhere returns the index up to which a majority has the committed entries on disk without counting this member.
+// A member that shuts down waits until this index reaches CommitIndex. Otherwise a loss right after the shutdown could destroy the
+// remaining copies of an acknowledged entry.
 func (r *Replica) IndexReplicatedElsewhere() uint64 {
 	switch {
 	case r.role == roleLeader:
@@ -331,7 +340,7 @@
 	return min(r.replicatedElsewhere, r.commitIndex)
 }
 
-// replicatedWithout is ReplicatedElsewhere of a member, as the leader knows it.
+// indexReplicatedWithout returns IndexReplicatedElsewhere of the given member, as known to the leader.
 func (r *Replica) indexReplicatedWithout(id MemberID) (replicated uint64) {
 	if r.hasMutation(drainEarly) {
 		return r.commitIndex
--- a/internal/gateway/replication/message.go
+++ b/internal/gateway/replication/message.go
@@ -1,73 +1,77 @@
 package replication
 
-// MessageKind is what a message is for. Its numbers are on the wire.
+// MessageKind is the kind of a message. Its values are part of the wire format.
 type MessageKind uint8
 
-// The kinds of messages, with the fields that each of them uses beside ClusterID, Recipient and Term.
+// Kinds of messages, with the fields that each kind uses in addition to ClusterID, Recipient and Term.
 const (
-	// MsgAppend is the leader's: Entries, perhaps none, follow the entry of Index and LogTerm; or Snapshot has all up to there.
+	// MsgAppend is sent by the leader. Entries, which may be empty, follow the entry with Index and LogTerm. Alternatively,
+	// Snapshot contains the state up to Index.
 	MsgAppend MessageKind = iota + 1
-	// MsgAppendAck reports that the log up to Index is as the leader's and synced, and acknowledges Seq.
+	// MsgAppendAck reports that the sender's log up to Index equals the leader's log and is synced. It also acknowledges Seq.
 	MsgAppendAck
-	// MsgAppendReject reports that there is no entry of that Index and LogTerm. Index is the sender's commit index.
+	// MsgAppendReject reports that the sender has no entry with the Index and LogTerm of the append. Its own Index is the
+	// sender's commit index.
 	MsgAppendReject
-	// MsgStaleTerm answers a message of a term that the sender does not follow any more. Term is the sender's; Rejected: the
-	// sender is a candidate itself.
+	// MsgStaleTerm answers a message whose term the sender does not follow any more. Term is the sender's term. Rejected means
+	// that the sender is itself a candidate.
 	MsgStaleTerm
 	// MsgPreVote asks whether the receiver has lost the leader too. Seq distinguishes attempts.
 	MsgPreVote
-	// MsgPreVoteResponse answers it. Rejected: the receiver has a leader.
+	// MsgPreVoteResponse answers MsgPreVote. Rejected means that the receiver has a leader.
 	MsgPreVoteResponse
-	// MsgRequestVote asks for a vote in Term.
+	// MsgRequestVote requests a vote in Term.
 	MsgRequestVote
-	// MsgVoteGranted reports that the vote is on disk. The sender's last entry is of Index and LogTerm.
+	// MsgVoteGranted reports that the vote is on disk. Index and LogTerm identify the sender's last entry.
 	MsgVoteGranted
-	// MsgFetchLog is a candidate's request for the log after Index, which it has committed.
+	// MsgFetchLog is a candidate's request for the log after Index, which is the candidate's commit index.
 	MsgFetchLog
-	// MsgLogTail answers it: Entries after Index, or Snapshot and the Entries after that.
+	// MsgLogTail answers MsgFetchLog with the Entries after Index, or with Snapshot and the Entries after it.
 	MsgLogTail
-	// MsgTimeoutNow asks the receiver to start an election at once: the leader transfers its leadership.
+	// MsgTimeoutNow asks the receiver to start an election at once, because the leader transfers its leadership.
 	MsgTimeoutNow
-	// MsgAppendChunk is as MsgAppend, but Chunk is a part of the state that Snapshot lacks, or of the data that the one of
-	// Entries lacks.
+	// MsgAppendChunk is an MsgAppend with only a part of its data. Chunk is a part of the state of Snapshot, whose State is empty,
+	// or of the data of the only entry in Entries, whose Data is empty.
 	MsgAppendChunk
-	// MsgChunkAck reports that all bytes of Chunk's blob before its Offset are in memory, and acknowledges Seq.
+	// MsgChunkAck reports that all bytes of the blob before the Offset of Chunk are in memory. It also acknowledges Seq.
 	MsgChunkAck
 )
 
-// Message is what members send to each other. One that is lost, duplicated, delayed or overtaken does no harm.
+// Message is a message between members. Messages may be lost, duplicated, delayed or reordered without harm.
 type Message struct {
 	Kind      MessageKind
 	ClusterID uint64
-	Recipient MemberID // an empty disk that has taken over the address of the one that was meant ignores the message
+	// The ID of the receiving disk. If an empty disk has taken over the address, it ignores the message.
+	Recipient MemberID
 	Term      uint64
 
 	Index, LogTerm uint64
 	Commit         uint64 // the leader's commit index
-	Seq            uint64 // the read sequence, or a pre-vote's attempt
+	Seq            uint64 // the read sequence, or the number of a pre-vote attempt
 	Rejected       bool
 	Entries        []Entry
 	Snapshot       *Snapshot
 	Chunk          *Chunk
 
-	// ReplicatedElsewhere goes to a member that drains, with heartbeats: see Replica.ReplicatedElsewhere.
+	// ReplicatedElsewhere is sent with heartbeats to a draining member: see Replica.IndexReplicatedElsewhere.
 	ReplicatedElsewhere uint64
 
-	// AcceptsChunks reports in acknowledgements and rejections that the sender's version takes chunks.
+	// AcceptsChunks is set in acknowledgements and rejections if the sender's software version supports chunks.
 	AcceptsChunks bool
 
-	// Clock is the sender's time, and EchoedClock the newest one that it received from the other in this term; in messages
-	// between the leader and others. See contact.go.
+	// Clock is the sender's time. EchoedClock is the newest clock that the sender has received from the other side in this
+	// term. Both are set in messages between the leader and other members. See contact.go.
 	Clock, EchoedClock uint32
 
-	// ContactAgeMillis is how long ago a majority was in contact with the leader, in milliseconds; negative: never in this term.
+	// ContactAgeMillis is the time since a majority was in contact with the leader, in milliseconds. Negative: no such
+	// contact is known.
 	ContactAgeMillis int64
 }
 
-// messageOverheadBytes is approximately what a message takes beside entries, state and chunk.
+// messageOverheadBytes is the approximate size of a message without entries, state and chunk.
 const messageOverheadBytes = 64
 
-// Size is approximately how many bytes a message takes on a link.
+// Size returns the approximate size of the message in bytes on a link.
 func (m *Message) Size() int {
 	size := messageOverheadBytes + totalEntryBytes(m.Entries)
 	if m.Snapshot != nil {
--- a/internal/gateway/replication/progress.go
+++ b/internal/gateway/replication/progress.go
@@ -6,36 +6,39 @@
 	"time"
 )
 
-// progress is what a leader knows of another member or of the learner.
+// progress is the leader's knowledge of another member or of the learner.
 type progress struct {
 	Member
-	nextIndex         uint64 // of the next entry to send
-	matchIndex        uint64 // its synced log is as the leader's up to here
-	inflightBase      uint64 // entries after it are in flight; raised above matchIndex when a retransmission or snapshot skips some
-	readSeq           uint64 // the newest acknowledged
+	nextIndex  uint64 // index of the next entry to send
+	matchIndex uint64 // the member's synced log equals the leader's up to this index
+	// Entries after inflightBase are in flight. It exceeds matchIndex when a retransmission or a snapshot skips
+	// some entries.
+	inflightBase      uint64
+	readSeq           uint64 // the newest acknowledged read sequence
 	lastResponseAt    time.Duration
-	snapshotSentAt    time.Duration // in one message
-	nextRetryAt       time.Duration // rejections before it are not answered again
-	lastReceivedClock uint32        // the newest received from it
-	lastContactAt     time.Duration // it followed this term then
+	snapshotSentAt    time.Duration // when a snapshot was last sent in a single message
+	nextRetryAt       time.Duration // rejections before this time cause no retransmission
+	lastReceivedClock uint32        // newest clock received from the member
+	lastContactAt     time.Duration // latest time at which the member is known to have followed this term
 
-	responded     bool // in this term; until then it is not known whether it accepts chunks
+	responded     bool // in this term; before the first response it is not known whether the member accepts chunks
 	acceptsChunks bool
 	transfer      blobTransfer
 }
 
-// transfer is a snapshot's state or an entry's data on its way to a member in chunks. The zero value is none. It is kept until the
-// member has all of it, also if there is a newer snapshot: one that started over at each compaction might never end.
+// blobTransfer sends the state of a snapshot or the data of an entry to a member in chunks. The zero value means that there is no
+// transfer. A transfer continues until the member has all of the data, even if there is a newer snapshot: a transfer that restarted
+// at each compaction might never end.
 type blobTransfer struct {
 	sender   BlobSender
-	snapshot *Snapshot   // without State, which is what is sent
-	entry    *Entry      // or without Data, which is what is sent
-	previous logPosition // that the member must have before it takes what is sent
+	snapshot *Snapshot   // without State, which is sent in chunks
+	entry    *Entry      // without Data, which is sent in chunks; nil for a snapshot
+	previous logPosition // the position that the member's log must contain before the transferred data
 }
 
-func (t *blobTransfer) isActive() bool { return t.sender.Blob != nil }
+func (b *blobTransfer) isActive() bool { return b.sender.Blob != nil }
 
-// newProgress is that of a member of which nothing is known in this term.
+// newProgress returns the progress of a member about which nothing is known in this term.
 func (r *Replica) newProgress(m Member) *progress {
 	return &progress{
 		Member:         m,
@@ -48,7 +51,8 @@
 	}
 }
 
-// trackMembers has a progress for each member of a list in effect and for the learner, and for no other.
+// trackMembers adds the missing progress for each member of the lists in effect, and removes the progress of all others except the
+// learner.
 func (r *Replica) trackMembers() {
 	others := r.otherMembers()
 	for _, m := range others {
@@ -64,7 +68,8 @@
 	}
 }
 
-// sortedPeers are all by ID: the same inputs must give the same outputs, and a map has no order.
+// sortedPeers returns all peers in the order of their IDs. The order of a map is random, but the same inputs must give the same
+// outputs.
 func (r *Replica) sortedPeers() []*progress {
 	peers := make([]*progress, 0, len(r.peers))
 	for _, peer := range r.peers {
@@ -74,12 +79,12 @@
 	return peers
 }
 
-// recentlyActive reports whether a member counts for the leader's quorum.
+// isRecentlyActive reports whether a member responded recently enough to count for the leader's quorum.
 func (r *Replica) isRecentlyActive(peer *progress) bool {
 	return r.now-peer.lastResponseAt <= r.config.QuorumTimeout
 }
 
-// inflightBytes is the size of the entries that a member was sent and has not acknowledged.
+// inflightBytes returns the size of the entries that were sent to a member and are not acknowledged.
 func (r *Replica) inflightBytes(peer *progress) int {
 	return r.log.bytesBetween(max(peer.matchIndex, peer.inflightBase), peer.nextIndex-1)
 }
--- a/internal/gateway/replication/quorum.go
+++ b/internal/gateway/replication/quorum.go
@@ -2,25 +2,27 @@
 
 import "slices"
 
-// memberConfig is a list of members and the index from which it is in effect.
+// memberConfig is a member list and the index from which the list is in effect.
 type memberConfig struct {
 	index   uint64
 	members []Member
 }
 
-// latestConfig is the list that is in effect, committed or not.
+// latestConfig returns the configuration in effect, whether or not it is committed.
 func (r *Replica) latestConfig() memberConfig { return r.memberConfigs[len(r.memberConfigs)-1] }
 
-// Members is the list that is in effect; nil before a bootstrap.
+// Members returns the member list in effect; nil before the bootstrap.
 func (r *Replica) Members() []Member { return r.latestConfig().members }
 
-// membersCommitted reports whether the list in effect is known to be committed. While it is not, the configuration is a joint one.
+// isLatestConfigCommitted reports whether the member list in effect is known to be committed. Until then, the configuration is a
+// joint one.
 func (r *Replica) isLatestConfigCommitted() bool { return r.latestConfig().index <= r.commitIndex }
 
-// previousMembers is the other list of a joint configuration. There is always one before a list that is not committed.
+// previousMembers returns the older list of a joint configuration. An uncommitted list always has a predecessor.
 func (r *Replica) previousMembers() []Member { return r.memberConfigs[len(r.memberConfigs)-2].members }
 
-// hasQuorum reports whether a condition is true for a majority of the members, and of those before them in a joint configuration.
+// hasQuorum reports whether a condition holds for a majority of the members. In a joint configuration, it must also hold for a
+// majority of the previous members.
 func (r *Replica) hasQuorum(condition func(MemberID) bool) bool {
 	if !hasMajority(r.Members(), condition) {
 		return false
@@ -44,8 +46,8 @@
 	return slices.ContainsFunc(r.Members(), func(m Member) bool { return m.ID == id })
 }
 
-// otherMembers are all members but this one, of both lists in a joint configuration: the newer one may still be removed from the
-// log.
+// otherMembers returns all members except this one. In a joint configuration, it includes the members of both lists, because the
+// newer list may still be removed from the log.
 func (r *Replica) otherMembers() []Member {
 	others := slices.Clone(r.Members())
 	if !r.isLatestConfigCommitted() {
--- a/internal/gateway/replication/read.go
+++ b/internal/gateway/replication/read.go
@@ -5,14 +5,16 @@
 	"slices"
 )
 
-// Reads by Raft's ReadIndex: a leader that a majority still follows after a read came has committed all that was acknowledged
-// before. Heartbeats carry a sequence number, which members acknowledge at once. One sequence serves all reads that came before
-// it, and the next one starts when it is confirmed.
+// Reads use the ReadIndex method of Raft: if a majority still follows a leader after a read was requested, the leader has committed
+// everything that was acknowledged before the request. Heartbeats carry a sequence number, the read sequence, which members
+// acknowledge at once. One read sequence confirms all reads that were requested before it started. The next one starts when the
+// current one is confirmed.
 
-// pendingRead is a read that a read sequence must confirm.
+// pendingRead is a read that finishes once its read sequence is confirmed.
 type pendingRead struct{ token, readSeq uint64 }
 
-// Read asks up to which index the host's state must be to include all that was acknowledged before: see Outcome.
+// Read requests the index up to which the host's state must be applied to include everything that was acknowledged before. The
+// index is in the Outcome.
 func (r *Replica) Read(token uint64) {
 	if r.role != roleLeader || len(r.reads) >= r.config.MaxPending {
 		r.finishRequest(token, 0, r.admissionStatus(len(r.reads)))
@@ -22,7 +24,7 @@
 	r.replicationPending = true
 }
 
-// startReadSeq starts the next read sequence if there are reads for it.
+// startReadSeq starts the next read sequence if reads are pending for it. It reports whether it did.
 func (r *Replica) startReadSeq() bool {
 	if n := len(r.reads); n == 0 || r.reads[n-1].readSeq <= r.readSeq {
 		return false
@@ -31,8 +33,8 @@
 	return true
 }
 
-// broadcastReadSeq sends a new read sequence. With ReadMinimalQuorum it goes to a bare majority, those that responded last; where
-// one of them does not answer, the next heartbeat to all makes up for it.
+// broadcastReadSeq sends a new read sequence. With ReadMinimalQuorum, it sends the sequence only to as many members as a majority
+// needs, and prefers those that responded last. If one of them does not respond, the next heartbeat sends the sequence to all members.
 func (r *Replica) broadcastReadSeq() {
 	if !r.config.ReadMinimalQuorum || !r.isLatestConfigCommitted() {
 		r.broadcastHeartbeat()
@@ -40,13 +42,13 @@
 	}
 	members := slices.DeleteFunc(r.sortedPeers(), func(peer *progress) bool { return !r.isMember(peer.ID) })
 	slices.SortStableFunc(members, func(a, b *progress) int { return cmp.Compare(b.lastResponseAt, a.lastResponseAt) })
-	needed := majoritySize(len(r.Members())) - 1 // beside this one
+	needed := majoritySize(len(r.Members())) - 1 // a majority without this member
 	for _, peer := range members[:min(len(members), needed)] {
 		r.sendHeartbeat(peer)
 	}
 }
 
-// confirmedReadSeq is the newest read sequence that a majority has acknowledged.
+// confirmedReadSeq returns the newest read sequence that a majority has acknowledged.
 func (r *Replica) confirmedReadSeq() (confirmed uint64) {
 	acknowledged := func(seq uint64) bool {
 		return r.hasQuorum(func(id MemberID) bool {
@@ -64,8 +66,8 @@
 	return confirmed
 }
 
-// finishReads ends the reads whose sequence is confirmed, once an entry of this term is committed: before that, entries that an
-// earlier leader acknowledged may not be known to be committed.
+// finishConfirmedReads finishes the reads whose sequence is confirmed. It requires that an entry of this term is committed: before
+// that, entries that an earlier leader acknowledged may not be known to be committed.
 func (r *Replica) finishConfirmedReads() {
 	if r.role != roleLeader || len(r.reads) == 0 || r.commitIndex < r.termStartIndex && !r.hasMutation(readBeforeNoOp) {
 		return
@@ -80,6 +82,6 @@
 	}
 	r.reads = r.reads[finishedCount:]
 	if len(r.reads) > 0 && confirmed >= r.readSeq {
-		r.replicationPending = true // starts the sequence of those that came meanwhile
+		r.replicationPending = true // starts the sequence for the reads that were requested in the meantime
 	}
 }
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -7,103 +7,104 @@
 	"clovergap/internal/invariant"
 )
 
-// never is a deadline that does not come.
+// never is a deadline that is never reached.
 const never = time.Duration(math.MaxInt64)
 
-// role is what a member does in its term.
+// role is the role of a member in its term.
 type role uint8
 
 const (
 	roleFollower     role = iota
-	rolePreCandidate      // asks whether others have lost the leader too
-	roleCandidate         // asks for votes
+	rolePreCandidate      // asks the other members whether they have lost the leader too
+	roleCandidate         // requests votes
 	roleLeader
 )
 
-// String is the text in the control API's status.
+// String returns the text in the status of the control API: "following" for a follower, "checking" for a pre-candidate, "stopping" for
+// a candidate and "leading" for a leader.
 func (r role) String() string { return [...]string{"following", "checking", "stopping", "leading"}[r] }
 
-// Replica is one member of a cluster and its copy of the log. It is for one goroutine at a time. See the package's documentation
-// for what its host must do.
+// Replica is one member of a cluster with its copy of the log. It must not be called from several goroutines at the same time. The
+// package documentation lists the obligations of its host.
 type Replica struct {
 	self        Member
 	config      Config
 	now         time.Duration
 	randomState uint64
 
-	// The cluster, term and log.
+	// Cluster, term and log.
 	clusterID       uint64
 	term            uint64
-	votedFor        MemberID // in term: a candidate, or the leader
+	votedFor        MemberID // in term: the candidate that got the vote, or the leader
 	log             entryLog
-	memberConfigs   []memberConfig // the list at the snapshot, and those in the log; never empty
+	memberConfigs   []memberConfig // the list of the snapshot and those in the log; never empty
 	commitIndex     uint64
-	syncedIndex     uint64 // the log is on disk up to here
+	syncedIndex     uint64 // the log is on disk up to this index
 	bootstrapSynced bool   // the cluster ID is on disk
 
 	// Writes: see durability.go.
-	nextWriteSeq       uint64 // of the next write
+	nextWriteSeq       uint64 // sequence number of the next write
 	syncedWriteSeq     uint64
-	writeNeeded        bool   // the disk lacks something
-	unwrittenFromIndex uint64 // index from which entries are not written; 0: none
+	writeNeeded        bool   // the disk lacks some state
+	unwrittenFromIndex uint64 // index from which entries are not written yet; 0: none
 	unwrittenSnapshot  bool
 	unsyncedWrites     []unsyncedWrite
 	pendingReplies     []pendingReply
 
-	// Following a leader.
+	// State of a follower.
 	role                role
-	leaderID            MemberID // of term; 0: not known
+	leaderID            MemberID // leader of the current term; 0: not known
 	leaderContactAt     time.Duration
-	matchIndex          uint64       // the log is as the leader's up to here
-	readSeq             uint64       // the newest received from the leader; as leader, the newest sent
+	matchIndex          uint64       // the log equals the leader's up to this index
+	readSeq             uint64       // follower: the newest received from the leader; leader: the newest sent
 	ackedReadSeq        uint64       // the newest acknowledged to the leader
-	replicatedElsewhere uint64       // as the leader last sent it: see ReplicatedElsewhere
-	incoming            BlobReceiver // from the leader
+	replicatedElsewhere uint64       // as last sent by the leader: see IndexReplicatedElsewhere
+	incoming            BlobReceiver // chunks from the leader
 
 	// Elections: see election.go.
-	sawLeader         bool // since the start, of any term
-	failedElections   int  // since the last contact with a leader
+	sawLeader         bool // a leader of any term was seen since the process started
+	failedElections   int  // number of elections since the last contact with a leader
 	electionStartedAt time.Duration
 	electionDeadline  time.Duration
-	announcedDeadline time.Duration            // the last Wake
-	maxSeenTerm       uint64                   // in any message of this cluster
-	preVoteSeq        uint64                   // distinguishes attempts
+	announcedDeadline time.Duration            // the deadline of the last Wake
+	maxSeenTerm       uint64                   // highest term in any message of this cluster
+	preVoteSeq        uint64                   // number of the current pre-vote attempt
 	preVotes          map[MemberID]bool        // members that have lost the leader
-	votes             map[MemberID]logPosition // with each voter's last position
-	voteRequests      map[MemberID]Member      // members that were sent a request
+	votes             map[MemberID]logPosition // last log position of each voter
+	voteRequests      map[MemberID]Member      // members to which a vote request was sent
 	fetchingLogFrom   MemberID
 
-	// Contact with a majority: see contact.go.
+	// Quorum contact: see contact.go.
 	clock         Clock
-	leaderClock   uint32 // the newest received from the leader of this term
+	leaderClock   uint32 // newest clock received from the leader of this term
 	quorumContact contactState
 
-	// Leading: see leader.go, read.go and transfer.go.
-	peers                      map[MemberID]*progress // members of both lists, and the learner
-	termStartIndex             uint64                 // of the no-op that began the term
+	// State of a leader: see leader.go, read.go and transfer.go.
+	peers                      map[MemberID]*progress // members of all lists in effect, and the learner
+	termStartIndex             uint64                 // index of the no-op entry that started the term
 	nextHeartbeatAt            time.Duration
-	proposals                  map[uint64]uint64 // token by index
+	proposals                  map[uint64]uint64 // token by log index
 	reads                      []pendingRead
-	replicationPending         bool          // entries or reads are to be sent before Next has nothing more
-	snapshotBlob               *Blob         // of the latest snapshot's state, once it was sent
-	leadershipTransferDeadline time.Duration // until then proposals are refused, for another member to lead
-	transferee                 MemberID      // the one that is preferred; 0: any
+	replicationPending         bool          // entries or reads must be sent before Next returns false
+	snapshotBlob               *Blob         // the state of the latest snapshot, if it was sent in chunks
+	leadershipTransferDeadline time.Duration // proposals are refused until then, because of a leadership transfer
+	transferee                 MemberID      // preferred new leader; 0: any member
 
-	// Changes of members: see membership.go.
-	lostSince          map[MemberID]time.Duration // members that the host does not reach; also at followers
+	// Membership changes: see membership.go.
+	lostSince          map[MemberID]time.Duration // members that the host does not reach; also tracked on followers
 	learner            MemberID                   // 0: none
-	learnerConfig      memberConfig               // the list once the learner has caught up; without members: it is delayed
+	learnerConfig      memberConfig               // takes effect once the learner has caught up; nil members delay the promotion
 	learnerStartedAt   time.Duration
-	learnerProgressAt  time.Duration // its disk last had something new
+	learnerProgressAt  time.Duration // when the learner last acknowledged new entries
 	lastDroppedLearner MemberID
 
-	actions []Action // to be handed out by Next
+	actions []Action // returned by Next, in order
 }
 
-// New returns a replica that continues from what a disk has. Times are the host's, counted from any start; the seed decides
-// random delays.
+// New returns a replica that continues from the state on disk. The host may count time from any start, but must use the same one for
+// all calls. The seed determines the random delays.
 func New(self Member, state PersistentState, config Config, seed int64, now time.Duration) *Replica {
-	invariant.Assert(self.ID != 0 && self.ID == state.ID, "a disk keeps its member ID")
+	invariant.Assert(self.ID != 0 && self.ID == state.ID, "the member ID is not 0 and equals the ID on disk")
 	r := &Replica{
 		self:             self,
 		config:           config,
@@ -133,13 +134,13 @@
 		r.actions = append(r.actions, Restore{state.Snapshot.Index, state.Snapshot.State})
 	}
 	r.commitTo(state.Commit)
-	r.writeNeeded = false // a committed list marked it: that is on disk
+	r.writeNeeded = false // commitTo requested a write for a committed member list, which is already on disk
 	r.resetElectionDeadline()
 	return r
 }
 
-// Tick advances the time. After the process was suspended it comes before the messages that arrived meanwhile, so that a leader that
-// has lost its quorum steps down before it answers anything.
+// Tick advances the time. After a suspension of the process, the host must call Tick before it passes on messages that arrived
+// meanwhile. A leader that has lost its quorum then steps down before it answers any message.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = max(r.now, now)
 	switch {
@@ -150,7 +151,7 @@
 	}
 }
 
-// Step takes a message from a member, or from a node that may become one.
+// Step handles a message from a member, or from a node that may become a member.
 func (r *Replica) Step(from MemberID, m Message) {
 	if m.Recipient != r.self.ID && !r.hasMutation(countWipedDisk) || from == r.self.ID {
 		return
@@ -189,8 +190,8 @@
 	}
 }
 
-// Propose asks for an entry with this data, which must not change any more. The Outcome carries the token, which the host uses
-// once.
+// Propose requests a new entry with this data. The data must not change afterwards. The Outcome contains the token, which the host
+// must use only once.
 func (r *Replica) Propose(token uint64, data []byte) {
 	if status := r.admissionStatus(len(r.proposals)); status != OutcomeCommitted {
 		r.finishRequest(token, 0, status)
@@ -205,7 +206,8 @@
 	r.proposals[index] = token
 }
 
-// admitRequest returns why a proposal or a read can't be taken while so many are pending; OutcomeCommitted if it can.
+// admissionStatus returns why a proposal or a read is refused while `pending` requests of its kind are pending. It returns
+// OutcomeCommitted if the request is accepted.
 func (r *Replica) admissionStatus(pending int) OutcomeStatus {
 	switch _, _, known := r.Leader(); {
 	case r.role != roleLeader && known:
@@ -218,7 +220,7 @@
 	return OutcomeCommitted
 }
 
-// finish ends a proposal or a read.
+// finishRequest ends a proposal or a read with an Outcome.
 func (r *Replica) finishRequest(token, index uint64, status OutcomeStatus) {
 	outcome := Outcome{Token: token, Index: index, Status: status}
 	if status == OutcomeNotLeader {
@@ -227,8 +229,8 @@
 	r.actions = append(r.actions, outcome)
 }
 
-// Next returns what the host is to do next, and false once there is nothing more until the next input. Sending is put off until
-// the actions before it are taken, so that all proposals of one turn go in one message and one write.
+// Next returns the next action for the host. It returns false if there is none until the next input. Entries are sent and written
+// only after the earlier actions, so that all proposals of one batch of inputs share one message and one write.
 func (r *Replica) Next() (Action, bool) {
 	if len(r.actions) == 0 && r.replicationPending {
 		r.replicationPending = false
@@ -246,7 +248,7 @@
 	}
 	action := r.actions[0]
 	if r.actions = r.actions[1:]; len(r.actions) == 0 {
-		r.actions = nil // lets go of the array
+		r.actions = nil // releases the array
 	}
 	return action, true
 }
@@ -258,7 +260,7 @@
 	return r.electionDeadline
 }
 
-// send sends a message to a member of any list in the log, or to a learner.
+// sendToID sends a message to a member of any list in the log, or to a learner.
 func (r *Replica) sendToID(to MemberID, m Message) {
 	if peer := r.peers[to]; peer != nil {
 		r.sendToMember(peer.Member, m)
@@ -275,7 +277,7 @@
 			}
 		}
 	}
-	r.sendToMember(Member{ID: to}, m) // the host may know its address
+	r.sendToMember(Member{ID: to}, m) // the host may know the address
 }
 
 func (r *Replica) sendToMember(to Member, m Message) {
@@ -286,7 +288,7 @@
 	r.actions = append(r.actions, Send{to, m})
 }
 
-// random draws a time below a bound, by splitmix64 (Steele, Lea and Flood, 2014) from the seed that New was given.
+// randomDuration returns a random duration below a bound. It uses splitmix64 (Steele, Lea and Flood, 2014) with the seed passed to New.
 func (r *Replica) randomDuration(bound time.Duration) time.Duration {
 	r.randomState += 0x9e3779b97f4a7c15
 	z := r.randomState
--- a/internal/gateway/replication/snapshot.go
+++ b/internal/gateway/replication/snapshot.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Snapshots and large entries on their way to members. What exceeds Config.MaxInflightBytes goes in chunks, if the receiver's
-// version takes them.
+// This file sends snapshots and large entries to members and receives them. Data that exceeds Config.MaxInflightBytes is sent in
+// chunks if the receiver's software version supports chunks.
 
 const (
-	// snapshotRetransmitFactor is how many times Config.RetransmitTimeout a snapshot in one message may take.
+	// snapshotRetransmitFactor times Config.RetransmitTimeout is the time after which a snapshot in a single message is sent again.
 	snapshotRetransmitFactor = 3
 
-	// maxOutdatedBlobs bounds the snapshots that are kept in memory for receivers, beside the latest.
+	// maxOutdatedBlobs is the maximum number of older snapshots that stay in memory for transfers in progress.
 	maxOutdatedBlobs = 2
 )
 
-// needsChunks reports whether so many bytes go in chunks.
+// needsChunks reports whether data of this size must be sent in chunks.
 func (r *Replica) needsChunks(bytes int) bool {
 	return r.config.MaxInflightBytes > 0 && bytes > r.config.MaxInflightBytes
 }
 
-// latestSnapshotBlob is the blob of the latest snapshot's state, made once.
+// latestSnapshotBlob returns the blob of the latest snapshot's state. It creates the blob only once for each snapshot.
 func (r *Replica) latestSnapshotBlob() *Blob {
 	latest := r.log.snapshot
 	if b := r.snapshotBlob; b == nil || b.id.index != latest.Index || b.id.term != latest.Term {
@@ -27,9 +27,9 @@
 	return r.snapshotBlob
 }
 
-// BlobToSend returns the snapshot for a receiver that lacks the entries from an index on, given the blobs on their way to others:
-// one of those if the log continues after it, else the latest. It returns nil if as many older ones are kept as may be: the
-// receiver must retry later.
+// BlobToSend returns the snapshot for a receiver that lacks the entries from nextIndex on. inTransfer contains the blobs that are
+// being sent to other receivers. BlobToSend prefers one of these if the log still has the entries after the blob. Otherwise it
+// returns the latest snapshot. It returns nil if maxOutdatedBlobs older blobs are in transfer; the receiver must then retry later.
 func (r *Replica) BlobToSend(nextIndex uint64, inTransfer []*Blob) *Blob {
 	outdated := 0
 	for i, b := range inTransfer {
@@ -46,7 +46,8 @@
 	return r.latestSnapshotBlob()
 }
 
-// sendSnapshot sends a member the snapshot: in one message if that is small or the member's version takes no chunks.
+// sendSnapshot sends the snapshot to a member. It uses a single message if the snapshot is small or the member does not support
+// chunks.
 func (r *Replica) sendSnapshot(peer *progress) {
 	if !r.isRecentlyActive(peer) {
 		return
@@ -73,7 +74,7 @@
 	r.sendAppend(peer, Message{Index: snapshot.Index, LogTerm: snapshot.Term, Snapshot: &snapshot})
 }
 
-// snapshotsInTransfer are the snapshots on their way to other members.
+// snapshotsInTransfer returns the snapshots that are being sent to members other than `except`.
 func (r *Replica) snapshotsInTransfer(except *progress) (blobs []*Blob) {
 	for _, peer := range r.sortedPeers() {
 		if peer != except && peer.transfer.isActive() && peer.transfer.snapshot != nil {
@@ -103,14 +104,14 @@
 	r.sendChunks(peer)
 }
 
-// sendChunks sends what may be in flight of a transfer.
+// sendChunks sends as many chunks of a transfer as may be in flight.
 func (r *Replica) sendChunks(peer *progress) {
 	if !r.isRecentlyActive(peer) {
 		return
 	}
 	t := &peer.transfer
 	if t.snapshot == nil && t.sender.ackedBytes == 0 && peer.nextIndex < r.log.firstIndex() {
-		// The entry was compacted and the member has nothing of it: the snapshot has that and more.
+		// The entry was compacted and the member has received nothing of it. The snapshot includes the entry.
 		peer.transfer = blobTransfer{}
 		r.sendSnapshot(peer)
 		return
@@ -126,7 +127,7 @@
 	}
 }
 
-// onChunk takes a chunk of a leader's append. The last one is as if all had come in one message.
+// onChunk handles a chunk of a leader's append. The last chunk has the same effect as an append in a single message.
 func (r *Replica) onChunk(from MemberID, m Message) {
 	joining := r.clusterID == 0 || m.ClusterID != r.clusterID && r.hasOnlyBootstrap()
 	if m.Chunk == nil || m.Snapshot == nil && len(m.Entries) != 1 || !joining && !r.followLeader(from, m) {
@@ -136,11 +137,11 @@
 	m.Kind, m.Chunk = MsgAppend, nil
 	switch {
 	case joining && m.Snapshot == nil:
-		r.joinCluster(from, m) // asks for the snapshot
+		r.joinCluster(from, m) // requests the snapshot
 		return
 	case !joining && !r.wantsChunk(&m, chunk):
 		m.Snapshot, m.Entries = nil, nil
-		r.onAppend(from, m) // acknowledges, or rejects what comes before it
+		r.onAppend(from, m) // acknowledges, or rejects if a preceding entry is missing
 		return
 	}
 	r.incoming.knobs = r.config.TestingKnobs
@@ -157,8 +158,8 @@
 	r.onAppend(from, m)
 }
 
-// wantsChunk reports whether a chunk is of something that this member lacks and could append now. If the member has the entry, the
-// message is made one that names it, so that the leader learns so.
+// wantsChunk reports whether a chunk is part of data that this member lacks and could append now. If the member already has the
+// entry, wantsChunk changes the message to name that entry, so that the acknowledgement includes the entry.
 func (r *Replica) wantsChunk(m *Message, c *Chunk) bool {
 	if m.Snapshot != nil {
 		return r.needsSnapshot(m.Snapshot)
@@ -171,7 +172,7 @@
 	return c.Index > r.commitIndex && !previousMissing
 }
 
-// ackChunk acknowledges what was received so far.
+// ackChunk acknowledges the bytes received so far.
 func (r *Replica) ackChunk(from MemberID, m Message, ack *Chunk, joining bool) {
 	if !joining {
 		r.resetElectionDeadline()
@@ -184,7 +185,7 @@
 		Clock: r.clock.Timestamp(r.now), EchoedClock: r.leaderClock})
 }
 
-// fillIn puts into an append what came in chunks.
+// attachData sets the snapshot state or the entry data of an append that was received in chunks.
 func (m *Message) attachData(data []byte) {
 	if m.Snapshot != nil {
 		snapshot := *m.Snapshot
@@ -197,12 +198,12 @@
 	m.Entries = []Entry{e}
 }
 
-// needsSnapshot reports whether a snapshot is ahead of what this member has.
+// needsSnapshot reports whether a snapshot is newer than the committed log of this member and not part of the log.
 func (r *Replica) needsSnapshot(s *Snapshot) bool {
 	return s != nil && s.Index > r.commitIndex && !r.log.hasEntry(s.Index, s.Term)
 }
 
-// installIfNewer replaces the log and the host's state by a snapshot that is ahead of them; nil is none.
+// installSnapshotIfNewer replaces the log and the host's state by a snapshot that this member needs. nil means no snapshot.
 func (r *Replica) installSnapshotIfNewer(s *Snapshot) {
 	if !r.needsSnapshot(s) {
 		return
--- a/internal/gateway/replication/state.go
+++ b/internal/gateway/replication/state.go
@@ -6,45 +6,45 @@
 	"github.com/go-faster/errors"
 )
 
-// PersistentState is what a member's disk has of one log. The zero value with an ID is an empty disk.
+// PersistentState is the state of one log on a member's disk. A state with only an ID stands for an empty disk.
 type PersistentState struct {
 	ID        MemberID
 	ClusterID uint64   // 0 on an empty disk
-	Term      uint64   // the newest term that this member took part in or voted in
-	Vote      MemberID // the candidate that it voted for in Term, or its leader
-	Commit    uint64   // known to be committed up to here, perhaps further
+	Term      uint64   // the newest term in which this member voted or followed a leader
+	Vote      MemberID // the candidate that got this member's vote in Term, or the leader of Term
+	Commit    uint64   // committed at least up to this index
 	Snapshot  Snapshot
-	Entries   []Entry // from Snapshot.Index+1 on
+	Entries   []Entry // entries from Snapshot.Index+1 on
 }
 
-// ErrInvalidState is the cause of what Validate returns.
+// ErrInvalidState is wrapped by the errors that Validate returns.
 var ErrInvalidState = errors.New("invalid persistent state")
 
-// Validate returns an error that wraps ErrInvalidState if a disk has what no sequence of writes results in.
+// Validate returns an error that wraps ErrInvalidState if no sequence of writes can result in this state.
 func (p *PersistentState) Validate() error {
 	last := p.Snapshot.Index + uint64(len(p.Entries))
 	switch {
 	case p.ID == 0:
-		return errors.Wrap(ErrInvalidState, "no member ID")
+		return errors.Wrap(ErrInvalidState, "member ID is missing")
 	case p.ClusterID == 0 && (p.Term != 0 || last != 0):
-		return errors.Wrapf(ErrInvalidState, "no cluster ID, but term %d and log up to %d", p.Term, last)
+		return errors.Wrapf(ErrInvalidState, "cluster ID is missing, but got term=%d and last index=%d", p.Term, last)
 	case p.ClusterID != 0 && (p.Snapshot.Index == 0 || len(p.Snapshot.Members) == 0):
-		return errors.Wrap(ErrInvalidState, "a cluster ID, but no members")
+		return errors.Wrap(ErrInvalidState, "cluster ID is set, but the snapshot has no index or no members")
 	case p.Commit < p.Snapshot.Index || p.Commit > last:
-		return errors.Wrapf(ErrInvalidState, "committed up to %d, log from %d to %d", p.Commit, p.Snapshot.Index, last)
+		return errors.Wrapf(ErrInvalidState, "commit index=%d is outside the log: snapshot index=%d, last index=%d", p.Commit, p.Snapshot.Index, last)
 	}
 	term := p.Snapshot.Term
 	for i, e := range p.Entries {
 		index := p.Snapshot.Index + 1 + uint64(i)
 		if e.Index != index || e.Term < term || e.Term > p.Term {
-			return errors.Wrapf(ErrInvalidState, "entry %d of term %d at index %d, after term %d", e.Index, e.Term, index, term)
+			return errors.Wrapf(ErrInvalidState, "got entry index=%d term=%d, want index=%d, term from %d to the current term", e.Index, e.Term, index, term)
 		}
 		term = e.Term
 	}
 	return nil
 }
 
-// Apply is what a write does to a disk.
+// Apply applies a write to the state.
 func (p *PersistentState) Apply(w Write) {
 	p.ClusterID, p.Term, p.Vote, p.Commit = w.ClusterID, w.Term, w.Vote, w.Commit
 	if w.Snapshot != nil {
@@ -57,20 +57,20 @@
 	}
 }
 
-// Write is an Action: the host puts it on disk and syncs it atomically, in the order of Seq, and then calls Synced(Seq). If that
-// fails the host retries or ends the process: a later write must not reach the disk without it.
+// Write is an Action. The host writes it to disk atomically and syncs it, in the order of Seq, and then calls ReportSynced(Seq). If
+// the write fails, the host must retry it or end the process: a later write must not reach the disk without it.
 type Write struct {
 	Seq        uint64
 	ClusterID  uint64
 	Term       uint64
 	Vote       MemberID
 	Commit     uint64
-	Snapshot   *Snapshot // if set, replaces the snapshot and the entries up to its index
-	FirstIndex uint64    // if not 0, the log from here on is Entries
+	Snapshot   *Snapshot // if not nil: replaces the snapshot and the entries up to its index
+	FirstIndex uint64    // if not 0: Entries replace the log from this index on
 	Entries    []Entry
 }
 
-// Merge returns one write that does what w and then next do.
+// Merge returns a single write with the combined effect of w and then next.
 func (w Write) Merge(next Write) Write {
 	if s := next.Snapshot; s == nil {
 		next.Snapshot = w.Snapshot
@@ -89,7 +89,7 @@
 	return next
 }
 
-// Size is approximately how many bytes a write puts on disk.
+// Size returns the approximate number of bytes that the write puts on disk.
 func (w *Write) Size() int {
 	size := totalEntryBytes(w.Entries)
 	if w.Snapshot != nil {
--- a/internal/gateway/replication/status.go
+++ b/internal/gateway/replication/status.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Status is how a replica stands, for operators.
+// Status is a summary of a replica for operators.
 type Status struct {
 	Self             Member
 	Role             string
 	Term             uint64
 	Leader           Member // zero if not known
 	Members          []Member
-	MembersCommitted bool     // false while the configuration is a joint one
+	MembersCommitted bool     // false in a joint configuration
 	Learner          MemberID // 0: none
-	FirstIndex       uint64   // of the entries after the snapshot
+	FirstIndex       uint64   // index of the first entry after the snapshot
 	LastIndex        uint64
 	SyncedIndex      uint64
-	Uncommitted      uint64 // entries that are not known to be committed here
-	Pending          int    // proposals and reads
+	Uncommitted      uint64 // number of entries that are not known to be committed here
+	Pending          int    // number of pending proposals and reads
 }
 
-// Status returns how the replica stands.
+// Status returns a summary of the replica.
 func (r *Replica) Status() Status {
 	leader, _, _ := r.Leader()
 	return Status{
@@ -37,10 +37,10 @@
 	}
 }
 
-// CommitIndex is up to which index entries are known to be committed.
+// CommitIndex returns the index up to which entries are known to be committed.
 func (r *Replica) CommitIndex() uint64 { return r.commitIndex }
 
-// Leader returns the present leader, as far as is known here, and the present term.
+// Leader returns the current term and its leader. It returns false if no leader is known here.
 func (r *Replica) Leader() (leader Member, term uint64, known bool) {
 	if r.leaderID == r.self.ID {
 		return r.self, r.term, true
@@ -56,12 +56,13 @@
 	return Member{}, r.term, false
 }
 
-// IsLeader reports whether this member leads and was recently in contact with a majority. That it leads at this very moment only a
-// Read confirms.
+// IsLeader reports whether this member is the leader and was recently in contact with a majority. Only a Read confirms that it still
+// is the leader at the moment.
 func (r *Replica) IsLeader() bool { return r.role == roleLeader }
 
-// LeaderTerm returns the present term, and whether this member leads it with an entry of it committed: then all that was
-// acknowledged in earlier terms is committed here. That it leads at this very moment only a Read confirms.
+// LeaderTerm returns the current term, and whether this member is its leader and has committed an entry of the term. In that case,
+// everything that was acknowledged in earlier terms is committed here. Only a Read confirms that the member still is the leader at
+// the moment.
 func (r *Replica) LeaderTerm() (term uint64, leads bool) {
 	return r.term, r.role == roleLeader && r.commitIndex >= r.termStartIndex
 }
--- a/internal/gateway/replication/testingknobs.go
+++ b/internal/gateway/replication/testingknobs.go
@@ -1,54 +1,54 @@
 package replication
 
-// mutation is a defect that a test plants, to see that the explorer or a walk finds it.
+// mutation is a defect that a test injects to check that the state space exploration or a randomized simulation detects it.
 type mutation uint8
 
-// The mutations, each named after what a replica then does.
+// Mutations, each with the resulting behavior of a replica.
 const (
 	noMutation mutation = iota
 
 	// Durability and voting.
 	ackUnsynced           // acknowledges entries that are not on disk
-	countWipedDisk        // counts a member whose disk was wiped
-	acceptStaleTerm       // accepts a former leader's appends
-	forgetVotes           // does not write its term and vote
+	countWipedDisk        // counts a member although its disk was erased
+	acceptStaleTerm       // accepts appends of a former leader
+	forgetVotes           // does not write its term and vote to disk
 	skipTruncation        // keeps entries that conflict with the leader's
-	commitEarlierTerms    // commits entries of earlier terms by counting
-	singleMajority        // needs one majority only for a change of members
-	skipReadSeq           // answers a read without confirming that it leads
+	commitEarlierTerms    // commits entries of earlier terms as soon as a majority has them
+	singleMajority        // needs only the majority of the new list in a joint configuration
+	skipReadSeq           // answers a read without confirmation of its leadership
 	voteBeforeSync        // sends a vote before it is on disk
-	voteTwice             // votes for two candidates of a term
-	electByMinority       // leads with one vote too few
-	leadWithoutNewestLog  // leads without the newest log
-	skipLogMatching       // appends behind an entry of another term
-	countLearner          // counts a learner for a majority
+	voteTwice             // votes for two candidates in one term
+	electByMinority       // becomes leader with one vote too few
+	leadWithoutNewestLog  // becomes leader without the newest log
+	skipLogMatching       // appends after an entry whose term does not match
+	countLearner          // counts a learner as part of a majority
 	countStaleAcks        // counts acknowledgements of earlier terms
-	keepFinishedProposals // keeps proposals whose Outcome was given
+	keepFinishedProposals // keeps proposals that already have an Outcome
 	readBeforeNoOp        // answers a read before an entry of its term is committed
-	joinOtherAfterVote    // joins another cluster after it voted in the one it was bootstrapped for
-	skipTieBreak          // lets two candidates of a term both need another time-out
+	joinOtherAfterVote    // joins another cluster although it has voted in the one of its bootstrap
+	skipTieBreak          // makes both candidates of a term wait for another election timeout
 	shareClusterID        // gives all logs of a disk the same cluster ID
-	loseMergedWrite       // forgets the first of two pending writes
-	syncOtherLog          // counts a write as synced with another log's
-	mixBlobs              // joins chunks of two blobs
-	skipChunks            // accepts a chunk though one before it is missing
+	loseMergedWrite       // drops the first of two merged writes
+	syncOtherLog          // treats a write as synced once a write of another log is
+	mixBlobs              // combines chunks of two blobs
+	skipChunks            // accepts a chunk although an earlier one is missing
 	installPartial        // installs a snapshot before it is complete
-	abandonTransfer       // replaces a snapshot under transfer by a newer one
-	contactFromAckTime    // a leader counts contact from when the answer came
-	contactFromAppendTime // a follower counts contact from when the append came
-	contactBeforeNoOp     // a leader reports contact before an entry of its term is committed
-	contactWhileLeading   // a leader is always in contact
-	contactBeforeCommit   // a follower takes over contact though it lacks committed entries
+	abandonTransfer       // restarts the transfer of a snapshot when there is a newer one
+	contactFromAckTime    // the leader dates contact by the arrival of a response
+	contactFromAppendTime // a follower dates contact by the arrival of an append
+	contactBeforeNoOp     // the leader reports contact before an entry of its term is committed
+	contactWhileLeading   // a leader always reports contact
+	contactBeforeCommit   // a follower accepts contact although it lacks committed entries
 
 	// Membership.
-	neverReplace       // adds members, and neither replaces nor removes lost ones
-	promoteEarly       // makes a learner a member before it has the state
-	replaceAtOnce      // replaces members that are only restarting
-	shrinkBelowMinimum // removes lost members however few remain
-	keepDeadLearner    // keeps a learner that is gone
-	drainEarly         // lets a member go before the others have what it has
-	lostFromDetection  // counts a member as lost from when the host finds out
+	neverReplace       // adds members, but never replaces or removes lost ones
+	promoteEarly       // promotes a learner before it has the committed entries
+	replaceAtOnce      // replaces members that may only be restarting
+	shrinkBelowMinimum // removes lost members even if too few remain
+	keepDeadLearner    // keeps a learner that does not respond
+	drainEarly         // lets a draining member leave before the others have its entries
+	lostFromDetection  // counts a member as lost only from the detection by the host
 )
 
-// mutated reports whether a test has planted a mutation. It is constantly false in a release build.
+// hasMutation reports whether a test has injected a mutation. In a release build it always returns false.
 func (r *Replica) hasMutation(m mutation) bool { return r.config.TestingKnobs.hasMutation(m) }
--- a/internal/gateway/replication/testingknobs_debug.go
+++ b/internal/gateway/replication/testingknobs_debug.go
@@ -2,10 +2,10 @@
 
 package replication
 
-// TestingKnobs plants a fault for a test.
+// TestingKnobs selects the mutation that a test injects.
 type TestingKnobs struct{ mutation mutation }
 
 func (t TestingKnobs) hasMutation(m mutation) bool { return t.mutation == m }
 
-// any reports whether any fault is planted.
+// hasAnyMutation reports whether any mutation is injected.
 func (t TestingKnobs) hasAnyMutation() bool { return t.mutation != noMutation }
--- a/internal/gateway/replication/testingknobs_release.go
+++ b/internal/gateway/replication/testingknobs_release.go
@@ -2,7 +2,7 @@
 
 package replication
 
-// TestingKnobs is empty in a release build: no fault can be planted, and the compiler removes the branches.
+// TestingKnobs is empty in a release build. Mutations cannot be injected, and the compiler removes their branches.
 type TestingKnobs struct{}
 
 func (TestingKnobs) hasMutation(mutation) bool { return false }
--- a/internal/gateway/replication/transfer.go
+++ b/internal/gateway/replication/transfer.go
@@ -1,10 +1,10 @@
 package replication
 
-// Leadership transfer: the leader refuses proposals until a member has its complete log, and asks that one to start an election at
-// once, without a pre-vote.
+// Leadership transfer: the leader refuses proposals until another member has its complete log. Then it asks that member to start an
+// election at once, without a pre-vote.
 
-// TransferLeadership has another member lead, as soon as one has all entries. Proposals are refused meanwhile; without a new
-// leader after Config.QuorumTimeout they are taken again.
+// TransferLeadership transfers the leadership to another member as soon as one has all entries. Until then, proposals are refused. If
+// there is no new leader after Config.QuorumTimeout, this member accepts proposals again.
 func (r *Replica) TransferLeadership() {
 	if r.role == roleLeader && r.now >= r.leadershipTransferDeadline {
 		r.leadershipTransferDeadline = r.now + r.config.QuorumTimeout
@@ -12,20 +12,20 @@
 	}
 }
 
-// TransferLeadershipTo is TransferLeadership to a certain member, or to any other if that one does not answer.
+// TransferLeadershipTo transfers the leadership to a certain member, or to any other member if that one does not respond.
 func (r *Replica) TransferLeadershipTo(id MemberID) {
 	r.transferee = id
 	r.TransferLeadership()
 }
 
-// CanTransferTo reports whether this member leads and another could take over at once, as far as is known here.
+// CanTransferTo reports whether this member is the leader and, as far as is known here, the given member could become leader at once.
 func (r *Replica) CanTransferTo(id MemberID) bool {
 	peer := r.peers[id]
 	return r.role == roleLeader && peer != nil && r.canReconfigure() && r.isMember(id) && r.isRecentlyActive(peer) &&
 		peer.matchIndex == r.log.lastIndex() && r.now-peer.lastResponseAt <= maxMissedHeartbeats*r.config.HeartbeatInterval
 }
 
-// maybeTransferLeadership asks a member that has all entries to lead, while a transfer is under way.
+// maybeTransferLeadership asks a member that has all entries to start an election, if a leadership transfer is in progress.
 func (r *Replica) maybeTransferLeadership() {
 	if r.role != roleLeader || r.now >= r.leadershipTransferDeadline || r.commitIndex < r.log.lastIndex() {
 		return
@@ -38,7 +38,7 @@
 	}
 }
 
-// eligibleTransferee reports whether a member may lead: only the preferred one, if that answers.
+// isEligibleTransferee reports whether a member may become the new leader. If the preferred member is active, only that one may.
 func (r *Replica) isEligibleTransferee(peer *progress) bool {
 	if !r.isRecentlyActive(peer) || !r.isMember(peer.ID) {
 		return false
--- a/internal/gateway/replication/wire.go
+++ b/internal/gateway/replication/wire.go
@@ -1,16 +1,17 @@
 package replication
 
-// The forms in which gob sends messages of the configuration log between nodes of two versions. Gob matches fields by their
-// names, so these keep the names that the first version had. Nothing but the two conversions below reads or writes their fields.
+// This file contains the types that gob encodes for messages of the configuration log between nodes of two software versions. Gob
+// matches fields by name, so the fields keep the names that they had in the first version. Only the conversions in this file and
+// the code that handles chunks use these fields.
 //
-// Messages of the coordination groups go in the compact form of codec.go, which has no names and needs no conversion.
+// Messages of the coordination groups use the compact form of codec.go, which contains no names and needs no conversion.
 
-// Chunk is a part of a Blob as it is sent, or, without Data, an acknowledgement of all bytes before Offset. Frames and messages
-// carry it in this form; a blobID is what the code goes by.
+// Chunk is a part of a Blob. Without Data, it is an acknowledgement of all bytes before Offset. Frames and messages contain Chunk
+// in this form. Other code identifies the blob by its blobID.
 type Chunk struct {
 	Index, View uint64 // log index and term of the snapshot or entry
 	Sum, Size   uint64 // CRC-64 (ECMA) and length in bytes of the blob
-	Offset      uint64 // in the blob: where Data begins
+	Offset      uint64 // position of Data in the blob
 	Data        []byte
 }
 
@@ -18,10 +19,10 @@
 	return blobID{index: c.Index, term: c.View, checksum: c.Sum, size: c.Size}
 }
 
-// SameBlob reports whether two chunks are of the same blob.
+// SameBlob reports whether two chunks are part of the same blob.
 func (c *Chunk) SameBlob(other *Chunk) bool { return c.blobID() == other.blobID() }
 
-// WireEntry is an Entry as gob sends it.
+// WireEntry is the gob form of an Entry. View is the term.
 type WireEntry struct {
 	Index, View uint64
 	Kind        EntryKind
@@ -29,14 +30,14 @@
 	Members     []Member
 }
 
-// WireSnapshot is a Snapshot as gob sends it.
+// WireSnapshot is the gob form of a Snapshot. View is the term.
 type WireSnapshot struct {
 	Index, View uint64
 	Members     []Member
 	State       []byte
 }
 
-// WireMessage is a Message as gob sends it.
+// WireMessage is the gob form of a Message. The method Wire shows which field of Message each field contains.
 type WireMessage struct {
 	Kind        MessageKind
 	House       uint64
@@ -55,7 +56,7 @@
 	Contact     int64
 }
 
-// Wire converts a message into the form that gob sends. Data of entries and snapshots is shared, not copied.
+// Wire converts a message to the gob form. The result shares the data of entries and snapshots with the message.
 func (m *Message) Wire() WireMessage {
 	wire := WireMessage{
 		Kind:      m.Kind,
@@ -86,7 +87,7 @@
 	return wire
 }
 
-// Message converts what gob received. Data of entries and snapshots is shared, not copied.
+// Message converts a message from the gob form. The result shares the data of entries and snapshots with w.
 func (w *WireMessage) Message() Message {
 	m := Message{
 		Kind:                w.Kind,
--- a/internal/gateway/replication/writequeue.go
+++ b/internal/gateway/replication/writequeue.go
@@ -1,19 +1,19 @@
 package replication
 
-// maxBatchBytes bounds the groups' writes in one transaction, beside the configuration's: it is the longest delay of a
-// configuration. One write always goes.
+// maxBatchBytes limits the groups' writes in one transaction. The limit bounds the time for which a group transaction delays the
+// next write of the configuration log. A single write is always included.
 const maxBatchBytes = 256 << 10
 
-// WriteQueue has the writes of a node's replicas while its one disk is busy, and decides what goes into one transaction. Writes
-// of one log are merged, so that a disk that hangs has no more to write than the state of each log. The host writes a transaction
-// atomically and calls Synced of each replica. The zero value is empty.
+// WriteQueue collects the writes of a node's replicas while the node's disk is busy, and selects the writes of the next transaction.
+// Writes of the same log are merged, so that even while a disk hangs, at most the state of each log is pending. The host writes a
+// transaction atomically and then calls ReportSynced on each replica. The zero value is empty.
 type WriteQueue struct {
 	knobs        TestingKnobs
 	pending      map[LogID]*Write
-	nextGroupLog LogID // whose write goes first
+	nextGroupLog LogID // log whose write is taken first
 }
 
-// Put adds a write behind those of the same log.
+// Put adds a write after the pending writes of the same log.
 func (w *WriteQueue) Put(log LogID, write Write) {
 	if w.pending == nil {
 		w.pending = map[LogID]*Write{}
@@ -24,8 +24,8 @@
 	w.pending[log] = &write
 }
 
-// Take returns the next transaction and removes it: the configuration's write always, and the groups' in turn, up to
-// maxBatchBytes. It returns nil if nothing is pending.
+// Take removes and returns the writes of the next transaction: the write of the configuration log, and the writes of groups in
+// round-robin order up to maxBatchBytes. It returns nil if no write is pending.
 func (w *WriteQueue) Take() (batch []LogWrite) {
 	if len(w.pending) == 0 {
 		return nil
@@ -49,7 +49,7 @@
 	return batch
 }
 
-// groupsInTurn are the groups with pending writes, from nextGroup on.
+// groupsWithPendingWrites returns the groups with pending writes in round-robin order, starting with nextGroupLog.
 func (w *WriteQueue) groupsWithPendingWrites() (groups []LogID) {
 	last := ConfigurationLog
 	for log := range w.pending {
