--- a/internal/gateway/replication/contact.go
+++ b/internal/gateway/replication/contact.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// updateQuorumContact updates the leader's quorum contact: the newest time at which a majority was in contact. In a joint
+// updateQuorumContact updates the leader's quorum contact, which is the newest time at which a majority was in contact. In a joint
 // configuration, a majority of both member lists is needed. The function does nothing before an entry of this term is committed:
 // until then, entries that earlier leaders acknowledged may not be known to be committed here.
 func (r *Replica) updateQuorumContact() {
--- a/internal/gateway/replication/doc.go
+++ b/internal/gateway/replication/doc.go
@@ -39,6 +39,7 @@
 //	quorum contact       the last time when a majority is known to have followed the leader; its age bounds the staleness
 //	blob                 data that is too large for one message and is sent in chunks: a snapshot's state or an entry's data
 //	draining             state of a member that has announced its shutdown
+//	lost member          a member that the host does not reach, that missed several heartbeats, or that is draining
 //	cluster ID           identifies one bootstrap of one log; messages with another cluster ID are ignored
 //	bootstrap            the write of the first member list to empty disks, as term 1 and index 1
 //
--- a/internal/gateway/replication/durability.go
+++ b/internal/gateway/replication/durability.go
@@ -15,8 +15,8 @@
 // pendingReply is a message that must be sent only after a write is synced.
 type pendingReply struct {
 	writeSeq uint64
-	// MsgAppendAck, MsgVoteGranted, or MsgRequestVote: a candidate's own vote, whose sync
-	// starts the vote requests to the other members
+	// kind is MsgAppendAck, MsgVoteGranted or MsgRequestVote. With MsgRequestVote, the write contains a candidate's own vote, and
+	// the vote requests to the other members are sent once the vote is synced.
 	kind      MessageKind
 	term      uint64
 	recipient MemberID
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -208,7 +208,7 @@
 	r.sendToID(from, tail)
 }
 
-// onLogTail replaces the end of this log by the log of the voter with the newest log.
+// onLogTail updates this candidate's log to the newer log that a voter sent, and removes conflicting entries.
 func (r *Replica) onLogTail(m Message) {
 	if r.role != roleCandidate || m.Term != r.term {
 		return
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -10,14 +10,14 @@
 // takes more memory than its Size.
 const maxTrailingEntries = 4096
 
-// entryLog is a snapshot and the entries after it. It also keeps some compacted entries in memory. Its methods return values that
-// the caller may keep.
+// entryLog is a snapshot and the entries after it. It also keeps some compacted entries in memory. Callers may keep the slices that
+// its methods return.
 type entryLog struct {
 	snapshot Snapshot
 	entries  []Entry // entries after the snapshot
-	// The last entries up to the snapshot, for members that lack only a few entries. They are not on disk.
+	// trailing contains the last entries up to the snapshot, for members that lack only a few entries. They are not on disk.
 	trailing []Entry
-	// The term of the entry before trailing. An append that starts with the first trailing entry must name this term.
+	// termBeforeTrailing is the term of the entry before trailing. An append that starts with the first trailing entry must name this term.
 	termBeforeTrailing uint64
 }
 
--- a/internal/gateway/replication/membership.go
+++ b/internal/gateway/replication/membership.go
@@ -31,10 +31,12 @@
 	// both limits above, so a draining member is replaced first.
 	drainingLostAge = 365 * 24 * time.Hour
 
-	// maxMissedHeartbeats is the number of heartbeats that a member may miss. After more, it is lost since its last response.
+	// maxMissedHeartbeats is the number of heartbeats that a member may miss. A member that misses more counts as lost from the
+	// time of its last response.
 	maxMissedHeartbeats = 3
 
-	// maxLearnerTimeouts times Config.LearnerTimeout is how long a learner may make no progress while other candidates exist.
+	// maxLearnerTimeouts times Config.LearnerTimeout is how long a learner may make no progress while other learner
+	// candidates exist.
 	maxLearnerTimeouts = 3
 
 	// maxMembers is the maximum length of a member list.
@@ -103,7 +105,8 @@
 	return candidates
 }
 
-// hasLearnerFailed reports whether the learner is unreachable, or has made no progress for too long while other candidates exist.
+// hasLearnerFailed reports whether the learner is unreachable, or has made no progress for too long while other learner
+// candidates exist.
 func (r *Replica) hasLearnerFailed(candidates []Member) bool {
 	if r.learner == 0 {
 		return false
@@ -113,7 +116,8 @@
 	return !isReachable || isStalled && len(candidates) > 1
 }
 
-// updateLostMembers records since when each unreachable member is lost.
+// updateLostMembers records for each lost member since when it is lost. A member is lost if the host does not reach its node or
+// if it missed more than maxMissedHeartbeats. A draining member also counts as lost.
 func (r *Replica) updateLostMembers(reachable []ReachableNode) {
 	now := max(r.now, 1) // 0 means that there is no entry
 	for id := range r.lostSince {
@@ -154,8 +158,8 @@
 	return detected
 }
 
-// chooseLearner returns the candidate that receives the log. The order of preference is the present learner, a candidate at the
-// address of a member, and the next ID after the learner that was dropped last. The last rule gives each candidate a turn.
+// chooseLearner returns the learner candidate that receives the log. The order of preference is the present learner, a candidate
+// at the address of a member, and the next ID after the learner that was dropped last. The last rule gives each candidate a turn.
 func (r *Replica) chooseLearner(candidates []Member) (Member, bool) {
 	if len(candidates) == 0 {
 		return Member{}, false
@@ -172,7 +176,8 @@
 	return candidates[0], true
 }
 
-// memberAtAddressOf returns the member at the address of a learner, whose disk is gone or at another address; 0 if there is none.
+// memberAtAddressOf returns the member that is listed with the address of a learner; 0 if there is none. The disk of that member
+// is gone or at another address.
 func (r *Replica) memberAtAddressOf(learner Member) MemberID {
 	for _, m := range r.Members() {
 		if m.Addr == learner.Addr && m.ID != learner.ID {
@@ -328,8 +333,8 @@
 }
 
 // IndexReplicatedElsewhere returns the index up to which a majority has the committed entries on disk without counting this member.
-// A member that shuts down waits until this index reaches CommitIndex. Otherwise a loss right after the shutdown could destroy the
-// remaining copies of an acknowledged entry.
+// A member that shuts down waits until this index reaches CommitIndex. Otherwise the next loss right after the shutdown could
+// destroy an acknowledged entry of which this member had one of the copies.
 func (r *Replica) IndexReplicatedElsewhere() uint64 {
 	switch {
 	case r.role == roleLeader:
--- a/internal/gateway/replication/message.go
+++ b/internal/gateway/replication/message.go
@@ -10,8 +10,8 @@
 	MsgAppend MessageKind = iota + 1
 	// MsgAppendAck reports that the sender's log up to Index equals the leader's log and is synced. It also acknowledges Seq.
 	MsgAppendAck
-	// MsgAppendReject reports that the sender has no entry with the Index and LogTerm of the append. Its own Index is the
-	// sender's commit index.
+	// MsgAppendReject reports that the sender has no entry with the Index and LogTerm of the append. In MsgAppendReject, Index
+	// is the sender's commit index.
 	MsgAppendReject
 	// MsgStaleTerm answers a message whose term the sender does not follow any more. Term is the sender's term. Rejected means
 	// that the sender is itself a candidate.
@@ -41,7 +41,7 @@
 type Message struct {
 	Kind      MessageKind
 	ClusterID uint64
-	// The ID of the receiving disk. If an empty disk has taken over the address, it ignores the message.
+	// Recipient is the ID of the receiving disk. An empty disk that has taken over the address of that disk ignores the message.
 	Recipient MemberID
 	Term      uint64
 
--- a/internal/gateway/replication/progress.go
+++ b/internal/gateway/replication/progress.go
@@ -11,8 +11,8 @@
 	Member
 	nextIndex  uint64 // index of the next entry to send
 	matchIndex uint64 // the member's synced log equals the leader's up to this index
-	// Entries after inflightBase are in flight. It exceeds matchIndex when a retransmission or a snapshot skips
-	// some entries.
+	// Entries after inflightBase are in flight. inflightBase exceeds matchIndex when a retransmission or a snapshot skips some
+	// entries.
 	inflightBase      uint64
 	readSeq           uint64 // the newest acknowledged read sequence
 	lastResponseAt    time.Duration
@@ -21,7 +21,8 @@
 	lastReceivedClock uint32        // newest clock received from the member
 	lastContactAt     time.Duration // latest time at which the member is known to have followed this term
 
-	responded     bool // in this term; before the first response it is not known whether the member accepts chunks
+	// responded reports whether the member has responded in this term. Until then, acceptsChunks is not known.
+	responded     bool
 	acceptsChunks bool
 	transfer      blobTransfer
 }
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -20,8 +20,8 @@
 	roleLeader
 )
 
-// String returns the text in the status of the control API: "following" for a follower, "checking" for a pre-candidate, "stopping" for
-// a candidate and "leading" for a leader.
+// String returns the text in the status of the control API. The text of a pre-candidate is "checking", and that of a candidate
+// is "stopping".
 func (r role) String() string { return [...]string{"following", "checking", "stopping", "leading"}[r] }
 
 // Replica is one member of a cluster with its copy of the log. It must not be called from several goroutines at the same time. The
@@ -91,11 +91,11 @@
 	transferee                 MemberID      // preferred new leader; 0: any member
 
 	// Membership changes: see membership.go.
-	lostSince          map[MemberID]time.Duration // members that the host does not reach; also tracked on followers
+	lostSince          map[MemberID]time.Duration // lost members, with the time of the loss; also tracked on followers
 	learner            MemberID                   // 0: none
 	learnerConfig      memberConfig               // takes effect once the learner has caught up; nil members delay the promotion
 	learnerStartedAt   time.Duration
-	learnerProgressAt  time.Duration // when the learner last acknowledged new entries
+	learnerProgressAt  time.Duration // when the learner started or last acknowledged new entries
 	lastDroppedLearner MemberID
 
 	actions []Action // returned by Next, in order
@@ -229,8 +229,8 @@
 	r.actions = append(r.actions, outcome)
 }
 
-// Next returns the next action for the host. It returns false if there is none until the next input. Entries are sent and written
-// only after the earlier actions, so that all proposals of one batch of inputs share one message and one write.
+// Next returns the next action for the host. It returns false if there is no action until the next input. New entries are sent and
+// written only after the host has taken all earlier actions. So the proposals of one batch of inputs share one message and one write.
 func (r *Replica) Next() (Action, bool) {
 	if len(r.actions) == 0 && r.replicationPending {
 		r.replicationPending = false
--- a/internal/gateway/replication/writequeue.go
+++ b/internal/gateway/replication/writequeue.go
@@ -1,7 +1,7 @@
 package replication
 
 // maxBatchBytes limits the groups' writes in one transaction. The limit bounds the time for which a group transaction delays the
-// next write of the configuration log. A single write is always included.
+// next write of the configuration log. The first write is always included.
 const maxBatchBytes = 256 << 10
 
 // WriteQueue collects the writes of a node's replicas while the node's disk is busy, and selects the writes of the next transaction.
