--- a/internal/gateway/replication/config.go
+++ b/internal/gateway/replication/config.go
@@ -67,7 +67,7 @@
 }
 
 // DefaultConfig returns the configuration for links with a round trip of a few milliseconds and at least 2 Mbit/s, and for disks
-// that sync in a few milliseconds. On such a link, MaxInflightBytes in flight to each of about five members delay a heartbeat by
+// that sync in a few milliseconds. On such a link, MaxInflightBytes in flight to each of a few members delay a heartbeat by
 // less than ElectionTimeout.
 func DefaultConfig() Config {
 	return Config{
