--- a/internal/gateway/replication/codec.go
+++ b/internal/gateway/replication/codec.go
@@ -7,14 +7,15 @@
 	"github.com/go-faster/errors"
 )
 
-// The compact form of messages between members of the coordination groups. Most are heartbeats and single entries, for which gob
-// would take three times the bytes. Layout, with all numbers as varints but the kinds, which are a byte each:
+// This file encodes messages between members of the coordination groups in a compact form. Most of these messages are
+// heartbeats and single entries, for which gob would take three times the bytes. The layout is as follows. Numbers are
+// varints, except the kinds, which take one byte each:
 //
-//	kind, mask, cluster ID, recipient, term, the numbers and lists that the mask names
+//	kind, mask, cluster ID, recipient, term, the fields whose bits are set in the mask
 //
-// Clocks and contact are not carried: these logs don't report it (see reportsContact).
+// The form omits clocks and quorum contact, because the logs of groups do not track quorum contact (see tracksQuorumContact).
 
-// Bits of the mask, in the order in which the fields follow. They are on the wire.
+// Bits of the mask, in the order in which the fields are encoded. They are part of the wire format.
 const (
 	hasIndex = 1 << iota
 	hasLogTerm
@@ -28,11 +29,11 @@
 	acceptsChunks
 )
 
-// ErrTruncatedMessage is returned for a message that ends too early, or counts more than can follow.
+// ErrTruncatedMessage is returned for a message that ends too early, or whose counts exceed the remaining bytes.
 var ErrTruncatedMessage = errors.New("truncated message")
 
-// mask names the fields that are carried.
-func (m *Message) mask() (mask uint64) {
+// fieldMask returns the bits of the fields that are encoded.
+func (m *Message) fieldMask() (mask uint64) {
 	set := func(bit uint64, is bool) {
 		if is {
 			mask |= bit
@@ -51,10 +52,10 @@
 	return mask
 }
 
-// AppendMessage appends a message's compact form.
+// AppendMessage appends the compact form of a message to b.
 func AppendMessage(b []byte, m *Message) []byte {
 	b = append(b, byte(m.Kind))
-	for _, n := range [...]uint64{m.mask(), m.ClusterID, uint64(m.Recipient), m.Term} {
+	for _, n := range [...]uint64{m.fieldMask(), m.ClusterID, uint64(m.Recipient), m.Term} {
 		b = binary.AppendUvarint(b, n)
 	}
 	for _, n := range [...]uint64{m.Index, m.LogTerm, m.Commit, m.Seq, m.ReplicatedElsewhere} {
@@ -103,28 +104,28 @@
 	return append(binary.AppendUvarint(b, uint64(len(data))), data...)
 }
 
-// DecodeMessage reads a message and returns what follows it. The message shares nothing with b.
+// DecodeMessage decodes a message and returns the bytes that follow it. The message does not refer to the memory of b.
 func DecodeMessage(b []byte) (m Message, rest []byte, err error) {
 	r := messageReader{rest: b}
-	m.Kind = MessageKind(r.byte())
-	mask := r.uvarint()
-	m.ClusterID, m.Recipient, m.Term, m.ContactAgeMillis = r.uvarint(), MemberID(r.uvarint()), r.uvarint(), -1
+	m.Kind = MessageKind(r.readByte())
+	mask := r.readUvarint()
+	m.ClusterID, m.Recipient, m.Term, m.ContactAgeMillis = r.readUvarint(), MemberID(r.readUvarint()), r.readUvarint(), -1
 	for i, field := range [...]*uint64{&m.Index, &m.LogTerm, &m.Commit, &m.Seq, &m.ReplicatedElsewhere} {
 		if mask&(hasIndex<<i) != 0 {
-			*field = r.uvarint()
+			*field = r.readUvarint()
 		}
 	}
 	m.Rejected, m.AcceptsChunks = mask&isRejection != 0, mask&acceptsChunks != 0
 	if mask&hasEntries != 0 {
-		for range r.count() {
-			m.Entries = append(m.Entries, r.entry())
+		for range r.readCount() {
+			m.Entries = append(m.Entries, r.readEntry())
 		}
 	}
 	if mask&hasSnapshot != 0 {
-		m.Snapshot = &Snapshot{Index: r.uvarint(), Term: r.uvarint(), Members: r.members(), State: r.bytes()}
+		m.Snapshot = &Snapshot{Index: r.readUvarint(), Term: r.readUvarint(), Members: r.readMembers(), State: r.readBytes()}
 	}
 	if mask&hasChunk != 0 {
-		m.Chunk = &Chunk{Index: r.uvarint(), View: r.uvarint(), Sum: r.uvarint(), Size: r.uvarint(), Offset: r.uvarint(), Data: r.bytes()}
+		m.Chunk = &Chunk{Index: r.readUvarint(), View: r.readUvarint(), Sum: r.readUvarint(), Size: r.readUvarint(), Offset: r.readUvarint(), Data: r.readBytes()}
 	}
 	if r.truncated {
 		return Message{}, nil, ErrTruncatedMessage
@@ -132,19 +133,20 @@
 	return m, r.rest, nil
 }
 
-// messageReader reads fields until there are not enough bytes; from then on it reads zeros.
+// messageReader decodes fields from a buffer. Once the buffer is too short for a field, truncated is true and all further reads
+// return zero values.
 type messageReader struct {
 	rest      []byte
 	truncated bool
 }
 
-func (m *messageReader) fail() {
+func (m *messageReader) setTruncated() {
 	m.rest, m.truncated = nil, true
 }
 
-func (m *messageReader) byte() byte {
+func (m *messageReader) readByte() byte {
 	if len(m.rest) == 0 {
-		m.fail()
+		m.setTruncated()
 		return 0
 	}
 	c := m.rest[0]
@@ -152,28 +154,29 @@
 	return c
 }
 
-func (m *messageReader) uvarint() uint64 {
+func (m *messageReader) readUvarint() uint64 {
 	n, size := binary.Uvarint(m.rest)
 	if size <= 0 {
-		m.fail()
+		m.setTruncated()
 		return 0
 	}
 	m.rest = m.rest[size:]
 	return n
 }
 
-// count is a number of items. Each takes at least a byte, so that a false count can't have much memory allocated.
-func (m *messageReader) count() int {
-	n := m.uvarint()
+// readCount reads the length of a list or byte sequence. Each item takes at least one byte, so a count beyond the remaining
+// bytes is an error. This check prevents large allocations for an invalid count.
+func (m *messageReader) readCount() int {
+	n := m.readUvarint()
 	if n > uint64(len(m.rest)) {
-		m.fail()
+		m.setTruncated()
 		return 0
 	}
 	return int(n)
 }
 
-func (m *messageReader) bytes() []byte {
-	n := m.count()
+func (m *messageReader) readBytes() []byte {
+	n := m.readCount()
 	if n == 0 {
 		return nil
 	}
@@ -182,13 +185,13 @@
 	return data
 }
 
-func (m *messageReader) entry() Entry {
-	return Entry{Index: m.uvarint(), Term: m.uvarint(), Kind: EntryKind(m.byte()), Data: m.bytes(), Members: m.members()}
+func (m *messageReader) readEntry() Entry {
+	return Entry{Index: m.readUvarint(), Term: m.readUvarint(), Kind: EntryKind(m.readByte()), Data: m.readBytes(), Members: m.readMembers()}
 }
 
-func (m *messageReader) members() (members []Member) {
-	for range m.count() {
-		members = append(members, Member{ID: MemberID(m.uvarint()), Addr: string(m.bytes())})
+func (m *messageReader) readMembers() (members []Member) {
+	for range m.readCount() {
+		members = append(members, Member{ID: MemberID(m.readUvarint()), Addr: string(m.readBytes())})
 	}
 	return members
 }
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -3,19 +3,20 @@
 import "clovergap/internal/invariant"
 
 const (
-	// startupTimeoutDivisor shortens the first election time-out of a process that knows of no leader yet: after a loss of
-	// power everywhere there is none. Where there is one, the pre-vote keeps it.
+	// startupTimeoutDivisor shortens the first election timeout of a process that has not seen a leader yet: after a power
+	// loss on all nodes there is no leader. If a leader exists, the pre-vote prevents an unnecessary election.
 	startupTimeoutDivisor = 3
 
-	// maxElectionBackoff bounds the election time-out in multiples of Config.ElectionTimeout. Each election without a leader
-	// doubles it: where every sync takes longer than the time-out, candidates would otherwise depose each other for ever.
-	maxElectionBackoff = 4
+	// maxElectionBackoffFactor limits the election timeout to this multiple of Config.ElectionTimeout. Each election without a
+	// leader doubles the timeout. Otherwise candidates would depose each other forever if every sync takes longer than the timeout.
+	maxElectionBackoffFactor = 4
 
-	// voteTimeoutFactor is how many times as long as its own disk took a candidate allows for votes: others' disks may be busier.
+	// voteTimeoutFactor is the time that a candidate allows for votes, as a multiple of the time of its own sync. The factor
+	// is above 1 because the disks of other members may be busier.
 	voteTimeoutFactor = 3
 )
 
-// resetElectionDeadline starts the election time-out anew. Only members start elections.
+// resetElectionDeadline restarts the election timeout. Only members start elections.
 func (r *Replica) resetElectionDeadline() {
 	r.electionDeadline = never
 	if r.clusterID == 0 || !r.isMember(r.self.ID) {
@@ -25,25 +26,26 @@
 	if !r.sawLeader {
 		timeout, jitter = timeout/startupTimeoutDivisor, jitter/startupTimeoutDivisor
 	}
-	for n := 0; n < r.failedElections && 2*timeout <= maxElectionBackoff*r.config.ElectionTimeout; n++ {
+	for n := 0; n < r.failedElections && 2*timeout <= maxElectionBackoffFactor*r.config.ElectionTimeout; n++ {
 		timeout, jitter = 2*timeout, 2*jitter
 	}
-	r.electionDeadline = r.now + timeout + r.random(jitter)
+	r.electionDeadline = r.now + timeout + r.randomDuration(jitter)
 }
 
-// ReportUnreachable reports that the connection to a member broke. If that is the leader, this member starts a pre-vote soon, as do
-// the others whose connections broke; those that still hear the leader reject it.
+// ReportUnreachable reports that the connection to a member broke. If that member is the leader, this member soon starts a
+// pre-vote, like the other members whose connections broke. Members that still receive messages from the leader reject it.
 func (r *Replica) ReportUnreachable(id MemberID) {
 	if r.role != roleFollower || r.leaderID != id || r.electionDeadline == never {
 		return
 	}
 	r.leaderContactAt = min(r.leaderContactAt, r.now-r.config.ElectionTimeout)
-	r.electionDeadline = min(r.electionDeadline, r.now+r.random(r.config.HeartbeatInterval/2))
+	r.electionDeadline = min(r.electionDeadline, r.now+r.randomDuration(r.config.HeartbeatInterval/2))
 }
 
-// enterTerm goes on to a newer term, or in the present one to another leader than the candidate that this member voted for.
+// enterTerm moves to a newer term. It is also called for the current term if the leader is not the candidate that this member
+// voted for.
 func (r *Replica) enterTerm(term uint64, votedFor MemberID) {
-	invariant.Assert(term >= r.term, "terms never go back")
+	invariant.Assert(term >= r.term, "the term never decreases")
 	if r.role == roleLeader {
 		r.stepDown()
 	}
@@ -54,8 +56,8 @@
 	r.requireWrite(0)
 }
 
-// startPreVote asks the others whether they have lost the leader too. Without it, a partitioned member would raise the
-// term in vain, and depose the leader when it comes back.
+// startPreVote asks the other members whether they have lost the leader too. Without a pre-vote, a partitioned member would
+// increase the term without being elected, and would depose the leader once the partition heals.
 func (r *Replica) startPreVote() {
 	r.resetElectionDeadline()
 	if r.electionDeadline == never {
@@ -65,14 +67,14 @@
 	r.preVoteSeq++
 	r.preVotes = map[MemberID]bool{r.self.ID: true}
 	for _, m := range r.otherMembers() {
-		r.sendTo(m, Message{Kind: MsgPreVote, Term: r.term, Seq: r.preVoteSeq})
+		r.sendToMember(m, Message{Kind: MsgPreVote, Term: r.term, Seq: r.preVoteSeq})
 	}
 	r.startElectionIfPreVoted()
 }
 
 func (r *Replica) onPreVote(from MemberID, m Message) {
-	lost := r.role != roleLeader && r.now-r.leaderContactAt >= r.config.ElectionTimeout
-	r.send(from, Message{Kind: MsgPreVoteResponse, Term: r.term, Seq: m.Seq, Rejected: !lost})
+	leaderLost := r.role != roleLeader && r.now-r.leaderContactAt >= r.config.ElectionTimeout
+	r.sendToID(from, Message{Kind: MsgPreVoteResponse, Term: r.term, Seq: m.Seq, Rejected: !leaderLost})
 }
 
 func (r *Replica) onPreVoteResponse(from MemberID, m Message) {
@@ -88,8 +90,8 @@
 	}
 }
 
-// startElection raises the term and votes for this member. The others are requested to once that vote is on disk: one that can't sync
-// could not lead, and had better not depose the leader.
+// startElection increases the term and votes for this member. Vote requests are sent only after this vote is on disk: a member
+// that cannot sync could not lead, so it should not depose the leader.
 func (r *Replica) startElection() {
 	r.enterTerm(max(r.term, r.maxSeenTerm)+1, r.self.ID)
 	r.role, r.fetchingLogFrom = roleCandidate, 0
@@ -100,26 +102,27 @@
 	r.replyAfterSync(pendingReply{kind: MsgRequestVote, term: r.term})
 }
 
-// awaitVotes puts the next election off until the others have had time to sync their votes: one that starts while they write
-// makes those votes worthless.
-func (r *Replica) awaitVotes() {
-	if r.electionDeadline == never || r.mutated(skipTieBreak) {
+// extendElectionDeadline postpones the next election until the other members have had time to sync their votes. An election
+// that starts while they write would invalidate these votes.
+func (r *Replica) extendElectionDeadline() {
+	if r.electionDeadline == never || r.hasMutation(skipTieBreak) {
 		return
 	}
 	ownSync := r.now - r.electionStartedAt
-	wait := min(voteTimeoutFactor*ownSync, maxElectionBackoff*r.config.ElectionTimeout)
-	r.electionDeadline = max(r.electionDeadline, r.now+wait)
+	voteTimeout := min(voteTimeoutFactor*ownSync, maxElectionBackoffFactor*r.config.ElectionTimeout)
+	r.electionDeadline = max(r.electionDeadline, r.now+voteTimeout)
 }
 
-// onRequestVote votes for the first candidate of a term, whatever its log: it fetches the newest one before it leads.
+// onRequestVote votes for the first candidate of a term. The vote does not depend on the candidate's log, because a candidate
+// fetches the newest log before it leads.
 func (r *Replica) onRequestVote(from MemberID, m Message) {
-	if m.Term < r.term || m.Term == r.term && r.votedFor != from && !r.mutated(voteTwice) {
-		r.send(from, Message{Kind: MsgStaleTerm, Term: r.term, Rejected: r.role == roleCandidate})
+	if m.Term < r.term || m.Term == r.term && r.votedFor != from && !r.hasMutation(voteTwice) {
+		r.sendToID(from, Message{Kind: MsgStaleTerm, Term: r.term, Rejected: r.role == roleCandidate})
 		return
 	}
-	if m.Term > r.term || r.mutated(voteTwice) {
+	if m.Term > r.term || r.hasMutation(voteTwice) {
 		r.enterTerm(m.Term, from)
-		r.leaderContactAt, r.sawLeader = r.now, true // the candidate gets an election time-out to lead
+		r.leaderContactAt, r.sawLeader = r.now, true // the candidate has one election timeout to become leader
 		r.resetElectionDeadline()
 	}
 	r.replyAfterSync(pendingReply{kind: MsgVoteGranted, term: m.Term, recipient: from})
@@ -132,24 +135,26 @@
 	}
 }
 
-// tallyVotes asks for the votes that are missing, and leads with a majority's if this log is the newest of theirs.
+// tallyVotes sends the missing vote requests. With the votes of a majority, it becomes leader if its log is the newest among
+// the voters. Otherwise it fetches the newest log.
 func (r *Replica) tallyVotes() {
 	if _, synced := r.votes[r.self.ID]; !synced {
 		return
 	}
 	r.requestVotes()
-	voted := func(id MemberID) bool { _, ok := r.votes[id]; return ok }
-	if !r.hasQuorum(voted) && !(r.mutated(electByMinority) && 2*len(r.votes) >= len(r.Members())-1) {
+	hasVoted := func(id MemberID) bool { _, ok := r.votes[id]; return ok }
+	if !r.hasQuorum(hasVoted) && !(r.hasMutation(electByMinority) && 2*len(r.votes) >= len(r.Members())-1) {
 		return
 	}
-	if newest := r.newestVoter(); newest != r.self.ID && !r.mutated(leadWithoutNewestLog) {
+	if newest := r.voterWithNewestLog(); newest != r.self.ID && !r.hasMutation(leadWithoutNewestLog) {
 		if r.fetchingLogFrom != newest {
 			r.fetchingLogFrom = newest
-			r.send(newest, Message{Kind: MsgFetchLog, Term: r.term, Index: r.commitIndex})
+			r.sendToID(newest, Message{Kind: MsgFetchLog, Term: r.term, Index: r.commitIndex})
 		}
 		return
 	}
-	if !r.isMember(r.self.ID) { // the newest log has a list without this member: another one will start an election
+	// The newest log has a member list without this member. Another member will start an election.
+	if !r.isMember(r.self.ID) {
 		r.role = roleFollower
 		r.resetElectionDeadline()
 		return
@@ -157,18 +162,20 @@
 	r.becomeLeader()
 }
 
-// requestVotes sends a request to the members that were not sent one in this term. A log that was fetched may have brought new ones.
+// requestVotes sends a vote request to each member that was not sent one in this term. The member list can grow during an
+// election if the candidate fetches a newer log.
 func (r *Replica) requestVotes() {
 	for _, m := range r.otherMembers() {
 		if _, asked := r.voteRequests[m.ID]; !asked {
 			r.voteRequests[m.ID] = m
-			r.sendTo(m, Message{Kind: MsgRequestVote, Term: r.term})
+			r.sendToMember(m, Message{Kind: MsgRequestVote, Term: r.term})
 		}
 	}
 }
 
-// newestVoter is the voter with the newest log: this member if none is newer than its own, else the lowest ID of several.
-func (r *Replica) newestVoter() MemberID {
+// voterWithNewestLog returns the voter whose log is the newest. It returns this member if no log is newer than its own, and the
+// lowest ID if several other voters have the same newest position.
+func (r *Replica) voterWithNewestLog() MemberID {
 	newest, position := r.self.ID, r.log.lastPosition()
 	for id, last := range r.votes {
 		if last.newerThan(position) || last == position && newest != r.self.ID && id < newest {
@@ -178,7 +185,7 @@
 	return newest
 }
 
-// onFetchLog gives this member's log to the candidate that it voted for.
+// onFetchLog sends this member's log to the candidate that it voted for.
 func (r *Replica) onFetchLog(from MemberID, m Message) {
 	if m.Term != r.term || r.votedFor != from || r.role != roleFollower || r.leaderID != 0 {
 		return
@@ -191,17 +198,17 @@
 		size = len(snapshot.State)
 	}
 	tail.Entries = r.log.entriesFrom(tail.Index + 1)
-	size += sizeOf(tail.Entries)
+	size += totalEntryBytes(tail.Entries)
 	if r.needsChunks(size) && r.isMember(r.self.ID) {
-		// In one message it would delay everything else on the link. This member leads instead, and brings the candidate up to
-		// date in chunks.
+		// A single message of this size would delay all other traffic on the link. This member starts an election to lead
+		// instead, and then sends its log to the candidate in chunks.
 		r.startElection()
 		return
 	}
-	r.send(from, tail)
+	r.sendToID(from, tail)
 }
 
-// onLogTail takes over the newest voter's log.
+// onLogTail updates this candidate's log to the newer log that a voter sent, and removes conflicting entries.
 func (r *Replica) onLogTail(m Message) {
 	if r.role != roleCandidate || m.Term != r.term {
 		return
@@ -210,30 +217,30 @@
 	if n := len(m.Entries); n > 0 {
 		last = logPosition{m.Entries[n-1].Term, m.Entries[n-1].Index}
 	} else if m.Snapshot != nil {
-		last = m.Snapshot.position()
+		last = m.Snapshot.lastPosition()
 	}
 	if !last.newerThan(r.log.lastPosition()) || m.Snapshot == nil && m.Index > r.commitIndex {
 		return
 	}
-	r.installIfNewer(m.Snapshot)
+	r.installSnapshotIfNewer(m.Snapshot)
 	r.appendAfter(m.Index, m.Entries)
 	r.tallyVotes()
 }
 
-// onStaleTerm takes the answer of a member that does not follow this one's term.
+// onStaleTerm handles the response of a member that does not accept this member's term.
 func (r *Replica) onStaleTerm(from MemberID, m Message) {
-	// A majority may follow a newer term. A learner does not count.
+	// A majority may follow a newer term. A learner is no evidence of that, because it does not count for a majority.
 	if r.role == roleLeader && m.Term > r.term && r.peers[from] != nil && from != r.learner {
 		r.stepDown()
 	}
-	// Two candidates of one term keep each other from a majority. The lower ID starts another election, and the other one votes
-	// for it.
-	if r.role == roleCandidate && m.Rejected && m.Term == r.term && r.self.ID < from && !r.mutated(skipTieBreak) {
+	// Two candidates in one term prevent each other from getting a majority. The one with the lower ID starts another
+	// election, and the other votes for it.
+	if r.role == roleCandidate && m.Rejected && m.Term == r.term && r.self.ID < from && !r.hasMutation(skipTieBreak) {
 		r.startElection()
 	}
 }
 
-// onTimeoutNow starts an election without a pre-vote: the leader transfers its leadership.
+// onTimeoutNow starts an election without a pre-vote, because the leader transfers its leadership to this member.
 func (r *Replica) onTimeoutNow(from MemberID, m Message) {
 	if m.Term == r.term && r.leaderID == from && r.role == roleFollower && r.isMember(r.self.ID) {
 		r.startElection()
--- a/internal/gateway/replication/snapshot.go
+++ b/internal/gateway/replication/snapshot.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Snapshots and large entries on their way to members. What exceeds Config.MaxInflightBytes goes in chunks, if the receiver's
-// version takes them.
+// This file sends snapshots and large entries to members and receives them. Data that exceeds Config.MaxInflightBytes is sent in
+// chunks if the receiver's software version supports chunks.
 
 const (
-	// snapshotRetransmitFactor is how many times Config.RetransmitTimeout a snapshot in one message may take.
+	// snapshotRetransmitFactor times Config.RetransmitTimeout is the time after which a snapshot in a single message is sent again.
 	snapshotRetransmitFactor = 3
 
-	// maxOutdatedBlobs bounds the snapshots that are kept in memory for receivers, beside the latest.
+	// maxOutdatedBlobs is the maximum number of older snapshots that stay in memory for transfers in progress.
 	maxOutdatedBlobs = 2
 )
 
-// needsChunks reports whether so many bytes go in chunks.
+// needsChunks reports whether data of this size must be sent in chunks.
 func (r *Replica) needsChunks(bytes int) bool {
 	return r.config.MaxInflightBytes > 0 && bytes > r.config.MaxInflightBytes
 }
 
-// latestSnapshotBlob is the blob of the latest snapshot's state, made once.
+// latestSnapshotBlob returns the blob of the latest snapshot's state. It creates the blob only once for each snapshot.
 func (r *Replica) latestSnapshotBlob() *Blob {
 	latest := r.log.snapshot
 	if b := r.snapshotBlob; b == nil || b.id.index != latest.Index || b.id.term != latest.Term {
@@ -27,9 +27,9 @@
 	return r.snapshotBlob
 }
 
-// BlobToSend returns the snapshot for a receiver that lacks the entries from an index on, given the blobs on their way to others:
-// one of those if the log continues after it, else the latest. It returns nil if as many older ones are kept as may be: the
-// receiver must retry later.
+// BlobToSend returns the snapshot for a receiver that lacks the entries from nextIndex on. inTransfer contains the blobs that are
+// being sent to other receivers. BlobToSend prefers one of these if the log still has the entries after the blob. Otherwise it
+// returns the latest snapshot. It returns nil if maxOutdatedBlobs older blobs are in transfer; the receiver must then retry later.
 func (r *Replica) BlobToSend(nextIndex uint64, inTransfer []*Blob) *Blob {
 	outdated := 0
 	for i, b := range inTransfer {
@@ -46,13 +46,14 @@
 	return r.latestSnapshotBlob()
 }
 
-// sendSnapshot sends a member the snapshot: in one message if that is small or the member's version takes no chunks.
+// sendSnapshot sends the snapshot to a member. It uses a single message if the snapshot is small or the member does not support
+// chunks.
 func (r *Replica) sendSnapshot(peer *progress) {
-	if !r.recentlyActive(peer) {
+	if !r.isRecentlyActive(peer) {
 		return
 	}
 	if !r.needsChunks(len(r.log.snapshot.State)) || peer.responded && !peer.acceptsChunks {
-		r.sendSnapshotAtOnce(peer)
+		r.sendSnapshotInOneMessage(peer)
 		return
 	}
 	if !peer.responded {
@@ -63,7 +64,7 @@
 	}
 }
 
-func (r *Replica) sendSnapshotAtOnce(peer *progress) {
+func (r *Replica) sendSnapshotInOneMessage(peer *progress) {
 	if r.now-snapshotRetransmitFactor*r.config.RetransmitTimeout < peer.snapshotSentAt {
 		return
 	}
@@ -73,10 +74,10 @@
 	r.sendAppend(peer, Message{Index: snapshot.Index, LogTerm: snapshot.Term, Snapshot: &snapshot})
 }
 
-// snapshotsInTransfer are the snapshots on their way to other members.
+// snapshotsInTransfer returns the snapshots that are being sent to members other than `except`.
 func (r *Replica) snapshotsInTransfer(except *progress) (blobs []*Blob) {
 	for _, peer := range r.sortedPeers() {
-		if peer != except && peer.transfer.active() && peer.transfer.snapshot != nil {
+		if peer != except && peer.transfer.isActive() && peer.transfer.snapshot != nil {
 			blobs = append(blobs, peer.transfer.sender.Blob)
 		}
 	}
@@ -91,7 +92,7 @@
 		}
 	}
 	snapshot.State = nil
-	peer.transfer = transfer{sender: BlobSender{Blob: blob}, snapshot: &snapshot, previous: snapshot.position()}
+	peer.transfer = blobTransfer{sender: BlobSender{Blob: blob}, snapshot: &snapshot, previous: snapshot.lastPosition()}
 	peer.nextIndex, peer.inflightBase = snapshot.Index+1, snapshot.Index
 	r.sendChunks(peer)
 }
@@ -99,19 +100,19 @@
 func (r *Replica) startEntryTransfer(peer *progress, e Entry) {
 	previous := logPosition{index: e.Index - 1}
 	previous.term, _ = r.log.termAt(previous.index)
-	peer.transfer = transfer{sender: BlobSender{Blob: NewBlob(e.Index, e.Term, e.Data)}, entry: &e, previous: previous}
+	peer.transfer = blobTransfer{sender: BlobSender{Blob: NewBlob(e.Index, e.Term, e.Data)}, entry: &e, previous: previous}
 	r.sendChunks(peer)
 }
 
-// sendChunks sends what may be in flight of a transfer.
+// sendChunks sends as many chunks of a transfer as may be in flight.
 func (r *Replica) sendChunks(peer *progress) {
-	if !r.recentlyActive(peer) {
+	if !r.isRecentlyActive(peer) {
 		return
 	}
 	t := &peer.transfer
-	if t.snapshot == nil && t.sender.acked == 0 && peer.nextIndex < r.log.firstIndex() {
-		// The entry was compacted and the member has nothing of it: the snapshot has that and more.
-		peer.transfer = transfer{}
+	if t.snapshot == nil && t.sender.ackedBytes == 0 && peer.nextIndex < r.log.firstIndex() {
+		// The entry was compacted and the member has received nothing of it. The snapshot includes the entry.
+		peer.transfer = blobTransfer{}
 		r.sendSnapshot(peer)
 		return
 	}
@@ -126,66 +127,66 @@
 	}
 }
 
-// onChunk takes a chunk of a leader's append. The last one is as if all had come in one message.
+// onChunk handles a chunk of a leader's append. The last chunk has the same effect as an append in a single message.
 func (r *Replica) onChunk(from MemberID, m Message) {
-	outside := r.clusterID == 0 || m.ClusterID != r.clusterID && r.onlyBootstrapped()
-	if m.Chunk == nil || m.Snapshot == nil && len(m.Entries) != 1 || !outside && !r.followLeader(from, m) {
+	joining := r.clusterID == 0 || m.ClusterID != r.clusterID && r.hasOnlyBootstrap()
+	if m.Chunk == nil || m.Snapshot == nil && len(m.Entries) != 1 || !joining && !r.followLeader(from, m) {
 		return
 	}
 	chunk := m.Chunk
 	m.Kind, m.Chunk = MsgAppend, nil
 	switch {
-	case outside && m.Snapshot == nil:
-		r.joinCluster(from, m) // asks for the snapshot
+	case joining && m.Snapshot == nil:
+		r.joinCluster(from, m) // requests the snapshot
 		return
-	case !outside && !r.wantsChunk(&m, chunk):
+	case !joining && !r.wantsChunk(&m, chunk):
 		m.Snapshot, m.Entries = nil, nil
-		r.onAppend(from, m) // acknowledges, or rejects what comes before it
+		r.onAppend(from, m) // acknowledges, or rejects if a preceding entry is missing
 		return
 	}
 	r.incoming.knobs = r.config.TestingKnobs
-	complete, received := r.incoming.Receive(chunk)
+	complete, ack := r.incoming.Receive(chunk)
 	if complete == nil {
-		r.ackChunk(from, m, received, outside)
+		r.ackChunk(from, m, ack, joining)
 		return
 	}
-	m.fillIn(complete)
-	if outside {
+	m.attachData(complete)
+	if joining {
 		r.joinCluster(from, m)
 		return
 	}
 	r.onAppend(from, m)
 }
 
-// wantsChunk reports whether a chunk is of something that this member lacks and could append now. If the member has the entry, the
-// message is made one that names it, so that the leader learns so.
+// wantsChunk reports whether a chunk is part of data that this member lacks and could append now. If the member already has the
+// entry, wantsChunk changes the message to name that entry, so that the acknowledgement includes the entry.
 func (r *Replica) wantsChunk(m *Message, c *Chunk) bool {
 	if m.Snapshot != nil {
 		return r.needsSnapshot(m.Snapshot)
 	}
-	if r.log.matches(c.Index, c.View) {
+	if r.log.hasEntry(c.Index, c.View) {
 		m.Index, m.LogTerm = c.Index, c.View
 		return false
 	}
-	previousMissing := m.Index > r.commitIndex && !r.log.matches(m.Index, m.LogTerm)
+	previousMissing := m.Index > r.commitIndex && !r.log.hasEntry(m.Index, m.LogTerm)
 	return c.Index > r.commitIndex && !previousMissing
 }
 
-// ackChunk acknowledges what was received so far.
-func (r *Replica) ackChunk(from MemberID, m Message, received *Chunk, outside bool) {
-	if !outside {
+// ackChunk acknowledges the bytes received so far.
+func (r *Replica) ackChunk(from MemberID, m Message, ack *Chunk, joining bool) {
+	if !joining {
 		r.resetElectionDeadline()
 		r.ackedReadSeq = r.readSeq
 	}
-	if received == nil {
+	if ack == nil {
 		return
 	}
-	r.send(from, Message{Kind: MsgChunkAck, ClusterID: m.ClusterID, Term: m.Term, Seq: m.Seq, Chunk: received, AcceptsChunks: true,
+	r.sendToID(from, Message{Kind: MsgChunkAck, ClusterID: m.ClusterID, Term: m.Term, Seq: m.Seq, Chunk: ack, AcceptsChunks: true,
 		Clock: r.clock.Timestamp(r.now), EchoedClock: r.leaderClock})
 }
 
-// fillIn puts into an append what came in chunks.
-func (m *Message) fillIn(data []byte) {
+// attachData sets the snapshot state or the entry data of an append that was received in chunks.
+func (m *Message) attachData(data []byte) {
 	if m.Snapshot != nil {
 		snapshot := *m.Snapshot
 		snapshot.State = data
@@ -197,20 +198,20 @@
 	m.Entries = []Entry{e}
 }
 
-// needsSnapshot reports whether a snapshot is ahead of what this member has.
+// needsSnapshot reports whether a snapshot is newer than the committed log of this member and not part of the log.
 func (r *Replica) needsSnapshot(s *Snapshot) bool {
-	return s != nil && s.Index > r.commitIndex && !r.log.matches(s.Index, s.Term)
+	return s != nil && s.Index > r.commitIndex && !r.log.hasEntry(s.Index, s.Term)
 }
 
-// installIfNewer replaces the log and the host's state by a snapshot that is ahead of them; nil is none.
-func (r *Replica) installIfNewer(s *Snapshot) {
+// installSnapshotIfNewer replaces the log and the host's state by a snapshot that this member needs. nil means no snapshot.
+func (r *Replica) installSnapshotIfNewer(s *Snapshot) {
 	if !r.needsSnapshot(s) {
 		return
 	}
 	r.log = entryLog{snapshot: *s}
 	r.memberConfigs = []memberConfig{{s.Index, s.Members}}
 	r.commitIndex = s.Index
-	r.invalidateSynced(0)
+	r.lowerSyncedIndex(0)
 	r.unwrittenSnapshot = true
 	r.requireWrite(s.Index + 1)
 	r.actions = append(r.actions, Restore{s.Index, s.State})
