--- a/internal/gateway/replication/codec_bench_test.go
+++ b/internal/gateway/replication/codec_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// benchMessages are the messages that links carry most, and the largest of one link message.
+// benchMessages returns the messages that are most frequent on links, and the largest ones that one link message carries.
 func benchMessages() map[string]Message {
 	members := []Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}, {ID: 23, Addr: "10.0.0.3:7110"}}
 	data := bytes.Repeat([]byte("entry"), 50)
@@ -21,7 +21,7 @@
 	return map[string]Message{"heartbeat": heartbeat, "entries": entries, "snapshot": snapshot, "ack": ack}
 }
 
-// BenchmarkAppendMessage encodes into a buffer that is kept, as a link does.
+// BenchmarkAppendMessage encodes into a buffer that is reused, as a link does.
 func BenchmarkAppendMessage(b *testing.B) {
 	for name, message := range benchMessages() {
 		b.Run(name, func(b *testing.B) {
@@ -35,6 +35,7 @@
 	}
 }
 
+// BenchmarkReadMessage decodes the compact form.
 func BenchmarkReadMessage(b *testing.B) {
 	for name, message := range benchMessages() {
 		b.Run(name, func(b *testing.B) {
@@ -50,12 +51,12 @@
 	}
 }
 
-// BenchmarkGobEncodeMessage is the configuration log's way: one encoder for a link, so that types are sent once.
+// BenchmarkGobEncodeMessage encodes as the configuration's log does: with one encoder for each link, so that types are sent once.
 func BenchmarkGobEncodeMessage(b *testing.B) {
 	for name, message := range benchMessages() {
 		b.Run(name, func(b *testing.B) {
 			var stream bytes.Buffer
-			var wire WireMessage // a part of the frame, which is allocated in any case
+			var wire WireMessage // a link allocates it anyway, as a part of the frame
 			encoder := gob.NewEncoder(&stream)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -69,7 +70,7 @@
 	}
 }
 
-// BenchmarkGobMessage encodes and decodes, with one encoder and one decoder for all.
+// BenchmarkGobMessage encodes and decodes, with one encoder and one decoder for all messages.
 func BenchmarkGobMessage(b *testing.B) {
 	for name, message := range benchMessages() {
 		b.Run(name, func(b *testing.B) {
@@ -92,7 +93,7 @@
 	}
 }
 
-// BenchmarkGobEntry is an entry as the disk has it: each in bytes of its own, with its type.
+// BenchmarkGobEntry encodes and decodes an entry in the form on disk: each entry has its own type description.
 func BenchmarkGobEntry(b *testing.B) {
 	entry := benchMessages()["entries"].Entries[0]
 	b.ReportAllocs()
@@ -108,7 +109,7 @@
 	}
 }
 
-// BenchmarkGobSnapshot is a snapshot as the disk has it.
+// BenchmarkGobSnapshot encodes and decodes a snapshot in the form on disk.
 func BenchmarkGobSnapshot(b *testing.B) {
 	snapshot := benchMessages()["snapshot"].Snapshot
 	b.ReportAllocs()
@@ -124,6 +125,7 @@
 	}
 }
 
+// BenchmarkWireMessage converts to the form that gob sends, and back.
 func BenchmarkWireMessage(b *testing.B) {
 	for name, message := range benchMessages() {
 		b.Run(name, func(b *testing.B) {
--- a/internal/gateway/replication/codec_test.go
+++ b/internal/gateway/replication/codec_test.go
@@ -6,12 +6,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// codecMessages are of each kind, with each field.
+// codecMessages have each field of the compact form set in at least one message.
 var codecMessages = []Message{
 	{Kind: MsgAppend, ClusterID: 1<<32 - 1, Recipient: 1<<40 - 1, Term: 7, Index: 300, LogTerm: 7, Commit: 299, Seq: 12, ContactAgeMillis: -1},
-	{Kind: MsgAppend, ClusterID: 9, Recipient: 2, Term: 7, Index: 300, LogTerm: 6, ContactAgeMillis: -1, Entries: []Entry{{Index: 301, Term: 7, Data: []byte("change")},
-		{Index: 302, Term: 7, Kind: EntryConfigChange, Members: []Member{{1, "10.0.0.1:7110"}, {2, "10.0.0.2:7110"}}}, {Index: 303, Term: 7, Kind: EntryNoOp}}},
-	{Kind: MsgAppend, ClusterID: 9, Recipient: 2, Term: 7, Index: 5, LogTerm: 2, ContactAgeMillis: -1, Snapshot: &Snapshot{Index: 5, Term: 2, Members: []Member{{1, "a"}}, State: []byte("state")}},
+	{Kind: MsgAppend, ClusterID: 9, Recipient: 2, Term: 7, Index: 300, LogTerm: 6, ContactAgeMillis: -1,
+		Entries: []Entry{{Index: 301, Term: 7, Data: []byte("change")},
+			{Index: 302, Term: 7, Kind: EntryConfigChange, Members: []Member{{1, "10.0.0.1:7110"}, {2, "10.0.0.2:7110"}}}, {Index: 303, Term: 7, Kind: EntryNoOp}}},
+	{Kind: MsgAppend, ClusterID: 9, Recipient: 2, Term: 7, Index: 5, LogTerm: 2, ContactAgeMillis: -1,
+		Snapshot: &Snapshot{Index: 5, Term: 2, Members: []Member{{1, "a"}}, State: []byte("state")}},
 	{Kind: MsgAppendChunk, ClusterID: 9, Recipient: 2, Term: 7, ContactAgeMillis: -1, Snapshot: &Snapshot{Index: 5, Term: 2, Members: []Member{{1, "a"}}},
 		Chunk: &Chunk{Index: 5, View: 2, Sum: 1<<64 - 1, Size: 100, Offset: 40, Data: []byte("chunk")}},
 	{Kind: MsgAppendAck, ClusterID: 9, Recipient: 2, Term: 7, Index: 300, Seq: 12, AcceptsChunks: true, ContactAgeMillis: -1},
@@ -20,7 +22,8 @@
 	{},
 }
 
-// A message is decoded as it was encoded, and what follows it is left; truncated anywhere it is an error.
+// Guards against fields that encoding or decoding changes. Decoding must return the bytes after the message, and an error for a message that
+// is truncated anywhere.
 func TestMessagesInCompactForm(t *testing.T) {
 	for _, m := range codecMessages {
 		m.ContactAgeMillis = -1
@@ -37,7 +40,8 @@
 	must.Less(t, 32, len(AppendMessage(nil, &codecMessages[0])))
 }
 
-// Whatever comes, reading it neither ends the process nor takes more memory than it has bytes; what can be read is worded the same again.
+// Guards against malformed input that ends the process or takes more memory than it has bytes. A message that can be decoded must be the same
+// after it is encoded and decoded again.
 func FuzzReadMessage(f *testing.F) {
 	for _, m := range codecMessages {
 		f.Add(AppendMessage(nil, &m))
--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -8,17 +8,18 @@
 	"github.com/shoenig/test/must"
 )
 
-// Quorum contact is checked by an observer who sees all: what was acknowledged so long ago must be committed at the member, and no term
-// newer than the one that it names may have had a leader by then. A member that is suspended reports nothing; what it reports when it
-// goes on is checked by the time that it is then.
+// Quorum contact is checked by an observer that knows the state of all members. What was acknowledged before the reported time must be
+// committed at the member that reports. No term newer than the reported one may have had a leader before that time. A suspended member
+// reports nothing. What it reports after it resumes is checked against the time of that report.
 
-// tick advances a member's time before anything else.
+// tick advances the time of member i to the simulated time, before any other input.
 func (c *cluster) tick(i int) {
 	if c.judgesContact {
 		c.members[i].replica.Tick(c.now)
 	}
 }
 
+// checkContact checks the quorum contact that each member reports against the committed entries.
 func (c *cluster) checkContact() {
 	if !c.judgesContact {
 		return
@@ -30,19 +31,20 @@
 		}
 		for n, at := range c.committedAt {
 			if e := c.committed[n]; at < c.now-age && e.Index > s.replica.commitIndex {
-				c.fail("member %d is in contact since %v in term %d, and lacks %d of %v", s.disk.ID, c.now-age, view, e.Index, at)
+				c.fail("member %d reports quorum contact at %v in term %d but lacks entry %d, which was committed at %v", s.disk.ID, c.now-age, view, e.Index, at)
 			}
 		}
 	}
 }
 
-// withClock lets time pass by steps, and by nothing else: no election time-out comes before an hour.
+// withClock enables the check of quorum contact. Only steps advance the time, and an election time-out of an hour keeps time from starting an
+// election.
 func withClock(w *cluster) *cluster {
 	for _, s := range w.members {
 		s.replica.config.ElectionTimeout = time.Hour
 	}
 	w.judgesContact = true
-	for range 2 { // the second brings clocks back
+	for range 2 { // the second heartbeat brings back the clocks that the first one sent
 		w.now += time.Second
 		w.heartbeat(0)
 		w.deliverAll()
@@ -50,8 +52,9 @@
 	return w
 }
 
+// contactScenarios check the invariants of quorum contact too.
 var contactScenarios = []scenario{
-	{"a former leader, and answers that come late", func(planted mutation) *cluster {
+	{"a former leader receives late acknowledgements", func(planted mutation) *cluster {
 		w := withClock(newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1, ticks: 2}))
 		w.heartbeat(0)
 		w.deliverAmong([]int{0}, []int{1, 2})
@@ -62,7 +65,7 @@
 		w.inflight = append(w.inflight, late...)
 		return w
 	}, []mutation{contactByAck, contactWhileLead}},
-	{"a follower, and appends that come late", func(planted mutation) *cluster {
+	{"a follower receives late appends", func(planted mutation) *cluster {
 		w := withClock(newCluster(3, 0, planted, stepBudget{proposals: 1, ticks: 2}))
 		w.heartbeat(0)
 		late := w.inflight
@@ -76,17 +79,17 @@
 		}
 		return w
 	}, []mutation{contactByAppend}},
-	{"a new leader that does not know what was acknowledged", func(planted mutation) *cluster {
+	{"a new leader that does not know which entries are committed", func(planted mutation) *cluster {
 		w := withClock(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 1})).propose()
 		w.syncAll(0)
 		w.deliverFromTo(0, 1)
 		w.syncAll(1)
-		w.deliverFromTo(1, 0) // acknowledged
+		w.deliverFromTo(1, 0) // the entry is committed
 		w.now += time.Second
 		w.electAmong(1, 2)
 		return w
 	}, []mutation{contactBeforeNoOp}},
-	{"a follower that lacks some", func(planted mutation) *cluster {
+	{"a follower that lacks committed entries", func(planted mutation) *cluster {
 		w := withClock(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 2})).propose()
 		w.members[0].replica.Propose(2, []byte("y"))
 		w.drainActions(0)
@@ -97,19 +100,22 @@
 		w.now += time.Second
 		return w
 	}, []mutation{contactAhead}},
-	{"a partition, a new term, a proposal", func(planted mutation) *cluster {
+	{"a partition, an election and a proposal", func(planted mutation) *cluster {
 		return withClock(newCluster(3, 0, planted, stepBudget{elections: 1, proposals: 1, heartbeats: 1, ticks: 2}))
 	}, nil},
 }
 
+// Guards against reports of quorum contact that are too new. They would let a host act on state that is older than it assumes. All orders of
+// messages, syncs, elections and seconds that pass are taken, up to a number of states.
 func TestContactInAllOrders(t *testing.T) { exploreAll(t, contactScenarios) }
 
+// acknowledgement is when the proposal at an index was acknowledged.
 type acknowledgement struct {
 	time  time.Duration
 	index uint64
 }
 
-// deferWhilePaused: what comes to a process that stands still is read when it goes on.
+// deferWhilePaused reports whether the process of a node is suspended. If so, it schedules act for the time when the process resumes.
 func (w *walk) deferWhilePaused(d *simNode, act func()) bool {
 	if d.pausedUntil <= w.now {
 		return false
@@ -118,6 +124,7 @@
 	return true
 }
 
+// checkContact checks the quorum contact that node i reports against the acknowledged entries, and against the leaders of newer terms.
 func (w *walk) checkContact(i int) {
 	d := w.nodes[i]
 	if d.replica.role == roleLeader && w.ledSince[d.replica.term] == 0 {
@@ -130,18 +137,18 @@
 	since := w.now - age
 	for n := len(w.acks) - 1; n >= 0 && w.acks[n].time >= since-time.Minute; n-- {
 		if a := w.acks[n]; a.time < since && a.index > d.index {
-			w.fail("node %d is in contact since %v, and lacks %d of %v", i, since, a.index, a.time)
+			w.fail("node %d reports quorum contact at %v but lacks entry %d, which was acknowledged at %v", i, since, a.index, a.time)
 		}
 	}
 	for v, at := range w.ledSince {
 		if v > view && at < since {
-			w.fail("node %d is in contact since %v by term %d, and %d was led at %v", i, since, view, v, at)
+			w.fail("node %d reports quorum contact at %v in term %d, but term %d already had a leader at %v", i, since, view, v, at)
 		}
 	}
 }
 
-// pauseAndPartition lets processes stand still, and parts leaders from the others one way or both, for up to so long as votes need many times
-// over; what stood in a process or on a link comes late.
+// pauseAndPartition suspends a node, or blocks its links one way or both, for up to 5 s, many times as long as an election takes. In two of three
+// cases the node is the leader. Messages that wait in a suspended process or on a link arrive late.
 func (w *walk) pauseAndPartition() {
 	if w.faultless {
 		return
@@ -168,12 +175,13 @@
 	w.after(w.randomDelay(3000), w.pauseAndPartition)
 }
 
+// contactWalk returns a finished walk with the faults of pauseAndPartition for 30 s, and 10 s without faults.
 func contactWalk(t *testing.T, seed int64, planted mutation) *walk {
 	return walkWithFaults(t, seed, planted, (*walk).pauseAndPartition, 30*time.Second)
 }
 
-// No member reports newer contact than it has, whoever is suspended or partitioned; after ten seconds without faults all are in contact
-// with a majority again, within a few heartbeats.
+// Guards against reports of quorum contact that are too new while nodes are suspended or partitioned. 10 s after the last fault, all nodes must
+// have been in contact with a majority within five heartbeats.
 func TestContactOnWalks(t *testing.T) {
 	for seed := range int64(maxStates(10_000) / 250) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -182,7 +190,7 @@
 			must.Eq(t, "", w.violation)
 			for i, d := range w.nodes {
 				age, _, ok := d.replica.QuorumContact(w.now)
-				must.True(t, ok && age < 5*DefaultConfig().HeartbeatInterval, must.Sprintf("node %d: %v %v", i, age, ok))
+				must.True(t, ok && age < 5*DefaultConfig().HeartbeatInterval, must.Sprintf("quorum contact of node %d: age=%v known=%v", i, age, ok))
 			}
 		})
 	}
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -12,21 +12,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// sharedDisk is several logs over the same disks, a cluster each: whatever a member writes goes through one WriteQueue, and a
-// transaction of several logs is on disk completely or not at all. Messages of one log may reach another.
+// sharedDisk is a state of several logs on the same disks, with a cluster for each log. All writes of a node go through one WriteQueue, and
+// a transaction of several logs is on disk completely or not at all. A message of one log may be delivered to another log.
 type sharedDisk struct {
 	logs      []*cluster
 	queues    []WriteQueue
-	writing   [][]LogWrite // the transaction that is being written, by member
+	writing   [][]LogWrite // by node: the transaction that is being written; nil: the disk is idle
 	budget    sharedBudget
 	mutation  mutation
 	path      *traceStep
 	violation string
 }
 
+// sharedBudget is how many more steps of each kind nextSteps may offer.
 type sharedBudget struct{ elections, proposals, crashes, misrouted int }
 
-// newShared has so many logs on three disks, each led by the first member, and what came before.
+// newShared returns a number of logs on three disks, each log led by its first member, after the steps with which the scenario begins.
 func newShared(logs int, planted mutation, scene sharedScenario) *sharedDisk {
 	s := &sharedDisk{queues: make([]WriteQueue, 3), writing: make([][]LogWrite, 3), budget: scene.budget, mutation: planted}
 	for log := range logs {
@@ -39,8 +40,8 @@
 	return s
 }
 
-// gather puts what the replicas wrote into their members' queues, and begins a transaction where the disk is idle: as a node does at
-// the end of a turn.
+// gather puts the writes of all replicas into the queues of their nodes, and begins a transaction on each idle disk, as a node does after it
+// has processed its input.
 func (s *sharedDisk) gather() {
 	for log, w := range s.logs {
 		if w.violation != "" && s.violation == "" {
@@ -60,7 +61,7 @@
 	}
 }
 
-// finishWrite has a member's transaction on disk, and calls Synced if it is notified.
+// finishWrite completes the transaction of node i on disk. If notified is true, the replicas are told so by Synced.
 func (s *sharedDisk) finishWrite(i int, notified bool) {
 	batch := s.writing[i]
 	s.writing[i] = nil
@@ -82,7 +83,7 @@
 	}
 }
 
-// restart has a member begin anew with what its disk has.
+// restart starts node i again with what its disk has.
 func (s *sharedDisk) restart(i int) {
 	s.queues[i], s.writing[i] = WriteQueue{knobs: knobsFor(s.mutation)}, nil
 	for _, w := range s.logs {
@@ -90,7 +91,7 @@
 	}
 }
 
-// nextSteps are all that could come next.
+// nextSteps calls do with each step that can come next.
 func (s *sharedDisk) nextSteps(do func(what string, act func(*sharedDisk))) {
 	for log, w := range s.logs {
 		for n, m := range w.inflight {
@@ -98,21 +99,22 @@
 			if slices.ContainsFunc(w.inflight[:n], func(o inflightMessage) bool { return string(o.key(nil, false)) == key }) {
 				continue
 			}
-			what := fmt.Sprintf("log %d: %d>%d kind %d term %d index %d", log, m.from, m.sent.Recipient.ID, m.sent.Message.Kind, m.sent.Message.Term, m.sent.Message.Index)
+			what := fmt.Sprintf("log %d: message from %d to %d: kind=%d term=%d index=%d", log,
+				m.from, m.sent.Recipient.ID, m.sent.Message.Kind, m.sent.Message.Term, m.sent.Message.Index)
 			do(what, func(s *sharedDisk) { s.logs[log].deliver(n) })
 			if s.budget.misrouted > 0 {
-				do(what+" at the next log", func(s *sharedDisk) { s.budget.misrouted--; s.misroute(log, n) })
+				do(what+" (delivered to the next log)", func(s *sharedDisk) { s.budget.misrouted--; s.misroute(log, n) })
 			}
 		}
 	}
 	for i := range s.queues {
 		if s.writing[i] != nil {
-			do(fmt.Sprintf("%d has written", i+1), func(s *sharedDisk) { s.finishWrite(i, true) })
+			do(fmt.Sprintf("node %d completes a write", i+1), func(s *sharedDisk) { s.finishWrite(i, true) })
 		}
 		if s.budget.crashes > 0 {
-			do(fmt.Sprintf("%d loses power", i+1), func(s *sharedDisk) { s.budget.crashes--; s.restart(i) })
+			do(fmt.Sprintf("node %d crashes and restarts", i+1), func(s *sharedDisk) { s.budget.crashes--; s.restart(i) })
 			if s.writing[i] != nil {
-				do(fmt.Sprintf("%d loses power once it has written", i+1), func(s *sharedDisk) {
+				do(fmt.Sprintf("node %d completes a write, crashes before Synced and restarts", i+1), func(s *sharedDisk) {
 					s.budget.crashes--
 					s.finishWrite(i, false)
 					s.restart(i)
@@ -122,14 +124,14 @@
 		for log, w := range s.logs {
 			p := w.members[i].replica
 			if s.budget.elections > 0 && p.role != roleLeader {
-				do(fmt.Sprintf("log %d: %d starts an election", log, i+1), func(s *sharedDisk) {
+				do(fmt.Sprintf("log %d: member %d starts an election", log, i+1), func(s *sharedDisk) {
 					s.budget.elections--
 					s.logs[log].members[i].replica.startElection()
 					s.logs[log].drainActions(i)
 				})
 			}
 			if s.budget.proposals > 0 && p.role == roleLeader {
-				do(fmt.Sprintf("log %d: %d proposes", log, i+1), func(s *sharedDisk) {
+				do(fmt.Sprintf("log %d: member %d proposes an entry", log, i+1), func(s *sharedDisk) {
 					s.budget.proposals--
 					s.logs[log].members[i].replica.Propose(1, []byte{byte(10*log + s.budget.proposals)})
 					s.logs[log].drainActions(i)
@@ -139,7 +141,7 @@
 	}
 }
 
-// misroute has a message of one log taken by the same member's replica of the next one.
+// misroute delivers a message of one log to the recipient's replica of the next log.
 func (s *sharedDisk) misroute(log, n int) {
 	m := s.logs[log].inflight[n]
 	other := s.logs[(log+1)%len(s.logs)]
@@ -151,6 +153,7 @@
 	}
 }
 
+// clone returns a copy on which steps can be taken without a change to the original.
 func (s *sharedDisk) clone() *sharedDisk {
 	c := *s
 	c.logs, c.queues, c.writing = nil, slices.Clone(s.queues), slices.Clone(s.writing)
@@ -159,7 +162,8 @@
 	}
 	for i := range c.queues {
 		due := map[LogID]*Write{}
-		for log, w := range s.queues[i].pending { // Put makes a new one, and changes none
+		// The writes themselves can be shared: Put replaces a pending write by a new one and changes none.
+		for log, w := range s.queues[i].pending {
 			due[log] = w
 		}
 		c.queues[i].pending = due
@@ -167,7 +171,7 @@
 	return &c
 }
 
-// key distinguishes what may go on differently.
+// key returns a hash by which states are distinguished: two states with the same key have the same next steps.
 func (s *sharedDisk) key() uint64 {
 	b := fmt.Append(nil, s.budget)
 	write := func(w *Write) {
@@ -189,7 +193,7 @@
 	return maphash.Bytes(seed, b)
 }
 
-// exploreShared takes all steps in all orders, breadth first, until so many states were seen.
+// exploreShared is explore for several logs on the same disks.
 func exploreShared(s *sharedDisk, most int) (seen int, wrong string) {
 	s.gather()
 	known := map[uint64]bool{s.key(): true}
@@ -204,7 +208,7 @@
 			c.path = &traceStep{s.path, what}
 			func() {
 				defer func() {
-					if r := recover(); r != nil { // a debug build's check
+					if r := recover(); r != nil { // a violated invariant panics in a debug build
 						c.violation = fmt.Sprint(r)
 					}
 				}()
@@ -226,20 +230,20 @@
 	return len(known), wrong
 }
 
-// sharedScenario is what is explored: what has happened before, and what may come.
+// sharedScenario is a state from which exploreShared takes all possible steps, and the budget of these steps.
 type sharedScenario struct {
 	name   string
 	before func(*sharedDisk)
 	budget sharedBudget
 }
 
-// propose has the first member propose in a log, and begins to write.
+// propose makes the first member of a log propose an entry, and begins to write the entry.
 func (s *sharedDisk) propose(log int) {
 	s.logs[log].propose()
 	s.gather()
 }
 
-// deliver delivers all messages of one member to another in a log.
+// deliver delivers all messages of a log that are in flight from one member to another. Other messages stay in flight.
 func (s *sharedDisk) deliver(log int, from, to MemberID) {
 	w := s.logs[log]
 	for n := 0; n < len(w.inflight); {
@@ -252,37 +256,37 @@
 	s.gather()
 }
 
-// sharedScenarios are changes in two logs with a loss of power between the syncs of their writes, a change of leaders in one of them meanwhile,
-// writes that queue behind one another, and messages that reach the wrong log.
+// sharedScenarios cover entries in two logs with a crash between the syncs of their writes, an election in one of the logs meanwhile,
+// writes that queue, and messages that reach the wrong log. TestAllOrdersOverOneDiskFindMutations goes by their order.
 var sharedScenarios = []sharedScenario{
-	{"changes and power", func(*sharedDisk) {}, sharedBudget{proposals: 2, crashes: 1}},
-	{"a vote and power", func(s *sharedDisk) {
+	{"proposals and a crash", func(*sharedDisk) {}, sharedBudget{proposals: 2, crashes: 1}},
+	{"a vote and a crash", func(s *sharedDisk) {
 		s.logs[0].members[1].replica.startElection()
 		s.logs[0].drainActions(1)
 		s.gather()
 		s.finishWrite(1, true)
 		s.gather()
 	}, sharedBudget{elections: 1, crashes: 1}},
-	{"a vote, a change and power", func(s *sharedDisk) {
+	{"a vote, a proposal and a crash", func(s *sharedDisk) {
 		s.propose(0)
 		s.deliver(0, 1, 2)
 	}, sharedBudget{elections: 1, proposals: 1, crashes: 1}},
-	{"writes that queue", func(s *sharedDisk) {
-		for range 3 { // the first is being written, two are pending
+	{"queued writes", func(s *sharedDisk) {
+		for range 3 { // the first one is being written, the other two are pending
 			s.propose(0)
 		}
 		s.propose(1)
 		s.deliver(0, 1, 2)
 	}, sharedBudget{crashes: 1}},
-	{"messages at the wrong log", func(s *sharedDisk) {
+	{"messages delivered to the wrong log", func(s *sharedDisk) {
 		s.propose(0)
 		s.propose(1)
 		s.deliver(0, 1, 2)
 	}, sharedBudget{elections: 1, misrouted: 2}},
 }
 
-// Whatever order messages, syncs and losses of power come in, each of the logs on a disk keeps what the explorer checks for one. GROUP_STATES
-// sets how many states of each scenario are seen.
+// Guards against logs that violate the invariants of a single log because they share disks and links. All orders of messages, syncs and
+// crashes are taken. GROUP_STATES sets how many states of each scenario are explored; the default is 10,000.
 func TestAllOrdersOverOneDisk(t *testing.T) {
 	most := 10_000
 	if n, err := strconv.Atoi(os.Getenv("GROUP_STATES")); err == nil {
@@ -294,12 +298,13 @@
 			began := time.Now()
 			seen, wrong := exploreShared(newShared(2, noMutation, scene), most)
 			must.Eq(t, "", wrong)
-			t.Logf("%d states in %v", seen, time.Since(began))
+			t.Logf("explored %d states in %v", seen, time.Since(began))
 		})
 	}
 }
 
-// A configuration is in the next transaction whatever the groups have to write, the groups take turns, and nothing is left behind.
+// Guards against a log whose writes are delayed without a bound by those of the others. Each transaction must have the write of the
+// configuration's log, the groups must take turns within maxBatchBytes, and no write may stay in the queue.
 func TestTransactionsAreBounded(t *testing.T) {
 	var q WriteQueue
 	large := func(nr uint64) Write {
@@ -332,7 +337,8 @@
 	must.Nil(t, q.Take())
 }
 
-// Leadership goes to the member that is named, within a few round trips; to another one where that one does not respond.
+// Guards against a leadership transfer to another member than the named one, and against a transfer that takes more than a few round trips.
+// If the named member does not respond, another one must lead.
 func TestLeadershipTransferToNamedMember(t *testing.T) {
 	w := faultlessWalk(t)
 	for range 4 {
@@ -355,8 +361,8 @@
 	must.Eq(t, "", w.violation)
 }
 
-// A member whose connection to the leader broke starts a pre-vote at once, and disturbs nobody where the others hear from it still; where the
-// leader is gone another leads long before the election time-out.
+// Guards against slow elections after the connection to the leader broke: a member then starts a pre-vote at once. The term must not change
+// while the other members still hear from the leader. If the leader is gone, another member must lead within half the election time-out.
 func TestUnreachableLeaderStartsElectionAtOnce(t *testing.T) {
 	w := faultlessWalk(t)
 	l := w.leader()
--- a/internal/gateway/replication/knobs_release_test.go
+++ b/internal/gateway/replication/knobs_release_test.go
@@ -2,5 +2,5 @@
 
 package replication
 
-// knobsFor plants nothing in a release build, where the tests of mutations are left out.
+// knobsFor plants nothing in a release build. The tests of mutations are not part of that build.
 func knobsFor(mutation) TestingKnobs { return TestingKnobs{} }
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -9,7 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// reconcileMembers does what hosts do: each member reports to its replica which nodes it reaches.
+// reconcileMembers calls ReconcileMembers at each replica with the nodes that its host reaches, and schedules the next call, as hosts do. With
+// faults, one call in four is left out.
 func (w *walk) reconcileMembers(tolerates int) {
 	for i, d := range w.nodes {
 		if d.replica != nil && (w.faultless || w.rng.Intn(4) > 0) {
@@ -19,9 +20,10 @@
 	w.after(w.randomDelay(300)+time.Millisecond, func() { w.reconcileMembers(tolerates) })
 }
 
+// reachable returns the nodes that a node's host reaches. Hosts detect a stopped node only after detectionDelay.
 func (w *walk) reachable(from int) (all []ReachableNode) {
 	for i, d := range w.nodes {
-		if d.replica == nil && d.formerMember.ID != 0 && w.now-d.stoppedAt < w.detectionDelay { // hosts find it out late
+		if d.replica == nil && d.formerMember.ID != 0 && w.now-d.stoppedAt < w.detectionDelay {
 			all = append(all, ReachableNode{Member: d.formerMember})
 		}
 		if d.replica != nil && !w.partitioned[[2]int{from, i}] && !w.partitioned[[2]int{i, from}] {
@@ -31,33 +33,35 @@
 	return all
 }
 
-// join is a new machine with an empty disk.
+// join starts a new node with an empty disk, and returns its index.
 func (w *walk) join() int {
 	w.nodes = append(w.nodes, &simNode{})
 	w.startEmpty(len(w.nodes) - 1)
 	return len(w.nodes) - 1
 }
 
-// stop ends a node for good, or until it is started.
+// stop ends node i, until start is called for it.
 func (w *walk) stop(i int) {
 	w.nodes[i].formerMember, w.nodes[i].stoppedAt = Member{w.nodes[i].disk.ID, fmt.Sprint("node", i)}, w.now
 	w.nodes[i].replica, w.nodes[i].draining = nil, false
 	w.nodes[i].incarnation++
 }
 
-// missingTolerance is the invariant of a moment without changes under way: so many may be lost next, whoever they are. Those that are left must be a majority of
-// the list, and what was acknowledged must be on more disks of theirs than may go. It returns what is violated.
+// missingTolerance checks that any members may be lost next, as many as `tolerates` says, while no change of members is under way: the
+// others must be a majority of the list, and more than `tolerates` running members must have each acknowledged entry on disk. It returns
+// what is violated; empty if nothing is.
 func (w *walk) missingTolerance(tolerates int) string {
 	l := w.leader()
 	if l < 0 {
-		return "nobody leads"
+		return "no node leads"
 	}
 	p, up, had := w.nodes[l].replica, 0, 0
 	for _, d := range w.nodes {
 		if d.replica == nil || !p.isMember(d.disk.ID) {
 			continue
 		}
-		if have := d.disk.Snapshot.Index + uint64(len(d.disk.Entries)); have+9 >= w.acked { // the last are on their way to some
+		// The newest entries may still be in flight to some members.
+		if have := d.disk.Snapshot.Index + uint64(len(d.disk.Entries)); have+9 >= w.acked {
 			up++
 			if have >= w.acked {
 				had++
@@ -65,24 +69,25 @@
 		}
 	}
 	if n := len(p.Members()); !p.membersCommitted() || up-tolerates < majoritySize(n) || n <= 2*tolerates || had <= tolerates {
-		return fmt.Sprintf("%d members, of which %d are up with the state, %d with the last acknowledged; committed %v", n, up, had, p.membersCommitted())
+		return fmt.Sprintf("members=%d up_to_date=%d with_last_acknowledged=%d list_committed=%v", n, up, had, p.membersCommitted())
 	}
 	return ""
 }
 
-// requireProgress wants a proposal committed soon. Where the leader is lost that takes up to two elections.
+// requireProgress requires that a proposal is committed within 5 s. If the leader is lost, that takes up to two elections.
 func (w *walk) requireProgress() {
 	done := w.acknowledged
 	for end := w.now + 5*time.Second; w.acknowledged == done && w.violation == "" && w.now < end; {
 		w.runUntil(w.now + 20*time.Millisecond)
 	}
 	if w.acknowledged == done {
-		w.fail("no order is taken")
+		w.fail("no proposal was committed within 5 s")
 	}
 }
 
-// replacements is a walk in several passes: as many members as may be lost at once are, and are replaced in one of the ways that machines are;
-// catch_up later as many more may go, and go.
+// replacements returns a finished walk of five passes. In each pass as many members are lost as are tolerated at once, and they are replaced in
+// one of the ways in which machines are replaced. Within the time that the setting catch_up allows after that, the cluster must tolerate the
+// same number of losses again, and the next pass causes them.
 func replacements(t *testing.T, seed int64, planted mutation) *walk {
 	tolerates := 1 + int(seed%2)
 	w := bootstrappedBy(t, 2*tolerates+1, 2*tolerates+1, seed, planted)
@@ -110,20 +115,20 @@
 		w.requireProgress()
 		w.runUntil(w.now + catchUp)
 		if why := w.missingTolerance(tolerates); why != "" {
-			w.fail("%v after the last start: %s", catchUp, why)
+			w.fail("%v after the last node started: %s", catchUp, why)
 		}
 	}
 	return w
 }
 
-// pickMember is a member that is up, the leader at times.
+// pickMember returns a random member that runs, the leader with a higher probability.
 func (w *walk) pickMember() int {
 	for end := w.now + 3*time.Second; w.leader() < 0 && w.now < end; {
 		w.runUntil(w.now + 20*time.Millisecond)
 	}
 	l := w.leader()
 	if l < 0 {
-		w.fail("nobody leads")
+		w.fail("no node leads within 3 s")
 		l = 0
 	}
 	if w.rng.Intn(3) == 0 {
@@ -138,7 +143,7 @@
 	return append(up, l)[w.rng.Intn(len(up)+1)]
 }
 
-// replace loses a member, and starts what replaces it.
+// replace stops a member and starts a node that replaces it, in one of seven ways.
 func (w *walk) replace() {
 	i := w.pickMember()
 	if w.violation != "" {
@@ -146,31 +151,31 @@
 	}
 	pass := func(n int) { w.runUntil(w.now + w.randomDelay(n)) }
 	switch w.rng.Intn(7) {
-	case 0: // its successor is there before it goes
+	case 0: // the new node joins before the member shuts down
 		w.join()
 		pass(2500)
 		w.shutDownGracefully(i)
-	case 1: // or comes after it
+	case 1: // the new node joins after the member has shut down
 		w.shutDownGracefully(i)
 		pass(3000)
 		w.join()
-	case 2: // power is lost, a first successor dies as it learns, another comes
+	case 2: // the member crashes, a first new node stops while it is the learner, a second new node joins
 		w.stop(i)
 		pass(300)
 		heir := w.join()
 		pass(400)
 		w.stop(heir)
 		w.join()
-	case 3: // its disk is lost
+	case 3: // the member comes back with an empty disk
 		w.stop(i)
 		pass(900)
 		w.startEmpty(i)
-	case 4: // it comes back after it was replaced, with what it had
+	case 4: // the member comes back with its disk after it was replaced
 		w.stop(i)
 		w.join()
 		pass(6000)
 		w.start(i)
-	case 5: // it only starts again, and a newcomer is there: no member is replaced
+	case 5: // the member only restarts while a new node has joined: it must stay a member
 		was := w.nodes[i].disk.ID
 		w.stop(i)
 		w.join()
@@ -178,19 +183,19 @@
 		w.start(i)
 		w.runUntil(w.now + 1500*time.Millisecond)
 		if l := w.leader(); l < 0 || !w.nodes[l].replica.isMember(was) {
-			w.fail("node %d only started again, and is no member any more", i)
+			w.fail("node %d was removed from the members although it only restarted", i)
 		}
-	case 6: // nobody comes for long: what is acknowledged meanwhile is on as many disks as ever
+	case 6: // no new node joins for 8 s: the list must not get shorter than minMembers, so that acknowledged entries are on as many disks as before
 		w.stop(i)
 		w.runUntil(w.now + 8*time.Second)
 		if l := w.leader(); l >= 0 && len(w.nodes[l].replica.Members()) < w.minMembers {
-			w.fail("%d members are left", len(w.nodes[l].replica.Members()))
+			w.fail("the list has only %d members after a loss without a new node", len(w.nodes[l].replica.Members()))
 		}
 		w.start(i)
 	}
 }
 
-// shutDownGracefully ends a node as one that drains: it goes once the others have what it has.
+// shutDownGracefully ends node i as a draining node ends: once the other members have all entries that it has, or after 5 s.
 func (w *walk) shutDownGracefully(i int) {
 	d := w.nodes[i]
 	d.draining = true
@@ -208,13 +213,15 @@
 	w.stop(i)
 }
 
-// After each replacement, whatever its kind, catch_up later as many more may be lost.
+// Guards against a cluster that does not tolerate further losses in time. After each kind of replacement, the same number of members may be
+// lost again after the time that the setting catch_up allows.
 func TestReplacementWalks(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed int64) { must.Eq(t, "", replacements(t, seed, noMutation).violation) })
 }
 
-// drainWithSlowDisk has a member drain while the disk of the third one hangs, so that the one that drains has one of two copies of an
-// acknowledged entry. It returns whether that might go at once, and once the disk works again.
+// drainWithSlowDisk commits an entry while one member drains and the disk of another one hangs, so that only the leader and the draining member
+// have the entry on disk. It returns whether one of these two was allowed to shut down at once, and whether the leader was once the disk works
+// again.
 func drainWithSlowDisk(t *testing.T, planted mutation) (atOnce, later bool) {
 	t.Helper()
 	w := bootstrappedBy(t, 3, 3, 1, planted)
@@ -229,7 +236,7 @@
 	w.onNode(l, func(d *simNode) { d.replica.Propose(7, []byte("7")) })()
 	w.runUntil(w.now + 200*time.Millisecond)
 	must.Eq(t, 1, w.acknowledged)
-	for _, i := range []int{l, (l + 2) % 3} { // the one that leads, or the other that has it
+	for _, i := range []int{l, (l + 2) % 3} { // the two members that have the entry on disk
 		p := w.nodes[i].replica
 		atOnce = atOnce || p.ReplicatedElsewhere() >= p.CommitIndex()
 	}
@@ -238,13 +245,14 @@
 	return atOnce, p.ReplicatedElsewhere() >= p.CommitIndex()
 }
 
-// A member that drains stays until a majority of the others has what it has: else the loss of another one right after would lose an
-// acknowledged change.
+// Guards against the loss of an acknowledged entry when a member drains and another one is lost right after it. The draining member must stay
+// until a majority of the others has its entries.
 func TestDrainingMemberStaysUntilReplicatedElsewhere(t *testing.T) {
 	atOnce, later := drainWithSlowDisk(t, noMutation)
 	must.False(t, atOnce)
 	must.True(t, later)
-	w := newCluster(3, 1, noMutation, stepBudget{}).replaceMember(2, 3) // one that is no member goes at once
+	// A node that is not a member may shut down at once.
+	w := newCluster(3, 1, noMutation, stepBudget{}).replaceMember(2, 3)
 	w.start(2)
 	w.heartbeat(0)
 	w.deliverAll()
@@ -258,7 +266,8 @@
 	must.Eq(t, out.CommitIndex(), out.ReplicatedElsewhere())
 }
 
-// A disk that was moved to another address stays a member: the list is changed, by both majorities.
+// Guards against a disk that loses its membership when it moves to another address. The list must be changed to the new address, with the
+// majorities of both lists.
 func TestDiskAtAnotherAddress(t *testing.T) {
 	w := bootstrappedBy(t, 3, 3, 1, noMutation)
 	w.faultless = true
@@ -273,14 +282,15 @@
 	list := w.nodes[w.leader()].replica.Members()
 	must.Len(t, 3, list)
 	must.True(t, slices.Contains(list, Member{id, "node3"}))
-	w.startEmpty(i) // and another moves in where it was: it is a fourth, not the former one
+	// An empty disk at the former address is a fourth member. It is not mistaken for the disk that moved.
+	w.startEmpty(i)
 	w.runUntil(w.now + time.Second)
 	must.Len(t, 4, w.nodes[w.leader()].replica.Members())
 	must.Eq(t, "", w.violation)
 }
 
-// twoClusters are two clusters: one of three members, of which only the last is up, with a bootstrap and perhaps a vote, and one of two with
-// a leader.
+// twoClusters sets up two clusters. The first has three members, of which only `last` runs: its disk has the bootstrap and, if promised, a
+// vote. The second has two members, led by `other`, which then adds `last` as a learner.
 func twoClusters(planted mutation, promised bool) (w *cluster, last, other *Replica) {
 	w = newCluster(5, 0, planted, stepBudget{})
 	list := []Member{w.members[3].replica.self, w.members[4].replica.self}
@@ -292,7 +302,7 @@
 		w.members[i].disk = PersistentState{ID: w.members[i].disk.ID}
 		w.start(i)
 		if w.members[i].replica.Bootstrap(l) != nil {
-			panic("not bootstrapped")
+			panic("bootstrap of a member list failed")
 		}
 		w.drainActions(i)
 	}
@@ -314,8 +324,9 @@
 	return w, last, other
 }
 
-// A disk with only the bootstrap of a cluster that nobody joined stayed out for ever. It joins another cluster once a leader of that one
-// sends it the state, as an empty disk would; and never if it has voted: the first cluster may have committed entries by that vote.
+// Guards against a disk that can't join any cluster because it has the bootstrap of a cluster that no other disk joined. It must join another
+// cluster when a leader there sends the state, as an empty disk does. It must not join if it has voted: its first cluster may have committed
+// entries with that vote.
 func TestBootstrappedOnlyDiskJoinsAnotherCluster(t *testing.T) {
 	_, last, other := twoClusters(noMutation, false)
 	must.Eq(t, other.clusterID, last.clusterID)
@@ -326,7 +337,8 @@
 	must.Eq(t, 2, last.term)
 }
 
-// Where the other members of a bootstrap are gone for good it can be discarded, on disk as well, and the disk be bootstrapped anew.
+// Guards against a disk that stays unusable when the other members of its bootstrap are gone for good. The bootstrap can be discarded, on disk
+// as well, and the disk can be bootstrapped again. A disk that has more than a bootstrap must refuse.
 func TestBootstrapIsDiscarded(t *testing.T) {
 	w, _, _ := twoClusters(noMutation, true)
 	must.False(t, w.members[2].replica.DiscardBootstrap())
@@ -345,8 +357,8 @@
 	must.NoError(t, p.Bootstrap([]Member{p.self}))
 }
 
-// loseAfterCatchUp loses a member, which hosts find out 2.9 s after its last response, lets a successor come at once, and loses the
-// leader 4 s after that. It returns what was wrong.
+// loseAfterCatchUp stops a member, which hosts detect after 2.9 s, starts a new node 0.2 s after the stop, and stops the leader 4 s after
+// that. It returns the violation; empty if proposals are still committed.
 func loseAfterCatchUp(t *testing.T, planted mutation) string {
 	t.Helper()
 	w := bootstrappedBy(t, 3, 3, 1, planted)
@@ -364,8 +376,8 @@
 	return w.violation
 }
 
-// The successor of a lost member must be on the list within catch_up, 4 s on the small sites, of its own start: right after that another
-// disk may be lost, and changes must go on.
+// Guards against a lost member that is replaced too late. The new node must be a member within the time that the setting catch_up allows after
+// its start, 4 s at the small sites. Another disk may be lost right after that, and proposals must still be committed.
 func TestReplacedWithinCatchUp(t *testing.T) {
 	must.Eq(t, "", loseAfterCatchUp(t, noMutation))
 }
--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -11,58 +11,61 @@
 	"github.com/shoenig/test/must"
 )
 
-// Each mutation must be found, by the explorer, by walks or by a test of its own. A release build has no mutations; with the tag
-// testingknobs its invariants only count what they find, so that the tests themselves must see what is wrong.
+// Each mutation must be detected: by the explorer, by a walk or by a test of its own. A release build has no mutations. With the build tag
+// testingknobs, violated invariants are only counted and don't panic, so that the tests themselves must detect the fault.
 
+// String returns what a replica with the mutation does wrong.
 func (m mutation) String() string {
 	return [...]string{
 		noMutation:           "none",
-		ackUnsynced:          "entries that are not on disk are acknowledged",
-		countWipedDisk:       "a member with a wiped disk counts",
+		ackUnsynced:          "unsynced entries are acknowledged",
+		countWipedDisk:       "a member with a wiped disk counts for a majority",
 		acceptStaleTerm:      "a former leader's appends are accepted",
-		forgetVotes:          "votes are not put on disk",
+		forgetVotes:          "votes are not written to disk",
 		skipTruncation:       "conflicting entries are kept",
 		commitEarlierTerms:   "entries of earlier terms are committed by counting",
-		singleMajority:       "one majority is enough for a change of members",
-		skipReadSeq:          "a read without a confirmed sequence",
+		singleMajority:       "a change of members needs one majority only",
+		skipReadSeq:          "a read is answered without a confirmed read sequence",
 		voteBeforeSync:       "a vote is sent before it is on disk",
-		voteTwice:            "two votes in a term",
-		electByMinority:      "one vote too few",
-		leadWithoutNewestLog: "not the newest log leads",
-		skipLogMatching:      "appended behind an entry of another term",
-		countLearner:         "a learner counts",
+		voteTwice:            "a member votes twice in a term",
+		electByMinority:      "a candidate leads with one vote too few",
+		leadWithoutNewestLog: "a candidate leads without the newest log",
+		skipLogMatching:      "entries are appended after an entry of another term",
+		countLearner:         "a learner counts for a majority",
 		countStaleAcks:       "an acknowledgement of an earlier term counts",
-		keepProposals:        "a proposal ends twice",
-		readBeforeNoOp:       "a read before the term's first entry is committed",
-		joinOtherAfterVote:   "a cluster is left after a vote",
+		keepProposals:        "a proposal has two outcomes",
+		readBeforeNoOp:       "a read is answered before the term's no-op is committed",
+		joinOtherAfterVote:   "a disk that has voted joins another cluster",
 		skipTieBreak:         "two candidates of a term both need another time-out",
 		shareClusterID:       "all logs have one cluster ID",
-		loseMergedWrite:      "a pending write is forgotten",
-		syncOtherLog:         "synced with another log's write",
+		loseMergedWrite:      "the first of two pending writes is lost",
+		syncOtherLog:         "a write counts as synced with another log's write",
 		mixChunks:            "chunks of two blobs are joined",
-		skipChunks:           "a missing chunk is passed over",
+		skipChunks:           "a missing chunk is skipped",
 		installPartial:       "a snapshot is installed before it is complete",
 		abandonTransfer:      "a newer snapshot replaces the one under transfer",
-		contactByAck:         "contact by an answer's receipt",
-		contactByAppend:      "contact by an append's receipt",
-		contactBeforeNoOp:    "contact before the term's first entry is committed",
-		contactWhileLead:     "contact while it leads",
-		contactAhead:         "contact ahead of the log",
-		neverReplace:         "nobody is replaced",
-		promoteEarly:         "a learner counts before it has the state",
-		replaceAtOnce:        "a member that restarts is replaced",
-		shrinkBelowFloor:     "too few members stay",
-		keepDeadLearner:      "a dead learner blocks the next",
-		drainEarly:           "a member that drains goes too early",
-		lostWhenDetected:     "lost from when it is detected",
+		contactByAck:         "contact counts from the receipt of an acknowledgement",
+		contactByAppend:      "contact counts from the receipt of an append",
+		contactBeforeNoOp:    "contact is reported before the term's no-op is committed",
+		contactWhileLead:     "a leader always reports contact",
+		contactAhead:         "a follower that lacks committed entries reports contact",
+		neverReplace:         "lost members are not replaced",
+		promoteEarly:         "a learner becomes a member before it has the state",
+		replaceAtOnce:        "a member that restarts is replaced at once",
+		shrinkBelowFloor:     "lost members are removed until too few are left",
+		keepDeadLearner:      "a learner that is gone blocks the next one",
+		drainEarly:           "a draining member shuts down too early",
+		lostWhenDetected:     "a loss counts from its detection",
 	}[m]
 }
 
+// Guards against an explorer that overlooks faults: it must detect the mutations of each scenario.
 func TestAllOrdersFindMutations(t *testing.T) { exploreMutations(t, scenarios) }
 
+// Guards against an explorer that overlooks wrong reports of quorum contact.
 func TestContactInAllOrdersFindsMutations(t *testing.T) { exploreMutations(t, contactScenarios) }
 
-// exploreMutations finds the mutations of each scenario.
+// exploreMutations requires that explore detects each mutation of each scenario.
 func exploreMutations(t *testing.T, all []scenario) {
 	t.Helper()
 	for _, s := range all {
@@ -78,20 +81,21 @@
 	}
 }
 
-// Sharing a disk and links invites these. Each is found in the scenario of that index.
+// Guards against an explorer that overlooks the faults which shared disks and links make possible. Each mutation must be detected in the
+// scenario of that index.
 func TestAllOrdersOverOneDiskFindMutations(t *testing.T) {
 	for planted, scene := range map[mutation]int{syncOtherLog: 0, ackUnsynced: 0, forgetVotes: 1, voteBeforeSync: 1, loseMergedWrite: 3, shareClusterID: 4} {
 		t.Run(planted.String(), func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
 			seen, wrong := exploreShared(newShared(2, planted, sharedScenarios[scene]), 60_000)
-			must.NotEq(t, "", wrong, must.Sprintf("not found in %d states", seen))
-			t.Logf("%v, %d states: %s", time.Since(began), seen, wrong)
+			must.NotEq(t, "", wrong, must.Sprintf("mutation not detected in %d states", seen))
+			t.Logf("detected after %v in %d states: %s", time.Since(began), seen, wrong)
 		})
 	}
 }
 
-// requireMutationsFound wants each mutation found within so many walks.
+// requireMutationsFound requires that each mutation is detected within a number of walks.
 func requireMutationsFound(t *testing.T, play func(*testing.T, int64, mutation) *walk, walks int64, mutations ...mutation) {
 	t.Helper()
 	for _, planted := range mutations {
@@ -104,56 +108,63 @@
 					return
 				}
 			}
-			t.Fatal("not found")
+			t.Fatal("mutation not detected in any walk")
 		})
 	}
 }
 
-// What orders of a few messages don't show: reads and ends of proposals.
+// Guards against walks that overlook faults in reads and outcomes, which the explorer does not check.
 func TestWalksFindMutations(t *testing.T) {
 	requireMutationsFound(t, faultWalk, 200, skipReadSeq, readBeforeNoOp, keepProposals)
 }
 
+// Guards against walks that overlook the same faults with the configuration of a coordination group.
 func TestWalksOfGroupsFindMutations(t *testing.T) {
 	requireMutationsFound(t, groupFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepProposals)
 }
 
+// Guards against walks that overlook wrong reports of quorum contact.
 func TestContactWalksFindMutations(t *testing.T) {
 	requireMutationsFound(t, contactWalk, 200, contactByAck, contactByAppend, contactBeforeNoOp, contactWhileLead)
 }
 
+// Guards against walks that overlook wrong changes of members.
 func TestReplacementWalksFindMutations(t *testing.T) {
 	requireMutationsFound(t, replacements, 60, neverReplace, replaceAtOnce, shrinkBelowFloor, keepDeadLearner)
 }
 
+// Guards against a check that overlooks a snapshot transfer which starts over at each compaction.
 func TestSnapshotInTransferFindsMutation(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
 	w := newCluster(3, 0, abandonTransfer, stepBudget{}).inChunks().commitOnTwo(state...)
 	bytes, _, level := rejoin(w, 400)
-	must.True(t, !level || bytes > 2*len(state)+2*40, must.Sprint("the mutation is not seen"))
+	must.True(t, !level || bytes > 2*len(state)+2*40, must.Sprint("mutation not detected"))
 }
 
+// Guards against a check that overlooks a member which drains too early.
 func TestDrainingFindsMutation(t *testing.T) {
 	atOnce, _ := drainWithSlowDisk(t, drainEarly)
 	must.True(t, atOnce)
 }
 
-// The vote for a candidate of the first cluster is forgotten.
+// Guards against a check that overlooks a disk which joins another cluster and so forgets its vote for a candidate of the first one.
 func TestBootstrappedOnlyDiskFindsMutation(t *testing.T) {
 	w, last, other := twoClusters(joinOtherAfterVote, true)
 	must.Eq(t, other.clusterID, last.clusterID)
 	must.Eq(t, w.members[2].disk.ClusterID, last.clusterID)
 }
 
+// Guards against a check that overlooks a replacement which is delayed until the loss is detected.
 func TestReplacedWithinCatchUpFindsMutation(t *testing.T) {
-	must.StrContains(t, loseAfterCatchUp(t, lostWhenDetected), "no order is taken")
+	must.StrContains(t, loseAfterCatchUp(t, lostWhenDetected), "no proposal was committed within 5 s")
 }
 
+// Guards against a check that overlooks two candidates of one term that both wait for another time-out.
 func TestTwoMembersElectLeaderSoonFindsMutation(t *testing.T) {
 	for _, sync := range syncTimes {
 		worst, _ := slowestElection(t, sync, noMutation)
 		mutated, mean := slowestElection(t, sync, skipTieBreak)
-		t.Logf("syncs of %v, %v: a leader after %v in the mean, %v at worst", sync, skipTieBreak, mean, mutated)
+		t.Logf("sync delay=%v, mutation %q: time to leader mean=%v max=%v", sync, skipTieBreak, mean, mutated)
 		if sync >= 150*time.Millisecond {
 			must.Greater(t, worst, mutated)
 		}
--- a/internal/gateway/replication/snapshot_test.go
+++ b/internal/gateway/replication/snapshot_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// rejoin lets the third member, which lacks twenty changes, hear again, while a change is proposed and all is compacted for each
-// message that reaches it. It returns what it was sent until it was level, or after so many messages.
+// rejoin delivers messages to the third member again, which lacks twenty entries. After each message to or from that member the others compact
+// their logs, and before each of the first 40 an entry is proposed. It returns the bytes that the member was sent and the snapshots that it
+// installed, until it had the whole log or after a number of messages.
 func rejoin(w *cluster, most int) (bytes, restores int, level bool) {
 	w.heartbeat(0)
 	for n := 0; n < most; n++ {
@@ -49,8 +50,9 @@
 	return bytes, restores, false
 }
 
-// Changes that go on while a member is sent a snapshot neither replace it nor make it go anew: it is sent once, and the changes
-// after it follow. Without that, each compaction had the next snapshot sent from its begin: with one a message, it was never level.
+// Guards against a snapshot transfer that starts over. The snapshot in transfer must be sent once, whatever is proposed and compacted meanwhile,
+// and the entries after it must follow. Earlier, each compaction made the leader send the next snapshot from its start: with one compaction
+// for each message, the member never caught up.
 func TestSnapshotInTransferIsKept(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
 	w := newCluster(3, 0, noMutation, stepBudget{}).inChunks().commitOnTwo(state...)
@@ -58,16 +60,17 @@
 	must.Eq(t, "", w.violation)
 	must.True(t, level)
 	must.Eq(t, 1, restores)
-	must.LessEq(t, len(state)+2*40, bytes) // the snapshot once, a change at most twice
+	// The snapshot is sent once, and each entry at most twice.
+	must.LessEq(t, len(state)+2*40, bytes)
 }
 
-// A voter whose newer log is too large for a message starts an election itself: a large tail would delay everything on the link, and a
-// candidate without the newest log never leads.
+// Guards against a candidate that waits for a log that is too large for one message. The voter that has this log must start an election itself:
+// a large message would delay all others on the link, and a candidate without the newest log never leads.
 func TestMemberWithLargeTailStartsElection(t *testing.T) {
 	w := newCluster(3, 0, noMutation, stepBudget{}).inChunks().commitOnTwo("a", "b", "c")
 	w.members[2].replica.startElection()
 	w.drainActions(2)
-	for range 2 { // the vote, then the request for its log
+	for range 2 { // first the vote, then the request for the voter's log
 		w.syncAll(2)
 		w.deliverAmong([]int{2}, []int{1})
 		w.syncAll(1)
@@ -84,7 +87,8 @@
 	must.Eq(t, w.members[1].replica.log.lastIndex(), w.members[2].replica.syncedIndex)
 }
 
-// What is kept for members is bounded: as many bytes as a new snapshot would be, one snapshot in transfer for all, and one more.
+// Guards against unbounded memory for members that lag. The trailing log may have as many bytes as a new snapshot. For transfers, one outdated
+// snapshot that all receivers share and one more are kept.
 func TestTrailingLogIsBounded(t *testing.T) {
 	w := newCluster(3, 0, noMutation, stepBudget{}).inChunks()
 	p := w.members[0].replica
@@ -102,11 +106,14 @@
 		must.LessEq(t, 100<<10, size)
 	}
 	must.Greater(t, 64, len(p.log.trailing))
-	_, known := p.log.termAt(p.FirstIndex() - 1) // else who lacks just what is kept was rejected each time, until it was compacted
+	// The term before the trailing log must be known. Otherwise a member that lacks exactly the trailing log would reject each append, until the
+	// log is compacted again.
+	_, known := p.log.termAt(p.FirstIndex() - 1)
 	must.True(t, known)
 	old := func(i uint64) *Blob { return NewBlob(i, 1, []byte{1}) }
 	a, b := old(p.FirstIndex()), old(p.FirstIndex()+1)
-	must.Eq(t, a, p.BlobToSend(3, []*Blob{a, b}))                               // the log goes on after it
-	must.Eq(t, p.latestSnapshotBlob(), p.BlobToSend(3, []*Blob{old(1), a}[:1])) // not after that one
+	must.Eq(t, a, p.BlobToSend(3, []*Blob{a, b}))                               // the log continues after this blob
+	must.Eq(t, p.latestSnapshotBlob(), p.BlobToSend(3, []*Blob{old(1), a}[:1])) // the log does not continue after blob 1
+	// Two outdated blobs are in transfer already.
 	must.Nil(t, p.BlobToSend(p.FirstIndex(), []*Blob{old(1), old(2)}))
 }
--- a/internal/gateway/replication/wire_test.go
+++ b/internal/gateway/replication/wire_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// setFields sets every field of a struct, and of those in it, to a value that differs from all others.
+// setFields sets every field of a value and of the values in it. Numbers differ from all others, so that swapped fields are detected.
 func setFields(t *testing.T, v reflect.Value, next *uint64) {
 	t.Helper()
 	switch v.Kind() {
@@ -32,17 +32,17 @@
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
 		v.SetUint(*next)
 	default:
-		t.Fatalf("no value for a %v", v.Kind())
+		t.Fatalf("setFields has no value for kind %v", v.Kind())
 	}
 	*next++
 }
 
-// No field is lost or swapped on the way through the form that gob sends: one that is new must be converted too.
+// Guards against fields that are lost or swapped by the conversion to the form that gob sends. A new field must be converted too.
 func TestWireFormHasAllFields(t *testing.T) {
 	var message Message
 	next := uint64(1)
 	setFields(t, reflect.ValueOf(&message).Elem(), &next)
-	must.Less(t, 256, next) // a kind has a byte
+	must.Less(t, 256, next) // a MessageKind has one byte
 	wire := message.Wire()
 	must.Eq(t, message, wire.Message())
 
