--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -68,8 +68,8 @@
 			}
 		}
 	}
-	if n := len(p.Members()); !p.membersCommitted() || up-tolerates < majoritySize(n) || n <= 2*tolerates || had <= tolerates {
-		return fmt.Sprintf("members=%d up_to_date=%d with_last_acknowledged=%d list_committed=%v", n, up, had, p.membersCommitted())
+	if n := len(p.Members()); !p.isLatestConfigCommitted() || up-tolerates < majoritySize(n) || n <= 2*tolerates || had <= tolerates {
+		return fmt.Sprintf("members=%d up_to_date=%d with_last_acknowledged=%d list_committed=%v", n, up, had, p.isLatestConfigCommitted())
 	}
 	return ""
 }
@@ -205,7 +205,7 @@
 				d.replica.TransferLeadership()
 			}
 		})()
-		if !d.replica.IsLeader() && d.replica.ReplicatedElsewhere() >= d.replica.CommitIndex() {
+		if !d.replica.IsLeader() && d.replica.IndexReplicatedElsewhere() >= d.replica.CommitIndex() {
 			break
 		}
 		w.runUntil(w.now + 20*time.Millisecond)
@@ -238,11 +238,11 @@
 	must.Eq(t, 1, w.acknowledged)
 	for _, i := range []int{l, (l + 2) % 3} { // the two members that have the entry on disk
 		p := w.nodes[i].replica
-		atOnce = atOnce || p.ReplicatedElsewhere() >= p.CommitIndex()
+		atOnce = atOnce || p.IndexReplicatedElsewhere() >= p.CommitIndex()
 	}
 	w.runUntil(w.now + 2200*time.Millisecond)
 	p := w.nodes[l].replica
-	return atOnce, p.ReplicatedElsewhere() >= p.CommitIndex()
+	return atOnce, p.IndexReplicatedElsewhere() >= p.CommitIndex()
 }
 
 // Guards against the loss of an acknowledged entry when a member drains and another one is lost right after it. The draining member must stay
@@ -263,7 +263,7 @@
 	w.deliverAll()
 	out := w.members[2].replica
 	must.Eq(t, w.members[0].replica.commitIndex, out.CommitIndex())
-	must.Eq(t, out.CommitIndex(), out.ReplicatedElsewhere())
+	must.Eq(t, out.CommitIndex(), out.IndexReplicatedElsewhere())
 }
 
 // Guards against a disk that loses its membership when it moves to another address. The list must be changed to the new address, with the
@@ -331,7 +331,7 @@
 	_, last, other := twoClusters(noMutation, false)
 	must.Eq(t, other.clusterID, last.clusterID)
 	must.Len(t, 3, last.Members())
-	must.True(t, last.membersCommitted())
+	must.True(t, last.isLatestConfigCommitted())
 	_, last, other = twoClusters(noMutation, true)
 	must.NotEq(t, other.clusterID, last.clusterID)
 	must.Eq(t, 2, last.term)
--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -17,45 +17,45 @@
 // String returns what a replica with the mutation does wrong.
 func (m mutation) String() string {
 	return [...]string{
-		noMutation:           "none",
-		ackUnsynced:          "unsynced entries are acknowledged",
-		countWipedDisk:       "a member with a wiped disk counts for a majority",
-		acceptStaleTerm:      "a former leader's appends are accepted",
-		forgetVotes:          "votes are not written to disk",
-		skipTruncation:       "conflicting entries are kept",
-		commitEarlierTerms:   "entries of earlier terms are committed by counting",
-		singleMajority:       "a change of members needs one majority only",
-		skipReadSeq:          "a read is answered without a confirmed read sequence",
-		voteBeforeSync:       "a vote is sent before it is on disk",
-		voteTwice:            "a member votes twice in a term",
-		electByMinority:      "a candidate leads with one vote too few",
-		leadWithoutNewestLog: "a candidate leads without the newest log",
-		skipLogMatching:      "entries are appended after an entry of another term",
-		countLearner:         "a learner counts for a majority",
-		countStaleAcks:       "an acknowledgement of an earlier term counts",
-		keepProposals:        "a proposal has two outcomes",
-		readBeforeNoOp:       "a read is answered before the term's no-op is committed",
-		joinOtherAfterVote:   "a disk that has voted joins another cluster",
-		skipTieBreak:         "two candidates of a term both need another time-out",
-		shareClusterID:       "all logs have one cluster ID",
-		loseMergedWrite:      "the first of two pending writes is lost",
-		syncOtherLog:         "a write counts as synced with another log's write",
-		mixChunks:            "chunks of two blobs are joined",
-		skipChunks:           "a missing chunk is skipped",
-		installPartial:       "a snapshot is installed before it is complete",
-		abandonTransfer:      "a newer snapshot replaces the one under transfer",
-		contactByAck:         "contact counts from the receipt of an acknowledgement",
-		contactByAppend:      "contact counts from the receipt of an append",
-		contactBeforeNoOp:    "contact is reported before the term's no-op is committed",
-		contactWhileLead:     "a leader always reports contact",
-		contactAhead:         "a follower that lacks committed entries reports contact",
-		neverReplace:         "lost members are not replaced",
-		promoteEarly:         "a learner becomes a member before it has the state",
-		replaceAtOnce:        "a member that restarts is replaced at once",
-		shrinkBelowFloor:     "lost members are removed until too few are left",
-		keepDeadLearner:      "a learner that is gone blocks the next one",
-		drainEarly:           "a draining member shuts down too early",
-		lostWhenDetected:     "a loss counts from its detection",
+		noMutation:            "none",
+		ackUnsynced:           "unsynced entries are acknowledged",
+		countWipedDisk:        "a member with a wiped disk counts for a majority",
+		acceptStaleTerm:       "a former leader's appends are accepted",
+		forgetVotes:           "votes are not written to disk",
+		skipTruncation:        "conflicting entries are kept",
+		commitEarlierTerms:    "entries of earlier terms are committed by counting",
+		singleMajority:        "a change of members needs one majority only",
+		skipReadSeq:           "a read is answered without a confirmed read sequence",
+		voteBeforeSync:        "a vote is sent before it is on disk",
+		voteTwice:             "a member votes twice in a term",
+		electByMinority:       "a candidate leads with one vote too few",
+		leadWithoutNewestLog:  "a candidate leads without the newest log",
+		skipLogMatching:       "entries are appended after an entry of another term",
+		countLearner:          "a learner counts for a majority",
+		countStaleAcks:        "an acknowledgement of an earlier term counts",
+		keepFinishedProposals: "a proposal has two outcomes",
+		readBeforeNoOp:        "a read is answered before the term's no-op is committed",
+		joinOtherAfterVote:    "a disk that has voted joins another cluster",
+		skipTieBreak:          "two candidates of a term both need another time-out",
+		shareClusterID:        "all logs have one cluster ID",
+		loseMergedWrite:       "the first of two pending writes is lost",
+		syncOtherLog:          "a write counts as synced with another log's write",
+		mixBlobs:              "chunks of two blobs are joined",
+		skipChunks:            "a missing chunk is skipped",
+		installPartial:        "a snapshot is installed before it is complete",
+		abandonTransfer:       "a newer snapshot replaces the one under transfer",
+		contactFromAckTime:    "contact counts from the receipt of an acknowledgement",
+		contactFromAppendTime: "contact counts from the receipt of an append",
+		contactBeforeNoOp:     "contact is reported before the term's no-op is committed",
+		contactWhileLeading:   "a leader always reports contact",
+		contactBeforeCommit:   "a follower that lacks committed entries reports contact",
+		neverReplace:          "lost members are not replaced",
+		promoteEarly:          "a learner becomes a member before it has the state",
+		replaceAtOnce:         "a member that restarts is replaced at once",
+		shrinkBelowMinimum:    "lost members are removed until too few are left",
+		keepDeadLearner:       "a learner that is gone blocks the next one",
+		drainEarly:            "a draining member shuts down too early",
+		lostFromDetection:     "a loss counts from its detection",
 	}[m]
 }
 
@@ -115,22 +115,22 @@
 
 // Guards against walks that overlook faults in reads and outcomes, which the explorer does not check.
 func TestWalksFindMutations(t *testing.T) {
-	requireMutationsFound(t, faultWalk, 200, skipReadSeq, readBeforeNoOp, keepProposals)
+	requireMutationsFound(t, faultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
 }
 
 // Guards against walks that overlook the same faults with the configuration of a coordination group.
 func TestWalksOfGroupsFindMutations(t *testing.T) {
-	requireMutationsFound(t, groupFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepProposals)
+	requireMutationsFound(t, groupFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
 }
 
 // Guards against walks that overlook wrong reports of quorum contact.
 func TestContactWalksFindMutations(t *testing.T) {
-	requireMutationsFound(t, contactWalk, 200, contactByAck, contactByAppend, contactBeforeNoOp, contactWhileLead)
+	requireMutationsFound(t, contactWalk, 200, contactFromAckTime, contactFromAppendTime, contactBeforeNoOp, contactWhileLeading)
 }
 
 // Guards against walks that overlook wrong changes of members.
 func TestReplacementWalksFindMutations(t *testing.T) {
-	requireMutationsFound(t, replacements, 60, neverReplace, replaceAtOnce, shrinkBelowFloor, keepDeadLearner)
+	requireMutationsFound(t, replacements, 60, neverReplace, replaceAtOnce, shrinkBelowMinimum, keepDeadLearner)
 }
 
 // Guards against a check that overlooks a snapshot transfer which starts over at each compaction.
@@ -156,7 +156,7 @@
 
 // Guards against a check that overlooks a replacement which is delayed until the loss is detected.
 func TestReplacedWithinCatchUpFindsMutation(t *testing.T) {
-	must.StrContains(t, loseAfterCatchUp(t, lostWhenDetected), "no proposal was committed within 5 s")
+	must.StrContains(t, loseAfterCatchUp(t, lostFromDetection), "no proposal was committed within 5 s")
 }
 
 // Guards against a check that overlooks two candidates of one term that both wait for another time-out.
