--- a/internal/gateway/replication/codec_test.go
+++ b/internal/gateway/replication/codec_test.go
@@ -24,7 +24,7 @@
 
 // Guards against fields that encoding or decoding changes. Decoding must return the bytes after the message, and an error for a message that
 // is truncated anywhere.
-func TestMessagesInCompactForm(t *testing.T) {
+func TestCompactFormRoundTrip(t *testing.T) {
 	for _, m := range codecMessages {
 		m.ContactAgeMillis = -1
 		b := AppendMessage(nil, &m)
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -24,11 +24,11 @@
 	mutation       mutation
 	config         Config
 	violation      string
-	path           *traceStep
+	trace          *traceStep
 	currentMembers []Member               // the newest committed member list
 	configBases    map[logPosition]uint64 // by term and index of a member list: the commit index of its leader when it appended the list
 
-	judgesContact bool // enables now and checkContact: see contact_test.go
+	checksContact bool // enables now and checkContact: see contact_test.go
 	// now is the simulated time. It stays 0 unless contact is checked.
 	now         time.Duration
 	committedAt []time.Duration // when each entry of committed was first committed
@@ -45,15 +45,15 @@
 
 type inflightMessage struct {
 	from MemberID
-	sent Send
+	send Send
 }
 
-// stepBudget is how many more steps of each kind nextSteps may offer.
+// stepBudget is how many more steps of each kind forEachNextStep may offer.
 type stepBudget struct{ elections, crashes, wipes, proposals, heartbeats, ticks, losses, restarts, replacements, duplicates, compactions int }
 
 // traceStep is the last step on the way to a state, linked to the steps before it.
 type traceStep struct {
-	before      *traceStep
+	previous    *traceStep
 	description string
 }
 
@@ -61,7 +61,7 @@
 	if t == nil {
 		return ""
 	}
-	return t.before.String() + "\n  " + t.description
+	return t.previous.String() + "\n  " + t.description
 }
 
 // timelessConfig keeps time from starting anything: elections, heartbeats and retransmissions occur only as steps of the explorer.
@@ -70,37 +70,37 @@
 	MaxMessageBytes: 1, CommitNotifyDelay: time.Hour,
 	HeartbeatInterval: time.Hour, RetransmitTimeout: 1}
 
-// newCluster returns a bootstrapped cluster whose first member leads term 2, and further nodes with empty disks.
-func newCluster(members, beside int, planted mutation, left stepBudget) *cluster {
-	return newClusterOf(ConfigurationLog, members, beside, planted, left)
+// newCluster returns a bootstrapped cluster whose first member leads term 2. The spares are further nodes, with empty disks.
+func newCluster(members, spares int, planted mutation, budget stepBudget) *cluster {
+	return newClusterForLog(ConfigurationLog, members, spares, planted, budget)
 }
 
-// newClusterOf is newCluster for one of several logs on the same disks.
-func newClusterOf(log LogID, members, beside int, planted mutation, left stepBudget) *cluster {
-	w := &cluster{budget: left, mutation: planted, config: timelessConfig, configBases: map[logPosition]uint64{}}
-	w.config.LogID, w.config.TestingKnobs = log, knobsFor(planted)
-	for i := range members + beside {
-		w.members = append(w.members, &simMember{disk: PersistentState{ID: MemberID(i + 1)}})
-		w.start(i)
+// newClusterForLog is newCluster for one of several logs on the same disks.
+func newClusterForLog(log LogID, members, spares int, planted mutation, budget stepBudget) *cluster {
+	c := &cluster{budget: budget, mutation: planted, config: timelessConfig, configBases: map[logPosition]uint64{}}
+	c.config.LogID, c.config.TestingKnobs = log, knobsFor(planted)
+	for i := range members + spares {
+		c.members = append(c.members, &simMember{disk: PersistentState{ID: MemberID(i + 1)}})
+		c.start(i)
 	}
-	var list []Member
-	for _, s := range w.members[:members] {
-		list = append(list, s.replica.self)
+	var memberList []Member
+	for _, s := range c.members[:members] {
+		memberList = append(memberList, s.replica.self)
 	}
-	w.currentMembers = list
-	for i := range list {
-		if w.members[i].replica.Bootstrap(list) != nil {
+	c.currentMembers = memberList
+	for i := range memberList {
+		if c.members[i].replica.Bootstrap(memberList) != nil {
 			panic("bootstrap of the first member list failed")
 		}
-		w.drainActions(i)
+		c.drainActions(i)
 	}
-	w.deliverAll()
-	w.members[0].replica.startElection()
-	w.drainActions(0)
-	w.deliverAll()
-	w.heartbeat(0)
-	w.deliverAll()
-	return w
+	c.deliverAll()
+	c.members[0].replica.startElection()
+	c.drainActions(0)
+	c.deliverAll()
+	c.sendHeartbeat(0)
+	c.deliverAll()
+	return c
 }
 
 // start starts member i with what its disk has. Writes that were not synced are lost.
@@ -111,10 +111,10 @@
 	c.drainActions(i)
 }
 
-// fail records a violation of an invariant, if it is the first one.
-func (c *cluster) fail(f string, a ...any) {
+// recordViolation records a violation of an invariant, if it is the first one.
+func (c *cluster) recordViolation(format string, args ...any) {
 	if c.violation == "" {
-		c.violation = fmt.Sprintf(f, a...)
+		c.violation = fmt.Sprintf(format, args...)
 	}
 }
 
@@ -137,120 +137,121 @@
 		case Commit:
 			c.checkCommit(i, a.Entry)
 		case Restore:
-			if all := c.stateAt(a.Index); string(a.State) != all {
-				c.fail("member %d restored state %q at index %d, want %q", s.disk.ID, a.State, a.Index, all)
+			if all := c.hostStateAt(a.Index); string(a.State) != all {
+				c.recordViolation("member %d restored state %q at index %d, want %q", s.disk.ID, a.State, a.Index, all)
 			}
 		}
 	}
 	if s.replica.role == roleLeader && s.replica.term > s.ledTerm {
 		s.ledTerm = s.replica.term
 		if slices.ContainsFunc(c.members, func(o *simMember) bool { return o != s && o.ledTerm == s.ledTerm }) {
-			c.fail("two members lead term %d", s.ledTerm)
+			c.recordViolation("two members lead term %d", s.ledTerm)
 		}
 		for _, e := range c.committed {
 			if v, ok := s.replica.log.termAt(e.Index); e.Index > s.replica.log.snapshot.Index && (!ok || v != e.Term) {
-				c.fail("member %d leads term %d but lacks committed entry %d", s.replica.self.ID, s.replica.term, e.Index)
+				c.recordViolation("member %d leads term %d but lacks committed entry %d", s.replica.self.ID, s.replica.term, e.Index)
 			}
 		}
 	}
 }
 
-func sameEntry(a, b Entry) bool {
+func isSameEntry(a, b Entry) bool {
 	return a.Index == b.Index && a.Term == b.Term && a.Kind == b.Kind && string(a.Data) == string(b.Data)
 }
 
 // hasEntry reports whether a disk has an entry, in its log or compacted into its snapshot.
-func hasEntry(k PersistentState, e Entry) bool {
-	n := e.Index - k.Snapshot.Index - 1
-	return k.Snapshot.Index >= e.Index || n < uint64(len(k.Entries)) && sameEntry(k.Entries[n], e)
+func hasEntry(disk PersistentState, e Entry) bool {
+	offset := e.Index - disk.Snapshot.Index - 1
+	return disk.Snapshot.Index >= e.Index || offset < uint64(len(disk.Entries)) && isSameEntry(disk.Entries[offset], e)
 }
 
 // checkCommit checks an entry that member i applied: all members must apply the same entry at an index, and the entry must be on
 // the disks of a majority. Disks that were wiped since count too.
 func (c *cluster) checkCommit(i int, e Entry) {
-	if n := e.Index - 2; n < uint64(len(c.committed)) {
-		if !sameEntry(c.committed[n], e) {
-			c.fail("index %d: the entry committed first has term %d, a different entry of term %d was committed later", e.Index, c.committed[n].Term, e.Term)
+	if position := e.Index - 2; position < uint64(len(c.committed)) {
+		if !isSameEntry(c.committed[position], e) {
+			c.recordViolation("index %d: the entry committed first has term %d, a different entry of term %d was committed later",
+				e.Index, c.committed[position].Term, e.Term)
 		}
 		return
 	}
 	c.committed, c.committedAt = append(c.committed, e), append(c.committedAt, c.now)
 	if e.Kind == EntryConfigChange {
-		c.checkMembers(e)
+		c.checkMemberList(e)
 	}
 	if !hasMajority(c.members[i].replica.Members(), func(id MemberID) bool {
-		had := func(k PersistentState) bool { return k.ID == id && hasEntry(k, e) }
-		now := func(s *simMember) bool { return had(s.disk) }
-		return slices.ContainsFunc(c.wipedDisks, had) || slices.ContainsFunc(c.members, now)
+		diskHas := func(k PersistentState) bool { return k.ID == id && hasEntry(k, e) }
+		memberHas := func(s *simMember) bool { return diskHas(s.disk) }
+		return slices.ContainsFunc(c.wipedDisks, diskHas) || slices.ContainsFunc(c.members, memberHas)
 	}) {
-		c.fail("entry %d was committed but is not on the disks of a majority", e.Index)
+		c.recordViolation("entry %d was committed but is not on the disks of a majority", e.Index)
 	}
 }
 
-// stateAt returns the host's state after the entries up to an index: their data, the newest first. In this order the states of two
+// hostStateAt returns the host's state after the entries up to an index: their data, the newest first. In this order the states of two
 // indexes differ at every offset, so that mixed chunks of two snapshots are detected.
-func (c *cluster) stateAt(upto uint64) (all string) {
-	for _, e := range c.committed[:min(uint64(len(c.committed)), max(upto, 1)-1)] {
-		all = string(e.Data) + all
+func (c *cluster) hostStateAt(index uint64) (state string) {
+	for _, e := range c.committed[:min(uint64(len(c.committed)), max(index, 1)-1)] {
+		state = string(e.Data) + state
 	}
-	return all
+	return state
 }
 
 // compact makes member i compact its log up to its commit index.
 func (c *cluster) compact(i int) {
-	p := c.members[i].replica
-	p.Compact(p.commitIndex, []byte(c.stateAt(p.commitIndex)))
+	replica := c.members[i].replica
+	replica.Compact(replica.commitIndex, []byte(c.hostStateAt(replica.commitIndex)))
 	c.drainActions(i)
 }
 
-// checkMembers checks a member list that was committed. From then on any members may be lost, as many as the list's size tolerates. So
+// checkMemberList checks a member list that was committed. From then on any members may be lost, as many as the list's size tolerates. So
 // each new member must have the log up to what the leader knew to be committed when it appended the list. The list must also not be
 // shorter than the one before it.
-func (c *cluster) checkMembers(e Entry) {
-	was := c.currentMembers
-	if c.currentMembers = e.Members; len(e.Members) < len(was) {
-		c.fail("member list at index %d has %d members, fewer than the list before it", e.Index, len(e.Members))
+func (c *cluster) checkMemberList(e Entry) {
+	previous := c.currentMembers
+	if c.currentMembers = e.Members; len(e.Members) < len(previous) {
+		c.recordViolation("member list at index %d has %d members, fewer than the list before it", e.Index, len(e.Members))
 	}
 	for _, s := range c.members {
-		is := func(m Member) bool { return m.ID == s.disk.ID }
-		have, base := s.disk.Snapshot.Index+uint64(len(s.disk.Entries)), c.configBases[logPosition{e.Term, e.Index}]
-		if slices.ContainsFunc(e.Members, is) && !slices.ContainsFunc(was, is) && !s.down && have < base {
-			c.fail("member list at index %d was committed, but its new member %d has the log up to %d, want %d", e.Index, s.disk.ID, have, base)
+		isThisMember := func(m Member) bool { return m.ID == s.disk.ID }
+		lastIndex, base := s.disk.Snapshot.Index+uint64(len(s.disk.Entries)), c.configBases[logPosition{e.Term, e.Index}]
+		if slices.ContainsFunc(e.Members, isThisMember) && !slices.ContainsFunc(previous, isThisMember) && !s.down && lastIndex < base {
+			c.recordViolation("member list at index %d was committed, but its new member %d has the log up to %d, want %d", e.Index, s.disk.ID, lastIndex, base)
 		}
 	}
 }
 
-// sync completes the oldest pending write of member i.
-func (c *cluster) sync(i int) {
+// syncNextWrite completes the oldest pending write of member i.
+func (c *cluster) syncNextWrite(i int) {
 	s := c.members[i]
 	s.disk.Apply(s.writes[0])
-	nr := s.writes[0].Seq
+	seq := s.writes[0].Seq
 	s.writes = s.writes[1:]
-	c.tick(i)
-	s.replica.ReportSynced(nr)
+	c.advanceTime(i)
+	s.replica.ReportSynced(seq)
 	c.drainActions(i)
 }
 
 // deliver delivers message n of those in flight. The message is lost if no running member has the recipient's address.
-func (c *cluster) deliver(n int) {
-	m := c.inflight[n]
-	c.inflight = slices.Delete(slices.Clone(c.inflight), n, n+1)
+func (c *cluster) deliver(position int) {
+	m := c.inflight[position]
+	c.inflight = slices.Delete(slices.Clone(c.inflight), position, position+1)
 	for i, s := range c.members {
 		if s.down {
 			continue
 		}
-		if s.replica.self.Addr == m.sent.Recipient.Addr || m.sent.Recipient.Addr == "" && s.replica.self.ID == m.sent.Recipient.ID {
-			c.tick(i)
-			s.replica.Step(m.from, m.sent.Message)
+		if s.replica.self.Addr == m.send.Recipient.Addr || m.send.Recipient.Addr == "" && s.replica.self.ID == m.send.Recipient.ID {
+			c.advanceTime(i)
+			s.replica.Step(m.from, m.send.Message)
 			c.drainActions(i)
 		}
 	}
 }
 
-// heartbeat makes member i send a heartbeat to all others.
-func (c *cluster) heartbeat(i int) {
-	c.tick(i)
-	if !c.judgesContact {
+// sendHeartbeat makes member i send a heartbeat to all others.
+func (c *cluster) sendHeartbeat(i int) {
+	c.advanceTime(i)
+	if !c.checksContact {
 		// RetransmitTimeout passes: chunks that nobody acknowledged are sent again.
 		c.members[i].replica.now++
 	}
@@ -264,7 +265,7 @@
 		again = len(c.inflight) > 0
 		for i, s := range c.members {
 			for len(s.writes) > 0 {
-				c.sync(i)
+				c.syncNextWrite(i)
 				again = true
 			}
 		}
@@ -274,29 +275,29 @@
 	}
 }
 
-// dropStale removes messages that can't have an effect any more: those to disks that are gone, and responses to a member that has a
+// removeStaleMessages removes messages that can't have an effect any more: those to disks that are gone, and responses to a member that has a
 // newer term on disk.
-func (c *cluster) dropStale() {
+func (c *cluster) removeStaleMessages() {
 	c.inflight = slices.DeleteFunc(slices.Clone(c.inflight), func(f inflightMessage) bool {
-		to := slices.IndexFunc(c.members, func(s *simMember) bool { return s.disk.ID == f.sent.Recipient.ID })
-		k := f.sent.Message.Kind
-		return to < 0 || f.sent.Message.Term < c.members[to].disk.Term && k != MsgAppend && k != MsgRequestVote
+		recipient := slices.IndexFunc(c.members, func(s *simMember) bool { return s.disk.ID == f.send.Recipient.ID })
+		kind := f.send.Message.Kind
+		return recipient < 0 || f.send.Message.Term < c.members[recipient].disk.Term && kind != MsgAppend && kind != MsgRequestVote
 	})
 }
 
-// nextSteps calls do with each step that can come next. A message that is not delivered stands for one that is lost or delayed.
-func (c *cluster) nextSteps(do func(what string, act func(*cluster))) {
+// forEachNextStep calls visit with each step that can come next. A message that is not delivered stands for one that is lost or delayed.
+func (c *cluster) forEachNextStep(visit func(what string, act func(*cluster))) {
 	for n, m := range c.inflight {
-		key := string(m.key(nil, c.judgesContact))
-		if !slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.key(nil, c.judgesContact)) == key }) {
-			k := m.sent.Message
-			what := fmt.Sprintf("message from %d to %d: kind=%d term=%d index=%d", m.from, m.sent.Recipient.ID, k.Kind, k.Term, k.Index)
-			do(what, func(w *cluster) { w.deliver(n) })
+		key := string(m.appendKey(nil, c.checksContact))
+		if !slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.appendKey(nil, c.checksContact)) == key }) {
+			k := m.send.Message
+			what := fmt.Sprintf("message from %d to %d: kind=%d term=%d index=%d", m.from, m.send.Recipient.ID, k.Kind, k.Term, k.Index)
+			visit(what, func(next *cluster) { next.deliver(n) })
 			if k.Chunk != nil && c.budget.duplicates > 0 {
-				do(what+" (duplicated)", func(w *cluster) {
-					w.budget.duplicates--
-					w.inflight = append(slices.Clone(w.inflight), w.inflight[n])
-					w.deliver(n)
+				visit(what+" (duplicated)", func(next *cluster) {
+					next.budget.duplicates--
+					next.inflight = append(slices.Clone(next.inflight), next.inflight[n])
+					next.deliver(n)
 				})
 			}
 		}
@@ -305,61 +306,65 @@
 		id := s.disk.ID
 		if s.down {
 			if c.budget.restarts > 0 {
-				do(fmt.Sprintf("member %d starts again", id), func(w *cluster) { w.budget.restarts--; w.start(i) })
+				visit(fmt.Sprintf("member %d starts again", id), func(next *cluster) { next.budget.restarts--; next.start(i) })
 			}
 			continue
 		}
 		if c.budget.losses > 0 {
-			do(fmt.Sprintf("member %d stops", id), func(w *cluster) { w.budget.losses--; w.takeDown(i) })
+			visit(fmt.Sprintf("member %d stops", id), func(next *cluster) { next.budget.losses--; next.stop(i) })
 		}
 		if c.budget.replacements > 0 && s.replica.role == roleLeader {
-			c.nextReplacements(i, do)
+			c.forEachReplacement(i, visit)
 		}
 		if len(s.writes) > 0 {
-			do(fmt.Sprintf("member %d completes a write", id), func(w *cluster) { w.sync(i) })
+			visit(fmt.Sprintf("member %d completes a write", id), func(next *cluster) { next.syncNextWrite(i) })
 		}
 		if c.budget.crashes > 0 {
-			do(fmt.Sprintf("member %d crashes and restarts", id), func(w *cluster) { w.budget.crashes--; w.start(i) })
+			visit(fmt.Sprintf("member %d crashes and restarts", id), func(next *cluster) { next.budget.crashes--; next.start(i) })
 		}
 		if c.budget.wipes > 0 && s.replica.Bootstrapped() {
-			do(fmt.Sprintf("member %d restarts with an empty disk", id), func(w *cluster) { w.budget.wipes--; w.wipeDisk(i) })
+			visit(fmt.Sprintf("member %d restarts with an empty disk", id), func(next *cluster) { next.budget.wipes--; next.wipeDisk(i) })
 		}
 		if c.budget.elections > 0 && s.replica.role != roleLeader && s.replica.isMember(id) {
-			do(fmt.Sprintf("member %d starts an election", id), func(w *cluster) { w.budget.elections--; w.members[i].replica.startElection(); w.drainActions(i) })
+			visit(fmt.Sprintf("member %d starts an election", id), func(next *cluster) {
+				next.budget.elections--
+				next.members[i].replica.startElection()
+				next.drainActions(i)
+			})
 		}
 		if c.budget.proposals > 0 && s.replica.role == roleLeader {
-			do(fmt.Sprintf("member %d proposes an entry", id), func(w *cluster) {
-				w.budget.proposals--
-				w.members[i].replica.Propose(1, []byte{byte(w.budget.proposals)})
-				w.drainActions(i)
+			visit(fmt.Sprintf("member %d proposes an entry", id), func(next *cluster) {
+				next.budget.proposals--
+				next.members[i].replica.Propose(1, []byte{byte(next.budget.proposals)})
+				next.drainActions(i)
 			})
 		}
 		if c.budget.compactions > 0 && s.replica.commitIndex > s.replica.log.snapshot.Index {
-			do(fmt.Sprintf("member %d compacts its log", id), func(w *cluster) { w.budget.compactions--; w.compact(i) })
+			visit(fmt.Sprintf("member %d compacts its log", id), func(next *cluster) { next.budget.compactions--; next.compact(i) })
 		}
 		if c.budget.heartbeats > 0 && s.replica.role == roleLeader {
-			do(fmt.Sprintf("member %d sends heartbeats", id), func(w *cluster) { w.budget.heartbeats--; w.heartbeat(i) })
+			visit(fmt.Sprintf("member %d sends heartbeats", id), func(next *cluster) { next.budget.heartbeats--; next.sendHeartbeat(i) })
 		}
 	}
 	if c.budget.ticks > 0 {
-		do("one second passes", func(w *cluster) { w.budget.ticks--; w.now += time.Second })
+		visit("one second passes", func(next *cluster) { next.budget.ticks--; next.now += time.Second })
 	}
 }
 
-// takeDown stops member i. Its disk keeps the writes that were synced.
-func (c *cluster) takeDown(i int) { c.members[i].down, c.members[i].writes = true, nil }
+// stop stops member i. Its disk keeps the writes that were synced.
+func (c *cluster) stop(i int) { c.members[i].down, c.members[i].writes = true, nil }
 
-// nextReplacements calls do with each replacement that leader i can begin: any running node that is no member, for any member that has
+// forEachReplacement calls visit with each replacement that leader i can begin: any running node that is no member, for any member that has
 // stopped.
-func (c *cluster) nextReplacements(i int, do func(what string, act func(*cluster))) {
-	p := c.members[i].replica
+func (c *cluster) forEachReplacement(i int, visit func(what string, act func(*cluster))) {
+	leader := c.members[i].replica
 	for _, in := range c.members {
 		for _, out := range c.members {
-			if from, to := in.replica.self, out.replica.self.ID; !in.down && out.down && !p.isMember(from.ID) && p.isMember(to) {
-				do(fmt.Sprintf("leader %d replaces: new member %d, lost member %d", p.self.ID, from.ID, to), func(w *cluster) {
-					w.budget.replacements--
-					w.members[i].replica.AddMember(from, to)
-					w.drainActions(i)
+			if from, to := in.replica.self, out.replica.self.ID; !in.down && out.down && !leader.isMember(from.ID) && leader.isMember(to) {
+				visit(fmt.Sprintf("leader %d replaces: new member %d, lost member %d", leader.self.ID, from.ID, to), func(next *cluster) {
+					next.budget.replacements--
+					next.members[i].replica.AddMember(from, to)
+					next.drainActions(i)
 				})
 			}
 		}
@@ -368,11 +373,11 @@
 
 // replaceMember stops a member and lets the first member replace it by another node, until the new member list is committed.
 func (c *cluster) replaceMember(out, in int) *cluster {
-	c.takeDown(out)
+	c.stop(out)
 	c.members[0].replica.AddMember(c.members[in].replica.self, c.members[out].disk.ID)
 	c.drainActions(0)
 	c.deliverAll()
-	c.heartbeat(0)
+	c.sendHeartbeat(0)
 	c.deliverAll()
 	return c
 }
@@ -393,18 +398,18 @@
 	copied := *c
 	copied.members = nil
 	for _, s := range c.members {
-		o, p := *s, *s.replica
-		p.log.entries, p.memberConfigs, p.unsyncedWrites = slices.Clone(p.log.entries), slices.Clone(p.memberConfigs), slices.Clone(p.unsyncedWrites)
-		p.pendingReplies, p.reads, p.peers = slices.Clone(p.pendingReplies), slices.Clone(p.reads), maps.Clone(p.peers)
-		for id, q := range p.peers {
+		member, r := *s, *s.replica
+		r.log.entries, r.memberConfigs, r.unsyncedWrites = slices.Clone(r.log.entries), slices.Clone(r.memberConfigs), slices.Clone(r.unsyncedWrites)
+		r.pendingReplies, r.reads, r.peers = slices.Clone(r.pendingReplies), slices.Clone(r.reads), maps.Clone(r.peers)
+		for id, q := range r.peers {
 			q := *q
-			p.peers[id] = &q
+			r.peers[id] = &q
 		}
-		p.incoming.data, p.log.trailing = slices.Clip(p.incoming.data), slices.Clip(p.log.trailing)
-		p.proposals, p.preVotes = maps.Clone(p.proposals), maps.Clone(p.preVotes)
-		p.votes, p.voteRequests, p.lostSince = maps.Clone(p.votes), maps.Clone(p.voteRequests), maps.Clone(p.lostSince)
-		o.replica = &p
-		copied.members = append(copied.members, &o)
+		r.incoming.data, r.log.trailing = slices.Clip(r.incoming.data), slices.Clip(r.log.trailing)
+		r.proposals, r.preVotes = maps.Clone(r.proposals), maps.Clone(r.preVotes)
+		r.votes, r.voteRequests, r.lostSince = maps.Clone(r.votes), maps.Clone(r.voteRequests), maps.Clone(r.lostSince)
+		member.replica = &r
+		copied.members = append(copied.members, &member)
 	}
 	copied.inflight, copied.committed, copied.committedAt = slices.Clip(c.inflight), slices.Clip(c.committed), slices.Clip(c.committedAt)
 	for _, s := range copied.members {
@@ -413,8 +418,8 @@
 	return &copied
 }
 
-// appendEntries appends an encoding of entries to b. It is a part of the keys of states.
-func appendEntries(b []byte, all []Entry) []byte {
+// appendEntriesKey appends an encoding of entries to b. It is a part of the keys of states.
+func appendEntriesKey(b []byte, all []Entry) []byte {
 	b = appendUvarints(b, uint64(len(all)))
 	for _, e := range all {
 		b = append(appendUvarints(b, e.Index, e.Term, uint64(e.Kind), uint64(len(e.Data))), e.Data...)
@@ -422,137 +427,137 @@
 	return b
 }
 
-// key appends an encoding of the message to b, by which duplicates are found. If timed is true it has the message's clocks too.
-func (i inflightMessage) key(b []byte, timed bool) []byte {
-	m := i.sent.Message
+// appendKey appends an encoding of the message to b, by which duplicates are found. If timed is true it has the message's clocks too.
+func (i inflightMessage) appendKey(b []byte, timed bool) []byte {
+	m := i.send.Message
 	b = appendUvarints(b, uint64(i.from), uint64(m.Recipient), uint64(m.Kind), m.Term, m.Index, m.LogTerm, m.Commit, m.Seq)
 	if m.Snapshot != nil {
 		b = append(append(b, 's'), m.Snapshot.State...)
 	}
 	if m.Chunk != nil {
-		b = m.Chunk.key(b)
+		b = m.Chunk.appendKey(b)
 	}
 	if timed {
 		b = appendUvarints(b, uint64(m.Clock), uint64(m.EchoedClock), uint64(m.ContactAgeMillis))
 	}
-	return appendEntries(b, m.Entries)
+	return appendEntriesKey(b, m.Entries)
 }
 
-// key appends an encoding of the chunk to b.
-func (c *Chunk) key(b []byte) []byte {
+// appendKey appends an encoding of the chunk to b.
+func (c *Chunk) appendKey(b []byte) []byte {
 	return append(appendUvarints(b, c.Index, c.View, c.Sum, c.Size, c.Offset), c.Data...)
 }
 
-// key returns a hash by which states are distinguished: two states with the same key have the same next steps.
-func (c *cluster) key() uint64 {
+// stateKey returns a hash by which states are distinguished: two states with the same key have the same next steps.
+func (c *cluster) stateKey() uint64 {
 	var b []byte
 	for _, s := range c.members {
-		p := s.replica
-		b = appendUvarints(b, uint64(p.self.ID), uint64(p.role), p.term, uint64(p.votedFor), uint64(p.leaderID),
-			p.commitIndex, p.syncedIndex, p.nextWriteSeq-p.syncedWriteSeq, p.matchIndex, p.readSeq, p.ackedReadSeq, p.maxSeenTerm, uint64(p.fetchingLogFrom),
-			p.termStartIndex, p.log.snapshot.Index, uint64(len(p.unsyncedWrites)),
-			uint64(p.learner), uint64(len(p.learnerConfig.members)))
+		r := s.replica
+		b = appendUvarints(b, uint64(r.self.ID), uint64(r.role), r.term, uint64(r.votedFor), uint64(r.leaderID),
+			r.commitIndex, r.syncedIndex, r.nextWriteSeq-r.syncedWriteSeq, r.matchIndex, r.readSeq, r.ackedReadSeq, r.maxSeenTerm, uint64(r.fetchingLogFrom),
+			r.termStartIndex, r.log.snapshot.Index, uint64(len(r.unsyncedWrites)),
+			uint64(r.learner), uint64(len(r.learnerConfig.members)))
 		if s.down {
 			b = append(b, 'g')
 		}
-		b = appendEntries(append(p.incoming.id.newChunk(0, nil).key(appendEntries(b, p.log.entries)), p.incoming.data...), p.log.trailing)
-		for _, q := range p.pendingReplies {
-			b = appendUvarints(b, q.writeSeq-p.syncedWriteSeq, uint64(q.kind), q.term, uint64(q.recipient))
+		b = appendEntriesKey(append(r.incoming.id.newChunk(0, nil).appendKey(appendEntriesKey(b, r.log.entries)), r.incoming.data...), r.log.trailing)
+		for _, q := range r.pendingReplies {
+			b = appendUvarints(b, q.writeSeq-r.syncedWriteSeq, uint64(q.kind), q.term, uint64(q.recipient))
 		}
 		for id := range MemberID(20) {
-			if q := p.peers[id]; q != nil {
+			if q := r.peers[id]; q != nil {
 				b = appendUvarints(b, q.nextIndex, q.matchIndex, q.readSeq)
 				if o := q.transfer.sender; o.Blob != nil {
-					b = appendUvarints(o.Blob.id.newChunk(0, nil).key(b), o.ackedBytes, o.sentBytes, o.retransmittedFrom, uint64(p.now-o.lastProgressAt))
+					b = appendUvarints(o.Blob.id.newChunk(0, nil).appendKey(b), o.ackedBytes, o.sentBytes, o.retransmittedFrom, uint64(r.now-o.lastProgressAt))
 				}
-				if c.judgesContact {
+				if c.checksContact {
 					b = appendUvarints(b, uint64(q.lastReceivedClock), uint64(q.lastContactAt))
 				}
 			}
-			if q, ok := p.votes[id]; ok && p.role == roleCandidate {
+			if q, ok := r.votes[id]; ok && r.role == roleCandidate {
 				b = appendUvarints(b, q.term, q.index)
 			}
 		}
-		if c.judgesContact {
-			b = appendUvarints(b, uint64(p.leaderClock), uint64(p.quorumContact.lastContactAt), p.quorumContact.term)
+		if c.checksContact {
+			b = appendUvarints(b, uint64(r.leaderClock), uint64(r.quorumContact.lastContactAt), r.quorumContact.term)
 		}
-		b = appendEntries(appendUvarints(b, s.disk.Term, uint64(s.disk.Vote), s.disk.Commit), s.disk.Entries)
+		b = appendEntriesKey(appendUvarints(b, s.disk.Term, uint64(s.disk.Vote), s.disk.Commit), s.disk.Entries)
 		for _, q := range s.writes {
-			b = appendEntries(appendUvarints(b, q.Term, q.FirstIndex, q.Commit), q.Entries)
+			b = appendEntriesKey(appendUvarints(b, q.Term, q.FirstIndex, q.Commit), q.Entries)
 		}
 	}
 	var flight []string
 	for _, f := range c.inflight {
-		flight = append(flight, string(f.key(nil, c.judgesContact)))
+		flight = append(flight, string(f.appendKey(nil, c.checksContact)))
 	}
 	slices.Sort(flight)
 	b = append(b, fmt.Sprint(c.budget, c.now, c.committedAt)...)
 	for _, f := range flight {
 		b = append(b, f...)
 	}
-	return maphash.Bytes(seed, b)
+	return maphash.Bytes(hashSeed, b)
 }
 
-var seed = maphash.MakeSeed()
+var hashSeed = maphash.MakeSeed()
 
 // explore takes all possible steps in every order, breadth first, until a number of distinct states was seen or an invariant is violated.
 // It returns how many states were seen, and the violation with the steps that led to it; empty if there is none.
-func explore(w *cluster, most int) (seen int, wrong string) {
-	known := map[uint64]bool{w.key(): true}
-	for line := []*cluster{w}; len(line) > 0 && len(known) < most; {
-		w := line[0]
-		line[0], line = nil, line[1:]
-		w.nextSteps(func(what string, act func(*cluster)) {
-			if wrong != "" || len(known) >= most {
+func explore(state *cluster, limit int) (seen int, violation string) {
+	visited := map[uint64]bool{state.stateKey(): true}
+	for queue := []*cluster{state}; len(queue) > 0 && len(visited) < limit; {
+		state := queue[0]
+		queue[0], queue = nil, queue[1:]
+		state.forEachNextStep(func(what string, act func(*cluster)) {
+			if violation != "" || len(visited) >= limit {
 				return
 			}
-			c := w.clone()
-			c.path = &traceStep{w.path, what}
+			c := state.clone()
+			c.trace = &traceStep{state.trace, what}
 			func() {
 				defer func() {
 					if r := recover(); r != nil { // a violated invariant panics in a debug build
-						c.fail("%v", r)
+						c.recordViolation("%v", r)
 					}
 				}()
 				act(c)
-				c.dropStale()
+				c.removeStaleMessages()
 				c.checkContact()
 			}()
 			if c.violation != "" {
-				wrong = c.violation + c.path.String()
+				violation = c.violation + c.trace.String()
 			}
-			if k := c.key(); !known[k] {
-				known[k] = true
-				line = append(line, c)
+			if k := c.stateKey(); !visited[k] {
+				visited[k] = true
+				queue = append(queue, c)
 			}
 		})
-		if wrong != "" {
+		if violation != "" {
 			break
 		}
 	}
-	return len(known), wrong
+	return len(visited), violation
 }
 
 // electAmong makes member i start an election in which only the given other members vote. All messages to others are lost.
-func (c *cluster) electAmong(i int, with ...int) {
+func (c *cluster) electAmong(i int, voters ...int) {
 	c.members[i].replica.startElection()
 	c.drainActions(i)
-	c.sync(i)
-	c.deliverAmong([]int{i}, with)
-	c.syncAll(with...)
-	c.deliverAmong(with, []int{i})
+	c.syncNextWrite(i)
+	c.deliverAmong([]int{i}, voters)
+	c.syncAllWrites(voters...)
+	c.deliverAmong(voters, []int{i})
 	if c.members[i].replica.role == roleCandidate { // another member has a newer log, which the candidate fetches
-		c.deliverAmong([]int{i}, with)
-		c.deliverAmong(with, []int{i})
+		c.deliverAmong([]int{i}, voters)
+		c.deliverAmong(voters, []int{i})
 	}
-	c.sync(i)
+	c.syncNextWrite(i)
 }
 
-// syncAll completes all pending writes of the given members.
-func (c *cluster) syncAll(which ...int) {
-	for _, i := range which {
+// syncAllWrites completes all pending writes of the given members.
+func (c *cluster) syncAllWrites(indexes ...int) {
+	for _, i := range indexes {
 		for len(c.members[i].writes) > 0 {
-			c.sync(i)
+			c.syncNextWrite(i)
 		}
 	}
 }
@@ -562,10 +567,10 @@
 
 // deliverAmong delivers all messages in flight from some members to some others. All other messages in flight are lost.
 func (c *cluster) deliverAmong(from, to []int) {
-	in := func(which []int, id MemberID) bool {
+	contains := func(which []int, id MemberID) bool {
 		return slices.ContainsFunc(which, func(i int) bool { return c.members[i].disk.ID == id })
 	}
-	c.inflight = slices.DeleteFunc(c.inflight, func(f inflightMessage) bool { return !in(from, f.from) || !in(to, f.sent.Recipient.ID) })
+	c.inflight = slices.DeleteFunc(c.inflight, func(f inflightMessage) bool { return !contains(from, f.from) || !contains(to, f.send.Recipient.ID) })
 	for n := len(c.inflight); n > 0; n-- {
 		c.deliver(0)
 	}
@@ -578,8 +583,8 @@
 	return c
 }
 
-// inChunks makes all members send what is larger than two bytes in chunks of one byte, two of them in flight at a time.
-func (c *cluster) inChunks() *cluster {
+// withSmallChunks makes all members send what is larger than two bytes in chunks of one byte, two of them in flight at a time.
+func (c *cluster) withSmallChunks() *cluster {
 	c.config.MaxInflightBytes, c.config.ChunkBytes, c.config.TrailingBytes = 2, 1, 64<<10
 	for _, s := range c.members {
 		s.replica.config = c.config
@@ -587,25 +592,25 @@
 	return c
 }
 
-// commitOnTwo commits an entry for each data on the first two members, which then compact their logs. All messages to the third
+// commitOnFirstTwo commits an entry for each data on the first two members, which then compact their logs. All messages to the third
 // member are lost.
-func (c *cluster) commitOnTwo(all ...string) *cluster {
+func (c *cluster) commitOnFirstTwo(all ...string) *cluster {
 	for _, data := range all {
 		c.members[0].replica.Propose(1, []byte(data))
 		for range 3 {
 			c.drainActions(0)
-			c.syncAll(0)
+			c.syncAllWrites(0)
 			c.deliverAmong([]int{0}, []int{1})
-			c.syncAll(1)
+			c.syncAllWrites(1)
 			c.deliverAmong([]int{1}, []int{0})
 		}
-		c.heartbeat(0)
+		c.sendHeartbeat(0)
 		c.deliverAmong([]int{0}, []int{1})
 		c.inflight = nil
 	}
 	c.compact(0)
 	c.compact(1)
-	c.syncAll(0, 1)
+	c.syncAllWrites(0, 1)
 	// Without a trailing log, as after a restart, the entries of the snapshot are not in memory: a member that lacks them needs the snapshot.
 	for _, s := range c.members {
 		s.replica.log.trailing = nil
@@ -616,7 +621,7 @@
 // scenario is a state from which explore takes all possible steps, and the mutations that explore must detect from there.
 type scenario struct {
 	name      string
-	make      func(mutation) *cluster
+	build     func(mutation) *cluster
 	mutations []mutation
 }
 
@@ -626,267 +631,267 @@
 		return newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1}).propose()
 	}, []mutation{ackUnsynced, forgetVotes, voteBeforeSync, electByMinority, leadWithoutNewestLog}},
 	{"appends of a former leader arrive late", func(planted mutation) *cluster {
-		w := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
-		late := w.inflight
-		w.electAmong(1, 2)
-		w.inflight = append(w.inflight, late...)
-		return w
+		c := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
+		late := c.inflight
+		c.electAmong(1, 2)
+		c.inflight = append(c.inflight, late...)
+		return c
 	}, []mutation{acceptStaleTerm}},
 	{"two concurrent elections", func(planted mutation) *cluster {
 		return newCluster(3, 0, planted, stepBudget{elections: 2, proposals: 1})
 	}, []mutation{ackUnsynced}},
 	{"a member restarts with an empty disk", func(planted mutation) *cluster {
-		w := newCluster(3, 0, planted, stepBudget{elections: 1, wipes: 1, heartbeats: 1}).propose()
-		w.deliverFromTo(0, 2)
-		return w
+		c := newCluster(3, 0, planted, stepBudget{elections: 1, wipes: 1, heartbeats: 1}).propose()
+		c.deliverFromTo(0, 2)
+		return c
 	}, []mutation{countWipedDisk}},
 	{"a member is replaced by another", func(planted mutation) *cluster {
-		w := newCluster(3, 1, planted, stepBudget{elections: 1})
-		w.members[0].replica.AddMember(w.members[3].replica.self, 3)
-		for w.drainActions(0); w.members[0].replica.isLatestConfigCommitted(); w.drainActions(0) {
-			w.deliver(0)
-			if len(w.members[3].writes) > 0 {
-				w.sync(3)
+		c := newCluster(3, 1, planted, stepBudget{elections: 1})
+		c.members[0].replica.AddMember(c.members[3].replica.self, 3)
+		for c.drainActions(0); c.members[0].replica.isLatestConfigCommitted(); c.drainActions(0) {
+			c.deliver(0)
+			if len(c.members[3].writes) > 0 {
+				c.syncNextWrite(3)
 			}
 		}
-		return w
+		return c
 	}, []mutation{singleMajority}},
 	{"a learner receives entries", func(planted mutation) *cluster {
-		w := newCluster(3, 1, planted, stepBudget{elections: 1})
+		c := newCluster(3, 1, planted, stepBudget{elections: 1})
 		// One message may carry entries beyond the commit index.
-		w.members[0].replica.config.MaxMessageBytes = 1 << 10
-		w.members[0].replica.AddMember(w.members[3].replica.self, 0)
-		w.drainActions(0)
-		w.propose().syncAll(0)
+		c.members[0].replica.config.MaxMessageBytes = 1 << 10
+		c.members[0].replica.AddMember(c.members[3].replica.self, 0)
+		c.drainActions(0)
+		c.propose().syncAllWrites(0)
 		for range 2 {
-			w.deliverFromTo(0, 3)
-			w.syncAll(3)
-			w.deliverFromTo(3, 0)
+			c.deliverFromTo(0, 3)
+			c.syncAllWrites(3)
+			c.deliverFromTo(3, 0)
 		}
-		return w
+		return c
 	}, []mutation{countLearner}},
 	{"two candidates in one term", func(planted mutation) *cluster {
-		w := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1})
+		c := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1})
 		for _, i := range []int{1, 2} {
-			w.members[i].replica.startElection()
-			w.drainActions(i)
-			w.syncAll(i)
+			c.members[i].replica.startElection()
+			c.drainActions(i)
+			c.syncAllWrites(i)
 		}
-		return w
+		return c
 	}, []mutation{voteTwice}},
 	{"an entry that only the former leader has", func(planted mutation) *cluster {
-		w := newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1, heartbeats: 1}).propose()
-		w.sync(0)
-		w.electAmong(1, 2)
-		return w
+		c := newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1, heartbeats: 1}).propose()
+		c.syncNextWrite(0)
+		c.electAmong(1, 2)
+		return c
 	}, []mutation{skipTruncation}},
 	{"an uncommitted entry of an earlier term", func(planted mutation) *cluster {
-		w := newCluster(3, 0, planted, stepBudget{elections: 1}).propose()
-		w.sync(0)
-		w.electAmong(1, 2)
-		w.heartbeat(0)
-		w.deliverFromTo(0, 1)
-		w.deliverFromTo(1, 0)
-		w.electAmong(0, 2)
-		w.members[1].replica.Step(1, Message{Kind: MsgRequestVote, ClusterID: w.members[1].replica.clusterID, Recipient: 2, Term: 4})
-		w.drainActions(1)
-		return w
+		c := newCluster(3, 0, planted, stepBudget{elections: 1}).propose()
+		c.syncNextWrite(0)
+		c.electAmong(1, 2)
+		c.sendHeartbeat(0)
+		c.deliverFromTo(0, 1)
+		c.deliverFromTo(1, 0)
+		c.electAmong(0, 2)
+		c.members[1].replica.Step(1, Message{Kind: MsgRequestVote, ClusterID: c.members[1].replica.clusterID, Recipient: 2, Term: 4})
+		c.drainActions(1)
+		return c
 	}, []mutation{commitEarlierTerms}},
 	{"a proposal after an entry of another term", func(planted mutation) *cluster {
-		w := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
-		w.sync(0)
-		w.electAmong(1, 2)
-		return w
+		c := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
+		c.syncNextWrite(0)
+		c.electAmong(1, 2)
+		return c
 	}, []mutation{skipLogMatching}},
 	{"an acknowledgement arrives two terms late", func(planted mutation) *cluster {
-		w := newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1, heartbeats: 1}).propose().propose()
-		w.deliverFromTo(0, 1)
-		w.syncAll(1)
-		late := w.inflight
-		w.start(0)
-		w.electAmong(2, 0)
-		w.deliverFromTo(2, 1)
-		w.syncAll(1)
-		w.electAmong(0, 2)
-		w.inflight = append(w.inflight, late...)
-		return w
+		c := newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1, heartbeats: 1}).propose().propose()
+		c.deliverFromTo(0, 1)
+		c.syncAllWrites(1)
+		late := c.inflight
+		c.start(0)
+		c.electAmong(2, 0)
+		c.deliverFromTo(2, 1)
+		c.syncAllWrites(1)
+		c.electAmong(0, 2)
+		c.inflight = append(c.inflight, late...)
+		return c
 	}, []mutation{countStaleAcks}},
 	{"a snapshot in chunks", func(planted mutation) *cluster {
-		w := newCluster(3, 0, planted, stepBudget{crashes: 1, heartbeats: 1, duplicates: 1}).inChunks().commitOnTwo("a", "b", "c")
-		w.heartbeat(0)
-		w.deliverFromTo(0, 2)
-		w.deliverFromTo(2, 0)
-		return w
+		c := newCluster(3, 0, planted, stepBudget{crashes: 1, heartbeats: 1, duplicates: 1}).withSmallChunks().commitOnFirstTwo("a", "b", "c")
+		c.sendHeartbeat(0)
+		c.deliverFromTo(0, 2)
+		c.deliverFromTo(2, 0)
+		return c
 	}, []mutation{skipChunks, installPartial}},
 	{"a newer snapshot during a transfer", func(planted mutation) *cluster {
-		w := newCluster(3, 0, planted, stepBudget{heartbeats: 1, proposals: 1, compactions: 1, crashes: 1}).inChunks().commitOnTwo("a", "b", "c")
-		w.heartbeat(0)
-		w.deliverFromTo(0, 2)
-		w.deliverFromTo(2, 0)
-		return w
+		c := newCluster(3, 0, planted, stepBudget{heartbeats: 1, proposals: 1, compactions: 1, crashes: 1}).withSmallChunks().commitOnFirstTwo("a", "b", "c")
+		c.sendHeartbeat(0)
+		c.deliverFromTo(0, 2)
+		c.deliverFromTo(2, 0)
+		return c
 	}, []mutation{installPartial}},
 	{"a new leader with a newer snapshot during a transfer", func(planted mutation) *cluster {
-		w := newCluster(3, 0, planted, stepBudget{heartbeats: 1, crashes: 1, duplicates: 1}).inChunks().commitOnTwo("a", "b", "c")
-		w.heartbeat(0)
-		w.deliverFromTo(0, 2)
-		w.deliverFromTo(2, 0)
+		c := newCluster(3, 0, planted, stepBudget{heartbeats: 1, crashes: 1, duplicates: 1}).withSmallChunks().commitOnFirstTwo("a", "b", "c")
+		c.sendHeartbeat(0)
+		c.deliverFromTo(0, 2)
+		c.deliverFromTo(2, 0)
 		// The third member has one chunk. Another chunk of the former leader is in flight.
-		w.deliver(0)
-		late := w.inflight
-		w.commitOnTwo("d")
-		w.electAmong(1, 0)
-		w.inflight = append(w.inflight, late...)
-		return w
+		c.deliver(0)
+		late := c.inflight
+		c.commitOnFirstTwo("d")
+		c.electAmong(1, 0)
+		c.inflight = append(c.inflight, late...)
+		return c
 	}, []mutation{mixBlobs}},
 	{"a large entry in chunks is replaced by another entry", func(planted mutation) *cluster {
-		w := newCluster(3, 0, planted, stepBudget{heartbeats: 1, crashes: 1}).inChunks()
-		w.members[0].replica.Propose(1, []byte("xyz"))
-		w.drainActions(0)
-		late := w.inflight
-		w.deliverFromTo(0, 2)
-		w.electAmong(1, 2)
-		w.deliverAmong([]int{1}, []int{2})
-		w.syncAll(2)
-		w.deliverAmong([]int{2}, []int{1})
-		w.members[1].replica.Propose(1, []byte("XYZ"))
-		w.drainActions(1)
-		w.inflight = append(w.inflight, late...)
-		return w
+		c := newCluster(3, 0, planted, stepBudget{heartbeats: 1, crashes: 1}).withSmallChunks()
+		c.members[0].replica.Propose(1, []byte("xyz"))
+		c.drainActions(0)
+		late := c.inflight
+		c.deliverFromTo(0, 2)
+		c.electAmong(1, 2)
+		c.deliverAmong([]int{1}, []int{2})
+		c.syncAllWrites(2)
+		c.deliverAmong([]int{2}, []int{1})
+		c.members[1].replica.Propose(1, []byte("XYZ"))
+		c.drainActions(1)
+		c.inflight = append(c.inflight, late...)
+		return c
 	}, []mutation{mixBlobs}},
 	{"five members: a proposal, an election and a crash", func(planted mutation) *cluster {
-		w := newCluster(5, 0, planted, stepBudget{crashes: 1}).propose()
-		w.syncAll(0)
-		late := slices.DeleteFunc(slices.Clone(w.inflight), func(m inflightMessage) bool { return m.sent.Recipient.ID != w.members[2].disk.ID })
-		w.deliverFromTo(0, 1)
-		w.syncAll(1)
+		c := newCluster(5, 0, planted, stepBudget{crashes: 1}).propose()
+		c.syncAllWrites(0)
+		late := slices.DeleteFunc(slices.Clone(c.inflight), func(m inflightMessage) bool { return m.send.Recipient.ID != c.members[2].disk.ID })
+		c.deliverFromTo(0, 1)
+		c.syncAllWrites(1)
 		// One more acknowledgement is enough for a majority.
-		w.deliverFromTo(1, 0)
-		w.members[3].replica.startElection()
-		w.drainActions(3)
-		w.syncAll(3)
-		w.deliverAmong([]int{3}, []int{2, 4})
-		w.syncAll(4)
-		w.inflight = append(w.inflight, late...)
-		return w
+		c.deliverFromTo(1, 0)
+		c.members[3].replica.startElection()
+		c.drainActions(3)
+		c.syncAllWrites(3)
+		c.deliverAmong([]int{3}, []int{2, 4})
+		c.syncAllWrites(4)
+		c.inflight = append(c.inflight, late...)
+		return c
 	}, []mutation{forgetVotes, voteBeforeSync, electByMinority}},
 	{"five members: another member than the candidate has the newest log", func(planted mutation) *cluster {
-		w := newCluster(5, 0, planted, stepBudget{elections: 1}).propose()
-		w.syncAll(0)
-		w.deliverAmong([]int{0}, []int{1, 2})
-		w.syncAll(1, 2)
-		w.deliverAmong([]int{1, 2}, []int{0})
-		w.members[3].replica.startElection()
-		w.drainActions(3)
-		w.syncAll(3)
-		return w
+		c := newCluster(5, 0, planted, stepBudget{elections: 1}).propose()
+		c.syncAllWrites(0)
+		c.deliverAmong([]int{0}, []int{1, 2})
+		c.syncAllWrites(1, 2)
+		c.deliverAmong([]int{1, 2}, []int{0})
+		c.members[3].replica.startElection()
+		c.drainActions(3)
+		c.syncAllWrites(3)
+		return c
 	}, []mutation{leadWithoutNewestLog, electByMinority}},
 	{"five members: an entry that only two members have", func(planted mutation) *cluster {
-		w := newCluster(5, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
-		w.sync(0)
-		w.deliverAmong([]int{0}, []int{1})
-		w.sync(1)
-		w.electAmong(2, 3, 4)
-		return w
+		c := newCluster(5, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
+		c.syncNextWrite(0)
+		c.deliverAmong([]int{0}, []int{1})
+		c.syncNextWrite(1)
+		c.electAmong(2, 3, 4)
+		return c
 	}, []mutation{skipTruncation, skipLogMatching}},
 	{"five members: a member restarts with an empty disk", func(planted mutation) *cluster {
-		w := newCluster(5, 0, planted, stepBudget{elections: 1, wipes: 1}).propose()
-		w.sync(0)
-		w.deliverAmong([]int{0}, []int{1, 2})
-		w.sync(1)
-		w.sync(2)
-		w.deliverAmong([]int{1, 2}, []int{0})
-		return w
+		c := newCluster(5, 0, planted, stepBudget{elections: 1, wipes: 1}).propose()
+		c.syncNextWrite(0)
+		c.deliverAmong([]int{0}, []int{1, 2})
+		c.syncNextWrite(1)
+		c.syncNextWrite(2)
+		c.deliverAmong([]int{1, 2}, []int{0})
+		return c
 	}, []mutation{countWipedDisk}},
 	{"a lost member is replaced and the leader is lost", func(planted mutation) *cluster {
-		w := newCluster(3, 1, planted, stepBudget{elections: 1, losses: 1, restarts: 1, replacements: 1})
-		w.takeDown(2)
-		return w
+		c := newCluster(3, 1, planted, stepBudget{elections: 1, losses: 1, restarts: 1, replacements: 1})
+		c.stop(2)
+		return c
 	}, []mutation{promoteEarly}},
 	{"a replaced member restarts and starts an election", func(planted mutation) *cluster {
-		w := newCluster(3, 1, planted, stepBudget{elections: 2, restarts: 1, proposals: 1}).replaceMember(2, 3)
-		w.propose()
-		w.deliverFromTo(0, 3)
-		w.syncAll(0, 3)
-		return w
+		c := newCluster(3, 1, planted, stepBudget{elections: 2, restarts: 1, proposals: 1}).replaceMember(2, 3)
+		c.propose()
+		c.deliverFromTo(0, 3)
+		c.syncAllWrites(0, 3)
+		return c
 	}, []mutation{ackUnsynced}},
 	{"an election among the previous members during a replacement", func(planted mutation) *cluster {
-		w := newCluster(3, 1, planted, stepBudget{elections: 1, restarts: 1})
-		w.takeDown(2)
-		w.members[0].replica.AddMember(w.members[3].replica.self, 3)
-		for w.drainActions(0); w.members[0].replica.isLatestConfigCommitted(); w.drainActions(0) {
-			w.deliver(0)
-			w.syncAll(3)
-		}
-		return w
+		c := newCluster(3, 1, planted, stepBudget{elections: 1, restarts: 1})
+		c.stop(2)
+		c.members[0].replica.AddMember(c.members[3].replica.self, 3)
+		for c.drainActions(0); c.members[0].replica.isLatestConfigCommitted(); c.drainActions(0) {
+			c.deliver(0)
+			c.syncAllWrites(3)
+		}
+		return c
 	}, []mutation{singleMajority}},
 	{"a learner is lost and another node becomes the learner", func(planted mutation) *cluster {
-		w := newCluster(3, 2, planted, stepBudget{elections: 1, restarts: 2, replacements: 1})
-		w.takeDown(2)
-		w.members[0].replica.AddMember(w.members[3].replica.self, 3)
-		w.drainActions(0)
-		w.deliverFromTo(0, 3)
-		w.deliverFromTo(3, 0)
-		w.takeDown(3)
-		w.members[0].replica.dropLearner()
-		return w
+		c := newCluster(3, 2, planted, stepBudget{elections: 1, restarts: 2, replacements: 1})
+		c.stop(2)
+		c.members[0].replica.AddMember(c.members[3].replica.self, 3)
+		c.drainActions(0)
+		c.deliverFromTo(0, 3)
+		c.deliverFromTo(3, 0)
+		c.stop(3)
+		c.members[0].replica.dropLearner()
+		return c
 	}, []mutation{promoteEarly}},
 	{"an empty disk at a member's address while another member is down", func(planted mutation) *cluster {
-		w := newCluster(3, 1, planted, stepBudget{elections: 1, restarts: 1, replacements: 1})
-		w.takeDown(2)
-		w.propose().deliverAll()
-		w.wipeDisk(1)
-		w.members[0].replica.AddMember(w.members[1].replica.self, 0)
-		w.drainActions(0)
-		return w
+		c := newCluster(3, 1, planted, stepBudget{elections: 1, restarts: 1, replacements: 1})
+		c.stop(2)
+		c.propose().deliverAll()
+		c.wipeDisk(1)
+		c.members[0].replica.AddMember(c.members[1].replica.self, 0)
+		c.drainActions(0)
+		return c
 	}, []mutation{countWipedDisk}},
 	{"five members: two members are lost and replaced one after the other", func(planted mutation) *cluster {
-		w := newCluster(5, 2, planted, stepBudget{elections: 1, losses: 1, replacements: 1}).replaceMember(4, 5)
-		w.takeDown(3)
-		return w
+		c := newCluster(5, 2, planted, stepBudget{elections: 1, losses: 1, replacements: 1}).replaceMember(4, 5)
+		c.stop(3)
+		return c
 	}, []mutation{promoteEarly}},
 	{"five members: a lost member starts an election during its replacement, and one more is lost", func(planted mutation) *cluster {
-		w := newCluster(5, 1, planted, stepBudget{losses: 1})
-		w.takeDown(4)
-		w.members[0].replica.AddMember(w.members[5].replica.self, 5)
-		for w.drainActions(0); w.members[0].replica.isLatestConfigCommitted(); w.drainActions(0) {
-			w.deliver(0)
-			w.syncAll(5)
-		}
-		w.syncAll(0)
-		w.deliverAmong([]int{0}, []int{1, 5})
-		w.syncAll(1, 5)
-		late := w.inflight
-		w.start(4)
-		w.members[4].replica.startElection()
-		w.drainActions(4)
-		w.syncAll(4)
-		w.deliverAmong([]int{4}, []int{2, 3})
-		w.inflight = append(w.inflight, late...)
-		return w
+		c := newCluster(5, 1, planted, stepBudget{losses: 1})
+		c.stop(4)
+		c.members[0].replica.AddMember(c.members[5].replica.self, 5)
+		for c.drainActions(0); c.members[0].replica.isLatestConfigCommitted(); c.drainActions(0) {
+			c.deliver(0)
+			c.syncAllWrites(5)
+		}
+		c.syncAllWrites(0)
+		c.deliverAmong([]int{0}, []int{1, 5})
+		c.syncAllWrites(1, 5)
+		late := c.inflight
+		c.start(4)
+		c.members[4].replica.startElection()
+		c.drainActions(4)
+		c.syncAllWrites(4)
+		c.deliverAmong([]int{4}, []int{2, 3})
+		c.inflight = append(c.inflight, late...)
+		return c
 	}, []mutation{singleMajority}},
 }
 
-// maxStates returns how many states of each scenario are explored: the value of REPLICATION_STAGES if it is set, else usual.
-func maxStates(usual int) int {
+// stateLimit returns how many states of each scenario are explored: the value of REPLICATION_STAGES if it is set, else defaultLimit.
+func stateLimit(defaultLimit int) int {
 	if n, err := strconv.Atoi(os.Getenv("REPLICATION_STAGES")); err == nil {
 		return n
 	}
-	return usual
+	return defaultLimit
 }
 
 // Guards against diverging logs, lost committed entries and two leaders of one term. Such faults occur only in certain orders of messages,
 // syncs, crashes and elections, so all orders are taken up to a number of states.
-func TestAllOrders(t *testing.T) { exploreAll(t, scenarios) }
+func TestAllOrdersKeepInvariants(t *testing.T) { requireNoViolation(t, scenarios) }
 
-// exploreAll requires that explore finds no violation in any scenario.
-func exploreAll(t *testing.T, all []scenario) {
+// requireNoViolation requires that explore finds no violation in any scenario.
+func requireNoViolation(t *testing.T, all []scenario) {
 	t.Helper()
 	for _, s := range all {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			seen, wrong := explore(s.make(noMutation), maxStates(10_000))
+			seen, violation := explore(s.build(noMutation), stateLimit(10_000))
 			t.Log(seen, "states")
-			must.Eq(t, "", wrong)
+			must.Eq(t, "", violation)
 		})
 	}
 }
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -20,38 +20,38 @@
 	writing   [][]LogWrite // by node: the transaction that is being written; nil: the disk is idle
 	budget    sharedBudget
 	mutation  mutation
-	path      *traceStep
+	trace     *traceStep
 	violation string
 }
 
-// sharedBudget is how many more steps of each kind nextSteps may offer.
+// sharedBudget is how many more steps of each kind forEachNextStep may offer.
 type sharedBudget struct{ elections, proposals, crashes, misrouted int }
 
-// newShared returns a number of logs on three disks, each log led by its first member, after the steps with which the scenario begins.
-func newShared(logs int, planted mutation, scene sharedScenario) *sharedDisk {
-	s := &sharedDisk{queues: make([]WriteQueue, 3), writing: make([][]LogWrite, 3), budget: scene.budget, mutation: planted}
+// newSharedDisk returns a number of logs on three disks, each log led by its first member, after the steps with which the scenario begins.
+func newSharedDisk(logs int, planted mutation, start sharedScenario) *sharedDisk {
+	s := &sharedDisk{queues: make([]WriteQueue, 3), writing: make([][]LogWrite, 3), budget: start.budget, mutation: planted}
 	for log := range logs {
-		s.logs = append(s.logs, newClusterOf(LogID(log), 3, 0, planted, stepBudget{}))
+		s.logs = append(s.logs, newClusterForLog(LogID(log), 3, 0, planted, stepBudget{}))
 	}
 	for i := range s.queues {
 		s.queues[i].knobs = knobsFor(planted)
 	}
-	scene.before(s)
+	start.prepare(s)
 	return s
 }
 
-// gather puts the writes of all replicas into the queues of their nodes, and begins a transaction on each idle disk, as a node does after it
+// beginWrites puts the writes of all replicas into the queues of their nodes, and begins a transaction on each idle disk, as a node does after it
 // has processed its input.
-func (s *sharedDisk) gather() {
-	for log, w := range s.logs {
-		if w.violation != "" && s.violation == "" {
-			s.violation = fmt.Sprintf("log %d: %s", log, w.violation)
+func (s *sharedDisk) beginWrites() {
+	for log, c := range s.logs {
+		if c.violation != "" && s.violation == "" {
+			s.violation = fmt.Sprintf("log %d: %s", log, c.violation)
 		}
-		for i, place := range w.members {
-			for _, write := range place.writes {
+		for i, member := range c.members {
+			for _, write := range member.writes {
 				s.queues[i].Put(LogID(log), write)
 			}
-			place.writes = nil
+			member.writes = nil
 		}
 	}
 	for i := range s.queues {
@@ -86,52 +86,52 @@
 // restart starts node i again with what its disk has.
 func (s *sharedDisk) restart(i int) {
 	s.queues[i], s.writing[i] = WriteQueue{knobs: knobsFor(s.mutation)}, nil
-	for _, w := range s.logs {
-		w.start(i)
+	for _, c := range s.logs {
+		c.start(i)
 	}
 }
 
-// nextSteps calls do with each step that can come next.
-func (s *sharedDisk) nextSteps(do func(what string, act func(*sharedDisk))) {
-	for log, w := range s.logs {
-		for n, m := range w.inflight {
-			key := string(m.key(nil, false))
-			if slices.ContainsFunc(w.inflight[:n], func(o inflightMessage) bool { return string(o.key(nil, false)) == key }) {
+// forEachNextStep calls visit with each step that can come next.
+func (s *sharedDisk) forEachNextStep(visit func(what string, act func(*sharedDisk))) {
+	for log, c := range s.logs {
+		for n, m := range c.inflight {
+			key := string(m.appendKey(nil, false))
+			if slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.appendKey(nil, false)) == key }) {
 				continue
 			}
 			what := fmt.Sprintf("log %d: message from %d to %d: kind=%d term=%d index=%d", log,
-				m.from, m.sent.Recipient.ID, m.sent.Message.Kind, m.sent.Message.Term, m.sent.Message.Index)
-			do(what, func(s *sharedDisk) { s.logs[log].deliver(n) })
+				m.from, m.send.Recipient.ID, m.send.Message.Kind, m.send.Message.Term, m.send.Message.Index)
+			visit(what, func(s *sharedDisk) { s.logs[log].deliver(n) })
 			if s.budget.misrouted > 0 {
-				do(what+" (delivered to the next log)", func(s *sharedDisk) { s.budget.misrouted--; s.misroute(log, n) })
+				visit(what+" (delivered to the next log)", func(s *sharedDisk) { s.budget.misrouted--; s.misroute(log, n) })
 			}
 		}
 	}
 	for i := range s.queues {
 		if s.writing[i] != nil {
-			do(fmt.Sprintf("node %d completes a write", i+1), func(s *sharedDisk) { s.finishWrite(i, true) })
+			visit(fmt.Sprintf("node %d completes a write", i+1), func(s *sharedDisk) { s.finishWrite(i, true) })
 		}
 		if s.budget.crashes > 0 {
-			do(fmt.Sprintf("node %d crashes and restarts", i+1), func(s *sharedDisk) { s.budget.crashes--; s.restart(i) })
+			visit(fmt.Sprintf("node %d crashes and restarts", i+1), func(s *sharedDisk) { s.budget.crashes--; s.restart(i) })
 			if s.writing[i] != nil {
-				do(fmt.Sprintf("node %d completes a write, crashes before Synced and restarts", i+1), func(s *sharedDisk) {
+				visit(fmt.Sprintf("node %d completes a write, crashes before Synced and restarts", i+1), func(s *sharedDisk) {
 					s.budget.crashes--
 					s.finishWrite(i, false)
 					s.restart(i)
 				})
 			}
 		}
-		for log, w := range s.logs {
-			p := w.members[i].replica
-			if s.budget.elections > 0 && p.role != roleLeader {
-				do(fmt.Sprintf("log %d: member %d starts an election", log, i+1), func(s *sharedDisk) {
+		for log, c := range s.logs {
+			replica := c.members[i].replica
+			if s.budget.elections > 0 && replica.role != roleLeader {
+				visit(fmt.Sprintf("log %d: member %d starts an election", log, i+1), func(s *sharedDisk) {
 					s.budget.elections--
 					s.logs[log].members[i].replica.startElection()
 					s.logs[log].drainActions(i)
 				})
 			}
-			if s.budget.proposals > 0 && p.role == roleLeader {
-				do(fmt.Sprintf("log %d: member %d proposes an entry", log, i+1), func(s *sharedDisk) {
+			if s.budget.proposals > 0 && replica.role == roleLeader {
+				visit(fmt.Sprintf("log %d: member %d proposes an entry", log, i+1), func(s *sharedDisk) {
 					s.budget.proposals--
 					s.logs[log].members[i].replica.Propose(1, []byte{byte(10*log + s.budget.proposals)})
 					s.logs[log].drainActions(i)
@@ -142,12 +142,12 @@
 }
 
 // misroute delivers a message of one log to the recipient's replica of the next log.
-func (s *sharedDisk) misroute(log, n int) {
-	m := s.logs[log].inflight[n]
+func (s *sharedDisk) misroute(log, position int) {
+	m := s.logs[log].inflight[position]
 	other := s.logs[(log+1)%len(s.logs)]
-	for i, place := range other.members {
-		if place.disk.ID == m.sent.Recipient.ID {
-			place.replica.Step(m.from, m.sent.Message)
+	for i, member := range other.members {
+		if member.disk.ID == m.send.Recipient.ID {
+			member.replica.Step(m.from, m.send.Message)
 			other.drainActions(i)
 		}
 	}
@@ -161,27 +161,27 @@
 		c.logs = append(c.logs, w.clone())
 	}
 	for i := range c.queues {
-		due := map[LogID]*Write{}
+		pending := map[LogID]*Write{}
 		// The writes themselves can be shared: Put replaces a pending write by a new one and changes none.
 		for log, w := range s.queues[i].pending {
-			due[log] = w
+			pending[log] = w
 		}
-		c.queues[i].pending = due
+		c.queues[i].pending = pending
 	}
 	return &c
 }
 
-// key returns a hash by which states are distinguished: two states with the same key have the same next steps.
-func (s *sharedDisk) key() uint64 {
+// stateKey returns a hash by which states are distinguished: two states with the same key have the same next steps.
+func (s *sharedDisk) stateKey() uint64 {
 	b := fmt.Append(nil, s.budget)
 	write := func(w *Write) {
-		b = appendEntries(appendUvarints(b, w.Term, uint64(w.Vote), w.FirstIndex, w.Commit), w.Entries)
+		b = appendEntriesKey(appendUvarints(b, w.Term, uint64(w.Vote), w.FirstIndex, w.Commit), w.Entries)
 	}
 	for i := range s.queues {
 		for log, w := range s.logs {
-			b = appendUvarints(b, w.key())
-			if due := s.queues[i].pending[LogID(log)]; due != nil {
-				write(due)
+			b = appendUvarints(b, w.stateKey())
+			if pending := s.queues[i].pending[LogID(log)]; pending != nil {
+				write(pending)
 			}
 			b = append(b, '|')
 		}
@@ -190,22 +190,22 @@
 		}
 		b = append(b, ';')
 	}
-	return maphash.Bytes(seed, b)
+	return maphash.Bytes(hashSeed, b)
 }
 
 // exploreShared is explore for several logs on the same disks.
-func exploreShared(s *sharedDisk, most int) (seen int, wrong string) {
-	s.gather()
-	known := map[uint64]bool{s.key(): true}
-	for line := []*sharedDisk{s}; len(line) > 0 && len(known) < most && wrong == ""; {
-		s := line[0]
-		line[0], line = nil, line[1:]
-		s.nextSteps(func(what string, act func(*sharedDisk)) {
-			if wrong != "" || len(known) >= most {
+func exploreShared(s *sharedDisk, limit int) (seen int, violation string) {
+	s.beginWrites()
+	visited := map[uint64]bool{s.stateKey(): true}
+	for queue := []*sharedDisk{s}; len(queue) > 0 && len(visited) < limit && violation == ""; {
+		s := queue[0]
+		queue[0], queue = nil, queue[1:]
+		s.forEachNextStep(func(what string, act func(*sharedDisk)) {
+			if violation != "" || len(visited) >= limit {
 				return
 			}
 			c := s.clone()
-			c.path = &traceStep{s.path, what}
+			c.trace = &traceStep{s.trace, what}
 			func() {
 				defer func() {
 					if r := recover(); r != nil { // a violated invariant panics in a debug build
@@ -213,47 +213,47 @@
 					}
 				}()
 				act(c)
-				c.gather()
-				for _, w := range c.logs {
-					w.dropStale()
+				c.beginWrites()
+				for _, logCluster := range c.logs {
+					logCluster.removeStaleMessages()
 				}
 			}()
 			if c.violation != "" {
-				wrong = c.violation + c.path.String()
+				violation = c.violation + c.trace.String()
 			}
-			if k := c.key(); !known[k] {
-				known[k] = true
-				line = append(line, c)
+			if k := c.stateKey(); !visited[k] {
+				visited[k] = true
+				queue = append(queue, c)
 			}
 		})
 	}
-	return len(known), wrong
+	return len(visited), violation
 }
 
 // sharedScenario is a state from which exploreShared takes all possible steps, and the budget of these steps.
 type sharedScenario struct {
-	name   string
-	before func(*sharedDisk)
-	budget sharedBudget
+	name    string
+	prepare func(*sharedDisk)
+	budget  sharedBudget
 }
 
 // propose makes the first member of a log propose an entry, and begins to write the entry.
 func (s *sharedDisk) propose(log int) {
 	s.logs[log].propose()
-	s.gather()
+	s.beginWrites()
 }
 
 // deliver delivers all messages of a log that are in flight from one member to another. Other messages stay in flight.
 func (s *sharedDisk) deliver(log int, from, to MemberID) {
-	w := s.logs[log]
-	for n := 0; n < len(w.inflight); {
-		if m := w.inflight[n]; m.from == from && m.sent.Recipient.ID == to {
-			w.deliver(n)
+	c := s.logs[log]
+	for n := 0; n < len(c.inflight); {
+		if m := c.inflight[n]; m.from == from && m.send.Recipient.ID == to {
+			c.deliver(n)
 		} else {
 			n++
 		}
 	}
-	s.gather()
+	s.beginWrites()
 }
 
 // sharedScenarios cover entries in two logs with a crash between the syncs of their writes, an election in one of the logs meanwhile,
@@ -263,9 +263,9 @@
 	{"a vote and a crash", func(s *sharedDisk) {
 		s.logs[0].members[1].replica.startElection()
 		s.logs[0].drainActions(1)
-		s.gather()
+		s.beginWrites()
 		s.finishWrite(1, true)
-		s.gather()
+		s.beginWrites()
 	}, sharedBudget{elections: 1, crashes: 1}},
 	{"a vote, a proposal and a crash", func(s *sharedDisk) {
 		s.propose(0)
@@ -287,17 +287,17 @@
 
 // Guards against logs that violate the invariants of a single log because they share disks and links. All orders of messages, syncs and
 // crashes are taken. GROUP_STATES sets how many states of each scenario are explored; the default is 10,000.
-func TestAllOrdersOverOneDisk(t *testing.T) {
-	most := 10_000
+func TestAllOrdersOverOneDiskKeepInvariants(t *testing.T) {
+	limit := 10_000
 	if n, err := strconv.Atoi(os.Getenv("GROUP_STATES")); err == nil {
-		most = n
+		limit = n
 	}
-	for _, scene := range sharedScenarios {
-		t.Run(scene.name, func(t *testing.T) {
+	for _, start := range sharedScenarios {
+		t.Run(start.name, func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
-			seen, wrong := exploreShared(newShared(2, noMutation, scene), most)
-			must.Eq(t, "", wrong)
+			seen, violation := exploreShared(newSharedDisk(2, noMutation, start), limit)
+			must.Eq(t, "", violation)
 			t.Logf("explored %d states in %v", seen, time.Since(began))
 		})
 	}
@@ -306,17 +306,17 @@
 // Guards against a log whose writes are delayed without a bound by those of the others. Each transaction must have the write of the
 // configuration's log, the groups must take turns within maxBatchBytes, and no write may stay in the queue.
 func TestTransactionsAreBounded(t *testing.T) {
-	var q WriteQueue
-	large := func(nr uint64) Write {
+	var queue WriteQueue
+	largeWrite := func(nr uint64) Write {
 		return Write{Seq: nr, FirstIndex: nr, Entries: []Entry{{Index: nr, Data: make([]byte, maxBatchBytes*2/5)}}}
 	}
 	for log := LogID(1); log <= 8; log++ {
-		q.Put(log, large(1))
+		queue.Put(log, largeWrite(1))
 	}
-	q.Put(ConfigurationLog, large(1))
+	queue.Put(ConfigurationLog, largeWrite(1))
 	written := map[LogID]int{}
 	for range 3 {
-		batch := q.Take()
+		batch := queue.Take()
 		size := 0
 		for i, w := range batch {
 			written[w.Log]++
@@ -327,59 +327,59 @@
 		}
 		must.Len(t, 3, batch)
 		must.LessEq(t, maxBatchBytes, size)
-		q.Put(ConfigurationLog, large(1))
-		q.Put(1, large(2))
+		queue.Put(ConfigurationLog, largeWrite(1))
+		queue.Put(1, largeWrite(2))
 	}
 	must.Eq(t, map[LogID]int{0: 3, 1: 1, 2: 1, 3: 1, 4: 1, 5: 1, 6: 1}, written)
 	for range 3 {
-		q.Take()
+		queue.Take()
 	}
-	must.Nil(t, q.Take())
+	must.Nil(t, queue.Take())
 }
 
 // Guards against a leadership transfer to another member than the named one, and against a transfer that takes more than a few round trips.
 // If the named member does not respond, another one must lead.
 func TestLeadershipTransferToNamedMember(t *testing.T) {
-	w := faultlessWalk(t)
+	w := newFaultlessWalk(t)
 	for range 4 {
-		l := w.leader()
+		l := w.leaderIndex()
 		to := (l + 1 + w.rng.Intn(2)) % 3
 		must.True(t, w.nodes[l].replica.CanTransferTo(w.nodes[to].disk.ID))
-		w.onNode(l, func(d *simNode) { d.replica.TransferLeadershipTo(w.nodes[to].disk.ID) })()
+		w.actionOnNode(l, func(d *simNode) { d.replica.TransferLeadershipTo(w.nodes[to].disk.ID) })()
 		w.runUntil(w.now + 100*time.Millisecond)
-		must.Eq(t, to, w.leader())
+		must.Eq(t, to, w.leaderIndex())
 		w.runUntil(w.now + 500*time.Millisecond)
 	}
-	l := w.leader()
-	gone, other := (l+1)%3, (l+2)%3
-	w.nodes[gone].replica = nil
+	l := w.leaderIndex()
+	stopped, other := (l+1)%3, (l+2)%3
+	w.nodes[stopped].replica = nil
 	w.runUntil(w.now + DefaultConfig().QuorumTimeout + 100*time.Millisecond)
-	must.False(t, w.nodes[l].replica.CanTransferTo(w.nodes[gone].disk.ID))
-	w.onNode(l, func(d *simNode) { d.replica.TransferLeadershipTo(w.nodes[gone].disk.ID) })()
+	must.False(t, w.nodes[l].replica.CanTransferTo(w.nodes[stopped].disk.ID))
+	w.actionOnNode(l, func(d *simNode) { d.replica.TransferLeadershipTo(w.nodes[stopped].disk.ID) })()
 	w.runUntil(w.now + 100*time.Millisecond)
-	must.Eq(t, other, w.leader())
+	must.Eq(t, other, w.leaderIndex())
 	must.Eq(t, "", w.violation)
 }
 
 // Guards against slow elections after the connection to the leader broke: a member then starts a pre-vote at once. The term must not change
 // while the other members still hear from the leader. If the leader is gone, another member must lead within half the election time-out.
 func TestUnreachableLeaderStartsElectionAtOnce(t *testing.T) {
-	w := faultlessWalk(t)
-	l := w.leader()
-	leader, view := w.nodes[l].disk.ID, w.nodes[l].replica.term
+	w := newFaultlessWalk(t)
+	l := w.leaderIndex()
+	leader, term := w.nodes[l].disk.ID, w.nodes[l].replica.term
 	for range 5 {
-		w.onNode((l+1)%3, func(d *simNode) { d.replica.ReportUnreachable(leader) })()
+		w.actionOnNode((l+1)%3, func(d *simNode) { d.replica.ReportUnreachable(leader) })()
 		w.runUntil(w.now + 300*time.Millisecond)
-		must.Eq(t, view, w.nodes[l].replica.term)
-		must.Eq(t, l, w.leader())
+		must.Eq(t, term, w.nodes[l].replica.term)
+		must.Eq(t, l, w.leaderIndex())
 	}
 	w.nodes[l].replica = nil
 	for i, d := range w.nodes {
 		if d.replica != nil {
-			w.onNode(i, func(d *simNode) { d.replica.ReportUnreachable(leader) })()
+			w.actionOnNode(i, func(d *simNode) { d.replica.ReportUnreachable(leader) })()
 		}
 	}
 	w.runUntil(w.now + DefaultConfig().ElectionTimeout/2)
-	must.NotEq(t, -1, w.leader())
+	must.NotEq(t, -1, w.leaderIndex())
 	must.Eq(t, "", w.violation)
 }
--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -60,22 +60,24 @@
 }
 
 // Guards against an explorer that overlooks faults: it must detect the mutations of each scenario.
-func TestAllOrdersFindMutations(t *testing.T) { exploreMutations(t, scenarios) }
+func TestAllOrdersFindMutations(t *testing.T) { requireExplorerDetectsMutations(t, scenarios) }
 
 // Guards against an explorer that overlooks wrong reports of quorum contact.
-func TestContactInAllOrdersFindsMutations(t *testing.T) { exploreMutations(t, contactScenarios) }
+func TestContactInAllOrdersFindsMutations(t *testing.T) {
+	requireExplorerDetectsMutations(t, contactScenarios)
+}
 
-// exploreMutations requires that explore detects each mutation of each scenario.
-func exploreMutations(t *testing.T, all []scenario) {
+// requireExplorerDetectsMutations requires that explore detects each mutation of each scenario.
+func requireExplorerDetectsMutations(t *testing.T, all []scenario) {
 	t.Helper()
 	for _, s := range all {
 		for _, planted := range s.mutations {
 			t.Run(fmt.Sprint(s.name, ", ", planted), func(t *testing.T) {
 				t.Parallel()
 				began := time.Now()
-				seen, wrong := explore(s.make(planted), maxStates(20_000))
-				t.Log(seen, "states,", time.Since(began), wrong)
-				must.NotEq(t, "", wrong)
+				seen, violation := explore(s.build(planted), stateLimit(20_000))
+				t.Log(seen, "states,", time.Since(began), violation)
+				must.NotEq(t, "", violation)
 			})
 		}
 	}
@@ -84,26 +86,26 @@
 // Guards against an explorer that overlooks the faults which shared disks and links make possible. Each mutation must be detected in the
 // scenario of that index.
 func TestAllOrdersOverOneDiskFindMutations(t *testing.T) {
-	for planted, scene := range map[mutation]int{syncOtherLog: 0, ackUnsynced: 0, forgetVotes: 1, voteBeforeSync: 1, loseMergedWrite: 3, shareClusterID: 4} {
+	for planted, index := range map[mutation]int{syncOtherLog: 0, ackUnsynced: 0, forgetVotes: 1, voteBeforeSync: 1, loseMergedWrite: 3, shareClusterID: 4} {
 		t.Run(planted.String(), func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
-			seen, wrong := exploreShared(newShared(2, planted, sharedScenarios[scene]), 60_000)
-			must.NotEq(t, "", wrong, must.Sprintf("mutation not detected in %d states", seen))
-			t.Logf("detected after %v in %d states: %s", time.Since(began), seen, wrong)
+			seen, violation := exploreShared(newSharedDisk(2, planted, sharedScenarios[index]), 60_000)
+			must.NotEq(t, "", violation, must.Sprintf("mutation not detected in %d states", seen))
+			t.Logf("detected after %v in %d states: %s", time.Since(began), seen, violation)
 		})
 	}
 }
 
-// requireMutationsFound requires that each mutation is detected within a number of walks.
-func requireMutationsFound(t *testing.T, play func(*testing.T, int64, mutation) *walk, walks int64, mutations ...mutation) {
+// requireMutationsDetected requires that each mutation is detected within a number of walks.
+func requireMutationsDetected(t *testing.T, run func(*testing.T, int64, mutation) *walk, walks int64, mutations ...mutation) {
 	t.Helper()
 	for _, planted := range mutations {
 		t.Run(planted.String(), func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
 			for seed := range walks {
-				if w := play(t, seed, planted); w.violation != "" {
+				if w := run(t, seed, planted); w.violation != "" {
 					t.Log("seed", seed, time.Since(began), w.violation)
 					return
 				}
@@ -115,29 +117,29 @@
 
 // Guards against walks that overlook faults in reads and outcomes, which the explorer does not check.
 func TestWalksFindMutations(t *testing.T) {
-	requireMutationsFound(t, faultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
+	requireMutationsDetected(t, runFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
 }
 
 // Guards against walks that overlook the same faults with the configuration of a coordination group.
 func TestWalksOfGroupsFindMutations(t *testing.T) {
-	requireMutationsFound(t, groupFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
+	requireMutationsDetected(t, runGroupFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
 }
 
 // Guards against walks that overlook wrong reports of quorum contact.
 func TestContactWalksFindMutations(t *testing.T) {
-	requireMutationsFound(t, contactWalk, 200, contactFromAckTime, contactFromAppendTime, contactBeforeNoOp, contactWhileLeading)
+	requireMutationsDetected(t, runContactWalk, 200, contactFromAckTime, contactFromAppendTime, contactBeforeNoOp, contactWhileLeading)
 }
 
 // Guards against walks that overlook wrong changes of members.
 func TestReplacementWalksFindMutations(t *testing.T) {
-	requireMutationsFound(t, replacements, 60, neverReplace, replaceAtOnce, shrinkBelowMinimum, keepDeadLearner)
+	requireMutationsDetected(t, runReplacementWalk, 60, neverReplace, replaceAtOnce, shrinkBelowMinimum, keepDeadLearner)
 }
 
 // Guards against a check that overlooks a snapshot transfer which starts over at each compaction.
 func TestSnapshotInTransferFindsMutation(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
-	w := newCluster(3, 0, abandonTransfer, stepBudget{}).inChunks().commitOnTwo(state...)
-	bytes, _, level := rejoin(w, 400)
+	c := newCluster(3, 0, abandonTransfer, stepBudget{}).withSmallChunks().commitOnFirstTwo(state...)
+	bytes, _, level := catchUpThirdMember(c, 400)
 	must.True(t, !level || bytes > 2*len(state)+2*40, must.Sprint("mutation not detected"))
 }
 
@@ -149,24 +151,24 @@
 
 // Guards against a check that overlooks a disk which joins another cluster and so forgets its vote for a candidate of the first one.
 func TestBootstrappedOnlyDiskFindsMutation(t *testing.T) {
-	w, last, other := twoClusters(joinOtherAfterVote, true)
+	c, last, other := newTwoClusters(joinOtherAfterVote, true)
 	must.Eq(t, other.clusterID, last.clusterID)
-	must.Eq(t, w.members[2].disk.ClusterID, last.clusterID)
+	must.Eq(t, c.members[2].disk.ClusterID, last.clusterID)
 }
 
 // Guards against a check that overlooks a replacement which is delayed until the loss is detected.
-func TestReplacedWithinCatchUpFindsMutation(t *testing.T) {
-	must.StrContains(t, loseAfterCatchUp(t, lostFromDetection), "no proposal was committed within 5 s")
+func TestLostMemberIsReplacedWithinCatchUpFindsMutation(t *testing.T) {
+	must.StrContains(t, loseLeaderAfterReplacement(t, lostFromDetection), "no proposal was committed within 5 s")
 }
 
 // Guards against a check that overlooks two candidates of one term that both wait for another time-out.
 func TestTwoMembersElectLeaderSoonFindsMutation(t *testing.T) {
-	for _, sync := range syncTimes {
-		worst, _ := slowestElection(t, sync, noMutation)
-		mutated, mean := slowestElection(t, sync, skipTieBreak)
+	for _, sync := range syncDelays {
+		longest, _ := electionTimes(t, sync, noMutation)
+		mutated, mean := electionTimes(t, sync, skipTieBreak)
 		t.Logf("sync delay=%v, mutation %q: time to leader mean=%v max=%v", sync, skipTieBreak, mean, mutated)
 		if sync >= 150*time.Millisecond {
-			must.Greater(t, worst, mutated)
+			must.Greater(t, longest, mutated)
 		}
 	}
 }
--- a/internal/gateway/replication/snapshot_test.go
+++ b/internal/gateway/replication/snapshot_test.go
@@ -7,43 +7,43 @@
 	"github.com/shoenig/test/must"
 )
 
-// rejoin delivers messages to the third member again, which lacks twenty entries. After each message to or from that member the others compact
+// catchUpThirdMember delivers messages to the third member again, which lacks twenty entries. After each message to or from that member the others compact
 // their logs, and before each of the first 40 an entry is proposed. It returns the bytes that the member was sent and the snapshots that it
 // installed, until it had the whole log or after a number of messages.
-func rejoin(w *cluster, most int) (bytes, restores int, level bool) {
-	w.heartbeat(0)
-	for n := 0; n < most; n++ {
+func catchUpThirdMember(c *cluster, maxMessages int) (bytes, restores int, caughtUp bool) {
+	c.sendHeartbeat(0)
+	for n := 0; n < maxMessages; n++ {
 		if n < 40 {
-			w.members[0].replica.Propose(1, []byte("x"))
-			w.drainActions(0)
+			c.members[0].replica.Propose(1, []byte("x"))
+			c.drainActions(0)
 		}
-		reached := false
-		for i := 0; i < len(w.inflight); {
-			m := w.inflight[i]
-			if far := m.sent.Recipient.ID == 3 || m.from == 3; far && reached {
+		delivered := false
+		for i := 0; i < len(c.inflight); {
+			m := c.inflight[i]
+			if toOrFromThird := m.send.Recipient.ID == 3 || m.from == 3; toOrFromThird && delivered {
 				i++
 				continue
-			} else if far {
-				reached = true
-				if m.sent.Recipient.ID == 3 {
-					bytes += payloadBytes(m.sent.Message)
+			} else if toOrFromThird {
+				delivered = true
+				if m.send.Recipient.ID == 3 {
+					bytes += payloadBytes(m.send.Message)
 				}
 			}
-			before := w.members[2].replica.log.snapshot.Index
-			w.deliver(i)
-			if after := w.members[2].replica.log.snapshot.Index; after != before {
+			before := c.members[2].replica.log.snapshot.Index
+			c.deliver(i)
+			if after := c.members[2].replica.log.snapshot.Index; after != before {
 				restores++
 			}
-			w.syncAll(0, 1, 2)
+			c.syncAllWrites(0, 1, 2)
 			i = 0
 		}
-		w.compact(0)
-		w.compact(1)
-		w.syncAll(0, 1)
-		if !reached {
-			w.heartbeat(0)
+		c.compact(0)
+		c.compact(1)
+		c.syncAllWrites(0, 1)
+		if !delivered {
+			c.sendHeartbeat(0)
 		}
-		if w.members[2].replica.syncedIndex == w.members[0].replica.log.lastIndex() && n >= 40 {
+		if c.members[2].replica.syncedIndex == c.members[0].replica.log.lastIndex() && n >= 40 {
 			return bytes, restores, true
 		}
 	}
@@ -55,9 +55,9 @@
 // for each message, the member never caught up.
 func TestSnapshotInTransferIsKept(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
-	w := newCluster(3, 0, noMutation, stepBudget{}).inChunks().commitOnTwo(state...)
-	bytes, restores, level := rejoin(w, 400)
-	must.Eq(t, "", w.violation)
+	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks().commitOnFirstTwo(state...)
+	bytes, restores, level := catchUpThirdMember(c, 400)
+	must.Eq(t, "", c.violation)
 	must.True(t, level)
 	must.Eq(t, 1, restores)
 	// The snapshot is sent once, and each entry at most twice.
@@ -67,53 +67,53 @@
 // Guards against a candidate that waits for a log that is too large for one message. The voter that has this log must start an election itself:
 // a large message would delay all others on the link, and a candidate without the newest log never leads.
 func TestMemberWithLargeTailStartsElection(t *testing.T) {
-	w := newCluster(3, 0, noMutation, stepBudget{}).inChunks().commitOnTwo("a", "b", "c")
-	w.members[2].replica.startElection()
-	w.drainActions(2)
+	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks().commitOnFirstTwo("a", "b", "c")
+	c.members[2].replica.startElection()
+	c.drainActions(2)
 	for range 2 { // first the vote, then the request for the voter's log
-		w.syncAll(2)
-		w.deliverAmong([]int{2}, []int{1})
-		w.syncAll(1)
-		w.deliverAmong([]int{1}, []int{2})
+		c.syncAllWrites(2)
+		c.deliverAmong([]int{2}, []int{1})
+		c.syncAllWrites(1)
+		c.deliverAmong([]int{1}, []int{2})
 	}
-	must.Eq(t, roleCandidate, w.members[1].replica.role)
-	w.deliverAll()
-	must.Eq(t, roleLeader, w.members[1].replica.role)
+	must.Eq(t, roleCandidate, c.members[1].replica.role)
+	c.deliverAll()
+	must.Eq(t, roleLeader, c.members[1].replica.role)
 	for range 9 {
-		w.heartbeat(1)
-		w.deliverAll()
+		c.sendHeartbeat(1)
+		c.deliverAll()
 	}
-	must.Eq(t, "", w.violation)
-	must.Eq(t, w.members[1].replica.log.lastIndex(), w.members[2].replica.syncedIndex)
+	must.Eq(t, "", c.violation)
+	must.Eq(t, c.members[1].replica.log.lastIndex(), c.members[2].replica.syncedIndex)
 }
 
 // Guards against unbounded memory for members that lag. The trailing log may have as many bytes as a new snapshot. For transfers, one outdated
 // snapshot that all receivers share and one more are kept.
 func TestTrailingLogIsBounded(t *testing.T) {
-	w := newCluster(3, 0, noMutation, stepBudget{}).inChunks()
-	p := w.members[0].replica
+	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks()
+	replica := c.members[0].replica
 	for range 300 {
-		p.Propose(1, make([]byte, 1<<10))
-		w.drainActions(0)
-		w.deliverAll()
-		w.heartbeat(0)
-		w.deliverAll()
-		p.Compact(p.commitIndex, make([]byte, 100<<10))
+		replica.Propose(1, make([]byte, 1<<10))
+		c.drainActions(0)
+		c.deliverAll()
+		c.sendHeartbeat(0)
+		c.deliverAll()
+		replica.Compact(replica.commitIndex, make([]byte, 100<<10))
 		size := 0
-		for i := range p.log.trailing {
-			size += p.log.trailing[i].Size()
+		for i := range replica.log.trailing {
+			size += replica.log.trailing[i].Size()
 		}
 		must.LessEq(t, 100<<10, size)
 	}
-	must.Greater(t, 64, len(p.log.trailing))
+	must.Greater(t, 64, len(replica.log.trailing))
 	// The term before the trailing log must be known. Otherwise a member that lacks exactly the trailing log would reject each append, until the
 	// log is compacted again.
-	_, known := p.log.termAt(p.FirstIndex() - 1)
+	_, known := replica.log.termAt(replica.FirstIndex() - 1)
 	must.True(t, known)
-	old := func(i uint64) *Blob { return NewBlob(i, 1, []byte{1}) }
-	a, b := old(p.FirstIndex()), old(p.FirstIndex()+1)
-	must.Eq(t, a, p.BlobToSend(3, []*Blob{a, b}))                               // the log continues after this blob
-	must.Eq(t, p.latestSnapshotBlob(), p.BlobToSend(3, []*Blob{old(1), a}[:1])) // the log does not continue after blob 1
+	blobAt := func(i uint64) *Blob { return NewBlob(i, 1, []byte{1}) }
+	a, b := blobAt(replica.FirstIndex()), blobAt(replica.FirstIndex()+1)
+	must.Eq(t, a, replica.BlobToSend(3, []*Blob{a, b}))                                        // the log continues after this blob
+	must.Eq(t, replica.latestSnapshotBlob(), replica.BlobToSend(3, []*Blob{blobAt(1), a}[:1])) // the log does not continue after blob 1
 	// Two outdated blobs are in transfer already.
-	must.Nil(t, p.BlobToSend(p.FirstIndex(), []*Blob{old(1), old(2)}))
+	must.Nil(t, replica.BlobToSend(replica.FirstIndex(), []*Blob{blobAt(1), blobAt(2)}))
 }
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -16,32 +16,32 @@
 // walk is a random walk through the states of a simulated cluster: messages are delayed, lost and duplicated, links are partitioned, nodes
 // crash, disks are lost and members change at random. The seed decides all of that. Invariants are checked at each event.
 type walk struct {
-	t           *testing.T
-	rng         *rand.Rand
-	now         time.Duration
-	nodes       []*simNode
-	events      []event
-	committed   []Entry           // from index 2 on, as the first node to apply an entry received it
-	states      []string          // the host's state after each entry of committed
-	acked       uint64            // the highest index that was acknowledged to a caller
-	reads       map[uint64]uint64 // by token of a read: the highest acknowledged index when the read was requested
-	finished    map[uint64]bool   // tokens that have an Outcome
-	partitioned map[[2]int]bool   // links that lose all messages, each from one node to another
-	token       uint64
-	nextID      MemberID
-	// acknowledged is the number of proposals with OutcomeCommitted.
-	acknowledged int
+	t              *testing.T
+	rng            *rand.Rand
+	now            time.Duration
+	nodes          []*simNode
+	events         []event
+	committed      []Entry           // from index 2 on, as the first node to apply an entry received it
+	states         []string          // the host's state after each entry of committed
+	ackedIndex     uint64            // the highest index that was acknowledged to a caller
+	ackedAtRead    map[uint64]uint64 // by token of a read: the highest acknowledged index when the read was requested
+	finishedTokens map[uint64]bool   // tokens that have an Outcome
+	partitioned    map[[2]int]bool   // links that lose all messages, each from one node to another
+	lastToken      uint64
+	lastMemberID   MemberID
+	// ackedProposals is the number of proposals with OutcomeCommitted.
+	ackedProposals int
 	// While faultless is true, no faults are injected and no message is lost, duplicated or late.
 	faultless      bool
 	minMembers     int           // a member list must not get shorter than this
 	detectionDelay time.Duration // time until a host detects that a node has stopped
 	syncDelay      time.Duration // added to the duration of each sync
 	config         Config
-	bytes          map[int]int // of state and data that were sent, by receiving node
+	bytesSent      map[int]int // of state and data that were sent, by receiving node
 	violation      string
 
-	acks     []acknowledgement        // acknowledged proposals, in the order of time
-	ledSince map[uint64]time.Duration // by term: when it was first seen to have a leader
+	acks        []acknowledgement        // acknowledged proposals, in the order of time
+	leaderSince map[uint64]time.Duration // by term: when it was first seen to have a leader
 }
 
 // simNode is a node of a walk, with its replica, which is nil while the process does not run, and its simulated disk.
@@ -53,16 +53,16 @@
 	diskBusyUntil time.Duration // the disk completes no write before this time
 	// deadline is that of the last Wake.
 	deadline time.Duration
-	// index is that of the last applied entry, state the host's state after it.
-	index          uint64
-	state          string
-	writeDoneAt    time.Duration   // when the last write is synced
-	diskBeforeLast PersistentState // the disk with all writes of this incarnation but the last
-	lastWrite      Write
-	pausedUntil    time.Duration // the process is suspended until this time
-	draining       bool
-	formerMember   Member        // the member that stop ended last
-	stoppedAt      time.Duration // when stop ended it
+	// appliedIndex is the index of the last applied entry, and hostState the state after it.
+	appliedIndex        uint64
+	hostState           string
+	writeDoneAt         time.Duration   // when the last write is synced
+	diskBeforeLastWrite PersistentState // the disk with all writes of this incarnation but the last
+	lastWrite           Write
+	suspendedUntil      time.Duration // the process is suspended until this time
+	draining            bool
+	formerMember        Member        // the member that stop ended last
+	stoppedAt           time.Duration // when stop ended it
 }
 
 // event is an action at a time.
@@ -71,8 +71,10 @@
 	action func()
 }
 
-// after schedules do to be called after a delay.
-func (w *walk) after(d time.Duration, do func()) { w.events = append(w.events, event{w.now + d, do}) }
+// schedule schedules do to be called after a delay.
+func (w *walk) schedule(delay time.Duration, do func()) {
+	w.events = append(w.events, event{w.now + delay, do})
+}
 
 // randomDelay returns a random duration of at most n milliseconds.
 func (w *walk) randomDelay(n int) time.Duration {
@@ -81,174 +83,175 @@
 
 // start starts node i with what its disk has.
 func (w *walk) start(i int) {
-	d := w.nodes[i]
-	d.incarnation++
-	d.index, d.state, d.writeDoneAt, d.deadline = 0, "", 0, never
-	d.diskBeforeLast, d.lastWrite = d.disk, Write{}
-	d.replica = New(Member{d.disk.ID, fmt.Sprint("node", i)}, d.disk, w.config, w.rng.Int63(), w.now)
+	node := w.nodes[i]
+	node.incarnation++
+	node.appliedIndex, node.hostState, node.writeDoneAt, node.deadline = 0, "", 0, never
+	node.diskBeforeLastWrite, node.lastWrite = node.disk, Write{}
+	node.replica = New(Member{node.disk.ID, fmt.Sprint("node", i)}, node.disk, w.config, w.rng.Int63(), w.now)
 	w.drainActions(i)
 }
 
 // startEmpty starts node i with an empty disk and a new member ID.
 func (w *walk) startEmpty(i int) {
-	w.nextID++
-	w.nodes[i].disk = PersistentState{ID: w.nextID}
+	w.lastMemberID++
+	w.nodes[i].disk = PersistentState{ID: w.lastMemberID}
 	w.start(i)
 }
 
-// down crashes node i and calls then for it after a delay.
-func (w *walk) down(i int, d time.Duration, then func(int)) {
+// crashFor crashes node i and calls then for it after a delay.
+func (w *walk) crashFor(i int, downtime time.Duration, then func(int)) {
 	w.nodes[i].replica = nil
 	w.nodes[i].incarnation++
-	w.after(d, func() { then(i) })
+	w.schedule(downtime, func() { then(i) })
 }
 
-// fail records a violation of an invariant with its time, if it is the first one.
-func (w *walk) fail(f string, a ...any) {
+// recordViolation records a violation of an invariant with its time, if it is the first one.
+func (w *walk) recordViolation(format string, args ...any) {
 	if w.violation == "" {
-		w.violation = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(f, a...)
+		w.violation = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// onNode returns a function that advances the time of node i, calls do and carries out the node's actions. If the node has stopped or
+// actionOnNode returns a function that advances the time of node i, calls do and carries out the node's actions. If the node has stopped or
 // restarted in the meantime, the function does nothing. If the node is suspended, the function runs once it resumes.
-func (w *walk) onNode(i int, do func(*simNode)) func() {
-	life := w.nodes[i].incarnation
-	var act func()
-	act = func() {
-		if d := w.nodes[i]; d.incarnation == life && d.replica != nil && !w.deferWhilePaused(d, act) {
-			d.replica.Tick(w.now)
-			do(d)
+func (w *walk) actionOnNode(i int, do func(*simNode)) func() {
+	incarnation := w.nodes[i].incarnation
+	var action func()
+	action = func() {
+		if node := w.nodes[i]; node.incarnation == incarnation && node.replica != nil && !w.deferWhileSuspended(node, action) {
+			node.replica.Tick(w.now)
+			do(node)
 			w.drainActions(i)
 		}
 	}
-	return act
+	return action
 }
 
 // drainActions carries out the actions of node i and checks them.
 func (w *walk) drainActions(i int) {
-	d := w.nodes[i]
-	for a, ok := d.replica.Next(); ok; a, ok = d.replica.Next() {
+	node := w.nodes[i]
+	for a, ok := node.replica.Next(); ok; a, ok = node.replica.Next() {
 		switch a := a.(type) {
 		case Send:
 			w.transmit(i, a)
 		case Write:
 			w.checkMerge(i, a)
-			d.writeDoneAt = max(d.writeDoneAt, d.diskBusyUntil, w.now) + w.randomDelay(5) + w.syncDelay
-			w.after(d.writeDoneAt-w.now, w.onNode(i, func(d *simNode) { d.disk.Apply(a); d.replica.ReportSynced(a.Seq) }))
+			node.writeDoneAt = max(node.writeDoneAt, node.diskBusyUntil, w.now) + w.randomDelay(5) + w.syncDelay
+			w.schedule(node.writeDoneAt-w.now, w.actionOnNode(i, func(node *simNode) { node.disk.Apply(a); node.replica.ReportSynced(a.Seq) }))
 		case Restore:
-			d.index, d.state = a.Index, string(a.State)
-			if a.Index > 1 && (a.Index-2 >= uint64(len(w.states)) || w.states[a.Index-2] != d.state) {
-				w.fail("node %d restored a state at index %d that differs from the state of the other nodes", i, a.Index)
+			node.appliedIndex, node.hostState = a.Index, string(a.State)
+			if a.Index > 1 && (a.Index-2 >= uint64(len(w.states)) || w.states[a.Index-2] != node.hostState) {
+				w.recordViolation("node %d restored a state at index %d that differs from the state of the other nodes", i, a.Index)
 			}
 		case Commit:
-			w.applyCommit(i, d, a.Entry)
+			w.applyCommit(i, node, a.Entry)
 		case Outcome:
-			since, read := w.reads[a.Token]
+			since, read := w.ackedAtRead[a.Token]
 			switch {
-			case !read && w.finished[a.Token]:
-				w.fail("node %d returned a second Outcome for proposal token=%d: status=%v", i, a.Token, a.Status)
+			case !read && w.finishedTokens[a.Token]:
+				w.recordViolation("node %d returned a second Outcome for proposal token=%d: status=%v", i, a.Token, a.Status)
 			case a.Status == OutcomeCommitted && !read && string(w.committed[a.Index-2].Data) != string(proposalData(a.Token)):
-				w.fail("node %d reported proposal token=%d as committed at index=%d, where another entry was committed", i, a.Token, a.Index)
+				w.recordViolation("node %d reported proposal token=%d as committed at index=%d, where another entry was committed", i, a.Token, a.Index)
 			case a.Status != OutcomeCommitted:
 			case read && a.Index < since:
-				w.fail("a read returned index=%d, want at least the acknowledged index %d", a.Index, since)
+				w.recordViolation("a read returned index=%d, want at least the acknowledged index %d", a.Index, since)
 			case !read:
-				w.acked = max(w.acked, a.Index)
+				w.ackedIndex = max(w.ackedIndex, a.Index)
 				w.acks = append(w.acks, acknowledgement{w.now, a.Index})
-				w.acknowledged++
+				w.ackedProposals++
 			}
-			w.finished[a.Token] = true
+			w.finishedTokens[a.Token] = true
 		case Wake:
-			if d.deadline = a.Deadline; a.Deadline < never {
-				w.after(a.Deadline-w.now, w.onNode(i, func(*simNode) {}))
+			if node.deadline = a.Deadline; a.Deadline < never {
+				w.schedule(a.Deadline-w.now, w.actionOnNode(i, func(*simNode) {}))
 			}
 		}
 	}
-	if d.replica.role == roleLeader && d.index < w.acked && d.replica.log.lastIndex() < w.acked {
-		w.checkDeposed(i)
+	if node.replica.role == roleLeader && node.appliedIndex < w.ackedIndex && node.replica.log.lastIndex() < w.ackedIndex {
+		w.checkStaleLeader(i)
 	}
 	w.checkContact(i)
 }
 
-// checkDeposed checks that leader i, which lacks an acknowledged entry, leads an earlier term and not the newest one.
-func (w *walk) checkDeposed(i int) {
+// checkStaleLeader checks that leader i, which lacks an acknowledged entry, leads an earlier term and not the newest one.
+func (w *walk) checkStaleLeader(i int) {
 	if !slices.ContainsFunc(w.nodes, func(o *simNode) bool { return o.disk.Term > w.nodes[i].replica.term }) {
-		w.fail("node %d leads the newest term but lacks acknowledged entry %d", i, w.acked)
+		w.recordViolation("node %d leads the newest term but lacks acknowledged entry %d", i, w.ackedIndex)
 	}
 }
 
 // applyCommit applies an entry to the state of node i, and checks that the entry is the next one and the same as at the other nodes. It
 // compacts the log after one entry in twenty.
-func (w *walk) applyCommit(i int, d *simNode, e Entry) {
-	if e.Index != max(d.index, 1)+1 {
-		w.fail("node %d applied index %d after index %d, want the next index", i, e.Index, d.index)
+func (w *walk) applyCommit(i int, node *simNode, e Entry) {
+	if e.Index != max(node.appliedIndex, 1)+1 {
+		w.recordViolation("node %d applied index %d after index %d, want the next index", i, e.Index, node.appliedIndex)
 		return
 	}
-	sum := sha256.Sum256(append([]byte(d.state), e.Data...))
-	d.index, d.state = e.Index, string(sum[:8])
-	if n := e.Index - 2; n < uint64(len(w.committed)) {
-		if !sameEntry(w.committed[n], e) {
-			w.fail("index %d: the entry committed first has term %d, node %d applied a different entry of term %d", e.Index, w.committed[n].Term, i, e.Term)
+	sum := sha256.Sum256(append([]byte(node.hostState), e.Data...))
+	node.appliedIndex, node.hostState = e.Index, string(sum[:8])
+	if position := e.Index - 2; position < uint64(len(w.committed)) {
+		if !isSameEntry(w.committed[position], e) {
+			w.recordViolation("index %d: the entry committed first has term %d, node %d applied a different entry of term %d",
+				e.Index, w.committed[position].Term, i, e.Term)
 		}
 	} else {
-		w.committed, w.states = append(w.committed, e), append(w.states, d.state)
+		w.committed, w.states = append(w.committed, e), append(w.states, node.hostState)
 	}
 	if w.rng.Intn(20) == 0 {
-		d.replica.Compact(d.index, []byte(d.state))
+		node.replica.Compact(node.appliedIndex, []byte(node.hostState))
 	}
 }
 
 // transmit sends a message to the node at the recipient's address, or to the recipient's disk if no address is known. Unless the walk is
 // faultless, messages are lost, duplicated and delayed at random.
-func (w *walk) transmit(from int, s Send) {
+func (w *walk) transmit(from int, message Send) {
 	id := w.nodes[from].disk.ID
-	for i, d := range w.nodes {
-		there := s.Recipient.Addr == fmt.Sprint("node", i) || s.Recipient.Addr == "" && d.disk.ID == s.Recipient.ID
-		if !there || w.partitioned[[2]int{from, i}] {
+	for i, node := range w.nodes {
+		isRecipient := message.Recipient.Addr == fmt.Sprint("node", i) || message.Recipient.Addr == "" && node.disk.ID == message.Recipient.ID
+		if !isRecipient || w.partitioned[[2]int{from, i}] {
 			continue
 		}
-		w.bytes[i] += payloadBytes(s.Message)
-		n := 1
+		w.bytesSent[i] += payloadBytes(message.Message)
+		copies := 1
 		if !w.faultless {
-			n = [...]int{0, 2, 1, 1, 1, 1, 1, 1, 1, 1}[w.rng.Intn(10)]
+			copies = [...]int{0, 2, 1, 1, 1, 1, 1, 1, 1, 1}[w.rng.Intn(10)]
 		}
-		for range n {
-			late := w.randomDelay(8)
+		for range copies {
+			delay := w.randomDelay(8)
 			if !w.faultless && w.rng.Intn(20) == 0 {
-				late += w.randomDelay(1500)
+				delay += w.randomDelay(1500)
 			}
-			life := d.incarnation
-			var act func()
-			act = func() {
+			incarnation := node.incarnation
+			var action func()
+			action = func() {
 				// With faults, a late message may reach the next incarnation of the node.
-				if d.incarnation == life || !w.faultless {
-					if d.replica != nil && !w.deferWhilePaused(d, act) {
-						d.replica.Tick(w.now)
-						d.replica.Step(id, s.Message)
+				if node.incarnation == incarnation || !w.faultless {
+					if node.replica != nil && !w.deferWhileSuspended(node, action) {
+						node.replica.Tick(w.now)
+						node.replica.Step(id, message.Message)
 						w.drainActions(i)
 					}
 				}
 			}
-			w.after(late, act)
+			w.schedule(delay, action)
 		}
 	}
 }
 
 // checkMerge checks that the merge of the last two writes of node i has the same effect on the disk as one write after the other.
-func (w *walk) checkMerge(i int, a Write) {
-	d := w.nodes[i]
-	if d.lastWrite.Seq > 0 {
-		one, two := d.diskBeforeLast, d.diskBeforeLast
-		one.Apply(d.lastWrite.Merge(a))
-		two.Apply(d.lastWrite)
-		d.diskBeforeLast = two
-		two.Apply(a)
-		if fmt.Sprint(one) != fmt.Sprint(two) || one.Validate() != nil {
-			w.fail("node %d: disk is %v after the merged write, want %v as after two writes", i, one, two)
+func (w *walk) checkMerge(i int, write Write) {
+	node := w.nodes[i]
+	if node.lastWrite.Seq > 0 {
+		merged, separate := node.diskBeforeLastWrite, node.diskBeforeLastWrite
+		merged.Apply(node.lastWrite.Merge(write))
+		separate.Apply(node.lastWrite)
+		node.diskBeforeLastWrite = separate
+		separate.Apply(write)
+		if fmt.Sprint(merged) != fmt.Sprint(separate) || merged.Validate() != nil {
+			w.recordViolation("node %d: disk is %v after the merged write, want %v as after two writes", i, merged, separate)
 		}
 	}
-	d.lastWrite = a
+	node.lastWrite = write
 }
 
 // proposalData returns data that contains the token. One token in eight has longer data, so that it goes in chunks where the seed is odd.
@@ -273,27 +276,27 @@
 	return n
 }
 
-// leader returns which node leads the newest term; -1 if none leads.
-func (w *walk) leader() (found int) {
-	found = -1
-	for i, d := range w.nodes {
-		if d.replica != nil && d.replica.IsLeader() && (found < 0 || d.replica.term > w.nodes[found].replica.term) {
-			found = i
+// leaderIndex returns which node leads the newest term; -1 if none leads.
+func (w *walk) leaderIndex() (index int) {
+	index = -1
+	for i, node := range w.nodes {
+		if node.replica != nil && node.replica.IsLeader() && (index < 0 || node.replica.term > w.nodes[index].replica.term) {
+			index = i
 		}
 	}
-	return found
+	return index
 }
 
-// membersInSync reports whether all members run and have the newest member list on disk as committed. Only then may a disk be lost again.
-func (w *walk) membersInSync() bool {
-	l := w.leader()
-	if l < 0 || !w.nodes[l].replica.canReconfigure() {
+// allMembersInSync reports whether all members run and have the newest member list on disk as committed. Only then may a disk be lost again.
+func (w *walk) allMembersInSync() bool {
+	leader := w.leaderIndex()
+	if leader < 0 || !w.nodes[leader].replica.canReconfigure() {
 		return false
 	}
-	list := w.nodes[l].replica.memberConfigs
-	for _, m := range w.nodes[l].replica.Members() {
-		if !slices.ContainsFunc(w.nodes, func(d *simNode) bool {
-			return d.replica != nil && d.disk.ID == m.ID && d.disk.ClusterID != 0 && d.disk.Commit >= list[len(list)-1].index
+	list := w.nodes[leader].replica.memberConfigs
+	for _, m := range w.nodes[leader].replica.Members() {
+		if !slices.ContainsFunc(w.nodes, func(node *simNode) bool {
+			return node.replica != nil && node.disk.ID == m.ID && node.disk.ClusterID != 0 && node.disk.Commit >= list[len(list)-1].index
 		}) {
 			return false
 		}
@@ -301,24 +304,24 @@
 	return true
 }
 
-// proposeSome sends up to two proposals or reads, most of them to the leader, and schedules the next call.
-func (w *walk) proposeSome() {
+// issueRequests sends up to two proposals or reads, most of them to the leader, and schedules the next call.
+func (w *walk) issueRequests() {
 	for range w.rng.Intn(3) {
-		w.token++
-		token, i := w.token, w.rng.Intn(len(w.nodes))
-		if l := w.leader(); l >= 0 && w.rng.Intn(3) > 0 {
-			i = l
+		w.lastToken++
+		token, i := w.lastToken, w.rng.Intn(len(w.nodes))
+		if leader := w.leaderIndex(); leader >= 0 && w.rng.Intn(3) > 0 {
+			i = leader
 		}
-		w.onNode(i, func(d *simNode) {
+		w.actionOnNode(i, func(node *simNode) {
 			if w.rng.Intn(2) == 0 {
-				w.reads[token] = w.acked
-				d.replica.Read(token)
+				w.ackedAtRead[token] = w.ackedIndex
+				node.replica.Read(token)
 			} else {
-				d.replica.Propose(token, proposalData(token))
+				node.replica.Propose(token, proposalData(token))
 			}
 		})()
 	}
-	w.after(w.randomDelay(120), w.proposeSome)
+	w.schedule(w.randomDelay(120), w.issueRequests)
 }
 
 // injectFault injects a random fault and schedules the next call.
@@ -327,132 +330,132 @@
 		return
 	}
 	i := w.rng.Intn(len(w.nodes))
-	d := w.nodes[i]
+	node := w.nodes[i]
 	switch w.rng.Intn(9) {
 	case 0, 1: // a crash: writes that were not synced are lost
-		if d.replica != nil {
-			w.down(i, w.randomDelay(1500), w.start)
+		if node.replica != nil {
+			w.crashFor(i, w.randomDelay(1500), w.start)
 		}
 	case 2: // a crash of all nodes at once
-		for i, d := range w.nodes {
-			if d.replica != nil {
-				w.down(i, w.randomDelay(900), w.start)
+		for i, node := range w.nodes {
+			if node.replica != nil {
+				w.crashFor(i, w.randomDelay(900), w.start)
 			}
 		}
 	case 3: // a lost disk, in half of the cases with a crash of all other nodes
-		if d.replica != nil && w.membersInSync() {
+		if node.replica != nil && w.allMembersInSync() {
 			all := w.rng.Intn(2) == 0
-			for o, x := range w.nodes {
-				if all && o != i && x.replica != nil {
-					w.down(o, w.randomDelay(900), w.start)
+			for o, other := range w.nodes {
+				if all && o != i && other.replica != nil {
+					w.crashFor(o, w.randomDelay(900), w.start)
 				}
 			}
-			w.down(i, w.randomDelay(900), w.startEmpty)
+			w.crashFor(i, w.randomDelay(900), w.startEmpty)
 		}
 	case 4, 5:
 		// Messages of one link are lost in one direction.
 		link := [2]int{i, w.rng.Intn(len(w.nodes))}
 		w.partitioned[link] = true
-		w.after(w.randomDelay(4000), func() { delete(w.partitioned, link) })
+		w.schedule(w.randomDelay(4000), func() { delete(w.partitioned, link) })
 	case 6: // a partition of one node from all others
 		for o := range w.nodes {
 			w.partitioned[[2]int{i, o}], w.partitioned[[2]int{o, i}] = true, true
 		}
-		w.after(w.randomDelay(3000), func() { clear(w.partitioned) })
+		w.schedule(w.randomDelay(3000), func() { clear(w.partitioned) })
 	case 7:
 		// The disk hangs.
-		d.diskBusyUntil = w.now + w.randomDelay(3000)
+		node.diskBusyUntil = w.now + w.randomDelay(3000)
 	case 8:
 		// The leader removes a member or transfers its leadership.
-		if l := w.leader(); l >= 0 {
-			w.onNode(l, func(x *simNode) {
-				if len(x.replica.Members()) > 3 && w.rng.Intn(2) == 0 {
-					x.replica.RemoveMember(d.disk.ID)
+		if leader := w.leaderIndex(); leader >= 0 {
+			w.actionOnNode(leader, func(other *simNode) {
+				if len(other.replica.Members()) > 3 && w.rng.Intn(2) == 0 {
+					other.replica.RemoveMember(node.disk.ID)
 				} else {
-					x.replica.TransferLeadership()
+					other.replica.TransferLeadership()
 				}
 			})()
 		}
 	}
-	w.after(w.randomDelay(1200), w.injectFault)
+	w.schedule(w.randomDelay(1200), w.injectFault)
 }
 
 // runUntil processes the events up to a time, or until an invariant is violated.
-func (w *walk) runUntil(t time.Duration) {
+func (w *walk) runUntil(until time.Duration) {
 	for w.violation == "" {
-		n := 0
-		for i, e := range w.events {
-			if e.time < w.events[n].time {
-				n = i
+		earliest := 0
+		for i, next := range w.events {
+			if next.time < w.events[earliest].time {
+				earliest = i
 			}
 		}
-		e := w.events[n]
-		if e.time > t {
+		next := w.events[earliest]
+		if next.time > until {
 			break
 		}
 		last := len(w.events) - 1
-		w.events[n] = w.events[last]
+		w.events[earliest] = w.events[last]
 		w.events = w.events[:last]
-		w.now = max(w.now, e.time)
-		e.action()
+		w.now = max(w.now, next.time)
+		next.action()
 	}
-	w.now = t
+	w.now = until
 }
 
-// bootstrapped returns a walk with a number of nodes, of which the first three are the first members.
-func bootstrapped(t *testing.T, nodes int, seed int64, planted mutation) *walk {
-	return bootstrappedBy(t, nodes, 3, seed, planted)
+// newWalk returns a walk with a number of nodes, of which the first three are the first members.
+func newWalk(t *testing.T, nodes int, seed int64, planted mutation) *walk {
+	return newWalkWithMembers(t, nodes, 3, seed, planted)
 }
 
-// bootstrappedBy returns a walk with a number of nodes, of which the founders are the first members.
-func bootstrappedBy(t *testing.T, nodes, founders int, seed int64, planted mutation) *walk {
-	return bootstrappedWith(t, DefaultConfig(), nodes, founders, seed, planted)
+// newWalkWithMembers returns a walk with a number of nodes, of which the first ones are the initial members.
+func newWalkWithMembers(t *testing.T, nodes, initialMembers int, seed int64, planted mutation) *walk {
+	return newWalkWithConfig(t, DefaultConfig(), nodes, initialMembers, seed, planted)
 }
 
-// bootstrappedWith is bootstrappedBy with another Config than the default.
-func bootstrappedWith(t *testing.T, config Config, nodes, founders int, seed int64, planted mutation) *walk {
-	w := &walk{t: t, rng: rand.New(rand.NewSource(seed)), config: config, bytes: map[int]int{}}
+// newWalkWithConfig is newWalkWithMembers with another Config than the default.
+func newWalkWithConfig(t *testing.T, config Config, nodes, initialMembers int, seed int64, planted mutation) *walk {
+	w := &walk{t: t, rng: rand.New(rand.NewSource(seed)), config: config, bytesSent: map[int]int{}}
 	w.config.TestingKnobs = knobsFor(planted)
 	// Snapshots and one proposal in eight go in chunks.
 	if seed%2 == 1 {
 		w.config.MaxInflightBytes, w.config.ChunkBytes, w.config.TrailingBytes = 4, 2, 300
 	}
-	w.ledSince = map[uint64]time.Duration{}
-	w.partitioned, w.reads, w.finished = map[[2]int]bool{}, map[uint64]uint64{}, map[uint64]bool{}
-	var list []Member
+	w.leaderSince = map[uint64]time.Duration{}
+	w.partitioned, w.ackedAtRead, w.finishedTokens = map[[2]int]bool{}, map[uint64]uint64{}, map[uint64]bool{}
+	var members []Member
 	for i := range nodes {
 		w.nodes = append(w.nodes, &simNode{})
 		w.startEmpty(i)
-		if i < founders {
-			list = append(list, w.nodes[i].replica.self)
+		if i < initialMembers {
+			members = append(members, w.nodes[i].replica.self)
 		}
 	}
-	for i := range list {
-		w.onNode(i, func(d *simNode) { must.NoError(t, d.replica.Bootstrap(list)) })()
+	for i := range members {
+		w.actionOnNode(i, func(node *simNode) { must.NoError(t, node.replica.Bootstrap(members)) })()
 	}
 	return w
 }
 
-// faultWalk returns a finished walk with the faults of injectFault for 40 s, and 10 s without faults.
-func faultWalk(t *testing.T, seed int64, planted mutation) *walk {
-	return walkWithFaults(t, seed, planted, (*walk).injectFault, 40*time.Second)
+// runFaultWalk returns a finished walk with the faults of injectFault for 40 s, and 10 s without faults.
+func runFaultWalk(t *testing.T, seed int64, planted mutation) *walk {
+	return runWalkWithFaults(t, seed, planted, (*walk).injectFault, 40*time.Second)
 }
 
-// walkWithFaults returns a finished walk on three to five nodes, with faults until a time and 10 s without faults after it.
-func walkWithFaults(t *testing.T, seed int64, planted mutation, trouble func(*walk), until time.Duration) *walk {
-	return bootstrapped(t, 3+int(seed%3), seed, planted).runWithFaults(trouble, until)
+// runWalkWithFaults returns a finished walk on three to five nodes, with faults until a time and 10 s without faults after it.
+func runWalkWithFaults(t *testing.T, seed int64, planted mutation, injectFaults func(*walk), until time.Duration) *walk {
+	return newWalk(t, 3+int(seed%3), seed, planted).runWithFaults(injectFaults, until)
 }
 
-// groupFaultWalk is faultWalk with the configuration of a coordination group.
-func groupFaultWalk(t *testing.T, seed int64, planted mutation) *walk {
-	return bootstrappedWith(t, GroupConfig(1), 3+int(seed%3), 3, seed, planted).runWithFaults((*walk).injectFault, 40*time.Second)
+// runGroupFaultWalk is runFaultWalk with the configuration of a coordination group.
+func runGroupFaultWalk(t *testing.T, seed int64, planted mutation) *walk {
+	return newWalkWithConfig(t, GroupConfig(1), 3+int(seed%3), 3, seed, planted).runWithFaults((*walk).injectFault, 40*time.Second)
 }
 
 // runWithFaults runs a walk with faults until a time and 10 s without faults after it.
-func (w *walk) runWithFaults(trouble func(*walk), until time.Duration) *walk {
+func (w *walk) runWithFaults(injectFaults func(*walk), until time.Duration) *walk {
 	w.reconcileMembers(1)
-	w.proposeSome()
-	w.after(3*time.Second, func() { trouble(w) })
+	w.issueRequests()
+	w.schedule(3*time.Second, func() { injectFaults(w) })
 	w.runUntil(until)
 	w.faultless = true
 	clear(w.partitioned)
@@ -461,7 +464,7 @@
 }
 
 // forEachSeed runs a subtest for each seed. REPLICATION_WALKS sets the number of seeds; the default is 40.
-func forEachSeed(t *testing.T, play func(t *testing.T, seed int64)) {
+func forEachSeed(t *testing.T, run func(t *testing.T, seed int64)) {
 	walks := 40
 	if n, err := strconv.Atoi(os.Getenv("REPLICATION_WALKS")); err == nil {
 		walks = n
@@ -469,33 +472,33 @@
 	for seed := range int64(walks) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, seed)
+			run(t, seed)
 		})
 	}
 }
 
 // Guards against diverging logs, lost acknowledged entries and stale reads under random faults, and against a cluster that does not recover
 // from the faults within 10 s.
-func TestWalks(t *testing.T) { requireRecovery(t, faultWalk) }
+func TestWalksKeepInvariants(t *testing.T) { requireRecovery(t, runFaultWalk) }
 
 // Guards against the same faults with the configuration of a coordination group: shorter election time-outs, and read sequences that are
 // sent to a bare majority.
-func TestWalksOfGroups(t *testing.T) { requireRecovery(t, groupFaultWalk) }
+func TestWalksOfGroupsKeepInvariants(t *testing.T) { requireRecovery(t, runGroupFaultWalk) }
 
 // requireRecovery requires of each seed's walk that no invariant is violated, and that 10 s after the last fault a leader commits proposals
 // and all nodes are members that have nearly all acknowledged entries.
-func requireRecovery(t *testing.T, play func(*testing.T, int64, mutation) *walk) {
+func requireRecovery(t *testing.T, run func(*testing.T, int64, mutation) *walk) {
 	forEachSeed(t, func(t *testing.T, seed int64) {
-		w := play(t, seed, noMutation)
+		w := run(t, seed, noMutation)
 		must.Eq(t, "", w.violation)
-		done, l := w.acknowledged, w.leader()
-		must.NotEq(t, -1, l, must.Sprint("no node leads 10 s after the last fault"))
+		ackedBefore, leader := w.ackedProposals, w.leaderIndex()
+		must.NotEq(t, -1, leader, must.Sprint("no node leads 10 s after the last fault"))
 		w.runUntil(52 * time.Second)
 		must.Eq(t, "", w.violation)
-		must.Greater(t, done, w.acknowledged, must.Sprint("no proposal was committed within 2 s"))
-		for i, d := range w.nodes {
-			must.True(t, w.nodes[l].replica.isMember(d.disk.ID), must.Sprintf("node %d is not a member", i))
-			must.Between(t, w.acked-9, d.index, w.acked+9, must.Sprintf("index that node %d has applied", i))
+		must.Greater(t, ackedBefore, w.ackedProposals, must.Sprint("no proposal was committed within 2 s"))
+		for i, node := range w.nodes {
+			must.True(t, w.nodes[leader].replica.isMember(node.disk.ID), must.Sprintf("node %d is not a member", i))
+			must.Between(t, w.ackedIndex-9, node.appliedIndex, w.ackedIndex+9, must.Sprintf("index that node %d has applied", i))
 		}
 	})
 }
@@ -503,70 +506,70 @@
 // Guards against a leader that goes on leading while its messages arrive at the others but none arrive at it. It must step down within
 // QuorumTimeout and refuse proposals, and another member must lead.
 func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
-	w := faultlessWalk(t)
-	l := w.leader()
+	w := newFaultlessWalk(t)
+	leader := w.leaderIndex()
 	for i := range w.nodes {
-		w.partitioned[[2]int{i, l}] = true
+		w.partitioned[[2]int{i, leader}] = true
 	}
 	w.runUntil(w.now + DefaultConfig().QuorumTimeout + 2*DefaultConfig().HeartbeatInterval)
-	must.False(t, w.nodes[l].replica.IsLeader())
-	must.Eq(t, OutcomeNoLeader, w.nodes[l].replica.admissionStatus(0))
+	must.False(t, w.nodes[leader].replica.IsLeader())
+	must.Eq(t, OutcomeNoLeader, w.nodes[leader].replica.admissionStatus(0))
 	w.runUntil(w.now + time.Second)
-	must.NotEq(t, -1, w.leader())
-	must.NotEq(t, l, w.leader())
+	must.NotEq(t, -1, w.leaderIndex())
+	must.NotEq(t, leader, w.leaderIndex())
 }
 
 // Guards against a cluster without a leader where each sync takes longer than the first election time-out. Each failed election doubles the
 // time-out. Without that, no node led for as long as the disks of a machine were that slow.
-func TestSlowDisksStillLead(t *testing.T) {
+func TestClusterWithSlowDisksElectsLeader(t *testing.T) {
 	for seed := range int64(20) {
-		w := bootstrapped(t, 3, seed, noMutation)
+		w := newWalk(t, 3, seed, noMutation)
 		w.faultless, w.syncDelay = true, 600*time.Millisecond
 		w.runUntil(20 * time.Second)
-		l := w.leader()
-		must.NotEq(t, -1, l, must.Sprintf("seed=%d: no node leads", seed))
+		leader := w.leaderIndex()
+		must.NotEq(t, -1, leader, must.Sprintf("seed=%d: no node leads", seed))
 		for i := range 9 {
-			w.onNode(l, func(d *simNode) { d.replica.Propose(uint64(i+1), proposalData(uint64(i+1))) })()
+			w.actionOnNode(leader, func(node *simNode) { node.replica.Propose(uint64(i+1), proposalData(uint64(i+1))) })()
 			w.runUntil(w.now + 2*time.Second)
 		}
 		must.Eq(t, "", w.violation)
-		must.Eq(t, 9, w.acknowledged, must.Sprintf("seed=%d: number of acknowledged proposals", seed))
+		must.Eq(t, 9, w.ackedProposals, must.Sprintf("seed=%d: number of acknowledged proposals", seed))
 	}
 }
 
 // Guards against a partitioned member that raises the term and deposes the leader when it comes back: the pre-vote must prevent that. Also
 // guards against a leadership transfer that takes longer than a few round trips.
 func TestPreVoteAndLeadershipTransfer(t *testing.T) {
-	w := faultlessWalk(t)
-	l := w.leader()
-	view, away := w.nodes[l].replica.term, (l+1)%3
+	w := newFaultlessWalk(t)
+	leader := w.leaderIndex()
+	term, isolated := w.nodes[leader].replica.term, (leader+1)%3
 	for i := range w.nodes {
-		w.partitioned[[2]int{i, away}], w.partitioned[[2]int{away, i}] = true, true
+		w.partitioned[[2]int{i, isolated}], w.partitioned[[2]int{isolated, i}] = true, true
 	}
 	w.runUntil(w.now + 5*time.Second)
 	clear(w.partitioned)
 	w.runUntil(w.now + time.Second)
-	must.Eq(t, view, w.nodes[l].replica.term)
-	must.True(t, w.nodes[l].replica.IsLeader())
-	w.onNode(l, func(d *simNode) { d.replica.TransferLeadership() })()
+	must.Eq(t, term, w.nodes[leader].replica.term)
+	must.True(t, w.nodes[leader].replica.IsLeader())
+	w.actionOnNode(leader, func(node *simNode) { node.replica.TransferLeadership() })()
 	w.runUntil(w.now + 100*time.Millisecond)
-	must.NotEq(t, -1, w.leader())
-	must.NotEq(t, l, w.leader())
-	must.Eq(t, view+1, w.nodes[l].replica.term)
+	must.NotEq(t, -1, w.leaderIndex())
+	must.NotEq(t, leader, w.leaderIndex())
+	must.Eq(t, term+1, w.nodes[leader].replica.term)
 }
 
-// faultlessWalk returns a walk on three nodes without faults that has had time to elect a leader.
-func faultlessWalk(t *testing.T) *walk {
-	w := bootstrapped(t, 3, 1, noMutation)
+// newFaultlessWalk returns a walk on three nodes without faults that has had time to elect a leader.
+func newFaultlessWalk(t *testing.T) *walk {
+	w := newWalk(t, 3, 1, noMutation)
 	w.faultless = true
 	w.runUntil(3 * time.Second)
-	must.NotEq(t, -1, w.leader())
+	must.NotEq(t, -1, w.leaderIndex())
 	return w
 }
 
 // Guards against a bootstrap that is incomplete for good because its node stopped before the other members had the list. Any member returns
 // the list while nothing else is known to be committed, and an empty disk must accept it like the first one.
-func TestBootstrapIsPassedOn(t *testing.T) {
+func TestAnyMemberReturnsBootstrapMembers(t *testing.T) {
 	list := []Member{{1, "a"}, {2, "b"}, {3, "c"}}
 	at := func(id MemberID, k PersistentState) *Replica {
 		k.ID = id
@@ -590,13 +593,13 @@
 }
 
 // timeToLeader returns how long a cluster of two members takes to elect a leader that the other member follows, at most 30 s.
-func timeToLeader(t *testing.T, seed int64, sync time.Duration, planted mutation) time.Duration {
-	w := bootstrappedBy(t, 2, 2, seed, planted)
-	w.faultless, w.syncDelay = true, sync
+func timeToLeader(t *testing.T, seed int64, syncDelay time.Duration, planted mutation) time.Duration {
+	w := newWalkWithMembers(t, 2, 2, seed, planted)
+	w.faultless, w.syncDelay = true, syncDelay
 	for w.now < 30*time.Second {
 		w.runUntil(w.now + 10*time.Millisecond)
-		if l := w.leader(); l >= 0 {
-			if m, _, ok := w.nodes[1-l].replica.Leader(); ok && m.ID == w.nodes[l].replica.self.ID {
+		if leader := w.leaderIndex(); leader >= 0 {
+			if m, _, ok := w.nodes[1-leader].replica.Leader(); ok && m.ID == w.nodes[leader].replica.self.ID {
 				return w.now
 			}
 		}
@@ -604,26 +607,26 @@
 	return w.now
 }
 
-// slowestElection returns the longest and the mean time that a hundred clusters of two members take to elect their first leader.
-func slowestElection(t *testing.T, sync time.Duration, planted mutation) (worst, mean time.Duration) {
+// electionTimes returns the longest and the mean time that a hundred clusters of two members take to elect their first leader.
+func electionTimes(t *testing.T, syncDelay time.Duration, planted mutation) (longest, mean time.Duration) {
 	t.Helper()
 	const runs = 100
 	for seed := range int64(runs) {
-		took := timeToLeader(t, seed, sync, planted)
-		mean, worst = mean+took/runs, max(worst, took)
+		duration := timeToLeader(t, seed, syncDelay, planted)
+		mean, longest = mean+duration/runs, max(longest, duration)
 	}
-	return worst, mean
+	return longest, mean
 }
 
 // syncTimes are delays of syncs, from a fast disk to one that takes longer than the first election time-out.
-var syncTimes = []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond}
+var syncDelays = []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond}
 
 // Guards against slow first elections between two members. Where a vote takes long to sync, both become candidates of the same term, and
 // neither gets a majority. Each then needed a longer time-out, up to seconds. Now the candidate with the lower ID starts the next term at once.
 func TestTwoMembersElectLeaderSoon(t *testing.T) {
-	for _, sync := range syncTimes {
-		worst, mean := slowestElection(t, sync, noMutation)
-		t.Logf("sync delay=%v: time to leader mean=%v max=%v", sync, mean, worst)
-		must.LessEq(t, time.Second+5*sync, worst)
+	for _, sync := range syncDelays {
+		longest, mean := electionTimes(t, sync, noMutation)
+		t.Logf("sync delay=%v: time to leader mean=%v max=%v", sync, mean, longest)
+		must.LessEq(t, time.Second+5*sync, longest)
 	}
 }
--- a/internal/gateway/replication/wire_test.go
+++ b/internal/gateway/replication/wire_test.go
@@ -7,21 +7,21 @@
 	"github.com/shoenig/test/must"
 )
 
-// setFields sets every field of a value and of the values in it. Numbers differ from all others, so that swapped fields are detected.
-func setFields(t *testing.T, v reflect.Value, next *uint64) {
+// setDistinctValues sets every field of a value and of the values in it. Numbers differ from all others, so that swapped fields are detected.
+func setDistinctValues(t *testing.T, v reflect.Value, next *uint64) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			setFields(t, v.Field(i), next)
+			setDistinctValues(t, v.Field(i), next)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		setFields(t, v.Elem(), next)
+		setDistinctValues(t, v.Elem(), next)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			setFields(t, v.Index(i), next)
+			setDistinctValues(t, v.Index(i), next)
 		}
 	case reflect.Bool:
 		v.SetBool(true)
@@ -41,13 +41,13 @@
 func TestWireFormHasAllFields(t *testing.T) {
 	var message Message
 	next := uint64(1)
-	setFields(t, reflect.ValueOf(&message).Elem(), &next)
+	setDistinctValues(t, reflect.ValueOf(&message).Elem(), &next)
 	must.Less(t, 256, next) // a MessageKind has one byte
 	wire := message.Wire()
 	must.Eq(t, message, wire.Message())
 
 	var sent WireMessage
-	setFields(t, reflect.ValueOf(&sent).Elem(), new(uint64))
+	setDistinctValues(t, reflect.ValueOf(&sent).Elem(), new(uint64))
 	received := sent.Message()
 	must.Eq(t, sent, received.Wire())
 
