--- a/internal/gateway/replication/codec_test.go
+++ b/internal/gateway/replication/codec_test.go
@@ -22,8 +22,8 @@
 	{},
 }
 
-// Guards against fields that encoding or decoding changes. Decoding must return the bytes after the message, and an error for a message that
-// is truncated anywhere.
+// Guards against fields that encoding or decoding changes. Decoding must return the bytes after the message, and an error for a
+// message that is truncated anywhere.
 func TestCompactFormRoundTrip(t *testing.T) {
 	for _, m := range codecMessages {
 		m.ContactAgeMillis = -1
@@ -40,8 +40,8 @@
 	must.Less(t, 32, len(AppendMessage(nil, &codecMessages[0])))
 }
 
-// Guards against malformed input that ends the process or takes more memory than it has bytes. A message that can be decoded must be the same
-// after it is encoded and decoded again.
+// Guards against malformed input that ends the process or takes more memory than it has bytes. A message that can be decoded must
+// be the same after it is encoded and decoded again.
 func FuzzReadMessage(f *testing.F) {
 	for _, m := range codecMessages {
 		f.Add(AppendMessage(nil, &m))
--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// withContactChecks enables the check of quorum contact. Only steps advance the time, and an election time-out of an hour keeps time from starting an
-// election.
+// withContactChecks enables the check of quorum contact. Only steps advance the time, and an election time-out of an hour keeps
+// time from starting an election.
 func withContactChecks(c *cluster) *cluster {
 	for _, s := range c.members {
 		s.replica.config.ElectionTimeout = time.Hour
@@ -106,9 +106,9 @@
 	}, nil},
 }
 
-// Guards against reports of quorum contact that are too new. They would let a host act on state that is older than it assumes. All orders of
-// messages, syncs, elections and seconds that pass are taken, up to a number of states.
-func TestContactInAllOrders(t *testing.T) { requireNoViolation(t, contactScenarios) }
+// Guards against reports of quorum contact that are too new. They would let a host act on state that is older than it assumes. All
+// orders of messages, syncs, elections and seconds that pass are taken, up to a number of states.
+func TestContactInAllOrdersIsNeverTooNew(t *testing.T) { requireNoViolation(t, contactScenarios) }
 
 // acknowledgement is when the proposal at an index was acknowledged.
 type acknowledgement struct {
@@ -148,27 +148,27 @@
 	}
 }
 
-// suspendOrPartition suspends a node, or blocks its links one way or both, for up to 5 s, many times as long as an election takes. In two of three
-// cases the node is the leader. Messages that wait in a suspended process or on a link arrive late.
+// suspendOrPartition suspends a node, or blocks its links one way or both, for up to 5 s, many times as long as an election takes.
+// In at least two of three cases the node is the leader. Messages that wait in a suspended process or on a link arrive late.
 func (w *walk) suspendOrPartition() {
 	if w.faultless {
 		return
 	}
 	i := w.rng.Intn(len(w.nodes))
-	if l := w.leaderIndex(); l >= 0 && w.rng.Intn(3) > 0 {
-		i = l
+	if leader := w.leaderIndex(); leader >= 0 && w.rng.Intn(3) > 0 {
+		i = leader
 	}
 	switch w.rng.Intn(3) {
 	case 0:
 		w.nodes[i].suspendedUntil = w.now + w.randomDelay(4000)
 	default:
 		in, out := w.rng.Intn(2) == 0, w.rng.Intn(2) == 0
-		for o := range w.nodes {
+		for other := range w.nodes {
 			if in || !out {
-				w.partitioned[[2]int{o, i}] = true
+				w.partitioned[[2]int{other, i}] = true
 			}
 			if out || !in {
-				w.partitioned[[2]int{i, o}] = true
+				w.partitioned[[2]int{i, other}] = true
 			}
 		}
 		w.schedule(w.randomDelay(5000), func() { clear(w.partitioned) })
@@ -181,16 +181,16 @@
 	return runWalkWithFaults(t, seed, planted, (*walk).suspendOrPartition, 30*time.Second)
 }
 
-// Guards against reports of quorum contact that are too new while nodes are suspended or partitioned. 10 s after the last fault, all nodes must
-// have been in contact with a majority within five heartbeats.
-func TestContactOnWalks(t *testing.T) {
+// Guards against reports of quorum contact that are too new while nodes are suspended or partitioned. 10 s after the last fault,
+// all nodes must have been in contact with a majority within five heartbeats.
+func TestContactOnWalksIsNeverTooNew(t *testing.T) {
 	for seed := range int64(stateLimit(10_000) / 250) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := runContactWalk(t, seed, noMutation)
 			must.Eq(t, "", w.violation)
-			for i, d := range w.nodes {
-				age, _, ok := d.replica.QuorumContact(w.now)
+			for i, node := range w.nodes {
+				age, _, ok := node.replica.QuorumContact(w.now)
 				must.True(t, ok && age < 5*DefaultConfig().HeartbeatInterval, must.Sprintf("quorum contact of node %d: age=%v known=%v", i, age, ok))
 			}
 		})
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -43,12 +43,15 @@
 	down    bool    // the process does not run, until start is called
 }
 
+// inflightMessage is a message that a member has sent and that is neither delivered nor lost.
 type inflightMessage struct {
 	from MemberID
 	send Send
 }
 
 // stepBudget is how many more steps of each kind forEachNextStep may offer.
+// A crash is followed by a restart at once. A loss stops a member until a restart. A wipe restarts a member with an empty disk.
+// A replacement makes a leader add a node in place of a lost member. A duplicate delivers a chunk that is delivered again later.
 type stepBudget struct{ elections, crashes, wipes, proposals, heartbeats, ticks, losses, restarts, replacements, duplicates, compactions int }
 
 // traceStep is the last step on the way to a state, linked to the steps before it.
@@ -57,6 +60,7 @@
 	description string
 }
 
+// String returns the descriptions of all steps, the first one first, each on a line of its own.
 func (t *traceStep) String() string {
 	if t == nil {
 		return ""
@@ -155,6 +159,7 @@
 	}
 }
 
+// isSameEntry reports whether two entries are the same, but for their member lists.
 func isSameEntry(a, b Entry) bool {
 	return a.Index == b.Index && a.Term == b.Term && a.Kind == b.Kind && string(a.Data) == string(b.Data)
 }
@@ -232,7 +237,7 @@
 	c.drainActions(i)
 }
 
-// deliver delivers message n of those in flight. The message is lost if no running member has the recipient's address.
+// deliver delivers the message at a position of inflight. The message is lost if no running member has the recipient's address.
 func (c *cluster) deliver(position int) {
 	m := c.inflight[position]
 	c.inflight = slices.Delete(slices.Clone(c.inflight), position, position+1)
@@ -275,8 +280,8 @@
 	}
 }
 
-// removeStaleMessages removes messages that can't have an effect any more: those to disks that are gone, and responses to a member that has a
-// newer term on disk.
+// removeStaleMessages removes messages that can't have an effect any more: those to disks that are gone, and responses to a member
+// that has a newer term on disk.
 func (c *cluster) removeStaleMessages() {
 	c.inflight = slices.DeleteFunc(slices.Clone(c.inflight), func(f inflightMessage) bool {
 		recipient := slices.IndexFunc(c.members, func(s *simMember) bool { return s.disk.ID == f.send.Recipient.ID })
@@ -286,15 +291,15 @@
 }
 
 // forEachNextStep calls visit with each step that can come next. A message that is not delivered stands for one that is lost or delayed.
-func (c *cluster) forEachNextStep(visit func(what string, act func(*cluster))) {
+func (c *cluster) forEachNextStep(visit func(description string, step func(*cluster))) {
 	for n, m := range c.inflight {
 		key := string(m.appendKey(nil, c.checksContact))
 		if !slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.appendKey(nil, c.checksContact)) == key }) {
-			k := m.send.Message
-			what := fmt.Sprintf("message from %d to %d: kind=%d term=%d index=%d", m.from, m.send.Recipient.ID, k.Kind, k.Term, k.Index)
-			visit(what, func(next *cluster) { next.deliver(n) })
-			if k.Chunk != nil && c.budget.duplicates > 0 {
-				visit(what+" (duplicated)", func(next *cluster) {
+			message := m.send.Message
+			description := fmt.Sprintf("message from %d to %d: kind=%d term=%d index=%d", m.from, m.send.Recipient.ID, message.Kind, message.Term, message.Index)
+			visit(description, func(next *cluster) { next.deliver(n) })
+			if message.Chunk != nil && c.budget.duplicates > 0 {
+				visit(description+" (duplicated)", func(next *cluster) {
 					next.budget.duplicates--
 					next.inflight = append(slices.Clone(next.inflight), next.inflight[n])
 					next.deliver(n)
@@ -356,14 +361,14 @@
 
 // forEachReplacement calls visit with each replacement that leader i can begin: any running node that is no member, for any member that has
 // stopped.
-func (c *cluster) forEachReplacement(i int, visit func(what string, act func(*cluster))) {
+func (c *cluster) forEachReplacement(i int, visit func(description string, step func(*cluster))) {
 	leader := c.members[i].replica
 	for _, in := range c.members {
 		for _, out := range c.members {
-			if from, to := in.replica.self, out.replica.self.ID; !in.down && out.down && !leader.isMember(from.ID) && leader.isMember(to) {
-				visit(fmt.Sprintf("leader %d replaces: new member %d, lost member %d", leader.self.ID, from.ID, to), func(next *cluster) {
+			if newMember, lostID := in.replica.self, out.replica.self.ID; !in.down && out.down && !leader.isMember(newMember.ID) && leader.isMember(lostID) {
+				visit(fmt.Sprintf("leader %d replaces: new member %d, lost member %d", leader.self.ID, newMember.ID, lostID), func(next *cluster) {
 					next.budget.replacements--
-					next.members[i].replica.AddMember(from, to)
+					next.members[i].replica.AddMember(newMember, lostID)
 					next.drainActions(i)
 				})
 			}
@@ -372,9 +377,9 @@
 }
 
 // replaceMember stops a member and lets the first member replace it by another node, until the new member list is committed.
-func (c *cluster) replaceMember(out, in int) *cluster {
-	c.stop(out)
-	c.members[0].replica.AddMember(c.members[in].replica.self, c.members[out].disk.ID)
+func (c *cluster) replaceMember(lost, spare int) *cluster {
+	c.stop(lost)
+	c.members[0].replica.AddMember(c.members[spare].replica.self, c.members[lost].disk.ID)
 	c.drainActions(0)
 	c.deliverAll()
 	c.sendHeartbeat(0)
@@ -507,27 +512,27 @@
 	for queue := []*cluster{state}; len(queue) > 0 && len(visited) < limit; {
 		state := queue[0]
 		queue[0], queue = nil, queue[1:]
-		state.forEachNextStep(func(what string, act func(*cluster)) {
+		state.forEachNextStep(func(description string, step func(*cluster)) {
 			if violation != "" || len(visited) >= limit {
 				return
 			}
 			c := state.clone()
-			c.trace = &traceStep{state.trace, what}
+			c.trace = &traceStep{state.trace, description}
 			func() {
 				defer func() {
 					if r := recover(); r != nil { // a violated invariant panics in a debug build
 						c.recordViolation("%v", r)
 					}
 				}()
-				act(c)
+				step(c)
 				c.removeStaleMessages()
 				c.checkContact()
 			}()
 			if c.violation != "" {
 				violation = c.violation + c.trace.String()
 			}
-			if k := c.stateKey(); !visited[k] {
-				visited[k] = true
+			if key := c.stateKey(); !visited[key] {
+				visited[key] = true
 				queue = append(queue, c)
 			}
 		})
@@ -611,7 +616,8 @@
 	c.compact(0)
 	c.compact(1)
 	c.syncAllWrites(0, 1)
-	// Without a trailing log, as after a restart, the entries of the snapshot are not in memory: a member that lacks them needs the snapshot.
+	// Without a trailing log, as after a restart, the entries of the snapshot are not in memory: a member that lacks them needs the
+	// snapshot.
 	for _, s := range c.members {
 		s.replica.log.trailing = nil
 	}
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -40,8 +40,8 @@
 	return s
 }
 
-// beginWrites puts the writes of all replicas into the queues of their nodes, and begins a transaction on each idle disk, as a node does after it
-// has processed its input.
+// beginWrites puts the writes of all replicas into the queues of their nodes, and begins a transaction on each idle disk, as a node
+// does after it has processed its input.
 func (s *sharedDisk) beginWrites() {
 	for log, c := range s.logs {
 		if c.violation != "" && s.violation == "" {
@@ -61,7 +61,7 @@
 	}
 }
 
-// finishWrite completes the transaction of node i on disk. If notified is true, the replicas are told so by Synced.
+// finishWrite completes the transaction of node i on disk. If notified is true, the writes are reported to the replicas by ReportSynced.
 func (s *sharedDisk) finishWrite(i int, notified bool) {
 	batch := s.writing[i]
 	s.writing[i] = nil
@@ -92,18 +92,18 @@
 }
 
 // forEachNextStep calls visit with each step that can come next.
-func (s *sharedDisk) forEachNextStep(visit func(what string, act func(*sharedDisk))) {
+func (s *sharedDisk) forEachNextStep(visit func(description string, step func(*sharedDisk))) {
 	for log, c := range s.logs {
 		for n, m := range c.inflight {
 			key := string(m.appendKey(nil, false))
 			if slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.appendKey(nil, false)) == key }) {
 				continue
 			}
-			what := fmt.Sprintf("log %d: message from %d to %d: kind=%d term=%d index=%d", log,
+			description := fmt.Sprintf("log %d: message from %d to %d: kind=%d term=%d index=%d", log,
 				m.from, m.send.Recipient.ID, m.send.Message.Kind, m.send.Message.Term, m.send.Message.Index)
-			visit(what, func(s *sharedDisk) { s.logs[log].deliver(n) })
+			visit(description, func(s *sharedDisk) { s.logs[log].deliver(n) })
 			if s.budget.misrouted > 0 {
-				visit(what+" (delivered to the next log)", func(s *sharedDisk) { s.budget.misrouted--; s.misroute(log, n) })
+				visit(description+" (delivered to the next log)", func(s *sharedDisk) { s.budget.misrouted--; s.misroute(log, n) })
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 		if s.budget.crashes > 0 {
 			visit(fmt.Sprintf("node %d crashes and restarts", i+1), func(s *sharedDisk) { s.budget.crashes--; s.restart(i) })
 			if s.writing[i] != nil {
-				visit(fmt.Sprintf("node %d completes a write, crashes before Synced and restarts", i+1), func(s *sharedDisk) {
+				visit(fmt.Sprintf("node %d completes a write, crashes before ReportSynced and restarts", i+1), func(s *sharedDisk) {
 					s.budget.crashes--
 					s.finishWrite(i, false)
 					s.restart(i)
@@ -200,19 +200,19 @@
 	for queue := []*sharedDisk{s}; len(queue) > 0 && len(visited) < limit && violation == ""; {
 		s := queue[0]
 		queue[0], queue = nil, queue[1:]
-		s.forEachNextStep(func(what string, act func(*sharedDisk)) {
+		s.forEachNextStep(func(description string, step func(*sharedDisk)) {
 			if violation != "" || len(visited) >= limit {
 				return
 			}
 			c := s.clone()
-			c.trace = &traceStep{s.trace, what}
+			c.trace = &traceStep{s.trace, description}
 			func() {
 				defer func() {
 					if r := recover(); r != nil { // a violated invariant panics in a debug build
 						c.violation = fmt.Sprint(r)
 					}
 				}()
-				act(c)
+				step(c)
 				c.beginWrites()
 				for _, logCluster := range c.logs {
 					logCluster.removeStaleMessages()
@@ -221,8 +221,8 @@
 			if c.violation != "" {
 				violation = c.violation + c.trace.String()
 			}
-			if k := c.stateKey(); !visited[k] {
-				visited[k] = true
+			if key := c.stateKey(); !visited[key] {
+				visited[key] = true
 				queue = append(queue, c)
 			}
 		})
@@ -307,8 +307,8 @@
 // configuration's log, the groups must take turns within maxBatchBytes, and no write may stay in the queue.
 func TestTransactionsAreBounded(t *testing.T) {
 	var queue WriteQueue
-	largeWrite := func(nr uint64) Write {
-		return Write{Seq: nr, FirstIndex: nr, Entries: []Entry{{Index: nr, Data: make([]byte, maxBatchBytes*2/5)}}}
+	largeWrite := func(index uint64) Write {
+		return Write{Seq: index, FirstIndex: index, Entries: []Entry{{Index: index, Data: make([]byte, maxBatchBytes*2/5)}}}
 	}
 	for log := LogID(1); log <= 8; log++ {
 		queue.Put(log, largeWrite(1))
@@ -342,20 +342,20 @@
 func TestLeadershipTransferToNamedMember(t *testing.T) {
 	w := newFaultlessWalk(t)
 	for range 4 {
-		l := w.leaderIndex()
-		to := (l + 1 + w.rng.Intn(2)) % 3
-		must.True(t, w.nodes[l].replica.CanTransferTo(w.nodes[to].disk.ID))
-		w.actionOnNode(l, func(d *simNode) { d.replica.TransferLeadershipTo(w.nodes[to].disk.ID) })()
+		leader := w.leaderIndex()
+		to := (leader + 1 + w.rng.Intn(2)) % 3
+		must.True(t, w.nodes[leader].replica.CanTransferTo(w.nodes[to].disk.ID))
+		w.actionOnNode(leader, func(node *simNode) { node.replica.TransferLeadershipTo(w.nodes[to].disk.ID) })()
 		w.runUntil(w.now + 100*time.Millisecond)
 		must.Eq(t, to, w.leaderIndex())
 		w.runUntil(w.now + 500*time.Millisecond)
 	}
-	l := w.leaderIndex()
-	stopped, other := (l+1)%3, (l+2)%3
+	leader := w.leaderIndex()
+	stopped, other := (leader+1)%3, (leader+2)%3
 	w.nodes[stopped].replica = nil
 	w.runUntil(w.now + DefaultConfig().QuorumTimeout + 100*time.Millisecond)
-	must.False(t, w.nodes[l].replica.CanTransferTo(w.nodes[stopped].disk.ID))
-	w.actionOnNode(l, func(d *simNode) { d.replica.TransferLeadershipTo(w.nodes[stopped].disk.ID) })()
+	must.False(t, w.nodes[leader].replica.CanTransferTo(w.nodes[stopped].disk.ID))
+	w.actionOnNode(leader, func(node *simNode) { node.replica.TransferLeadershipTo(w.nodes[stopped].disk.ID) })()
 	w.runUntil(w.now + 100*time.Millisecond)
 	must.Eq(t, other, w.leaderIndex())
 	must.Eq(t, "", w.violation)
@@ -365,18 +365,18 @@
 // while the other members still hear from the leader. If the leader is gone, another member must lead within half the election time-out.
 func TestUnreachableLeaderStartsElectionAtOnce(t *testing.T) {
 	w := newFaultlessWalk(t)
-	l := w.leaderIndex()
-	leader, term := w.nodes[l].disk.ID, w.nodes[l].replica.term
+	leader := w.leaderIndex()
+	leaderID, term := w.nodes[leader].disk.ID, w.nodes[leader].replica.term
 	for range 5 {
-		w.actionOnNode((l+1)%3, func(d *simNode) { d.replica.ReportUnreachable(leader) })()
+		w.actionOnNode((leader+1)%3, func(node *simNode) { node.replica.ReportUnreachable(leaderID) })()
 		w.runUntil(w.now + 300*time.Millisecond)
-		must.Eq(t, term, w.nodes[l].replica.term)
-		must.Eq(t, l, w.leaderIndex())
+		must.Eq(t, term, w.nodes[leader].replica.term)
+		must.Eq(t, leader, w.leaderIndex())
 	}
-	w.nodes[l].replica = nil
-	for i, d := range w.nodes {
-		if d.replica != nil {
-			w.actionOnNode(i, func(d *simNode) { d.replica.ReportUnreachable(leader) })()
+	w.nodes[leader].replica = nil
+	for i, node := range w.nodes {
+		if node.replica != nil {
+			w.actionOnNode(i, func(node *simNode) { node.replica.ReportUnreachable(leaderID) })()
 		}
 	}
 	w.runUntil(w.now + DefaultConfig().ElectionTimeout/2)
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -9,12 +9,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// reconcileMembers calls ReconcileMembers at each replica with the nodes that its host reaches, and schedules the next call, as hosts do. With
-// faults, one call in four is left out.
+// reconcileMembers calls ReconcileMembers at each replica with the nodes that its host reaches, and schedules the next call, as
+// hosts do. With faults, one call in four is left out.
 func (w *walk) reconcileMembers(tolerates int) {
 	for i, node := range w.nodes {
 		if node.replica != nil && (w.faultless || w.rng.Intn(4) > 0) {
-			w.actionOnNode(i, func(o *simNode) { o.replica.ReconcileMembers(w.reachableFrom(i), tolerates) })()
+			w.actionOnNode(i, func(node *simNode) { node.replica.ReconcileMembers(w.reachableFrom(i), tolerates) })()
 		}
 	}
 	w.schedule(w.randomDelay(300)+time.Millisecond, func() { w.reconcileMembers(tolerates) })
@@ -40,16 +40,16 @@
 	return len(w.nodes) - 1
 }
 
-// stop ends node i, until start is called for it.
+// stop ends the process of node i. The node may be started again.
 func (w *walk) stop(i int) {
 	w.nodes[i].formerMember, w.nodes[i].stoppedAt = Member{w.nodes[i].disk.ID, fmt.Sprint("node", i)}, w.now
 	w.nodes[i].replica, w.nodes[i].draining = nil, false
 	w.nodes[i].incarnation++
 }
 
-// toleranceViolation checks that any members may be lost next, as many as `tolerates` says, while no change of members is under way: the
-// others must be a majority of the list, and more than `tolerates` running members must have each acknowledged entry on disk. It returns
-// what is violated; empty if nothing is.
+// toleranceViolation checks, while no change of members is under way, that any members may be lost next, up to the number
+// `tolerates`. The remaining ones must be a majority of the list, and more than `tolerates` running members must have each
+// acknowledged entry on disk. It returns what is violated, or an empty string.
 func (w *walk) toleranceViolation(tolerates int) string {
 	leader := w.leaderIndex()
 	if leader < 0 {
@@ -85,9 +85,9 @@
 	}
 }
 
-// runReplacementWalk returns a finished walk of five passes. In each pass as many members are lost as are tolerated at once, and they are replaced in
-// one of the ways in which machines are replaced. Within the time that the setting catch_up allows after that, the cluster must tolerate the
-// same number of losses again, and the next pass causes them.
+// runReplacementWalk returns a finished walk of five passes. In each pass members are lost and replaced: as many as are tolerated at
+// once, or up to that number one after the other by replaceMember. Within the time that the setting catch_up allows after that,
+// the cluster must tolerate the same number of losses again, and the next pass causes them.
 func runReplacementWalk(t *testing.T, seed int64, planted mutation) *walk {
 	tolerates := 1 + int(seed%2)
 	w := newWalkWithMembers(t, 2*tolerates+1, 2*tolerates+1, seed, planted)
@@ -114,8 +114,8 @@
 		w.runUntil(max(w.now, passStart) + 100*time.Millisecond)
 		w.requireProgress()
 		w.runUntil(w.now + catchUp)
-		if why := w.toleranceViolation(tolerates); why != "" {
-			w.recordViolation("%v after the last node started: %s", catchUp, why)
+		if violation := w.toleranceViolation(tolerates); violation != "" {
+			w.recordViolation("%v after the last node started: %s", catchUp, violation)
 		}
 	}
 	return w
@@ -215,13 +215,13 @@
 
 // Guards against a cluster that does not tolerate further losses in time. After each kind of replacement, the same number of members may be
 // lost again after the time that the setting catch_up allows.
-func TestReplacementWalks(t *testing.T) {
+func TestReplacementWalksTolerateFurtherLosses(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed int64) { must.Eq(t, "", runReplacementWalk(t, seed, noMutation).violation) })
 }
 
-// drainWithSlowDisk commits an entry while one member drains and the disk of another one hangs, so that only the leader and the draining member
-// have the entry on disk. It returns whether one of these two was allowed to shut down at once, and whether the leader was once the disk works
-// again.
+// drainWithSlowDisk commits an entry while one member drains and the disk of another one hangs, so that only the leader and the
+// draining member have the entry on disk. It returns whether one of these two was allowed to shut down at once, and whether the
+// leader was once the disk works again.
 func drainWithSlowDisk(t *testing.T, planted mutation) (atOnce, afterSync bool) {
 	t.Helper()
 	w := newWalkWithMembers(t, 3, 3, 1, planted)
@@ -233,7 +233,7 @@
 	w.reconcileMembers(1)
 	w.runUntil(w.now + time.Second)
 	w.nodes[slow].diskBusyUntil = w.now + 2*time.Second
-	w.actionOnNode(leader, func(d *simNode) { d.replica.Propose(7, []byte("7")) })()
+	w.actionOnNode(leader, func(node *simNode) { node.replica.Propose(7, []byte("7")) })()
 	w.runUntil(w.now + 200*time.Millisecond)
 	must.Eq(t, 1, w.ackedProposals)
 	for _, i := range []int{leader, (leader + 2) % 3} { // the two members that have the entry on disk
@@ -245,8 +245,8 @@
 	return atOnce, replica.IndexReplicatedElsewhere() >= replica.CommitIndex()
 }
 
-// Guards against the loss of an acknowledged entry when a member drains and another one is lost right after it. The draining member must stay
-// until a majority of the others has its entries.
+// Guards against the loss of an acknowledged entry when a member drains and another one is lost right after it. The draining member
+// must stay until a majority of the others has its entries.
 func TestDrainingMemberStaysUntilReplicatedElsewhere(t *testing.T) {
 	atOnce, afterSync := drainWithSlowDisk(t, noMutation)
 	must.False(t, atOnce)
@@ -261,9 +261,9 @@
 	c.deliverAll()
 	c.sendHeartbeat(0)
 	c.deliverAll()
-	out := c.members[2].replica
-	must.Eq(t, c.members[0].replica.commitIndex, out.CommitIndex())
-	must.Eq(t, out.CommitIndex(), out.IndexReplicatedElsewhere())
+	removed := c.members[2].replica
+	must.Eq(t, c.members[0].replica.commitIndex, removed.CommitIndex())
+	must.Eq(t, removed.CommitIndex(), removed.IndexReplicatedElsewhere())
 }
 
 // Guards against a disk that loses its membership when it moves to another address. The list must be changed to the new address, with the
@@ -289,19 +289,19 @@
 	must.Eq(t, "", w.violation)
 }
 
-// newTwoClusters sets up two clusters. The first has three members, of which only `last` runs: its disk has the bootstrap and, if voted is true, a
-// vote. The second has two members, led by `other`, which then adds `last` as a learner.
+// newTwoClusters sets up two clusters. The first has three members, of which only `last` runs: its disk has the bootstrap and, if
+// voted is true, a vote. The second has two members, led by `other`, which then adds `last` as a learner.
 func newTwoClusters(planted mutation, voted bool) (c *cluster, last, other *Replica) {
 	c = newCluster(5, 0, planted, stepBudget{})
 	secondCluster := []Member{c.members[3].replica.self, c.members[4].replica.self}
 	firstCluster := []Member{{8, "x"}, {9, "y"}, c.members[2].replica.self}
-	for i, l := range [][]Member{2: firstCluster, 3: secondCluster, 4: secondCluster} {
-		if l == nil {
+	for i, members := range [][]Member{2: firstCluster, 3: secondCluster, 4: secondCluster} {
+		if members == nil {
 			continue
 		}
 		c.members[i].disk = PersistentState{ID: c.members[i].disk.ID}
 		c.start(i)
-		if c.members[i].replica.Bootstrap(l) != nil {
+		if c.members[i].replica.Bootstrap(members) != nil {
 			panic("bootstrap of a member list failed")
 		}
 		c.drainActions(i)
@@ -324,9 +324,9 @@
 	return c, last, other
 }
 
-// Guards against a disk that can't join any cluster because it has the bootstrap of a cluster that no other disk joined. It must join another
-// cluster when a leader there sends the state, as an empty disk does. It must not join if it has voted: its first cluster may have committed
-// entries with that vote.
+// Guards against a disk that can't join any cluster because it has the bootstrap of a cluster that no other disk joined. It must
+// join another cluster when a leader there sends the state, as an empty disk does. It must not join if it has voted: its first
+// cluster may have committed entries with that vote.
 func TestBootstrappedOnlyDiskJoinsAnotherCluster(t *testing.T) {
 	_, last, other := newTwoClusters(noMutation, false)
 	must.Eq(t, other.clusterID, last.clusterID)
@@ -337,8 +337,8 @@
 	must.Eq(t, 2, last.term)
 }
 
-// Guards against a disk that stays unusable when the other members of its bootstrap are gone for good. The bootstrap can be discarded, on disk
-// as well, and the disk can be bootstrapped again. A disk that has more than a bootstrap must refuse.
+// Guards against a disk that stays unusable when the other members of its bootstrap are gone for good. The bootstrap can be
+// discarded, on disk as well, and the disk can be bootstrapped again. A disk that has more than a bootstrap must refuse.
 func TestBootstrapIsDiscarded(t *testing.T) {
 	c, _, _ := newTwoClusters(noMutation, true)
 	must.False(t, c.members[2].replica.DiscardBootstrap())
@@ -357,8 +357,8 @@
 	must.NoError(t, replica.Bootstrap([]Member{replica.self}))
 }
 
-// loseLeaderAfterReplacement stops a member, which hosts detect after 2.9 s, starts a new node 0.2 s after the stop, and stops the leader 4 s after
-// that. It returns the violation; empty if proposals are still committed.
+// loseLeaderAfterReplacement stops a member, which hosts detect after 2.9 s, starts a new node 0.2 s after the stop, and stops the
+// leader 4 s after that. It returns the violation; empty if proposals are still committed.
 func loseLeaderAfterReplacement(t *testing.T, planted mutation) string {
 	t.Helper()
 	w := newWalkWithMembers(t, 3, 3, 1, planted)
@@ -376,8 +376,8 @@
 	return w.violation
 }
 
-// Guards against a lost member that is replaced too late. The new node must be a member within the time that the setting catch_up allows after
-// its start, 4 s at the small sites. Another disk may be lost right after that, and proposals must still be committed.
+// Guards against a lost member that is replaced too late. The new node must be a member within the time that the setting catch_up
+// allows after its start, 4 s at the small sites. Another disk may be lost right after that, and proposals must still be committed.
 func TestLostMemberIsReplacedWithinCatchUp(t *testing.T) {
 	must.Eq(t, "", loseLeaderAfterReplacement(t, noMutation))
 }
--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -139,8 +139,8 @@
 func TestSnapshotInTransferFindsMutation(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
 	c := newCluster(3, 0, abandonTransfer, stepBudget{}).withSmallChunks().commitOnFirstTwo(state...)
-	bytes, _, level := catchUpThirdMember(c, 400)
-	must.True(t, !level || bytes > 2*len(state)+2*40, must.Sprint("mutation not detected"))
+	bytes, _, caughtUp := catchUpThirdMember(c, 400)
+	must.True(t, !caughtUp || bytes > 2*len(state)+2*40, must.Sprint("mutation not detected"))
 }
 
 // Guards against a check that overlooks a member which drains too early.
@@ -163,12 +163,12 @@
 
 // Guards against a check that overlooks two candidates of one term that both wait for another time-out.
 func TestTwoMembersElectLeaderSoonFindsMutation(t *testing.T) {
-	for _, sync := range syncDelays {
-		longest, _ := electionTimes(t, sync, noMutation)
-		mutated, mean := electionTimes(t, sync, skipTieBreak)
-		t.Logf("sync delay=%v, mutation %q: time to leader mean=%v max=%v", sync, skipTieBreak, mean, mutated)
-		if sync >= 150*time.Millisecond {
-			must.Greater(t, longest, mutated)
+	for _, syncDelay := range syncDelays {
+		longest, _ := electionTimes(t, syncDelay, noMutation)
+		longestMutated, meanMutated := electionTimes(t, syncDelay, skipTieBreak)
+		t.Logf("sync delay=%v, mutation %q: time to leader mean=%v max=%v", syncDelay, skipTieBreak, meanMutated, longestMutated)
+		if syncDelay >= 150*time.Millisecond {
+			must.Greater(t, longest, longestMutated)
 		}
 	}
 }
--- a/internal/gateway/replication/snapshot_test.go
+++ b/internal/gateway/replication/snapshot_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// catchUpThirdMember delivers messages to the third member again, which lacks twenty entries. After each message to or from that member the others compact
-// their logs, and before each of the first 40 an entry is proposed. It returns the bytes that the member was sent and the snapshots that it
-// installed, until it had the whole log or after a number of messages.
+// catchUpThirdMember delivers messages to the third member again, which lacks twenty entries. After each message to or from that
+// member the others compact their logs, and before each of the first 40 an entry is proposed. It returns the bytes that the member
+// was sent and the snapshots that it installed, until it had the whole log or after a number of messages.
 func catchUpThirdMember(c *cluster, maxMessages int) (bytes, restores int, caughtUp bool) {
 	c.sendHeartbeat(0)
 	for n := 0; n < maxMessages; n++ {
@@ -50,22 +50,22 @@
 	return bytes, restores, false
 }
 
-// Guards against a snapshot transfer that starts over. The snapshot in transfer must be sent once, whatever is proposed and compacted meanwhile,
-// and the entries after it must follow. Earlier, each compaction made the leader send the next snapshot from its start: with one compaction
-// for each message, the member never caught up.
+// Guards against a snapshot transfer that starts over. The snapshot in transfer must be sent once, whatever is proposed and
+// compacted meanwhile, and the entries after it must follow. Earlier, each compaction made the leader send the next snapshot from
+// its start: with one compaction for each message, the member never caught up.
 func TestSnapshotInTransferIsKept(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
 	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks().commitOnFirstTwo(state...)
-	bytes, restores, level := catchUpThirdMember(c, 400)
+	bytes, restores, caughtUp := catchUpThirdMember(c, 400)
 	must.Eq(t, "", c.violation)
-	must.True(t, level)
+	must.True(t, caughtUp)
 	must.Eq(t, 1, restores)
 	// The snapshot is sent once, and each entry at most twice.
 	must.LessEq(t, len(state)+2*40, bytes)
 }
 
-// Guards against a candidate that waits for a log that is too large for one message. The voter that has this log must start an election itself:
-// a large message would delay all others on the link, and a candidate without the newest log never leads.
+// Guards against a candidate that waits for a log that is too large for one message. The voter that has this log must start an
+// election itself: a large message would delay all others on the link, and a candidate without the newest log never leads.
 func TestMemberWithLargeTailStartsElection(t *testing.T) {
 	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks().commitOnFirstTwo("a", "b", "c")
 	c.members[2].replica.startElection()
@@ -87,8 +87,8 @@
 	must.Eq(t, c.members[1].replica.log.lastIndex(), c.members[2].replica.syncedIndex)
 }
 
-// Guards against unbounded memory for members that lag. The trailing log may have as many bytes as a new snapshot. For transfers, one outdated
-// snapshot that all receivers share and one more are kept.
+// Guards against unbounded memory for members that lag. The trailing log may have as many bytes as a new snapshot. At most
+// maxOutdatedBlobs outdated snapshots are kept for transfers, and all receivers of a snapshot share it.
 func TestTrailingLogIsBounded(t *testing.T) {
 	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks()
 	replica := c.members[0].replica
@@ -106,8 +106,8 @@
 		must.LessEq(t, 100<<10, size)
 	}
 	must.Greater(t, 64, len(replica.log.trailing))
-	// The term before the trailing log must be known. Otherwise a member that lacks exactly the trailing log would reject each append, until the
-	// log is compacted again.
+	// The term before the trailing log must be known. Otherwise a member that lacks exactly the trailing log would reject each
+	// append, until the log is compacted again.
 	_, known := replica.log.termAt(replica.FirstIndex() - 1)
 	must.True(t, known)
 	blobAt := func(i uint64) *Blob { return NewBlob(i, 1, []byte{1}) }
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -22,7 +22,7 @@
 	nodes          []*simNode
 	events         []event
 	committed      []Entry           // from index 2 on, as the first node to apply an entry received it
-	states         []string          // the host's state after each entry of committed
+	hostStates     []string          // the host's state after each entry of committed
 	ackedIndex     uint64            // the highest index that was acknowledged to a caller
 	ackedAtRead    map[uint64]uint64 // by token of a read: the highest acknowledged index when the read was requested
 	finishedTokens map[uint64]bool   // tokens that have an Outcome
@@ -140,7 +140,7 @@
 			w.schedule(node.writeDoneAt-w.now, w.actionOnNode(i, func(node *simNode) { node.disk.Apply(a); node.replica.ReportSynced(a.Seq) }))
 		case Restore:
 			node.appliedIndex, node.hostState = a.Index, string(a.State)
-			if a.Index > 1 && (a.Index-2 >= uint64(len(w.states)) || w.states[a.Index-2] != node.hostState) {
+			if a.Index > 1 && (a.Index-2 >= uint64(len(w.hostStates)) || w.hostStates[a.Index-2] != node.hostState) {
 				w.recordViolation("node %d restored a state at index %d that differs from the state of the other nodes", i, a.Index)
 			}
 		case Commit:
@@ -195,7 +195,7 @@
 				e.Index, w.committed[position].Term, i, e.Term)
 		}
 	} else {
-		w.committed, w.states = append(w.committed, e), append(w.states, node.hostState)
+		w.committed, w.hostStates = append(w.committed, e), append(w.hostStates, node.hostState)
 	}
 	if w.rng.Intn(20) == 0 {
 		node.replica.Compact(node.appliedIndex, []byte(node.hostState))
@@ -204,14 +204,14 @@
 
 // transmit sends a message to the node at the recipient's address, or to the recipient's disk if no address is known. Unless the walk is
 // faultless, messages are lost, duplicated and delayed at random.
-func (w *walk) transmit(from int, message Send) {
+func (w *walk) transmit(from int, send Send) {
 	id := w.nodes[from].disk.ID
 	for i, node := range w.nodes {
-		isRecipient := message.Recipient.Addr == fmt.Sprint("node", i) || message.Recipient.Addr == "" && node.disk.ID == message.Recipient.ID
+		isRecipient := send.Recipient.Addr == fmt.Sprint("node", i) || send.Recipient.Addr == "" && node.disk.ID == send.Recipient.ID
 		if !isRecipient || w.partitioned[[2]int{from, i}] {
 			continue
 		}
-		w.bytesSent[i] += payloadBytes(message.Message)
+		w.bytesSent[i] += payloadBytes(send.Message)
 		copies := 1
 		if !w.faultless {
 			copies = [...]int{0, 2, 1, 1, 1, 1, 1, 1, 1, 1}[w.rng.Intn(10)]
@@ -228,7 +228,7 @@
 				if node.incarnation == incarnation || !w.faultless {
 					if node.replica != nil && !w.deferWhileSuspended(node, action) {
 						node.replica.Tick(w.now)
-						node.replica.Step(id, message.Message)
+						node.replica.Step(id, send.Message)
 						w.drainActions(i)
 					}
 				}
@@ -287,16 +287,17 @@
 	return index
 }
 
-// allMembersInSync reports whether all members run and have the newest member list on disk as committed. Only then may a disk be lost again.
+// allMembersInSync reports whether all members run and have the newest member list on disk as committed. Only then may a disk be
+// lost again.
 func (w *walk) allMembersInSync() bool {
 	leader := w.leaderIndex()
 	if leader < 0 || !w.nodes[leader].replica.canReconfigure() {
 		return false
 	}
-	list := w.nodes[leader].replica.memberConfigs
+	configs := w.nodes[leader].replica.memberConfigs
 	for _, m := range w.nodes[leader].replica.Members() {
 		if !slices.ContainsFunc(w.nodes, func(node *simNode) bool {
-			return node.replica != nil && node.disk.ID == m.ID && node.disk.ClusterID != 0 && node.disk.Commit >= list[len(list)-1].index
+			return node.replica != nil && node.disk.ID == m.ID && node.disk.ClusterID != 0 && node.disk.Commit >= configs[len(configs)-1].index
 		}) {
 			return false
 		}
@@ -368,11 +369,11 @@
 	case 8:
 		// The leader removes a member or transfers its leadership.
 		if leader := w.leaderIndex(); leader >= 0 {
-			w.actionOnNode(leader, func(other *simNode) {
-				if len(other.replica.Members()) > 3 && w.rng.Intn(2) == 0 {
-					other.replica.RemoveMember(node.disk.ID)
+			w.actionOnNode(leader, func(leaderNode *simNode) {
+				if len(leaderNode.replica.Members()) > 3 && w.rng.Intn(2) == 0 {
+					leaderNode.replica.RemoveMember(node.disk.ID)
 				} else {
-					other.replica.TransferLeadership()
+					leaderNode.replica.TransferLeadership()
 				}
 			})()
 		}
@@ -570,26 +571,26 @@
 // Guards against a bootstrap that is incomplete for good because its node stopped before the other members had the list. Any member returns
 // the list while nothing else is known to be committed, and an empty disk must accept it like the first one.
 func TestAnyMemberReturnsBootstrapMembers(t *testing.T) {
-	list := []Member{{1, "a"}, {2, "b"}, {3, "c"}}
-	at := func(id MemberID, k PersistentState) *Replica {
-		k.ID = id
-		return New(Member{id, string(rune('a' + id - 1))}, k, DefaultConfig(), 1, 0)
+	members := []Member{{1, "a"}, {2, "b"}, {3, "c"}}
+	newReplica := func(id MemberID, state PersistentState) *Replica {
+		state.ID = id
+		return New(Member{id, string(rune('a' + id - 1))}, state, DefaultConfig(), 1, 0)
 	}
-	first := at(1, PersistentState{})
+	first := newReplica(1, PersistentState{})
 	must.Nil(t, first.BootstrapMembers())
-	must.NoError(t, first.Bootstrap(list))
-	var kept PersistentState
-	for a, ok := first.Next(); ok; a, ok = first.Next() {
-		if w, is := a.(Write); is {
-			kept.Apply(w)
-			first.ReportSynced(w.Seq)
+	must.NoError(t, first.Bootstrap(members))
+	var firstDisk PersistentState
+	for action, ok := first.Next(); ok; action, ok = first.Next() {
+		if write, isWrite := action.(Write); isWrite {
+			firstDisk.Apply(write)
+			first.ReportSynced(write.Seq)
 		}
 	}
-	again, second := at(1, kept), at(2, PersistentState{})
-	must.Eq(t, list, again.BootstrapMembers())
-	must.NoError(t, second.Bootstrap(again.BootstrapMembers()))
-	must.Eq(t, list, second.Members())
-	must.Error(t, at(9, PersistentState{}).Bootstrap(again.BootstrapMembers()))
+	restarted, second := newReplica(1, firstDisk), newReplica(2, PersistentState{})
+	must.Eq(t, members, restarted.BootstrapMembers())
+	must.NoError(t, second.Bootstrap(restarted.BootstrapMembers()))
+	must.Eq(t, members, second.Members())
+	must.Error(t, newReplica(9, PersistentState{}).Bootstrap(restarted.BootstrapMembers()))
 }
 
 // timeToLeader returns how long a cluster of two members takes to elect a leader that the other member follows, at most 30 s.
@@ -610,23 +611,24 @@
 // electionTimes returns the longest and the mean time that a hundred clusters of two members take to elect their first leader.
 func electionTimes(t *testing.T, syncDelay time.Duration, planted mutation) (longest, mean time.Duration) {
 	t.Helper()
-	const runs = 100
-	for seed := range int64(runs) {
+	const clusters = 100
+	for seed := range int64(clusters) {
 		duration := timeToLeader(t, seed, syncDelay, planted)
-		mean, longest = mean+duration/runs, max(longest, duration)
+		mean, longest = mean+duration/clusters, max(longest, duration)
 	}
 	return longest, mean
 }
 
-// syncTimes are delays of syncs, from a fast disk to one that takes longer than the first election time-out.
+// syncDelays are delays of syncs, from a fast disk to one that takes longer than the first election time-out.
 var syncDelays = []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond}
 
-// Guards against slow first elections between two members. Where a vote takes long to sync, both become candidates of the same term, and
-// neither gets a majority. Each then needed a longer time-out, up to seconds. Now the candidate with the lower ID starts the next term at once.
+// Guards against slow first elections between two members. Where a vote takes long to sync, both become candidates of the same
+// term, and neither gets a majority. Each then needed a longer time-out, up to seconds. Now the candidate with the lower ID starts
+// the next term at once.
 func TestTwoMembersElectLeaderSoon(t *testing.T) {
-	for _, sync := range syncDelays {
-		longest, mean := electionTimes(t, sync, noMutation)
-		t.Logf("sync delay=%v: time to leader mean=%v max=%v", sync, mean, longest)
-		must.LessEq(t, time.Second+5*sync, longest)
+	for _, syncDelay := range syncDelays {
+		longest, mean := electionTimes(t, syncDelay, noMutation)
+		t.Logf("sync delay=%v: time to leader mean=%v max=%v", syncDelay, mean, longest)
+		must.LessEq(t, time.Second+5*syncDelay, longest)
 	}
 }
--- a/internal/gateway/replication/wire_test.go
+++ b/internal/gateway/replication/wire_test.go
@@ -7,7 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// setDistinctValues sets every field of a value and of the values in it. Numbers differ from all others, so that swapped fields are detected.
+// setDistinctValues sets every field of a value and of the values in it. Numbers differ from all others, so that swapped fields are
+// detected.
 func setDistinctValues(t *testing.T, v reflect.Value, next *uint64) {
 	t.Helper()
 	switch v.Kind() {
@@ -32,7 +33,7 @@
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
 		v.SetUint(*next)
 	default:
-		t.Fatalf("setFields has no value for kind %v", v.Kind())
+		t.Fatalf("setDistinctValues has no value for kind %v", v.Kind())
 	}
 	*next++
 }
