--- a/internal/gateway/replication/wire_test.go
+++ b/internal/gateway/replication/wire_test.go
@@ -7,21 +7,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// setFields sets every field of a struct, and of those in it, to a value that differs from all others.
-func setFields(t *testing.T, v reflect.Value, next *uint64) {
+// setDistinctValues sets every field of a value and of the values in it. Numbers differ from all others, so that swapped fields are
+// detected.
+func setDistinctValues(t *testing.T, v reflect.Value, next *uint64) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			setFields(t, v.Field(i), next)
+			setDistinctValues(t, v.Field(i), next)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		setFields(t, v.Elem(), next)
+		setDistinctValues(t, v.Elem(), next)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			setFields(t, v.Index(i), next)
+			setDistinctValues(t, v.Index(i), next)
 		}
 	case reflect.Bool:
 		v.SetBool(true)
@@ -32,22 +33,22 @@
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
 		v.SetUint(*next)
 	default:
-		t.Fatalf("no value for a %v", v.Kind())
+		t.Fatalf("setDistinctValues has no value for kind %v", v.Kind())
 	}
 	*next++
 }
 
-// No field is lost or swapped on the way through the form that gob sends: one that is new must be converted too.
+// Guards against fields that are lost or swapped by the conversion to the form that gob sends. A new field must be converted too.
 func TestWireFormHasAllFields(t *testing.T) {
 	var message Message
 	next := uint64(1)
-	setFields(t, reflect.ValueOf(&message).Elem(), &next)
-	must.Less(t, 256, next) // a kind has a byte
+	setDistinctValues(t, reflect.ValueOf(&message).Elem(), &next)
+	must.Less(t, 256, next) // a MessageKind has one byte
 	wire := message.Wire()
 	must.Eq(t, message, wire.Message())
 
 	var sent WireMessage
-	setFields(t, reflect.ValueOf(&sent).Elem(), new(uint64))
+	setDistinctValues(t, reflect.ValueOf(&sent).Elem(), new(uint64))
 	received := sent.Message()
 	must.Eq(t, sent, received.Wire())
 
